--- a/cmd/umberwinch/main.go
+++ b/cmd/umberwinch/main.go
@@ -13,7 +13,7 @@
 	"github.com/sirupsen/logrus"
 
 	"umberwinch/internal/backend"
-	"umberwinch/internal/logs"
+	"umberwinch/internal/logging"
 )
 
 const (
@@ -33,8 +33,8 @@
 		os.Exit(2)
 	}
 	form, from := node.Logs()
-	lines := logs.NewWriter(os.Stderr, logLines)
-	log := logs.New(lines, form, from)
+	lines := logging.NewWriter(os.Stderr, logLines)
+	log := logging.New(lines, form, from)
 	if level, err := logrus.ParseLevel(os.Getenv("UMBERWINCH_LOG")); err == nil {
 		log.SetLevel(level)
 	}
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -20,7 +20,7 @@
 
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/lab"
-	"umberwinch/internal/logs"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/operator"
 	"umberwinch/internal/wal"
 )
@@ -50,7 +50,7 @@
 }
 
 func runInstance(ctx context.Context, o *operator.Control, out io.Writer) error {
-	log := logs.New(out, o.LogForm, o.LogFrom)
+	log := logging.New(out, o.LogForm, o.LogFrom)
 	g, err := consensus.Start(o, log, lab.FaultsOnDemand())
 	if err != nil {
 		return err
@@ -67,13 +67,13 @@
 		select {
 		case <-hups:
 			if err := g.Reload(); err != nil {
-				log.WithField(logs.Cause, err).Error("certificates not taken, the old ones stay")
+				log.WithField(logging.Cause, err).Error("certificates not taken, the old ones stay")
 			} else {
 				log.Info("certificates read again")
 			}
 		case <-g.Done():
 			api.Stop()
-			log.WithField(logs.Cause, g.Err()).Error("the instance can't go on")
+			log.WithField(logging.Cause, g.Err()).Error("the instance can't go on")
 			return g.Err()
 		case <-ctx.Done():
 			log.Info("ending")
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -17,7 +17,7 @@
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/fleet"
 	"umberwinch/internal/lab"
-	"umberwinch/internal/logs"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/policy"
 	"umberwinch/internal/zones"
 )
@@ -34,7 +34,7 @@
 				return usage(err)
 			}
 			form, from := c.Logs()
-			return backend.Run(c, logs.New(cmd.ErrOrStderr(), form, from), signals)
+			return backend.Run(c, logging.New(cmd.ErrOrStderr(), form, from), signals)
 		}}
 }
 
--- a/internal/consensus/api.go
+++ b/internal/consensus/api.go
@@ -19,7 +19,7 @@
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/semaphore"
 
-	"umberwinch/internal/logs"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/steward"
 )
 
@@ -459,7 +459,7 @@
 		a.failed(w, err)
 		return
 	}
-	a.group.log.WithFields(logrus.Fields{"op": c.Op, logs.Peer: fmt.Sprintf("%x", c.Member.ID)}).Info(
+	a.group.log.WithFields(logrus.Fields{"op": c.Op, logging.Peer: fmt.Sprintf("%x", c.Member.ID)}).Info(
 		"members changed")
 	a.answer(w, a.group.View().Members)
 }
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"umberwinch/internal/logs"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/operator"
 	"umberwinch/internal/policy"
 	"umberwinch/internal/steward"
@@ -176,8 +176,8 @@
 	}
 	g.net = newTransport(g, g.trust, log, c.RateMB)
 	g.publish()
-	log.WithFields(logrus.Fields{logs.Node: c.Name, "id": fmt.Sprintf("%x", g.rep.ID()), "role": g.View().Role,
-		logs.Version: g.View().Version, logs.Index: g.View().Last}).Info("instance is up")
+	log.WithFields(logrus.Fields{logging.Node: c.Name, "id": fmt.Sprintf("%x", g.rep.ID()), "role": g.View().Role,
+		logging.Version: g.View().Version, logging.Index: g.View().Last}).Info("instance is up")
 	go g.net.serve(l)
 	go g.run()
 	return g, nil
@@ -360,11 +360,11 @@
 	g.view.Store(v)
 	if was != nil {
 		if was.Role != s.Role || was.Term != s.Term || was.Leader != s.Leader {
-			g.log.WithFields(logrus.Fields{"role": s.Role, logs.Term: s.Term, "leader": fmt.Sprintf("%x", s.Leader)}).
+			g.log.WithFields(logrus.Fields{"role": s.Role, logging.Term: s.Term, "leader": fmt.Sprintf("%x", s.Leader)}).
 				Info("role")
 		}
 		if was.Version != s.Version {
-			g.log.WithFields(logrus.Fields{logs.Version: s.Version, logs.Index: s.Applied}).Info("version in force")
+			g.log.WithFields(logrus.Fields{logging.Version: s.Version, logging.Index: s.Applied}).Info("version in force")
 		}
 		if !was.Out() && v.Out() {
 			g.log.WithField("away", v.Away().Round(time.Millisecond)).Warn("out of touch with a majority")
@@ -582,9 +582,9 @@
 func (g *Group) bar(reason string) {
 	g.note(func() {
 		if g.rep.Barred() == "" {
-			g.log.WithField(logs.Cause, reason).Error("this instance takes no part any more")
+			g.log.WithField(logging.Cause, reason).Error("this instance takes no part any more")
 			if err := g.rep.Bar(reason); err != nil {
-				g.log.WithField(logs.Cause, err).Error("that could not be kept")
+				g.log.WithField(logging.Cause, err).Error("that could not be kept")
 			}
 		}
 	})
--- a/internal/consensus/helper_test.go
+++ b/internal/consensus/helper_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"umberwinch/internal/logs"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/operator"
 )
 
@@ -63,7 +63,7 @@
 func (i *instance) start() {
 	i.t.Helper()
 	var err error
-	if i.group, err = Start(i.control, logs.New(io.Discard, "text", "error"), Faults{Level: i.level}); err != nil {
+	if i.group, err = Start(i.control, logging.New(io.Discard, "text", "error"), Faults{Level: i.level}); err != nil {
 		i.t.Fatal(err)
 	}
 	if i.api, err = i.group.Serve(); err != nil {
@@ -176,7 +176,7 @@
 	return all
 }
 
-func quietLogger() *logrus.Logger { return logs.New(io.Discard, "text", "error") }
+func quietLogger() *logrus.Logger { return logging.New(io.Discard, "text", "error") }
 
 func loudPlan(c *operator.Control) Plan {
 	p := PlanOf(c)
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -18,7 +18,7 @@
 	"github.com/sirupsen/logrus"
 
 	"umberwinch/internal/backend"
-	"umberwinch/internal/logs"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/operator"
 )
 
@@ -167,7 +167,7 @@
 		return nil, nil, err
 	}
 	signals, ended := make(chan os.Signal, 4), make(chan error, 1)
-	log := logs.New(io.Discard, "text", "error")
+	log := logging.New(io.Discard, "text", "error")
 	log.SetLevel(logrus.ErrorLevel)
 	go func() {
 		ended <- backend.Run(node, log, backend.Signals{Drain: signals,
--- a/internal/logs/logs.go
+++ b/internal/logging/logs.go
@@ -1,6 +1,6 @@
-// Package logs sets logrus up once for every program: text or JSON, fields named alike everywhere. It owns
+// Package logging sets logrus up once for every program: text or JSON, fields named alike everywhere. It owns
 // the names of the fields; it never decides what is logged, and whoever logs never hands it a secret.
-package logs
+package logging
 
 import (
 	"io"
--- a/internal/logs/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"bytes"
