--- a/internal/backend/failures_test.go
+++ b/internal/backend/failures_test.go
@@ -22,8 +22,8 @@
 	"github.com/sirupsen/logrus"
 
 	"umberwinch/admission"
+	"umberwinch/internal/config"
 	"umberwinch/internal/member"
-	"umberwinch/internal/operator"
 	"umberwinch/internal/proto"
 )
 
@@ -301,7 +301,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &loop{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)}
-	f := &fleetPart{own: &operator.Fleet{Folder: filepath.Join(t.TempDir(), "gone")}, keeps: true,
+	f := &fleetPart{own: &config.Fleet{Folder: filepath.Join(t.TempDir(), "gone")}, keeps: true,
 		m: member.New(member.Plan{Name: "n1", Control: []string{"127.0.0.1:1"}}, nil, steadyMS())}
 	l.fleet = f
 	failed := func() {
--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -19,9 +19,9 @@
 	"umberwinch/internal/adopt"
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/conf"
+	"umberwinch/internal/config"
 	"umberwinch/internal/fleet"
 	"umberwinch/internal/member"
-	"umberwinch/internal/operator"
 	"umberwinch/internal/policy"
 	"umberwinch/internal/proto"
 	"umberwinch/internal/shadow"
@@ -42,7 +42,7 @@
 // fleetPart is the node's part in a fleet.
 type fleetPart struct {
 	m         *member.Member
-	own       *operator.Fleet
+	own       *config.Fleet
 	ask       *agent
 	fetch     *agent
 	rec       *shadow.Recording
@@ -112,7 +112,7 @@
 		plan.Name = l.startup.Name
 	}
 	f.gate = zones.NewGate(len(l.profile.Deployment.Handlers), plan.Seed)
-	if !operator.IsName(plan.Name) {
+	if !config.IsName(plan.Name) {
 		return fmt.Errorf("fleet.name: found %.50q, expected up to 40 letters, digits, '-', '_' and '.'", plan.Name)
 	}
 	for _, name := range o.Without {
--- a/internal/backend/kept.go
+++ b/internal/backend/kept.go
@@ -16,8 +16,8 @@
 
 	"umberwinch/admission"
 	"umberwinch/internal/comeback"
+	"umberwinch/internal/config"
 	"umberwinch/internal/kept"
-	"umberwinch/internal/operator"
 	"umberwinch/internal/proto"
 	"umberwinch/internal/wal"
 )
@@ -75,7 +75,7 @@
 )
 
 type keptPart struct {
-	own    *operator.Kept
+	own    *config.Kept
 	book   *kept.Book // nil: the folder is not read yet
 	store  *kept.Store
 	early  []handle
--- a/internal/backend/kept_test.go
+++ b/internal/backend/kept_test.go
@@ -10,8 +10,8 @@
 	"github.com/sirupsen/logrus"
 
 	"umberwinch/admission"
+	"umberwinch/internal/config"
 	"umberwinch/internal/kept"
-	"umberwinch/internal/operator"
 	"umberwinch/internal/profile"
 	"umberwinch/internal/wal"
 )
@@ -56,7 +56,7 @@
 		keys: newKeys(10, 1000, 50), limits: NewLimits(1, 64, 256), profile: &profile.Profile{Deployment: &admission.Deployment{
 			MaxPause: 5 * admission.Second, Handlers: []admission.Handler{{Window: admission.Second, Repeat: admission.IdempotencyKeyed}}}}}
 	l.startClock(admission.Second)
-	l.kept = &keptPart{own: &operator.Kept{Entries: 100, MB: 1, Result: 100}, reads: make(chan func(), 1)}
+	l.kept = &keptPart{own: &config.Kept{Entries: 100, MB: 1, Result: 100}, reads: make(chan func(), 1)}
 	store, book, found, err := kept.Open(d, wal.Sizes{Segment: 1 << 16, Bound: 1 << 20}, kept.Bounds{Entries: 100, Bytes: 1 << 18, Result: 100},
 		steadyMS(), "boot")
 	if err != nil {
--- a/internal/backend/link.go
+++ b/internal/backend/link.go
@@ -13,7 +13,7 @@
 	"github.com/cloudwego/netpoll"
 
 	"umberwinch/admission"
-	"umberwinch/internal/operator"
+	"umberwinch/internal/config"
 )
 
 var (
@@ -250,7 +250,7 @@
 		l.log.Warn("operator's file: [fleet] can't change while the program serves and stays as it was")
 		c.own.Fleet = l.startup.own.Fleet
 	}
-	if !operator.SameKept(c.own.Kept, l.startup.own.Kept) {
+	if !config.SameKept(c.own.Kept, l.startup.own.Kept) {
 		l.log.Warn("operator's file: [kept] can't change while the program serves and stays as it was")
 		c.own.Kept = l.startup.own.Kept
 	}
--- a/internal/backend/node.go
+++ b/internal/backend/node.go
@@ -12,7 +12,7 @@
 	"os"
 	"strings"
 
-	"umberwinch/internal/operator"
+	"umberwinch/internal/config"
 	"umberwinch/internal/profile"
 )
 
@@ -32,7 +32,7 @@
 	Profile json.RawMessage `json:"settings"`
 
 	prof *profile.Profile
-	own  *operator.Node // nil: the operator has no file of its own
+	own  *config.Node // nil: the operator has no file of its own
 }
 
 // ReadNode reads the start-up file; name and address of the environment come before the file's.
@@ -84,10 +84,10 @@
 
 // ReadBoth reads the start-up file and the operator's, if the environment names one, and checks them together.
 func ReadBoth(getenv func(string) string) (*Node, error) {
-	own := &operator.Node{LogForm: "text", LogFrom: "info"}
+	own := &config.Node{LogForm: "text", LogFrom: "info"}
 	var err error
 	if path := getenv("UMBERWINCH_FILE"); path != "" {
-		if own, err = operator.ReadNode(path); err != nil {
+		if own, err = config.ReadNode(path); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/backend/pools.go
+++ b/internal/backend/pools.go
@@ -6,13 +6,13 @@
 import (
 	"fmt"
 
-	"umberwinch/internal/operator"
+	"umberwinch/internal/config"
 	"umberwinch/internal/pools"
 )
 
 // Own takes the operator's file along with the start-up file, checked against the handlers that this one
 // names.
-func (c *Node) Own(own *operator.Node) error {
+func (c *Node) Own(own *config.Node) error {
 	names := make([]string, len(c.prof.Deployment.Handlers))
 	for name, i := range c.prof.Handlers {
 		names[i] = name
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -18,10 +18,10 @@
 
 	"github.com/spf13/cobra"
 
+	"umberwinch/internal/config"
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/lab"
 	"umberwinch/internal/logging"
-	"umberwinch/internal/operator"
 	"umberwinch/internal/wal"
 )
 
@@ -39,7 +39,7 @@
 		Long: `Runs one instance of the control service by the operator's file. SIGTERM hands the lead over and ends it;
 SIGHUP reads the certificates again. A write or sync that fails ends it with status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			o, err := operator.ReadControl(file)
+			o, err := config.ReadControl(file)
 			if err != nil {
 				return usage(err)
 			}
@@ -49,7 +49,7 @@
 	return c
 }
 
-func runInstance(ctx context.Context, o *operator.Control, out io.Writer) error {
+func runInstance(ctx context.Context, o *config.Control, out io.Writer) error {
 	log := logging.New(out, o.LogForm, o.LogFrom)
 	g, err := consensus.Start(o, log, lab.FaultsOnDemand())
 	if err != nil {
@@ -327,7 +327,7 @@
 the first instance of a new group with an id of its own. For when a majority of the old group is lost for good: what
 was agreed on after the save is lost, and what is left of the old group is refused by the new one.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			o, err := operator.ReadControl(file)
+			o, err := config.ReadControl(file)
 			if err != nil {
 				return usage(err)
 			}
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -15,10 +15,10 @@
 	"github.com/spf13/cobra"
 
 	"umberwinch/internal/comeback"
+	"umberwinch/internal/config"
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/fleet"
 	"umberwinch/internal/lab"
-	"umberwinch/internal/operator"
 	"umberwinch/internal/policy"
 	"umberwinch/internal/wal"
 	"umberwinch/internal/zones"
@@ -52,7 +52,7 @@
 }
 
 func (r *recovery) run(ctx context.Context, w io.Writer) error {
-	o, err := operator.ReadControl(r.file)
+	o, err := config.ReadControl(r.file)
 	if err != nil {
 		return usage(err)
 	}
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"umberwinch/internal/operator"
+	"umberwinch/internal/config"
 )
 
 // Exit statuses.
@@ -52,7 +52,7 @@
 	fmt.Fprintln(errs, err)
 	var c coded
 	var r *refusal
-	var f operator.Faults
+	var f config.Faults
 	switch {
 	case errors.As(err, &c):
 		return c.code
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"umberwinch/internal/operator"
+	"umberwinch/internal/config"
 )
 
 // Rules numbers what Parse and Follows find. It rises with each change of a finding, and a proposal carries
@@ -121,7 +121,7 @@
 // ParseUnder reads a document as an older numbering of the rules does, so that all instances of a group on two
 // builds find the same.
 func ParseUnder(rules int, name string, raw []byte) (*Document, error) {
-	t := operator.Parse(name, raw)
+	t := config.Parse(name, raw)
 	d := &Document{}
 	for _, n := range names(t, "class", MaxClasses) {
 		s := "class " + n
@@ -199,21 +199,21 @@
 }
 
 // names gives the names of a kind of section, with faults for what can't be one.
-func names(t *operator.Text, prefix string, most int) []string {
+func names(t *config.Text, prefix string, most int) []string {
 	all := t.Names(prefix)
 	if len(all) > most {
 		t.Note(prefix+" "+all[most], "", fmt.Sprintf("%d sections", len(all)), fmt.Sprintf("%d at most", most))
 		all = all[:most]
 	}
 	for _, n := range all {
-		if !operator.IsName(n) {
+		if !config.IsName(n) {
 			t.Note(prefix+" "+n, "", strconv.Quote(n), "up to 40 letters, digits, '-', '_' and '.'")
 		}
 	}
 	return all
 }
 
-func rollout(t *operator.Text) Rollout {
+func rollout(t *config.Text) Rollout {
 	r := Rollout{Hold: t.Time("rollout", "hold", time.Minute, time.Second, 24*time.Hour),
 		MaxShed: t.Number("rollout", "max_shed", 0.05, 0, 1), MaxLate: t.Number("rollout", "max_late", 0.05, 0, 1)}
 	words := t.List("rollout", "stages")
@@ -262,7 +262,7 @@
 }
 
 // check looks at what sections say of each other.
-func (d *Document) check(t *operator.Text) {
+func (d *Document) check(t *config.Text) {
 	floors, shares, reserves := 0.0, 0.0, 0
 	for _, p := range d.Pools {
 		floors += p.Floor
@@ -302,7 +302,7 @@
 
 // checkSheds holds a level to the rule that nothing is shed while a class of less value is still served, and
 // to shedding all that the level before does.
-func (d *Document) checkSheds(t *operator.Text, i int) {
+func (d *Document) checkSheds(t *config.Text, i int) {
 	l := d.Levels[i]
 	s := "level " + strconv.Itoa(l.Number)
 	sheds := map[string]bool{}
--- a/internal/operator/node.go
+++ b/internal/config/node.go
@@ -1,4 +1,4 @@
-package operator
+package config
 
 import (
 	"strconv"
--- a/internal/operator/text.go
+++ b/internal/config/text.go
@@ -1,7 +1,7 @@
-// Package operator reads the files that operators write: INI text, typed, checked whole, with the line of
+// Package config reads the files that operators write: INI text, typed, checked whole, with the line of
 // every fault. It owns the form of such files and how faults are told. It never acts on what it read, and no
 // part of a file with a fault counts.
-package operator
+package config
 
 import (
 	"fmt"
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -14,8 +14,8 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 
+	"umberwinch/internal/config"
 	"umberwinch/internal/logging"
-	"umberwinch/internal/operator"
 	"umberwinch/internal/policy"
 	"umberwinch/internal/steward"
 	"umberwinch/internal/wal"
@@ -69,7 +69,7 @@
 // Group is an instance at work: one goroutine owns the replica; all others hand it what they have and wait.
 // It never waits for a peer or a client, only for its own disk.
 type Group struct {
-	control  *operator.Control
+	control  *config.Control
 	log      *logrus.Logger
 	rep      *Replica
 	net      *transport
@@ -125,7 +125,7 @@
 }
 
 // PlanOf gives what an operator's file means to a replica.
-func PlanOf(c *operator.Control) Plan {
+func PlanOf(c *config.Control) Plan {
 	bound := int64(c.DiskMB) << 20
 	return Plan{Name: c.Name, Peer: c.Peer, Listen: c.Listen, Found: c.Start == "new", Elect: c.Elect,
 		Snapshot: c.SnapMB << 20, Sizes: wal.Sizes{Segment: min(4<<20, bound/16), Bound: bound}, Draw: drawID}
@@ -141,7 +141,7 @@
 }
 
 // Start opens the folder and begins to serve peers.
-func Start(c *operator.Control, log *logrus.Logger, faults Faults) (*Group, error) {
+func Start(c *config.Control, log *logrus.Logger, faults Faults) (*Group, error) {
 	dir, err := wal.MakeDir(c.Data)
 	if err != nil {
 		return nil, err
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -28,7 +28,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"umberwinch/internal/operator"
+	"umberwinch/internal/config"
 	"umberwinch/internal/wal"
 )
 
@@ -273,8 +273,8 @@
 	if v, err := Restore(wal.NewMem(), PlanOf(a.control), fromFolder); err != nil || v.Number != 1 {
 		t.Fatalf("from a folder's file: %v, %v", v, err)
 	}
-	var control operator.Control
-	b := boot(t, "b", "new", func(c *operator.Control) {
+	var control config.Control
+	b := boot(t, "b", "new", func(c *config.Control) {
 		dir, err := wal.MakeDir(c.Data)
 		if err != nil {
 			t.Fatal(err)
@@ -377,7 +377,7 @@
 // TestClientsAreBounded: what clients send past the bounds, or wrong, is told and harms nothing.
 func TestClientsAreBounded(t *testing.T) {
 	t.Parallel()
-	a := boot(t, "a", "new", func(c *operator.Control) { c.Token = "a token of some length" })
+	a := boot(t, "a", "new", func(c *config.Control) { c.Token = "a token of some length" })
 	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
 	url := "http://" + a.control.Listen + "/v1/config"
 	for _, c := range []struct {
@@ -499,7 +499,7 @@
 // TestFolderIsKeptWhileASnapshotIsWritten: an instance that ends lets its folder go once nobody writes to it.
 func TestFolderIsKeptWhileASnapshotIsWritten(t *testing.T) {
 	at := address()
-	c := &operator.Control{Name: "a", Data: t.TempDir(), Start: "new", Peer: at + ":7101", Bind: at + ":7101",
+	c := &config.Control{Name: "a", Data: t.TempDir(), Start: "new", Peer: at + ":7101", Bind: at + ":7101",
 		Listen: at + ":7201", Tick: 10 * time.Millisecond, Elect: 10, DiskMB: 64, SnapMB: 1, RateMB: 64,
 		Touch: time.Second}
 	entered, gate := make(chan struct{}), make(chan struct{})
@@ -589,7 +589,7 @@
 // one.
 func TestTLS(t *testing.T) {
 	ca := newAuthority(t)
-	with := func(c *operator.Control) {
+	with := func(c *config.Control) {
 		host, _, _ := net.SplitHostPort(c.Peer)
 		ca.issue(t, c.Name, host)
 		c.Cert, c.Key, c.CA = ca.path(c.Name+".pem"), ca.path(c.Name+".key"), ca.path("authority.pem")
--- a/internal/consensus/helper_test.go
+++ b/internal/consensus/helper_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"umberwinch/internal/config"
 	"umberwinch/internal/logging"
-	"umberwinch/internal/operator"
 )
 
 // address gives loopback addresses that no other test uses: the host's part is drawn from the process's id.
@@ -30,7 +30,7 @@
 // instance is one of a group in this process, on real sockets and a real folder.
 type instance struct {
 	t       *testing.T
-	control *operator.Control
+	control *config.Control
 	group   *Group
 	api     *API
 	http    *http.Client
@@ -39,7 +39,7 @@
 }
 
 // boot starts an instance on a folder of its own.
-func boot(t *testing.T, name, start string, change func(*operator.Control)) *instance {
+func boot(t *testing.T, name, start string, change func(*config.Control)) *instance {
 	t.Helper()
 	i := prepared(t, name, start, change)
 	i.start()
@@ -47,10 +47,10 @@
 	return i
 }
 
-func prepared(t *testing.T, name, start string, change func(*operator.Control)) *instance {
+func prepared(t *testing.T, name, start string, change func(*config.Control)) *instance {
 	t.Helper()
 	at := address()
-	c := &operator.Control{Name: name, Data: filepath.Join(t.TempDir(), name), Start: start, Peer: at +
+	c := &config.Control{Name: name, Data: filepath.Join(t.TempDir(), name), Start: start, Peer: at +
 		":7101", Bind: at + ":7101",
 		Listen: at + ":7201", Tick: 10 * time.Millisecond, Elect: 10, DiskMB: 64, SnapMB: 1, RateMB: 64,
 		Touch: 500 * time.Millisecond}
@@ -168,7 +168,7 @@
 }
 
 // three gives a group of three voters.
-func three(t *testing.T, change func(*operator.Control)) []*instance {
+func three(t *testing.T, change func(*config.Control)) []*instance {
 	t.Helper()
 	all := []*instance{boot(t, "a", "new", change), boot(t, "b", "join", change), boot(t, "c", "join", change)}
 	all[0].join(all[1])
@@ -178,7 +178,7 @@
 
 func quietLogger() *logrus.Logger { return logging.New(io.Discard, "text", "error") }
 
-func loudPlan(c *operator.Control) Plan {
+func loudPlan(c *config.Control) Plan {
 	p := PlanOf(c)
 	p.Logger = raftLog{quietLogger()}
 	return p
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -11,7 +11,7 @@
 	"sort"
 	"strings"
 
-	"umberwinch/internal/operator"
+	"umberwinch/internal/config"
 )
 
 // Bounds of the state.
@@ -141,9 +141,9 @@
 // Valid says what is wrong with a join before it is proposed.
 func (j *Join) Valid() error {
 	switch {
-	case !operator.IsName(j.Name):
+	case !config.IsName(j.Name):
 		return fmt.Errorf("name: found %.50q, expected up to 40 letters, digits, '-', '_' and '.'", j.Name)
-	case !operator.IsName(j.Zone):
+	case !config.IsName(j.Zone):
 		return fmt.Errorf("zone: found %.50q, expected up to 40 letters, digits, '-', '_' and '.'", j.Zone)
 	case len(j.Addr) > maxWord:
 		return fmt.Errorf("addr: found %d bytes, expected at most %d", len(j.Addr), maxWord)
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -18,8 +18,8 @@
 	"github.com/sirupsen/logrus"
 
 	"umberwinch/internal/backend"
+	"umberwinch/internal/config"
 	"umberwinch/internal/logging"
-	"umberwinch/internal/operator"
 )
 
 // Demo is a node, an emulated kernel and a load on loopback, for a look and for measurements on sockets.
@@ -159,9 +159,9 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	own := &operator.Node{Reserve: true}
+	own := &config.Node{Reserve: true}
 	if o.Pools {
-		own.Pools = []operator.Pool{{Handler: o.s.classes[o.s.cheapest].name, Cap: 1}}
+		own.Pools = []config.Pool{{Handler: o.s.classes[o.s.cheapest].name, Cap: 1}}
 	}
 	if err = node.Own(own); err != nil {
 		return nil, nil, err
