--- a/internal/adopt/adopt_test.go
+++ b/internal/adopt/adopt_test.go
@@ -9,13 +9,13 @@
 	"umberwinch/internal/profile"
 )
 
-const settings = `{"classes": [{"name": "view", "give_up": 3000000, "promise": 300000, "gain": 1, "semantics": "idempotent"},
+const settingsJSON = `{"classes": [{"name": "view", "give_up": 3000000, "promise": 300000, "gain": 1, "semantics": "idempotent"},
  {"name": "submit", "give_up": 10000000, "promise": 2000000, "gain": 20, "semantics": "deduplicated", "window": 20000000}],
  "customers": [{"name": "t0", "quota_per_s": 100}], "family_info": {"cores": 2, "memory_kb": 10000}}`
 
 // TestMake: what a version may say to a node that its platform has told otherwise.
 func TestMake(t *testing.T) {
-	base, err := profile.Read([]byte(settings))
+	base, err := profile.Read([]byte(settingsJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const settings = `{"classes": [{"gain": 1, "give_up": 6e6, "promise": 2e6, "semantics": "idempotent"}],
+const settingsJSON = `{"classes": [{"gain": 1, "give_up": 6e6, "promise": 2e6, "semantics": "idempotent"}],
  "family_info": {"cores": 1, "memory_kb": 1000, "meters": ["core_use"], "new_key": 1}, "granularity": 2000}`
 
 // rec is an event record: a code, then fields of the width of their type.
@@ -38,7 +38,7 @@
 	return frame(text, rec(100, uint32(3)), rec(10, uint64(7), uint32(0), uint32(len(text))))
 }
 
-func spawned(seed uint64) []byte { return rec(10, seed, uint32(0), uint32(len(settings))) }
+func spawned(seed uint64) []byte { return rec(10, seed, uint32(0), uint32(len(settingsJSON))) }
 
 func order(id uint32) []byte { return rec(20, id) }
 
@@ -70,30 +70,30 @@
 	}{
 		{"empty batch, then the end", "| ", "", [][]byte{frame("")}},
 		{"start, order, halt and a new start in one batch", "70 50 130 | 70 150 | 70 50 130 | ", "",
-			[][]byte{start(settings), frame("", about, order(1)),
-				frame(settings, about, rec(90), spawned(8))}},
+			[][]byte{start(settingsJSON), frame("", about, order(1)),
+				frame(settingsJSON, about, rec(90), spawned(8))}},
 		{"truncated header", "| ", "frame 2: truncated in the header", [][]byte{frame(""), {0, 0, 1}}},
 		{"truncated body", "", "frame 1: truncated, got 66 bytes, expected 72", [][]byte{frame("", order(1))[:66]}},
 		{"longer than it says", "", "frame 1: truncated, got 72 bytes, expected 81", [][]byte{long}},
 		{"shorter than it says", "", "frame 1: size 12, expected", [][]byte{short}},
 		{"count does not fit", "", "frame 1: 2 records do not fit, expected at most 1", [][]byte{many}},
-		{"unknown code", "70 50 130 | ", "frame 2: record 1: event code 77", [][]byte{start(settings),
+		{"unknown code", "70 50 130 | ", "frame 2: record 1: event code 77", [][]byte{start(settingsJSON),
 			frame("", about, rec(77))}},
 		{"tail out of range", "", "frame 1: record 1: instance 3: tail reference 4+900 out of range",
 			[][]byte{frame("abc", about, rec(10, uint64(7), uint32(4), uint32(900)))}},
 		{"never started", "", "frame 1: record 1: event 20 for instance 3", [][]byte{frame("", about, order(1))}},
-		{"unknown class", "70 50 130 | ", "frame 2: record 1: class 9, expected below 1", [][]byte{start(settings),
+		{"unknown class", "70 50 130 | ", "frame 2: record 1: class 9, expected below 1", [][]byte{start(settingsJSON),
 			frame("", about, rec(20, uint32(1), uint16(9)))}},
-		{"unknown status", "70 50 130 | ", "frame 2: record 1: status 99", [][]byte{start(settings),
+		{"unknown status", "70 50 130 | ", "frame 2: record 1: status 99", [][]byte{start(settingsJSON),
 			frame("", about, rec(30, uint32(1), uint32(0), uint16(99)))}},
 		{"settings not JSON", "", "frame 1: record 1: instance 3: settings are not JSON", [][]byte{start("no")}},
 		{"no handlers", "", "settings: no classes",
 			[][]byte{start(`{"family_info": {"cores": 1, "memory_kb": 9}}`)}},
 		{"no cores", "", "family_info.cores is 0",
-			[][]byte{start(strings.Replace(settings, `"cores": 1`, `"cores": 0`, 1))}},
-		{"no client timeout", "", "classes[0].give_up", [][]byte{start(strings.Replace(settings, "6e6", "0", 1))}},
+			[][]byte{start(strings.Replace(settingsJSON, `"cores": 1`, `"cores": 0`, 1))}},
+		{"no client timeout", "", "classes[0].give_up", [][]byte{start(strings.Replace(settingsJSON, "6e6", "0", 1))}},
 		{"unknown semantics", "", `"magic", which is not known`,
-			[][]byte{start(strings.Replace(settings, "idempotent", "magic", 1))}},
+			[][]byte{start(strings.Replace(settingsJSON, "idempotent", "magic", 1))}},
 	} {
 		codes, err := serve(c.in...)
 		if c.err == "" && err != nil || c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)) {
@@ -112,10 +112,10 @@
 	for i := range uint32(400) {
 		fleet = append(fleet, rec(100, i), spawned(uint64(i)))
 	}
-	late := frame(settings, rec(100, uint32(7)), order(1), rec(100, uint32(400)), spawned(9), order(1))
+	late := frame(settingsJSON, rec(100, uint32(7)), order(1), rec(100, uint32(400)), spawned(9), order(1))
 	bad := frame("", rec(100, uint32(399)), order(2), rec(100, uint32(8)),
 		rec(30, uint32(1), uint32(0), uint16(99)))
-	codes, err := serve(frame(settings, fleet...), late, bad)
+	codes, err := serve(frame(settingsJSON, fleet...), late, bad)
 	if err == nil || !strings.Contains(err.Error(), "frame 3: record 3: status 99") {
 		t.Errorf("error %v", err)
 	}
@@ -128,7 +128,7 @@
 func TestPanic(t *testing.T) {
 	h := New()
 	var out bytes.Buffer
-	if err := h.Serve(bytes.NewReader(start(settings)), &out); err != nil {
+	if err := h.Serve(bytes.NewReader(start(settingsJSON)), &out); err != nil {
 		t.Fatal(err)
 	}
 	h.all[3].ctl = nil
