--- a/internal/adopt/adopt.go
+++ b/internal/adopt/adopt.go
@@ -10,8 +10,8 @@
 
 	"umberwinch/admission"
 	"umberwinch/internal/conf"
+	"umberwinch/internal/node/settings"
 	"umberwinch/internal/pools"
-	"umberwinch/internal/profile"
 )
 
 // Plan is a version as a node would serve under it.
@@ -32,7 +32,7 @@
 
 // Make checks a version against the platform's settings and lays it over them. What is wrong comes all at once.
 // apart tells whether the node sets run slots apart by handler, which can't be begun while it serves.
-func Make(version uint64, base *profile.Profile, doc *conf.Document, apart bool) (*Plan, error) {
+func Make(version uint64, base *settings.Profile, doc *conf.Document, apart bool) (*Plan, error) {
 	var faults []string
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Sprintf(format, args...)) }
 	d := *base.Deployment
--- a/internal/adopt/adopt_test.go
+++ b/internal/adopt/adopt_test.go
@@ -6,7 +6,7 @@
 
 	"umberwinch/admission"
 	"umberwinch/internal/conf"
-	"umberwinch/internal/profile"
+	"umberwinch/internal/node/settings"
 )
 
 const settingsJSON = `{"classes": [{"name": "view", "give_up": 3000000, "promise": 300000, "gain": 1, "semantics": "idempotent"},
@@ -15,7 +15,7 @@
 
 // TestMake: what a version may say to a node that its platform has told otherwise.
 func TestMake(t *testing.T) {
-	base, err := profile.Read([]byte(settingsJSON))
+	base, err := settings.Read([]byte(settingsJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/backend/closing_test.go
+++ b/internal/backend/closing_test.go
@@ -21,7 +21,7 @@
 	"golang.org/x/sys/unix"
 
 	"umberwinch/admission"
-	"umberwinch/internal/profile"
+	"umberwinch/internal/node/settings"
 )
 
 // handLoop is a loop with a listener on loopback whose events the test handles by hand.
@@ -38,7 +38,7 @@
 	lim.Conns, lim.Crowd = conns, conns
 	l := &loop{log: log, limits: lim, events: make(chan event, 256), pool: pool{most: lim.Buffers},
 		workers: newWorkers(1), conns: newTable[conn](conns), requests: newTable[request](8), healthy: true, idleClose: admission.Second,
-		profile: &profile.Profile{Deployment: &admission.Deployment{}}}
+		profile: &settings.Profile{Deployment: &admission.Deployment{}}}
 	l.startClock(admission.Second)
 	ln, err := newListener("127.0.0.1:0", conns, time.Millisecond)
 	if err != nil {
--- a/internal/backend/kept_test.go
+++ b/internal/backend/kept_test.go
@@ -12,7 +12,7 @@
 	"umberwinch/admission"
 	"umberwinch/internal/config"
 	"umberwinch/internal/kept"
-	"umberwinch/internal/profile"
+	"umberwinch/internal/node/settings"
 	"umberwinch/internal/wal"
 )
 
@@ -53,7 +53,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &loop{log: log, events: make(chan event, 64), requests: newTable[request](8), conns: newTable[conn](2), names: []string{"put"},
-		keys: newKeys(10, 1000, 50), limits: NewLimits(1, 64, 256), profile: &profile.Profile{Deployment: &admission.Deployment{
+		keys: newKeys(10, 1000, 50), limits: NewLimits(1, 64, 256), profile: &settings.Profile{Deployment: &admission.Deployment{
 			MaxPause: 5 * admission.Second, Handlers: []admission.Handler{{Window: admission.Second, Repeat: admission.IdempotencyKeyed}}}}}
 	l.startClock(admission.Second)
 	l.kept = &keptPart{own: &config.Kept{Entries: 100, MB: 1, Result: 100}, reads: make(chan func(), 1)}
--- a/internal/backend/loop.go
+++ b/internal/backend/loop.go
@@ -18,8 +18,8 @@
 	"umberwinch/admission"
 	"umberwinch/internal/clock"
 	"umberwinch/internal/comeback"
+	"umberwinch/internal/node/settings"
 	"umberwinch/internal/pools"
-	"umberwinch/internal/profile"
 	"umberwinch/internal/proto"
 )
 
@@ -81,7 +81,7 @@
 	kept  *keptPart    // nil: results are kept in memory alone
 
 	startup     *Node // the start-up file
-	profile     *profile.Profile
+	profile     *settings.Profile
 	names       []string // of classes
 	controller  *admission.Controller
 	now         admission.Time
--- a/internal/backend/node.go
+++ b/internal/backend/node.go
@@ -13,7 +13,7 @@
 	"strings"
 
 	"umberwinch/internal/config"
-	"umberwinch/internal/profile"
+	"umberwinch/internal/node/settings"
 )
 
 // Node is the start-up file.
@@ -31,7 +31,7 @@
 	} `json:"limits"`
 	Profile json.RawMessage `json:"settings"`
 
-	prof *profile.Profile
+	prof *settings.Profile
 	own  *config.Node // nil: the operator has no file of its own
 }
 
@@ -57,7 +57,7 @@
 	if err := c.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if c.prof, err = profile.Read(c.Profile); err != nil {
+	if c.prof, err = settings.Read(c.Profile); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return &c, nil
--- a/internal/backend/tables_test.go
+++ b/internal/backend/tables_test.go
@@ -22,7 +22,7 @@
 
 	"umberwinch/admission"
 	"umberwinch/internal/clock"
-	"umberwinch/internal/profile"
+	"umberwinch/internal/node/settings"
 	"umberwinch/internal/proto"
 	"umberwinch/internal/zones"
 )
@@ -354,7 +354,7 @@
 	read := func() clock.Reading { return clock.Reading{Monotonic: at, Wall: wall} }
 	d := &admission.Deployment{Cores: 1, MemKB: 1e6, Handlers: []admission.Handler{{Target: 3 * admission.Second,
 		Timeout: 6 * admission.Second, Repeat: admission.IdempotencyKeyed, Window: 8 * admission.Second}}}
-	l := &loop{profile: &profile.Profile{Deployment: d, Handlers: map[string]int{"put": 0}}, names: []string{"put"},
+	l := &loop{profile: &settings.Profile{Deployment: d, Handlers: map[string]int{"put": 0}}, names: []string{"put"},
 		keys: newKeys(2000, 1000, 6*admission.Second), requests: newTable[request](8), tasks: map[string]handle{},
 		limits: NewLimits(1, 64, 256), controller: admission.New(d), stamps: clock.NewStamps(read, 12*time.Second)}
 	stamp := wall
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -8,7 +8,7 @@
 	"io"
 
 	"umberwinch/admission"
-	"umberwinch/internal/profile"
+	"umberwinch/internal/node/settings"
 	"umberwinch/internal/simwire"
 )
 
@@ -17,7 +17,7 @@
 	num    uint32
 	ctl    *admission.Controller
 	round  admission.Round
-	prof   *profile.Profile
+	prof   *settings.Profile
 	seen   bool
 	failed bool
 }
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := profile.Read(text)
+	p, err := settings.Read(text)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/profile/profile.go
+++ b/internal/node/settings/profile.go
@@ -1,6 +1,6 @@
-// Package profile reads the start-up settings, the same on the simulator's wire and on sockets. It turns them
+// Package settings reads the start-up settings, the same on the simulator's wire and on sockets. It turns them
 // into what the module is told and the names that the wire needs; it decides nothing.
-package profile
+package settings
 
 import (
 	"encoding/json"
