--- a/internal/backend/failures_test.go
+++ b/internal/backend/failures_test.go
@@ -147,7 +147,7 @@
 }
 
 func store1(address string, lim Limits) store {
-	return store{addr: address, wires: newTable[wire](2), parser: func(b []byte) (e event, n int, err error) {
+	return store{addr: address, wires: newTable[storeConnection](2), parser: func(b []byte) (e event, n int, err error) {
 		e.kind = eventReply
 		e.reply, n, err = proto.ParseReply(b, lim.Line)
 		return e, n, err
--- a/internal/backend/link.go
+++ b/internal/backend/link.go
@@ -136,7 +136,7 @@
 	if e.kind == eventDown && n.err == nil {
 		n.err = e.err
 	}
-	var w *wire
+	var w *storeConnection
 	if n.which == toStore {
 		w = l.store.wires.get(n.wire)
 	}
@@ -173,7 +173,7 @@
 	}
 }
 
-func (l *loop) lineUp(n *line, w *wire) {
+func (l *loop) lineUp(n *line, w *storeConnection) {
 	switch n.which {
 	case toKernel:
 		l.counters.KernelLinks++
@@ -187,7 +187,7 @@
 	}
 }
 
-func (l *loop) lineLost(n *line, w *wire, err error) {
+func (l *loop) lineLost(n *line, w *storeConnection, err error) {
 	if n.which == toStore {
 		l.wireLost(n.wire, w, err)
 		return
--- a/internal/backend/loop.go
+++ b/internal/backend/loop.go
@@ -206,7 +206,7 @@
 			note, err := proto.ParseNotice(line)
 			return event{kind: eventNotice, notice: &note}, n, err
 		}}
-	l.store = store{addr: c.Store, wires: newTable[wire](lim.Wires),
+	l.store = store{addr: c.Store, wires: newTable[storeConnection](lim.Wires),
 		parser: func(b []byte) (e event, n int, err error) {
 			e.kind = eventReply
 			e.reply, n, err = proto.ParseReply(b, bounds)
--- a/internal/backend/store.go
+++ b/internal/backend/store.go
@@ -21,19 +21,19 @@
 type store struct {
 	backoff
 	addr   string
-	wires  table[wire]
+	wires  table[storeConnection]
 	parser parser
 }
 
 // wire is one connection to the store.
-type wire struct {
+type storeConnection struct {
 	line *line
 	out  []handle       // reqs whose calls are out on it, or wait for it to open
 	used admission.Time // when it last carried anything
 	done bool           // not trusted with another call
 }
 
-func (w *wire) idle() bool { return len(w.out) == 0 }
+func (w *storeConnection) idle() bool { return len(w.out) == 0 }
 
 // call makes the call that a run stands at.
 func (l *loop) call(h handle, r *request, until admission.Time) {
@@ -61,7 +61,7 @@
 
 // pickWire finds the wire for a call: the idle one used last, else a new one, else the one with the fewest
 // calls.
-func (l *loop) pickWire(r *request) (best handle, _ *wire) {
+func (l *loop) pickWire(r *request) (best handle, _ *storeConnection) {
 	s := &l.store
 	l.sweepWires()
 	for h, i := s.wires.next(0); h != 0; h, i = s.wires.next(i) {
@@ -81,7 +81,7 @@
 	if !ok {
 		return best, s.wires.get(best)
 	}
-	*w = wire{line: &line{which: toStore, wire: h, parser: s.parser}, used: l.now}
+	*w = storeConnection{line: &line{which: toStore, wire: h, parser: s.parser}, used: l.now}
 	l.open(w.line, s.addr)
 	if l.fleet != nil {
 		l.fleet.meter.Opened(steadyMS())
@@ -98,7 +98,7 @@
 	}
 }
 
-func (l *loop) dropWire(h handle, w *wire) {
+func (l *loop) dropWire(h handle, w *storeConnection) {
 	if w.line.writer != nil {
 		w.line.writer.close()
 	}
@@ -106,14 +106,14 @@
 }
 
 // retire has a wire used no more; it ends with its last call.
-func (l *loop) retire(h handle, w *wire) {
+func (l *loop) retire(h handle, w *storeConnection) {
 	w.done = true
 	if w.idle() {
 		l.dropWire(h, w)
 	}
 }
 
-func (l *loop) sendCall(h handle, r *request, w *wire) {
+func (l *loop) sendCall(h handle, r *request, w *storeConnection) {
 	wait := max((r.callUntil-l.now+9)/10, 1)
 	l.scratch = proto.AppendCall(l.scratch[:0], r.task, int64(wait), r.ask)
 	if !w.line.writer.send(l.scratch, l.limits.LinkQueue) {
@@ -174,7 +174,7 @@
 }
 
 // replied takes a reply of the store: it counts only for a call that is out on the wire that brought it.
-func (l *loop) replied(at handle, w *wire, p proto.Reply) {
+func (l *loop) replied(at handle, w *storeConnection, p proto.Reply) {
 	w.used = l.now
 	h, r := l.byTask(p.ID)
 	if r == nil || r.call != callOut || r.wire != at {
@@ -213,7 +213,7 @@
 }
 
 // wireUp sends the calls that waited for a wire.
-func (l *loop) wireUp(at handle, w *wire) {
+func (l *loop) wireUp(at handle, w *storeConnection) {
 	l.store.backoff = backoff{}
 	w.used = l.now
 	for _, h := range slices.Clone(w.out) {
@@ -224,7 +224,7 @@
 }
 
 // wireLost ends every call on a wire: those that had gone out may have run.
-func (l *loop) wireLost(at handle, w *wire, err error) {
+func (l *loop) wireLost(at handle, w *storeConnection, err error) {
 	if w == nil {
 		return
 	}
