--- a/internal/backend/agent.go
+++ b/internal/backend/agent.go
@@ -14,11 +14,11 @@
 	"strconv"
 	"time"
 
-	"umberwinch/internal/proto"
+	"umberwinch/internal/node/wire"
 )
 
 // Bounds of an answer of the control service: a policy's text of 1 MiB as JSON escapes it at worst.
-var agentBounds = proto.Bounds{Head: 4 << 10, Body: 7 << 20}
+var agentBounds = wire.Bounds{Head: 4 << 10, Body: 7 << 20}
 
 // job is one asking. what names it for the loop.
 type job struct {
@@ -100,7 +100,7 @@
 	}
 	buf := make([]byte, 0, 4<<10)
 	for {
-		p, n, err := proto.ParseResponse(buf, agentBounds)
+		p, n, err := wire.ParseResponse(buf, agentBounds)
 		if err != nil {
 			return 0, nil, err
 		}
--- a/internal/backend/control.go
+++ b/internal/backend/control.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 
 	"umberwinch/admission"
-	"umberwinch/internal/proto"
+	"umberwinch/internal/node/wire"
 )
 
 type control struct {
@@ -33,7 +33,7 @@
 		l.dial(&c.link)
 		return
 	}
-	l.scratch = proto.AppendReport(l.scratch[:0], c.addr, c.name, c.ready)
+	l.scratch = wire.AppendReport(l.scratch[:0], c.addr, c.name, c.ready)
 	if !c.line.writer.send(l.scratch, l.limits.LinkQueue) {
 		l.linkDown(&c.link, errStuck)
 		return
@@ -49,7 +49,7 @@
 }
 
 // reported takes the answer to a report.
-func (l *loop) reported(p proto.Response) {
+func (l *loop) reported(p wire.Response) {
 	c := &l.control
 	if !c.sending {
 		return
--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -22,8 +22,8 @@
 	"umberwinch/internal/config"
 	"umberwinch/internal/fleet"
 	"umberwinch/internal/member"
+	"umberwinch/internal/node/wire"
 	"umberwinch/internal/policy"
-	"umberwinch/internal/proto"
 	"umberwinch/internal/shadow"
 	"umberwinch/internal/zones"
 )
@@ -312,7 +312,7 @@
 		}
 		r.waits = false
 		l.next().Gone = append(l.next().Gone, uint32(h))
-		l.answer(h, r, proto.Answer{Status: 503, BackOff: l.comeBack(&f.spread, 0)})
+		l.answer(h, r, wire.Answer{Status: 503, BackOff: l.comeBack(&f.spread, 0)})
 	}
 }
 
@@ -611,7 +611,7 @@
 }
 
 // refuses turns a handler's req away before the module hears of it, with a status other than 0 and what goes with it.
-func (l *loop) refuses(handler int, q *proto.Request, key string, a *proto.Answer) int {
+func (l *loop) refuses(handler int, q *wire.Request, key string, a *wire.Answer) int {
 	f := l.fleet
 	now := steadyMS()
 	switch {
--- a/internal/backend/front.go
+++ b/internal/backend/front.go
@@ -12,7 +12,7 @@
 	"github.com/cloudwego/netpoll"
 
 	"umberwinch/admission"
-	"umberwinch/internal/proto"
+	"umberwinch/internal/node/wire"
 )
 
 // conn is one connection of a client, as the loop knows it.
@@ -195,7 +195,7 @@
 			return // more of it is being read at this moment
 		}
 		l.counters.Silent++
-		l.reply(c, h, proto.Answer{Status: l.bad("a message does not get to its end"), Close: true})
+		l.reply(c, h, wire.Answer{Status: l.bad("a message does not get to its end"), Close: true})
 	case c.ending:
 		l.closeIdle(c, l.now-c.last >= l.limits.Linger)
 	case c.usage == usedForNothing && l.now-c.since >= l.limits.FirstWord:
@@ -270,7 +270,7 @@
 		l.reply(c, h, l.refusal(e.err))
 		return
 	}
-	a := proto.Answer{Close: e.request.Close}
+	a := wire.Answer{Close: e.request.Close}
 	switch method, path := string(e.request.Method), string(e.request.Path); {
 	case path == "/health" && method == "GET":
 		l.counters.Checks++
@@ -298,19 +298,19 @@
 }
 
 // refusal answers what could not be read.
-func (l *loop) refusal(err error) proto.Answer {
+func (l *loop) refusal(err error) wire.Answer {
 	if errors.Is(err, errNoBuffer) { // its sender has done nothing wrong
 		l.counters.Shed++
-		a := proto.Answer{Status: 503, Close: true}
+		a := wire.Answer{Status: 503, Close: true}
 		l.sayWhenToComeBack(&a)
 		return a
 	}
-	return proto.Answer{Status: l.bad("%v", err), Close: true}
+	return wire.Answer{Status: l.bad("%v", err), Close: true}
 }
 
 // sayWhenToComeBack gives a refusal that the module was not asked about a time to come back, where the settings allow
 // one.
-func (l *loop) sayWhenToComeBack(a *proto.Answer) {
+func (l *loop) sayWhenToComeBack(a *wire.Answer) {
 	if a.Status == 503 && a.BackOff == 0 {
 		a.BackOff = l.comeBack(&l.refusals, 0)
 	}
@@ -318,12 +318,12 @@
 
 // reply sends an answer on a connection and goes on to what else it has brought. What was read before a
 // connection is to be closed is still answered on it: only the last answer says that it closes.
-func (l *loop) reply(c *conn, h handle, a proto.Answer) {
+func (l *loop) reply(c *conn, h handle, a wire.Answer) {
 	c.open, c.last = 0, l.now
 	c.ending = c.ending || a.Close || l.draining
 	a.Close = c.ending && !c.owes() && c.p.seal(false)
 	a.Hint, a.Says = l.hint, l.hasHint
-	l.scratch = proto.AppendAnswer(l.scratch[:0], a)
+	l.scratch = wire.AppendAnswer(l.scratch[:0], a)
 	if !c.p.send(l.scratch, l.limits.ConnQueue) {
 		l.abort(c) // it takes nothing: given up
 		return
--- a/internal/backend/kernel.go
+++ b/internal/backend/kernel.go
@@ -9,7 +9,7 @@
 	"strconv"
 
 	"umberwinch/admission"
-	"umberwinch/internal/proto"
+	"umberwinch/internal/node/wire"
 )
 
 type stand uint8
@@ -41,7 +41,7 @@
 func (l *loop) kernelUp() {
 	k := &l.kernel
 	k.stand, k.fresh = kernelOpened, true
-	k.line.writer.send(proto.AppendOpen(l.scratch[:0], k.index), l.limits.LinkQueue)
+	k.line.writer.send(wire.AppendOpen(l.scratch[:0], k.index), l.limits.LinkQueue)
 }
 
 func (l *loop) kernelDown() {
@@ -65,17 +65,17 @@
 }
 
 func (l *loop) sched(r *request) {
-	l.scratch = proto.AppendSched(l.scratch[:0], r.task, l.names[r.handler], r.body)
+	l.scratch = wire.AppendSched(l.scratch[:0], r.task, l.names[r.handler], r.body)
 	r.schedNo = l.tell()
 }
 
 func (l *loop) preempt(r *request) {
-	l.scratch = proto.AppendTask(l.scratch[:0], "PREEMPT", r.task)
+	l.scratch = wire.AppendTask(l.scratch[:0], "PREEMPT", r.task)
 	r.haltNo = l.tell()
 }
 
 func (l *loop) resched(r *request) {
-	l.scratch = proto.AppendTask(l.scratch[:0], "RESCHED", r.task)
+	l.scratch = wire.AppendTask(l.scratch[:0], "RESCHED", r.task)
 	r.schedNo, r.resumed, r.paused = l.tell(), true, false
 }
 
@@ -92,9 +92,9 @@
 
 func (l *loop) goOn(r *request) {
 	if r.goes == goesWithReply {
-		l.scratch = proto.AppendIODone(l.scratch[:0], r.task, r.reply)
+		l.scratch = wire.AppendIODone(l.scratch[:0], r.task, r.reply)
 	} else {
-		l.scratch = proto.AppendNoIO(l.scratch[:0], r.task, r.asked)
+		l.scratch = wire.AppendNoIO(l.scratch[:0], r.task, r.asked)
 	}
 	r.goNo = l.tell()
 }
@@ -106,7 +106,7 @@
 		l.ungauged()
 		return
 	}
-	l.scratch = proto.AppendSysInfo(l.scratch[:0], k.sent+1)
+	l.scratch = wire.AppendSysInfo(l.scratch[:0], k.sent+1)
 	if no := l.tell(); no != unsent {
 		k.asked, k.askBy = no, l.now+l.limits.GaugeWait
 		l.deadlines.set(k.askBy, dueGauge, 0)
@@ -125,7 +125,7 @@
 }
 
 // noticed takes one line of the kernel.
-func (l *loop) noticed(n proto.Notice) {
+func (l *loop) noticed(n wire.Notice) {
 	k := &l.kernel
 	switch string(n.Verb) {
 	case "BOOTED":
@@ -186,7 +186,7 @@
 }
 
 // booted takes the start of the kernel, which is also the server's own as far as the module goes.
-func (l *loop) booted(n proto.Notice) {
+func (l *loop) booted(n wire.Notice) {
 	k := &l.kernel
 	if k.stand != kernelOpened {
 		return
@@ -205,7 +205,7 @@
 	k.stand, k.wait = kernelReplays, 0
 	k.sent++
 	k.replay = k.sent
-	if !k.line.writer.send(proto.AppendSysInfo(l.scratch[:0], k.replay), l.limits.LinkQueue) {
+	if !k.line.writer.send(wire.AppendSysInfo(l.scratch[:0], k.replay), l.limits.LinkQueue) {
 		l.linkDown(&k.link, errStuck)
 		return
 	}
@@ -213,7 +213,7 @@
 }
 
 // info takes gauges; the first on a link says that all that was missed has been told.
-func (l *loop) info(n proto.Notice) {
+func (l *loop) info(n wire.Notice) {
 	k := &l.kernel
 	no, err := strconv.ParseUint(string(n.Nonce), 10, 64)
 	if err != nil {
--- a/internal/backend/limits.go
+++ b/internal/backend/limits.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"umberwinch/admission"
-	"umberwinch/internal/proto"
+	"umberwinch/internal/node/wire"
 )
 
 // Limits are the bounds the program keeps by itself.
@@ -30,8 +30,8 @@
 	LinkQueue int // buffers waiting to go out on a link
 	ConnQueue int // and on a connection
 
-	Request proto.Bounds // what a sidecar may send
-	Line    proto.Bounds // what a link may send
+	Request wire.Bounds // what a sidecar may send
+	Line    wire.Bounds // what a link may send
 
 	Dial         time.Duration
 	Listen       time.Duration // an address that can't be had yet is tried for so long
@@ -89,8 +89,8 @@
 		// A usual round writes to no more connections than this.
 		Workers: 16, HandOver: 4096, PerRound: 1024,
 		LinkQueue: 128, ConnQueue: 4,
-		Request: proto.Bounds{Head: 4 << 10, Body: 2 << 10},
-		Line:    proto.Bounds{Head: bufSize - 64, Body: bufSize - 512},
+		Request: wire.Bounds{Head: 4 << 10, Body: 2 << 10},
+		Line:    wire.Bounds{Head: bufSize - 64, Body: bufSize - 512},
 		Dial:    time.Second, WriteStuck: 3 * time.Second,
 		Listen: 10 * time.Second, // a server has to be ready within 30 s
 		// The kernel is on this machine: its answer takes well under a ms, and a due time has 44 ms to spare.
--- a/internal/backend/loop.go
+++ b/internal/backend/loop.go
@@ -19,8 +19,8 @@
 	"umberwinch/internal/clock"
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/node/settings"
+	"umberwinch/internal/node/wire"
 	"umberwinch/internal/pools"
-	"umberwinch/internal/proto"
 )
 
 type eventKind uint8
@@ -52,10 +52,10 @@
 	conn    netpoll.Connection
 	err     error
 	buf     *buffer
-	request proto.Request
-	notice  *proto.Notice
-	reply   proto.Reply
-	status  proto.Response
+	request wire.Request
+	notice  *wire.Notice
+	reply   wire.Reply
+	status  wire.Response
 	node    *Node
 	job     *jobEnd
 	then    func() // of the disk
@@ -199,23 +199,23 @@
 	bounds := lim.Line
 	l.kernel.link = link{which: toKernel, what: "kernel", addr: c.Kernel, retry: dueKernel,
 		parser: func(b []byte) (e event, n int, err error) {
-			line, n, err := proto.Line(b, bounds.Head)
+			line, n, err := wire.Line(b, bounds.Head)
 			if n == 0 || err != nil {
 				return e, 0, err
 			}
-			note, err := proto.ParseNotice(line)
+			note, err := wire.ParseNotice(line)
 			return event{kind: eventNotice, notice: &note}, n, err
 		}}
 	l.store = store{addr: c.Store, wires: newTable[storeConnection](lim.Wires),
 		parser: func(b []byte) (e event, n int, err error) {
 			e.kind = eventReply
-			e.reply, n, err = proto.ParseReply(b, bounds)
+			e.reply, n, err = wire.ParseReply(b, bounds)
 			return e, n, err
 		}}
 	l.control = control{name: c.Name, ready: true, link: link{which: toControl, what: "control", addr: c.Control,
 		retry: dueControl, parser: func(b []byte) (e event, n int, err error) {
 			e.kind = eventReport
-			e.status, n, err = proto.ParseResponse(b, bounds)
+			e.status, n, err = wire.ParseResponse(b, bounds)
 			return e, n, err
 		}}}
 	return l
--- a/internal/backend/peer.go
+++ b/internal/backend/peer.go
@@ -14,7 +14,7 @@
 	"github.com/cloudwego/netpoll"
 
 	"umberwinch/admission"
-	"umberwinch/internal/proto"
+	"umberwinch/internal/node/wire"
 )
 
 var errAhead = errors.New("too many requests ahead of their answers")
@@ -87,7 +87,7 @@
 // that holds is to take no more of them.
 func (p *peer) parse(b []byte, limits *Limits) (e event, n int, err error) {
 	e.kind, e.from = eventRequest, p
-	e.request, n, err = proto.ParseRequest(b, limits.Request)
+	e.request, n, err = wire.ParseRequest(b, limits.Request)
 	if n > 0 && err == nil && int(p.ahead.Load()) > limits.Ahead {
 		err = errAhead
 	}
--- a/internal/backend/request.go
+++ b/internal/backend/request.go
@@ -11,7 +11,7 @@
 	"slices"
 
 	"umberwinch/admission"
-	"umberwinch/internal/proto"
+	"umberwinch/internal/node/wire"
 )
 
 type runs uint8
@@ -69,7 +69,7 @@
 }
 
 // take brings a new req before the module; a status other than 0 answers it here, with what a says beside it.
-func (l *loop) take(c *conn, e event, name string, a *proto.Answer) int {
+func (l *loop) take(c *conn, e event, name string, a *wire.Answer) int {
 	q := &e.request
 	i, known := l.handlerNamed(name)
 	hasKey := !known || l.profile.Deployment.Handlers[i].Repeat != admission.IdempotencyKeyed || len(q.OnceKey) > 0
@@ -160,7 +160,7 @@
 // repeatKey names what one request shares with its repeats; empty if it has none. The handler's number and the
 // length of the tenant's name stand before the texts. Guards against two requests of different handlers or
 // tenants whose texts run into the same name, so that one's result would be the other's answer.
-func (l *loop) repeatKey(handler int, q *proto.Request) string {
+func (l *loop) repeatKey(handler int, q *wire.Request) string {
 	d := l.profile.Deployment
 	name := fmt.Appendf(nil, "%d/%d/%s/", handler, len(q.Account), q.Account)
 	switch {
@@ -219,7 +219,7 @@
 }
 
 // answer gives a req its answer, if it is still owed one.
-func (l *loop) answer(h handle, r *request, a proto.Answer) {
+func (l *loop) answer(h handle, r *request, a wire.Answer) {
 	l.finishedRequests = append(l.finishedRequests, h)
 	if r.answered {
 		return
@@ -275,11 +275,11 @@
 	wait := l.keys.ended(r.key, uint32(h), ok, result)
 	switch {
 	case ok:
-		l.answer(h, r, proto.Answer{Status: 200, Body: result})
+		l.answer(h, r, wire.Answer{Status: 200, Body: result})
 	case how == admission.Unrun:
-		l.answer(h, r, proto.Answer{Status: 400})
+		l.answer(h, r, wire.Answer{Status: 400})
 	case how != admission.Stopped || !r.paused: // that it was paused or dropped is no answer
-		l.answer(h, r, proto.Answer{Status: 500})
+		l.answer(h, r, wire.Answer{Status: 500})
 	}
 	for _, k := range wait {
 		l.shareEnded(k, ok, result)
@@ -294,9 +294,9 @@
 	}
 	r.waits = false
 	end := admission.End{ID: uint32(h), How: admission.Errored}
-	a := proto.Answer{Status: 500}
+	a := wire.Answer{Status: 500}
 	if ok {
-		end.How, a = admission.OK, proto.Answer{Status: 200, Body: result}
+		end.How, a = admission.OK, wire.Answer{Status: 200, Body: result}
 		l.counters.Shared++
 	}
 	l.next().Ended = append(l.next().Ended, end)
@@ -356,7 +356,7 @@
 
 func (l *loop) Shed(id uint32, last bool, comeBack admission.Time) {
 	if r := l.requests.get(handle(id)); r != nil {
-		l.answer(handle(id), r, proto.Answer{Status: 503, Final: last, BackOff: int64(comeBack+9) / 10})
+		l.answer(handle(id), r, wire.Answer{Status: 503, Final: last, BackOff: int64(comeBack+9) / 10})
 	}
 }
 
@@ -364,7 +364,7 @@
 	if r := l.requests.get(handle(id)); r != nil {
 		l.dropCall(handle(id), r)
 		r.waits = false
-		l.answer(handle(id), r, proto.Answer{Status: 500})
+		l.answer(handle(id), r, wire.Answer{Status: 500})
 	}
 }
 
--- a/internal/backend/store.go
+++ b/internal/backend/store.go
@@ -15,7 +15,7 @@
 	"slices"
 
 	"umberwinch/admission"
-	"umberwinch/internal/proto"
+	"umberwinch/internal/node/wire"
 )
 
 type store struct {
@@ -115,7 +115,7 @@
 
 func (l *loop) sendCall(h handle, r *request, w *storeConnection) {
 	wait := max((r.callUntil-l.now+9)/10, 1)
-	l.scratch = proto.AppendCall(l.scratch[:0], r.task, int64(wait), r.ask)
+	l.scratch = wire.AppendCall(l.scratch[:0], r.task, int64(wait), r.ask)
 	if !w.line.writer.send(l.scratch, l.limits.LinkQueue) {
 		// The queue is full because the store takes nothing: this call never left, the others may have.
 		at := r.wire
@@ -162,7 +162,7 @@
 // dropCall gives up a call that nobody waits for any more. Its wire may still bring the reply.
 func (l *loop) dropCall(h handle, r *request) {
 	if w := l.store.wires.get(r.wire); w != nil && r.call == callOut {
-		l.scratch = proto.AppendDrop(l.scratch[:0], r.task)
+		l.scratch = wire.AppendDrop(l.scratch[:0], r.task)
 		w.line.writer.send(l.scratch, l.limits.LinkQueue)
 		l.counters.Dropped++
 		w.done = true
@@ -174,7 +174,7 @@
 }
 
 // replied takes a reply of the store: it counts only for a call that is out on the wire that brought it.
-func (l *loop) replied(at handle, w *storeConnection, p proto.Reply) {
+func (l *loop) replied(at handle, w *storeConnection, p wire.Reply) {
 	w.used = l.now
 	h, r := l.byTask(p.ID)
 	if r == nil || r.call != callOut || r.wire != at {
@@ -184,12 +184,12 @@
 	}
 	how := admission.Unclear
 	switch p.Verdict {
-	case proto.CallOK:
+	case wire.CallOK:
 		how = admission.OK
 		l.ioDone(r, p.Body)
-	case proto.CallBusy, proto.CallVoid:
+	case wire.CallBusy, wire.CallVoid:
 		how = admission.Unrun
-	case proto.CallErr:
+	case wire.CallErr:
 		how = admission.Errored
 	}
 	l.callEnded(h, r, how)
--- a/internal/proto/http.go
+++ b/internal/node/wire/http.go
@@ -1,8 +1,8 @@
-// Package proto parses and writes what goes over the backend's sockets: HTTP/1.1, the kernel's lines and the
+// Package wire parses and writes what goes over the backend's sockets: HTTP/1.1, the kernel's lines and the
 // store's lines. It knows no socket and no clock. Every parser takes all the bytes at hand and says how many
 // a whole message took, 0 while it is not whole, so any split of reads gives the same messages; what it
 // returns are views into those bytes.
-package proto
+package wire
 
 import (
 	"bytes"
--- a/internal/proto/proto_test.go
+++ b/internal/node/wire/proto_test.go
@@ -1,4 +1,4 @@
-package proto
+package wire
 
 import (
 	"bytes"
