--- a/internal/adopt/adopt.go
+++ b/internal/adopt/adopt.go
@@ -10,8 +10,8 @@
 
 	"umberwinch/admission"
 	"umberwinch/internal/conf"
+	"umberwinch/internal/node/pools"
 	"umberwinch/internal/node/settings"
-	"umberwinch/internal/pools"
 )
 
 // Plan is a version as a node would serve under it.
--- a/internal/backend/loop.go
+++ b/internal/backend/loop.go
@@ -18,9 +18,9 @@
 	"umberwinch/admission"
 	"umberwinch/internal/clock"
 	"umberwinch/internal/comeback"
+	"umberwinch/internal/node/pools"
 	"umberwinch/internal/node/settings"
 	"umberwinch/internal/node/wire"
-	"umberwinch/internal/pools"
 )
 
 type eventKind uint8
--- a/internal/backend/pools.go
+++ b/internal/backend/pools.go
@@ -1,4 +1,4 @@
-// Pools on the node: what the operator's file says of run slots becomes a plan for internal/pools, moves with
+// Pools on the node: what the operator's file says of run slots becomes a plan for internal/node/pools, moves with
 // a new file, and is shown. Nothing here decides about a req, and without pools in the file nothing here
 // runs.
 package backend
@@ -7,7 +7,7 @@
 	"fmt"
 
 	"umberwinch/internal/config"
-	"umberwinch/internal/pools"
+	"umberwinch/internal/node/pools"
 )
 
 // Own takes the operator's file along with the start-up file, checked against the handlers that this one
--- a/internal/lab/pools.go
+++ b/internal/lab/pools.go
@@ -17,7 +17,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"umberwinch/admission"
-	"umberwinch/internal/pools"
+	"umberwinch/internal/node/pools"
 )
 
 //go:embed scenarios/*.txt
