--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -22,9 +22,9 @@
 	"umberwinch/internal/config"
 	"umberwinch/internal/fleet"
 	"umberwinch/internal/member"
+	"umberwinch/internal/node/shadow"
 	"umberwinch/internal/node/wire"
 	"umberwinch/internal/policy"
-	"umberwinch/internal/shadow"
 	"umberwinch/internal/zones"
 )
 
