--- a/internal/backend/kept.go
+++ b/internal/backend/kept.go
@@ -1,4 +1,4 @@
-// Kept: uniqued reqs whose ends outlast this process. What a try gets and what may be let go of are internal/kept's word;
+// Kept: uniqued reqs whose ends outlast this process. What a try gets and what may be let go of are internal/node/resultstore's word;
 // this file asks it at the door and once more as a run begins, holds SCHED back until the intent is durable and the answer
 // until the result is, and says what is done while the disk is not well. The loop never waits for the disk: records go to
 // the store's goroutine, and what came of them comes back as an event. Without [kept] in the operator's file none of it
@@ -17,7 +17,7 @@
 	"umberwinch/admission"
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/config"
-	"umberwinch/internal/kept"
+	"umberwinch/internal/node/resultstore"
 	"umberwinch/internal/node/wire"
 	"umberwinch/internal/wal"
 )
@@ -35,10 +35,10 @@
 
 // keptReq is what a uniqued req has beside, where results are kept.
 type keptReq struct {
-	key kept.Key
+	key resultstore.Key
 	// untenanted is the name under which versions before tenants were told apart wrote the key. Guards against a
 	// second run of what such a version let run, within its window.
-	untenanted kept.Key
+	untenanted resultstore.Key
 	body       uint64
 	stand      keptStand
 	runs       bool              // its own intent is durable: what becomes of the key is its to say
@@ -76,8 +76,8 @@
 
 type keptPart struct {
 	own    *config.Kept
-	book   *kept.Book // nil: the folder is not read yet
-	store  *kept.Store
+	book   *resultstore.Book // nil: the folder is not read yet
+	store  *resultstore.Store
 	early  []handle
 	reads  chan func()
 	waits  []admission.Time // since when records are on their way, the oldest first
@@ -115,14 +115,14 @@
 	}
 	go func() {
 		time.Sleep(after)
-		var store *kept.Store
-		var book *kept.Book
-		var found kept.Opened
-		now, boot, err := kept.Clock()
+		var store *resultstore.Store
+		var book *resultstore.Book
+		var found resultstore.Opened
+		now, boot, err := resultstore.Clock()
 		if err == nil {
 			most := int64(own.MB) << 20
 			sizes := wal.Sizes{Segment: min(keptSegment, max(most/4, 64<<10)), Bound: 2*most + 2*keptSegment}
-			store, book, found, err = kept.Open(wal.Dir(own.Folder), sizes, kept.Bounds{Entries: own.Entries, Bytes: most,
+			store, book, found, err = resultstore.Open(wal.Dir(own.Folder), sizes, resultstore.Bounds{Entries: own.Entries, Bytes: most,
 				Result: own.Result, Window: window}, now, boot)
 		}
 		l.put(event{kind: eventKept, then: func() { l.keptOpened(store, book, found, err) }})
@@ -130,7 +130,7 @@
 }
 
 // keptOpened takes the folder over, and lets those in who came meanwhile.
-func (l *loop) keptOpened(store *kept.Store, book *kept.Book, found kept.Opened, err error) {
+func (l *loop) keptOpened(store *resultstore.Store, book *resultstore.Book, found resultstore.Opened, err error) {
 	k := l.kept
 	if err != nil {
 		if k.broken == nil || k.broken.Error() != err.Error() {
@@ -187,7 +187,7 @@
 	return q
 }
 
-func digest(text []byte) (k kept.Key) {
+func digest(text []byte) (k resultstore.Key) {
 	sum := sha256.Sum256(text)
 	copy(k[:], sum[:])
 	return k
@@ -197,17 +197,17 @@
 func keptWindow(h *admission.Handler) uint64 { return uint64(h.Window)/10 + 1 }
 
 // keptTry asks what a try gets.
-func (l *loop) keptTry(q *keptReq) (kept.Verdict, uint64) {
+func (l *loop) keptTry(q *keptReq) (resultstore.Verdict, uint64) {
 	k, now := l.kept, steadyMS()
 	v, place := k.book.Try(now, q.key, q.body)
-	if v == kept.Run && k.book.Find(now, q.untenanted) != kept.Unknown {
+	if v == resultstore.Run && k.book.Find(now, q.untenanted) != resultstore.Unknown {
 		v, place = k.book.Try(now, q.untenanted, q.body)
 	}
-	if v == kept.Run && q.admit.Again && k.book.Doubts(now) {
-		v = kept.Err
+	if v == resultstore.Run && q.admit.Again && k.book.Doubts(now) {
+		v = resultstore.Err
 	}
-	if v == kept.Err && k.without("proof") {
-		v = kept.Run
+	if v == resultstore.Err && k.without("proof") {
+		v = resultstore.Run
 	}
 	return v, place
 }
@@ -234,29 +234,29 @@
 		return l.keptBlind(q, a)
 	}
 	v, place := l.keptTry(q)
-	if v == kept.Answer {
+	if v == resultstore.Answer {
 		if e := l.keys.find(r.key); e != nil && r.earliest < e.until && (e.kept || e.fate < fateDone) {
 			return 0 // it is at hand, or on its way
 		}
 	}
 	switch v {
-	case kept.Run:
+	case resultstore.Run:
 		if k.shut(l.now) {
 			return l.keptShed(a)
 		}
-	case kept.Full:
+	case resultstore.Full:
 		k.fullAt = l.now
 		l.watchKept()
 		return l.keptShed(a)
-	case kept.Later:
+	case resultstore.Later:
 		return l.keptShed(a)
-	case kept.Refuse:
+	case resultstore.Refuse:
 		k.refused++
 		return 400
-	case kept.Err:
+	case resultstore.Err:
 		k.errs++
 		return 500
-	case kept.Answer:
+	case resultstore.Answer:
 		return l.keptRead(h, r, place)
 	}
 	return 0
@@ -355,7 +355,7 @@
 }
 
 // write hands a record over; then hears whether it is durable.
-func (k *keptPart) write(l *loop, rec kept.Record, then func(err error)) bool {
+func (k *keptPart) write(l *loop, rec resultstore.Record, then func(err error)) bool {
 	ok := k.store.Put(rec, func(place uint64, err error) {
 		l.put(event{kind: eventKept, then: func() {
 			k.waits = k.waits[1:]
@@ -383,12 +383,12 @@
 // intend has the intent of a run that was given its slot made durable; SCHED goes out after that. It keeps slot and place.
 func (l *loop) intend(h handle, r *request) {
 	k, q := l.kept, r.kept
-	v, shed := kept.Full, wire.Answer{}
+	v, shed := resultstore.Full, wire.Answer{}
 	if !k.shut(l.now) {
 		v, _ = l.keptTry(q)
 	}
 	switch v {
-	case kept.Run:
+	case resultstore.Run:
 		k.point("intent")
 		rec := k.book.Intend(steadyMS(), q.key, q.body, keptWindow(&l.profile.Deployment.Handlers[r.handler]))
 		q.stand = keptIntends
@@ -401,9 +401,9 @@
 		}
 		q.stand = keptFree
 		fallthrough
-	case kept.Full, kept.Later:
+	case resultstore.Full, resultstore.Later:
 		shed.Status = l.keptShed(&shed)
-	case kept.Refuse:
+	case resultstore.Refuse:
 		k.refused++
 		shed.Status = 400
 	default: // it runs, ran or may have run by another try that the module no longer knows of
@@ -466,12 +466,12 @@
 			return false, false // it is no run that the book knows of: nothing may be told that a repeat would not get too
 		}
 		key := r.key
-		if rec.Kind != kept.Result {
+		if rec.Kind != resultstore.Result {
 			l.logf("kept results: one of %d bytes, expected %d at most: its repeats are errored", len(result), k.own.Result)
 		}
 		if !k.write(l, rec, func(err error) {
 			k.point("result")
-			l.keptDone(h, key, err == nil && rec.Kind == kept.Result, rec.Result)
+			l.keptDone(h, key, err == nil && rec.Kind == resultstore.Result, rec.Result)
 			k.point("answer")
 		}) {
 			return false, false
--- a/internal/backend/kept_test.go
+++ b/internal/backend/kept_test.go
@@ -11,7 +11,7 @@
 
 	"umberwinch/admission"
 	"umberwinch/internal/config"
-	"umberwinch/internal/kept"
+	"umberwinch/internal/node/resultstore"
 	"umberwinch/internal/node/settings"
 	"umberwinch/internal/wal"
 )
@@ -57,7 +57,7 @@
 			MaxPause: 5 * admission.Second, Handlers: []admission.Handler{{Window: admission.Second, Repeat: admission.IdempotencyKeyed}}}}}
 	l.startClock(admission.Second)
 	l.kept = &keptPart{own: &config.Kept{Entries: 100, MB: 1, Result: 100}, reads: make(chan func(), 1)}
-	store, book, found, err := kept.Open(d, wal.Sizes{Segment: 1 << 16, Bound: 1 << 20}, kept.Bounds{Entries: 100, Bytes: 1 << 18, Result: 100},
+	store, book, found, err := resultstore.Open(d, wal.Sizes{Segment: 1 << 16, Bound: 1 << 20}, resultstore.Bounds{Entries: 100, Bytes: 1 << 18, Result: 100},
 		steadyMS(), "boot")
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 		t.Errorf("what was answered meanwhile ran: %+v, ends %v", r, l.next().Ended)
 	}
 	l.hears(t) // its intent is closed
-	if s := l.kept.book.Find(steadyMS(), r.kept.key); s != kept.Unknown || l.kept.mode != keptWell {
+	if s := l.kept.book.Find(steadyMS(), r.kept.key); s != resultstore.Unknown || l.kept.mode != keptWell {
 		t.Errorf("%s, %s afterwards, expected it unknown and well", s, l.kept.mode)
 	}
 }
@@ -131,7 +131,7 @@
 		t.Fatal("answered before its result was durable")
 	}
 	l.hears(t)
-	if l.counters.Errored != 1 || l.counters.Done != 0 || l.kept.book.Find(steadyMS(), r.kept.key) != kept.May {
+	if l.counters.Errored != 1 || l.counters.Done != 0 || l.kept.book.Find(steadyMS(), r.kept.key) != resultstore.May {
 		t.Errorf("%d errored, %d done, key %s", l.counters.Errored, l.counters.Done, l.kept.book.Find(steadyMS(), r.kept.key))
 	}
 	h2, new := l.takes("new")
@@ -181,7 +181,7 @@
 	if l.counters.Done+l.counters.Errored != 1 {
 		t.Errorf("%d answers", l.counters.Done+l.counters.Errored)
 	}
-	if l.kept.book.Find(steadyMS(), r.kept.key) != kept.Done {
+	if l.kept.book.Find(steadyMS(), r.kept.key) != resultstore.Done {
 		t.Error("its result is durable, and not known")
 	}
 }
@@ -209,14 +209,14 @@
 	h, r = l.takes("b")
 	r.kept.admit.ID = uint32(h)
 	l.keptWord(h, r)
-	l.keptOpened(k.store, book, kept.Opened{}, nil)
+	l.keptOpened(k.store, book, resultstore.Opened{}, nil)
 	if in := l.next().Arrived; len(in) != 1 || in[0].ID != uint32(h) || l.requests.get(h).answered {
 		t.Errorf("%v came to the module, expected the one that waited", in)
 	}
 	k.book = nil
 	h, r = l.takes("c")
 	l.keptWord(h, r)
-	l.keptOpened(nil, nil, kept.Opened{}, wal.ErrLocked)
+	l.keptOpened(nil, nil, resultstore.Opened{}, wal.ErrLocked)
 	if !l.requests.get(h).answered || l.counters.Shed != 2 || k.mode != keptFailed {
 		t.Errorf("%s, and it still waits for a folder that can't be opened", k.mode)
 	}
@@ -245,7 +245,7 @@
 		if r.schedNo != 0 || r.run != runOver || l.counters.Shed != c.shed || l.counters.Errored != c.failed {
 			t.Errorf("%s: sent as %d, %d shed, %d errored, expected %d, %d", c.body, r.schedNo, l.counters.Shed, l.counters.Errored, c.shed, c.failed)
 		}
-		if is := l.kept.book.Find(steadyMS(), r.kept.key); is != first || is != kept.Started {
+		if is := l.kept.book.Find(steadyMS(), r.kept.key); is != first || is != resultstore.Started {
 			t.Errorf("%s: the one that runs is %s, expected it %s", c.body, is, first)
 		}
 	}
@@ -262,24 +262,24 @@
 	leave := func(q *keptReq) {
 		l.kept.book.Intend(steadyMS(), q.key, q.body, 60_000)
 	}
-	try := func(tenant, key string) kept.Verdict {
+	try := func(tenant, key string) resultstore.Verdict {
 		v, _ := l.keptTry(keptName("put", []byte(tenant), []byte(key), []byte("body")))
 		return v
 	}
 	leave(keptName("put", []byte("home"), []byte("a"), []byte("body")))
-	if v := try("home", "a"); v != kept.Wait {
-		t.Errorf("the same tenant's try gets %s, expected %s", v, kept.Wait)
+	if v := try("home", "a"); v != resultstore.Wait {
+		t.Errorf("the same tenant's try gets %s, expected %s", v, resultstore.Wait)
 	}
-	if v := try("acme", "a"); v != kept.Run {
-		t.Errorf("another tenant's try gets %s, expected %s", v, kept.Run)
+	if v := try("acme", "a"); v != resultstore.Run {
+		t.Errorf("another tenant's try gets %s, expected %s", v, resultstore.Run)
 	}
-	if v := try("", "home/a"); v != kept.Run {
-		t.Errorf("a try with no tenant gets %s, expected %s", v, kept.Run)
+	if v := try("", "home/a"); v != resultstore.Run {
+		t.Errorf("a try with no tenant gets %s, expected %s", v, resultstore.Run)
 	}
 	old := keptName("put", nil, []byte("b"), []byte("body"))
 	old.key = digest([]byte("3/put/b")) // as it stands in folders of such a version
 	leave(old)
-	if v := try("home", "b"); v != kept.Wait {
-		t.Errorf("a try of a key of an earlier version gets %s, expected %s", v, kept.Wait)
+	if v := try("home", "b"); v != resultstore.Wait {
+		t.Errorf("a try of a key of an earlier version gets %s, expected %s", v, resultstore.Wait)
 	}
 }
--- a/internal/cli/kept.go
+++ b/internal/cli/kept.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"umberwinch/internal/kept"
+	"umberwinch/internal/node/resultstore"
 	"umberwinch/internal/wal"
 )
 
@@ -42,7 +42,7 @@
 // What is read is bounded by the folder, not by what a node may put into it.
 var (
 	keptSizes  = wal.Sizes{Segment: 1 << 30, Bound: 1 << 40}
-	keptBounds = kept.Bounds{Entries: 1 << 26, Bytes: 1 << 40}
+	keptBounds = resultstore.Bounds{Entries: 1 << 26, Bytes: 1 << 40}
 )
 
 // keptFolder tells whether there is anything to read, and what time it is by the clock of windows.
@@ -50,7 +50,7 @@
 	if logs, _ := filepath.Glob(filepath.Join(path, "*.seg")); len(logs) == 0 { // or a log would be begun there
 		return 0, "", usage(fmt.Errorf("found no log in %q, expected a folder of keyed results", path))
 	}
-	return kept.Clock()
+	return resultstore.Clock()
 }
 
 func keptError(path string, err error) error {
@@ -69,7 +69,7 @@
 			if err != nil {
 				return err
 			}
-			_, o, used, err := kept.Inspect(wal.Dir(args[0]), keptSizes, keptBounds, now, boot)
+			_, o, used, err := resultstore.Inspect(wal.Dir(args[0]), keptSizes, keptBounds, now, boot)
 			if err != nil {
 				return keptError(args[0], err)
 			}
@@ -88,7 +88,7 @@
 			if err != nil {
 				return err
 			}
-			before, after, err := kept.Compact(wal.Dir(args[0]), keptSizes, keptBounds, now, boot)
+			before, after, err := resultstore.Compact(wal.Dir(args[0]), keptSizes, keptBounds, now, boot)
 			if err != nil {
 				return keptError(args[0], err)
 			}
@@ -107,13 +107,13 @@
 		if err != nil {
 			return err
 		}
-		book, o, used, err := kept.Inspect(wal.Dir(args[0]), keptSizes, keptBounds, now, boot)
+		book, o, used, err := resultstore.Inspect(wal.Dir(args[0]), keptSizes, keptBounds, now, boot)
 		if err != nil {
 			return keptError(args[0], err)
 		}
 		v := keptView{Records: o.Records, Bytes: used, Keys: o.Keys, States: map[string]int{}, Same: o.Same, Torn: o.Torn,
 			Took: o.Took.Milliseconds()}
-		book.Each(now, func(k kept.Key, s kept.State, left uint64) {
+		book.Each(now, func(k resultstore.Key, s resultstore.State, left uint64) {
 			if v.States[s.String()]++; list {
 				v.List = append(v.List, keptKey{hex.EncodeToString(k[:]), s.String(), left})
 			}
@@ -141,7 +141,7 @@
 			clock = "of another boot: windows go on from the last record at a start"
 		}
 		rows := [][]string{{"records", fmt.Sprint(v.Records)}, {"bytes", fmt.Sprint(v.Bytes)}, {"keys", fmt.Sprint(v.Keys)}, {"clock", clock}}
-		for s := kept.Unknown; s <= kept.Failed; s++ {
+		for s := resultstore.Unknown; s <= resultstore.Failed; s++ {
 			if n := v.States[s.String()]; n > 0 {
 				rows = append(rows, []string{s.String(), fmt.Sprint(n)})
 			}
--- a/internal/kept/kept.go
+++ b/internal/node/resultstore/kept.go
@@ -1,9 +1,9 @@
-// Package kept remembers what became of uniqued reqs, over restarts of the node: whether a key was let run, and with which
+// Package resultstore remembers what became of uniqued reqs, over restarts of the node: whether a key was let run, and with which
 // result it ran. kept.go decides, told the time, what a try of a key gets, what has to be durable before the next step, and
 // what may be let go of; table.go is its index; record.go what stands in the log for it; store.go carries records to a disk
 // and back, and is the only file here that does I/O. It must never have a key run again within its window once its intent
 // was durable, unless it is proved that it did not run; nothing inside its window is let go of for room.
-package kept
+package resultstore
 
 import "fmt"
 
--- a/internal/kept/salvage_test.go
+++ b/internal/node/resultstore/salvage_test.go
@@ -1,4 +1,4 @@
-package kept
+package resultstore
 
 import (
 	"bytes"
