--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -16,12 +16,12 @@
 	"golang.org/x/sys/unix"
 
 	"umberwinch/admission"
-	"umberwinch/internal/adopt"
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/conf"
 	"umberwinch/internal/config"
 	"umberwinch/internal/fleet"
 	"umberwinch/internal/member"
+	"umberwinch/internal/node/overlay"
 	"umberwinch/internal/node/shadow"
 	"umberwinch/internal/node/wire"
 	"umberwinch/internal/policy"
@@ -47,8 +47,8 @@
 	fetch     *agent
 	rec       *shadow.Recording
 	kept      member.Record
-	base      *admission.Deployment  // the platform's
-	plans     map[uint64]*adopt.Plan // of versions at hand, two or three
+	base      *admission.Deployment    // the platform's
+	plans     map[uint64]*overlay.Plan // of versions at hand, two or three
 	texts     map[uint64]string
 	getting   fleet.Named // being fetched, tried or kept; 0: none
 	decided   bool
@@ -75,7 +75,7 @@
 type tried struct {
 	v    fleet.Named
 	text string
-	plan *adopt.Plan
+	plan *overlay.Plan
 	took time.Duration
 	reqs int
 }
@@ -98,7 +98,7 @@
 		return nil
 	}
 	o := l.startup.own.Fleet
-	f := &fleetPart{own: o, base: l.profile.Deployment, plans: map[uint64]*adopt.Plan{}, texts: map[uint64]string{},
+	f := &fleetPart{own: o, base: l.profile.Deployment, plans: map[uint64]*overlay.Plan{}, texts: map[uint64]string{},
 		rec: shadow.NewRecording(len(l.profile.Deployment.Handlers)), retired: make([]bool, len(l.profile.Deployment.Handlers)),
 		meter: zones.NewMeter(steadyMS(), l.values())}
 	var nonce [12]byte
@@ -164,7 +164,7 @@
 }
 
 // checkVersion reads a text and checks it against the platform's settings.
-func (l *loop) checkVersion(v fleet.Named, text string) (*adopt.Plan, error) {
+func (l *loop) checkVersion(v fleet.Named, text string) (*overlay.Plan, error) {
 	sum := sha256.Sum256([]byte(text))
 	if hex.EncodeToString(sum[:]) != v.Hash {
 		return nil, fmt.Errorf("version %d: found a text of another hash than was told", v.Version)
@@ -173,7 +173,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return adopt.Make(v.Version, l.profile, doc, l.pools != nil || len(l.startup.own.Pools) > 0)
+	return overlay.Make(v.Version, l.profile, doc, l.pools != nil || len(l.startup.own.Pools) > 0)
 }
 
 // steer lets the member look at the time and at what came: it is called at the begin of each round and before its
@@ -550,7 +550,7 @@
 			err = fmt.Errorf("found version %d", answer.Version)
 		}
 	}
-	var plan *adopt.Plan
+	var plan *overlay.Plan
 	if err == nil {
 		if plan, err = l.checkVersion(v, answer.Text); err != nil {
 			l.log.Warnf("fleet: version %d can't be served under: %v", v.Version, err)
--- a/internal/adopt/adopt.go
+++ b/internal/node/overlay/adopt.go
@@ -1,7 +1,7 @@
-// Package adopt turns a version of the policy into what one node's module is told: the platform's deployment with
+// Package overlay turns a version of the policy into what one node's module is told: the platform's deployment with
 // the version's values, targets, timeouts and quotas laid over it. It owns what a version may say to a node that the
 // platform has told otherwise. It reads nothing and keeps nothing.
-package adopt
+package overlay
 
 import (
 	"fmt"
--- a/internal/adopt/adopt_test.go
+++ b/internal/node/overlay/adopt_test.go
@@ -1,4 +1,4 @@
-package adopt
+package overlay
 
 import (
 	"strings"
