--- a/internal/backend/agent.go
+++ b/internal/backend/agent.go
@@ -40,15 +40,15 @@
 }
 
 // agent does one job after the other over a connection that it keeps.
-type agent struct {
+type controlClient struct {
 	jobs chan *job
 	end  func(jobEnd)
 	conn net.Conn
 	addr string
 }
 
-func newAgent(end func(jobEnd)) *agent {
-	a := &agent{jobs: make(chan *job, 1), end: end}
+func newAgent(end func(jobEnd)) *controlClient {
+	a := &controlClient{jobs: make(chan *job, 1), end: end}
 	go func() {
 		for j := range a.jobs {
 			e := jobEnd{job: j}
@@ -62,7 +62,7 @@
 	return a
 }
 
-func (a *agent) close() {
+func (a *controlClient) close() {
 	if a.conn != nil {
 		a.conn.Close()
 		a.conn = nil
@@ -71,7 +71,7 @@
 
 // do makes one call. A kept connection that the other side has closed meanwhile is opened anew, once: the askings are
 // such that it does no harm to send one twice.
-func (a *agent) do(j *job) (status int, answer []byte, err error) {
+func (a *controlClient) do(j *job) (status int, answer []byte, err error) {
 	until := time.Now().Add(j.within)
 	if a.addr != j.addr {
 		a.close()
@@ -92,7 +92,7 @@
 	}
 }
 
-func (a *agent) call(j *job) (int, []byte, error) {
+func (a *controlClient) call(j *job) (int, []byte, error) {
 	head := j.method + " " + j.path + " HTTP/1.1\r\nHost: " + j.addr + "\r\nContent-Type: application/json\r\n" +
 		"Content-Length: " + strconv.Itoa(len(j.body)) + "\r\n\r\n"
 	if _, err := a.conn.Write(append([]byte(head), j.body...)); err != nil {
--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -43,8 +43,8 @@
 type fleetPart struct {
 	m         *member.Member
 	own       *config.Fleet
-	ask       *agent
-	fetch     *agent
+	ask       *controlClient
+	fetch     *controlClient
 	rec       *shadow.Recording
 	kept      member.Record
 	base      *admission.Deployment    // the platform's
@@ -64,7 +64,7 @@
 	spread    comeback.Spread
 	gate      *zones.Gate
 	meter     *zones.Meter
-	look      *agent
+	look      *controlClient
 	looks     []fleet.Look // still to be looked at
 	seen      []fleet.Seen // and what was seen, for the next asking
 	looking   bool
@@ -420,7 +420,7 @@
 	go func() {
 		e := jobEnd{job: &job{what: jobGive, addr: at, method: "POST", path: "/v1/kept", within: giveWithin}}
 		if e.body, e.err = json.Marshal(&k); e.err == nil {
-			a := &agent{}
+			a := &controlClient{}
 			e.status, _, e.err = a.do(e.job)
 			a.close()
 		}
