--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -1,4 +1,4 @@
-// Fleet: this node as one of many that serve under one policy. The decisions are internal/member's; this file feeds it
+// Fleet: this node as one of many that serve under one policy. The decisions are internal/node/agent's; this file feeds it
 // the time, carries its askings to the agent and what came of them back, tries versions off the loop, and takes one over
 // between two rounds. While the member says no, what comes is shed before the module hears of it, what is held is shed,
 // and what runs ends. Without [fleet] in the operator's file none of it exists. The loop never waits here.
@@ -20,7 +20,7 @@
 	"umberwinch/internal/conf"
 	"umberwinch/internal/config"
 	"umberwinch/internal/fleet"
-	"umberwinch/internal/member"
+	"umberwinch/internal/node/agent"
 	"umberwinch/internal/node/overlay"
 	"umberwinch/internal/node/shadow"
 	"umberwinch/internal/node/wire"
@@ -41,12 +41,12 @@
 
 // fleetPart is the node's part in a fleet.
 type fleetPart struct {
-	m         *member.Member
+	m         *agent.Member
 	own       *config.Fleet
 	ask       *controlClient
 	fetch     *controlClient
 	rec       *shadow.Recording
-	kept      member.Record
+	kept      agent.Record
 	base      *admission.Deployment    // the platform's
 	plans     map[uint64]*overlay.Plan // of versions at hand, two or three
 	texts     map[uint64]string
@@ -103,7 +103,7 @@
 		meter: zones.NewMeter(steadyMS(), l.values())}
 	var nonce [12]byte
 	rand.Read(nonce[:]) // never fails
-	plan := member.Plan{Name: o.Name, Zone: o.Zone, Addr: l.startup.Listen, Control: o.Control,
+	plan := agent.Plan{Name: o.Name, Zone: o.Zone, Addr: l.startup.Listen, Control: o.Control,
 		Nonce: hex.EncodeToString(nonce[:]), Seed: crc32.ChecksumIEEE(append(nonce[:], o.Name...))}
 	if o.At != "" {
 		plan.Addr = o.At
@@ -122,7 +122,7 @@
 		}
 		plan.Without |= g
 	}
-	var kept *member.Record
+	var kept *agent.Record
 	if o.Folder != "" {
 		if err := removeUnfinished(o.Folder); err != nil { // the folder serves without it
 			l.log.Warnf("fleet: what a kill left in the folder stays: %v", err)
@@ -135,7 +135,7 @@
 			kept = &f.kept
 		}
 	}
-	f.m = member.New(plan, kept, steadyMS())
+	f.m = agent.New(plan, kept, steadyMS())
 	for _, at := range []struct {
 		v    fleet.Named
 		text string
@@ -501,7 +501,7 @@
 		if e.err != nil {
 			l.log.Errorf("fleet: the record could not be kept: %v", e.err)
 			f.owes, f.keepAgain = true, now+keepPause
-		} else if r := e.about.(member.Record); r.Prepared != 0 && r.Prepared == f.getting.Version && r.Prepared > f.m.Serves() {
+		} else if r := e.about.(agent.Record); r.Prepared != 0 && r.Prepared == f.getting.Version && r.Prepared > f.m.Serves() {
 			f.m.Prepared(now, f.getting)
 			f.getting = fleet.Named{}
 		}
--- a/internal/lab/policy_crowd.go
+++ b/internal/lab/policy_crowd.go
@@ -19,7 +19,7 @@
 
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/fleet"
-	"umberwinch/internal/member"
+	"umberwinch/internal/node/agent"
 )
 
 // crowdNodes is the fleet that a group of processes is asked by, played by as many members in this one.
@@ -155,7 +155,7 @@
 			defer m.wg.Done()
 			time.Sleep(time.Duration(i) * within / crowdNodes)
 			name := fmt.Sprintf("n%04d", i)
-			m.one(ctx, member.Plan{Name: name, Zone: fmt.Sprint("z", i%3), Control: control,
+			m.one(ctx, agent.Plan{Name: name, Zone: fmt.Sprint("z", i%3), Control: control,
 				Nonce: fmt.Sprintf("crowd-%d-%s", life, name), Seed: uint32(i)})
 		}()
 	}
@@ -163,9 +163,9 @@
 }
 
 // one is one member, with a connection of its own.
-func (m *crowd) one(ctx context.Context, plan member.Plan) {
+func (m *crowd) one(ctx context.Context, plan agent.Plan) {
 	now := func() uint64 { return uint64(time.Since(m.began).Milliseconds()) + 1000 }
-	n, in := member.New(plan, nil, now()), false
+	n, in := agent.New(plan, nil, now()), false
 	for ctx.Err() == nil {
 		a, no, due := n.Ask(now())
 		if !due {
--- a/internal/lab/vfleet.go
+++ b/internal/lab/vfleet.go
@@ -10,7 +10,7 @@
 
 	"umberwinch/internal/conf"
 	"umberwinch/internal/fleet"
-	"umberwinch/internal/member"
+	"umberwinch/internal/node/agent"
 	"umberwinch/internal/policy"
 	"umberwinch/internal/steward"
 	"umberwinch/internal/zones"
@@ -72,7 +72,7 @@
 	name   string
 	zone   int
 	rate   float64 // of its clock
-	m      *member.Member
+	m      *agent.Member
 	life   int
 	up     bool
 	paused bool
@@ -80,7 +80,7 @@
 	says   uint64 // a version it refuses
 	mute   bool   // never gets to prepare anything
 	forget bool   // has no disk
-	kept   member.Record
+	kept   agent.Record
 	serves bool
 	under  uint64
 	cut    bool // from the group
@@ -396,16 +396,16 @@
 	}
 	n.life++
 	n.up, n.paused, n.busy, n.armed = true, false, 0, 0
-	plan := member.Plan{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Nonce: n.nonce(),
+	plan := agent.Plan{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Nonce: n.nonce(),
 		Seed: uint32(n.w.r.Int31()), Without: n.w.Without}
 	for i := range n.w.ctl {
 		plan.Control = append(plan.Control, fmt.Sprint(i))
 	}
-	var kept *member.Record
+	var kept *agent.Record
 	if !n.forget && n.kept.Cluster != "" {
 		kept = &n.kept
 	}
-	n.m, n.gate = member.New(plan, kept, n.clock()), zones.NewGate(1, plan.Seed)
+	n.m, n.gate = agent.New(plan, kept, n.clock()), zones.NewGate(1, plan.Seed)
 	n.gate.Order(n.clock(), n.m.Zone())
 	n.step()
 }
--- a/internal/member/member.go
+++ b/internal/node/agent/member.go
@@ -1,4 +1,4 @@
-// Package member is a node's side of the fleet: the lease it holds, what it was told, the version it serves under
+// Package agent is a node's side of the fleet: the lease it holds, what it was told, the version it serves under
 // and the next one, and whether it may serve at all. It decides; whoever drives it has the clock, the sockets and
 // the disk. Now is always ms of a clock that goes on while the process is stopped and is not set by anybody.
 //
@@ -6,7 +6,7 @@
 // the asking that brought it. Without that it serves nothing (fenced), or goes on under what it serves where the
 // version in force says so (alone). It never goes back to an older version, and serves none that it was not told
 // is in force.
-package member
+package agent
 
 import (
 	"encoding/binary"
--- a/internal/member/member_test.go
+++ b/internal/node/agent/member_test.go
@@ -1,4 +1,4 @@
-package member
+package agent
 
 import (
 	"fmt"
