--- a/internal/lab/emulated.go
+++ b/internal/lab/emulated.go
@@ -101,7 +101,7 @@
 }
 
 // server is one emulated server.
-type server struct {
+type emulatedServer struct {
 	r       *rand.Rand // all of what is asked, and what it takes: the same whatever is decided
 	d       decider
 	now     vt
@@ -125,8 +125,8 @@
 // window is over which the cores' use is looked at.
 const window = 3 * second
 
-func newServer(seed int64, d decider, cores int, classes []vclass, tenants int, span vt) *server {
-	s := &server{r: rand.New(rand.NewSource(seed)), d: d, now: second, cores: float64(cores), fall: 5,
+func newServer(seed int64, d decider, cores int, classes []vclass, tenants int, span vt) *emulatedServer {
+	s := &emulatedServer{r: rand.New(rand.NewSource(seed)), d: d, now: second, cores: float64(cores), fall: 5,
 		tenants: tenants,
 		open:    map[uint32]*vreq{}, wake: -1}
 	s.classes = append(s.classes, classes...)
@@ -142,7 +142,7 @@
 }
 
 // gap draws the time to a class's next req.
-func (s *server) gap(k int) vt {
+func (s *emulatedServer) gap(k int) vt {
 	c := &s.classes[k]
 	rate := c.rate
 	if c.surge >= 0 {
@@ -155,7 +155,7 @@
 }
 
 // speed is how fast each run goes.
-func (s *server) speed() float64 {
+func (s *emulatedServer) speed() float64 {
 	n := float64(len(s.runs) + s.hung)
 	if n <= s.cores {
 		return 1
@@ -167,7 +167,7 @@
 	return v
 }
 
-func (s *server) pass(to vt) {
+func (s *emulatedServer) pass(to vt) {
 	if dt := float64(to - s.now); dt > 0 {
 		n := float64(len(s.runs) + s.hung)
 		s.service += dt * s.speed()
@@ -180,7 +180,7 @@
 }
 
 // until goes on to a moment.
-func (s *server) until(end vt) {
+func (s *emulatedServer) until(end vt) {
 	for {
 		at, what := end, -1
 		for k := range s.classes {
@@ -219,7 +219,7 @@
 	}
 }
 
-func (s *server) arrive(k int) {
+func (s *emulatedServer) arrive(k int) {
 	c := &s.classes[k]
 	tenant := s.r.Intn(s.tenants)
 	if c.surge >= 0 && s.r.Float64() < (c.surgeBy-1)/(float64(s.tenants)+c.surgeBy-1) {
@@ -244,7 +244,7 @@
 	c.arrivals = s.now + s.gap(k)
 }
 
-func (s *server) ask(q vreq) {
+func (s *emulatedServer) ask(q vreq) {
 	s.next++
 	q.came = s.now
 	s.open[s.next] = &q
@@ -254,7 +254,7 @@
 		Due:  q.first + c.handler.Timeout, KB: 8, Again: q.try > 0, Caller: q.caller}}})
 }
 
-func (s *server) ends() {
+func (s *emulatedServer) ends() {
 	r := heap.Pop(&s.runs).(vrun)
 	q := s.open[r.id]
 	delete(s.open, r.id)
@@ -275,14 +275,14 @@
 	}
 }
 
-func (s *server) round(r *admission.Round) {
+func (s *emulatedServer) round(r *admission.Round) {
 	r.Now = s.now
 	s.d.Decide(r, s)
 }
 
 // What is decided.
 
-func (s *server) Run(id uint32) {
+func (s *emulatedServer) Run(id uint32) {
 	q := s.open[id]
 	q.start = s.now
 	if q.hangs {
@@ -292,7 +292,7 @@
 	heap.Push(&s.runs, vrun{id, s.service + q.work})
 }
 
-func (s *server) Shed(id uint32, last bool, comeBack admission.Time) {
+func (s *emulatedServer) Shed(id uint32, last bool, comeBack admission.Time) {
 	q := s.open[id]
 	delete(s.open, id)
 	c := &s.classes[q.class]
@@ -307,7 +307,7 @@
 	s.out[q.class].shed++
 }
 
-func (s *server) Fail(id uint32) {
+func (s *emulatedServer) Fail(id uint32) {
 	if q := s.open[id]; !q.answered {
 		q.answered = true
 		s.out[q.class].errored++
@@ -317,17 +317,17 @@
 	}
 }
 
-func (s *server) Wake(at admission.Time)          { s.wake = at }
-func (s *server) Pause(uint32)                    {}
-func (s *server) Call(uint32, admission.Time)     {}
-func (s *server) Skip(uint32)                     {}
-func (s *server) Remember(uint32, admission.Time) {}
-func (s *server) Forget(uint32)                   {}
-func (s *server) Reuse(uint32)                    {}
-func (s *server) Health(bool)                     {}
-func (s *server) Say(float64)                     {}
-func (s *server) IdleClose(admission.Time)        {}
-func (s *server) Log(string)                      {}
+func (s *emulatedServer) Wake(at admission.Time)          { s.wake = at }
+func (s *emulatedServer) Pause(uint32)                    {}
+func (s *emulatedServer) Call(uint32, admission.Time)     {}
+func (s *emulatedServer) Skip(uint32)                     {}
+func (s *emulatedServer) Remember(uint32, admission.Time) {}
+func (s *emulatedServer) Forget(uint32)                   {}
+func (s *emulatedServer) Reuse(uint32)                    {}
+func (s *emulatedServer) Health(bool)                     {}
+func (s *emulatedServer) Say(float64)                     {}
+func (s *emulatedServer) IdleClose(admission.Time)        {}
+func (s *emulatedServer) Log(string)                      {}
 
 // plain is the baseline: a pool of twice the cores and a queue that sheds what has waited a tenth of a
 // second.
--- a/internal/lab/pools.go
+++ b/internal/lab/pools.go
@@ -339,7 +339,7 @@
 	all.most = max(all.most, v.most)
 }
 
-func (s *scenario) apply(v *server, c change, load *float64, times, works []float64) {
+func (s *scenario) apply(v *emulatedServer, c change, load *float64, times, works []float64) {
 	if c.class < 0 {
 		switch c.kind {
 		case "load":
