--- a/cmd/umberwinch/main.go
+++ b/cmd/umberwinch/main.go
@@ -12,8 +12,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"umberwinch/internal/backend"
 	"umberwinch/internal/logging"
+	"umberwinch/internal/node/server"
 )
 
 const (
@@ -24,9 +24,9 @@
 )
 
 func main() {
-	signals := backend.NotifySignals(syscall.SIGTERM, syscall.SIGUSR1, syscall.SIGHUP)
+	signals := server.NotifySignals(syscall.SIGTERM, syscall.SIGUSR1, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // a log reader that is gone must not end the server
-	signals.Read = func() (*backend.Node, error) { return backend.ReadBoth(os.Getenv) }
+	signals.Read = func() (*server.Node, error) { return server.ReadBoth(os.Getenv) }
 	node, err := signals.Read()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -38,7 +38,7 @@
 	if level, err := logrus.ParseLevel(os.Getenv("UMBERWINCH_LOG")); err == nil {
 		log.SetLevel(level)
 	}
-	err = backend.Run(node, log, signals)
+	err = server.Run(node, log, signals)
 	if err != nil {
 		log.Error(err)
 	}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -13,11 +13,11 @@
 
 	"github.com/spf13/cobra"
 
-	"umberwinch/internal/backend"
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/fleet"
 	"umberwinch/internal/lab"
 	"umberwinch/internal/logging"
+	"umberwinch/internal/node/server"
 	"umberwinch/internal/policy"
 	"umberwinch/internal/zones"
 )
@@ -27,14 +27,14 @@
 	return &cobra.Command{Use: "node", Hidden: true, Args: exact(0),
 		Short: "Run a node by NODE_CONFIG and UMBERWINCH_FILE, as cmd/umberwinch does",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			signals := backend.NotifySignals(syscall.SIGTERM, syscall.SIGUSR1, syscall.SIGHUP)
-			signals.Read = func() (*backend.Node, error) { return backend.ReadBoth(os.Getenv) }
+			signals := server.NotifySignals(syscall.SIGTERM, syscall.SIGUSR1, syscall.SIGHUP)
+			signals.Read = func() (*server.Node, error) { return server.ReadBoth(os.Getenv) }
 			c, err := signals.Read()
 			if err != nil {
 				return usage(err)
 			}
 			form, from := c.Logs()
-			return backend.Run(c, logging.New(cmd.ErrOrStderr(), form, from), signals)
+			return server.Run(c, logging.New(cmd.ErrOrStderr(), form, from), signals)
 		}}
 }
 
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -17,9 +17,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/sirupsen/logrus"
 
-	"umberwinch/internal/backend"
 	"umberwinch/internal/config"
 	"umberwinch/internal/logging"
+	"umberwinch/internal/node/server"
 )
 
 // Demo is a node, an emulated kernel and a load on loopback, for a look and for measurements on sockets.
@@ -155,7 +155,7 @@
 	if err = os.WriteFile(file, raw, 0o600); err != nil {
 		return nil, nil, err
 	}
-	node, err := backend.ReadNode(file, "", "")
+	node, err := server.ReadNode(file, "", "")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -170,8 +170,8 @@
 	log := logging.New(io.Discard, "text", "error")
 	log.SetLevel(logrus.ErrorLevel)
 	go func() {
-		ended <- backend.Run(node, log, backend.Signals{Drain: signals,
-			Read: func() (*backend.Node, error) { return node, nil }})
+		ended <- server.Run(node, log, server.Signals{Drain: signals,
+			Read: func() (*server.Node, error) { return node, nil }})
 	}()
 	return signals, ended, nil
 }
--- a/internal/backend/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -1,4 +1,4 @@
-package backend
+package server
 
 // The instants at which a connection ends, each forced by its order: the test is the loop, takes events when it wants
 // to, and so decides what is still on its way as something ends.
--- a/internal/backend/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -1,4 +1,4 @@
-package backend
+package server
 
 // System calls that fail for a moment, each forced by a seam or by a resource that the test holds.
 
--- a/internal/backend/helper_test.go
+++ b/internal/node/server/helper_test.go
@@ -1,4 +1,4 @@
-package backend
+package server
 
 // What the tests share: the program itself, built once and started on free ports, and small stand-ins for
 // the kernel, the store and the control plane, written from the protocol alone. Every wait is bounded by
--- a/internal/backend/history_test.go
+++ b/internal/node/server/history_test.go
@@ -1,4 +1,4 @@
-package backend
+package server
 
 // A recorded history of requests, runs and notices, and what has to hold of any.
 
--- a/internal/backend/loop.go
+++ b/internal/node/server/loop.go
@@ -1,9 +1,9 @@
-// Package backend is the program on real sockets round the module.
+// Package server is the program on real sockets round the module.
 //
 // This file is the loop: the one goroutine that owns the module, the tables and the deadlines. Callbacks hand
 // over what they read through one bounded queue, and wait where it is full; the loop takes what is there,
 // makes one round of it, and carries out what the module decides. It must never wait for a socket.
-package backend
+package server
 
 import (
 	"context"
--- a/internal/backend/looptime.go
+++ b/internal/node/server/looptime.go
@@ -1,5 +1,5 @@
 // Time of the loop: monotonic, and the wall-clock stamps of requests placed on it.
-package backend
+package server
 
 import (
 	"time"
--- a/internal/backend/pollerlog.go
+++ b/internal/node/server/pollerlog.go
@@ -1,5 +1,5 @@
 // Netpoll's own log lines.
-package backend
+package server
 
 import (
 	"sync/atomic"
--- a/internal/backend/signals.go
+++ b/internal/node/server/signals.go
@@ -1,5 +1,5 @@
 // Signals: what the program is told while it serves.
-package backend
+package server
 
 import (
 	"os"
--- a/internal/backend/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -1,4 +1,4 @@
-package backend
+package server
 
 import (
 	"bufio"
--- a/internal/backend/trouble_test.go
+++ b/internal/node/server/trouble_test.go
@@ -1,4 +1,4 @@
-package backend
+package server
 
 // Long quiet, then several troubles at once, on one server and on many: the built program between stand-ins, under
 // clients that keep connections, rest and repeat keys. What happened is recorded and held to the rules.
--- a/scripts/testrun/knownred.go
+++ b/scripts/testrun/knownred.go
@@ -14,7 +14,7 @@
 
 // knownRed is a test that fails for a known fault which is not mended yet.
 type knownRed struct {
-	Package string // the folder of its package, such as internal/backend
+	Package string // the folder of its package, such as internal/node/server
 	Test    string // TestName, or TestName/subtest
 	Cause   string
 	Issue   string
