--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"umberwinch/internal/consensus"
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 	"umberwinch/internal/lab"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/node/server"
@@ -163,9 +163,9 @@
 	s := &fleetView{Generation: p.Gen, Lost: p.Lost, Version: p.Force, Known: len(nodes), Share: 1, HushMS: p.Hush}
 	for i := range nodes {
 		switch n := &nodes[i]; {
-		case n.Out == fleet.Silent:
+		case n.Out == membership.Silent:
 			s.Silent++
-		case n.Out == fleet.Left:
+		case n.Out == membership.Left:
 			s.Left++
 		default:
 			if s.In++; n.Fenced != "" {
@@ -183,13 +183,13 @@
 			s.Zones = append(s.Zones, fmt.Sprintf("%s is %s, takes %s", o.Name, word, share))
 			continue
 		}
-		s.Share, s.SinceMS, s.Cause = float64(o.Share)/fleet.Whole, z.Clock-min(z.Clock, o.Since), o.Cause
+		s.Share, s.SinceMS, s.Cause = float64(o.Share)/membership.Whole, z.Clock-min(z.Clock, o.Since), o.Cause
 		if o.Seen != nil {
 			s.Holds = o.Seen.Note
 		}
 		// A step can't come sooner than a hold and the reports of it after the one before, and makes four times the share at most.
 		each := z.Rules.HoldMS + zones.Pace(s.In)
-		for share := o.Share; share < fleet.Whole; share *= zones.GrowMost {
+		for share := o.Share; share < membership.Whole; share *= zones.GrowMost {
 			s.LeastMS += each
 		}
 		s.LeastMS += each - min(each, s.SinceMS)
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"umberwinch/internal/consensus"
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 	"umberwinch/internal/policy"
 	"umberwinch/internal/zones"
 )
@@ -183,8 +183,8 @@
 // TestFleetStatus: what is told of a fleet on its way back, of one that lost state, and for how long at least.
 func TestFleetStatus(t *testing.T) {
 	p := &consensus.PolicyView{Gen: 2, Force: 7, Hush: 1500, Lost: "n3 was told of entry 812"}
-	nodes := []consensus.NodeView{{}, {Node: fleet.Node{Out: fleet.Silent}}, {Fenced: "its lease has run out"}, {Node: fleet.Node{Out: fleet.Left}}}
-	z := &consensus.ZonesView{Clock: 9000, Rules: fleet.ZoneRules{Mode: fleet.ZonesAuto, HoldMS: 2000}}
+	nodes := []consensus.NodeView{{}, {Node: membership.Node{Out: membership.Silent}}, {Fenced: "its lease has run out"}, {Node: membership.Node{Out: membership.Left}}}
+	z := &consensus.ZonesView{Clock: 9000, Rules: membership.ZoneRules{Mode: membership.ZonesAuto, HoldMS: 2000}}
 	z.Zones = []consensus.ZoneView{{Zone: zones.Zone{Name: zones.Fleet, Step: zones.Returning, Share: 16, Since: 8000, Cause: "restart"},
 		Seen: &zones.View{Note: "held"}}, {Zone: zones.Zone{Name: "z1", Step: zones.Out}}, {Zone: zones.Zone{Name: "z2", Step: zones.In}}}
 	s := fleetStatus(p, z, nodes)
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -17,7 +17,7 @@
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/config"
 	"umberwinch/internal/consensus"
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 	"umberwinch/internal/lab"
 	"umberwinch/internal/policy"
 	"umberwinch/internal/wal"
@@ -191,7 +191,7 @@
 	rows := [][]string{{"group", fmt.Sprintf("%s, generation %d", orNone(f.Whose.Group), f.Whose.Gen)}, {"folder", base},
 		{"nodes", fmt.Sprintf("%d came by, %d count", asked, len(f.Nodes))}, {"restored", version}, {"proof", f.Proof},
 		{"zones", fmt.Sprintf("go on after epoch %d", f.Epoch)},
-		{"leases", fmt.Sprintf("of the old generation are waited for, %d ms", fleet.Span(f.LeaseMS))}}
+		{"leases", fmt.Sprintf("of the old generation are waited for, %d ms", membership.Span(f.LeaseMS))}}
 	for _, u := range f.Others {
 		rows = append(rows, []string{"not counted", u})
 	}
--- a/internal/comeback/recover.go
+++ b/internal/comeback/recover.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"umberwinch/internal/conf"
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 )
 
 // What a group is restored from when its own state is lost, in whole or for the last hour of it: what the nodes know.
@@ -15,7 +15,7 @@
 
 // Bounds of what is gathered.
 const (
-	MaxKept   = fleet.MaxNodes
+	MaxKept   = membership.MaxNodes
 	maxWord   = 80
 	maxBefore = 64 // generations whose groups are remembered by name
 	maxListed = 8
@@ -77,7 +77,7 @@
 
 // Valid says what is wrong with it.
 func (k *Kept) Valid() error {
-	j := fleet.Join{Name: k.Name, Zone: k.Zone, Addr: k.Addr, Nonce: "unused--"}
+	j := membership.Join{Name: k.Name, Zone: k.Zone, Addr: k.Addr, Nonce: "unused--"}
 	if err := j.Valid(); err != nil {
 		return err
 	}
@@ -86,8 +86,8 @@
 		return fmt.Errorf("group, hash, next_hash: expected at most %d bytes each", maxWord)
 	case len(k.Text) > conf.MaxBytes || len(k.NextText) > conf.MaxBytes:
 		return fmt.Errorf("text: found %d and %d bytes, expected at most %d", len(k.Text), len(k.NextText), conf.MaxBytes)
-	case k.Share < 0 || k.Share > fleet.Whole:
-		return fmt.Errorf("share: found %d, expected 0 to %d", k.Share, fleet.Whole)
+	case k.Share < 0 || k.Share > membership.Whole:
+		return fmt.Errorf("share: found %d, expected 0 to %d", k.Share, membership.Whole)
 	case k.Floor < k.Version:
 		return fmt.Errorf("floor: found %d, expected %d at least, which is served under", k.Floor, k.Version)
 	}
--- a/internal/consensus/nodes.go
+++ b/internal/consensus/nodes.go
@@ -13,7 +13,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/policy"
 	"umberwinch/internal/steward"
@@ -101,24 +101,24 @@
 }
 
 // Node brings a node's asking before the leader.
-func (g *Group) Node(ctx context.Context, a fleet.Ask) (fleet.Told, error) {
+func (g *Group) Node(ctx context.Context, a membership.Ask) (membership.Told, error) {
 	type end struct {
-		told fleet.Told
+		told membership.Told
 		err  error
 	}
 	got := make(chan end, 1)
 	if err := g.ask(func() {
-		g.steward.Ask(g.rep.machine.nodes, a, func(t fleet.Told, err error) { got <- end{t, err} })
+		g.steward.Ask(g.rep.machine.nodes, a, func(t membership.Told, err error) { got <- end{t, err} })
 	}); err != nil {
-		return fleet.Told{}, err
+		return membership.Told{}, err
 	}
 	select {
 	case e := <-got:
 		return e.told, e.err
 	case <-g.done:
-		return fleet.Told{}, ErrGone
+		return membership.Told{}, ErrGone
 	case <-ctx.Done():
-		return fleet.Told{}, ErrLate
+		return membership.Told{}, ErrLate
 	}
 }
 
@@ -147,7 +147,7 @@
 
 // NodeView is one node for operators.
 type NodeView struct {
-	fleet.Node
+	membership.Node
 	Serves   uint64 `json:"serves"`
 	Prepared uint64 `json:"prepared,omitempty"`
 	Refused  uint64 `json:"refused,omitempty"`
@@ -216,7 +216,7 @@
 		out := []NodeView{}
 		for _, n := range p.Fleet.Nodes() {
 			one := NodeView{Node: *n, AgeMS: p.Fleet.Clock - n.Seen, May: p.Fleet.May(n, p.Policy.Force)}
-			one.Old = append([]fleet.Lease(nil), n.Old...)
+			one.Old = append([]membership.Lease(nil), n.Old...)
 			one.Starts = append([]uint64(nil), n.Starts...)
 			if r := g.steward.Heard()(n); r != nil {
 				one.Heard, one.Serves, one.Prepared, one.Refused, one.Why, one.Fenced = true, r.Serves, r.Prepared, r.Refused,
@@ -344,7 +344,7 @@
 }
 
 func (a *API) node(w http.ResponseWriter, r *http.Request) {
-	var ask fleet.Ask
+	var ask membership.Ask
 	if err := readBody(w, r, &ask); err != nil {
 		a.failed(w, err)
 		return
--- a/internal/consensus/recover.go
+++ b/internal/consensus/recover.go
@@ -18,7 +18,7 @@
 
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/conf"
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 	"umberwinch/internal/wal"
 )
 
@@ -231,7 +231,7 @@
 
 // node asks whoever comes by for what it holds, once.
 func (g *Gathering) node(w http.ResponseWriter, r *http.Request) {
-	var a fleet.Ask
+	var a membership.Ask
 	if err := readBody(w, r, &a); err != nil {
 		g.fail(w, http.StatusBadRequest, err)
 		return
@@ -246,7 +246,7 @@
 		g.fail(w, http.StatusServiceUnavailable, errors.New("the group is being restored"))
 		return
 	}
-	raw, err := json.Marshal(fleet.Told{Gather: true})
+	raw, err := json.Marshal(membership.Told{Gather: true})
 	if err != nil {
 		g.fail(w, http.StatusInternalServerError, err)
 		return
--- a/internal/consensus/recover_test.go
+++ b/internal/consensus/recover_test.go
@@ -11,7 +11,7 @@
 
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/conf"
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 	"umberwinch/internal/wal"
 )
 
@@ -66,8 +66,8 @@
 		}
 		return res.StatusCode
 	}
-	ask := func(name string) (told fleet.Told, code int) {
-		code = post("/v1/nodes", fleet.Ask{Join: fleet.Join{Name: name, Zone: "z", Nonce: name + "-00000000"}}, &told)
+	ask := func(name string) (told membership.Told, code int) {
+		code = post("/v1/nodes", membership.Ask{Join: membership.Join{Name: name, Zone: "z", Nonce: name + "-00000000"}}, &told)
 		return told, code
 	}
 	text := canonical(t, oneText)
--- a/internal/fleet/fleet.go
+++ b/internal/control/membership/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet is the membership of nodes as the group of control instances holds it: who is in, since when,
+// Package membership is the membership of nodes as the group of control instances holds it: who is in, since when,
 // and until when each may act on what it was last told. It owns names, incarnations and leases. It is told
 // committed beats in order and nothing else, so it is the same at every instance; time is the group's own, in
 // ms that leaders counted, and it never looks at a clock, a socket or chance. It must never count a lease as
 // run out that a node could still act on.
-package fleet
+package membership
 
 import (
 	"encoding/json"
--- a/internal/fleet/fleet_test.go
+++ b/internal/control/membership/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package membership
 
 import (
 	"bytes"
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 	"umberwinch/internal/policy"
 	"umberwinch/internal/steward"
 	"umberwinch/internal/zones"
@@ -146,8 +146,8 @@
 		for ; asked < nodes && at[asked] <= now; asked++ {
 			i := asked
 			name := fmt.Sprintf("n%05d", i)
-			s.Ask(part, fleet.Ask{Join: fleet.Join{Name: name, Zone: "z", Nonce: name + "-nonce", Addr: "127.0.0.1:1"}},
-				func(t fleet.Told, err error) {
+			s.Ask(part, membership.Ask{Join: membership.Join{Name: name, Zone: "z", Nonce: name + "-nonce", Addr: "127.0.0.1:1"}},
+				func(t membership.Told, err error) {
 					if err != nil || t.Lease == 0 || i != answered {
 						broken = fmt.Sprintf("at %d ms node %d of those that asked was answered (%v), and %d is the next", now, i, err, answered)
 					}
--- a/internal/lab/policy_bench.go
+++ b/internal/lab/policy_bench.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 	"umberwinch/internal/policy"
 )
 
@@ -207,5 +207,5 @@
 
 // promises of the real part: a lease as the group counts it, and some ms of logs and rounds.
 func (b *bench) promises() FleetPromises {
-	return FleetPromises{Overlap: int64(fleet.Span(uint64(b.lease.Milliseconds())))*10 + 2000, Fences: b.alone == "fence"}
+	return FleetPromises{Overlap: int64(membership.Span(uint64(b.lease.Milliseconds())))*10 + 2000, Fences: b.alone == "fence"}
 }
--- a/internal/lab/policy_cases.go
+++ b/internal/lab/policy_cases.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"umberwinch/internal/consensus"
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 	"umberwinch/internal/policy"
 )
 
@@ -170,8 +170,8 @@
 		n.Drain()
 		must(b.await(10*time.Second, func() error {
 			all, err := b.Nodes()
-			if err == nil && all[n.name].Out != fleet.Left {
-				err = fmt.Errorf("%s is %q, expected %q", n.name, all[n.name].Out, fleet.Left)
+			if err == nil && all[n.name].Out != membership.Left {
+				err = fmt.Errorf("%s is %q, expected %q", n.name, all[n.name].Out, membership.Left)
 			}
 			return err
 		}))
@@ -241,8 +241,8 @@
 		got(b.ask(http.MethodGet, "/v1/status", nil, &s))
 		var was consensus.Version
 		got(b.ask(http.MethodGet, fmt.Sprintf("/v1/config?version=%d&read=stale", b.force), nil, &was))
-		old := fleet.Named{Version: was.Number, Hash: was.Hash}
-		says := got(json.Marshal(fleet.Told{Cluster: s.Cluster, Term: s.Term, Index: s.Applied, Lease: 1 << 30, LeaseMS: 60_000,
+		old := membership.Named{Version: was.Number, Hash: was.Hash}
+		says := got(json.Marshal(membership.Told{Cluster: s.Cluster, Term: s.Term, Index: s.Applied, Lease: 1 << 30, LeaseMS: 60_000,
 			Need: old.Version, Force: old, Again: 200}))
 		c := got(b.change(policy.Propose{}))
 		n.Kill()
--- a/internal/lab/policy_crowd.go
+++ b/internal/lab/policy_crowd.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"umberwinch/internal/consensus"
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 	"umberwinch/internal/node/agent"
 )
 
@@ -178,7 +178,7 @@
 		m.asked.Add(1)
 		raw, _ := json.Marshal(a)
 		try, cancel := context.WithTimeout(ctx, time.Duration(n.Within())*time.Millisecond)
-		var told fleet.Told
+		var told membership.Told
 		err := postJSON(try, m.client, "http://"+n.Address()+"/v1/nodes", raw, &told)
 		cancel()
 		if err != nil {
--- a/internal/lab/vfleet.go
+++ b/internal/lab/vfleet.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"umberwinch/internal/conf"
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 	"umberwinch/internal/node/agent"
 	"umberwinch/internal/policy"
 	"umberwinch/internal/steward"
@@ -85,10 +85,10 @@
 	under  uint64
 	cut    bool // from the group
 	armed  float64
-	busy   uint64      // version being prepared
-	at     fleet.Named // prepared last
+	busy   uint64           // version being prepared
+	at     membership.Named // prepared last
 	gate   *zones.Gate
-	seen   []fleet.Seen
+	seen   []membership.Seen
 	held   bool // not started yet
 }
 
@@ -128,13 +128,13 @@
 	Shed    float64 // node-ms fenced while up and reachable
 	Served  float64
 	done    int
-	bad     map[string]bool // hashes of texts that any trial fails
-	stale   []fleet.Told    // answers of long ago, as an instance that is behind would give them
+	bad     map[string]bool   // hashes of texts that any trial fails
+	stale   []membership.Told // answers of long ago, as an instance that is behind would give them
 
 	vlost
-	load    func(n *vnode) *fleet.Tally             // what a node reports of itself; nil: nothing
-	look    func(n *vnode, l fleet.Look) fleet.Seen // what it sees of another
-	applied func(end any)                           // hears of each entry's end
+	load    func(n *vnode) *membership.Tally                  // what a node reports of itself; nil: nothing
+	look    func(n *vnode, l membership.Look) membership.Seen // what it sees of another
+	applied func(end any)                                     // hears of each entry's end
 }
 
 func (w *VFleet) Last() uint64 { return uint64(len(w.texts)) }
@@ -503,7 +503,7 @@
 }
 
 // send brings an asking to the instance and its answer back, unless either is lost.
-func (n *vnode) send(a fleet.Ask, no uint64) {
+func (n *vnode) send(a membership.Ask, no uint64) {
 	w := n.w
 	to, life := 0, n.life
 	fmt.Sscan(n.m.Address(), &to)
@@ -514,7 +514,7 @@
 	if n.cut || w.r.Intn(100) < lossy {
 		return
 	}
-	back := func(t fleet.Told, err error) {
+	back := func(t membership.Told, err error) {
 		if err == nil && t.Lease != 0 && t.LeaseMS == 0 && !w.Calm {
 			if len(w.stale) < 64 || w.r.Intn(8) == 0 {
 				w.stale = append(w.stale, t)
@@ -564,7 +564,7 @@
 			w.hears(n)
 		}
 		if !w.ctl[to].up || w.lead < 0 || !w.ctl[w.lead].up {
-			back(fleet.Told{}, steward.ErrNoLead)
+			back(membership.Told{}, steward.ErrNoLead)
 			return
 		}
 		if w.lead == to {
@@ -795,7 +795,7 @@
 		}
 	}
 	// A lease, its margin by the group's count, and a clock a hundredth off: what design/policy.md promises.
-	over := int64(fleet.Span(uint64(w.Lease)))*10*101/100 + 500
+	over := int64(membership.Span(uint64(w.Lease)))*10*101/100 + 500
 	broken, overlap := CheckFleet(w.History, FleetPromises{Overlap: over, Fences: w.Changes > 0})
 	w.Overlap = overlap
 	if broken != "" {
--- a/internal/node/agent/member.go
+++ b/internal/node/agent/member.go
@@ -14,7 +14,7 @@
 	"hash/crc32"
 
 	"umberwinch/internal/comeback"
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 	"umberwinch/internal/policy"
 )
 
@@ -59,7 +59,7 @@
 	// NextAlone is the prepared one's rule.
 	NextAlone bool `json:"next_alone"`
 	// Zone is the order of its zone that it was told last.
-	Zone *fleet.ZoneOrder `json:"zone,omitempty"`
+	Zone *membership.ZoneOrder `json:"zone,omitempty"`
 }
 
 // control is one address of the group.
@@ -85,11 +85,11 @@
 	until   uint64 // it may act on the lease before then
 	length  uint64 // of the lease
 	floor   uint64 // nothing older may be served under
-	force   fleet.Named
-	next    fleet.Named // being prepared
-	cur     uint64      // served under
-	alone   bool        // cur's rule
-	zone    *fleet.ZoneOrder
+	force   membership.Named
+	next    membership.Named // being prepared
+	cur     uint64           // served under
+	alone   bool             // cur's rule
+	zone    *membership.ZoneOrder
 	foreign bool   // zone is of an earlier generation: acted on, and its epoch means nothing here
 	due     uint64 // when to ask next
 	renewAt uint64
@@ -102,10 +102,10 @@
 	born    uint64
 	met     bool // the group was heard in this life
 	start   bool // may begin alone by its record
-	kept    fleet.Named
-	told    fleet.Heard // where the group stood when it was heard last
-	hash    string      // of cur
-	gather  bool        // whoever answered restores the group, and asks what this node holds
+	kept    membership.Named
+	told    membership.Heard // where the group stood when it was heard last
+	hash    string           // of cur
+	gather  bool             // whoever answered restores the group, and asks what this node holds
 
 	ready   map[uint64]string // versions that can be taken over, with their hashes; two at most
 	refused uint64
@@ -124,16 +124,16 @@
 	m.at = int(m.draw() % uint32(max(1, len(m.ctl)))) // so that a fleet does not begin at one
 	if kept != nil {
 		m.cluster, m.floor, m.zone, m.gen = kept.Cluster, kept.Floor, kept.Zone, max(1, kept.Gen)
-		m.told = fleet.Heard{Group: m.cluster, Gen: m.gen, Term: kept.Term, Index: kept.Index, Sum: kept.Sum}
+		m.told = membership.Heard{Group: m.cluster, Gen: m.gen, Term: kept.Term, Index: kept.Index, Sum: kept.Sum}
 		if kept.Version > 0 {
-			m.kept = fleet.Named{Version: kept.Version, Hash: kept.Hash}
+			m.kept = membership.Named{Version: kept.Version, Hash: kept.Hash}
 			m.ready[kept.Version] = kept.Hash
 			m.start = kept.Alone
 		}
 		// Decided and prepared, and killed before it was noted as taken over: in force, as a change under a policy that
 		// lets nodes go on alone is never held.
 		if kept.Prepared > kept.Version && kept.Prepared == kept.Floor && (kept.Alone || kept.Version == 0) {
-			m.kept, m.start = fleet.Named{Version: kept.Prepared, Hash: kept.NextHash}, kept.NextAlone
+			m.kept, m.start = membership.Named{Version: kept.Prepared, Hash: kept.NextHash}, kept.NextAlone
 		}
 		if kept.Prepared > kept.Version {
 			m.ready[kept.Prepared] = kept.NextHash
@@ -194,7 +194,7 @@
 func (m *Member) Met() bool { return m.met }
 
 // Told gives where the group stood when it was heard last.
-func (m *Member) Told() fleet.Heard { return m.told }
+func (m *Member) Told() membership.Heard { return m.told }
 
 // Gathered tells, once, that whoever was asked last restores the group and wants to know what this node holds.
 func (m *Member) Gathered() bool {
@@ -204,10 +204,10 @@
 }
 
 // Zone gives the last order of the node's zone, nil where nothing is decided about zones.
-func (m *Member) Zone() *fleet.ZoneOrder { return m.zone }
+func (m *Member) Zone() *membership.ZoneOrder { return m.zone }
 
 // KeptZone gives it as it is to be kept: an earlier generation's without its epoch.
-func (m *Member) KeptZone() *fleet.ZoneOrder {
+func (m *Member) KeptZone() *membership.ZoneOrder {
 	if m.zone == nil || !m.foreign {
 		return m.zone
 	}
@@ -256,13 +256,13 @@
 }
 
 // Ask gives what is to be sent now to Address, if anything is due, and its number.
-func (m *Member) Ask(now uint64) (a fleet.Ask, no uint64, due bool) {
+func (m *Member) Ask(now uint64) (a membership.Ask, no uint64, due bool) {
 	if m.asking || m.left || len(m.ctl) == 0 || now < m.Due() {
 		return a, 0, false
 	}
 	m.asking, m.sent, m.asked = true, now, m.Address()
 	m.askNo++
-	a = fleet.Ask{Join: fleet.Join{Name: m.plan.Name, Zone: m.plan.Zone, Addr: m.plan.Addr, Nonce: m.nonce(),
+	a = membership.Ask{Join: membership.Join{Name: m.plan.Name, Zone: m.plan.Zone, Addr: m.plan.Addr, Nonce: m.nonce(),
 		Up: max(1, now-m.born)},
 		Lease: m.lease, Echo: m.echo, Floor: m.floor, Serves: m.cur, Refused: m.refused, Why: m.why,
 		Zones: m.epoch()}
@@ -291,7 +291,7 @@
 
 // Answered takes the answer to an asking. An error says why it was not believed. One that comes after its asking was
 // given up is not looked at: what it grants runs from a sending that is not the last one's.
-func (m *Member) Answered(now, no uint64, t fleet.Told) error {
+func (m *Member) Answered(now, no uint64, t membership.Told) error {
 	if !m.asking || no != m.askNo {
 		return nil
 	}
@@ -308,7 +308,7 @@
 	newer := t.Cluster != m.cluster && m.cluster != ""
 	if newer { // a later generation of the group
 		// The lease of the one before may be acted on for the rest of its time, as the group that is restored waits for.
-		m.lease, m.foreign, m.next, m.force = 0, true, fleet.Named{}, fleet.Named{}
+		m.lease, m.foreign, m.next, m.force = 0, true, membership.Named{}, membership.Named{}
 		m.starts++
 		m.refused, m.why, m.never = 0, "", false
 	}
@@ -318,7 +318,7 @@
 	was, wasEpoch := m.floor, m.epoch()
 	m.ctl[m.at].wait, m.ctl[m.at].again = 0, 0
 	m.cluster, m.term, m.index, m.echo, m.met = t.Cluster, t.Term, t.Index, t.Clock, true
-	m.told = fleet.Heard{Group: t.Cluster, Gen: m.gen, Term: t.Term, Index: t.Index, Sum: t.Sum}
+	m.told = membership.Heard{Group: t.Cluster, Gen: m.gen, Term: t.Term, Index: t.Index, Sum: t.Sum}
 	if !m.plan.Without.Has(policy.NoWayBack) {
 		m.floor = max(m.floor, t.Need)
 	}
@@ -378,7 +378,7 @@
 
 // doubt tells what is wrong with an answer: from an instance that is behind what was seen, which may catch up, or
 // from another group or at odds with itself, which is a lie.
-func (m *Member) doubt(t *fleet.Told) (err error, lies bool) {
+func (m *Member) doubt(t *membership.Told) (err error, lies bool) {
 	back := m.plan.Without.Has(policy.NoWayBack)
 	of := comeback.Whose{Group: t.Cluster, Gen: max(1, t.Gen), Before: t.Before}
 	switch {
@@ -431,20 +431,20 @@
 
 // Want gives the version whose text is needed now, with its hash; decided tells that it has to be taken whatever
 // its trial says.
-func (m *Member) Want() (v fleet.Named, decided, ok bool) {
+func (m *Member) Want() (v membership.Named, decided, ok bool) {
 	if m.force.Version > m.cur && !m.has(m.force) && !(m.never && m.refused == m.force.Version) {
 		return m.force, true, true
 	}
 	if m.next.Version > m.cur && !m.has(m.next) && m.refused != m.next.Version {
 		return m.next, false, true
 	}
-	return fleet.Named{}, false, false
+	return membership.Named{}, false, false
 }
 
-func (m *Member) has(v fleet.Named) bool { return m.ready[v.Version] == v.Hash && v.Hash != "" }
+func (m *Member) has(v membership.Named) bool { return m.ready[v.Version] == v.Hash && v.Hash != "" }
 
 // Prepared tells that a version was checked, tried and kept.
-func (m *Member) Prepared(now uint64, v fleet.Named) {
+func (m *Member) Prepared(now uint64, v membership.Named) {
 	m.ready[v.Version] = v.Hash
 	m.due = min(m.due, now)
 	m.prune()
@@ -457,18 +457,18 @@
 }
 
 // Take gives the version to be taken over now, if there is one: in force, prepared, and newer than what is served.
-func (m *Member) Take(now uint64) (v fleet.Named, ok bool) {
+func (m *Member) Take(now uint64) (v membership.Named, ok bool) {
 	if m.start && !m.met && m.cur == 0 && now >= m.born+aloneAfter && m.kept.Version >= m.floor {
 		return m.kept, true
 	}
 	if (m.force.Version > m.cur || m.plan.Without.Has(policy.NoWayBack) && m.force.Version != m.cur) && m.has(m.force) {
 		return m.force, true
 	}
-	return fleet.Named{}, false
+	return membership.Named{}, false
 }
 
 // Took tells that the loop serves under a version from now on.
-func (m *Member) Took(now uint64, v fleet.Named, alone bool) {
+func (m *Member) Took(now uint64, v membership.Named, alone bool) {
 	m.cur, m.alone, m.hash = v.Version, alone, v.Hash
 	m.floor = max(m.floor, v.Version)
 	m.due = min(m.due, now)
--- a/internal/node/server/fleet.go
+++ b/internal/node/server/fleet.go
@@ -19,7 +19,7 @@
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/conf"
 	"umberwinch/internal/config"
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 	"umberwinch/internal/node/agent"
 	"umberwinch/internal/node/overlay"
 	"umberwinch/internal/node/shadow"
@@ -50,7 +50,7 @@
 	base      *admission.Deployment    // the platform's
 	plans     map[uint64]*overlay.Plan // of versions at hand, two or three
 	texts     map[uint64]string
-	getting   fleet.Named // being fetched, tried or kept; 0: none
+	getting   membership.Named // being fetched, tried or kept; 0: none
 	decided   bool
 	patience  time.Duration // of a fetch; doubled by each that had no end
 	again     uint64        // a fetch that failed is tried again then
@@ -65,15 +65,15 @@
 	gate      *zones.Gate
 	meter     *zones.Meter
 	look      *controlClient
-	looks     []fleet.Look // still to be looked at
-	seen      []fleet.Seen // and what was seen, for the next asking
+	looks     []membership.Look // still to be looked at
+	seen      []membership.Seen // and what was seen, for the next asking
 	looking   bool
 	gives     bool // what the node holds is on its way to whoever restores the group
 }
 
 // tried is a version after check and trial.
 type tried struct {
-	v    fleet.Named
+	v    membership.Named
 	text string
 	plan *overlay.Plan
 	took time.Duration
@@ -137,10 +137,10 @@
 	}
 	f.m = agent.New(plan, kept, steadyMS())
 	for _, at := range []struct {
-		v    fleet.Named
+		v    membership.Named
 		text string
-	}{{fleet.Named{Version: f.kept.Version, Hash: f.kept.Hash}, f.kept.Text},
-		{fleet.Named{Version: f.kept.Prepared, Hash: f.kept.NextHash}, f.kept.Next}} {
+	}{{membership.Named{Version: f.kept.Version, Hash: f.kept.Hash}, f.kept.Text},
+		{membership.Named{Version: f.kept.Prepared, Hash: f.kept.NextHash}, f.kept.Next}} {
 		if at.v.Version == 0 || at.text == "" {
 			continue
 		}
@@ -164,7 +164,7 @@
 }
 
 // checkVersion reads a text and checks it against the platform's settings.
-func (l *loop) checkVersion(v fleet.Named, text string) (*overlay.Plan, error) {
+func (l *loop) checkVersion(v membership.Named, text string) (*overlay.Plan, error) {
 	sum := sha256.Sum256([]byte(text))
 	if hex.EncodeToString(sum[:]) != v.Hash {
 		return nil, fmt.Errorf("version %d: found a text of another hash than was told", v.Version)
@@ -200,15 +200,15 @@
 		l.Health(l.moduleHealthy)
 	}
 	if f.alone && f.gate.Alone(now, f.meter.Well(now, l.running())) {
-		l.log.Warnf("fleet: alone for long, takes %d of %d of what comes by its own rule", f.gate.Share(), fleet.Whole)
+		l.log.Warnf("fleet: alone for long, takes %d of %d of what comes by its own rule", f.gate.Share(), membership.Whole)
 		l.Health(l.moduleHealthy)
 	}
 	if alone := ok && f.m.Alone(now); alone != f.alone {
 		if f.alone = alone; alone {
 			l.log.Warnf("fleet: goes on alone under version %d, without the group", f.m.Serves())
-			if p := f.plans[f.m.Serves()]; p != nil && !f.m.Met() && p.Doc.Zones.Small && p.Doc.Zones.Decide == fleet.ZonesAuto {
-				f.gate.Begin(now, int(p.Doc.Zones.First*fleet.Whole+0.5), uint64(p.Doc.Zones.Hold.Milliseconds()))
-				l.log.Infof("fleet: begins with %d of %d of what comes", f.gate.Share(), fleet.Whole)
+			if p := f.plans[f.m.Serves()]; p != nil && !f.m.Met() && p.Doc.Zones.Small && p.Doc.Zones.Decide == membership.ZonesAuto {
+				f.gate.Begin(now, int(p.Doc.Zones.First*membership.Whole+0.5), uint64(p.Doc.Zones.Hold.Milliseconds()))
+				l.log.Infof("fleet: begins with %d of %d of what comes", f.gate.Share(), membership.Whole)
 			}
 		}
 	}
@@ -275,13 +275,13 @@
 }
 
 // ordered takes the order of the node's zone. Told to take nothing, it sheds what is held, and its health says so.
-func (l *loop) ordered(now uint64, o *fleet.ZoneOrder) {
+func (l *loop) ordered(now uint64, o *membership.ZoneOrder) {
 	f := l.fleet
 	was := f.gate.Out()
 	if !f.gate.Order(now, o) {
 		return
 	}
-	l.log.Infof("fleet: zones epoch %d: takes %d of %d", f.gate.Epoch(), f.gate.Share(), fleet.Whole)
+	l.log.Infof("fleet: zones epoch %d: takes %d of %d", f.gate.Epoch(), f.gate.Share(), membership.Whole)
 	if out := f.gate.Out(); out != was {
 		l.Health(l.moduleHealthy)
 		if out {
@@ -322,7 +322,7 @@
 }
 
 // takeOver has the module go on under another version. It is between two rounds here.
-func (l *loop) takeOver(now uint64, v fleet.Named) {
+func (l *loop) takeOver(now uint64, v membership.Named) {
 	f := l.fleet
 	p := f.plans[v.Version]
 	if p == nil {
@@ -435,7 +435,7 @@
 	now := steadyMS()
 	switch e.what {
 	case jobAsk:
-		var t fleet.Told
+		var t membership.Told
 		err := e.err
 		if err == nil && e.status != 200 {
 			err = fmt.Errorf("%d: %.200s", e.status, e.answer)
@@ -477,14 +477,14 @@
 			l.lookOn()
 		}
 	case jobLook:
-		s := fleet.Seen{Name: e.about.(string), Is: fleet.SeenSilent}
+		s := membership.Seen{Name: e.about.(string), Is: membership.SeenSilent}
 		switch {
 		case e.err == nil && e.status == 200:
-			s.Is = fleet.SeenServes
+			s.Is = membership.SeenServes
 		case e.err == nil:
-			s.Is = fleet.SeenSheds
+			s.Is = membership.SeenSheds
 		}
-		if f.looking = false; len(f.seen) < fleet.MaxSeen {
+		if f.looking = false; len(f.seen) < membership.MaxSeen {
 			f.seen = append(f.seen, s)
 		}
 		l.lookOn()
@@ -503,7 +503,7 @@
 			f.owes, f.keepAgain = true, now+keepPause
 		} else if r := e.about.(agent.Record); r.Prepared != 0 && r.Prepared == f.getting.Version && r.Prepared > f.m.Serves() {
 			f.m.Prepared(now, f.getting)
-			f.getting = fleet.Named{}
+			f.getting = membership.Named{}
 		}
 		l.keepOwed(now)
 	}
@@ -536,7 +536,7 @@
 // fetched takes a version's text and has it checked and tried, off the loop.
 func (l *loop) fetched(now uint64, e *jobEnd) {
 	f := l.fleet
-	v := e.about.(fleet.Named)
+	v := e.about.(membership.Named)
 	var answer struct {
 		Version uint64 `json:"version"`
 		Text    string `json:"text"`
@@ -555,13 +555,13 @@
 		if plan, err = l.checkVersion(v, answer.Text); err != nil {
 			l.log.Warnf("fleet: version %d can't be served under: %v", v.Version, err)
 			f.m.Refuse(now, v.Version, err.Error(), true)
-			f.getting = fleet.Named{}
+			f.getting = membership.Named{}
 			return
 		}
 	}
 	if err != nil {
 		l.logf("fleet: version %d from %s: %v", v.Version, e.addr, err)
-		f.getting, f.again = fleet.Named{}, now+250
+		f.getting, f.again = membership.Named{}, now+250
 		f.patience = min(2*f.patience, fetchMost)
 		return
 	}
@@ -595,14 +595,14 @@
 	if e.err != nil {
 		l.log.Warnf("fleet: version %d failed its trial: %v", t.v.Version, e.err)
 		f.m.Refuse(now, t.v.Version, e.err.Error(), false)
-		f.getting = fleet.Named{}
+		f.getting = membership.Named{}
 		return
 	}
 	l.log.Infof("fleet: version %d passed its trial over %d reqs in %v", t.v.Version, t.reqs, t.took.Round(time.Microsecond))
 	f.plans[t.v.Version], f.texts[t.v.Version] = t.plan, t.text
 	if f.own.Folder == "" {
 		f.m.Prepared(now, t.v)
-		f.getting = fleet.Named{}
+		f.getting = membership.Named{}
 		return
 	}
 	f.kept.Prepared, f.kept.Next, f.kept.NextHash = t.v.Version, t.text, t.v.Hash
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"strings"
 
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 )
 
 // Steps of a change.
@@ -35,9 +35,9 @@
 
 // Rules are what the document of a version says of leases and of the group's absence.
 type Rules struct {
-	LeaseMS uint64          `json:"lease_ms"`
-	Alone   bool            `json:"alone"` // when_alone = go-on
-	Zones   fleet.ZoneRules `json:"zones,omitzero"`
+	LeaseMS uint64               `json:"lease_ms"`
+	Alone   bool                 `json:"alone"` // when_alone = go-on
+	Zones   membership.ZoneRules `json:"zones,omitzero"`
 }
 
 // Before is the rules until a version is in force. Ten seconds outlast a group's failover several times; a
@@ -129,8 +129,8 @@
 		return fmt.Errorf("version: found 0, expected one of the group's")
 	case p.Within < MinWithin || p.Within > MaxWithin:
 		return fmt.Errorf("within_ms: found %d, expected %d to %d", p.Within, MinWithin, MaxWithin)
-	case p.Spare < 0 || p.Spare > fleet.MaxNodes:
-		return fmt.Errorf("spare: found %d, expected 0 to %d", p.Spare, fleet.MaxNodes)
+	case p.Spare < 0 || p.Spare > membership.MaxNodes:
+		return fmt.Errorf("spare: found %d, expected 0 to %d", p.Spare, membership.MaxNodes)
 	case p.Author == "" || len(p.Author) > 200:
 		return fmt.Errorf("author: found %d bytes, expected 1 to 200", len(p.Author))
 	case len(p.Reason) > maxReason:
@@ -168,7 +168,7 @@
 
 // Apply plays one op. What no longer holds counts for nothing, so that an op that was proposed twice, or by
 // two leaders, is done once.
-func (s *State) Apply(op *Op, f *fleet.State, w World, without Guard) Result {
+func (s *State) Apply(op *Op, f *membership.State, w World, without Guard) Result {
 	if op.Kind == "propose" {
 		return s.propose(op.Propose, f, w)
 	}
@@ -240,7 +240,7 @@
 	return r
 }
 
-func (s *State) force(f *fleet.State) {
+func (s *State) force(f *membership.State) {
 	c := s.Now
 	s.Force, s.Hash, s.Rules = c.Version, c.Hash, c.Rules
 	c.Step, c.Forced = InForce, f.Clock
@@ -255,7 +255,7 @@
 	s.Now = nil
 }
 
-func (s *State) propose(p *Propose, f *fleet.State, w World) Result {
+func (s *State) propose(p *Propose, f *membership.State, w World) Result {
 	r := Result{Kind: "propose", Key: p.Key}
 	if was := s.keyed(p.Key); was != nil {
 		r.Number = was.Number
@@ -344,13 +344,13 @@
 
 // Waits names whom the change under way waits for. heard gives a node's report, nil for one that has not told
 // this leader anything.
-func (s *State) Waits(f *fleet.State, heard func(*fleet.Node) *Report) (waits []Wait, refused []Wait) {
+func (s *State) Waits(f *membership.State, heard func(*membership.Node) *Report) (waits []Wait, refused []Wait) {
 	c := s.Now
 	if c == nil {
 		return nil, nil
 	}
 	if f.Clock < f.Hush { // in a restored group's first moments nobody is in, and all of them may be on their way
-		waits = append(waits, Wait{fleet.Unknown, "", fmt.Sprintf("may act on their leases for %d ms at most", f.Hush-f.Clock)})
+		waits = append(waits, Wait{membership.Unknown, "", fmt.Sprintf("may act on their leases for %d ms at most", f.Hush-f.Clock)})
 	}
 	for _, n := range f.Nodes() {
 		if c.Step != Preparing {
@@ -378,9 +378,9 @@
 	return waits, refused
 }
 
-func (s *State) until(f *fleet.State, n *fleet.Node, version uint64) string {
+func (s *State) until(f *membership.State, n *membership.Node, version uint64) string {
 	last, ever := uint64(0), false
-	look := func(l *fleet.Lease) {
+	look := func(l *membership.Lease) {
 		if l.Live(f.Clock) && l.Floor < version {
 			last, ever = max(last, l.Until), ever || l.Alone
 		}
@@ -396,7 +396,7 @@
 }
 
 // Next gives what the leader should add to the log, nil if the change has to wait.
-func (s *State) Next(f *fleet.State, heard func(*fleet.Node) *Report, without Guard) *Op {
+func (s *State) Next(f *membership.State, heard func(*membership.Node) *Report, without Guard) *Op {
 	c := s.Now
 	if c == nil {
 		return nil
--- a/internal/steward/part.go
+++ b/internal/steward/part.go
@@ -15,7 +15,7 @@
 
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/conf"
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 	"umberwinch/internal/policy"
 	"umberwinch/internal/zones"
 )
@@ -35,7 +35,7 @@
 
 // Part is the replicated state about nodes.
 type Part struct {
-	Fleet   *fleet.State
+	Fleet   *membership.State
 	Policy  *policy.State
 	Zones   *zones.State
 	Index   uint64   // of the last entry that was this part's
@@ -92,7 +92,7 @@
 
 // NewPart gives an empty one.
 func NewPart(without policy.Guard) *Part {
-	return &Part{Fleet: fleet.New(), Policy: &policy.State{}, Zones: &zones.State{}, Gen: 1, Without: without}
+	return &Part{Fleet: membership.New(), Policy: &policy.State{}, Zones: &zones.State{}, Gen: 1, Without: without}
 }
 
 type world struct{ v Versions }
@@ -124,7 +124,7 @@
 	}
 	r := policy.Rules{LeaseMS: uint64(next.Fleet.Lease.Milliseconds()), Alone: next.Fleet.Alone}
 	if z := &next.Zones; z.Given {
-		r.Zones = fleet.ZoneRules{Mode: z.Decide, First: int(z.First*fleet.Whole + 0.5), HoldMS: uint64(z.Hold.Milliseconds()),
+		r.Zones = membership.ZoneRules{Mode: z.Decide, First: int(z.First*membership.Whole + 0.5), HoldMS: uint64(z.Hold.Milliseconds()),
 			KeepMS: uint64(z.Keep.Milliseconds()), WaitMS: uint64(z.Wait.Milliseconds()),
 			Small: z.Small}
 	}
@@ -132,9 +132,9 @@
 }
 
 // grant gives what leases are given under now.
-func (p *Part) grant() fleet.Grant {
+func (p *Part) grant() membership.Grant {
 	r := p.Policy.Grants()
-	g := fleet.Grant{LeaseMS: r.LeaseMS, Alone: r.Alone, Need: p.Policy.Need}
+	g := membership.Grant{LeaseMS: r.LeaseMS, Alone: r.Alone, Need: p.Policy.Need}
 	if r.Zones.On() && !p.WithoutZones.Has(zones.OneEpoch) {
 		g.Zones = p.Zones.Epoch
 	}
@@ -144,7 +144,7 @@
 // BeatDone is the end of a beat.
 type BeatDone struct {
 	Term, No uint64
-	fleet.Result
+	membership.Result
 	Began bool // most of the fleet had just restarted: it comes back with a share
 }
 
@@ -155,7 +155,7 @@
 	p.noteSum(kind, body, index, term)
 	switch kind {
 	case KindBeat:
-		var b fleet.Beat
+		var b membership.Beat
 		if err := json.Unmarshal(body, &b); err != nil {
 			return nil, fmt.Errorf("not a beat: %w", err)
 		}
@@ -227,7 +227,7 @@
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return fmt.Errorf("the saved state about nodes: %w", err)
 	}
-	f, err := fleet.Load(s.Fleet)
+	f, err := membership.Load(s.Fleet)
 	if err != nil {
 		return err
 	}
@@ -256,10 +256,10 @@
 	}
 	next := found.Whose.Next("")
 	p.Gen, p.Before = next.Gen, next.Before
-	var more []fleet.Join
+	var more []membership.Join
 	share := map[string]comeback.Kept{}
 	for _, k := range found.Kept {
-		more = append(more, fleet.Join{Name: k.Name, Zone: k.Zone, Addr: k.Addr})
+		more = append(more, membership.Join{Name: k.Name, Zone: k.Zone, Addr: k.Addr})
 		if was, there := share[k.Zone]; k.Epoch > 0 && (!there || k.Epoch > was.Epoch) {
 			share[k.Zone] = k
 		}
@@ -270,7 +270,7 @@
 	}
 	left := map[string]int{}
 	for name, k := range share { // each is judged alone
-		if k.Share < fleet.Whole {
+		if k.Share < membership.Whole {
 			left[name] = k.Share
 		}
 	}
--- a/internal/steward/steward.go
+++ b/internal/steward/steward.go
@@ -8,7 +8,7 @@
 	"sort"
 
 	"umberwinch/internal/comeback"
-	"umberwinch/internal/fleet"
+	"umberwinch/internal/control/membership"
 	"umberwinch/internal/policy"
 	"umberwinch/internal/zones"
 )
@@ -50,8 +50,8 @@
 
 // open is one asking that waits for a beat.
 type open struct {
-	ask  fleet.Ask
-	done func(fleet.Told, error)
+	ask  membership.Ask
+	done func(membership.Told, error)
 }
 
 type opening struct {
@@ -155,7 +155,7 @@
 func (s *Steward) drop(err error) {
 	for _, list := range [][]open{s.waits, s.out} {
 		for _, o := range list {
-			o.done(fleet.Told{}, err)
+			o.done(membership.Told{}, err)
 		}
 	}
 	for _, o := range s.ops {
@@ -168,28 +168,28 @@
 }
 
 // Ask takes what a node says. done is called once, at once or after a beat.
-func (s *Steward) Ask(p *Part, a fleet.Ask, done func(fleet.Told, error)) {
+func (s *Steward) Ask(p *Part, a membership.Ask, done func(membership.Told, error)) {
 	if !s.leads {
-		done(fleet.Told{}, ErrNoLead)
+		done(membership.Told{}, ErrNoLead)
 		return
 	}
 	if a.Lease == 0 {
 		if err := a.Join.Valid(); err != nil {
-			done(fleet.Told{}, err)
+			done(membership.Told{}, err)
 			return
 		}
 	}
 	if p.Fleet.Lost != "" {
-		done(fleet.Told{}, ErrLost)
+		done(membership.Told{}, ErrLost)
 		return
 	}
-	if s.names != nil && len(s.names) < fleet.MaxNodes {
+	if s.names != nil && len(s.names) < membership.MaxNodes {
 		s.names[a.Name] = true
 	}
 	if h := a.Heard; h != nil && h.Group != "" && h.Group != s.cluster {
 		// A lease of another generation has a number that means another here, and what it heard last may be a later one. It is
 		// told whose this is, and begins anew if that is later than what it knows.
-		t := s.tell(p, fleet.Told{Gone: "it heard another generation of the group last"})
+		t := s.tell(p, membership.Told{Gone: "it heard another generation of the group last"})
 		t.Before = p.Before
 		done(t, nil)
 		return
@@ -200,7 +200,7 @@
 	}
 	if a.Lease == 0 {
 		n := p.Fleet.Named(a.Name)
-		a.Same = s.Level >= LevelSame && n != nil && fleet.SameProcess(n.Lease.Nonce, a.Nonce)
+		a.Same = s.Level >= LevelSame && n != nil && membership.SameProcess(n.Lease.Nonce, a.Nonce)
 		s.wait(a, done)
 		return
 	}
@@ -209,17 +209,17 @@
 	}
 	n := p.Fleet.In(a.Lease)
 	if n == nil && !a.Bye {
-		done(s.tell(p, fleet.Told{Gone: "its lease ran out or its name began anew"}), nil)
+		done(s.tell(p, membership.Told{Gone: "its lease ran out or its name began anew"}), nil)
 		return
 	}
 	if n != nil {
 		s.reports[n.Name] = &told{a.Lease, policy.Report{Prepared: a.Prepared, Refused: a.Refused, Why: a.Why,
 			Serves: a.Serves, Fenced: a.Fenced}}
 	}
-	if n != nil && !a.Bye && p.Fleet.Clock > a.Echo+fleet.Span(p.grant().LeaseMS) {
+	if n != nil && !a.Bye && p.Fleet.Clock > a.Echo+membership.Span(p.grant().LeaseMS) {
 		// It has not heard an answer for a lease's time, so it serves nothing: what it says reaches the group, and nothing
 		// comes back. Its askings must not keep it in, or a change would wait for it.
-		done(s.tell(p, fleet.Told{Lease: a.Lease}), nil)
+		done(s.tell(p, membership.Told{Lease: a.Lease}), nil)
 		return
 	}
 	// A promise that the state lacks goes through the log as well: a change waits for it.
@@ -228,7 +228,7 @@
 		s.wait(a, done)
 		return
 	}
-	done(s.tell(p, fleet.Told{Lease: a.Lease}), nil)
+	done(s.tell(p, membership.Told{Lease: a.Lease}), nil)
 }
 
 // nodesToDoubt is how many nodes have to prove that the group has lost state before it stops: one alone may lie.
@@ -244,7 +244,7 @@
 }
 
 // doubt holds what a node was told against what the state has.
-func (s *Steward) doubt(p *Part, a *fleet.Ask) {
+func (s *Steward) doubt(p *Part, a *membership.Ask) {
 	h := a.Heard
 	if h == nil || s.Without.Has(policy.Proof) {
 		return
@@ -254,7 +254,7 @@
 	k := comeback.Kept{Group: h.Group, Gen: max(1, h.Gen), Term: h.Term, Index: h.Index, Sum: h.Sum, Version: a.Serves, Hash: h.Hash,
 		Floor: a.Floor, Epoch: a.Zones}
 	if what := have.Lacks(&k); what != "" {
-		if len(s.lacks) < fleet.MaxNodes {
+		if len(s.lacks) < membership.MaxNodes {
 			s.lacks[a.Name] = lack{what, s.now}
 		}
 	} else {
@@ -302,23 +302,23 @@
 const LevelSame = 5
 
 // behind tells whether a change waits for this node's promise.
-func (s *Steward) behind(p *Part, n *fleet.Node) bool {
+func (s *Steward) behind(p *Part, n *membership.Node) bool {
 	c := p.Policy.Now
 	return c != nil && c.Step != policy.Preparing && n.Lease.Floor < c.Version
 }
 
-func (s *Steward) wait(a fleet.Ask, done func(fleet.Told, error)) {
+func (s *Steward) wait(a membership.Ask, done func(membership.Told, error)) {
 	if len(s.waits) >= maxOpen {
-		done(fleet.Told{}, ErrBusy)
+		done(membership.Told{}, ErrBusy)
 		return
 	}
 	s.waits = append(s.waits, open{a, done})
 }
 
 // tell fills in what holds now.
-func (s *Steward) tell(p *Part, t fleet.Told) fleet.Told {
+func (s *Steward) tell(p *Part, t membership.Told) membership.Told {
 	t.Cluster, t.Term, t.Index, t.Sum, t.Clock, t.Gen = s.cluster, s.term, p.Index, p.sum(), p.Fleet.Clock, p.Gen
-	t.Need, t.Force = p.Policy.Need, fleet.Named{Version: p.Policy.Force, Hash: p.Policy.Hash}
+	t.Need, t.Force = p.Policy.Need, membership.Named{Version: p.Policy.Force, Hash: p.Policy.Hash}
 	g := p.grant()
 	t.Alone = g.Alone
 	t.Again = g.LeaseMS / 4
@@ -339,7 +339,7 @@
 		// While a change is under way whoever it waits for is heard soon; reports cost no entry.
 		t.Again = min(t.Again, max(200, uint64(len(p.Fleet.Nodes()))/5))
 		if c.Step == policy.Preparing {
-			t.Prepare = fleet.Named{Version: c.Version, Hash: c.Hash}
+			t.Prepare = membership.Named{Version: c.Version, Hash: c.Hash}
 		}
 	}
 	return t
@@ -384,7 +384,7 @@
 
 // young tells whether a node has just begun, and most of the others were not heard since: then the whole fleet may have, and
 // only the first of them are here yet.
-func (s *Steward) young(p *Part, n *fleet.Node) bool {
+func (s *Steward) young(p *Part, n *membership.Node) bool {
 	since, joined := s.joins[n.Lease.ID]
 	if !joined || n.Age(p.Fleet.Clock) > comeback.Span {
 		return false
@@ -449,7 +449,7 @@
 }
 
 // heard gives a node's report, as its present incarnation told it.
-func (s *Steward) heard(n *fleet.Node) *policy.Report {
+func (s *Steward) heard(n *membership.Node) *policy.Report {
 	r := s.reports[n.Name]
 	if r == nil || r.lease != n.Lease.ID && !s.Without.Has(policy.Incarnation) {
 		return nil
@@ -458,7 +458,7 @@
 }
 
 // Heard gives the reports for whoever shows them.
-func (s *Steward) Heard() func(*fleet.Node) *policy.Report { return s.heard }
+func (s *Steward) Heard() func(*membership.Node) *policy.Report { return s.heard }
 
 // Tick tells of ms that went by and gives what the leader adds to the log.
 func (s *Steward) Tick(p *Part, ms uint64) []Entry {
@@ -559,9 +559,9 @@
 }
 
 // beat puts together what was taken for it.
-func (s *Steward) beat(p *Part) *fleet.Beat {
+func (s *Steward) beat(p *Part) *membership.Beat {
 	s.no++
-	b := &fleet.Beat{Term: s.term, No: s.no, After: p.Fleet.Beats, Span: s.now - s.beatAt, Floor: p.Policy.Need,
+	b := &membership.Beat{Term: s.term, No: s.no, After: p.Fleet.Beats, Span: s.now - s.beatAt, Floor: p.Policy.Need,
 		Zones: p.grant().Zones, Forget: s.forgets}
 	for i := range s.out {
 		switch a := &s.out[i].ask; {
@@ -596,7 +596,7 @@
 			s.waits = append(out, s.waits...)
 			return
 		}
-		joined := map[string]*fleet.Joined{}
+		joined := map[string]*membership.Joined{}
 		for i := range e.Joined {
 			joined[e.Joined[i].Nonce] = &e.Joined[i]
 		}
@@ -647,9 +647,9 @@
 }
 
 // answer gives one node's answer after its beat.
-func (s *Steward) answer(p *Part, a *fleet.Ask, e *BeatDone, joined map[string]*fleet.Joined) (
-	fleet.Told, error) {
-	t := fleet.Told{Lease: a.Lease}
+func (s *Steward) answer(p *Part, a *membership.Ask, e *BeatDone, joined map[string]*membership.Joined) (
+	membership.Told, error) {
+	t := membership.Told{Lease: a.Lease}
 	if a.Bye {
 		return s.tell(p, t), nil
 	}
@@ -663,7 +663,7 @@
 			return s.tell(p, t), nil
 		}
 		t.Lease = j.Lease
-		if p.Policy.Grants().Zones.Small && len(s.joins) < fleet.MaxNodes {
+		if p.Policy.Grants().Zones.Small && len(s.joins) < membership.MaxNodes {
 			s.joins[t.Lease] = s.now
 		}
 	}
