--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -15,10 +15,10 @@
 
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/policy"
 	"umberwinch/internal/lab"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/node/server"
-	"umberwinch/internal/policy"
 	"umberwinch/internal/zones"
 )
 
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -19,7 +19,7 @@
 
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/control/membership"
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 	"umberwinch/internal/zones"
 )
 
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -14,7 +14,7 @@
 
 	"umberwinch/internal/conf"
 	"umberwinch/internal/consensus"
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 )
 
 // A change of policy and the nodes it is for.
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -18,8 +18,8 @@
 	"umberwinch/internal/config"
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/policy"
 	"umberwinch/internal/lab"
-	"umberwinch/internal/policy"
 	"umberwinch/internal/wal"
 	"umberwinch/internal/zones"
 )
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -15,8 +15,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 
 	"umberwinch/internal/config"
+	"umberwinch/internal/control/policy"
 	"umberwinch/internal/logging"
-	"umberwinch/internal/policy"
 	"umberwinch/internal/steward"
 	"umberwinch/internal/wal"
 	"umberwinch/internal/zones"
--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"umberwinch/internal/conf"
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 	"umberwinch/internal/steward"
 )
 
--- a/internal/consensus/nodes.go
+++ b/internal/consensus/nodes.go
@@ -14,8 +14,8 @@
 	"github.com/sirupsen/logrus"
 
 	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/policy"
 	"umberwinch/internal/logging"
-	"umberwinch/internal/policy"
 	"umberwinch/internal/steward"
 	"umberwinch/internal/zones"
 )
--- a/internal/consensus/nodes_test.go
+++ b/internal/consensus/nodes_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"umberwinch/internal/control/membership"
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 )
 
 // node asks an instance as a node would.
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -12,7 +12,7 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 	"umberwinch/internal/wal"
 	"umberwinch/internal/zones"
 )
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"umberwinch/internal/control/membership"
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 	"umberwinch/internal/steward"
 	"umberwinch/internal/zones"
 )
--- a/internal/lab/comeback_test.go
+++ b/internal/lab/comeback_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 	"umberwinch/internal/zones"
 )
 
--- a/internal/lab/fleet_ask.go
+++ b/internal/lab/fleet_ask.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"umberwinch/internal/consensus"
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 )
 
 // sleep waits, unless the rig ends.
--- a/internal/lab/fleet_events.go
+++ b/internal/lab/fleet_events.go
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 )
 
 // logLines reads a log of JSON lines; times are tenths of a ms.
--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 )
 
 // programs builds umberctl and the node's program once, side by side.
--- a/internal/lab/local.go
+++ b/internal/lab/local.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 )
 
 // Local is a fleet for a look: a rig that starts again what ends.
--- a/internal/lab/ondemand.go
+++ b/internal/lab/ondemand.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"umberwinch/internal/consensus"
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 	"umberwinch/internal/wal"
 	"umberwinch/internal/zones"
 )
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 )
 
 // Policy is a run of `umberctl lab policy`.
--- a/internal/lab/policy_bench.go
+++ b/internal/lab/policy_bench.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"umberwinch/internal/control/membership"
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 )
 
 // realLease is the lease of the real part's policies: short, so that what waits for one ends soon, and long beside a
--- a/internal/lab/policy_cases.go
+++ b/internal/lab/policy_cases.go
@@ -14,7 +14,7 @@
 
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/control/membership"
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 )
 
 // policyCase is one hard case on processes.
--- a/internal/lab/vfleet.go
+++ b/internal/lab/vfleet.go
@@ -10,8 +10,8 @@
 
 	"umberwinch/internal/conf"
 	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/policy"
 	"umberwinch/internal/node/agent"
-	"umberwinch/internal/policy"
 	"umberwinch/internal/steward"
 	"umberwinch/internal/zones"
 )
--- a/internal/lab/vfleet_test.go
+++ b/internal/lab/vfleet_test.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"testing"
 
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 )
 
 // TestFleetSchedules plays schedules of troubles in virtual time and holds each to all promises.
--- a/internal/lab/vlost_test.go
+++ b/internal/lab/vlost_test.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"testing"
 
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 )
 
 // TestLostSchedules has groups lose state, in virtual time, and holds what nodes do to all promises: nobody acts on what an
--- a/internal/node/agent/member.go
+++ b/internal/node/agent/member.go
@@ -15,7 +15,7 @@
 
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/control/membership"
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 )
 
 // Times, in ms.
--- a/internal/node/agent/member_test.go
+++ b/internal/node/agent/member_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"umberwinch/internal/control/membership"
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 )
 
 // drive is a member with a clock, told things by the test.
--- a/internal/node/server/fleet.go
+++ b/internal/node/server/fleet.go
@@ -20,11 +20,11 @@
 	"umberwinch/internal/conf"
 	"umberwinch/internal/config"
 	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/policy"
 	"umberwinch/internal/node/agent"
 	"umberwinch/internal/node/overlay"
 	"umberwinch/internal/node/shadow"
 	"umberwinch/internal/node/wire"
-	"umberwinch/internal/policy"
 	"umberwinch/internal/zones"
 )
 
--- a/internal/steward/part.go
+++ b/internal/steward/part.go
@@ -16,7 +16,7 @@
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/conf"
 	"umberwinch/internal/control/membership"
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 	"umberwinch/internal/zones"
 )
 
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -7,7 +7,7 @@
 
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/control/membership"
-	"umberwinch/internal/policy"
+	"umberwinch/internal/control/policy"
 	"umberwinch/internal/zones"
 )
 
