--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -16,10 +16,10 @@
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
 	"umberwinch/internal/lab"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/node/server"
-	"umberwinch/internal/zones"
 )
 
 // newNode is a node's program in this one, so that a fleet can be started where cmd/umberwinch was not built.
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -20,7 +20,7 @@
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
-	"umberwinch/internal/zones"
+	"umberwinch/internal/control/zones"
 )
 
 // output is what a running command printed so far.
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -19,9 +19,9 @@
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
 	"umberwinch/internal/lab"
 	"umberwinch/internal/wal"
-	"umberwinch/internal/zones"
 )
 
 // recovery is a run of `umberctl control recover`.
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -13,8 +13,8 @@
 
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/zones"
 	"umberwinch/internal/lab"
-	"umberwinch/internal/zones"
 )
 
 // Zones of the fleet: how they stand and why, and what an operator does about them.
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -16,10 +16,10 @@
 
 	"umberwinch/internal/config"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/steward"
 	"umberwinch/internal/wal"
-	"umberwinch/internal/zones"
 )
 
 // Bounds of an instance.
--- a/internal/consensus/nodes.go
+++ b/internal/consensus/nodes.go
@@ -15,9 +15,9 @@
 
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/steward"
-	"umberwinch/internal/zones"
 )
 
 // Nodes of a fleet as clients of the group: their askings go to the leader's steward on the replica's goroutine, and
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -13,8 +13,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
 	"umberwinch/internal/wal"
-	"umberwinch/internal/zones"
 )
 
 // Plan is what a replica is told at its start.
--- a/internal/consensus/zones.go
+++ b/internal/consensus/zones.go
@@ -9,8 +9,8 @@
 	"github.com/sirupsen/logrus"
 
 	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/zones"
 	"umberwinch/internal/logging"
-	"umberwinch/internal/zones"
 )
 
 // Zones of a fleet for operators: what the group decided, what the leader sees, and what they ask of it.
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -18,8 +18,8 @@
 
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
 	"umberwinch/internal/steward"
-	"umberwinch/internal/zones"
 )
 
 // Comeback is a run of `umberctl lab comeback`: a fleet that restarts whole and a group that lost its state, on the rig of
--- a/internal/lab/comeback_test.go
+++ b/internal/lab/comeback_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"umberwinch/internal/control/policy"
-	"umberwinch/internal/zones"
+	"umberwinch/internal/control/zones"
 )
 
 // TestComebackOnProcesses plays the hard cases of coming back on processes, in two fleets side by side.
--- a/internal/lab/ondemand.go
+++ b/internal/lab/ondemand.go
@@ -10,8 +10,8 @@
 
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
 	"umberwinch/internal/wal"
-	"umberwinch/internal/zones"
 )
 
 // faultEnv names what an instance does to itself once SIGUSR2 has told it to: a step of Work at which it
--- a/internal/lab/vfleet.go
+++ b/internal/lab/vfleet.go
@@ -11,9 +11,9 @@
 	"umberwinch/internal/conf"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
 	"umberwinch/internal/node/agent"
 	"umberwinch/internal/steward"
-	"umberwinch/internal/zones"
 )
 
 // vfleet.go is a fleet in virtual time: the group's replicated part and its leaders' stewards, the nodes' members, all
--- a/internal/lab/vlost.go
+++ b/internal/lab/vlost.go
@@ -6,8 +6,8 @@
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
 	"umberwinch/internal/steward"
-	"umberwinch/internal/zones"
 )
 
 // vlost.go has a group in virtual time lose what it knows: older copies of its state are put back, or none is left; it
--- a/internal/lab/vzones.go
+++ b/internal/lab/vzones.go
@@ -5,7 +5,7 @@
 
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/control/membership"
-	"umberwinch/internal/zones"
+	"umberwinch/internal/control/zones"
 )
 
 // vzones.go is traffic on a fleet in virtual time: callers that try elsewhere, nodes by their real gates, and for each
--- a/internal/lab/vzones_check.go
+++ b/internal/lab/vzones_check.go
@@ -5,8 +5,8 @@
 import (
 	"fmt"
 
+	"umberwinch/internal/control/zones"
 	"umberwinch/internal/steward"
-	"umberwinch/internal/zones"
 )
 
 // check holds a step to the promises.
--- a/internal/lab/vzones_plan.go
+++ b/internal/lab/vzones_plan.go
@@ -5,7 +5,7 @@
 import (
 	"math/rand"
 
-	"umberwinch/internal/zones"
+	"umberwinch/internal/control/zones"
 )
 
 // ZonePlan is what one run is drawn from.
--- a/internal/lab/vzones_test.go
+++ b/internal/lab/vzones_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"umberwinch/internal/zones"
+	"umberwinch/internal/control/zones"
 )
 
 func playZones(p ZonePlan) *VZones {
--- a/internal/lab/zonecost.go
+++ b/internal/lab/zonecost.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"umberwinch/internal/zones"
+	"umberwinch/internal/control/zones"
 )
 
 // What failures cost callers on processes, by several ways: the same failures, one after the other, in fleets with the same
--- a/internal/lab/zones.go
+++ b/internal/lab/zones.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"umberwinch/internal/consensus"
-	"umberwinch/internal/zones"
+	"umberwinch/internal/control/zones"
 )
 
 // Zones is a run of `umberctl lab zones`.
--- a/internal/lab/zones_bench.go
+++ b/internal/lab/zones_bench.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"umberwinch/internal/consensus"
-	"umberwinch/internal/zones"
+	"umberwinch/internal/control/zones"
 )
 
 // zoneBench is a rig for cases about zones.
--- a/internal/lab/zones_cases.go
+++ b/internal/lab/zones_cases.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"umberwinch/internal/zones"
+	"umberwinch/internal/control/zones"
 )
 
 // zoneCase is one hard case on processes.
--- a/internal/lab/zones_check.go
+++ b/internal/lab/zones_check.go
@@ -9,7 +9,7 @@
 	"sort"
 	"time"
 
-	"umberwinch/internal/zones"
+	"umberwinch/internal/control/zones"
 )
 
 // ZoneEvent is one thing that a run recorded about zones, in tenths of a ms.
--- a/internal/node/server/fleet.go
+++ b/internal/node/server/fleet.go
@@ -21,11 +21,11 @@
 	"umberwinch/internal/config"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
 	"umberwinch/internal/node/agent"
 	"umberwinch/internal/node/overlay"
 	"umberwinch/internal/node/shadow"
 	"umberwinch/internal/node/wire"
-	"umberwinch/internal/zones"
 )
 
 type fleetJob uint8
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -22,9 +22,9 @@
 
 	"umberwinch/admission"
 	"umberwinch/internal/clock"
+	"umberwinch/internal/control/zones"
 	"umberwinch/internal/node/settings"
 	"umberwinch/internal/node/wire"
-	"umberwinch/internal/zones"
 )
 
 // slow is a connection whose other side takes nothing until it is let.
--- a/internal/steward/part.go
+++ b/internal/steward/part.go
@@ -17,7 +17,7 @@
 	"umberwinch/internal/conf"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
-	"umberwinch/internal/zones"
+	"umberwinch/internal/control/zones"
 )
 
 // Kinds of entries of the log that are this part's.
--- a/internal/steward/steward.go
+++ b/internal/steward/steward.go
@@ -10,7 +10,7 @@
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
-	"umberwinch/internal/zones"
+	"umberwinch/internal/control/zones"
 )
 
 // Bounds of what the leader keeps in memory.
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -8,7 +8,7 @@
 	"umberwinch/internal/comeback"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
-	"umberwinch/internal/zones"
+	"umberwinch/internal/control/zones"
 )
 
 // group is a part with two instances' stewards, of which one leads at a time; the log is the test's.
