--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -25,7 +25,7 @@
 )
 
 // recovery is a run of `umberctl control recover`.
-type recovery struct {
+type recoverCommand struct {
 	file, take  string
 	wait        time.Duration
 	found, json bool
@@ -33,7 +33,7 @@
 }
 
 func newRecover() *cobra.Command {
-	r := &recovery{}
+	r := &recoverCommand{}
 	c := &cobra.Command{Use: "recover", Short: "Restore a group whose state is lost, from what nodes and an old folder hold",
 		Args: exact(0), Long: `Listens where the instance of the operator's file listens for clients, which has to be stopped, as all of
 the old group have to be. Nodes that come by tell what they served under; the instance's folder, or the saved snapshot
@@ -51,7 +51,7 @@
 	return c
 }
 
-func (r *recovery) run(ctx context.Context, w io.Writer) error {
+func (r *recoverCommand) run(ctx context.Context, w io.Writer) error {
 	o, err := config.ReadControl(r.file)
 	if err != nil {
 		return usage(err)
@@ -108,7 +108,7 @@
 }
 
 // old reads what there is of the group's own state.
-func (r *recovery) old(data string, plan consensus.Plan) (old *consensus.Old, there bool, err error) {
+func (r *recoverCommand) old(data string, plan consensus.Plan) (old *consensus.Old, there bool, err error) {
 	if entries, err := os.ReadDir(data); err == nil {
 		there = len(entries) > 0
 	}
@@ -138,7 +138,7 @@
 }
 
 // gather listens to nodes for the time given, or until the context ends.
-func (r *recovery) gather(ctx context.Context, listen string, w io.Writer) (kept []comeback.Kept, asked int, err error) {
+func (r *recoverCommand) gather(ctx context.Context, listen string, w io.Writer) (kept []comeback.Kept, asked int, err error) {
 	if r.wait <= 0 { // an instance that runs on would lose its folder under it
 		ln, err := net.Listen("tcp", listen)
 		if err != nil {
@@ -176,7 +176,7 @@
 	return kept, asked, ctx.Err()
 }
 
-func (r *recovery) show(w io.Writer, old *consensus.Old, f *comeback.Found, asked int) {
+func (r *recoverCommand) show(w io.Writer, old *consensus.Old, f *comeback.Found, asked int) {
 	base := "none"
 	if b := old.Base(); b != nil {
 		base = fmt.Sprintf("version %d in force, %d decided, entry %d", b.Force, b.Need, b.Index)
