--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -14,11 +14,11 @@
 
 	"github.com/spf13/cobra"
 
-	"umberwinch/internal/comeback"
 	"umberwinch/internal/config"
 	"umberwinch/internal/consensus"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/lab"
 	"umberwinch/internal/wal"
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	found := comeback.Plan(kept, old.Base(), r.take)
+	found := recovery.Plan(kept, old.Base(), r.take)
 	if r.json {
 		if err = printJSON(w, found); err != nil {
 			return err
@@ -138,7 +138,7 @@
 }
 
 // gather listens to nodes for the time given, or until the context ends.
-func (r *recoverCommand) gather(ctx context.Context, listen string, w io.Writer) (kept []comeback.Kept, asked int, err error) {
+func (r *recoverCommand) gather(ctx context.Context, listen string, w io.Writer) (kept []recovery.Kept, asked int, err error) {
 	if r.wait <= 0 { // an instance that runs on would lose its folder under it
 		ln, err := net.Listen("tcp", listen)
 		if err != nil {
@@ -147,7 +147,7 @@
 		return nil, 0, ln.Close()
 	}
 	var mu sync.Mutex
-	g, err := consensus.Gather(listen, func(k *comeback.Kept, err error) {
+	g, err := consensus.Gather(listen, func(k *recovery.Kept, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
@@ -176,7 +176,7 @@
 	return kept, asked, ctx.Err()
 }
 
-func (r *recoverCommand) show(w io.Writer, old *consensus.Old, f *comeback.Found, asked int) {
+func (r *recoverCommand) show(w io.Writer, old *consensus.Old, f *recovery.Found, asked int) {
 	base := "none"
 	if b := old.Base(); b != nil {
 		base = fmt.Sprintf("version %d in force, %d decided, entry %d", b.Force, b.Need, b.Index)
--- a/internal/consensus/recover.go
+++ b/internal/consensus/recover.go
@@ -16,9 +16,9 @@
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/semaphore"
 
-	"umberwinch/internal/comeback"
 	"umberwinch/internal/conf"
 	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/wal"
 )
 
@@ -90,16 +90,16 @@
 }
 
 // Base gives it to comeback.Plan; nil has none.
-func (o *Old) Base() *comeback.Base {
+func (o *Old) Base() *recovery.Base {
 	if o == nil {
 		return nil
 	}
 	return o.machine.base()
 }
 
-func (m *Machine) base() *comeback.Base {
+func (m *Machine) base() *recovery.Base {
 	p := m.nodes
-	b := &comeback.Base{Whose: comeback.Whose{Group: m.cluster, Gen: p.Gen, Before: p.Before}, Last: m.last(),
+	b := &recovery.Base{Whose: recovery.Whose{Group: m.cluster, Gen: p.Gen, Before: p.Before}, Last: m.last(),
 		Need: p.Policy.Need, Force: p.Policy.Force, Index: p.Index, Epoch: p.Zones.Epoch, Text: m.Text,
 		LeaseM: p.Policy.Grants().LeaseMS, Alone: p.Policy.Grants().Alone, Tail: m.tail}
 	for _, n := range p.Fleet.Nodes() {
@@ -111,7 +111,7 @@
 }
 
 // Recover makes an empty folder the first instance of the next generation of a group, by what was found.
-func Recover(fs wal.FS, plan Plan, old *Old, found *comeback.Found) (*Version, error) {
+func Recover(fs wal.FS, plan Plan, old *Old, found *recovery.Found) (*Version, error) {
 	if found.Conflict != "" {
 		return nil, errors.New(found.Conflict)
 	}
@@ -124,7 +124,7 @@
 }
 
 // restore makes the state that of the next generation.
-func (m *Machine) restore(found *comeback.Found) error {
+func (m *Machine) restore(found *recovery.Found) error {
 	if found.Version > 0 {
 		if _, hash, ok := m.Text(found.Version); !ok || hash != found.Hash || found.Hash == "" {
 			if err := m.place(found); err != nil {
@@ -139,7 +139,7 @@
 }
 
 // place makes what was found the newest version. Where its number does not follow, what is before it is kept no more.
-func (m *Machine) place(found *comeback.Found) error {
+func (m *Machine) place(found *recovery.Found) error {
 	if found.Version != m.last()+1 {
 		m.lines, m.bytes, m.first = nil, 0, found.Version
 	}
@@ -165,24 +165,24 @@
 // Gathering listens, in place of an instance, to what nodes hold.
 type Gathering struct {
 	mu     sync.Mutex
-	kept   map[string]comeback.Kept
+	kept   map[string]recovery.Kept
 	asked  map[string]time.Time // nodes that came by, and when last
 	texts  map[string]string    // by hash, so that a thousand nodes with one text hold it once
 	bodies *semaphore.Weighted
 	server *http.Server
-	heard  func(k *comeback.Kept, err error)
+	heard  func(k *recovery.Kept, err error)
 }
 
 // maxTexts bounds the different texts that are held: two versions at most are at hand at a node.
 const maxTexts = 64
 
 // Gather opens an address that nodes ask. heard is told of each node that told what it holds, or what was wrong with it.
-func Gather(listen string, heard func(k *comeback.Kept, err error)) (*Gathering, error) {
+func Gather(listen string, heard func(k *recovery.Kept, err error)) (*Gathering, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("%w: the instance that listens there has to be stopped first", err)
 	}
-	g := &Gathering{kept: map[string]comeback.Kept{}, asked: map[string]time.Time{}, texts: map[string]string{},
+	g := &Gathering{kept: map[string]recovery.Kept{}, asked: map[string]time.Time{}, texts: map[string]string{},
 		bodies: semaphore.NewWeighted(maxBodies), heard: heard}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/nodes", g.node)
@@ -197,13 +197,13 @@
 }
 
 // Stop ends it and gives what was told.
-func (g *Gathering) Stop(ctx context.Context) []comeback.Kept {
+func (g *Gathering) Stop(ctx context.Context) []recovery.Kept {
 	if g.server.Shutdown(ctx) != nil {
 		g.server.Close()
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := make([]comeback.Kept, 0, len(g.kept))
+	out := make([]recovery.Kept, 0, len(g.kept))
 	for _, k := range g.kept { // Plan puts them in order
 		out = append(out, k)
 	}
@@ -238,7 +238,7 @@
 	}
 	g.mu.Lock()
 	_, told := g.kept[a.Name]
-	if len(g.asked) < comeback.MaxKept {
+	if len(g.asked) < recovery.MaxKept {
 		g.asked[a.Name] = time.Now()
 	}
 	g.mu.Unlock()
@@ -266,7 +266,7 @@
 		return
 	}
 	defer g.bodies.Release(size)
-	var k comeback.Kept
+	var k recovery.Kept
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, most)).Decode(&k)
 	if err == nil {
 		err = k.Valid()
@@ -282,14 +282,14 @@
 	g.whole(w, http.StatusOK, []byte("{}"))
 }
 
-func (g *Gathering) keep(k *comeback.Kept) error {
+func (g *Gathering) keep(k *recovery.Kept) error {
 	k.Gen = max(1, k.Gen)
 	k.Text, k.Hash = g.one(k.Text, k.Hash)
 	k.NextText, k.NextHash = g.one(k.NextText, k.NextHash)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if _, there := g.kept[k.Name]; !there && len(g.kept) >= comeback.MaxKept {
-		return fmt.Errorf("%d nodes, expected at most %d", len(g.kept)+1, comeback.MaxKept)
+	if _, there := g.kept[k.Name]; !there && len(g.kept) >= recovery.MaxKept {
+		return fmt.Errorf("%d nodes, expected at most %d", len(g.kept)+1, recovery.MaxKept)
 	}
 	g.kept[k.Name] = *k
 	return nil
--- a/internal/consensus/recover_test.go
+++ b/internal/consensus/recover_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"umberwinch/internal/comeback"
 	"umberwinch/internal/conf"
 	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/wal"
 )
 
@@ -32,7 +32,7 @@
 	listen := address() + ":7301"
 	var mu sync.Mutex
 	var wrong []error
-	g, err := Gather(listen, func(_ *comeback.Kept, err error) {
+	g, err := Gather(listen, func(_ *recovery.Kept, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
@@ -71,7 +71,7 @@
 		return told, code
 	}
 	text := canonical(t, oneText)
-	k := comeback.Kept{Name: "a", Zone: "z", Group: "g", Gen: 1, Version: 3, Floor: 3, Text: text, Hash: conf.Hash([]byte(text))}
+	k := recovery.Kept{Name: "a", Zone: "z", Group: "g", Gen: 1, Version: 3, Floor: 3, Text: text, Hash: conf.Hash([]byte(text))}
 	if told, code := ask("a"); code != 200 || !told.Gather {
 		t.Fatalf("%d, %+v: a node is not asked for what it holds", code, told)
 	}
@@ -99,7 +99,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	all := map[string]comeback.Kept{}
+	all := map[string]recovery.Kept{}
 	for _, k := range g.Stop(ctx) {
 		all[k.Name] = k
 	}
@@ -116,14 +116,14 @@
 	hash := conf.Hash([]byte(text))
 	plan := Plan{Name: "a", Peer: "p", Listen: "l", Elect: 10, Snapshot: 1 << 20, Sizes: wal.Sizes{Segment: 1 << 20, Bound: 64 << 20},
 		Draw: drawID}
-	kept := []comeback.Kept{{Name: "n1", Zone: "z", Group: "g", Gen: 3, Version: 7, Floor: 7, Text: text, Hash: hash, Epoch: 5, Share: 256,
+	kept := []recovery.Kept{{Name: "n1", Zone: "z", Group: "g", Gen: 3, Version: 7, Floor: 7, Text: text, Hash: hash, Epoch: 5, Share: 256,
 		Held: 4000}}
 	fs := wal.NewMem()
-	v, err := Recover(fs, plan, nil, comeback.Plan(kept, nil, ""))
+	v, err := Recover(fs, plan, nil, recovery.Plan(kept, nil, ""))
 	if err != nil || v.Number != 7 || v.Hash != hash {
 		t.Fatalf("%+v, %v: expected version 7 as it was", v, err)
 	}
-	if _, err = Recover(fs, plan, nil, comeback.Plan(kept, nil, "")); err == nil {
+	if _, err = Recover(fs, plan, nil, recovery.Plan(kept, nil, "")); err == nil {
 		t.Error("a folder that is an instance's is written over")
 	}
 	old, err := ReadOld(fs, plan)
@@ -138,7 +138,7 @@
 		t.Errorf("level %d, hush %d", old.machine.level, old.machine.nodes.Fleet.Hush)
 	}
 	// Nobody holds the text of what was decided: nothing is in force, and the next put is newer than that.
-	none := comeback.Plan([]comeback.Kept{{Name: "n1", Zone: "z", Group: "g", Gen: 1, Floor: 9}}, nil, "")
+	none := recovery.Plan([]recovery.Kept{{Name: "n1", Zone: "z", Group: "g", Gen: 1, Floor: 9}}, nil, "")
 	fs = wal.NewMem()
 	if _, err = Recover(fs, plan, nil, none); err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 	if _, err = ReadOld(wal.NewMem(), plan); err != ErrEmpty {
 		t.Errorf("%v, expected %v", err, ErrEmpty)
 	}
-	if _, err = Recover(wal.NewMem(), plan, nil, &comeback.Found{Conflict: "two texts"}); err == nil {
+	if _, err = Recover(wal.NewMem(), plan, nil, &recovery.Found{Conflict: "two texts"}); err == nil {
 		t.Error("a conflict is restored")
 	}
 }
--- a/internal/comeback/comeback.go
+++ b/internal/control/recovery/comeback.go
@@ -1,6 +1,6 @@
-// Package comeback decides about starts: whether one is a lone restart among warm nodes, which costs next to nothing, or
+// Package recovery decides about starts: whether one is a lone restart among warm nodes, which costs next to nothing, or
 // one of a fleet that comes back together, which begins small. Pure: no clock, no chance, no I/O.
-package comeback
+package recovery
 
 // Span is within which starts belong together, in ms: nodes that were killed at once are started by most platforms within
 // some seconds of each other, and a release of a tenth of a fleet at a time takes longer than this for half of it.
--- a/internal/comeback/recover.go
+++ b/internal/control/recovery/recover.go
@@ -1,4 +1,4 @@
-package comeback
+package recovery
 
 import (
 	"fmt"
--- a/internal/comeback/spread.go
+++ b/internal/control/recovery/spread.go
@@ -1,4 +1,4 @@
-package comeback
+package recovery
 
 // Spread counts the times to come back that were told, so that each is another one.
 type Spread uint32
--- a/internal/control/zones/zones.go
+++ b/internal/control/zones/zones.go
@@ -11,8 +11,8 @@
 	"fmt"
 	"sort"
 
-	"umberwinch/internal/comeback"
 	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/recovery"
 )
 
 // Steps of a zone.
@@ -544,11 +544,11 @@
 			continue
 		}
 		in++
-		if age := n.Age(f.Clock); age <= comeback.Span && (since == 0 || age < f.Clock-since) {
+		if age := n.Age(f.Clock); age <= recovery.Span && (since == 0 || age < f.Clock-since) {
 			young++
 		}
 	}
-	if !comeback.Common(young, in) {
+	if !recovery.Common(young, in) {
 		return false
 	}
 	bore := Bore{}
@@ -571,7 +571,7 @@
 	s.take(z, f, Returning, op)
 	z.Cause = "restart"
 	z.event(f.Clock, s.Epoch, nil, "%d of %d nodes began within %d s: returns at %d of %d, %.0f runs a second at most; its services "+
-		"bore %.0f, %.1f under way, %.0f ms a call", young, in, comeback.Span/1000, z.Share, membership.Whole, z.Ceiling, bore.Runs,
+		"bore %.0f, %.1f under way, %.0f ms a call", young, in, recovery.Span/1000, z.Share, membership.Whole, z.Ceiling, bore.Runs,
 		bore.Flight, bore.CallMS)
 	return true
 }
--- a/internal/lab/vlost.go
+++ b/internal/lab/vlost.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"umberwinch/internal/comeback"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/steward"
 )
@@ -27,7 +27,7 @@
 	gone      bool // no instance runs: the state is lost, or being restored
 	told      bool // an operator has seen that state is lost
 	gathers   bool // who restores it listens in place of an instance
-	heard     map[string]comeback.Kept
+	heard     map[string]recovery.Kept
 	old       []membership.Told // what leaders of generations before would go on saying
 	began     uint64            // the zones' epoch that the present generation began with
 
@@ -198,21 +198,21 @@
 // are at hand.
 func (w *VFleet) recover(folders bool) {
 	w.ends()
-	w.gathers, w.heard = true, map[string]comeback.Kept{}
+	w.gathers, w.heard = true, map[string]recovery.Kept{}
 	w.after(7000, func() {
 		w.gathers = false
-		var all []comeback.Kept
+		var all []recovery.Kept
 		for _, n := range w.nodes {
 			if k, ok := w.heard[n.name]; ok {
 				all = append(all, k)
 			}
 		}
-		var base *comeback.Base
+		var base *recovery.Base
 		p := steward.NewPart(w.Without)
 		p.WithoutZones = w.WithoutZones
 		if folders {
 			p = w.part
-			base = &comeback.Base{Whose: comeback.Whose{Group: w.group, Gen: p.Gen, Before: p.Before}, Last: w.Last(), Need: p.Policy.Need,
+			base = &recovery.Base{Whose: recovery.Whose{Group: w.group, Gen: p.Gen, Before: p.Before}, Last: w.Last(), Need: p.Policy.Need,
 				Force: p.Policy.Force, Index: p.Index, Epoch: p.Zones.Epoch, Text: w.Text, LeaseM: p.Policy.Grants().LeaseMS}
 			for _, n := range p.Fleet.Nodes() {
 				if n.Out == "" {
@@ -220,10 +220,10 @@
 				}
 			}
 		}
-		found := comeback.Plan(all, base, "")
+		found := recovery.Plan(all, base, "")
 		two := uint64(0)
 		if n, _ := fmt.Sscanf(found.Conflict, "version %d goes by", &two); n == 1 { // the operator has his notes of what was decided
-			found = comeback.Plan(all, base, w.decidedAs[two])
+			found = recovery.Plan(all, base, w.decidedAs[two])
 		}
 		if found.Conflict != "" || !folders && found.Version == 0 || len(all) < len(w.nodes) {
 			w.after(3000, func() { w.recover(folders) }) // listens once more: not all were heard who may serve
@@ -234,7 +234,7 @@
 }
 
 // found makes what was found the first state of the next generation.
-func (w *VFleet) found(p *steward.Part, found *comeback.Found, folders bool) {
+func (w *VFleet) found(p *steward.Part, found *recovery.Found, folders bool) {
 	w.old = append(w.old, membership.Told{Cluster: w.group, Gen: max(1, found.Whose.Gen), Before: w.part.Before, Term: w.term + 1, Index: w.index,
 		Need: w.part.Policy.Need, Force: membership.Named{Version: w.part.Policy.Force, Hash: w.part.Policy.Hash}, Clock: w.part.Fleet.Clock})
 	if !folders {
@@ -267,7 +267,7 @@
 }
 
 // outcome records what a restoring decided: the version in force, if it was not before.
-func (w *VFleet) outcome(found *comeback.Found) {
+func (w *VFleet) outcome(found *recovery.Found) {
 	for _, e := range w.History {
 		if e.Kind == "decided" && e.Version == found.Version {
 			return
@@ -286,7 +286,7 @@
 	}
 	n.note()
 	r := n.kept
-	k := comeback.Kept{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Group: r.Cluster, Gen: max(1, r.Gen), Term: r.Term,
+	k := recovery.Kept{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Group: r.Cluster, Gen: max(1, r.Gen), Term: r.Term,
 		Index: r.Index, Version: n.m.Serves(), Floor: r.Floor, Held: n.m.Length()}
 	if k.Version > 0 {
 		k.Hash, k.Text = r.Hash, w.ofHash[r.Hash]
--- a/internal/lab/vzones.go
+++ b/internal/lab/vzones.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"umberwinch/internal/comeback"
 	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/control/zones"
 )
 
@@ -370,7 +370,7 @@
 			again(k, c, n)
 			return
 		}
-		from, to := comeback.Window(flowPause, int64(min(after, flowPause)))
+		from, to := recovery.Window(flowPause, int64(min(after, flowPause)))
 		if v.Without.Has(zones.Spread) { // as soon as it may be let in, or in a second
 			from, to = max(1000, int64(min(after, flowPause))), 0
 		}
--- a/internal/node/agent/member.go
+++ b/internal/node/agent/member.go
@@ -13,9 +13,9 @@
 	"fmt"
 	"hash/crc32"
 
-	"umberwinch/internal/comeback"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/recovery"
 )
 
 // Times, in ms.
@@ -380,7 +380,7 @@
 // from another group or at odds with itself, which is a lie.
 func (m *Member) doubt(t *membership.Told) (err error, lies bool) {
 	back := m.plan.Without.Has(policy.NoWayBack)
-	of := comeback.Whose{Group: t.Cluster, Gen: max(1, t.Gen), Before: t.Before}
+	of := recovery.Whose{Group: t.Cluster, Gen: max(1, t.Gen), Before: t.Before}
 	switch {
 	case t.Cluster == "":
 		return fmt.Errorf("an answer without a group"), true
--- a/internal/node/server/fleet.go
+++ b/internal/node/server/fleet.go
@@ -16,11 +16,11 @@
 	"golang.org/x/sys/unix"
 
 	"umberwinch/admission"
-	"umberwinch/internal/comeback"
 	"umberwinch/internal/conf"
 	"umberwinch/internal/config"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/node/agent"
 	"umberwinch/internal/node/overlay"
@@ -61,7 +61,7 @@
 	retired   []bool
 	armed     uint64 // a deadline is set for then
 	alone     bool
-	spread    comeback.Spread
+	spread    recovery.Spread
 	gate      *zones.Gate
 	meter     *zones.Meter
 	look      *controlClient
@@ -317,7 +317,7 @@
 }
 
 // comeBack is a time to come back within the bound of the settings, in ms.
-func (l *loop) comeBack(s *comeback.Spread, after uint64) int64 {
+func (l *loop) comeBack(s *recovery.Spread, after uint64) int64 {
 	return s.Next(int64(l.profile.MaxPause)/10, int64(min(after, 1e9)))
 }
 
@@ -404,7 +404,7 @@
 	l.noteFleet()
 	r, name, zone, addr := f.kept, f.m.Plan().Name, f.m.Plan().Zone, f.m.Plan().Addr
 	at := f.m.Asked()
-	k := comeback.Kept{Name: name, Zone: zone, Addr: addr, Group: r.Cluster, Gen: max(1, r.Gen), Term: r.Term, Index: r.Index,
+	k := recovery.Kept{Name: name, Zone: zone, Addr: addr, Group: r.Cluster, Gen: max(1, r.Gen), Term: r.Term, Index: r.Index,
 		Version: r.Version, Hash: r.Hash, Text: r.Text, Floor: r.Floor, Alone: r.Alone, Held: f.m.Length()}
 	if r.Prepared > r.Version {
 		k.Next, k.NextHash, k.NextText = r.Prepared, r.NextHash, r.Next
--- a/internal/node/server/kept.go
+++ b/internal/node/server/kept.go
@@ -15,8 +15,8 @@
 	"golang.org/x/sys/unix"
 
 	"umberwinch/admission"
-	"umberwinch/internal/comeback"
 	"umberwinch/internal/config"
+	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/node/resultstore"
 	"umberwinch/internal/node/wire"
 	"umberwinch/internal/wal"
@@ -86,7 +86,7 @@
 	fullAt admission.Time   // no room was found then; 0: never
 	broken error            // why the folder can't be opened
 	mode   string
-	spread comeback.Spread
+	spread recovery.Spread
 	dies   int // times that the point was come to
 	sheds, errs, refused,
 	answers, lost uint64
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -17,7 +17,7 @@
 
 	"umberwinch/admission"
 	"umberwinch/internal/clock"
-	"umberwinch/internal/comeback"
+	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/node/pools"
 	"umberwinch/internal/node/settings"
 	"umberwinch/internal/node/wire"
@@ -98,7 +98,7 @@
 	store            store
 	control          control
 	finishedRequests []handle        // that may be over
-	refusals         comeback.Spread // by the loop itself
+	refusals         recovery.Spread // by the loop itself
 	heldDials        uint64          // connections to the store that the zone's order put off
 	scratch          []byte          // what is being written
 	relink           bool
--- a/internal/steward/part.go
+++ b/internal/steward/part.go
@@ -13,10 +13,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"umberwinch/internal/comeback"
 	"umberwinch/internal/conf"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/control/zones"
 )
 
@@ -246,7 +246,7 @@
 
 // Restore makes the part the first state of the next generation of a group, by what was found. A change under way has no
 // end there: it is called off. Zones stand as the newest order of their nodes says, and return as any that was left.
-func (p *Part) Restore(found *comeback.Found, v Versions) error {
+func (p *Part) Restore(found *recovery.Found, v Versions) error {
 	rules := policy.Before
 	if found.Hash != "" {
 		var err error
@@ -257,7 +257,7 @@
 	next := found.Whose.Next("")
 	p.Gen, p.Before = next.Gen, next.Before
 	var more []membership.Join
-	share := map[string]comeback.Kept{}
+	share := map[string]recovery.Kept{}
 	for _, k := range found.Kept {
 		more = append(more, membership.Join{Name: k.Name, Zone: k.Zone, Addr: k.Addr})
 		if was, there := share[k.Zone]; k.Epoch > 0 && (!there || k.Epoch > was.Epoch) {
--- a/internal/steward/steward.go
+++ b/internal/steward/steward.go
@@ -7,9 +7,9 @@
 	"slices"
 	"sort"
 
-	"umberwinch/internal/comeback"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/control/zones"
 )
 
@@ -249,9 +249,9 @@
 	if h == nil || s.Without.Has(policy.Proof) {
 		return
 	}
-	have := comeback.Have{Group: s.cluster, Gen: p.Gen, Term: s.term, Index: p.Index, Need: p.Policy.Need, Epoch: p.Zones.Epoch,
+	have := recovery.Have{Group: s.cluster, Gen: p.Gen, Term: s.term, Index: p.Index, Need: p.Policy.Need, Epoch: p.Zones.Epoch,
 		HashOf: func(v uint64) string { return s.hashOf(p, v) }, SumOf: p.sumOf}
-	k := comeback.Kept{Group: h.Group, Gen: max(1, h.Gen), Term: h.Term, Index: h.Index, Sum: h.Sum, Version: a.Serves, Hash: h.Hash,
+	k := recovery.Kept{Group: h.Group, Gen: max(1, h.Gen), Term: h.Term, Index: h.Index, Sum: h.Sum, Version: a.Serves, Hash: h.Hash,
 		Floor: a.Floor, Epoch: a.Zones}
 	if what := have.Lacks(&k); what != "" {
 		if len(s.lacks) < membership.MaxNodes {
@@ -374,7 +374,7 @@
 		}
 		c.in++
 		c.zone[n.Zone]++
-		if at := s.watch.HeardAt(n); at > 0 && n.Age(p.Fleet.Clock) > comeback.Span {
+		if at := s.watch.HeardAt(n); at > 0 && n.Age(p.Fleet.Clock) > recovery.Span {
 			c.warm = append(c.warm, at)
 		}
 	}
@@ -386,7 +386,7 @@
 // only the first of them are here yet.
 func (s *Steward) young(p *Part, n *membership.Node) bool {
 	since, joined := s.joins[n.Lease.ID]
-	if !joined || n.Age(p.Fleet.Clock) > comeback.Span {
+	if !joined || n.Age(p.Fleet.Clock) > recovery.Span {
 		return false
 	}
 	c := s.count(p)
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"testing"
 
-	"umberwinch/internal/comeback"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/control/zones"
 )
 
@@ -328,8 +328,8 @@
 		t.Fatalf("%v: a snapshot forgets that state was lost", err)
 	}
 	// The next generation grants again, goes on after all epochs, and calls off what was under way.
-	if err = p.Restore(&comeback.Found{Whose: comeback.Whose{Group: "g", Gen: 1}, Version: 2, Hash: "h2", Epoch: 7, LeaseMS: 4000,
-		Kept: []comeback.Kept{{Name: "a", Zone: "z", Epoch: 7, Share: 256}, {Name: "k", Zone: "y", Epoch: 7, Share: 16}}}, g); err != nil {
+	if err = p.Restore(&recovery.Found{Whose: recovery.Whose{Group: "g", Gen: 1}, Version: 2, Hash: "h2", Epoch: 7, LeaseMS: 4000,
+		Kept: []recovery.Kept{{Name: "a", Zone: "z", Epoch: 7, Share: 256}, {Name: "k", Zone: "y", Epoch: 7, Share: 16}}}, g); err != nil {
 		t.Fatal(err)
 	}
 	if p.Gen != 2 || p.Fleet.Lost != "" || p.Policy.Force != 2 || p.Zones.Epoch != 8 || p.Zones.Settled != 7 || p.Fleet.Named("k") == nil {
@@ -337,7 +337,7 @@
 	}
 	under := NewPart(0)
 	under.Policy.Now = &policy.Change{Number: 1, Version: 3, Step: policy.Preparing}
-	if err = under.Restore(&comeback.Found{Whose: comeback.Whose{Group: "g", Gen: 1}}, g); err != nil || under.Policy.Now != nil ||
+	if err = under.Restore(&recovery.Found{Whose: recovery.Whose{Group: "g", Gen: 1}}, g); err != nil || under.Policy.Now != nil ||
 		under.Policy.Past[0].Step != policy.CalledOff || under.Policy.Need != 0 {
 		t.Errorf("%v: a first change that was under way is %+v", err, under.Policy.Now)
 	}
