--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -15,8 +15,8 @@
 
 	"github.com/spf13/cobra"
 
-	"umberwinch/internal/conf"
 	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/document"
 )
 
 func newConfig() *cobra.Command {
@@ -86,7 +86,7 @@
 
 func readText(path string) ([]byte, error) {
 	if path == "-" {
-		return io.ReadAll(io.LimitReader(os.Stdin, conf.MaxBytes+1))
+		return io.ReadAll(io.LimitReader(os.Stdin, document.MaxBytes+1))
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -107,7 +107,7 @@
 			if err != nil {
 				return err
 			}
-			next, err := conf.Parse(args[0], raw)
+			next, err := document.Parse(args[0], raw)
 			if err != nil {
 				return usage(err)
 			}
@@ -167,13 +167,13 @@
 			if to == 0 {
 				to = newest.Number
 			}
-			var next *conf.Document
+			var next *document.Document
 			if len(args) == 1 {
 				raw, err := readText(args[0])
 				if err != nil {
 					return err
 				}
-				if next, err = conf.Parse(args[0], raw); err != nil {
+				if next, err = document.Parse(args[0], raw); err != nil {
 					return usage(err)
 				}
 				if from == 0 {
@@ -189,7 +189,7 @@
 			if err != nil {
 				return err
 			}
-			changes := conf.Diff(was, next)
+			changes := document.Diff(was, next)
 			if c.json {
 				return printJSON(w, changes)
 			}
@@ -204,7 +204,7 @@
 }
 
 // document gives a version's document, nil for version 0.
-func (c *client) document(ctx context.Context, number uint64) (*conf.Document, error) {
+func (c *client) document(ctx context.Context, number uint64) (*document.Document, error) {
 	if number == 0 {
 		return nil, nil
 	}
@@ -212,7 +212,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return conf.Parse(fmt.Sprint("version ", number), []byte(v.Text))
+	return document.Parse(fmt.Sprint("version ", number), []byte(v.Text))
 }
 
 func newCheck(a *access) *cobra.Command {
@@ -224,7 +224,7 @@
 			if err != nil {
 				return err
 			}
-			next, err := conf.Parse(args[0], raw)
+			next, err := document.Parse(args[0], raw)
 			if err != nil {
 				return usage(err)
 			}
@@ -235,7 +235,7 @@
 					return err
 				}
 				if v != nil {
-					was, err := conf.Parse(fmt.Sprint("version ", v.Number), []byte(v.Text))
+					was, err := document.Parse(fmt.Sprint("version ", v.Number), []byte(v.Text))
 					if err != nil {
 						return err
 					}
@@ -245,7 +245,7 @@
 					after = fmt.Sprint("after version ", v.Number)
 				}
 			}
-			hash := conf.Hash(next.Canonical())
+			hash := document.Hash(next.Canonical())
 			if c.json {
 				return printJSON(w, map[string]string{"checked": after, "hash": hash})
 			}
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"umberwinch/internal/conf"
 	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/document"
 	"umberwinch/internal/control/policy"
 )
 
@@ -96,7 +96,7 @@
 	if err != nil {
 		return 0, err
 	}
-	next, err := conf.Parse(file, raw)
+	next, err := document.Parse(file, raw)
 	if err != nil {
 		return 0, usage(err)
 	}
--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -8,7 +8,7 @@
 	"sort"
 	"strings"
 
-	"umberwinch/internal/conf"
+	"umberwinch/internal/control/document"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/steward"
 )
@@ -101,7 +101,7 @@
 	lines    [][]byte // versions, each as one line of JSON; a line is never written again
 	first    uint64   // number of lines[0]
 	bytes    int
-	current  *conf.Document
+	current  *document.Document
 	hash     string
 	sessions map[string]*list.Element
 	used     *list.List // of *session, the longest unused first
@@ -125,7 +125,7 @@
 )
 
 // rulesAt is the numbering of a document's rules at a level.
-func rulesAt(level int) int { return min(level, conf.Rules) }
+func rulesAt(level int) int { return min(level, document.Rules) }
 
 // Last, Text are how the part about nodes sees versions.
 func (m *Machine) Last() uint64 { return m.last() }
@@ -161,8 +161,8 @@
 		return fmt.Errorf("author: found %d bytes, expected 1 to %d", len(p.Author), maxWord)
 	case len(p.Reason) > maxReason:
 		return fmt.Errorf("reason: found %d bytes, expected at most %d", len(p.Reason), maxReason)
-	case len(p.Text) > conf.MaxBytes:
-		return fmt.Errorf("text: found %d bytes, expected at most %d", len(p.Text), conf.MaxBytes)
+	case len(p.Text) > document.MaxBytes:
+		return fmt.Errorf("text: found %d bytes, expected at most %d", len(p.Text), document.MaxBytes)
 	}
 	return nil
 }
@@ -197,7 +197,7 @@
 	if p.Base != m.last() && !m.without.Has(CompareAndSet) {
 		return Answer{Conflict, m.last(), fmt.Sprintf("made from version %d, expected %d", p.Base, m.last())}
 	}
-	next, err := conf.ParseUnder(p.Rules, "document", []byte(p.Text))
+	next, err := document.ParseUnder(p.Rules, "document", []byte(p.Text))
 	if err == nil {
 		err = next.Follows(m.before())
 	}
@@ -205,11 +205,11 @@
 		return Answer{Refused, m.last(), short(err.Error())}
 	}
 	text := next.Canonical()
-	if len(text) > conf.MaxBytes {
+	if len(text) > document.MaxBytes {
 		return Answer{Refused, m.last(), fmt.Sprintf("document: found %d bytes in canonical form, expected at most %d",
-			len(text), conf.MaxBytes)}
+			len(text), document.MaxBytes)}
 	}
-	hash := conf.Hash(text)
+	hash := document.Hash(text)
 	if hash == m.hash {
 		return Answer{Unchanged, m.last(), ""}
 	}
@@ -234,7 +234,7 @@
 
 // before gives the version that reqs in flight came under: the last one, or where nodes are told of changes, the one
 // that is in force there. A version that was called off binds nobody.
-func (m *Machine) before() *conf.Document {
+func (m *Machine) before() *document.Document {
 	p := m.nodes.Policy
 	if p.Number == 0 {
 		return m.current
@@ -246,7 +246,7 @@
 	if err != nil {
 		return m.current
 	}
-	d, err := conf.ParseUnder(max(1, v.Rules), "version in force", []byte(v.Text))
+	d, err := document.ParseUnder(max(1, v.Rules), "version in force", []byte(v.Text))
 	if err != nil {
 		return m.current
 	}
@@ -475,7 +475,7 @@
 		if v.Number != m.last() {
 			return nil, fmt.Errorf("last version of a saved state is %d, expected %d", v.Number, m.last())
 		}
-		if m.current, err = conf.ParseUnder(max(1, v.Rules), "document", []byte(v.Text)); err != nil {
+		if m.current, err = document.ParseUnder(max(1, v.Rules), "document", []byte(v.Text)); err != nil {
 			return nil, fmt.Errorf("version %d of a saved state: %w", v.Number, err)
 		}
 		m.hash = v.Hash
--- a/internal/consensus/recover.go
+++ b/internal/consensus/recover.go
@@ -16,7 +16,7 @@
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/semaphore"
 
-	"umberwinch/internal/conf"
+	"umberwinch/internal/control/document"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/wal"
@@ -147,12 +147,12 @@
 		m.current, m.hash = nil, ""
 		return nil
 	}
-	d, err := conf.ParseUnder(conf.Rules, "what was found", []byte(found.Text))
+	d, err := document.ParseUnder(document.Rules, "what was found", []byte(found.Text))
 	if err != nil {
 		return err
 	}
 	v := Version{Number: found.Version, Parent: found.Was, Hash: found.Hash, Author: "recover", Reason: short(found.Proof),
-		Index: m.applied, Term: m.term, Rules: conf.Rules, Text: found.Text}
+		Index: m.applied, Term: m.term, Rules: document.Rules, Text: found.Text}
 	line, err := json.Marshal(&v)
 	if err != nil {
 		return err
@@ -297,7 +297,7 @@
 
 // one gives the text that is held for a hash, and none where the hash is another's.
 func (g *Gathering) one(text, hash string) (string, string) {
-	if text == "" || conf.Hash([]byte(text)) != hash {
+	if text == "" || document.Hash([]byte(text)) != hash {
 		return "", hash
 	}
 	g.mu.Lock()
--- a/internal/consensus/recover_test.go
+++ b/internal/consensus/recover_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"umberwinch/internal/conf"
+	"umberwinch/internal/control/document"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/wal"
@@ -20,7 +20,7 @@
 // canonical gives a text as versions have it.
 func canonical(t *testing.T, text string) string {
 	t.Helper()
-	d, err := conf.Parse("a text", []byte(text))
+	d, err := document.Parse("a text", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 		return told, code
 	}
 	text := canonical(t, oneText)
-	k := recovery.Kept{Name: "a", Zone: "z", Group: "g", Gen: 1, Version: 3, Floor: 3, Text: text, Hash: conf.Hash([]byte(text))}
+	k := recovery.Kept{Name: "a", Zone: "z", Group: "g", Gen: 1, Version: 3, Floor: 3, Text: text, Hash: document.Hash([]byte(text))}
 	if told, code := ask("a"); code != 200 || !told.Gather {
 		t.Fatalf("%d, %+v: a node is not asked for what it holds", code, told)
 	}
@@ -113,7 +113,7 @@
 // TestRecover: what was found is the first state of the next generation, and nothing is in force that nobody holds.
 func TestRecover(t *testing.T) {
 	text := canonical(t, oneText)
-	hash := conf.Hash([]byte(text))
+	hash := document.Hash([]byte(text))
 	plan := Plan{Name: "a", Peer: "p", Listen: "l", Elect: 10, Snapshot: 1 << 20, Sizes: wal.Sizes{Segment: 1 << 20, Bound: 64 << 20},
 		Draw: drawID}
 	kept := []recovery.Kept{{Name: "n1", Zone: "z", Group: "g", Gen: 3, Version: 7, Floor: 7, Text: text, Hash: hash, Epoch: 5, Share: 256,
--- a/internal/conf/change.go
+++ b/internal/control/document/change.go
@@ -1,4 +1,4 @@
-package conf
+package document
 
 import (
 	"fmt"
--- a/internal/conf/conf.go
+++ b/internal/control/document/conf.go
@@ -1,9 +1,9 @@
-// Package conf is the configuration of an installation: what a document says, its canonical form and hash,
+// Package document is the configuration of an installation: what a document says, its canonical form and hash,
 // what is wrong with it alone or after the version before, and how two differ. It owns the schema. It reads
 // bytes and gives answers, always the same ones for the same bytes, because the instances of the control
 // service each check a proposal for themselves and have to come to one result; it knows no clock, chance,
 // disk or socket.
-package conf
+package document
 
 import (
 	"crypto/sha256"
--- a/internal/control/recovery/recover.go
+++ b/internal/control/recovery/recover.go
@@ -5,7 +5,7 @@
 	"sort"
 	"strings"
 
-	"umberwinch/internal/conf"
+	"umberwinch/internal/control/document"
 	"umberwinch/internal/control/membership"
 )
 
@@ -84,8 +84,8 @@
 	switch {
 	case len(k.Group) > maxWord || len(k.Hash) > maxWord || len(k.NextHash) > maxWord:
 		return fmt.Errorf("group, hash, next_hash: expected at most %d bytes each", maxWord)
-	case len(k.Text) > conf.MaxBytes || len(k.NextText) > conf.MaxBytes:
-		return fmt.Errorf("text: found %d and %d bytes, expected at most %d", len(k.Text), len(k.NextText), conf.MaxBytes)
+	case len(k.Text) > document.MaxBytes || len(k.NextText) > document.MaxBytes:
+		return fmt.Errorf("text: found %d and %d bytes, expected at most %d", len(k.Text), len(k.NextText), document.MaxBytes)
 	case k.Share < 0 || k.Share > membership.Whole:
 		return fmt.Errorf("share: found %d, expected 0 to %d", k.Share, membership.Whole)
 	case k.Floor < k.Version:
@@ -156,7 +156,7 @@
 	}
 	texts := map[uint64][]*holder{}
 	hold := func(n uint64, hash, text, who string, served bool) {
-		if n == 0 || hash == "" || conf.Hash([]byte(text)) != hash {
+		if n == 0 || hash == "" || document.Hash([]byte(text)) != hash {
 			return
 		}
 		var h *holder
--- a/internal/control/recovery/recover_test.go
+++ b/internal/control/recovery/recover_test.go
@@ -5,13 +5,13 @@
 	"strings"
 	"testing"
 
-	"umberwinch/internal/conf"
+	"umberwinch/internal/control/document"
 )
 
 // kept makes what a node holds: it serves under a version of a text, and was told of another as decided.
 func kept(name string, version uint64, text string, floor uint64) Kept {
 	return Kept{Name: name, Zone: "z", Group: "g1", Gen: 1, Term: 3, Index: 100, Version: version, Text: text,
-		Hash: conf.Hash([]byte(text)), Floor: floor, Epoch: 4, Share: 256, Held: 5000}
+		Hash: document.Hash([]byte(text)), Floor: floor, Epoch: 4, Share: 256, Held: 5000}
 }
 
 // folder makes what an old folder holds: versions with texts t1, t2, ...
@@ -19,13 +19,13 @@
 	return &Base{Whose: Whose{Group: "g1", Gen: 1}, Last: last, Need: need, Force: force, Index: 90, Nodes: []string{"a", "b", "x"},
 		LeaseM: 2000, Text: func(n uint64) (string, string, bool) {
 			text := fmt.Sprint("t", n)
-			return text, conf.Hash([]byte(text)), n > 0 && n <= last
+			return text, document.Hash([]byte(text)), n > 0 && n <= last
 		}}
 }
 
 func TestPlan(t *testing.T) {
 	next := kept("b", 6, "t6", 7) // prepared 7, which is decided
-	next.Next, next.NextText, next.NextHash = 7, "t7", conf.Hash([]byte("t7"))
+	next.Next, next.NextText, next.NextHash = 7, "t7", document.Hash([]byte("t7"))
 	undecided := next
 	undecided.Floor = 6
 	spoilt := kept("a", 9, "t9", 9)
@@ -60,7 +60,7 @@
 		{"an older folder", []Kept{kept("a", 8, "t8", 8)}, folder(6, 5, 5), "", 8, 8, 1, "served under by a", "entry 90", false},
 		{"a folder that went on another way", []Kept{kept("a", 6, "another t6", 6)}, folder(6, 5, 5), "", 7, 6, 1, "served under by a", "",
 			false},
-		{"the same, and an operator chose", []Kept{kept("a", 6, "another t6", 6)}, folder(6, 6, 6), conf.Hash([]byte("another t6"))[:12], 7, 6, 1,
+		{"the same, and an operator chose", []Kept{kept("a", 6, "another t6", 6)}, folder(6, 6, 6), document.Hash([]byte("another t6"))[:12], 7, 6, 1,
 			"served under by a", "", false},
 		{"two texts by one number", []Kept{other, kept("b", 7, "t7", 7)}, nil, "", 0, 0, 1, "name one with --take", "", true},
 		{"a newer generation", []Kept{kept("a", 9, "t9", 9), later}, nil, "", 3, 3, 2, "served under by c", "", false},
@@ -73,7 +73,7 @@
 			c.unknown) {
 			t.Errorf("%s: %+v, expected version %d of %d, generation %d, %q, %q", c.what, f, c.version, c.was, c.gen, c.proof, c.unknown)
 		}
-		if f.Conflict == "" && f.Hash != "" && conf.Hash([]byte(f.Text)) != f.Hash {
+		if f.Conflict == "" && f.Hash != "" && document.Hash([]byte(f.Text)) != f.Hash {
 			t.Errorf("%s: a text of another hash", c.what)
 		}
 	}
@@ -85,7 +85,7 @@
 // TestLacks: what a node was told by this very group is known to it, or it has lost state.
 func TestLacks(t *testing.T) {
 	have := Have{Group: "g1", Gen: 1, Term: 3, Index: 100, Need: 6, Last: 6, Epoch: 4,
-		HashOf: func(v uint64) string { return map[uint64]string{6: conf.Hash([]byte("t6"))}[v] },
+		HashOf: func(v uint64) string { return map[uint64]string{6: document.Hash([]byte("t6"))}[v] },
 		SumOf:  func(index uint64) (uint64, bool) { return index * 7, index >= 50 }}
 	for what, c := range map[string]struct {
 		change func(k *Kept)
--- a/internal/lab/vfleet.go
+++ b/internal/lab/vfleet.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"umberwinch/internal/conf"
+	"umberwinch/internal/control/document"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/zones"
@@ -195,14 +195,14 @@
 func (w *VFleet) put() uint64 {
 	n := len(w.texts) + 1
 	w.puts++ // no text comes twice, also where a number does after a loss
-	d, err := conf.Parse("version", []byte(fmt.Sprintf("[fleet]\nlease = %dms\nwhen_alone = fence\n[tenant t]\nrate = %d\n%s",
+	d, err := document.Parse("version", []byte(fmt.Sprintf("[fleet]\nlease = %dms\nwhen_alone = fence\n[tenant t]\nrate = %d\n%s",
 		w.Lease, w.puts, w.Rules)))
 	if err != nil {
 		panic(err)
 	}
 	text := d.Canonical()
-	w.texts, w.hashes = append(w.texts, string(text)), append(w.hashes, conf.Hash(text))
-	w.ofHash[conf.Hash(text)] = string(text)
+	w.texts, w.hashes = append(w.texts, string(text)), append(w.hashes, document.Hash(text))
+	w.ofHash[document.Hash(text)] = string(text)
 	return uint64(n)
 }
 
--- a/internal/node/overlay/adopt.go
+++ b/internal/node/overlay/adopt.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"umberwinch/admission"
-	"umberwinch/internal/conf"
+	"umberwinch/internal/control/document"
 	"umberwinch/internal/node/pools"
 	"umberwinch/internal/node/settings"
 )
@@ -17,14 +17,14 @@
 // Plan is a version as a node would serve under it.
 type Plan struct {
 	Version    uint64
-	Doc        *conf.Document
+	Doc        *document.Document
 	Deployment *admission.Deployment
 	Pools      []pools.Class // the version's word on run slots by handler; nil: it has none
 	Retired    []bool        // handlers of which nothing new is taken
 }
 
-var kinds = map[string]admission.Repeat{conf.Replayable: admission.Retryable, conf.Uniqued: admission.IdempotencyKeyed,
-	conf.NonReplayable: admission.NonRetryable}
+var kinds = map[string]admission.Repeat{document.Replayable: admission.Retryable, document.Uniqued: admission.IdempotencyKeyed,
+	document.NonReplayable: admission.NonRetryable}
 
 func span(d time.Duration) admission.Time { return admission.Time(d / (100 * time.Microsecond)) }
 
@@ -32,7 +32,7 @@
 
 // Make checks a version against the platform's settings and lays it over them. What is wrong comes all at once.
 // apart tells whether the node sets run slots apart by handler, which can't be begun while it serves.
-func Make(version uint64, base *settings.Profile, doc *conf.Document, apart bool) (*Plan, error) {
+func Make(version uint64, base *settings.Profile, doc *document.Document, apart bool) (*Plan, error) {
 	var faults []string
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Sprintf(format, args...)) }
 	d := *base.Deployment
--- a/internal/node/overlay/adopt_test.go
+++ b/internal/node/overlay/adopt_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"umberwinch/admission"
-	"umberwinch/internal/conf"
+	"umberwinch/internal/control/document"
 	"umberwinch/internal/node/settings"
 )
 
@@ -31,7 +31,7 @@
 		{"pools where none are", view + "client_timeout = 3s\npool = p\n[pool p]\nfloor = 0.1\n", "no [pool HANDLER]"},
 		{"all faults at once", "[class other]\nkind = replayable\n" + submit + "client_timeout = 1h\n", "client_timeout: found 1h"},
 	} {
-		doc, err := conf.Parse(c.name, []byte(c.doc))
+		doc, err := document.Parse(c.name, []byte(c.doc))
 		if err != nil {
 			t.Fatalf("%s: %v", c.name, err)
 		}
@@ -46,7 +46,7 @@
 			t.Errorf("%s: found %v, expected %q", c.name, err, c.why)
 		}
 	}
-	doc, err := conf.Parse("d", []byte(view+"value = 3\nresponse_target = 200ms\nclient_timeout = 2s\nretired = yes\n"+
+	doc, err := document.Parse("d", []byte(view+"value = 3\nresponse_target = 200ms\nclient_timeout = 2s\nretired = yes\n"+
 		"[tenant t0]\nrate = 7\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 	if base.Deployment.Handlers[0].Value != 1 || base.Deployment.Tenants[0].Quota != 100 {
 		t.Error("the platform's deployment was changed")
 	}
-	doc, err = conf.Parse("p", []byte(view+"client_timeout = 3s\npool = p\n[pool p]\nfloor = 0.1\n"))
+	doc, err = document.Parse("p", []byte(view+"client_timeout = 3s\npool = p\n[pool p]\nfloor = 0.1\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/server/fleet.go
+++ b/internal/node/server/fleet.go
@@ -16,8 +16,8 @@
 	"golang.org/x/sys/unix"
 
 	"umberwinch/admission"
-	"umberwinch/internal/conf"
 	"umberwinch/internal/config"
+	"umberwinch/internal/control/document"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/recovery"
@@ -169,7 +169,7 @@
 	if hex.EncodeToString(sum[:]) != v.Hash {
 		return nil, fmt.Errorf("version %d: found a text of another hash than was told", v.Version)
 	}
-	doc, err := conf.Parse(fmt.Sprintf("version %d", v.Version), []byte(text))
+	doc, err := document.Parse(fmt.Sprintf("version %d", v.Version), []byte(text))
 	if err != nil {
 		return nil, err
 	}
@@ -386,7 +386,7 @@
 	if n := f.m.Serves(); n != f.kept.Version {
 		if p := f.plans[n]; p != nil {
 			f.kept.Version, f.kept.Text, f.kept.Alone = n, f.texts[n], p.Doc.Fleet.Alone
-			f.kept.Hash = conf.Hash([]byte(f.texts[n]))
+			f.kept.Hash = document.Hash([]byte(f.texts[n]))
 		}
 	}
 }
@@ -411,7 +411,7 @@
 	}
 	for n, p := range f.plans { // at hand beside the one served under: one at most
 		if n > r.Version && k.Next == 0 && p != nil {
-			k.Next, k.NextText, k.NextHash = n, f.texts[n], conf.Hash([]byte(f.texts[n]))
+			k.Next, k.NextText, k.NextHash = n, f.texts[n], document.Hash([]byte(f.texts[n]))
 		}
 	}
 	if z := r.Zone; z != nil {
--- a/internal/steward/part.go
+++ b/internal/steward/part.go
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"umberwinch/internal/conf"
+	"umberwinch/internal/control/document"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/recovery"
@@ -99,12 +99,12 @@
 
 func (w world) Last() uint64 { return w.v.Last() }
 
-func (w world) doc(version uint64) (*conf.Document, string, error) {
+func (w world) doc(version uint64) (*document.Document, string, error) {
 	text, hash, ok := w.v.Text(version)
 	if !ok {
 		return nil, "", fmt.Errorf("version %d is not kept any more", version)
 	}
-	d, err := conf.Parse(fmt.Sprintf("version %d", version), []byte(text))
+	d, err := document.Parse(fmt.Sprintf("version %d", version), []byte(text))
 	return d, hash, err
 }
 
