--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -8,9 +8,9 @@
 	"sort"
 	"strings"
 
+	"umberwinch/internal/control/coordinator"
 	"umberwinch/internal/control/document"
 	"umberwinch/internal/control/policy"
-	"umberwinch/internal/steward"
 )
 
 // Bounds of the replicated state, the same at every instance since what is let go of has to be the same.
@@ -109,18 +109,18 @@
 	removed  []uint64   // oldest first
 	level    int        // of the program: what entries may be proposed
 	knows    int        // up to which level this instance's program can tell entries
-	nodes    *steward.Part
+	nodes    *coordinator.Part
 	tail     uint64 // entries of an old folder that are not known to be committed
 }
 
 // Levels of the program. A group has the least of its members', raised by an entry once all have said what they know,
 // and never lowered.
 const (
-	LevelVersions = 1                // versions and members
-	LevelFleet    = 2                // nodes, changes of policy, documents with [fleet]
-	LevelZones    = 3                // zones that are left and returned to, documents with [zones]
-	LevelGen      = steward.LevelGen // lost state is told, and restored groups are new generations
-	LevelSame     = steward.LevelSame
+	LevelVersions = 1                    // versions and members
+	LevelFleet    = 2                    // nodes, changes of policy, documents with [fleet]
+	LevelZones    = 3                    // zones that are left and returned to, documents with [zones]
+	LevelGen      = coordinator.LevelGen // lost state is told, and restored groups are new generations
+	LevelSame     = coordinator.LevelSame
 	LevelKnown    = LevelSame
 )
 
@@ -143,7 +143,7 @@
 
 func newMachine(cluster string, without Guard) *Machine {
 	return &Machine{without: without, cluster: cluster, first: 1, sessions: map[string]*list.Element{},
-		used: list.New(), level: LevelVersions, knows: LevelKnown, nodes: steward.NewPart(policy.Guard(0))}
+		used: list.New(), level: LevelVersions, knows: LevelKnown, nodes: coordinator.NewPart(policy.Guard(0))}
 }
 
 // last gives the number of the version in force, 0 before the first.
--- a/internal/consensus/nodes.go
+++ b/internal/consensus/nodes.go
@@ -13,11 +13,11 @@
 
 	"github.com/sirupsen/logrus"
 
+	"umberwinch/internal/control/coordinator"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/logging"
-	"umberwinch/internal/steward"
 )
 
 // Nodes of a fleet as clients of the group: their askings go to the leader's steward on the replica's goroutine, and
@@ -88,7 +88,7 @@
 			}
 		case zones.Result:
 			g.zoneTold(e)
-		case steward.BeatDone:
+		case coordinator.BeatDone:
 			if e.Began {
 				g.zoneTold(zones.Result{Kind: "began", Zone: zones.Fleet, Step: zones.Returning, Epoch: g.rep.machine.nodes.Zones.Epoch})
 			}
--- a/internal/steward/part.go
+++ b/internal/control/coordinator/part.go
@@ -1,9 +1,9 @@
-// Package steward puts the fleet and the changes of its policy together: the part of the replicated state that
+// Package coordinator puts the fleet and the changes of its policy together: the part of the replicated state that
 // is about nodes, and what its leader does beside the log. part.go is the replicated part: told committed
 // entries, it is the same at every instance. steward.go is the leader's: it batches what nodes ask into beats,
 // remembers what they reported, and adds what policy.Next says. Neither knows raft, sockets or a clock; both
 // are driven by whoever does.
-package steward
+package coordinator
 
 import (
 	"encoding/binary"
--- a/internal/steward/steward.go
+++ b/internal/control/coordinator/steward.go
@@ -1,4 +1,4 @@
-package steward
+package coordinator
 
 import (
 	"encoding/json"
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -16,10 +16,10 @@
 	"syscall"
 	"time"
 
+	"umberwinch/internal/control/coordinator"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/zones"
-	"umberwinch/internal/steward"
 )
 
 // Comeback is a run of `umberctl lab comeback`: a fleet that restarts whole and a group that lost its state, on the rig of
@@ -130,7 +130,7 @@
 // in which they came. It gives the entries that this took, the largest of them, and the longest that any waited, in ms.
 func crowdIn(seed int64, nodes int, without policy.Guard) (entries, largest, worst int, broken string) {
 	const step, commit = 20, 40 // ms
-	r, part, s := rand.New(rand.NewSource(seed)), steward.NewPart(without), steward.New(without)
+	r, part, s := rand.New(rand.NewSource(seed)), coordinator.NewPart(without), coordinator.New(without)
 	s.Lead(part, "g", true, 1)
 	at := make([]int, nodes)
 	for i := range at {
@@ -140,7 +140,7 @@
 	}
 	slices.Sort(at)
 	asked, answered := 0, 0
-	var sent []steward.Entry
+	var sent []coordinator.Entry
 	now, due := 0, 0
 	for ; now < 30_000 && answered < nodes && broken == ""; now += step {
 		for ; asked < nodes && at[asked] <= now; asked++ {
--- a/internal/lab/vfleet.go
+++ b/internal/lab/vfleet.go
@@ -8,12 +8,12 @@
 	"slices"
 	"strings"
 
+	"umberwinch/internal/control/coordinator"
 	"umberwinch/internal/control/document"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/node/agent"
-	"umberwinch/internal/steward"
 )
 
 // vfleet.go is a fleet in virtual time: the group's replicated part and its leaders' stewards, the nodes' members, all
@@ -94,7 +94,7 @@
 
 // vctl is one instance of the group.
 type vctl struct {
-	s    *steward.Steward
+	s    *coordinator.Steward
 	up   bool
 	rate float64
 	last float64
@@ -107,7 +107,7 @@
 	now     float64
 	seq     int
 	events  vevents
-	part    *steward.Part
+	part    *coordinator.Part
 	ctl     []*vctl
 	lead    int // -1: nobody
 	term    uint64
@@ -154,7 +154,7 @@
 
 // NewVFleet readies a schedule.
 func NewVFleet(p FleetPlan) *VFleet {
-	w := &VFleet{FleetPlan: p, r: rand.New(rand.NewSource(p.Seed)), part: steward.NewPart(p.Without), lead: -1,
+	w := &VFleet{FleetPlan: p, r: rand.New(rand.NewSource(p.Seed)), part: coordinator.NewPart(p.Without), lead: -1,
 		known: map[uint64]string{}, Ends: map[string]int{}, Causes: map[string]int{}, bad: map[string]bool{},
 		vlost: vlost{group: "g1", ofHash: map[string]string{}, decidedAs: map[uint64]string{}, said: map[string]bool{}}}
 	w.part.WithoutZones = p.WithoutZones
@@ -185,9 +185,9 @@
 	return w
 }
 
-func (w *VFleet) steward() *steward.Steward {
-	s := steward.New(w.Without)
-	s.WithoutZones, s.Level = w.WithoutZones, steward.LevelSame
+func (w *VFleet) steward() *coordinator.Steward {
+	s := coordinator.New(w.Without)
+	s.WithoutZones, s.Level = w.WithoutZones, coordinator.LevelSame
 	return s
 }
 
@@ -247,7 +247,7 @@
 }
 
 // propose has an entry committed after a while, unless its leader is lost first; it may be committed all the same then.
-func (w *VFleet) propose(i int, e steward.Entry) {
+func (w *VFleet) propose(i int, e coordinator.Entry) {
 	term, lost, part := w.term, w.r.Intn(2) == 0, w.part
 	w.after(2+w.r.ExpFloat64()*5, func() {
 		if w.part != part { // lost with the state that it was for
@@ -260,7 +260,7 @@
 		w.Entries++
 		w.Bytes += len(e.Body)
 		var op policy.Op
-		if e.Kind == steward.KindPolicy {
+		if e.Kind == coordinator.KindPolicy {
 			json.Unmarshal(e.Body, &op)
 		}
 		if op.Kind == "decide" && w.Broken == "" && w.Way == "" {
@@ -564,7 +564,7 @@
 			w.hears(n)
 		}
 		if !w.ctl[to].up || w.lead < 0 || !w.ctl[w.lead].up {
-			back(membership.Told{}, steward.ErrNoLead)
+			back(membership.Told{}, coordinator.ErrNoLead)
 			return
 		}
 		if w.lead == to {
--- a/internal/lab/vlost.go
+++ b/internal/lab/vlost.go
@@ -3,11 +3,11 @@
 import (
 	"fmt"
 
+	"umberwinch/internal/control/coordinator"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/control/zones"
-	"umberwinch/internal/steward"
 )
 
 // vlost.go has a group in virtual time lose what it knows: older copies of its state are put back, or none is left; it
@@ -133,7 +133,7 @@
 
 // putBack puts a copy of the folders in place of what they held.
 func (w *VFleet) putBack(s vsave) error {
-	p := steward.NewPart(w.Without)
+	p := coordinator.NewPart(w.Without)
 	p.WithoutZones = w.WithoutZones
 	if err := p.Load(s.raw); err != nil {
 		return err
@@ -208,7 +208,7 @@
 			}
 		}
 		var base *recovery.Base
-		p := steward.NewPart(w.Without)
+		p := coordinator.NewPart(w.Without)
 		p.WithoutZones = w.WithoutZones
 		if folders {
 			p = w.part
@@ -234,7 +234,7 @@
 }
 
 // found makes what was found the first state of the next generation.
-func (w *VFleet) found(p *steward.Part, found *recovery.Found, folders bool) {
+func (w *VFleet) found(p *coordinator.Part, found *recovery.Found, folders bool) {
 	w.old = append(w.old, membership.Told{Cluster: w.group, Gen: max(1, found.Whose.Gen), Before: w.part.Before, Term: w.term + 1, Index: w.index,
 		Need: w.part.Policy.Need, Force: membership.Named{Version: w.part.Policy.Force, Hash: w.part.Policy.Hash}, Clock: w.part.Fleet.Clock})
 	if !folders {
--- a/internal/lab/vzones_check.go
+++ b/internal/lab/vzones_check.go
@@ -5,8 +5,8 @@
 import (
 	"fmt"
 
+	"umberwinch/internal/control/coordinator"
 	"umberwinch/internal/control/zones"
-	"umberwinch/internal/steward"
 )
 
 // check holds a step to the promises.
@@ -106,7 +106,7 @@
 
 // applied hears of what the group decided about zones.
 func (v *VZones) applied(end any) {
-	if b, beat := end.(steward.BeatDone); beat && b.Began {
+	if b, beat := end.(coordinator.BeatDone); beat && b.Began {
 		v.Began++
 		v.ceil[zones.Fleet] = [2]float64{v.f.part.Zones.Find(zones.Fleet).Ceiling, 0}
 	}
