--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 )
 
 var program string
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -18,7 +18,7 @@
 
 	"github.com/spf13/cobra"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 )
 
 // client speaks with a group: it asks one instance after the other until one has an answer.
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/document"
 )
 
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -19,7 +19,7 @@
 	"github.com/spf13/cobra"
 
 	"umberwinch/internal/config"
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/lab"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/wal"
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/zones"
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/zones"
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/document"
 	"umberwinch/internal/control/policy"
 )
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/lab"
--- a/internal/lab/cases_test.go
+++ b/internal/lab/cases_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 )
 
 // grown gives a calm group, and fails the test where the world finds anything broken by its end.
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -5,7 +5,7 @@
 	"math/rand"
 	"strings"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/wal"
 )
 
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 )
 
 // fleet.go is the one rig for fleets: a group and nodes as processes of the built programs, emulated kernels, a list of
--- a/internal/lab/fleet_ask.go
+++ b/internal/lab/fleet_ask.go
@@ -9,7 +9,7 @@
 	"net/http"
 	"time"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/policy"
 )
 
--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -7,7 +7,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 )
 
 // client asks one thing at a time, as a program would: it repeats a put under its number at another instance
--- a/internal/lab/ondemand.go
+++ b/internal/lab/ondemand.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/wal"
--- a/internal/lab/policy_cases.go
+++ b/internal/lab/policy_cases.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
 )
--- a/internal/lab/policy_crowd.go
+++ b/internal/lab/policy_crowd.go
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/node/agent"
 )
--- a/internal/lab/procs.go
+++ b/internal/lab/procs.go
@@ -23,7 +23,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 )
 
 // realWithin is the promise for processes: after a leader's death writes are taken again within it.
--- a/internal/lab/procs_test.go
+++ b/internal/lab/procs_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 )
 
 // TestKilledLeaders kills leaders of real processes; all that clients were told is there, once.
--- a/internal/lab/raft.go
+++ b/internal/lab/raft.go
@@ -10,7 +10,7 @@
 
 	"gonum.org/v1/plot/plotutil"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 )
 
 func colour(i int) color.Color { return plotutil.Color(i) }
--- a/internal/lab/raft_test.go
+++ b/internal/lab/raft_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 )
 
 const playMS = scheduleMS
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -18,7 +18,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/wal"
 )
 
--- a/internal/lab/zones.go
+++ b/internal/lab/zones.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"umberwinch/internal/consensus"
+	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/zones"
 )
 
