--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -9,7 +9,7 @@
 
 	"umberwinch/admission"
 	"umberwinch/internal/node/settings"
-	"umberwinch/internal/simwire"
+	"umberwinch/internal/simulator/wire"
 )
 
 // instance is one server's module with the round being gathered for it.
@@ -26,7 +26,7 @@
 type Host struct {
 	all   map[uint32]*instance
 	order []*instance // those with a round to decide, as first named
-	reply simwire.Reply
+	reply wire.Reply
 	out   writer
 }
 
@@ -38,8 +38,8 @@
 
 // Serve answers every frame of in on out until the input ends.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
-	r, w := simwire.NewReader(in), bufio.NewWriterSize(out, 1<<16)
-	var b simwire.Batch
+	r, w := wire.NewReader(in), bufio.NewWriterSize(out, 1<<16)
+	var b wire.Batch
 	for frame := 1; ; frame++ {
 		err := r.Read(&b)
 		if errors.Is(err, io.EOF) {
@@ -61,7 +61,7 @@
 }
 
 // batch turns one frame into rounds, and their decisions into the reply.
-func (h *Host) batch(b *simwire.Batch) error {
+func (h *Host) batch(b *wire.Batch) error {
 	h.reply.Reset()
 	h.order = h.order[:0]
 	now := admission.Time(b.Now / 100)
@@ -71,11 +71,11 @@
 	for i := 0; i < b.Count; i++ {
 		e := b.Event(i)
 		switch code := e.Code(); code {
-		case simwire.About:
+		case wire.About:
 			num, named = e.U32(1), true
 			cur = h.all[num]
 			continue
-		case simwire.Spawn:
+		case wire.Spawn:
 			if !named {
 				return fmt.Errorf("record %d: Spawn, expected About before it", i)
 			}
@@ -84,7 +84,7 @@
 				return fmt.Errorf("record %d: instance %d: %w", i, num, err)
 			}
 			h.all[num], cur = in, in
-		case simwire.Halt:
+		case wire.Halt:
 			if cur == nil {
 				return fmt.Errorf("record %d: Halt for instance %d, expected one that was started", i, num)
 			}
@@ -126,7 +126,7 @@
 	}
 }
 
-func spawn(b *simwire.Batch, e simwire.Event, num uint32, now admission.Time) (*instance, error) {
+func spawn(b *wire.Batch, e wire.Event, num uint32, now admission.Time) (*instance, error) {
 	text, err := b.Tail(e, 9)
 	if err != nil {
 		return nil, err
@@ -151,11 +151,11 @@
 }
 
 // gather adds one event to the instance's round.
-func (in *instance) gather(e simwire.Event, nowUS uint64) (err error) {
+func (in *instance) gather(e wire.Event, nowUS uint64) (err error) {
 	r := &in.round
 	id := e.U32(1)
 	switch e.Code() {
-	case simwire.Order:
+	case wire.Order:
 		flags := e.U8(39)
 		q := admission.Request{ID: id, Handler: e.U16(5), Tenant: int(e.U32(7)),
 			Came: admission.Time((nowUS - min(uint64(e.U32(44)), nowUS)) / 100),
@@ -168,21 +168,21 @@
 			return fmt.Errorf("class %d, expected below %d", q.Handler, in.ctl.Handlers())
 		}
 		r.Arrived = append(r.Arrived, q)
-	case simwire.Ended:
+	case wire.Ended:
 		end := admission.End{ID: id, Ran: admission.Time(e.U32(5) / 100)}
 		end.How, err = outcome(e.U16(9))
 		r.Ended = append(r.Ended, end)
-	case simwire.ReadyToCall:
+	case wire.ReadyToCall:
 		r.Needs = append(r.Needs, id)
-	case simwire.Called:
+	case wire.Called:
 		ret := admission.Return{ID: id, Took: admission.Time(e.U32(7) / 100)}
 		ret.How, err = outcome(e.U16(5))
 		r.Returned = append(r.Returned, ret)
-	case simwire.Hangup:
+	case wire.Hangup:
 		r.Gone = append(r.Gone, id)
-	case simwire.Sigterm:
+	case wire.Sigterm:
 		r.Drain, r.Kill = true, admission.Time(e.U64(1)/100)
-	case simwire.TimeoutFired:
+	case wire.TimeoutFired:
 		r.Woke = true
 		if n := min(int(e.U8(9)), 4); n > 0 {
 			r.Gauged = true
@@ -205,14 +205,14 @@
 		if p := recover(); p != nil {
 			in.failed = true
 			h.reply.Cut(mark)
-			h.reply.ID(simwire.Source, in.num)
-			h.reply.Text(simwire.Die, fmt.Sprint("admission: ", p))
+			h.reply.ID(wire.Source, in.num)
+			h.reply.Text(wire.Die, fmt.Sprint("admission: ", p))
 		}
 	}()
 	if in.failed {
 		return
 	}
-	h.reply.ID(simwire.Source, in.num)
+	h.reply.ID(wire.Source, in.num)
 	in.ctl.Decide(&in.round, &h.out)
 	if h.reply.Mark() == mark+1 {
 		h.reply.Cut(mark)
--- a/internal/simwire/simwire.go
+++ b/internal/simulator/wire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire reads and writes the frames of the simulator's wire.
-package simwire
+// Package wire reads and writes the frames of the simulator's wire.
+package wire
 
 import (
 	"bufio"
