--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"umberwinch/internal/host"
+	"umberwinch/internal/simulator"
 )
 
 func main() {
-	if err := host.New().Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simulator.New().Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
--- a/internal/host/host.go
+++ b/internal/simulator/host.go
@@ -1,5 +1,5 @@
-// Package host keeps the instances of one process: wire to rounds, decisions back to the wire.
-package host
+// Package simulator keeps the instances of one process: wire to rounds, decisions back to the wire.
+package simulator
 
 import (
 	"bufio"
--- a/internal/host/writer.go
+++ b/internal/simulator/writer.go
@@ -1,4 +1,4 @@
-package host
+package simulator
 
 import (
 	"umberwinch/admission"
