--- a/admission/controller.go
+++ b/admission/controller.go
@@ -3,6 +3,7 @@
 // along. Deployment, Request, Round and Writer are in interface.go; ring.go and requestTable.go only keep state.
 //
 // One FIFO holds what was read; a slot is taken when a run starts, kept through calls, freed when it ends.
+
 package admission
 
 import (
--- a/internal/control/consensus/machine.go
+++ b/internal/control/consensus/machine.go
@@ -127,9 +127,10 @@
 // rulesAt is the numbering of a document's rules at a level.
 func rulesAt(level int) int { return min(level, document.Rules) }
 
-// Last, Text are how the part about nodes sees versions.
+// Last is the newest version of the configuration, 0 before the first.
 func (m *Machine) Last() uint64 { return m.last() }
 
+// Text gives a version of the configuration with its hash; ok is false where it isn't held.
 func (m *Machine) Text(number uint64) (text, hash string, ok bool) {
 	if number < m.first || number > m.last() {
 		return "", "", false
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -70,7 +70,7 @@
 	wg     sync.WaitGroup
 }
 
-// Result of a demo by class, for whoever measures by it.
+// DemoResult is what one class got during a demo.
 type DemoResult struct {
 	Class  string
 	Asked  int
--- a/internal/node/agent/member.go
+++ b/internal/node/agent/member.go
@@ -182,7 +182,7 @@
 	return ok && !(m.lease != 0 && now < m.until) && !m.handed(now)
 }
 
-// Serves, Floor, Until and InForce show the state.
+// Serves is the version of the policy that the node serves under, 0 without one.
 func (m *Member) Serves() uint64  { return m.cur }
 func (m *Member) Floor() uint64   { return m.floor }
 func (m *Member) Until() uint64   { return m.until }
--- a/internal/node/server/agent.go
+++ b/internal/node/server/agent.go
@@ -1,6 +1,7 @@
 // Agent: the connections to the control service's instances. It owns sockets and the folder of what the node keeps of
 // its policy, each used by a goroutine that may wait; what comes of it goes to the loop as an event, once for each job.
 // It must never look at what an answer says, nor be waited for.
+
 package server
 
 import (
--- a/internal/node/server/buffers.go
+++ b/internal/node/server/buffers.go
@@ -2,6 +2,7 @@
 // them. Callbacks and the loop share the pool, so it is safe for both; what a buffer holds belongs to whoever
 // took it. The way out must never make its caller wait for a socket: bytes are queued, and flushed by a
 // goroutine of their own.
+
 package server
 
 import (
--- a/internal/node/server/control.go
+++ b/internal/node/server/control.go
@@ -1,6 +1,7 @@
 // Control: the reports that keep this server on the list that sidecars follow. It owns the link to the
 // control plane and says there what the module says of health; that the control plane is away must never
 // show anywhere else. A report that is not answered may count all the same, and must never hold up another.
+
 package server
 
 import (
--- a/internal/node/server/counters.go
+++ b/internal/node/server/counters.go
@@ -2,6 +2,7 @@
 // counts, so they need no lock. Nothing may be decided by them. Beside the sums stands what the program holds
 // at that moment, so that a gap between its view and what crossed the sockets shows: all reqs are done, shed,
 // errored, gone or in hand, and all runs have ended or are running.
+
 package server
 
 import "github.com/sirupsen/logrus"
--- a/internal/node/server/deadlines.go
+++ b/internal/node/server/deadlines.go
@@ -2,6 +2,7 @@
 // that don't come, calls, reports, links to be tried again, the sweep of connections, keys. It knows
 // times only; what has come is dealt with by the loop. An entry can't be taken back: whoever it names sees
 // whether it still means anything.
+
 package server
 
 import "umberwinch/admission"
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -1,5 +1,6 @@
 // Drain: from the notice to the end of the process. Health checks and discovery are told, what was read is answered, the
 // listener takes what the system has accepted and closes, and connections end in order.
+
 package server
 
 import (
--- a/internal/node/server/fleet.go
+++ b/internal/node/server/fleet.go
@@ -2,6 +2,7 @@
 // the time, carries its askings to the agent and what came of them back, tries versions off the loop, and takes one over
 // between two rounds. While the member says no, what comes is shed before the module hears of it, what is held is shed,
 // and what runs ends. Without [fleet] in the operator's file none of it exists. The loop never waits here.
+
 package server
 
 import (
--- a/internal/node/server/front.go
+++ b/internal/node/server/front.go
@@ -2,6 +2,7 @@
 // brought and is owed, and health checks. It sends exactly one answer for each req and never closes a
 // connection on which an answer may still be unread: it says `Connection: close` and lets the sidecar close
 // first, or waits for a while.
+
 package server
 
 import (
--- a/internal/node/server/kept.go
+++ b/internal/node/server/kept.go
@@ -3,6 +3,7 @@
 // until the result is, and says what is done while the disk is not well. The loop never waits for the disk: records go to
 // the store's goroutine, and what came of them comes back as an event. Without [kept] in the operator's file none of it
 // exists. It must never let a key run whose intent is not durable, or that may have run.
+
 package server
 
 import (
--- a/internal/node/server/kernel.go
+++ b/internal/node/server/kernel.go
@@ -3,6 +3,7 @@
 // after what the kernel told meanwhile was learned, and never for a run that had ended. Every command and
 // every asking for gauges takes the next number; an answered asking proves that all before it on the same
 // link were read.
+
 package server
 
 import (
--- a/internal/node/server/keys.go
+++ b/internal/node/server/keys.go
@@ -2,6 +2,7 @@
 // entry is made and renewed only by the module's Remember and ended by its Forget or its time; a result may
 // be let go of early, when kept results come to more than their share of memory, but the key of a req that
 // ran never is: a repeat is then answered with an error, as it must not run.
+
 package server
 
 import "umberwinch/admission"
--- a/internal/node/server/limits.go
+++ b/internal/node/server/limits.go
@@ -1,6 +1,7 @@
 // Limits: every size, count and time of the program that is not a decision stands here, in one type that is
 // filled at the start from what the machine allows and handed down. Nothing is changed after that, and no
 // figure that decides about a req may stand here: those are the module's.
+
 package server
 
 import (
--- a/internal/node/server/link.go
+++ b/internal/node/server/link.go
@@ -2,6 +2,7 @@
 // is dialled, which dial a piece of news is about, and how long after a failure the next dial waits. What
 // comes belongs to the line that brought it, and a line that is no longer its owner's is not listened to. It
 // must never look at what goes over a line.
+
 package server
 
 import (
--- a/internal/node/server/listener.go
+++ b/internal/node/server/listener.go
@@ -1,6 +1,7 @@
 // Listener: the listening socket and its bound on open connections. It accepts in a goroutine of its own, which
 // alone waits while every place is taken. Guards against a full table that stops all reading: netpoll's server
 // accepts on its poller, and whatever waits there keeps every other connection and the links waiting too.
+
 package server
 
 import (
--- a/internal/node/server/looptime.go
+++ b/internal/node/server/looptime.go
@@ -1,4 +1,5 @@
 // Time of the loop: monotonic, and the wall-clock stamps of requests placed on it.
+
 package server
 
 import (
--- a/internal/node/server/node.go
+++ b/internal/node/server/node.go
@@ -1,6 +1,7 @@
 // Node: what the program is told at its start, from one file, and told anew while it serves. A file is
 // checked whole before anything of it counts; nothing here decides about a req, and nothing here knows a
 // socket.
+
 package server
 
 import (
--- a/internal/node/server/peer.go
+++ b/internal/node/server/peer.go
@@ -3,6 +3,7 @@
 // answer goes out, the sending side is shut down, what still comes is discarded until the client closes or a
 // bound is reached, then the descriptor is closed. Whatever was read before the seal is answered first, and
 // nothing that comes after it is ever forwarded.
+
 package server
 
 import (
--- a/internal/node/server/pollerlog.go
+++ b/internal/node/server/pollerlog.go
@@ -1,4 +1,5 @@
 // Netpoll's own log lines.
+
 package server
 
 import (
--- a/internal/node/server/pools.go
+++ b/internal/node/server/pools.go
@@ -1,6 +1,7 @@
 // Pools on the node: what the operator's file says of run slots becomes a plan for internal/node/pools, moves with
 // a new file, and is shown. Nothing here decides about a req, and without pools in the file nothing here
 // runs.
+
 package server
 
 import (
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -1,6 +1,7 @@
 // Reqs: the life of one from its message to its last word. This owns what a req is known by, its one answer
 // and the end of its slot; it must never answer twice, and never by a judgement of its own but where nothing
 // has been put before the module.
+
 package server
 
 import (
--- a/internal/node/server/signals.go
+++ b/internal/node/server/signals.go
@@ -1,4 +1,5 @@
 // Signals: what the program is told while it serves.
+
 package server
 
 import (
--- a/internal/node/server/slots.go
+++ b/internal/node/server/slots.go
@@ -1,6 +1,7 @@
 // Numbered slots: connections, reqs and keys live in tables whose slots are used again. A handle names a slot
 // and the generation it was taken in, so that late news of what had the slot before finds nothing. A table
 // belongs to the loop alone; it must never be ranged over to decide anything but in slot order.
+
 package server
 
 // handle is a slot's number with its generation above; 0 names nothing.
--- a/internal/node/server/store.go
+++ b/internal/node/server/store.go
@@ -9,6 +9,7 @@
 // that nobody waits for, a call on it was given up or got no reply in its time, or the store has moved. That
 // a wire is reset at a call after it was idle proves nothing: the same is seen where the call ran and its
 // reply was lost. So idle wires are let go of early instead.
+
 package server
 
 import (
