--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -67,13 +67,13 @@
 		select {
 		case <-hups:
 			if err := g.Reload(); err != nil {
-				log.WithField(logging.Cause, err).Error("certificates not taken, the old ones stay")
+				log.WithField(logging.Error, err).Error("certificates not taken, the old ones stay")
 			} else {
 				log.Info("certificates read again")
 			}
 		case <-g.Done():
 			api.Stop()
-			log.WithField(logging.Cause, g.Err()).Error("the instance can't go on")
+			log.WithField(logging.Error, g.Err()).Error("the instance can't go on")
 			return g.Err()
 		case <-ctx.Done():
 			log.Info("ending")
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -177,7 +177,7 @@
 	g.net = newTransport(g, g.trust, log, c.RateMB)
 	g.publish()
 	log.WithFields(logrus.Fields{logging.Node: c.Name, "id": fmt.Sprintf("%x", g.rep.ID()), "role": g.View().Role,
-		logging.Version: g.View().Version, logging.Index: g.View().Last}).Info("instance is up")
+		logging.PolicyVersion: g.View().Version, logging.Index: g.View().Last}).Info("instance is up")
 	go g.net.serve(l)
 	go g.run()
 	return g, nil
@@ -364,7 +364,7 @@
 				Info("role")
 		}
 		if was.Version != s.Version {
-			g.log.WithFields(logrus.Fields{logging.Version: s.Version, logging.Index: s.Applied}).Info("version in force")
+			g.log.WithFields(logrus.Fields{logging.PolicyVersion: s.Version, logging.Index: s.Applied}).Info("version in force")
 		}
 		if !was.Out() && v.Out() {
 			g.log.WithField("away", v.Away().Round(time.Millisecond)).Warn("out of touch with a majority")
@@ -582,9 +582,9 @@
 func (g *Group) bar(reason string) {
 	g.note(func() {
 		if g.rep.Barred() == "" {
-			g.log.WithField(logging.Cause, reason).Error("this instance takes no part any more")
+			g.log.WithField(logging.Reason, reason).Error("this instance takes no part any more")
 			if err := g.rep.Bar(reason); err != nil {
-				g.log.WithField(logging.Cause, err).Error("that could not be kept")
+				g.log.WithField(logging.Error, err).Error("that could not be kept")
 			}
 		}
 	})
--- a/internal/control/consensus/nodes.go
+++ b/internal/control/consensus/nodes.go
@@ -50,13 +50,13 @@
 	s.Lead(r.machine.nodes, r.machine.cluster, leads, b.HardState.GetTerm())
 	if lost := r.machine.nodes.Fleet.Lost; lost != "" && !g.toldLost { // also after a restart: no beat tells of it any more
 		g.toldLost = true
-		g.log.WithField(logging.Cause, lost).Error("the group has lost state that nodes know of, and grants nothing: see umberctl " +
+		g.log.WithField(logging.Reason, lost).Error("the group has lost state that nodes know of, and grants nothing: see umberctl " +
 			"control recover")
 	}
 	s.Level = r.machine.level
 	for _, e := range s.Tick(r.machine.nodes, ms) {
 		if err := r.ProposeEntry(e.Kind, e.Body); err != nil {
-			g.log.WithField(logging.Cause, err).Debug("an entry about nodes was not proposed")
+			g.log.WithField(logging.Error, err).Debug("an entry about nodes was not proposed")
 		}
 	}
 }
@@ -77,10 +77,10 @@
 		switch e := e.(type) {
 		case policy.Result:
 			if c := g.rep.machine.nodes.Policy.Find(e.Number); c != nil && e.Err == "" {
-				f := g.log.WithFields(logrus.Fields{"change": c.Number, logging.Version: c.Version, "step": c.Step,
+				f := g.log.WithFields(logrus.Fields{"change": c.Number, logging.PolicyVersion: c.Version, "step": c.Step,
 					"from": c.From, "exclusive": c.Propose.Exclusive})
 				if c.Why != "" {
-					f = f.WithField(logging.Cause, c.Why)
+					f = f.WithField(logging.Reason, c.Why)
 				}
 				f.Info("change of policy")
 			} else if e.Err != "" {
--- a/internal/control/consensus/transport.go
+++ b/internal/control/consensus/transport.go
@@ -115,7 +115,7 @@
 			if t.ctx.Err() != nil {
 				return
 			}
-			t.log.WithField(logging.Cause, err).Warn("a connection of a peer was not accepted")
+			t.log.WithField(logging.Error, err).Warn("a connection of a peer was not accepted")
 			time.Sleep(firstBackoff)
 			continue
 		}
@@ -156,7 +156,7 @@
 	}
 	if err != nil {
 		t.count.broken.Add(1)
-		t.log.WithField(logging.Cause, err).Debug("a peer's connection without a greeting")
+		t.log.WithField(logging.Error, err).Debug("a peer's connection without a greeting")
 		return
 	}
 	reason, err := t.owner.meet(h)
@@ -169,7 +169,7 @@
 	}
 	if reason != "" {
 		t.count.refused.Add(1)
-		t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", h.ID), "name": h.Name, logging.Cause: reason}).
+		t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", h.ID), "name": h.Name, logging.Reason: reason}).
 			Warn("an instance was refused")
 		writeJSON(c, frameRefused, reason)
 		return
@@ -232,7 +232,7 @@
 	defer func() { t.mu.Lock(); t.bulk = false; t.mu.Unlock() }()
 	bad := func(err error) {
 		t.count.broken.Add(1)
-		t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", from), logging.Cause: err}).Warn(
+		t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", from), logging.Error: err}).Warn(
 			"a snapshot did not come whole; it will be sent again")
 	}
 	c.SetReadDeadline(time.Now().Add(snapIdle))
@@ -330,7 +330,7 @@
 				err := t.sendSnapshot(p, m)
 				p.snap.Store(false)
 				if err != nil {
-					t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", p.id), logging.Cause: err}).Warn(
+					t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", p.id), logging.Error: err}).Warn(
 						"a snapshot was not sent whole")
 				}
 				t.owner.snapped(p.id, err == nil)
@@ -409,7 +409,7 @@
 			if err.Error() != told { // changes of state only
 				told = err.Error()
 				t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", p.id), "address": p.addr,
-					logging.Cause: err}).Info("a peer can't be reached")
+					logging.Error: err}).Info("a peer can't be reached")
 			}
 			t.owner.lost(p.id)
 			t.drop(p)
--- a/internal/control/consensus/zones.go
+++ b/internal/control/consensus/zones.go
@@ -96,7 +96,7 @@
 	case z != nil && e.Step != "" && len(z.Events) > 0:
 		last := z.Events[len(z.Events)-1]
 		g.log.WithFields(logrus.Fields{"zone": z.Name, "step": z.Step, "share": z.Share, "epoch": e.Epoch,
-			logging.Cause: last.Text, "op": e.Kind}).Info("change of a zone")
+			logging.Reason: last.Text, "op": e.Kind}).Info("change of a zone")
 	case e.Kind == "settle":
 		g.log.WithField("epoch", e.Epoch).Info("epoch of zones settled")
 	}
--- a/internal/lab/fleet_events.go
+++ b/internal/lab/fleet_events.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/logging"
 )
 
 // logLines reads a log of JSON lines; times are tenths of a ms.
@@ -56,7 +57,7 @@
 			return
 		}
 		number, _ := m["change"].(float64)
-		version, _ := m["version"].(float64)
+		version, _ := m[logging.PolicyVersion].(float64)
 		from, _ := m["from"].(float64)
 		excl, _ := m["exclusive"].(bool)
 		name, _ := m["step"].(string)
--- /dev/null
+++ b/internal/logging/fields.go
@@ -0,0 +1,47 @@
+package logging
+
+// Names of the fields of log lines. A line has a constant message, and its values are fields under these names, so that
+// one search finds a value in the logs of nodes and of the control service alike. Durations carry their unit in the
+// name; counts and shares say of what.
+const (
+	Node     = "node"     // the node or control instance that the line is about
+	Nodes    = "nodes"    // several nodes
+	Peer     = "peer"     // id of another control instance, in hexadecimal
+	Instance = "instance" // id of this control instance, in hexadecimal
+	Address  = "address"  // network address
+	Group    = "group"    // id of a control group
+	File     = "file"     // path of a file
+	Offset   = "offset"   // byte in a file
+	Bytes    = "bytes"    // size
+	Count    = "count"    // of what the message names
+	Error    = "error"    // error value
+	Reason   = "reason"   // why a decision was made, as text
+	Operator = "operator" // who asked for a change
+
+	RequestID = "request_id" // of one request, as the platform numbers it
+	Class     = "class"      // class of a request
+	Tenant    = "tenant"     // tenant of a request
+	Service   = "service"    // service that a node calls
+	Server    = "server"     // server of a called service
+
+	Role          = "role"           // of a control instance: leader, follower, learner, candidate, waiting, barred
+	Leader        = "leader"         // id of the control instance that leads, in hexadecimal
+	Term          = "term"           // Raft term
+	Index         = "index"          // index in the group's log
+	Level         = "level"          // feature level of the group
+	Generation    = "generation"     // how often the group was restored
+	Incarnation   = "incarnation"    // nonce of one run of a node
+	LeaseID       = "lease_id"       // number of a node's lease
+	LeaseMS       = "lease_ms"       // how long a lease lasts, in milliseconds
+	PolicyVersion = "policy_version" // number of a version of the configuration document
+	Change        = "change"         // number of a change of the policy version
+	Operation     = "op"             // kind of an operation on a zone
+	Step          = "step"           // state that a policy change or a zone has reached
+	From          = "from"           // version that a change replaces
+	Exclusive     = "exclusive"      // the change waits until no node serves under the older version
+	Zone          = "zone"           // name of a zone
+	Epoch         = "epoch"          // number of a zone decision
+	Quota         = "share"          // quota of a zone, of 256
+	ElapsedMS     = "elapsed_ms"     // time that something took, in milliseconds
+	SilentMS      = "silent_ms"      // time without word from a leader or the group, in milliseconds
+)
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -7,47 +7,48 @@
 	"time"
 )
 
-// Writer writes lines by a goroutine of its own, so that whoever logs never waits for whoever reads. Lines that find
-// its queue full are left out and counted.
+// Writer writes lines on a goroutine of its own, which Close ends. It guards against a log reader that stalls, such as a
+// full pipe: without it the process that logs would stall too. Write never blocks; lines that find the queue full are
+// dropped, and a line in their place says how many.
 type Writer struct {
 	out     io.Writer
-	lines   chan []byte
-	leftOut atomic.Int64
+	queue   chan []byte
+	dropped atomic.Int64 // since the last line that reported them
 	done    chan struct{}
 }
 
-// NewWriter starts a writer to out with room for so many lines.
-func NewWriter(out io.Writer, lines int) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, lines), done: make(chan struct{})}
+// NewWriter starts a writer to out whose queue holds queueLength lines.
+func NewWriter(out io.Writer, queueLength int) *Writer {
+	w := &Writer{out: out, queue: make(chan []byte, queueLength), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes a line; it never waits and never fails.
+// Write queues a line. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
-	case w.lines <- append([]byte(nil), line...):
+	case w.queue <- append([]byte(nil), line...):
 	default:
-		w.leftOut.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
 func (w *Writer) run() {
 	defer close(w.done)
-	for line := range w.lines {
-		if n := w.leftOut.Swap(0); n > 0 {
+	for line := range w.queue {
+		if n := w.dropped.Swap(0); n > 0 {
 			fmt.Fprintf(w.out, "%d lines were left out here, as nobody read them in time\n", n)
 		}
 		w.out.Write(line)
 	}
 }
 
-// Close writes what is queued, within a bound. Nothing may be written after it.
-func (w *Writer) Close(within time.Duration) {
-	close(w.lines)
+// Close writes the queued lines and returns once that is done or the timeout is over. Write must not be called after it.
+func (w *Writer) Close(timeout time.Duration) {
+	close(w.queue)
 	select {
 	case <-w.done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 }
--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -7,40 +7,42 @@
 	"time"
 )
 
-// held takes nothing until it is let.
-type held struct {
-	let chan bool
-	got bytes.Buffer
+// stalledReader accepts nothing until resume is closed.
+type stalledReader struct {
+	resume   chan bool
+	accepted bytes.Buffer
 }
 
-func (h *held) Write(b []byte) (int, error) {
-	<-h.let
-	return h.got.Write(b)
+func (r *stalledReader) Write(b []byte) (int, error) {
+	<-r.resume
+	return r.accepted.Write(b)
 }
 
-// Whoever logs never waits for whoever reads; what is left out is counted where it is missing.
+// The reader of the log stalls while a process goes on logging. If Write waited for it, the process would stall too. Write
+// must return at once, and the dropped lines must be counted where they are missing.
 func TestWriterNeverWaits(t *testing.T) {
-	h := &held{let: make(chan bool)}
-	w := NewWriter(h, 4)
+	reader := &stalledReader{resume: make(chan bool)}
+	w := NewWriter(reader, 4)
 	for range 100 {
 		w.Write([]byte("line\n"))
 	}
-	close(h.let)
-	for end := time.Now().Add(5 * time.Second); len(w.lines) > 0 && time.Now().Before(end); {
+	close(reader.resume)
+	for end := time.Now().Add(5 * time.Second); len(w.queue) > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	w.Write([]byte("last\n"))
 	w.Close(5 * time.Second)
-	out := h.got.String()
+	out := reader.accepted.String()
 	if n := strings.Count(out, "line\n"); n < 4 || n > 5 || !strings.Contains(out, " lines were left out here") ||
 		!strings.HasSuffix(out, "last\n") {
 		t.Errorf("%d lines were written: %s", n, out)
 	}
 }
 
-// A reader that takes nothing holds up the end for no longer than its bound.
+// The reader of the log never resumes while a process ends. Close must return after its timeout all the same, or the
+// process would never end.
 func TestCloseIsBounded(t *testing.T) {
-	w := NewWriter(&held{let: make(chan bool)}, 4)
+	w := NewWriter(&stalledReader{resume: make(chan bool)}, 4)
 	w.Write([]byte("line\n"))
 	began := time.Now()
 	w.Close(20 * time.Millisecond)
