--- a/internal/node/server/agent.go
+++ b/internal/node/server/agent.go
@@ -19,7 +19,7 @@
 )
 
 // Bounds of an answer of the control service: a policy's text of 1 MiB as JSON escapes it at worst.
-var agentBounds = wire.Bounds{Head: 4 << 10, Body: 7 << 20}
+var agentBounds = wire.Bounds{HeadBytes: 4 << 10, BodyBytes: 7 << 20}
 
 // job is one asking. what names it for the loop.
 type job struct {
@@ -101,7 +101,7 @@
 	}
 	buf := make([]byte, 0, 4<<10)
 	for {
-		p, n, err := wire.ParseResponse(buf, agentBounds)
+		p, n, err := wire.ParseResponseHead(buf, agentBounds)
 		if err != nil {
 			return 0, nil, err
 		}
@@ -114,7 +114,7 @@
 			return p.Status, answer, nil
 		}
 		if len(buf) == cap(buf) {
-			if cap(buf) >= agentBounds.Head+agentBounds.Body {
+			if cap(buf) >= agentBounds.HeadBytes+agentBounds.BodyBytes {
 				return 0, nil, errTooLong
 			}
 			buf = append(make([]byte, 0, 2*cap(buf)), buf...)
--- a/internal/node/server/control.go
+++ b/internal/node/server/control.go
@@ -34,7 +34,7 @@
 		l.dial(&c.link)
 		return
 	}
-	l.scratch = wire.AppendReport(l.scratch[:0], c.addr, c.name, c.ready)
+	l.scratch = wire.AppendReadinessReport(l.scratch[:0], c.addr, c.name, c.ready)
 	if !c.line.writer.send(l.scratch, l.limits.LinkQueue) {
 		l.linkDown(&c.link, errStuck)
 		return
@@ -50,7 +50,7 @@
 }
 
 // reported takes the answer to a report.
-func (l *loop) reported(p wire.Response) {
+func (l *loop) reported(p wire.ResponseHead) {
 	c := &l.control
 	if !c.sending {
 		return
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -149,7 +149,7 @@
 func store1(address string, lim Limits) store {
 	return store{addr: address, wires: newTable[storeConnection](2), parser: func(b []byte) (e event, n int, err error) {
 		e.kind = eventReply
-		e.reply, n, err = wire.ParseReply(b, lim.Line)
+		e.reply, n, err = wire.ParseCallReply(b, lim.Line)
 		return e, n, err
 	}}
 }
--- a/internal/node/server/fleet.go
+++ b/internal/node/server/fleet.go
@@ -313,7 +313,7 @@
 		}
 		r.waits = false
 		l.next().Gone = append(l.next().Gone, uint32(h))
-		l.answer(h, r, wire.Answer{Status: 503, BackOff: l.comeBack(&f.spread, 0)})
+		l.answer(h, r, wire.Response{Status: 503, RetryAfterMS: l.comeBack(&f.spread, 0)})
 	}
 }
 
@@ -612,29 +612,29 @@
 }
 
 // refuses turns a handler's req away before the module hears of it, with a status other than 0 and what goes with it.
-func (l *loop) refuses(handler int, q *wire.Request, key string, a *wire.Answer) int {
+func (l *loop) refuses(handler int, q *wire.Request, key string, a *wire.Response) int {
 	f := l.fleet
 	now := steadyMS()
 	switch {
 	case f.fenced:
 		l.counters.FenceShed++
-		a.BackOff = l.comeBack(&f.spread, 0)
+		a.RetryAfterMS = l.comeBack(&f.spread, 0)
 		return 503
 	case f.retired[handler]:
-		a.Final = true
+		a.NoRetry = true
 		return 503
 	}
 	var once []byte
 	if l.profile.Deployment.Handlers[handler].Repeat == admission.IdempotencyKeyed {
-		once = q.OnceKey
+		once = q.IdempotencyKey
 	}
 	asked := zones.Asked{Handler: handler, Value: l.profile.Deployment.Handlers[handler].Value,
-		Hash: zones.Hash(once, q.Account, q.SentBy), Again: q.Again, Known: key != "" && l.keys.find(key) != nil}
+		Hash: zones.Hash(once, q.Tenant, q.Caller), Again: q.IsRetry, Known: key != "" && l.keys.find(key) != nil}
 	ok, last := f.gate.Take(now, asked)
 	if !ok {
 		l.counters.Turned++
-		f.meter.Came(now, handler, q.Again, true)
-		a.Final, a.BackOff = last, l.comeBack(&f.spread, f.gate.Back(now, asked))
+		f.meter.Came(now, handler, q.IsRetry, true)
+		a.NoRetry, a.RetryAfterMS = last, l.comeBack(&f.spread, f.gate.Back(now, asked))
 		return 503
 	}
 	return 0
--- a/internal/node/server/front.go
+++ b/internal/node/server/front.go
@@ -196,7 +196,7 @@
 			return // more of it is being read at this moment
 		}
 		l.counters.Silent++
-		l.reply(c, h, wire.Answer{Status: l.bad("a message does not get to its end"), Close: true})
+		l.reply(c, h, wire.Response{Status: l.bad("a message does not get to its end"), Close: true})
 	case c.ending:
 		l.closeIdle(c, l.now-c.last >= l.limits.Linger)
 	case c.usage == usedForNothing && l.now-c.since >= l.limits.FirstWord:
@@ -271,7 +271,7 @@
 		l.reply(c, h, l.refusal(e.err))
 		return
 	}
-	a := wire.Answer{Close: e.request.Close}
+	a := wire.Response{Close: e.request.Close}
 	switch method, path := string(e.request.Method), string(e.request.Path); {
 	case path == "/health" && method == "GET":
 		l.counters.Checks++
@@ -299,32 +299,32 @@
 }
 
 // refusal answers what could not be read.
-func (l *loop) refusal(err error) wire.Answer {
+func (l *loop) refusal(err error) wire.Response {
 	if errors.Is(err, errNoBuffer) { // its sender has done nothing wrong
 		l.counters.Shed++
-		a := wire.Answer{Status: 503, Close: true}
+		a := wire.Response{Status: 503, Close: true}
 		l.sayWhenToComeBack(&a)
 		return a
 	}
-	return wire.Answer{Status: l.bad("%v", err), Close: true}
+	return wire.Response{Status: l.bad("%v", err), Close: true}
 }
 
 // sayWhenToComeBack gives a refusal that the module was not asked about a time to come back, where the settings allow
 // one.
-func (l *loop) sayWhenToComeBack(a *wire.Answer) {
-	if a.Status == 503 && a.BackOff == 0 {
-		a.BackOff = l.comeBack(&l.refusals, 0)
+func (l *loop) sayWhenToComeBack(a *wire.Response) {
+	if a.Status == 503 && a.RetryAfterMS == 0 {
+		a.RetryAfterMS = l.comeBack(&l.refusals, 0)
 	}
 }
 
 // reply sends an answer on a connection and goes on to what else it has brought. What was read before a
 // connection is to be closed is still answered on it: only the last answer says that it closes.
-func (l *loop) reply(c *conn, h handle, a wire.Answer) {
+func (l *loop) reply(c *conn, h handle, a wire.Response) {
 	c.open, c.last = 0, l.now
 	c.ending = c.ending || a.Close || l.draining
 	a.Close = c.ending && !c.owes() && c.p.seal(false)
-	a.Hint, a.Says = l.hint, l.hasHint
-	l.scratch = wire.AppendAnswer(l.scratch[:0], a)
+	a.OverloadSignal, a.HasOverloadSignal = l.hint, l.hasHint
+	l.scratch = wire.AppendResponse(l.scratch[:0], a)
 	if !c.p.send(l.scratch, l.limits.ConnQueue) {
 		l.abort(c) // it takes nothing: given up
 		return
--- a/internal/node/server/kept.go
+++ b/internal/node/server/kept.go
@@ -170,7 +170,7 @@
 
 // keptWord is the door's word on a try: false, and the module hears of it as of any other.
 func (l *loop) keptWord(h handle, r *request) bool {
-	a := wire.Answer{}
+	a := wire.Response{}
 	if a.Status = l.keptDoor(h, r, &a); a.Status != 0 {
 		a.Close = a.Status == 400
 		l.answer(h, r, a)
@@ -224,7 +224,7 @@
 
 // keptDoor says what a try gets: a status answers it here, with what a says beside it; a stand other than free has it wait;
 // else the module hears of it as of any other.
-func (l *loop) keptDoor(h handle, r *request, a *wire.Answer) int {
+func (l *loop) keptDoor(h handle, r *request, a *wire.Response) int {
 	k, q := l.kept, r.kept
 	if k.book == nil {
 		if k.broken == nil && len(k.early) < l.requests.most/4 {
@@ -264,14 +264,14 @@
 }
 
 // keptShed is for a key that is not known and can't be taken in at present: it has not run.
-func (l *loop) keptShed(a *wire.Answer) int {
+func (l *loop) keptShed(a *wire.Response) int {
 	l.kept.sheds++
-	a.BackOff = l.comeBack(&l.kept.spread, 0)
+	a.RetryAfterMS = l.comeBack(&l.kept.spread, 0)
 	return 503
 }
 
 // keptBlind is for a try while the folder can't be read: nobody knows whether a first one ran.
-func (l *loop) keptBlind(q *keptReq, a *wire.Answer) int {
+func (l *loop) keptBlind(q *keptReq, a *wire.Response) int {
 	if q.admit.Again {
 		l.kept.errs++
 		return 500
@@ -315,14 +315,14 @@
 	if err != nil {
 		l.logf("kept results: one can't be read: %v", err)
 		l.kept.errs++
-		l.answer(h, r, wire.Answer{Status: 500})
+		l.answer(h, r, wire.Response{Status: 500})
 		return
 	}
 	l.kept.answers++
 	if !r.answered && !r.gone {
 		l.counters.Shared++
 	}
-	l.answer(h, r, wire.Answer{Status: 200, Body: result})
+	l.answer(h, r, wire.Response{Status: 200, Body: result})
 }
 
 // keptLate answers what waited for the disk until its last moment.
@@ -334,12 +334,12 @@
 	switch r.kept.stand {
 	case keptEarly:
 		r.kept.stand = keptFree
-		a := wire.Answer{}
+		a := wire.Response{}
 		a.Status = l.keptBlind(r.kept, &a)
 		l.answer(h, r, a)
 	case keptReads, keptEnds: // it ran
 		l.kept.errs++
-		l.answer(h, r, wire.Answer{Status: 500})
+		l.answer(h, r, wire.Response{Status: 500})
 	}
 }
 
@@ -384,7 +384,7 @@
 // intend has the intent of a run that was given its slot made durable; SCHED goes out after that. It keeps slot and place.
 func (l *loop) intend(h handle, r *request) {
 	k, q := l.kept, r.kept
-	v, shed := resultstore.Full, wire.Answer{}
+	v, shed := resultstore.Full, wire.Response{}
 	if !k.shut(l.now) {
 		v, _ = l.keptTry(q)
 	}
@@ -415,7 +415,7 @@
 }
 
 // unrun ends a run that never was one.
-func (l *loop) unrun(h handle, r *request, a wire.Answer) {
+func (l *loop) unrun(h handle, r *request, a wire.Response) {
 	l.answer(h, r, a)
 	l.runEnded(h, r, admission.Unrun, 0, nil)
 }
@@ -429,12 +429,12 @@
 	r.kept.stand = keptFree
 	switch {
 	case err != nil:
-		a := wire.Answer{}
+		a := wire.Response{}
 		a.Status = l.keptShed(&a)
 		l.unrun(h, r, a)
 	case r.answered: // what could not be made durable in time does not run
 		r.kept.runs = true
-		l.unrun(h, r, wire.Answer{Status: 500})
+		l.unrun(h, r, wire.Response{Status: 500})
 	default:
 		r.kept.runs = true
 		l.kept.point("durable")
@@ -495,9 +495,9 @@
 	if r := l.requests.get(h); r != nil && r.kept != nil && r.kept.stand == keptEnds {
 		r.kept.stand = keptFree
 		if ok {
-			l.answer(h, r, wire.Answer{Status: 200, Body: result})
+			l.answer(h, r, wire.Response{Status: 200, Body: result})
 		} else {
-			l.answer(h, r, wire.Answer{Status: 500})
+			l.answer(h, r, wire.Response{Status: 500})
 		}
 	}
 	for _, w := range l.keys.ended(key, uint32(h), ok, result) {
--- a/internal/node/server/kernel.go
+++ b/internal/node/server/kernel.go
@@ -42,7 +42,7 @@
 func (l *loop) kernelUp() {
 	k := &l.kernel
 	k.stand, k.fresh = kernelOpened, true
-	k.line.writer.send(wire.AppendOpen(l.scratch[:0], k.index), l.limits.LinkQueue)
+	k.line.writer.send(wire.AppendKernelOpen(l.scratch[:0], k.index), l.limits.LinkQueue)
 }
 
 func (l *loop) kernelDown() {
@@ -66,17 +66,17 @@
 }
 
 func (l *loop) sched(r *request) {
-	l.scratch = wire.AppendSched(l.scratch[:0], r.task, l.names[r.handler], r.body)
+	l.scratch = wire.AppendKernelRun(l.scratch[:0], r.task, l.names[r.handler], r.body)
 	r.schedNo = l.tell()
 }
 
 func (l *loop) preempt(r *request) {
-	l.scratch = wire.AppendTask(l.scratch[:0], "PREEMPT", r.task)
+	l.scratch = wire.AppendKernelCommand(l.scratch[:0], "PREEMPT", r.task)
 	r.haltNo = l.tell()
 }
 
 func (l *loop) resched(r *request) {
-	l.scratch = wire.AppendTask(l.scratch[:0], "RESCHED", r.task)
+	l.scratch = wire.AppendKernelCommand(l.scratch[:0], "RESCHED", r.task)
 	r.schedNo, r.resumed, r.paused = l.tell(), true, false
 }
 
@@ -93,9 +93,9 @@
 
 func (l *loop) goOn(r *request) {
 	if r.goes == goesWithReply {
-		l.scratch = wire.AppendIODone(l.scratch[:0], r.task, r.reply)
+		l.scratch = wire.AppendKernelCallDone(l.scratch[:0], r.task, r.reply)
 	} else {
-		l.scratch = wire.AppendNoIO(l.scratch[:0], r.task, r.asked)
+		l.scratch = wire.AppendKernelCallSkipped(l.scratch[:0], r.task, r.asked)
 	}
 	r.goNo = l.tell()
 }
@@ -107,7 +107,7 @@
 		l.ungauged()
 		return
 	}
-	l.scratch = wire.AppendSysInfo(l.scratch[:0], k.sent+1)
+	l.scratch = wire.AppendKernelGaugesRequest(l.scratch[:0], k.sent+1)
 	if no := l.tell(); no != unsent {
 		k.asked, k.askBy = no, l.now+l.limits.GaugeWait
 		l.deadlines.set(k.askBy, dueGauge, 0)
@@ -126,9 +126,9 @@
 }
 
 // noticed takes one line of the kernel.
-func (l *loop) noticed(n wire.Notice) {
+func (l *loop) noticed(n wire.KernelEvent) {
 	k := &l.kernel
-	switch string(n.Verb) {
+	switch string(n.Kind) {
 	case "BOOTED":
 		l.booted(n)
 		return
@@ -137,8 +137,8 @@
 		return
 	case "EINVAL":
 		l.counters.Refused++
-		l.logf("kernel did not carry out %q for %q", n.Outcome, n.Task)
-		if h, r := l.byTask(n.Task); r != nil && string(n.Outcome) == "SCHED" && r.run == runGoes {
+		l.logf("kernel did not carry out %q for %q", n.Outcome, n.RunID)
+		if h, r := l.byTask(n.RunID); r != nil && string(n.Outcome) == "SCHED" && r.run == runGoes {
 			// It never ran and never will, as it is no req that the kernel knows of: nobody else can answer it,
 			// and whoever sent it is not listened to any more.
 			r.close = true
@@ -147,27 +147,27 @@
 		return
 	}
 	switch {
-	case n.Index == 0:
-		l.logf("kernel says %q, which is not known", n.Verb)
+	case n.Sequence == 0:
+		l.logf("kernel says %q, which is not known", n.Kind)
 		return
-	case n.Index <= k.index:
+	case n.Sequence <= k.index:
 		return
-	case n.Index > k.index+1 && !k.fresh:
-		l.logf("kernel's notice %d comes after %d", n.Index, k.index)
+	case n.Sequence > k.index+1 && !k.fresh:
+		l.logf("kernel's notice %d comes after %d", n.Sequence, k.index)
 		l.linkDown(&k.link, errGap)
 		return
 	}
-	if n.Index > k.index+1 {
-		l.logf("kernel no longer has notices %d to %d", k.index+1, n.Index-1)
+	if n.Sequence > k.index+1 {
+		l.logf("kernel no longer has notices %d to %d", k.index+1, n.Sequence-1)
 	}
-	k.index, k.fresh = n.Index, false
-	h, r := l.byTask(n.Task)
+	k.index, k.fresh = n.Sequence, false
+	h, r := l.byTask(n.RunID)
 	if r == nil || r.run != runGoes {
 		return
 	}
 	r.schedNo, r.goNo, r.haltNo = 0, 0, 0 // it was read, or what it asked for is past
 	r.goes = goesNot
-	switch string(n.Verb) {
+	switch string(n.Kind) {
 	case "REAP":
 		how := admission.Errored
 		switch string(n.Outcome) {
@@ -178,24 +178,24 @@
 		case "MOOT":
 			how = admission.Moot
 		}
-		l.runEnded(h, r, how, n.Spent, n.Bytes)
+		l.runEnded(h, r, how, n.RunMS, n.Body)
 	case "IOREQ":
 		l.trace(r, "stands at a call")
-		r.ask, r.asked = append(r.ask[:0], n.Bytes...), n.Index
+		r.ask, r.asked = append(r.ask[:0], n.Body...), n.Sequence
 		l.next().Needs = append(l.next().Needs, uint32(h))
 	}
 }
 
 // booted takes the start of the kernel, which is also the server's own as far as the module goes.
-func (l *loop) booted(n wire.Notice) {
+func (l *loop) booted(n wire.KernelEvent) {
 	k := &l.kernel
 	if k.stand != kernelOpened {
 		return
 	}
 	if l.controller == nil {
 		d := l.profile.Deployment
-		d.Start, d.Cold = l.now-admission.Time(n.Spent*10), string(n.Outcome) == "COLD"
-		l.logf("kernel is up, %s for %.0f ms", n.Outcome, n.Spent)
+		d.Start, d.Cold = l.now-admission.Time(n.RunMS*10), string(n.Outcome) == "COLD"
+		l.logf("kernel is up, %s for %.0f ms", n.Outcome, n.RunMS)
 		l.makePools()
 		l.controller = admission.New(d)
 		l.wakePending = true
@@ -206,7 +206,7 @@
 	k.stand, k.wait = kernelReplays, 0
 	k.sent++
 	k.replay = k.sent
-	if !k.line.writer.send(wire.AppendSysInfo(l.scratch[:0], k.replay), l.limits.LinkQueue) {
+	if !k.line.writer.send(wire.AppendKernelGaugesRequest(l.scratch[:0], k.replay), l.limits.LinkQueue) {
 		l.linkDown(&k.link, errStuck)
 		return
 	}
@@ -214,7 +214,7 @@
 }
 
 // info takes gauges; the first on a link says that all that was missed has been told.
-func (l *loop) info(n wire.Notice) {
+func (l *loop) info(n wire.KernelEvent) {
 	k := &l.kernel
 	no, err := strconv.ParseUint(string(n.Nonce), 10, 64)
 	if err != nil {
@@ -233,7 +233,7 @@
 		k.asked, l.wakePending = 0, false
 		r := l.next()
 		r.Woke, r.Gauged = true, true
-		r.Gauges = l.profile.Gauges(n.Readings[:n.Count])
+		r.Gauges = l.profile.Gauges(n.Gauges[:n.GaugeCount])
 		if l.fleet != nil {
 			l.fleet.meter.Gauged(steadyMS(), r.Gauges.OnCores)
 		}
--- a/internal/node/server/limits.go
+++ b/internal/node/server/limits.go
@@ -90,8 +90,8 @@
 		// A usual round writes to no more connections than this.
 		Workers: 16, HandOver: 4096, PerRound: 1024,
 		LinkQueue: 128, ConnQueue: 4,
-		Request: wire.Bounds{Head: 4 << 10, Body: 2 << 10},
-		Line:    wire.Bounds{Head: bufSize - 64, Body: bufSize - 512},
+		Request: wire.Bounds{HeadBytes: 4 << 10, BodyBytes: 2 << 10},
+		Line:    wire.Bounds{HeadBytes: bufSize - 64, BodyBytes: bufSize - 512},
 		Dial:    time.Second, WriteStuck: 3 * time.Second,
 		Listen: 10 * time.Second, // a server has to be ready within 30 s
 		// The kernel is on this machine: its answer takes well under a ms, and a due time has 44 ms to spare.
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -53,9 +53,9 @@
 	err     error
 	buf     *buffer
 	request wire.Request
-	notice  *wire.Notice
-	reply   wire.Reply
-	status  wire.Response
+	notice  *wire.KernelEvent
+	reply   wire.CallReply
+	status  wire.ResponseHead
 	node    *Node
 	job     *jobEnd
 	then    func() // of the disk
@@ -199,23 +199,23 @@
 	bounds := lim.Line
 	l.kernel.link = link{which: toKernel, what: "kernel", addr: c.Kernel, retry: dueKernel,
 		parser: func(b []byte) (e event, n int, err error) {
-			line, n, err := wire.Line(b, bounds.Head)
+			line, n, err := wire.NextLine(b, bounds.HeadBytes)
 			if n == 0 || err != nil {
 				return e, 0, err
 			}
-			note, err := wire.ParseNotice(line)
+			note, err := wire.ParseKernelEvent(line)
 			return event{kind: eventNotice, notice: &note}, n, err
 		}}
 	l.store = store{addr: c.Store, wires: newTable[storeConnection](lim.Wires),
 		parser: func(b []byte) (e event, n int, err error) {
 			e.kind = eventReply
-			e.reply, n, err = wire.ParseReply(b, bounds)
+			e.reply, n, err = wire.ParseCallReply(b, bounds)
 			return e, n, err
 		}}
 	l.control = control{name: c.Name, ready: true, link: link{which: toControl, what: "control", addr: c.Control,
 		retry: dueControl, parser: func(b []byte) (e event, n int, err error) {
 			e.kind = eventReport
-			e.status, n, err = wire.ParseResponse(b, bounds)
+			e.status, n, err = wire.ParseResponseHead(b, bounds)
 			return e, n, err
 		}}}
 	return l
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -70,21 +70,21 @@
 }
 
 // take brings a new req before the module; a status other than 0 answers it here, with what a says beside it.
-func (l *loop) take(c *conn, e event, name string, a *wire.Answer) int {
+func (l *loop) take(c *conn, e event, name string, a *wire.Response) int {
 	q := &e.request
 	i, known := l.handlerNamed(name)
-	hasKey := !known || l.profile.Deployment.Handlers[i].Repeat != admission.IdempotencyKeyed || len(q.OnceKey) > 0
-	tenant, listed := l.profile.Tenants[string(q.Account)]
-	earliest, came, placed := l.placeStamp(q.ReceivedAt)
+	hasKey := !known || l.profile.Deployment.Handlers[i].Repeat != admission.IdempotencyKeyed || len(q.IdempotencyKey) > 0
+	tenant, listed := l.profile.Tenants[string(q.Tenant)]
+	earliest, came, placed := l.placeStamp(q.ReceivedAtMS)
 	switch {
 	case !known:
 		return l.bad("handler %q, expected one of the settings", name)
-	case q.ID == nil || q.ReceivedAt == 0 || !q.HasSender || q.KB == 0 || !hasKey:
+	case q.ID == nil || q.ReceivedAtMS == 0 || !q.HasCaller || q.FootprintKB == 0 || !hasKey:
 		return l.bad("a field of the request is missing")
 	case !placed:
-		return l.bad("received at %d, which is too far from now", q.ReceivedAt)
-	case len(q.Account) > 0 && !listed && len(l.profile.Tenants) > 0:
-		return l.bad("tenant %q, expected one of the settings", q.Account)
+		return l.bad("received at %d, which is too far from now", q.ReceivedAtMS)
+	case len(q.Tenant) > 0 && !listed && len(l.profile.Tenants) > 0:
+		return l.bad("tenant %q, expected one of the settings", q.Tenant)
 	case l.controller == nil:
 		return 503 // the kernel is not up: nothing can run
 	}
@@ -112,8 +112,8 @@
 	// Where the wall clock was stepped and two times are possible, the earlier one counts for the deadline and for
 	// whom it repeats, the later one for how long its key is kept and for the grace of a drain.
 	due := admission.Time(0)
-	if q.HasBudget {
-		due = earliest + admission.Time(q.Budget*10)
+	if q.HasTimeout {
+		due = earliest + admission.Time(q.TimeoutMS*10)
 	} else if earliest != came {
 		due = earliest + hd.Timeout
 	}
@@ -124,19 +124,19 @@
 	}
 	c.open = h
 	if l.kept != nil && hd.Repeat == admission.IdempotencyKeyed {
-		r.kept = keptName(l.names[i], q.Account, q.OnceKey, q.Body)
+		r.kept = keptName(l.names[i], q.Tenant, q.IdempotencyKey, q.Body)
 	}
 	l.tasks[r.task] = h
 	l.counters.Reqs++
-	if q.Again {
+	if q.IsRetry {
 		l.counters.Again++
 	}
-	l.trace(r, "came %.1f ms ago, handler %s, sender %d, again %v", inMS(l.now-came), name, q.SentBy, q.Again)
+	l.trace(r, "came %.1f ms ago, handler %s, sender %d, again %v", inMS(l.now-came), name, q.Caller, q.IsRetry)
 	if l.fleet != nil {
-		l.fleet.meter.Came(steadyMS(), i, q.Again, false)
+		l.fleet.meter.Came(steadyMS(), i, q.IsRetry, false)
 	}
 	admit := admission.Request{ID: uint32(h), Handler: i, Tenant: tenant, Came: came, Due: due,
-		Hint: admission.Time(q.Estimate * 10), KB: q.KB, Again: q.Again, Caller: q.SentBy}
+		Hint: admission.Time(q.ExpectedWorkMS * 10), KB: q.FootprintKB, Again: q.IsRetry, Caller: q.Caller}
 	if r.kept != nil {
 		r.kept.admit = admit
 		if l.keptWord(h, r) {
@@ -163,13 +163,13 @@
 // tenants whose texts run into the same name, so that one's result would be the other's answer.
 func (l *loop) repeatKey(handler int, q *wire.Request) string {
 	d := l.profile.Deployment
-	name := fmt.Appendf(nil, "%d/%d/%s/", handler, len(q.Account), q.Account)
+	name := fmt.Appendf(nil, "%d/%d/%s/", handler, len(q.Tenant), q.Tenant)
 	switch {
 	case d.Handlers[handler].Repeat == admission.IdempotencyKeyed:
 		// Guards against a key that comes with another body: it is another request, whose run the kernel refuses,
 		// and must neither be answered with the true one's result nor stand in its way, whichever comes first.
 		sum := sha256.Sum256(q.Body)
-		name = append(name, q.OnceKey...)
+		name = append(name, q.IdempotencyKey...)
 		return string(append(name, sum[:16]...))
 	case d.Handlers[handler].Repeat == admission.Retryable && d.Fresh > 0 && len(q.ResourceKey) > 0:
 		return string(append(name, q.ResourceKey...))
@@ -220,7 +220,7 @@
 }
 
 // answer gives a req its answer, if it is still owed one.
-func (l *loop) answer(h handle, r *request, a wire.Answer) {
+func (l *loop) answer(h handle, r *request, a wire.Response) {
 	l.finishedRequests = append(l.finishedRequests, h)
 	if r.answered {
 		return
@@ -276,11 +276,11 @@
 	wait := l.keys.ended(r.key, uint32(h), ok, result)
 	switch {
 	case ok:
-		l.answer(h, r, wire.Answer{Status: 200, Body: result})
+		l.answer(h, r, wire.Response{Status: 200, Body: result})
 	case how == admission.Unrun:
-		l.answer(h, r, wire.Answer{Status: 400})
+		l.answer(h, r, wire.Response{Status: 400})
 	case how != admission.Stopped || !r.paused: // that it was paused or dropped is no answer
-		l.answer(h, r, wire.Answer{Status: 500})
+		l.answer(h, r, wire.Response{Status: 500})
 	}
 	for _, k := range wait {
 		l.shareEnded(k, ok, result)
@@ -295,9 +295,9 @@
 	}
 	r.waits = false
 	end := admission.End{ID: uint32(h), How: admission.Errored}
-	a := wire.Answer{Status: 500}
+	a := wire.Response{Status: 500}
 	if ok {
-		end.How, a = admission.OK, wire.Answer{Status: 200, Body: result}
+		end.How, a = admission.OK, wire.Response{Status: 200, Body: result}
 		l.counters.Shared++
 	}
 	l.next().Ended = append(l.next().Ended, end)
@@ -357,7 +357,7 @@
 
 func (l *loop) Shed(id uint32, last bool, comeBack admission.Time) {
 	if r := l.requests.get(handle(id)); r != nil {
-		l.answer(handle(id), r, wire.Answer{Status: 503, Final: last, BackOff: int64(comeBack+9) / 10})
+		l.answer(handle(id), r, wire.Response{Status: 503, NoRetry: last, RetryAfterMS: int64(comeBack+9) / 10})
 	}
 }
 
@@ -365,7 +365,7 @@
 	if r := l.requests.get(handle(id)); r != nil {
 		l.dropCall(handle(id), r)
 		r.waits = false
-		l.answer(handle(id), r, wire.Answer{Status: 500})
+		l.answer(handle(id), r, wire.Response{Status: 500})
 	}
 }
 
--- a/internal/node/server/store.go
+++ b/internal/node/server/store.go
@@ -163,7 +163,7 @@
 // dropCall gives up a call that nobody waits for any more. Its wire may still bring the reply.
 func (l *loop) dropCall(h handle, r *request) {
 	if w := l.store.wires.get(r.wire); w != nil && r.call == callOut {
-		l.scratch = wire.AppendDrop(l.scratch[:0], r.task)
+		l.scratch = wire.AppendCallCancel(l.scratch[:0], r.task)
 		w.line.writer.send(l.scratch, l.limits.LinkQueue)
 		l.counters.Dropped++
 		w.done = true
@@ -175,7 +175,7 @@
 }
 
 // replied takes a reply of the store: it counts only for a call that is out on the wire that brought it.
-func (l *loop) replied(at handle, w *storeConnection, p wire.Reply) {
+func (l *loop) replied(at handle, w *storeConnection, p wire.CallReply) {
 	w.used = l.now
 	h, r := l.byTask(p.ID)
 	if r == nil || r.call != callOut || r.wire != at {
@@ -184,13 +184,13 @@
 		return
 	}
 	how := admission.Unclear
-	switch p.Verdict {
-	case wire.CallOK:
+	switch p.Outcome {
+	case wire.CallSucceeded:
 		how = admission.OK
 		l.ioDone(r, p.Body)
-	case wire.CallBusy, wire.CallVoid:
+	case wire.CallRejected, wire.CallNotExecuted:
 		how = admission.Unrun
-	case wire.CallErr:
+	case wire.CallFailed:
 		how = admission.Errored
 	}
 	l.callEnded(h, r, how)
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -238,7 +238,7 @@
 		acked uint64
 	}{{10000, 0}, {10500, 0}, {11000, 7}} {
 		l.now = step.at
-		if l.info(wire.Notice{Nonce: []byte("7")}); k.acked != step.acked {
+		if l.info(wire.KernelEvent{Nonce: []byte("7")}); k.acked != step.acked {
 			t.Errorf("at %d commands to %d count as read, expected %d", l.now, k.acked, step.acked)
 		}
 	}
@@ -365,11 +365,11 @@
 	if l.now = timeOf(now); step != -3*time.Second {
 		t.Fatalf("a step of %v is seen", step)
 	}
-	l.keys.remember(l.repeatKey(0, &wire.Request{OnceKey: []byte("k")}), 77, l.now-admission.Second, &l.deadlines)
+	l.keys.remember(l.repeatKey(0, &wire.Request{IdempotencyKey: []byte("k")}), 77, l.now-admission.Second, &l.deadlines)
 	c := &conn{}
-	e := event{from: &peer{}, request: wire.Request{ID: []byte("0000000000000001"), ReceivedAt: stamp.Milliseconds(),
-		HasSender: true, KB: 1, OnceKey: []byte("k")}}
-	if status := l.take(c, e, "put", &wire.Answer{}); status != 0 || len(l.next().Arrived) != 1 {
+	e := event{from: &peer{}, request: wire.Request{ID: []byte("0000000000000001"), ReceivedAtMS: stamp.Milliseconds(),
+		HasCaller: true, FootprintKB: 1, IdempotencyKey: []byte("k")}}
+	if status := l.take(c, e, "put", &wire.Response{}); status != 0 || len(l.next().Arrived) != 1 {
 		t.Fatalf("status %d, %d are told to the module", status, len(l.next().Arrived))
 	}
 	l.arrange(l.next().Arrived)
--- a/internal/node/wire/http.go
+++ b/internal/node/wire/http.go
@@ -12,39 +12,39 @@
 
 // Bounds are the sizes past which a message is bad rather than unfinished.
 type Bounds struct {
-	Head int // an HTTP head, or a line
-	Body int
+	HeadBytes int // an HTTP head, or a line
+	BodyBytes int
 }
 
 // Request is an HTTP request with the fields that a backend reads; absent ones are zero.
 type Request struct {
-	Method, Path         []byte
-	Body                 []byte
-	ID                   []byte // 16 hex digits
-	Account              []byte
-	OnceKey, ResourceKey []byte
-	ReceivedAt           int64 // Unix milliseconds
-	SentBy               uint32
-	HasSender            bool
-	Again                bool
-	Budget               float64 // milliseconds that the caller waits, from ReceivedAt on
-	HasBudget            bool
-	Estimate             float64 // milliseconds of work expected; 0: not stated
-	KB                   float64
-	Rank                 float64
-	Close                bool // the connection is not to be used again
-	length               int
-	hasLength            bool
+	Method, Path                []byte
+	Body                        []byte
+	ID                          []byte // 16 hex digits
+	Tenant                      []byte
+	IdempotencyKey, ResourceKey []byte
+	ReceivedAtMS                int64 // Unix milliseconds
+	Caller                      uint32
+	HasCaller                   bool
+	IsRetry                     bool
+	TimeoutMS                   float64 // milliseconds that the caller waits, from ReceivedAtMS on
+	HasTimeout                  bool
+	ExpectedWorkMS              float64 // milliseconds of work expected; 0: not stated
+	FootprintKB                 float64
+	Priority                    float64
+	Close                       bool // the connection is not to be used again
+	length                      int
+	hasLength                   bool
 }
 
-// Response is the head of an HTTP response; its body is passed over.
-type Response struct {
+// ResponseHead is the head of an HTTP response; its body is passed over.
+type ResponseHead struct {
 	Status int
 	Close  bool
 }
 
-// maxKey is twice the length of the longest key that the protocol shows; keys are kept for long.
-const maxKey = 64
+// maxKeyBytes is twice the length of the longest key that the protocol shows; keys are kept for long.
+const maxKeyBytes = 64
 
 var (
 	errHead   = errors.New("head is not as expected")
@@ -56,7 +56,7 @@
 )
 
 // token says which bytes may stand in a field's name or a method.
-var token = func() (t [256]bool) {
+var isTokenByte = func() (t [256]bool) {
 	for c := '0'; c <= '9'; c++ {
 		t[c] = true
 	}
@@ -71,7 +71,7 @@
 
 func isToken(b []byte) bool {
 	for _, c := range b {
-		if !token[c] {
+		if !isTokenByte[c] {
 			return false
 		}
 	}
@@ -79,15 +79,15 @@
 }
 
 // head cuts the head off b; n is 0 while it is not whole.
-func head(b []byte, max int) (line, fields []byte, n int, err error) {
+func splitHead(b []byte, limit int) (line, fields []byte, n int, err error) {
 	i := bytes.Index(b, headEnd)
 	if i < 0 {
-		if len(b) > max {
+		if len(b) > limit {
 			return nil, nil, 0, errLarge
 		}
 		return nil, nil, 0, nil
 	}
-	if i > max {
+	if i > limit {
 		return nil, nil, 0, errLarge
 	}
 	n = i + len(headEnd)
@@ -99,7 +99,7 @@
 }
 
 // field cuts the next field off fields.
-func field(fields []byte) (name, value, rest []byte, err error) {
+func nextField(fields []byte) (name, value, rest []byte, err error) {
 	line, rest, _ := bytes.Cut(fields, crlf)
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok || !isToken(name) {
@@ -113,7 +113,7 @@
 	return name, bytes.Trim(value, " \t"), rest, nil
 }
 
-func digits(b []byte, max int64) (int64, error) {
+func parseDigits(b []byte, limit int64) (int64, error) {
 	if len(b) == 0 || len(b) > 18 {
 		return 0, errField
 	}
@@ -124,18 +124,18 @@
 		}
 		n = n*10 + int64(c-'0')
 	}
-	if n > max {
+	if n > limit {
 		return 0, errField
 	}
 	return n, nil
 }
 
-func decimal(b []byte, max float64) (float64, error) {
+func parseDecimal(b []byte, limit float64) (float64, error) {
 	if len(b) > 24 {
 		return 0, errField
 	}
 	v, err := strconv.ParseFloat(string(b), 64)
-	if err != nil || !(v >= 0 && v <= max) {
+	if err != nil || !(v >= 0 && v <= limit) {
 		return 0, errField
 	}
 	return v, nil
@@ -152,7 +152,7 @@
 }
 
 // listed says whether a comma-separated list holds word.
-func listed(value []byte, word string) bool {
+func containsToken(value []byte, word string) bool {
 	for len(value) > 0 {
 		part, rest, _ := bytes.Cut(value, []byte(","))
 		if bytes.EqualFold(bytes.Trim(part, " \t"), []byte(word)) {
@@ -164,19 +164,19 @@
 }
 
 // closes says what a Connection field makes of whether the connection is to be closed.
-func closes(already bool, value []byte) bool {
-	return already && !listed(value, "keep-alive") || listed(value, "close")
+func endsConnection(already bool, value []byte) bool {
+	return already && !containsToken(value, "keep-alive") || containsToken(value, "close")
 }
 
-func is(name []byte, word string) bool { return bytes.EqualFold(name, []byte(word)) }
+func equalFold(name []byte, word string) bool { return bytes.EqualFold(name, []byte(word)) }
 
 // ParseRequest reads the request at the start of b; n is 0 while it is not whole.
-func ParseRequest(b []byte, max Bounds) (q Request, n int, err error) {
+func ParseRequest(b []byte, bounds Bounds) (q Request, n int, err error) {
 	for len(b) > n && (b[n] == '\r' || b[n] == '\n') && n < 4 {
 		n++ // empty lines before a request are passed over
 	}
 	skip := n
-	line, fields, n, err := head(b[skip:], max.Head)
+	line, fields, n, err := splitHead(b[skip:], bounds.HeadBytes)
 	if n == 0 || err != nil {
 		return q, 0, err
 	}
@@ -195,10 +195,10 @@
 	}
 	for len(fields) > 0 {
 		var name, value []byte
-		if name, value, fields, err = field(fields); err != nil {
+		if name, value, fields, err = nextField(fields); err != nil {
 			return q, 0, err
 		}
-		if err = q.field(name, value, max.Body); err != nil {
+		if err = q.setField(name, value, bounds.BodyBytes); err != nil {
 			return q, 0, err
 		}
 	}
@@ -210,11 +210,11 @@
 	return q, n + q.length, nil
 }
 
-func (q *Request) field(name, value []byte, maxBody int) (err error) {
+func (q *Request) setField(name, value []byte, maxBody int) (err error) {
 	var v int64
 	switch {
-	case is(name, "content-length"):
-		v, err = digits(value, 1<<40)
+	case equalFold(name, "content-length"):
+		v, err = parseDigits(value, 1<<40)
 		if err != nil || q.hasLength && int(v) != q.length {
 			return errLength
 		}
@@ -222,47 +222,47 @@
 			return errLarge
 		}
 		q.length, q.hasLength = int(v), true
-	case is(name, "transfer-encoding"):
+	case equalFold(name, "transfer-encoding"):
 		return errLength
-	case is(name, "connection"):
-		q.Close = closes(q.Close, value)
-	case is(name, "request-id"):
+	case equalFold(name, "connection"):
+		q.Close = endsConnection(q.Close, value)
+	case equalFold(name, "request-id"):
 		if !IsID(value) || q.ID != nil {
 			return errField
 		}
 		q.ID = value
-	case is(name, "received-at"):
-		if q.ReceivedAt != 0 {
+	case equalFold(name, "received-at"):
+		if q.ReceivedAtMS != 0 {
 			return errField
 		}
-		q.ReceivedAt, err = digits(value, 1<<50)
-	case is(name, "sent-by"):
-		v, err = digits(value, 1<<32-1)
-		q.SentBy, q.HasSender = uint32(v), true
-	case is(name, "account"):
-		q.Account = value
-	case is(name, "attempt-again"):
-		q.Again = string(value) == "1"
-	case is(name, "footprint-kb"):
-		if q.KB, err = decimal(value, 2000); q.KB == 0 || q.KB == 2000 {
+		q.ReceivedAtMS, err = parseDigits(value, 1<<50)
+	case equalFold(name, "sent-by"):
+		v, err = parseDigits(value, 1<<32-1)
+		q.Caller, q.HasCaller = uint32(v), true
+	case equalFold(name, "account"):
+		q.Tenant = value
+	case equalFold(name, "attempt-again"):
+		q.IsRetry = string(value) == "1"
+	case equalFold(name, "footprint-kb"):
+		if q.FootprintKB, err = parseDecimal(value, 2000); q.FootprintKB == 0 || q.FootprintKB == 2000 {
 			err = errField
 		}
-	case is(name, "priority-rank"):
-		if q.Rank, err = decimal(value, 1); q.Rank == 1 {
+	case equalFold(name, "priority-rank"):
+		if q.Priority, err = parseDecimal(value, 1); q.Priority == 1 {
 			err = errField
 		}
-	case is(name, "budget-ms"):
-		q.Budget, err = decimal(value, 1e9)
-		q.HasBudget = true
-	case is(name, "work-estimate"):
-		q.Estimate, err = decimal(value, 1e9)
-	case is(name, "once-key"):
-		if q.OnceKey != nil || len(value) > maxKey {
+	case equalFold(name, "budget-ms"):
+		q.TimeoutMS, err = parseDecimal(value, 1e9)
+		q.HasTimeout = true
+	case equalFold(name, "work-estimate"):
+		q.ExpectedWorkMS, err = parseDecimal(value, 1e9)
+	case equalFold(name, "once-key"):
+		if q.IdempotencyKey != nil || len(value) > maxKeyBytes {
 			return errField
 		}
-		q.OnceKey = value
-	case is(name, "resource-key"):
-		if q.ResourceKey != nil || len(value) > maxKey {
+		q.IdempotencyKey = value
+	case equalFold(name, "resource-key"):
+		if q.ResourceKey != nil || len(value) > maxKeyBytes {
 			return errField
 		}
 		q.ResourceKey = value
@@ -270,9 +270,9 @@
 	return err
 }
 
-// ParseResponse reads the response at the start of b, body included; n is 0 while it is not whole.
-func ParseResponse(b []byte, max Bounds) (p Response, n int, err error) {
-	line, fields, n, err := head(b, max.Head)
+// ParseResponseHead reads the response at the start of b, body included; n is 0 while it is not whole.
+func ParseResponseHead(b []byte, bounds Bounds) (p ResponseHead, n int, err error) {
+	line, fields, n, err := splitHead(b, bounds.HeadBytes)
 	if n == 0 || err != nil {
 		return p, 0, err
 	}
@@ -281,7 +281,7 @@
 	if string(version) != "HTTP/1.1" && string(version) != "HTTP/1.0" || len(code) != 3 {
 		return p, 0, errHead
 	}
-	v, err := digits(code, 999)
+	v, err := parseDigits(code, 999)
 	if err != nil || v < 100 {
 		return p, 0, errHead
 	}
@@ -289,20 +289,20 @@
 	length, has := int64(0), false
 	for len(fields) > 0 {
 		var name, value []byte
-		if name, value, fields, err = field(fields); err != nil {
+		if name, value, fields, err = nextField(fields); err != nil {
 			return p, 0, err
 		}
 		switch {
-		case is(name, "content-length"):
+		case equalFold(name, "content-length"):
 			was := length
-			if length, err = digits(value, int64(max.Body)); err != nil || has && was != length {
+			if length, err = parseDigits(value, int64(bounds.BodyBytes)); err != nil || has && was != length {
 				return p, 0, errLength
 			}
 			has = true
-		case is(name, "transfer-encoding"):
+		case equalFold(name, "transfer-encoding"):
 			return p, 0, errLength
-		case is(name, "connection"):
-			p.Close = closes(p.Close, value)
+		case equalFold(name, "connection"):
+			p.Close = endsConnection(p.Close, value)
 		}
 	}
 	if p.Status == 204 || p.Status == 304 || p.Status < 200 {
@@ -319,35 +319,35 @@
 var reasons = map[int]string{200: "OK", 400: "Bad Request",
 	500: "Internal Server Error", 503: "Service Unavailable"}
 
-// Answer is what goes out for a request.
-type Answer struct {
-	Status  int
-	BackOff int64 // milliseconds to keep away; 0: not said
-	Final   bool  // no other backend is to be tried
-	Close   bool
-	Hint    float64 // the free value that goes with every answer, where Says is set
-	Says    bool
-	Body    []byte
+// Response is what goes out for a request.
+type Response struct {
+	Status            int
+	RetryAfterMS      int64 // milliseconds to keep away; 0: not said
+	NoRetry           bool  // no other backend is to be tried
+	Close             bool
+	OverloadSignal    float64 // the free value that goes with every answer, where Says is set
+	HasOverloadSignal bool
+	Body              []byte
 }
 
-// AppendAnswer writes the answer whole.
-func AppendAnswer(b []byte, a Answer) []byte {
+// AppendResponse writes the answer whole.
+func AppendResponse(b []byte, a Response) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(a.Status), 10)
 	b = append(b, ' ')
 	b = append(b, reasons[a.Status]...)
 	b = append(b, "\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(a.Body)), 10)
-	if a.BackOff > 0 {
+	if a.RetryAfterMS > 0 {
 		b = append(b, "\r\nBack-Off-Ms: "...)
-		b = strconv.AppendInt(b, a.BackOff, 10)
+		b = strconv.AppendInt(b, a.RetryAfterMS, 10)
 	}
-	if a.Final {
+	if a.NoRetry {
 		b = append(b, "\r\nFinal-Refusal: 1"...)
 	}
-	if a.Says {
+	if a.HasOverloadSignal {
 		b = append(b, "\r\nServer-Hint: "...)
-		b = strconv.AppendFloat(b, a.Hint, 'f', 4, 64)
+		b = strconv.AppendFloat(b, a.OverloadSignal, 'f', 4, 64)
 	}
 	if a.Close {
 		b = append(b, "\r\nConnection: close"...)
@@ -356,8 +356,8 @@
 	return append(b, a.Body...)
 }
 
-// AppendReport writes a report to the control plane.
-func AppendReport(b []byte, host, name string, ready bool) []byte {
+// AppendReadinessReport writes a report to the control plane.
+func AppendReadinessReport(b []byte, host, name string, ready bool) []byte {
 	word := "NotReady"
 	if ready {
 		word = "Ready"
--- a/internal/node/wire/kernel.go
+++ b/internal/node/wire/kernel.go
@@ -7,22 +7,22 @@
 	"strconv"
 )
 
-// Notice is one line from the kernel; absent fields are zero.
-type Notice struct {
-	Verb, Task, Outcome, Nonce []byte
-	Bytes                      []byte // decoded
-	Index                      uint64
-	Spent                      float64 // milliseconds
-	Readings                   [8]float64
-	Count                      int // readings given
+// KernelEvent is one line from the kernel; absent fields are zero.
+type KernelEvent struct {
+	Kind, RunID, Outcome, Nonce []byte
+	Body                        []byte // decoded
+	Sequence                    uint64
+	RunMS                       float64 // milliseconds
+	Gauges                      [8]float64
+	GaugeCount                  int // readings given
 }
 
 var errLine = errors.New("line is not as expected")
 
-// Line cuts the line at the start of b, without its end; n is 0 while it is not whole.
-func Line(b []byte, max int) (line []byte, n int, err error) {
+// NextLine cuts the line at the start of b, without its end; n is 0 while it is not whole.
+func NextLine(b []byte, limit int) (line []byte, n int, err error) {
 	i := bytes.IndexByte(b, '\n')
-	if i < 0 && len(b) > max || i > max {
+	if i < 0 && len(b) > limit || i > limit {
 		return nil, 0, errLarge
 	}
 	if i < 0 {
@@ -31,9 +31,9 @@
 	return bytes.TrimSuffix(b[:i], []byte("\r")), i + 1, nil
 }
 
-// ParseNotice reads one line. The line's own bytes are used to decode into, so it can't be read twice.
-func ParseNotice(line []byte) (n Notice, err error) {
-	s := scan{b: line}
+// ParseKernelEvent reads one line. The line's own bytes are used to decode into, so it can't be read twice.
+func ParseKernelEvent(line []byte) (n KernelEvent, err error) {
+	s := jsonScanner{b: line}
 	s.want('{')
 	for k := 0; s.err == nil; k++ {
 		s.space()
@@ -44,9 +44,9 @@
 		s.want(':')
 		switch string(key) {
 		case "verb":
-			n.Verb = s.text()
+			n.Kind = s.text()
 		case "task":
-			n.Task = s.text()
+			n.RunID = s.text()
 		case "outcome":
 			n.Outcome = s.text()
 		case "nonce":
@@ -57,26 +57,26 @@
 			if err != nil {
 				return n, errLine
 			}
-			n.Bytes = raw[:w]
+			n.Body = raw[:w]
 		case "index":
 			v := s.number()
 			if !(v >= 0 && v < 1<<53) {
 				return n, errLine
 			}
-			n.Index = uint64(v)
+			n.Sequence = uint64(v)
 		case "spent":
-			n.Spent = s.number()
+			n.RunMS = s.number()
 		case "readings":
 			s.want('[')
 			for s.err == nil && !s.has(']') {
-				if n.Count > 0 {
+				if n.GaugeCount > 0 {
 					s.want(',')
 				}
-				if n.Count == len(n.Readings) {
+				if n.GaugeCount == len(n.Gauges) {
 					return n, errLine
 				}
-				n.Readings[n.Count] = s.number()
-				n.Count++
+				n.Gauges[n.GaugeCount] = s.number()
+				n.GaugeCount++
 			}
 		default:
 			s.pass(0)
@@ -87,26 +87,26 @@
 		s.want(',')
 	}
 	s.space()
-	if s.err == nil && s.at < len(s.b) || len(n.Verb) == 0 {
+	if s.err == nil && s.at < len(s.b) || len(n.Kind) == 0 {
 		s.err = errLine
 	}
 	return n, s.err
 }
 
 // scan walks over JSON text; after an error it only stands still.
-type scan struct {
+type jsonScanner struct {
 	b   []byte
 	at  int
 	err error
 }
 
-func (s *scan) space() {
+func (s *jsonScanner) space() {
 	for s.at < len(s.b) && (s.b[s.at] == ' ' || s.b[s.at] == '\t' || s.b[s.at] == '\r') {
 		s.at++
 	}
 }
 
-func (s *scan) has(c byte) bool {
+func (s *jsonScanner) has(c byte) bool {
 	s.space()
 	if s.err != nil || s.at >= len(s.b) || s.b[s.at] != c {
 		return false
@@ -115,14 +115,14 @@
 	return true
 }
 
-func (s *scan) want(c byte) {
+func (s *jsonScanner) want(c byte) {
 	if s.err == nil && !s.has(c) {
 		s.err = errLine
 	}
 }
 
 // text reads a string in place: escapes only ever make it shorter.
-func (s *scan) text() []byte {
+func (s *jsonScanner) text() []byte {
 	s.want('"')
 	from, to := s.at, s.at
 	for s.err == nil && s.at < len(s.b) {
@@ -146,7 +146,7 @@
 }
 
 // escape writes what stands after a backslash at to, and says how long that is.
-func (s *scan) escape(to int) int {
+func (s *jsonScanner) escape(to int) int {
 	if s.at >= len(s.b) {
 		s.err = errLine
 		return 0
@@ -168,7 +168,7 @@
 	return 0
 }
 
-func (s *scan) number() float64 {
+func (s *jsonScanner) number() float64 {
 	s.space()
 	from := s.at
 	for s.at < len(s.b) && bytes.IndexByte([]byte("+-.0123456789eE"), s.b[s.at]) >= 0 {
@@ -186,7 +186,7 @@
 }
 
 // pass goes over a value that isn't known.
-func (s *scan) pass(depth int) {
+func (s *jsonScanner) pass(depth int) {
 	s.space()
 	if s.err != nil || s.at >= len(s.b) || depth > 8 {
 		s.err = errLine
@@ -220,20 +220,20 @@
 	}
 }
 
-// AppendOpen writes the first line of a link.
-func AppendOpen(b []byte, index uint64) []byte {
+// AppendKernelOpen writes the first line of a link.
+func AppendKernelOpen(b []byte, index uint64) []byte {
 	b = append(b, `{"verb":"OPEN","index":`...)
 	return append(strconv.AppendUint(b, index, 10), "}\n"...)
 }
 
-// AppendSched has a request run; AppendIODone passes on a reply, both with their body in base64.
-func AppendSched(b []byte, task, handler string, body []byte) []byte {
+// AppendKernelRun has a request run; AppendKernelCallDone passes on a reply, both with their body in base64.
+func AppendKernelRun(b []byte, task, handler string, body []byte) []byte {
 	b = append(b, `{"verb":"SCHED","task":"`+task+`","handler":`...)
 	b = appendText(b, handler)
 	return appendBytes(b, body)
 }
 
-func AppendIODone(b []byte, task string, body []byte) []byte {
+func AppendKernelCallDone(b []byte, task string, body []byte) []byte {
 	return appendBytes(append(b, `{"verb":"IODONE","task":"`+task+`"`...), body)
 }
 
@@ -258,19 +258,19 @@
 	return append(b, '"')
 }
 
-// AppendTask writes a command that names only a task: PREEMPT or RESCHED.
-func AppendTask(b []byte, verb, task string) []byte {
+// AppendKernelCommand writes a command that names only a task: PREEMPT or RESCHED.
+func AppendKernelCommand(b []byte, verb, task string) []byte {
 	return append(b, `{"verb":"`+verb+`","task":"`+task+"\"}\n"...)
 }
 
-// AppendNoIO has a run go on without the call that the notice asked for.
-func AppendNoIO(b []byte, task string, index uint64) []byte {
+// AppendKernelCallSkipped has a run go on without the call that the notice asked for.
+func AppendKernelCallSkipped(b []byte, task string, index uint64) []byte {
 	b = append(b, `{"verb":"NOIO","task":"`+task+`","index":`...)
 	return append(strconv.AppendUint(b, index, 10), "}\n"...)
 }
 
-// AppendSysInfo asks for the gauges.
-func AppendSysInfo(b []byte, nonce uint64) []byte {
+// AppendKernelGaugesRequest asks for the gauges.
+func AppendKernelGaugesRequest(b []byte, nonce uint64) []byte {
 	b = append(b, `{"verb":"SYSINFO","nonce":"`...)
 	return append(strconv.AppendUint(b, nonce, 10), "\"}\n"...)
 }
--- a/internal/node/wire/pin_messages_test.go
+++ b/internal/node/wire/pin_messages_test.go
@@ -5,14 +5,14 @@
 // Messages that the other tests leave out, with all their fields set, byte for byte as version 2a0a97e writes them.
 func TestWrittenMessages(t *testing.T) {
 	for name, c := range map[string]struct{ got, want string }{
-		"report, ready": {string(AppendReport(nil, "127.0.0.1:7946", "n3", true)), "PUT /v2/endpoints/n3 HTTP/1.1\r\n" +
+		"report, ready": {string(AppendReadinessReport(nil, "127.0.0.1:7946", "n3", true)), "PUT /v2/endpoints/n3 HTTP/1.1\r\n" +
 			"Host: 127.0.0.1:7946\r\nContent-Type: application/json\r\nContent-Length: 21\r\n\r\n{\"condition\":\"Ready\"}"},
-		"report, not ready": {string(AppendReport(nil, "h", "n", false)), "PUT /v2/endpoints/n HTTP/1.1\r\nHost: h\r\n" +
+		"report, not ready": {string(AppendReadinessReport(nil, "h", "n", false)), "PUT /v2/endpoints/n HTTP/1.1\r\nHost: h\r\n" +
 			"Content-Type: application/json\r\nContent-Length: 24\r\n\r\n{\"condition\":\"NotReady\"}"},
-		"answer, all fields": {string(AppendAnswer(nil, Answer{Status: 500, BackOff: 1200, Final: true, Close: true,
-			Says: true, Hint: 0.12345, Body: []byte("b")})), "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 1\r\n" +
+		"answer, all fields": {string(AppendResponse(nil, Response{Status: 500, RetryAfterMS: 1200, NoRetry: true, Close: true,
+			HasOverloadSignal: true, OverloadSignal: 0.12345, Body: []byte("b")})), "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 1\r\n" +
 			"Back-Off-Ms: 1200\r\nFinal-Refusal: 1\r\nServer-Hint: 0.1235\r\nConnection: close\r\n\r\nb"},
-		"answer, no body": {string(AppendAnswer(nil, Answer{Status: 400})),
+		"answer, no body": {string(AppendResponse(nil, Response{Status: 400})),
 			"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"},
 	} {
 		if c.got != c.want {
@@ -26,14 +26,14 @@
 	q, n, err := ParseRequest([]byte("POST /rpc/pay?x=1 HTTP/1.1\r\nREQUEST-ID: 9b1f03aa5c7e2d41\r\n"+
 		"Received-At: 1764576000123\r\nSent-By: 4\r\nAccount: acme\r\nAttempt-Again: 1\r\nFootprint-Kb: 24.5\r\n"+
 		"Priority-Rank: 0.625\r\nOnce-Key: k\r\nResource-Key: r\r\nBudget-Ms: 12.5\r\nWork-Estimate: 3.25\r\n"+
-		"Connection: close\r\nContent-Length: 3\r\n\r\nabc"), Bounds{Head: 600, Body: 64})
+		"Connection: close\r\nContent-Length: 3\r\n\r\nabc"), Bounds{HeadBytes: 600, BodyBytes: 64})
 	if err != nil || n == 0 {
 		t.Fatal(n, err)
 	}
 	if string(q.Method) != "POST" || string(q.Path) != "/rpc/pay" || string(q.ID) != "9b1f03aa5c7e2d41" ||
-		string(q.Account) != "acme" || string(q.OnceKey) != "k" || string(q.ResourceKey) != "r" ||
-		string(q.Body) != "abc" || q.ReceivedAt != 1764576000123 || q.SentBy != 4 || !q.HasSender || !q.Again ||
-		q.Budget != 12.5 || !q.HasBudget || q.Estimate != 3.25 || q.KB != 24.5 || q.Rank != 0.625 || !q.Close {
+		string(q.Tenant) != "acme" || string(q.IdempotencyKey) != "k" || string(q.ResourceKey) != "r" ||
+		string(q.Body) != "abc" || q.ReceivedAtMS != 1764576000123 || q.Caller != 4 || !q.HasCaller || !q.IsRetry ||
+		q.TimeoutMS != 12.5 || !q.HasTimeout || q.ExpectedWorkMS != 3.25 || q.FootprintKB != 24.5 || q.Priority != 0.625 || !q.Close {
 		t.Errorf("%+v", q)
 	}
 }
--- a/internal/node/wire/proto_test.go
+++ b/internal/node/wire/proto_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-var small = Bounds{Head: 300, Body: 64}
+var smallBounds = Bounds{HeadBytes: 300, BodyBytes: 64}
 
 // whole reads b to its end as a stream that comes in the pieces given, and says all that was read.
-func whole(b []byte, piece int, read func(b []byte) (string, int, error)) (out string) {
+func readAll(b []byte, piece int, read func(b []byte) (string, int, error)) (out string) {
 	var have []byte
 	for len(b) > 0 {
 		n := min(piece, len(b))
@@ -36,31 +36,31 @@
 }
 
 func readRequest(b []byte) (string, int, error) {
-	q, n, err := ParseRequest(b, small)
+	q, n, err := ParseRequest(b, smallBounds)
 	return fmt.Sprintf("%s %s %q id=%s at=%d by=%d %v %g %g %q %q %q %v %g %g", q.Method, q.Path, q.Body, q.ID,
-		q.ReceivedAt, q.SentBy, q.Again, q.KB, q.Rank, q.Account, q.OnceKey, q.ResourceKey, q.Close, q.Budget,
-		q.Estimate), n, err
+		q.ReceivedAtMS, q.Caller, q.IsRetry, q.FootprintKB, q.Priority, q.Tenant, q.IdempotencyKey, q.ResourceKey, q.Close, q.TimeoutMS,
+		q.ExpectedWorkMS), n, err
 }
 
 func readResponse(b []byte) (string, int, error) {
-	p, n, err := ParseResponse(b, small)
+	p, n, err := ParseResponseHead(b, smallBounds)
 	return fmt.Sprint(p), n, err
 }
 
 func readReply(b []byte) (string, int, error) {
-	r, n, err := ParseReply(b, small)
-	return fmt.Sprintf("%s %d %q", r.ID, r.Verdict, r.Body), n, err
+	r, n, err := ParseCallReply(b, smallBounds)
+	return fmt.Sprintf("%s %d %q", r.ID, r.Outcome, r.Body), n, err
 }
 
 // readNotice copies the line first, as reading uses it up.
 func readNotice(b []byte) (string, int, error) {
-	line, n, err := Line(bytes.Clone(b), small.Head)
+	line, n, err := NextLine(bytes.Clone(b), smallBounds.HeadBytes)
 	if n == 0 || err != nil {
 		return "", 0, err
 	}
-	note, err := ParseNotice(line)
-	return fmt.Sprintf("%s %s %s %s %q %d %g %v", note.Verb, note.Task, note.Outcome, note.Nonce, note.Bytes,
-		note.Index, note.Spent, note.Readings[:note.Count]), n, err
+	note, err := ParseKernelEvent(line)
+	return fmt.Sprintf("%s %s %s %s %q %d %g %v", note.Kind, note.RunID, note.Outcome, note.Nonce, note.Body,
+		note.Sequence, note.RunMS, note.Gauges[:note.GaugeCount]), n, err
 }
 
 type reader = func(b []byte) (string, int, error)
@@ -127,7 +127,7 @@
 			want = fmt.Sprint(len(c.in), " left")
 		}
 		for _, piece := range []int{len(c.in), 1, 2, 3, 7, 64} {
-			if got := whole([]byte(c.in), piece, readers[c.kind]); got != want {
+			if got := readAll([]byte(c.in), piece, readers[c.kind]); got != want {
 				t.Errorf("%s %q in pieces of %d:\n%s\nexpected\n%s", c.kind, c.in, piece, got, want)
 			}
 		}
@@ -142,7 +142,7 @@
 	f.Fuzz(func(t *testing.T, in []byte, piece int) {
 		for kind, read := range readers {
 			at := min(max(piece, 1), 100)
-			if one, cut := whole(in, max(len(in), 1), read), whole(in, at, read); one != cut {
+			if one, cut := readAll(in, max(len(in), 1), read), readAll(in, at, read); one != cut {
 				t.Errorf("%s %q in pieces of %d:\n%s\nas one\n%s", kind, in, at, cut, one)
 			}
 		}
@@ -151,21 +151,21 @@
 
 func TestWriters(t *testing.T) {
 	body := []byte("a\x00\"\r\n")
-	refusal := Answer{Status: 503, BackOff: 20, Final: true, Close: true, Says: true, Hint: 0.5}
+	refusal := Response{Status: 503, RetryAfterMS: 20, NoRetry: true, Close: true, HasOverloadSignal: true, OverloadSignal: 0.5}
 	b64 := base64.StdEncoding.EncodeToString(body)
 	for got, want := range map[string]string{
-		string(AppendSched(nil, "9b", `q"\`+"\x01", body)): "" +
+		string(AppendKernelRun(nil, "9b", `q"\`+"\x01", body)): "" +
 			`{"verb":"SCHED","task":"9b","handler":"q\"\\\u0001","bytes":"` + b64 + `"}`,
-		string(AppendIODone(nil, "9b", body)):    `{"verb":"IODONE","task":"9b","bytes":"` + b64 + `"}`,
-		string(AppendOpen(nil, 12)):              `{"verb":"OPEN","index":12}`,
-		string(AppendTask(nil, "PREEMPT", "9b")): `{"verb":"PREEMPT","task":"9b"}`,
-		string(AppendNoIO(nil, "9b", 7)):         `{"verb":"NOIO","task":"9b","index":7}`,
-		string(AppendSysInfo(nil, 7)):            `{"verb":"SYSINFO","nonce":"7"}`,
-		string(AppendDrop(nil, "9b")):            "DROP 9b\r",
-		string(AppendCall(nil, "9b", 250, body)): "CALL 9b 250 5\r\n" + string(body) + "\r",
-		string(AppendAnswer(nil, Answer{Status: 200, Body: body})) + "\n": "" +
+		string(AppendKernelCallDone(nil, "9b", body)):     `{"verb":"IODONE","task":"9b","bytes":"` + b64 + `"}`,
+		string(AppendKernelOpen(nil, 12)):                 `{"verb":"OPEN","index":12}`,
+		string(AppendKernelCommand(nil, "PREEMPT", "9b")): `{"verb":"PREEMPT","task":"9b"}`,
+		string(AppendKernelCallSkipped(nil, "9b", 7)):     `{"verb":"NOIO","task":"9b","index":7}`,
+		string(AppendKernelGaugesRequest(nil, 7)):         `{"verb":"SYSINFO","nonce":"7"}`,
+		string(AppendCallCancel(nil, "9b")):               "DROP 9b\r",
+		string(AppendCall(nil, "9b", 250, body)):          "CALL 9b 250 5\r\n" + string(body) + "\r",
+		string(AppendResponse(nil, Response{Status: 200, Body: body})) + "\n": "" +
 			"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n" + string(body),
-		string(AppendAnswer(nil, refusal)): "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n" +
+		string(AppendResponse(nil, refusal)): "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n" +
 			"Back-Off-Ms: 20\r\nFinal-Refusal: 1\r\nServer-Hint: 0.5000\r\nConnection: close\r\n\r",
 	} {
 		if got != want+"\n" {
--- a/internal/node/wire/store.go
+++ b/internal/node/wire/store.go
@@ -5,28 +5,28 @@
 	"strconv"
 )
 
-// Verdict is how the store says a call went.
-type Verdict uint8
+// Outcome is how the store says a call went.
+type CallOutcome uint8
 
 const (
-	CallOK Verdict = iota
-	CallBusy
-	CallErr
-	CallLate
-	CallVoid
+	CallSucceeded CallOutcome = iota
+	CallRejected
+	CallFailed
+	CallTimedOut
+	CallNotExecuted
 )
 
-// Reply is one reply of the store.
-type Reply struct {
+// CallReply is one reply of the store.
+type CallReply struct {
 	ID      []byte
-	Verdict Verdict
+	Outcome CallOutcome
 	Body    []byte
 }
 
-// ParseReply reads the reply at the start of b; n is 0 while it is not whole.
-func ParseReply(b []byte, max Bounds) (r Reply, n int, err error) {
+// ParseCallReply reads the reply at the start of b; n is 0 while it is not whole.
+func ParseCallReply(b []byte, bounds Bounds) (r CallReply, n int, err error) {
 	i := bytes.Index(b, crlf)
-	if i < 0 && len(b) > max.Head || i > max.Head {
+	if i < 0 && len(b) > bounds.HeadBytes || i > bounds.HeadBytes {
 		return r, 0, errLarge
 	}
 	if i < 0 {
@@ -41,7 +41,7 @@
 	r.ID = id
 	switch string(word) {
 	case "OK":
-		length, err := digits(size, int64(max.Body))
+		length, err := parseDigits(size, int64(bounds.BodyBytes))
 		if err != nil {
 			return r, 0, errLine
 		}
@@ -55,13 +55,13 @@
 		r.Body = b[n:end]
 		return r, end + 2, nil
 	case "BUSY":
-		r.Verdict = CallBusy
+		r.Outcome = CallRejected
 	case "ERR":
-		r.Verdict = CallErr
+		r.Outcome = CallFailed
 	case "LATE":
-		r.Verdict = CallLate
+		r.Outcome = CallTimedOut
 	case "VOID":
-		r.Verdict = CallVoid
+		r.Outcome = CallNotExecuted
 	default:
 		return r, 0, errLine
 	}
@@ -81,5 +81,5 @@
 	return append(b, crlf...)
 }
 
-// AppendDrop gives up a call.
-func AppendDrop(b []byte, id string) []byte { return append(b, "DROP "+id+"\r\n"...) }
+// AppendCallCancel gives up a call.
+func AppendCallCancel(b []byte, id string) []byte { return append(b, "DROP "+id+"\r\n"...) }
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -14,30 +14,30 @@
 
 // instance is one server's module with the round being gathered for it.
 type instance struct {
-	num    uint32
-	ctl    *admission.Controller
-	round  admission.Round
-	prof   *settings.Profile
-	seen   bool
-	failed bool
+	number     uint32
+	controller *admission.Controller
+	round      admission.Round
+	settings   *settings.Profile
+	listed     bool
+	failed     bool
 }
 
-// Host carries the instances of one process.
-type Host struct {
-	all   map[uint32]*instance
-	order []*instance // those with a round to decide, as first named
-	reply wire.Reply
-	out   writer
+// Adapter carries the instances of one process.
+type Adapter struct {
+	instances map[uint32]*instance
+	undecided []*instance // those with a round to decide, as first named
+	reply     wire.Reply
+	out       decisionWriter
 }
 
-func New() *Host {
-	h := &Host{all: make(map[uint32]*instance)}
+func New() *Adapter {
+	h := &Adapter{instances: make(map[uint32]*instance)}
 	h.out.reply = &h.reply
 	return h
 }
 
 // Serve answers every frame of in on out until the input ends.
-func (h *Host) Serve(in io.Reader, out io.Writer) error {
+func (h *Adapter) Serve(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), bufio.NewWriterSize(out, 1<<16)
 	var b wire.Batch
 	for frame := 1; ; frame++ {
@@ -61,9 +61,9 @@
 }
 
 // batch turns one frame into rounds, and their decisions into the reply.
-func (h *Host) batch(b *wire.Batch) error {
+func (h *Adapter) batch(b *wire.Batch) error {
 	h.reply.Reset()
-	h.order = h.order[:0]
+	h.undecided = h.undecided[:0]
 	now := admission.Time(b.Now / 100)
 	var cur *instance
 	var num uint32
@@ -73,7 +73,7 @@
 		switch code := e.Code(); code {
 		case wire.About:
 			num, named = e.U32(1), true
-			cur = h.all[num]
+			cur = h.instances[num]
 			continue
 		case wire.Spawn:
 			if !named {
@@ -83,13 +83,13 @@
 			if err != nil {
 				return fmt.Errorf("record %d: instance %d: %w", i, num, err)
 			}
-			h.all[num], cur = in, in
+			h.instances[num], cur = in, in
 		case wire.Halt:
 			if cur == nil {
 				return fmt.Errorf("record %d: Halt for instance %d, expected one that was started", i, num)
 			}
-			cur.seen = false
-			delete(h.all, num)
+			cur.listed = false
+			delete(h.instances, num)
 			h.unlist(cur)
 			cur = nil
 			continue
@@ -101,13 +101,13 @@
 				return fmt.Errorf("record %d: %w", i, err)
 			}
 		}
-		if !cur.seen {
-			cur.seen = true
-			h.order = append(h.order, cur)
+		if !cur.listed {
+			cur.listed = true
+			h.undecided = append(h.undecided, cur)
 		}
 	}
-	for _, in := range h.order {
-		in.seen = false
+	for _, in := range h.undecided {
+		in.listed = false
 		in.round.Now = now
 		h.decide(in)
 		r := &in.round
@@ -117,10 +117,10 @@
 	return nil
 }
 
-func (h *Host) unlist(in *instance) {
-	for k, o := range h.order {
+func (h *Adapter) unlist(in *instance) {
+	for k, o := range h.undecided {
 		if o == in {
-			h.order = append(h.order[:k], h.order[k+1:]...)
+			h.undecided = append(h.undecided[:k], h.undecided[k+1:]...)
 			return
 		}
 	}
@@ -136,14 +136,14 @@
 		return nil, err
 	}
 	p.Start = now
-	return &instance{num: num, ctl: admission.New(p.Deployment), prof: p}, nil
+	return &instance{number: num, controller: admission.New(p.Deployment), settings: p}, nil
 }
 
-var outcomes = map[int]admission.Outcome{0: admission.OK, 13: admission.Errored, 8: admission.Unrun,
+var outcomeOfStatus = map[int]admission.Outcome{0: admission.OK, 13: admission.Errored, 8: admission.Unrun,
 	14: admission.Unrun, 4: admission.Unclear, 10: admission.Unclear, 1: admission.Stopped, 9: admission.Moot}
 
 func outcome(rc int) (admission.Outcome, error) {
-	how, ok := outcomes[rc]
+	how, ok := outcomeOfStatus[rc]
 	if !ok {
 		return how, fmt.Errorf("status %d, expected one of the listed endings", rc)
 	}
@@ -164,8 +164,8 @@
 		if flags&1 != 0 {
 			q.Hint = admission.Time(e.U32(27) / 100)
 		}
-		if q.Handler >= in.ctl.Handlers() {
-			return fmt.Errorf("class %d, expected below %d", q.Handler, in.ctl.Handlers())
+		if q.Handler >= in.controller.Handlers() {
+			return fmt.Errorf("class %d, expected below %d", q.Handler, in.controller.Handlers())
 		}
 		r.Arrived = append(r.Arrived, q)
 	case wire.Ended:
@@ -190,7 +190,7 @@
 			for k := range read[:n] {
 				read[k] = e.F32(10 + 4*k)
 			}
-			r.Gauges = in.prof.Gauges(read[:n])
+			r.Gauges = in.settings.Gauges(read[:n])
 		}
 	default:
 		err = fmt.Errorf("event code %d, expected a known one", e.Code())
@@ -199,21 +199,21 @@
 }
 
 // decide plays the round; a panic in the module becomes the declaration of its failure.
-func (h *Host) decide(in *instance) {
+func (h *Adapter) decide(in *instance) {
 	mark := h.reply.Mark()
 	defer func() {
 		if p := recover(); p != nil {
 			in.failed = true
 			h.reply.Cut(mark)
-			h.reply.ID(wire.Source, in.num)
+			h.reply.ID(wire.Source, in.number)
 			h.reply.Text(wire.Die, fmt.Sprint("admission: ", p))
 		}
 	}()
 	if in.failed {
 		return
 	}
-	h.reply.ID(wire.Source, in.num)
-	in.ctl.Decide(&in.round, &h.out)
+	h.reply.ID(wire.Source, in.number)
+	in.controller.Decide(&in.round, &h.out)
 	if h.reply.Mark() == mark+1 {
 		h.reply.Cut(mark)
 	}
--- a/internal/simulator/host_test.go
+++ b/internal/simulator/host_test.go
@@ -131,10 +131,10 @@
 	if err := h.Serve(bytes.NewReader(start(settingsJSON)), &out); err != nil {
 		t.Fatal(err)
 	}
-	h.all[3].ctl = nil
-	h.all[3].round.Woke = true
+	h.instances[3].controller = nil
+	h.instances[3].round.Woke = true
 	h.reply.Reset()
-	h.decide(h.all[3])
+	h.decide(h.instances[3])
 	out.Reset()
 	if _, err := h.reply.WriteTo(&out); err != nil {
 		t.Fatal(err)
--- a/internal/simulator/pin_frames_test.go
+++ b/internal/simulator/pin_frames_test.go
@@ -46,7 +46,7 @@
 // frameSource plays the simulator's side: it makes frames from what was answered to those before.
 type frameSource struct {
 	t       *testing.T
-	h       *Host
+	h       *Adapter
 	r       *rand.Rand
 	nowUS   uint64
 	next    uint32
