--- a/internal/node/wire/store.go
+++ b/internal/node/wire/store.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// Outcome is how the store says a call went.
+// CallOutcome is how the store says a call went.
 type CallOutcome uint8
 
 const (
