--- a/internal/cli/kept.go
+++ b/internal/cli/kept.go
@@ -42,7 +42,7 @@
 // What is read is bounded by the folder, not by what a node may put into it.
 var (
 	keptSizes  = wal.Sizes{Segment: 1 << 30, Bound: 1 << 40}
-	keptBounds = resultstore.Bounds{Entries: 1 << 26, Bytes: 1 << 40}
+	keptBounds = resultstore.Limits{Keys: 1 << 26, Bytes: 1 << 40}
 )
 
 // keptFolder tells whether there is anything to read, and what time it is by the clock of windows.
@@ -50,7 +50,7 @@
 	if logs, _ := filepath.Glob(filepath.Join(path, "*.seg")); len(logs) == 0 { // or a log would be begun there
 		return 0, "", usage(fmt.Errorf("found no log in %q, expected a folder of keyed results", path))
 	}
-	return resultstore.Clock()
+	return resultstore.BootClock()
 }
 
 func keptError(path string, err error) error {
@@ -73,7 +73,7 @@
 			if err != nil {
 				return keptError(args[0], err)
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "whole: %d records, %d keys, %d that may have run, %d bytes\n", o.Records, o.Keys, o.May,
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "whole: %d records, %d keys, %d that may have run, %d bytes\n", o.Records, o.Keys, o.Indeterminate,
 				used)
 			return err
 		}}
@@ -111,9 +111,9 @@
 		if err != nil {
 			return keptError(args[0], err)
 		}
-		v := keptView{Records: o.Records, Bytes: used, Keys: o.Keys, States: map[string]int{}, Same: o.Same, Torn: o.Torn,
-			Took: o.Took.Milliseconds()}
-		book.Each(now, func(k resultstore.Key, s resultstore.State, left uint64) {
+		v := keptView{Records: o.Records, Bytes: used, Keys: o.Keys, States: map[string]int{}, Same: o.SameBoot, Torn: o.TornTail,
+			Took: o.Duration.Milliseconds()}
+		book.ForEach(now, func(k resultstore.Key, s resultstore.State, left uint64) {
 			if v.States[s.String()]++; list {
 				v.List = append(v.List, keptKey{hex.EncodeToString(k[:]), s.String(), left})
 			}
--- a/internal/cli/kept_test.go
+++ b/internal/cli/kept_test.go
@@ -17,18 +17,18 @@
 	if names, _ := os.ReadDir(dir); len(names) > 0 {
 		t.Fatalf("a folder that is none has %v now", names)
 	}
-	now, boot, err := resultstore.Clock()
+	now, boot, err := resultstore.BootClock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, _, _, err := resultstore.Open(wal.Dir(dir), wal.Sizes{Segment: 1 << 20, Bound: 1 << 30}, resultstore.Bounds{Entries: 100, Bytes: 1 << 20, Result: 100},
+	s, _, _, err := resultstore.Open(wal.Dir(dir), wal.Sizes{Segment: 1 << 20, Bound: 1 << 30}, resultstore.Limits{Keys: 100, Bytes: 1 << 20, ResultBytes: 100},
 		now, boot)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, kind := range []resultstore.Kind{resultstore.Intent, resultstore.Intent, resultstore.Result, resultstore.Fault} {
+	for i, kind := range []resultstore.RecordKind{resultstore.Intent, resultstore.Intent, resultstore.Result, resultstore.Failure} {
 		done := make(chan error)
-		s.Put(resultstore.Record{Kind: kind, Key: resultstore.Key{byte(i)}, Body: 1, At: now, Window: 100_000 + uint64(i)}, func(_ uint64, err error) { done <- err })
+		s.Append(resultstore.Record{Kind: kind, Key: resultstore.Key{byte(i)}, BodyDigest: 1, At: now, Window: 100_000 + uint64(i)}, func(_ uint64, err error) { done <- err })
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/policy_crowd.go
+++ b/internal/lab/policy_crowd.go
@@ -155,39 +155,39 @@
 			defer m.wg.Done()
 			time.Sleep(time.Duration(i) * within / crowdNodes)
 			name := fmt.Sprintf("n%04d", i)
-			m.one(ctx, agent.Plan{Name: name, Zone: fmt.Sprint("z", i%3), Control: control,
-				Nonce: fmt.Sprintf("crowd-%d-%s", life, name), Seed: uint32(i)})
+			m.one(ctx, agent.Config{Name: name, Zone: fmt.Sprint("z", i%3), ControlAddresses: control,
+				Nonce: fmt.Sprintf("crowd-%d-%s", life, name), JitterSeed: uint32(i)})
 		}()
 	}
 	return func() { cancel(); m.wg.Wait() }
 }
 
 // one is one member, with a connection of its own.
-func (m *crowd) one(ctx context.Context, plan agent.Plan) {
+func (m *crowd) one(ctx context.Context, plan agent.Config) {
 	now := func() uint64 { return uint64(time.Since(m.began).Milliseconds()) + 1000 }
 	n, in := agent.New(plan, nil, now()), false
 	for ctx.Err() == nil {
-		a, no, due := n.Ask(now())
+		a, no, due := n.Heartbeat(now())
 		if !due {
 			select {
 			case <-ctx.Done():
-			case <-time.After(time.Duration(max(n.Due(), now()+1)-now()) * time.Millisecond):
+			case <-time.After(time.Duration(max(n.NextHeartbeat(), now()+1)-now()) * time.Millisecond):
 			}
 			continue
 		}
 		m.asked.Add(1)
 		raw, _ := json.Marshal(a)
-		try, cancel := context.WithTimeout(ctx, time.Duration(n.Within())*time.Millisecond)
+		try, cancel := context.WithTimeout(ctx, time.Duration(n.HeartbeatTimeout())*time.Millisecond)
 		var told membership.Told
-		err := postJSON(try, m.client, "http://"+n.Address()+"/v1/nodes", raw, &told)
+		err := postJSON(try, m.client, "http://"+n.ControlAddress()+"/v1/nodes", raw, &told)
 		cancel()
 		if err != nil {
 			m.lost.Add(1)
-			n.Failed(now(), no)
-		} else if err = n.Answered(now(), no, told); err != nil {
+			n.HandleFailure(now(), no)
+		} else if err = n.HandleResponse(now(), no, told); err != nil {
 			m.lost.Add(1)
 		}
-		if !in && n.Lease() != 0 {
+		if !in && n.LeaseID() != 0 {
 			in = true
 			m.in.Add(1)
 		}
--- a/internal/lab/vfleet.go
+++ b/internal/lab/vfleet.go
@@ -72,7 +72,7 @@
 	name   string
 	zone   int
 	rate   float64 // of its clock
-	m      *agent.Member
+	m      *agent.Agent
 	life   int
 	up     bool
 	paused bool
@@ -297,7 +297,7 @@
 			!strings.HasPrefix(f.Lease.Nonce, n.nonce()+"-") {
 			continue
 		}
-		if !n.m.Ready(c.Version) && !slices.Contains(op.Left, n.name) {
+		if !n.m.IsPrepared(c.Version) && !slices.Contains(op.Left, n.name) {
 			w.fail("change %d was decided and %s, which has a lease, has not prepared version %d", c.Number, n.name, c.Version)
 		}
 	}
@@ -396,17 +396,17 @@
 	}
 	n.life++
 	n.up, n.paused, n.busy, n.armed = true, false, 0, 0
-	plan := agent.Plan{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Nonce: n.nonce(),
-		Seed: uint32(n.w.r.Int31()), Without: n.w.Without}
+	plan := agent.Config{Name: n.name, Zone: fmt.Sprint("z", n.zone), Address: n.name, Nonce: n.nonce(),
+		JitterSeed: uint32(n.w.r.Int31()), DisabledGuards: n.w.Without}
 	for i := range n.w.ctl {
-		plan.Control = append(plan.Control, fmt.Sprint(i))
+		plan.ControlAddresses = append(plan.ControlAddresses, fmt.Sprint(i))
 	}
 	var kept *agent.Record
 	if !n.forget && n.kept.Cluster != "" {
 		kept = &n.kept
 	}
-	n.m, n.gate = agent.New(plan, kept, n.clock()), zones.NewGate(1, plan.Seed)
-	n.gate.Order(n.clock(), n.m.Zone())
+	n.m, n.gate = agent.New(plan, kept, n.clock()), zones.NewGate(1, plan.JitterSeed)
+	n.gate.Order(n.clock(), n.m.ZoneOrder())
 	n.step()
 }
 
@@ -417,12 +417,12 @@
 }
 
 func (n *vnode) set(serves bool) {
-	if serves == n.serves && (!serves || n.under == n.m.Serves()) {
+	if serves == n.serves && (!serves || n.under == n.m.ActiveVersion()) {
 		return
 	}
 	n.serves = serves
 	if serves {
-		n.under = n.m.Serves()
+		n.under = n.m.ActiveVersion()
 		n.w.record(FleetEvent{Kind: "serves", Node: n.name, Version: n.under})
 	} else {
 		n.w.record(FleetEvent{Kind: "stops", Node: n.name})
@@ -440,21 +440,21 @@
 		return
 	}
 	now := n.clock()
-	if v, ok := n.m.Take(now); ok {
-		n.m.Took(now, v, false)
-		n.kept.Version, n.kept.Hash = v.Version, v.Hash
+	if v, ok := n.m.VersionToActivate(now); ok {
+		n.m.MarkActive(now, v, false)
+		n.kept.ActiveVersion, n.kept.ActiveHash = v.Version, v.Hash
 		n.note()
 	}
-	ok, _ := n.m.May(now)
+	ok, _ := n.m.MayServe(now)
 	n.set(ok)
-	if a, no, due := n.m.Ask(now); due {
+	if a, no, due := n.m.Heartbeat(now); due {
 		w.Asks++
-		if w.load != nil && n.m.Zone() != nil {
+		if w.load != nil && n.m.ZoneOrder() != nil {
 			a.Load, a.Seen, n.seen = w.load(n), n.seen, nil
 		}
 		n.send(a, no)
 	}
-	if v, decided, ok := n.m.Want(); ok && n.busy != v.Version {
+	if v, decided, ok := n.m.VersionToFetch(); ok && n.busy != v.Version {
 		n.busy = v.Version
 		life := n.life
 		if n.mute && !decided {
@@ -466,9 +466,9 @@
 			}
 			n.busy = 0
 			if (n.says == v.Version || w.bad[v.Hash] && !w.Without.Has(policy.Shadow)) && !decided {
-				n.m.Refuse(n.clock(), v.Version, "it says no", false)
+				n.m.Reject(n.clock(), v.Version, "it says no", false)
 			} else {
-				n.m.Prepared(n.clock(), v)
+				n.m.MarkPrepared(n.clock(), v)
 				n.at = v
 			}
 			n.step()
@@ -480,8 +480,8 @@
 // arm has the next round come when the member wants one or its lease ends.
 func (n *vnode) arm(now uint64) {
 	w := n.w
-	at := n.m.Due()
-	if u := n.m.Until(); n.serves && u > now {
+	at := n.m.NextHeartbeat()
+	if u := n.m.LeaseExpiry(); n.serves && u > now {
 		at = min(at, u)
 	}
 	at = max(at, now+1)
@@ -495,8 +495,8 @@
 		if n.life != life {
 			return
 		}
-		if n.m.Due() <= n.clock() {
-			n.m.TimedOut(n.clock())
+		if n.m.NextHeartbeat() <= n.clock() {
+			n.m.ExpireHeartbeat(n.clock())
 		}
 		n.step()
 	})
@@ -506,7 +506,7 @@
 func (n *vnode) send(a membership.Ask, no uint64) {
 	w := n.w
 	to, life := 0, n.life
-	fmt.Sscan(n.m.Address(), &to)
+	fmt.Sscan(n.m.ControlAddress(), &to)
 	lossy := 0
 	if !w.Calm {
 		lossy = 3
@@ -536,11 +536,11 @@
 				return
 			}
 			if err != nil {
-				n.m.Failed(n.clock(), no)
+				n.m.HandleFailure(n.clock(), no)
 			} else {
-				was := n.m.Floor()
+				was := n.m.MinVersion()
 				if n.believes(no, t) {
-					n.gate.Order(n.clock(), n.m.Zone())
+					n.gate.Order(n.clock(), n.m.ZoneOrder())
 					for _, l := range t.Look {
 						if w.look == nil {
 							break
@@ -548,7 +548,7 @@
 						n.seen = append(n.seen, w.look(n, l))
 					}
 				}
-				if n.m.Floor() > was || n.m.Told().Gen != n.kept.Gen {
+				if n.m.MinVersion() > was || n.m.LastSeen().Gen != n.kept.Generation {
 					n.note()
 				}
 			}
@@ -645,7 +645,7 @@
 			w.after(w.r.Float64()*2*lease, func() {
 				if n.life == life && n.paused {
 					n.paused = false
-					n.m.TimedOut(n.clock())
+					n.m.ExpireHeartbeat(n.clock())
 					n.step()
 				}
 			})
@@ -789,7 +789,7 @@
 	}
 	for _, n := range w.nodes {
 		if !n.serves || n.under != w.part.Policy.Force {
-			_, why := n.m.May(n.clock())
+			_, why := n.m.MayServe(n.clock())
 			w.fail("%s serves %v under version %d at the end (%s), expected version %d", n.name, n.serves, n.under, why,
 				w.part.Policy.Force)
 		}
--- a/internal/lab/vlost.go
+++ b/internal/lab/vlost.go
@@ -98,7 +98,7 @@
 // knowMore counts the nodes that were told of entries after one.
 func (w *VFleet) knowMore(index uint64) (n int) {
 	for _, o := range w.nodes {
-		if o.m != nil && o.m.Told().Group == w.group && o.m.Told().Index > index {
+		if o.m != nil && o.m.LastSeen().Group == w.group && o.m.LastSeen().Index > index {
 			n++
 		}
 	}
@@ -149,7 +149,7 @@
 	told := uint64(0)
 	for _, n := range w.nodes {
 		if n.m != nil {
-			told = max(told, n.m.Floor(), n.kept.Floor)
+			told = max(told, n.m.MinVersion(), n.kept.MinVersion)
 		}
 	}
 	kept := w.History[:min(events, len(w.History))]
@@ -164,18 +164,18 @@
 
 // note keeps on a node's disk what its record has.
 func (n *vnode) note() {
-	t := n.m.Told()
-	n.kept.Floor, n.kept.Cluster, n.kept.Gen, n.kept.Term, n.kept.Index = n.m.Floor(), n.m.Cluster(), t.Gen, t.Term, t.Index
-	n.kept.Sum, n.kept.Zone = t.Sum, n.m.KeptZone()
+	t := n.m.LastSeen()
+	n.kept.MinVersion, n.kept.Cluster, n.kept.Generation, n.kept.Term, n.kept.Index = n.m.MinVersion(), n.m.Cluster(), t.Gen, t.Term, t.Index
+	n.kept.EntryChecksum, n.kept.ZoneOrder = t.Sum, n.m.StoredZoneOrder()
 }
 
 // believes gives a node an answer, and holds it to its generation.
 func (n *vnode) believes(no uint64, t membership.Told) bool {
-	was := n.m.Told().Gen
-	if n.m.Answered(n.clock(), no, t) != nil {
+	was := n.m.LastSeen().Gen
+	if n.m.HandleResponse(n.clock(), no, t) != nil {
 		return false
 	}
-	if now := n.m.Told().Gen; now < was || t.Cluster != "" && max(1, t.Gen) < was {
+	if now := n.m.LastSeen().Gen; now < was || t.Cluster != "" && max(1, t.Gen) < was {
 		n.w.fail("%s follows generation %d, and knew of %d", n.name, t.Gen, was)
 	}
 	return true
@@ -187,7 +187,7 @@
 		return t, false
 	}
 	t = w.old[w.r.Intn(len(w.old))]
-	if t.Gen >= n.m.Told().Gen { // who has not heard the later one may follow it: that is what old leases are waited for
+	if t.Gen >= n.m.LastSeen().Gen { // who has not heard the later one may follow it: that is what old leases are waited for
 		return t, false
 	}
 	t.Lease, t.LeaseMS, t.Index = a.Lease, uint64(w.Lease), t.Index+uint64(w.r.Intn(5000))
@@ -286,15 +286,15 @@
 	}
 	n.note()
 	r := n.kept
-	k := recovery.Kept{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Group: r.Cluster, Gen: max(1, r.Gen), Term: r.Term,
-		Index: r.Index, Version: n.m.Serves(), Floor: r.Floor, Held: n.m.Length()}
+	k := recovery.Kept{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Group: r.Cluster, Gen: max(1, r.Generation), Term: r.Term,
+		Index: r.Index, Version: n.m.ActiveVersion(), Floor: r.MinVersion, Held: n.m.LeaseDuration()}
 	if k.Version > 0 {
-		k.Hash, k.Text = r.Hash, w.ofHash[r.Hash]
+		k.Hash, k.Text = r.ActiveHash, w.ofHash[r.ActiveHash]
 	}
-	if v := n.at.Version; v > k.Version && n.m.Ready(v) {
+	if v := n.at.Version; v > k.Version && n.m.IsPrepared(v) {
 		k.Next, k.NextHash, k.NextText = v, n.at.Hash, w.ofHash[n.at.Hash]
 	}
-	if z := r.Zone; z != nil {
+	if z := r.ZoneOrder; z != nil {
 		k.Epoch, k.Share = z.Epoch, z.Share
 	}
 	w.heard[n.name] = k
@@ -311,14 +311,14 @@
 		if !n.up || n.paused || !n.serves {
 			continue
 		}
-		if ok, _ := n.m.May(n.clock()); !ok {
+		if ok, _ := n.m.MayServe(n.clock()); !ok {
 			continue
 		}
-		o, gen := n.m.Zone(), n.m.Told().Gen
+		o, gen := n.m.ZoneOrder(), n.m.LastSeen().Gen
 		switch {
 		case gen < w.part.Gen:
 			w.fail("%s serves by generation %d, and epoch %d of %d has settled", n.name, gen, w.part.Zones.Settled, w.part.Gen)
-		case gen == w.part.Gen && o != nil && n.m.KeptZone().Epoch == o.Epoch && o.Epoch < w.part.Zones.Settled:
+		case gen == w.part.Gen && o != nil && n.m.StoredZoneOrder().Epoch == o.Epoch && o.Epoch < w.part.Zones.Settled:
 			w.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, w.part.Zones.Settled)
 		}
 	}
--- a/internal/lab/vzones.go
+++ b/internal/lab/vzones.go
@@ -287,7 +287,7 @@
 		}
 		serves := n.up && n.serves
 		if serves {
-			o = n.m.Zone()
+			o = n.m.ZoneOrder()
 		}
 		share := n.gate != nil && n.gate.Out()
 		ready := serves && !share && now >= v.awayTill[i]
--- a/internal/lab/vzones_check.go
+++ b/internal/lab/vzones_check.go
@@ -25,7 +25,7 @@
 		sum := 0.0
 		for _, n := range v.f.nodes {
 			if n.up && n.serves {
-				if o := n.m.Zone(); o != nil && o.Capped {
+				if o := n.m.ZoneOrder(); o != nil && o.Capped {
 					sum += o.Rate
 				}
 			}
@@ -56,7 +56,7 @@
 			if n.zone != z || !n.up || !n.serves {
 				continue
 			}
-			if o := n.m.Zone(); o != nil && o.Capped && o.Share > 0 { // of none it takes none, as where its zone is out
+			if o := n.m.ZoneOrder(); o != nil && o.Capped && o.Share > 0 { // of none it takes none, as where its zone is out
 				sum += o.Rate
 			}
 		}
@@ -75,7 +75,7 @@
 			if !n.up || !n.serves {
 				continue
 			}
-			if o := n.m.Zone(); o != nil && o.Epoch < v.f.part.Zones.Settled {
+			if o := n.m.ZoneOrder(); o != nil && o.Epoch < v.f.part.Zones.Settled {
 				v.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, v.f.part.Zones.Settled)
 			}
 		}
--- a/internal/node/agent/member.go
+++ b/internal/node/agent/member.go
@@ -32,34 +32,34 @@
 // never is later than any time.
 const never = uint64(1) << 60
 
-// Plan is what a node is told at its start.
-type Plan struct {
-	Name, Zone, Addr string
-	Control          []string // addresses of instances
-	Nonce            string   // drawn anew at each start
-	Seed             uint32   // of the jitter
-	Without          policy.Guard
+// Config is what a node is told at its start.
+type Config struct {
+	Name, Zone, Address string
+	ControlAddresses    []string // addresses of instances
+	Nonce               string   // drawn anew at each start
+	JitterSeed          uint32   // of the jitter
+	DisabledGuards      policy.Guard
 }
 
 // Record is what a node with a disk keeps.
 type Record struct {
-	Cluster  string `json:"cluster"`
-	Gen      uint64 `json:"generation,omitempty"`
-	Term     uint64 `json:"term,omitempty"` // as heard last when this was written
-	Index    uint64 `json:"index,omitempty"`
-	Sum      uint64 `json:"sum,omitempty"`
-	Version  uint64 `json:"version"` // served under last
-	Hash     string `json:"hash"`
-	Text     string `json:"text"`
-	Alone    bool   `json:"alone"` // that version's rule
-	Floor    uint64 `json:"floor"`
-	Prepared uint64 `json:"prepared"`
-	Next     string `json:"next"` // text of the prepared one
-	NextHash string `json:"next_hash"`
-	// NextAlone is the prepared one's rule.
-	NextAlone bool `json:"next_alone"`
-	// Zone is the order of its zone that it was told last.
-	Zone *membership.ZoneOrder `json:"zone,omitempty"`
+	Cluster          string `json:"cluster"`
+	Generation       uint64 `json:"generation,omitempty"`
+	Term             uint64 `json:"term,omitempty"` // as heard last when this was written
+	Index            uint64 `json:"index,omitempty"`
+	EntryChecksum    uint64 `json:"sum,omitempty"`
+	ActiveVersion    uint64 `json:"version"` // served under last
+	ActiveHash       string `json:"hash"`
+	ActiveText       string `json:"text"`
+	ActiveAutonomous bool   `json:"alone"` // that version's rule
+	MinVersion       uint64 `json:"floor"`
+	PreparedVersion  uint64 `json:"prepared"`
+	PreparedText     string `json:"next"` // text of the prepared one
+	PreparedHash     string `json:"next_hash"`
+	// PreparedAutonomous is the prepared one's rule.
+	PreparedAutonomous bool `json:"next_alone"`
+	// ZoneOrder is the order of its zone that it was told last.
+	ZoneOrder *membership.ZoneOrder `json:"zone,omitempty"`
 }
 
 // control is one address of the group.
@@ -69,9 +69,9 @@
 	again uint64 // not before then
 }
 
-// Member is a node's state.
-type Member struct {
-	plan    Plan
+// Agent is a node's state.
+type Agent struct {
+	plan    Config
 	at      int // address in use
 	ctl     []control
 	draws   uint32
@@ -116,47 +116,47 @@
 }
 
 // New begins a life. kept is what the disk held, nil without.
-func New(plan Plan, kept *Record, now uint64) *Member {
-	m := &Member{plan: plan, born: now, due: now, gen: 1, ready: map[uint64]string{}}
-	for _, a := range plan.Control {
+func New(plan Config, kept *Record, now uint64) *Agent {
+	m := &Agent{plan: plan, born: now, due: now, gen: 1, ready: map[uint64]string{}}
+	for _, a := range plan.ControlAddresses {
 		m.ctl = append(m.ctl, control{addr: a})
 	}
 	m.at = int(m.draw() % uint32(max(1, len(m.ctl)))) // so that a fleet does not begin at one
 	if kept != nil {
-		m.cluster, m.floor, m.zone, m.gen = kept.Cluster, kept.Floor, kept.Zone, max(1, kept.Gen)
-		m.told = membership.Heard{Group: m.cluster, Gen: m.gen, Term: kept.Term, Index: kept.Index, Sum: kept.Sum}
-		if kept.Version > 0 {
-			m.kept = membership.Named{Version: kept.Version, Hash: kept.Hash}
-			m.ready[kept.Version] = kept.Hash
-			m.start = kept.Alone
+		m.cluster, m.floor, m.zone, m.gen = kept.Cluster, kept.MinVersion, kept.ZoneOrder, max(1, kept.Generation)
+		m.told = membership.Heard{Group: m.cluster, Gen: m.gen, Term: kept.Term, Index: kept.Index, Sum: kept.EntryChecksum}
+		if kept.ActiveVersion > 0 {
+			m.kept = membership.Named{Version: kept.ActiveVersion, Hash: kept.ActiveHash}
+			m.ready[kept.ActiveVersion] = kept.ActiveHash
+			m.start = kept.ActiveAutonomous
 		}
 		// Decided and prepared, and killed before it was noted as taken over: in force, as a change under a policy that
 		// lets nodes go on alone is never held.
-		if kept.Prepared > kept.Version && kept.Prepared == kept.Floor && (kept.Alone || kept.Version == 0) {
-			m.kept, m.start = membership.Named{Version: kept.Prepared, Hash: kept.NextHash}, kept.NextAlone
+		if kept.PreparedVersion > kept.ActiveVersion && kept.PreparedVersion == kept.MinVersion && (kept.ActiveAutonomous || kept.ActiveVersion == 0) {
+			m.kept, m.start = membership.Named{Version: kept.PreparedVersion, Hash: kept.PreparedHash}, kept.PreparedAutonomous
 		}
-		if kept.Prepared > kept.Version {
-			m.ready[kept.Prepared] = kept.NextHash
+		if kept.PreparedVersion > kept.ActiveVersion {
+			m.ready[kept.PreparedVersion] = kept.PreparedHash
 		}
 	}
 	return m
 }
 
 // draw gives chance from the node's own seed.
-func (m *Member) draw() uint32 {
+func (m *Agent) draw() uint32 {
 	m.draws++
 	var raw [8]byte
-	binary.LittleEndian.PutUint32(raw[:], m.plan.Seed)
+	binary.LittleEndian.PutUint32(raw[:], m.plan.JitterSeed)
 	binary.LittleEndian.PutUint32(raw[4:], m.draws)
 	return crc32.ChecksumIEEE(raw[:])
 }
 
-// May tells whether the node may serve now, and if not why.
-func (m *Member) May(now uint64) (bool, string) {
+// MayServe tells whether the node may serve now, and if not why.
+func (m *Agent) MayServe(now uint64) (bool, string) {
 	switch {
-	case m.plan.Without.Has(policy.Fence) && m.met:
+	case m.plan.DisabledGuards.Has(policy.Fence) && m.met:
 		return true, ""
-	case m.cur < m.floor && !m.plan.Without.Has(policy.NoWayBack):
+	case m.cur < m.floor && !m.plan.DisabledGuards.Has(policy.NoWayBack):
 		return false, fmt.Sprintf("version %d is decided and not taken over yet", m.floor)
 	case m.lease != 0 && now < m.until, m.handed(now):
 		return true, ""
@@ -172,42 +172,42 @@
 
 // handed tells whether it serves on under what is left of the lease of the generation before, until the new one takes it
 // in: a group that is restored waits for that time before it counts on anything.
-func (m *Member) handed(now uint64) bool {
+func (m *Agent) handed(now uint64) bool {
 	return m.lease == 0 && m.gen > 1 && m.met && now < m.until && !m.left
 }
 
-// Alone tells whether it serves without a lease.
-func (m *Member) Alone(now uint64) bool {
-	ok, _ := m.May(now)
+// Autonomous tells whether it serves without a lease.
+func (m *Agent) Autonomous(now uint64) bool {
+	ok, _ := m.MayServe(now)
 	return ok && !(m.lease != 0 && now < m.until) && !m.handed(now)
 }
 
-// Serves is the version of the policy that the node serves under, 0 without one.
-func (m *Member) Serves() uint64  { return m.cur }
-func (m *Member) Floor() uint64   { return m.floor }
-func (m *Member) Until() uint64   { return m.until }
-func (m *Member) InForce() uint64 { return m.force.Version }
-func (m *Member) Lease() uint32   { return m.lease }
-func (m *Member) Cluster() string { return m.cluster }
+// ActiveVersion is the version of the policy that the node serves under, 0 without one.
+func (m *Agent) ActiveVersion() uint64    { return m.cur }
+func (m *Agent) MinVersion() uint64       { return m.floor }
+func (m *Agent) LeaseExpiry() uint64      { return m.until }
+func (m *Agent) CommittedVersion() uint64 { return m.force.Version }
+func (m *Agent) LeaseID() uint32          { return m.lease }
+func (m *Agent) Cluster() string          { return m.cluster }
 
-// Met tells whether the group was heard in this life.
-func (m *Member) Met() bool { return m.met }
+// GroupContacted tells whether the group was heard in this life.
+func (m *Agent) GroupContacted() bool { return m.met }
 
-// Told gives where the group stood when it was heard last.
-func (m *Member) Told() membership.Heard { return m.told }
+// LastSeen gives where the group stood when it was heard last.
+func (m *Agent) LastSeen() membership.Heard { return m.told }
 
-// Gathered tells, once, that whoever was asked last restores the group and wants to know what this node holds.
-func (m *Member) Gathered() bool {
+// TakeRecordRequest tells, once, that whoever was asked last restores the group and wants to know what this node holds.
+func (m *Agent) TakeRecordRequest() bool {
 	g := m.gather
 	m.gather = false
 	return g
 }
 
-// Zone gives the last order of the node's zone, nil where nothing is decided about zones.
-func (m *Member) Zone() *membership.ZoneOrder { return m.zone }
+// ZoneOrder gives the last order of the node's zone, nil where nothing is decided about zones.
+func (m *Agent) ZoneOrder() *membership.ZoneOrder { return m.zone }
 
-// KeptZone gives it as it is to be kept: an earlier generation's without its epoch.
-func (m *Member) KeptZone() *membership.ZoneOrder {
+// StoredZoneOrder gives it as it is to be kept: an earlier generation's without its epoch.
+func (m *Agent) StoredZoneOrder() *membership.ZoneOrder {
 	if m.zone == nil || !m.foreign {
 		return m.zone
 	}
@@ -216,53 +216,53 @@
 	return &o
 }
 
-func (m *Member) epoch() uint64 {
+func (m *Agent) epoch() uint64 {
 	if m.zone == nil || m.foreign {
 		return 0
 	}
 	return m.zone.Epoch
 }
 
-// Address gives the instance to speak with.
-func (m *Member) Address() string {
+// ControlAddress gives the instance to speak with.
+func (m *Agent) ControlAddress() string {
 	if len(m.ctl) == 0 {
 		return ""
 	}
 	return m.ctl[m.at].addr
 }
 
-// Plan gives what the node was told at its start, Asked the instance that was asked last, Length that of the lease.
-func (m *Member) Plan() *Plan    { return &m.plan }
-func (m *Member) Asked() string  { return m.asked }
-func (m *Member) Length() uint64 { return m.length }
+// Config gives what the node was told at its start, Asked the instance that was asked last, Length that of the lease.
+func (m *Agent) Config() *Config       { return &m.plan }
+func (m *Agent) LastContacted() string { return m.asked }
+func (m *Agent) LeaseDuration() uint64 { return m.length }
 
-// Due gives when Ask will have something to send.
-func (m *Member) Due() uint64 {
+// NextHeartbeat gives when Ask will have something to send.
+func (m *Agent) NextHeartbeat() uint64 {
 	if m.left {
 		return never
 	}
 	if m.asking {
-		return m.sent + m.Within()
+		return m.sent + m.HeartbeatTimeout()
 	}
 	return max(m.due, m.ctl[m.at].again)
 }
 
-// Within is how long an asking may take, in ms.
-func (m *Member) Within() uint64 {
+// HeartbeatTimeout is how long an asking may take, in ms.
+func (m *Agent) HeartbeatTimeout() uint64 {
 	if m.length == 0 {
 		return askWithin
 	}
 	return min(max(m.length/4, askLittle), askWithin)
 }
 
-// Ask gives what is to be sent now to Address, if anything is due, and its number.
-func (m *Member) Ask(now uint64) (a membership.Ask, no uint64, due bool) {
-	if m.asking || m.left || len(m.ctl) == 0 || now < m.Due() {
+// Heartbeat gives what is to be sent now to Address, if anything is due, and its number.
+func (m *Agent) Heartbeat(now uint64) (a membership.Ask, no uint64, due bool) {
+	if m.asking || m.left || len(m.ctl) == 0 || now < m.NextHeartbeat() {
 		return a, 0, false
 	}
-	m.asking, m.sent, m.asked = true, now, m.Address()
+	m.asking, m.sent, m.asked = true, now, m.ControlAddress()
 	m.askNo++
-	a = membership.Ask{Join: membership.Join{Name: m.plan.Name, Zone: m.plan.Zone, Addr: m.plan.Addr, Nonce: m.nonce(),
+	a = membership.Ask{Join: membership.Join{Name: m.plan.Name, Zone: m.plan.Zone, Addr: m.plan.Address, Nonce: m.nonce(),
 		Up: max(1, now-m.born)},
 		Lease: m.lease, Echo: m.echo, Floor: m.floor, Serves: m.cur, Refused: m.refused, Why: m.why,
 		Zones: m.epoch()}
@@ -274,7 +274,7 @@
 	if m.next.Version != 0 && m.has(m.next) { // by its hash: a group that lost state may give the number to another text
 		a.Prepared = m.next.Version
 	}
-	if ok, why := m.May(now); !ok {
+	if ok, why := m.MayServe(now); !ok {
 		a.Fenced = why
 	}
 	switch {
@@ -287,11 +287,11 @@
 	return a, m.askNo, true
 }
 
-func (m *Member) nonce() string { return fmt.Sprintf("%s-%d", m.plan.Nonce, m.starts) }
+func (m *Agent) nonce() string { return fmt.Sprintf("%s-%d", m.plan.Nonce, m.starts) }
 
-// Answered takes the answer to an asking. An error says why it was not believed. One that comes after its asking was
+// HandleResponse takes the answer to an asking. An error says why it was not believed. One that comes after its asking was
 // given up is not looked at: what it grants runs from a sending that is not the last one's.
-func (m *Member) Answered(now, no uint64, t membership.Told) error {
+func (m *Agent) HandleResponse(now, no uint64, t membership.Told) error {
 	if !m.asking || no != m.askNo {
 		return nil
 	}
@@ -319,10 +319,10 @@
 	m.ctl[m.at].wait, m.ctl[m.at].again = 0, 0
 	m.cluster, m.term, m.index, m.echo, m.met = t.Cluster, t.Term, t.Index, t.Clock, true
 	m.told = membership.Heard{Group: t.Cluster, Gen: m.gen, Term: t.Term, Index: t.Index, Sum: t.Sum}
-	if !m.plan.Without.Has(policy.NoWayBack) {
+	if !m.plan.DisabledGuards.Has(policy.NoWayBack) {
 		m.floor = max(m.floor, t.Need)
 	}
-	if t.Force.Version >= m.force.Version || m.plan.Without.Has(policy.NoWayBack) {
+	if t.Force.Version >= m.force.Version || m.plan.DisabledGuards.Has(policy.NoWayBack) {
 		m.force = t.Force
 	}
 	if t.Zone != nil || t.Lease != 0 {
@@ -378,15 +378,15 @@
 
 // doubt tells what is wrong with an answer: from an instance that is behind what was seen, which may catch up, or
 // from another group or at odds with itself, which is a lie.
-func (m *Member) doubt(t *membership.Told) (err error, lies bool) {
-	back := m.plan.Without.Has(policy.NoWayBack)
+func (m *Agent) doubt(t *membership.Told) (err error, lies bool) {
+	back := m.plan.DisabledGuards.Has(policy.NoWayBack)
 	of := recovery.Whose{Group: t.Cluster, Gen: max(1, t.Gen), Before: t.Before}
 	switch {
 	case t.Cluster == "":
 		return fmt.Errorf("an answer without a group"), true
 	case t.Force.Version > t.Need:
 		return fmt.Errorf("an answer with version %d in force and %d decided", t.Force.Version, t.Need), true
-	case m.cluster != "" && t.Cluster != m.cluster && !of.After(m.cluster, m.gen) && !m.plan.Without.Has(policy.Generation):
+	case m.cluster != "" && t.Cluster != m.cluster && !of.After(m.cluster, m.gen) && !m.plan.DisabledGuards.Has(policy.Generation):
 		return fmt.Errorf("an answer of group %.16s in generation %d, expected %.16s in %d", t.Cluster, of.Gen, m.cluster,
 			m.gen), true
 	case m.cluster != "" && t.Cluster != m.cluster && t.Need < m.floor && !back:
@@ -405,8 +405,8 @@
 	return nil, false
 }
 
-// Failed tells that an asking had no answer that could be read.
-func (m *Member) Failed(now, no uint64) {
+// HandleFailure tells that an asking had no answer that could be read.
+func (m *Agent) HandleFailure(now, no uint64) {
 	if m.asking && no == m.askNo {
 		m.asking = false
 		m.leave(now, 0)
@@ -414,7 +414,7 @@
 }
 
 // leave turns to another instance: the one that may be asked soonest, the next in the list first.
-func (m *Member) leave(now, least uint64) {
+func (m *Agent) leave(now, least uint64) {
 	c := &m.ctl[m.at]
 	c.wait = min(max(2*c.wait, backFirst), backMost)
 	back := max(c.wait, least)
@@ -429,9 +429,9 @@
 	m.due = now
 }
 
-// Want gives the version whose text is needed now, with its hash; decided tells that it has to be taken whatever
+// VersionToFetch gives the version whose text is needed now, with its hash; decided tells that it has to be taken whatever
 // its trial says.
-func (m *Member) Want() (v membership.Named, decided, ok bool) {
+func (m *Agent) VersionToFetch() (v membership.Named, decided, ok bool) {
 	if m.force.Version > m.cur && !m.has(m.force) && !(m.never && m.refused == m.force.Version) {
 		return m.force, true, true
 	}
@@ -441,34 +441,34 @@
 	return membership.Named{}, false, false
 }
 
-func (m *Member) has(v membership.Named) bool { return m.ready[v.Version] == v.Hash && v.Hash != "" }
+func (m *Agent) has(v membership.Named) bool { return m.ready[v.Version] == v.Hash && v.Hash != "" }
 
-// Prepared tells that a version was checked, tried and kept.
-func (m *Member) Prepared(now uint64, v membership.Named) {
+// MarkPrepared tells that a version was checked, tried and kept.
+func (m *Agent) MarkPrepared(now uint64, v membership.Named) {
 	m.ready[v.Version] = v.Hash
 	m.due = min(m.due, now)
 	m.prune()
 }
 
-// Refuse tells that the node says no to a version. never tells that it can't serve under it at all; what only failed
+// Reject tells that the node says no to a version. never tells that it can't serve under it at all; what only failed
 // its trial is taken once it is in force all the same, as the fleet decided to go on without this node's consent.
-func (m *Member) Refuse(now uint64, version uint64, why string, never bool) {
+func (m *Agent) Reject(now uint64, version uint64, why string, never bool) {
 	m.refused, m.why, m.never, m.due = version, why, never, min(m.due, now)
 }
 
-// Take gives the version to be taken over now, if there is one: in force, prepared, and newer than what is served.
-func (m *Member) Take(now uint64) (v membership.Named, ok bool) {
+// VersionToActivate gives the version to be taken over now, if there is one: in force, prepared, and newer than what is served.
+func (m *Agent) VersionToActivate(now uint64) (v membership.Named, ok bool) {
 	if m.start && !m.met && m.cur == 0 && now >= m.born+aloneAfter && m.kept.Version >= m.floor {
 		return m.kept, true
 	}
-	if (m.force.Version > m.cur || m.plan.Without.Has(policy.NoWayBack) && m.force.Version != m.cur) && m.has(m.force) {
+	if (m.force.Version > m.cur || m.plan.DisabledGuards.Has(policy.NoWayBack) && m.force.Version != m.cur) && m.has(m.force) {
 		return m.force, true
 	}
 	return membership.Named{}, false
 }
 
-// Took tells that the loop serves under a version from now on.
-func (m *Member) Took(now uint64, v membership.Named, alone bool) {
+// MarkActive tells that the loop serves under a version from now on.
+func (m *Agent) MarkActive(now uint64, v membership.Named, alone bool) {
 	m.cur, m.alone, m.hash = v.Version, alone, v.Hash
 	m.floor = max(m.floor, v.Version)
 	m.due = min(m.due, now)
@@ -476,7 +476,7 @@
 }
 
 // prune keeps what can still be needed of the versions at hand.
-func (m *Member) prune() {
+func (m *Agent) prune() {
 	for n := range m.ready { // each is judged alone
 		if n != m.cur && n != m.force.Version && n != m.next.Version && m.met {
 			delete(m.ready, n)
@@ -485,26 +485,26 @@
 }
 
 // Leave says goodbye: the group need not wait for a lease that nobody acts on.
-func (m *Member) Leave(now uint64) {
+func (m *Agent) Leave(now uint64) {
 	if m.lease != 0 && !m.bye {
 		m.bye, m.due = true, now
 	}
 }
 
-// Forget tells that a version is not at hand after all: it is wanted again.
-func (m *Member) Forget(version uint64) {
+// DropPrepared tells that a version is not at hand after all: it is wanted again.
+func (m *Agent) DropPrepared(version uint64) {
 	delete(m.ready, version)
 	if m.kept.Version == version {
 		m.start = false
 	}
 }
 
-// Ready tells whether a version can be taken over.
-func (m *Member) Ready(version uint64) bool { _, ok := m.ready[version]; return ok }
+// IsPrepared tells whether a version can be taken over.
+func (m *Agent) IsPrepared(version uint64) bool { _, ok := m.ready[version]; return ok }
 
-// TimedOut gives up an asking whose time is over, for whoever drives it without a deadline of its own.
-func (m *Member) TimedOut(now uint64) {
-	if m.asking && now >= m.sent+m.Within() {
-		m.Failed(now, m.askNo)
+// ExpireHeartbeat gives up an asking whose time is over, for whoever drives it without a deadline of its own.
+func (m *Agent) ExpireHeartbeat(now uint64) {
+	if m.asking && now >= m.sent+m.HeartbeatTimeout() {
+		m.HandleFailure(now, m.askNo)
 	}
 }
--- a/internal/node/agent/member_test.go
+++ b/internal/node/agent/member_test.go
@@ -12,7 +12,7 @@
 // drive is a member with a clock, told things by the test.
 type drive struct {
 	*testing.T
-	m   *Member
+	m   *Agent
 	now uint64
 	ask membership.Ask
 	no  uint64
@@ -20,8 +20,8 @@
 
 func begin(t *testing.T, kept *Record, without policy.Guard) *drive {
 	d := &drive{T: t, now: 1000}
-	d.m = New(Plan{Name: "n", Zone: "z", Control: []string{"a", "b", "c"}, Nonce: "nonce-00000000", Seed: 7,
-		Without: without}, kept, d.now)
+	d.m = New(Config{Name: "n", Zone: "z", ControlAddresses: []string{"a", "b", "c"}, Nonce: "nonce-00000000", JitterSeed: 7,
+		DisabledGuards: without}, kept, d.now)
 	return d
 }
 
@@ -30,7 +30,7 @@
 	d.Helper()
 	for end := d.now + 70_000; d.now <= end; d.now += 5 {
 		var due bool
-		if d.ask, d.no, due = d.m.Ask(d.now); due {
+		if d.ask, d.no, due = d.m.Heartbeat(d.now); due {
 			return
 		}
 	}
@@ -43,7 +43,7 @@
 		t.Cluster = "g"
 	}
 	t.Term = max(t.Term, 1)
-	return d.m.Answered(d.now, d.no, t)
+	return d.m.HandleResponse(d.now, d.no, t)
 }
 
 // joined takes a lease under a version in force.
@@ -62,19 +62,19 @@
 func (d *drive) takes(version uint64, alone bool) {
 	d.Helper()
 	v := membership.Named{Version: version, Hash: fmt.Sprint("h", version)}
-	if w, _, ok := d.m.Want(); !ok || w != v {
+	if w, _, ok := d.m.VersionToFetch(); !ok || w != v {
 		d.Fatalf("wants %v %v, expected %v", w, ok, v)
 	}
-	d.m.Prepared(d.now, v)
-	if got, ok := d.m.Take(d.now); !ok || got != v {
+	d.m.MarkPrepared(d.now, v)
+	if got, ok := d.m.VersionToActivate(d.now); !ok || got != v {
 		d.Fatalf("takes %v %v, expected %v", got, ok, v)
 	}
-	d.m.Took(d.now, v, alone)
+	d.m.MarkActive(d.now, v, alone)
 }
 
 func (d *drive) serves(want bool, why string) {
 	d.Helper()
-	if ok, got := d.m.May(d.now); ok != want || !strings.Contains(got, why) {
+	if ok, got := d.m.MayServe(d.now); ok != want || !strings.Contains(got, why) {
 		d.Errorf("at %d: serves %v (%s), expected %v (%s)", d.now, ok, got, want, why)
 	}
 }
@@ -93,11 +93,11 @@
 	d.now = sent + 4000
 	d.serves(false, "run out")
 	d.asks()
-	d.now += d.m.Within()
-	d.m.Failed(d.now, d.no)
+	d.now += d.m.HeartbeatTimeout()
+	d.m.HandleFailure(d.now, d.no)
 	late := d.no
 	d.asks()
-	if err := d.m.Answered(d.now, late, membership.Told{Cluster: "g", Term: 1, Index: 2, Lease: 5, LeaseMS: 4000}); err != nil {
+	if err := d.m.HandleResponse(d.now, late, membership.Told{Cluster: "g", Term: 1, Index: 2, Lease: 5, LeaseMS: 4000}); err != nil {
 		t.Fatal(err)
 	}
 	d.serves(false, "run out") // the answer to an asking that was given up
@@ -137,20 +137,20 @@
 		d := begin(t, nil, 0)
 		d.joined(3, false)
 		d.asks()
-		at := d.m.Address()
+		at := d.m.ControlAddress()
 		if strings.TrimSpace(c.t.Cluster) == "" && c.t.Cluster != "" {
 			c.t.Cluster = ""
-			if err := d.m.Answered(d.now, d.no, c.t); err == nil {
+			if err := d.m.HandleResponse(d.now, d.no, c.t); err == nil {
 				t.Errorf("%s: believed", what)
 			}
 		} else if err := d.told(c.t); err == nil {
 			t.Errorf("%s: believed", what)
 		}
-		if d.m.Address() == at {
+		if d.m.ControlAddress() == at {
 			t.Errorf("%s: it goes on asking %s", what, at)
 		}
-		if d.m.InForce() != 3 || d.m.Serves() != 3 || d.m.Floor() != 3 {
-			t.Errorf("%s: changed what it serves to %d, in force %d", what, d.m.Serves(), d.m.InForce())
+		if d.m.CommittedVersion() != 3 || d.m.ActiveVersion() != 3 || d.m.MinVersion() != 3 {
+			t.Errorf("%s: changed what it serves to %d, in force %d", what, d.m.ActiveVersion(), d.m.CommittedVersion())
 		}
 		for k := range d.m.ctl {
 			if d.m.ctl[k].addr == at && d.m.ctl[k].again < d.now+c.back {
@@ -166,9 +166,9 @@
 	asked, times := map[string]int{}, 0
 	for end := d.now + 30_000; d.now < end; times++ {
 		d.asks()
-		asked[d.m.Address()]++
+		asked[d.m.ControlAddress()]++
 		d.now += 20
-		d.m.Failed(d.now, d.no)
+		d.m.HandleFailure(d.now, d.no)
 	}
 	if len(asked) != 3 || times < 20 || times > 120 {
 		t.Errorf("asked %v, %d times in 30 s; expected all three, 20 to 120 times", asked, times)
@@ -178,21 +178,21 @@
 // TestStartAlone: a node that kept its version serves it when nobody answers, if that version's rule lets it, and never
 // when it knows of a newer decision.
 func TestStartAlone(t *testing.T) {
-	kept := Record{Cluster: "g", Version: 3, Hash: "h3", Alone: true, Floor: 3}
+	kept := Record{Cluster: "g", ActiveVersion: 3, ActiveHash: "h3", ActiveAutonomous: true, MinVersion: 3}
 	for what, c := range map[string]struct {
 		change func(*Record)
 		serves bool
 	}{
 		"go-on":                   {func(*Record) {}, true},
-		"fence":                   {func(r *Record) { r.Alone = false }, false},
-		"a newer one was decided": {func(r *Record) { r.Floor = 4 }, false},
+		"fence":                   {func(r *Record) { r.ActiveAutonomous = false }, false},
+		"a newer one was decided": {func(r *Record) { r.MinVersion = 4 }, false},
 		"killed as it took the next over": {func(r *Record) {
-			r.Version, r.Hash, r.Floor, r.Prepared, r.NextHash, r.NextAlone = 2, "h2", 3, 3, "h3", true
+			r.ActiveVersion, r.ActiveHash, r.MinVersion, r.PreparedVersion, r.PreparedHash, r.PreparedAutonomous = 2, "h2", 3, 3, "h3", true
 		}, true},
 		"the same, and that one fences": {func(r *Record) {
-			r.Version, r.Hash, r.Floor, r.Prepared, r.NextHash = 2, "h2", 3, 3, "h3"
+			r.ActiveVersion, r.ActiveHash, r.MinVersion, r.PreparedVersion, r.PreparedHash = 2, "h2", 3, 3, "h3"
 		}, false},
-		"it had said prepared, in doubt": {func(r *Record) { r.Prepared, r.NextHash = 4, "h4" }, true},
+		"it had said prepared, in doubt": {func(r *Record) { r.PreparedVersion, r.PreparedHash = 4, "h4" }, true},
 	} {
 		r := kept
 		c.change(&r)
@@ -200,21 +200,21 @@
 		for end := d.now + 2*aloneAfter; d.now < end; {
 			d.asks()
 			d.now += 50
-			d.m.Failed(d.now, d.no)
-			if v, ok := d.m.Take(d.now); ok {
+			d.m.HandleFailure(d.now, d.no)
+			if v, ok := d.m.VersionToActivate(d.now); ok {
 				if v.Version != 3 {
 					t.Errorf("%s: takes version %d", what, v.Version)
 				}
-				d.m.Took(d.now, v, true)
+				d.m.MarkActive(d.now, v, true)
 			}
 		}
-		if ok, why := d.m.May(d.now); ok != c.serves {
+		if ok, why := d.m.MayServe(d.now); ok != c.serves {
 			t.Errorf("%s: serves %v (%s), expected %v", what, ok, why, c.serves)
 		}
 		if !c.serves {
 			continue
 		}
-		if !d.m.Alone(d.now) {
+		if !d.m.Autonomous(d.now) {
 			t.Errorf("%s: it does not say that it is alone", what)
 		}
 		d.asks()
@@ -237,7 +237,7 @@
 	}
 	d.told(membership.Told{Lease: 5, Need: 1, Force: membership.Named{Version: 1, Hash: "h1"}, Index: 12, Again: 1000})
 	for end := d.now + 20_000; d.now < end; d.now += 50 {
-		if a, _, due := d.m.Ask(d.now); due {
+		if a, _, due := d.m.Heartbeat(d.now); due {
 			t.Fatalf("after its goodbye it asks %+v", a)
 		}
 	}
@@ -260,7 +260,7 @@
 	if err := d.told(second(1)); err == nil || !strings.Contains(err.Error(), "restored without") {
 		t.Fatalf("%v", err)
 	}
-	if ok, _ := d.m.May(d.now); !ok {
+	if ok, _ := d.m.MayServe(d.now); !ok {
 		t.Fatal("it does not serve on under its lease")
 	}
 	d.asks()
@@ -270,14 +270,14 @@
 	if err := d.told(one); err != nil {
 		t.Fatal(err)
 	}
-	if ok, why := d.m.May(d.now); !ok || d.m.Lease() != 0 || d.m.Alone(d.now) {
-		t.Fatalf("between the generations: %v %s, lease %d", ok, why, d.m.Lease())
+	if ok, why := d.m.MayServe(d.now); !ok || d.m.LeaseID() != 0 || d.m.Autonomous(d.now) {
+		t.Fatalf("between the generations: %v %s, lease %d", ok, why, d.m.LeaseID())
 	}
 	// Its zone's order holds until the new one says otherwise, and that one's epochs need not be later.
-	if z := d.m.Zone(); z == nil || z.Share != 32 || d.m.KeptZone().Epoch != 0 {
+	if z := d.m.ZoneOrder(); z == nil || z.Share != 32 || d.m.StoredZoneOrder().Epoch != 0 {
 		t.Fatalf("%+v: it forgot what it may take", z)
 	}
-	until := d.m.Until()
+	until := d.m.LeaseExpiry()
 	d.asks()
 	if d.ask.Zones != 0 {
 		t.Fatalf("it promises epoch %d of an earlier generation", d.ask.Zones)
@@ -285,7 +285,7 @@
 	if d.ask.Lease != 0 || d.ask.Heard.Group != "g2" || d.ask.Heard.Gen != 2 {
 		t.Fatalf("it asks %+v, expected to join the new one", d.ask)
 	}
-	if ok, _ := d.m.May(until); ok {
+	if ok, _ := d.m.MayServe(until); ok {
 		t.Fatal("it serves past the end of the old lease")
 	}
 	one = second(2)
@@ -293,7 +293,7 @@
 	if err := d.told(one); err != nil {
 		t.Fatal(err)
 	}
-	if ok, _ := d.m.May(d.now + 3000); !ok || d.m.Serves() != 2 {
+	if ok, _ := d.m.MayServe(d.now + 3000); !ok || d.m.ActiveVersion() != 2 {
 		t.Fatal("it is in and does not serve")
 	}
 	// The old generation goes on, far ahead: nobody follows it. A sibling of the new one neither.
@@ -307,7 +307,7 @@
 		}
 	}
 	// Over a restart it is remembered.
-	d = begin(t, &Record{Cluster: "g2", Gen: 2, Version: 2, Hash: "h2", Floor: 2, Term: 4, Index: 77}, 0)
+	d = begin(t, &Record{Cluster: "g2", Generation: 2, ActiveVersion: 2, ActiveHash: "h2", MinVersion: 2, Term: 4, Index: 77}, 0)
 	d.asks()
 	if h := d.ask.Heard; h == nil || h.Gen != 2 || h.Index != 77 {
 		t.Fatalf("after a restart it asks with %+v", h)
@@ -315,7 +315,7 @@
 	if err := d.told(membership.Told{Cluster: "g", Gen: 1, Index: 9000, Need: 2, Force: membership.Named{Version: 2, Hash: "h2"}}); err == nil {
 		t.Error("after a restart it follows the old generation")
 	}
-	without := begin(t, &Record{Cluster: "g2", Gen: 2, Version: 2, Hash: "h2", Floor: 2}, policy.Generation)
+	without := begin(t, &Record{Cluster: "g2", Generation: 2, ActiveVersion: 2, ActiveHash: "h2", MinVersion: 2}, policy.Generation)
 	without.asks()
 	if err := without.told(membership.Told{Cluster: "g", Gen: 1, Index: 9000, Need: 2, Force: membership.Named{Version: 2, Hash: "h2"}}); err != nil {
 		t.Errorf("without the guard the old generation is not followed either: %v", err)
@@ -327,10 +327,10 @@
 	d := begin(t, nil, 0)
 	d.joined(2, false)
 	d.asks()
-	if err := d.told(membership.Told{Gather: true}); err != nil || !d.m.Gathered() || d.m.Gathered() {
+	if err := d.told(membership.Told{Gather: true}); err != nil || !d.m.TakeRecordRequest() || d.m.TakeRecordRequest() {
 		t.Fatalf("%v: expected to be asked for what it holds, once", err)
 	}
-	if ok, _ := d.m.May(d.now); !ok || d.m.Floor() != 2 {
+	if ok, _ := d.m.MayServe(d.now); !ok || d.m.MinVersion() != 2 {
 		t.Fatal("it forgot its lease")
 	}
 	was := d.now
@@ -371,16 +371,16 @@
 		}
 	}
 	told("h3")
-	d.m.Prepared(d.now, membership.Named{Version: 3, Hash: "h3"})
+	d.m.MarkPrepared(d.now, membership.Named{Version: 3, Hash: "h3"})
 	if d.asks(); d.ask.Prepared != 3 {
 		t.Fatalf("%+v: it does not say that it is prepared", d.ask)
 	}
-	d.m.Failed(d.now, d.no)
+	d.m.HandleFailure(d.now, d.no)
 	told("another")
 	if d.asks(); d.ask.Prepared != 0 {
 		t.Fatalf("%+v: it says that it has prepared a text that it never saw", d.ask)
 	}
-	if v, _, ok := d.m.Want(); !ok || v.Hash != "another" {
+	if v, _, ok := d.m.VersionToFetch(); !ok || v.Hash != "another" {
 		t.Fatalf("it wants %+v, expected the other text", v)
 	}
 }
--- a/internal/node/agent/pin_decisions_test.go
+++ b/internal/node/agent/pin_decisions_test.go
@@ -147,27 +147,27 @@
 }
 
 // pinnedRecord is what a node with a disk would have on it now.
-func pinnedRecord(m *Member, r Record) Record {
-	told := m.Told()
-	r.Cluster, r.Floor, r.Zone = m.Cluster(), m.Floor(), m.KeptZone()
-	r.Gen, r.Term, r.Index, r.Sum = told.Gen, told.Term, told.Index, told.Sum
-	if n := m.Serves(); n != r.Version {
-		r.Version, r.Hash, r.Text = n, pinnedVersion(n).Hash, "text"
+func pinnedRecord(m *Agent, r Record) Record {
+	told := m.LastSeen()
+	r.Cluster, r.MinVersion, r.ZoneOrder = m.Cluster(), m.MinVersion(), m.StoredZoneOrder()
+	r.Generation, r.Term, r.Index, r.EntryChecksum = told.Gen, told.Term, told.Index, told.Sum
+	if n := m.ActiveVersion(); n != r.ActiveVersion {
+		r.ActiveVersion, r.ActiveHash, r.ActiveText = n, pinnedVersion(n).Hash, "text"
 	}
 	return r
 }
 
 // pinnedLine is all that the agent says at one time.
-func pinnedLine(m *Member, now uint64) string {
-	may, why := m.May(now)
-	told, _ := json.Marshal(m.Told())
-	zone, _ := json.Marshal(m.Zone())
-	kept, _ := json.Marshal(m.KeptZone())
-	want, decided, wanted := m.Want()
-	take, takes := m.Take(now)
-	return fmt.Sprintln(now, may, why, m.Alone(now), m.Serves(), m.Floor(), m.Until(), m.InForce(), m.Lease(), m.Cluster(), m.Met(),
-		string(told), string(zone), string(kept), m.Address(), m.Asked(), m.Length(), m.Due(), m.Within(), want.Version, want.Hash,
-		decided, wanted, take.Version, take.Hash, takes, m.Ready(3), m.Gathered())
+func pinnedLine(m *Agent, now uint64) string {
+	may, why := m.MayServe(now)
+	told, _ := json.Marshal(m.LastSeen())
+	zone, _ := json.Marshal(m.ZoneOrder())
+	kept, _ := json.Marshal(m.StoredZoneOrder())
+	want, decided, wanted := m.VersionToFetch()
+	take, takes := m.VersionToActivate(now)
+	return fmt.Sprintln(now, may, why, m.Autonomous(now), m.ActiveVersion(), m.MinVersion(), m.LeaseExpiry(), m.CommittedVersion(), m.LeaseID(), m.Cluster(), m.GroupContacted(),
+		string(told), string(zone), string(kept), m.ControlAddress(), m.LastContacted(), m.LeaseDuration(), m.NextHeartbeat(), m.HeartbeatTimeout(), want.Version, want.Hash,
+		decided, wanted, take.Version, take.Hash, takes, m.IsPrepared(3), m.TakeRecordRequest())
 }
 
 // pinnedLives plays some lives of a node against a group with faults, and puts all that it decides into a hash.
@@ -180,61 +180,61 @@
 		if life > 0 && g.chance(4) > 0 {
 			kept = &record
 		}
-		m := New(Plan{Name: "node", Zone: "zone", Addr: "127.0.0.1:7", Control: []string{"one", "two", "three"},
-			Nonce: fmt.Sprint("nonce-", life), Seed: uint32(seed) + uint32(life), Without: without}, kept, now)
+		m := New(Config{Name: "node", Zone: "zone", Address: "127.0.0.1:7", ControlAddresses: []string{"one", "two", "three"},
+			Nonce: fmt.Sprint("nonce-", life), JitterSeed: uint32(seed) + uint32(life), DisabledGuards: without}, kept, now)
 		silent := uint64(0) // until then no instance answers
 		late := uint64(0)   // an asking that was given up
 		for range 500 {
 			now += g.chance(250)
 			g.goesOn()
 			fmt.Fprint(sum, pinnedLine(m, now))
-			if v, ok := m.Take(now); ok {
+			if v, ok := m.VersionToActivate(now); ok {
 				taken++
-				m.Took(now, v, g.alone)
+				m.MarkActive(now, v, g.alone)
 				record = pinnedRecord(m, record)
 			}
 			if g.chance(60) == 0 {
 				silent = now + g.chance(12_000)
 			}
-			m.TimedOut(now)
-			if ask, no, due := m.Ask(now); due {
+			m.ExpireHeartbeat(now)
+			if ask, no, due := m.Heartbeat(now); due {
 				asked++
 				raw, _ := json.Marshal(&ask)
 				fmt.Fprintln(sum, string(raw), no)
 				switch now += g.chance(120); {
 				case now < silent && g.chance(3) > 0:
-					late = no // TimedOut gives it up
+					late = no // ExpireHeartbeat gives it up
 				case now < silent:
-					m.Failed(now, no)
+					m.HandleFailure(now, no)
 				default:
-					err := m.Answered(now, no, g.answers(&ask))
+					err := m.HandleResponse(now, no, g.answers(&ask))
 					if err != nil {
 						refused++
 					}
 					fmt.Fprintln(sum, err != nil)
 				}
 			} else if late != 0 && g.chance(3) == 0 {
-				fmt.Fprintln(sum, m.Answered(now, late, g.answers(&membership.Ask{})) != nil)
+				fmt.Fprintln(sum, m.HandleResponse(now, late, g.answers(&membership.Ask{})) != nil)
 				late = 0
 			}
-			if v, decided, ok := m.Want(); ok && g.chance(3) == 0 {
+			if v, decided, ok := m.VersionToFetch(); ok && g.chance(3) == 0 {
 				switch g.chance(6) {
 				case 0:
-					m.Refuse(now, v.Version, "it can't be served under", true)
+					m.Reject(now, v.Version, "it can't be served under", true)
 				case 1:
 					if !decided {
-						m.Refuse(now, v.Version, "it failed its trial", false)
+						m.Reject(now, v.Version, "it failed its trial", false)
 					}
 				default:
-					m.Prepared(now, v)
-					if v.Version > record.Version {
-						record.Prepared, record.Next, record.NextHash, record.NextAlone = v.Version, "text", v.Hash, g.alone
+					m.MarkPrepared(now, v)
+					if v.Version > record.ActiveVersion {
+						record.PreparedVersion, record.PreparedText, record.PreparedHash, record.PreparedAutonomous = v.Version, "text", v.Hash, g.alone
 					}
 				}
 			}
 			switch g.chance(200) {
 			case 0:
-				m.Forget(m.InForce())
+				m.DropPrepared(m.CommittedVersion())
 			case 1:
 				if life == 2 {
 					m.Leave(now)
--- a/internal/node/overlay/adopt.go
+++ b/internal/node/overlay/adopt.go
@@ -14,13 +14,13 @@
 	"umberwinch/internal/node/settings"
 )
 
-// Plan is a version as a node would serve under it.
-type Plan struct {
-	Version    uint64
-	Doc        *document.Document
-	Deployment *admission.Deployment
-	Pools      []pools.Class // the version's word on run slots by handler; nil: it has none
-	Retired    []bool        // handlers of which nothing new is taken
+// Settings is a version as a node would serve under it.
+type Settings struct {
+	Version         uint64
+	Document        *document.Document
+	Deployment      *admission.Deployment
+	PoolClasses     []pools.Class // the version's word on run slots by handler; nil: it has none
+	RetiredHandlers []bool        // handlers of which nothing new is taken
 }
 
 var kinds = map[string]admission.Repeat{document.Replayable: admission.Retryable, document.Uniqued: admission.IdempotencyKeyed,
@@ -30,15 +30,15 @@
 
 func word(t admission.Time) string { return (time.Duration(t) * 100 * time.Microsecond).String() }
 
-// Make checks a version against the platform's settings and lays it over them. What is wrong comes all at once.
+// Apply checks a version against the platform's settings and lays it over them. What is wrong comes all at once.
 // apart tells whether the node sets run slots apart by handler, which can't be begun while it serves.
-func Make(version uint64, base *settings.Profile, doc *document.Document, apart bool) (*Plan, error) {
+func Apply(version uint64, base *settings.Profile, doc *document.Document, apart bool) (*Settings, error) {
 	var faults []string
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Sprintf(format, args...)) }
 	d := *base.Deployment
 	d.Handlers = append([]admission.Handler(nil), d.Handlers...)
 	d.Tenants = append([]admission.Tenant(nil), d.Tenants...)
-	p := &Plan{Version: version, Doc: doc, Deployment: &d, Retired: make([]bool, len(d.Handlers))}
+	p := &Settings{Version: version, Document: doc, Deployment: &d, RetiredHandlers: make([]bool, len(d.Handlers))}
 	inPool := map[string]string{}
 	for _, c := range doc.Classes {
 		i, known := base.Handlers[c.Name]
@@ -63,7 +63,7 @@
 			h.Window = w
 		}
 		h.Value, h.Target = c.Value, min(max(span(c.Target), 1), h.Timeout)
-		p.Retired[i] = c.Retired
+		p.RetiredHandlers[i] = c.Retired
 		if c.Pool != "" {
 			if was, twice := inPool[c.Pool]; twice {
 				fault("pool %s: found classes %s and %s in it, expected one here, as run slots are set apart by handler",
@@ -90,13 +90,13 @@
 		if !known {
 			continue
 		}
-		if p.Pools == nil {
-			p.Pools = make([]pools.Class, len(d.Handlers))
+		if p.PoolClasses == nil {
+			p.PoolClasses = make([]pools.Class, len(d.Handlers))
 			for name, k := range base.Handlers { // each has a place of its own
-				p.Pools[k] = pools.Class{Name: name, Value: d.Handlers[k].Value, Cap: 1}
+				p.PoolClasses[k] = pools.Class{Name: name, Value: d.Handlers[k].Value, Cap: 1}
 			}
 		}
-		p.Pools[i].Floor, p.Pools[i].Cap = o.Floor, o.Cap
+		p.PoolClasses[i].Floor, p.PoolClasses[i].Cap = o.Floor, o.Cap
 	}
 	if len(faults) > 0 {
 		return nil, fmt.Errorf("%s", strings.Join(faults, "; "))
--- a/internal/node/overlay/adopt_test.go
+++ b/internal/node/overlay/adopt_test.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", c.name, err)
 		}
-		_, err = Make(4, base, doc, false)
+		_, err = Apply(4, base, doc, false)
 		if c.why == "" {
 			if err != nil {
 				t.Errorf("%s: %v", c.name, err)
@@ -51,12 +51,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := Make(4, base, doc, false)
+	p, err := Apply(4, base, doc, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h := p.Deployment.Handlers[0]
-	if h.Value != 3 || h.Target != 200*admission.Second/1000 || h.Timeout != 2*admission.Second || !p.Retired[0] ||
+	if h.Value != 3 || h.Target != 200*admission.Second/1000 || h.Timeout != 2*admission.Second || !p.RetiredHandlers[0] ||
 		p.Deployment.Tenants[0].Quota != 7 || p.Deployment.Handlers[1].Value != 20 {
 		t.Errorf("made %+v", p.Deployment)
 	}
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p, err = Make(5, base, doc, true); err != nil || p.Pools[0].Floor != 0.1 || p.Pools[1].Cap != 1 {
+	if p, err = Apply(5, base, doc, true); err != nil || p.PoolClasses[0].Floor != 0.1 || p.PoolClasses[1].Cap != 1 {
 		t.Errorf("pools where run slots are set apart: %v %+v", err, p)
 	}
 }
--- a/internal/node/resultstore/bench_test.go
+++ b/internal/node/resultstore/bench_test.go
@@ -25,7 +25,7 @@
 		before := heap()
 		t := newTable(benchKeys)
 		for i := range benchKeys {
-			*t.put(key(i)) = entry{key: key(i), state: Done}
+			*t.put(key(i)) = entry{key: key(i), state: Completed}
 		}
 		each := float64(heap()-before) / benchKeys
 		b.ResetTimer()
@@ -40,12 +40,12 @@
 		before := heap()
 		m := map[Key]entry{}
 		for i := range benchKeys {
-			m[key(i)] = entry{state: Done}
+			m[key(i)] = entry{state: Completed}
 		}
 		each := float64(heap()-before) / benchKeys
 		b.ResetTimer()
 		for i := 0; i < b.N; i++ {
-			if m[key(i%benchKeys)].state != Done {
+			if m[key(i%benchKeys)].state != Completed {
 				b.Fatal("not there")
 			}
 		}
@@ -56,13 +56,13 @@
 // BenchmarkAge is the longest that one step of letting go takes, with all keys going: of a pass over the slots, and of a wheel of
 // buckets by the end of the window, which needs the keys once more.
 func BenchmarkAge(b *testing.B) {
-	full := func() *Book {
-		book := NewBook(Bounds{Entries: benchKeys, Bytes: 1 << 40, Result: 0})
+	full := func() *Index {
+		book := NewIndex(Limits{Keys: benchKeys, Bytes: 1 << 40, ResultBytes: 0})
 		for k := range benchKeys {
-			r := book.Intend(0, key(k), 1, 10)
-			book.Durable(&r, uint64(k+1))
-			book.Ran(0, key(k), false, nil)
-			book.Durable(&Record{Kind: Fault, Key: key(k)}, uint64(k+1))
+			r := book.Begin(0, key(k), 1, 10)
+			book.MarkDurable(&r, uint64(k+1))
+			book.MarkExecuted(0, key(k), false, nil)
+			book.MarkDurable(&Record{Kind: Failure, Key: key(k)}, uint64(k+1))
 		}
 		runtime.GC()
 		return book
@@ -75,7 +75,7 @@
 			worst := time.Duration(0)
 			for book.Len() > 0 {
 				began := time.Now()
-				book.Age(100, benchKeys+1)
+				book.Expire(100, benchKeys+1)
 				worst = max(worst, time.Since(began))
 			}
 			b.ReportMetric(float64(worst.Microseconds()), "us-worst")
@@ -116,18 +116,18 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			sizes, room := wal.Sizes{Segment: 64 << 20, Bound: 1 << 40}, Bounds{Entries: benchKeys, Bytes: 1 << 40, Result: 256}
+			sizes, room := wal.Sizes{Segment: 64 << 20, Bound: 1 << 40}, Limits{Keys: benchKeys, Bytes: 1 << 40, ResultBytes: 256}
 			s, _, _, err := Open(dir, sizes, room, 0, "boot")
 			if err != nil {
 				b.Fatal(err)
 			}
 			done := make(chan error, queueMost)
 			for i, out := 0, 0; i < 2*n || out > 0; { // an intent and a result each
-				r := Record{Kind: Intent, Key: key(i / 2), Body: 1, Window: 1000}
+				r := Record{Kind: Intent, Key: key(i / 2), BodyDigest: 1, Window: 1000}
 				if i%2 == 1 {
 					r.Kind, r.Result = Result, make([]byte, 100)
 				}
-				if i < 2*n && out < queueMost/2 && s.Put(r, func(_ uint64, err error) { done <- err }) {
+				if i < 2*n && out < queueMost/2 && s.Append(r, func(_ uint64, err error) { done <- err }) {
 					i, out = i+1, out+1
 					continue
 				}
@@ -144,7 +144,7 @@
 				if err != nil || book.Len() != n {
 					b.Fatal(err, book.Len())
 				}
-				b.ReportMetric(float64(o.Took.Milliseconds()), "ms")
+				b.ReportMetric(float64(o.Duration.Milliseconds()), "ms")
 				b.StopTimer()
 				b.ReportMetric(float64(heap()-before)/float64(n), "bytes/key")
 				runtime.KeepAlive(book)
--- a/internal/node/resultstore/kept.go
+++ b/internal/node/resultstore/kept.go
@@ -15,13 +15,13 @@
 
 // The states. Between Intended and the next one the node may die at any instruction: what is durable then is the intent.
 const (
-	Unknown  State = iota // it never was here, or its window is over
-	Intended              // its intent is on the way to the disk: it has not run
-	Started               // its intent is durable, and it was let run in this life
-	May                   // its intent is durable, from a life before: it may have run, and nothing tells how that ended
-	Ended                 // it ran, and its result is on the way to the disk
-	Done                  // it ran, and its result is durable
-	Failed                // it ran to an error, durable: repeats are errored, as what it did is not undone
+	Unknown       State = iota // it never was here, or its window is over
+	IntentPending              // its intent is on the way to the disk: it has not run
+	Running                    // its intent is durable, and it was let run in this life
+	Indeterminate              // its intent is durable, from a life before: it may have run, and nothing tells how that ended
+	ResultPending              // it ran, and its result is on the way to the disk
+	Completed                  // it ran, and its result is durable
+	Failed                     // it ran to an error, durable: repeats are errored, as what it did is not undone
 )
 
 var stateNames = [...]string{"unknown", "intended", "started", "may have run", "ended", "done", "failed"}
@@ -38,53 +38,53 @@
 
 // The verdicts.
 const (
-	Run    Verdict = iota // nothing is known of it: it may run once its intent is durable
-	Wait                  // it is on its way in this life: the result answers this try too
-	Answer                // by the result that is kept
-	Err                   // errored: it ran or may have run, and there is no result
-	Refuse                // another body by the same key: refused, and it harms nothing
-	Full                  // no room for what it may leave behind: shed, with a time to come back
-	Later                 // another body by the same key is under way: shed, as which of the two is true shows by its end
+	Execute        Verdict = iota // nothing is known of it: it may run once its intent is durable
+	WaitForResult                 // it is on its way in this life: the result answers this try too
+	ReturnResult                  // by the result that is kept
+	ReturnError                   // errored: it ran or may have run, and there is no result
+	RejectMismatch                // another body by the same key: refused, and it harms nothing
+	RejectFull                    // no room for what it may leave behind: shed, with a time to come back
+	RejectConflict                // another body by the same key is under way: shed, as which of the two is true shows by its end
 )
 
 var verdictNames = [...]string{"run", "wait", "answer", "err", "refuse", "full", "later"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Bounds of a book.
-type Bounds struct {
-	Entries int    // keys at most
-	Bytes   int64  // of records on disk at most
-	Result  int    // bytes of one result at most: so much is set aside for each run that goes on
-	Window  uint64 // ms: the longest that any key has, for which further tries are doubted after damage
+// Limits of a book.
+type Limits struct {
+	Keys          int    // keys at most
+	Bytes         int64  // of records on disk at most
+	ResultBytes   int    // bytes of one result at most: so much is set aside for each run that goes on
+	LongestWindow uint64 // ms: the longest that any key has, for which further tries are doubted after damage
 }
 
-// Valid says what is wrong with them.
-func (b *Bounds) Valid() error {
+// Validate says what is wrong with them.
+func (b *Limits) Validate() error {
 	switch {
-	case b.Entries < 1 || b.Entries > 1<<26:
-		return fmt.Errorf("entries: found %d, expected 1 to %d", b.Entries, 1<<26)
-	case b.Result < 0 || b.Result > 1<<20:
-		return fmt.Errorf("result: found %d bytes, expected 0 to %d", b.Result, 1<<20)
-	case b.Bytes < 2*recordMost(b.Result):
-		return fmt.Errorf("bytes: found %d, expected %d at least, for one run", b.Bytes, 2*recordMost(b.Result))
+	case b.Keys < 1 || b.Keys > 1<<26:
+		return fmt.Errorf("entries: found %d, expected 1 to %d", b.Keys, 1<<26)
+	case b.ResultBytes < 0 || b.ResultBytes > 1<<20:
+		return fmt.Errorf("result: found %d bytes, expected 0 to %d", b.ResultBytes, 1<<20)
+	case b.Bytes < 2*recordMost(b.ResultBytes):
+		return fmt.Errorf("bytes: found %d, expected %d at least, for one run", b.Bytes, 2*recordMost(b.ResultBytes))
 	}
 	return nil
 }
 
-// Book is what is known of all keys, in memory: digests and places, no results.
-type Book struct {
-	bounds Bounds
-	tab    table
-	used   int64  // bytes of records of keys that are known
-	aside  int64  // and of those that runs under way may still leave
-	last   uint64 // of a replay: the time of the last record, by its own clock
-	kept   int    // and how many keys its last pass left
-	doubt  uint64 // until then a key that is not known may be one that can't be read
-	doubts uint64 // the place of what says so
-	sweep  sweep
-	Sheds  uint64 // tries that found no room
-	Errs   uint64 // tries of keys that may have run
+// Index is what is known of all keys, in memory: digests and places, no results.
+type Index struct {
+	bounds         Limits
+	tab            table
+	used           int64  // bytes of records of keys that are known
+	aside          int64  // and of those that runs under way may still leave
+	last           uint64 // of a replay: the time of the last record, by its own clock
+	kept           int    // and how many keys its last pass left
+	doubt          uint64 // until then a key that is not known may be one that can't be read
+	doubts         uint64 // the place of what says so
+	sweep          sweep
+	Sheds          uint64 // tries that found no room
+	ErrorsReturned uint64 // tries of keys that may have run
 }
 
 // sweep is where ageing stands: a pass over the table, some slots at a time.
@@ -94,9 +94,9 @@
 	least uint64 // the first place that is needed, as far as the pass has come
 }
 
-// NewBook begins with nothing known.
-func NewBook(b Bounds) *Book {
-	return &Book{bounds: b, tab: newTable(b.Entries)}
+// NewIndex begins with nothing known.
+func NewIndex(b Limits) *Index {
+	return &Index{bounds: b, tab: newTable(b.Keys)}
 }
 
 const never = ^uint64(0)
@@ -105,11 +105,11 @@
 const windowMost = 1<<32 - 1
 
 // Len gives the number of keys, Used the bytes that their records have and may still have.
-func (b *Book) Len() int    { return b.tab.n }
-func (b *Book) Used() int64 { return b.used + b.aside }
+func (b *Index) Len() int         { return b.tab.n }
+func (b *Index) BytesUsed() int64 { return b.used + b.aside }
 
-// Find tells what is known of a key.
-func (b *Book) Find(now uint64, k Key) State {
+// Lookup tells what is known of a key.
+func (b *Index) Lookup(now uint64, k Key) State {
 	if e := b.tab.find(k); e != nil && b.live(now, e) {
 		return e.state
 	}
@@ -117,152 +117,152 @@
 }
 
 // live tells whether a key counts: its window is not over, or it is under way.
-func (b *Book) live(now uint64, e *entry) bool {
-	return now < e.until || e.state == Intended || e.state == Started || e.state == Ended
+func (b *Index) live(now uint64, e *entry) bool {
+	return now < e.until || e.state == IntentPending || e.state == Running || e.state == ResultPending
 }
 
-// Try tells what a try of a key gets. body is the digest of the req's body, never 0. place is where the result is.
-func (b *Book) Try(now uint64, k Key, body uint64) (v Verdict, place uint64) {
+// Decide tells what a try of a key gets. body is the digest of the req's body, never 0. place is where the result is.
+func (b *Index) Decide(now uint64, k Key, body uint64) (v Verdict, place uint64) {
 	e := b.tab.find(k)
 	if e == nil || !b.live(now, e) {
 		if !b.room(e != nil) {
 			b.Sheds++
-			return Full, 0
+			return RejectFull, 0
 		}
-		return Run, 0
+		return Execute, 0
 	}
 	if e.body != body {
-		if e.state == Intended || e.state == Started || e.state == Ended {
-			return Later, 0
+		if e.state == IntentPending || e.state == Running || e.state == ResultPending {
+			return RejectConflict, 0
 		}
-		return Refuse, 0
+		return RejectMismatch, 0
 	}
 	switch e.state {
-	case Done:
-		return Answer, e.place
-	case Failed, May:
-		b.Errs++
-		return Err, 0
+	case Completed:
+		return ReturnResult, e.place
+	case Failed, Indeterminate:
+		b.ErrorsReturned++
+		return ReturnError, 0
 	}
-	return Wait, 0
+	return WaitForResult, 0
 }
 
 // room tells whether one more run fits, whatever it leaves behind.
-func (b *Book) room(known bool) bool {
-	return (known || b.tab.n < b.bounds.Entries) && b.used+b.aside+2*recordMost(b.bounds.Result) <= b.bounds.Bytes
+func (b *Index) room(known bool) bool {
+	return (known || b.tab.n < b.bounds.Keys) && b.used+b.aside+2*recordMost(b.bounds.ResultBytes) <= b.bounds.Bytes
 }
 
-// Intend takes a key in that Try let run, and gives the intent, which has to be durable before it runs.
-func (b *Book) Intend(now uint64, k Key, body uint64, window uint64) Record {
+// Begin takes a key in that Try let run, and gives the intent, which has to be durable before it runs.
+func (b *Index) Begin(now uint64, k Key, body uint64, window uint64) Record {
 	if e := b.tab.find(k); e != nil { // its window was over
 		b.drop(e)
 	}
 	e, window := b.tab.put(k), min(window, windowMost)
-	*e = entry{key: k, body: body, state: Intended, until: now + window, window: uint32(window), place: never}
-	b.aside += 2 * recordMost(b.bounds.Result)
-	return Record{Kind: Intent, Key: k, Body: body, At: now, Window: window}
+	*e = entry{key: k, body: body, state: IntentPending, until: now + window, window: uint32(window), place: never}
+	b.aside += 2 * recordMost(b.bounds.ResultBytes)
+	return Record{Kind: Intent, Key: k, BodyDigest: body, At: now, Window: window}
 }
 
-// Durable tells that a record is on disk, at a place and with so many bytes. A result that was not kept for a disk that
+// MarkDurable tells that a record is on disk, at a place and with so many bytes. A result that was not kept for a disk that
 // failed is told by Lost.
-func (b *Book) Durable(r *Record, place uint64) {
+func (b *Index) MarkDurable(r *Record, place uint64) {
 	e := b.tab.find(r.Key)
-	if r.Kind == Unrun {
-		b.aside -= recordMost(b.bounds.Result)
+	if r.Kind == NotExecuted {
+		b.aside -= recordMost(b.bounds.ResultBytes)
 		return
 	}
 	if e == nil {
 		return
 	}
 	n := r.size()
-	b.used, b.aside = b.used+n, b.aside-recordMost(b.bounds.Result)
+	b.used, b.aside = b.used+n, b.aside-recordMost(b.bounds.ResultBytes)
 	e.add(n)
 	switch {
-	case r.Kind == Intent && e.state == Intended:
-		e.state, e.place = Started, place
-	case r.Kind == Result && e.state == Ended:
-		e.state, e.place = Done, place
-	case r.Kind == Fault && e.state == Ended:
+	case r.Kind == Intent && e.state == IntentPending:
+		e.state, e.place = Running, place
+	case r.Kind == Result && e.state == ResultPending:
+		e.state, e.place = Completed, place
+	case r.Kind == Failure && e.state == ResultPending:
 		e.state = Failed
 	}
 }
 
-// Lost tells that a record did not reach the disk. Without its intent a key never runs, and is as if it had not come; what
+// MarkLost tells that a record did not reach the disk. Without its intent a key never runs, and is as if it had not come; what
 // ran and whose end is not durable goes by its intent: after a restart it may have run.
-func (b *Book) Lost(r *Record) {
+func (b *Index) MarkLost(r *Record) {
 	e := b.tab.find(r.Key)
-	if e == nil && r.Kind != Unrun {
+	if e == nil && r.Kind != NotExecuted {
 		return
 	}
-	b.aside -= recordMost(b.bounds.Result)
+	b.aside -= recordMost(b.bounds.ResultBytes)
 	switch {
-	case r.Kind == Unrun:
-	case r.Kind == Intent && e.state == Intended:
-		b.aside -= recordMost(b.bounds.Result)
+	case r.Kind == NotExecuted:
+	case r.Kind == Intent && e.state == IntentPending:
+		b.aside -= recordMost(b.bounds.ResultBytes)
 		b.drop(e)
-	case e.state == Ended:
-		e.state = May
+	case e.state == ResultPending:
+		e.state = Indeterminate
 	}
 }
 
-// Ran tells how a run of a key ended, and gives the record that has to be durable before its answer goes out: its window
+// MarkExecuted tells how a run of a key ended, and gives the record that has to be durable before its answer goes out: its window
 // begins anew, as a repeat may come for so long after the answer.
-func (b *Book) Ran(now uint64, k Key, ok bool, result []byte) (Record, bool) {
+func (b *Index) MarkExecuted(now uint64, k Key, ok bool, result []byte) (Record, bool) {
 	e := b.tab.find(k)
-	if e == nil || e.state != Started {
+	if e == nil || e.state != Running {
 		return Record{}, false
 	}
-	e.state, e.until = Ended, now+uint64(e.window)
-	r := Record{Kind: Fault, Key: k, Body: e.body, At: now, Window: uint64(e.window)}
-	if ok && len(result) <= b.bounds.Result {
+	e.state, e.until = ResultPending, now+uint64(e.window)
+	r := Record{Kind: Failure, Key: k, BodyDigest: e.body, At: now, Window: uint64(e.window)}
+	if ok && len(result) <= b.bounds.ResultBytes {
 		r.Kind, r.Result = Result, result
 	}
 	return r, true
 }
 
-// Unran tells that a key was proved not to have run, after its intent was durable. A repeat may run at once: its intent stands
+// MarkNotExecuted tells that a key was proved not to have run, after its intent was durable. A repeat may run at once: its intent stands
 // behind this record in the log, and where this one is lost the key may have run, which errs on the safe side.
-func (b *Book) Unran(now uint64, k Key) (Record, bool) {
+func (b *Index) MarkNotExecuted(now uint64, k Key) (Record, bool) {
 	e := b.tab.find(k)
-	if e == nil || e.state != Started && e.state != May {
+	if e == nil || e.state != Running && e.state != Indeterminate {
 		return Record{}, false
 	}
-	if e.state == May { // nothing was set aside for it in this life
-		b.aside += recordMost(b.bounds.Result)
+	if e.state == Indeterminate { // nothing was set aside for it in this life
+		b.aside += recordMost(b.bounds.ResultBytes)
 	}
-	r := Record{Kind: Unrun, Key: k, Body: e.body, At: now, Window: uint64(e.window)}
+	r := Record{Kind: NotExecuted, Key: k, BodyDigest: e.body, At: now, Window: uint64(e.window)}
 	b.drop(e)
 	return r, true
 }
 
-func (b *Book) drop(e *entry) {
+func (b *Index) drop(e *entry) {
 	b.used -= e.bytes()
 	b.tab.drop(e.key)
 }
 
 // Replay takes a record of a life before; Resume comes after the last. What is over by the clock of the log itself goes on the
 // way, as more keys may stand in a log than were ever known at one time.
-func (b *Book) Replay(r *Record, place uint64) error {
-	if r.Kind == Boot {
+func (b *Index) Replay(r *Record, place uint64) error {
+	if r.Kind == ClockChange {
 		b.rebase(r.At)
 		return nil
 	}
-	if b.last = max(b.last, r.At); r.Kind == Doubt {
+	if b.last = max(b.last, r.At); r.Kind == Damage {
 		b.doubt, b.doubts = r.At+r.Window, place
 		return nil
 	}
 	e := b.tab.find(r.Key)
-	if e != nil && e.body != r.Body && r.Kind != Intent {
+	if e != nil && e.body != r.BodyDigest && r.Kind != Intent {
 		return fmt.Errorf("a %s of another body than its intent", r.Kind)
 	}
-	if r.Kind == Unrun {
+	if r.Kind == NotExecuted {
 		if e != nil {
 			b.drop(e)
 		}
 		return nil
 	}
 	if e == nil {
-		if b.tab.n >= 2*b.bounds.Entries+b.kept { // each pass drops at least as many as come before the next
+		if b.tab.n >= 2*b.bounds.Keys+b.kept { // each pass drops at least as many as come before the next
 			b.purge()
 			b.kept = b.tab.n
 		}
@@ -271,23 +271,23 @@
 	}
 	n := r.size()
 	b.used += n
-	e.body, e.window, e.until = r.Body, uint32(min(r.Window, windowMost)), r.At+r.Window
+	e.body, e.window, e.until = r.BodyDigest, uint32(min(r.Window, windowMost)), r.At+r.Window
 	e.add(n)
 	switch r.Kind {
 	case Intent:
-		e.state, e.place = May, place
+		e.state, e.place = Indeterminate, place
 	case Result:
-		e.state, e.place = Done, place
-	case Fault:
+		e.state, e.place = Completed, place
+	case Failure:
 		e.state = Failed
 	}
 	return nil
 }
 
-// Resume ends the replay. same tells that the clock goes on from the last record's: else nobody knows how long the node was
+// FinishReplay ends the replay. same tells that the clock goes on from the last record's: else nobody knows how long the node was
 // down, and windows go on from that record on, as if it had been no time. So none is over too early, and each is over one window
 // after the restart at most.
-func (b *Book) Resume(now uint64, same bool) {
+func (b *Index) FinishReplay(now uint64, same bool) {
 	if same {
 		b.last = max(b.last, now)
 		b.purge()
@@ -297,7 +297,7 @@
 }
 
 // rebase moves all windows from one boot's clock to that of the next.
-func (b *Book) rebase(now uint64) {
+func (b *Index) rebase(now uint64) {
 	b.purge()
 	for i := range b.tab.slots {
 		if e := &b.tab.slots[i]; e.state != Unknown {
@@ -310,12 +310,12 @@
 	b.last = now
 }
 
-// Doubts tells whether a further try of a key that is not known has to be errored: its first one may be what can't be read. A
+// KeysMayBeLost tells whether a further try of a key that is not known has to be errored: its first one may be what can't be read. A
 // first try runs, as ever.
-func (b *Book) Doubts(now uint64) bool { return now < b.doubt }
+func (b *Index) KeysMayBeLost(now uint64) bool { return now < b.doubt }
 
 // purge drops what is over as of the last record.
-func (b *Book) purge() {
+func (b *Index) purge() {
 	for i := range b.tab.slots {
 		for e := &b.tab.slots[i]; e.state != Unknown && e.until <= b.last; e = &b.tab.slots[i] {
 			b.drop(e) // another may take the slot
@@ -323,8 +323,8 @@
 	}
 }
 
-// Each goes through all keys that count, in no order that means anything; left is ms of their windows, 0 while one is under way.
-func (b *Book) Each(now uint64, f func(k Key, s State, left uint64)) {
+// ForEach goes through all keys that count, in no order that means anything; left is ms of their windows, 0 while one is under way.
+func (b *Index) ForEach(now uint64, f func(k Key, s State, left uint64)) {
 	for i := range b.tab.slots {
 		if e := &b.tab.slots[i]; e.state != Unknown && b.live(now, e) {
 			f(e.key, e.state, e.until-min(e.until, now))
@@ -335,12 +335,12 @@
 // sweepSlots is how many slots one Age looks at: some microseconds.
 const sweepSlots = 512
 
-// Steps is how many times Age has to be called to go through all keys once.
-func (b *Book) Steps() int { return (len(b.tab.slots) + sweepSlots - 1) / sweepSlots }
+// ExpireSteps is how many times Age has to be called to go through all keys once.
+func (b *Index) ExpireSteps() int { return (len(b.tab.slots) + sweepSlots - 1) / sweepSlots }
 
-// Age lets go of some keys whose window is over. Once it has gone through all it gives the first place of the log that is
+// Expire lets go of some keys whose window is over. Once it has gone through all it gives the first place of the log that is
 // still needed, else 0. next is the place that the log's next entry gets. It is called often and does little.
-func (b *Book) Age(now, next uint64) (gone int, first uint64) {
+func (b *Index) Expire(now, next uint64) (gone int, first uint64) {
 	s := &b.sweep
 	if s.at == 0 || s.size != len(b.tab.slots) { // a table that grew has its keys elsewhere: the pass begins anew
 		*s = sweep{size: len(b.tab.slots), least: next} // what comes from here on stands behind that
--- a/internal/node/resultstore/kept_test.go
+++ b/internal/node/resultstore/kept_test.go
@@ -16,7 +16,7 @@
 	"umberwinch/internal/wal"
 )
 
-var bounds = Bounds{Entries: 64, Bytes: 1 << 20, Result: 64}
+var bounds = Limits{Keys: 64, Bytes: 1 << 20, ResultBytes: 64}
 
 func key(n int) (k Key) {
 	binary.LittleEndian.PutUint64(k[:], uint64(n)*0x9e3779b97f4a7c15)
@@ -35,7 +35,7 @@
 				delete(is, k)
 			} else if !there {
 				place := uint64(rapid.IntRange(1, 1000).Draw(r, "place"))
-				*tab.put(k) = entry{key: k, state: Done, place: place}
+				*tab.put(k) = entry{key: k, state: Completed, place: place}
 				is[k] = place
 			}
 			tab.drop(Key{14: 1}) // that is not there
@@ -57,10 +57,10 @@
 	for i := range all {
 		all[i] = byte(i)
 	}
-	for _, r := range []Record{{Kind: Intent, Key: key(1), Body: 7, At: 9, Window: 21_951}, {Kind: Result, Key: key(2), Body: 1 << 63,
-		Result: bytes.Repeat(all, 16)}, {Kind: Fault, Key: key(3)}, {Kind: Unrun}} {
+	for _, r := range []Record{{Kind: Intent, Key: key(1), BodyDigest: 7, At: 9, Window: 21_951}, {Kind: Result, Key: key(2), BodyDigest: 1 << 63,
+		Result: bytes.Repeat(all, 16)}, {Kind: Failure, Key: key(3)}, {Kind: NotExecuted}} {
 		got, err := ReadRecord(r.Append(nil))
-		if err != nil || got.Kind != r.Kind || got.Key != r.Key || got.Body != r.Body || got.At != r.At || got.Window != r.Window ||
+		if err != nil || got.Kind != r.Kind || got.Key != r.Key || got.BodyDigest != r.BodyDigest || got.At != r.At || got.Window != r.Window ||
 			!bytes.Equal(got.Result, r.Result) {
 			t.Errorf("%+v became %+v, %v", r, got, err)
 		}
@@ -75,43 +75,43 @@
 // TestVerdicts: what a try of a key gets in each state, in this life and in the next.
 func TestVerdicts(t *testing.T) {
 	const window = 1000
-	b := NewBook(bounds)
-	try := func(b *Book, now uint64, want Verdict) {
+	b := NewIndex(bounds)
+	try := func(b *Index, now uint64, want Verdict) {
 		t.Helper()
-		if v, _ := b.Try(now, key(1), 5); v != want {
-			t.Fatalf("at %d, %s: %s, expected %s", now, b.Find(now, key(1)), v, want)
+		if v, _ := b.Decide(now, key(1), 5); v != want {
+			t.Fatalf("at %d, %s: %s, expected %s", now, b.Lookup(now, key(1)), v, want)
 		}
-		if v, _ := b.Try(now, key(1), 6); want == Wait && v != Later || want != Wait && want != Run && v != Refuse {
+		if v, _ := b.Decide(now, key(1), 6); want == WaitForResult && v != RejectConflict || want != WaitForResult && want != Execute && v != RejectMismatch {
 			t.Fatalf("another body gets %s where the same gets %s", v, want)
 		}
 	}
-	try(b, 0, Run)
-	intent := b.Intend(0, key(1), 5, window)
-	try(b, 10, Wait)
-	if _, ok := b.Ran(10, key(1), true, nil); ok {
+	try(b, 0, Execute)
+	intent := b.Begin(0, key(1), 5, window)
+	try(b, 10, WaitForResult)
+	if _, ok := b.MarkExecuted(10, key(1), true, nil); ok {
 		t.Fatal("it ran before its intent was durable")
 	}
-	b.Durable(&intent, 1)
-	try(b, 20, Wait)
-	try(b, 5000, Wait) // under way, whatever its window says
-	ended, ok := b.Ran(5000, key(1), true, []byte("done"))
+	b.MarkDurable(&intent, 1)
+	try(b, 20, WaitForResult)
+	try(b, 5000, WaitForResult) // under way, whatever its window says
+	ended, ok := b.MarkExecuted(5000, key(1), true, []byte("done"))
 	if !ok || ended.Kind != Result {
 		t.Fatalf("%+v %v", ended, ok)
 	}
-	try(b, 5000, Wait) // its answer goes out once that is durable
-	b.Durable(&ended, 2)
-	try(b, 5999, Answer)
-	try(b, 6000, Run)
+	try(b, 5000, WaitForResult) // its answer goes out once that is durable
+	b.MarkDurable(&ended, 2)
+	try(b, 5999, ReturnResult)
+	try(b, 6000, Execute)
 	// The next life, after each record, by a clock that goes on and by one that does not.
 	for _, c := range []struct {
 		records []Record
 		state   State
 		at      Verdict // before the window is over
-	}{{[]Record{intent}, May, Err}, {[]Record{intent, ended}, Done, Answer}, {[]Record{ended}, Done, Answer},
-		{[]Record{intent, {Kind: Fault, Key: key(1), Body: 5, At: 10, Window: window}}, Failed, Err},
-		{[]Record{intent, {Kind: Unrun, Key: key(1), Body: 5, At: 10, Window: window}}, Unknown, Run}} {
+	}{{[]Record{intent}, Indeterminate, ReturnError}, {[]Record{intent, ended}, Completed, ReturnResult}, {[]Record{ended}, Completed, ReturnResult},
+		{[]Record{intent, {Kind: Failure, Key: key(1), BodyDigest: 5, At: 10, Window: window}}, Failed, ReturnError},
+		{[]Record{intent, {Kind: NotExecuted, Key: key(1), BodyDigest: 5, At: 10, Window: window}}, Unknown, Execute}} {
 		for _, same := range []bool{true, false} {
-			n := NewBook(bounds)
+			n := NewIndex(bounds)
 			now, over := uint64(400), c.records[len(c.records)-1].At+window
 			if !same {
 				now, over = 7, 7+window
@@ -121,22 +121,22 @@
 					t.Fatal(err)
 				}
 			}
-			n.Resume(now, same)
-			if s := n.Find(now, key(1)); s != c.state {
+			n.FinishReplay(now, same)
+			if s := n.Lookup(now, key(1)); s != c.state {
 				t.Fatalf("%v, same clock %v: %s, expected %s", c.records, same, s, c.state)
 			}
 			if c.state == Unknown {
 				continue
 			}
 			try(n, over-1, c.at)
-			try(n, over, Run)
-			if c.state == May { // proved not to have run
-				r, ok := n.Unran(now, key(1))
+			try(n, over, Execute)
+			if c.state == Indeterminate { // proved not to have run
+				r, ok := n.MarkNotExecuted(now, key(1))
 				if !ok {
 					t.Fatal("it can't be proved not to have run")
 				}
-				n.Durable(&r, 9)
-				try(n, now, Run)
+				n.MarkDurable(&r, 9)
+				try(n, now, Execute)
 			}
 		}
 	}
@@ -144,17 +144,17 @@
 
 // TestLost: what the disk did not take: an intent as if the req had not come, a result as one that may have run.
 func TestLost(t *testing.T) {
-	b := NewBook(bounds)
-	r := b.Intend(0, key(1), 5, 1000)
-	b.Lost(&r)
-	if v, _ := b.Try(0, key(1), 5); v != Run || b.Used() != 0 {
-		t.Fatalf("%s, %d bytes set aside", v, b.Used())
-	}
-	r = b.Intend(0, key(1), 5, 1000)
-	b.Durable(&r, 1)
-	r, _ = b.Ran(10, key(1), true, []byte("x"))
-	b.Lost(&r)
-	if v, _ := b.Try(20, key(1), 5); v != Err || b.Errs != 1 {
+	b := NewIndex(bounds)
+	r := b.Begin(0, key(1), 5, 1000)
+	b.MarkLost(&r)
+	if v, _ := b.Decide(0, key(1), 5); v != Execute || b.BytesUsed() != 0 {
+		t.Fatalf("%s, %d bytes set aside", v, b.BytesUsed())
+	}
+	r = b.Begin(0, key(1), 5, 1000)
+	b.MarkDurable(&r, 1)
+	r, _ = b.MarkExecuted(10, key(1), true, []byte("x"))
+	b.MarkLost(&r)
+	if v, _ := b.Decide(20, key(1), 5); v != ReturnError || b.ErrorsReturned != 1 {
 		t.Fatalf("%s, expected that it may have run", v)
 	}
 }
@@ -162,54 +162,54 @@
 // TestFull: with no room new keys are shed, known ones are answered, and nothing inside its window is let go of; a run that
 // was let in always has room for what it leaves.
 func TestFull(t *testing.T) {
-	small := Bounds{Entries: 8, Bytes: 12 * recordMost(32), Result: 32}
-	if err := small.Valid(); err != nil {
+	small := Limits{Keys: 8, Bytes: 12 * recordMost(32), ResultBytes: 32}
+	if err := small.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	b, place := NewBook(small), uint64(0)
+	b, place := NewIndex(small), uint64(0)
 	let := 0
 	for i := 0; ; i++ {
-		if v, _ := b.Try(0, key(i), 1); v != Run {
-			if v != Full {
+		if v, _ := b.Decide(0, key(i), 1); v != Execute {
+			if v != RejectFull {
 				t.Fatal(v)
 			}
 			break
 		}
-		r := b.Intend(0, key(i), 1, 1000)
+		r := b.Begin(0, key(i), 1, 1000)
 		place++
-		b.Durable(&r, place)
+		b.MarkDurable(&r, place)
 		let++
 	}
-	if let == 0 || b.Used() > small.Bytes {
-		t.Fatalf("%d let run, %d bytes of %d", let, b.Used(), small.Bytes)
+	if let == 0 || b.BytesUsed() > small.Bytes {
+		t.Fatalf("%d let run, %d bytes of %d", let, b.BytesUsed(), small.Bytes)
 	}
 	for i := range let {
-		r, ok := b.Ran(10, key(i), true, make([]byte, 32))
+		r, ok := b.MarkExecuted(10, key(i), true, make([]byte, 32))
 		if !ok || r.Kind != Result {
 			t.Fatalf("%+v", r)
 		}
 		place++
-		b.Durable(&r, place)
-		if b.Used() > small.Bytes {
-			t.Fatalf("%d bytes of %d", b.Used(), small.Bytes)
+		b.MarkDurable(&r, place)
+		if b.BytesUsed() > small.Bytes {
+			t.Fatalf("%d bytes of %d", b.BytesUsed(), small.Bytes)
 		}
 	}
 	for now := uint64(0); now < 1010; now += 101 {
-		b.Age(now, place+1)
+		b.Expire(now, place+1)
 	}
 	for i := range let {
-		if v, _ := b.Try(1009, key(i), 1); v != Answer {
+		if v, _ := b.Decide(1009, key(i), 1); v != ReturnResult {
 			t.Fatalf("key %d gets %s inside its window", i, v)
 		}
 	}
 	for range 10 {
-		b.Age(1010, place+1)
+		b.Expire(1010, place+1)
 	}
-	if b.Len() != 0 || b.Used() != 0 {
-		t.Fatalf("%d keys and %d bytes once all windows are over", b.Len(), b.Used())
+	if b.Len() != 0 || b.BytesUsed() != 0 {
+		t.Fatalf("%d keys and %d bytes once all windows are over", b.Len(), b.BytesUsed())
 	}
-	for _, bad := range []Bounds{{}, {Entries: 1, Bytes: 10}, {Entries: 1, Bytes: 1 << 20, Result: -1}} {
-		if bad.Valid() == nil {
+	for _, bad := range []Limits{{}, {Keys: 1, Bytes: 10}, {Keys: 1, Bytes: 1 << 20, ResultBytes: -1}} {
+		if bad.Validate() == nil {
 			t.Errorf("%+v is taken", bad)
 		}
 	}
@@ -219,28 +219,28 @@
 func TestAgeKeepsPlaces(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		r := rand.New(rand.NewSource(seed))
-		b := NewBook(Bounds{Entries: 4000, Bytes: 1 << 30, Result: 8})
+		b := NewIndex(Limits{Keys: 4000, Bytes: 1 << 30, ResultBytes: 8})
 		next, free, open := uint64(1), uint64(1), []Key{}
 		for now := uint64(0); now < 30_000; now += 5 {
 			if k := key(r.Intn(3000)); r.Intn(3) > 0 {
-				if v, _ := b.Try(now, k, 1); v == Run {
-					rec := b.Intend(now, k, 1, uint64(100+r.Intn(3000)))
-					b.Durable(&rec, next)
+				if v, _ := b.Decide(now, k, 1); v == Execute {
+					rec := b.Begin(now, k, 1, uint64(100+r.Intn(3000)))
+					b.MarkDurable(&rec, next)
 					next, open = next+1, append(open, k)
 				}
 			} else if len(open) > 0 { // runs end in the order in which they began, some sooner and some later
-				if rec, ok := b.Ran(now, open[0], true, nil); ok {
-					b.Durable(&rec, next)
+				if rec, ok := b.MarkExecuted(now, open[0], true, nil); ok {
+					b.MarkDurable(&rec, next)
 					next++
 				}
 				open = open[1:]
 			}
 			if len(open) > 40 {
-				rec, _ := b.Ran(now, open[0], true, nil)
-				b.Durable(&rec, next)
+				rec, _ := b.MarkExecuted(now, open[0], true, nil)
+				b.MarkDurable(&rec, next)
 				next, open = next+1, open[1:]
 			}
-			if _, first := b.Age(now, next); first > 0 {
+			if _, first := b.Expire(now, next); first > 0 {
 				free = max(free, first)
 			}
 			for i := range b.tab.slots {
@@ -257,7 +257,7 @@
 
 // TestAgeSeesMoves: a key that moves behind a pass while it goes on keeps its place.
 func TestAgeSeesMoves(t *testing.T) {
-	b := NewBook(Bounds{Entries: 4000, Bytes: 1 << 30, Result: 8})
+	b := NewIndex(Limits{Keys: 4000, Bytes: 1 << 30, ResultBytes: 8})
 	near := func(n byte) (k Key) { // all at home two slots before the first step of a pass ends
 		at, _ := bits.Div64(sweepSlots-2, 0, uint64(len(b.tab.slots)))
 		binary.BigEndian.PutUint64(k[:], at+1)
@@ -265,18 +265,18 @@
 		return k
 	}
 	for i, c := range []struct{ place, window uint64 }{{2, 10}, {3, 1000}, {1, 1000}} {
-		r := b.Intend(0, near(byte(i)), 1, c.window)
-		b.Durable(&r, c.place)
-		r, _ = b.Ran(0, near(byte(i)), true, nil)
-		b.Durable(&r, c.place)
+		r := b.Begin(0, near(byte(i)), 1, c.window)
+		b.MarkDurable(&r, c.place)
+		r, _ = b.MarkExecuted(0, near(byte(i)), true, nil)
+		b.MarkDurable(&r, c.place)
 	}
 	if b.tab.slots[sweepSlots].place != 1 {
 		t.Fatal("the third key is not behind the first step")
 	}
-	b.Age(0, 10)
-	b.Intend(20, near(0), 1, 1000) // its window was over: those behind it move up
+	b.Expire(0, 10)
+	b.Begin(20, near(0), 1, 1000) // its window was over: those behind it move up
 	for range 100 {
-		if _, first := b.Age(20, 10); first > 0 {
+		if _, first := b.Expire(20, 10); first > 0 {
 			if first > 1 {
 				t.Errorf("places are free up to %d, and a key needs 1", first)
 			}
@@ -297,17 +297,17 @@
 		ran, result := map[int]uint64{}, map[int][]byte{} // when it ran last, and what was answered for it
 		for life := 0; life < 6; life++ {
 			boot := fmt.Sprint("boot ", life/2) // every second restart is one of the machine
-			s, b, _, err := Open(disk, wal.Sizes{Segment: 4096, Bound: 1 << 20}, Bounds{Entries: 500, Bytes: 1 << 19, Result: 64}, now, boot)
+			s, b, _, err := Open(disk, wal.Sizes{Segment: 4096, Bound: 1 << 20}, Limits{Keys: 500, Bytes: 1 << 19, ResultBytes: 64}, now, boot)
 			if err != nil {
 				t.Fatalf("seed %d, life %d: %v", seed, life, err)
 			}
 			wait := func(rec Record) error { // the test is the loop; it waits where a node would go on with other reqs
 				got := make(chan error, 1)
-				if !s.Put(rec, func(place uint64, err error) {
+				if !s.Append(rec, func(place uint64, err error) {
 					if err == nil {
-						b.Durable(&rec, place)
+						b.MarkDurable(&rec, place)
 					} else {
-						b.Lost(&rec)
+						b.MarkLost(&rec)
 					}
 					got <- err
 				}) {
@@ -319,24 +319,24 @@
 			for step := 0; step < steps; step++ {
 				now += uint64(r.Intn(120))
 				n := r.Intn(12)
-				v, place := b.Try(now, key(n), 1)
-				if at, before := ran[n]; before && v != Run && now-at > window && now > began+window {
+				v, place := b.Decide(now, key(n), 1)
+				if at, before := ran[n]; before && v != Execute && now-at > window && now > began+window {
 					t.Fatalf("seed %d, life %d: key %d is known %d after it ran, and %d after the start", seed, life, n, now-at, now-began)
 				}
 				switch v {
-				case Answer:
-					got, err := s.Result(place)
+				case ReturnResult:
+					got, err := s.ReadResult(place)
 					if err != nil || !bytes.Equal(got, result[n]) {
 						t.Fatalf("seed %d: key %d is answered %q (%v), expected %q", seed, n, got, err, result[n])
 					}
 					answers++
-				case Err:
+				case ReturnError:
 					errs++
-				case Run:
+				case Execute:
 					if at, before := ran[n]; before && now-at < window {
 						t.Fatalf("seed %d, life %d: key %d runs at %d, and ran at %d", seed, life, n, now, at)
 					}
-					rec := b.Intend(now, key(n), 1, window)
+					rec := b.Begin(now, key(n), 1, window)
 					if step == steps-1 && r.Intn(3) == 0 {
 						step = steps // killed before its intent is on the way
 						break
@@ -351,15 +351,15 @@
 					now += uint64(r.Intn(30))
 					ran[n] = now
 					out := []byte(fmt.Sprintf("result %d of %d at %d", seed, n, now))
-					if rec, ok := b.Ran(now, key(n), true, out); !ok {
+					if rec, ok := b.MarkExecuted(now, key(n), true, out); !ok {
 						t.Fatal("its run counts for nothing")
 					} else if err := wait(rec); err != nil {
 						t.Fatal(err)
 					}
 					result[n] = out
 				}
-				if _, first := b.Age(now, s.Next()); first > 0 {
-					if err := s.Release(first); err != nil {
+				if _, first := b.Expire(now, s.NextPosition()); first > 0 {
+					if err := s.ReleaseBefore(first); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -433,7 +433,7 @@
 	d.stall.Store(int64(20 * time.Millisecond))
 	before, got := s.log.Flushes(), make(chan error, 300)
 	for i := range 300 {
-		if !s.Put(Record{Kind: Intent, Key: key(i)}, func(_ uint64, err error) { got <- err }) {
+		if !s.Append(Record{Kind: Intent, Key: key(i)}, func(_ uint64, err error) { got <- err }) {
 			t.Fatal("not taken")
 		}
 	}
@@ -447,16 +447,16 @@
 	}
 	d.stall.Store(0)
 	put := func() error {
-		s.Put(Record{Kind: Fault, Key: key(1)}, func(_ uint64, err error) { got <- err })
+		s.Append(Record{Kind: Failure, Key: key(1)}, func(_ uint64, err error) { got <- err })
 		return <-got
 	}
-	s.Put(Record{Kind: Result, Key: key(3), Result: []byte("known")}, func(_ uint64, err error) { got <- err })
+	s.Append(Record{Kind: Result, Key: key(3), Result: []byte("known")}, func(_ uint64, err error) { got <- err })
 	if err := <-got; err != nil {
 		t.Fatal(err)
 	}
-	known := s.Next() - 1
+	known := s.NextPosition() - 1
 	d.fails.Store(true)
-	if put() == nil || s.Bad() == nil || put() == nil {
+	if put() == nil || s.Err() == nil || put() == nil {
 		t.Fatal("a sync fails, and records are taken for durable")
 	}
 	// While the log is opened again, and the disk takes its time, nobody who hands a record over waits.
@@ -466,7 +466,7 @@
 	time.Sleep(reopenEvery * 3 / 2) // it is looked at once at least
 	read := make(chan error, 1)
 	go func() {
-		raw, err := s.Result(known)
+		raw, err := s.ReadResult(known)
 		if err == nil && string(raw) != "known" {
 			err = fmt.Errorf("%q", raw)
 		}
@@ -489,9 +489,9 @@
 	}
 	d.locks.Store(nil)
 	close(let)
-	for end := time.Now().Add(10 * time.Second); s.Bad() != nil; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); s.Err() != nil; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("the disk is well, and the store is not: %v", s.Bad())
+			t.Fatalf("the disk is well, and the store is not: %v", s.Err())
 		}
 	}
 	if err := put(); err != nil {
@@ -500,22 +500,22 @@
 	big := Record{Kind: Result, Key: key(2), Result: make([]byte, 300_000)}
 	full := error(nil)
 	for i := 0; i < 6 && full == nil; i++ {
-		s.Put(big, func(_ uint64, err error) { got <- err })
+		s.Append(big, func(_ uint64, err error) { got <- err })
 		full = <-got
 	}
-	if !errors.Is(full, wal.ErrFull) || s.Bad() != nil {
-		t.Fatalf("%v, %v: expected a full log, and no fault", full, s.Bad())
+	if !errors.Is(full, wal.ErrFull) || s.Err() != nil {
+		t.Fatalf("%v, %v: expected a full log, and no fault", full, s.Err())
 	}
-	if raw, err := s.Result(s.Next() - 1); err != nil || len(raw) != 300_000 {
+	if raw, err := s.ReadResult(s.NextPosition() - 1); err != nil || len(raw) != 300_000 {
 		t.Errorf("what is there can't be read: %v", err)
 	}
 }
 
 // TestManyOver: a log may hold more keys than may be known at one time; those whose windows are over go as it is read.
 func TestManyOver(t *testing.T) {
-	b := NewBook(Bounds{Entries: 16, Bytes: 1 << 20, Result: 64})
+	b := NewIndex(Limits{Keys: 16, Bytes: 1 << 20, ResultBytes: 64})
 	for i := range 1000 {
-		r := Record{Kind: Result, Key: key(i), Body: 1, At: uint64(i), Window: 10}
+		r := Record{Kind: Result, Key: key(i), BodyDigest: 1, At: uint64(i), Window: 10}
 		if err := b.Replay(&r, uint64(i+1)); err != nil {
 			t.Fatal(err)
 		}
@@ -523,7 +523,7 @@
 			t.Fatalf("%d keys in memory after %d, expected a few times 16 at most", b.Len(), i+1)
 		}
 	}
-	b.Resume(1000, true)
+	b.FinishReplay(1000, true)
 	if b.Len() != 9 {
 		t.Errorf("%d keys, expected the last nine", b.Len())
 	}
--- a/internal/node/resultstore/pin_stored_test.go
+++ b/internal/node/resultstore/pin_stored_test.go
@@ -19,7 +19,7 @@
 
 var (
 	pinnedSizes  = wal.Sizes{Segment: 1024, Bound: 1 << 20}
-	pinnedBounds = Bounds{Entries: 64, Bytes: 1 << 18, Result: 128, Window: 60_000}
+	pinnedBounds = Limits{Keys: 64, Bytes: 1 << 18, ResultBytes: 128, LongestWindow: 60_000}
 )
 
 const (
@@ -34,10 +34,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Each = true
+	s.SyncEachRecord = true
 	put := func(r Record) {
 		done := make(chan error, 1)
-		if !s.Put(r, func(place uint64, err error) { b.Durable(&r, place); done <- err }) {
+		if !s.Append(r, func(place uint64, err error) { b.MarkDurable(&r, place); done <- err }) {
 			t.Fatal("the queue is full")
 		}
 		if err := <-done; err != nil {
@@ -46,17 +46,17 @@
 	}
 	for k := range 24 {
 		now := pinnedNow + uint64(k)*100
-		put(b.Intend(now, key(k), uint64(1000+k), 60_000+uint64(k)))
+		put(b.Begin(now, key(k), uint64(1000+k), 60_000+uint64(k)))
 		switch k % 6 {
 		case 3: // killed while it ran
 		case 4:
-			r, _ := b.Ran(now+10, key(k), false, nil)
+			r, _ := b.MarkExecuted(now+10, key(k), false, nil)
 			put(r)
 		case 5:
-			r, _ := b.Unran(now+10, key(k))
+			r, _ := b.MarkNotExecuted(now+10, key(k))
 			put(r)
 		default:
-			r, _ := b.Ran(now+10, key(k), true, bytes.Repeat([]byte(fmt.Sprint("result ", k, " ")), 1+k%4))
+			r, _ := b.MarkExecuted(now+10, key(k), true, bytes.Repeat([]byte(fmt.Sprint("result ", k, " ")), 1+k%4))
 			put(r)
 		}
 	}
@@ -101,9 +101,9 @@
 }
 
 // pinnedState is what is known of each key, a line a key.
-func pinnedState(b *Book, now uint64) string {
+func pinnedState(b *Index, now uint64) string {
 	var lines []string
-	b.Each(now, func(k Key, s State, left uint64) { lines = append(lines, fmt.Sprintf("%x %d %d\n", k, s, left)) })
+	b.ForEach(now, func(k Key, s State, left uint64) { lines = append(lines, fmt.Sprintf("%x %d %d\n", k, s, left)) })
 	slices.Sort(lines)
 	return strings.Join(lines, "")
 }
@@ -142,17 +142,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if found.Records != 45 || found.Keys != 20 || found.May != 4 || found.Same != (boot == pinnedBoot) || found.Torn != "" || found.Gaps != 0 {
+		if found.Records != 45 || found.Keys != 20 || found.Indeterminate != 4 || found.SameBoot != (boot == pinnedBoot) || found.TornTail != "" || found.Gaps != 0 {
 			t.Errorf("%s: found %+v", boot, found)
 		}
 		var want []string
 		last := pinnedNow + 23*100 + 10
 		for k := range 24 {
 			began := pinnedNow + uint64(k)*100
-			until, state := began+10+60_000+uint64(k), Done
+			until, state := began+10+60_000+uint64(k), Completed
 			switch k % 6 {
 			case 3:
-				until, state = began+60_000+uint64(k), May
+				until, state = began+60_000+uint64(k), Indeterminate
 			case 4:
 				state = Failed
 			case 5:
@@ -163,16 +163,16 @@
 				left = until - last
 			}
 			want = append(want, fmt.Sprintf("%x %d %d\n", key(k), state, left))
-			v, place := b.Try(now, key(k), uint64(1000+k))
-			if state == Done {
-				if got, err := s.Result(place); v != Answer || err != nil ||
+			v, place := b.Decide(now, key(k), uint64(1000+k))
+			if state == Completed {
+				if got, err := s.ReadResult(place); v != ReturnResult || err != nil ||
 					!bytes.Equal(got, bytes.Repeat([]byte(fmt.Sprint("result ", k, " ")), 1+k%4)) {
 					t.Errorf("%s: key %d gets %d, %q, %v", boot, k, v, got, err)
 				}
-			} else if v != Err {
+			} else if v != ReturnError {
 				t.Errorf("%s: key %d gets %d, expected an error", boot, k, v)
 			}
-			if v, _ = b.Try(now, key(k), 7); v != Refuse {
+			if v, _ = b.Decide(now, key(k), 7); v != RejectMismatch {
 				t.Errorf("%s: key %d with another body gets %d, expected that it is refused", boot, k, v)
 			}
 		}
@@ -210,7 +210,7 @@
 		return raw
 	})
 	b, found, _, err := Inspect(wal.Dir(torn), pinnedSizes, pinnedBounds, pinnedNow+3000, pinnedBoot)
-	if err != nil || found.Torn == "" || found.Keys != 20 || b.Len() != 20 {
+	if err != nil || found.TornTail == "" || found.Keys != 20 || b.Len() != 20 {
 		t.Errorf("torn: %+v, %v", found, err)
 	}
 	spoil := func(name string, raw []byte) []byte {
@@ -227,7 +227,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if found.Gaps != 1 || found.Keys != 20 || !b.Doubts(pinnedNow+3000+59_999) || b.Doubts(pinnedNow+3000+60_000) {
+	if found.Gaps != 1 || found.Keys != 20 || !b.KeysMayBeLost(pinnedNow+3000+59_999) || b.KeysMayBeLost(pinnedNow+3000+60_000) {
 		t.Errorf("spoilt, and written anew: %+v", found)
 	}
 	if err := s.Close(); err != nil {
@@ -237,7 +237,7 @@
 
 // TestPinnedRecordErrors: records that are none give the errors that they gave.
 func TestPinnedRecordErrors(t *testing.T) {
-	intent := Record{Kind: Intent, Key: key(1), Body: 2, At: 3, Window: 4}
+	intent := Record{Kind: Intent, Key: key(1), BodyDigest: 2, At: 3, Window: 4}
 	raw := intent.Append(nil)
 	for _, c := range []struct {
 		raw  []byte
@@ -251,11 +251,11 @@
 			t.Errorf("found %v, expected %s", err, c.text)
 		}
 	}
-	b := NewBook(pinnedBounds)
+	b := NewIndex(pinnedBounds)
 	if err := b.Replay(&intent, 1); err != nil {
 		t.Fatal(err)
 	}
-	other := Record{Kind: Result, Key: key(1), Body: 3}
+	other := Record{Kind: Result, Key: key(1), BodyDigest: 3}
 	if err := b.Replay(&other, 2); err == nil || !strings.HasSuffix(err.Error(), "a result of another body than its intent") {
 		t.Errorf("found %v", err)
 	}
--- a/internal/node/resultstore/record.go
+++ b/internal/node/resultstore/record.go
@@ -5,23 +5,23 @@
 	"fmt"
 )
 
-// Kind is what a record says.
-type Kind uint8
+// RecordKind is what a record says.
+type RecordKind uint8
 
 // The kinds.
 const (
-	Intent Kind = 1 + iota // the key will run
-	Result                 // it ran, with this result
-	Fault                  // it ran to an error
-	Unrun                  // it did not run after all
-	Boot                   // not of a key: what comes after it has times of another boot's clock, At being its first
-	Doubt                  // nor this: something before it can't be read; it may be of any key whose window was open then
+	Intent      RecordKind = 1 + iota // the key will run
+	Result                            // it ran, with this result
+	Failure                           // it ran to an error
+	NotExecuted                       // it did not run after all
+	ClockChange                       // not of a key: what comes after it has times of another boot's clock, At being its first
+	Damage                            // nor this: something before it can't be read; it may be of any key whose window was open then
 )
 
-var kindNames = [...]string{Intent: "intent", Result: "result", Fault: "fault", Unrun: "unrun", Boot: "boot", Doubt: "doubt"}
+var kindNames = [...]string{Intent: "intent", Result: "result", Failure: "fault", NotExecuted: "unrun", ClockChange: "boot", Damage: "doubt"}
 
-func (k Kind) String() string {
-	if k >= Intent && k <= Doubt {
+func (k RecordKind) String() string {
+	if k >= Intent && k <= Damage {
 		return kindNames[k]
 	}
 	return fmt.Sprintf("kind %d", uint8(k))
@@ -29,12 +29,12 @@
 
 // Record is one entry of the log.
 type Record struct {
-	Kind   Kind
-	Key    Key
-	Body   uint64 // digest of the req's body
-	At     uint64 // ms
-	Window uint64 // ms
-	Result []byte
+	Kind       RecordKind
+	Key        Key
+	BodyDigest uint64 // digest of the req's body
+	At         uint64 // ms
+	Window     uint64 // ms
+	Result     []byte
 }
 
 // On disk: kind u8 | key 16 | body u64 | at u64 | window u64 | result.
@@ -51,7 +51,7 @@
 // Append writes the record behind out.
 func (r *Record) Append(out []byte) []byte {
 	out = append(append(out, byte(r.Kind)), r.Key[:]...)
-	for _, n := range [3]uint64{r.Body, r.At, r.Window} {
+	for _, n := range [3]uint64{r.BodyDigest, r.At, r.Window} {
 		out = binary.LittleEndian.AppendUint64(out, n)
 	}
 	return append(out, r.Result...)
@@ -62,11 +62,11 @@
 	if len(raw) < recordBytes {
 		return Record{}, fmt.Errorf("a record of %d bytes, expected %d at least", len(raw), recordBytes)
 	}
-	r := Record{Kind: Kind(raw[0]), Body: binary.LittleEndian.Uint64(raw[17:]), At: binary.LittleEndian.Uint64(raw[25:]),
+	r := Record{Kind: RecordKind(raw[0]), BodyDigest: binary.LittleEndian.Uint64(raw[17:]), At: binary.LittleEndian.Uint64(raw[25:]),
 		Window: binary.LittleEndian.Uint64(raw[33:])}
 	copy(r.Key[:], raw[1:])
-	if r.Kind < Intent || r.Kind > Doubt {
-		return Record{}, fmt.Errorf("a record of %s, expected %d to %d", r.Kind, Intent, Doubt)
+	if r.Kind < Intent || r.Kind > Damage {
+		return Record{}, fmt.Errorf("a record of %s, expected %d to %d", r.Kind, Intent, Damage)
 	}
 	if rest := raw[recordBytes:]; r.Kind == Result {
 		r.Result = rest
--- a/internal/node/resultstore/salvage_test.go
+++ b/internal/node/resultstore/salvage_test.go
@@ -16,7 +16,7 @@
 func TestSalvage(t *testing.T) {
 	const window, keys = 5000, 120
 	sizes := wal.Sizes{Segment: 2048, Bound: 1 << 20}
-	room := Bounds{Entries: 500, Bytes: 1 << 19, Result: 64, Window: window}
+	room := Limits{Keys: 500, Bytes: 1 << 19, ResultBytes: 64, LongestWindow: window}
 	lost, whole, cuts := 0, 0, 0
 	for seed := int64(1); seed <= 200; seed++ {
 		r := rand.New(rand.NewSource(seed))
@@ -27,18 +27,18 @@
 		}
 		put := func(rec Record) {
 			done := make(chan error, 1)
-			s.Put(rec, func(place uint64, err error) { b.Durable(&rec, place); done <- err })
+			s.Append(rec, func(place uint64, err error) { b.MarkDurable(&rec, place); done <- err })
 			if err := <-done; err != nil {
 				t.Fatal(err)
 			}
 		}
 		for k := range keys {
 			now += uint64(r.Intn(10))
-			put(b.Intend(now, key(k), 1, window))
+			put(b.Begin(now, key(k), 1, window))
 			if k%10 == 0 {
 				continue // it may have run
 			}
-			rec, _ := b.Ran(now, key(k), k%10 != 1, []byte(fmt.Sprint("result ", k)))
+			rec, _ := b.MarkExecuted(now, key(k), k%10 != 1, []byte(fmt.Sprint("result ", k)))
 			put(rec)
 		}
 		s.Close()
@@ -78,21 +78,21 @@
 			if err != nil {
 				t.Fatalf("seed %d, life %d: %v", seed, life, err)
 			}
-			if !b.Doubts(now) || !b.Doubts(now+window-1) && boot == "boot" || b.Doubts(now+window) {
+			if !b.KeysMayBeLost(now) || !b.KeysMayBeLost(now+window-1) && boot == "boot" || b.KeysMayBeLost(now+window) {
 				t.Fatalf("seed %d, life %d: further tries are not doubted for a window: %d at %d", seed, life, b.doubt, now)
 			}
 			for k := range keys {
-				v, place := b.Try(now, key(k), 1)
+				v, place := b.Decide(now, key(k), 1)
 				switch {
-				case v == Run:
+				case v == Execute:
 					lost++ // no first try comes of what was one before
-				case v == Answer:
-					got, err := s.Result(place)
+				case v == ReturnResult:
+					got, err := s.ReadResult(place)
 					if err != nil || !bytes.Equal(got, []byte(fmt.Sprint("result ", k))) {
 						t.Fatalf("seed %d: key %d has %q, %v", seed, k, got, err)
 					}
 					whole++
-				case v != Err:
+				case v != ReturnError:
 					t.Fatalf("seed %d: key %d gets %s", seed, k, v)
 				}
 			}
--- a/internal/node/resultstore/store.go
+++ b/internal/node/resultstore/store.go
@@ -26,11 +26,11 @@
 	gone bool
 	swap sync.RWMutex // held while a reopening closes one log and opens the next; who reads or lets go waits for that
 
-	Each  bool   // a sync for each record, for measurements
-	Point func() // called before each write, for the laboratory; nil: none
-	jobs  chan job
-	ended chan struct{}
-	work  sync.WaitGroup // a reopening
+	SyncEachRecord bool   // a sync for each record, for measurements
+	BeforeWrite    func() // called before each write, for the laboratory; nil: none
+	jobs           chan job
+	ended          chan struct{}
+	work           sync.WaitGroup // a reopening
 }
 
 type job struct {
@@ -38,7 +38,7 @@
 	done func(place uint64, err error)
 }
 
-// Bounds of what waits for the disk.
+// Limits of what waits for the disk.
 const (
 	queueMost = 4096 // records; past it a req that needs one is shed
 	batchMost = 1024 // of one sync
@@ -55,21 +55,21 @@
 
 var errSalvaging = errors.New("a damaged log is being written anew: a node's start ends that")
 
-// Opened tells what a start found.
-type Opened struct {
-	Records int
-	Keys    int
-	May     int  // that may have run
-	Same    bool // the clock goes on from the life before
-	Torn    string
-	Took    time.Duration
-	Gaps    int // places of a damaged log that can't be read; what stands elsewhere was written anew
+// Recovery tells what a start found.
+type Recovery struct {
+	Records       int
+	Keys          int
+	Indeterminate int  // that may have run
+	SameBoot      bool // the clock goes on from the life before
+	TornTail      string
+	Duration      time.Duration
+	Gaps          int // places of a damaged log that can't be read; what stands elsewhere was written anew
 }
 
 // load reads a folder's log into a book.
-func load(fs wal.FS, sizes wal.Sizes, bounds Bounds, now uint64, boot string) (*wal.Log, *Book, Opened, error) {
-	var o Opened
-	if err := bounds.Valid(); err != nil {
+func load(fs wal.FS, sizes wal.Sizes, bounds Limits, now uint64, boot string) (*wal.Log, *Index, Recovery, error) {
+	var o Recovery
+	if err := bounds.Validate(); err != nil {
 		return nil, nil, o, err
 	}
 	began := time.Now()
@@ -80,8 +80,8 @@
 	if err != nil {
 		return nil, nil, o, err
 	}
-	o.Same, o.Torn = string(log.Mark(markBoot)) == boot, found.Torn
-	book := NewBook(bounds)
+	o.SameBoot, o.TornTail = string(log.Mark(markBoot)) == boot, found.Torn
+	book := NewIndex(bounds)
 	if err = log.Each(func(number uint64, data []byte) error {
 		r, err := ReadRecord(data)
 		if err == nil {
@@ -95,25 +95,25 @@
 	}); err != nil {
 		return nil, nil, o, errors.Join(err, log.Close())
 	}
-	book.Resume(now, o.Same)
-	book.Each(now, func(_ Key, state State, _ uint64) {
-		if o.Keys++; state == May {
-			o.May++
+	book.FinishReplay(now, o.SameBoot)
+	book.ForEach(now, func(_ Key, state State, _ uint64) {
+		if o.Keys++; state == Indeterminate {
+			o.Indeterminate++
 		}
 	})
-	o.Took = time.Since(began)
+	o.Duration = time.Since(began)
 	return log, book, o, nil
 }
 
 // Open reads a folder, or begins one. now is ms of a clock that goes on while the process is stopped, boot names what it
 // counts from: where the folder has another, the times in it mean nothing here.
-func Open(fs wal.FS, sizes wal.Sizes, bounds Bounds, now uint64, boot string) (*Store, *Book, Opened, error) {
+func Open(fs wal.FS, sizes wal.Sizes, bounds Limits, now uint64, boot string) (*Store, *Index, Recovery, error) {
 	log, book, o, gaps, err := start(fs, sizes, bounds, now, boot)
 	if o.Gaps = gaps; err != nil {
 		return nil, nil, o, err
 	}
-	if !o.Same {
-		first := Record{Kind: Boot, At: now}
+	if !o.SameBoot {
+		first := Record{Kind: ClockChange, At: now}
 		if _, err = log.Commit(wal.Batch{Entries: [][]byte{first.Append(nil)}, Marks: []wal.Mark{{Kind: markBoot,
 			Data: []byte(boot)}}}); err != nil {
 			return nil, nil, o, errors.Join(err, log.Close())
@@ -125,13 +125,13 @@
 }
 
 // start reads a folder, and salvages what can be of one that is damaged.
-func start(fs wal.FS, sizes wal.Sizes, bounds Bounds, now uint64, boot string) (*wal.Log, *Book, Opened, int, error) {
-	if err := bounds.Valid(); err != nil {
-		return nil, nil, Opened{}, 0, err
+func start(fs wal.FS, sizes wal.Sizes, bounds Limits, now uint64, boot string) (*wal.Log, *Index, Recovery, int, error) {
+	if err := bounds.Validate(); err != nil {
+		return nil, nil, Recovery{}, 0, err
 	}
 	left, err := wal.Aside(fs, false)
 	if err != nil {
-		return nil, nil, Opened{}, 0, err
+		return nil, nil, Recovery{}, 0, err
 	}
 	if !left {
 		log, book, o, err := load(fs, sizes, bounds, now, boot)
@@ -144,7 +144,7 @@
 	}
 	gaps, err := salvage(fs, sizes, bounds, now, boot)
 	if err != nil {
-		return nil, nil, Opened{}, gaps, fmt.Errorf("what is left of a damaged log can't be written anew: %w", err)
+		return nil, nil, Recovery{}, gaps, fmt.Errorf("what is left of a damaged log can't be written anew: %w", err)
 	}
 	log, book, o, err := load(fs, sizes, bounds, now, boot)
 	return log, book, o, gaps, err
@@ -152,7 +152,7 @@
 
 // salvage writes anew what can be read of a damaged log. A gap may have been the record of another boot's clock: windows go on
 // from the record before it at the one behind, which is never too early. Behind all stands that something is missing.
-func salvage(fs wal.FS, sizes wal.Sizes, bounds Bounds, now uint64, boot string) (gaps int, err error) {
+func salvage(fs wal.FS, sizes wal.Sizes, bounds Limits, now uint64, boot string) (gaps int, err error) {
 	log, _, err := wal.Open(fs, sizes)
 	if err != nil {
 		return 0, err
@@ -179,7 +179,7 @@
 		}
 		if gap {
 			gap = false
-			first := Record{Kind: Boot, At: r.At}
+			first := Record{Kind: ClockChange, At: r.At}
 			batch = append(batch, first.Append(nil))
 		}
 		if batch = append(batch, bytes.Clone(s.Data)); len(batch) < batchMost {
@@ -189,7 +189,7 @@
 	})
 	gaps += lost
 	if err == nil {
-		here, doubt := Record{Kind: Boot, At: now}, Record{Kind: Doubt, At: now, Window: bounds.Window}
+		here, doubt := Record{Kind: ClockChange, At: now}, Record{Kind: Damage, At: now, Window: bounds.LongestWindow}
 		batch = append(batch, here.Append(nil), doubt.Append(nil))
 		err = flush(wal.Mark{Kind: markBoot, Data: []byte(boot)})
 	}
@@ -201,7 +201,7 @@
 
 // Inspect reads a folder that no node uses, as a start would, and lets go of it: what each key's state would be, and the bytes
 // on disk.
-func Inspect(fs wal.FS, sizes wal.Sizes, bounds Bounds, now uint64, boot string) (*Book, Opened, int64, error) {
+func Inspect(fs wal.FS, sizes wal.Sizes, bounds Limits, now uint64, boot string) (*Index, Recovery, int64, error) {
 	log, book, o, err := load(fs, sizes, bounds, now, boot)
 	if err != nil {
 		return nil, o, 0, err
@@ -211,16 +211,16 @@
 }
 
 // Compact lets go of what is over in a folder that no node uses, as a node does by and by: whole segments, from the front.
-func Compact(fs wal.FS, sizes wal.Sizes, bounds Bounds, now uint64, boot string) (before, after int64, err error) {
+func Compact(fs wal.FS, sizes wal.Sizes, bounds Limits, now uint64, boot string) (before, after int64, err error) {
 	log, book, o, err := load(fs, sizes, bounds, now, boot)
 	if err != nil {
 		return 0, 0, err
 	}
 	before = log.Usage()
-	if o.Same { // in another boot each window has only just begun
+	if o.SameBoot { // in another boot each window has only just begun
 		first := uint64(0)
 		for first == 0 {
-			_, first = book.Age(now, log.Next())
+			_, first = book.Expire(now, log.Next())
 		}
 		if first > log.First() {
 			err = log.Release(min(first, log.Next()) - 1)
@@ -230,8 +230,8 @@
 	return before, after, errors.Join(err, log.Close())
 }
 
-// Clock gives ms of the clock that windows run by, and names the boot that it counts from.
-func Clock() (now uint64, boot string, err error) {
+// BootClock gives ms of the clock that windows run by, and names the boot that it counts from.
+func BootClock() (now uint64, boot string, err error) {
 	var t unix.Timespec
 	if err = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		return 0, "", fmt.Errorf("CLOCK_BOOTTIME: %w", err)
@@ -240,9 +240,9 @@
 	return uint64(t.Sec)*1000 + uint64(t.Nsec)/1e6, string(bytes.TrimSpace(raw)), err
 }
 
-// Put hands a record over. done is called once, on the store's goroutine, with its place once it is durable; an error says
+// Append hands a record over. done is called once, on the store's goroutine, with its place once it is durable; an error says
 // that it may be there or not. False: as many wait as may.
-func (s *Store) Put(r Record, done func(place uint64, err error)) bool {
+func (s *Store) Append(r Record, done func(place uint64, err error)) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.gone {
@@ -262,7 +262,7 @@
 	for j := range s.jobs {
 		batch = append(batch[:0], j)
 	more:
-		for len(batch) < batchMost && !s.Each {
+		for len(batch) < batchMost && !s.SyncEachRecord {
 			select {
 			case k, open := <-s.jobs:
 				if !open {
@@ -277,8 +277,8 @@
 		for i := range batch {
 			b.Entries[i] = batch[i].rec.Append(nil)
 		}
-		if s.Point != nil {
-			s.Point()
+		if s.BeforeWrite != nil {
+			s.BeforeWrite()
 		}
 		first, err := s.commit(b)
 		for i := range batch {
@@ -364,15 +364,15 @@
 	return again
 }
 
-// Bad tells why nothing can be written at present; nil: it can.
-func (s *Store) Bad() error {
+// Err tells why nothing can be written at present; nil: it can.
+func (s *Store) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.bad
 }
 
-// Result reads what a key's run gave, by its place.
-func (s *Store) Result(place uint64) ([]byte, error) {
+// ReadResult reads what a key's run gave, by its place.
+func (s *Store) ReadResult(place uint64) ([]byte, error) {
 	s.swap.RLock()
 	defer s.swap.RUnlock()
 	s.mu.Lock()
@@ -392,8 +392,8 @@
 	return r.Result, nil
 }
 
-// Release lets go of what comes before a place, whole segments at a time.
-func (s *Store) Release(first uint64) error {
+// ReleaseBefore lets go of what comes before a place, whole segments at a time.
+func (s *Store) ReleaseBefore(first uint64) error {
 	s.swap.RLock()
 	defer s.swap.RUnlock()
 	s.mu.Lock()
@@ -405,15 +405,15 @@
 	return log.Release(min(first, log.Next()) - 1)
 }
 
-// Next gives the place that the next record gets, at least.
-func (s *Store) Next() uint64 {
+// NextPosition gives the place that the next record gets, at least.
+func (s *Store) NextPosition() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.log.Next()
 }
 
-// Usage gives the bytes on disk.
-func (s *Store) Usage() int64 {
+// DiskUsage gives the bytes on disk.
+func (s *Store) DiskUsage() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.log.Usage()
--- a/internal/node/server/counters.go
+++ b/internal/node/server/counters.go
@@ -52,7 +52,7 @@
 		"clock_steps":  c.ClockSteps,
 		"rounds":       c.Rounds, "wakes": c.Wakes, "ungauged": c.Ungauged, "slow": c.Slow}
 	if f := l.fleet; f != nil {
-		out["version"], out["fenced"], out["alone"] = f.m.Serves(), f.fenced, f.alone
+		out["version"], out["fenced"], out["alone"] = f.m.ActiveVersion(), f.fenced, f.alone
 		out["versions"], out["times_fenced"], out["fence_shed"], out["fleet_lost"] = c.Versions, c.Fenced, c.FenceShed,
 			c.FleetLost
 		out["zone_epoch"], out["zone_share"], out["zone_turned"] = f.gate.Epoch(), f.gate.Share(), c.Turned
@@ -61,7 +61,7 @@
 		out["kept_mode"], out["kept_waits"], out["kept_lost"] = k.mode, len(k.waits), k.lost
 		out["kept_shed"], out["kept_errored"], out["kept_refused"], out["kept_answers"] = k.sheds, k.errs, k.refused, k.answers
 		if k.book != nil {
-			out["kept_keys"], out["kept_bytes"] = k.book.Len(), k.book.Used()
+			out["kept_keys"], out["kept_bytes"] = k.book.Len(), k.book.BytesUsed()
 		}
 	}
 	return out
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -271,10 +271,10 @@
 // A kill at any byte of a record's write leaves the one before, and nothing that piles up.
 func TestKillAmidRecord(t *testing.T) {
 	folder := t.TempDir()
-	if err := keepRecord(folder, agent.Record{Version: 7, Text: "seven"}); err != nil {
+	if err := keepRecord(folder, agent.Record{ActiveVersion: 7, ActiveText: "seven"}); err != nil {
 		t.Fatal(err)
 	}
-	next, err := json.Marshal(agent.Record{Version: 8, Text: "eight"})
+	next, err := json.Marshal(agent.Record{ActiveVersion: 8, ActiveText: "eight"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -288,7 +288,7 @@
 		t.Fatal(err)
 	}
 	var r agent.Record
-	if there, err := readRecord(folder, &r); !there || err != nil || r.Version != 7 || r.Text != "seven" {
+	if there, err := readRecord(folder, &r); !there || err != nil || r.ActiveVersion != 7 || r.ActiveText != "seven" {
 		t.Errorf("%v, %v, %+v, expected the record before", there, err, r)
 	}
 	if left, _ := os.ReadDir(folder); len(left) != 1 {
@@ -302,7 +302,7 @@
 	log.SetOutput(io.Discard)
 	l := &loop{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)}
 	f := &fleetPart{own: &config.Fleet{Folder: filepath.Join(t.TempDir(), "gone")}, keeps: true,
-		m: agent.New(agent.Plan{Name: "n1", Control: []string{"127.0.0.1:1"}}, nil, steadyMS())}
+		m: agent.New(agent.Config{Name: "n1", ControlAddresses: []string{"127.0.0.1:1"}}, nil, steadyMS())}
 	l.fleet = f
 	failed := func() {
 		l.fleetNews(&jobEnd{job: &job{what: jobKeep, about: agent.Record{}}, err: syscall.ENOSPC})
--- a/internal/node/server/fleet.go
+++ b/internal/node/server/fleet.go
@@ -42,14 +42,14 @@
 
 // fleetPart is the node's part in a fleet.
 type fleetPart struct {
-	m         *agent.Member
+	m         *agent.Agent
 	own       *config.Fleet
 	ask       *controlClient
 	fetch     *controlClient
 	rec       *shadow.Recording
 	kept      agent.Record
-	base      *admission.Deployment    // the platform's
-	plans     map[uint64]*overlay.Plan // of versions at hand, two or three
+	base      *admission.Deployment        // the platform's
+	plans     map[uint64]*overlay.Settings // of versions at hand, two or three
 	texts     map[uint64]string
 	getting   membership.Named // being fetched, tried or kept; 0: none
 	decided   bool
@@ -76,7 +76,7 @@
 type tried struct {
 	v    membership.Named
 	text string
-	plan *overlay.Plan
+	plan *overlay.Settings
 	took time.Duration
 	reqs int
 }
@@ -99,20 +99,20 @@
 		return nil
 	}
 	o := l.startup.own.Fleet
-	f := &fleetPart{own: o, base: l.profile.Deployment, plans: map[uint64]*overlay.Plan{}, texts: map[uint64]string{},
+	f := &fleetPart{own: o, base: l.profile.Deployment, plans: map[uint64]*overlay.Settings{}, texts: map[uint64]string{},
 		rec: shadow.NewRecording(len(l.profile.Deployment.Handlers)), retired: make([]bool, len(l.profile.Deployment.Handlers)),
 		meter: zones.NewMeter(steadyMS(), l.values())}
 	var nonce [12]byte
 	rand.Read(nonce[:]) // never fails
-	plan := agent.Plan{Name: o.Name, Zone: o.Zone, Addr: l.startup.Listen, Control: o.Control,
-		Nonce: hex.EncodeToString(nonce[:]), Seed: crc32.ChecksumIEEE(append(nonce[:], o.Name...))}
+	plan := agent.Config{Name: o.Name, Zone: o.Zone, Address: l.startup.Listen, ControlAddresses: o.Control,
+		Nonce: hex.EncodeToString(nonce[:]), JitterSeed: crc32.ChecksumIEEE(append(nonce[:], o.Name...))}
 	if o.At != "" {
-		plan.Addr = o.At
+		plan.Address = o.At
 	}
 	if plan.Name == "" {
 		plan.Name = l.startup.Name
 	}
-	f.gate = zones.NewGate(len(l.profile.Deployment.Handlers), plan.Seed)
+	f.gate = zones.NewGate(len(l.profile.Deployment.Handlers), plan.JitterSeed)
 	if !config.IsName(plan.Name) {
 		return fmt.Errorf("fleet.name: found %.50q, expected up to 40 letters, digits, '-', '_' and '.'", plan.Name)
 	}
@@ -121,7 +121,7 @@
 		if err != nil {
 			return err
 		}
-		plan.Without |= g
+		plan.DisabledGuards |= g
 	}
 	var kept *agent.Record
 	if o.Folder != "" {
@@ -140,15 +140,15 @@
 	for _, at := range []struct {
 		v    membership.Named
 		text string
-	}{{membership.Named{Version: f.kept.Version, Hash: f.kept.Hash}, f.kept.Text},
-		{membership.Named{Version: f.kept.Prepared, Hash: f.kept.NextHash}, f.kept.Next}} {
+	}{{membership.Named{Version: f.kept.ActiveVersion, Hash: f.kept.ActiveHash}, f.kept.ActiveText},
+		{membership.Named{Version: f.kept.PreparedVersion, Hash: f.kept.PreparedHash}, f.kept.PreparedText}} {
 		if at.v.Version == 0 || at.text == "" {
 			continue
 		}
 		p, err := l.checkVersion(at.v, at.text)
 		if err != nil { // the platform's settings are others now
 			l.log.Warnf("policy version %d of the folder can't be used: %v", at.v.Version, err)
-			f.m.Forget(at.v.Version)
+			f.m.DropPrepared(at.v.Version)
 			continue
 		}
 		f.plans[at.v.Version], f.texts[at.v.Version] = p, at.text
@@ -157,7 +157,7 @@
 	end := func(e jobEnd) { l.put(event{kind: eventFleet, job: &e}) }
 	f.ask, f.fetch, f.look = newAgent(end), newAgent(end), newAgent(end)
 	l.fleet = f
-	f.gate.Order(steadyMS(), f.m.Zone())
+	f.gate.Order(steadyMS(), f.m.ZoneOrder())
 	f.fenced = true
 	l.healthy, l.control.ready = false, false // until it may serve
 	l.log.Infof("fleet: node %s of zone %s, control at %v", plan.Name, plan.Zone, o.Control)
@@ -165,7 +165,7 @@
 }
 
 // checkVersion reads a text and checks it against the platform's settings.
-func (l *loop) checkVersion(v membership.Named, text string) (*overlay.Plan, error) {
+func (l *loop) checkVersion(v membership.Named, text string) (*overlay.Settings, error) {
 	sum := sha256.Sum256([]byte(text))
 	if hex.EncodeToString(sum[:]) != v.Hash {
 		return nil, fmt.Errorf("version %d: found a text of another hash than was told", v.Version)
@@ -174,7 +174,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return overlay.Make(v.Version, l.profile, doc, l.pools != nil || len(l.startup.own.Pools) > 0)
+	return overlay.Apply(v.Version, l.profile, doc, l.pools != nil || len(l.startup.own.Pools) > 0)
 }
 
 // steer lets the member look at the time and at what came: it is called at the begin of each round and before its
@@ -185,10 +185,10 @@
 		return
 	}
 	now := steadyMS()
-	if v, ok := f.m.Take(now); ok {
+	if v, ok := f.m.VersionToActivate(now); ok {
 		l.takeOver(now, v)
 	}
-	ok, why := f.m.May(now)
+	ok, why := f.m.MayServe(now)
 	if l.draining {
 		f.m.Leave(now)
 	}
@@ -197,41 +197,41 @@
 		l.fence(why)
 	case ok && f.fenced:
 		f.fenced = false
-		l.log.Infof("fleet: serves under version %d", f.m.Serves())
+		l.log.Infof("fleet: serves under version %d", f.m.ActiveVersion())
 		l.Health(l.moduleHealthy)
 	}
 	if f.alone && f.gate.Alone(now, f.meter.Well(now, l.running())) {
 		l.log.Warnf("fleet: alone for long, takes %d of %d of what comes by its own rule", f.gate.Share(), membership.Whole)
 		l.Health(l.moduleHealthy)
 	}
-	if alone := ok && f.m.Alone(now); alone != f.alone {
+	if alone := ok && f.m.Autonomous(now); alone != f.alone {
 		if f.alone = alone; alone {
-			l.log.Warnf("fleet: goes on alone under version %d, without the group", f.m.Serves())
-			if p := f.plans[f.m.Serves()]; p != nil && !f.m.Met() && p.Doc.Zones.Small && p.Doc.Zones.Decide == membership.ZonesAuto {
-				f.gate.Begin(now, int(p.Doc.Zones.First*membership.Whole+0.5), uint64(p.Doc.Zones.Hold.Milliseconds()))
+			l.log.Warnf("fleet: goes on alone under version %d, without the group", f.m.ActiveVersion())
+			if p := f.plans[f.m.ActiveVersion()]; p != nil && !f.m.GroupContacted() && p.Document.Zones.Small && p.Document.Zones.Decide == membership.ZonesAuto {
+				f.gate.Begin(now, int(p.Document.Zones.First*membership.Whole+0.5), uint64(p.Document.Zones.Hold.Milliseconds()))
 				l.log.Infof("fleet: begins with %d of %d of what comes", f.gate.Share(), membership.Whole)
 			}
 		}
 	}
 	l.keepOwed(now)
-	if a, no, due := f.m.Ask(now); due {
-		if f.m.Zone() != nil {
+	if a, no, due := f.m.Heartbeat(now); due {
+		if f.m.ZoneOrder() != nil {
 			a.Load = f.meter.Load(now, l.kernel.stand == kernelLive, float64(l.profile.Deployment.Cores), l.running())
 			a.Seen, f.seen = f.seen, nil
 		}
 		body, err := json.Marshal(&a)
 		if err == nil {
-			f.ask.jobs <- &job{what: jobAsk, addr: f.m.Address(), method: "POST", path: "/v1/nodes", body: body,
-				about: no, within: time.Duration(f.m.Within()) * time.Millisecond} // the member has one out at a time: there is room
+			f.ask.jobs <- &job{what: jobAsk, addr: f.m.ControlAddress(), method: "POST", path: "/v1/nodes", body: body,
+				about: no, within: time.Duration(f.m.HeartbeatTimeout()) * time.Millisecond} // the member has one out at a time: there is room
 		}
 	}
-	if v, decided, ok := f.m.Want(); ok && f.getting.Version == 0 && now >= f.again {
+	if v, decided, ok := f.m.VersionToFetch(); ok && f.getting.Version == 0 && now >= f.again {
 		f.getting, f.decided = v, decided
-		f.fetch.jobs <- &job{what: jobFetch, addr: f.m.Address(), method: "GET", about: v,
+		f.fetch.jobs <- &job{what: jobFetch, addr: f.m.ControlAddress(), method: "GET", about: v,
 			path: fmt.Sprintf("/v1/config?version=%d&read=stale", v.Version), within: f.patience}
 	}
-	at := f.m.Due()
-	if until := f.m.Until(); until > now {
+	at := f.m.NextHeartbeat()
+	if until := f.m.LeaseExpiry(); until > now {
 		at = min(at, until)
 	}
 	if f.again > now {
@@ -327,7 +327,7 @@
 	f := l.fleet
 	p := f.plans[v.Version]
 	if p == nil {
-		f.m.Forget(v.Version) // it was dropped: it is fetched again
+		f.m.DropPrepared(v.Version) // it was dropped: it is fetched again
 		return
 	}
 	d := *p.Deployment
@@ -337,14 +337,14 @@
 	if l.controller != nil {
 		l.controller.Adopt(&d)
 	}
-	if l.pools != nil && p.Pools != nil {
+	if l.pools != nil && p.PoolClasses != nil {
 		plan := l.startup.poolPlan()
-		copy(plan.Classes, p.Pools)
+		copy(plan.Classes, p.PoolClasses)
 		l.pools.Set(plan)
 	}
-	f.retired = p.Retired
+	f.retired = p.RetiredHandlers
 	f.meter.Values(l.values())
-	f.m.Took(now, v, p.Doc.Fleet.Alone)
+	f.m.MarkActive(now, v, p.Document.Fleet.Alone)
 	l.counters.Versions++
 	l.log.Infof("fleet: version %d taken over", v.Version)
 	for n := range f.plans { // each is judged alone
@@ -367,8 +367,8 @@
 		return
 	}
 	l.noteFleet()
-	if f.kept.Prepared <= f.kept.Version {
-		f.kept.Prepared, f.kept.Next, f.kept.NextHash = 0, "", ""
+	if f.kept.PreparedVersion <= f.kept.ActiveVersion {
+		f.kept.PreparedVersion, f.kept.PreparedText, f.kept.PreparedHash = 0, "", ""
 	}
 	f.keeps, f.owes = true, false
 	r, folder := f.kept, f.own.Folder
@@ -381,13 +381,13 @@
 // noteFleet brings the record up to what the member knows.
 func (l *loop) noteFleet() {
 	f := l.fleet
-	told := f.m.Told()
-	f.kept.Cluster, f.kept.Floor, f.kept.Zone = f.m.Cluster(), f.m.Floor(), f.m.KeptZone()
-	f.kept.Gen, f.kept.Term, f.kept.Index, f.kept.Sum = told.Gen, told.Term, told.Index, told.Sum
-	if n := f.m.Serves(); n != f.kept.Version {
+	told := f.m.LastSeen()
+	f.kept.Cluster, f.kept.MinVersion, f.kept.ZoneOrder = f.m.Cluster(), f.m.MinVersion(), f.m.StoredZoneOrder()
+	f.kept.Generation, f.kept.Term, f.kept.Index, f.kept.EntryChecksum = told.Gen, told.Term, told.Index, told.Sum
+	if n := f.m.ActiveVersion(); n != f.kept.ActiveVersion {
 		if p := f.plans[n]; p != nil {
-			f.kept.Version, f.kept.Text, f.kept.Alone = n, f.texts[n], p.Doc.Fleet.Alone
-			f.kept.Hash = document.Hash([]byte(f.texts[n]))
+			f.kept.ActiveVersion, f.kept.ActiveText, f.kept.ActiveAutonomous = n, f.texts[n], p.Document.Fleet.Alone
+			f.kept.ActiveHash = document.Hash([]byte(f.texts[n]))
 		}
 	}
 }
@@ -403,19 +403,19 @@
 	}
 	f.gives = true
 	l.noteFleet()
-	r, name, zone, addr := f.kept, f.m.Plan().Name, f.m.Plan().Zone, f.m.Plan().Addr
-	at := f.m.Asked()
-	k := recovery.Kept{Name: name, Zone: zone, Addr: addr, Group: r.Cluster, Gen: max(1, r.Gen), Term: r.Term, Index: r.Index,
-		Version: r.Version, Hash: r.Hash, Text: r.Text, Floor: r.Floor, Alone: r.Alone, Held: f.m.Length()}
-	if r.Prepared > r.Version {
-		k.Next, k.NextHash, k.NextText = r.Prepared, r.NextHash, r.Next
+	r, name, zone, addr := f.kept, f.m.Config().Name, f.m.Config().Zone, f.m.Config().Address
+	at := f.m.LastContacted()
+	k := recovery.Kept{Name: name, Zone: zone, Addr: addr, Group: r.Cluster, Gen: max(1, r.Generation), Term: r.Term, Index: r.Index,
+		Version: r.ActiveVersion, Hash: r.ActiveHash, Text: r.ActiveText, Floor: r.MinVersion, Alone: r.ActiveAutonomous, Held: f.m.LeaseDuration()}
+	if r.PreparedVersion > r.ActiveVersion {
+		k.Next, k.NextHash, k.NextText = r.PreparedVersion, r.PreparedHash, r.PreparedText
 	}
 	for n, p := range f.plans { // at hand beside the one served under: one at most
-		if n > r.Version && k.Next == 0 && p != nil {
+		if n > r.ActiveVersion && k.Next == 0 && p != nil {
 			k.Next, k.NextText, k.NextHash = n, f.texts[n], document.Hash([]byte(f.texts[n]))
 		}
 	}
-	if z := r.Zone; z != nil {
+	if z := r.ZoneOrder; z != nil {
 		k.Epoch, k.Share = z.Epoch, z.Share
 	}
 	go func() {
@@ -447,21 +447,21 @@
 		if err != nil {
 			l.counters.FleetLost++
 			l.logf("fleet: control at %s: %v", e.addr, err)
-			f.m.Failed(now, e.about.(uint64))
+			f.m.HandleFailure(now, e.about.(uint64))
 			return
 		}
-		floor, gen := f.m.Floor(), f.m.Told().Gen
-		if err = f.m.Answered(now, e.about.(uint64), t); err != nil {
+		floor, gen := f.m.MinVersion(), f.m.LastSeen().Gen
+		if err = f.m.HandleResponse(now, e.about.(uint64), t); err != nil {
 			l.counters.FleetLost++
 			l.log.Warnf("fleet: control at %s is not believed: %v", e.addr, err)
 			return
 		}
-		if f.m.Gathered() {
+		if f.m.TakeRecordRequest() {
 			l.logf("fleet: the group is being restored at %s: tells what this node holds", e.addr)
 			l.give()
 			return
 		}
-		if g := f.m.Told().Gen; g != gen && gen != 0 {
+		if g := f.m.LastSeen().Gen; g != gen && gen != 0 {
 			l.log.Warnf("fleet: generation %d of the group, as it was restored", g)
 			l.keepFleet()
 		}
@@ -469,8 +469,8 @@
 			l.logf("fleet: begins anew: %s", t.Gone)
 		}
 		epoch := f.gate.Epoch()
-		l.ordered(now, f.m.Zone()) // what the member took of it: an answer that came too late counts for nothing
-		if f.m.Floor() > floor || f.gate.Epoch() != epoch {
+		l.ordered(now, f.m.ZoneOrder()) // what the member took of it: an answer that came too late counts for nothing
+		if f.m.MinVersion() > floor || f.gate.Epoch() != epoch {
 			l.keepFleet()
 		}
 		if !f.looking {
@@ -502,8 +502,8 @@
 		if e.err != nil {
 			l.log.Errorf("fleet: the record could not be kept: %v", e.err)
 			f.owes, f.keepAgain = true, now+keepPause
-		} else if r := e.about.(agent.Record); r.Prepared != 0 && r.Prepared == f.getting.Version && r.Prepared > f.m.Serves() {
-			f.m.Prepared(now, f.getting)
+		} else if r := e.about.(agent.Record); r.PreparedVersion != 0 && r.PreparedVersion == f.getting.Version && r.PreparedVersion > f.m.ActiveVersion() {
+			f.m.MarkPrepared(now, f.getting)
 			f.getting = membership.Named{}
 		}
 		l.keepOwed(now)
@@ -551,11 +551,11 @@
 			err = fmt.Errorf("found version %d", answer.Version)
 		}
 	}
-	var plan *overlay.Plan
+	var plan *overlay.Settings
 	if err == nil {
 		if plan, err = l.checkVersion(v, answer.Text); err != nil {
 			l.log.Warnf("fleet: version %d can't be served under: %v", v.Version, err)
-			f.m.Refuse(now, v.Version, err.Error(), true)
+			f.m.Reject(now, v.Version, err.Error(), true)
 			f.getting = membership.Named{}
 			return
 		}
@@ -575,14 +575,14 @@
 		go done(nil)
 		return
 	}
-	base, rec, bounds := *l.profile.Deployment, f.rec.Copy(), shadow.Bounds{MaxShed: plan.Doc.Rollout.MaxShed,
-		MaxLate: plan.Doc.Rollout.MaxLate}
+	base, rec, bounds := *l.profile.Deployment, f.rec.Snapshot(), shadow.Limits{MaxShed: plan.Document.Rollout.MaxShed,
+		MaxLate: plan.Document.Rollout.MaxLate}
 	go func() {
 		started := time.Now()
-		verdict := shadow.Trial(&base, plan.Deployment, plan.Retired, rec, bounds)
-		t.took, t.reqs = time.Since(started), verdict.Reqs
-		if verdict.Why != "" {
-			done(fmt.Errorf("%s", verdict.Why))
+		verdict := shadow.Evaluate(&base, plan.Deployment, plan.RetiredHandlers, rec, bounds)
+		t.took, t.reqs = time.Since(started), verdict.Requests
+		if verdict.Reason != "" {
+			done(fmt.Errorf("%s", verdict.Reason))
 			return
 		}
 		done(nil)
@@ -595,19 +595,19 @@
 	t := e.about.(tried)
 	if e.err != nil {
 		l.log.Warnf("fleet: version %d failed its trial: %v", t.v.Version, e.err)
-		f.m.Refuse(now, t.v.Version, e.err.Error(), false)
+		f.m.Reject(now, t.v.Version, e.err.Error(), false)
 		f.getting = membership.Named{}
 		return
 	}
 	l.log.Infof("fleet: version %d passed its trial over %d reqs in %v", t.v.Version, t.reqs, t.took.Round(time.Microsecond))
 	f.plans[t.v.Version], f.texts[t.v.Version] = t.plan, t.text
 	if f.own.Folder == "" {
-		f.m.Prepared(now, t.v)
+		f.m.MarkPrepared(now, t.v)
 		f.getting = membership.Named{}
 		return
 	}
-	f.kept.Prepared, f.kept.Next, f.kept.NextHash = t.v.Version, t.text, t.v.Hash
-	f.kept.NextAlone = t.plan.Doc.Fleet.Alone
+	f.kept.PreparedVersion, f.kept.PreparedText, f.kept.PreparedHash = t.v.Version, t.text, t.v.Hash
+	f.kept.PreparedAutonomous = t.plan.Document.Fleet.Alone
 	l.keepFleet()
 }
 
--- a/internal/node/server/kept.go
+++ b/internal/node/server/kept.go
@@ -77,7 +77,7 @@
 
 type keptPart struct {
 	own    *config.Kept
-	book   *resultstore.Book // nil: the folder is not read yet
+	book   *resultstore.Index // nil: the folder is not read yet
 	store  *resultstore.Store
 	early  []handle
 	reads  chan func()
@@ -117,21 +117,21 @@
 	go func() {
 		time.Sleep(after)
 		var store *resultstore.Store
-		var book *resultstore.Book
-		var found resultstore.Opened
-		now, boot, err := resultstore.Clock()
+		var book *resultstore.Index
+		var found resultstore.Recovery
+		now, boot, err := resultstore.BootClock()
 		if err == nil {
 			most := int64(own.MB) << 20
 			sizes := wal.Sizes{Segment: min(keptSegment, max(most/4, 64<<10)), Bound: 2*most + 2*keptSegment}
-			store, book, found, err = resultstore.Open(wal.Dir(own.Folder), sizes, resultstore.Bounds{Entries: own.Entries, Bytes: most,
-				Result: own.Result, Window: window}, now, boot)
+			store, book, found, err = resultstore.Open(wal.Dir(own.Folder), sizes, resultstore.Limits{Keys: own.Entries, Bytes: most,
+				ResultBytes: own.Result, LongestWindow: window}, now, boot)
 		}
 		l.put(event{kind: eventKept, then: func() { l.keptOpened(store, book, found, err) }})
 	}()
 }
 
 // keptOpened takes the folder over, and lets those in who came meanwhile.
-func (l *loop) keptOpened(store *resultstore.Store, book *resultstore.Book, found resultstore.Opened, err error) {
+func (l *loop) keptOpened(store *resultstore.Store, book *resultstore.Index, found resultstore.Recovery, err error) {
 	k := l.kept
 	if err != nil {
 		if k.broken == nil || k.broken.Error() != err.Error() {
@@ -140,18 +140,18 @@
 		k.broken = err
 		l.openKept(keptReopen)
 	} else {
-		k.store, k.book, k.next, k.broken = store, book, store.Next(), nil
-		if store.Each = k.without("group"); k.own.DieAt == keptSync || k.own.DieAt == keptHangs {
-			store.Point = func() { k.point(k.own.DieAt) }
+		k.store, k.book, k.next, k.broken = store, book, store.NextPosition(), nil
+		if store.SyncEachRecord = k.without("group"); k.own.DieAt == keptSync || k.own.DieAt == keptHangs {
+			store.BeforeWrite = func() { k.point(k.own.DieAt) }
 		}
 		if found.Gaps > 0 {
 			l.log.Errorf("kept results: the log in %s was damaged at %d places: what can be read was written anew, what can't may be of any "+
 				"key, and further tries of keys that are not known are errored for a window", k.own.Folder, found.Gaps)
 		}
-		l.log.Infof("kept results: %d keys, %d that may have run, from %d records in %v, windows %s%s", found.Keys, found.May,
-			found.Records, found.Took.Round(time.Millisecond),
-			map[bool]string{true: "go on", false: "go on from the last record, as the clock began anew"}[found.Same],
-			map[bool]string{true: ", torn at the end"}[found.Torn != ""])
+		l.log.Infof("kept results: %d keys, %d that may have run, from %d records in %v, windows %s%s", found.Keys, found.Indeterminate,
+			found.Records, found.Duration.Round(time.Millisecond),
+			map[bool]string{true: "go on", false: "go on from the last record, as the clock began anew"}[found.SameBoot],
+			map[bool]string{true: ", torn at the end"}[found.TornTail != ""])
 	}
 	l.watchKept()
 	early := k.early
@@ -200,22 +200,22 @@
 // keptTry asks what a try gets.
 func (l *loop) keptTry(q *keptReq) (resultstore.Verdict, uint64) {
 	k, now := l.kept, steadyMS()
-	v, place := k.book.Try(now, q.key, q.body)
-	if v == resultstore.Run && k.book.Find(now, q.untenanted) != resultstore.Unknown {
-		v, place = k.book.Try(now, q.untenanted, q.body)
+	v, place := k.book.Decide(now, q.key, q.body)
+	if v == resultstore.Execute && k.book.Lookup(now, q.untenanted) != resultstore.Unknown {
+		v, place = k.book.Decide(now, q.untenanted, q.body)
 	}
-	if v == resultstore.Run && q.admit.Again && k.book.Doubts(now) {
-		v = resultstore.Err
+	if v == resultstore.Execute && q.admit.Again && k.book.KeysMayBeLost(now) {
+		v = resultstore.ReturnError
 	}
-	if v == resultstore.Err && k.without("proof") {
-		v = resultstore.Run
+	if v == resultstore.ReturnError && k.without("proof") {
+		v = resultstore.Execute
 	}
 	return v, place
 }
 
 // shut tells whether no new key may be let in, as the disk is not well.
 func (k *keptPart) shut(now admission.Time) bool {
-	return k.book == nil || k.store.Bad() != nil || k.stalls(now) || k.fullAt > 0 && now-k.fullAt < keptRest
+	return k.book == nil || k.store.Err() != nil || k.stalls(now) || k.fullAt > 0 && now-k.fullAt < keptRest
 }
 
 func (k *keptPart) stalls(now admission.Time) bool {
@@ -235,29 +235,29 @@
 		return l.keptBlind(q, a)
 	}
 	v, place := l.keptTry(q)
-	if v == resultstore.Answer {
+	if v == resultstore.ReturnResult {
 		if e := l.keys.find(r.key); e != nil && r.earliest < e.until && (e.kept || e.fate < fateDone) {
 			return 0 // it is at hand, or on its way
 		}
 	}
 	switch v {
-	case resultstore.Run:
+	case resultstore.Execute:
 		if k.shut(l.now) {
 			return l.keptShed(a)
 		}
-	case resultstore.Full:
+	case resultstore.RejectFull:
 		k.fullAt = l.now
 		l.watchKept()
 		return l.keptShed(a)
-	case resultstore.Later:
+	case resultstore.RejectConflict:
 		return l.keptShed(a)
-	case resultstore.Refuse:
+	case resultstore.RejectMismatch:
 		k.refused++
 		return 400
-	case resultstore.Err:
+	case resultstore.ReturnError:
 		k.errs++
 		return 500
-	case resultstore.Answer:
+	case resultstore.ReturnResult:
 		return l.keptRead(h, r, place)
 	}
 	return 0
@@ -294,7 +294,7 @@
 	store := k.store
 	select {
 	case k.reads <- func() {
-		result, err := store.Result(place)
+		result, err := store.ReadResult(place)
 		l.put(event{kind: eventKept, then: func() { l.keptFound(h, result, err) }})
 	}:
 	default:
@@ -357,15 +357,15 @@
 
 // write hands a record over; then hears whether it is durable.
 func (k *keptPart) write(l *loop, rec resultstore.Record, then func(err error)) bool {
-	ok := k.store.Put(rec, func(place uint64, err error) {
+	ok := k.store.Append(rec, func(place uint64, err error) {
 		l.put(event{kind: eventKept, then: func() {
 			k.waits = k.waits[1:]
 			if err == nil {
 				k.next = max(k.next, place+1)
-				k.book.Durable(&rec, place)
+				k.book.MarkDurable(&rec, place)
 			} else {
 				k.lost++
-				k.book.Lost(&rec)
+				k.book.MarkLost(&rec)
 				k.fullAt = l.now // whatever it was: new keys wait a moment
 			}
 			l.watchKept()
@@ -376,7 +376,7 @@
 		k.waits = append(k.waits, l.now)
 	} else {
 		k.lost++
-		k.book.Lost(&rec)
+		k.book.MarkLost(&rec)
 	}
 	return ok
 }
@@ -384,14 +384,14 @@
 // intend has the intent of a run that was given its slot made durable; SCHED goes out after that. It keeps slot and place.
 func (l *loop) intend(h handle, r *request) {
 	k, q := l.kept, r.kept
-	v, shed := resultstore.Full, wire.Response{}
+	v, shed := resultstore.RejectFull, wire.Response{}
 	if !k.shut(l.now) {
 		v, _ = l.keptTry(q)
 	}
 	switch v {
-	case resultstore.Run:
+	case resultstore.Execute:
 		k.point("intent")
-		rec := k.book.Intend(steadyMS(), q.key, q.body, keptWindow(&l.profile.Deployment.Handlers[r.handler]))
+		rec := k.book.Begin(steadyMS(), q.key, q.body, keptWindow(&l.profile.Deployment.Handlers[r.handler]))
 		q.stand = keptIntends
 		if k.write(l, rec, func(err error) { l.intended(h, err) }) {
 			l.trace(r, "intent on its way")
@@ -402,9 +402,9 @@
 		}
 		q.stand = keptFree
 		fallthrough
-	case resultstore.Full, resultstore.Later:
+	case resultstore.RejectFull, resultstore.RejectConflict:
 		shed.Status = l.keptShed(&shed)
-	case resultstore.Refuse:
+	case resultstore.RejectMismatch:
 		k.refused++
 		shed.Status = 400
 	default: // it runs, ran or may have run by another try that the module no longer knows of
@@ -456,13 +456,13 @@
 	now := steadyMS()
 	switch how {
 	case admission.Unrun, admission.Moot: // nothing was started
-		if rec, ok := k.book.Unran(now, q.key); ok {
+		if rec, ok := k.book.MarkNotExecuted(now, q.key); ok {
 			k.write(l, rec, func(error) {})
 		}
 		return false, false
 	case admission.OK:
 		k.point("reap")
-		rec, ok := k.book.Ran(now, q.key, true, append([]byte(nil), result...))
+		rec, ok := k.book.MarkExecuted(now, q.key, true, append([]byte(nil), result...))
 		if !ok {
 			return false, false // it is no run that the book knows of: nothing may be told that a repeat would not get too
 		}
@@ -484,7 +484,7 @@
 		return true, false
 	}
 	// That it failed need not be durable before it is told: without that record it may have run, which is errored too.
-	if rec, ok := k.book.Ran(now, q.key, false, nil); ok {
+	if rec, ok := k.book.MarkExecuted(now, q.key, false, nil); ok {
 		k.write(l, rec, func(error) {})
 	}
 	return false, false
@@ -514,10 +514,10 @@
 	l.watchKept()
 	steps := 0
 	if k.book != nil {
-		steps = min(keptSteps, max(1, k.book.Steps()/keptSweeps))
+		steps = min(keptSteps, max(1, k.book.ExpireSteps()/keptSweeps))
 	}
 	for range steps {
-		_, first := k.book.Age(steadyMS(), k.next)
+		_, first := k.book.Expire(steadyMS(), k.next)
 		if first == 0 {
 			continue
 		}
@@ -525,7 +525,7 @@
 			k.frees = true
 			store := k.store
 			go func() {
-				err := store.Release(first)
+				err := store.ReleaseBefore(first)
 				l.put(event{kind: eventKept, then: func() {
 					if k.frees = false; err != nil {
 						l.logf("kept results: what is over can't be let go of: %v", err)
@@ -542,7 +542,7 @@
 	k := l.kept
 	mode := keptWell
 	switch {
-	case k.broken != nil || k.book != nil && k.store.Bad() != nil:
+	case k.broken != nil || k.book != nil && k.store.Err() != nil:
 		mode = keptFailed
 	case k.book == nil:
 		mode = keptOpening
--- a/internal/node/server/kept_test.go
+++ b/internal/node/server/kept_test.go
@@ -57,7 +57,7 @@
 			MaxPause: 5 * admission.Second, Handlers: []admission.Handler{{Window: admission.Second, Repeat: admission.IdempotencyKeyed}}}}}
 	l.startClock(admission.Second)
 	l.kept = &keptPart{own: &config.Kept{Entries: 100, MB: 1, Result: 100}, reads: make(chan func(), 1)}
-	store, book, found, err := resultstore.Open(d, wal.Sizes{Segment: 1 << 16, Bound: 1 << 20}, resultstore.Bounds{Entries: 100, Bytes: 1 << 18, Result: 100},
+	store, book, found, err := resultstore.Open(d, wal.Sizes{Segment: 1 << 16, Bound: 1 << 20}, resultstore.Limits{Keys: 100, Bytes: 1 << 18, ResultBytes: 100},
 		steadyMS(), "boot")
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 		t.Errorf("what was answered meanwhile ran: %+v, ends %v", r, l.next().Ended)
 	}
 	l.hears(t) // its intent is closed
-	if s := l.kept.book.Find(steadyMS(), r.kept.key); s != resultstore.Unknown || l.kept.mode != keptWell {
+	if s := l.kept.book.Lookup(steadyMS(), r.kept.key); s != resultstore.Unknown || l.kept.mode != keptWell {
 		t.Errorf("%s, %s afterwards, expected it unknown and well", s, l.kept.mode)
 	}
 }
@@ -131,8 +131,8 @@
 		t.Fatal("answered before its result was durable")
 	}
 	l.hears(t)
-	if l.counters.Errored != 1 || l.counters.Done != 0 || l.kept.book.Find(steadyMS(), r.kept.key) != resultstore.May {
-		t.Errorf("%d errored, %d done, key %s", l.counters.Errored, l.counters.Done, l.kept.book.Find(steadyMS(), r.kept.key))
+	if l.counters.Errored != 1 || l.counters.Done != 0 || l.kept.book.Lookup(steadyMS(), r.kept.key) != resultstore.Indeterminate {
+		t.Errorf("%d errored, %d done, key %s", l.counters.Errored, l.counters.Done, l.kept.book.Lookup(steadyMS(), r.kept.key))
 	}
 	h2, new := l.takes("new")
 	if l.keptWord(h2, new); l.kept.mode != keptFailed || l.counters.Shed != 1 {
@@ -181,7 +181,7 @@
 	if l.counters.Done+l.counters.Errored != 1 {
 		t.Errorf("%d answers", l.counters.Done+l.counters.Errored)
 	}
-	if l.kept.book.Find(steadyMS(), r.kept.key) != resultstore.Done {
+	if l.kept.book.Lookup(steadyMS(), r.kept.key) != resultstore.Completed {
 		t.Error("its result is durable, and not known")
 	}
 }
@@ -209,14 +209,14 @@
 	h, r = l.takes("b")
 	r.kept.admit.ID = uint32(h)
 	l.keptWord(h, r)
-	l.keptOpened(k.store, book, resultstore.Opened{}, nil)
+	l.keptOpened(k.store, book, resultstore.Recovery{}, nil)
 	if in := l.next().Arrived; len(in) != 1 || in[0].ID != uint32(h) || l.requests.get(h).answered {
 		t.Errorf("%v came to the module, expected the one that waited", in)
 	}
 	k.book = nil
 	h, r = l.takes("c")
 	l.keptWord(h, r)
-	l.keptOpened(nil, nil, resultstore.Opened{}, wal.ErrLocked)
+	l.keptOpened(nil, nil, resultstore.Recovery{}, wal.ErrLocked)
 	if !l.requests.get(h).answered || l.counters.Shed != 2 || k.mode != keptFailed {
 		t.Errorf("%s, and it still waits for a folder that can't be opened", k.mode)
 	}
@@ -234,7 +234,7 @@
 	h, r := l.takes("a")
 	l.intend(h, r)
 	l.hears(t)
-	first := l.kept.book.Find(steadyMS(), r.kept.key)
+	first := l.kept.book.Lookup(steadyMS(), r.kept.key)
 	for _, c := range []struct {
 		body         string
 		shed, failed uint64
@@ -245,7 +245,7 @@
 		if r.schedNo != 0 || r.run != runOver || l.counters.Shed != c.shed || l.counters.Errored != c.failed {
 			t.Errorf("%s: sent as %d, %d shed, %d errored, expected %d, %d", c.body, r.schedNo, l.counters.Shed, l.counters.Errored, c.shed, c.failed)
 		}
-		if is := l.kept.book.Find(steadyMS(), r.kept.key); is != first || is != resultstore.Started {
+		if is := l.kept.book.Lookup(steadyMS(), r.kept.key); is != first || is != resultstore.Running {
 			t.Errorf("%s: the one that runs is %s, expected it %s", c.body, is, first)
 		}
 	}
@@ -260,26 +260,26 @@
 func TestTenantsKeysAreApart(t *testing.T) {
 	l := keptLoop(t, &heldDisk{FS: wal.NewMem()})
 	leave := func(q *keptReq) {
-		l.kept.book.Intend(steadyMS(), q.key, q.body, 60_000)
+		l.kept.book.Begin(steadyMS(), q.key, q.body, 60_000)
 	}
 	try := func(tenant, key string) resultstore.Verdict {
 		v, _ := l.keptTry(keptName("put", []byte(tenant), []byte(key), []byte("body")))
 		return v
 	}
 	leave(keptName("put", []byte("home"), []byte("a"), []byte("body")))
-	if v := try("home", "a"); v != resultstore.Wait {
-		t.Errorf("the same tenant's try gets %s, expected %s", v, resultstore.Wait)
+	if v := try("home", "a"); v != resultstore.WaitForResult {
+		t.Errorf("the same tenant's try gets %s, expected %s", v, resultstore.WaitForResult)
 	}
-	if v := try("acme", "a"); v != resultstore.Run {
-		t.Errorf("another tenant's try gets %s, expected %s", v, resultstore.Run)
+	if v := try("acme", "a"); v != resultstore.Execute {
+		t.Errorf("another tenant's try gets %s, expected %s", v, resultstore.Execute)
 	}
-	if v := try("", "home/a"); v != resultstore.Run {
-		t.Errorf("a try with no tenant gets %s, expected %s", v, resultstore.Run)
+	if v := try("", "home/a"); v != resultstore.Execute {
+		t.Errorf("a try with no tenant gets %s, expected %s", v, resultstore.Execute)
 	}
 	old := keptName("put", nil, []byte("b"), []byte("body"))
 	old.key = digest([]byte("3/put/b")) // as it stands in folders of such a version
 	leave(old)
-	if v := try("home", "b"); v != resultstore.Wait {
-		t.Errorf("a try of a key of an earlier version gets %s, expected %s", v, resultstore.Wait)
+	if v := try("home", "b"); v != resultstore.WaitForResult {
+		t.Errorf("a try of a key of an earlier version gets %s, expected %s", v, resultstore.WaitForResult)
 	}
 }
--- a/internal/node/server/pin_record_test.go
+++ b/internal/node/server/pin_record_test.go
@@ -19,15 +19,15 @@
 	record agent.Record
 	asks   string // the first request to the control service after a start with it, as far as it comes of the record
 }{
-	{"prepared", agent.Record{Cluster: "0123456789abcdef", Gen: 2, Term: 7, Index: 4711, Sum: 18446744073709551615, Version: 3,
-		Hash: "hash of version 3", Text: "[fleet]\nlease = 8s\n", Alone: true, Floor: 3, Prepared: 4,
-		Next: "[fleet]\nlease = 9s\n# \"quoted\", <b> and ü\n", NextHash: "hash of version 4", NextAlone: true,
-		Zone: &membership.ZoneOrder{Epoch: 21, Share: 128, Worth: 2.5, Capped: true, Rate: 40.25, Dials: 3, Retry: 51, Full: true,
+	{"prepared", agent.Record{Cluster: "0123456789abcdef", Generation: 2, Term: 7, Index: 4711, EntryChecksum: 18446744073709551615, ActiveVersion: 3,
+		ActiveHash: "hash of version 3", ActiveText: "[fleet]\nlease = 8s\n", ActiveAutonomous: true, MinVersion: 3, PreparedVersion: 4,
+		PreparedText: "[fleet]\nlease = 9s\n# \"quoted\", <b> and ü\n", PreparedHash: "hash of version 4", PreparedAutonomous: true,
+		ZoneOrder: &membership.ZoneOrder{Epoch: 21, Share: 128, Worth: 2.5, Capped: true, Rate: 40.25, Dials: 3, Retry: 51, Full: true,
 			Keep: 300000}},
 		`"echo":0,"floor":3,"serves":0,"fenced":"version 3 is decided and not taken over yet","zones":21,` +
 			`"heard":{"group":"0123456789abcdef","generation":2,"term":7,"index":4711,"sum":18446744073709551615}}`},
-	{"decided", agent.Record{Cluster: "0123456789abcdef", Term: 7, Index: 4711, Version: 3, Hash: "hash of version 3",
-		Text: "[fleet]\nlease = 8s\n", Floor: 4, Prepared: 4, Next: "[fleet]\nlease = 9s\n", NextHash: "hash of version 4"},
+	{"decided", agent.Record{Cluster: "0123456789abcdef", Term: 7, Index: 4711, ActiveVersion: 3, ActiveHash: "hash of version 3",
+		ActiveText: "[fleet]\nlease = 8s\n", MinVersion: 4, PreparedVersion: 4, PreparedText: "[fleet]\nlease = 9s\n", PreparedHash: "hash of version 4"},
 		`"echo":0,"floor":4,"serves":0,"fenced":"version 4 is decided and not taken over yet",` +
 			`"heard":{"group":"0123456789abcdef","generation":1,"term":7,"index":4711}}`},
 }
@@ -65,13 +65,13 @@
 		if is, _ := os.ReadFile(filepath.Join(folder, "policy.json")); !bytes.Equal(is, was) {
 			t.Errorf("%s: written as\n%s, expected\n%s", c.name, is, was)
 		}
-		m := agent.New(agent.Plan{Name: "n", Zone: "z", Control: []string{"a"}, Nonce: "nonce-00000000", Seed: 7}, &read, 1000)
-		ask, _, due := m.Ask(1000)
+		m := agent.New(agent.Config{Name: "n", Zone: "z", ControlAddresses: []string{"a"}, Nonce: "nonce-00000000", JitterSeed: 7}, &read, 1000)
+		ask, _, due := m.Heartbeat(1000)
 		raw, _ := json.Marshal(&ask)
 		if !due || !strings.HasSuffix(string(raw), c.asks) {
 			t.Errorf("%s: a node that starts with it asks\n%s, expected the end\n%s", c.name, raw, c.asks)
 		}
-		if !m.Ready(3) || !m.Ready(4) || m.Ready(2) {
+		if !m.IsPrepared(3) || !m.IsPrepared(4) || m.IsPrepared(2) {
 			t.Errorf("%s: versions 3 and 4 are not both at hand", c.name)
 		}
 	}
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -181,7 +181,7 @@
 func (l *loop) admit(q *admission.Request) {
 	l.next().Arrived = append(l.next().Arrived, *q)
 	if l.fleet != nil {
-		l.fleet.rec.Came(l.now, q)
+		l.fleet.rec.RecordArrival(l.now, q)
 	}
 }
 
@@ -264,7 +264,7 @@
 		l.fleet.meter.Ran(steadyMS(), ms)
 	}
 	if l.fleet != nil && how == admission.OK {
-		l.fleet.rec.Ran(uint32(h), admission.Time(ms*10))
+		l.fleet.rec.RecordRun(uint32(h), admission.Time(ms*10))
 	}
 	ok := how == admission.OK
 	if r.kept != nil {
--- a/internal/node/shadow/pin_trials_test.go
+++ b/internal/node/shadow/pin_trials_test.go
@@ -27,9 +27,9 @@
 		if chance(3) == 0 {
 			q.Due = now + admission.Time(chance(20_000))
 		}
-		r.Came(now, &q)
+		r.RecordArrival(now, &q)
 		if chance(10) > 0 {
-			r.Ran(q.ID, admission.Time(chance(300)))
+			r.RecordRun(q.ID, admission.Time(chance(300)))
 		}
 	}
 	return r
@@ -49,14 +49,14 @@
 		if seed%4 == 0 {
 			next.Stop = admission.StopDrop
 		}
-		v := Trial(deployment(), next, []bool{false, seed%11 == 0}, pinnedRecording(seed).Copy(), bounds)
-		if v.Why != "" {
+		v := Evaluate(deployment(), next, []bool{false, seed%11 == 0}, pinnedRecording(seed).Snapshot(), bounds)
+		if v.Reason != "" {
 			refused++
 		}
-		for _, o := range []Outcome{v.Now, v.Next} {
-			fmt.Fprintln(sum, o.Asked, o.Done, o.InTime, o.Shed, o.Errored, o.Lost, o.MostKB, o.Rounds, o.Probed)
+		for _, o := range []Outcome{v.Current, v.Candidate} {
+			fmt.Fprintln(sum, o.Offered, o.Completed, o.OnTime, o.Shed, o.Failed, o.Unanswered, o.PeakKB, o.Rounds, o.ProbesCompleted)
 		}
-		fmt.Fprintln(sum, v.Reqs, v.Why != "")
+		fmt.Fprintln(sum, v.Requests, v.Reason != "")
 	}
 	if refused < 4 || refused > 20 {
 		t.Errorf("%d of 24 versions are refused: too few or too many to hold anything to", refused)
--- a/internal/node/shadow/shadow.go
+++ b/internal/node/shadow/shadow.go
@@ -10,11 +10,11 @@
 	"umberwinch/admission"
 )
 
-// Bounds of a recording and of a trial.
+// Limits of a recording and of a trial.
 const (
-	MaxReqs   = 2048 // some seconds to minutes of a server's reqs; 100 KB
-	maxRounds = 40 * MaxReqs
-	probes    = 20 // reqs a handler that are tried one at a time whatever was recorded
+	MaxRequests = 2048 // some seconds to minutes of a server's reqs; 100 KB
+	maxRounds   = 40 * MaxRequests
+	probes      = 20 // reqs a handler that are tried one at a time whatever was recorded
 )
 
 // came is one recorded req.
@@ -42,14 +42,14 @@
 	return &Recording{byID: map[uint32]int{}, times: make([]float64, handlers), runs: make([]float64, handlers)}
 }
 
-// Came notes a req.
-func (r *Recording) Came(now admission.Time, q *admission.Request) {
+// RecordArrival notes a req.
+func (r *Recording) RecordArrival(now admission.Time, q *admission.Request) {
 	c := came{at: now, hint: q.Hint, kb: q.KB, caller: q.Caller, id: q.ID, handler: uint16(q.Handler),
 		tenn: uint16(max(q.Tenant, 0)), again: q.Again}
 	if q.Due > now {
 		c.due = q.Due - now
 	}
-	if len(r.reqs) < MaxReqs {
+	if len(r.reqs) < MaxRequests {
 		r.reqs = append(r.reqs, c)
 		r.byID[q.ID] = len(r.reqs) - 1
 		return
@@ -59,11 +59,11 @@
 	}
 	r.reqs[r.next] = c
 	r.byID[q.ID] = r.next
-	r.next = (r.next + 1) % MaxReqs
+	r.next = (r.next + 1) % MaxRequests
 }
 
-// Ran notes how long a req's run took.
-func (r *Recording) Ran(id uint32, took admission.Time) {
+// RecordRun notes how long a req's run took.
+func (r *Recording) RecordRun(id uint32, took admission.Time) {
 	i, ok := r.byID[id]
 	if !ok {
 		return
@@ -80,8 +80,8 @@
 // Len gives how many reqs it holds.
 func (r *Recording) Len() int { return len(r.reqs) }
 
-// Copy gives one that no longer changes, in the order in which the reqs came.
-func (r *Recording) Copy() *Recording {
+// Snapshot gives one that no longer changes, in the order in which the reqs came.
+func (r *Recording) Snapshot() *Recording {
 	c := &Recording{times: append([]float64(nil), r.times...)}
 	c.reqs = append(append(make([]came, 0, len(r.reqs)), r.reqs[r.next:]...), r.reqs[:r.next]...)
 	return c
@@ -89,48 +89,48 @@
 
 // Outcome is what became of the reqs of one play.
 type Outcome struct {
-	Asked, Done, InTime, Shed, Errored, Lost int
-	MostKB                                   float64
-	Rounds                                   int
-	Probed                                   []int // by handler, probes done
+	Offered, Completed, OnTime, Shed, Failed, Unanswered int
+	PeakKB                                               float64
+	Rounds                                               int
+	ProbesCompleted                                      []int // by handler, probes done
 }
 
 // Verdict compares two plays.
 type Verdict struct {
-	Now, Next Outcome
-	Reqs      int
-	Why       string // empty: it may be taken
+	Current, Candidate Outcome
+	Requests           int
+	Reason             string // empty: it may be taken
 }
 
-// Bounds are how much worse a version may do.
-type Bounds struct {
+// Limits are how much worse a version may do.
+type Limits struct {
 	MaxShed float64 // more reqs shed, as a share of all
 	MaxLate float64 // fewer done in time, as a share of all
 }
 
-// Trial plays a recording against both deployments.
-func Trial(now, next *admission.Deployment, retired []bool, rec *Recording, b Bounds) Verdict {
-	v := Verdict{Reqs: len(rec.reqs)}
-	v.Now, v.Next = play(now, nil, rec), play(next, retired, rec)
-	n := float64(max(1, v.Next.Asked))
+// Evaluate plays a recording against both deployments.
+func Evaluate(now, next *admission.Deployment, retired []bool, rec *Recording, b Limits) Verdict {
+	v := Verdict{Requests: len(rec.reqs)}
+	v.Current, v.Candidate = play(now, nil, rec), play(next, retired, rec)
+	n := float64(max(1, v.Candidate.Offered))
 	share := func(k int) float64 { return float64(k) / n }
 	switch {
-	case v.Next.Lost > v.Now.Lost:
-		v.Why = fmt.Sprintf("%d of %d reqs of the trial had no answer when they were due, %d under the one in force",
-			v.Next.Lost, v.Next.Asked, v.Now.Lost)
-	case v.Next.MostKB > next.MemKB && v.Next.MostKB > v.Now.MostKB:
-		v.Why = fmt.Sprintf("reqs of the trial held %.0f KB at most, expected %.0f", v.Next.MostKB, next.MemKB)
-	case share(v.Next.Shed-v.Now.Shed) > b.MaxShed:
-		v.Why = fmt.Sprintf("%d of %d reqs of the trial were shed, %d under the one in force: expected at most %.3f more",
-			v.Next.Shed, v.Next.Asked, v.Now.Shed, b.MaxShed)
-	case share(v.Now.InTime-v.Next.InTime) > b.MaxLate+b.MaxShed:
-		v.Why = fmt.Sprintf("%d of %d reqs of the trial were done in time, %d under the one in force: expected at most "+
-			"%.3f fewer", v.Next.InTime, v.Next.Asked, v.Now.InTime, b.MaxLate+b.MaxShed)
+	case v.Candidate.Unanswered > v.Current.Unanswered:
+		v.Reason = fmt.Sprintf("%d of %d reqs of the trial had no answer when they were due, %d under the one in force",
+			v.Candidate.Unanswered, v.Candidate.Offered, v.Current.Unanswered)
+	case v.Candidate.PeakKB > next.MemKB && v.Candidate.PeakKB > v.Current.PeakKB:
+		v.Reason = fmt.Sprintf("reqs of the trial held %.0f KB at most, expected %.0f", v.Candidate.PeakKB, next.MemKB)
+	case share(v.Candidate.Shed-v.Current.Shed) > b.MaxShed:
+		v.Reason = fmt.Sprintf("%d of %d reqs of the trial were shed, %d under the one in force: expected at most %.3f more",
+			v.Candidate.Shed, v.Candidate.Offered, v.Current.Shed, b.MaxShed)
+	case share(v.Current.OnTime-v.Candidate.OnTime) > b.MaxLate+b.MaxShed:
+		v.Reason = fmt.Sprintf("%d of %d reqs of the trial were done in time, %d under the one in force: expected at most "+
+			"%.3f fewer", v.Candidate.OnTime, v.Candidate.Offered, v.Current.OnTime, b.MaxLate+b.MaxShed)
 	default:
-		for h, done := range v.Next.Probed {
-			if done < v.Now.Probed[h]/2 && !(h < len(retired) && retired[h]) {
-				v.Why = fmt.Sprintf("of %d reqs of handler %d, one at a time, %d were done, %d under the one in force",
-					probes, h, done, v.Now.Probed[h])
+		for h, done := range v.Candidate.ProbesCompleted {
+			if done < v.Current.ProbesCompleted[h]/2 && !(h < len(retired) && retired[h]) {
+				v.Reason = fmt.Sprintf("of %d reqs of handler %d, one at a time, %d were done, %d under the one in force",
+					probes, h, done, v.Current.ProbesCompleted[h])
 				break
 			}
 		}
@@ -170,7 +170,7 @@
 	plan.Pools = nil // their state is the server's own
 	plan.Cold, plan.Start = false, admission.Second
 	s := &stage{d: &plan, now: admission.Second, reqs: map[uint32]*req{}, mean: rec.times, off: retired,
-		out: Outcome{Probed: make([]int, len(d.Handlers))}}
+		out: Outcome{ProbesCompleted: make([]int, len(d.Handlers))}}
 	c := admission.New(&plan)
 	begin := s.now
 	for i := range rec.reqs {
@@ -183,7 +183,7 @@
 	}
 	// Past what the controller remembers of the load, so that probes find it at rest.
 	s.run(c, s.now+s.longest()+10*admission.Second)
-	id := uint32(MaxReqs)
+	id := uint32(MaxRequests)
 	for h := range d.Handlers {
 		// The quietest there is: the same handler once in four response targets.
 		for k := 0; k < probes && s.out.Rounds < 2*maxRounds; k++ {
@@ -193,7 +193,7 @@
 		}
 	}
 	s.run(c, s.now+s.longest())
-	s.out.Lost += len(s.open)
+	s.out.Unanswered += len(s.open)
 	return s.out
 }
 
@@ -209,7 +209,7 @@
 	h := &s.d.Handlers[q.handler]
 	if int(q.handler) < len(s.off) && s.off[q.handler] {
 		if !probe {
-			s.out.Asked++
+			s.out.Offered++
 			s.out.Shed++
 		}
 		return
@@ -225,7 +225,7 @@
 	s.open = append(s.open, id)
 	s.held(q.kb)
 	if !probe {
-		s.out.Asked++
+		s.out.Offered++
 	}
 	tenant := int(q.tenn)
 	if tenant >= max(1, len(s.d.Tenants)) {
@@ -241,7 +241,7 @@
 
 func (s *stage) held(kb float64) {
 	s.kb += kb
-	s.out.MostKB = max(s.out.MostKB, s.kb)
+	s.out.PeakKB = max(s.out.PeakKB, s.kb)
 }
 
 // run lets time go on, from one thing that happens to the next.
@@ -271,7 +271,7 @@
 				s.answer(r, true)
 			} else if !r.answered && s.now >= r.due {
 				r.answered = true
-				s.out.Lost++
+				s.out.Unanswered++
 				s.kb -= r.c.kb
 				s.next.Gone = append(s.next.Gone, id)
 			}
@@ -319,12 +319,12 @@
 	s.kb -= r.c.kb
 	switch h := &s.d.Handlers[r.c.handler]; {
 	case r.probe && ok:
-		s.out.Probed[r.c.handler]++
+		s.out.ProbesCompleted[r.c.handler]++
 	case r.probe:
 	case ok:
-		s.out.Done++
+		s.out.Completed++
 		if s.now-r.came <= h.Target {
-			s.out.InTime++
+			s.out.OnTime++
 		}
 	}
 }
@@ -362,7 +362,7 @@
 func (s *stage) Fail(id uint32) {
 	if r := s.reqs[id]; r != nil && !r.answered {
 		if !r.probe {
-			s.out.Errored++
+			s.out.Failed++
 		}
 		s.answer(r, false)
 	}
--- a/internal/node/shadow/shadow_test.go
+++ b/internal/node/shadow/shadow_test.go
@@ -22,17 +22,17 @@
 	r := NewRecording(2)
 	for i := 0; i < n; i++ {
 		q := admission.Request{ID: uint32(i + 1), Handler: i % 2, KB: 10, Caller: uint32(i % 4)}
-		r.Came(admission.Time(i)*every, &q)
-		r.Ran(q.ID, ran)
+		r.RecordArrival(admission.Time(i)*every, &q)
+		r.RecordRun(q.ID, ran)
 	}
 	return r
 }
 
-var bounds = Bounds{MaxShed: 0.05, MaxLate: 0.05}
+var bounds = Limits{MaxShed: 0.05, MaxLate: 0.05}
 
 // TestTrials: what a version would do is found before it does it.
 func TestTrials(t *testing.T) {
-	busy := record(3*MaxReqs/2, 4*ms, 8*ms) // half of the cores
+	busy := record(3*MaxRequests/2, 4*ms, 8*ms) // half of the cores
 	for _, c := range []struct {
 		name    string
 		rec     *Recording
@@ -50,7 +50,7 @@
 			}
 		}, nil, "reqs of the trial"},
 		{"all retired", busy, func(*admission.Deployment) {}, []bool{true, true}, "were shed"},
-		{"memory for a few reqs", record(MaxReqs, 4*ms, 14*ms), func(d *admission.Deployment) {
+		{"memory for a few reqs", record(MaxRequests, 4*ms, 14*ms), func(d *admission.Deployment) {
 			d.MemKB = 30
 		}, nil, "reqs of the trial"},
 		{"on an idle server, one that sheds all", NewRecording(2), func(d *admission.Deployment) {
@@ -61,22 +61,22 @@
 		next := deployment()
 		c.change(next)
 		started := time.Now()
-		v := Trial(deployment(), next, c.retired, c.rec.Copy(), bounds)
-		if (v.Why == "") != (c.why == "") || !strings.Contains(v.Why, c.why) {
-			t.Errorf("%s: found %q, expected %q (%+v)", c.name, v.Why, c.why, v)
+		v := Evaluate(deployment(), next, c.retired, c.rec.Snapshot(), bounds)
+		if (v.Reason == "") != (c.why == "") || !strings.Contains(v.Reason, c.why) {
+			t.Errorf("%s: found %q, expected %q (%+v)", c.name, v.Reason, c.why, v)
 		}
-		if v.Now.Rounds+v.Next.Rounds > 6*maxRounds {
-			t.Errorf("%s: %d rounds", c.name, v.Now.Rounds+v.Next.Rounds)
+		if v.Current.Rounds+v.Candidate.Rounds > 6*maxRounds {
+			t.Errorf("%s: %d rounds", c.name, v.Current.Rounds+v.Candidate.Rounds)
 		}
-		t.Logf("%s: %v, now %+v, next %+v", c.name, time.Since(started).Round(time.Microsecond), v.Now, v.Next)
+		t.Logf("%s: %v, now %+v, next %+v", c.name, time.Since(started).Round(time.Microsecond), v.Current, v.Candidate)
 	}
 }
 
 // TestRecordingIsBounded: the latest reqs are kept in their order, and runs of those that were let go of are nobody's.
 func TestRecordingIsBounded(t *testing.T) {
-	r := record(3*MaxReqs+7, ms, ms)
-	c := r.Copy()
-	if len(c.reqs) != MaxReqs || len(r.byID) > MaxReqs {
+	r := record(3*MaxRequests+7, ms, ms)
+	c := r.Snapshot()
+	if len(c.reqs) != MaxRequests || len(r.byID) > MaxRequests {
 		t.Fatalf("%d reqs, %d open", len(c.reqs), len(r.byID))
 	}
 	for i := 1; i < len(c.reqs); i++ {
@@ -84,13 +84,13 @@
 			t.Fatalf("req %d after %d", c.reqs[i].id, c.reqs[i-1].id)
 		}
 	}
-	r.Ran(1, ms)
+	r.RecordRun(1, ms)
 }
 
 // BenchmarkTrial: a whole recording against two controllers.
 func BenchmarkTrial(b *testing.B) {
-	rec := record(MaxReqs, 4*ms, 8*ms).Copy()
+	rec := record(MaxRequests, 4*ms, 8*ms).Snapshot()
 	for i := 0; i < b.N; i++ {
-		Trial(deployment(), deployment(), nil, rec, bounds)
+		Evaluate(deployment(), deployment(), nil, rec, bounds)
 	}
 }
