--- a/internal/node/server/kernel.go
+++ b/internal/node/server/kernel.go
@@ -71,12 +71,12 @@
 }
 
 func (l *loop) preempt(r *request) {
-	l.scratch = wire.AppendKernelCommand(l.scratch[:0], "PREEMPT", r.task)
+	l.scratch = wire.AppendKernelCommand(l.scratch[:0], wire.KernelStop, r.task)
 	r.haltNo = l.tell()
 }
 
 func (l *loop) resched(r *request) {
-	l.scratch = wire.AppendKernelCommand(l.scratch[:0], "RESCHED", r.task)
+	l.scratch = wire.AppendKernelCommand(l.scratch[:0], wire.KernelResume, r.task)
 	r.schedNo, r.resumed, r.paused = l.tell(), true, false
 }
 
@@ -129,16 +129,16 @@
 func (l *loop) noticed(n wire.KernelEvent) {
 	k := &l.kernel
 	switch string(n.Kind) {
-	case "BOOTED":
+	case wire.KernelBooted:
 		l.booted(n)
 		return
-	case "INFO":
+	case wire.KernelGauges:
 		l.info(n)
 		return
-	case "EINVAL":
+	case wire.KernelInvalid:
 		l.counters.Refused++
 		l.logf("kernel did not carry out %q for %q", n.Outcome, n.RunID)
-		if h, r := l.byTask(n.RunID); r != nil && string(n.Outcome) == "SCHED" && r.run == runGoes {
+		if h, r := l.byTask(n.RunID); r != nil && string(n.Outcome) == wire.KernelRun && r.run == runGoes {
 			// It never ran and never will, as it is no req that the kernel knows of: nobody else can answer it,
 			// and whoever sent it is not listened to any more.
 			r.close = true
@@ -168,18 +168,18 @@
 	r.schedNo, r.goNo, r.haltNo = 0, 0, 0 // it was read, or what it asked for is past
 	r.goes = goesNot
 	switch string(n.Kind) {
-	case "REAP":
+	case wire.KernelRunEnded:
 		how := admission.Errored
 		switch string(n.Outcome) {
-		case "OK":
+		case wire.RunSucceeded:
 			how = admission.OK
-		case "STOPPED":
+		case wire.RunStopped:
 			how = admission.Stopped
-		case "MOOT":
+		case wire.RunSuperseded:
 			how = admission.Moot
 		}
 		l.runEnded(h, r, how, n.RunMS, n.Body)
-	case "IOREQ":
+	case wire.KernelCallAsked:
 		l.trace(r, "stands at a call")
 		r.ask, r.asked = append(r.ask[:0], n.Body...), n.Sequence
 		l.next().Needs = append(l.next().Needs, uint32(h))
@@ -194,7 +194,7 @@
 	}
 	if l.controller == nil {
 		d := l.profile.Deployment
-		d.Start, d.Cold = l.now-admission.Time(n.RunMS*10), string(n.Outcome) == "COLD"
+		d.Start, d.Cold = l.now-admission.Time(n.RunMS*10), string(n.Outcome) == wire.KernelCold
 		l.logf("kernel is up, %s for %.0f ms", n.Outcome, n.RunMS)
 		l.makePools()
 		l.controller = admission.New(d)
--- /dev/null
+++ b/internal/node/wire/http_response.go
@@ -0,0 +1,138 @@
+package wire
+
+import (
+	"bytes"
+	"strconv"
+)
+
+// ResponseHead is the head of an HTTP response that was received; its body is passed over.
+type ResponseHead struct {
+	Status int
+	Close  bool // the connection isn't to be used again
+}
+
+// Statuses that have no body, and those below which none has.
+const (
+	statusOK          = 200
+	statusNoContent   = 204
+	statusNotModified = 304
+)
+
+// ParseResponseHead reads the response at the start of b and passes over its body; n is 0 while it is incomplete.
+func ParseResponseHead(b []byte, bounds Bounds) (p ResponseHead, n int, err error) {
+	line, fields, n, err := splitHead(b, bounds.HeadBytes)
+	if n == 0 || err != nil {
+		return p, 0, err
+	}
+	if err = p.setStatusLine(line); err != nil {
+		return p, 0, err
+	}
+	length, err := p.setFields(fields, int64(bounds.BodyBytes))
+	if err != nil {
+		return p, 0, err
+	}
+	if len(b) < n+int(length) {
+		return p, 0, nil
+	}
+	return p, n + int(length), nil
+}
+
+// setStatusLine reads version and status.
+func (p *ResponseHead) setStatusLine(line []byte) error {
+	version, rest, _ := bytes.Cut(line, []byte(" "))
+	code, _, _ := bytes.Cut(rest, []byte(" "))
+	if string(version) != "HTTP/1.1" && string(version) != "HTTP/1.0" || len(code) != 3 {
+		return ErrHead
+	}
+	v, err := parseDigits(code, maxStatus)
+	if err != nil || v < minStatus {
+		return ErrHead
+	}
+	p.Status, p.Close = int(v), string(version) == "HTTP/1.0"
+	return nil
+}
+
+// setFields reads what frames the body, and gives the body's length.
+func (p *ResponseHead) setFields(fields []byte, maxBody int64) (length int64, err error) {
+	hasLength := false
+	for len(fields) > 0 {
+		var name, value []byte
+		if name, value, fields, err = nextField(fields); err != nil {
+			return 0, err
+		}
+		switch {
+		case equalFold(name, "content-length"):
+			before := length
+			length, err = parseDigits(value, maxBody)
+			if err != nil || hasLength && before != length {
+				return 0, ErrLength
+			}
+			hasLength = true
+		case equalFold(name, "transfer-encoding"):
+			return 0, ErrLength
+		case equalFold(name, "connection"):
+			p.Close = endsConnection(p.Close, value)
+		}
+	}
+	if p.Status < statusOK || p.Status == statusNoContent || p.Status == statusNotModified {
+		return 0, nil
+	}
+	if !hasLength {
+		p.Close = true // its body ends with the connection
+	}
+	return length, nil
+}
+
+// reasonPhrases of the statuses that a server answers with.
+var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request",
+	500: "Internal Server Error", 503: "Service Unavailable"}
+
+// Response is what goes out for a request.
+type Response struct {
+	Status            int
+	RetryAfterMS      int64 // how long the caller is to keep away; 0 where it isn't said
+	NoRetry           bool  // no other server is to be tried
+	Close             bool  // the connection ends after it
+	OverloadSignal    float64
+	HasOverloadSignal bool
+	Body              []byte
+}
+
+// AppendResponse appends the complete response to b.
+func AppendResponse(b []byte, r Response) []byte {
+	b = append(b, "HTTP/1.1 "...)
+	b = strconv.AppendInt(b, int64(r.Status), 10)
+	b = append(b, ' ')
+	b = append(b, reasonPhrases[r.Status]...)
+	b = append(b, "\r\nContent-Length: "...)
+	b = strconv.AppendInt(b, int64(len(r.Body)), 10)
+	if r.RetryAfterMS > 0 {
+		b = append(b, "\r\nBack-Off-Ms: "...)
+		b = strconv.AppendInt(b, r.RetryAfterMS, 10)
+	}
+	if r.NoRetry {
+		b = append(b, "\r\nFinal-Refusal: 1"...)
+	}
+	if r.HasOverloadSignal {
+		b = append(b, "\r\nServer-Hint: "...)
+		b = strconv.AppendFloat(b, r.OverloadSignal, 'f', 4, 64)
+	}
+	if r.Close {
+		b = append(b, "\r\nConnection: close"...)
+	}
+	b = append(b, "\r\n\r\n"...)
+	return append(b, r.Body...)
+}
+
+// AppendReadinessReport appends the request that tells service discovery whether this server is ready.
+func AppendReadinessReport(b []byte, host, name string, ready bool) []byte {
+	word := "NotReady"
+	if ready {
+		word = "Ready"
+	}
+	body := `{"condition":"` + word + `"}`
+	b = append(b, "PUT /v2/endpoints/"+name+" HTTP/1.1\r\nHost: "+host+
+		"\r\nContent-Type: application/json\r\nContent-Length: "...)
+	b = strconv.AppendInt(b, int64(len(body)), 10)
+	return append(append(b, "\r\n\r\n"...), body...)
+}
