--- /dev/null
+++ b/internal/simulator/adapter.go
@@ -0,0 +1,131 @@
+package simulator
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+
+	"umberwinch/admission"
+	"umberwinch/internal/simulator/wire"
+)
+
+// microsecondsPerTick converts the simulator's microseconds to the module's tenths of a millisecond.
+const microsecondsPerTick = 100
+
+// writeBuffer is the size of the output's buffer in bytes; a frame is flushed whole.
+const writeBuffer = 1 << 16
+
+// Adapter carries the instances of one process.
+type Adapter struct {
+	instances map[uint32]*instance
+	undecided []*instance // those with a round to decide, in the order in which the batch named them
+	reply     wire.Reply
+	decisions decisionWriter
+}
+
+// New is an adapter without instances.
+func New() *Adapter {
+	a := &Adapter{instances: make(map[uint32]*instance)}
+	a.decisions.reply = &a.reply
+	return a
+}
+
+// Serve answers every frame of in on out until the input ends. Input that isn't as the protocol says is an error.
+func (a *Adapter) Serve(in io.Reader, out io.Writer) error {
+	r, w := wire.NewReader(in), bufio.NewWriterSize(out, writeBuffer)
+	var b wire.Batch
+	for frame := 1; ; frame++ {
+		err := r.Read(&b)
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err == nil {
+			err = a.answer(&b)
+		}
+		if err != nil {
+			return fmt.Errorf("frame %d: %w", frame, err)
+		}
+		if _, err := a.reply.WriteTo(w); err != nil {
+			return err
+		}
+		if err := w.Flush(); err != nil {
+			return err
+		}
+	}
+}
+
+// answer turns one batch into rounds, and their decisions into the reply.
+func (a *Adapter) answer(b *wire.Batch) error {
+	a.reply.Reset()
+	a.undecided = a.undecided[:0]
+	now := admission.Time(b.NowUS / microsecondsPerTick)
+	about := subject{}
+	for i := range b.Count {
+		if err := a.take(b, b.Event(i), &about, now); err != nil {
+			return fmt.Errorf("record %d: %w", i, err)
+		}
+	}
+	for _, in := range a.undecided {
+		in.listed = false
+		in.round.Now = now
+		in.decide(&a.reply, &a.decisions)
+		in.clearRound()
+	}
+	return nil
+}
+
+// subject is the instance that the events of a batch are about at the moment.
+type subject struct {
+	number   uint32
+	named    bool
+	instance *instance // nil while none of that number is running
+}
+
+// take handles one event of a batch.
+func (a *Adapter) take(b *wire.Batch, e wire.Event, about *subject, now admission.Time) error {
+	switch e.Kind() {
+	case wire.InstanceSelected:
+		about.number, about.named = e.Instance(), true
+		about.instance = a.instances[about.number]
+		return nil
+	case wire.InstanceStarted:
+		if !about.named {
+			return errors.New("Spawn, expected About before it")
+		}
+		started, err := startInstance(b, e, about.number, now)
+		if err != nil {
+			return fmt.Errorf("instance %d: %w", about.number, err)
+		}
+		a.instances[about.number], about.instance = started, started
+	case wire.InstanceCrashed:
+		if about.instance == nil {
+			return fmt.Errorf("Halt for instance %d, expected one that was started", about.number)
+		}
+		a.remove(about.instance)
+		about.instance = nil
+		return nil
+	default:
+		if about.instance == nil {
+			return fmt.Errorf("event %d for instance %d, expected one that was started", e.Kind(), about.number)
+		}
+		if err := about.instance.gather(e, b.NowUS); err != nil {
+			return err
+		}
+	}
+	if !about.instance.listed {
+		about.instance.listed = true
+		a.undecided = append(a.undecided, about.instance)
+	}
+	return nil
+}
+
+// remove forgets an instance that crashed, with the round that was gathered for it.
+func (a *Adapter) remove(in *instance) {
+	in.listed = false
+	delete(a.instances, in.number)
+	if k := slices.Index(a.undecided, in); k >= 0 {
+		a.undecided = slices.Delete(a.undecided, k, k+1)
+	}
+}
--- a/internal/simulator/host_test.go
+++ b/internal/simulator/adapter_test.go
@@ -134,7 +134,7 @@
 	h.instances[3].controller = nil
 	h.instances[3].round.Woke = true
 	h.reply.Reset()
-	h.decide(h.instances[3])
+	h.instances[3].decide(&h.reply, &h.decisions)
 	out.Reset()
 	if _, err := h.reply.WriteTo(&out); err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/simulator/instance.go
@@ -0,0 +1,161 @@
+package simulator
+
+import (
+	"fmt"
+
+	"umberwinch/admission"
+	"umberwinch/internal/node/settings"
+	"umberwinch/internal/simulator/wire"
+)
+
+// instance is one server's decision module with the round that is gathered for it.
+type instance struct {
+	number     uint32
+	controller *admission.Controller
+	round      admission.Round
+	settings   *settings.Profile
+	listed     bool // among the adapter's undecided
+	failed     bool // its module panicked: it decides nothing more
+}
+
+// startInstance reads an instance's settings.
+func startInstance(b *wire.Batch, e wire.Event, number uint32, now admission.Time) (*instance, error) {
+	text, err := b.Settings(e)
+	if err != nil {
+		return nil, err
+	}
+	p, err := settings.Read(text)
+	if err != nil {
+		return nil, err
+	}
+	p.Start = now
+	return &instance{number: number, controller: admission.New(p.Deployment), settings: p}, nil
+}
+
+// Statuses of runs and calls on the simulator's wire.
+const (
+	statusOK                = 0
+	statusCancelled         = 1
+	statusTimeout           = 4
+	statusFull              = 8
+	statusSuperseded        = 9
+	statusReset             = 10
+	statusError             = 13
+	statusConnectionRefused = 14
+)
+
+var outcomeOfStatus = map[int]admission.Outcome{
+	statusOK:                admission.OK,
+	statusError:             admission.Errored,
+	statusFull:              admission.Unrun,
+	statusConnectionRefused: admission.Unrun,
+	statusTimeout:           admission.Unclear,
+	statusReset:             admission.Unclear,
+	statusCancelled:         admission.Stopped,
+	statusSuperseded:        admission.Moot,
+}
+
+func outcome(status int) (admission.Outcome, error) {
+	how, ok := outcomeOfStatus[status]
+	if !ok {
+		return how, fmt.Errorf("status %d, expected one of the listed endings", status)
+	}
+	return how, nil
+}
+
+// ticks converts a span or time of the simulator.
+func ticks[T uint32 | uint64](us T) admission.Time { return admission.Time(us / microsecondsPerTick) }
+
+// gather adds one event to the instance's round.
+func (in *instance) gather(e wire.Event, nowUS uint64) error {
+	r := &in.round
+	switch e.Kind() {
+	case wire.RequestRead:
+		return in.gatherRequest(e.Request(), nowUS)
+	case wire.RunEnded:
+		result := e.RunResult()
+		how, err := outcome(result.Status)
+		r.Ended = append(r.Ended, admission.End{ID: result.ID, Ran: ticks(result.TookUS), How: how})
+		return err
+	case wire.CallNeeded:
+		r.Needs = append(r.Needs, e.RequestID())
+	case wire.CallEnded:
+		result := e.CallResult()
+		how, err := outcome(result.Status)
+		r.Returned = append(r.Returned, admission.Return{ID: result.ID, Took: ticks(result.TookUS), How: how})
+		return err
+	case wire.CallerGone:
+		r.Gone = append(r.Gone, e.RequestID())
+	case wire.DrainNotice:
+		r.Drain, r.Kill = true, ticks(e.KillAtUS())
+	case wire.WakeUp:
+		in.gatherGauges(e)
+	default:
+		return fmt.Errorf("event code %d, expected a known one", e.Kind())
+	}
+	return nil
+}
+
+// gatherRequest adds a request that was read. It came when it reached the machine, which is a while before it was read.
+func (in *instance) gatherRequest(q wire.Request, nowUS uint64) error {
+	if q.Class >= in.controller.Handlers() {
+		return fmt.Errorf("class %d, expected below %d", q.Class, in.controller.Handlers())
+	}
+	request := admission.Request{
+		ID:      q.ID,
+		Handler: q.Class,
+		Tenant:  q.Tenant,
+		Came:    ticks(nowUS - min(uint64(q.BacklogUS), nowUS)),
+		Due:     ticks(q.DeadlineUS),
+		KB:      q.FootprintKB,
+		Again:   q.IsRetry,
+		Caller:  q.Caller,
+		Prior:   q.Previous,
+	}
+	if q.HasWork {
+		request.Hint = ticks(q.WorkUS)
+	}
+	in.round.Arrived = append(in.round.Arrived, request)
+	return nil
+}
+
+// gatherGauges notes a wake-up, with the gauges where it has them.
+func (in *instance) gatherGauges(e wire.Event) {
+	in.round.Woke = true
+	var space [4]float64
+	read := e.Gauges(space[:0])
+	if len(read) == 0 {
+		return
+	}
+	in.round.Gauged = true
+	in.round.Gauges = in.settings.Gauges(read)
+}
+
+// decide plays the round. A panic in the module is declared as the failure of this instance, and of no other: what it had
+// decided in this round is taken back, and it decides nothing more.
+func (in *instance) decide(reply *wire.Reply, decisions *decisionWriter) {
+	mark := reply.Mark()
+	defer func() {
+		if p := recover(); p != nil {
+			in.failed = true
+			reply.Cut(mark)
+			reply.Instance(in.number)
+			reply.Crash(fmt.Sprint("admission: ", p))
+		}
+	}()
+	if in.failed {
+		return
+	}
+	reply.Instance(in.number)
+	in.controller.Decide(&in.round, decisions)
+	if reply.Mark() == mark+1 {
+		reply.Cut(mark) // it decided nothing
+	}
+}
+
+// clearRound empties the round and keeps its space.
+func (in *instance) clearRound() {
+	r := &in.round
+	*r = admission.Round{Arrived: r.Arrived[:0], Returned: r.Returned[:0], Needs: r.Needs[:0],
+		Ended: r.Ended[:0], Gone: r.Gone[:0]}
+}
--- /dev/null
+++ b/internal/simulator/wire/reply.go
@@ -0,0 +1,153 @@
+package wire
+
+import (
+	"encoding/binary"
+	"io"
+	"math"
+)
+
+// Codes of actions on the wire.
+const (
+	actionFail           = 10
+	actionCall           = 20
+	actionCrash          = 30
+	actionReuseResult    = 40
+	actionHealth         = 50
+	actionRemember       = 60
+	actionInstance       = 70
+	actionOverloadSignal = 80
+	actionSkipCall       = 90
+	actionForget         = 100
+	actionIdleTimeout    = 110
+	actionLog            = 120
+	actionWakeUp         = 130
+	actionStop           = 140
+	actionRun            = 150
+	actionReject         = 160
+)
+
+// Reply gathers the actions of one frame. Those after Instance are of that instance.
+type Reply struct {
+	recs  []byte
+	tail  []byte
+	count int
+}
+
+// Reset empties the reply.
+func (p *Reply) Reset() { p.recs, p.tail, p.count = p.recs[:0], p.tail[:0], 0 }
+
+// action adds an empty action and gives its bytes.
+func (p *Reply) action(code byte) []byte {
+	n := len(p.recs)
+	p.recs = append(p.recs, make([]byte, actionSize)...)
+	p.recs[n] = code
+	p.count++
+	return p.recs[n : n+actionSize]
+}
+
+// actionOn adds an action that names a request or an instance.
+func (p *Reply) actionOn(code byte, id uint32) []byte {
+	r := p.action(code)
+	binary.BigEndian.PutUint32(r[1:], id)
+	return r
+}
+
+// Instance says whose the next actions are.
+func (p *Reply) Instance(number uint32) { p.actionOn(actionInstance, number) }
+
+// Run starts or resumes a request.
+func (p *Reply) Run(id uint32) { p.actionOn(actionRun, id) }
+
+// Stop stops a request that runs.
+func (p *Reply) Stop(id uint32) { p.actionOn(actionStop, id) }
+
+// Fail answers a request with an error, of which nothing is promised.
+func (p *Reply) Fail(id uint32) { p.actionOn(actionFail, id) }
+
+// SkipCall has a run go on without its call.
+func (p *Reply) SkipCall(id uint32) { p.actionOn(actionSkipCall, id) }
+
+// Forget removes a request's idempotency entry.
+func (p *Reply) Forget(id uint32) { p.actionOn(actionForget, id) }
+
+// ReuseResult answers a request from the result of the one that it repeats.
+func (p *Reply) ReuseResult(id uint32) { p.actionOn(actionReuseResult, id) }
+
+// Remember holds a request's idempotency entry for a span.
+func (p *Reply) Remember(id, spanUS uint32) {
+	binary.BigEndian.PutUint32(p.actionOn(actionRemember, id)[5:], spanUS)
+}
+
+// Call makes the call that a run waits for, until a time.
+func (p *Reply) Call(id uint32, untilUS uint64) {
+	binary.BigEndian.PutUint64(p.actionOn(actionCall, id)[5:], untilUS)
+}
+
+// Reject answers a request that it never ran; noRetry asks the caller to try no other server either.
+func (p *Reply) Reject(id uint32, noRetry bool, retryAfterUS uint32) {
+	r := p.actionOn(actionReject, id)
+	if noRetry {
+		r[5] = 1
+	}
+	binary.BigEndian.PutUint32(r[6:], retryAfterUS)
+}
+
+// Health answers health checks from now on.
+func (p *Reply) Health(ready bool) {
+	r := p.action(actionHealth)
+	r[1] = 1
+	if ready {
+		r[2] = 1
+	}
+}
+
+// OverloadSignal goes with every answer from now on.
+func (p *Reply) OverloadSignal(v float64) {
+	binary.BigEndian.PutUint32(p.action(actionOverloadSignal)[1:], math.Float32bits(float32(v)))
+}
+
+// IdleTimeout closes connections that were idle for a span.
+func (p *Reply) IdleTimeout(spanUS uint32) {
+	binary.BigEndian.PutUint32(p.action(actionIdleTimeout)[1:], spanUS)
+}
+
+// WakeUp asks for a WakeUp event at a time.
+func (p *Reply) WakeUp(atUS, handle uint64) {
+	r := p.action(actionWakeUp)
+	binary.BigEndian.PutUint64(r[1:], atUS)
+	binary.BigEndian.PutUint64(r[9:], handle)
+}
+
+// Log adds a line to the simulator's report.
+func (p *Reply) Log(line string) { p.text(actionLog, line) }
+
+// Crash declares that the decisions of the instance have failed.
+func (p *Reply) Crash(line string) { p.text(actionCrash, line) }
+
+// text adds an action that carries a line.
+func (p *Reply) text(code byte, line string) {
+	r := p.action(code)
+	binary.BigEndian.PutUint32(r[1:], uint32(len(p.tail)))
+	binary.BigEndian.PutUint32(r[5:], uint32(len(line)))
+	p.tail = append(p.tail, line...)
+}
+
+// Mark is a place to which Cut can go back.
+func (p *Reply) Mark() int { return p.count }
+
+// Cut takes back what was added since a mark; text stays in the tail, unreferenced.
+func (p *Reply) Cut(mark int) { p.recs, p.count = p.recs[:mark*actionSize], mark }
+
+// WriteTo writes the frame.
+func (p *Reply) WriteTo(w io.Writer) (int64, error) {
+	var head [replyHead]byte
+	size := replyHead + len(p.recs) + len(p.tail)
+	binary.BigEndian.PutUint32(head[0:], uint32(size))
+	binary.BigEndian.PutUint32(head[4:], uint32(p.count))
+	for _, part := range [][]byte{head[:], p.recs, p.tail} {
+		if _, err := w.Write(part); err != nil {
+			return 0, err
+		}
+	}
+	return int64(size), nil
+}
