--- a/internal/simulator/adapter.go
+++ b/internal/simulator/adapter.go
@@ -92,7 +92,7 @@
 		return nil
 	case wire.InstanceStarted:
 		if !about.named {
-			return errors.New("Spawn, expected About before it")
+			return errors.New("found Spawn, expected About before it")
 		}
 		started, err := startInstance(b, e, about.number, now)
 		if err != nil {
@@ -101,7 +101,7 @@
 		a.instances[about.number], about.instance = started, started
 	case wire.InstanceCrashed:
 		if about.instance == nil {
-			return fmt.Errorf("Halt for instance %d, expected one that was started", about.number)
+			return fmt.Errorf("found Halt for instance %d, expected one that was started", about.number)
 		}
 		a.remove(about.instance)
 		about.instance = nil
