--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/consensus"
-	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/lab"
 )
@@ -56,7 +56,7 @@
 	if word = v.Step; word == zones.In && v.Seen != nil && v.Seen.Score > 0 {
 		word = "suspected"
 	}
-	return word, fmt.Sprintf("%.0f%%", 100*float64(v.Share)/membership.Whole)
+	return word, fmt.Sprintf("%.0f%%", 100*float64(v.Share)/api.Whole)
 }
 
 func newZonesList(a *access) *cobra.Command {
@@ -179,7 +179,7 @@
 			if c.json {
 				return printJSON(w, r)
 			}
-			fmt.Fprintf(w, "zone %s is %s, takes %.0f%%, epoch %d\n", args[0], r.Step, 100*float64(r.Share)/membership.Whole, r.Epoch)
+			fmt.Fprintf(w, "zone %s is %s, takes %.0f%%, epoch %d\n", args[0], r.Step, 100*float64(r.Share)/api.Whole, r.Epoch)
 			return nil
 		})}
 	c.Flags().StringVar(&why, "reason", "", "why, for explain")
@@ -193,7 +193,7 @@
 	if part < 0 || part > 1 {
 		return 0, fmt.Errorf("--share: found %g, expected 0 to 1", part)
 	}
-	return int(part*membership.Whole + 0.5), nil
+	return int(part*api.Whole + 0.5), nil
 }
 
 func newZonesLeave(a *access) *cobra.Command {
--- a/internal/control/membership/wire.go
+++ b/internal/control/api/heartbeat.go
@@ -1,4 +1,4 @@
-package membership
+package api
 
 // What nodes and the group say to each other, as JSON over HTTP/1.1. The types stand here because both sides
 // know them and this package drags nothing along.
--- a/internal/control/membership/pin_messages_test.go
+++ b/internal/control/api/pin_messages_test.go
@@ -1,4 +1,4 @@
-package membership
+package api
 
 import (
 	"encoding/json"
--- a/internal/control/membership/zone.go
+++ b/internal/control/api/zones.go
@@ -1,4 +1,4 @@
-package membership
+package api
 
 // What nodes and the group say to each other of zones. A node whose group decides nothing about zones says and hears
 // none of it.
--- a/internal/control/consensus/nodes.go
+++ b/internal/control/consensus/nodes.go
@@ -13,6 +13,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/coordinator"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
@@ -101,24 +102,24 @@
 }
 
 // Node brings a node's asking before the leader.
-func (g *Group) Node(ctx context.Context, a membership.Ask) (membership.Told, error) {
+func (g *Group) Node(ctx context.Context, a api.Ask) (api.Told, error) {
 	type end struct {
-		told membership.Told
+		told api.Told
 		err  error
 	}
 	got := make(chan end, 1)
 	if err := g.ask(func() {
-		g.steward.Ask(g.rep.machine.nodes, a, func(t membership.Told, err error) { got <- end{t, err} })
+		g.steward.Ask(g.rep.machine.nodes, a, func(t api.Told, err error) { got <- end{t, err} })
 	}); err != nil {
-		return membership.Told{}, err
+		return api.Told{}, err
 	}
 	select {
 	case e := <-got:
 		return e.told, e.err
 	case <-g.done:
-		return membership.Told{}, ErrGone
+		return api.Told{}, ErrGone
 	case <-ctx.Done():
-		return membership.Told{}, ErrLate
+		return api.Told{}, ErrLate
 	}
 }
 
@@ -344,7 +345,7 @@
 }
 
 func (a *API) node(w http.ResponseWriter, r *http.Request) {
-	var ask membership.Ask
+	var ask api.Ask
 	if err := readBody(w, r, &ask); err != nil {
 		a.failed(w, err)
 		return
--- a/internal/control/consensus/nodes_test.go
+++ b/internal/control/consensus/nodes_test.go
@@ -5,20 +5,20 @@
 	"testing"
 	"time"
 
-	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/policy"
 )
 
 // node asks an instance as a node would.
-func (i *instance) node(a membership.Ask) (membership.Told, int) {
+func (i *instance) node(a api.Ask) (api.Told, int) {
 	i.t.Helper()
-	var t membership.Told
+	var t api.Told
 	code, _ := i.ask(http.MethodPost, "/v1/nodes", a, &t)
 	return t, code
 }
 
-func joining(name, nonce string) membership.Ask {
-	return membership.Ask{Join: membership.Join{Name: name, Zone: "z1", Nonce: nonce + "-12345678"}}
+func joining(name, nonce string) api.Ask {
+	return api.Ask{Join: api.Join{Name: name, Zone: "z1", Nonce: nonce + "-12345678"}}
 }
 
 // TestTwoBuilds: a group with an instance of an older build goes on at the older level, and rises once it is replaced;
@@ -93,7 +93,7 @@
 	leases := map[string]uint32{}
 	for k, i := range all {
 		name := string(rune('p' + k))
-		var told membership.Told
+		var told api.Told
 		i.retry("joining", func() bool {
 			var code int
 			told, code = i.node(joining(name, name))
@@ -131,7 +131,7 @@
 	a.Lease, a.Nonce = next.Lease, "p2-12345678"
 	left.retry("a renewal by another leader", func() bool {
 		var code int
-		var told membership.Told
+		var told api.Told
 		told, code = left.node(a)
 		a.Echo = told.Clock
 		return code == http.StatusOK && told.Gone == "" && told.LeaseMS > 0
--- a/internal/control/consensus/recover.go
+++ b/internal/control/consensus/recover.go
@@ -16,8 +16,8 @@
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/semaphore"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/document"
-	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/wal"
 )
@@ -231,7 +231,7 @@
 
 // node asks whoever comes by for what it holds, once.
 func (g *Gathering) node(w http.ResponseWriter, r *http.Request) {
-	var a membership.Ask
+	var a api.Ask
 	if err := readBody(w, r, &a); err != nil {
 		g.fail(w, http.StatusBadRequest, err)
 		return
@@ -246,7 +246,7 @@
 		g.fail(w, http.StatusServiceUnavailable, errors.New("the group is being restored"))
 		return
 	}
-	raw, err := json.Marshal(membership.Told{Gather: true})
+	raw, err := json.Marshal(api.Told{Gather: true})
 	if err != nil {
 		g.fail(w, http.StatusInternalServerError, err)
 		return
--- a/internal/control/consensus/recover_test.go
+++ b/internal/control/consensus/recover_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/document"
-	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/wal"
 )
@@ -66,8 +66,8 @@
 		}
 		return res.StatusCode
 	}
-	ask := func(name string) (told membership.Told, code int) {
-		code = post("/v1/nodes", membership.Ask{Join: membership.Join{Name: name, Zone: "z", Nonce: name + "-00000000"}}, &told)
+	ask := func(name string) (told api.Told, code int) {
+		code = post("/v1/nodes", api.Ask{Join: api.Join{Name: name, Zone: "z", Nonce: name + "-00000000"}}, &told)
 		return told, code
 	}
 	text := canonical(t, oneText)
--- a/internal/control/consensus/zones.go
+++ b/internal/control/consensus/zones.go
@@ -8,7 +8,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/logging"
 )
@@ -17,13 +17,13 @@
 
 // ZonesView is all of it.
 type ZonesView struct {
-	Clock   uint64               `json:"clock_ms"`
-	Epoch   uint64               `json:"epoch"`
-	Settled uint64               `json:"settled"`
-	Retry   int                  `json:"retry,omitempty"` // of 256 first tries; 0: no bound
-	Rules   membership.ZoneRules `json:"rules"`
-	Zones   []ZoneView           `json:"zones"`
-	Leads   bool                 `json:"leads"`
+	Clock   uint64        `json:"clock_ms"`
+	Epoch   uint64        `json:"epoch"`
+	Settled uint64        `json:"settled"`
+	Retry   int           `json:"retry,omitempty"` // of 256 first tries; 0: no bound
+	Rules   api.ZoneRules `json:"rules"`
+	Zones   []ZoneView    `json:"zones"`
+	Leads   bool          `json:"leads"`
 }
 
 // ZoneView is one zone.
@@ -47,7 +47,7 @@
 			i, known := at[o.Zone]
 			if !known {
 				i = len(v.Zones)
-				v.Zones = append(v.Zones, ZoneView{Zone: zones.Zone{Name: o.Zone, Step: zones.In, Share: membership.Whole}})
+				v.Zones = append(v.Zones, ZoneView{Zone: zones.Zone{Name: o.Zone, Step: zones.In, Share: api.Whole}})
 			}
 			v.Zones[i].Seen = o
 		}
--- a/internal/control/coordinator/part.go
+++ b/internal/control/coordinator/part.go
@@ -13,6 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/document"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
@@ -124,7 +125,7 @@
 	}
 	r := policy.Rules{LeaseMS: uint64(next.Fleet.Lease.Milliseconds()), Alone: next.Fleet.Alone}
 	if z := &next.Zones; z.Given {
-		r.Zones = membership.ZoneRules{Mode: z.Decide, First: int(z.First*membership.Whole + 0.5), HoldMS: uint64(z.Hold.Milliseconds()),
+		r.Zones = api.ZoneRules{Mode: z.Decide, First: int(z.First*api.Whole + 0.5), HoldMS: uint64(z.Hold.Milliseconds()),
 			KeepMS: uint64(z.Keep.Milliseconds()), WaitMS: uint64(z.Wait.Milliseconds()),
 			Small: z.Small}
 	}
@@ -256,10 +257,10 @@
 	}
 	next := found.Whose.Next("")
 	p.Gen, p.Before = next.Gen, next.Before
-	var more []membership.Join
+	var more []api.Join
 	share := map[string]recovery.Kept{}
 	for _, k := range found.Kept {
-		more = append(more, membership.Join{Name: k.Name, Zone: k.Zone, Addr: k.Addr})
+		more = append(more, api.Join{Name: k.Name, Zone: k.Zone, Addr: k.Addr})
 		if was, there := share[k.Zone]; k.Epoch > 0 && (!there || k.Epoch > was.Epoch) {
 			share[k.Zone] = k
 		}
@@ -270,7 +271,7 @@
 	}
 	left := map[string]int{}
 	for name, k := range share { // each is judged alone
-		if k.Share < membership.Whole {
+		if k.Share < api.Whole {
 			left[name] = k.Share
 		}
 	}
--- a/internal/control/coordinator/steward.go
+++ b/internal/control/coordinator/steward.go
@@ -7,6 +7,7 @@
 	"slices"
 	"sort"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/recovery"
@@ -50,8 +51,8 @@
 
 // open is one asking that waits for a beat.
 type open struct {
-	ask  membership.Ask
-	done func(membership.Told, error)
+	ask  api.Ask
+	done func(api.Told, error)
 }
 
 type opening struct {
@@ -155,7 +156,7 @@
 func (s *Steward) drop(err error) {
 	for _, list := range [][]open{s.waits, s.out} {
 		for _, o := range list {
-			o.done(membership.Told{}, err)
+			o.done(api.Told{}, err)
 		}
 	}
 	for _, o := range s.ops {
@@ -168,19 +169,19 @@
 }
 
 // Ask takes what a node says. done is called once, at once or after a beat.
-func (s *Steward) Ask(p *Part, a membership.Ask, done func(membership.Told, error)) {
+func (s *Steward) Ask(p *Part, a api.Ask, done func(api.Told, error)) {
 	if !s.leads {
-		done(membership.Told{}, ErrNoLead)
+		done(api.Told{}, ErrNoLead)
 		return
 	}
 	if a.Lease == 0 {
 		if err := a.Join.Valid(); err != nil {
-			done(membership.Told{}, err)
+			done(api.Told{}, err)
 			return
 		}
 	}
 	if p.Fleet.Lost != "" {
-		done(membership.Told{}, ErrLost)
+		done(api.Told{}, ErrLost)
 		return
 	}
 	if s.names != nil && len(s.names) < membership.MaxNodes {
@@ -189,7 +190,7 @@
 	if h := a.Heard; h != nil && h.Group != "" && h.Group != s.cluster {
 		// A lease of another generation has a number that means another here, and what it heard last may be a later one. It is
 		// told whose this is, and begins anew if that is later than what it knows.
-		t := s.tell(p, membership.Told{Gone: "it heard another generation of the group last"})
+		t := s.tell(p, api.Told{Gone: "it heard another generation of the group last"})
 		t.Before = p.Before
 		done(t, nil)
 		return
@@ -209,7 +210,7 @@
 	}
 	n := p.Fleet.In(a.Lease)
 	if n == nil && !a.Bye {
-		done(s.tell(p, membership.Told{Gone: "its lease ran out or its name began anew"}), nil)
+		done(s.tell(p, api.Told{Gone: "its lease ran out or its name began anew"}), nil)
 		return
 	}
 	if n != nil {
@@ -219,7 +220,7 @@
 	if n != nil && !a.Bye && p.Fleet.Clock > a.Echo+membership.Span(p.grant().LeaseMS) {
 		// It has not heard an answer for a lease's time, so it serves nothing: what it says reaches the group, and nothing
 		// comes back. Its askings must not keep it in, or a change would wait for it.
-		done(s.tell(p, membership.Told{Lease: a.Lease}), nil)
+		done(s.tell(p, api.Told{Lease: a.Lease}), nil)
 		return
 	}
 	// A promise that the state lacks goes through the log as well: a change waits for it.
@@ -228,7 +229,7 @@
 		s.wait(a, done)
 		return
 	}
-	done(s.tell(p, membership.Told{Lease: a.Lease}), nil)
+	done(s.tell(p, api.Told{Lease: a.Lease}), nil)
 }
 
 // nodesToDoubt is how many nodes have to prove that the group has lost state before it stops: one alone may lie.
@@ -244,7 +245,7 @@
 }
 
 // doubt holds what a node was told against what the state has.
-func (s *Steward) doubt(p *Part, a *membership.Ask) {
+func (s *Steward) doubt(p *Part, a *api.Ask) {
 	h := a.Heard
 	if h == nil || s.Without.Has(policy.Proof) {
 		return
@@ -307,18 +308,18 @@
 	return c != nil && c.Step != policy.Preparing && n.Lease.Floor < c.Version
 }
 
-func (s *Steward) wait(a membership.Ask, done func(membership.Told, error)) {
+func (s *Steward) wait(a api.Ask, done func(api.Told, error)) {
 	if len(s.waits) >= maxOpen {
-		done(membership.Told{}, ErrBusy)
+		done(api.Told{}, ErrBusy)
 		return
 	}
 	s.waits = append(s.waits, open{a, done})
 }
 
 // tell fills in what holds now.
-func (s *Steward) tell(p *Part, t membership.Told) membership.Told {
+func (s *Steward) tell(p *Part, t api.Told) api.Told {
 	t.Cluster, t.Term, t.Index, t.Sum, t.Clock, t.Gen = s.cluster, s.term, p.Index, p.sum(), p.Fleet.Clock, p.Gen
-	t.Need, t.Force = p.Policy.Need, membership.Named{Version: p.Policy.Force, Hash: p.Policy.Hash}
+	t.Need, t.Force = p.Policy.Need, api.Named{Version: p.Policy.Force, Hash: p.Policy.Hash}
 	g := p.grant()
 	t.Alone = g.Alone
 	t.Again = g.LeaseMS / 4
@@ -339,7 +340,7 @@
 		// While a change is under way whoever it waits for is heard soon; reports cost no entry.
 		t.Again = min(t.Again, max(200, uint64(len(p.Fleet.Nodes()))/5))
 		if c.Step == policy.Preparing {
-			t.Prepare = membership.Named{Version: c.Version, Hash: c.Hash}
+			t.Prepare = api.Named{Version: c.Version, Hash: c.Hash}
 		}
 	}
 	return t
@@ -647,9 +648,9 @@
 }
 
 // answer gives one node's answer after its beat.
-func (s *Steward) answer(p *Part, a *membership.Ask, e *BeatDone, joined map[string]*membership.Joined) (
-	membership.Told, error) {
-	t := membership.Told{Lease: a.Lease}
+func (s *Steward) answer(p *Part, a *api.Ask, e *BeatDone, joined map[string]*membership.Joined) (
+	api.Told, error) {
+	t := api.Told{Lease: a.Lease}
 	if a.Bye {
 		return s.tell(p, t), nil
 	}
--- a/internal/control/coordinator/steward_test.go
+++ b/internal/control/coordinator/steward_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"testing"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/recovery"
@@ -60,16 +61,16 @@
 }
 
 // answers gathers what a node is told.
-type answers []membership.Told
+type answers []api.Told
 
-func (a *answers) take(t membership.Told, err error) {
+func (a *answers) take(t api.Told, err error) {
 	if err == nil {
 		*a = append(*a, t)
 	}
 }
 
-func ask(name string) membership.Ask {
-	return membership.Ask{Join: membership.Join{Name: name, Zone: "z", Nonce: name + "-nonce-1"}}
+func ask(name string) api.Ask {
+	return api.Ask{Join: api.Join{Name: name, Zone: "z", Nonce: name + "-nonce-1"}}
 }
 
 // TestOneEntryForAll: whoever asks within half a second is in one entry, a thousand as one.
@@ -87,7 +88,7 @@
 		for i := range got {
 			a := ask(fmt.Sprint("n", i))
 			a.Lease, a.Renew, a.Echo = got[i].Lease, true, g.p.Fleet.Clock
-			g.s[0].Ask(g.p, a, func(membership.Told, error) {})
+			g.s[0].Ask(g.p, a, func(api.Told, error) {})
 		}
 		g.run(0, 1000)
 	}
@@ -98,7 +99,7 @@
 	was, answered := g.p.Fleet.Beats, 0
 	a := ask("n1")
 	a.Lease, a.Echo = got[1].Lease, g.p.Fleet.Clock
-	g.s[0].Ask(g.p, a, func(t membership.Told, err error) { answered++ })
+	g.s[0].Ask(g.p, a, func(t api.Told, err error) { answered++ })
 	if answered != 1 || g.p.Fleet.Beats != was {
 		t.Errorf("a report was answered %d times by %d entries", answered, g.p.Fleet.Beats-was)
 	}
@@ -110,10 +111,10 @@
 	for level, starts := range map[int]int{LevelGen: 4, LevelSame: 1} {
 		g := start(t)
 		g.s[0].Level = level
-		join := func(nonce string) (told membership.Told) {
+		join := func(nonce string) (told api.Told) {
 			a := ask("n1")
 			a.Nonce, a.Same = nonce, true // what it claims counts for nothing
-			g.s[0].Ask(g.p, a, func(t membership.Told, _ error) { told = t })
+			g.s[0].Ask(g.p, a, func(t api.Told, _ error) { told = t })
 			g.run(0, 1000)
 			return told
 		}
@@ -175,7 +176,7 @@
 		t.Fatalf("answers %+v, expected one", got)
 	}
 	let := 0
-	g.s[0].Ask(g.p, ask("b"), func(_ membership.Told, err error) {
+	g.s[0].Ask(g.p, ask("b"), func(_ api.Told, err error) {
 		if err == ErrNoLead {
 			let++
 		}
@@ -184,7 +185,7 @@
 	if let != 1 {
 		t.Errorf("let go %d times by the lost lead, expected once", let)
 	}
-	g.s[0].Ask(g.p, ask("b"), func(_ membership.Told, err error) {
+	g.s[0].Ask(g.p, ask("b"), func(_ api.Told, err error) {
 		if err != ErrNoLead {
 			t.Errorf("one that does not lead answers %v", err)
 		}
@@ -200,8 +201,8 @@
 	a := ask("a")
 	a.Lease, a.Renew, a.Echo = got[0].Lease, true, got[0].Clock
 	for at := 0; at < 30; at++ {
-		g.s[0].Ask(g.p, a, func(membership.Told, error) {})
-		g.s[0].Ask(g.p, ask("b"), func(membership.Told, error) {})
+		g.s[0].Ask(g.p, a, func(api.Told, error) {})
+		g.s[0].Ask(g.p, ask("b"), func(api.Told, error) {})
 		g.run(0, 1000)
 	}
 	for _, name := range []string{"a", "b"} {
@@ -238,7 +239,7 @@
 		t.Fatalf("%d entries once all have prepared, expected the decision", len(decide))
 	}
 	// A node joins before it is applied: it does not count, and the leader waits for that one too.
-	body, _ := json.Marshal(membership.Beat{After: g.p.Fleet.Beats, Span: 1, Join: []membership.Join{ask("b").Join}})
+	body, _ := json.Marshal(membership.Beat{After: g.p.Fleet.Beats, Span: 1, Join: []api.Join{ask("b").Join}})
 	g.apply(Entry{KindBeat, body}, g.term)
 	g.apply(decide[0], g.term)
 	if g.p.Policy.Now.Step != policy.Preparing {
@@ -276,23 +277,23 @@
 		g.s[0].Ask(g.p, ask(n), got.take)
 	}
 	g.run(0, 1000)
-	heard := func(i int, name string, change func(h *membership.Heard)) (t membership.Told, err error) {
+	heard := func(i int, name string, change func(h *api.Heard)) (t api.Told, err error) {
 		a := ask(name)
 		a.Lease, a.Renew, a.Echo = got[i].Lease, true, g.p.Fleet.Clock
-		a.Heard = &membership.Heard{Group: "g", Gen: 1, Term: 1, Index: g.p.Index}
+		a.Heard = &api.Heard{Group: "g", Gen: 1, Term: 1, Index: g.p.Index}
 		change(a.Heard)
-		g.s[0].Ask(g.p, a, func(x membership.Told, e error) { t, err = x, e })
+		g.s[0].Ask(g.p, a, func(x api.Told, e error) { t, err = x, e })
 		g.run(0, 1000)
 		return t, err
 	}
-	if told, err := heard(0, "a", func(*membership.Heard) {}); err != nil || told.LeaseMS == 0 {
+	if told, err := heard(0, "a", func(*api.Heard) {}); err != nil || told.LeaseMS == 0 {
 		t.Fatalf("%+v, %v: expected a longer lease", told, err)
 	}
-	of := func(h *membership.Heard) { h.Group, h.Gen = "g0", 1 }
+	of := func(h *api.Heard) { h.Group, h.Gen = "g0", 1 }
 	if told, err := heard(1, "b", of); err != nil || told.Gone == "" || told.LeaseMS != 0 {
 		t.Fatalf("%+v, %v: a lease of another group counts", told, err)
 	}
-	ahead := func(h *membership.Heard) { h.Index += 100 }
+	ahead := func(h *api.Heard) { h.Index += 100 }
 	if _, err := heard(0, "a", ahead); err != nil || g.p.Fleet.Lost != "" {
 		t.Fatalf("%v, %q: one node stops the group", err, g.p.Fleet.Lost)
 	}
@@ -305,7 +306,7 @@
 	if g.p.Fleet.Lost == "" {
 		t.Fatal("two nodes know of later entries, and the group goes on")
 	}
-	if _, err := heard(2, "c", func(*membership.Heard) {}); err != ErrLost {
+	if _, err := heard(2, "c", func(*api.Heard) {}); err != ErrLost {
 		t.Fatalf("%v, expected %v", err, ErrLost)
 	}
 	if err := g.s[0].Forget("a"); err != ErrLost {
@@ -354,18 +355,18 @@
 func TestFirstOfMany(t *testing.T) {
 	g := start(t)
 	g.s[0].Level = LevelGen
-	rules := policy.Rules{LeaseMS: 4000, Zones: membership.ZoneRules{Mode: membership.ZonesAuto, First: 16, HoldMS: 1000, Small: true}}
+	rules := policy.Rules{LeaseMS: 4000, Zones: api.ZoneRules{Mode: api.ZonesAuto, First: 16, HoldMS: 1000, Small: true}}
 	g.p.Policy.Force, g.p.Policy.Need, g.p.Policy.Rules = 1, 1, rules
 	leases := map[string]uint32{}
-	each := func(names, nonce string, up uint64) map[string]*membership.Told {
-		out := map[string]*membership.Told{}
+	each := func(names, nonce string, up uint64) map[string]*api.Told {
+		out := map[string]*api.Told{}
 		for _, n := range names {
 			a := ask(string(n))
 			a.Nonce, a.Up, a.Floor, a.Lease = string(n)+nonce, up, 1, leases[string(n)+nonce]
 			a.Renew, a.Echo = a.Lease != 0, g.p.Fleet.Clock
-			told := &membership.Told{}
+			told := &api.Told{}
 			out[string(n)] = told
-			g.s[0].Ask(g.p, a, func(x membership.Told, err error) { *told = x })
+			g.s[0].Ask(g.p, a, func(x api.Told, err error) { *told = x })
 		}
 		g.run(0, 1000)
 		for n, told := range out {
@@ -374,14 +375,14 @@
 		return out
 	}
 	each("abcdef", "-first-life", 60_000)
-	g.p.Zones.Zones = []*zones.Zone{{Name: "z", Step: zones.In, Share: membership.Whole, Bore: zones.Bore{Runs: 96, Flight: 2, RunMS: 20}}}
+	g.p.Zones.Zones = []*zones.Zone{{Name: "z", Step: zones.In, Share: api.Whole, Bore: zones.Bore{Runs: 96, Flight: 2, RunMS: 20}}}
 	each("abcdef", "-first-life", 61_000)
 	// One restarts: it takes a share until the others were heard after it, and all at once then.
 	if told := each("a", "-second-life", 0)["a"]; told.Zone == nil || told.Zone.Share != 16 || told.Zone.Rate != 1 || told.Again > 500 {
 		t.Fatalf("%+v: the first one of maybe many begins whole", told.Zone)
 	}
 	each("bcdef", "-first-life", 63_000)
-	if told := each("a", "-second-life", 2000)["a"]; told.Zone.Share != membership.Whole || told.Zone.Capped {
+	if told := each("a", "-second-life", 2000)["a"]; told.Zone.Share != api.Whole || told.Zone.Capped {
 		t.Fatalf("%+v: a lone restart is held", told.Zone)
 	}
 	// All do, the first two before the others.
@@ -412,10 +413,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := map[uint32]membership.Told{}
+	told := map[uint32]api.Told{}
 	for range 3 { // what is lost afterwards
 		for _, a := range got[:2] {
-			g.s[0].Ask(g.p, membership.Ask{Join: membership.Join{Name: "x"}, Lease: a.Lease, Echo: a.Clock, Renew: true}, func(t membership.Told, err error) {
+			g.s[0].Ask(g.p, api.Ask{Join: api.Join{Name: "x"}, Lease: a.Lease, Echo: a.Clock, Renew: true}, func(t api.Told, err error) {
 				told[a.Lease] = t
 			})
 		}
@@ -438,8 +439,8 @@
 	for i, n := range []string{"a", "b"} {
 		is := told[got[i].Lease]
 		a := ask(n)
-		a.Lease, a.Echo, a.Heard = is.Lease, is.Clock, &membership.Heard{Group: "g", Gen: 1, Term: is.Term, Index: is.Index, Sum: is.Sum}
-		g.s[1].Ask(g.p, a, func(membership.Told, error) {})
+		a.Lease, a.Echo, a.Heard = is.Lease, is.Clock, &api.Heard{Group: "g", Gen: 1, Term: is.Term, Index: is.Index, Sum: is.Sum}
+		g.s[1].Ask(g.p, a, func(api.Told, error) {})
 	}
 	if g.run(1, 1000); g.p.Fleet.Lost == "" {
 		t.Error("two nodes were told of entries that it lacks, and the group goes on")
@@ -458,8 +459,8 @@
 		for k, a := range got[:2] {
 			q := ask([]string{"a", "b"}[k])
 			q.Lease, q.Echo, q.Renew = a.Lease, a.Clock, true
-			q.Heard = &membership.Heard{Group: "g", Gen: 1, Term: a.Term, Index: a.Index, Sum: a.Sum}
-			if g.s[1].Ask(g.p, q, func(t membership.Told, err error) { got[k] = t }); i%3 == 0 { // some are behind by a beat or two
+			q.Heard = &api.Heard{Group: "g", Gen: 1, Term: a.Term, Index: a.Index, Sum: a.Sum}
+			if g.s[1].Ask(g.p, q, func(t api.Told, err error) { got[k] = t }); i%3 == 0 { // some are behind by a beat or two
 				break
 			}
 		}
@@ -485,18 +486,18 @@
 		g.s[1].Level = LevelGen
 		g.lead(1)
 		granted := false
-		renew := func(i int, name string, done func(membership.Told, error)) {
+		renew := func(i int, name string, done func(api.Told, error)) {
 			a := ask(name)
 			a.Lease, a.Echo, a.Renew = got[i].Lease, got[i].Clock, true
 			g.s[1].Ask(g.p, a, done)
 		}
-		renew(0, "a", func(t membership.Told, err error) { granted = err == nil && t.LeaseMS > 0 })
+		renew(0, "a", func(t api.Told, err error) { granted = err == nil && t.LeaseMS > 0 })
 		g.run(1, 600)
 		if granted {
 			t.Fatal("it grants, and b was not heard")
 		}
 		if all {
-			renew(1, "b", func(membership.Told, error) {})
+			renew(1, "b", func(api.Told, error) {})
 			g.run(1, 500)
 		} else {
 			g.run(1, listenMost)
--- a/internal/control/membership/fleet.go
+++ b/internal/control/membership/fleet.go
@@ -11,14 +11,13 @@
 	"sort"
 	"strings"
 
-	"umberwinch/internal/config"
+	"umberwinch/internal/control/api"
 )
 
 // Bounds of the state.
 const (
 	MaxNodes  = 10000
-	maxWord   = 80 // bytes of an address or nonce
-	maxOld    = 8  // leases of earlier incarnations that may still be acted on, a node
+	maxOld    = 8 // leases of earlier incarnations that may still be acted on, a node
 	maxStarts = 16
 )
 
@@ -73,31 +72,20 @@
 	Left   = "left"   // it said so
 )
 
-// Join asks for a new incarnation.
-type Join struct {
-	Name  string `json:"name"`
-	Zone  string `json:"zone"`
-	Addr  string `json:"addr"`
-	Nonce string `json:"nonce"`
-	Up    uint64 `json:"up_ms,omitempty"` // since its process began; 0: not said
-	// The leader's word, whatever a node says: the process that joins is the one that had the name's last lease.
-	Same bool `json:"same,omitempty"`
-}
-
 // Beat is one entry of the log: time that went by, and all that was heard meanwhile.
 type Beat struct {
-	Term   uint64   `json:"term"`            // of the leader that made it
-	No     uint64   `json:"no"`              // its beats in that term: with Term, whose beat it is
-	After  uint64   `json:"after"`           // beats before it, as its leader knew them: else it counts for nothing
-	Span   uint64   `json:"ms"`              // since the beat before was applied at its leader
-	Floor  uint64   `json:"floor"`           // what those under Renew promise
-	Zones  uint64   `json:"zones,omitempty"` // and of the zones
-	Renew  []uint32 `json:"renew,omitempty"`
-	Behind []uint32 `json:"behind,omitempty"` // heard, but they promise less
-	Join   []Join   `json:"join,omitempty"`
-	Bye    []uint32 `json:"bye,omitempty"`
-	Forget []string `json:"forget,omitempty"`
-	Lost   string   `json:"lost,omitempty"` // nodes proved that the group's state was put back or lost
+	Term   uint64     `json:"term"`            // of the leader that made it
+	No     uint64     `json:"no"`              // its beats in that term: with Term, whose beat it is
+	After  uint64     `json:"after"`           // beats before it, as its leader knew them: else it counts for nothing
+	Span   uint64     `json:"ms"`              // since the beat before was applied at its leader
+	Floor  uint64     `json:"floor"`           // what those under Renew promise
+	Zones  uint64     `json:"zones,omitempty"` // and of the zones
+	Renew  []uint32   `json:"renew,omitempty"`
+	Behind []uint32   `json:"behind,omitempty"` // heard, but they promise less
+	Join   []api.Join `json:"join,omitempty"`
+	Bye    []uint32   `json:"bye,omitempty"`
+	Forget []string   `json:"forget,omitempty"`
+	Lost   string     `json:"lost,omitempty"` // nodes proved that the group's state was put back or lost
 }
 
 // Joined is the end of one asking to join.
@@ -138,21 +126,6 @@
 // New gives an empty fleet.
 func New() *State { return &State{names: map[string]*Node{}, lease: map[uint32]*Node{}} }
 
-// Valid says what is wrong with a join before it is proposed.
-func (j *Join) Valid() error {
-	switch {
-	case !config.IsName(j.Name):
-		return fmt.Errorf("name: found %.50q, expected up to 40 letters, digits, '-', '_' and '.'", j.Name)
-	case !config.IsName(j.Zone):
-		return fmt.Errorf("zone: found %.50q, expected up to 40 letters, digits, '-', '_' and '.'", j.Zone)
-	case len(j.Addr) > maxWord:
-		return fmt.Errorf("addr: found %d bytes, expected at most %d", len(j.Addr), maxWord)
-	case len(j.Nonce) < 8 || len(j.Nonce) > maxWord:
-		return fmt.Errorf("nonce: found %d bytes, expected 8 to %d", len(j.Nonce), maxWord)
-	}
-	return nil
-}
-
 // Apply plays one beat.
 func (s *State) Apply(b *Beat, term uint64, g Grant) Result {
 	r := Result{LeaseMS: g.LeaseMS, Granted: map[uint32]bool{}}
@@ -238,7 +211,7 @@
 	flapMost = 30_000
 )
 
-func (s *State) join(j *Join, g Grant) Joined {
+func (s *State) join(j *api.Join, g Grant) Joined {
 	n := s.names[j.Name]
 	if n != nil && n.Lease.Nonce == j.Nonce {
 		if n.Out != "" {
@@ -411,7 +384,7 @@
 // Restore makes the state that of a new generation: nobody was heard by it, nothing that an earlier one promised is
 // relied on, and all leases of it may still be acted on for their whole length, by who is known and by who is not.
 // Names are added that are not known yet. longest is the longest lease that any node may hold, in ms.
-func (s *State) Restore(longest uint64, alone bool, more []Join) {
+func (s *State) Restore(longest uint64, alone bool, more []api.Join) {
 	s.Lost, s.Term, s.Heard = "", 0, s.Clock
 	s.Hush = s.Clock + Span(longest)
 	s.next += 1 << 20 // numbers that an earlier generation may have given since stand for nothing here
--- a/internal/control/policy/policy.go
+++ b/internal/control/policy/policy.go
@@ -10,6 +10,7 @@
 	"fmt"
 	"strings"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/membership"
 )
 
@@ -35,9 +36,9 @@
 
 // Rules are what the document of a version says of leases and of the group's absence.
 type Rules struct {
-	LeaseMS uint64               `json:"lease_ms"`
-	Alone   bool                 `json:"alone"` // when_alone = go-on
-	Zones   membership.ZoneRules `json:"zones,omitzero"`
+	LeaseMS uint64        `json:"lease_ms"`
+	Alone   bool          `json:"alone"` // when_alone = go-on
+	Zones   api.ZoneRules `json:"zones,omitzero"`
 }
 
 // Before is the rules until a version is in force. Ten seconds outlast a group's failover several times; a
--- a/internal/control/zones/gate.go
+++ b/internal/control/zones/gate.go
@@ -5,14 +5,14 @@
 	"hash/crc32"
 	"math"
 
-	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/api"
 )
 
 // Gate is a node's side of its zone's order: whether it takes a req, and whether it opens a connection below. It is told
 // the time, in ms of a clock that nobody sets.
 type Gate struct {
 	seed   uint32
-	order  membership.ZoneOrder
+	order  api.ZoneOrder
 	has    bool
 	runs   bucket
 	dials  bucket
@@ -78,10 +78,10 @@
 
 // Order takes what the group says. A newer epoch never finds more at hand than it brings: what was saved up under an
 // older one is let go of.
-func (g *Gate) Order(now uint64, o *membership.ZoneOrder) (changed bool) {
+func (g *Gate) Order(now uint64, o *api.ZoneOrder) (changed bool) {
 	if o == nil { // nothing is decided about zones any more
 		changed = g.has
-		g.order, g.has, g.alone = membership.ZoneOrder{Share: membership.Whole}, false, 0
+		g.order, g.has, g.alone = api.ZoneOrder{Share: api.Whole}, false, 0
 		return changed
 	}
 	changed = !g.has || o.Epoch != g.order.Epoch || o.Share != g.order.Share
@@ -101,7 +101,7 @@
 // doubled each time that this time has gone by and the node's own reqs go well, and halved where they do not: a group
 // that is away for long must not keep a zone out for ever, and its services below had that time to get warm.
 func (g *Gate) Alone(now uint64, goesWell bool) (changed bool) {
-	if !g.has || g.order.Share >= membership.Whole && g.order.Worth == 0 && !g.order.Capped {
+	if !g.has || g.order.Share >= api.Whole && g.order.Worth == 0 && !g.order.Capped {
 		return false
 	}
 	if g.alone == 0 {
@@ -119,10 +119,10 @@
 		return true
 	}
 	was := o.Share
-	o.Share = min(membership.Whole, max(membership.Whole/16, 2*o.Share))
+	o.Share = min(api.Whole, max(api.Whole/16, 2*o.Share))
 	g.pace.step(now, was, o.Share)
 	o.Rate, o.Dials = max(1, 2*o.Rate), max(1, 2*o.Dials)
-	if o.Share == membership.Whole {
+	if o.Share == api.Whole {
 		o.Capped = false
 	}
 	return true
@@ -132,7 +132,7 @@
 // does so with it. The share grows by Alone from here, each hold that its reqs go well.
 func (g *Gate) Begin(now uint64, share int, hold uint64) {
 	if !g.has {
-		g.order = membership.ZoneOrder{Share: membership.Whole}
+		g.order = api.ZoneOrder{Share: api.Whole}
 	}
 	g.has, g.alone, g.grown = true, now, now
 	g.order.Share, g.order.Keep = min(g.order.Share, max(1, share)), hold
@@ -153,7 +153,7 @@
 func (g *Gate) Epoch() uint64 { return g.order.Epoch }
 func (g *Gate) Share() int {
 	if !g.has {
-		return membership.Whole
+		return api.Whole
 	}
 	return g.order.Share
 }
@@ -186,7 +186,7 @@
 	if o.Retry > 0 {
 		b := &g.retry[q.Handler]
 		if !q.Again {
-			b.have = min(retryMost, b.have+float64(o.Retry)/membership.Whole)
+			b.have = min(retryMost, b.have+float64(o.Retry)/api.Whole)
 		} else if b.have < 1 {
 			g.Turned++
 			return false, o.Full
@@ -200,7 +200,7 @@
 // Back is in how many ms a req that the share leaves out may be let in, if the share goes on growing as it did: all that
 // come again before that are turned away again, as who is let in goes by the same place in the share. 0 where nothing tells.
 func (g *Gate) Back(now uint64, q Asked) uint64 {
-	place, o, p := int(q.Hash>>16&(membership.Whole-1)), &g.order, &g.pace
+	place, o, p := int(q.Hash>>16&(api.Whole-1)), &g.order, &g.pace
 	if !g.has || o.Share <= 0 || o.Worth > 0 || place < o.Share || p.times < growLeast || p.span == 0 {
 		return 0
 	}
@@ -214,7 +214,7 @@
 
 func (g *Gate) picks(q Asked) bool {
 	o := &g.order
-	in := int(q.Hash>>16&(membership.Whole-1)) < o.Share
+	in := int(q.Hash>>16&(api.Whole-1)) < o.Share
 	if o.Worth > 0 {
 		return q.Value < o.Worth || q.Value == o.Worth && in
 	}
--- a/internal/control/zones/gate_test.go
+++ b/internal/control/zones/gate_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/api"
 )
 
 // TestGateShare: who is in stays in while the share grows, the share is about what it says, also where reqs name no tenant,
@@ -14,7 +14,7 @@
 	for _, tenant := range []string{"", "t0", "some-longer-tenant"} {
 		was := map[uint32]bool{}
 		for _, share := range []int{0, 16, 64, 128, 255, 256} {
-			g.Order(1000, &membership.ZoneOrder{Epoch: uint64(share), Share: share})
+			g.Order(1000, &api.ZoneOrder{Epoch: uint64(share), Share: share})
 			taken := 0
 			for sender := uint32(0); sender < 4000; sender++ {
 				h := Hash(nil, []byte(tenant), sender)
@@ -32,12 +32,12 @@
 			}
 		}
 	}
-	g.Order(1000, &membership.ZoneOrder{Epoch: 300, Share: 0})
+	g.Order(1000, &api.ZoneOrder{Epoch: 300, Share: 0})
 	if ok, _ := g.Take(1000, Asked{Known: true}); !ok || !g.Out() {
 		t.Error("a repeat of what came here is turned away, or the gate is not out")
 	}
 	// A policy that decides nothing about zones any more takes all.
-	if g.Order(1000, nil); g.Out() || g.Share() != membership.Whole {
+	if g.Order(1000, nil); g.Out() || g.Share() != api.Whole {
 		t.Error("out with nothing decided about zones")
 	}
 	if ok, _ := g.Take(1000, Asked{}); !ok {
@@ -48,7 +48,7 @@
 // TestGateWorth: a zone left in part keeps what is worth least.
 func TestGateWorth(t *testing.T) {
 	g := NewGate(1, 7)
-	g.Order(0, &membership.ZoneOrder{Epoch: 1, Share: 128, Worth: 2})
+	g.Order(0, &api.ZoneOrder{Epoch: 1, Share: 128, Worth: 2})
 	in, n := 0, 0
 	for s := uint32(0); s < 1000; s++ {
 		h := Hash([]byte(fmt.Sprint("key", s)), nil, 0)
@@ -72,7 +72,7 @@
 // tries fill.
 func TestGateCeilingAndBudget(t *testing.T) {
 	g := NewGate(2, 7)
-	g.Order(1000, &membership.ZoneOrder{Epoch: 1, Share: membership.Whole, Capped: true, Rate: 10, Dials: 2})
+	g.Order(1000, &api.ZoneOrder{Epoch: 1, Share: api.Whole, Capped: true, Rate: 10, Dials: 2})
 	taken, dials := 0, 0
 	for now := uint64(1000); now < 6000; now += 10 {
 		if ok, _ := g.Take(now, Asked{}); ok {
@@ -85,7 +85,7 @@
 	if taken < 45 || taken > 52 || dials < 9 || dials > 11 {
 		t.Errorf("%d runs and %d connections in 5 s, expected 50 and 10", taken, dials)
 	}
-	g.Order(6000, &membership.ZoneOrder{Epoch: 2, Share: membership.Whole, Retry: 64, Full: true})
+	g.Order(6000, &api.ZoneOrder{Epoch: 2, Share: api.Whole, Retry: 64, Full: true})
 	again, turned := 0, 0
 	for i := 0; i < 400; i++ {
 		g.Take(6000, Asked{Handler: 1})
@@ -108,7 +108,7 @@
 // where they do not; the group's word ends that.
 func TestGateAlone(t *testing.T) {
 	g := NewGate(1, 7)
-	o := &membership.ZoneOrder{Epoch: 4, Share: 0, Keep: 60_000}
+	o := &api.ZoneOrder{Epoch: 4, Share: 0, Keep: 60_000}
 	g.Order(0, o)
 	now := uint64(1000)
 	step := func(well bool, share int) {
@@ -187,10 +187,10 @@
 		t.Fatalf("takes %d of 256 after four holds that went well", n)
 	}
 	g.Begin(20_000, 16, 2000)
-	if g.Order(20_100, nil); g.Share() != membership.Whole {
+	if g.Order(20_100, nil); g.Share() != api.Whole {
 		t.Fatalf("share %d, though the group has said nothing of zones", g.Share())
 	}
-	g.Order(1, &membership.ZoneOrder{Epoch: 3, Share: 0, Keep: 1000})
+	g.Order(1, &api.ZoneOrder{Epoch: 3, Share: 0, Keep: 1000})
 	if g.Begin(2, 16, 2000); g.Share() != 0 {
 		t.Fatalf("share %d of a zone that was out", g.Share())
 	}
@@ -201,11 +201,11 @@
 func TestBack(t *testing.T) {
 	g := NewGate(1, 7)
 	at := func(place int) Asked { return Asked{Hash: uint32(place) << 16} }
-	g.Order(1000, &membership.ZoneOrder{Epoch: 1, Share: 16})
+	g.Order(1000, &api.ZoneOrder{Epoch: 1, Share: 16})
 	if ms := g.Back(1500, at(200)); ms != 0 {
 		t.Errorf("%d ms, and the share has not grown yet", ms)
 	}
-	g.Order(3000, &membership.ZoneOrder{Epoch: 2, Share: 32})
+	g.Order(3000, &api.ZoneOrder{Epoch: 2, Share: 32})
 	for _, c := range []struct {
 		now   uint64
 		place int
@@ -215,11 +215,11 @@
 			t.Errorf("place %d at %d: %d ms, expected %d", c.place, c.now, ms, c.ms)
 		}
 	}
-	g.Order(5000, &membership.ZoneOrder{Epoch: 3, Share: 20})
+	g.Order(5000, &api.ZoneOrder{Epoch: 3, Share: 20})
 	if ms := g.Back(5000, at(200)); ms != 0 {
 		t.Errorf("%d ms after a step back, expected nothing", ms)
 	}
-	g.Order(7000, &membership.ZoneOrder{Epoch: 4, Share: 0})
+	g.Order(7000, &api.ZoneOrder{Epoch: 4, Share: 0})
 	if ms := g.Back(7000, at(200)); ms != 0 {
 		t.Errorf("%d ms of a zone that is out, expected nothing", ms)
 	}
@@ -233,7 +233,7 @@
 	for n := uint32(0); n < nodes; n++ {
 		g := NewGate(1, n*2654435761)
 		for epoch := uint64(1); epoch <= 5; epoch++ {
-			g.Order(epoch*4000, &membership.ZoneOrder{Epoch: epoch, Share: membership.Whole, Capped: true, Rate: each})
+			g.Order(epoch*4000, &api.ZoneOrder{Epoch: epoch, Share: api.Whole, Capped: true, Rate: each})
 			for now := epoch * 4000; now < epoch*4000+4000; now += 50 {
 				if ok, _ := g.Take(now, Asked{}); ok {
 					taken++
--- a/internal/control/zones/meter.go
+++ b/internal/control/zones/meter.go
@@ -3,7 +3,7 @@
 import (
 	"sort"
 
-	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/api"
 )
 
 // Meter counts what a node reports of itself: fixed buckets in a ring, the last two seconds and what goes on.
@@ -124,9 +124,9 @@
 }
 
 // Load gives the report.
-func (m *Meter) Load(now uint64, kernel bool, cores float64, out int) *membership.Tally {
+func (m *Meter) Load(now uint64, kernel bool, cores float64, out int) *api.Tally {
 	m.slot(now)
-	l := &membership.Tally{Kernel: kernel, Cores: cores, Out: out}
+	l := &api.Tally{Kernel: kernel, Cores: cores, Out: out}
 	// The bucket in use is not over yet: what lies before it, and as much of it as there is.
 	l.MS = int(min((meterSlots-1)*meterMS+now%meterMS, max(now-m.born, 1)))
 	gauges, runMS, callMS, onCores := 0, 0.0, 0.0, 0.0
@@ -154,11 +154,11 @@
 		l.CallMS = callMS / float64(l.Calls)
 	}
 	for value, came := range mix {
-		l.Mix = append(l.Mix, membership.Worth{Value: value, Came: came})
+		l.Mix = append(l.Mix, api.Worth{Value: value, Came: came})
 	}
 	sort.Slice(l.Mix, func(i, k int) bool { return l.Mix[i].Value < l.Mix[k].Value })
-	if len(l.Mix) > membership.MaxMix { // those of least value count as the least of the rest
-		drop := len(l.Mix) - membership.MaxMix
+	if len(l.Mix) > api.MaxMix { // those of least value count as the least of the rest
+		drop := len(l.Mix) - api.MaxMix
 		for _, w := range l.Mix[:drop] {
 			l.Mix[drop].Came += w.Came
 		}
--- a/internal/control/zones/next.go
+++ b/internal/control/zones/next.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/membership"
 )
 
@@ -14,7 +15,7 @@
 	// Leaving has to win a tenth of what the zone is asked for, or it stays: less is within what the figures can tell.
 	winLeast = 0.1
 	// A part of a zone under an eighth is not worth an epoch.
-	partLeast = membership.Whole / 8
+	partLeast = api.Whole / 8
 	// A return never asks for more runs under way than this of what its services bore, and steps back at backAt. The
 	// time that a run takes is in it, so a cold service that takes five times as long is asked for a fifth.
 	// The step back is proportional, to below the aim. Where runs take what they usually did the service is warm, and its
@@ -36,7 +37,7 @@
 )
 
 // Next gives what the leader should add to the log, nil if there is nothing. It looks anew once each lookEvery.
-func (w *Watch) Next(now uint64, s *State, f *membership.State, rules *membership.ZoneRules, without Guard) *Op {
+func (w *Watch) Next(now uint64, s *State, f *membership.State, rules *api.ZoneRules, without Guard) *Op {
 	if !rules.On() {
 		return nil
 	}
@@ -61,13 +62,13 @@
 		var op *Op
 		switch step {
 		case In:
-			if rules.Mode == membership.ZonesAuto {
+			if rules.Mode == api.ZonesAuto {
 				op = w.leave(s, f, rules, v, without)
 			}
 		case Out:
 			if z.Share > 0 && v.Score >= needScore && v.silent() { // left in part, and now it is dead
 				op = w.leave(s, f, rules, v, without)
-			} else if rules.Mode == membership.ZonesAuto && z.By == "" || w.drilled(s, f, z) {
+			} else if rules.Mode == api.ZonesAuto && z.By == "" || w.drilled(s, f, z) {
 				op = w.begin(s, f, rules, z, v, without)
 			}
 		case Returning:
@@ -126,11 +127,11 @@
 	}
 	first := all * float64(in) / float64(max(1, on))
 	share := can/first - 1
-	return int(membership.Whole * min(4, max(1.0/16, share))), share < 0.05
+	return int(api.Whole * min(4, max(1.0/16, share))), share < 0.05
 }
 
 // leave decides whether a zone that is in should be left, and how much of it.
-func (w *Watch) leave(s *State, f *membership.State, rules *membership.ZoneRules, v *View, without Guard) *Op {
+func (w *Watch) leave(s *State, f *membership.State, rules *api.ZoneRules, v *View, without Guard) *Op {
 	if v.Score < needScore || !s.othersIn(v.Zone, f) {
 		return nil
 	}
@@ -170,7 +171,7 @@
 	case op.Go-op.Stay < winLeast*v.Worth:
 		v.Note = fmt.Sprintf("sick (%s), but leaving would do %.0f of value a second, staying %.0f", v.Kind, op.Go, op.Stay)
 		return nil
-	case part < 1 && int(part*membership.Whole) < partLeast:
+	case part < 1 && int(part*api.Whole) < partLeast:
 		v.Note = fmt.Sprintf("sick (%s), and the others have room for %.0f runs a second of %.0f", v.Kind, room, runs)
 		return nil
 	case part < 1:
@@ -211,16 +212,16 @@
 	left := part * float64(all)
 	for _, m := range v.mix {
 		if n := float64(m.Came); left < n {
-			return max(1, int(membership.Whole*left/n)), m.Value
+			return max(1, int(api.Whole*left/n)), m.Value
 		} else {
 			left -= n
 		}
 	}
-	return membership.Whole, math.MaxFloat64
+	return api.Whole, math.MaxFloat64
 }
 
 // waitOf is how long a zone stays out at least: twice as long with each time that it failed again.
-func (w *Watch) waitOf(s *State, f *membership.State, v *View, rules *membership.ZoneRules) uint64 {
+func (w *Watch) waitOf(s *State, f *membership.State, v *View, rules *api.ZoneRules) uint64 {
 	flaps := 0
 	if z := s.Find(v.Zone); z != nil {
 		if flaps = z.Flaps + 1; z.Step == In && f.Clock-z.Well > flapSpan {
@@ -248,7 +249,7 @@
 }
 
 // begin starts a zone's return with the smallest share.
-func (w *Watch) begin(s *State, f *membership.State, rules *membership.ZoneRules, z *Zone, v *View, without Guard) *Op {
+func (w *Watch) begin(s *State, f *membership.State, rules *api.ZoneRules, z *Zone, v *View, without Guard) *Op {
 	ok, why := w.well(z, v)
 	if !ok {
 		v.Note = "out: " + why
@@ -268,10 +269,10 @@
 			v.Note = fmt.Sprintf("left in part, and held there: %.0f runs under way of %.0f it bore", v.Flight, z.Bore.Flight)
 			return nil
 		}
-		op.Share = max(op.Share, int(membership.Whole/2*min(1, v.Took/v.Came)))
+		op.Share = max(op.Share, int(api.Whole/2*min(1, v.Took/v.Came)))
 	}
 	if without.Has(Paced) {
-		op.Share = membership.Whole
+		op.Share = api.Whole
 	}
 	w.ceiling(z, v, op)
 	op.Retry, op.Full = w.retry(s, v, Returning, true)
@@ -284,7 +285,7 @@
 }
 
 // goOn decides the next step of a return by what the services below show at this one.
-func (w *Watch) goOn(now uint64, s *State, f *membership.State, rules *membership.ZoneRules, z *Zone, v *View, without Guard) *Op {
+func (w *Watch) goOn(now uint64, s *State, f *membership.State, rules *api.ZoneRules, z *Zone, v *View, without Guard) *Op {
 	back := func(share int, why string) *Op {
 		if z.Name == Fleet { // it has nowhere else to send what comes
 			if share = max(share, 1, rules.First/4); share >= z.Share {
@@ -342,13 +343,13 @@
 	case !v.quorum():
 		return nil
 	case v.Runs*float64(shown)/1000 < shownRuns:
-		v.Note = fmt.Sprintf("at %d of %d: waits for reqs, %.1f runs a second came", z.Share, membership.Whole, v.Runs)
+		v.Note = fmt.Sprintf("at %d of %d: waits for reqs, %.1f runs a second came", z.Share, api.Whole, v.Runs)
 		return nil
 	case v.share() > wellShare && (!cold(v.Kind) || v.Kind == kindLate):
-		v.Note = fmt.Sprintf("at %d of %d: held, %d of %d sick (%s)", z.Share, membership.Whole, v.Sick, v.Fresh, v.Kind)
+		v.Note = fmt.Sprintf("at %d of %d: held, %d of %d sick (%s)", z.Share, api.Whole, v.Sick, v.Fresh, v.Kind)
 		return nil
 	}
-	if z.Share >= membership.Whole {
+	if z.Share >= api.Whole {
 		if op, waits := w.widen(s, z, v, shown); waits {
 			return op
 		}
@@ -364,19 +365,19 @@
 		grow = max(grow, GrowMost/2)
 	}
 	if grow < growLeast {
-		v.Note = fmt.Sprintf("at %d of %d: held, %.0f runs under way of %.0f it bore", z.Share, membership.Whole, v.Flight,
+		v.Note = fmt.Sprintf("at %d of %d: held, %.0f runs under way of %.0f it bore", z.Share, api.Whole, v.Flight,
 			z.Bore.Flight)
 		return nil
 	}
 	// What is a little slower than usual bears so much less of the rate it bore at its peak.
-	most := float64(membership.Whole)
+	most := float64(api.Whole)
 	if times := slower(v, &z.Bore); times > evenTimes {
 		most *= evenTimes / times
 	}
-	op := &Op{Kind: "step", Share: min(membership.Whole, max(z.Share+1, int(min(most, float64(z.Share)*grow)))), By: z.By,
+	op := &Op{Kind: "step", Share: min(api.Whole, max(z.Share+1, int(min(most, float64(z.Share)*grow)))), By: z.By,
 		Why: fmt.Sprintf("%.1f runs under way of %.1f it bore, %.0f ms a run", v.Flight, z.Bore.Flight, v.RunMS)}
 	if without.Has(Paced) {
-		op.Share = membership.Whole
+		op.Share = api.Whole
 	}
 	w.ceiling(z, v, op)
 	op.Retry, op.Full = w.retry(s, v, Returning, true)
@@ -410,7 +411,7 @@
 			v.Flight, z.Bore.Flight)
 		return nil, true
 	}
-	op = &Op{Kind: "step", Share: membership.Whole, By: z.By, Why: fmt.Sprintf("takes all, and still turns %.0f a second away", v.Turned)}
+	op = &Op{Kind: "step", Share: api.Whole, By: z.By, Why: fmt.Sprintf("takes all, and still turns %.0f a second away", v.Turned)}
 	op.Ceiling, op.Dials = z.Ceiling*grow, z.Dials*grow
 	op.Retry, op.Full = w.retry(s, v, Returning, true)
 	return op, true
--- a/internal/control/zones/pin_state_test.go
+++ b/internal/control/zones/pin_state_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/api"
 )
 
 // fill sets every field to a value of its own, in the order of the fields.
@@ -52,8 +52,8 @@
 func TestPinnedForms(t *testing.T) {
 	for name, value := range map[string]any{
 		"state": &State{}, "op": &Op{}, "view": &View{},
-		"rules": &membership.ZoneRules{}, "order": &membership.ZoneOrder{}, "tally": &membership.Tally{},
-		"seen": &membership.Seen{}, "look": &membership.Look{},
+		"rules": &api.ZoneRules{}, "order": &api.ZoneOrder{}, "tally": &api.Tally{},
+		"seen": &api.Seen{}, "look": &api.Look{},
 	} {
 		next := 0
 		full := reflect.ValueOf(value).Elem()
--- a/internal/control/zones/pin_stream_test.go
+++ b/internal/control/zones/pin_stream_test.go
@@ -14,6 +14,7 @@
 	"strings"
 	"testing"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/membership"
 )
 
@@ -23,7 +24,7 @@
 	fleet   *membership.State
 	state   *State
 	watch   *Watch
-	rules   membership.ZoneRules
+	rules   api.ZoneRules
 	without Guard
 	sum     hash.Hash
 	now     uint64
@@ -43,9 +44,9 @@
 
 func (s *stream) say(format string, args ...any) { fmt.Fprintf(s.sum, format+"\n", args...) }
 
-func (s *stream) join(zone string, i int, up uint64) membership.Join {
+func (s *stream) join(zone string, i int, up uint64) api.Join {
 	s.joins++
-	return membership.Join{Name: fmt.Sprintf("%s%d", zone, i), Zone: zone, Addr: fmt.Sprintf("10.0.0.%d:1", i),
+	return api.Join{Name: fmt.Sprintf("%s%d", zone, i), Zone: zone, Addr: fmt.Sprintf("10.0.0.%d:1", i),
 		Nonce: fmt.Sprintf("process-%s-%d-%d", zone, i, s.joins), Up: up}
 }
 
@@ -86,16 +87,16 @@
 	return ""
 }
 
-func (s *stream) report(zone string, came int) *membership.Tally {
+func (s *stream) report(zone string, came int) *api.Tally {
 	_, share := s.state.StepOf(zone)
 	n := came/2 + s.rng.IntN(came+1)
 	again := s.rng.IntN(n/4 + 1)
-	turned := n * (membership.Whole - share) / membership.Whole
+	turned := n * (api.Whole - share) / api.Whole
 	runs := n - turned
-	l := &membership.Tally{MS: 1800 + s.rng.IntN(200), Came: n, Again: again, Turned: turned, Done: runs, Runs: runs,
+	l := &api.Tally{MS: 1800 + s.rng.IntN(200), Came: n, Again: again, Turned: turned, Done: runs, Runs: runs,
 		RunMS: 18 + 4*s.rng.Float64(), Calls: 2 * runs, CallMS: 9 + 2*s.rng.Float64(), Kernel: true, Cores: 4,
 		OnCores: min(4, 4*float64(runs)/(1.3*float64(came))), Worth: float64(5 * n), Got: float64(5 * runs), Opened: runs / 3,
-		Out: s.rng.IntN(4), Mix: []membership.Worth{{Value: 1, Came: n / 2}, {Value: 5, Came: n / 4}, {Value: 20, Came: n / 4}}}
+		Out: s.rng.IntN(4), Mix: []api.Worth{{Value: 1, Came: n / 2}, {Value: 5, Came: n / 4}, {Value: 20, Came: n / 4}}}
 	switch s.fault(zone) {
 	case "kernel":
 		l.Kernel, l.Done, l.Errored, l.Got = false, 0, runs, 0
@@ -188,10 +189,10 @@
 			if n == nil || n.Out != "" || s.fault(z.name) == "silent" || s.rng.IntN(3) != 0 {
 				continue
 			}
-			var seen []membership.Seen
+			var seen []api.Seen
 			for _, l := range s.watch.Looks(n.Name) {
-				is := []string{membership.SeenServes, membership.SeenSheds, membership.SeenSilent, membership.SeenSilent}[s.rng.IntN(4)]
-				seen = append(seen, membership.Seen{Name: l.Name, Is: is})
+				is := []string{api.SeenServes, api.SeenSheds, api.SeenSilent, api.SeenSilent}[s.rng.IntN(4)]
+				seen = append(seen, api.Seen{Name: l.Name, Is: is})
 			}
 			s.watch.Heard(s.now, n, s.report(z.name, z.came), seen)
 			s.say("heard %d", s.watch.HeardAt(n))
@@ -229,7 +230,7 @@
 		case 390_000:
 			s.state.Restore(s.state.Epoch+3, map[string]int{"a": 16, "nobody": 3}, s.fleet)
 		case 395_000:
-			s.rules.Mode = membership.ZonesAsk
+			s.rules.Mode = api.ZonesAsk
 		}
 		s.tick()
 	}
@@ -238,7 +239,7 @@
 
 func newStream(seed uint64, without Guard) *stream {
 	return &stream{rng: rand.New(rand.NewPCG(seed, 1)), fleet: membership.New(), state: &State{}, watch: NewWatch(), without: without,
-		sum: sha256.New(), kinds: map[string]int{}, rules: membership.ZoneRules{Mode: membership.ZonesAuto, First: 16, HoldMS: 2000,
+		sum: sha256.New(), kinds: map[string]int{}, rules: api.ZoneRules{Mode: api.ZonesAuto, First: 16, HoldMS: 2000,
 			KeepMS: 60_000, WaitMS: 20_000, Small: true}}
 }
 
--- a/internal/control/zones/restart_test.go
+++ b/internal/control/zones/restart_test.go
@@ -5,6 +5,7 @@
 	"hash/crc32"
 	"testing"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/membership"
 )
 
@@ -22,7 +23,7 @@
 }
 
 // look has the watch see a zone of two nodes that do so much, for some looks.
-func looked(w *Watch, f *membership.State, s *State, from uint64, looks int, l membership.Tally) uint64 {
+func looked(w *Watch, f *membership.State, s *State, from uint64, looks int, l api.Tally) uint64 {
 	for i := 0; i < looks; i++ {
 		from += lookEvery
 		for _, n := range f.Nodes() {
@@ -37,16 +38,16 @@
 // TestJoinsAnew: nodes that were up all along and join anew, as after their lease ran out or the group was restored, are no
 // fleet that restarts.
 func TestJoinsAnew(t *testing.T) {
-	rules := membership.ZoneRules{Mode: membership.ZonesAuto, First: 16, Small: true}
+	rules := api.ZoneRules{Mode: api.ZonesAuto, First: 16, Small: true}
 	for _, c := range []struct {
 		up    uint64
 		began bool
 	}{{0, true}, {5000, true}, {60_000, false}} {
 		f := membership.New()
 		f.Clock = 100_000
-		f.Apply(&membership.Beat{Term: 1, Join: []membership.Join{{Name: "a", Zone: "z", Nonce: "nonce-of-a", Up: c.up}, {Name: "b", Zone: "z",
+		f.Apply(&membership.Beat{Term: 1, Join: []api.Join{{Name: "a", Zone: "z", Nonce: "nonce-of-a", Up: c.up}, {Name: "b", Zone: "z",
 			Nonce: "nonce-of-b", Up: c.up}}}, 1, membership.Grant{LeaseMS: 5000})
-		s := &State{Zones: []*Zone{{Name: "z", Step: In, Share: membership.Whole, Bore: Bore{Runs: 100, RunMS: 20, Flight: 2}}}}
+		s := &State{Zones: []*Zone{{Name: "z", Step: In, Share: api.Whole, Bore: Bore{Runs: 100, RunMS: 20, Flight: 2}}}}
 		if got := s.Began(f, &rules, 0); got != c.began {
 			t.Errorf("up for %d ms: %v, expected %v", c.up, got, c.began)
 		}
@@ -56,10 +57,10 @@
 // TestLearnsWhatIsUsual: runs that stand are not what a service bore, and nothing is learned from a fleet on its way back.
 func TestLearnsWhatIsUsual(t *testing.T) {
 	f := membership.New()
-	f.Apply(&membership.Beat{Term: 1, Join: []membership.Join{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
+	f.Apply(&membership.Beat{Term: 1, Join: []api.Join{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
 		membership.Grant{LeaseMS: 5000})
 	s, w := &State{}, NewWatch()
-	well := membership.Tally{MS: 2000, Came: 200, Done: 200, Runs: 200, RunMS: 20, Calls: 200, CallMS: 10, Kernel: true, Cores: 4, OnCores: 1}
+	well := api.Tally{MS: 2000, Came: 200, Done: 200, Runs: 200, RunMS: 20, Calls: 200, CallMS: 10, Kernel: true, Cores: 4, OnCores: 1}
 	at := looked(w, f, s, 0, 30, well)
 	bore := w.Views()[0].usual
 	if bore.Runs < 190 || bore.Flight < 3.5 || bore.Flight > 4.5 {
@@ -87,13 +88,13 @@
 // its usual pace.
 func TestSlowAndFailing(t *testing.T) {
 	f := membership.New()
-	var joins []membership.Join
+	var joins []api.Join
 	for i, zone := range []string{"a", "a", "a", "b", "b", "b", "c", "c", "c"} {
-		joins = append(joins, membership.Join{Name: fmt.Sprint("n", i), Zone: zone, Nonce: fmt.Sprint("nonce-of-", i)})
+		joins = append(joins, api.Join{Name: fmt.Sprint("n", i), Zone: zone, Nonce: fmt.Sprint("nonce-of-", i)})
 	}
 	f.Apply(&membership.Beat{Term: 1, Join: joins}, 1, membership.Grant{LeaseMS: 5000})
-	rules := membership.ZoneRules{Mode: membership.ZonesAuto, HoldMS: 2000, WaitMS: 60_000, First: 16}
-	well := membership.Tally{MS: 2000, Came: 100, Done: 100, Runs: 100, RunMS: 20, Calls: 100, CallMS: 10, Kernel: true, Cores: 4,
+	rules := api.ZoneRules{Mode: api.ZonesAuto, HoldMS: 2000, WaitMS: 60_000, First: 16}
+	well := api.Tally{MS: 2000, Came: 100, Done: 100, Runs: 100, RunMS: 20, Calls: 100, CallMS: 10, Kernel: true, Cores: 4,
 		OnCores: 1, Worth: 100, Got: 100}
 	crawls, gaveUp, fails, paced, busy := well, well, well, well, well
 	busy.Runs, busy.Done, busy.Late, busy.RunMS, busy.Calls, busy.CallMS, busy.Got = 80, 40, 40, 150, 80, 140, 40
@@ -103,7 +104,7 @@
 	paced.Done, paced.Errored, paced.CallMS, paced.Got = 10, 90, 60, 10
 	for _, c := range []struct {
 		name          string
-		first, others membership.Tally
+		first, others api.Tally
 		left          bool
 	}{{"all slow, one fails", gaveUp, crawls, false}, {"one fails", fails, well, true},
 		{"all slow, one fails, the others busy", gaveUp, busy, false},
@@ -135,19 +136,19 @@
 // TestPools: what thousands of nodes see together is told though each sees next to nothing, a few that lie move it little, and
 // the nodes of a small zone stand for themselves.
 func TestPools(t *testing.T) {
-	report := func(i, n int, perNode float64) *membership.Tally {
+	report := func(i, n int, perNode float64) *api.Tally {
 		runs := int(perNode) // and one more for some
 		if float64(crc32.ChecksumIEEE([]byte{byte(i), byte(i >> 8)}))/(1<<32) < perNode-float64(runs) {
 			runs++
 		}
-		return &membership.Tally{MS: 2000, Kernel: true, Cores: 4, OnCores: 0.1, Runs: runs, Came: 3 * runs, Done: runs, RunMS: 50 * min(1, float64(runs)),
+		return &api.Tally{MS: 2000, Kernel: true, Cores: 4, OnCores: 0.1, Runs: runs, Came: 3 * runs, Done: runs, RunMS: 50 * min(1, float64(runs)),
 			Calls: runs, CallMS: 20 * min(1, float64(runs))}
 	}
 	for _, c := range []struct {
 		n    int
 		each float64
 	}{{5000, 0.07}, {1667, 0.5}, {300, 3}, {300, 40}, {5, 12}} {
-		var all []*membership.Tally
+		var all []*api.Tally
 		for i := range c.n {
 			all = append(all, report(i, c.n, c.each))
 		}
@@ -173,9 +174,9 @@
 	}
 }
 
-func idle(n int) (all []*membership.Tally) {
+func idle(n int) (all []*api.Tally) {
 	for range n {
-		all = append(all, &membership.Tally{MS: 2000})
+		all = append(all, &api.Tally{MS: 2000})
 	}
 	return all
 }
@@ -198,12 +199,12 @@
 // little is, or once the ceiling could not go up for a while.
 func TestReturnEnds(t *testing.T) {
 	f := membership.New()
-	f.Apply(&membership.Beat{Term: 1, Join: []membership.Join{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
+	f.Apply(&membership.Beat{Term: 1, Join: []api.Join{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
 		membership.Grant{LeaseMS: 5000})
 	for _, n := range f.Nodes() {
 		n.Lease.Until = 1 << 40
 	}
-	rules := membership.ZoneRules{Mode: membership.ZonesAuto, HoldMS: 1000, WaitMS: 60_000, First: 16}
+	rules := api.ZoneRules{Mode: api.ZonesAuto, HoldMS: 1000, WaitMS: 60_000, First: 16}
 	bore := Bore{Runs: 100, Flight: 2, RunMS: 20, CallMS: 10}
 	for _, c := range []struct {
 		name   string
@@ -213,11 +214,11 @@
 		after  uint64 // ms at the share
 	}{{"little is turned away", 10, 20, "in", 5000}, {"much is", 200, 20, "step", 5000}, {"much is, and all it bore is under way", 200, 24, "", 5000},
 		{"the same for long", 200, 24, "in", wideFor + 1000}} {
-		s := &State{Epoch: 7, Settled: 7, Zones: []*Zone{{Name: "z", Step: Returning, Share: membership.Whole, Ceiling: 100, Dials: 100, Bore: bore, Had: 2,
+		s := &State{Epoch: 7, Settled: 7, Zones: []*Zone{{Name: "z", Step: Returning, Share: api.Whole, Ceiling: 100, Dials: 100, Bore: bore, Had: 2,
 			Since: 100_000}}}
 		s.Zones[0].Parts = []Part{{f.Nodes()[0].Lease.ID, 50}, {f.Nodes()[1].Lease.ID, 50}}
 		w := NewWatch()
-		l := membership.Tally{MS: 2000, Came: 100 + c.turned, Again: c.turned, Turned: c.turned, Done: 100, Runs: 100, RunMS: c.runMS, Calls: 100,
+		l := api.Tally{MS: 2000, Came: 100 + c.turned, Again: c.turned, Turned: c.turned, Done: 100, Runs: 100, RunMS: c.runMS, Calls: 100,
 			CallMS: c.runMS / 2, Kernel: true, Cores: 4, OnCores: 1, Worth: 100, Got: 100}
 		f.Clock = 100_000
 		at := looked(w, f, s, 100_000, int(c.after/lookEvery), l)
@@ -237,12 +238,12 @@
 // lately, and a demand that fell in earnest is believed after a while.
 func TestDemandLags(t *testing.T) {
 	f := membership.New()
-	f.Apply(&membership.Beat{Term: 1, Join: []membership.Join{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
+	f.Apply(&membership.Beat{Term: 1, Join: []api.Join{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
 		membership.Grant{LeaseMS: 5000})
-	s := &State{Zones: []*Zone{{Name: "z", Step: In, Share: membership.Whole}}}
+	s := &State{Zones: []*Zone{{Name: "z", Step: In, Share: api.Whole}}}
 	w := NewWatch()
-	load := func(came int) membership.Tally {
-		return membership.Tally{MS: 1000, Came: came, Runs: 300, RunMS: 20, Done: 300, Kernel: true, Cores: 10, OnCores: 5}
+	load := func(came int) api.Tally {
+		return api.Tally{MS: 1000, Came: came, Runs: 300, RunMS: 20, Done: 300, Kernel: true, Cores: 10, OnCores: 5}
 	}
 	budget := func() int {
 		r, _ := w.retry(s, w.views[0], In, true)
@@ -251,11 +252,11 @@
 	at := looked(w, f, s, 100_000, 6, load(500))
 	asked := budget()
 	at = looked(w, f, s, at, 3, load(400))
-	if less := budget(); less > asked+membership.Whole/8 {
-		t.Errorf("%d of %d further tries where callers move, %d before", less, membership.Whole, asked)
+	if less := budget(); less > asked+api.Whole/8 {
+		t.Errorf("%d of %d further tries where callers move, %d before", less, api.Whole, asked)
 	}
 	looked(w, f, s, at, 60, load(250))
 	if fell := budget(); fell < 2*asked {
-		t.Errorf("%d of %d further tries where half of the demand is gone, %d before", fell, membership.Whole, asked)
+		t.Errorf("%d of %d further tries where half of the demand is gone, %d before", fell, api.Whole, asked)
 	}
 }
--- a/internal/control/zones/watch.go
+++ b/internal/control/zones/watch.go
@@ -5,6 +5,7 @@
 	"math"
 	"sort"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/membership"
 )
 
@@ -17,7 +18,7 @@
 	nodes map[string]*report
 	seen  map[sightKey]sight
 	asked map[string]string // zones of the nodes that others look at, by name
-	looks map[string][]membership.Look
+	looks map[string][]api.Look
 	views []*View // by zone
 	zones map[string]*View
 	fleet *View
@@ -26,7 +27,7 @@
 type report struct {
 	lease uint32
 	at    uint64
-	load  membership.Tally
+	load  api.Tally
 	has   bool
 }
 
@@ -65,7 +66,7 @@
 	Opened float64 `json:"opened"`
 	Kernel bool    `json:"kernel"` // half of its nodes or more have one
 
-	mix    []membership.Worth
+	mix    []api.Worth
 	demand float64 // of the whole fleet: the most first tries a second that came lately
 	busy   bool    // slow, and does nearly what it bore at most
 	usual  Bore
@@ -79,7 +80,7 @@
 
 // NewWatch begins to look.
 func NewWatch() *Watch {
-	return &Watch{nodes: map[string]*report{}, seen: map[sightKey]sight{}, asked: map[string]string{}, looks: map[string][]membership.Look{},
+	return &Watch{nodes: map[string]*report{}, seen: map[sightKey]sight{}, asked: map[string]string{}, looks: map[string][]api.Look{},
 		zones: map[string]*View{}}
 }
 
@@ -88,7 +89,7 @@
 func Pace(nodes int) uint64 { return max(1000, uint64(nodes)*2/5) }
 
 // Heard takes what a node told. A report that can't be is not looked at, as if none had come.
-func (w *Watch) Heard(now uint64, n *membership.Node, l *membership.Tally, seen []membership.Seen) {
+func (w *Watch) Heard(now uint64, n *membership.Node, l *api.Tally, seen []api.Seen) {
 	r := w.nodes[n.Name]
 	if r == nil || r.lease != n.Lease.ID {
 		r = &report{lease: n.Lease.ID}
@@ -98,8 +99,8 @@
 	if l != nil && sane(l) {
 		r.load, r.has = *l, true
 	}
-	if len(seen) > membership.MaxSeen {
-		seen = seen[:membership.MaxSeen]
+	if len(seen) > api.MaxSeen {
+		seen = seen[:api.MaxSeen]
 	}
 	for _, s := range seen {
 		if w.asked[s.Name] != "" {
@@ -109,7 +110,7 @@
 }
 
 // sane tells whether a report can be true.
-func sane(l *membership.Tally) bool {
+func sane(l *api.Tally) bool {
 	for _, f := range []float64{l.Worth, l.Got, l.Cores, l.OnCores, l.RunMS, l.CallMS} {
 		if math.IsNaN(f) || math.IsInf(f, 0) || f < 0 || f > 1e9 {
 			return false
@@ -121,7 +122,7 @@
 			return false
 		}
 	}
-	return l.MS >= 200 && l.MS <= 60_000 && l.Bad <= l.Calls && len(l.Mix) <= membership.MaxMix && l.Cores > 0
+	return l.MS >= 200 && l.MS <= 60_000 && l.Bad <= l.Calls && len(l.Mix) <= api.MaxMix && l.Cores > 0
 }
 
 // HeardAt tells when a node's present incarnation was heard last, 0: not by this leader.
@@ -133,7 +134,7 @@
 }
 
 // Looks gives what a node should look at, for the leader's next answer to it.
-func (w *Watch) Looks(node string) []membership.Look { return w.looks[node] }
+func (w *Watch) Looks(node string) []api.Look { return w.looks[node] }
 
 // Views gives all zones as of the last look. They belong to the watch.
 func (w *Watch) Views() []*View { return w.views }
@@ -160,7 +161,7 @@
 	w.at = now
 	by := map[string]*View{}
 	var order []string
-	loads := map[string][]*membership.Tally{}
+	loads := map[string][]*api.Tally{}
 	for _, n := range f.Nodes() {
 		v := by[n.Zone]
 		if v == nil {
@@ -283,12 +284,12 @@
 
 // pooled is some nodes' reports as one: counts are sums, times are weighed by what they are of, MS is their mean.
 type pooled struct {
-	membership.Tally
-	nodes []*membership.Tally
+	api.Tally
+	nodes []*api.Tally
 }
 
 // pool puts reports together; of each node alone where it sees enough.
-func pool(all []*membership.Tally) []pooled {
+func pool(all []*api.Tally) []pooled {
 	n := len(all)
 	pools := n
 	if n >= 2*poolLeast {
@@ -332,40 +333,40 @@
 }
 
 // sum makes a view of the reports of a zone's nodes.
-func (v *View) sum(all []*membership.Tally) {
+func (v *View) sum(all []*api.Tally) {
 	if len(all) == 0 {
 		return
 	}
 	pools := pool(all)
-	of := func(f func(l *membership.Tally) float64) float64 {
+	of := func(f func(l *api.Tally) float64) float64 {
 		x := make([]float64, 0, len(pools))
 		for i := range pools {
 			x = append(x, f(&pools[i].Tally))
 		}
 		return median(x)
 	}
-	per := func(f func(l *membership.Tally) float64) float64 { // a second, over all nodes that are in
+	per := func(f func(l *api.Tally) float64) float64 { // a second, over all nodes that are in
 		x := make([]float64, 0, len(pools))
 		for i := range pools {
 			x = append(x, f(&pools[i].Tally)*1000/float64(pools[i].MS)/float64(len(pools[i].nodes)))
 		}
 		return float64(v.In) * median(x)
 	}
-	v.Came = per(func(l *membership.Tally) float64 { return float64(l.Came - l.Again) })
-	v.Took = per(func(l *membership.Tally) float64 { return float64(max(0, l.Came-l.Again-l.Turned)) })
-	v.Turned = per(func(l *membership.Tally) float64 { return float64(l.Turned) })
-	v.Runs = per(func(l *membership.Tally) float64 { return float64(l.Runs) })
-	v.Worth = per(func(l *membership.Tally) float64 { return l.Worth })
-	v.Got = per(func(l *membership.Tally) float64 { return l.Got })
-	v.Opened = per(func(l *membership.Tally) float64 { return float64(l.Opened) })
-	v.Cap = per(func(l *membership.Tally) float64 {
+	v.Came = per(func(l *api.Tally) float64 { return float64(l.Came - l.Again) })
+	v.Took = per(func(l *api.Tally) float64 { return float64(max(0, l.Came-l.Again-l.Turned)) })
+	v.Turned = per(func(l *api.Tally) float64 { return float64(l.Turned) })
+	v.Runs = per(func(l *api.Tally) float64 { return float64(l.Runs) })
+	v.Worth = per(func(l *api.Tally) float64 { return l.Worth })
+	v.Got = per(func(l *api.Tally) float64 { return l.Got })
+	v.Opened = per(func(l *api.Tally) float64 { return float64(l.Opened) })
+	v.Cap = per(func(l *api.Tally) float64 {
 		// A core never quite idles: under a twentieth a node is taken to have twenty times what it does.
 		return float64(l.Runs) / min(1, max(0.05, l.OnCores/l.Cores))
 	})
-	v.RunMS = of(func(l *membership.Tally) float64 { return l.RunMS })
-	v.CallMS = of(func(l *membership.Tally) float64 { return l.CallMS })
-	v.Bad = of(func(l *membership.Tally) float64 { return float64(l.Bad) / max(1, float64(l.Calls)) })
-	v.Flight = per(func(l *membership.Tally) float64 {
+	v.RunMS = of(func(l *api.Tally) float64 { return l.RunMS })
+	v.CallMS = of(func(l *api.Tally) float64 { return l.CallMS })
+	v.Bad = of(func(l *api.Tally) float64 { return float64(l.Bad) / max(1, float64(l.Calls)) })
+	v.Flight = per(func(l *api.Tally) float64 {
 		if l.Runs == 0 {
 			return float64(l.Out) * float64(l.MS) / 1000 // they are not a second's
 		}
@@ -409,7 +410,7 @@
 )
 
 // kindOf tells what ails a node, if anything does.
-func (v *View) kindOf(l *membership.Tally) string {
+func (v *View) kindOf(l *api.Tally) string {
 	ended := l.Done + l.Late + l.Errored
 	switch {
 	case !l.Kernel:
@@ -466,7 +467,7 @@
 }
 
 // mixOf adds up what came by value.
-func mixOf(all []*membership.Tally) (out []membership.Worth) {
+func mixOf(all []*api.Tally) (out []api.Worth) {
 	sum := map[float64]int{}
 	for _, l := range all {
 		for _, m := range l.Mix {
@@ -476,7 +477,7 @@
 		}
 	}
 	for value, came := range sum {
-		out = append(out, membership.Worth{Value: value, Came: came})
+		out = append(out, api.Worth{Value: value, Came: came})
 	}
 	sort.Slice(out, func(i, k int) bool { return out[i].Value < out[k].Value })
 	return out
@@ -612,15 +613,15 @@
 
 // probe chooses who looks at the nodes of a silent zone: three of its nodes, by two nodes of each other zone.
 func (w *Watch) probe(now uint64, f *membership.State) {
-	w.looks, w.asked = map[string][]membership.Look{}, map[string]string{}
+	w.looks, w.asked = map[string][]api.Look{}, map[string]string{}
 	for _, v := range w.views {
 		if !v.silent() {
 			continue
 		}
-		var at []membership.Look
+		var at []api.Look
 		for _, n := range f.Nodes() {
 			if n.Zone == v.Zone && n.Out != membership.Left && n.Addr != "" && len(at) < 3 {
-				at = append(at, membership.Look{Name: n.Name, Addr: n.Addr})
+				at = append(at, api.Look{Name: n.Name, Addr: n.Addr})
 				w.asked[n.Name] = v.Zone
 			}
 		}
@@ -628,7 +629,7 @@
 		for _, node := range f.Nodes() {
 			r, of := w.nodes[node.Name], w.zones[node.Zone]
 			if node.Zone == v.Zone || of.silent() || n[node.Zone] >= 2 || r == nil || r.lease != node.Lease.ID ||
-				now-r.at > w.freshFor() || len(w.looks[node.Name])+len(at) > membership.MaxSeen {
+				now-r.at > w.freshFor() || len(w.looks[node.Name])+len(at) > api.MaxSeen {
 				continue
 			}
 			n[node.Zone]++
@@ -649,9 +650,9 @@
 			continue
 		}
 		switch s.is {
-		case membership.SeenServes:
+		case api.SeenServes:
 			serves++
-		case membership.SeenSheds:
+		case api.SeenSheds:
 			sheds++
 		default:
 			nobody++
--- a/internal/control/zones/zones.go
+++ b/internal/control/zones/zones.go
@@ -11,6 +11,7 @@
 	"fmt"
 	"sort"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/recovery"
 )
@@ -148,7 +149,7 @@
 	}
 	for _, n := range f.Nodes() {
 		if n.Zone == name || name == Fleet {
-			z := &Zone{Name: name, Step: In, Share: membership.Whole}
+			z := &Zone{Name: name, Step: In, Share: api.Whole}
 			s.Zones = append(s.Zones, z)
 			sort.Slice(s.Zones, func(i, k int) bool { return s.Zones[i].Name < s.Zones[k].Name })
 			return z
@@ -162,7 +163,7 @@
 	if z := s.Find(name); z != nil {
 		return z.Step, z.Share
 	}
-	return In, membership.Whole
+	return In, api.Whole
 }
 
 // othersIn tells whether another zone with nodes is in.
@@ -197,8 +198,8 @@
 		return fmt.Errorf("by: found %d bytes, expected 1 to 200", len(op.By))
 	case len(op.Why) > 2000:
 		return fmt.Errorf("why: found %d bytes, expected at most 2000", len(op.Why))
-	case op.Share < 0 || op.Share > membership.Whole:
-		return fmt.Errorf("share: found %d, expected 0 to %d", op.Share, membership.Whole)
+	case op.Share < 0 || op.Share > api.Whole:
+		return fmt.Errorf("share: found %d, expected 0 to %d", op.Share, api.Whole)
 	case len(op.Key) < 8 || len(op.Key) > 80:
 		return fmt.Errorf("key: found %d bytes, expected 8 to 80", len(op.Key))
 	case op.Wait > 24*3600_000 || op.Drill > 24*3600_000:
@@ -289,7 +290,7 @@
 		}
 		what := "left"
 		if op.Share > 0 {
-			what = fmt.Sprintf("left in part, keeps %d of %d by value", op.Share, membership.Whole)
+			what = fmt.Sprintf("left in part, keeps %d of %d by value", op.Share, api.Whole)
 		}
 		z.event(f.Clock, s.Epoch, op, "%s: %s%s", what, by(op.By), clip(op.Why))
 	case "step":
@@ -308,7 +309,7 @@
 		}
 		s.take(z, f, Returning, op)
 		z.By = op.By
-		z.event(f.Clock, s.Epoch, op, "returns at %d of %d, %.0f runs a second at most: %s%s", z.Share, membership.Whole,
+		z.event(f.Clock, s.Epoch, op, "returns at %d of %d, %.0f runs a second at most: %s%s", z.Share, api.Whole,
 			z.Ceiling, by(op.By), clip(op.Why))
 	case "split":
 		if z.Step != Returning {
@@ -331,13 +332,13 @@
 		}
 		s.take(z, f, step, op)
 		z.Cause, z.By = op.Cause, op.By
-		z.event(f.Clock, s.Epoch, op, "back to %d of %d: %s%s", z.Share, membership.Whole, by(op.By), clip(op.Why))
+		z.event(f.Clock, s.Epoch, op, "back to %d of %d: %s%s", z.Share, api.Whole, by(op.By), clip(op.Why))
 	case "in":
 		if z.Step != Returning {
 			return no("zone %s is %s, expected it returning", z.Name, z.Step)
 		}
 		op := *op
-		op.Share = membership.Whole
+		op.Share = api.Whole
 		s.take(z, f, In, &op)
 		z.Cause, z.By, z.Worth, z.Ceiling, z.Dials, z.Parts, z.Drill = "", "", 0, 0, 0, nil, 0
 		z.Well = f.Clock
@@ -370,7 +371,7 @@
 // much a small zone may have in any case, or a small share would show nothing; of a large one it would be too much.
 // Of connections it is as many as of runs at least: where reqs come singly, each may need one.
 func (z *Zone) bears(share, in int) (runs, dials float64) {
-	part := float64(share) / membership.Whole
+	part := float64(share) / api.Whole
 	least := float64(max(1, in))
 	if z.Bore.Runs > 0 {
 		least = min(least, z.Bore.Runs/16)
@@ -455,8 +456,8 @@
 }
 
 // Order gives what a zone's state means to a node that holds a lease.
-func (s *State) Order(zone string, lease uint32, rules *membership.ZoneRules, without Guard) membership.ZoneOrder {
-	o := membership.ZoneOrder{Epoch: s.Epoch, Share: membership.Whole, Keep: rules.KeepMS, Full: s.Full}
+func (s *State) Order(zone string, lease uint32, rules *api.ZoneRules, without Guard) api.ZoneOrder {
+	o := api.ZoneOrder{Epoch: s.Epoch, Share: api.Whole, Keep: rules.KeepMS, Full: s.Full}
 	if !without.Has(RetryBudget) {
 		o.Retry = s.Retry
 	}
@@ -490,7 +491,7 @@
 }
 
 // begins lays the share of a fleet that comes back over a zone's own: the less of the two.
-func (s *State) begins(o membership.ZoneOrder, lease uint32) membership.ZoneOrder {
+func (s *State) begins(o api.ZoneOrder, lease uint32) api.ZoneOrder {
 	z := s.Find(Fleet)
 	if z == nil || z.Step != Returning {
 		return o
@@ -510,9 +511,9 @@
 
 // Probation bounds a node that has just begun, while nobody can tell whether the fleet has: it takes First of what comes,
 // under that share of what its zone's services bore. A zone of which nobody knows what they bore bounds nothing.
-func (s *State) Probation(o *membership.ZoneOrder, zone string, age, clock uint64, in int, rules *membership.ZoneRules, without Guard) bool {
+func (s *State) Probation(o *api.ZoneOrder, zone string, age, clock uint64, in int, rules *api.ZoneRules, without Guard) bool {
 	z, all := s.Find(zone), s.Find(Fleet)
-	if rules.Mode != membership.ZonesAuto || !rules.Small || without.Has(SmallStart) || z == nil || z.Bore.Runs == 0 || o.Share <= rules.First ||
+	if rules.Mode != api.ZonesAuto || !rules.Small || without.Has(SmallStart) || z == nil || z.Bore.Runs == 0 || o.Share <= rules.First ||
 		all != nil && (all.Step == Returning || all.Well > 0 && age >= clock-all.Well) {
 		return false // the fleet's own return bounds it, or has ended since
 	}
@@ -529,9 +530,9 @@
 // Began looks, after a beat, whether most of the fleet has just restarted; then it begins with a share, as a zone that
 // returns does. It is called while the log is played, so that the answers to the joins of that beat have it already. A
 // fleet of which nobody knows what its services bore begins as it is: there is nothing to go by.
-func (s *State) Began(f *membership.State, rules *membership.ZoneRules, without Guard) (began bool) {
+func (s *State) Began(f *membership.State, rules *api.ZoneRules, without Guard) (began bool) {
 	z := s.Find(Fleet)
-	if z != nil && z.Step != In || rules.Mode != membership.ZonesAuto || !rules.Small || without.Has(SmallStart) {
+	if z != nil && z.Step != In || rules.Mode != api.ZonesAuto || !rules.Small || without.Has(SmallStart) {
 		return false
 	}
 	since := uint64(0)
@@ -571,7 +572,7 @@
 	s.take(z, f, Returning, op)
 	z.Cause = "restart"
 	z.event(f.Clock, s.Epoch, nil, "%d of %d nodes began within %d s: returns at %d of %d, %.0f runs a second at most; its services "+
-		"bore %.0f, %.1f under way, %.0f ms a call", young, in, recovery.Span/1000, z.Share, membership.Whole, z.Ceiling, bore.Runs,
+		"bore %.0f, %.1f under way, %.0f ms a call", young, in, recovery.Span/1000, z.Share, api.Whole, z.Ceiling, bore.Runs,
 		bore.Flight, bore.CallMS)
 	return true
 }
@@ -593,14 +594,14 @@
 		}
 		z.Step, z.Share, z.Worth, z.Epoch, z.Since, z.Cause, z.By = Out, 0, 0, s.Epoch, f.Clock, "restored", ""
 		z.Ceiling, z.Dials, z.Parts, z.Was, z.Drill, z.Back = 0, 0, nil, nil, 0, f.Clock
-		z.event(f.Clock, s.Epoch, nil, "the group was restored; its nodes took %d of %d: out, and returns", left[n], membership.Whole)
+		z.event(f.Clock, s.Epoch, nil, "the group was restored; its nodes took %d of %d: out, and returns", left[n], api.Whole)
 	}
 	in := 0
 	for _, z := range s.Zones {
 		if (z.Step == Out || z.Step == Leaving) && z.By != "" { // an operator's word holds until he takes it back
 			z.Step, z.Share, z.Ceiling, z.Dials, z.Parts, z.Was, z.Drill = Out, 0, 0, 0, nil, nil, 0
 		} else if z.Step != In && left[z.Name] == 0 && z.Cause != "restored" { // of an older state: nobody was told so any more
-			z.Step, z.Share, z.Ceiling, z.Dials, z.Parts, z.Was = In, membership.Whole, 0, 0, nil, nil
+			z.Step, z.Share, z.Ceiling, z.Dials, z.Parts, z.Was = In, api.Whole, 0, 0, nil, nil
 		}
 	}
 	for _, n := range f.Nodes() {
@@ -610,7 +611,7 @@
 	}
 	if in == 0 { // one is always in: nothing tells which, so all are
 		for _, z := range s.Zones {
-			z.Step, z.Share = In, membership.Whole
+			z.Step, z.Share = In, api.Whole
 		}
 	}
 }
--- a/internal/lab/policy_cases.go
+++ b/internal/lab/policy_cases.go
@@ -12,6 +12,7 @@
 	"strings"
 	"time"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
@@ -241,8 +242,8 @@
 		got(b.ask(http.MethodGet, "/v1/status", nil, &s))
 		var was consensus.Version
 		got(b.ask(http.MethodGet, fmt.Sprintf("/v1/config?version=%d&read=stale", b.force), nil, &was))
-		old := membership.Named{Version: was.Number, Hash: was.Hash}
-		says := got(json.Marshal(membership.Told{Cluster: s.Cluster, Term: s.Term, Index: s.Applied, Lease: 1 << 30, LeaseMS: 60_000,
+		old := api.Named{Version: was.Number, Hash: was.Hash}
+		says := got(json.Marshal(api.Told{Cluster: s.Cluster, Term: s.Term, Index: s.Applied, Lease: 1 << 30, LeaseMS: 60_000,
 			Need: old.Version, Force: old, Again: 200}))
 		c := got(b.change(policy.Propose{}))
 		n.Kill()
--- a/internal/lab/vfleet.go
+++ b/internal/lab/vfleet.go
@@ -8,6 +8,7 @@
 	"slices"
 	"strings"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/coordinator"
 	"umberwinch/internal/control/document"
 	"umberwinch/internal/control/membership"
@@ -85,10 +86,10 @@
 	under  uint64
 	cut    bool // from the group
 	armed  float64
-	busy   uint64           // version being prepared
-	at     membership.Named // prepared last
+	busy   uint64    // version being prepared
+	at     api.Named // prepared last
 	gate   *zones.Gate
-	seen   []membership.Seen
+	seen   []api.Seen
 	held   bool // not started yet
 }
 
@@ -128,13 +129,13 @@
 	Shed    float64 // node-ms fenced while up and reachable
 	Served  float64
 	done    int
-	bad     map[string]bool   // hashes of texts that any trial fails
-	stale   []membership.Told // answers of long ago, as an instance that is behind would give them
+	bad     map[string]bool // hashes of texts that any trial fails
+	stale   []api.Told      // answers of long ago, as an instance that is behind would give them
 
 	vlost
-	load    func(n *vnode) *membership.Tally                  // what a node reports of itself; nil: nothing
-	look    func(n *vnode, l membership.Look) membership.Seen // what it sees of another
-	applied func(end any)                                     // hears of each entry's end
+	load    func(n *vnode) *api.Tally           // what a node reports of itself; nil: nothing
+	look    func(n *vnode, l api.Look) api.Seen // what it sees of another
+	applied func(end any)                       // hears of each entry's end
 }
 
 func (w *VFleet) Last() uint64 { return uint64(len(w.texts)) }
@@ -503,7 +504,7 @@
 }
 
 // send brings an asking to the instance and its answer back, unless either is lost.
-func (n *vnode) send(a membership.Ask, no uint64) {
+func (n *vnode) send(a api.Ask, no uint64) {
 	w := n.w
 	to, life := 0, n.life
 	fmt.Sscan(n.m.ControlAddress(), &to)
@@ -514,7 +515,7 @@
 	if n.cut || w.r.Intn(100) < lossy {
 		return
 	}
-	back := func(t membership.Told, err error) {
+	back := func(t api.Told, err error) {
 		if err == nil && t.Lease != 0 && t.LeaseMS == 0 && !w.Calm {
 			if len(w.stale) < 64 || w.r.Intn(8) == 0 {
 				w.stale = append(w.stale, t)
@@ -564,7 +565,7 @@
 			w.hears(n)
 		}
 		if !w.ctl[to].up || w.lead < 0 || !w.ctl[w.lead].up {
-			back(membership.Told{}, coordinator.ErrNoLead)
+			back(api.Told{}, coordinator.ErrNoLead)
 			return
 		}
 		if w.lead == to {
--- a/internal/lab/vlost.go
+++ b/internal/lab/vlost.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/coordinator"
-	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/control/zones"
@@ -28,8 +28,8 @@
 	told      bool // an operator has seen that state is lost
 	gathers   bool // who restores it listens in place of an instance
 	heard     map[string]recovery.Kept
-	old       []membership.Told // what leaders of generations before would go on saying
-	began     uint64            // the zones' epoch that the present generation began with
+	old       []api.Told // what leaders of generations before would go on saying
+	began     uint64     // the zones' epoch that the present generation began with
 
 	Lost, Found, Restored int // losses, those that the group found by itself, and restorings
 }
@@ -170,7 +170,7 @@
 }
 
 // believes gives a node an answer, and holds it to its generation.
-func (n *vnode) believes(no uint64, t membership.Told) bool {
+func (n *vnode) believes(no uint64, t api.Told) bool {
 	was := n.m.LastSeen().Gen
 	if n.m.HandleResponse(n.clock(), no, t) != nil {
 		return false
@@ -182,7 +182,7 @@
 }
 
 // ghost is a leader of a generation before, paused meanwhile, that answers nodes at one of the addresses as if nothing was.
-func (w *VFleet) ghost(n *vnode, to int, a *membership.Ask) (t membership.Told, speaks bool) {
+func (w *VFleet) ghost(n *vnode, to int, a *api.Ask) (t api.Told, speaks bool) {
 	if len(w.old) == 0 || w.Calm || to != 0 || w.r.Intn(4) != 0 {
 		return t, false
 	}
@@ -235,8 +235,8 @@
 
 // found makes what was found the first state of the next generation.
 func (w *VFleet) found(p *coordinator.Part, found *recovery.Found, folders bool) {
-	w.old = append(w.old, membership.Told{Cluster: w.group, Gen: max(1, found.Whose.Gen), Before: w.part.Before, Term: w.term + 1, Index: w.index,
-		Need: w.part.Policy.Need, Force: membership.Named{Version: w.part.Policy.Force, Hash: w.part.Policy.Hash}, Clock: w.part.Fleet.Clock})
+	w.old = append(w.old, api.Told{Cluster: w.group, Gen: max(1, found.Whose.Gen), Before: w.part.Before, Term: w.term + 1, Index: w.index,
+		Need: w.part.Policy.Need, Force: api.Named{Version: w.part.Policy.Force, Hash: w.part.Policy.Hash}, Clock: w.part.Fleet.Clock})
 	if !folders {
 		w.texts, w.hashes, w.index, w.term = nil, nil, 1, 1
 	}
@@ -333,7 +333,7 @@
 	zone := fmt.Sprint("z", w.r.Intn(w.Zones))
 	op := zones.Op{Kind: "leave", Zone: zone, By: "lab", Why: "a drill", Key: fmt.Sprintf("drill-%08.0f", w.now)}
 	if step, _ := w.part.Zones.StepOf(zone); step != zones.In {
-		op.Kind, op.Share = "step", 1+w.r.Intn(membership.Whole)
+		op.Kind, op.Share = "step", 1+w.r.Intn(api.Whole)
 	}
 	w.ctl[w.lead].s.ZoneOp(w.part, op, func(zones.Result, error) {})
 }
--- a/internal/lab/vzones.go
+++ b/internal/lab/vzones.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/control/zones"
 )
@@ -248,11 +248,11 @@
 }
 
 // picks is the share of a class that a node's order takes.
-func picks(o *membership.ZoneOrder, class int) float64 {
+func picks(o *api.ZoneOrder, class int) float64 {
 	if o == nil {
 		return 1
 	}
-	share := float64(o.Share) / membership.Whole
+	share := float64(o.Share) / api.Whole
 	if o.Worth > 0 {
 		switch {
 		case flowValue[class] < o.Worth:
@@ -281,7 +281,7 @@
 	clear(v.upIn)
 	for i, n := range v.f.nodes {
 		z := &out[n.zone]
-		o := (*membership.ZoneOrder)(nil)
+		o := (*api.ZoneOrder)(nil)
 		if n.up {
 			v.upIn[n.zone]++
 		}
@@ -314,7 +314,7 @@
 			if z.capped = z.capped || o.Capped; !o.Capped {
 				z.free++
 			}
-			z.retry += float64(o.Retry) / membership.Whole
+			z.retry += float64(o.Retry) / api.Whole
 			if o.Retry == 0 {
 				z.retry += 1e9
 			}
@@ -389,7 +389,7 @@
 		}
 		for i := range flowPlaces {
 			place := s.pick[c] + (1-s.pick[c])*(float64(i)+0.5)/flowPlaces
-			wait(k, c, n/flowPlaces, s.gate.Back(s.clock, zones.Asked{Hash: uint32(place*membership.Whole) << 16}))
+			wait(k, c, n/flowPlaces, s.gate.Back(s.clock, zones.Asked{Hash: uint32(place*api.Whole) << 16}))
 		}
 	}
 	if v.Oracle {
@@ -529,7 +529,7 @@
 		v.Plot[0].Points = append(v.Plot[0].Points, [2]float64{at, done / max(total, 1)})
 		v.Plot[1].Points = append(v.Plot[1].Points, [2]float64{at, v.below[0].asked / max(v.below[0].bears, 1)})
 		_, share := v.f.part.Zones.StepOf("z0")
-		v.Plot[2].Points = append(v.Plot[2].Points, [2]float64{at, float64(share) / membership.Whole})
+		v.Plot[2].Points = append(v.Plot[2].Points, [2]float64{at, float64(share) / api.Whole})
 	}
 	if v.Own {
 		v.own()
--- a/internal/lab/vzones_report.go
+++ b/internal/lab/vzones_report.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"math"
 
-	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/api"
 )
 
 // report is what a node tells of itself.
-func (v *VZones) report(n *vnode) *membership.Tally {
+func (v *VZones) report(n *vnode) *api.Tally {
 	b := v.below[n.zone]
 	r, w := &b.rate, v.f
 	nodes := v.upIn[n.zone]
@@ -26,7 +26,7 @@
 		x = 2 * x / max(nodes, 1) * math.Exp(spread*w.r.NormFloat64())
 		return int(x + w.r.Float64())
 	}
-	l := &membership.Tally{MS: 2000, Kernel: !(v.failing && v.kind(n.zone) == ZoneKernels), Cores: 4,
+	l := &api.Tally{MS: 2000, Kernel: !(v.failing && v.kind(n.zone) == ZoneKernels), Cores: 4,
 		OnCores: 4 * r.util * math.Exp(spread*0.5*w.r.NormFloat64()), RunMS: r.runMS * math.Exp(spread*w.r.NormFloat64()),
 		Came: count(r.came), Again: count(r.again), Turned: count(r.turned), Done: count(r.done), Late: count(r.late), Errored: count(r.errored),
 		Shed: count(r.shed), Runs: count(r.runs), Worth: 2 * r.worth / max(nodes, 1), Got: 2 * r.got / max(nodes, 1),
@@ -35,7 +35,7 @@
 		l.OnCores = 4
 	}
 	for c := range flowShare {
-		l.Mix = append(l.Mix, membership.Worth{Value: flowValue[c], Came: count((r.came - r.again) * flowShare[c])})
+		l.Mix = append(l.Mix, api.Worth{Value: flowValue[c], Came: count((r.came - r.again) * flowShare[c])})
 	}
 	if v.failing {
 		bad := v.kind(n.zone) == ZoneBadNode && n.name == v.firstOf(n.zone) ||
@@ -63,20 +63,20 @@
 }
 
 // seen is what one node sees of another.
-func (v *VZones) seen(n *vnode, l membership.Look) membership.Seen {
+func (v *VZones) seen(n *vnode, l api.Look) api.Seen {
 	for _, o := range v.f.nodes {
 		if o.name != l.Name {
 			continue
 		}
 		switch {
 		case !o.up:
-			return membership.Seen{Name: l.Name, Is: membership.SeenSilent}
+			return api.Seen{Name: l.Name, Is: api.SeenSilent}
 		case !o.serves || o.gate.Out():
-			return membership.Seen{Name: l.Name, Is: membership.SeenSheds}
+			return api.Seen{Name: l.Name, Is: api.SeenSheds}
 		}
-		return membership.Seen{Name: l.Name, Is: membership.SeenServes}
+		return api.Seen{Name: l.Name, Is: api.SeenServes}
 	}
-	return membership.Seen{Name: l.Name, Is: membership.SeenSilent}
+	return api.Seen{Name: l.Name, Is: api.SeenSilent}
 }
 
 // own is the baseline in which each node judges for itself: sick for two seconds, it is not ready for five.
--- a/internal/node/agent/member.go
+++ b/internal/node/agent/member.go
@@ -13,7 +13,7 @@
 	"fmt"
 	"hash/crc32"
 
-	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/recovery"
 )
@@ -59,7 +59,7 @@
 	// PreparedAutonomous is the prepared one's rule.
 	PreparedAutonomous bool `json:"next_alone"`
 	// ZoneOrder is the order of its zone that it was told last.
-	ZoneOrder *membership.ZoneOrder `json:"zone,omitempty"`
+	ZoneOrder *api.ZoneOrder `json:"zone,omitempty"`
 }
 
 // control is one address of the group.
@@ -85,11 +85,11 @@
 	until   uint64 // it may act on the lease before then
 	length  uint64 // of the lease
 	floor   uint64 // nothing older may be served under
-	force   membership.Named
-	next    membership.Named // being prepared
-	cur     uint64           // served under
-	alone   bool             // cur's rule
-	zone    *membership.ZoneOrder
+	force   api.Named
+	next    api.Named // being prepared
+	cur     uint64    // served under
+	alone   bool      // cur's rule
+	zone    *api.ZoneOrder
 	foreign bool   // zone is of an earlier generation: acted on, and its epoch means nothing here
 	due     uint64 // when to ask next
 	renewAt uint64
@@ -102,10 +102,10 @@
 	born    uint64
 	met     bool // the group was heard in this life
 	start   bool // may begin alone by its record
-	kept    membership.Named
-	told    membership.Heard // where the group stood when it was heard last
-	hash    string           // of cur
-	gather  bool             // whoever answered restores the group, and asks what this node holds
+	kept    api.Named
+	told    api.Heard // where the group stood when it was heard last
+	hash    string    // of cur
+	gather  bool      // whoever answered restores the group, and asks what this node holds
 
 	ready   map[uint64]string // versions that can be taken over, with their hashes; two at most
 	refused uint64
@@ -124,16 +124,16 @@
 	m.at = int(m.draw() % uint32(max(1, len(m.ctl)))) // so that a fleet does not begin at one
 	if kept != nil {
 		m.cluster, m.floor, m.zone, m.gen = kept.Cluster, kept.MinVersion, kept.ZoneOrder, max(1, kept.Generation)
-		m.told = membership.Heard{Group: m.cluster, Gen: m.gen, Term: kept.Term, Index: kept.Index, Sum: kept.EntryChecksum}
+		m.told = api.Heard{Group: m.cluster, Gen: m.gen, Term: kept.Term, Index: kept.Index, Sum: kept.EntryChecksum}
 		if kept.ActiveVersion > 0 {
-			m.kept = membership.Named{Version: kept.ActiveVersion, Hash: kept.ActiveHash}
+			m.kept = api.Named{Version: kept.ActiveVersion, Hash: kept.ActiveHash}
 			m.ready[kept.ActiveVersion] = kept.ActiveHash
 			m.start = kept.ActiveAutonomous
 		}
 		// Decided and prepared, and killed before it was noted as taken over: in force, as a change under a policy that
 		// lets nodes go on alone is never held.
 		if kept.PreparedVersion > kept.ActiveVersion && kept.PreparedVersion == kept.MinVersion && (kept.ActiveAutonomous || kept.ActiveVersion == 0) {
-			m.kept, m.start = membership.Named{Version: kept.PreparedVersion, Hash: kept.PreparedHash}, kept.PreparedAutonomous
+			m.kept, m.start = api.Named{Version: kept.PreparedVersion, Hash: kept.PreparedHash}, kept.PreparedAutonomous
 		}
 		if kept.PreparedVersion > kept.ActiveVersion {
 			m.ready[kept.PreparedVersion] = kept.PreparedHash
@@ -194,7 +194,7 @@
 func (m *Agent) GroupContacted() bool { return m.met }
 
 // LastSeen gives where the group stood when it was heard last.
-func (m *Agent) LastSeen() membership.Heard { return m.told }
+func (m *Agent) LastSeen() api.Heard { return m.told }
 
 // TakeRecordRequest tells, once, that whoever was asked last restores the group and wants to know what this node holds.
 func (m *Agent) TakeRecordRequest() bool {
@@ -204,10 +204,10 @@
 }
 
 // ZoneOrder gives the last order of the node's zone, nil where nothing is decided about zones.
-func (m *Agent) ZoneOrder() *membership.ZoneOrder { return m.zone }
+func (m *Agent) ZoneOrder() *api.ZoneOrder { return m.zone }
 
 // StoredZoneOrder gives it as it is to be kept: an earlier generation's without its epoch.
-func (m *Agent) StoredZoneOrder() *membership.ZoneOrder {
+func (m *Agent) StoredZoneOrder() *api.ZoneOrder {
 	if m.zone == nil || !m.foreign {
 		return m.zone
 	}
@@ -256,13 +256,13 @@
 }
 
 // Heartbeat gives what is to be sent now to Address, if anything is due, and its number.
-func (m *Agent) Heartbeat(now uint64) (a membership.Ask, no uint64, due bool) {
+func (m *Agent) Heartbeat(now uint64) (a api.Ask, no uint64, due bool) {
 	if m.asking || m.left || len(m.ctl) == 0 || now < m.NextHeartbeat() {
 		return a, 0, false
 	}
 	m.asking, m.sent, m.asked = true, now, m.ControlAddress()
 	m.askNo++
-	a = membership.Ask{Join: membership.Join{Name: m.plan.Name, Zone: m.plan.Zone, Addr: m.plan.Address, Nonce: m.nonce(),
+	a = api.Ask{Join: api.Join{Name: m.plan.Name, Zone: m.plan.Zone, Addr: m.plan.Address, Nonce: m.nonce(),
 		Up: max(1, now-m.born)},
 		Lease: m.lease, Echo: m.echo, Floor: m.floor, Serves: m.cur, Refused: m.refused, Why: m.why,
 		Zones: m.epoch()}
@@ -291,7 +291,7 @@
 
 // HandleResponse takes the answer to an asking. An error says why it was not believed. One that comes after its asking was
 // given up is not looked at: what it grants runs from a sending that is not the last one's.
-func (m *Agent) HandleResponse(now, no uint64, t membership.Told) error {
+func (m *Agent) HandleResponse(now, no uint64, t api.Told) error {
 	if !m.asking || no != m.askNo {
 		return nil
 	}
@@ -308,7 +308,7 @@
 	newer := t.Cluster != m.cluster && m.cluster != ""
 	if newer { // a later generation of the group
 		// The lease of the one before may be acted on for the rest of its time, as the group that is restored waits for.
-		m.lease, m.foreign, m.next, m.force = 0, true, membership.Named{}, membership.Named{}
+		m.lease, m.foreign, m.next, m.force = 0, true, api.Named{}, api.Named{}
 		m.starts++
 		m.refused, m.why, m.never = 0, "", false
 	}
@@ -318,7 +318,7 @@
 	was, wasEpoch := m.floor, m.epoch()
 	m.ctl[m.at].wait, m.ctl[m.at].again = 0, 0
 	m.cluster, m.term, m.index, m.echo, m.met = t.Cluster, t.Term, t.Index, t.Clock, true
-	m.told = membership.Heard{Group: t.Cluster, Gen: m.gen, Term: t.Term, Index: t.Index, Sum: t.Sum}
+	m.told = api.Heard{Group: t.Cluster, Gen: m.gen, Term: t.Term, Index: t.Index, Sum: t.Sum}
 	if !m.plan.DisabledGuards.Has(policy.NoWayBack) {
 		m.floor = max(m.floor, t.Need)
 	}
@@ -378,7 +378,7 @@
 
 // doubt tells what is wrong with an answer: from an instance that is behind what was seen, which may catch up, or
 // from another group or at odds with itself, which is a lie.
-func (m *Agent) doubt(t *membership.Told) (err error, lies bool) {
+func (m *Agent) doubt(t *api.Told) (err error, lies bool) {
 	back := m.plan.DisabledGuards.Has(policy.NoWayBack)
 	of := recovery.Whose{Group: t.Cluster, Gen: max(1, t.Gen), Before: t.Before}
 	switch {
@@ -431,20 +431,20 @@
 
 // VersionToFetch gives the version whose text is needed now, with its hash; decided tells that it has to be taken whatever
 // its trial says.
-func (m *Agent) VersionToFetch() (v membership.Named, decided, ok bool) {
+func (m *Agent) VersionToFetch() (v api.Named, decided, ok bool) {
 	if m.force.Version > m.cur && !m.has(m.force) && !(m.never && m.refused == m.force.Version) {
 		return m.force, true, true
 	}
 	if m.next.Version > m.cur && !m.has(m.next) && m.refused != m.next.Version {
 		return m.next, false, true
 	}
-	return membership.Named{}, false, false
+	return api.Named{}, false, false
 }
 
-func (m *Agent) has(v membership.Named) bool { return m.ready[v.Version] == v.Hash && v.Hash != "" }
+func (m *Agent) has(v api.Named) bool { return m.ready[v.Version] == v.Hash && v.Hash != "" }
 
 // MarkPrepared tells that a version was checked, tried and kept.
-func (m *Agent) MarkPrepared(now uint64, v membership.Named) {
+func (m *Agent) MarkPrepared(now uint64, v api.Named) {
 	m.ready[v.Version] = v.Hash
 	m.due = min(m.due, now)
 	m.prune()
@@ -457,18 +457,18 @@
 }
 
 // VersionToActivate gives the version to be taken over now, if there is one: in force, prepared, and newer than what is served.
-func (m *Agent) VersionToActivate(now uint64) (v membership.Named, ok bool) {
+func (m *Agent) VersionToActivate(now uint64) (v api.Named, ok bool) {
 	if m.start && !m.met && m.cur == 0 && now >= m.born+aloneAfter && m.kept.Version >= m.floor {
 		return m.kept, true
 	}
 	if (m.force.Version > m.cur || m.plan.DisabledGuards.Has(policy.NoWayBack) && m.force.Version != m.cur) && m.has(m.force) {
 		return m.force, true
 	}
-	return membership.Named{}, false
+	return api.Named{}, false
 }
 
 // MarkActive tells that the loop serves under a version from now on.
-func (m *Agent) MarkActive(now uint64, v membership.Named, alone bool) {
+func (m *Agent) MarkActive(now uint64, v api.Named, alone bool) {
 	m.cur, m.alone, m.hash = v.Version, alone, v.Hash
 	m.floor = max(m.floor, v.Version)
 	m.due = min(m.due, now)
--- a/internal/node/agent/member_test.go
+++ b/internal/node/agent/member_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/policy"
 )
 
@@ -14,7 +14,7 @@
 	*testing.T
 	m   *Agent
 	now uint64
-	ask membership.Ask
+	ask api.Ask
 	no  uint64
 }
 
@@ -37,7 +37,7 @@
 	d.Fatal("nothing was asked within 70 s")
 }
 
-func (d *drive) told(t membership.Told) error {
+func (d *drive) told(t api.Told) error {
 	d.Helper()
 	if t.Cluster == "" {
 		t.Cluster = "g"
@@ -50,8 +50,8 @@
 func (d *drive) joined(version uint64, alone bool) {
 	d.Helper()
 	d.asks()
-	v := membership.Named{Version: version, Hash: fmt.Sprint("h", version)}
-	if err := d.told(membership.Told{Lease: 5, LeaseMS: 4000, Need: version, Force: v, Alone: alone, Index: 10, Again: 1000}); err != nil {
+	v := api.Named{Version: version, Hash: fmt.Sprint("h", version)}
+	if err := d.told(api.Told{Lease: 5, LeaseMS: 4000, Need: version, Force: v, Alone: alone, Index: 10, Again: 1000}); err != nil {
 		d.Fatal(err)
 	}
 	if version > 0 {
@@ -61,7 +61,7 @@
 
 func (d *drive) takes(version uint64, alone bool) {
 	d.Helper()
-	v := membership.Named{Version: version, Hash: fmt.Sprint("h", version)}
+	v := api.Named{Version: version, Hash: fmt.Sprint("h", version)}
 	if w, _, ok := d.m.VersionToFetch(); !ok || w != v {
 		d.Fatalf("wants %v %v, expected %v", w, ok, v)
 	}
@@ -86,7 +86,7 @@
 	d.asks()
 	sent := d.now
 	d.now += 700
-	d.told(membership.Told{Lease: 5, LeaseMS: 4000, Index: 1, Again: 1000})
+	d.told(api.Told{Lease: 5, LeaseMS: 4000, Index: 1, Again: 1000})
 	d.serves(true, "")
 	d.now = sent + 3999
 	d.serves(true, "")
@@ -97,7 +97,7 @@
 	d.m.HandleFailure(d.now, d.no)
 	late := d.no
 	d.asks()
-	if err := d.m.HandleResponse(d.now, late, membership.Told{Cluster: "g", Term: 1, Index: 2, Lease: 5, LeaseMS: 4000}); err != nil {
+	if err := d.m.HandleResponse(d.now, late, api.Told{Cluster: "g", Term: 1, Index: 2, Lease: 5, LeaseMS: 4000}); err != nil {
 		t.Fatal(err)
 	}
 	d.serves(false, "run out") // the answer to an asking that was given up
@@ -110,13 +110,13 @@
 	d.joined(1, false)
 	d.serves(true, "")
 	d.asks()
-	d.told(membership.Told{Lease: 5, Need: 2, Force: membership.Named{Version: 1, Hash: "h1"}, Index: 11, Again: 1000}) // held
+	d.told(api.Told{Lease: 5, Need: 2, Force: api.Named{Version: 1, Hash: "h1"}, Index: 11, Again: 1000}) // held
 	d.serves(false, "version 2 is decided")
 	d.asks()
 	if d.ask.Floor != 2 || !strings.Contains(d.ask.Fenced, "decided") {
 		t.Errorf("it asks with %+v, expected the promise of version 2", d.ask)
 	}
-	d.told(membership.Told{Lease: 5, LeaseMS: 4000, Need: 2, Force: membership.Named{Version: 2, Hash: "h2"}, Index: 12, Again: 1000})
+	d.told(api.Told{Lease: 5, LeaseMS: 4000, Need: 2, Force: api.Named{Version: 2, Hash: "h2"}, Index: 12, Again: 1000})
 	d.takes(2, false)
 	d.serves(true, "")
 }
@@ -125,14 +125,14 @@
 // changes nothing.
 func TestWhomItBelieves(t *testing.T) {
 	for what, c := range map[string]struct {
-		t    membership.Told
+		t    api.Told
 		back uint64 // it is not asked again sooner
 	}{
-		"behind in its log":      {membership.Told{Index: 9, Need: 3, Force: membership.Named{Version: 3}}, 0},
-		"of another group":       {membership.Told{Cluster: "other", Index: 99, Need: 7, Force: membership.Named{Version: 7}}, lieBack / 2},
-		"in force, not decided":  {membership.Told{Index: 99, Need: 3, Force: membership.Named{Version: 4}}, lieBack / 2},
-		"an older one decided":   {membership.Told{Index: 99, Need: 2, Force: membership.Named{Version: 2}}, 0},
-		"without a group at all": {membership.Told{Cluster: " ", Index: 99, Need: 3}, 0},
+		"behind in its log":      {api.Told{Index: 9, Need: 3, Force: api.Named{Version: 3}}, 0},
+		"of another group":       {api.Told{Cluster: "other", Index: 99, Need: 7, Force: api.Named{Version: 7}}, lieBack / 2},
+		"in force, not decided":  {api.Told{Index: 99, Need: 3, Force: api.Named{Version: 4}}, lieBack / 2},
+		"an older one decided":   {api.Told{Index: 99, Need: 2, Force: api.Named{Version: 2}}, 0},
+		"without a group at all": {api.Told{Cluster: " ", Index: 99, Need: 3}, 0},
 	} {
 		d := begin(t, nil, 0)
 		d.joined(3, false)
@@ -218,7 +218,7 @@
 			t.Errorf("%s: it does not say that it is alone", what)
 		}
 		d.asks()
-		d.told(membership.Told{Lease: 5, LeaseMS: 4000, Need: 4, Force: membership.Named{Version: 4, Hash: "h4"}, Index: 1})
+		d.told(api.Told{Lease: 5, LeaseMS: 4000, Need: 4, Force: api.Named{Version: 4, Hash: "h4"}, Index: 1})
 		d.serves(false, "version 4 is decided")
 	}
 }
@@ -229,13 +229,13 @@
 	d.joined(1, false)
 	d.asks()
 	d.m.Leave(d.now)
-	d.told(membership.Told{Lease: 5, LeaseMS: 4000, Need: 1, Force: membership.Named{Version: 1, Hash: "h1"}, Index: 11, Again: 1000})
+	d.told(api.Told{Lease: 5, LeaseMS: 4000, Need: 1, Force: api.Named{Version: 1, Hash: "h1"}, Index: 11, Again: 1000})
 	before := d.now
 	d.asks()
 	if !d.ask.Bye || d.now-before > 200 {
 		t.Fatalf("after %d ms it asks %+v, expected its goodbye", d.now-before, d.ask)
 	}
-	d.told(membership.Told{Lease: 5, Need: 1, Force: membership.Named{Version: 1, Hash: "h1"}, Index: 12, Again: 1000})
+	d.told(api.Told{Lease: 5, Need: 1, Force: api.Named{Version: 1, Hash: "h1"}, Index: 12, Again: 1000})
 	for end := d.now + 20_000; d.now < end; d.now += 50 {
 		if a, _, due := d.m.Heartbeat(d.now); due {
 			t.Fatalf("after its goodbye it asks %+v", a)
@@ -246,9 +246,9 @@
 // TestGenerations: a node goes by the newest generation of its group that it knows, serves on under what is left of its
 // lease until that takes it in, and never goes back to an older one, nor to an older version with a newer one.
 func TestGenerations(t *testing.T) {
-	second := func(need uint64) membership.Told {
-		v := membership.Named{Version: need, Hash: fmt.Sprint("h", need)}
-		return membership.Told{Cluster: "g2", Gen: 2, Before: []string{"g"}, Need: need, Force: v, Index: 3, Again: 1000}
+	second := func(need uint64) api.Told {
+		v := api.Named{Version: need, Hash: fmt.Sprint("h", need)}
+		return api.Told{Cluster: "g2", Gen: 2, Before: []string{"g"}, Need: need, Force: v, Index: 3, Again: 1000}
 	}
 	d := begin(t, nil, 0)
 	d.joined(2, false)
@@ -264,7 +264,7 @@
 		t.Fatal("it does not serve on under its lease")
 	}
 	d.asks()
-	d.m.zone = &membership.ZoneOrder{Epoch: 90, Share: 32}
+	d.m.zone = &api.ZoneOrder{Epoch: 90, Share: 32}
 	one := second(2)
 	one.Gone = "its lease is of another generation"
 	if err := d.told(one); err != nil {
@@ -289,7 +289,7 @@
 		t.Fatal("it serves past the end of the old lease")
 	}
 	one = second(2)
-	one.Lease, one.LeaseMS, one.Zone = 9, 4000, &membership.ZoneOrder{Epoch: 3, Share: 256}
+	one.Lease, one.LeaseMS, one.Zone = 9, 4000, &api.ZoneOrder{Epoch: 3, Share: 256}
 	if err := d.told(one); err != nil {
 		t.Fatal(err)
 	}
@@ -297,10 +297,10 @@
 		t.Fatal("it is in and does not serve")
 	}
 	// The old generation goes on, far ahead: nobody follows it. A sibling of the new one neither.
-	for what, told := range map[string]membership.Told{
-		"the old one": {Cluster: "g", Gen: 1, Term: 90, Index: 9000, Need: 2, Force: membership.Named{Version: 2, Hash: "h2"}},
-		"a sibling":   {Cluster: "g7", Gen: 2, Before: []string{"g"}, Need: 2, Force: membership.Named{Version: 2, Hash: "h2"}},
-		"a stranger":  {Cluster: "g8", Gen: 3, Before: []string{"g7"}, Need: 2, Force: membership.Named{Version: 2, Hash: "h2"}}} {
+	for what, told := range map[string]api.Told{
+		"the old one": {Cluster: "g", Gen: 1, Term: 90, Index: 9000, Need: 2, Force: api.Named{Version: 2, Hash: "h2"}},
+		"a sibling":   {Cluster: "g7", Gen: 2, Before: []string{"g"}, Need: 2, Force: api.Named{Version: 2, Hash: "h2"}},
+		"a stranger":  {Cluster: "g8", Gen: 3, Before: []string{"g7"}, Need: 2, Force: api.Named{Version: 2, Hash: "h2"}}} {
 		d.asks()
 		if err := d.told(told); err == nil {
 			t.Errorf("it follows %s", what)
@@ -312,12 +312,12 @@
 	if h := d.ask.Heard; h == nil || h.Gen != 2 || h.Index != 77 {
 		t.Fatalf("after a restart it asks with %+v", h)
 	}
-	if err := d.told(membership.Told{Cluster: "g", Gen: 1, Index: 9000, Need: 2, Force: membership.Named{Version: 2, Hash: "h2"}}); err == nil {
+	if err := d.told(api.Told{Cluster: "g", Gen: 1, Index: 9000, Need: 2, Force: api.Named{Version: 2, Hash: "h2"}}); err == nil {
 		t.Error("after a restart it follows the old generation")
 	}
 	without := begin(t, &Record{Cluster: "g2", Generation: 2, ActiveVersion: 2, ActiveHash: "h2", MinVersion: 2}, policy.Generation)
 	without.asks()
-	if err := without.told(membership.Told{Cluster: "g", Gen: 1, Index: 9000, Need: 2, Force: membership.Named{Version: 2, Hash: "h2"}}); err != nil {
+	if err := without.told(api.Told{Cluster: "g", Gen: 1, Index: 9000, Need: 2, Force: api.Named{Version: 2, Hash: "h2"}}); err != nil {
 		t.Errorf("without the guard the old generation is not followed either: %v", err)
 	}
 }
@@ -327,7 +327,7 @@
 	d := begin(t, nil, 0)
 	d.joined(2, false)
 	d.asks()
-	if err := d.told(membership.Told{Gather: true}); err != nil || !d.m.TakeRecordRequest() || d.m.TakeRecordRequest() {
+	if err := d.told(api.Told{Gather: true}); err != nil || !d.m.TakeRecordRequest() || d.m.TakeRecordRequest() {
 		t.Fatalf("%v: expected to be asked for what it holds, once", err)
 	}
 	if ok, _ := d.m.MayServe(d.now); !ok || d.m.MinVersion() != 2 {
@@ -345,14 +345,14 @@
 func TestFirstGeneration(t *testing.T) {
 	d := begin(t, nil, 0)
 	d.asks()
-	if err := d.told(membership.Told{Cluster: "g3", Gen: 3, Before: []string{"g", "g2"}, Term: 1, Index: 5, Sum: 77, Lease: 4, LeaseMS: 4000}); err != nil {
+	if err := d.told(api.Told{Cluster: "g3", Gen: 3, Before: []string{"g", "g2"}, Term: 1, Index: 5, Sum: 77, Lease: 4, LeaseMS: 4000}); err != nil {
 		t.Fatal(err)
 	}
 	d.asks()
 	if h := d.ask.Heard; h == nil || h.Gen != 3 || h.Sum != 77 {
 		t.Fatalf("it asks with %+v, expected generation 3 and what the entry was", h)
 	}
-	if err := d.told(membership.Told{Cluster: "g4", Gen: 3, Before: []string{"g", "g2", "g3"}, Term: 1, Index: 9}); err == nil {
+	if err := d.told(api.Told{Cluster: "g4", Gen: 3, Before: []string{"g", "g2", "g3"}, Term: 1, Index: 9}); err == nil {
 		t.Error("it follows another group of its own generation")
 	}
 }
@@ -365,13 +365,13 @@
 	told := func(hash string) {
 		t.Helper()
 		d.asks()
-		if err := d.told(membership.Told{Cluster: "g", Term: 1, Index: 10, Need: 2, Force: membership.Named{Version: 2, Hash: "h2"},
-			Prepare: membership.Named{Version: 3, Hash: hash}, Lease: 1, LeaseMS: 4000}); err != nil {
+		if err := d.told(api.Told{Cluster: "g", Term: 1, Index: 10, Need: 2, Force: api.Named{Version: 2, Hash: "h2"},
+			Prepare: api.Named{Version: 3, Hash: hash}, Lease: 1, LeaseMS: 4000}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	told("h3")
-	d.m.MarkPrepared(d.now, membership.Named{Version: 3, Hash: "h3"})
+	d.m.MarkPrepared(d.now, api.Named{Version: 3, Hash: "h3"})
 	if d.asks(); d.ask.Prepared != 3 {
 		t.Fatalf("%+v: it does not say that it is prepared", d.ask)
 	}
--- a/internal/node/agent/pin_decisions_test.go
+++ b/internal/node/agent/pin_decisions_test.go
@@ -8,7 +8,7 @@
 	"hash"
 	"testing"
 
-	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/policy"
 )
 
@@ -43,11 +43,11 @@
 	return (g.seed >> 33) % n
 }
 
-func pinnedVersion(version uint64) membership.Named {
+func pinnedVersion(version uint64) api.Named {
 	if version == 0 {
-		return membership.Named{}
+		return api.Named{}
 	}
-	return membership.Named{Version: version, Hash: fmt.Sprint("hash of ", version)}
+	return api.Named{Version: version, Hash: fmt.Sprint("hash of ", version)}
 }
 
 // goesOn changes the group's state.
@@ -96,8 +96,8 @@
 }
 
 // answers gives an answer to what was asked, sometimes one that can't be believed.
-func (g *pinnedGroup) answers(ask *membership.Ask) membership.Told {
-	t := membership.Told{Cluster: g.cluster, Gen: g.generation, Term: g.term, Index: g.index, Sum: g.index * 7, Clock: g.clock,
+func (g *pinnedGroup) answers(ask *api.Ask) api.Told {
+	t := api.Told{Cluster: g.cluster, Gen: g.generation, Term: g.term, Index: g.index, Sum: g.index * 7, Clock: g.clock,
 		Need: g.need, Force: pinnedVersion(g.force), Prepare: pinnedVersion(g.prepare), Alone: g.alone, Again: 200 + g.chance(1500),
 		Lease: g.lease}
 	for _, b := range g.before {
@@ -106,7 +106,7 @@
 		}
 	}
 	if g.decidesAboutZones {
-		t.Zone = &membership.ZoneOrder{Epoch: g.epoch, Share: g.share, Keep: 5000}
+		t.Zone = &api.ZoneOrder{Epoch: g.epoch, Share: g.share, Keep: 5000}
 	}
 	if ask.Renew || ask.Lease == 0 || g.chance(5) == 0 {
 		t.LeaseMS = g.leaseMS
@@ -127,7 +127,7 @@
 	case 6, 7:
 		t.Gone, t.Wait, t.Lease, t.LeaseMS = "it counts no more", 100*g.chance(20), 0, 0
 	case 8:
-		t = membership.Told{Gather: true}
+		t = api.Told{Gather: true}
 	case 9:
 		if t.Zone != nil {
 			t.Zone.Epoch /= 2
@@ -214,7 +214,7 @@
 					fmt.Fprintln(sum, err != nil)
 				}
 			} else if late != 0 && g.chance(3) == 0 {
-				fmt.Fprintln(sum, m.HandleResponse(now, late, g.answers(&membership.Ask{})) != nil)
+				fmt.Fprintln(sum, m.HandleResponse(now, late, g.answers(&api.Ask{})) != nil)
 				late = 0
 			}
 			if v, decided, ok := m.VersionToFetch(); ok && g.chance(3) == 0 {
