--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -184,13 +184,13 @@
 			s.Zones = append(s.Zones, fmt.Sprintf("%s is %s, takes %s", o.Name, word, share))
 			continue
 		}
-		s.Share, s.SinceMS, s.Cause = float64(o.Share)/api.Whole, z.Clock-min(z.Clock, o.Since), o.Cause
+		s.Share, s.SinceMS, s.Cause = float64(o.Share)/api.FullShare, z.Clock-min(z.Clock, o.Since), o.Cause
 		if o.Seen != nil {
 			s.Holds = o.Seen.Note
 		}
 		// A step can't come sooner than a hold and the reports of it after the one before, and makes four times the share at most.
-		each := z.Rules.HoldMS + zones.Pace(s.In)
-		for share := o.Share; share < api.Whole; share *= zones.GrowMost {
+		each := z.Rules.MinStepMS + zones.Pace(s.In)
+		for share := o.Share; share < api.FullShare; share *= zones.GrowMost {
 			s.LeastMS += each
 		}
 		s.LeastMS += each - min(each, s.SinceMS)
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -185,7 +185,7 @@
 func TestFleetStatus(t *testing.T) {
 	p := &consensus.PolicyView{Gen: 2, Force: 7, Hush: 1500, Lost: "n3 was told of entry 812"}
 	nodes := []consensus.NodeView{{}, {Node: membership.Node{Out: membership.Silent}}, {Fenced: "its lease has run out"}, {Node: membership.Node{Out: membership.Left}}}
-	z := &consensus.ZonesView{Clock: 9000, Rules: api.ZoneRules{Mode: api.ZonesAuto, HoldMS: 2000}}
+	z := &consensus.ZonesView{Clock: 9000, Rules: api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 2000}}
 	z.Zones = []consensus.ZoneView{{Zone: zones.Zone{Name: zones.Fleet, Step: zones.Returning, Share: 16, Since: 8000, Cause: "restart"},
 		Seen: &zones.View{Note: "held"}}, {Zone: zones.Zone{Name: "z1", Step: zones.Out}}, {Zone: zones.Zone{Name: "z2", Step: zones.In}}}
 	s := fleetStatus(p, z, nodes)
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -56,7 +56,7 @@
 	if word = v.Step; word == zones.In && v.Seen != nil && v.Seen.Score > 0 {
 		word = "suspected"
 	}
-	return word, fmt.Sprintf("%.0f%%", 100*float64(v.Share)/api.Whole)
+	return word, fmt.Sprintf("%.0f%%", 100*float64(v.Share)/api.FullShare)
 }
 
 func newZonesList(a *access) *cobra.Command {
@@ -69,7 +69,7 @@
 			if c.json {
 				return printJSON(w, v)
 			}
-			if !v.Rules.On() {
+			if !v.Rules.Enabled() {
 				fmt.Fprintln(w, "the policy in force decides nothing about zones ([zones] decide = off)")
 			}
 			rows := [][]string{{"ZONE", "STATE", "TAKES", "NODES", "HEARD", "SICK", "RUNS/S", "BORE", "CAUSE", "NOTE"}}
@@ -179,7 +179,7 @@
 			if c.json {
 				return printJSON(w, r)
 			}
-			fmt.Fprintf(w, "zone %s is %s, takes %.0f%%, epoch %d\n", args[0], r.Step, 100*float64(r.Share)/api.Whole, r.Epoch)
+			fmt.Fprintf(w, "zone %s is %s, takes %.0f%%, epoch %d\n", args[0], r.Step, 100*float64(r.Share)/api.FullShare, r.Epoch)
 			return nil
 		})}
 	c.Flags().StringVar(&why, "reason", "", "why, for explain")
@@ -193,7 +193,7 @@
 	if part < 0 || part > 1 {
 		return 0, fmt.Errorf("--share: found %g, expected 0 to 1", part)
 	}
-	return int(part*api.Whole + 0.5), nil
+	return int(part*api.FullShare + 0.5), nil
 }
 
 func newZonesLeave(a *access) *cobra.Command {
--- a/internal/control/api/join.go
+++ b/internal/control/api/join.go
@@ -8,19 +8,19 @@
 
 const maxWord = 80 // bytes of an address or nonce
 
-// Join asks for a new incarnation.
-type Join struct {
-	Name  string `json:"name"`
-	Zone  string `json:"zone"`
-	Addr  string `json:"addr"`
-	Nonce string `json:"nonce"`
-	Up    uint64 `json:"up_ms,omitempty"` // since its process began; 0: not said
+// JoinRequest asks for a new incarnation.
+type JoinRequest struct {
+	Name     string `json:"name"`
+	Zone     string `json:"zone"`
+	Addr     string `json:"addr"`
+	Nonce    string `json:"nonce"`
+	UptimeMS uint64 `json:"up_ms,omitempty"` // since its process began; 0: not said
 	// The leader's word, whatever a node says: the process that joins is the one that had the name's last lease.
-	Same bool `json:"same,omitempty"`
+	SameProcess bool `json:"same,omitempty"`
 }
 
-// Valid says what is wrong with a join before it is proposed.
-func (j *Join) Valid() error {
+// Validate says what is wrong with a join before it is proposed.
+func (j *JoinRequest) Validate() error {
 	switch {
 	case !config.IsName(j.Name):
 		return fmt.Errorf("name: found %.50q, expected up to 40 letters, digits, '-', '_' and '.'", j.Name)
--- a/internal/control/api/pin_messages_test.go
+++ b/internal/control/api/pin_messages_test.go
@@ -13,34 +13,34 @@
 var write = flag.Bool("write-pins", false, "write the fixtures of the messages anew")
 
 // fill sets every field that the value has, each to another value, by the order in which they are encoded.
-func fill(v reflect.Value, n *int) {
+func fill(v reflect.Value, next *int) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), n)
+		fill(v.Elem(), next)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i), n)
+			fill(v.Field(i), next)
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			fill(v.Index(i), n)
+			fill(v.Index(i), next)
 		}
 	case reflect.String:
-		*n++
-		v.SetString("<word> & " + strconv.Itoa(*n))
+		*next++
+		v.SetString("<word> & " + strconv.Itoa(*next))
 	case reflect.Bool:
 		v.SetBool(true)
 	case reflect.Int:
-		*n++
-		v.SetInt(int64(*n))
+		*next++
+		v.SetInt(int64(*next))
 	case reflect.Uint32, reflect.Uint64:
-		*n++
-		v.SetUint(uint64(*n))
+		*next++
+		v.SetUint(uint64(*next))
 	case reflect.Float64:
-		*n++
-		v.SetFloat(float64(*n) + 0.25)
+		*next++
+		v.SetFloat(float64(*next) + 0.25)
 	default:
 		panic(v.Kind())
 	}
@@ -66,8 +66,8 @@
 // fields set, with all parts and no field set, and with nothing, and is read back whole. A build of that version on the other side would misread any other form.
 func TestMessagesAsSent(t *testing.T) {
 	for name, message := range map[string]any{
-		"request":  &Ask{},
-		"response": &Told{},
+		"request":  &HeartbeatRequest{},
+		"response": &HeartbeatResponse{},
 		"rules":    &ZoneRules{},
 	} {
 		empty, err := json.Marshal(message)
--- a/internal/control/consensus/nodes.go
+++ b/internal/control/consensus/nodes.go
@@ -102,24 +102,24 @@
 }
 
 // Node brings a node's asking before the leader.
-func (g *Group) Node(ctx context.Context, a api.Ask) (api.Told, error) {
+func (g *Group) Node(ctx context.Context, a api.HeartbeatRequest) (api.HeartbeatResponse, error) {
 	type end struct {
-		told api.Told
+		told api.HeartbeatResponse
 		err  error
 	}
 	got := make(chan end, 1)
 	if err := g.ask(func() {
-		g.steward.Ask(g.rep.machine.nodes, a, func(t api.Told, err error) { got <- end{t, err} })
+		g.steward.Ask(g.rep.machine.nodes, a, func(t api.HeartbeatResponse, err error) { got <- end{t, err} })
 	}); err != nil {
-		return api.Told{}, err
+		return api.HeartbeatResponse{}, err
 	}
 	select {
 	case e := <-got:
 		return e.told, e.err
 	case <-g.done:
-		return api.Told{}, ErrGone
+		return api.HeartbeatResponse{}, ErrGone
 	case <-ctx.Done():
-		return api.Told{}, ErrLate
+		return api.HeartbeatResponse{}, ErrLate
 	}
 }
 
@@ -345,7 +345,7 @@
 }
 
 func (a *API) node(w http.ResponseWriter, r *http.Request) {
-	var ask api.Ask
+	var ask api.HeartbeatRequest
 	if err := readBody(w, r, &ask); err != nil {
 		a.failed(w, err)
 		return
--- a/internal/control/consensus/nodes_test.go
+++ b/internal/control/consensus/nodes_test.go
@@ -10,15 +10,15 @@
 )
 
 // node asks an instance as a node would.
-func (i *instance) node(a api.Ask) (api.Told, int) {
+func (i *instance) node(a api.HeartbeatRequest) (api.HeartbeatResponse, int) {
 	i.t.Helper()
-	var t api.Told
+	var t api.HeartbeatResponse
 	code, _ := i.ask(http.MethodPost, "/v1/nodes", a, &t)
 	return t, code
 }
 
-func joining(name, nonce string) api.Ask {
-	return api.Ask{Join: api.Join{Name: name, Zone: "z1", Nonce: nonce + "-12345678"}}
+func joining(name, nonce string) api.HeartbeatRequest {
+	return api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: name, Zone: "z1", Nonce: nonce + "-12345678"}}
 }
 
 // TestTwoBuilds: a group with an instance of an older build goes on at the older level, and rises once it is replaced;
@@ -93,29 +93,29 @@
 	leases := map[string]uint32{}
 	for k, i := range all {
 		name := string(rune('p' + k))
-		var told api.Told
+		var told api.HeartbeatResponse
 		i.retry("joining", func() bool {
 			var code int
 			told, code = i.node(joining(name, name))
 			return code == http.StatusOK && told.LeaseMS > 0
 		})
-		leases[name] = told.Lease
+		leases[name] = told.LeaseID
 	}
 	if leases["p"] == leases["q"] || leases["q"] == leases["r"] {
 		t.Fatalf("leases %v, expected three", leases)
 	}
 	// Asked again with the same nonce it is the same lease; with another it is another, and the first counts no more.
 	again, _ := all[1].node(joining("p", "p"))
-	if again.Lease != leases["p"] {
-		t.Errorf("the same asking again gives lease %d, expected %d", again.Lease, leases["p"])
+	if again.LeaseID != leases["p"] {
+		t.Errorf("the same asking again gives lease %d, expected %d", again.LeaseID, leases["p"])
 	}
 	next, _ := all[2].node(joining("p", "p2"))
-	if next.Lease == leases["p"] || next.Lease == 0 {
-		t.Fatalf("another incarnation has lease %d", next.Lease)
+	if next.LeaseID == leases["p"] || next.LeaseID == 0 {
+		t.Fatalf("another incarnation has lease %d", next.LeaseID)
 	}
 	a := joining("p", "p")
-	a.Lease, a.Renew = leases["p"], true
-	if told, _ := all[0].node(a); told.Gone == "" || told.LeaseMS != 0 {
+	a.LeaseID, a.Renew = leases["p"], true
+	if told, _ := all[0].node(a); told.EndedReason == "" || told.LeaseMS != 0 {
 		t.Errorf("a replaced incarnation is told %+v, expected that it is gone", told)
 	}
 	for _, i := range all {
@@ -128,13 +128,13 @@
 	if left.group == nil {
 		left = all[1]
 	}
-	a.Lease, a.Nonce = next.Lease, "p2-12345678"
+	a.LeaseID, a.Nonce = next.LeaseID, "p2-12345678"
 	left.retry("a renewal by another leader", func() bool {
 		var code int
-		var told api.Told
+		var told api.HeartbeatResponse
 		told, code = left.node(a)
-		a.Echo = told.Clock
-		return code == http.StatusOK && told.Gone == "" && told.LeaseMS > 0
+		a.LastClockMS = told.ClockMS
+		return code == http.StatusOK && told.EndedReason == "" && told.LeaseMS > 0
 	})
 	views, err := leaderOf(all).group.Nodes()
 	if err != nil || len(views) != 3 {
--- a/internal/control/consensus/recover.go
+++ b/internal/control/consensus/recover.go
@@ -231,7 +231,7 @@
 
 // node asks whoever comes by for what it holds, once.
 func (g *Gathering) node(w http.ResponseWriter, r *http.Request) {
-	var a api.Ask
+	var a api.HeartbeatRequest
 	if err := readBody(w, r, &a); err != nil {
 		g.fail(w, http.StatusBadRequest, err)
 		return
@@ -246,7 +246,7 @@
 		g.fail(w, http.StatusServiceUnavailable, errors.New("the group is being restored"))
 		return
 	}
-	raw, err := json.Marshal(api.Told{Gather: true})
+	raw, err := json.Marshal(api.HeartbeatResponse{CollectRecord: true})
 	if err != nil {
 		g.fail(w, http.StatusInternalServerError, err)
 		return
--- a/internal/control/consensus/recover_test.go
+++ b/internal/control/consensus/recover_test.go
@@ -66,19 +66,19 @@
 		}
 		return res.StatusCode
 	}
-	ask := func(name string) (told api.Told, code int) {
-		code = post("/v1/nodes", api.Ask{Join: api.Join{Name: name, Zone: "z", Nonce: name + "-00000000"}}, &told)
+	ask := func(name string) (told api.HeartbeatResponse, code int) {
+		code = post("/v1/nodes", api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: name, Zone: "z", Nonce: name + "-00000000"}}, &told)
 		return told, code
 	}
 	text := canonical(t, oneText)
 	k := recovery.Kept{Name: "a", Zone: "z", Group: "g", Gen: 1, Version: 3, Floor: 3, Text: text, Hash: document.Hash([]byte(text))}
-	if told, code := ask("a"); code != 200 || !told.Gather {
+	if told, code := ask("a"); code != 200 || !told.CollectRecord {
 		t.Fatalf("%d, %+v: a node is not asked for what it holds", code, told)
 	}
 	if code := post("/v1/kept", k, nil); code != 200 {
 		t.Fatalf("%d", code)
 	}
-	if told, code := ask("a"); code != 503 || told.Gather {
+	if told, code := ask("a"); code != 503 || told.CollectRecord {
 		t.Errorf("%d, %+v: a node that told is asked again", code, told)
 	}
 	spoilt := k
--- a/internal/control/consensus/zones.go
+++ b/internal/control/consensus/zones.go
@@ -47,7 +47,7 @@
 			i, known := at[o.Zone]
 			if !known {
 				i = len(v.Zones)
-				v.Zones = append(v.Zones, ZoneView{Zone: zones.Zone{Name: o.Zone, Step: zones.In, Share: api.Whole}})
+				v.Zones = append(v.Zones, ZoneView{Zone: zones.Zone{Name: o.Zone, Step: zones.In, Share: api.FullShare}})
 			}
 			v.Zones[i].Seen = o
 		}
--- a/internal/control/coordinator/part.go
+++ b/internal/control/coordinator/part.go
@@ -125,9 +125,9 @@
 	}
 	r := policy.Rules{LeaseMS: uint64(next.Fleet.Lease.Milliseconds()), Alone: next.Fleet.Alone}
 	if z := &next.Zones; z.Given {
-		r.Zones = api.ZoneRules{Mode: z.Decide, First: int(z.First*api.Whole + 0.5), HoldMS: uint64(z.Hold.Milliseconds()),
-			KeepMS: uint64(z.Keep.Milliseconds()), WaitMS: uint64(z.Wait.Milliseconds()),
-			Small: z.Small}
+		r.Zones = api.ZoneRules{Mode: z.Decide, InitialShare: int(z.First*api.FullShare + 0.5), MinStepMS: uint64(z.Hold.Milliseconds()),
+			OrderTTLMS: uint64(z.Keep.Milliseconds()), MaxWaitMS: uint64(z.Wait.Milliseconds()),
+			ColdStart: z.Small}
 	}
 	return r, hash, nil
 }
@@ -136,7 +136,7 @@
 func (p *Part) grant() membership.Grant {
 	r := p.Policy.Grants()
 	g := membership.Grant{LeaseMS: r.LeaseMS, Alone: r.Alone, Need: p.Policy.Need}
-	if r.Zones.On() && !p.WithoutZones.Has(zones.OneEpoch) {
+	if r.Zones.Enabled() && !p.WithoutZones.Has(zones.OneEpoch) {
 		g.Zones = p.Zones.Epoch
 	}
 	return g
@@ -180,7 +180,7 @@
 		if err := json.Unmarshal(body, &op); err != nil {
 			return nil, fmt.Errorf("not a step of a zone: %w", err)
 		}
-		if !p.Policy.Grants().Zones.On() {
+		if !p.Policy.Grants().Zones.Enabled() {
 			return zones.Result{Kind: op.Kind, Zone: op.Zone, Key: op.Key,
 				Err: "the policy in force decides nothing about zones: [zones] decide = ask or auto"}, nil
 		}
@@ -257,10 +257,10 @@
 	}
 	next := found.Whose.Next("")
 	p.Gen, p.Before = next.Gen, next.Before
-	var more []api.Join
+	var more []api.JoinRequest
 	share := map[string]recovery.Kept{}
 	for _, k := range found.Kept {
-		more = append(more, api.Join{Name: k.Name, Zone: k.Zone, Addr: k.Addr})
+		more = append(more, api.JoinRequest{Name: k.Name, Zone: k.Zone, Addr: k.Addr})
 		if was, there := share[k.Zone]; k.Epoch > 0 && (!there || k.Epoch > was.Epoch) {
 			share[k.Zone] = k
 		}
@@ -271,7 +271,7 @@
 	}
 	left := map[string]int{}
 	for name, k := range share { // each is judged alone
-		if k.Share < api.Whole {
+		if k.Share < api.FullShare {
 			left[name] = k.Share
 		}
 	}
--- a/internal/control/coordinator/pin_stream_test.go
+++ b/internal/control/coordinator/pin_stream_test.go
@@ -55,7 +55,7 @@
 	prepared   uint64
 	refused    uint64
 	epoch      uint64
-	at         api.Heard
+	at         api.GroupPosition
 	next       uint64 // when it asks
 	paused     uint64 // until then
 	leaves     bool
@@ -115,14 +115,14 @@
 }
 
 // tally is a load report of which the parts hang together well enough for zones to be judged by it.
-func (r *recorded) tally(bad bool) *api.Tally {
+func (r *recorded) tally(bad bool) *api.LoadReport {
 	raw := fmt.Sprintf(`{"ms":1000,"came":%d,"done":%d,"late":1,"shed":%d,"worth":50,"got":%d,"mix":[{"value":1,"came":30},{"value":5,"came":4}],
 		"kernel":true,"cores":4,"on_cores":1.5,"out":3,"runs":%d,"run_ms":20,"calls":20,"bad":%d,"call_ms":4,"opened":1}`,
 		34+r.rng.Intn(5), 30+r.rng.Intn(3), r.rng.Intn(3), 40+r.rng.Intn(8), 28+r.rng.Intn(6), r.rng.Intn(2))
 	if bad {
 		raw = `{"ms":1000,"came":40,"done":2,"late":20,"errored":10,"worth":50,"got":2,"kernel":false,"cores":4,"on_cores":3.9,"out":40,"runs":3,"run_ms":900,"calls":20,"bad":19}`
 	}
-	t := &api.Tally{}
+	t := &api.LoadReport{}
 	if err := json.Unmarshal([]byte(raw), t); err != nil {
 		r.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 }
 
 // request is what the node says, as JSON: its tags outlive names.
-func (r *recorded) request(n *simulatedNode) (a api.Ask) {
+func (r *recorded) request(n *simulatedNode) (a api.HeartbeatRequest) {
 	said := map[string]any{"name": n.name, "zone": n.zone, "addr": "127.0.0.1:1", "nonce": fmt.Sprintf("%s-process-%d", n.name, n.life), "up_ms": r.now,
 		"echo": n.clock, "floor": n.floor, "serves": n.active, "zones": n.epoch}
 	if n.prepared != 0 {
@@ -171,7 +171,7 @@
 	a := r.request(n)
 	lost := r.rng.Intn(12) == 0
 	life := n.life
-	r.leader().Ask(r.part, a, func(t api.Told, err error) {
+	r.leader().Ask(r.part, a, func(t api.HeartbeatResponse, err error) {
 		r.answers++
 		r.note("answer to "+n.name+fmt.Sprint(" ", err), t)
 		if err == nil && !lost && life == n.life {
@@ -203,7 +203,7 @@
 	Gen   uint64                  `json:"generation"`
 }
 
-func (r *recorded) heard(n *simulatedNode, told api.Told) {
+func (r *recorded) heard(n *simulatedNode, told api.HeartbeatResponse) {
 	raw, err := json.Marshal(told)
 	if err != nil {
 		r.Fatal(err)
@@ -242,7 +242,7 @@
 	}
 	position := map[string]any{"group": "group", "generation": max(1, t.Gen), "term": t.Term, "index": t.Index, "sum": t.Sum, "hash": n.hash}
 	if raw, err = json.Marshal(position); err == nil {
-		n.at = api.Heard{}
+		n.at = api.GroupPosition{}
 		err = json.Unmarshal(raw, &n.at)
 	}
 	if err != nil {
--- a/internal/control/coordinator/steward.go
+++ b/internal/control/coordinator/steward.go
@@ -51,8 +51,8 @@
 
 // open is one asking that waits for a beat.
 type open struct {
-	ask  api.Ask
-	done func(api.Told, error)
+	ask  api.HeartbeatRequest
+	done func(api.HeartbeatResponse, error)
 }
 
 type opening struct {
@@ -156,7 +156,7 @@
 func (s *Steward) drop(err error) {
 	for _, list := range [][]open{s.waits, s.out} {
 		for _, o := range list {
-			o.done(api.Told{}, err)
+			o.done(api.HeartbeatResponse{}, err)
 		}
 	}
 	for _, o := range s.ops {
@@ -169,67 +169,67 @@
 }
 
 // Ask takes what a node says. done is called once, at once or after a beat.
-func (s *Steward) Ask(p *Part, a api.Ask, done func(api.Told, error)) {
+func (s *Steward) Ask(p *Part, a api.HeartbeatRequest, done func(api.HeartbeatResponse, error)) {
 	if !s.leads {
-		done(api.Told{}, ErrNoLead)
+		done(api.HeartbeatResponse{}, ErrNoLead)
 		return
 	}
-	if a.Lease == 0 {
-		if err := a.Join.Valid(); err != nil {
-			done(api.Told{}, err)
+	if a.LeaseID == 0 {
+		if err := a.JoinRequest.Validate(); err != nil {
+			done(api.HeartbeatResponse{}, err)
 			return
 		}
 	}
 	if p.Fleet.Lost != "" {
-		done(api.Told{}, ErrLost)
+		done(api.HeartbeatResponse{}, ErrLost)
 		return
 	}
 	if s.names != nil && len(s.names) < membership.MaxNodes {
 		s.names[a.Name] = true
 	}
-	if h := a.Heard; h != nil && h.Group != "" && h.Group != s.cluster {
+	if h := a.LastSeen; h != nil && h.Group != "" && h.Group != s.cluster {
 		// A lease of another generation has a number that means another here, and what it heard last may be a later one. It is
 		// told whose this is, and begins anew if that is later than what it knows.
-		t := s.tell(p, api.Told{Gone: "it heard another generation of the group last"})
-		t.Before = p.Before
+		t := s.tell(p, api.HeartbeatResponse{EndedReason: "it heard another generation of the group last"})
+		t.Predecessors = p.Before
 		done(t, nil)
 		return
 	}
 	s.doubt(p, &a)
 	if s.Level < LevelGen {
-		a.Up = 0 // an older instance does not know it
+		a.UptimeMS = 0 // an older instance does not know it
 	}
-	if a.Lease == 0 {
+	if a.LeaseID == 0 {
 		n := p.Fleet.Named(a.Name)
-		a.Same = s.Level >= LevelSame && n != nil && membership.SameProcess(n.Lease.Nonce, a.Nonce)
+		a.SameProcess = s.Level >= LevelSame && n != nil && membership.SameProcess(n.Lease.Nonce, a.Nonce)
 		s.wait(a, done)
 		return
 	}
-	if n := p.Fleet.In(a.Lease); n != nil && p.Policy.Grants().Zones.On() {
-		s.watch.Heard(s.now, n, a.Load, a.Seen)
+	if n := p.Fleet.In(a.LeaseID); n != nil && p.Policy.Grants().Zones.Enabled() {
+		s.watch.Heard(s.now, n, a.Load, a.Peers)
 	}
-	n := p.Fleet.In(a.Lease)
-	if n == nil && !a.Bye {
-		done(s.tell(p, api.Told{Gone: "its lease ran out or its name began anew"}), nil)
+	n := p.Fleet.In(a.LeaseID)
+	if n == nil && !a.Leave {
+		done(s.tell(p, api.HeartbeatResponse{EndedReason: "its lease ran out or its name began anew"}), nil)
 		return
 	}
 	if n != nil {
-		s.reports[n.Name] = &told{a.Lease, policy.Report{Prepared: a.Prepared, Refused: a.Refused, Why: a.Why,
-			Serves: a.Serves, Fenced: a.Fenced}}
+		s.reports[n.Name] = &told{a.LeaseID, policy.Report{Prepared: a.PreparedVersion, Refused: a.RefusedVersion, Why: a.RefusedReason,
+			Serves: a.ActiveVersion, Fenced: a.Fenced}}
 	}
-	if n != nil && !a.Bye && p.Fleet.Clock > a.Echo+membership.Span(p.grant().LeaseMS) {
+	if n != nil && !a.Leave && p.Fleet.Clock > a.LastClockMS+membership.Span(p.grant().LeaseMS) {
 		// It has not heard an answer for a lease's time, so it serves nothing: what it says reaches the group, and nothing
 		// comes back. Its askings must not keep it in, or a change would wait for it.
-		done(s.tell(p, api.Told{Lease: a.Lease}), nil)
+		done(s.tell(p, api.HeartbeatResponse{LeaseID: a.LeaseID}), nil)
 		return
 	}
 	// A promise that the state lacks goes through the log as well: a change waits for it.
-	if a.Renew || a.Bye || n.Lease.Floor < a.Floor && s.behind(p, n) ||
-		n.Lease.Zones < a.Zones && p.Zones.Settled < p.Zones.Epoch {
+	if a.Renew || a.Leave || n.Lease.Floor < a.MinVersion && s.behind(p, n) ||
+		n.Lease.Zones < a.MinZoneEpoch && p.Zones.Settled < p.Zones.Epoch {
 		s.wait(a, done)
 		return
 	}
-	done(s.tell(p, api.Told{Lease: a.Lease}), nil)
+	done(s.tell(p, api.HeartbeatResponse{LeaseID: a.LeaseID}), nil)
 }
 
 // nodesToDoubt is how many nodes have to prove that the group has lost state before it stops: one alone may lie.
@@ -245,15 +245,15 @@
 }
 
 // doubt holds what a node was told against what the state has.
-func (s *Steward) doubt(p *Part, a *api.Ask) {
-	h := a.Heard
+func (s *Steward) doubt(p *Part, a *api.HeartbeatRequest) {
+	h := a.LastSeen
 	if h == nil || s.Without.Has(policy.Proof) {
 		return
 	}
 	have := recovery.Have{Group: s.cluster, Gen: p.Gen, Term: s.term, Index: p.Index, Need: p.Policy.Need, Epoch: p.Zones.Epoch,
 		HashOf: func(v uint64) string { return s.hashOf(p, v) }, SumOf: p.sumOf}
-	k := recovery.Kept{Group: h.Group, Gen: max(1, h.Gen), Term: h.Term, Index: h.Index, Sum: h.Sum, Version: a.Serves, Hash: h.Hash,
-		Floor: a.Floor, Epoch: a.Zones}
+	k := recovery.Kept{Group: h.Group, Gen: max(1, h.Generation), Term: h.Term, Index: h.Index, Sum: h.EntryChecksum, Version: a.ActiveVersion, Hash: h.ActiveHash,
+		Floor: a.MinVersion, Epoch: a.MinZoneEpoch}
 	if what := have.Lacks(&k); what != "" {
 		if len(s.lacks) < membership.MaxNodes {
 			s.lacks[a.Name] = lack{what, s.now}
@@ -308,39 +308,39 @@
 	return c != nil && c.Step != policy.Preparing && n.Lease.Floor < c.Version
 }
 
-func (s *Steward) wait(a api.Ask, done func(api.Told, error)) {
+func (s *Steward) wait(a api.HeartbeatRequest, done func(api.HeartbeatResponse, error)) {
 	if len(s.waits) >= maxOpen {
-		done(api.Told{}, ErrBusy)
+		done(api.HeartbeatResponse{}, ErrBusy)
 		return
 	}
 	s.waits = append(s.waits, open{a, done})
 }
 
 // tell fills in what holds now.
-func (s *Steward) tell(p *Part, t api.Told) api.Told {
-	t.Cluster, t.Term, t.Index, t.Sum, t.Clock, t.Gen = s.cluster, s.term, p.Index, p.sum(), p.Fleet.Clock, p.Gen
-	t.Need, t.Force = p.Policy.Need, api.Named{Version: p.Policy.Force, Hash: p.Policy.Hash}
+func (s *Steward) tell(p *Part, t api.HeartbeatResponse) api.HeartbeatResponse {
+	t.Cluster, t.Term, t.Index, t.EntryChecksum, t.ClockMS, t.Generation = s.cluster, s.term, p.Index, p.sum(), p.Fleet.Clock, p.Gen
+	t.DecidedVersion, t.CommittedVersion = p.Policy.Need, api.VersionHash{Version: p.Policy.Force, Hash: p.Policy.Hash}
 	g := p.grant()
-	t.Alone = g.Alone
-	t.Again = g.LeaseMS / 4
-	if rules := p.Policy.Grants().Zones; rules.On() {
-		t.Again = min(t.Again, zones.Pace(len(p.Fleet.Nodes())))
-		if n := p.Fleet.In(t.Lease); n != nil {
-			o := p.Zones.Order(n.Zone, t.Lease, &rules, s.WithoutZones)
-			if rules.Small && s.young(p, n) && p.Zones.Probation(&o, n.Zone, n.Age(p.Fleet.Clock), p.Fleet.Clock, s.counts.zone[n.Zone],
+	t.Autonomous = g.Alone
+	t.NextHeartbeatMS = g.LeaseMS / 4
+	if rules := p.Policy.Grants().Zones; rules.Enabled() {
+		t.NextHeartbeatMS = min(t.NextHeartbeatMS, zones.Pace(len(p.Fleet.Nodes())))
+		if n := p.Fleet.In(t.LeaseID); n != nil {
+			o := p.Zones.Order(n.Zone, t.LeaseID, &rules, s.WithoutZones)
+			if rules.ColdStart && s.young(p, n) && p.Zones.Probation(&o, n.Zone, n.Age(p.Fleet.Clock), p.Fleet.Clock, s.counts.zone[n.Zone],
 				&rules, s.WithoutZones) {
-				t.Again = min(t.Again, max(probationAsk, zones.Pace(len(p.Fleet.Nodes()))/2))
+				t.NextHeartbeatMS = min(t.NextHeartbeatMS, max(probationAsk, zones.Pace(len(p.Fleet.Nodes()))/2))
 			} else {
-				delete(s.joins, t.Lease) // who was told to take all is not held afterwards
+				delete(s.joins, t.LeaseID) // who was told to take all is not held afterwards
 			}
-			t.Zone, t.Look = &o, s.watch.Looks(n.Name)
+			t.Zone, t.ProbeTargets = &o, s.watch.Looks(n.Name)
 		}
 	}
 	if c := p.Policy.Now; c != nil {
 		// While a change is under way whoever it waits for is heard soon; reports cost no entry.
-		t.Again = min(t.Again, max(200, uint64(len(p.Fleet.Nodes()))/5))
+		t.NextHeartbeatMS = min(t.NextHeartbeatMS, max(200, uint64(len(p.Fleet.Nodes()))/5))
 		if c.Step == policy.Preparing {
-			t.Prepare = api.Named{Version: c.Version, Hash: c.Hash}
+			t.PrepareVersion = api.VersionHash{Version: c.Version, Hash: c.Hash}
 		}
 	}
 	return t
@@ -510,7 +510,7 @@
 	if s.zoneAt != 0 && s.now-s.zoneAt > lostAfter {
 		s.zoneAt = 0
 	}
-	if rules := p.Policy.Grants().Zones; s.zoneAt == 0 && rules.On() {
+	if rules := p.Policy.Grants().Zones; s.zoneAt == 0 && rules.Enabled() {
 		if op := s.watch.Next(s.now, p.Zones, p.Fleet, &rules, s.WithoutZones); op != nil {
 			s.zoneAt = s.now
 			add(KindZones, op)
@@ -537,7 +537,7 @@
 func (s *Steward) take() {
 	joins := 0
 	for i := range s.waits {
-		if s.waits[i].ask.Lease == 0 {
+		if s.waits[i].ask.LeaseID == 0 {
 			joins++
 		}
 	}
@@ -548,7 +548,7 @@
 	var left []open
 	n := 0
 	for _, o := range s.waits {
-		if o.ask.Lease == 0 {
+		if o.ask.LeaseID == 0 {
 			if n++; n <= skip || n > skip+joinMost {
 				left = append(left, o)
 				continue
@@ -566,14 +566,14 @@
 		Zones: p.grant().Zones, Forget: s.forgets}
 	for i := range s.out {
 		switch a := &s.out[i].ask; {
-		case a.Bye:
-			b.Bye = append(b.Bye, a.Lease)
-		case a.Lease == 0:
-			b.Join = append(b.Join, a.Join)
-		case a.Floor >= b.Floor && a.Zones >= b.Zones:
-			b.Renew = append(b.Renew, a.Lease)
+		case a.Leave:
+			b.Bye = append(b.Bye, a.LeaseID)
+		case a.LeaseID == 0:
+			b.Join = append(b.Join, a.JoinRequest)
+		case a.MinVersion >= b.Floor && a.MinZoneEpoch >= b.Zones:
+			b.Renew = append(b.Renew, a.LeaseID)
 		default:
-			b.Behind = append(b.Behind, a.Lease)
+			b.Behind = append(b.Behind, a.LeaseID)
 		}
 	}
 	return b
@@ -648,30 +648,30 @@
 }
 
 // answer gives one node's answer after its beat.
-func (s *Steward) answer(p *Part, a *api.Ask, e *BeatDone, joined map[string]*membership.Joined) (
-	api.Told, error) {
-	t := api.Told{Lease: a.Lease}
-	if a.Bye {
+func (s *Steward) answer(p *Part, a *api.HeartbeatRequest, e *BeatDone, joined map[string]*membership.Joined) (
+	api.HeartbeatResponse, error) {
+	t := api.HeartbeatResponse{LeaseID: a.LeaseID}
+	if a.Leave {
 		return s.tell(p, t), nil
 	}
-	if a.Lease == 0 {
+	if a.LeaseID == 0 {
 		j := joined[a.Nonce]
 		if j == nil {
 			return t, fmt.Errorf("the beat had no joining of %s", a.Name)
 		}
 		if j.Refused != "" {
-			t.Gone, t.Wait = j.Refused, j.Wait
+			t.EndedReason, t.RetryAfterMS = j.Refused, j.Wait
 			return s.tell(p, t), nil
 		}
-		t.Lease = j.Lease
-		if p.Policy.Grants().Zones.Small && len(s.joins) < membership.MaxNodes {
-			s.joins[t.Lease] = s.now
+		t.LeaseID = j.Lease
+		if p.Policy.Grants().Zones.ColdStart && len(s.joins) < membership.MaxNodes {
+			s.joins[t.LeaseID] = s.now
 		}
 	}
-	granted, known := e.Granted[t.Lease]
+	granted, known := e.Granted[t.LeaseID]
 	switch {
 	case !known:
-		t.Gone = "its lease ran out or its name began anew"
+		t.EndedReason = "its lease ran out or its name began anew"
 	case granted:
 		t.LeaseMS = e.LeaseMS
 	}
--- a/internal/control/coordinator/steward_test.go
+++ b/internal/control/coordinator/steward_test.go
@@ -61,16 +61,16 @@
 }
 
 // answers gathers what a node is told.
-type answers []api.Told
+type answers []api.HeartbeatResponse
 
-func (a *answers) take(t api.Told, err error) {
+func (a *answers) take(t api.HeartbeatResponse, err error) {
 	if err == nil {
 		*a = append(*a, t)
 	}
 }
 
-func ask(name string) api.Ask {
-	return api.Ask{Join: api.Join{Name: name, Zone: "z", Nonce: name + "-nonce-1"}}
+func ask(name string) api.HeartbeatRequest {
+	return api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: name, Zone: "z", Nonce: name + "-nonce-1"}}
 }
 
 // TestOneEntryForAll: whoever asks within half a second is in one entry, a thousand as one.
@@ -87,8 +87,8 @@
 	for second := 0; second < 10; second++ {
 		for i := range got {
 			a := ask(fmt.Sprint("n", i))
-			a.Lease, a.Renew, a.Echo = got[i].Lease, true, g.p.Fleet.Clock
-			g.s[0].Ask(g.p, a, func(api.Told, error) {})
+			a.LeaseID, a.Renew, a.LastClockMS = got[i].LeaseID, true, g.p.Fleet.Clock
+			g.s[0].Ask(g.p, a, func(api.HeartbeatResponse, error) {})
 		}
 		g.run(0, 1000)
 	}
@@ -98,8 +98,8 @@
 	// Reports that change nothing are answered without an entry.
 	was, answered := g.p.Fleet.Beats, 0
 	a := ask("n1")
-	a.Lease, a.Echo = got[1].Lease, g.p.Fleet.Clock
-	g.s[0].Ask(g.p, a, func(t api.Told, err error) { answered++ })
+	a.LeaseID, a.LastClockMS = got[1].LeaseID, g.p.Fleet.Clock
+	g.s[0].Ask(g.p, a, func(t api.HeartbeatResponse, err error) { answered++ })
 	if answered != 1 || g.p.Fleet.Beats != was {
 		t.Errorf("a report was answered %d times by %d entries", answered, g.p.Fleet.Beats-was)
 	}
@@ -111,15 +111,15 @@
 	for level, starts := range map[int]int{LevelGen: 4, LevelSame: 1} {
 		g := start(t)
 		g.s[0].Level = level
-		join := func(nonce string) (told api.Told) {
+		join := func(nonce string) (told api.HeartbeatResponse) {
 			a := ask("n1")
-			a.Nonce, a.Same = nonce, true // what it claims counts for nothing
-			g.s[0].Ask(g.p, a, func(t api.Told, _ error) { told = t })
+			a.Nonce, a.SameProcess = nonce, true // what it claims counts for nothing
+			g.s[0].Ask(g.p, a, func(t api.HeartbeatResponse, _ error) { told = t })
 			g.run(0, 1000)
 			return told
 		}
 		for i := range 4 {
-			if told := join(fmt.Sprint("process-one-", i)); told.Lease == 0 || told.Gone != "" {
+			if told := join(fmt.Sprint("process-one-", i)); told.LeaseID == 0 || told.EndedReason != "" {
 				t.Fatalf("level %d, time %d: %+v", level, i, told)
 			}
 		}
@@ -139,11 +139,11 @@
 	var got answers
 	g.s[0].Ask(g.p, ask("a"), got.take)
 	g.run(0, 1000)
-	lease := got[0].Lease
+	lease := got[0].LeaseID
 	late := g.s[0].Tick(g.p, 1000) // made, and on its way when the lead goes over
 	g.lead(1)
 	a := ask("a")
-	a.Lease, a.Renew, a.Echo = lease, true, g.p.Fleet.Clock
+	a.LeaseID, a.Renew, a.LastClockMS = lease, true, g.p.Fleet.Clock
 	got = nil
 	g.s[1].Ask(g.p, a, got.take)
 	mine := g.s[1].Tick(g.p, 1000)
@@ -172,11 +172,11 @@
 	for i := 0; i < 3; i++ {
 		g.run(0, lostAfter/2)
 	}
-	if len(got) != 1 || got[0].Lease == 0 {
+	if len(got) != 1 || got[0].LeaseID == 0 {
 		t.Fatalf("answers %+v, expected one", got)
 	}
 	let := 0
-	g.s[0].Ask(g.p, ask("b"), func(_ api.Told, err error) {
+	g.s[0].Ask(g.p, ask("b"), func(_ api.HeartbeatResponse, err error) {
 		if err == ErrNoLead {
 			let++
 		}
@@ -185,7 +185,7 @@
 	if let != 1 {
 		t.Errorf("let go %d times by the lost lead, expected once", let)
 	}
-	g.s[0].Ask(g.p, ask("b"), func(_ api.Told, err error) {
+	g.s[0].Ask(g.p, ask("b"), func(_ api.HeartbeatResponse, err error) {
 		if err != ErrNoLead {
 			t.Errorf("one that does not lead answers %v", err)
 		}
@@ -199,10 +199,10 @@
 	g.s[0].Ask(g.p, ask("a"), got.take)
 	g.run(0, 1000)
 	a := ask("a")
-	a.Lease, a.Renew, a.Echo = got[0].Lease, true, got[0].Clock
+	a.LeaseID, a.Renew, a.LastClockMS = got[0].LeaseID, true, got[0].ClockMS
 	for at := 0; at < 30; at++ {
-		g.s[0].Ask(g.p, a, func(api.Told, error) {})
-		g.s[0].Ask(g.p, ask("b"), func(api.Told, error) {})
+		g.s[0].Ask(g.p, a, func(api.HeartbeatResponse, error) {})
+		g.s[0].Ask(g.p, ask("b"), func(api.HeartbeatResponse, error) {})
 		g.run(0, 1000)
 	}
 	for _, name := range []string{"a", "b"} {
@@ -232,14 +232,14 @@
 		t.Fatalf("%d ends, %d changes; expected both ends of one change", ends, g.p.Policy.Number)
 	}
 	a := ask("a")
-	a.Lease, a.Prepared, a.Echo = got[0].Lease, 2, got[0].Clock
+	a.LeaseID, a.PreparedVersion, a.LastClockMS = got[0].LeaseID, 2, got[0].ClockMS
 	g.s[0].Ask(g.p, a, got.take)
 	decide := g.s[0].Tick(g.p, 0)
 	if len(decide) != 1 {
 		t.Fatalf("%d entries once all have prepared, expected the decision", len(decide))
 	}
 	// A node joins before it is applied: it does not count, and the leader waits for that one too.
-	body, _ := json.Marshal(membership.Beat{After: g.p.Fleet.Beats, Span: 1, Join: []api.Join{ask("b").Join}})
+	body, _ := json.Marshal(membership.Beat{After: g.p.Fleet.Beats, Span: 1, Join: []api.JoinRequest{ask("b").JoinRequest}})
 	g.apply(Entry{KindBeat, body}, g.term)
 	g.apply(decide[0], g.term)
 	if g.p.Policy.Now.Step != policy.Preparing {
@@ -277,23 +277,23 @@
 		g.s[0].Ask(g.p, ask(n), got.take)
 	}
 	g.run(0, 1000)
-	heard := func(i int, name string, change func(h *api.Heard)) (t api.Told, err error) {
+	heard := func(i int, name string, change func(h *api.GroupPosition)) (t api.HeartbeatResponse, err error) {
 		a := ask(name)
-		a.Lease, a.Renew, a.Echo = got[i].Lease, true, g.p.Fleet.Clock
-		a.Heard = &api.Heard{Group: "g", Gen: 1, Term: 1, Index: g.p.Index}
-		change(a.Heard)
-		g.s[0].Ask(g.p, a, func(x api.Told, e error) { t, err = x, e })
+		a.LeaseID, a.Renew, a.LastClockMS = got[i].LeaseID, true, g.p.Fleet.Clock
+		a.LastSeen = &api.GroupPosition{Group: "g", Generation: 1, Term: 1, Index: g.p.Index}
+		change(a.LastSeen)
+		g.s[0].Ask(g.p, a, func(x api.HeartbeatResponse, e error) { t, err = x, e })
 		g.run(0, 1000)
 		return t, err
 	}
-	if told, err := heard(0, "a", func(*api.Heard) {}); err != nil || told.LeaseMS == 0 {
+	if told, err := heard(0, "a", func(*api.GroupPosition) {}); err != nil || told.LeaseMS == 0 {
 		t.Fatalf("%+v, %v: expected a longer lease", told, err)
 	}
-	of := func(h *api.Heard) { h.Group, h.Gen = "g0", 1 }
-	if told, err := heard(1, "b", of); err != nil || told.Gone == "" || told.LeaseMS != 0 {
+	of := func(h *api.GroupPosition) { h.Group, h.Generation = "g0", 1 }
+	if told, err := heard(1, "b", of); err != nil || told.EndedReason == "" || told.LeaseMS != 0 {
 		t.Fatalf("%+v, %v: a lease of another group counts", told, err)
 	}
-	ahead := func(h *api.Heard) { h.Index += 100 }
+	ahead := func(h *api.GroupPosition) { h.Index += 100 }
 	if _, err := heard(0, "a", ahead); err != nil || g.p.Fleet.Lost != "" {
 		t.Fatalf("%v, %q: one node stops the group", err, g.p.Fleet.Lost)
 	}
@@ -306,7 +306,7 @@
 	if g.p.Fleet.Lost == "" {
 		t.Fatal("two nodes know of later entries, and the group goes on")
 	}
-	if _, err := heard(2, "c", func(*api.Heard) {}); err != ErrLost {
+	if _, err := heard(2, "c", func(*api.GroupPosition) {}); err != ErrLost {
 		t.Fatalf("%v, expected %v", err, ErrLost)
 	}
 	if err := g.s[0].Forget("a"); err != ErrLost {
@@ -355,34 +355,34 @@
 func TestFirstOfMany(t *testing.T) {
 	g := start(t)
 	g.s[0].Level = LevelGen
-	rules := policy.Rules{LeaseMS: 4000, Zones: api.ZoneRules{Mode: api.ZonesAuto, First: 16, HoldMS: 1000, Small: true}}
+	rules := policy.Rules{LeaseMS: 4000, Zones: api.ZoneRules{Mode: api.ZoneModeAuto, InitialShare: 16, MinStepMS: 1000, ColdStart: true}}
 	g.p.Policy.Force, g.p.Policy.Need, g.p.Policy.Rules = 1, 1, rules
 	leases := map[string]uint32{}
-	each := func(names, nonce string, up uint64) map[string]*api.Told {
-		out := map[string]*api.Told{}
+	each := func(names, nonce string, up uint64) map[string]*api.HeartbeatResponse {
+		out := map[string]*api.HeartbeatResponse{}
 		for _, n := range names {
 			a := ask(string(n))
-			a.Nonce, a.Up, a.Floor, a.Lease = string(n)+nonce, up, 1, leases[string(n)+nonce]
-			a.Renew, a.Echo = a.Lease != 0, g.p.Fleet.Clock
-			told := &api.Told{}
+			a.Nonce, a.UptimeMS, a.MinVersion, a.LeaseID = string(n)+nonce, up, 1, leases[string(n)+nonce]
+			a.Renew, a.LastClockMS = a.LeaseID != 0, g.p.Fleet.Clock
+			told := &api.HeartbeatResponse{}
 			out[string(n)] = told
-			g.s[0].Ask(g.p, a, func(x api.Told, err error) { *told = x })
+			g.s[0].Ask(g.p, a, func(x api.HeartbeatResponse, err error) { *told = x })
 		}
 		g.run(0, 1000)
 		for n, told := range out {
-			leases[n+nonce] = told.Lease
+			leases[n+nonce] = told.LeaseID
 		}
 		return out
 	}
 	each("abcdef", "-first-life", 60_000)
-	g.p.Zones.Zones = []*zones.Zone{{Name: "z", Step: zones.In, Share: api.Whole, Bore: zones.Bore{Runs: 96, Flight: 2, RunMS: 20}}}
+	g.p.Zones.Zones = []*zones.Zone{{Name: "z", Step: zones.In, Share: api.FullShare, Bore: zones.Bore{Runs: 96, Flight: 2, RunMS: 20}}}
 	each("abcdef", "-first-life", 61_000)
 	// One restarts: it takes a share until the others were heard after it, and all at once then.
-	if told := each("a", "-second-life", 0)["a"]; told.Zone == nil || told.Zone.Share != 16 || told.Zone.Rate != 1 || told.Again > 500 {
+	if told := each("a", "-second-life", 0)["a"]; told.Zone == nil || told.Zone.Share != 16 || told.Zone.RateLimit != 1 || told.NextHeartbeatMS > 500 {
 		t.Fatalf("%+v: the first one of maybe many begins whole", told.Zone)
 	}
 	each("bcdef", "-first-life", 63_000)
-	if told := each("a", "-second-life", 2000)["a"]; told.Zone.Share != api.Whole || told.Zone.Capped {
+	if told := each("a", "-second-life", 2000)["a"]; told.Zone.Share != api.FullShare || told.Zone.RateLimited {
 		t.Fatalf("%+v: a lone restart is held", told.Zone)
 	}
 	// All do, the first two before the others.
@@ -413,16 +413,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := map[uint32]api.Told{}
+	told := map[uint32]api.HeartbeatResponse{}
 	for range 3 { // what is lost afterwards
 		for _, a := range got[:2] {
-			g.s[0].Ask(g.p, api.Ask{Join: api.Join{Name: "x"}, Lease: a.Lease, Echo: a.Clock, Renew: true}, func(t api.Told, err error) {
-				told[a.Lease] = t
+			g.s[0].Ask(g.p, api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: "x"}, LeaseID: a.LeaseID, LastClockMS: a.ClockMS, Renew: true}, func(t api.HeartbeatResponse, err error) {
+				told[a.LeaseID] = t
 			})
 		}
 		g.run(0, 1000)
 	}
-	if len(told) != 2 || told[got[0].Lease].Index != 4 {
+	if len(told) != 2 || told[got[0].LeaseID].Index != 4 {
 		t.Fatalf("%+v, expected two nodes told of entry 4", told)
 	}
 	if err = g.p.Load(raw); err != nil || len(g.p.Sums) != 1 {
@@ -437,10 +437,10 @@
 		t.Fatalf("entry %d, lost %q: expected it to have grown past what was lost", g.p.Index, g.p.Fleet.Lost)
 	}
 	for i, n := range []string{"a", "b"} {
-		is := told[got[i].Lease]
+		is := told[got[i].LeaseID]
 		a := ask(n)
-		a.Lease, a.Echo, a.Heard = is.Lease, is.Clock, &api.Heard{Group: "g", Gen: 1, Term: is.Term, Index: is.Index, Sum: is.Sum}
-		g.s[1].Ask(g.p, a, func(api.Told, error) {})
+		a.LeaseID, a.LastClockMS, a.LastSeen = is.LeaseID, is.ClockMS, &api.GroupPosition{Group: "g", Generation: 1, Term: is.Term, Index: is.Index, EntryChecksum: is.EntryChecksum}
+		g.s[1].Ask(g.p, a, func(api.HeartbeatResponse, error) {})
 	}
 	if g.run(1, 1000); g.p.Fleet.Lost == "" {
 		t.Error("two nodes were told of entries that it lacks, and the group goes on")
@@ -458,9 +458,9 @@
 	for i := range 2000 {
 		for k, a := range got[:2] {
 			q := ask([]string{"a", "b"}[k])
-			q.Lease, q.Echo, q.Renew = a.Lease, a.Clock, true
-			q.Heard = &api.Heard{Group: "g", Gen: 1, Term: a.Term, Index: a.Index, Sum: a.Sum}
-			if g.s[1].Ask(g.p, q, func(t api.Told, err error) { got[k] = t }); i%3 == 0 { // some are behind by a beat or two
+			q.LeaseID, q.LastClockMS, q.Renew = a.LeaseID, a.ClockMS, true
+			q.LastSeen = &api.GroupPosition{Group: "g", Generation: 1, Term: a.Term, Index: a.Index, EntryChecksum: a.EntryChecksum}
+			if g.s[1].Ask(g.p, q, func(t api.HeartbeatResponse, err error) { got[k] = t }); i%3 == 0 { // some are behind by a beat or two
 				break
 			}
 		}
@@ -486,18 +486,18 @@
 		g.s[1].Level = LevelGen
 		g.lead(1)
 		granted := false
-		renew := func(i int, name string, done func(api.Told, error)) {
+		renew := func(i int, name string, done func(api.HeartbeatResponse, error)) {
 			a := ask(name)
-			a.Lease, a.Echo, a.Renew = got[i].Lease, got[i].Clock, true
+			a.LeaseID, a.LastClockMS, a.Renew = got[i].LeaseID, got[i].ClockMS, true
 			g.s[1].Ask(g.p, a, done)
 		}
-		renew(0, "a", func(t api.Told, err error) { granted = err == nil && t.LeaseMS > 0 })
+		renew(0, "a", func(t api.HeartbeatResponse, err error) { granted = err == nil && t.LeaseMS > 0 })
 		g.run(1, 600)
 		if granted {
 			t.Fatal("it grants, and b was not heard")
 		}
 		if all {
-			renew(1, "b", func(api.Told, error) {})
+			renew(1, "b", func(api.HeartbeatResponse, error) {})
 			g.run(1, 500)
 		} else {
 			g.run(1, listenMost)
--- a/internal/control/membership/fleet.go
+++ b/internal/control/membership/fleet.go
@@ -74,18 +74,18 @@
 
 // Beat is one entry of the log: time that went by, and all that was heard meanwhile.
 type Beat struct {
-	Term   uint64     `json:"term"`            // of the leader that made it
-	No     uint64     `json:"no"`              // its beats in that term: with Term, whose beat it is
-	After  uint64     `json:"after"`           // beats before it, as its leader knew them: else it counts for nothing
-	Span   uint64     `json:"ms"`              // since the beat before was applied at its leader
-	Floor  uint64     `json:"floor"`           // what those under Renew promise
-	Zones  uint64     `json:"zones,omitempty"` // and of the zones
-	Renew  []uint32   `json:"renew,omitempty"`
-	Behind []uint32   `json:"behind,omitempty"` // heard, but they promise less
-	Join   []api.Join `json:"join,omitempty"`
-	Bye    []uint32   `json:"bye,omitempty"`
-	Forget []string   `json:"forget,omitempty"`
-	Lost   string     `json:"lost,omitempty"` // nodes proved that the group's state was put back or lost
+	Term   uint64            `json:"term"`            // of the leader that made it
+	No     uint64            `json:"no"`              // its beats in that term: with Term, whose beat it is
+	After  uint64            `json:"after"`           // beats before it, as its leader knew them: else it counts for nothing
+	Span   uint64            `json:"ms"`              // since the beat before was applied at its leader
+	Floor  uint64            `json:"floor"`           // what those under Renew promise
+	Zones  uint64            `json:"zones,omitempty"` // and of the zones
+	Renew  []uint32          `json:"renew,omitempty"`
+	Behind []uint32          `json:"behind,omitempty"` // heard, but they promise less
+	Join   []api.JoinRequest `json:"join,omitempty"`
+	Bye    []uint32          `json:"bye,omitempty"`
+	Forget []string          `json:"forget,omitempty"`
+	Lost   string            `json:"lost,omitempty"` // nodes proved that the group's state was put back or lost
 }
 
 // Joined is the end of one asking to join.
@@ -211,7 +211,7 @@
 	flapMost = 30_000
 )
 
-func (s *State) join(j *api.Join, g Grant) Joined {
+func (s *State) join(j *api.JoinRequest, g Grant) Joined {
 	n := s.names[j.Name]
 	if n != nil && n.Lease.Nonce == j.Nonce {
 		if n.Out != "" {
@@ -264,8 +264,8 @@
 	n.Zone, n.Addr, n.Out, n.OutAt = j.Zone, j.Addr, "", 0
 	n.Lease = Lease{ID: s.next, Nonce: j.Nonce, Until: s.Clock + Span(g.LeaseMS), Floor: g.Need, Zones: g.Zones,
 		Alone: g.Alone}
-	n.Since, n.Seen, n.Up = s.Clock, s.Clock, j.Up
-	if !j.Same {
+	n.Since, n.Seen, n.Up = s.Clock, s.Clock, j.UptimeMS
+	if !j.SameProcess {
 		n.Starts = append(n.Starts, s.Clock)
 		if len(n.Starts) > maxStarts {
 			n.Starts = n.Starts[1:]
@@ -384,7 +384,7 @@
 // Restore makes the state that of a new generation: nobody was heard by it, nothing that an earlier one promised is
 // relied on, and all leases of it may still be acted on for their whole length, by who is known and by who is not.
 // Names are added that are not known yet. longest is the longest lease that any node may hold, in ms.
-func (s *State) Restore(longest uint64, alone bool, more []api.Join) {
+func (s *State) Restore(longest uint64, alone bool, more []api.JoinRequest) {
 	s.Lost, s.Term, s.Heard = "", 0, s.Clock
 	s.Hush = s.Clock + Span(longest)
 	s.next += 1 << 20 // numbers that an earlier generation may have given since stand for nothing here
--- a/internal/control/membership/fleet_test.go
+++ b/internal/control/membership/fleet_test.go
@@ -28,7 +28,7 @@
 
 func (w *world) join(name, nonce string, g Grant) Joined {
 	w.Helper()
-	return w.beat(1, g, func(b *Beat) { b.Join = []api.Join{{Name: name, Zone: "z", Nonce: nonce + "-00000000"}} }).Joined[0]
+	return w.beat(1, g, func(b *Beat) { b.Join = []api.JoinRequest{{Name: name, Zone: "z", Nonce: nonce + "-00000000"}} }).Joined[0]
 }
 
 func fresh(t *testing.T) *world { return &world{t, New(), 1} }
@@ -135,7 +135,7 @@
 	j := Joined{}
 	for i := range 20 {
 		if j = w.beat(Span(grant.LeaseMS), grant, func(b *Beat) {
-			b.Join = []api.Join{{Name: "a", Zone: "z", Addr: "x", Nonce: fmt.Sprintf("proc-1-%d", i), Same: i > 0}}
+			b.Join = []api.JoinRequest{{Name: "a", Zone: "z", Addr: "x", Nonce: fmt.Sprintf("proc-1-%d", i), SameProcess: i > 0}}
 		}).Joined[0]; j.Refused != "" {
 			t.Fatalf("time %d: %s, %d ms", i, j.Refused, j.Wait)
 		}
@@ -194,9 +194,9 @@
 // TestTableIsBounded: past the bound the longest gone go, never one that may serve; a saved state is the same.
 func TestTableIsBounded(t *testing.T) {
 	w := fresh(t)
-	var names []api.Join
+	var names []api.JoinRequest
 	for i := 0; i < MaxNodes; i++ {
-		names = append(names, api.Join{Name: fmt.Sprintf("n%05d", i), Zone: "z", Nonce: fmt.Sprintf("nonce-%05d", i)})
+		names = append(names, api.JoinRequest{Name: fmt.Sprintf("n%05d", i), Zone: "z", Nonce: fmt.Sprintf("nonce-%05d", i)})
 	}
 	w.beat(1, grant, func(b *Beat) { b.Join = names })
 	if j := w.join("one-more", "x", grant); j.Refused == "" {
@@ -218,7 +218,7 @@
 	if err != nil || !bytes.Equal(raw, again) {
 		t.Errorf("loaded and saved it differs (%v)", err)
 	}
-	b := &Beat{After: o.Beats, Span: 5, Join: []api.Join{{Name: "last", Zone: "z", Nonce: "nonce-last"}}}
+	b := &Beat{After: o.Beats, Span: 5, Join: []api.JoinRequest{{Name: "last", Zone: "z", Nonce: "nonce-last"}}}
 	if x, y := w.s.Apply(b, 1, grant), o.Apply(b, 1, grant); fmt.Sprint(x) != fmt.Sprint(y) {
 		t.Errorf("the same beat does %v and %v", x, y)
 	}
@@ -237,7 +237,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Restore(6000, false, []api.Join{{Name: "a", Zone: "z"}, {Name: "c", Zone: "y", Addr: "127.0.0.1:1"}})
+	s.Restore(6000, false, []api.JoinRequest{{Name: "a", Zone: "z"}, {Name: "c", Zone: "y", Addr: "127.0.0.1:1"}})
 	w.s, w.term = s, 9
 	if s.In(a.Lease) != nil {
 		t.Fatal("a lease of the old generation is one of the new")
--- a/internal/control/recovery/recover.go
+++ b/internal/control/recovery/recover.go
@@ -78,8 +78,8 @@
 
 // Valid says what is wrong with it.
 func (k *Kept) Valid() error {
-	j := api.Join{Name: k.Name, Zone: k.Zone, Addr: k.Addr, Nonce: "unused--"}
-	if err := j.Valid(); err != nil {
+	j := api.JoinRequest{Name: k.Name, Zone: k.Zone, Addr: k.Addr, Nonce: "unused--"}
+	if err := j.Validate(); err != nil {
 		return err
 	}
 	switch {
@@ -87,8 +87,8 @@
 		return fmt.Errorf("group, hash, next_hash: expected at most %d bytes each", maxWord)
 	case len(k.Text) > document.MaxBytes || len(k.NextText) > document.MaxBytes:
 		return fmt.Errorf("text: found %d and %d bytes, expected at most %d", len(k.Text), len(k.NextText), document.MaxBytes)
-	case k.Share < 0 || k.Share > api.Whole:
-		return fmt.Errorf("share: found %d, expected 0 to %d", k.Share, api.Whole)
+	case k.Share < 0 || k.Share > api.FullShare:
+		return fmt.Errorf("share: found %d, expected 0 to %d", k.Share, api.FullShare)
 	case k.Floor < k.Version:
 		return fmt.Errorf("floor: found %d, expected %d at least, which is served under", k.Floor, k.Version)
 	}
--- a/internal/control/zones/gate.go
+++ b/internal/control/zones/gate.go
@@ -81,7 +81,7 @@
 func (g *Gate) Order(now uint64, o *api.ZoneOrder) (changed bool) {
 	if o == nil { // nothing is decided about zones any more
 		changed = g.has
-		g.order, g.has, g.alone = api.ZoneOrder{Share: api.Whole}, false, 0
+		g.order, g.has, g.alone = api.ZoneOrder{Share: api.FullShare}, false, 0
 		return changed
 	}
 	changed = !g.has || o.Epoch != g.order.Epoch || o.Share != g.order.Share
@@ -101,29 +101,29 @@
 // doubled each time that this time has gone by and the node's own reqs go well, and halved where they do not: a group
 // that is away for long must not keep a zone out for ever, and its services below had that time to get warm.
 func (g *Gate) Alone(now uint64, goesWell bool) (changed bool) {
-	if !g.has || g.order.Share >= api.Whole && g.order.Worth == 0 && !g.order.Capped {
+	if !g.has || g.order.Share >= api.FullShare && g.order.PriorityCutoff == 0 && !g.order.RateLimited {
 		return false
 	}
 	if g.alone == 0 {
 		g.alone, g.grown = now, now
 	}
-	if now-g.grown < max(g.order.Keep, 1000) {
+	if now-g.grown < max(g.order.TTLMS, 1000) {
 		return false
 	}
 	g.grown = now
 	o := &g.order
-	o.Worth, o.Retry = 0, 0
+	o.PriorityCutoff, o.RetryBudget = 0, 0
 	if !goesWell {
-		o.Share, o.Rate, o.Dials = max(1, o.Share/2), o.Rate/2, o.Dials/2
+		o.Share, o.RateLimit, o.ConnectRateLimit = max(1, o.Share/2), o.RateLimit/2, o.ConnectRateLimit/2
 		g.pace = pace{at: now}
 		return true
 	}
 	was := o.Share
-	o.Share = min(api.Whole, max(api.Whole/16, 2*o.Share))
+	o.Share = min(api.FullShare, max(api.FullShare/16, 2*o.Share))
 	g.pace.step(now, was, o.Share)
-	o.Rate, o.Dials = max(1, 2*o.Rate), max(1, 2*o.Dials)
-	if o.Share == api.Whole {
-		o.Capped = false
+	o.RateLimit, o.ConnectRateLimit = max(1, 2*o.RateLimit), max(1, 2*o.ConnectRateLimit)
+	if o.Share == api.FullShare {
+		o.RateLimited = false
 	}
 	return true
 }
@@ -132,10 +132,10 @@
 // does so with it. The share grows by Alone from here, each hold that its reqs go well.
 func (g *Gate) Begin(now uint64, share int, hold uint64) {
 	if !g.has {
-		g.order = api.ZoneOrder{Share: api.Whole}
+		g.order = api.ZoneOrder{Share: api.FullShare}
 	}
 	g.has, g.alone, g.grown = true, now, now
-	g.order.Share, g.order.Keep = min(g.order.Share, max(1, share)), hold
+	g.order.Share, g.order.TTLMS = min(g.order.Share, max(1, share)), hold
 }
 
 // Hash places a req among all, for the share: by its key where its handler is uniqued, else by whom it is for and who sent it.
@@ -153,7 +153,7 @@
 func (g *Gate) Epoch() uint64 { return g.order.Epoch }
 func (g *Gate) Share() int {
 	if !g.has {
-		return api.Whole
+		return api.FullShare
 	}
 	return g.order.Share
 }
@@ -175,21 +175,21 @@
 	o := &g.order
 	if !g.picks(q) {
 		g.Turned++
-		return false, o.Full && q.Again
+		return false, o.NoCapacityElsewhere && q.Again
 	}
-	if o.Capped {
-		if g.runs.fill(now, o.Rate); !g.runs.take() {
+	if o.RateLimited {
+		if g.runs.fill(now, o.RateLimit); !g.runs.take() {
 			g.Turned++
-			return false, o.Full && q.Again
+			return false, o.NoCapacityElsewhere && q.Again
 		}
 	}
-	if o.Retry > 0 {
+	if o.RetryBudget > 0 {
 		b := &g.retry[q.Handler]
 		if !q.Again {
-			b.have = min(retryMost, b.have+float64(o.Retry)/api.Whole)
+			b.have = min(retryMost, b.have+float64(o.RetryBudget)/api.FullShare)
 		} else if b.have < 1 {
 			g.Turned++
-			return false, o.Full
+			return false, o.NoCapacityElsewhere
 		} else {
 			b.have--
 		}
@@ -200,8 +200,8 @@
 // Back is in how many ms a req that the share leaves out may be let in, if the share goes on growing as it did: all that
 // come again before that are turned away again, as who is let in goes by the same place in the share. 0 where nothing tells.
 func (g *Gate) Back(now uint64, q Asked) uint64 {
-	place, o, p := int(q.Hash>>16&(api.Whole-1)), &g.order, &g.pace
-	if !g.has || o.Share <= 0 || o.Worth > 0 || place < o.Share || p.times < growLeast || p.span == 0 {
+	place, o, p := int(q.Hash>>16&(api.FullShare-1)), &g.order, &g.pace
+	if !g.has || o.Share <= 0 || o.PriorityCutoff > 0 || place < o.Share || p.times < growLeast || p.span == 0 {
 		return 0
 	}
 	steps := math.Ceil(math.Log(float64(place+1)/float64(o.Share))/math.Log(p.times) - 1e-9)
@@ -214,18 +214,18 @@
 
 func (g *Gate) picks(q Asked) bool {
 	o := &g.order
-	in := int(q.Hash>>16&(api.Whole-1)) < o.Share
-	if o.Worth > 0 {
-		return q.Value < o.Worth || q.Value == o.Worth && in
+	in := int(q.Hash>>16&(api.FullShare-1)) < o.Share
+	if o.PriorityCutoff > 0 {
+		return q.Value < o.PriorityCutoff || q.Value == o.PriorityCutoff && in
 	}
 	return in
 }
 
 // Dial tells whether a connection below may be opened.
 func (g *Gate) Dial(now uint64) bool {
-	if !g.has || !g.order.Capped {
+	if !g.has || !g.order.RateLimited {
 		return true
 	}
-	g.dials.fill(now, g.order.Dials)
+	g.dials.fill(now, g.order.ConnectRateLimit)
 	return g.dials.take()
 }
--- a/internal/control/zones/gate_test.go
+++ b/internal/control/zones/gate_test.go
@@ -37,7 +37,7 @@
 		t.Error("a repeat of what came here is turned away, or the gate is not out")
 	}
 	// A policy that decides nothing about zones any more takes all.
-	if g.Order(1000, nil); g.Out() || g.Share() != api.Whole {
+	if g.Order(1000, nil); g.Out() || g.Share() != api.FullShare {
 		t.Error("out with nothing decided about zones")
 	}
 	if ok, _ := g.Take(1000, Asked{}); !ok {
@@ -48,7 +48,7 @@
 // TestGateWorth: a zone left in part keeps what is worth least.
 func TestGateWorth(t *testing.T) {
 	g := NewGate(1, 7)
-	g.Order(0, &api.ZoneOrder{Epoch: 1, Share: 128, Worth: 2})
+	g.Order(0, &api.ZoneOrder{Epoch: 1, Share: 128, PriorityCutoff: 2})
 	in, n := 0, 0
 	for s := uint32(0); s < 1000; s++ {
 		h := Hash([]byte(fmt.Sprint("key", s)), nil, 0)
@@ -72,7 +72,7 @@
 // tries fill.
 func TestGateCeilingAndBudget(t *testing.T) {
 	g := NewGate(2, 7)
-	g.Order(1000, &api.ZoneOrder{Epoch: 1, Share: api.Whole, Capped: true, Rate: 10, Dials: 2})
+	g.Order(1000, &api.ZoneOrder{Epoch: 1, Share: api.FullShare, RateLimited: true, RateLimit: 10, ConnectRateLimit: 2})
 	taken, dials := 0, 0
 	for now := uint64(1000); now < 6000; now += 10 {
 		if ok, _ := g.Take(now, Asked{}); ok {
@@ -85,7 +85,7 @@
 	if taken < 45 || taken > 52 || dials < 9 || dials > 11 {
 		t.Errorf("%d runs and %d connections in 5 s, expected 50 and 10", taken, dials)
 	}
-	g.Order(6000, &api.ZoneOrder{Epoch: 2, Share: api.Whole, Retry: 64, Full: true})
+	g.Order(6000, &api.ZoneOrder{Epoch: 2, Share: api.FullShare, RetryBudget: 64, NoCapacityElsewhere: true})
 	again, turned := 0, 0
 	for i := 0; i < 400; i++ {
 		g.Take(6000, Asked{Handler: 1})
@@ -108,7 +108,7 @@
 // where they do not; the group's word ends that.
 func TestGateAlone(t *testing.T) {
 	g := NewGate(1, 7)
-	o := &api.ZoneOrder{Epoch: 4, Share: 0, Keep: 60_000}
+	o := &api.ZoneOrder{Epoch: 4, Share: 0, TTLMS: 60_000}
 	g.Order(0, o)
 	now := uint64(1000)
 	step := func(well bool, share int) {
@@ -143,17 +143,17 @@
 		m.Gauged(now, 2)
 	}
 	l := m.Load(20_000, true, 4, 3)
-	if l.MS < 1700 || l.MS > 2000 || l.Came < 170 || l.Came > 200 || l.Again != l.Came/10 && l.Again != l.Came/10+1 || l.RunMS != 8 ||
-		l.CallMS != 4 || l.OnCores != 2 || l.Done != l.Runs || l.Out != 3 || len(l.Mix) != 2 || !sane(l) || !m.Well(20_000, 0) {
+	if l.WindowMS < 1700 || l.WindowMS > 2000 || l.Arrived < 170 || l.Arrived > 200 || l.Retries != l.Arrived/10 && l.Retries != l.Arrived/10+1 || l.MeanRunMS != 8 ||
+		l.MeanCallMS != 4 || l.CoresUsed != 2 || l.Completed != l.RunsEnded || l.RunsInFlight != 3 || len(l.ArrivedByWeight) != 2 || !sane(l) || !m.Well(20_000, 0) {
 		t.Errorf("%+v", l)
 	}
 	m.Answered(29_000, 0, 500, true)
 	m.Answered(29_000, 0, 500, false)
 	m.Answered(29_000, 0, 200, false)
-	if l = m.Load(29_900, true, 4, 0); l.Errored != 1 || l.Late != 2 {
-		t.Errorf("%d errored and %d late, expected one that failed in its time, and two past it", l.Errored, l.Late)
+	if l = m.Load(29_900, true, 4, 0); l.Failed != 1 || l.Late != 2 {
+		t.Errorf("%d errored and %d late, expected one that failed in its time, and two past it", l.Failed, l.Late)
 	}
-	if l = m.Load(39_000, true, 4, 0); l.Came != 0 || l.Runs != 0 || !m.Well(39_000, 0) || m.Well(39_000, 1) {
+	if l = m.Load(39_000, true, 4, 0); l.Arrived != 0 || l.RunsEnded != 0 || !m.Well(39_000, 0) || m.Well(39_000, 1) {
 		t.Errorf("ten seconds later: %+v", l)
 	}
 }
@@ -187,10 +187,10 @@
 		t.Fatalf("takes %d of 256 after four holds that went well", n)
 	}
 	g.Begin(20_000, 16, 2000)
-	if g.Order(20_100, nil); g.Share() != api.Whole {
+	if g.Order(20_100, nil); g.Share() != api.FullShare {
 		t.Fatalf("share %d, though the group has said nothing of zones", g.Share())
 	}
-	g.Order(1, &api.ZoneOrder{Epoch: 3, Share: 0, Keep: 1000})
+	g.Order(1, &api.ZoneOrder{Epoch: 3, Share: 0, TTLMS: 1000})
 	if g.Begin(2, 16, 2000); g.Share() != 0 {
 		t.Fatalf("share %d of a zone that was out", g.Share())
 	}
@@ -233,7 +233,7 @@
 	for n := uint32(0); n < nodes; n++ {
 		g := NewGate(1, n*2654435761)
 		for epoch := uint64(1); epoch <= 5; epoch++ {
-			g.Order(epoch*4000, &api.ZoneOrder{Epoch: epoch, Share: api.Whole, Capped: true, Rate: each})
+			g.Order(epoch*4000, &api.ZoneOrder{Epoch: epoch, Share: api.FullShare, RateLimited: true, RateLimit: each})
 			for now := epoch * 4000; now < epoch*4000+4000; now += 50 {
 				if ok, _ := g.Take(now, Asked{}); ok {
 					taken++
--- a/internal/control/zones/meter.go
+++ b/internal/control/zones/meter.go
@@ -119,24 +119,24 @@
 // is under way nothing shows harm: a node of which hardly anything is asked must not wait for ever for a sign.
 func (m *Meter) Well(now uint64, out int) bool {
 	l := m.Load(now, true, 1, out)
-	ended := l.Done + l.Late + l.Errored
-	return ended == 0 && out == 0 || 10*l.Done >= 9*ended && ended > 0
+	ended := l.Completed + l.Late + l.Failed
+	return ended == 0 && out == 0 || 10*l.Completed >= 9*ended && ended > 0
 }
 
 // Load gives the report.
-func (m *Meter) Load(now uint64, kernel bool, cores float64, out int) *api.Tally {
+func (m *Meter) Load(now uint64, kernel bool, cores float64, out int) *api.LoadReport {
 	m.slot(now)
-	l := &api.Tally{Kernel: kernel, Cores: cores, Out: out}
+	l := &api.LoadReport{KernelConnected: kernel, Cores: cores, RunsInFlight: out}
 	// The bucket in use is not over yet: what lies before it, and as much of it as there is.
-	l.MS = int(min((meterSlots-1)*meterMS+now%meterMS, max(now-m.born, 1)))
+	l.WindowMS = int(min((meterSlots-1)*meterMS+now%meterMS, max(now-m.born, 1)))
 	gauges, runMS, callMS, onCores := 0, 0.0, 0.0, 0.0
 	mix := map[float64]int{}
 	for i := range m.buckets {
 		b := &m.buckets[i]
-		l.Came, l.Again, l.Turned = l.Came+b.came, l.Again+b.again, l.Turned+b.turned
-		l.Done, l.Late, l.Shed, l.Errored = l.Done+b.done, l.Late+b.late, l.Shed+b.shed, l.Errored+b.errored
-		l.Runs, l.Calls, l.Bad, l.Opened = l.Runs+b.runs, l.Calls+b.calls, l.Bad+b.bad, l.Opened+b.opened
-		l.Worth, l.Got = l.Worth+b.worth, l.Got+b.got
+		l.Arrived, l.Retries, l.RejectedByZone = l.Arrived+b.came, l.Retries+b.again, l.RejectedByZone+b.turned
+		l.Completed, l.Late, l.Shed, l.Failed = l.Completed+b.done, l.Late+b.late, l.Shed+b.shed, l.Failed+b.errored
+		l.RunsEnded, l.Calls, l.FailedCalls, l.ConnectionsOpened = l.RunsEnded+b.runs, l.Calls+b.calls, l.FailedCalls+b.bad, l.ConnectionsOpened+b.opened
+		l.OfferedWeight, l.CompletedWeight = l.OfferedWeight+b.worth, l.CompletedWeight+b.got
 		gauges, runMS, callMS, onCores = gauges+b.gauges, runMS+b.runMS, callMS+b.callMS, onCores+b.onCores
 		for h, n := range b.mix {
 			if n > 0 {
@@ -145,24 +145,24 @@
 		}
 	}
 	if gauges > 0 {
-		l.OnCores = onCores / float64(gauges)
+		l.CoresUsed = onCores / float64(gauges)
 	}
-	if l.Runs > 0 {
-		l.RunMS = runMS / float64(l.Runs)
+	if l.RunsEnded > 0 {
+		l.MeanRunMS = runMS / float64(l.RunsEnded)
 	}
 	if l.Calls > 0 {
-		l.CallMS = callMS / float64(l.Calls)
+		l.MeanCallMS = callMS / float64(l.Calls)
 	}
 	for value, came := range mix {
-		l.Mix = append(l.Mix, api.Worth{Value: value, Came: came})
+		l.ArrivedByWeight = append(l.ArrivedByWeight, api.PriorityCount{Weight: value, Arrived: came})
 	}
-	sort.Slice(l.Mix, func(i, k int) bool { return l.Mix[i].Value < l.Mix[k].Value })
-	if len(l.Mix) > api.MaxMix { // those of least value count as the least of the rest
-		drop := len(l.Mix) - api.MaxMix
-		for _, w := range l.Mix[:drop] {
-			l.Mix[drop].Came += w.Came
+	sort.Slice(l.ArrivedByWeight, func(i, k int) bool { return l.ArrivedByWeight[i].Weight < l.ArrivedByWeight[k].Weight })
+	if len(l.ArrivedByWeight) > api.MaxPriorityCounts { // those of least value count as the least of the rest
+		drop := len(l.ArrivedByWeight) - api.MaxPriorityCounts
+		for _, w := range l.ArrivedByWeight[:drop] {
+			l.ArrivedByWeight[drop].Arrived += w.Arrived
 		}
-		l.Mix = l.Mix[drop:]
+		l.ArrivedByWeight = l.ArrivedByWeight[drop:]
 	}
 	return l
 }
--- a/internal/control/zones/next.go
+++ b/internal/control/zones/next.go
@@ -15,7 +15,7 @@
 	// Leaving has to win a tenth of what the zone is asked for, or it stays: less is within what the figures can tell.
 	winLeast = 0.1
 	// A part of a zone under an eighth is not worth an epoch.
-	partLeast = api.Whole / 8
+	partLeast = api.FullShare / 8
 	// A return never asks for more runs under way than this of what its services bore, and steps back at backAt. The
 	// time that a run takes is in it, so a cold service that takes five times as long is asked for a fifth.
 	// The step back is proportional, to below the aim. Where runs take what they usually did the service is warm, and its
@@ -38,7 +38,7 @@
 
 // Next gives what the leader should add to the log, nil if there is nothing. It looks anew once each lookEvery.
 func (w *Watch) Next(now uint64, s *State, f *membership.State, rules *api.ZoneRules, without Guard) *Op {
-	if !rules.On() {
+	if !rules.Enabled() {
 		return nil
 	}
 	if w.since == 0 || now-w.at >= lookEvery {
@@ -62,13 +62,13 @@
 		var op *Op
 		switch step {
 		case In:
-			if rules.Mode == api.ZonesAuto {
+			if rules.Mode == api.ZoneModeAuto {
 				op = w.leave(s, f, rules, v, without)
 			}
 		case Out:
 			if z.Share > 0 && v.Score >= needScore && v.silent() { // left in part, and now it is dead
 				op = w.leave(s, f, rules, v, without)
-			} else if rules.Mode == api.ZonesAuto && z.By == "" || w.drilled(s, f, z) {
+			} else if rules.Mode == api.ZoneModeAuto && z.By == "" || w.drilled(s, f, z) {
 				op = w.begin(s, f, rules, z, v, without)
 			}
 		case Returning:
@@ -127,7 +127,7 @@
 	}
 	first := all * float64(in) / float64(max(1, on))
 	share := can/first - 1
-	return int(api.Whole * min(4, max(1.0/16, share))), share < 0.05
+	return int(api.FullShare * min(4, max(1.0/16, share))), share < 0.05
 }
 
 // leave decides whether a zone that is in should be left, and how much of it.
@@ -171,7 +171,7 @@
 	case op.Go-op.Stay < winLeast*v.Worth:
 		v.Note = fmt.Sprintf("sick (%s), but leaving would do %.0f of value a second, staying %.0f", v.Kind, op.Go, op.Stay)
 		return nil
-	case part < 1 && int(part*api.Whole) < partLeast:
+	case part < 1 && int(part*api.FullShare) < partLeast:
 		v.Note = fmt.Sprintf("sick (%s), and the others have room for %.0f runs a second of %.0f", v.Kind, room, runs)
 		return nil
 	case part < 1:
@@ -187,16 +187,16 @@
 func valueOf(v *View, part float64) float64 {
 	all, left, value, whole := 0, 0.0, 0.0, 0.0
 	for _, m := range v.mix {
-		all += m.Came
-		whole += m.Value * float64(m.Came)
+		all += m.Arrived
+		whole += m.Weight * float64(m.Arrived)
 	}
 	if all == 0 || whole == 0 {
 		return part
 	}
 	left = part * float64(all)
 	for i := len(v.mix) - 1; i >= 0 && left > 0; i-- {
-		n := min(left, float64(v.mix[i].Came))
-		value += n * v.mix[i].Value
+		n := min(left, float64(v.mix[i].Arrived))
+		value += n * v.mix[i].Weight
 		left -= n
 	}
 	return value / whole
@@ -207,17 +207,17 @@
 func keeps(v *View, part float64) (share int, worth float64) {
 	all := 0
 	for _, m := range v.mix {
-		all += m.Came
+		all += m.Arrived
 	}
 	left := part * float64(all)
 	for _, m := range v.mix {
-		if n := float64(m.Came); left < n {
-			return max(1, int(api.Whole*left/n)), m.Value
+		if n := float64(m.Arrived); left < n {
+			return max(1, int(api.FullShare*left/n)), m.Weight
 		} else {
 			left -= n
 		}
 	}
-	return api.Whole, math.MaxFloat64
+	return api.FullShare, math.MaxFloat64
 }
 
 // waitOf is how long a zone stays out at least: twice as long with each time that it failed again.
@@ -228,7 +228,7 @@
 			flaps = 0
 		}
 	}
-	return min(rules.HoldMS<<min(flaps, 20), rules.WaitMS)
+	return min(rules.MinStepMS<<min(flaps, 20), rules.MaxWaitMS)
 }
 
 // well tells whether a zone that is out could take something again.
@@ -262,17 +262,17 @@
 	if s.Settled != s.Epoch && !without.Has(OneEpoch) {
 		return nil
 	}
-	op := &Op{Kind: "step", Share: max(1, rules.First), Why: "its nodes and kernels are there"}
+	op := &Op{Kind: "step", Share: max(1, rules.InitialShare), Why: "its nodes and kernels are there"}
 	if z.Share > 0 && v.Came > 0 { // left in part: it goes on from what it takes
 		if v.loads[0] = v.Flight / max(z.Bore.Flight, 1e-9); max(v.loads[0], v.loads[1], v.loads[2]) > flightMost &&
 			!warm(v, &z.Bore) {
 			v.Note = fmt.Sprintf("left in part, and held there: %.0f runs under way of %.0f it bore", v.Flight, z.Bore.Flight)
 			return nil
 		}
-		op.Share = max(op.Share, int(api.Whole/2*min(1, v.Took/v.Came)))
+		op.Share = max(op.Share, int(api.FullShare/2*min(1, v.Took/v.Came)))
 	}
 	if without.Has(Paced) {
-		op.Share = api.Whole
+		op.Share = api.FullShare
 	}
 	w.ceiling(z, v, op)
 	op.Retry, op.Full = w.retry(s, v, Returning, true)
@@ -288,12 +288,12 @@
 func (w *Watch) goOn(now uint64, s *State, f *membership.State, rules *api.ZoneRules, z *Zone, v *View, without Guard) *Op {
 	back := func(share int, why string) *Op {
 		if z.Name == Fleet { // it has nowhere else to send what comes
-			if share = max(share, 1, rules.First/4); share >= z.Share {
+			if share = max(share, 1, rules.InitialShare/4); share >= z.Share {
 				return nil
 			}
 		}
-		op := &Op{Kind: "back", Share: share, Cause: v.Kind, Why: why, Wait: min(rules.HoldMS<<min(z.Flaps+1, 20),
-			rules.WaitMS)}
+		op := &Op{Kind: "back", Share: share, Cause: v.Kind, Why: why, Wait: min(rules.MinStepMS<<min(z.Flaps+1, 20),
+			rules.MaxWaitMS)}
 		if share > 0 {
 			w.ceiling(z, v, op)
 		}
@@ -317,14 +317,14 @@
 		v.over = 0
 	}
 	// Reports of this step have to be there: the one before would be held against it.
-	if !without.Has(StepBack) && shown >= max(rules.HoldMS/2, w.pace+1000) && v.quorum() {
+	if !without.Has(StepBack) && shown >= max(rules.MinStepMS/2, w.pace+1000) && v.quorum() {
 		switch {
 		case v.Score >= needScore/2 && v.share() >= sickShare && !cold(v.Kind): // of a cold one its runs under way tell
 			return back(0, fmt.Sprintf("%d of %d nodes heard are sick (%s)", v.Sick, v.Fresh, v.Kind))
 		case v.over >= overLooks:
 			v.over = 0
 			share := int(float64(z.Share) * backTo / load)
-			if share < max(1, rules.First/4) {
+			if share < max(1, rules.InitialShare/4) {
 				share = 0
 			}
 			return back(share, fmt.Sprintf("%.1f runs under way, and it bore %.1f", v.Flight, z.Bore.Flight))
@@ -336,20 +336,20 @@
 	if op := w.resplit(s, f, z); op != nil {
 		return op
 	}
-	hold := rules.HoldMS + w.pace // reports of this step alone
+	hold := rules.MinStepMS + w.pace // reports of this step alone
 	switch {
 	case shown < hold || now-w.since < hold:
 		return nil
 	case !v.quorum():
 		return nil
 	case v.Runs*float64(shown)/1000 < shownRuns:
-		v.Note = fmt.Sprintf("at %d of %d: waits for reqs, %.1f runs a second came", z.Share, api.Whole, v.Runs)
+		v.Note = fmt.Sprintf("at %d of %d: waits for reqs, %.1f runs a second came", z.Share, api.FullShare, v.Runs)
 		return nil
 	case v.share() > wellShare && (!cold(v.Kind) || v.Kind == kindLate):
-		v.Note = fmt.Sprintf("at %d of %d: held, %d of %d sick (%s)", z.Share, api.Whole, v.Sick, v.Fresh, v.Kind)
+		v.Note = fmt.Sprintf("at %d of %d: held, %d of %d sick (%s)", z.Share, api.FullShare, v.Sick, v.Fresh, v.Kind)
 		return nil
 	}
-	if z.Share >= api.Whole {
+	if z.Share >= api.FullShare {
 		if op, waits := w.widen(s, z, v, shown); waits {
 			return op
 		}
@@ -365,19 +365,19 @@
 		grow = max(grow, GrowMost/2)
 	}
 	if grow < growLeast {
-		v.Note = fmt.Sprintf("at %d of %d: held, %.0f runs under way of %.0f it bore", z.Share, api.Whole, v.Flight,
+		v.Note = fmt.Sprintf("at %d of %d: held, %.0f runs under way of %.0f it bore", z.Share, api.FullShare, v.Flight,
 			z.Bore.Flight)
 		return nil
 	}
 	// What is a little slower than usual bears so much less of the rate it bore at its peak.
-	most := float64(api.Whole)
+	most := float64(api.FullShare)
 	if times := slower(v, &z.Bore); times > evenTimes {
 		most *= evenTimes / times
 	}
-	op := &Op{Kind: "step", Share: min(api.Whole, max(z.Share+1, int(min(most, float64(z.Share)*grow)))), By: z.By,
+	op := &Op{Kind: "step", Share: min(api.FullShare, max(z.Share+1, int(min(most, float64(z.Share)*grow)))), By: z.By,
 		Why: fmt.Sprintf("%.1f runs under way of %.1f it bore, %.0f ms a run", v.Flight, z.Bore.Flight, v.RunMS)}
 	if without.Has(Paced) {
-		op.Share = api.Whole
+		op.Share = api.FullShare
 	}
 	w.ceiling(z, v, op)
 	op.Retry, op.Full = w.retry(s, v, Returning, true)
@@ -411,7 +411,7 @@
 			v.Flight, z.Bore.Flight)
 		return nil, true
 	}
-	op = &Op{Kind: "step", Share: api.Whole, By: z.By, Why: fmt.Sprintf("takes all, and still turns %.0f a second away", v.Turned)}
+	op = &Op{Kind: "step", Share: api.FullShare, By: z.By, Why: fmt.Sprintf("takes all, and still turns %.0f a second away", v.Turned)}
 	op.Ceiling, op.Dials = z.Ceiling*grow, z.Dials*grow
 	op.Retry, op.Full = w.retry(s, v, Returning, true)
 	return op, true
--- a/internal/control/zones/pin_gate_test.go
+++ b/internal/control/zones/pin_gate_test.go
@@ -22,7 +22,7 @@
 	values := []float64{1, 5, 20}
 	gate, meter := NewGate(len(values), 7), NewMeter(1000, values)
 	taken, refused, finals, dialled, changes := 0, 0, 0, 0, 0
-	order, now := api.ZoneOrder{Share: api.Whole}, uint64(1000)
+	order, now := api.ZoneOrder{Share: api.FullShare}, uint64(1000)
 	for step := range 20_000 {
 		if step%7 != 0 {
 			now += uint64(rng.IntN(40))
@@ -30,15 +30,15 @@
 		switch step % 900 {
 		case 100, 300, 500, 700:
 			order.Epoch++
-			order = api.ZoneOrder{Epoch: order.Epoch, Share: []int{0, 16, 40, 100, 256, 20}[rng.IntN(6)], Keep: 1500}
+			order = api.ZoneOrder{Epoch: order.Epoch, Share: []int{0, 16, 40, 100, 256, 20}[rng.IntN(6)], TTLMS: 1500}
 			if rng.IntN(2) == 0 {
-				order.Capped, order.Rate, order.Dials = true, 60*rng.Float64(), 40*rng.Float64()
+				order.RateLimited, order.RateLimit, order.ConnectRateLimit = true, 60*rng.Float64(), 40*rng.Float64()
 			}
 			if rng.IntN(3) == 0 {
-				order.Worth = 5
+				order.PriorityCutoff = 5
 			}
 			if rng.IntN(2) == 0 {
-				order.Retry, order.Full = 64, rng.IntN(2) == 0
+				order.RetryBudget, order.NoCapacityElsewhere = 64, rng.IntN(2) == 0
 			}
 			if gate.Order(now, &order) {
 				changes++
--- a/internal/control/zones/pin_state_test.go
+++ b/internal/control/zones/pin_state_test.go
@@ -52,8 +52,8 @@
 func TestPinnedForms(t *testing.T) {
 	for name, value := range map[string]any{
 		"state": &State{}, "op": &Op{}, "view": &View{},
-		"rules": &api.ZoneRules{}, "order": &api.ZoneOrder{}, "tally": &api.Tally{},
-		"seen": &api.Seen{}, "look": &api.Look{},
+		"rules": &api.ZoneRules{}, "order": &api.ZoneOrder{}, "tally": &api.LoadReport{},
+		"seen": &api.PeerHealth{}, "look": &api.ProbeTarget{},
 	} {
 		next := 0
 		full := reflect.ValueOf(value).Elem()
--- a/internal/control/zones/pin_stream_test.go
+++ b/internal/control/zones/pin_stream_test.go
@@ -44,10 +44,10 @@
 
 func (s *stream) say(format string, args ...any) { fmt.Fprintf(s.sum, format+"\n", args...) }
 
-func (s *stream) join(zone string, i int, up uint64) api.Join {
+func (s *stream) join(zone string, i int, up uint64) api.JoinRequest {
 	s.joins++
-	return api.Join{Name: fmt.Sprintf("%s%d", zone, i), Zone: zone, Addr: fmt.Sprintf("10.0.0.%d:1", i),
-		Nonce: fmt.Sprintf("process-%s-%d-%d", zone, i, s.joins), Up: up}
+	return api.JoinRequest{Name: fmt.Sprintf("%s%d", zone, i), Zone: zone, Addr: fmt.Sprintf("10.0.0.%d:1", i),
+		Nonce: fmt.Sprintf("process-%s-%d-%d", zone, i, s.joins), UptimeMS: up}
 }
 
 func numberOf(name string) int {
@@ -87,40 +87,40 @@
 	return ""
 }
 
-func (s *stream) report(zone string, came int) *api.Tally {
+func (s *stream) report(zone string, came int) *api.LoadReport {
 	_, share := s.state.StepOf(zone)
 	n := came/2 + s.rng.IntN(came+1)
 	again := s.rng.IntN(n/4 + 1)
-	turned := n * (api.Whole - share) / api.Whole
+	turned := n * (api.FullShare - share) / api.FullShare
 	runs := n - turned
-	l := &api.Tally{MS: 1800 + s.rng.IntN(200), Came: n, Again: again, Turned: turned, Done: runs, Runs: runs,
-		RunMS: 18 + 4*s.rng.Float64(), Calls: 2 * runs, CallMS: 9 + 2*s.rng.Float64(), Kernel: true, Cores: 4,
-		OnCores: min(4, 4*float64(runs)/(1.3*float64(came))), Worth: float64(5 * n), Got: float64(5 * runs), Opened: runs / 3,
-		Out: s.rng.IntN(4), Mix: []api.Worth{{Value: 1, Came: n / 2}, {Value: 5, Came: n / 4}, {Value: 20, Came: n / 4}}}
+	l := &api.LoadReport{WindowMS: 1800 + s.rng.IntN(200), Arrived: n, Retries: again, RejectedByZone: turned, Completed: runs, RunsEnded: runs,
+		MeanRunMS: 18 + 4*s.rng.Float64(), Calls: 2 * runs, MeanCallMS: 9 + 2*s.rng.Float64(), KernelConnected: true, Cores: 4,
+		CoresUsed: min(4, 4*float64(runs)/(1.3*float64(came))), OfferedWeight: float64(5 * n), CompletedWeight: float64(5 * runs), ConnectionsOpened: runs / 3,
+		RunsInFlight: s.rng.IntN(4), ArrivedByWeight: []api.PriorityCount{{Weight: 1, Arrived: n / 2}, {Weight: 5, Arrived: n / 4}, {Weight: 20, Arrived: n / 4}}}
 	switch s.fault(zone) {
 	case "kernel":
-		l.Kernel, l.Done, l.Errored, l.Got = false, 0, runs, 0
+		l.KernelConnected, l.Completed, l.Failed, l.CompletedWeight = false, 0, runs, 0
 	case "crawl":
-		l.CallMS, l.RunMS, l.Done, l.Late, l.Got = 90, 200, runs/8, runs-runs/8, float64(runs/8)
-		l.Runs /= 4
+		l.MeanCallMS, l.MeanRunMS, l.Completed, l.Late, l.CompletedWeight = 90, 200, runs/8, runs-runs/8, float64(runs/8)
+		l.RunsEnded /= 4
 	case "slow":
-		l.CallMS, l.RunMS, l.Done, l.Late, l.Got = 60, 130, runs/2, runs-runs/2, float64(runs)
-		l.Runs /= 3
+		l.MeanCallMS, l.MeanRunMS, l.Completed, l.Late, l.CompletedWeight = 60, 130, runs/2, runs-runs/2, float64(runs)
+		l.RunsEnded /= 3
 	case "errors":
-		l.Done, l.Errored, l.Got = runs/3, runs-runs/3, float64(runs)
+		l.Completed, l.Failed, l.CompletedWeight = runs/3, runs-runs/3, float64(runs)
 	case "stand":
-		l.Runs, l.Done, l.Calls, l.Out, l.Got, l.MS = 0, 0, 0, 9, 0, 1900
+		l.RunsEnded, l.Completed, l.Calls, l.RunsInFlight, l.CompletedWeight, l.WindowMS = 0, 0, 0, 9, 0, 1900
 	case "late":
-		l.Done, l.Late, l.Got = runs/2, runs-runs/2, float64(runs)
-		l.Runs /= 2
+		l.Completed, l.Late, l.CompletedWeight = runs/2, runs-runs/2, float64(runs)
+		l.RunsEnded /= 2
 	case "cold":
-		l.CallMS, l.RunMS = 40+20*s.rng.Float64(), 70
+		l.MeanCallMS, l.MeanRunMS = 40+20*s.rng.Float64(), 70
 	}
 	switch s.rng.IntN(60) {
 	case 0: // a node that lies
-		l.Runs, l.RunMS, l.Came = 900_000, 1, 1_000_000
+		l.RunsEnded, l.MeanRunMS, l.Arrived = 900_000, 1, 1_000_000
 	case 1: // a report that can't be
-		l.Worth = math.NaN()
+		l.OfferedWeight = math.NaN()
 	}
 	return l
 }
@@ -189,10 +189,10 @@
 			if n == nil || n.Out != "" || s.fault(z.name) == "silent" || s.rng.IntN(3) != 0 {
 				continue
 			}
-			var seen []api.Seen
+			var seen []api.PeerHealth
 			for _, l := range s.watch.Looks(n.Name) {
-				is := []string{api.SeenServes, api.SeenSheds, api.SeenSilent, api.SeenSilent}[s.rng.IntN(4)]
-				seen = append(seen, api.Seen{Name: l.Name, Is: is})
+				is := []string{api.PeerServing, api.PeerShedding, api.PeerSilent, api.PeerSilent}[s.rng.IntN(4)]
+				seen = append(seen, api.PeerHealth{Name: l.Name, Health: is})
 			}
 			s.watch.Heard(s.now, n, s.report(z.name, z.came), seen)
 			s.say("heard %d", s.watch.HeardAt(n))
@@ -230,7 +230,7 @@
 		case 390_000:
 			s.state.Restore(s.state.Epoch+3, map[string]int{"a": 16, "nobody": 3}, s.fleet)
 		case 395_000:
-			s.rules.Mode = api.ZonesAsk
+			s.rules.Mode = api.ZoneModeManual
 		}
 		s.tick()
 	}
@@ -239,8 +239,8 @@
 
 func newStream(seed uint64, without Guard) *stream {
 	return &stream{rng: rand.New(rand.NewPCG(seed, 1)), fleet: membership.New(), state: &State{}, watch: NewWatch(), without: without,
-		sum: sha256.New(), kinds: map[string]int{}, rules: api.ZoneRules{Mode: api.ZonesAuto, First: 16, HoldMS: 2000,
-			KeepMS: 60_000, WaitMS: 20_000, Small: true}}
+		sum: sha256.New(), kinds: map[string]int{}, rules: api.ZoneRules{Mode: api.ZoneModeAuto, InitialShare: 16, MinStepMS: 2000,
+			OrderTTLMS: 60_000, MaxWaitMS: 20_000, ColdStart: true}}
 }
 
 // TestPinnedStream: a recorded run with faults (kernels gone, services that crawl, fail or stand, silence, a common cause, a
--- a/internal/control/zones/restart_test.go
+++ b/internal/control/zones/restart_test.go
@@ -23,7 +23,7 @@
 }
 
 // look has the watch see a zone of two nodes that do so much, for some looks.
-func looked(w *Watch, f *membership.State, s *State, from uint64, looks int, l api.Tally) uint64 {
+func looked(w *Watch, f *membership.State, s *State, from uint64, looks int, l api.LoadReport) uint64 {
 	for i := 0; i < looks; i++ {
 		from += lookEvery
 		for _, n := range f.Nodes() {
@@ -38,16 +38,16 @@
 // TestJoinsAnew: nodes that were up all along and join anew, as after their lease ran out or the group was restored, are no
 // fleet that restarts.
 func TestJoinsAnew(t *testing.T) {
-	rules := api.ZoneRules{Mode: api.ZonesAuto, First: 16, Small: true}
+	rules := api.ZoneRules{Mode: api.ZoneModeAuto, InitialShare: 16, ColdStart: true}
 	for _, c := range []struct {
 		up    uint64
 		began bool
 	}{{0, true}, {5000, true}, {60_000, false}} {
 		f := membership.New()
 		f.Clock = 100_000
-		f.Apply(&membership.Beat{Term: 1, Join: []api.Join{{Name: "a", Zone: "z", Nonce: "nonce-of-a", Up: c.up}, {Name: "b", Zone: "z",
-			Nonce: "nonce-of-b", Up: c.up}}}, 1, membership.Grant{LeaseMS: 5000})
-		s := &State{Zones: []*Zone{{Name: "z", Step: In, Share: api.Whole, Bore: Bore{Runs: 100, RunMS: 20, Flight: 2}}}}
+		f.Apply(&membership.Beat{Term: 1, Join: []api.JoinRequest{{Name: "a", Zone: "z", Nonce: "nonce-of-a", UptimeMS: c.up}, {Name: "b", Zone: "z",
+			Nonce: "nonce-of-b", UptimeMS: c.up}}}, 1, membership.Grant{LeaseMS: 5000})
+		s := &State{Zones: []*Zone{{Name: "z", Step: In, Share: api.FullShare, Bore: Bore{Runs: 100, RunMS: 20, Flight: 2}}}}
 		if got := s.Began(f, &rules, 0); got != c.began {
 			t.Errorf("up for %d ms: %v, expected %v", c.up, got, c.began)
 		}
@@ -57,17 +57,17 @@
 // TestLearnsWhatIsUsual: runs that stand are not what a service bore, and nothing is learned from a fleet on its way back.
 func TestLearnsWhatIsUsual(t *testing.T) {
 	f := membership.New()
-	f.Apply(&membership.Beat{Term: 1, Join: []api.Join{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
+	f.Apply(&membership.Beat{Term: 1, Join: []api.JoinRequest{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
 		membership.Grant{LeaseMS: 5000})
 	s, w := &State{}, NewWatch()
-	well := api.Tally{MS: 2000, Came: 200, Done: 200, Runs: 200, RunMS: 20, Calls: 200, CallMS: 10, Kernel: true, Cores: 4, OnCores: 1}
+	well := api.LoadReport{WindowMS: 2000, Arrived: 200, Completed: 200, RunsEnded: 200, MeanRunMS: 20, Calls: 200, MeanCallMS: 10, KernelConnected: true, Cores: 4, CoresUsed: 1}
 	at := looked(w, f, s, 0, 30, well)
 	bore := w.Views()[0].usual
 	if bore.Runs < 190 || bore.Flight < 3.5 || bore.Flight > 4.5 {
 		t.Fatalf("bore %+v, expected 200 runs a second and 4 under way", bore)
 	}
 	stands := well
-	stands.Runs, stands.RunMS, stands.Calls, stands.CallMS, stands.Done, stands.Out, stands.MS = 0, 0, 0, 0, 0, 3, 800
+	stands.RunsEnded, stands.MeanRunMS, stands.Calls, stands.MeanCallMS, stands.Completed, stands.RunsInFlight, stands.WindowMS = 0, 0, 0, 0, 0, 3, 800
 	at = looked(w, f, s, at, 12, stands)
 	if b := w.Views()[0].usual; b.Flight > 1.2*bore.Flight {
 		t.Errorf("%.1f runs that stood count as borne, expected %.1f at most", b.Flight, 1.2*bore.Flight)
@@ -76,7 +76,7 @@
 	usual := w.Views()[0].usual
 	s.Zones = []*Zone{{Name: Fleet, Step: Returning, Share: 32}}
 	slow := well
-	slow.RunMS, slow.CallMS = 25, 15
+	slow.MeanRunMS, slow.MeanCallMS = 25, 15
 	looked(w, f, s, at, 40, slow)
 	if b := w.Views()[0].usual; b.CallMS != usual.CallMS || b.RunMS != usual.RunMS {
 		t.Errorf("a fleet on its way back has %.1f ms a call for usual, expected %.1f as before", b.CallMS, usual.CallMS)
@@ -88,23 +88,23 @@
 // its usual pace.
 func TestSlowAndFailing(t *testing.T) {
 	f := membership.New()
-	var joins []api.Join
+	var joins []api.JoinRequest
 	for i, zone := range []string{"a", "a", "a", "b", "b", "b", "c", "c", "c"} {
-		joins = append(joins, api.Join{Name: fmt.Sprint("n", i), Zone: zone, Nonce: fmt.Sprint("nonce-of-", i)})
+		joins = append(joins, api.JoinRequest{Name: fmt.Sprint("n", i), Zone: zone, Nonce: fmt.Sprint("nonce-of-", i)})
 	}
 	f.Apply(&membership.Beat{Term: 1, Join: joins}, 1, membership.Grant{LeaseMS: 5000})
-	rules := api.ZoneRules{Mode: api.ZonesAuto, HoldMS: 2000, WaitMS: 60_000, First: 16}
-	well := api.Tally{MS: 2000, Came: 100, Done: 100, Runs: 100, RunMS: 20, Calls: 100, CallMS: 10, Kernel: true, Cores: 4,
-		OnCores: 1, Worth: 100, Got: 100}
+	rules := api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 2000, MaxWaitMS: 60_000, InitialShare: 16}
+	well := api.LoadReport{WindowMS: 2000, Arrived: 100, Completed: 100, RunsEnded: 100, MeanRunMS: 20, Calls: 100, MeanCallMS: 10, KernelConnected: true, Cores: 4,
+		CoresUsed: 1, OfferedWeight: 100, CompletedWeight: 100}
 	crawls, gaveUp, fails, paced, busy := well, well, well, well, well
-	busy.Runs, busy.Done, busy.Late, busy.RunMS, busy.Calls, busy.CallMS, busy.Got = 80, 40, 40, 150, 80, 140, 40
-	crawls.Runs, crawls.Done, crawls.Late, crawls.RunMS, crawls.Calls, crawls.CallMS, crawls.Got = 20, 0, 20, 150, 20, 140, 0
-	gaveUp.Runs, gaveUp.Done, gaveUp.Errored, gaveUp.RunMS, gaveUp.Calls, gaveUp.CallMS, gaveUp.Got = 16, 2, 14, 250, 16, 240, 2
-	fails.Done, fails.Errored, fails.Got = 40, 60, 40
-	paced.Done, paced.Errored, paced.CallMS, paced.Got = 10, 90, 60, 10
+	busy.RunsEnded, busy.Completed, busy.Late, busy.MeanRunMS, busy.Calls, busy.MeanCallMS, busy.CompletedWeight = 80, 40, 40, 150, 80, 140, 40
+	crawls.RunsEnded, crawls.Completed, crawls.Late, crawls.MeanRunMS, crawls.Calls, crawls.MeanCallMS, crawls.CompletedWeight = 20, 0, 20, 150, 20, 140, 0
+	gaveUp.RunsEnded, gaveUp.Completed, gaveUp.Failed, gaveUp.MeanRunMS, gaveUp.Calls, gaveUp.MeanCallMS, gaveUp.CompletedWeight = 16, 2, 14, 250, 16, 240, 2
+	fails.Completed, fails.Failed, fails.CompletedWeight = 40, 60, 40
+	paced.Completed, paced.Failed, paced.MeanCallMS, paced.CompletedWeight = 10, 90, 60, 10
 	for _, c := range []struct {
 		name          string
-		first, others api.Tally
+		first, others api.LoadReport
 		left          bool
 	}{{"all slow, one fails", gaveUp, crawls, false}, {"one fails", fails, well, true},
 		{"all slow, one fails, the others busy", gaveUp, busy, false},
@@ -136,19 +136,19 @@
 // TestPools: what thousands of nodes see together is told though each sees next to nothing, a few that lie move it little, and
 // the nodes of a small zone stand for themselves.
 func TestPools(t *testing.T) {
-	report := func(i, n int, perNode float64) *api.Tally {
+	report := func(i, n int, perNode float64) *api.LoadReport {
 		runs := int(perNode) // and one more for some
 		if float64(crc32.ChecksumIEEE([]byte{byte(i), byte(i >> 8)}))/(1<<32) < perNode-float64(runs) {
 			runs++
 		}
-		return &api.Tally{MS: 2000, Kernel: true, Cores: 4, OnCores: 0.1, Runs: runs, Came: 3 * runs, Done: runs, RunMS: 50 * min(1, float64(runs)),
-			Calls: runs, CallMS: 20 * min(1, float64(runs))}
+		return &api.LoadReport{WindowMS: 2000, KernelConnected: true, Cores: 4, CoresUsed: 0.1, RunsEnded: runs, Arrived: 3 * runs, Completed: runs, MeanRunMS: 50 * min(1, float64(runs)),
+			Calls: runs, MeanCallMS: 20 * min(1, float64(runs))}
 	}
 	for _, c := range []struct {
 		n    int
 		each float64
 	}{{5000, 0.07}, {1667, 0.5}, {300, 3}, {300, 40}, {5, 12}} {
-		var all []*api.Tally
+		var all []*api.LoadReport
 		for i := range c.n {
 			all = append(all, report(i, c.n, c.each))
 		}
@@ -162,7 +162,7 @@
 		}
 		before := v.Runs
 		for i := range c.n / 200 { // one in two hundred lies
-			all[i*200].Runs, all[i*200].RunMS = 10_000, 1
+			all[i*200].RunsEnded, all[i*200].MeanRunMS = 10_000, 1
 		}
 		v.sum(all)
 		if c.n >= 300 && (v.Runs > 3*before+1 || v.Runs < before/3) {
@@ -174,9 +174,9 @@
 	}
 }
 
-func idle(n int) (all []*api.Tally) {
+func idle(n int) (all []*api.LoadReport) {
 	for range n {
-		all = append(all, &api.Tally{MS: 2000})
+		all = append(all, &api.LoadReport{WindowMS: 2000})
 	}
 	return all
 }
@@ -199,12 +199,12 @@
 // little is, or once the ceiling could not go up for a while.
 func TestReturnEnds(t *testing.T) {
 	f := membership.New()
-	f.Apply(&membership.Beat{Term: 1, Join: []api.Join{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
+	f.Apply(&membership.Beat{Term: 1, Join: []api.JoinRequest{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
 		membership.Grant{LeaseMS: 5000})
 	for _, n := range f.Nodes() {
 		n.Lease.Until = 1 << 40
 	}
-	rules := api.ZoneRules{Mode: api.ZonesAuto, HoldMS: 1000, WaitMS: 60_000, First: 16}
+	rules := api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 1000, MaxWaitMS: 60_000, InitialShare: 16}
 	bore := Bore{Runs: 100, Flight: 2, RunMS: 20, CallMS: 10}
 	for _, c := range []struct {
 		name   string
@@ -214,12 +214,12 @@
 		after  uint64 // ms at the share
 	}{{"little is turned away", 10, 20, "in", 5000}, {"much is", 200, 20, "step", 5000}, {"much is, and all it bore is under way", 200, 24, "", 5000},
 		{"the same for long", 200, 24, "in", wideFor + 1000}} {
-		s := &State{Epoch: 7, Settled: 7, Zones: []*Zone{{Name: "z", Step: Returning, Share: api.Whole, Ceiling: 100, Dials: 100, Bore: bore, Had: 2,
+		s := &State{Epoch: 7, Settled: 7, Zones: []*Zone{{Name: "z", Step: Returning, Share: api.FullShare, Ceiling: 100, Dials: 100, Bore: bore, Had: 2,
 			Since: 100_000}}}
 		s.Zones[0].Parts = []Part{{f.Nodes()[0].Lease.ID, 50}, {f.Nodes()[1].Lease.ID, 50}}
 		w := NewWatch()
-		l := api.Tally{MS: 2000, Came: 100 + c.turned, Again: c.turned, Turned: c.turned, Done: 100, Runs: 100, RunMS: c.runMS, Calls: 100,
-			CallMS: c.runMS / 2, Kernel: true, Cores: 4, OnCores: 1, Worth: 100, Got: 100}
+		l := api.LoadReport{WindowMS: 2000, Arrived: 100 + c.turned, Retries: c.turned, RejectedByZone: c.turned, Completed: 100, RunsEnded: 100, MeanRunMS: c.runMS, Calls: 100,
+			MeanCallMS: c.runMS / 2, KernelConnected: true, Cores: 4, CoresUsed: 1, OfferedWeight: 100, CompletedWeight: 100}
 		f.Clock = 100_000
 		at := looked(w, f, s, 100_000, int(c.after/lookEvery), l)
 		f.Clock = at
@@ -238,12 +238,12 @@
 // lately, and a demand that fell in earnest is believed after a while.
 func TestDemandLags(t *testing.T) {
 	f := membership.New()
-	f.Apply(&membership.Beat{Term: 1, Join: []api.Join{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
+	f.Apply(&membership.Beat{Term: 1, Join: []api.JoinRequest{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
 		membership.Grant{LeaseMS: 5000})
-	s := &State{Zones: []*Zone{{Name: "z", Step: In, Share: api.Whole}}}
+	s := &State{Zones: []*Zone{{Name: "z", Step: In, Share: api.FullShare}}}
 	w := NewWatch()
-	load := func(came int) api.Tally {
-		return api.Tally{MS: 1000, Came: came, Runs: 300, RunMS: 20, Done: 300, Kernel: true, Cores: 10, OnCores: 5}
+	load := func(came int) api.LoadReport {
+		return api.LoadReport{WindowMS: 1000, Arrived: came, RunsEnded: 300, MeanRunMS: 20, Completed: 300, KernelConnected: true, Cores: 10, CoresUsed: 5}
 	}
 	budget := func() int {
 		r, _ := w.retry(s, w.views[0], In, true)
@@ -252,11 +252,11 @@
 	at := looked(w, f, s, 100_000, 6, load(500))
 	asked := budget()
 	at = looked(w, f, s, at, 3, load(400))
-	if less := budget(); less > asked+api.Whole/8 {
-		t.Errorf("%d of %d further tries where callers move, %d before", less, api.Whole, asked)
+	if less := budget(); less > asked+api.FullShare/8 {
+		t.Errorf("%d of %d further tries where callers move, %d before", less, api.FullShare, asked)
 	}
 	looked(w, f, s, at, 60, load(250))
 	if fell := budget(); fell < 2*asked {
-		t.Errorf("%d of %d further tries where half of the demand is gone, %d before", fell, api.Whole, asked)
+		t.Errorf("%d of %d further tries where half of the demand is gone, %d before", fell, api.FullShare, asked)
 	}
 }
--- a/internal/control/zones/watch.go
+++ b/internal/control/zones/watch.go
@@ -18,7 +18,7 @@
 	nodes map[string]*report
 	seen  map[sightKey]sight
 	asked map[string]string // zones of the nodes that others look at, by name
-	looks map[string][]api.Look
+	looks map[string][]api.ProbeTarget
 	views []*View // by zone
 	zones map[string]*View
 	fleet *View
@@ -27,7 +27,7 @@
 type report struct {
 	lease uint32
 	at    uint64
-	load  api.Tally
+	load  api.LoadReport
 	has   bool
 }
 
@@ -66,7 +66,7 @@
 	Opened float64 `json:"opened"`
 	Kernel bool    `json:"kernel"` // half of its nodes or more have one
 
-	mix    []api.Worth
+	mix    []api.PriorityCount
 	demand float64 // of the whole fleet: the most first tries a second that came lately
 	busy   bool    // slow, and does nearly what it bore at most
 	usual  Bore
@@ -80,7 +80,7 @@
 
 // NewWatch begins to look.
 func NewWatch() *Watch {
-	return &Watch{nodes: map[string]*report{}, seen: map[sightKey]sight{}, asked: map[string]string{}, looks: map[string][]api.Look{},
+	return &Watch{nodes: map[string]*report{}, seen: map[sightKey]sight{}, asked: map[string]string{}, looks: map[string][]api.ProbeTarget{},
 		zones: map[string]*View{}}
 }
 
@@ -89,7 +89,7 @@
 func Pace(nodes int) uint64 { return max(1000, uint64(nodes)*2/5) }
 
 // Heard takes what a node told. A report that can't be is not looked at, as if none had come.
-func (w *Watch) Heard(now uint64, n *membership.Node, l *api.Tally, seen []api.Seen) {
+func (w *Watch) Heard(now uint64, n *membership.Node, l *api.LoadReport, seen []api.PeerHealth) {
 	r := w.nodes[n.Name]
 	if r == nil || r.lease != n.Lease.ID {
 		r = &report{lease: n.Lease.ID}
@@ -99,30 +99,30 @@
 	if l != nil && sane(l) {
 		r.load, r.has = *l, true
 	}
-	if len(seen) > api.MaxSeen {
-		seen = seen[:api.MaxSeen]
+	if len(seen) > api.MaxPeers {
+		seen = seen[:api.MaxPeers]
 	}
 	for _, s := range seen {
 		if w.asked[s.Name] != "" {
-			w.seen[sightKey{s.Name, n.Name}] = sight{now, s.Is}
+			w.seen[sightKey{s.Name, n.Name}] = sight{now, s.Health}
 		}
 	}
 }
 
 // sane tells whether a report can be true.
-func sane(l *api.Tally) bool {
-	for _, f := range []float64{l.Worth, l.Got, l.Cores, l.OnCores, l.RunMS, l.CallMS} {
+func sane(l *api.LoadReport) bool {
+	for _, f := range []float64{l.OfferedWeight, l.CompletedWeight, l.Cores, l.CoresUsed, l.MeanRunMS, l.MeanCallMS} {
 		if math.IsNaN(f) || math.IsInf(f, 0) || f < 0 || f > 1e9 {
 			return false
 		}
 	}
-	for _, n := range []int{l.MS, l.Came, l.Again, l.Turned, l.Done, l.Late, l.Shed, l.Errored, l.Runs, l.Calls, l.Bad,
-		l.Opened, l.Out} {
+	for _, n := range []int{l.WindowMS, l.Arrived, l.Retries, l.RejectedByZone, l.Completed, l.Late, l.Shed, l.Failed, l.RunsEnded, l.Calls, l.FailedCalls,
+		l.ConnectionsOpened, l.RunsInFlight} {
 		if n < 0 || n > 1e7 {
 			return false
 		}
 	}
-	return l.MS >= 200 && l.MS <= 60_000 && l.Bad <= l.Calls && len(l.Mix) <= api.MaxMix && l.Cores > 0
+	return l.WindowMS >= 200 && l.WindowMS <= 60_000 && l.FailedCalls <= l.Calls && len(l.ArrivedByWeight) <= api.MaxPriorityCounts && l.Cores > 0
 }
 
 // HeardAt tells when a node's present incarnation was heard last, 0: not by this leader.
@@ -134,7 +134,7 @@
 }
 
 // Looks gives what a node should look at, for the leader's next answer to it.
-func (w *Watch) Looks(node string) []api.Look { return w.looks[node] }
+func (w *Watch) Looks(node string) []api.ProbeTarget { return w.looks[node] }
 
 // Views gives all zones as of the last look. They belong to the watch.
 func (w *Watch) Views() []*View { return w.views }
@@ -161,7 +161,7 @@
 	w.at = now
 	by := map[string]*View{}
 	var order []string
-	loads := map[string][]*api.Tally{}
+	loads := map[string][]*api.LoadReport{}
 	for _, n := range f.Nodes() {
 		v := by[n.Zone]
 		if v == nil {
@@ -284,18 +284,18 @@
 
 // pooled is some nodes' reports as one: counts are sums, times are weighed by what they are of, MS is their mean.
 type pooled struct {
-	api.Tally
-	nodes []*api.Tally
+	api.LoadReport
+	nodes []*api.LoadReport
 }
 
 // pool puts reports together; of each node alone where it sees enough.
-func pool(all []*api.Tally) []pooled {
+func pool(all []*api.LoadReport) []pooled {
 	n := len(all)
 	pools := n
 	if n >= 2*poolLeast {
 		each := 0.0
 		for _, l := range all { // none counts for more than is enough: a few that lie don't decide what is
-			each += min(poolRuns, float64(l.Runs)) / float64(n)
+			each += min(poolRuns, float64(l.RunsEnded)) / float64(n)
 		}
 		if each < poolRuns/2 {
 			pools = max(poolLeast, int(float64(n)*each/poolRuns))
@@ -313,68 +313,68 @@
 
 func (p *pooled) add() {
 	if len(p.nodes) == 1 {
-		p.Tally = *p.nodes[0]
+		p.LoadReport = *p.nodes[0]
 		return
 	}
 	up := 0
 	for _, l := range p.nodes {
-		p.MS, p.Came, p.Again, p.Turned = p.MS+l.MS, p.Came+l.Came, p.Again+l.Again, p.Turned+l.Turned
-		p.Done, p.Late, p.Shed, p.Errored = p.Done+l.Done, p.Late+l.Late, p.Shed+l.Shed, p.Errored+l.Errored
-		p.Runs, p.Calls, p.Bad, p.Opened, p.Out = p.Runs+l.Runs, p.Calls+l.Calls, p.Bad+l.Bad, p.Opened+l.Opened, p.Out+l.Out
-		p.Worth, p.Got, p.Cores, p.OnCores = p.Worth+l.Worth, p.Got+l.Got, p.Cores+l.Cores, p.OnCores+l.OnCores
-		p.RunMS, p.CallMS = p.RunMS+l.RunMS*float64(l.Runs), p.CallMS+l.CallMS*float64(l.Calls)
-		if l.Kernel {
+		p.WindowMS, p.Arrived, p.Retries, p.RejectedByZone = p.WindowMS+l.WindowMS, p.Arrived+l.Arrived, p.Retries+l.Retries, p.RejectedByZone+l.RejectedByZone
+		p.Completed, p.Late, p.Shed, p.Failed = p.Completed+l.Completed, p.Late+l.Late, p.Shed+l.Shed, p.Failed+l.Failed
+		p.RunsEnded, p.Calls, p.FailedCalls, p.ConnectionsOpened, p.RunsInFlight = p.RunsEnded+l.RunsEnded, p.Calls+l.Calls, p.FailedCalls+l.FailedCalls, p.ConnectionsOpened+l.ConnectionsOpened, p.RunsInFlight+l.RunsInFlight
+		p.OfferedWeight, p.CompletedWeight, p.Cores, p.CoresUsed = p.OfferedWeight+l.OfferedWeight, p.CompletedWeight+l.CompletedWeight, p.Cores+l.Cores, p.CoresUsed+l.CoresUsed
+		p.MeanRunMS, p.MeanCallMS = p.MeanRunMS+l.MeanRunMS*float64(l.RunsEnded), p.MeanCallMS+l.MeanCallMS*float64(l.Calls)
+		if l.KernelConnected {
 			up++
 		}
 	}
-	p.MS /= len(p.nodes)
-	p.RunMS, p.CallMS = p.RunMS/float64(max(1, p.Runs)), p.CallMS/float64(max(1, p.Calls))
-	p.Kernel = 2*up >= len(p.nodes)
+	p.WindowMS /= len(p.nodes)
+	p.MeanRunMS, p.MeanCallMS = p.MeanRunMS/float64(max(1, p.RunsEnded)), p.MeanCallMS/float64(max(1, p.Calls))
+	p.KernelConnected = 2*up >= len(p.nodes)
 }
 
 // sum makes a view of the reports of a zone's nodes.
-func (v *View) sum(all []*api.Tally) {
+func (v *View) sum(all []*api.LoadReport) {
 	if len(all) == 0 {
 		return
 	}
 	pools := pool(all)
-	of := func(f func(l *api.Tally) float64) float64 {
+	of := func(f func(l *api.LoadReport) float64) float64 {
 		x := make([]float64, 0, len(pools))
 		for i := range pools {
-			x = append(x, f(&pools[i].Tally))
+			x = append(x, f(&pools[i].LoadReport))
 		}
 		return median(x)
 	}
-	per := func(f func(l *api.Tally) float64) float64 { // a second, over all nodes that are in
+	per := func(f func(l *api.LoadReport) float64) float64 { // a second, over all nodes that are in
 		x := make([]float64, 0, len(pools))
 		for i := range pools {
-			x = append(x, f(&pools[i].Tally)*1000/float64(pools[i].MS)/float64(len(pools[i].nodes)))
+			x = append(x, f(&pools[i].LoadReport)*1000/float64(pools[i].WindowMS)/float64(len(pools[i].nodes)))
 		}
 		return float64(v.In) * median(x)
 	}
-	v.Came = per(func(l *api.Tally) float64 { return float64(l.Came - l.Again) })
-	v.Took = per(func(l *api.Tally) float64 { return float64(max(0, l.Came-l.Again-l.Turned)) })
-	v.Turned = per(func(l *api.Tally) float64 { return float64(l.Turned) })
-	v.Runs = per(func(l *api.Tally) float64 { return float64(l.Runs) })
-	v.Worth = per(func(l *api.Tally) float64 { return l.Worth })
-	v.Got = per(func(l *api.Tally) float64 { return l.Got })
-	v.Opened = per(func(l *api.Tally) float64 { return float64(l.Opened) })
-	v.Cap = per(func(l *api.Tally) float64 {
+	v.Came = per(func(l *api.LoadReport) float64 { return float64(l.Arrived - l.Retries) })
+	v.Took = per(func(l *api.LoadReport) float64 { return float64(max(0, l.Arrived-l.Retries-l.RejectedByZone)) })
+	v.Turned = per(func(l *api.LoadReport) float64 { return float64(l.RejectedByZone) })
+	v.Runs = per(func(l *api.LoadReport) float64 { return float64(l.RunsEnded) })
+	v.Worth = per(func(l *api.LoadReport) float64 { return l.OfferedWeight })
+	v.Got = per(func(l *api.LoadReport) float64 { return l.CompletedWeight })
+	v.Opened = per(func(l *api.LoadReport) float64 { return float64(l.ConnectionsOpened) })
+	v.Cap = per(func(l *api.LoadReport) float64 {
 		// A core never quite idles: under a twentieth a node is taken to have twenty times what it does.
-		return float64(l.Runs) / min(1, max(0.05, l.OnCores/l.Cores))
+		return float64(l.RunsEnded) / min(1, max(0.05, l.CoresUsed/l.Cores))
 	})
-	v.RunMS = of(func(l *api.Tally) float64 { return l.RunMS })
-	v.CallMS = of(func(l *api.Tally) float64 { return l.CallMS })
-	v.Bad = of(func(l *api.Tally) float64 { return float64(l.Bad) / max(1, float64(l.Calls)) })
-	v.Flight = per(func(l *api.Tally) float64 {
-		if l.Runs == 0 {
-			return float64(l.Out) * float64(l.MS) / 1000 // they are not a second's
-		}
-		return float64(l.Runs) * l.RunMS / 1000 // Little's law
+	v.RunMS = of(func(l *api.LoadReport) float64 { return l.MeanRunMS })
+	v.CallMS = of(func(l *api.LoadReport) float64 { return l.MeanCallMS })
+	v.Bad = of(func(l *api.LoadReport) float64 { return float64(l.FailedCalls) / max(1, float64(l.Calls)) })
+	v.Flight = per(func(l *api.LoadReport) float64 {
+		if l.RunsEnded == 0 {
+			return float64(l.RunsInFlight) * float64(l.WindowMS) / 1000 // they are not a second's
+		}
+		return float64(l.RunsEnded) * l.MeanRunMS / 1000 // Little's law
 	})
 	up := 0
 	for _, l := range all {
-		if l.Kernel {
+		if l.KernelConnected {
 			up++
 		}
 	}
@@ -410,22 +410,22 @@
 )
 
 // kindOf tells what ails a node, if anything does.
-func (v *View) kindOf(l *api.Tally) string {
-	ended := l.Done + l.Late + l.Errored
+func (v *View) kindOf(l *api.LoadReport) string {
+	ended := l.Completed + l.Late + l.Failed
 	switch {
-	case !l.Kernel:
+	case !l.KernelConnected:
 		return kindKernel
-	case l.Calls >= leastRuns && float64(l.Bad) >= badShare*float64(l.Calls):
+	case l.Calls >= leastRuns && float64(l.FailedCalls) >= badShare*float64(l.Calls):
 		return kindBelow
-	case float64(l.Out) >= l.Cores && l.Runs == 0 && l.MS >= 900 && v.usual.RunMS > 0 && float64(l.MS) > 4*v.usual.RunMS:
+	case float64(l.RunsInFlight) >= l.Cores && l.RunsEnded == 0 && l.WindowMS >= 900 && v.usual.RunMS > 0 && float64(l.WindowMS) > 4*v.usual.RunMS:
 		return kindKernel
-	case l.Calls >= leastRuns && v.usual.CallMS > 0 && l.CallMS > slowTimes*v.usual.CallMS+5:
+	case l.Calls >= leastRuns && v.usual.CallMS > 0 && l.MeanCallMS > slowTimes*v.usual.CallMS+5:
 		return kindCrawl // runs fail for want of them, in one zone sooner than in another
-	case ended >= leastEnded && float64(l.Errored) >= badShare*float64(ended):
+	case ended >= leastEnded && float64(l.Failed) >= badShare*float64(ended):
 		return kindErrors
-	case ended >= leastEnded && float64(l.Late+l.Errored) >= badShare*float64(ended):
+	case ended >= leastEnded && float64(l.Late+l.Failed) >= badShare*float64(ended):
 		return kindLate
-	case l.Runs >= leastRuns && v.usual.RunMS > 0 && l.RunMS > slowTimes*v.usual.RunMS+5:
+	case l.RunsEnded >= leastRuns && v.usual.RunMS > 0 && l.MeanRunMS > slowTimes*v.usual.RunMS+5:
 		return kindSlow
 	}
 	return ""
@@ -438,10 +438,10 @@
 	var failed []float64
 	for i := range pools {
 		p := &pools[i]
-		failed = append(failed, float64(p.Errored)/float64(max(1, p.Done+p.Late+p.Errored)))
+		failed = append(failed, float64(p.Failed)/float64(max(1, p.Completed+p.Late+p.Failed)))
 		together := ""
-		if len(p.nodes) > 1 && p.Kernel {
-			together = v.kindOf(&p.Tally)
+		if len(p.nodes) > 1 && p.KernelConnected {
+			together = v.kindOf(&p.LoadReport)
 		}
 		for _, l := range p.nodes {
 			k := v.kindOf(l)
@@ -467,19 +467,19 @@
 }
 
 // mixOf adds up what came by value.
-func mixOf(all []*api.Tally) (out []api.Worth) {
+func mixOf(all []*api.LoadReport) (out []api.PriorityCount) {
 	sum := map[float64]int{}
 	for _, l := range all {
-		for _, m := range l.Mix {
-			if m.Came > 0 && m.Value >= 0 {
-				sum[m.Value] += m.Came
+		for _, m := range l.ArrivedByWeight {
+			if m.Arrived > 0 && m.Weight >= 0 {
+				sum[m.Weight] += m.Arrived
 			}
 		}
 	}
 	for value, came := range sum {
-		out = append(out, api.Worth{Value: value, Came: came})
+		out = append(out, api.PriorityCount{Weight: value, Arrived: came})
 	}
-	sort.Slice(out, func(i, k int) bool { return out[i].Value < out[k].Value })
+	sort.Slice(out, func(i, k int) bool { return out[i].Weight < out[k].Weight })
 	return out
 }
 
@@ -613,15 +613,15 @@
 
 // probe chooses who looks at the nodes of a silent zone: three of its nodes, by two nodes of each other zone.
 func (w *Watch) probe(now uint64, f *membership.State) {
-	w.looks, w.asked = map[string][]api.Look{}, map[string]string{}
+	w.looks, w.asked = map[string][]api.ProbeTarget{}, map[string]string{}
 	for _, v := range w.views {
 		if !v.silent() {
 			continue
 		}
-		var at []api.Look
+		var at []api.ProbeTarget
 		for _, n := range f.Nodes() {
 			if n.Zone == v.Zone && n.Out != membership.Left && n.Addr != "" && len(at) < 3 {
-				at = append(at, api.Look{Name: n.Name, Addr: n.Addr})
+				at = append(at, api.ProbeTarget{Name: n.Name, Addr: n.Addr})
 				w.asked[n.Name] = v.Zone
 			}
 		}
@@ -629,7 +629,7 @@
 		for _, node := range f.Nodes() {
 			r, of := w.nodes[node.Name], w.zones[node.Zone]
 			if node.Zone == v.Zone || of.silent() || n[node.Zone] >= 2 || r == nil || r.lease != node.Lease.ID ||
-				now-r.at > w.freshFor() || len(w.looks[node.Name])+len(at) > api.MaxSeen {
+				now-r.at > w.freshFor() || len(w.looks[node.Name])+len(at) > api.MaxPeers {
 				continue
 			}
 			n[node.Zone]++
@@ -650,9 +650,9 @@
 			continue
 		}
 		switch s.is {
-		case api.SeenServes:
+		case api.PeerServing:
 			serves++
-		case api.SeenSheds:
+		case api.PeerShedding:
 			sheds++
 		default:
 			nobody++
--- a/internal/control/zones/zones.go
+++ b/internal/control/zones/zones.go
@@ -149,7 +149,7 @@
 	}
 	for _, n := range f.Nodes() {
 		if n.Zone == name || name == Fleet {
-			z := &Zone{Name: name, Step: In, Share: api.Whole}
+			z := &Zone{Name: name, Step: In, Share: api.FullShare}
 			s.Zones = append(s.Zones, z)
 			sort.Slice(s.Zones, func(i, k int) bool { return s.Zones[i].Name < s.Zones[k].Name })
 			return z
@@ -163,7 +163,7 @@
 	if z := s.Find(name); z != nil {
 		return z.Step, z.Share
 	}
-	return In, api.Whole
+	return In, api.FullShare
 }
 
 // othersIn tells whether another zone with nodes is in.
@@ -198,8 +198,8 @@
 		return fmt.Errorf("by: found %d bytes, expected 1 to 200", len(op.By))
 	case len(op.Why) > 2000:
 		return fmt.Errorf("why: found %d bytes, expected at most 2000", len(op.Why))
-	case op.Share < 0 || op.Share > api.Whole:
-		return fmt.Errorf("share: found %d, expected 0 to %d", op.Share, api.Whole)
+	case op.Share < 0 || op.Share > api.FullShare:
+		return fmt.Errorf("share: found %d, expected 0 to %d", op.Share, api.FullShare)
 	case len(op.Key) < 8 || len(op.Key) > 80:
 		return fmt.Errorf("key: found %d bytes, expected 8 to 80", len(op.Key))
 	case op.Wait > 24*3600_000 || op.Drill > 24*3600_000:
@@ -290,7 +290,7 @@
 		}
 		what := "left"
 		if op.Share > 0 {
-			what = fmt.Sprintf("left in part, keeps %d of %d by value", op.Share, api.Whole)
+			what = fmt.Sprintf("left in part, keeps %d of %d by value", op.Share, api.FullShare)
 		}
 		z.event(f.Clock, s.Epoch, op, "%s: %s%s", what, by(op.By), clip(op.Why))
 	case "step":
@@ -309,7 +309,7 @@
 		}
 		s.take(z, f, Returning, op)
 		z.By = op.By
-		z.event(f.Clock, s.Epoch, op, "returns at %d of %d, %.0f runs a second at most: %s%s", z.Share, api.Whole,
+		z.event(f.Clock, s.Epoch, op, "returns at %d of %d, %.0f runs a second at most: %s%s", z.Share, api.FullShare,
 			z.Ceiling, by(op.By), clip(op.Why))
 	case "split":
 		if z.Step != Returning {
@@ -332,13 +332,13 @@
 		}
 		s.take(z, f, step, op)
 		z.Cause, z.By = op.Cause, op.By
-		z.event(f.Clock, s.Epoch, op, "back to %d of %d: %s%s", z.Share, api.Whole, by(op.By), clip(op.Why))
+		z.event(f.Clock, s.Epoch, op, "back to %d of %d: %s%s", z.Share, api.FullShare, by(op.By), clip(op.Why))
 	case "in":
 		if z.Step != Returning {
 			return no("zone %s is %s, expected it returning", z.Name, z.Step)
 		}
 		op := *op
-		op.Share = api.Whole
+		op.Share = api.FullShare
 		s.take(z, f, In, &op)
 		z.Cause, z.By, z.Worth, z.Ceiling, z.Dials, z.Parts, z.Drill = "", "", 0, 0, 0, nil, 0
 		z.Well = f.Clock
@@ -371,7 +371,7 @@
 // much a small zone may have in any case, or a small share would show nothing; of a large one it would be too much.
 // Of connections it is as many as of runs at least: where reqs come singly, each may need one.
 func (z *Zone) bears(share, in int) (runs, dials float64) {
-	part := float64(share) / api.Whole
+	part := float64(share) / api.FullShare
 	least := float64(max(1, in))
 	if z.Bore.Runs > 0 {
 		least = min(least, z.Bore.Runs/16)
@@ -457,24 +457,24 @@
 
 // Order gives what a zone's state means to a node that holds a lease.
 func (s *State) Order(zone string, lease uint32, rules *api.ZoneRules, without Guard) api.ZoneOrder {
-	o := api.ZoneOrder{Epoch: s.Epoch, Share: api.Whole, Keep: rules.KeepMS, Full: s.Full}
+	o := api.ZoneOrder{Epoch: s.Epoch, Share: api.FullShare, TTLMS: rules.OrderTTLMS, NoCapacityElsewhere: s.Full}
 	if !without.Has(RetryBudget) {
-		o.Retry = s.Retry
+		o.RetryBudget = s.Retry
 	}
 	z := s.Find(zone)
 	if z == nil {
 		return o
 	}
-	o.Share, o.Worth = z.Share, z.Worth
+	o.Share, o.PriorityCutoff = z.Share, z.Worth
 	if z.Step != In {
-		o.Retry = 0 // what it takes is bounded by its share
+		o.RetryBudget = 0 // what it takes is bounded by its share
 	}
 	if z.Step != Returning {
 		return s.begins(o, lease)
 	}
-	o.Capped = true
+	o.RateLimited = true
 	if without.Has(LeaseTokens) { // a part for whoever comes, as if nobody else had any
-		o.Rate, o.Dials = z.Ceiling/float64(max(1, z.Had)), z.Dials/float64(max(1, z.Had))
+		o.RateLimit, o.ConnectRateLimit = z.Ceiling/float64(max(1, z.Had)), z.Dials/float64(max(1, z.Had))
 		return o
 	}
 	// A part that grew, or is new, counts once nobody acts on an older epoch.
@@ -483,9 +483,9 @@
 		was, _ := rate(z.Was, lease)
 		is = min(is, was)
 	}
-	o.Rate = is
+	o.RateLimit = is
 	if n := len(z.Parts); n > 0 {
-		o.Dials = z.Dials / float64(n)
+		o.ConnectRateLimit = z.Dials / float64(n)
 	}
 	return s.begins(o, lease)
 }
@@ -502,10 +502,10 @@
 		is = min(is, was)
 	}
 	dials := z.Dials / float64(max(1, len(z.Parts)))
-	if o.Share = min(o.Share, z.Share); o.Capped {
-		is, dials = min(is, o.Rate), min(dials, o.Dials)
+	if o.Share = min(o.Share, z.Share); o.RateLimited {
+		is, dials = min(is, o.RateLimit), min(dials, o.ConnectRateLimit)
 	}
-	o.Capped, o.Rate, o.Dials, o.Retry = true, is, dials, 0
+	o.RateLimited, o.RateLimit, o.ConnectRateLimit, o.RetryBudget = true, is, dials, 0
 	return o
 }
 
@@ -513,17 +513,17 @@
 // under that share of what its zone's services bore. A zone of which nobody knows what they bore bounds nothing.
 func (s *State) Probation(o *api.ZoneOrder, zone string, age, clock uint64, in int, rules *api.ZoneRules, without Guard) bool {
 	z, all := s.Find(zone), s.Find(Fleet)
-	if rules.Mode != api.ZonesAuto || !rules.Small || without.Has(SmallStart) || z == nil || z.Bore.Runs == 0 || o.Share <= rules.First ||
+	if rules.Mode != api.ZoneModeAuto || !rules.ColdStart || without.Has(SmallStart) || z == nil || z.Bore.Runs == 0 || o.Share <= rules.InitialShare ||
 		all != nil && (all.Step == Returning || all.Well > 0 && age >= clock-all.Well) {
 		return false // the fleet's own return bounds it, or has ended since
 	}
-	o.Share = max(1, rules.First)
+	o.Share = max(1, rules.InitialShare)
 	runs, dials := z.bears(o.Share, 0)
 	rate, dial := runs/float64(max(1, in)), dials/float64(max(1, in))
-	if o.Capped {
-		rate, dial = min(rate, o.Rate), min(dial, o.Dials)
+	if o.RateLimited {
+		rate, dial = min(rate, o.RateLimit), min(dial, o.ConnectRateLimit)
 	}
-	o.Capped, o.Rate, o.Dials = true, rate, dial
+	o.RateLimited, o.RateLimit, o.ConnectRateLimit = true, rate, dial
 	return true
 }
 
@@ -532,7 +532,7 @@
 // fleet of which nobody knows what its services bore begins as it is: there is nothing to go by.
 func (s *State) Began(f *membership.State, rules *api.ZoneRules, without Guard) (began bool) {
 	z := s.Find(Fleet)
-	if z != nil && z.Step != In || rules.Mode != api.ZonesAuto || !rules.Small || without.Has(SmallStart) {
+	if z != nil && z.Step != In || rules.Mode != api.ZoneModeAuto || !rules.ColdStart || without.Has(SmallStart) {
 		return false
 	}
 	since := uint64(0)
@@ -567,12 +567,12 @@
 		return false
 	}
 	z.Bore, z.Had = bore, in
-	op := &Op{Share: max(1, rules.First)}
+	op := &Op{Share: max(1, rules.InitialShare)}
 	op.Ceiling, op.Dials = z.bears(op.Share, in)
 	s.take(z, f, Returning, op)
 	z.Cause = "restart"
 	z.event(f.Clock, s.Epoch, nil, "%d of %d nodes began within %d s: returns at %d of %d, %.0f runs a second at most; its services "+
-		"bore %.0f, %.1f under way, %.0f ms a call", young, in, recovery.Span/1000, z.Share, api.Whole, z.Ceiling, bore.Runs,
+		"bore %.0f, %.1f under way, %.0f ms a call", young, in, recovery.Span/1000, z.Share, api.FullShare, z.Ceiling, bore.Runs,
 		bore.Flight, bore.CallMS)
 	return true
 }
@@ -594,14 +594,14 @@
 		}
 		z.Step, z.Share, z.Worth, z.Epoch, z.Since, z.Cause, z.By = Out, 0, 0, s.Epoch, f.Clock, "restored", ""
 		z.Ceiling, z.Dials, z.Parts, z.Was, z.Drill, z.Back = 0, 0, nil, nil, 0, f.Clock
-		z.event(f.Clock, s.Epoch, nil, "the group was restored; its nodes took %d of %d: out, and returns", left[n], api.Whole)
+		z.event(f.Clock, s.Epoch, nil, "the group was restored; its nodes took %d of %d: out, and returns", left[n], api.FullShare)
 	}
 	in := 0
 	for _, z := range s.Zones {
 		if (z.Step == Out || z.Step == Leaving) && z.By != "" { // an operator's word holds until he takes it back
 			z.Step, z.Share, z.Ceiling, z.Dials, z.Parts, z.Was, z.Drill = Out, 0, 0, 0, nil, nil, 0
 		} else if z.Step != In && left[z.Name] == 0 && z.Cause != "restored" { // of an older state: nobody was told so any more
-			z.Step, z.Share, z.Ceiling, z.Dials, z.Parts, z.Was = In, api.Whole, 0, 0, nil, nil
+			z.Step, z.Share, z.Ceiling, z.Dials, z.Parts, z.Was = In, api.FullShare, 0, 0, nil, nil
 		}
 	}
 	for _, n := range f.Nodes() {
@@ -611,7 +611,7 @@
 	}
 	if in == 0 { // one is always in: nothing tells which, so all are
 		for _, z := range s.Zones {
-			z.Step, z.Share = In, api.Whole
+			z.Step, z.Share = In, api.FullShare
 		}
 	}
 }
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -146,9 +146,9 @@
 		for ; asked < nodes && at[asked] <= now; asked++ {
 			i := asked
 			name := fmt.Sprintf("n%05d", i)
-			s.Ask(part, api.Ask{Join: api.Join{Name: name, Zone: "z", Nonce: name + "-nonce", Addr: "127.0.0.1:1"}},
-				func(t api.Told, err error) {
-					if err != nil || t.Lease == 0 || i != answered {
+			s.Ask(part, api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: name, Zone: "z", Nonce: name + "-nonce", Addr: "127.0.0.1:1"}},
+				func(t api.HeartbeatResponse, err error) {
+					if err != nil || t.LeaseID == 0 || i != answered {
 						broken = fmt.Sprintf("at %d ms node %d of those that asked was answered (%v), and %d is the next", now, i, err, answered)
 					}
 					answered++
--- a/internal/lab/policy_cases.go
+++ b/internal/lab/policy_cases.go
@@ -242,9 +242,9 @@
 		got(b.ask(http.MethodGet, "/v1/status", nil, &s))
 		var was consensus.Version
 		got(b.ask(http.MethodGet, fmt.Sprintf("/v1/config?version=%d&read=stale", b.force), nil, &was))
-		old := api.Named{Version: was.Number, Hash: was.Hash}
-		says := got(json.Marshal(api.Told{Cluster: s.Cluster, Term: s.Term, Index: s.Applied, Lease: 1 << 30, LeaseMS: 60_000,
-			Need: old.Version, Force: old, Again: 200}))
+		old := api.VersionHash{Version: was.Number, Hash: was.Hash}
+		says := got(json.Marshal(api.HeartbeatResponse{Cluster: s.Cluster, Term: s.Term, Index: s.Applied, LeaseID: 1 << 30, LeaseMS: 60_000,
+			DecidedVersion: old.Version, CommittedVersion: old, NextHeartbeatMS: 200}))
 		c := got(b.change(policy.Propose{}))
 		n.Kill()
 		b.lines(lineFault{says: says}, n)
--- a/internal/lab/policy_crowd.go
+++ b/internal/lab/policy_crowd.go
@@ -178,7 +178,7 @@
 		m.asked.Add(1)
 		raw, _ := json.Marshal(a)
 		try, cancel := context.WithTimeout(ctx, time.Duration(n.HeartbeatTimeout())*time.Millisecond)
-		var told api.Told
+		var told api.HeartbeatResponse
 		err := postJSON(try, m.client, "http://"+n.ControlAddress()+"/v1/nodes", raw, &told)
 		cancel()
 		if err != nil {
--- a/internal/lab/vfleet.go
+++ b/internal/lab/vfleet.go
@@ -86,10 +86,10 @@
 	under  uint64
 	cut    bool // from the group
 	armed  float64
-	busy   uint64    // version being prepared
-	at     api.Named // prepared last
+	busy   uint64          // version being prepared
+	at     api.VersionHash // prepared last
 	gate   *zones.Gate
-	seen   []api.Seen
+	seen   []api.PeerHealth
 	held   bool // not started yet
 }
 
@@ -129,13 +129,13 @@
 	Shed    float64 // node-ms fenced while up and reachable
 	Served  float64
 	done    int
-	bad     map[string]bool // hashes of texts that any trial fails
-	stale   []api.Told      // answers of long ago, as an instance that is behind would give them
+	bad     map[string]bool         // hashes of texts that any trial fails
+	stale   []api.HeartbeatResponse // answers of long ago, as an instance that is behind would give them
 
 	vlost
-	load    func(n *vnode) *api.Tally           // what a node reports of itself; nil: nothing
-	look    func(n *vnode, l api.Look) api.Seen // what it sees of another
-	applied func(end any)                       // hears of each entry's end
+	load    func(n *vnode) *api.LoadReport                   // what a node reports of itself; nil: nothing
+	look    func(n *vnode, l api.ProbeTarget) api.PeerHealth // what it sees of another
+	applied func(end any)                                    // hears of each entry's end
 }
 
 func (w *VFleet) Last() uint64 { return uint64(len(w.texts)) }
@@ -451,7 +451,7 @@
 	if a, no, due := n.m.Heartbeat(now); due {
 		w.Asks++
 		if w.load != nil && n.m.ZoneOrder() != nil {
-			a.Load, a.Seen, n.seen = w.load(n), n.seen, nil
+			a.Load, a.Peers, n.seen = w.load(n), n.seen, nil
 		}
 		n.send(a, no)
 	}
@@ -504,7 +504,7 @@
 }
 
 // send brings an asking to the instance and its answer back, unless either is lost.
-func (n *vnode) send(a api.Ask, no uint64) {
+func (n *vnode) send(a api.HeartbeatRequest, no uint64) {
 	w := n.w
 	to, life := 0, n.life
 	fmt.Sscan(n.m.ControlAddress(), &to)
@@ -515,8 +515,8 @@
 	if n.cut || w.r.Intn(100) < lossy {
 		return
 	}
-	back := func(t api.Told, err error) {
-		if err == nil && t.Lease != 0 && t.LeaseMS == 0 && !w.Calm {
+	back := func(t api.HeartbeatResponse, err error) {
+		if err == nil && t.LeaseID != 0 && t.LeaseMS == 0 && !w.Calm {
 			if len(w.stale) < 64 || w.r.Intn(8) == 0 {
 				w.stale = append(w.stale, t)
 				w.stale = w.stale[max(0, len(w.stale)-64):]
@@ -542,14 +542,14 @@
 				was := n.m.MinVersion()
 				if n.believes(no, t) {
 					n.gate.Order(n.clock(), n.m.ZoneOrder())
-					for _, l := range t.Look {
+					for _, l := range t.ProbeTargets {
 						if w.look == nil {
 							break
 						}
 						n.seen = append(n.seen, w.look(n, l))
 					}
 				}
-				if n.m.MinVersion() > was || n.m.LastSeen().Gen != n.kept.Generation {
+				if n.m.MinVersion() > was || n.m.LastSeen().Generation != n.kept.Generation {
 					n.note()
 				}
 			}
@@ -565,7 +565,7 @@
 			w.hears(n)
 		}
 		if !w.ctl[to].up || w.lead < 0 || !w.ctl[w.lead].up {
-			back(api.Told{}, coordinator.ErrNoLead)
+			back(api.HeartbeatResponse{}, coordinator.ErrNoLead)
 			return
 		}
 		if w.lead == to {
--- a/internal/lab/vlost.go
+++ b/internal/lab/vlost.go
@@ -28,8 +28,8 @@
 	told      bool // an operator has seen that state is lost
 	gathers   bool // who restores it listens in place of an instance
 	heard     map[string]recovery.Kept
-	old       []api.Told // what leaders of generations before would go on saying
-	began     uint64     // the zones' epoch that the present generation began with
+	old       []api.HeartbeatResponse // what leaders of generations before would go on saying
+	began     uint64                  // the zones' epoch that the present generation began with
 
 	Lost, Found, Restored int // losses, those that the group found by itself, and restorings
 }
@@ -165,32 +165,32 @@
 // note keeps on a node's disk what its record has.
 func (n *vnode) note() {
 	t := n.m.LastSeen()
-	n.kept.MinVersion, n.kept.Cluster, n.kept.Generation, n.kept.Term, n.kept.Index = n.m.MinVersion(), n.m.Cluster(), t.Gen, t.Term, t.Index
-	n.kept.EntryChecksum, n.kept.ZoneOrder = t.Sum, n.m.StoredZoneOrder()
+	n.kept.MinVersion, n.kept.Cluster, n.kept.Generation, n.kept.Term, n.kept.Index = n.m.MinVersion(), n.m.Cluster(), t.Generation, t.Term, t.Index
+	n.kept.EntryChecksum, n.kept.ZoneOrder = t.EntryChecksum, n.m.StoredZoneOrder()
 }
 
 // believes gives a node an answer, and holds it to its generation.
-func (n *vnode) believes(no uint64, t api.Told) bool {
-	was := n.m.LastSeen().Gen
+func (n *vnode) believes(no uint64, t api.HeartbeatResponse) bool {
+	was := n.m.LastSeen().Generation
 	if n.m.HandleResponse(n.clock(), no, t) != nil {
 		return false
 	}
-	if now := n.m.LastSeen().Gen; now < was || t.Cluster != "" && max(1, t.Gen) < was {
-		n.w.fail("%s follows generation %d, and knew of %d", n.name, t.Gen, was)
+	if now := n.m.LastSeen().Generation; now < was || t.Cluster != "" && max(1, t.Generation) < was {
+		n.w.fail("%s follows generation %d, and knew of %d", n.name, t.Generation, was)
 	}
 	return true
 }
 
 // ghost is a leader of a generation before, paused meanwhile, that answers nodes at one of the addresses as if nothing was.
-func (w *VFleet) ghost(n *vnode, to int, a *api.Ask) (t api.Told, speaks bool) {
+func (w *VFleet) ghost(n *vnode, to int, a *api.HeartbeatRequest) (t api.HeartbeatResponse, speaks bool) {
 	if len(w.old) == 0 || w.Calm || to != 0 || w.r.Intn(4) != 0 {
 		return t, false
 	}
 	t = w.old[w.r.Intn(len(w.old))]
-	if t.Gen >= n.m.LastSeen().Gen { // who has not heard the later one may follow it: that is what old leases are waited for
+	if t.Generation >= n.m.LastSeen().Generation { // who has not heard the later one may follow it: that is what old leases are waited for
 		return t, false
 	}
-	t.Lease, t.LeaseMS, t.Index = a.Lease, uint64(w.Lease), t.Index+uint64(w.r.Intn(5000))
+	t.LeaseID, t.LeaseMS, t.Index = a.LeaseID, uint64(w.Lease), t.Index+uint64(w.r.Intn(5000))
 	return t, true
 }
 
@@ -235,8 +235,8 @@
 
 // found makes what was found the first state of the next generation.
 func (w *VFleet) found(p *coordinator.Part, found *recovery.Found, folders bool) {
-	w.old = append(w.old, api.Told{Cluster: w.group, Gen: max(1, found.Whose.Gen), Before: w.part.Before, Term: w.term + 1, Index: w.index,
-		Need: w.part.Policy.Need, Force: api.Named{Version: w.part.Policy.Force, Hash: w.part.Policy.Hash}, Clock: w.part.Fleet.Clock})
+	w.old = append(w.old, api.HeartbeatResponse{Cluster: w.group, Generation: max(1, found.Whose.Gen), Predecessors: w.part.Before, Term: w.term + 1, Index: w.index,
+		DecidedVersion: w.part.Policy.Need, CommittedVersion: api.VersionHash{Version: w.part.Policy.Force, Hash: w.part.Policy.Hash}, ClockMS: w.part.Fleet.Clock})
 	if !folders {
 		w.texts, w.hashes, w.index, w.term = nil, nil, 1, 1
 	}
@@ -314,7 +314,7 @@
 		if ok, _ := n.m.MayServe(n.clock()); !ok {
 			continue
 		}
-		o, gen := n.m.ZoneOrder(), n.m.LastSeen().Gen
+		o, gen := n.m.ZoneOrder(), n.m.LastSeen().Generation
 		switch {
 		case gen < w.part.Gen:
 			w.fail("%s serves by generation %d, and epoch %d of %d has settled", n.name, gen, w.part.Zones.Settled, w.part.Gen)
@@ -333,7 +333,7 @@
 	zone := fmt.Sprint("z", w.r.Intn(w.Zones))
 	op := zones.Op{Kind: "leave", Zone: zone, By: "lab", Why: "a drill", Key: fmt.Sprintf("drill-%08.0f", w.now)}
 	if step, _ := w.part.Zones.StepOf(zone); step != zones.In {
-		op.Kind, op.Share = "step", 1+w.r.Intn(api.Whole)
+		op.Kind, op.Share = "step", 1+w.r.Intn(api.FullShare)
 	}
 	w.ctl[w.lead].s.ZoneOp(w.part, op, func(zones.Result, error) {})
 }
--- a/internal/lab/vzones.go
+++ b/internal/lab/vzones.go
@@ -252,12 +252,12 @@
 	if o == nil {
 		return 1
 	}
-	share := float64(o.Share) / api.Whole
-	if o.Worth > 0 {
+	share := float64(o.Share) / api.FullShare
+	if o.PriorityCutoff > 0 {
 		switch {
-		case flowValue[class] < o.Worth:
+		case flowValue[class] < o.PriorityCutoff:
 			return 1
-		case flowValue[class] > o.Worth:
+		case flowValue[class] > o.PriorityCutoff:
 			return 0
 		}
 	}
@@ -310,12 +310,12 @@
 			z.pick[c] += picks(o, c)
 		}
 		if o != nil {
-			z.rate += o.Rate
-			if z.capped = z.capped || o.Capped; !o.Capped {
+			z.rate += o.RateLimit
+			if z.capped = z.capped || o.RateLimited; !o.RateLimited {
 				z.free++
 			}
-			z.retry += float64(o.Retry) / api.Whole
-			if o.Retry == 0 {
+			z.retry += float64(o.RetryBudget) / api.FullShare
+			if o.RetryBudget == 0 {
 				z.retry += 1e9
 			}
 		} else {
@@ -389,7 +389,7 @@
 		}
 		for i := range flowPlaces {
 			place := s.pick[c] + (1-s.pick[c])*(float64(i)+0.5)/flowPlaces
-			wait(k, c, n/flowPlaces, s.gate.Back(s.clock, zones.Asked{Hash: uint32(place*api.Whole) << 16}))
+			wait(k, c, n/flowPlaces, s.gate.Back(s.clock, zones.Asked{Hash: uint32(place*api.FullShare) << 16}))
 		}
 	}
 	if v.Oracle {
@@ -529,7 +529,7 @@
 		v.Plot[0].Points = append(v.Plot[0].Points, [2]float64{at, done / max(total, 1)})
 		v.Plot[1].Points = append(v.Plot[1].Points, [2]float64{at, v.below[0].asked / max(v.below[0].bears, 1)})
 		_, share := v.f.part.Zones.StepOf("z0")
-		v.Plot[2].Points = append(v.Plot[2].Points, [2]float64{at, float64(share) / api.Whole})
+		v.Plot[2].Points = append(v.Plot[2].Points, [2]float64{at, float64(share) / api.FullShare})
 	}
 	if v.Own {
 		v.own()
--- a/internal/lab/vzones_check.go
+++ b/internal/lab/vzones_check.go
@@ -25,8 +25,8 @@
 		sum := 0.0
 		for _, n := range v.f.nodes {
 			if n.up && n.serves {
-				if o := n.m.ZoneOrder(); o != nil && o.Capped {
-					sum += o.Rate
+				if o := n.m.ZoneOrder(); o != nil && o.RateLimited {
+					sum += o.RateLimit
 				}
 			}
 		}
@@ -56,8 +56,8 @@
 			if n.zone != z || !n.up || !n.serves {
 				continue
 			}
-			if o := n.m.ZoneOrder(); o != nil && o.Capped && o.Share > 0 { // of none it takes none, as where its zone is out
-				sum += o.Rate
+			if o := n.m.ZoneOrder(); o != nil && o.RateLimited && o.Share > 0 { // of none it takes none, as where its zone is out
+				sum += o.RateLimit
 			}
 		}
 		if sum > most*1.001+1e-6 {
--- a/internal/lab/vzones_report.go
+++ b/internal/lab/vzones_report.go
@@ -10,7 +10,7 @@
 )
 
 // report is what a node tells of itself.
-func (v *VZones) report(n *vnode) *api.Tally {
+func (v *VZones) report(n *vnode) *api.LoadReport {
 	b := v.below[n.zone]
 	r, w := &b.rate, v.f
 	nodes := v.upIn[n.zone]
@@ -26,23 +26,23 @@
 		x = 2 * x / max(nodes, 1) * math.Exp(spread*w.r.NormFloat64())
 		return int(x + w.r.Float64())
 	}
-	l := &api.Tally{MS: 2000, Kernel: !(v.failing && v.kind(n.zone) == ZoneKernels), Cores: 4,
-		OnCores: 4 * r.util * math.Exp(spread*0.5*w.r.NormFloat64()), RunMS: r.runMS * math.Exp(spread*w.r.NormFloat64()),
-		Came: count(r.came), Again: count(r.again), Turned: count(r.turned), Done: count(r.done), Late: count(r.late), Errored: count(r.errored),
-		Shed: count(r.shed), Runs: count(r.runs), Worth: 2 * r.worth / max(nodes, 1), Got: 2 * r.got / max(nodes, 1),
-		Calls: count(r.runs), CallMS: r.runMS * 0.8 * math.Exp(spread*w.r.NormFloat64()), Out: int((b.queue + r.runs*r.runMS/1000) / max(nodes, 1))}
-	if l.OnCores > 4 {
-		l.OnCores = 4
+	l := &api.LoadReport{WindowMS: 2000, KernelConnected: !(v.failing && v.kind(n.zone) == ZoneKernels), Cores: 4,
+		CoresUsed: 4 * r.util * math.Exp(spread*0.5*w.r.NormFloat64()), MeanRunMS: r.runMS * math.Exp(spread*w.r.NormFloat64()),
+		Arrived: count(r.came), Retries: count(r.again), RejectedByZone: count(r.turned), Completed: count(r.done), Late: count(r.late), Failed: count(r.errored),
+		Shed: count(r.shed), RunsEnded: count(r.runs), OfferedWeight: 2 * r.worth / max(nodes, 1), CompletedWeight: 2 * r.got / max(nodes, 1),
+		Calls: count(r.runs), MeanCallMS: r.runMS * 0.8 * math.Exp(spread*w.r.NormFloat64()), RunsInFlight: int((b.queue + r.runs*r.runMS/1000) / max(nodes, 1))}
+	if l.CoresUsed > 4 {
+		l.CoresUsed = 4
 	}
 	for c := range flowShare {
-		l.Mix = append(l.Mix, api.Worth{Value: flowValue[c], Came: count((r.came - r.again) * flowShare[c])})
+		l.ArrivedByWeight = append(l.ArrivedByWeight, api.PriorityCount{Weight: flowValue[c], Arrived: count((r.came - r.again) * flowShare[c])})
 	}
 	if v.failing {
 		bad := v.kind(n.zone) == ZoneBadNode && n.name == v.firstOf(n.zone) ||
 			v.kind(n.zone) == ZoneLies && w.numberOf(n)%5 < 2
 		if bad {
-			l.Kernel = false
-			l.Done, l.Late = 0, l.Done
+			l.KernelConnected = false
+			l.Completed, l.Late = 0, l.Completed
 		}
 	}
 	return l
@@ -63,20 +63,20 @@
 }
 
 // seen is what one node sees of another.
-func (v *VZones) seen(n *vnode, l api.Look) api.Seen {
+func (v *VZones) seen(n *vnode, l api.ProbeTarget) api.PeerHealth {
 	for _, o := range v.f.nodes {
 		if o.name != l.Name {
 			continue
 		}
 		switch {
 		case !o.up:
-			return api.Seen{Name: l.Name, Is: api.SeenSilent}
+			return api.PeerHealth{Name: l.Name, Health: api.PeerSilent}
 		case !o.serves || o.gate.Out():
-			return api.Seen{Name: l.Name, Is: api.SeenSheds}
+			return api.PeerHealth{Name: l.Name, Health: api.PeerShedding}
 		}
-		return api.Seen{Name: l.Name, Is: api.SeenServes}
+		return api.PeerHealth{Name: l.Name, Health: api.PeerServing}
 	}
-	return api.Seen{Name: l.Name, Is: api.SeenSilent}
+	return api.PeerHealth{Name: l.Name, Health: api.PeerSilent}
 }
 
 // own is the baseline in which each node judges for itself: sick for two seconds, it is not ready for five.
--- a/internal/node/agent/member.go
+++ b/internal/node/agent/member.go
@@ -85,10 +85,10 @@
 	until   uint64 // it may act on the lease before then
 	length  uint64 // of the lease
 	floor   uint64 // nothing older may be served under
-	force   api.Named
-	next    api.Named // being prepared
-	cur     uint64    // served under
-	alone   bool      // cur's rule
+	force   api.VersionHash
+	next    api.VersionHash // being prepared
+	cur     uint64          // served under
+	alone   bool            // cur's rule
 	zone    *api.ZoneOrder
 	foreign bool   // zone is of an earlier generation: acted on, and its epoch means nothing here
 	due     uint64 // when to ask next
@@ -102,10 +102,10 @@
 	born    uint64
 	met     bool // the group was heard in this life
 	start   bool // may begin alone by its record
-	kept    api.Named
-	told    api.Heard // where the group stood when it was heard last
-	hash    string    // of cur
-	gather  bool      // whoever answered restores the group, and asks what this node holds
+	kept    api.VersionHash
+	told    api.GroupPosition // where the group stood when it was heard last
+	hash    string            // of cur
+	gather  bool              // whoever answered restores the group, and asks what this node holds
 
 	ready   map[uint64]string // versions that can be taken over, with their hashes; two at most
 	refused uint64
@@ -124,16 +124,16 @@
 	m.at = int(m.draw() % uint32(max(1, len(m.ctl)))) // so that a fleet does not begin at one
 	if kept != nil {
 		m.cluster, m.floor, m.zone, m.gen = kept.Cluster, kept.MinVersion, kept.ZoneOrder, max(1, kept.Generation)
-		m.told = api.Heard{Group: m.cluster, Gen: m.gen, Term: kept.Term, Index: kept.Index, Sum: kept.EntryChecksum}
+		m.told = api.GroupPosition{Group: m.cluster, Generation: m.gen, Term: kept.Term, Index: kept.Index, EntryChecksum: kept.EntryChecksum}
 		if kept.ActiveVersion > 0 {
-			m.kept = api.Named{Version: kept.ActiveVersion, Hash: kept.ActiveHash}
+			m.kept = api.VersionHash{Version: kept.ActiveVersion, Hash: kept.ActiveHash}
 			m.ready[kept.ActiveVersion] = kept.ActiveHash
 			m.start = kept.ActiveAutonomous
 		}
 		// Decided and prepared, and killed before it was noted as taken over: in force, as a change under a policy that
 		// lets nodes go on alone is never held.
 		if kept.PreparedVersion > kept.ActiveVersion && kept.PreparedVersion == kept.MinVersion && (kept.ActiveAutonomous || kept.ActiveVersion == 0) {
-			m.kept, m.start = api.Named{Version: kept.PreparedVersion, Hash: kept.PreparedHash}, kept.PreparedAutonomous
+			m.kept, m.start = api.VersionHash{Version: kept.PreparedVersion, Hash: kept.PreparedHash}, kept.PreparedAutonomous
 		}
 		if kept.PreparedVersion > kept.ActiveVersion {
 			m.ready[kept.PreparedVersion] = kept.PreparedHash
@@ -194,7 +194,7 @@
 func (m *Agent) GroupContacted() bool { return m.met }
 
 // LastSeen gives where the group stood when it was heard last.
-func (m *Agent) LastSeen() api.Heard { return m.told }
+func (m *Agent) LastSeen() api.GroupPosition { return m.told }
 
 // TakeRecordRequest tells, once, that whoever was asked last restores the group and wants to know what this node holds.
 func (m *Agent) TakeRecordRequest() bool {
@@ -256,34 +256,34 @@
 }
 
 // Heartbeat gives what is to be sent now to Address, if anything is due, and its number.
-func (m *Agent) Heartbeat(now uint64) (a api.Ask, no uint64, due bool) {
+func (m *Agent) Heartbeat(now uint64) (a api.HeartbeatRequest, no uint64, due bool) {
 	if m.asking || m.left || len(m.ctl) == 0 || now < m.NextHeartbeat() {
 		return a, 0, false
 	}
 	m.asking, m.sent, m.asked = true, now, m.ControlAddress()
 	m.askNo++
-	a = api.Ask{Join: api.Join{Name: m.plan.Name, Zone: m.plan.Zone, Addr: m.plan.Address, Nonce: m.nonce(),
-		Up: max(1, now-m.born)},
-		Lease: m.lease, Echo: m.echo, Floor: m.floor, Serves: m.cur, Refused: m.refused, Why: m.why,
-		Zones: m.epoch()}
+	a = api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: m.plan.Name, Zone: m.plan.Zone, Addr: m.plan.Address, Nonce: m.nonce(),
+		UptimeMS: max(1, now-m.born)},
+		LeaseID: m.lease, LastClockMS: m.echo, MinVersion: m.floor, ActiveVersion: m.cur, RefusedVersion: m.refused, RefusedReason: m.why,
+		MinZoneEpoch: m.epoch()}
 	if m.told.Group != "" {
 		h := m.told
-		h.Hash = m.hash
-		a.Heard = &h
+		h.ActiveHash = m.hash
+		a.LastSeen = &h
 	}
 	if m.next.Version != 0 && m.has(m.next) { // by its hash: a group that lost state may give the number to another text
-		a.Prepared = m.next.Version
+		a.PreparedVersion = m.next.Version
 	}
 	if ok, why := m.MayServe(now); !ok {
 		a.Fenced = why
 	}
 	switch {
 	case m.bye:
-		a.Bye, a.Renew = true, false
+		a.Leave, a.Renew = true, false
 	case m.lease != 0 && now >= m.renewAt:
 		a.Renew = true
 	}
-	m.renews, m.byes = a.Renew || m.lease == 0, a.Bye
+	m.renews, m.byes = a.Renew || m.lease == 0, a.Leave
 	return a, m.askNo, true
 }
 
@@ -291,12 +291,12 @@
 
 // HandleResponse takes the answer to an asking. An error says why it was not believed. One that comes after its asking was
 // given up is not looked at: what it grants runs from a sending that is not the last one's.
-func (m *Agent) HandleResponse(now, no uint64, t api.Told) error {
+func (m *Agent) HandleResponse(now, no uint64, t api.HeartbeatResponse) error {
 	if !m.asking || no != m.askNo {
 		return nil
 	}
 	m.asking = false
-	if t.Gather {
+	if t.CollectRecord {
 		m.gather = true
 		m.leave(now, 0)
 		return nil
@@ -308,55 +308,55 @@
 	newer := t.Cluster != m.cluster && m.cluster != ""
 	if newer { // a later generation of the group
 		// The lease of the one before may be acted on for the rest of its time, as the group that is restored waits for.
-		m.lease, m.foreign, m.next, m.force = 0, true, api.Named{}, api.Named{}
+		m.lease, m.foreign, m.next, m.force = 0, true, api.VersionHash{}, api.VersionHash{}
 		m.starts++
 		m.refused, m.why, m.never = 0, "", false
 	}
 	if m.cluster != t.Cluster { // also the first that it hears of
-		m.gen = max(1, t.Gen)
+		m.gen = max(1, t.Generation)
 	}
 	was, wasEpoch := m.floor, m.epoch()
 	m.ctl[m.at].wait, m.ctl[m.at].again = 0, 0
-	m.cluster, m.term, m.index, m.echo, m.met = t.Cluster, t.Term, t.Index, t.Clock, true
-	m.told = api.Heard{Group: t.Cluster, Gen: m.gen, Term: t.Term, Index: t.Index, Sum: t.Sum}
+	m.cluster, m.term, m.index, m.echo, m.met = t.Cluster, t.Term, t.Index, t.ClockMS, true
+	m.told = api.GroupPosition{Group: t.Cluster, Generation: m.gen, Term: t.Term, Index: t.Index, EntryChecksum: t.EntryChecksum}
 	if !m.plan.DisabledGuards.Has(policy.NoWayBack) {
-		m.floor = max(m.floor, t.Need)
+		m.floor = max(m.floor, t.DecidedVersion)
 	}
-	if t.Force.Version >= m.force.Version || m.plan.DisabledGuards.Has(policy.NoWayBack) {
-		m.force = t.Force
+	if t.CommittedVersion.Version >= m.force.Version || m.plan.DisabledGuards.Has(policy.NoWayBack) {
+		m.force = t.CommittedVersion
 	}
-	if t.Zone != nil || t.Lease != 0 {
+	if t.Zone != nil || t.LeaseID != 0 {
 		m.zone, m.foreign = t.Zone, false
 	}
-	if m.next != t.Prepare {
-		m.next = t.Prepare
-		if m.refused != t.Prepare.Version {
+	if m.next != t.PrepareVersion {
+		m.next = t.PrepareVersion
+		if m.refused != t.PrepareVersion.Version {
 			m.refused, m.why, m.never = 0, "", false
 		}
 	}
 	if m.cur == m.force.Version {
-		m.alone = t.Alone
+		m.alone = t.Autonomous
 	}
-	m.due = now + max(askLeast, t.Again) + uint64(m.draw())%max(1, t.Again/8)
+	m.due = now + max(askLeast, t.NextHeartbeatMS) + uint64(m.draw())%max(1, t.NextHeartbeatMS/8)
 	switch {
-	case m.bye && (m.byes || t.Gone != ""):
+	case m.bye && (m.byes || t.EndedReason != ""):
 		m.lease, m.until, m.left = 0, 0, true
-	case t.Gone != "":
+	case t.EndedReason != "":
 		// Begun anew: what this incarnation was told about time counts no more, but for the rest of an earlier generation's.
-		if m.lease != 0 || t.Wait == 0 {
+		if m.lease != 0 || t.RetryAfterMS == 0 {
 			m.starts++
 		}
 		if !newer && !m.handed(now) {
 			m.until = 0
 		}
 		m.lease = 0
-		m.due = now + max(askLeast, t.Wait)
+		m.due = now + max(askLeast, t.RetryAfterMS)
 	case t.LeaseMS > 0:
-		m.lease, m.length = t.Lease, t.LeaseMS
+		m.lease, m.length = t.LeaseID, t.LeaseMS
 		m.until = m.sent + t.LeaseMS // a policy with a shorter lease takes time back at once
 		m.renewAt = m.sent + t.LeaseMS/4
-	case t.Lease != 0 && m.lease == 0: // taken in, but without time: what it asks next brings some
-		m.lease = t.Lease
+	case t.LeaseID != 0 && m.lease == 0: // taken in, but without time: what it asks next brings some
+		m.lease = t.LeaseID
 	}
 	if m.bye {
 		m.due = min(m.due, now+askLeast)
@@ -378,20 +378,20 @@
 
 // doubt tells what is wrong with an answer: from an instance that is behind what was seen, which may catch up, or
 // from another group or at odds with itself, which is a lie.
-func (m *Agent) doubt(t *api.Told) (err error, lies bool) {
+func (m *Agent) doubt(t *api.HeartbeatResponse) (err error, lies bool) {
 	back := m.plan.DisabledGuards.Has(policy.NoWayBack)
-	of := recovery.Whose{Group: t.Cluster, Gen: max(1, t.Gen), Before: t.Before}
+	of := recovery.Whose{Group: t.Cluster, Gen: max(1, t.Generation), Before: t.Predecessors}
 	switch {
 	case t.Cluster == "":
 		return fmt.Errorf("an answer without a group"), true
-	case t.Force.Version > t.Need:
-		return fmt.Errorf("an answer with version %d in force and %d decided", t.Force.Version, t.Need), true
+	case t.CommittedVersion.Version > t.DecidedVersion:
+		return fmt.Errorf("an answer with version %d in force and %d decided", t.CommittedVersion.Version, t.DecidedVersion), true
 	case m.cluster != "" && t.Cluster != m.cluster && !of.After(m.cluster, m.gen) && !m.plan.DisabledGuards.Has(policy.Generation):
 		return fmt.Errorf("an answer of group %.16s in generation %d, expected %.16s in %d", t.Cluster, of.Gen, m.cluster,
 			m.gen), true
-	case m.cluster != "" && t.Cluster != m.cluster && t.Need < m.floor && !back:
+	case m.cluster != "" && t.Cluster != m.cluster && t.DecidedVersion < m.floor && !back:
 		return fmt.Errorf("generation %d of the group has version %d decided, expected %d at least: it was restored without what "+
-			"this node was told", of.Gen, t.Need, m.floor), false
+			"this node was told", of.Gen, t.DecidedVersion, m.floor), false
 	case m.cluster != "" && t.Cluster != m.cluster:
 		return nil, false
 	case t.Term < m.term || t.Index < m.index && !back:
@@ -399,8 +399,8 @@
 			m.index), false
 	case t.Zone != nil && t.Zone.Epoch < m.epoch():
 		return fmt.Errorf("an answer with epoch %d of the zones, expected %d at least", t.Zone.Epoch, m.epoch()), false
-	case t.Need < m.floor && !back:
-		return fmt.Errorf("an answer with version %d decided, expected %d at least", t.Need, m.floor), false
+	case t.DecidedVersion < m.floor && !back:
+		return fmt.Errorf("an answer with version %d decided, expected %d at least", t.DecidedVersion, m.floor), false
 	}
 	return nil, false
 }
@@ -431,20 +431,20 @@
 
 // VersionToFetch gives the version whose text is needed now, with its hash; decided tells that it has to be taken whatever
 // its trial says.
-func (m *Agent) VersionToFetch() (v api.Named, decided, ok bool) {
+func (m *Agent) VersionToFetch() (v api.VersionHash, decided, ok bool) {
 	if m.force.Version > m.cur && !m.has(m.force) && !(m.never && m.refused == m.force.Version) {
 		return m.force, true, true
 	}
 	if m.next.Version > m.cur && !m.has(m.next) && m.refused != m.next.Version {
 		return m.next, false, true
 	}
-	return api.Named{}, false, false
+	return api.VersionHash{}, false, false
 }
 
-func (m *Agent) has(v api.Named) bool { return m.ready[v.Version] == v.Hash && v.Hash != "" }
+func (m *Agent) has(v api.VersionHash) bool { return m.ready[v.Version] == v.Hash && v.Hash != "" }
 
 // MarkPrepared tells that a version was checked, tried and kept.
-func (m *Agent) MarkPrepared(now uint64, v api.Named) {
+func (m *Agent) MarkPrepared(now uint64, v api.VersionHash) {
 	m.ready[v.Version] = v.Hash
 	m.due = min(m.due, now)
 	m.prune()
@@ -457,18 +457,18 @@
 }
 
 // VersionToActivate gives the version to be taken over now, if there is one: in force, prepared, and newer than what is served.
-func (m *Agent) VersionToActivate(now uint64) (v api.Named, ok bool) {
+func (m *Agent) VersionToActivate(now uint64) (v api.VersionHash, ok bool) {
 	if m.start && !m.met && m.cur == 0 && now >= m.born+aloneAfter && m.kept.Version >= m.floor {
 		return m.kept, true
 	}
 	if (m.force.Version > m.cur || m.plan.DisabledGuards.Has(policy.NoWayBack) && m.force.Version != m.cur) && m.has(m.force) {
 		return m.force, true
 	}
-	return api.Named{}, false
+	return api.VersionHash{}, false
 }
 
 // MarkActive tells that the loop serves under a version from now on.
-func (m *Agent) MarkActive(now uint64, v api.Named, alone bool) {
+func (m *Agent) MarkActive(now uint64, v api.VersionHash, alone bool) {
 	m.cur, m.alone, m.hash = v.Version, alone, v.Hash
 	m.floor = max(m.floor, v.Version)
 	m.due = min(m.due, now)
--- a/internal/node/agent/member_test.go
+++ b/internal/node/agent/member_test.go
@@ -14,7 +14,7 @@
 	*testing.T
 	m   *Agent
 	now uint64
-	ask api.Ask
+	ask api.HeartbeatRequest
 	no  uint64
 }
 
@@ -37,7 +37,7 @@
 	d.Fatal("nothing was asked within 70 s")
 }
 
-func (d *drive) told(t api.Told) error {
+func (d *drive) told(t api.HeartbeatResponse) error {
 	d.Helper()
 	if t.Cluster == "" {
 		t.Cluster = "g"
@@ -50,8 +50,8 @@
 func (d *drive) joined(version uint64, alone bool) {
 	d.Helper()
 	d.asks()
-	v := api.Named{Version: version, Hash: fmt.Sprint("h", version)}
-	if err := d.told(api.Told{Lease: 5, LeaseMS: 4000, Need: version, Force: v, Alone: alone, Index: 10, Again: 1000}); err != nil {
+	v := api.VersionHash{Version: version, Hash: fmt.Sprint("h", version)}
+	if err := d.told(api.HeartbeatResponse{LeaseID: 5, LeaseMS: 4000, DecidedVersion: version, CommittedVersion: v, Autonomous: alone, Index: 10, NextHeartbeatMS: 1000}); err != nil {
 		d.Fatal(err)
 	}
 	if version > 0 {
@@ -61,7 +61,7 @@
 
 func (d *drive) takes(version uint64, alone bool) {
 	d.Helper()
-	v := api.Named{Version: version, Hash: fmt.Sprint("h", version)}
+	v := api.VersionHash{Version: version, Hash: fmt.Sprint("h", version)}
 	if w, _, ok := d.m.VersionToFetch(); !ok || w != v {
 		d.Fatalf("wants %v %v, expected %v", w, ok, v)
 	}
@@ -86,7 +86,7 @@
 	d.asks()
 	sent := d.now
 	d.now += 700
-	d.told(api.Told{Lease: 5, LeaseMS: 4000, Index: 1, Again: 1000})
+	d.told(api.HeartbeatResponse{LeaseID: 5, LeaseMS: 4000, Index: 1, NextHeartbeatMS: 1000})
 	d.serves(true, "")
 	d.now = sent + 3999
 	d.serves(true, "")
@@ -97,7 +97,7 @@
 	d.m.HandleFailure(d.now, d.no)
 	late := d.no
 	d.asks()
-	if err := d.m.HandleResponse(d.now, late, api.Told{Cluster: "g", Term: 1, Index: 2, Lease: 5, LeaseMS: 4000}); err != nil {
+	if err := d.m.HandleResponse(d.now, late, api.HeartbeatResponse{Cluster: "g", Term: 1, Index: 2, LeaseID: 5, LeaseMS: 4000}); err != nil {
 		t.Fatal(err)
 	}
 	d.serves(false, "run out") // the answer to an asking that was given up
@@ -110,13 +110,13 @@
 	d.joined(1, false)
 	d.serves(true, "")
 	d.asks()
-	d.told(api.Told{Lease: 5, Need: 2, Force: api.Named{Version: 1, Hash: "h1"}, Index: 11, Again: 1000}) // held
+	d.told(api.HeartbeatResponse{LeaseID: 5, DecidedVersion: 2, CommittedVersion: api.VersionHash{Version: 1, Hash: "h1"}, Index: 11, NextHeartbeatMS: 1000}) // held
 	d.serves(false, "version 2 is decided")
 	d.asks()
-	if d.ask.Floor != 2 || !strings.Contains(d.ask.Fenced, "decided") {
+	if d.ask.MinVersion != 2 || !strings.Contains(d.ask.Fenced, "decided") {
 		t.Errorf("it asks with %+v, expected the promise of version 2", d.ask)
 	}
-	d.told(api.Told{Lease: 5, LeaseMS: 4000, Need: 2, Force: api.Named{Version: 2, Hash: "h2"}, Index: 12, Again: 1000})
+	d.told(api.HeartbeatResponse{LeaseID: 5, LeaseMS: 4000, DecidedVersion: 2, CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}, Index: 12, NextHeartbeatMS: 1000})
 	d.takes(2, false)
 	d.serves(true, "")
 }
@@ -125,14 +125,14 @@
 // changes nothing.
 func TestWhomItBelieves(t *testing.T) {
 	for what, c := range map[string]struct {
-		t    api.Told
+		t    api.HeartbeatResponse
 		back uint64 // it is not asked again sooner
 	}{
-		"behind in its log":      {api.Told{Index: 9, Need: 3, Force: api.Named{Version: 3}}, 0},
-		"of another group":       {api.Told{Cluster: "other", Index: 99, Need: 7, Force: api.Named{Version: 7}}, lieBack / 2},
-		"in force, not decided":  {api.Told{Index: 99, Need: 3, Force: api.Named{Version: 4}}, lieBack / 2},
-		"an older one decided":   {api.Told{Index: 99, Need: 2, Force: api.Named{Version: 2}}, 0},
-		"without a group at all": {api.Told{Cluster: " ", Index: 99, Need: 3}, 0},
+		"behind in its log":      {api.HeartbeatResponse{Index: 9, DecidedVersion: 3, CommittedVersion: api.VersionHash{Version: 3}}, 0},
+		"of another group":       {api.HeartbeatResponse{Cluster: "other", Index: 99, DecidedVersion: 7, CommittedVersion: api.VersionHash{Version: 7}}, lieBack / 2},
+		"in force, not decided":  {api.HeartbeatResponse{Index: 99, DecidedVersion: 3, CommittedVersion: api.VersionHash{Version: 4}}, lieBack / 2},
+		"an older one decided":   {api.HeartbeatResponse{Index: 99, DecidedVersion: 2, CommittedVersion: api.VersionHash{Version: 2}}, 0},
+		"without a group at all": {api.HeartbeatResponse{Cluster: " ", Index: 99, DecidedVersion: 3}, 0},
 	} {
 		d := begin(t, nil, 0)
 		d.joined(3, false)
@@ -218,7 +218,7 @@
 			t.Errorf("%s: it does not say that it is alone", what)
 		}
 		d.asks()
-		d.told(api.Told{Lease: 5, LeaseMS: 4000, Need: 4, Force: api.Named{Version: 4, Hash: "h4"}, Index: 1})
+		d.told(api.HeartbeatResponse{LeaseID: 5, LeaseMS: 4000, DecidedVersion: 4, CommittedVersion: api.VersionHash{Version: 4, Hash: "h4"}, Index: 1})
 		d.serves(false, "version 4 is decided")
 	}
 }
@@ -229,13 +229,13 @@
 	d.joined(1, false)
 	d.asks()
 	d.m.Leave(d.now)
-	d.told(api.Told{Lease: 5, LeaseMS: 4000, Need: 1, Force: api.Named{Version: 1, Hash: "h1"}, Index: 11, Again: 1000})
+	d.told(api.HeartbeatResponse{LeaseID: 5, LeaseMS: 4000, DecidedVersion: 1, CommittedVersion: api.VersionHash{Version: 1, Hash: "h1"}, Index: 11, NextHeartbeatMS: 1000})
 	before := d.now
 	d.asks()
-	if !d.ask.Bye || d.now-before > 200 {
+	if !d.ask.Leave || d.now-before > 200 {
 		t.Fatalf("after %d ms it asks %+v, expected its goodbye", d.now-before, d.ask)
 	}
-	d.told(api.Told{Lease: 5, Need: 1, Force: api.Named{Version: 1, Hash: "h1"}, Index: 12, Again: 1000})
+	d.told(api.HeartbeatResponse{LeaseID: 5, DecidedVersion: 1, CommittedVersion: api.VersionHash{Version: 1, Hash: "h1"}, Index: 12, NextHeartbeatMS: 1000})
 	for end := d.now + 20_000; d.now < end; d.now += 50 {
 		if a, _, due := d.m.Heartbeat(d.now); due {
 			t.Fatalf("after its goodbye it asks %+v", a)
@@ -246,14 +246,14 @@
 // TestGenerations: a node goes by the newest generation of its group that it knows, serves on under what is left of its
 // lease until that takes it in, and never goes back to an older one, nor to an older version with a newer one.
 func TestGenerations(t *testing.T) {
-	second := func(need uint64) api.Told {
-		v := api.Named{Version: need, Hash: fmt.Sprint("h", need)}
-		return api.Told{Cluster: "g2", Gen: 2, Before: []string{"g"}, Need: need, Force: v, Index: 3, Again: 1000}
+	second := func(need uint64) api.HeartbeatResponse {
+		v := api.VersionHash{Version: need, Hash: fmt.Sprint("h", need)}
+		return api.HeartbeatResponse{Cluster: "g2", Generation: 2, Predecessors: []string{"g"}, DecidedVersion: need, CommittedVersion: v, Index: 3, NextHeartbeatMS: 1000}
 	}
 	d := begin(t, nil, 0)
 	d.joined(2, false)
 	d.asks()
-	if h := d.ask.Heard; h == nil || h.Group != "g" || h.Gen != 1 || h.Index != 10 || h.Hash != "h2" {
+	if h := d.ask.LastSeen; h == nil || h.Group != "g" || h.Generation != 1 || h.Index != 10 || h.ActiveHash != "h2" {
 		t.Fatalf("it asks with %+v, expected where the group stood", h)
 	}
 	// One that was restored from before version 2 is not followed, and may catch up.
@@ -266,7 +266,7 @@
 	d.asks()
 	d.m.zone = &api.ZoneOrder{Epoch: 90, Share: 32}
 	one := second(2)
-	one.Gone = "its lease is of another generation"
+	one.EndedReason = "its lease is of another generation"
 	if err := d.told(one); err != nil {
 		t.Fatal(err)
 	}
@@ -279,17 +279,17 @@
 	}
 	until := d.m.LeaseExpiry()
 	d.asks()
-	if d.ask.Zones != 0 {
-		t.Fatalf("it promises epoch %d of an earlier generation", d.ask.Zones)
+	if d.ask.MinZoneEpoch != 0 {
+		t.Fatalf("it promises epoch %d of an earlier generation", d.ask.MinZoneEpoch)
 	}
-	if d.ask.Lease != 0 || d.ask.Heard.Group != "g2" || d.ask.Heard.Gen != 2 {
+	if d.ask.LeaseID != 0 || d.ask.LastSeen.Group != "g2" || d.ask.LastSeen.Generation != 2 {
 		t.Fatalf("it asks %+v, expected to join the new one", d.ask)
 	}
 	if ok, _ := d.m.MayServe(until); ok {
 		t.Fatal("it serves past the end of the old lease")
 	}
 	one = second(2)
-	one.Lease, one.LeaseMS, one.Zone = 9, 4000, &api.ZoneOrder{Epoch: 3, Share: 256}
+	one.LeaseID, one.LeaseMS, one.Zone = 9, 4000, &api.ZoneOrder{Epoch: 3, Share: 256}
 	if err := d.told(one); err != nil {
 		t.Fatal(err)
 	}
@@ -297,10 +297,10 @@
 		t.Fatal("it is in and does not serve")
 	}
 	// The old generation goes on, far ahead: nobody follows it. A sibling of the new one neither.
-	for what, told := range map[string]api.Told{
-		"the old one": {Cluster: "g", Gen: 1, Term: 90, Index: 9000, Need: 2, Force: api.Named{Version: 2, Hash: "h2"}},
-		"a sibling":   {Cluster: "g7", Gen: 2, Before: []string{"g"}, Need: 2, Force: api.Named{Version: 2, Hash: "h2"}},
-		"a stranger":  {Cluster: "g8", Gen: 3, Before: []string{"g7"}, Need: 2, Force: api.Named{Version: 2, Hash: "h2"}}} {
+	for what, told := range map[string]api.HeartbeatResponse{
+		"the old one": {Cluster: "g", Generation: 1, Term: 90, Index: 9000, DecidedVersion: 2, CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}},
+		"a sibling":   {Cluster: "g7", Generation: 2, Predecessors: []string{"g"}, DecidedVersion: 2, CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}},
+		"a stranger":  {Cluster: "g8", Generation: 3, Predecessors: []string{"g7"}, DecidedVersion: 2, CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}}} {
 		d.asks()
 		if err := d.told(told); err == nil {
 			t.Errorf("it follows %s", what)
@@ -309,15 +309,15 @@
 	// Over a restart it is remembered.
 	d = begin(t, &Record{Cluster: "g2", Generation: 2, ActiveVersion: 2, ActiveHash: "h2", MinVersion: 2, Term: 4, Index: 77}, 0)
 	d.asks()
-	if h := d.ask.Heard; h == nil || h.Gen != 2 || h.Index != 77 {
+	if h := d.ask.LastSeen; h == nil || h.Generation != 2 || h.Index != 77 {
 		t.Fatalf("after a restart it asks with %+v", h)
 	}
-	if err := d.told(api.Told{Cluster: "g", Gen: 1, Index: 9000, Need: 2, Force: api.Named{Version: 2, Hash: "h2"}}); err == nil {
+	if err := d.told(api.HeartbeatResponse{Cluster: "g", Generation: 1, Index: 9000, DecidedVersion: 2, CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}}); err == nil {
 		t.Error("after a restart it follows the old generation")
 	}
 	without := begin(t, &Record{Cluster: "g2", Generation: 2, ActiveVersion: 2, ActiveHash: "h2", MinVersion: 2}, policy.Generation)
 	without.asks()
-	if err := without.told(api.Told{Cluster: "g", Gen: 1, Index: 9000, Need: 2, Force: api.Named{Version: 2, Hash: "h2"}}); err != nil {
+	if err := without.told(api.HeartbeatResponse{Cluster: "g", Generation: 1, Index: 9000, DecidedVersion: 2, CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}}); err != nil {
 		t.Errorf("without the guard the old generation is not followed either: %v", err)
 	}
 }
@@ -327,7 +327,7 @@
 	d := begin(t, nil, 0)
 	d.joined(2, false)
 	d.asks()
-	if err := d.told(api.Told{Gather: true}); err != nil || !d.m.TakeRecordRequest() || d.m.TakeRecordRequest() {
+	if err := d.told(api.HeartbeatResponse{CollectRecord: true}); err != nil || !d.m.TakeRecordRequest() || d.m.TakeRecordRequest() {
 		t.Fatalf("%v: expected to be asked for what it holds, once", err)
 	}
 	if ok, _ := d.m.MayServe(d.now); !ok || d.m.MinVersion() != 2 {
@@ -345,14 +345,14 @@
 func TestFirstGeneration(t *testing.T) {
 	d := begin(t, nil, 0)
 	d.asks()
-	if err := d.told(api.Told{Cluster: "g3", Gen: 3, Before: []string{"g", "g2"}, Term: 1, Index: 5, Sum: 77, Lease: 4, LeaseMS: 4000}); err != nil {
+	if err := d.told(api.HeartbeatResponse{Cluster: "g3", Generation: 3, Predecessors: []string{"g", "g2"}, Term: 1, Index: 5, EntryChecksum: 77, LeaseID: 4, LeaseMS: 4000}); err != nil {
 		t.Fatal(err)
 	}
 	d.asks()
-	if h := d.ask.Heard; h == nil || h.Gen != 3 || h.Sum != 77 {
+	if h := d.ask.LastSeen; h == nil || h.Generation != 3 || h.EntryChecksum != 77 {
 		t.Fatalf("it asks with %+v, expected generation 3 and what the entry was", h)
 	}
-	if err := d.told(api.Told{Cluster: "g4", Gen: 3, Before: []string{"g", "g2", "g3"}, Term: 1, Index: 9}); err == nil {
+	if err := d.told(api.HeartbeatResponse{Cluster: "g4", Generation: 3, Predecessors: []string{"g", "g2", "g3"}, Term: 1, Index: 9}); err == nil {
 		t.Error("it follows another group of its own generation")
 	}
 }
@@ -365,19 +365,19 @@
 	told := func(hash string) {
 		t.Helper()
 		d.asks()
-		if err := d.told(api.Told{Cluster: "g", Term: 1, Index: 10, Need: 2, Force: api.Named{Version: 2, Hash: "h2"},
-			Prepare: api.Named{Version: 3, Hash: hash}, Lease: 1, LeaseMS: 4000}); err != nil {
+		if err := d.told(api.HeartbeatResponse{Cluster: "g", Term: 1, Index: 10, DecidedVersion: 2, CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"},
+			PrepareVersion: api.VersionHash{Version: 3, Hash: hash}, LeaseID: 1, LeaseMS: 4000}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	told("h3")
-	d.m.MarkPrepared(d.now, api.Named{Version: 3, Hash: "h3"})
-	if d.asks(); d.ask.Prepared != 3 {
+	d.m.MarkPrepared(d.now, api.VersionHash{Version: 3, Hash: "h3"})
+	if d.asks(); d.ask.PreparedVersion != 3 {
 		t.Fatalf("%+v: it does not say that it is prepared", d.ask)
 	}
 	d.m.HandleFailure(d.now, d.no)
 	told("another")
-	if d.asks(); d.ask.Prepared != 0 {
+	if d.asks(); d.ask.PreparedVersion != 0 {
 		t.Fatalf("%+v: it says that it has prepared a text that it never saw", d.ask)
 	}
 	if v, _, ok := d.m.VersionToFetch(); !ok || v.Hash != "another" {
--- a/internal/node/agent/pin_decisions_test.go
+++ b/internal/node/agent/pin_decisions_test.go
@@ -43,11 +43,11 @@
 	return (g.seed >> 33) % n
 }
 
-func pinnedVersion(version uint64) api.Named {
+func pinnedVersion(version uint64) api.VersionHash {
 	if version == 0 {
-		return api.Named{}
+		return api.VersionHash{}
 	}
-	return api.Named{Version: version, Hash: fmt.Sprint("hash of ", version)}
+	return api.VersionHash{Version: version, Hash: fmt.Sprint("hash of ", version)}
 }
 
 // goesOn changes the group's state.
@@ -96,38 +96,38 @@
 }
 
 // answers gives an answer to what was asked, sometimes one that can't be believed.
-func (g *pinnedGroup) answers(ask *api.Ask) api.Told {
-	t := api.Told{Cluster: g.cluster, Gen: g.generation, Term: g.term, Index: g.index, Sum: g.index * 7, Clock: g.clock,
-		Need: g.need, Force: pinnedVersion(g.force), Prepare: pinnedVersion(g.prepare), Alone: g.alone, Again: 200 + g.chance(1500),
-		Lease: g.lease}
+func (g *pinnedGroup) answers(ask *api.HeartbeatRequest) api.HeartbeatResponse {
+	t := api.HeartbeatResponse{Cluster: g.cluster, Generation: g.generation, Term: g.term, Index: g.index, EntryChecksum: g.index * 7, ClockMS: g.clock,
+		DecidedVersion: g.need, CommittedVersion: pinnedVersion(g.force), PrepareVersion: pinnedVersion(g.prepare), Autonomous: g.alone, NextHeartbeatMS: 200 + g.chance(1500),
+		LeaseID: g.lease}
 	for _, b := range g.before {
-		if ask.Heard == nil || ask.Heard.Group == b {
-			t.Before = append(t.Before, b)
+		if ask.LastSeen == nil || ask.LastSeen.Group == b {
+			t.Predecessors = append(t.Predecessors, b)
 		}
 	}
 	if g.decidesAboutZones {
-		t.Zone = &api.ZoneOrder{Epoch: g.epoch, Share: g.share, Keep: 5000}
+		t.Zone = &api.ZoneOrder{Epoch: g.epoch, Share: g.share, TTLMS: 5000}
 	}
-	if ask.Renew || ask.Lease == 0 || g.chance(5) == 0 {
+	if ask.Renew || ask.LeaseID == 0 || g.chance(5) == 0 {
 		t.LeaseMS = g.leaseMS
 	}
 	switch g.chance(30) {
 	case 0:
-		t.Cluster, t.Before = "another group", nil
+		t.Cluster, t.Predecessors = "another group", nil
 	case 1:
 		t.Cluster = ""
 	case 2:
-		t.Force = pinnedVersion(t.Need + 1)
+		t.CommittedVersion = pinnedVersion(t.DecidedVersion + 1)
 	case 3:
 		t.Index -= min(t.Index, 20)
 	case 4:
 		t.Term = 0
 	case 5:
-		t.Need, t.Force = g.need/2, pinnedVersion(min(g.force, g.need/2))
+		t.DecidedVersion, t.CommittedVersion = g.need/2, pinnedVersion(min(g.force, g.need/2))
 	case 6, 7:
-		t.Gone, t.Wait, t.Lease, t.LeaseMS = "it counts no more", 100*g.chance(20), 0, 0
+		t.EndedReason, t.RetryAfterMS, t.LeaseID, t.LeaseMS = "it counts no more", 100*g.chance(20), 0, 0
 	case 8:
-		t = api.Told{Gather: true}
+		t = api.HeartbeatResponse{CollectRecord: true}
 	case 9:
 		if t.Zone != nil {
 			t.Zone.Epoch /= 2
@@ -135,13 +135,13 @@
 	case 10:
 		t.LeaseMS = 0
 	case 11:
-		t.Prepare.Hash = "another text"
+		t.PrepareVersion.Hash = "another text"
 	case 12:
 		if len(g.before) > 0 { // an instance of an earlier generation
-			t.Cluster, t.Gen, t.Before = g.before[0], 1, nil
+			t.Cluster, t.Generation, t.Predecessors = g.before[0], 1, nil
 		}
 	case 13:
-		t.Lease, t.LeaseMS = 0, 0
+		t.LeaseID, t.LeaseMS = 0, 0
 	}
 	return t
 }
@@ -150,7 +150,7 @@
 func pinnedRecord(m *Agent, r Record) Record {
 	told := m.LastSeen()
 	r.Cluster, r.MinVersion, r.ZoneOrder = m.Cluster(), m.MinVersion(), m.StoredZoneOrder()
-	r.Generation, r.Term, r.Index, r.EntryChecksum = told.Gen, told.Term, told.Index, told.Sum
+	r.Generation, r.Term, r.Index, r.EntryChecksum = told.Generation, told.Term, told.Index, told.EntryChecksum
 	if n := m.ActiveVersion(); n != r.ActiveVersion {
 		r.ActiveVersion, r.ActiveHash, r.ActiveText = n, pinnedVersion(n).Hash, "text"
 	}
@@ -214,7 +214,7 @@
 					fmt.Fprintln(sum, err != nil)
 				}
 			} else if late != 0 && g.chance(3) == 0 {
-				fmt.Fprintln(sum, m.HandleResponse(now, late, g.answers(&api.Ask{})) != nil)
+				fmt.Fprintln(sum, m.HandleResponse(now, late, g.answers(&api.HeartbeatRequest{})) != nil)
 				late = 0
 			}
 			if v, decided, ok := m.VersionToFetch(); ok && g.chance(3) == 0 {
--- a/internal/node/server/fleet.go
+++ b/internal/node/server/fleet.go
@@ -51,7 +51,7 @@
 	base      *admission.Deployment        // the platform's
 	plans     map[uint64]*overlay.Settings // of versions at hand, two or three
 	texts     map[uint64]string
-	getting   api.Named // being fetched, tried or kept; 0: none
+	getting   api.VersionHash // being fetched, tried or kept; 0: none
 	decided   bool
 	patience  time.Duration // of a fetch; doubled by each that had no end
 	again     uint64        // a fetch that failed is tried again then
@@ -66,15 +66,15 @@
 	gate      *zones.Gate
 	meter     *zones.Meter
 	look      *controlClient
-	looks     []api.Look // still to be looked at
-	seen      []api.Seen // and what was seen, for the next asking
+	looks     []api.ProbeTarget // still to be looked at
+	seen      []api.PeerHealth  // and what was seen, for the next asking
 	looking   bool
 	gives     bool // what the node holds is on its way to whoever restores the group
 }
 
 // tried is a version after check and trial.
 type tried struct {
-	v    api.Named
+	v    api.VersionHash
 	text string
 	plan *overlay.Settings
 	took time.Duration
@@ -138,10 +138,10 @@
 	}
 	f.m = agent.New(plan, kept, steadyMS())
 	for _, at := range []struct {
-		v    api.Named
+		v    api.VersionHash
 		text string
-	}{{api.Named{Version: f.kept.ActiveVersion, Hash: f.kept.ActiveHash}, f.kept.ActiveText},
-		{api.Named{Version: f.kept.PreparedVersion, Hash: f.kept.PreparedHash}, f.kept.PreparedText}} {
+	}{{api.VersionHash{Version: f.kept.ActiveVersion, Hash: f.kept.ActiveHash}, f.kept.ActiveText},
+		{api.VersionHash{Version: f.kept.PreparedVersion, Hash: f.kept.PreparedHash}, f.kept.PreparedText}} {
 		if at.v.Version == 0 || at.text == "" {
 			continue
 		}
@@ -165,7 +165,7 @@
 }
 
 // checkVersion reads a text and checks it against the platform's settings.
-func (l *loop) checkVersion(v api.Named, text string) (*overlay.Settings, error) {
+func (l *loop) checkVersion(v api.VersionHash, text string) (*overlay.Settings, error) {
 	sum := sha256.Sum256([]byte(text))
 	if hex.EncodeToString(sum[:]) != v.Hash {
 		return nil, fmt.Errorf("version %d: found a text of another hash than was told", v.Version)
@@ -201,15 +201,15 @@
 		l.Health(l.moduleHealthy)
 	}
 	if f.alone && f.gate.Alone(now, f.meter.Well(now, l.running())) {
-		l.log.Warnf("fleet: alone for long, takes %d of %d of what comes by its own rule", f.gate.Share(), api.Whole)
+		l.log.Warnf("fleet: alone for long, takes %d of %d of what comes by its own rule", f.gate.Share(), api.FullShare)
 		l.Health(l.moduleHealthy)
 	}
 	if alone := ok && f.m.Autonomous(now); alone != f.alone {
 		if f.alone = alone; alone {
 			l.log.Warnf("fleet: goes on alone under version %d, without the group", f.m.ActiveVersion())
-			if p := f.plans[f.m.ActiveVersion()]; p != nil && !f.m.GroupContacted() && p.Document.Zones.Small && p.Document.Zones.Decide == api.ZonesAuto {
-				f.gate.Begin(now, int(p.Document.Zones.First*api.Whole+0.5), uint64(p.Document.Zones.Hold.Milliseconds()))
-				l.log.Infof("fleet: begins with %d of %d of what comes", f.gate.Share(), api.Whole)
+			if p := f.plans[f.m.ActiveVersion()]; p != nil && !f.m.GroupContacted() && p.Document.Zones.Small && p.Document.Zones.Decide == api.ZoneModeAuto {
+				f.gate.Begin(now, int(p.Document.Zones.First*api.FullShare+0.5), uint64(p.Document.Zones.Hold.Milliseconds()))
+				l.log.Infof("fleet: begins with %d of %d of what comes", f.gate.Share(), api.FullShare)
 			}
 		}
 	}
@@ -217,7 +217,7 @@
 	if a, no, due := f.m.Heartbeat(now); due {
 		if f.m.ZoneOrder() != nil {
 			a.Load = f.meter.Load(now, l.kernel.stand == kernelLive, float64(l.profile.Deployment.Cores), l.running())
-			a.Seen, f.seen = f.seen, nil
+			a.Peers, f.seen = f.seen, nil
 		}
 		body, err := json.Marshal(&a)
 		if err == nil {
@@ -282,7 +282,7 @@
 	if !f.gate.Order(now, o) {
 		return
 	}
-	l.log.Infof("fleet: zones epoch %d: takes %d of %d", f.gate.Epoch(), f.gate.Share(), api.Whole)
+	l.log.Infof("fleet: zones epoch %d: takes %d of %d", f.gate.Epoch(), f.gate.Share(), api.FullShare)
 	if out := f.gate.Out(); out != was {
 		l.Health(l.moduleHealthy)
 		if out {
@@ -323,7 +323,7 @@
 }
 
 // takeOver has the module go on under another version. It is between two rounds here.
-func (l *loop) takeOver(now uint64, v api.Named) {
+func (l *loop) takeOver(now uint64, v api.VersionHash) {
 	f := l.fleet
 	p := f.plans[v.Version]
 	if p == nil {
@@ -383,7 +383,7 @@
 	f := l.fleet
 	told := f.m.LastSeen()
 	f.kept.Cluster, f.kept.MinVersion, f.kept.ZoneOrder = f.m.Cluster(), f.m.MinVersion(), f.m.StoredZoneOrder()
-	f.kept.Generation, f.kept.Term, f.kept.Index, f.kept.EntryChecksum = told.Gen, told.Term, told.Index, told.Sum
+	f.kept.Generation, f.kept.Term, f.kept.Index, f.kept.EntryChecksum = told.Generation, told.Term, told.Index, told.EntryChecksum
 	if n := f.m.ActiveVersion(); n != f.kept.ActiveVersion {
 		if p := f.plans[n]; p != nil {
 			f.kept.ActiveVersion, f.kept.ActiveText, f.kept.ActiveAutonomous = n, f.texts[n], p.Document.Fleet.Alone
@@ -436,7 +436,7 @@
 	now := steadyMS()
 	switch e.what {
 	case jobAsk:
-		var t api.Told
+		var t api.HeartbeatResponse
 		err := e.err
 		if err == nil && e.status != 200 {
 			err = fmt.Errorf("%d: %.200s", e.status, e.answer)
@@ -450,7 +450,7 @@
 			f.m.HandleFailure(now, e.about.(uint64))
 			return
 		}
-		floor, gen := f.m.MinVersion(), f.m.LastSeen().Gen
+		floor, gen := f.m.MinVersion(), f.m.LastSeen().Generation
 		if err = f.m.HandleResponse(now, e.about.(uint64), t); err != nil {
 			l.counters.FleetLost++
 			l.log.Warnf("fleet: control at %s is not believed: %v", e.addr, err)
@@ -461,12 +461,12 @@
 			l.give()
 			return
 		}
-		if g := f.m.LastSeen().Gen; g != gen && gen != 0 {
+		if g := f.m.LastSeen().Generation; g != gen && gen != 0 {
 			l.log.Warnf("fleet: generation %d of the group, as it was restored", g)
 			l.keepFleet()
 		}
-		if t.Gone != "" {
-			l.logf("fleet: begins anew: %s", t.Gone)
+		if t.EndedReason != "" {
+			l.logf("fleet: begins anew: %s", t.EndedReason)
 		}
 		epoch := f.gate.Epoch()
 		l.ordered(now, f.m.ZoneOrder()) // what the member took of it: an answer that came too late counts for nothing
@@ -474,18 +474,18 @@
 			l.keepFleet()
 		}
 		if !f.looking {
-			f.looks = t.Look
+			f.looks = t.ProbeTargets
 			l.lookOn()
 		}
 	case jobLook:
-		s := api.Seen{Name: e.about.(string), Is: api.SeenSilent}
+		s := api.PeerHealth{Name: e.about.(string), Health: api.PeerSilent}
 		switch {
 		case e.err == nil && e.status == 200:
-			s.Is = api.SeenServes
+			s.Health = api.PeerServing
 		case e.err == nil:
-			s.Is = api.SeenSheds
+			s.Health = api.PeerShedding
 		}
-		if f.looking = false; len(f.seen) < api.MaxSeen {
+		if f.looking = false; len(f.seen) < api.MaxPeers {
 			f.seen = append(f.seen, s)
 		}
 		l.lookOn()
@@ -504,7 +504,7 @@
 			f.owes, f.keepAgain = true, now+keepPause
 		} else if r := e.about.(agent.Record); r.PreparedVersion != 0 && r.PreparedVersion == f.getting.Version && r.PreparedVersion > f.m.ActiveVersion() {
 			f.m.MarkPrepared(now, f.getting)
-			f.getting = api.Named{}
+			f.getting = api.VersionHash{}
 		}
 		l.keepOwed(now)
 	}
@@ -537,7 +537,7 @@
 // fetched takes a version's text and has it checked and tried, off the loop.
 func (l *loop) fetched(now uint64, e *jobEnd) {
 	f := l.fleet
-	v := e.about.(api.Named)
+	v := e.about.(api.VersionHash)
 	var answer struct {
 		Version uint64 `json:"version"`
 		Text    string `json:"text"`
@@ -556,13 +556,13 @@
 		if plan, err = l.checkVersion(v, answer.Text); err != nil {
 			l.log.Warnf("fleet: version %d can't be served under: %v", v.Version, err)
 			f.m.Reject(now, v.Version, err.Error(), true)
-			f.getting = api.Named{}
+			f.getting = api.VersionHash{}
 			return
 		}
 	}
 	if err != nil {
 		l.logf("fleet: version %d from %s: %v", v.Version, e.addr, err)
-		f.getting, f.again = api.Named{}, now+250
+		f.getting, f.again = api.VersionHash{}, now+250
 		f.patience = min(2*f.patience, fetchMost)
 		return
 	}
@@ -596,14 +596,14 @@
 	if e.err != nil {
 		l.log.Warnf("fleet: version %d failed its trial: %v", t.v.Version, e.err)
 		f.m.Reject(now, t.v.Version, e.err.Error(), false)
-		f.getting = api.Named{}
+		f.getting = api.VersionHash{}
 		return
 	}
 	l.log.Infof("fleet: version %d passed its trial over %d reqs in %v", t.v.Version, t.reqs, t.took.Round(time.Microsecond))
 	f.plans[t.v.Version], f.texts[t.v.Version] = t.plan, t.text
 	if f.own.Folder == "" {
 		f.m.MarkPrepared(now, t.v)
-		f.getting = api.Named{}
+		f.getting = api.VersionHash{}
 		return
 	}
 	f.kept.PreparedVersion, f.kept.PreparedText, f.kept.PreparedHash = t.v.Version, t.text, t.v.Hash
--- a/internal/node/server/pin_record_test.go
+++ b/internal/node/server/pin_record_test.go
@@ -22,8 +22,8 @@
 	{"prepared", agent.Record{Cluster: "0123456789abcdef", Generation: 2, Term: 7, Index: 4711, EntryChecksum: 18446744073709551615, ActiveVersion: 3,
 		ActiveHash: "hash of version 3", ActiveText: "[fleet]\nlease = 8s\n", ActiveAutonomous: true, MinVersion: 3, PreparedVersion: 4,
 		PreparedText: "[fleet]\nlease = 9s\n# \"quoted\", <b> and ü\n", PreparedHash: "hash of version 4", PreparedAutonomous: true,
-		ZoneOrder: &api.ZoneOrder{Epoch: 21, Share: 128, Worth: 2.5, Capped: true, Rate: 40.25, Dials: 3, Retry: 51, Full: true,
-			Keep: 300000}},
+		ZoneOrder: &api.ZoneOrder{Epoch: 21, Share: 128, PriorityCutoff: 2.5, RateLimited: true, RateLimit: 40.25, ConnectRateLimit: 3, RetryBudget: 51, NoCapacityElsewhere: true,
+			TTLMS: 300000}},
 		`"echo":0,"floor":3,"serves":0,"fenced":"version 3 is decided and not taken over yet","zones":21,` +
 			`"heard":{"group":"0123456789abcdef","generation":2,"term":7,"index":4711,"sum":18446744073709551615}}`},
 	{"decided", agent.Record{Cluster: "0123456789abcdef", Term: 7, Index: 4711, ActiveVersion: 3, ActiveHash: "hash of version 3",
