--- a/internal/control/zones/pin_stream_test.go
+++ b/internal/control/zones/pin_stream_test.go
@@ -101,18 +101,20 @@
 	case "kernel":
 		l.KernelConnected, l.Completed, l.Failed, l.CompletedWeight = false, 0, runs, 0
 	case "crawl":
-		l.MeanCallMS, l.MeanRunMS, l.Completed, l.Late, l.CompletedWeight = 90, 200, runs/8, runs-runs/8, float64(runs/8)
+		l.MeanCallMS, l.MeanRunMS, l.Completed, l.Late, l.CompletedWeight = 20+70*s.rng.Float64(), 40+160*s.rng.Float64(), runs/8, runs-runs/8, float64(runs/8)
 		l.RunsEnded /= 4
 	case "slow":
 		l.MeanCallMS, l.MeanRunMS, l.Completed, l.Late, l.CompletedWeight = 60, 130, runs/2, runs-runs/2, float64(runs)
 		l.RunsEnded /= 3
 	case "errors":
-		l.Completed, l.Failed, l.CompletedWeight = runs/3, runs-runs/3, float64(runs)
+		l.Failed = int(float64(runs) * (0.15 + 0.5*s.rng.Float64())) // around the bound
+		l.Completed, l.CompletedWeight = runs-l.Failed, float64(runs)
 	case "stand":
 		l.RunsEnded, l.Completed, l.Calls, l.RunsInFlight, l.CompletedWeight, l.WindowMS = 0, 0, 0, 9, 0, 1900
 	case "late":
-		l.Completed, l.Late, l.CompletedWeight = runs/2, runs-runs/2, float64(runs)
-		l.RunsEnded /= 2
+		l.Late = int(float64(runs) * (0.2 + 0.6*s.rng.Float64()))
+		l.Completed, l.CompletedWeight = runs-l.Late, float64(runs)
+		l.RunsEnded = l.RunsEnded * 5 / 8
 	case "cold":
 		l.MeanCallMS, l.MeanRunMS = 40+20*s.rng.Float64(), 70
 	}
