--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -176,10 +176,10 @@
 	}
 	for i := range z.Zones {
 		o := &z.Zones[i]
-		if o.Step == zones.In {
+		if o.Phase == zones.InService {
 			continue
 		}
-		if o.Name != zones.Fleet {
+		if o.Name != zones.WholeFleet {
 			word, share := zoneState(o)
 			s.Zones = append(s.Zones, fmt.Sprintf("%s is %s, takes %s", o.Name, word, share))
 			continue
@@ -189,8 +189,8 @@
 			s.Holds = o.Seen.Note
 		}
 		// A step can't come sooner than a hold and the reports of it after the one before, and makes four times the share at most.
-		each := z.Rules.MinStepMS + zones.Pace(s.In)
-		for share := o.Share; share < api.FullShare; share *= zones.GrowMost {
+		each := z.Rules.MinStepMS + zones.HeartbeatIntervalMS(s.In)
+		for share := o.Share; share < api.FullShare; share *= zones.MaxRampFactor {
 			s.LeastMS += each
 		}
 		s.LeastMS += each - min(each, s.SinceMS)
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -186,8 +186,8 @@
 	p := &consensus.PolicyView{Gen: 2, Force: 7, Hush: 1500, Lost: "n3 was told of entry 812"}
 	nodes := []consensus.NodeView{{}, {Node: membership.Node{Out: membership.Silent}}, {Fenced: "its lease has run out"}, {Node: membership.Node{Out: membership.Left}}}
 	z := &consensus.ZonesView{Clock: 9000, Rules: api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 2000}}
-	z.Zones = []consensus.ZoneView{{Zone: zones.Zone{Name: zones.Fleet, Step: zones.Returning, Share: 16, Since: 8000, Cause: "restart"},
-		Seen: &zones.View{Note: "held"}}, {Zone: zones.Zone{Name: "z1", Step: zones.Out}}, {Zone: zones.Zone{Name: "z2", Step: zones.In}}}
+	z.Zones = []consensus.ZoneView{{Zone: zones.Zone{Name: zones.WholeFleet, Phase: zones.Ramping, Share: 16, Since: 8000, Cause: "restart"},
+		Seen: &zones.View{Note: "held"}}, {Zone: zones.Zone{Name: "z1", Phase: zones.Evacuated}}, {Zone: zones.Zone{Name: "z2", Phase: zones.InService}}}
 	s := fleetStatus(p, z, nodes)
 	// Three seconds a step, two steps to all of it, one of three gone by at this one.
 	if s.In != 2 || s.Silent != 1 || s.Left != 1 || s.Fenced != 1 || s.LeastMS != 8000 || s.Share != 1.0/16 || len(s.Zones) != 1 {
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	found := recovery.Plan(kept, old.Base(), r.take)
+	found := recovery.PlanRestore(kept, old.Base(), r.take)
 	if r.json {
 		if err = printJSON(w, found); err != nil {
 			return err
@@ -83,7 +83,7 @@
 		return nil
 	}
 	if there {
-		aside := fmt.Sprintf("%s.generation-%d-%s", o.Data, found.Whose.Gen, time.Now().UTC().Format("20060102T150405"))
+		aside := fmt.Sprintf("%s.generation-%d-%s", o.Data, found.Lost.Generation, time.Now().UTC().Format("20060102T150405"))
 		if err = os.Rename(o.Data, aside); err != nil {
 			return err
 		}
@@ -101,7 +101,7 @@
 	}
 	if !r.json {
 		fmt.Fprintf(w, "generation %d is founded, with version %d. Start it with: umberctl control run --file %s\n"+
-			"Other instances join it on empty folders, by start = join and umberctl control members add.\n", found.Whose.Gen+1,
+			"Other instances join it on empty folders, by start = join and umberctl control members add.\n", found.Lost.Generation+1,
 			v.Number, r.file)
 	}
 	return nil
@@ -138,7 +138,7 @@
 }
 
 // gather listens to nodes for the time given, or until the context ends.
-func (r *recoverCommand) gather(ctx context.Context, listen string, w io.Writer) (kept []recovery.Kept, asked int, err error) {
+func (r *recoverCommand) gather(ctx context.Context, listen string, w io.Writer) (kept []recovery.NodeRecord, asked int, err error) {
 	if r.wait <= 0 { // an instance that runs on would lose its folder under it
 		ln, err := net.Listen("tcp", listen)
 		if err != nil {
@@ -147,7 +147,7 @@
 		return nil, 0, ln.Close()
 	}
 	var mu sync.Mutex
-	g, err := consensus.Gather(listen, func(k *recovery.Kept, err error) {
+	g, err := consensus.Gather(listen, func(k *recovery.NodeRecord, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
@@ -156,7 +156,7 @@
 			fmt.Fprintf(w, "a node's word does not count: %v\n", err)
 		default:
 			fmt.Fprintf(w, "%s of zone %s: served under version %d, was told of %d, generation %d, entry %d\n", k.Name, k.Zone,
-				k.Version, k.Floor, k.Gen, k.Index)
+				k.ActiveVersion, k.MinVersion, k.Generation, k.Index)
 		}
 	})
 	if err != nil {
@@ -176,23 +176,23 @@
 	return kept, asked, ctx.Err()
 }
 
-func (r *recoverCommand) show(w io.Writer, old *consensus.Old, f *recovery.Found, asked int) {
+func (r *recoverCommand) show(w io.Writer, old *consensus.Old, f *recovery.RestorePlan, asked int) {
 	base := "none"
 	if b := old.Base(); b != nil {
-		base = fmt.Sprintf("version %d in force, %d decided, entry %d", b.Force, b.Need, b.Index)
+		base = fmt.Sprintf("version %d in force, %d decided, entry %d", b.CommittedVersion, b.DecidedVersion, b.Index)
 	}
-	version := fmt.Sprintf("%d, which has the text of %d (%.16s)", f.Version, f.Was, f.Hash)
-	if f.Version == f.Was {
+	version := fmt.Sprintf("%d, which has the text of %d (%.16s)", f.Version, f.SourceVersion, f.Hash)
+	if f.Version == f.SourceVersion {
 		version = fmt.Sprintf("%d (%.16s)", f.Version, f.Hash)
 	}
 	if f.Hash == "" {
 		version = "none"
 	}
-	rows := [][]string{{"group", fmt.Sprintf("%s, generation %d", orNone(f.Whose.Group), f.Whose.Gen)}, {"folder", base},
+	rows := [][]string{{"group", fmt.Sprintf("%s, generation %d", orNone(f.Lost.Group), f.Lost.Generation)}, {"folder", base},
 		{"nodes", fmt.Sprintf("%d came by, %d count", asked, len(f.Nodes))}, {"restored", version}, {"proof", f.Proof},
-		{"zones", fmt.Sprintf("go on after epoch %d", f.Epoch)},
+		{"zones", fmt.Sprintf("go on after epoch %d", f.ZoneEpoch)},
 		{"leases", fmt.Sprintf("of the old generation are waited for, %d ms", membership.Span(f.LeaseMS))}}
-	for _, u := range f.Others {
+	for _, u := range f.NotCounted {
 		rows = append(rows, []string{"not counted", u})
 	}
 	for _, u := range f.Unknown {
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -35,7 +35,7 @@
 
 func (c *client) zoneOp(ctx context.Context, op zones.Op) (zones.Result, error) {
 	var r zones.Result
-	op.By, op.Key = whoami(), newSession()
+	op.Operator, op.IdempotencyKey = whoami(), newSession()
 	if err := op.Valid(); err != nil {
 		return r, usage(err)
 	}
@@ -53,7 +53,7 @@
 
 // zoneState says how a zone stands in a word and a share.
 func zoneState(v *consensus.ZoneView) (word, share string) {
-	if word = v.Step; word == zones.In && v.Seen != nil && v.Seen.Score > 0 {
+	if word = v.Phase; word == zones.InService && v.Seen != nil && v.Seen.FailureScore > 0 {
 		word = "suspected"
 	}
 	return word, fmt.Sprintf("%.0f%%", 100*float64(v.Share)/api.FullShare)
@@ -76,10 +76,10 @@
 			for i := range v.Zones {
 				z := &v.Zones[i]
 				word, share := zoneState(z)
-				row := []string{z.Name, word, share, "-", "-", "-", "-", fmt.Sprintf("%.0f", z.Bore.Runs), z.Cause, ""}
+				row := []string{z.Name, word, share, "-", "-", "-", "-", fmt.Sprintf("%.0f", z.Capacity.RunRate), z.Cause, ""}
 				if s := z.Seen; s != nil {
-					row[3], row[4], row[5] = fmt.Sprint(s.In), fmt.Sprint(s.Fresh), fmt.Sprint(s.Sick)
-					row[6], row[9] = fmt.Sprintf("%.0f", s.Runs), s.Note
+					row[3], row[4], row[5] = fmt.Sprint(s.NodesIn), fmt.Sprint(s.NodesReporting), fmt.Sprint(s.NodesUnhealthy)
+					row[6], row[9] = fmt.Sprintf("%.0f", s.RunRate), s.Note
 				}
 				rows = append(rows, row)
 			}
@@ -114,26 +114,26 @@
 			rows := [][]string{{"zone", z.Name}, {"state", word}, {"takes", share},
 				{"epoch", fmt.Sprintf("%d; the fleet is at %d, settled %d", z.Epoch, v.Epoch, v.Settled)},
 				{"bore", fmt.Sprintf("%.0f runs a second, %.1f under way, %.0f ms a run, %.0f ms a call, %.1f connections a second",
-					z.Bore.Runs, z.Bore.Flight, z.Bore.RunMS, z.Bore.CallMS, z.Bore.Opened)}}
+					z.Capacity.RunRate, z.Capacity.Concurrency, z.Capacity.RunMS, z.Capacity.CallMS, z.Capacity.ConnectionRate)}}
 			if z.Cause != "" {
 				rows = append(rows, []string{"cause", z.Cause})
 			}
-			if z.Step == zones.Returning {
+			if z.Phase == zones.Ramping {
 				rows = append(rows, []string{"ceiling", fmt.Sprintf("%.0f runs and %.0f connections below a second, over %d leases",
-					z.Ceiling, z.Dials, len(z.Parts))})
+					z.RateLimit, z.ConnectionRateLimit, len(z.Quotas))})
 			}
-			if v.Clock < z.Back && z.Step != zones.In {
+			if v.Clock < z.RampNotBefore && z.Phase != zones.InService {
 				rows = append(rows, []string{"returns", fmt.Sprintf("in %.1f s at the soonest; it failed again %d times",
-					float64(z.Back-v.Clock)/1000, z.Flaps)})
+					float64(z.RampNotBefore-v.Clock)/1000, z.FlapCount)})
 			}
-			if v.Clock < z.Held {
-				rows = append(rows, []string{"held", fmt.Sprintf("by an operator, for %.1f s more", float64(z.Held-v.Clock)/1000)})
+			if v.Clock < z.HeldUntil {
+				rows = append(rows, []string{"held", fmt.Sprintf("by an operator, for %.1f s more", float64(z.HeldUntil-v.Clock)/1000)})
 			}
 			if s := z.Seen; s != nil {
-				rows = append(rows, []string{"seen", fmt.Sprintf("%d nodes, %d quiet, %d heard, %d sick %s; score %.1f", s.In, s.Quiet,
-					s.Fresh, s.Sick, s.Kind, s.Score)},
+				rows = append(rows, []string{"seen", fmt.Sprintf("%d nodes, %d quiet, %d heard, %d sick %s; score %.1f", s.NodesIn, s.NodesSilent,
+					s.NodesReporting, s.NodesUnhealthy, s.Symptom, s.FailureScore)},
 					[]string{"does", fmt.Sprintf("%.0f runs a second of %.0f it could, %.1f under way, %.0f ms a run; value %.0f of %.0f a "+
-						"second", s.Runs, s.Cap, s.Flight, s.RunMS, s.Got, s.Worth)}, []string{"note", s.Note})
+						"second", s.RunRate, s.RunCapacity, s.Concurrency, s.RunMS, s.CompletedValue, s.OfferedValue)}, []string{"note", s.Note})
 			}
 			return table(w, rows)
 		})}
@@ -151,8 +151,8 @@
 			}
 			for _, e := range z.Events {
 				fmt.Fprintf(w, "%10.1f s ago  epoch %-4d %s\n", float64(v.Clock-e.Clock)/1000, e.Epoch, e.Text)
-				if e.Stay != 0 || e.Go != 0 {
-					fmt.Fprintf(w, "%31s value a second expected: %.0f by staying, %.0f by leaving\n", "", e.Stay, e.Go)
+				if e.ValueOfStaying != 0 || e.ValueOfEvacuating != 0 {
+					fmt.Fprintf(w, "%31s value a second expected: %.0f by staying, %.0f by leaving\n", "", e.ValueOfStaying, e.ValueOfEvacuating)
 				}
 			}
 			if z.Seen != nil && z.Seen.Note != "" {
@@ -171,7 +171,7 @@
 			if err != nil {
 				return usage(err)
 			}
-			o.Zone, o.Why = args[0], why
+			o.Zone, o.Reason = args[0], why
 			r, err := c.zoneOp(ctx, o)
 			if err != nil {
 				return err
@@ -179,7 +179,7 @@
 			if c.json {
 				return printJSON(w, r)
 			}
-			fmt.Fprintf(w, "zone %s is %s, takes %.0f%%, epoch %d\n", args[0], r.Step, 100*float64(r.Share)/api.FullShare, r.Epoch)
+			fmt.Fprintf(w, "zone %s is %s, takes %.0f%%, epoch %d\n", args[0], r.Phase, 100*float64(r.Share)/api.FullShare, r.Epoch)
 			return nil
 		})}
 	c.Flags().StringVar(&why, "reason", "", "why, for explain")
@@ -221,7 +221,7 @@
 			if d < 0 || d > 24*time.Hour {
 				return zones.Op{}, fmt.Errorf("--for: found %v, expected up to 24h", d)
 			}
-			return zones.Op{Kind: "hold", Wait: uint64(d.Milliseconds())}, nil
+			return zones.Op{Kind: "hold", WaitMS: uint64(d.Milliseconds())}, nil
 		})
 }
 
@@ -235,7 +235,7 @@
 		if d < time.Second || d > time.Hour {
 			return zones.Op{}, fmt.Errorf("--for: found %v, expected 1s to 1h", d)
 		}
-		return zones.Op{Kind: "leave", Drill: uint64(d.Milliseconds())}, nil
+		return zones.Op{Kind: "leave", DrillMS: uint64(d.Milliseconds())}, nil
 	})
 }
 
--- a/internal/control/consensus/nodes.go
+++ b/internal/control/consensus/nodes.go
@@ -91,7 +91,7 @@
 			g.zoneTold(e)
 		case coordinator.BeatDone:
 			if e.Began {
-				g.zoneTold(zones.Result{Kind: "began", Zone: zones.Fleet, Step: zones.Returning, Epoch: g.rep.machine.nodes.Zones.Epoch})
+				g.zoneTold(zones.Result{Kind: "began", Zone: zones.WholeFleet, Phase: zones.Ramping, Epoch: g.rep.machine.nodes.Zones.Epoch})
 			}
 			if len(e.Silenced) > 0 {
 				g.log.WithField("nodes", policy.Listed(e.Silenced)).Warn("counted out: silent for a lease's time")
--- a/internal/control/consensus/recover.go
+++ b/internal/control/consensus/recover.go
@@ -90,18 +90,18 @@
 }
 
 // Base gives it to comeback.Plan; nil has none.
-func (o *Old) Base() *recovery.Base {
+func (o *Old) Base() *recovery.StoredGroup {
 	if o == nil {
 		return nil
 	}
 	return o.machine.base()
 }
 
-func (m *Machine) base() *recovery.Base {
+func (m *Machine) base() *recovery.StoredGroup {
 	p := m.nodes
-	b := &recovery.Base{Whose: recovery.Whose{Group: m.cluster, Gen: p.Gen, Before: p.Before}, Last: m.last(),
-		Need: p.Policy.Need, Force: p.Policy.Force, Index: p.Index, Epoch: p.Zones.Epoch, Text: m.Text,
-		LeaseM: p.Policy.Grants().LeaseMS, Alone: p.Policy.Grants().Alone, Tail: m.tail}
+	b := &recovery.StoredGroup{GroupIdentity: recovery.GroupIdentity{Group: m.cluster, Generation: p.Gen, Predecessors: p.Before}, LastVersion: m.last(),
+		DecidedVersion: p.Policy.Need, CommittedVersion: p.Policy.Force, Index: p.Index, ZoneEpoch: p.Zones.Epoch, TextOf: m.Text,
+		LeaseMS: p.Policy.Grants().LeaseMS, Autonomous: p.Policy.Grants().Alone, UncommittedEntries: m.tail}
 	for _, n := range p.Fleet.Nodes() {
 		if n.Out == "" {
 			b.Nodes = append(b.Nodes, n.Name)
@@ -111,7 +111,7 @@
 }
 
 // Recover makes an empty folder the first instance of the next generation of a group, by what was found.
-func Recover(fs wal.FS, plan Plan, old *Old, found *recovery.Found) (*Version, error) {
+func Recover(fs wal.FS, plan Plan, old *Old, found *recovery.RestorePlan) (*Version, error) {
 	if found.Conflict != "" {
 		return nil, errors.New(found.Conflict)
 	}
@@ -124,7 +124,7 @@
 }
 
 // restore makes the state that of the next generation.
-func (m *Machine) restore(found *recovery.Found) error {
+func (m *Machine) restore(found *recovery.RestorePlan) error {
 	if found.Version > 0 {
 		if _, hash, ok := m.Text(found.Version); !ok || hash != found.Hash || found.Hash == "" {
 			if err := m.place(found); err != nil {
@@ -132,14 +132,14 @@
 			}
 		}
 	}
-	if m.level >= LevelFleet || len(found.Kept) > 0 || found.Version > 0 {
+	if m.level >= LevelFleet || len(found.Records) > 0 || found.Version > 0 {
 		m.level = LevelKnown // an older program does not know generations
 	}
 	return m.nodes.Restore(found, m)
 }
 
 // place makes what was found the newest version. Where its number does not follow, what is before it is kept no more.
-func (m *Machine) place(found *recovery.Found) error {
+func (m *Machine) place(found *recovery.RestorePlan) error {
 	if found.Version != m.last()+1 {
 		m.lines, m.bytes, m.first = nil, 0, found.Version
 	}
@@ -151,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	v := Version{Number: found.Version, Parent: found.Was, Hash: found.Hash, Author: "recover", Reason: short(found.Proof),
+	v := Version{Number: found.Version, Parent: found.SourceVersion, Hash: found.Hash, Author: "recover", Reason: short(found.Proof),
 		Index: m.applied, Term: m.term, Rules: document.Rules, Text: found.Text}
 	line, err := json.Marshal(&v)
 	if err != nil {
@@ -165,24 +165,24 @@
 // Gathering listens, in place of an instance, to what nodes hold.
 type Gathering struct {
 	mu     sync.Mutex
-	kept   map[string]recovery.Kept
+	kept   map[string]recovery.NodeRecord
 	asked  map[string]time.Time // nodes that came by, and when last
 	texts  map[string]string    // by hash, so that a thousand nodes with one text hold it once
 	bodies *semaphore.Weighted
 	server *http.Server
-	heard  func(k *recovery.Kept, err error)
+	heard  func(k *recovery.NodeRecord, err error)
 }
 
 // maxTexts bounds the different texts that are held: two versions at most are at hand at a node.
 const maxTexts = 64
 
 // Gather opens an address that nodes ask. heard is told of each node that told what it holds, or what was wrong with it.
-func Gather(listen string, heard func(k *recovery.Kept, err error)) (*Gathering, error) {
+func Gather(listen string, heard func(k *recovery.NodeRecord, err error)) (*Gathering, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("%w: the instance that listens there has to be stopped first", err)
 	}
-	g := &Gathering{kept: map[string]recovery.Kept{}, asked: map[string]time.Time{}, texts: map[string]string{},
+	g := &Gathering{kept: map[string]recovery.NodeRecord{}, asked: map[string]time.Time{}, texts: map[string]string{},
 		bodies: semaphore.NewWeighted(maxBodies), heard: heard}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/nodes", g.node)
@@ -197,13 +197,13 @@
 }
 
 // Stop ends it and gives what was told.
-func (g *Gathering) Stop(ctx context.Context) []recovery.Kept {
+func (g *Gathering) Stop(ctx context.Context) []recovery.NodeRecord {
 	if g.server.Shutdown(ctx) != nil {
 		g.server.Close()
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := make([]recovery.Kept, 0, len(g.kept))
+	out := make([]recovery.NodeRecord, 0, len(g.kept))
 	for _, k := range g.kept { // Plan puts them in order
 		out = append(out, k)
 	}
@@ -238,7 +238,7 @@
 	}
 	g.mu.Lock()
 	_, told := g.kept[a.Name]
-	if len(g.asked) < recovery.MaxKept {
+	if len(g.asked) < recovery.MaxRecords {
 		g.asked[a.Name] = time.Now()
 	}
 	g.mu.Unlock()
@@ -266,7 +266,7 @@
 		return
 	}
 	defer g.bodies.Release(size)
-	var k recovery.Kept
+	var k recovery.NodeRecord
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, most)).Decode(&k)
 	if err == nil {
 		err = k.Valid()
@@ -282,14 +282,14 @@
 	g.whole(w, http.StatusOK, []byte("{}"))
 }
 
-func (g *Gathering) keep(k *recovery.Kept) error {
-	k.Gen = max(1, k.Gen)
-	k.Text, k.Hash = g.one(k.Text, k.Hash)
-	k.NextText, k.NextHash = g.one(k.NextText, k.NextHash)
+func (g *Gathering) keep(k *recovery.NodeRecord) error {
+	k.Generation = max(1, k.Generation)
+	k.ActiveText, k.ActiveHash = g.one(k.ActiveText, k.ActiveHash)
+	k.PreparedText, k.PreparedHash = g.one(k.PreparedText, k.PreparedHash)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if _, there := g.kept[k.Name]; !there && len(g.kept) >= recovery.MaxKept {
-		return fmt.Errorf("%d nodes, expected at most %d", len(g.kept)+1, recovery.MaxKept)
+	if _, there := g.kept[k.Name]; !there && len(g.kept) >= recovery.MaxRecords {
+		return fmt.Errorf("%d nodes, expected at most %d", len(g.kept)+1, recovery.MaxRecords)
 	}
 	g.kept[k.Name] = *k
 	return nil
--- a/internal/control/consensus/recover_test.go
+++ b/internal/control/consensus/recover_test.go
@@ -32,7 +32,7 @@
 	listen := address() + ":7301"
 	var mu sync.Mutex
 	var wrong []error
-	g, err := Gather(listen, func(_ *recovery.Kept, err error) {
+	g, err := Gather(listen, func(_ *recovery.NodeRecord, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
@@ -71,7 +71,7 @@
 		return told, code
 	}
 	text := canonical(t, oneText)
-	k := recovery.Kept{Name: "a", Zone: "z", Group: "g", Gen: 1, Version: 3, Floor: 3, Text: text, Hash: document.Hash([]byte(text))}
+	k := recovery.NodeRecord{Name: "a", Zone: "z", Group: "g", Generation: 1, ActiveVersion: 3, MinVersion: 3, ActiveText: text, ActiveHash: document.Hash([]byte(text))}
 	if told, code := ask("a"); code != 200 || !told.CollectRecord {
 		t.Fatalf("%d, %+v: a node is not asked for what it holds", code, told)
 	}
@@ -82,13 +82,13 @@
 		t.Errorf("%d, %+v: a node that told is asked again", code, told)
 	}
 	spoilt := k
-	spoilt.Name, spoilt.Text = "b", text+"; and more"
+	spoilt.Name, spoilt.ActiveText = "b", text+"; and more"
 	post("/v1/kept", spoilt, nil)
 	same := k
 	same.Name = "c"
 	post("/v1/kept", same, nil)
 	lies := k
-	lies.Name, lies.Floor = "d", 2
+	lies.Name, lies.MinVersion = "d", 2
 	if code := post("/v1/kept", lies, nil); code != 400 {
 		t.Errorf("%d for one that serves under what it was not told of", code)
 	}
@@ -99,13 +99,13 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	all := map[string]recovery.Kept{}
+	all := map[string]recovery.NodeRecord{}
 	for _, k := range g.Stop(ctx) {
 		all[k.Name] = k
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if len(all) != 3 || all["a"].Text != text || all["b"].Text != "" || all["c"].Text != text || len(g.texts) != 1 || len(wrong) != 1 {
+	if len(all) != 3 || all["a"].ActiveText != text || all["b"].ActiveText != "" || all["c"].ActiveText != text || len(g.texts) != 1 || len(wrong) != 1 {
 		t.Errorf("%d kept, %d texts, wrong %v", len(all), len(g.texts), wrong)
 	}
 }
@@ -116,14 +116,14 @@
 	hash := document.Hash([]byte(text))
 	plan := Plan{Name: "a", Peer: "p", Listen: "l", Elect: 10, Snapshot: 1 << 20, Sizes: wal.Sizes{Segment: 1 << 20, Bound: 64 << 20},
 		Draw: drawID}
-	kept := []recovery.Kept{{Name: "n1", Zone: "z", Group: "g", Gen: 3, Version: 7, Floor: 7, Text: text, Hash: hash, Epoch: 5, Share: 256,
-		Held: 4000}}
+	kept := []recovery.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 3, ActiveVersion: 7, MinVersion: 7, ActiveText: text, ActiveHash: hash, ZoneEpoch: 5, ZoneShare: 256,
+		LeaseMS: 4000}}
 	fs := wal.NewMem()
-	v, err := Recover(fs, plan, nil, recovery.Plan(kept, nil, ""))
+	v, err := Recover(fs, plan, nil, recovery.PlanRestore(kept, nil, ""))
 	if err != nil || v.Number != 7 || v.Hash != hash {
 		t.Fatalf("%+v, %v: expected version 7 as it was", v, err)
 	}
-	if _, err = Recover(fs, plan, nil, recovery.Plan(kept, nil, "")); err == nil {
+	if _, err = Recover(fs, plan, nil, recovery.PlanRestore(kept, nil, "")); err == nil {
 		t.Error("a folder that is an instance's is written over")
 	}
 	old, err := ReadOld(fs, plan)
@@ -131,14 +131,14 @@
 		t.Fatal(err)
 	}
 	b := old.Base()
-	if b.Gen != 4 || len(b.Before) != 1 || b.Before[0] != "g" || b.Need != 7 || b.Force != 7 || b.Epoch != 6 || b.Tail != 0 {
+	if b.Generation != 4 || len(b.Predecessors) != 1 || b.Predecessors[0] != "g" || b.DecidedVersion != 7 || b.CommittedVersion != 7 || b.ZoneEpoch != 6 || b.UncommittedEntries != 0 {
 		t.Errorf("%+v: expected generation 4 of g, at version 7", b)
 	}
 	if old.machine.level != LevelKnown || old.machine.nodes.Fleet.Hush < 4000 || old.machine.nodes.Fleet.Named("n1") == nil {
 		t.Errorf("level %d, hush %d", old.machine.level, old.machine.nodes.Fleet.Hush)
 	}
 	// Nobody holds the text of what was decided: nothing is in force, and the next put is newer than that.
-	none := recovery.Plan([]recovery.Kept{{Name: "n1", Zone: "z", Group: "g", Gen: 1, Floor: 9}}, nil, "")
+	none := recovery.PlanRestore([]recovery.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}}, nil, "")
 	fs = wal.NewMem()
 	if _, err = Recover(fs, plan, nil, none); err != nil {
 		t.Fatal(err)
@@ -146,13 +146,13 @@
 	if old, err = ReadOld(fs, Plan{Elect: 10, Sizes: plan.Sizes, Draw: drawID}); err != nil {
 		t.Fatal(err)
 	}
-	if b = old.Base(); b.Last != 9 || b.Need != 9 || b.Force != 0 {
+	if b = old.Base(); b.LastVersion != 9 || b.DecidedVersion != 9 || b.CommittedVersion != 0 {
 		t.Errorf("%+v: expected nothing in force and 10 as the next version", b)
 	}
 	if _, err = ReadOld(wal.NewMem(), plan); err != ErrEmpty {
 		t.Errorf("%v, expected %v", err, ErrEmpty)
 	}
-	if _, err = Recover(wal.NewMem(), plan, nil, &recovery.Found{Conflict: "two texts"}); err == nil {
+	if _, err = Recover(wal.NewMem(), plan, nil, &recovery.RestorePlan{Conflict: "two texts"}); err == nil {
 		t.Error("a conflict is restored")
 	}
 }
--- a/internal/control/consensus/replica_open.go
+++ b/internal/control/consensus/replica_open.go
@@ -133,7 +133,7 @@
 }
 
 // begun writes a state as the first of a new group's first instance, restored by what was found, or as it is.
-func begun(fs wal.FS, plan Plan, m *Machine, found *recovery.Found) (*Version, error) {
+func begun(fs wal.FS, plan Plan, m *Machine, found *recovery.RestorePlan) (*Version, error) {
 	log, _, err := wal.Open(fs, plan.Sizes)
 	if err != nil {
 		return nil, err
@@ -146,7 +146,7 @@
 	own := Identity{ID: plan.Draw() | 1, Name: plan.Name,
 		Cluster: fmt.Sprintf("%016x%016x", plan.Draw(), plan.Draw())}
 	if found == nil {
-		found = recovery.Plan(nil, m.base(), "")
+		found = recovery.PlanRestore(nil, m.base(), "")
 	}
 	if err = m.restore(found); err != nil {
 		return nil, err
--- a/internal/control/consensus/zones.go
+++ b/internal/control/consensus/zones.go
@@ -36,7 +36,7 @@
 func (g *Group) Zones() (*ZonesView, error) {
 	raw, err := answerOf(g, g.ask, func() []byte {
 		p := g.rep.machine.nodes
-		v := ZonesView{Clock: p.Fleet.Clock, Epoch: p.Zones.Epoch, Settled: p.Zones.Settled, Retry: p.Zones.Retry,
+		v := ZonesView{Clock: p.Fleet.Clock, Epoch: p.Zones.Epoch, Settled: p.Zones.SettledEpoch, Retry: p.Zones.RetryBudget,
 			Rules: p.Policy.Grants().Zones, Leads: g.steward.Leads(), Zones: []ZoneView{}}
 		at := map[string]int{}
 		for _, z := range p.Zones.Zones {
@@ -47,11 +47,11 @@
 			i, known := at[o.Zone]
 			if !known {
 				i = len(v.Zones)
-				v.Zones = append(v.Zones, ZoneView{Zone: zones.Zone{Name: o.Zone, Step: zones.In, Share: api.FullShare}})
+				v.Zones = append(v.Zones, ZoneView{Zone: zones.Zone{Name: o.Zone, Phase: zones.InService, Share: api.FullShare}})
 			}
 			v.Zones[i].Seen = o
 		}
-		if i, known := at[zones.Fleet]; known {
+		if i, known := at[zones.WholeFleet]; known {
 			v.Zones[i].Seen = g.steward.All()
 		}
 		raw, _ := json.Marshal(&v) // the copy: what it shows goes on changing
@@ -93,9 +93,9 @@
 	switch {
 	case e.Err != "":
 		g.log.WithFields(logrus.Fields{"zone": e.Zone, "step": e.Kind}).Debug(e.Err)
-	case z != nil && e.Step != "" && len(z.Events) > 0:
+	case z != nil && e.Phase != "" && len(z.Events) > 0:
 		last := z.Events[len(z.Events)-1]
-		g.log.WithFields(logrus.Fields{"zone": z.Name, "step": z.Step, "share": z.Share, "epoch": e.Epoch,
+		g.log.WithFields(logrus.Fields{"zone": z.Name, "step": z.Phase, "share": z.Share, "epoch": e.Epoch,
 			logging.Reason: last.Text, "op": e.Kind}).Info("change of a zone")
 	case e.Kind == "settle":
 		g.log.WithField("epoch", e.Epoch).Info("epoch of zones settled")
@@ -128,10 +128,10 @@
 		return
 	}
 	// What only the rules may say is left out: an operator's share gets its ceiling from what the zone bore.
-	op.Ceiling, op.Dials, op.Worth, op.Bores, op.Stay, op.Go, op.Epoch = 0, 0, 0, nil, 0, 0, 0
+	op.RateLimit, op.ConnectionRateLimit, op.PriorityCutoff, op.Capacities, op.ValueOfStaying, op.ValueOfEvacuating, op.Epoch = 0, 0, 0, nil, 0, 0, 0
 	if op.Kind == "leave" {
 		op.Cause = "operator"
-		if op.Drill > 0 {
+		if op.DrillMS > 0 {
 			op.Cause = "drill"
 		}
 	}
--- a/internal/control/coordinator/part.go
+++ b/internal/control/coordinator/part.go
@@ -162,7 +162,7 @@
 		}
 		done := BeatDone{Term: b.Term, No: b.No, Result: p.Fleet.Apply(&b, term, p.grant())}
 		if rules := p.Policy.Grants().Zones; len(done.Joined) > 0 {
-			done.Began = p.Zones.Began(p.Fleet, &rules, p.WithoutZones)
+			done.Began = p.Zones.BeginColdStart(p.Fleet, &rules, p.WithoutZones)
 		}
 		return done, nil
 	case KindPolicy:
@@ -181,7 +181,7 @@
 			return nil, fmt.Errorf("not a step of a zone: %w", err)
 		}
 		if !p.Policy.Grants().Zones.Enabled() {
-			return zones.Result{Kind: op.Kind, Zone: op.Zone, Key: op.Key,
+			return zones.Result{Kind: op.Kind, Zone: op.Zone, IdempotencyKey: op.IdempotencyKey,
 				Err: "the policy in force decides nothing about zones: [zones] decide = ask or auto"}, nil
 		}
 		return p.Zones.Apply(&op, p.Fleet, p.WithoutZones), nil
@@ -247,7 +247,7 @@
 
 // Restore makes the part the first state of the next generation of a group, by what was found. A change under way has no
 // end there: it is called off. Zones stand as the newest order of their nodes says, and return as any that was left.
-func (p *Part) Restore(found *recovery.Found, v Versions) error {
+func (p *Part) Restore(found *recovery.RestorePlan, v Versions) error {
 	rules := policy.Before
 	if found.Hash != "" {
 		var err error
@@ -255,13 +255,13 @@
 			return err
 		}
 	}
-	next := found.Whose.Next("")
-	p.Gen, p.Before = next.Gen, next.Before
+	next := found.Lost.NextGeneration("")
+	p.Gen, p.Before = next.Generation, next.Predecessors
 	var more []api.JoinRequest
-	share := map[string]recovery.Kept{}
-	for _, k := range found.Kept {
+	share := map[string]recovery.NodeRecord{}
+	for _, k := range found.Records {
 		more = append(more, api.JoinRequest{Name: k.Name, Zone: k.Zone, Addr: k.Addr})
-		if was, there := share[k.Zone]; k.Epoch > 0 && (!there || k.Epoch > was.Epoch) {
+		if was, there := share[k.Zone]; k.ZoneEpoch > 0 && (!there || k.ZoneEpoch > was.ZoneEpoch) {
 			share[k.Zone] = k
 		}
 	}
@@ -271,10 +271,10 @@
 	}
 	left := map[string]int{}
 	for name, k := range share { // each is judged alone
-		if k.Share < api.FullShare {
-			left[name] = k.Share
+		if k.ZoneShare < api.FullShare {
+			left[name] = k.ZoneShare
 		}
 	}
-	p.Zones.Restore(found.Epoch, left, p.Fleet)
+	p.Zones.Restore(found.ZoneEpoch, left, p.Fleet)
 	return nil
 }
--- a/internal/control/coordinator/pin_stream_test.go
+++ b/internal/control/coordinator/pin_stream_test.go
@@ -453,13 +453,13 @@
 		t.Error("the state was not found lost")
 	}
 	compare(t, "snapshot-lost.json", lost)
-	found := &recovery.Found{}
+	found := &recovery.RestorePlan{}
 	raw := `{"of":{"group":"group","generation":1,"before":["older"]},"version":11,"hash":"hash-11","proof":"served under by n1","epoch":9,"lease_ms":5000}`
 	if err := json.Unmarshal([]byte(raw), found); err != nil {
 		t.Fatal(err)
 	}
 	records := `[{"name":"n1","zone":"east","addr":"127.0.0.1:1","epoch":9,"share":256},{"name":"other","zone":"south","addr":"127.0.0.1:2","epoch":8,"share":16}]`
-	if err := json.Unmarshal([]byte(records), &found.Kept); err != nil {
+	if err := json.Unmarshal([]byte(records), &found.Records); err != nil {
 		t.Fatal(err)
 	}
 	if err := r.part.Restore(found, r); err != nil {
--- a/internal/control/coordinator/steward.go
+++ b/internal/control/coordinator/steward.go
@@ -87,7 +87,7 @@
 	opAt    uint64 // when an op of the rules went out; 0: none is out
 	ops     []*opening
 	forgets []string
-	watch   *zones.Watch
+	watch   *zones.Monitor
 	zoneAt  uint64 // when an op about zones went out by the rules; 0: none is out
 	zoneOps []*zoneOpening
 	reports map[string]*told // by node
@@ -110,7 +110,7 @@
 
 // New gives a steward that does not lead.
 func New(without policy.Guard) *Steward {
-	return &Steward{Without: without, reports: map[string]*told{}, watch: zones.NewWatch()}
+	return &Steward{Without: without, reports: map[string]*told{}, watch: zones.NewMonitor()}
 }
 
 // Leads tells whether this instance does the work at present.
@@ -125,7 +125,7 @@
 	s.cluster, s.leads, s.term = cluster, leads, term
 	s.beatAt, s.sentAt, s.opAt, s.no, s.more = s.now, 0, 0, 0, false
 	s.reports, s.forgets = map[string]*told{}, nil
-	s.watch, s.zoneAt = zones.NewWatch(), 0
+	s.watch, s.zoneAt = zones.NewMonitor(), 0
 	s.counts = counts{}
 	s.lacks, s.joins = map[string]lack{}, map[uint32]uint64{}
 	s.ledAt, s.names = s.now, map[string]bool{}
@@ -206,7 +206,7 @@
 		return
 	}
 	if n := p.Fleet.In(a.LeaseID); n != nil && p.Policy.Grants().Zones.Enabled() {
-		s.watch.Heard(s.now, n, a.Load, a.Peers)
+		s.watch.Record(s.now, n, a.Load, a.Peers)
 	}
 	n := p.Fleet.In(a.LeaseID)
 	if n == nil && !a.Leave {
@@ -225,7 +225,7 @@
 	}
 	// A promise that the state lacks goes through the log as well: a change waits for it.
 	if a.Renew || a.Leave || n.Lease.Floor < a.MinVersion && s.behind(p, n) ||
-		n.Lease.Zones < a.MinZoneEpoch && p.Zones.Settled < p.Zones.Epoch {
+		n.Lease.Zones < a.MinZoneEpoch && p.Zones.SettledEpoch < p.Zones.Epoch {
 		s.wait(a, done)
 		return
 	}
@@ -250,11 +250,11 @@
 	if h == nil || s.Without.Has(policy.Proof) {
 		return
 	}
-	have := recovery.Have{Group: s.cluster, Gen: p.Gen, Term: s.term, Index: p.Index, Need: p.Policy.Need, Epoch: p.Zones.Epoch,
-		HashOf: func(v uint64) string { return s.hashOf(p, v) }, SumOf: p.sumOf}
-	k := recovery.Kept{Group: h.Group, Gen: max(1, h.Generation), Term: h.Term, Index: h.Index, Sum: h.EntryChecksum, Version: a.ActiveVersion, Hash: h.ActiveHash,
-		Floor: a.MinVersion, Epoch: a.MinZoneEpoch}
-	if what := have.Lacks(&k); what != "" {
+	have := recovery.GroupPosition{Group: s.cluster, Generation: p.Gen, Term: s.term, Index: p.Index, DecidedVersion: p.Policy.Need, ZoneEpoch: p.Zones.Epoch,
+		HashOf: func(v uint64) string { return s.hashOf(p, v) }, ChecksumAt: p.sumOf}
+	k := recovery.NodeRecord{Group: h.Group, Generation: max(1, h.Generation), Term: h.Term, Index: h.Index, EntryChecksum: h.EntryChecksum, ActiveVersion: a.ActiveVersion, ActiveHash: h.ActiveHash,
+		MinVersion: a.MinVersion, ZoneEpoch: a.MinZoneEpoch}
+	if what := have.LostState(&k); what != "" {
 		if len(s.lacks) < membership.MaxNodes {
 			s.lacks[a.Name] = lack{what, s.now}
 		}
@@ -324,16 +324,16 @@
 	t.Autonomous = g.Alone
 	t.NextHeartbeatMS = g.LeaseMS / 4
 	if rules := p.Policy.Grants().Zones; rules.Enabled() {
-		t.NextHeartbeatMS = min(t.NextHeartbeatMS, zones.Pace(len(p.Fleet.Nodes())))
+		t.NextHeartbeatMS = min(t.NextHeartbeatMS, zones.HeartbeatIntervalMS(len(p.Fleet.Nodes())))
 		if n := p.Fleet.In(t.LeaseID); n != nil {
 			o := p.Zones.Order(n.Zone, t.LeaseID, &rules, s.WithoutZones)
-			if rules.ColdStart && s.young(p, n) && p.Zones.Probation(&o, n.Zone, n.Age(p.Fleet.Clock), p.Fleet.Clock, s.counts.zone[n.Zone],
+			if rules.ColdStart && s.young(p, n) && p.Zones.LimitNewNode(&o, n.Zone, n.Age(p.Fleet.Clock), p.Fleet.Clock, s.counts.zone[n.Zone],
 				&rules, s.WithoutZones) {
-				t.NextHeartbeatMS = min(t.NextHeartbeatMS, max(probationAsk, zones.Pace(len(p.Fleet.Nodes()))/2))
+				t.NextHeartbeatMS = min(t.NextHeartbeatMS, max(probationAsk, zones.HeartbeatIntervalMS(len(p.Fleet.Nodes()))/2))
 			} else {
 				delete(s.joins, t.LeaseID) // who was told to take all is not held afterwards
 			}
-			t.Zone, t.ProbeTargets = &o, s.watch.Looks(n.Name)
+			t.Zone, t.ProbeTargets = &o, s.watch.ProbesFor(n.Name)
 		}
 	}
 	if c := p.Policy.Now; c != nil {
@@ -375,7 +375,7 @@
 		}
 		c.in++
 		c.zone[n.Zone]++
-		if at := s.watch.HeardAt(n); at > 0 && n.Age(p.Fleet.Clock) > recovery.Span {
+		if at := s.watch.LastHeard(n); at > 0 && n.Age(p.Fleet.Clock) > recovery.ColdStartWindowMS {
 			c.warm = append(c.warm, at)
 		}
 	}
@@ -387,7 +387,7 @@
 // only the first of them are here yet.
 func (s *Steward) young(p *Part, n *membership.Node) bool {
 	since, joined := s.joins[n.Lease.ID]
-	if !joined || n.Age(p.Fleet.Clock) > recovery.Span {
+	if !joined || n.Age(p.Fleet.Clock) > recovery.ColdStartWindowMS {
 		return false
 	}
 	c := s.count(p)
@@ -420,8 +420,8 @@
 	case len(s.zoneOps) >= maxOps:
 		done(zones.Result{}, ErrBusy)
 	default:
-		if z := p.Zones.Find(op.Zone); op.Kind == "back" && z != nil && z.Step != zones.Returning {
-			done(zones.Result{Err: fmt.Sprintf("zone %s is %s, expected it returning", z.Name, z.Step)}, nil)
+		if z := p.Zones.Find(op.Zone); op.Kind == "back" && z != nil && z.Phase != zones.Ramping {
+			done(zones.Result{Err: fmt.Sprintf("zone %s is %s, expected it returning", z.Name, z.Phase)}, nil)
 			return
 		}
 		s.zoneOps = append(s.zoneOps, &zoneOpening{op: op, since: s.now, done: done})
@@ -432,7 +432,7 @@
 func (s *Steward) Views() []*zones.View { return s.watch.Views() }
 
 // All gives the whole fleet as the leader sees it, nil before its first look.
-func (s *Steward) All() *zones.View { return s.watch.All() }
+func (s *Steward) All() *zones.View { return s.watch.FleetView() }
 
 // Forget takes names off the list with the next beat.
 func (s *Steward) Forget(names ...string) error {
@@ -511,7 +511,7 @@
 		s.zoneAt = 0
 	}
 	if rules := p.Policy.Grants().Zones; s.zoneAt == 0 && rules.Enabled() {
-		if op := s.watch.Next(s.now, p.Zones, p.Fleet, &rules, s.WithoutZones); op != nil {
+		if op := s.watch.Decide(s.now, p.Zones, p.Fleet, &rules, s.WithoutZones); op != nil {
 			s.zoneAt = s.now
 			add(KindZones, op)
 		}
@@ -620,12 +620,12 @@
 			}
 		}
 	case zones.Result:
-		if e.Key == "" {
+		if e.IdempotencyKey == "" {
 			s.zoneAt = 0
 		}
 		kept := s.zoneOps[:0]
 		for _, o := range s.zoneOps {
-			if o.sent && e.Key == o.op.Key {
+			if o.sent && e.IdempotencyKey == o.op.IdempotencyKey {
 				o.done(e, nil)
 			} else {
 				kept = append(kept, o)
--- a/internal/control/coordinator/steward_test.go
+++ b/internal/control/coordinator/steward_test.go
@@ -329,23 +329,23 @@
 		t.Fatalf("%v: a snapshot forgets that state was lost", err)
 	}
 	// The next generation grants again, goes on after all epochs, and calls off what was under way.
-	if err = p.Restore(&recovery.Found{Whose: recovery.Whose{Group: "g", Gen: 1}, Version: 2, Hash: "h2", Epoch: 7, LeaseMS: 4000,
-		Kept: []recovery.Kept{{Name: "a", Zone: "z", Epoch: 7, Share: 256}, {Name: "k", Zone: "y", Epoch: 7, Share: 16}}}, g); err != nil {
+	if err = p.Restore(&recovery.RestorePlan{Lost: recovery.GroupIdentity{Group: "g", Generation: 1}, Version: 2, Hash: "h2", ZoneEpoch: 7, LeaseMS: 4000,
+		Records: []recovery.NodeRecord{{Name: "a", Zone: "z", ZoneEpoch: 7, ZoneShare: 256}, {Name: "k", Zone: "y", ZoneEpoch: 7, ZoneShare: 16}}}, g); err != nil {
 		t.Fatal(err)
 	}
-	if p.Gen != 2 || p.Fleet.Lost != "" || p.Policy.Force != 2 || p.Zones.Epoch != 8 || p.Zones.Settled != 7 || p.Fleet.Named("k") == nil {
-		t.Fatalf("generation %d, lost %q, version %d, epoch %d of %d", p.Gen, p.Fleet.Lost, p.Policy.Force, p.Zones.Settled, p.Zones.Epoch)
+	if p.Gen != 2 || p.Fleet.Lost != "" || p.Policy.Force != 2 || p.Zones.Epoch != 8 || p.Zones.SettledEpoch != 7 || p.Fleet.Named("k") == nil {
+		t.Fatalf("generation %d, lost %q, version %d, epoch %d of %d", p.Gen, p.Fleet.Lost, p.Policy.Force, p.Zones.SettledEpoch, p.Zones.Epoch)
 	}
 	under := NewPart(0)
 	under.Policy.Now = &policy.Change{Number: 1, Version: 3, Step: policy.Preparing}
-	if err = under.Restore(&recovery.Found{Whose: recovery.Whose{Group: "g", Gen: 1}}, g); err != nil || under.Policy.Now != nil ||
+	if err = under.Restore(&recovery.RestorePlan{Lost: recovery.GroupIdentity{Group: "g", Generation: 1}}, g); err != nil || under.Policy.Now != nil ||
 		under.Policy.Past[0].Step != policy.CalledOff || under.Policy.Need != 0 {
 		t.Errorf("%v: a first change that was under way is %+v", err, under.Policy.Now)
 	}
-	if step, share := p.Zones.StepOf("y"); step != zones.Out || share != 0 {
+	if step, share := p.Zones.PhaseOf("y"); step != zones.Evacuated || share != 0 {
 		t.Errorf("a zone whose nodes took a sixteenth is %s at %d, expected it out", step, share)
 	}
-	if step, _ := p.Zones.StepOf("z"); step != zones.In {
+	if step, _ := p.Zones.PhaseOf("z"); step != zones.InService {
 		t.Errorf("a zone whose nodes took all is %s", step)
 	}
 }
@@ -375,7 +375,7 @@
 		return out
 	}
 	each("abcdef", "-first-life", 60_000)
-	g.p.Zones.Zones = []*zones.Zone{{Name: "z", Step: zones.In, Share: api.FullShare, Bore: zones.Bore{Runs: 96, Flight: 2, RunMS: 20}}}
+	g.p.Zones.Zones = []*zones.Zone{{Name: "z", Phase: zones.InService, Share: api.FullShare, Capacity: zones.ObservedCapacity{RunRate: 96, Concurrency: 2, RunMS: 20}}}
 	each("abcdef", "-first-life", 61_000)
 	// One restarts: it takes a share until the others were heard after it, and all at once then.
 	if told := each("a", "-second-life", 0)["a"]; told.Zone == nil || told.Zone.Share != 16 || told.Zone.RateLimit != 1 || told.NextHeartbeatMS > 500 {
@@ -390,11 +390,11 @@
 	each("abcdef", "-third-life", 90_000)
 	each("abcdef", "-third-life", 91_000)
 	early := each("ab", "-fourth-life", 0)
-	if early["a"].Zone.Share != 16 || early["b"].Zone.Share != 16 || g.p.Zones.Find(zones.Fleet) != nil {
+	if early["a"].Zone.Share != 16 || early["b"].Zone.Share != 16 || g.p.Zones.Find(zones.WholeFleet) != nil {
 		t.Fatalf("%+v and %+v: the first two of six begin whole", early["a"].Zone, early["b"].Zone)
 	}
 	late := each("cdef", "-fourth-life", 0)
-	if z := g.p.Zones.Find(zones.Fleet); z == nil || z.Step != zones.Returning || late["c"].Zone.Share != 16 {
+	if z := g.p.Zones.Find(zones.WholeFleet); z == nil || z.Phase != zones.Ramping || late["c"].Zone.Share != 16 {
 		t.Fatalf("%+v, %+v: six of six began, and the fleet does not come back", z, late["c"].Zone)
 	}
 }
--- a/internal/control/recovery/comeback_test.go
+++ b/internal/control/recovery/comeback_test.go
@@ -7,7 +7,7 @@
 		young, in int
 		common    bool
 	}{{1, 100, false}, {1, 1, false}, {1, 2, false}, {2, 2, true}, {49, 100, false}, {50, 100, true}, {88, 100, true}, {0, 0, false}} {
-		if got := Common(c.young, c.in); got != c.common {
+		if got := IsColdStart(c.young, c.in); got != c.common {
 			t.Errorf("%d of %d: %v, expected %v", c.young, c.in, got, c.common)
 		}
 	}
@@ -18,7 +18,7 @@
 func TestComeBack(t *testing.T) {
 	for _, c := range []struct{ most, after, least, high int64 }{{0, 0, 0, 0}, {30_000, 0, 1000, 2000},
 		{30_000, 10_000, 10_000, 15_000}, {5000, 10_000, 3750, 5000}, {1000, 0, 500, 1000}} {
-		f, low, high := new(Spread), int64(1)<<40, int64(0)
+		f, low, high := new(RetryAfterSpreader), int64(1)<<40, int64(0)
 		for range 500 {
 			ms := f.Next(c.most, c.after)
 			low, high = min(low, ms), max(high, ms)
--- a/internal/control/recovery/pin_plan_test.go
+++ b/internal/control/recovery/pin_plan_test.go
@@ -20,27 +20,27 @@
 func pick[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
 
 // randomNode makes what a node holds, with faults: spoilt texts, another group, another generation, a text of its own.
-func randomNode(rng *rand.Rand, i int) Kept {
+func randomNode(rng *rand.Rand, i int) NodeRecord {
 	version := uint64(rng.IntN(6))
 	text := pick(rng, fmt.Sprint("t", version), fmt.Sprint("t", version), fmt.Sprint("t", version), fmt.Sprint("other t", version))
 	k := kept(fmt.Sprint("n", i), version, text, version+uint64(rng.IntN(8)/7))
-	k.Index, k.Term, k.Epoch, k.Held = 90+uint64(rng.IntN(30)), uint64(rng.IntN(5)), uint64(rng.IntN(9)), uint64(rng.IntN(9000))
-	k.Share, k.Sum = rng.IntN(300), uint64(rng.IntN(3))
+	k.Index, k.Term, k.ZoneEpoch, k.LeaseMS = 90+uint64(rng.IntN(30)), uint64(rng.IntN(5)), uint64(rng.IntN(9)), uint64(rng.IntN(9000))
+	k.ZoneShare, k.EntryChecksum = rng.IntN(300), uint64(rng.IntN(3))
 	if rng.IntN(3) == 0 {
-		k.Next, k.NextText = version+1, fmt.Sprint("t", version+1)
-		k.NextHash = document.Hash([]byte(k.NextText))
+		k.PreparedVersion, k.PreparedText = version+1, fmt.Sprint("t", version+1)
+		k.PreparedHash = document.Hash([]byte(k.PreparedText))
 	}
 	switch rng.IntN(12) {
 	case 0:
-		k.Text += " spoilt"
+		k.ActiveText += " spoilt"
 	case 1:
-		k.Group, k.Gen = "g2", 2
+		k.Group, k.Generation = "g2", 2
 	case 2:
 		k.Group = ""
 	case 3:
-		k.Group, k.Gen = "g3", uint64(rng.IntN(3))
+		k.Group, k.Generation = "g3", uint64(rng.IntN(3))
 	case 4:
-		k.Version, k.Text, k.Hash = 0, "", ""
+		k.ActiveVersion, k.ActiveText, k.ActiveHash = 0, "", ""
 	}
 	return k
 }
@@ -51,39 +51,39 @@
 	sum, rng := sha256.New(), rand.New(rand.NewPCG(3, 4))
 	say := func(format string, args ...any) { fmt.Fprintf(sum, format+"\n", args...) }
 	conflicts, restored, lost, invalid := 0, 0, 0, 0
-	var spread Spread
+	var spread RetryAfterSpreader
 	for range 4000 {
-		var all []Kept
+		var all []NodeRecord
 		for i := range rng.IntN(14) {
 			all = append(all, randomNode(rng, i))
 		}
-		var base *Base
+		var base *StoredGroup
 		if rng.IntN(2) == 0 {
 			last := uint64(rng.IntN(7))
 			base = folder(last, min(last, uint64(rng.IntN(7))), min(last, uint64(rng.IntN(7))))
-			base.Alone, base.Tail = rng.IntN(2) == 0, uint64(rng.IntN(3))
+			base.Autonomous, base.UncommittedEntries = rng.IntN(2) == 0, uint64(rng.IntN(3))
 			if rng.IntN(4) == 0 {
-				base.Text = nil
+				base.TextOf = nil
 			}
 			if rng.IntN(4) == 0 {
-				base.Whose = base.Next("g2")
+				base.GroupIdentity = base.NextGeneration("g2")
 			}
 		}
 		take := pick(rng, "", "", document.Hash([]byte("t3"))[:10], document.Hash([]byte("other t4")))
-		f := Plan(all, base, take)
+		f := PlanRestore(all, base, take)
 		raw, _ := json.Marshal(f)
-		counted, _ := json.Marshal(f.Kept)
+		counted, _ := json.Marshal(f.Records)
 		say("%s %q %s", raw, f.Text, counted)
 		if f.Conflict != "" {
 			conflicts++
-		} else if f.Was > 0 {
+		} else if f.SourceVersion > 0 {
 			restored++
 		}
-		have := Have{Group: pick(rng, "g1", "g1", "g2"), Gen: pick(rng, uint64(1), 1, 2), Term: 3, Index: 110, Need: 4, Last: 5, Epoch: 6,
-			HashOf: func(v uint64) string { return document.Hash([]byte(fmt.Sprint("t", v))) },
-			SumOf:  func(index uint64) (uint64, bool) { return index % 3, index >= 100 }}
+		have := GroupPosition{Group: pick(rng, "g1", "g1", "g2"), Generation: pick(rng, uint64(1), 1, 2), Term: 3, Index: 110, DecidedVersion: 4, LastVersion: 5, ZoneEpoch: 6,
+			HashOf:     func(v uint64) string { return document.Hash([]byte(fmt.Sprint("t", v))) },
+			ChecksumAt: func(index uint64) (uint64, bool) { return index % 3, index >= 100 }}
 		for i := range all {
-			lacks := have.Lacks(&all[i])
+			lacks := have.LostState(&all[i])
 			if lacks != "" {
 				lost++
 			}
@@ -95,8 +95,8 @@
 		}
 		young, in := rng.IntN(9), rng.IntN(9)
 		bound, after := int64(rng.IntN(40_000)), int64(rng.IntN(20_000))
-		from, to := Window(bound, after)
-		say("%v %d %d %d", Common(young, in), from, to, spread.Next(bound, after))
+		from, to := RetryAfterWindow(bound, after)
+		say("%v %d %d %d", IsColdStart(young, in), from, to, spread.Next(bound, after))
 	}
 	got := fmt.Sprintf("%s conflicts=%d restored=%d lost=%d invalid=%d\n", hex.EncodeToString(sum.Sum(nil)), conflicts, restored, lost,
 		invalid)
@@ -109,13 +109,13 @@
 // TestPinnedForms: what a node tells, what a plan shows and how a group is named, with every field set, is written to the bytes
 // of version 2a0a97e and read back to the same value.
 func TestPinnedForms(t *testing.T) {
-	whose := Whose{Group: "g3", Gen: 3, Before: []string{"g1", "g2"}}
+	whose := GroupIdentity{Group: "g3", Generation: 3, Predecessors: []string{"g1", "g2"}}
 	for name, value := range map[string]any{
 		"whose": &whose,
-		"kept": &Kept{Name: "n1", Zone: "z", Addr: "a:1", Group: "g", Gen: 1, Term: 2, Index: 3, Version: 5, Hash: "h", Text: "t", Floor: 6,
-			Next: 7, NextHash: "nh", NextText: "nt", Alone: true, Epoch: 8, Share: 9, Held: 10},
-		"found": &Found{Whose: whose, Version: 4, Hash: "h", Was: 3, Proof: "p", Epoch: 5, LeaseMS: 6, Nodes: []string{"a"},
-			Others: []string{"b"}, Unknown: []string{"c"}, Conflict: "d"},
+		"kept": &NodeRecord{Name: "n1", Zone: "z", Addr: "a:1", Group: "g", Generation: 1, Term: 2, Index: 3, ActiveVersion: 5, ActiveHash: "h", ActiveText: "t", MinVersion: 6,
+			PreparedVersion: 7, PreparedHash: "nh", PreparedText: "nt", Autonomous: true, ZoneEpoch: 8, ZoneShare: 9, LeaseMS: 10},
+		"found": &RestorePlan{Lost: whose, Version: 4, Hash: "h", SourceVersion: 3, Proof: "p", ZoneEpoch: 5, LeaseMS: 6, Nodes: []string{"a"},
+			NotCounted: []string{"b"}, Unknown: []string{"c"}, Conflict: "d"},
 	} {
 		got, err := json.Marshal(value)
 		if err != nil {
--- a/internal/control/recovery/recover.go
+++ b/internal/control/recovery/recover.go
@@ -16,25 +16,25 @@
 
 // Bounds of what is gathered.
 const (
-	MaxKept   = membership.MaxNodes
-	maxWord   = 80
-	maxBefore = 64 // generations whose groups are remembered by name
-	maxListed = 8
+	MaxRecords = membership.MaxNodes
+	maxWord    = 80
+	maxBefore  = 64 // generations whose groups are remembered by name
+	maxListed  = 8
 )
 
-// Whose names a group and how often it was restored.
-type Whose struct {
-	Group  string   `json:"group"`
-	Gen    uint64   `json:"generation"`
-	Before []string `json:"before,omitempty"` // groups of earlier generations, the oldest first
+// GroupIdentity names a group and how often it was restored.
+type GroupIdentity struct {
+	Group        string   `json:"group"`
+	Generation   uint64   `json:"generation"`
+	Predecessors []string `json:"before,omitempty"` // groups of earlier generations, the oldest first
 }
 
-// After tells whether this is a later generation of the group that is named.
-func (w *Whose) After(group string, gen uint64) bool {
-	if w.Gen <= gen {
+// Succeeds tells whether this is a later generation of the group that is named.
+func (w *GroupIdentity) Succeeds(group string, gen uint64) bool {
+	if w.Generation <= gen {
 		return false
 	}
-	for _, b := range w.Before {
+	for _, b := range w.Predecessors {
 		if b == group {
 			return true
 		}
@@ -42,89 +42,89 @@
 	return false
 }
 
-// Next gives the generation after this one.
-func (w *Whose) Next(group string) Whose {
-	n := Whose{Group: group, Gen: max(1, w.Gen) + 1, Before: append(append([]string{}, w.Before...), w.Group)}
-	if len(n.Before) > maxBefore {
-		n.Before = n.Before[len(n.Before)-maxBefore:]
+// NextGeneration gives the generation after this one.
+func (w *GroupIdentity) NextGeneration(group string) GroupIdentity {
+	n := GroupIdentity{Group: group, Generation: max(1, w.Generation) + 1, Predecessors: append(append([]string{}, w.Predecessors...), w.Group)}
+	if len(n.Predecessors) > maxBefore {
+		n.Predecessors = n.Predecessors[len(n.Predecessors)-maxBefore:]
 	}
 	return n
 }
 
-// Kept is what a node holds of its fleet, as it tells whoever gathers.
-type Kept struct {
-	Name  string `json:"name"`
-	Zone  string `json:"zone"`
-	Addr  string `json:"addr,omitempty"`
-	Group string `json:"group"` // as heard last
-	Gen   uint64 `json:"generation"`
-	Term  uint64 `json:"term"`
-	Index uint64 `json:"index"` // of the group's log, as heard last
-	Sum   uint64 `json:"-"`     // of that entry, 0: not told
-	// Version was served under, so it was in force. Text has Hash, or it is not looked at.
-	Version uint64 `json:"version"`
-	Hash    string `json:"hash,omitempty"`
-	Text    string `json:"text,omitempty"`
-	Floor   uint64 `json:"floor"` // decided, as far as the node was told: it serves under nothing older
-	// Next is a version that was prepared and not taken over yet.
-	Next     uint64 `json:"next,omitempty"`
-	NextHash string `json:"next_hash,omitempty"`
-	NextText string `json:"next_text,omitempty"`
-	Alone    bool   `json:"alone,omitempty"` // it may serve without a lease
-	Epoch    uint64 `json:"epoch,omitempty"` // of its zone's order
-	Share    int    `json:"share,omitempty"` // that it takes, of fleet.Whole, where Epoch is not 0
-	Held     uint64 `json:"lease_ms,omitempty"`
+// NodeRecord is what a node holds of its fleet, as it tells whoever gathers.
+type NodeRecord struct {
+	Name          string `json:"name"`
+	Zone          string `json:"zone"`
+	Addr          string `json:"addr,omitempty"`
+	Group         string `json:"group"` // as heard last
+	Generation    uint64 `json:"generation"`
+	Term          uint64 `json:"term"`
+	Index         uint64 `json:"index"` // of the group's log, as heard last
+	EntryChecksum uint64 `json:"-"`     // of that entry, 0: not told
+	// ActiveVersion was served under, so it was in force. Text has Hash, or it is not looked at.
+	ActiveVersion uint64 `json:"version"`
+	ActiveHash    string `json:"hash,omitempty"`
+	ActiveText    string `json:"text,omitempty"`
+	MinVersion    uint64 `json:"floor"` // decided, as far as the node was told: it serves under nothing older
+	// PreparedVersion is a version that was prepared and not taken over yet.
+	PreparedVersion uint64 `json:"next,omitempty"`
+	PreparedHash    string `json:"next_hash,omitempty"`
+	PreparedText    string `json:"next_text,omitempty"`
+	Autonomous      bool   `json:"alone,omitempty"` // it may serve without a lease
+	ZoneEpoch       uint64 `json:"epoch,omitempty"` // of its zone's order
+	ZoneShare       int    `json:"share,omitempty"` // that it takes, of fleet.Whole, where Epoch is not 0
+	LeaseMS         uint64 `json:"lease_ms,omitempty"`
 }
 
 // Valid says what is wrong with it.
-func (k *Kept) Valid() error {
+func (k *NodeRecord) Valid() error {
 	j := api.JoinRequest{Name: k.Name, Zone: k.Zone, Addr: k.Addr, Nonce: "unused--"}
 	if err := j.Validate(); err != nil {
 		return err
 	}
 	switch {
-	case len(k.Group) > maxWord || len(k.Hash) > maxWord || len(k.NextHash) > maxWord:
+	case len(k.Group) > maxWord || len(k.ActiveHash) > maxWord || len(k.PreparedHash) > maxWord:
 		return fmt.Errorf("group, hash, next_hash: expected at most %d bytes each", maxWord)
-	case len(k.Text) > document.MaxBytes || len(k.NextText) > document.MaxBytes:
-		return fmt.Errorf("text: found %d and %d bytes, expected at most %d", len(k.Text), len(k.NextText), document.MaxBytes)
-	case k.Share < 0 || k.Share > api.FullShare:
-		return fmt.Errorf("share: found %d, expected 0 to %d", k.Share, api.FullShare)
-	case k.Floor < k.Version:
-		return fmt.Errorf("floor: found %d, expected %d at least, which is served under", k.Floor, k.Version)
+	case len(k.ActiveText) > document.MaxBytes || len(k.PreparedText) > document.MaxBytes:
+		return fmt.Errorf("text: found %d and %d bytes, expected at most %d", len(k.ActiveText), len(k.PreparedText), document.MaxBytes)
+	case k.ZoneShare < 0 || k.ZoneShare > api.FullShare:
+		return fmt.Errorf("share: found %d, expected 0 to %d", k.ZoneShare, api.FullShare)
+	case k.MinVersion < k.ActiveVersion:
+		return fmt.Errorf("floor: found %d, expected %d at least, which is served under", k.MinVersion, k.ActiveVersion)
 	}
 	return nil
 }
 
-// Base is what an old folder of the group holds, if there is one: proof of its own, as of some time ago.
-type Base struct {
-	Whose
-	Last   uint64                                           // the newest version, in force or not
-	Need   uint64                                           // decided
-	Force  uint64                                           // in force
-	Index  uint64                                           // of its log
-	Epoch  uint64                                           // of the zones
-	Nodes  []string                                         // that it knew as in
-	Alone  bool                                             // the policy in force lets nodes go on alone
-	Text   func(number uint64) (text, hash string, ok bool) // nil: none
-	LeaseM uint64                                           // of the policy in force, in ms
-	Tail   uint64                                           // entries that are not known to be committed
+// StoredGroup is what an old folder of the group holds, if there is one: proof of its own, as of some time ago.
+type StoredGroup struct {
+	GroupIdentity
+	LastVersion        uint64                                           // the newest version, in force or not
+	DecidedVersion     uint64                                           // decided
+	CommittedVersion   uint64                                           // in force
+	Index              uint64                                           // of its log
+	ZoneEpoch          uint64                                           // of the zones
+	Nodes              []string                                         // that it knew as in
+	Autonomous         bool                                             // the policy in force lets nodes go on alone
+	TextOf             func(number uint64) (text, hash string, ok bool) // nil: none
+	LeaseMS            uint64                                           // of the policy in force, in ms
+	UncommittedEntries uint64                                           // entries that are not known to be committed
 }
 
-// Found is what would be restored, and on what grounds.
-type Found struct {
-	Whose    Whose    `json:"of"`      // the group that is gone
-	Version  uint64   `json:"version"` // it begins with, in force; 0: nobody served under any
-	Text     string   `json:"-"`
-	Hash     string   `json:"hash,omitempty"`
-	Was      uint64   `json:"was"`   // the number that the text had
-	Proof    string   `json:"proof"` // how it is known
-	Epoch    uint64   `json:"epoch"` // of the zones: it goes on after it
-	LeaseMS  uint64   `json:"lease_ms"`
-	Kept     []Kept   `json:"-"`
-	Nodes    []string `json:"nodes"`
-	Others   []string `json:"not_counted,omitempty"` // nodes whose word does not count, and why
-	Unknown  []string `json:"unknown,omitempty"`     // what can't be known
-	Conflict string   `json:"conflict,omitempty"`    // nothing is restored before an operator has chosen
+// RestorePlan is what would be restored, and on what grounds.
+type RestorePlan struct {
+	Lost          GroupIdentity `json:"of"`      // the group that is gone
+	Version       uint64        `json:"version"` // it begins with, in force; 0: nobody served under any
+	Text          string        `json:"-"`
+	Hash          string        `json:"hash,omitempty"`
+	SourceVersion uint64        `json:"was"`   // the number that the text had
+	Proof         string        `json:"proof"` // how it is known
+	ZoneEpoch     uint64        `json:"epoch"` // of the zones: it goes on after it
+	LeaseMS       uint64        `json:"lease_ms"`
+	Records       []NodeRecord  `json:"-"`
+	Nodes         []string      `json:"nodes"`
+	NotCounted    []string      `json:"not_counted,omitempty"` // nodes whose word does not count, and why
+	Unknown       []string      `json:"unknown,omitempty"`     // what can't be known
+	Conflict      string        `json:"conflict,omitempty"`    // nothing is restored before an operator has chosen
 }
 
 // holder is a version's text with who holds it.
@@ -134,12 +134,12 @@
 	served, others []string // who served under it, who only prepared it
 }
 
-// Plan works out what to restore from what nodes told and what an old folder holds, nil without one. take, if not empty,
+// PlanRestore works out what to restore from what nodes told and what an old folder holds, nil without one. take, if not empty,
 // is the hash that an operator chose where two texts go by one number. It never guesses: what is at odds is a conflict,
 // and what nobody holds is named.
-func Plan(all []Kept, base *Base, take string) *Found {
-	f := &Found{}
-	all = append([]Kept(nil), all...)
+func PlanRestore(all []NodeRecord, base *StoredGroup, take string) *RestorePlan {
+	f := &RestorePlan{}
+	all = append([]NodeRecord(nil), all...)
 	sort.Slice(all, func(i, k int) bool { return all[i].Name < all[k].Name })
 	f.whose(all, base)
 	if f.Conflict != "" {
@@ -152,8 +152,8 @@
 		}
 	}
 	if base != nil {
-		raise(base.Need, "the folder")
-		f.Epoch, f.LeaseMS = base.Epoch, base.LeaseM
+		raise(base.DecidedVersion, "the folder")
+		f.ZoneEpoch, f.LeaseMS = base.ZoneEpoch, base.LeaseMS
 	}
 	texts := map[uint64][]*holder{}
 	hold := func(n uint64, hash, text, who string, served bool) {
@@ -176,21 +176,21 @@
 			h.others = append(h.others, who)
 		}
 	}
-	for i := range f.Kept {
-		k := &f.Kept[i]
+	for i := range f.Records {
+		k := &f.Records[i]
 		f.Nodes = append(f.Nodes, k.Name)
-		raise(k.Floor, k.Name)
-		f.Epoch, f.LeaseMS = max(f.Epoch, k.Epoch), max(f.LeaseMS, k.Held)
-		hold(k.Version, k.Hash, k.Text, k.Name, true)
-		hold(k.Next, k.NextHash, k.NextText, k.Name, false)
-	}
-	if base != nil && base.Text != nil {
-		for n := base.Last; n > 0; n-- {
-			text, hash, ok := base.Text(n)
+		raise(k.MinVersion, k.Name)
+		f.ZoneEpoch, f.LeaseMS = max(f.ZoneEpoch, k.ZoneEpoch), max(f.LeaseMS, k.LeaseMS)
+		hold(k.ActiveVersion, k.ActiveHash, k.ActiveText, k.Name, true)
+		hold(k.PreparedVersion, k.PreparedHash, k.PreparedText, k.Name, false)
+	}
+	if base != nil && base.TextOf != nil {
+		for n := base.LastVersion; n > 0; n-- {
+			text, hash, ok := base.TextOf(n)
 			if !ok {
 				break
 			}
-			hold(n, hash, text, "the folder", n <= base.Force)
+			hold(n, hash, text, "the folder", n <= base.CommittedVersion)
 		}
 	}
 	f.unheard(base)
@@ -226,7 +226,7 @@
 		f.Proof = "none"
 		return f
 	}
-	f.Text, f.Hash, f.Was = best.text, best.hash, best.number
+	f.Text, f.Hash, f.SourceVersion = best.text, best.hash, best.number
 	f.Version = best.number
 	switch {
 	case len(best.served) > 0:
@@ -241,62 +241,62 @@
 			"of %d", top, why, f.Version, best.number))
 	}
 	if base != nil {
-		if _, hash, ok := textOf(base, f.Version); ok && hash != f.Hash || !ok && base.Last >= f.Version {
+		if _, hash, ok := textOf(base, f.Version); ok && hash != f.Hash || !ok && base.LastVersion >= f.Version {
 			// The folder went on another way after it was copied: that number stands for something else there.
-			f.Version = max(base.Last, top) + 1
+			f.Version = max(base.LastVersion, top) + 1
 		}
 	}
 	return f
 }
 
-func textOf(b *Base, n uint64) (text, hash string, ok bool) {
-	if b.Text == nil {
+func textOf(b *StoredGroup, n uint64) (text, hash string, ok bool) {
+	if b.TextOf == nil {
 		return "", "", false
 	}
-	return b.Text(n)
+	return b.TextOf(n)
 }
 
 // whose finds the newest generation among all, and who is of it or of one before it.
-func (f *Found) whose(all []Kept, base *Base) {
+func (f *RestorePlan) whose(all []NodeRecord, base *StoredGroup) {
 	if base != nil {
-		f.Whose = base.Whose
+		f.Lost = base.GroupIdentity
 	}
 	for i := range all {
 		k := &all[i]
-		if k.Group != "" && k.Gen > f.Whose.Gen {
-			f.Whose = Whose{Group: k.Group, Gen: k.Gen}
+		if k.Group != "" && k.Generation > f.Lost.Generation {
+			f.Lost = GroupIdentity{Group: k.Group, Generation: k.Generation}
 			if base != nil {
-				f.Whose.Before = append(append([]string{}, base.Before...), base.Group)
+				f.Lost.Predecessors = append(append([]string{}, base.Predecessors...), base.Group)
 			}
 		}
 	}
 	for _, k := range all {
 		switch {
 		case k.Group == "":
-			f.Others = append(f.Others, k.Name+" has heard no group yet")
-		case k.Group == f.Whose.Group:
-			f.Kept = append(f.Kept, k)
-		case k.Gen == f.Whose.Gen:
+			f.NotCounted = append(f.NotCounted, k.Name+" has heard no group yet")
+		case k.Group == f.Lost.Group:
+			f.Records = append(f.Records, k)
+		case k.Generation == f.Lost.Generation:
 			f.Conflict = fmt.Sprintf("%s is of group %.16s and others of %.16s, both of generation %d: they go on apart since", k.Name,
-				k.Group, f.Whose.Group, k.Gen)
+				k.Group, f.Lost.Group, k.Generation)
 			return
 		default:
-			f.Others = append(f.Others, fmt.Sprintf("%s is of generation %d, the newest heard of is %d", k.Name, k.Gen, f.Whose.Gen))
-			if !has(f.Whose.Before, k.Group) {
-				f.Whose.Before = append(f.Whose.Before, k.Group)
+			f.NotCounted = append(f.NotCounted, fmt.Sprintf("%s is of generation %d, the newest heard of is %d", k.Name, k.Generation, f.Lost.Generation))
+			if !has(f.Lost.Predecessors, k.Group) {
+				f.Lost.Predecessors = append(f.Lost.Predecessors, k.Group)
 			}
 		}
 	}
 }
 
-func (f *Found) unheard(base *Base) {
+func (f *RestorePlan) unheard(base *StoredGroup) {
 	if base == nil {
 		f.Unknown = append(f.Unknown, "nodes that were not heard: what they were told, and whether there are any; versions that were "+
 			"put and not decided")
 		return
 	}
-	if base.Tail > 0 {
-		f.Unknown = append(f.Unknown, fmt.Sprintf("whether the last %d entries of the folder were committed: they are left out", base.Tail))
+	if base.UncommittedEntries > 0 {
+		f.Unknown = append(f.Unknown, fmt.Sprintf("whether the last %d entries of the folder were committed: they are left out", base.UncommittedEntries))
 	}
 	var not []string
 	for _, n := range base.Nodes {
@@ -306,15 +306,15 @@
 	}
 	if len(not) > 0 {
 		what := "for the rest of its lease"
-		if base.Alone {
+		if base.Autonomous {
 			what = "for as long as they are not heard, as when_alone = go-on was in force"
 		}
 		f.Unknown = append(f.Unknown, fmt.Sprintf("%s: not heard; may serve under what they were told %s", listed(not), what))
 	}
-	for i := range f.Kept {
-		if f.Kept[i].Index > base.Index {
+	for i := range f.Records {
+		if f.Records[i].Index > base.Index {
 			f.Unknown = append(f.Unknown, fmt.Sprintf("what was agreed on after entry %d of the folder but is with no node: %s was told of "+
-				"entry %d", base.Index, f.Kept[i].Name, f.Kept[i].Index))
+				"entry %d", base.Index, f.Records[i].Name, f.Records[i].Index))
 			break
 		}
 	}
@@ -353,21 +353,21 @@
 	return strings.Join(names, ", ")
 }
 
-// Have is where a group's own state stands.
-type Have struct {
-	Group             string
-	Gen, Term, Index  uint64
-	Need, Last, Epoch uint64
-	HashOf            func(version uint64) string // empty: not kept
-	// SumOf gives what its log has at an entry: 0 where there is another kind of entry; known is false where it goes back no more.
-	SumOf func(index uint64) (sum uint64, known bool)
+// GroupPosition is where a group's own state stands.
+type GroupPosition struct {
+	Group                                  string
+	Generation, Term, Index                uint64
+	DecidedVersion, LastVersion, ZoneEpoch uint64
+	HashOf                                 func(version uint64) string // empty: not kept
+	// ChecksumAt gives what its log has at an entry: 0 where there is another kind of entry; known is false where it goes back no more.
+	ChecksumAt func(index uint64) (sum uint64, known bool)
 }
 
-// Lacks tells what a node was told by this group, of this generation, that the group does not know: then the group's
+// LostState tells what a node was told by this group, of this generation, that the group does not know: then the group's
 // state was lost or put back to an older one, and nothing it decides can be trusted. Empty: nothing. Whatever a node was
 // told was committed before, so a group that lost nothing knows it.
-func (h *Have) Lacks(k *Kept) string {
-	if k.Group != h.Group || k.Gen != h.Gen {
+func (h *GroupPosition) LostState(k *NodeRecord) string {
+	if k.Group != h.Group || k.Generation != h.Generation {
 		return "" // of another generation: whoever is behind is told so
 	}
 	switch {
@@ -375,19 +375,19 @@
 		return fmt.Sprintf("entry %d of the log, and the group is at %d", k.Index, h.Index)
 	case k.Term > h.Term:
 		return fmt.Sprintf("term %d, and the group is in %d", k.Term, h.Term)
-	case k.Floor > h.Need:
-		return fmt.Sprintf("version %d decided, and the group has %d", k.Floor, h.Need)
-	case k.Epoch > h.Epoch:
-		return fmt.Sprintf("epoch %d of the zones, and the group is at %d", k.Epoch, h.Epoch)
+	case k.MinVersion > h.DecidedVersion:
+		return fmt.Sprintf("version %d decided, and the group has %d", k.MinVersion, h.DecidedVersion)
+	case k.ZoneEpoch > h.ZoneEpoch:
+		return fmt.Sprintf("epoch %d of the zones, and the group is at %d", k.ZoneEpoch, h.ZoneEpoch)
 	}
-	if k.Sum != 0 && h.SumOf != nil {
+	if k.EntryChecksum != 0 && h.ChecksumAt != nil {
 		// Its log has grown past what was lost, and elections past the term: the entry that the node was told as of is another.
-		if sum, known := h.SumOf(k.Index); known && sum != k.Sum {
+		if sum, known := h.ChecksumAt(k.Index); known && sum != k.EntryChecksum {
 			return fmt.Sprintf("another entry %d than the group has", k.Index)
 		}
 	}
-	if hash := h.HashOf(k.Version); k.Version > 0 && hash != "" && k.Hash != "" && hash != k.Hash {
-		return fmt.Sprintf("another version %d than the group has", k.Version)
+	if hash := h.HashOf(k.ActiveVersion); k.ActiveVersion > 0 && hash != "" && k.ActiveHash != "" && hash != k.ActiveHash {
+		return fmt.Sprintf("another version %d than the group has", k.ActiveVersion)
 	}
 	return ""
 }
--- a/internal/control/zones/gate.go
+++ b/internal/control/zones/gate.go
@@ -11,16 +11,16 @@
 // Gate is a node's side of its zone's order: whether it takes a req, and whether it opens a connection below. It is told
 // the time, in ms of a clock that nobody sets.
 type Gate struct {
-	seed   uint32
-	order  api.ZoneOrder
-	has    bool
-	runs   bucket
-	dials  bucket
-	retry  []bucket // by handler: first tries fill it, tries from elsewhere take from it
-	alone  uint64   // since when the node is without the group; 0: it is not
-	grown  uint64   // when the share was last raised by the node's own rule
-	pace   pace     // of the share's growth
-	Turned uint64   // by share, by ceiling and by the retry budget, in all
+	seed     uint32
+	order    api.ZoneOrder
+	has      bool
+	runs     bucket
+	dials    bucket
+	retry    []bucket // by handler: first tries fill it, tries from elsewhere take from it
+	alone    uint64   // since when the node is without the group; 0: it is not
+	grown    uint64   // when the share was last raised by the node's own rule
+	pace     pace     // of the share's growth
+	Rejected uint64   // by share, by ceiling and by the retry budget, in all
 }
 
 // pace is how a share has grown lately: so many times at the last step, that long after the step before.
@@ -38,7 +38,7 @@
 	if p.at != 0 {
 		p.span = max(now-p.at, 1)
 	}
-	p.at, p.times = now, min(float64(is)/float64(was), GrowMost)
+	p.at, p.times = now, min(float64(is)/float64(was), MaxRampFactor)
 }
 
 // bucket holds tokens up to most.
@@ -76,9 +76,9 @@
 	return float64(crc32.ChecksumIEEE(raw)) / (1 << 32)
 }
 
-// Order takes what the group says. A newer epoch never finds more at hand than it brings: what was saved up under an
+// SetOrder takes what the group says. A newer epoch never finds more at hand than it brings: what was saved up under an
 // older one is let go of.
-func (g *Gate) Order(now uint64, o *api.ZoneOrder) (changed bool) {
+func (g *Gate) SetOrder(now uint64, o *api.ZoneOrder) (changed bool) {
 	if o == nil { // nothing is decided about zones any more
 		changed = g.has
 		g.order, g.has, g.alone = api.ZoneOrder{Share: api.FullShare}, false, 0
@@ -89,7 +89,7 @@
 		g.pace.step(now, was, o.Share)
 	}
 	if changed {
-		// In a large fleet a node's part may be a run in many seconds. Each begins with another part of a token, so that all
+		// InService a large fleet a node's part may be a run in many seconds. Each begins with another part of a token, so that all
 		// together take what they may from the first second on, and not all at the end of the same span.
 		g.runs, g.dials = bucket{at: now, have: g.part(o.Epoch)}, bucket{at: now, have: 1} // no run without a connection below
 	}
@@ -97,10 +97,10 @@
 	return changed
 }
 
-// Alone tells that the node goes on without the group. Its order holds for the time that came with it. Then the share is
+// ContinueAutonomously tells that the node goes on without the group. Its order holds for the time that came with it. Then the share is
 // doubled each time that this time has gone by and the node's own reqs go well, and halved where they do not: a group
 // that is away for long must not keep a zone out for ever, and its services below had that time to get warm.
-func (g *Gate) Alone(now uint64, goesWell bool) (changed bool) {
+func (g *Gate) ContinueAutonomously(now uint64, goesWell bool) (changed bool) {
 	if !g.has || g.order.Share >= api.FullShare && g.order.PriorityCutoff == 0 && !g.order.RateLimited {
 		return false
 	}
@@ -128,9 +128,9 @@
 	return true
 }
 
-// Begin has the node begin small by itself: it starts while the group is away, and can't tell whether most of the fleet
+// BeginSlowStart has the node begin small by itself: it starts while the group is away, and can't tell whether most of the fleet
 // does so with it. The share grows by Alone from here, each hold that its reqs go well.
-func (g *Gate) Begin(now uint64, share int, hold uint64) {
+func (g *Gate) BeginSlowStart(now uint64, share int, hold uint64) {
 	if !g.has {
 		g.order = api.ZoneOrder{Share: api.FullShare}
 	}
@@ -138,16 +138,16 @@
 	g.order.Share, g.order.TTLMS = min(g.order.Share, max(1, share)), hold
 }
 
-// Hash places a req among all, for the share: by its key where its handler is uniqued, else by whom it is for and who sent it.
-func Hash(key, tenant []byte, sender uint32) uint32 {
+// RequestHash places a req among all, for the share: by its key where its handler is uniqued, else by whom it is for and who sent it.
+func RequestHash(key, tenant []byte, sender uint32) uint32 {
 	if key != nil {
 		return crc32.ChecksumIEEE(key)
 	}
 	return crc32.Update(crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(nil, sender)), crc32.IEEETable, tenant)
 }
 
-// Out tells that the node takes nothing at all.
-func (g *Gate) Out() bool { return g.has && g.order.Share == 0 }
+// Evacuated tells that the node takes nothing at all.
+func (g *Gate) Evacuated() bool { return g.has && g.order.Share == 0 }
 
 // Epoch and Share show the order.
 func (g *Gate) Epoch() uint64 { return g.order.Epoch }
@@ -158,37 +158,37 @@
 	return g.order.Share
 }
 
-// Asked is a req that may be taken.
-type Asked struct {
-	Handler int
-	Value   float64
-	Hash    uint32 // of its key where it is uniqued, else of whom it is for: one that is in stays in while the share grows
-	Again   bool   // a further try
-	Known   bool   // its first try came here
+// Request is a req that may be taken.
+type Request struct {
+	Handler    int
+	Value      float64
+	Hash       uint32 // of its key where it is uniqued, else of whom it is for: one that is in stays in while the share grows
+	IsRetry    bool   // a further try
+	SeenBefore bool   // its first try came here
 }
 
-// Take tells whether a req is taken. last tells that nobody in the fleet has room for it either.
-func (g *Gate) Take(now uint64, q Asked) (ok, last bool) {
-	if !g.has || q.Known { // what ran here is answered here, whatever the share
+// Admit tells whether a req is taken. last tells that nobody in the fleet has room for it either.
+func (g *Gate) Admit(now uint64, q Request) (ok, last bool) {
+	if !g.has || q.SeenBefore { // what ran here is answered here, whatever the share
 		return true, false
 	}
 	o := &g.order
 	if !g.picks(q) {
-		g.Turned++
-		return false, o.NoCapacityElsewhere && q.Again
+		g.Rejected++
+		return false, o.NoCapacityElsewhere && q.IsRetry
 	}
 	if o.RateLimited {
 		if g.runs.fill(now, o.RateLimit); !g.runs.take() {
-			g.Turned++
-			return false, o.NoCapacityElsewhere && q.Again
+			g.Rejected++
+			return false, o.NoCapacityElsewhere && q.IsRetry
 		}
 	}
 	if o.RetryBudget > 0 {
 		b := &g.retry[q.Handler]
-		if !q.Again {
+		if !q.IsRetry {
 			b.have = min(retryMost, b.have+float64(o.RetryBudget)/api.FullShare)
 		} else if b.have < 1 {
-			g.Turned++
+			g.Rejected++
 			return false, o.NoCapacityElsewhere
 		} else {
 			b.have--
@@ -197,9 +197,9 @@
 	return true, false
 }
 
-// Back is in how many ms a req that the share leaves out may be let in, if the share goes on growing as it did: all that
+// RetryAfter is in how many ms a req that the share leaves out may be let in, if the share goes on growing as it did: all that
 // come again before that are turned away again, as who is let in goes by the same place in the share. 0 where nothing tells.
-func (g *Gate) Back(now uint64, q Asked) uint64 {
+func (g *Gate) RetryAfter(now uint64, q Request) uint64 {
 	place, o, p := int(q.Hash>>16&(api.FullShare-1)), &g.order, &g.pace
 	if !g.has || o.Share <= 0 || o.PriorityCutoff > 0 || place < o.Share || p.times < growLeast || p.span == 0 {
 		return 0
@@ -212,7 +212,7 @@
 // retryMost is what a retry budget saves up at most: some tries, so that a calm second does not pay for a storm.
 const retryMost = 20
 
-func (g *Gate) picks(q Asked) bool {
+func (g *Gate) picks(q Request) bool {
 	o := &g.order
 	in := int(q.Hash>>16&(api.FullShare-1)) < o.Share
 	if o.PriorityCutoff > 0 {
@@ -221,8 +221,8 @@
 	return in
 }
 
-// Dial tells whether a connection below may be opened.
-func (g *Gate) Dial(now uint64) bool {
+// AdmitConnection tells whether a connection below may be opened.
+func (g *Gate) AdmitConnection(now uint64) bool {
 	if !g.has || !g.order.RateLimited {
 		return true
 	}
--- a/internal/control/zones/gate_test.go
+++ b/internal/control/zones/gate_test.go
@@ -14,11 +14,11 @@
 	for _, tenant := range []string{"", "t0", "some-longer-tenant"} {
 		was := map[uint32]bool{}
 		for _, share := range []int{0, 16, 64, 128, 255, 256} {
-			g.Order(1000, &api.ZoneOrder{Epoch: uint64(share), Share: share})
+			g.SetOrder(1000, &api.ZoneOrder{Epoch: uint64(share), Share: share})
 			taken := 0
 			for sender := uint32(0); sender < 4000; sender++ {
-				h := Hash(nil, []byte(tenant), sender)
-				ok, _ := g.Take(1000, Asked{Hash: h})
+				h := RequestHash(nil, []byte(tenant), sender)
+				ok, _ := g.Admit(1000, Request{Hash: h})
 				if ok {
 					taken++
 				}
@@ -32,15 +32,15 @@
 			}
 		}
 	}
-	g.Order(1000, &api.ZoneOrder{Epoch: 300, Share: 0})
-	if ok, _ := g.Take(1000, Asked{Known: true}); !ok || !g.Out() {
+	g.SetOrder(1000, &api.ZoneOrder{Epoch: 300, Share: 0})
+	if ok, _ := g.Admit(1000, Request{SeenBefore: true}); !ok || !g.Evacuated() {
 		t.Error("a repeat of what came here is turned away, or the gate is not out")
 	}
 	// A policy that decides nothing about zones any more takes all.
-	if g.Order(1000, nil); g.Out() || g.Share() != api.FullShare {
+	if g.SetOrder(1000, nil); g.Evacuated() || g.Share() != api.FullShare {
 		t.Error("out with nothing decided about zones")
 	}
-	if ok, _ := g.Take(1000, Asked{}); !ok {
+	if ok, _ := g.Admit(1000, Request{}); !ok {
 		t.Error("turns away with nothing decided about zones")
 	}
 }
@@ -48,17 +48,17 @@
 // TestGateWorth: a zone left in part keeps what is worth least.
 func TestGateWorth(t *testing.T) {
 	g := NewGate(1, 7)
-	g.Order(0, &api.ZoneOrder{Epoch: 1, Share: 128, PriorityCutoff: 2})
+	g.SetOrder(0, &api.ZoneOrder{Epoch: 1, Share: 128, PriorityCutoff: 2})
 	in, n := 0, 0
 	for s := uint32(0); s < 1000; s++ {
-		h := Hash([]byte(fmt.Sprint("key", s)), nil, 0)
-		if ok, _ := g.Take(0, Asked{Value: 1, Hash: h}); !ok {
+		h := RequestHash([]byte(fmt.Sprint("key", s)), nil, 0)
+		if ok, _ := g.Admit(0, Request{Value: 1, Hash: h}); !ok {
 			t.Fatal("what is worth less is turned away")
 		}
-		if ok, _ := g.Take(0, Asked{Value: 20, Hash: h}); ok {
+		if ok, _ := g.Admit(0, Request{Value: 20, Hash: h}); ok {
 			t.Fatal("what is worth more is taken")
 		}
-		if ok, _ := g.Take(0, Asked{Value: 2, Hash: h}); ok {
+		if ok, _ := g.Admit(0, Request{Value: 2, Hash: h}); ok {
 			in++
 		}
 		n++
@@ -72,24 +72,24 @@
 // tries fill.
 func TestGateCeilingAndBudget(t *testing.T) {
 	g := NewGate(2, 7)
-	g.Order(1000, &api.ZoneOrder{Epoch: 1, Share: api.FullShare, RateLimited: true, RateLimit: 10, ConnectRateLimit: 2})
+	g.SetOrder(1000, &api.ZoneOrder{Epoch: 1, Share: api.FullShare, RateLimited: true, RateLimit: 10, ConnectRateLimit: 2})
 	taken, dials := 0, 0
 	for now := uint64(1000); now < 6000; now += 10 {
-		if ok, _ := g.Take(now, Asked{}); ok {
+		if ok, _ := g.Admit(now, Request{}); ok {
 			taken++
 		}
-		if g.Dial(now) {
+		if g.AdmitConnection(now) {
 			dials++
 		}
 	}
 	if taken < 45 || taken > 52 || dials < 9 || dials > 11 {
 		t.Errorf("%d runs and %d connections in 5 s, expected 50 and 10", taken, dials)
 	}
-	g.Order(6000, &api.ZoneOrder{Epoch: 2, Share: api.FullShare, RetryBudget: 64, NoCapacityElsewhere: true})
+	g.SetOrder(6000, &api.ZoneOrder{Epoch: 2, Share: api.FullShare, RetryBudget: 64, NoCapacityElsewhere: true})
 	again, turned := 0, 0
 	for i := 0; i < 400; i++ {
-		g.Take(6000, Asked{Handler: 1})
-		ok, last := g.Take(6000, Asked{Handler: 1, Again: true})
+		g.Admit(6000, Request{Handler: 1})
+		ok, last := g.Admit(6000, Request{Handler: 1, IsRetry: true})
 		if ok {
 			again++
 		} else if turned++; !last {
@@ -99,7 +99,7 @@
 	if again != 100 || turned != 300 {
 		t.Errorf("%d tries from elsewhere taken beside 400 first ones, expected 100", again)
 	}
-	if ok, _ := g.Take(6000, Asked{Handler: 0, Again: true}); ok {
+	if ok, _ := g.Admit(6000, Request{Handler: 0, IsRetry: true}); ok {
 		t.Error("one handler's first tries pay for another's")
 	}
 }
@@ -109,11 +109,11 @@
 func TestGateAlone(t *testing.T) {
 	g := NewGate(1, 7)
 	o := &api.ZoneOrder{Epoch: 4, Share: 0, TTLMS: 60_000}
-	g.Order(0, o)
+	g.SetOrder(0, o)
 	now := uint64(1000)
 	step := func(well bool, share int) {
 		t.Helper()
-		if g.Alone(now, well); g.Share() != share {
+		if g.ContinueAutonomously(now, well); g.Share() != share {
 			t.Errorf("after %d ms alone: %d of 256, expected %d", now, g.Share(), share)
 		}
 	}
@@ -128,7 +128,7 @@
 	}
 	now += 60_000
 	step(false, 32)
-	g.Order(now, o)
+	g.SetOrder(now, o)
 	step(true, 0)
 }
 
@@ -136,24 +136,24 @@
 func TestMeter(t *testing.T) {
 	m := NewMeter(10_000, []float64{1, 20})
 	for now := uint64(10_000); now < 20_000; now += 10 {
-		m.Came(now, int(now/10)%2, now%100 == 0, false)
-		m.Answered(now, 1, 200, true)
-		m.Ran(now, 8)
-		m.Called(now, 4, now%50 == 0)
-		m.Gauged(now, 2)
+		m.RequestArrived(now, int(now/10)%2, now%100 == 0, false)
+		m.RequestAnswered(now, 1, 200, true)
+		m.RunEnded(now, 8)
+		m.CallEnded(now, 4, now%50 == 0)
+		m.CoresSampled(now, 2)
 	}
-	l := m.Load(20_000, true, 4, 3)
+	l := m.Report(20_000, true, 4, 3)
 	if l.WindowMS < 1700 || l.WindowMS > 2000 || l.Arrived < 170 || l.Arrived > 200 || l.Retries != l.Arrived/10 && l.Retries != l.Arrived/10+1 || l.MeanRunMS != 8 ||
-		l.MeanCallMS != 4 || l.CoresUsed != 2 || l.Completed != l.RunsEnded || l.RunsInFlight != 3 || len(l.ArrivedByWeight) != 2 || !sane(l) || !m.Well(20_000, 0) {
+		l.MeanCallMS != 4 || l.CoresUsed != 2 || l.Completed != l.RunsEnded || l.RunsInFlight != 3 || len(l.ArrivedByWeight) != 2 || !sane(l) || !m.Healthy(20_000, 0) {
 		t.Errorf("%+v", l)
 	}
-	m.Answered(29_000, 0, 500, true)
-	m.Answered(29_000, 0, 500, false)
-	m.Answered(29_000, 0, 200, false)
-	if l = m.Load(29_900, true, 4, 0); l.Failed != 1 || l.Late != 2 {
+	m.RequestAnswered(29_000, 0, 500, true)
+	m.RequestAnswered(29_000, 0, 500, false)
+	m.RequestAnswered(29_000, 0, 200, false)
+	if l = m.Report(29_900, true, 4, 0); l.Failed != 1 || l.Late != 2 {
 		t.Errorf("%d errored and %d late, expected one that failed in its time, and two past it", l.Failed, l.Late)
 	}
-	if l = m.Load(39_000, true, 4, 0); l.Arrived != 0 || l.RunsEnded != 0 || !m.Well(39_000, 0) || m.Well(39_000, 1) {
+	if l = m.Report(39_000, true, 4, 0); l.Arrived != 0 || l.RunsEnded != 0 || !m.Healthy(39_000, 0) || m.Healthy(39_000, 1) {
 		t.Errorf("ten seconds later: %+v", l)
 	}
 }
@@ -162,10 +162,10 @@
 // at once when the group says so.
 func TestBeginsAlone(t *testing.T) {
 	g := NewGate(1, 7)
-	g.Begin(1000, 16, 2000)
+	g.BeginSlowStart(1000, 16, 2000)
 	took := func(now uint64) (n int) {
 		for i := uint32(0); i < 256; i++ {
-			if ok, _ := g.Take(now, Asked{Hash: i << 16}); ok {
+			if ok, _ := g.Admit(now, Request{Hash: i << 16}); ok {
 				n++
 			}
 		}
@@ -174,24 +174,24 @@
 	if n := took(1000); n != 16 {
 		t.Fatalf("takes %d of 256, expected 16", n)
 	}
-	if g.Alone(2900, true) || !g.Alone(3000, true) || g.Share() != 32 {
+	if g.ContinueAutonomously(2900, true) || !g.ContinueAutonomously(3000, true) || g.Share() != 32 {
 		t.Fatalf("share %d, expected 32 after a hold that went well", g.Share())
 	}
-	if !g.Alone(5000, false) || g.Share() != 16 {
+	if !g.ContinueAutonomously(5000, false) || g.Share() != 16 {
 		t.Fatalf("share %d, expected 16 after one that did not", g.Share())
 	}
 	for now := uint64(7000); now <= 15_000; now += 2000 {
-		g.Alone(now, true)
+		g.ContinueAutonomously(now, true)
 	}
 	if n := took(15_000); n != 256 {
 		t.Fatalf("takes %d of 256 after four holds that went well", n)
 	}
-	g.Begin(20_000, 16, 2000)
-	if g.Order(20_100, nil); g.Share() != api.FullShare {
+	g.BeginSlowStart(20_000, 16, 2000)
+	if g.SetOrder(20_100, nil); g.Share() != api.FullShare {
 		t.Fatalf("share %d, though the group has said nothing of zones", g.Share())
 	}
-	g.Order(1, &api.ZoneOrder{Epoch: 3, Share: 0, TTLMS: 1000})
-	if g.Begin(2, 16, 2000); g.Share() != 0 {
+	g.SetOrder(1, &api.ZoneOrder{Epoch: 3, Share: 0, TTLMS: 1000})
+	if g.BeginSlowStart(2, 16, 2000); g.Share() != 0 {
 		t.Fatalf("share %d of a zone that was out", g.Share())
 	}
 }
@@ -200,27 +200,27 @@
 // told where nothing is known, and a share that fell says nothing of growth.
 func TestBack(t *testing.T) {
 	g := NewGate(1, 7)
-	at := func(place int) Asked { return Asked{Hash: uint32(place) << 16} }
-	g.Order(1000, &api.ZoneOrder{Epoch: 1, Share: 16})
-	if ms := g.Back(1500, at(200)); ms != 0 {
+	at := func(place int) Request { return Request{Hash: uint32(place) << 16} }
+	g.SetOrder(1000, &api.ZoneOrder{Epoch: 1, Share: 16})
+	if ms := g.RetryAfter(1500, at(200)); ms != 0 {
 		t.Errorf("%d ms, and the share has not grown yet", ms)
 	}
-	g.Order(3000, &api.ZoneOrder{Epoch: 2, Share: 32})
+	g.SetOrder(3000, &api.ZoneOrder{Epoch: 2, Share: 32})
 	for _, c := range []struct {
 		now   uint64
 		place int
 		ms    uint64
 	}{{3000, 31, 0}, {3000, 32, 2000}, {3000, 63, 2000}, {3000, 64, 4000}, {4500, 64, 2500}, {3000, 255, 6000}, {9500, 32, 0}} {
-		if ms := g.Back(c.now, at(c.place)); ms != c.ms {
+		if ms := g.RetryAfter(c.now, at(c.place)); ms != c.ms {
 			t.Errorf("place %d at %d: %d ms, expected %d", c.place, c.now, ms, c.ms)
 		}
 	}
-	g.Order(5000, &api.ZoneOrder{Epoch: 3, Share: 20})
-	if ms := g.Back(5000, at(200)); ms != 0 {
+	g.SetOrder(5000, &api.ZoneOrder{Epoch: 3, Share: 20})
+	if ms := g.RetryAfter(5000, at(200)); ms != 0 {
 		t.Errorf("%d ms after a step back, expected nothing", ms)
 	}
-	g.Order(7000, &api.ZoneOrder{Epoch: 4, Share: 0})
-	if ms := g.Back(7000, at(200)); ms != 0 {
+	g.SetOrder(7000, &api.ZoneOrder{Epoch: 4, Share: 0})
+	if ms := g.RetryAfter(7000, at(200)); ms != 0 {
 		t.Errorf("%d ms of a zone that is out, expected nothing", ms)
 	}
 }
@@ -233,9 +233,9 @@
 	for n := uint32(0); n < nodes; n++ {
 		g := NewGate(1, n*2654435761)
 		for epoch := uint64(1); epoch <= 5; epoch++ {
-			g.Order(epoch*4000, &api.ZoneOrder{Epoch: epoch, Share: api.FullShare, RateLimited: true, RateLimit: each})
+			g.SetOrder(epoch*4000, &api.ZoneOrder{Epoch: epoch, Share: api.FullShare, RateLimited: true, RateLimit: each})
 			for now := epoch * 4000; now < epoch*4000+4000; now += 50 {
-				if ok, _ := g.Take(now, Asked{}); ok {
+				if ok, _ := g.Admit(now, Request{}); ok {
 					taken++
 				}
 			}
--- a/internal/control/zones/guard.go
+++ b/internal/control/zones/guard.go
@@ -10,15 +10,15 @@
 
 // The guards.
 const (
-	CommonCause Guard = 1 << iota // nobody leaves for what ails all
-	Room                          // no more is left than the others can take
-	OneEpoch                      // time only for who promised the newest epoch, and the next step only once all have
-	Paced                         // a return is in steps
-	StepBack                      // and goes back at harm
-	RetryBudget                   // tries from elsewhere have a bound while a zone is left
-	LeaseTokens                   // what a lease had of a ceiling is spent until the lease has run out
-	SmallStart                    // a fleet that restarts at once begins with a share
-	Spread                        // who is turned away is told another time than the others
+	CommonCause      Guard = 1 << iota // nobody leaves for what ails all
+	SpareCapacity                      // no more is left than the others can take
+	OneEpoch                           // time only for who promised the newest epoch, and the next step only once all have
+	PacedRamp                          // a return is in steps
+	StepBack                           // and goes back at harm
+	RetryBudget                        // tries from elsewhere have a bound while a zone is left
+	LeaseQuotas                        // what a lease had of a ceiling is spent until the lease has run out
+	ColdStart                          // a fleet that restarts at once begins with a share
+	RetryAfterSpread                   // who is turned away is told another time than the others
 )
 
 var guardNames = []string{"common-cause", "room", "one-epoch", "paced", "step-back", "retry-budget", "lease-tokens",
--- a/internal/control/zones/meter.go
+++ b/internal/control/zones/meter.go
@@ -30,12 +30,12 @@
 // NewMeter counts for handlers of these values.
 func NewMeter(now uint64, values []float64) *Meter {
 	m := &Meter{at: now / meterMS, born: now}
-	m.Values(values)
+	m.SetValues(values)
 	return m
 }
 
-// Values takes other values of the same handlers.
-func (m *Meter) Values(values []float64) {
+// SetValues takes other values of the same handlers.
+func (m *Meter) SetValues(values []float64) {
 	m.values = values
 	for i := range m.buckets {
 		if len(m.buckets[i].mix) != len(values) {
@@ -58,8 +58,8 @@
 	return &m.buckets[m.at%meterSlots]
 }
 
-// Came counts a req that was read; turned tells that the zone's order turned it away.
-func (m *Meter) Came(now uint64, handler int, again, turned bool) {
+// RequestArrived counts a req that was read; turned tells that the zone's order turned it away.
+func (m *Meter) RequestArrived(now uint64, handler int, again, turned bool) {
 	b := m.slot(now)
 	b.came++
 	if turned {
@@ -73,9 +73,9 @@
 	b.mix[handler]++
 }
 
-// Answered counts an answer. What was given up past its target is late, whatever it was answered: a service that is slow
+// RequestAnswered counts an answer. What was given up past its target is late, whatever it was answered: a service that is slow
 // ends as errors too, and must not look like one that fails.
-func (m *Meter) Answered(now uint64, handler, status int, inTime bool) {
+func (m *Meter) RequestAnswered(now uint64, handler, status int, inTime bool) {
 	b := m.slot(now)
 	switch {
 	case status == 200 && inTime:
@@ -90,15 +90,15 @@
 	}
 }
 
-// Ran counts a run that ended, Called a call that was answered or given up; bad are those that were answered with an error or
+// RunEnded counts a run that ended, Called a call that was answered or given up; bad are those that were answered with an error or
 // not taken. One given up took its time at least, and nobody knows how it would have ended.
-func (m *Meter) Ran(now uint64, ms float64) {
+func (m *Meter) RunEnded(now uint64, ms float64) {
 	b := m.slot(now)
 	b.runs++
 	b.runMS += ms
 }
 
-func (m *Meter) Called(now uint64, ms float64, bad bool) {
+func (m *Meter) CallEnded(now uint64, ms float64, bad bool) {
 	b := m.slot(now)
 	b.calls++
 	b.callMS += ms
@@ -107,24 +107,24 @@
 	}
 }
 
-// Opened counts a connection below, Gauged takes what the cores did.
-func (m *Meter) Opened(now uint64) { m.slot(now).opened++ }
-func (m *Meter) Gauged(now uint64, onCores float64) {
+// ConnectionOpened counts a connection below, Gauged takes what the cores did.
+func (m *Meter) ConnectionOpened(now uint64) { m.slot(now).opened++ }
+func (m *Meter) CoresSampled(now uint64, onCores float64) {
 	b := m.slot(now)
 	b.gauges++
 	b.onCores += onCores
 }
 
-// Well tells whether the node's own reqs go well: nine in ten of those it took were done in time. Where none ended and none
+// Healthy tells whether the node's own reqs go well: nine in ten of those it took were done in time. Where none ended and none
 // is under way nothing shows harm: a node of which hardly anything is asked must not wait for ever for a sign.
-func (m *Meter) Well(now uint64, out int) bool {
-	l := m.Load(now, true, 1, out)
+func (m *Meter) Healthy(now uint64, out int) bool {
+	l := m.Report(now, true, 1, out)
 	ended := l.Completed + l.Late + l.Failed
 	return ended == 0 && out == 0 || 10*l.Completed >= 9*ended && ended > 0
 }
 
-// Load gives the report.
-func (m *Meter) Load(now uint64, kernel bool, cores float64, out int) *api.LoadReport {
+// Report gives the report.
+func (m *Meter) Report(now uint64, kernel bool, cores float64, out int) *api.LoadReport {
 	m.slot(now)
 	l := &api.LoadReport{KernelConnected: kernel, Cores: cores, RunsInFlight: out}
 	// The bucket in use is not over yet: what lies before it, and as much of it as there is.
--- a/internal/control/zones/pin_gate_test.go
+++ b/internal/control/zones/pin_gate_test.go
@@ -40,54 +40,54 @@
 			if rng.IntN(2) == 0 {
 				order.RetryBudget, order.NoCapacityElsewhere = 64, rng.IntN(2) == 0
 			}
-			if gate.Order(now, &order) {
+			if gate.SetOrder(now, &order) {
 				changes++
 			}
 		case 850:
-			say("none %v", gate.Order(now, nil))
+			say("none %v", gate.SetOrder(now, nil))
 		case 890:
-			gate.Begin(now, 16, 1000)
+			gate.BeginSlowStart(now, 16, 1000)
 		}
 		if step%900 > 550 && step%900 < 690 || step%900 > 890 {
-			if gate.Alone(now, rng.IntN(4) != 0) {
+			if gate.ContinueAutonomously(now, rng.IntN(4) != 0) {
 				changes++
 			}
 		}
-		if step%5 == 0 && gate.Dial(now) {
+		if step%5 == 0 && gate.AdmitConnection(now) {
 			dialled++
 		}
 		handler := rng.IntN(len(values))
-		q := Asked{Handler: handler, Value: values[handler], Again: rng.IntN(5) == 0, Known: rng.IntN(30) == 0,
-			Hash: Hash([]byte(fmt.Sprint("key", rng.IntN(2000))), nil, 0)}
+		q := Request{Handler: handler, Value: values[handler], IsRetry: rng.IntN(5) == 0, SeenBefore: rng.IntN(30) == 0,
+			Hash: RequestHash([]byte(fmt.Sprint("key", rng.IntN(2000))), nil, 0)}
 		if rng.IntN(2) == 0 {
-			q.Hash = Hash(nil, []byte("tenant"), uint32(rng.IntN(500)))
+			q.Hash = RequestHash(nil, []byte("tenant"), uint32(rng.IntN(500)))
 		}
-		ok, last := gate.Take(now, q)
-		meter.Came(now, handler, q.Again, !ok)
+		ok, last := gate.Admit(now, q)
+		meter.RequestArrived(now, handler, q.IsRetry, !ok)
 		switch {
 		case ok:
 			taken++
-			meter.Ran(now, 20*rng.Float64())
-			meter.Called(now, 9*rng.Float64(), rng.IntN(9) == 0)
-			meter.Answered(now, handler, []int{200, 200, 200, 503, 500}[rng.IntN(5)], rng.IntN(8) != 0)
+			meter.RunEnded(now, 20*rng.Float64())
+			meter.CallEnded(now, 9*rng.Float64(), rng.IntN(9) == 0)
+			meter.RequestAnswered(now, handler, []int{200, 200, 200, 503, 500}[rng.IntN(5)], rng.IntN(8) != 0)
 		case last:
 			finals++
 		default:
 			refused++
 		}
 		if step%11 == 0 {
-			meter.Opened(now)
-			meter.Gauged(now, 4*rng.Float64())
+			meter.ConnectionOpened(now)
+			meter.CoresSampled(now, 4*rng.Float64())
 		}
-		say("%d %v %v %d %d %d %v %d", now, ok, last, gate.Back(now, q), gate.Epoch(), gate.Share(), gate.Out(), gate.Turned)
+		say("%d %v %v %d %d %d %v %d", now, ok, last, gate.RetryAfter(now, q), gate.Epoch(), gate.Share(), gate.Evacuated(), gate.Rejected)
 		if step%250 == 0 {
-			raw, _ := json.Marshal(meter.Load(now, step%500 == 0, 4, step%3))
-			say("%s %v", raw, meter.Well(now, step%3))
+			raw, _ := json.Marshal(meter.Report(now, step%500 == 0, 4, step%3))
+			say("%s %v", raw, meter.Healthy(now, step%3))
 		}
 		if step == 15_000 {
 			now += 60_000 // nothing came for a minute
 			values = []float64{2, 5, 20}
-			meter.Values(values)
+			meter.SetValues(values)
 		}
 	}
 	got := fmt.Sprintf("%s taken=%d refused=%d final=%d dialled=%d changes=%d\n", hex.EncodeToString(sum.Sum(nil)), taken, refused,
@@ -107,14 +107,14 @@
 	m := NewMeter(10_000, values)
 	for now := uint64(10_000); now < 14_000; now += 10 {
 		i := int(now / 10)
-		m.Came(now, i%20, i%7 == 0, i%9 == 0)
-		m.Answered(now, i%20, []int{200, 503, 500, 200}[i%4], i%3 != 0)
-		m.Ran(now, float64(i%50))
-		m.Called(now, float64(i%30), i%11 == 0)
-		m.Opened(now)
-		m.Gauged(now, 1.5)
+		m.RequestArrived(now, i%20, i%7 == 0, i%9 == 0)
+		m.RequestAnswered(now, i%20, []int{200, 503, 500, 200}[i%4], i%3 != 0)
+		m.RunEnded(now, float64(i%50))
+		m.CallEnded(now, float64(i%30), i%11 == 0)
+		m.ConnectionOpened(now)
+		m.CoresSampled(now, 1.5)
 	}
-	got, err := json.Marshal(m.Load(14_000, true, 4, 3))
+	got, err := json.Marshal(m.Report(14_000, true, 4, 3))
 	want, missing := os.ReadFile(filepath.Join("testdata", "pin_report.json"))
 	if err != nil || missing != nil || !bytes.Equal(got, bytes.TrimSpace(want)) {
 		t.Errorf("%v, %v, wrote\n%s\nexpected\n%s", err, missing, got, want)
--- a/internal/control/zones/pin_state_test.go
+++ b/internal/control/zones/pin_state_test.go
@@ -51,7 +51,7 @@
 // read back to the same value.
 func TestPinnedForms(t *testing.T) {
 	for name, value := range map[string]any{
-		"state": &State{}, "op": &Op{}, "view": &View{},
+		"state": &State{}, "op": &Op{}, "view": &View{}, "result": &Result{},
 		"rules": &api.ZoneRules{}, "order": &api.ZoneOrder{}, "tally": &api.LoadReport{},
 		"seen": &api.PeerHealth{}, "look": &api.ProbeTarget{},
 	} {
@@ -108,7 +108,7 @@
 
 // TestPinnedNames: what is stored, sent and typed as a word keeps its spelling.
 func TestPinnedNames(t *testing.T) {
-	got := strings.Join([]string{In, Leaving, Out, Returning, Fleet, strings.Join(guardNames, ",")}, " ")
+	got := strings.Join([]string{InService, Evacuating, Evacuated, Ramping, WholeFleet, strings.Join(guardNames, ",")}, " ")
 	if want := "in leaving out returning * common-cause,room,one-epoch,paced,step-back,retry-budget,lease-tokens,small-start," +
 		"spread"; got != want {
 		t.Errorf("found %s, expected %s", got, want)
--- a/internal/control/zones/pin_stream_test.go
+++ b/internal/control/zones/pin_stream_test.go
@@ -23,7 +23,7 @@
 	rng     *rand.Rand
 	fleet   *membership.State
 	state   *State
-	watch   *Watch
+	watch   *Monitor
 	rules   api.ZoneRules
 	without Guard
 	sum     hash.Hash
@@ -88,7 +88,7 @@
 }
 
 func (s *stream) report(zone string, came int) *api.LoadReport {
-	_, share := s.state.StepOf(zone)
+	_, share := s.state.PhaseOf(zone)
 	n := came/2 + s.rng.IntN(came+1)
 	again := s.rng.IntN(n/4 + 1)
 	turned := n * (api.FullShare - share) / api.FullShare
@@ -131,14 +131,14 @@
 func (s *stream) operator() {
 	key := fmt.Sprintf("key-of-%d", s.now)
 	at := map[uint64]*Op{
-		150_000: {Kind: "hold", Zone: "b", Wait: 5000}, 270_000: {Kind: "leave", Zone: "d", Drill: 8000, Why: "a drill"},
-		300_000: {Kind: "leave", Zone: "c", Share: 64, Worth: 5}, 306_000: {Kind: "step", Zone: "c", Share: 32},
+		150_000: {Kind: "hold", Zone: "b", WaitMS: 5000}, 270_000: {Kind: "leave", Zone: "d", DrillMS: 8000, Reason: "a drill"},
+		300_000: {Kind: "leave", Zone: "c", Share: 64, PriorityCutoff: 5}, 306_000: {Kind: "step", Zone: "c", Share: 32},
 		308_000: {Kind: "back", Zone: "c", Share: 8}, 310_000: {Kind: "back", Zone: "c"}, 314_000: {Kind: "step", Zone: "c", Share: 128},
 		315_000: {Kind: "leave", Zone: "none"}, 316_000: {Kind: "back", Zone: "a", Share: 8}, 317_000: {Kind: "fly", Zone: "a"},
-		318_000: {Kind: "leave", Zone: Fleet}, 344_000: {Kind: "step", Zone: Fleet, Share: 128},
+		318_000: {Kind: "leave", Zone: WholeFleet}, 344_000: {Kind: "step", Zone: WholeFleet, Share: 128},
 	}[s.now%400_000]
 	if at != nil {
-		at.By, at.Key, at.Epoch = "op", key, s.state.Epoch
+		at.Operator, at.IdempotencyKey, at.Epoch = "op", key, s.state.Epoch
 		s.say("valid %v", at.Valid())
 		s.apply(at)
 	}
@@ -147,7 +147,7 @@
 func (s *stream) apply(op *Op) {
 	raw, _ := json.Marshal(op)
 	r := s.state.Apply(op, s.fleet, s.without)
-	s.say("%s: %s %s %s %d %s %d %s", raw, r.Kind, r.Zone, r.Key, r.Epoch, r.Step, r.Share, r.Err)
+	s.say("%s: %s %s %s %d %s %d %s", raw, r.Kind, r.Zone, r.IdempotencyKey, r.Epoch, r.Phase, r.Share, r.Err)
 	s.kinds[op.Kind]++
 	if r.Err != "" {
 		s.kinds["refused"]++
@@ -162,7 +162,7 @@
 		}
 	}
 	s.beat(b)
-	if s.state.Began(s.fleet, &s.rules, s.without) {
+	if s.state.BeginColdStart(s.fleet, &s.rules, s.without) {
 		s.kinds["began"]++
 	}
 }
@@ -182,7 +182,7 @@
 		b.Join = append(b.Join, s.join("a", 0, 60_000), s.join("d", 3, 60_000))
 	}
 	s.beat(b)
-	if s.state.Began(s.fleet, &s.rules, s.without) {
+	if s.state.BeginColdStart(s.fleet, &s.rules, s.without) {
 		s.kinds["began"]++
 	}
 	for _, z := range streamZones {
@@ -192,16 +192,16 @@
 				continue
 			}
 			var seen []api.PeerHealth
-			for _, l := range s.watch.Looks(n.Name) {
+			for _, l := range s.watch.ProbesFor(n.Name) {
 				is := []string{api.PeerServing, api.PeerShedding, api.PeerSilent, api.PeerSilent}[s.rng.IntN(4)]
 				seen = append(seen, api.PeerHealth{Name: l.Name, Health: is})
 			}
-			s.watch.Heard(s.now, n, s.report(z.name, z.came), seen)
-			s.say("heard %d", s.watch.HeardAt(n))
+			s.watch.Record(s.now, n, s.report(z.name, z.came), seen)
+			s.say("heard %d", s.watch.LastHeard(n))
 		}
 	}
 	s.operator()
-	if op := s.watch.Next(s.now, s.state, s.fleet, &s.rules, s.without); op != nil {
+	if op := s.watch.Decide(s.now, s.state, s.fleet, &s.rules, s.without); op != nil {
 		s.apply(op)
 	}
 	s.record()
@@ -211,11 +211,11 @@
 func (s *stream) record() {
 	saved, _ := s.state.Save()
 	views, _ := json.Marshal(s.watch.Views())
-	all, _ := json.Marshal(s.watch.All())
+	all, _ := json.Marshal(s.watch.FleetView())
 	s.say("%s\n%s\n%s", saved, views, all)
 	for _, n := range s.fleet.Nodes() {
 		order := s.state.Order(n.Zone, n.Lease.ID, &s.rules, s.without)
-		began := s.state.Probation(&order, n.Zone, n.Age(s.fleet.Clock), s.fleet.Clock, 5, &s.rules, s.without)
+		began := s.state.LimitNewNode(&order, n.Zone, n.Age(s.fleet.Clock), s.fleet.Clock, 5, &s.rules, s.without)
 		raw, _ := json.Marshal(order)
 		s.say("%s %s %v", n.Name, raw, began)
 	}
@@ -226,7 +226,7 @@
 	for s.now < seconds*1000 {
 		switch s.now {
 		case 135_000, 205_000: // another leader
-			s.watch = NewWatch()
+			s.watch = NewMonitor()
 		case 325_000:
 			s.restart()
 		case 390_000:
@@ -240,7 +240,7 @@
 }
 
 func newStream(seed uint64, without Guard) *stream {
-	return &stream{rng: rand.New(rand.NewPCG(seed, 1)), fleet: membership.New(), state: &State{}, watch: NewWatch(), without: without,
+	return &stream{rng: rand.New(rand.NewPCG(seed, 1)), fleet: membership.New(), state: &State{}, watch: NewMonitor(), without: without,
 		sum: sha256.New(), kinds: map[string]int{}, rules: api.ZoneRules{Mode: api.ZoneModeAuto, InitialShare: 16, MinStepMS: 2000,
 			OrderTTLMS: 60_000, MaxWaitMS: 20_000, ColdStart: true}}
 }
--- a/internal/control/zones/restart_test.go
+++ b/internal/control/zones/restart_test.go
@@ -11,7 +11,7 @@
 
 // TestWarmByCalls: a run has the node's own work in it, so that of a service that is still cold hardly shows there.
 func TestWarmByCalls(t *testing.T) {
-	bore := Bore{Runs: 100, RunMS: 20, CallMS: 4}
+	bore := ObservedCapacity{RunRate: 100, RunMS: 20, CallMS: 4}
 	for _, c := range []struct {
 		run, call float64
 		warm      bool
@@ -23,12 +23,12 @@
 }
 
 // look has the watch see a zone of two nodes that do so much, for some looks.
-func looked(w *Watch, f *membership.State, s *State, from uint64, looks int, l api.LoadReport) uint64 {
+func looked(w *Monitor, f *membership.State, s *State, from uint64, looks int, l api.LoadReport) uint64 {
 	for i := 0; i < looks; i++ {
 		from += lookEvery
 		for _, n := range f.Nodes() {
 			one := l
-			w.Heard(from, n, &one, nil)
+			w.Record(from, n, &one, nil)
 		}
 		w.look(from, s, f, 0)
 	}
@@ -47,8 +47,8 @@
 		f.Clock = 100_000
 		f.Apply(&membership.Beat{Term: 1, Join: []api.JoinRequest{{Name: "a", Zone: "z", Nonce: "nonce-of-a", UptimeMS: c.up}, {Name: "b", Zone: "z",
 			Nonce: "nonce-of-b", UptimeMS: c.up}}}, 1, membership.Grant{LeaseMS: 5000})
-		s := &State{Zones: []*Zone{{Name: "z", Step: In, Share: api.FullShare, Bore: Bore{Runs: 100, RunMS: 20, Flight: 2}}}}
-		if got := s.Began(f, &rules, 0); got != c.began {
+		s := &State{Zones: []*Zone{{Name: "z", Phase: InService, Share: api.FullShare, Capacity: ObservedCapacity{RunRate: 100, RunMS: 20, Concurrency: 2}}}}
+		if got := s.BeginColdStart(f, &rules, 0); got != c.began {
 			t.Errorf("up for %d ms: %v, expected %v", c.up, got, c.began)
 		}
 	}
@@ -59,22 +59,22 @@
 	f := membership.New()
 	f.Apply(&membership.Beat{Term: 1, Join: []api.JoinRequest{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
 		membership.Grant{LeaseMS: 5000})
-	s, w := &State{}, NewWatch()
+	s, w := &State{}, NewMonitor()
 	well := api.LoadReport{WindowMS: 2000, Arrived: 200, Completed: 200, RunsEnded: 200, MeanRunMS: 20, Calls: 200, MeanCallMS: 10, KernelConnected: true, Cores: 4, CoresUsed: 1}
 	at := looked(w, f, s, 0, 30, well)
 	bore := w.Views()[0].usual
-	if bore.Runs < 190 || bore.Flight < 3.5 || bore.Flight > 4.5 {
+	if bore.RunRate < 190 || bore.Concurrency < 3.5 || bore.Concurrency > 4.5 {
 		t.Fatalf("bore %+v, expected 200 runs a second and 4 under way", bore)
 	}
 	stands := well
 	stands.RunsEnded, stands.MeanRunMS, stands.Calls, stands.MeanCallMS, stands.Completed, stands.RunsInFlight, stands.WindowMS = 0, 0, 0, 0, 0, 3, 800
 	at = looked(w, f, s, at, 12, stands)
-	if b := w.Views()[0].usual; b.Flight > 1.2*bore.Flight {
-		t.Errorf("%.1f runs that stood count as borne, expected %.1f at most", b.Flight, 1.2*bore.Flight)
+	if b := w.Views()[0].usual; b.Concurrency > 1.2*bore.Concurrency {
+		t.Errorf("%.1f runs that stood count as borne, expected %.1f at most", b.Concurrency, 1.2*bore.Concurrency)
 	}
 	at = looked(w, f, s, at, 12, well)
 	usual := w.Views()[0].usual
-	s.Zones = []*Zone{{Name: Fleet, Step: Returning, Share: 32}}
+	s.Zones = []*Zone{{Name: WholeFleet, Phase: Ramping, Share: 32}}
 	slow := well
 	slow.MeanRunMS, slow.MeanCallMS = 25, 15
 	looked(w, f, s, at, 40, slow)
@@ -109,7 +109,7 @@
 	}{{"all slow, one fails", gaveUp, crawls, false}, {"one fails", fails, well, true},
 		{"all slow, one fails, the others busy", gaveUp, busy, false},
 		{"one slow and failing", gaveUp, well, true}, {"one slow, and fails at its usual pace", paced, well, true}} {
-		s, w, now := &State{}, NewWatch(), uint64(0)
+		s, w, now := &State{}, NewMonitor(), uint64(0)
 		var op *Op
 		for look := 0; look < 60; look++ {
 			now += lookEvery
@@ -121,9 +121,9 @@
 						l = c.first
 					}
 				}
-				w.Heard(now, n, &l, nil)
+				w.Record(now, n, &l, nil)
 			}
-			if o := w.Next(now, s, f, &rules, 0); o != nil && o.Kind == "leave" && op == nil {
+			if o := w.Decide(now, s, f, &rules, 0); o != nil && o.Kind == "leave" && op == nil {
 				op = o
 			}
 		}
@@ -152,21 +152,21 @@
 		for i := range c.n {
 			all = append(all, report(i, c.n, c.each))
 		}
-		v := &View{In: c.n}
+		v := &View{NodesIn: c.n}
 		v.sum(all)
 		want := float64(c.n) * c.each / 2
-		if v.Runs < 0.7*want || v.Runs > 1.35*want || v.RunMS < 45 || v.RunMS > 55 || v.CallMS < 18 || v.Flight < 0.75*want*0.05 ||
-			v.Flight > 1.35*want*0.05 {
-			t.Errorf("%d nodes with %.2f runs each: %.1f runs a second, %.1f ms, %.2f under way; expected %.1f, 50, %.2f", c.n, c.each, v.Runs,
-				v.RunMS, v.Flight, want, want*0.05)
+		if v.RunRate < 0.7*want || v.RunRate > 1.35*want || v.RunMS < 45 || v.RunMS > 55 || v.CallMS < 18 || v.Concurrency < 0.75*want*0.05 ||
+			v.Concurrency > 1.35*want*0.05 {
+			t.Errorf("%d nodes with %.2f runs each: %.1f runs a second, %.1f ms, %.2f under way; expected %.1f, 50, %.2f", c.n, c.each, v.RunRate,
+				v.RunMS, v.Concurrency, want, want*0.05)
 		}
-		before := v.Runs
+		before := v.RunRate
 		for i := range c.n / 200 { // one in two hundred lies
 			all[i*200].RunsEnded, all[i*200].MeanRunMS = 10_000, 1
 		}
 		v.sum(all)
-		if c.n >= 300 && (v.Runs > 3*before+1 || v.Runs < before/3) {
-			t.Errorf("%d nodes with %.2f runs each: %.1f runs a second, and %.1f once a few lie", c.n, c.each, before, v.Runs)
+		if c.n >= 300 && (v.RunRate > 3*before+1 || v.RunRate < before/3) {
+			t.Errorf("%d nodes with %.2f runs each: %.1f runs a second, and %.1f once a few lie", c.n, c.each, before, v.RunRate)
 		}
 	}
 	if got := len(pool(idle(17))); got != 17 {
@@ -188,7 +188,7 @@
 		share, in int
 		runs      float64
 	}{{60, 16, 3, 3.75}, {60, 4, 3, 3}, {1875, 16, 5000, 117.1875}, {1875, 4, 5000, 117.1875}, {0, 16, 5, 5}, {1875, 128, 5000, 937.5}} {
-		z := &Zone{Bore: Bore{Runs: c.bore}}
+		z := &Zone{Capacity: ObservedCapacity{RunRate: c.bore}}
 		if runs, dials := z.bears(c.share, c.in); runs != c.runs || dials < runs {
 			t.Errorf("%+v: %.2f runs and %.2f connections a second, expected %.2f", c, runs, dials, c.runs)
 		}
@@ -205,7 +205,7 @@
 		n.Lease.Until = 1 << 40
 	}
 	rules := api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 1000, MaxWaitMS: 60_000, InitialShare: 16}
-	bore := Bore{Runs: 100, Flight: 2, RunMS: 20, CallMS: 10}
+	bore := ObservedCapacity{RunRate: 100, Concurrency: 2, RunMS: 20, CallMS: 10}
 	for _, c := range []struct {
 		name   string
 		turned int
@@ -214,21 +214,21 @@
 		after  uint64 // ms at the share
 	}{{"little is turned away", 10, 20, "in", 5000}, {"much is", 200, 20, "step", 5000}, {"much is, and all it bore is under way", 200, 24, "", 5000},
 		{"the same for long", 200, 24, "in", wideFor + 1000}} {
-		s := &State{Epoch: 7, Settled: 7, Zones: []*Zone{{Name: "z", Step: Returning, Share: api.FullShare, Ceiling: 100, Dials: 100, Bore: bore, Had: 2,
+		s := &State{Epoch: 7, SettledEpoch: 7, Zones: []*Zone{{Name: "z", Phase: Ramping, Share: api.FullShare, RateLimit: 100, ConnectionRateLimit: 100, Capacity: bore, NodesBefore: 2,
 			Since: 100_000}}}
-		s.Zones[0].Parts = []Part{{f.Nodes()[0].Lease.ID, 50}, {f.Nodes()[1].Lease.ID, 50}}
-		w := NewWatch()
+		s.Zones[0].Quotas = []LeaseQuota{{f.Nodes()[0].Lease.ID, 50}, {f.Nodes()[1].Lease.ID, 50}}
+		w := NewMonitor()
 		l := api.LoadReport{WindowMS: 2000, Arrived: 100 + c.turned, Retries: c.turned, RejectedByZone: c.turned, Completed: 100, RunsEnded: 100, MeanRunMS: c.runMS, Calls: 100,
 			MeanCallMS: c.runMS / 2, KernelConnected: true, Cores: 4, CoresUsed: 1, OfferedWeight: 100, CompletedWeight: 100}
 		f.Clock = 100_000
 		at := looked(w, f, s, 100_000, int(c.after/lookEvery), l)
 		f.Clock = at
-		op := w.Next(at, s, f, &rules, 0)
+		op := w.Decide(at, s, f, &rules, 0)
 		kind := ""
 		if op != nil && op.Kind != "bore" {
 			kind = op.Kind
 		}
-		if kind != c.kind || kind == "step" && (op.Ceiling <= 100 || op.Ceiling > widenMost*100) {
+		if kind != c.kind || kind == "step" && (op.RateLimit <= 100 || op.RateLimit > widenMost*100) {
 			t.Errorf("%s: %+v (%s), expected %q", c.name, op, w.Views()[0].Note, c.kind)
 		}
 	}
@@ -240,13 +240,13 @@
 	f := membership.New()
 	f.Apply(&membership.Beat{Term: 1, Join: []api.JoinRequest{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
 		membership.Grant{LeaseMS: 5000})
-	s := &State{Zones: []*Zone{{Name: "z", Step: In, Share: api.FullShare}}}
-	w := NewWatch()
+	s := &State{Zones: []*Zone{{Name: "z", Phase: InService, Share: api.FullShare}}}
+	w := NewMonitor()
 	load := func(came int) api.LoadReport {
 		return api.LoadReport{WindowMS: 1000, Arrived: came, RunsEnded: 300, MeanRunMS: 20, Completed: 300, KernelConnected: true, Cores: 10, CoresUsed: 5}
 	}
 	budget := func() int {
-		r, _ := w.retry(s, w.views[0], In, true)
+		r, _ := w.retry(s, w.views[0], InService, true)
 		return r
 	}
 	at := looked(w, f, s, 100_000, 6, load(500))
--- a/internal/control/zones/watch.go
+++ b/internal/control/zones/watch.go
@@ -9,9 +9,9 @@
 	"umberwinch/internal/control/membership"
 )
 
-// Watch is what a leader saw of zones. All of it is in memory: a new leader sees anew, and holds nothing against
+// Monitor is what a leader saw of zones. All of it is in memory: a new leader sees anew, and holds nothing against
 // anybody for the time it did not look.
-type Watch struct {
+type Monitor struct {
 	pace  uint64 // ms between a node's askings
 	since uint64 // looks since
 	at    uint64 // the last one
@@ -42,54 +42,54 @@
 // View is a zone as it looks now, worked out from the reports of its nodes: sums are the median node's times the
 // nodes that are in, so that two in five that lie move them little.
 type View struct {
-	Zone  string  `json:"zone"`
-	In    int     `json:"in"`    // nodes
-	Quiet int     `json:"quiet"` // not heard for a while, counted out lately or not
-	Fresh int     `json:"fresh"` // heard lately, with a report
-	Sick  int     `json:"sick"`  // of them
-	Kind  string  `json:"kind,omitempty"`
-	Score float64 `json:"score"` // how sure it is that the zone fails; it is left at needScore
-	Cause string  `json:"cause,omitempty"`
-	Note  string  `json:"note,omitempty"`
-
-	Came   float64 `json:"came"`   // first tries a second, its order's turning away included
-	Took   float64 `json:"took"`   // first tries a second that were not turned away
-	Turned float64 `json:"turned"` // tries a second that were
-	Runs   float64 `json:"runs"`   // ended, a second
-	Worth  float64 `json:"worth"`  // value of first tries a second
-	Got    float64 `json:"got"`    // value done in time a second
-	Cap    float64 `json:"cap"`    // runs a second that it could do
-	Flight float64 `json:"flight"` // runs under way
-	RunMS  float64 `json:"run_ms"`
-	CallMS float64 `json:"call_ms"`
-	Bad    float64 `json:"bad"` // share of calls
-	Opened float64 `json:"opened"`
-	Kernel bool    `json:"kernel"` // half of its nodes or more have one
+	Zone           string  `json:"zone"`
+	NodesIn        int     `json:"in"`    // nodes
+	NodesSilent    int     `json:"quiet"` // not heard for a while, counted out lately or not
+	NodesReporting int     `json:"fresh"` // heard lately, with a report
+	NodesUnhealthy int     `json:"sick"`  // of them
+	Symptom        string  `json:"kind,omitempty"`
+	FailureScore   float64 `json:"score"` // how sure it is that the zone fails; it is left at needScore
+	Cause          string  `json:"cause,omitempty"`
+	Note           string  `json:"note,omitempty"`
+
+	FirstAttemptRate float64 `json:"came"`   // first tries a second, its order's turning away included
+	AdmittedRate     float64 `json:"took"`   // first tries a second that were not turned away
+	RejectedRate     float64 `json:"turned"` // tries a second that were
+	RunRate          float64 `json:"runs"`   // ended, a second
+	OfferedValue     float64 `json:"worth"`  // value of first tries a second
+	CompletedValue   float64 `json:"got"`    // value done in time a second
+	RunCapacity      float64 `json:"cap"`    // runs a second that it could do
+	Concurrency      float64 `json:"flight"` // runs under way
+	RunMS            float64 `json:"run_ms"`
+	CallMS           float64 `json:"call_ms"`
+	CallFailureRatio float64 `json:"bad"` // share of calls
+	ConnectionRate   float64 `json:"opened"`
+	KernelsUp        bool    `json:"kernel"` // half of its nodes or more have one
 
 	mix    []api.PriorityCount
 	demand float64 // of the whole fleet: the most first tries a second that came lately
 	busy   bool    // slow, and does nearly what it bore at most
-	usual  Bore
-	told   Bore       // what the log has
-	toldA  uint64     // when
-	trail  []Bore     // of the last looks at which it was well
-	common uint64     // when it was sick with all others last
-	over   int        // looks in a row at which more was under way than it bore
-	loads  [3]float64 // runs under way over what it bore, at the last looks
+	usual  ObservedCapacity
+	told   ObservedCapacity   // what the log has
+	toldA  uint64             // when
+	trail  []ObservedCapacity // of the last looks at which it was well
+	common uint64             // when it was sick with all others last
+	over   int                // looks in a row at which more was under way than it bore
+	loads  [3]float64         // runs under way over what it bore, at the last looks
 }
 
-// NewWatch begins to look.
-func NewWatch() *Watch {
-	return &Watch{nodes: map[string]*report{}, seen: map[sightKey]sight{}, asked: map[string]string{}, looks: map[string][]api.ProbeTarget{},
+// NewMonitor begins to look.
+func NewMonitor() *Monitor {
+	return &Monitor{nodes: map[string]*report{}, seen: map[sightKey]sight{}, asked: map[string]string{}, looks: map[string][]api.ProbeTarget{},
 		zones: map[string]*View{}}
 }
 
-// Pace is how often a node should ask while zones are looked at, in ms: once a second, in larger fleets so that the
+// HeartbeatIntervalMS is how often a node should ask while zones are looked at, in ms: once a second, in larger fleets so that the
 // group is asked 2,500 times a second at most (as measured, half of a core).
-func Pace(nodes int) uint64 { return max(1000, uint64(nodes)*2/5) }
+func HeartbeatIntervalMS(nodes int) uint64 { return max(1000, uint64(nodes)*2/5) }
 
-// Heard takes what a node told. A report that can't be is not looked at, as if none had come.
-func (w *Watch) Heard(now uint64, n *membership.Node, l *api.LoadReport, seen []api.PeerHealth) {
+// Record takes what a node told. A report that can't be is not looked at, as if none had come.
+func (w *Monitor) Record(now uint64, n *membership.Node, l *api.LoadReport, seen []api.PeerHealth) {
 	r := w.nodes[n.Name]
 	if r == nil || r.lease != n.Lease.ID {
 		r = &report{lease: n.Lease.ID}
@@ -125,22 +125,22 @@
 	return l.WindowMS >= 200 && l.WindowMS <= 60_000 && l.FailedCalls <= l.Calls && len(l.ArrivedByWeight) <= api.MaxPriorityCounts && l.Cores > 0
 }
 
-// HeardAt tells when a node's present incarnation was heard last, 0: not by this leader.
-func (w *Watch) HeardAt(n *membership.Node) uint64 {
+// LastHeard tells when a node's present incarnation was heard last, 0: not by this leader.
+func (w *Monitor) LastHeard(n *membership.Node) uint64 {
 	if r := w.nodes[n.Name]; r != nil && r.lease == n.Lease.ID {
 		return r.at
 	}
 	return 0
 }
 
-// Looks gives what a node should look at, for the leader's next answer to it.
-func (w *Watch) Looks(node string) []api.ProbeTarget { return w.looks[node] }
+// ProbesFor gives what a node should look at, for the leader's next answer to it.
+func (w *Monitor) ProbesFor(node string) []api.ProbeTarget { return w.looks[node] }
 
 // Views gives all zones as of the last look. They belong to the watch.
-func (w *Watch) Views() []*View { return w.views }
+func (w *Monitor) Views() []*View { return w.views }
 
-// All gives the whole fleet as of the last look, nil before the first.
-func (w *Watch) All() *View { return w.fleet }
+// FleetView gives the whole fleet as of the last look, nil before the first.
+func (w *Monitor) FleetView() *View { return w.fleet }
 
 // Sizes of a look. Four looks at which a zone is sick, 500 ms apart, are as many reports of each node: shorter let
 // noise through, longer cost a second of service each. A look at which it is well takes two off.
@@ -153,11 +153,11 @@
 )
 
 // look works the views out, once each lookEvery.
-func (w *Watch) look(now uint64, s *State, f *membership.State, without Guard) {
+func (w *Monitor) look(now uint64, s *State, f *membership.State, without Guard) {
 	if w.since == 0 {
 		w.since = now
 	}
-	w.pace = Pace(len(f.Nodes()))
+	w.pace = HeartbeatIntervalMS(len(f.Nodes()))
 	w.at = now
 	by := map[string]*View{}
 	var order []string
@@ -181,15 +181,15 @@
 		case n.Out == membership.Left:
 		case n.Out != "":
 			if f.Clock-n.OutAt < 60_000 {
-				v.Quiet++
+				v.NodesSilent++
 			}
 		default:
-			v.In++
+			v.NodesIn++
 			if quiet {
-				v.Quiet++
+				v.NodesSilent++
 			}
 			if r != nil && r.has && now-r.at <= w.freshFor() {
-				v.Fresh++
+				v.NodesReporting++
 				loads[n.Zone] = append(loads[n.Zone], &r.load)
 			}
 		}
@@ -204,11 +204,11 @@
 	for _, name := range order {
 		v, was := by[name], w.zones[name]
 		if was != nil {
-			v.usual, v.Score, v.told, v.toldA, v.over = was.usual, was.Score, was.told, was.toldA, was.over
+			v.usual, v.FailureScore, v.told, v.toldA, v.over = was.usual, was.FailureScore, was.told, was.toldA, was.over
 			v.common, v.trail = was.common, was.trail
 			copy(v.loads[1:], was.loads[:])
 		} else if z := s.Find(name); z != nil { // what the leader before had learned
-			v.usual, v.told, v.toldA = z.Bore, z.Bore, now
+			v.usual, v.told, v.toldA = z.Capacity, z.Capacity, now
 		}
 		v.sum(loads[name])
 		w.views = append(w.views, v)
@@ -227,39 +227,39 @@
 const demandFade = 0.97
 
 // whole adds up the zones to a view of the fleet, for its own return.
-func (w *Watch) whole(f *membership.State) {
-	all := &View{Zone: Fleet, Kernel: true}
+func (w *Monitor) whole(f *membership.State) {
+	all := &View{Zone: WholeFleet, KernelsUp: true}
 	if w.fleet != nil {
 		all.over, all.demand = w.fleet.over, w.fleet.demand*demandFade
 		copy(all.loads[1:], w.fleet.loads[:])
 	}
 	kernels, ms, calls := 0, 0.0, 0.0
 	for _, v := range w.views {
-		all.In, all.Quiet, all.Fresh, all.Sick = all.In+v.In, all.Quiet+v.Quiet, all.Fresh+v.Fresh, all.Sick+v.Sick
-		all.Came, all.Took, all.Turned = all.Came+v.Came, all.Took+v.Took, all.Turned+v.Turned
-		all.Runs, all.Worth = all.Runs+v.Runs, all.Worth+v.Worth
-		all.Got, all.Cap, all.Flight = all.Got+v.Got, all.Cap+v.Cap, all.Flight+v.Flight
-		ms, calls = ms+v.Runs*v.RunMS, calls+v.Runs*v.CallMS
-		if v.Kernel {
-			kernels += v.In
+		all.NodesIn, all.NodesSilent, all.NodesReporting, all.NodesUnhealthy = all.NodesIn+v.NodesIn, all.NodesSilent+v.NodesSilent, all.NodesReporting+v.NodesReporting, all.NodesUnhealthy+v.NodesUnhealthy
+		all.FirstAttemptRate, all.AdmittedRate, all.RejectedRate = all.FirstAttemptRate+v.FirstAttemptRate, all.AdmittedRate+v.AdmittedRate, all.RejectedRate+v.RejectedRate
+		all.RunRate, all.OfferedValue = all.RunRate+v.RunRate, all.OfferedValue+v.OfferedValue
+		all.CompletedValue, all.RunCapacity, all.Concurrency = all.CompletedValue+v.CompletedValue, all.RunCapacity+v.RunCapacity, all.Concurrency+v.Concurrency
+		ms, calls = ms+v.RunRate*v.RunMS, calls+v.RunRate*v.CallMS
+		if v.KernelsUp {
+			kernels += v.NodesIn
 		}
-		if v.Sick > 0 {
-			all.Kind = v.Kind
+		if v.NodesUnhealthy > 0 {
+			all.Symptom = v.Symptom
 		}
 	}
-	all.demand = max(all.demand, all.Came)
-	if all.Runs > 0 {
-		all.RunMS, all.CallMS = ms/all.Runs, calls/all.Runs
+	all.demand = max(all.demand, all.FirstAttemptRate)
+	if all.RunRate > 0 {
+		all.RunMS, all.CallMS = ms/all.RunRate, calls/all.RunRate
 	}
-	all.Kernel = 2*kernels >= all.In
+	all.KernelsUp = 2*kernels >= all.NodesIn
 	w.fleet = all
 }
 
 // quietAfter is how long a node may be silent before it counts as quiet: one asking lost, with its answer's time.
-func (w *Watch) quietAfter() uint64 { return w.pace*3/2 + 800 }
+func (w *Monitor) quietAfter() uint64 { return w.pace*3/2 + 800 }
 
 // freshFor is how long a report counts.
-func (w *Watch) freshFor() uint64 { return 2*w.pace + 500 }
+func (w *Monitor) freshFor() uint64 { return 2*w.pace + 500 }
 
 // median gives the middle of some figures.
 func median(x []float64) float64 {
@@ -350,23 +350,23 @@
 		for i := range pools {
 			x = append(x, f(&pools[i].LoadReport)*1000/float64(pools[i].WindowMS)/float64(len(pools[i].nodes)))
 		}
-		return float64(v.In) * median(x)
+		return float64(v.NodesIn) * median(x)
 	}
-	v.Came = per(func(l *api.LoadReport) float64 { return float64(l.Arrived - l.Retries) })
-	v.Took = per(func(l *api.LoadReport) float64 { return float64(max(0, l.Arrived-l.Retries-l.RejectedByZone)) })
-	v.Turned = per(func(l *api.LoadReport) float64 { return float64(l.RejectedByZone) })
-	v.Runs = per(func(l *api.LoadReport) float64 { return float64(l.RunsEnded) })
-	v.Worth = per(func(l *api.LoadReport) float64 { return l.OfferedWeight })
-	v.Got = per(func(l *api.LoadReport) float64 { return l.CompletedWeight })
-	v.Opened = per(func(l *api.LoadReport) float64 { return float64(l.ConnectionsOpened) })
-	v.Cap = per(func(l *api.LoadReport) float64 {
+	v.FirstAttemptRate = per(func(l *api.LoadReport) float64 { return float64(l.Arrived - l.Retries) })
+	v.AdmittedRate = per(func(l *api.LoadReport) float64 { return float64(max(0, l.Arrived-l.Retries-l.RejectedByZone)) })
+	v.RejectedRate = per(func(l *api.LoadReport) float64 { return float64(l.RejectedByZone) })
+	v.RunRate = per(func(l *api.LoadReport) float64 { return float64(l.RunsEnded) })
+	v.OfferedValue = per(func(l *api.LoadReport) float64 { return l.OfferedWeight })
+	v.CompletedValue = per(func(l *api.LoadReport) float64 { return l.CompletedWeight })
+	v.ConnectionRate = per(func(l *api.LoadReport) float64 { return float64(l.ConnectionsOpened) })
+	v.RunCapacity = per(func(l *api.LoadReport) float64 {
 		// A core never quite idles: under a twentieth a node is taken to have twenty times what it does.
 		return float64(l.RunsEnded) / min(1, max(0.05, l.CoresUsed/l.Cores))
 	})
 	v.RunMS = of(func(l *api.LoadReport) float64 { return l.MeanRunMS })
 	v.CallMS = of(func(l *api.LoadReport) float64 { return l.MeanCallMS })
-	v.Bad = of(func(l *api.LoadReport) float64 { return float64(l.FailedCalls) / max(1, float64(l.Calls)) })
-	v.Flight = per(func(l *api.LoadReport) float64 {
+	v.CallFailureRatio = of(func(l *api.LoadReport) float64 { return float64(l.FailedCalls) / max(1, float64(l.Calls)) })
+	v.Concurrency = per(func(l *api.LoadReport) float64 {
 		if l.RunsEnded == 0 {
 			return float64(l.RunsInFlight) * float64(l.WindowMS) / 1000 // they are not a second's
 		}
@@ -378,7 +378,7 @@
 			up++
 		}
 	}
-	v.Kernel = 2*up >= len(all)
+	v.KernelsUp = 2*up >= len(all)
 	v.sick(pools)
 	v.mix = mixOf(all)
 }
@@ -449,20 +449,20 @@
 				k = together
 			}
 			if k != "" {
-				v.Sick++
+				v.NodesUnhealthy++
 				count[k]++
 			}
 		}
 	}
 	for _, k := range kinds {
-		if count[k] > count[v.Kind] {
-			v.Kind = k
+		if count[k] > count[v.Symptom] {
+			v.Symptom = k
 		}
 	}
-	if ran := v.Runs * (1 - median(failed)); cold(v.Kind) && v.usual.Runs > 0 && ran >= busyShare*v.usual.Runs {
+	if ran := v.RunRate * (1 - median(failed)); cold(v.Symptom) && v.usual.RunRate > 0 && ran >= busyShare*v.usual.RunRate {
 		v.Note = fmt.Sprintf("%d of %d nodes heard are slow (%s), but it does %.0f runs a second and bore %.0f: busy, not sick",
-			v.Sick, v.Fresh, v.Kind, v.Runs, v.usual.Runs)
-		v.Sick, v.Kind, v.busy = 0, "", true
+			v.NodesUnhealthy, v.NodesReporting, v.Symptom, v.RunRate, v.usual.RunRate)
+		v.NodesUnhealthy, v.Symptom, v.busy = 0, "", true
 	}
 }
 
@@ -485,10 +485,10 @@
 
 // quorum tells whether enough of a zone's nodes are heard to say anything of it: a third of those that are in, so that
 // with half of the reports missing there is one.
-func (v *View) quorum() bool { return v.Fresh > 0 && 3*v.Fresh >= v.In }
+func (v *View) quorum() bool { return v.NodesReporting > 0 && 3*v.NodesReporting >= v.NodesIn }
 
 // share is how much of what is heard is sick.
-func (v *View) share() float64 { return float64(v.Sick) / float64(max(1, v.Fresh)) }
+func (v *View) share() float64 { return float64(v.NodesUnhealthy) / float64(max(1, v.NodesReporting)) }
 
 // Most of a zone's nodes have to be sick for it to be the zone that is: at a majority one bad node, or two that lie in
 // five, leave it in. A zone is well where hardly any is.
@@ -499,18 +499,18 @@
 
 // Silent tells that nobody of a zone is heard.
 func (v *View) silent() bool {
-	return v.Quiet > 0 && v.Quiet*10 >= 9*max(v.In, v.Quiet)
+	return v.NodesSilent > 0 && v.NodesSilent*10 >= 9*max(v.NodesIn, v.NodesSilent)
 }
 
 // judge keeps the score: how long and how surely a zone fails, over several looks.
-func (w *Watch) judge(now uint64, s *State, v *View, without Guard) {
-	step, _ := s.StepOf(v.Zone)
+func (w *Monitor) judge(now uint64, s *State, v *View, without Guard) {
+	step, _ := s.PhaseOf(v.Zone)
 	switch {
 	case v.silent():
 		serves, sheds, nobody := w.sights(now, v.Zone)
 		switch all := serves + sheds + nobody; {
 		case all > 0 && 2*serves >= all:
-			v.Score = max(0, v.Score-wellStep)
+			v.FailureScore = max(0, v.FailureScore-wellStep)
 			v.Note = fmt.Sprintf("not heard, but %d of %d looks at its nodes found them serving: cut off from the group alone",
 				serves, all)
 		case all >= 2:
@@ -518,38 +518,38 @@
 			if sheds > nobody {
 				v.Cause, v.Note = "cut off", "not heard, and its nodes take nothing as others see them"
 			}
-			v.Score = min(mostScore, v.Score+needScore/2) // two looks: silence and sights took their time already
+			v.FailureScore = min(mostScore, v.FailureScore+needScore/2) // two looks: silence and sights took their time already
 		default:
 			v.Note = "not heard; nobody has looked yet"
 		}
 		return
 	case !v.quorum():
-		v.Note = fmt.Sprintf("%d of %d nodes heard: nothing can be told", v.Fresh, v.In)
+		v.Note = fmt.Sprintf("%d of %d nodes heard: nothing can be told", v.NodesReporting, v.NodesIn)
 		return
 	case v.share() >= sickShare && !w.othersWell(s, v) && !without.Has(CommonCause):
-		v.Score, v.common = max(0, v.Score-1), now
-		v.Note = fmt.Sprintf("%d of %d sick (%s), and no other zone is well: a common cause, nobody leaves", v.Sick, v.Fresh,
-			v.Kind)
+		v.FailureScore, v.common = max(0, v.FailureScore-1), now
+		v.Note = fmt.Sprintf("%d of %d sick (%s), and no other zone is well: a common cause, nobody leaves", v.NodesUnhealthy, v.NodesReporting,
+			v.Symptom)
 	case v.share() >= sickShare:
 		// What ailed all may end a little sooner elsewhere: it takes twice as long to be sure of one zone then.
-		if v.Cause = v.Kind; v.common != 0 && now-v.common < commonFor {
-			v.Score = min(mostScore, v.Score+0.5)
+		if v.Cause = v.Symptom; v.common != 0 && now-v.common < commonFor {
+			v.FailureScore = min(mostScore, v.FailureScore+0.5)
 		} else {
-			v.Score = min(mostScore, v.Score+1)
+			v.FailureScore = min(mostScore, v.FailureScore+1)
 		}
 	case v.share() <= wellShare:
-		v.Score = max(0, v.Score-wellStep)
+		v.FailureScore = max(0, v.FailureScore-wellStep)
 	default:
-		v.Score = max(0, v.Score-wellStep/4)
+		v.FailureScore = max(0, v.FailureScore-wellStep/4)
 	}
-	if v.Sick > 0 && v.share() < sickShare {
-		v.Note = fmt.Sprintf("%d of %d nodes heard are sick (%s): not the zone", v.Sick, v.Fresh, v.Kind)
+	if v.NodesUnhealthy > 0 && v.share() < sickShare {
+		v.Note = fmt.Sprintf("%d of %d nodes heard are sick (%s): not the zone", v.NodesUnhealthy, v.NodesReporting, v.Symptom)
 	}
-	if v.usual.Came > 1 && v.Came < v.usual.Came/20 && step == In {
+	if v.usual.FirstAttemptRate > 1 && v.FirstAttemptRate < v.usual.FirstAttemptRate/20 && step == InService {
 		v.Note = "hardly any callers reach it: nothing is won by leaving it"
 	}
 	// Guards against taking what a fleet shows on its way back from a restart, cold and held, for what is usual.
-	if all, _ := s.StepOf(Fleet); step == In && all == In && v.Score == 0 && v.Sick == 0 && 2*v.Fresh >= v.In {
+	if all, _ := s.PhaseOf(WholeFleet); step == InService && all == InService && v.FailureScore == 0 && v.NodesUnhealthy == 0 && 2*v.NodesReporting >= v.NodesIn {
 		v.learn()
 	} else {
 		v.trail = v.trail[:0]
@@ -557,15 +557,15 @@
 }
 
 // othersWell tells whether half or more of the other zones that are in, and one at least, are heard and well.
-func (w *Watch) othersWell(s *State, v *View) bool {
+func (w *Monitor) othersWell(s *State, v *View) bool {
 	well, in := 0, 0
 	for _, o := range w.views {
-		if step, _ := s.StepOf(o.Zone); o == v || step != In || o.silent() {
+		if step, _ := s.PhaseOf(o.Zone); o == v || step != InService || o.silent() {
 			continue
 		}
 		in++
 		// What is slow may be slow for the same cause as others that are; what fails, only as others that fail.
-		if o.quorum() && (o.share() <= wellShare && !(o.busy && cold(v.Kind)) || cold(o.Kind) && !cold(v.Kind)) {
+		if o.quorum() && (o.share() <= wellShare && !(o.busy && cold(v.Symptom)) || cold(o.Symptom) && !cold(v.Symptom)) {
 			well++
 		}
 	}
@@ -579,19 +579,19 @@
 // that pile up before anything is sick, and that is not what a service bore.
 func (v *View) learn() {
 	const fall, follow, trail = 0.99994, 1.0 / 64, 8
-	v.trail = append(v.trail, Bore{v.Runs, v.Flight, v.RunMS, v.CallMS, v.Opened, v.Came})
+	v.trail = append(v.trail, ObservedCapacity{v.RunRate, v.Concurrency, v.RunMS, v.CallMS, v.ConnectionRate, v.FirstAttemptRate})
 	if len(v.trail) <= trail {
 		return
 	}
 	is, u := v.trail[0], &v.usual
 	v.trail = append(v.trail[:0], v.trail[1:]...)
 	if u.RunMS > 0 && is.RunMS > warmTimes*u.RunMS {
-		is.Flight = 0 // slower than usual: it bore that, but hardly
+		is.Concurrency = 0 // slower than usual: it bore that, but hardly
 	}
-	// By Little's law no more can be under way than come in the time that one takes: what is beyond that are runs that stand,
+	// Operator Little's law no more can be under way than come in the time that one takes: what is beyond that are runs that stand,
 	// and a service that is held to have borne them is asked for far too much on its way back.
 	if u.RunMS > 0 {
-		is.Flight = min(is.Flight, warmTimes*is.Runs*u.RunMS/1000)
+		is.Concurrency = min(is.Concurrency, warmTimes*is.RunRate*u.RunMS/1000)
 	}
 	near := func(x *float64, is float64) {
 		if *x == 0 {
@@ -600,19 +600,19 @@
 			*x += follow * (is - *x)
 		}
 	}
-	u.Runs, u.Flight = max(u.Runs*fall, is.Runs), max(u.Flight*fall, is.Flight)
-	u.Opened = max(u.Opened*fall, is.Opened)
-	if is.Runs > 0 {
+	u.RunRate, u.Concurrency = max(u.RunRate*fall, is.RunRate), max(u.Concurrency*fall, is.Concurrency)
+	u.ConnectionRate = max(u.ConnectionRate*fall, is.ConnectionRate)
+	if is.RunRate > 0 {
 		near(&u.RunMS, is.RunMS)
 	}
 	if is.CallMS > 0 {
 		near(&u.CallMS, is.CallMS)
 	}
-	near(&u.Came, is.Came)
+	near(&u.FirstAttemptRate, is.FirstAttemptRate)
 }
 
 // probe chooses who looks at the nodes of a silent zone: three of its nodes, by two nodes of each other zone.
-func (w *Watch) probe(now uint64, f *membership.State) {
+func (w *Monitor) probe(now uint64, f *membership.State) {
 	w.looks, w.asked = map[string][]api.ProbeTarget{}, map[string]string{}
 	for _, v := range w.views {
 		if !v.silent() {
@@ -644,7 +644,7 @@
 }
 
 // sights counts what others lately saw of a silent zone's nodes.
-func (w *Watch) sights(now uint64, zone string) (serves, sheds, nobody int) {
+func (w *Monitor) sights(now uint64, zone string) (serves, sheds, nobody int) {
 	for k, s := range w.seen { // order does not matter to sums
 		if w.asked[k.node] != zone || now-s.at > 3*w.pace+1000 {
 			continue
--- a/internal/control/zones/zones.go
+++ b/internal/control/zones/zones.go
@@ -18,10 +18,10 @@
 
 // Steps of a zone.
 const (
-	In        = "in"        // takes what comes
-	Leaving   = "leaving"   // decided; some node may not have heard yet
-	Out       = "out"       // left, wholly or in part: nobody acts on an older epoch
-	Returning = "returning" // at a share
+	InService  = "in"        // takes what comes
+	Evacuating = "leaving"   // decided; some node may not have heard yet
+	Evacuated  = "out"       // left, wholly or in part: nobody acts on an older epoch
+	Ramping    = "returning" // at a share
 )
 
 // Bounds.
@@ -31,96 +31,96 @@
 	maxWord   = 300
 )
 
-// Bore is what a zone's services below bore when it was well: the peak in runs a second and in runs under way, which
+// ObservedCapacity is what a zone's services below bore when it was well: the peak in runs a second and in runs under way, which
 // slowly falls, and what a run and a call usually took.
-type Bore struct {
-	Runs   float64 `json:"runs"` // a second
-	Flight float64 `json:"in_flight"`
-	RunMS  float64 `json:"run_ms"`
-	CallMS float64 `json:"call_ms"`
-	Opened float64 `json:"opened"` // connections below, a second
-	Came   float64 `json:"came"`   // first tries a second, usually
+type ObservedCapacity struct {
+	RunRate          float64 `json:"runs"` // a second
+	Concurrency      float64 `json:"in_flight"`
+	RunMS            float64 `json:"run_ms"`
+	CallMS           float64 `json:"call_ms"`
+	ConnectionRate   float64 `json:"opened"` // connections below, a second
+	FirstAttemptRate float64 `json:"came"`   // first tries a second, usually
 }
 
-// Part is what a lease has of a ceiling, in runs a second.
-type Part struct {
+// LeaseQuota is what a lease has of a ceiling, in runs a second.
+type LeaseQuota struct {
 	Lease uint32  `json:"lease"`
 	Rate  float64 `json:"rate"`
 }
 
 // Event is one thing that was decided, and on what.
 type Event struct {
-	Clock uint64  `json:"clock_ms"`
-	Epoch uint64  `json:"epoch"`
-	Text  string  `json:"text"`
-	Stay  float64 `json:"stay,omitempty"` // value a second expected by staying, and by going
-	Go    float64 `json:"go,omitempty"`
+	Clock             uint64  `json:"clock_ms"`
+	Epoch             uint64  `json:"epoch"`
+	Text              string  `json:"text"`
+	ValueOfStaying    float64 `json:"stay,omitempty"` // value a second expected by staying, and by going
+	ValueOfEvacuating float64 `json:"go,omitempty"`
 }
 
 // Zone is one zone.
 type Zone struct {
-	Name    string  `json:"name"`
-	Step    string  `json:"step"`
-	Share   int     `json:"share"` // of fleet.Whole
-	Worth   float64 `json:"worth,omitempty"`
-	Epoch   uint64  `json:"epoch"` // of its last change
-	Since   uint64  `json:"since"` // the group's time of it, and then of its settling
-	Cause   string  `json:"cause,omitempty"`
-	By      string  `json:"by,omitempty"` // the operator who did it; empty for the rules
-	Had     int     `json:"had,omitempty"`
-	Ceiling float64 `json:"ceiling,omitempty"` // runs a second; counts while it returns
-	Dials   float64 `json:"dials,omitempty"`
-	Parts   []Part  `json:"parts,omitempty"` // of the ceiling, by lease
-	Was     []Part  `json:"was,omitempty"`   // until the epoch has settled: what may still be acted on
-	Flaps   int     `json:"flaps,omitempty"`
-	Back    uint64  `json:"back,omitempty"`  // it does not return before
-	Well    uint64  `json:"well,omitempty"`  // in since
-	Held    uint64  `json:"held,omitempty"`  // nothing is decided by rules before
-	Drill   uint64  `json:"drill,omitempty"` // a drill ends then
-	Bore    Bore    `json:"bore"`
-	Events  []Event `json:"events,omitempty"`
+	Name                string           `json:"name"`
+	Phase               string           `json:"step"`
+	Share               int              `json:"share"` // of fleet.Whole
+	PriorityCutoff      float64          `json:"worth,omitempty"`
+	Epoch               uint64           `json:"epoch"` // of its last change
+	Since               uint64           `json:"since"` // the group's time of it, and then of its settling
+	Cause               string           `json:"cause,omitempty"`
+	Operator            string           `json:"by,omitempty"` // the operator who did it; empty for the rules
+	NodesBefore         int              `json:"had,omitempty"`
+	RateLimit           float64          `json:"ceiling,omitempty"` // runs a second; counts while it returns
+	ConnectionRateLimit float64          `json:"dials,omitempty"`
+	Quotas              []LeaseQuota     `json:"parts,omitempty"` // of the ceiling, by lease
+	PreviousQuotas      []LeaseQuota     `json:"was,omitempty"`   // until the epoch has settled: what may still be acted on
+	FlapCount           int              `json:"flaps,omitempty"`
+	RampNotBefore       uint64           `json:"back,omitempty"`  // it does not return before
+	InServiceSince      uint64           `json:"well,omitempty"`  // in since
+	HeldUntil           uint64           `json:"held,omitempty"`  // nothing is decided by rules before
+	DrillUntil          uint64           `json:"drill,omitempty"` // a drill ends then
+	Capacity            ObservedCapacity `json:"bore"`
+	Events              []Event          `json:"events,omitempty"`
 }
 
 // State is what all instances know of zones.
 type State struct {
-	Epoch   uint64  `json:"epoch"`
-	Settled uint64  `json:"settled"` // nobody acts on an epoch before it
-	Retry   int     `json:"retry,omitempty"`
-	Full    bool    `json:"full,omitempty"`
-	Zones   []*Zone `json:"zones,omitempty"` // by name
+	Epoch        uint64  `json:"epoch"`
+	SettledEpoch uint64  `json:"settled"` // nobody acts on an epoch before it
+	RetryBudget  int     `json:"retry,omitempty"`
+	FleetFull    bool    `json:"full,omitempty"`
+	Zones        []*Zone `json:"zones,omitempty"` // by name
 }
 
 // Op is one entry of the log.
 type Op struct {
-	Kind    string          `json:"op"` // leave, settle, step, split, in, back, bore, hold
-	Zone    string          `json:"zone,omitempty"`
-	Epoch   uint64          `json:"epoch"` // it was decided in
-	Share   int             `json:"share,omitempty"`
-	Worth   float64         `json:"worth,omitempty"`
-	Ceiling float64         `json:"ceiling,omitempty"`
-	Dials   float64         `json:"dials,omitempty"`
-	Retry   int             `json:"retry,omitempty"`
-	Full    bool            `json:"full,omitempty"`
-	Cause   string          `json:"cause,omitempty"`
-	Why     string          `json:"why,omitempty"`
-	By      string          `json:"by,omitempty"`
-	Stay    float64         `json:"stay,omitempty"`
-	Go      float64         `json:"go,omitempty"`
-	Wait    uint64          `json:"wait_ms,omitempty"` // leave, back: it returns no sooner; hold: for so long
-	Drill   uint64          `json:"drill_ms,omitempty"`
-	Bores   map[string]Bore `json:"bores,omitempty"`
-	Key     string          `json:"key,omitempty"` // an operator's asking
+	Kind                string                      `json:"op"` // leave, settle, step, split, in, back, bore, hold
+	Zone                string                      `json:"zone,omitempty"`
+	Epoch               uint64                      `json:"epoch"` // it was decided in
+	Share               int                         `json:"share,omitempty"`
+	PriorityCutoff      float64                     `json:"worth,omitempty"`
+	RateLimit           float64                     `json:"ceiling,omitempty"`
+	ConnectionRateLimit float64                     `json:"dials,omitempty"`
+	RetryBudget         int                         `json:"retry,omitempty"`
+	FleetFull           bool                        `json:"full,omitempty"`
+	Cause               string                      `json:"cause,omitempty"`
+	Reason              string                      `json:"why,omitempty"`
+	Operator            string                      `json:"by,omitempty"`
+	ValueOfStaying      float64                     `json:"stay,omitempty"`
+	ValueOfEvacuating   float64                     `json:"go,omitempty"`
+	WaitMS              uint64                      `json:"wait_ms,omitempty"` // leave, back: it returns no sooner; hold: for so long
+	DrillMS             uint64                      `json:"drill_ms,omitempty"`
+	Capacities          map[string]ObservedCapacity `json:"bores,omitempty"`
+	IdempotencyKey      string                      `json:"key,omitempty"` // an operator's asking
 }
 
 // Result is the end of an op.
 type Result struct {
-	Kind  string
-	Zone  string
-	Key   string
-	Epoch uint64
-	Step  string
-	Share int
-	Err   string // it does not count, and why
+	Kind           string `json:"Kind"`
+	Zone           string `json:"Zone"`
+	IdempotencyKey string `json:"Key"`
+	Epoch          uint64 `json:"Epoch"`
+	Phase          string `json:"Step"`
+	Share          int    `json:"Share"`
+	Err            string `json:"Err"` // it does not count, and why
 }
 
 // Find gives a zone, nil if it is not known.
@@ -132,12 +132,12 @@
 	return nil
 }
 
-// Fleet names the whole fleet where it comes back from a restart of most of its nodes: it stands like a zone that returns.
+// WholeFleet names the whole fleet where it comes back from a restart of most of its nodes: it stands like a zone that returns.
 // No zone of nodes can have the name.
-const Fleet = "*"
+const WholeFleet = "*"
 
 // has tells whether a node is of a zone.
-func (z *Zone) has(n *membership.Node) bool { return z.Name == Fleet || n.Zone == z.Name }
+func (z *Zone) has(n *membership.Node) bool { return z.Name == WholeFleet || n.Zone == z.Name }
 
 // know gives a zone, made if nodes are of it.
 func (s *State) know(name string, f *membership.State) *Zone {
@@ -148,8 +148,8 @@
 		return nil
 	}
 	for _, n := range f.Nodes() {
-		if n.Zone == name || name == Fleet {
-			z := &Zone{Name: name, Step: In, Share: api.FullShare}
+		if n.Zone == name || name == WholeFleet {
+			z := &Zone{Name: name, Phase: InService, Share: api.FullShare}
 			s.Zones = append(s.Zones, z)
 			sort.Slice(s.Zones, func(i, k int) bool { return s.Zones[i].Name < s.Zones[k].Name })
 			return z
@@ -158,19 +158,19 @@
 	return nil
 }
 
-// StepOf gives how a zone stands; one that was never decided about is in.
-func (s *State) StepOf(name string) (step string, share int) {
+// PhaseOf gives how a zone stands; one that was never decided about is in.
+func (s *State) PhaseOf(name string) (step string, share int) {
 	if z := s.Find(name); z != nil {
-		return z.Step, z.Share
+		return z.Phase, z.Share
 	}
-	return In, api.FullShare
+	return InService, api.FullShare
 }
 
 // othersIn tells whether another zone with nodes is in.
 func (s *State) othersIn(name string, f *membership.State) bool {
 	for _, n := range f.Nodes() {
 		if n.Out == "" && n.Zone != name {
-			if step, _ := s.StepOf(n.Zone); step == In {
+			if step, _ := s.PhaseOf(n.Zone); step == InService {
 				return true
 			}
 		}
@@ -181,7 +181,7 @@
 func (z *Zone) event(clock, epoch uint64, op *Op, format string, args ...any) {
 	e := Event{Clock: clock, Epoch: epoch, Text: fmt.Sprintf(format, args...)}
 	if op != nil {
-		e.Stay, e.Go = op.Stay, op.Go
+		e.ValueOfStaying, e.ValueOfEvacuating = op.ValueOfStaying, op.ValueOfEvacuating
 	}
 	z.Events = append(z.Events, e)
 	if len(z.Events) > maxEvents {
@@ -194,16 +194,16 @@
 	switch {
 	case op.Kind != "leave" && op.Kind != "back" && op.Kind != "step" && op.Kind != "hold":
 		return fmt.Errorf("op: found %.20q, expected leave, step, back or hold", op.Kind)
-	case op.By == "" || len(op.By) > 200:
-		return fmt.Errorf("by: found %d bytes, expected 1 to 200", len(op.By))
-	case len(op.Why) > 2000:
-		return fmt.Errorf("why: found %d bytes, expected at most 2000", len(op.Why))
+	case op.Operator == "" || len(op.Operator) > 200:
+		return fmt.Errorf("by: found %d bytes, expected 1 to 200", len(op.Operator))
+	case len(op.Reason) > 2000:
+		return fmt.Errorf("why: found %d bytes, expected at most 2000", len(op.Reason))
 	case op.Share < 0 || op.Share > api.FullShare:
 		return fmt.Errorf("share: found %d, expected 0 to %d", op.Share, api.FullShare)
-	case len(op.Key) < 8 || len(op.Key) > 80:
-		return fmt.Errorf("key: found %d bytes, expected 8 to 80", len(op.Key))
-	case op.Wait > 24*3600_000 || op.Drill > 24*3600_000:
-		return fmt.Errorf("wait_ms %d, drill_ms %d: expected a day at most", op.Wait, op.Drill)
+	case len(op.IdempotencyKey) < 8 || len(op.IdempotencyKey) > 80:
+		return fmt.Errorf("key: found %d bytes, expected 8 to 80", len(op.IdempotencyKey))
+	case op.WaitMS > 24*3600_000 || op.DrillMS > 24*3600_000:
+		return fmt.Errorf("wait_ms %d, drill_ms %d: expected a day at most", op.WaitMS, op.DrillMS)
 	}
 	return nil
 }
@@ -214,156 +214,156 @@
 // Apply plays one op. What no longer holds counts for nothing: an op names the epoch it was decided in, so that of two
 // leaders' decisions about one picture one counts.
 func (s *State) Apply(op *Op, f *membership.State, without Guard) Result {
-	r := Result{Kind: op.Kind, Zone: op.Zone, Key: op.Key, Epoch: s.Epoch}
+	r := Result{Kind: op.Kind, Zone: op.Zone, IdempotencyKey: op.IdempotencyKey, Epoch: s.Epoch}
 	no := func(format string, args ...any) Result {
 		r.Err = fmt.Sprintf(format, args...)
 		return r
 	}
 	switch op.Kind {
 	case "bore":
-		for _, n := range names(op.Bores) {
+		for _, n := range names(op.Capacities) {
 			if z := s.know(n, f); z != nil {
-				z.Bore = op.Bores[n]
+				z.Capacity = op.Capacities[n]
 			}
 		}
 		return r
 	case "settle":
-		if op.Epoch != s.Epoch || s.Settled == s.Epoch {
+		if op.Epoch != s.Epoch || s.SettledEpoch == s.Epoch {
 			return no("epoch %d is settled or past", op.Epoch)
 		}
 		if left := f.UnderZones(s.Epoch); len(left) > 0 && !without.Has(OneEpoch) {
 			return no("%d nodes may act on an older epoch", len(left))
 		}
 		for _, z := range s.Zones {
-			if z.Was = nil; z.Epoch > s.Settled {
+			if z.PreviousQuotas = nil; z.Epoch > s.SettledEpoch {
 				z.Since = f.Clock
 			}
-			if z.Step == Leaving {
-				z.Step = Out
+			if z.Phase == Evacuating {
+				z.Phase = Evacuated
 				z.event(f.Clock, s.Epoch, nil, "out: nobody acts on an older epoch")
 			}
 		}
-		s.Settled = s.Epoch
+		s.SettledEpoch = s.Epoch
 		return r
 	}
 	z := s.know(op.Zone, f)
-	if z == nil || z.Name == Fleet && (op.Kind == "leave" || op.Kind == "back" && op.Share == 0) {
+	if z == nil || z.Name == WholeFleet && (op.Kind == "leave" || op.Kind == "back" && op.Share == 0) {
 		return no("found no zone %.50q, expected one that nodes are of", op.Zone)
 	}
 	if op.Kind == "hold" {
-		z.Held = f.Clock + op.Wait
-		z.event(f.Clock, s.Epoch, nil, "%s: nothing is decided by rules for %d ms", op.By, op.Wait)
-		r.Step, r.Share = z.Step, z.Share
+		z.HeldUntil = f.Clock + op.WaitMS
+		z.event(f.Clock, s.Epoch, nil, "%s: nothing is decided by rules for %d ms", op.Operator, op.WaitMS)
+		r.Phase, r.Share = z.Phase, z.Share
 		return r
 	}
 	if op.Epoch != s.Epoch {
 		return no("decided in epoch %d, expected %d", op.Epoch, s.Epoch)
 	}
 	up := op.Kind == "step" || op.Kind == "in" || op.Kind == "split"
-	if up && s.Settled != s.Epoch && !without.Has(OneEpoch) {
+	if up && s.SettledEpoch != s.Epoch && !without.Has(OneEpoch) {
 		return no("epoch %d is not settled: some node may act on an older one", s.Epoch)
 	}
 	switch op.Kind {
 	case "leave":
-		if z.Step == Out && z.Share <= op.Share || z.Step == Leaving {
-			return no("zone %s is %s already", z.Name, z.Step)
+		if z.Phase == Evacuated && z.Share <= op.Share || z.Phase == Evacuating {
+			return no("zone %s is %s already", z.Name, z.Phase)
 		}
 		if !s.othersIn(z.Name, f) {
 			return no("zone %s is the last that is in", z.Name)
 		}
-		if z.Flaps++; f.Clock-z.Well > flapSpan {
-			z.Flaps = 0
+		if z.FlapCount++; f.Clock-z.InServiceSince > flapSpan {
+			z.FlapCount = 0
 		}
-		if b, known := op.Bores[z.Name]; known {
-			z.Bore = b
+		if b, known := op.Capacities[z.Name]; known {
+			z.Capacity = b
 		}
-		z.Had = 0
+		z.NodesBefore = 0
 		for _, n := range f.Nodes() {
 			if n.Zone == z.Name && (n.Out == "" || n.Out == membership.Silent && f.Clock-n.OutAt < 60_000) {
-				z.Had++
+				z.NodesBefore++
 			}
 		}
-		s.take(z, f, Leaving, op)
-		z.Cause, z.By, z.Back = op.Cause, op.By, f.Clock+op.Wait
-		if z.Drill = 0; op.Drill > 0 {
-			z.Drill = f.Clock + op.Drill
+		s.take(z, f, Evacuating, op)
+		z.Cause, z.Operator, z.RampNotBefore = op.Cause, op.Operator, f.Clock+op.WaitMS
+		if z.DrillUntil = 0; op.DrillMS > 0 {
+			z.DrillUntil = f.Clock + op.DrillMS
 		}
 		what := "left"
 		if op.Share > 0 {
 			what = fmt.Sprintf("left in part, keeps %d of %d by value", op.Share, api.FullShare)
 		}
-		z.event(f.Clock, s.Epoch, op, "%s: %s%s", what, by(op.By), clip(op.Why))
+		z.event(f.Clock, s.Epoch, op, "%s: %s%s", what, by(op.Operator), clip(op.Reason))
 	case "step":
-		if z.Step != Out && z.Step != Returning {
-			return no("zone %s is %s, expected it out or returning", z.Name, z.Step)
+		if z.Phase != Evacuated && z.Phase != Ramping {
+			return no("zone %s is %s, expected it out or returning", z.Name, z.Phase)
 		}
-		if op.Ceiling == 0 { // an operator's
+		if op.RateLimit == 0 { // an operator's
 			o, in := *op, 0
 			for _, n := range f.Nodes() {
 				if z.has(n) && n.Out == "" {
 					in++
 				}
 			}
-			o.Ceiling, o.Dials = z.bears(o.Share, in)
+			o.RateLimit, o.ConnectionRateLimit = z.bears(o.Share, in)
 			op = &o
 		}
-		s.take(z, f, Returning, op)
-		z.By = op.By
+		s.take(z, f, Ramping, op)
+		z.Operator = op.Operator
 		z.event(f.Clock, s.Epoch, op, "returns at %d of %d, %.0f runs a second at most: %s%s", z.Share, api.FullShare,
-			z.Ceiling, by(op.By), clip(op.Why))
+			z.RateLimit, by(op.Operator), clip(op.Reason))
 	case "split":
-		if z.Step != Returning {
-			return no("zone %s is %s, expected it returning", z.Name, z.Step)
+		if z.Phase != Ramping {
+			return no("zone %s is %s, expected it returning", z.Name, z.Phase)
 		}
 		op := *op
-		op.Share, op.Ceiling, op.Dials, op.Worth = z.Share, z.Ceiling, z.Dials, z.Worth
+		op.Share, op.RateLimit, op.ConnectionRateLimit, op.PriorityCutoff = z.Share, z.RateLimit, z.ConnectionRateLimit, z.PriorityCutoff
 		since := z.Since
-		s.take(z, f, Returning, &op)
+		s.take(z, f, Ramping, &op)
 		z.Since = since
 	case "back":
-		if z.Step != Returning {
-			return no("zone %s is %s, expected it returning", z.Name, z.Step)
+		if z.Phase != Ramping {
+			return no("zone %s is %s, expected it returning", z.Name, z.Phase)
 		}
-		step := Returning
+		step := Ramping
 		if op.Share == 0 {
-			step = Leaving
-			z.Flaps++
-			z.Back = f.Clock + op.Wait
+			step = Evacuating
+			z.FlapCount++
+			z.RampNotBefore = f.Clock + op.WaitMS
 		}
 		s.take(z, f, step, op)
-		z.Cause, z.By = op.Cause, op.By
-		z.event(f.Clock, s.Epoch, op, "back to %d of %d: %s%s", z.Share, api.FullShare, by(op.By), clip(op.Why))
+		z.Cause, z.Operator = op.Cause, op.Operator
+		z.event(f.Clock, s.Epoch, op, "back to %d of %d: %s%s", z.Share, api.FullShare, by(op.Operator), clip(op.Reason))
 	case "in":
-		if z.Step != Returning {
-			return no("zone %s is %s, expected it returning", z.Name, z.Step)
+		if z.Phase != Ramping {
+			return no("zone %s is %s, expected it returning", z.Name, z.Phase)
 		}
 		op := *op
 		op.Share = api.FullShare
-		s.take(z, f, In, &op)
-		z.Cause, z.By, z.Worth, z.Ceiling, z.Dials, z.Parts, z.Drill = "", "", 0, 0, 0, nil, 0
-		z.Well = f.Clock
-		z.event(f.Clock, s.Epoch, &op, "in again: %s%s", by(op.By), clip(op.Why))
+		s.take(z, f, InService, &op)
+		z.Cause, z.Operator, z.PriorityCutoff, z.RateLimit, z.ConnectionRateLimit, z.Quotas, z.DrillUntil = "", "", 0, 0, 0, nil, 0
+		z.InServiceSince = f.Clock
+		z.event(f.Clock, s.Epoch, &op, "in again: %s%s", by(op.Operator), clip(op.Reason))
 	default:
 		return no("op %.20q, expected leave, settle, step, split, in, back, bore or hold", op.Kind)
 	}
-	r.Epoch, r.Step, r.Share = s.Epoch, z.Step, z.Share
+	r.Epoch, r.Phase, r.Share = s.Epoch, z.Phase, z.Share
 	return r
 }
 
 // take has a zone go on by an op in a new epoch, and splits the ceiling anew.
 func (s *State) take(z *Zone, f *membership.State, step string, op *Op) {
 	s.Epoch++
-	was := z.Step
-	z.Step, z.Share, z.Worth, z.Epoch, z.Since = step, op.Share, op.Worth, s.Epoch, f.Clock
-	z.Ceiling, z.Dials = op.Ceiling, op.Dials
-	s.Retry, s.Full = op.Retry, op.Full
+	was := z.Phase
+	z.Phase, z.Share, z.PriorityCutoff, z.Epoch, z.Since = step, op.Share, op.PriorityCutoff, s.Epoch, f.Clock
+	z.RateLimit, z.ConnectionRateLimit = op.RateLimit, op.ConnectionRateLimit
+	s.RetryBudget, s.FleetFull = op.RetryBudget, op.FleetFull
 	if s.allIn() {
-		s.Retry, s.Full = 0, false
+		s.RetryBudget, s.FleetFull = 0, false
 	}
-	z.Was = merge(z.Was, z.Parts)
-	z.Parts = split(z, f)
-	if was == In {
-		z.Was = append([]Part{}, z.Parts...) // there was no ceiling before that could be passed
+	z.PreviousQuotas = merge(z.PreviousQuotas, z.Quotas)
+	z.Quotas = split(z, f)
+	if was == InService {
+		z.PreviousQuotas = append([]LeaseQuota{}, z.Quotas...) // there was no ceiling before that could be passed
 	}
 }
 
@@ -373,16 +373,16 @@
 func (z *Zone) bears(share, in int) (runs, dials float64) {
 	part := float64(share) / api.FullShare
 	least := float64(max(1, in))
-	if z.Bore.Runs > 0 {
-		least = min(least, z.Bore.Runs/16)
+	if z.Capacity.RunRate > 0 {
+		least = min(least, z.Capacity.RunRate/16)
 	}
-	runs = max(z.Bore.Runs*part, least)
-	return runs, max(z.Bore.Opened*part, runs)
+	runs = max(z.Capacity.RunRate*part, least)
+	return runs, max(z.Capacity.ConnectionRate*part, runs)
 }
 
 func (s *State) allIn() bool {
 	for _, z := range s.Zones {
-		if z.Step != In {
+		if z.Phase != InService {
 			return false
 		}
 	}
@@ -390,14 +390,14 @@
 }
 
 // merge gives for each lease the most it may still act on.
-func merge(a, b []Part) []Part {
+func merge(a, b []LeaseQuota) []LeaseQuota {
 	most := map[uint32]float64{}
-	for _, p := range append(append([]Part{}, a...), b...) {
+	for _, p := range append(append([]LeaseQuota{}, a...), b...) {
 		most[p.Lease] = max(most[p.Lease], p.Rate)
 	}
-	out := make([]Part, 0, len(most))
+	out := make([]LeaseQuota, 0, len(most))
 	for id, r := range most {
-		out = append(out, Part{id, r})
+		out = append(out, LeaseQuota{id, r})
 	}
 	sort.Slice(out, func(i, k int) bool { return out[i].Lease < out[k].Lease })
 	return out
@@ -405,19 +405,19 @@
 
 // split gives each node that is in an equal part of what is left of the ceiling once the parts are taken off that
 // leases hold which may still be acted on, but not by a node that is in: they count as spent.
-func split(z *Zone, f *membership.State) []Part {
-	if z.Step != Returning {
+func split(z *Zone, f *membership.State) []LeaseQuota {
+	if z.Phase != Ramping {
 		return nil
 	}
 	was := map[uint32]float64{}
-	for _, p := range z.Was {
+	for _, p := range z.PreviousQuotas {
 		was[p.Lease] = p.Rate
 	}
-	var out []Part
+	var out []LeaseQuota
 	spent, in := 0.0, 0
 	held := func(l *membership.Lease) {
 		if r, had := was[l.ID]; had && l.Live(f.Clock) {
-			out = append(out, Part{l.ID, r})
+			out = append(out, LeaseQuota{l.ID, r})
 			spent += r
 		}
 	}
@@ -435,10 +435,10 @@
 		}
 	}
 	if in > 0 {
-		each := max(0, z.Ceiling-spent) / float64(in)
+		each := max(0, z.RateLimit-spent) / float64(in)
 		for _, n := range f.Nodes() {
 			if z.has(n) && n.Out == "" {
-				out = append(out, Part{n.Lease.ID, each})
+				out = append(out, LeaseQuota{n.Lease.ID, each})
 			}
 		}
 	}
@@ -447,7 +447,7 @@
 }
 
 // rate finds a lease's part.
-func rate(ps []Part, lease uint32) (float64, bool) {
+func rate(ps []LeaseQuota, lease uint32) (float64, bool) {
 	i := sort.Search(len(ps), func(i int) bool { return ps[i].Lease >= lease })
 	if i < len(ps) && ps[i].Lease == lease {
 		return ps[i].Rate, true
@@ -457,51 +457,51 @@
 
 // Order gives what a zone's state means to a node that holds a lease.
 func (s *State) Order(zone string, lease uint32, rules *api.ZoneRules, without Guard) api.ZoneOrder {
-	o := api.ZoneOrder{Epoch: s.Epoch, Share: api.FullShare, TTLMS: rules.OrderTTLMS, NoCapacityElsewhere: s.Full}
+	o := api.ZoneOrder{Epoch: s.Epoch, Share: api.FullShare, TTLMS: rules.OrderTTLMS, NoCapacityElsewhere: s.FleetFull}
 	if !without.Has(RetryBudget) {
-		o.RetryBudget = s.Retry
+		o.RetryBudget = s.RetryBudget
 	}
 	z := s.Find(zone)
 	if z == nil {
 		return o
 	}
-	o.Share, o.PriorityCutoff = z.Share, z.Worth
-	if z.Step != In {
+	o.Share, o.PriorityCutoff = z.Share, z.PriorityCutoff
+	if z.Phase != InService {
 		o.RetryBudget = 0 // what it takes is bounded by its share
 	}
-	if z.Step != Returning {
+	if z.Phase != Ramping {
 		return s.begins(o, lease)
 	}
 	o.RateLimited = true
-	if without.Has(LeaseTokens) { // a part for whoever comes, as if nobody else had any
-		o.RateLimit, o.ConnectRateLimit = z.Ceiling/float64(max(1, z.Had)), z.Dials/float64(max(1, z.Had))
+	if without.Has(LeaseQuotas) { // a part for whoever comes, as if nobody else had any
+		o.RateLimit, o.ConnectRateLimit = z.RateLimit/float64(max(1, z.NodesBefore)), z.ConnectionRateLimit/float64(max(1, z.NodesBefore))
 		return o
 	}
 	// A part that grew, or is new, counts once nobody acts on an older epoch.
-	is, _ := rate(z.Parts, lease)
-	if z.Epoch > s.Settled {
-		was, _ := rate(z.Was, lease)
+	is, _ := rate(z.Quotas, lease)
+	if z.Epoch > s.SettledEpoch {
+		was, _ := rate(z.PreviousQuotas, lease)
 		is = min(is, was)
 	}
 	o.RateLimit = is
-	if n := len(z.Parts); n > 0 {
-		o.ConnectRateLimit = z.Dials / float64(n)
+	if n := len(z.Quotas); n > 0 {
+		o.ConnectRateLimit = z.ConnectionRateLimit / float64(n)
 	}
 	return s.begins(o, lease)
 }
 
 // begins lays the share of a fleet that comes back over a zone's own: the less of the two.
 func (s *State) begins(o api.ZoneOrder, lease uint32) api.ZoneOrder {
-	z := s.Find(Fleet)
-	if z == nil || z.Step != Returning {
+	z := s.Find(WholeFleet)
+	if z == nil || z.Phase != Ramping {
 		return o
 	}
-	is, _ := rate(z.Parts, lease)
-	if z.Epoch > s.Settled {
-		was, _ := rate(z.Was, lease)
+	is, _ := rate(z.Quotas, lease)
+	if z.Epoch > s.SettledEpoch {
+		was, _ := rate(z.PreviousQuotas, lease)
 		is = min(is, was)
 	}
-	dials := z.Dials / float64(max(1, len(z.Parts)))
+	dials := z.ConnectionRateLimit / float64(max(1, len(z.Quotas)))
 	if o.Share = min(o.Share, z.Share); o.RateLimited {
 		is, dials = min(is, o.RateLimit), min(dials, o.ConnectRateLimit)
 	}
@@ -509,12 +509,12 @@
 	return o
 }
 
-// Probation bounds a node that has just begun, while nobody can tell whether the fleet has: it takes First of what comes,
+// LimitNewNode bounds a node that has just begun, while nobody can tell whether the fleet has: it takes First of what comes,
 // under that share of what its zone's services bore. A zone of which nobody knows what they bore bounds nothing.
-func (s *State) Probation(o *api.ZoneOrder, zone string, age, clock uint64, in int, rules *api.ZoneRules, without Guard) bool {
-	z, all := s.Find(zone), s.Find(Fleet)
-	if rules.Mode != api.ZoneModeAuto || !rules.ColdStart || without.Has(SmallStart) || z == nil || z.Bore.Runs == 0 || o.Share <= rules.InitialShare ||
-		all != nil && (all.Step == Returning || all.Well > 0 && age >= clock-all.Well) {
+func (s *State) LimitNewNode(o *api.ZoneOrder, zone string, age, clock uint64, in int, rules *api.ZoneRules, without Guard) bool {
+	z, all := s.Find(zone), s.Find(WholeFleet)
+	if rules.Mode != api.ZoneModeAuto || !rules.ColdStart || without.Has(ColdStart) || z == nil || z.Capacity.RunRate == 0 || o.Share <= rules.InitialShare ||
+		all != nil && (all.Phase == Ramping || all.InServiceSince > 0 && age >= clock-all.InServiceSince) {
 		return false // the fleet's own return bounds it, or has ended since
 	}
 	o.Share = max(1, rules.InitialShare)
@@ -527,17 +527,17 @@
 	return true
 }
 
-// Began looks, after a beat, whether most of the fleet has just restarted; then it begins with a share, as a zone that
+// BeginColdStart looks, after a beat, whether most of the fleet has just restarted; then it begins with a share, as a zone that
 // returns does. It is called while the log is played, so that the answers to the joins of that beat have it already. A
 // fleet of which nobody knows what its services bore begins as it is: there is nothing to go by.
-func (s *State) Began(f *membership.State, rules *api.ZoneRules, without Guard) (began bool) {
-	z := s.Find(Fleet)
-	if z != nil && z.Step != In || rules.Mode != api.ZoneModeAuto || !rules.ColdStart || without.Has(SmallStart) {
+func (s *State) BeginColdStart(f *membership.State, rules *api.ZoneRules, without Guard) (began bool) {
+	z := s.Find(WholeFleet)
+	if z != nil && z.Phase != InService || rules.Mode != api.ZoneModeAuto || !rules.ColdStart || without.Has(ColdStart) {
 		return false
 	}
 	since := uint64(0)
 	if z != nil {
-		since = z.Well
+		since = z.InServiceSince
 	}
 	in, young := 0, 0
 	for _, n := range f.Nodes() {
@@ -545,35 +545,35 @@
 			continue
 		}
 		in++
-		if age := n.Age(f.Clock); age <= recovery.Span && (since == 0 || age < f.Clock-since) {
+		if age := n.Age(f.Clock); age <= recovery.ColdStartWindowMS && (since == 0 || age < f.Clock-since) {
 			young++
 		}
 	}
-	if !recovery.Common(young, in) {
+	if !recovery.IsColdStart(young, in) {
 		return false
 	}
-	bore := Bore{}
+	bore := ObservedCapacity{}
 	for _, o := range s.Zones {
-		if o.Name != Fleet {
-			bore.Runs, bore.Flight, bore.Opened = bore.Runs+o.Bore.Runs, bore.Flight+o.Bore.Flight, bore.Opened+o.Bore.Opened
-			bore.RunMS, bore.CallMS = bore.RunMS+o.Bore.Runs*o.Bore.RunMS, bore.CallMS+o.Bore.Runs*o.Bore.CallMS
+		if o.Name != WholeFleet {
+			bore.RunRate, bore.Concurrency, bore.ConnectionRate = bore.RunRate+o.Capacity.RunRate, bore.Concurrency+o.Capacity.Concurrency, bore.ConnectionRate+o.Capacity.ConnectionRate
+			bore.RunMS, bore.CallMS = bore.RunMS+o.Capacity.RunRate*o.Capacity.RunMS, bore.CallMS+o.Capacity.RunRate*o.Capacity.CallMS
 		}
 	}
-	if bore.Runs == 0 {
+	if bore.RunRate == 0 {
 		return false
 	}
-	bore.RunMS, bore.CallMS = bore.RunMS/bore.Runs, bore.CallMS/bore.Runs // as the fleet's view has them
-	if z = s.know(Fleet, f); z == nil {
+	bore.RunMS, bore.CallMS = bore.RunMS/bore.RunRate, bore.CallMS/bore.RunRate // as the fleet's view has them
+	if z = s.know(WholeFleet, f); z == nil {
 		return false
 	}
-	z.Bore, z.Had = bore, in
+	z.Capacity, z.NodesBefore = bore, in
 	op := &Op{Share: max(1, rules.InitialShare)}
-	op.Ceiling, op.Dials = z.bears(op.Share, in)
-	s.take(z, f, Returning, op)
+	op.RateLimit, op.ConnectionRateLimit = z.bears(op.Share, in)
+	s.take(z, f, Ramping, op)
 	z.Cause = "restart"
 	z.event(f.Clock, s.Epoch, nil, "%d of %d nodes began within %d s: returns at %d of %d, %.0f runs a second at most; its services "+
-		"bore %.0f, %.1f under way, %.0f ms a call", young, in, recovery.Span/1000, z.Share, api.FullShare, z.Ceiling, bore.Runs,
-		bore.Flight, bore.CallMS)
+		"bore %.0f, %.1f under way, %.0f ms a call", young, in, recovery.ColdStartWindowMS/1000, z.Share, api.FullShare, z.RateLimit, bore.RunRate,
+		bore.Concurrency, bore.CallMS)
 	return true
 }
 
@@ -582,36 +582,36 @@
 // ended generation's ceilings stand for nothing: until its leases have run out no epoch settles here.
 func (s *State) Restore(epoch uint64, left map[string]int, f *membership.State) {
 	s.Epoch = max(s.Epoch, epoch) + 1
-	s.Settled = s.Epoch - 1
+	s.SettledEpoch = s.Epoch - 1
 	if s.Epoch == 1 {
-		s.Settled = 1 // nobody was told anything about zones
+		s.SettledEpoch = 1 // nobody was told anything about zones
 	}
-	s.Retry, s.Full = 0, false
+	s.RetryBudget, s.FleetFull = 0, false
 	for _, n := range names(left) {
 		z := s.know(n, f)
 		if z == nil {
 			continue
 		}
-		z.Step, z.Share, z.Worth, z.Epoch, z.Since, z.Cause, z.By = Out, 0, 0, s.Epoch, f.Clock, "restored", ""
-		z.Ceiling, z.Dials, z.Parts, z.Was, z.Drill, z.Back = 0, 0, nil, nil, 0, f.Clock
+		z.Phase, z.Share, z.PriorityCutoff, z.Epoch, z.Since, z.Cause, z.Operator = Evacuated, 0, 0, s.Epoch, f.Clock, "restored", ""
+		z.RateLimit, z.ConnectionRateLimit, z.Quotas, z.PreviousQuotas, z.DrillUntil, z.RampNotBefore = 0, 0, nil, nil, 0, f.Clock
 		z.event(f.Clock, s.Epoch, nil, "the group was restored; its nodes took %d of %d: out, and returns", left[n], api.FullShare)
 	}
 	in := 0
 	for _, z := range s.Zones {
-		if (z.Step == Out || z.Step == Leaving) && z.By != "" { // an operator's word holds until he takes it back
-			z.Step, z.Share, z.Ceiling, z.Dials, z.Parts, z.Was, z.Drill = Out, 0, 0, 0, nil, nil, 0
-		} else if z.Step != In && left[z.Name] == 0 && z.Cause != "restored" { // of an older state: nobody was told so any more
-			z.Step, z.Share, z.Ceiling, z.Dials, z.Parts, z.Was = In, api.FullShare, 0, 0, nil, nil
+		if (z.Phase == Evacuated || z.Phase == Evacuating) && z.Operator != "" { // an operator's word holds until he takes it back
+			z.Phase, z.Share, z.RateLimit, z.ConnectionRateLimit, z.Quotas, z.PreviousQuotas, z.DrillUntil = Evacuated, 0, 0, 0, nil, nil, 0
+		} else if z.Phase != InService && left[z.Name] == 0 && z.Cause != "restored" { // of an older state: nobody was told so any more
+			z.Phase, z.Share, z.RateLimit, z.ConnectionRateLimit, z.Quotas, z.PreviousQuotas = InService, api.FullShare, 0, 0, nil, nil
 		}
 	}
 	for _, n := range f.Nodes() {
-		if step, _ := s.StepOf(n.Zone); step == In {
+		if step, _ := s.PhaseOf(n.Zone); step == InService {
 			in++
 		}
 	}
 	if in == 0 { // one is always in: nothing tells which, so all are
 		for _, z := range s.Zones {
-			z.Step, z.Share = In, api.FullShare
+			z.Phase, z.Share = InService, api.FullShare
 		}
 	}
 }
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -83,8 +83,8 @@
 	ways := []struct {
 		name string
 		set  func(p *ZonePlan)
-	}{{"the fleet", func(*ZonePlan) {}}, {"the fleet, patient callers", func(p *ZonePlan) { p.Patient = true }}, {"no ramp", func(p *ZonePlan) { p.Without |= zones.SmallStart }},
-		{"by the clock", func(p *ZonePlan) { p.Without |= zones.SmallStart; p.Ramp = 60_000 }},
+	}{{"the fleet", func(*ZonePlan) {}}, {"the fleet, patient callers", func(p *ZonePlan) { p.Patient = true }}, {"no ramp", func(p *ZonePlan) { p.Without |= zones.ColdStart }},
+		{"by the clock", func(p *ZonePlan) { p.Without |= zones.ColdStart; p.Ramp = 60_000 }},
 		{"nodes alone", func(p *ZonePlan) { p.Off = true }}}
 	for _, n := range sizes {
 		for _, load := range loads {
@@ -250,7 +250,7 @@
 
 // whole waits until the fleet that began with a share is in again, and holds the services below to what they bear since then.
 func (b *zoneBench) whole(since time.Time) {
-	got(b.stands(zones.Fleet, 150*time.Second, zones.In))
+	got(b.stands(zones.WholeFleet, 150*time.Second, zones.InService))
 	fmt.Fprintf(b.w, "  the fleet is in again after %.1f s\n", time.Since(since).Seconds())
 	b.bores(since)
 }
@@ -270,8 +270,8 @@
 		for _, name := range allZones { // what they bore has to be what is asked of them, or it takes minutes
 			must(b.await(20*time.Second, func() error {
 				z, err := b.zone(name)
-				if err == nil && z.Bore.Runs < 0.7*zoneRate/3 {
-					err = fmt.Errorf("zone %s bore %.0f runs a second", name, z.Bore.Runs)
+				if err == nil && z.Capacity.RunRate < 0.7*zoneRate/3 {
+					err = fmt.Errorf("zone %s bore %.0f runs a second", name, z.Capacity.RunRate)
 				}
 				return err
 			}))
@@ -287,7 +287,7 @@
 		}
 		b.allServe(b.force)
 		fmt.Fprintf(b.w, "  all serve after %.1f s\n", time.Since(since).Seconds())
-		if _, err := b.stands(zones.Fleet, 5*time.Second, zones.Returning, zones.In); err != nil {
+		if _, err := b.stands(zones.WholeFleet, 5*time.Second, zones.Ramping, zones.InService); err != nil {
 			fmt.Fprintln(b.w, err)
 			b.bores(since)
 			must(err)
@@ -402,8 +402,8 @@
 		b.whole(since)
 	}},
 	{name: "in the middle of a change of policy and of a zone's return", long: true, may: []string{"z1"}, run: func(b *zoneBench) {
-		must(b.op(zones.Op{Kind: "leave", Zone: "z1", Drill: 1000}))
-		got(b.stands("z1", 20*time.Second, zones.Returning))
+		must(b.op(zones.Op{Kind: "leave", Zone: "z1", DrillMS: 1000}))
+		got(b.stands("z1", 20*time.Second, zones.Ramping))
 		c := b.proposes("", policy.Propose{})
 		since := b.allDown(b.nodes...)
 		time.Sleep(time.Second)
@@ -413,7 +413,7 @@
 			b.force = c.version
 		}
 		b.allServe(b.force)
-		got(b.stands(zones.Fleet, 10*time.Second, zones.Returning))
+		got(b.stands(zones.WholeFleet, 10*time.Second, zones.Ramping))
 		b.whole(since)
 		must(b.back("z1"))
 		got(b.change(policy.Propose{}))
@@ -434,7 +434,7 @@
 			restart(b.nodes[:2], 500*time.Millisecond)
 		}
 		restart(b.nodes[2:], 0)
-		got(b.stands(zones.Fleet, 10*time.Second, zones.Returning))
+		got(b.stands(zones.WholeFleet, 10*time.Second, zones.Ramping))
 		b.allServe(b.force)
 		b.whole(since)
 	}},
--- a/internal/lab/comeback_test.go
+++ b/internal/lab/comeback_test.go
@@ -59,7 +59,7 @@
 		t.Errorf("%s; began small %d times, full after %.1f s", v.Broken, v.Began, v.Full()/1000)
 	}
 	t.Logf("at worst %.1f times the first tries", v.Rush)
-	p.Without = zones.Spread
+	p.Without = zones.RetryAfterSpread
 	if v = playZones(p); v.Broken == "" {
 		t.Error("without spread no promise broke")
 	}
--- a/internal/lab/vfleet.go
+++ b/internal/lab/vfleet.go
@@ -407,7 +407,7 @@
 		kept = &n.kept
 	}
 	n.m, n.gate = agent.New(plan, kept, n.clock()), zones.NewGate(1, plan.JitterSeed)
-	n.gate.Order(n.clock(), n.m.ZoneOrder())
+	n.gate.SetOrder(n.clock(), n.m.ZoneOrder())
 	n.step()
 }
 
@@ -541,7 +541,7 @@
 			} else {
 				was := n.m.MinVersion()
 				if n.believes(no, t) {
-					n.gate.Order(n.clock(), n.m.ZoneOrder())
+					n.gate.SetOrder(n.clock(), n.m.ZoneOrder())
 					for _, l := range t.ProbeTargets {
 						if w.look == nil {
 							break
--- a/internal/lab/vlost.go
+++ b/internal/lab/vlost.go
@@ -27,7 +27,7 @@
 	gone      bool // no instance runs: the state is lost, or being restored
 	told      bool // an operator has seen that state is lost
 	gathers   bool // who restores it listens in place of an instance
-	heard     map[string]recovery.Kept
+	heard     map[string]recovery.NodeRecord
 	old       []api.HeartbeatResponse // what leaders of generations before would go on saying
 	began     uint64                  // the zones' epoch that the present generation began with
 
@@ -198,32 +198,32 @@
 // are at hand.
 func (w *VFleet) recover(folders bool) {
 	w.ends()
-	w.gathers, w.heard = true, map[string]recovery.Kept{}
+	w.gathers, w.heard = true, map[string]recovery.NodeRecord{}
 	w.after(7000, func() {
 		w.gathers = false
-		var all []recovery.Kept
+		var all []recovery.NodeRecord
 		for _, n := range w.nodes {
 			if k, ok := w.heard[n.name]; ok {
 				all = append(all, k)
 			}
 		}
-		var base *recovery.Base
+		var base *recovery.StoredGroup
 		p := coordinator.NewPart(w.Without)
 		p.WithoutZones = w.WithoutZones
 		if folders {
 			p = w.part
-			base = &recovery.Base{Whose: recovery.Whose{Group: w.group, Gen: p.Gen, Before: p.Before}, Last: w.Last(), Need: p.Policy.Need,
-				Force: p.Policy.Force, Index: p.Index, Epoch: p.Zones.Epoch, Text: w.Text, LeaseM: p.Policy.Grants().LeaseMS}
+			base = &recovery.StoredGroup{GroupIdentity: recovery.GroupIdentity{Group: w.group, Generation: p.Gen, Predecessors: p.Before}, LastVersion: w.Last(), DecidedVersion: p.Policy.Need,
+				CommittedVersion: p.Policy.Force, Index: p.Index, ZoneEpoch: p.Zones.Epoch, TextOf: w.Text, LeaseMS: p.Policy.Grants().LeaseMS}
 			for _, n := range p.Fleet.Nodes() {
 				if n.Out == "" {
 					base.Nodes = append(base.Nodes, n.Name)
 				}
 			}
 		}
-		found := recovery.Plan(all, base, "")
+		found := recovery.PlanRestore(all, base, "")
 		two := uint64(0)
 		if n, _ := fmt.Sscanf(found.Conflict, "version %d goes by", &two); n == 1 { // the operator has his notes of what was decided
-			found = recovery.Plan(all, base, w.decidedAs[two])
+			found = recovery.PlanRestore(all, base, w.decidedAs[two])
 		}
 		if found.Conflict != "" || !folders && found.Version == 0 || len(all) < len(w.nodes) {
 			w.after(3000, func() { w.recover(folders) }) // listens once more: not all were heard who may serve
@@ -234,8 +234,8 @@
 }
 
 // found makes what was found the first state of the next generation.
-func (w *VFleet) found(p *coordinator.Part, found *recovery.Found, folders bool) {
-	w.old = append(w.old, api.HeartbeatResponse{Cluster: w.group, Generation: max(1, found.Whose.Gen), Predecessors: w.part.Before, Term: w.term + 1, Index: w.index,
+func (w *VFleet) found(p *coordinator.Part, found *recovery.RestorePlan, folders bool) {
+	w.old = append(w.old, api.HeartbeatResponse{Cluster: w.group, Generation: max(1, found.Lost.Generation), Predecessors: w.part.Before, Term: w.term + 1, Index: w.index,
 		DecidedVersion: w.part.Policy.Need, CommittedVersion: api.VersionHash{Version: w.part.Policy.Force, Hash: w.part.Policy.Hash}, ClockMS: w.part.Fleet.Clock})
 	if !folders {
 		w.texts, w.hashes, w.index, w.term = nil, nil, 1, 1
@@ -267,14 +267,14 @@
 }
 
 // outcome records what a restoring decided: the version in force, if it was not before.
-func (w *VFleet) outcome(found *recovery.Found) {
+func (w *VFleet) outcome(found *recovery.RestorePlan) {
 	for _, e := range w.History {
 		if e.Kind == "decided" && e.Version == found.Version {
 			return
 		}
 	}
 	if v := found.Version; v > 0 && found.Hash != "" {
-		w.record(FleetEvent{Kind: "decided", Version: v, From: found.Was})
+		w.record(FleetEvent{Kind: "decided", Version: v, From: found.SourceVersion})
 		w.record(FleetEvent{Kind: "forced", Version: v})
 	}
 }
@@ -286,16 +286,16 @@
 	}
 	n.note()
 	r := n.kept
-	k := recovery.Kept{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Group: r.Cluster, Gen: max(1, r.Generation), Term: r.Term,
-		Index: r.Index, Version: n.m.ActiveVersion(), Floor: r.MinVersion, Held: n.m.LeaseDuration()}
-	if k.Version > 0 {
-		k.Hash, k.Text = r.ActiveHash, w.ofHash[r.ActiveHash]
+	k := recovery.NodeRecord{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Group: r.Cluster, Generation: max(1, r.Generation), Term: r.Term,
+		Index: r.Index, ActiveVersion: n.m.ActiveVersion(), MinVersion: r.MinVersion, LeaseMS: n.m.LeaseDuration()}
+	if k.ActiveVersion > 0 {
+		k.ActiveHash, k.ActiveText = r.ActiveHash, w.ofHash[r.ActiveHash]
 	}
-	if v := n.at.Version; v > k.Version && n.m.IsPrepared(v) {
-		k.Next, k.NextHash, k.NextText = v, n.at.Hash, w.ofHash[n.at.Hash]
+	if v := n.at.Version; v > k.ActiveVersion && n.m.IsPrepared(v) {
+		k.PreparedVersion, k.PreparedHash, k.PreparedText = v, n.at.Hash, w.ofHash[n.at.Hash]
 	}
 	if z := r.ZoneOrder; z != nil {
-		k.Epoch, k.Share = z.Epoch, z.Share
+		k.ZoneEpoch, k.ZoneShare = z.Epoch, z.Share
 	}
 	w.heard[n.name] = k
 }
@@ -304,7 +304,7 @@
 // one once an epoch of this one has settled, nor on an older epoch of it.
 func (w *VFleet) outdated() {
 	w.after(50, w.outdated)
-	if w.gone || w.part.Fleet.Lost != "" || w.part.Zones.Settled <= w.began {
+	if w.gone || w.part.Fleet.Lost != "" || w.part.Zones.SettledEpoch <= w.began {
 		return
 	}
 	for _, n := range w.nodes {
@@ -317,9 +317,9 @@
 		o, gen := n.m.ZoneOrder(), n.m.LastSeen().Generation
 		switch {
 		case gen < w.part.Gen:
-			w.fail("%s serves by generation %d, and epoch %d of %d has settled", n.name, gen, w.part.Zones.Settled, w.part.Gen)
-		case gen == w.part.Gen && o != nil && n.m.StoredZoneOrder().Epoch == o.Epoch && o.Epoch < w.part.Zones.Settled:
-			w.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, w.part.Zones.Settled)
+			w.fail("%s serves by generation %d, and epoch %d of %d has settled", n.name, gen, w.part.Zones.SettledEpoch, w.part.Gen)
+		case gen == w.part.Gen && o != nil && n.m.StoredZoneOrder().Epoch == o.Epoch && o.Epoch < w.part.Zones.SettledEpoch:
+			w.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, w.part.Zones.SettledEpoch)
 		}
 	}
 }
@@ -331,8 +331,8 @@
 		return
 	}
 	zone := fmt.Sprint("z", w.r.Intn(w.Zones))
-	op := zones.Op{Kind: "leave", Zone: zone, By: "lab", Why: "a drill", Key: fmt.Sprintf("drill-%08.0f", w.now)}
-	if step, _ := w.part.Zones.StepOf(zone); step != zones.In {
+	op := zones.Op{Kind: "leave", Zone: zone, Operator: "lab", Reason: "a drill", IdempotencyKey: fmt.Sprintf("drill-%08.0f", w.now)}
+	if step, _ := w.part.Zones.PhaseOf(zone); step != zones.InService {
 		op.Kind, op.Share = "step", 1+w.r.Intn(api.FullShare)
 	}
 	w.ctl[w.lead].s.ZoneOp(w.part, op, func(zones.Result, error) {})
--- a/internal/lab/vzones.go
+++ b/internal/lab/vzones.go
@@ -141,14 +141,14 @@
 		return
 	}
 	for _, z := range w.part.Zones.Zones {
-		if z.Step != zones.In {
-			v.fail("zone %s is %s at %d at the end: %v", z.Name, z.Step, z.Share, z.Events[len(z.Events)-1])
+		if z.Phase != zones.InService {
+			v.fail("zone %s is %s at %d at the end: %v", z.Name, z.Phase, z.Share, z.Events[len(z.Events)-1])
 		}
 	}
 	for _, z := range w.part.Zones.Zones {
 		for _, e := range z.Events {
-			if e.Go < e.Stay {
-				v.fail("zone %s was left for %.0f of value a second, where staying was to do %.0f", z.Name, e.Go, e.Stay)
+			if e.ValueOfEvacuating < e.ValueOfStaying {
+				v.fail("zone %s was left for %.0f of value a second, where staying was to do %.0f", z.Name, e.ValueOfEvacuating, e.ValueOfStaying)
 			}
 		}
 	}
@@ -289,7 +289,7 @@
 		if serves {
 			o = n.m.ZoneOrder()
 		}
-		share := n.gate != nil && n.gate.Out()
+		share := n.gate != nil && n.gate.Evacuated()
 		ready := serves && !share && now >= v.awayTill[i]
 		if ready {
 			v.said[i] = now
@@ -370,8 +370,8 @@
 			again(k, c, n)
 			return
 		}
-		from, to := recovery.Window(flowPause, int64(min(after, flowPause)))
-		if v.Without.Has(zones.Spread) { // as soon as it may be let in, or in a second
+		from, to := recovery.RetryAfterWindow(flowPause, int64(min(after, flowPause)))
+		if v.Without.Has(zones.RetryAfterSpread) { // as soon as it may be let in, or in a second
 			from, to = max(1000, int64(min(after, flowPause))), 0
 		}
 		first := int(from) / flowStep
@@ -389,7 +389,7 @@
 		}
 		for i := range flowPlaces {
 			place := s.pick[c] + (1-s.pick[c])*(float64(i)+0.5)/flowPlaces
-			wait(k, c, n/flowPlaces, s.gate.Back(s.clock, zones.Asked{Hash: uint32(place*api.FullShare) << 16}))
+			wait(k, c, n/flowPlaces, s.gate.RetryAfter(s.clock, zones.Request{Hash: uint32(place*api.FullShare) << 16}))
 		}
 	}
 	if v.Oracle {
@@ -505,7 +505,7 @@
 		}
 		done += f.got
 		v.check(z, b, s, first, f)
-		if step, _ := v.f.part.Zones.StepOf(fmt.Sprint("z", z)); step == zones.In && v.kind(z) == "" {
+		if step, _ := v.f.part.Zones.PhaseOf(fmt.Sprint("z", z)); step == zones.InService && v.kind(z) == "" {
 			inDone, inAsked = inDone+f.got, inAsked+f.worth
 		}
 		mix(&b.rate, &was, &f)
@@ -528,7 +528,7 @@
 	if int(at*10)%5 == 0 && at >= 0 {
 		v.Plot[0].Points = append(v.Plot[0].Points, [2]float64{at, done / max(total, 1)})
 		v.Plot[1].Points = append(v.Plot[1].Points, [2]float64{at, v.below[0].asked / max(v.below[0].bears, 1)})
-		_, share := v.f.part.Zones.StepOf("z0")
+		_, share := v.f.part.Zones.PhaseOf("z0")
 		v.Plot[2].Points = append(v.Plot[2].Points, [2]float64{at, float64(share) / api.FullShare})
 	}
 	if v.Own {
@@ -552,7 +552,7 @@
 func (w *VFleet) allIn() bool {
 	s := w.part.Zones
 	for _, z := range s.Zones {
-		if z.Step != zones.In && s.Settled == s.Epoch && float64(w.part.Fleet.Clock-z.Since) > 2500 {
+		if z.Phase != zones.InService && s.SettledEpoch == s.Epoch && float64(w.part.Fleet.Clock-z.Since) > 2500 {
 			return false
 		}
 	}
--- a/internal/lab/vzones_check.go
+++ b/internal/lab/vzones_check.go
@@ -21,7 +21,7 @@
 	if v.kind(z) == ZoneRestart && !v.failing && v.f.now > begins+v.Heals {
 		v.Start = max(v.Start, second)
 	}
-	if all := v.f.part.Zones.Find(zones.Fleet); z == 0 && all != nil && all.Step == zones.Returning {
+	if all := v.f.part.Zones.Find(zones.WholeFleet); z == 0 && all != nil && all.Phase == zones.Ramping {
 		sum := 0.0
 		for _, n := range v.f.nodes {
 			if n.up && n.serves {
@@ -30,7 +30,7 @@
 				}
 			}
 		}
-		if most := max(v.ceil[zones.Fleet][0], v.ceil[zones.Fleet][1]); sum > most*1.001+1e-6 {
+		if most := max(v.ceil[zones.WholeFleet][0], v.ceil[zones.WholeFleet][1]); sum > most*1.001+1e-6 {
 			v.fail("the nodes have %.1f runs a second together, expected %.1f at most", sum, most)
 		}
 	}
@@ -38,11 +38,11 @@
 	if st == nil || v.Off || v.Own {
 		return
 	}
-	if b.steady++; st.Step != zones.Returning || v.failing || b.speed != 1 {
+	if b.steady++; st.Phase != zones.Ramping || v.failing || b.speed != 1 {
 		b.steady = 0
 	}
-	switch st.Step {
-	case zones.Returning:
+	switch st.Phase {
+	case zones.Ramping:
 		if over := b.asked / max(b.bears, 1); !v.failing && b.speed == 1 {
 			if b.steady >= len(b.lately) && second > v.Peak {
 				v.Peak, v.peakAt = second, fmt.Sprintf("%s at %.1f s", name, (v.f.now-begins)/1000)
@@ -63,20 +63,20 @@
 		if sum > most*1.001+1e-6 {
 			v.fail("nodes of %s have %.1f runs a second together, expected %.1f at most", name, sum, most)
 		}
-	case zones.In:
+	case zones.InService:
 		if v.kind(z) == "" && first < 0.85*b.bears && !v.f.allIn() {
 			if second > v.Neigh {
 				v.Neigh, v.neighAt = second, fmt.Sprintf("%s at %.1f s, %.0f first tries of %.0f", name, (v.f.now-begins)/1000, first, b.bears)
 			}
 		}
 	}
-	if v.f.part.Zones.Settled > 0 {
+	if v.f.part.Zones.SettledEpoch > 0 {
 		for _, n := range v.f.nodes {
 			if !n.up || !n.serves {
 				continue
 			}
-			if o := n.m.ZoneOrder(); o != nil && o.Epoch < v.f.part.Zones.Settled {
-				v.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, v.f.part.Zones.Settled)
+			if o := n.m.ZoneOrder(); o != nil && o.Epoch < v.f.part.Zones.SettledEpoch {
+				v.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, v.f.part.Zones.SettledEpoch)
 			}
 		}
 	}
@@ -108,7 +108,7 @@
 func (v *VZones) applied(end any) {
 	if b, beat := end.(coordinator.BeatDone); beat && b.Began {
 		v.Began++
-		v.ceil[zones.Fleet] = [2]float64{v.f.part.Zones.Find(zones.Fleet).Ceiling, 0}
+		v.ceil[zones.WholeFleet] = [2]float64{v.f.part.Zones.Find(zones.WholeFleet).RateLimit, 0}
 	}
 	e, is := end.(zones.Result)
 	if !is || e.Err != "" {
@@ -121,10 +121,10 @@
 		return
 	}
 	z := v.f.part.Zones.Find(e.Zone)
-	if z == nil || e.Step == "" {
+	if z == nil || e.Phase == "" {
 		return
 	}
-	v.ceil[z.Name] = [2]float64{z.Ceiling, max(v.ceil[z.Name][0], v.ceil[z.Name][1])}
+	v.ceil[z.Name] = [2]float64{z.RateLimit, max(v.ceil[z.Name][0], v.ceil[z.Name][1])}
 	at := v.f.now - begins
 	k := 0
 	fmt.Sscanf(z.Name, "z%d", &k)
--- a/internal/lab/vzones_report.go
+++ b/internal/lab/vzones_report.go
@@ -71,7 +71,7 @@
 		switch {
 		case !o.up:
 			return api.PeerHealth{Name: l.Name, Health: api.PeerSilent}
-		case !o.serves || o.gate.Out():
+		case !o.serves || o.gate.Evacuated():
 			return api.PeerHealth{Name: l.Name, Health: api.PeerShedding}
 		}
 		return api.PeerHealth{Name: l.Name, Health: api.PeerServing}
--- a/internal/lab/vzones_test.go
+++ b/internal/lab/vzones_test.go
@@ -152,7 +152,7 @@
 	}
 	t.Logf("below at worst %.2f of what it bears; full after %.1f s", v.Start, v.Full()/1000)
 	without := base
-	without.Without = zones.SmallStart
+	without.Without = zones.ColdStart
 	if v := playZones(without); v.Broken == "" {
 		t.Error("without small-start no promise broke")
 	} else {
--- a/internal/lab/zonecost.go
+++ b/internal/lab/zonecost.go
@@ -105,7 +105,7 @@
 		for _, n := range b.zoned("z1") {
 			ready = ready && b.ready.is(n.name)
 		}
-		if v, err := b.zone("z1"); ready && err == nil && v.Step == zones.In {
+		if v, err := b.zone("z1"); ready && err == nil && v.Phase == zones.InService {
 			out.whole = time.Since(healed)
 		}
 	}
--- a/internal/lab/zones_bench.go
+++ b/internal/lab/zones_bench.go
@@ -71,7 +71,7 @@
 			return err
 		}
 		for _, s := range steps {
-			if v.Step == s {
+			if v.Phase == s {
 				return nil
 			}
 		}
@@ -79,14 +79,14 @@
 		if v.Seen != nil {
 			note = fmt.Sprintf("; %+v", *v.Seen)
 		}
-		return fmt.Errorf("zone %s is %s at %d (%s)%s, expected %v", name, v.Step, v.Share, v.Cause, note, steps)
+		return fmt.Errorf("zone %s is %s at %d (%s)%s, expected %v", name, v.Phase, v.Share, v.Cause, note, steps)
 	})
 	return v, err
 }
 
 // back waits until a zone is in again and all its nodes serve.
 func (b *zoneBench) back(name string) error {
-	if v, err := b.stands(name, 150*time.Second, zones.In); err != nil {
+	if v, err := b.stands(name, 150*time.Second, zones.InService); err != nil {
 		if v != nil {
 			fmt.Fprintf(b.w, "%+v\n", *v)
 		}
@@ -99,7 +99,7 @@
 func (b *zoneBench) stays(d time.Duration) error {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, z := range allZones {
-			if v, err := b.zone(z); err == nil && v.Step != zones.In {
+			if v, err := b.zone(z); err == nil && v.Phase != zones.InService {
 				return fmt.Errorf("zone %s was left: %v", z, v.Events[len(v.Events)-1].Text)
 			}
 		}
@@ -110,7 +110,7 @@
 // op has an operator do something about a zone.
 func (b *zoneBench) op(op zones.Op) error {
 	b.seq++
-	op.By, op.Key = "lab", fmt.Sprintf("rig-%d-%08d", b.Seed, b.seq)
+	op.Operator, op.IdempotencyKey = "lab", fmt.Sprintf("rig-%d-%08d", b.Seed, b.seq)
 	var res struct {
 		Error string `json:"error"`
 	}
@@ -142,11 +142,11 @@
 
 // left waits until a zone is left, or at one of some other steps; returns until it comes back.
 func (b *zoneBench) left(name string, steps ...string) *consensus.ZoneView {
-	return got(b.stands(name, 25*time.Second, append(steps, zones.Leaving, zones.Out)...))
+	return got(b.stands(name, 25*time.Second, append(steps, zones.Evacuating, zones.Evacuated)...))
 }
 
 func (b *zoneBench) returns(name string) *consensus.ZoneView {
-	return got(b.stands(name, 30*time.Second, zones.Returning, zones.In))
+	return got(b.stands(name, 30*time.Second, zones.Ramping, zones.InService))
 }
 
 // begins starts nodes, one each pace.
@@ -197,8 +197,8 @@
 			switch {
 			case err != nil:
 				return err
-			case v.Bore.Runs == 0 || v.Seen != nil && v.Bore.Runs < 0.7*v.Seen.Runs || v.Seen == nil || v.Seen.Sick > 0 || v.Seen.Score > 0 || v.Step != zones.In:
-				return fmt.Errorf("zone %s is %s, bore %.0f runs a second: %+v", z, v.Step, v.Bore.Runs, v.Seen)
+			case v.Capacity.RunRate == 0 || v.Seen != nil && v.Capacity.RunRate < 0.7*v.Seen.RunRate || v.Seen == nil || v.Seen.NodesUnhealthy > 0 || v.Seen.FailureScore > 0 || v.Phase != zones.InService:
+				return fmt.Errorf("zone %s is %s, bore %.0f runs a second: %+v", z, v.Phase, v.Capacity.RunRate, v.Seen)
 			}
 			return nil
 		}); err != nil {
--- a/internal/lab/zones_cases.go
+++ b/internal/lab/zones_cases.go
@@ -77,7 +77,7 @@
 	}},
 	{name: "answers lost one way between it and the group", long: true, may: []string{"z3"}, run: func(b *zoneBench) {
 		b.lines(lineFault{muteBack: true}, b.zoned("z3")...)
-		b.left("z3", zones.In)
+		b.left("z3", zones.InService)
 		time.Sleep(b.lease)
 		b.heal()
 		must(b.back("z3"))
@@ -88,8 +88,8 @@
 		}
 		b.left("z1")
 		b.left("z2")
-		if v, err := b.zone("z3"); err == nil && v.Step != zones.In {
-			must(fmt.Errorf("the last zone is %s", v.Step))
+		if v, err := b.zone("z3"); err == nil && v.Phase != zones.InService {
+			must(fmt.Errorf("the last zone is %s", v.Phase))
 		}
 		if b.op(zones.Op{Kind: "leave", Zone: "z3"}) == nil {
 			must(errors.New("an operator could leave the last zone"))
@@ -107,7 +107,7 @@
 		before := b.returns("z1")
 		b.leaderAgain()
 		after := b.returns("z1")
-		if after.Epoch < before.Epoch || after.Step == zones.Returning && after.Share < before.Share && after.Cause == before.Cause {
+		if after.Epoch < before.Epoch || after.Phase == zones.Ramping && after.Share < before.Share && after.Cause == before.Cause {
 			must(fmt.Errorf("a new leader has epoch %d at %d, the one before had %d at %d", after.Epoch, after.Share, before.Epoch,
 				before.Share))
 		}
@@ -118,17 +118,17 @@
 			b.kernels("z2", true)
 			b.left("z2")
 			if b.kernels("z2", false); i == 0 {
-				got(b.stands("z2", 30*time.Second, zones.Returning))
+				got(b.stands("z2", 30*time.Second, zones.Ramping))
 			}
 		}
-		if got(b.zone("z2")).Flaps == 0 {
+		if got(b.zone("z2")).FlapCount == 0 {
 			must(errors.New("it failed again, and waits no longer for that"))
 		}
 		must(b.back("z2"))
 	}},
 	{name: "its service below fails in the middle of the return", may: []string{"z3"}, run: func(b *zoneBench) {
-		must(b.op(zones.Op{Kind: "leave", Zone: "z3", Drill: 1500}))
-		got(b.stands("z3", 20*time.Second, zones.Returning))
+		must(b.op(zones.Op{Kind: "leave", Zone: "z3", DrillMS: 1500}))
+		got(b.stands("z3", 20*time.Second, zones.Ramping))
 		b.below("z3", 1, 0.9, false)
 		must(b.await(12*time.Second, func() error {
 			v, err := b.zone("z3")
@@ -140,14 +140,14 @@
 					return nil
 				}
 			}
-			return fmt.Errorf("zone z3 is %s at %d and did not step back", v.Step, v.Share)
+			return fmt.Errorf("zone z3 is %s at %d and did not step back", v.Phase, v.Share)
 		}))
 		b.below("z3", 1, 0, false)
 		must(b.back("z3"))
 	}},
 	{name: "a release on its way back", may: []string{"z1"}, run: func(b *zoneBench) {
-		must(b.op(zones.Op{Kind: "leave", Zone: "z1", Drill: 1000}))
-		got(b.stands("z1", 20*time.Second, zones.Returning))
+		must(b.op(zones.Op{Kind: "leave", Zone: "z1", DrillMS: 1000}))
+		got(b.stands("z1", 20*time.Second, zones.Ramping))
 		for _, n := range b.zoned("z1") {
 			n.Kill()
 			b.begins(300*time.Millisecond, n)
@@ -172,7 +172,7 @@
 	}},
 	{name: "it is well again while nobody leads", may: []string{"z1"}, run: func(b *zoneBench) {
 		b.kernels("z1", true)
-		got(b.stands("z1", 15*time.Second, zones.Out))
+		got(b.stands("z1", 15*time.Second, zones.Evacuated))
 		b.others(b.group.kill)
 		b.kernels("z1", false)
 		time.Sleep(b.lease)
@@ -185,15 +185,15 @@
 		must(b.back("z1"))
 	}},
 	{name: "a drill, and an operator's hold", may: []string{"z2"}, run: func(b *zoneBench) {
-		must(b.op(zones.Op{Kind: "leave", Zone: "z2", Drill: 2000, Why: "a drill"}))
-		got(b.stands("z2", 10*time.Second, zones.Out))
+		must(b.op(zones.Op{Kind: "leave", Zone: "z2", DrillMS: 2000, Reason: "a drill"}))
+		got(b.stands("z2", 10*time.Second, zones.Evacuated))
 		for _, n := range b.zoned("z2") {
 			if code, _, _ := b.one(n.name); code != http.StatusServiceUnavailable {
 				must(fmt.Errorf("%s of a zone that was left answers %d", n.name, code))
 			}
 		}
 		must(b.back("z2"))
-		must(b.op(zones.Op{Kind: "hold", Zone: "z2", Wait: 4000}))
+		must(b.op(zones.Op{Kind: "hold", Zone: "z2", WaitMS: 4000}))
 		b.kernels("z2", true)
 		must(b.stays(3 * time.Second))
 		b.kernels("z2", false)
--- a/internal/lab/zones_check.go
+++ b/internal/lab/zones_check.go
@@ -90,7 +90,7 @@
 		switch m["msg"] {
 		case "change of a zone":
 			e.Kind = "decided"
-			if e.Zone, _ = m["zone"].(string); e.Zone == zones.Fleet { // it is no zone: its steps raise and lower all
+			if e.Zone, _ = m["zone"].(string); e.Zone == zones.WholeFleet { // it is no zone: its steps raise and lower all
 				return
 			}
 			e.Op, _ = m["op"].(string)
--- a/internal/node/agent/member.go
+++ b/internal/node/agent/member.go
@@ -380,18 +380,18 @@
 // from another group or at odds with itself, which is a lie.
 func (m *Agent) doubt(t *api.HeartbeatResponse) (err error, lies bool) {
 	back := m.plan.DisabledGuards.Has(policy.NoWayBack)
-	of := recovery.Whose{Group: t.Cluster, Gen: max(1, t.Generation), Before: t.Predecessors}
+	of := recovery.GroupIdentity{Group: t.Cluster, Generation: max(1, t.Generation), Predecessors: t.Predecessors}
 	switch {
 	case t.Cluster == "":
 		return fmt.Errorf("an answer without a group"), true
 	case t.CommittedVersion.Version > t.DecidedVersion:
 		return fmt.Errorf("an answer with version %d in force and %d decided", t.CommittedVersion.Version, t.DecidedVersion), true
-	case m.cluster != "" && t.Cluster != m.cluster && !of.After(m.cluster, m.gen) && !m.plan.DisabledGuards.Has(policy.Generation):
-		return fmt.Errorf("an answer of group %.16s in generation %d, expected %.16s in %d", t.Cluster, of.Gen, m.cluster,
+	case m.cluster != "" && t.Cluster != m.cluster && !of.Succeeds(m.cluster, m.gen) && !m.plan.DisabledGuards.Has(policy.Generation):
+		return fmt.Errorf("an answer of group %.16s in generation %d, expected %.16s in %d", t.Cluster, of.Generation, m.cluster,
 			m.gen), true
 	case m.cluster != "" && t.Cluster != m.cluster && t.DecidedVersion < m.floor && !back:
 		return fmt.Errorf("generation %d of the group has version %d decided, expected %d at least: it was restored without what "+
-			"this node was told", of.Gen, t.DecidedVersion, m.floor), false
+			"this node was told", of.Generation, t.DecidedVersion, m.floor), false
 	case m.cluster != "" && t.Cluster != m.cluster:
 		return nil, false
 	case t.Term < m.term || t.Index < m.index && !back:
