--- a/internal/node/server/fleet.go
+++ b/internal/node/server/fleet.go
@@ -62,7 +62,7 @@
 	retired   []bool
 	armed     uint64 // a deadline is set for then
 	alone     bool
-	spread    recovery.Spread
+	spread    recovery.RetryAfterSpreader
 	gate      *zones.Gate
 	meter     *zones.Meter
 	look      *controlClient
@@ -157,7 +157,7 @@
 	end := func(e jobEnd) { l.put(event{kind: eventFleet, job: &e}) }
 	f.ask, f.fetch, f.look = newAgent(end), newAgent(end), newAgent(end)
 	l.fleet = f
-	f.gate.Order(steadyMS(), f.m.ZoneOrder())
+	f.gate.SetOrder(steadyMS(), f.m.ZoneOrder())
 	f.fenced = true
 	l.healthy, l.control.ready = false, false // until it may serve
 	l.log.Infof("fleet: node %s of zone %s, control at %v", plan.Name, plan.Zone, o.Control)
@@ -200,7 +200,7 @@
 		l.log.Infof("fleet: serves under version %d", f.m.ActiveVersion())
 		l.Health(l.moduleHealthy)
 	}
-	if f.alone && f.gate.Alone(now, f.meter.Well(now, l.running())) {
+	if f.alone && f.gate.ContinueAutonomously(now, f.meter.Healthy(now, l.running())) {
 		l.log.Warnf("fleet: alone for long, takes %d of %d of what comes by its own rule", f.gate.Share(), api.FullShare)
 		l.Health(l.moduleHealthy)
 	}
@@ -208,7 +208,7 @@
 		if f.alone = alone; alone {
 			l.log.Warnf("fleet: goes on alone under version %d, without the group", f.m.ActiveVersion())
 			if p := f.plans[f.m.ActiveVersion()]; p != nil && !f.m.GroupContacted() && p.Document.Zones.Small && p.Document.Zones.Decide == api.ZoneModeAuto {
-				f.gate.Begin(now, int(p.Document.Zones.First*api.FullShare+0.5), uint64(p.Document.Zones.Hold.Milliseconds()))
+				f.gate.BeginSlowStart(now, int(p.Document.Zones.First*api.FullShare+0.5), uint64(p.Document.Zones.Hold.Milliseconds()))
 				l.log.Infof("fleet: begins with %d of %d of what comes", f.gate.Share(), api.FullShare)
 			}
 		}
@@ -216,7 +216,7 @@
 	l.keepOwed(now)
 	if a, no, due := f.m.Heartbeat(now); due {
 		if f.m.ZoneOrder() != nil {
-			a.Load = f.meter.Load(now, l.kernel.stand == kernelLive, float64(l.profile.Deployment.Cores), l.running())
+			a.Load = f.meter.Report(now, l.kernel.stand == kernelLive, float64(l.profile.Deployment.Cores), l.running())
 			a.Peers, f.seen = f.seen, nil
 		}
 		body, err := json.Marshal(&a)
@@ -278,12 +278,12 @@
 // ordered takes the order of the node's zone. Told to take nothing, it sheds what is held, and its health says so.
 func (l *loop) ordered(now uint64, o *api.ZoneOrder) {
 	f := l.fleet
-	was := f.gate.Out()
-	if !f.gate.Order(now, o) {
+	was := f.gate.Evacuated()
+	if !f.gate.SetOrder(now, o) {
 		return
 	}
 	l.log.Infof("fleet: zones epoch %d: takes %d of %d", f.gate.Epoch(), f.gate.Share(), api.FullShare)
-	if out := f.gate.Out(); out != was {
+	if out := f.gate.Evacuated(); out != was {
 		l.Health(l.moduleHealthy)
 		if out {
 			l.shedHeld()
@@ -293,7 +293,7 @@
 
 // mayDial tells whether a connection to the store may be opened now.
 func (l *loop) mayDial() bool {
-	if l.fleet == nil || l.fleet.gate.Dial(steadyMS()) {
+	if l.fleet == nil || l.fleet.gate.AdmitConnection(steadyMS()) {
 		return true
 	}
 	l.heldDials++
@@ -318,7 +318,7 @@
 }
 
 // comeBack is a time to come back within the bound of the settings, in ms.
-func (l *loop) comeBack(s *recovery.Spread, after uint64) int64 {
+func (l *loop) comeBack(s *recovery.RetryAfterSpreader, after uint64) int64 {
 	return s.Next(int64(l.profile.MaxPause)/10, int64(min(after, 1e9)))
 }
 
@@ -343,7 +343,7 @@
 		l.pools.Set(plan)
 	}
 	f.retired = p.RetiredHandlers
-	f.meter.Values(l.values())
+	f.meter.SetValues(l.values())
 	f.m.MarkActive(now, v, p.Document.Fleet.Alone)
 	l.counters.Versions++
 	l.log.Infof("fleet: version %d taken over", v.Version)
@@ -405,18 +405,18 @@
 	l.noteFleet()
 	r, name, zone, addr := f.kept, f.m.Config().Name, f.m.Config().Zone, f.m.Config().Address
 	at := f.m.LastContacted()
-	k := recovery.Kept{Name: name, Zone: zone, Addr: addr, Group: r.Cluster, Gen: max(1, r.Generation), Term: r.Term, Index: r.Index,
-		Version: r.ActiveVersion, Hash: r.ActiveHash, Text: r.ActiveText, Floor: r.MinVersion, Alone: r.ActiveAutonomous, Held: f.m.LeaseDuration()}
+	k := recovery.NodeRecord{Name: name, Zone: zone, Addr: addr, Group: r.Cluster, Generation: max(1, r.Generation), Term: r.Term, Index: r.Index,
+		ActiveVersion: r.ActiveVersion, ActiveHash: r.ActiveHash, ActiveText: r.ActiveText, MinVersion: r.MinVersion, Autonomous: r.ActiveAutonomous, LeaseMS: f.m.LeaseDuration()}
 	if r.PreparedVersion > r.ActiveVersion {
-		k.Next, k.NextHash, k.NextText = r.PreparedVersion, r.PreparedHash, r.PreparedText
+		k.PreparedVersion, k.PreparedHash, k.PreparedText = r.PreparedVersion, r.PreparedHash, r.PreparedText
 	}
 	for n, p := range f.plans { // at hand beside the one served under: one at most
-		if n > r.ActiveVersion && k.Next == 0 && p != nil {
-			k.Next, k.NextText, k.NextHash = n, f.texts[n], document.Hash([]byte(f.texts[n]))
+		if n > r.ActiveVersion && k.PreparedVersion == 0 && p != nil {
+			k.PreparedVersion, k.PreparedText, k.PreparedHash = n, f.texts[n], document.Hash([]byte(f.texts[n]))
 		}
 	}
 	if z := r.ZoneOrder; z != nil {
-		k.Epoch, k.Share = z.Epoch, z.Share
+		k.ZoneEpoch, k.ZoneShare = z.Epoch, z.Share
 	}
 	go func() {
 		e := jobEnd{job: &job{what: jobGive, addr: at, method: "POST", path: "/v1/kept", within: giveWithin}}
@@ -628,13 +628,13 @@
 	if l.profile.Deployment.Handlers[handler].Repeat == admission.IdempotencyKeyed {
 		once = q.IdempotencyKey
 	}
-	asked := zones.Asked{Handler: handler, Value: l.profile.Deployment.Handlers[handler].Value,
-		Hash: zones.Hash(once, q.Tenant, q.Caller), Again: q.IsRetry, Known: key != "" && l.keys.find(key) != nil}
-	ok, last := f.gate.Take(now, asked)
+	asked := zones.Request{Handler: handler, Value: l.profile.Deployment.Handlers[handler].Value,
+		Hash: zones.RequestHash(once, q.Tenant, q.Caller), IsRetry: q.IsRetry, SeenBefore: key != "" && l.keys.find(key) != nil}
+	ok, last := f.gate.Admit(now, asked)
 	if !ok {
 		l.counters.Turned++
-		f.meter.Came(now, handler, q.IsRetry, true)
-		a.NoRetry, a.RetryAfterMS = last, l.comeBack(&f.spread, f.gate.Back(now, asked))
+		f.meter.RequestArrived(now, handler, q.IsRetry, true)
+		a.NoRetry, a.RetryAfterMS = last, l.comeBack(&f.spread, f.gate.RetryAfter(now, asked))
 		return 503
 	}
 	return 0
--- a/internal/node/server/kept.go
+++ b/internal/node/server/kept.go
@@ -87,7 +87,7 @@
 	fullAt admission.Time   // no room was found then; 0: never
 	broken error            // why the folder can't be opened
 	mode   string
-	spread recovery.Spread
+	spread recovery.RetryAfterSpreader
 	dies   int // times that the point was come to
 	sheds, errs, refused,
 	answers, lost uint64
--- a/internal/node/server/kernel.go
+++ b/internal/node/server/kernel.go
@@ -235,7 +235,7 @@
 		r.Woke, r.Gauged = true, true
 		r.Gauges = l.profile.Gauges(n.Gauges[:n.GaugeCount])
 		if l.fleet != nil {
-			l.fleet.meter.Gauged(steadyMS(), r.Gauges.OnCores)
+			l.fleet.meter.CoresSampled(steadyMS(), r.Gauges.OnCores)
 		}
 	}
 }
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -97,10 +97,10 @@
 	kernel           kernel
 	store            store
 	control          control
-	finishedRequests []handle        // that may be over
-	refusals         recovery.Spread // by the loop itself
-	heldDials        uint64          // connections to the store that the zone's order put off
-	scratch          []byte          // what is being written
+	finishedRequests []handle                    // that may be over
+	refusals         recovery.RetryAfterSpreader // by the loop itself
+	heldDials        uint64                      // connections to the store that the zone's order put off
+	scratch          []byte                      // what is being written
 	relink           bool
 
 	healthy       bool    // health checks are told
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -133,7 +133,7 @@
 	}
 	l.trace(r, "came %.1f ms ago, handler %s, sender %d, again %v", inMS(l.now-came), name, q.Caller, q.IsRetry)
 	if l.fleet != nil {
-		l.fleet.meter.Came(steadyMS(), i, q.IsRetry, false)
+		l.fleet.meter.RequestArrived(steadyMS(), i, q.IsRetry, false)
 	}
 	admit := admission.Request{ID: uint32(h), Handler: i, Tenant: tenant, Came: came, Due: due,
 		Hint: admission.Time(q.ExpectedWorkMS * 10), KB: q.FootprintKB, Again: q.IsRetry, Caller: q.Caller}
@@ -231,7 +231,7 @@
 		return
 	}
 	if l.fleet != nil {
-		l.fleet.meter.Answered(steadyMS(), r.handler, a.Status,
+		l.fleet.meter.RequestAnswered(steadyMS(), r.handler, a.Status,
 			l.now-r.came <= l.profile.Deployment.Handlers[r.handler].Target)
 	}
 	if l.now > r.due {
@@ -261,7 +261,7 @@
 	l.next().Ended = append(l.next().Ended,
 		admission.End{ID: uint32(h), How: how, Ran: admission.Time(ms * 10)})
 	if l.fleet != nil && (how == admission.OK || how == admission.Errored) {
-		l.fleet.meter.Ran(steadyMS(), ms)
+		l.fleet.meter.RunEnded(steadyMS(), ms)
 	}
 	if l.fleet != nil && how == admission.OK {
 		l.fleet.rec.RecordRun(uint32(h), admission.Time(ms*10))
@@ -417,7 +417,7 @@
 // Health has checks and the control plane told.
 func (l *loop) Health(good bool) {
 	l.moduleHealthy = good
-	l.healthy = good && (l.fleet == nil || !l.fleet.fenced && !l.fleet.gate.Out())
+	l.healthy = good && (l.fleet == nil || !l.fleet.fenced && !l.fleet.gate.Evacuated())
 	l.control.ready = l.healthy
 	l.report()
 }
--- a/internal/node/server/store.go
+++ b/internal/node/server/store.go
@@ -85,7 +85,7 @@
 	*w = storeConnection{line: &line{which: toStore, wire: h, parser: s.parser}, used: l.now}
 	l.open(w.line, s.addr)
 	if l.fleet != nil {
-		l.fleet.meter.Opened(steadyMS())
+		l.fleet.meter.ConnectionOpened(steadyMS())
 	}
 	return h, w
 }
@@ -133,7 +133,7 @@
 	l.endCall(h, r)
 	l.trace(r, "call ended %d after %.1f ms", how, inMS(l.now-r.callAt))
 	if l.fleet != nil && made {
-		l.fleet.meter.Called(steadyMS(), inMS(l.now-r.callAt), how != admission.OK)
+		l.fleet.meter.CallEnded(steadyMS(), inMS(l.now-r.callAt), how != admission.OK)
 	}
 	switch how {
 	case admission.OK:
@@ -169,7 +169,7 @@
 		w.done = true
 	}
 	if l.fleet != nil && r.call != callNone {
-		l.fleet.meter.Called(steadyMS(), inMS(l.now-r.callAt), false)
+		l.fleet.meter.CallEnded(steadyMS(), inMS(l.now-r.callAt), false)
 	}
 	l.endCall(h, r)
 }
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -342,7 +342,7 @@
 	r := &request{call: callOut, callAt: 2000}
 	l.dropCall(1, r)
 	l.dropCall(1, r) // there is none any more
-	if got := l.fleet.meter.Load(steadyMS(), true, 1, 0); got.Calls != 1 || got.MeanCallMS != 300 || got.FailedCalls != 0 {
+	if got := l.fleet.meter.Report(steadyMS(), true, 1, 0); got.Calls != 1 || got.MeanCallMS != 300 || got.FailedCalls != 0 {
 		t.Errorf("%d calls, %.0f ms, %d bad, expected one of 300 ms that is not known to be bad", got.Calls, got.MeanCallMS, got.FailedCalls)
 	}
 }
