--- a/internal/node/agent/pin_decisions_test.go
+++ b/internal/node/agent/pin_decisions_test.go
@@ -12,8 +12,8 @@
 	"umberwinch/internal/control/policy"
 )
 
-// pinnedDecisions are hashes over all that a node's agent decided on recorded inputs, as version 2a0a97e decided it. They
-// stay as they are: a change means that the agent decides otherwise.
+// pinnedDecisions are hashes over all that a node's agent decided on recorded inputs, as version 2a0a97e decided it.
+// They stay as they are: a change means that the agent decides otherwise.
 var pinnedDecisions = map[string]string{
 	"all guards":               "3836aac7ff2b3d3f81d95a3031e36a408d43440f441e77c765a0ed232f817ccd",
 	"without fencing":          "8410a29bf164201d843a3a437098acaa8202daf254a31b65b8f865a3b327e0b0",
@@ -97,8 +97,10 @@
 
 // answers gives an answer to what was asked, sometimes one that can't be believed.
 func (g *pinnedGroup) answers(ask *api.HeartbeatRequest) api.HeartbeatResponse {
-	t := api.HeartbeatResponse{Cluster: g.cluster, Generation: g.generation, Term: g.term, Index: g.index, EntryChecksum: g.index * 7, ClockMS: g.clock,
-		DecidedVersion: g.need, CommittedVersion: pinnedVersion(g.force), PrepareVersion: pinnedVersion(g.prepare), Autonomous: g.alone, NextHeartbeatMS: 200 + g.chance(1500),
+	t := api.HeartbeatResponse{Cluster: g.cluster, Generation: g.generation, Term: g.term, Index: g.index,
+		EntryChecksum: g.index * 7, ClockMS: g.clock,
+		DecidedVersion: g.need, CommittedVersion: pinnedVersion(g.force), PrepareVersion: pinnedVersion(g.prepare),
+		Autonomous: g.alone, NextHeartbeatMS: 200 + g.chance(1500),
 		LeaseID: g.lease}
 	for _, b := range g.before {
 		if ask.LastSeen == nil || ask.LastSeen.Group == b {
@@ -165,14 +167,17 @@
 	kept, _ := json.Marshal(m.StoredZoneOrder())
 	want, decided, wanted := m.VersionToFetch()
 	take, takes := m.VersionToActivate(now)
-	return fmt.Sprintln(now, may, why, m.Autonomous(now), m.ActiveVersion(), m.MinVersion(), m.LeaseExpiry(), m.CommittedVersion(), m.LeaseID(), m.Cluster(), m.GroupContacted(),
-		string(told), string(zone), string(kept), m.ControlAddress(), m.LastContacted(), m.LeaseDuration(), m.NextHeartbeat(), m.HeartbeatTimeout(), want.Version, want.Hash,
+	return fmt.Sprintln(now, may, why, m.Autonomous(now), m.ActiveVersion(), m.MinVersion(), m.LeaseExpiry(),
+		m.CommittedVersion(), m.LeaseID(), m.Cluster(), m.GroupContacted(),
+		string(told), string(zone), string(kept), m.ControlAddress(), m.LastContacted(), m.LeaseDuration(),
+		m.NextHeartbeat(), m.HeartbeatTimeout(), want.Version, want.Hash,
 		decided, wanted, take.Version, take.Hash, takes, m.IsPrepared(3), m.TakeRecordRequest())
 }
 
 // pinnedLives plays some lives of a node against a group with faults, and puts all that it decides into a hash.
 func pinnedLives(seed uint64, without policy.Guard, sum hash.Hash) (asked, taken, refused int) {
-	g := &pinnedGroup{seed: seed, cluster: "group-1", generation: 1, term: 1, index: 5, clock: 100, need: 1, force: 1, lease: 4,
+	g := &pinnedGroup{seed: seed, cluster: "group-1", generation: 1, term: 1, index: 5, clock: 100, need: 1, force: 1,
+		lease:   4,
 		leaseMS: 4000, decidesAboutZones: seed%2 == 0}
 	now, record := uint64(5000), Record{}
 	for life := range 4 {
@@ -180,8 +185,10 @@
 		if life > 0 && g.chance(4) > 0 {
 			kept = &record
 		}
-		m := New(Config{Name: "node", Zone: "zone", Address: "127.0.0.1:7", ControlAddresses: []string{"one", "two", "three"},
-			Nonce: fmt.Sprint("nonce-", life), JitterSeed: uint32(seed) + uint32(life), DisabledGuards: without}, kept, now)
+		m := New(Config{Name: "node", Zone: "zone", Address: "127.0.0.1:7",
+			ControlAddresses: []string{"one", "two", "three"},
+			Nonce:            fmt.Sprint("nonce-", life), JitterSeed: uint32(seed) + uint32(life), DisabledGuards: without},
+			kept, now)
 		silent := uint64(0) // until then no instance answers
 		late := uint64(0)   // an asking that was given up
 		for range 500 {
@@ -228,7 +235,8 @@
 				default:
 					m.MarkPrepared(now, v)
 					if v.Version > record.ActiveVersion {
-						record.PreparedVersion, record.PreparedText, record.PreparedHash, record.PreparedAutonomous = v.Version, "text", v.Hash, g.alone
+						record.PreparedVersion, record.PreparedText, record.PreparedHash,
+							record.PreparedAutonomous = v.Version, "text", v.Hash, g.alone
 					}
 				}
 			}
@@ -258,7 +266,8 @@
 			asked, taken, refused = asked+a, taken+k, refused+r
 		}
 		if asked < 1500 || taken < 50 || refused < 100 {
-			t.Errorf("%s: %d askings, %d versions taken over, %d answers not believed: too few to hold anything to", what, asked, taken, refused)
+			t.Errorf("%s: %d askings, %d versions taken over, %d answers not believed: too few to hold anything to",
+				what, asked, taken, refused)
 		}
 		if got := hex.EncodeToString(sum.Sum(nil)); got != pinnedDecisions[what] {
 			t.Errorf("%s: decisions have the hash %s, expected %s", what, got, pinnedDecisions[what])
