--- a/internal/node/server/buffers.go
+++ b/internal/node/server/buffers.go
@@ -23,24 +23,24 @@
 // buffer is a piece of memory of the one size.
 type buffer struct {
 	n int // bytes in use
-	b [bufSize]byte
+	b [bufferBytes]byte
 }
 
 func (b *buffer) bytes() []byte { return b.b[:b.n] }
 
 // pool keeps buffers that are out of use.
-type pool struct {
-	mu   sync.Mutex
-	free []*buffer
-	out  int
-	most int
+type bufferPool struct {
+	mu       sync.Mutex
+	free     []*buffer
+	out      int
+	capacity int
 }
 
 // get gives an empty buffer, or nil while too many are out: who asked then gives up what it was to hold.
-func (p *pool) get() *buffer {
+func (p *bufferPool) get() *buffer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.out >= p.most {
+	if p.out >= p.capacity {
 		return nil
 	}
 	p.out++
@@ -56,7 +56,7 @@
 // must gives an empty buffer however many are out, for an answer that is owed. Guards against clients that hold
 // all buffers and so take answers from others; there are few such buffers, as each connection has one answer
 // at a time.
-func (p *pool) must() *buffer {
+func (p *bufferPool) getOwed() *buffer {
 	if b := p.get(); b != nil {
 		return b
 	}
@@ -66,7 +66,7 @@
 	return new(buffer)
 }
 
-func (p *pool) put(b *buffer) {
+func (p *bufferPool) put(b *buffer) {
 	if b == nil {
 		return
 	}
@@ -103,26 +103,26 @@
 
 // writer is the way out of one connection.
 type writer struct {
-	c       netpoll.Connection
-	pool    *pool
-	workers workers
-	busy    *atomic.Int64 // ways that still have something to send
-	mu      sync.Mutex
-	queue   []*buffer // waits for the flush that goes on
-	flushes bool
-	shut    bool // nothing more is taken
-	end     end  // once the queue is empty
+	conn     netpoll.Connection
+	pool     *bufferPool
+	workers  workers
+	busy     *atomic.Int64 // ways that still have something to send
+	mu       sync.Mutex
+	queue    []*buffer // waits for the flush that goes on
+	flushing bool
+	closed   bool         // nothing more is taken
+	ending   writerEnding // once the queue is empty
 
 	owesAnswers bool   // what is sent is owed: it never lacks a buffer
 	shutDown    func() // ends the sending side
 }
 
 // end is what becomes of a connection once all that was queued has gone out.
-type end uint8
+type writerEnding uint8
 
 const (
-	endNot      end = iota
-	endShutDown     // its sending side is shut down
+	keepOpen         writerEnding = iota
+	shutDownWhenSent              // its sending side is shut down
 	endClose
 )
 
@@ -130,15 +130,15 @@
 func (w *writer) send(b []byte, most int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.shut || len(w.queue)+len(b)/bufSize >= most {
+	if w.closed || len(w.queue)+len(b)/bufferBytes >= most {
 		return false
 	}
 	for len(b) > 0 {
 		n := len(w.queue)
-		if n == 0 || w.queue[n-1].n == bufSize {
+		if n == 0 || w.queue[n-1].n == bufferBytes {
 			t := w.buffer()
 			if t == nil {
-				w.shut, w.end = true, endClose // half a message must not stand before another one
+				w.closed, w.ending = true, endClose // half a message must not stand before another one
 				w.kick()
 				return false
 			}
@@ -156,7 +156,7 @@
 
 func (w *writer) buffer() *buffer {
 	if w.owesAnswers {
-		return w.pool.must()
+		return w.pool.getOwed()
 	}
 	return w.pool.get()
 }
@@ -165,7 +165,7 @@
 func (w *writer) finish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.shut, w.end = true, max(w.end, endShutDown)
+	w.closed, w.ending = true, max(w.ending, shutDownWhenSent)
 	w.kick()
 }
 
@@ -173,13 +173,13 @@
 func (w *writer) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.shut, w.end = true, endClose
+	w.closed, w.ending = true, endClose
 	w.kick()
 }
 
 func (w *writer) kick() {
-	if !w.flushes {
-		w.flushes = true
+	if !w.flushing {
+		w.flushing = true
 		w.busy.Add(1)
 		w.workers.run(w.flush)
 	}
@@ -192,17 +192,17 @@
 	for {
 		w.mu.Lock()
 		if failed != nil {
-			w.shut, w.end = true, endClose
+			w.closed, w.ending = true, endClose
 		}
 		out, w.queue = w.queue, out[:0]
-		last := w.end
-		if w.flushes = len(out) > 0; !w.flushes {
+		last := w.ending
+		if w.flushing = len(out) > 0; !w.flushing {
 			w.mu.Unlock()
 			switch last {
-			case endShutDown:
+			case shutDownWhenSent:
 				w.shutDown()
 			case endClose:
-				w.c.Close()
+				w.conn.Close()
 			}
 			return
 		}
@@ -226,10 +226,10 @@
 // against an answer lost with its connection over a lack of memory that passes.
 func (w *writer) write(b []byte) error {
 	// Write holds netpoll's own lock against a close from the other side; its Writer does not.
-	_, err := w.c.Write(b)
+	_, err := w.conn.Write(b)
 	for try := 0; try < writeRetries && isMomentary(err); try++ {
 		time.Sleep(writePause << try)
-		err = w.c.Writer().Flush()
+		err = w.conn.Writer().Flush()
 	}
 	return err
 }
@@ -242,7 +242,7 @@
 // intake gathers what a connection brings until a message is whole. It belongs to the connection's callback,
 // which netpoll never runs twice at once.
 type intake struct {
-	pool *pool
+	pool *bufferPool
 	buf  *buffer
 }
 
@@ -257,7 +257,7 @@
 				return errNoBuffer
 			}
 		}
-		n := min(r.Len(), bufSize-in.buf.n)
+		n := min(r.Len(), bufferBytes-in.buf.n)
 		if n == 0 {
 			return errTooLong
 		}
--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -35,10 +35,10 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	lim := NewLimits(1, 64, 256)
-	lim.Conns, lim.Crowd = conns, conns
-	l := &loop{log: log, limits: lim, events: make(chan event, 256), pool: pool{most: lim.Buffers},
-		workers: newWorkers(1), conns: newTable[conn](conns), requests: newTable[request](8), healthy: true, idleClose: admission.Second,
-		profile: &settings.Profile{Deployment: &admission.Deployment{}}}
+	lim.Connections, lim.EvictAbove = conns, conns
+	l := &loop{log: log, limits: lim, events: make(chan event, 256), pool: bufferPool{capacity: lim.Buffers},
+		workers: newWorkers(1), connections: newTable[connection](conns), requests: newTable[request](8), ready: true, idleClose: admission.Second,
+		settings: &settings.Profile{Deployment: &admission.Deployment{}}}
 	l.startClock(admission.Second)
 	ln, err := newListener("127.0.0.1:0", conns, time.Millisecond)
 	if err != nil {
@@ -90,9 +90,9 @@
 	l.sweep(l.now)
 }
 
-func (l *handLoop) first() *conn {
-	h, _ := l.conns.next(0)
-	return l.conns.get(h)
+func (l *handLoop) first() *connection {
+	h, _ := l.connections.next(0)
+	return l.connections.get(h)
 }
 
 func check(c net.Conn) { io.WriteString(c, "GET /health HTTP/1.1\r\n\r\n") }
@@ -111,8 +111,8 @@
 func TestHandedOverRequestKeepsItsConnection(t *testing.T) {
 	for name, closes := range map[string]func(l *handLoop){
 		"idle":     func(l *handLoop) { l.later(10 * admission.Second) },
-		"silent":   func(l *handLoop) { l.later(l.limits.FirstWord) },
-		"eviction": func(l *handLoop) { l.limits.Crowd = 0; l.now += l.limits.IdleLeast; l.makeRoom() },
+		"silent":   func(l *handLoop) { l.later(l.limits.MessageTimeout) },
+		"eviction": func(l *handLoop) { l.limits.EvictAbove = 0; l.now += l.limits.EvictionMinIdle; l.evict() },
 		"drain":    func(l *handLoop) { l.closeAllIdle(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -158,12 +158,12 @@
 	l := newHandLoop(t, 4)
 	c := l.dial()
 	l.takes(1)
-	p := l.first().p
+	p := l.first().peer
 	for len(l.events) < cap(l.events) {
 		l.events <- event{kind: eventKept, then: func() {}}
 	}
 	check(c)
-	for end := time.Now().Add(patience); p.ahead.Load() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); p.pipelined.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never read")
 		}
@@ -175,9 +175,9 @@
 	l.takes(cap(l.events) + 1)
 	gets(t, bufio.NewReader(c), 200)
 	io.WriteString(c, "GET /hea")
-	for end := time.Now().Add(patience); p.half.Load() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); p.incompleteSince.Load() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	l.first().last = l.now + admission.Second // it goes on slowly
+	l.first().lastActive = l.now + admission.Second // it goes on slowly
 	l.closeAllIdle(false)
 	if l.first().closing {
 		t.Error("closed amid a message")
@@ -209,7 +209,7 @@
 	}
 	c.Close()
 	l.takes(1)
-	if l.conns.n != 0 {
+	if l.connections.used != 0 {
 		t.Error("the connection is still known")
 	}
 }
@@ -220,16 +220,16 @@
 	l.dial()
 	l.takes(1)
 	l.later(2 * admission.Second)
-	l.later(l.limits.Linger)
+	l.later(l.limits.LingerTimeout)
 	l.takes(1)
 	flood := l.dial()
 	l.takes(1)
 	l.later(2 * admission.Second)
-	flood.Write(make([]byte, l.limits.Deaf+1))
+	flood.Write(make([]byte, l.limits.DiscardBytes+1))
 	l.takes(1) // word of the flood
 	l.takes(1) // its end
-	if l.conns.n != 0 {
-		t.Errorf("%d connections are kept", l.conns.n)
+	if l.connections.used != 0 {
+		t.Errorf("%d connections are kept", l.connections.used)
 	}
 }
 
@@ -241,8 +241,8 @@
 		l.dial()
 	}
 	l.takes(2)
-	for h, i := l.conns.next(0); h != 0; h, i = l.conns.next(i) {
-		l.abort(l.conns.get(h))
+	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
+		l.abort(l.connections.get(h))
 	}
 	l.waits(2) // both are gone, and the loop has not heard of it
 	var asks []net.Conn
@@ -273,9 +273,9 @@
 	l.takes(2)
 	waits := l.dial()
 	check(waits)
-	l.later(l.limits.FirstWord)
-	l.later(l.limits.LeaveCrosses - 1)
-	if l.conns.n != 2 || len(l.events) > 0 {
+	l.later(l.limits.MessageTimeout)
+	l.later(l.limits.CrossingGrace - 1)
+	if l.connections.used != 2 || len(l.events) > 0 {
 		t.Fatal("closed before what crosses the end could have come")
 	}
 	l.later(1)
@@ -394,7 +394,7 @@
 	check(a)
 	l.waits(1)
 	l.pool.mu.Lock()
-	l.pool.most = 0
+	l.pool.capacity = 0
 	l.pool.mu.Unlock()
 	check(b)
 	l.takes(2)
@@ -486,11 +486,11 @@
 	l.takes(1)
 	r := bufio.NewReader(c)
 	gets(t, r, 200)
-	for end := time.Now().Add(patience); l.first().p.half.Load() == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(patience); l.first().peer.incompleteSince.Load() == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if !l.first().closing {
-		l.later(l.limits.Linger)
+		l.later(l.limits.LingerTimeout)
 	}
 	if b, err := io.ReadAll(r); err != nil || strings.Contains(string(b), "200") {
 		t.Errorf("reads %q, %v, expected the end", b, err)
--- a/internal/node/server/control.go
+++ b/internal/node/server/control.go
@@ -11,23 +11,23 @@
 	"umberwinch/internal/node/wire"
 )
 
-type control struct {
+type discoveryLink struct {
 	link
-	name    string
-	ready   bool           // what the next report says
-	sending bool           // a report is out and not answered
-	last    admission.Time // when the last one went out
-	owed    bool           // a report is to go out as soon as the link is up
+	name              string
+	ready             bool           // what the next report says
+	reportOutstanding bool           // a report is out and not answered
+	lastReport        admission.Time // when the last one went out
+	reportPending     bool           // a report is to go out as soon as the link is up
 }
 
 // report sends the state now, or as soon as the link is up.
-func (l *loop) report() {
-	c := &l.control
-	c.owed = true
-	if c.sending {
+func (l *loop) sendReport() {
+	c := &l.discovery
+	c.reportPending = true
+	if c.reportOutstanding {
 		// On a link of its own, so that a late answer can't pass for this one's. It is dialled at once: this
 		// happens no more often than reports are due and health changes.
-		l.linkDown(&c.link, nil)
+		l.closeLink(&c.link, nil)
 		return
 	}
 	if !c.up() {
@@ -35,45 +35,45 @@
 		return
 	}
 	l.scratch = wire.AppendReadinessReport(l.scratch[:0], c.addr, c.name, c.ready)
-	if !c.line.writer.send(l.scratch, l.limits.LinkQueue) {
-		l.linkDown(&c.link, errStuck)
+	if !c.dialed.writer.send(l.scratch, l.limits.LinkQueue) {
+		l.closeLink(&c.link, errStuck)
 		return
 	}
-	c.sending, c.owed, c.last = true, false, l.now
+	c.reportOutstanding, c.reportPending, c.lastReport = true, false, l.now
 	l.counters.Reports++
 }
 
 // nextReport is when the next report is due. An eighth of the time between two is left to chance: servers that were started
 // together would report together for good.
 func (l *loop) nextReport() admission.Time {
-	return l.now + l.limits.Report - admission.Time(rand.Int64N(int64(l.limits.Report/8)))
+	return l.now + l.limits.ReportInterval - admission.Time(rand.Int64N(int64(l.limits.ReportInterval/8)))
 }
 
 // reported takes the answer to a report.
-func (l *loop) reported(p wire.ResponseHead) {
-	c := &l.control
-	if !c.sending {
+func (l *loop) reportAnswered(p wire.ResponseHead) {
+	c := &l.discovery
+	if !c.reportOutstanding {
 		return
 	}
-	c.sending, c.wait = false, 0
+	c.reportOutstanding, c.delay = false, 0
 	if p.Status != 204 {
 		l.counters.ReportsLost++
 		l.logf("control plane answered %d", p.Status)
 	}
 	if p.Close {
-		l.linkDown(&c.link, nil)
+		l.closeLink(&c.link, nil)
 	}
 }
 
 func (l *loop) controlUp() {
-	if l.control.owed {
-		l.report()
+	if l.discovery.reportPending {
+		l.sendReport()
 	}
 }
 
 func (l *loop) controlDown() {
-	if c := &l.control; c.sending {
+	if c := &l.discovery; c.reportOutstanding {
 		l.counters.ReportsLost++
-		c.sending, c.owed = false, true
+		c.reportOutstanding, c.reportPending = false, true
 	}
 }
--- a/internal/node/server/counters.go
+++ b/internal/node/server/counters.go
@@ -32,15 +32,15 @@
 	runs, calls := 0, 0
 	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
 		r := l.requests.get(h)
-		if r.run == runGoes {
+		if r.run == runRunning {
 			runs++
 		}
-		if r.call != callNone {
+		if r.callState != callNone {
 			calls++
 		}
 	}
-	out := logrus.Fields{"in_hand": l.requests.n, "running": runs, "calls_out": calls, "conns_open": l.conns.n,
-		"wires_open": l.store.wires.n, "keys": l.keys.tab.n, "report_age_ms": inMS(l.now - l.control.last),
+	out := logrus.Fields{"in_hand": l.requests.used, "running": runs, "calls_out": calls, "conns_open": l.connections.used,
+		"wires_open": l.store.connections.used, "keys": l.idempotency.entries.used, "report_age_ms": milliseconds(l.now - l.discovery.lastReport),
 		"conns": c.Conns, "reqs": c.Reqs, "checks": c.Checks, "bad": c.Bad, "again": c.Again,
 		"done": c.Done, "shed": c.Shed, "errored": c.Errored, "shared": c.Shared, "gone": c.Gone, "late": c.Late,
 		"runs": c.Runs, "ends": c.Ends, "pauses": c.Pauses, "calls": c.Calls, "calls_ok": c.CallsOK,
--- a/internal/node/server/deadlines.go
+++ b/internal/node/server/deadlines.go
@@ -7,54 +7,54 @@
 
 import "umberwinch/admission"
 
-type what uint8
+type timerKind uint8
 
 const (
-	dueWake what = iota
-	dueGauge
-	dueReplay
-	dueCall
-	dueReport
-	dueKernel
-	dueControl
-	dueSweep
-	dueKey
-	dueLeave
-	dueFleet
-	dueKept
+	timerWake timerKind = iota
+	timerGauges
+	timerReplay
+	timerCall
+	timerReport
+	timerKernelDial
+	timerDiscoveryDial
+	timerSweep
+	timerIdempotencyKey
+	timerDrain
+	timerFleet
+	timerResultStore
 )
 
 // deadline names what is due, and for which slot.
-type deadline struct {
-	at  admission.Time
-	no  uint64 // those of one time come in the order they were set
-	wh  what
-	who handle
+type timer struct {
+	at      admission.Time
+	order   uint64 // those of one time come in the order they were set
+	kind    timerKind
+	subject handle
 }
 
 // deadlines is a binary heap, the earliest first.
-type deadlines struct {
-	heap []deadline
-	no   uint64
+type timers struct {
+	heap      []timer
+	lastOrder uint64
 }
 
-func (d *deadlines) before(i, j int) bool {
+func (d *timers) before(i, j int) bool {
 	a, b := &d.heap[i], &d.heap[j]
-	return a.at < b.at || a.at == b.at && a.no < b.no
+	return a.at < b.at || a.at == b.at && a.order < b.order
 }
 
-func (d *deadlines) set(at admission.Time, wh what, h handle) {
-	d.no++
-	d.heap = append(d.heap, deadline{at, d.no, wh, h})
+func (d *timers) set(at admission.Time, kind timerKind, subject handle) {
+	d.lastOrder++
+	d.heap = append(d.heap, timer{at, d.lastOrder, kind, subject})
 	for i := len(d.heap) - 1; i > 0 && d.before(i, (i-1)/2); i = (i - 1) / 2 {
 		d.heap[i], d.heap[(i-1)/2] = d.heap[(i-1)/2], d.heap[i]
 	}
 }
 
 // next takes out the earliest that has come.
-func (d *deadlines) next(now admission.Time) (deadline, bool) {
+func (d *timers) next(now admission.Time) (timer, bool) {
 	if len(d.heap) == 0 || d.heap[0].at > now {
-		return deadline{}, false
+		return timer{}, false
 	}
 	top := d.heap[0]
 	last := len(d.heap) - 1
@@ -77,7 +77,7 @@
 }
 
 // first is the earliest time, if there is one.
-func (d *deadlines) first() (admission.Time, bool) {
+func (d *timers) first() (admission.Time, bool) {
 	if len(d.heap) == 0 {
 		return 0, false
 	}
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -8,10 +8,10 @@
 )
 
 // drain is where the drain of this process stands.
-type drain struct {
+type drainState struct {
 	draining     bool
 	stopAfter    admission.Time // the kill comes so long after the notice
-	killAt       admission.Time // by then all has to be answered
+	answerBy     admission.Time // by then all has to be answered
 	killMargin   admission.Time // the kill comes so long after that
 	drainSince   admission.Time // when the notice came
 	closingSince admission.Time // since when idle connections are ended; 0: not yet
@@ -22,21 +22,21 @@
 	if l.draining {
 		return
 	}
-	l.killMargin = min(l.limits.LeaveBefore, l.stopAfter/8)
-	l.draining, l.drainSince, l.killAt = true, l.now, l.now+l.stopAfter-l.killMargin
-	l.next().Drain, l.next().Kill = true, l.killAt
+	l.killMargin = min(l.limits.KillMargin, l.stopAfter/8)
+	l.draining, l.drainSince, l.answerBy = true, l.now, l.now+l.stopAfter-l.killMargin
+	l.nextRound().Drain, l.nextRound().Kill = true, l.answerBy
 	l.Health(false)
-	l.deadlines.set(l.now, dueLeave, 0)
+	l.timers.set(l.now, timerDrain, 0)
 	l.keptLeaves()
 }
 
 // leave sees whether nobody sends here any more, or the kill is near: then the listener takes what is complete
 // and closes, idle connections are closed, what crosses that is still answered, and the loop ends. The listener
 // stays open until then, as sidecars learn late that this server leaves.
-func (l *loop) leave() {
-	most := l.killAt - admission.Second/20 // the module's last answers come after
-	quiet := l.now-max(l.lastRequest, l.drainSince) >= l.limits.LeaveQuiet && l.now-l.drainSince >= 2*admission.Second
-	if l.closingSince == 0 && (l.now >= most-l.limits.LeaveCrosses || quiet && l.owed() == 0) {
+func (l *loop) drainTick() {
+	most := l.answerBy - admission.Second/20 // the module's last answers come after
+	quiet := l.now-max(l.lastRequest, l.drainSince) >= l.limits.DrainQuiet && l.now-l.drainSince >= 2*admission.Second
+	if l.closingSince == 0 && (l.now >= most-l.limits.CrossingGrace || quiet && l.connectionsOwed() == 0) {
 		l.closingSince = l.now
 		if l.listener != nil {
 			l.listener.stop()
@@ -45,23 +45,23 @@
 	if l.closingSince != 0 {
 		l.closeAllIdle(l.now >= most)
 	}
-	l.deadlines.set(l.now+admission.Second/100, dueLeave, 0)
+	l.timers.set(l.now+admission.Second/100, timerDrain, 0)
 }
 
 // closeAllIdle closes connections on which nothing is owed. A new one may be about to bring its first request.
 func (l *loop) closeAllIdle(force bool) {
-	for h, i := l.conns.next(0); h != 0; h, i = l.conns.next(i) {
-		c := l.conns.get(h)
-		if force || c.usage != usedForNothing || l.now-c.since >= l.limits.LeaveCrosses {
+	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
+		c := l.connections.get(h)
+		if force || c.usage != usedForNothing || l.now-c.openedAt >= l.limits.CrossingGrace {
 			l.closeIdle(c, force)
 		}
 	}
 }
 
 // owed counts the connections on which an answer is owed.
-func (l *loop) owed() (n int) {
-	for h, i := l.conns.next(0); h != 0; h, i = l.conns.next(i) {
-		if l.conns.get(h).owes() {
+func (l *loop) connectionsOwed() (n int) {
+	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
+		if l.connections.get(h).owesAnswer() {
 			n++
 		}
 	}
@@ -70,9 +70,9 @@
 
 // lingers tells whether a client may still be reading, or sending what crosses the end of its connection.
 func (l *loop) lingers() bool {
-	for h, i := l.conns.next(0); h != 0; h, i = l.conns.next(i) {
-		c := l.conns.get(h)
-		if !c.closing || l.now < c.until-l.limits.Linger+l.limits.LeaveCrosses {
+	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
+		c := l.connections.get(h)
+		if !c.closing || l.now < c.lingerUntil-l.limits.LingerTimeout+l.limits.CrossingGrace {
 			return true
 		}
 	}
@@ -81,11 +81,11 @@
 
 // finished says whether all is said and sent.
 func (l *loop) finished() bool {
-	if !l.draining || l.closingSince == 0 || l.owed() > 0 || l.busy.Load() > 0 {
+	if !l.draining || l.closingSince == 0 || l.connectionsOwed() > 0 || l.busy.Load() > 0 {
 		return false // while anything is owed it's the kill that ends it
 	}
-	if l.now >= l.killAt+l.killMargin/2 {
+	if l.now >= l.answerBy+l.killMargin/2 {
 		return true
 	}
-	return !l.accepts && !l.lingers() && l.now >= max(l.closingSince, l.lastConnection)+l.limits.LeaveCrosses
+	return !l.accepts && !l.lingers() && l.now >= max(l.closingSince, l.lastConnection)+l.limits.CrossingGrace
 }
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -81,8 +81,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := &failing{errs: c.errs, closed: make(chan bool)}
-			p, busy := pool{most: 8}, atomic.Int64{}
-			w := &writer{c: outgoing{f}, pool: &p, busy: &busy}
+			p, busy := bufferPool{capacity: 8}, atomic.Int64{}
+			w := &writer{conn: outgoing{f}, pool: &p, busy: &busy}
 			w.send([]byte("answer"), 4)
 			for end := time.Now().Add(patience); busy.Load() > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			}
@@ -129,15 +129,15 @@
 			}
 			l.store = store1(store.addr, l.limits)
 			h, r, _ := l.requests.take()
-			*r = request{task: long("1"), run: runGoes, ask: []byte("q")}
-			l.call(h, r, l.now+admission.Second)
+			*r = request{id: long("1"), run: runRunning, callBody: []byte("q")}
+			l.startCall(h, r, l.now+admission.Second)
 			l.takes(1)
-			if got := l.next().Returned; len(got) != 1 || got[0].How != admission.Unrun {
+			if got := l.nextRound().Returned; len(got) != 1 || got[0].How != admission.Unrun {
 				t.Fatalf("the module hears %v, expected that the call never ran", got)
 			}
 			fails = 0
-			l.now += l.limits.RetryMost
-			l.call(h, r, l.now+admission.Second)
+			l.now += l.limits.MaxBackoff
+			l.startCall(h, r, l.now+admission.Second)
 			l.takes(1)
 			if line, ok := store.next(""); !ok || line != "CALL 1 q" {
 				t.Errorf("the store hears %q", line)
@@ -146,10 +146,10 @@
 	}
 }
 
-func store1(address string, lim Limits) store {
-	return store{addr: address, wires: newTable[storeConnection](2), parser: func(b []byte) (e event, n int, err error) {
+func store1(address string, lim Limits) storeConnections {
+	return storeConnections{addr: address, connections: newTable[storeConnection](2), parser: func(b []byte) (e event, n int, err error) {
 		e.kind = eventReply
-		e.reply, n, err = wire.ParseCallReply(b, lim.Line)
+		e.reply, n, err = wire.ParseCallReply(b, lim.LinkBounds)
 		return e, n, err
 	}}
 }
@@ -162,11 +162,11 @@
 		var b backoff
 		for range 10 {
 			b.failed(l)
-			if wait := b.again - l.now; wait < b.wait/2 || wait > b.wait || b.wait > l.limits.RetryMost {
-				t.Fatalf("waits %d of %d", wait, b.wait)
+			if wait := b.notBefore - l.now; wait < b.delay/2 || wait > b.delay || b.delay > l.limits.MaxBackoff {
+				t.Fatalf("waits %d of %d", wait, b.delay)
 			}
 		}
-		seen[b.again] = true
+		seen[b.notBefore] = true
 	}
 	if len(seen) < 10 {
 		t.Errorf("%d different waits of 20", len(seen))
@@ -179,8 +179,8 @@
 	seen := map[admission.Time]bool{}
 	for range 50 {
 		wait := l.nextReport() - l.now
-		if wait > l.limits.Report || wait < l.limits.Report*7/8 {
-			t.Fatalf("the next report comes after %d, expected %d at most and seven eighths at least", wait, l.limits.Report)
+		if wait > l.limits.ReportInterval || wait < l.limits.ReportInterval*7/8 {
+			t.Fatalf("the next report comes after %d, expected %d at most and seven eighths at least", wait, l.limits.ReportInterval)
 		}
 		seen[wait] = true
 	}
@@ -209,10 +209,10 @@
 	}
 	ln.file.Close()
 	began := time.Now()
-	if _, err = listenPatiently("203.0.113.1:1", Limits{Listen: 0}, func(error) {}); err == nil {
+	if _, err = listenPatiently("203.0.113.1:1", Limits{ListenTimeout: 0}, func(error) {}); err == nil {
 		t.Error("listens on another machine's address")
 	}
-	if _, err = listenPatiently("127.0.0.1:none", lim, func(error) {}); err == nil || time.Since(began) > lim.Listen/2 {
+	if _, err = listenPatiently("127.0.0.1:none", lim, func(error) {}); err == nil || time.Since(began) > lim.ListenTimeout/2 {
 		t.Errorf("%v after %v, expected an error at once", err, time.Since(began))
 	}
 }
--- a/internal/node/server/fleet.go
+++ b/internal/node/server/fleet.go
@@ -99,8 +99,8 @@
 		return nil
 	}
 	o := l.startup.own.Fleet
-	f := &fleetPart{own: o, base: l.profile.Deployment, plans: map[uint64]*overlay.Settings{}, texts: map[uint64]string{},
-		rec: shadow.NewRecording(len(l.profile.Deployment.Handlers)), retired: make([]bool, len(l.profile.Deployment.Handlers)),
+	f := &fleetPart{own: o, base: l.settings.Deployment, plans: map[uint64]*overlay.Settings{}, texts: map[uint64]string{},
+		rec: shadow.NewRecording(len(l.settings.Deployment.Handlers)), retired: make([]bool, len(l.settings.Deployment.Handlers)),
 		meter: zones.NewMeter(steadyMS(), l.values())}
 	var nonce [12]byte
 	rand.Read(nonce[:]) // never fails
@@ -112,7 +112,7 @@
 	if plan.Name == "" {
 		plan.Name = l.startup.Name
 	}
-	f.gate = zones.NewGate(len(l.profile.Deployment.Handlers), plan.JitterSeed)
+	f.gate = zones.NewGate(len(l.settings.Deployment.Handlers), plan.JitterSeed)
 	if !config.IsName(plan.Name) {
 		return fmt.Errorf("fleet.name: found %.50q, expected up to 40 letters, digits, '-', '_' and '.'", plan.Name)
 	}
@@ -154,12 +154,12 @@
 		f.plans[at.v.Version], f.texts[at.v.Version] = p, at.text
 	}
 	f.patience = fetchLeast
-	end := func(e jobEnd) { l.put(event{kind: eventFleet, job: &e}) }
+	end := func(e jobEnd) { l.post(event{kind: eventFleet, job: &e}) }
 	f.ask, f.fetch, f.look = newAgent(end), newAgent(end), newAgent(end)
 	l.fleet = f
 	f.gate.SetOrder(steadyMS(), f.m.ZoneOrder())
 	f.fenced = true
-	l.healthy, l.control.ready = false, false // until it may serve
+	l.ready, l.discovery.ready = false, false // until it may serve
 	l.log.Infof("fleet: node %s of zone %s, control at %v", plan.Name, plan.Zone, o.Control)
 	return nil
 }
@@ -174,7 +174,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return overlay.Apply(v.Version, l.profile, doc, l.pools != nil || len(l.startup.own.Pools) > 0)
+	return overlay.Apply(v.Version, l.settings, doc, l.pools != nil || len(l.startup.own.Pools) > 0)
 }
 
 // steer lets the member look at the time and at what came: it is called at the begin of each round and before its
@@ -198,11 +198,11 @@
 	case ok && f.fenced:
 		f.fenced = false
 		l.log.Infof("fleet: serves under version %d", f.m.ActiveVersion())
-		l.Health(l.moduleHealthy)
+		l.Health(l.moduleReady)
 	}
 	if f.alone && f.gate.ContinueAutonomously(now, f.meter.Healthy(now, l.running())) {
 		l.log.Warnf("fleet: alone for long, takes %d of %d of what comes by its own rule", f.gate.Share(), api.FullShare)
-		l.Health(l.moduleHealthy)
+		l.Health(l.moduleReady)
 	}
 	if alone := ok && f.m.Autonomous(now); alone != f.alone {
 		if f.alone = alone; alone {
@@ -216,7 +216,7 @@
 	l.keepOwed(now)
 	if a, no, due := f.m.Heartbeat(now); due {
 		if f.m.ZoneOrder() != nil {
-			a.Load = f.meter.Report(now, l.kernel.stand == kernelLive, float64(l.profile.Deployment.Cores), l.running())
+			a.Load = f.meter.Report(now, l.kernel.state == kernelLive, float64(l.settings.Deployment.Cores), l.running())
 			a.Peers, f.seen = f.seen, nil
 		}
 		body, err := json.Marshal(&a)
@@ -242,7 +242,7 @@
 	}
 	if at = min(max(at, now+1), now+1000); f.armed <= now || at < f.armed {
 		f.armed = at
-		l.deadlines.set(l.now+admission.Time(at-now)*10, dueFleet, 0)
+		l.timers.set(l.now+admission.Time(at-now)*10, timerFleet, 0)
 	}
 }
 
@@ -252,14 +252,14 @@
 	f.fenced = true
 	l.counters.Fenced++
 	l.log.Warnf("fleet: fenced: %s", why)
-	l.Health(l.moduleHealthy)
+	l.Health(l.moduleReady)
 	l.shedHeld()
 }
 
 // running counts the runs under way.
 func (l *loop) running() (n int) {
 	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
-		if l.requests.get(h).run == runGoes {
+		if l.requests.get(h).run == runRunning {
 			n++
 		}
 	}
@@ -268,8 +268,8 @@
 
 // values gives what a req of each handler is worth.
 func (l *loop) values() []float64 {
-	out := make([]float64, len(l.profile.Deployment.Handlers))
-	for i, h := range l.profile.Deployment.Handlers {
+	out := make([]float64, len(l.settings.Deployment.Handlers))
+	for i, h := range l.settings.Deployment.Handlers {
 		out[i] = h.Value
 	}
 	return out
@@ -284,7 +284,7 @@
 	}
 	l.log.Infof("fleet: zones epoch %d: takes %d of %d", f.gate.Epoch(), f.gate.Share(), api.FullShare)
 	if out := f.gate.Evacuated(); out != was {
-		l.Health(l.moduleHealthy)
+		l.Health(l.moduleReady)
 		if out {
 			l.shedHeld()
 		}
@@ -296,7 +296,7 @@
 	if l.fleet == nil || l.fleet.gate.AdmitConnection(steadyMS()) {
 		return true
 	}
-	l.heldDials++
+	l.deferredDials++
 	return false
 }
 
@@ -305,21 +305,21 @@
 	f := l.fleet
 	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
 		r := l.requests.get(h)
-		if r.answered || r.gone || r.run != runNot || r.paused || r.kept != nil && r.kept.stand == keptReads {
+		if r.answered || r.abandoned || r.run != runNotStarted || r.paused || r.kept != nil && r.kept.stand == keptReads {
 			continue
 		}
-		if e := l.keys.find(r.key); r.waits && e != nil && e.fate == fateRuns {
+		if e := l.idempotency.find(r.key); r.awaitsShared && e != nil && e.state == entryRunning {
 			continue // the run whose result it takes goes on
 		}
-		r.waits = false
-		l.next().Gone = append(l.next().Gone, uint32(h))
+		r.awaitsShared = false
+		l.nextRound().Gone = append(l.nextRound().Gone, uint32(h))
 		l.answer(h, r, wire.Response{Status: 503, RetryAfterMS: l.comeBack(&f.spread, 0)})
 	}
 }
 
 // comeBack is a time to come back within the bound of the settings, in ms.
 func (l *loop) comeBack(s *recovery.RetryAfterSpreader, after uint64) int64 {
-	return s.Next(int64(l.profile.MaxPause)/10, int64(min(after, 1e9)))
+	return s.Next(int64(l.settings.MaxPause)/10, int64(min(after, 1e9)))
 }
 
 // takeOver has the module go on under another version. It is between two rounds here.
@@ -331,9 +331,9 @@
 		return
 	}
 	d := *p.Deployment
-	d.Pools, d.Start = l.profile.Deployment.Pools, l.profile.Deployment.Start
-	d.Cold = l.profile.Deployment.Cold
-	l.profile.Deployment = &d
+	d.Pools, d.Start = l.settings.Deployment.Pools, l.settings.Deployment.Start
+	d.Cold = l.settings.Deployment.Cold
+	l.settings.Deployment = &d
 	if l.controller != nil {
 		l.controller.Adopt(&d)
 	}
@@ -374,7 +374,7 @@
 	r, folder := f.kept, f.own.Folder
 	go func() {
 		err := keepRecord(folder, &r)
-		l.put(event{kind: eventFleet, job: &jobEnd{job: &job{what: jobKeep, about: r}, err: err}})
+		l.post(event{kind: eventFleet, job: &jobEnd{job: &job{what: jobKeep, about: r}, err: err}})
 	}()
 }
 
@@ -426,7 +426,7 @@
 			a.close()
 		}
 		e.body = nil
-		l.put(event{kind: eventFleet, job: &e})
+		l.post(event{kind: eventFleet, job: &e})
 	}()
 }
 
@@ -569,13 +569,13 @@
 	f.patience = fetchLeast
 	t := tried{v: v, text: answer.Text, plan: plan}
 	done := func(why error) {
-		l.put(event{kind: eventFleet, job: &jobEnd{job: &job{what: jobTry, about: t}, err: why}})
+		l.post(event{kind: eventFleet, job: &jobEnd{job: &job{what: jobTry, about: t}, err: why}})
 	}
 	if f.decided || f.own.NoTrial {
 		go done(nil)
 		return
 	}
-	base, rec, bounds := *l.profile.Deployment, f.rec.Snapshot(), shadow.Limits{MaxShed: plan.Document.Rollout.MaxShed,
+	base, rec, bounds := *l.settings.Deployment, f.rec.Snapshot(), shadow.Limits{MaxShed: plan.Document.Rollout.MaxShed,
 		MaxLate: plan.Document.Rollout.MaxLate}
 	go func() {
 		started := time.Now()
@@ -625,11 +625,11 @@
 		return 503
 	}
 	var once []byte
-	if l.profile.Deployment.Handlers[handler].Repeat == admission.IdempotencyKeyed {
+	if l.settings.Deployment.Handlers[handler].Repeat == admission.IdempotencyKeyed {
 		once = q.IdempotencyKey
 	}
-	asked := zones.Request{Handler: handler, Value: l.profile.Deployment.Handlers[handler].Value,
-		Hash: zones.RequestHash(once, q.Tenant, q.Caller), IsRetry: q.IsRetry, SeenBefore: key != "" && l.keys.find(key) != nil}
+	asked := zones.Request{Handler: handler, Value: l.settings.Deployment.Handlers[handler].Value,
+		Hash: zones.RequestHash(once, q.Tenant, q.Caller), IsRetry: q.IsRetry, SeenBefore: key != "" && l.idempotency.find(key) != nil}
 	ok, last := f.gate.Admit(now, asked)
 	if !ok {
 		l.counters.Turned++
--- a/internal/node/server/front.go
+++ b/internal/node/server/front.go
@@ -17,25 +17,25 @@
 )
 
 // conn is one connection of a client, as the loop knows it.
-type conn struct {
-	p       *peer
-	open    handle // the request that is being served on it
-	wait    []event
-	since   admission.Time // when it was opened
-	last    admission.Time // when it last carried anything
-	usage   usage
-	ending  bool           // it is to be closed once nothing that was read on it is owed an answer
-	closing bool           // its sending side is shut down, or will be once its last answer is out
-	until   admission.Time // while closing: the other side has so long to close it
-	ended   bool           // this side has closed it
-	passed  admission.Time // it could not be closed for room then
+type connection struct {
+	peer             *peer
+	current          handle // the request that is being served on it
+	pending          []event
+	openedAt         admission.Time // when it was opened
+	lastActive       admission.Time // when it last carried anything
+	usage            connectionUse
+	ending           bool           // it is to be closed once nothing that was read on it is owed an answer
+	closing          bool           // its sending side is shut down, or will be once its last answer is out
+	lingerUntil      admission.Time // while closing: the other side has so long to close it
+	closed           bool           // this side has closed it
+	evictionFailedAt admission.Time // it could not be closed for room then
 }
 
 // usage is what a connection has brought whole so far.
-type usage uint8
+type connectionUse uint8
 
 const (
-	usedForNothing usage = iota
+	usedForNothing connectionUse = iota
 	usedForChecks
 	usedForRequests
 )
@@ -44,13 +44,13 @@
 func (l *loop) serve(ln *listener) {
 	l.listener, l.accepts = ln, true
 	go func() {
-		ln.run(l.enter, func(err error) { l.log.Warnf("accept: %v", err) })
-		l.put(event{kind: eventNoAccept})
+		ln.run(l.acceptConnection, func(err error) { l.log.Warnf("accept: %v", err) })
+		l.post(event{kind: eventNoAccept})
 	}()
 }
 
 // enter has netpoll read a connection that was accepted.
-func (l *loop) enter(fd int) {
+func (l *loop) acceptConnection(fd int) {
 	syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
 	nc, err := netpoll.NewFDConnection(fd)
 	if err != nil { // netpoll has closed the descriptor: it may be another's by now
@@ -59,38 +59,38 @@
 		return
 	}
 	p := newPeer(nc, fd, l)
-	nc.SetWriteTimeout(l.limits.WriteStuck)
+	nc.SetWriteTimeout(l.limits.WriteTimeout)
 	nc.AddCloseCallback(func(netpoll.Connection) error {
 		p.release()
-		l.put(event{kind: eventGone, from: p})
+		l.post(event{kind: eventGone, peer: p})
 		return nil
 	})
-	l.put(event{kind: eventOpen, from: p})
-	nc.SetOnRequest(func(_ context.Context, nc netpoll.Connection) error { return l.heard(p, nc) })
+	l.post(event{kind: eventOpen, peer: p})
+	nc.SetOnRequest(func(_ context.Context, nc netpoll.Connection) error { return l.readConnection(p, nc) })
 	if !nc.IsActive() {
 		nc.Close() // it ended before anybody listened for that
 	}
 }
 
-func (l *loop) opened(p *peer) {
-	h, c, ok := l.conns.take()
+func (l *loop) connectionOpened(p *peer) {
+	h, c, ok := l.connections.take()
 	if !ok { // the listener's bound is below the table's
-		l.log.Errorf("no room in the table for a connection, which has room for %d", l.conns.most)
+		l.log.Errorf("no room in the table for a connection, which has room for %d", l.connections.capacity)
 		p.close()
 		return
 	}
-	p.h, c.p, c.since, c.last, l.lastConnection = h, p, l.now, l.now, l.now
+	p.handle, c.peer, c.openedAt, c.lastActive, l.lastConnection = h, p, l.now, l.now, l.now
 	l.counters.Conns++
-	l.makeRoom()
+	l.evict()
 }
 
-// makeRoom closes the connections that are of least use while there are too many: of those that have said
+// evict closes the connections that are of least use while there are too many: of those that have said
 // nothing whole the oldest, then of those that brought checks only the one idle for longest, then of all.
 // Guards against crowds that say nothing, and callers that keep what they no longer use. What crosses such a
 // close is sent again by its sidecar.
-func (l *loop) makeRoom() {
+func (l *loop) evict() {
 	l.endLingering()
-	for l.conns.n > l.limits.Crowd && l.usable() > l.limits.Crowd {
+	for l.connections.used > l.limits.EvictAbove && l.usable() > l.limits.EvictAbove {
 		c := l.leastUsed()
 		if c == nil {
 			return
@@ -98,19 +98,19 @@
 		if l.closeIdle(c, false) {
 			l.counters.Evicted++
 		} else {
-			c.passed = l.now
+			c.evictionFailedAt = l.now
 		}
 	}
 }
 
 // endLingering closes connections whose other side has had the time to close them, while all places are taken.
 func (l *loop) endLingering() {
-	if l.conns.n < l.limits.Conns {
+	if l.connections.used < l.limits.Connections {
 		return
 	}
-	for h, i := l.conns.next(0); h != 0; h, i = l.conns.next(i) {
-		c := l.conns.get(h)
-		if c.closing && !c.ended && l.now >= c.until-l.limits.Linger+l.limits.LeaveCrosses {
+	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
+		c := l.connections.get(h)
+		if c.closing && !c.closed && l.now >= c.lingerUntil-l.limits.LingerTimeout+l.limits.CrossingGrace {
 			l.abort(c)
 		}
 	}
@@ -118,8 +118,8 @@
 
 // usable counts the connections that may bring a further request.
 func (l *loop) usable() (n int) {
-	for h, i := l.conns.next(0); h != 0; h, i = l.conns.next(i) {
-		if !l.conns.get(h).closing {
+	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
+		if !l.connections.get(h).closing {
 			n++
 		}
 	}
@@ -127,17 +127,17 @@
 }
 
 // leastUsed finds the idle connection whose close costs least, if there is one.
-func (l *loop) leastUsed() (out *conn) {
-	for h, i := l.conns.next(0); h != 0; h, i = l.conns.next(i) {
-		c := l.conns.get(h)
-		least := l.limits.IdleLeast
+func (l *loop) leastUsed() (out *connection) {
+	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
+		c := l.connections.get(h)
+		least := l.limits.EvictionMinIdle
 		if c.usage == usedForNothing {
-			least = l.limits.SilentLeast
+			least = l.limits.EvictionMinAge
 		}
-		if c.closing || c.passed == l.now || c.owes() || l.now-c.last < least {
+		if c.closing || c.evictionFailedAt == l.now || c.owesAnswer() || l.now-c.lastActive < least {
 			continue
 		}
-		if out == nil || c.usage < out.usage || c.usage == out.usage && c.last < out.last {
+		if out == nil || c.usage < out.usage || c.usage == out.usage && c.lastActive < out.lastActive {
 			out = c
 		}
 	}
@@ -145,12 +145,14 @@
 }
 
 // owes tells whether a request that was read on the connection has no answer yet.
-func (c *conn) owes() bool { return c.open != 0 || len(c.wait) > 0 || c.p.ahead.Load() > 0 }
+func (c *connection) owesAnswer() bool {
+	return c.current != 0 || len(c.pending) > 0 || c.peer.pipelined.Load() > 0
+}
 
 // closeIdle begins the end of a connection on which nothing is owed, unless something is on its way: a request
 // that is handed over and not taken, or bytes that are not read. With force only what was read whole counts.
-func (l *loop) closeIdle(c *conn, force bool) bool {
-	if c.closing || c.owes() || !c.p.seal(force) {
+func (l *loop) closeIdle(c *connection, force bool) bool {
+	if c.closing || c.owesAnswer() || !c.peer.seal(force) {
 		return false
 	}
 	l.finish(c)
@@ -158,117 +160,117 @@
 }
 
 // finish ends a connection whose reading is sealed: its sending side is shut down after what waits to go out.
-func (l *loop) finish(c *conn) {
+func (l *loop) finish(c *connection) {
 	c.closing = true
-	c.until = l.now + l.limits.Linger
-	c.p.finish()
+	c.lingerUntil = l.now + l.limits.LingerTimeout
+	c.peer.finish()
 }
 
 // abort closes a connection at once: on which nothing is owed, or whose other side takes nothing.
-func (l *loop) abort(c *conn) {
-	c.closing, c.ended = true, true
-	l.passOver(c)
-	c.p.close()
+func (l *loop) abort(c *connection) {
+	c.closing, c.closed = true, true
+	l.dropPending(c)
+	c.peer.close()
 }
 
 // sweep looks over all connections: those whose other side should have closed them, those that don't get to
 // the end of a message, and those idle for as long as the module lets them be.
 func (l *loop) sweep(at admission.Time) {
-	if l.now-at >= l.limits.Sweep {
+	if l.now-at >= l.limits.SweepInterval {
 		return // this process stood still: what came meanwhile is not read yet
 	}
-	l.makeRoom()
-	for h, i := l.conns.next(0); h != 0; h, i = l.conns.next(i) {
-		l.sweepConn(h, l.conns.get(h))
+	l.evict()
+	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
+		l.sweepConn(h, l.connections.get(h))
 	}
 }
 
-func (l *loop) sweepConn(h handle, c *conn) {
-	half := admission.Time(c.p.half.Load())
+func (l *loop) sweepConn(h handle, c *connection) {
+	half := admission.Time(c.peer.incompleteSince.Load())
 	switch {
 	case c.closing:
-		if !c.ended && l.now >= c.until {
+		if !c.closed && l.now >= c.lingerUntil {
 			l.abort(c)
 		}
-	case c.owes():
-	case half != 0 && l.now-max(half, c.last) >= l.limits.FirstWord:
-		if !c.p.seal(true) {
+	case c.owesAnswer():
+	case half != 0 && l.now-max(half, c.lastActive) >= l.limits.MessageTimeout:
+		if !c.peer.seal(true) {
 			return // more of it is being read at this moment
 		}
 		l.counters.Silent++
-		l.reply(c, h, wire.Response{Status: l.bad("a message does not get to its end"), Close: true})
+		l.sendResponse(c, h, wire.Response{Status: l.badRequest("a message does not get to its end"), Close: true})
 	case c.ending:
-		l.closeIdle(c, l.now-c.last >= l.limits.Linger)
-	case c.usage == usedForNothing && l.now-c.since >= l.limits.FirstWord:
+		l.closeIdle(c, l.now-c.lastActive >= l.limits.LingerTimeout)
+	case c.usage == usedForNothing && l.now-c.openedAt >= l.limits.MessageTimeout:
 		if l.closeIdle(c, false) {
 			l.counters.Silent++
 		}
-	case half == 0 && l.now-c.last >= l.idleMost(c):
+	case half == 0 && l.now-c.lastActive >= l.maxIdle(c):
 		l.closeIdle(c, false)
 	}
 }
 
-// idleMost is how long a connection may be idle.
-func (l *loop) idleMost(c *conn) admission.Time {
+// maxIdle is how long a connection may be idle.
+func (l *loop) maxIdle(c *connection) admission.Time {
 	if c.usage == usedForChecks {
-		return min(l.idleClose, l.limits.CheckIdle)
+		return min(l.idleClose, l.limits.HealthCheckIdleTimeout)
 	}
 	return l.idleClose
 }
 
 // flooded takes word that more comes on a sealed connection than is borne: it is closed, but not before what
 // was read on it has its answer.
-func (l *loop) flooded(p *peer) {
-	if c := l.conns.get(p.h); c != nil && c.closing && !c.ended {
+func (l *loop) connectionFlooded(p *peer) {
+	if c := l.connections.get(p.handle); c != nil && c.closing && !c.closed {
 		l.abort(c)
 	}
 }
 
 // left takes the end of a connection: whoever waited for an answer on it is gone.
-func (l *loop) left(p *peer) {
+func (l *loop) connectionClosed(p *peer) {
 	if l.listener != nil {
 		l.listener.release() // not before: the table's slot is free from here on
 	}
-	c := l.conns.get(p.h)
+	c := l.connections.get(p.handle)
 	if c == nil {
 		return
 	}
-	l.passOver(c)
-	open := c.open
-	l.conns.drop(p.h)
-	p.h = 0
+	l.dropPending(c)
+	open := c.current
+	l.connections.drop(p.handle)
+	p.handle = 0
 	p.close()
 	if r := l.requests.get(open); r != nil && !r.answered {
-		r.gone = true
+		r.abandoned = true
 		l.trace(r, "gone")
-		r.waits = false
+		r.awaitsShared = false
 		l.counters.Gone++
-		l.next().Gone = append(l.next().Gone, uint32(open))
-		l.finishedRequests = append(l.finishedRequests, open)
+		l.nextRound().Gone = append(l.nextRound().Gone, uint32(open))
+		l.maybeFinished = append(l.maybeFinished, open)
 	}
 }
 
 // came takes a message of a connection, or word that what came is none.
-func (l *loop) came(e event) {
-	c := l.conns.get(e.from.h)
+func (l *loop) messageReceived(e event) {
+	c := l.connections.get(e.peer.handle)
 	if c == nil || c.closing {
 		l.pool.put(e.buf)
 		return
 	}
-	c.last = l.now
-	if c.open != 0 || len(c.wait) > 0 {
-		c.wait = append(c.wait, e)
+	c.lastActive = l.now
+	if c.current != 0 || len(c.pending) > 0 {
+		c.pending = append(c.pending, e)
 		return
 	}
-	l.begin(c, e)
+	l.serveMessage(c, e)
 }
 
 // begin starts on the next message of a connection.
-func (l *loop) begin(c *conn, e event) {
-	h := e.from.h
-	e.from.ahead.Add(-1)
+func (l *loop) serveMessage(c *connection, e event) {
+	h := e.peer.handle
+	e.peer.pipelined.Add(-1)
 	if e.kind == eventBad {
-		l.reply(c, h, l.refusal(e.err))
+		l.sendResponse(c, h, l.unreadableResponse(e.err))
 		return
 	}
 	a := wire.Response{Close: e.request.Close}
@@ -276,42 +278,42 @@
 	case path == "/health" && method == "GET":
 		l.counters.Checks++
 		c.usage = max(c.usage, usedForChecks)
-		if a.Status = 200; !l.healthy {
+		if a.Status = 200; !l.ready {
 			a.Status = 503
 		}
 		if l.kept != nil && l.kept.mode != keptWell {
 			a.Body = []byte("kept results: " + l.kept.mode + "\n")
 		}
 	case len(path) > 5 && path[:5] == "/rpc/" && method == "POST":
-		if a.Status = l.take(c, e, path[5:], &a); a.Status != 400 {
+		if a.Status = l.receiveRequest(c, e, path[5:], &a); a.Status != 400 {
 			c.usage = usedForRequests
 		}
 		if a.Status == 0 {
 			return
 		}
-		l.sayWhenToComeBack(&a)
+		l.addRetryAfter(&a)
 	default:
-		a.Status = l.bad("%s of path %q", method, path)
+		a.Status = l.badRequest("%s of path %q", method, path)
 	}
 	a.Close = a.Close || a.Status == 400
 	l.pool.put(e.buf)
-	l.reply(c, h, a)
+	l.sendResponse(c, h, a)
 }
 
 // refusal answers what could not be read.
-func (l *loop) refusal(err error) wire.Response {
+func (l *loop) unreadableResponse(err error) wire.Response {
 	if errors.Is(err, errNoBuffer) { // its sender has done nothing wrong
 		l.counters.Shed++
 		a := wire.Response{Status: 503, Close: true}
-		l.sayWhenToComeBack(&a)
+		l.addRetryAfter(&a)
 		return a
 	}
-	return wire.Response{Status: l.bad("%v", err), Close: true}
+	return wire.Response{Status: l.badRequest("%v", err), Close: true}
 }
 
-// sayWhenToComeBack gives a refusal that the module was not asked about a time to come back, where the settings allow
+// addRetryAfter gives a refusal that the module was not asked about a time to come back, where the settings allow
 // one.
-func (l *loop) sayWhenToComeBack(a *wire.Response) {
+func (l *loop) addRetryAfter(a *wire.Response) {
 	if a.Status == 503 && a.RetryAfterMS == 0 {
 		a.RetryAfterMS = l.comeBack(&l.refusals, 0)
 	}
@@ -319,13 +321,13 @@
 
 // reply sends an answer on a connection and goes on to what else it has brought. What was read before a
 // connection is to be closed is still answered on it: only the last answer says that it closes.
-func (l *loop) reply(c *conn, h handle, a wire.Response) {
-	c.open, c.last = 0, l.now
+func (l *loop) sendResponse(c *connection, h handle, a wire.Response) {
+	c.current, c.lastActive = 0, l.now
 	c.ending = c.ending || a.Close || l.draining
-	a.Close = c.ending && !c.owes() && c.p.seal(false)
-	a.OverloadSignal, a.HasOverloadSignal = l.hint, l.hasHint
+	a.Close = c.ending && !c.owesAnswer() && c.peer.seal(false)
+	a.OverloadSignal, a.HasOverloadSignal = l.overloadSignal, l.hasOverloadSignal
 	l.scratch = wire.AppendResponse(l.scratch[:0], a)
-	if !c.p.send(l.scratch, l.limits.ConnQueue) {
+	if !c.peer.send(l.scratch, l.limits.ConnectionQueue) {
 		l.abort(c) // it takes nothing: given up
 		return
 	}
@@ -333,17 +335,17 @@
 		l.finish(c)
 		return
 	}
-	if len(c.wait) > 0 {
-		e := c.wait[0]
-		c.wait = append(c.wait[:0], c.wait[1:]...)
-		l.begin(c, e)
+	if len(c.pending) > 0 {
+		e := c.pending[0]
+		c.pending = append(c.pending[:0], c.pending[1:]...)
+		l.serveMessage(c, e)
 	}
 }
 
-// passOver lets go of what a connection has brought and no answer will go out for.
-func (l *loop) passOver(c *conn) {
-	for _, e := range c.wait {
+// dropPending lets go of what a connection has brought and no answer will go out for.
+func (l *loop) dropPending(c *connection) {
+	for _, e := range c.pending {
 		l.pool.put(e.buf)
 	}
-	c.wait = nil
+	c.pending = nil
 }
--- a/internal/node/server/kept.go
+++ b/internal/node/server/kept.go
@@ -69,7 +69,7 @@
 	// All keys are looked at over so many sweeps, some seconds, by steps of some microseconds; so many a sweep at most.
 	keptSweeps = 40
 	keptSteps  = 128
-	// Results that wait to be read; past it a known key's try is errored.
+	// ResultBytes that wait to be read; past it a known key's try is errored.
 	keptReaders = 256
 	// Of a segment; what is over goes by whole ones.
 	keptSegment = 8 << 20
@@ -111,8 +111,8 @@
 // openKept reads the folder, off the loop.
 func (l *loop) openKept(after time.Duration) {
 	own, window := l.kept.own, uint64(0)
-	for i := range l.profile.Deployment.Handlers {
-		window = max(window, keptWindow(&l.profile.Deployment.Handlers[i]))
+	for i := range l.settings.Deployment.Handlers {
+		window = max(window, keptWindow(&l.settings.Deployment.Handlers[i]))
 	}
 	go func() {
 		time.Sleep(after)
@@ -126,7 +126,7 @@
 			store, book, found, err = resultstore.Open(wal.Dir(own.Folder), sizes, resultstore.Limits{Keys: own.Entries, Bytes: most,
 				ResultBytes: own.Result, LongestWindow: window}, now, boot)
 		}
-		l.put(event{kind: eventKept, then: func() { l.keptOpened(store, book, found, err) }})
+		l.post(event{kind: eventKept, then: func() { l.keptOpened(store, book, found, err) }})
 	}()
 }
 
@@ -158,12 +158,12 @@
 	k.early = nil
 	for _, h := range early {
 		r := l.requests.get(h)
-		if r == nil || r.kept == nil || r.kept.stand != keptEarly || r.answered || r.gone {
+		if r == nil || r.kept == nil || r.kept.stand != keptEarly || r.answered || r.abandoned {
 			continue
 		}
 		r.kept.stand = keptFree
 		if !l.keptWord(h, r) {
-			l.admit(&r.kept.admit)
+			l.submit(&r.kept.admit)
 		}
 	}
 }
@@ -227,16 +227,16 @@
 func (l *loop) keptDoor(h handle, r *request, a *wire.Response) int {
 	k, q := l.kept, r.kept
 	if k.book == nil {
-		if k.broken == nil && len(k.early) < l.requests.most/4 {
+		if k.broken == nil && len(k.early) < l.requests.capacity/4 {
 			q.stand, k.early = keptEarly, append(k.early, h)
-			l.deadlines.set(min(l.now+keptPatience, l.lastMoment(r)), dueKept, h)
+			l.timers.set(min(l.now+keptPatience, l.lastMoment(r)), timerResultStore, h)
 			return 0
 		}
 		return l.keptBlind(q, a)
 	}
 	v, place := l.keptTry(q)
 	if v == resultstore.ReturnResult {
-		if e := l.keys.find(r.key); e != nil && r.earliest < e.until && (e.kept || e.fate < fateDone) {
+		if e := l.idempotency.find(r.key); e != nil && r.earliestArrival < e.until && (e.hasResult || e.state < entryDone) {
 			return 0 // it is at hand, or on its way
 		}
 	}
@@ -281,9 +281,9 @@
 
 // lastMoment is by when a req has its answer that waits for the disk.
 func (l *loop) lastMoment(r *request) admission.Time {
-	at := r.due
+	at := r.deadline
 	if l.draining {
-		at = min(at, l.killAt)
+		at = min(at, l.answerBy)
 	}
 	return at - keptSpare
 }
@@ -295,14 +295,14 @@
 	select {
 	case k.reads <- func() {
 		result, err := store.ReadResult(place)
-		l.put(event{kind: eventKept, then: func() { l.keptFound(h, result, err) }})
+		l.post(event{kind: eventKept, then: func() { l.keptFound(h, result, err) }})
 	}:
 	default:
 		k.errs++
 		return 500
 	}
 	r.kept.stand = keptReads
-	l.deadlines.set(l.lastMoment(r), dueKept, h)
+	l.timers.set(l.lastMoment(r), timerResultStore, h)
 	return 0
 }
 
@@ -319,7 +319,7 @@
 		return
 	}
 	l.kept.answers++
-	if !r.answered && !r.gone {
+	if !r.answered && !r.abandoned {
 		l.counters.Shared++
 	}
 	l.answer(h, r, wire.Response{Status: 200, Body: result})
@@ -328,7 +328,7 @@
 // keptLate answers what waited for the disk until its last moment.
 func (l *loop) keptLate(h handle) {
 	r := l.requests.get(h)
-	if r == nil || r.kept == nil || r.answered || r.gone {
+	if r == nil || r.kept == nil || r.answered || r.abandoned {
 		return
 	}
 	switch r.kept.stand {
@@ -350,7 +350,7 @@
 	}
 	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
 		if r := l.requests.get(h); r.kept != nil && r.kept.stand != keptFree && !r.answered {
-			l.deadlines.set(l.lastMoment(r), dueKept, h)
+			l.timers.set(l.lastMoment(r), timerResultStore, h)
 		}
 	}
 }
@@ -358,7 +358,7 @@
 // write hands a record over; then hears whether it is durable.
 func (k *keptPart) write(l *loop, rec resultstore.Record, then func(err error)) bool {
 	ok := k.store.Append(rec, func(place uint64, err error) {
-		l.put(event{kind: eventKept, then: func() {
+		l.post(event{kind: eventKept, then: func() {
 			k.waits = k.waits[1:]
 			if err == nil {
 				k.next = max(k.next, place+1)
@@ -391,7 +391,7 @@
 	switch v {
 	case resultstore.Execute:
 		k.point("intent")
-		rec := k.book.Begin(steadyMS(), q.key, q.body, keptWindow(&l.profile.Deployment.Handlers[r.handler]))
+		rec := k.book.Begin(steadyMS(), q.key, q.body, keptWindow(&l.settings.Deployment.Handlers[r.handler]))
 		q.stand = keptIntends
 		if k.write(l, rec, func(err error) { l.intended(h, err) }) {
 			l.trace(r, "intent on its way")
@@ -438,10 +438,10 @@
 	default:
 		r.kept.runs = true
 		l.kept.point("durable")
-		l.sched(r)
+		l.sendRun(r)
 		l.kept.point("sched")
 		if r.paused {
-			l.preempt(r)
+			l.sendStop(r)
 		}
 	}
 }
@@ -480,7 +480,7 @@
 		if q.stand = keptEnds; k.without("result") {
 			l.keptDone(h, key, true, rec.Result)
 		}
-		l.deadlines.set(l.lastMoment(r), dueKept, h)
+		l.timers.set(l.lastMoment(r), timerResultStore, h)
 		return true, false
 	}
 	// That it failed need not be durable before it is told: without that record it may have run, which is errored too.
@@ -500,8 +500,8 @@
 			l.answer(h, r, wire.Response{Status: 500})
 		}
 	}
-	for _, w := range l.keys.ended(key, uint32(h), ok, result) {
-		l.shareEnded(w, ok, result)
+	for _, w := range l.idempotency.runEnded(key, uint32(h), ok, result) {
+		l.sharedResultReady(w, ok, result)
 	}
 }
 
@@ -526,7 +526,7 @@
 			store := k.store
 			go func() {
 				err := store.ReleaseBefore(first)
-				l.put(event{kind: eventKept, then: func() {
+				l.post(event{kind: eventKept, then: func() {
 					if k.frees = false; err != nil {
 						l.logf("kept results: what is over can't be let go of: %v", err)
 					}
@@ -603,7 +603,7 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(durationOf(l.killAt+l.killMargin/2) - l.clock.Now()):
+	case <-time.After(durationOf(l.answerBy+l.killMargin/2) - l.clock.Now()):
 		l.log.Warn("kept results: the disk did not take all in time; what is missing may have run")
 	}
 }
--- a/internal/node/server/kept_test.go
+++ b/internal/node/server/kept_test.go
@@ -52,8 +52,8 @@
 func keptLoop(t *testing.T, d *heldDisk) *loop {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &loop{log: log, events: make(chan event, 64), requests: newTable[request](8), conns: newTable[conn](2), names: []string{"put"},
-		keys: newKeys(10, 1000, 50), limits: NewLimits(1, 64, 256), profile: &settings.Profile{Deployment: &admission.Deployment{
+	l := &loop{log: log, events: make(chan event, 64), requests: newTable[request](8), connections: newTable[connection](2), names: []string{"put"},
+		idempotency: newIdempotencyTable(10, 1000, 50), limits: NewLimits(1, 64, 256), settings: &settings.Profile{Deployment: &admission.Deployment{
 			MaxPause: 5 * admission.Second, Handlers: []admission.Handler{{Window: admission.Second, Repeat: admission.IdempotencyKeyed}}}}}
 	l.startClock(admission.Second)
 	l.kept = &keptPart{own: &config.Kept{Entries: 100, MB: 1, Result: 100}, reads: make(chan func(), 1)}
@@ -69,7 +69,7 @@
 // takes is a try that has its slot.
 func (l *loop) takes(key string) (handle, *request) {
 	h, r, _ := l.requests.take()
-	*r = request{kept: keptName("put", nil, []byte(key), []byte("body")), run: runGoes, came: l.now, due: l.now + 2*admission.Second}
+	*r = request{kept: keptName("put", nil, []byte(key), []byte("body")), run: runRunning, arrival: l.now, deadline: l.now + 2*admission.Second}
 	return h, r
 }
 
@@ -92,7 +92,7 @@
 	d.gate = make(chan struct{})
 	h, r := l.takes("a")
 	l.intend(h, r)
-	if r.schedNo != 0 || r.kept.stand != keptIntends {
+	if r.runCommand != 0 || r.kept.stand != keptIntends {
 		t.Fatal("it went to the kernel before its intent was durable")
 	}
 	l.now += keptStall + 1
@@ -105,8 +105,8 @@
 	close(d.gate)
 	l.hears(t)
 	r = l.requests.get(h) // the table may have grown
-	if r.schedNo != 0 || r.run != runOver || len(l.next().Ended) != 1 || l.next().Ended[0].How != admission.Unrun {
-		t.Errorf("what was answered meanwhile ran: %+v, ends %v", r, l.next().Ended)
+	if r.runCommand != 0 || r.run != runFinished || len(l.nextRound().Ended) != 1 || l.nextRound().Ended[0].How != admission.Unrun {
+		t.Errorf("what was answered meanwhile ran: %+v, ends %v", r, l.nextRound().Ended)
 	}
 	l.hears(t) // its intent is closed
 	if s := l.kept.book.Lookup(steadyMS(), r.kept.key); s != resultstore.Unknown || l.kept.mode != keptWell {
@@ -122,7 +122,7 @@
 	h, r := l.takes("ran")
 	l.intend(h, r)
 	l.hears(t)
-	if r.schedNo == 0 {
+	if r.runCommand == 0 {
 		t.Fatal("its intent is durable, and it did not go out")
 	}
 	d.fails.Store(true)
@@ -140,7 +140,7 @@
 	}
 	h3, held := l.takes("held") // it passed the door before
 	l.intend(h3, held)
-	if held.schedNo != 0 || held.run != runOver || l.counters.Shed != 2 {
+	if held.runCommand != 0 || held.run != runFinished || l.counters.Shed != 2 {
 		t.Error("it ran on a disk that fails")
 	}
 	d.fails.Store(false)
@@ -155,7 +155,7 @@
 		t.Fatal("not let in")
 	}
 	l.hears(t)
-	if again.schedNo == 0 {
+	if again.runCommand == 0 {
 		t.Error("it does not run, and the disk is well")
 	}
 }
@@ -169,10 +169,10 @@
 	l.hears(t)
 	d.gate = make(chan struct{})
 	l.runEnded(h, r, admission.OK, 1, []byte("result"))
-	l.draining, l.killAt = true, l.now+admission.Second/10
+	l.draining, l.answerBy = true, l.now+admission.Second/10
 	l.keptLeaves()
-	l.now = l.killAt - keptSpare
-	l.fire()
+	l.now = l.answerBy - keptSpare
+	l.fireTimers()
 	if !r.answered || l.counters.Errored != 1 {
 		t.Fatal("not answered before the kill")
 	}
@@ -198,19 +198,19 @@
 		t.Fatal("it does not wait")
 	}
 	l.now = at + keptPatience - 1
-	l.fire()
+	l.fireTimers()
 	if r.answered {
 		t.Fatal("answered too soon")
 	}
 	l.now = at + keptPatience
-	if l.fire(); !r.answered || l.counters.Shed != 1 {
+	if l.fireTimers(); !r.answered || l.counters.Shed != 1 {
 		t.Fatal("it waits for too long")
 	}
 	h, r = l.takes("b")
 	r.kept.admit.ID = uint32(h)
 	l.keptWord(h, r)
 	l.keptOpened(k.store, book, resultstore.Recovery{}, nil)
-	if in := l.next().Arrived; len(in) != 1 || in[0].ID != uint32(h) || l.requests.get(h).answered {
+	if in := l.nextRound().Arrived; len(in) != 1 || in[0].ID != uint32(h) || l.requests.get(h).answered {
 		t.Errorf("%v came to the module, expected the one that waited", in)
 	}
 	k.book = nil
@@ -242,8 +242,8 @@
 		h, r := l.takes("a")
 		r.kept = keptName("put", nil, []byte("a"), []byte(c.body))
 		l.intend(h, r)
-		if r.schedNo != 0 || r.run != runOver || l.counters.Shed != c.shed || l.counters.Errored != c.failed {
-			t.Errorf("%s: sent as %d, %d shed, %d errored, expected %d, %d", c.body, r.schedNo, l.counters.Shed, l.counters.Errored, c.shed, c.failed)
+		if r.runCommand != 0 || r.run != runFinished || l.counters.Shed != c.shed || l.counters.Errored != c.failed {
+			t.Errorf("%s: sent as %d, %d shed, %d errored, expected %d, %d", c.body, r.runCommand, l.counters.Shed, l.counters.Errored, c.shed, c.failed)
 		}
 		if is := l.kept.book.Lookup(steadyMS(), r.kept.key); is != first || is != resultstore.Running {
 			t.Errorf("%s: the one that runs is %s, expected it %s", c.body, is, first)
--- a/internal/node/server/link.go
+++ b/internal/node/server/link.go
@@ -25,31 +25,31 @@
 )
 
 const (
-	toKernel = iota
-	toStore
-	toControl
+	peerKernel = iota
+	peerStore
+	peerDiscovery
 )
 
 // line is one dial and the connection that came of it.
-type line struct {
-	which  int
-	wire   handle  // the store's, where it is one of those
-	writer *writer // nil until it is open
-	err    error   // it ended, maybe before the loop had heard that it began
-	parser parser
+type dialed struct {
+	peer      int
+	storeConn handle  // the store's, where it is one of those
+	writer    *writer // nil until it is open
+	err       error   // it ended, maybe before the loop had heard that it began
+	parser    parser
 }
 
 // backoff is the wait before the next dial to one address.
 type backoff struct {
-	wait  admission.Time
-	again admission.Time // not before then
+	delay     admission.Time
+	notBefore admission.Time // not before then
 }
 
 // failed doubles the wait. Half of it is left to chance, so that servers which lost the same peer at the same
 // moment do not come back to it together.
 func (b *backoff) failed(l *loop) {
-	b.wait = min(max(2*b.wait, l.limits.RetryLeast), l.limits.RetryMost)
-	b.again = l.now + b.wait/2 + admission.Time(rand.Int64N(int64(b.wait/2)+1))
+	b.delay = min(max(2*b.delay, l.limits.MinBackoff), l.limits.MaxBackoff)
+	b.notBefore = l.now + b.delay/2 + admission.Time(rand.Int64N(int64(b.delay/2)+1))
 }
 
 // dialer opens a connection; a seam for tests.
@@ -62,55 +62,55 @@
 // link is the one line to kernel or control plane, replaced when it ends.
 type link struct {
 	backoff
-	which  int
-	what   string
-	addr   string
-	line   *line          // open, or being dialled; nil while down
-	armed  admission.Time // the last time for which a deadline was set
-	retry  what
-	parser parser
+	peer     int
+	name     string
+	addr     string
+	dialed   *dialed        // open, or being dialled; nil while down
+	armedFor admission.Time // the last time for which a deadline was set
+	retry    timerKind
+	parser   parser
 }
 
-func (k *link) up() bool { return k.line != nil && k.line.writer != nil }
+func (k *link) up() bool { return k.dialed != nil && k.dialed.writer != nil }
 
 // dial opens a link unless that goes on already or its wait is not over.
 func (l *loop) dial(k *link) {
-	if k.line != nil || k.addr == "" {
+	if k.dialed != nil || k.addr == "" {
 		return
 	}
-	if l.now < k.again {
+	if l.now < k.notBefore {
 		// Guards against a deadline more for every report that finds the link down: one is enough.
-		if k.armed != k.again {
-			k.armed = k.again
-			l.deadlines.set(k.again, k.retry, 0)
+		if k.armedFor != k.notBefore {
+			k.armedFor = k.notBefore
+			l.timers.set(k.notBefore, k.retry, 0)
 		}
 		return
 	}
-	k.line = &line{which: k.which, parser: k.parser}
-	l.open(k.line, k.addr)
+	k.dialed = &dialed{peer: k.peer, parser: k.parser}
+	l.open(k.dialed, k.addr)
 }
 
 // open dials a line; what comes of it is handed over under its name.
-func (l *loop) open(n *line, addr string) {
+func (l *loop) open(n *dialed, addr string) {
 	go func() {
-		c, err := l.dialTo(addr, l.limits.Dial)
+		c, err := l.dialTo(addr, l.limits.DialTimeout)
 		if err != nil {
-			l.put(event{kind: eventDialled, line: n, err: err})
+			l.post(event{kind: eventDialled, dialed: n, err: err})
 			return
 		}
-		c.SetWriteTimeout(l.limits.WriteStuck)
+		c.SetWriteTimeout(l.limits.WriteTimeout)
 		in := &intake{pool: &l.pool}
-		down := func(err error) { l.put(event{kind: eventDown, line: n, err: err}) }
+		down := func(err error) { l.post(event{kind: eventDown, dialed: n, err: err}) }
 		c.AddCloseCallback(func(netpoll.Connection) error {
 			in.drop()
 			down(errClosed)
 			return nil
 		})
-		l.put(event{kind: eventDialled, line: n, conn: c})
+		l.post(event{kind: eventDialled, dialed: n, conn: c})
 		c.SetOnRequest(func(_ context.Context, c netpoll.Connection) error {
 			err := in.read(c.Reader(), n.parser, func(e event) {
-				e.line = n
-				l.put(e)
+				e.dialed = n
+				l.post(e)
 			})
 			if err != nil {
 				down(err)
@@ -125,23 +125,23 @@
 }
 
 func (l *loop) linkOf(which int) *link {
-	if which == toKernel {
+	if which == peerKernel {
 		return &l.kernel.link
 	}
-	return &l.control.link
+	return &l.discovery.link
 }
 
 // lined takes news of a line, unless its owner has let go of it.
-func (l *loop) lined(e event) {
-	n := e.line
+func (l *loop) linkEvent(e event) {
+	n := e.dialed
 	if e.kind == eventDown && n.err == nil {
 		n.err = e.err
 	}
 	var w *storeConnection
-	if n.which == toStore {
-		w = l.store.wires.get(n.wire)
+	if n.peer == peerStore {
+		w = l.store.connections.get(n.storeConn)
 	}
-	if n.which == toStore && w == nil || n.which != toStore && l.linkOf(n.which).line != n {
+	if n.peer == peerStore && w == nil || n.peer != peerStore && l.linkOf(n.peer).dialed != n {
 		if e.conn != nil {
 			e.conn.Close() // dialled for an address that was replaced meanwhile
 		}
@@ -153,65 +153,65 @@
 			e.err = n.err
 		}
 		if e.err == nil {
-			n.writer = &writer{c: e.conn, pool: &l.pool, workers: l.workers, busy: &l.busy}
-			l.lineUp(n, w)
+			n.writer = &writer{conn: e.conn, pool: &l.pool, workers: l.workers, busy: &l.busy}
+			l.linkOpened(n, w)
 			return
 		}
 		if e.conn != nil {
 			e.conn.Close()
 		}
-		l.lineLost(n, w, e.err)
+		l.linkLost(n, w, e.err)
 	case eventDown:
 		if n.writer != nil {
-			l.lineLost(n, w, e.err)
+			l.linkLost(n, w, e.err)
 		}
 	case eventNotice:
-		l.noticed(*e.notice)
+		l.kernelEvent(*e.notice)
 	case eventReply:
-		l.replied(n.wire, w, e.reply)
+		l.callReplied(n.storeConn, w, e.reply)
 	case eventReport:
-		l.reported(e.status)
+		l.reportAnswered(e.status)
 	}
 }
 
-func (l *loop) lineUp(n *line, w *storeConnection) {
-	switch n.which {
-	case toKernel:
+func (l *loop) linkOpened(n *dialed, w *storeConnection) {
+	switch n.peer {
+	case peerKernel:
 		l.counters.KernelLinks++
 		l.kernelUp()
-	case toStore:
+	case peerStore:
 		l.counters.StoreLinks++
-		l.wireUp(n.wire, w)
-	case toControl:
+		l.storeConnected(n.storeConn, w)
+	case peerDiscovery:
 		l.counters.ControlLinks++
 		l.controlUp()
 	}
 }
 
-func (l *loop) lineLost(n *line, w *storeConnection, err error) {
-	if n.which == toStore {
-		l.wireLost(n.wire, w, err)
+func (l *loop) linkLost(n *dialed, w *storeConnection, err error) {
+	if n.peer == peerStore {
+		l.storeConnectionLost(n.storeConn, w, err)
 		return
 	}
-	l.linkDown(l.linkOf(n.which), err)
+	l.closeLink(l.linkOf(n.peer), err)
 }
 
-// linkDown gives up a link, sets the wait before the next dial and tells whoever uses it.
-func (l *loop) linkDown(k *link, err error) {
-	if k.line == nil {
+// closeLink gives up a link, sets the wait before the next dial and tells whoever uses it.
+func (l *loop) closeLink(k *link, err error) {
+	if k.dialed == nil {
 		return
 	}
-	if k.line.writer != nil {
-		k.line.writer.close()
+	if k.dialed.writer != nil {
+		k.dialed.writer.close()
 	}
-	k.line = nil // whatever is still to come of it is late news
+	k.dialed = nil // whatever is still to come of it is late news
 	if err == nil {
 		k.backoff = backoff{} // closed in good order
 	} else {
 		k.failed(l)
-		l.logf("%s link: %v", k.what, err)
+		l.logf("%s link: %v", k.name, err)
 	}
-	if k.which == toKernel {
+	if k.peer == peerKernel {
 		l.kernelDown()
 	} else {
 		l.controlDown()
@@ -224,13 +224,13 @@
 	if k.addr == addr {
 		return
 	}
-	l.logf("%s link: the address is another one now", k.what)
+	l.logf("%s link: the address is another one now", k.name)
 	k.addr, k.backoff = addr, backoff{}
-	if k.line == nil {
+	if k.dialed == nil {
 		l.dial(k)
 		return
 	}
-	l.linkDown(k, nil)
+	l.closeLink(k, nil)
 }
 
 // reload takes a start-up file that was read anew, or word that it can't be used: then the old one stays.
@@ -245,7 +245,7 @@
 	}
 	l.log.Infof("start-up file taken: kernel %s, store %s, control plane %s", c.Kernel, c.Store, c.Control)
 	l.move(&l.kernel.link, c.Kernel)
-	l.move(&l.control.link, c.Control)
+	l.move(&l.discovery.link, c.Control)
 	l.moveStore(c.Store)
 	if !c.own.Fleet.Same(l.startup.own.Fleet) {
 		l.log.Warn("operator's file: [fleet] can't change while the program serves and stays as it was")
--- a/internal/node/server/listener.go
+++ b/internal/node/server/listener.go
@@ -52,14 +52,14 @@
 func listenPatiently(address string, lim Limits, warn func(error)) (*listener, error) {
 	started := time.Now()
 	for try := 0; ; try++ {
-		ln, err := newListener(address, lim.Conns, lim.NoDescriptor)
-		if err == nil || !mayListenLater(err) || time.Since(started) >= lim.Listen {
+		ln, err := newListener(address, lim.Connections, lim.AcceptPause)
+		if err == nil || !mayListenLater(err) || time.Since(started) >= lim.ListenTimeout {
 			return ln, err
 		}
 		if try == 0 {
 			warn(err)
 		}
-		time.Sleep(lim.NoDescriptor)
+		time.Sleep(lim.AcceptPause)
 	}
 }
 
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -47,8 +47,8 @@
 // event is one thing handed over.
 type event struct {
 	kind    eventKind
-	from    *peer
-	line    *line
+	peer    *peer
+	dialed  *dialed
 	conn    netpoll.Connection
 	err     error
 	buf     *buffer
@@ -66,7 +66,7 @@
 	limits   Limits
 	log      *logrus.Logger
 	events   chan event
-	pool     pool
+	pool     bufferPool
 	workers  workers
 	listener *listener
 	accepts  bool         // the listener is open
@@ -81,35 +81,35 @@
 	kept  *keptPart    // nil: results are kept in memory alone
 
 	startup     *Node // the start-up file
-	profile     *settings.Profile
+	settings    *settings.Profile
 	names       []string // of classes
 	controller  *admission.Controller
 	now         admission.Time
 	rounds      [2]admission.Round // one is filled while the other is decided on
-	fill        int
+	filling     int
 	wakePending bool // a wake-up is due and waits for its gauges
 
-	conns            table[conn]
-	requests         table[request]
-	tasks            map[string]handle
-	keys             keys
-	deadlines        deadlines
-	kernel           kernel
-	store            store
-	control          control
-	finishedRequests []handle                    // that may be over
-	refusals         recovery.RetryAfterSpreader // by the loop itself
-	heldDials        uint64                      // connections to the store that the zone's order put off
-	scratch          []byte                      // what is being written
-	relink           bool
+	connections     table[connection]
+	requests        table[request]
+	byRequestID     map[string]handle
+	idempotency     idempotencyTable
+	timers          timers
+	kernel          kernelLink
+	store           storeConnections
+	discovery       discoveryLink
+	maybeFinished   []handle                    // that may be over
+	refusals        recovery.RetryAfterSpreader // by the loop itself
+	deferredDials   uint64                      // connections to the store that the zone's order put off
+	scratch         []byte                      // what is being written
+	reconnectKernel bool
 
-	healthy       bool    // health checks are told
-	moduleHealthy bool    // what the module says of it
-	hint          float64 // the value that answers carry, once the module has said one
-	hasHint       bool
-	idleClose     admission.Time
+	ready             bool    // health checks are told
+	moduleReady       bool    // what the module says of it
+	overloadSignal    float64 // the value that answers carry, once the module has said one
+	hasOverloadSignal bool
+	idleClose         admission.Time
 
-	drain
+	drainState
 	lastRequest    admission.Time // when one last came
 	lastConnection admission.Time // when one last came: its first request may be on its way
 
@@ -120,14 +120,14 @@
 }
 
 // put hands an event over; it waits while the queue is full.
-func (l *loop) put(e event) { l.events <- e }
+func (l *loop) post(e event) { l.events <- e }
 
 // next is the round that is being filled.
-func (l *loop) next() *admission.Round { return &l.rounds[l.fill] }
+func (l *loop) nextRound() *admission.Round { return &l.rounds[l.filling] }
 
 // logf writes a line, but only a few in a second.
 func (l *loop) logf(format string, args ...any) {
-	if l.now-l.logFrom >= l.limits.LogEvery {
+	if l.now-l.logFrom >= l.limits.LogInterval {
 		if l.logged > 20 {
 			l.log.Warnf("%d more lines were left out", l.logged-20)
 		}
@@ -141,7 +141,7 @@
 // trace writes what happens to one req, when asked to by the log's level.
 func (l *loop) trace(r *request, what string, args ...any) {
 	if l.debug {
-		l.log.WithField("req", r.task).Debugf(what, args...)
+		l.log.WithField("req", r.id).Debugf(what, args...)
 	}
 }
 
@@ -160,7 +160,7 @@
 		return err
 	}
 	log.Infof("%s on %s: %g cores, %d MB, %d descriptors, %d connections, %d to the store", c.Name, c.Listen,
-		c.Limits.Cores, lim.MemoryMB, c.Limits.Sockets, lim.Conns, lim.Wires)
+		c.Limits.Cores, lim.MemoryMB, c.Limits.Sockets, lim.Connections, lim.StoreConnections)
 	l := newLoop(c, lim, log)
 	l.workers = workers
 	if err := l.joinFleet(); err != nil {
@@ -179,25 +179,25 @@
 }
 
 func newLoop(c *Node, lim Limits, log *logrus.Logger) *loop {
-	prof := c.prof
+	prof := c.settings
 	late := admission.Time(0)
 	for _, h := range prof.Deployment.Handlers {
 		late = max(late, h.Timeout)
 	}
 	l := &loop{limits: lim, log: log, dialTo: dialTCP, debug: log.IsLevelEnabled(logrus.DebugLevel),
-		events: make(chan event, lim.HandOver), pool: pool{most: lim.Buffers}, timer: time.NewTimer(time.Hour),
-		startup: c, profile: prof,
-		names: make([]string, len(prof.Deployment.Handlers)),
-		conns: newTable[conn](lim.Conns + 8), requests: newTable[request](lim.Reqs), tasks: map[string]handle{},
-		keys: newKeys(lim.Entries, lim.Results, late), healthy: true, moduleHealthy: true,
+		events: make(chan event, lim.EventQueue), pool: bufferPool{capacity: lim.Buffers}, timer: time.NewTimer(time.Hour),
+		startup: c, settings: prof,
+		names:       make([]string, len(prof.Deployment.Handlers)),
+		connections: newTable[connection](lim.Connections + 8), requests: newTable[request](lim.Requests), byRequestID: map[string]handle{},
+		idempotency: newIdempotencyTable(lim.IdempotencyKeys, lim.ResultBytes, late), ready: true, moduleReady: true,
 		// Sidecars close idle connections by themselves; until the module says more this only ends dead ones.
-		idleClose: 2 * max(prof.Idle, 30*admission.Second), drain: drain{stopAfter: admission.Time(c.StopMS) * 10}}
+		idleClose: 2 * max(prof.Idle, 30*admission.Second), drainState: drainState{stopAfter: admission.Time(c.StopMS) * 10}}
 	l.startClock(2 * late)
 	for name, i := range prof.Handlers {
 		l.names[i] = name
 	}
-	bounds := lim.Line
-	l.kernel.link = link{which: toKernel, what: "kernel", addr: c.Kernel, retry: dueKernel,
+	bounds := lim.LinkBounds
+	l.kernel.link = link{peer: peerKernel, name: "kernel", addr: c.Kernel, retry: timerKernelDial,
 		parser: func(b []byte) (e event, n int, err error) {
 			line, n, err := wire.NextLine(b, bounds.HeadBytes)
 			if n == 0 || err != nil {
@@ -206,14 +206,14 @@
 			note, err := wire.ParseKernelEvent(line)
 			return event{kind: eventNotice, notice: &note}, n, err
 		}}
-	l.store = store{addr: c.Store, wires: newTable[storeConnection](lim.Wires),
+	l.store = storeConnections{addr: c.Store, connections: newTable[storeConnection](lim.StoreConnections),
 		parser: func(b []byte) (e event, n int, err error) {
 			e.kind = eventReply
 			e.reply, n, err = wire.ParseCallReply(b, bounds)
 			return e, n, err
 		}}
-	l.control = control{name: c.Name, ready: true, link: link{which: toControl, what: "control", addr: c.Control,
-		retry: dueControl, parser: func(b []byte) (e event, n int, err error) {
+	l.discovery = discoveryLink{name: c.Name, ready: true, link: link{peer: peerDiscovery, name: "control", addr: c.Control,
+		retry: timerDiscoveryDial, parser: func(b []byte) (e event, n int, err error) {
 			e.kind = eventReport
 			e.status, n, err = wire.ParseResponseHead(b, bounds)
 			return e, n, err
@@ -223,11 +223,11 @@
 
 func (l *loop) run() {
 	l.dial(&l.kernel.link)
-	l.deadlines.set(l.now, dueReport, 0)
-	l.deadlines.set(l.now+l.limits.Sweep, dueSweep, 0)
+	l.timers.set(l.now, timerReport, 0)
+	l.timers.set(l.now+l.limits.SweepInterval, timerSweep, 0)
 	for !l.finished() {
 		wait := time.Hour
-		if at, ok := l.deadlines.first(); ok {
+		if at, ok := l.timers.first(); ok {
 			wait = durationOf(at) - l.clock.Now()
 		}
 		l.timer.Reset(wait)
@@ -239,14 +239,14 @@
 		case <-l.timer.C:
 			l.lookAtClock()
 		}
-		for n := 1; n < l.limits.PerRound && len(l.events) > 0; n++ {
+		for n := 1; n < l.limits.EventsPerRound && len(l.events) > 0; n++ {
 			l.handle(<-l.events)
 		}
-		l.fire()
+		l.fireTimers()
 		l.steer()
 		l.decide()
 	}
-	l.log.WithFields(l.fields()).WithField("kill_in_ms", inMS(l.killAt+l.killMargin-max(l.now, timeOf(l.clock.Now())))).Info("counters")
+	l.log.WithFields(l.fields()).WithField("kill_in_ms", milliseconds(l.answerBy+l.killMargin-max(l.now, timeOf(l.clock.Now())))).Info("counters")
 	l.showPools()
 }
 
@@ -254,17 +254,17 @@
 func (l *loop) handle(e event) {
 	switch e.kind {
 	case eventOpen:
-		l.opened(e.from)
+		l.connectionOpened(e.peer)
 	case eventRequest, eventBad:
 		if e.kind == eventRequest {
 			l.lastRequest = l.now
 		}
-		l.came(e)
+		l.messageReceived(e)
 		return // the message's buffer goes with the req
 	case eventGone:
-		l.left(e.from)
+		l.connectionClosed(e.peer)
 	case eventFlood:
-		l.flooded(e.from)
+		l.connectionFlooded(e.peer)
 	case eventNoAccept:
 		l.accepts = false
 	case eventDrain:
@@ -279,55 +279,55 @@
 	case eventKept:
 		e.then()
 	default:
-		l.lined(e)
+		l.linkEvent(e)
 	}
 	l.pool.put(e.buf)
 }
 
 // fire deals with every deadline that has come.
-func (l *loop) fire() {
+func (l *loop) fireTimers() {
 	for {
-		d, ok := l.deadlines.next(l.now)
+		d, ok := l.timers.next(l.now)
 		if !ok {
 			return
 		}
-		switch d.wh {
-		case dueWake:
+		switch d.kind {
+		case timerWake:
 			if l.now-d.at > admission.Second/100 {
 				l.counters.Slow++
 			}
 			l.counters.Wakes++
 			l.wakePending = true
-			l.ask()
-		case dueGauge:
-			if l.now >= l.kernel.askBy {
-				l.ungauged()
+			l.requestGauges()
+		case timerGauges:
+			if l.now >= l.kernel.gaugesBy {
+				l.wakeWithoutGauges()
 			}
-		case dueReplay:
-			l.unreplayed(d.who)
-		case dueCall:
-			l.callLate(d.who)
-		case dueReport:
-			l.report()
-			l.deadlines.set(l.nextReport(), dueReport, 0)
-		case dueKernel:
+		case timerReplay:
+			l.replayTimedOut(d.subject)
+		case timerCall:
+			l.callTimedOut(d.subject)
+		case timerReport:
+			l.sendReport()
+			l.timers.set(l.nextReport(), timerReport, 0)
+		case timerKernelDial:
 			l.dial(&l.kernel.link)
-		case dueControl:
-			l.dial(&l.control.link)
-		case dueSweep:
+		case timerDiscoveryDial:
+			l.dial(&l.discovery.link)
+		case timerSweep:
 			l.sweep(d.at)
-			l.sweepWires()
+			l.closeIdleStoreConnections()
 			l.sweepKept()
-			l.deadlines.set(l.now+l.limits.Sweep, dueSweep, 0)
-		case dueKey:
-			for _, h := range l.keys.expire(d.who, l.now, &l.deadlines) {
-				l.shareEnded(h, false, nil)
+			l.timers.set(l.now+l.limits.SweepInterval, timerSweep, 0)
+		case timerIdempotencyKey:
+			for _, h := range l.idempotency.expire(d.subject, l.now, &l.timers) {
+				l.sharedResultReady(h, false, nil)
 			}
-		case dueLeave:
-			l.leave()
-		case dueKept:
-			l.keptLate(d.who)
-		case dueFleet: // whatever has come is seen by steer
+		case timerDrain:
+			l.drainTick()
+		case timerResultStore:
+			l.keptLate(d.subject)
+		case timerFleet: // whatever has come is seen by steer
 		}
 	}
 }
@@ -335,7 +335,7 @@
 // decide plays rounds until nothing more has come of them.
 func (l *loop) decide() {
 	for {
-		r := l.next()
+		r := l.nextRound()
 		if len(r.Arrived)+len(r.Returned)+len(r.Needs)+len(r.Ended)+len(r.Gone) == 0 && !r.Woke && !r.Drain {
 			break
 		}
@@ -343,17 +343,17 @@
 			*r = admission.Round{}
 			break
 		}
-		l.fill = 1 - l.fill
+		l.filling = 1 - l.filling
 		r.Now = l.now
-		l.arrange(r.Arrived)
+		l.orderArrivals(r.Arrived)
 		l.counters.Rounds++
 		l.controller.Decide(r, l)
 		*r = admission.Round{Arrived: r.Arrived[:0], Returned: r.Returned[:0], Needs: r.Needs[:0],
 			Ended: r.Ended[:0], Gone: r.Gone[:0]}
 	}
-	l.free()
-	if l.relink {
-		l.relink = false
-		l.linkDown(&l.kernel.link, errStuck)
+	l.releaseFinished()
+	if l.reconnectKernel {
+		l.reconnectKernel = false
+		l.closeLink(&l.kernel.link, errStuck)
 	}
 }
--- a/internal/node/server/looptime.go
+++ b/internal/node/server/looptime.go
@@ -40,6 +40,6 @@
 		return 0, 0, false
 	}
 	stamp := time.Duration(unixMilliseconds) * time.Millisecond
-	from, to, ok := l.stamps.Place(durationOf(l.now), stamp, durationOf(l.limits.FutureMost))
+	from, to, ok := l.stamps.Place(durationOf(l.now), stamp, durationOf(l.limits.MaxClockAhead))
 	return timeOf(from), timeOf(to), ok
 }
--- a/internal/node/server/node.go
+++ b/internal/node/server/node.go
@@ -32,8 +32,8 @@
 	} `json:"limits"`
 	Profile json.RawMessage `json:"settings"`
 
-	prof *settings.Profile
-	own  *config.Node // nil: the operator has no file of its own
+	settings *settings.Profile
+	own      *config.Node // nil: the operator has no file of its own
 }
 
 // ReadNode reads the start-up file; name and address of the environment come before the file's.
@@ -58,7 +58,7 @@
 	if err := c.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if c.prof, err = settings.Read(c.Profile); err != nil {
+	if c.settings, err = settings.Read(c.Profile); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return &c, nil
--- a/internal/node/server/peer.go
+++ b/internal/node/server/peer.go
@@ -23,10 +23,10 @@
 // peer is shared by the connection's callbacks and the loop.
 type peer struct {
 	writer
-	fd    int
-	h     handle       // the loop's
-	ahead atomic.Int32 // messages handed over and not begun
-	half  atomic.Int64 // since when a message is not whole; 0: there is none
+	fd              int
+	handle          handle       // the loop's
+	pipelined       atomic.Int32 // messages handed over and not begun
+	incompleteSince atomic.Int64 // since when a message is not whole; 0: there is none
 
 	// intake is held while input is read, never while it is handed over: the loop takes it too, and who hands over
 	// may be waiting for the loop.
@@ -40,15 +40,15 @@
 
 func newPeer(nc netpoll.Connection, fd int, l *loop) *peer {
 	p := &peer{fd: fd, in: intake{pool: &l.pool}}
-	p.writer = writer{c: nc, pool: &l.pool, workers: l.workers, busy: &l.busy, owesAnswers: true, shutDown: p.shutDownWrite}
+	p.writer = writer{conn: nc, pool: &l.pool, workers: l.workers, busy: &l.busy, owesAnswers: true, shutDown: p.shutDownWrite}
 	return p
 }
 
 // heard reads what a connection has brought and hands it over; it runs in a callback, never twice at once.
-func (l *loop) heard(p *peer, nc netpoll.Connection) error {
+func (l *loop) readConnection(p *peer, nc netpoll.Connection) error {
 	events, err := p.take(nc.Reader(), &l.limits, timeOf(l.clock.Now()))
 	for _, e := range events {
-		l.put(e)
+		l.post(e)
 	}
 	return err
 }
@@ -60,7 +60,7 @@
 	defer p.intake.Unlock()
 	if !p.sealed {
 		collect := func(e event) {
-			p.ahead.Add(1)
+			p.pipelined.Add(1)
 			events = append(events, e)
 		}
 		err = p.in.read(r, func(b []byte) (event, int, error) { return p.parse(b, limits) }, collect)
@@ -69,10 +69,10 @@
 			return events, nil
 		}
 		p.stopReading()
-		collect(event{kind: eventBad, from: p, err: err})
+		collect(event{kind: eventBad, peer: p, err: err})
 	}
-	if p.discard(r, limits.Deaf) {
-		events = append(events, event{kind: eventFlood, from: p})
+	if p.discard(r, limits.DiscardBytes) {
+		events = append(events, event{kind: eventFlood, peer: p})
 	}
 	return events, r.Release()
 }
@@ -81,15 +81,15 @@
 func (p *peer) stopReading() {
 	p.sealed = true
 	p.in.drop()
-	p.half.Store(0)
+	p.incompleteSince.Store(0)
 }
 
 // parse reads one request. netpoll reads on whatever is done here, so the only bound on pipelined requests
 // that holds is to take no more of them.
 func (p *peer) parse(b []byte, limits *Limits) (e event, n int, err error) {
-	e.kind, e.from = eventRequest, p
-	e.request, n, err = wire.ParseRequest(b, limits.Request)
-	if n > 0 && err == nil && int(p.ahead.Load()) > limits.Ahead {
+	e.kind, e.peer = eventRequest, p
+	e.request, n, err = wire.ParseRequest(b, limits.RequestBounds)
+	if n > 0 && err == nil && int(p.pipelined.Load()) > limits.Pipelined {
 		err = errAhead
 	}
 	return e, n, err
@@ -102,9 +102,9 @@
 	}
 	switch {
 	case p.in.buf == nil:
-		p.half.Store(0)
-	case p.half.Load() == 0:
-		p.half.Store(int64(now))
+		p.incompleteSince.Store(0)
+	case p.incompleteSince.Load() == 0:
+		p.incompleteSince.Store(int64(now))
 	}
 }
 
@@ -136,13 +136,13 @@
 func (p *peer) seal(force bool) bool {
 	p.intake.Lock()
 	defer p.intake.Unlock()
-	if p.ahead.Load() > 0 {
+	if p.pipelined.Load() > 0 {
 		return false
 	}
 	if p.sealed || p.closed {
 		return true
 	}
-	if !force && (p.in.buf != nil || p.c.Reader().Len() > 0 || hasUnread(p.fd)) {
+	if !force && (p.in.buf != nil || p.conn.Reader().Len() > 0 || hasUnread(p.fd)) {
 		return false
 	}
 	p.stopReading()
--- a/internal/node/server/pools.go
+++ b/internal/node/server/pools.go
@@ -14,8 +14,8 @@
 // Own takes the operator's file along with the start-up file, checked against the handlers that this one
 // names.
 func (c *Node) Own(own *config.Node) error {
-	names := make([]string, len(c.prof.Deployment.Handlers))
-	for name, i := range c.prof.Handlers {
+	names := make([]string, len(c.settings.Deployment.Handlers))
+	for name, i := range c.settings.Handlers {
 		names[i] = name
 	}
 	if err := own.Against(names); err != nil {
@@ -27,10 +27,10 @@
 
 // poolPlan gives what the operator's file says for each handler; without a pool for any it is off.
 func (c *Node) poolPlan() pools.Plan {
-	d := c.prof.Deployment
+	d := c.settings.Deployment
 	p := pools.Plan{Off: c.own == nil || len(c.own.Pools) == 0, Tenants: max(1, len(d.Tenants))}
 	p.Classes = make([]pools.Class, len(d.Handlers))
-	for name, i := range c.prof.Handlers {
+	for name, i := range c.settings.Handlers {
 		p.Classes[i] = pools.Class{Name: name, Value: d.Handlers[i].Value}
 	}
 	if p.Off {
@@ -38,7 +38,7 @@
 	}
 	p.Reserve = c.own.Reserve
 	for _, o := range c.own.Pools {
-		k := &p.Classes[c.prof.Handlers[o.Handler]]
+		k := &p.Classes[c.settings.Handlers[o.Handler]]
 		k.Floor, k.Cap, k.Fixed = o.Floor, o.Cap, o.Fixed
 	}
 	return p
@@ -48,7 +48,7 @@
 func (l *loop) makePools() {
 	if p := l.startup.poolPlan(); !p.Off {
 		l.pools = pools.New(p)
-		l.profile.Deployment.Pools = l.pools
+		l.settings.Deployment.Pools = l.pools
 		l.log.Infof("pools for %d handlers, reserve %v", len(l.startup.own.Pools), p.Reserve)
 	}
 }
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -1,4 +1,4 @@
-// Reqs: the life of one from its message to its last word. This owns what a req is known by, its one answer
+// Requests: the life of one from its message to its last word. This owns what a req is known by, its one answer
 // and the end of its slot; it must never answer twice, and never by a judgement of its own but where nothing
 // has been put before the module.
 
@@ -15,95 +15,95 @@
 	"umberwinch/internal/node/wire"
 )
 
-type runs uint8
+type runState uint8
 
 const (
-	runNot runs = iota
-	runGoes
-	runOver
+	runNotStarted runState = iota
+	runRunning
+	runFinished
 )
 
-type calls uint8
+type callState uint8
 
 const (
-	callNone  calls = iota
-	callWaits       // for the link
-	callOut
+	callNone   callState = iota
+	callQueued           // for the link
+	callSent
 )
 
-type goes uint8
+type callResult uint8
 
 const (
-	goesNot goes = iota
-	goesWithReply
-	goesWithout
+	noCallResult callResult = iota
+	callResultReply
+	callResultSkipped
 )
 
 // req is one req in hand.
 type request struct {
-	task     string // its id, as the kernel and the store know it
-	conn     handle
-	close    bool // its connection is not to be used again
-	handler  int
-	kept     *keptReq // nil: its end is not kept
-	buf      *buffer  // the message, of which body is a part
-	body     []byte
-	key      string         // of repeats; empty if it has none
-	earliest admission.Time // it may have come as early as this, where the wall clock was stepped
-	came     admission.Time
-	due      admission.Time
-	answered bool
-	gone     bool
-	waits    bool // for another's result
-
-	run                   runs
-	paused, resumed       bool
-	schedNo, goNo, haltNo uint64 // numbers of commands that may have to be sent again; 0: no
-	goes                  goes
-	ask                   []byte // the body of the call it stands at
-	asked                 uint64 // the notice that said so
-	reply                 []byte
-	call                  calls
-	callAt, callUntil     admission.Time
-	wire                  handle   // the call is out on, or waits for
-	wires                 []handle // that carried a call of it
+	id              string // its id, as the kernel and the store know it
+	connection      handle
+	closeAfter      bool // its connection is not to be used again
+	handler         int
+	kept            *keptReq // nil: its end is not kept
+	buf             *buffer  // the message, of which body is a part
+	body            []byte
+	key             string         // of repeats; empty if it has none
+	earliestArrival admission.Time // it may have come as early as this, where the wall clock was stepped
+	arrival         admission.Time
+	deadline        admission.Time
+	answered        bool
+	abandoned       bool
+	awaitsShared    bool // for another's result
+
+	run                                        runState
+	paused, resumed                            bool
+	runCommand, callResultCommand, stopCommand uint64 // numbers of commands that may have to be sent again; 0: no
+	callResult                                 callResult
+	callBody                                   []byte // the body of the call it stands at
+	callSequence                               uint64 // the notice that said so
+	reply                                      []byte
+	callState                                  callState
+	callStarted, callDeadline                  admission.Time
+	storeConn                                  handle   // the call is out on, or waits for
+	usedStoreConns                             []handle // that carried a call of it
 }
 
 // take brings a new req before the module; a status other than 0 answers it here, with what a says beside it.
-func (l *loop) take(c *conn, e event, name string, a *wire.Response) int {
+func (l *loop) receiveRequest(c *connection, e event, name string, a *wire.Response) int {
 	q := &e.request
 	i, known := l.handlerNamed(name)
-	hasKey := !known || l.profile.Deployment.Handlers[i].Repeat != admission.IdempotencyKeyed || len(q.IdempotencyKey) > 0
-	tenant, listed := l.profile.Tenants[string(q.Tenant)]
+	hasKey := !known || l.settings.Deployment.Handlers[i].Repeat != admission.IdempotencyKeyed || len(q.IdempotencyKey) > 0
+	tenant, listed := l.settings.Tenants[string(q.Tenant)]
 	earliest, came, placed := l.placeStamp(q.ReceivedAtMS)
 	switch {
 	case !known:
-		return l.bad("handler %q, expected one of the settings", name)
+		return l.badRequest("handler %q, expected one of the settings", name)
 	case q.ID == nil || q.ReceivedAtMS == 0 || !q.HasCaller || q.FootprintKB == 0 || !hasKey:
-		return l.bad("a field of the request is missing")
+		return l.badRequest("a field of the request is missing")
 	case !placed:
-		return l.bad("received at %d, which is too far from now", q.ReceivedAtMS)
-	case len(q.Tenant) > 0 && !listed && len(l.profile.Tenants) > 0:
-		return l.bad("tenant %q, expected one of the settings", q.Tenant)
+		return l.badRequest("received at %d, which is too far from now", q.ReceivedAtMS)
+	case len(q.Tenant) > 0 && !listed && len(l.settings.Tenants) > 0:
+		return l.badRequest("tenant %q, expected one of the settings", q.Tenant)
 	case l.controller == nil:
 		return 503 // the kernel is not up: nothing can run
 	}
-	hd := &l.profile.Deployment.Handlers[i]
+	hd := &l.settings.Deployment.Handlers[i]
 	key := l.repeatKey(i, q)
 	if l.fleet != nil {
 		if s := l.refuses(i, q, key, a); s != 0 {
 			return s
 		}
 	}
-	if hd.Repeat == admission.IdempotencyKeyed && l.keys.full(l.limits.PerRound) && l.keys.find(key) == nil {
+	if hd.Repeat == admission.IdempotencyKeyed && l.idempotency.full(l.limits.EventsPerRound) && l.idempotency.find(key) == nil {
 		return 503 // it could not be told from its repeats
 	}
-	if h, old := l.byTask(q.ID); old != nil {
-		if !old.gone || old.run != runNot {
+	if h, old := l.findRequest(q.ID); old != nil {
+		if !old.abandoned || old.run != runNotStarted {
 			return 500 // the same try again, and the first may have run
 		}
-		delete(l.tasks, old.task)
-		l.finishedRequests = append(l.finishedRequests, h)
+		delete(l.byRequestID, old.id)
+		l.maybeFinished = append(l.maybeFinished, h)
 	}
 	h, r, ok := l.requests.take()
 	if !ok {
@@ -117,21 +117,21 @@
 	} else if earliest != came {
 		due = earliest + hd.Timeout
 	}
-	*r = request{task: string(q.ID), conn: e.from.h, close: q.Close, handler: i, buf: e.buf, body: q.Body,
-		key: key, earliest: earliest, came: came, due: due}
+	*r = request{id: string(q.ID), connection: e.peer.handle, closeAfter: q.Close, handler: i, buf: e.buf, body: q.Body,
+		key: key, earliestArrival: earliest, arrival: came, deadline: due}
 	if due == 0 {
-		r.due = came + hd.Timeout
+		r.deadline = came + hd.Timeout
 	}
-	c.open = h
+	c.current = h
 	if l.kept != nil && hd.Repeat == admission.IdempotencyKeyed {
 		r.kept = keptName(l.names[i], q.Tenant, q.IdempotencyKey, q.Body)
 	}
-	l.tasks[r.task] = h
+	l.byRequestID[r.id] = h
 	l.counters.Reqs++
 	if q.IsRetry {
 		l.counters.Again++
 	}
-	l.trace(r, "came %.1f ms ago, handler %s, sender %d, again %v", inMS(l.now-came), name, q.Caller, q.IsRetry)
+	l.trace(r, "came %.1f ms ago, handler %s, sender %d, again %v", milliseconds(l.now-came), name, q.Caller, q.IsRetry)
 	if l.fleet != nil {
 		l.fleet.meter.RequestArrived(steadyMS(), i, q.IsRetry, false)
 	}
@@ -143,17 +143,17 @@
 			return 0
 		}
 	}
-	l.admit(&admit)
+	l.submit(&admit)
 	return 0
 }
 
 // handlerNamed finds the handler that a path names, which may be percent-encoded.
 func (l *loop) handlerNamed(name string) (index int, known bool) {
-	if index, known = l.profile.Handlers[name]; known {
+	if index, known = l.settings.Handlers[name]; known {
 		return index, true
 	}
 	if plain, err := url.PathUnescape(name); err == nil {
-		index, known = l.profile.Handlers[plain]
+		index, known = l.settings.Handlers[plain]
 	}
 	return index, known
 }
@@ -162,7 +162,7 @@
 // length of the tenant's name stand before the texts. Guards against two requests of different handlers or
 // tenants whose texts run into the same name, so that one's result would be the other's answer.
 func (l *loop) repeatKey(handler int, q *wire.Request) string {
-	d := l.profile.Deployment
+	d := l.settings.Deployment
 	name := fmt.Appendf(nil, "%d/%d/%s/", handler, len(q.Tenant), q.Tenant)
 	switch {
 	case d.Handlers[handler].Repeat == admission.IdempotencyKeyed:
@@ -178,15 +178,15 @@
 }
 
 // admit has the module hear of a req in the next round.
-func (l *loop) admit(q *admission.Request) {
-	l.next().Arrived = append(l.next().Arrived, *q)
+func (l *loop) submit(q *admission.Request) {
+	l.nextRound().Arrived = append(l.nextRound().Arrived, *q)
 	if l.fleet != nil {
 		l.fleet.rec.RecordArrival(l.now, q)
 	}
 }
 
 // bad counts and logs what is no request for this server; it never comes before the module.
-func (l *loop) bad(format string, args ...any) int {
+func (l *loop) badRequest(format string, args ...any) int {
 	l.counters.Bad++
 	l.logf("bad request: "+format, args...)
 	return 400
@@ -195,7 +195,7 @@
 // arrange puts the reqs of a round in the order in which they reached the machine, as callbacks hand over in
 // any order what came at once, and says whom each repeats. Guards against two tries that are read in one
 // round, as after the machine stood still: neither is remembered yet, and both would run.
-func (l *loop) arrange(all []admission.Request) {
+func (l *loop) orderArrivals(all []admission.Request) {
 	slices.SortStableFunc(all, func(a, b admission.Request) int { return cmp.Compare(a.Came, b.Came) })
 	for i := range all {
 		q := &all[i]
@@ -203,7 +203,7 @@
 		if key == "" {
 			continue
 		}
-		q.Prior = l.keys.prior(key, l.requests.get(handle(q.ID)).earliest)
+		q.Prior = l.idempotency.previous(key, l.requests.get(handle(q.ID)).earliestArrival)
 		for k := 0; k < i && q.Prior == 0; k++ {
 			if l.requests.get(handle(all[k].ID)).key == key {
 				q.Prior = all[k].ID
@@ -212,29 +212,29 @@
 	}
 }
 
-func inMS(t admission.Time) float64 { return float64(t) / 10 }
+func milliseconds(t admission.Time) float64 { return float64(t) / 10 }
 
-func (l *loop) byTask(id []byte) (handle, *request) {
-	h := l.tasks[string(id)]
+func (l *loop) findRequest(id []byte) (handle, *request) {
+	h := l.byRequestID[string(id)]
 	return h, l.requests.get(h)
 }
 
 // answer gives a req its answer, if it is still owed one.
 func (l *loop) answer(h handle, r *request, a wire.Response) {
-	l.finishedRequests = append(l.finishedRequests, h)
+	l.maybeFinished = append(l.maybeFinished, h)
 	if r.answered {
 		return
 	}
 	r.answered = true
-	l.trace(r, "answer %d, gone %v", a.Status, r.gone)
-	if r.gone {
+	l.trace(r, "answer %d, gone %v", a.Status, r.abandoned)
+	if r.abandoned {
 		return
 	}
 	if l.fleet != nil {
 		l.fleet.meter.RequestAnswered(steadyMS(), r.handler, a.Status,
-			l.now-r.came <= l.profile.Deployment.Handlers[r.handler].Target)
+			l.now-r.arrival <= l.settings.Deployment.Handlers[r.handler].Target)
 	}
-	if l.now > r.due {
+	if l.now > r.deadline {
 		l.counters.Late++
 	}
 	switch a.Status {
@@ -245,20 +245,20 @@
 	default:
 		l.counters.Errored++
 	}
-	if c := l.conns.get(r.conn); c != nil && c.open == h {
-		a.Close = a.Close || r.close
-		l.reply(c, r.conn, a)
+	if c := l.connections.get(r.connection); c != nil && c.current == h {
+		a.Close = a.Close || r.closeAfter
+		l.sendResponse(c, r.connection, a)
 	}
 }
 
 // runEnded takes the end of a run: its result is the answer, and that of those who wait for it.
 func (l *loop) runEnded(h handle, r *request, how admission.Outcome, ms float64, result []byte) {
 	l.trace(r, "run ended %d after %.1f ms", how, ms)
-	r.run = runOver
+	r.run = runFinished
 	l.counters.Ends++
-	l.dropCall(h, r)
-	l.finishedRequests = append(l.finishedRequests, h)
-	l.next().Ended = append(l.next().Ended,
+	l.cancelCall(h, r)
+	l.maybeFinished = append(l.maybeFinished, h)
+	l.nextRound().Ended = append(l.nextRound().Ended,
 		admission.End{ID: uint32(h), How: how, Ran: admission.Time(ms * 10)})
 	if l.fleet != nil && (how == admission.OK || how == admission.Errored) {
 		l.fleet.meter.RunEnded(steadyMS(), ms)
@@ -273,7 +273,7 @@
 			return
 		}
 	}
-	wait := l.keys.ended(r.key, uint32(h), ok, result)
+	wait := l.idempotency.runEnded(r.key, uint32(h), ok, result)
 	switch {
 	case ok:
 		l.answer(h, r, wire.Response{Status: 200, Body: result})
@@ -283,41 +283,41 @@
 		l.answer(h, r, wire.Response{Status: 500})
 	}
 	for _, k := range wait {
-		l.shareEnded(k, ok, result)
+		l.sharedResultReady(k, ok, result)
 	}
 }
 
-// shareEnded ends a req that takes another's result.
-func (l *loop) shareEnded(h handle, ok bool, result []byte) {
+// sharedResultReady ends a req that takes another's result.
+func (l *loop) sharedResultReady(h handle, ok bool, result []byte) {
 	r := l.requests.get(h)
-	if r == nil || r.answered || r.gone {
+	if r == nil || r.answered || r.abandoned {
 		return
 	}
-	r.waits = false
+	r.awaitsShared = false
 	end := admission.End{ID: uint32(h), How: admission.Errored}
 	a := wire.Response{Status: 500}
 	if ok {
 		end.How, a = admission.OK, wire.Response{Status: 200, Body: result}
 		l.counters.Shared++
 	}
-	l.next().Ended = append(l.next().Ended, end)
+	l.nextRound().Ended = append(l.nextRound().Ended, end)
 	l.answer(h, r, a)
 }
 
 // free lets go of reqs of which nothing is left to come.
-func (l *loop) free() {
-	for _, h := range l.finishedRequests {
+func (l *loop) releaseFinished() {
+	for _, h := range l.maybeFinished {
 		r := l.requests.get(h)
-		if r == nil || !(r.answered || r.gone) || r.run == runGoes || r.waits {
+		if r == nil || !(r.answered || r.abandoned) || r.run == runRunning || r.awaitsShared {
 			continue
 		}
 		l.pool.put(r.buf)
-		if l.tasks[r.task] == h {
-			delete(l.tasks, r.task)
+		if l.byRequestID[r.id] == h {
+			delete(l.byRequestID, r.id)
 		}
 		l.requests.drop(h)
 	}
-	l.finishedRequests = l.finishedRequests[:0]
+	l.maybeFinished = l.maybeFinished[:0]
 }
 
 // ---- What the module decides.
@@ -326,31 +326,31 @@
 func (l *loop) Run(id uint32) {
 	r := l.requests.get(handle(id))
 	switch {
-	case r == nil || r.run != runNot && !r.paused:
+	case r == nil || r.run != runNotStarted && !r.paused:
 	case r.paused && r.kept != nil && r.kept.stand == keptIntends:
-		r.run, r.paused = runGoes, false
-	case r.paused && l.profile.Stop == admission.StopPause:
-		r.run = runGoes
-		l.resched(r)
+		r.run, r.paused = runRunning, false
+	case r.paused && l.settings.Stop == admission.StopPause:
+		r.run = runRunning
+		l.sendResume(r)
 	default:
-		r.run, r.paused = runGoes, false
+		r.run, r.paused = runRunning, false
 		l.counters.Runs++
 		l.trace(r, "run")
-		l.keys.runs(r.key, id)
+		l.idempotency.runStarted(r.key, id)
 		if r.kept != nil {
 			l.intend(handle(id), r)
 			return
 		}
-		l.sched(r)
+		l.sendRun(r)
 	}
 }
 
 func (l *loop) Pause(id uint32) {
-	if r := l.requests.get(handle(id)); r != nil && r.run == runGoes {
+	if r := l.requests.get(handle(id)); r != nil && r.run == runRunning {
 		l.trace(r, "pause")
 		l.counters.Pauses++
 		if r.paused = true; r.kept == nil || r.kept.stand != keptIntends { // else it is told with the run
-			l.preempt(r)
+			l.sendStop(r)
 		}
 	}
 }
@@ -363,35 +363,35 @@
 
 func (l *loop) Fail(id uint32) {
 	if r := l.requests.get(handle(id)); r != nil {
-		l.dropCall(handle(id), r)
-		r.waits = false
+		l.cancelCall(handle(id), r)
+		r.awaitsShared = false
 		l.answer(handle(id), r, wire.Response{Status: 500})
 	}
 }
 
 func (l *loop) Call(id uint32, until admission.Time) {
-	if r := l.requests.get(handle(id)); r != nil && r.run == runGoes {
-		l.call(handle(id), r, until)
+	if r := l.requests.get(handle(id)); r != nil && r.run == runRunning {
+		l.startCall(handle(id), r, until)
 	}
 }
 
 func (l *loop) Skip(id uint32) {
-	if r := l.requests.get(handle(id)); r != nil && r.run == runGoes {
+	if r := l.requests.get(handle(id)); r != nil && r.run == runRunning {
 		l.counters.Skips++
-		l.noIO(r)
+		l.sendCallSkipped(r)
 	}
 }
 
 func (l *loop) Remember(id uint32, span admission.Time) {
 	if r := l.requests.get(handle(id)); r != nil && r.key != "" {
-		l.keys.remember(r.key, id, l.now+span, &l.deadlines)
+		l.idempotency.remember(r.key, id, l.now+span, &l.timers)
 	}
 }
 
 func (l *loop) Forget(id uint32) {
 	if r := l.requests.get(handle(id)); r != nil && r.key != "" {
-		for _, h := range l.keys.forget(r.key, id) {
-			l.shareEnded(h, false, nil)
+		for _, h := range l.idempotency.forget(r.key, id) {
+			l.sharedResultReady(h, false, nil)
 		}
 	}
 }
@@ -403,31 +403,31 @@
 	if r == nil {
 		return
 	}
-	switch e := l.keys.find(r.key); {
-	case e == nil || e.fate == fateFailed || e.fate == fateDone && !e.kept:
-		l.shareEnded(h, false, nil)
-	case e.fate == fateDone:
-		l.shareEnded(h, true, e.result)
+	switch e := l.idempotency.find(r.key); {
+	case e == nil || e.state == entryFailed || e.state == entryDone && !e.hasResult:
+		l.sharedResultReady(h, false, nil)
+	case e.state == entryDone:
+		l.sharedResultReady(h, true, e.result)
 	default:
-		r.waits = true
-		e.wait = append(e.wait, h)
+		r.awaitsShared = true
+		e.waiters = append(e.waiters, h)
 	}
 }
 
 // Health has checks and the control plane told.
 func (l *loop) Health(good bool) {
-	l.moduleHealthy = good
-	l.healthy = good && (l.fleet == nil || !l.fleet.fenced && !l.fleet.gate.Evacuated())
-	l.control.ready = l.healthy
-	l.report()
+	l.moduleReady = good
+	l.ready = good && (l.fleet == nil || !l.fleet.fenced && !l.fleet.gate.Evacuated())
+	l.discovery.ready = l.ready
+	l.sendReport()
 }
 
 // Say has every answer carry the value from now on.
-func (l *loop) Say(value float64) { l.hint, l.hasHint = value, true }
+func (l *loop) Say(value float64) { l.overloadSignal, l.hasOverloadSignal = value, true }
 
 // IdleClose has connections closed that were idle for so long.
 func (l *loop) IdleClose(after admission.Time) { l.idleClose = after }
 
-func (l *loop) Wake(at admission.Time) { l.deadlines.set(at, dueWake, 0) }
+func (l *loop) Wake(at admission.Time) { l.timers.set(at, timerWake, 0) }
 
 func (l *loop) Log(line string) { l.logf("%s", line) }
--- a/internal/node/server/signals.go
+++ b/internal/node/server/signals.go
@@ -30,7 +30,7 @@
 func (l *loop) forward(signals Signals) {
 	events := func(c <-chan os.Signal, make func() event) {
 		for range c {
-			l.put(make())
+			l.post(make())
 		}
 	}
 	go events(signals.Drain, func() event { return event{kind: eventDrain} })
--- a/internal/node/server/slots.go
+++ b/internal/node/server/slots.go
@@ -15,20 +15,20 @@
 func (h handle) slot() int { return int(h & (maxSlots - 1)) }
 
 type slot[T any] struct {
-	gen  uint32
-	used bool
-	val  T
+	generation uint32
+	used       bool
+	value      T
 }
 
 // table is a set of numbered slots.
 type table[T any] struct {
-	at   []slot[T]
-	free []int
-	n    int // in use
-	most int
+	slots    []slot[T]
+	free     []int
+	used     int // in use
+	capacity int
 }
 
-func newTable[T any](most int) table[T] { return table[T]{most: min(most, maxSlots)} }
+func newTable[T any](most int) table[T] { return table[T]{capacity: min(most, maxSlots)} }
 
 // take gives an empty slot; ok is false while all are in use.
 func (t *table[T]) take() (h handle, v *T, ok bool) {
@@ -37,46 +37,46 @@
 	case n > 0:
 		i = t.free[n-1]
 		t.free = t.free[:n-1]
-	case len(t.at) < t.most:
-		i = len(t.at)
-		t.at = append(t.at, slot[T]{})
+	case len(t.slots) < t.capacity:
+		i = len(t.slots)
+		t.slots = append(t.slots, slot[T]{})
 	default:
 		return 0, nil, false
 	}
-	s := &t.at[i]
-	if s.gen++; s.gen >= 1<<(32-slotBits) {
-		s.gen = 1
+	s := &t.slots[i]
+	if s.generation++; s.generation >= 1<<(32-slotBits) {
+		s.generation = 1
 	}
 	s.used = true
-	t.n++
-	return handle(s.gen<<slotBits | uint32(i)), &s.val, true
+	t.used++
+	return handle(s.generation<<slotBits | uint32(i)), &s.value, true
 }
 
 // get finds what a handle names; nil if it is no longer there. It lasts until the next take.
 func (t *table[T]) get(h handle) *T {
 	i := h.slot()
-	if h == 0 || i >= len(t.at) || !t.at[i].used || t.at[i].gen != uint32(h>>slotBits) {
+	if h == 0 || i >= len(t.slots) || !t.slots[i].used || t.slots[i].generation != uint32(h>>slotBits) {
 		return nil
 	}
-	return &t.at[i].val
+	return &t.slots[i].value
 }
 
 func (t *table[T]) drop(h handle) {
 	if t.get(h) == nil {
 		return
 	}
-	s := &t.at[h.slot()]
+	s := &t.slots[h.slot()]
 	var none T
-	s.val, s.used = none, false
+	s.value, s.used = none, false
 	t.free = append(t.free, h.slot())
-	t.n--
+	t.used--
 }
 
 // next is the first handle in use at slot i or after, with the slot to go on from; 0 at the end.
 func (t *table[T]) next(i int) (handle, int) {
-	for ; i < len(t.at); i++ {
-		if t.at[i].used {
-			return handle(t.at[i].gen<<slotBits | uint32(i)), i + 1
+	for ; i < len(t.slots); i++ {
+		if t.slots[i].used {
+			return handle(t.slots[i].generation<<slotBits | uint32(i)), i + 1
 		}
 	}
 	return 0, i
--- a/internal/node/server/store.go
+++ b/internal/node/server/store.go
@@ -19,121 +19,121 @@
 	"umberwinch/internal/node/wire"
 )
 
-type store struct {
+type storeConnections struct {
 	backoff
-	addr   string
-	wires  table[storeConnection]
-	parser parser
+	addr        string
+	connections table[storeConnection]
+	parser      parser
 }
 
 // wire is one connection to the store.
 type storeConnection struct {
-	line *line
-	out  []handle       // reqs whose calls are out on it, or wait for it to open
-	used admission.Time // when it last carried anything
-	done bool           // not trusted with another call
+	dialed   *dialed
+	calls    []handle       // reqs whose calls are out on it, or wait for it to open
+	lastUsed admission.Time // when it last carried anything
+	retired  bool           // not trusted with another call
 }
 
-func (w *storeConnection) idle() bool { return len(w.out) == 0 }
+func (w *storeConnection) idle() bool { return len(w.calls) == 0 }
 
 // call makes the call that a run stands at.
-func (l *loop) call(h handle, r *request, until admission.Time) {
-	r.call, r.callAt, r.callUntil = callWaits, l.now, until
+func (l *loop) startCall(h handle, r *request, until admission.Time) {
+	r.callState, r.callStarted, r.callDeadline = callQueued, l.now, until
 	l.counters.Calls++
-	l.trace(r, "call until %.1f ms", inMS(until-l.now))
-	held := l.heldDials
-	at, w := l.pickWire(r)
+	l.trace(r, "call until %.1f ms", milliseconds(until-l.now))
+	held := l.deferredDials
+	at, w := l.pickStoreConnection(r)
 	if w == nil {
-		if l.heldDials != held {
-			r.call = callNone // by the zone's order: it says nothing about the store
+		if l.deferredDials != held {
+			r.callState = callNone // by the zone's order: it says nothing about the store
 		}
 		l.callEnded(h, r, admission.Unrun)
 		return
 	}
 	// Only wires that are still there matter, so this stays as short as their table.
-	gone := func(h handle) bool { return l.store.wires.get(h) == nil }
-	r.wire, r.wires = at, append(slices.DeleteFunc(r.wires, gone), at)
-	w.out = append(w.out, h)
-	l.deadlines.set(until+l.limits.CallGrace, dueCall, h)
-	if w.line.writer != nil {
+	gone := func(h handle) bool { return l.store.connections.get(h) == nil }
+	r.storeConn, r.usedStoreConns = at, append(slices.DeleteFunc(r.usedStoreConns, gone), at)
+	w.calls = append(w.calls, h)
+	l.timers.set(until+l.limits.CallGrace, timerCall, h)
+	if w.dialed.writer != nil {
 		l.sendCall(h, r, w)
 	}
 }
 
-// pickWire finds the wire for a call: the idle one used last, else a new one, else the one with the fewest
+// pickStoreConnection finds the wire for a call: the idle one used last, else a new one, else the one with the fewest
 // calls.
-func (l *loop) pickWire(r *request) (best handle, _ *storeConnection) {
+func (l *loop) pickStoreConnection(r *request) (best handle, _ *storeConnection) {
 	s := &l.store
-	l.sweepWires()
-	for h, i := s.wires.next(0); h != 0; h, i = s.wires.next(i) {
-		w := s.wires.get(h)
-		if w.done || slices.Contains(r.wires, h) {
+	l.closeIdleStoreConnections()
+	for h, i := s.connections.next(0); h != 0; h, i = s.connections.next(i) {
+		w := s.connections.get(h)
+		if w.retired || slices.Contains(r.usedStoreConns, h) {
 			continue
 		}
-		b := s.wires.get(best)
-		if b == nil || len(w.out) < len(b.out) || w.idle() && b.idle() && w.used > b.used {
+		b := s.connections.get(best)
+		if b == nil || len(w.calls) < len(b.calls) || w.idle() && b.idle() && w.lastUsed > b.lastUsed {
 			best = h
 		}
 	}
-	if b := s.wires.get(best); b != nil && b.idle() || s.addr == "" || l.now < s.again || !l.mayDial() {
+	if b := s.connections.get(best); b != nil && b.idle() || s.addr == "" || l.now < s.notBefore || !l.mayDial() {
 		return best, b
 	}
-	h, w, ok := s.wires.take()
+	h, w, ok := s.connections.take()
 	if !ok {
-		return best, s.wires.get(best)
+		return best, s.connections.get(best)
 	}
-	*w = storeConnection{line: &line{which: toStore, wire: h, parser: s.parser}, used: l.now}
-	l.open(w.line, s.addr)
+	*w = storeConnection{dialed: &dialed{peer: peerStore, storeConn: h, parser: s.parser}, lastUsed: l.now}
+	l.open(w.dialed, s.addr)
 	if l.fleet != nil {
 		l.fleet.meter.ConnectionOpened(steadyMS())
 	}
 	return h, w
 }
 
-// sweepWires lets go of wires that were idle for too long to be trusted with a call.
-func (l *loop) sweepWires() {
-	for h, i := l.store.wires.next(0); h != 0; h, i = l.store.wires.next(i) {
-		if w := l.store.wires.get(h); w.idle() && l.now-w.used > l.limits.StoreIdle {
-			l.dropWire(h, w)
+// closeIdleStoreConnections lets go of wires that were idle for too long to be trusted with a call.
+func (l *loop) closeIdleStoreConnections() {
+	for h, i := l.store.connections.next(0); h != 0; h, i = l.store.connections.next(i) {
+		if w := l.store.connections.get(h); w.idle() && l.now-w.lastUsed > l.limits.StoreIdleTimeout {
+			l.dropStoreConnection(h, w)
 		}
 	}
 }
 
-func (l *loop) dropWire(h handle, w *storeConnection) {
-	if w.line.writer != nil {
-		w.line.writer.close()
+func (l *loop) dropStoreConnection(h handle, w *storeConnection) {
+	if w.dialed.writer != nil {
+		w.dialed.writer.close()
 	}
-	l.store.wires.drop(h)
+	l.store.connections.drop(h)
 }
 
 // retire has a wire used no more; it ends with its last call.
-func (l *loop) retire(h handle, w *storeConnection) {
-	w.done = true
+func (l *loop) retireStoreConnection(h handle, w *storeConnection) {
+	w.retired = true
 	if w.idle() {
-		l.dropWire(h, w)
+		l.dropStoreConnection(h, w)
 	}
 }
 
 func (l *loop) sendCall(h handle, r *request, w *storeConnection) {
-	wait := max((r.callUntil-l.now+9)/10, 1)
-	l.scratch = wire.AppendCall(l.scratch[:0], r.task, int64(wait), r.ask)
-	if !w.line.writer.send(l.scratch, l.limits.LinkQueue) {
+	wait := max((r.callDeadline-l.now+9)/10, 1)
+	l.scratch = wire.AppendCall(l.scratch[:0], r.id, int64(wait), r.callBody)
+	if !w.dialed.writer.send(l.scratch, l.limits.LinkQueue) {
 		// The queue is full because the store takes nothing: this call never left, the others may have.
-		at := r.wire
+		at := r.storeConn
 		l.callEnded(h, r, admission.Unrun)
-		l.wireLost(at, l.store.wires.get(at), errStuck)
+		l.storeConnectionLost(at, l.store.connections.get(at), errStuck)
 		return
 	}
-	r.call, w.used = callOut, l.now
+	r.callState, w.lastUsed = callSent, l.now
 }
 
 // callEnded tells the module of the end of a call, in the next round.
 func (l *loop) callEnded(h handle, r *request, how admission.Outcome) {
-	made := r.call != callNone
+	made := r.callState != callNone
 	l.endCall(h, r)
-	l.trace(r, "call ended %d after %.1f ms", how, inMS(l.now-r.callAt))
+	l.trace(r, "call ended %d after %.1f ms", how, milliseconds(l.now-r.callStarted))
 	if l.fleet != nil && made {
-		l.fleet.meter.CallEnded(steadyMS(), inMS(l.now-r.callAt), how != admission.OK)
+		l.fleet.meter.CallEnded(steadyMS(), milliseconds(l.now-r.callStarted), how != admission.OK)
 	}
 	switch how {
 	case admission.OK:
@@ -143,51 +143,51 @@
 	default:
 		l.counters.CallsOther++
 	}
-	l.next().Returned = append(l.next().Returned,
-		admission.Return{ID: uint32(h), How: how, Took: l.now - r.callAt})
+	l.nextRound().Returned = append(l.nextRound().Returned,
+		admission.Return{ID: uint32(h), How: how, Took: l.now - r.callStarted})
 }
 
 // endCall takes a call off its wire.
 func (l *loop) endCall(h handle, r *request) {
-	if w := l.store.wires.get(r.wire); w != nil {
-		if i := slices.Index(w.out, h); i >= 0 {
-			w.out = slices.Delete(w.out, i, i+1)
+	if w := l.store.connections.get(r.storeConn); w != nil {
+		if i := slices.Index(w.calls, h); i >= 0 {
+			w.calls = slices.Delete(w.calls, i, i+1)
 		}
-		if w.done && w.idle() {
-			l.dropWire(r.wire, w)
+		if w.retired && w.idle() {
+			l.dropStoreConnection(r.storeConn, w)
 		}
 	}
-	r.call, r.wire = callNone, 0
+	r.callState, r.storeConn = callNone, 0
 }
 
-// dropCall gives up a call that nobody waits for any more. Its wire may still bring the reply.
-func (l *loop) dropCall(h handle, r *request) {
-	if w := l.store.wires.get(r.wire); w != nil && r.call == callOut {
-		l.scratch = wire.AppendCallCancel(l.scratch[:0], r.task)
-		w.line.writer.send(l.scratch, l.limits.LinkQueue)
+// cancelCall gives up a call that nobody waits for any more. Its wire may still bring the reply.
+func (l *loop) cancelCall(h handle, r *request) {
+	if w := l.store.connections.get(r.storeConn); w != nil && r.callState == callSent {
+		l.scratch = wire.AppendCallCancel(l.scratch[:0], r.id)
+		w.dialed.writer.send(l.scratch, l.limits.LinkQueue)
 		l.counters.Dropped++
-		w.done = true
+		w.retired = true
 	}
-	if l.fleet != nil && r.call != callNone {
-		l.fleet.meter.CallEnded(steadyMS(), inMS(l.now-r.callAt), false)
+	if l.fleet != nil && r.callState != callNone {
+		l.fleet.meter.CallEnded(steadyMS(), milliseconds(l.now-r.callStarted), false)
 	}
 	l.endCall(h, r)
 }
 
 // replied takes a reply of the store: it counts only for a call that is out on the wire that brought it.
-func (l *loop) replied(at handle, w *storeConnection, p wire.CallReply) {
-	w.used = l.now
-	h, r := l.byTask(p.ID)
-	if r == nil || r.call != callOut || r.wire != at {
+func (l *loop) callReplied(at handle, w *storeConnection, p wire.CallReply) {
+	w.lastUsed = l.now
+	h, r := l.findRequest(p.ID)
+	if r == nil || r.callState != callSent || r.storeConn != at {
 		l.counters.Strays++
-		l.retire(at, w)
+		l.retireStoreConnection(at, w)
 		return
 	}
 	how := admission.Unclear
 	switch p.Outcome {
 	case wire.CallSucceeded:
 		how = admission.OK
-		l.ioDone(r, p.Body)
+		l.sendCallReply(r, p.Body)
 	case wire.CallRejected, wire.CallNotExecuted:
 		how = admission.Unrun
 	case wire.CallFailed:
@@ -196,57 +196,57 @@
 	l.callEnded(h, r, how)
 }
 
-// callLate gives up a call that the store did not end in its time.
-func (l *loop) callLate(h handle) {
+// callTimedOut gives up a call that the store did not end in its time.
+func (l *loop) callTimedOut(h handle) {
 	r := l.requests.get(h)
-	if r == nil || r.call == callNone {
+	if r == nil || r.callState == callNone {
 		return
 	}
-	if end := r.callUntil + l.limits.CallGrace; l.now < end {
+	if end := r.callDeadline + l.limits.CallGrace; l.now < end {
 		return // an earlier call's time; the present one has its own
 	}
 	how := admission.Unclear
-	if r.call == callWaits {
+	if r.callState == callQueued {
 		how = admission.Unrun
 	}
-	l.dropCall(h, r)
+	l.cancelCall(h, r)
 	l.callEnded(h, r, how)
 }
 
-// wireUp sends the calls that waited for a wire.
-func (l *loop) wireUp(at handle, w *storeConnection) {
+// storeConnected sends the calls that waited for a wire.
+func (l *loop) storeConnected(at handle, w *storeConnection) {
 	l.store.backoff = backoff{}
-	w.used = l.now
-	for _, h := range slices.Clone(w.out) {
-		if r := l.requests.get(h); r != nil && r.call == callWaits && l.store.wires.get(at) != nil {
+	w.lastUsed = l.now
+	for _, h := range slices.Clone(w.calls) {
+		if r := l.requests.get(h); r != nil && r.callState == callQueued && l.store.connections.get(at) != nil {
 			l.sendCall(h, r, w)
 		}
 	}
 }
 
-// wireLost ends every call on a wire: those that had gone out may have run.
-func (l *loop) wireLost(at handle, w *storeConnection, err error) {
+// storeConnectionLost ends every call on a wire: those that had gone out may have run.
+func (l *loop) storeConnectionLost(at handle, w *storeConnection, err error) {
 	if w == nil {
 		return
 	}
-	if w.line.writer == nil {
+	if w.dialed.writer == nil {
 		l.store.failed(l) // it could not be opened
 	}
-	if len(w.out) > 0 {
+	if len(w.calls) > 0 {
 		l.counters.WiresLost++
-		l.logf("store: %v with %d calls out", err, len(w.out))
+		l.logf("store: %v with %d calls out", err, len(w.calls))
 	}
-	w.done = false // or the last of its calls would end it again
-	for _, h := range slices.Clone(w.out) {
+	w.retired = false // or the last of its calls would end it again
+	for _, h := range slices.Clone(w.calls) {
 		how := admission.Unrun
 		if r := l.requests.get(h); r != nil {
-			if r.call == callOut {
+			if r.callState == callSent {
 				how = admission.Unclear
 			}
 			l.callEnded(h, r, how)
 		}
 	}
-	l.dropWire(at, w)
+	l.dropStoreConnection(at, w)
 }
 
 // moveStore has new calls go to another address; those that are out stay where they are.
@@ -256,14 +256,14 @@
 		return
 	}
 	s.addr, s.backoff = addr, backoff{}
-	for h, i := s.wires.next(0); h != 0; h, i = s.wires.next(i) {
-		w := s.wires.get(h)
-		if w.line.writer != nil {
-			l.retire(h, w)
+	for h, i := s.connections.next(0); h != 0; h, i = s.connections.next(i) {
+		w := s.connections.get(h)
+		if w.dialed.writer != nil {
+			l.retireStoreConnection(h, w)
 			continue
 		}
 		// Not open yet, so nothing went out: what waits for it goes to the new address.
-		w.line = &line{which: toStore, wire: h, parser: s.parser}
-		l.open(w.line, addr)
+		w.dialed = &dialed{peer: peerStore, storeConn: h, parser: s.parser}
+		l.open(w.dialed, addr)
 	}
 }
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -45,9 +45,9 @@
 // A peer that takes nothing makes nobody wait: what it is sent is bounded, and goes out whole and in order.
 func TestWayOutNeverWaits(t *testing.T) {
 	s := &slow{let: make(chan bool), closed: make(chan bool)}
-	p, busy := pool{most: 8}, atomic.Int64{}
-	w := &writer{c: s, pool: &p, busy: &busy}
-	part, sent := bytes.Repeat([]byte("0123456789abcdef"), bufSize/32), 0
+	p, busy := bufferPool{capacity: 8}, atomic.Int64{}
+	w := &writer{conn: s, pool: &p, busy: &busy}
+	part, sent := bytes.Repeat([]byte("0123456789abcdef"), bufferBytes/32), 0
 	for w.send(part, 4) {
 		sent++
 	}
@@ -98,14 +98,14 @@
 }
 
 func TestDeadlinesComeInOrder(t *testing.T) {
-	var d deadlines
+	var d timers
 	for i := range 200 {
-		d.set(admission.Time(i*37%50), dueCall, handle(i))
+		d.set(admission.Time(i*37%50), timerCall, handle(i))
 	}
-	var last deadline
+	var last timer
 	for n := 0; n < 200; n++ {
 		e, ok := d.next(49)
-		if !ok || e.at < last.at || n > 0 && e.at == last.at && e.no < last.no {
+		if !ok || e.at < last.at || n > 0 && e.at == last.at && e.order < last.order {
 			t.Fatalf("%v after %v, %v", e, last, ok)
 		}
 		last = e
@@ -113,7 +113,7 @@
 	if _, ok := d.first(); ok {
 		t.Error("some are left")
 	}
-	d.set(60, dueWake, 0)
+	d.set(60, timerWake, 0)
 	if _, ok := d.next(59); ok {
 		t.Error("one came before its time")
 	}
@@ -121,23 +121,23 @@
 
 // A key that ran outlives its result: when results are over their bound the oldest goes, the key stays.
 func TestKeysOutliveResults(t *testing.T) {
-	var due deadlines
-	k := newKeys(10, 100, 50)
+	var due timers
+	k := newIdempotencyTable(10, 100, 50)
 	run := func(key string, id uint32, ok bool) {
 		k.remember(key, id, 1000, &due)
-		k.runs(key, id)
-		k.ended(key, id, ok, make([]byte, 60))
+		k.runStarted(key, id)
+		k.runEnded(key, id, ok, make([]byte, 60))
 	}
 	run("a", 1, true)
 	run("b", 2, true)
-	if a, b := k.find("a"), k.find("b"); a == nil || a.kept || a.fate != fateDone || !b.kept || k.bytes != 60 {
+	if a, b := k.find("a"), k.find("b"); a == nil || a.hasResult || a.state != entryDone || !b.hasResult || k.bytes != 60 {
 		t.Errorf("a %+v, b %+v, %d bytes", a, b, k.bytes)
 	}
-	if k.prior("a", 999) != 1 || k.prior("a", 1000) != 0 {
+	if k.previous("a", 999) != 1 || k.previous("a", 1000) != 0 {
 		t.Error("the entry of a is for those that came before its end")
 	}
 	k.remember("c", 3, 1000, &due)
-	k.find("c").wait = []handle{9}
+	k.find("c").waiters = []handle{9}
 	if got := k.forget("c", 4); got != nil || k.find("c") == nil {
 		t.Error("forgotten by one that doesn't hold it")
 	}
@@ -145,10 +145,10 @@
 		t.Errorf("those that waited: %v", got)
 	}
 	for d, ok := due.next(1050); ok; d, ok = due.next(1050) {
-		k.expire(d.who, 1050, &due)
+		k.expire(d.subject, 1050, &due)
 	}
-	if len(k.by) != 0 || k.bytes != 0 || k.tab.n != 0 {
-		t.Errorf("left: %v, %d bytes", k.by, k.bytes)
+	if len(k.byKey) != 0 || k.bytes != 0 || k.entries.used != 0 {
+		t.Errorf("left: %v, %d bytes", k.byKey, k.bytes)
 	}
 }
 
@@ -176,7 +176,7 @@
 
 // A round is decided in the order in which its reqs came, and a key's later try repeats the earlier one.
 func TestArrange(t *testing.T) {
-	l := &loop{requests: newTable[request](8), keys: newKeys(10, 100, 50)}
+	l := &loop{requests: newTable[request](8), idempotency: newIdempotencyTable(10, 100, 50)}
 	var all []admission.Request
 	for i, came := range []admission.Time{30, 10, 20, 10, 15} {
 		h, r, _ := l.requests.take()
@@ -185,9 +185,9 @@
 	}
 	ids := []uint32{all[1].ID, all[3].ID, all[4].ID, all[2].ID, all[0].ID}
 	priors := []uint32{0, 77, 77, 0, all[2].ID}
-	var due deadlines
-	l.keys.remember("b", 77, 1000, &due)
-	l.arrange(all)
+	var due timers
+	l.idempotency.remember("b", 77, 1000, &due)
+	l.orderArrivals(all)
 	for i, q := range all {
 		if q.ID != ids[i] || q.Prior != priors[i] {
 			t.Errorf("at %d is %d repeating %d, expected %d, %d", i, q.ID, q.Prior, ids[i], priors[i])
@@ -198,12 +198,12 @@
 // However often a report asks for a link that is down, one deadline has it dialled again.
 func TestDeadlinesDoNotPileUp(t *testing.T) {
 	l := &loop{now: 1000}
-	l.control.link = link{addr: "127.0.0.1:1", backoff: backoff{again: 2000}, retry: dueControl}
+	l.discovery.link = link{addr: "127.0.0.1:1", backoff: backoff{notBefore: 2000}, retry: timerDiscoveryDial}
 	for range 50 {
-		l.report()
+		l.sendReport()
 	}
-	if len(l.deadlines.heap) != 1 {
-		t.Errorf("%d deadlines are set, expected 1", len(l.deadlines.heap))
+	if len(l.timers.heap) != 1 {
+		t.Errorf("%d deadlines are set, expected 1", len(l.timers.heap))
 	}
 }
 
@@ -212,18 +212,18 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &loop{now: 1000, log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256), dialTo: dialTCP}
-	k := &l.control.link
-	k.which, k.addr, k.wait, k.again = toControl, "127.0.0.1:1", 900, 2000
+	k := &l.discovery.link
+	k.peer, k.addr, k.delay, k.notBefore = peerDiscovery, "127.0.0.1:1", 900, 2000
 	l.move(k, "127.0.0.1:2")
-	if k.line == nil || k.wait != 0 {
-		t.Errorf("not dialled, its wait is %d", k.wait)
+	if k.dialed == nil || k.delay != 0 {
+		t.Errorf("not dialled, its wait is %d", k.delay)
 	}
-	first := k.line
-	if l.move(k, "127.0.0.1:3"); k.line == first || k.line == nil {
+	first := k.dialed
+	if l.move(k, "127.0.0.1:3"); k.dialed == first || k.dialed == nil {
 		t.Error("a dial to the old address holds up the new one")
 	}
-	e := event{kind: eventDialled, line: first, err: errClosed}
-	if l.lined(e); k.line == nil || k.wait != 0 {
+	e := event{kind: eventDialled, dialed: first, err: errClosed}
+	if l.linkEvent(e); k.dialed == nil || k.delay != 0 {
 		t.Error("the end of the old dial counts against the new one")
 	}
 }
@@ -232,13 +232,13 @@
 func TestProofIsLate(t *testing.T) {
 	l := &loop{now: 10000, limits: NewLimits(1, 64, 256)}
 	k := &l.kernel
-	k.stand, k.sent = kernelLive, 7
+	k.state, k.sent = kernelLive, 7
 	for _, step := range []struct {
 		at    admission.Time
 		acked uint64
 	}{{10000, 0}, {10500, 0}, {11000, 7}} {
 		l.now = step.at
-		if l.info(wire.KernelEvent{Nonce: []byte("7")}); k.acked != step.acked {
+		if l.gaugesReceived(wire.KernelEvent{Nonce: []byte("7")}); k.acked != step.acked {
 			t.Errorf("at %d commands to %d count as read, expected %d", l.now, k.acked, step.acked)
 		}
 	}
@@ -302,9 +302,9 @@
 		cores        float64
 		stop, before admission.Time
 	}{{1, 24_000, 380}, {0.1, 24_000, 1100}, {0.1, 4000, 500}} {
-		l := &loop{now: 5000, drain: drain{stopAfter: c.stop}, limits: NewLimits(c.cores, 64, 256)}
+		l := &loop{now: 5000, drainState: drainState{stopAfter: c.stop}, limits: NewLimits(c.cores, 64, 256)}
 		l.startDrain()
-		if r := l.next(); !r.Drain || r.Kill != 5000+c.stop-c.before {
+		if r := l.nextRound(); !r.Drain || r.Kill != 5000+c.stop-c.before {
 			t.Errorf("%.1f cores, notice of %d: the module hears of a kill at %d, expected %d before %d", c.cores, c.stop, r.Kill,
 				c.before, 5000+c.stop)
 		}
@@ -339,9 +339,9 @@
 func TestCallsGivenUp(t *testing.T) {
 	l := &loop{now: 5000, requests: newTable[request](8), limits: NewLimits(1, 64, 256),
 		fleet: &fleetPart{meter: zones.NewMeter(steadyMS(), []float64{1})}}
-	r := &request{call: callOut, callAt: 2000}
-	l.dropCall(1, r)
-	l.dropCall(1, r) // there is none any more
+	r := &request{callState: callSent, callStarted: 2000}
+	l.cancelCall(1, r)
+	l.cancelCall(1, r) // there is none any more
 	if got := l.fleet.meter.Report(steadyMS(), true, 1, 0); got.Calls != 1 || got.MeanCallMS != 300 || got.FailedCalls != 0 {
 		t.Errorf("%d calls, %.0f ms, %d bad, expected one of 300 ms that is not known to be bad", got.Calls, got.MeanCallMS, got.FailedCalls)
 	}
@@ -354,8 +354,8 @@
 	read := func() clock.Reading { return clock.Reading{Monotonic: at, Wall: wall} }
 	d := &admission.Deployment{Cores: 1, MemKB: 1e6, Handlers: []admission.Handler{{Target: 3 * admission.Second,
 		Timeout: 6 * admission.Second, Repeat: admission.IdempotencyKeyed, Window: 8 * admission.Second}}}
-	l := &loop{profile: &settings.Profile{Deployment: d, Handlers: map[string]int{"put": 0}}, names: []string{"put"},
-		keys: newKeys(2000, 1000, 6*admission.Second), requests: newTable[request](8), tasks: map[string]handle{},
+	l := &loop{settings: &settings.Profile{Deployment: d, Handlers: map[string]int{"put": 0}}, names: []string{"put"},
+		idempotency: newIdempotencyTable(2000, 1000, 6*admission.Second), requests: newTable[request](8), byRequestID: map[string]handle{},
 		limits: NewLimits(1, 64, 256), controller: admission.New(d), stamps: clock.NewStamps(read, 12*time.Second)}
 	stamp := wall
 	at, wall = at+2500*time.Millisecond, wall+2500*time.Millisecond
@@ -365,15 +365,15 @@
 	if l.now = timeOf(now); step != -3*time.Second {
 		t.Fatalf("a step of %v is seen", step)
 	}
-	l.keys.remember(l.repeatKey(0, &wire.Request{IdempotencyKey: []byte("k")}), 77, l.now-admission.Second, &l.deadlines)
-	c := &conn{}
-	e := event{from: &peer{}, request: wire.Request{ID: []byte("0000000000000001"), ReceivedAtMS: stamp.Milliseconds(),
+	l.idempotency.remember(l.repeatKey(0, &wire.Request{IdempotencyKey: []byte("k")}), 77, l.now-admission.Second, &l.timers)
+	c := &connection{}
+	e := event{peer: &peer{}, request: wire.Request{ID: []byte("0000000000000001"), ReceivedAtMS: stamp.Milliseconds(),
 		HasCaller: true, FootprintKB: 1, IdempotencyKey: []byte("k")}}
-	if status := l.take(c, e, "put", &wire.Response{}); status != 0 || len(l.next().Arrived) != 1 {
-		t.Fatalf("status %d, %d are told to the module", status, len(l.next().Arrived))
+	if status := l.receiveRequest(c, e, "put", &wire.Response{}); status != 0 || len(l.nextRound().Arrived) != 1 {
+		t.Fatalf("status %d, %d are told to the module", status, len(l.nextRound().Arrived))
 	}
-	l.arrange(l.next().Arrived)
-	q := l.next().Arrived[0]
+	l.orderArrivals(l.nextRound().Arrived)
+	q := l.nextRound().Arrived[0]
 	earliest := timeOf(time.Hour)
 	if q.Due != earliest+6*admission.Second || q.Came != l.now || q.Prior != 77 {
 		t.Errorf("due %d, came %d, repeats %d; expected %d, %d and 77", q.Due, q.Came, q.Prior, earliest+6*admission.Second, l.now)
