--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -164,9 +164,9 @@
 	s := &fleetView{Generation: p.Gen, Lost: p.Lost, Version: p.Force, Known: len(nodes), Share: 1, HushMS: p.Hush}
 	for i := range nodes {
 		switch n := &nodes[i]; {
-		case n.Out == membership.Silent:
+		case n.OutReason == membership.OutSilent:
 			s.Silent++
-		case n.Out == membership.Left:
+		case n.OutReason == membership.OutLeft:
 			s.Left++
 		default:
 			if s.In++; n.Fenced != "" {
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -47,7 +47,7 @@
 }
 
 func newPropose(a *access) *cobra.Command {
-	p := policy.Propose{}
+	p := policy.Proposal{}
 	var within time.Duration
 	var wait bool
 	c := &cobra.Command{Use: "propose VERSION|FILE",
@@ -64,11 +64,11 @@
 					return err
 				}
 			}
-			p.Within, p.Author, p.Key = uint64(within.Milliseconds()), whoami(), newSession()
-			if err = p.Valid(); err != nil {
+			p.PrepareWithinMS, p.Author, p.IdempotencyKey = uint64(within.Milliseconds()), whoami(), newSession()
+			if err = p.Validate(); err != nil {
 				return usage(err)
 			}
-			r, err := c.policyOp(ctx, policy.Op{Kind: "propose", Propose: &p})
+			r, err := c.policyOp(ctx, policy.Op{Kind: "propose", Proposal: &p})
 			if err != nil {
 				return err
 			}
@@ -76,15 +76,15 @@
 				if c.json {
 					return printJSON(w, r)
 				}
-				fmt.Fprintf(w, "change %d to version %d is under way\n", r.Number, p.Version)
+				fmt.Fprintf(w, "change %d to version %d is under way\n", r.ChangeNumber, p.Version)
 				return nil
 			}
-			return c.follow(ctx, w, r.Number)
+			return c.follow(ctx, w, r.ChangeNumber)
 		})}
 	f := c.Flags()
 	f.BoolVar(&p.Exclusive, "exclusive", false, "no moment at which two versions are served under; needs when_alone = fence")
 	f.DurationVar(&within, "prepare", 30*time.Second, "how long nodes have to prepare it")
-	f.IntVar(&p.Spare, "spare", 0, "nodes at most that may be left behind, out of service")
+	f.IntVar(&p.MaxLeftBehind, "spare", 0, "nodes at most that may be left behind, out of service")
 	f.StringVar(&p.Reason, "reason", "", "why, for the history")
 	f.BoolVar(&wait, "wait", true, "show its steps until it has settled or is called off")
 	return c
@@ -139,7 +139,7 @@
 		if ch == nil {
 			return fmt.Errorf("change %d is not known any more", number)
 		}
-		ended := ch.Step == policy.Settled || ch.Step == policy.CalledOff
+		ended := ch.Step == policy.Settled || ch.Step == policy.Aborted
 		if c.json {
 			if ended {
 				err = printJSON(w, ch)
@@ -147,7 +147,7 @@
 		} else {
 			for ; shown < len(ch.Events); shown++ {
 				e := ch.Events[shown]
-				fmt.Fprintf(w, "%8d ms  %s\n", e.Clock-ch.Begun, e.Text)
+				fmt.Fprintf(w, "%8d ms  %s\n", e.ClockMS-ch.ProposedAtMS, e.Text)
 			}
 			if now := waitsFor(v.Waits); !ended && now != waits && now != "" {
 				waits = now
@@ -157,8 +157,8 @@
 		switch {
 		case err != nil:
 			return err
-		case ch.Step == policy.CalledOff:
-			return coded{fmt.Errorf("change %d to version %d was called off: %s", number, ch.Version, ch.Why), exitRefused}
+		case ch.Step == policy.Aborted:
+			return coded{fmt.Errorf("change %d to version %d was called off: %s", number, ch.Version, ch.AbortReason), exitRefused}
 		case ended:
 			return nil
 		}
@@ -170,7 +170,7 @@
 	}
 }
 
-func waitsFor(ws []policy.Wait) string {
+func waitsFor(ws []policy.Blocker) string {
 	var names []string
 	for _, w := range ws {
 		names = append(names, w.Node)
@@ -178,7 +178,7 @@
 	if len(names) == 0 {
 		return ""
 	}
-	return policy.Listed(names)
+	return policy.Summarize(names)
 }
 
 func newPolicyStatus(a *access) *cobra.Command {
@@ -193,7 +193,7 @@
 			}
 			fmt.Fprintf(w, "version %d in force, %d decided; %d of %d nodes in; lease %v, when alone %s\n", v.Force, v.Need,
 				v.In, v.Nodes, time.Duration(v.Rules.LeaseMS)*time.Millisecond,
-				map[bool]string{true: "go-on", false: "fence"}[v.Rules.Alone])
+				map[bool]string{true: "go-on", false: "fence"}[v.Rules.Autonomous])
 			if v.Lost != "" {
 				fmt.Fprintf(w, "the group has lost state and grants nothing: %s\n", v.Lost)
 			}
@@ -204,11 +204,11 @@
 				fmt.Fprintln(w, "no change under way")
 				return nil
 			}
-			fmt.Fprintf(w, "change %d: version %d to %d, %s, by %s: %s\n", v.Now.Number, v.Now.From, v.Now.Version,
-				v.Now.Step, v.Now.Propose.Author, v.Now.Propose.Reason)
+			fmt.Fprintf(w, "change %d: version %d to %d, %s, by %s: %s\n", v.Now.Number, v.Now.PreviousVersion, v.Now.Version,
+				v.Now.Step, v.Now.Proposal.Author, v.Now.Proposal.Reason)
 			rows := [][]string{{"NODE", "ZONE", "WHY IT IS WAITED FOR"}}
 			for _, o := range append(v.Says, v.Waits...) {
-				rows = append(rows, []string{o.Node, o.Zone, o.Why})
+				rows = append(rows, []string{o.Node, o.Zone, o.Reason})
 			}
 			return table(w, rows)
 		})}
@@ -225,8 +225,8 @@
 			if v.Now == nil {
 				return coded{errors.New("no change is under way"), exitRefused}
 			}
-			if _, err = c.policyOp(ctx, policy.Op{Kind: "off", Number: v.Now.Number, By: whoami(),
-				Why: why}); err != nil {
+			if _, err = c.policyOp(ctx, policy.Op{Kind: "off", ChangeNumber: v.Now.Number, Author: whoami(),
+				Reason: why}); err != nil {
 				return err
 			}
 			fmt.Fprintf(w, "change %d is called off\n", v.Now.Number)
@@ -258,13 +258,13 @@
 				return fmt.Sprintf("%d ms", t-from)
 			}
 			for _, o := range all {
-				why := o.Propose.Reason
-				if o.Why != "" {
-					why = o.Why
+				why := o.Proposal.Reason
+				if o.AbortReason != "" {
+					why = o.AbortReason
 				}
-				rows = append(rows, []string{strconv.FormatUint(o.Number, 10), strconv.FormatUint(o.From, 10),
-					strconv.FormatUint(o.Version, 10), o.Step, o.Propose.Author, after(o.Forced, o.Begun),
-					after(o.Ended, o.Begun), why})
+				rows = append(rows, []string{strconv.FormatUint(o.Number, 10), strconv.FormatUint(o.PreviousVersion, 10),
+					strconv.FormatUint(o.Version, 10), o.Step, o.Proposal.Author, after(o.CommittedAtMS, o.ProposedAtMS),
+					after(o.EndedAtMS, o.ProposedAtMS), why})
 			}
 			return table(w, rows)
 		})}
@@ -288,13 +288,13 @@
 			if c.json {
 				return printJSON(w, ch)
 			}
-			fmt.Fprintf(w, "change %d: version %d to %d, %s\n", ch.Number, ch.From, ch.Version, ch.Step)
+			fmt.Fprintf(w, "change %d: version %d to %d, %s\n", ch.Number, ch.PreviousVersion, ch.Version, ch.Step)
 			for _, e := range ch.Events {
-				fmt.Fprintf(w, "%8d ms  %s\n", e.Clock-ch.Begun, e.Text)
+				fmt.Fprintf(w, "%8d ms  %s\n", e.ClockMS-ch.ProposedAtMS, e.Text)
 			}
 			if v.Now == ch {
 				for _, o := range append(v.Says, v.Waits...) {
-					fmt.Fprintf(w, "             waits for %s of %s: it %s\n", o.Node, o.Zone, o.Why)
+					fmt.Fprintf(w, "             waits for %s of %s: it %s\n", o.Node, o.Zone, o.Reason)
 				}
 			}
 			return nil
@@ -319,9 +319,9 @@
 // state says in a word how a node stands, and in a note what an operator should know of it.
 func state(n *consensus.NodeView) (word, note string) {
 	switch {
-	case n.Out != "":
-		word = n.Out
-		if n.Lease.Alone {
+	case n.OutReason != "":
+		word = n.OutReason
+		if n.Lease.Autonomous {
 			note = "may serve alone until it is heard or forgotten"
 		}
 	case !n.Heard:
@@ -334,10 +334,10 @@
 	switch {
 	case n.Refused != 0:
 		note = fmt.Sprintf("refuses version %d: %s", n.Refused, n.Why)
-	case len(n.Old) > 0 && note == "":
-		note = fmt.Sprintf("%d earlier incarnations may still serve", len(n.Old))
-	case len(n.Starts) > 2 && note == "":
-		note = fmt.Sprintf("%d starts within a minute", len(n.Starts))
+	case len(n.EarlierLeases) > 0 && note == "":
+		note = fmt.Sprintf("%d earlier incarnations may still serve", len(n.EarlierLeases))
+	case len(n.JoinTimesMS) > 2 && note == "":
+		note = fmt.Sprintf("%d starts within a minute", len(n.JoinTimesMS))
 	}
 	return word, note
 }
@@ -386,13 +386,13 @@
 					return printJSON(w, n)
 				}
 				word, note := state(n)
-				lease := fmt.Sprintf("%d, promised %d at least", n.Lease.ID, n.Lease.Floor)
+				lease := fmt.Sprintf("%d, promised %d at least", n.Lease.ID, n.Lease.MinVersion)
 				rows := [][]string{{"node", n.Name}, {"zone", n.Zone}, {"serves at", n.Addr}, {"state", word}, {"note", note},
 					{"version", strconv.FormatUint(n.Serves, 10)}, {"prepared", strconv.FormatUint(n.Prepared, 10)},
 					{"lease", lease}, {"heard", fmt.Sprintf("%d ms ago by the group's time", n.AgeMS)},
-					{"starts", fmt.Sprintf("%d within a minute", len(n.Starts))}}
-				for _, o := range n.Old {
-					rows = append(rows, []string{"earlier lease", fmt.Sprintf("%d, promised %d at least", o.ID, o.Floor)})
+					{"starts", fmt.Sprintf("%d within a minute", len(n.JoinTimesMS))}}
+				for _, o := range n.EarlierLeases {
+					rows = append(rows, []string{"earlier lease", fmt.Sprintf("%d, promised %d at least", o.ID, o.MinVersion)})
 				}
 				return table(w, rows)
 			}
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -191,7 +191,7 @@
 	rows := [][]string{{"group", fmt.Sprintf("%s, generation %d", orNone(f.Lost.Group), f.Lost.Generation)}, {"folder", base},
 		{"nodes", fmt.Sprintf("%d came by, %d count", asked, len(f.Nodes))}, {"restored", version}, {"proof", f.Proof},
 		{"zones", fmt.Sprintf("go on after epoch %d", f.ZoneEpoch)},
-		{"leases", fmt.Sprintf("of the old generation are waited for, %d ms", membership.Span(f.LeaseMS))}}
+		{"leases", fmt.Sprintf("of the old generation are waited for, %d ms", membership.LeaseSpanMS(f.LeaseMS))}}
 	for _, u := range f.NotCounted {
 		rows = append(rows, []string{"not counted", u})
 	}
--- a/internal/control/consensus/api.go
+++ b/internal/control/consensus/api.go
@@ -201,7 +201,7 @@
 // failed gives an error of the group's its status.
 func (a *API) failed(w http.ResponseWriter, err error) {
 	switch {
-	case errors.Is(err, coordinator.ErrBusy), errors.Is(err, coordinator.ErrLost), errors.Is(err, coordinator.ErrNoLead), errors.Is(err, ErrLevel),
+	case errors.Is(err, coordinator.ErrBusy), errors.Is(err, coordinator.ErrStateLost), errors.Is(err, coordinator.ErrNotLeader), errors.Is(err, ErrLevel),
 		errors.Is(err, ErrNoLeader), errors.Is(err, ErrBusy), errors.Is(err, ErrLate), errors.Is(err, ErrGone), errors.Is(err, ErrBarred),
 		errors.Is(err, raft.ErrProposalDropped):
 		a.fail(w, http.StatusServiceUnavailable, err)
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -84,7 +84,7 @@
 	ended    sync.Once
 	err      error
 	meters   *meters
-	steward  *coordinator.Steward
+	steward  *coordinator.Leader
 	steerAt  time.Time
 	toldLost bool // it was logged that the group has lost state
 
@@ -149,7 +149,7 @@
 	g := &Group{control: c, log: log, inbox: make(chan *pb.Message, maxInbox), asks: make(chan func(), maxAsked),
 		notes: make(chan func(), maxInbox), saves: make(chan saveEnd, 1), done: make(chan struct{}),
 		quit: make(chan struct{}), puts: map[putKey][]*waiter{}, reads: map[uint64][]*waiter{},
-		steward: coordinator.New(faults.Fleet), steerAt: time.Now()}
+		steward: coordinator.NewLeader(faults.Fleet), steerAt: time.Now()}
 	g.meters = newMeters(g)
 	if g.trust, err = newTrust(c.Cert, c.Key, c.CA); err != nil {
 		return nil, err
--- a/internal/control/consensus/machine.go
+++ b/internal/control/consensus/machine.go
@@ -109,18 +109,18 @@
 	removed  []uint64   // oldest first
 	level    int        // of the program: what entries may be proposed
 	knows    int        // up to which level this instance's program can tell entries
-	nodes    *coordinator.Part
+	nodes    *coordinator.State
 	tail     uint64 // entries of an old folder that are not known to be committed
 }
 
 // Levels of the program. A group has the least of its members', raised by an entry once all have said what they know,
 // and never lowered.
 const (
-	LevelVersions = 1                    // versions and members
-	LevelFleet    = 2                    // nodes, changes of policy, documents with [fleet]
-	LevelZones    = 3                    // zones that are left and returned to, documents with [zones]
-	LevelGen      = coordinator.LevelGen // lost state is told, and restored groups are new generations
-	LevelSame     = coordinator.LevelSame
+	LevelVersions = 1                            // versions and members
+	LevelFleet    = 2                            // nodes, changes of policy, documents with [fleet]
+	LevelZones    = 3                            // zones that are left and returned to, documents with [zones]
+	LevelGen      = coordinator.LevelGenerations // lost state is told, and restored groups are new generations
+	LevelSame     = coordinator.LevelSameProcess
 	LevelKnown    = LevelSame
 )
 
@@ -144,7 +144,7 @@
 
 func newMachine(cluster string, without Guard) *Machine {
 	return &Machine{without: without, cluster: cluster, first: 1, sessions: map[string]*list.Element{},
-		used: list.New(), level: LevelVersions, knows: LevelKnown, nodes: coordinator.NewPart(policy.Guard(0))}
+		used: list.New(), level: LevelVersions, knows: LevelKnown, nodes: coordinator.NewState(policy.Guard(0))}
 }
 
 // last gives the number of the version in force, 0 before the first.
@@ -237,13 +237,13 @@
 // that is in force there. A version that was called off binds nobody.
 func (m *Machine) before() *document.Document {
 	p := m.nodes.Policy
-	if p.Number == 0 {
+	if p.LastNumber == 0 {
 		return m.current
 	}
-	if p.Force < m.first {
+	if p.CommittedVersion < m.first {
 		return nil // none yet, or one that is kept no more: all instances find so
 	}
-	v, err := ReadVersion(m.lines[p.Force-m.first])
+	v, err := ReadVersion(m.lines[p.CommittedVersion-m.first])
 	if err != nil {
 		return m.current
 	}
@@ -404,7 +404,7 @@
 	p := picture{Cluster: m.cluster, Applied: m.applied, Term: m.term, First: m.first, Versions: len(m.lines),
 		Sessions: m.used.Len(), Members: m.members, Removed: m.removed}
 	if m.level > LevelVersions {
-		raw, err := m.nodes.Save()
+		raw, err := m.nodes.Snapshot()
 		if err != nil {
 			return nil, err
 		}
@@ -448,7 +448,7 @@
 			LevelKnown)
 	}
 	if p.Nodes != nil {
-		if err := m.nodes.Load(p.Nodes); err != nil {
+		if err := m.nodes.Restore(p.Nodes); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/control/consensus/nodes.go
+++ b/internal/control/consensus/nodes.go
@@ -48,8 +48,8 @@
 	// A leader acts once it has applied an entry of its own term: until then its state may lack what was told before.
 	leads := b.Lead == r.ID() && r.machine.term == b.HardState.GetTerm() && r.machine.level >= LevelFleet &&
 		r.Barred() == ""
-	s.Lead(r.machine.nodes, r.machine.cluster, leads, b.HardState.GetTerm())
-	if lost := r.machine.nodes.Fleet.Lost; lost != "" && !g.toldLost { // also after a restart: no beat tells of it any more
+	s.SetRole(r.machine.nodes, r.machine.cluster, leads, b.HardState.GetTerm())
+	if lost := r.machine.nodes.Fleet.LostState; lost != "" && !g.toldLost { // also after a restart: no beat tells of it any more
 		g.toldLost = true
 		g.log.WithField(logging.Reason, lost).Error("the group has lost state that nodes know of, and grants nothing: see umberctl " +
 			"control recover")
@@ -77,27 +77,27 @@
 	for _, e := range ends {
 		switch e := e.(type) {
 		case policy.Result:
-			if c := g.rep.machine.nodes.Policy.Find(e.Number); c != nil && e.Err == "" {
+			if c := g.rep.machine.nodes.Policy.Find(e.ChangeNumber); c != nil && e.Rejection == "" {
 				f := g.log.WithFields(logrus.Fields{"change": c.Number, logging.PolicyVersion: c.Version, "step": c.Step,
-					"from": c.From, "exclusive": c.Propose.Exclusive})
-				if c.Why != "" {
-					f = f.WithField(logging.Reason, c.Why)
+					"from": c.PreviousVersion, "exclusive": c.Proposal.Exclusive})
+				if c.AbortReason != "" {
+					f = f.WithField(logging.Reason, c.AbortReason)
 				}
 				f.Info("change of policy")
-			} else if e.Err != "" {
-				g.log.WithFields(logrus.Fields{"change": e.Number, "step": e.Kind}).Debug(e.Err)
+			} else if e.Rejection != "" {
+				g.log.WithFields(logrus.Fields{"change": e.ChangeNumber, "step": e.Kind}).Debug(e.Rejection)
 			}
 		case zones.Result:
 			g.zoneTold(e)
-		case coordinator.BeatDone:
-			if e.Began {
+		case coordinator.BatchApplied:
+			if e.FleetRestarted {
 				g.zoneTold(zones.Result{Kind: "began", Zone: zones.WholeFleet, Phase: zones.Ramping, Epoch: g.rep.machine.nodes.Zones.Epoch})
 			}
-			if len(e.Silenced) > 0 {
-				g.log.WithField("nodes", policy.Listed(e.Silenced)).Warn("counted out: silent for a lease's time")
+			if len(e.WentSilent) > 0 {
+				g.log.WithField("nodes", policy.Summarize(e.WentSilent)).Warn("counted out: silent for a lease's time")
 			}
 		}
-		g.steward.Applied(g.rep.machine.nodes, e)
+		g.steward.EntryApplied(g.rep.machine.nodes, e)
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 	got := make(chan end, 1)
 	if err := g.ask(func() {
-		g.steward.Ask(g.rep.machine.nodes, a, func(t api.HeartbeatResponse, err error) { got <- end{t, err} })
+		g.steward.Heartbeat(g.rep.machine.nodes, a, func(t api.HeartbeatResponse, err error) { got <- end{t, err} })
 	}); err != nil {
 		return api.HeartbeatResponse{}, err
 	}
@@ -131,7 +131,7 @@
 	}
 	got := make(chan end, 1)
 	if err := g.ask(func() {
-		g.steward.Op(op, func(r policy.Result, err error) { got <- end{r, err} })
+		g.steward.SubmitPolicy(op, func(r policy.Result, err error) { got <- end{r, err} })
 		g.steer(0)
 	}); err != nil {
 		return policy.Result{}, err
@@ -167,8 +167,8 @@
 	Rules  policy.Rules     `json:"rules"`
 	Now    *policy.Change   `json:"now,omitempty"`
 	Past   []*policy.Change `json:"past"`
-	Waits  []policy.Wait    `json:"waits,omitempty"`
-	Says   []policy.Wait    `json:"refuse,omitempty"`
+	Waits  []policy.Blocker `json:"waits,omitempty"`
+	Says   []policy.Blocker `json:"refuse,omitempty"`
 	Nodes  int              `json:"nodes"`
 	In     int              `json:"in"`
 	Leads  bool             `json:"leads"` // this instance: what nodes reported is known to the leader alone
@@ -185,18 +185,18 @@
 func (g *Group) Policy() (*PolicyView, error) {
 	v, err := answerOf(g, g.ask, func() []byte {
 		p := g.rep.machine.nodes
-		w := PolicyView{Clock: p.Fleet.Clock, Need: p.Policy.Need, Force: p.Policy.Force, Rules: p.Policy.Grants(),
-			Now: p.Policy.Now, Past: p.Policy.Past, Leads: g.steward.Leads(), Beats: g.steward.Beats,
-			Bytes: g.steward.Bytes, Level: g.rep.machine.level, Levels: g.rep.Levels(), Gen: p.Gen, Lost: p.Fleet.Lost}
-		if p.Fleet.Hush > p.Fleet.Clock {
-			w.Hush = p.Fleet.Hush - p.Fleet.Clock
+		w := PolicyView{Clock: p.Fleet.ClockMS, Need: p.Policy.DecidedVersion, Force: p.Policy.CommittedVersion, Rules: p.Policy.ActiveRules(),
+			Now: p.Policy.Current, Past: p.Policy.History, Leads: g.steward.Leading(), Beats: g.steward.BatchesSent,
+			Bytes: g.steward.BatchBytes, Level: g.rep.machine.level, Levels: g.rep.Levels(), Gen: p.Generation, Lost: p.Fleet.LostState}
+		if p.Fleet.UnknownLeasesUntilMS > p.Fleet.ClockMS {
+			w.Hush = p.Fleet.UnknownLeasesUntilMS - p.Fleet.ClockMS
 		}
 		if w.Leads {
-			w.Waits, w.Says = p.Policy.Waits(p.Fleet, g.steward.Heard())
+			w.Waits, w.Says = p.Policy.Blockers(p.Fleet, g.steward.Reports())
 		}
 		for _, n := range p.Fleet.Nodes() {
 			w.Nodes++
-			if n.Out == "" {
+			if n.OutReason == "" {
 				w.In++
 			}
 		}
@@ -216,12 +216,12 @@
 		p := g.rep.machine.nodes
 		out := []NodeView{}
 		for _, n := range p.Fleet.Nodes() {
-			one := NodeView{Node: *n, AgeMS: p.Fleet.Clock - n.Seen, May: p.Fleet.May(n, p.Policy.Force)}
-			one.Old = append([]membership.Lease(nil), n.Old...)
-			one.Starts = append([]uint64(nil), n.Starts...)
-			if r := g.steward.Heard()(n); r != nil {
-				one.Heard, one.Serves, one.Prepared, one.Refused, one.Why, one.Fenced = true, r.Serves, r.Prepared, r.Refused,
-					r.Why, r.Fenced
+			one := NodeView{Node: *n, AgeMS: p.Fleet.ClockMS - n.LastHeartbeatMS, May: p.Fleet.MayServeOlder(n, p.Policy.CommittedVersion)}
+			one.EarlierLeases = append([]membership.Lease(nil), n.EarlierLeases...)
+			one.JoinTimesMS = append([]uint64(nil), n.JoinTimesMS...)
+			if r := g.steward.Reports()(n); r != nil {
+				one.Heard, one.Serves, one.Prepared, one.Refused, one.Why, one.Fenced = true, r.ActiveVersion, r.PreparedVersion, r.RefusedVersion,
+					r.RefusedReason, r.Fenced
 			}
 			out = append(out, one)
 		}
@@ -232,7 +232,7 @@
 // Forget takes a node off the list.
 func (g *Group) Forget(ctx context.Context, name string) error {
 	err, ended := answerOf(g, g.ask, func() error {
-		if g.rep.machine.nodes.Fleet.Named(name) == nil {
+		if g.rep.machine.nodes.Fleet.Lookup(name) == nil {
 			return fmt.Errorf("found no node %.50q", name)
 		}
 		return g.steward.Forget(name)
@@ -241,7 +241,7 @@
 		return err
 	}
 	for {
-		there, err := answerOf(g, g.ask, func() bool { return g.rep.machine.nodes.Fleet.Named(name) != nil })
+		there, err := answerOf(g, g.ask, func() bool { return g.rep.machine.nodes.Fleet.Lookup(name) != nil })
 		if err != nil || !there {
 			return err
 		}
@@ -407,9 +407,9 @@
 	case err != nil:
 	case a.group.View().Level < LevelFleet:
 		err = ErrLevel
-	case op.Kind == "propose" && op.Propose != nil:
-		err = op.Propose.Valid()
-	case op.Kind == "off" && op.By != "" && len(op.By) <= maxWord && len(op.Why) <= maxReason:
+	case op.Kind == "propose" && op.Proposal != nil:
+		err = op.Proposal.Validate()
+	case op.Kind == "off" && op.Author != "" && len(op.Author) <= maxWord && len(op.Reason) <= maxReason:
 	default:
 		err = fmt.Errorf("op: found %.20q, expected propose with a proposal, or off with by and why", op.Kind)
 	}
@@ -424,8 +424,8 @@
 		a.failed(w, err)
 		return
 	}
-	if res.Err != "" {
-		a.fail(w, http.StatusConflict, errors.New(res.Err))
+	if res.Rejection != "" {
+		a.fail(w, http.StatusConflict, errors.New(res.Rejection))
 		return
 	}
 	a.whole(w, res)
--- a/internal/control/consensus/nodes_test.go
+++ b/internal/control/consensus/nodes_test.go
@@ -141,13 +141,13 @@
 		t.Fatalf("%d nodes (%v), expected 3", len(views), err)
 	}
 	for _, v := range views {
-		if v.Out != "" {
+		if v.OutReason != "" {
 			t.Errorf("%s was counted out by a leader that never heard it", v.Name)
 		}
 	}
 	var r policy.Result
-	code, _ := left.ask(http.MethodPost, "/v1/policy", policy.Op{Kind: "propose", Propose: &policy.Propose{Version: 9,
-		Within: 5000, Author: "t", Key: "12345678"}}, nil)
+	code, _ := left.ask(http.MethodPost, "/v1/policy", policy.Op{Kind: "propose", Proposal: &policy.Proposal{Version: 9,
+		PrepareWithinMS: 5000, Author: "t", IdempotencyKey: "12345678"}}, nil)
 	if code != http.StatusConflict {
 		t.Errorf("a change to a version that is not there: %d (%+v), expected 409", code, r)
 	}
--- a/internal/control/consensus/recover.go
+++ b/internal/control/consensus/recover.go
@@ -99,11 +99,11 @@
 
 func (m *Machine) base() *recovery.StoredGroup {
 	p := m.nodes
-	b := &recovery.StoredGroup{GroupIdentity: recovery.GroupIdentity{Group: m.cluster, Generation: p.Gen, Predecessors: p.Before}, LastVersion: m.last(),
-		DecidedVersion: p.Policy.Need, CommittedVersion: p.Policy.Force, Index: p.Index, ZoneEpoch: p.Zones.Epoch, TextOf: m.Text,
-		LeaseMS: p.Policy.Grants().LeaseMS, Autonomous: p.Policy.Grants().Alone, UncommittedEntries: m.tail}
+	b := &recovery.StoredGroup{GroupIdentity: recovery.GroupIdentity{Group: m.cluster, Generation: p.Generation, Predecessors: p.Predecessors}, LastVersion: m.last(),
+		DecidedVersion: p.Policy.DecidedVersion, CommittedVersion: p.Policy.CommittedVersion, Index: p.Index, ZoneEpoch: p.Zones.Epoch, TextOf: m.Text,
+		LeaseMS: p.Policy.ActiveRules().LeaseMS, Autonomous: p.Policy.ActiveRules().Autonomous, UncommittedEntries: m.tail}
 	for _, n := range p.Fleet.Nodes() {
-		if n.Out == "" {
+		if n.OutReason == "" {
 			b.Nodes = append(b.Nodes, n.Name)
 		}
 	}
@@ -135,7 +135,7 @@
 	if m.level >= LevelFleet || len(found.Records) > 0 || found.Version > 0 {
 		m.level = LevelKnown // an older program does not know generations
 	}
-	return m.nodes.Restore(found, m)
+	return m.nodes.BeginGeneration(found, m)
 }
 
 // place makes what was found the newest version. Where its number does not follow, what is before it is kept no more.
--- a/internal/control/consensus/zones.go
+++ b/internal/control/consensus/zones.go
@@ -36,14 +36,14 @@
 func (g *Group) Zones() (*ZonesView, error) {
 	raw, err := answerOf(g, g.ask, func() []byte {
 		p := g.rep.machine.nodes
-		v := ZonesView{Clock: p.Fleet.Clock, Epoch: p.Zones.Epoch, Settled: p.Zones.SettledEpoch, Retry: p.Zones.RetryBudget,
-			Rules: p.Policy.Grants().Zones, Leads: g.steward.Leads(), Zones: []ZoneView{}}
+		v := ZonesView{Clock: p.Fleet.ClockMS, Epoch: p.Zones.Epoch, Settled: p.Zones.SettledEpoch, Retry: p.Zones.RetryBudget,
+			Rules: p.Policy.ActiveRules().Zones, Leads: g.steward.Leading(), Zones: []ZoneView{}}
 		at := map[string]int{}
 		for _, z := range p.Zones.Zones {
 			at[z.Name] = len(v.Zones)
 			v.Zones = append(v.Zones, ZoneView{Zone: *z})
 		}
-		for _, o := range g.steward.Views() {
+		for _, o := range g.steward.ZoneViews() {
 			i, known := at[o.Zone]
 			if !known {
 				i = len(v.Zones)
@@ -52,7 +52,7 @@
 			v.Zones[i].Seen = o
 		}
 		if i, known := at[zones.WholeFleet]; known {
-			v.Zones[i].Seen = g.steward.All()
+			v.Zones[i].Seen = g.steward.FleetView()
 		}
 		raw, _ := json.Marshal(&v) // the copy: what it shows goes on changing
 		return raw
@@ -72,7 +72,7 @@
 	}
 	got := make(chan end, 1)
 	if err := g.ask(func() {
-		g.steward.ZoneOp(g.rep.machine.nodes, op, func(r zones.Result, err error) { got <- end{r, err} })
+		g.steward.SubmitZone(g.rep.machine.nodes, op, func(r zones.Result, err error) { got <- end{r, err} })
 		g.steer(0)
 	}); err != nil {
 		return zones.Result{}, err
--- a/internal/control/coordinator/part.go
+++ b/internal/control/coordinator/part.go
@@ -23,9 +23,9 @@
 
 // Kinds of entries of the log that are this part's.
 const (
-	KindBeat   = "beat"
-	KindPolicy = "policy"
-	KindZones  = "zones"
+	KindHeartbeats = "beat"
+	KindPolicy     = "policy"
+	KindZones      = "zones"
 )
 
 // Versions is the group's configuration, as far as it is kept.
@@ -34,66 +34,66 @@
 	Text(number uint64) (text, hash string, ok bool)
 }
 
-// Part is the replicated state about nodes.
-type Part struct {
-	Fleet   *membership.State
-	Policy  *policy.State
-	Zones   *zones.State
-	Index   uint64   // of the last entry that was this part's
-	Gen     uint64   // how often the group was restored, from 1 on
-	Before  []string // groups of earlier generations, the oldest first
-	Sums    []Sum    // of the newest entries of this part, maxSums at least
-	Without policy.Guard
+// State is the replicated state about nodes.
+type State struct {
+	Fleet        *membership.State
+	Policy       *policy.State
+	Zones        *zones.State
+	Index        uint64          // of the last entry that was this part's
+	Generation   uint64          // how often the group was restored, from 1 on
+	Predecessors []string        // groups of earlier generations, the oldest first
+	Checksums    []EntryChecksum // of the newest entries of this part, maxChecksums at least
+	Without      policy.Guard
 	// WithoutZones are guards about zones.
 	WithoutZones zones.Guard
 }
 
-// Sum is an entry of this part as nodes are told it: by its place and a sum of what it says.
-type Sum struct {
-	Index uint64 `json:"index"`
-	Sum   uint64 `json:"sum"`
+// EntryChecksum is an entry of this part as nodes are told it: by its place and a sum of what it says.
+type EntryChecksum struct {
+	Index    uint64 `json:"index"`
+	Checksum uint64 `json:"sum"`
 }
 
-// maxSums is how many entries can be held against what nodes were told, the newest: some minutes of them. A group that was put
+// maxChecksums is how many entries can be held against what nodes were told, the newest: some minutes of them. A group that was put
 // back to an older state is at the same entries again within seconds.
-const maxSums = 512
+const maxChecksums = 512
 
 // sum is that of the last entry, 0 if none is known.
-func (p *Part) sum() uint64 {
-	if n := len(p.Sums); n > 0 && p.Sums[n-1].Index == p.Index {
-		return p.Sums[n-1].Sum
+func (p *State) lastChecksum() uint64 {
+	if n := len(p.Checksums); n > 0 && p.Checksums[n-1].Index == p.Index {
+		return p.Checksums[n-1].Checksum
 	}
 	return 0
 }
 
-// sumOf gives the sum of an entry, 0 where what stands there is none of this part's. known is false before the first that is
+// checksumAt gives the sum of an entry, 0 where what stands there is none of this part's. known is false before the first that is
 // kept, and after the last.
-func (p *Part) sumOf(index uint64) (sum uint64, known bool) {
-	i := sort.Search(len(p.Sums), func(i int) bool { return p.Sums[i].Index >= index })
+func (p *State) checksumAt(index uint64) (sum uint64, known bool) {
+	i := sort.Search(len(p.Checksums), func(i int) bool { return p.Checksums[i].Index >= index })
 	switch {
-	case i == len(p.Sums) || i == 0 && p.Sums[0].Index != index:
+	case i == len(p.Checksums) || i == 0 && p.Checksums[0].Index != index:
 		return 0, false
-	case p.Sums[i].Index != index:
+	case p.Checksums[i].Index != index:
 		return 0, true
 	}
-	return p.Sums[i].Sum, true
+	return p.Checksums[i].Checksum, true
 }
 
-// noteSum keeps an entry's sum. Each stands alone, so that instances which began to keep them at other entries agree.
-func (p *Part) noteSum(kind string, body []byte, index, term uint64) {
+// recordChecksum keeps an entry's sum. Each stands alone, so that instances which began to keep them at other entries agree.
+func (p *State) recordChecksum(kind string, body []byte, index, term uint64) {
 	raw := binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64([]byte(kind), index), term)
 	d := xxhash.New()
 	d.Write(raw)
 	d.Write(body)
-	p.Sums = append(p.Sums, Sum{index, max(1, d.Sum64())})
-	if len(p.Sums) > 2*maxSums { // seldom, so that it costs nothing an entry
-		p.Sums = append(p.Sums[:0], p.Sums[len(p.Sums)-maxSums:]...)
+	p.Checksums = append(p.Checksums, EntryChecksum{index, max(1, d.Sum64())})
+	if len(p.Checksums) > 2*maxChecksums { // seldom, so that it costs nothing an entry
+		p.Checksums = append(p.Checksums[:0], p.Checksums[len(p.Checksums)-maxChecksums:]...)
 	}
 }
 
-// NewPart gives an empty one.
-func NewPart(without policy.Guard) *Part {
-	return &Part{Fleet: membership.New(), Policy: &policy.State{}, Zones: &zones.State{}, Gen: 1, Without: without}
+// NewState gives an empty one.
+func NewState(without policy.Guard) *State {
+	return &State{Fleet: membership.New(), Policy: &policy.State{}, Zones: &zones.State{}, Generation: 1, Without: without}
 }
 
 type world struct{ v Versions }
@@ -109,7 +109,7 @@
 	return d, hash, err
 }
 
-func (w world) Judge(version, from uint64) (policy.Rules, string, error) {
+func (w world) Check(version, from uint64) (policy.Rules, string, error) {
 	next, hash, err := w.doc(version)
 	if err != nil {
 		return policy.Rules{}, "", err
@@ -123,7 +123,7 @@
 			return policy.Rules{}, "", err
 		}
 	}
-	r := policy.Rules{LeaseMS: uint64(next.Fleet.Lease.Milliseconds()), Alone: next.Fleet.Alone}
+	r := policy.Rules{LeaseMS: uint64(next.Fleet.Lease.Milliseconds()), Autonomous: next.Fleet.Alone}
 	if z := &next.Zones; z.Given {
 		r.Zones = api.ZoneRules{Mode: z.Decide, InitialShare: int(z.First*api.FullShare + 0.5), MinStepMS: uint64(z.Hold.Milliseconds()),
 			OrderTTLMS: uint64(z.Keep.Milliseconds()), MaxWaitMS: uint64(z.Wait.Milliseconds()),
@@ -133,36 +133,36 @@
 }
 
 // grant gives what leases are given under now.
-func (p *Part) grant() membership.Grant {
-	r := p.Policy.Grants()
-	g := membership.Grant{LeaseMS: r.LeaseMS, Alone: r.Alone, Need: p.Policy.Need}
+func (p *State) leaseTerms() membership.LeaseTerms {
+	r := p.Policy.ActiveRules()
+	g := membership.LeaseTerms{LeaseMS: r.LeaseMS, Autonomous: r.Autonomous, DecidedVersion: p.Policy.DecidedVersion}
 	if r.Zones.Enabled() && !p.WithoutZones.Has(zones.OneEpoch) {
-		g.Zones = p.Zones.Epoch
+		g.ZoneEpoch = p.Zones.Epoch
 	}
 	return g
 }
 
-// BeatDone is the end of a beat.
-type BeatDone struct {
-	Term, No uint64
-	membership.Result
-	Began bool // most of the fleet had just restarted: it comes back with a share
+// BatchApplied is the end of a beat.
+type BatchApplied struct {
+	Term, Sequence uint64
+	membership.BatchResult
+	FleetRestarted bool // most of the fleet had just restarted: it comes back with a share
 }
 
-// Apply plays one committed entry and gives its end: a BeatDone or a policy.Result. An error means that the entry
+// Apply plays one committed entry and gives its end: a BatchApplied or a policy.Result. An error means that the entry
 // can't be read: the instance can't go on, as others may have read it.
-func (p *Part) Apply(kind string, body []byte, index, term uint64, v Versions) (any, error) {
+func (p *State) Apply(kind string, body []byte, index, term uint64, v Versions) (any, error) {
 	p.Index = index
-	p.noteSum(kind, body, index, term)
+	p.recordChecksum(kind, body, index, term)
 	switch kind {
-	case KindBeat:
-		var b membership.Beat
+	case KindHeartbeats:
+		var b membership.HeartbeatBatch
 		if err := json.Unmarshal(body, &b); err != nil {
 			return nil, fmt.Errorf("not a beat: %w", err)
 		}
-		done := BeatDone{Term: b.Term, No: b.No, Result: p.Fleet.Apply(&b, term, p.grant())}
-		if rules := p.Policy.Grants().Zones; len(done.Joined) > 0 {
-			done.Began = p.Zones.BeginColdStart(p.Fleet, &rules, p.WithoutZones)
+		done := BatchApplied{Term: b.Term, Sequence: b.Sequence, BatchResult: p.Fleet.Apply(&b, term, p.leaseTerms())}
+		if rules := p.Policy.ActiveRules().Zones; len(done.Joins) > 0 {
+			done.FleetRestarted = p.Zones.BeginColdStart(p.Fleet, &rules, p.WithoutZones)
 		}
 		return done, nil
 	case KindPolicy:
@@ -170,7 +170,7 @@
 		if err := json.Unmarshal(body, &op); err != nil {
 			return nil, fmt.Errorf("not a step of a policy: %w", err)
 		}
-		if op.Kind == "propose" && op.Propose == nil {
+		if op.Kind == "propose" && op.Proposal == nil {
 			return nil, fmt.Errorf("a proposal of nothing")
 		}
 		return p.Policy.Apply(&op, p.Fleet, world{v}, p.Without), nil
@@ -180,13 +180,13 @@
 		if err := json.Unmarshal(body, &op); err != nil {
 			return nil, fmt.Errorf("not a step of a zone: %w", err)
 		}
-		if !p.Policy.Grants().Zones.Enabled() {
+		if !p.Policy.ActiveRules().Zones.Enabled() {
 			return zones.Result{Kind: op.Kind, Zone: op.Zone, IdempotencyKey: op.IdempotencyKey,
 				Err: "the policy in force decides nothing about zones: [zones] decide = ask or auto"}, nil
 		}
 		return p.Zones.Apply(&op, p.Fleet, p.WithoutZones), nil
 	}
-	return nil, fmt.Errorf("an entry of kind %q, expected %s, %s or %s", kind, KindBeat, KindPolicy, KindZones)
+	return nil, fmt.Errorf("an entry of kind %q, expected %s, %s or %s", kind, KindHeartbeats, KindPolicy, KindZones)
 }
 
 // saved is the part as a snapshot keeps it.
@@ -197,22 +197,22 @@
 	Zones  json.RawMessage `json:"zones,omitempty"`
 	Gen    uint64          `json:"generation,omitempty"`
 	Before []string        `json:"before,omitempty"`
-	Sums   []Sum           `json:"sums,omitempty"`
+	Sums   []EntryChecksum `json:"sums,omitempty"`
 }
 
-// Save gives the part on one line.
-func (p *Part) Save() ([]byte, error) {
-	f, err := p.Fleet.Save()
+// Snapshot gives the part on one line.
+func (p *State) Snapshot() ([]byte, error) {
+	f, err := p.Fleet.Snapshot()
 	if err != nil {
 		return nil, err
 	}
-	c, err := p.Policy.Save()
+	c, err := p.Policy.Snapshot()
 	if err != nil {
 		return nil, err
 	}
-	s := saved{Index: p.Index, Fleet: f, Policy: c, Before: p.Before, Sums: p.Sums[max(0, len(p.Sums)-maxSums):]}
-	if p.Gen > 1 {
-		s.Gen = p.Gen
+	s := saved{Index: p.Index, Fleet: f, Policy: c, Before: p.Predecessors, Sums: p.Checksums[max(0, len(p.Checksums)-maxChecksums):]}
+	if p.Generation > 1 {
+		s.Gen = p.Generation
 	}
 	if p.Zones.Epoch > 0 || len(p.Zones.Zones) > 0 { // an older build reads what it knows where there is none
 		if s.Zones, err = p.Zones.Save(); err != nil {
@@ -222,17 +222,17 @@
 	return json.Marshal(s)
 }
 
-// Load reads what Save gave, in place of what the part held.
-func (p *Part) Load(raw []byte) error {
+// Restore reads what Save gave, in place of what the part held.
+func (p *State) Restore(raw []byte) error {
 	var s saved
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return fmt.Errorf("the saved state about nodes: %w", err)
 	}
-	f, err := membership.Load(s.Fleet)
+	f, err := membership.Restore(s.Fleet)
 	if err != nil {
 		return err
 	}
-	c, err := policy.Load(s.Policy)
+	c, err := policy.Restore(s.Policy)
 	if err != nil {
 		return err
 	}
@@ -241,22 +241,22 @@
 		return err
 	}
 	p.Index, p.Fleet, p.Policy, p.Zones = s.Index, f, c, z
-	p.Gen, p.Before, p.Sums = max(1, s.Gen), s.Before, s.Sums
+	p.Generation, p.Predecessors, p.Checksums = max(1, s.Gen), s.Before, s.Sums
 	return nil
 }
 
-// Restore makes the part the first state of the next generation of a group, by what was found. A change under way has no
+// BeginGeneration makes the part the first state of the next generation of a group, by what was found. A change under way has no
 // end there: it is called off. Zones stand as the newest order of their nodes says, and return as any that was left.
-func (p *Part) Restore(found *recovery.RestorePlan, v Versions) error {
-	rules := policy.Before
+func (p *State) BeginGeneration(found *recovery.RestorePlan, v Versions) error {
+	rules := policy.DefaultRules
 	if found.Hash != "" {
 		var err error
-		if rules, _, err = (world{v}).Judge(found.Version, 0); err != nil {
+		if rules, _, err = (world{v}).Check(found.Version, 0); err != nil {
 			return err
 		}
 	}
 	next := found.Lost.NextGeneration("")
-	p.Gen, p.Before = next.Generation, next.Predecessors
+	p.Generation, p.Predecessors = next.Generation, next.Predecessors
 	var more []api.JoinRequest
 	share := map[string]recovery.NodeRecord{}
 	for _, k := range found.Records {
@@ -265,9 +265,9 @@
 			share[k.Zone] = k
 		}
 	}
-	p.Fleet.Restore(max(found.LeaseMS, rules.LeaseMS), rules.Alone, more)
-	if found.Version > 0 || p.Policy.Now != nil {
-		p.Policy.Restore(found.Version, found.Hash, rules, p.Fleet.Clock, found.Proof)
+	p.Fleet.BeginGeneration(max(found.LeaseMS, rules.LeaseMS), rules.Autonomous, more)
+	if found.Version > 0 || p.Policy.Current != nil {
+		p.Policy.BeginGeneration(found.Version, found.Hash, rules, p.Fleet.ClockMS, found.Proof)
 	}
 	left := map[string]int{}
 	for name, k := range share { // each is judged alone
--- a/internal/control/coordinator/pin_stream_test.go
+++ b/internal/control/coordinator/pin_stream_test.go
@@ -31,8 +31,8 @@
 	*testing.T
 	rng     *rand.Rand
 	level   int
-	part    *Part
-	leaders [2]*Steward
+	part    *State
+	leaders [2]*Leader
 	now     uint64
 	term    uint64
 	index   uint64
@@ -88,13 +88,13 @@
 func (r *recorded) lead(i int) {
 	r.term++
 	for k, s := range r.leaders {
-		s.Lead(r.part, "group", k == i, r.term)
+		s.SetRole(r.part, "group", k == i, r.term)
 	}
 }
 
-func (r *recorded) leader() *Steward {
+func (r *recorded) leader() *Leader {
 	for _, s := range r.leaders {
-		if s.Leads() {
+		if s.Leading() {
 			return s
 		}
 	}
@@ -110,7 +110,7 @@
 	}
 	fmt.Fprintf(r.sum, "%d applied %s %s\n", r.now, e.Kind, e.Body)
 	for _, s := range r.leaders {
-		s.Applied(r.part, end)
+		s.EntryApplied(r.part, end)
 	}
 }
 
@@ -171,7 +171,7 @@
 	a := r.request(n)
 	lost := r.rng.Intn(12) == 0
 	life := n.life
-	r.leader().Ask(r.part, a, func(t api.HeartbeatResponse, err error) {
+	r.leader().Heartbeat(r.part, a, func(t api.HeartbeatResponse, err error) {
 		r.answers++
 		r.note("answer to "+n.name+fmt.Sprint(" ", err), t)
 		if err == nil && !lost && life == n.life {
@@ -258,7 +258,7 @@
 	if err := json.Unmarshal(raw, &op); err != nil {
 		r.Fatal(err)
 	}
-	r.leader().Op(op, func(e policy.Result, err error) { r.note(fmt.Sprint("policy ", err), e) })
+	r.leader().SubmitPolicy(op, func(e policy.Result, err error) { r.note(fmt.Sprint("policy ", err), e) })
 }
 
 func (r *recorded) zoneOp(said map[string]any) {
@@ -267,7 +267,7 @@
 	if err := json.Unmarshal(raw, &op); err != nil {
 		r.Fatal(err)
 	}
-	r.leader().ZoneOp(r.part, op, func(e zones.Result, err error) { r.note(fmt.Sprint("zone ", err), e) })
+	r.leader().SubmitZone(r.part, op, func(e zones.Result, err error) { r.note(fmt.Sprint("zone ", err), e) })
 }
 
 func (r *recorded) operator() {
@@ -275,11 +275,11 @@
 	key := fmt.Sprintf("key-%06d", r.keys)
 	switch r.rng.Intn(9) {
 	case 0, 1, 2, 3:
-		r.policyOp(map[string]any{"op": "propose", "propose": map[string]any{"version": r.part.Policy.Need + 1 + uint64(r.rng.Intn(2)),
+		r.policyOp(map[string]any{"op": "propose", "propose": map[string]any{"version": r.part.Policy.DecidedVersion + 1 + uint64(r.rng.Intn(2)),
 			"exclusive": r.rng.Intn(3) == 0, "within_ms": 1000 + r.rng.Intn(8000), "spare": r.rng.Intn(3), "author": "an operator", "reason": "<why> & what",
 			"key": key}})
 	case 4:
-		r.policyOp(map[string]any{"op": "off", "number": r.part.Policy.Number, "by": "an operator", "why": "enough"})
+		r.policyOp(map[string]any{"op": "off", "number": r.part.Policy.LastNumber, "by": "an operator", "why": "enough"})
 	case 5:
 		err := r.leader().Forget(fmt.Sprint("n", r.rng.Intn(len(r.nodes))))
 		fmt.Fprintln(r.sum, "forget", err)
@@ -336,7 +336,7 @@
 }
 
 func (r *recorded) snapshot() string {
-	raw, err := r.part.Save()
+	raw, err := r.part.Snapshot()
 	if err != nil {
 		r.Fatal(err)
 	}
@@ -345,10 +345,10 @@
 
 func record(t *testing.T, seed int64, level int, without policy.Guard, noZones zones.Guard, steps int) *recorded {
 	r := &recorded{T: t, rng: rand.New(rand.NewSource(seed)), level: level, sum: sha256.New()}
-	r.part = NewPart(without)
+	r.part = NewState(without)
 	r.part.WithoutZones = noZones
 	for i := range r.leaders {
-		r.leaders[i] = New(without)
+		r.leaders[i] = NewLeader(without)
 		r.leaders[i].WithoutZones, r.leaders[i].Level = noZones, level
 	}
 	for i := range 9 {
@@ -395,7 +395,7 @@
 		compare(t, fmt.Sprintf("hash-%d.txt", level), fmt.Sprintf("%x %d answers\n", r.sum.Sum(nil), r.answers))
 
 		// What that version stored gives the same state, from the log as well as from the snapshot.
-		p := NewPart(0)
+		p := NewState(0)
 		for _, line := range strings.Split(strings.TrimSuffix(entries, "\n"), "\n") {
 			words := strings.SplitN(line, " ", 4)
 			var index, term uint64
@@ -406,17 +406,17 @@
 				t.Fatal(err)
 			}
 		}
-		if raw, err := p.Save(); err != nil || string(raw)+"\n" != saved {
+		if raw, err := p.Snapshot(); err != nil || string(raw)+"\n" != saved {
 			t.Errorf("level %d: the entries lead to %s (%v)", level, raw, err)
 		}
-		q := NewPart(0)
-		if err := q.Load([]byte(saved)); err != nil {
+		q := NewState(0)
+		if err := q.Restore([]byte(saved)); err != nil {
 			t.Fatal(err)
 		}
-		if raw, err := q.Save(); err != nil || string(raw)+"\n" != saved {
+		if raw, err := q.Snapshot(); err != nil || string(raw)+"\n" != saved {
 			t.Errorf("level %d: loaded and saved again it is %s (%v)", level, raw, err)
 		}
-		if kinds[KindBeat] == 0 || kinds[KindPolicy] == 0 || level >= 3 && kinds[KindZones] == 0 {
+		if kinds[KindHeartbeats] == 0 || kinds[KindPolicy] == 0 || level >= 3 && kinds[KindZones] == 0 {
 			t.Errorf("level %d: entries %v, expected some of each kind", level, kinds)
 		}
 	}
@@ -449,7 +449,7 @@
 		r.step()
 	}
 	lost := r.snapshot()
-	if r.part.Fleet.Lost == "" {
+	if r.part.Fleet.LostState == "" {
 		t.Error("the state was not found lost")
 	}
 	compare(t, "snapshot-lost.json", lost)
@@ -462,7 +462,7 @@
 	if err := json.Unmarshal([]byte(records), &found.Records); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.part.Restore(found, r); err != nil {
+	if err := r.part.BeginGeneration(found, r); err != nil {
 		t.Fatal(err)
 	}
 	compare(t, "snapshot-next.json", r.snapshot())
@@ -481,11 +481,11 @@
 		strings.Replace(whole, `"need":`, `"need":-1`, 1),
 		strings.Replace(whole, `"zones":[`, `"zones":[1,`, 1),
 	} {
-		fmt.Fprintln(&out, NewPart(0).Load([]byte(copyOf)))
+		fmt.Fprintln(&out, NewState(0).Restore([]byte(copyOf)))
 	}
-	for _, e := range []Entry{{"other", []byte("{}")}, {KindBeat, []byte("{")}, {KindPolicy, []byte("[]")}, {KindZones, []byte("1")},
+	for _, e := range []Entry{{"other", []byte("{}")}, {KindHeartbeats, []byte("{")}, {KindPolicy, []byte("[]")}, {KindZones, []byte("1")},
 		{KindPolicy, []byte(`{"op":"propose"}`)}} {
-		_, err := NewPart(0).Apply(e.Kind, e.Body, 1, 1, nil)
+		_, err := NewState(0).Apply(e.Kind, e.Body, 1, 1, nil)
 		fmt.Fprintln(&out, err)
 	}
 	// encoding/json names the Go type that a value was meant for: not part of the error as an operator knows it.
--- a/internal/control/coordinator/steward.go
+++ b/internal/control/coordinator/steward.go
@@ -37,11 +37,11 @@
 // ErrBusy is told to who may ask again shortly.
 var ErrBusy = errors.New("too many nodes ask at once")
 
-// ErrLost is told to nodes and operators of a group that nodes have proved to be behind what it once agreed on.
-var ErrLost = errors.New("the group has lost state and grants nothing: umberctl control recover")
+// ErrStateLost is told to nodes and operators of a group that nodes have proved to be behind what it once agreed on.
+var ErrStateLost = errors.New("the group has lost state and grants nothing: umberctl control recover")
 
-// ErrNoLead is told to whoever asked an instance that does not lead.
-var ErrNoLead = errors.New("this instance does not lead")
+// ErrNotLeader is told to whoever asked an instance that does not lead.
+var ErrNotLeader = errors.New("this instance does not lead")
 
 // Entry is something for the log.
 type Entry struct {
@@ -69,59 +69,59 @@
 	done  func(zones.Result, error)
 }
 
-// Steward is what a leader does about nodes. All of it is in memory: a new leader hears all nodes anew.
-type Steward struct {
+// Leader is what a leader does about nodes. All of it is in memory: a new leader hears all nodes anew.
+type Leader struct {
 	Without      policy.Guard
 	WithoutZones zones.Guard
 
-	cluster string
-	leads   bool
-	term    uint64
-	now     uint64 // ms that went by here, never back
-	beatAt  uint64 // when the last beat was applied here, or the lead began
-	sentAt  uint64 // when a beat went out that is not applied yet; 0: none is out
-	no      uint64 // of the beat made last
-	waits   []open // go into the next beat
-	out     []open // are in the one that is out
-	more    bool   // joinings were left for the next beat, which goes out soon
-	opAt    uint64 // when an op of the rules went out; 0: none is out
-	ops     []*opening
-	forgets []string
-	watch   *zones.Monitor
-	zoneAt  uint64 // when an op about zones went out by the rules; 0: none is out
-	zoneOps []*zoneOpening
-	reports map[string]*told // by node
-	Level   int              // the group's: what entries may carry
-	counts  counts
-	joins   map[uint32]uint64 // when leases were given here to nodes that were not told yet to take all
-	lacks   map[string]lack   // by node: what it was told that the state does not have
-	stopped bool              // the state was lost
-	ledAt   uint64            // when the lead began
-	names   map[string]bool   // nodes heard since; nil: the leader listens no more
-	Beats   uint64            // sent by this instance
-	Bytes   uint64            // of them
+	cluster     string
+	leads       bool
+	term        uint64
+	now         uint64 // ms that went by here, never back
+	beatAt      uint64 // when the last beat was applied here, or the lead began
+	sentAt      uint64 // when a beat went out that is not applied yet; 0: none is out
+	no          uint64 // of the beat made last
+	waits       []open // go into the next beat
+	out         []open // are in the one that is out
+	more        bool   // joinings were left for the next beat, which goes out soon
+	opAt        uint64 // when an op of the rules went out; 0: none is out
+	ops         []*opening
+	forgets     []string
+	watch       *zones.Monitor
+	zoneAt      uint64 // when an op about zones went out by the rules; 0: none is out
+	zoneOps     []*zoneOpening
+	reports     map[string]*told // by node
+	Level       int              // the group's: what entries may carry
+	counts      counts
+	joins       map[uint32]uint64 // when leases were given here to nodes that were not told yet to take all
+	lacks       map[string]lack   // by node: what it was told that the state does not have
+	stopped     bool              // the state was lost
+	ledAt       uint64            // when the lead began
+	names       map[string]bool   // nodes heard since; nil: the leader listens no more
+	BatchesSent uint64            // sent by this instance
+	BatchBytes  uint64            // of them
 }
 
 // told is a report and whose it is.
 type told struct {
 	lease uint32
-	policy.Report
+	policy.NodeReport
 }
 
-// New gives a steward that does not lead.
-func New(without policy.Guard) *Steward {
-	return &Steward{Without: without, reports: map[string]*told{}, watch: zones.NewMonitor()}
+// NewLeader gives a steward that does not lead.
+func NewLeader(without policy.Guard) *Leader {
+	return &Leader{Without: without, reports: map[string]*told{}, watch: zones.NewMonitor()}
 }
 
-// Leads tells whether this instance does the work at present.
-func (s *Steward) Leads() bool { return s.leads }
+// Leading tells whether this instance does the work at present.
+func (s *Leader) Leading() bool { return s.leads }
 
-// Lead tells of who leads. Losing the lead lets all go that wait; another term hears everybody anew.
-func (s *Steward) Lead(p *Part, cluster string, leads bool, term uint64) {
+// SetRole tells of who leads. Losing the lead lets all go that wait; another term hears everybody anew.
+func (s *Leader) SetRole(p *State, cluster string, leads bool, term uint64) {
 	if leads == s.leads && term == s.term && cluster == s.cluster {
 		return
 	}
-	s.drop(ErrNoLead)
+	s.drop(ErrNotLeader)
 	s.cluster, s.leads, s.term = cluster, leads, term
 	s.beatAt, s.sentAt, s.opAt, s.no, s.more = s.now, 0, 0, 0, false
 	s.reports, s.forgets = map[string]*told{}, nil
@@ -137,13 +137,13 @@
 
 // listens tells whether the leader has not yet heard all nodes that are in: some may know what a state that was put back to
 // an older one lacks, and until then nothing that rests on it is granted or decided.
-func (s *Steward) listens(p *Part) bool {
+func (s *Leader) listens(p *State) bool {
 	if s.names == nil {
 		return false
 	}
-	if s.Level >= LevelGen && !s.Without.Has(policy.ListenFirst) && s.now-s.ledAt < min(listenMost, p.grant().LeaseMS/4) {
+	if s.Level >= LevelGenerations && !s.Without.Has(policy.ListenFirst) && s.now-s.ledAt < min(listenMost, p.leaseTerms().LeaseMS/4) {
 		for _, n := range p.Fleet.Nodes() {
-			if n.Out == "" && !s.names[n.Name] {
+			if n.OutReason == "" && !s.names[n.Name] {
 				return true
 			}
 		}
@@ -153,7 +153,7 @@
 }
 
 // drop lets all askings go.
-func (s *Steward) drop(err error) {
+func (s *Leader) drop(err error) {
 	for _, list := range [][]open{s.waits, s.out} {
 		for _, o := range list {
 			o.done(api.HeartbeatResponse{}, err)
@@ -168,10 +168,10 @@
 	s.waits, s.out, s.ops, s.zoneOps = nil, nil, nil, nil
 }
 
-// Ask takes what a node says. done is called once, at once or after a beat.
-func (s *Steward) Ask(p *Part, a api.HeartbeatRequest, done func(api.HeartbeatResponse, error)) {
+// Heartbeat takes what a node says. done is called once, at once or after a beat.
+func (s *Leader) Heartbeat(p *State, a api.HeartbeatRequest, done func(api.HeartbeatResponse, error)) {
 	if !s.leads {
-		done(api.HeartbeatResponse{}, ErrNoLead)
+		done(api.HeartbeatResponse{}, ErrNotLeader)
 		return
 	}
 	if a.LeaseID == 0 {
@@ -180,8 +180,8 @@
 			return
 		}
 	}
-	if p.Fleet.Lost != "" {
-		done(api.HeartbeatResponse{}, ErrLost)
+	if p.Fleet.LostState != "" {
+		done(api.HeartbeatResponse{}, ErrStateLost)
 		return
 	}
 	if s.names != nil && len(s.names) < membership.MaxNodes {
@@ -191,41 +191,41 @@
 		// A lease of another generation has a number that means another here, and what it heard last may be a later one. It is
 		// told whose this is, and begins anew if that is later than what it knows.
 		t := s.tell(p, api.HeartbeatResponse{EndedReason: "it heard another generation of the group last"})
-		t.Predecessors = p.Before
+		t.Predecessors = p.Predecessors
 		done(t, nil)
 		return
 	}
 	s.doubt(p, &a)
-	if s.Level < LevelGen {
+	if s.Level < LevelGenerations {
 		a.UptimeMS = 0 // an older instance does not know it
 	}
 	if a.LeaseID == 0 {
-		n := p.Fleet.Named(a.Name)
-		a.SameProcess = s.Level >= LevelSame && n != nil && membership.SameProcess(n.Lease.Nonce, a.Nonce)
+		n := p.Fleet.Lookup(a.Name)
+		a.SameProcess = s.Level >= LevelSameProcess && n != nil && membership.IsSameProcess(n.Lease.Nonce, a.Nonce)
 		s.wait(a, done)
 		return
 	}
-	if n := p.Fleet.In(a.LeaseID); n != nil && p.Policy.Grants().Zones.Enabled() {
+	if n := p.Fleet.LeaseHolder(a.LeaseID); n != nil && p.Policy.ActiveRules().Zones.Enabled() {
 		s.watch.Record(s.now, n, a.Load, a.Peers)
 	}
-	n := p.Fleet.In(a.LeaseID)
+	n := p.Fleet.LeaseHolder(a.LeaseID)
 	if n == nil && !a.Leave {
 		done(s.tell(p, api.HeartbeatResponse{EndedReason: "its lease ran out or its name began anew"}), nil)
 		return
 	}
 	if n != nil {
-		s.reports[n.Name] = &told{a.LeaseID, policy.Report{Prepared: a.PreparedVersion, Refused: a.RefusedVersion, Why: a.RefusedReason,
-			Serves: a.ActiveVersion, Fenced: a.Fenced}}
+		s.reports[n.Name] = &told{a.LeaseID, policy.NodeReport{PreparedVersion: a.PreparedVersion, RefusedVersion: a.RefusedVersion, RefusedReason: a.RefusedReason,
+			ActiveVersion: a.ActiveVersion, Fenced: a.Fenced}}
 	}
-	if n != nil && !a.Leave && p.Fleet.Clock > a.LastClockMS+membership.Span(p.grant().LeaseMS) {
+	if n != nil && !a.Leave && p.Fleet.ClockMS > a.LastClockMS+membership.LeaseSpanMS(p.leaseTerms().LeaseMS) {
 		// It has not heard an answer for a lease's time, so it serves nothing: what it says reaches the group, and nothing
 		// comes back. Its askings must not keep it in, or a change would wait for it.
 		done(s.tell(p, api.HeartbeatResponse{LeaseID: a.LeaseID}), nil)
 		return
 	}
 	// A promise that the state lacks goes through the log as well: a change waits for it.
-	if a.Renew || a.Leave || n.Lease.Floor < a.MinVersion && s.behind(p, n) ||
-		n.Lease.Zones < a.MinZoneEpoch && p.Zones.SettledEpoch < p.Zones.Epoch {
+	if a.Renew || a.Leave || n.Lease.MinVersion < a.MinVersion && s.behind(p, n) ||
+		n.Lease.MinZoneEpoch < a.MinZoneEpoch && p.Zones.SettledEpoch < p.Zones.Epoch {
 		s.wait(a, done)
 		return
 	}
@@ -245,13 +245,13 @@
 }
 
 // doubt holds what a node was told against what the state has.
-func (s *Steward) doubt(p *Part, a *api.HeartbeatRequest) {
+func (s *Leader) doubt(p *State, a *api.HeartbeatRequest) {
 	h := a.LastSeen
 	if h == nil || s.Without.Has(policy.Proof) {
 		return
 	}
-	have := recovery.GroupPosition{Group: s.cluster, Generation: p.Gen, Term: s.term, Index: p.Index, DecidedVersion: p.Policy.Need, ZoneEpoch: p.Zones.Epoch,
-		HashOf: func(v uint64) string { return s.hashOf(p, v) }, ChecksumAt: p.sumOf}
+	have := recovery.GroupPosition{Group: s.cluster, Generation: p.Generation, Term: s.term, Index: p.Index, DecidedVersion: p.Policy.DecidedVersion, ZoneEpoch: p.Zones.Epoch,
+		HashOf: func(v uint64) string { return s.hashOf(p, v) }, ChecksumAt: p.checksumAt}
 	k := recovery.NodeRecord{Group: h.Group, Generation: max(1, h.Generation), Term: h.Term, Index: h.Index, EntryChecksum: h.EntryChecksum, ActiveVersion: a.ActiveVersion, ActiveHash: h.ActiveHash,
 		MinVersion: a.MinVersion, ZoneEpoch: a.MinZoneEpoch}
 	if what := have.LostState(&k); what != "" {
@@ -264,11 +264,11 @@
 }
 
 // hashOf gives the hash that the state has of a version that was in force, empty where it is not known any more.
-func (s *Steward) hashOf(p *Part, v uint64) string {
-	if v == p.Policy.Force {
-		return p.Policy.Hash
+func (s *Leader) hashOf(p *State, v uint64) string {
+	if v == p.Policy.CommittedVersion {
+		return p.Policy.CommittedHash
 	}
-	for _, c := range p.Policy.Past {
+	for _, c := range p.Policy.History {
 		if c.Version == v && c.Step == policy.Settled {
 			return c.Hash
 		}
@@ -277,8 +277,8 @@
 }
 
 // lost tells what the group lacks, once enough nodes have proved it; empty: nothing.
-func (s *Steward) lost(p *Part) string {
-	if s.Level < LevelGen || len(s.lacks) == 0 {
+func (s *Leader) lost(p *State) string {
+	if s.Level < LevelGenerations || len(s.lacks) == 0 {
 		return ""
 	}
 	var names []string
@@ -296,19 +296,19 @@
 	return fmt.Sprintf("%s was told of %s; %d nodes say so", names[0], s.lacks[names[0]].what, len(names))
 }
 
-// LevelGen is the level of a group from which on its entries tell of lost state.
-const LevelGen = 4
+// LevelGenerations is the level of a group from which on its entries tell of lost state.
+const LevelGenerations = 4
 
-// LevelSame is the one from which on a process that only lost its lease is no start: it has not flapped.
-const LevelSame = 5
+// LevelSameProcess is the one from which on a process that only lost its lease is no start: it has not flapped.
+const LevelSameProcess = 5
 
 // behind tells whether a change waits for this node's promise.
-func (s *Steward) behind(p *Part, n *membership.Node) bool {
-	c := p.Policy.Now
-	return c != nil && c.Step != policy.Preparing && n.Lease.Floor < c.Version
+func (s *Leader) behind(p *State, n *membership.Node) bool {
+	c := p.Policy.Current
+	return c != nil && c.Step != policy.Preparing && n.Lease.MinVersion < c.Version
 }
 
-func (s *Steward) wait(a api.HeartbeatRequest, done func(api.HeartbeatResponse, error)) {
+func (s *Leader) wait(a api.HeartbeatRequest, done func(api.HeartbeatResponse, error)) {
 	if len(s.waits) >= maxOpen {
 		done(api.HeartbeatResponse{}, ErrBusy)
 		return
@@ -317,17 +317,17 @@
 }
 
 // tell fills in what holds now.
-func (s *Steward) tell(p *Part, t api.HeartbeatResponse) api.HeartbeatResponse {
-	t.Cluster, t.Term, t.Index, t.EntryChecksum, t.ClockMS, t.Generation = s.cluster, s.term, p.Index, p.sum(), p.Fleet.Clock, p.Gen
-	t.DecidedVersion, t.CommittedVersion = p.Policy.Need, api.VersionHash{Version: p.Policy.Force, Hash: p.Policy.Hash}
-	g := p.grant()
-	t.Autonomous = g.Alone
+func (s *Leader) tell(p *State, t api.HeartbeatResponse) api.HeartbeatResponse {
+	t.Cluster, t.Term, t.Index, t.EntryChecksum, t.ClockMS, t.Generation = s.cluster, s.term, p.Index, p.lastChecksum(), p.Fleet.ClockMS, p.Generation
+	t.DecidedVersion, t.CommittedVersion = p.Policy.DecidedVersion, api.VersionHash{Version: p.Policy.CommittedVersion, Hash: p.Policy.CommittedHash}
+	g := p.leaseTerms()
+	t.Autonomous = g.Autonomous
 	t.NextHeartbeatMS = g.LeaseMS / 4
-	if rules := p.Policy.Grants().Zones; rules.Enabled() {
+	if rules := p.Policy.ActiveRules().Zones; rules.Enabled() {
 		t.NextHeartbeatMS = min(t.NextHeartbeatMS, zones.HeartbeatIntervalMS(len(p.Fleet.Nodes())))
-		if n := p.Fleet.In(t.LeaseID); n != nil {
+		if n := p.Fleet.LeaseHolder(t.LeaseID); n != nil {
 			o := p.Zones.Order(n.Zone, t.LeaseID, &rules, s.WithoutZones)
-			if rules.ColdStart && s.young(p, n) && p.Zones.LimitNewNode(&o, n.Zone, n.Age(p.Fleet.Clock), p.Fleet.Clock, s.counts.zone[n.Zone],
+			if rules.ColdStart && s.young(p, n) && p.Zones.LimitNewNode(&o, n.Zone, n.UptimeMS(p.Fleet.ClockMS), p.Fleet.ClockMS, s.counts.zone[n.Zone],
 				&rules, s.WithoutZones) {
 				t.NextHeartbeatMS = min(t.NextHeartbeatMS, max(probationAsk, zones.HeartbeatIntervalMS(len(p.Fleet.Nodes()))/2))
 			} else {
@@ -336,7 +336,7 @@
 			t.Zone, t.ProbeTargets = &o, s.watch.ProbesFor(n.Name)
 		}
 	}
-	if c := p.Policy.Now; c != nil {
+	if c := p.Policy.Current; c != nil {
 		// While a change is under way whoever it waits for is heard soon; reports cost no entry.
 		t.NextHeartbeatMS = min(t.NextHeartbeatMS, max(200, uint64(len(p.Fleet.Nodes()))/5))
 		if c.Step == policy.Preparing {
@@ -363,19 +363,19 @@
 	warm  []uint64 // when those that were up long before were heard last, the earliest first
 }
 
-func (s *Steward) count(p *Part) *counts {
+func (s *Leader) count(p *State) *counts {
 	c := &s.counts
 	if c.known && s.now-c.at < countEvery {
 		return c
 	}
 	*c = counts{at: s.now, known: true, zone: map[string]int{}, warm: c.warm[:0]}
 	for _, n := range p.Fleet.Nodes() {
-		if n.Out != "" {
+		if n.OutReason != "" {
 			continue
 		}
 		c.in++
 		c.zone[n.Zone]++
-		if at := s.watch.LastHeard(n); at > 0 && n.Age(p.Fleet.Clock) > recovery.ColdStartWindowMS {
+		if at := s.watch.LastHeard(n); at > 0 && n.UptimeMS(p.Fleet.ClockMS) > recovery.ColdStartWindowMS {
 			c.warm = append(c.warm, at)
 		}
 	}
@@ -385,9 +385,9 @@
 
 // young tells whether a node has just begun, and most of the others were not heard since: then the whole fleet may have, and
 // only the first of them are here yet.
-func (s *Steward) young(p *Part, n *membership.Node) bool {
+func (s *Leader) young(p *State, n *membership.Node) bool {
 	since, joined := s.joins[n.Lease.ID]
-	if !joined || n.Age(p.Fleet.Clock) > recovery.ColdStartWindowMS {
+	if !joined || n.UptimeMS(p.Fleet.ClockMS) > recovery.ColdStartWindowMS {
 		return false
 	}
 	c := s.count(p)
@@ -396,13 +396,13 @@
 	return others > 0 && 2*warm < others
 }
 
-// Op takes what an operator asks; done is called once it is applied here, or can't be.
-func (s *Steward) Op(op policy.Op, done func(policy.Result, error)) {
+// SubmitPolicy takes what an operator asks; done is called once it is applied here, or can't be.
+func (s *Leader) SubmitPolicy(op policy.Op, done func(policy.Result, error)) {
 	switch {
 	case !s.leads:
-		done(policy.Result{}, ErrNoLead)
+		done(policy.Result{}, ErrNotLeader)
 	case s.stopped:
-		done(policy.Result{}, ErrLost)
+		done(policy.Result{}, ErrStateLost)
 	case len(s.ops) >= maxOps:
 		done(policy.Result{}, ErrBusy)
 	default:
@@ -410,13 +410,13 @@
 	}
 }
 
-// ZoneOp takes what an operator asks about a zone; done is called once it is applied here, or can't be.
-func (s *Steward) ZoneOp(p *Part, op zones.Op, done func(zones.Result, error)) {
+// SubmitZone takes what an operator asks about a zone; done is called once it is applied here, or can't be.
+func (s *Leader) SubmitZone(p *State, op zones.Op, done func(zones.Result, error)) {
 	switch {
 	case !s.leads:
-		done(zones.Result{}, ErrNoLead)
+		done(zones.Result{}, ErrNotLeader)
 	case s.stopped:
-		done(zones.Result{}, ErrLost)
+		done(zones.Result{}, ErrStateLost)
 	case len(s.zoneOps) >= maxOps:
 		done(zones.Result{}, ErrBusy)
 	default:
@@ -428,19 +428,19 @@
 	}
 }
 
-// Views gives zones as the leader sees them.
-func (s *Steward) Views() []*zones.View { return s.watch.Views() }
+// ZoneViews gives zones as the leader sees them.
+func (s *Leader) ZoneViews() []*zones.View { return s.watch.Views() }
 
-// All gives the whole fleet as the leader sees it, nil before its first look.
-func (s *Steward) All() *zones.View { return s.watch.FleetView() }
+// FleetView gives the whole fleet as the leader sees it, nil before its first look.
+func (s *Leader) FleetView() *zones.View { return s.watch.FleetView() }
 
 // Forget takes names off the list with the next beat.
-func (s *Steward) Forget(names ...string) error {
+func (s *Leader) Forget(names ...string) error {
 	if !s.leads {
-		return ErrNoLead
+		return ErrNotLeader
 	}
 	if s.stopped {
-		return ErrLost
+		return ErrStateLost
 	}
 	if len(s.forgets)+len(names) > maxOps {
 		return ErrBusy
@@ -450,19 +450,19 @@
 }
 
 // heard gives a node's report, as its present incarnation told it.
-func (s *Steward) heard(n *membership.Node) *policy.Report {
+func (s *Leader) heard(n *membership.Node) *policy.NodeReport {
 	r := s.reports[n.Name]
 	if r == nil || r.lease != n.Lease.ID && !s.Without.Has(policy.Incarnation) {
 		return nil
 	}
-	return &r.Report
+	return &r.NodeReport
 }
 
-// Heard gives the reports for whoever shows them.
-func (s *Steward) Heard() func(*membership.Node) *policy.Report { return s.heard }
+// Reports gives the reports for whoever shows them.
+func (s *Leader) Reports() func(*membership.Node) *policy.NodeReport { return s.heard }
 
 // Tick tells of ms that went by and gives what the leader adds to the log.
-func (s *Steward) Tick(p *Part, ms uint64) []Entry {
+func (s *Leader) Tick(p *State, ms uint64) []Entry {
 	s.now += ms
 	if !s.leads {
 		return nil
@@ -479,8 +479,8 @@
 		s.sentAt = 0
 		s.waits, s.out = append(s.out, s.waits...), nil
 	}
-	since, each := s.now-s.beatAt, min(beatRest, max(beatChange, p.grant().LeaseMS/beatShare))
-	if s.stopped = p.Fleet.Lost != ""; s.stopped {
+	since, each := s.now-s.beatAt, min(beatRest, max(beatChange, p.leaseTerms().LeaseMS/beatShare))
+	if s.stopped = p.Fleet.LostState != ""; s.stopped {
 		return nil // nothing is decided on a state that is not the fleet's
 	}
 	lost := s.lost(p)
@@ -488,15 +488,15 @@
 		return nil
 	}
 	if s.sentAt == 0 && (lost != "" || since >= beatRest || since >= each && len(s.waits)+len(s.forgets) > 0 ||
-		(p.Policy.Now != nil || s.more) && since >= beatChange && len(s.waits) > 0) {
+		(p.Policy.Current != nil || s.more) && since >= beatChange && len(s.waits) > 0) {
 		s.take()
 		b := s.beat(p)
-		b.Lost = lost
+		b.LostState = lost
 		s.sentAt = s.now
 		s.forgets = nil
-		add(KindBeat, b)
-		s.Beats++
-		s.Bytes += uint64(len(out[0].Body))
+		add(KindHeartbeats, b)
+		s.BatchesSent++
+		s.BatchBytes += uint64(len(out[0].Body))
 	}
 	if s.opAt != 0 && s.now-s.opAt > lostAfter {
 		s.opAt = 0
@@ -510,7 +510,7 @@
 	if s.zoneAt != 0 && s.now-s.zoneAt > lostAfter {
 		s.zoneAt = 0
 	}
-	if rules := p.Policy.Grants().Zones; s.zoneAt == 0 && rules.Enabled() {
+	if rules := p.Policy.ActiveRules().Zones; s.zoneAt == 0 && rules.Enabled() {
 		if op := s.watch.Decide(s.now, p.Zones, p.Fleet, &rules, s.WithoutZones); op != nil {
 			s.zoneAt = s.now
 			add(KindZones, op)
@@ -534,7 +534,7 @@
 
 // take parts what goes into the next beat from what waits for the one after: all renewals and goodbyes, and of the joinings those
 // that came first.
-func (s *Steward) take() {
+func (s *Leader) take() {
 	joins := 0
 	for i := range s.waits {
 		if s.waits[i].ask.LeaseID == 0 {
@@ -560,34 +560,34 @@
 }
 
 // beat puts together what was taken for it.
-func (s *Steward) beat(p *Part) *membership.Beat {
+func (s *Leader) beat(p *State) *membership.HeartbeatBatch {
 	s.no++
-	b := &membership.Beat{Term: s.term, No: s.no, After: p.Fleet.Beats, Span: s.now - s.beatAt, Floor: p.Policy.Need,
-		Zones: p.grant().Zones, Forget: s.forgets}
+	b := &membership.HeartbeatBatch{Term: s.term, Sequence: s.no, BatchesBefore: p.Fleet.Batches, ElapsedMS: s.now - s.beatAt, MinVersion: p.Policy.DecidedVersion,
+		MinZoneEpoch: p.leaseTerms().ZoneEpoch, Forget: s.forgets}
 	for i := range s.out {
 		switch a := &s.out[i].ask; {
 		case a.Leave:
-			b.Bye = append(b.Bye, a.LeaseID)
+			b.Leaves = append(b.Leaves, a.LeaseID)
 		case a.LeaseID == 0:
-			b.Join = append(b.Join, a.JoinRequest)
-		case a.MinVersion >= b.Floor && a.MinZoneEpoch >= b.Zones:
-			b.Renew = append(b.Renew, a.LeaseID)
+			b.Joins = append(b.Joins, a.JoinRequest)
+		case a.MinVersion >= b.MinVersion && a.MinZoneEpoch >= b.MinZoneEpoch:
+			b.Renewals = append(b.Renewals, a.LeaseID)
 		default:
-			b.Behind = append(b.Behind, a.LeaseID)
+			b.Outdated = append(b.Outdated, a.LeaseID)
 		}
 	}
 	return b
 }
 
-// Applied tells the end of an entry that was this part's, after the part has played it.
-func (s *Steward) Applied(p *Part, end any) {
+// EntryApplied tells the end of an entry that was this part's, after the part has played it.
+func (s *Leader) EntryApplied(p *State, end any) {
 	switch e := end.(type) {
-	case BeatDone:
+	case BatchApplied:
 		// Time counts from the beat's application on, whoever made it: none of it is counted twice.
 		if e.Counted {
 			s.beatAt = s.now
 		}
-		mine := e.Term == s.term && e.No == s.no
+		mine := e.Term == s.term && e.Sequence == s.no
 		if s.sentAt == 0 || !mine && !e.Counted {
 			return
 		}
@@ -597,25 +597,25 @@
 			s.waits = append(out, s.waits...)
 			return
 		}
-		joined := map[string]*membership.Joined{}
-		for i := range e.Joined {
-			joined[e.Joined[i].Nonce] = &e.Joined[i]
+		joined := map[string]*membership.JoinResult{}
+		for i := range e.Joins {
+			joined[e.Joins[i].Nonce] = &e.Joins[i]
 		}
-		if p.Fleet.Lost != "" {
+		if p.Fleet.LostState != "" {
 			s.out = out
-			s.drop(ErrLost)
+			s.drop(ErrStateLost)
 			return
 		}
 		for _, o := range out {
 			o.done(s.answer(p, &o.ask, &e, joined))
 		}
 		for lease := range s.joins { // each is judged alone
-			if p.Fleet.In(lease) == nil {
+			if p.Fleet.LeaseHolder(lease) == nil {
 				delete(s.joins, lease)
 			}
 		}
 		for name, r := range s.reports { // no order is needed: each is judged alone
-			if p.Fleet.In(r.lease) == nil && !s.Without.Has(policy.Incarnation) {
+			if p.Fleet.LeaseHolder(r.lease) == nil && !s.Without.Has(policy.Incarnation) {
 				delete(s.reports, name)
 			}
 		}
@@ -636,8 +636,8 @@
 		s.opAt = 0
 		kept := s.ops[:0]
 		for _, o := range s.ops {
-			if o.sent && (e.Key != "" && o.op.Propose != nil && o.op.Propose.Key == e.Key ||
-				e.Key == "" && o.op.Kind == e.Kind && o.op.Number == e.Number) {
+			if o.sent && (e.IdempotencyKey != "" && o.op.Proposal != nil && o.op.Proposal.IdempotencyKey == e.IdempotencyKey ||
+				e.IdempotencyKey == "" && o.op.Kind == e.Kind && o.op.ChangeNumber == e.ChangeNumber) {
 				o.done(e, nil)
 			} else {
 				kept = append(kept, o)
@@ -648,7 +648,7 @@
 }
 
 // answer gives one node's answer after its beat.
-func (s *Steward) answer(p *Part, a *api.HeartbeatRequest, e *BeatDone, joined map[string]*membership.Joined) (
+func (s *Leader) answer(p *State, a *api.HeartbeatRequest, e *BatchApplied, joined map[string]*membership.JoinResult) (
 	api.HeartbeatResponse, error) {
 	t := api.HeartbeatResponse{LeaseID: a.LeaseID}
 	if a.Leave {
@@ -659,12 +659,12 @@
 		if j == nil {
 			return t, fmt.Errorf("the beat had no joining of %s", a.Name)
 		}
-		if j.Refused != "" {
-			t.EndedReason, t.RetryAfterMS = j.Refused, j.Wait
+		if j.RefusedReason != "" {
+			t.EndedReason, t.RetryAfterMS = j.RefusedReason, j.RetryAfterMS
 			return s.tell(p, t), nil
 		}
-		t.LeaseID = j.Lease
-		if p.Policy.Grants().Zones.ColdStart && len(s.joins) < membership.MaxNodes {
+		t.LeaseID = j.LeaseID
+		if p.Policy.ActiveRules().Zones.ColdStart && len(s.joins) < membership.MaxNodes {
 			s.joins[t.LeaseID] = s.now
 		}
 	}
--- a/internal/control/zones/next.go
+++ b/internal/control/zones/next.go
@@ -44,10 +44,10 @@
 	if w.since == 0 || now-w.at >= lookEvery {
 		w.look(now, s, f, without)
 	}
-	if s.SettledEpoch != s.Epoch && (len(f.UnderZones(s.Epoch)) == 0 || without.Has(OneEpoch)) {
+	if s.SettledEpoch != s.Epoch && (len(f.NodesOnOlderZoneEpoch(s.Epoch)) == 0 || without.Has(OneEpoch)) {
 		return &Op{Kind: "settle", Epoch: s.Epoch}
 	}
-	if z := s.Find(WholeFleet); z != nil && z.Phase == Ramping && f.Clock >= z.HeldUntil {
+	if z := s.Find(WholeFleet); z != nil && z.Phase == Ramping && f.ClockMS >= z.HeldUntil {
 		if op := w.goOn(now, s, f, rules, z, w.fleet, without); op != nil {
 			op.Zone, op.Epoch = WholeFleet, s.Epoch
 			return op
@@ -56,7 +56,7 @@
 	for _, v := range w.views {
 		step, _ := s.PhaseOf(v.Zone)
 		z := s.Find(v.Zone)
-		if z != nil && f.Clock < z.HeldUntil {
+		if z != nil && f.ClockMS < z.HeldUntil {
 			continue
 		}
 		var op *Op
@@ -224,7 +224,7 @@
 func (w *Monitor) waitOf(s *State, f *membership.State, v *View, rules *api.ZoneRules) uint64 {
 	flaps := 0
 	if z := s.Find(v.Zone); z != nil {
-		if flaps = z.FlapCount + 1; z.Phase == InService && f.Clock-z.InServiceSince > flapSpan {
+		if flaps = z.FlapCount + 1; z.Phase == InService && f.ClockMS-z.InServiceSince > flapSpan {
 			flaps = 0
 		}
 	}
@@ -255,8 +255,8 @@
 		v.Note = "out: " + why
 		return nil
 	}
-	if f.Clock < z.RampNotBefore {
-		v.Note = fmt.Sprintf("out, well, and waits for %d ms more", z.RampNotBefore-f.Clock)
+	if f.ClockMS < z.RampNotBefore {
+		v.Note = fmt.Sprintf("out, well, and waits for %d ms more", z.RampNotBefore-f.ClockMS)
 		return nil
 	}
 	if s.SettledEpoch != s.Epoch && !without.Has(OneEpoch) {
@@ -312,7 +312,7 @@
 	}
 	v.loads[0] = load
 	warm := warm(v, &z.Capacity)
-	shown := f.Clock - z.Since
+	shown := f.ClockMS - z.Since
 	if v.over++; shown < w.pace || load <= backAt || v.Concurrency < 1 || warm || !v.quorum() {
 		v.over = 0
 	}
@@ -437,7 +437,7 @@
 
 // resplit has a ceiling split anew where a node without a part is in, or a part has come free.
 func (w *Monitor) resplit(s *State, f *membership.State, z *Zone) *Op {
-	if f.Clock-z.Since < splitRest {
+	if f.ClockMS-z.Since < splitRest {
 		return nil
 	}
 	held := 0.0
@@ -445,16 +445,16 @@
 		if !z.has(n) {
 			continue
 		}
-		for i := range n.Old {
-			if r, had := rate(z.Quotas, n.Old[i].ID); had && n.Old[i].Live(f.Clock) {
+		for i := range n.EarlierLeases {
+			if r, had := rate(z.Quotas, n.EarlierLeases[i].ID); had && n.EarlierLeases[i].Live(f.ClockMS) {
 				held += r
 			}
 		}
 		r, had := rate(z.Quotas, n.Lease.ID)
-		if n.Out == "" && !had {
+		if n.OutReason == "" && !had {
 			return &Op{Kind: "split", RetryBudget: s.RetryBudget, FleetFull: s.FleetFull}
 		}
-		if n.Lease.Live(f.Clock) {
+		if n.Lease.Live(f.ClockMS) {
 			held += r
 		}
 	}
@@ -467,7 +467,7 @@
 // drilled tells whether a drill's time is over, or it does harm: a zone that is in turns sick, or loses more than a drill
 // may cost.
 func (w *Monitor) drilled(s *State, f *membership.State, z *Zone) bool {
-	if z.DrillUntil == 0 || z.DrillUntil <= f.Clock {
+	if z.DrillUntil == 0 || z.DrillUntil <= f.ClockMS {
 		return z.DrillUntil > 0
 	}
 	for _, o := range w.views {
--- a/internal/control/zones/pin_stream_test.go
+++ b/internal/control/zones/pin_stream_test.go
@@ -55,9 +55,9 @@
 	return i
 }
 
-func (s *stream) beat(b *membership.Beat) {
-	b.Term, b.No, b.After, b.Span, b.Zones = 1, s.beats, s.beats, streamTick, s.state.Epoch
-	s.fleet.Apply(b, 1, membership.Grant{LeaseMS: 3000, Zones: s.state.Epoch})
+func (s *stream) beat(b *membership.HeartbeatBatch) {
+	b.Term, b.Sequence, b.BatchesBefore, b.ElapsedMS, b.MinZoneEpoch = 1, s.beats, s.beats, streamTick, s.state.Epoch
+	s.fleet.Apply(b, 1, membership.LeaseTerms{LeaseMS: 3000, ZoneEpoch: s.state.Epoch})
 	s.beats++
 }
 
@@ -155,10 +155,10 @@
 }
 
 func (s *stream) restart() {
-	b := &membership.Beat{}
+	b := &membership.HeartbeatBatch{}
 	for _, z := range streamZones {
 		for i := range z.nodes {
-			b.Join = append(b.Join, s.join(z.name, i, 0))
+			b.Joins = append(b.Joins, s.join(z.name, i, 0))
 		}
 	}
 	s.beat(b)
@@ -169,17 +169,17 @@
 
 func (s *stream) tick() {
 	s.now += streamTick
-	b := &membership.Beat{Floor: 0}
+	b := &membership.HeartbeatBatch{MinVersion: 0}
 	for _, n := range s.fleet.Nodes() {
 		switch {
-		case n.Out != "" && s.fault(n.Zone) == "":
-			b.Join = append(b.Join, s.join(n.Zone, numberOf(n.Name), 60_000))
-		case n.Out == "" && s.fault(n.Zone) != "silent" && s.rng.IntN(40) != 0:
-			b.Renew = append(b.Renew, n.Lease.ID)
+		case n.OutReason != "" && s.fault(n.Zone) == "":
+			b.Joins = append(b.Joins, s.join(n.Zone, numberOf(n.Name), 60_000))
+		case n.OutReason == "" && s.fault(n.Zone) != "silent" && s.rng.IntN(40) != 0:
+			b.Renewals = append(b.Renewals, n.Lease.ID)
 		}
 	}
 	if s.now%15_000 == 4000 { // a node begins anew, its old lease may still be acted on
-		b.Join = append(b.Join, s.join("a", 0, 60_000), s.join("d", 3, 60_000))
+		b.Joins = append(b.Joins, s.join("a", 0, 60_000), s.join("d", 3, 60_000))
 	}
 	s.beat(b)
 	if s.state.BeginColdStart(s.fleet, &s.rules, s.without) {
@@ -187,8 +187,8 @@
 	}
 	for _, z := range streamZones {
 		for i := range z.nodes {
-			n := s.fleet.Named(fmt.Sprintf("%s%d", z.name, i))
-			if n == nil || n.Out != "" || s.fault(z.name) == "silent" || s.rng.IntN(3) != 0 {
+			n := s.fleet.Lookup(fmt.Sprintf("%s%d", z.name, i))
+			if n == nil || n.OutReason != "" || s.fault(z.name) == "silent" || s.rng.IntN(3) != 0 {
 				continue
 			}
 			var seen []api.PeerHealth
@@ -215,7 +215,7 @@
 	s.say("%s\n%s\n%s", saved, views, all)
 	for _, n := range s.fleet.Nodes() {
 		order := s.state.Order(n.Zone, n.Lease.ID, &s.rules, s.without)
-		began := s.state.LimitNewNode(&order, n.Zone, n.Age(s.fleet.Clock), s.fleet.Clock, 5, &s.rules, s.without)
+		began := s.state.LimitNewNode(&order, n.Zone, n.UptimeMS(s.fleet.ClockMS), s.fleet.ClockMS, 5, &s.rules, s.without)
 		raw, _ := json.Marshal(order)
 		s.say("%s %s %v", n.Name, raw, began)
 	}
--- a/internal/control/zones/restart_test.go
+++ b/internal/control/zones/restart_test.go
@@ -44,9 +44,9 @@
 		began bool
 	}{{0, true}, {5000, true}, {60_000, false}} {
 		f := membership.New()
-		f.Clock = 100_000
-		f.Apply(&membership.Beat{Term: 1, Join: []api.JoinRequest{{Name: "a", Zone: "z", Nonce: "nonce-of-a", UptimeMS: c.up}, {Name: "b", Zone: "z",
-			Nonce: "nonce-of-b", UptimeMS: c.up}}}, 1, membership.Grant{LeaseMS: 5000})
+		f.ClockMS = 100_000
+		f.Apply(&membership.HeartbeatBatch{Term: 1, Joins: []api.JoinRequest{{Name: "a", Zone: "z", Nonce: "nonce-of-a", UptimeMS: c.up}, {Name: "b", Zone: "z",
+			Nonce: "nonce-of-b", UptimeMS: c.up}}}, 1, membership.LeaseTerms{LeaseMS: 5000})
 		s := &State{Zones: []*Zone{{Name: "z", Phase: InService, Share: api.FullShare, Capacity: ObservedCapacity{RunRate: 100, RunMS: 20, Concurrency: 2}}}}
 		if got := s.BeginColdStart(f, &rules, 0); got != c.began {
 			t.Errorf("up for %d ms: %v, expected %v", c.up, got, c.began)
@@ -57,8 +57,8 @@
 // TestLearnsWhatIsUsual: runs that stand are not what a service bore, and nothing is learned from a fleet on its way back.
 func TestLearnsWhatIsUsual(t *testing.T) {
 	f := membership.New()
-	f.Apply(&membership.Beat{Term: 1, Join: []api.JoinRequest{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
-		membership.Grant{LeaseMS: 5000})
+	f.Apply(&membership.HeartbeatBatch{Term: 1, Joins: []api.JoinRequest{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
+		membership.LeaseTerms{LeaseMS: 5000})
 	s, w := &State{}, NewMonitor()
 	well := api.LoadReport{WindowMS: 2000, Arrived: 200, Completed: 200, RunsEnded: 200, MeanRunMS: 20, Calls: 200, MeanCallMS: 10, KernelConnected: true, Cores: 4, CoresUsed: 1}
 	at := looked(w, f, s, 0, 30, well)
@@ -92,7 +92,7 @@
 	for i, zone := range []string{"a", "a", "a", "b", "b", "b", "c", "c", "c"} {
 		joins = append(joins, api.JoinRequest{Name: fmt.Sprint("n", i), Zone: zone, Nonce: fmt.Sprint("nonce-of-", i)})
 	}
-	f.Apply(&membership.Beat{Term: 1, Join: joins}, 1, membership.Grant{LeaseMS: 5000})
+	f.Apply(&membership.HeartbeatBatch{Term: 1, Joins: joins}, 1, membership.LeaseTerms{LeaseMS: 5000})
 	rules := api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 2000, MaxWaitMS: 60_000, InitialShare: 16}
 	well := api.LoadReport{WindowMS: 2000, Arrived: 100, Completed: 100, RunsEnded: 100, MeanRunMS: 20, Calls: 100, MeanCallMS: 10, KernelConnected: true, Cores: 4,
 		CoresUsed: 1, OfferedWeight: 100, CompletedWeight: 100}
@@ -113,7 +113,7 @@
 		var op *Op
 		for look := 0; look < 60; look++ {
 			now += lookEvery
-			f.Clock = now
+			f.ClockMS = now
 			for _, n := range f.Nodes() {
 				l := well
 				if look >= 30 {
@@ -199,10 +199,10 @@
 // little is, or once the ceiling could not go up for a while.
 func TestReturnEnds(t *testing.T) {
 	f := membership.New()
-	f.Apply(&membership.Beat{Term: 1, Join: []api.JoinRequest{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
-		membership.Grant{LeaseMS: 5000})
+	f.Apply(&membership.HeartbeatBatch{Term: 1, Joins: []api.JoinRequest{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
+		membership.LeaseTerms{LeaseMS: 5000})
 	for _, n := range f.Nodes() {
-		n.Lease.Until = 1 << 40
+		n.Lease.ExpiresAtMS = 1 << 40
 	}
 	rules := api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 1000, MaxWaitMS: 60_000, InitialShare: 16}
 	bore := ObservedCapacity{RunRate: 100, Concurrency: 2, RunMS: 20, CallMS: 10}
@@ -220,9 +220,9 @@
 		w := NewMonitor()
 		l := api.LoadReport{WindowMS: 2000, Arrived: 100 + c.turned, Retries: c.turned, RejectedByZone: c.turned, Completed: 100, RunsEnded: 100, MeanRunMS: c.runMS, Calls: 100,
 			MeanCallMS: c.runMS / 2, KernelConnected: true, Cores: 4, CoresUsed: 1, OfferedWeight: 100, CompletedWeight: 100}
-		f.Clock = 100_000
+		f.ClockMS = 100_000
 		at := looked(w, f, s, 100_000, int(c.after/lookEvery), l)
-		f.Clock = at
+		f.ClockMS = at
 		op := w.Decide(at, s, f, &rules, 0)
 		kind := ""
 		if op != nil && op.Kind != "bore" {
@@ -238,8 +238,8 @@
 // lately, and a demand that fell in earnest is believed after a while.
 func TestDemandLags(t *testing.T) {
 	f := membership.New()
-	f.Apply(&membership.Beat{Term: 1, Join: []api.JoinRequest{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
-		membership.Grant{LeaseMS: 5000})
+	f.Apply(&membership.HeartbeatBatch{Term: 1, Joins: []api.JoinRequest{{Name: "a", Zone: "z", Nonce: "nonce-of-a"}, {Name: "b", Zone: "z", Nonce: "nonce-of-b"}}}, 1,
+		membership.LeaseTerms{LeaseMS: 5000})
 	s := &State{Zones: []*Zone{{Name: "z", Phase: InService, Share: api.FullShare}}}
 	w := NewMonitor()
 	load := func(came int) api.LoadReport {
--- a/internal/control/zones/watch.go
+++ b/internal/control/zones/watch.go
@@ -178,9 +178,9 @@
 			heard = max(heard, r.at)
 		}
 		switch quiet := now-heard > w.quietAfter(); {
-		case n.Out == membership.Left:
-		case n.Out != "":
-			if f.Clock-n.OutAt < 60_000 {
+		case n.OutReason == membership.OutLeft:
+		case n.OutReason != "":
+			if f.ClockMS-n.OutAtMS < 60_000 {
 				v.NodesSilent++
 			}
 		default:
@@ -195,7 +195,7 @@
 		}
 	}
 	for name := range w.nodes { // each is judged alone
-		if f.Named(name) == nil {
+		if f.Lookup(name) == nil {
 			delete(w.nodes, name)
 		}
 	}
@@ -620,7 +620,7 @@
 		}
 		var at []api.ProbeTarget
 		for _, n := range f.Nodes() {
-			if n.Zone == v.Zone && n.Out != membership.Left && n.Addr != "" && len(at) < 3 {
+			if n.Zone == v.Zone && n.OutReason != membership.OutLeft && n.Addr != "" && len(at) < 3 {
 				at = append(at, api.ProbeTarget{Name: n.Name, Addr: n.Addr})
 				w.asked[n.Name] = v.Zone
 			}
--- a/internal/control/zones/zones.go
+++ b/internal/control/zones/zones.go
@@ -169,7 +169,7 @@
 // othersIn tells whether another zone with nodes is in.
 func (s *State) othersIn(name string, f *membership.State) bool {
 	for _, n := range f.Nodes() {
-		if n.Out == "" && n.Zone != name {
+		if n.OutReason == "" && n.Zone != name {
 			if step, _ := s.PhaseOf(n.Zone); step == InService {
 				return true
 			}
@@ -231,16 +231,16 @@
 		if op.Epoch != s.Epoch || s.SettledEpoch == s.Epoch {
 			return no("epoch %d is settled or past", op.Epoch)
 		}
-		if left := f.UnderZones(s.Epoch); len(left) > 0 && !without.Has(OneEpoch) {
+		if left := f.NodesOnOlderZoneEpoch(s.Epoch); len(left) > 0 && !without.Has(OneEpoch) {
 			return no("%d nodes may act on an older epoch", len(left))
 		}
 		for _, z := range s.Zones {
 			if z.PreviousQuotas = nil; z.Epoch > s.SettledEpoch {
-				z.Since = f.Clock
+				z.Since = f.ClockMS
 			}
 			if z.Phase == Evacuating {
 				z.Phase = Evacuated
-				z.event(f.Clock, s.Epoch, nil, "out: nobody acts on an older epoch")
+				z.event(f.ClockMS, s.Epoch, nil, "out: nobody acts on an older epoch")
 			}
 		}
 		s.SettledEpoch = s.Epoch
@@ -251,8 +251,8 @@
 		return no("found no zone %.50q, expected one that nodes are of", op.Zone)
 	}
 	if op.Kind == "hold" {
-		z.HeldUntil = f.Clock + op.WaitMS
-		z.event(f.Clock, s.Epoch, nil, "%s: nothing is decided by rules for %d ms", op.Operator, op.WaitMS)
+		z.HeldUntil = f.ClockMS + op.WaitMS
+		z.event(f.ClockMS, s.Epoch, nil, "%s: nothing is decided by rules for %d ms", op.Operator, op.WaitMS)
 		r.Phase, r.Share = z.Phase, z.Share
 		return r
 	}
@@ -271,7 +271,7 @@
 		if !s.othersIn(z.Name, f) {
 			return no("zone %s is the last that is in", z.Name)
 		}
-		if z.FlapCount++; f.Clock-z.InServiceSince > flapSpan {
+		if z.FlapCount++; f.ClockMS-z.InServiceSince > flapSpan {
 			z.FlapCount = 0
 		}
 		if b, known := op.Capacities[z.Name]; known {
@@ -279,20 +279,20 @@
 		}
 		z.NodesBefore = 0
 		for _, n := range f.Nodes() {
-			if n.Zone == z.Name && (n.Out == "" || n.Out == membership.Silent && f.Clock-n.OutAt < 60_000) {
+			if n.Zone == z.Name && (n.OutReason == "" || n.OutReason == membership.OutSilent && f.ClockMS-n.OutAtMS < 60_000) {
 				z.NodesBefore++
 			}
 		}
 		s.take(z, f, Evacuating, op)
-		z.Cause, z.Operator, z.RampNotBefore = op.Cause, op.Operator, f.Clock+op.WaitMS
+		z.Cause, z.Operator, z.RampNotBefore = op.Cause, op.Operator, f.ClockMS+op.WaitMS
 		if z.DrillUntil = 0; op.DrillMS > 0 {
-			z.DrillUntil = f.Clock + op.DrillMS
+			z.DrillUntil = f.ClockMS + op.DrillMS
 		}
 		what := "left"
 		if op.Share > 0 {
 			what = fmt.Sprintf("left in part, keeps %d of %d by value", op.Share, api.FullShare)
 		}
-		z.event(f.Clock, s.Epoch, op, "%s: %s%s", what, by(op.Operator), clip(op.Reason))
+		z.event(f.ClockMS, s.Epoch, op, "%s: %s%s", what, by(op.Operator), clip(op.Reason))
 	case "step":
 		if z.Phase != Evacuated && z.Phase != Ramping {
 			return no("zone %s is %s, expected it out or returning", z.Name, z.Phase)
@@ -300,7 +300,7 @@
 		if op.RateLimit == 0 { // an operator's
 			o, in := *op, 0
 			for _, n := range f.Nodes() {
-				if z.has(n) && n.Out == "" {
+				if z.has(n) && n.OutReason == "" {
 					in++
 				}
 			}
@@ -309,7 +309,7 @@
 		}
 		s.take(z, f, Ramping, op)
 		z.Operator = op.Operator
-		z.event(f.Clock, s.Epoch, op, "returns at %d of %d, %.0f runs a second at most: %s%s", z.Share, api.FullShare,
+		z.event(f.ClockMS, s.Epoch, op, "returns at %d of %d, %.0f runs a second at most: %s%s", z.Share, api.FullShare,
 			z.RateLimit, by(op.Operator), clip(op.Reason))
 	case "split":
 		if z.Phase != Ramping {
@@ -328,11 +328,11 @@
 		if op.Share == 0 {
 			step = Evacuating
 			z.FlapCount++
-			z.RampNotBefore = f.Clock + op.WaitMS
+			z.RampNotBefore = f.ClockMS + op.WaitMS
 		}
 		s.take(z, f, step, op)
 		z.Cause, z.Operator = op.Cause, op.Operator
-		z.event(f.Clock, s.Epoch, op, "back to %d of %d: %s%s", z.Share, api.FullShare, by(op.Operator), clip(op.Reason))
+		z.event(f.ClockMS, s.Epoch, op, "back to %d of %d: %s%s", z.Share, api.FullShare, by(op.Operator), clip(op.Reason))
 	case "in":
 		if z.Phase != Ramping {
 			return no("zone %s is %s, expected it returning", z.Name, z.Phase)
@@ -341,8 +341,8 @@
 		op.Share = api.FullShare
 		s.take(z, f, InService, &op)
 		z.Cause, z.Operator, z.PriorityCutoff, z.RateLimit, z.ConnectionRateLimit, z.Quotas, z.DrillUntil = "", "", 0, 0, 0, nil, 0
-		z.InServiceSince = f.Clock
-		z.event(f.Clock, s.Epoch, &op, "in again: %s%s", by(op.Operator), clip(op.Reason))
+		z.InServiceSince = f.ClockMS
+		z.event(f.ClockMS, s.Epoch, &op, "in again: %s%s", by(op.Operator), clip(op.Reason))
 	default:
 		return no("op %.20q, expected leave, settle, step, split, in, back, bore or hold", op.Kind)
 	}
@@ -354,7 +354,7 @@
 func (s *State) take(z *Zone, f *membership.State, step string, op *Op) {
 	s.Epoch++
 	was := z.Phase
-	z.Phase, z.Share, z.PriorityCutoff, z.Epoch, z.Since = step, op.Share, op.PriorityCutoff, s.Epoch, f.Clock
+	z.Phase, z.Share, z.PriorityCutoff, z.Epoch, z.Since = step, op.Share, op.PriorityCutoff, s.Epoch, f.ClockMS
 	z.RateLimit, z.ConnectionRateLimit = op.RateLimit, op.ConnectionRateLimit
 	s.RetryBudget, s.FleetFull = op.RetryBudget, op.FleetFull
 	if s.allIn() {
@@ -416,7 +416,7 @@
 	var out []LeaseQuota
 	spent, in := 0.0, 0
 	held := func(l *membership.Lease) {
-		if r, had := was[l.ID]; had && l.Live(f.Clock) {
+		if r, had := was[l.ID]; had && l.Live(f.ClockMS) {
 			out = append(out, LeaseQuota{l.ID, r})
 			spent += r
 		}
@@ -425,10 +425,10 @@
 		if !z.has(n) {
 			continue
 		}
-		for i := range n.Old {
-			held(&n.Old[i])
+		for i := range n.EarlierLeases {
+			held(&n.EarlierLeases[i])
 		}
-		if n.Out != "" {
+		if n.OutReason != "" {
 			held(&n.Lease)
 		} else {
 			in++
@@ -437,7 +437,7 @@
 	if in > 0 {
 		each := max(0, z.RateLimit-spent) / float64(in)
 		for _, n := range f.Nodes() {
-			if z.has(n) && n.Out == "" {
+			if z.has(n) && n.OutReason == "" {
 				out = append(out, LeaseQuota{n.Lease.ID, each})
 			}
 		}
@@ -541,11 +541,11 @@
 	}
 	in, young := 0, 0
 	for _, n := range f.Nodes() {
-		if n.Out != "" {
+		if n.OutReason != "" {
 			continue
 		}
 		in++
-		if age := n.Age(f.Clock); age <= recovery.ColdStartWindowMS && (since == 0 || age < f.Clock-since) {
+		if age := n.UptimeMS(f.ClockMS); age <= recovery.ColdStartWindowMS && (since == 0 || age < f.ClockMS-since) {
 			young++
 		}
 	}
@@ -571,7 +571,7 @@
 	op.RateLimit, op.ConnectionRateLimit = z.bears(op.Share, in)
 	s.take(z, f, Ramping, op)
 	z.Cause = "restart"
-	z.event(f.Clock, s.Epoch, nil, "%d of %d nodes began within %d s: returns at %d of %d, %.0f runs a second at most; its services "+
+	z.event(f.ClockMS, s.Epoch, nil, "%d of %d nodes began within %d s: returns at %d of %d, %.0f runs a second at most; its services "+
 		"bore %.0f, %.1f under way, %.0f ms a call", young, in, recovery.ColdStartWindowMS/1000, z.Share, api.FullShare, z.RateLimit, bore.RunRate,
 		bore.Concurrency, bore.CallMS)
 	return true
@@ -592,9 +592,9 @@
 		if z == nil {
 			continue
 		}
-		z.Phase, z.Share, z.PriorityCutoff, z.Epoch, z.Since, z.Cause, z.Operator = Evacuated, 0, 0, s.Epoch, f.Clock, "restored", ""
-		z.RateLimit, z.ConnectionRateLimit, z.Quotas, z.PreviousQuotas, z.DrillUntil, z.RampNotBefore = 0, 0, nil, nil, 0, f.Clock
-		z.event(f.Clock, s.Epoch, nil, "the group was restored; its nodes took %d of %d: out, and returns", left[n], api.FullShare)
+		z.Phase, z.Share, z.PriorityCutoff, z.Epoch, z.Since, z.Cause, z.Operator = Evacuated, 0, 0, s.Epoch, f.ClockMS, "restored", ""
+		z.RateLimit, z.ConnectionRateLimit, z.Quotas, z.PreviousQuotas, z.DrillUntil, z.RampNotBefore = 0, 0, nil, nil, 0, f.ClockMS
+		z.event(f.ClockMS, s.Epoch, nil, "the group was restored; its nodes took %d of %d: out, and returns", left[n], api.FullShare)
 	}
 	in := 0
 	for _, z := range s.Zones {
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -130,8 +130,8 @@
 // in which they came. It gives the entries that this took, the largest of them, and the longest that any waited, in ms.
 func crowdIn(seed int64, nodes int, without policy.Guard) (entries, largest, worst int, broken string) {
 	const step, commit = 20, 40 // ms
-	r, part, s := rand.New(rand.NewSource(seed)), coordinator.NewPart(without), coordinator.New(without)
-	s.Lead(part, "g", true, 1)
+	r, part, s := rand.New(rand.NewSource(seed)), coordinator.NewState(without), coordinator.NewLeader(without)
+	s.SetRole(part, "g", true, 1)
 	at := make([]int, nodes)
 	for i := range at {
 		if at[i] = r.Intn(1000); i >= nodes*4/5 {
@@ -146,7 +146,7 @@
 		for ; asked < nodes && at[asked] <= now; asked++ {
 			i := asked
 			name := fmt.Sprintf("n%05d", i)
-			s.Ask(part, api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: name, Zone: "z", Nonce: name + "-nonce", Addr: "127.0.0.1:1"}},
+			s.Heartbeat(part, api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: name, Zone: "z", Nonce: name + "-nonce", Addr: "127.0.0.1:1"}},
 				func(t api.HeartbeatResponse, err error) {
 					if err != nil || t.LeaseID == 0 || i != answered {
 						broken = fmt.Sprintf("at %d ms node %d of those that asked was answered (%v), and %d is the next", now, i, err, answered)
@@ -161,7 +161,7 @@
 				if err != nil {
 					return entries, largest, worst, err.Error()
 				}
-				s.Applied(part, end)
+				s.EntryApplied(part, end)
 			}
 			sent = nil
 		}
@@ -233,7 +233,7 @@
 		return err
 	}))
 	b.allServe(b.force)
-	got(b.change(policy.Propose{}))
+	got(b.change(policy.Proposal{}))
 }
 
 // gen gives the group's generation.
@@ -295,7 +295,7 @@
 		b.whole(since)
 	}},
 	{name: "all folders of the group lost, and nodes know what they served under", run: func(b *zoneBench) {
-		got(b.change(policy.Propose{}))
+		got(b.change(policy.Proposal{}))
 		gen := b.gen()
 		b.down(b.group.procs...)
 		for _, p := range b.group.procs {
@@ -319,7 +319,7 @@
 		each(b.starts)
 		b.allServe(b.force)
 		for range 2 {
-			got(b.change(policy.Propose{}))
+			got(b.change(policy.Proposal{}))
 		}
 		gen := b.gen()
 		b.down(b.group.procs...)
@@ -404,19 +404,19 @@
 	{name: "in the middle of a change of policy and of a zone's return", long: true, may: []string{"z1"}, run: func(b *zoneBench) {
 		must(b.op(zones.Op{Kind: "leave", Zone: "z1", DrillMS: 1000}))
 		got(b.stands("z1", 20*time.Second, zones.Ramping))
-		c := b.proposes("", policy.Propose{})
+		c := b.proposes("", policy.Proposal{})
 		since := b.allDown(b.nodes...)
 		time.Sleep(time.Second)
 		b.begins(0, b.nodes...)
 		// In force by then or called off: either way all serve under one version.
-		if got(b.Step(c.number, 40*time.Second, policy.Settled, policy.CalledOff)).Step == policy.Settled {
+		if got(b.Step(c.number, 40*time.Second, policy.Settled, policy.Aborted)).Step == policy.Settled {
 			b.force = c.version
 		}
 		b.allServe(b.force)
 		got(b.stands(zones.WholeFleet, 10*time.Second, zones.Ramping))
 		b.whole(since)
 		must(b.back("z1"))
-		got(b.change(policy.Propose{}))
+		got(b.change(policy.Proposal{}))
 	}},
 	{name: "in waves that overlap with the recovery, some nodes in a loop", long: true, run: func(b *zoneBench) {
 		restart := func(nodes []*rigNode, pace time.Duration) {
--- a/internal/lab/fleet_ask.go
+++ b/internal/lab/fleet_ask.go
@@ -85,8 +85,8 @@
 			}
 			v, ok := all[n.name]
 			switch {
-			case !ok || v.Out != "" || !v.Heard:
-				return fmt.Errorf("%s is not in: %q", n.name, v.Out)
+			case !ok || v.OutReason != "" || !v.Heard:
+				return fmt.Errorf("%s is not in: %q", n.name, v.OutReason)
 			case v.Fenced != "" || v.Serves != version:
 				return fmt.Errorf("%s serves under version %d, fenced %q, expected version %d", n.name, v.Serves, v.Fenced,
 					version)
@@ -122,24 +122,24 @@
 }
 
 // Propose begins a change to a text, and gives its number and version.
-func (r *Rig) Propose(text string, p policy.Propose) (number, version uint64, err error) {
+func (r *Rig) Propose(text string, p policy.Proposal) (number, version uint64, err error) {
 	if version, err = r.Put(text); err != nil {
 		return 0, 0, err
 	}
-	p.Version, p.Author, p.Key = version, "lab", fmt.Sprintf("rig-%d-%08d", r.Seed, version)
-	if p.Within == 0 {
-		p.Within = 15_000
+	p.Version, p.Author, p.IdempotencyKey = version, "lab", fmt.Sprintf("rig-%d-%08d", r.Seed, version)
+	if p.PrepareWithinMS == 0 {
+		p.PrepareWithinMS = 15_000
 	}
 	err = r.await(10*time.Second, func() error {
 		var res struct {
 			policy.Result
 			Error string `json:"error"`
 		}
-		code, err := r.ask(http.MethodPost, "/v1/policy", policy.Op{Kind: "propose", Propose: &p}, &res)
+		code, err := r.ask(http.MethodPost, "/v1/policy", policy.Op{Kind: "propose", Proposal: &p}, &res)
 		if err == nil && code != http.StatusOK {
 			err = errors.New(res.Error)
 		}
-		number = res.Number
+		number = res.ChangeNumber
 		return err
 	})
 	return number, version, err
@@ -167,7 +167,7 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("change %d is %s (%s; waits %v), expected %v", number, c.Step, c.Why, v.Waits, steps)
+		return fmt.Errorf("change %d is %s (%s; waits %v), expected %v", number, c.Step, c.AbortReason, v.Waits, steps)
 	})
 	return c, err
 }
--- a/internal/lab/fleet_events.go
+++ b/internal/lab/fleet_events.go
@@ -74,22 +74,22 @@
 	r.inForce = map[uint64]float64{}
 	for _, k := range order {
 		e := first[k]
-		if begun, there := first[step{k.number, policy.Preparing}]; there && k.name == policy.InForce {
+		if begun, there := first[step{k.number, policy.Preparing}]; there && k.name == policy.Committed {
 			r.inForce[uint64(k.number)] = float64(e.At-begun.At) / 10
 		}
 		switch k.name {
-		case policy.Held:
+		case policy.Decided:
 			e.Kind = "decided"
 			all = append(all, e)
-		case policy.InForce:
-			if _, held := first[step{k.number, policy.Held}]; !held {
+		case policy.Committed:
+			if _, held := first[step{k.number, policy.Decided}]; !held {
 				e.Kind = "decided"
 				all = append(all, e)
 			}
 			e.Kind = "forced"
 			all = append(all, e)
-		case policy.Settled, policy.CalledOff:
-			e.Kind = map[string]string{policy.Settled: "settled", policy.CalledOff: "off"}[k.name]
+		case policy.Settled, policy.Aborted:
+			e.Kind = map[string]string{policy.Settled: "settled", policy.Aborted: "off"}[k.name]
 			all = append(all, e)
 		}
 	}
--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -139,7 +139,7 @@
 	b.cut(b.nodes[0])
 	fail("the silence of a node", b.await(20*time.Second, func() error {
 		all, err := b.Nodes()
-		if err == nil && all["n1"].Out == "" {
+		if err == nil && all["n1"].OutReason == "" {
 			err = os.ErrDeadlineExceeded
 		}
 		return err
@@ -148,7 +148,7 @@
 	fail("a change", err)
 	c, err := b.Step(number, 20*time.Second, "called off", "settled")
 	fail("its end", err)
-	if c.Step != "called off" || !strings.Contains(c.Why, "n1 (is silent and may serve alone") {
+	if c.Step != "called off" || !strings.Contains(c.AbortReason, "n1 (is silent and may serve alone") {
 		t.Fatalf("change %+v, expected it called off for n1", c)
 	}
 	if code, _, _ := b.one("n1"); code != 200 {
@@ -272,7 +272,7 @@
 	return pid
 }
 
-func policyProposal(within uint64) policy.Propose { return policy.Propose{Within: within} }
+func policyProposal(within uint64) policy.Proposal { return policy.Proposal{PrepareWithinMS: within} }
 
 // TestCallersHaveAPace: callers that are turned away by all ask on ever more slowly, so that a fleet that is down stays able to
 // come up; eager ones go on at once.
--- a/internal/lab/local.go
+++ b/internal/lab/local.go
@@ -29,7 +29,7 @@
 	}
 	defer r.Close()
 	go r.group.keep(run)
-	number, version, err := r.Propose(policyText(5*time.Second, "fence", 1, ""), policy.Propose{Reason: "the first"})
+	number, version, err := r.Propose(policyText(5*time.Second, "fence", 1, ""), policy.Proposal{Reason: "the first"})
 	if err == nil {
 		_, err = r.Step(number, 30*time.Second, policy.Settled)
 	}
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -70,7 +70,7 @@
 
 func (r *Policy) row(rep *Report, part string, nodes, changes int, ends map[string]int, times []float64, overlap int64) {
 	rep.Rows = append(rep.Rows, append(append([]string{part, strconv.Itoa(nodes), strconv.Itoa(changes),
-		strconv.Itoa(ends[policy.Settled]), strconv.Itoa(ends[policy.CalledOff])}, span(times)...),
+		strconv.Itoa(ends[policy.Settled]), strconv.Itoa(ends[policy.Aborted])}, span(times)...),
 		fmt.Sprintf("%.0f ms", float64(overlap)/10)))
 }
 
@@ -105,14 +105,14 @@
 		}
 		return false
 	})
-	changes := ends[policy.Settled] + ends[policy.CalledOff]
+	changes := ends[policy.Settled] + ends[policy.Aborted]
 	r.row(rep, "virtual, faults", 12, changes, ends, times, overlap)
 	rep.Add("schedules", "%d", n)
 	rep.Add("changes", "%d", changes)
 	rep.Add("broken", "%d", bad)
 	for _, c := range []string{"a node said no", "not prepared in time", "by the operator"} {
 		rep.Notes = append(rep.Notes, fmt.Sprintf("virtual, faults: called off, %s: %d of %d", c, causes[c],
-			ends[policy.CalledOff]))
+			ends[policy.Aborted]))
 	}
 	if bad > 0 {
 		rep.Break("seed %d of %d broken schedules: %s", first, bad, why)
@@ -256,7 +256,7 @@
 	time.Sleep(time.Second)
 	before, ends, times, numbers := calls.String(), map[string]int{}, []float64{}, []uint64{}
 	for i := 0; i < n && ctx.Err() == nil; i++ {
-		c, err := b.change(policy.Propose{})
+		c, err := b.change(policy.Proposal{})
 		if err != nil {
 			rep.Break("change %d of %d under load: %v", i+1, n, err)
 			return nil
--- a/internal/lab/policy_bench.go
+++ b/internal/lab/policy_bench.go
@@ -37,7 +37,7 @@
 }
 
 // change makes a change and waits until it is settled and all that are up serve under it.
-func (b *bench) change(p policy.Propose) (*policy.Change, error) {
+func (b *bench) change(p policy.Proposal) (*policy.Change, error) {
 	number, version, err := b.Propose(b.text(""), p)
 	if err != nil {
 		return nil, err
@@ -46,12 +46,12 @@
 }
 
 func (b *bench) settled(number, version uint64) (*policy.Change, error) {
-	c, err := b.Step(number, 30*time.Second, policy.Settled, policy.CalledOff)
+	c, err := b.Step(number, 30*time.Second, policy.Settled, policy.Aborted)
 	if err != nil {
 		return c, err
 	}
 	if c.Step != policy.Settled {
-		return c, fmt.Errorf("change %d was called off: %s", number, c.Why)
+		return c, fmt.Errorf("change %d was called off: %s", number, c.AbortReason)
 	}
 	b.force = version
 	return c, b.AllServe(version, 20*time.Second)
@@ -59,11 +59,11 @@
 
 // off waits until a change is called off, and holds the fleet to serving on under the older version.
 func (b *bench) off(number uint64) (*policy.Change, error) {
-	c, err := b.Step(number, 40*time.Second, policy.Settled, policy.CalledOff)
+	c, err := b.Step(number, 40*time.Second, policy.Settled, policy.Aborted)
 	if err != nil {
 		return c, err
 	}
-	if c.Step != policy.CalledOff {
+	if c.Step != policy.Aborted {
 		return c, fmt.Errorf("change %d is settled, expected it called off", number)
 	}
 	return c, b.AllServe(b.force, 20*time.Second)
@@ -74,7 +74,7 @@
 	var res struct {
 		Error string `json:"error"`
 	}
-	_, err = b.ask(http.MethodPost, "/v1/policy", policy.Op{Kind: "off", Number: number, By: "lab", Why: "on second thoughts"},
+	_, err = b.ask(http.MethodPost, "/v1/policy", policy.Op{Kind: "off", ChangeNumber: number, Author: "lab", Reason: "on second thoughts"},
 		&res)
 	return res.Error, err
 }
@@ -125,14 +125,14 @@
 type made struct{ number, version uint64 }
 
 // proposes makes a change with more in its text than usual.
-func (b *bench) proposes(more string, p policy.Propose) made {
+func (b *bench) proposes(more string, p policy.Proposal) made {
 	number, version, err := b.Propose(b.text(more), p)
 	must(err)
 	return made{number, version}
 }
 
 // held begins a change that one node does not get to prepare, so that it stays at the first step; others have prepared it.
-func (b *bench) held(slow *rigNode, p policy.Propose, others ...*rigNode) made {
+func (b *bench) held(slow *rigNode, p policy.Proposal, others ...*rigNode) made {
 	b.lines(lineFault{deaf: "GET /v1/config"}, slow)
 	c := b.proposes("", p)
 	for _, n := range others {
@@ -198,7 +198,7 @@
 
 // settleFirst proposes the first version and waits until it is settled.
 func (b *bench) settleFirst() error {
-	number, version, err := b.Propose(b.text(""), policy.Propose{})
+	number, version, err := b.Propose(b.text(""), policy.Proposal{})
 	if err == nil {
 		_, err = b.settled(number, version)
 	}
@@ -207,5 +207,5 @@
 
 // promises of the real part: a lease as the group counts it, and some ms of logs and rounds.
 func (b *bench) promises() FleetPromises {
-	return FleetPromises{Overlap: int64(membership.Span(uint64(b.lease.Milliseconds())))*10 + 2000, Fences: b.alone == "fence"}
+	return FleetPromises{Overlap: int64(membership.LeaseSpanMS(uint64(b.lease.Milliseconds())))*10 + 2000, Fences: b.alone == "fence"}
 }
--- a/internal/lab/policy_cases.go
+++ b/internal/lab/policy_cases.go
@@ -27,12 +27,12 @@
 
 var policyCases = []policyCase{
 	{name: "a change, and one without overlap", run: func(b *bench) {
-		got(b.change(policy.Propose{}))
-		got(b.change(policy.Propose{Exclusive: true}))
+		got(b.change(policy.Proposal{}))
+		got(b.change(policy.Proposal{Exclusive: true}))
 	}},
 	{name: "killed before it prepared", run: func(b *bench) {
 		n := b.nodes[0]
-		c := b.held(n, policy.Propose{})
+		c := b.held(n, policy.Proposal{})
 		n.Kill()
 		b.heal()
 		b.settles(c)
@@ -41,7 +41,7 @@
 	}},
 	{name: "killed after it prepared", run: func(b *bench) {
 		slow, n := b.nodes[1], b.nodes[0]
-		c := b.held(slow, policy.Propose{}, n)
+		c := b.held(slow, policy.Proposal{}, n)
 		n.Kill()
 		b.heal()
 		b.settles(c)
@@ -50,9 +50,9 @@
 	}},
 	{name: "killed between the decision and being told", run: func(b *bench) {
 		slow, n, cut := b.nodes[1], b.nodes[0], b.nodes[2]
-		c := b.held(slow, policy.Propose{}, n, cut)
+		c := b.held(slow, policy.Proposal{}, n, cut)
 		b.lines(lineFault{muteBack: true}, n, cut) // neither hears any more, and the slow one goes on
-		b.goesOn(slow, c, policy.InForce, policy.Settled)
+		b.goesOn(slow, c, policy.Committed, policy.Settled)
 		n.Kill() // the other one is fenced instead
 		got(b.Step(c.number, 20*time.Second, policy.Settled))
 		b.heal()
@@ -67,31 +67,31 @@
 				n.GoOn()
 			}
 		}()
-		c := got(b.change(policy.Propose{}))
+		c := got(b.change(policy.Proposal{}))
 		n.GoOn()
 		b.allServe(c.Version)
 	}},
 	{name: "a zone cut off from the group, not from its callers", run: func(b *bench) {
 		b.cut(b.zoned("z2")...)
-		b.follows(b.proposes("", policy.Propose{}))
+		b.follows(b.proposes("", policy.Proposal{}))
 	}},
 	{name: "one-way cuts", run: func(b *bench) {
 		b.lines(lineFault{mute: true}, b.nodes[0])
 		b.lines(lineFault{muteBack: true}, b.nodes[1])
-		b.follows(b.proposes("", policy.Propose{}))
+		b.follows(b.proposes("", policy.Proposal{}))
 	}},
 	{name: "the leader killed while nodes prepare", run: func(b *bench) {
-		b.leaderLost(b.held(b.nodes[4%len(b.nodes)], policy.Propose{}, b.nodes[0]))
+		b.leaderLost(b.held(b.nodes[4%len(b.nodes)], policy.Proposal{}, b.nodes[0]))
 	}},
 	{name: "the leader killed while it is held, without overlap", run: func(b *bench) {
 		cut, slow := b.nodes[5%len(b.nodes)], b.nodes[1]
-		c := b.held(slow, policy.Propose{Exclusive: true}, cut)
+		c := b.held(slow, policy.Proposal{Exclusive: true}, cut)
 		b.lines(lineFault{muteBack: true}, cut)
-		b.goesOn(slow, c, policy.Held, policy.InForce, policy.Settled)
+		b.goesOn(slow, c, policy.Decided, policy.Committed, policy.Settled)
 		b.leaderLost(c)
 	}},
 	{name: "no majority in the middle, and back", run: func(b *bench) {
-		c := b.held(b.nodes[1], policy.Propose{Within: 30_000})
+		c := b.held(b.nodes[1], policy.Proposal{PrepareWithinMS: 30_000})
 		b.others(b.group.kill)
 		time.Sleep(b.lease + b.lease/2) // past every lease
 		b.heal()
@@ -106,24 +106,24 @@
 		for _, n := range b.nodes {
 			b.group.board.set(n.name, p.name, lineFault{delay: time.Second})
 		}
-		got(b.change(policy.Propose{}))
+		got(b.change(policy.Proposal{}))
 	}},
 	{name: "a node says no", run: func(b *bench) {
 		c := got(b.off(b.proposes("[class fill]\nkind = replayable\nvalue = 2\nresponse_target = 500ms\nclient_timeout = 3s\n",
-			policy.Propose{}).number))
-		if !strings.Contains(c.Why, "class fill: found it in the policy") {
-			must(fmt.Errorf("called off for %q, expected the odd node's no", c.Why))
+			policy.Proposal{}).number))
+		if !strings.Contains(c.AbortReason, "class fill: found it in the policy") {
+			must(fmt.Errorf("called off for %q, expected the odd node's no", c.AbortReason))
 		}
 	}},
 	{name: "a node never answers", run: func(b *bench) {
-		got(b.off(b.held(b.nodes[0], policy.Propose{Within: 3000}).number))
+		got(b.off(b.held(b.nodes[0], policy.Proposal{PrepareWithinMS: 3000}).number))
 	}},
 	{name: "it is left behind, and comes after", run: func(b *bench) {
-		b.follows(b.held(b.nodes[0], policy.Propose{Within: 3000, Spare: 1}))
+		b.follows(b.held(b.nodes[0], policy.Proposal{PrepareWithinMS: 3000, MaxLeftBehind: 1}))
 	}},
 	{name: "says prepared and forgets it", run: func(b *bench) {
 		slow, n := b.nodes[1], b.nodes[0]
-		c := b.held(slow, policy.Propose{}, n)
+		c := b.held(slow, policy.Proposal{}, n)
 		n.Kill()
 		must(n.Start())
 		b.lines(lineFault{}, slow)
@@ -149,7 +149,7 @@
 		}()
 		c := made{}
 		err := played(func() {
-			c = b.proposes("", policy.Propose{Within: 20_000})
+			c = b.proposes("", policy.Proposal{PrepareWithinMS: 20_000})
 			got(b.Step(c.number, 30*time.Second, policy.Settled))
 		})
 		close(stop)
@@ -159,7 +159,7 @@
 	{name: "joins in the middle", run: func(b *bench) {
 		n, slow := b.nodes[0], b.nodes[1]
 		n.Kill()
-		c := b.held(slow, policy.Propose{})
+		c := b.held(slow, policy.Proposal{})
 		must(n.Start())
 		must(b.Prepared(n.name, c.version))
 		b.heal()
@@ -167,12 +167,12 @@
 	}},
 	{name: "drains in the middle", run: func(b *bench) {
 		n, slow := b.nodes[0], b.nodes[1]
-		c := b.held(slow, policy.Propose{})
+		c := b.held(slow, policy.Proposal{})
 		n.Drain()
 		must(b.await(10*time.Second, func() error {
 			all, err := b.Nodes()
-			if err == nil && all[n.name].Out != membership.Left {
-				err = fmt.Errorf("%s is %q, expected %q", n.name, all[n.name].Out, membership.Left)
+			if err == nil && all[n.name].OutReason != membership.OutLeft {
+				err = fmt.Errorf("%s is %q, expected %q", n.name, all[n.name].OutReason, membership.OutLeft)
 			}
 			return err
 		}))
@@ -188,22 +188,22 @@
 			more += fmt.Sprintf("[class %s]\nkind = %s\nretired = yes\nresponse_target = 300ms\nclient_timeout = 3s\n", c,
 				map[string]string{"view": "replayable", "submit": "uniqued\nwindow = 20s"}[c])
 		}
-		if c := got(b.off(b.proposes(more, policy.Propose{}).number)); !strings.Contains(c.Why, "reqs of the trial were shed") {
-			must(fmt.Errorf("called off for %q, expected the trial's finding", c.Why))
+		if c := got(b.off(b.proposes(more, policy.Proposal{}).number)); !strings.Contains(c.AbortReason, "reqs of the trial were shed") {
+			must(fmt.Errorf("called off for %q, expected the trial's finding", c.AbortReason))
 		}
 	}},
 	{name: "called off before it is decided, and not after", run: func(b *bench) {
 		slow := b.nodes[1]
-		c := b.held(slow, policy.Propose{})
+		c := b.held(slow, policy.Proposal{})
 		if no := got(b.callOff(c.number)); no != "" {
 			must(fmt.Errorf("before it is decided: %s, expected it called off", no))
 		}
 		got(b.off(c.number))
 		b.heal()
-		c = b.held(slow, policy.Propose{}, b.nodes[0])
+		c = b.held(slow, policy.Proposal{}, b.nodes[0])
 		b.lines(lineFault{}, slow)
 		must(b.Prepared(slow.name, c.version))
-		got(b.Step(c.number, 20*time.Second, policy.InForce, policy.Settled))
+		got(b.Step(c.number, 20*time.Second, policy.Committed, policy.Settled))
 		if got(b.callOff(c.number)) == "" {
 			must(errors.New("after it was decided: called off, expected a no"))
 		}
@@ -212,10 +212,10 @@
 	{name: "its next incarnation hears nothing", run: func(b *bench) {
 		// Under a lease that is long beside what a slow machine takes to go on, so that the change can't wait it out by chance.
 		b.lease = 4 * realLease
-		got(b.change(policy.Propose{}))
+		got(b.change(policy.Proposal{}))
 		b.lease = realLease // of the next one
 		slow, n := b.nodes[1], b.nodes[0]
-		c := b.held(slow, policy.Propose{Within: 30_000}, n)
+		c := b.held(slow, policy.Proposal{PrepareWithinMS: 30_000}, n)
 		n.Kill()
 		must(os.Remove(filepath.Join(n.folder, "policy.json"))) // it forgets what it prepared
 		b.lines(lineFault{muteBack: true}, n)                   // it joins, and no answer reaches it
@@ -228,10 +228,10 @@
 			}
 			return err
 		}))
-		is := b.goesOn(slow, c, policy.InForce, policy.Settled)
-		if v := got(b.Nodes())[n.name]; v.Since < is.Decided && (v.Out == "" || v.OutAt > is.Decided) {
-			must(fmt.Errorf("decided at %d, and %s, in since %d and without the version, was out at %d", is.Decided, n.name,
-				v.Since, v.OutAt))
+		is := b.goesOn(slow, c, policy.Committed, policy.Settled)
+		if v := got(b.Nodes())[n.name]; v.JoinedAtMS < is.DecidedAtMS && (v.OutReason == "" || v.OutAtMS > is.DecidedAtMS) {
+			must(fmt.Errorf("decided at %d, and %s, in since %d and without the version, was out at %d", is.DecidedAtMS, n.name,
+				v.JoinedAtMS, v.OutAtMS))
 		}
 		b.heal()
 		b.settles(c)
@@ -245,7 +245,7 @@
 		old := api.VersionHash{Version: was.Number, Hash: was.Hash}
 		says := got(json.Marshal(api.HeartbeatResponse{Cluster: s.Cluster, Term: s.Term, Index: s.Applied, LeaseID: 1 << 30, LeaseMS: 60_000,
 			DecidedVersion: old.Version, CommittedVersion: old, NextHeartbeatMS: 200}))
-		c := got(b.change(policy.Propose{}))
+		c := got(b.change(policy.Proposal{}))
 		n.Kill()
 		b.lines(lineFault{says: says}, n)
 		must(n.Start())
@@ -262,15 +262,15 @@
 		for _, n := range b.zoned("z3") {
 			b.group.board.set("callers", n.name, lineFault{cut: true})
 		}
-		c := got(b.change(policy.Propose{}))
+		c := got(b.change(policy.Proposal{}))
 		b.heal()
 		b.allServe(c.Version)
 	}},
 	{name: "the leader killed before it has settled", run: func(b *bench) {
 		cut, slow := b.nodes[5%len(b.nodes)], b.nodes[1]
-		c := b.held(slow, policy.Propose{}, cut)
+		c := b.held(slow, policy.Proposal{}, cut)
 		b.lines(lineFault{muteBack: true}, cut)
-		b.goesOn(slow, c, policy.InForce, policy.Settled)
+		b.goesOn(slow, c, policy.Committed, policy.Settled)
 		b.leaderLost(c)
 	}},
 	{name: "the leader kills itself at each step of its work", long: true, run: func(b *bench) {
@@ -280,7 +280,7 @@
 				must(b.group.start(p, point))
 				b.allServe(b.force)
 			}
-			c := b.held(b.nodes[2], policy.Propose{Exclusive: true})
+			c := b.held(b.nodes[2], policy.Proposal{Exclusive: true})
 			p := got(b.killLeader()) // by the step it is armed for
 			b.heal()
 			b.starts(p)
@@ -294,7 +294,7 @@
 		for _, n := range down {
 			n.Kill()
 		}
-		c := got(b.change(policy.Propose{}))
+		c := got(b.change(policy.Proposal{}))
 		b.others(b.group.kill)
 		must(down[0].Start())
 		time.Sleep(b.lease)
--- a/internal/lab/vfleet.go
+++ b/internal/lab/vfleet.go
@@ -95,7 +95,7 @@
 
 // vctl is one instance of the group.
 type vctl struct {
-	s    *coordinator.Steward
+	s    *coordinator.Leader
 	up   bool
 	rate float64
 	last float64
@@ -108,7 +108,7 @@
 	now     float64
 	seq     int
 	events  vevents
-	part    *coordinator.Part
+	part    *coordinator.State
 	ctl     []*vctl
 	lead    int // -1: nobody
 	term    uint64
@@ -155,7 +155,7 @@
 
 // NewVFleet readies a schedule.
 func NewVFleet(p FleetPlan) *VFleet {
-	w := &VFleet{FleetPlan: p, r: rand.New(rand.NewSource(p.Seed)), part: coordinator.NewPart(p.Without), lead: -1,
+	w := &VFleet{FleetPlan: p, r: rand.New(rand.NewSource(p.Seed)), part: coordinator.NewState(p.Without), lead: -1,
 		known: map[uint64]string{}, Ends: map[string]int{}, Causes: map[string]int{}, bad: map[string]bool{},
 		vlost: vlost{group: "g1", ofHash: map[string]string{}, decidedAs: map[uint64]string{}, said: map[string]bool{}}}
 	w.part.WithoutZones = p.WithoutZones
@@ -186,9 +186,9 @@
 	return w
 }
 
-func (w *VFleet) steward() *coordinator.Steward {
-	s := coordinator.New(w.Without)
-	s.WithoutZones, s.Level = w.WithoutZones, coordinator.LevelSame
+func (w *VFleet) steward() *coordinator.Leader {
+	s := coordinator.NewLeader(w.Without)
+	s.WithoutZones, s.Level = w.WithoutZones, coordinator.LevelSameProcess
 	return s
 }
 
@@ -233,7 +233,7 @@
 	c := w.ctl[i]
 	if c.up {
 		leads := w.lead == i
-		c.s.Lead(w.part, w.group, leads, w.term)
+		c.s.SetRole(w.part, w.group, leads, w.term)
 		at := w.now * c.rate
 		ms := uint64(at) - uint64(c.last)
 		if ms > 200 {
@@ -279,7 +279,7 @@
 		}
 		for _, c := range w.ctl {
 			if c.up {
-				c.s.Applied(w.part, end)
+				c.s.EntryApplied(w.part, end)
 			}
 		}
 	})
@@ -287,18 +287,18 @@
 
 // allPrepared holds a decision that counts to its condition: whoever is in has the version at hand.
 func (w *VFleet) allPrepared(op *policy.Op) {
-	c := w.part.Policy.Now
-	if c == nil || c.Number != op.Number || c.Step != policy.Preparing || op.Epoch != w.part.Fleet.Epoch &&
+	c := w.part.Policy.Current
+	if c == nil || c.Number != op.ChangeNumber || c.Step != policy.Preparing || op.FleetEpoch != w.part.Fleet.Epoch &&
 		!w.Without.Has(policy.PrepareAll) {
 		return
 	}
 	for _, n := range w.nodes {
-		f := w.part.Fleet.Named(n.name)
-		if f == nil || f.Out != "" || !n.up || n.paused ||
+		f := w.part.Fleet.Lookup(n.name)
+		if f == nil || f.OutReason != "" || !n.up || n.paused ||
 			!strings.HasPrefix(f.Lease.Nonce, n.nonce()+"-") {
 			continue
 		}
-		if !n.m.IsPrepared(c.Version) && !slices.Contains(op.Left, n.name) {
+		if !n.m.IsPrepared(c.Version) && !slices.Contains(op.LeftBehind, n.name) {
 			w.fail("change %d was decided and %s, which has a lease, has not prepared version %d", c.Number, n.name, c.Version)
 		}
 	}
@@ -319,40 +319,40 @@
 			if w.said[kind+c.Hash] = true; kind == "decided" {
 				w.decidedAs[c.Version] = c.Hash
 			}
-			w.record(FleetEvent{Kind: kind, Version: c.Version, From: c.From, Excl: c.Propose.Exclusive, Why: c.Why})
+			w.record(FleetEvent{Kind: kind, Version: c.Version, From: c.PreviousVersion, Excl: c.Proposal.Exclusive, Why: c.AbortReason})
 		}
 		switch c.Step {
 		case policy.Preparing:
 			if w.Way == WayEach {
 				w.after(0, func() {
 					w.index++
-					w.part.Policy.Apply(&policy.Op{Kind: "decide", Number: c.Number}, w.part.Fleet, nil, w.Without)
+					w.part.Policy.Apply(&policy.Op{Kind: "decide", ChangeNumber: c.Number}, w.part.Fleet, nil, w.Without)
 					w.watch()
 				})
 			}
-		case policy.Held:
+		case policy.Decided:
 			ev("decided")
 			w.tried(c)
-		case policy.InForce:
+		case policy.Committed:
 			if was == policy.Preparing || was == "" {
 				ev("decided")
 				w.tried(c)
 			}
 			ev("forced")
-			w.Times = append(w.Times, float64(c.Forced-c.Begun))
+			w.Times = append(w.Times, float64(c.CommittedAtMS-c.ProposedAtMS))
 		case policy.Settled:
 			ev("settled")
 			w.Ends[c.Step]++
-		case policy.CalledOff:
+		case policy.Aborted:
 			ev("off")
 			w.Ends[c.Step]++
-			w.Causes[causeOf(c.Why)]++
+			w.Causes[causeOf(c.AbortReason)]++
 		}
 	}
-	for _, c := range w.part.Policy.Past {
+	for _, c := range w.part.Policy.History {
 		look(c)
 	}
-	if c := w.part.Policy.Now; c != nil {
+	if c := w.part.Policy.Current; c != nil {
 		look(c)
 	}
 }
@@ -565,15 +565,15 @@
 			w.hears(n)
 		}
 		if !w.ctl[to].up || w.lead < 0 || !w.ctl[w.lead].up {
-			back(api.HeartbeatResponse{}, coordinator.ErrNoLead)
+			back(api.HeartbeatResponse{}, coordinator.ErrNotLeader)
 			return
 		}
 		if w.lead == to {
-			w.ctl[to].s.Ask(w.part, a, back)
+			w.ctl[to].s.Heartbeat(w.part, a, back)
 			return
 		}
 		lead := w.lead
-		w.after(0.3+w.r.ExpFloat64(), func() { w.ctl[lead].s.Ask(w.part, a, back) })
+		w.after(0.3+w.r.ExpFloat64(), func() { w.ctl[lead].s.Heartbeat(w.part, a, back) })
 	})
 }
 
@@ -581,31 +581,31 @@
 
 // change proposes a version, as an operator would: asked again under one key until there is an answer.
 func (w *VFleet) change(excl bool, spare int) {
-	if w.lead < 0 || w.part.Policy.Now != nil {
+	if w.lead < 0 || w.part.Policy.Current != nil {
 		w.after(200, func() { w.change(excl, spare) })
 		return
 	}
 	v := w.put()
 	w.bad[w.hashes[v-1]] = v > 2 && !w.Calm && w.r.Intn(12) == 0
-	w.ask(policy.Op{Kind: "propose", Propose: &policy.Propose{Version: v, Exclusive: excl,
-		Within: 2*uint64(w.Lease) + 4000, Spare: spare, Author: "lab", Key: fmt.Sprintf("change-%08d", v)}})
+	w.ask(policy.Op{Kind: "propose", Proposal: &policy.Proposal{Version: v, Exclusive: excl,
+		PrepareWithinMS: 2*uint64(w.Lease) + 4000, MaxLeftBehind: spare, Author: "lab", IdempotencyKey: fmt.Sprintf("change-%08d", v)}})
 }
 
 func (w *VFleet) ask(op policy.Op) {
 	answered := false
 	if w.lead >= 0 && w.ctl[w.lead].up {
-		w.ctl[w.lead].s.Op(op, func(r policy.Result, err error) {
+		w.ctl[w.lead].s.SubmitPolicy(op, func(r policy.Result, err error) {
 			if answered || err != nil {
 				return
 			}
 			answered = true
-			if r.Err != "" { // another change came first: a later version, as this one may be behind by then
-				w.change(op.Propose.Exclusive, op.Propose.Spare)
+			if r.Rejection != "" { // another change came first: a later version, as this one may be behind by then
+				w.change(op.Proposal.Exclusive, op.Proposal.MaxLeftBehind)
 				return
 			}
 			w.done++
-			if op.Propose.Version > 2 && !w.Calm && w.r.Intn(3) == 0 { // an operator who thinks better of it
-				w.after(w.r.Float64()*3000, func() { w.callOff(r.Number) })
+			if op.Proposal.Version > 2 && !w.Calm && w.r.Intn(3) == 0 { // an operator who thinks better of it
+				w.after(w.r.Float64()*3000, func() { w.callOff(r.ChangeNumber) })
 			}
 		})
 	}
@@ -619,7 +619,7 @@
 
 func (w *VFleet) callOff(number uint64) {
 	if w.lead >= 0 && w.ctl[w.lead].up {
-		w.ctl[w.lead].s.Op(policy.Op{Kind: "off", Number: number, By: "lab", Why: "it is called off"},
+		w.ctl[w.lead].s.SubmitPolicy(policy.Op{Kind: "off", ChangeNumber: number, Author: "lab", Reason: "it is called off"},
 			func(policy.Result, error) {})
 	}
 }
@@ -782,21 +782,21 @@
 	if w.Broken != "" {
 		return
 	}
-	if c := w.part.Policy.Now; c != nil {
+	if c := w.part.Policy.Current; c != nil {
 		w.fail("change %d to version %d is still %s", c.Number, c.Version, c.Step)
 	}
 	if w.done < w.Changes {
 		w.fail("%d of %d changes were never taken", w.Changes-w.done, w.Changes)
 	}
 	for _, n := range w.nodes {
-		if !n.serves || n.under != w.part.Policy.Force {
+		if !n.serves || n.under != w.part.Policy.CommittedVersion {
 			_, why := n.m.MayServe(n.clock())
 			w.fail("%s serves %v under version %d at the end (%s), expected version %d", n.name, n.serves, n.under, why,
-				w.part.Policy.Force)
+				w.part.Policy.CommittedVersion)
 		}
 	}
 	// A lease, its margin by the group's count, and a clock a hundredth off: what design/policy.md promises.
-	over := int64(membership.Span(uint64(w.Lease)))*10*101/100 + 500
+	over := int64(membership.LeaseSpanMS(uint64(w.Lease)))*10*101/100 + 500
 	broken, overlap := CheckFleet(w.History, FleetPromises{Overlap: over, Fences: w.Changes > 0})
 	w.Overlap = overlap
 	if broken != "" {
--- a/internal/lab/vlost.go
+++ b/internal/lab/vlost.go
@@ -49,10 +49,10 @@
 // save copies the folders now and then.
 func (w *VFleet) save() {
 	w.after(saveEvery, w.save)
-	if w.gone || w.part.Fleet.Lost != "" {
+	if w.gone || w.part.Fleet.LostState != "" {
 		return
 	}
-	raw, err := w.part.Save()
+	raw, err := w.part.Snapshot()
 	if err != nil {
 		w.fail("%v", err)
 		return
@@ -68,7 +68,7 @@
 
 // lose has all instances end, and what is left of their folders is an older copy, or nothing.
 func (w *VFleet) lose() {
-	if w.gone || w.part.Fleet.Lost != "" || len(w.saves) == 0 || w.part.Policy.Force < 2 {
+	if w.gone || w.part.Fleet.LostState != "" || len(w.saves) == 0 || w.part.Policy.CommittedVersion < 2 {
 		return
 	}
 	// What one node alone knows more is no proof, as it may lie: that is a limit of the design, and not played.
@@ -107,7 +107,7 @@
 
 // notices has an operator restore a group that found that it lost state.
 func (w *VFleet) notices() {
-	if w.part.Fleet.Lost == "" || w.told {
+	if w.part.Fleet.LostState == "" || w.told {
 		return
 	}
 	w.told = true
@@ -133,12 +133,12 @@
 
 // putBack puts a copy of the folders in place of what they held.
 func (w *VFleet) putBack(s vsave) error {
-	p := coordinator.NewPart(w.Without)
+	p := coordinator.NewState(w.Without)
 	p.WithoutZones = w.WithoutZones
-	if err := p.Load(s.raw); err != nil {
+	if err := p.Restore(s.raw); err != nil {
 		return err
 	}
-	w.forgets(p.Policy.Need, s.events)
+	w.forgets(p.Policy.DecidedVersion, s.events)
 	w.part, w.index, w.term, w.known = p, s.index, s.term, s.known
 	w.texts, w.hashes = append([]string(nil), s.texts...), append([]string(nil), s.hashes...)
 	return nil
@@ -208,14 +208,14 @@
 			}
 		}
 		var base *recovery.StoredGroup
-		p := coordinator.NewPart(w.Without)
+		p := coordinator.NewState(w.Without)
 		p.WithoutZones = w.WithoutZones
 		if folders {
 			p = w.part
-			base = &recovery.StoredGroup{GroupIdentity: recovery.GroupIdentity{Group: w.group, Generation: p.Gen, Predecessors: p.Before}, LastVersion: w.Last(), DecidedVersion: p.Policy.Need,
-				CommittedVersion: p.Policy.Force, Index: p.Index, ZoneEpoch: p.Zones.Epoch, TextOf: w.Text, LeaseMS: p.Policy.Grants().LeaseMS}
+			base = &recovery.StoredGroup{GroupIdentity: recovery.GroupIdentity{Group: w.group, Generation: p.Generation, Predecessors: p.Predecessors}, LastVersion: w.Last(), DecidedVersion: p.Policy.DecidedVersion,
+				CommittedVersion: p.Policy.CommittedVersion, Index: p.Index, ZoneEpoch: p.Zones.Epoch, TextOf: w.Text, LeaseMS: p.Policy.ActiveRules().LeaseMS}
 			for _, n := range p.Fleet.Nodes() {
-				if n.Out == "" {
+				if n.OutReason == "" {
 					base.Nodes = append(base.Nodes, n.Name)
 				}
 			}
@@ -234,9 +234,9 @@
 }
 
 // found makes what was found the first state of the next generation.
-func (w *VFleet) found(p *coordinator.Part, found *recovery.RestorePlan, folders bool) {
-	w.old = append(w.old, api.HeartbeatResponse{Cluster: w.group, Generation: max(1, found.Lost.Generation), Predecessors: w.part.Before, Term: w.term + 1, Index: w.index,
-		DecidedVersion: w.part.Policy.Need, CommittedVersion: api.VersionHash{Version: w.part.Policy.Force, Hash: w.part.Policy.Hash}, ClockMS: w.part.Fleet.Clock})
+func (w *VFleet) found(p *coordinator.State, found *recovery.RestorePlan, folders bool) {
+	w.old = append(w.old, api.HeartbeatResponse{Cluster: w.group, Generation: max(1, found.Lost.Generation), Predecessors: w.part.Predecessors, Term: w.term + 1, Index: w.index,
+		DecidedVersion: w.part.Policy.DecidedVersion, CommittedVersion: api.VersionHash{Version: w.part.Policy.CommittedVersion, Hash: w.part.Policy.CommittedHash}, ClockMS: w.part.Fleet.ClockMS})
 	if !folders {
 		w.texts, w.hashes, w.index, w.term = nil, nil, 1, 1
 	}
@@ -250,14 +250,14 @@
 		}
 	}
 	w.forgets(found.Version, 0)
-	if err := p.Restore(found, w); err != nil {
+	if err := p.BeginGeneration(found, w); err != nil {
 		w.fail("%v", err)
 		return
 	}
 	w.part, w.began = p, p.Zones.Epoch
-	w.group = fmt.Sprintf("g%d-%d", p.Gen, w.losses)
+	w.group = fmt.Sprintf("g%d-%d", p.Generation, w.losses)
 	w.known = map[uint64]string{}
-	for _, c := range p.Policy.Past {
+	for _, c := range p.Policy.History {
 		w.known[c.Number] = c.Step
 	}
 	w.outcome(found)
@@ -304,7 +304,7 @@
 // one once an epoch of this one has settled, nor on an older epoch of it.
 func (w *VFleet) outdated() {
 	w.after(50, w.outdated)
-	if w.gone || w.part.Fleet.Lost != "" || w.part.Zones.SettledEpoch <= w.began {
+	if w.gone || w.part.Fleet.LostState != "" || w.part.Zones.SettledEpoch <= w.began {
 		return
 	}
 	for _, n := range w.nodes {
@@ -316,9 +316,9 @@
 		}
 		o, gen := n.m.ZoneOrder(), n.m.LastSeen().Generation
 		switch {
-		case gen < w.part.Gen:
-			w.fail("%s serves by generation %d, and epoch %d of %d has settled", n.name, gen, w.part.Zones.SettledEpoch, w.part.Gen)
-		case gen == w.part.Gen && o != nil && n.m.StoredZoneOrder().Epoch == o.Epoch && o.Epoch < w.part.Zones.SettledEpoch:
+		case gen < w.part.Generation:
+			w.fail("%s serves by generation %d, and epoch %d of %d has settled", n.name, gen, w.part.Zones.SettledEpoch, w.part.Generation)
+		case gen == w.part.Generation && o != nil && n.m.StoredZoneOrder().Epoch == o.Epoch && o.Epoch < w.part.Zones.SettledEpoch:
 			w.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, w.part.Zones.SettledEpoch)
 		}
 	}
@@ -327,7 +327,7 @@
 // drill has an operator leave and return a zone now and then, so that there are epochs to be stale about.
 func (w *VFleet) drill() {
 	w.after(1500+w.r.Float64()*3000, w.drill)
-	if w.lead < 0 || !w.ctl[w.lead].up || w.part.Fleet.Lost != "" {
+	if w.lead < 0 || !w.ctl[w.lead].up || w.part.Fleet.LostState != "" {
 		return
 	}
 	zone := fmt.Sprint("z", w.r.Intn(w.Zones))
@@ -335,7 +335,7 @@
 	if step, _ := w.part.Zones.PhaseOf(zone); step != zones.InService {
 		op.Kind, op.Share = "step", 1+w.r.Intn(api.FullShare)
 	}
-	w.ctl[w.lead].s.ZoneOp(w.part, op, func(zones.Result, error) {})
+	w.ctl[w.lead].s.SubmitZone(w.part, op, func(zones.Result, error) {})
 }
 
 // DrawLost draws a schedule in which a group loses state.
--- a/internal/lab/vzones_check.go
+++ b/internal/lab/vzones_check.go
@@ -106,7 +106,7 @@
 
 // applied hears of what the group decided about zones.
 func (v *VZones) applied(end any) {
-	if b, beat := end.(coordinator.BeatDone); beat && b.Began {
+	if b, beat := end.(coordinator.BatchApplied); beat && b.FleetRestarted {
 		v.Began++
 		v.ceil[zones.WholeFleet] = [2]float64{v.f.part.Zones.Find(zones.WholeFleet).RateLimit, 0}
 	}
