--- a/admission/advice.go
+++ b/admission/advice.go
@@ -20,7 +20,7 @@
 	}
 	if idle > c.idleSaid*5/4 || idle < c.idleSaid*4/5 {
 		c.idleSaid = idle
-		c.writer.IdleClose(idle)
+		c.writer.SetIdleTimeout(idle)
 	}
 }
 
@@ -32,7 +32,7 @@
 	}
 	wait := max(c.lastWait, rest)
 	if c.pools != nil {
-		wait = max(wait, c.pools.Lap(handler))
+		wait = max(wait, c.pools.QueueDelay(handler))
 	}
 	if c.queue.head != none {
 		wait = max(wait, c.now-c.requests.at[c.queue.head].came)
@@ -64,6 +64,6 @@
 	}
 	if math.Abs(value-c.lastSignal) > 0.01 {
 		c.lastSignal = value
-		c.writer.Say(value)
+		c.writer.SignalOverload(value)
 	}
 }
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -104,7 +104,7 @@
 }
 
 // callReturned takes the end of a call.
-func (c *Controller) callReturned(b Return) {
+func (c *Controller) callReturned(b CallEnd) {
 	i := c.requests.find(b.ID)
 	if i == none || c.requests.at[i].phase != outside {
 		return
@@ -112,20 +112,20 @@
 	it := &c.requests.at[i]
 	h := &c.handlers[it.h]
 	c.callsInFlight.move(c.now, -1)
-	it.spent += b.Took
+	it.spent += b.Elapsed
 	it.phase = calling
-	switch b.How {
-	case OK:
-		c.callTimes.add(c.now, float64(b.Took), 1)
+	switch b.Outcome {
+	case Succeeded:
+		c.callTimes.add(c.now, float64(b.Elapsed), 1)
 		c.callsPassed.add(c.now, 1, 0)
 		it.phase = running
 		c.notePools(it, false)
 		c.noteProgress()
 		return
-	case Unrun:
+	case NotExecuted:
 		c.callsRefused.add(c.now, 1, 0)
 	default:
-		c.callTimes.add(c.now, float64(b.Took), 1)
+		c.callTimes.add(c.now, float64(b.Elapsed), 1)
 		c.countAbandonedCall()
 	}
 	if it.answered {
@@ -133,12 +133,12 @@
 	}
 	it.tries++
 	switch {
-	case h.canSkipCall && (b.How != Unrun || it.tries > 2):
+	case h.canSkipCall && (b.Outcome != NotExecuted || it.tries > 2):
 		c.skipCall(i)
-	case b.How != Unrun && (h.runsOnce || it.tries > 3):
+	case b.Outcome != NotExecuted && (h.runsOnce || it.tries > 3):
 		c.failRequest(i)
 	default:
-		// Again after a wait that doubles, so that refusals don't become a storm.
+		// IsRetry after a wait that doubles, so that refusals don't become a storm.
 		c.due.put(&c.requests, i, c.now+tick<<min(it.tries, 5))
 	}
 }
@@ -147,13 +147,13 @@
 	it := &c.requests.at[i]
 	it.phase = running
 	c.notePools(it, false)
-	c.writer.Skip(it.id)
+	c.writer.SkipCall(it.id)
 	c.review(i)
 }
 
 // notePools tells pools that a run stands at a call, which is no work, or goes on.
 func (c *Controller) notePools(it *item, away bool) {
 	if c.pools != nil {
-		c.pools.Away(c.now, it.id, away)
+		c.pools.SetAtCall(c.now, it.id, away)
 	}
 }
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -82,7 +82,7 @@
 	runKB              float64 // memory of a run as a multiple of a waiting request's
 	keyKB              float64 // of an entry in the table of keys
 
-	stop     Stop
+	stop     Cancellation
 	freshFor Time
 	linger   Time
 	shared   bool
@@ -125,36 +125,36 @@
 // New readies a controller for a server that starts now.
 func New(d *Deployment) *Controller {
 	c := &Controller{
-		requests: newRequestTable(), queue: newList(), callQueue: newList(), granule: d.Granule, byWork: d.ByWork, beyond: d.Beyond,
-		cores: float64(d.Cores), limit: d.Cores, coldSpeed: 1, started: d.Start, warmAt: d.Start, fallMultiple: max(d.Fall, 1),
-		runKB: d.RunFactor, keyKB: d.KeyKB, stop: d.Stop, freshFor: d.Fresh, maxPause: d.MaxPause,
-		signal: d.OverloadSignal, idle: d.Idle, idleSaid: d.Idle, senders: float64(d.Senders), stage: float64(d.Stage),
-		linger: d.Linger, shared: d.Below == BelowShared && d.CallsOut > 0, grace: d.DrainGrace,
-		lastTick: d.Start, slowTick: d.Start, worst: d.Worst * one(d.OverloadSignal != SignalLevel),
+		requests: newRequestTable(), queue: newList(), callQueue: newList(), granule: d.RoundInterval, byWork: d.ValuePerWork, beyond: d.OverQuotaWeight,
+		cores: float64(d.Cores), limit: d.Cores, coldSpeed: 1, started: d.Start, warmAt: d.Start, fallMultiple: max(d.MaxRunsPerCore, 1),
+		runKB: d.RunMemoryFactor, keyKB: d.TableEntryKB, stop: d.Cancellation, freshFor: d.ResponseReuseTime, maxPause: d.MaxRetryAfter,
+		signal: d.OverloadSignal, idle: d.IdleTimeout, idleSaid: d.IdleTimeout, senders: float64(d.Callers), stage: float64(d.Tier),
+		linger: d.CancellationDelay, shared: d.Dependency == DependencyShared && d.CallAllowance > 0, grace: d.DrainGrace,
+		lastTick: d.Start, slowTick: d.Start, worst: d.WorstClassWeight * one(d.OverloadSignal != SignalLevel),
 		// 4096 buckets of a tick reach 80 s, past every client timeout; what lies further is filed again.
 		due:     newWheel(4096, tick, d.Start),
 		tooLate: newRing(4, Second/4), unreadTimes: newRing(4, Second/4),
 		// Two seconds of calls, in steps short beside a trouble: long enough for a mean at a few calls a second.
 		callTimes: newRing(8, Second/4), callsRefused: newRing(8, Second/4), callsPassed: newRing(8, Second/4),
-		callsInFlight:  level{ring: newRing(10, max(d.Span, Second)/10), at: d.Start},
-		abandonedCalls: newRing(5, max(d.Linger, 4)/4),
+		callsInFlight:  level{ring: newRing(10, max(d.CallAveragingTime, Second)/10), at: d.Start},
+		abandonedCalls: newRing(5, max(d.CancellationDelay, 4)/4),
 		// Four seconds of requests: dozens at a server's rate, and shorter than a storm.
 		sheds: newRing(8, Second/2), retries: newRing(8, Second/2), returning: newRing(8, Second),
 		callers: map[uint32]Time{}, pools: d.Pools,
 	}
-	if d.Cold && d.ColdSpeed > 0 && d.ColdSpeed < 1 {
-		c.coldSpeed, c.warmAt = d.ColdSpeed, d.Start+d.WarmAfter
+	if d.ColdStart && d.ColdSpeed > 0 && d.ColdSpeed < 1 {
+		c.coldSpeed, c.warmAt = d.ColdSpeed, d.Start+d.WarmUpTime
 	}
 	// A twentieth of memory is left free: what a round brings in is counted only after it was read.
-	c.memoryMost = d.MemKB * 0.95
+	c.memoryMost = d.MemoryKB * 0.95
 	// The pace aims at half of what it survives (a quarter lost where a server's calls are few, all of it even),
 	// and never are more than nine tenths in hand, so that no mean over the span can come to the whole.
-	c.callsAllowed, c.callsMost = d.CallsOut/2, d.CallsOut*0.9
+	c.callsAllowed, c.callsMost = d.CallAllowance/2, d.CallAllowance*0.9
 	for _, h := range d.Handlers {
 		// Four seconds of runs: dozens at a server's rate, and soon past a change of its speed.
-		c.handlers = append(c.handlers, handler{lateEarns: h.LateValue > 0, canSkipCall: h.LeanValue > 0, keyed: h.Repeat == IdempotencyKeyed,
-			runsOnce: h.Repeat != Retryable, serviceRatios: newRing(8, Second/2), work: newRing(8, Second/2),
-			inTime: newRing(8, Second), usualWork: 1, ownWork: float64(h.Target) / 8})
+		c.handlers = append(c.handlers, handler{lateEarns: h.LateValue > 0, canSkipCall: h.DegradedValue > 0, keyed: h.RetrySafety == IdempotencyKeyed,
+			runsOnce: h.RetrySafety != Retryable, serviceRatios: newRing(8, Second/2), work: newRing(8, Second/2),
+			inTime: newRing(8, Second), usualWork: 1, ownWork: float64(h.LatencyObjective) / 8})
 	}
 	for range d.Tenants {
 		// Five seconds of arrivals: some dozens at a server's rate, and shorter than a surge lasts.
@@ -177,15 +177,15 @@
 func (c *Controller) Adopt(d *Deployment) {
 	most := 1e-9
 	for _, h := range d.Handlers {
-		most = max(most, h.Value*(1-h.LeanValue))
+		most = max(most, h.Value*(1-h.DegradedValue))
 	}
 	for k, h := range d.Handlers {
 		o := &c.handlers[k]
-		o.target, o.timeout, o.window, o.value = h.Target, h.Timeout, h.Window, h.Value
-		o.callWorth = h.Value * (1 - h.LeanValue) / most
+		o.target, o.timeout, o.window, o.value = h.LatencyObjective, h.Timeout, h.IdempotencyWindow, h.Value
+		o.callWorth = h.Value * (1 - h.DegradedValue) / most
 	}
 	for k, t := range d.Tenants {
-		c.tenants[k].fair = t.Quota / float64(d.Fleet) * float64(c.tenants[k].came.span()) / float64(Second)
+		c.tenants[k].fair = t.Quota / float64(d.FleetSize) * float64(c.tenants[k].came.span()) / float64(Second)
 	}
 }
 
@@ -197,15 +197,15 @@
 	c.now, c.writer = max(r.Now, c.now), w
 	c.updateHealth()
 	if r.Drain {
-		c.startDrain(r.Kill)
+		c.startDrain(r.KillAt)
 	}
-	for _, b := range r.Returned {
+	for _, b := range r.CallEnds {
 		c.callReturned(b)
 	}
-	for _, id := range r.Needs {
+	for _, id := range r.CallRequests {
 		c.runNeedsCall(c.requests.find(id))
 	}
-	for _, e := range r.Ended {
+	for _, e := range r.RunEnds {
 		c.runEnded(e)
 	}
 	for k := range r.Arrived {
@@ -214,10 +214,10 @@
 	for k := range r.Arrived {
 		c.admit(c.requests.find(r.Arrived[k].ID), &r.Arrived[k])
 	}
-	for _, id := range r.Gone {
+	for _, id := range r.Disconnected {
 		c.abandon(c.requests.find(id))
 	}
-	if r.Woke {
+	if r.TimerFired {
 		c.awake = false
 		c.onTick(r)
 	}
@@ -229,9 +229,9 @@
 	if !c.awake {
 		c.awake = true
 		if len(c.requests.ids) > 0 {
-			w.Wake(c.now + tick)
+			w.WakeUp(c.now + tick)
 		} else {
-			w.Wake(c.now + rest)
+			w.WakeUp(c.now + rest)
 		}
 	}
 }
@@ -241,13 +241,13 @@
 	// A process that stood still saw nothing: only time it was awake for counts.
 	dt := min(c.now-c.lastTick, 2*rest)
 	c.lastTick = c.now
-	if r.Gauged {
-		c.onCores = r.Gauges.OnCores
+	if r.HasGauges {
+		c.onCores = r.Gauges.Runnable
 		c.adjustLimit()
 	}
 	if c.pools != nil {
 		c.pools.Tick(c.now, min(c.limit, c.runCeiling()))
-		for _, line := range c.pools.Told() {
+		for _, line := range c.pools.TakeChanges() {
 			c.writer.Log(line)
 		}
 	}
@@ -258,8 +258,8 @@
 		return
 	}
 	c.rankCells()
-	if r.Gauged {
-		c.shortenIdleTime(r.Gauges.Links)
+	if r.HasGauges {
+		c.shortenIdleTime(r.Gauges.OpenConnections)
 	}
 	c.signalOverload(float64(c.now-c.slowTick) / float64(Second))
 	c.slowTick = c.now
--- a/admission/endings.go
+++ b/admission/endings.go
@@ -15,7 +15,7 @@
 	c.sheds.add(c.now, 1, 0)
 	it.answered, it.failed = true, true
 	if c.pools != nil && it.phase != held {
-		c.pools.Refused(c.now, int(it.h))
+		c.pools.Rejected(c.now, int(it.h))
 	}
 	c.leaveQueueUnrun(i, true)
 }
@@ -24,7 +24,7 @@
 func (c *Controller) leaveQueue(i int32, shed bool) {
 	c.queue.remove(&c.requests, i)
 	if c.pools != nil {
-		c.pools.Left(c.now, c.requests.at[i].id, shed)
+		c.pools.Dequeued(c.now, c.requests.at[i].id, shed)
 	}
 }
 
@@ -84,15 +84,15 @@
 	case calling:
 		c.leaveCallQueue(i)
 	case running:
-		if stop && c.stop != StopNever && !it.lent {
-			c.writer.Pause(it.id)
+		if stop && c.stop != CancelNever && !it.lent {
+			c.writer.Stop(it.id)
 		}
 	}
 	c.review(i)
 }
 
 // runEnded takes the end of a run.
-func (c *Controller) runEnded(e End) {
+func (c *Controller) runEnded(e RunEnd) {
 	i := c.requests.find(e.ID)
 	if i == none {
 		return
@@ -104,8 +104,8 @@
 	case held, over:
 		return
 	case sharing:
-		it.failed, it.answered = e.How != OK, true
-		h.inTime.add(c.now, one(e.How == OK && !late), 0)
+		it.failed, it.answered = e.Outcome != Succeeded, true
+		h.inTime.add(c.now, one(e.Outcome == Succeeded && !late), 0)
 		c.release(i)
 		return
 	case calling:
@@ -116,20 +116,20 @@
 	}
 	c.running--
 	if c.pools != nil {
-		c.pools.Ended(c.now, it.id, e.How == OK, e.How == OK && !late)
+		c.pools.Ended(c.now, it.id, e.Outcome == Succeeded, e.Outcome == Succeeded && !late)
 	}
 	c.memory -= it.kb * (c.runKB - 1)
-	it.failed = it.failed || e.How != OK
-	h.inTime.add(c.now, 0, -one(e.How == Unrun)) // it was no request that any caller meant: not to be counted
-	if e.How == OK {
+	it.failed = it.failed || e.Outcome != Succeeded
+	h.inTime.add(c.now, 0, -one(e.Outcome == NotExecuted)) // it was no request that any caller meant: not to be counted
+	if e.Outcome == Succeeded {
 		c.noteProgress()
 		c.countLate(late)
 		h.inTime.add(c.now, one(!late), 0)
-		h.serviceRatios.add(c.now, float64(e.Ran), it.cost)
-		h.work.add(c.now, float64(max(e.Ran-it.spent, 0)), 1)
+		h.serviceRatios.add(c.now, float64(e.Elapsed), it.cost)
+		h.work.add(c.now, float64(max(e.Elapsed-it.spent, 0)), 1)
 	}
 	switch {
-	case h.runsOnce && e.How != Unrun || it.kept == 0:
+	case h.runsOnce && e.Outcome != NotExecuted || it.kept == 0:
 	case it.failed:
 		c.forget(it)
 	default:
--- a/admission/intake.go
+++ b/admission/intake.go
@@ -7,27 +7,27 @@
 	c.lastCame = c.now
 	i := c.requests.take(q.ID)
 	it, h := &c.requests.at[i], &c.handlers[q.Handler]
-	it.h, it.kb, it.came, it.again = int32(q.Handler), q.KB, min(q.Came, c.now), q.Again
+	it.h, it.kb, it.came, it.again = int32(q.Handler), q.SizeKB, min(q.ArrivedAt, c.now), q.IsRetry
 	if q.Tenant > 0 && q.Tenant < len(c.tenants) {
 		it.t = int32(q.Tenant)
 	}
-	if it.due = q.Due; it.due == 0 {
+	if it.due = q.Deadline; it.due == 0 {
 		it.due = it.came + h.timeout
 	}
 	it.due = max(it.due, c.now)
-	if q.Hint > 0 {
-		h.usualWork = float64(q.Hint)
+	if q.ExpectedWork > 0 {
+		h.usualWork = float64(q.ExpectedWork)
 	}
 	it.cost = h.usualWork
 	c.memory += it.kb
-	if !q.Again {
+	if !q.IsRetry {
 		// Further tries of what was turned away would make a tenant look beyond its share.
 		c.tenants[it.t].came.add(c.now, 1, 0)
 	}
 	c.cell(it).work.add(c.now, h.ownWork, 1)
 	h.inTime.add(c.now, 0, 1)
 	c.sheds.add(c.now, 0, 1)
-	c.retries.add(c.now, one(q.Again), 1)
+	c.retries.add(c.now, one(q.IsRetry), 1)
 	if len(c.callers) > 4096 {
 		clear(c.callers) // several times the callers of any fleet seen; the share is only low for a moment
 	}
@@ -45,7 +45,7 @@
 func (c *Controller) admit(i int32, q *Request) {
 	it := &c.requests.at[i]
 	h := &c.handlers[it.h]
-	if q.Prior != 0 && c.settleRepeat(i, c.requests.find(q.Prior)) {
+	if q.PreviousID != 0 && c.settleRepeat(i, c.requests.find(q.PreviousID)) {
 		return
 	}
 	key := 0.0
@@ -65,7 +65,7 @@
 		c.queue.insertAfter(&c.requests, i, c.queue.tail)
 		it.phase = held
 		if c.pools != nil {
-			c.pools.Arrived(c.now, q)
+			c.pools.Enqueued(c.now, q)
 		}
 		if it.prior == none {
 			c.remember(i)
--- a/admission/pin_stream_test.go
+++ b/admission/pin_stream_test.go
@@ -13,17 +13,17 @@
 	to *recorder
 }
 
-func (p *recordedPools) Arrived(now Time, q *Request) {
+func (p *recordedPools) Enqueued(now Time, q *Request) {
 	p.to.note("pools arrived %d %d", now, q.ID)
-	p.tally.Arrived(now, q)
+	p.tally.Enqueued(now, q)
 }
 
-func (p *recordedPools) Left(now Time, id uint32, shed bool) {
+func (p *recordedPools) Dequeued(now Time, id uint32, shed bool) {
 	p.to.note("pools left %d %d %v", now, id, shed)
-	p.tally.Left(now, id, shed)
+	p.tally.Dequeued(now, id, shed)
 }
 
-func (p *recordedPools) Refused(now Time, handler int) {
+func (p *recordedPools) Rejected(now Time, handler int) {
 	p.to.note("pools refused %d %d", now, handler)
 }
 
@@ -32,9 +32,9 @@
 	p.tally.Started(now, id, waited)
 }
 
-func (p *recordedPools) Away(now Time, id uint32, away bool) {
+func (p *recordedPools) SetAtCall(now Time, id uint32, away bool) {
 	p.to.note("pools away %d %d %v", now, id, away)
-	p.tally.Away(now, id, away)
+	p.tally.SetAtCall(now, id, away)
 }
 
 func (p *recordedPools) Ended(now Time, id uint32, done, inTime bool) {
@@ -42,9 +42,9 @@
 	p.tally.Ended(now, id, done, inTime)
 }
 
-// Lap is what a limited handler's requests wait, and Told says now and then that something changed.
-func (p *recordedPools) Lap(handler int) Time { return Time(handler) * Second / 2 }
-func (p *recordedPools) Told() []string       { return []string{"pools changed"}[:p.to.count%2] }
+// QueueDelay is what a limited handler's requests wait, and Told says now and then that something changed.
+func (p *recordedPools) QueueDelay(handler int) Time { return Time(handler) * Second / 2 }
+func (p *recordedPools) TakeChanges() []string       { return []string{"pools changed"}[:p.to.count%2] }
 
 func (p *recordedPools) Tick(now Time, slots int) { p.to.note("pools tick %d %d", now, slots) }
 
@@ -61,14 +61,14 @@
 func faulted(r *recorder, in *Round, step int) {
 	switch step % 1000 / 100 {
 	case 1, 2, 3, 4: // started work stands still
-		for _, e := range in.Ended {
+		for _, e := range in.RunEnds {
 			r.running = append(r.running, e.ID)
 		}
-		r.running = append(r.running, in.Needs...)
-		in.Ended, in.Needs = nil, nil
+		r.running = append(r.running, in.CallRequests...)
+		in.RunEnds, in.CallRequests = nil, nil
 	case 5: // what is read had waited unread for seconds
 		for k := range in.Arrived {
-			in.Arrived[k].Came -= 2 * Second
+			in.Arrived[k].ArrivedAt -= 2 * Second
 		}
 	case 7: // nothing comes
 		for _, q := range in.Arrived {
@@ -82,9 +82,9 @@
 		if r.rand.IntN(4) == 0 {
 			one, other = other, one
 		}
-		one.Handler, one.Prior = other.Handler, other.ID
+		one.Handler, one.PreviousID = other.Handler, other.ID
 	} else if n > 0 && r.rand.IntN(16) == 0 {
-		in.Arrived[0].Prior = 1 << 30 // known to the table alone
+		in.Arrived[0].PreviousID = 1 << 30 // known to the table alone
 	}
 }
 
@@ -125,7 +125,7 @@
 				c.Adopt(adopted(d))
 			}
 			if step == 3050+int(seed) || step == 3080 {
-				in.Drain, in.Kill = true, r.now+Time(600+rnd.IntN(4000))
+				in.Drain, in.KillAt = true, r.now+Time(600+rnd.IntN(4000))
 			}
 			c.Decide(in, &endingServer{r})
 		}
@@ -142,33 +142,33 @@
 	next.Handlers = append([]Handler(nil), d.Handlers...)
 	for k := range next.Handlers {
 		next.Handlers[k].Value += float64(k)
-		next.Handlers[k].Target += Second / 4
+		next.Handlers[k].LatencyObjective += Second / 4
 	}
 	return &next
 }
 
 func faultDeployment(rnd *rand.Rand, start Time) *Deployment {
-	d := &Deployment{Start: start, Fleet: 1 + rnd.IntN(9), Senders: 1 + rnd.IntN(20), Stage: rnd.IntN(3), Granule: 20,
-		ByWork: rnd.IntN(2) == 0, Beyond: 0.1, Worst: rnd.Float64(), Cores: 1 + rnd.IntN(4), Cold: rnd.IntN(2) == 0,
-		ColdSpeed: 0.3, WarmAfter: 8 * Second, Fall: 2, MemKB: 300 + 4000*rnd.Float64(), RunFactor: 8, KeyKB: 10,
-		Below: Below(rnd.IntN(3)), CallsOut: 1.2 * rnd.Float64(), Span: 2 * Second, Linger: Second / 5,
-		Stop: Stop(rnd.IntN(3)), Fresh: Time(rnd.IntN(2)) * Second, DrainGrace: Second / 2,
-		OverloadSignal: OverloadSignal(rnd.IntN(4)), MaxPause: 2 * Second, Idle: 30 * Second,
-		Handlers: []Handler{{Target: Second, Timeout: 6 * Second, Value: 1, LeanValue: 0.5, Repeat: Retryable},
-			{Target: 2 * Second, Timeout: 8 * Second, Value: 2, LateValue: 0.2, Repeat: IdempotencyKeyed, Window: 9 * Second},
-			{Target: Second, Timeout: 7 * Second, Value: 4, Repeat: NonRetryable}},
+	d := &Deployment{Start: start, FleetSize: 1 + rnd.IntN(9), Callers: 1 + rnd.IntN(20), Tier: rnd.IntN(3), RoundInterval: 20,
+		ValuePerWork: rnd.IntN(2) == 0, OverQuotaWeight: 0.1, WorstClassWeight: rnd.Float64(), Cores: 1 + rnd.IntN(4), ColdStart: rnd.IntN(2) == 0,
+		ColdSpeed: 0.3, WarmUpTime: 8 * Second, MaxRunsPerCore: 2, MemoryKB: 300 + 4000*rnd.Float64(), RunMemoryFactor: 8, TableEntryKB: 10,
+		Dependency: Dependency(rnd.IntN(3)), CallAllowance: 1.2 * rnd.Float64(), CallAveragingTime: 2 * Second, CancellationDelay: Second / 5,
+		Cancellation: Cancellation(rnd.IntN(3)), ResponseReuseTime: Time(rnd.IntN(2)) * Second, DrainGrace: Second / 2,
+		OverloadSignal: OverloadSignal(rnd.IntN(4)), MaxRetryAfter: 2 * Second, IdleTimeout: 30 * Second,
+		Handlers: []Handler{{LatencyObjective: Second, Timeout: 6 * Second, Value: 1, DegradedValue: 0.5, RetrySafety: Retryable},
+			{LatencyObjective: 2 * Second, Timeout: 8 * Second, Value: 2, LateValue: 0.2, RetrySafety: IdempotencyKeyed, IdempotencyWindow: 9 * Second},
+			{LatencyObjective: Second, Timeout: 7 * Second, Value: 4, RetrySafety: NonRetryable}},
 		Tenants: []Tenant{{Quota: 50}, {Quota: 100}}}
 	if rnd.IntN(4) == 0 {
 		d.Tenants = nil
 	}
 	if rnd.IntN(4) == 0 { // nothing earns less than another
-		d.Worst, d.ByWork, d.Tenants = 0, true, nil
+		d.WorstClassWeight, d.ValuePerWork, d.Tenants = 0, true, nil
 		for k := range d.Handlers {
 			d.Handlers[k].Value = 1
 		}
 	}
 	if rnd.IntN(4) == 0 {
-		d.MemKB = 150
+		d.MemoryKB = 150
 	}
 	return d
 }
@@ -177,38 +177,38 @@
 func BenchmarkRound(b *testing.B) {
 	for _, bench := range []struct {
 		name  string
-		below Below
-	}{{"plain", BelowNone}, {"calls", BelowShared}} {
+		below Dependency
+	}{{"plain", DependencyNone}, {"calls", DependencyShared}} {
 		b.Run(bench.name, func(b *testing.B) { benchmarkRounds(b, bench.below) })
 	}
 }
 
-func benchmarkRounds(b *testing.B, below Below) {
+func benchmarkRounds(b *testing.B, below Dependency) {
 	rnd := rand.New(rand.NewPCG(7, 7))
 	d := faultDeployment(rnd, 50*Second)
-	d.Below, d.MemKB, d.Cores, d.Cold, d.CallsOut, d.Tenants = below, 1e6, 8, false, 6, []Tenant{{Quota: 50}, {Quota: 100}}
+	d.Dependency, d.MemoryKB, d.Cores, d.ColdStart, d.CallAllowance, d.Tenants = below, 1e6, 8, false, 6, []Tenant{{Quota: 50}, {Quota: 100}}
 	c, w, now, id := New(d), &benchWriter{}, d.Start, uint32(0)
-	in := Round{Gauged: true}
+	in := Round{HasGauges: true}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
 		now += 20
-		in.Now, in.Woke, in.Gauges.OnCores = now, now >= w.wake, 8
-		in.Arrived, in.Ended, in.Needs, in.Returned = in.Arrived[:0], in.Ended[:0], in.Needs[:0], in.Returned[:0]
+		in.Now, in.TimerFired, in.Gauges.Runnable = now, now >= w.wake, 8
+		in.Arrived, in.RunEnds, in.CallRequests, in.CallEnds = in.Arrived[:0], in.RunEnds[:0], in.CallRequests[:0], in.CallEnds[:0]
 		for k := range 3170 {
 			id++
-			in.Arrived = append(in.Arrived, Request{ID: id, Handler: k % 3, Tenant: k % 2, Came: now, KB: 2, Caller: id % 64})
+			in.Arrived = append(in.Arrived, Request{ID: id, Handler: k % 3, Tenant: k % 2, ArrivedAt: now, SizeKB: 2, Caller: id % 64})
 		}
 		for _, run := range w.running {
-			if run%4 == 0 && below != BelowNone {
-				in.Needs = append(in.Needs, run)
+			if run%4 == 0 && below != DependencyNone {
+				in.CallRequests = append(in.CallRequests, run)
 				continue
 			}
-			in.Ended = append(in.Ended, End{ID: run, How: OK, Ran: 40})
+			in.RunEnds = append(in.RunEnds, RunEnd{ID: run, Outcome: Succeeded, Elapsed: 40})
 		}
 		for _, call := range w.calling {
-			in.Returned = append(in.Returned, Return{ID: call, How: OK, Took: 30})
-			in.Ended = append(in.Ended, End{ID: call, How: OK, Ran: 70})
+			in.CallEnds = append(in.CallEnds, CallEnd{ID: call, Outcome: Succeeded, Elapsed: 30})
+			in.RunEnds = append(in.RunEnds, RunEnd{ID: call, Outcome: Succeeded, Elapsed: 70})
 		}
 		w.running, w.calling = w.running[:0], w.calling[:0]
 		c.Decide(&in, w)
@@ -222,16 +222,16 @@
 }
 
 func (w *benchWriter) Run(id uint32)           { w.running = append(w.running, id) }
-func (w *benchWriter) Pause(uint32)            {}
+func (w *benchWriter) Stop(uint32)             {}
 func (w *benchWriter) Shed(uint32, bool, Time) {}
 func (w *benchWriter) Fail(uint32)             {}
 func (w *benchWriter) Call(id uint32, _ Time)  { w.calling = append(w.calling, id) }
-func (w *benchWriter) Skip(id uint32)          { w.running = append(w.running, id) }
+func (w *benchWriter) SkipCall(id uint32)      { w.running = append(w.running, id) }
 func (w *benchWriter) Remember(uint32, Time)   {}
 func (w *benchWriter) Forget(uint32)           {}
-func (w *benchWriter) Reuse(uint32)            {}
+func (w *benchWriter) ReuseResult(uint32)      {}
 func (w *benchWriter) Health(bool)             {}
-func (w *benchWriter) Say(float64)             {}
-func (w *benchWriter) IdleClose(Time)          {}
-func (w *benchWriter) Wake(at Time)            { w.wake = at }
+func (w *benchWriter) SignalOverload(float64)  {}
+func (w *benchWriter) SetIdleTimeout(Time)     {}
+func (w *benchWriter) WakeUp(at Time)          { w.wake = at }
 func (w *benchWriter) Log(string)              {}
--- a/admission/repeats.go
+++ b/admission/repeats.go
@@ -46,7 +46,7 @@
 		c.leaveQueue(i, false)
 	}
 	it.phase = sharing
-	c.writer.Reuse(it.id)
+	c.writer.ReuseResult(it.id)
 	c.review(i)
 }
 
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -52,32 +52,32 @@
 	away        map[uint32]bool
 }
 
-func (p *tally) Arrived(_ Time, q *Request) {
+func (p *tally) Enqueued(_ Time, q *Request) {
 	if _, twice := p.holds[q.ID]; twice {
 		p.t.Errorf("%d joined the hold twice", q.ID)
 	}
 	p.holds[q.ID] = q.Handler
 }
-func (p *tally) Refused(Time, int) {}
-func (p *tally) Left(_ Time, id uint32, _ bool) {
+func (p *tally) Rejected(Time, int) {}
+func (p *tally) Dequeued(_ Time, id uint32, _ bool) {
 	if _, held := p.holds[id]; !held {
 		p.t.Errorf("%d left the hold without being in it", id)
 	}
 	delete(p.holds, id)
 }
-func (p *tally) May(id uint32) bool {
+func (p *tally) CanStart(id uint32) bool {
 	h := p.holds[id]
 	return h >= len(p.slots) || p.running[h] < p.slots[h]
 }
 func (p *tally) Started(_ Time, id uint32, _ Time) {
-	if !p.May(id) {
+	if !p.CanStart(id) {
 		p.t.Errorf("%d was started past the slots of handler %d", id, p.holds[id])
 	}
 	p.runs[id] = p.holds[id]
 	p.running[p.holds[id]]++
 	delete(p.holds, id)
 }
-func (p *tally) Away(_ Time, id uint32, away bool) {
+func (p *tally) SetAtCall(_ Time, id uint32, away bool) {
 	if _, runs := p.runs[id]; !runs || p.away[id] == away {
 		p.t.Errorf("%d away %v again, or without a run", id, away)
 	}
@@ -92,15 +92,15 @@
 	delete(p.away, id)
 	p.running[h]--
 }
-func (p *tally) Tick(Time, int) {}
-func (p *tally) Lap(int) Time   { return 0 }
-func (p *tally) Told() []string { return nil }
+func (p *tally) Tick(Time, int)        {}
+func (p *tally) QueueDelay(int) Time   { return 0 }
+func (p *tally) TakeChanges() []string { return nil }
 
 func (s *scene) note(f string, a ...any) { s.log = append(s.log, fmt.Sprintf(f, a...)) }
 
-func (s *scene) Run(id uint32)   { s.busy[id] = true; s.note("run %d", id) }
-func (s *scene) Pause(id uint32) { s.note("pause %d", id) }
-func (s *scene) Fail(id uint32)  { s.note("fail %d", id) }
+func (s *scene) Run(id uint32)  { s.busy[id] = true; s.note("run %d", id) }
+func (s *scene) Stop(id uint32) { s.note("pause %d", id) }
+func (s *scene) Fail(id uint32) { s.note("fail %d", id) }
 func (s *scene) Shed(id uint32, last bool, comeBack Time) {
 	line := fmt.Sprintf("shed %d", id)
 	if last {
@@ -118,12 +118,12 @@
 		s.t.Errorf("%s:%d: call %d until %d, not past now %d", s.file, s.line, id, until, s.now)
 	}
 	// Rule 4: where one call is over the allowance, it can't last so long that the mean over the span is.
-	if most := Time(s.d.CallsOut * float64(s.d.Span)); s.d.CallsOut < 1 && s.d.Below == BelowShared &&
-		until-s.now+s.d.Linger > most {
+	if most := Time(s.d.CallAllowance * float64(s.d.CallAveragingTime)); s.d.CallAllowance < 1 && s.d.Dependency == DependencyShared &&
+		until-s.now+s.d.CancellationDelay > most {
 		s.t.Errorf("%s:%d: call %d may last past the allowance", s.file, s.line, id)
 	}
 }
-func (s *scene) Skip(id uint32) { s.busy[id] = true; s.note("skip %d", id) }
+func (s *scene) SkipCall(id uint32) { s.busy[id] = true; s.note("skip %d", id) }
 
 // An entry lasts past the window of a uniqued request, by what rounding to tenths of a ms may have taken off.
 func (s *scene) Remember(id uint32, span Time) {
@@ -134,13 +134,13 @@
 	s.note("remember %d", id)
 }
 
-func (s *scene) Forget(id uint32) { s.note("forget %d", id) }
-func (s *scene) Reuse(id uint32)  { s.note("reuse %d", id) }
-func (s *scene) Health(good bool) { s.note("health %v", good) }
-func (s *scene) Say(v float64)    { s.note("say %.1f", v) }
-func (s *scene) IdleClose(t Time) { s.note("idle %d", t/10) }
-func (s *scene) Log(string)       {}
-func (s *scene) Wake(at Time) {
+func (s *scene) Forget(id uint32)         { s.note("forget %d", id) }
+func (s *scene) ReuseResult(id uint32)    { s.note("reuse %d", id) }
+func (s *scene) Health(good bool)         { s.note("health %v", good) }
+func (s *scene) SignalOverload(v float64) { s.note("say %.1f", v) }
+func (s *scene) SetIdleTimeout(t Time)    { s.note("idle %d", t/10) }
+func (s *scene) Log(string)               {}
+func (s *scene) WakeUp(at Time) {
 	if s.wake > 0 {
 		s.t.Errorf("%s:%d: a second timer", s.file, s.line)
 	}
@@ -187,36 +187,40 @@
 func (s *scene) server(k, v string) bool {
 	d := &s.d
 	return set(k, map[string]func(){
-		"idle":   func() { d.Idle = s.ms(v) },
+		"idle":   func() { d.IdleTimeout = s.ms(v) },
 		"cores":  func() { d.Cores = int(s.num(v)) },
-		"mem":    func() { d.MemKB = s.num(v) },
-		"factor": func() { d.RunFactor = s.num(v) },
-		"key":    func() { d.KeyKB = s.num(v) },
-		"cold":   func() { d.Cold, d.ColdSpeed, d.WarmAfter = true, s.num(v), 10*Second },
-		"stop":   func() { d.Stop = map[string]Stop{"never": StopNever, "drop": StopDrop, "pause": StopPause}[v] },
-		"fresh":  func() { d.Fresh = s.ms(v) },
-		"calls":  func() { d.Below, d.CallsOut, d.Span, d.Linger = BelowShared, s.num(v), 5*Second, Second/5 },
-		"tier":   func() { d.Below = BelowTier },
-		"worst":  func() { d.Worst = s.num(v) },
-		"fleet":  func() { d.Fleet = int(s.num(v)) },
+		"mem":    func() { d.MemoryKB = s.num(v) },
+		"factor": func() { d.RunMemoryFactor = s.num(v) },
+		"key":    func() { d.TableEntryKB = s.num(v) },
+		"cold":   func() { d.ColdStart, d.ColdSpeed, d.WarmUpTime = true, s.num(v), 10*Second },
+		"stop": func() {
+			d.Cancellation = map[string]Cancellation{"never": CancelNever, "drop": CancelDrop, "pause": CancelPause}[v]
+		},
+		"fresh": func() { d.ResponseReuseTime = s.ms(v) },
+		"calls": func() {
+			d.Dependency, d.CallAllowance, d.CallAveragingTime, d.CancellationDelay = DependencyShared, s.num(v), 5*Second, Second/5
+		},
+		"tier":  func() { d.Dependency = DependencyNextTier },
+		"worst": func() { d.WorstClassWeight = s.num(v) },
+		"fleet": func() { d.FleetSize = int(s.num(v)) },
 		"say": func() {
 			d.OverloadSignal = map[string]OverloadSignal{"level": SignalLevel, "credit": SignalCredit, "weight": SignalWeight}[v]
 		},
-		"mute": func() { d.MaxPause = 0 },
+		"mute": func() { d.MaxRetryAfter = 0 },
 	})
 }
 
 func (s *scene) handler(words []string) {
-	h := Handler{Target: 2 * Second, Timeout: 6 * Second, Value: 1}
+	h := Handler{LatencyObjective: 2 * Second, Timeout: 6 * Second, Value: 1}
 	s.pairs(words, func(k, v string) bool {
 		return set(k, map[string]func(){
-			"target":        func() { h.Target = s.ms(v) },
+			"target":        func() { h.LatencyObjective = s.ms(v) },
 			"timeout":       func() { h.Timeout = s.ms(v) },
 			"value":         func() { h.Value = s.num(v) },
 			"late":          func() { h.LateValue = s.num(v) },
-			"lean":          func() { h.LeanValue = s.num(v) },
-			"uniqued":       func() { h.Repeat, h.Window = IdempotencyKeyed, 10*Second },
-			"nonreplayable": func() { h.Repeat = NonRetryable },
+			"lean":          func() { h.DegradedValue = s.num(v) },
+			"uniqued":       func() { h.RetrySafety, h.IdempotencyWindow = IdempotencyKeyed, 10*Second },
+			"nonreplayable": func() { h.RetrySafety = NonRetryable },
 		})
 	})
 	s.d.Handlers = append(s.d.Handlers, h)
@@ -231,11 +235,11 @@
 		s.c = New(&s.d)
 	}
 	r.Now = s.now
-	if r.Woke {
+	if r.TimerFired {
 		s.wake = 0
-		r.Gauged, r.Gauges.Links = true, s.links
-		if r.Gauges.OnCores = s.on; s.auto {
-			r.Gauges.OnCores = float64(len(s.busy))
+		r.HasGauges, r.Gauges.OpenConnections = true, s.links
+		if r.Gauges.Runnable = s.on; s.auto {
+			r.Gauges.Runnable = float64(len(s.busy))
 		}
 	}
 	s.c.Decide(&r, s)
@@ -244,8 +248,8 @@
 			s.fatal("pools know of %d held and %d running, expected %d and %d", held, running, s.c.queue.n, s.c.running)
 		}
 	}
-	if s.c.memory < -0.01 || s.c.memory > s.d.MemKB {
-		s.fatal("memory in use is %.1f of %.1f", s.c.memory, s.d.MemKB)
+	if s.c.memory < -0.01 || s.c.memory > s.d.MemoryKB {
+		s.fatal("memory in use is %.1f of %.1f", s.c.memory, s.d.MemoryKB)
 	}
 	if s.c.running < 0 || s.c.callsInFlight.n < 0 || s.c.queue.n < 0 || s.c.callQueue.n < 0 {
 		s.fatal("runs %d, calls in hand %d, held %d", s.c.running, s.c.callsInFlight.n, s.c.queue.n)
@@ -255,12 +259,12 @@
 func (s *scene) at(when Time, events string) {
 	for s.wake > 0 && s.wake < when {
 		s.now = s.wake
-		s.round(Round{Woke: true})
+		s.round(Round{TimerFired: true})
 	}
 	s.now = when
 	var r Round
-	r.Woke = s.wake == when
-	how := map[string]Outcome{"ok": OK, "error": Errored, "unrun": Unrun, "unclear": Unclear, "stopped": Stopped}
+	r.TimerFired = s.wake == when
+	how := map[string]Outcome{"ok": Succeeded, "error": Failed, "unrun": NotExecuted, "unclear": Unknown, "stopped": Stopped}
 	for _, ev := range strings.Split(events, ";") {
 		w := strings.Fields(ev)
 		if len(w) < 2 {
@@ -273,36 +277,36 @@
 		}
 		switch w[0] {
 		case "arrive":
-			q := Request{ID: id, Came: when, KB: 1}
+			q := Request{ID: id, ArrivedAt: when, SizeKB: 1}
 			s.pairs(w[2:], func(k, v string) bool {
 				return set(k, map[string]func(){
 					"h":      func() { q.Handler = int(s.num(v)) },
 					"t":      func() { q.Tenant = int(s.num(v)) },
-					"came":   func() { q.Came = s.ms(v) },
-					"due":    func() { q.Due = s.ms(v) },
-					"hint":   func() { q.Hint = s.ms(v) },
-					"kb":     func() { q.KB = s.num(v) },
+					"came":   func() { q.ArrivedAt = s.ms(v) },
+					"due":    func() { q.Deadline = s.ms(v) },
+					"hint":   func() { q.ExpectedWork = s.ms(v) },
+					"kb":     func() { q.SizeKB = s.num(v) },
 					"caller": func() { q.Caller = uint32(s.num(v)) },
-					"prior":  func() { q.Prior = uint32(s.num(v)) },
-					"again":  func() { q.Again = true },
+					"prior":  func() { q.PreviousID = uint32(s.num(v)) },
+					"again":  func() { q.IsRetry = true },
 				})
 			})
 			r.Arrived = append(r.Arrived, q)
 		case "end":
 			delete(s.busy, id)
-			r.Ended = append(r.Ended, End{ID: id, How: how[w[2]], Ran: took})
+			r.RunEnds = append(r.RunEnds, RunEnd{ID: id, Outcome: how[w[2]], Elapsed: took})
 		case "need":
 			delete(s.busy, id)
-			r.Needs = append(r.Needs, id)
+			r.CallRequests = append(r.CallRequests, id)
 		case "back":
-			if how[w[2]] == OK {
+			if how[w[2]] == Succeeded {
 				s.busy[id] = true
 			}
-			r.Returned = append(r.Returned, Return{ID: id, How: how[w[2]], Took: took})
+			r.CallEnds = append(r.CallEnds, CallEnd{ID: id, Outcome: how[w[2]], Elapsed: took})
 		case "gone":
-			r.Gone = append(r.Gone, id)
+			r.Disconnected = append(r.Disconnected, id)
 		case "drain":
-			r.Drain, r.Kill = true, s.ms(w[1])
+			r.Drain, r.KillAt = true, s.ms(w[1])
 		default:
 			s.fatal("event %q is not known", ev)
 		}
@@ -391,8 +395,8 @@
 			}
 			t.Run(name, func(t *testing.T) {
 				s := &scene{t: t, file: file, auto: true, busy: map[uint32]bool{}}
-				s.d = Deployment{Cores: 1, MemKB: 1000, RunFactor: 4, KeyKB: 5, Fall: 5, Fleet: 1, Senders: 1,
-					Granule: 10, Stop: StopPause, DrainGrace: Second, MaxPause: Second, Beyond: 0.05}
+				s.d = Deployment{Cores: 1, MemoryKB: 1000, RunMemoryFactor: 4, TableEntryKB: 5, MaxRunsPerCore: 5, FleetSize: 1, Callers: 1,
+					RoundInterval: 10, Cancellation: CancelPause, DrainGrace: Second, MaxRetryAfter: Second, OverQuotaWeight: 0.05}
 				if with {
 					s.pools = &tally{t: t, running: map[int]int{}, holds: map[uint32]int{}, runs: map[uint32]int{},
 						away: map[uint32]bool{}}
--- a/admission/slots.go
+++ b/admission/slots.go
@@ -10,7 +10,7 @@
 	top := c.runCeiling()
 	for i := c.queue.head; i != none && c.running < min(c.limit, top); {
 		it := &c.requests.at[i]
-		if c.pools != nil && !c.pools.May(it.id) {
+		if c.pools != nil && !c.pools.CanStart(it.id) {
 			i = it.queue.next
 			continue
 		}
--- a/admission/slowstart_test.go
+++ b/admission/slowstart_test.go
@@ -13,18 +13,18 @@
 }
 
 func (s *starts) Run(id uint32)           { s.running[id] = true }
-func (s *starts) Pause(uint32)            {}
+func (s *starts) Stop(uint32)             {}
 func (s *starts) Shed(uint32, bool, Time) {}
 func (s *starts) Fail(uint32)             {}
 func (s *starts) Call(uint32, Time)       {}
-func (s *starts) Skip(uint32)             {}
+func (s *starts) SkipCall(uint32)         {}
 func (s *starts) Remember(uint32, Time)   {}
 func (s *starts) Forget(uint32)           {}
-func (s *starts) Reuse(uint32)            {}
+func (s *starts) ReuseResult(uint32)      {}
 func (s *starts) Health(bool)             {}
-func (s *starts) Say(float64)             {}
-func (s *starts) IdleClose(Time)          {}
-func (s *starts) Wake(at Time)            { s.wake = at }
+func (s *starts) SignalOverload(float64)  {}
+func (s *starts) SetIdleTimeout(Time)     {}
+func (s *starts) WakeUp(at Time)          { s.wake = at }
 func (s *starts) Log(string)              {}
 
 // budgetOf states the bound once more, apart from what it holds the module to.
@@ -43,9 +43,9 @@
 			for _, coldSpeed := range []float64{0.2, 0.5, 0.9} {
 				for _, fleet := range []int{1, 3, 300} {
 					t.Run(fmt.Sprint(cores, fall, coldSpeed, fleet), func(t *testing.T) {
-						d := &Deployment{Start: 100 * Second, Cores: cores, Fall: fall, Cold: true, ColdSpeed: coldSpeed,
-							WarmAfter: 10 * Second, MemKB: 1e9, RunFactor: 1, Fleet: fleet, Senders: 2, Granule: 20,
-							Handlers: []Handler{{Target: 2 * Second, Timeout: 6 * Second, Value: 1}}}
+						d := &Deployment{Start: 100 * Second, Cores: cores, MaxRunsPerCore: fall, ColdStart: true, ColdSpeed: coldSpeed,
+							WarmUpTime: 10 * Second, MemoryKB: 1e9, RunMemoryFactor: 1, FleetSize: fleet, Callers: 2, RoundInterval: 20,
+							Handlers: []Handler{{LatencyObjective: 2 * Second, Timeout: 6 * Second, Value: 1}}}
 						flood(t, d, d.Start, d.Start+4*Second) // killed amid its slow start
 						again := *d
 						again.Start += 5 * Second
@@ -62,14 +62,14 @@
 func flood(t *testing.T, d *Deployment, from, until Time) {
 	c, w, id := New(d), &starts{running: map[uint32]bool{}}, uint32(0)
 	for now := from; now < until; now += Second / 50 {
-		r := &Round{Now: now, Woke: now >= w.wake, Gauged: true} // all cores idle, by the gauges
+		r := &Round{Now: now, TimerFired: now >= w.wake, HasGauges: true} // all cores idle, by the gauges
 		for range 4 * d.Cores {
 			id++
-			r.Arrived = append(r.Arrived, Request{ID: id, Came: now, KB: 1})
+			r.Arrived = append(r.Arrived, Request{ID: id, ArrivedAt: now, SizeKB: 1})
 		}
 		c.Decide(r, w)
-		speed := min(d.ColdSpeed+(1-d.ColdSpeed)*float64(now-d.Start)/float64(d.WarmAfter), 1)
-		allowed := float64(d.Cores) * d.Fall * speed
+		speed := min(d.ColdSpeed+(1-d.ColdSpeed)*float64(now-d.Start)/float64(d.WarmUpTime), 1)
+		allowed := float64(d.Cores) * d.MaxRunsPerCore * speed
 		if most := budgetOf(allowed); float64(len(w.running)) > most {
 			t.Fatalf("%d runs in hand after %d ms, expected %.1f at most", len(w.running), (now-d.Start)/10, most)
 		}
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -315,7 +315,7 @@
 		case code == http.StatusOK:
 			s.done++
 			s.times.RecordValue(took.Microseconds() / 100)
-			if took <= time.Duration(c.handler.Target)*100*time.Microsecond {
+			if took <= time.Duration(c.handler.LatencyObjective)*100*time.Microsecond {
 				s.inTime++
 			}
 		case code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests:
--- a/internal/lab/emulated.go
+++ b/internal/lab/emulated.go
@@ -208,8 +208,8 @@
 			s.ends()
 		case what == -3:
 			s.wake = -1
-			s.round(&admission.Round{Woke: true, Gauged: true,
-				Gauges: admission.Gauges{OnCores: float64(len(s.runs) + s.hung), Links: 10}})
+			s.round(&admission.Round{TimerFired: true, HasGauges: true,
+				Gauges: admission.Gauges{Runnable: float64(len(s.runs) + s.hung), OpenConnections: 10}})
 		case what == -4:
 			a := heap.Pop(&s.again).(vagain)
 			s.ask(a.req)
@@ -250,21 +250,21 @@
 	s.open[s.next] = &q
 	c := &s.classes[q.class]
 	s.round(&admission.Round{Arrived: []admission.Request{{ID: s.next, Handler: q.class, Tenant: q.tenant,
-		Came: s.now,
-		Due:  q.first + c.handler.Timeout, KB: 8, Again: q.try > 0, Caller: q.caller}}})
+		ArrivedAt: s.now,
+		Deadline:  q.first + c.handler.Timeout, SizeKB: 8, IsRetry: q.try > 0, Caller: q.caller}}})
 }
 
 func (s *emulatedServer) ends() {
 	r := heap.Pop(&s.runs).(vrun)
 	q := s.open[r.id]
 	delete(s.open, r.id)
-	s.round(&admission.Round{Ended: []admission.End{{ID: r.id, How: admission.OK, Ran: s.now - q.start}}})
+	s.round(&admission.Round{RunEnds: []admission.RunEnd{{ID: r.id, Outcome: admission.Succeeded, Elapsed: s.now - q.start}}})
 	if q.answered {
 		return
 	}
 	o, took := &s.out[q.class], s.now-q.first
 	o.times.RecordValue(int64(took))
-	if took <= s.classes[q.class].handler.Target {
+	if took <= s.classes[q.class].handler.LatencyObjective {
 		o.inTime++
 		if q.tenant != s.classes[q.class].surge {
 			o.fairInTime++
@@ -317,16 +317,16 @@
 	}
 }
 
-func (s *emulatedServer) Wake(at admission.Time)          { s.wake = at }
-func (s *emulatedServer) Pause(uint32)                    {}
+func (s *emulatedServer) WakeUp(at admission.Time)        { s.wake = at }
+func (s *emulatedServer) Stop(uint32)                     {}
 func (s *emulatedServer) Call(uint32, admission.Time)     {}
-func (s *emulatedServer) Skip(uint32)                     {}
+func (s *emulatedServer) SkipCall(uint32)                 {}
 func (s *emulatedServer) Remember(uint32, admission.Time) {}
 func (s *emulatedServer) Forget(uint32)                   {}
-func (s *emulatedServer) Reuse(uint32)                    {}
+func (s *emulatedServer) ReuseResult(uint32)              {}
 func (s *emulatedServer) Health(bool)                     {}
-func (s *emulatedServer) Say(float64)                     {}
-func (s *emulatedServer) IdleClose(admission.Time)        {}
+func (s *emulatedServer) SignalOverload(float64)          {}
+func (s *emulatedServer) SetIdleTimeout(admission.Time)   {}
 func (s *emulatedServer) Log(string)                      {}
 
 // plain is the baseline: a pool of twice the cores and a queue that sheds what has waited a tenth of a
@@ -338,15 +338,15 @@
 }
 
 func (p *plain) Decide(r *admission.Round, w admission.Writer) {
-	p.running -= len(r.Ended)
+	p.running -= len(r.RunEnds)
 	p.queue = append(p.queue, r.Arrived...)
-	if r.Woke {
+	if r.TimerFired {
 		p.wake = false
 	}
-	for len(p.queue) > 0 && (p.running < p.slots || r.Now-p.queue[0].Came > second/10) {
+	for len(p.queue) > 0 && (p.running < p.slots || r.Now-p.queue[0].ArrivedAt > second/10) {
 		q := p.queue[0]
 		p.queue = p.queue[1:]
-		if r.Now-q.Came > second/10 {
+		if r.Now-q.ArrivedAt > second/10 {
 			w.Shed(q.ID, false, 0)
 			continue
 		}
@@ -355,6 +355,6 @@
 	}
 	if len(p.queue) > 0 && !p.wake {
 		p.wake = true
-		w.Wake(r.Now + second/50)
+		w.WakeUp(r.Now + second/50)
 	}
 }
--- a/internal/lab/fleet_load.go
+++ b/internal/lab/fleet_load.go
@@ -136,7 +136,7 @@
 	c.Asked++
 	c.Tries += tries
 	if r.Below {
-		good := time.Since(began) <= time.Duration(class.handler.Target)*100*time.Microsecond && code == http.StatusOK
+		good := time.Since(began) <= time.Duration(class.handler.LatencyObjective)*100*time.Microsecond && code == http.StatusOK
 		c.Each = append(c.Each, Answered{time.Now(), last, code, class.handler.Value, good, tries})
 	}
 	switch {
--- a/internal/lab/pools.go
+++ b/internal/lab/pools.go
@@ -171,7 +171,7 @@
 		}
 		s.classes = append(s.classes, vclass{name: w[1], work: get("work", 10) * 10, tail: get("tail", 0),
 			surge: -1,
-			tries: int(get("tries", 2)), handler: admission.Handler{Target: vt(get("target", 1000) * 10),
+			tries: int(get("tries", 2)), handler: admission.Handler{LatencyObjective: vt(get("target", 1000) * 10),
 				Timeout: vt(get("timeout", 5000) * 10), Value: get("value", 1)}})
 		s.shares = append(s.shares, get("share", 1))
 	case "swing":
@@ -222,10 +222,10 @@
 	if way == "plain" {
 		return &plain{slots: 2 * s.cores}, nil
 	}
-	d := &admission.Deployment{Start: second, Fleet: 1, Senders: 8, Granule: 10, Beyond: 0.05, Cores: s.cores,
-		Fall:  5,
-		MemKB: 1 << 20, RunFactor: 2, KeyKB: 1, Stop: admission.StopNever, DrainGrace: second, MaxPause: 5 * second,
-		Idle: 30 * second}
+	d := &admission.Deployment{Start: second, FleetSize: 1, Callers: 8, RoundInterval: 10, OverQuotaWeight: 0.05, Cores: s.cores,
+		MaxRunsPerCore: 5,
+		MemoryKB:       1 << 20, RunMemoryFactor: 2, TableEntryKB: 1, Cancellation: admission.CancelNever, DrainGrace: second, MaxRetryAfter: 5 * second,
+		IdleTimeout: 30 * second}
 	p := pools.Plan{Reserve: way == "pools" && without != "reserve", Tenants: s.tenants}
 	total := 0.0
 	for k := range s.classes {
@@ -236,9 +236,9 @@
 		d.Handlers = append(d.Handlers, c.handler)
 		one := pools.Class{Name: c.name, Value: c.handler.Value}
 		if way == "fixed" { // what an operator would set from a calm day's shares, with room for half as much again
-			one.Cap, one.Fixed = min(1, max(0.1, 1.5*s.shares[k]*c.work/total)), true
+			one.Cap, one.FixedLimit = min(1, max(0.1, 1.5*s.shares[k]*c.work/total)), true
 		} else if without == "limits" {
-			one.Cap, one.Fixed = 1, true
+			one.Cap, one.FixedLimit = 1, true
 		}
 		p.Classes = append(p.Classes, one)
 	}
@@ -311,7 +311,7 @@
 		v.until(now + second)
 		if watch && p != nil {
 			var row []float64
-			for _, view := range p.Views() {
+			for _, view := range p.Status() {
 				row = append(row, min(view.Limit, 30))
 			}
 			all.limits = append(all.limits, row)
@@ -348,7 +348,7 @@
 			v.cores = c.words["cores"]
 		case "drain":
 			v.drained = true
-			v.round(&admission.Round{Drain: true, Kill: v.now + vt(c.words["drain"]*float64(second))})
+			v.round(&admission.Round{Drain: true, KillAt: v.now + vt(c.words["drain"]*float64(second))})
 		}
 		return
 	}
--- a/internal/lab/sidecar.go
+++ b/internal/lab/sidecar.go
@@ -21,7 +21,7 @@
 	for k := range all {
 		c := &all[k]
 		one := map[string]any{"name": c.name, "gain": c.handler.Value, "give_up": int(c.handler.Timeout) * 100,
-			"promise": int(c.handler.Target) * 100, "semantics": "idempotent"}
+			"promise": int(c.handler.LatencyObjective) * 100, "semantics": "idempotent"}
 		if c.name == uniqued {
 			one["semantics"], one["window"] = "deduplicated", 20_000_000
 		}
--- a/internal/node/overlay/adopt.go
+++ b/internal/node/overlay/adopt.go
@@ -23,7 +23,7 @@
 	RetiredHandlers []bool        // handlers of which nothing new is taken
 }
 
-var kinds = map[string]admission.Repeat{document.Replayable: admission.Retryable, document.Uniqued: admission.IdempotencyKeyed,
+var kinds = map[string]admission.RetrySafety{document.Replayable: admission.Retryable, document.Uniqued: admission.IdempotencyKeyed,
 	document.NonReplayable: admission.NonRetryable}
 
 func span(d time.Duration) admission.Time { return admission.Time(d / (100 * time.Microsecond)) }
@@ -47,7 +47,7 @@
 			continue
 		}
 		h := &d.Handlers[i]
-		if kinds[c.Kind] != h.Repeat {
+		if kinds[c.Kind] != h.RetrySafety {
 			fault("class %s.kind: found %s, expected the platform's", c.Name, c.Kind)
 		}
 		// Callers wait as long as the platform told them, and come again within its window.
@@ -57,12 +57,12 @@
 		} else if t > 0 {
 			h.Timeout = t
 		}
-		if w := span(c.Window); w < h.Window && h.Repeat == admission.IdempotencyKeyed {
-			fault("class %s.window: found %s, expected at least the platform's %s", c.Name, c.Window, word(h.Window))
-		} else if h.Repeat == admission.IdempotencyKeyed {
-			h.Window = w
+		if w := span(c.Window); w < h.IdempotencyWindow && h.RetrySafety == admission.IdempotencyKeyed {
+			fault("class %s.window: found %s, expected at least the platform's %s", c.Name, c.Window, word(h.IdempotencyWindow))
+		} else if h.RetrySafety == admission.IdempotencyKeyed {
+			h.IdempotencyWindow = w
 		}
-		h.Value, h.Target = c.Value, min(max(span(c.Target), 1), h.Timeout)
+		h.Value, h.LatencyObjective = c.Value, min(max(span(c.Target), 1), h.Timeout)
 		p.RetiredHandlers[i] = c.Retired
 		if c.Pool != "" {
 			if was, twice := inPool[c.Pool]; twice {
--- a/internal/node/overlay/adopt_test.go
+++ b/internal/node/overlay/adopt_test.go
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	h := p.Deployment.Handlers[0]
-	if h.Value != 3 || h.Target != 200*admission.Second/1000 || h.Timeout != 2*admission.Second || !p.RetiredHandlers[0] ||
+	if h.Value != 3 || h.LatencyObjective != 200*admission.Second/1000 || h.Timeout != 2*admission.Second || !p.RetiredHandlers[0] ||
 		p.Deployment.Tenants[0].Quota != 7 || p.Deployment.Handlers[1].Value != 20 {
 		t.Errorf("made %+v", p.Deployment)
 	}
--- a/internal/node/pools/pin_stream_test.go
+++ b/internal/node/pools/pin_stream_test.go
@@ -40,7 +40,7 @@
 // TestRecordedPools plays classes at moving rates and works, with heavy runs, calls that crawl, runs that stop without a
 // result or hang, sheds before and in the queue, a process that stands still, slots that come and go, surges of
 // one tenant and of one sender, and operators that change floors, caps, the reserve and all of it. Each answer of
-// May, each view and each line for the log goes into one hash.
+// CanStart, each view and each line for the log goes into one hash.
 func TestRecordedPools(t *testing.T) {
 	sum, count := sha256.New(), 0
 	note := func(format string, args ...any) {
@@ -55,7 +55,7 @@
 			s.step(step, len(plan.Classes))
 			if step%1500 == 1499 {
 				plan = s.change(plan)
-				s.pools.Set(plan)
+				s.pools.Reconfigure(plan)
 			}
 		}
 	}
@@ -74,18 +74,18 @@
 
 // change is an operator's new file: same classes, other limits.
 func (s *stream) change(p Plan) Plan {
-	p.Off, p.Reserve = s.rand.IntN(8) == 0, s.rand.IntN(2) == 0
+	p.Disabled, p.Reserve = s.rand.IntN(8) == 0, s.rand.IntN(2) == 0
 	p.Classes = append([]Class(nil), p.Classes...)
 	for k := range p.Classes {
 		c := &p.Classes[k]
-		c.Floor, c.Cap, c.Fixed = 0, 0, false
+		c.Floor, c.Cap, c.FixedLimit = 0, 0, false
 		switch s.rand.IntN(4) {
 		case 0:
 			c.Floor = 0.3 * s.rand.Float64()
 		case 1:
 			c.Cap = 0.2 + 0.6*s.rand.Float64()
 		case 2:
-			c.Cap, c.Fixed = 0.1+0.5*s.rand.Float64(), true
+			c.Cap, c.FixedLimit = 0.1+0.5*s.rand.Float64(), true
 		}
 	}
 	return p
@@ -105,12 +105,12 @@
 	s.move()
 	s.pools.Tick(s.now, slots)
 	s.start(slots, step)
-	for _, line := range s.pools.Told() {
+	for _, line := range s.pools.TakeChanges() {
 		s.note("told %s", line)
 	}
 	if step%20 == 0 {
-		for class, view := range s.pools.Views() {
-			s.note("%d view %+v lap %d", s.now, view, s.pools.Lap(class))
+		for class, view := range s.pools.Status() {
+			s.note("%d view %+v lap %d", s.now, view, s.pools.QueueDelay(class))
 		}
 	}
 }
@@ -124,10 +124,10 @@
 			q.Tenant, q.Caller = 1, 9
 		}
 		if s.rand.IntN(30) == 0 {
-			s.pools.Refused(s.now, q.Handler)
+			s.pools.Rejected(s.now, q.Handler)
 			continue
 		}
-		s.pools.Arrived(s.now, q)
+		s.pools.Enqueued(s.now, q)
 		s.waiting = append(s.waiting, waitingRequest{q.ID, s.now})
 	}
 }
@@ -138,19 +138,19 @@
 	for _, w := range s.waiting {
 		switch {
 		case s.now-w.arrived > Second/2:
-			s.pools.Left(s.now, w.id, true)
+			s.pools.Dequeued(s.now, w.id, true)
 		case s.rand.IntN(200) == 0:
-			s.pools.Left(s.now, w.id, false)
+			s.pools.Dequeued(s.now, w.id, false)
 		default:
 			left = append(left, w)
 		}
 	}
 	s.waiting = left
 	if s.rand.IntN(100) == 0 {
-		s.pools.Left(s.now, 1<<30, true)
+		s.pools.Dequeued(s.now, 1<<30, true)
 		s.pools.Started(s.now, 1<<30, 0)
 		s.pools.Ended(s.now, 1<<30, true, true)
-		s.note("may %v", s.pools.May(1<<30))
+		s.note("may %v", s.pools.CanStart(1<<30))
 	}
 }
 
@@ -164,9 +164,9 @@
 			continue
 		case s.rand.IntN(40) == 0:
 			r.away = !r.away
-			s.pools.Away(s.now, r.id, r.away)
+			s.pools.SetAtCall(s.now, r.id, r.away)
 		case s.rand.IntN(200) == 0:
-			s.pools.Away(s.now, r.id, r.away)
+			s.pools.SetAtCall(s.now, r.id, r.away)
 		}
 		left = append(left, r)
 	}
@@ -177,7 +177,7 @@
 func (s *stream) start(slots, step int) {
 	for k := 0; k < len(s.waiting) && len(s.running) < slots; {
 		w := s.waiting[k]
-		may := s.pools.May(w.id)
+		may := s.pools.CanStart(w.id)
 		s.note("%d may %d %v", s.now, w.id, may)
 		if !may {
 			k++
--- a/internal/node/pools/pools.go
+++ b/internal/node/pools/pools.go
@@ -51,19 +51,19 @@
 // Class is what the operator says of one class, in shares of the run slots. The zero value has no floor and
 // no cap.
 type Class struct {
-	Name  string
-	Floor float64 // never limited under it
-	Cap   float64 // never over it; 0 for none
-	Fixed bool    // its limit is its cap and does not move
-	Value float64 // what a req of it is worth: shares of what there is go by it
+	Name       string
+	Floor      float64 // never limited under it
+	Cap        float64 // never over it; 0 for none
+	FixedLimit bool    // its limit is its cap and does not move
+	Value      float64 // what a req of it is worth: shares of what there is go by it
 }
 
 // Plan is what the pools are made for.
 type Plan struct {
-	Off     bool // all have room
-	Classes []Class
-	Reserve bool // the class with the least work takes a slot first while it waits
-	Tenants int
+	Disabled bool // all have room
+	Classes  []Class
+	Reserve  bool // the class with the least work takes a slot first while it waits
+	Tenants  int
 }
 
 // state is one class.
@@ -164,7 +164,7 @@
 	looked  Time
 	cheap   int // class that has the reserve, -1 for none
 	reserve int // slots it takes first
-	Changes []string
+	changes []string
 }
 
 // New readies pools.
@@ -181,9 +181,9 @@
 	return o
 }
 
-// Set moves what the operator says: limits change, what runs goes on. Classes stay as they are in number and
+// Reconfigure moves what the operator says: limits change, what runs goes on. Classes stay as they are in number and
 // order.
-func (o *Pools) Set(p Plan) {
+func (o *Pools) Reconfigure(p Plan) {
 	p.Tenants = o.plan.Tenants
 	o.plan = p
 	for k := range p.Classes {
@@ -193,7 +193,7 @@
 		if s.Value <= 0 {
 			s.Value = value
 		}
-		if !s.Fixed {
+		if !s.FixedLimit {
 			s.limit, s.why = math.Inf(1), "room"
 		}
 	}
@@ -203,8 +203,8 @@
 	o.looked = 0
 }
 
-// Arrived tells of a req that joins the hold.
-func (o *Pools) Arrived(now Time, q *admission.Request) {
+// Enqueued tells of a req that joins the hold.
+func (o *Pools) Enqueued(now Time, q *admission.Request) {
 	w := waiter{q.Handler, 0, bucket(q.Caller)}
 	s := &o.c[w.class]
 	if q.Tenant > 0 && q.Tenant < len(s.tenants.held) {
@@ -217,8 +217,8 @@
 	s.came.add(now, 1)
 }
 
-// Left tells of a held req that leaves the hold without a run: shed, gone, or answered by another's result.
-func (o *Pools) Left(now Time, id uint32, shed bool) {
+// Dequeued tells of a held req that leaves the hold without a run: shed, gone, or answered by another's result.
+func (o *Pools) Dequeued(now Time, id uint32, shed bool) {
 	s := o.unhold(id)
 	if s != nil && shed {
 		s.bad.add(now, 1)
@@ -240,20 +240,20 @@
 	return s
 }
 
-// Refused tells of a req that was shed before it joined the hold.
-func (o *Pools) Refused(now Time, class int) {
+// Rejected tells of a req that was shed before it joined the hold.
+func (o *Pools) Rejected(now Time, class int) {
 	s := &o.c[class]
 	s.came.add(now, 1)
 	s.bad.add(now, 1)
 	s.shed++
 }
 
-// May tells whether the oldest held req of a class and tenant may take a slot now. It may while its class has
+// CanStart tells whether the oldest held req of a class and tenant may take a slot now. It may while its class has
 // room; past that only where nobody with room waits. The reserve's class goes before all others while it
 // waits and has less than the reserve.
-func (o *Pools) May(id uint32) bool {
+func (o *Pools) CanStart(id uint32) bool {
 	w, ok := o.held[id]
-	if o.plan.Off || !ok {
+	if o.plan.Disabled || !ok {
 		return true
 	}
 	s := &o.c[w.class]
@@ -326,8 +326,8 @@
 	o.order = append(o.order, id)
 }
 
-// Away tells that a run stands at a call, or goes on after one: its time there is no work.
-func (o *Pools) Away(now Time, id uint32, away bool) {
+// SetAtCall tells that a run stands at a call, or goes on after one: its time there is no work.
+func (o *Pools) SetAtCall(now Time, id uint32, away bool) {
 	r := o.runs[id]
 	if r == nil || r.away == away {
 		return
@@ -494,7 +494,7 @@
 		if came >= 4 && bad > suffers*came && by < min(least, -underDue*s.entitled) {
 			suffer, least = k, by
 		}
-		if !s.Fixed && s.wants && by > over {
+		if !s.FixedLimit && s.wants && by > over {
 			worst, over = k, by
 		}
 	}
@@ -508,7 +508,7 @@
 			most = min(most, s.Cap*float64(o.slots))
 		}
 		switch {
-		case s.Fixed:
+		case s.FixedLimit:
 			o.set(s, most, "fixed")
 		case suffer >= 0 && k == worst:
 			o.set(s, max(floor, min(s.limit, s.use)*cutTo, s.entitled), "cut: "+o.c[suffer].Name+" suffers")
@@ -525,8 +525,8 @@
 
 // set moves a limit; a change by a whole slot or of its cause is told.
 func (o *Pools) set(s *state, limit float64, why string) {
-	if math.Floor(limit) != math.Floor(s.limit) && why != s.why && len(o.Changes) < 16 {
-		o.Changes = append(o.Changes, fmt.Sprintf("pool %s: limit %.0f of %d, was %.0f: %s", s.Name, limit, o.slots,
+	if math.Floor(limit) != math.Floor(s.limit) && why != s.why && len(o.changes) < 16 {
+		o.changes = append(o.changes, fmt.Sprintf("pool %s: limit %.0f of %d, was %.0f: %s", s.Name, limit, o.slots,
 			s.limit, why))
 	}
 	s.limit, s.why = limit, why
@@ -556,8 +556,8 @@
 		o.cheap, o.reserve = -1, 0
 		return
 	}
-	if best != o.cheap && len(o.Changes) < 16 {
-		o.Changes = append(o.Changes, fmt.Sprintf("reserve: %s has it, with %.1f ms of work a req", o.c[best].Name,
+	if best != o.cheap && len(o.changes) < 16 {
+		o.changes = append(o.changes, fmt.Sprintf("reserve: %s has it, with %.1f ms of work a req", o.c[best].Name,
 			o.c[best].usual/10))
 	}
 	o.cheap = best
@@ -567,38 +567,38 @@
 	o.reserve = max(1, min(int(math.Ceil(2*n*s.high/float64(Second))), int(reservePart*float64(o.slots))))
 }
 
-// Lap is how long a limited class's waiting is at the moment, by the last of it to start; 0 while it has no
+// QueueDelay is how long a limited class's waiting is at the moment, by the last of it to start; 0 while it has no
 // limit.
-func (o *Pools) Lap(class int) Time {
-	if o.plan.Off || math.IsInf(o.c[class].limit, 1) {
+func (o *Pools) QueueDelay(class int) Time {
+	if o.plan.Disabled || math.IsInf(o.c[class].limit, 1) {
 		return 0
 	}
 	return o.c[class].lap
 }
 
-// View is one class for operators.
-type View struct {
-	Name     string
-	Limit    float64 // infinite: none
-	Why      string
-	Running  int
-	Heavy    int
-	Held     int
-	Shed     uint64
-	Lent     int // runs that began past the limit
-	Median   float64
-	High     float64 // 95th, in tenths of a ms as the median
-	Entitled float64
-	Reserve  int
-}
-
-// Views gives all classes in order.
-func (o *Pools) Views() []View {
-	out := make([]View, len(o.c))
+// ClassStatus is one class for operators.
+type ClassStatus struct {
+	Name             string
+	Limit            float64 // infinite: none
+	Reason           string
+	Running          int
+	Heavy            int
+	Queued           int
+	Shed             uint64
+	StartedOverLimit int // runs that began past the limit
+	MedianWork       float64
+	P95Work          float64 // 95th, in tenths of a ms as the median
+	Entitled         float64
+	Reserve          int
+}
+
+// Status gives all classes in order.
+func (o *Pools) Status() []ClassStatus {
+	out := make([]ClassStatus, len(o.c))
 	for k := range o.c {
 		s := &o.c[k]
-		out[k] = View{Name: s.Name, Limit: s.limit, Why: s.why, Running: s.running, Heavy: s.heavy, Held: s.held,
-			Shed: s.shed, Lent: s.lent, Median: s.usual, High: s.high, Entitled: s.entitled}
+		out[k] = ClassStatus{Name: s.Name, Limit: s.limit, Reason: s.why, Running: s.running, Heavy: s.heavy, Queued: s.held,
+			Shed: s.shed, StartedOverLimit: s.lent, MedianWork: s.usual, P95Work: s.high, Entitled: s.entitled}
 		if k == o.cheap {
 			out[k].Reserve = o.reserve
 		}
@@ -606,10 +606,10 @@
 	return out
 }
 
-// Told gives what changed since it was last asked.
-func (o *Pools) Told() []string {
-	out := o.Changes
-	o.Changes = nil
+// TakeChanges gives what changed since it was last asked.
+func (o *Pools) TakeChanges() []string {
+	out := o.changes
+	o.changes = nil
 	return out
 }
 
--- a/internal/node/pools/pools_test.go
+++ b/internal/node/pools/pools_test.go
@@ -85,7 +85,7 @@
 
 func (b *bed) from(class, tenant int, caller uint32) {
 	b.next++
-	b.o.Arrived(b.now, &admission.Request{ID: b.next, Handler: class, Tenant: tenant, Caller: caller})
+	b.o.Enqueued(b.now, &admission.Request{ID: b.next, Handler: class, Tenant: tenant, Caller: caller})
 	b.held = append(b.held, held{b.next, class})
 	b.since = append(b.since, b.now)
 }
@@ -109,7 +109,7 @@
 	}
 	for k := 0; k < len(b.held); k++ {
 		if b.now-b.since[k] > bound {
-			b.o.Left(b.now, b.held[k].id, true)
+			b.o.Dequeued(b.now, b.held[k].id, true)
 			b.shed[b.held[k].class]++
 			b.drop(k)
 			k--
@@ -118,7 +118,7 @@
 	b.o.Tick(b.now, b.slots)
 	for k := 0; k < len(b.held) && len(b.order) < b.slots; {
 		id, class := b.held[k].id, b.held[k].class
-		if !b.o.May(id) {
+		if !b.o.CanStart(id) {
 			k++
 			continue
 		}
@@ -185,7 +185,7 @@
 		if !with {
 			b.o.plan.Reserve = false
 			for k := range b.o.c {
-				b.o.c[k].Fixed = true
+				b.o.c[k].FixedLimit = true
 				b.o.c[k].limit = math.Inf(1)
 			}
 		}
@@ -215,11 +215,11 @@
 	if b.good(0) < 0.93 || b.o.c[1].limit > 9 {
 		t.Errorf("mid: %.3f in time, dear limited to %.1f, expected 0.93 and 9 at most", b.good(0), b.o.c[1].limit)
 	}
-	if v := b.o.Views()[1]; !strings.HasPrefix(v.Why, "cut: mid") && !strings.HasPrefix(v.Why, "its due") {
-		t.Errorf("why %q", v.Why)
+	if v := b.o.Status()[1]; !strings.HasPrefix(v.Reason, "cut: mid") && !strings.HasPrefix(v.Reason, "its due") {
+		t.Errorf("why %q", v.Reason)
 	}
 	b.load(20, []float64{40, 10}, work) // over: all have room again
-	if !math.IsInf(b.o.c[1].limit, 1) || b.o.Lap(1) != 0 {
+	if !math.IsInf(b.o.c[1].limit, 1) || b.o.QueueDelay(1) != 0 {
 		t.Errorf("dear is still limited to %.1f when the load is gone", b.o.c[1].limit)
 	}
 }
@@ -230,7 +230,7 @@
 	b.load(20, []float64{40, 10, 5}, fixed(20, 200, 400))
 	for k := range b.o.c {
 		if !math.IsInf(b.o.c[k].limit, 1) || b.o.c[k].lent > 0 || b.shed[k] > 0 {
-			t.Errorf("class %d: %+v, expected no limit", k, b.o.Views()[k])
+			t.Errorf("class %d: %+v, expected no limit", k, b.o.Status()[k])
 		}
 	}
 }
@@ -245,7 +245,7 @@
 		}
 		return []Time{20, 100}[class] * 10
 	}
-	b := newBed(t, 12, Plan{Classes: []Class{{Name: "view"}, {Name: "save", Cap: 0.5, Fixed: true}}, Tenants: 1})
+	b := newBed(t, 12, Plan{Classes: []Class{{Name: "view"}, {Name: "save", Cap: 0.5, FixedLimit: true}}, Tenants: 1})
 	b.load(6, []float64{40, 30}, work)
 	few = true
 	heavy := 0
@@ -266,7 +266,7 @@
 	o := New(Plan{Classes: []Class{{Name: "a"}}, Tenants: 3})
 	now := Second
 	for id := uint32(1); id <= enough; id++ {
-		o.Arrived(now, &admission.Request{ID: id})
+		o.Enqueued(now, &admission.Request{ID: id})
 		o.Started(now, id, 0)
 		o.Ended(now+100, id, true, true)
 	}
@@ -274,7 +274,7 @@
 	now += Second
 	for id := uint32(100); id < 110; id++ {
 		tenant := int(id-100) * 4 / 16 // four, four and two
-		o.Arrived(now, &admission.Request{ID: id, Tenant: tenant})
+		o.Enqueued(now, &admission.Request{ID: id, Tenant: tenant})
 		o.Started(now, id, 0)
 	}
 	o.Tick(now+2*Second, 20)
@@ -329,7 +329,7 @@
 	changes := 0
 	for i := 0; i < 30; i++ {
 		b.load(1, []float64{30, 30}, func(class int) Time { return Time(400 + 80*((i+class)%2)) })
-		for _, line := range b.o.Told() {
+		for _, line := range b.o.TakeChanges() {
 			if strings.HasPrefix(line, "reserve:") {
 				changes++
 			}
@@ -368,7 +368,7 @@
 // TestBeyondAShare: one tenant's surge in a limited class does not hold all of its slots, nor does one sender's.
 func TestBeyondAShare(t *testing.T) {
 	for _, by := range []string{"tenant", "sender"} {
-		b := newBed(t, 8, Plan{Classes: []Class{{Name: "a", Cap: 0.5, Fixed: true}}, Tenants: 2})
+		b := newBed(t, 8, Plan{Classes: []Class{{Name: "a", Cap: 0.5, FixedLimit: true}}, Tenants: 2})
 		b.o.Tick(Second, 8)
 		b.now = Second
 		for i := 0; i < 20; i++ {
@@ -399,7 +399,7 @@
 	b.load(6, []float64{40, 10}, fixed(20, 200))
 	usual := b.o.c[1].usual
 	for id := uint32(1 << 20); id < 1<<20+2*enough; id++ {
-		b.o.Arrived(b.now, &admission.Request{ID: id, Handler: 1})
+		b.o.Enqueued(b.now, &admission.Request{ID: id, Handler: 1})
 		b.o.Started(b.now, id, 0)
 	}
 	for i := 0; i < 40; i++ {
@@ -420,11 +420,11 @@
 	o := New(Plan{Classes: []Class{{Name: "a"}}, Tenants: 1})
 	now := Second
 	for id := uint32(1); id <= 60; id++ {
-		o.Arrived(now, &admission.Request{ID: id})
+		o.Enqueued(now, &admission.Request{ID: id})
 		o.Started(now, id, 0)
-		o.Away(now+50, id, true)
+		o.SetAtCall(now+50, id, true)
 		o.Tick(now+Second, 12)
-		o.Away(now+2*Second, id, false)
+		o.SetAtCall(now+2*Second, id, false)
 		o.Tick(now+2*Second+10, 12)
 		if o.heavy > 0 {
 			t.Fatal("a run that stood at a call counts as heavy")
@@ -483,8 +483,8 @@
 			for i := 0; i < b.N; i++ {
 				id, class := uint32(i), i%n
 				q.ID, q.Handler, q.Tenant, q.Caller = id, class, i%12, id%40
-				o.Arrived(now, &q)
-				if o.May(id) {
+				o.Enqueued(now, &q)
+				if o.CanStart(id) {
 					o.Started(now, id, 0)
 					o.Ended(now+100, id, true, true)
 				}
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -24,7 +24,7 @@
 	}
 	l.killMargin = min(l.limits.KillMargin, l.stopAfter/8)
 	l.draining, l.drainSince, l.answerBy = true, l.now, l.now+l.stopAfter-l.killMargin
-	l.nextRound().Drain, l.nextRound().Kill = true, l.answerBy
+	l.nextRound().Drain, l.nextRound().KillAt = true, l.answerBy
 	l.Health(false)
 	l.timers.set(l.now, timerDrain, 0)
 	l.keptLeaves()
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -132,7 +132,7 @@
 			*r = request{id: long("1"), run: runRunning, callBody: []byte("q")}
 			l.startCall(h, r, l.now+admission.Second)
 			l.takes(1)
-			if got := l.nextRound().Returned; len(got) != 1 || got[0].How != admission.Unrun {
+			if got := l.nextRound().CallEnds; len(got) != 1 || got[0].Outcome != admission.NotExecuted {
 				t.Fatalf("the module hears %v, expected that the call never ran", got)
 			}
 			fails = 0
--- a/internal/node/server/fleet.go
+++ b/internal/node/server/fleet.go
@@ -312,14 +312,14 @@
 			continue // the run whose result it takes goes on
 		}
 		r.awaitsShared = false
-		l.nextRound().Gone = append(l.nextRound().Gone, uint32(h))
+		l.nextRound().Disconnected = append(l.nextRound().Disconnected, uint32(h))
 		l.answer(h, r, wire.Response{Status: 503, RetryAfterMS: l.comeBack(&f.spread, 0)})
 	}
 }
 
 // comeBack is a time to come back within the bound of the settings, in ms.
 func (l *loop) comeBack(s *recovery.RetryAfterSpreader, after uint64) int64 {
-	return s.Next(int64(l.settings.MaxPause)/10, int64(min(after, 1e9)))
+	return s.Next(int64(l.settings.MaxRetryAfter)/10, int64(min(after, 1e9)))
 }
 
 // takeOver has the module go on under another version. It is between two rounds here.
@@ -332,7 +332,7 @@
 	}
 	d := *p.Deployment
 	d.Pools, d.Start = l.settings.Deployment.Pools, l.settings.Deployment.Start
-	d.Cold = l.settings.Deployment.Cold
+	d.ColdStart = l.settings.Deployment.ColdStart
 	l.settings.Deployment = &d
 	if l.controller != nil {
 		l.controller.Adopt(&d)
@@ -340,7 +340,7 @@
 	if l.pools != nil && p.PoolClasses != nil {
 		plan := l.startup.poolPlan()
 		copy(plan.Classes, p.PoolClasses)
-		l.pools.Set(plan)
+		l.pools.Reconfigure(plan)
 	}
 	f.retired = p.RetiredHandlers
 	f.meter.SetValues(l.values())
@@ -625,7 +625,7 @@
 		return 503
 	}
 	var once []byte
-	if l.settings.Deployment.Handlers[handler].Repeat == admission.IdempotencyKeyed {
+	if l.settings.Deployment.Handlers[handler].RetrySafety == admission.IdempotencyKeyed {
 		once = q.IdempotencyKey
 	}
 	asked := zones.Request{Handler: handler, Value: l.settings.Deployment.Handlers[handler].Value,
--- a/internal/node/server/front.go
+++ b/internal/node/server/front.go
@@ -245,7 +245,7 @@
 		l.trace(r, "gone")
 		r.awaitsShared = false
 		l.counters.Gone++
-		l.nextRound().Gone = append(l.nextRound().Gone, uint32(open))
+		l.nextRound().Disconnected = append(l.nextRound().Disconnected, uint32(open))
 		l.maybeFinished = append(l.maybeFinished, open)
 	}
 }
--- a/internal/node/server/kept.go
+++ b/internal/node/server/kept.go
@@ -195,7 +195,7 @@
 }
 
 // keptWindow is a handler's window in ms, rounded up.
-func keptWindow(h *admission.Handler) uint64 { return uint64(h.Window)/10 + 1 }
+func keptWindow(h *admission.Handler) uint64 { return uint64(h.IdempotencyWindow)/10 + 1 }
 
 // keptTry asks what a try gets.
 func (l *loop) keptTry(q *keptReq) (resultstore.Verdict, uint64) {
@@ -204,7 +204,7 @@
 	if v == resultstore.Execute && k.book.Lookup(now, q.untenanted) != resultstore.Unknown {
 		v, place = k.book.Decide(now, q.untenanted, q.body)
 	}
-	if v == resultstore.Execute && q.admit.Again && k.book.KeysMayBeLost(now) {
+	if v == resultstore.Execute && q.admit.IsRetry && k.book.KeysMayBeLost(now) {
 		v = resultstore.ReturnError
 	}
 	if v == resultstore.ReturnError && k.without("proof") {
@@ -272,7 +272,7 @@
 
 // keptBlind is for a try while the folder can't be read: nobody knows whether a first one ran.
 func (l *loop) keptBlind(q *keptReq, a *wire.Response) int {
-	if q.admit.Again {
+	if q.admit.IsRetry {
 		l.kept.errs++
 		return 500
 	}
@@ -417,7 +417,7 @@
 // unrun ends a run that never was one.
 func (l *loop) unrun(h handle, r *request, a wire.Response) {
 	l.answer(h, r, a)
-	l.runEnded(h, r, admission.Unrun, 0, nil)
+	l.runEnded(h, r, admission.NotExecuted, 0, nil)
 }
 
 // intended goes on with a run whose intent is durable, or never will be.
@@ -455,12 +455,12 @@
 	}
 	now := steadyMS()
 	switch how {
-	case admission.Unrun, admission.Moot: // nothing was started
+	case admission.NotExecuted, admission.Superseded: // nothing was started
 		if rec, ok := k.book.MarkNotExecuted(now, q.key); ok {
 			k.write(l, rec, func(error) {})
 		}
 		return false, false
-	case admission.OK:
+	case admission.Succeeded:
 		k.point("reap")
 		rec, ok := k.book.MarkExecuted(now, q.key, true, append([]byte(nil), result...))
 		if !ok {
--- a/internal/node/server/kept_test.go
+++ b/internal/node/server/kept_test.go
@@ -54,7 +54,7 @@
 	log.SetOutput(io.Discard)
 	l := &loop{log: log, events: make(chan event, 64), requests: newTable[request](8), connections: newTable[connection](2), names: []string{"put"},
 		idempotency: newIdempotencyTable(10, 1000, 50), limits: NewLimits(1, 64, 256), settings: &settings.Profile{Deployment: &admission.Deployment{
-			MaxPause: 5 * admission.Second, Handlers: []admission.Handler{{Window: admission.Second, Repeat: admission.IdempotencyKeyed}}}}}
+			MaxRetryAfter: 5 * admission.Second, Handlers: []admission.Handler{{IdempotencyWindow: admission.Second, RetrySafety: admission.IdempotencyKeyed}}}}}
 	l.startClock(admission.Second)
 	l.kept = &keptPart{own: &config.Kept{Entries: 100, MB: 1, Result: 100}, reads: make(chan func(), 1)}
 	store, book, found, err := resultstore.Open(d, wal.Sizes{Segment: 1 << 16, Bound: 1 << 20}, resultstore.Limits{Keys: 100, Bytes: 1 << 18, ResultBytes: 100},
@@ -105,8 +105,8 @@
 	close(d.gate)
 	l.hears(t)
 	r = l.requests.get(h) // the table may have grown
-	if r.runCommand != 0 || r.run != runFinished || len(l.nextRound().Ended) != 1 || l.nextRound().Ended[0].How != admission.Unrun {
-		t.Errorf("what was answered meanwhile ran: %+v, ends %v", r, l.nextRound().Ended)
+	if r.runCommand != 0 || r.run != runFinished || len(l.nextRound().RunEnds) != 1 || l.nextRound().RunEnds[0].Outcome != admission.NotExecuted {
+		t.Errorf("what was answered meanwhile ran: %+v, ends %v", r, l.nextRound().RunEnds)
 	}
 	l.hears(t) // its intent is closed
 	if s := l.kept.book.Lookup(steadyMS(), r.kept.key); s != resultstore.Unknown || l.kept.mode != keptWell {
@@ -126,7 +126,7 @@
 		t.Fatal("its intent is durable, and it did not go out")
 	}
 	d.fails.Store(true)
-	l.runEnded(h, r, admission.OK, 1, []byte("result"))
+	l.runEnded(h, r, admission.Succeeded, 1, []byte("result"))
 	if r.answered {
 		t.Fatal("answered before its result was durable")
 	}
@@ -168,7 +168,7 @@
 	l.intend(h, r)
 	l.hears(t)
 	d.gate = make(chan struct{})
-	l.runEnded(h, r, admission.OK, 1, []byte("result"))
+	l.runEnded(h, r, admission.Succeeded, 1, []byte("result"))
 	l.draining, l.answerBy = true, l.now+admission.Second/10
 	l.keptLeaves()
 	l.now = l.answerBy - keptSpare
@@ -221,7 +221,7 @@
 		t.Errorf("%s, and it still waits for a folder that can't be opened", k.mode)
 	}
 	h, r = l.takes("d")
-	r.kept.admit.Again = true // nobody knows whether its first try ran: shed, it would be tried elsewhere
+	r.kept.admit.IsRetry = true // nobody knows whether its first try ran: shed, it would be tried elsewhere
 	if l.keptWord(h, r); !r.answered || l.counters.Errored != 1 || l.counters.Shed != 2 {
 		t.Error("a further try of a key that nobody can know of is shed")
 	}
@@ -249,7 +249,7 @@
 			t.Errorf("%s: the one that runs is %s, expected it %s", c.body, is, first)
 		}
 	}
-	l.runEnded(h, l.requests.get(h), admission.OK, 1, []byte("result"))
+	l.runEnded(h, l.requests.get(h), admission.Succeeded, 1, []byte("result"))
 	if l.hears(t); l.counters.Done != 1 {
 		t.Errorf("%d done, expected the first", l.counters.Done)
 	}
--- a/internal/node/server/kernel.go
+++ b/internal/node/server/kernel.go
@@ -121,7 +121,7 @@
 	if l.wakePending {
 		l.wakePending = false
 		l.counters.Ungauged++
-		l.nextRound().Woke = true
+		l.nextRound().TimerFired = true
 	}
 }
 
@@ -142,7 +142,7 @@
 			// It never ran and never will, as it is no req that the kernel knows of: nobody else can answer it,
 			// and whoever sent it is not listened to any more.
 			r.closeAfter = true
-			l.runEnded(h, r, admission.Unrun, 0, nil)
+			l.runEnded(h, r, admission.NotExecuted, 0, nil)
 		}
 		return
 	}
@@ -169,20 +169,20 @@
 	r.callResult = noCallResult
 	switch string(n.Kind) {
 	case wire.KernelRunEnded:
-		how := admission.Errored
+		how := admission.Failed
 		switch string(n.Outcome) {
 		case wire.RunSucceeded:
-			how = admission.OK
+			how = admission.Succeeded
 		case wire.RunStopped:
 			how = admission.Stopped
 		case wire.RunSuperseded:
-			how = admission.Moot
+			how = admission.Superseded
 		}
 		l.runEnded(h, r, how, n.RunMS, n.Body)
 	case wire.KernelCallAsked:
 		l.trace(r, "stands at a call")
 		r.callBody, r.callSequence = append(r.callBody[:0], n.Body...), n.Sequence
-		l.nextRound().Needs = append(l.nextRound().Needs, uint32(h))
+		l.nextRound().CallRequests = append(l.nextRound().CallRequests, uint32(h))
 	}
 }
 
@@ -194,13 +194,13 @@
 	}
 	if l.controller == nil {
 		d := l.settings.Deployment
-		d.Start, d.Cold = l.now-admission.Time(n.RunMS*10), string(n.Outcome) == wire.KernelCold
+		d.Start, d.ColdStart = l.now-admission.Time(n.RunMS*10), string(n.Outcome) == wire.KernelCold
 		l.logf("kernel is up, %s for %.0f ms", n.Outcome, n.RunMS)
 		l.makePools()
 		l.controller = admission.New(d)
 		l.wakePending = true
 		if l.draining {
-			l.nextRound().Drain, l.nextRound().Kill = true, l.answerBy
+			l.nextRound().Drain, l.nextRound().KillAt = true, l.answerBy
 		}
 	}
 	k.state, k.delay = kernelReplays, 0
@@ -232,10 +232,10 @@
 	if l.wakePending && (no == k.gaugesRequest || no == k.replayRequest) {
 		k.gaugesRequest, l.wakePending = 0, false
 		r := l.nextRound()
-		r.Woke, r.Gauged = true, true
+		r.TimerFired, r.HasGauges = true, true
 		r.Gauges = l.settings.Gauges(n.Gauges[:n.GaugeCount])
 		if l.fleet != nil {
-			l.fleet.meter.CoresSampled(steadyMS(), r.Gauges.OnCores)
+			l.fleet.meter.CoresSampled(steadyMS(), r.Gauges.Runnable)
 		}
 	}
 }
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -191,7 +191,7 @@
 		connections: newTable[connection](lim.Connections + 8), requests: newTable[request](lim.Requests), byRequestID: map[string]handle{},
 		idempotency: newIdempotencyTable(lim.IdempotencyKeys, lim.ResultBytes, late), ready: true, moduleReady: true,
 		// Sidecars close idle connections by themselves; until the module says more this only ends dead ones.
-		idleClose: 2 * max(prof.Idle, 30*admission.Second), drainState: drainState{stopAfter: admission.Time(c.StopMS) * 10}}
+		idleClose: 2 * max(prof.IdleTimeout, 30*admission.Second), drainState: drainState{stopAfter: admission.Time(c.StopMS) * 10}}
 	l.startClock(2 * late)
 	for name, i := range prof.Handlers {
 		l.names[i] = name
@@ -336,7 +336,7 @@
 func (l *loop) decide() {
 	for {
 		r := l.nextRound()
-		if len(r.Arrived)+len(r.Returned)+len(r.Needs)+len(r.Ended)+len(r.Gone) == 0 && !r.Woke && !r.Drain {
+		if len(r.Arrived)+len(r.CallEnds)+len(r.CallRequests)+len(r.RunEnds)+len(r.Disconnected) == 0 && !r.TimerFired && !r.Drain {
 			break
 		}
 		if l.controller == nil {
@@ -348,8 +348,8 @@
 		l.orderArrivals(r.Arrived)
 		l.counters.Rounds++
 		l.controller.Decide(r, l)
-		*r = admission.Round{Arrived: r.Arrived[:0], Returned: r.Returned[:0], Needs: r.Needs[:0],
-			Ended: r.Ended[:0], Gone: r.Gone[:0]}
+		*r = admission.Round{Arrived: r.Arrived[:0], CallEnds: r.CallEnds[:0], CallRequests: r.CallRequests[:0],
+			RunEnds: r.RunEnds[:0], Disconnected: r.Disconnected[:0]}
 	}
 	l.releaseFinished()
 	if l.reconnectKernel {
--- a/internal/node/server/pools.go
+++ b/internal/node/server/pools.go
@@ -28,25 +28,25 @@
 // poolPlan gives what the operator's file says for each handler; without a pool for any it is off.
 func (c *Node) poolPlan() pools.Plan {
 	d := c.settings.Deployment
-	p := pools.Plan{Off: c.own == nil || len(c.own.Pools) == 0, Tenants: max(1, len(d.Tenants))}
+	p := pools.Plan{Disabled: c.own == nil || len(c.own.Pools) == 0, Tenants: max(1, len(d.Tenants))}
 	p.Classes = make([]pools.Class, len(d.Handlers))
 	for name, i := range c.settings.Handlers {
 		p.Classes[i] = pools.Class{Name: name, Value: d.Handlers[i].Value}
 	}
-	if p.Off {
+	if p.Disabled {
 		return p
 	}
 	p.Reserve = c.own.Reserve
 	for _, o := range c.own.Pools {
 		k := &p.Classes[c.settings.Handlers[o.Handler]]
-		k.Floor, k.Cap, k.Fixed = o.Floor, o.Cap, o.Fixed
+		k.Floor, k.Cap, k.FixedLimit = o.Floor, o.Cap, o.Fixed
 	}
 	return p
 }
 
 // makePools readies pools for a module that starts, if the operator wants them.
 func (l *loop) makePools() {
-	if p := l.startup.poolPlan(); !p.Off {
+	if p := l.startup.poolPlan(); !p.Disabled {
 		l.pools = pools.New(p)
 		l.settings.Deployment.Pools = l.pools
 		l.log.Infof("pools for %d handlers, reserve %v", len(l.startup.own.Pools), p.Reserve)
@@ -58,9 +58,9 @@
 	p := next.poolPlan()
 	switch {
 	case l.pools != nil:
-		l.pools.Set(p)
-		l.log.Infof("operator's file taken: pools %s", map[bool]string{true: "off", false: "on"}[p.Off])
-	case !p.Off:
+		l.pools.Reconfigure(p)
+		l.log.Infof("operator's file taken: pools %s", map[bool]string{true: "off", false: "on"}[p.Disabled])
+	case !p.Disabled:
 		l.log.Warn("operator's file: pools can't be begun while the program serves; restart it")
 	}
 	l.startup.own = next.own
@@ -71,13 +71,13 @@
 	if l.pools == nil {
 		return
 	}
-	for _, v := range l.pools.Views() {
+	for _, v := range l.pools.Status() {
 		limit := "none"
 		if v.Limit < 1<<20 {
 			limit = fmt.Sprintf("%.1f", v.Limit)
 		}
 		l.log.Infof("pool %s: limit %s (%s), due %.1f, running %d, heavy %d, held %d, shed %d, lent %d, reserve %d, "+
-			"work %.1f ms, 95th %.1f ms", v.Name, limit, v.Why, v.Entitled, v.Running, v.Heavy, v.Held, v.Shed, v.Lent,
-			v.Reserve, v.Median/10, v.High/10)
+			"work %.1f ms, 95th %.1f ms", v.Name, limit, v.Reason, v.Entitled, v.Running, v.Heavy, v.Queued, v.Shed, v.StartedOverLimit,
+			v.Reserve, v.MedianWork/10, v.P95Work/10)
 	}
 }
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -73,7 +73,7 @@
 func (l *loop) receiveRequest(c *connection, e event, name string, a *wire.Response) int {
 	q := &e.request
 	i, known := l.handlerNamed(name)
-	hasKey := !known || l.settings.Deployment.Handlers[i].Repeat != admission.IdempotencyKeyed || len(q.IdempotencyKey) > 0
+	hasKey := !known || l.settings.Deployment.Handlers[i].RetrySafety != admission.IdempotencyKeyed || len(q.IdempotencyKey) > 0
 	tenant, listed := l.settings.Tenants[string(q.Tenant)]
 	earliest, came, placed := l.placeStamp(q.ReceivedAtMS)
 	switch {
@@ -95,7 +95,7 @@
 			return s
 		}
 	}
-	if hd.Repeat == admission.IdempotencyKeyed && l.idempotency.full(l.limits.EventsPerRound) && l.idempotency.find(key) == nil {
+	if hd.RetrySafety == admission.IdempotencyKeyed && l.idempotency.full(l.limits.EventsPerRound) && l.idempotency.find(key) == nil {
 		return 503 // it could not be told from its repeats
 	}
 	if h, old := l.findRequest(q.ID); old != nil {
@@ -123,7 +123,7 @@
 		r.deadline = came + hd.Timeout
 	}
 	c.current = h
-	if l.kept != nil && hd.Repeat == admission.IdempotencyKeyed {
+	if l.kept != nil && hd.RetrySafety == admission.IdempotencyKeyed {
 		r.kept = keptName(l.names[i], q.Tenant, q.IdempotencyKey, q.Body)
 	}
 	l.byRequestID[r.id] = h
@@ -135,8 +135,8 @@
 	if l.fleet != nil {
 		l.fleet.meter.RequestArrived(steadyMS(), i, q.IsRetry, false)
 	}
-	admit := admission.Request{ID: uint32(h), Handler: i, Tenant: tenant, Came: came, Due: due,
-		Hint: admission.Time(q.ExpectedWorkMS * 10), KB: q.FootprintKB, Again: q.IsRetry, Caller: q.Caller}
+	admit := admission.Request{ID: uint32(h), Handler: i, Tenant: tenant, ArrivedAt: came, Deadline: due,
+		ExpectedWork: admission.Time(q.ExpectedWorkMS * 10), SizeKB: q.FootprintKB, IsRetry: q.IsRetry, Caller: q.Caller}
 	if r.kept != nil {
 		r.kept.admit = admit
 		if l.keptWord(h, r) {
@@ -165,13 +165,13 @@
 	d := l.settings.Deployment
 	name := fmt.Appendf(nil, "%d/%d/%s/", handler, len(q.Tenant), q.Tenant)
 	switch {
-	case d.Handlers[handler].Repeat == admission.IdempotencyKeyed:
+	case d.Handlers[handler].RetrySafety == admission.IdempotencyKeyed:
 		// Guards against a key that comes with another body: it is another request, whose run the kernel refuses,
 		// and must neither be answered with the true one's result nor stand in its way, whichever comes first.
 		sum := sha256.Sum256(q.Body)
 		name = append(name, q.IdempotencyKey...)
 		return string(append(name, sum[:16]...))
-	case d.Handlers[handler].Repeat == admission.Retryable && d.Fresh > 0 && len(q.ResourceKey) > 0:
+	case d.Handlers[handler].RetrySafety == admission.Retryable && d.ResponseReuseTime > 0 && len(q.ResourceKey) > 0:
 		return string(append(name, q.ResourceKey...))
 	}
 	return ""
@@ -196,17 +196,17 @@
 // any order what came at once, and says whom each repeats. Guards against two tries that are read in one
 // round, as after the machine stood still: neither is remembered yet, and both would run.
 func (l *loop) orderArrivals(all []admission.Request) {
-	slices.SortStableFunc(all, func(a, b admission.Request) int { return cmp.Compare(a.Came, b.Came) })
+	slices.SortStableFunc(all, func(a, b admission.Request) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
 	for i := range all {
 		q := &all[i]
 		key := l.requests.get(handle(q.ID)).key
 		if key == "" {
 			continue
 		}
-		q.Prior = l.idempotency.previous(key, l.requests.get(handle(q.ID)).earliestArrival)
-		for k := 0; k < i && q.Prior == 0; k++ {
+		q.PreviousID = l.idempotency.previous(key, l.requests.get(handle(q.ID)).earliestArrival)
+		for k := 0; k < i && q.PreviousID == 0; k++ {
 			if l.requests.get(handle(all[k].ID)).key == key {
-				q.Prior = all[k].ID
+				q.PreviousID = all[k].ID
 			}
 		}
 	}
@@ -232,7 +232,7 @@
 	}
 	if l.fleet != nil {
 		l.fleet.meter.RequestAnswered(steadyMS(), r.handler, a.Status,
-			l.now-r.arrival <= l.settings.Deployment.Handlers[r.handler].Target)
+			l.now-r.arrival <= l.settings.Deployment.Handlers[r.handler].LatencyObjective)
 	}
 	if l.now > r.deadline {
 		l.counters.Late++
@@ -258,15 +258,15 @@
 	l.counters.Ends++
 	l.cancelCall(h, r)
 	l.maybeFinished = append(l.maybeFinished, h)
-	l.nextRound().Ended = append(l.nextRound().Ended,
-		admission.End{ID: uint32(h), How: how, Ran: admission.Time(ms * 10)})
-	if l.fleet != nil && (how == admission.OK || how == admission.Errored) {
+	l.nextRound().RunEnds = append(l.nextRound().RunEnds,
+		admission.RunEnd{ID: uint32(h), Outcome: how, Elapsed: admission.Time(ms * 10)})
+	if l.fleet != nil && (how == admission.Succeeded || how == admission.Failed) {
 		l.fleet.meter.RunEnded(steadyMS(), ms)
 	}
-	if l.fleet != nil && how == admission.OK {
+	if l.fleet != nil && how == admission.Succeeded {
 		l.fleet.rec.RecordRun(uint32(h), admission.Time(ms*10))
 	}
-	ok := how == admission.OK
+	ok := how == admission.Succeeded
 	if r.kept != nil {
 		var waits bool
 		if waits, ok = l.keptEnd(h, r, how, result); waits {
@@ -277,7 +277,7 @@
 	switch {
 	case ok:
 		l.answer(h, r, wire.Response{Status: 200, Body: result})
-	case how == admission.Unrun:
+	case how == admission.NotExecuted:
 		l.answer(h, r, wire.Response{Status: 400})
 	case how != admission.Stopped || !r.paused: // that it was paused or dropped is no answer
 		l.answer(h, r, wire.Response{Status: 500})
@@ -294,13 +294,13 @@
 		return
 	}
 	r.awaitsShared = false
-	end := admission.End{ID: uint32(h), How: admission.Errored}
+	end := admission.RunEnd{ID: uint32(h), Outcome: admission.Failed}
 	a := wire.Response{Status: 500}
 	if ok {
-		end.How, a = admission.OK, wire.Response{Status: 200, Body: result}
+		end.Outcome, a = admission.Succeeded, wire.Response{Status: 200, Body: result}
 		l.counters.Shared++
 	}
-	l.nextRound().Ended = append(l.nextRound().Ended, end)
+	l.nextRound().RunEnds = append(l.nextRound().RunEnds, end)
 	l.answer(h, r, a)
 }
 
@@ -329,7 +329,7 @@
 	case r == nil || r.run != runNotStarted && !r.paused:
 	case r.paused && r.kept != nil && r.kept.stand == keptIntends:
 		r.run, r.paused = runRunning, false
-	case r.paused && l.settings.Stop == admission.StopPause:
+	case r.paused && l.settings.Cancellation == admission.CancelPause:
 		r.run = runRunning
 		l.sendResume(r)
 	default:
@@ -345,7 +345,7 @@
 	}
 }
 
-func (l *loop) Pause(id uint32) {
+func (l *loop) Stop(id uint32) {
 	if r := l.requests.get(handle(id)); r != nil && r.run == runRunning {
 		l.trace(r, "pause")
 		l.counters.Pauses++
@@ -375,7 +375,7 @@
 	}
 }
 
-func (l *loop) Skip(id uint32) {
+func (l *loop) SkipCall(id uint32) {
 	if r := l.requests.get(handle(id)); r != nil && r.run == runRunning {
 		l.counters.Skips++
 		l.sendCallSkipped(r)
@@ -396,8 +396,8 @@
 	}
 }
 
-// Reuse answers a req with the result of the one it repeats, now or when that is there.
-func (l *loop) Reuse(id uint32) {
+// ReuseResult answers a req with the result of the one it repeats, now or when that is there.
+func (l *loop) ReuseResult(id uint32) {
 	h := handle(id)
 	r := l.requests.get(h)
 	if r == nil {
@@ -422,12 +422,12 @@
 	l.sendReport()
 }
 
-// Say has every answer carry the value from now on.
-func (l *loop) Say(value float64) { l.overloadSignal, l.hasOverloadSignal = value, true }
+// SignalOverload has every answer carry the value from now on.
+func (l *loop) SignalOverload(value float64) { l.overloadSignal, l.hasOverloadSignal = value, true }
 
-// IdleClose has connections closed that were idle for so long.
-func (l *loop) IdleClose(after admission.Time) { l.idleClose = after }
+// SetIdleTimeout has connections closed that were idle for so long.
+func (l *loop) SetIdleTimeout(after admission.Time) { l.idleClose = after }
 
-func (l *loop) Wake(at admission.Time) { l.timers.set(at, timerWake, 0) }
+func (l *loop) WakeUp(at admission.Time) { l.timers.set(at, timerWake, 0) }
 
 func (l *loop) Log(line string) { l.logf("%s", line) }
--- a/internal/node/server/store.go
+++ b/internal/node/server/store.go
@@ -47,7 +47,7 @@
 		if l.deferredDials != held {
 			r.callState = callNone // by the zone's order: it says nothing about the store
 		}
-		l.callEnded(h, r, admission.Unrun)
+		l.callEnded(h, r, admission.NotExecuted)
 		return
 	}
 	// Only wires that are still there matter, so this stays as short as their table.
@@ -120,7 +120,7 @@
 	if !w.dialed.writer.send(l.scratch, l.limits.LinkQueue) {
 		// The queue is full because the store takes nothing: this call never left, the others may have.
 		at := r.storeConn
-		l.callEnded(h, r, admission.Unrun)
+		l.callEnded(h, r, admission.NotExecuted)
 		l.storeConnectionLost(at, l.store.connections.get(at), errStuck)
 		return
 	}
@@ -133,18 +133,18 @@
 	l.endCall(h, r)
 	l.trace(r, "call ended %d after %.1f ms", how, milliseconds(l.now-r.callStarted))
 	if l.fleet != nil && made {
-		l.fleet.meter.CallEnded(steadyMS(), milliseconds(l.now-r.callStarted), how != admission.OK)
+		l.fleet.meter.CallEnded(steadyMS(), milliseconds(l.now-r.callStarted), how != admission.Succeeded)
 	}
 	switch how {
-	case admission.OK:
+	case admission.Succeeded:
 		l.counters.CallsOK++
-	case admission.Unrun:
+	case admission.NotExecuted:
 		l.counters.CallsUnrun++
 	default:
 		l.counters.CallsOther++
 	}
-	l.nextRound().Returned = append(l.nextRound().Returned,
-		admission.Return{ID: uint32(h), How: how, Took: l.now - r.callStarted})
+	l.nextRound().CallEnds = append(l.nextRound().CallEnds,
+		admission.CallEnd{ID: uint32(h), Outcome: how, Elapsed: l.now - r.callStarted})
 }
 
 // endCall takes a call off its wire.
@@ -183,15 +183,15 @@
 		l.retireStoreConnection(at, w)
 		return
 	}
-	how := admission.Unclear
+	how := admission.Unknown
 	switch p.Outcome {
 	case wire.CallSucceeded:
-		how = admission.OK
+		how = admission.Succeeded
 		l.sendCallReply(r, p.Body)
 	case wire.CallRejected, wire.CallNotExecuted:
-		how = admission.Unrun
+		how = admission.NotExecuted
 	case wire.CallFailed:
-		how = admission.Errored
+		how = admission.Failed
 	}
 	l.callEnded(h, r, how)
 }
@@ -205,9 +205,9 @@
 	if end := r.callDeadline + l.limits.CallGrace; l.now < end {
 		return // an earlier call's time; the present one has its own
 	}
-	how := admission.Unclear
+	how := admission.Unknown
 	if r.callState == callQueued {
-		how = admission.Unrun
+		how = admission.NotExecuted
 	}
 	l.cancelCall(h, r)
 	l.callEnded(h, r, how)
@@ -238,10 +238,10 @@
 	}
 	w.retired = false // or the last of its calls would end it again
 	for _, h := range slices.Clone(w.calls) {
-		how := admission.Unrun
+		how := admission.NotExecuted
 		if r := l.requests.get(h); r != nil {
 			if r.callState == callSent {
-				how = admission.Unclear
+				how = admission.Unknown
 			}
 			l.callEnded(h, r, how)
 		}
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -181,7 +181,7 @@
 	for i, came := range []admission.Time{30, 10, 20, 10, 15} {
 		h, r, _ := l.requests.take()
 		r.key = []string{"a", "", "a", "b", "b"}[i]
-		all = append(all, admission.Request{ID: uint32(h), Came: came})
+		all = append(all, admission.Request{ID: uint32(h), ArrivedAt: came})
 	}
 	ids := []uint32{all[1].ID, all[3].ID, all[4].ID, all[2].ID, all[0].ID}
 	priors := []uint32{0, 77, 77, 0, all[2].ID}
@@ -189,8 +189,8 @@
 	l.idempotency.remember("b", 77, 1000, &due)
 	l.orderArrivals(all)
 	for i, q := range all {
-		if q.ID != ids[i] || q.Prior != priors[i] {
-			t.Errorf("at %d is %d repeating %d, expected %d, %d", i, q.ID, q.Prior, ids[i], priors[i])
+		if q.ID != ids[i] || q.PreviousID != priors[i] {
+			t.Errorf("at %d is %d repeating %d, expected %d, %d", i, q.ID, q.PreviousID, ids[i], priors[i])
 		}
 	}
 }
@@ -304,8 +304,8 @@
 	}{{1, 24_000, 380}, {0.1, 24_000, 1100}, {0.1, 4000, 500}} {
 		l := &loop{now: 5000, drainState: drainState{stopAfter: c.stop}, limits: NewLimits(c.cores, 64, 256)}
 		l.startDrain()
-		if r := l.nextRound(); !r.Drain || r.Kill != 5000+c.stop-c.before {
-			t.Errorf("%.1f cores, notice of %d: the module hears of a kill at %d, expected %d before %d", c.cores, c.stop, r.Kill,
+		if r := l.nextRound(); !r.Drain || r.KillAt != 5000+c.stop-c.before {
+			t.Errorf("%.1f cores, notice of %d: the module hears of a kill at %d, expected %d before %d", c.cores, c.stop, r.KillAt,
 				c.before, 5000+c.stop)
 		}
 	}
@@ -352,8 +352,8 @@
 func TestStampWithTwoPlaces(t *testing.T) {
 	at, wall := time.Hour, 100*time.Hour
 	read := func() clock.Reading { return clock.Reading{Monotonic: at, Wall: wall} }
-	d := &admission.Deployment{Cores: 1, MemKB: 1e6, Handlers: []admission.Handler{{Target: 3 * admission.Second,
-		Timeout: 6 * admission.Second, Repeat: admission.IdempotencyKeyed, Window: 8 * admission.Second}}}
+	d := &admission.Deployment{Cores: 1, MemoryKB: 1e6, Handlers: []admission.Handler{{LatencyObjective: 3 * admission.Second,
+		Timeout: 6 * admission.Second, RetrySafety: admission.IdempotencyKeyed, IdempotencyWindow: 8 * admission.Second}}}
 	l := &loop{settings: &settings.Profile{Deployment: d, Handlers: map[string]int{"put": 0}}, names: []string{"put"},
 		idempotency: newIdempotencyTable(2000, 1000, 6*admission.Second), requests: newTable[request](8), byRequestID: map[string]handle{},
 		limits: NewLimits(1, 64, 256), controller: admission.New(d), stamps: clock.NewStamps(read, 12*time.Second)}
@@ -375,7 +375,7 @@
 	l.orderArrivals(l.nextRound().Arrived)
 	q := l.nextRound().Arrived[0]
 	earliest := timeOf(time.Hour)
-	if q.Due != earliest+6*admission.Second || q.Came != l.now || q.Prior != 77 {
-		t.Errorf("due %d, came %d, repeats %d; expected %d, %d and 77", q.Due, q.Came, q.Prior, earliest+6*admission.Second, l.now)
+	if q.Deadline != earliest+6*admission.Second || q.ArrivedAt != l.now || q.PreviousID != 77 {
+		t.Errorf("due %d, came %d, repeats %d; expected %d, %d and 77", q.Deadline, q.ArrivedAt, q.PreviousID, earliest+6*admission.Second, l.now)
 	}
 }
--- a/internal/node/settings/pin_settings_test.go
+++ b/internal/node/settings/pin_settings_test.go
@@ -28,19 +28,19 @@
 	}
 	d := p.Deployment
 	var got strings.Builder
-	fmt.Fprintln(&got, d.Fleet, d.Senders, d.Stage, d.Granule, d.ByWork, d.Beyond, d.Cores, d.Cold, d.ColdSpeed)
-	fmt.Fprintln(&got, d.WarmAfter, d.Fall, d.MemKB, d.RunFactor, d.KeyKB, d.CallsOut, d.Span, d.Linger, d.Fresh)
-	fmt.Fprintln(&got, d.DrainGrace, d.Idle, d.Worst, d.MaxPause, int(d.Below), int(d.Stop),
+	fmt.Fprintln(&got, d.FleetSize, d.Callers, d.Tier, d.RoundInterval, d.ValuePerWork, d.OverQuotaWeight, d.Cores, d.ColdStart, d.ColdSpeed)
+	fmt.Fprintln(&got, d.WarmUpTime, d.MaxRunsPerCore, d.MemoryKB, d.RunMemoryFactor, d.TableEntryKB, d.CallAllowance, d.CallAveragingTime, d.CancellationDelay, d.ResponseReuseTime)
+	fmt.Fprintln(&got, d.DrainGrace, d.IdleTimeout, d.WorstClassWeight, d.MaxRetryAfter, int(d.Dependency), int(d.Cancellation),
 		int(d.OverloadSignal), d.Start)
 	for _, h := range d.Handlers {
-		fmt.Fprintln(&got, h.Target, h.Timeout, h.Value, h.LateValue, h.LeanValue, h.Window, int(h.Repeat))
+		fmt.Fprintln(&got, h.LatencyObjective, h.Timeout, h.Value, h.LateValue, h.DegradedValue, h.IdempotencyWindow, int(h.RetrySafety))
 	}
 	for _, tenant := range d.Tenants {
 		fmt.Fprintln(&got, tenant.Quota)
 	}
 	fmt.Fprintln(&got, p.Handlers, p.Tenants, p.Meters)
 	g := p.Gauges([]float64{1.5, 2, 3})
-	fmt.Fprintln(&got, g.OnCores, g.Links)
+	fmt.Fprintln(&got, g.Runnable, g.OpenConnections)
 	const want = `5 4 1 21 true 0.2 2 true 0.4
 20000 3.5 9000 3 0.5 6 10000 3000 2000
 10000 8000 0.15 30000 2 2 2 0
--- a/internal/node/settings/profile.go
+++ b/internal/node/settings/profile.go
@@ -74,12 +74,12 @@
 }
 
 var (
-	repeats = map[string]admission.Repeat{"idempotent": admission.Retryable,
+	repeats = map[string]admission.RetrySafety{"idempotent": admission.Retryable,
 		"deduplicated": admission.IdempotencyKeyed, "at_most_once": admission.NonRetryable}
-	belows = map[string]admission.Below{"": admission.BelowNone, "off": admission.BelowNone,
-		"shared": admission.BelowShared, "tier": admission.BelowTier}
-	stops = map[string]admission.Stop{"": admission.StopNever, "off": admission.StopNever,
-		"drop": admission.StopDrop, "pause": admission.StopPause}
+	belows = map[string]admission.Dependency{"": admission.DependencyNone, "off": admission.DependencyNone,
+		"shared": admission.DependencyShared, "tier": admission.DependencyNextTier}
+	stops = map[string]admission.Cancellation{"": admission.CancelNever, "off": admission.CancelNever,
+		"drop": admission.CancelDrop, "pause": admission.CancelPause}
 	voices = map[string]admission.OverloadSignal{"": admission.SignalNone, "off": admission.SignalNone,
 		"level": admission.SignalLevel, "credit": admission.SignalCredit, "weight": admission.SignalWeight}
 )
@@ -112,23 +112,23 @@
 	case p.Invariants.FallMultiple < 0 || p.Granularity < 0 || p.Invariants.DrainGrace < 0:
 		return nil, errors.New("settings: invariants or granularity are below zero")
 	}
-	d := &admission.Deployment{Fleet: max(p.Fleet, 1), Senders: max(f.Senders, 1), Stage: max(p.Stage, 0),
-		Granule: max(span(p.Granularity+99), 1), ByWork: p.WorthBy == "work", Beyond: p.OverShare,
-		Cores: f.Cores, Cold: f.Cold, ColdSpeed: p.Invariants.StartCapacity,
-		WarmAfter: span(p.Invariants.WarmAfter), Fall: p.Invariants.FallMultiple, MemKB: f.MemoryKB,
-		RunFactor: math.Max(f.RunFactor, 1), KeyKB: f.KeyKB, CallsOut: f.CallsOut,
-		Span: span(f.ShareSpan), Linger: span(f.Linger), Fresh: span(f.Fresh),
-		DrainGrace: span(p.Invariants.DrainGrace), Idle: span(f.Idle)}
+	d := &admission.Deployment{FleetSize: max(p.Fleet, 1), Callers: max(f.Senders, 1), Tier: max(p.Stage, 0),
+		RoundInterval: max(span(p.Granularity+99), 1), ValuePerWork: p.WorthBy == "work", OverQuotaWeight: p.OverShare,
+		Cores: f.Cores, ColdStart: f.Cold, ColdSpeed: p.Invariants.StartCapacity,
+		WarmUpTime: span(p.Invariants.WarmAfter), MaxRunsPerCore: p.Invariants.FallMultiple, MemoryKB: f.MemoryKB,
+		RunMemoryFactor: math.Max(f.RunFactor, 1), TableEntryKB: f.KeyKB, CallAllowance: f.CallsOut,
+		CallAveragingTime: span(f.ShareSpan), CancellationDelay: span(f.Linger), ResponseReuseTime: span(f.Fresh),
+		DrainGrace: span(p.Invariants.DrainGrace), IdleTimeout: span(f.Idle)}
 	if p.Goal.Whole > 0 {
-		d.Worst = math.Max(p.Goal.Worst, 0) / p.Goal.Whole
+		d.WorstClassWeight = math.Max(p.Goal.Worst, 0) / p.Goal.Whole
 	}
 	if p.Limits.RetryAfter {
-		d.MaxPause = span(p.Limits.MaxRetryAfter)
+		d.MaxRetryAfter = span(p.Limits.MaxRetryAfter)
 	}
-	if d.Below, err = pick(belows, f.Below, "family_info.below"); err != nil {
+	if d.Dependency, err = pick(belows, f.Below, "family_info.below"); err != nil {
 		return nil, err
 	}
-	if d.Stop, err = pick(stops, f.Preemption, "family_info.preemption"); err != nil {
+	if d.Cancellation, err = pick(stops, f.Preemption, "family_info.preemption"); err != nil {
 		return nil, err
 	}
 	if d.OverloadSignal, err = pick(voices, f.Say, "family_info.say"); err != nil {
@@ -136,19 +136,19 @@
 	}
 	out = &Profile{Deployment: d, Meters: f.Meters, Handlers: map[string]int{}, Tenants: map[string]int{}}
 	for i, c := range p.Classes {
-		h := admission.Handler{Target: span(c.Promise), Timeout: span(c.GiveUp), Value: c.Gain,
-			LateValue: c.LateShare, Window: span(c.Window + 99)}
+		h := admission.Handler{LatencyObjective: span(c.Promise), Timeout: span(c.GiveUp), Value: c.Gain,
+			LateValue: c.LateShare, IdempotencyWindow: span(c.Window + 99)}
 		if h.Timeout <= 0 {
 			return nil, fmt.Errorf("settings: classes[%d].give_up is %g, expected above 0", i, c.GiveUp)
 		}
-		if h.Target <= 0 || h.Target > h.Timeout {
-			h.Target = h.Timeout
+		if h.LatencyObjective <= 0 || h.LatencyObjective > h.Timeout {
+			h.LatencyObjective = h.Timeout
 		}
-		if h.Repeat, err = pick(repeats, c.Semantics, "classes[].semantics"); err != nil {
+		if h.RetrySafety, err = pick(repeats, c.Semantics, "classes[].semantics"); err != nil {
 			return nil, err
 		}
 		if i < len(f.Degraded) {
-			h.LeanValue = f.Degraded[i]
+			h.DegradedValue = f.Degraded[i]
 		}
 		out.Handlers[c.Name] = i
 		d.Handlers = append(d.Handlers, h)
@@ -165,9 +165,9 @@
 	for k := 0; k < min(len(read), len(p.Meters)); k++ {
 		switch p.Meters[k] {
 		case "on_cores":
-			g.OnCores = read[k]
+			g.Runnable = read[k]
 		case "links":
-			g.Links = read[k]
+			g.OpenConnections = read[k]
 		}
 	}
 	return g
--- a/internal/node/shadow/pin_trials_test.go
+++ b/internal/node/shadow/pin_trials_test.go
@@ -22,10 +22,10 @@
 	r, now := NewRecording(2), 5*admission.Second
 	for i := range uint32(300 + chance(3000)) {
 		now += admission.Time(chance(80))
-		q := admission.Request{ID: i + 1, Handler: int(chance(2)), KB: float64(1 + chance(40)), Caller: uint32(chance(4)),
-			Again: chance(9) == 0, Hint: admission.Time(chance(200)), Tenant: int(chance(3)) - 1}
+		q := admission.Request{ID: i + 1, Handler: int(chance(2)), SizeKB: float64(1 + chance(40)), Caller: uint32(chance(4)),
+			IsRetry: chance(9) == 0, ExpectedWork: admission.Time(chance(200)), Tenant: int(chance(3)) - 1}
 		if chance(3) == 0 {
-			q.Due = now + admission.Time(chance(20_000))
+			q.Deadline = now + admission.Time(chance(20_000))
 		}
 		r.RecordArrival(now, &q)
 		if chance(10) > 0 {
@@ -42,12 +42,12 @@
 		next := deployment()
 		next.Handlers[seed%2].Value *= float64(seed % 5)
 		next.Handlers[0].Timeout /= admission.Time(1 + seed%7)
-		next.Handlers[1].Target /= admission.Time(1 + seed%3)
+		next.Handlers[1].LatencyObjective /= admission.Time(1 + seed%3)
 		if seed%6 == 0 {
-			next.MemKB = 60
+			next.MemoryKB = 60
 		}
 		if seed%4 == 0 {
-			next.Stop = admission.StopDrop
+			next.Cancellation = admission.CancelDrop
 		}
 		v := Evaluate(deployment(), next, []bool{false, seed%11 == 0}, pinnedRecording(seed).Snapshot(), bounds)
 		if v.Reason != "" {
--- a/internal/node/shadow/shadow.go
+++ b/internal/node/shadow/shadow.go
@@ -44,10 +44,10 @@
 
 // RecordArrival notes a req.
 func (r *Recording) RecordArrival(now admission.Time, q *admission.Request) {
-	c := came{at: now, hint: q.Hint, kb: q.KB, caller: q.Caller, id: q.ID, handler: uint16(q.Handler),
-		tenn: uint16(max(q.Tenant, 0)), again: q.Again}
-	if q.Due > now {
-		c.due = q.Due - now
+	c := came{at: now, hint: q.ExpectedWork, kb: q.SizeKB, caller: q.Caller, id: q.ID, handler: uint16(q.Handler),
+		tenn: uint16(max(q.Tenant, 0)), again: q.IsRetry}
+	if q.Deadline > now {
+		c.due = q.Deadline - now
 	}
 	if len(r.reqs) < MaxRequests {
 		r.reqs = append(r.reqs, c)
@@ -118,8 +118,8 @@
 	case v.Candidate.Unanswered > v.Current.Unanswered:
 		v.Reason = fmt.Sprintf("%d of %d reqs of the trial had no answer when they were due, %d under the one in force",
 			v.Candidate.Unanswered, v.Candidate.Offered, v.Current.Unanswered)
-	case v.Candidate.PeakKB > next.MemKB && v.Candidate.PeakKB > v.Current.PeakKB:
-		v.Reason = fmt.Sprintf("reqs of the trial held %.0f KB at most, expected %.0f", v.Candidate.PeakKB, next.MemKB)
+	case v.Candidate.PeakKB > next.MemoryKB && v.Candidate.PeakKB > v.Current.PeakKB:
+		v.Reason = fmt.Sprintf("reqs of the trial held %.0f KB at most, expected %.0f", v.Candidate.PeakKB, next.MemoryKB)
 	case share(v.Candidate.Shed-v.Current.Shed) > b.MaxShed:
 		v.Reason = fmt.Sprintf("%d of %d reqs of the trial were shed, %d under the one in force: expected at most %.3f more",
 			v.Candidate.Shed, v.Candidate.Offered, v.Current.Shed, b.MaxShed)
@@ -168,7 +168,7 @@
 func play(d *admission.Deployment, retired []bool, rec *Recording) Outcome {
 	plan := *d
 	plan.Pools = nil // their state is the server's own
-	plan.Cold, plan.Start = false, admission.Second
+	plan.ColdStart, plan.Start = false, admission.Second
 	s := &stage{d: &plan, now: admission.Second, reqs: map[uint32]*req{}, mean: rec.times, off: retired,
 		out: Outcome{ProbesCompleted: make([]int, len(d.Handlers))}}
 	c := admission.New(&plan)
@@ -189,7 +189,7 @@
 		for k := 0; k < probes && s.out.Rounds < 2*maxRounds; k++ {
 			id++
 			s.arrive(&came{handler: uint16(h), kb: 1, ran: admission.Time(max(1, s.mean[h]))}, id, true)
-			s.run(c, s.now+4*max(plan.Handlers[h].Target, admission.Second/100))
+			s.run(c, s.now+4*max(plan.Handlers[h].LatencyObjective, admission.Second/100))
 		}
 	}
 	s.run(c, s.now+s.longest())
@@ -231,10 +231,10 @@
 	if tenant >= max(1, len(s.d.Tenants)) {
 		tenant = 0
 	}
-	a := admission.Request{ID: id, Handler: int(q.handler), Tenant: tenant, Came: s.now, Hint: q.hint, KB: q.kb,
-		Again: q.again, Caller: q.caller}
+	a := admission.Request{ID: id, Handler: int(q.handler), Tenant: tenant, ArrivedAt: s.now, ExpectedWork: q.hint, SizeKB: q.kb,
+		IsRetry: q.again, Caller: q.caller}
 	if q.due > 0 {
-		a.Due = r.due
+		a.Deadline = r.due
 	}
 	s.next.Arrived = append(s.next.Arrived, a)
 }
@@ -266,14 +266,14 @@
 			r := s.reqs[id]
 			if r.ends > 0 && r.ends <= s.now {
 				r.ends, r.running, r.left = 0, false, 0
-				s.next.Ended = append(s.next.Ended, admission.End{ID: id, How: admission.OK, Ran: s.now - r.came})
-				s.kb -= r.c.kb * (s.d.RunFactor - 1)
+				s.next.RunEnds = append(s.next.RunEnds, admission.RunEnd{ID: id, Outcome: admission.Succeeded, Elapsed: s.now - r.came})
+				s.kb -= r.c.kb * (s.d.RunMemoryFactor - 1)
 				s.answer(r, true)
 			} else if !r.answered && s.now >= r.due {
 				r.answered = true
 				s.out.Unanswered++
 				s.kb -= r.c.kb
-				s.next.Gone = append(s.next.Gone, id)
+				s.next.Disconnected = append(s.next.Disconnected, id)
 			}
 			if !r.answered || r.running || r.left > 0 && r.ends > 0 {
 				kept = append(kept, id)
@@ -283,11 +283,11 @@
 		}
 		s.open = kept
 		if s.wake > 0 && s.wake <= s.now {
-			s.wake, s.next.Woke = 0, true
-			s.next.Gauged, s.next.Gauges.OnCores = true, float64(s.running())
+			s.wake, s.next.TimerFired = 0, true
+			s.next.HasGauges, s.next.Gauges.Runnable = true, float64(s.running())
 		}
 		n := &s.next
-		if len(n.Arrived)+len(n.Ended)+len(n.Gone) > 0 || n.Woke {
+		if len(n.Arrived)+len(n.RunEnds)+len(n.Disconnected) > 0 || n.TimerFired {
 			round := s.next
 			round.Now = s.now
 			s.next = admission.Round{}
@@ -323,7 +323,7 @@
 	case r.probe:
 	case ok:
 		s.out.Completed++
-		if s.now-r.came <= h.Target {
+		if s.now-r.came <= h.LatencyObjective {
 			s.out.OnTime++
 		}
 	}
@@ -334,19 +334,19 @@
 func (s *stage) Run(id uint32) {
 	if r := s.reqs[id]; r != nil && r.ends == 0 && !r.answered {
 		r.ends, r.running = s.now+max(r.left, 1), true
-		s.held(r.c.kb * (s.d.RunFactor - 1))
+		s.held(r.c.kb * (s.d.RunMemoryFactor - 1))
 	}
 }
 
-func (s *stage) Pause(id uint32) {
+func (s *stage) Stop(id uint32) {
 	r := s.reqs[id]
 	if r == nil || r.ends == 0 {
 		return
 	}
-	r.left, r.ends, r.running = r.ends-s.now, 0, s.d.Stop == admission.StopPause
-	s.kb -= r.c.kb * (s.d.RunFactor - 1)
-	if s.d.Stop == admission.StopDrop {
-		s.next.Ended = append(s.next.Ended, admission.End{ID: id, How: admission.Stopped, Ran: s.now - r.came})
+	r.left, r.ends, r.running = r.ends-s.now, 0, s.d.Cancellation == admission.CancelPause
+	s.kb -= r.c.kb * (s.d.RunMemoryFactor - 1)
+	if s.d.Cancellation == admission.CancelDrop {
+		s.next.RunEnds = append(s.next.RunEnds, admission.RunEnd{ID: id, Outcome: admission.Stopped, Elapsed: s.now - r.came})
 	}
 }
 
@@ -368,14 +368,14 @@
 	}
 }
 
-func (s *stage) Wake(at admission.Time) { s.wake = at }
+func (s *stage) WakeUp(at admission.Time) { s.wake = at }
 
 func (s *stage) Call(uint32, admission.Time)     {}
-func (s *stage) Skip(uint32)                     {}
+func (s *stage) SkipCall(uint32)                 {}
 func (s *stage) Remember(uint32, admission.Time) {}
 func (s *stage) Forget(uint32)                   {}
-func (s *stage) Reuse(uint32)                    {}
+func (s *stage) ReuseResult(uint32)              {}
 func (s *stage) Health(bool)                     {}
-func (s *stage) Say(float64)                     {}
-func (s *stage) IdleClose(admission.Time)        {}
+func (s *stage) SignalOverload(float64)          {}
+func (s *stage) SetIdleTimeout(admission.Time)   {}
 func (s *stage) Log(string)                      {}
--- a/internal/node/shadow/shadow_test.go
+++ b/internal/node/shadow/shadow_test.go
@@ -11,17 +11,17 @@
 const ms = admission.Second / 1000
 
 func deployment() *admission.Deployment {
-	return &admission.Deployment{Fleet: 1, Senders: 4, Granule: 2 * ms, Cores: 4, Fall: 5, MemKB: 4000, RunFactor: 2,
-		Handlers: []admission.Handler{{Target: 300 * ms, Timeout: 3000 * ms, Value: 1},
-			{Target: 500 * ms, Timeout: 3000 * ms, Value: 5}},
-		Tenants: []admission.Tenant{{Quota: 1000}}, Idle: 30 * admission.Second}
+	return &admission.Deployment{FleetSize: 1, Callers: 4, RoundInterval: 2 * ms, Cores: 4, MaxRunsPerCore: 5, MemoryKB: 4000, RunMemoryFactor: 2,
+		Handlers: []admission.Handler{{LatencyObjective: 300 * ms, Timeout: 3000 * ms, Value: 1},
+			{LatencyObjective: 500 * ms, Timeout: 3000 * ms, Value: 5}},
+		Tenants: []admission.Tenant{{Quota: 1000}}, IdleTimeout: 30 * admission.Second}
 }
 
 // record plays a server's last seconds into a recording: reqs at a pace, each with its run's time.
 func record(n int, every, ran admission.Time) *Recording {
 	r := NewRecording(2)
 	for i := 0; i < n; i++ {
-		q := admission.Request{ID: uint32(i + 1), Handler: i % 2, KB: 10, Caller: uint32(i % 4)}
+		q := admission.Request{ID: uint32(i + 1), Handler: i % 2, SizeKB: 10, Caller: uint32(i % 4)}
 		r.RecordArrival(admission.Time(i)*every, &q)
 		r.RecordRun(q.ID, ran)
 	}
@@ -46,15 +46,15 @@
 		}, nil, ""},
 		{"client timeouts shorter than a run", busy, func(d *admission.Deployment) {
 			for k := range d.Handlers {
-				d.Handlers[k].Target, d.Handlers[k].Timeout = 5*ms, 5*ms
+				d.Handlers[k].LatencyObjective, d.Handlers[k].Timeout = 5*ms, 5*ms
 			}
 		}, nil, "reqs of the trial"},
 		{"all retired", busy, func(*admission.Deployment) {}, []bool{true, true}, "were shed"},
 		{"memory for a few reqs", record(MaxRequests, 4*ms, 14*ms), func(d *admission.Deployment) {
-			d.MemKB = 30
+			d.MemoryKB = 30
 		}, nil, "reqs of the trial"},
 		{"on an idle server, one that sheds all", NewRecording(2), func(d *admission.Deployment) {
-			d.MemKB = 0.5
+			d.MemoryKB = 0.5
 		}, nil, "one at a time"},
 		{"on an idle server, a good one", NewRecording(2), func(*admission.Deployment) {}, nil, ""},
 	} {
--- a/internal/simulator/adapter_test.go
+++ b/internal/simulator/adapter_test.go
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	h.instances[3].controller = nil
-	h.instances[3].round.Woke = true
+	h.instances[3].round.TimerFired = true
 	h.reply.Reset()
 	h.instances[3].decide(&h.reply, &h.decisions)
 	out.Reset()
--- a/internal/simulator/decisions.go
+++ b/internal/simulator/decisions.go
@@ -16,12 +16,12 @@
 	return uint32(min(max(t, 0), maxSpan) * microsecondsPerTick)
 }
 
-func (w *decisionWriter) Run(id uint32)    { w.reply.Run(id) }
-func (w *decisionWriter) Pause(id uint32)  { w.reply.Stop(id) }
-func (w *decisionWriter) Fail(id uint32)   { w.reply.Fail(id) }
-func (w *decisionWriter) Skip(id uint32)   { w.reply.SkipCall(id) }
-func (w *decisionWriter) Forget(id uint32) { w.reply.Forget(id) }
-func (w *decisionWriter) Reuse(id uint32)  { w.reply.ReuseResult(id) }
+func (w *decisionWriter) Run(id uint32)         { w.reply.Run(id) }
+func (w *decisionWriter) Stop(id uint32)        { w.reply.Stop(id) }
+func (w *decisionWriter) Fail(id uint32)        { w.reply.Fail(id) }
+func (w *decisionWriter) SkipCall(id uint32)    { w.reply.SkipCall(id) }
+func (w *decisionWriter) Forget(id uint32)      { w.reply.Forget(id) }
+func (w *decisionWriter) ReuseResult(id uint32) { w.reply.ReuseResult(id) }
 
 func (w *decisionWriter) Shed(id uint32, last bool, comeBack admission.Time) {
 	w.reply.Reject(id, last, microseconds(comeBack))
@@ -35,8 +35,10 @@
 	w.reply.Remember(id, microseconds(span))
 }
 
-func (w *decisionWriter) Health(ready bool)              { w.reply.Health(ready) }
-func (w *decisionWriter) Say(value float64)              { w.reply.OverloadSignal(value) }
-func (w *decisionWriter) IdleClose(after admission.Time) { w.reply.IdleTimeout(microseconds(after)) }
-func (w *decisionWriter) Wake(at admission.Time)         { w.reply.WakeUp(uint64(at)*microsecondsPerTick, 1) }
-func (w *decisionWriter) Log(line string)                { w.reply.Log(line) }
+func (w *decisionWriter) Health(ready bool)            { w.reply.Health(ready) }
+func (w *decisionWriter) SignalOverload(value float64) { w.reply.OverloadSignal(value) }
+func (w *decisionWriter) SetIdleTimeout(after admission.Time) {
+	w.reply.IdleTimeout(microseconds(after))
+}
+func (w *decisionWriter) WakeUp(at admission.Time) { w.reply.WakeUp(uint64(at)*microsecondsPerTick, 1) }
+func (w *decisionWriter) Log(line string)          { w.reply.Log(line) }
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -45,14 +45,14 @@
 )
 
 var outcomeOfStatus = map[int]admission.Outcome{
-	statusOK:                admission.OK,
-	statusError:             admission.Errored,
-	statusFull:              admission.Unrun,
-	statusConnectionRefused: admission.Unrun,
-	statusTimeout:           admission.Unclear,
-	statusReset:             admission.Unclear,
+	statusOK:                admission.Succeeded,
+	statusError:             admission.Failed,
+	statusFull:              admission.NotExecuted,
+	statusConnectionRefused: admission.NotExecuted,
+	statusTimeout:           admission.Unknown,
+	statusReset:             admission.Unknown,
 	statusCancelled:         admission.Stopped,
-	statusSuperseded:        admission.Moot,
+	statusSuperseded:        admission.Superseded,
 }
 
 func outcome(status int) (admission.Outcome, error) {
@@ -75,19 +75,19 @@
 	case wire.RunEnded:
 		result := e.RunResult()
 		how, err := outcome(result.Status)
-		r.Ended = append(r.Ended, admission.End{ID: result.ID, Ran: ticks(result.TookUS), How: how})
+		r.RunEnds = append(r.RunEnds, admission.RunEnd{ID: result.ID, Elapsed: ticks(result.TookUS), Outcome: how})
 		return err
 	case wire.CallNeeded:
-		r.Needs = append(r.Needs, e.RequestID())
+		r.CallRequests = append(r.CallRequests, e.RequestID())
 	case wire.CallEnded:
 		result := e.CallResult()
 		how, err := outcome(result.Status)
-		r.Returned = append(r.Returned, admission.Return{ID: result.ID, Took: ticks(result.TookUS), How: how})
+		r.CallEnds = append(r.CallEnds, admission.CallEnd{ID: result.ID, Elapsed: ticks(result.TookUS), Outcome: how})
 		return err
 	case wire.CallerGone:
-		r.Gone = append(r.Gone, e.RequestID())
+		r.Disconnected = append(r.Disconnected, e.RequestID())
 	case wire.DrainNotice:
-		r.Drain, r.Kill = true, ticks(e.KillAtUS())
+		r.Drain, r.KillAt = true, ticks(e.KillAtUS())
 	case wire.WakeUp:
 		in.gatherGauges(e)
 	default:
@@ -102,18 +102,18 @@
 		return fmt.Errorf("class %d, expected below %d", q.Class, in.controller.Handlers())
 	}
 	request := admission.Request{
-		ID:      q.ID,
-		Handler: q.Class,
-		Tenant:  q.Tenant,
-		Came:    ticks(nowUS - min(uint64(q.BacklogUS), nowUS)),
-		Due:     ticks(q.DeadlineUS),
-		KB:      q.FootprintKB,
-		Again:   q.IsRetry,
-		Caller:  q.Caller,
-		Prior:   q.Previous,
+		ID:         q.ID,
+		Handler:    q.Class,
+		Tenant:     q.Tenant,
+		ArrivedAt:  ticks(nowUS - min(uint64(q.BacklogUS), nowUS)),
+		Deadline:   ticks(q.DeadlineUS),
+		SizeKB:     q.FootprintKB,
+		IsRetry:    q.IsRetry,
+		Caller:     q.Caller,
+		PreviousID: q.Previous,
 	}
 	if q.HasWork {
-		request.Hint = ticks(q.WorkUS)
+		request.ExpectedWork = ticks(q.WorkUS)
 	}
 	in.round.Arrived = append(in.round.Arrived, request)
 	return nil
@@ -121,13 +121,13 @@
 
 // gatherGauges notes a wake-up, with the gauges where it has them.
 func (in *instance) gatherGauges(e wire.Event) {
-	in.round.Woke = true
+	in.round.TimerFired = true
 	var space [4]float64
 	read := e.Gauges(space[:0])
 	if len(read) == 0 {
 		return
 	}
-	in.round.Gauged = true
+	in.round.HasGauges = true
 	in.round.Gauges = in.settings.Gauges(read)
 }
 
@@ -156,6 +156,6 @@
 // clearRound empties the round and keeps its space.
 func (in *instance) clearRound() {
 	r := &in.round
-	*r = admission.Round{Arrived: r.Arrived[:0], Returned: r.Returned[:0], Needs: r.Needs[:0],
-		Ended: r.Ended[:0], Gone: r.Gone[:0]}
+	*r = admission.Round{Arrived: r.Arrived[:0], CallEnds: r.CallEnds[:0], CallRequests: r.CallRequests[:0],
+		RunEnds: r.RunEnds[:0], Disconnected: r.Disconnected[:0]}
 }
