--- a/internal/control/api/join.go
+++ b/internal/control/api/join.go
@@ -6,30 +6,39 @@
 	"umberwinch/internal/config"
 )
 
-const maxWord = 80 // bytes of an address or nonce
+// Bounds of the strings of a JoinRequest, in bytes: the group keeps them for each of its nodes.
+const (
+	maxAddrBytes  = 80
+	minNonceBytes = 8
+	maxNonceBytes = 80
+)
 
-// JoinRequest asks for a new incarnation.
+// JoinRequest asks for a new incarnation of a node. It stands in the group's log as well.
 type JoinRequest struct {
-	Name     string `json:"name"`
-	Zone     string `json:"zone"`
-	Addr     string `json:"addr"`
-	Nonce    string `json:"nonce"`
-	UptimeMS uint64 `json:"up_ms,omitempty"` // since its process began; 0: not said
-	// The leader's word, whatever a node says: the process that joins is the one that had the name's last lease.
+	Name  string `json:"name"`
+	Zone  string `json:"zone"`
+	Addr  string `json:"addr"`
+	Nonce string `json:"nonce"` // names the incarnation: a request that is sent again has the same
+	// UptimeMS is for how long the node's process has run; 0 where it does not say.
+	UptimeMS uint64 `json:"up_ms,omitempty"`
+	// SameProcess is set by the leader, whatever a node sends: the process had the name's last lease as well, so this is no
+	// restart.
 	SameProcess bool `json:"same,omitempty"`
 }
 
-// Validate says what is wrong with a join before it is proposed.
+// Validate gives a *FieldError for the first field that the group would not store.
 func (j *JoinRequest) Validate() error {
+	const nameForm = "up to 40 letters, digits, '-', '_' and '.'"
 	switch {
 	case !config.IsName(j.Name):
-		return fmt.Errorf("name: found %.50q, expected up to 40 letters, digits, '-', '_' and '.'", j.Name)
+		return &FieldError{"name", fmt.Sprintf("%.50q", j.Name), nameForm}
 	case !config.IsName(j.Zone):
-		return fmt.Errorf("zone: found %.50q, expected up to 40 letters, digits, '-', '_' and '.'", j.Zone)
-	case len(j.Addr) > maxWord:
-		return fmt.Errorf("addr: found %d bytes, expected at most %d", len(j.Addr), maxWord)
-	case len(j.Nonce) < 8 || len(j.Nonce) > maxWord:
-		return fmt.Errorf("nonce: found %d bytes, expected 8 to %d", len(j.Nonce), maxWord)
+		return &FieldError{"zone", fmt.Sprintf("%.50q", j.Zone), nameForm}
+	case len(j.Addr) > maxAddrBytes:
+		return &FieldError{"addr", fmt.Sprintf("%d bytes", len(j.Addr)), fmt.Sprintf("at most %d", maxAddrBytes)}
+	case len(j.Nonce) < minNonceBytes || len(j.Nonce) > maxNonceBytes:
+		return &FieldError{"nonce", fmt.Sprintf("%d bytes", len(j.Nonce)),
+			fmt.Sprintf("%d to %d", minNonceBytes, maxNonceBytes)}
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/control/api/join_test.go
@@ -0,0 +1,29 @@
+package api
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+// TestJoinRequestValidate: a field that the group would not store is named, with what was found and expected.
+func TestJoinRequestValidate(t *testing.T) {
+	valid := JoinRequest{Name: "n1", Zone: "east", Addr: "127.0.0.1:1", Nonce: "process-1"}
+	if err := valid.Validate(); err != nil {
+		t.Fatal(err)
+	}
+	for want, change := range map[string]func(*JoinRequest){
+		`name: found "a b", expected up to 40 letters, digits, '-', '_' and '.'`: func(j *JoinRequest) { j.Name = "a b" },
+		`zone: found "", expected up to 40 letters, digits, '-', '_' and '.'`:    func(j *JoinRequest) { j.Zone = "" },
+		`addr: found 81 bytes, expected at most 80`:                              func(j *JoinRequest) { j.Addr = strings.Repeat("x", 81) },
+		`nonce: found 7 bytes, expected 8 to 80`:                                 func(j *JoinRequest) { j.Nonce = "process" },
+	} {
+		j := valid
+		change(&j)
+		err := j.Validate()
+		var field *FieldError
+		if !errors.As(err, &field) || err.Error() != want {
+			t.Errorf("found %v, expected %s", err, want)
+		}
+	}
+}
--- a/internal/control/api/zones.go
+++ b/internal/control/api/zones.go
@@ -1,98 +1,106 @@
 package api
 
-// What nodes and the group say to each other of zones. A node whose group decides nothing about zones says and hears
-// none of it.
-
-// FullShare is a share of all.
+// FullShare is the share of a zone that takes all of its load: shares are counted in parts of it.
 const FullShare = 256
 
-// ZoneRules are what the policy in force says of zones.
-type ZoneRules struct {
-	Mode         string `json:"mode,omitempty"`        // off, ask (an operator leaves and returns them) or auto
-	InitialShare int    `json:"first,omitempty"`       // the share a zone begins its return with, of Whole
-	MinStepMS    uint64 `json:"hold_ms,omitempty"`     // the least time at each share of a return
-	OrderTTLMS   uint64 `json:"keep_ms,omitempty"`     // without the group a node keeps to its last order for so long
-	MaxWaitMS    uint64 `json:"max_wait_ms,omitempty"` // a zone that fails again and again waits no longer
-	ColdStart    bool   `json:"small_start,omitempty"` // a fleet of which most nodes restart at once begins with First
-}
+// Bounds of the lists of a HeartbeatRequest: more is not read.
+const (
+	MaxPriorityCounts = 16
+	MaxPeers          = 16
+)
+
+// ZoneMode says who evacuates zones and returns load to them.
+type ZoneMode string
 
 // Modes of ZoneRules.
 const (
-	ZoneModeOff    = "off"
-	ZoneModeManual = "ask"
-	ZoneModeAuto   = "auto"
+	ZoneModeOff    ZoneMode = "off"
+	ZoneModeManual ZoneMode = "ask" // an operator
+	ZoneModeAuto   ZoneMode = "auto"
 )
 
+// ZoneRules are what the policy in force says about zones.
+type ZoneRules struct {
+	Mode         ZoneMode `json:"mode,omitempty"`
+	InitialShare int      `json:"first,omitempty"`       // a zone's first share of its recovery ramp, of FullShare
+	MinStepMS    uint64   `json:"hold_ms,omitempty"`     // at each share of a ramp, at least
+	OrderTTLMS   uint64   `json:"keep_ms,omitempty"`     // for which a node without the group keeps to its last order
+	MaxWaitMS    uint64   `json:"max_wait_ms,omitempty"` // that a zone which fails again and again waits before its ramp
+	ColdStart    bool     `json:"small_start,omitempty"` // a fleet that restarts as a whole begins with InitialShare
+}
+
 // Enabled tells whether anything is decided about zones.
 func (r ZoneRules) Enabled() bool { return r.Mode == ZoneModeManual || r.Mode == ZoneModeAuto }
 
 // ZoneOrder is what a zone's state means to one of its nodes.
 type ZoneOrder struct {
-	Epoch          uint64  `json:"epoch"`           // of the order: nodes promise to act on nothing older
-	Share          int     `json:"share"`           // of Whole: what the node takes of what comes
-	PriorityCutoff float64 `json:"worth,omitempty"` // above 0: all reqs of less value, Share of those of that value, none of more
-	// RateLimited: at most Rate runs begin a second, and Dials connections below are opened.
+	Epoch uint64 `json:"epoch"` // of the order: the node promises to act on nothing older
+	Share int    `json:"share"` // of the zone's requests that the node admits, of FullShare
+	// PriorityCutoff, above 0, orders requests by their weight: those above it are rejected, Share of those that have it are
+	// admitted, all below it are.
+	PriorityCutoff float64 `json:"worth,omitempty"`
+	// RateLimited bounds the node to RateLimit runs begun a second and ConnectRateLimit connections opened a second to the
+	// services below.
 	RateLimited      bool    `json:"capped,omitempty"`
 	RateLimit        float64 `json:"rate,omitempty"`
 	ConnectRateLimit float64 `json:"dials,omitempty"`
-	// RetryBudget bounds reqs that were turned away elsewhere: so many for each Whole first tries; 0: no bound.
+	// RetryBudget is how many retries of requests that another zone rejected are admitted for each FullShare first attempts;
+	// 0: no bound.
 	RetryBudget         int    `json:"retry,omitempty"`
-	NoCapacityElsewhere bool   `json:"full,omitempty"` // nowhere in the fleet is there room for what is turned away
-	TTLMS               uint64 `json:"keep_ms"`        // without the group it holds for so long
+	NoCapacityElsewhere bool   `json:"full,omitempty"` // what the node rejects would find no capacity in another zone
+	TTLMS               uint64 `json:"keep_ms"`        // for which the order holds without the group
 }
 
-// PriorityCount is what came of reqs of one value.
+// PriorityCount is how many requests of one weight arrived.
 type PriorityCount struct {
 	Weight  float64 `json:"value"`
 	Arrived int     `json:"came"`
 }
 
-// LoadReport is what a node saw in the time before an asking: sums over MS.
+// LoadReport is what a node counted in the WindowMS before a request.
 type LoadReport struct {
-	WindowMS          int             `json:"ms"`
-	Arrived           int             `json:"came"`             // reqs read
-	Retries           int             `json:"again,omitempty"`  // further tries among them
-	RejectedByZone    int             `json:"turned,omitempty"` // turned away by the zone's order
-	Completed         int             `json:"done"`             // in time
-	Late              int             `json:"late,omitempty"`
-	Shed              int             `json:"shed,omitempty"` // by the module
-	Failed            int             `json:"errored,omitempty"`
-	OfferedWeight     float64         `json:"worth,omitempty"` // value of first tries
-	CompletedWeight   float64         `json:"got,omitempty"`   // value done in time
-	ArrivedByWeight   []PriorityCount `json:"mix,omitempty"`   // first tries by value, the least first
-	KernelConnected   bool            `json:"kernel"`          // its link is up
-	Cores             float64         `json:"cores"`
-	CoresUsed         float64         `json:"on_cores"` // in the mean
-	RunsInFlight      int             `json:"out"`      // runs under way now
-	RunsEnded         int             `json:"runs"`     // ended
-	MeanRunMS         float64         `json:"run_ms"`   // in the mean
-	Calls             int             `json:"calls,omitempty"`
-	FailedCalls       int             `json:"bad,omitempty"`     // of them failed, late or unclear
-	MeanCallMS        float64         `json:"call_ms,omitempty"` // in the mean
-	ConnectionsOpened int             `json:"opened,omitempty"`  // connections below
+	WindowMS        int             `json:"ms"`
+	Arrived         int             `json:"came"`             // requests read
+	Retries         int             `json:"again,omitempty"`  // among them
+	RejectedByZone  int             `json:"turned,omitempty"` // by the zone's order
+	Completed       int             `json:"done"`             // by their deadline
+	Late            int             `json:"late,omitempty"`   // completed after it
+	Shed            int             `json:"shed,omitempty"`   // rejected by the node's own overload control
+	Failed          int             `json:"errored,omitempty"`
+	OfferedWeight   float64         `json:"worth,omitempty"` // of first attempts
+	CompletedWeight float64         `json:"got,omitempty"`   // of what was completed by its deadline
+	ArrivedByWeight []PriorityCount `json:"mix,omitempty"`   // first attempts, the smallest weight first; MaxPriorityCounts
+	KernelConnected bool            `json:"kernel"`
+	Cores           float64         `json:"cores"`
+	CoresUsed       float64         `json:"on_cores"` // mean
+	RunsInFlight    int             `json:"out"`      // at the end of the window
+	RunsEnded       int             `json:"runs"`
+	MeanRunMS       float64         `json:"run_ms"`
+	Calls           int             `json:"calls,omitempty"` // to services below
+	FailedCalls     int             `json:"bad,omitempty"`   // of them failed, late or without a known outcome
+	MeanCallMS      float64         `json:"call_ms,omitempty"`
+	// ConnectionsOpened counts those to services below.
+	ConnectionsOpened int `json:"opened,omitempty"`
 }
 
-// PeerHealth is what one node found by probing the health of another.
-type PeerHealth struct {
-	Name   string `json:"name"`
-	Health string `json:"is"` // serves, sheds or silent
-}
+// Health is what one node found of another.
+type Health string
 
-// What one node sees of another.
+// Results of a health check.
 const (
-	PeerServing  = "serves"
-	PeerShedding = "sheds"
-	PeerSilent   = "silent"
+	PeerServing  Health = "serves"
+	PeerShedding Health = "sheds"
+	PeerSilent   Health = "silent"
 )
 
-// ProbeTarget is a node to probe.
+// PeerHealth is the result of one node's health check of another.
+type PeerHealth struct {
+	Name   string `json:"name"`
+	Health Health `json:"is"`
+}
+
+// ProbeTarget is a node whose health should be checked.
 type ProbeTarget struct {
 	Name string `json:"name"`
 	Addr string `json:"addr"`
 }
-
-// Bounds of what is said about zones.
-const (
-	MaxPriorityCounts = 16
-	MaxPeers          = 16
-)
--- a/internal/control/coordinator/part.go
+++ b/internal/control/coordinator/part.go
@@ -125,7 +125,7 @@
 	}
 	r := policy.Rules{LeaseMS: uint64(next.Fleet.Lease.Milliseconds()), Autonomous: next.Fleet.Alone}
 	if z := &next.Zones; z.Given {
-		r.Zones = api.ZoneRules{Mode: z.Decide, InitialShare: int(z.First*api.FullShare + 0.5), MinStepMS: uint64(z.Hold.Milliseconds()),
+		r.Zones = api.ZoneRules{Mode: api.ZoneMode(z.Decide), InitialShare: int(z.First*api.FullShare + 0.5), MinStepMS: uint64(z.Hold.Milliseconds()),
 			OrderTTLMS: uint64(z.Keep.Milliseconds()), MaxWaitMS: uint64(z.Wait.Milliseconds()),
 			ColdStart: z.Small}
 	}
--- a/internal/control/zones/pin_stream_test.go
+++ b/internal/control/zones/pin_stream_test.go
@@ -193,7 +193,7 @@
 			}
 			var seen []api.PeerHealth
 			for _, l := range s.watch.ProbesFor(n.Name) {
-				is := []string{api.PeerServing, api.PeerShedding, api.PeerSilent, api.PeerSilent}[s.rng.IntN(4)]
+				is := []api.Health{api.PeerServing, api.PeerShedding, api.PeerSilent, api.PeerSilent}[s.rng.IntN(4)]
 				seen = append(seen, api.PeerHealth{Name: l.Name, Health: is})
 			}
 			s.watch.Record(s.now, n, s.report(z.name, z.came), seen)
--- a/internal/control/zones/watch.go
+++ b/internal/control/zones/watch.go
@@ -36,7 +36,7 @@
 
 type sight struct {
 	at uint64
-	is string
+	is api.Health
 }
 
 // View is a zone as it looks now, worked out from the reports of its nodes: sums are the median node's times the
--- a/internal/node/server/fleet.go
+++ b/internal/node/server/fleet.go
@@ -207,7 +207,7 @@
 	if alone := ok && f.m.Autonomous(now); alone != f.alone {
 		if f.alone = alone; alone {
 			l.log.Warnf("fleet: goes on alone under version %d, without the group", f.m.ActiveVersion())
-			if p := f.plans[f.m.ActiveVersion()]; p != nil && !f.m.GroupContacted() && p.Document.Zones.Small && p.Document.Zones.Decide == api.ZoneModeAuto {
+			if p := f.plans[f.m.ActiveVersion()]; p != nil && !f.m.GroupContacted() && p.Document.Zones.Small && api.ZoneMode(p.Document.Zones.Decide) == api.ZoneModeAuto {
 				f.gate.BeginSlowStart(now, int(p.Document.Zones.First*api.FullShare+0.5), uint64(p.Document.Zones.Hold.Milliseconds()))
 				l.log.Infof("fleet: begins with %d of %d of what comes", f.gate.Share(), api.FullShare)
 			}
