--- a/internal/lab/policy_cases.go
+++ b/internal/lab/policy_cases.go
@@ -188,7 +188,7 @@
 			more += fmt.Sprintf("[class %s]\nkind = %s\nretired = yes\nresponse_target = 300ms\nclient_timeout = 3s\n", c,
 				map[string]string{"view": "replayable", "submit": "uniqued\nwindow = 20s"}[c])
 		}
-		if c := got(b.off(b.proposes(more, policy.Proposal{}).number)); !strings.Contains(c.AbortReason, "reqs of the trial were shed") {
+		if c := got(b.off(b.proposes(more, policy.Proposal{}).number)); !strings.Contains(c.AbortReason, "requests of the trial were shed") {
 			must(fmt.Errorf("called off for %q, expected the trial's finding", c.AbortReason))
 		}
 	}},
--- /dev/null
+++ b/internal/node/overlay/overlay.go
@@ -0,0 +1,153 @@
+package overlay
+
+import (
+	"fmt"
+	"time"
+
+	"umberwinch/admission"
+	"umberwinch/internal/control/document"
+	"umberwinch/internal/node/pools"
+	"umberwinch/internal/node/settings"
+)
+
+// Settings are what a node serves under with one version.
+type Settings struct {
+	Version         uint64
+	Document        *document.Document
+	Deployment      *admission.Deployment
+	PoolClasses     []pools.Class // run slots by handler; nil: the document says nothing of them
+	RetiredHandlers []bool        // by handler: no new request is taken
+}
+
+// repeatOfKind maps the document's kinds of classes to the rule on repeats.
+var repeatOfKind = map[string]admission.RetrySafety{document.Replayable: admission.Retryable,
+	document.Uniqued: admission.IdempotencyKeyed, document.NonReplayable: admission.NonRetryable}
+
+// admissionTick is the unit of admission.Time.
+const admissionTick = 100 * time.Microsecond
+
+func toAdmission(d time.Duration) admission.Time { return admission.Time(d / admissionTick) }
+
+func toDuration(t admission.Time) time.Duration { return time.Duration(t) * admissionTick }
+
+// builder collects the settings and the conflicts on the way.
+type builder struct {
+	base        *settings.Profile
+	settings    *Settings
+	classOfPool map[string]string
+	conflicts   []string
+}
+
+// Apply checks a version's document against the platform's settings and lays it over them. poolsEnabled tells whether
+// the node sets run slots apart by handler, which can't be begun while it serves. The error is a *ConflictError.
+func Apply(version uint64, base *settings.Profile, doc *document.Document, poolsEnabled bool) (*Settings, error) {
+	deployment := *base.Deployment
+	deployment.Handlers = append([]admission.Handler(nil), deployment.Handlers...)
+	deployment.Tenants = append([]admission.Tenant(nil), deployment.Tenants...)
+	b := &builder{base: base, classOfPool: map[string]string{}, settings: &Settings{Version: version, Document: doc,
+		Deployment: &deployment, RetiredHandlers: make([]bool, len(deployment.Handlers))}}
+	for i := range doc.Classes {
+		b.applyClass(&doc.Classes[i])
+	}
+	for i := range doc.Tenants {
+		b.applyTenant(&doc.Tenants[i])
+	}
+	b.applyPools(doc.Pools, poolsEnabled)
+	if len(b.conflicts) > 0 {
+		return nil, &ConflictError{b.conflicts}
+	}
+	return b.settings, nil
+}
+
+func (b *builder) conflict(format string, args ...any) {
+	b.conflicts = append(b.conflicts, fmt.Sprintf(format, args...))
+}
+
+// applyClass takes a class's weight, objective, timeout and window. Callers were promised the platform's kind,
+// timeout and window: a version may give up sooner and remember longer, never the other way.
+func (b *builder) applyClass(class *document.Class) {
+	index, known := b.base.Handlers[class.Name]
+	if !known {
+		b.conflict("class %s: found it in the policy, expected only handlers that the platform has here", class.Name)
+		return
+	}
+	handler := &b.settings.Deployment.Handlers[index]
+	if repeatOfKind[class.Kind] != handler.RetrySafety {
+		b.conflict("class %s.kind: found %s, expected the platform's", class.Name, class.Kind)
+	}
+	if timeout := toAdmission(class.Timeout); timeout > handler.Timeout {
+		b.conflict("class %s.client_timeout: found %s, expected at most the platform's %s", class.Name, class.Timeout,
+			toDuration(handler.Timeout))
+	} else if timeout > 0 {
+		handler.Timeout = timeout
+	}
+	if handler.RetrySafety == admission.IdempotencyKeyed {
+		b.applyWindow(class, handler)
+	}
+	handler.Value = class.Value
+	handler.LatencyObjective = min(max(toAdmission(class.Target), 1), handler.Timeout)
+	b.settings.RetiredHandlers[index] = class.Retired
+	b.assignPool(class)
+}
+
+// applyWindow takes the idempotency window of a class.
+func (b *builder) applyWindow(class *document.Class, handler *admission.Handler) {
+	window := toAdmission(class.Window)
+	if window < handler.IdempotencyWindow {
+		b.conflict("class %s.window: found %s, expected at least the platform's %s", class.Name, class.Window,
+			toDuration(handler.IdempotencyWindow))
+		return
+	}
+	handler.IdempotencyWindow = window
+}
+
+// assignPool notes which class uses a pool.
+func (b *builder) assignPool(class *document.Class) {
+	if class.Pool == "" {
+		return
+	}
+	if other, taken := b.classOfPool[class.Pool]; taken {
+		b.conflict("pool %s: found classes %s and %s in it, expected one here, as run slots are set apart by handler",
+			class.Pool, other, class.Name)
+	}
+	b.classOfPool[class.Pool] = class.Name
+}
+
+// applyTenant takes a tenant's quota; one that the platform does not have here has none.
+func (b *builder) applyTenant(tenant *document.Tenant) {
+	if index, known := b.base.Tenants[tenant.Name]; known && tenant.Rate > 0 {
+		b.settings.Deployment.Tenants[index].Quota = tenant.Rate
+	}
+}
+
+// applyPools takes the run slots of the pools that a class of this node uses.
+func (b *builder) applyPools(all []document.Pool, enabled bool) {
+	for _, pool := range all {
+		class, used := b.classOfPool[pool.Name]
+		if !used {
+			continue
+		}
+		if !enabled {
+			b.conflict("pool %s: found it in the policy, "+
+				"expected none while this node's own file has no [pool HANDLER]", pool.Name)
+			return
+		}
+		index, known := b.base.Handlers[class]
+		if !known {
+			continue
+		}
+		if b.settings.PoolClasses == nil {
+			b.settings.PoolClasses = b.unlimitedPools()
+		}
+		b.settings.PoolClasses[index].Floor, b.settings.PoolClasses[index].Cap = pool.Floor, pool.Cap
+	}
+}
+
+// unlimitedPools gives each handler a pool that sets nothing apart and may use all run slots.
+func (b *builder) unlimitedPools() []pools.Class {
+	classes := make([]pools.Class, len(b.settings.Deployment.Handlers))
+	for name, index := range b.base.Handlers {
+		classes[index] = pools.Class{Name: name, Value: b.settings.Deployment.Handlers[index].Value, Cap: 1}
+	}
+	return classes
+}
--- a/internal/node/shadow/pin_trials_test.go
+++ b/internal/node/shadow/pin_trials_test.go
@@ -9,8 +9,8 @@
 	"umberwinch/admission"
 )
 
-// pinnedTrials is a hash over the verdicts of trials of recorded requests, as version 2a0a97e gave them. It stays as it is: a
-// change means that a version is judged otherwise.
+// pinnedTrials is a hash over the verdicts of trials of recorded requests, as version 2a0a97e gave them. It stays as
+// it is: a change means that a version is judged otherwise.
 const pinnedTrials = "a9b72eda067824773e5e7bd9653e1ec20738cad5a589edacdd566b251bd28d5b"
 
 // pinnedRecording records requests by chance: some have a deadline, some are retries, some never end.
@@ -22,7 +22,8 @@
 	r, now := NewRecording(2), 5*admission.Second
 	for i := range uint32(300 + chance(3000)) {
 		now += admission.Time(chance(80))
-		q := admission.Request{ID: i + 1, Handler: int(chance(2)), SizeKB: float64(1 + chance(40)), Caller: uint32(chance(4)),
+		q := admission.Request{ID: i + 1, Handler: int(chance(2)), SizeKB: float64(1 + chance(40)),
+			Caller:  uint32(chance(4)),
 			IsRetry: chance(9) == 0, ExpectedWork: admission.Time(chance(200)), Tenant: int(chance(3)) - 1}
 		if chance(3) == 0 {
 			q.Deadline = now + admission.Time(chance(20_000))
@@ -49,12 +50,13 @@
 		if seed%4 == 0 {
 			next.Cancellation = admission.CancelDrop
 		}
-		v := Evaluate(deployment(), next, []bool{false, seed%11 == 0}, pinnedRecording(seed).Snapshot(), bounds)
+		v := Evaluate(deployment(), next, []bool{false, seed%11 == 0}, pinnedRecording(seed).Snapshot(), limits)
 		if v.Reason != "" {
 			refused++
 		}
 		for _, o := range []Outcome{v.Current, v.Candidate} {
-			fmt.Fprintln(sum, o.Offered, o.Completed, o.OnTime, o.Shed, o.Failed, o.Unanswered, o.PeakKB, o.Rounds, o.ProbesCompleted)
+			fmt.Fprintln(sum, o.Offered, o.Completed, o.OnTime, o.Shed, o.Failed, o.Unanswered, o.PeakKB, o.Rounds,
+				o.ProbesCompleted)
 		}
 		fmt.Fprintln(sum, v.Requests, v.Reason != "")
 	}
