--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -190,7 +190,7 @@
 		}
 		// A step can't come sooner than a hold and the reports of it after the one before, and makes four times the share at most.
 		each := z.Rules.MinStepMS + zones.HeartbeatIntervalMS(s.In)
-		for share := o.Share; share < api.FullShare; share *= zones.MaxRampFactor {
+		for share := o.Share; share < api.FullShare; share *= api.MaxRampFactor {
 			s.LeastMS += each
 		}
 		s.LeastMS += each - min(each, s.SinceMS)
--- a/internal/control/zones/next.go
+++ b/internal/control/zones/next.go
@@ -20,14 +20,12 @@
 	// time that a run takes is in it, so a cold service that takes five times as long is asked for a fifth.
 	// The step back is proportional, to below the aim. Where runs take what they usually did the service is warm, and its
 	// rate alone bounds it.
-	flightMost    = 0.85
-	backAt        = 1.1
-	backTo        = 0.75
-	warmTimes     = 1.3
-	evenTimes     = 1.15 // slower than usual by less tells nothing: reports differ by a tenth
-	MaxRampFactor = 4    // times, a step
-	growLeast     = 1.08 // or it is held
-	overLooks     = 3    // in a row: a second and a half, so that one uneven report does not cost a step
+	flightMost = 0.85
+	backAt     = 1.1
+	backTo     = 0.75
+	warmTimes  = 1.3
+	evenTimes  = 1.15 // slower than usual by less tells nothing: reports differ by a tenth
+	overLooks  = 3    // in a row: a second and a half, so that one uneven report does not cost a step
 	// A step counts as shown once so many runs have ended at it.
 	shownRuns = 10
 	splitRest = 1000 // ms between two splits of a ceiling
@@ -357,14 +355,14 @@
 		op.RetryBudget, op.FleetFull = w.retry(s, v, InService, true)
 		return op
 	}
-	grow := float64(MaxRampFactor)
+	grow := float64(api.MaxRampFactor)
 	if high := max(v.loads[0], v.loads[1], v.loads[2]); high > 0 { // of some looks, as a report may be uneven
-		grow = min(MaxRampFactor, flightMost/high)
+		grow = min(api.MaxRampFactor, flightMost/high)
 	}
 	if warm {
-		grow = max(grow, MaxRampFactor/2)
+		grow = max(grow, api.MaxRampFactor/2)
 	}
-	if grow < growLeast {
+	if grow < api.MinRampFactor {
 		v.Note = fmt.Sprintf("at %d of %d: held, %.0f runs under way of %.0f it bore", z.Share, api.FullShare, v.Concurrency,
 			z.Capacity.Concurrency)
 		return nil
--- a/internal/control/zones/watch.go
+++ b/internal/control/zones/watch.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 	"sort"
 
 	"umberwinch/internal/control/api"
@@ -96,7 +95,7 @@
 		w.nodes[n.Name] = r
 	}
 	r.at = now
-	if l != nil && sane(l) {
+	if l != nil && l.Plausible() {
 		r.load, r.has = *l, true
 	}
 	if len(seen) > api.MaxPeers {
@@ -109,22 +108,6 @@
 	}
 }
 
-// sane tells whether a report can be true.
-func sane(l *api.LoadReport) bool {
-	for _, f := range []float64{l.OfferedWeight, l.CompletedWeight, l.Cores, l.CoresUsed, l.MeanRunMS, l.MeanCallMS} {
-		if math.IsNaN(f) || math.IsInf(f, 0) || f < 0 || f > 1e9 {
-			return false
-		}
-	}
-	for _, n := range []int{l.WindowMS, l.Arrived, l.Retries, l.RejectedByZone, l.Completed, l.Late, l.Shed, l.Failed, l.RunsEnded, l.Calls, l.FailedCalls,
-		l.ConnectionsOpened, l.RunsInFlight} {
-		if n < 0 || n > 1e7 {
-			return false
-		}
-	}
-	return l.WindowMS >= 200 && l.WindowMS <= 60_000 && l.FailedCalls <= l.Calls && len(l.ArrivedByWeight) <= api.MaxPriorityCounts && l.Cores > 0
-}
-
 // LastHeard tells when a node's present incarnation was heard last, 0: not by this leader.
 func (w *Monitor) LastHeard(n *membership.Node) uint64 {
 	if r := w.nodes[n.Name]; r != nil && r.lease == n.Lease.ID {
--- a/internal/lab/vfleet.go
+++ b/internal/lab/vfleet.go
@@ -15,6 +15,7 @@
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/node/agent"
+	"umberwinch/internal/node/zonegate"
 )
 
 // vfleet.go is a fleet in virtual time: the group's replicated part and its leaders' stewards, the nodes' members, all
@@ -88,7 +89,7 @@
 	armed  float64
 	busy   uint64          // version being prepared
 	at     api.VersionHash // prepared last
-	gate   *zones.Gate
+	gate   *zonegate.Gate
 	seen   []api.PeerHealth
 	held   bool // not started yet
 }
@@ -406,7 +407,7 @@
 	if !n.forget && n.kept.Cluster != "" {
 		kept = &n.kept
 	}
-	n.m, n.gate = agent.New(plan, kept, n.clock()), zones.NewGate(1, plan.JitterSeed)
+	n.m, n.gate = agent.New(plan, kept, n.clock()), zonegate.NewGate(1, plan.JitterSeed)
 	n.gate.SetOrder(n.clock(), n.m.ZoneOrder())
 	n.step()
 }
--- a/internal/lab/vzones.go
+++ b/internal/lab/vzones.go
@@ -6,6 +6,7 @@
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/control/zones"
+	"umberwinch/internal/node/zonegate"
 )
 
 // vzones.go is traffic on a fleet in virtual time: callers that try elsewhere, nodes by their real gates, and for each
@@ -271,7 +272,7 @@
 	capped           bool
 	free             float64 // nodes without a ceiling
 	retry            float64
-	gate             *zones.Gate // of one of them, and its clock
+	gate             *zonegate.Gate // of one of them, and its clock
 	clock            uint64
 }
 
@@ -389,7 +390,7 @@
 		}
 		for i := range flowPlaces {
 			place := s.pick[c] + (1-s.pick[c])*(float64(i)+0.5)/flowPlaces
-			wait(k, c, n/flowPlaces, s.gate.RetryAfter(s.clock, zones.Request{Hash: uint32(place*api.FullShare) << 16}))
+			wait(k, c, n/flowPlaces, s.gate.RetryAfter(s.clock, zonegate.Request{Hash: uint32(place*api.FullShare) << 16}))
 		}
 	}
 	if v.Oracle {
--- a/internal/node/server/fleet.go
+++ b/internal/node/server/fleet.go
@@ -22,11 +22,11 @@
 	"umberwinch/internal/control/document"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/recovery"
-	"umberwinch/internal/control/zones"
 	"umberwinch/internal/node/agent"
 	"umberwinch/internal/node/overlay"
 	"umberwinch/internal/node/shadow"
 	"umberwinch/internal/node/wire"
+	"umberwinch/internal/node/zonegate"
 )
 
 type fleetJob uint8
@@ -63,8 +63,8 @@
 	armed     uint64 // a deadline is set for then
 	alone     bool
 	spread    recovery.RetryAfterSpreader
-	gate      *zones.Gate
-	meter     *zones.Meter
+	gate      *zonegate.Gate
+	meter     *zonegate.Meter
 	look      *controlClient
 	looks     []api.ProbeTarget // still to be looked at
 	seen      []api.PeerHealth  // and what was seen, for the next asking
@@ -101,7 +101,7 @@
 	o := l.startup.own.Fleet
 	f := &fleetPart{own: o, base: l.settings.Deployment, plans: map[uint64]*overlay.Settings{}, texts: map[uint64]string{},
 		rec: shadow.NewRecording(len(l.settings.Deployment.Handlers)), retired: make([]bool, len(l.settings.Deployment.Handlers)),
-		meter: zones.NewMeter(steadyMS(), l.values())}
+		meter: zonegate.NewMeter(steadyMS(), l.values())}
 	var nonce [12]byte
 	rand.Read(nonce[:]) // never fails
 	plan := agent.Config{Name: o.Name, Zone: o.Zone, Address: l.startup.Listen, ControlAddresses: o.Control,
@@ -112,7 +112,7 @@
 	if plan.Name == "" {
 		plan.Name = l.startup.Name
 	}
-	f.gate = zones.NewGate(len(l.settings.Deployment.Handlers), plan.JitterSeed)
+	f.gate = zonegate.NewGate(len(l.settings.Deployment.Handlers), plan.JitterSeed)
 	if !config.IsName(plan.Name) {
 		return fmt.Errorf("fleet.name: found %.50q, expected up to 40 letters, digits, '-', '_' and '.'", plan.Name)
 	}
@@ -628,13 +628,13 @@
 	if l.settings.Deployment.Handlers[handler].RetrySafety == admission.IdempotencyKeyed {
 		once = q.IdempotencyKey
 	}
-	asked := zones.Request{Handler: handler, Value: l.settings.Deployment.Handlers[handler].Value,
-		Hash: zones.RequestHash(once, q.Tenant, q.Caller), IsRetry: q.IsRetry, SeenBefore: key != "" && l.idempotency.find(key) != nil}
-	ok, last := f.gate.Admit(now, asked)
-	if !ok {
+	asked := zonegate.Request{Handler: handler, Value: l.settings.Deployment.Handlers[handler].Value,
+		Hash: zonegate.RequestHash(once, q.Tenant, q.Caller), IsRetry: q.IsRetry, SeenBefore: key != "" && l.idempotency.find(key) != nil}
+	decision := f.gate.Admit(now, asked)
+	if !decision.Admitted {
 		l.counters.Turned++
-		f.meter.RequestArrived(now, handler, q.IsRetry, true)
-		a.NoRetry, a.RetryAfterMS = last, l.comeBack(&f.spread, f.gate.RetryAfter(now, asked))
+		f.meter.RequestRejected(now, handler, q.IsRetry)
+		a.NoRetry, a.RetryAfterMS = decision.Final, l.comeBack(&f.spread, f.gate.RetryAfter(now, asked))
 		return 503
 	}
 	return 0
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -133,7 +133,7 @@
 	}
 	l.trace(r, "came %.1f ms ago, handler %s, sender %d, again %v", milliseconds(l.now-came), name, q.Caller, q.IsRetry)
 	if l.fleet != nil {
-		l.fleet.meter.RequestArrived(steadyMS(), i, q.IsRetry, false)
+		l.fleet.meter.RequestAdmitted(steadyMS(), i, q.IsRetry)
 	}
 	admit := admission.Request{ID: uint32(h), Handler: i, Tenant: tenant, ArrivedAt: came, Deadline: due,
 		ExpectedWork: admission.Time(q.ExpectedWorkMS * 10), SizeKB: q.FootprintKB, IsRetry: q.IsRetry, Caller: q.Caller}
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -22,9 +22,9 @@
 
 	"umberwinch/admission"
 	"umberwinch/internal/clock"
-	"umberwinch/internal/control/zones"
 	"umberwinch/internal/node/settings"
 	"umberwinch/internal/node/wire"
+	"umberwinch/internal/node/zonegate"
 )
 
 // slow is a connection whose other side takes nothing until it is let.
@@ -338,7 +338,7 @@
 // nothing would look like one that nobody calls.
 func TestCallsGivenUp(t *testing.T) {
 	l := &loop{now: 5000, requests: newTable[request](8), limits: NewLimits(1, 64, 256),
-		fleet: &fleetPart{meter: zones.NewMeter(steadyMS(), []float64{1})}}
+		fleet: &fleetPart{meter: zonegate.NewMeter(steadyMS(), []float64{1})}}
 	r := &request{callState: callSent, callStarted: 2000}
 	l.cancelCall(1, r)
 	l.cancelCall(1, r) // there is none any more
--- a/internal/control/zones/gate_test.go
+++ b/internal/node/zonegate/gate_test.go
@@ -1,4 +1,4 @@
-package zones
+package zonegate
 
 import (
 	"fmt"
@@ -18,7 +18,7 @@
 			taken := 0
 			for sender := uint32(0); sender < 4000; sender++ {
 				h := RequestHash(nil, []byte(tenant), sender)
-				ok, _ := g.Admit(1000, Request{Hash: h})
+				ok := g.Admit(1000, Request{Hash: h}).Admitted
 				if ok {
 					taken++
 				}
@@ -33,14 +33,14 @@
 		}
 	}
 	g.SetOrder(1000, &api.ZoneOrder{Epoch: 300, Share: 0})
-	if ok, _ := g.Admit(1000, Request{SeenBefore: true}); !ok || !g.Evacuated() {
+	if !g.Admit(1000, Request{SeenBefore: true}).Admitted || !g.Evacuated() {
 		t.Error("a repeat of what came here is turned away, or the gate is not out")
 	}
 	// A policy that decides nothing about zones any more takes all.
 	if g.SetOrder(1000, nil); g.Evacuated() || g.Share() != api.FullShare {
 		t.Error("out with nothing decided about zones")
 	}
-	if ok, _ := g.Admit(1000, Request{}); !ok {
+	if !g.Admit(1000, Request{}).Admitted {
 		t.Error("turns away with nothing decided about zones")
 	}
 }
@@ -52,13 +52,13 @@
 	in, n := 0, 0
 	for s := uint32(0); s < 1000; s++ {
 		h := RequestHash([]byte(fmt.Sprint("key", s)), nil, 0)
-		if ok, _ := g.Admit(0, Request{Value: 1, Hash: h}); !ok {
+		if !g.Admit(0, Request{Value: 1, Hash: h}).Admitted {
 			t.Fatal("what is worth less is turned away")
 		}
-		if ok, _ := g.Admit(0, Request{Value: 20, Hash: h}); ok {
+		if g.Admit(0, Request{Value: 20, Hash: h}).Admitted {
 			t.Fatal("what is worth more is taken")
 		}
-		if ok, _ := g.Admit(0, Request{Value: 2, Hash: h}); ok {
+		if g.Admit(0, Request{Value: 2, Hash: h}).Admitted {
 			in++
 		}
 		n++
@@ -75,7 +75,7 @@
 	g.SetOrder(1000, &api.ZoneOrder{Epoch: 1, Share: api.FullShare, RateLimited: true, RateLimit: 10, ConnectRateLimit: 2})
 	taken, dials := 0, 0
 	for now := uint64(1000); now < 6000; now += 10 {
-		if ok, _ := g.Admit(now, Request{}); ok {
+		if g.Admit(now, Request{}).Admitted {
 			taken++
 		}
 		if g.AdmitConnection(now) {
@@ -89,17 +89,17 @@
 	again, turned := 0, 0
 	for i := 0; i < 400; i++ {
 		g.Admit(6000, Request{Handler: 1})
-		ok, last := g.Admit(6000, Request{Handler: 1, IsRetry: true})
-		if ok {
+		d := g.Admit(6000, Request{Handler: 1, IsRetry: true})
+		if d.Admitted {
 			again++
-		} else if turned++; !last {
+		} else if turned++; !d.Final {
 			t.Fatal("with no room anywhere it is not final")
 		}
 	}
 	if again != 100 || turned != 300 {
 		t.Errorf("%d tries from elsewhere taken beside 400 first ones, expected 100", again)
 	}
-	if ok, _ := g.Admit(6000, Request{Handler: 0, IsRetry: true}); ok {
+	if g.Admit(6000, Request{Handler: 0, IsRetry: true}).Admitted {
 		t.Error("one handler's first tries pay for another's")
 	}
 }
@@ -136,7 +136,7 @@
 func TestMeter(t *testing.T) {
 	m := NewMeter(10_000, []float64{1, 20})
 	for now := uint64(10_000); now < 20_000; now += 10 {
-		m.RequestArrived(now, int(now/10)%2, now%100 == 0, false)
+		m.RequestAdmitted(now, int(now/10)%2, now%100 == 0)
 		m.RequestAnswered(now, 1, 200, true)
 		m.RunEnded(now, 8)
 		m.CallEnded(now, 4, now%50 == 0)
@@ -144,7 +144,7 @@
 	}
 	l := m.Report(20_000, true, 4, 3)
 	if l.WindowMS < 1700 || l.WindowMS > 2000 || l.Arrived < 170 || l.Arrived > 200 || l.Retries != l.Arrived/10 && l.Retries != l.Arrived/10+1 || l.MeanRunMS != 8 ||
-		l.MeanCallMS != 4 || l.CoresUsed != 2 || l.Completed != l.RunsEnded || l.RunsInFlight != 3 || len(l.ArrivedByWeight) != 2 || !sane(l) || !m.Healthy(20_000, 0) {
+		l.MeanCallMS != 4 || l.CoresUsed != 2 || l.Completed != l.RunsEnded || l.RunsInFlight != 3 || len(l.ArrivedByWeight) != 2 || !l.Plausible() || !m.Healthy(20_000, 0) {
 		t.Errorf("%+v", l)
 	}
 	m.RequestAnswered(29_000, 0, 500, true)
@@ -165,7 +165,7 @@
 	g.BeginSlowStart(1000, 16, 2000)
 	took := func(now uint64) (n int) {
 		for i := uint32(0); i < 256; i++ {
-			if ok, _ := g.Admit(now, Request{Hash: i << 16}); ok {
+			if g.Admit(now, Request{Hash: i << 16}).Admitted {
 				n++
 			}
 		}
@@ -235,7 +235,7 @@
 		for epoch := uint64(1); epoch <= 5; epoch++ {
 			g.SetOrder(epoch*4000, &api.ZoneOrder{Epoch: epoch, Share: api.FullShare, RateLimited: true, RateLimit: each})
 			for now := epoch * 4000; now < epoch*4000+4000; now += 50 {
-				if ok, _ := g.Admit(now, Request{}); ok {
+				if g.Admit(now, Request{}).Admitted {
 					taken++
 				}
 			}
--- a/internal/control/zones/pin_gate_test.go
+++ b/internal/node/zonegate/pin_gate_test.go
@@ -1,4 +1,4 @@
-package zones
+package zonegate
 
 import (
 	"bytes"
@@ -62,8 +62,13 @@
 		if rng.IntN(2) == 0 {
 			q.Hash = RequestHash(nil, []byte("tenant"), uint32(rng.IntN(500)))
 		}
-		ok, last := gate.Admit(now, q)
-		meter.RequestArrived(now, handler, q.IsRetry, !ok)
+		decision := gate.Admit(now, q)
+		ok, last := decision.Admitted, decision.Final
+		if ok {
+			meter.RequestAdmitted(now, handler, q.IsRetry)
+		} else {
+			meter.RequestRejected(now, handler, q.IsRetry)
+		}
 		switch {
 		case ok:
 			taken++
@@ -107,7 +112,11 @@
 	m := NewMeter(10_000, values)
 	for now := uint64(10_000); now < 14_000; now += 10 {
 		i := int(now / 10)
-		m.RequestArrived(now, i%20, i%7 == 0, i%9 == 0)
+		if i%9 == 0 {
+			m.RequestRejected(now, i%20, i%7 == 0)
+		} else {
+			m.RequestAdmitted(now, i%20, i%7 == 0)
+		}
 		m.RequestAnswered(now, i%20, []int{200, 503, 500, 200}[i%4], i%3 != 0)
 		m.RunEnded(now, float64(i%50))
 		m.CallEnded(now, float64(i%30), i%11 == 0)
