--- a/internal/control/api/errors.go
+++ b/internal/control/api/errors.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// FieldError says what was found in a field of a message and what was expected. It is told to the sender, who has to change
-// the message: sent again as it is, it is refused again.
+// FieldError says what was found in a field of a message and what was expected. It is told to the sender, who has to
+// change the message: sent again as it is, it is refused again.
 type FieldError struct {
 	Field    string // its JSON key
 	Found    string
--- a/internal/control/api/heartbeat.go
+++ b/internal/control/api/heartbeat.go
@@ -1,13 +1,14 @@
 package api
 
-// HeartbeatRequest is what a node sends. Without a LeaseID it asks to join; with Renew it asks for a longer lease, which goes
-// through the group's log; otherwise it reports, and learns what holds now.
+// HeartbeatRequest is what a node sends. Without a LeaseID it asks to join; with Renew it asks for a longer lease,
+// which goes through the group's log; otherwise it reports, and learns what holds now.
 type HeartbeatRequest struct {
 	JoinRequest
 	LeaseID uint32 `json:"lease,omitempty"` // of the node's incarnation; 0: it has none
 	Renew   bool   `json:"renew,omitempty"`
 	Leave   bool   `json:"bye,omitempty"` // it has drained and serves no more
-	// LastClockMS is the group's time in the last response that the node got. It shows the leader that responses arrive.
+	// LastClockMS is the group's time in the last response that the node got. It shows the leader that responses
+	// arrive.
 	LastClockMS uint64 `json:"echo"`
 	// MinVersion is the node's promise: from the sending of this on it serves under no older version.
 	MinVersion      uint64 `json:"floor"`
@@ -23,8 +24,8 @@
 	LastSeen     *GroupPosition `json:"heard,omitempty"` // of the last response, by whichever group
 }
 
-// GroupPosition is where a group stood at its last response to a node, and what the node serves under because of it. What a
-// response has was committed, so a group that does not know it has lost state.
+// GroupPosition is where a group stood at its last response to a node, and what the node serves under because of it.
+// What a response has was committed, so a group that does not know it has lost state.
 type GroupPosition struct {
 	Group         string `json:"group"`
 	Generation    uint64 `json:"generation"`
--- a/internal/control/api/join.go
+++ b/internal/control/api/join.go
@@ -21,8 +21,8 @@
 	Nonce string `json:"nonce"` // names the incarnation: a request that is sent again has the same
 	// UptimeMS is for how long the node's process has run; 0 where it does not say.
 	UptimeMS uint64 `json:"up_ms,omitempty"`
-	// SameProcess is set by the leader, whatever a node sends: the process had the name's last lease as well, so this is no
-	// restart.
+	// SameProcess is set by the leader, whatever a node sends: the process had the name's last lease as well, so this
+	// is no restart.
 	SameProcess bool `json:"same,omitempty"`
 }
 
--- a/internal/control/api/join_test.go
+++ b/internal/control/api/join_test.go
@@ -12,18 +12,25 @@
 	if err := valid.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	for want, change := range map[string]func(*JoinRequest){
-		`name: found "a b", expected up to 40 letters, digits, '-', '_' and '.'`: func(j *JoinRequest) { j.Name = "a b" },
-		`zone: found "", expected up to 40 letters, digits, '-', '_' and '.'`:    func(j *JoinRequest) { j.Zone = "" },
-		`addr: found 81 bytes, expected at most 80`:                              func(j *JoinRequest) { j.Addr = strings.Repeat("x", 81) },
-		`nonce: found 7 bytes, expected 8 to 80`:                                 func(j *JoinRequest) { j.Nonce = "process" },
+	for _, c := range []struct {
+		change func(*JoinRequest)
+		want   string
+	}{
+		{func(j *JoinRequest) { j.Name = "a b" },
+			`name: found "a b", expected up to 40 letters, digits, '-', '_' and '.'`},
+		{func(j *JoinRequest) { j.Zone = "" },
+			`zone: found "", expected up to 40 letters, digits, '-', '_' and '.'`},
+		{func(j *JoinRequest) { j.Addr = strings.Repeat("x", 81) },
+			`addr: found 81 bytes, expected at most 80`},
+		{func(j *JoinRequest) { j.Nonce = "process" },
+			`nonce: found 7 bytes, expected 8 to 80`},
 	} {
 		j := valid
-		change(&j)
+		c.change(&j)
 		err := j.Validate()
 		var field *FieldError
-		if !errors.As(err, &field) || err.Error() != want {
-			t.Errorf("found %v, expected %s", err, want)
+		if !errors.As(err, &field) || err.Error() != c.want {
+			t.Errorf("found %v, expected %s", err, c.want)
 		}
 	}
 }
--- a/internal/control/api/pin_messages_test.go
+++ b/internal/control/api/pin_messages_test.go
@@ -62,8 +62,9 @@
 	}
 }
 
-// TestMessagesAsSent: every message between a node and the control service has the bytes that version 2a0a97e sent, with all
-// fields set, with all parts and no field set, and with nothing, and is read back whole. A build of that version on the other side would misread any other form.
+// TestMessagesAsSent: every message between a node and the control service has the bytes that version 2a0a97e sent,
+// with all fields set, with all parts and no field set, and with nothing, and is read back whole. A build of that
+// version on the other side would misread any other form.
 func TestMessagesAsSent(t *testing.T) {
 	for name, message := range map[string]any{
 		"request":  &HeartbeatRequest{},
--- a/internal/control/api/zones.go
+++ b/internal/control/api/zones.go
@@ -23,9 +23,9 @@
 type ZoneRules struct {
 	Mode         ZoneMode `json:"mode,omitempty"`
 	InitialShare int      `json:"first,omitempty"`       // a zone's first share of its recovery ramp, of FullShare
-	MinStepMS    uint64   `json:"hold_ms,omitempty"`     // at each share of a ramp, at least
-	OrderTTLMS   uint64   `json:"keep_ms,omitempty"`     // for which a node without the group keeps to its last order
-	MaxWaitMS    uint64   `json:"max_wait_ms,omitempty"` // that a zone which fails again and again waits before its ramp
+	MinStepMS    uint64   `json:"hold_ms,omitempty"`     // at each share of a ramp
+	OrderTTLMS   uint64   `json:"keep_ms,omitempty"`     // an order holds so long without the group
+	MaxWaitMS    uint64   `json:"max_wait_ms,omitempty"` // longest wait of a zone that keeps failing
 	ColdStart    bool     `json:"small_start,omitempty"` // a fleet that restarts as a whole begins with InitialShare
 }
 
@@ -36,16 +36,16 @@
 type ZoneOrder struct {
 	Epoch uint64 `json:"epoch"` // of the order: the node promises to act on nothing older
 	Share int    `json:"share"` // of the zone's requests that the node admits, of FullShare
-	// PriorityCutoff, above 0, orders requests by their weight: those above it are rejected, Share of those that have it are
-	// admitted, all below it are.
+	// PriorityCutoff, above 0, orders requests by their weight: those above it are rejected, Share of those that have
+	// it are admitted, all below it are.
 	PriorityCutoff float64 `json:"worth,omitempty"`
-	// RateLimited bounds the node to RateLimit runs begun a second and ConnectRateLimit connections opened a second to the
-	// services below.
+	// RateLimited bounds the node to RateLimit runs begun a second and ConnectRateLimit connections opened a second
+	// to the services below.
 	RateLimited      bool    `json:"capped,omitempty"`
 	RateLimit        float64 `json:"rate,omitempty"`
 	ConnectRateLimit float64 `json:"dials,omitempty"`
-	// RetryBudget is how many retries of requests that another zone rejected are admitted for each FullShare first attempts;
-	// 0: no bound.
+	// RetryBudget is how many retries of requests that another zone rejected are admitted for each FullShare first
+	// attempts; 0: no bound.
 	RetryBudget         int    `json:"retry,omitempty"`
 	NoCapacityElsewhere bool   `json:"full,omitempty"` // what the node rejects would find no capacity in another zone
 	TTLMS               uint64 `json:"keep_ms"`        // for which the order holds without the group
@@ -69,7 +69,7 @@
 	Failed          int             `json:"errored,omitempty"`
 	OfferedWeight   float64         `json:"worth,omitempty"` // of first attempts
 	CompletedWeight float64         `json:"got,omitempty"`   // of what was completed by its deadline
-	ArrivedByWeight []PriorityCount `json:"mix,omitempty"`   // first attempts, the smallest weight first; MaxPriorityCounts
+	ArrivedByWeight []PriorityCount `json:"mix,omitempty"`   // first attempts, the smallest weight first
 	KernelConnected bool            `json:"kernel"`
 	Cores           float64         `json:"cores"`
 	CoresUsed       float64         `json:"on_cores"` // mean
--- /dev/null
+++ b/internal/control/membership/snapshot.go
@@ -0,0 +1,60 @@
+package membership
+
+import (
+	"encoding/json"
+	"fmt"
+)
+
+// snapshot is the stored form of the state. Builds of different versions read each other's, so keys and order stay.
+type snapshot struct {
+	ClockMS              uint64  `json:"clock"`
+	Batches              uint64  `json:"beats"`
+	Epoch                uint64  `json:"epoch"`
+	Term                 uint64  `json:"term"`
+	ListeningSinceMS     uint64  `json:"heard"`
+	LastLeaseID          uint32  `json:"next"`
+	UnknownLeasesUntilMS uint64  `json:"hush,omitempty"`
+	LostState            string  `json:"lost,omitempty"`
+	Nodes                []*Node `json:"nodes"`
+}
+
+// Snapshot gives the state as JSON.
+func (s *State) Snapshot() ([]byte, error) {
+	return json.Marshal(snapshot{
+		ClockMS:              s.ClockMS,
+		Batches:              s.Batches,
+		Epoch:                s.Epoch,
+		Term:                 s.Term,
+		ListeningSinceMS:     s.ListeningSinceMS,
+		LastLeaseID:          s.lastLeaseID,
+		UnknownLeasesUntilMS: s.UnknownLeasesUntilMS,
+		LostState:            s.LostState,
+		Nodes:                s.nodes,
+	})
+}
+
+// Restore reads what Snapshot gave. Its errors wrap ErrSnapshot.
+func Restore(raw []byte) (*State, error) {
+	var p snapshot
+	if err := json.Unmarshal(raw, &p); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
+	}
+	if len(p.Nodes) > MaxNodes {
+		return nil, fmt.Errorf("%w of %d nodes, expected at most %d", ErrSnapshot, len(p.Nodes), MaxNodes)
+	}
+	s := New()
+	s.ClockMS, s.Batches, s.Epoch, s.Term = p.ClockMS, p.Batches, p.Epoch, p.Term
+	s.ListeningSinceMS, s.UnknownLeasesUntilMS = p.ListeningSinceMS, p.UnknownLeasesUntilMS
+	s.LostState, s.lastLeaseID = p.LostState, p.LastLeaseID
+	for i, n := range p.Nodes {
+		if i > 0 && p.Nodes[i-1].Name >= n.Name {
+			return nil, fmt.Errorf("%w has %q after %q, expected them in order", ErrSnapshot, n.Name, p.Nodes[i-1].Name)
+		}
+		s.nodes = append(s.nodes, n)
+		s.byName[n.Name] = n
+		if n.OutReason == "" && n.Lease.ID != 0 {
+			s.byLease[n.Lease.ID] = n
+		}
+	}
+	return s, nil
+}
