--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -36,7 +36,7 @@
 func (c *client) zoneOp(ctx context.Context, op zones.Op) (zones.Result, error) {
 	var r zones.Result
 	op.Operator, op.IdempotencyKey = whoami(), newSession()
-	if err := op.Valid(); err != nil {
+	if err := op.Validate(); err != nil {
 		return r, usage(err)
 	}
 	body, err := json.Marshal(op)
@@ -120,7 +120,7 @@
 			}
 			if z.Phase == zones.Ramping {
 				rows = append(rows, []string{"ceiling", fmt.Sprintf("%.0f runs and %.0f connections below a second, over %d leases",
-					z.RateLimit, z.ConnectionRateLimit, len(z.Quotas))})
+					z.RateLimit, z.ConnectRateLimit, len(z.Quotas))})
 			}
 			if v.Clock < z.RampNotBefore && z.Phase != zones.InService {
 				rows = append(rows, []string{"returns", fmt.Sprintf("in %.1f s at the soonest; it failed again %d times",
@@ -133,7 +133,7 @@
 				rows = append(rows, []string{"seen", fmt.Sprintf("%d nodes, %d quiet, %d heard, %d sick %s; score %.1f", s.NodesIn, s.NodesSilent,
 					s.NodesReporting, s.NodesUnhealthy, s.Symptom, s.FailureScore)},
 					[]string{"does", fmt.Sprintf("%.0f runs a second of %.0f it could, %.1f under way, %.0f ms a run; value %.0f of %.0f a "+
-						"second", s.RunRate, s.RunCapacity, s.Concurrency, s.RunMS, s.CompletedValue, s.OfferedValue)}, []string{"note", s.Note})
+						"second", s.RunRate, s.RunCapacity, s.Concurrency, s.RunMS, s.CompletedWeight, s.OfferedWeight)}, []string{"note", s.Note})
 			}
 			return table(w, rows)
 		})}
--- a/internal/control/consensus/recover.go
+++ b/internal/control/consensus/recover.go
@@ -269,7 +269,7 @@
 	var k recovery.NodeRecord
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, most)).Decode(&k)
 	if err == nil {
-		err = k.Valid()
+		err = k.Validate()
 	}
 	if err == nil {
 		err = g.keep(&k)
--- a/internal/control/consensus/zones.go
+++ b/internal/control/consensus/zones.go
@@ -121,14 +121,14 @@
 	case a.group.View().Level < LevelZones:
 		err = ErrLevel
 	default:
-		err = op.Valid()
+		err = op.Validate()
 	}
 	if err != nil {
 		a.failed(w, err)
 		return
 	}
 	// What only the rules may say is left out: an operator's share gets its ceiling from what the zone bore.
-	op.RateLimit, op.ConnectionRateLimit, op.PriorityCutoff, op.Capacities, op.ValueOfStaying, op.ValueOfEvacuating, op.Epoch = 0, 0, 0, nil, 0, 0, 0
+	op.RateLimit, op.ConnectRateLimit, op.PriorityCutoff, op.Capacities, op.ValueOfStaying, op.ValueOfEvacuating, op.Epoch = 0, 0, 0, nil, 0, 0, 0
 	if op.Kind == "leave" {
 		op.Cause = "operator"
 		if op.DrillMS > 0 {
--- a/internal/control/coordinator/part.go
+++ b/internal/control/coordinator/part.go
@@ -215,7 +215,7 @@
 		s.Gen = p.Generation
 	}
 	if p.Zones.Epoch > 0 || len(p.Zones.Zones) > 0 { // an older build reads what it knows where there is none
-		if s.Zones, err = p.Zones.Save(); err != nil {
+		if s.Zones, err = p.Zones.Snapshot(); err != nil {
 			return nil, err
 		}
 	}
@@ -236,7 +236,7 @@
 	if err != nil {
 		return err
 	}
-	z, err := zones.Load(s.Zones)
+	z, err := zones.Restore(s.Zones)
 	if err != nil {
 		return err
 	}
@@ -275,6 +275,6 @@
 			left[name] = k.ZoneShare
 		}
 	}
-	p.Zones.Restore(found.ZoneEpoch, left, p.Fleet)
+	p.Zones.BeginGeneration(found.ZoneEpoch, left, p.Fleet)
 	return nil
 }
--- a/internal/control/recovery/pin_plan_test.go
+++ b/internal/control/recovery/pin_plan_test.go
@@ -87,7 +87,7 @@
 			if lacks != "" {
 				lost++
 			}
-			err := all[i].Valid()
+			err := all[i].Validate()
 			if err != nil {
 				invalid++
 			}
@@ -132,7 +132,7 @@
 		}
 	}
 	long := kept("n1", 1, strings.Repeat("x", document.MaxBytes+1), 1)
-	if err := long.Valid(); err == nil || !strings.HasPrefix(err.Error(), "text: found ") {
+	if err := long.Validate(); err == nil || !strings.HasPrefix(err.Error(), "text: found ") {
 		t.Errorf("a text that is too long: %v", err)
 	}
 }
--- a/internal/control/recovery/recover.go
+++ b/internal/control/recovery/recover.go
@@ -76,8 +76,8 @@
 	LeaseMS         uint64 `json:"lease_ms,omitempty"`
 }
 
-// Valid says what is wrong with it.
-func (k *NodeRecord) Valid() error {
+// Validate says what is wrong with it.
+func (k *NodeRecord) Validate() error {
 	j := api.JoinRequest{Name: k.Name, Zone: k.Zone, Addr: k.Addr, Nonce: "unused--"}
 	if err := j.Validate(); err != nil {
 		return err
--- a/internal/control/zones/next.go
+++ b/internal/control/zones/next.go
@@ -94,7 +94,7 @@
 		}
 		ok = true
 		room += max(0, fillMost*o.RunCapacity-o.RunRate)
-		got, worth = got+o.CompletedValue, worth+o.OfferedValue
+		got, worth = got+o.CompletedWeight, worth+o.OfferedWeight
 	}
 	if done = 1; worth > 0 {
 		done = min(1, got/worth)
@@ -144,7 +144,7 @@
 	if v.silent() {
 		// It serves nobody: leaving it takes nothing from anybody, and has its return paced.
 		op.Reason = v.Note
-		op.RetryBudget, op.FleetFull = w.retry(s, v, Evacuated, false)
+		op.RetryBudget, op.NoCapacityElsewhere = w.retry(s, v, Evacuated, false)
 		return op
 	}
 	room, done, ok := w.room(s, v, without)
@@ -159,14 +159,14 @@
 		moved = runs
 	}
 	part := moved / runs
-	asked := v.OfferedValue * min(1, runs/max(v.AdmittedRate, 1e-9)) // the value of as many first tries as run
-	op.ValueOfStaying = v.CompletedValue
-	op.ValueOfEvacuating = asked*done*valueOf(v, part) + v.CompletedValue*(1-part)
+	asked := v.OfferedWeight * min(1, runs/max(v.AdmittedRate, 1e-9)) // the value of as many first tries as run
+	op.ValueOfStaying = v.CompletedWeight
+	op.ValueOfEvacuating = asked*done*valueOf(v, part) + v.CompletedWeight*(1-part)
 	whole := asked * done * valueOf(v, part)
 	switch {
-	case v.CompletedValue <= winLeast*v.OfferedValue && whole >= v.CompletedValue: // it does hardly anything: to leave it whole takes nothing from anybody
+	case v.CompletedWeight <= winLeast*v.OfferedWeight && whole >= v.CompletedWeight: // it does hardly anything: to leave it whole takes nothing from anybody
 		op.ValueOfEvacuating = whole
-	case op.ValueOfEvacuating-op.ValueOfStaying < winLeast*v.OfferedValue:
+	case op.ValueOfEvacuating-op.ValueOfStaying < winLeast*v.OfferedWeight:
 		v.Note = fmt.Sprintf("sick (%s), but leaving would do %.0f of value a second, staying %.0f", v.Symptom, op.ValueOfEvacuating, op.ValueOfStaying)
 		return nil
 	case part < 1 && int(part*api.FullShare) < partLeast:
@@ -177,7 +177,7 @@
 	}
 	op.Reason = fmt.Sprintf("%d of %d nodes heard are sick (%s); %.0f runs a second here, room for %.0f elsewhere", v.NodesUnhealthy,
 		v.NodesReporting, v.Cause, runs, room)
-	op.RetryBudget, op.FleetFull = w.retry(s, v, Evacuated, op.Share > 0)
+	op.RetryBudget, op.NoCapacityElsewhere = w.retry(s, v, Evacuated, op.Share > 0)
 	return op
 }
 
@@ -273,13 +273,13 @@
 		op.Share = api.FullShare
 	}
 	w.ceiling(z, v, op)
-	op.RetryBudget, op.FleetFull = w.retry(s, v, Ramping, true)
+	op.RetryBudget, op.NoCapacityElsewhere = w.retry(s, v, Ramping, true)
 	return op
 }
 
 // ceiling bounds a share: what its services bore, times the share; without a figure of that, a run a second and node.
 func (w *Monitor) ceiling(z *Zone, v *View, op *Op) {
-	op.RateLimit, op.ConnectionRateLimit = z.bears(op.Share, v.NodesIn)
+	op.RateLimit, op.ConnectRateLimit = z.bears(op.Share, v.NodesIn)
 }
 
 // goOn decides the next step of a return by what the services below show at this one.
@@ -295,7 +295,7 @@
 		if share > 0 {
 			w.ceiling(z, v, op)
 		}
-		op.RetryBudget, op.FleetFull = w.retry(s, v, Ramping, share > 0)
+		op.RetryBudget, op.NoCapacityElsewhere = w.retry(s, v, Ramping, share > 0)
 		return op
 	}
 	if v.silent() {
@@ -352,7 +352,7 @@
 			return op
 		}
 		op := &Op{Kind: "in", Reason: fmt.Sprintf("%.0f runs under way of %.0f it bore", v.Concurrency, z.Capacity.Concurrency)}
-		op.RetryBudget, op.FleetFull = w.retry(s, v, InService, true)
+		op.RetryBudget, op.NoCapacityElsewhere = w.retry(s, v, InService, true)
 		return op
 	}
 	grow := float64(api.MaxRampFactor)
@@ -378,7 +378,7 @@
 		op.Share = api.FullShare
 	}
 	w.ceiling(z, v, op)
-	op.RetryBudget, op.FleetFull = w.retry(s, v, Ramping, true)
+	op.RetryBudget, op.NoCapacityElsewhere = w.retry(s, v, Ramping, true)
 	return op
 }
 
@@ -410,8 +410,8 @@
 		return nil, true
 	}
 	op = &Op{Kind: "step", Share: api.FullShare, Operator: z.Operator, Reason: fmt.Sprintf("takes all, and still turns %.0f a second away", v.RejectedRate)}
-	op.RateLimit, op.ConnectionRateLimit = z.RateLimit*grow, z.ConnectionRateLimit*grow
-	op.RetryBudget, op.FleetFull = w.retry(s, v, Ramping, true)
+	op.RateLimit, op.ConnectRateLimit = z.RateLimit*grow, z.ConnectRateLimit*grow
+	op.RetryBudget, op.NoCapacityElsewhere = w.retry(s, v, Ramping, true)
 	return op, true
 }
 
@@ -450,14 +450,14 @@
 		}
 		r, had := rate(z.Quotas, n.Lease.ID)
 		if n.OutReason == "" && !had {
-			return &Op{Kind: "split", RetryBudget: s.RetryBudget, FleetFull: s.FleetFull}
+			return &Op{Kind: "split", RetryBudget: s.RetryBudget, NoCapacityElsewhere: s.NoCapacityElsewhere}
 		}
 		if n.Lease.Live(f.ClockMS) {
 			held += r
 		}
 	}
 	if held < 0.9*z.RateLimit {
-		return &Op{Kind: "split", RetryBudget: s.RetryBudget, FleetFull: s.FleetFull}
+		return &Op{Kind: "split", RetryBudget: s.RetryBudget, NoCapacityElsewhere: s.NoCapacityElsewhere}
 	}
 	return nil
 }
@@ -470,8 +470,8 @@
 	}
 	for _, o := range w.views {
 		if step, _ := s.PhaseOf(o.Zone); step == InService && o.quorum() && (o.share() >= sickShare ||
-			o.OfferedValue > 0 && o.CompletedValue < (1-2*winLeast)*o.OfferedValue) {
-			o.Note = fmt.Sprintf("harmed by the drill of %s: %.0f of %.0f of value a second", z.Name, o.CompletedValue, o.OfferedValue)
+			o.OfferedWeight > 0 && o.CompletedWeight < (1-2*winLeast)*o.OfferedWeight) {
+			o.Note = fmt.Sprintf("harmed by the drill of %s: %.0f of %.0f of value a second", z.Name, o.CompletedWeight, o.OfferedWeight)
 			return true
 		}
 	}
--- a/internal/control/zones/pin_state_test.go
+++ b/internal/control/zones/pin_state_test.go
@@ -86,22 +86,22 @@
 		t.Fatal(err)
 	}
 	raw = bytes.TrimSpace(raw)
-	s, err := Load(raw)
+	s, err := Restore(raw)
 	if err != nil || len(s.Zones) != 2 {
 		t.Fatalf("%v, %+v", err, s)
 	}
-	if again, err := s.Save(); err != nil || !bytes.Equal(again, raw) {
+	if again, err := s.Snapshot(); err != nil || !bytes.Equal(again, raw) {
 		t.Errorf("%v, saved\n%s\nexpected\n%s", err, again, raw)
 	}
-	if _, err = Load(raw[:len(raw)-9]); err == nil || err.Error() != "saved zones: unexpected end of JSON input" {
+	if _, err = Restore(raw[:len(raw)-9]); err == nil || err.Error() != "saved zones: unexpected end of JSON input" {
 		t.Errorf("a torn copy: %v", err)
 	}
 	zones := strings.Repeat(`{"name":"z"},`, MaxZones)
-	if _, err = Load([]byte(`{"zones":[` + zones + `{"name":"z"}]}`)); err == nil ||
+	if _, err = Restore([]byte(`{"zones":[` + zones + `{"name":"z"}]}`)); err == nil ||
 		err.Error() != "65 saved zones, expected at most 64" {
 		t.Errorf("too many zones: %v", err)
 	}
-	if s, err = Load(nil); err != nil || !reflect.DeepEqual(s, &State{}) {
+	if s, err = Restore(nil); err != nil || !reflect.DeepEqual(s, &State{}) {
 		t.Errorf("no copy: %v, %+v", err, s)
 	}
 }
--- a/internal/control/zones/pin_stream_test.go
+++ b/internal/control/zones/pin_stream_test.go
@@ -139,7 +139,7 @@
 	}[s.now%400_000]
 	if at != nil {
 		at.Operator, at.IdempotencyKey, at.Epoch = "op", key, s.state.Epoch
-		s.say("valid %v", at.Valid())
+		s.say("valid %v", at.Validate())
 		s.apply(at)
 	}
 }
@@ -209,7 +209,7 @@
 
 // record adds all that can be seen of the state, of the views and of what nodes are told.
 func (s *stream) record() {
-	saved, _ := s.state.Save()
+	saved, _ := s.state.Snapshot()
 	views, _ := json.Marshal(s.watch.Views())
 	all, _ := json.Marshal(s.watch.FleetView())
 	s.say("%s\n%s\n%s", saved, views, all)
@@ -230,7 +230,7 @@
 		case 325_000:
 			s.restart()
 		case 390_000:
-			s.state.Restore(s.state.Epoch+3, map[string]int{"a": 16, "nobody": 3}, s.fleet)
+			s.state.BeginGeneration(s.state.Epoch+3, map[string]int{"a": 16, "nobody": 3}, s.fleet)
 		case 395_000:
 			s.rules.Mode = api.ZoneModeManual
 		}
--- a/internal/control/zones/restart_test.go
+++ b/internal/control/zones/restart_test.go
@@ -214,7 +214,7 @@
 		after  uint64 // ms at the share
 	}{{"little is turned away", 10, 20, "in", 5000}, {"much is", 200, 20, "step", 5000}, {"much is, and all it bore is under way", 200, 24, "", 5000},
 		{"the same for long", 200, 24, "in", wideFor + 1000}} {
-		s := &State{Epoch: 7, SettledEpoch: 7, Zones: []*Zone{{Name: "z", Phase: Ramping, Share: api.FullShare, RateLimit: 100, ConnectionRateLimit: 100, Capacity: bore, NodesBefore: 2,
+		s := &State{Epoch: 7, SettledEpoch: 7, Zones: []*Zone{{Name: "z", Phase: Ramping, Share: api.FullShare, RateLimit: 100, ConnectRateLimit: 100, Capacity: bore, NodesBefore: 2,
 			Since: 100_000}}}
 		s.Zones[0].Quotas = []LeaseQuota{{f.Nodes()[0].Lease.ID, 50}, {f.Nodes()[1].Lease.ID, 50}}
 		w := NewMonitor()
--- a/internal/control/zones/watch.go
+++ b/internal/control/zones/watch.go
@@ -55,8 +55,8 @@
 	AdmittedRate     float64 `json:"took"`   // first tries a second that were not turned away
 	RejectedRate     float64 `json:"turned"` // tries a second that were
 	RunRate          float64 `json:"runs"`   // ended, a second
-	OfferedValue     float64 `json:"worth"`  // value of first tries a second
-	CompletedValue   float64 `json:"got"`    // value done in time a second
+	OfferedWeight    float64 `json:"worth"`  // value of first tries a second
+	CompletedWeight  float64 `json:"got"`    // value done in time a second
 	RunCapacity      float64 `json:"cap"`    // runs a second that it could do
 	Concurrency      float64 `json:"flight"` // runs under way
 	RunMS            float64 `json:"run_ms"`
@@ -220,8 +220,8 @@
 	for _, v := range w.views {
 		all.NodesIn, all.NodesSilent, all.NodesReporting, all.NodesUnhealthy = all.NodesIn+v.NodesIn, all.NodesSilent+v.NodesSilent, all.NodesReporting+v.NodesReporting, all.NodesUnhealthy+v.NodesUnhealthy
 		all.FirstAttemptRate, all.AdmittedRate, all.RejectedRate = all.FirstAttemptRate+v.FirstAttemptRate, all.AdmittedRate+v.AdmittedRate, all.RejectedRate+v.RejectedRate
-		all.RunRate, all.OfferedValue = all.RunRate+v.RunRate, all.OfferedValue+v.OfferedValue
-		all.CompletedValue, all.RunCapacity, all.Concurrency = all.CompletedValue+v.CompletedValue, all.RunCapacity+v.RunCapacity, all.Concurrency+v.Concurrency
+		all.RunRate, all.OfferedWeight = all.RunRate+v.RunRate, all.OfferedWeight+v.OfferedWeight
+		all.CompletedWeight, all.RunCapacity, all.Concurrency = all.CompletedWeight+v.CompletedWeight, all.RunCapacity+v.RunCapacity, all.Concurrency+v.Concurrency
 		ms, calls = ms+v.RunRate*v.RunMS, calls+v.RunRate*v.CallMS
 		if v.KernelsUp {
 			kernels += v.NodesIn
@@ -339,8 +339,8 @@
 	v.AdmittedRate = per(func(l *api.LoadReport) float64 { return float64(max(0, l.Arrived-l.Retries-l.RejectedByZone)) })
 	v.RejectedRate = per(func(l *api.LoadReport) float64 { return float64(l.RejectedByZone) })
 	v.RunRate = per(func(l *api.LoadReport) float64 { return float64(l.RunsEnded) })
-	v.OfferedValue = per(func(l *api.LoadReport) float64 { return l.OfferedWeight })
-	v.CompletedValue = per(func(l *api.LoadReport) float64 { return l.CompletedWeight })
+	v.OfferedWeight = per(func(l *api.LoadReport) float64 { return l.OfferedWeight })
+	v.CompletedWeight = per(func(l *api.LoadReport) float64 { return l.CompletedWeight })
 	v.ConnectionRate = per(func(l *api.LoadReport) float64 { return float64(l.ConnectionsOpened) })
 	v.RunCapacity = per(func(l *api.LoadReport) float64 {
 		// A core never quite idles: under a twentieth a node is taken to have twenty times what it does.
--- a/internal/control/zones/zones.go
+++ b/internal/control/zones/zones.go
@@ -59,35 +59,35 @@
 
 // Zone is one zone.
 type Zone struct {
-	Name                string           `json:"name"`
-	Phase               string           `json:"step"`
-	Share               int              `json:"share"` // of fleet.Whole
-	PriorityCutoff      float64          `json:"worth,omitempty"`
-	Epoch               uint64           `json:"epoch"` // of its last change
-	Since               uint64           `json:"since"` // the group's time of it, and then of its settling
-	Cause               string           `json:"cause,omitempty"`
-	Operator            string           `json:"by,omitempty"` // the operator who did it; empty for the rules
-	NodesBefore         int              `json:"had,omitempty"`
-	RateLimit           float64          `json:"ceiling,omitempty"` // runs a second; counts while it returns
-	ConnectionRateLimit float64          `json:"dials,omitempty"`
-	Quotas              []LeaseQuota     `json:"parts,omitempty"` // of the ceiling, by lease
-	PreviousQuotas      []LeaseQuota     `json:"was,omitempty"`   // until the epoch has settled: what may still be acted on
-	FlapCount           int              `json:"flaps,omitempty"`
-	RampNotBefore       uint64           `json:"back,omitempty"`  // it does not return before
-	InServiceSince      uint64           `json:"well,omitempty"`  // in since
-	HeldUntil           uint64           `json:"held,omitempty"`  // nothing is decided by rules before
-	DrillUntil          uint64           `json:"drill,omitempty"` // a drill ends then
-	Capacity            ObservedCapacity `json:"bore"`
-	Events              []Event          `json:"events,omitempty"`
+	Name             string           `json:"name"`
+	Phase            string           `json:"step"`
+	Share            int              `json:"share"` // of fleet.Whole
+	PriorityCutoff   float64          `json:"worth,omitempty"`
+	Epoch            uint64           `json:"epoch"` // of its last change
+	Since            uint64           `json:"since"` // the group's time of it, and then of its settling
+	Cause            string           `json:"cause,omitempty"`
+	Operator         string           `json:"by,omitempty"` // the operator who did it; empty for the rules
+	NodesBefore      int              `json:"had,omitempty"`
+	RateLimit        float64          `json:"ceiling,omitempty"` // runs a second; counts while it returns
+	ConnectRateLimit float64          `json:"dials,omitempty"`
+	Quotas           []LeaseQuota     `json:"parts,omitempty"` // of the ceiling, by lease
+	PreviousQuotas   []LeaseQuota     `json:"was,omitempty"`   // until the epoch has settled: what may still be acted on
+	FlapCount        int              `json:"flaps,omitempty"`
+	RampNotBefore    uint64           `json:"back,omitempty"`  // it does not return before
+	InServiceSince   uint64           `json:"well,omitempty"`  // in since
+	HeldUntil        uint64           `json:"held,omitempty"`  // nothing is decided by rules before
+	DrillUntil       uint64           `json:"drill,omitempty"` // a drill ends then
+	Capacity         ObservedCapacity `json:"bore"`
+	Events           []Event          `json:"events,omitempty"`
 }
 
 // State is what all instances know of zones.
 type State struct {
-	Epoch        uint64  `json:"epoch"`
-	SettledEpoch uint64  `json:"settled"` // nobody acts on an epoch before it
-	RetryBudget  int     `json:"retry,omitempty"`
-	FleetFull    bool    `json:"full,omitempty"`
-	Zones        []*Zone `json:"zones,omitempty"` // by name
+	Epoch               uint64  `json:"epoch"`
+	SettledEpoch        uint64  `json:"settled"` // nobody acts on an epoch before it
+	RetryBudget         int     `json:"retry,omitempty"`
+	NoCapacityElsewhere bool    `json:"full,omitempty"`
+	Zones               []*Zone `json:"zones,omitempty"` // by name
 }
 
 // Op is one entry of the log.
@@ -98,9 +98,9 @@
 	Share               int                         `json:"share,omitempty"`
 	PriorityCutoff      float64                     `json:"worth,omitempty"`
 	RateLimit           float64                     `json:"ceiling,omitempty"`
-	ConnectionRateLimit float64                     `json:"dials,omitempty"`
+	ConnectRateLimit    float64                     `json:"dials,omitempty"`
 	RetryBudget         int                         `json:"retry,omitempty"`
-	FleetFull           bool                        `json:"full,omitempty"`
+	NoCapacityElsewhere bool                        `json:"full,omitempty"`
 	Cause               string                      `json:"cause,omitempty"`
 	Reason              string                      `json:"why,omitempty"`
 	Operator            string                      `json:"by,omitempty"`
@@ -189,8 +189,8 @@
 	}
 }
 
-// Valid says what is wrong with an operator's op before it is proposed.
-func (op *Op) Valid() error {
+// Validate says what is wrong with an operator's op before it is proposed.
+func (op *Op) Validate() error {
 	switch {
 	case op.Kind != "leave" && op.Kind != "back" && op.Kind != "step" && op.Kind != "hold":
 		return fmt.Errorf("op: found %.20q, expected leave, step, back or hold", op.Kind)
@@ -304,7 +304,7 @@
 					in++
 				}
 			}
-			o.RateLimit, o.ConnectionRateLimit = z.bears(o.Share, in)
+			o.RateLimit, o.ConnectRateLimit = z.bears(o.Share, in)
 			op = &o
 		}
 		s.take(z, f, Ramping, op)
@@ -316,7 +316,7 @@
 			return no("zone %s is %s, expected it returning", z.Name, z.Phase)
 		}
 		op := *op
-		op.Share, op.RateLimit, op.ConnectionRateLimit, op.PriorityCutoff = z.Share, z.RateLimit, z.ConnectionRateLimit, z.PriorityCutoff
+		op.Share, op.RateLimit, op.ConnectRateLimit, op.PriorityCutoff = z.Share, z.RateLimit, z.ConnectRateLimit, z.PriorityCutoff
 		since := z.Since
 		s.take(z, f, Ramping, &op)
 		z.Since = since
@@ -340,7 +340,7 @@
 		op := *op
 		op.Share = api.FullShare
 		s.take(z, f, InService, &op)
-		z.Cause, z.Operator, z.PriorityCutoff, z.RateLimit, z.ConnectionRateLimit, z.Quotas, z.DrillUntil = "", "", 0, 0, 0, nil, 0
+		z.Cause, z.Operator, z.PriorityCutoff, z.RateLimit, z.ConnectRateLimit, z.Quotas, z.DrillUntil = "", "", 0, 0, 0, nil, 0
 		z.InServiceSince = f.ClockMS
 		z.event(f.ClockMS, s.Epoch, &op, "in again: %s%s", by(op.Operator), clip(op.Reason))
 	default:
@@ -355,10 +355,10 @@
 	s.Epoch++
 	was := z.Phase
 	z.Phase, z.Share, z.PriorityCutoff, z.Epoch, z.Since = step, op.Share, op.PriorityCutoff, s.Epoch, f.ClockMS
-	z.RateLimit, z.ConnectionRateLimit = op.RateLimit, op.ConnectionRateLimit
-	s.RetryBudget, s.FleetFull = op.RetryBudget, op.FleetFull
+	z.RateLimit, z.ConnectRateLimit = op.RateLimit, op.ConnectRateLimit
+	s.RetryBudget, s.NoCapacityElsewhere = op.RetryBudget, op.NoCapacityElsewhere
 	if s.allIn() {
-		s.RetryBudget, s.FleetFull = 0, false
+		s.RetryBudget, s.NoCapacityElsewhere = 0, false
 	}
 	z.PreviousQuotas = merge(z.PreviousQuotas, z.Quotas)
 	z.Quotas = split(z, f)
@@ -457,7 +457,7 @@
 
 // Order gives what a zone's state means to a node that holds a lease.
 func (s *State) Order(zone string, lease uint32, rules *api.ZoneRules, without Guard) api.ZoneOrder {
-	o := api.ZoneOrder{Epoch: s.Epoch, Share: api.FullShare, TTLMS: rules.OrderTTLMS, NoCapacityElsewhere: s.FleetFull}
+	o := api.ZoneOrder{Epoch: s.Epoch, Share: api.FullShare, TTLMS: rules.OrderTTLMS, NoCapacityElsewhere: s.NoCapacityElsewhere}
 	if !without.Has(RetryBudget) {
 		o.RetryBudget = s.RetryBudget
 	}
@@ -474,7 +474,7 @@
 	}
 	o.RateLimited = true
 	if without.Has(LeaseQuotas) { // a part for whoever comes, as if nobody else had any
-		o.RateLimit, o.ConnectRateLimit = z.RateLimit/float64(max(1, z.NodesBefore)), z.ConnectionRateLimit/float64(max(1, z.NodesBefore))
+		o.RateLimit, o.ConnectRateLimit = z.RateLimit/float64(max(1, z.NodesBefore)), z.ConnectRateLimit/float64(max(1, z.NodesBefore))
 		return o
 	}
 	// A part that grew, or is new, counts once nobody acts on an older epoch.
@@ -485,7 +485,7 @@
 	}
 	o.RateLimit = is
 	if n := len(z.Quotas); n > 0 {
-		o.ConnectRateLimit = z.ConnectionRateLimit / float64(n)
+		o.ConnectRateLimit = z.ConnectRateLimit / float64(n)
 	}
 	return s.begins(o, lease)
 }
@@ -501,7 +501,7 @@
 		was, _ := rate(z.PreviousQuotas, lease)
 		is = min(is, was)
 	}
-	dials := z.ConnectionRateLimit / float64(max(1, len(z.Quotas)))
+	dials := z.ConnectRateLimit / float64(max(1, len(z.Quotas)))
 	if o.Share = min(o.Share, z.Share); o.RateLimited {
 		is, dials = min(is, o.RateLimit), min(dials, o.ConnectRateLimit)
 	}
@@ -568,7 +568,7 @@
 	}
 	z.Capacity, z.NodesBefore = bore, in
 	op := &Op{Share: max(1, rules.InitialShare)}
-	op.RateLimit, op.ConnectionRateLimit = z.bears(op.Share, in)
+	op.RateLimit, op.ConnectRateLimit = z.bears(op.Share, in)
 	s.take(z, f, Ramping, op)
 	z.Cause = "restart"
 	z.event(f.ClockMS, s.Epoch, nil, "%d of %d nodes began within %d s: returns at %d of %d, %.0f runs a second at most; its services "+
@@ -577,31 +577,31 @@
 	return true
 }
 
-// Restore makes the state that of a new generation: epochs go on after the newest that any node was told, so that none is
+// BeginGeneration makes the state that of a new generation: epochs go on after the newest that any node was told, so that none is
 // taken for another, and zones that nodes were told to take a share of only are out until they show that they are well. An
 // ended generation's ceilings stand for nothing: until its leases have run out no epoch settles here.
-func (s *State) Restore(epoch uint64, left map[string]int, f *membership.State) {
+func (s *State) BeginGeneration(epoch uint64, left map[string]int, f *membership.State) {
 	s.Epoch = max(s.Epoch, epoch) + 1
 	s.SettledEpoch = s.Epoch - 1
 	if s.Epoch == 1 {
 		s.SettledEpoch = 1 // nobody was told anything about zones
 	}
-	s.RetryBudget, s.FleetFull = 0, false
+	s.RetryBudget, s.NoCapacityElsewhere = 0, false
 	for _, n := range names(left) {
 		z := s.know(n, f)
 		if z == nil {
 			continue
 		}
 		z.Phase, z.Share, z.PriorityCutoff, z.Epoch, z.Since, z.Cause, z.Operator = Evacuated, 0, 0, s.Epoch, f.ClockMS, "restored", ""
-		z.RateLimit, z.ConnectionRateLimit, z.Quotas, z.PreviousQuotas, z.DrillUntil, z.RampNotBefore = 0, 0, nil, nil, 0, f.ClockMS
+		z.RateLimit, z.ConnectRateLimit, z.Quotas, z.PreviousQuotas, z.DrillUntil, z.RampNotBefore = 0, 0, nil, nil, 0, f.ClockMS
 		z.event(f.ClockMS, s.Epoch, nil, "the group was restored; its nodes took %d of %d: out, and returns", left[n], api.FullShare)
 	}
 	in := 0
 	for _, z := range s.Zones {
 		if (z.Phase == Evacuated || z.Phase == Evacuating) && z.Operator != "" { // an operator's word holds until he takes it back
-			z.Phase, z.Share, z.RateLimit, z.ConnectionRateLimit, z.Quotas, z.PreviousQuotas, z.DrillUntil = Evacuated, 0, 0, 0, nil, nil, 0
+			z.Phase, z.Share, z.RateLimit, z.ConnectRateLimit, z.Quotas, z.PreviousQuotas, z.DrillUntil = Evacuated, 0, 0, 0, nil, nil, 0
 		} else if z.Phase != InService && left[z.Name] == 0 && z.Cause != "restored" { // of an older state: nobody was told so any more
-			z.Phase, z.Share, z.RateLimit, z.ConnectionRateLimit, z.Quotas, z.PreviousQuotas = InService, api.FullShare, 0, 0, nil, nil
+			z.Phase, z.Share, z.RateLimit, z.ConnectRateLimit, z.Quotas, z.PreviousQuotas = InService, api.FullShare, 0, 0, nil, nil
 		}
 	}
 	for _, n := range f.Nodes() {
@@ -639,11 +639,11 @@
 	return out
 }
 
-// Save and Load keep the state in a snapshot.
-func (s *State) Save() ([]byte, error) { return json.Marshal(s) }
+// Snapshot and Load keep the state in a snapshot.
+func (s *State) Snapshot() ([]byte, error) { return json.Marshal(s) }
 
-// Load reads what Save gave.
-func Load(raw []byte) (*State, error) {
+// Restore reads what Save gave.
+func Restore(raw []byte) (*State, error) {
 	s := &State{}
 	if len(raw) == 0 {
 		return s, nil
