--- a/internal/node/resultstore/bench_test.go
+++ b/internal/node/resultstore/bench_test.go
@@ -25,7 +25,7 @@
 		before := heap()
 		t := newTable(benchKeys)
 		for i := range benchKeys {
-			*t.put(key(i)) = entry{key: key(i), state: Completed}
+			*t.insert(key(i)) = entry{key: key(i), state: Completed}
 		}
 		each := float64(heap()-before) / benchKeys
 		b.ResetTimer()
@@ -53,9 +53,9 @@
 	})
 }
 
-// BenchmarkAge is the longest that one step of letting go takes, with all keys going: of a pass over the slots, and of a wheel of
-// buckets by the end of the window, which needs the keys once more.
-func BenchmarkAge(b *testing.B) {
+// BenchmarkExpire is the longest that one step of letting go takes, with all keys going: of a pass over the slots,
+// and of a wheel of buckets by the end of the window, which needs the keys once more.
+func BenchmarkExpire(b *testing.B) {
 	full := func() *Index {
 		book := NewIndex(Limits{Keys: benchKeys, Bytes: 1 << 40, ResultBytes: 0})
 		for k := range benchKeys {
@@ -96,8 +96,8 @@
 			for _, keys := range wheel {
 				began := time.Now()
 				for _, k := range keys {
-					if e := book.tab.find(k); e != nil && !book.live(100, e) {
-						book.drop(e)
+					if e := book.table.find(k); e != nil && !book.isLive(100, e) {
+						book.remove(e)
 					}
 				}
 				worst = max(worst, time.Since(began))
@@ -116,18 +116,19 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			sizes, room := wal.Sizes{Segment: 64 << 20, Bound: 1 << 40}, Limits{Keys: benchKeys, Bytes: 1 << 40, ResultBytes: 256}
+			sizes, room := wal.Sizes{Segment: 64 << 20, Bound: 1 << 40},
+				Limits{Keys: benchKeys, Bytes: 1 << 40, ResultBytes: 256}
 			s, _, _, err := Open(dir, sizes, room, 0, "boot")
 			if err != nil {
 				b.Fatal(err)
 			}
-			done := make(chan error, queueMost)
+			done := make(chan error, maxQueue)
 			for i, out := 0, 0; i < 2*n || out > 0; { // an intent and a result each
 				r := Record{Kind: Intent, Key: key(i / 2), BodyDigest: 1, Window: 1000}
 				if i%2 == 1 {
 					r.Kind, r.Result = Result, make([]byte, 100)
 				}
-				if i < 2*n && out < queueMost/2 && s.Append(r, func(_ uint64, err error) { done <- err }) {
+				if i < 2*n && out < maxQueue/2 && s.Append(r, func(_ uint64, err error) { done <- err }) {
 					i, out = i+1, out+1
 					continue
 				}
--- a/internal/node/resultstore/pin_stored_test.go
+++ b/internal/node/resultstore/pin_stored_test.go
@@ -13,8 +13,8 @@
 	"umberwinch/internal/wal"
 )
 
-// A folder as version 2a0a97e wrote it lies in testdata/folder: results, an error, a key that did not run after all, and
-// intents of runs that a kill ended. It stays byte for byte.
+// A folder as version 2a0a97e wrote it lies in testdata/folder: results, an error, a key that did not run after all,
+// and intents of runs that a kill ended. It stays byte for byte.
 const pinnedFolder = "testdata/folder"
 
 var (
@@ -108,7 +108,8 @@
 	return strings.Join(lines, "")
 }
 
-// TestPinnedWrites: the fixed state is written to the same bytes. With PIN_WRITE set it writes the folder, for version 2a0a97e.
+// TestPinnedWrites: the fixed state is written to the same bytes. With PIN_WRITE set it writes the folder, for
+// version 2a0a97e.
 func TestPinnedWrites(t *testing.T) {
 	if os.Getenv("PIN_WRITE") != "" {
 		if err := os.MkdirAll(pinnedFolder, 0o755); err != nil {
@@ -142,7 +143,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if found.Records != 45 || found.Keys != 20 || found.Indeterminate != 4 || found.SameBoot != (boot == pinnedBoot) || found.TornTail != "" || found.Gaps != 0 {
+		if found.Records != 45 || found.Keys != 20 || found.Indeterminate != 4 ||
+			found.SameBoot != (boot == pinnedBoot) || found.TornTail != "" || found.Gaps != 0 {
 			t.Errorf("%s: found %+v", boot, found)
 		}
 		var want []string
@@ -198,8 +200,8 @@
 	return names
 }
 
-// TestPinnedTornAndSpoilt: a tail that was never synced is cut off, and the keys before it are there; a byte that turned over
-// before the tail is an error offline, and a start writes anew what can be read.
+// TestPinnedTornAndSpoilt: a tail that was never synced is cut off, and the keys before it are there; a byte that
+// turned over before the tail is an error offline, and a start writes anew what can be read.
 func TestPinnedTornAndSpoilt(t *testing.T) {
 	segments := pinnedSegments(t)
 	last, first := segments[len(segments)-1], segments[0]
@@ -227,7 +229,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if found.Gaps != 1 || found.Keys != 20 || !b.KeysMayBeLost(pinnedNow+3000+59_999) || b.KeysMayBeLost(pinnedNow+3000+60_000) {
+	if found.Gaps != 1 || found.Keys != 20 || !b.KeysMayBeLost(pinnedNow+3000+59_999) ||
+		b.KeysMayBeLost(pinnedNow+3000+60_000) {
 		t.Errorf("spoilt, and written anew: %+v", found)
 	}
 	if err := s.Close(); err != nil {
@@ -247,7 +250,7 @@
 		{append([]byte{9}, raw[1:]...), "a record of kind 9, expected 1 to 6"},
 		{append(bytes.Clone(raw), 1), "a record of an intent with 1 bytes behind it, expected none"},
 	} {
-		if _, err := ReadRecord(c.raw); err == nil || !strings.HasSuffix(err.Error(), c.text) {
+		if _, err := ParseRecord(c.raw); err == nil || !strings.HasSuffix(err.Error(), c.text) {
 			t.Errorf("found %v, expected %s", err, c.text)
 		}
 	}
@@ -256,10 +259,12 @@
 		t.Fatal(err)
 	}
 	other := Record{Kind: Result, Key: key(1), BodyDigest: 3}
-	if err := b.Replay(&other, 2); err == nil || !strings.HasSuffix(err.Error(), "a result of another body than its intent") {
+	if err := b.Replay(&other, 2); err == nil || !strings.HasSuffix(err.Error(),
+		"a result of another body than its intent") {
 		t.Errorf("found %v", err)
 	}
 }
 
 // pinnedSpoilt is what the log says of the first segment with a byte turned over, before what to do about it.
-const pinnedSpoilt = "0000000000000001.seg at byte 439, the record of entry 7 or a mark before it: its sum does not fit. "
+const pinnedSpoilt = "0000000000000001.seg at byte 439, the record of entry 7 or a mark before it: " +
+	"its sum does not fit. "
--- a/internal/node/resultstore/kept_test.go
+++ b/internal/node/resultstore/resultstore_test.go
@@ -16,7 +16,7 @@
 	"umberwinch/internal/wal"
 )
 
-var bounds = Limits{Keys: 64, Bytes: 1 << 20, ResultBytes: 64}
+var limits = Limits{Keys: 64, Bytes: 1 << 20, ResultBytes: 64}
 
 func key(n int) (k Key) {
 	binary.LittleEndian.PutUint64(k[:], uint64(n)*0x9e3779b97f4a7c15)
@@ -24,26 +24,26 @@
 	return k
 }
 
-// TestTable holds the table to a map, with keys whose homes collide.
+// TestTable: the table does what a map does, also for keys that begin their search at the same slot.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		tab, is := newTable(8), map[Key]uint64{}
 		for range rapid.IntRange(1, 400).Draw(r, "steps") {
 			k := Key{0: byte(rapid.IntRange(0, 7).Draw(r, "home") * 36), 15: byte(rapid.IntRange(0, 30).Draw(r, "key"))}
 			if _, there := is[k]; there && rapid.Bool().Draw(r, "drop") {
-				tab.drop(k)
+				tab.remove(k)
 				delete(is, k)
 			} else if !there {
 				place := uint64(rapid.IntRange(1, 1000).Draw(r, "place"))
-				*tab.put(k) = entry{key: k, state: Completed, place: place}
+				*tab.insert(k) = entry{key: k, state: Completed, position: place}
 				is[k] = place
 			}
-			tab.drop(Key{14: 1}) // that is not there
-			if tab.n != len(is) {
-				r.Fatalf("%d keys, expected %d", tab.n, len(is))
+			tab.remove(Key{14: 1}) // that is not there
+			if tab.count != len(is) {
+				r.Fatalf("%d keys, expected %d", tab.count, len(is))
 			}
 			for k, place := range is {
-				if e := tab.find(k); e == nil || e.place != place {
+				if e := tab.find(k); e == nil || e.position != place {
 					r.Fatalf("key %x is %+v, expected it at %d", k, e, place)
 				}
 			}
@@ -51,37 +51,43 @@
 	})
 }
 
-// TestRecords: what is written is read again; what can't be is told of.
+// TestRecords: what is written is read again; bytes that are no record give an error.
 func TestRecords(t *testing.T) {
 	all := make([]byte, 256)
 	for i := range all {
 		all[i] = byte(i)
 	}
-	for _, r := range []Record{{Kind: Intent, Key: key(1), BodyDigest: 7, At: 9, Window: 21_951}, {Kind: Result, Key: key(2), BodyDigest: 1 << 63,
-		Result: bytes.Repeat(all, 16)}, {Kind: Failure, Key: key(3)}, {Kind: NotExecuted}} {
-		got, err := ReadRecord(r.Append(nil))
-		if err != nil || got.Kind != r.Kind || got.Key != r.Key || got.BodyDigest != r.BodyDigest || got.At != r.At || got.Window != r.Window ||
+	for _, r := range []Record{{Kind: Intent, Key: key(1), BodyDigest: 7, At: 9, Window: 21_951},
+		{Kind: Result, Key: key(2), BodyDigest: 1 << 63,
+			Result: bytes.Repeat(all, 16)}, {Kind: Failure, Key: key(3)}, {Kind: NotExecuted}} {
+		got, err := ParseRecord(r.Append(nil))
+		if err != nil || got.Kind != r.Kind || got.Key != r.Key || got.BodyDigest != r.BodyDigest || got.At != r.At ||
+			got.Window != r.Window ||
 			!bytes.Equal(got.Result, r.Result) {
 			t.Errorf("%+v became %+v, %v", r, got, err)
 		}
 	}
-	for _, raw := range [][]byte{nil, make([]byte, recordBytes-1), make([]byte, recordBytes), append((&Record{Kind: Intent}).Append(nil), 1)} {
-		if _, err := ReadRecord(raw); err == nil {
+	for _, raw := range [][]byte{nil, make([]byte, recordHeaderBytes-1), make([]byte, recordHeaderBytes),
+		append((&Record{Kind: Intent}).Append(nil), 1)} {
+		if _, err := ParseRecord(raw); err == nil {
 			t.Errorf("%d bytes are read as a record", len(raw))
 		}
 	}
 }
 
-// TestVerdicts: what a try of a key gets in each state, in this life and in the next.
-func TestVerdicts(t *testing.T) {
+// TestDecide: a node dies after any of a key's records. What an attempt of the key gets in each state, before the
+// restart and after it, by a clock that goes on and by one that began anew; wrong, a repeat would run a second time
+// or get another's result.
+func TestDecide(t *testing.T) {
 	const window = 1000
-	b := NewIndex(bounds)
+	b := NewIndex(limits)
 	try := func(b *Index, now uint64, want Verdict) {
 		t.Helper()
 		if v, _ := b.Decide(now, key(1), 5); v != want {
 			t.Fatalf("at %d, %s: %s, expected %s", now, b.Lookup(now, key(1)), v, want)
 		}
-		if v, _ := b.Decide(now, key(1), 6); want == WaitForResult && v != RejectConflict || want != WaitForResult && want != Execute && v != RejectMismatch {
+		if v, _ := b.Decide(now, key(1), 6); want == WaitForResult && v != RejectConflict || want != WaitForResult &&
+			want != Execute && v != RejectMismatch {
 			t.Fatalf("another body gets %s where the same gets %s", v, want)
 		}
 	}
@@ -107,11 +113,12 @@
 		records []Record
 		state   State
 		at      Verdict // before the window is over
-	}{{[]Record{intent}, Indeterminate, ReturnError}, {[]Record{intent, ended}, Completed, ReturnResult}, {[]Record{ended}, Completed, ReturnResult},
+	}{{[]Record{intent}, Indeterminate, ReturnError}, {[]Record{intent, ended}, Completed, ReturnResult},
+		{[]Record{ended}, Completed, ReturnResult},
 		{[]Record{intent, {Kind: Failure, Key: key(1), BodyDigest: 5, At: 10, Window: window}}, Failed, ReturnError},
 		{[]Record{intent, {Kind: NotExecuted, Key: key(1), BodyDigest: 5, At: 10, Window: window}}, Unknown, Execute}} {
 		for _, same := range []bool{true, false} {
-			n := NewIndex(bounds)
+			n := NewIndex(limits)
 			now, over := uint64(400), c.records[len(c.records)-1].At+window
 			if !same {
 				now, over = 7, 7+window
@@ -142,9 +149,10 @@
 	}
 }
 
-// TestLost: what the disk did not take: an intent as if the req had not come, a result as one that may have run.
-func TestLost(t *testing.T) {
-	b := NewIndex(bounds)
+// TestRecordsThatNeverReachTheDisk: the disk does not take a record. Without its intent the key is as if the request
+// had not come and may run; without its result it may have run, and its repeats get an error.
+func TestRecordsThatNeverReachTheDisk(t *testing.T) {
+	b := NewIndex(limits)
 	r := b.Begin(0, key(1), 5, 1000)
 	b.MarkLost(&r)
 	if v, _ := b.Decide(0, key(1), 5); v != Execute || b.BytesUsed() != 0 {
@@ -159,10 +167,11 @@
 	}
 }
 
-// TestFull: with no room new keys are shed, known ones are answered, and nothing inside its window is let go of; a run that
-// was let in always has room for what it leaves.
-func TestFull(t *testing.T) {
-	small := Limits{Keys: 8, Bytes: 12 * recordMost(32), ResultBytes: 32}
+// TestNoRoom: more keys come than there is room for. New keys are rejected and known ones answered, nothing inside
+// its window is deleted, and a run that was let in has room for its result; wrong, a burst of new keys would make
+// repeats run again.
+func TestNoRoom(t *testing.T) {
+	small := Limits{Keys: 8, Bytes: 12 * maxRecordBytes(32), ResultBytes: 32}
 	if err := small.Validate(); err != nil {
 		t.Fatal(err)
 	}
@@ -215,8 +224,9 @@
 	}
 }
 
-// TestAgeKeepsPlaces: whatever moves in the table meanwhile, no place is given free that a key inside its window needs.
-func TestAgeKeepsPlaces(t *testing.T) {
+// TestExpireKeepsNeededPositions: keys move in the table while others expire. No position of the log is released that
+// a key inside its window needs; its result would be gone.
+func TestExpireKeepsNeededPositions(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		r := rand.New(rand.NewSource(seed))
 		b := NewIndex(Limits{Keys: 4000, Bytes: 1 << 30, ResultBytes: 8})
@@ -243,9 +253,10 @@
 			if _, first := b.Expire(now, next); first > 0 {
 				free = max(free, first)
 			}
-			for i := range b.tab.slots {
-				if e := &b.tab.slots[i]; e.state != Unknown && b.live(now, e) && e.place < free {
-					t.Fatalf("seed %d, at %d: place %d of a key that is %s was given free up to %d", seed, now, e.place, e.state, free)
+			for i := range b.table.slots {
+				if e := &b.table.slots[i]; e.state != Unknown && b.isLive(now, e) && e.position < free {
+					t.Fatalf("seed %d, at %d: place %d of a key that is %s was given free up to %d", seed, now,
+						e.position, e.state, free)
 				}
 			}
 		}
@@ -255,11 +266,12 @@
 	}
 }
 
-// TestAgeSeesMoves: a key that moves behind a pass while it goes on keeps its place.
-func TestAgeSeesMoves(t *testing.T) {
+// TestExpireSeesMovedKeys: a key moves behind a pass while the pass goes on, so that the pass does not see it. Its
+// position is not released.
+func TestExpireSeesMovedKeys(t *testing.T) {
 	b := NewIndex(Limits{Keys: 4000, Bytes: 1 << 30, ResultBytes: 8})
 	near := func(n byte) (k Key) { // all at home two slots before the first step of a pass ends
-		at, _ := bits.Div64(sweepSlots-2, 0, uint64(len(b.tab.slots)))
+		at, _ := bits.Div64(slotsPerExpire-2, 0, uint64(len(b.table.slots)))
 		binary.BigEndian.PutUint64(k[:], at+1)
 		k[15] = n
 		return k
@@ -270,7 +282,7 @@
 		r, _ = b.MarkExecuted(0, near(byte(i)), true, nil)
 		b.MarkDurable(&r, c.place)
 	}
-	if b.tab.slots[sweepSlots].place != 1 {
+	if b.table.slots[slotsPerExpire].position != 1 {
 		t.Fatal("the third key is not behind the first step")
 	}
 	b.Expire(0, 10)
@@ -286,9 +298,10 @@
 	t.Error("no pass ended")
 }
 
-// TestKilled plays a node that is killed at any moment, on a disk that may keep or lose what was not synced, with tries that
-// straddle it: no key runs twice inside its window, no result changes, and what was answered stays answered.
-func TestKilled(t *testing.T) {
+// TestKilledAtAnyMoment: a node is killed at any moment, on a disk that keeps or loses what was not synced, and
+// callers repeat their keys over that. No key runs twice inside its window, no result changes, and what was answered
+// stays answered.
+func TestKilledAtAnyMoment(t *testing.T) {
 	kills, answers, errs := 0, 0, 0
 	for seed := int64(1); seed <= 150; seed++ {
 		r := rand.New(rand.NewSource(seed))
@@ -297,7 +310,8 @@
 		ran, result := map[int]uint64{}, map[int][]byte{} // when it ran last, and what was answered for it
 		for life := 0; life < 6; life++ {
 			boot := fmt.Sprint("boot ", life/2) // every second restart is one of the machine
-			s, b, _, err := Open(disk, wal.Sizes{Segment: 4096, Bound: 1 << 20}, Limits{Keys: 500, Bytes: 1 << 19, ResultBytes: 64}, now, boot)
+			s, b, _, err := Open(disk, wal.Sizes{Segment: 4096, Bound: 1 << 20},
+				Limits{Keys: 500, Bytes: 1 << 19, ResultBytes: 64}, now, boot)
 			if err != nil {
 				t.Fatalf("seed %d, life %d: %v", seed, life, err)
 			}
@@ -321,7 +335,8 @@
 				n := r.Intn(12)
 				v, place := b.Decide(now, key(n), 1)
 				if at, before := ran[n]; before && v != Execute && now-at > window && now > began+window {
-					t.Fatalf("seed %d, life %d: key %d is known %d after it ran, and %d after the start", seed, life, n, now-at, now-began)
+					t.Fatalf("seed %d, life %d: key %d is known %d after it ran, and %d after the start", seed, life,
+						n, now-at, now-began)
 				}
 				switch v {
 				case ReturnResult:
@@ -383,37 +398,37 @@
 	}
 }
 
-// slowDisk counts syncs, and fails or stalls them on demand.
-type slowDisk struct {
+// faultyDisk fails or delays syncs on demand.
+type faultyDisk struct {
 	wal.FS
 	fails atomic.Bool
 	stall atomic.Int64
 	locks atomic.Pointer[func()] // called as the folder is opened
 }
 
-func (d *slowDisk) Lock() (func(), error) {
+func (d *faultyDisk) Lock() (func(), error) {
 	if f := d.locks.Load(); f != nil {
 		(*f)()
 	}
 	return d.FS.Lock()
 }
 
-func (d *slowDisk) Create(name string) (wal.File, error) {
+func (d *faultyDisk) Create(name string) (wal.File, error) {
 	f, err := d.FS.Create(name)
-	return &slowFile{f, d}, err
+	return &faultyFile{f, d}, err
 }
 
-func (d *slowDisk) Open(name string) (wal.File, error) {
+func (d *faultyDisk) Open(name string) (wal.File, error) {
 	f, err := d.FS.Open(name)
-	return &slowFile{f, d}, err
+	return &faultyFile{f, d}, err
 }
 
-type slowFile struct {
+type faultyFile struct {
 	wal.File
-	d *slowDisk
+	d *faultyDisk
 }
 
-func (f *slowFile) Sync() error {
+func (f *faultyFile) Sync() error {
 	time.Sleep(time.Duration(f.d.stall.Load()))
 	if f.d.fails.Load() {
 		return errors.New("the disk fails")
@@ -421,11 +436,12 @@
 	return f.File.Sync()
 }
 
-// TestDisk: records that wait share a sync; a sync that fails is told to all that wait, nothing is written until the log was
-// opened again, and then it goes on by itself. Past its bound a store takes no more and keeps what it has.
-func TestDisk(t *testing.T) {
-	d := &slowDisk{FS: wal.NewMem()}
-	s, _, _, err := Open(d, wal.Sizes{Segment: 1 << 16, Bound: 1 << 20}, bounds, 0, "boot")
+// TestDiskFailsAndRecovers: the disk is slow, fails for a while, and is full. Records that wait share a sync; a
+// failed sync is told to all that wait, known results stay readable, and writing goes on by itself once the disk
+// works. Nobody who hands a record over waits meanwhile.
+func TestDiskFailsAndRecovers(t *testing.T) {
+	d := &faultyDisk{FS: wal.NewMem()}
+	s, _, _, err := Open(d, wal.Sizes{Segment: 1 << 16, Bound: 1 << 20}, limits, 0, "boot")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -463,7 +479,7 @@
 	opens, let := make(chan bool), make(chan bool)
 	hold := func() { opens <- true; <-let }
 	d.locks.Store(&hold)
-	time.Sleep(reopenEvery * 3 / 2) // it is looked at once at least
+	time.Sleep(reopenInterval * 3 / 2) // it is looked at once at least
 	read := make(chan error, 1)
 	go func() {
 		raw, err := s.ReadResult(known)
@@ -511,8 +527,9 @@
 	}
 }
 
-// TestManyOver: a log may hold more keys than may be known at one time; those whose windows are over go as it is read.
-func TestManyOver(t *testing.T) {
+// TestReplayDropsExpiredKeys: a log holds more keys than may be known at one time. Those whose windows are over go as
+// it is read, so that a restart needs no more memory than serving does.
+func TestReplayDropsExpiredKeys(t *testing.T) {
 	b := NewIndex(Limits{Keys: 16, Bytes: 1 << 20, ResultBytes: 64})
 	for i := range 1000 {
 		r := Record{Kind: Result, Key: key(i), BodyDigest: 1, At: uint64(i), Window: 10}
--- /dev/null
+++ b/internal/node/resultstore/salvage.go
@@ -0,0 +1,105 @@
+package resultstore
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+
+	"umberwinch/internal/wal"
+)
+
+// openOrSalvage reads a folder, and salvages what can be read of one that is damaged, or that a start was salvaging
+// when it was interrupted.
+func openOrSalvage(fs wal.FS, sizes wal.Sizes, limits Limits, now Milliseconds, bootID string) (*wal.Log, *Index,
+	Recovery,
+	error) {
+	if err := limits.Validate(); err != nil {
+		return nil, nil, Recovery{}, err
+	}
+	interrupted, err := wal.Aside(fs, false)
+	if err != nil {
+		return nil, nil, Recovery{}, err
+	}
+	if !interrupted {
+		log, index, found, err := load(fs, sizes, limits, now, bootID)
+		if damage := (*wal.Damage)(nil); !errors.As(err, &damage) {
+			return log, index, found, err
+		}
+		if _, err = wal.Aside(fs, true); err != nil {
+			return nil, nil, found, err
+		}
+	}
+	gaps, err := salvage(fs, sizes, limits, now, bootID)
+	if err != nil {
+		return nil, nil, Recovery{Gaps: gaps}, fmt.Errorf("what is left of a damaged log can't be written anew: %w",
+			err)
+	}
+	log, index, found, err := load(fs, sizes, limits, now, bootID)
+	found.Gaps = gaps
+	return log, index, found, err
+}
+
+// salvage writes anew what can be read of a damaged log, and behind it that something is missing. Guards against a
+// key whose intent is in a gap: its repeat would run a second time. KeysMayBeLost has such repeats answered with an
+// error for the longest window that there is.
+func salvage(fs wal.FS, sizes wal.Sizes, limits Limits, now Milliseconds, bootID string) (gaps int, err error) {
+	log, _, err := wal.Open(fs, sizes)
+	if err != nil {
+		return 0, err
+	}
+	s := &salvager{log: log}
+	gaps, err = wal.Salvage(fs, s.take)
+	gaps += s.malformed
+	if err == nil {
+		s.add(&Record{Kind: ClockChange, At: now})
+		s.add(&Record{Kind: Damage, At: now, Window: limits.LongestWindow})
+		err = s.flush(wal.Mark{Kind: bootMark, Data: []byte(bootID)})
+	}
+	if err = errors.Join(err, log.Close()); err != nil {
+		return gaps, err
+	}
+	return gaps, wal.SalvageDone(fs)
+}
+
+// salvager writes records of a damaged log to a new one.
+type salvager struct {
+	log       *wal.Log
+	batch     [][]byte
+	behindGap bool
+	malformed int // records that the log could read and that are none
+}
+
+// take takes the next thing that could be read, or a gap. A gap may have been the record of another boot's clock:
+// windows go on from the record before it at the one behind, which is never too early.
+func (s *salvager) take(found wal.Salvaged) error {
+	if found.Gap {
+		s.behindGap = true
+		return nil
+	}
+	if found.Mark {
+		return nil
+	}
+	r, err := ParseRecord(found.Data)
+	if err != nil {
+		s.behindGap = true
+		s.malformed++
+		return nil
+	}
+	if s.behindGap {
+		s.behindGap = false
+		s.add(&Record{Kind: ClockChange, At: r.At})
+	}
+	s.batch = append(s.batch, bytes.Clone(found.Data))
+	if len(s.batch) < maxBatch {
+		return nil
+	}
+	return s.flush()
+}
+
+func (s *salvager) add(r *Record) { s.batch = append(s.batch, r.Append(nil)) }
+
+func (s *salvager) flush(marks ...wal.Mark) error {
+	_, err := s.log.Commit(wal.Batch{Entries: s.batch, Marks: marks})
+	s.batch = s.batch[:0]
+	return err
+}
--- a/internal/node/resultstore/salvage_test.go
+++ b/internal/node/resultstore/salvage_test.go
@@ -11,8 +11,9 @@
 	"umberwinch/internal/wal"
 )
 
-// TestSalvage: bits of a log turn over, and its being written anew is interrupted at any step. What can be read is known as
-// before; no further try of any key runs for a window, and a key's result is its own or none.
+// TestSalvage: bits of a log on disk turn over, and the start that writes it anew is interrupted at any step. What
+// can be read is known as before, a key's result is its own or none, and no retry of any key runs for a window, as
+// its first attempt may be what is missing.
 func TestSalvage(t *testing.T) {
 	const window, keys = 5000, 120
 	sizes := wal.Sizes{Segment: 2048, Bound: 1 << 20}
@@ -78,8 +79,10 @@
 			if err != nil {
 				t.Fatalf("seed %d, life %d: %v", seed, life, err)
 			}
-			if !b.KeysMayBeLost(now) || !b.KeysMayBeLost(now+window-1) && boot == "boot" || b.KeysMayBeLost(now+window) {
-				t.Fatalf("seed %d, life %d: further tries are not doubted for a window: %d at %d", seed, life, b.doubt, now)
+			if !b.KeysMayBeLost(now) || !b.KeysMayBeLost(now+window-1) && boot == "boot" ||
+				b.KeysMayBeLost(now+window) {
+				t.Fatalf("seed %d, life %d: further tries are not doubted for a window: %d at %d", seed, life,
+					b.lossSuspicionEnd, now)
 			}
 			for k := range keys {
 				v, place := b.Decide(now, key(k), 1)
@@ -101,6 +104,7 @@
 	}
 	t.Logf("%d results whole, %d keys lost, %d starts cut short", whole, lost, cuts)
 	if lost == 0 || lost > whole/20 || cuts < 50 {
-		t.Errorf("%d results whole, %d keys lost, %d starts cut short: too little was damaged, or too much lost", whole, lost, cuts)
+		t.Errorf("%d results whole, %d keys lost, %d starts cut short: too little was damaged, or too much lost",
+			whole, lost, cuts)
 	}
 }
--- a/internal/node/resultstore/table.go
+++ b/internal/node/resultstore/table.go
@@ -5,56 +5,78 @@
 	"math/bits"
 )
 
-// table is an open-addressed index: keys are digests already, so eight of their bytes are their hash. A key that goes
-// leaves no mark: those behind it move up. It is made as large as it may get, so that it does not grow while a node serves;
-// what was never used of it is no memory yet.
+// Size of a table.
+const (
+	// minTableKeys and maxTableKeys bound for how many keys a table is made: offline reading allows millions, and
+	// grows.
+	minTableKeys, maxTableKeys = 48, 4_000_000
+	// At most maxLoadNumerator in maxLoadDenominator slots are used: fuller, a look-up takes long; emptier, memory is
+	// wasted.
+	maxLoadNumerator, maxLoadDenominator = 4, 5
+	// hashBytes of a key are its hash.
+	hashBytes = 8
+	// maxDiskBytes is what an entry can count of its key's records.
+	maxDiskBytes = 1<<24 - 1
+)
+
+// table is an open-addressed hash table: keys are digests already, so eight of their bytes are their hash. A removed
+// key leaves no mark: those behind it move up. It is made as large as it may get, so that it does not grow while a
+// node serves; what was never used of it is no memory yet.
 type table struct {
 	slots []entry
-	n     int
-	moved uint64 // the least place of those that moved up since it was reset: a pass over the slots may have missed them
+	count int
+	// minMovedPosition is the least log position of the keys that moved up since it was reset: a pass over the slots
+	// may have missed them.
+	minMovedPosition uint64
 }
 
-// entry is what is known of one key: 48 bytes.
+// entry is what is known of one key, in 48 bytes.
 type entry struct {
-	key    Key
-	body   uint64
-	until  uint64  // its window is over then, by the clock that goes on while the node is stopped
-	place  uint64  // in the log: of its result, or of its intent
-	window uint32  // ms, 49 days at most
-	disk   [3]byte // bytes of its records
-	state  State
+	key        Key
+	bodyDigest uint64
+	expiresAt  Milliseconds // its window is over then
+	position   uint64       // in the log: of its result, or of its intent
+	window     uint32       // ms
+	diskBytes  [3]byte      // of its records, little-endian
+	state      State
 }
 
-func (e *entry) bytes() int64 { return int64(e.disk[0]) | int64(e.disk[1])<<8 | int64(e.disk[2])<<16 }
-
-func (e *entry) add(n int64) {
-	n = min(e.bytes()+n, 1<<24-1)
-	e.disk = [3]byte{byte(n), byte(n >> 8), byte(n >> 16)}
+// onDisk gives the bytes of the key's records.
+func (e *entry) onDisk() int64 {
+	var number [4]byte
+	copy(number[:], e.diskBytes[:])
+	return int64(binary.LittleEndian.Uint32(number[:]))
 }
 
-// tableLeast and tableMost bound what a table is made as: slots for so many keys. Offline reading says millions, and grows.
-const tableLeast, tableMost = 48, 4_000_000
+func (e *entry) addOnDisk(n int64) {
+	n = min(e.onDisk()+n, maxDiskBytes)
+	var number [4]byte
+	binary.LittleEndian.PutUint32(number[:], uint32(n))
+	copy(e.diskBytes[:], number[:])
+}
 
-func newTable(room int) table {
-	room = min(max(room, tableLeast), tableMost)
-	return table{slots: make([]entry, room+room/4+1)}
+// newTable makes a table for so many keys.
+func newTable(keys int) table {
+	keys = min(max(keys, minTableKeys), maxTableKeys)
+	return table{slots: make([]entry, keys+keys/maxLoadNumerator+1)}
 }
 
-func (t *table) home(k *Key) int {
-	at, _ := bits.Mul64(binary.BigEndian.Uint64(k[:8]), uint64(len(t.slots)))
-	return int(at)
+// homeSlot is where a key's search begins.
+func (t *table) homeSlot(k *Key) int {
+	slot, _ := bits.Mul64(binary.BigEndian.Uint64(k[:hashBytes]), uint64(len(t.slots)))
+	return int(slot)
 }
 
-func (t *table) next(i int) int {
+func (t *table) nextSlot(i int) int {
 	if i++; i == len(t.slots) {
 		return 0
 	}
 	return i
 }
 
-// find gives a key's entry, nil where there is none. It is good until the next put or drop.
+// find gives a key's entry, nil where there is none. It is good until the next insert or remove.
 func (t *table) find(k Key) *entry {
-	for i := t.home(&k); ; i = t.next(i) {
+	for i := t.homeSlot(&k); ; i = t.nextSlot(i) {
 		e := &t.slots[i]
 		if e.state == Unknown {
 			return nil
@@ -65,51 +87,58 @@
 	}
 }
 
-// put gives the place of a key that is not there. Past four fifths the table grows by half.
-func (t *table) put(k Key) *entry {
-	if 5*(t.n+1) > 4*len(t.slots) {
-		old := t.slots
-		t.slots = make([]entry, len(old)+len(old)/2)
-		for i := range old {
-			if old[i].state != Unknown {
-				*t.free(&old[i].key) = old[i]
-			}
+// insert gives the entry of a key that is not there, to be filled. A table that is too full grows by half.
+func (t *table) insert(k Key) *entry {
+	if maxLoadDenominator*(t.count+1) > maxLoadNumerator*len(t.slots) {
+		t.grow()
+	}
+	t.count++
+	return t.freeSlot(&k)
+}
+
+func (t *table) grow() {
+	old := t.slots
+	t.slots = make([]entry, len(old)+len(old)/2)
+	for i := range old {
+		if old[i].state != Unknown {
+			*t.freeSlot(&old[i].key) = old[i]
 		}
 	}
-	t.n++
-	return t.free(&k)
 }
 
-func (t *table) free(k *Key) *entry {
-	i := t.home(k)
+// freeSlot is the first free one for a key.
+func (t *table) freeSlot(k *Key) *entry {
+	i := t.homeSlot(k)
 	for t.slots[i].state != Unknown {
-		i = t.next(i)
+		i = t.nextSlot(i)
 	}
 	return &t.slots[i]
 }
 
-// drop takes a key out, and moves up what a look-up would not find past the gap.
-func (t *table) drop(k Key) {
-	i := t.home(&k)
-	for t.slots[i].key != k || t.slots[i].state == Unknown {
-		if t.slots[i].state == Unknown {
+// remove takes a key out, if it is there, and moves up what a search would not find past the gap.
+func (t *table) remove(k Key) {
+	gap := t.homeSlot(&k)
+	for t.slots[gap].state == Unknown || t.slots[gap].key != k {
+		if t.slots[gap].state == Unknown {
 			return
 		}
-		i = t.next(i)
+		gap = t.nextSlot(gap)
 	}
-	t.n--
-	behind := func(from, to int) int { // steps from one slot on to another
-		if to -= from; to < 0 {
-			to += len(t.slots)
+	t.count--
+	for i := t.nextSlot(gap); t.slots[i].state != Unknown; i = t.nextSlot(i) {
+		if t.distance(t.homeSlot(&t.slots[i].key), i) >= t.distance(gap, i) {
+			t.slots[gap] = t.slots[i]
+			t.minMovedPosition = min(t.minMovedPosition, t.slots[gap].position)
+			gap = i
 		}
-		return to
 	}
-	for at := t.next(i); t.slots[at].state != Unknown; at = t.next(at) {
-		if behind(t.home(&t.slots[at].key), at) >= behind(i, at) {
-			t.slots[i] = t.slots[at]
-			t.moved = min(t.moved, t.slots[i].place)
-			i = at
-		}
+	t.slots[gap] = entry{}
+}
+
+// distance is how many steps lie between two slots.
+func (t *table) distance(from, to int) int {
+	if to < from {
+		return to - from + len(t.slots)
 	}
-	t.slots[i] = entry{}
+	return to - from
 }
