--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -263,7 +263,7 @@
 					why = o.AbortReason
 				}
 				rows = append(rows, []string{strconv.FormatUint(o.Number, 10), strconv.FormatUint(o.PreviousVersion, 10),
-					strconv.FormatUint(o.Version, 10), o.Step, o.Proposal.Author, after(o.CommittedAtMS, o.ProposedAtMS),
+					strconv.FormatUint(o.Version, 10), string(o.Step), o.Proposal.Author, after(o.CommittedAtMS, o.ProposedAtMS),
 					after(o.EndedAtMS, o.ProposedAtMS), why})
 			}
 			return table(w, rows)
--- a/internal/control/coordinator/part.go
+++ b/internal/control/coordinator/part.go
@@ -267,7 +267,8 @@
 	}
 	p.Fleet.BeginGeneration(max(found.LeaseMS, rules.LeaseMS), rules.Autonomous, more)
 	if found.Version > 0 || p.Policy.Current != nil {
-		p.Policy.BeginGeneration(found.Version, found.Hash, rules, p.Fleet.ClockMS, found.Proof)
+		p.Policy.BeginGeneration(policy.Restored{Version: found.Version, Hash: found.Hash, Rules: rules, Proof: found.Proof},
+			p.Fleet.ClockMS)
 	}
 	left := map[string]int{}
 	for name, k := range share { // each is judged alone
--- /dev/null
+++ b/internal/control/policy/apply.go
@@ -0,0 +1,180 @@
+package policy
+
+import (
+	"fmt"
+
+	"umberwinch/internal/control/membership"
+)
+
+// Apply applies one committed operation at the time and with the nodes of f.
+//
+// Each operation is checked against the state that it meets, not the one that its leader saw. This guards against
+// operations that two leaders appended, or that come late: one that no longer holds changes nothing, and its Result
+// says why.
+func (s *State) Apply(op *Op, f *membership.State, v Versions, disabled Guard) Result {
+	if op.Kind == OpPropose {
+		return s.propose(op.Proposal, f, v)
+	}
+	r := Result{Kind: op.Kind, ChangeNumber: op.ChangeNumber}
+	if s.Current == nil || s.Current.Number != op.ChangeNumber {
+		r.Rejection = fmt.Sprintf("change %d is not under way", op.ChangeNumber)
+		return r
+	}
+	switch op.Kind {
+	case OpDecide:
+		r.Rejection = s.decide(op, f, disabled)
+	case OpCommit:
+		r.Rejection = s.commit(f, disabled)
+	case OpSettle:
+		r.Rejection = s.settle(f, disabled)
+	case OpAbort:
+		r.Rejection = s.abort(op, f, disabled)
+	default:
+		r.Rejection = fmt.Sprintf("op %q, expected propose, decide, force, settle or off", op.Kind)
+	}
+	return r
+}
+
+// wrongStep is the rejection of an operation that the change's step does not allow.
+func (c *Change) wrongStep(expected Step) string {
+	return fmt.Sprintf("change %d is %s, expected %s", c.Number, c.Step, expected)
+}
+
+// propose begins a change. A proposal that is repeated under its key gives the change that it began the first time: its
+// sender may not have heard the answer.
+func (s *State) propose(p *Proposal, f *membership.State, v Versions) Result {
+	r := Result{Kind: OpPropose, IdempotencyKey: p.IdempotencyKey}
+	begun := s.find(func(c *Change) bool { return c.Proposal.IdempotencyKey == p.IdempotencyKey })
+	if begun != nil {
+		r.ChangeNumber = begun.Number
+		return r
+	}
+	if r.Rejection = s.rejectProposal(p, v); r.Rejection != "" {
+		return r
+	}
+	rules, hash, err := v.Check(p.Version, s.CommittedVersion)
+	if err != nil {
+		r.Rejection = clip(err.Error())
+		return r
+	}
+	s.LastNumber++
+	s.Current = &Change{
+		Number:          s.LastNumber,
+		Version:         p.Version,
+		PreviousVersion: s.CommittedVersion,
+		Hash:            hash,
+		Rules:           rules,
+		Step:            Preparing,
+		Proposal:        *p,
+		DecideByMS:      f.ClockMS + p.PrepareWithinMS,
+		ProposedAtMS:    f.ClockMS,
+	}
+	s.Current.event(f.ClockMS, "proposed by %s: %s", p.Author, p.Reason)
+	r.ChangeNumber = s.LastNumber
+	return r
+}
+
+// rejectProposal decides why a proposal can't begin a change; empty: it can.
+//
+// It decides by the change under way, the versions that are decided and kept, and the rules in force. One change at a
+// time keeps its outcome clear; a version before the decided one would need nodes to break their promise. An exclusive
+// change is rejected where nodes serve on without the group: one that is cut off would hold up all others for ever.
+func (s *State) rejectProposal(p *Proposal, v Versions) string {
+	switch {
+	case s.Current != nil:
+		return fmt.Sprintf("change %d to version %d is %s; it has to end first", s.Current.Number, s.Current.Version,
+			s.Current.Step)
+	case p.Version <= s.DecidedVersion:
+		return fmt.Sprintf("version %d, expected one after %d, which is in force: to go back, put the older text "+
+			"again, as a new version", p.Version, s.DecidedVersion)
+	case p.Version > v.Last():
+		return fmt.Sprintf("version %d, expected at most %d, the group's last", p.Version, v.Last())
+	case p.Exclusive && s.ActiveRules().Autonomous:
+		return "exclusive, while when_alone = go-on is in force: a node that is cut off would hold up all others"
+	}
+	return ""
+}
+
+// decide makes the change's version the decided one. From here on the outcome is fixed: no lease is extended that
+// does not promise the version.
+//
+// It counts only for the epoch of the fleet that its leader saw. This guards against a node that joined meanwhile and
+// has not prepared: it would be out of service with a version that it can't serve under.
+func (s *State) decide(op *Op, f *membership.State, disabled Guard) (rejection string) {
+	c := s.Current
+	if c.Step != Preparing {
+		return c.wrongStep(Preparing)
+	}
+	if op.FleetEpoch != f.Epoch && !disabled.Has(PrepareAll) {
+		return fmt.Sprintf("decided for the fleet of epoch %d, and it is in %d: a node joined", op.FleetEpoch, f.Epoch)
+	}
+	s.DecidedVersion, c.DecidedAtMS = c.Version, f.ClockMS
+	c.event(f.ClockMS, "decided")
+	if len(op.LeftBehind) > 0 {
+		c.event(f.ClockMS, "left behind, out of service: %s", Summarize(op.LeftBehind))
+	}
+	c.Step = Decided
+	if !c.Proposal.Exclusive {
+		s.makeCommitted(f)
+	}
+	return ""
+}
+
+// commit puts an exclusive change in force. It counts only once no live lease allows an older version, which guards
+// against two versions at one moment.
+func (s *State) commit(f *membership.State, disabled Guard) (rejection string) {
+	c := s.Current
+	if c.Step != Decided {
+		return c.wrongStep(Decided)
+	}
+	if older := f.NodesServingOlder(c.Version); len(older) > 0 && !disabled.Has(LeaseGuard) {
+		return "still under an older one: " + Summarize(older)
+	}
+	s.makeCommitted(f)
+	return ""
+}
+
+// settle ends a change. It counts only once no live lease allows an older version, which guards against a change that
+// is reported as done while a node that was cut off still serves under the version before.
+func (s *State) settle(f *membership.State, disabled Guard) (rejection string) {
+	c := s.Current
+	if c.Step != Committed {
+		return c.wrongStep(Committed)
+	}
+	if older := f.NodesServingOlder(c.Version); len(older) > 0 && !disabled.Has(LeaseGuard) {
+		return "maybe still under an older one: " + Summarize(older)
+	}
+	c.Step, c.EndedAtMS = Settled, f.ClockMS
+	c.event(f.ClockMS, "settled: nobody can serve under an older one")
+	s.end(c)
+	return ""
+}
+
+// abort ends a change that is not decided. What is decided is never taken back: nodes may serve under it already, and
+// others would not learn in time that they must not.
+func (s *State) abort(op *Op, f *membership.State, disabled Guard) (rejection string) {
+	c := s.Current
+	if c.Step != Preparing {
+		if !disabled.Has(DecideOnce) || c.Step == Settled {
+			return c.wrongStep(Preparing +
+				", as what is decided is not taken back; go back by a change to the older text")
+		}
+		s.DecidedVersion, s.CommittedVersion = c.PreviousVersion, c.PreviousVersion
+	}
+	c.Step, c.EndedAtMS, c.AbortReason = Aborted, f.ClockMS, op.Reason
+	if op.Author != "" {
+		c.event(f.ClockMS, "called off by %s: %s", op.Author, op.Reason)
+	} else {
+		c.event(f.ClockMS, "called off: %s", op.Reason)
+	}
+	s.end(c)
+	return ""
+}
+
+// makeCommitted makes the current change's version the committed one.
+func (s *State) makeCommitted(f *membership.State) {
+	c := s.Current
+	s.CommittedVersion, s.CommittedHash, s.Rules = c.Version, c.Hash, c.Rules
+	c.Step, c.CommittedAtMS = Committed, f.ClockMS
+	c.event(f.ClockMS, "in force")
+}
--- /dev/null
+++ b/internal/control/policy/errors.go
@@ -0,0 +1,19 @@
+package policy
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// ErrSnapshot is what all errors of Restore wrap: the snapshot is torn, spoilt or not of a policy. Nothing of it is
+// used.
+var ErrSnapshot = errors.New("a saved policy")
+
+// UnknownGuardError is given for a guard's name that there is not.
+type UnknownGuardError struct{ Name string }
+
+// Error names the guards that there are.
+func (e *UnknownGuardError) Error() string {
+	return fmt.Sprintf("guard %q, expected one of %s", e.Name, strings.Join(GuardNames(), ", "))
+}
--- /dev/null
+++ b/internal/control/policy/policy_test.go
@@ -0,0 +1,180 @@
+package policy
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+
+	"umberwinch/internal/control/api"
+	"umberwinch/internal/control/membership"
+)
+
+// versions is a group that keeps versions 1 to 9, of which 7 can't follow another.
+type versions struct{}
+
+var errCannotFollow = errors.New("tenants: it takes away a tenant")
+
+func (versions) Last() uint64 { return 9 }
+
+func (versions) Check(version, _ uint64) (Rules, string, error) {
+	if version == 7 {
+		return Rules{}, "", errCannotFollow
+	}
+	return Rules{LeaseMS: 4000}, fmt.Sprint("hash-", version), nil
+}
+
+// fleetOf gives a fleet that the named nodes have joined.
+func fleetOf(t *testing.T, terms membership.LeaseTerms, names ...string) *membership.State {
+	t.Helper()
+	f := membership.New()
+	batch := &membership.HeartbeatBatch{ElapsedMS: 1}
+	for _, name := range names {
+		batch.Joins = append(batch.Joins, api.JoinRequest{Name: name, Zone: "z", Nonce: name + "-process-1"})
+	}
+	if r := f.Apply(batch, 1, terms); !r.Counted || len(r.Granted) != len(names) {
+		t.Fatalf("joining: %+v", r)
+	}
+	return f
+}
+
+// advance lets time go by in the fleet, with the leases of the named nodes extended.
+func advance(f *membership.State, terms membership.LeaseTerms, ms uint64, names ...string) {
+	batch := &membership.HeartbeatBatch{BatchesBefore: f.Batches, ElapsedMS: ms, MinVersion: terms.DecidedVersion}
+	for _, name := range names {
+		batch.Renewals = append(batch.Renewals, f.Lookup(name).Lease.ID)
+	}
+	f.Apply(batch, 1, terms)
+}
+
+func proposal(version uint64) *Proposal {
+	return &Proposal{Version: version, PrepareWithinMS: 5000, MaxLeftBehind: 1, Author: "an operator",
+		IdempotencyKey: fmt.Sprint("key-00000", version)}
+}
+
+func reportsOf(reports map[string]*NodeReport) Reports {
+	return func(n *membership.Node) *NodeReport { return reports[n.Name] }
+}
+
+// TestNextOfPreparing: nodes prepare, refuse or say nothing. Whoever is up is waited for until the change's time is
+// over, more refusals than may be left behind end it at once, and no more nodes are left behind than the operator
+// allowed.
+func TestNextOfPreparing(t *testing.T) {
+	type reports = map[string]*NodeReport
+	prepared := &NodeReport{PreparedVersion: 1}
+	refused := &NodeReport{RefusedVersion: 1, RefusedReason: "it sheds too much"}
+	const silent = " (has not told this leader anything yet)"
+	for name, c := range map[string]struct {
+		reports reports
+		late    bool
+		kind    OpKind
+		reason  string
+		left    string
+	}{
+		"all have prepared":       {reports{"a": prepared, "b": prepared, "c": prepared}, false, OpDecide, "", ""},
+		"one was not heard":       {reports{"a": prepared, "b": prepared}, false, "", "", ""},
+		"one was not heard, late": {reports{"a": prepared, "b": prepared}, true, OpDecide, "", "c"},
+		"two were not heard, late": {reports{"a": prepared}, true, OpAbort,
+			"not prepared within 5000 ms: b" + silent + ", c" + silent, ""},
+		"one refuses": {reports{"a": prepared, "b": refused, "c": prepared}, false, OpDecide, "", "b"},
+		"one of each": {reports{"a": prepared, "b": refused}, false, "", "", ""},
+		"one of each, late": {reports{"a": prepared, "b": refused}, true, OpAbort,
+			"not prepared within 5000 ms: c" + silent, ""},
+		"two refuse": {reports{"a": refused, "b": refused, "c": prepared}, false, OpAbort,
+			"refused by a (it sheds too much), b (it sheds too much)", ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			terms := membership.LeaseTerms{LeaseMS: 4000}
+			f, s := fleetOf(t, terms, "a", "b", "c"), &State{}
+			if r := s.Apply(&Op{Kind: OpPropose, Proposal: proposal(1)}, f, versions{}, 0); r.Rejection != "" {
+				t.Fatal(r.Rejection)
+			}
+			if c.late {
+				advance(f, terms, 2500, "a", "b", "c")
+				advance(f, terms, 2500, "a", "b", "c")
+			}
+			op := s.Next(f, reportsOf(c.reports), 0)
+			if op == nil {
+				op = &Op{}
+			}
+			if op.Kind != c.kind || op.Reason != c.reason || strings.Join(op.LeftBehind, " ") != c.left {
+				t.Fatalf("found %+v, expected %s of %q, %q left behind", op, c.kind, c.reason, c.left)
+			}
+		})
+	}
+}
+
+// TestOneOutcome: a decided change can't be aborted, an operation that no longer holds changes nothing, and the change
+// settles only once the lease of a node that was cut off has run out.
+func TestOneOutcome(t *testing.T) {
+	terms := membership.LeaseTerms{LeaseMS: 4000}
+	f, s := fleetOf(t, terms, "a", "b"), &State{}
+	s.Apply(&Op{Kind: OpPropose, Proposal: proposal(1)}, f, versions{}, 0)
+	early := &Op{Kind: OpDecide, ChangeNumber: 1, FleetEpoch: f.Epoch - 1}
+	if r := s.Apply(early, f, versions{}, 0); r.Rejection == "" {
+		t.Fatal("it is decided by a leader that did not hear a node which joined")
+	}
+	if r := s.Apply(&Op{Kind: OpDecide, ChangeNumber: 1, FleetEpoch: f.Epoch}, f, versions{}, 0); r.Rejection != "" {
+		t.Fatal(r.Rejection)
+	}
+	for _, kind := range []OpKind{OpAbort, OpDecide, OpSettle} {
+		if r := s.Apply(&Op{Kind: kind, ChangeNumber: 1}, f, versions{}, 0); r.Rejection == "" {
+			t.Errorf("%s counts while a node may serve under an older version", kind)
+		}
+	}
+	terms.DecidedVersion = s.DecidedVersion
+	advance(f, terms, 4000, "a")
+	if op := s.Next(f, reportsOf(nil), 0); op != nil {
+		t.Errorf("found %+v while the lease of a node that was cut off may be live", op)
+	}
+	advance(f, terms, membership.LeaseSpanMS(4000)-4000+1, "a")
+	op := s.Next(f, reportsOf(nil), 0)
+	if op == nil || op.Kind != OpSettle {
+		t.Fatalf("found %+v, expected %s", op, OpSettle)
+	}
+	if r := s.Apply(op, f, versions{}, 0); r.Rejection != "" || s.Find(1).Step != Settled || s.Current != nil {
+		t.Errorf("%s: change %+v", r.Rejection, s.Find(1))
+	}
+}
+
+// TestRejectedProposals: a proposal that can't begin a change is rejected, and one that is repeated under its key gives
+// the change that it began.
+func TestRejectedProposals(t *testing.T) {
+	f, s := fleetOf(t, membership.LeaseTerms{LeaseMS: 4000}, "a"), &State{DecidedVersion: 2}
+	exclusive := proposal(3)
+	exclusive.Exclusive = true
+	for _, p := range []*Proposal{proposal(2), proposal(10), proposal(7), exclusive} {
+		if r := s.Apply(&Op{Kind: OpPropose, Proposal: p}, f, versions{}, 0); r.Rejection == "" || s.Current != nil {
+			t.Errorf("%+v begins %+v", p, s.Current)
+		}
+	}
+	for range 2 {
+		r := s.Apply(&Op{Kind: OpPropose, Proposal: proposal(3)}, f, versions{}, 0)
+		if r.Rejection != "" || r.ChangeNumber != 1 {
+			t.Errorf("found %+v, expected change 1", r)
+		}
+	}
+	if r := s.Apply(&Op{Kind: OpPropose, Proposal: proposal(4)}, f, versions{}, 0); r.Rejection == "" {
+		t.Error("a second change begins beside the first")
+	}
+}
+
+// TestErrors: callers can tell errors of input, of snapshots and of guards' names from others.
+func TestErrors(t *testing.T) {
+	p := proposal(1)
+	p.PrepareWithinMS = 1
+	var field *api.FieldError
+	if err := p.Validate(); !errors.As(err, &field) || err.Error() != "within_ms: found 1, expected 1000 to 86400000" {
+		t.Errorf("found %v", err)
+	}
+	if _, err := Restore([]byte("{")); !errors.Is(err, ErrSnapshot) {
+		t.Errorf("found %v, expected one that wraps %v", err, ErrSnapshot)
+	}
+	var unknown *UnknownGuardError
+	if _, err := GuardNamed("leases"); !errors.As(err, &unknown) || unknown.Name != "leases" {
+		t.Errorf("found %v", err)
+	}
+	if g, err := GuardNamed("arrival-order"); err != nil || g != ArrivalOrder {
+		t.Errorf("found %v, %v", g, err)
+	}
+}
--- a/internal/lab/fleet_ask.go
+++ b/internal/lab/fleet_ask.go
@@ -146,7 +146,7 @@
 }
 
 // Step waits until a change is at one of some steps.
-func (r *Rig) Step(number uint64, within time.Duration, steps ...string) (*policy.Change, error) {
+func (r *Rig) Step(number uint64, within time.Duration, steps ...policy.Step) (*policy.Change, error) {
 	var c *policy.Change
 	err := r.await(within, func() error {
 		v, err := r.Policy()
--- a/internal/lab/fleet_events.go
+++ b/internal/lab/fleet_events.go
@@ -48,7 +48,7 @@
 	lines := logLines
 	type step struct {
 		number float64
-		name   string
+		name   policy.Step
 	}
 	first := map[step]FleetEvent{}
 	var order []step
@@ -61,7 +61,7 @@
 		from, _ := m["from"].(float64)
 		excl, _ := m["exclusive"].(bool)
 		name, _ := m["step"].(string)
-		k := step{number, name}
+		k := step{number, policy.Step(name)}
 		if e, there := first[k]; !there || at < e.At {
 			if !there {
 				order = append(order, k)
@@ -89,7 +89,7 @@
 			e.Kind = "forced"
 			all = append(all, e)
 		case policy.Settled, policy.Aborted:
-			e.Kind = map[string]string{policy.Settled: "settled", policy.Aborted: "off"}[k.name]
+			e.Kind = map[policy.Step]string{policy.Settled: "settled", policy.Aborted: "off"}[k.name]
 			all = append(all, e)
 		}
 	}
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -68,7 +68,7 @@
 	return []string{at(0.5), at(0.99), at(1)}
 }
 
-func (r *Policy) row(rep *Report, part string, nodes, changes int, ends map[string]int, times []float64, overlap int64) {
+func (r *Policy) row(rep *Report, part string, nodes, changes int, ends map[policy.Step]int, times []float64, overlap int64) {
 	rep.Rows = append(rep.Rows, append(append([]string{part, strconv.Itoa(nodes), strconv.Itoa(changes),
 		strconv.Itoa(ends[policy.Settled]), strconv.Itoa(ends[policy.Aborted])}, span(times)...),
 		fmt.Sprintf("%.0f ms", float64(overlap)/10)))
@@ -82,7 +82,7 @@
 			n = quickFleets
 		}
 	}
-	ends, causes, bad, first := map[string]int{}, map[string]int{}, 0, int64(-1)
+	ends, causes, bad, first := map[policy.Step]int{}, map[string]int{}, 0, int64(-1)
 	var times []float64
 	var overlap int64
 	why := ""
@@ -254,7 +254,7 @@
 	defer stop()
 	calls := b.Load(load, 200)
 	time.Sleep(time.Second)
-	before, ends, times, numbers := calls.String(), map[string]int{}, []float64{}, []uint64{}
+	before, ends, times, numbers := calls.String(), map[policy.Step]int{}, []float64{}, []uint64{}
 	for i := 0; i < n && ctx.Err() == nil; i++ {
 		c, err := b.change(policy.Proposal{})
 		if err != nil {
--- a/internal/lab/policy_bench.go
+++ b/internal/lab/policy_bench.go
@@ -142,7 +142,7 @@
 }
 
 // goesOn lets a node that was held take part again, and waits until the change stands at one of some steps.
-func (b *bench) goesOn(slow *rigNode, c made, steps ...string) *policy.Change {
+func (b *bench) goesOn(slow *rigNode, c made, steps ...policy.Step) *policy.Change {
 	b.lines(lineFault{}, slow)
 	return got(b.Step(c.number, 30*time.Second, steps...))
 }
--- a/internal/lab/vfleet.go
+++ b/internal/lab/vfleet.go
@@ -118,14 +118,14 @@
 	texts   []string // by version less one
 	hashes  []string
 	History []FleetEvent
-	known   map[uint64]string // step by change
+	known   map[uint64]policy.Step // step by change
 	Broken  string
 	Asks    int
 	Entries int
 	Bytes   int
-	Times   []float64      // ms from proposed to in force
-	Ends    map[string]int // of changes
-	Causes  map[string]int // of those called off
+	Times   []float64           // ms from proposed to in force
+	Ends    map[policy.Step]int // of changes
+	Causes  map[string]int      // of those called off
 	Overlap int64
 	Shed    float64 // node-ms fenced while up and reachable
 	Served  float64
@@ -157,7 +157,7 @@
 // NewVFleet readies a schedule.
 func NewVFleet(p FleetPlan) *VFleet {
 	w := &VFleet{FleetPlan: p, r: rand.New(rand.NewSource(p.Seed)), part: coordinator.NewState(p.Without), lead: -1,
-		known: map[uint64]string{}, Ends: map[string]int{}, Causes: map[string]int{}, bad: map[string]bool{},
+		known: map[uint64]policy.Step{}, Ends: map[policy.Step]int{}, Causes: map[string]int{}, bad: map[string]bool{},
 		vlost: vlost{group: "g1", ofHash: map[string]string{}, decidedAs: map[uint64]string{}, said: map[string]bool{}}}
 	w.part.WithoutZones = p.WithoutZones
 	if w.Zones == 0 {
--- a/internal/lab/vfleet_test.go
+++ b/internal/lab/vfleet_test.go
@@ -15,7 +15,7 @@
 	if s := os.Getenv("UMBERWINCH_SCHEDULES"); s != "" {
 		n, _ = strconv.Atoi(s)
 	}
-	ends := map[string]int{}
+	ends := map[policy.Step]int{}
 	for seed := 1; seed <= n; seed++ {
 		w := NewVFleet(FleetPlan{Seed: int64(seed), Nodes: 12, Ctl: 3, Changes: 5})
 		w.Play()
--- a/internal/lab/vlost.go
+++ b/internal/lab/vlost.go
@@ -39,7 +39,7 @@
 	raw           []byte
 	texts, hashes []string
 	index, term   uint64
-	known         map[uint64]string
+	known         map[uint64]policy.Step
 	events        int // of the history
 }
 
@@ -57,7 +57,7 @@
 		w.fail("%v", err)
 		return
 	}
-	known := map[uint64]string{}
+	known := map[uint64]policy.Step{}
 	for n, s := range w.known {
 		known[n] = s
 	}
@@ -256,7 +256,7 @@
 	}
 	w.part, w.began = p, p.Zones.Epoch
 	w.group = fmt.Sprintf("g%d-%d", p.Generation, w.losses)
-	w.known = map[uint64]string{}
+	w.known = map[uint64]policy.Step{}
 	for _, c := range p.Policy.History {
 		w.known[c.Number] = c.Step
 	}
--- a/internal/node/agent/pin_decisions_test.go
+++ b/internal/node/agent/pin_decisions_test.go
@@ -258,8 +258,8 @@
 // TestPinnedDecisions holds the agent to what it decided as version 2a0a97e.
 func TestPinnedDecisions(t *testing.T) {
 	for what, without := range map[string]policy.Guard{"all guards": 0, "without fencing": policy.Fence,
-		"without the way back": policy.NoWayBack, "without the generations": policy.Generation,
-		"without any of the three": policy.Fence | policy.NoWayBack | policy.Generation} {
+		"without the way back": policy.NoDowngrade, "without the generations": policy.Generation,
+		"without any of the three": policy.Fence | policy.NoDowngrade | policy.Generation} {
 		sum, asked, taken, refused := sha256.New(), 0, 0, 0
 		for seed := uint64(1); seed <= 12; seed++ {
 			a, k, r := pinnedLives(seed, without, sum)
--- a/internal/node/agent/response.go
+++ b/internal/node/agent/response.go
@@ -111,7 +111,7 @@
 		return fmt.Errorf("%w: found group %.16s in generation %d, expected %.16s in %d", ErrUntrusted,
 			r.Cluster, group.Generation, a.group.cluster, a.group.generation)
 	}
-	if r.DecidedVersion < a.versions.min && !guards.Has(policy.NoWayBack) {
+	if r.DecidedVersion < a.versions.min && !guards.Has(policy.NoDowngrade) {
 		return fmt.Errorf("%w: generation %d of the group has version %d decided, expected %d at least: "+
 			"it was restored without what this node was told", ErrStale, group.Generation, r.DecidedVersion, a.versions.min)
 	}
@@ -120,7 +120,7 @@
 
 // validatePosition accepts no earlier position of the group's log, zone epoch or decided version than was seen.
 func (a *Agent) validatePosition(r *api.HeartbeatResponse) error {
-	wayBack := a.config.DisabledGuards.Has(policy.NoWayBack)
+	wayBack := a.config.DisabledGuards.Has(policy.NoDowngrade)
 	switch {
 	case r.Term < a.group.term || r.Index < a.group.index && !wayBack:
 		return fmt.Errorf("%w: found term %d and entry %d, expected %d and %d at least", ErrStale, r.Term, r.Index,
--- a/internal/node/agent/serving.go
+++ b/internal/node/agent/serving.go
@@ -31,7 +31,7 @@
 	switch {
 	case guards.Has(policy.Fence) && a.group.contacted:
 		return true, ""
-	case a.versions.active.Version < a.versions.min && !guards.Has(policy.NoWayBack):
+	case a.versions.active.Version < a.versions.min && !guards.Has(policy.NoDowngrade):
 		return false, fmt.Sprintf(fencedBehind, a.versions.min)
 	case a.lease.holds(now), a.servesBetweenGenerations(now):
 		return true, ""
--- a/internal/node/agent/versions.go
+++ b/internal/node/agent/versions.go
@@ -50,7 +50,7 @@
 
 // update takes the versions of an accepted response. Neither the decided nor the committed one ever goes back.
 func (v *versions) update(r *api.HeartbeatResponse, guards policy.Guard) {
-	wayBack := guards.Has(policy.NoWayBack)
+	wayBack := guards.Has(policy.NoDowngrade)
 	if !wayBack {
 		v.min = max(v.min, r.DecidedVersion)
 	}
@@ -98,7 +98,7 @@
 		return v.stored, true
 	}
 	newer := v.committed.Version > v.active.Version
-	if a.config.DisabledGuards.Has(policy.NoWayBack) {
+	if a.config.DisabledGuards.Has(policy.NoDowngrade) {
 		newer = v.committed.Version != v.active.Version
 	}
 	if newer && v.has(v.committed) {
