--- a/admission/calls.go
+++ b/admission/calls.go
@@ -1,159 +1,239 @@
 package admission
 
-// This file decides calls to the services below: their queue, pace, deadlines and outcomes.
+const (
+	// The pace aims at half of the allowance: calls come in bunches and some take longer, and the mean must hold.
+	aimedAllowanceDivisor = 2 // the allowance over it
+	// Never is more than this share of the allowance in flight, so that no mean over time can come to the whole of it.
+	peakAllowanceFraction = 0.9
+	// Where the allowance is under one call, a call is made only while the mean is under half of what may be in flight,
+	// so that it has time to end before the mean is used up.
+	meanAllowanceDivisor = 2 // what may be in flight over it
+	// savedCalls is how many unused turns of the pace are saved up, so that calls which come in a bunch need not wait.
+	savedCalls = 4
+	// The pace to a tier that rejects is a quarter over what it let through, and two a second at the least, so that the
+	// pace can find its way back.
+	probeFactor = 1.25
+	probeExtra  = 4 // calls in the window of two seconds
+	// A call is given up no sooner than after twice the usual time of one and a fifth of a second: slow is not lost.
+	patienceFactor = 2
+	patienceExtra  = Second / 5
+	// A rejected call of a request that can go on without it is made again twice; one that may have been executed,
+	// of a request that can't, three times.
+	maxRejectedCalls = 2
+	maxCallAttempts  = 3
+	// The backoff between attempts doubles from two timer periods to 32, so that rejections don't become a storm.
+	maxBackoffDoublings = 5
 
-// runNeedsCall takes a run that stands at a call.
-func (c *Controller) runNeedsCall(i int32) {
-	if i == none || c.requests.at[i].phase != running {
-		return
-	}
-	it := &c.requests.at[i]
-	it.phase = calling
-	c.notePools(it, true)
-	c.noteProgress()
-	if !it.answered {
-		c.enqueueCall(i)
-	}
+	// Calls are measured over two seconds in short steps: long enough for a mean at a few calls a second, short beside
+	// a fault of the dependency.
+	callBuckets = 8
+	callStep    = Second / 4
+	// The mean of calls in flight is taken in tenths of the deployment's span, a second at the least.
+	inFlightBuckets = 10
+	// Abandoned calls are counted for their cancellation delay and up to a quarter more.
+	abandonedBuckets = 5
+	abandonedSteps   = 4
+)
+
+// callPace decides when calls to the services below are made and how long each may last.
+type callPace struct {
+	shared            bool    // a dependency that states an allowance
+	aimedInFlight     float64 // calls meant to be in flight in the mean
+	maxInFlight       float64
+	cancellationDelay Time
+
+	queue     list // runs that wait for their call, in the order in which the requests arrived
+	next      Time // when the next call may be made
+	inFlight  countAverage
+	abandoned window
+	times     window
+	time      float64 // the last known mean time of a call
+	rejected  window
+	succeeded window
 }
 
-// enqueueCall lines up a call in the arrival order of the requests.
-func (c *Controller) enqueueCall(i int32) {
-	p := c.callQueue.tail
-	for p != none && c.requests.at[p].came > c.requests.at[i].came {
-		p = c.requests.at[p].queue.prev
+func newCallPace(d *Deployment) callPace {
+	return callPace{
+		shared:            d.Dependency == DependencyShared && d.CallAllowance > 0,
+		aimedInFlight:     d.CallAllowance / aimedAllowanceDivisor,
+		maxInFlight:       d.CallAllowance * peakAllowanceFraction,
+		cancellationDelay: d.CancellationDelay,
+		queue:             newList(),
+		inFlight: countAverage{window: newWindow(inFlightBuckets, max(d.CallAveragingTime, Second)/inFlightBuckets),
+			changedAt: d.Start},
+		abandoned: newWindow(abandonedBuckets, max(d.CancellationDelay, abandonedSteps)/abandonedSteps),
+		times:     newWindow(callBuckets, callStep),
+		rejected:  newWindow(callBuckets, callStep),
+		succeeded: newWindow(callBuckets, callStep),
 	}
-	c.callQueue.insertAfter(&c.requests, i, p)
-	c.requests.at[i].lined, c.requests.at[i].stood = true, c.now
-	c.review(i)
 }
 
-// leaveCallQueue takes a call out of the line, if it is in it.
-func (c *Controller) leaveCallQueue(i int32) {
-	if it := &c.requests.at[i]; it.lined {
-		it.lined = false
-		c.callQueue.remove(&c.requests, i)
+// allows decides whether one more call to a shared dependency may be in flight; abandoned ones count for their
+// cancellation delay. Where the allowance is under one call, calls are made one at a time and only while their mean
+// leaves room.
+func (p *callPace) allows(now Time) bool {
+	abandoned, _ := p.abandoned.sums(now)
+	if n := float64(p.inFlight.count) + abandoned; n > 0 {
+		return n+1 <= p.maxInFlight
 	}
+	return p.maxInFlight >= 1 || p.inFlight.average(now) < p.maxInFlight/meanAllowanceDivisor
 }
 
-// makeCalls makes the calls that the pace allows.
-func (c *Controller) makeCalls() {
-	gap := c.callGap()
-	for c.callQueue.head != none && c.nextCall <= c.now {
-		if c.shared && !c.mayCallMore() {
-			return
-		}
-		i := c.callQueue.head
-		it := &c.requests.at[i]
-		c.leaveCallQueue(i)
-		c.callsInFlight.move(c.now, 1)
-		it.phase = outside
-		c.writer.Call(it.id, c.callUntil(it))
-		// Unused turns are saved up to a few calls, so that calls which come in a bunch need not wait.
-		c.nextCall = max(c.nextCall, c.now-4*gap) + gap
+// gap decides the time between calls. To a shared dependency it is the recent time of a call over the number meant to
+// be in flight. A next tier states no allowance: while it rejects, the pace follows what it lets through.
+func (p *callPace) gap(now Time) Time {
+	p.time = p.times.mean(now, p.time)
+	if p.shared {
+		return Time(p.time / p.aimedInFlight)
 	}
+	if rejected, _ := p.rejected.sums(now); rejected > 0 {
+		succeeded, _ := p.succeeded.sums(now)
+		return Time(float64(p.succeeded.span()) / (probeFactor*succeeded + probeExtra))
+	}
+	return 0
+}
+
+// made counts a call that was just made.
+func (p *callPace) made(now, gap Time) {
+	p.inFlight.change(now, 1)
+	p.next = max(p.next, now-savedCalls*gap) + gap
+}
+
+// abandon counts a call that stays in flight at the dependency for its cancellation delay.
+func (p *callPace) abandon(now Time) {
+	p.inFlight.add(now, float64(p.cancellationDelay), 0)
+	p.abandoned.add(now, 1, 0)
 }
 
-// mayCallMore says whether one more call can be in hand, those given up counted for their linger. Where the
-// allowance is under one call, calls are made one at a time, and only while their mean leaves room.
-func (c *Controller) mayCallMore() bool {
-	given, _ := c.abandonedCalls.sums(c.now)
-	if n := float64(c.callsInFlight.n) + given; n > 0 {
-		return n+1 <= c.callsMost
+// deadline decides when a call is given up: while the response can still be within its objective without it; and at
+// lastUseful, the latest moment that leaves time to answer. One that must not be repeated lasts until then.
+func (p *callPace) deadline(now, lastUseful, objectiveEnd Time, runsOnce bool) Time {
+	last := lastUseful
+	if p.shared && p.maxInFlight < 1 {
+		// The failure: a stalled dependency held by one call of each of hundreds of servers. One call is more than
+		// the allowance, so it lasts at most for what the mean has left. Could harm where just this one is slow.
+		left := (p.maxInFlight - p.inFlight.average(now)) * float64(p.inFlight.span())
+		last = min(last, now+Time(left)-p.cancellationDelay)
 	}
-	return c.callsMost >= 1 || c.callsInFlight.over(c.now) < c.callsMost/2
+	if runsOnce {
+		return max(last, now+1)
+	}
+	patience := Time(patienceFactor*p.time) + patienceExtra
+	return max(min(max(objectiveEnd, now+patience), last), now+1)
 }
 
-// callGap is the time between calls: the allowed number in hand over the recent time of a call. What lies
-// in a tier states no allowance: while it refuses, the pace follows what comes back from it.
-func (c *Controller) callGap() Time {
-	c.callTime = c.callTimes.mean(c.now, c.callTime)
-	if c.shared {
-		return Time(c.callTime / c.callsAllowed)
+// callRequested takes a run that came to a call.
+func (c *Controller) callRequested(i index) {
+	if i == none || c.requests.at[i].state != running {
+		return
 	}
-	if n, _ := c.callsRefused.sums(c.now); n > 0 {
-		ok, _ := c.callsPassed.sums(c.now)
-		// A quarter over what passed, and two a second at the least, so that the pace can find its way back.
-		return Time(float64(c.callsPassed.span()) / (1.25*ok + 4))
+	r := &c.requests.at[i]
+	r.enter(awaitingCall)
+	c.tellPoolsAtCall(r, true)
+	c.noteProgress()
+	if !r.answered {
+		c.enqueueCall(i)
 	}
-	return 0
 }
 
-// callUntil is when a call is given up: while the answer can still come within the target without it, if
-// it can be skipped; never before its due time if it must not be repeated.
-func (c *Controller) callUntil(it *item) Time {
-	h := &c.handlers[it.h]
-	last := it.due - c.answerMargin()
-	if c.shared && c.callsMost < 1 {
-		// One call is more than the allowance: it lasts at most for what the mean has left, lest a stalled
-		// dependency be held by one call of each of hundreds of servers. Could harm where just this one is slow.
-		left := (c.callsMost - c.callsInFlight.over(c.now)) * float64(c.callsInFlight.span())
-		last = min(last, c.now+Time(left)-c.linger)
-	}
-	if h.runsOnce {
-		return max(last, c.now+1)
-	}
-	by := it.came + h.target
-	by = max(by, c.now+Time(2*c.callTime)+Second/5)
-	return max(min(by, last), c.now+1)
+// enqueueCall queues a call in the arrival order of the requests.
+func (c *Controller) enqueueCall(i index) {
+	r := &c.requests.at[i]
+	p := c.calls.queue.tail
+	for p != none && c.requests.at[p].arrivedAt > r.arrivedAt {
+		p = c.requests.at[p].queueLink.prev
+	}
+	c.calls.queue.insertAfter(&c.requests, i, p)
+	r.call.queued, r.call.queuedAt = true, c.now
+	c.review(i)
 }
 
-// countAbandonedCall counts a call that stays in the dependency's hands for its linger.
-func (c *Controller) countAbandonedCall() {
-	c.callsInFlight.add(c.now, float64(c.linger), 0)
-	c.abandonedCalls.add(c.now, 1, 0)
+// dequeueCall takes a call out of the queue, if it is in it.
+func (c *Controller) dequeueCall(i index) {
+	if r := &c.requests.at[i]; r.call.queued {
+		r.call.queued = false
+		c.calls.queue.remove(&c.requests, i)
+	}
 }
 
-// callReturned takes the end of a call.
-func (c *Controller) callReturned(b CallEnd) {
-	i := c.requests.find(b.ID)
-	if i == none || c.requests.at[i].phase != outside {
+// makeCalls makes the calls that the pace and the allowance admit.
+func (c *Controller) makeCalls() {
+	gap := c.calls.gap(c.now)
+	for c.calls.queue.head != none && c.calls.next <= c.now {
+		if c.calls.shared && !c.calls.allows(c.now) {
+			return
+		}
+		i := c.calls.queue.head
+		r := &c.requests.at[i]
+		class := &c.classes[r.class]
+		c.dequeueCall(i)
+		c.calls.made(c.now, gap)
+		r.enter(inCall)
+		lastUseful, objectiveEnd := r.deadline-c.answerMargin(), r.arrivedAt+class.objective
+		c.writer.Call(r.id, c.calls.deadline(c.now, lastUseful, objectiveEnd, class.runsOnce))
+	}
+}
+
+// callEnded takes the end of a call. A call that was executed with an unknown or bad result stays in flight at the
+// dependency for its cancellation delay.
+func (c *Controller) callEnded(e CallEnd) {
+	i := c.requests.find(e.ID)
+	if i == none || c.requests.at[i].state != inCall {
 		return
 	}
-	it := &c.requests.at[i]
-	h := &c.handlers[it.h]
-	c.callsInFlight.move(c.now, -1)
-	it.spent += b.Elapsed
-	it.phase = calling
-	switch b.Outcome {
+	r := &c.requests.at[i]
+	c.calls.inFlight.change(c.now, -1)
+	r.call.elapsed += e.Elapsed
+	switch e.Outcome {
 	case Succeeded:
-		c.callTimes.add(c.now, float64(b.Elapsed), 1)
-		c.callsPassed.add(c.now, 1, 0)
-		it.phase = running
-		c.notePools(it, false)
+		c.calls.times.add(c.now, float64(e.Elapsed), 1)
+		c.calls.succeeded.add(c.now, 1, 0)
+		r.enter(running)
+		c.tellPoolsAtCall(r, false)
 		c.noteProgress()
 		return
 	case NotExecuted:
-		c.callsRefused.add(c.now, 1, 0)
+		c.calls.rejected.add(c.now, 1, 0)
 	default:
-		c.callTimes.add(c.now, float64(b.Elapsed), 1)
-		c.countAbandonedCall()
+		c.calls.times.add(c.now, float64(e.Elapsed), 1)
+		c.calls.abandon(c.now)
 	}
-	if it.answered {
-		return
+	r.enter(awaitingCall)
+	if !r.answered {
+		c.retryCall(i, e.Outcome == NotExecuted)
 	}
-	it.tries++
+}
+
+// retryCall decides what follows a call that brought no result: the run goes on without it where that still earns; the
+// request fails if the call may have been executed and must not be repeated, or was tried often enough; else the
+// call is made again after a backoff. It may harm a request whose next attempt would have succeeded.
+func (c *Controller) retryCall(i index, rejected bool) {
+	r := &c.requests.at[i]
+	class := &c.classes[r.class]
+	r.call.attempts++
 	switch {
-	case h.canSkipCall && (b.Outcome != NotExecuted || it.tries > 2):
+	case class.canSkipCall && (!rejected || r.call.attempts > maxRejectedCalls):
 		c.skipCall(i)
-	case b.Outcome != NotExecuted && (h.runsOnce || it.tries > 3):
-		c.failRequest(i)
+	case !rejected && (class.runsOnce || r.call.attempts > maxCallAttempts):
+		c.fail(i)
 	default:
-		// IsRetry after a wait that doubles, so that refusals don't become a storm.
-		c.due.put(&c.requests, i, c.now+tick<<min(it.tries, 5))
+		backoff := timerPeriod << min(r.call.attempts, maxBackoffDoublings)
+		c.timers.schedule(&c.requests, i, c.now+backoff)
 	}
 }
 
-func (c *Controller) skipCall(i int32) {
-	it := &c.requests.at[i]
-	it.phase = running
-	c.notePools(it, false)
-	c.writer.SkipCall(it.id)
+// skipCall lets a run go on without its call.
+func (c *Controller) skipCall(i index) {
+	r := &c.requests.at[i]
+	r.enter(running)
+	c.tellPoolsAtCall(r, false)
+	c.writer.SkipCall(r.id)
 	c.review(i)
 }
 
-// notePools tells pools that a run stands at a call, which is no work, or goes on.
-func (c *Controller) notePools(it *item, away bool) {
+// tellPoolsAtCall tells pools that a run stands at a call, which is no work, or goes on.
+func (c *Controller) tellPoolsAtCall(r *record, atCall bool) {
 	if c.pools != nil {
-		c.pools.SetAtCall(c.now, it.id, away)
+		c.pools.SetAtCall(c.now, r.id, atCall)
 	}
 }
--- /dev/null
+++ b/admission/concurrency.go
@@ -0,0 +1,57 @@
+package admission
+
+import "math"
+
+const (
+	// ceilingFraction is the part of the runs that the server survives that may be in progress. The rest is margin:
+	// past what it survives a server doesn't recover by itself. More margin only matters where nearly all runs are at
+	// calls.
+	ceilingFraction = 0.8
+	// idleDivisor: half of the idle cores are given out at each look, so that two looks at one reading don't give out
+	// more than there is.
+	idleDivisor = 2
+	// crowdedDivisor is by how much of the cores the runs that want them may exceed them before the limit falls: runs
+	// that begin and end together swing by that much.
+	crowdedDivisor = 2 // the cores over it
+)
+
+// concurrencyLimit decides how many runs may be in progress.
+type concurrencyLimit struct {
+	cores          float64
+	runnable       float64 // runs that want a core, by the gauge
+	running        int     // runs in progress, those at calls too
+	current        int     // the limit that follows the gauge
+	maxRunsPerCore float64
+	slowStart      slowStart
+}
+
+func newConcurrencyLimit(d *Deployment) concurrencyLimit {
+	return concurrencyLimit{cores: float64(d.Cores), current: d.Cores, maxRunsPerCore: max(d.MaxRunsPerCore, 1),
+		slowStart: newSlowStart(d)}
+}
+
+// ceiling decides how many runs this server survives on its cores. Runs at calls count, since all may come back at
+// once.
+func (l *concurrencyLimit) ceiling(now Time) int {
+	speed := l.slowStart.speed(now)
+	ceiling := ceilingFraction * l.cores * (1 + (l.maxRunsPerCore-1)*speed)
+	if speed < 1 {
+		ceiling = min(ceiling, slowStartBudget(l.cores*l.maxRunsPerCore*speed))
+	}
+	return max(1, int(ceiling))
+}
+
+// slots is how many runs there may be now.
+func (l *concurrencyLimit) slots(now Time) int { return min(l.current, l.ceiling(now)) }
+
+// adjust decides the limit from the gauge of runnable runs: up while cores idle, requests wait and the limit binds;
+// down by one while clearly more runs want the cores than there are. It is never under the number of cores.
+func (l *concurrencyLimit) adjust(now Time, waiting int) {
+	switch idle := l.cores - l.runnable; {
+	case waiting > 0 && l.running >= l.current && idle > 0:
+		l.current = min(l.running+int(math.Ceil(idle/idleDivisor)), l.ceiling(now))
+	case idle < -l.cores/crowdedDivisor:
+		l.current--
+	}
+	l.current = max(l.current, int(l.cores))
+}
--- a/admission/deadlines.go
+++ b/admission/deadlines.go
@@ -1,68 +1,102 @@
 package admission
 
-// This file decides what is due and when: each request is looked at as its time comes.
+const (
+	// reviewsPerObjective: a moving bound is looked at this many times in a latency objective, so that a wait exceeds
+	// its bound by a small part of the objective and the timers stay few.
+	reviewsPerObjective = 16
+	// longCallQueueDivisor: while the queue of calls is longer than this part of the objective at their pace, calls
+	// that earn little are skipped early.
+	longCallQueueDivisor = 8 // the objective over it
+	// recordReview is how often a record is looked at that is kept without an entry.
+	recordReview = Second
+)
 
-// answerMargin is how long before its due time a request is answered: the timer's period, the wheel's and a round.
-func (c *Controller) answerMargin() Time { return 2*tick + 2*c.granule }
+// answerMargin is how long before its deadline a request is answered: the timer's period, the wheel's step and a round,
+// twice, lest the response reach the client too late.
+func (c *Controller) answerMargin() Time { return 2*timerPeriod + 2*c.terms.roundInterval }
 
-// review sees whether the time of a request has come and files it for its next one.
-func (c *Controller) review(i int32) {
-	it := &c.requests.at[i]
-	h := &c.handlers[it.h]
-	end := it.due - c.answerMargin()
-	if c.drain {
-		end = min(end, c.kill-c.answerMargin())
+// review decides whether the time of a request has come, and when it is to be looked at next.
+func (c *Controller) review(i index) {
+	r := &c.requests.at[i]
+	class := &c.classes[r.class]
+	end := r.deadline - c.answerMargin()
+	if c.drain.active {
+		end = min(end, c.drain.killAt-c.answerMargin())
 	}
-	if it.phase == calling && !h.canSkipCall && !h.lateEarns {
-		// Guards against slots held for calls that can't be made: a slow dependency would fill them all with
-		// requests past use. Could harm where an answer that earns nothing is still wanted.
-		end = min(end, it.came+h.target)
+	if r.state == awaitingCall && !class.canSkipCall && !class.lateEarns {
+		// The failure: slots held for calls that can't be made; a slow dependency would fill them all with requests
+		// that are past use. Could harm where a response that earns nothing is still wanted.
+		end = min(end, r.arrivedAt+class.objective)
 	}
-	next := end
 	switch {
-	case it.phase == over || it.answered:
-		if it.kept > 0 && c.now >= it.kept {
-			it.kept = 0
-			c.memory -= c.keyKB
-		}
-		if it.phase == over && it.kept == 0 && c.now >= it.known {
-			c.due.take(&c.requests, i)
-			c.requests.drop(i)
-			return
-		}
-		if next = it.kept; next == 0 {
-			next = max(it.known, c.now+Second)
-		}
-	case it.phase == held:
-		by := it.came + c.waitBound(it)
-		if c.now >= by || c.now >= end {
-			c.shed(i, true)
-			return
-		}
-		// The bound moves: it is looked at a few times on the way.
-		next = min(end, by, c.now+h.target/16)
+	case r.state == finished || r.answered:
+		c.reviewRecord(i)
+	case r.state == queued:
+		c.reviewQueued(i, end)
 	case c.now >= end:
-		c.failRequest(i)
+		c.fail(i)
+	case r.state == awaitingCall:
+		c.reviewCall(i, end)
+	default:
+		c.timers.schedule(&c.requests, i, end)
+	}
+}
+
+// reviewRecord ends an entry whose time is over, and forgets a request of which nothing is left.
+func (c *Controller) reviewRecord(i index) {
+	r := &c.requests.at[i]
+	if r.entry.expires > 0 && c.now >= r.entry.expires {
+		r.entry.expires = 0
+		c.memory.used -= c.memory.entryKB
+	}
+	if r.state == finished && r.entry.expires == 0 && c.now >= r.entry.recordExpires {
+		c.timers.cancel(&c.requests, i)
+		c.requests.remove(i)
+		return
+	}
+	next := r.entry.expires
+	if next == 0 {
+		next = max(r.entry.recordExpires, c.now+recordReview)
+	}
+	c.timers.schedule(&c.requests, i, next)
+}
+
+// reviewQueued sheds a request that has waited for as long as it may. The bound moves with the queue, so it is looked
+// at a few times on the way.
+func (c *Controller) reviewQueued(i index, end Time) {
+	r := &c.requests.at[i]
+	objective := c.classes[r.class].objective
+	timeout := c.queueTimeouts.timeout(queuedRequest{objective: objective, expectedRunTime: c.expectedRunTime(r),
+		rank: c.queueTimeouts.cell(r).rank, isRetry: r.isRetry}, &c.queue, c.limit.cores)
+	timeoutAt := r.arrivedAt + timeout
+	if c.now >= timeoutAt || c.now >= end {
+		c.shed(i, rejectedWaited)
 		return
-	case it.phase == calling && !it.lined:
+	}
+	c.timers.schedule(&c.requests, i, min(end, timeoutAt, c.now+objective/reviewsPerObjective))
+}
+
+// reviewCall decides how long a run waits for its call: one that can't be back within the objective is skipped where
+// that still earns. While the queue of calls is long, those that earn least by their call wait least for it: their
+// slots are free sooner and the calls go to the rest. It may harm a full response if the queue is about to clear.
+func (c *Controller) reviewCall(i index, end Time) {
+	r := &c.requests.at[i]
+	class := &c.classes[r.class]
+	if !r.call.queued {
 		c.enqueueCall(i)
 		return
-	case it.phase == calling:
-		// A call that can't be made in time is skipped where that still earns.
-		by := it.came + h.target - Time(c.callTime)
-		if Time(c.callQueue.n)*c.callGap() > h.target/8 {
-			// While the line of calls is long, those that earn least by their call wait least for it: their
-			// slots are free sooner and the calls go to the rest. Could harm if the line is about to clear.
-			by = min(by, it.stood+Time(float64(by-it.stood)*h.callWorth*h.callWorth))
-		}
-		if h.canSkipCall && c.now >= by {
-			c.leaveCallQueue(i)
-			c.skipCall(i)
-			return
-		}
-		if h.canSkipCall {
-			next = min(next, by, c.now+h.target/16)
-		}
 	}
-	c.due.put(&c.requests, i, next)
+	skipAt := r.arrivedAt + class.objective - Time(c.calls.time)
+	if Time(c.calls.queue.length)*c.calls.gap(c.now) > class.objective/longCallQueueDivisor {
+		skipAt = min(skipAt, r.call.queuedAt+Time(float64(skipAt-r.call.queuedAt)*class.callWeight*class.callWeight))
+	}
+	if class.canSkipCall && c.now >= skipAt {
+		c.dequeueCall(i)
+		c.skipCall(i)
+		return
+	}
+	if class.canSkipCall {
+		end = min(end, skipAt, c.now+class.objective/reviewsPerObjective)
+	}
+	c.timers.schedule(&c.requests, i, end)
 }
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -1,22 +1,32 @@
 package admission
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// This file decides the notice to drain.
+// drain is a graceful shutdown: from the notice until the process is killed.
+type drain struct {
+	active      bool
+	grace       Time
+	admitBefore Time // what arrived until then is still admitted
+	killAt      Time
+}
+
+// canFinish decides whether a run can end before the process is killed.
+func (d *drain) canFinish(now Time, expectedRunTime float64) bool {
+	return now+Time(expectedRunTime*drainRunTimeReserve)+2*timerPeriod <= d.killAt
+}
 
-// startDrain takes the notice to leave.
-func (c *Controller) startDrain(kill Time) {
-	if c.drain {
+// startDrain takes the notice to drain: health checks are told at once, and all requests are answered before the kill.
+func (c *Controller) startDrain(killAt Time) {
+	if c.drain.active {
 		return
 	}
-	c.drain, c.kill, c.graceEnd = true, kill, c.now+c.grace
+	c.drain.active, c.drain.killAt, c.drain.admitBefore = true, killAt, c.now+c.drain.grace
 	c.updateHealth()
 	c.writer.Log(fmt.Sprintf("drain: %d in hand", len(c.requests.ids)))
-	for i := range c.requests.at {
-		if it := &c.requests.at[i]; c.requests.find(it.id) == int32(i) && it.phase != over && !it.answered {
-			c.due.put(&c.requests, int32(i), min(it.due, kill)-c.answerMargin())
+	for k := range c.requests.at {
+		i, r := index(k), &c.requests.at[k]
+		if c.requests.find(r.id) == i && r.state != finished && !r.answered {
+			c.timers.schedule(&c.requests, i, min(r.deadline, killAt)-c.answerMargin())
 		}
 	}
 }
--- /dev/null
+++ b/admission/queuetimeout.go
@@ -0,0 +1,238 @@
+package admission
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+const (
+	// runTimeReserve is how many expected runs of a request are left over from its objective for its own run: somewhat
+	// more than one, since half of all runs take longer than the mean. More sheds what would have been in time,
+	// less admits what will be late.
+	runTimeReserve = 1.3
+	// A request may wait for half its objective at the most, so that what starts has time to run, and for an eighth
+	// at the least, also if runs take longer than the objective: what shows recovery must be admitted.
+	longestTimeoutDivisor  = 2 // the objective over it
+	shortestTimeoutDivisor = 8
+	// minValueFactor is the share of its bound that is left to what earns least while the queue is long. Not 0: a
+	// lull of a few runs is still used, and its class is still measured.
+	minValueFactor = 0.1
+	// minQueuedToReorder is how many requests have to wait before bounds are shortened by value: with fewer, a request
+	// shed for another's sake could leave a core idle. Half the cores' number where that is more.
+	minQueuedToReorder = 2.0
+	// retryTimeoutDivisor shortens the wait of retries and hedged requests: their objective runs from the first
+	// attempt, so part of it is gone, and they take places from requests with more time.
+	retryTimeoutDivisor = 3.0
+	// worstClassFade is the lead over the worst class, in share served, over which the extra weight of the worst class
+	// fades out: 1/10. A step there would let two classes swap places at each look.
+	worstClassFade = 10.0
+	// clearlyMore is by how much a utility has to exceed another to rank above it: measured work differs by a few
+	// per cent from look to look.
+	clearlyMore = 1.05
+
+	// Five seconds of arrivals: some dozens at a server's rate, and shorter than a surge lasts.
+	demandBuckets = 10
+	demandStep    = Second / 2
+	// Eight seconds of responses, since the share served of a rare class is read from few.
+	servedBuckets = 8
+	servedStep    = Second
+)
+
+// classDemand is what one class asks for and gets.
+type classDemand struct {
+	value          float64
+	work           window  // time of runs less their calls, over runs
+	workTime       float64 // the mean of it
+	served         window  // requests served within the objective, over those read
+	servedFraction float64
+	valueDemanded  float64 // of the requests read lately
+}
+
+// tenantDemand is one tenant's fair number of arrivals on this server, and what arrived.
+type tenantDemand struct {
+	fair     float64 // requests over the span of arrivals
+	arrivals window
+	weight   float64 // mean worth of its requests, as a share of their class's, by what it sends beyond its quota
+}
+
+// demandCell is one class of one tenant.
+type demandCell struct {
+	work    window  // of the requests read lately
+	utility float64 // value for the work
+	rank    float64 // share of recent work that earns clearly less, 0 to 1
+}
+
+// queueTimeouts decides how long a request may wait for a run slot, by what its class and tenant earn for their work.
+type queueTimeouts struct {
+	tier             float64
+	valuePerWork     bool
+	overQuotaWeight  float64
+	worstClassWeight float64
+	classes          []classDemand
+	tenants          []tenantDemand
+	cells            []demandCell // by class, then tenant
+	byUtility        []int        // cells
+}
+
+func newQueueTimeouts(d *Deployment, classes []class) queueTimeouts {
+	b := queueTimeouts{
+		tier:            float64(d.Tier),
+		valuePerWork:    d.ValuePerWork,
+		overQuotaWeight: d.OverQuotaWeight,
+		// A level keeps the lowest classes away unread: what is read here doesn't show which class is worst.
+		worstClassWeight: d.WorstClassWeight * indicator(d.OverloadSignal != SignalLevel),
+	}
+	for k := range classes {
+		b.classes = append(b.classes, classDemand{work: newWindow(runWindowBuckets, runWindowStep),
+			workTime: classes[k].initialWorkTime, served: newWindow(servedBuckets, servedStep)})
+	}
+	for range d.Tenants {
+		b.tenants = append(b.tenants, tenantDemand{arrivals: newWindow(demandBuckets, demandStep), weight: 1})
+	}
+	b.adopt(d)
+	if len(b.tenants) == 0 {
+		b.tenants = append(b.tenants, tenantDemand{arrivals: newWindow(1, Second), weight: 1, fair: math.Inf(1)})
+	}
+	b.cells = make([]demandCell, len(b.classes)*len(b.tenants))
+	for k := range b.cells {
+		b.cells[k].work, b.cells[k].rank = newWindow(demandBuckets, demandStep), 1
+		b.byUtility = append(b.byUtility, k)
+	}
+	return b
+}
+
+// adopt takes the values and quotas that a policy version may change.
+func (b *queueTimeouts) adopt(d *Deployment) {
+	for k := range d.Handlers {
+		b.classes[k].value = d.Handlers[k].Value
+	}
+	for k, tenant := range d.Tenants {
+		t := &b.tenants[k]
+		t.fair = tenant.Quota / float64(d.FleetSize) * float64(t.arrivals.span()) / float64(Second)
+	}
+}
+
+// tenantOf gives the tenant of a request; one that isn't known counts as the first.
+func (b *queueTimeouts) tenantOf(tenant int) int32 {
+	if tenant > 0 && tenant < len(b.tenants) {
+		return int32(tenant)
+	}
+	return 0
+}
+
+func (b *queueTimeouts) cell(r *record) *demandCell {
+	return &b.cells[int(r.class)*len(b.tenants)+int(r.tenant)]
+}
+
+// requestRead counts a request as demand.
+func (b *queueTimeouts) requestRead(now Time, r *record) {
+	if !r.isRetry {
+		// Retries of what was shed would make a tenant look beyond its quota.
+		b.tenants[r.tenant].arrivals.add(now, 1, 0)
+	}
+	class := &b.classes[r.class]
+	b.cell(r).work.add(now, class.workTime, 1)
+	class.served.add(now, 0, 1)
+}
+
+// queuedRequest is what the bound of one request depends on.
+type queuedRequest struct {
+	objective       Time
+	expectedRunTime float64 // in Time; 0: not known
+	rank            float64 // of its class and tenant, 0 to 1
+	isRetry         bool
+}
+
+// bound decides how long a request may wait for a run slot, from its arrival: for half its objective, or what its own
+// run will leave of it. Past the first tier only that tier's part of the objective can be used. While the queue is
+// long, what earns least for its work waits least, so that the queue delay settles where the least of what the cores
+// can do still gets its turn. It may harm a brief burst that the cores would have caught up with.
+func (b *queueTimeouts) timeout(r queuedRequest, queue *admissionQueue, cores float64) Time {
+	objective := float64(r.objective) / (1 + b.tier)
+	shortest, longest := objective/shortestTimeoutDivisor, objective/longestTimeoutDivisor
+	timeout := min(max(objective-runTimeReserve*r.expectedRunTime, shortest), longest)
+	if queue.long {
+		if float64(queue.length) > max(cores/2, minQueuedToReorder) {
+			timeout *= minValueFactor + (1-minValueFactor)*r.rank*r.rank
+		}
+		if r.isRetry {
+			timeout /= retryTimeoutDivisor
+		}
+	}
+	return Time(timeout)
+}
+
+// rank finds what each class of each tenant earns for its work, and how much of the recent work earns less.
+func (b *queueTimeouts) rank(now Time) {
+	b.weighTenants(now)
+	b.weighCells(b.measureClasses(now))
+	slices.SortStableFunc(b.byUtility, func(i, j int) int {
+		return cmp.Compare(b.cells[i].utility, b.cells[j].utility)
+	})
+	b.rankCells(now)
+}
+
+// weighTenants decides what a request of each tenant counts for: in full up to its fair arrivals, and what is beyond
+// them as the deployment says.
+func (b *queueTimeouts) weighTenants(now Time) {
+	for k := range b.tenants {
+		t := &b.tenants[k]
+		arrivals, _ := t.arrivals.sums(now)
+		t.weight = 1
+		if arrivals > t.fair {
+			t.weight = b.overQuotaWeight + (1-b.overQuotaWeight)*t.fair/arrivals
+		}
+	}
+}
+
+// measureClasses gives the share served of the worst class, and the value asked for by all.
+func (b *queueTimeouts) measureClasses(now Time) (worstFraction, valueDemanded float64) {
+	worstFraction = 1.0
+	for k := range b.classes {
+		c := &b.classes[k]
+		c.workTime = c.work.mean(now, c.workTime)
+		_, requests := c.served.sums(now)
+		c.servedFraction, c.valueDemanded = c.served.mean(now, 1), requests*c.value
+		if b.valuePerWork {
+			c.valueDemanded *= c.workTime
+		}
+		worstFraction, valueDemanded = min(worstFraction, c.servedFraction), valueDemanded+c.valueDemanded
+	}
+	return worstFraction, valueDemanded
+}
+
+// weighCells decides what each class of each tenant earns for its work. If the worst class counts apart, a request of
+// it adds to that as well, by its part of the value asked for. It may harm the others where a class fails by itself.
+func (b *queueTimeouts) weighCells(worstFraction, valueDemanded float64) {
+	for k := range b.cells {
+		cell, c := &b.cells[k], &b.classes[k/len(b.tenants)]
+		closeness := max(0, 1-worstClassFade*(c.servedFraction-worstFraction))
+		extra := b.worstClassWeight * closeness * valueDemanded / max(c.valueDemanded, nearZero)
+		cell.utility = c.value * b.tenants[k%len(b.tenants)].weight * (1 + extra)
+		if !b.valuePerWork {
+			cell.utility /= max(c.workTime, 1)
+		}
+	}
+}
+
+// rankCells gives each cell the share of work that earns clearly less, of all the work that earns less than the best.
+// Cells that earn alike rank alike; where nothing earns less, all are at the top and no bound is shortened.
+func (b *queueTimeouts) rankCells(now Time) {
+	work, less, utility := 0.0, 0.0, 0.0
+	for _, k := range b.byUtility {
+		cell := &b.cells[k]
+		if cell.utility > clearlyMore*utility {
+			less, utility = work, cell.utility
+		}
+		cell.rank = less
+		cellWork, _ := cell.work.sums(now)
+		work += cellWork
+	}
+	for k := range b.cells {
+		cell := &b.cells[k]
+		if cell.rank /= max(less, 1); less == 0 {
+			cell.rank = 1
+		}
+	}
+}
--- /dev/null
+++ b/admission/readiness.go
@@ -0,0 +1,112 @@
+package admission
+
+const (
+	// Work counts as stalled when no run has moved for a second, four usual runs and half an objective: one heavy run
+	// on a core or two may take half an objective without anything being wrong. Shorter takes slow servers for
+	// stalled ones, longer keeps callers waiting on a server that does nothing.
+	stalledAfter            = Second
+	stalledRuns             = 4
+	stalledObjectiveDivisor = 2 // the objective over it
+	// Fewer than four runs on the cores may well all be heavy: what shows with four at once takes longer with fewer.
+	stalledFullPace = 4
+	// A server counts as overloaded while most of what it reads or finishes is too late to be of use, and no longer
+	// when little of it is. The distance keeps it from changing with each burst.
+	overloadedFrom = 0.8
+	overloadedTo   = 0.2
+	// Lateness is judged over one second.
+	lateBuckets = 4
+	lateStep    = Second / 4
+	// probeAfter is how long a server whose work was stalled has to be empty before it calls itself ready again: some
+	// health checks' time.
+	probeAfter = 2 * Second
+)
+
+// readiness decides whether started work is stalled, whether the server is overloaded, and what health checks are told.
+type readiness struct {
+	stalled, overloaded bool
+	ready               bool   // what health checks are told
+	stalledFor          Time   // how long started work has not moved
+	tooLate             window // requests read or runs ended too late to be of use, of all
+}
+
+func newReadiness() readiness { return readiness{tooLate: newWindow(lateBuckets, lateStep)} }
+
+// countLate counts a request that was read, or a run that ended, as too late to be of use or not.
+func (s *readiness) countLate(now Time, late bool) { s.tooLate.add(now, indicator(late), 1) }
+
+// watchRuns adds the time that runs on the cores have not moved; onCores is how many they are.
+func (s *readiness) watchRuns(elapsed Time, onCores int) {
+	if onCores <= 0 || s.stalled {
+		s.stalledFor = 0
+	} else {
+		s.stalledFor += elapsed * Time(min(onCores, stalledFullPace)) / stalledFullPace
+	}
+}
+
+// isStalling decides whether started work has come to a standstill: there are as many runs as cores, and none has
+// moved for far longer than runs take. The failure is a kernel or a disk that hangs; it shows as waiters that each
+// spend their bound on a server that does nothing. It may harm where every slot has a very heavy request at once.
+func (s *readiness) isStalling(running int, cores float64, classes []class) bool {
+	longest := float64(stalledAfter)
+	for k := range classes {
+		usual := stalledRuns * classes[k].runTimePerWork * classes[k].usualWork
+		longest = max(longest, usual, float64(classes[k].objective)/stalledObjectiveDivisor)
+	}
+	return !s.stalled && s.stalledFor > Time(longest) && float64(running) >= cores
+}
+
+// judgeOverload decides whether the server is overloaded by what it has not read yet: nearly all that it reads has
+// waited unread for half its objective, or its runs end past it, so that what it does is for nobody. Once checks are
+// told, what comes in dries up, and it is well again when what it reads is fresh or nothing is left. It gives the
+// line for the log if that changed. It may harm where a whole fleet goes off at once.
+func (s *readiness) judgeOverload(now Time, cores float64) (line string) {
+	late, all := s.tooLate.sums(now)
+	switch {
+	case !s.overloaded && all >= cores && late > overloadedFrom*all:
+		s.overloaded = true
+		return "swamped: what is read or done is too late to be of use"
+	case s.overloaded && late <= overloadedTo*all:
+		s.overloaded = false
+		return "swamped: over, what is read and done is in time"
+	}
+	return ""
+}
+
+// isReady decides what health checks are told: whether to send anything here. A server whose work was stalled, that is
+// empty and that nothing has come to for a while, says yes until something comes: else no caller that obeys checks
+// would ever send what shows that work goes on again. That costs one request each two seconds while it does not.
+func (s *readiness) isReady(empty bool, sinceArrival Time, draining bool) bool {
+	probing := empty && sinceArrival > probeAfter
+	return (!s.stalled || probing) && !s.overloaded && !draining
+}
+
+// detectStall sheds what is queued when started work has come to a standstill.
+func (c *Controller) detectStall(elapsed Time) {
+	c.readiness.watchRuns(elapsed, c.limit.running-c.calls.inFlight.count-c.calls.queue.length)
+	if c.readiness.isStalling(c.limit.running, c.limit.cores, c.classes) {
+		c.readiness.stalled = true
+		c.writer.Log("hung: started work does not finish")
+		for c.queue.head != none {
+			c.shed(c.queue.head, rejectedStalled)
+		}
+	}
+}
+
+// noteProgress sees started work go on, which is how a standstill ends, whether it is old work or a trial run.
+func (c *Controller) noteProgress() {
+	c.readiness.stalledFor = 0
+	if c.readiness.stalled {
+		c.readiness.stalled = false
+		c.updateHealth()
+		c.writer.Log("hung: over, started work goes on")
+	}
+}
+
+// updateHealth tells health checks what has changed.
+func (c *Controller) updateHealth() {
+	empty := c.limit.running == 0 && c.queue.length == 0
+	if ready := c.readiness.isReady(empty, c.now-c.arrivals.last, c.drain.active); ready != c.readiness.ready {
+		c.readiness.ready = ready
+		c.writer.Health(ready)
+	}
+}
--- a/admission/recorded_test.go
+++ b/admission/recorded_test.go
@@ -97,8 +97,8 @@
 	return in
 }
 
-// recordedDecisions is the hash of all decisions on the recorded rounds. It changes with any decision: whoever changes one
-// on purpose puts the new hash here and says why in the commit. Moving code about must not change it.
+// recordedDecisions is the hash of all decisions on the recorded rounds. It changes with any decision: whoever
+// changes one on purpose puts the new hash here and says why in the commit. Moving code about must not change it.
 const recordedDecisions = "86a6c3cd7e0cbc05c7927ef3f24707f3b6cf7c88b3266bbb08040796f61a566b"
 
 func TestRecordedDecisions(t *testing.T) {
--- /dev/null
+++ b/admission/rejection.go
@@ -0,0 +1,63 @@
+package admission
+
+// rejection is the reason why a request was shed. None of them ran.
+type rejection uint8
+
+const (
+	rejectedWaited   rejection = iota // it waited for as long as it may
+	rejectedMemory                    // no memory for its run, or for its wait
+	rejectedStalled                   // started work stands still
+	rejectedDraining                  // the process can't finish it before it is killed
+)
+
+const (
+	// A shed request is not to be tried elsewhere once it has waited a third of its objective: another queue would
+	// take the rest.
+	longDelayDivisor = 3 // the objective over it
+	// Nor if callers are told to keep more than half of what they have away: all servers hear the same.
+	fullPressure = 0.5
+	// Nor if the share shed here and that of retries come to this in the last four seconds: what is read has then
+	// mostly been shed elsewhere. Lower takes the way out from callers while other servers have room; higher has a
+	// full fleet read requests for nobody.
+	fullFraction = 0.8
+)
+
+// isFinal decides whether a shed request is not to be tried at another server: if it waited for its turn and is a
+// retry, which two servers have now rejected, or waited long, or if the fleet is likely full. It may harm where just
+// one of a few servers is slow.
+func isFinal(why rejection, isRetry, delayedLong, fleetFull bool) bool {
+	return why == rejectedWaited && (isRetry || delayedLong || fleetFull)
+}
+
+// fleetFull says whether what is shed here would likely be shed elsewhere.
+func fleetFull(now Time, pressure float64, arrivals *arrivalStats) bool {
+	return pressure > fullPressure || arrivals.shed.mean(now, 0)+arrivals.retries.mean(now, 0) > fullFraction
+}
+
+// shed answers a request that never ran with a rejection.
+func (c *Controller) shed(i index, why rejection) {
+	r := &c.requests.at[i]
+	delayedLong := c.now-r.arrivedAt > c.classes[r.class].objective/longDelayDivisor
+	final := isFinal(why, r.isRetry, delayedLong, fleetFull(c.now, c.signal.pressure, &c.arrivals))
+	c.writer.Shed(r.id, final, c.retryAfter(int(r.class)))
+	c.arrivals.shed.add(c.now, 1, 0)
+	r.answered, r.failed = true, true
+	if c.pools != nil && r.state != queued {
+		c.pools.Rejected(c.now, int(r.class))
+	}
+	c.leaveUnrun(i, true)
+}
+
+// retryAfter decides how long a shed request's caller should stay away: until the queue has moved on, by the delay of
+// the last start, of the queue's head, and with pools of the class; the longest that is passed on while not ready.
+func (c *Controller) retryAfter(handler int) Time {
+	if !c.readiness.ready {
+		return c.terms.maxRetryAfter
+	}
+	delay := max(c.queue.lastDelay, idlePeriod)
+	if c.pools != nil {
+		delay = max(delay, c.pools.QueueDelay(handler))
+	}
+	delay = max(delay, c.queue.headDelay(&c.requests, c.now))
+	return min(delay, c.terms.maxRetryAfter)
+}
--- a/admission/slowstart_test.go
+++ b/admission/slowstart_test.go
@@ -35,8 +35,9 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// A flooded server in slow start never has more runs in hand than its budget, however its gauges invite it to start more:
-// with few cores or many, one other server or three hundred, started a while ago, and started again within its slow start.
+// A flooded server in slow start never has more runs in hand than its budget, however its gauges invite it to start
+// more: with few cores or many, one other server or three hundred, started a while ago, and started again within its
+// slow start.
 func TestSlowStartBudget(t *testing.T) {
 	for _, cores := range []int{1, 2, 6, 64} {
 		for _, fall := range []float64{2, 5, 8} {
--- /dev/null
+++ b/admission/startruns.go
@@ -0,0 +1,53 @@
+package admission
+
+// drainRunTimeReserve is how many expected runs must fit in before the kill for a run still to be started: more than
+// one, as a run cut off has cost its work and fails its request, while one not started can be tried elsewhere.
+const drainRunTimeReserve = 1.5
+
+// startRuns decides which queued requests get the free run slots: those that have waited longest, in strict arrival
+// order. With pools, a request whose class has no slot is passed by younger ones whose class has one. That guards
+// against costly work that holds all slots; it harms what is passed, by the slots of its pool at most. Each start may
+// change what the pools allow, so the next one begins at the head again.
+func (c *Controller) startRuns() {
+	ceiling := c.limit.ceiling(c.now)
+	for i := c.queue.head; i != none && c.limit.running < min(c.limit.current, ceiling); {
+		r := &c.requests.at[i]
+		if c.pools != nil && !c.pools.CanStart(r.id) {
+			i = r.queueLink.next
+			continue
+		}
+		if c.memory.exceededBy(r.sizeKB, 0) || c.readiness.stalled && c.limit.running > 0 {
+			return
+		}
+		if c.drain.active && !c.drain.canFinish(c.now, c.expectedRunTime(r)) {
+			c.shed(i, rejectedDraining)
+		} else {
+			c.startRun(i)
+		}
+		i = c.queue.head
+	}
+}
+
+func (c *Controller) startRun(i index) {
+	r := &c.requests.at[i]
+	c.queue.lastDelay = c.now - r.arrivedAt
+	if c.pools != nil {
+		c.pools.Started(c.now, r.id, c.queue.lastDelay)
+	}
+	c.queue.remove(&c.requests, i)
+	r.enter(running)
+	r.executed = true
+	c.limit.running++
+	c.memory.used += c.memory.runKB(r.sizeKB)
+	c.writer.Run(r.id)
+	for k := r.repeats.newest; k != none; k = r.repeats.newest {
+		r.resultShared = true
+		c.requests.detachRepeat(k)
+		c.reuseResult(k)
+	}
+	c.review(i)
+}
+
+func (c *Controller) expectedRunTime(r *record) float64 {
+	return c.classes[r.class].expectedRunTime(c.now, r.work)
+}
--- /dev/null
+++ b/admission/timerwheel.go
@@ -0,0 +1,63 @@
+package admission
+
+// timerWheel files requests by the time at which they are to be reviewed, in buckets of a step. What lies further
+// ahead than the wheel reaches is filed in its last bucket, and again when that has come.
+type timerWheel struct {
+	step  Time
+	slot  int64
+	heads []index
+}
+
+func newTimerWheel(buckets int, step, now Time) timerWheel {
+	w := timerWheel{step: step, slot: int64(now / step), heads: make([]index, buckets)}
+	for i := range w.heads {
+		w.heads[i] = none
+	}
+	return w
+}
+
+// schedule files i to be reviewed once at has come; it leaves the place it had.
+func (w *timerWheel) schedule(t *requestTable, i index, at Time) {
+	w.cancel(t, i)
+	slot := max(int64((at+w.step-1)/w.step), w.slot+1)
+	slot = min(slot, w.slot+int64(len(w.heads))-1)
+	r := &t.at[i]
+	r.bucket = int32(slot % int64(len(w.heads)))
+	r.timerLink = link{none, w.heads[r.bucket]}
+	if r.timerLink.next != none {
+		t.at[r.timerLink.next].timerLink.prev = i
+	}
+	w.heads[r.bucket] = i
+}
+
+func (w *timerWheel) cancel(t *requestTable, i index) {
+	r := &t.at[i]
+	if r.bucket == unscheduled {
+		return
+	}
+	if r.timerLink.prev == none {
+		w.heads[r.bucket] = r.timerLink.next
+	} else {
+		t.at[r.timerLink.prev].timerLink.next = r.timerLink.next
+	}
+	if r.timerLink.next != none {
+		t.at[r.timerLink.next].timerLink.prev = r.timerLink.prev
+	}
+	r.bucket = unscheduled
+}
+
+// expired takes out one request whose time has come, or gives none.
+func (w *timerWheel) expired(t *requestTable, now Time) index {
+	for w.slot <= int64(now/w.step) {
+		k := w.slot % int64(len(w.heads))
+		if i := w.heads[k]; i != none {
+			w.cancel(t, i)
+			return i
+		}
+		if w.slot == int64(now/w.step) {
+			break
+		}
+		w.slot++
+	}
+	return none
+}
