--- a/internal/node/server/buffers.go
+++ b/internal/node/server/buffers.go
@@ -20,10 +20,15 @@
 	errTooLong  = errors.New("message is longer than a buffer")
 )
 
-// buffer is a piece of memory of the one size.
+// buffer is a piece of memory of the one size, with the event that hands over the message in it: one of the four is in use.
 type buffer struct {
 	n int // bytes in use
 	b [bufferBytes]byte
+
+	request requestRead
+	kernel  kernelEventRead
+	reply   callReplyRead
+	report  reportAnswerRead
 }
 
 func (b *buffer) bytes() []byte { return b.b[:b.n] }
@@ -246,8 +251,8 @@
 	buf  *buffer
 }
 
-// parser reads the message at the start of b; n is 0 while it is not whole.
-type parser func(b []byte) (e event, n int, err error)
+// parser reads the message at the start of b into the event that b holds for it; n is 0 while the message is incomplete.
+type parser func(b *buffer) (e event, n int, err error)
 
 // read takes all that has come. Each whole message goes to put together with the buffer it lies in.
 func (in *intake) read(r netpoll.Reader, parse parser, put func(event)) error {
@@ -278,14 +283,15 @@
 
 func (in *intake) parse(parse parser, put func(event)) error {
 	for in.buf != nil {
-		e, n, err := parse(in.buf.bytes())
+		e, n, err := parse(in.buf)
 		if n == 0 || err != nil {
 			return err
 		}
-		e.buf, in.buf = in.buf, nil
-		if rest := e.buf.b[n:e.buf.n]; len(rest) > 0 {
+		complete := in.buf
+		in.buf = nil
+		if rest := complete.b[n:complete.n]; len(rest) > 0 {
 			if in.buf = in.pool.get(); in.buf == nil {
-				in.pool.put(e.buf)
+				in.pool.put(complete)
 				return errNoBuffer
 			}
 			in.buf.n = copy(in.buf.b[:], rest)
--- a/internal/node/server/control.go
+++ b/internal/node/server/control.go
@@ -77,3 +77,15 @@
 		c.reportOutstanding, c.reportPending = false, true
 	}
 }
+
+// discoveryParser reads the answers to reports.
+func discoveryParser(bounds wire.Bounds) linkParser {
+	return func(from *dialed, b *buffer) (event, int, error) {
+		e := &b.report
+		e.dialed, e.buffer = from, b
+		var n int
+		var err error
+		e.head, n, err = wire.ParseResponseHead(b.bytes(), bounds)
+		return e, n, err
+	}
+}
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -24,7 +24,6 @@
 	"umberwinch/admission"
 	"umberwinch/internal/config"
 	"umberwinch/internal/node/agent"
-	"umberwinch/internal/node/wire"
 )
 
 // failing is a connection whose writes fail so often before they go out.
@@ -147,11 +146,7 @@
 }
 
 func store1(address string, lim Limits) storeConnections {
-	return storeConnections{addr: address, connections: newTable[storeConnection](2), parser: func(b []byte) (e event, n int, err error) {
-		e.kind = eventReply
-		e.reply, n, err = wire.ParseCallReply(b, lim.LinkBounds)
-		return e, n, err
-	}}
+	return storeConnections{addr: address, connections: newTable[storeConnection](2), parser: storeParser(lim.LinkBounds)}
 }
 
 // The waits between dials double up to a bound, and two servers that lose one peer together do not come back together.
@@ -317,7 +312,7 @@
 	if l.keepOwed(f.keepAgain); !f.keeps || f.owes {
 		t.Error("not written again after its pause")
 	}
-	if e := <-l.events; e.job.err == nil {
+	if e := (<-l.events).(fleetJobDone); e.end.err == nil {
 		t.Error("a folder that is gone takes a record")
 	}
 }
--- a/internal/node/server/fleet.go
+++ b/internal/node/server/fleet.go
@@ -154,7 +154,7 @@
 		f.plans[at.v.Version], f.texts[at.v.Version] = p, at.text
 	}
 	f.patience = fetchLeast
-	end := func(e jobEnd) { l.post(event{kind: eventFleet, job: &e}) }
+	end := func(e jobEnd) { l.post(fleetJobDone{&e}) }
 	f.ask, f.fetch, f.look = newAgent(end), newAgent(end), newAgent(end)
 	l.fleet = f
 	f.gate.SetOrder(steadyMS(), f.m.ZoneOrder())
@@ -374,7 +374,7 @@
 	r, folder := f.kept, f.own.Folder
 	go func() {
 		err := keepRecord(folder, &r)
-		l.post(event{kind: eventFleet, job: &jobEnd{job: &job{what: jobKeep, about: r}, err: err}})
+		l.post(fleetJobDone{&jobEnd{job: &job{what: jobKeep, about: r}, err: err}})
 	}()
 }
 
@@ -426,7 +426,7 @@
 			a.close()
 		}
 		e.body = nil
-		l.post(event{kind: eventFleet, job: &e})
+		l.post(fleetJobDone{&e})
 	}()
 }
 
@@ -569,7 +569,7 @@
 	f.patience = fetchLeast
 	t := tried{v: v, text: answer.Text, plan: plan}
 	done := func(why error) {
-		l.post(event{kind: eventFleet, job: &jobEnd{job: &job{what: jobTry, about: t}, err: why}})
+		l.post(fleetJobDone{&jobEnd{job: &job{what: jobTry, about: t}, err: why}})
 	}
 	if f.decided || f.own.NoTrial {
 		go done(nil)
--- a/internal/node/server/front.go
+++ b/internal/node/server/front.go
@@ -8,6 +8,7 @@
 import (
 	"context"
 	"errors"
+	"strings"
 	"syscall"
 
 	"github.com/cloudwego/netpoll"
@@ -20,7 +21,7 @@
 type connection struct {
 	peer             *peer
 	current          handle // the request that is being served on it
-	pending          []event
+	pending          []clientMessage
 	openedAt         admission.Time // when it was opened
 	lastActive       admission.Time // when it last carried anything
 	usage            connectionUse
@@ -45,7 +46,7 @@
 	l.listener, l.accepts = ln, true
 	go func() {
 		ln.run(l.acceptConnection, func(err error) { l.log.Warnf("accept: %v", err) })
-		l.post(event{kind: eventNoAccept})
+		l.post(listenerClosed{})
 	}()
 }
 
@@ -62,10 +63,10 @@
 	nc.SetWriteTimeout(l.limits.WriteTimeout)
 	nc.AddCloseCallback(func(netpoll.Connection) error {
 		p.release()
-		l.post(event{kind: eventGone, peer: p})
+		l.post(connectionClosed{peer: p})
 		return nil
 	})
-	l.post(event{kind: eventOpen, peer: p})
+	l.post(connectionOpened{peer: p})
 	nc.SetOnRequest(func(_ context.Context, nc netpoll.Connection) error { return l.readConnection(p, nc) })
 	if !nc.IsActive() {
 		nc.Close() // it ended before anybody listened for that
@@ -250,42 +251,47 @@
 	}
 }
 
-// came takes a message of a connection, or word that what came is none.
-func (l *loop) messageReceived(e event) {
-	c := l.connections.get(e.peer.handle)
+// messageReceived takes a message of a connection, or that what came is none. One is served at a time.
+func (l *loop) messageReceived(m clientMessage) {
+	c := l.connections.get(m.sender().handle)
 	if c == nil || c.closing {
-		l.pool.put(e.buf)
+		m.release(&l.pool)
 		return
 	}
 	c.lastActive = l.now
 	if c.current != 0 || len(c.pending) > 0 {
-		c.pending = append(c.pending, e)
+		c.pending = append(c.pending, m)
 		return
 	}
-	l.serveMessage(c, e)
+	l.serveMessage(c, m)
 }
 
-// begin starts on the next message of a connection.
-func (l *loop) serveMessage(c *connection, e event) {
-	h := e.peer.handle
-	e.peer.pipelined.Add(-1)
-	if e.kind == eventBad {
-		l.sendResponse(c, h, l.unreadableResponse(e.err))
-		return
+// serveMessage starts on the next message of a connection.
+func (l *loop) serveMessage(c *connection, m clientMessage) {
+	p := m.sender()
+	p.pipelined.Add(-1)
+	switch m := m.(type) {
+	case *requestUnreadable:
+		l.sendResponse(c, p.handle, l.unreadableResponse(m.err))
+	case *requestRead:
+		l.serveRequest(c, p.handle, m)
 	}
-	a := wire.Response{Close: e.request.Close}
-	switch method, path := string(e.request.Method), string(e.request.Path); {
-	case path == "/health" && method == "GET":
-		l.counters.Checks++
-		c.usage = max(c.usage, usedForChecks)
-		if a.Status = 200; !l.ready {
-			a.Status = 503
-		}
-		if l.kept != nil && l.kept.mode != keptWell {
-			a.Body = []byte("kept results: " + l.kept.mode + "\n")
-		}
-	case len(path) > 5 && path[:5] == "/rpc/" && method == "POST":
-		if a.Status = l.receiveRequest(c, e, path[5:], &a); a.Status != 400 {
+}
+
+// Paths that are served.
+const (
+	healthPath    = "/health"
+	handlerPrefix = "/rpc/"
+)
+
+// serveRequest answers a health check, and brings any other request before the module or answers it here.
+func (l *loop) serveRequest(c *connection, h handle, m *requestRead) {
+	a := wire.Response{Close: m.request.Close}
+	switch method, path := string(m.request.Method), string(m.request.Path); {
+	case path == healthPath && method == "GET":
+		l.checkHealth(c, &a)
+	case len(path) > len(handlerPrefix) && strings.HasPrefix(path, handlerPrefix) && method == "POST":
+		if a.Status = l.receiveRequest(c, m, path[len(handlerPrefix):], &a); a.Status != 400 {
 			c.usage = usedForRequests
 		}
 		if a.Status == 0 {
@@ -296,10 +302,22 @@
 		a.Status = l.badRequest("%s of path %q", method, path)
 	}
 	a.Close = a.Close || a.Status == 400
-	l.pool.put(e.buf)
+	m.release(&l.pool)
 	l.sendResponse(c, h, a)
 }
 
+// checkHealth answers a health check.
+func (l *loop) checkHealth(c *connection, a *wire.Response) {
+	l.counters.Checks++
+	c.usage = max(c.usage, usedForChecks)
+	if a.Status = 200; !l.ready {
+		a.Status = 503
+	}
+	if l.kept != nil && l.kept.mode != keptWell {
+		a.Body = []byte("kept results: " + l.kept.mode + "\n")
+	}
+}
+
 // refusal answers what could not be read.
 func (l *loop) unreadableResponse(err error) wire.Response {
 	if errors.Is(err, errNoBuffer) { // its sender has done nothing wrong
@@ -336,16 +354,16 @@
 		return
 	}
 	if len(c.pending) > 0 {
-		e := c.pending[0]
+		next := c.pending[0]
 		c.pending = append(c.pending[:0], c.pending[1:]...)
-		l.serveMessage(c, e)
+		l.serveMessage(c, next)
 	}
 }
 
 // dropPending lets go of what a connection has brought and no answer will go out for.
 func (l *loop) dropPending(c *connection) {
-	for _, e := range c.pending {
-		l.pool.put(e.buf)
+	for _, m := range c.pending {
+		m.release(&l.pool)
 	}
 	c.pending = nil
 }
--- a/internal/node/server/kept.go
+++ b/internal/node/server/kept.go
@@ -126,7 +126,7 @@
 			store, book, found, err = resultstore.Open(wal.Dir(own.Folder), sizes, resultstore.Limits{Keys: own.Entries, Bytes: most,
 				ResultBytes: own.Result, LongestWindow: window}, now, boot)
 		}
-		l.post(event{kind: eventKept, then: func() { l.keptOpened(store, book, found, err) }})
+		l.post(diskDone{func() { l.keptOpened(store, book, found, err) }})
 	}()
 }
 
@@ -295,7 +295,7 @@
 	select {
 	case k.reads <- func() {
 		result, err := store.ReadResult(place)
-		l.post(event{kind: eventKept, then: func() { l.keptFound(h, result, err) }})
+		l.post(diskDone{func() { l.keptFound(h, result, err) }})
 	}:
 	default:
 		k.errs++
@@ -358,7 +358,7 @@
 // write hands a record over; then hears whether it is durable.
 func (k *keptPart) write(l *loop, rec resultstore.Record, then func(err error)) bool {
 	ok := k.store.Append(rec, func(place uint64, err error) {
-		l.post(event{kind: eventKept, then: func() {
+		l.post(diskDone{func() {
 			k.waits = k.waits[1:]
 			if err == nil {
 				k.next = max(k.next, place+1)
@@ -526,7 +526,7 @@
 			store := k.store
 			go func() {
 				err := store.ReleaseBefore(first)
-				l.post(event{kind: eventKept, then: func() {
+				l.post(diskDone{func() {
 					if k.frees = false; err != nil {
 						l.logf("kept results: what is over can't be let go of: %v", err)
 					}
--- a/internal/node/server/kernel.go
+++ b/internal/node/server/kernel.go
@@ -126,7 +126,7 @@
 }
 
 // noticed takes one line of the kernel.
-func (l *loop) kernelEvent(n wire.KernelEvent) {
+func (l *loop) kernelEvent(n *wire.KernelEvent) {
 	k := &l.kernel
 	switch string(n.Kind) {
 	case wire.KernelBooted:
@@ -187,7 +187,7 @@
 }
 
 // booted takes the start of the kernel, which is also the server's own as far as the module goes.
-func (l *loop) kernelBooted(n wire.KernelEvent) {
+func (l *loop) kernelBooted(n *wire.KernelEvent) {
 	k := &l.kernel
 	if k.state != kernelOpened {
 		return
@@ -214,7 +214,7 @@
 }
 
 // info takes gauges; the first on a link says that all that was missed has been told.
-func (l *loop) gaugesReceived(n wire.KernelEvent) {
+func (l *loop) gaugesReceived(n *wire.KernelEvent) {
 	k := &l.kernel
 	no, err := strconv.ParseUint(string(n.Nonce), 10, 64)
 	if err != nil {
@@ -279,3 +279,17 @@
 		}
 	}
 }
+
+// kernelParser reads lines of the kernel.
+func kernelParser(bounds wire.Bounds) linkParser {
+	return func(from *dialed, b *buffer) (event, int, error) {
+		line, n, err := wire.NextLine(b.bytes(), bounds.HeadBytes)
+		if n == 0 || err != nil {
+			return nil, 0, err
+		}
+		e := &b.kernel
+		e.dialed, e.buffer = from, b
+		e.event, err = wire.ParseKernelEvent(line)
+		return e, n, err
+	}
+}
--- a/internal/node/server/link.go
+++ b/internal/node/server/link.go
@@ -36,7 +36,7 @@
 	storeConn handle  // the store's, where it is one of those
 	writer    *writer // nil until it is open
 	err       error   // it ended, maybe before the loop had heard that it began
-	parser    parser
+	parser    linkParser
 }
 
 // backoff is the wait before the next dial to one address.
@@ -52,6 +52,9 @@
 	b.notBefore = l.now + b.delay/2 + admission.Time(rand.Int64N(int64(b.delay/2)+1))
 }
 
+// linkParser is a parser of what came over a dial.
+type linkParser func(from *dialed, b *buffer) (e event, n int, err error)
+
 // dialer opens a connection; a seam for tests.
 type dialer func(address string, within time.Duration) (netpoll.Connection, error)
 
@@ -68,7 +71,7 @@
 	dialed   *dialed        // open, or being dialled; nil while down
 	armedFor admission.Time // the last time for which a deadline was set
 	retry    timerKind
-	parser   parser
+	parser   linkParser
 }
 
 func (k *link) up() bool { return k.dialed != nil && k.dialed.writer != nil }
@@ -90,30 +93,27 @@
 	l.open(k.dialed, k.addr)
 }
 
-// open dials a line; what comes of it is handed over under its name.
+// open dials in a goroutine of its own, which ends with the dial; what comes of it and over it is handed over under its name.
 func (l *loop) open(n *dialed, addr string) {
 	go func() {
 		c, err := l.dialTo(addr, l.limits.DialTimeout)
 		if err != nil {
-			l.post(event{kind: eventDialled, dialed: n, err: err})
+			l.post(&linkDialed{dialed: n, err: err})
 			return
 		}
 		c.SetWriteTimeout(l.limits.WriteTimeout)
 		in := &intake{pool: &l.pool}
-		down := func(err error) { l.post(event{kind: eventDown, dialed: n, err: err}) }
 		c.AddCloseCallback(func(netpoll.Connection) error {
 			in.drop()
-			down(errClosed)
+			l.post(&linkClosed{dialed: n, err: errClosed})
 			return nil
 		})
-		l.post(event{kind: eventDialled, dialed: n, conn: c})
+		l.post(&linkDialed{dialed: n, conn: c})
+		parse := func(b *buffer) (event, int, error) { return n.parser(n, b) }
 		c.SetOnRequest(func(_ context.Context, c netpoll.Connection) error {
-			err := in.read(c.Reader(), n.parser, func(e event) {
-				e.dialed = n
-				l.post(e)
-			})
+			err := in.read(c.Reader(), parse, l.post)
 			if err != nil {
-				down(err)
+				l.post(&linkClosed{dialed: n, err: err})
 				c.Close()
 			}
 			return err
@@ -131,66 +131,64 @@
 	return &l.discovery.link
 }
 
-// lined takes news of a line, unless its owner has let go of it.
-func (l *loop) linkEvent(e event) {
-	n := e.dialed
-	if e.kind == eventDown && n.err == nil {
-		n.err = e.err
-	}
-	var w *storeConnection
+// isCurrent says whether a dial is still the one that its owner goes by. Guards against late events of a dial that was
+// given up, such as one to an address that was replaced meanwhile.
+func (l *loop) isCurrent(n *dialed) bool {
 	if n.peer == peerStore {
-		w = l.store.connections.get(n.storeConn)
+		c := l.store.connections.get(n.storeConn)
+		return c != nil && c.dialed == n
 	}
-	if n.peer == peerStore && w == nil || n.peer != peerStore && l.linkOf(n.peer).dialed != n {
-		if e.conn != nil {
-			e.conn.Close() // dialled for an address that was replaced meanwhile
-		}
+	return l.linkOf(n.peer).dialed == n
+}
+
+// linkDialed takes what came of a dial. The connection may have ended before this event was handled.
+func (l *loop) linkDialed(e *linkDialed) {
+	n, err := e.dialed, e.err
+	if err == nil {
+		err = n.err
+	}
+	current := l.isCurrent(n)
+	if current && err == nil {
+		n.writer = &writer{conn: e.conn, pool: &l.pool, workers: l.workers, busy: &l.busy}
+		l.linkOpened(n)
 		return
 	}
-	switch e.kind {
-	case eventDialled:
-		if e.err == nil {
-			e.err = n.err
-		}
-		if e.err == nil {
-			n.writer = &writer{conn: e.conn, pool: &l.pool, workers: l.workers, busy: &l.busy}
-			l.linkOpened(n, w)
-			return
-		}
-		if e.conn != nil {
-			e.conn.Close()
-		}
-		l.linkLost(n, w, e.err)
-	case eventDown:
-		if n.writer != nil {
-			l.linkLost(n, w, e.err)
-		}
-	case eventNotice:
-		l.kernelEvent(*e.notice)
-	case eventReply:
-		l.callReplied(n.storeConn, w, e.reply)
-	case eventReport:
-		l.reportAnswered(e.status)
+	if e.conn != nil {
+		e.conn.Close()
+	}
+	if current {
+		l.linkLost(n, err)
+	}
+}
+
+// linkClosed takes the end of a connection. Where that is handled before its beginning it is kept for linkDialed.
+func (l *loop) linkClosed(e *linkClosed) {
+	n := e.dialed
+	if n.err == nil {
+		n.err = e.err
+	}
+	if l.isCurrent(n) && n.writer != nil {
+		l.linkLost(n, e.err)
 	}
 }
 
-func (l *loop) linkOpened(n *dialed, w *storeConnection) {
+func (l *loop) linkOpened(n *dialed) {
 	switch n.peer {
 	case peerKernel:
 		l.counters.KernelLinks++
 		l.kernelUp()
 	case peerStore:
 		l.counters.StoreLinks++
-		l.storeConnected(n.storeConn, w)
+		l.storeConnected(n.storeConn, l.store.connections.get(n.storeConn))
 	case peerDiscovery:
 		l.counters.ControlLinks++
 		l.controlUp()
 	}
 }
 
-func (l *loop) linkLost(n *dialed, w *storeConnection, err error) {
+func (l *loop) linkLost(n *dialed, err error) {
 	if n.peer == peerStore {
-		l.storeConnectionLost(n.storeConn, w, err)
+		l.storeConnectionLost(n.storeConn, l.store.connections.get(n.storeConn), err)
 		return
 	}
 	l.closeLink(l.linkOf(n.peer), err)
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -20,47 +20,8 @@
 	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/node/pools"
 	"umberwinch/internal/node/settings"
-	"umberwinch/internal/node/wire"
 )
 
-type eventKind uint8
-
-const (
-	eventOpen eventKind = iota
-	eventRequest
-	eventBad
-	eventGone
-	eventDialled
-	eventDown
-	eventNotice
-	eventReply
-	eventReport
-	eventDrain
-	eventCount
-	eventReload
-	eventFleet
-	eventKept
-	eventFlood    // more comes on a sealed connection than is borne
-	eventNoAccept // the listener is closed, and what it had accepted was told before
-)
-
-// event is one thing handed over.
-type event struct {
-	kind    eventKind
-	peer    *peer
-	dialed  *dialed
-	conn    netpoll.Connection
-	err     error
-	buf     *buffer
-	request wire.Request
-	notice  *wire.KernelEvent
-	reply   wire.CallReply
-	status  wire.ResponseHead
-	node    *Node
-	job     *jobEnd
-	then    func() // of the disk
-}
-
 // loop is what the one goroutine owns. Callbacks reach it by events alone.
 type loop struct {
 	limits   Limits
@@ -119,10 +80,10 @@
 	logFrom  admission.Time
 }
 
-// put hands an event over; it waits while the queue is full.
+// post hands an event over; it waits while the queue is full.
 func (l *loop) post(e event) { l.events <- e }
 
-// next is the round that is being filled.
+// nextRound is the round that is being filled.
 func (l *loop) nextRound() *admission.Round { return &l.rounds[l.filling] }
 
 // logf writes a line, but only a few in a second.
@@ -196,28 +157,12 @@
 	for name, i := range prof.Handlers {
 		l.names[i] = name
 	}
-	bounds := lim.LinkBounds
 	l.kernel.link = link{peer: peerKernel, name: "kernel", addr: c.Kernel, retry: timerKernelDial,
-		parser: func(b []byte) (e event, n int, err error) {
-			line, n, err := wire.NextLine(b, bounds.HeadBytes)
-			if n == 0 || err != nil {
-				return e, 0, err
-			}
-			note, err := wire.ParseKernelEvent(line)
-			return event{kind: eventNotice, notice: &note}, n, err
-		}}
+		parser: kernelParser(lim.LinkBounds)}
 	l.store = storeConnections{addr: c.Store, connections: newTable[storeConnection](lim.StoreConnections),
-		parser: func(b []byte) (e event, n int, err error) {
-			e.kind = eventReply
-			e.reply, n, err = wire.ParseCallReply(b, bounds)
-			return e, n, err
-		}}
-	l.discovery = discoveryLink{name: c.Name, ready: true, link: link{peer: peerDiscovery, name: "control", addr: c.Control,
-		retry: timerDiscoveryDial, parser: func(b []byte) (e event, n int, err error) {
-			e.kind = eventReport
-			e.status, n, err = wire.ParseResponseHead(b, bounds)
-			return e, n, err
-		}}}
+		parser: storeParser(lim.LinkBounds)}
+	l.discovery = discoveryLink{name: c.Name, ready: true, link: link{peer: peerDiscovery, name: "control",
+		addr: c.Control, retry: timerDiscoveryDial, parser: discoveryParser(lim.LinkBounds)}}
 	return l
 }
 
@@ -250,41 +195,7 @@
 	l.showPools()
 }
 
-// handle takes one event.
-func (l *loop) handle(e event) {
-	switch e.kind {
-	case eventOpen:
-		l.connectionOpened(e.peer)
-	case eventRequest, eventBad:
-		if e.kind == eventRequest {
-			l.lastRequest = l.now
-		}
-		l.messageReceived(e)
-		return // the message's buffer goes with the req
-	case eventGone:
-		l.connectionClosed(e.peer)
-	case eventFlood:
-		l.connectionFlooded(e.peer)
-	case eventNoAccept:
-		l.accepts = false
-	case eventDrain:
-		l.startDrain()
-	case eventCount:
-		l.log.WithFields(l.fields()).Info("counters")
-		l.showPools()
-	case eventReload:
-		l.reload(e.node, e.err)
-	case eventFleet:
-		l.fleetNews(e.job)
-	case eventKept:
-		e.then()
-	default:
-		l.linkEvent(e)
-	}
-	l.pool.put(e.buf)
-}
-
-// fire deals with every deadline that has come.
+// fireTimers deals with every deadline that has come.
 func (l *loop) fireTimers() {
 	for {
 		d, ok := l.timers.next(l.now)
--- a/internal/node/server/peer.go
+++ b/internal/node/server/peer.go
@@ -63,16 +63,16 @@
 			p.pipelined.Add(1)
 			events = append(events, e)
 		}
-		err = p.in.read(r, func(b []byte) (event, int, error) { return p.parse(b, limits) }, collect)
+		err = p.in.read(r, func(b *buffer) (event, int, error) { return p.parse(b, limits) }, collect)
 		if err == nil {
 			p.noteUnfinished(now)
 			return events, nil
 		}
 		p.stopReading()
-		collect(event{kind: eventBad, peer: p, err: err})
+		collect(&requestUnreadable{peer: p, err: err})
 	}
 	if p.discard(r, limits.DiscardBytes) {
-		events = append(events, event{kind: eventFlood, peer: p})
+		events = append(events, connectionFlooded{peer: p})
 	}
 	return events, r.Release()
 }
@@ -86,9 +86,12 @@
 
 // parse reads one request. netpoll reads on whatever is done here, so the only bound on pipelined requests
 // that holds is to take no more of them.
-func (p *peer) parse(b []byte, limits *Limits) (e event, n int, err error) {
-	e.kind, e.peer = eventRequest, p
-	e.request, n, err = wire.ParseRequest(b, limits.RequestBounds)
+func (p *peer) parse(b *buffer, limits *Limits) (event, int, error) {
+	e := &b.request
+	e.peer, e.buffer = p, b
+	var n int
+	var err error
+	e.request, n, err = wire.ParseRequest(b.bytes(), limits.RequestBounds)
 	if n > 0 && err == nil && int(p.pipelined.Load()) > limits.Pipelined {
 		err = errAhead
 	}
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -70,7 +70,7 @@
 }
 
 // take brings a new req before the module; a status other than 0 answers it here, with what a says beside it.
-func (l *loop) receiveRequest(c *connection, e event, name string, a *wire.Response) int {
+func (l *loop) receiveRequest(c *connection, e *requestRead, name string, a *wire.Response) int {
 	q := &e.request
 	i, known := l.handlerNamed(name)
 	hasKey := !known || l.settings.Deployment.Handlers[i].RetrySafety != admission.IdempotencyKeyed || len(q.IdempotencyKey) > 0
@@ -117,7 +117,7 @@
 	} else if earliest != came {
 		due = earliest + hd.Timeout
 	}
-	*r = request{id: string(q.ID), connection: e.peer.handle, closeAfter: q.Close, handler: i, buf: e.buf, body: q.Body,
+	*r = request{id: string(q.ID), connection: e.peer.handle, closeAfter: q.Close, handler: i, buf: e.buffer, body: q.Body,
 		key: key, earliestArrival: earliest, arrival: came, deadline: due}
 	if due == 0 {
 		r.deadline = came + hd.Timeout
--- a/internal/node/server/signals.go
+++ b/internal/node/server/signals.go
@@ -33,10 +33,10 @@
 			l.post(make())
 		}
 	}
-	go events(signals.Drain, func() event { return event{kind: eventDrain} })
-	go events(signals.Count, func() event { return event{kind: eventCount} })
+	go events(signals.Drain, func() event { return drainRequested{} })
+	go events(signals.Count, func() event { return countersRequested{} })
 	go events(signals.Reload, func() event {
 		next, err := signals.Read()
-		return event{kind: eventReload, node: next, err: err}
+		return &startupFileRead{node: next, err: err}
 	})
 }
--- a/internal/node/server/store.go
+++ b/internal/node/server/store.go
@@ -23,7 +23,7 @@
 	backoff
 	addr        string
 	connections table[storeConnection]
-	parser      parser
+	parser      linkParser
 }
 
 // wire is one connection to the store.
@@ -175,7 +175,8 @@
 }
 
 // replied takes a reply of the store: it counts only for a call that is out on the wire that brought it.
-func (l *loop) callReplied(at handle, w *storeConnection, p wire.CallReply) {
+func (l *loop) callReplied(at handle, p wire.CallReply) {
+	w := l.store.connections.get(at)
 	w.lastUsed = l.now
 	h, r := l.findRequest(p.ID)
 	if r == nil || r.callState != callSent || r.storeConn != at {
@@ -267,3 +268,15 @@
 		l.open(w.dialed, addr)
 	}
 }
+
+// storeParser reads replies of the store.
+func storeParser(bounds wire.Bounds) linkParser {
+	return func(from *dialed, b *buffer) (event, int, error) {
+		e := &b.reply
+		e.dialed, e.buffer = from, b
+		var n int
+		var err error
+		e.reply, n, err = wire.ParseCallReply(b.bytes(), bounds)
+		return e, n, err
+	}
+}
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -222,12 +222,31 @@
 	if l.move(k, "127.0.0.1:3"); k.dialed == first || k.dialed == nil {
 		t.Error("a dial to the old address holds up the new one")
 	}
-	e := event{kind: eventDialled, dialed: first, err: errClosed}
-	if l.linkEvent(e); k.dialed == nil || k.delay != 0 {
+	e := &linkDialed{dialed: first, err: errClosed}
+	if l.linkDialed(e); k.dialed == nil || k.delay != 0 {
 		t.Error("the end of the old dial counts against the new one")
 	}
 }
 
+// The store moves to another address while a connection to the old one is being opened, and the old dial succeeds after
+// that. Its connection must not be taken for the new one, over which the call that waits would be sent before it is open.
+func TestOldDialOfMovedStore(t *testing.T) {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	l := &loop{now: 1000, log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256), dialTo: dialTCP,
+		requests: newTable[request](2), store: store1("127.0.0.1:1", NewLimits(1, 64, 256))}
+	h, r, _ := l.requests.take()
+	at, c, _ := l.store.connections.take()
+	old := &dialed{peer: peerStore, storeConn: at, parser: l.store.parser}
+	*c = storeConnection{dialed: old, calls: []handle{h}}
+	r.callState, r.storeConn = callQueued, at
+	l.moveStore("127.0.0.1:2")
+	l.linkDialed(&linkDialed{dialed: old})
+	if r.callState != callQueued || old.writer != nil || c.dialed == old {
+		t.Errorf("the old dial counts: call state %d", r.callState)
+	}
+}
+
 // An answer proves that commands were read only once it is older than what a break may take with it.
 func TestProofIsLate(t *testing.T) {
 	l := &loop{now: 10000, limits: NewLimits(1, 64, 256)}
@@ -238,7 +257,7 @@
 		acked uint64
 	}{{10000, 0}, {10500, 0}, {11000, 7}} {
 		l.now = step.at
-		if l.gaugesReceived(wire.KernelEvent{Nonce: []byte("7")}); k.acked != step.acked {
+		if l.gaugesReceived(&wire.KernelEvent{Nonce: []byte("7")}); k.acked != step.acked {
 			t.Errorf("at %d commands to %d count as read, expected %d", l.now, k.acked, step.acked)
 		}
 	}
@@ -367,7 +386,7 @@
 	}
 	l.idempotency.remember(l.repeatKey(0, &wire.Request{IdempotencyKey: []byte("k")}), 77, l.now-admission.Second, &l.timers)
 	c := &connection{}
-	e := event{peer: &peer{}, request: wire.Request{ID: []byte("0000000000000001"), ReceivedAtMS: stamp.Milliseconds(),
+	e := &requestRead{peer: &peer{}, request: wire.Request{ID: []byte("0000000000000001"), ReceivedAtMS: stamp.Milliseconds(),
 		HasCaller: true, FootprintKB: 1, IdempotencyKey: []byte("k")}}
 	if status := l.receiveRequest(c, e, "put", &wire.Response{}); status != 0 || len(l.nextRound().Arrived) != 1 {
 		t.Fatalf("status %d, %d are told to the module", status, len(l.nextRound().Arrived))
