--- a/admission/admissionqueue.go
+++ b/admission/admissionqueue.go
@@ -34,14 +34,14 @@
 	}
 	switch {
 	case c.drain.active && r.arrivedAt > c.drain.admitBefore:
-		c.shed(i, rejectedDraining)
+		c.shed(i, ReasonDraining)
 	case c.readiness.stalled && (c.limit.running > 0 || c.queue.length > 0 || class.runsOnce):
 		// While work stands still one retryable request at a time is admitted, to see whether it finishes again.
-		c.shed(i, rejectedStalled)
+		c.shed(i, ReasonStalled)
 	case r.repeats.original == none && c.memory.exceededBy(r.sizeKB, entryKB):
 		// The failure: a queue that fills the memory which its runs need, and a process that is killed for it.
 		// Runs are counted at their full size, so what is queued can run.
-		c.shed(i, rejectedMemory)
+		c.shed(i, ReasonMemory)
 	default:
 		c.enqueue(i, q)
 	}
--- a/admission/adopt_test.go
+++ b/admission/adopt_test.go
@@ -7,20 +7,20 @@
 	run, shed map[uint32]bool
 }
 
-func (c *counter) Run(id uint32)                  { c.run[id] = true }
-func (c *counter) Shed(id uint32, _ bool, _ Time) { c.shed[id] = true }
-func (c *counter) Fail(id uint32)                 { c.shed[id] = true }
-func (c *counter) Stop(uint32)                    {}
-func (c *counter) Call(uint32, Time)              {}
-func (c *counter) SkipCall(uint32)                {}
-func (c *counter) Remember(uint32, Time)          {}
-func (c *counter) Forget(uint32)                  {}
-func (c *counter) ReuseResult(uint32)             {}
-func (c *counter) Health(bool)                    {}
-func (c *counter) SignalOverload(float64)         {}
-func (c *counter) SetIdleTimeout(Time)            {}
-func (c *counter) WakeUp(Time)                    {}
-func (c *counter) Log(string)                     {}
+func (c *counter) Run(id uint32)                            { c.run[id] = true }
+func (c *counter) Shed(id uint32, _ Reason, _ bool, _ Time) { c.shed[id] = true }
+func (c *counter) Fail(id uint32, _ Reason)                 { c.shed[id] = true }
+func (c *counter) Stop(uint32)                              {}
+func (c *counter) Call(uint32, Time)                        {}
+func (c *counter) SkipCall(uint32)                          {}
+func (c *counter) Remember(uint32, Time)                    {}
+func (c *counter) Forget(uint32)                            {}
+func (c *counter) ReuseResult(uint32)                       {}
+func (c *counter) Health(bool)                              {}
+func (c *counter) SignalOverload(float64)                   {}
+func (c *counter) SetIdleTimeout(Time)                      {}
+func (c *counter) WakeUp(Time)                              {}
+func (c *counter) Log(string)                               {}
 
 // TestAdopt: under another deployment what is held and runs goes on, with the due times under which it came; what comes
 // after has the new ones.
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -215,7 +215,7 @@
 	case class.canSkipCall && (!rejected || r.call.attempts > maxRejectedCalls):
 		c.skipCall(i)
 	case !rejected && (class.runsOnce || r.call.attempts > maxCallAttempts):
-		c.fail(i)
+		c.fail(i, ReasonCallFailed)
 	default:
 		backoff := timerPeriod << min(r.call.attempts, maxBackoffDoublings)
 		c.timers.schedule(&c.requests, i, c.now+backoff)
--- a/admission/deadlines.go
+++ b/admission/deadlines.go
@@ -34,7 +34,7 @@
 	case r.state == queued:
 		c.reviewQueued(i, end)
 	case c.now >= end:
-		c.fail(i)
+		c.fail(i, ReasonDeadline)
 	case r.state == awaitingCall:
 		c.reviewCall(i, end)
 	default:
@@ -69,8 +69,12 @@
 	timeout := c.queueTimeouts.timeout(queuedRequest{objective: objective, expectedRunTime: c.expectedRunTime(r),
 		rank: c.queueTimeouts.cell(r).rank, isRetry: r.isRetry}, &c.queue, c.limit.cores)
 	timeoutAt := r.arrivedAt + timeout
-	if c.now >= timeoutAt || c.now >= end {
-		c.shed(i, rejectedWaited)
+	if c.now >= end {
+		c.shed(i, ReasonDeadline)
+		return
+	}
+	if c.now >= timeoutAt {
+		c.shed(i, ReasonQueueTimeout)
 		return
 	}
 	c.timers.schedule(&c.requests, i, min(end, timeoutAt, c.now+objective/reviewsPerObjective))
--- a/admission/endofrun.go
+++ b/admission/endofrun.go
@@ -28,9 +28,9 @@
 }
 
 // fail answers a request that ran, or waits for a run, with an error, and stops its work where that can be.
-func (c *Controller) fail(i index) {
+func (c *Controller) fail(i index, why Reason) {
 	c.requests.at[i].failed = true
-	c.writer.Fail(c.requests.at[i].id)
+	c.writer.Fail(c.requests.at[i].id, why)
 	c.stopWaiting(i, true)
 }
 
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -45,9 +45,9 @@
 		// The failure: repeats of a hot key that fill the memory. They need no slot, but each waits in memory, and a
 		// few large ones are a good part of a small server's. Could harm where one is about to end.
 		if runsOnce && (original == none || c.requests.at[original].executed) {
-			c.fail(i)
+			c.fail(i, ReasonMemory)
 		} else {
-			c.shed(i, rejectedMemory)
+			c.shed(i, ReasonMemory)
 		}
 		return true
 	}
@@ -61,7 +61,7 @@
 		c.requests.attachRepeat(i, original)
 		return false
 	case failRepeat:
-		c.fail(i)
+		c.fail(i, ReasonOriginalFailed)
 	case reuseOriginal:
 		first.resultShared = true
 		c.reuseResult(i)
--- a/admission/interface.go
+++ b/admission/interface.go
@@ -184,8 +184,11 @@
 type Writer interface {
 	Run(id uint32)
 	Stop(id uint32) // a run whose result nobody waits for
-	Shed(id uint32, final bool, retryAfter Time)
-	Fail(id uint32)
+	// Shed rejects a request that never ran. A final one is not to be tried elsewhere; retryAfter is how long its
+	// caller should stay away.
+	Shed(id uint32, why Reason, final bool, retryAfter Time)
+	// Fail answers a request that ran, or waits for another's run, with an error.
+	Fail(id uint32, why Reason)
 	Call(id uint32, deadline Time)
 	SkipCall(id uint32) // the run goes on without its call
 	Remember(id uint32, span Time)
--- a/admission/pin_stream_test.go
+++ b/admission/pin_stream_test.go
@@ -51,8 +51,8 @@
 // endingServer ends what failed: a run that stood at a call must not hold its slot for good.
 type endingServer struct{ *recorder }
 
-func (s *endingServer) Fail(id uint32) {
-	s.recorder.Fail(id)
+func (s *endingServer) Fail(id uint32, why Reason) {
+	s.recorder.Fail(id, why)
 	s.running = append(s.running, id)
 }
 
@@ -221,17 +221,17 @@
 	wake             Time
 }
 
-func (w *benchWriter) Run(id uint32)           { w.running = append(w.running, id) }
-func (w *benchWriter) Stop(uint32)             {}
-func (w *benchWriter) Shed(uint32, bool, Time) {}
-func (w *benchWriter) Fail(uint32)             {}
-func (w *benchWriter) Call(id uint32, _ Time)  { w.calling = append(w.calling, id) }
-func (w *benchWriter) SkipCall(id uint32)      { w.running = append(w.running, id) }
-func (w *benchWriter) Remember(uint32, Time)   {}
-func (w *benchWriter) Forget(uint32)           {}
-func (w *benchWriter) ReuseResult(uint32)      {}
-func (w *benchWriter) Health(bool)             {}
-func (w *benchWriter) SignalOverload(float64)  {}
-func (w *benchWriter) SetIdleTimeout(Time)     {}
-func (w *benchWriter) WakeUp(at Time)          { w.wake = at }
-func (w *benchWriter) Log(string)              {}
+func (w *benchWriter) Run(id uint32)                   { w.running = append(w.running, id) }
+func (w *benchWriter) Stop(uint32)                     {}
+func (w *benchWriter) Shed(uint32, Reason, bool, Time) {}
+func (w *benchWriter) Fail(uint32, Reason)             {}
+func (w *benchWriter) Call(id uint32, _ Time)          { w.calling = append(w.calling, id) }
+func (w *benchWriter) SkipCall(id uint32)              { w.running = append(w.running, id) }
+func (w *benchWriter) Remember(uint32, Time)           {}
+func (w *benchWriter) Forget(uint32)                   {}
+func (w *benchWriter) ReuseResult(uint32)              {}
+func (w *benchWriter) Health(bool)                     {}
+func (w *benchWriter) SignalOverload(float64)          {}
+func (w *benchWriter) SetIdleTimeout(Time)             {}
+func (w *benchWriter) WakeUp(at Time)                  { w.wake = at }
+func (w *benchWriter) Log(string)                      {}
--- a/admission/readiness.go
+++ b/admission/readiness.go
@@ -87,7 +87,7 @@
 		c.readiness.stalled = true
 		c.writer.Log("hung: started work does not finish")
 		for c.queue.head != none {
-			c.shed(c.queue.head, rejectedStalled)
+			c.shed(c.queue.head, ReasonStalled)
 		}
 	}
 }
--- /dev/null
+++ b/admission/reason.go
@@ -0,0 +1,28 @@
+package admission
+
+// Reason is why a request got no result.
+type Reason uint8
+
+// Values of Reason. The first four are of requests that never ran, and so may be tried elsewhere unless the rejection is
+// final.
+const (
+	ReasonQueueTimeout   Reason = iota // it waited in the admission queue for as long as it may
+	ReasonMemory                       // no memory for its run, or for its wait
+	ReasonStalled                      // started work stands still
+	ReasonDraining                     // the process can't finish it before it is killed
+	ReasonDeadline                     // its deadline, or the kill, is near
+	ReasonCallFailed                   // a call that it needs brought no result
+	ReasonOriginalFailed               // the run of the request that it repeats failed
+	reasons
+)
+
+var reasonNames = [reasons]string{"queue_timeout", "memory", "stalled", "draining", "deadline", "call_failed",
+	"original_failed"}
+
+// String gives the name of a reason as the log and docs/decisions.md have it.
+func (r Reason) String() string {
+	if r < reasons {
+		return reasonNames[r]
+	}
+	return "unknown"
+}
--- a/admission/recorded_test.go
+++ b/admission/recorded_test.go
@@ -29,10 +29,10 @@
 
 func (r *recorder) Run(id uint32)  { r.note("run %d", id); r.running = append(r.running, id) }
 func (r *recorder) Stop(id uint32) { r.note("pause %d", id) }
-func (r *recorder) Shed(id uint32, last bool, comeBack Time) {
+func (r *recorder) Shed(id uint32, _ Reason, last bool, comeBack Time) {
 	r.note("shed %d %v %d", id, last, comeBack)
 }
-func (r *recorder) Fail(id uint32) { r.note("fail %d", id) }
+func (r *recorder) Fail(id uint32, _ Reason) { r.note("fail %d", id) }
 func (r *recorder) Call(id uint32, until Time) {
 	r.note("call %d %d", id, until)
 	r.calling = append(r.calling, id)
--- a/admission/rejection.go
+++ b/admission/rejection.go
@@ -1,15 +1,5 @@
 package admission
 
-// rejection is the reason why a request was shed. None of them ran.
-type rejection uint8
-
-const (
-	rejectedWaited   rejection = iota // it waited for as long as it may
-	rejectedMemory                    // no memory for its run, or for its wait
-	rejectedStalled                   // started work stands still
-	rejectedDraining                  // the process can't finish it before it is killed
-)
-
 const (
 	// A shed request is not to be tried elsewhere once it has waited a third of its objective: another queue would
 	// take the rest.
@@ -25,8 +15,8 @@
 // isFinal decides whether a shed request is not to be tried at another server: if it waited for its turn and is a
 // retry, which two servers have now rejected, or waited long, or if the fleet is likely full. It may harm where just
 // one of a few servers is slow.
-func isFinal(why rejection, isRetry, delayedLong, fleetFull bool) bool {
-	return why == rejectedWaited && (isRetry || delayedLong || fleetFull)
+func isFinal(why Reason, isRetry, delayedLong, fleetFull bool) bool {
+	return (why == ReasonQueueTimeout || why == ReasonDeadline) && (isRetry || delayedLong || fleetFull)
 }
 
 // fleetFull says whether what is shed here would likely be shed elsewhere.
@@ -35,11 +25,11 @@
 }
 
 // shed answers a request that never ran with a rejection.
-func (c *Controller) shed(i index, why rejection) {
+func (c *Controller) shed(i index, why Reason) {
 	r := &c.requests.at[i]
 	delayedLong := c.now-r.arrivedAt > c.classes[r.class].objective/longDelayDivisor
 	final := isFinal(why, r.isRetry, delayedLong, fleetFull(c.now, c.signal.pressure, &c.arrivals))
-	c.writer.Shed(r.id, final, c.retryAfter(int(r.class)))
+	c.writer.Shed(r.id, why, final, c.retryAfter(int(r.class)))
 	c.arrivals.shed.add(c.now, 1, 0)
 	r.answered, r.failed = true, true
 	if c.pools != nil && r.state != queued {
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -98,10 +98,10 @@
 
 func (s *scene) note(f string, a ...any) { s.log = append(s.log, fmt.Sprintf(f, a...)) }
 
-func (s *scene) Run(id uint32)  { s.busy[id] = true; s.note("run %d", id) }
-func (s *scene) Stop(id uint32) { s.note("pause %d", id) }
-func (s *scene) Fail(id uint32) { s.note("fail %d", id) }
-func (s *scene) Shed(id uint32, last bool, comeBack Time) {
+func (s *scene) Run(id uint32)            { s.busy[id] = true; s.note("run %d", id) }
+func (s *scene) Stop(id uint32)           { s.note("pause %d", id) }
+func (s *scene) Fail(id uint32, _ Reason) { s.note("fail %d", id) }
+func (s *scene) Shed(id uint32, _ Reason, last bool, comeBack Time) {
 	line := fmt.Sprintf("shed %d", id)
 	if last {
 		line += " last"
--- a/admission/slowstart_test.go
+++ b/admission/slowstart_test.go
@@ -12,20 +12,20 @@
 	wake    Time
 }
 
-func (s *starts) Run(id uint32)           { s.running[id] = true }
-func (s *starts) Stop(uint32)             {}
-func (s *starts) Shed(uint32, bool, Time) {}
-func (s *starts) Fail(uint32)             {}
-func (s *starts) Call(uint32, Time)       {}
-func (s *starts) SkipCall(uint32)         {}
-func (s *starts) Remember(uint32, Time)   {}
-func (s *starts) Forget(uint32)           {}
-func (s *starts) ReuseResult(uint32)      {}
-func (s *starts) Health(bool)             {}
-func (s *starts) SignalOverload(float64)  {}
-func (s *starts) SetIdleTimeout(Time)     {}
-func (s *starts) WakeUp(at Time)          { s.wake = at }
-func (s *starts) Log(string)              {}
+func (s *starts) Run(id uint32)                   { s.running[id] = true }
+func (s *starts) Stop(uint32)                     {}
+func (s *starts) Shed(uint32, Reason, bool, Time) {}
+func (s *starts) Fail(uint32, Reason)             {}
+func (s *starts) Call(uint32, Time)               {}
+func (s *starts) SkipCall(uint32)                 {}
+func (s *starts) Remember(uint32, Time)           {}
+func (s *starts) Forget(uint32)                   {}
+func (s *starts) ReuseResult(uint32)              {}
+func (s *starts) Health(bool)                     {}
+func (s *starts) SignalOverload(float64)          {}
+func (s *starts) SetIdleTimeout(Time)             {}
+func (s *starts) WakeUp(at Time)                  { s.wake = at }
+func (s *starts) Log(string)                      {}
 
 // budgetOf states the bound once more, apart from what it holds the module to.
 func budgetOf(n float64) float64 {
--- a/admission/startruns.go
+++ b/admission/startruns.go
@@ -20,7 +20,7 @@
 			return
 		}
 		if c.drain.active && !c.drain.canFinish(c.now, c.expectedRunTime(r)) {
-			c.shed(i, rejectedDraining)
+			c.shed(i, ReasonDraining)
 		} else {
 			c.startRun(i)
 		}
--- a/internal/lab/emulated.go
+++ b/internal/lab/emulated.go
@@ -292,7 +292,7 @@
 	heap.Push(&s.runs, vrun{id, s.service + q.work})
 }
 
-func (s *emulatedServer) Shed(id uint32, last bool, comeBack admission.Time) {
+func (s *emulatedServer) Shed(id uint32, _ admission.Reason, last bool, comeBack admission.Time) {
 	q := s.open[id]
 	delete(s.open, id)
 	c := &s.classes[q.class]
@@ -307,7 +307,7 @@
 	s.out[q.class].shed++
 }
 
-func (s *emulatedServer) Fail(id uint32) {
+func (s *emulatedServer) Fail(id uint32, _ admission.Reason) {
 	if q := s.open[id]; !q.answered {
 		q.answered = true
 		s.out[q.class].errored++
@@ -347,7 +347,7 @@
 		q := p.queue[0]
 		p.queue = p.queue[1:]
 		if r.Now-q.ArrivedAt > second/10 {
-			w.Shed(q.ID, false, 0)
+			w.Shed(q.ID, admission.ReasonQueueTimeout, false, 0)
 			continue
 		}
 		p.running++
--- a/internal/node/server/kept_test.go
+++ b/internal/node/server/kept_test.go
@@ -101,7 +101,7 @@
 	if l.keptWord(h2, new); l.kept.mode != keptStalled || !new.answered || l.counters.Shed != 1 {
 		t.Errorf("%s, and a new key is not shed", l.kept.mode)
 	}
-	l.Fail(uint32(h)) // the module: its time is over
+	l.Fail(uint32(h), admission.ReasonDeadline) // the module: its time is over
 	close(d.gate)
 	l.hears(t)
 	r = l.requests.get(h) // the table may have grown
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -18,6 +18,7 @@
 	"umberwinch/admission"
 	"umberwinch/internal/clock"
 	"umberwinch/internal/control/recovery"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/node/pools"
 	"umberwinch/internal/node/settings"
 )
@@ -106,6 +107,13 @@
 	}
 }
 
+// traceReason writes why a request gets no result.
+func (l *loop) traceReason(r *request, what string, why admission.Reason) {
+	if l.debug {
+		l.log.WithField("req", r.id).WithField(logging.Reason, why.String()).Debug(what)
+	}
+}
+
 // Run serves until the program is told to leave and all that was read is answered.
 func Run(c *Node, log *logrus.Logger, signals Signals) error {
 	lim := NewLimits(c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets)
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -355,14 +355,16 @@
 	}
 }
 
-func (l *loop) Shed(id uint32, last bool, comeBack admission.Time) {
+func (l *loop) Shed(id uint32, why admission.Reason, last bool, comeBack admission.Time) {
 	if r := l.requests.get(handle(id)); r != nil {
+		l.traceReason(r, "shed", why)
 		l.answer(handle(id), r, wire.Response{Status: 503, NoRetry: last, RetryAfterMS: int64(comeBack+9) / 10})
 	}
 }
 
-func (l *loop) Fail(id uint32) {
+func (l *loop) Fail(id uint32, why admission.Reason) {
 	if r := l.requests.get(handle(id)); r != nil {
+		l.traceReason(r, "failed", why)
 		l.cancelCall(handle(id), r)
 		r.awaitsShared = false
 		l.answer(handle(id), r, wire.Response{Status: 500})
--- a/internal/node/shadow/server.go
+++ b/internal/node/shadow/server.go
@@ -204,10 +204,12 @@
 }
 
 // Shed rejects a request.
-func (s *server) Shed(id uint32, _ bool, _ admission.Time) { s.reject(id, &s.outcome.Shed) }
+func (s *server) Shed(id uint32, _ admission.Reason, _ bool, _ admission.Time) {
+	s.reject(id, &s.outcome.Shed)
+}
 
 // Fail answers a request with an error.
-func (s *server) Fail(id uint32) { s.reject(id, &s.outcome.Failed) }
+func (s *server) Fail(id uint32, _ admission.Reason) { s.reject(id, &s.outcome.Failed) }
 
 // reject answers a request without a result and counts it, but for a probe.
 func (s *server) reject(id uint32, count *int) {
--- a/internal/simulator/decisions.go
+++ b/internal/simulator/decisions.go
@@ -16,14 +16,14 @@
 	return uint32(min(max(t, 0), maxSpan) * microsecondsPerTick)
 }
 
-func (w *decisionWriter) Run(id uint32)         { w.reply.Run(id) }
-func (w *decisionWriter) Stop(id uint32)        { w.reply.Stop(id) }
-func (w *decisionWriter) Fail(id uint32)        { w.reply.Fail(id) }
-func (w *decisionWriter) SkipCall(id uint32)    { w.reply.SkipCall(id) }
-func (w *decisionWriter) Forget(id uint32)      { w.reply.Forget(id) }
-func (w *decisionWriter) ReuseResult(id uint32) { w.reply.ReuseResult(id) }
-
-func (w *decisionWriter) Shed(id uint32, last bool, comeBack admission.Time) {
+func (w *decisionWriter) Run(id uint32)                      { w.reply.Run(id) }
+func (w *decisionWriter) Stop(id uint32)                     { w.reply.Stop(id) }
+func (w *decisionWriter) Fail(id uint32, _ admission.Reason) { w.reply.Fail(id) }
+func (w *decisionWriter) SkipCall(id uint32)                 { w.reply.SkipCall(id) }
+func (w *decisionWriter) Forget(id uint32)                   { w.reply.Forget(id) }
+func (w *decisionWriter) ReuseResult(id uint32)              { w.reply.ReuseResult(id) }
+
+func (w *decisionWriter) Shed(id uint32, _ admission.Reason, last bool, comeBack admission.Time) {
 	w.reply.Reject(id, last, microseconds(comeBack))
 }
 
