--- a/internal/node/overlay/overlay.go
+++ b/internal/node/overlay/overlay.go
@@ -32,7 +32,7 @@
 
 // builder collects the settings and the conflicts on the way.
 type builder struct {
-	base        *settings.Profile
+	base        *settings.Startup
 	settings    *Settings
 	classOfPool map[string]string
 	conflicts   []string
@@ -40,7 +40,7 @@
 
 // Apply checks a version's document against the platform's settings and lays it over them. poolsEnabled tells whether
 // the node sets run slots apart by handler, which can't be begun while it serves. The error is a *ConflictError.
-func Apply(version uint64, base *settings.Profile, doc *document.Document, poolsEnabled bool) (*Settings, error) {
+func Apply(version uint64, base *settings.Startup, doc *document.Document, poolsEnabled bool) (*Settings, error) {
 	deployment := *base.Deployment
 	deployment.Handlers = append([]admission.Handler(nil), deployment.Handlers...)
 	deployment.Tenants = append([]admission.Tenant(nil), deployment.Tenants...)
@@ -66,7 +66,7 @@
 // applyClass takes a class's weight, objective, timeout and window. Callers were promised the platform's kind,
 // timeout and window: a version may give up sooner and remember longer, never the other way.
 func (b *builder) applyClass(class *document.Class) {
-	index, known := b.base.Handlers[class.Name]
+	index, known := b.base.HandlerIndex[class.Name]
 	if !known {
 		b.conflict("class %s: found it in the policy, expected only handlers that the platform has here", class.Name)
 		return
@@ -115,7 +115,7 @@
 
 // applyTenant takes a tenant's quota; one that the platform does not have here has none.
 func (b *builder) applyTenant(tenant *document.Tenant) {
-	if index, known := b.base.Tenants[tenant.Name]; known && tenant.Rate > 0 {
+	if index, known := b.base.TenantIndex[tenant.Name]; known && tenant.Rate > 0 {
 		b.settings.Deployment.Tenants[index].Quota = tenant.Rate
 	}
 }
@@ -132,7 +132,7 @@
 				"expected none while this node's own file has no [pool HANDLER]", pool.Name)
 			return
 		}
-		index, known := b.base.Handlers[class]
+		index, known := b.base.HandlerIndex[class]
 		if !known {
 			continue
 		}
@@ -146,7 +146,7 @@
 // unlimitedPools gives each handler a pool that sets nothing apart and may use all run slots.
 func (b *builder) unlimitedPools() []pools.Class {
 	classes := make([]pools.Class, len(b.settings.Deployment.Handlers))
-	for name, index := range b.base.Handlers {
+	for name, index := range b.base.HandlerIndex {
 		classes[index] = pools.Class{Name: name, Value: b.settings.Deployment.Handlers[index].Value, Cap: 1}
 	}
 	return classes
--- a/internal/node/overlay/overlay_test.go
+++ b/internal/node/overlay/overlay_test.go
@@ -18,7 +18,7 @@
 // TestApply: a version contradicts what the platform has promised its callers. It is refused with all its conflicts
 // at once; one that stays within those promises is laid over the settings, which stay as they are.
 func TestApply(t *testing.T) {
-	base, err := settings.Read([]byte(settingsJSON))
+	base, err := settings.Parse([]byte(settingsJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -38,7 +38,7 @@
 	lim.Connections, lim.EvictAbove = conns, conns
 	l := &loop{log: log, limits: lim, events: make(chan event, 256), pool: bufferPool{capacity: lim.Buffers},
 		workers: newWorkers(1), connections: newTable[connection](conns), requests: newTable[request](8), ready: true, idleClose: admission.Second,
-		settings: &settings.Profile{Deployment: &admission.Deployment{}}}
+		settings: &settings.Startup{Deployment: &admission.Deployment{}}}
 	l.startClock(admission.Second)
 	ln, err := newListener("127.0.0.1:0", conns, time.Millisecond)
 	if err != nil {
--- a/internal/node/server/kept_test.go
+++ b/internal/node/server/kept_test.go
@@ -53,7 +53,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &loop{log: log, events: make(chan event, 64), requests: newTable[request](8), connections: newTable[connection](2), names: []string{"put"},
-		idempotency: newIdempotencyTable(10, 1000, 50), limits: NewLimits(1, 64, 256), settings: &settings.Profile{Deployment: &admission.Deployment{
+		idempotency: newIdempotencyTable(10, 1000, 50), limits: NewLimits(1, 64, 256), settings: &settings.Startup{Deployment: &admission.Deployment{
 			MaxRetryAfter: 5 * admission.Second, Handlers: []admission.Handler{{IdempotencyWindow: admission.Second, RetrySafety: admission.IdempotencyKeyed}}}}}
 	l.startClock(admission.Second)
 	l.kept = &keptPart{own: &config.Kept{Entries: 100, MB: 1, Result: 100}, reads: make(chan func(), 1)}
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -43,7 +43,7 @@
 	kept  *keptPart    // nil: results are kept in memory alone
 
 	startup     *Node // the start-up file
-	settings    *settings.Profile
+	settings    *settings.Startup
 	names       []string // of classes
 	controller  *admission.Controller
 	now         admission.Time
@@ -162,7 +162,7 @@
 		// Sidecars close idle connections by themselves; until the module says more this only ends dead ones.
 		idleClose: 2 * max(prof.IdleTimeout, 30*admission.Second), drainState: drainState{stopAfter: admission.Time(c.StopMS) * 10}}
 	l.startClock(2 * late)
-	for name, i := range prof.Handlers {
+	for name, i := range prof.HandlerIndex {
 		l.names[i] = name
 	}
 	l.kernel.link = link{peer: peerKernel, name: "kernel", addr: c.Kernel, retry: timerKernelDial,
--- a/internal/node/server/node.go
+++ b/internal/node/server/node.go
@@ -32,7 +32,7 @@
 	} `json:"limits"`
 	Profile json.RawMessage `json:"settings"`
 
-	settings *settings.Profile
+	settings *settings.Startup
 	own      *config.Node // nil: the operator has no file of its own
 }
 
@@ -58,7 +58,7 @@
 	if err := c.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if c.settings, err = settings.Read(c.Profile); err != nil {
+	if c.settings, err = settings.Parse(c.Profile); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return &c, nil
--- a/internal/node/server/pools.go
+++ b/internal/node/server/pools.go
@@ -15,7 +15,7 @@
 // names.
 func (c *Node) Own(own *config.Node) error {
 	names := make([]string, len(c.settings.Deployment.Handlers))
-	for name, i := range c.settings.Handlers {
+	for name, i := range c.settings.HandlerIndex {
 		names[i] = name
 	}
 	if err := own.Against(names); err != nil {
@@ -30,7 +30,7 @@
 	d := c.settings.Deployment
 	p := pools.Plan{Disabled: c.own == nil || len(c.own.Pools) == 0, Tenants: max(1, len(d.Tenants))}
 	p.Classes = make([]pools.Class, len(d.Handlers))
-	for name, i := range c.settings.Handlers {
+	for name, i := range c.settings.HandlerIndex {
 		p.Classes[i] = pools.Class{Name: name, Value: d.Handlers[i].Value}
 	}
 	if p.Disabled {
@@ -38,7 +38,7 @@
 	}
 	p.Reserve = c.own.Reserve
 	for _, o := range c.own.Pools {
-		k := &p.Classes[c.settings.Handlers[o.Handler]]
+		k := &p.Classes[c.settings.HandlerIndex[o.Handler]]
 		k.Floor, k.Cap, k.FixedLimit = o.Floor, o.Cap, o.Fixed
 	}
 	return p
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -74,7 +74,7 @@
 	q := &e.request
 	i, known := l.handlerNamed(name)
 	hasKey := !known || l.settings.Deployment.Handlers[i].RetrySafety != admission.IdempotencyKeyed || len(q.IdempotencyKey) > 0
-	tenant, listed := l.settings.Tenants[string(q.Tenant)]
+	tenant, listed := l.settings.TenantIndex[string(q.Tenant)]
 	earliest, came, placed := l.placeStamp(q.ReceivedAtMS)
 	switch {
 	case !known:
@@ -83,7 +83,7 @@
 		return l.badRequest("a field of the request is missing")
 	case !placed:
 		return l.badRequest("received at %d, which is too far from now", q.ReceivedAtMS)
-	case len(q.Tenant) > 0 && !listed && len(l.settings.Tenants) > 0:
+	case len(q.Tenant) > 0 && !listed && len(l.settings.TenantIndex) > 0:
 		return l.badRequest("tenant %q, expected one of the settings", q.Tenant)
 	case l.controller == nil:
 		return 503 // the kernel is not up: nothing can run
@@ -149,11 +149,11 @@
 
 // handlerNamed finds the handler that a path names, which may be percent-encoded.
 func (l *loop) handlerNamed(name string) (index int, known bool) {
-	if index, known = l.settings.Handlers[name]; known {
+	if index, known = l.settings.HandlerIndex[name]; known {
 		return index, true
 	}
 	if plain, err := url.PathUnescape(name); err == nil {
-		index, known = l.settings.Handlers[plain]
+		index, known = l.settings.HandlerIndex[plain]
 	}
 	return index, known
 }
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -373,7 +373,7 @@
 	read := func() clock.Reading { return clock.Reading{Monotonic: at, Wall: wall} }
 	d := &admission.Deployment{Cores: 1, MemoryKB: 1e6, Handlers: []admission.Handler{{LatencyObjective: 3 * admission.Second,
 		Timeout: 6 * admission.Second, RetrySafety: admission.IdempotencyKeyed, IdempotencyWindow: 8 * admission.Second}}}
-	l := &loop{settings: &settings.Profile{Deployment: d, Handlers: map[string]int{"put": 0}}, names: []string{"put"},
+	l := &loop{settings: &settings.Startup{Deployment: d, HandlerIndex: map[string]int{"put": 0}}, names: []string{"put"},
 		idempotency: newIdempotencyTable(2000, 1000, 6*admission.Second), requests: newTable[request](8), byRequestID: map[string]handle{},
 		limits: NewLimits(1, 64, 256), controller: admission.New(d), stamps: clock.NewStamps(read, 12*time.Second)}
 	stamp := wall
--- a/internal/node/settings/pin_settings_test.go
+++ b/internal/node/settings/pin_settings_test.go
@@ -22,7 +22,7 @@
 
 // What each key of the start-up settings comes to is that of version 2a0a97e.
 func TestEveryKeyIsRead(t *testing.T) {
-	p, err := Read([]byte(everyKey))
+	p, err := Parse([]byte(everyKey))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 	for _, tenant := range d.Tenants {
 		fmt.Fprintln(&got, tenant.Quota)
 	}
-	fmt.Fprintln(&got, p.Handlers, p.Tenants, p.Meters)
+	fmt.Fprintln(&got, p.HandlerIndex, p.TenantIndex, p.GaugeNames)
 	g := p.Gauges([]float64{1.5, 2, 3})
 	fmt.Fprintln(&got, g.Runnable, g.OpenConnections)
 	const want = `5 4 1 21 true 0.2 2 true 0.4
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -13,7 +13,7 @@
 	number     uint32
 	controller *admission.Controller
 	round      admission.Round
-	settings   *settings.Profile
+	settings   *settings.Startup
 	listed     bool // among the adapter's undecided
 	failed     bool // its module panicked: it decides nothing more
 }
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := settings.Read(text)
+	p, err := settings.Parse(text)
 	if err != nil {
 		return nil, err
 	}
