--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -157,7 +157,7 @@
 	plan := PlanOf(c)
 	plan.Logger, plan.Point, plan.Guards = raftLog{log}, faults.Point, faults.Fleet
 	plan.Level, plan.Zones = faults.Level, faults.Zones
-	g.steward.WithoutZones = faults.Zones
+	g.steward.DisabledZoneGuards = faults.Zones
 	var disk wal.FS = dir
 	if faults.Disk != nil {
 		disk = faults.Disk(dir)
--- a/internal/control/consensus/replica_open.go
+++ b/internal/control/consensus/replica_open.go
@@ -77,7 +77,7 @@
 
 // fit tells a state that was made or loaded what this instance is.
 func (r *Replica) fit() {
-	r.machine.knows, r.machine.nodes.Without, r.machine.nodes.WithoutZones = r.plan.Level, r.plan.Guards, r.plan.Zones
+	r.machine.knows, r.machine.nodes.DisabledGuards, r.machine.nodes.DisabledZoneGuards = r.plan.Level, r.plan.Guards, r.plan.Zones
 }
 
 // begin makes an empty folder an instance's: its id, and where it founds a group, the group's first state.
--- a/internal/control/coordinator/part.go
+++ b/internal/control/coordinator/part.go
@@ -36,16 +36,16 @@
 
 // State is the replicated state about nodes.
 type State struct {
-	Fleet        *membership.State
-	Policy       *policy.State
-	Zones        *zones.State
-	Index        uint64          // of the last entry that was this part's
-	Generation   uint64          // how often the group was restored, from 1 on
-	Predecessors []string        // groups of earlier generations, the oldest first
-	Checksums    []EntryChecksum // of the newest entries of this part, maxChecksums at least
-	Without      policy.Guard
-	// WithoutZones are guards about zones.
-	WithoutZones zones.Guard
+	Fleet          *membership.State
+	Policy         *policy.State
+	Zones          *zones.State
+	Index          uint64          // of the last entry that was this part's
+	Generation     uint64          // how often the group was restored, from 1 on
+	Predecessors   []string        // groups of earlier generations, the oldest first
+	Checksums      []EntryChecksum // of the newest entries of this part, maxChecksums at least
+	DisabledGuards policy.Guard
+	// DisabledZoneGuards are guards about zones.
+	DisabledZoneGuards zones.Guard
 }
 
 // EntryChecksum is an entry of this part as nodes are told it: by its place and a sum of what it says.
@@ -93,7 +93,7 @@
 
 // NewState gives an empty one.
 func NewState(without policy.Guard) *State {
-	return &State{Fleet: membership.New(), Policy: &policy.State{}, Zones: &zones.State{}, Generation: 1, Without: without}
+	return &State{Fleet: membership.New(), Policy: &policy.State{}, Zones: &zones.State{}, Generation: 1, DisabledGuards: without}
 }
 
 type world struct{ v Versions }
@@ -136,7 +136,7 @@
 func (p *State) leaseTerms() membership.LeaseTerms {
 	r := p.Policy.ActiveRules()
 	g := membership.LeaseTerms{LeaseMS: r.LeaseMS, Autonomous: r.Autonomous, DecidedVersion: p.Policy.DecidedVersion}
-	if r.Zones.Enabled() && !p.WithoutZones.Has(zones.OneEpoch) {
+	if r.Zones.Enabled() && !p.DisabledZoneGuards.Has(zones.OneEpoch) {
 		g.ZoneEpoch = p.Zones.Epoch
 	}
 	return g
@@ -162,7 +162,7 @@
 		}
 		done := BatchApplied{Term: b.Term, Sequence: b.Sequence, BatchResult: p.Fleet.Apply(&b, term, p.leaseTerms())}
 		if rules := p.Policy.ActiveRules().Zones; len(done.Joins) > 0 {
-			done.FleetRestarted = p.Zones.BeginColdStart(p.Fleet, &rules, p.WithoutZones)
+			done.FleetRestarted = p.Zones.BeginColdStart(p.Fleet, &rules, p.DisabledZoneGuards)
 		}
 		return done, nil
 	case KindPolicy:
@@ -173,7 +173,7 @@
 		if op.Kind == "propose" && op.Proposal == nil {
 			return nil, fmt.Errorf("a proposal of nothing")
 		}
-		return p.Policy.Apply(&op, p.Fleet, world{v}, p.Without), nil
+		return p.Policy.Apply(&op, p.Fleet, world{v}, p.DisabledGuards), nil
 	}
 	if kind == KindZones {
 		var op zones.Op
@@ -184,7 +184,7 @@
 			return zones.Result{Kind: op.Kind, Zone: op.Zone, IdempotencyKey: op.IdempotencyKey,
 				Err: "the policy in force decides nothing about zones: [zones] decide = ask or auto"}, nil
 		}
-		return p.Zones.Apply(&op, p.Fleet, p.WithoutZones), nil
+		return p.Zones.Apply(&op, p.Fleet, p.DisabledZoneGuards), nil
 	}
 	return nil, fmt.Errorf("an entry of kind %q, expected %s, %s or %s", kind, KindHeartbeats, KindPolicy, KindZones)
 }
--- a/internal/control/coordinator/pin_stream_test.go
+++ b/internal/control/coordinator/pin_stream_test.go
@@ -346,10 +346,10 @@
 func record(t *testing.T, seed int64, level int, without policy.Guard, noZones zones.Guard, steps int) *recorded {
 	r := &recorded{T: t, rng: rand.New(rand.NewSource(seed)), level: level, sum: sha256.New()}
 	r.part = NewState(without)
-	r.part.WithoutZones = noZones
+	r.part.DisabledZoneGuards = noZones
 	for i := range r.leaders {
 		r.leaders[i] = NewLeader(without)
-		r.leaders[i].WithoutZones, r.leaders[i].Level = noZones, level
+		r.leaders[i].DisabledZoneGuards, r.leaders[i].Level = noZones, level
 	}
 	for i := range 9 {
 		r.nodes = append(r.nodes, &simulatedNode{name: fmt.Sprint("n", i), zone: []string{"east", "west", "north"}[i%3]})
--- a/internal/control/coordinator/steward.go
+++ b/internal/control/coordinator/steward.go
@@ -16,11 +16,11 @@
 
 // Bounds of what the leader keeps in memory.
 const (
-	maxOpen = 20000 // askings that wait for a beat; past it a node is told to come again
-	maxOps  = 64    // operators' askings that wait
+	maxPendingHeartbeats = 20000 // askings that wait for a beat; past it a node is told to come again
+	maxPendingOps        = 64    // operators' askings that wait
 	// Joinings in one beat: some 150 bytes each, so that a fleet that restarts whole makes entries of an eighth of a megabyte, one
 	// after the other, and none that followers take long over. A renewal has some bytes, and waits for nobody's joining.
-	joinMost = 1000
+	maxJoinsPerBatch = 1000
 )
 
 // Times. A beat a second has all renewals that came meanwhile, so a thousand are one entry; under leases so short that
@@ -31,7 +31,7 @@
 	beatShare  = 8
 	beatChange = 100
 	// An op or a beat that was not applied after this long was lost with a leader or on the way to one.
-	lostAfter = 5000
+	appendTimeoutMS = 5000
 )
 
 // ErrBusy is told to who may ask again shortly.
@@ -71,8 +71,8 @@
 
 // Leader is what a leader does about nodes. All of it is in memory: a new leader hears all nodes anew.
 type Leader struct {
-	Without      policy.Guard
-	WithoutZones zones.Guard
+	DisabledGuards     policy.Guard
+	DisabledZoneGuards zones.Guard
 
 	cluster     string
 	leads       bool
@@ -110,7 +110,7 @@
 
 // NewLeader gives a steward that does not lead.
 func NewLeader(without policy.Guard) *Leader {
-	return &Leader{Without: without, reports: map[string]*told{}, watch: zones.NewMonitor()}
+	return &Leader{DisabledGuards: without, reports: map[string]*told{}, watch: zones.NewMonitor()}
 }
 
 // Leading tells whether this instance does the work at present.
@@ -131,9 +131,9 @@
 	s.ledAt, s.names = s.now, map[string]bool{}
 }
 
-// listenMost is for how long a new leader listens at most before it grants and decides, in ms: in that time all nodes ask
+// maxListenMS is for how long a new leader listens at most before it grants and decides, in ms: in that time all nodes ask
 // whose group has gone on. It is a quarter of a lease at most, as nodes renew theirs when a quarter is over.
-const listenMost = 1500
+const maxListenMS = 1500
 
 // listens tells whether the leader has not yet heard all nodes that are in: some may know what a state that was put back to
 // an older one lacks, and until then nothing that rests on it is granted or decided.
@@ -141,7 +141,7 @@
 	if s.names == nil {
 		return false
 	}
-	if s.Level >= LevelGenerations && !s.Without.Has(policy.ListenFirst) && s.now-s.ledAt < min(listenMost, p.leaseTerms().LeaseMS/4) {
+	if s.Level >= LevelGenerations && !s.DisabledGuards.Has(policy.ListenFirst) && s.now-s.ledAt < min(maxListenMS, p.leaseTerms().LeaseMS/4) {
 		for _, n := range p.Fleet.Nodes() {
 			if n.OutReason == "" && !s.names[n.Name] {
 				return true
@@ -232,12 +232,12 @@
 	done(s.tell(p, api.HeartbeatResponse{LeaseID: a.LeaseID}), nil)
 }
 
-// nodesToDoubt is how many nodes have to prove that the group has lost state before it stops: one alone may lie.
-const nodesToDoubt = 2
+// nodesToProveLoss is how many nodes have to prove that the group has lost state before it stops: one alone may lie.
+const nodesToProveLoss = 2
 
-// lackSpan is for how long a node's proof counts, in ms: some askings with their back-off. What two told an hour apart may be
+// evidenceSpanMS is for how long a node's proof counts, in ms: some askings with their back-off. What two told an hour apart may be
 // the same node's lie under two names.
-const lackSpan = 10_000
+const evidenceSpanMS = 10_000
 
 type lack struct {
 	what string
@@ -247,7 +247,7 @@
 // doubt holds what a node was told against what the state has.
 func (s *Leader) doubt(p *State, a *api.HeartbeatRequest) {
 	h := a.LastSeen
-	if h == nil || s.Without.Has(policy.Proof) {
+	if h == nil || s.DisabledGuards.Has(policy.Proof) {
 		return
 	}
 	have := recovery.GroupPosition{Group: s.cluster, Generation: p.Generation, Term: s.term, Index: p.Index, DecidedVersion: p.Policy.DecidedVersion, ZoneEpoch: p.Zones.Epoch,
@@ -283,13 +283,13 @@
 	}
 	var names []string
 	for n, l := range s.lacks { // in order below
-		if s.now-l.at <= lackSpan {
+		if s.now-l.at <= evidenceSpanMS {
 			names = append(names, n)
 		} else {
 			delete(s.lacks, n)
 		}
 	}
-	if len(names) < max(1, min(nodesToDoubt, len(p.Fleet.Nodes()))) {
+	if len(names) < max(1, min(nodesToProveLoss, len(p.Fleet.Nodes()))) {
 		return ""
 	}
 	sort.Strings(names)
@@ -309,7 +309,7 @@
 }
 
 func (s *Leader) wait(a api.HeartbeatRequest, done func(api.HeartbeatResponse, error)) {
-	if len(s.waits) >= maxOpen {
+	if len(s.waits) >= maxPendingHeartbeats {
 		done(api.HeartbeatResponse{}, ErrBusy)
 		return
 	}
@@ -326,10 +326,10 @@
 	if rules := p.Policy.ActiveRules().Zones; rules.Enabled() {
 		t.NextHeartbeatMS = min(t.NextHeartbeatMS, zones.HeartbeatIntervalMS(len(p.Fleet.Nodes())))
 		if n := p.Fleet.LeaseHolder(t.LeaseID); n != nil {
-			o := p.Zones.Order(n.Zone, t.LeaseID, &rules, s.WithoutZones)
+			o := p.Zones.Order(n.Zone, t.LeaseID, &rules, s.DisabledZoneGuards)
 			if rules.ColdStart && s.young(p, n) && p.Zones.LimitNewNode(&o, n.Zone, n.UptimeMS(p.Fleet.ClockMS), p.Fleet.ClockMS, s.counts.zone[n.Zone],
-				&rules, s.WithoutZones) {
-				t.NextHeartbeatMS = min(t.NextHeartbeatMS, max(probationAsk, zones.HeartbeatIntervalMS(len(p.Fleet.Nodes()))/2))
+				&rules, s.DisabledZoneGuards) {
+				t.NextHeartbeatMS = min(t.NextHeartbeatMS, max(slowStartHeartbeatMS, zones.HeartbeatIntervalMS(len(p.Fleet.Nodes()))/2))
 			} else {
 				delete(s.joins, t.LeaseID) // who was told to take all is not held afterwards
 			}
@@ -346,13 +346,13 @@
 	return t
 }
 
-// probationAsk is how soon a node is to ask again that has just begun, in ms: a lone start is told as one within a second.
+// slowStartHeartbeatMS is how soon a node is to ask again that has just begun, in ms: a lone start is told as one within a second.
 // In larger fleets it is longer, so that a fleet that restarts whole asks the group twice as often as ever at most.
-const probationAsk = 250
+const slowStartHeartbeatMS = 250
 
-// countEvery is how often the nodes are counted while some have just begun, in ms: with 5,000 of them each answer would
+// countIntervalMS is how often the nodes are counted while some have just begun, in ms: with 5,000 of them each answer would
 // go through all otherwise.
-const countEvery = 100
+const countIntervalMS = 100
 
 // counts is what is known of the nodes that are in.
 type counts struct {
@@ -365,7 +365,7 @@
 
 func (s *Leader) count(p *State) *counts {
 	c := &s.counts
-	if c.known && s.now-c.at < countEvery {
+	if c.known && s.now-c.at < countIntervalMS {
 		return c
 	}
 	*c = counts{at: s.now, known: true, zone: map[string]int{}, warm: c.warm[:0]}
@@ -403,7 +403,7 @@
 		done(policy.Result{}, ErrNotLeader)
 	case s.stopped:
 		done(policy.Result{}, ErrStateLost)
-	case len(s.ops) >= maxOps:
+	case len(s.ops) >= maxPendingOps:
 		done(policy.Result{}, ErrBusy)
 	default:
 		s.ops = append(s.ops, &opening{op: op, since: s.now, done: done})
@@ -417,7 +417,7 @@
 		done(zones.Result{}, ErrNotLeader)
 	case s.stopped:
 		done(zones.Result{}, ErrStateLost)
-	case len(s.zoneOps) >= maxOps:
+	case len(s.zoneOps) >= maxPendingOps:
 		done(zones.Result{}, ErrBusy)
 	default:
 		if z := p.Zones.Find(op.Zone); op.Kind == "back" && z != nil && z.Phase != zones.Ramping {
@@ -442,7 +442,7 @@
 	if s.stopped {
 		return ErrStateLost
 	}
-	if len(s.forgets)+len(names) > maxOps {
+	if len(s.forgets)+len(names) > maxPendingOps {
 		return ErrBusy
 	}
 	s.forgets = append(s.forgets, names...)
@@ -452,7 +452,7 @@
 // heard gives a node's report, as its present incarnation told it.
 func (s *Leader) heard(n *membership.Node) *policy.NodeReport {
 	r := s.reports[n.Name]
-	if r == nil || r.lease != n.Lease.ID && !s.Without.Has(policy.Incarnation) {
+	if r == nil || r.lease != n.Lease.ID && !s.DisabledGuards.Has(policy.Incarnation) {
 		return nil
 	}
 	return &r.NodeReport
@@ -475,7 +475,7 @@
 		}
 		out = append(out, Entry{kind, body})
 	}
-	if s.sentAt != 0 && s.now-s.sentAt > lostAfter {
+	if s.sentAt != 0 && s.now-s.sentAt > appendTimeoutMS {
 		s.sentAt = 0
 		s.waits, s.out = append(s.out, s.waits...), nil
 	}
@@ -498,33 +498,33 @@
 		s.BatchesSent++
 		s.BatchBytes += uint64(len(out[0].Body))
 	}
-	if s.opAt != 0 && s.now-s.opAt > lostAfter {
+	if s.opAt != 0 && s.now-s.opAt > appendTimeoutMS {
 		s.opAt = 0
 	}
 	if s.opAt == 0 {
-		if op := p.Policy.Next(p.Fleet, s.heard, s.Without); op != nil {
+		if op := p.Policy.Next(p.Fleet, s.heard, s.DisabledGuards); op != nil {
 			s.opAt = s.now
 			add(KindPolicy, op)
 		}
 	}
-	if s.zoneAt != 0 && s.now-s.zoneAt > lostAfter {
+	if s.zoneAt != 0 && s.now-s.zoneAt > appendTimeoutMS {
 		s.zoneAt = 0
 	}
 	if rules := p.Policy.ActiveRules().Zones; s.zoneAt == 0 && rules.Enabled() {
-		if op := s.watch.Decide(s.now, p.Zones, p.Fleet, &rules, s.WithoutZones); op != nil {
+		if op := s.watch.Decide(s.now, p.Zones, p.Fleet, &rules, s.DisabledZoneGuards); op != nil {
 			s.zoneAt = s.now
 			add(KindZones, op)
 		}
 	}
 	for _, o := range s.zoneOps {
-		if !o.sent || s.now-o.since > lostAfter {
+		if !o.sent || s.now-o.since > appendTimeoutMS {
 			o.sent, o.since = true, s.now
 			o.op.Epoch = p.Zones.Epoch
 			add(KindZones, &o.op)
 		}
 	}
 	for _, o := range s.ops {
-		if !o.sent || s.now-o.since > lostAfter {
+		if !o.sent || s.now-o.since > appendTimeoutMS {
 			o.sent, o.since = true, s.now
 			add(KindPolicy, &o.op)
 		}
@@ -542,14 +542,14 @@
 		}
 	}
 	skip := 0 // joinings that are passed over; without the guard the older ones are
-	if s.Without.Has(policy.ArrivalOrder) {
-		skip = max(0, joins-joinMost)
+	if s.DisabledGuards.Has(policy.ArrivalOrder) {
+		skip = max(0, joins-maxJoinsPerBatch)
 	}
 	var left []open
 	n := 0
 	for _, o := range s.waits {
 		if o.ask.LeaseID == 0 {
-			if n++; n <= skip || n > skip+joinMost {
+			if n++; n <= skip || n > skip+maxJoinsPerBatch {
 				left = append(left, o)
 				continue
 			}
@@ -615,7 +615,7 @@
 			}
 		}
 		for name, r := range s.reports { // no order is needed: each is judged alone
-			if p.Fleet.LeaseHolder(r.lease) == nil && !s.Without.Has(policy.Incarnation) {
+			if p.Fleet.LeaseHolder(r.lease) == nil && !s.DisabledGuards.Has(policy.Incarnation) {
 				delete(s.reports, name)
 			}
 		}
--- a/internal/control/coordinator/steward_test.go
+++ b/internal/control/coordinator/steward_test.go
@@ -170,7 +170,7 @@
 		t.Fatal(n)
 	}
 	for i := 0; i < 3; i++ {
-		g.run(0, lostAfter/2)
+		g.run(0, appendTimeoutMS/2)
 	}
 	if len(got) != 1 || got[0].LeaseID == 0 {
 		t.Fatalf("answers %+v, expected one", got)
@@ -297,7 +297,7 @@
 	if _, err := heard(0, "a", ahead); err != nil || g.p.Fleet.LostState != "" {
 		t.Fatalf("%v, %q: one node stops the group", err, g.p.Fleet.LostState)
 	}
-	g.run(0, lackSpan)
+	g.run(0, evidenceSpanMS)
 	heard(1, "b", ahead)
 	if g.p.Fleet.LostState != "" {
 		t.Fatal("what two nodes told long apart stops the group")
@@ -500,7 +500,7 @@
 			renew(1, "b", func(api.HeartbeatResponse, error) {})
 			g.run(1, 500)
 		} else {
-			g.run(1, listenMost)
+			g.run(1, maxListenMS)
 		}
 		if !granted {
 			t.Errorf("all heard %v: it grants nothing after that", all)
--- a/internal/lab/vfleet.go
+++ b/internal/lab/vfleet.go
@@ -159,13 +159,13 @@
 	w := &VFleet{FleetPlan: p, r: rand.New(rand.NewSource(p.Seed)), part: coordinator.NewState(p.Without), lead: -1,
 		known: map[uint64]policy.Step{}, Ends: map[policy.Step]int{}, Causes: map[string]int{}, bad: map[string]bool{},
 		vlost: vlost{group: "g1", ofHash: map[string]string{}, decidedAs: map[uint64]string{}, said: map[string]bool{}}}
-	w.part.WithoutZones = p.WithoutZones
+	w.part.DisabledZoneGuards = p.WithoutZones
 	if w.Zones == 0 {
 		w.Zones = 3
 	}
 	if p.Way != "" {
 		w.Without |= policy.LeaseGuard | policy.Fence | policy.PrepareAll
-		w.part.Without = w.Without
+		w.part.DisabledGuards = w.Without
 	}
 	if w.Lease == 0 {
 		w.Lease = 4000
@@ -189,7 +189,7 @@
 
 func (w *VFleet) steward() *coordinator.Leader {
 	s := coordinator.NewLeader(w.Without)
-	s.WithoutZones, s.Level = w.WithoutZones, coordinator.LevelSameProcess
+	s.DisabledZoneGuards, s.Level = w.WithoutZones, coordinator.LevelSameProcess
 	return s
 }
 
--- a/internal/lab/vlost.go
+++ b/internal/lab/vlost.go
@@ -134,7 +134,7 @@
 // putBack puts a copy of the folders in place of what they held.
 func (w *VFleet) putBack(s vsave) error {
 	p := coordinator.NewState(w.Without)
-	p.WithoutZones = w.WithoutZones
+	p.DisabledZoneGuards = w.WithoutZones
 	if err := p.Restore(s.raw); err != nil {
 		return err
 	}
@@ -209,7 +209,7 @@
 		}
 		var base *recovery.StoredGroup
 		p := coordinator.NewState(w.Without)
-		p.WithoutZones = w.WithoutZones
+		p.DisabledZoneGuards = w.WithoutZones
 		if folders {
 			p = w.part
 			base = &recovery.StoredGroup{GroupIdentity: recovery.GroupIdentity{Group: w.group, Generation: p.Generation, Predecessors: p.Predecessors}, LastVersion: w.Last(), DecidedVersion: p.Policy.DecidedVersion,
