--- /dev/null
+++ b/internal/control/coordinator/append_timer.go
@@ -0,0 +1,26 @@
+package coordinator
+
+// appendTimeoutMS is after how long, in ms, an appended entry that was not applied counts as lost with a leader or on
+// the way to one, and is appended again. Shorter, a slow commit would bring entries twice, which costs log and
+// changes nothing; longer, nodes wait for an answer, of which a lease allows some.
+const appendTimeoutMS = 5000
+
+// appendTimer follows one entry from its append to its application. The zero value follows none.
+type appendTimer struct {
+	sinceMS uint64 // 0: none
+}
+
+func (t *appendTimer) start(nowMS uint64) { t.sinceMS = nowMS }
+
+func (t *appendTimer) stop() { t.sinceMS = 0 }
+
+func (t *appendTimer) running() bool { return t.sinceMS != 0 }
+
+// stopIfLost stops the timer if the entry counts as lost, and tells whether it does.
+func (t *appendTimer) stopIfLost(nowMS uint64) bool {
+	lost := t.running() && nowMS-t.sinceMS > appendTimeoutMS
+	if lost {
+		t.stop()
+	}
+	return lost
+}
--- /dev/null
+++ b/internal/control/coordinator/batch_timing.go
@@ -0,0 +1,32 @@
+package coordinator
+
+// Times between batches, in ms.
+const (
+	// maxBatchIntervalMS is the longest, so that the group's time goes on and silence is noticed within a second. All
+	// renewals that come meanwhile are one entry.
+	maxBatchIntervalMS = 1000
+	// minBatchIntervalMS is the shortest: while a change is under way a promise or a join waits for a tenth of a
+	// second at most. Shorter would cost more entries than a change gains by it.
+	minBatchIntervalMS = 100
+	// batchesPerLease bounds the interval under leases so short that a second is much of them.
+	batchesPerLease = 8
+)
+
+// batchDue decides whether a batch of heartbeats is appended now.
+//
+// It decides by the ms since the last batch was applied, the lease, what waits and whether a change is under way. One
+// batch at a time is appended, so that no ms is counted twice. Proof of lost state goes out at once: each decision
+// until then may do harm. Otherwise a batch goes out once a second, sooner if something waits under a short lease,
+// and soonest while a change waits for promises or more joins wait than fit into a batch.
+func (l *Leader) batchDue(s *State, lossProven bool) bool {
+	b := &l.heartbeats
+	if b.appended.running() {
+		return false
+	}
+	sinceMS := l.nowMS - b.appliedMS
+	intervalMS := min(maxBatchIntervalMS, max(minBatchIntervalMS, s.leaseTerms().LeaseMS/batchesPerLease))
+	urgent := s.Policy.Current != nil || b.joinsLeft
+	return lossProven || sinceMS >= maxBatchIntervalMS ||
+		sinceMS >= intervalMS && len(b.waiting)+len(b.forget) > 0 ||
+		urgent && sinceMS >= minBatchIntervalMS && len(b.waiting) > 0
+}
--- /dev/null
+++ b/internal/control/coordinator/errors.go
@@ -0,0 +1,42 @@
+package coordinator
+
+import (
+	"errors"
+	"fmt"
+)
+
+// Errors that a caller of Leader is told.
+var (
+	// ErrBusy is for callers that may ask again shortly: a bound of pending requests is reached.
+	ErrBusy = errors.New("too many nodes ask at once")
+	// ErrStateLost is for nodes and operators of a group that nodes have proved to be behind what it once agreed on.
+	ErrStateLost = errors.New("the group has lost state and grants nothing: umberctl control recover")
+	// ErrNotLeader is for callers of an instance that does not lead.
+	ErrNotLeader = errors.New("this instance does not lead")
+)
+
+// ErrSnapshot is what errors of State.Restore wrap that are not of one of its subsystems.
+var ErrSnapshot = errors.New("the saved state about nodes")
+
+// ErrEmptyProposal is for an entry that proposes a change without saying which.
+var ErrEmptyProposal = errors.New("a proposal of nothing")
+
+// EntryError is for an entry that can't be read. The instance can't go on: others may have read it.
+type EntryError struct {
+	Expected string // what its kind stands for
+	Err      error
+}
+
+// Error says what the entry is not, and why.
+func (e *EntryError) Error() string { return fmt.Sprintf("not %s: %v", e.Expected, e.Err) }
+
+// Unwrap gives the error of its decoding.
+func (e *EntryError) Unwrap() error { return e.Err }
+
+// UnknownKindError is for an entry of a kind that this program does not know.
+type UnknownKindError struct{ Kind string }
+
+// Error names the kinds that there are.
+func (e *UnknownKindError) Error() string {
+	return fmt.Sprintf("an entry of kind %q, expected %s, %s or %s", e.Kind, KindHeartbeats, KindPolicy, KindZones)
+}
--- /dev/null
+++ b/internal/control/coordinator/leader.go
@@ -0,0 +1,224 @@
+package coordinator
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
+)
+
+// Leader is what the leading instance does about nodes. All of it is in memory. One goroutine calls it; times are ms
+// that went by at this instance, the sum of what Tick was told.
+type Leader struct {
+	DisabledGuards     policy.Guard // for fault tests alone
+	DisabledZoneGuards zones.Guard  // for fault tests alone
+	Level              int          // of the group: what entries may carry
+	BatchesSent        uint64       // of heartbeats, by this instance
+	BatchBytes         uint64       // of those entries
+
+	cluster   string
+	leading   bool
+	term      uint64
+	nowMS     uint64
+	stateLost bool // as of the last tick
+
+	heartbeats   heartbeatBatcher
+	reports      nodeReports
+	listening    listenPhase
+	evidence     lossEvidence
+	coldStart    coldStartHold
+	policyAppend appendTimer // of an operation that the rules of policy decided
+	policyOps    submissions[policy.Op, policy.Result]
+	zoneAppend   appendTimer // of an operation that the rules of zones decided
+	zoneOps      submissions[zones.Op, zones.Result]
+	zoneMonitor  *zones.Monitor
+}
+
+// NewLeader gives a leader that does not lead yet.
+func NewLeader(disabled policy.Guard) *Leader {
+	return &Leader{DisabledGuards: disabled, reports: nodeReports{}, zoneMonitor: zones.NewMonitor()}
+}
+
+// Leading tells whether this instance leads.
+func (l *Leader) Leading() bool { return l.leading }
+
+// SetRole tells who leads. All callers that wait are told ErrNotLeader when the role, the term or the group changes,
+// and all nodes are heard anew.
+func (l *Leader) SetRole(_ *State, cluster string, leads bool, term uint64) {
+	if leads == l.leading && term == l.term && cluster == l.cluster {
+		return
+	}
+	l.failPending(ErrNotLeader)
+	l.cluster, l.leading, l.term = cluster, leads, term
+	l.heartbeats = heartbeatBatcher{appliedMS: l.nowMS}
+	l.reports = nodeReports{}
+	l.listening = listenPhase{sinceMS: l.nowMS, heard: map[string]bool{}}
+	l.evidence = lossEvidence{}
+	l.coldStart = coldStartHold{heldSinceMS: map[uint32]uint64{}}
+	l.policyAppend, l.zoneAppend = appendTimer{}, appendTimer{}
+	l.zoneMonitor = zones.NewMonitor()
+}
+
+// failPending answers all callers that wait with an error.
+func (l *Leader) failPending(err error) {
+	l.heartbeats.fail(err)
+	l.policyOps.fail(err)
+	l.zoneOps.fail(err)
+}
+
+// Tick tells that ms went by, and gives the entries to append, in order.
+//
+// A group that lost state appends nothing, as every decision would rest on what is not the fleet's. A new leader first
+// listens; proof of lost state goes out all the same.
+func (l *Leader) Tick(s *State, ms uint64) []Entry {
+	l.nowMS += ms
+	if !l.leading {
+		return nil
+	}
+	l.heartbeats.retryIfLost(l.nowMS)
+	if l.stateLost = s.Fleet.LostState != ""; l.stateLost {
+		return nil
+	}
+	lost := l.provenLoss(s)
+	if lost == "" && l.stillListening(s) {
+		return nil
+	}
+	var entries []Entry
+	if l.batchDue(s, lost != "") {
+		entry := newEntry(KindHeartbeats, l.heartbeats.next(l.batchHeader(s, lost), l.nowMS, l.DisabledGuards))
+		entries = append(entries, entry)
+		l.BatchesSent++
+		l.BatchBytes += uint64(len(entry.Body))
+	}
+	return append(entries, l.operations(s)...)
+}
+
+// operations gives the entries of what the rules decide and of what operators submitted.
+func (l *Leader) operations(s *State) (entries []Entry) {
+	l.policyAppend.stopIfLost(l.nowMS)
+	if !l.policyAppend.running() {
+		if op := s.Policy.Next(s.Fleet, l.report, l.DisabledGuards); op != nil {
+			l.policyAppend.start(l.nowMS)
+			entries = append(entries, newEntry(KindPolicy, op))
+		}
+	}
+	l.zoneAppend.stopIfLost(l.nowMS)
+	if rules := s.Policy.ActiveRules().Zones; !l.zoneAppend.running() && rules.Enabled() {
+		if op := l.zoneMonitor.Decide(l.nowMS, s.Zones, s.Fleet, &rules, l.DisabledZoneGuards); op != nil {
+			l.zoneAppend.start(l.nowMS)
+			entries = append(entries, newEntry(KindZones, op))
+		}
+	}
+	for _, op := range l.zoneOps.due(l.nowMS) {
+		op.Epoch = s.Zones.Epoch
+		entries = append(entries, newEntry(KindZones, op))
+	}
+	for _, op := range l.policyOps.due(l.nowMS) {
+		entries = append(entries, newEntry(KindPolicy, op))
+	}
+	return entries
+}
+
+// newEntry encodes an entry's body, which is one of our own structs and can always be encoded.
+func newEntry(kind string, body any) Entry {
+	raw, err := json.Marshal(body)
+	if err != nil {
+		panic(fmt.Sprintf("encoding an entry of kind %s: %v", kind, err))
+	}
+	return Entry{kind, raw}
+}
+
+// EntryApplied tells the outcome of an entry that was applied to the state, whoever appended it.
+func (l *Leader) EntryApplied(s *State, outcome any) {
+	switch o := outcome.(type) {
+	case BatchApplied:
+		l.batchApplied(s, &o)
+	case zones.Result:
+		if o.IdempotencyKey == "" {
+			l.zoneAppend.stop()
+		}
+		l.zoneOps.applied(o, func(op *zones.Op) bool { return op.IdempotencyKey == o.IdempotencyKey })
+	case policy.Result:
+		l.policyAppend.stop()
+		l.policyOps.applied(o, func(op *policy.Op) bool { return isPolicyOutcome(op, &o) })
+	}
+}
+
+// isPolicyOutcome tells whether a result is an operation's: a proposal has a key, the others their change.
+func isPolicyOutcome(op *policy.Op, r *policy.Result) bool {
+	if r.IdempotencyKey != "" {
+		return op.Proposal != nil && op.Proposal.IdempotencyKey == r.IdempotencyKey
+	}
+	return op.Kind == r.Kind && op.ChangeNumber == r.ChangeNumber
+}
+
+// accepting gives the error that an operator is told who submits something now, nil if it is taken.
+func (l *Leader) accepting() error {
+	switch {
+	case !l.leading:
+		return ErrNotLeader
+	case l.stateLost:
+		return ErrStateLost
+	}
+	return nil
+}
+
+// SubmitPolicy takes an operator's operation. done is called once, when it is applied here or can't be.
+func (l *Leader) SubmitPolicy(op policy.Op, done func(policy.Result, error)) {
+	err := l.accepting()
+	if err == nil {
+		err = l.policyOps.add(op, done)
+	}
+	if err != nil {
+		done(policy.Result{}, err)
+	}
+}
+
+// SubmitZone takes an operator's operation on a zone. done is called once, when it is applied here or can't be.
+func (l *Leader) SubmitZone(s *State, op zones.Op, done func(zones.Result, error)) {
+	err := l.accepting()
+	if err == nil {
+		err = l.submitZone(s, op, done)
+	}
+	if err != nil {
+		done(zones.Result{}, err)
+	}
+}
+
+// submitZone answers at once what can't hold, and takes anything else. A bound of pending operations comes first.
+func (l *Leader) submitZone(s *State, op zones.Op, done func(zones.Result, error)) error {
+	if len(l.zoneOps.pending) >= maxPendingOps {
+		return ErrBusy
+	}
+	if z := s.Zones.Find(op.Zone); op.Kind == zoneStepBack && z != nil && z.Phase != zones.Ramping {
+		done(zones.Result{Err: fmt.Sprintf("zone %s is %s, expected it returning", z.Name, z.Phase)}, nil)
+		return nil
+	}
+	return l.zoneOps.add(op, done)
+}
+
+// zoneStepBack is the kind of an operation that takes a zone's ramp back.
+const zoneStepBack = "back"
+
+// Forget takes names off the table of nodes with the next batch. It gives ErrNotLeader, ErrStateLost or ErrBusy.
+func (l *Leader) Forget(names ...string) error {
+	if err := l.accepting(); err != nil {
+		return err
+	}
+	if len(l.heartbeats.forget)+len(names) > maxPendingOps {
+		return ErrBusy
+	}
+	l.heartbeats.forget = append(l.heartbeats.forget, names...)
+	return nil
+}
+
+// ZoneViews gives zones as the leader sees them.
+func (l *Leader) ZoneViews() []*zones.View { return l.zoneMonitor.Views() }
+
+// FleetView gives the whole fleet as the leader sees it, nil before the first tick that looked.
+func (l *Leader) FleetView() *zones.View { return l.zoneMonitor.FleetView() }
+
+// Reports gives what nodes told this leader.
+func (l *Leader) Reports() func(*membership.Node) *policy.NodeReport { return l.report }
