--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -53,7 +53,7 @@
 
 // zoneState says how a zone stands in a word and a share.
 func zoneState(v *consensus.ZoneView) (word, share string) {
-	if word = v.Phase; word == zones.InService && v.Seen != nil && v.Seen.FailureScore > 0 {
+	if word = string(v.Phase); v.Phase == zones.InService && v.Seen != nil && v.Seen.FailureScore > 0 {
 		word = "suspected"
 	}
 	return word, fmt.Sprintf("%.0f%%", 100*float64(v.Share)/api.FullShare)
@@ -199,7 +199,7 @@
 func newZonesLeave(a *access) *cobra.Command {
 	return zoneDo(a, "leave", "Leave a zone: its nodes take nothing more", `Its nodes say that they are not ready, shed at once
 what comes and what is held, with a time to come back, and end what runs. It stays so until "zones return". The last zone
-that is in is not left.`, nil, func() (zones.Op, error) { return zones.Op{Kind: "leave"}, nil })
+that is in is not left.`, nil, func() (zones.Op, error) { return zones.Op{Kind: zones.OpEvacuate}, nil })
 }
 
 func newZonesReturn(a *access) *cobra.Command {
@@ -209,7 +209,7 @@
 		c.Flags().Float64Var(&share, "share", 0.0625, "of what comes, to begin with")
 	}, func() (zones.Op, error) {
 		n, err := shareOf(share)
-		return zones.Op{Kind: "step", Share: max(1, n)}, err
+		return zones.Op{Kind: zones.OpRamp, Share: max(1, n)}, err
 	})
 }
 
@@ -221,7 +221,7 @@
 			if d < 0 || d > 24*time.Hour {
 				return zones.Op{}, fmt.Errorf("--for: found %v, expected up to 24h", d)
 			}
-			return zones.Op{Kind: "hold", WaitMS: uint64(d.Milliseconds())}, nil
+			return zones.Op{Kind: zones.OpHold, WaitMS: uint64(d.Milliseconds())}, nil
 		})
 }
 
@@ -235,7 +235,7 @@
 		if d < time.Second || d > time.Hour {
 			return zones.Op{}, fmt.Errorf("--for: found %v, expected 1s to 1h", d)
 		}
-		return zones.Op{Kind: "leave", DrillMS: uint64(d.Milliseconds())}, nil
+		return zones.Op{Kind: zones.OpEvacuate, DrillMS: uint64(d.Milliseconds())}, nil
 	})
 }
 
--- a/internal/control/api/load_report.go
+++ b/internal/control/api/load_report.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// Bounds of a report that can be true. A node reports every second or few; one that counts more than a machine can do lies.
+// Bounds of a report that can be true. A node reports every second or few; one that counts more than a machine can do
+// lies.
 const (
 	minReportWindowMS = 200    // ms: a shorter window holds too few requests to tell a rate
 	maxReportWindowMS = 60_000 // ms: an older one says nothing of now
@@ -10,8 +11,8 @@
 	maxReportCount    = 1e7    // requests, runs, calls or connections in one window
 )
 
-// Plausible tells whether a report can be true. One that can't is ignored, as if none had come: a node with a broken clock or
-// counter must not decide about its zone.
+// Plausible tells whether a report can be true. One that can't is ignored, as if none had come: a node with a broken
+// clock or counter must not decide about its zone.
 func (l *LoadReport) Plausible() bool {
 	for _, amount := range []float64{l.OfferedWeight, l.CompletedWeight, l.Cores, l.CoresUsed, l.MeanRunMS, l.MeanCallMS} {
 		if math.IsNaN(amount) || math.IsInf(amount, 0) || amount < 0 || amount > maxReportAmount {
--- a/internal/control/consensus/zones.go
+++ b/internal/control/consensus/zones.go
@@ -97,7 +97,7 @@
 		last := z.Events[len(z.Events)-1]
 		g.log.WithFields(logrus.Fields{"zone": z.Name, "step": z.Phase, "share": z.Share, "epoch": e.Epoch,
 			logging.Reason: last.Text, "op": e.Kind}).Info("change of a zone")
-	case e.Kind == "settle":
+	case e.Kind == zones.OpSettle:
 		g.log.WithField("epoch", e.Epoch).Info("epoch of zones settled")
 	}
 }
@@ -129,7 +129,7 @@
 	}
 	// What only the rules may say is left out: an operator's share gets its ceiling from what the zone bore.
 	op.RateLimit, op.ConnectRateLimit, op.PriorityCutoff, op.Capacities, op.ValueOfStaying, op.ValueOfEvacuating, op.Epoch = 0, 0, 0, nil, 0, 0, 0
-	if op.Kind == "leave" {
+	if op.Kind == zones.OpEvacuate {
 		op.Cause = "operator"
 		if op.DrillMS > 0 {
 			op.Cause = "drill"
--- a/internal/control/coordinator/leader.go
+++ b/internal/control/coordinator/leader.go
@@ -192,16 +192,13 @@
 	if len(l.zoneOps.pending) >= maxPendingOps {
 		return ErrBusy
 	}
-	if z := s.Zones.Find(op.Zone); op.Kind == zoneStepBack && z != nil && z.Phase != zones.Ramping {
+	if z := s.Zones.Find(op.Zone); op.Kind == zones.OpStepBack && z != nil && z.Phase != zones.Ramping {
 		done(zones.Result{Err: fmt.Sprintf("zone %s is %s, expected it returning", z.Name, z.Phase)}, nil)
 		return nil
 	}
 	return l.zoneOps.add(op, done)
 }
 
-// zoneStepBack is the kind of an operation that takes a zone's ramp back.
-const zoneStepBack = "back"
-
 // Forget takes names off the table of nodes with the next batch. It gives ErrNotLeader, ErrStateLost or ErrBusy.
 func (l *Leader) Forget(names ...string) error {
 	if err := l.accepting(); err != nil {
--- a/internal/control/coordinator/response.go
+++ b/internal/control/coordinator/response.go
@@ -3,6 +3,7 @@
 import (
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
 )
 
 // respond fills in what holds now.
@@ -37,9 +38,9 @@
 	}
 	order := s.Zones.Order(n.Zone, r.LeaseID, rules, l.DisabledZoneGuards)
 	if rules.ColdStart && l.mayBeFirstOfMany(s, n) {
-		uptimeMS, nodesInZone := n.UptimeMS(s.Fleet.ClockMS), l.coldStart.census.byZone[n.Zone]
-		slowStart = s.Zones.LimitNewNode(&order, n.Zone, uptimeMS, s.Fleet.ClockMS, nodesInZone, rules,
-			l.DisabledZoneGuards)
+		node := zones.NewNode{Zone: n.Zone, UptimeMS: n.UptimeMS(s.Fleet.ClockMS), ClockMS: s.Fleet.ClockMS,
+			NodesIn: l.coldStart.census.byZone[n.Zone]}
+		slowStart = s.Zones.LimitNewNode(&order, node, rules, l.DisabledZoneGuards)
 	}
 	if !slowStart {
 		l.coldStart.release(r.LeaseID)
--- a/internal/control/recovery/comeback_test.go
+++ b/internal/control/recovery/comeback_test.go
@@ -13,8 +13,8 @@
 	}
 }
 
-// TestComeBack: times to come back are spread, over one to two seconds or over when the share will have grown, and never
-// past what the settings allow.
+// TestComeBack: times to come back are spread, over one to two seconds or over when the share will have grown, and
+// never past what the settings allow.
 func TestComeBack(t *testing.T) {
 	for _, c := range []struct{ most, after, least, high int64 }{{0, 0, 0, 0}, {30_000, 0, 1000, 2000},
 		{30_000, 10_000, 10_000, 15_000}, {5000, 10_000, 3750, 5000}, {1000, 0, 500, 1000}} {
--- a/internal/control/recovery/pin_plan_test.go
+++ b/internal/control/recovery/pin_plan_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestPinnedForms: what a node tells, what a plan shows and how a group is named, with every field set, is written to the bytes
-// of version 2a0a97e and read back to the same value.
+// TestPinnedForms: what a node tells, what a plan shows and how a group is named, with every field set, is written to
+// the bytes of version 2a0a97e and read back to the same value.
 func TestPinnedForms(t *testing.T) {
 	whose := GroupIdentity{Group: "g3", Generation: 3, Predecessors: []string{"g1", "g2"}}
 	for name, value := range map[string]any{
--- /dev/null
+++ b/internal/control/zones/decide.go
@@ -0,0 +1,83 @@
+package zones
+
+import (
+	"umberwinch/internal/control/api"
+	"umberwinch/internal/control/membership"
+)
+
+// decider is what the rules go by at one evaluation: plain inputs, and the evidence as of now.
+type decider struct {
+	monitor *Monitor
+	now     uint64 // ms of the leader's clock
+	state   *State
+	fleet   *membership.State
+	rules   *api.ZoneRules
+	without Guard
+}
+
+// Decide gives the operation that the leader should add to the log, nil if there is none. now is in ms of the
+// leader's monotonic clock. One operation at a time: the next is decided once this one was applied.
+//
+// The rules, in order: settle an epoch; the ramp of the whole fleet (continueRamp); for each zone by name: evacuate
+// one in service (evacuate), begin the ramp of an evacuated one (beginRamp), go on with a ramp (continueRamp); keep
+// observed capacities.
+func (m *Monitor) Decide(now uint64, state *State, fleet *membership.State, rules *api.ZoneRules, without Guard) *Op {
+	if !rules.Enabled() {
+		return nil
+	}
+	if m.since == 0 || now-m.evaluatedAt >= evaluateEveryMS {
+		m.evaluate(now, state, fleet, without)
+	}
+	d := &decider{monitor: m, now: now, state: state, fleet: fleet, rules: rules, without: without}
+	if !state.settled() && (len(fleet.NodesOnOlderZoneEpoch(state.Epoch)) == 0 || without.Has(OneEpoch)) {
+		return &Op{Kind: OpSettle, Epoch: state.Epoch}
+	}
+	if whole := state.Find(WholeFleet); whole != nil && whole.Phase == Ramping {
+		if op := d.decideFor(whole, m.fleet); op != nil {
+			return op
+		}
+	}
+	for _, view := range m.views {
+		if op := d.decideFor(state.Find(view.Zone), view); op != nil {
+			return op
+		}
+	}
+	return m.capacitiesToStore(now)
+}
+
+// decideFor gives the next operation about a zone; zone is nil if nothing was ever decided about it.
+func (d *decider) decideFor(zone *Zone, view *View) *Op {
+	if zone != nil && d.fleet.ClockMS < zone.HeldUntil {
+		return nil
+	}
+	op := d.nextOp(zone, view)
+	if op != nil {
+		op.Zone, op.Epoch = view.Zone, d.state.Epoch
+	}
+	return op
+}
+
+func (d *decider) nextOp(zone *Zone, view *View) *Op {
+	automatic := d.rules.Mode == api.ZoneModeAuto
+	phase, _ := d.state.PhaseOf(view.Zone)
+	switch phase {
+	case InService:
+		if automatic {
+			return d.evacuate(view)
+		}
+	case Evacuated:
+		// evacuated in part, and now it is dead
+		if zone.Share > 0 && view.FailureScore >= evacuateScore && view.silent() {
+			return d.evacuate(view)
+		}
+		if automatic && zone.Operator == "" || d.drillEnds(zone) {
+			return d.beginRamp(zone, view)
+		}
+	case Ramping:
+		return d.continueRamp(zone, view)
+	}
+	return nil
+}
+
+// maySettle tells whether load may be raised: nobody acts on an older epoch.
+func (d *decider) mayRaise() bool { return d.state.settled() || d.without.Has(OneEpoch) }
--- /dev/null
+++ b/internal/control/zones/drill.go
@@ -0,0 +1,24 @@
+package zones
+
+import "fmt"
+
+// drillEnds decides whether a drill is over: its time is, or a zone in service turns unhealthy or loses more value
+// than a drill may cost. A drill that goes on then would be an outage.
+func (d *decider) drillEnds(zone *Zone) bool {
+	if zone.DrillUntil == 0 {
+		return false
+	}
+	if zone.DrillUntil <= d.fleet.ClockMS {
+		return true
+	}
+	for _, other := range d.monitor.views {
+		loses := other.OfferedWeight > 0 && other.CompletedWeight < (1-2*minGain)*other.OfferedWeight
+		if d.state.inService(other.Zone) && other.hasQuorum() && (other.unhealthy() >= unhealthyShare || loses) {
+			other.Note = fmt.Sprintf("harmed by the drill of %s: %.0f of %.0f of value a second", zone.Name,
+				other.CompletedWeight,
+				other.OfferedWeight)
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/control/zones/errors.go
@@ -0,0 +1,32 @@
+package zones
+
+import (
+	"errors"
+	"fmt"
+)
+
+// Why an operation is rejected. A rejected operation changes nothing; Result.Err has its text.
+var (
+	ErrUnknownZone = errors.New("no node is of the zone")
+	ErrUnknownOp   = errors.New("unknown operation")
+	ErrStaleEpoch  = errors.New("decided in another epoch")
+	ErrUnsettled   = errors.New("some node may act on an older epoch")
+	ErrWrongPhase  = errors.New("not possible in the zone's phase")
+	ErrLastZone    = errors.New("no other zone is in service")
+)
+
+// RejectedError says why an operation was rejected, and what was found and expected.
+type RejectedError struct {
+	Reason error // one of the errors above
+	Text   string
+}
+
+// Error gives the text that operators are shown.
+func (e *RejectedError) Error() string { return e.Text }
+
+// Unwrap gives the reason.
+func (e *RejectedError) Unwrap() error { return e.Reason }
+
+func rejected(reason error, format string, args ...any) error {
+	return &RejectedError{Reason: reason, Text: fmt.Sprintf(format, args...)}
+}
--- /dev/null
+++ b/internal/control/zones/evacuate.go
@@ -0,0 +1,188 @@
+package zones
+
+import (
+	"fmt"
+	"math"
+
+	"umberwinch/internal/control/api"
+)
+
+const (
+	// fillLimit: other zones are not filled past this part of what they could do; what is left is for load that comes
+	// unevenly. Higher, an evacuation could overload the zones that are left; lower, it could not be done at half
+	// load.
+	fillLimit = 0.85
+	// minGain: an evacuation has to win a tenth of the value that the zone is asked for. Less is within what reports
+	// can tell, and each evacuation costs callers a retry.
+	minGain = 0.1
+	// minPartShare, of api.FullShare: less than an eighth of a zone is not worth an epoch that every node has to
+	// promise.
+	minPartShare = api.FullShare / 8
+	// maxDoublings of a wait: beyond it MaxWaitMS is the limit in any case, and the shift must not overflow.
+	maxDoublings = 20
+	// minRate stands for no rate where one is divided by.
+	minRate = 1e-9
+)
+
+// evacuate decides whether a zone should be evacuated, and how much of it.
+//
+// Inputs: the zone's view (rates a second, value in priority weight a second), its failure score, and the views of
+// the zones in service. A zone that serves nobody is evacuated so that its return is paced. Another is evacuated if
+// that completes more value in time than staying does, as far as the others have capacity. It may harm the callers of
+// the other zones, whose load grows, and those of what stays in a zone that is evacuated in part.
+//
+// One zone is always in service, and while the fleet ramps after a cold start a zone that is merely slow is not warm
+// yet.
+func (d *decider) evacuate(view *View) *Op {
+	if view.FailureScore < evacuateScore || !d.state.anotherInService(view.Zone, d.fleet) {
+		return nil
+	}
+	if phase, _ := d.state.PhaseOf(WholeFleet); phase == Ramping && view.Symptom.isSlowness() {
+		view.Note = fmt.Sprintf("the fleet comes back, and this zone is not warm yet (%s)", view.Symptom)
+		return nil
+	}
+	return d.evacuateFailing(view)
+}
+
+func (d *decider) evacuateFailing(view *View) *Op {
+	op := &Op{Kind: OpEvacuate, Cause: view.Cause, WaitMS: rampDelayMS(d.rules, d.flapsAtNextFailure(view))}
+	if view.observed.RunRate > 0 { // the ramp goes by it
+		op.Capacities = map[string]ObservedCapacity{view.Zone: view.observed}
+	}
+	if view.silent() { // it serves nobody: this takes nothing from anybody
+		op.Reason = view.Note
+		return d.withRetryBudget(op, view, Evacuated, false)
+	}
+	others, ok := d.spareCapacity(view)
+	if !ok || view.unhealthy() < unhealthyShare { // it is healthy again, and the score has not fallen yet
+		return nil
+	}
+	if !d.weigh(op, view, others) {
+		return nil
+	}
+	op.Reason = fmt.Sprintf("%d of %d nodes heard are sick (%s); %.0f runs a second here, room for %.0f elsewhere",
+		view.NodesUnhealthy, view.NodesReporting, view.Cause, view.RunRate, others.runs)
+	return d.withRetryBudget(op, view, Evacuated, op.Share > 0)
+}
+
+// weigh decides between staying, a whole evacuation and one in part, and sets the operation's values, share and
+// cutoff. It tells whether the zone is evacuated.
+//
+// What the zone does not do is asked for elsewhere already, as callers retry. So what the others would take besides
+// is what runs here. The requests of most value move; those of least value stay and take their chances.
+func (d *decider) weigh(op *Op, view *View, others spare) bool {
+	runs := max(view.RunRate, minRate)
+	admitted := max(view.AdmittedRate, minRate)
+	moved := min(runs, others.runs)
+	if d.without.Has(SpareCapacity) {
+		moved = runs
+	}
+	part := moved / runs
+	asked := view.OfferedWeight * min(1, runs/admitted) // the value of as many first attempts as run
+	whole := asked * others.completed * valueOfPart(view.mix, part)
+	op.ValueOfStaying = view.CompletedWeight
+	op.ValueOfEvacuating = whole + view.CompletedWeight*(1-part)
+	switch {
+	case view.CompletedWeight <= minGain*view.OfferedWeight && whole >= view.CompletedWeight:
+		op.ValueOfEvacuating = whole // it does hardly anything: to evacuate it wholly takes nothing from anybody
+	case op.ValueOfEvacuating-op.ValueOfStaying < minGain*view.OfferedWeight:
+		view.Note = fmt.Sprintf("sick (%s), but leaving would do %.0f of value a second, staying %.0f", view.Symptom,
+			op.ValueOfEvacuating, op.ValueOfStaying)
+		return false
+	case part < 1 && int(part*api.FullShare) < minPartShare:
+		view.Note = fmt.Sprintf("sick (%s), and the others have room for %.0f runs a second of %.0f", view.Symptom,
+			others.runs, runs)
+		return false
+	case part < 1:
+		op.Share, op.PriorityCutoff = whatStays(view.mix, min(1, (runs-moved)/admitted))
+	}
+	return true
+}
+
+// spare is what the other zones could do besides what they do.
+type spare struct {
+	runs      float64 // runs a second
+	completed float64 // part of the value that they are asked for which they complete in time, 0 to 1
+}
+
+// spareCapacity decides how much load the zones in service could take, beside what they do, without that of one. ok
+// is false where none of them is healthy and heard. A limit that is too high overloads them, one that is too low
+// leaves callers with a zone that fails.
+func (d *decider) spareCapacity(without *View) (others spare, ok bool) {
+	completed, offered := 0.0, 0.0
+	for _, other := range d.monitor.views {
+		usable := d.state.inService(other.Zone) && !other.silent() && other.hasQuorum()
+		healthy := other.unhealthy() <= healthyShare || d.without.Has(CommonCause)
+		if other == without || !usable || !healthy {
+			continue
+		}
+		ok = true
+		others.runs += max(0, fillLimit*other.RunCapacity-other.RunRate)
+		completed += other.CompletedWeight
+		offered += other.OfferedWeight
+	}
+	others.completed = 1
+	if offered > 0 {
+		others.completed = min(1, completed/offered)
+	}
+	return others, ok
+}
+
+// valueOfPart gives the part of all value that the requests of most value have, if they are a part of all requests.
+// mix is by weight, the least first.
+func valueOfPart(mix []api.PriorityCount, part float64) float64 {
+	arrived, value, whole := 0, 0.0, 0.0
+	for _, count := range mix {
+		arrived += count.Arrived
+		whole += count.Weight * float64(count.Arrived)
+	}
+	if arrived == 0 || whole == 0 {
+		return part
+	}
+	left := part * float64(arrived)
+	for i := len(mix) - 1; i >= 0 && left > 0; i-- {
+		n := min(left, float64(mix[i].Arrived))
+		value += n * mix[i].Weight
+		left -= n
+	}
+	return value / whole
+}
+
+// whatStays gives what stays in a zone where a part of its requests does: all of less weight than the cutoff, and a
+// share of those at it.
+func whatStays(mix []api.PriorityCount, part float64) (share int, cutoff float64) {
+	arrived := 0
+	for _, count := range mix {
+		arrived += count.Arrived
+	}
+	left := part * float64(arrived)
+	for _, count := range mix {
+		n := float64(count.Arrived)
+		if left < n {
+			return max(1, int(api.FullShare*left/n)), count.Weight
+		}
+		left -= n
+	}
+	return api.FullShare, math.MaxFloat64
+}
+
+// flapsAtNextFailure gives the flap count that a zone has if it is evacuated now.
+func (d *decider) flapsAtNextFailure(view *View) int {
+	zone := d.state.Find(view.Zone)
+	if zone == nil || zone.Phase == InService && d.fleet.ClockMS-zone.InServiceSince > flapWindowMS {
+		return 0
+	}
+	return zone.FlapCount + 1
+}
+
+// rampDelayMS decides how long a zone stays evacuated at least, in ms: twice as long with each time that it failed
+// again soon, up to the policy's limit. A zone that fails at each return must not take its callers along each time.
+func rampDelayMS(rules *api.ZoneRules, flaps int) uint64 {
+	return min(rules.MinStepMS<<min(flaps, maxDoublings), rules.MaxWaitMS)
+}
+
+// withRetryBudget sets what the zones in service may admit of retries once the operation is applied.
+func (d *decider) withRetryBudget(op *Op, view *View, next Phase, listed bool) *Op {
+	op.RetryBudget, op.NoCapacityElsewhere = d.monitor.retryBudget(d.state, view, next, listed)
+	return op
+}
--- /dev/null
+++ b/internal/control/zones/op.go
@@ -0,0 +1,104 @@
+package zones
+
+import (
+	"fmt"
+
+	"umberwinch/internal/control/api"
+)
+
+// OpKind says what an operation does. The values are stored and sent: their spelling stays.
+type OpKind string
+
+// Kinds of operations. Operators may ask for OpEvacuate, OpRamp, OpStepBack and OpHold; the others are the rules' own.
+const (
+	OpEvacuate OpKind = "leave"  // evacuate a zone, wholly or but for a share
+	OpSettle   OpKind = "settle" // no lease acts on an older epoch any more
+	OpRamp     OpKind = "step"   // begin a ramp, or raise its share or rate limit
+	OpSplit    OpKind = "split"  // divide a rate limit among the leases anew
+	OpReturn   OpKind = "in"     // end a ramp: the zone is in service
+	OpStepBack OpKind = "back"   // lower a ramp's share; to 0: evacuate
+	OpObserve  OpKind = "bore"   // keep observed capacities
+	OpHold     OpKind = "hold"   // let the rules decide nothing for a time
+)
+
+// Bounds of what an operator sends. They keep an entry of the log small.
+const (
+	maxOperatorBytes = 200
+	maxReasonBytes   = 2000
+	minKeyBytes      = 8 // fewer could be the same by chance for two operations
+	maxKeyBytes      = 80
+	maxOperatorMS    = 24 * 3600_000 // a day: a zone that is held or drilled for longer was forgotten
+)
+
+// Op is one operation, as it stands in the log.
+type Op struct {
+	Kind                OpKind  `json:"op"`
+	Zone                string  `json:"zone,omitempty"`
+	Epoch               uint64  `json:"epoch"` // that it was decided in
+	Share               int     `json:"share,omitempty"`
+	PriorityCutoff      float64 `json:"worth,omitempty"`
+	RateLimit           float64 `json:"ceiling,omitempty"` // runs a second
+	ConnectRateLimit    float64 `json:"dials,omitempty"`   // connections a second
+	RetryBudget         int     `json:"retry,omitempty"`
+	NoCapacityElsewhere bool    `json:"full,omitempty"`
+	Cause               string  `json:"cause,omitempty"`
+	Reason              string  `json:"why,omitempty"`
+	Operator            string  `json:"by,omitempty"`
+	ValueOfStaying      float64 `json:"stay,omitempty"` // priority weight completed a second
+	ValueOfEvacuating   float64 `json:"go,omitempty"`
+	// WaitMS is the least time until the zone ramps (evacuate, step back), or for which it is held.
+	WaitMS         uint64                      `json:"wait_ms,omitempty"`
+	DrillMS        uint64                      `json:"drill_ms,omitempty"`
+	Capacities     map[string]ObservedCapacity `json:"bores,omitempty"`
+	IdempotencyKey string                      `json:"key,omitempty"` // of an operator's request
+}
+
+// Result is what came of an operation.
+type Result struct {
+	Kind           OpKind `json:"Kind"`
+	Zone           string `json:"Zone"`
+	IdempotencyKey string `json:"Key"`
+	Epoch          uint64 `json:"Epoch"`
+	Phase          Phase  `json:"Step"`
+	Share          int    `json:"Share"`
+	Err            string `json:"Err"` // why it was rejected; empty: it was applied
+}
+
+// Validate says what is wrong with an operator's operation before it is proposed: an *api.FieldError, or an error
+// that names two fields.
+func (op *Op) Validate() error {
+	switch op.Kind {
+	case OpEvacuate, OpStepBack, OpRamp, OpHold:
+	default:
+		return &api.FieldError{Field: "op", Found: fmt.Sprintf("%.20q", op.Kind), Expected: "leave, step, back or hold"}
+	}
+	switch {
+	case op.Operator == "" || len(op.Operator) > maxOperatorBytes:
+		return bytesError("by", op.Operator, fmt.Sprintf("1 to %d", maxOperatorBytes))
+	case len(op.Reason) > maxReasonBytes:
+		return bytesError("why", op.Reason, fmt.Sprintf("at most %d", maxReasonBytes))
+	case op.Share < 0 || op.Share > api.FullShare:
+		return &api.FieldError{Field: "share", Found: fmt.Sprint(op.Share), Expected: fmt.Sprintf("0 to %d",
+			api.FullShare)}
+	case len(op.IdempotencyKey) < minKeyBytes || len(op.IdempotencyKey) > maxKeyBytes:
+		return bytesError("key", op.IdempotencyKey, fmt.Sprintf("%d to %d", minKeyBytes, maxKeyBytes))
+	case op.WaitMS > maxOperatorMS || op.DrillMS > maxOperatorMS:
+		return fmt.Errorf("wait_ms %d, drill_ms %d: expected a day at most", op.WaitMS, op.DrillMS)
+	}
+	return nil
+}
+
+func bytesError(field, text, expected string) error {
+	return &api.FieldError{Field: field, Found: fmt.Sprintf("%d bytes", len(text)), Expected: expected}
+}
+
+// evacuates tells whether the operation leaves nothing to the zone. The fleet as a whole has nowhere else to send its
+// load.
+func (op *Op) evacuates() bool {
+	return op.Kind == OpEvacuate || op.Kind == OpStepBack && op.Share == 0
+}
+
+// raisesLoad tells whether the operation may give a node more than it has.
+func (op *Op) raisesLoad() bool {
+	return op.Kind == OpRamp || op.Kind == OpReturn || op.Kind == OpSplit
+}
--- a/internal/control/zones/pin_state_test.go
+++ b/internal/control/zones/pin_state_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -47,8 +48,8 @@
 	}
 }
 
-// TestPinnedForms: what version 2a0a97e stored and sent of zones, with every field set, is written to the same bytes and
-// read back to the same value.
+// TestPinnedForms: what version 2a0a97e stored and sent of zones, with every field set, is written to the same bytes
+// and read back to the same value.
 func TestPinnedForms(t *testing.T) {
 	for name, value := range map[string]any{
 		"state": &State{}, "op": &Op{}, "view": &View{}, "result": &Result{},
@@ -78,8 +79,8 @@
 	}
 }
 
-// TestPinnedSnapshot: a snapshot that version 2a0a97e stored is loaded to the state it was saved from, and saved to the same
-// bytes; a torn one gives the error it gave.
+// TestPinnedSnapshot: a snapshot that version 2a0a97e stored is loaded to the state it was saved from, and saved to
+// the same bytes; a torn one gives the error it gave.
 func TestPinnedSnapshot(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "pin_state.json"))
 	if err != nil {
@@ -108,7 +109,8 @@
 
 // TestPinnedNames: what is stored, sent and typed as a word keeps its spelling.
 func TestPinnedNames(t *testing.T) {
-	got := strings.Join([]string{InService, Evacuating, Evacuated, Ramping, WholeFleet, strings.Join(guardNames, ",")}, " ")
+	got := fmt.Sprint(InService, " ", Evacuating, " ", Evacuated, " ", Ramping, " ", WholeFleet, " ",
+		strings.Join(guardNames, ","))
 	if want := "in leaving out returning * common-cause,room,one-epoch,paced,step-back,retry-budget,lease-tokens,small-start," +
 		"spread"; got != want {
 		t.Errorf("found %s, expected %s", got, want)
--- a/internal/control/zones/pin_stream_test.go
+++ b/internal/control/zones/pin_stream_test.go
@@ -18,7 +18,8 @@
 	"umberwinch/internal/control/membership"
 )
 
-// stream is a recorded run of a fleet of four zones with faults: reports go in, and all that is decided goes into a hash.
+// stream is a recorded run of a fleet of four zones with faults: reports go in, and all that is decided goes into a
+// hash.
 type stream struct {
 	rng     *rand.Rand
 	fleet   *membership.State
@@ -93,15 +94,20 @@
 	again := s.rng.IntN(n/4 + 1)
 	turned := n * (api.FullShare - share) / api.FullShare
 	runs := n - turned
-	l := &api.LoadReport{WindowMS: 1800 + s.rng.IntN(200), Arrived: n, Retries: again, RejectedByZone: turned, Completed: runs, RunsEnded: runs,
-		MeanRunMS: 18 + 4*s.rng.Float64(), Calls: 2 * runs, MeanCallMS: 9 + 2*s.rng.Float64(), KernelConnected: true, Cores: 4,
-		CoresUsed: min(4, 4*float64(runs)/(1.3*float64(came))), OfferedWeight: float64(5 * n), CompletedWeight: float64(5 * runs), ConnectionsOpened: runs / 3,
-		RunsInFlight: s.rng.IntN(4), ArrivedByWeight: []api.PriorityCount{{Weight: 1, Arrived: n / 2}, {Weight: 5, Arrived: n / 4}, {Weight: 20, Arrived: n / 4}}}
+	l := &api.LoadReport{WindowMS: 1800 + s.rng.IntN(200), Arrived: n, Retries: again, RejectedByZone: turned,
+		Completed: runs, RunsEnded: runs,
+		MeanRunMS: 18 + 4*s.rng.Float64(), Calls: 2 * runs, MeanCallMS: 9 + 2*s.rng.Float64(), KernelConnected: true,
+		Cores:     4,
+		CoresUsed: min(4, 4*float64(runs)/(1.3*float64(came))), OfferedWeight: float64(5 * n),
+		CompletedWeight: float64(5 * runs), ConnectionsOpened: runs / 3,
+		RunsInFlight: s.rng.IntN(4), ArrivedByWeight: []api.PriorityCount{{Weight: 1, Arrived: n / 2}, {Weight: 5,
+			Arrived: n / 4}, {Weight: 20, Arrived: n / 4}}}
 	switch s.fault(zone) {
 	case "kernel":
 		l.KernelConnected, l.Completed, l.Failed, l.CompletedWeight = false, 0, runs, 0
 	case "crawl":
-		l.MeanCallMS, l.MeanRunMS, l.Completed, l.Late, l.CompletedWeight = 20+70*s.rng.Float64(), 40+160*s.rng.Float64(), runs/8, runs-runs/8, float64(runs/8)
+		l.MeanCallMS, l.MeanRunMS, l.Completed, l.Late, l.CompletedWeight = 20+70*s.rng.Float64(),
+			40+160*s.rng.Float64(), runs/8, runs-runs/8, float64(runs/8)
 		l.RunsEnded /= 4
 	case "slow":
 		l.MeanCallMS, l.MeanRunMS, l.Completed, l.Late, l.CompletedWeight = 60, 130, runs/2, runs-runs/2, float64(runs)
@@ -131,10 +137,14 @@
 func (s *stream) operator() {
 	key := fmt.Sprintf("key-of-%d", s.now)
 	at := map[uint64]*Op{
-		150_000: {Kind: "hold", Zone: "b", WaitMS: 5000}, 270_000: {Kind: "leave", Zone: "d", DrillMS: 8000, Reason: "a drill"},
-		300_000: {Kind: "leave", Zone: "c", Share: 64, PriorityCutoff: 5}, 306_000: {Kind: "step", Zone: "c", Share: 32},
-		308_000: {Kind: "back", Zone: "c", Share: 8}, 310_000: {Kind: "back", Zone: "c"}, 314_000: {Kind: "step", Zone: "c", Share: 128},
-		315_000: {Kind: "leave", Zone: "none"}, 316_000: {Kind: "back", Zone: "a", Share: 8}, 317_000: {Kind: "fly", Zone: "a"},
+		150_000: {Kind: "hold", Zone: "b", WaitMS: 5000}, 270_000: {Kind: "leave", Zone: "d", DrillMS: 8000,
+			Reason: "a drill"},
+		300_000: {Kind: "leave", Zone: "c", Share: 64, PriorityCutoff: 5}, 306_000: {Kind: "step", Zone: "c",
+			Share: 32},
+		308_000: {Kind: "back", Zone: "c", Share: 8}, 310_000: {Kind: "back", Zone: "c"}, 314_000: {Kind: "step",
+			Zone: "c", Share: 128},
+		315_000: {Kind: "leave", Zone: "none"}, 316_000: {Kind: "back", Zone: "a", Share: 8}, 317_000: {Kind: "fly",
+			Zone: "a"},
 		318_000: {Kind: "leave", Zone: WholeFleet}, 344_000: {Kind: "step", Zone: WholeFleet, Share: 128},
 	}[s.now%400_000]
 	if at != nil {
@@ -148,7 +158,7 @@
 	raw, _ := json.Marshal(op)
 	r := s.state.Apply(op, s.fleet, s.without)
 	s.say("%s: %s %s %s %d %s %d %s", raw, r.Kind, r.Zone, r.IdempotencyKey, r.Epoch, r.Phase, r.Share, r.Err)
-	s.kinds[op.Kind]++
+	s.kinds[string(op.Kind)]++
 	if r.Err != "" {
 		s.kinds["refused"]++
 	}
@@ -215,7 +225,9 @@
 	s.say("%s\n%s\n%s", saved, views, all)
 	for _, n := range s.fleet.Nodes() {
 		order := s.state.Order(n.Zone, n.Lease.ID, &s.rules, s.without)
-		began := s.state.LimitNewNode(&order, n.Zone, n.UptimeMS(s.fleet.ClockMS), s.fleet.ClockMS, 5, &s.rules, s.without)
+		began := s.state.LimitNewNode(&order,
+			NewNode{Zone: n.Zone, UptimeMS: n.UptimeMS(s.fleet.ClockMS), ClockMS: s.fleet.ClockMS, NodesIn: 5},
+			&s.rules, s.without)
 		raw, _ := json.Marshal(order)
 		s.say("%s %s %v", n.Name, raw, began)
 	}
@@ -240,14 +252,16 @@
 }
 
 func newStream(seed uint64, without Guard) *stream {
-	return &stream{rng: rand.New(rand.NewPCG(seed, 1)), fleet: membership.New(), state: &State{}, watch: NewMonitor(), without: without,
-		sum: sha256.New(), kinds: map[string]int{}, rules: api.ZoneRules{Mode: api.ZoneModeAuto, InitialShare: 16, MinStepMS: 2000,
+	return &stream{rng: rand.New(rand.NewPCG(seed, 1)), fleet: membership.New(), state: &State{},
+		watch: NewMonitor(), without: without,
+		sum: sha256.New(), kinds: map[string]int{}, rules: api.ZoneRules{Mode: api.ZoneModeAuto, InitialShare: 16,
+			MinStepMS:  2000,
 			OrderTTLMS: 60_000, MaxWaitMS: 20_000, ColdStart: true}}
 }
 
-// TestPinnedStream: a recorded run with faults (kernels gone, services that crawl, fail or stand, silence, a common cause, a
-// restart, another leader, lost state, nodes that lie, an operator's commands) gives the decisions of version 2a0a97e, byte for
-// byte, also with each guard taken out.
+// TestPinnedStream: a recorded run with faults (kernels gone, services that crawl, fail or stand, silence, a common
+// cause, a restart, another leader, lost state, nodes that lie, an operator's commands) gives the decisions of
+// version 2a0a97e, byte for byte, also with each guard taken out.
 func TestPinnedStream(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "pin_stream.txt"))
 	if err != nil {
@@ -262,7 +276,7 @@
 		for seed := uint64(1); seed == 1 || guard < 0 && seed <= 3; seed++ {
 			s := newStream(seed, without)
 			fmt.Fprintf(&got, "%s, seed %d: %s", name, seed, s.run(420))
-			for _, kind := range names(s.kinds) {
+			for _, kind := range sortedKeys(s.kinds) {
 				fmt.Fprintf(&got, " %s=%d", kind, s.kinds[kind])
 			}
 			got.WriteString("\n")
--- /dev/null
+++ b/internal/control/zones/ramp_begin.go
@@ -0,0 +1,77 @@
+package zones
+
+import (
+	"fmt"
+
+	"umberwinch/internal/control/api"
+)
+
+// partialRampShare, of api.FullShare: a zone that was evacuated in part goes on from at most half, as what it still
+// takes was its least valued load.
+const partialRampShare = api.FullShare / 2
+
+// beginRamp decides whether load returns to an evacuated zone, with the smallest share.
+//
+// Inputs: the zone's state, its view, the policy's initial share. The zone has to be ready (readyToRamp), its wait
+// has to be over, and no lease may act on an older epoch. It may harm the callers whose requests are in the share,
+// should the zone fail again.
+func (d *decider) beginRamp(zone *Zone, view *View) *Op {
+	if obstacle := readyToRamp(zone, view); obstacle != "" {
+		view.Note = "out: " + obstacle
+		return nil
+	}
+	if d.fleet.ClockMS < zone.RampNotBefore {
+		view.Note = fmt.Sprintf("out, well, and waits for %d ms more", zone.RampNotBefore-d.fleet.ClockMS)
+		return nil
+	}
+	if !d.mayRaise() {
+		return nil
+	}
+	op := &Op{Kind: OpRamp, Share: max(1, d.rules.InitialShare), Reason: "its nodes and kernels are there"}
+	if zone.Share > 0 && view.FirstAttemptRate > 0 && !goOnFromPart(zone, view, op) {
+		return nil
+	}
+	return d.rampStep(zone, view, op)
+}
+
+// readyToRamp decides whether an evacuated zone could take load again, and gives what it lacks, empty if nothing.
+// Half of the nodes that it had have to be heard, and their kernels there; of a zone evacuated in part what it takes
+// must not show failures.
+func readyToRamp(zone *Zone, view *View) (obstacle string) {
+	present := view.NodesIn - min(view.NodesIn, view.NodesSilent)
+	switch {
+	case view.silent() || view.NodesIn == 0:
+		return "nobody of it is heard"
+	case 2*present < zone.NodesBefore:
+		return fmt.Sprintf("%d of the %d nodes it had are there", present, zone.NodesBefore)
+	case !view.hasQuorum():
+		return view.Note
+	case !view.KernelsUp:
+		return "most of its nodes have no kernel"
+	case zone.Share > 0 && view.unhealthy() > healthyShare:
+		return fmt.Sprintf("%d of %d nodes heard are sick (%s)", view.NodesUnhealthy, view.NodesReporting, view.Symptom)
+	}
+	return ""
+}
+
+// goOnFromPart has a zone that was evacuated in part go on from what it takes, and tells whether it may.
+func goOnFromPart(zone *Zone, view *View, op *Op) bool {
+	observed := zone.Capacity.Concurrency
+	view.loads[0] = view.Concurrency / max(observed, minRate)
+	if view.highestLoad() > targetLoad && !isWarm(view, &zone.Capacity) {
+		view.Note = fmt.Sprintf("left in part, and held there: %.0f runs under way of %.0f it bore",
+			view.Concurrency, observed)
+		return false
+	}
+	op.Share = max(op.Share, int(partialRampShare*min(1, view.AdmittedRate/view.FirstAttemptRate)))
+	return true
+}
+
+// rampStep completes a step of a ramp by the rate limits of its share.
+func (d *decider) rampStep(zone *Zone, view *View, op *Op) *Op {
+	if d.without.Has(PacedRamp) {
+		op.Share = api.FullShare
+	}
+	op.RateLimit, op.ConnectRateLimit = zone.rateLimits(op.Share, view.NodesIn)
+	return d.withRetryBudget(op, view, Ramping, true)
+}
--- /dev/null
+++ b/internal/control/zones/snapshot.go
@@ -0,0 +1,35 @@
+package zones
+
+import (
+	"encoding/json"
+	"fmt"
+	"sort"
+)
+
+// Snapshot gives the state in the form that Restore reads.
+func (s *State) Snapshot() ([]byte, error) { return json.Marshal(s) }
+
+// Restore reads what Snapshot gave; nothing stands for a group that has decided nothing about zones. It fails on what
+// is not JSON of a state, or has more than MaxZones zones.
+func Restore(raw []byte) (*State, error) {
+	state := &State{}
+	if len(raw) == 0 {
+		return state, nil
+	}
+	if err := json.Unmarshal(raw, state); err != nil {
+		return nil, fmt.Errorf("saved zones: %w", err)
+	}
+	if len(state.Zones) > MaxZones {
+		return nil, fmt.Errorf("%d saved zones, expected at most %d", len(state.Zones), MaxZones)
+	}
+	return state, nil
+}
+
+func sortedKeys[T any](m map[string]T) []string {
+	keys := make([]string, 0, len(m))
+	for key := range m {
+		keys = append(keys, key)
+	}
+	sort.Strings(keys)
+	return keys
+}
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -402,7 +402,7 @@
 		b.whole(since)
 	}},
 	{name: "in the middle of a change of policy and of a zone's return", long: true, may: []string{"z1"}, run: func(b *zoneBench) {
-		must(b.op(zones.Op{Kind: "leave", Zone: "z1", DrillMS: 1000}))
+		must(b.op(zones.Op{Kind: zones.OpEvacuate, Zone: "z1", DrillMS: 1000}))
 		got(b.stands("z1", 20*time.Second, zones.Ramping))
 		c := b.proposes("", policy.Proposal{})
 		since := b.allDown(b.nodes...)
--- a/internal/lab/vlost.go
+++ b/internal/lab/vlost.go
@@ -331,7 +331,7 @@
 		return
 	}
 	zone := fmt.Sprint("z", w.r.Intn(w.Zones))
-	op := zones.Op{Kind: "leave", Zone: zone, Operator: "lab", Reason: "a drill", IdempotencyKey: fmt.Sprintf("drill-%08.0f", w.now)}
+	op := zones.Op{Kind: zones.OpEvacuate, Zone: zone, Operator: "lab", Reason: "a drill", IdempotencyKey: fmt.Sprintf("drill-%08.0f", w.now)}
 	if step, _ := w.part.Zones.PhaseOf(zone); step != zones.InService {
 		op.Kind, op.Share = "step", 1+w.r.Intn(api.FullShare)
 	}
--- a/internal/lab/zones_bench.go
+++ b/internal/lab/zones_bench.go
@@ -65,7 +65,7 @@
 }
 
 // stands waits until a zone is at one of some steps.
-func (b *zoneBench) stands(name string, within time.Duration, steps ...string) (v *consensus.ZoneView, err error) {
+func (b *zoneBench) stands(name string, within time.Duration, steps ...zones.Phase) (v *consensus.ZoneView, err error) {
 	err = b.await(within, func() error {
 		if v, err = b.zone(name); err != nil {
 			return err
@@ -141,7 +141,7 @@
 var allZones = []string{"z1", "z2", "z3"}
 
 // left waits until a zone is left, or at one of some other steps; returns until it comes back.
-func (b *zoneBench) left(name string, steps ...string) *consensus.ZoneView {
+func (b *zoneBench) left(name string, steps ...zones.Phase) *consensus.ZoneView {
 	return got(b.stands(name, 25*time.Second, append(steps, zones.Evacuating, zones.Evacuated)...))
 }
 
--- a/internal/lab/zones_cases.go
+++ b/internal/lab/zones_cases.go
@@ -91,7 +91,7 @@
 		if v, err := b.zone("z3"); err == nil && v.Phase != zones.InService {
 			must(fmt.Errorf("the last zone is %s", v.Phase))
 		}
-		if b.op(zones.Op{Kind: "leave", Zone: "z3"}) == nil {
+		if b.op(zones.Op{Kind: zones.OpEvacuate, Zone: "z3"}) == nil {
 			must(errors.New("an operator could leave the last zone"))
 		}
 		for _, z := range []string{"z1", "z2"} {
@@ -127,7 +127,7 @@
 		must(b.back("z2"))
 	}},
 	{name: "its service below fails in the middle of the return", may: []string{"z3"}, run: func(b *zoneBench) {
-		must(b.op(zones.Op{Kind: "leave", Zone: "z3", DrillMS: 1500}))
+		must(b.op(zones.Op{Kind: zones.OpEvacuate, Zone: "z3", DrillMS: 1500}))
 		got(b.stands("z3", 20*time.Second, zones.Ramping))
 		b.below("z3", 1, 0.9, false)
 		must(b.await(12*time.Second, func() error {
@@ -146,7 +146,7 @@
 		must(b.back("z3"))
 	}},
 	{name: "a release on its way back", may: []string{"z1"}, run: func(b *zoneBench) {
-		must(b.op(zones.Op{Kind: "leave", Zone: "z1", DrillMS: 1000}))
+		must(b.op(zones.Op{Kind: zones.OpEvacuate, Zone: "z1", DrillMS: 1000}))
 		got(b.stands("z1", 20*time.Second, zones.Ramping))
 		for _, n := range b.zoned("z1") {
 			n.Kill()
@@ -185,7 +185,7 @@
 		must(b.back("z1"))
 	}},
 	{name: "a drill, and an operator's hold", may: []string{"z2"}, run: func(b *zoneBench) {
-		must(b.op(zones.Op{Kind: "leave", Zone: "z2", DrillMS: 2000, Reason: "a drill"}))
+		must(b.op(zones.Op{Kind: zones.OpEvacuate, Zone: "z2", DrillMS: 2000, Reason: "a drill"}))
 		got(b.stands("z2", 10*time.Second, zones.Evacuated))
 		for _, n := range b.zoned("z2") {
 			if code, _, _ := b.one(n.name); code != http.StatusServiceUnavailable {
@@ -193,7 +193,7 @@
 			}
 		}
 		must(b.back("z2"))
-		must(b.op(zones.Op{Kind: "hold", Zone: "z2", WaitMS: 4000}))
+		must(b.op(zones.Op{Kind: zones.OpHold, Zone: "z2", WaitMS: 4000}))
 		b.kernels("z2", true)
 		must(b.stays(3 * time.Second))
 		b.kernels("z2", false)
--- a/internal/node/zonegate/admit.go
+++ b/internal/node/zonegate/admit.go
@@ -16,8 +16,8 @@
 	SeenBefore bool // its first attempt came to this node
 }
 
-// RequestHash places a request among all for the share: by its idempotency key where it has one, else by its tenant and its
-// caller, so that a caller is admitted or rejected as a whole.
+// RequestHash places a request among all for the share: by its idempotency key where it has one, else by its tenant
+// and its caller, so that a caller is admitted or rejected as a whole.
 func RequestHash(key, tenant []byte, caller uint32) uint32 {
 	if key != nil {
 		return crc32.ChecksumIEEE(key)
@@ -25,8 +25,8 @@
 	return crc32.Update(crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(nil, caller)), crc32.IEEETable, tenant)
 }
 
-// place is where a request stands among all, from 0 to under api.FullShare. The upper half of the hash is used, as the lower one
-// chooses among nodes elsewhere.
+// place is where a request stands among all, from 0 to under api.FullShare. The upper half of the hash is used, as
+// the lower one chooses among nodes elsewhere.
 func (r *Request) place() int { return int(r.Hash >> 16 & (api.FullShare - 1)) }
 
 // Reason says which rule rejected a request.
@@ -49,11 +49,12 @@
 
 // Admit decides whether this node takes a request.
 //
-// Inputs: the request, the order in force, the time in ms. A request is rejected if the zone's share leaves it out, if the node's
-// quota of the zone's rate limit is used up, or if it is a retry beyond the budget of retries. The reason: a zone on its way back
-// must not be asked for more than its services below bear, and zones in service must not be flooded by the retries of one that
-// was evacuated. It acts only where the control service sent an order; it may harm callers whose place is beyond the share: they
-// are rejected again and again until the share has grown (see RetryAfter).
+// Inputs: the request, the order in force, the time in ms. A request is rejected if the zone's share leaves it out,
+// if the node's quota of the zone's rate limit is used up, or if it is a retry beyond the budget of retries. The
+// reason: a zone on its way back must not be asked for more than its services below bear, and zones in service must
+// not be flooded by the retries of one that was evacuated. It acts only where the control service sent an order; it
+// may harm callers whose place is beyond the share: they are rejected again and again until the share has grown (see
+// RetryAfter).
 //
 // A request seen before is always admitted: its result is here, and another node would run it a second time.
 func (g *Gate) Admit(now uint64, request Request) Decision {
@@ -77,8 +78,9 @@
 	return Decision{Reason: reason, Final: g.order.NoCapacityElsewhere && isRetry}
 }
 
-// inShare tells whether the share admits a request: by its place, so that one that is admitted stays so while the share grows. In a
-// zone that is evacuated in part, requests below the cutoff stay, those above go elsewhere, those at it go by their place.
+// inShare tells whether the share admits a request: by its place, so that one that is admitted stays so while the
+// share grows. In a zone that is evacuated in part, requests below the cutoff stay, those above go elsewhere, those
+// at it go by their place.
 func (g *Gate) inShare(request *Request) bool {
 	placed := request.place() < g.order.Share
 	if cutoff := g.order.PriorityCutoff; cutoff > 0 {
@@ -87,7 +89,8 @@
 	return placed
 }
 
-// AdmitConnection decides whether a connection to a service below may be opened now: a service that is cold bears few of them.
+// AdmitConnection decides whether a connection to a service below may be opened now: a service that is cold bears few
+// of them.
 func (g *Gate) AdmitConnection(now uint64) bool {
 	if !g.hasOrder || !g.order.RateLimited {
 		return true
--- a/internal/node/zonegate/gate.go
+++ b/internal/node/zonegate/gate.go
@@ -24,14 +24,14 @@
 	adjustedAt      uint64 // when the node last changed its share by itself
 }
 
-// NewGate makes a gate that admits everything until it has an order. The seed is the node's own: it spreads the nodes of a fleet
-// over the time in which each has its first token.
+// NewGate makes a gate that admits everything until it has an order. The seed is the node's own: it spreads the nodes
+// of a fleet over the time in which each has its first token.
 func NewGate(handlers int, seed uint32) *Gate {
 	return &Gate{seed: seed, retries: make([]retryBudget, handlers)}
 }
 
-// SetOrder takes the order that the control service sent, nil if the policy decides nothing about zones. It tells whether the
-// order differs from the one before.
+// SetOrder takes the order that the control service sent, nil if the policy decides nothing about zones. It tells
+// whether the order differs from the one before.
 //
 // Guards against several epochs' saved tokens being spent at once: under a new epoch the buckets begin anew.
 func (g *Gate) SetOrder(now uint64, order *api.ZoneOrder) (changed bool) {
@@ -52,9 +52,9 @@
 	return changed
 }
 
-// firstToken is the part of a token, from 0 to under 1, with which this node begins an epoch. In a large fleet a node's quota may
-// be one run in many seconds: with a different part each, the nodes together use the whole limit from the first second on, and
-// not all at the end of the same interval.
+// firstToken is the part of a token, from 0 to under 1, with which this node begins an epoch. In a large fleet a
+// node's quota may be one run in many seconds: with a different part each, the nodes together use the whole limit
+// from the first second on, and not all at the end of the same interval.
 func (g *Gate) firstToken(epoch uint64) float64 {
 	raw := binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint32(nil, g.seed), epoch)
 	return float64(crc32.ChecksumIEEE(raw)) / (1 << 32)
--- a/internal/node/zonegate/gate_test.go
+++ b/internal/node/zonegate/gate_test.go
@@ -7,8 +7,8 @@
 	"umberwinch/internal/control/api"
 )
 
-// TestGateShare: who is in stays in while the share grows, the share is about what it says, also where reqs name no tenant,
-// and what came here first is answered here whatever the share.
+// TestGateShare: who is in stays in while the share grows, the share is about what it says, also where reqs name no
+// tenant, and what came here first is answered here whatever the share.
 func TestGateShare(t *testing.T) {
 	g := NewGate(1, 7)
 	for _, tenant := range []string{"", "t0", "some-longer-tenant"} {
@@ -72,7 +72,8 @@
 // tries fill.
 func TestGateCeilingAndBudget(t *testing.T) {
 	g := NewGate(2, 7)
-	g.SetOrder(1000, &api.ZoneOrder{Epoch: 1, Share: api.FullShare, RateLimited: true, RateLimit: 10, ConnectRateLimit: 2})
+	g.SetOrder(1000, &api.ZoneOrder{Epoch: 1, Share: api.FullShare, RateLimited: true, RateLimit: 10,
+		ConnectRateLimit: 2})
 	taken, dials := 0, 0
 	for now := uint64(1000); now < 6000; now += 10 {
 		if g.Admit(now, Request{}).Admitted {
@@ -143,8 +144,10 @@
 		m.CoresSampled(now, 2)
 	}
 	l := m.Report(20_000, true, 4, 3)
-	if l.WindowMS < 1700 || l.WindowMS > 2000 || l.Arrived < 170 || l.Arrived > 200 || l.Retries != l.Arrived/10 && l.Retries != l.Arrived/10+1 || l.MeanRunMS != 8 ||
-		l.MeanCallMS != 4 || l.CoresUsed != 2 || l.Completed != l.RunsEnded || l.RunsInFlight != 3 || len(l.ArrivedByWeight) != 2 || !l.Plausible() || !m.Healthy(20_000, 0) {
+	if l.WindowMS < 1700 || l.WindowMS > 2000 || l.Arrived < 170 || l.Arrived > 200 || l.Retries != l.Arrived/10 &&
+		l.Retries != l.Arrived/10+1 || l.MeanRunMS != 8 ||
+		l.MeanCallMS != 4 || l.CoresUsed != 2 || l.Completed != l.RunsEnded || l.RunsInFlight != 3 ||
+		len(l.ArrivedByWeight) != 2 || !l.Plausible() || !m.Healthy(20_000, 0) {
 		t.Errorf("%+v", l)
 	}
 	m.RequestAnswered(29_000, 0, 500, true)
@@ -153,13 +156,14 @@
 	if l = m.Report(29_900, true, 4, 0); l.Failed != 1 || l.Late != 2 {
 		t.Errorf("%d errored and %d late, expected one that failed in its time, and two past it", l.Failed, l.Late)
 	}
-	if l = m.Report(39_000, true, 4, 0); l.Arrived != 0 || l.RunsEnded != 0 || !m.Healthy(39_000, 0) || m.Healthy(39_000, 1) {
+	if l = m.Report(39_000, true, 4, 0); l.Arrived != 0 || l.RunsEnded != 0 || !m.Healthy(39_000, 0) ||
+		m.Healthy(39_000, 1) {
 		t.Errorf("ten seconds later: %+v", l)
 	}
 }
 
-// TestBeginsAlone: a node that starts without the group takes a share, more of it each hold that goes well, and all of it
-// at once when the group says so.
+// TestBeginsAlone: a node that starts without the group takes a share, more of it each hold that goes well, and all
+// of it at once when the group says so.
 func TestBeginsAlone(t *testing.T) {
 	g := NewGate(1, 7)
 	g.BeginSlowStart(1000, 16, 2000)
@@ -196,8 +200,8 @@
 	}
 }
 
-// TestBack: who the share leaves out is told when it may be let in, by its place and by how the share has grown; nothing is
-// told where nothing is known, and a share that fell says nothing of growth.
+// TestBack: who the share leaves out is told when it may be let in, by its place and by how the share has grown;
+// nothing is told where nothing is known, and a share that fell says nothing of growth.
 func TestBack(t *testing.T) {
 	g := NewGate(1, 7)
 	at := func(place int) Request { return Request{Hash: uint32(place) << 16} }
@@ -210,7 +214,8 @@
 		now   uint64
 		place int
 		ms    uint64
-	}{{3000, 31, 0}, {3000, 32, 2000}, {3000, 63, 2000}, {3000, 64, 4000}, {4500, 64, 2500}, {3000, 255, 6000}, {9500, 32, 0}} {
+	}{{3000, 31, 0}, {3000, 32, 2000}, {3000, 63, 2000}, {3000, 64, 4000}, {4500, 64, 2500}, {3000, 255, 6000},
+		{9500, 32, 0}} {
 		if ms := g.RetryAfter(c.now, at(c.place)); ms != c.ms {
 			t.Errorf("place %d at %d: %d ms, expected %d", c.place, c.now, ms, c.ms)
 		}
@@ -225,15 +230,16 @@
 	}
 }
 
-// TestSmallParts: nodes whose part of a ceiling is a run in many seconds take what they may together, from the first second of
-// an epoch on and over epochs that come quickly, and no more.
+// TestSmallParts: nodes whose part of a ceiling is a run in many seconds take what they may together, from the first
+// second of an epoch on and over epochs that come quickly, and no more.
 func TestSmallParts(t *testing.T) {
 	const nodes, each = 4000, 0.02
 	taken := 0
 	for n := uint32(0); n < nodes; n++ {
 		g := NewGate(1, n*2654435761)
 		for epoch := uint64(1); epoch <= 5; epoch++ {
-			g.SetOrder(epoch*4000, &api.ZoneOrder{Epoch: epoch, Share: api.FullShare, RateLimited: true, RateLimit: each})
+			g.SetOrder(epoch*4000, &api.ZoneOrder{Epoch: epoch, Share: api.FullShare, RateLimited: true,
+				RateLimit: each})
 			for now := epoch * 4000; now < epoch*4000+4000; now += 50 {
 				if g.Admit(now, Request{}).Admitted {
 					taken++
--- a/internal/node/zonegate/limits.go
+++ b/internal/node/zonegate/limits.go
@@ -3,15 +3,15 @@
 import "umberwinch/internal/control/api"
 
 const (
-	// burstPerSecond: a fifth of a second's tokens may be spent at once. The node's rounds are shorter than that, and a service below
-	// bears that much unevenness; a larger burst would ask a cold service for more than its rate.
+	// burstPerSecond: a fifth of a second's tokens may be spent at once. The node's rounds are shorter than that, and
+	// a service below bears that much unevenness; a larger burst would ask a cold service for more than its rate.
 	burstPerSecond = 5
 
 	// minBurst, in tokens: a bucket that holds less than one never admits anything.
 	minBurst = 1.0
 
-	// maxSavedRetries, in requests of one handler: a quiet second must not pay for a storm of retries; fewer would reject retries
-	// that come in small groups.
+	// maxSavedRetries, in requests of one handler: a quiet second must not pay for a storm of retries; fewer would
+	// reject retries that come in small groups.
 	maxSavedRetries = 20
 
 	millisPerSecond = 1000
@@ -38,8 +38,9 @@
 	return true
 }
 
-// retryBudget bounds retries of requests that were rejected elsewhere, for one handler: first attempts fill it, retries take from
-// it. Guards against the retries of an evacuated zone's callers overloading the zones that are in service.
+// retryBudget bounds retries of requests that were rejected elsewhere, for one handler: first attempts fill it,
+// retries take from it. Guards against the retries of an evacuated zone's callers overloading the zones that are in
+// service.
 type retryBudget struct{ saved float64 }
 
 // admit decides about one request; perFullShare is how many retries are admitted for api.FullShare first attempts.
--- a/internal/node/zonegate/meter.go
+++ b/internal/node/zonegate/meter.go
@@ -9,14 +9,15 @@
 	born    uint64 // ms
 }
 
-// A report covers two seconds, which are some heartbeats: each has most of what the one before had, and a change shows within a
-// second. A longer window would hide a failure, a shorter one hold too few requests to tell anything.
+// A report covers two seconds, which are some heartbeats: each has most of what the one before had, and a change
+// shows within a second. A longer window would hide a failure, a shorter one hold too few requests to tell anything.
 const (
-	meterSlots   = 8
-	slotMS       = 250
-	statusOK     = 200
-	statusShed   = 503
-	healthyOf    = 10 // Healthy: at least healthyLeast in healthyOf requests, which one bad request among ten does not break
+	meterSlots = 8
+	slotMS     = 250
+	statusOK   = 200
+	statusShed = 503
+	// Healthy: at least healthyLeast in healthyOf requests, which one bad request among ten does not break
+	healthyOf    = 10
 	healthyLeast = 9
 )
 
@@ -86,8 +87,8 @@
 	s.firstAttempts[handler]++
 }
 
-// RequestAnswered counts an answer by its HTTP status. One that was given up past its deadline is late, whatever its status:
-// a service that is slow ends as errors too, and must not look like one that fails.
+// RequestAnswered counts an answer by its HTTP status. One that was given up past its deadline is late, whatever its
+// status: a service that is slow ends as errors too, and must not look like one that fails.
 func (m *Meter) RequestAnswered(now uint64, handler, status int, inTime bool) {
 	slot := m.slot(now)
 	switch {
@@ -110,8 +111,9 @@
 	slot.runMS += ms
 }
 
-// CallEnded counts a call to a service below that was answered or given up after so many ms. It failed if it was answered with an
-// error or not taken; one that was given up did not: nobody knows how it would have ended, and its time tells enough.
+// CallEnded counts a call to a service below that was answered or given up after so many ms. It failed if it was
+// answered with an error or not taken; one that was given up did not: nobody knows how it would have ended, and its
+// time tells enough.
 func (m *Meter) CallEnded(now uint64, ms float64, failed bool) {
 	slot := m.slot(now)
 	slot.calls++
@@ -131,9 +133,10 @@
 	slot.coresUsed += coresUsed
 }
 
-// Healthy decides whether the node's own requests go well, for a share that grows without the control service: nine in ten of
-// those that ended in the last two seconds were completed in time. Where none ended and none is in flight nothing shows harm: a
-// node that is hardly asked for anything must not wait for ever for a sign. inFlight is the number of runs.
+// Healthy decides whether the node's own requests go well, for a share that grows without the control service: nine
+// in ten of those that ended in the last two seconds were completed in time. Where none ended and none is in flight
+// nothing shows harm: a node that is hardly asked for anything must not wait for ever for a sign. inFlight is the
+// number of runs.
 func (m *Meter) Healthy(now uint64, inFlight int) bool {
 	report := m.Report(now, true, 1, inFlight)
 	ended := report.Completed + report.Late + report.Failed
--- a/internal/node/zonegate/pin_gate_test.go
+++ b/internal/node/zonegate/pin_gate_test.go
@@ -14,8 +14,9 @@
 	"umberwinch/internal/control/api"
 )
 
-// TestPinnedGate: a recorded run of requests, orders and time without the group, with faults in it (a clock that stands, a share
-// that falls, an order that ends), gives the decisions of a gate and the reports of a meter of version 2a0a97e, byte for byte.
+// TestPinnedGate: a recorded run of requests, orders and time without the group, with faults in it (a clock that
+// stands, a share that falls, an order that ends), gives the decisions of a gate and the reports of a meter of
+// version 2a0a97e, byte for byte.
 func TestPinnedGate(t *testing.T) {
 	sum, rng := sha256.New(), rand.New(rand.NewPCG(5, 9))
 	say := func(format string, args ...any) { fmt.Fprintf(sum, format+"\n", args...) }
@@ -84,7 +85,8 @@
 			meter.ConnectionOpened(now)
 			meter.CoresSampled(now, 4*rng.Float64())
 		}
-		say("%d %v %v %d %d %d %v %d", now, ok, last, gate.RetryAfter(now, q), gate.Epoch(), gate.Share(), gate.Evacuated(), gate.Rejected)
+		say("%d %v %v %d %d %d %v %d", now, ok, last, gate.RetryAfter(now, q), gate.Epoch(), gate.Share(),
+			gate.Evacuated(), gate.Rejected)
 		if step%250 == 0 {
 			raw, _ := json.Marshal(meter.Report(now, step%500 == 0, 4, step%3))
 			say("%s %v", raw, meter.Healthy(now, step%3))
@@ -95,7 +97,8 @@
 			meter.SetValues(values)
 		}
 	}
-	got := fmt.Sprintf("%s taken=%d refused=%d final=%d dialled=%d changes=%d\n", hex.EncodeToString(sum.Sum(nil)), taken, refused,
+	got := fmt.Sprintf("%s taken=%d refused=%d final=%d dialled=%d changes=%d\n", hex.EncodeToString(sum.Sum(nil)),
+		taken, refused,
 		finals, dialled, changes)
 	want, err := os.ReadFile(filepath.Join("testdata", "pin_gate.txt"))
 	if err != nil || got != string(want) {
--- a/internal/node/zonegate/report.go
+++ b/internal/node/zonegate/report.go
@@ -6,8 +6,8 @@
 	"umberwinch/internal/control/api"
 )
 
-// Report gives what the node saw in the last two seconds, for a heartbeat. cores are those that the node may use; inFlight is the
-// number of runs.
+// Report gives what the node saw in the last two seconds, for a heartbeat. cores are those that the node may use;
+// inFlight is the number of runs.
 func (m *Meter) Report(now uint64, kernelConnected bool, cores float64, inFlight int) *api.LoadReport {
 	m.slot(now)
 	report := &api.LoadReport{KernelConnected: kernelConnected, Cores: cores, RunsInFlight: inFlight}
@@ -61,8 +61,8 @@
 	return sum / float64(n)
 }
 
-// arrivedByWeight adds up first attempts by priority weight, the least first. A report has room for api.MaxPriorityCounts weights:
-// those of least weight beyond it count as the least of the rest.
+// arrivedByWeight adds up first attempts by priority weight, the least first. A report has room for
+// api.MaxPriorityCounts weights: those of least weight beyond it count as the least of the rest.
 func (m *Meter) arrivedByWeight() (counts []api.PriorityCount) {
 	byWeight := map[float64]int{}
 	for i := range m.slots {
--- a/internal/node/zonegate/retry_after.go
+++ b/internal/node/zonegate/retry_after.go
@@ -30,9 +30,10 @@
 
 // RetryAfter decides after how many ms a request that the share leaves out may be admitted, 0 where nothing tells.
 //
-// Inputs: the request's place, the share, how the share grew at its last step and how long that took. The share admits by place, so
-// every attempt before the share has reached this one is in vain: the time until then is that of as many steps like the last one
-// as it takes. It acts while a share grows; it harms nobody but a caller that waits longer than the share would have taken.
+// Inputs: the request's place, the share, how the share grew at its last step and how long that took. The share
+// admits by place, so every attempt before the share has reached this one is in vain: the time until then is that of
+// as many steps like the last one as it takes. It acts while a share grows; it harms nobody but a caller that waits
+// longer than the share would have taken.
 func (g *Gate) RetryAfter(now uint64, request Request) uint64 {
 	place, growth := request.place(), &g.growth
 	known := g.hasOrder && g.order.Share > 0 && g.order.PriorityCutoff <= 0 && growth.interval != 0 &&
