--- /dev/null
+++ b/docs/docs_test.go
@@ -0,0 +1,296 @@
+// Package docs holds no code: its tests check that the pages name files, headings, identifiers and constants that exist.
+package docs
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+const root = ".."
+
+// pages lists the Markdown files of the repository, from its root.
+func pages(t *testing.T) []string {
+	t.Helper()
+	var out []string
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		switch name := entry.Name(); {
+		case err != nil:
+			return err
+		case entry.IsDir() && (name == "journal" || name == "testdata" || name == "bin" || name != ".." && strings.HasPrefix(name, ".")):
+			return filepath.SkipDir
+		case strings.HasSuffix(name, ".md"):
+			out = append(out, path)
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return out
+}
+
+func read(t *testing.T, file string) string {
+	t.Helper()
+	raw, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(raw)
+}
+
+var (
+	markdownLink = regexp.MustCompile(`\]\(([^)\s]+)\)`)
+	codeSpan     = regexp.MustCompile("`([^`]+)`")
+	// pathSpan is a code span that names a file or folder of the repository.
+	pathSpan   = regexp.MustCompile(`^(admission|cmd|deploy|docs|internal|scripts|tools)/[\w./-]*$`)
+	notInLinks = regexp.MustCompile(`[^\w\- ]`)
+)
+
+// anchors gives the names by which headings of a page are linked to.
+func anchors(text string) map[string]bool {
+	out := map[string]bool{}
+	for _, line := range strings.Split(text, "\n") {
+		if !strings.HasPrefix(line, "#") {
+			continue
+		}
+		heading := strings.ToLower(strings.TrimSpace(strings.TrimLeft(line, "#")))
+		out[strings.ReplaceAll(notInLinks.ReplaceAllString(heading, ""), " ", "-")] = true
+	}
+	return out
+}
+
+// A link to a file or heading leads to one that is there.
+func TestLinksLeadSomewhere(t *testing.T) {
+	for _, page := range pages(t) {
+		text := read(t, page)
+		for _, m := range markdownLink.FindAllStringSubmatch(text, -1) {
+			target, heading, _ := strings.Cut(m[1], "#")
+			if strings.Contains(target, "://") {
+				continue
+			}
+			file := page
+			if target != "" {
+				file = filepath.Join(filepath.Dir(page), target)
+			}
+			info, err := os.Stat(file)
+			if err != nil {
+				t.Errorf("%s links to %s, which isn't there", page, m[1])
+				continue
+			}
+			if heading != "" && (info.IsDir() || !anchors(read(t, file))[heading]) {
+				t.Errorf("%s links to the heading %s, which isn't there", page, m[1])
+			}
+		}
+	}
+}
+
+// A file or folder of the repository that a page names in code is there. The changelog, incidents, measurements and the page of
+// figures tell of earlier versions.
+func TestNamedPathsExist(t *testing.T) {
+	for _, page := range pages(t) {
+		if strings.Contains(page, "CHANGELOG") || strings.Contains(page, "incidents") || strings.Contains(page, "measured") ||
+			strings.HasSuffix(page, "standing.md") {
+			continue
+		}
+		for _, m := range codeSpan.FindAllStringSubmatch(read(t, page), -1) {
+			if !pathSpan.MatchString(m[1]) {
+				continue
+			}
+			if _, err := os.Stat(filepath.Join(root, m[1])); err != nil {
+				t.Errorf("%s names %s, which isn't there", page, m[1])
+			}
+		}
+	}
+}
+
+// declarations are the identifiers of the module's packages, as package.Name and package.Type.Member, and for each the files
+// that declare one of that name.
+type declarations map[string][]string
+
+func (d declarations) add(file string, parts ...string) {
+	name := strings.Join(parts, ".")
+	d[name] = append(d[name], file)
+}
+
+// declared parses all packages of the module; test files are left out.
+func declared(t *testing.T) declarations {
+	t.Helper()
+	out := declarations{}
+	set := token.NewFileSet()
+	for _, folder := range []string{"admission", "internal"} {
+		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, _ fs.DirEntry, err error) error {
+			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			file, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution)
+			if err != nil {
+				return err
+			}
+			out.addFile(path, file)
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return out
+}
+
+func (d declarations) addFile(path string, file *ast.File) {
+	pkg := file.Name.Name
+	d.add(path, pkg)
+	for _, decl := range file.Decls {
+		switch decl := decl.(type) {
+		case *ast.FuncDecl:
+			d.add(path, pkg, decl.Name.Name)
+			if decl.Recv != nil {
+				d.add(path, pkg, receiverName(decl.Recv.List[0].Type), decl.Name.Name)
+			}
+		case *ast.GenDecl:
+			for _, spec := range decl.Specs {
+				d.addSpec(path, pkg, spec)
+			}
+		}
+	}
+}
+
+func receiverName(e ast.Expr) string {
+	switch e := e.(type) {
+	case *ast.StarExpr:
+		return receiverName(e.X)
+	case *ast.IndexExpr:
+		return receiverName(e.X)
+	case *ast.Ident:
+		return e.Name
+	}
+	return ""
+}
+
+func (d declarations) addSpec(path, pkg string, spec ast.Spec) {
+	switch spec := spec.(type) {
+	case *ast.ValueSpec:
+		for _, name := range spec.Names {
+			d.add(path, pkg, name.Name)
+		}
+	case *ast.TypeSpec:
+		d.add(path, pkg, spec.Name.Name)
+		var members *ast.FieldList
+		switch typ := spec.Type.(type) {
+		case *ast.StructType:
+			members = typ.Fields
+		case *ast.InterfaceType:
+			members = typ.Methods
+		default:
+			return
+		}
+		for _, field := range members.List {
+			for _, name := range field.Names {
+				d.add(path, pkg, spec.Name.Name, name.Name)
+				d.add(path, pkg, name.Name)
+			}
+		}
+	}
+}
+
+// rows gives the cells of a page's tables that have so many columns, without their heads.
+func rows(text string, columns int) [][]string {
+	var out [][]string
+	for _, line := range strings.Split(text, "\n") {
+		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), " | ")
+		if !strings.HasPrefix(line, "|") || len(cells) != columns || strings.HasPrefix(line, "| ---") {
+			continue
+		}
+		for i := range cells {
+			cells[i] = strings.TrimSpace(cells[i])
+		}
+		out = append(out, cells)
+	}
+	return out
+}
+
+func spans(cell string) []string {
+	var out []string
+	for _, m := range codeSpan.FindAllStringSubmatch(cell, -1) {
+		out = append(out, m[1])
+	}
+	return out
+}
+
+// Each type, function, field or package that the last column of the glossary names is declared.
+func TestGlossaryNamesExist(t *testing.T) {
+	known := declared(t)
+	found := 0
+	for _, row := range rows(read(t, "glossary.md"), 4) {
+		for _, name := range spans(row[3]) {
+			found++
+			if pathSpan.MatchString(name) {
+				continue // TestNamedPathsExist
+			}
+			if known[name] == nil {
+				t.Errorf("the row of %s names %s, which isn't declared", row[0], name)
+			}
+		}
+	}
+	if found == 0 {
+		t.Error("found no names")
+	}
+}
+
+// Each rule of the page of decisions stands in the file that its row names, and its constants stand in that file's package.
+func TestDecisionsNameRulesThatExist(t *testing.T) {
+	known := declared(t)
+	found := 0
+	for _, row := range rows(read(t, "decisions.md"), 7) {
+		files := spans(row[2])
+		if len(files) == 0 {
+			continue
+		}
+		found++
+		for _, name := range spans(row[1]) {
+			if !declaredIn(known[packageOf(files[0])+"."+name], files) {
+				t.Errorf("%q: found no %s in %v", row[0], name, files)
+			}
+		}
+		for _, name := range spans(row[4]) {
+			if !declaredBeside(known, name, files) {
+				t.Errorf("%q: found no constant or field %s in the package of %v", row[0], name, files)
+			}
+		}
+	}
+	if found == 0 {
+		t.Error("found no rules")
+	}
+}
+
+func packageOf(file string) string { return filepath.Base(filepath.Dir(file)) }
+
+func declaredIn(at, files []string) bool {
+	for _, where := range at {
+		for _, file := range files {
+			if where == filepath.Join(root, file) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// declaredBeside says whether a name, with or without its package, is declared in a package of the files.
+func declaredBeside(known declarations, name string, files []string) bool {
+	if known[name] != nil {
+		return true
+	}
+	for _, file := range files {
+		if known[packageOf(file)+"."+name] != nil {
+			return true
+		}
+	}
+	return false
+}
