--- a/internal/control/consensus/nodes.go
+++ b/internal/control/consensus/nodes.go
@@ -48,7 +48,7 @@
 	// A leader acts once it has applied an entry of its own term: until then its state may lack what was told before.
 	leads := b.Lead == r.ID() && r.machine.term == b.HardState.GetTerm() && r.machine.level >= LevelFleet &&
 		r.Barred() == ""
-	s.SetRole(r.machine.nodes, r.machine.cluster, leads, b.HardState.GetTerm())
+	s.SetRole(r.machine.cluster, leads, b.HardState.GetTerm())
 	if lost := r.machine.nodes.Fleet.LostState; lost != "" && !g.toldLost { // also after a restart: no beat tells of it any more
 		g.toldLost = true
 		g.log.WithField(logging.Reason, lost).Error("the group has lost state that nodes know of, and grants nothing: see umberctl " +
--- /dev/null
+++ b/internal/control/coordinator/helper_test.go
@@ -0,0 +1,70 @@
+package coordinator
+
+import (
+	"fmt"
+	"testing"
+
+	"umberwinch/internal/control/api"
+)
+
+// testGroup is a state and two instances, of which one leads at a time. The log is the test's.
+type testGroup struct {
+	*testing.T
+	state   *State
+	leaders [2]*Leader
+	index   uint64
+	term    uint64
+}
+
+func (g *testGroup) Last() uint64 { return 3 }
+
+func (g *testGroup) Text(n uint64) (string, string, bool) {
+	text := fmt.Sprintf("[fleet]\nlease = 4s\nwhen_alone = fence\n[tenant t]\nrate = %d\n", n)
+	return text, fmt.Sprint("h", n), n > 0 && n <= 3
+}
+
+func startGroup(t *testing.T) *testGroup {
+	g := &testGroup{T: t, state: NewState(0), leaders: [2]*Leader{NewLeader(0), NewLeader(0)}}
+	g.lead(0)
+	return g
+}
+
+func (g *testGroup) lead(i int) {
+	g.term++
+	for k, s := range g.leaders {
+		s.SetRole("g", k == i, g.term)
+	}
+}
+
+// apply commits an entry, and both instances hear its outcome.
+func (g *testGroup) apply(e Entry, term uint64) {
+	g.Helper()
+	g.index++
+	end, err := g.state.Apply(e.Kind, e.Body, g.index, term, g)
+	if err != nil {
+		g.Fatal(err)
+	}
+	for _, s := range g.leaders {
+		s.EntryApplied(g.state, end)
+	}
+}
+
+func (g *testGroup) run(i int, ms uint64) {
+	g.Helper()
+	for _, e := range g.leaders[i].Tick(g.state, ms) {
+		g.apply(e, g.term)
+	}
+}
+
+// answers gathers responses.
+type answers []api.HeartbeatResponse
+
+func (a *answers) take(t api.HeartbeatResponse, err error) {
+	if err == nil {
+		*a = append(*a, t)
+	}
+}
+
+func request(name string) api.HeartbeatRequest {
+	return api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: name, Zone: "z", Nonce: name + "-nonce-1"}}
+}
--- a/internal/control/coordinator/leader.go
+++ b/internal/control/coordinator/leader.go
@@ -46,7 +46,7 @@
 
 // SetRole tells who leads. All callers that wait are told ErrNotLeader when the role, the term or the group changes,
 // and all nodes are heard anew.
-func (l *Leader) SetRole(_ *State, cluster string, leads bool, term uint64) {
+func (l *Leader) SetRole(cluster string, leads bool, term uint64) {
 	if leads == l.leading && term == l.term && cluster == l.cluster {
 		return
 	}
--- a/internal/control/coordinator/pin_stream_test.go
+++ b/internal/control/coordinator/pin_stream_test.go
@@ -24,9 +24,9 @@
 
 var write = flag.Bool("write-pins", false, "write the fixtures of the recorded streams anew")
 
-// recorded drives two instances, of which one leads at a time, and some nodes with faults: requests and answers that are lost,
-// nodes that pause, restart, drain, refuse or lie, entries that are lost or come late, leaders that change. All that is decided
-// goes into a hash; the entries are kept.
+// recorded drives two instances, of which one leads at a time, and some nodes with faults: requests and answers that
+// are lost, nodes that pause, restart, drain, refuse or lie, entries that are lost or come late, leaders that change.
+// All that is decided goes into a hash; the entries are kept.
 type recorded struct {
 	*testing.T
 	rng     *rand.Rand
@@ -67,7 +67,8 @@
 	if n == 0 || n > 40 || n == 13 {
 		return "", "", false
 	}
-	text := fmt.Sprintf("[fleet]\nlease = %ds\nwhen_alone = %s\n[tenant t]\nrate = %d\n", 2+n%3, []string{"fence", "fence", "go-on"}[n%3], n)
+	text := fmt.Sprintf("[fleet]\nlease = %ds\nwhen_alone = %s\n[tenant t]\nrate = %d\n", 2+n%3,
+		[]string{"fence", "fence", "go-on"}[n%3], n)
 	if r.level >= 3 && n%5 != 0 {
 		text += fmt.Sprintf("[zones]\ndecide = %s\nfirst = 0.125\nhold = 500ms\n", []string{"auto", "ask"}[n%2])
 		if r.level >= 4 {
@@ -88,7 +89,7 @@
 func (r *recorded) lead(i int) {
 	r.term++
 	for k, s := range r.leaders {
-		s.SetRole(r.part, "group", k == i, r.term)
+		s.SetRole("group", k == i, r.term)
 	}
 }
 
@@ -116,11 +117,14 @@
 
 // tally is a load report of which the parts hang together well enough for zones to be judged by it.
 func (r *recorded) tally(bad bool) *api.LoadReport {
-	raw := fmt.Sprintf(`{"ms":1000,"came":%d,"done":%d,"late":1,"shed":%d,"worth":50,"got":%d,"mix":[{"value":1,"came":30},{"value":5,"came":4}],
-		"kernel":true,"cores":4,"on_cores":1.5,"out":3,"runs":%d,"run_ms":20,"calls":20,"bad":%d,"call_ms":4,"opened":1}`,
+	raw := fmt.Sprintf(`{"ms":1000,"came":%d,"done":%d,"late":1,"shed":%d,"worth":50,"got":%d,
+		"mix":[{"value":1,"came":30},{"value":5,"came":4}],
+		"kernel":true,"cores":4,"on_cores":1.5,"out":3,"runs":%d,"run_ms":20,"calls":20,
+		"bad":%d,"call_ms":4,"opened":1}`,
 		34+r.rng.Intn(5), 30+r.rng.Intn(3), r.rng.Intn(3), 40+r.rng.Intn(8), 28+r.rng.Intn(6), r.rng.Intn(2))
 	if bad {
-		raw = `{"ms":1000,"came":40,"done":2,"late":20,"errored":10,"worth":50,"got":2,"kernel":false,"cores":4,"on_cores":3.9,"out":40,"runs":3,"run_ms":900,"calls":20,"bad":19}`
+		raw = `{"ms":1000,"came":40,"done":2,"late":20,"errored":10,"worth":50,"got":2,
+			"kernel":false,"cores":4,"on_cores":3.9,"out":40,"runs":3,"run_ms":900,"calls":20,"bad":19}`
 	}
 	t := &api.LoadReport{}
 	if err := json.Unmarshal([]byte(raw), t); err != nil {
@@ -131,7 +135,8 @@
 
 // request is what the node says, as JSON: its tags outlive names.
 func (r *recorded) request(n *simulatedNode) (a api.HeartbeatRequest) {
-	said := map[string]any{"name": n.name, "zone": n.zone, "addr": "127.0.0.1:1", "nonce": fmt.Sprintf("%s-process-%d", n.name, n.life), "up_ms": r.now,
+	said := map[string]any{"name": n.name, "zone": n.zone, "addr": "127.0.0.1:1",
+		"nonce": fmt.Sprintf("%s-process-%d", n.name, n.life), "up_ms": r.now,
 		"echo": n.clock, "floor": n.floor, "serves": n.active, "zones": n.epoch}
 	if n.prepared != 0 {
 		said["prepared"] = n.prepared
@@ -240,7 +245,8 @@
 	if t.Zone != nil {
 		n.epoch = max(n.epoch, t.Zone.Epoch)
 	}
-	position := map[string]any{"group": "group", "generation": max(1, t.Gen), "term": t.Term, "index": t.Index, "sum": t.Sum, "hash": n.hash}
+	position := map[string]any{"group": "group", "generation": max(1, t.Gen), "term": t.Term, "index": t.Index,
+		"sum": t.Sum, "hash": n.hash}
 	if raw, err = json.Marshal(position); err == nil {
 		n.at = api.GroupPosition{}
 		err = json.Unmarshal(raw, &n.at)
@@ -275,19 +281,26 @@
 	key := fmt.Sprintf("key-%06d", r.keys)
 	switch r.rng.Intn(9) {
 	case 0, 1, 2, 3:
-		r.policyOp(map[string]any{"op": "propose", "propose": map[string]any{"version": r.part.Policy.DecidedVersion + 1 + uint64(r.rng.Intn(2)),
-			"exclusive": r.rng.Intn(3) == 0, "within_ms": 1000 + r.rng.Intn(8000), "spare": r.rng.Intn(3), "author": "an operator", "reason": "<why> & what",
-			"key": key}})
+		r.policyOp(map[string]any{"op": "propose", "propose": map[string]any{
+			"version":   r.part.Policy.DecidedVersion + 1 + uint64(r.rng.Intn(2)),
+			"exclusive": r.rng.Intn(3) == 0,
+			"within_ms": 1000 + r.rng.Intn(8000),
+			"spare":     r.rng.Intn(3),
+			"author":    "an operator", "reason": "<why> & what", "key": key,
+		}})
 	case 4:
-		r.policyOp(map[string]any{"op": "off", "number": r.part.Policy.LastNumber, "by": "an operator", "why": "enough"})
+		r.policyOp(map[string]any{"op": "off", "number": r.part.Policy.LastNumber, "by": "an operator",
+			"why": "enough"})
 	case 5:
 		err := r.leader().Forget(fmt.Sprint("n", r.rng.Intn(len(r.nodes))))
 		fmt.Fprintln(r.sum, "forget", err)
 	case 6, 7:
-		r.zoneOp(map[string]any{"op": "leave", "zone": []string{"east", "west"}[r.rng.Intn(2)], "epoch": r.part.Zones.Epoch, "by": "an operator", "why": "a drill",
+		r.zoneOp(map[string]any{"op": "leave", "zone": []string{"east", "west"}[r.rng.Intn(2)],
+			"epoch": r.part.Zones.Epoch, "by": "an operator", "why": "a drill",
 			"cause": "drill", "drill_ms": 2000 * r.rng.Intn(2), "key": key})
 	case 8:
-		r.zoneOp(map[string]any{"op": "back", "zone": []string{"east", "west"}[r.rng.Intn(2)], "epoch": r.part.Zones.Epoch, "by": "an operator", "why": "again", "key": key})
+		r.zoneOp(map[string]any{"op": "back", "zone": []string{"east", "west"}[r.rng.Intn(2)],
+			"epoch": r.part.Zones.Epoch, "by": "an operator", "why": "again", "key": key})
 	}
 }
 
@@ -352,7 +365,8 @@
 		r.leaders[i].DisabledZoneGuards, r.leaders[i].Level = noZones, level
 	}
 	for i := range 9 {
-		r.nodes = append(r.nodes, &simulatedNode{name: fmt.Sprint("n", i), zone: []string{"east", "west", "north"}[i%3]})
+		zone := []string{"east", "west", "north"}[i%3]
+		r.nodes = append(r.nodes, &simulatedNode{name: fmt.Sprint("n", i), zone: zone})
 	}
 	r.lead(0)
 	for range steps {
@@ -384,8 +398,9 @@
 	return string(want)
 }
 
-// TestRecordedStream: nodes, operators and leaders with faults get the answers and make the entries that version 2a0a97e gave
-// and made, byte for byte, at each level of the group; the entries lead to the same state, and a snapshot of it is the same.
+// TestRecordedStream: nodes, operators and leaders with faults get the answers and make the entries that version
+// 2a0a97e gave and made, byte for byte, at each level of the group; the entries lead to the same state, and a
+// snapshot of it is the same.
 func TestRecordedStream(t *testing.T) {
 	for level := 2; level <= 5; level++ {
 		r := record(t, int64(level), level, 0, 0, 1200)
@@ -436,8 +451,8 @@
 	compare(t, "guards.txt", out.String())
 }
 
-// TestLostStateAsStored: a group that two nodes prove to be behind stores so, and the generation after it begins with the bytes
-// it began with in version 2a0a97e.
+// TestLostStateAsStored: a group that two nodes prove to be behind stores so, and the generation after it begins with
+// the bytes it began with in version 2a0a97e.
 func TestLostStateAsStored(t *testing.T) {
 	r := record(t, 7, 5, 0, 0, 600)
 	for range 40 {
@@ -454,11 +469,13 @@
 	}
 	compare(t, "snapshot-lost.json", lost)
 	found := &recovery.RestorePlan{}
-	raw := `{"of":{"group":"group","generation":1,"before":["older"]},"version":11,"hash":"hash-11","proof":"served under by n1","epoch":9,"lease_ms":5000}`
+	raw := `{"of":{"group":"group","generation":1,"before":["older"]},
+		"version":11,"hash":"hash-11","proof":"served under by n1","epoch":9,"lease_ms":5000}`
 	if err := json.Unmarshal([]byte(raw), found); err != nil {
 		t.Fatal(err)
 	}
-	records := `[{"name":"n1","zone":"east","addr":"127.0.0.1:1","epoch":9,"share":256},{"name":"other","zone":"south","addr":"127.0.0.1:2","epoch":8,"share":16}]`
+	records := `[{"name":"n1","zone":"east","addr":"127.0.0.1:1","epoch":9,"share":256},
+		{"name":"other","zone":"south","addr":"127.0.0.1:2","epoch":8,"share":16}]`
 	if err := json.Unmarshal([]byte(records), &found.Records); err != nil {
 		t.Fatal(err)
 	}
@@ -483,8 +500,10 @@
 	} {
 		fmt.Fprintln(&out, NewState(0).Restore([]byte(copyOf)))
 	}
-	for _, e := range []Entry{{"other", []byte("{}")}, {KindHeartbeats, []byte("{")}, {KindPolicy, []byte("[]")}, {KindZones, []byte("1")},
-		{KindPolicy, []byte(`{"op":"propose"}`)}} {
+	for _, e := range []Entry{
+		{"other", []byte("{}")}, {KindHeartbeats, []byte("{")}, {KindPolicy, []byte("[]")}, {KindZones, []byte("1")},
+		{KindPolicy, []byte(`{"op":"propose"}`)},
+	} {
 		_, err := NewState(0).Apply(e.Kind, e.Body, 1, 1, nil)
 		fmt.Fprintln(&out, err)
 	}
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -131,7 +131,7 @@
 func crowdIn(seed int64, nodes int, without policy.Guard) (entries, largest, worst int, broken string) {
 	const step, commit = 20, 40 // ms
 	r, part, s := rand.New(rand.NewSource(seed)), coordinator.NewState(without), coordinator.NewLeader(without)
-	s.SetRole(part, "g", true, 1)
+	s.SetRole("g", true, 1)
 	at := make([]int, nodes)
 	for i := range at {
 		if at[i] = r.Intn(1000); i >= nodes*4/5 {
--- a/internal/lab/vfleet.go
+++ b/internal/lab/vfleet.go
@@ -234,7 +234,7 @@
 	c := w.ctl[i]
 	if c.up {
 		leads := w.lead == i
-		c.s.SetRole(w.part, w.group, leads, w.term)
+		c.s.SetRole(w.group, leads, w.term)
 		at := w.now * c.rate
 		ms := uint64(at) - uint64(c.last)
 		if ms > 200 {
