--- a/internal/control/coordinator/batch.go
+++ b/internal/control/coordinator/batch.go
@@ -188,7 +188,7 @@
 		}
 		response.LeaseID = join.LeaseID
 		if s.Policy.ActiveRules().Zones.ColdStart {
-			l.coldStart.hold(join.LeaseID, l.nowMS)
+			l.coldStart.limit(join.LeaseID, l.nowMS)
 		}
 	}
 	extended, heard := applied.Granted[response.LeaseID]
--- a/internal/control/coordinator/batch_timing.go
+++ b/internal/control/coordinator/batch_timing.go
@@ -12,13 +12,13 @@
 	batchesPerLease = 8
 )
 
-// batchDue decides whether a batch of heartbeats is appended now.
+// shouldSendBatch decides whether a batch of heartbeats is appended now.
 //
 // It decides by the ms since the last batch was applied, the lease, what waits and whether a change is under way. One
 // batch at a time is appended, so that no ms is counted twice. Proof of lost state goes out at once: each decision
 // until then may do harm. Otherwise a batch goes out once a second, sooner if something waits under a short lease,
 // and soonest while a change waits for promises or more joins wait than fit into a batch.
-func (l *Leader) batchDue(s *State, lossProven bool) bool {
+func (l *Leader) shouldSendBatch(s *State, lossProven bool) bool {
 	b := &l.heartbeats
 	if b.appended.running() {
 		return false
--- a/internal/control/coordinator/coldstart.go
+++ b/internal/control/coordinator/coldstart.go
@@ -11,11 +11,11 @@
 // nodes otherwise, and in a fleet of thousands that restarts the leader would do nothing else.
 const censusIntervalMS = 100
 
-// coldStartHold is what is known of nodes that have just begun and may be the first of a fleet that restarts as a
+// coldStartLimits is what is known of nodes that have just begun and may be the first of a fleet that restarts as a
 // whole.
-type coldStartHold struct {
-	heldSinceMS map[uint32]uint64 // by lease: when it was granted to a node that was not released to full load yet
-	census      fleetCensus
+type coldStartLimits struct {
+	limitedSinceMS map[uint32]uint64 // by lease: when it was granted to a node that was not released to full load yet
+	census         fleetCensus
 }
 
 // fleetCensus is a count of the nodes that are in.
@@ -24,24 +24,24 @@
 	taken  bool
 	in     int
 	byZone map[string]int
-	// warmHeardMS is when nodes that have been up for long were heard last, the earliest first.
-	warmHeardMS []uint64
+	// warmHeartbeatsMS is when nodes that have been up for long were heard last, the earliest first.
+	warmHeartbeatsMS []uint64
 }
 
-func (h *coldStartHold) hold(lease uint32, nowMS uint64) {
-	if len(h.heldSinceMS) < membership.MaxNodes {
-		h.heldSinceMS[lease] = nowMS
+func (h *coldStartLimits) limit(lease uint32, nowMS uint64) {
+	if len(h.limitedSinceMS) < membership.MaxNodes {
+		h.limitedSinceMS[lease] = nowMS
 	}
 }
 
 // release lets a node take its full load; it is not held again.
-func (h *coldStartHold) release(lease uint32) { delete(h.heldSinceMS, lease) }
+func (h *coldStartLimits) release(lease uint32) { delete(h.limitedSinceMS, lease) }
 
 // dropEnded forgets leases whose incarnations are not in any more.
-func (h *coldStartHold) dropEnded(f *membership.State) {
-	for lease := range h.heldSinceMS {
+func (h *coldStartLimits) dropEnded(f *membership.State) {
+	for lease := range h.limitedSinceMS {
 		if f.LeaseHolder(lease) == nil {
-			delete(h.heldSinceMS, lease)
+			delete(h.limitedSinceMS, lease)
 		}
 	}
 }
@@ -52,7 +52,7 @@
 	if c.taken && l.nowMS-c.atMS < censusIntervalMS {
 		return c
 	}
-	*c = fleetCensus{atMS: l.nowMS, taken: true, byZone: map[string]int{}, warmHeardMS: c.warmHeardMS[:0]}
+	*c = fleetCensus{atMS: l.nowMS, taken: true, byZone: map[string]int{}, warmHeartbeatsMS: c.warmHeartbeatsMS[:0]}
 	for _, n := range s.Fleet.Nodes() {
 		if n.OutReason != "" {
 			continue
@@ -61,10 +61,10 @@
 		c.byZone[n.Zone]++
 		heardMS := l.zoneMonitor.LastHeard(n)
 		if heardMS > 0 && n.UptimeMS(s.Fleet.ClockMS) > recovery.ColdStartWindowMS {
-			c.warmHeardMS = append(c.warmHeardMS, heardMS)
+			c.warmHeartbeatsMS = append(c.warmHeartbeatsMS, heardMS)
 		}
 	}
-	slices.Sort(c.warmHeardMS)
+	slices.Sort(c.warmHeartbeatsMS)
 	return c
 }
 
@@ -74,12 +74,12 @@
 // lease was granted. Until half of them were, the node takes a share alone: the first nodes of a fleet that restarts
 // would get all of its load, cold. A lone restart is held until the others' next heartbeats, about a second.
 func (l *Leader) mayBeFirstOfMany(s *State, n *membership.Node) bool {
-	since, held := l.coldStart.heldSinceMS[n.Lease.ID]
+	since, held := l.coldStart.limitedSinceMS[n.Lease.ID]
 	if !held || n.UptimeMS(s.Fleet.ClockMS) > recovery.ColdStartWindowMS {
 		return false
 	}
 	c := l.census(s)
-	first, _ := slices.BinarySearch(c.warmHeardMS, since)
-	warm, others := len(c.warmHeardMS)-first, c.in-1
+	first, _ := slices.BinarySearch(c.warmHeartbeatsMS, since)
+	warm, others := len(c.warmHeartbeatsMS)-first, c.in-1
 	return others > 0 && 2*warm < others
 }
--- a/internal/control/coordinator/heartbeat.go
+++ b/internal/control/coordinator/heartbeat.go
@@ -95,12 +95,12 @@
 		return false
 	}
 	return r.Renew ||
-		n.Lease.MinVersion < r.MinVersion && changeWaitsFor(s.Policy.Current, n) ||
+		n.Lease.MinVersion < r.MinVersion && blocksChange(s.Policy.Current, n) ||
 		n.Lease.MinZoneEpoch < r.MinZoneEpoch && s.Zones.SettledEpoch < s.Zones.Epoch
 }
 
-// changeWaitsFor tells whether a change that is decided waits for a node's promise.
-func changeWaitsFor(c *policy.Change, n *membership.Node) bool {
+// blocksChange tells whether a change that is decided waits for a node's promise.
+func blocksChange(c *policy.Change, n *membership.Node) bool {
 	return c != nil && c.Step != policy.Preparing && n.Lease.MinVersion < c.Version
 }
 
--- a/internal/control/coordinator/leader.go
+++ b/internal/control/coordinator/leader.go
@@ -28,7 +28,7 @@
 	reports      nodeReports
 	listening    listenPhase
 	evidence     lossEvidence
-	coldStart    coldStartHold
+	coldStart    coldStartLimits
 	policyAppend appendTimer // of an operation that the rules of policy decided
 	policyOps    submissions[policy.Op, policy.Result]
 	zoneAppend   appendTimer // of an operation that the rules of zones decided
@@ -54,9 +54,9 @@
 	l.cluster, l.leading, l.term = cluster, leads, term
 	l.heartbeats = heartbeatBatcher{appliedMS: l.nowMS}
 	l.reports = nodeReports{}
-	l.listening = listenPhase{sinceMS: l.nowMS, heard: map[string]bool{}}
+	l.listening = listenPhase{sinceMS: l.nowMS, seenNames: map[string]bool{}}
 	l.evidence = lossEvidence{}
-	l.coldStart = coldStartHold{heldSinceMS: map[uint32]uint64{}}
+	l.coldStart = coldStartLimits{limitedSinceMS: map[uint32]uint64{}}
 	l.policyAppend, l.zoneAppend = appendTimer{}, appendTimer{}
 	l.zoneMonitor = zones.NewMonitor()
 }
@@ -86,7 +86,7 @@
 		return nil
 	}
 	var entries []Entry
-	if l.batchDue(s, lost != "") {
+	if l.shouldSendBatch(s, lost != "") {
 		entry := newEntry(KindHeartbeats, l.heartbeats.next(l.batchHeader(s, lost), l.nowMS, l.DisabledGuards))
 		entries = append(entries, entry)
 		l.BatchesSent++
@@ -111,11 +111,11 @@
 			entries = append(entries, newEntry(KindZones, op))
 		}
 	}
-	for _, op := range l.zoneOps.due(l.nowMS) {
+	for _, op := range l.zoneOps.toAppend(l.nowMS) {
 		op.Epoch = s.Zones.Epoch
 		entries = append(entries, newEntry(KindZones, op))
 	}
-	for _, op := range l.policyOps.due(l.nowMS) {
+	for _, op := range l.policyOps.toAppend(l.nowMS) {
 		entries = append(entries, newEntry(KindPolicy, op))
 	}
 	return entries
--- a/internal/control/coordinator/listen.go
+++ b/internal/control/coordinator/listen.go
@@ -15,13 +15,13 @@
 
 // listenPhase is the time at the beginning of a leadership in which nodes are heard and nothing is granted.
 type listenPhase struct {
-	sinceMS uint64          // when leadership began
-	heard   map[string]bool // names; nil: the phase is over
+	sinceMS   uint64          // when leadership began
+	seenNames map[string]bool // names; nil: the phase is over
 }
 
 func (p *listenPhase) note(name string) {
-	if p.heard != nil && len(p.heard) < membership.MaxNodes {
-		p.heard[name] = true
+	if p.seenNames != nil && len(p.seenNames) < membership.MaxNodes {
+		p.seenNames[name] = true
 	}
 }
 
@@ -33,17 +33,17 @@
 // of a lease at most.
 func (l *Leader) stillListening(s *State) bool {
 	p := &l.listening
-	if p.heard == nil {
+	if p.seenNames == nil {
 		return false
 	}
 	guarded := l.Level >= LevelGenerations && !l.DisabledGuards.Has(policy.ListenFirst)
 	if guarded && l.nowMS-p.sinceMS < min(maxListenMS, s.leaseTerms().LeaseMS/listenLeaseFraction) {
 		for _, n := range s.Fleet.Nodes() {
-			if n.OutReason == "" && !p.heard[n.Name] {
+			if n.OutReason == "" && !p.seenNames[n.Name] {
 				return true
 			}
 		}
 	}
-	p.heard = nil
+	p.seenNames = nil
 	return false
 }
