--- /dev/null
+++ b/internal/cli/deprecated.go
@@ -0,0 +1,31 @@
+package cli
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/spf13/cobra"
+)
+
+// renamed gives a command another name; what follows the name in its use line stays.
+func renamed(c *cobra.Command, name string) *cobra.Command {
+	c.Use = name + strings.TrimPrefix(c.Use, c.Name())
+	return c
+}
+
+// deprecated keeps a command, and those below it, under an earlier name: not shown in help, and with a warning on standard
+// error that names the present one. Standard output stays as it is, as scripts read it. now is the present name without the
+// program's.
+func deprecated(c *cobra.Command, now string) *cobra.Command {
+	c.Hidden = true
+	for _, below := range c.Commands() {
+		deprecated(below, now+" "+below.Name())
+	}
+	if run := c.RunE; run != nil {
+		c.RunE = func(cmd *cobra.Command, args []string) error {
+			fmt.Fprintf(cmd.ErrOrStderr(), "%s is deprecated, use umberctl %s\n", cmd.CommandPath(), now)
+			return run(cmd, args)
+		}
+	}
+	return c
+}
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -13,10 +13,21 @@
 	"umberwinch/internal/lab"
 )
 
+// newFaultTest is the harness's command: each below it runs the real code under faults and load, and ends with a verdict.
+func newFaultTest() *cobra.Command {
+	c := &cobra.Command{Use: "faulttest", Short: "The fault harness: the real code under faults and load"}
+	c.AddCommand(newLabRaft(), newLabPools(), newLabPolicy(), newLabZones(), renamed(newLabComeback(), "recovery"),
+		renamed(newLabKept(), "results"))
+	return c
+}
+
+// newLab has the harness's commands under their earlier names.
 func newLab() *cobra.Command {
-	c := &cobra.Command{Use: "lab", Short: "The laboratory: the real code under faults and load"}
-	c.AddCommand(newLabRaft(), newLabPools(), newLabPolicy(), newLabZones(), newLabComeback(),
-		newLabKept())
+	c := &cobra.Command{Use: "lab", Short: "Earlier name of faulttest", Hidden: true}
+	for _, below := range []*cobra.Command{newLabRaft(), newLabPools(), newLabPolicy(), newLabZones()} {
+		c.AddCommand(deprecated(below, "faulttest "+below.Name()))
+	}
+	c.AddCommand(deprecated(newLabComeback(), "faulttest recovery"), deprecated(newLabKept(), "faulttest results"))
 	return c
 }
 
