--- a/internal/control/coordinator/loss_evidence.go
+++ b/internal/control/coordinator/loss_evidence.go
@@ -33,7 +33,7 @@
 	if last == nil || l.DisabledGuards.Has(policy.Proof) {
 		return
 	}
-	group := recovery.GroupPosition{
+	group := recovery.GroupState{
 		Group:          l.cluster,
 		Generation:     s.Generation,
 		Term:           l.term,
--- a/internal/control/recovery/pin_plan_test.go
+++ b/internal/control/recovery/pin_plan_test.go
@@ -22,9 +22,11 @@
 // randomNode makes what a node holds, with faults: spoilt texts, another group, another generation, a text of its own.
 func randomNode(rng *rand.Rand, i int) NodeRecord {
 	version := uint64(rng.IntN(6))
-	text := pick(rng, fmt.Sprint("t", version), fmt.Sprint("t", version), fmt.Sprint("t", version), fmt.Sprint("other t", version))
+	text := pick(rng, fmt.Sprint("t", version), fmt.Sprint("t", version), fmt.Sprint("t", version),
+		fmt.Sprint("other t", version))
 	k := kept(fmt.Sprint("n", i), version, text, version+uint64(rng.IntN(8)/7))
-	k.Index, k.Term, k.ZoneEpoch, k.LeaseMS = 90+uint64(rng.IntN(30)), uint64(rng.IntN(5)), uint64(rng.IntN(9)), uint64(rng.IntN(9000))
+	k.Index, k.Term, k.ZoneEpoch, k.LeaseMS = 90+uint64(rng.IntN(30)), uint64(rng.IntN(5)), uint64(rng.IntN(9)),
+		uint64(rng.IntN(9000))
 	k.ZoneShare, k.EntryChecksum = rng.IntN(300), uint64(rng.IntN(3))
 	if rng.IntN(3) == 0 {
 		k.PreparedVersion, k.PreparedText = version+1, fmt.Sprint("t", version+1)
@@ -79,7 +81,8 @@
 		} else if f.SourceVersion > 0 {
 			restored++
 		}
-		have := GroupPosition{Group: pick(rng, "g1", "g1", "g2"), Generation: pick(rng, uint64(1), 1, 2), Term: 3, Index: 110, DecidedVersion: 4, LastVersion: 5, ZoneEpoch: 6,
+		have := GroupState{Group: pick(rng, "g1", "g1", "g2"), Generation: pick(rng, uint64(1), 1, 2), Term: 3,
+			Index: 110, DecidedVersion: 4, ZoneEpoch: 6,
 			HashOf:     func(v uint64) string { return document.Hash([]byte(fmt.Sprint("t", v))) },
 			ChecksumAt: func(index uint64) (uint64, bool) { return index % 3, index >= 100 }}
 		for i := range all {
@@ -98,7 +101,8 @@
 		from, to := RetryAfterWindow(bound, after)
 		say("%v %d %d %d", IsColdStart(young, in), from, to, spread.Next(bound, after))
 	}
-	got := fmt.Sprintf("%s conflicts=%d restored=%d lost=%d invalid=%d\n", hex.EncodeToString(sum.Sum(nil)), conflicts, restored, lost,
+	got := fmt.Sprintf("%s conflicts=%d restored=%d lost=%d invalid=%d\n", hex.EncodeToString(sum.Sum(nil)),
+		conflicts, restored, lost,
 		invalid)
 	want, err := os.ReadFile(filepath.Join("testdata", "pin_stream.txt"))
 	if err != nil || got != string(want) {
@@ -112,9 +116,12 @@
 	whose := GroupIdentity{Group: "g3", Generation: 3, Predecessors: []string{"g1", "g2"}}
 	for name, value := range map[string]any{
 		"whose": &whose,
-		"kept": &NodeRecord{Name: "n1", Zone: "z", Addr: "a:1", Group: "g", Generation: 1, Term: 2, Index: 3, ActiveVersion: 5, ActiveHash: "h", ActiveText: "t", MinVersion: 6,
-			PreparedVersion: 7, PreparedHash: "nh", PreparedText: "nt", Autonomous: true, ZoneEpoch: 8, ZoneShare: 9, LeaseMS: 10},
-		"found": &RestorePlan{Lost: whose, Version: 4, Hash: "h", SourceVersion: 3, Proof: "p", ZoneEpoch: 5, LeaseMS: 6, Nodes: []string{"a"},
+		"kept": &NodeRecord{Name: "n1", Zone: "z", Addr: "a:1", Group: "g", Generation: 1, Term: 2, Index: 3,
+			ActiveVersion: 5, ActiveHash: "h", ActiveText: "t", MinVersion: 6,
+			PreparedVersion: 7, PreparedHash: "nh", PreparedText: "nt", Autonomous: true, ZoneEpoch: 8, ZoneShare: 9,
+			LeaseMS: 10},
+		"found": &RestorePlan{Lost: whose, Version: 4, Hash: "h", SourceVersion: 3, Proof: "p", ZoneEpoch: 5,
+			LeaseMS: 6, Nodes: []string{"a"},
 			NotCounted: []string{"b"}, Unknown: []string{"c"}, Conflict: "d"},
 	} {
 		got, err := json.Marshal(value)
