--- a/internal/lab/fleet_events.go
+++ b/internal/lab/fleet_events.go
@@ -7,11 +7,9 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"os"
 	"path/filepath"
 	"sort"
-	"strings"
 	"time"
 
 	"umberwinch/internal/control/policy"
@@ -99,17 +97,15 @@
 	for _, n := range r.nodes {
 		var told []FleetEvent
 		if err := lines(filepath.Join(r.Dir, n.name+".log"), func(at int64, m map[string]any) {
-			msg, _ := m["msg"].(string)
+			version, _ := m[logging.PolicyVersion].(float64)
 			e := FleetEvent{At: at, Node: n.name}
-			switch {
-			case strings.HasPrefix(msg, "fleet: fenced"):
+			switch m["msg"] {
+			case "node is fenced: all requests are rejected":
 				e.Kind = "stops"
-			case strings.HasPrefix(msg, "fleet: serves under version "):
-				e.Kind = "serves"
-				fmt.Sscanf(msg, "fleet: serves under version %d", &e.Version)
-			case strings.HasPrefix(msg, "fleet: version ") && strings.HasSuffix(msg, " taken over"):
-				e.Kind = "takes"
-				fmt.Sscanf(msg, "fleet: version %d taken over", &e.Version)
+			case "node serves":
+				e.Kind, e.Version = "serves", uint64(version)
+			case "policy version is active":
+				e.Kind, e.Version = "takes", uint64(version)
 			default:
 				return
 			}
--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -233,7 +233,7 @@
 		raw, _ := os.ReadFile(filepath.Join(dir, log))
 		return strings.Count(string(raw), line)
 	}
-	wait("the node's second start", func() bool { return starts("n1.log", "fleet: serves under version 1") >= 1 })
+	wait("the node's second start", func() bool { return starts("n1.log", `"msg":"node serves","policy_version":1,`) >= 1 })
 	wait("the instance's second start", func() bool { return starts("instances.log", "instance is up") >= 4 })
 	cancel()
 	if err := <-errs; err != nil {
--- a/internal/lab/zones_check.go
+++ b/internal/lab/zones_check.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"umberwinch/internal/control/zones"
+	"umberwinch/internal/logging"
 )
 
 // ZoneEvent is one thing that a run recorded about zones, in tenths of a ms.
@@ -112,13 +113,15 @@
 	sort.SliceStable(h, func(i, k int) bool { return h[i].At < h[k].At })
 	for _, n := range b.nodes {
 		if err := logLines(filepath.Join(b.Dir, n.name+".log"), func(at int64, m map[string]any) {
-			msg, _ := m["msg"].(string)
 			e := ZoneEvent{At: at, Node: n.name, Zone: n.zone}
-			if _, err := fmt.Sscanf(msg, "fleet: zones epoch %d: takes %d of 256", &e.Epoch, &e.Share); err == nil {
-				e.Kind = "acts"
-			} else if len(msg) > 13 && msg[:13] == "fleet: fenced" {
+			switch m["msg"] {
+			case "zone order is in effect":
+				epoch, _ := m[logging.Epoch].(float64)
+				share, _ := m[logging.Quota].(float64)
+				e.Kind, e.Epoch, e.Share = "acts", uint64(epoch), int(share)
+			case "node is fenced: all requests are rejected":
 				e.Kind = "stops"
-			} else {
+			default:
 				return
 			}
 			h = append(h, e)
--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -160,7 +160,7 @@
 	l.takes(1)
 	p := l.first().peer
 	for len(l.events) < cap(l.events) {
-		l.events <- diskDone{func() {}}
+		l.events <- callback{func() {}}
 	}
 	check(c)
 	for end := time.Now().Add(patience); p.pipelined.Load() == 0; time.Sleep(time.Millisecond) {
--- a/internal/node/server/counters.go
+++ b/internal/node/server/counters.go
@@ -52,7 +52,7 @@
 		"clock_steps":  c.ClockSteps,
 		"rounds":       c.Rounds, "wakes": c.Wakes, "ungauged": c.Ungauged, "slow": c.Slow}
 	if f := l.fleet; f != nil {
-		out["version"], out["fenced"], out["alone"] = f.m.ActiveVersion(), f.fenced, f.alone
+		out["version"], out["fenced"], out["alone"] = f.agent.ActiveVersion(), f.fenced, f.autonomous
 		out["versions"], out["times_fenced"], out["fence_shed"], out["fleet_lost"] = c.Versions, c.Fenced, c.FenceShed,
 			c.FleetLost
 		out["zone_epoch"], out["zone_share"], out["zone_turned"] = f.gate.Epoch(), f.gate.Share(), c.Turned
--- a/internal/node/server/events.go
+++ b/internal/node/server/events.go
@@ -87,13 +87,9 @@
 	}
 )
 
-// Events of the parts that work in goroutines of their own.
-type (
-	// fleetJobDone is what came of a job of the node's part in a fleet.
-	fleetJobDone struct{ end *jobEnd }
-	// diskDone is what the loop is to do now that the result store's disk is done with something.
-	diskDone struct{ then func() }
-)
+// callback is what the loop is to do now that a part of the server is done with its disk or network: see fleetHost and
+// resultHost.
+type callback struct{ then func() }
 
 func (connectionOpened) isEvent()   {}
 func (connectionClosed) isEvent()   {}
@@ -109,8 +105,7 @@
 func (drainRequested) isEvent()     {}
 func (countersRequested) isEvent()  {}
 func (*startupFileRead) isEvent()   {}
-func (fleetJobDone) isEvent()       {}
-func (diskDone) isEvent()           {}
+func (callback) isEvent()           {}
 
 func (e *requestRead) sender() *peer       { return e.peer }
 func (e *requestUnreadable) sender() *peer { return e.peer }
@@ -160,9 +155,7 @@
 		l.showPools()
 	case *startupFileRead:
 		l.reload(e.node, e.err)
-	case fleetJobDone:
-		l.fleetNews(e.end)
-	case diskDone:
+	case callback:
 		e.then()
 	}
 }
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -266,7 +266,7 @@
 // A kill at any byte of a record's write leaves the one before, and nothing that piles up.
 func TestKillAmidRecord(t *testing.T) {
 	folder := t.TempDir()
-	if err := keepRecord(folder, agent.Record{ActiveVersion: 7, ActiveText: "seven"}); err != nil {
+	if err := storeRecord(folder, &agent.Record{ActiveVersion: 7, ActiveText: "seven"}); err != nil {
 		t.Fatal(err)
 	}
 	next, err := json.Marshal(agent.Record{ActiveVersion: 8, ActiveText: "eight"})
@@ -283,7 +283,7 @@
 		t.Fatal(err)
 	}
 	var r agent.Record
-	if there, err := readRecord(folder, &r); !there || err != nil || r.ActiveVersion != 7 || r.ActiveText != "seven" {
+	if there, err := loadRecord(folder, &r); !there || err != nil || r.ActiveVersion != 7 || r.ActiveText != "seven" {
 		t.Errorf("%v, %v, %+v, expected the record before", there, err, r)
 	}
 	if left, _ := os.ReadDir(folder); len(left) != 1 {
@@ -296,23 +296,22 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &loop{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)}
-	f := &fleetPart{own: &config.Fleet{Folder: filepath.Join(t.TempDir(), "gone")}, keeps: true,
-		m: agent.New(agent.Config{Name: "n1", ControlAddresses: []string{"127.0.0.1:1"}}, nil, steadyMS())}
-	l.fleet = f
-	failed := func() {
-		l.fleetNews(&jobEnd{job: &job{what: jobKeep, about: agent.Record{}}, err: syscall.ENOSPC})
+	f := &fleetAgent{host: l, log: log, config: &config.Fleet{Folder: filepath.Join(t.TempDir(), "gone")},
+		agent:  agent.New(agent.Config{Name: "n1", ControlAddresses: []string{"127.0.0.1:1"}}, nil, bootTime()),
+		record: recordStore{writing: true}}
+	f.recordStored(bootTime(), 0, syscall.ENOSPC)
+	r := &f.record
+	if r.writing || !r.pending {
+		t.Fatalf("writing %v, pending %v, expected that it waits and is still pending", r.writing, r.pending)
 	}
-	failed()
-	if f.keeps || !f.owes {
-		t.Fatalf("writes %v, owes %v, expected that it waits and still owes", f.keeps, f.owes)
-	}
-	if l.keepOwed(f.keepAgain - 1); f.keeps {
+	if f.storeIfDue(r.retryAt - 1); r.writing {
 		t.Error("written again before its pause is over")
 	}
-	if l.keepOwed(f.keepAgain); !f.keeps || f.owes {
+	if f.storeIfDue(r.retryAt); !r.writing || r.pending {
 		t.Error("not written again after its pause")
 	}
-	if e := (<-l.events).(fleetJobDone); e.end.err == nil {
+	e := (<-l.events).(callback)
+	if e.then(); r.writing || !r.pending {
 		t.Error("a folder that is gone takes a record")
 	}
 }
--- a/internal/node/server/front.go
+++ b/internal/node/server/front.go
@@ -333,7 +333,7 @@
 // one.
 func (l *loop) addRetryAfter(a *wire.Response) {
 	if a.Status == 503 && a.RetryAfterMS == 0 {
-		a.RetryAfterMS = l.comeBack(&l.refusals, 0)
+		a.RetryAfterMS = l.retryAfter(&l.refusals, 0)
 	}
 }
 
--- a/internal/node/server/kept.go
+++ b/internal/node/server/kept.go
@@ -126,7 +126,7 @@
 			store, book, found, err = resultstore.Open(wal.Dir(own.Folder), sizes, resultstore.Limits{Keys: own.Entries, Bytes: most,
 				ResultBytes: own.Result, LongestWindow: window}, now, boot)
 		}
-		l.post(diskDone{func() { l.keptOpened(store, book, found, err) }})
+		l.post(callback{func() { l.keptOpened(store, book, found, err) }})
 	}()
 }
 
@@ -199,7 +199,7 @@
 
 // keptTry asks what a try gets.
 func (l *loop) keptTry(q *keptReq) (resultstore.Verdict, uint64) {
-	k, now := l.kept, steadyMS()
+	k, now := l.kept, bootTime()
 	v, place := k.book.Decide(now, q.key, q.body)
 	if v == resultstore.Execute && k.book.Lookup(now, q.untenanted) != resultstore.Unknown {
 		v, place = k.book.Decide(now, q.untenanted, q.body)
@@ -266,7 +266,7 @@
 // keptShed is for a key that is not known and can't be taken in at present: it has not run.
 func (l *loop) keptShed(a *wire.Response) int {
 	l.kept.sheds++
-	a.RetryAfterMS = l.comeBack(&l.kept.spread, 0)
+	a.RetryAfterMS = l.retryAfter(&l.kept.spread, 0)
 	return 503
 }
 
@@ -295,7 +295,7 @@
 	select {
 	case k.reads <- func() {
 		result, err := store.ReadResult(place)
-		l.post(diskDone{func() { l.keptFound(h, result, err) }})
+		l.post(callback{func() { l.keptFound(h, result, err) }})
 	}:
 	default:
 		k.errs++
@@ -358,7 +358,7 @@
 // write hands a record over; then hears whether it is durable.
 func (k *keptPart) write(l *loop, rec resultstore.Record, then func(err error)) bool {
 	ok := k.store.Append(rec, func(place uint64, err error) {
-		l.post(diskDone{func() {
+		l.post(callback{func() {
 			k.waits = k.waits[1:]
 			if err == nil {
 				k.next = max(k.next, place+1)
@@ -391,7 +391,7 @@
 	switch v {
 	case resultstore.Execute:
 		k.point("intent")
-		rec := k.book.Begin(steadyMS(), q.key, q.body, keptWindow(&l.settings.Deployment.Handlers[r.handler]))
+		rec := k.book.Begin(bootTime(), q.key, q.body, keptWindow(&l.settings.Deployment.Handlers[r.handler]))
 		q.stand = keptIntends
 		if k.write(l, rec, func(err error) { l.intended(h, err) }) {
 			l.trace(r, "intent on its way")
@@ -453,7 +453,7 @@
 	if !q.runs { // it never ran, and another try of its key may run, or have run
 		return false, false
 	}
-	now := steadyMS()
+	now := bootTime()
 	switch how {
 	case admission.NotExecuted, admission.Superseded: // nothing was started
 		if rec, ok := k.book.MarkNotExecuted(now, q.key); ok {
@@ -517,7 +517,7 @@
 		steps = min(keptSteps, max(1, k.book.ExpireSteps()/keptSweeps))
 	}
 	for range steps {
-		_, first := k.book.Expire(steadyMS(), k.next)
+		_, first := k.book.Expire(bootTime(), k.next)
 		if first == 0 {
 			continue
 		}
@@ -526,7 +526,7 @@
 			store := k.store
 			go func() {
 				err := store.ReleaseBefore(first)
-				l.post(diskDone{func() {
+				l.post(callback{func() {
 					if k.frees = false; err != nil {
 						l.logf("kept results: what is over can't be let go of: %v", err)
 					}
--- a/internal/node/server/kept_test.go
+++ b/internal/node/server/kept_test.go
@@ -58,7 +58,7 @@
 	l.startClock(admission.Second)
 	l.kept = &keptPart{own: &config.Kept{Entries: 100, MB: 1, Result: 100}, reads: make(chan func(), 1)}
 	store, book, found, err := resultstore.Open(d, wal.Sizes{Segment: 1 << 16, Bound: 1 << 20}, resultstore.Limits{Keys: 100, Bytes: 1 << 18, ResultBytes: 100},
-		steadyMS(), "boot")
+		bootTime(), "boot")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 		t.Errorf("what was answered meanwhile ran: %+v, ends %v", r, l.nextRound().RunEnds)
 	}
 	l.hears(t) // its intent is closed
-	if s := l.kept.book.Lookup(steadyMS(), r.kept.key); s != resultstore.Unknown || l.kept.mode != keptWell {
+	if s := l.kept.book.Lookup(bootTime(), r.kept.key); s != resultstore.Unknown || l.kept.mode != keptWell {
 		t.Errorf("%s, %s afterwards, expected it unknown and well", s, l.kept.mode)
 	}
 }
@@ -131,8 +131,8 @@
 		t.Fatal("answered before its result was durable")
 	}
 	l.hears(t)
-	if l.counters.Errored != 1 || l.counters.Done != 0 || l.kept.book.Lookup(steadyMS(), r.kept.key) != resultstore.Indeterminate {
-		t.Errorf("%d errored, %d done, key %s", l.counters.Errored, l.counters.Done, l.kept.book.Lookup(steadyMS(), r.kept.key))
+	if l.counters.Errored != 1 || l.counters.Done != 0 || l.kept.book.Lookup(bootTime(), r.kept.key) != resultstore.Indeterminate {
+		t.Errorf("%d errored, %d done, key %s", l.counters.Errored, l.counters.Done, l.kept.book.Lookup(bootTime(), r.kept.key))
 	}
 	h2, new := l.takes("new")
 	if l.keptWord(h2, new); l.kept.mode != keptFailed || l.counters.Shed != 1 {
@@ -181,7 +181,7 @@
 	if l.counters.Done+l.counters.Errored != 1 {
 		t.Errorf("%d answers", l.counters.Done+l.counters.Errored)
 	}
-	if l.kept.book.Lookup(steadyMS(), r.kept.key) != resultstore.Completed {
+	if l.kept.book.Lookup(bootTime(), r.kept.key) != resultstore.Completed {
 		t.Error("its result is durable, and not known")
 	}
 }
@@ -234,7 +234,7 @@
 	h, r := l.takes("a")
 	l.intend(h, r)
 	l.hears(t)
-	first := l.kept.book.Lookup(steadyMS(), r.kept.key)
+	first := l.kept.book.Lookup(bootTime(), r.kept.key)
 	for _, c := range []struct {
 		body         string
 		shed, failed uint64
@@ -245,7 +245,7 @@
 		if r.runCommand != 0 || r.run != runFinished || l.counters.Shed != c.shed || l.counters.Errored != c.failed {
 			t.Errorf("%s: sent as %d, %d shed, %d errored, expected %d, %d", c.body, r.runCommand, l.counters.Shed, l.counters.Errored, c.shed, c.failed)
 		}
-		if is := l.kept.book.Lookup(steadyMS(), r.kept.key); is != first || is != resultstore.Running {
+		if is := l.kept.book.Lookup(bootTime(), r.kept.key); is != first || is != resultstore.Running {
 			t.Errorf("%s: the one that runs is %s, expected it %s", c.body, is, first)
 		}
 	}
@@ -260,7 +260,7 @@
 func TestTenantsKeysAreApart(t *testing.T) {
 	l := keptLoop(t, &heldDisk{FS: wal.NewMem()})
 	leave := func(q *keptReq) {
-		l.kept.book.Begin(steadyMS(), q.key, q.body, 60_000)
+		l.kept.book.Begin(bootTime(), q.key, q.body, 60_000)
 	}
 	try := func(tenant, key string) resultstore.Verdict {
 		v, _ := l.keptTry(keptName("put", []byte(tenant), []byte(key), []byte("body")))
--- a/internal/node/server/kernel.go
+++ b/internal/node/server/kernel.go
@@ -234,9 +234,7 @@
 		r := l.nextRound()
 		r.TimerFired, r.HasGauges = true, true
 		r.Gauges = l.settings.Gauges(n.Gauges[:n.GaugeCount])
-		if l.fleet != nil {
-			l.fleet.meter.CoresSampled(steadyMS(), r.Gauges.Runnable)
-		}
+		l.fleet.coresSampled(r.Gauges.Runnable)
 	}
 }
 
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -39,7 +39,7 @@
 	stamps   *clock.Stamps
 
 	pools *pools.Pools // nil: none
-	fleet *fleetPart   // nil: the node serves alone
+	fleet *fleetAgent  // nil: the node serves alone
 	kept  *keptPart    // nil: results are kept in memory alone
 
 	startup     *Node // the start-up file
@@ -87,15 +87,24 @@
 // nextRound is the round that is being filled.
 func (l *loop) nextRound() *admission.Round { return &l.rounds[l.filling] }
 
-// logf writes a line, but only a few in a second.
-func (l *loop) logf(format string, args ...any) {
+// maxLogLines of one interval are written; more are counted.
+const maxLogLines = 20
+
+// mayLog counts a line, and tells whether it is to be written: only a few are in each interval.
+func (l *loop) mayLog() bool {
 	if l.now-l.logFrom >= l.limits.LogInterval {
-		if l.logged > 20 {
-			l.log.Warnf("%d more lines were left out", l.logged-20)
+		if l.logged > maxLogLines {
+			l.log.Warnf("%d more lines were left out", l.logged-maxLogLines)
 		}
 		l.logFrom, l.logged = l.now, 0
 	}
-	if l.logged++; l.logged <= 20 {
+	l.logged++
+	return l.logged <= maxLogLines
+}
+
+// logf writes a line that may come often.
+func (l *loop) logf(format string, args ...any) {
+	if l.mayLog() {
 		l.log.Infof(format, args...)
 	}
 }
@@ -187,7 +196,7 @@
 		select {
 		case e := <-l.events:
 			l.lookAtClock()
-			l.steer()
+			l.fleet.tick()
 			l.handle(e)
 		case <-l.timer.C:
 			l.lookAtClock()
@@ -196,7 +205,7 @@
 			l.handle(<-l.events)
 		}
 		l.fireTimers()
-		l.steer()
+		l.fleet.tick()
 		l.decide()
 	}
 	l.log.WithFields(l.fields()).WithField("kill_in_ms", milliseconds(l.answerBy+l.killMargin-max(l.now, timeOf(l.clock.Now())))).Info("counters")
@@ -246,7 +255,7 @@
 			l.drainTick()
 		case timerResultStore:
 			l.keptLate(d.subject)
-		case timerFleet: // whatever has come is seen by steer
+		case timerFleet: // whatever has come is seen by tick
 		}
 	}
 }
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -90,10 +90,8 @@
 	}
 	hd := &l.settings.Deployment.Handlers[i]
 	key := l.repeatKey(i, q)
-	if l.fleet != nil {
-		if s := l.refuses(i, q, key, a); s != 0 {
-			return s
-		}
+	if s := l.fleet.rejection(i, q, key, a); s != 0 {
+		return s
 	}
 	if hd.RetrySafety == admission.IdempotencyKeyed && l.idempotency.full(l.limits.EventsPerRound) && l.idempotency.find(key) == nil {
 		return 503 // it could not be told from its repeats
@@ -132,9 +130,7 @@
 		l.counters.Again++
 	}
 	l.trace(r, "came %.1f ms ago, handler %s, sender %d, again %v", milliseconds(l.now-came), name, q.Caller, q.IsRetry)
-	if l.fleet != nil {
-		l.fleet.meter.RequestAdmitted(steadyMS(), i, q.IsRetry)
-	}
+	l.fleet.requestAdmitted(i, q.IsRetry)
 	admit := admission.Request{ID: uint32(h), Handler: i, Tenant: tenant, ArrivedAt: came, Deadline: due,
 		ExpectedWork: admission.Time(q.ExpectedWorkMS * 10), SizeKB: q.FootprintKB, IsRetry: q.IsRetry, Caller: q.Caller}
 	if r.kept != nil {
@@ -180,9 +176,7 @@
 // admit has the module hear of a req in the next round.
 func (l *loop) submit(q *admission.Request) {
 	l.nextRound().Arrived = append(l.nextRound().Arrived, *q)
-	if l.fleet != nil {
-		l.fleet.rec.RecordArrival(l.now, q)
-	}
+	l.fleet.requestSubmitted(l.now, q)
 }
 
 // bad counts and logs what is no request for this server; it never comes before the module.
@@ -230,10 +224,8 @@
 	if r.abandoned {
 		return
 	}
-	if l.fleet != nil {
-		l.fleet.meter.RequestAnswered(steadyMS(), r.handler, a.Status,
-			l.now-r.arrival <= l.settings.Deployment.Handlers[r.handler].LatencyObjective)
-	}
+	l.fleet.requestAnswered(r.handler, a.Status,
+		l.now-r.arrival <= l.settings.Deployment.Handlers[r.handler].LatencyObjective)
 	if l.now > r.deadline {
 		l.counters.Late++
 	}
@@ -260,12 +252,7 @@
 	l.maybeFinished = append(l.maybeFinished, h)
 	l.nextRound().RunEnds = append(l.nextRound().RunEnds,
 		admission.RunEnd{ID: uint32(h), Outcome: how, Elapsed: admission.Time(ms * 10)})
-	if l.fleet != nil && (how == admission.Succeeded || how == admission.Failed) {
-		l.fleet.meter.RunEnded(steadyMS(), ms)
-	}
-	if l.fleet != nil && how == admission.Succeeded {
-		l.fleet.rec.RecordRun(uint32(h), admission.Time(ms*10))
-	}
+	l.fleet.runEnded(uint32(h), how, ms, admission.Time(ms*10))
 	ok := how == admission.Succeeded
 	if r.kept != nil {
 		var waits bool
@@ -419,7 +406,7 @@
 // Health has checks and the control plane told.
 func (l *loop) Health(good bool) {
 	l.moduleReady = good
-	l.ready = good && (l.fleet == nil || !l.fleet.fenced && !l.fleet.gate.Evacuated())
+	l.ready = good && l.fleet.takesTraffic()
 	l.discovery.ready = l.ready
 	l.sendReport()
 }
--- a/internal/node/server/store.go
+++ b/internal/node/server/store.go
@@ -84,9 +84,7 @@
 	}
 	*w = storeConnection{dialed: &dialed{peer: peerStore, storeConn: h, parser: s.parser}, lastUsed: l.now}
 	l.open(w.dialed, s.addr)
-	if l.fleet != nil {
-		l.fleet.meter.ConnectionOpened(steadyMS())
-	}
+	l.fleet.connectionOpened()
 	return h, w
 }
 
@@ -132,8 +130,8 @@
 	made := r.callState != callNone
 	l.endCall(h, r)
 	l.trace(r, "call ended %d after %.1f ms", how, milliseconds(l.now-r.callStarted))
-	if l.fleet != nil && made {
-		l.fleet.meter.CallEnded(steadyMS(), milliseconds(l.now-r.callStarted), how != admission.Succeeded)
+	if made {
+		l.fleet.callEnded(milliseconds(l.now-r.callStarted), how != admission.Succeeded)
 	}
 	switch how {
 	case admission.Succeeded:
@@ -168,8 +166,8 @@
 		l.counters.Dropped++
 		w.retired = true
 	}
-	if l.fleet != nil && r.callState != callNone {
-		l.fleet.meter.CallEnded(steadyMS(), milliseconds(l.now-r.callStarted), false)
+	if r.callState != callNone {
+		l.fleet.callEnded(milliseconds(l.now-r.callStarted), false)
 	}
 	l.endCall(h, r)
 }
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -357,11 +357,11 @@
 // nothing would look like one that nobody calls.
 func TestCallsGivenUp(t *testing.T) {
 	l := &loop{now: 5000, requests: newTable[request](8), limits: NewLimits(1, 64, 256),
-		fleet: &fleetPart{meter: zonegate.NewMeter(steadyMS(), []float64{1})}}
+		fleet: &fleetAgent{meter: zonegate.NewMeter(bootTime(), []float64{1})}}
 	r := &request{callState: callSent, callStarted: 2000}
 	l.cancelCall(1, r)
 	l.cancelCall(1, r) // there is none any more
-	if got := l.fleet.meter.Report(steadyMS(), true, 1, 0); got.Calls != 1 || got.MeanCallMS != 300 || got.FailedCalls != 0 {
+	if got := l.fleet.meter.Report(bootTime(), true, 1, 0); got.Calls != 1 || got.MeanCallMS != 300 || got.FailedCalls != 0 {
 		t.Errorf("%d calls, %.0f ms, %d bad, expected one of 300 ms that is not known to be bad", got.Calls, got.MeanCallMS, got.FailedCalls)
 	}
 }
