--- a/internal/node/pools/pools.go
+++ b/internal/node/pools/pools.go
@@ -23,29 +23,29 @@
 // a growth, so that two classes that press each other come to rest under what both want and not over it;
 // growth by a tenth has a class back at twice its limit within four seconds.
 const (
-	lookEvery = Second / 2
-	cutTo     = 0.85
-	growBy    = 0.1
+	adjustInterval = Second / 2
+	cutFactor      = 0.85
+	growthFactor   = 0.1
 	// suffers is the share of a class's recent reqs that were shed or late from which it counts as suffering:
 	// one in twenty, what the reserve is to keep the cheapest class under.
-	suffers = 0.05
-	// underDue is how far a class has to be under its due for that: one that has its due suffers by its own
+	sufferingFraction = 0.05
+	// sufferingShortfall is how far a class has to be under its due for that: one that has its due suffers by its own
 	// excess.
-	underDue = 0.1
-	// heavyTimes is how often its class's usual work a run has used when it counts as heavy. Five is past what a
+	sufferingShortfall = 0.1
+	// heavyFactor is how often its class's usual work a run has used when it counts as heavy. Five is past what a
 	// class with an even spread shows (an exponential one has under one in thirty), and short of the tenfold
 	// that hurts.
-	heavyTimes = 5
-	enough     = 20 // runs of a class from which its usual work is known
+	heavyFactor = 5
+	minSamples  = 20 // runs of a class from which its usual work is known
 	// bunches is what a class needs over its mean: at three quarters of its slots in use few of its reqs wait
 	// long.
-	bunches     = 1.3
-	heavyPart   = 0.2  // of the slots go to heavy runs before they count as their class's own
-	reservePart = 0.25 // of the slots the reserve is at most
-	// A class gets the reserve with under holdsOn of the work of the next, and loses it over letsGo: measured
+	burstFactor     = 1.3
+	heavyFraction   = 0.2  // of the slots go to heavy runs before they count as their class's own
+	reserveFraction = 0.25 // of the slots the reserve is at most
+	// A class gets the reserve with under reserveGainRatio of the work of the next, and loses it over reserveLossRatio: measured
 	// work differs by a few in 100 from look to look. Among classes alike there is none.
-	holdsOn = 0.7
-	letsGo  = 0.85
+	reserveGainRatio = 0.7
+	reserveLossRatio = 0.85
 )
 
 // Class is what the operator says of one class, in shares of the run slots. The zero value has no floor and
@@ -67,116 +67,116 @@
 }
 
 // state is one class.
-type state struct {
+type classState struct {
 	Class
-	cost     aged
-	usual    float64 // median work lately, kept while nothing runs
-	high     float64 // 95th
-	mean     float64
-	limit    float64 // slots; infinite while nothing presses
-	entitled float64 // slots that are its by value and need
-	use      float64 // slots its work held lately, less that of the heavy
-	wants    bool    // more than that: it alone is limited
-	running  int     // of its slots, less its heavy runs that the heavy pool takes
-	held     int
-	heavy    int
-	came     counter // reqs read, and those shed or late
-	bad      counter
-	worked   counter // work that ended
-	lent     int     // runs started past its limit, as nobody else wanted the slot
-	why      string
-	lap      Time // how long its last one to start had waited
-	shed     uint64
-	tenants  parts
-	senders  parts
+	work             workHistory
+	medianWork       float64 // median work lately, kept while nothing runs
+	p95Work          float64 // 95th
+	meanWork         float64
+	limit            float64 // slots; infinite while nothing presses
+	fairSlots        float64 // slots that are its by value and need
+	usedSlots        float64 // slots its work held lately, less that of the heavy
+	wantsMore        bool    // more than that: it alone is limited
+	running          int     // of its slots, less its heavy runs that the heavy pool takes
+	queued           int
+	heavyRuns        int
+	arrivals         recentSum // reqs read, and those shed or late
+	missed           recentSum
+	workDone         recentSum // work that ended
+	startedOverLimit int       // runs started past its limit, as nobody else wanted the slot
+	reason           string
+	lastDelay        Time // how long its last one to start had waited
+	shed             uint64
+	byTenant         usage
+	byCaller         usage
 }
 
 // parts count what each of some has running and held in a class.
-type parts struct{ running, held []int }
+type usage struct{ running, queued []int }
 
-func newParts(n int) parts { return parts{make([]int, n), make([]int, n)} }
+func newUsage(n int) usage { return usage{make([]int, n), make([]int, n)} }
 
 // senders are told apart by a sum of their number, since callers are many and come and go: two that share a bucket
 // share its part.
-const senders = 64
+const callerBuckets = 64
 
-func bucket(caller uint32) int {
+func callerBucket(caller uint32) int {
 	var raw [4]byte
 	binary.LittleEndian.PutUint32(raw[:], caller)
-	return int(crc32.ChecksumIEEE(raw[:]) % senders)
+	return int(crc32.ChecksumIEEE(raw[:]) % callerBuckets)
 }
 
 // waiter is a held req.
-type waiter struct{ class, tenant, sender int }
+type owner struct{ class, tenant, caller int }
 
 // counter sums over four seconds.
-type counter struct {
-	slot int64
-	at   [ringSteps]float64
-	sum  float64
+type recentSum struct {
+	slot    int64
+	buckets [historySteps]float64
+	sum     float64
 }
 
-func (c *counter) add(now Time, v float64) {
+func (c *recentSum) add(now Time, v float64) {
 	c.roll(now)
-	c.at[c.slot%ringSteps] += v
+	c.buckets[c.slot%historySteps] += v
 	c.sum += v
 }
 
-func (c *counter) roll(now Time) float64 {
-	slot := int64(now / ringStep)
-	if c.slot == 0 || slot-c.slot >= ringSteps {
-		*c = counter{slot: slot}
+func (c *recentSum) roll(now Time) float64 {
+	slot := int64(now / historyStep)
+	if c.slot == 0 || slot-c.slot >= historySteps {
+		*c = recentSum{slot: slot}
 	}
 	for c.slot < slot {
 		c.slot++
-		c.sum -= c.at[c.slot%ringSteps]
-		c.at[c.slot%ringSteps] = 0
+		c.sum -= c.buckets[c.slot%historySteps]
+		c.buckets[c.slot%historySteps] = 0
 	}
 	return c.sum
 }
 
 // rate is the sum a second, over the seven steps that are whole and what the last one has so far.
-func (c *counter) rate(now Time) float64 {
-	span := (ringSteps-1)*ringStep + now%ringStep
+func (c *recentSum) rate(now Time) float64 {
+	span := (historySteps-1)*historyStep + now%historyStep
 	return c.roll(now) * float64(Second) / float64(span)
 }
 
 // run is one run slot in use.
 type run struct {
-	waiter
-	since Time // it went on, after its start or a call
-	used  Time
-	away  bool // at a call
-	heavy bool
+	owner
+	resumedAt Time // it went on, after its start or a call
+	work      Time
+	atCall    bool // at a call
+	heavy     bool
 }
 
 // Pools decide for one server.
 type Pools struct {
-	plan    Plan
-	c       []state
-	held    map[uint32]waiter
-	runs    map[uint32]*run
-	free    []*run
-	order   []uint32 // ids of runs in the order of their starts: never ranged over by the map
-	slots   int
-	heavy   int
-	heavyBy []int // by tenant
-	looked  Time
-	cheap   int // class that has the reserve, -1 for none
-	reserve int // slots it takes first
-	changes []string
+	plan          Plan
+	classes       []classState
+	queued        map[uint32]owner
+	runs          map[uint32]*run
+	freeRuns      []*run
+	runOrder      []uint32 // ids of runs in the order of their starts: never ranged over by the map
+	slots         int
+	heavyRuns     int
+	heavyByTenant []int // by tenant
+	adjustedAt    Time
+	reserveClass  int // class that has the reserve, -1 for none
+	reserveSlots  int // slots it takes first
+	changes       []string
 }
 
 // New readies pools.
 func New(p Plan) *Pools {
-	o := &Pools{plan: p, runs: map[uint32]*run{}, held: map[uint32]waiter{}, cheap: -1, slots: 1, heavyBy: make([]int, max(1, p.Tenants))}
+	o := &Pools{plan: p, runs: map[uint32]*run{}, queued: map[uint32]owner{}, reserveClass: -1, slots: 1, heavyByTenant: make([]int, max(1, p.Tenants))}
 	for _, c := range p.Classes {
-		s := state{Class: c, limit: math.Inf(1), why: "room", tenants: newParts(max(1, p.Tenants)),
-			senders: newParts(senders)}
+		s := classState{Class: c, limit: math.Inf(1), reason: "room", byTenant: newUsage(max(1, p.Tenants)),
+			byCaller: newUsage(callerBuckets)}
 		if s.Value <= 0 {
 			s.Value = 1
 		}
-		o.c = append(o.c, s)
+		o.classes = append(o.classes, s)
 	}
 	return o
 }
@@ -187,64 +187,64 @@
 	p.Tenants = o.plan.Tenants
 	o.plan = p
 	for k := range p.Classes {
-		s := &o.c[k]
+		s := &o.classes[k]
 		value := s.Value
 		s.Class = p.Classes[k]
 		if s.Value <= 0 {
 			s.Value = value
 		}
 		if !s.FixedLimit {
-			s.limit, s.why = math.Inf(1), "room"
+			s.limit, s.reason = math.Inf(1), "room"
 		}
 	}
 	if !p.Reserve {
-		o.cheap, o.reserve = -1, 0
+		o.reserveClass, o.reserveSlots = -1, 0
 	}
-	o.looked = 0
+	o.adjustedAt = 0
 }
 
 // Enqueued tells of a req that joins the hold.
 func (o *Pools) Enqueued(now Time, q *admission.Request) {
-	w := waiter{q.Handler, 0, bucket(q.Caller)}
-	s := &o.c[w.class]
-	if q.Tenant > 0 && q.Tenant < len(s.tenants.held) {
+	w := owner{q.Handler, 0, callerBucket(q.Caller)}
+	s := &o.classes[w.class]
+	if q.Tenant > 0 && q.Tenant < len(s.byTenant.queued) {
 		w.tenant = q.Tenant
 	}
-	o.held[q.ID] = w
-	s.held++
-	s.tenants.held[w.tenant]++
-	s.senders.held[w.sender]++
-	s.came.add(now, 1)
+	o.queued[q.ID] = w
+	s.queued++
+	s.byTenant.queued[w.tenant]++
+	s.byCaller.queued[w.caller]++
+	s.arrivals.add(now, 1)
 }
 
 // Dequeued tells of a held req that leaves the hold without a run: shed, gone, or answered by another's result.
 func (o *Pools) Dequeued(now Time, id uint32, shed bool) {
-	s := o.unhold(id)
+	s := o.unqueue(id)
 	if s != nil && shed {
-		s.bad.add(now, 1)
+		s.missed.add(now, 1)
 		s.shed++
 	}
 }
 
 // unhold takes a req out of what is held and gives its class.
-func (o *Pools) unhold(id uint32) *state {
-	w, ok := o.held[id]
+func (o *Pools) unqueue(id uint32) *classState {
+	w, ok := o.queued[id]
 	if !ok {
 		return nil
 	}
-	delete(o.held, id)
-	s := &o.c[w.class]
-	s.held--
-	s.tenants.held[w.tenant]--
-	s.senders.held[w.sender]--
+	delete(o.queued, id)
+	s := &o.classes[w.class]
+	s.queued--
+	s.byTenant.queued[w.tenant]--
+	s.byCaller.queued[w.caller]--
 	return s
 }
 
 // Rejected tells of a req that was shed before it joined the hold.
 func (o *Pools) Rejected(now Time, class int) {
-	s := &o.c[class]
-	s.came.add(now, 1)
-	s.bad.add(now, 1)
+	s := &o.classes[class]
+	s.arrivals.add(now, 1)
+	s.missed.add(now, 1)
 	s.shed++
 }
 
@@ -252,49 +252,49 @@
 // room; past that only where nobody with room waits. The reserve's class goes before all others while it
 // waits and has less than the reserve.
 func (o *Pools) CanStart(id uint32) bool {
-	w, ok := o.held[id]
+	w, ok := o.queued[id]
 	if o.plan.Disabled || !ok {
 		return true
 	}
-	s := &o.c[w.class]
-	if o.cheap >= 0 && w.class != o.cheap {
-		if r := &o.c[o.cheap]; r.held > 0 && r.running < o.reserve {
+	s := &o.classes[w.class]
+	if o.reserveClass >= 0 && w.class != o.reserveClass {
+		if r := &o.classes[o.reserveClass]; r.queued > 0 && r.running < o.reserveSlots {
 			return false
 		}
 	}
-	if o.crowds(s, w) {
+	if o.crowdsOut(s, w) {
 		return false
 	}
-	if o.room(s) {
+	if o.hasRoom(s) {
 		return true
 	}
 	if s.Cap > 0 && float64(s.running) >= s.Cap*float64(o.slots) {
 		return false // a cap is the operator's word, also where a slot would idle
 	}
-	for k := range o.c {
-		if other := &o.c[k]; other != s && other.held > 0 && o.room(other) {
+	for k := range o.classes {
+		if other := &o.classes[k]; other != s && other.queued > 0 && o.hasRoom(other) {
 			return false
 		}
 	}
 	return true
 }
 
-func (o *Pools) room(s *state) bool {
-	return float64(s.running) < max(1, math.Floor(min(s.limit, o.most(s))+1e-9))
+func (o *Pools) hasRoom(s *classState) bool {
+	return float64(s.running) < max(1, math.Floor(min(s.limit, o.capSlots(s))+1e-9))
 }
 
 // crowds tells whether a tenant, or a sender, holds more than half of a limited class's slots while others of the
 // class wait: what is beyond its share goes last.
-func (o *Pools) crowds(s *state, w waiter) bool {
+func (o *Pools) crowdsOut(s *classState, w owner) bool {
 	if math.IsInf(s.limit, 1) {
 		return false
 	}
 	half := max(1, int(s.limit/2))
-	return s.tenants.running[w.tenant] >= half && s.held > s.tenants.held[w.tenant] ||
-		s.senders.running[w.sender] >= half && s.held > s.senders.held[w.sender]
+	return s.byTenant.running[w.tenant] >= half && s.queued > s.byTenant.queued[w.tenant] ||
+		s.byCaller.running[w.caller] >= half && s.queued > s.byCaller.queued[w.caller]
 }
 
-func (o *Pools) most(s *state) float64 {
+func (o *Pools) capSlots(s *classState) float64 {
 	if s.Cap > 0 {
 		return s.Cap * float64(o.slots)
 	}
@@ -303,39 +303,39 @@
 
 // Started tells of a held req that took a slot.
 func (o *Pools) Started(now Time, id uint32, waited Time) {
-	w := o.held[id]
-	s := o.unhold(id)
+	w := o.queued[id]
+	s := o.unqueue(id)
 	if s == nil {
 		return
 	}
-	if !o.room(s) {
-		s.lent++
+	if !o.hasRoom(s) {
+		s.startedOverLimit++
 	}
-	s.tenants.running[w.tenant]++
-	s.senders.running[w.sender]++
+	s.byTenant.running[w.tenant]++
+	s.byCaller.running[w.caller]++
 	s.running++
-	s.lap = waited
+	s.lastDelay = waited
 	var r *run
-	if n := len(o.free); n > 0 {
-		r, o.free = o.free[n-1], o.free[:n-1]
+	if n := len(o.freeRuns); n > 0 {
+		r, o.freeRuns = o.freeRuns[n-1], o.freeRuns[:n-1]
 	} else {
 		r = new(run)
 	}
-	*r = run{waiter: w, since: now}
+	*r = run{owner: w, resumedAt: now}
 	o.runs[id] = r
-	o.order = append(o.order, id)
+	o.runOrder = append(o.runOrder, id)
 }
 
 // SetAtCall tells that a run stands at a call, or goes on after one: its time there is no work.
 func (o *Pools) SetAtCall(now Time, id uint32, away bool) {
 	r := o.runs[id]
-	if r == nil || r.away == away {
+	if r == nil || r.atCall == away {
 		return
 	}
 	if away {
-		r.used += now - r.since
+		r.work += now - r.resumedAt
 	}
-	r.since, r.away = now, away
+	r.resumedAt, r.atCall = now, away
 }
 
 // Ended tells of a run's end: its slot is free. done tells whether it came to a result, inTime whether within
@@ -345,123 +345,123 @@
 	if r == nil {
 		return
 	}
-	s := &o.c[r.class]
-	work := float64(o.used(now, r))
+	s := &o.classes[r.class]
+	work := float64(o.workOf(now, r))
 	if done { // a run that was stopped or hung tells nothing of what its class costs
-		s.cost.add(now, work)
+		s.work.add(now, work)
 	}
 	if !r.heavy {
-		s.worked.add(now, work)
+		s.workDone.add(now, work)
 	}
 	if !inTime {
-		s.bad.add(now, 1)
+		s.missed.add(now, 1)
 	}
 	if r.heavy {
-		s.heavy--
-		o.heavy--
-		o.heavyBy[r.tenant]--
+		s.heavyRuns--
+		o.heavyRuns--
+		o.heavyByTenant[r.tenant]--
 	} else {
 		s.running--
 	}
-	s.tenants.running[r.tenant]--
-	s.senders.running[r.sender]--
+	s.byTenant.running[r.tenant]--
+	s.byCaller.running[r.caller]--
 	delete(o.runs, id)
-	for k, other := range o.order {
+	for k, other := range o.runOrder {
 		if other == id {
-			o.order = append(o.order[:k], o.order[k+1:]...)
+			o.runOrder = append(o.runOrder[:k], o.runOrder[k+1:]...)
 			break
 		}
 	}
-	o.free = append(o.free, r)
+	o.freeRuns = append(o.freeRuns, r)
 }
 
-func (o *Pools) used(now Time, r *run) Time {
-	if r.away {
-		return r.used
+func (o *Pools) workOf(now Time, r *run) Time {
+	if r.atCall {
+		return r.work
 	}
-	return r.used + now - r.since
+	return r.work + now - r.resumedAt
 }
 
 // Tick looks at the time that has gone by: heavy runs move to their pool at each, limits twice a second.
 // slots is how many runs the module has room for.
 func (o *Pools) Tick(now Time, slots int) {
 	o.slots = max(1, slots)
-	o.weigh(now)
-	if now-o.looked < lookEvery {
+	o.separateHeavy(now)
+	if now-o.adjustedAt < adjustInterval {
 		return
 	}
-	o.looked = now
-	for k := range o.c {
-		s := &o.c[k]
-		all := s.cost.all(now)
-		if all.n >= enough || s.usual == 0 && all.n > 0 {
-			s.usual, s.high = all.quantile(0.5), all.quantile(0.95)
+	o.adjustedAt = now
+	for k := range o.classes {
+		s := &o.classes[k]
+		all := s.work.merged(now)
+		if all.n >= minSamples || s.medianWork == 0 && all.n > 0 {
+			s.medianWork, s.p95Work = all.quantile(0.5), all.quantile(0.95)
 		}
 	}
-	o.entitle(now)
-	o.move(now)
-	o.keep(now)
+	o.divideSlots(now)
+	o.adjustLimits(now)
+	o.chooseReserve(now)
 }
 
 // weigh moves runs that have used several times their class's usual work to the pool of the heavy, as far as
 // that has room, and for one of several tenants up to half of it; what it has no room for stays its class's own.
-func (o *Pools) weigh(now Time) {
-	room := max(1, int(heavyPart*float64(o.slots)))
+func (o *Pools) separateHeavy(now Time) {
+	room := max(1, int(heavyFraction*float64(o.slots)))
 	each := room
-	if len(o.heavyBy) > 1 {
+	if len(o.heavyByTenant) > 1 {
 		each = max(1, room/2)
 	}
-	for _, id := range o.order {
+	for _, id := range o.runOrder {
 		r := o.runs[id]
-		s := &o.c[r.class]
-		if r.heavy || s.usual == 0 || o.heavy >= room || float64(o.used(now, r)) < heavyTimes*s.usual {
+		s := &o.classes[r.class]
+		if r.heavy || s.medianWork == 0 || o.heavyRuns >= room || float64(o.workOf(now, r)) < heavyFactor*s.medianWork {
 			continue
 		}
-		if o.heavyBy[r.tenant] >= each {
+		if o.heavyByTenant[r.tenant] >= each {
 			continue
 		}
 		r.heavy = true
-		s.heavy++
-		o.heavy++
-		o.heavyBy[r.tenant]++
+		s.heavyRuns++
+		o.heavyRuns++
+		o.heavyByTenant[r.tenant]++
 		s.running--
 	}
 }
 
 // weight is what a class earns for its work: by it the slots are split where they don't do for all.
-func (s *state) weight() float64 { return s.Value / max(s.mean, 1) }
+func (s *classState) valueDensity() float64 { return s.Value / max(s.meanWork, 1) }
 
 // entitle splits the slots: each class gets what its recent work needs, and where that is more than there is,
 // the classes that need least for what they earn are filled first, none past its need.
-func (o *Pools) entitle(now Time) {
+func (o *Pools) divideSlots(now Time) {
 	// What a class needs is the slots its arrivals would hold: their number a second times the work of one.
-	need := make([]float64, len(o.c))
-	for k := range o.c {
-		s := &o.c[k]
-		n := s.came.rate(now)
-		mean := s.usual
-		if ends := s.cost.all(now); ends.n > 0 {
-			mean = max(mean, s.worked.roll(now)/float64(ends.n))
+	need := make([]float64, len(o.classes))
+	for k := range o.classes {
+		s := &o.classes[k]
+		n := s.arrivals.rate(now)
+		mean := s.medianWork
+		if ends := s.work.merged(now); ends.n > 0 {
+			mean = max(mean, s.workDone.roll(now)/float64(ends.n))
 		}
-		s.mean = mean
-		need[k] = bunches * n * mean / float64(Second)
+		s.meanWork = mean
+		need[k] = burstFactor * n * mean / float64(Second)
 	}
-	left, open := float64(o.slots), len(o.c)
-	done := make([]bool, len(o.c))
-	for k := range o.c {
-		o.c[k].entitled, o.c[k].wants = 0, false
+	left, open := float64(o.slots), len(o.classes)
+	done := make([]bool, len(o.classes))
+	for k := range o.classes {
+		o.classes[k].fairSlots, o.classes[k].wantsMore = 0, false
 	}
 	for open > 0 && left > 1e-9 {
 		weights := 0.0
-		for k := range o.c {
+		for k := range o.classes {
 			if !done[k] {
-				weights += o.c[k].weight()
+				weights += o.classes[k].valueDensity()
 			}
 		}
 		filled := false
-		for k := range o.c {
-			if share := left * o.c[k].weight() / weights; !done[k] && need[k] <= share {
-				o.c[k].entitled = need[k]
+		for k := range o.classes {
+			if share := left * o.classes[k].valueDensity() / weights; !done[k] && need[k] <= share {
+				o.classes[k].fairSlots = need[k]
 				done[k], filled = true, true
 				left -= need[k]
 				open--
@@ -471,9 +471,9 @@
 		if filled {
 			continue
 		}
-		for k := range o.c {
+		for k := range o.classes {
 			if !done[k] {
-				o.c[k].entitled, o.c[k].wants = left*o.c[k].weight()/weights, true
+				o.classes[k].fairSlots, o.classes[k].wantsMore = left*o.classes[k].valueDensity()/weights, true
 			}
 		}
 		break
@@ -483,63 +483,63 @@
 // move cuts the class that is furthest over its due while another suffers that has less than its own. A class
 // that needs no more than its due is never limited. Growth ends at the due while all want more than there is:
 // to grow past it and be cut again would have the others suffer each time.
-func (o *Pools) move(now Time) {
+func (o *Pools) adjustLimits(now Time) {
 	// Half a slot over, by the mean of four seconds: what runs at a moment swings by several.
 	suffer, worst, least, over := -1, -1, math.Inf(1), 0.5
-	for k := range o.c {
-		s := &o.c[k]
-		came, bad := s.came.roll(now), s.bad.roll(now)
-		s.use = s.worked.rate(now) / float64(Second)
-		by := s.use - max(s.entitled, s.Floor*float64(o.slots), 1)
-		if came >= 4 && bad > suffers*came && by < min(least, -underDue*s.entitled) {
+	for k := range o.classes {
+		s := &o.classes[k]
+		came, bad := s.arrivals.roll(now), s.missed.roll(now)
+		s.usedSlots = s.workDone.rate(now) / float64(Second)
+		by := s.usedSlots - max(s.fairSlots, s.Floor*float64(o.slots), 1)
+		if came >= 4 && bad > sufferingFraction*came && by < min(least, -sufferingShortfall*s.fairSlots) {
 			suffer, least = k, by
 		}
-		if !s.FixedLimit && s.wants && by > over {
+		if !s.FixedLimit && s.wantsMore && by > over {
 			worst, over = k, by
 		}
 	}
 	if suffer == worst {
 		worst = -1
 	}
-	for k := range o.c {
-		s := &o.c[k]
+	for k := range o.classes {
+		s := &o.classes[k]
 		floor, most := max(1, s.Floor*float64(o.slots)), float64(o.slots)
 		if s.Cap > 0 {
 			most = min(most, s.Cap*float64(o.slots))
 		}
 		switch {
 		case s.FixedLimit:
-			o.set(s, most, "fixed")
+			o.setLimit(s, most, "fixed")
 		case suffer >= 0 && k == worst:
-			o.set(s, max(floor, min(s.limit, s.use)*cutTo, s.entitled), "cut: "+o.c[suffer].Name+" suffers")
+			o.setLimit(s, max(floor, min(s.limit, s.usedSlots)*cutFactor, s.fairSlots), "cut: "+o.classes[suffer].Name+" suffers")
 		case math.IsInf(s.limit, 1):
 		case s.limit >= most:
-			o.set(s, math.Inf(1), "room")
-		case s.wants && s.limit >= s.entitled && suffer >= 0 && k != suffer:
-			o.set(s, s.limit, "its due, while all want more than there is")
-		case suffer < 0 || !s.wants || k == suffer:
-			o.set(s, s.limit+max(1, growBy*s.limit), "grows")
+			o.setLimit(s, math.Inf(1), "room")
+		case s.wantsMore && s.limit >= s.fairSlots && suffer >= 0 && k != suffer:
+			o.setLimit(s, s.limit, "its due, while all want more than there is")
+		case suffer < 0 || !s.wantsMore || k == suffer:
+			o.setLimit(s, s.limit+max(1, growthFactor*s.limit), "grows")
 		}
 	}
 }
 
 // set moves a limit; a change by a whole slot or of its cause is told.
-func (o *Pools) set(s *state, limit float64, why string) {
-	if math.Floor(limit) != math.Floor(s.limit) && why != s.why && len(o.changes) < 16 {
+func (o *Pools) setLimit(s *classState, limit float64, why string) {
+	if math.Floor(limit) != math.Floor(s.limit) && why != s.reason && len(o.changes) < 16 {
 		o.changes = append(o.changes, fmt.Sprintf("pool %s: limit %.0f of %d, was %.0f: %s", s.Name, limit, o.slots,
 			s.limit, why))
 	}
-	s.limit, s.why = limit, why
+	s.limit, s.reason = limit, why
 }
 
 // keep gives the reserve to the class with the least usual work, and sizes it by what that class needs.
-func (o *Pools) keep(now Time) {
+func (o *Pools) chooseReserve(now Time) {
 	if !o.plan.Reserve {
 		return
 	}
 	best, least, second := -1, math.Inf(1), math.Inf(1)
-	for k := range o.c {
-		switch u := o.c[k].usual; {
+	for k := range o.classes {
+		switch u := o.classes[k].medianWork; {
 		case u == 0:
 		case u < least:
 			best, least, second = k, u, least
@@ -548,32 +548,32 @@
 		}
 	}
 	// It takes clearly less work than any other's to get it, and less of a distance to keep it.
-	apart := holdsOn
-	if best == o.cheap {
-		apart = letsGo
+	apart := reserveGainRatio
+	if best == o.reserveClass {
+		apart = reserveLossRatio
 	}
 	if best < 0 || least > apart*second {
-		o.cheap, o.reserve = -1, 0
+		o.reserveClass, o.reserveSlots = -1, 0
 		return
 	}
-	if best != o.cheap && len(o.changes) < 16 {
-		o.changes = append(o.changes, fmt.Sprintf("reserve: %s has it, with %.1f ms of work a req", o.c[best].Name,
-			o.c[best].usual/10))
+	if best != o.reserveClass && len(o.changes) < 16 {
+		o.changes = append(o.changes, fmt.Sprintf("reserve: %s has it, with %.1f ms of work a req", o.classes[best].Name,
+			o.classes[best].medianWork/10))
 	}
-	o.cheap = best
-	s := &o.c[best]
-	n := s.came.rate(now)
+	o.reserveClass = best
+	s := &o.classes[best]
+	n := s.arrivals.rate(now)
 	// Twice what it needs in the mean: arrivals bunch.
-	o.reserve = max(1, min(int(math.Ceil(2*n*s.high/float64(Second))), int(reservePart*float64(o.slots))))
+	o.reserveSlots = max(1, min(int(math.Ceil(2*n*s.p95Work/float64(Second))), int(reserveFraction*float64(o.slots))))
 }
 
 // QueueDelay is how long a limited class's waiting is at the moment, by the last of it to start; 0 while it has no
 // limit.
 func (o *Pools) QueueDelay(class int) Time {
-	if o.plan.Disabled || math.IsInf(o.c[class].limit, 1) {
+	if o.plan.Disabled || math.IsInf(o.classes[class].limit, 1) {
 		return 0
 	}
-	return o.c[class].lap
+	return o.classes[class].lastDelay
 }
 
 // ClassStatus is one class for operators.
@@ -594,13 +594,13 @@
 
 // Status gives all classes in order.
 func (o *Pools) Status() []ClassStatus {
-	out := make([]ClassStatus, len(o.c))
-	for k := range o.c {
-		s := &o.c[k]
-		out[k] = ClassStatus{Name: s.Name, Limit: s.limit, Reason: s.why, Running: s.running, Heavy: s.heavy, Queued: s.held,
-			Shed: s.shed, StartedOverLimit: s.lent, MedianWork: s.usual, P95Work: s.high, Entitled: s.entitled}
-		if k == o.cheap {
-			out[k].Reserve = o.reserve
+	out := make([]ClassStatus, len(o.classes))
+	for k := range o.classes {
+		s := &o.classes[k]
+		out[k] = ClassStatus{Name: s.Name, Limit: s.limit, Reason: s.reason, Running: s.running, Heavy: s.heavyRuns, Queued: s.queued,
+			Shed: s.shed, StartedOverLimit: s.startedOverLimit, MedianWork: s.medianWork, P95Work: s.p95Work, Entitled: s.fairSlots}
+		if k == o.reserveClass {
+			out[k].Reserve = o.reserveSlots
 		}
 	}
 	return out
--- a/internal/node/pools/pools_test.go
+++ b/internal/node/pools/pools_test.go
@@ -46,7 +46,7 @@
 // bed drives pools of a server whose runs are its own: what May lets start, ends after its work.
 type bed struct {
 	t     *testing.T
-	o     *Pools
+	pools *Pools
 	now   Time
 	slots int
 	next  uint32
@@ -76,7 +76,7 @@
 
 func newBed(t *testing.T, slots int, p Plan) *bed {
 	n := len(p.Classes)
-	return &bed{t: t, o: New(p), slots: slots, runs: map[uint32]*bedRun{}, done: make([]int, n),
+	return &bed{t: t, pools: New(p), slots: slots, runs: map[uint32]*bedRun{}, done: make([]int, n),
 		late: make([]int, n),
 		shed: make([]int, n), waits: make([][]Time, n), r: rand.New(rand.NewSource(3))}
 }
@@ -85,7 +85,7 @@
 
 func (b *bed) from(class, tenant int, caller uint32) {
 	b.next++
-	b.o.Enqueued(b.now, &admission.Request{ID: b.next, Handler: class, Tenant: tenant, Caller: caller})
+	b.pools.Enqueued(b.now, &admission.Request{ID: b.next, Handler: class, Tenant: tenant, Caller: caller})
 	b.held = append(b.held, held{b.next, class})
 	b.since = append(b.since, b.now)
 }
@@ -97,7 +97,7 @@
 	for k := 0; k < len(b.order); k++ {
 		id := b.order[k]
 		if r := b.runs[id]; r.ends <= b.now {
-			b.o.Ended(b.now, id, true, b.now-r.came <= Second)
+			b.pools.Ended(b.now, id, true, b.now-r.came <= Second)
 			b.done[r.class]++
 			if b.now-r.came > Second {
 				b.late[r.class]++
@@ -109,21 +109,21 @@
 	}
 	for k := 0; k < len(b.held); k++ {
 		if b.now-b.since[k] > bound {
-			b.o.Dequeued(b.now, b.held[k].id, true)
+			b.pools.Dequeued(b.now, b.held[k].id, true)
 			b.shed[b.held[k].class]++
 			b.drop(k)
 			k--
 		}
 	}
-	b.o.Tick(b.now, b.slots)
+	b.pools.Tick(b.now, b.slots)
 	for k := 0; k < len(b.held) && len(b.order) < b.slots; {
 		id, class := b.held[k].id, b.held[k].class
-		if !b.o.CanStart(id) {
+		if !b.pools.CanStart(id) {
 			k++
 			continue
 		}
 		wait := b.now - b.since[k]
-		b.o.Started(b.now, id, wait)
+		b.pools.Started(b.now, id, wait)
 		b.waits[class] = append(b.waits[class], wait)
 		b.runs[id] = &bedRun{class, b.now + work(class), b.since[k]}
 		b.order = append(b.order, id)
@@ -131,15 +131,15 @@
 		k = 0
 	}
 	running, held := 0, 0
-	for k := range b.o.c {
-		s := &b.o.c[k]
-		running += s.running + s.heavy
-		held += s.held
-		if s.running < 0 || s.held < 0 || s.heavy < 0 {
-			b.t.Fatalf("class %d: %d running, %d heavy, %d held", k, s.running, s.heavy, s.held)
+	for k := range b.pools.classes {
+		s := &b.pools.classes[k]
+		running += s.running + s.heavyRuns
+		held += s.queued
+		if s.running < 0 || s.queued < 0 || s.heavyRuns < 0 {
+			b.t.Fatalf("class %d: %d running, %d heavy, %d held", k, s.running, s.heavyRuns, s.queued)
 		}
 	}
-	if running != len(b.order) || held != len(b.held) || len(b.o.runs) != running {
+	if running != len(b.order) || held != len(b.held) || len(b.pools.runs) != running {
 		b.t.Fatalf("pools know of %d running and %d held, expected %d and %d", running, held, len(b.order),
 			len(b.held))
 	}
@@ -183,10 +183,10 @@
 	for _, with := range []bool{true, false} {
 		b := newBed(t, 12, cheapAndDear)
 		if !with {
-			b.o.plan.Reserve = false
-			for k := range b.o.c {
-				b.o.c[k].FixedLimit = true
-				b.o.c[k].limit = math.Inf(1)
+			b.pools.plan.Reserve = false
+			for k := range b.pools.classes {
+				b.pools.classes[k].FixedLimit = true
+				b.pools.classes[k].limit = math.Inf(1)
 			}
 		}
 		b.load(10, []float64{60, 36}, work)
@@ -212,15 +212,15 @@
 	work := fixed(100, 400)
 	b.load(10, []float64{40, 36}, work)
 	b.load(30, []float64{40, 36}, work)
-	if b.good(0) < 0.93 || b.o.c[1].limit > 9 {
-		t.Errorf("mid: %.3f in time, dear limited to %.1f, expected 0.93 and 9 at most", b.good(0), b.o.c[1].limit)
+	if b.good(0) < 0.93 || b.pools.classes[1].limit > 9 {
+		t.Errorf("mid: %.3f in time, dear limited to %.1f, expected 0.93 and 9 at most", b.good(0), b.pools.classes[1].limit)
 	}
-	if v := b.o.Status()[1]; !strings.HasPrefix(v.Reason, "cut: mid") && !strings.HasPrefix(v.Reason, "its due") {
+	if v := b.pools.Status()[1]; !strings.HasPrefix(v.Reason, "cut: mid") && !strings.HasPrefix(v.Reason, "its due") {
 		t.Errorf("why %q", v.Reason)
 	}
 	b.load(20, []float64{40, 10}, work) // over: all have room again
-	if !math.IsInf(b.o.c[1].limit, 1) || b.o.QueueDelay(1) != 0 {
-		t.Errorf("dear is still limited to %.1f when the load is gone", b.o.c[1].limit)
+	if !math.IsInf(b.pools.classes[1].limit, 1) || b.pools.QueueDelay(1) != 0 {
+		t.Errorf("dear is still limited to %.1f when the load is gone", b.pools.classes[1].limit)
 	}
 }
 
@@ -228,9 +228,9 @@
 func TestRoomForAll(t *testing.T) {
 	b := newBed(t, 12, Plan{Classes: []Class{{Name: "a"}, {Name: "b"}, {Name: "c"}}, Tenants: 1})
 	b.load(20, []float64{40, 10, 5}, fixed(20, 200, 400))
-	for k := range b.o.c {
-		if !math.IsInf(b.o.c[k].limit, 1) || b.o.c[k].lent > 0 || b.shed[k] > 0 {
-			t.Errorf("class %d: %+v, expected no limit", k, b.o.Status()[k])
+	for k := range b.pools.classes {
+		if !math.IsInf(b.pools.classes[k].limit, 1) || b.pools.classes[k].startedOverLimit > 0 || b.shed[k] > 0 {
+			t.Errorf("class %d: %+v, expected no limit", k, b.pools.Status()[k])
 		}
 	}
 }
@@ -251,13 +251,13 @@
 	heavy := 0
 	for i := 0; i < 20; i++ {
 		b.load(1, []float64{40, 30}, work)
-		heavy = max(heavy, b.o.heavy)
+		heavy = max(heavy, b.pools.heavyRuns)
 	}
-	if heavy == 0 || heavy > max(1, part(heavyPart, 12)) {
-		t.Errorf("%d heavy at once, expected 1 to %d", heavy, part(heavyPart, 12))
+	if heavy == 0 || heavy > max(1, part(heavyFraction, 12)) {
+		t.Errorf("%d heavy at once, expected 1 to %d", heavy, part(heavyFraction, 12))
 	}
-	if s := b.o.c[1]; s.usual > 130*10 {
-		t.Errorf("usual work of save is %.0f, expected 100 ms: a few heavy ones are not the class", s.usual/10)
+	if s := b.pools.classes[1]; s.medianWork > 130*10 {
+		t.Errorf("usual work of save is %.0f, expected 100 ms: a few heavy ones are not the class", s.medianWork/10)
 	}
 }
 
@@ -265,12 +265,12 @@
 func TestHeavyOfOneTenant(t *testing.T) {
 	o := New(Plan{Classes: []Class{{Name: "a"}}, Tenants: 3})
 	now := Second
-	for id := uint32(1); id <= enough; id++ {
+	for id := uint32(1); id <= minSamples; id++ {
 		o.Enqueued(now, &admission.Request{ID: id})
 		o.Started(now, id, 0)
 		o.Ended(now+100, id, true, true)
 	}
-	o.Tick(now+lookEvery, 20) // four heavy ones have room
+	o.Tick(now+adjustInterval, 20) // four heavy ones have room
 	now += Second
 	for id := uint32(100); id < 110; id++ {
 		tenant := int(id-100) * 4 / 16 // four, four and two
@@ -278,14 +278,14 @@
 		o.Started(now, id, 0)
 	}
 	o.Tick(now+2*Second, 20)
-	if !slices.Equal(o.heavyBy, []int{2, 2, 0}) || o.c[0].running != 6 {
-		t.Fatalf("heavy by tenant %v, %d in the class's own slots; expected 2, 2, none and 6", o.heavyBy, o.c[0].running)
+	if !slices.Equal(o.heavyByTenant, []int{2, 2, 0}) || o.classes[0].running != 6 {
+		t.Fatalf("heavy by tenant %v, %d in the class's own slots; expected 2, 2, none and 6", o.heavyByTenant, o.classes[0].running)
 	}
 	for id := uint32(100); id < 110; id++ {
 		o.Ended(now+3*Second, id, true, true)
 	}
-	if o.heavy != 0 || !slices.Equal(o.heavyBy, []int{0, 0, 0}) {
-		t.Fatalf("%d heavy left, by tenant %v", o.heavy, o.heavyBy)
+	if o.heavyRuns != 0 || !slices.Equal(o.heavyByTenant, []int{0, 0, 0}) {
+		t.Fatalf("%d heavy left, by tenant %v", o.heavyRuns, o.heavyByTenant)
 	}
 }
 
@@ -298,12 +298,12 @@
 	b.load(8, []float64{40, 20}, work)
 	dear = 10
 	b.load(6, []float64{40, 20}, work)
-	if s := b.o.c[1]; s.usual < 350*10 {
-		t.Fatalf("usual work of load is %.0f ms six seconds after it became 400", s.usual/10)
+	if s := b.pools.classes[1]; s.medianWork < 350*10 {
+		t.Fatalf("usual work of load is %.0f ms six seconds after it became 400", s.medianWork/10)
 	}
 	b.load(5, []float64{40, 20}, work)
-	if b.o.heavy > 0 {
-		t.Fatalf("%d runs count as heavy, expected none", b.o.heavy)
+	if b.pools.heavyRuns > 0 {
+		t.Fatalf("%d runs count as heavy, expected none", b.pools.heavyRuns)
 	}
 }
 
@@ -318,8 +318,8 @@
 	if b.good(1) < 0.9 {
 		t.Errorf("submit: %.2f in time while view surges, expected 0.9", b.good(1))
 	}
-	if most := part(reservePart, 12); b.o.reserve > most {
-		t.Errorf("reserve of %d, expected %d at most", b.o.reserve, most)
+	if most := part(reserveFraction, 12); b.pools.reserveSlots > most {
+		t.Errorf("reserve of %d, expected %d at most", b.pools.reserveSlots, most)
 	}
 }
 
@@ -329,7 +329,7 @@
 	changes := 0
 	for i := 0; i < 30; i++ {
 		b.load(1, []float64{30, 30}, func(class int) Time { return Time(400 + 80*((i+class)%2)) })
-		for _, line := range b.o.TakeChanges() {
+		for _, line := range b.pools.TakeChanges() {
 			if strings.HasPrefix(line, "reserve:") {
 				changes++
 			}
@@ -351,7 +351,7 @@
 			rate = []float64{60, 40}
 		}
 		b.load(0.5, rate, fixed(20, 400))
-		now := min(b.o.c[1].limit, 12)
+		now := min(b.pools.classes[1].limit, 12)
 		if now != was && was > 0 {
 			if rises := now > was; rises != up {
 				turns++
@@ -369,7 +369,7 @@
 func TestBeyondAShare(t *testing.T) {
 	for _, by := range []string{"tenant", "sender"} {
 		b := newBed(t, 8, Plan{Classes: []Class{{Name: "a", Cap: 0.5, FixedLimit: true}}, Tenants: 2})
-		b.o.Tick(Second, 8)
+		b.pools.Tick(Second, 8)
 		b.now = Second
 		for i := 0; i < 20; i++ {
 			if by == "tenant" {
@@ -397,21 +397,21 @@
 func TestHungRunsTellNothing(t *testing.T) {
 	b := newBed(t, 12, cheapAndDear)
 	b.load(6, []float64{40, 10}, fixed(20, 200))
-	usual := b.o.c[1].usual
-	for id := uint32(1 << 20); id < 1<<20+2*enough; id++ {
-		b.o.Enqueued(b.now, &admission.Request{ID: id, Handler: 1})
-		b.o.Started(b.now, id, 0)
+	usual := b.pools.classes[1].medianWork
+	for id := uint32(1 << 20); id < 1<<20+2*minSamples; id++ {
+		b.pools.Enqueued(b.now, &admission.Request{ID: id, Handler: 1})
+		b.pools.Started(b.now, id, 0)
 	}
 	for i := 0; i < 40; i++ {
-		b.now += lookEvery
-		b.o.Tick(b.now, 12)
+		b.now += adjustInterval
+		b.pools.Tick(b.now, 12)
 	}
-	for id := uint32(1 << 20); id < 1<<20+2*enough; id++ {
-		b.o.Ended(b.now, id, false, false)
+	for id := uint32(1 << 20); id < 1<<20+2*minSamples; id++ {
+		b.pools.Ended(b.now, id, false, false)
 	}
-	b.o.Tick(b.now+lookEvery, 12)
-	if b.o.c[1].usual != usual {
-		t.Errorf("usual work %.0f after runs that hung, expected %.0f as before", b.o.c[1].usual, usual)
+	b.pools.Tick(b.now+adjustInterval, 12)
+	if b.pools.classes[1].medianWork != usual {
+		t.Errorf("usual work %.0f after runs that hung, expected %.0f as before", b.pools.classes[1].medianWork, usual)
 	}
 }
 
@@ -426,14 +426,14 @@
 		o.Tick(now+Second, 12)
 		o.SetAtCall(now+2*Second, id, false)
 		o.Tick(now+2*Second+10, 12)
-		if o.heavy > 0 {
+		if o.heavyRuns > 0 {
 			t.Fatal("a run that stood at a call counts as heavy")
 		}
 		o.Ended(now+2*Second+50, id, true, true)
 		now += Second / 10
 	}
-	o.Tick(now+lookEvery, 12)
-	if usual := o.c[0].usual; usual < 90 || usual > 110 {
+	o.Tick(now+adjustInterval, 12)
+	if usual := o.classes[0].medianWork; usual < 90 || usual > 110 {
 		t.Fatalf("usual work %.0f, expected 100 tenths of a ms", usual)
 	}
 }
