--- a/admission/pin_stream_test.go
+++ b/admission/pin_stream_test.go
@@ -100,7 +100,8 @@
 	sum, count := sha256.New(), 0
 	for seed := range uint64(24) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
-		r := &recorder{sum: sum, rand: rnd, now: 50 * Second, entries: map[uint32]uint32{}, holders: map[uint32]uint32{}}
+		r := &recorder{sum: sum, rand: rnd, now: 50 * Second, entries: map[uint32]uint32{},
+			holders: map[uint32]uint32{}}
 		d := faultDeployment(rnd, r.now)
 		if seed%2 == 0 {
 			d.Pools = &recordedPools{to: r, tally: tally{t: t, slots: []int{1, 2}, running: map[int]int{},
@@ -148,14 +149,20 @@
 }
 
 func faultDeployment(rnd *rand.Rand, start Time) *Deployment {
-	d := &Deployment{Start: start, FleetSize: 1 + rnd.IntN(9), Callers: 1 + rnd.IntN(20), Tier: rnd.IntN(3), RoundInterval: 20,
-		ValuePerWork: rnd.IntN(2) == 0, OverQuotaWeight: 0.1, WorstClassWeight: rnd.Float64(), Cores: 1 + rnd.IntN(4), ColdStart: rnd.IntN(2) == 0,
-		ColdSpeed: 0.3, WarmUpTime: 8 * Second, MaxRunsPerCore: 2, MemoryKB: 300 + 4000*rnd.Float64(), RunMemoryFactor: 8, TableEntryKB: 10,
-		Dependency: Dependency(rnd.IntN(3)), CallAllowance: 1.2 * rnd.Float64(), CallAveragingTime: 2 * Second, CancellationDelay: Second / 5,
-		Cancellation: Cancellation(rnd.IntN(3)), ResponseReuseTime: Time(rnd.IntN(2)) * Second, DrainGrace: Second / 2,
+	d := &Deployment{Start: start, FleetSize: 1 + rnd.IntN(9), Callers: 1 + rnd.IntN(20), Tier: rnd.IntN(3),
+		RoundInterval: 20,
+		ValuePerWork:  rnd.IntN(2) == 0, OverQuotaWeight: 0.1, WorstClassWeight: rnd.Float64(),
+		Cores: 1 + rnd.IntN(4), ColdStart: rnd.IntN(2) == 0,
+		ColdSpeed: 0.3, WarmUpTime: 8 * Second, MaxRunsPerCore: 2, MemoryKB: 300 + 4000*rnd.Float64(),
+		RunMemoryFactor: 8, TableEntryKB: 10,
+		Dependency: Dependency(rnd.IntN(3)), CallAllowance: 1.2 * rnd.Float64(), CallAveragingTime: 2 * Second,
+		CancellationDelay: Second / 5,
+		Cancellation:      Cancellation(rnd.IntN(3)), ResponseReuseTime: Time(rnd.IntN(2)) * Second, DrainGrace: Second / 2,
 		OverloadSignal: OverloadSignal(rnd.IntN(4)), MaxRetryAfter: 2 * Second, IdleTimeout: 30 * Second,
-		Handlers: []Handler{{LatencyObjective: Second, Timeout: 6 * Second, Value: 1, DegradedValue: 0.5, RetrySafety: Retryable},
-			{LatencyObjective: 2 * Second, Timeout: 8 * Second, Value: 2, LateValue: 0.2, RetrySafety: IdempotencyKeyed, IdempotencyWindow: 9 * Second},
+		Handlers: []Handler{{LatencyObjective: Second, Timeout: 6 * Second, Value: 1, DegradedValue: 0.5,
+			RetrySafety: Retryable},
+			{LatencyObjective: 2 * Second, Timeout: 8 * Second, Value: 2, LateValue: 0.2,
+				RetrySafety: IdempotencyKeyed, IdempotencyWindow: 9 * Second},
 			{LatencyObjective: Second, Timeout: 7 * Second, Value: 4, RetrySafety: NonRetryable}},
 		Tenants: []Tenant{{Quota: 50}, {Quota: 100}}}
 	if rnd.IntN(4) == 0 {
@@ -186,7 +193,8 @@
 func benchmarkRounds(b *testing.B, below Dependency) {
 	rnd := rand.New(rand.NewPCG(7, 7))
 	d := faultDeployment(rnd, 50*Second)
-	d.Dependency, d.MemoryKB, d.Cores, d.ColdStart, d.CallAllowance, d.Tenants = below, 1e6, 8, false, 6, []Tenant{{Quota: 50}, {Quota: 100}}
+	d.Dependency, d.MemoryKB, d.Cores, d.ColdStart, d.CallAllowance, d.Tenants = below, 1e6, 8, false, 6,
+		[]Tenant{{Quota: 50}, {Quota: 100}}
 	c, w, now, id := New(d), &benchWriter{}, d.Start, uint32(0)
 	in := Round{HasGauges: true}
 	b.ReportAllocs()
@@ -194,10 +202,12 @@
 	for range b.N {
 		now += 20
 		in.Now, in.TimerFired, in.Gauges.Runnable = now, now >= w.wake, 8
-		in.Arrived, in.RunEnds, in.CallRequests, in.CallEnds = in.Arrived[:0], in.RunEnds[:0], in.CallRequests[:0], in.CallEnds[:0]
+		in.Arrived, in.RunEnds, in.CallRequests, in.CallEnds = in.Arrived[:0], in.RunEnds[:0], in.CallRequests[:0],
+			in.CallEnds[:0]
 		for k := range 4 {
 			id++
-			in.Arrived = append(in.Arrived, Request{ID: id, Handler: k % 3, Tenant: k % 2, ArrivedAt: now, SizeKB: 2, Caller: id % 64})
+			in.Arrived = append(in.Arrived, Request{ID: id, Handler: k % 3, Tenant: k % 2, ArrivedAt: now,
+				SizeKB: 2, Caller: id % 64})
 		}
 		for _, run := range w.running {
 			if run%4 == 0 && below != DependencyNone {
--- a/admission/reason.go
+++ b/admission/reason.go
@@ -3,8 +3,7 @@
 // Reason is why a request got no result.
 type Reason uint8
 
-// Values of Reason. The first four are of requests that never ran, and so may be tried elsewhere unless the rejection is
-// final.
+// Values of Reason. The first four are of requests that never ran, and may be tried elsewhere unless that is final.
 const (
 	ReasonQueueTimeout   Reason = iota // it waited in the admission queue for as long as it may
 	ReasonMemory                       // no memory for its run, or for its wait
--- a/admission/recorded_test.go
+++ b/admission/recorded_test.go
@@ -61,11 +61,13 @@
 // round makes up what comes in at one moment.
 func (r *recorder) round(d *Deployment, next *uint32) *Round {
 	in := &Round{Now: r.now, TimerFired: r.now >= r.wake, HasGauges: r.rand.IntN(4) > 0,
-		Gauges: Gauges{Runnable: float64(len(r.running)) * r.rand.Float64() * 1.5, OpenConnections: float64(r.rand.IntN(300))}}
+		Gauges: Gauges{Runnable: float64(len(r.running)) * r.rand.Float64() * 1.5,
+			OpenConnections: float64(r.rand.IntN(300))}}
 	for n := r.rand.IntN(4); n > 0; n-- {
 		*next++
 		q := Request{ID: *next, Handler: r.rand.IntN(len(d.Handlers)), Tenant: r.rand.IntN(len(d.Tenants)),
-			ArrivedAt: r.now - Time(r.rand.IntN(400)), SizeKB: 1 + 30*r.rand.Float64(), IsRetry: r.rand.IntN(5) == 0, Caller: uint32(r.rand.IntN(50))}
+			ArrivedAt: r.now - Time(r.rand.IntN(400)), SizeKB: 1 + 30*r.rand.Float64(),
+			IsRetry: r.rand.IntN(5) == 0, Caller: uint32(r.rand.IntN(50))}
 		if r.rand.IntN(3) == 0 {
 			q.Deadline = q.ArrivedAt + Time(r.rand.IntN(30000))
 		}
@@ -83,7 +85,8 @@
 		if r.rand.IntN(3) == 0 {
 			in.CallRequests = append(in.CallRequests, id)
 		} else {
-			in.RunEnds = append(in.RunEnds, RunEnd{ID: id, Outcome: Outcome(r.rand.IntN(6)), Elapsed: Time(r.rand.IntN(4000))})
+			in.RunEnds = append(in.RunEnds, RunEnd{ID: id, Outcome: Outcome(r.rand.IntN(6)),
+				Elapsed: Time(r.rand.IntN(4000))})
 		}
 	}
 	for n := r.rand.IntN(2); n > 0 && len(r.calling) > 0; n-- {
@@ -105,14 +108,22 @@
 	sum, count := sha256.New(), 0
 	for seed := range uint64(24) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		r := &recorder{sum: sum, rand: rnd, now: 50 * Second, entries: map[uint32]uint32{}, holders: map[uint32]uint32{}}
-		d := &Deployment{Start: r.now, FleetSize: 1 + rnd.IntN(9), Callers: 1 + rnd.IntN(200), Tier: rnd.IntN(2), RoundInterval: 20,
-			ValuePerWork: rnd.IntN(2) == 0, OverQuotaWeight: 0.1, WorstClassWeight: rnd.Float64(), Cores: 1 + rnd.IntN(8), ColdStart: rnd.IntN(2) == 0,
-			ColdSpeed: 0.3, WarmUpTime: 8 * Second, MaxRunsPerCore: 5, MemoryKB: 400 + 4000*rnd.Float64(), RunMemoryFactor: 8, TableEntryKB: 10,
-			Dependency: Dependency(rnd.IntN(3)), CallAllowance: 4 * rnd.Float64(), CallAveragingTime: 2 * Second, CancellationDelay: Second / 5, Cancellation: Cancellation(rnd.IntN(3)),
-			ResponseReuseTime: Time(rnd.IntN(2)) * Second, DrainGrace: 2 * Second, OverloadSignal: OverloadSignal(rnd.IntN(4)), MaxRetryAfter: 2 * Second, IdleTimeout: 30 * Second,
-			Handlers: []Handler{{LatencyObjective: 2 * Second, Timeout: 6 * Second, Value: 1, DegradedValue: 0.5, RetrySafety: Retryable},
-				{LatencyObjective: 3 * Second, Timeout: 8 * Second, Value: 2, LateValue: 0.2, RetrySafety: IdempotencyKeyed, IdempotencyWindow: 9 * Second},
+		r := &recorder{sum: sum, rand: rnd, now: 50 * Second, entries: map[uint32]uint32{},
+			holders: map[uint32]uint32{}}
+		d := &Deployment{Start: r.now, FleetSize: 1 + rnd.IntN(9), Callers: 1 + rnd.IntN(200), Tier: rnd.IntN(2),
+			RoundInterval: 20,
+			ValuePerWork:  rnd.IntN(2) == 0, OverQuotaWeight: 0.1, WorstClassWeight: rnd.Float64(),
+			Cores: 1 + rnd.IntN(8), ColdStart: rnd.IntN(2) == 0,
+			ColdSpeed: 0.3, WarmUpTime: 8 * Second, MaxRunsPerCore: 5, MemoryKB: 400 + 4000*rnd.Float64(),
+			RunMemoryFactor: 8, TableEntryKB: 10,
+			Dependency: Dependency(rnd.IntN(3)), CallAllowance: 4 * rnd.Float64(), CallAveragingTime: 2 * Second,
+			CancellationDelay: Second / 5, Cancellation: Cancellation(rnd.IntN(3)),
+			ResponseReuseTime: Time(rnd.IntN(2)) * Second, DrainGrace: 2 * Second,
+			OverloadSignal: OverloadSignal(rnd.IntN(4)), MaxRetryAfter: 2 * Second, IdleTimeout: 30 * Second,
+			Handlers: []Handler{{LatencyObjective: 2 * Second, Timeout: 6 * Second, Value: 1, DegradedValue: 0.5,
+				RetrySafety: Retryable},
+				{LatencyObjective: 3 * Second, Timeout: 8 * Second, Value: 2, LateValue: 0.2,
+					RetrySafety: IdempotencyKeyed, IdempotencyWindow: 9 * Second},
 				{LatencyObjective: 2 * Second, Timeout: 7 * Second, Value: 4, RetrySafety: NonRetryable}},
 			Tenants: []Tenant{{Quota: 50}, {Quota: 100}}}
 		c, next := New(d), uint32(0)
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -118,7 +118,8 @@
 		s.t.Errorf("%s:%d: call %d until %d, not past now %d", s.file, s.line, id, until, s.now)
 	}
 	// Rule 4: where one call is over the allowance, it can't last so long that the mean over the span is.
-	if most := Time(s.d.CallAllowance * float64(s.d.CallAveragingTime)); s.d.CallAllowance < 1 && s.d.Dependency == DependencyShared &&
+	if most := Time(s.d.CallAllowance * float64(s.d.CallAveragingTime)); s.d.CallAllowance < 1 &&
+		s.d.Dependency == DependencyShared &&
 		until-s.now+s.d.CancellationDelay > most {
 		s.t.Errorf("%s:%d: call %d may last past the allowance", s.file, s.line, id)
 	}
@@ -198,13 +199,15 @@
 		},
 		"fresh": func() { d.ResponseReuseTime = s.ms(v) },
 		"calls": func() {
-			d.Dependency, d.CallAllowance, d.CallAveragingTime, d.CancellationDelay = DependencyShared, s.num(v), 5*Second, Second/5
+			d.Dependency, d.CallAllowance, d.CallAveragingTime, d.CancellationDelay = DependencyShared, s.num(v),
+				5*Second, Second/5
 		},
 		"tier":  func() { d.Dependency = DependencyNextTier },
 		"worst": func() { d.WorstClassWeight = s.num(v) },
 		"fleet": func() { d.FleetSize = int(s.num(v)) },
 		"say": func() {
-			d.OverloadSignal = map[string]OverloadSignal{"level": SignalLevel, "credit": SignalCredit, "weight": SignalWeight}[v]
+			d.OverloadSignal = map[string]OverloadSignal{"level": SignalLevel, "credit": SignalCredit,
+				"weight": SignalWeight}[v]
 		},
 		"mute": func() { d.MaxRetryAfter = 0 },
 	})
@@ -244,8 +247,10 @@
 	}
 	s.c.Decide(&r, s)
 	if s.pools != nil {
-		if held, running := len(s.pools.holds), len(s.pools.runs); held != s.c.queue.length || running != s.c.limit.running {
-			s.fatal("pools know of %d held and %d running, expected %d and %d", held, running, s.c.queue.length, s.c.limit.running)
+		if held, running := len(s.pools.holds), len(s.pools.runs); held != s.c.queue.length ||
+			running != s.c.limit.running {
+			s.fatal("pools know of %d held and %d running, expected %d and %d", held, running, s.c.queue.length,
+				s.c.limit.running)
 		}
 	}
 	if s.c.memory.used < -0.01 || s.c.memory.used > s.d.MemoryKB {
@@ -264,7 +269,8 @@
 	s.now = when
 	var r Round
 	r.TimerFired = s.wake == when
-	how := map[string]Outcome{"ok": Succeeded, "error": Failed, "unrun": NotExecuted, "unclear": Unknown, "stopped": Stopped}
+	how := map[string]Outcome{"ok": Succeeded, "error": Failed, "unrun": NotExecuted, "unclear": Unknown,
+		"stopped": Stopped}
 	for _, ev := range strings.Split(events, ";") {
 		w := strings.Fields(ev)
 		if len(w) < 2 {
@@ -395,8 +401,10 @@
 			}
 			t.Run(name, func(t *testing.T) {
 				s := &scene{t: t, file: file, auto: true, busy: map[uint32]bool{}}
-				s.d = Deployment{Cores: 1, MemoryKB: 1000, RunMemoryFactor: 4, TableEntryKB: 5, MaxRunsPerCore: 5, FleetSize: 1, Callers: 1,
-					RoundInterval: 10, Cancellation: CancelPause, DrainGrace: Second, MaxRetryAfter: Second, OverQuotaWeight: 0.05}
+				s.d = Deployment{Cores: 1, MemoryKB: 1000, RunMemoryFactor: 4, TableEntryKB: 5, MaxRunsPerCore: 5,
+					FleetSize: 1, Callers: 1,
+					RoundInterval: 10, Cancellation: CancelPause, DrainGrace: Second, MaxRetryAfter: Second,
+					OverQuotaWeight: 0.05}
 				if with {
 					s.pools = &tally{t: t, running: map[int]int{}, holds: map[uint32]int{}, runs: map[uint32]int{},
 						away: map[uint32]bool{}}
--- a/admission/slowstart_test.go
+++ b/admission/slowstart_test.go
@@ -44,8 +44,10 @@
 			for _, coldSpeed := range []float64{0.2, 0.5, 0.9} {
 				for _, fleet := range []int{1, 3, 300} {
 					t.Run(fmt.Sprint(cores, fall, coldSpeed, fleet), func(t *testing.T) {
-						d := &Deployment{Start: 100 * Second, Cores: cores, MaxRunsPerCore: fall, ColdStart: true, ColdSpeed: coldSpeed,
-							WarmUpTime: 10 * Second, MemoryKB: 1e9, RunMemoryFactor: 1, FleetSize: fleet, Callers: 2, RoundInterval: 20,
+						d := &Deployment{Start: 100 * Second, Cores: cores, MaxRunsPerCore: fall, ColdStart: true,
+							ColdSpeed:  coldSpeed,
+							WarmUpTime: 10 * Second, MemoryKB: 1e9, RunMemoryFactor: 1, FleetSize: fleet,
+							Callers: 2, RoundInterval: 20,
 							Handlers: []Handler{{LatencyObjective: 2 * Second, Timeout: 6 * Second, Value: 1}}}
 						flood(t, d, d.Start, d.Start+4*Second) // killed amid its slow start
 						again := *d
--- a/internal/lab/pools.go
+++ b/internal/lab/pools.go
@@ -236,9 +236,9 @@
 		d.Handlers = append(d.Handlers, c.handler)
 		one := pools.Class{Name: c.name, Value: c.handler.Value}
 		if way == "fixed" { // what an operator would set from a calm day's shares, with room for half as much again
-			one.Cap, one.FixedLimit = min(1, max(0.1, 1.5*s.shares[k]*c.work/total)), true
+			one.MaxFraction, one.FixedLimit = min(1, max(0.1, 1.5*s.shares[k]*c.work/total)), true
 		} else if without == "limits" {
-			one.Cap, one.FixedLimit = 1, true
+			one.MaxFraction, one.FixedLimit = 1, true
 		}
 		p.Classes = append(p.Classes, one)
 	}
--- a/internal/node/overlay/overlay.go
+++ b/internal/node/overlay/overlay.go
@@ -139,7 +139,7 @@
 		if b.settings.PoolClasses == nil {
 			b.settings.PoolClasses = b.unlimitedPools()
 		}
-		b.settings.PoolClasses[index].Floor, b.settings.PoolClasses[index].Cap = pool.Floor, pool.Cap
+		b.settings.PoolClasses[index].MinFraction, b.settings.PoolClasses[index].MaxFraction = pool.Floor, pool.Cap
 	}
 }
 
@@ -147,7 +147,7 @@
 func (b *builder) unlimitedPools() []pools.Class {
 	classes := make([]pools.Class, len(b.settings.Deployment.Handlers))
 	for name, index := range b.base.HandlerIndex {
-		classes[index] = pools.Class{Name: name, Value: b.settings.Deployment.Handlers[index].Value, Cap: 1}
+		classes[index] = pools.Class{Name: name, Value: b.settings.Deployment.Handlers[index].Value, MaxFraction: 1}
 	}
 	return classes
 }
--- a/internal/node/overlay/overlay_test.go
+++ b/internal/node/overlay/overlay_test.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p, err = Apply(5, base, doc, true); err != nil || p.PoolClasses[0].Floor != 0.1 || p.PoolClasses[1].Cap != 1 {
+	if p, err = Apply(5, base, doc, true); err != nil || p.PoolClasses[0].MinFraction != 0.1 || p.PoolClasses[1].MaxFraction != 1 {
 		t.Errorf("pools where run slots are set apart: %v %+v", err, p)
 	}
 }
--- a/internal/node/pools/canstart.go
+++ b/internal/node/pools/canstart.go
@@ -17,13 +17,13 @@
 	if p.reservedForAnother(o.class) || c.crowdedOut(o) {
 		return false
 	}
-	if c.hasRoom(p.slots) {
+	if c.hasFreeSlot(p.slots) {
 		return true
 	}
-	if c.Cap > 0 && float64(c.running) >= c.Cap*float64(p.slots) {
+	if c.MaxFraction > 0 && float64(c.running) >= c.MaxFraction*float64(p.slots) {
 		return false // a cap is the operator's word, also where a slot would idle
 	}
-	return !p.otherWaitsWithRoom(c)
+	return !p.otherCanUseSlot(c)
 }
 
 // reservedForAnother says whether the next slot is kept for the class that has the reserve.
@@ -35,9 +35,9 @@
 	return c.queued > 0 && c.running < p.reserve.slots
 }
 
-func (p *Pools) otherWaitsWithRoom(c *classState) bool {
+func (p *Pools) otherCanUseSlot(c *classState) bool {
 	for k := range p.classes {
-		if other := &p.classes[k]; other != c && other.queued > 0 && other.hasRoom(p.slots) {
+		if other := &p.classes[k]; other != c && other.queued > 0 && other.hasFreeSlot(p.slots) {
 			return true
 		}
 	}
--- a/internal/node/pools/class.go
+++ b/internal/node/pools/class.go
@@ -8,11 +8,11 @@
 
 // Class is what the operator says of one class, in shares of the run slots. The zero value has no floor and no cap.
 type Class struct {
-	Name       string
-	Floor      float64 // it is never limited under it
-	Cap        float64 // nor let over it; 0 for none
-	FixedLimit bool    // its limit is its cap and does not move
-	Value      float64 // of one request: slots are divided by value for work
+	Name        string
+	MinFraction float64 // it is never limited under it
+	MaxFraction float64 // nor let over it; 0 for none
+	FixedLimit  bool    // its limit is its cap and does not move
+	Value       float64 // of one request: slots are divided by value for work
 }
 
 // classState is what is known of one class.
@@ -40,7 +40,7 @@
 }
 
 func newClassState(c Class, tenants int) classState {
-	s := classState{Class: c, limit: math.Inf(1), reason: reasonRoom, byTenant: newUsage(tenants),
+	s := classState{Class: c, limit: math.Inf(1), reason: reasonUnlimited, byTenant: newUsage(tenants),
 		byCaller: newUsage(callerBuckets)}
 	if s.Value <= 0 {
 		s.Value = 1
@@ -56,7 +56,7 @@
 		s.Value = value
 	}
 	if !s.FixedLimit {
-		s.limit, s.reason = math.Inf(1), reasonRoom
+		s.limit, s.reason = math.Inf(1), reasonUnlimited
 	}
 }
 
@@ -66,20 +66,20 @@
 // valueDensity is what the class earns for its work: by it the slots are divided where they don't do for all.
 func (s *classState) valueDensity() float64 { return s.Value / max(s.cost.mean, 1) }
 
-// floorSlots is the least that the class is limited to: one slot always, so that it is still served and measured.
-func (s *classState) floorSlots(slots int) float64 { return max(1, s.Floor*float64(slots)) }
+// minSlots is the least that the class is limited to: one slot always, so that it is still served and measured.
+func (s *classState) minSlots(slots int) float64 { return max(1, s.MinFraction*float64(slots)) }
 
-// capSlots is the most that the operator allows; infinite without a cap.
-func (s *classState) capSlots(slots int) float64 {
-	if s.Cap > 0 {
-		return s.Cap * float64(slots)
+// maxSlots is the most that the operator allows; infinite without a cap.
+func (s *classState) maxSlots(slots int) float64 {
+	if s.MaxFraction > 0 {
+		return s.MaxFraction * float64(slots)
 	}
 	return math.Inf(1)
 }
 
-// hasRoom says whether the class has a slot of its own left.
-func (s *classState) hasRoom(slots int) bool {
-	return float64(s.running) < max(1, math.Floor(min(s.limit, s.capSlots(slots))+roundingMargin))
+// hasFreeSlot says whether the class has a slot of its own left.
+func (s *classState) hasFreeSlot(slots int) bool {
+	return float64(s.running) < max(1, math.Floor(min(s.limit, s.maxSlots(slots))+roundingMargin))
 }
 
 // roundingMargin lets a limit that is a whole number but for rounding count as that number.
--- a/internal/node/pools/limits.go
+++ b/internal/node/pools/limits.go
@@ -27,10 +27,10 @@
 
 // Reasons of a limit, as operators read them.
 const (
-	reasonRoom  = "room"
-	reasonFixed = "fixed"
-	reasonGrows = "grows"
-	reasonFair  = "its due, while all want more than there is"
+	reasonUnlimited = "room"
+	reasonFixed     = "fixed"
+	reasonGrows     = "grows"
+	reasonFair      = "its due, while all want more than there is"
 )
 
 // noClass is the index of no class.
@@ -56,7 +56,7 @@
 		c := &p.classes[k]
 		arrivals, missed := c.arrivals.roll(now), c.missed.roll(now)
 		c.usedSlots = c.workDone.rate(now) / float64(Second)
-		excess := c.usedSlots - max(c.fairSlots, c.floorSlots(p.slots))
+		excess := c.usedSlots - max(c.fairSlots, c.minSlots(p.slots))
 		suffers := arrivals >= minArrivals && missed > sufferingFraction*arrivals
 		if suffers && excess < min(least, -sufferingShortfall*c.fairSlots) {
 			suffering, least = k, excess
@@ -75,18 +75,18 @@
 // than there is: to grow past them and be cut again would have the others suffer each time.
 func (p *Pools) nextLimit(class, suffering, excessive int) (limit float64, why string) {
 	c := &p.classes[class]
-	most := min(float64(p.slots), c.capSlots(p.slots))
+	most := min(float64(p.slots), c.maxSlots(p.slots))
 	pressed := suffering != noClass
 	switch {
 	case c.FixedLimit:
 		return most, reasonFixed
 	case pressed && class == excessive:
 		cut := min(c.limit, c.usedSlots) * cutFactor
-		return max(c.floorSlots(p.slots), cut, c.fairSlots), "cut: " + p.classes[suffering].Name + " suffers"
+		return max(c.minSlots(p.slots), cut, c.fairSlots), "cut: " + p.classes[suffering].Name + " suffers"
 	case !c.limited():
 		return c.limit, c.reason
 	case c.limit >= most:
-		return math.Inf(1), reasonRoom
+		return math.Inf(1), reasonUnlimited
 	case c.wantsMore && c.limit >= c.fairSlots && pressed && class != suffering:
 		return c.limit, reasonFair
 	case !pressed || !c.wantsMore || class == suffering:
--- a/internal/node/pools/pin_stream_test.go
+++ b/internal/node/pools/pin_stream_test.go
@@ -37,10 +37,10 @@
 	away bool
 }
 
-// TestRecordedPools plays classes at moving rates and works, with heavy runs, calls that crawl, runs that stop without a
-// result or hang, sheds before and in the queue, a process that stands still, slots that come and go, surges of
-// one tenant and of one sender, and operators that change floors, caps, the reserve and all of it. Each answer of
-// CanStart, each view and each line for the log goes into one hash.
+// TestRecordedPools plays classes at moving rates and works, with heavy runs, calls that crawl, runs that stop
+// without a result or hang, sheds before and in the queue, a process that stands still, slots that come and go,
+// surges of one tenant and of one sender, and operators that change floors, caps, the reserve and all of it. Each
+// answer of CanStart, each view and each line for the log goes into one hash.
 func TestRecordedPools(t *testing.T) {
 	sum, count := sha256.New(), 0
 	note := func(format string, args ...any) {
@@ -78,14 +78,14 @@
 	p.Classes = append([]Class(nil), p.Classes...)
 	for k := range p.Classes {
 		c := &p.Classes[k]
-		c.Floor, c.Cap, c.FixedLimit = 0, 0, false
+		c.MinFraction, c.MaxFraction, c.FixedLimit = 0, 0, false
 		switch s.rand.IntN(4) {
 		case 0:
-			c.Floor = 0.3 * s.rand.Float64()
+			c.MinFraction = 0.3 * s.rand.Float64()
 		case 1:
-			c.Cap = 0.2 + 0.6*s.rand.Float64()
+			c.MaxFraction = 0.2 + 0.6*s.rand.Float64()
 		case 2:
-			c.Cap, c.FixedLimit = 0.1+0.5*s.rand.Float64(), true
+			c.MaxFraction, c.FixedLimit = 0.1+0.5*s.rand.Float64(), true
 		}
 	}
 	return p
@@ -119,7 +119,8 @@
 func (s *stream) arrive(step, classes int) {
 	for n := s.scale * s.rand.IntN(2+3*(step/400%3)/2); n > 0; n-- {
 		s.next++
-		q := &admission.Request{ID: s.next, Handler: s.rand.IntN(classes), Tenant: s.rand.IntN(4), Caller: uint32(s.rand.IntN(30))}
+		q := &admission.Request{ID: s.next, Handler: s.rand.IntN(classes), Tenant: s.rand.IntN(4),
+			Caller: uint32(s.rand.IntN(30))}
 		if step/500%3 == 1 {
 			q.Tenant, q.Caller = 1, 9
 		}
--- a/internal/node/pools/pools.go
+++ b/internal/node/pools/pools.go
@@ -136,7 +136,7 @@
 	if c == nil {
 		return
 	}
-	if !c.hasRoom(p.slots) {
+	if !c.hasFreeSlot(p.slots) {
 		c.startedOverLimit++
 	}
 	c.byTenant.running[o.tenant]++
--- a/internal/node/pools/pools_test.go
+++ b/internal/node/pools/pools_test.go
@@ -72,7 +72,7 @@
 	came  Time
 }
 
-const bound = Second / 2 // past it a held req is shed
+const bound = Second / 2 // past it a held request is shed
 
 func newBed(t *testing.T, slots int, p Plan) *bed {
 	n := len(p.Classes)
@@ -166,7 +166,7 @@
 	}
 }
 
-// good is the share of a class's reqs that were done in time.
+// good is the share of a class's requests that were done in time.
 func (b *bed) good(class int) float64 {
 	return float64(b.done[class]-b.late[class]) / float64(max(1, b.done[class]+b.shed[class]))
 }
@@ -213,7 +213,8 @@
 	b.load(10, []float64{40, 36}, work)
 	b.load(30, []float64{40, 36}, work)
 	if b.good(0) < 0.93 || b.pools.classes[1].limit > 9 {
-		t.Errorf("mid: %.3f in time, dear limited to %.1f, expected 0.93 and 9 at most", b.good(0), b.pools.classes[1].limit)
+		t.Errorf("mid: %.3f in time, dear limited to %.1f, expected 0.93 and 9 at most", b.good(0),
+			b.pools.classes[1].limit)
 	}
 	if v := b.pools.Status()[1]; !strings.HasPrefix(v.Reason, "cut: mid") && !strings.HasPrefix(v.Reason, "its due") {
 		t.Errorf("why %q", v.Reason)
@@ -245,7 +246,8 @@
 		}
 		return []Time{20, 100}[class] * 10
 	}
-	b := newBed(t, 12, Plan{Classes: []Class{{Name: "view"}, {Name: "save", Cap: 0.5, FixedLimit: true}}, Tenants: 1})
+	b := newBed(t, 12, Plan{Classes: []Class{{Name: "view"}, {Name: "save", MaxFraction: 0.5, FixedLimit: true}},
+		Tenants: 1})
 	b.load(6, []float64{40, 30}, work)
 	few = true
 	heavy := 0
@@ -279,7 +281,8 @@
 	}
 	o.Tick(now+2*Second, 20)
 	if !slices.Equal(o.heavy.byTenant, []int{2, 2, 0}) || o.classes[0].running != 6 {
-		t.Fatalf("heavy by tenant %v, %d in the class's own slots; expected 2, 2, none and 6", o.heavy.byTenant, o.classes[0].running)
+		t.Fatalf("heavy by tenant %v, %d in the class's own slots; expected 2, 2, none and 6", o.heavy.byTenant,
+			o.classes[0].running)
 	}
 	for id := uint32(100); id < 110; id++ {
 		o.Ended(now+3*Second, id, true, true)
@@ -368,7 +371,7 @@
 // TestBeyondAShare: one tenant's surge in a limited class does not hold all of its slots, nor does one sender's.
 func TestBeyondAShare(t *testing.T) {
 	for _, by := range []string{"tenant", "sender"} {
-		b := newBed(t, 8, Plan{Classes: []Class{{Name: "a", Cap: 0.5, FixedLimit: true}}, Tenants: 2})
+		b := newBed(t, 8, Plan{Classes: []Class{{Name: "a", MaxFraction: 0.5, FixedLimit: true}}, Tenants: 2})
 		b.pools.Tick(Second, 8)
 		b.now = Second
 		for i := 0; i < 20; i++ {
@@ -469,8 +472,8 @@
 	})
 }
 
-// BenchmarkReq is what a req costs in pools, at 5 and at 200 classes.
-func BenchmarkReq(b *testing.B) {
+// BenchmarkRequest is what a request costs in pools, at 5 and at 200 classes.
+func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{5, 200} {
 		b.Run(map[int]string{5: "5", 200: "200"}[n], func(b *testing.B) {
 			p := Plan{Reserve: true, Tenants: 12}
--- a/internal/node/pools/status.go
+++ b/internal/node/pools/status.go
@@ -12,7 +12,7 @@
 	StartedOverLimit int     // runs since the start
 	MedianWork       float64 // of a run less its calls, in Time
 	P95Work          float64 // in Time
-	Entitled         float64 // fair slots
+	FairSlots        float64 // fair slots
 	Reserve          int     // slots kept for it first
 }
 
@@ -23,7 +23,7 @@
 		c := &p.classes[k]
 		out[k] = ClassStatus{Name: c.Name, Limit: c.limit, Reason: c.reason, Running: c.running, Heavy: c.heavy,
 			Queued: c.queued, Shed: c.shed, StartedOverLimit: c.startedOverLimit, MedianWork: c.cost.median,
-			P95Work: c.cost.p95, Entitled: c.fairSlots}
+			P95Work: c.cost.p95, FairSlots: c.fairSlots}
 		if k == p.reserve.class {
 			out[k].Reserve = p.reserve.slots
 		}
--- a/internal/node/server/pools.go
+++ b/internal/node/server/pools.go
@@ -39,7 +39,7 @@
 	p.Reserve = c.own.Reserve
 	for _, o := range c.own.Pools {
 		k := &p.Classes[c.settings.HandlerIndex[o.Handler]]
-		k.Floor, k.Cap, k.FixedLimit = o.Floor, o.Cap, o.Fixed
+		k.MinFraction, k.MaxFraction, k.FixedLimit = o.Floor, o.Cap, o.Fixed
 	}
 	return p
 }
@@ -77,7 +77,7 @@
 			limit = fmt.Sprintf("%.1f", v.Limit)
 		}
 		l.log.Infof("pool %s: limit %s (%s), due %.1f, running %d, heavy %d, held %d, shed %d, lent %d, reserve %d, "+
-			"work %.1f ms, 95th %.1f ms", v.Name, limit, v.Reason, v.Entitled, v.Running, v.Heavy, v.Queued, v.Shed, v.StartedOverLimit,
+			"work %.1f ms, 95th %.1f ms", v.Name, limit, v.Reason, v.FairSlots, v.Running, v.Heavy, v.Queued, v.Shed, v.StartedOverLimit,
 			v.Reserve, v.MedianWork/10, v.P95Work/10)
 	}
 }
