--- a/internal/control/api/load_report.go
+++ b/internal/control/api/load_report.go
@@ -14,13 +14,15 @@
 // Plausible tells whether a report can be true. One that can't is ignored, as if none had come: a node with a broken
 // clock or counter must not decide about its zone.
 func (l *LoadReport) Plausible() bool {
-	for _, amount := range []float64{l.OfferedWeight, l.CompletedWeight, l.Cores, l.CoresUsed, l.MeanRunMS, l.MeanCallMS} {
+	amounts := []float64{l.OfferedWeight, l.CompletedWeight, l.Cores, l.CoresUsed, l.MeanRunMS, l.MeanCallMS}
+	for _, amount := range amounts {
 		if math.IsNaN(amount) || math.IsInf(amount, 0) || amount < 0 || amount > maxReportAmount {
 			return false
 		}
 	}
-	for _, count := range []int{l.WindowMS, l.Arrived, l.Retries, l.RejectedByZone, l.Completed, l.Late, l.Shed, l.Failed, l.RunsEnded,
-		l.Calls, l.FailedCalls, l.ConnectionsOpened, l.RunsInFlight} {
+	counts := []int{l.WindowMS, l.Arrived, l.Retries, l.RejectedByZone, l.Completed, l.Late, l.Shed, l.Failed,
+		l.RunsEnded, l.Calls, l.FailedCalls, l.ConnectionsOpened, l.RunsInFlight}
+	for _, count := range counts {
 		if count < 0 || count > maxReportCount {
 			return false
 		}
@@ -28,9 +30,3 @@
 	return l.WindowMS >= minReportWindowMS && l.WindowMS <= maxReportWindowMS && l.FailedCalls <= l.Calls &&
 		len(l.ArrivedByWeight) <= MaxPriorityCounts && l.Cores > 0
 }
-
-// Growth of a zone's share on its way back, as a factor a step. Nodes tell callers when to retry by it.
-const (
-	MaxRampFactor = 4    // a larger step could ask a service for far more than the step before showed it to bear
-	MinRampFactor = 1.08 // a smaller step is not worth an epoch, which each node has to promise: the share is held
-)
--- a/internal/control/api/zones.go
+++ b/internal/control/api/zones.go
@@ -3,6 +3,12 @@
 // FullShare is the share of a zone that takes all of its load: shares are counted in parts of it.
 const FullShare = 256
 
+// Growth of a zone's share on its way back, as a factor a step. Nodes tell callers when to retry by it.
+const (
+	MaxRampFactor = 4    // a larger step could ask a service for far more than the step before showed it to bear
+	MinRampFactor = 1.08 // a smaller step is not worth an epoch, which each node has to promise: the share is held
+)
+
 // Bounds of the lists of a HeartbeatRequest: more is not read.
 const (
 	MaxPriorityCounts = 16
--- a/internal/control/coordinator/batch.go
+++ b/internal/control/coordinator/batch.go
@@ -180,7 +180,7 @@
 	}
 	if r.LeaseID == 0 {
 		if join == nil {
-			return response, fmt.Errorf("the beat had no joining of %s", r.Name)
+			return response, fmt.Errorf("%w of %s", errNoJoinResult, r.Name)
 		}
 		if join.RefusedReason != "" {
 			response.EndedReason, response.RetryAfterMS = join.RefusedReason, join.RetryAfterMS
--- a/internal/control/coordinator/errors.go
+++ b/internal/control/coordinator/errors.go
@@ -21,6 +21,17 @@
 // ErrEmptyProposal is for an entry that proposes a change without saying which.
 var ErrEmptyProposal = errors.New("a proposal of nothing")
 
+// errNoJoinResult is for a request to join that its batch has no result of: an internal fault, which the node retries.
+var errNoJoinResult = errors.New("the beat had no joining")
+
+// VersionMissingError is for a version of the configuration that the group does not keep any more.
+type VersionMissingError struct{ Version uint64 }
+
+// Error names the version.
+func (e *VersionMissingError) Error() string {
+	return fmt.Sprintf("version %d is not kept any more", e.Version)
+}
+
 // EntryError is for an entry that can't be read. The instance can't go on: others may have read it.
 type EntryError struct {
 	Expected string // what its kind stands for
--- a/internal/control/coordinator/versions.go
+++ b/internal/control/coordinator/versions.go
@@ -22,7 +22,7 @@
 func (c versionCatalog) document(version uint64) (*document.Document, string, error) {
 	text, hash, ok := c.Text(version)
 	if !ok {
-		return nil, "", fmt.Errorf("version %d is not kept any more", version)
+		return nil, "", &VersionMissingError{version}
 	}
 	d, err := document.Parse(fmt.Sprintf("version %d", version), []byte(text))
 	return d, hash, err
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -60,6 +60,16 @@
 	}
 }
 
+// TestLeaseSpan: a node's clock may run a hundredth slower than the leader's, and a renewal is committed some ticks
+// after it was asked for. The group's count of a lease has to be longer by both.
+func TestLeaseSpan(t *testing.T) {
+	for leaseMS, want := range map[uint64]uint64{1000: 1110, 4000: 4140, 10_000: 10_200} {
+		if got := LeaseSpanMS(leaseMS); got != want {
+			t.Errorf("a lease of %d ms is counted for %d ms, expected %d", leaseMS, got, want)
+		}
+	}
+}
+
 // TestShorterLease: a policy with a shorter lease comes into force while a node is cut off. The node has not heard of
 // it and acts on its longer lease, so the group has to count that one to its end.
 func TestShorterLease(t *testing.T) {
