--- a/internal/control/recovery/plan.go
+++ b/internal/control/recovery/plan.go
@@ -104,7 +104,8 @@
 		case record.Group == plan.Lost.Group:
 			plan.Records = append(plan.Records, *record)
 		case record.Generation == plan.Lost.Generation:
-			plan.Conflict = fmt.Sprintf("%s is of group %.16s and others of %.16s, both of generation %d: they go on apart since",
+			plan.Conflict = fmt.Sprintf("%s is of group %.16s and others of %.16s, both of generation %d: "+
+				"they go on apart since",
 				record.Name, record.Group, plan.Lost.Group, record.Generation)
 			return
 		default:
--- a/internal/control/recovery/retry_after.go
+++ b/internal/control/recovery/retry_after.go
@@ -6,6 +6,8 @@
 	minWindowMS = 2000
 	// maxAfterMS bounds the time that a share is expected to need, so that arithmetic on it can't overflow.
 	maxAfterMS = 1e9
+	// windowQuarter: the window begins at three quarters of its end at the latest, so that it never closes.
+	windowQuarter = 4
 	// spreadSteps divide the window: as many callers in a row are told different times.
 	spreadSteps = 1024
 	// spreadMultiplier, 2^32 divided by the golden ratio: consecutive callers land far apart in the window.
@@ -22,8 +24,8 @@
 		return 0, 0
 	}
 	after = min(after, maxAfterMS)
-	to = min(bound, max(minWindowMS, after*3/2))
-	return min(max(to/2, after), to/2+to/4), to
+	to = min(bound, max(minWindowMS, after+after/2))
+	return min(max(to/2, after), to/2+to/windowQuarter), to
 }
 
 // RetryAfterSpreader counts the times that callers were told, so that each is told another one.
