--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -20,7 +20,7 @@
 
 	"umberwinch/internal/config"
 	"umberwinch/internal/control/consensus"
-	"umberwinch/internal/lab"
+	"umberwinch/internal/harness"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/wal"
 )
@@ -51,7 +51,7 @@
 
 func runInstance(ctx context.Context, o *config.Control, out io.Writer) error {
 	log := logging.New(out, o.LogForm, o.LogFrom)
-	g, err := consensus.Start(o, log, lab.FaultsOnDemand())
+	g, err := consensus.Start(o, log, harness.FaultsOnDemand())
 	if err != nil {
 		return err
 	}
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -8,19 +8,19 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"umberwinch/internal/lab"
+	"umberwinch/internal/harness"
 )
 
 func newDemo() *cobra.Command {
-	d := &lab.Demo{}
+	d := &harness.Demo{}
 	var asJSON bool
 	c := &cobra.Command{Use: "demo", Short: "A node, an emulated kernel and a load on loopback, with a live table",
 		Args: exact(0), RunE: func(cmd *cobra.Command, _ []string) error {
 			if d.Load <= 0 || d.Load > 10 {
 				return usage(fmt.Errorf("--load: found %g, expected above 0 and at most 10", d.Load))
 			}
-			if d.Trouble != "" && !slices.Contains(lab.DemoTroubles, d.Trouble) {
-				return usage(fmt.Errorf("--trouble: found %q, expected one of %v", d.Trouble, lab.DemoTroubles))
+			if d.Trouble != "" && !slices.Contains(harness.DemoTroubles, d.Trouble) {
+				return usage(fmt.Errorf("--trouble: found %q, expected one of %v", d.Trouble, harness.DemoTroubles))
 			}
 			d.Plain = true
 			out := cmd.OutOrStdout()
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"umberwinch/internal/control/consensus"
-	"umberwinch/internal/lab"
+	"umberwinch/internal/harness"
 )
 
 // newFaultTest is the harness's command: each below it runs the real code under faults and load, and ends with a verdict.
@@ -60,7 +60,7 @@
 }
 
 // verdict makes a broken promise the command's error.
-func verdict(rep *lab.Report, err error) error {
+func verdict(rep *harness.Report, err error) error {
 	if err == nil && rep.Broken != "" {
 		return errors.New("a promise was broken")
 	}
@@ -68,7 +68,7 @@
 }
 
 func newLabRaft() *cobra.Command {
-	r := &lab.Raft{}
+	r := &harness.Raft{}
 	var without string
 	var replay int64
 	c := &cobra.Command{Use: "raft", Short: "The replicated group: schedules of faults in virtual time, kills of processes",
@@ -92,7 +92,7 @@
 				if size == 0 {
 					size = 3 + int(replay%2)*2
 				}
-				if res := lab.Replay(cmd.OutOrStdout(), replay, size, r.Without); res.Broken != "" {
+				if res := harness.Replay(cmd.OutOrStdout(), replay, size, r.Without); res.Broken != "" {
 					return errors.New(res.Broken)
 				}
 				return nil
@@ -117,7 +117,7 @@
 }
 
 func newLabKept() *cobra.Command {
-	r := &lab.KeptLab{}
+	r := &harness.KeptLab{}
 	c := &cobra.Command{Use: "kept", Short: "Keyed results: a node killed over and over while callers repeat their keys", Args: exact(0),
 		Long: `Nodes with [kept], each with an emulated kernel that outlives it and counts runs by key, and callers that repeat
 their keys inside the window and outside. Each is killed with SIGKILL at named points and at random ones, at times in its
@@ -125,8 +125,8 @@
 beside one that is kept in memory alone. The last line says "kept: kept" or "kept: broken: WHAT"; a broken promise is exit
 status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if r.Without != "" && !slices.Contains(lab.KeptGuards, r.Without) {
-				return usage(fmt.Errorf("--without: found %q, expected one of %v", r.Without, lab.KeptGuards))
+			if r.Without != "" && !slices.Contains(harness.KeptGuards, r.Without) {
+				return usage(fmt.Errorf("--without: found %q, expected one of %v", r.Without, harness.KeptGuards))
 			}
 			if r.Only != "" && r.Only != "kills" && r.Only != "costs" {
 				return usage(fmt.Errorf("--only: found %q, expected kills or costs", r.Only))
@@ -143,20 +143,20 @@
 	f.IntVar(&r.Kills, "kills", 0, "kills in all; 0 for 120 with --quick, 5000 without")
 	f.StringVar(&r.Out, "out", "", "folder for report.html and result.json")
 	f.StringVar(&r.Only, "only", "", "kills or costs")
-	f.StringVar(&r.Without, "without", "", "a guard taken out of the node: "+strings.Join(lab.KeptGuards, ", "))
+	f.StringVar(&r.Without, "without", "", "a guard taken out of the node: "+strings.Join(harness.KeptGuards, ", "))
 	return c
 }
 
 func newLabPools() *cobra.Command {
-	r := &lab.Pools{}
+	r := &harness.Pools{}
 	c := &cobra.Command{Use: "pools", Short: "Pools of run slots: scenarios of overload in virtual time, four ways side by side",
 		Args: exact(0), Long: `Plays each scenario on emulated servers in virtual time, driving the module and its pools
 directly: with pools, without, with fixed ones, and with a plain pool before a short queue, from the same seed. Shows the
 share of each class's first tries done within the response target. The last line says "pools: kept" or "pools: broken:
 WHAT"; a broken promise is exit status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if r.Without != "" && !slices.Contains(lab.PoolGuards, r.Without) {
-				return usage(fmt.Errorf("--without: found %q, expected one of %v", r.Without, lab.PoolGuards))
+			if r.Without != "" && !slices.Contains(harness.PoolGuards, r.Without) {
+				return usage(fmt.Errorf("--without: found %q, expected one of %v", r.Without, harness.PoolGuards))
 			}
 			return verdict(r.Run(cmd.Context(), cmd.OutOrStdout()))
 		}}
@@ -165,7 +165,7 @@
 	f.BoolVar(&r.Quick, "quick", false, "six servers a scenario")
 	f.IntVar(&r.Size, "size", 0, "servers; 0 for 6 with --quick, 24 without")
 	f.StringVar(&r.Out, "out", "", "folder for report.html and result.json")
-	f.StringVar(&r.Without, "without", "", "a guard taken out: "+strings.Join(lab.PoolGuards, ", "))
+	f.StringVar(&r.Without, "without", "", "a guard taken out: "+strings.Join(harness.PoolGuards, ", "))
 	f.StringVar(&r.Only, "only", "", "one scenario")
 	return c
 }
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -20,7 +20,7 @@
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/control/zones"
-	"umberwinch/internal/lab"
+	"umberwinch/internal/harness"
 	"umberwinch/internal/wal"
 )
 
@@ -202,7 +202,7 @@
 }
 
 func newLabComeback() *cobra.Command {
-	r := &lab.Comeback{}
+	r := &harness.Comeback{}
 	c := &cobra.Command{Use: "comeback", Short: "Coming back: restarts of a whole fleet, a group that lost its state",
 		Args: exact(0), Long: `Virtual: all nodes restart at once, with services below that are cold, at sizes and loads, beside a start without a
 ramp, one by the clock, nodes alone, and the least time there could be. Real: a group and nodes as processes, killed at
@@ -210,8 +210,8 @@
 "comeback: kept" or "comeback: broken: WHAT"; a broken promise is exit status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, name := range strings.Split(r.Words, ",") {
-				if r.Words != "" && !slices.Contains(lab.ComebackGuards, name) {
-					return usage(fmt.Errorf("--without: found %q, expected one of %s", name, strings.Join(lab.ComebackGuards, ", ")))
+				if r.Words != "" && !slices.Contains(harness.ComebackGuards, name) {
+					return usage(fmt.Errorf("--without: found %q, expected one of %s", name, strings.Join(harness.ComebackGuards, ", ")))
 				}
 				if g, err := zones.GuardNamed(name); err == nil { // some are taken out on processes alone
 					r.Without |= g
@@ -221,7 +221,7 @@
 				}
 			}
 			var err error
-			if r.Program, err = rigged(r.Mode, r.Only, lab.ComebackCases(), r.Size); err != nil {
+			if r.Program, err = rigged(r.Mode, r.Only, harness.ComebackCases(), r.Size); err != nil {
 				return err
 			}
 			return verdict(r.Run(cmd.Context(), cmd.OutOrStdout()))
@@ -233,6 +233,6 @@
 	f.StringVar(&r.Out, "out", "", "folder for report.html and result.json")
 	f.StringVar(&r.Mode, "mode", "both", "virtual, real or both")
 	f.StringVar(&r.Only, "only", "", "one case of the real part")
-	f.StringVar(&r.Words, "without", "", "guards taken out, parted by commas: "+strings.Join(lab.ComebackGuards, ", "))
+	f.StringVar(&r.Words, "without", "", "guards taken out, parted by commas: "+strings.Join(harness.ComebackGuards, ", "))
 	return c
 }
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -14,7 +14,7 @@
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/zones"
-	"umberwinch/internal/lab"
+	"umberwinch/internal/harness"
 )
 
 // Zones of the fleet: how they stand and why, and what an operator does about them.
@@ -240,7 +240,7 @@
 }
 
 func newLabZones() *cobra.Command {
-	r := &lab.Zones{}
+	r := &harness.Zones{}
 	c := &cobra.Command{Use: "zones", Short: "Zones: schedules in virtual time, hard cases on processes", Args: exact(0),
 		Long: `Virtual: the real decisions of group, leaders and nodes, with flows of reqs between callers, zones and services below
 that have a capacity and a cache; many schedules from one seed, fleets of 300 and 5,000 nodes beside three baselines, and
@@ -251,7 +251,7 @@
 			if r.Without, err = guards(r.Words, zones.GuardNamed); err != nil {
 				return err
 			}
-			if r.Program, err = rigged(r.Mode, r.Only, lab.ZoneCases(), r.Size); err != nil {
+			if r.Program, err = rigged(r.Mode, r.Only, harness.ZoneCases(), r.Size); err != nil {
 				return err
 			}
 			return verdict(r.Run(cmd.Context(), cmd.OutOrStdout()))
--- a/internal/lab/fleet_ask.go
+++ b/internal/harness/fleet_ask.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 // This file asks the control service of a fleet of processes, and waits for what it says.
 
--- a/internal/lab/fleet_events.go
+++ b/internal/harness/fleet_events.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 // This file reads the history of a fleet of processes from their logs and holds it to its promises.
 
--- a/internal/lab/fleet_load.go
+++ b/internal/harness/fleet_load.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 // This file is the load on a fleet of processes and what became of it.
 
--- a/internal/lab/fleet_test.go
+++ b/internal/harness/fleet_test.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 import (
 	"bytes"
--- a/internal/lab/policy_bench.go
+++ b/internal/harness/policy_bench.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 // This file has what a case on processes is written with: proposing, waiting for steps, losing leaders.
 
--- a/internal/lab/policy_cases.go
+++ b/internal/harness/policy_cases.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 // This file has the cases on processes.
 
--- a/internal/lab/policy_crowd.go
+++ b/internal/harness/policy_crowd.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 // This file measures a group that is asked by thousands of members over sockets.
 
--- a/internal/lab/vzones_check.go
+++ b/internal/harness/vzones_check.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 // This file holds a step of zones in virtual time to their promises.
 
--- a/internal/lab/vzones_plan.go
+++ b/internal/harness/vzones_plan.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 // This file draws the worlds that zones are played in.
 
--- a/internal/lab/vzones_report.go
+++ b/internal/harness/vzones_report.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 // This file is what nodes in virtual time report, and what the best possible would be.
 
--- a/internal/lab/world.go
+++ b/internal/harness/world.go
@@ -1,8 +1,8 @@
-// Package lab is the project's laboratory: worlds in which the real code meets failures, load, and reports of
+// Package harness is the project's laboratory: worlds in which the real code meets failures, load, and reports of
 // what came of it. It owns stand-ins, faults and measurements. No program that serves imports it, and nothing
 // in it decides for one. world.go is the group of instances in virtual time: the real consensus and wal code
 // on a network, disks and a clock that one seed moves.
-package lab
+package harness
 
 import (
 	"bytes"
--- a/internal/lab/zones_bench.go
+++ b/internal/harness/zones_bench.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 // This file has what a case of zones on processes is written with.
 
--- a/internal/lab/zones_check.go
+++ b/internal/harness/zones_check.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 // This file holds the history of zones to their promises.
 
