--- a/internal/control/consensus/pin_stored_test.go
+++ b/internal/control/consensus/pin_stored_test.go
@@ -322,8 +322,7 @@
 			all.add("%s: %v", what, err)
 			return
 		}
-		base, err := json.Marshal(old.Base().Last)
-		all.add("%s: read, %s %v", what, base, err)
+		all.add("%s: read, version %d", what, old.machine.last())
 	}
 	head := `{"meta":"CgQKAgEC"}` + "\n"
 	read("nothing", "")
@@ -353,5 +352,6 @@
 		m.knows = LevelVersions
 		all.add("at level 1, entry %s: %v", entry, r.apply(&pb.Entry{Type: &kind, Data: []byte(entry)}, &out))
 	}
-	pinned(t, "group/wrong-states.txt", goTypes.ReplaceAll([]byte(all.String()), []byte("Go value")))
+	text := bytes.ReplaceAll([]byte(all.String()), []byte("\u00a0"), []byte(" ")) // protobuf draws one of two for each build
+	pinned(t, "group/wrong-states.txt", goTypes.ReplaceAll(text, []byte("Go value")))
 }
