--- a/internal/control/consensus/pin_stored_test.go
+++ b/internal/control/consensus/pin_stored_test.go
@@ -34,7 +34,6 @@
 	t      *testing.T
 	rep    *Replica
 	report report
-	beats  int
 }
 
 func (s *scripted) work() {
