--- a/internal/control/api/zones.go
+++ b/internal/control/api/zones.go
@@ -27,12 +27,12 @@
 
 // ZoneRules are what the policy in force says about zones.
 type ZoneRules struct {
-	Mode         ZoneMode `json:"mode,omitempty"`
-	InitialShare int      `json:"first,omitempty"`       // a zone's first share of its recovery ramp, of FullShare
-	MinStepMS    uint64   `json:"hold_ms,omitempty"`     // at each share of a ramp
-	OrderTTLMS   uint64   `json:"keep_ms,omitempty"`     // an order holds so long without the group
-	MaxWaitMS    uint64   `json:"max_wait_ms,omitempty"` // longest wait of a zone that keeps failing
-	ColdStart    bool     `json:"small_start,omitempty"` // a fleet that restarts as a whole begins with InitialShare
+	Mode           ZoneMode `json:"mode,omitempty"`
+	InitialShare   int      `json:"first,omitempty"`       // a zone's first share of its recovery ramp, of FullShare
+	MinStepMS      uint64   `json:"hold_ms,omitempty"`     // at each share of a ramp
+	OrderTTLMS     uint64   `json:"keep_ms,omitempty"`     // an order holds so long without the group
+	MaxRampDelayMS uint64   `json:"max_wait_ms,omitempty"` // longest wait of a zone that keeps failing
+	ColdStart      bool     `json:"small_start,omitempty"` // a fleet that restarts as a whole begins with InitialShare
 }
 
 // Enabled tells whether anything is decided about zones.
--- a/internal/control/consensus/nodes.go
+++ b/internal/control/consensus/nodes.go
@@ -93,8 +93,8 @@
 			if e.FleetRestarted {
 				g.zoneTold(zones.Result{Kind: "began", Zone: zones.WholeFleet, Phase: zones.Ramping, Epoch: g.rep.machine.nodes.Zones.Epoch})
 			}
-			if len(e.WentSilent) > 0 {
-				g.log.WithField("nodes", policy.Summarize(e.WentSilent)).Warn("counted out: silent for a lease's time")
+			if len(e.CountedOut) > 0 {
+				g.log.WithField("nodes", policy.Summarize(e.CountedOut)).Warn("counted out: silent for a lease's time")
 			}
 		}
 		g.steward.EntryApplied(g.rep.machine.nodes, e)
@@ -188,8 +188,8 @@
 		w := PolicyView{Clock: p.Fleet.ClockMS, Need: p.Policy.DecidedVersion, Force: p.Policy.CommittedVersion, Rules: p.Policy.ActiveRules(),
 			Now: p.Policy.Current, Past: p.Policy.History, Leads: g.steward.Leading(), Beats: g.steward.BatchesSent,
 			Bytes: g.steward.BatchBytes, Level: g.rep.machine.level, Levels: g.rep.Levels(), Gen: p.Generation, Lost: p.Fleet.LostState}
-		if p.Fleet.UnknownLeasesUntilMS > p.Fleet.ClockMS {
-			w.Hush = p.Fleet.UnknownLeasesUntilMS - p.Fleet.ClockMS
+		if p.Fleet.UnknownLeasesExpireMS > p.Fleet.ClockMS {
+			w.Hush = p.Fleet.UnknownLeasesExpireMS - p.Fleet.ClockMS
 		}
 		if w.Leads {
 			w.Waits, w.Says = p.Policy.Blockers(p.Fleet, g.steward.Reports())
--- a/internal/control/consensus/recover_test.go
+++ b/internal/control/consensus/recover_test.go
@@ -134,8 +134,8 @@
 	if b.Generation != 4 || len(b.Predecessors) != 1 || b.Predecessors[0] != "g" || b.DecidedVersion != 7 || b.CommittedVersion != 7 || b.ZoneEpoch != 6 || b.UncommittedEntries != 0 {
 		t.Errorf("%+v: expected generation 4 of g, at version 7", b)
 	}
-	if old.machine.level != LevelKnown || old.machine.nodes.Fleet.UnknownLeasesUntilMS < 4000 || old.machine.nodes.Fleet.Lookup("n1") == nil {
-		t.Errorf("level %d, hush %d", old.machine.level, old.machine.nodes.Fleet.UnknownLeasesUntilMS)
+	if old.machine.level != LevelKnown || old.machine.nodes.Fleet.UnknownLeasesExpireMS < 4000 || old.machine.nodes.Fleet.Lookup("n1") == nil {
+		t.Errorf("level %d, hush %d", old.machine.level, old.machine.nodes.Fleet.UnknownLeasesExpireMS)
 	}
 	// Nobody holds the text of what was decided: nothing is in force, and the next put is newer than that.
 	none := recovery.PlanRestore([]recovery.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}}, nil, "")
--- a/internal/control/coordinator/leader_test.go
+++ b/internal/control/coordinator/leader_test.go
@@ -21,7 +21,7 @@
 	}
 	g.run(0, 1000)
 	if len(got) != 1000 || g.state.Fleet.Batches != 1 {
-		t.Fatalf("%d answers by %d beats, expected 1000 by one", len(got), g.state.Fleet.Batches)
+		t.Fatalf("%d answers by %d batches, expected 1000 by one", len(got), g.state.Fleet.Batches)
 	}
 	for second := 0; second < 10; second++ {
 		for i := range got {
@@ -206,7 +206,7 @@
 		}
 	}
 	g.leaders[0].SubmitPolicy(propose, done)
-	g.leaders[0].SubmitPolicy(propose, done) // the same asking again
+	g.leaders[0].SubmitPolicy(propose, done) // sent again
 	g.run(0, 1)
 	if ends != 2 || g.state.Policy.LastNumber != 1 {
 		t.Fatalf("%d ends, %d changes; expected both ends of one change", ends, g.state.Policy.LastNumber)
--- a/internal/control/coordinator/versions.go
+++ b/internal/control/coordinator/versions.go
@@ -54,12 +54,12 @@
 	rules := policy.Rules{LeaseMS: uint64(d.Fleet.Lease.Milliseconds()), Autonomous: d.Fleet.Alone}
 	if z := &d.Zones; z.Given {
 		rules.Zones = api.ZoneRules{
-			Mode:         api.ZoneMode(z.Decide),
-			InitialShare: int(z.First*api.FullShare + roundHalfUp),
-			MinStepMS:    uint64(z.Hold.Milliseconds()),
-			OrderTTLMS:   uint64(z.Keep.Milliseconds()),
-			MaxWaitMS:    uint64(z.Wait.Milliseconds()),
-			ColdStart:    z.Small,
+			Mode:           api.ZoneMode(z.Decide),
+			InitialShare:   int(z.First*api.FullShare + roundHalfUp),
+			MinStepMS:      uint64(z.Hold.Milliseconds()),
+			OrderTTLMS:     uint64(z.Keep.Milliseconds()),
+			MaxRampDelayMS: uint64(z.Wait.Milliseconds()),
+			ColdStart:      z.Small,
 		}
 	}
 	return rules
--- a/internal/control/membership/batch.go
+++ b/internal/control/membership/batch.go
@@ -33,5 +33,5 @@
 	LeaseMS    uint64          // of the leases that were granted
 	Granted    map[uint32]bool // by lease that was heard: whether it was extended
 	Joins      []JoinResult
-	WentSilent []string // names that were counted out for silence
+	CountedOut []string // names that were counted out for silence
 }
--- a/internal/control/membership/expiry.go
+++ b/internal/control/membership/expiry.go
@@ -12,7 +12,7 @@
 		silentSince := max(n.LastHeartbeatMS, s.ListeningSinceMS)
 		if n.OutReason == "" && s.ClockMS > silentSince+span && s.ClockMS >= n.Lease.ExpiresAtMS {
 			s.markOut(n, OutSilent)
-			result.WentSilent = append(result.WentSilent, n.Name)
+			result.CountedOut = append(result.CountedOut, n.Name)
 		}
 		live := n.EarlierLeases[:0]
 		for _, l := range n.EarlierLeases {
--- a/internal/control/membership/generation.go
+++ b/internal/control/membership/generation.go
@@ -18,7 +18,7 @@
 // of an earlier generation, known here or not, is taken to be live for its whole length and to promise nothing.
 func (s *State) BeginGeneration(longestLeaseMS uint64, autonomous bool, known []api.JoinRequest) {
 	s.LostState, s.Term, s.ListeningSinceMS = "", 0, s.ClockMS
-	s.UnknownLeasesUntilMS = s.ClockMS + LeaseSpanMS(longestLeaseMS)
+	s.UnknownLeasesExpireMS = s.ClockMS + LeaseSpanMS(longestLeaseMS)
 	s.lastLeaseID += leaseIDGap
 	for i := range known {
 		j := &known[i]
@@ -32,7 +32,7 @@
 			continue
 		}
 		s.lastLeaseID++
-		n.Lease = Lease{ID: s.lastLeaseID, Nonce: earlierGenerationNonce, ExpiresAtMS: s.UnknownLeasesUntilMS,
+		n.Lease = Lease{ID: s.lastLeaseID, Nonce: earlierGenerationNonce, ExpiresAtMS: s.UnknownLeasesExpireMS,
 			Autonomous: autonomous || n.Lease.Autonomous}
 		n.EarlierLeases, n.JoinTimesMS = nil, nil
 		n.OutReason, n.OutAtMS = OutSilent, s.ClockMS
--- a/internal/control/membership/join.go
+++ b/internal/control/membership/join.go
@@ -21,7 +21,7 @@
 	if n == nil {
 		if len(s.nodes) >= MaxNodes && !s.evictLongestOut() {
 			reason := fmt.Sprintf("%d nodes are known, expected at most %d", len(s.nodes)+1, MaxNodes)
-			return JoinResult{Nonce: j.Nonce, RefusedReason: reason, RetryAfterMS: maxJoinWaitMS}
+			return JoinResult{Nonce: j.Nonce, RefusedReason: reason, RetryAfterMS: maxJoinBackoffMS}
 		}
 		n = &Node{Name: j.Name}
 		s.insert(n)
@@ -93,7 +93,7 @@
 		result.Joins = append(result.Joins, JoinResult{
 			Nonce:         b.Joins[i].Nonce,
 			RefusedReason: "the group has lost state: " + lost,
-			RetryAfterMS:  maxJoinWaitMS,
+			RetryAfterMS:  maxJoinBackoffMS,
 		})
 	}
 }
--- a/internal/control/membership/join_backoff.go
+++ b/internal/control/membership/join_backoff.go
@@ -8,11 +8,11 @@
 	freeJoins = 4
 	// joinWindowMS is how long a join counts, in ms.
 	joinWindowMS = 60_000
-	// firstJoinWaitMS is the first wait, in ms; each join after it doubles the wait.
-	firstJoinWaitMS = 1000
-	// maxJoinWaitMS bounds the wait, in ms: a crash loop costs the group two entries a minute, and a node that is
+	// initialJoinBackoffMS is the first wait, in ms; each join after it doubles the wait.
+	initialJoinBackoffMS = 1000
+	// maxJoinBackoffMS bounds the wait, in ms: a crash loop costs the group two entries a minute, and a node that is
 	// mended is back within half a minute.
-	maxJoinWaitMS = 30_000
+	maxJoinBackoffMS = 30_000
 	// maxJoinTimes bounds the joins that are remembered for a name; a name within its backoff has fewer.
 	maxJoinTimes = 16
 	// maxEarlierLeases bounds the live leases of replaced incarnations of a name.
@@ -32,7 +32,7 @@
 	mayJoinAt := uint64(0)
 	if doublings := len(n.JoinTimesMS) - freeJoins; doublings >= 0 {
 		lastJoin := n.JoinTimesMS[len(n.JoinTimesMS)-1]
-		mayJoinAt = lastJoin + min(uint64(firstJoinWaitMS)<<doublings, maxJoinWaitMS)
+		mayJoinAt = lastJoin + min(uint64(initialJoinBackoffMS)<<doublings, maxJoinBackoffMS)
 	}
 	if len(n.EarlierLeases) >= maxEarlierLeases {
 		mayJoinAt = max(mayJoinAt, n.EarlierLeases[0].ExpiresAtMS)
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -42,11 +42,11 @@
 func TestLeases(t *testing.T) {
 	w := newFleetTest(t)
 	j := w.join("a", "x", terms)
-	if r := w.apply(4000, terms, nil); len(r.WentSilent) > 0 || !w.s.MayServeOlder(w.s.Lookup("a"), 1) {
+	if r := w.apply(4000, terms, nil); len(r.CountedOut) > 0 || !w.s.MayServeOlder(w.s.Lookup("a"), 1) {
 		t.Fatalf("counted out with its lease: %+v", r)
 	}
 	r := w.apply(LeaseSpanMS(4000)-4000+1, terms, nil)
-	if len(r.WentSilent) != 1 || w.s.LeaseHolder(j.LeaseID) != nil || w.s.MayServeOlder(w.s.Lookup("a"), 1) {
+	if len(r.CountedOut) != 1 || w.s.LeaseHolder(j.LeaseID) != nil || w.s.MayServeOlder(w.s.Lookup("a"), 1) {
 		t.Fatalf("not counted out after it: %+v", r)
 	}
 	if r := w.apply(1, terms, func(b *HeartbeatBatch) { b.Renewals = []uint32{j.LeaseID} }); len(r.Granted) != 0 {
@@ -144,7 +144,7 @@
 			t.Fatalf("%d earlier leases, %d starts", len(n.EarlierLeases), len(n.JoinTimesMS))
 		}
 	}
-	if taken < 8 || taken > 24 || longest < 8000 || longest > maxJoinWaitMS {
+	if taken < 8 || taken > 24 || longest < 8000 || longest > maxJoinBackoffMS {
 		t.Errorf("%d starts taken of 600, longest wait %d ms; expected 8 to 24, 8 to 30 s", taken, longest)
 	}
 }
@@ -187,10 +187,10 @@
 	if r := w.s.Apply(old, 1, terms); r.Counted || len(r.Granted) > 0 {
 		t.Fatalf("a batch made before another counts: %+v", r)
 	}
-	if r := w.apply(3000, terms, nil); len(r.WentSilent) != 0 {
-		t.Errorf("the new leader's first beat counts out %v", r.WentSilent)
+	if r := w.apply(3000, terms, nil); len(r.CountedOut) != 0 {
+		t.Errorf("the new leader's first batch counts out %v", r.CountedOut)
 	}
-	if r := w.apply(LeaseSpanMS(4000)+1, terms, nil); len(r.WentSilent) != 1 {
+	if r := w.apply(LeaseSpanMS(4000)+1, terms, nil); len(r.CountedOut) != 1 {
 		t.Error("who was silent for a lease since it leads is not counted out")
 	}
 }
@@ -248,7 +248,7 @@
 	b := &HeartbeatBatch{BatchesBefore: o.Batches, ElapsedMS: 5,
 		Joins: []api.JoinRequest{{Name: "last", Zone: "z", Nonce: "nonce-last"}}}
 	if x, y := w.s.Apply(b, 1, terms), o.Apply(b, 1, terms); fmt.Sprint(x) != fmt.Sprint(y) {
-		t.Errorf("the same beat does %v and %v", x, y)
+		t.Errorf("the same batch does %v and %v", x, y)
 	}
 }
 
@@ -290,8 +290,8 @@
 	if raw, err = s.Snapshot(); err != nil {
 		t.Fatal(err)
 	}
-	if s, err = Restore(raw); err != nil || s.UnknownLeasesUntilMS == 0 {
-		t.Fatalf("%v, hush %d: expected it kept", err, s.UnknownLeasesUntilMS)
+	if s, err = Restore(raw); err != nil || s.UnknownLeasesExpireMS == 0 {
+		t.Fatalf("%v, hush %d: expected it kept", err, s.UnknownLeasesExpireMS)
 	}
 }
 
--- a/internal/control/membership/promises.go
+++ b/internal/control/membership/promises.go
@@ -36,7 +36,7 @@
 }
 
 func (s *State) withUnknown(names []string) []string {
-	if s.ClockMS < s.UnknownLeasesUntilMS {
+	if s.ClockMS < s.UnknownLeasesExpireMS {
 		names = append(names, UnknownNodes)
 	}
 	return names
--- a/internal/control/membership/snapshot.go
+++ b/internal/control/membership/snapshot.go
@@ -7,29 +7,29 @@
 
 // snapshot is the stored form of the state. Builds of different versions read each other's, so keys and order stay.
 type snapshot struct {
-	ClockMS              uint64  `json:"clock"`
-	Batches              uint64  `json:"beats"`
-	Epoch                uint64  `json:"epoch"`
-	Term                 uint64  `json:"term"`
-	ListeningSinceMS     uint64  `json:"heard"`
-	LastLeaseID          uint32  `json:"next"`
-	UnknownLeasesUntilMS uint64  `json:"hush,omitempty"`
-	LostState            string  `json:"lost,omitempty"`
-	Nodes                []*Node `json:"nodes"`
+	ClockMS               uint64  `json:"clock"`
+	Batches               uint64  `json:"beats"`
+	Epoch                 uint64  `json:"epoch"`
+	Term                  uint64  `json:"term"`
+	ListeningSinceMS      uint64  `json:"heard"`
+	LastLeaseID           uint32  `json:"next"`
+	UnknownLeasesExpireMS uint64  `json:"hush,omitempty"`
+	LostState             string  `json:"lost,omitempty"`
+	Nodes                 []*Node `json:"nodes"`
 }
 
 // Snapshot gives the state as JSON.
 func (s *State) Snapshot() ([]byte, error) {
 	return json.Marshal(snapshot{
-		ClockMS:              s.ClockMS,
-		Batches:              s.Batches,
-		Epoch:                s.Epoch,
-		Term:                 s.Term,
-		ListeningSinceMS:     s.ListeningSinceMS,
-		LastLeaseID:          s.lastLeaseID,
-		UnknownLeasesUntilMS: s.UnknownLeasesUntilMS,
-		LostState:            s.LostState,
-		Nodes:                s.nodes,
+		ClockMS:               s.ClockMS,
+		Batches:               s.Batches,
+		Epoch:                 s.Epoch,
+		Term:                  s.Term,
+		ListeningSinceMS:      s.ListeningSinceMS,
+		LastLeaseID:           s.lastLeaseID,
+		UnknownLeasesExpireMS: s.UnknownLeasesExpireMS,
+		LostState:             s.LostState,
+		Nodes:                 s.nodes,
 	})
 }
 
@@ -44,7 +44,7 @@
 	}
 	s := New()
 	s.ClockMS, s.Batches, s.Epoch, s.Term = p.ClockMS, p.Batches, p.Epoch, p.Term
-	s.ListeningSinceMS, s.UnknownLeasesUntilMS = p.ListeningSinceMS, p.UnknownLeasesUntilMS
+	s.ListeningSinceMS, s.UnknownLeasesExpireMS = p.ListeningSinceMS, p.UnknownLeasesExpireMS
 	s.LostState, s.lastLeaseID = p.LostState, p.LastLeaseID
 	for i, n := range p.Nodes {
 		if i > 0 && p.Nodes[i-1].Name >= n.Name {
--- a/internal/control/membership/state.go
+++ b/internal/control/membership/state.go
@@ -12,9 +12,9 @@
 	Epoch            uint64 // joins so far: a decision about all nodes names the one that it was made in
 	Term             uint64 // of the leader whose batch was applied last
 	ListeningSinceMS uint64 // from which on that leader hears nodes
-	// UnknownLeasesUntilMS is when the last lease has run out that an earlier generation may have granted to a node
+	// UnknownLeasesExpireMS is when the last lease has run out that an earlier generation may have granted to a node
 	// which this one does not know.
-	UnknownLeasesUntilMS uint64
+	UnknownLeasesExpireMS uint64
 	// LostState is the proof that the group lost state, or empty. Nothing is granted under a state that lacks some.
 	LostState   string
 	lastLeaseID uint32
--- a/internal/control/policy/blockers.go
+++ b/internal/control/policy/blockers.go
@@ -37,9 +37,9 @@
 	if c == nil {
 		return nil, nil
 	}
-	if f.ClockMS < f.UnknownLeasesUntilMS {
+	if f.ClockMS < f.UnknownLeasesExpireMS {
 		// In a restored group's first moments nobody is in, and all nodes may be on their way.
-		reason := fmt.Sprintf("may act on their leases for %d ms at most", f.UnknownLeasesUntilMS-f.ClockMS)
+		reason := fmt.Sprintf("may act on their leases for %d ms at most", f.UnknownLeasesExpireMS-f.ClockMS)
 		blockers = append(blockers, Blocker{membership.UnknownNodes, "", reason})
 	}
 	for _, n := range f.Nodes() {
--- a/internal/control/policy/next.go
+++ b/internal/control/policy/next.go
@@ -39,7 +39,7 @@
 func nextOfPreparing(c *Change, f *membership.State, blockers, refusals []Blocker, disabled Guard) *Op {
 	missing := len(blockers) + len(refusals)
 	late := f.ClockMS >= c.DecideByMS
-	mayLeaveBehind := late && missing <= c.Proposal.MaxLeftBehind && f.ClockMS >= f.UnknownLeasesUntilMS
+	mayLeaveBehind := late && missing <= c.Proposal.MaxLeftBehind && f.ClockMS >= f.UnknownLeasesExpireMS
 	switch {
 	case disabled.Has(PrepareAll) && 2*missing < len(f.Nodes()):
 		return &Op{Kind: OpDecide, ChangeNumber: c.Number, FleetEpoch: f.Epoch}
--- a/internal/control/zones/evacuate.go
+++ b/internal/control/zones/evacuate.go
@@ -18,7 +18,7 @@
 	// minPartShare, of api.FullShare: less than an eighth of a zone is not worth an epoch that every node has to
 	// promise.
 	minPartShare = api.FullShare / 8
-	// maxDoublings of a wait: beyond it MaxWaitMS is the limit in any case, and the shift must not overflow.
+	// maxDoublings of a wait: beyond it MaxRampDelayMS is the limit in any case, and the shift must not overflow.
 	maxDoublings = 20
 	// minRate stands for no rate where one is divided by.
 	minRate = 1e-9
@@ -178,7 +178,7 @@
 // rampDelayMS decides how long a zone stays evacuated at least, in ms: twice as long with each time that it failed
 // again soon, up to the policy's limit. A zone that fails at each return must not take its callers along each time.
 func rampDelayMS(rules *api.ZoneRules, flaps int) uint64 {
-	return min(rules.MinStepMS<<min(flaps, maxDoublings), rules.MaxWaitMS)
+	return min(rules.MinStepMS<<min(flaps, maxDoublings), rules.MaxRampDelayMS)
 }
 
 // withRetryBudget sets what the zones in service may admit of retries once the operation is applied.
--- a/internal/control/zones/pin_stream_test.go
+++ b/internal/control/zones/pin_stream_test.go
@@ -256,7 +256,7 @@
 		watch: NewMonitor(), without: without,
 		sum: sha256.New(), kinds: map[string]int{}, rules: api.ZoneRules{Mode: api.ZoneModeAuto, InitialShare: 16,
 			MinStepMS:  2000,
-			OrderTTLMS: 60_000, MaxWaitMS: 20_000, ColdStart: true}}
+			OrderTTLMS: 60_000, MaxRampDelayMS: 20_000, ColdStart: true}}
 }
 
 // TestPinnedStream: a recorded run with faults (kernels gone, services that crawl, fail or stand, silence, a common
--- a/internal/control/zones/rules_test.go
+++ b/internal/control/zones/rules_test.go
@@ -100,7 +100,7 @@
 		joins = append(joins, api.JoinRequest{Name: fmt.Sprint("n", i), Zone: zone, Nonce: fmt.Sprint("nonce-of-", i)})
 	}
 	f.Apply(&membership.HeartbeatBatch{Term: 1, Joins: joins}, 1, membership.LeaseTerms{LeaseMS: 5000})
-	rules := api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 2000, MaxWaitMS: 60_000, InitialShare: 16}
+	rules := api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 2000, MaxRampDelayMS: 60_000, InitialShare: 16}
 	well := api.LoadReport{WindowMS: 2000, Arrived: 100, Completed: 100, RunsEnded: 100, MeanRunMS: 20, Calls: 100,
 		MeanCallMS: 10, KernelConnected: true, Cores: 4,
 		CoresUsed: 1, OfferedWeight: 100, CompletedWeight: 100}
@@ -221,7 +221,7 @@
 	for _, n := range f.Nodes() {
 		n.Lease.ExpiresAtMS = 1 << 40
 	}
-	rules := api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 1000, MaxWaitMS: 60_000, InitialShare: 16}
+	rules := api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 1000, MaxRampDelayMS: 60_000, InitialShare: 16}
 	bore := ObservedCapacity{RunRate: 100, Concurrency: 2, RunMS: 20, CallMS: 10}
 	for _, c := range []struct {
 		name   string
