--- a/internal/control/coordinator/append_timer.go
+++ b/internal/control/coordinator/append_timer.go
@@ -1,8 +1,8 @@
 package coordinator
 
-// appendTimeoutMS is after how long, in ms, an appended entry that was not applied counts as lost with a leader or on
-// the way to one, and is appended again. Shorter, a slow commit would bring entries twice, which costs log and
-// changes nothing; longer, nodes wait for an answer, of which a lease allows some.
+// appendTimeoutMS is after how long, in ms, an appended entry that was not applied counts as lost, with a leader or
+// on the way to one, and is appended again. A shorter time would append entries twice when commits are slow, which
+// costs log and changes nothing; a longer one leaves nodes without an answer while their leases run.
 const appendTimeoutMS = 5000
 
 // appendTimer follows one entry from its append to its application. The zero value follows none.
--- a/internal/control/coordinator/listen.go
+++ b/internal/control/coordinator/listen.go
@@ -29,8 +29,8 @@
 //
 // It decides by the ms since it leads, the lease, and which nodes that are in have been heard. It guards against a
 // group that was put back to an older state and goes on as if nothing were lost: some node may know what the state
-// lacks, and nothing may be granted that rests on it until all were heard. It acts once a leadership, for a quarter
-// of a lease at most.
+// lacks, and nothing may be granted that rests on it until all were heard. It acts once in each leadership, for a
+// quarter of a lease at most.
 func (l *Leader) stillListening(s *State) bool {
 	p := &l.listening
 	if p.seenNames == nil {
