--- a/internal/control/zones/decide.go
+++ b/internal/control/zones/decide.go
@@ -79,5 +79,5 @@
 	return nil
 }
 
-// maySettle tells whether load may be raised: nobody acts on an older epoch.
+// mayRaise tells whether load may be raised: nobody acts on an older epoch.
 func (d *decider) mayRaise() bool { return d.state.settled() || d.without.Has(OneEpoch) }
--- /dev/null
+++ b/internal/control/zones/helper_test.go
@@ -0,0 +1,20 @@
+package zones
+
+import (
+	"umberwinch/internal/control/api"
+	"umberwinch/internal/control/membership"
+)
+
+// evaluated has the monitor hear the same report of each node before each of some evaluations, and gives the time
+// after them.
+func evaluated(w *Monitor, f *membership.State, s *State, from uint64, looks int, l api.LoadReport) uint64 {
+	for i := 0; i < looks; i++ {
+		from += evaluateEveryMS
+		for _, n := range f.Nodes() {
+			one := l
+			w.Record(from, n, &one, nil)
+		}
+		w.evaluate(from, s, f, 0)
+	}
+	return from
+}
--- /dev/null
+++ b/internal/node/zonegate/admit_test.go
@@ -0,0 +1,44 @@
+package zonegate
+
+import (
+	"testing"
+
+	"umberwinch/internal/control/api"
+)
+
+// TestReasons: a caller that is rejected wants to know why, and so does whoever is on call. Each rule that rejects
+// gives its own reason, and a rejection is final only where the order says that no zone has capacity, and only to a
+// retry.
+func TestReasons(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		order   api.ZoneOrder
+		request Request
+		reason  Reason
+		final   bool
+	}{
+		{"all is taken", api.ZoneOrder{Share: api.FullShare}, Request{}, ReasonNone, false},
+		{"seen before", api.ZoneOrder{Share: 0}, Request{SeenBefore: true}, ReasonNone, false},
+		{"beyond the share", api.ZoneOrder{Share: 16}, Request{Hash: 16 << 16}, ReasonShare, false},
+		{"the same, no capacity, a first attempt", api.ZoneOrder{NoCapacityElsewhere: true}, Request{}, ReasonShare,
+			false},
+		{"the same, a retry", api.ZoneOrder{NoCapacityElsewhere: true}, Request{IsRetry: true}, ReasonShare, true},
+		{"above the cutoff", api.ZoneOrder{Share: api.FullShare, PriorityCutoff: 2}, Request{Value: 3}, ReasonShare,
+			false},
+		{"no token", api.ZoneOrder{Share: api.FullShare, RateLimited: true}, Request{}, ReasonRateLimit, false},
+		{"no retry is paid for", api.ZoneOrder{Share: api.FullShare, RetryBudget: 64}, Request{IsRetry: true},
+			ReasonRetryBudget,
+			false},
+	} {
+		gate := NewGate(1, 7)
+		gate.SetOrder(1000, &c.order)
+		got := gate.Admit(1000, c.request)
+		want := Decision{Admitted: c.reason == ReasonNone, Final: c.final, Reason: c.reason}
+		if got != want {
+			t.Errorf("%s: %+v, expected %+v", c.name, got, want)
+		}
+		if counted := gate.Rejected == 1; counted == got.Admitted {
+			t.Errorf("%s: %d rejections counted", c.name, gate.Rejected)
+		}
+	}
+}
