--- a/internal/logging/fields.go
+++ b/internal/logging/fields.go
@@ -44,4 +44,14 @@
 	Quota         = "share"          // quota of a zone, of 256
 	ElapsedMS     = "elapsed_ms"     // time that something took, in milliseconds
 	SilentMS      = "silent_ms"      // time without word from a leader or the group, in milliseconds
+
+	Mode           = "mode"            // of the result store
+	PreviousMode   = "mode_before"     // that it had before
+	Keys           = "keys"            // known to the result store
+	Records        = "records"         // read from its log
+	PendingRecords = "pending_records" // that wait for its disk
+	Indeterminate  = "indeterminate"   // keys that may have run before a restart
+	SameBoot       = "same_boot"       // windows go on by the same clock; else from the last record
+	TornTail       = "torn_tail"       // a tail of the log that was never synced was cut off
+	MaxBytes       = "max_bytes"       // bound on a size
 )
--- a/internal/node/server/counters.go
+++ b/internal/node/server/counters.go
@@ -57,12 +57,6 @@
 			c.FleetLost
 		out["zone_epoch"], out["zone_share"], out["zone_turned"] = f.gate.Epoch(), f.gate.Share(), c.Turned
 	}
-	if k := l.kept; k != nil {
-		out["kept_mode"], out["kept_waits"], out["kept_lost"] = k.mode, len(k.waits), k.lost
-		out["kept_shed"], out["kept_errored"], out["kept_refused"], out["kept_answers"] = k.sheds, k.errs, k.refused, k.answers
-		if k.book != nil {
-			out["kept_keys"], out["kept_bytes"] = k.book.Len(), k.book.BytesUsed()
-		}
-	}
+	l.results.addCounters(out)
 	return out
 }
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -27,7 +27,7 @@
 	l.nextRound().Drain, l.nextRound().KillAt = true, l.answerBy
 	l.Health(false)
 	l.timers.set(l.now, timerDrain, 0)
-	l.keptLeaves()
+	l.results.drain()
 }
 
 // leave sees whether nobody sends here any more, or the kill is near: then the listener takes what is complete
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -77,8 +77,7 @@
 func (l *loop) rejectQueued() {
 	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
 		r := l.requests.get(h)
-		if r.answered || r.abandoned || r.run != runNotStarted || r.paused || r.kept != nil &&
-			r.kept.stand == keptReads {
+		if r.answered || r.abandoned || r.run != runNotStarted || r.paused || r.keyed.isBeingRead() {
 			continue
 		}
 		if e := l.idempotency.find(r.key); r.awaitsShared && e != nil && e.state == entryRunning {
--- a/internal/node/server/front.go
+++ b/internal/node/server/front.go
@@ -313,9 +313,7 @@
 	if a.Status = 200; !l.ready {
 		a.Status = 503
 	}
-	if l.kept != nil && l.kept.mode != keptWell {
-		a.Body = []byte("kept results: " + l.kept.mode + "\n")
-	}
+	a.Body = l.results.healthBody()
 }
 
 // refusal answers what could not be read.
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -38,9 +38,9 @@
 	clock    *clock.Clock
 	stamps   *clock.Stamps
 
-	pools *pools.Pools // nil: none
-	fleet *fleetAgent  // nil: the node serves alone
-	kept  *keptPart    // nil: results are kept in memory alone
+	pools   *pools.Pools  // nil: none
+	fleet   *fleetAgent   // nil: the node serves alone
+	results *resultKeeper // nil: results are kept in memory alone
 
 	startup     *Node // the start-up file
 	settings    *settings.Startup
@@ -152,7 +152,7 @@
 	l.serve(ln)
 	l.forward(signals)
 	l.run()
-	l.closeKept()
+	l.closeResults()
 	return nil
 }
 
@@ -245,7 +245,7 @@
 		case timerSweep:
 			l.sweep(d.at)
 			l.closeIdleStoreConnections()
-			l.sweepKept()
+			l.results.sweep()
 			l.timers.set(l.now+l.limits.SweepInterval, timerSweep, 0)
 		case timerIdempotencyKey:
 			for _, h := range l.idempotency.expire(d.subject, l.now, &l.timers) {
@@ -254,7 +254,7 @@
 		case timerDrain:
 			l.drainTick()
 		case timerResultStore:
-			l.keptLate(d.subject)
+			l.results.answerLate(d.subject)
 		case timerFleet: // whatever has come is seen by tick
 		}
 	}
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -45,8 +45,8 @@
 	connection      handle
 	closeAfter      bool // its connection is not to be used again
 	handler         int
-	kept            *keptReq // nil: its end is not kept
-	buf             *buffer  // the message, of which body is a part
+	keyed           *keyedRequest // nil: its result is not stored
+	buf             *buffer       // the message, of which body is a part
 	body            []byte
 	key             string         // of repeats; empty if it has none
 	earliestArrival admission.Time // it may have come as early as this, where the wall clock was stepped
@@ -121,8 +121,8 @@
 		r.deadline = came + hd.Timeout
 	}
 	c.current = h
-	if l.kept != nil && hd.RetrySafety == admission.IdempotencyKeyed {
-		r.kept = keptName(l.names[i], q.Tenant, q.IdempotencyKey, q.Body)
+	if l.results != nil && hd.RetrySafety == admission.IdempotencyKeyed {
+		r.keyed = newKeyedRequest(l.names[i], q.Tenant, q.IdempotencyKey, q.Body)
 	}
 	l.byRequestID[r.id] = h
 	l.counters.Reqs++
@@ -133,9 +133,9 @@
 	l.fleet.requestAdmitted(i, q.IsRetry)
 	admit := admission.Request{ID: uint32(h), Handler: i, Tenant: tenant, ArrivedAt: came, Deadline: due,
 		ExpectedWork: admission.Time(q.ExpectedWorkMS * 10), SizeKB: q.FootprintKB, IsRetry: q.IsRetry, Caller: q.Caller}
-	if r.kept != nil {
-		r.kept.admit = admit
-		if l.keptWord(h, r) {
+	if r.keyed != nil {
+		r.keyed.submission = admit
+		if l.results.intercept(h, r) {
 			return 0
 		}
 	}
@@ -254,11 +254,11 @@
 		admission.RunEnd{ID: uint32(h), Outcome: how, Elapsed: admission.Time(ms * 10)})
 	l.fleet.runEnded(uint32(h), how, ms, admission.Time(ms*10))
 	ok := how == admission.Succeeded
-	if r.kept != nil {
-		var waits bool
-		if waits, ok = l.keptEnd(h, r, how, result); waits {
+	if r.keyed != nil {
+		if l.results.end(h, r, how, result) {
 			return
 		}
+		ok = false
 	}
 	wait := l.idempotency.runEnded(r.key, uint32(h), ok, result)
 	switch {
@@ -314,7 +314,7 @@
 	r := l.requests.get(handle(id))
 	switch {
 	case r == nil || r.run != runNotStarted && !r.paused:
-	case r.paused && r.kept != nil && r.kept.stand == keptIntends:
+	case r.paused && r.keyed.holdsBack():
 		r.run, r.paused = runRunning, false
 	case r.paused && l.settings.Cancellation == admission.CancelPause:
 		r.run = runRunning
@@ -324,8 +324,8 @@
 		l.counters.Runs++
 		l.trace(r, "run")
 		l.idempotency.runStarted(r.key, id)
-		if r.kept != nil {
-			l.intend(handle(id), r)
+		if r.keyed != nil {
+			l.results.begin(handle(id), r)
 			return
 		}
 		l.sendRun(r)
@@ -336,7 +336,7 @@
 	if r := l.requests.get(handle(id)); r != nil && r.run == runRunning {
 		l.trace(r, "pause")
 		l.counters.Pauses++
-		if r.paused = true; r.kept == nil || r.kept.stand != keptIntends { // else it is told with the run
+		if r.paused = true; !r.keyed.holdsBack() { // else it is told with the run
 			l.sendStop(r)
 		}
 	}
--- /dev/null
+++ b/internal/node/server/result_fault.go
@@ -0,0 +1,68 @@
+package server
+
+import (
+	"slices"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// Guards of the result keeper that a fault test may take out, by their names in the operator's file: a promise then
+// breaks.
+const (
+	guardGroupSync = "group"  // records that wait share a sync
+	guardProof     = "proof"  // what may have run does not run again
+	guardIntent    = "intent" // a run waits for its intent
+	guardResult    = "result" // an answer waits for its result
+)
+
+// Points at which a fault test may kill the node, by their names in the operator's file.
+const (
+	faultBeforeIntent  = "intent"  // the intent is not handed over yet
+	faultIntentDurable = "durable" // it is durable, and the kernel has not heard of the run
+	faultRunSent       = "sched"   // the kernel has
+	faultRunEnded      = "reap"    // the run ended, and its result is not handed over
+	faultResultDurable = "result"  // the result is durable, and nobody was answered
+	faultAnswered      = "answer"  // the caller was answered
+	faultBeforeSync    = "sync"    // on the store's goroutine, before a write
+	faultDiskHangs     = "hangs"   // the same; the disk takes its time once
+)
+
+const (
+	// diskHang is long beside what a loaded machine takes for some requests.
+	diskHang = 3500 * time.Millisecond
+	// answersOut is waited before a kill at faultBeforeSync: what goes out without waiting for the disk is out by then.
+	answersOut = 20 * time.Millisecond
+)
+
+// without tells whether a fault test took a guard out.
+func (k *resultKeeper) without(guard string) bool { return slices.Contains(k.config.Without, guard) }
+
+// faultPoint is where a fault test wants the node to die, the n-th time that it gets there.
+type faultPoint struct {
+	at      string // empty: nowhere
+	on      int
+	reached int
+}
+
+// isOfDisk tells whether the point is reached on the store's goroutine.
+func (p *faultPoint) isOfDisk() bool { return p.at == faultBeforeSync || p.at == faultDiskHangs }
+
+// reach is called at each point.
+func (p *faultPoint) reach(point string) {
+	if p.at != point {
+		return
+	}
+	if p.reached++; p.reached != p.on {
+		return
+	}
+	switch point {
+	case faultDiskHangs:
+		time.Sleep(diskHang)
+		return
+	case faultBeforeSync:
+		time.Sleep(answersOut)
+	}
+	_ = unix.Kill(unix.Getpid(), unix.SIGKILL) // can't fail for the own process
+	select {}
+}
--- /dev/null
+++ b/internal/node/server/result_host.go
@@ -0,0 +1,66 @@
+package server
+
+import (
+	"umberwinch/admission"
+)
+
+// What the loop does for the result keeper, see resultHost.
+
+// keepResults readies the result keeper, if the operator's file has one.
+func (l *loop) keepResults() {
+	if l.startup.own != nil && l.startup.own.Kept != nil {
+		l.results = newResultKeeper(l, l.log, l.startup.own.Kept)
+	}
+}
+
+// closeResults closes the result store, within what is left before the process is killed. Callbacks that nobody takes
+// any more are let through, as the store's goroutine waits for them.
+func (l *loop) closeResults() {
+	if l.results == nil {
+		return
+	}
+	go func() {
+		for range l.events {
+		}
+	}()
+	l.results.close(durationOf(l.answerBy+l.killMargin/2) - l.clock.Now())
+}
+
+func (l *loop) currentTime() admission.Time { return l.now }
+
+func (l *loop) drainDeadline() (answerBy admission.Time, draining bool) {
+	return l.answerBy, l.draining
+}
+
+func (l *loop) setResultTimer(at admission.Time, h handle) { l.timers.set(at, timerResultStore, h) }
+
+func (l *loop) requestByHandle(h handle) *request { return l.requests.get(h) }
+
+func (l *loop) forEachRequest(f func(h handle, r *request)) {
+	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
+		f(h, l.requests.get(h))
+	}
+}
+
+func (l *loop) requestCapacity() int { return l.requests.capacity }
+
+func (l *loop) countShared() { l.counters.Shared++ }
+
+func (l *loop) startRun(r *request) { l.sendRun(r) }
+
+func (l *loop) stopRun(r *request) { l.sendStop(r) }
+
+func (l *loop) endUnstarted(h handle, r *request) { l.runEnded(h, r, admission.NotExecuted, 0, nil) }
+
+// hasSharedResult tells whether the result of a request's key is in memory or will be: the controller then has it
+// answered.
+func (l *loop) hasSharedResult(r *request) bool {
+	e := l.idempotency.find(r.key)
+	return e != nil && r.earliestArrival < e.until && (e.hasResult || e.state < entryDone)
+}
+
+func (l *loop) shareResult(h handle, key string, ok bool, result []byte) {
+	for _, waiter := range l.idempotency.runEnded(key, uint32(h), ok, result) {
+		l.sharedResultReady(waiter, ok, result)
+	}
+}
--- a/internal/node/server/kept_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -48,28 +48,34 @@
 	return f.File.Sync()
 }
 
-// keptLoop is a loop without sockets over a store on such a disk, as far as this part needs one.
-func keptLoop(t *testing.T, d *heldDisk) *loop {
+// loopWithStore is a loop without sockets over a store on such a disk, as far as this part needs one.
+func loopWithStore(t *testing.T, d *heldDisk) *loop {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &loop{log: log, events: make(chan event, 64), requests: newTable[request](8), connections: newTable[connection](2), names: []string{"put"},
-		idempotency: newIdempotencyTable(10, 1000, 50), limits: NewLimits(1, 64, 256), settings: &settings.Startup{Deployment: &admission.Deployment{
-			MaxRetryAfter: 5 * admission.Second, Handlers: []admission.Handler{{IdempotencyWindow: admission.Second, RetrySafety: admission.IdempotencyKeyed}}}}}
+	l := &loop{log: log, events: make(chan event, 64), requests: newTable[request](8),
+		connections: newTable[connection](2), names: []string{"put"},
+		idempotency: newIdempotencyTable(10, 1000, 50), limits: NewLimits(1, 64, 256),
+		settings: &settings.Startup{Deployment: &admission.Deployment{
+			MaxRetryAfter: 5 * admission.Second, Handlers: []admission.Handler{{IdempotencyWindow: admission.Second,
+				RetrySafety: admission.IdempotencyKeyed}}}}}
 	l.startClock(admission.Second)
-	l.kept = &keptPart{own: &config.Kept{Entries: 100, MB: 1, Result: 100}, reads: make(chan func(), 1)}
-	store, book, found, err := resultstore.Open(d, wal.Sizes{Segment: 1 << 16, Bound: 1 << 20}, resultstore.Limits{Keys: 100, Bytes: 1 << 18, ResultBytes: 100},
+	l.results = &resultKeeper{host: l, log: log, config: &config.Kept{Entries: 100, MB: 1, Result: 100},
+		reads: make(chan func(), 1)}
+	store, book, found, err := resultstore.Open(d, wal.Sizes{Segment: 1 << 16, Bound: 1 << 20},
+		resultstore.Limits{Keys: 100, Bytes: 1 << 18, ResultBytes: 100},
 		bootTime(), "boot")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.keptOpened(store, book, found, nil)
+	l.results.opened(store, book, found, nil)
 	return l
 }
 
 // takes is a try that has its slot.
 func (l *loop) takes(key string) (handle, *request) {
 	h, r, _ := l.requests.take()
-	*r = request{kept: keptName("put", nil, []byte(key), []byte("body")), run: runRunning, arrival: l.now, deadline: l.now + 2*admission.Second}
+	*r = request{keyed: newKeyedRequest("put", nil, []byte(key), []byte("body")), run: runRunning, arrival: l.now,
+		deadline: l.now + 2*admission.Second}
 	return h, r
 }
 
@@ -84,43 +90,44 @@
 	}
 }
 
-// TestDiskStalls: while a record waits too long new keys are shed; what is durable only after its req was answered does not run;
-// then all is well again.
+// TestDiskStalls: while a record waits too long new keys are shed; what is durable only after its req was answered
+// does not run; then all is well again.
 func TestDiskStalls(t *testing.T) {
 	d := &heldDisk{FS: wal.NewMem()}
-	l := keptLoop(t, d)
+	l := loopWithStore(t, d)
 	d.gate = make(chan struct{})
 	h, r := l.takes("a")
-	l.intend(h, r)
-	if r.runCommand != 0 || r.kept.stand != keptIntends {
+	l.results.begin(h, r)
+	if r.runCommand != 0 || r.keyed.waitsFor != waitsForIntent {
 		t.Fatal("it went to the kernel before its intent was durable")
 	}
-	l.now += keptStall + 1
-	l.watchKept()
+	l.now += stallLimit + 1
+	l.results.updateMode()
 	h2, new := l.takes("b")
-	if l.keptWord(h2, new); l.kept.mode != keptStalled || !new.answered || l.counters.Shed != 1 {
-		t.Errorf("%s, and a new key is not shed", l.kept.mode)
+	if l.results.intercept(h2, new); l.results.mode != modeStalled || !new.answered || l.counters.Shed != 1 {
+		t.Errorf("%s, and a new key is not shed", l.results.mode)
 	}
 	l.Fail(uint32(h), admission.ReasonDeadline) // the module: its time is over
 	close(d.gate)
 	l.hears(t)
 	r = l.requests.get(h) // the table may have grown
-	if r.runCommand != 0 || r.run != runFinished || len(l.nextRound().RunEnds) != 1 || l.nextRound().RunEnds[0].Outcome != admission.NotExecuted {
+	if r.runCommand != 0 || r.run != runFinished || len(l.nextRound().RunEnds) != 1 ||
+		l.nextRound().RunEnds[0].Outcome != admission.NotExecuted {
 		t.Errorf("what was answered meanwhile ran: %+v, ends %v", r, l.nextRound().RunEnds)
 	}
 	l.hears(t) // its intent is closed
-	if s := l.kept.book.Lookup(bootTime(), r.kept.key); s != resultstore.Unknown || l.kept.mode != keptWell {
-		t.Errorf("%s, %s afterwards, expected it unknown and well", s, l.kept.mode)
+	if s := l.results.index.Lookup(bootTime(), r.keyed.key); s != resultstore.Unknown || l.results.mode != modeWell {
+		t.Errorf("%s, %s afterwards, expected it unknown and well", s, l.results.mode)
 	}
 }
 
-// TestDiskFails: what waits for a write that fails is shed and does not run, a result that is lost is errored; new keys are shed
-// until the disk is well again, by itself.
+// TestDiskFails: what waits for a write that fails is shed and does not run, a result that is lost is errored; new
+// keys are shed until the disk is well again, by itself.
 func TestDiskFails(t *testing.T) {
 	d := &heldDisk{FS: wal.NewMem()}
-	l := keptLoop(t, d)
+	l := loopWithStore(t, d)
 	h, r := l.takes("ran")
-	l.intend(h, r)
+	l.results.begin(h, r)
 	l.hears(t)
 	if r.runCommand == 0 {
 		t.Fatal("its intent is durable, and it did not go out")
@@ -131,27 +138,29 @@
 		t.Fatal("answered before its result was durable")
 	}
 	l.hears(t)
-	if l.counters.Errored != 1 || l.counters.Done != 0 || l.kept.book.Lookup(bootTime(), r.kept.key) != resultstore.Indeterminate {
-		t.Errorf("%d errored, %d done, key %s", l.counters.Errored, l.counters.Done, l.kept.book.Lookup(bootTime(), r.kept.key))
+	if l.counters.Errored != 1 || l.counters.Done != 0 || l.results.index.Lookup(bootTime(),
+		r.keyed.key) != resultstore.Indeterminate {
+		t.Errorf("%d errored, %d done, key %s", l.counters.Errored, l.counters.Done,
+			l.results.index.Lookup(bootTime(), r.keyed.key))
 	}
 	h2, new := l.takes("new")
-	if l.keptWord(h2, new); l.kept.mode != keptFailed || l.counters.Shed != 1 {
-		t.Errorf("%s, and a new key is not shed", l.kept.mode)
+	if l.results.intercept(h2, new); l.results.mode != modeFailed || l.counters.Shed != 1 {
+		t.Errorf("%s, and a new key is not shed", l.results.mode)
 	}
 	h3, held := l.takes("held") // it passed the door before
-	l.intend(h3, held)
+	l.results.begin(h3, held)
 	if held.runCommand != 0 || held.run != runFinished || l.counters.Shed != 2 {
 		t.Error("it ran on a disk that fails")
 	}
 	d.fails.Store(false)
-	for end := time.Now().Add(patience); l.kept.mode != keptWell; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(patience); l.results.mode != modeWell; time.Sleep(10 * time.Millisecond) {
 		l.now = timeOf(l.clock.Now())
-		if l.watchKept(); time.Now().After(end) {
-			t.Fatalf("still %s, and the disk is well", l.kept.mode)
+		if l.results.updateMode(); time.Now().After(end) {
+			t.Fatalf("still %s, and the disk is well", l.results.mode)
 		}
 	}
 	h4, again := l.takes("new")
-	if l.intend(h4, again); again.kept.stand != keptIntends {
+	if l.results.begin(h4, again); again.keyed.waitsFor != waitsForIntent {
 		t.Fatal("not let in")
 	}
 	l.hears(t)
@@ -163,15 +172,15 @@
 // TestLastMoment: a result that is not durable as its req is due, or the node has to leave, is answered errored, once.
 func TestLastMoment(t *testing.T) {
 	d := &heldDisk{FS: wal.NewMem()}
-	l := keptLoop(t, d)
+	l := loopWithStore(t, d)
 	h, r := l.takes("a")
-	l.intend(h, r)
+	l.results.begin(h, r)
 	l.hears(t)
 	d.gate = make(chan struct{})
 	l.runEnded(h, r, admission.Succeeded, 1, []byte("result"))
 	l.draining, l.answerBy = true, l.now+admission.Second/10
-	l.keptLeaves()
-	l.now = l.answerBy - keptSpare
+	l.results.drain()
+	l.now = l.answerBy - answerMargin
 	l.fireTimers()
 	if !r.answered || l.counters.Errored != 1 {
 		t.Fatal("not answered before the kill")
@@ -181,71 +190,73 @@
 	if l.counters.Done+l.counters.Errored != 1 {
 		t.Errorf("%d answers", l.counters.Done+l.counters.Errored)
 	}
-	if l.kept.book.Lookup(bootTime(), r.kept.key) != resultstore.Completed {
+	if l.results.index.Lookup(bootTime(), r.keyed.key) != resultstore.Completed {
 		t.Error("its result is durable, and not known")
 	}
 }
 
-// TestEarly: tries that come before the folder is read wait, for a second at most; then they are shed, or let in as it is read.
+// TestEarly: tries that come before the folder is read wait, for a second at most; then they are shed, or let in as
+// it is read.
 func TestEarly(t *testing.T) {
-	l := keptLoop(t, &heldDisk{FS: wal.NewMem()})
-	k := l.kept
-	book := k.book
-	k.book = nil
+	l := loopWithStore(t, &heldDisk{FS: wal.NewMem()})
+	k := l.results
+	book := k.index
+	k.index = nil
 	at := l.now
 	h, r := l.takes("a")
-	if !l.keptWord(h, r) || r.kept.stand != keptEarly || r.answered {
+	if !l.results.intercept(h, r) || r.keyed.waitsFor != waitsForOpening || r.answered {
 		t.Fatal("it does not wait")
 	}
-	l.now = at + keptPatience - 1
+	l.now = at + openingPatience - 1
 	l.fireTimers()
 	if r.answered {
 		t.Fatal("answered too soon")
 	}
-	l.now = at + keptPatience
+	l.now = at + openingPatience
 	if l.fireTimers(); !r.answered || l.counters.Shed != 1 {
 		t.Fatal("it waits for too long")
 	}
 	h, r = l.takes("b")
-	r.kept.admit.ID = uint32(h)
-	l.keptWord(h, r)
-	l.keptOpened(k.store, book, resultstore.Recovery{}, nil)
+	r.keyed.submission.ID = uint32(h)
+	l.results.intercept(h, r)
+	l.results.opened(k.store, book, resultstore.Recovery{}, nil)
 	if in := l.nextRound().Arrived; len(in) != 1 || in[0].ID != uint32(h) || l.requests.get(h).answered {
 		t.Errorf("%v came to the module, expected the one that waited", in)
 	}
-	k.book = nil
+	k.index = nil
 	h, r = l.takes("c")
-	l.keptWord(h, r)
-	l.keptOpened(nil, nil, resultstore.Recovery{}, wal.ErrLocked)
-	if !l.requests.get(h).answered || l.counters.Shed != 2 || k.mode != keptFailed {
+	l.results.intercept(h, r)
+	l.results.opened(nil, nil, resultstore.Recovery{}, wal.ErrLocked)
+	if !l.requests.get(h).answered || l.counters.Shed != 2 || k.mode != modeFailed {
 		t.Errorf("%s, and it still waits for a folder that can't be opened", k.mode)
 	}
 	h, r = l.takes("d")
-	r.kept.admit.IsRetry = true // nobody knows whether its first try ran: shed, it would be tried elsewhere
-	if l.keptWord(h, r); !r.answered || l.counters.Errored != 1 || l.counters.Shed != 2 {
+	r.keyed.submission.IsRetry = true // nobody knows whether its first try ran: shed, it would be tried elsewhere
+	if l.results.intercept(h, r); !r.answered || l.counters.Errored != 1 || l.counters.Shed != 2 {
 		t.Error("a further try of a key that nobody can know of is shed")
 	}
 }
 
-// TestSlotLooksAgain: a try that passed the door and finds its key taken as it gets its slot does not run, by the same body or
-// another, and harms nothing of the one that does.
+// TestSlotLooksAgain: a try that passed the door and finds its key taken as it gets its slot does not run, by the
+// same body or another, and harms nothing of the one that does.
 func TestSlotLooksAgain(t *testing.T) {
-	l := keptLoop(t, &heldDisk{FS: wal.NewMem()})
+	l := loopWithStore(t, &heldDisk{FS: wal.NewMem()})
 	h, r := l.takes("a")
-	l.intend(h, r)
+	l.results.begin(h, r)
 	l.hears(t)
-	first := l.kept.book.Lookup(bootTime(), r.kept.key)
+	first := l.results.index.Lookup(bootTime(), r.keyed.key)
 	for _, c := range []struct {
 		body         string
 		shed, failed uint64
 	}{{"body", 0, 1}, {"another", 1, 1}} {
 		h, r := l.takes("a")
-		r.kept = keptName("put", nil, []byte("a"), []byte(c.body))
-		l.intend(h, r)
+		r.keyed = newKeyedRequest("put", nil, []byte("a"), []byte(c.body))
+		l.results.begin(h, r)
 		if r.runCommand != 0 || r.run != runFinished || l.counters.Shed != c.shed || l.counters.Errored != c.failed {
-			t.Errorf("%s: sent as %d, %d shed, %d errored, expected %d, %d", c.body, r.runCommand, l.counters.Shed, l.counters.Errored, c.shed, c.failed)
+			t.Errorf("%s: sent as %d, %d shed, %d errored, expected %d, %d", c.body, r.runCommand, l.counters.Shed,
+				l.counters.Errored, c.shed, c.failed)
 		}
-		if is := l.kept.book.Lookup(bootTime(), r.kept.key); is != first || is != resultstore.Running {
+		if is := l.results.index.Lookup(bootTime(), r.keyed.key); is != first || is != resultstore.Running {
 			t.Errorf("%s: the one that runs is %s, expected it %s", c.body, is, first)
 		}
 	}
@@ -255,18 +266,18 @@
 	}
 }
 
-// TestTenantsKeysAreApart: a key that one tenant's request left behind says nothing of another's; one that a version wrote
-// which did not tell tenants apart binds all of them for its window.
+// TestTenantsKeysAreApart: a key that one tenant's request left behind says nothing of another's; one that a version
+// wrote which did not tell tenants apart binds all of them for its window.
 func TestTenantsKeysAreApart(t *testing.T) {
-	l := keptLoop(t, &heldDisk{FS: wal.NewMem()})
-	leave := func(q *keptReq) {
-		l.kept.book.Begin(bootTime(), q.key, q.body, 60_000)
+	l := loopWithStore(t, &heldDisk{FS: wal.NewMem()})
+	leave := func(q *keyedRequest) {
+		l.results.index.Begin(bootTime(), q.key, q.bodyDigest, 60_000)
 	}
 	try := func(tenant, key string) resultstore.Verdict {
-		v, _ := l.keptTry(keptName("put", []byte(tenant), []byte(key), []byte("body")))
+		v, _ := l.results.decide(newKeyedRequest("put", []byte(tenant), []byte(key), []byte("body")))
 		return v
 	}
-	leave(keptName("put", []byte("home"), []byte("a"), []byte("body")))
+	leave(newKeyedRequest("put", []byte("home"), []byte("a"), []byte("body")))
 	if v := try("home", "a"); v != resultstore.WaitForResult {
 		t.Errorf("the same tenant's try gets %s, expected %s", v, resultstore.WaitForResult)
 	}
@@ -276,8 +287,8 @@
 	if v := try("", "home/a"); v != resultstore.Execute {
 		t.Errorf("a try with no tenant gets %s, expected %s", v, resultstore.Execute)
 	}
-	old := keptName("put", nil, []byte("b"), []byte("body"))
-	old.key = digest([]byte("3/put/b")) // as it stands in folders of such a version
+	old := newKeyedRequest("put", nil, []byte("b"), []byte("body"))
+	old.key = digestKey([]byte("3/put/b")) // as it stands in folders of such a version
 	leave(old)
 	if v := try("home", "b"); v != resultstore.WaitForResult {
 		t.Errorf("a try of a key of an earlier version gets %s, expected %s", v, resultstore.WaitForResult)
--- /dev/null
+++ b/internal/node/server/result_run.go
@@ -0,0 +1,163 @@
+package server
+
+import (
+	"bytes"
+	"net/http"
+
+	"github.com/sirupsen/logrus"
+
+	"umberwinch/admission"
+	"umberwinch/internal/logging"
+	"umberwinch/internal/node/resultstore"
+	"umberwinch/internal/node/wire"
+)
+
+// begin has the intent of a run that was given its slot made durable; the kernel is told of the run after that, and
+// the run keeps its slot and place meanwhile. The key is decided on once more, as another attempt of it may have run
+// since the request came.
+func (k *resultKeeper) begin(h handle, r *request) {
+	q, verdict := r.keyed, resultstore.RejectFull
+	if !k.rejectsNewKeys(k.host.currentTime()) {
+		verdict, _ = k.decide(q)
+	}
+	if verdict == resultstore.Execute {
+		if k.writeIntent(h, r) {
+			return
+		}
+		verdict = resultstore.RejectFull
+	}
+	response := wire.Response{}
+	switch verdict {
+	case resultstore.RejectFull, resultstore.RejectConflict:
+		response.Status = k.reject(&response)
+	case resultstore.RejectMismatch:
+		k.mismatched++
+		response.Status = http.StatusBadRequest
+	default: // it runs, ran or may have run by another attempt that the controller no longer knows of
+		response.Status = k.fail()
+	}
+	k.endUnstarted(h, r, response)
+}
+
+// writeIntent hands the intent record over; false: as many records wait for the disk as may.
+func (k *resultKeeper) writeIntent(h handle, r *request) bool {
+	q := r.keyed
+	k.faults.reach(faultBeforeIntent)
+	window := windowOf(&k.host.platform().Deployment.Handlers[r.handler])
+	intent := k.index.Begin(bootTime(), q.key, q.bodyDigest, window)
+	q.waitsFor = waitsForIntent
+	if !k.write(intent, func(err error) { k.intentWritten(h, err) }) {
+		q.waitsFor = waitsForNothing
+		return false
+	}
+	k.host.trace(r, "intent on its way")
+	if k.without(guardIntent) {
+		k.intentWritten(h, nil)
+	}
+	return true
+}
+
+// endUnstarted ends a run that the kernel never heard of.
+func (k *resultKeeper) endUnstarted(h handle, r *request, response wire.Response) {
+	k.host.answer(h, r, response)
+	k.host.endUnstarted(h, r)
+}
+
+// intentWritten goes on with a run whose intent is durable, or never will be. A request that was answered meanwhile
+// does not run.
+func (k *resultKeeper) intentWritten(h handle, err error) {
+	r := k.host.requestByHandle(h)
+	if r == nil || r.keyed == nil || r.keyed.waitsFor != waitsForIntent {
+		return
+	}
+	r.keyed.waitsFor = waitsForNothing
+	if err != nil {
+		response := wire.Response{}
+		response.Status = k.reject(&response)
+		k.endUnstarted(h, r, response)
+		return
+	}
+	r.keyed.intentDurable = true
+	if r.answered {
+		k.endUnstarted(h, r, wire.Response{Status: http.StatusInternalServerError})
+		return
+	}
+	k.faults.reach(faultIntentDurable)
+	k.host.startRun(r)
+	k.faults.reach(faultRunSent)
+	if r.paused {
+		k.host.stopRun(r)
+	}
+}
+
+// end takes the end of a run. deferred tells that its answer waits until its result is durable; else there is no
+// result to answer with.
+func (k *resultKeeper) end(h handle, r *request, outcome admission.Outcome, result []byte) (deferred bool) {
+	if !r.keyed.intentDurable { // it never ran, and another attempt of its key may run, or have run
+		return false
+	}
+	now, key := bootTime(), r.keyed.key
+	switch outcome {
+	case admission.NotExecuted, admission.Superseded: // nothing was started
+		if record, ok := k.index.MarkNotExecuted(now, key); ok {
+			k.write(record, func(error) {})
+		}
+		return false
+	case admission.Succeeded:
+		return k.storeResult(h, r, bytes.Clone(result))
+	}
+	// That it failed need not be durable before it is told: without that record it may have run, which gets an error
+	// too.
+	if record, ok := k.index.MarkExecuted(now, key, false, nil); ok {
+		k.write(record, func(error) {})
+	}
+	return false
+}
+
+// storeResult hands the result record over; false: it can't be, or the index knows of no such run, and nothing may be
+// told that a repeat would not get too.
+func (k *resultKeeper) storeResult(h handle, r *request, result []byte) bool {
+	k.faults.reach(faultRunEnded)
+	record, ok := k.index.MarkExecuted(bootTime(), r.keyed.key, true, result)
+	if !ok {
+		return false
+	}
+	if record.Kind != resultstore.Result {
+		if log := k.host.limitLog(); log != nil {
+			log.WithFields(logrus.Fields{logging.Bytes: len(result),
+				logging.MaxBytes: k.config.Result}).Info(logResultTooLarge)
+		}
+	}
+	sharedKey := r.key
+	if !k.write(record, func(err error) {
+		k.faults.reach(faultResultDurable)
+		k.resultWritten(h, sharedKey, err == nil && record.Kind == resultstore.Result, record.Result)
+		k.faults.reach(faultAnswered)
+	}) {
+		return false
+	}
+	if r.keyed.waitsFor = waitsForResult; k.without(guardResult) {
+		k.resultWritten(h, sharedKey, true, record.Result)
+	}
+	k.host.setResultTimer(k.answerBy(r), h)
+	return true
+}
+
+// resultWritten tells a result that is durable now, or an error where it is not.
+func (k *resultKeeper) resultWritten(h handle, sharedKey string, durable bool, result []byte) {
+	if r := k.host.requestByHandle(h); r != nil && r.keyed != nil && r.keyed.waitsFor == waitsForResult {
+		r.keyed.waitsFor = waitsForNothing
+		if durable {
+			k.host.answer(h, r, wire.Response{Status: http.StatusOK, Body: result})
+		} else {
+			k.host.answer(h, r, wire.Response{Status: http.StatusInternalServerError})
+		}
+	}
+	k.host.shareResult(h, sharedKey, durable, result)
+}
+
+// holdsBack tells whether the kernel has not been told of a request's run yet: a stop is told with it.
+func (q *keyedRequest) holdsBack() bool { return q != nil && q.waitsFor == waitsForIntent }
+
+// isBeingRead tells whether a request waits for a stored result.
+func (q *keyedRequest) isBeingRead() bool { return q != nil && q.waitsFor == waitsForRead }
