--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -83,7 +83,8 @@
 			p, busy := bufferPool{capacity: 8}, atomic.Int64{}
 			w := &writer{conn: outgoing{f}, pool: &p, busy: &busy}
 			w.send([]byte("answer"), 4)
-			for end := time.Now().Add(patience); busy.Load() > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(patience); busy.Load() > 0 &&
+				time.Now().Before(end); time.Sleep(time.Millisecond) {
 			}
 			if got := f.got.String(); c.sent != (got == "answer") {
 				t.Errorf("%q went out, expected that it does: %v", got, c.sent)
@@ -114,7 +115,8 @@
 
 // Whatever a connect fails with before a byte was sent, the call never ran, and it is made again once that has passed.
 func TestConnectFailuresProveNoCall(t *testing.T) {
-	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ECONNREFUSED,
+	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
+		syscall.ECONNREFUSED,
 		syscall.ETIMEDOUT, syscall.ENOBUFS, syscall.EMFILE, syscall.ENFILE, syscall.EINTR, syscall.ECONNABORTED} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			l := newHandLoop(t, 4)
@@ -146,7 +148,8 @@
 }
 
 func store1(address string, lim Limits) storeConnections {
-	return storeConnections{addr: address, connections: newTable[storeConnection](2), parser: storeParser(lim.LinkBounds)}
+	return storeConnections{addr: address, connections: newTable[storeConnection](2),
+		parser: storeParser(lim.LinkBounds)}
 }
 
 // The waits between dials double up to a bound, and two servers that lose one peer together do not come back together.
@@ -175,7 +178,8 @@
 	for range 50 {
 		wait := l.nextReport() - l.now
 		if wait > l.limits.ReportInterval || wait < l.limits.ReportInterval*7/8 {
-			t.Fatalf("the next report comes after %d, expected %d at most and seven eighths at least", wait, l.limits.ReportInterval)
+			t.Fatalf("the next report comes after %d, expected %d at most and seven eighths at least", wait,
+				l.limits.ReportInterval)
 		}
 		seen[wait] = true
 	}
@@ -207,7 +211,8 @@
 	if _, err = listenPatiently("203.0.113.1:1", Limits{ListenTimeout: 0}, func(error) {}); err == nil {
 		t.Error("listens on another machine's address")
 	}
-	if _, err = listenPatiently("127.0.0.1:none", lim, func(error) {}); err == nil || time.Since(began) > lim.ListenTimeout/2 {
+	if _, err = listenPatiently("127.0.0.1:none", lim, func(error) {}); err == nil ||
+		time.Since(began) > lim.ListenTimeout/2 {
 		t.Errorf("%v after %v, expected an error at once", err, time.Since(began))
 	}
 }
@@ -263,7 +268,8 @@
 	}
 }
 
-// A kill at any byte of a record's write leaves the one before, and nothing that piles up.
+// TestKillAmidRecord: a node is killed while it writes its record. The record before is there as a whole, and
+// unfinished files don't pile up.
 func TestKillAmidRecord(t *testing.T) {
 	folder := t.TempDir()
 	if err := storeRecord(folder, &agent.Record{ActiveVersion: 7, ActiveText: "seven"}); err != nil {
@@ -291,7 +297,7 @@
 	}
 }
 
-// A record that can't be written is written again after a pause, not at once and without end.
+// TestRecordWaitsForItsDisk: the disk is full. The record is written again after a pause, not at once and without end.
 func TestRecordWaitsForItsDisk(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -304,10 +310,10 @@
 	if r.writing || !r.pending {
 		t.Fatalf("writing %v, pending %v, expected that it waits and is still pending", r.writing, r.pending)
 	}
-	if f.storeIfDue(r.retryAt - 1); r.writing {
+	if f.storePending(r.retryAt - 1); r.writing {
 		t.Error("written again before its pause is over")
 	}
-	if f.storeIfDue(r.retryAt); !r.writing || r.pending {
+	if f.storePending(r.retryAt); !r.writing || r.pending {
 		t.Error("not written again after its pause")
 	}
 	e := (<-l.events).(callback)
--- a/internal/node/server/fleet_agent.go
+++ b/internal/node/server/fleet_agent.go
@@ -172,7 +172,7 @@
 	}
 	f.updateFencing(ok, reason)
 	f.updateAutonomous(now, ok)
-	f.storeIfDue(now)
+	f.storePending(now)
 	f.sendHeartbeat(now)
 	f.fetchIfWanted(now)
 	f.setTimer(now)
@@ -184,7 +184,7 @@
 // setTimer has the loop call tick again when something is due.
 func (f *fleetAgent) setTimer(now agent.Milliseconds) {
 	at := f.agent.NextHeartbeat()
-	for _, due := range []agent.Milliseconds{f.agent.LeaseExpiry(), f.versions.retryAt, f.record.dueAt()} {
+	for _, due := range []agent.Milliseconds{f.agent.LeaseExpiry(), f.versions.retryAt, f.record.retryDue()} {
 		if due > now {
 			at = min(at, due)
 		}
--- a/internal/node/server/fleet_record.go
+++ b/internal/node/server/fleet_record.go
@@ -30,8 +30,8 @@
 	sending bool               // it is on its way to whoever restores the group
 }
 
-// dueAt is when the record is to be written again, 0 where nothing is pending.
-func (r *recordStore) dueAt() agent.Milliseconds {
+// retryDue is when the record is to be written again, 0 where nothing is pending.
+func (r *recordStore) retryDue() agent.Milliseconds {
 	if !r.pending {
 		return 0
 	}
@@ -122,11 +122,11 @@
 	} else if prepared != 0 && prepared == f.versions.current.Version && prepared > f.agent.ActiveVersion() {
 		f.versionPrepared(now)
 	}
-	f.storeIfDue(now)
+	f.storePending(now)
 }
 
-// storeIfDue writes the record again that could not be written, or that changed meanwhile.
-func (f *fleetAgent) storeIfDue(now agent.Milliseconds) {
+// storePending writes the record again that could not be written, or that changed meanwhile.
+func (f *fleetAgent) storePending(now agent.Milliseconds) {
 	if r := &f.record; r.pending && !r.writing && now >= r.retryAt {
 		f.storeRecord()
 	}
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -148,7 +148,7 @@
 	if err != nil {
 		return fmt.Errorf("listen on %s: %w", c.Listen, err)
 	}
-	l.keepResults()
+	l.startResultKeeper()
 	l.serve(ln)
 	l.forward(signals)
 	l.run()
--- a/internal/node/server/result_attempt.go
+++ b/internal/node/server/result_attempt.go
@@ -45,11 +45,11 @@
 		k.host.answer(h, r, response)
 		return true
 	}
-	return r.keyed.waitsFor != waitsForNothing
+	return r.keyed.pending != nothingPending
 }
 
 // attempt decides what an attempt of a key gets as it comes: a status other than 0 answers it, with what goes with it
-// in response; else it waits for what keyedRequest.waitsFor says, or the controller hears of it as of any other.
+// in response; else it waits for what keyedRequest.pending says, or the controller hears of it as of any other.
 //
 // A key that is not known is passed on, unless the disk could not take its intent: then it is rejected with a time to
 // retry after, as it has not run. A stored result is read, unless it is in memory too. What ran or may have run
@@ -102,10 +102,10 @@
 
 // attemptBeforeOpening has a request wait for the folder to be read, within bounds, unless that failed before.
 func (k *resultKeeper) attemptBeforeOpening(h handle, r *request, response *wire.Response) (status int) {
-	if k.openError != nil || len(k.waiting) >= k.host.requestCapacity()/maxWaitingShare {
+	if k.openError != nil || len(k.waiting) >= k.host.requestCapacity()/waitingFraction {
 		return k.answerBlind(r.keyed, response)
 	}
-	r.keyed.waitsFor = waitsForOpening
+	r.keyed.pending = openingPending
 	k.waiting = append(k.waiting, h)
 	k.host.setResultTimer(min(k.host.currentTime()+openingPatience, k.answerBy(r)), h)
 	return 0
@@ -154,17 +154,17 @@
 	default:
 		return k.fail()
 	}
-	r.keyed.waitsFor = waitsForRead
+	r.keyed.pending = readPending
 	k.host.setResultTimer(k.answerBy(r), h)
 	return 0
 }
 
 func (k *resultKeeper) resultRead(h handle, result []byte, err error) {
 	r := k.host.requestByHandle(h)
-	if r == nil || r.keyed == nil || r.keyed.waitsFor != waitsForRead {
+	if r == nil || r.keyed == nil || r.keyed.pending != readPending {
 		return
 	}
-	r.keyed.waitsFor = waitsForNothing
+	r.keyed.pending = nothingPending
 	if err != nil {
 		if log := k.host.limitLog(); log != nil {
 			log.WithField(logging.Error, err).Info(logResultUnreadable)
@@ -186,13 +186,13 @@
 	if r == nil || r.keyed == nil || r.answered || r.abandoned {
 		return
 	}
-	switch r.keyed.waitsFor {
-	case waitsForOpening:
-		r.keyed.waitsFor = waitsForNothing
+	switch r.keyed.pending {
+	case openingPending:
+		r.keyed.pending = nothingPending
 		response := wire.Response{}
 		response.Status = k.answerBlind(r.keyed, &response)
 		k.host.answer(h, r, response)
-	case waitsForRead, waitsForResult: // it ran
+	case readPending, resultPending: // it ran
 		k.host.answer(h, r, wire.Response{Status: k.fail()})
 	}
 }
@@ -203,7 +203,7 @@
 		return
 	}
 	k.host.forEachRequest(func(h handle, r *request) {
-		if r.keyed != nil && r.keyed.waitsFor != waitsForNothing && !r.answered {
+		if r.keyed != nil && r.keyed.pending != nothingPending && !r.answered {
 			k.host.setResultTimer(k.answerBy(r), h)
 		}
 	})
--- a/internal/node/server/result_host.go
+++ b/internal/node/server/result_host.go
@@ -6,8 +6,8 @@
 
 // What the loop does for the result keeper, see resultHost.
 
-// keepResults readies the result keeper, if the operator's file has one.
-func (l *loop) keepResults() {
+// startResultKeeper readies the result keeper, if the operator's file has one.
+func (l *loop) startResultKeeper() {
 	if l.startup.own != nil && l.startup.own.Kept != nil {
 		l.results = newResultKeeper(l, l.log, l.startup.own.Kept)
 	}
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -35,7 +35,7 @@
 // The modes. In all but the second new keys are rejected, and known ones get what is known.
 const (
 	modeOpening storeMode = "opening" // the folder is not read yet: attempts of keyed requests wait
-	modeWell    storeMode = "well"
+	modeReady   storeMode = "well"
 	modeFailed  storeMode = "failed"  // the disk fails, or the folder can't be opened
 	modeStalled storeMode = "stalled" // a record waits for too long
 	modeFull    storeMode = "full"    // there is no room
@@ -51,8 +51,8 @@
 	fullPause = admission.Second
 	// openingPatience is how long attempts wait for the folder to be read; a million keys are read in less.
 	openingPatience = admission.Second
-	// maxWaitingShare of the requests in hand may wait for that, so that other handlers have room.
-	maxWaitingShare = 4
+	// waitingFraction of the requests in hand may wait for that, so that other handlers have room.
+	waitingFraction = 4
 	// answerMargin is how long before its deadline a request that waits for the disk gets its answer: it has to reach
 	// the caller in time.
 	answerMargin = admission.Second / 50
@@ -69,15 +69,15 @@
 	bytesPerMB       = 1 << 20
 )
 
-// diskWait is what a keyed request waits for.
-type diskWait uint8
+// pendingStep is what a keyed request waits for.
+type pendingStep uint8
 
 const (
-	waitsForNothing diskWait = iota
-	waitsForOpening          // the folder is not read yet: the controller has not heard of the request
-	waitsForRead             // its result is being read: the controller does not hear of it
-	waitsForIntent           // it has its slot, and its intent record is on the way to the disk
-	waitsForResult           // it ran, its slot is free, and its result is on the way to the disk
+	nothingPending pendingStep = iota
+	openingPending             // the folder is not read yet: the controller has not heard of the request
+	readPending                // its result is being read: the controller does not hear of it
+	intentPending              // it has its slot, and its intent record is on the way to the disk
+	resultPending              // it ran, its slot is free, and its result is on the way to the disk
 )
 
 // keyedRequest is what a request with an idempotency key has beside, where results are stored.
@@ -87,7 +87,7 @@
 	// second run of what such a version let run, within its window.
 	legacyKey     resultstore.Key
 	bodyDigest    uint64
-	waitsFor      diskWait
+	pending       pendingStep
 	intentDurable bool              // its own: what becomes of the key is for it to say
 	submission    admission.Request // what the controller hears once the folder is read
 }
@@ -110,8 +110,9 @@
 	stopRun(r *request)  // or to stop
 	endUnstarted(h handle,
 		r *request) // a run that has its slot and never was told to the kernel ends
-	hasSharedResult(r *request) bool                          // the result of its key is in memory, or a run of it goes on
-	shareResult(h handle, key string, ok bool, result []byte) // those who wait for the run's result get it
+	hasSharedResult(r *request) bool // the result of its key is in memory, or a run of it goes on
+	// shareResult gives those who wait for a run's result that, or an error.
+	shareResult(h handle, key string, ok bool, result []byte)
 	trace(r *request, what string, args ...any)
 	limitLog() *logrus.Entry
 	retryAfter(*recovery.RetryAfterSpreader, agent.Milliseconds) int64
@@ -203,10 +204,10 @@
 	k.waiting = nil
 	for _, h := range waiting {
 		r := k.host.requestByHandle(h)
-		if r == nil || r.keyed == nil || r.keyed.waitsFor != waitsForOpening || r.answered || r.abandoned {
+		if r == nil || r.keyed == nil || r.keyed.pending != openingPending || r.answered || r.abandoned {
 			continue
 		}
-		r.keyed.waitsFor = waitsForNothing
+		r.keyed.pending = nothingPending
 		if !k.intercept(h, r) {
 			k.host.submit(&r.keyed.submission)
 		}
@@ -232,7 +233,7 @@
 
 // updateMode says when the mode changes.
 func (k *resultKeeper) updateMode() {
-	mode, now := modeWell, k.host.currentTime()
+	mode, now := modeReady, k.host.currentTime()
 	switch {
 	case k.openError != nil || k.index != nil && k.store.Err() != nil:
 		mode = modeFailed
@@ -281,7 +282,7 @@
 
 // healthBody is what answers to health checks say while the store is not well; empty: nothing.
 func (k *resultKeeper) healthBody() []byte {
-	if k == nil || k.mode == modeWell {
+	if k == nil || k.mode == modeReady {
 		return nil
 	}
 	return []byte("kept results: " + string(k.mode) + "\n")
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -90,15 +90,16 @@
 	}
 }
 
-// TestDiskStalls: while a record waits too long new keys are shed; what is durable only after its req was answered
-// does not run; then all is well again.
+// TestDiskStalls: the disk takes a record and does not finish. A run that waited for its intent would hold its slot
+// until its deadline; so new keys are rejected meanwhile, what is durable only after its request was answered does
+// not run, and then all is well again.
 func TestDiskStalls(t *testing.T) {
 	d := &heldDisk{FS: wal.NewMem()}
 	l := loopWithStore(t, d)
 	d.gate = make(chan struct{})
 	h, r := l.takes("a")
 	l.results.begin(h, r)
-	if r.runCommand != 0 || r.keyed.waitsFor != waitsForIntent {
+	if r.runCommand != 0 || r.keyed.pending != intentPending {
 		t.Fatal("it went to the kernel before its intent was durable")
 	}
 	l.now += stallLimit + 1
@@ -116,13 +117,13 @@
 		t.Errorf("what was answered meanwhile ran: %+v, ends %v", r, l.nextRound().RunEnds)
 	}
 	l.hears(t) // its intent is closed
-	if s := l.results.index.Lookup(bootTime(), r.keyed.key); s != resultstore.Unknown || l.results.mode != modeWell {
+	if s := l.results.index.Lookup(bootTime(), r.keyed.key); s != resultstore.Unknown || l.results.mode != modeReady {
 		t.Errorf("%s, %s afterwards, expected it unknown and well", s, l.results.mode)
 	}
 }
 
-// TestDiskFails: what waits for a write that fails is shed and does not run, a result that is lost is errored; new
-// keys are shed until the disk is well again, by itself.
+// TestDiskFails: a write fails. A run that waits for it is rejected and does not run, a result that is lost is
+// answered with an error, and new keys are rejected until the disk works again, by itself.
 func TestDiskFails(t *testing.T) {
 	d := &heldDisk{FS: wal.NewMem()}
 	l := loopWithStore(t, d)
@@ -153,14 +154,14 @@
 		t.Error("it ran on a disk that fails")
 	}
 	d.fails.Store(false)
-	for end := time.Now().Add(patience); l.results.mode != modeWell; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(patience); l.results.mode != modeReady; time.Sleep(10 * time.Millisecond) {
 		l.now = timeOf(l.clock.Now())
 		if l.results.updateMode(); time.Now().After(end) {
 			t.Fatalf("still %s, and the disk is well", l.results.mode)
 		}
 	}
 	h4, again := l.takes("new")
-	if l.results.begin(h4, again); again.keyed.waitsFor != waitsForIntent {
+	if l.results.begin(h4, again); again.keyed.pending != intentPending {
 		t.Fatal("not let in")
 	}
 	l.hears(t)
@@ -169,7 +170,8 @@
 	}
 }
 
-// TestLastMoment: a result that is not durable as its req is due, or the node has to leave, is answered errored, once.
+// TestLastMoment: a result is not durable when its request is due, or when the process has to end. The caller gets an
+// error in time, once, and the result that gets there later is known.
 func TestLastMoment(t *testing.T) {
 	d := &heldDisk{FS: wal.NewMem()}
 	l := loopWithStore(t, d)
@@ -195,8 +197,8 @@
 	}
 }
 
-// TestEarly: tries that come before the folder is read wait, for a second at most; then they are shed, or let in as
-// it is read.
+// TestEarly: requests come before the folder is read. They wait for a second at most and are then rejected, or let in
+// as it is read; a retry that nobody can know of gets an error, as its first attempt may have run.
 func TestEarly(t *testing.T) {
 	l := loopWithStore(t, &heldDisk{FS: wal.NewMem()})
 	k := l.results
@@ -204,7 +206,7 @@
 	k.index = nil
 	at := l.now
 	h, r := l.takes("a")
-	if !l.results.intercept(h, r) || r.keyed.waitsFor != waitsForOpening || r.answered {
+	if !l.results.intercept(h, r) || r.keyed.pending != openingPending || r.answered {
 		t.Fatal("it does not wait")
 	}
 	l.now = at + openingPatience - 1
@@ -237,8 +239,8 @@
 	}
 }
 
-// TestSlotLooksAgain: a try that passed the door and finds its key taken as it gets its slot does not run, by the
-// same body or another, and harms nothing of the one that does.
+// TestSlotLooksAgain: two attempts of a key pass as they come, and one has run by the time that the other gets its
+// slot. That one does not run, with the same body or another, and harms nothing of the first.
 func TestSlotLooksAgain(t *testing.T) {
 	l := loopWithStore(t, &heldDisk{FS: wal.NewMem()})
 	h, r := l.takes("a")
@@ -266,8 +268,8 @@
 	}
 }
 
-// TestTenantsKeysAreApart: a key that one tenant's request left behind says nothing of another's; one that a version
-// wrote which did not tell tenants apart binds all of them for its window.
+// TestTenantsKeysAreApart: two tenants use the same key. What one left behind says nothing of the other's request; a
+// key of a version that did not tell tenants apart binds all of them for its window.
 func TestTenantsKeysAreApart(t *testing.T) {
 	l := loopWithStore(t, &heldDisk{FS: wal.NewMem()})
 	leave := func(q *keyedRequest) {
--- a/internal/node/server/result_run.go
+++ b/internal/node/server/result_run.go
@@ -45,9 +45,9 @@
 	k.faults.reach(faultBeforeIntent)
 	window := windowOf(&k.host.platform().Deployment.Handlers[r.handler])
 	intent := k.index.Begin(bootTime(), q.key, q.bodyDigest, window)
-	q.waitsFor = waitsForIntent
+	q.pending = intentPending
 	if !k.write(intent, func(err error) { k.intentWritten(h, err) }) {
-		q.waitsFor = waitsForNothing
+		q.pending = nothingPending
 		return false
 	}
 	k.host.trace(r, "intent on its way")
@@ -67,10 +67,10 @@
 // does not run.
 func (k *resultKeeper) intentWritten(h handle, err error) {
 	r := k.host.requestByHandle(h)
-	if r == nil || r.keyed == nil || r.keyed.waitsFor != waitsForIntent {
+	if r == nil || r.keyed == nil || r.keyed.pending != intentPending {
 		return
 	}
-	r.keyed.waitsFor = waitsForNothing
+	r.keyed.pending = nothingPending
 	if err != nil {
 		response := wire.Response{}
 		response.Status = k.reject(&response)
@@ -136,7 +136,7 @@
 	}) {
 		return false
 	}
-	if r.keyed.waitsFor = waitsForResult; k.without(guardResult) {
+	if r.keyed.pending = resultPending; k.without(guardResult) {
 		k.resultWritten(h, sharedKey, true, record.Result)
 	}
 	k.host.setResultTimer(k.answerBy(r), h)
@@ -145,8 +145,8 @@
 
 // resultWritten tells a result that is durable now, or an error where it is not.
 func (k *resultKeeper) resultWritten(h handle, sharedKey string, durable bool, result []byte) {
-	if r := k.host.requestByHandle(h); r != nil && r.keyed != nil && r.keyed.waitsFor == waitsForResult {
-		r.keyed.waitsFor = waitsForNothing
+	if r := k.host.requestByHandle(h); r != nil && r.keyed != nil && r.keyed.pending == resultPending {
+		r.keyed.pending = nothingPending
 		if durable {
 			k.host.answer(h, r, wire.Response{Status: http.StatusOK, Body: result})
 		} else {
@@ -157,7 +157,7 @@
 }
 
 // holdsBack tells whether the kernel has not been told of a request's run yet: a stop is told with it.
-func (q *keyedRequest) holdsBack() bool { return q != nil && q.waitsFor == waitsForIntent }
+func (q *keyedRequest) holdsBack() bool { return q != nil && q.pending == intentPending }
 
 // isBeingRead tells whether a request waits for a stored result.
-func (q *keyedRequest) isBeingRead() bool { return q != nil && q.waitsFor == waitsForRead }
+func (q *keyedRequest) isBeingRead() bool { return q != nil && q.pending == readPending }
