--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -186,7 +186,7 @@
 	p := &consensus.PolicyView{Gen: 2, Force: 7, Hush: 1500, Lost: "n3 was told of entry 812"}
 	nodes := []consensus.NodeView{{}, {Node: membership.Node{OutReason: membership.OutSilent}}, {Fenced: "its lease has run out"}, {Node: membership.Node{OutReason: membership.OutLeft}}}
 	z := &consensus.ZonesView{Clock: 9000, Rules: api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 2000}}
-	z.Zones = []consensus.ZoneView{{Zone: zones.Zone{Name: zones.WholeFleet, Phase: zones.Ramping, Share: 16, Since: 8000, Cause: "restart"},
+	z.Zones = []consensus.ZoneView{{Zone: zones.Zone{Name: zones.WholeFleet, Phase: zones.Ramping, Share: 16, SinceMS: 8000, Cause: "restart"},
 		Seen: &zones.View{Note: "held"}}, {Zone: zones.Zone{Name: "z1", Phase: zones.Evacuated}}, {Zone: zones.Zone{Name: "z2", Phase: zones.InService}}}
 	s := fleetStatus(p, z, nodes)
 	// Three seconds a step, two steps to all of it, one of three gone by at this one.
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -122,12 +122,12 @@
 				rows = append(rows, []string{"ceiling", fmt.Sprintf("%.0f runs and %.0f connections below a second, over %d leases",
 					z.RateLimit, z.ConnectRateLimit, len(z.Quotas))})
 			}
-			if v.Clock < z.RampNotBefore && z.Phase != zones.InService {
+			if v.Clock < z.RampNotBeforeMS && z.Phase != zones.InService {
 				rows = append(rows, []string{"returns", fmt.Sprintf("in %.1f s at the soonest; it failed again %d times",
-					float64(z.RampNotBefore-v.Clock)/1000, z.FlapCount)})
+					float64(z.RampNotBeforeMS-v.Clock)/1000, z.FlapCount)})
 			}
-			if v.Clock < z.HeldUntil {
-				rows = append(rows, []string{"held", fmt.Sprintf("by an operator, for %.1f s more", float64(z.HeldUntil-v.Clock)/1000)})
+			if v.Clock < z.HeldUntilMS {
+				rows = append(rows, []string{"held", fmt.Sprintf("by an operator, for %.1f s more", float64(z.HeldUntilMS-v.Clock)/1000)})
 			}
 			if s := z.Seen; s != nil {
 				rows = append(rows, []string{"seen", fmt.Sprintf("%d nodes, %d quiet, %d heard, %d sick %s; score %.1f", s.NodesIn, s.NodesSilent,
@@ -150,7 +150,7 @@
 				return printJSON(w, z.Events)
 			}
 			for _, e := range z.Events {
-				fmt.Fprintf(w, "%10.1f s ago  epoch %-4d %s\n", float64(v.Clock-e.Clock)/1000, e.Epoch, e.Text)
+				fmt.Fprintf(w, "%10.1f s ago  epoch %-4d %s\n", float64(v.Clock-e.ClockMS)/1000, e.Epoch, e.Text)
 				if e.ValueOfStaying != 0 || e.ValueOfEvacuating != 0 {
 					fmt.Fprintf(w, "%31s value a second expected: %.0f by staying, %.0f by leaving\n", "", e.ValueOfStaying, e.ValueOfEvacuating)
 				}
--- a/internal/control/api/load_report.go
+++ b/internal/control/api/load_report.go
@@ -11,7 +11,7 @@
 	maxReportCount    = 1e7    // requests, runs, calls or connections in one window
 )
 
-// Plausible tells whether a report can be true. One that can't is ignored, as if none had come: a node with a broken
+// Plausible reports whether a report can be true. One that can't is ignored, as if none had come: a node with a broken
 // clock or counter must not decide about its zone.
 func (l *LoadReport) Plausible() bool {
 	amounts := []float64{l.OfferedWeight, l.CompletedWeight, l.Cores, l.CoresUsed, l.MeanRunMS, l.MeanCallMS}
--- a/internal/control/recovery/identity.go
+++ b/internal/control/recovery/identity.go
@@ -12,7 +12,7 @@
 	Predecessors []string `json:"before,omitempty"` // groups of earlier generations, the oldest first
 }
 
-// Succeeds tells whether this is a later generation of the named group.
+// Succeeds reports whether this is a later generation of the named group.
 //
 // It guards against a node following a group that has nothing to do with its own, as one that was made by hand at the
 // same addresses, or an earlier generation whose paused instances go on.
@@ -20,7 +20,7 @@
 	return g.Generation > generation && slices.Contains(g.Predecessors, group)
 }
 
-// NextGeneration gives the identity of the generation after this one, under the name of its new group.
+// NextGeneration returns the identity of the generation after this one, under the name of its new group.
 func (g *GroupIdentity) NextGeneration(group string) GroupIdentity {
 	predecessors := append(slices.Clone(g.Predecessors), g.Group)
 	if len(predecessors) > maxPredecessors {
--- a/internal/control/recovery/lost_state.go
+++ b/internal/control/recovery/lost_state.go
@@ -10,15 +10,15 @@
 	Index          uint64 // of its log
 	DecidedVersion uint64
 	ZoneEpoch      uint64
-	// HashOf gives the hash of a version's text, empty if the group keeps it no more.
+	// HashOf returns the hash of a version's text, empty if the group keeps it no more.
 	HashOf func(version uint64) string
-	// ChecksumAt gives the checksum of an entry of the log, 0 for an entry that has none; known is false where the
+	// ChecksumAt returns the checksum of an entry of the log, 0 for an entry that has none; known is false where the
 	// group keeps it no more. Nil: none is kept.
 	ChecksumAt func(index uint64) (checksum uint64, known bool)
 }
 
 // LostState decides whether a node was told something by this very generation of the group that the group does not
-// know, and gives what; empty if there is nothing.
+// know, and returns what; empty if there is nothing.
 //
 // Inputs: where the group's own state stands, and what the node remembers. What a node was told was committed before,
 // so a group that lost nothing knows it.
@@ -47,7 +47,7 @@
 	return ""
 }
 
-// knowsLater gives what a node was told that is later than all that the group has.
+// knowsLater returns what a node was told that is later than all that the group has.
 func (g *GroupState) knowsLater(node *NodeRecord) string {
 	switch {
 	case node.Index > g.Index:
--- a/internal/control/recovery/pin_plan_test.go
+++ b/internal/control/recovery/pin_plan_test.go
@@ -16,7 +16,7 @@
 	"umberwinch/internal/control/document"
 )
 
-// pick gives one of some values.
+// pick returns one of some values.
 func pick[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
 
 // randomNode makes what a node holds, with faults: spoilt texts, another group, another generation, a text of its own.
--- a/internal/control/recovery/plan.go
+++ b/internal/control/recovery/plan.go
@@ -18,11 +18,11 @@
 	Autonomous         bool     // the policy in force lets nodes serve without a lease
 	LeaseMS            uint64   // of the policy in force
 	UncommittedEntries uint64   // of its log, that are not known to be committed
-	// TextOf gives a version's text and hash; ok is false for one that is not kept. Nil: no text is.
+	// TextOf returns a version's text and hash; ok is false for one that is not kept. Nil: no text is.
 	TextOf func(version uint64) (text, hash string, ok bool)
 }
 
-// text gives a version's text and hash.
+// text returns a version's text and hash.
 func (s *StoredGroup) text(version uint64) (text, hash string, ok bool) {
 	if s.TextOf == nil {
 		return "", "", false
--- a/internal/control/recovery/retry_after.go
+++ b/internal/control/recovery/retry_after.go
@@ -33,7 +33,7 @@
 // It guards against callers that were rejected together coming back together: that would reject them all again.
 type RetryAfterSpreader uint32
 
-// Next gives the time for one caller, in ms from now, within the window of RetryAfterWindow.
+// Next returns the time for one caller, in ms from now, within the window of RetryAfterWindow.
 func (s *RetryAfterSpreader) Next(bound, after int64) int64 {
 	from, to := RetryAfterWindow(bound, after)
 	*s++
--- a/internal/control/recovery/version.go
+++ b/internal/control/recovery/version.go
@@ -81,7 +81,7 @@
 	p.avoidStoredNumber()
 }
 
-// newestProved gives the newest decided version of which a text is proved, nil if there is none. Where two are proved
+// newestProved returns the newest decided version of which a text is proved, nil if there is none. Where two are proved
 // by one number it is the one that an operator chose, and a conflict if he has not.
 func (p *planner) newestProved() *versionText {
 	for version := p.decided; version > 0; version-- {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// proved gives the texts that a version had in force: those that somebody served under. The newest decided version
+// proved returns the texts that a version had in force: those that somebody served under. The newest decided version
 // may have been served under by nobody who was heard: a node's promise proves that it was decided, so a prepared text
 // counts.
 func (p *planner) proved(version uint64) (proved []*versionText) {
--- a/internal/control/zones/aggregate.go
+++ b/internal/control/zones/aggregate.go
@@ -33,7 +33,7 @@
 	v.mix = arrivedByWeight(reports)
 }
 
-// aggregateRates gives what the zone does a second: the median pool's rate for a node, times the nodes that are in.
+// aggregateRates returns what the zone does a second: the median pool's rate for a node, times the nodes that are in.
 func (v *View) aggregateRates(pools []pooledReport) {
 	rate := func(amount func(r *api.LoadReport) float64) float64 {
 		figures := make([]float64, 0, len(pools))
--- a/internal/control/zones/apply.go
+++ b/internal/control/zones/apply.go
@@ -32,7 +32,7 @@
 	return result
 }
 
-// apply gives the zone that the operation is about, nil if it is about several.
+// apply returns the zone that the operation is about, nil if it is about several.
 func (s *State) apply(op *Op, fleet *membership.State, without Guard) (*Zone, error) {
 	switch op.Kind {
 	case OpObserve:
@@ -46,7 +46,7 @@
 		return nil, rejected(ErrUnknownZone, "found no zone %.50q, expected one that nodes are of", op.Zone)
 	}
 	if op.Kind == OpHold {
-		zone.HeldUntil = fleet.ClockMS + op.WaitMS
+		zone.HeldUntilMS = fleet.ClockMS + op.WaitMS
 		zone.addEvent(fleet.ClockMS, s.Epoch, nil, "%s: nothing is decided by rules for %d ms", op.Operator, op.WaitMS)
 		return zone, nil
 	}
@@ -54,7 +54,7 @@
 		return nil, rejected(ErrStaleEpoch, "decided in epoch %d, expected %d", op.Epoch, s.Epoch)
 	}
 	// Guards against two epochs being acted on at once: nodes of the older one would take their load beside what the
-	// newer gives to others, and the rate limit would be exceeded. Nothing is raised before all have promised the
+	// newer returns to others, and the rate limit would be exceeded. Nothing is raised before all have promised the
 	// newest.
 	if op.raisesLoad() && !s.settled() && !without.Has(OneEpoch) {
 		return nil, rejected(ErrUnsettled, "epoch %d is not settled: some node may act on an older one", s.Epoch)
@@ -99,7 +99,7 @@
 	for _, zone := range s.Zones {
 		zone.PreviousQuotas = nil
 		if zone.Epoch > s.SettledEpoch {
-			zone.Since = fleet.ClockMS
+			zone.SinceMS = fleet.ClockMS
 		}
 		if zone.Phase == Evacuating {
 			zone.Phase = Evacuated
@@ -118,7 +118,7 @@
 		return rejected(ErrLastZone, "zone %s is the last that is in", zone.Name)
 	}
 	zone.FlapCount++
-	if fleet.ClockMS-zone.InServiceSince > flapWindowMS {
+	if fleet.ClockMS-zone.InServiceSinceMS > flapWindowMS {
 		zone.FlapCount = 0
 	}
 	if capacity, known := op.Capacities[zone.Name]; known {
@@ -126,10 +126,10 @@
 	}
 	zone.NodesBefore = zone.recentNodes(fleet)
 	s.beginEpoch(zone, Evacuating, op, fleet)
-	zone.Cause, zone.Operator, zone.RampNotBefore = op.Cause, op.Operator, fleet.ClockMS+op.WaitMS
-	zone.DrillUntil = 0
+	zone.Cause, zone.Operator, zone.RampNotBeforeMS = op.Cause, op.Operator, fleet.ClockMS+op.WaitMS
+	zone.DrillUntilMS = 0
 	if op.DrillMS > 0 {
-		zone.DrillUntil = fleet.ClockMS + op.DrillMS
+		zone.DrillUntilMS = fleet.ClockMS + op.DrillMS
 	}
 	what := "left"
 	if op.Share > 0 {
@@ -174,9 +174,9 @@
 	same := *op
 	same.Share, same.PriorityCutoff = zone.Share, zone.PriorityCutoff
 	same.RateLimit, same.ConnectRateLimit = zone.RateLimit, zone.ConnectRateLimit
-	since := zone.Since
+	since := zone.SinceMS
 	s.beginEpoch(zone, Ramping, &same, fleet)
-	zone.Since = since
+	zone.SinceMS = since
 	return nil
 }
 
@@ -188,7 +188,7 @@
 	if op.Share == 0 {
 		next = Evacuating
 		zone.FlapCount++
-		zone.RampNotBefore = fleet.ClockMS + op.WaitMS
+		zone.RampNotBeforeMS = fleet.ClockMS + op.WaitMS
 	}
 	s.beginEpoch(zone, next, op, fleet)
 	zone.Cause, zone.Operator = op.Cause, op.Operator
@@ -205,8 +205,8 @@
 	s.beginEpoch(zone, InService, &full, fleet)
 	zone.Cause, zone.Operator = "", ""
 	zone.PriorityCutoff, zone.RateLimit, zone.ConnectRateLimit = 0, 0, 0
-	zone.Quotas, zone.DrillUntil = nil, 0
-	zone.InServiceSince = fleet.ClockMS
+	zone.Quotas, zone.DrillUntilMS = nil, 0
+	zone.InServiceSinceMS = fleet.ClockMS
 	zone.addEvent(fleet.ClockMS, s.Epoch, op, "in again: %s", op.grounds())
 	return nil
 }
@@ -223,7 +223,7 @@
 	s.Epoch++
 	previous := zone.Phase
 	zone.Phase, zone.Share, zone.PriorityCutoff = next, op.Share, op.PriorityCutoff
-	zone.Epoch, zone.Since = s.Epoch, fleet.ClockMS
+	zone.Epoch, zone.SinceMS = s.Epoch, fleet.ClockMS
 	zone.RateLimit, zone.ConnectRateLimit = op.RateLimit, op.ConnectRateLimit
 	s.RetryBudget, s.NoCapacityElsewhere = op.RetryBudget, op.NoCapacityElsewhere
 	if s.allInService() {
@@ -236,7 +236,7 @@
 	}
 }
 
-// grounds gives who decided the operation, if an operator did, and why.
+// grounds returns who decided the operation, if an operator did, and why.
 func (op *Op) grounds() string {
 	reason := op.Reason
 	if len(reason) > maxEventBytes {
--- a/internal/control/zones/cold_start.go
+++ b/internal/control/zones/cold_start.go
@@ -10,7 +10,7 @@
 const causeRestart = "restart"
 
 // BeginColdStart decides, after a batch of heartbeats was applied, whether most of the fleet has just restarted, and
-// begins the ramp of the whole fleet. It tells whether it did.
+// begins the ramp of the whole fleet. It reports whether it did.
 //
 // Inputs: the nodes that are in with the time that their processes have been up, in ms; the policy's rules; the
 // capacity observed for each zone. The reason: connections are gone and services below are cold, so they bear a part
@@ -54,7 +54,7 @@
 func (s *State) youngNodes(fleet *membership.State, whole *Zone) (young, in int) {
 	lastStartEnded := uint64(0)
 	if whole != nil {
-		lastStartEnded = whole.InServiceSince
+		lastStartEnded = whole.InServiceSinceMS
 	}
 	for _, node := range fleet.Nodes() {
 		if node.OutReason != "" {
@@ -99,7 +99,7 @@
 
 // LimitNewNode decides whether a node that has just begun is limited while nobody can tell yet whether most of the
 // fleet has begun with it, and lays that limit over its order: the initial share, and its part of that share of its
-// zone's observed capacity. It tells whether it did.
+// zone's observed capacity. It reports whether it did.
 //
 // Guards against the first nodes of a restart taking all load for the second in which the others join. It acts only
 // where the policy has small_start; a lone restart pays with a second at the initial share. A zone of which nothing
@@ -114,7 +114,7 @@
 	case whole != nil && whole.Phase == Ramping: // the fleet's own ramp limits it
 		return false
 	// and has ended since
-	case whole != nil && whole.InServiceSince > 0 && node.UptimeMS >= node.ClockMS-whole.InServiceSince:
+	case whole != nil && whole.InServiceSinceMS > 0 && node.UptimeMS >= node.ClockMS-whole.InServiceSinceMS:
 		return false
 	}
 	order.Share = max(1, rules.InitialShare)
--- a/internal/control/zones/decide.go
+++ b/internal/control/zones/decide.go
@@ -15,7 +15,7 @@
 	without Guard
 }
 
-// Decide gives the operation that the leader should add to the log, nil if there is none. now is in ms of the
+// Decide returns the operation that the leader should add to the log, nil if there is none. now is in ms of the
 // leader's monotonic clock. One operation at a time: the next is decided once this one was applied.
 //
 // The rules, in order: settle an epoch; the ramp of the whole fleet (continueRamp); for each zone by name: evacuate
@@ -45,9 +45,9 @@
 	return m.capacitiesToStore(now)
 }
 
-// decideFor gives the next operation about a zone; zone is nil if nothing was ever decided about it.
+// decideFor returns the next operation about a zone; zone is nil if nothing was ever decided about it.
 func (d *decider) decideFor(zone *Zone, view *View) *Op {
-	if zone != nil && d.fleet.ClockMS < zone.HeldUntil {
+	if zone != nil && d.fleet.ClockMS < zone.HeldUntilMS {
 		return nil
 	}
 	op := d.nextOp(zone, view)
@@ -79,5 +79,5 @@
 	return nil
 }
 
-// mayRaise tells whether load may be raised: nobody acts on an older epoch.
+// mayRaise reports whether load may be raised: nobody acts on an older epoch.
 func (d *decider) mayRaise() bool { return d.state.settled() || d.without.Has(OneEpoch) }
--- a/internal/control/zones/drill.go
+++ b/internal/control/zones/drill.go
@@ -5,10 +5,10 @@
 // drillEnds decides whether a drill is over: its time is, or a zone in service turns unhealthy or loses more value
 // than a drill may cost. A drill that goes on then would be an outage.
 func (d *decider) drillEnds(zone *Zone) bool {
-	if zone.DrillUntil == 0 {
+	if zone.DrillUntilMS == 0 {
 		return false
 	}
-	if zone.DrillUntil <= d.fleet.ClockMS {
+	if zone.DrillUntilMS <= d.fleet.ClockMS {
 		return true
 	}
 	for _, other := range d.monitor.views {
--- a/internal/control/zones/errors.go
+++ b/internal/control/zones/errors.go
@@ -21,10 +21,10 @@
 	Text   string
 }
 
-// Error gives the text that operators are shown.
+// Error returns the text that operators are shown.
 func (e *RejectedError) Error() string { return e.Text }
 
-// Unwrap gives the reason.
+// Unwrap returns the reason.
 func (e *RejectedError) Unwrap() error { return e.Reason }
 
 func rejected(reason error, format string, args ...any) error {
--- a/internal/control/zones/evacuate.go
+++ b/internal/control/zones/evacuate.go
@@ -66,7 +66,7 @@
 }
 
 // weigh decides between staying, a whole evacuation and one in part, and sets the operation's values, share and
-// cutoff. It tells whether the zone is evacuated.
+// cutoff. It reports whether the zone is evacuated.
 //
 // What the zone does not do is asked for elsewhere already, as callers retry. So what the others would take besides
 // is what runs here. The requests of most value move; those of least value stay and take their chances.
@@ -128,7 +128,7 @@
 	return others, ok
 }
 
-// valueOfPart gives the part of all value that the requests of most value have, if they are a part of all requests.
+// valueOfPart returns the part of all value that the requests of most value have, if they are a part of all requests.
 // mix is by weight, the least first.
 func valueOfPart(mix []api.PriorityCount, part float64) float64 {
 	arrived, value, whole := 0, 0.0, 0.0
@@ -148,7 +148,7 @@
 	return value / whole
 }
 
-// whatStays gives what stays in a zone where a part of its requests does: all of less weight than the cutoff, and a
+// whatStays returns what stays in a zone where a part of its requests does: all of less weight than the cutoff, and a
 // share of those at it.
 func whatStays(mix []api.PriorityCount, part float64) (share int, cutoff float64) {
 	arrived := 0
@@ -166,10 +166,10 @@
 	return api.FullShare, math.MaxFloat64
 }
 
-// flapsAtNextFailure gives the flap count that a zone has if it is evacuated now.
+// flapsAtNextFailure returns the flap count that a zone has if it is evacuated now.
 func (d *decider) flapsAtNextFailure(view *View) int {
 	zone := d.state.Find(view.Zone)
-	if zone == nil || zone.Phase == InService && d.fleet.ClockMS-zone.InServiceSince > flapWindowMS {
+	if zone == nil || zone.Phase == InService && d.fleet.ClockMS-zone.InServiceSinceMS > flapWindowMS {
 		return 0
 	}
 	return zone.FlapCount + 1
--- a/internal/control/zones/evaluate.go
+++ b/internal/control/zones/evaluate.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// median gives the middle of some figures, and sorts them.
+// median returns the middle of some figures, and sorts them.
 func median(figures []float64) float64 {
 	n := len(figures)
 	if n == 0 {
--- a/internal/control/zones/generation.go
+++ b/internal/control/zones/generation.go
@@ -38,10 +38,10 @@
 
 func (z *Zone) evacuateRestored(epoch uint64, share int, clock uint64) {
 	z.Phase, z.Share, z.PriorityCutoff = Evacuated, 0, 0
-	z.Epoch, z.Since = epoch, clock
+	z.Epoch, z.SinceMS = epoch, clock
 	z.Cause, z.Operator = causeRestored, ""
 	z.dropLimits()
-	z.DrillUntil, z.RampNotBefore = 0, clock
+	z.DrillUntilMS, z.RampNotBeforeMS = 0, clock
 	z.addEvent(clock, epoch, nil, "the group was restored; its nodes took %d of %d: out, and returns", share,
 		api.FullShare)
 }
@@ -52,7 +52,7 @@
 	operators := (z.Phase == Evacuated || z.Phase == Evacuating) && z.Operator != ""
 	switch {
 	case operators:
-		z.Phase, z.Share, z.DrillUntil = Evacuated, 0, 0
+		z.Phase, z.Share, z.DrillUntilMS = Evacuated, 0, 0
 		z.dropLimits()
 	case z.Phase != InService && !told && z.Cause != causeRestored:
 		z.Phase, z.Share = InService, api.FullShare
--- a/internal/control/zones/guards.go
+++ b/internal/control/zones/guards.go
@@ -38,10 +38,10 @@
 // zoneGuards is how many of them concern zones; the others concern the start of a fleet.
 const zoneGuards = 7
 
-// Has tells whether a guard is taken out.
+// Has reports whether a guard is taken out.
 func (g Guard) Has(one Guard) bool { return g&one != 0 }
 
-// GuardNamed gives a guard by its name.
+// GuardNamed returns a guard by its name.
 func GuardNamed(name string) (Guard, error) {
 	for i, known := range guardNames {
 		if known == name {
--- a/internal/control/zones/helper_test.go
+++ b/internal/control/zones/helper_test.go
@@ -5,7 +5,7 @@
 	"umberwinch/internal/control/membership"
 )
 
-// evaluated has the monitor hear the same report of each node before each of some evaluations, and gives the time
+// evaluated has the monitor hear the same report of each node before each of some evaluations, and returns the time
 // after them.
 func evaluated(w *Monitor, f *membership.State, s *State, from uint64, looks int, l api.LoadReport) uint64 {
 	for i := 0; i < looks; i++ {
--- a/internal/control/zones/monitor.go
+++ b/internal/control/zones/monitor.go
@@ -71,7 +71,7 @@
 	m.probes.record(now, node.Name, peers)
 }
 
-// reportOf gives what a node's present incarnation reported, nil if it has not.
+// reportOf returns what a node's present incarnation reported, nil if it has not.
 func (m *Monitor) reportOf(node *membership.Node) *nodeReport {
 	report := m.reports[node.Name]
 	if report == nil || report.lease != node.Lease.ID {
@@ -80,7 +80,7 @@
 	return report
 }
 
-// LastHeard gives when a node's present incarnation was heard last, in ms; 0: not by this leader.
+// LastHeard returns when a node's present incarnation was heard last, in ms; 0: not by this leader.
 func (m *Monitor) LastHeard(node *membership.Node) uint64 {
 	if report := m.reportOf(node); report != nil {
 		return report.at
@@ -88,13 +88,13 @@
 	return 0
 }
 
-// ProbesFor gives the nodes whose health a node should check, for the next answer to it.
+// ProbesFor returns the nodes whose health a node should check, for the next answer to it.
 func (m *Monitor) ProbesFor(node string) []api.ProbeTarget { return m.probes.byNode[node] }
 
-// Views gives all zones as of the last evaluation, by name. They belong to the monitor.
+// Views returns all zones as of the last evaluation, by name. They belong to the monitor.
 func (m *Monitor) Views() []*View { return m.views }
 
-// FleetView gives the whole fleet as of the last evaluation, nil before the first.
+// FleetView returns the whole fleet as of the last evaluation, nil before the first.
 func (m *Monitor) FleetView() *View { return m.fleet }
 
 // quietAfterMS is for how long a node may be silent before it counts as quiet.
@@ -105,7 +105,7 @@
 // freshForMS is for how long a report counts.
 func (m *Monitor) freshForMS() uint64 { return freshHeartbeats*m.heartbeatMS + freshMarginMS }
 
-// isFresh tells whether a report counts still.
+// isFresh reports whether a report counts still.
 func (m *Monitor) isFresh(now uint64, report *nodeReport) bool {
 	return report != nil && now-report.at <= m.freshForMS()
 }
--- a/internal/control/zones/observe.go
+++ b/internal/control/zones/observe.go
@@ -43,7 +43,7 @@
 	follow(&c.FirstAttemptRate, seen.FirstAttemptRate)
 }
 
-// borneConcurrency gives how much of what was in flight the services bore.
+// borneConcurrency returns how much of what was in flight the services bore.
 //
 // Guards against stalled runs being taken for borne: a ramp would ask the service for far too much. Where runs are
 // slower than usual nothing was borne; and by Little's law no more can be in flight than begin in the time that one
--- a/internal/control/zones/op.go
+++ b/internal/control/zones/op.go
@@ -92,13 +92,13 @@
 	return &api.FieldError{Field: field, Found: fmt.Sprintf("%d bytes", len(text)), Expected: expected}
 }
 
-// evacuates tells whether the operation leaves nothing to the zone. The fleet as a whole has nowhere else to send its
+// evacuates reports whether the operation leaves nothing to the zone. The fleet as a whole has nowhere else to send its
 // load.
 func (op *Op) evacuates() bool {
 	return op.Kind == OpEvacuate || op.Kind == OpStepBack && op.Share == 0
 }
 
-// raisesLoad tells whether the operation may give a node more than it has.
+// raisesLoad reports whether the operation may give a node more than it has.
 func (op *Op) raisesLoad() bool {
 	return op.Kind == OpRamp || op.Kind == OpReturn || op.Kind == OpSplit
 }
--- a/internal/control/zones/order.go
+++ b/internal/control/zones/order.go
@@ -4,7 +4,7 @@
 	"umberwinch/internal/control/api"
 )
 
-// Order gives what a zone's state means to a node that holds a lease.
+// Order returns what a zone's state means to a node that holds a lease.
 func (s *State) Order(name string, lease uint32, rules *api.ZoneRules, without Guard) api.ZoneOrder {
 	order := api.ZoneOrder{Epoch: s.Epoch, Share: api.FullShare, TTLMS: rules.OrderTTLMS,
 		NoCapacityElsewhere: s.NoCapacityElsewhere}
--- a/internal/control/zones/pin_stream_test.go
+++ b/internal/control/zones/pin_stream_test.go
@@ -62,7 +62,7 @@
 	s.beats++
 }
 
-// fault gives what ails a zone at a time of the run.
+// fault returns what ails a zone at a time of the run.
 func (s *stream) fault(zone string) string {
 	at := s.now / 1000 % 400
 	switch {
--- a/internal/control/zones/quota.go
+++ b/internal/control/zones/quota.go
@@ -34,7 +34,7 @@
 	return runs, max(z.Capacity.ConnectionRate*part, runs)
 }
 
-// quotaOf gives a lease's quota.
+// quotaOf returns a lease's quota.
 func quotaOf(quotas []LeaseQuota, lease uint32) (rate float64, has bool) {
 	i := sort.Search(len(quotas), func(i int) bool { return quotas[i].Lease >= lease })
 	if i < len(quotas) && quotas[i].Lease == lease {
@@ -43,7 +43,7 @@
 	return 0, false
 }
 
-// mergeQuotas gives for each lease the most that it may still act on.
+// mergeQuotas returns for each lease the most that it may still act on.
 func mergeQuotas(a, b []LeaseQuota) []LeaseQuota {
 	most := map[uint32]float64{}
 	for _, quotas := range [][]LeaseQuota{a, b} {
@@ -103,7 +103,7 @@
 	return quotas
 }
 
-// effectiveQuota gives what a lease may act on now, in runs a second.
+// effectiveQuota returns what a lease may act on now, in runs a second.
 //
 // Guards against the limit being exceeded while an epoch settles: others may still act on their previous quotas, so
 // one that grew, or is new, counts only once nobody acts on an older epoch.
--- a/internal/control/zones/ramp.go
+++ b/internal/control/zones/ramp.go
@@ -45,7 +45,7 @@
 		}
 		return nil
 	}
-	shownMS := d.fleet.ClockMS - zone.Since
+	shownMS := d.fleet.ClockMS - zone.SinceMS
 	d.noteLoad(zone, view, shownMS)
 	if share, reason := d.harm(zone, view, shownMS); reason != "" {
 		return d.stepBack(zone, view, share, reason)
@@ -105,7 +105,7 @@
 	return share, fmt.Sprintf("%.1f runs under way, and it bore %.1f", view.Concurrency, zone.Capacity.Concurrency)
 }
 
-// stepBack gives the operation that lowers a ramp's share, to 0 to evacuate the zone again. The fleet as a whole has
+// stepBack returns the operation that lowers a ramp's share, to 0 to evacuate the zone again. The fleet as a whole has
 // nowhere else to send its load: it keeps a least share.
 func (d *decider) stepBack(zone *Zone, view *View, share int, reason string) *Op {
 	if zone.Name == WholeFleet {
@@ -171,13 +171,13 @@
 	return d.rampStep(zone, view, op)
 }
 
-// isWarm tells whether the services below take the time that they usually do.
+// isWarm reports whether the services below take the time that they usually do.
 func isWarm(view *View, capacity *ObservedCapacity) bool {
 	slower := slowness(view, capacity)
 	return slower > 0 && slower <= warmFactor
 }
 
-// slowness gives how many times as long as usual the services below take, 0 where nothing tells. Their own time tells
+// slowness returns how many times as long as usual the services below take, 0 where nothing tells. Their own time tells
 // where there are calls: a run has the node's own work in it, so a call that takes three times as long may not show
 // there.
 func slowness(view *View, capacity *ObservedCapacity) float64 {
--- a/internal/control/zones/ramp_begin.go
+++ b/internal/control/zones/ramp_begin.go
@@ -20,8 +20,8 @@
 		view.Note = "out: " + obstacle
 		return nil
 	}
-	if d.fleet.ClockMS < zone.RampNotBefore {
-		view.Note = fmt.Sprintf("out, well, and waits for %d ms more", zone.RampNotBefore-d.fleet.ClockMS)
+	if d.fleet.ClockMS < zone.RampNotBeforeMS {
+		view.Note = fmt.Sprintf("out, well, and waits for %d ms more", zone.RampNotBeforeMS-d.fleet.ClockMS)
 		return nil
 	}
 	if !d.mayRaise() {
@@ -34,7 +34,7 @@
 	return d.rampStep(zone, view, op)
 }
 
-// readyToRamp decides whether an evacuated zone could take load again, and gives what it lacks, empty if nothing.
+// readyToRamp decides whether an evacuated zone could take load again, and returns what it lacks, empty if nothing.
 // Half of the nodes that it had have to be heard, and their kernels there; of a zone evacuated in part what it takes
 // must not show failures.
 func readyToRamp(zone *Zone, view *View) (obstacle string) {
@@ -54,7 +54,7 @@
 	return ""
 }
 
-// goOnFromPart has a zone that was evacuated in part go on from what it takes, and tells whether it may.
+// goOnFromPart has a zone that was evacuated in part go on from what it takes, and reports whether it may.
 func goOnFromPart(zone *Zone, view *View, op *Op) bool {
 	observed := zone.Capacity.Concurrency
 	view.loads[0] = view.Concurrency / max(observed, minRate)
--- a/internal/control/zones/ramp_test.go
+++ b/internal/control/zones/ramp_test.go
@@ -63,7 +63,7 @@
 		{"the same for long", 200, 24, "in", maxEndMS + 1000}} {
 		s := &State{Epoch: 7, SettledEpoch: 7, Zones: []*Zone{{Name: "z", Phase: Ramping, Share: api.FullShare,
 			RateLimit: 100, ConnectRateLimit: 100, Capacity: bore, NodesBefore: 2,
-			Since: 100_000}}}
+			SinceMS: 100_000}}}
 		s.Zones[0].Quotas = []LeaseQuota{{f.Nodes()[0].Lease.ID, 50}, {f.Nodes()[1].Lease.ID, 50}}
 		w := NewMonitor()
 		l := api.LoadReport{WindowMS: 2000, Arrived: 100 + c.turned, Retries: c.turned, RejectedByZone: c.turned,
--- a/internal/control/zones/resplit.go
+++ b/internal/control/zones/resplit.go
@@ -14,7 +14,7 @@
 // Inputs: the zone's quotas in runs a second, its nodes' leases, the time since the last change in ms. Without it a
 // node that joins in the middle of a ramp takes nothing, and what leases held that have run out is lost to the zone.
 func (d *decider) needsSplit(zone *Zone) bool {
-	if d.fleet.ClockMS-zone.Since < minSplitMS {
+	if d.fleet.ClockMS-zone.SinceMS < minSplitMS {
 		return false
 	}
 	held := 0.0
--- a/internal/control/zones/score.go
+++ b/internal/control/zones/score.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// othersHealthy tells whether half or more of the other zones in service, and one at least, are heard and healthy.
+// othersHealthy reports whether half or more of the other zones in service, and one at least, are heard and healthy.
 // What is slow may be slow for the same cause as others that are busy or slow; what fails, only as others that fail.
 func (m *Monitor) othersHealthy(state *State, view *View) bool {
 	healthy, inService := 0, 0
--- a/internal/control/zones/snapshot.go
+++ b/internal/control/zones/snapshot.go
@@ -6,7 +6,7 @@
 	"sort"
 )
 
-// Snapshot gives the state in the form that Restore reads.
+// Snapshot returns the state in the form that Restore reads.
 func (s *State) Snapshot() ([]byte, error) { return json.Marshal(s) }
 
 // Restore reads what Snapshot gave; nothing stands for a group that has decided nothing about zones. It fails on what
--- a/internal/control/zones/state.go
+++ b/internal/control/zones/state.go
@@ -30,7 +30,7 @@
 
 // Event is one change of a zone, and on what grounds it was decided.
 type Event struct {
-	Clock             uint64  `json:"clock_ms"`
+	ClockMS           uint64  `json:"clock_ms"`
 	Epoch             uint64  `json:"epoch"`
 	Text              string  `json:"text"`
 	ValueOfStaying    float64 `json:"stay,omitempty"` // expected, in priority weight completed a second
@@ -44,7 +44,7 @@
 	Share            int              `json:"share"`           // of api.FullShare
 	PriorityCutoff   float64          `json:"worth,omitempty"` // see api.ZoneOrder
 	Epoch            uint64           `json:"epoch"`           // of its last change
-	Since            uint64           `json:"since"`           // when that change was applied, then when it settled
+	SinceMS          uint64           `json:"since"`           // when that change was applied, then when it settled
 	Cause            string           `json:"cause,omitempty"`
 	Operator         string           `json:"by,omitempty"` // who did it; empty: the rules
 	NodesBefore      int              `json:"had,omitempty"`
@@ -53,10 +53,10 @@
 	Quotas           []LeaseQuota     `json:"parts,omitempty"`   // of the rate limit
 	PreviousQuotas   []LeaseQuota     `json:"was,omitempty"`     // which may be acted on until the epoch has settled
 	FlapCount        int              `json:"flaps,omitempty"`   // evacuations that came soon after a return
-	RampNotBefore    uint64           `json:"back,omitempty"`
-	InServiceSince   uint64           `json:"well,omitempty"`
-	HeldUntil        uint64           `json:"held,omitempty"`  // the rules decide nothing before
-	DrillUntil       uint64           `json:"drill,omitempty"` // 0: no drill
+	RampNotBeforeMS  uint64           `json:"back,omitempty"`
+	InServiceSinceMS uint64           `json:"well,omitempty"`
+	HeldUntilMS      uint64           `json:"held,omitempty"`  // the rules decide nothing before
+	DrillUntilMS     uint64           `json:"drill,omitempty"` // 0: no drill
 	Capacity         ObservedCapacity `json:"bore"`
 	Events           []Event          `json:"events,omitempty"`
 }
@@ -72,7 +72,7 @@
 	Zones               []*Zone `json:"zones,omitempty"` // by name
 }
 
-// Find gives a zone, nil if nothing was ever decided about it.
+// Find returns a zone, nil if nothing was ever decided about it.
 func (s *State) Find(name string) *Zone {
 	i := sort.Search(len(s.Zones), func(i int) bool { return s.Zones[i].Name >= name })
 	if i < len(s.Zones) && s.Zones[i].Name == name {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// findOrAdd gives a zone, and adds it if a node is of it. It gives nil where no node is, or where there are too many
+// findOrAdd returns a zone, and adds it if a node is of it. It gives nil where no node is, or where there are too many
 // zones.
 func (s *State) findOrAdd(name string, fleet *membership.State) *Zone {
 	if zone := s.Find(name); zone != nil {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// PhaseOf gives where a zone stands. One that was never decided about is in service.
+// PhaseOf returns where a zone stands. One that was never decided about is in service.
 func (s *State) PhaseOf(name string) (Phase, int) {
 	if zone := s.Find(name); zone != nil {
 		return zone.Phase, zone.Share
@@ -109,13 +109,13 @@
 	return InService, api.FullShare
 }
 
-// inService tells whether a zone is, and whether it takes all of its load.
+// inService reports whether a zone is, and whether it takes all of its load.
 func (s *State) inService(name string) bool {
 	phase, _ := s.PhaseOf(name)
 	return phase == InService
 }
 
-// anotherInService tells whether another zone with nodes is in service.
+// anotherInService reports whether another zone with nodes is in service.
 func (s *State) anotherInService(name string, fleet *membership.State) bool {
 	for _, node := range fleet.Nodes() {
 		if node.OutReason == "" && node.Zone != name && s.inService(node.Zone) {
@@ -134,10 +134,10 @@
 	return true
 }
 
-// settled tells whether no lease acts on an epoch before the newest.
+// settled reports whether no lease acts on an epoch before the newest.
 func (s *State) settled() bool { return s.SettledEpoch == s.Epoch }
 
-// has tells whether a node is of the zone.
+// has reports whether a node is of the zone.
 func (z *Zone) has(node *membership.Node) bool { return z.Name == WholeFleet || node.Zone == z.Name }
 
 // nodesIn counts the zone's nodes that are in.
@@ -152,7 +152,7 @@
 
 // addEvent keeps what was decided; op, if not nil, is what it was decided by.
 func (z *Zone) addEvent(clock, epoch uint64, op *Op, format string, args ...any) {
-	event := Event{Clock: clock, Epoch: epoch, Text: fmt.Sprintf(format, args...)}
+	event := Event{ClockMS: clock, Epoch: epoch, Text: fmt.Sprintf(format, args...)}
 	if op != nil {
 		event.ValueOfStaying, event.ValueOfEvacuating = op.ValueOfStaying, op.ValueOfEvacuating
 	}
--- a/internal/control/zones/symptom.go
+++ b/internal/control/zones/symptom.go
@@ -24,7 +24,7 @@
 var symptoms = []Symptom{symptomKernel, symptomCallsFail, symptomRunsFail, symptomCallsSlow, symptomRunsLate,
 	symptomRunsSlow}
 
-// isSlowness tells whether this is what a service shows that has just come back: slow, and nothing else.
+// isSlowness reports whether this is what a service shows that has just come back: slow, and nothing else.
 func (s Symptom) isSlowness() bool {
 	return s == symptomCallsSlow || s == symptomRunsSlow || s == symptomRunsLate
 }
@@ -74,7 +74,7 @@
 	return symptomNone
 }
 
-// isStalled tells whether runs hold all cores and none ends. A stalled kernel keeps its connection, so its link shows
+// isStalled reports whether runs hold all cores and none ends. A stalled kernel keeps its connection, so its link shows
 // nothing.
 func (v *View) isStalled(report *api.LoadReport) bool {
 	usual := v.observed.RunMS
--- a/internal/control/zones/view.go
+++ b/internal/control/zones/view.go
@@ -69,7 +69,7 @@
 	allOf    = 10
 )
 
-// hasQuorum tells whether enough of a zone's nodes report to tell anything of it.
+// hasQuorum reports whether enough of a zone's nodes report to tell anything of it.
 func (v *View) hasQuorum() bool {
 	return v.NodesReporting > 0 && quorumDivisor*v.NodesReporting >= v.NodesIn
 }
@@ -79,7 +79,7 @@
 	return float64(v.NodesUnhealthy) / float64(max(1, v.NodesReporting))
 }
 
-// silent tells that nobody of a zone is heard.
+// silent reports that nobody of a zone is heard.
 func (v *View) silent() bool {
 	return v.NodesSilent > 0 && v.NodesSilent*allOf >= silentOf*max(v.NodesIn, v.NodesSilent)
 }
--- a/internal/harness/vzones.go
+++ b/internal/harness/vzones.go
@@ -553,7 +553,7 @@
 func (w *VFleet) allIn() bool {
 	s := w.part.Zones
 	for _, z := range s.Zones {
-		if z.Phase != zones.InService && s.SettledEpoch == s.Epoch && float64(w.part.Fleet.ClockMS-z.Since) > 2500 {
+		if z.Phase != zones.InService && s.SettledEpoch == s.Epoch && float64(w.part.Fleet.ClockMS-z.SinceMS) > 2500 {
 			return false
 		}
 	}
--- a/internal/harness/zones_bench.go
+++ b/internal/harness/zones_bench.go
@@ -184,7 +184,7 @@
 	}
 	for _, z := range v.Zones {
 		for _, e := range z.Events {
-			fmt.Fprintf(w, "  %8d ms, epoch %d, %s: %s\n", e.Clock, e.Epoch, z.Name, e.Text)
+			fmt.Fprintf(w, "  %8d ms, epoch %d, %s: %s\n", e.ClockMS, e.Epoch, z.Name, e.Text)
 		}
 	}
 }
--- a/internal/node/server/fleet_serving.go
+++ b/internal/node/server/fleet_serving.go
@@ -67,7 +67,7 @@
 	}
 	f.host.activate(v.settings)
 	f.retired = v.settings.RetiredHandlers
-	f.meter.SetValues(handlerValues(f.host.platform()))
+	f.meter.SetWeights(handlerValues(f.host.platform()))
 	f.agent.MarkActive(now, version, v.settings.Document.Fleet.Alone)
 	f.host.counts().Versions++
 	f.log.WithField(logging.PolicyVersion, version.Version).Info(logVersionActivated)
@@ -113,7 +113,7 @@
 	if h.RetrySafety == admission.IdempotencyKeyed {
 		idempotencyKey = q.IdempotencyKey
 	}
-	return zonegate.Request{Handler: handler, Value: h.Value, Hash: zonegate.RequestHash(idempotencyKey, q.Tenant,
+	return zonegate.Request{Handler: handler, Weight: h.Value, Hash: zonegate.RequestHash(idempotencyKey, q.Tenant,
 		q.Caller),
 		IsRetry: q.IsRetry, SeenBefore: key != "" && f.host.isKnownKey(key)}
 }
--- a/internal/node/zonegate/admit.go
+++ b/internal/node/zonegate/admit.go
@@ -10,7 +10,7 @@
 // Request is what the gate needs to know of a request.
 type Request struct {
 	Handler    int
-	Value      float64 // its priority weight
+	Weight     float64 // its priority weight
 	Hash       uint32  // by RequestHash
 	IsRetry    bool
 	SeenBefore bool // its first attempt came to this node
@@ -78,13 +78,13 @@
 	return Decision{Reason: reason, Final: g.order.NoCapacityElsewhere && isRetry}
 }
 
-// inShare tells whether the share admits a request: by its place, so that one that is admitted stays so while the
+// inShare reports whether the share admits a request: by its place, so that one that is admitted stays so while the
 // share grows. In a zone that is evacuated in part, requests below the cutoff stay, those above go elsewhere, those
 // at it go by their place.
 func (g *Gate) inShare(request *Request) bool {
 	placed := request.place() < g.order.Share
 	if cutoff := g.order.PriorityCutoff; cutoff > 0 {
-		return request.Value < cutoff || request.Value == cutoff && placed
+		return request.Weight < cutoff || request.Weight == cutoff && placed
 	}
 	return placed
 }
--- a/internal/node/zonegate/admit_test.go
+++ b/internal/node/zonegate/admit_test.go
@@ -23,7 +23,7 @@
 		{"the same, no capacity, a first attempt", api.ZoneOrder{NoCapacityElsewhere: true}, Request{}, ReasonShare,
 			false},
 		{"the same, a retry", api.ZoneOrder{NoCapacityElsewhere: true}, Request{IsRetry: true}, ReasonShare, true},
-		{"above the cutoff", api.ZoneOrder{Share: api.FullShare, PriorityCutoff: 2}, Request{Value: 3}, ReasonShare,
+		{"above the cutoff", api.ZoneOrder{Share: api.FullShare, PriorityCutoff: 2}, Request{Weight: 3}, ReasonShare,
 			false},
 		{"no token", api.ZoneOrder{Share: api.FullShare, RateLimited: true}, Request{}, ReasonRateLimit, false},
 		{"no retry is paid for", api.ZoneOrder{Share: api.FullShare, RetryBudget: 64}, Request{IsRetry: true},
--- a/internal/node/zonegate/autonomous.go
+++ b/internal/node/zonegate/autonomous.go
@@ -16,7 +16,8 @@
 	minAutonomousShare = api.FullShare / 16
 )
 
-// ContinueAutonomously decides the share of a node without the control service. It tells whether the share has changed.
+// ContinueAutonomously decides the share of a node without the control service. It reports whether the share has
+// changed.
 //
 // Inputs: the time in ms, and whether the node's own requests go well (Meter.Healthy). The last order holds for its
 // time to live. After that the share doubles each time that this time has passed while requests go well, and halves
--- a/internal/node/zonegate/gate.go
+++ b/internal/node/zonegate/gate.go
@@ -30,7 +30,7 @@
 	return &Gate{seed: seed, retries: make([]retryBudget, handlers)}
 }
 
-// SetOrder takes the order that the control service sent, nil if the policy decides nothing about zones. It tells
+// SetOrder takes the order that the control service sent, nil if the policy decides nothing about zones. It reports
 // whether the order differs from the one before.
 //
 // Guards against several epochs' saved tokens being spent at once: under a new epoch the buckets begin anew.
@@ -60,7 +60,7 @@
 	return float64(crc32.ChecksumIEEE(raw)) / (1 << 32)
 }
 
-// Evacuated tells that the node admits nothing.
+// Evacuated reports that the node admits nothing.
 func (g *Gate) Evacuated() bool { return g.hasOrder && g.order.Share == 0 }
 
 // Epoch is that of the order in force, 0 without one.
--- a/internal/node/zonegate/meter.go
+++ b/internal/node/zonegate/meter.go
@@ -3,10 +3,10 @@
 // Meter counts what a node reports of itself: fixed slots in a ring that hold the last two seconds. All times are in
 // milliseconds of a monotonic clock.
 type Meter struct {
-	weights []float64 // priority weights, by handler
-	slots   [meterSlots]meterSlot
-	current uint64 // number of the slot in use, counted from time 0
-	born    uint64 // ms
+	weights     []float64 // priority weights, by handler
+	slots       [meterSlots]meterSlot
+	current     uint64 // number of the slot in use, counted from time 0
+	startedAtMS uint64 // ms
 }
 
 // A report covers two seconds, which are some heartbeats: each has most of what the one before had, and a change
@@ -34,13 +34,13 @@
 
 // NewMeter makes a meter for handlers of these priority weights.
 func NewMeter(now uint64, weights []float64) *Meter {
-	m := &Meter{current: now / slotMS, born: now}
-	m.SetValues(weights)
+	m := &Meter{current: now / slotMS, startedAtMS: now}
+	m.SetWeights(weights)
 	return m
 }
 
-// SetValues takes other priority weights of the same handlers, as after a change of the policy.
-func (m *Meter) SetValues(weights []float64) {
+// SetWeights takes other priority weights of the same handlers, as after a change of the policy.
+func (m *Meter) SetWeights(weights []float64) {
 	m.weights = weights
 	for i := range m.slots {
 		if len(m.slots[i].firstAttempts) != len(weights) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// slot gives the slot of a time, and clears those that time has passed over.
+// slot returns the slot of a time, and clears those that time has passed over.
 func (m *Meter) slot(now uint64) *meterSlot {
 	number := now / slotMS
 	if number > m.current+meterSlots {
--- a/internal/node/zonegate/pin_gate_test.go
+++ b/internal/node/zonegate/pin_gate_test.go
@@ -58,8 +58,9 @@
 			dialled++
 		}
 		handler := rng.IntN(len(values))
-		q := Request{Handler: handler, Value: values[handler], IsRetry: rng.IntN(5) == 0, SeenBefore: rng.IntN(30) == 0,
-			Hash: RequestHash([]byte(fmt.Sprint("key", rng.IntN(2000))), nil, 0)}
+		q := Request{Handler: handler, Weight: values[handler], IsRetry: rng.IntN(5) == 0,
+			SeenBefore: rng.IntN(30) == 0,
+			Hash:       RequestHash([]byte(fmt.Sprint("key", rng.IntN(2000))), nil, 0)}
 		if rng.IntN(2) == 0 {
 			q.Hash = RequestHash(nil, []byte("tenant"), uint32(rng.IntN(500)))
 		}
@@ -94,7 +95,7 @@
 		if step == 15_000 {
 			now += 60_000 // nothing came for a minute
 			values = []float64{2, 5, 20}
-			meter.SetValues(values)
+			meter.SetWeights(values)
 		}
 	}
 	got := fmt.Sprintf("%s taken=%d refused=%d final=%d dialled=%d changes=%d\n", hex.EncodeToString(sum.Sum(nil)),
--- a/internal/node/zonegate/report.go
+++ b/internal/node/zonegate/report.go
@@ -6,14 +6,14 @@
 	"umberwinch/internal/control/api"
 )
 
-// Report gives what the node saw in the last two seconds, for a heartbeat. cores are those that the node may use;
+// Report returns what the node saw in the last two seconds, for a heartbeat. cores are those that the node may use;
 // inFlight is the number of runs.
 func (m *Meter) Report(now uint64, kernelConnected bool, cores float64, inFlight int) *api.LoadReport {
 	m.slot(now)
 	report := &api.LoadReport{KernelConnected: kernelConnected, Cores: cores, RunsInFlight: inFlight}
 	// The slot in use is not over yet: the window is what lies before it, and as much of it as there is.
 	window := (meterSlots-1)*slotMS + now%slotMS
-	report.WindowMS = int(min(window, max(now-m.born, 1)))
+	report.WindowMS = int(min(window, max(now-m.startedAtMS, 1)))
 	var total meterSlot
 	for i := range m.slots {
 		total.add(&m.slots[i])
--- a/internal/node/zonegate/share_test.go
+++ b/internal/node/zonegate/share_test.go
@@ -55,13 +55,13 @@
 	in, n := 0, 0
 	for s := uint32(0); s < 1000; s++ {
 		h := RequestHash([]byte(fmt.Sprint("key", s)), nil, 0)
-		if !g.Admit(0, Request{Value: 1, Hash: h}).Admitted {
+		if !g.Admit(0, Request{Weight: 1, Hash: h}).Admitted {
 			t.Fatal("what is worth less is turned away")
 		}
-		if g.Admit(0, Request{Value: 20, Hash: h}).Admitted {
+		if g.Admit(0, Request{Weight: 20, Hash: h}).Admitted {
 			t.Fatal("what is worth more is taken")
 		}
-		if g.Admit(0, Request{Value: 2, Hash: h}).Admitted {
+		if g.Admit(0, Request{Weight: 2, Hash: h}).Admitted {
 			in++
 		}
 		n++
