--- a/admission/pin_stream_test.go
+++ b/admission/pin_stream_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// recordedFaults is the hash of all decisions on the stream of faults, made with the module as version 2a0a97e has
+// recordedFaults is the hash of all decisions on the stream of faults, made with the package as version 2a0a97e has
 // it. It changes with any decision, like recordedDecisions.
 const recordedFaults = "9546d1ae92efaff68a5a963060a22acbae8de2dde5778745e44cb1b297cc1474"
 
--- a/admission/readiness.go
+++ b/admission/readiness.go
@@ -56,8 +56,8 @@
 }
 
 // judgeOverload decides whether the server is overloaded by what it has not read yet: nearly all that it reads has
-// waited unread for half its objective, or its runs end past it, so that what it does is for nobody. Once checks are
-// told, what comes in dries up, and it is well again when what it reads is fresh or nothing is left. It gives the
+// waited unread for half its objective, or its runs end past it, so that no client gets what it does in time. Once
+// checks are told, arrivals stop, and it recovers when what it reads is fresh or nothing is left. It gives the
 // line for the log if that changed. It may harm where a whole fleet goes off at once.
 func (s *readiness) judgeOverload(now Time, cores float64) (line string) {
 	late, all := s.tooLate.sums(now)
--- a/admission/rejection.go
+++ b/admission/rejection.go
@@ -8,7 +8,7 @@
 	fullPressure = 0.5
 	// Nor if the share shed here and that of retries come to this in the last four seconds: what is read has then
 	// mostly been shed elsewhere. Lower takes the way out from callers while other servers have room; higher has a
-	// full fleet read requests for nobody.
+	// full fleet read requests that it can't serve.
 	fullFraction = 0.8
 )
 
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -43,7 +43,7 @@
 	pools *tally
 }
 
-// tally is pools with fixed slots; it holds the module to telling it of all that touches a slot.
+// tally is pools with fixed slots; it holds the controller to telling it of all that touches a slot.
 type tally struct {
 	t           *testing.T
 	slots       []int
@@ -117,7 +117,7 @@
 	if until <= s.now {
 		s.t.Errorf("%s:%d: call %d until %d, not past now %d", s.file, s.line, id, until, s.now)
 	}
-	// Rule 4: where one call is over the allowance, it can't last so long that the mean over the span is.
+	// Where one call is over the allowance, it must not last so long that the mean over time is.
 	if most := Time(s.d.CallAllowance * float64(s.d.CallAveragingTime)); s.d.CallAllowance < 1 &&
 		s.d.Dependency == DependencyShared &&
 		until-s.now+s.d.CancellationDelay > most {
@@ -126,7 +126,7 @@
 }
 func (s *scene) SkipCall(id uint32) { s.busy[id] = true; s.note("skip %d", id) }
 
-// An entry lasts past the window of a uniqued request, by what rounding to tenths of a ms may have taken off.
+// An entry lasts past the window of an idempotency-keyed request, by what rounding to tenths of a ms may have taken off.
 func (s *scene) Remember(id uint32, span Time) {
 	it := &s.c.requests.at[s.c.requests.find(id)]
 	if h := &s.c.classes[it.class]; h.keyed && s.now+span < it.arrivedAt+h.idempotencyWindow+2 {
--- a/admission/slowstart_test.go
+++ b/admission/slowstart_test.go
@@ -27,7 +27,7 @@
 func (s *starts) WakeUp(at Time)                  { s.wake = at }
 func (s *starts) Log(string)                      {}
 
-// budgetOf states the bound once more, apart from what it holds the module to.
+// budgetOf states the bound once more, apart from the code that it checks.
 func budgetOf(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
--- a/internal/node/pools/pools_test.go
+++ b/internal/node/pools/pools_test.go
@@ -90,7 +90,7 @@
 	b.since = append(b.since, b.now)
 }
 
-// step lets time go by: ends, sheds, then starts in arrival order as the module does. work gives a class's
+// step lets time go by: ends, sheds, then starts in arrival order as package admission does. work gives a class's
 // next run.
 func (b *bed) step(by Time, work func(class int) Time) {
 	b.now += by
