--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -108,8 +108,8 @@
 	countShared()
 	startRun(r *request) // the kernel is told to run it
 	stopRun(r *request)  // or to stop
-	endUnstarted(h handle,
-		r *request) // a run that has its slot and never was told to the kernel ends
+	// endUnstarted ends a run that has its slot and that the kernel never heard of.
+	endUnstarted(h handle, r *request)
 	hasSharedResult(r *request) bool // the result of its key is in memory, or a run of it goes on
 	// shareResult gives those who wait for a run's result that, or an error.
 	shareResult(h handle, key string, ok bool, result []byte)
