--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -151,25 +151,25 @@
 		return err
 	}
 	defer res.Body.Close()
-	if out := res.Header.Get(consensus.HeadOut); out != "" {
+	if out := res.Header.Get(consensus.HeaderOutOfContact); out != "" {
 		fmt.Fprintln(os.Stderr, "careful: the instance that answered is out of touch:", out)
 	}
 	return json.NewDecoder(res.Body).Decode(into)
 }
 
 // put asks for a version. It repeats the asking under one number, so it counts once however often it is sent.
-func (c *client) put(ctx context.Context, p consensus.Put) (consensus.Answer, error) {
+func (c *client) put(ctx context.Context, p consensus.Put) (consensus.PutResult, error) {
 	if p.Session == "" {
 		p.Session, p.Seq = newSession(), 1
 	}
 	body, err := json.Marshal(p)
 	if err != nil {
-		return consensus.Answer{}, err
+		return consensus.PutResult{}, err
 	}
-	var a consensus.Answer
+	var a consensus.PutResult
 	res, err := c.ask(ctx, http.MethodPut, "/v1/config", body)
 	var r *refusal
-	if errors.As(err, &r) && json.Unmarshal(r.body, &a) == nil && a.End != "" {
+	if errors.As(err, &r) && json.Unmarshal(r.body, &a) == nil && a.Outcome != "" {
 		return a, nil
 	}
 	if err != nil {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -131,9 +131,9 @@
 					return err
 				}
 			} else {
-				fmt.Fprintf(w, "%s: version %d\n", end.End, end.Version)
+				fmt.Fprintf(w, "%s: version %d\n", end.Outcome, end.Version)
 			}
-			if end.End != consensus.Taken && end.End != consensus.Unchanged {
+			if end.Outcome != consensus.PutCommitted && end.Outcome != consensus.PutUnchanged {
 				return coded{errors.New(end.Reason), exitRefused}
 			}
 			return nil
@@ -316,7 +316,7 @@
 		}
 		if err == nil {
 			if from == 0 {
-				n, err := strconv.ParseUint(res.Header.Get(consensus.HeadVersion), 10, 64)
+				n, err := strconv.ParseUint(res.Header.Get(consensus.HeaderVersion), 10, 64)
 				if err == nil {
 					from = n + 1
 				}
@@ -344,8 +344,8 @@
 		if err != nil {
 			return nil // a line cut off is not a version
 		}
-		var b consensus.Beat
-		if json.Unmarshal(line, &b) == nil && b.Beat {
+		var b consensus.Heartbeat
+		if json.Unmarshal(line, &b) == nil && b.Heartbeat {
 			continue
 		}
 		v, err := consensus.ReadVersion(line)
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -180,7 +180,7 @@
 		switch {
 		case s.Barred != "":
 			note = s.Barred
-		case s.Out:
+		case s.OutOfContact:
 			note = "out of touch: may be old"
 		}
 		lag := uint64(0)
@@ -188,9 +188,9 @@
 			lag = commit - s.Applied
 		}
 		out = append(out, []string{r.Name, r.Listen, s.Role, strconv.FormatUint(s.Term, 10),
-			fmt.Sprintf("%d-%d", s.First, s.Last), strconv.FormatUint(s.Applied, 10), strconv.FormatUint(lag, 10),
-			strconv.FormatUint(s.Version, 10), fmt.Sprintf("%.1f MB", float64(s.Disk)/(1<<20)),
-			fmt.Sprintf("%d ms", s.AwayMS), note})
+			fmt.Sprintf("%d-%d", s.FirstIndex, s.LastIndex), strconv.FormatUint(s.Applied, 10), strconv.FormatUint(lag, 10),
+			strconv.FormatUint(s.Version, 10), fmt.Sprintf("%.1f MB", float64(s.DiskBytes)/(1<<20)),
+			fmt.Sprintf("%d ms", s.SinceLeaderMS), note})
 	}
 	return out
 }
@@ -234,7 +234,7 @@
 				return consensus.Change{}, err
 			}
 			m, err := c.member(ctx, args[1])
-			return consensus.Change{Op: "replace", Member: m, Gone: gone.ID}, err
+			return consensus.Change{Op: "replace", Member: m, ReplacedID: gone.ID}, err
 		})
 	change("transfer NAME", "Hand the lead to an instance", 1,
 		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
@@ -316,7 +316,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "saved version %s, %d bytes, to %s\n",
-				res.Header.Get(consensus.HeadVersion),
+				res.Header.Get(consensus.HeaderVersion),
 				n, args[0])
 			return nil
 		}})
@@ -339,7 +339,7 @@
 			if err != nil {
 				return err
 			}
-			v, err := consensus.Restore(dir, consensus.PlanOf(o), raw)
+			v, err := consensus.Restore(dir, consensus.ConfigFrom(o), raw)
 			if err != nil {
 				return err
 			}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -161,7 +161,7 @@
 }
 
 func fleetStatus(p *consensus.PolicyView, z *consensus.ZonesView, nodes []consensus.NodeView) *fleetView {
-	s := &fleetView{Generation: p.Gen, Lost: p.Lost, Version: p.Force, Known: len(nodes), Share: 1, HushMS: p.Hush}
+	s := &fleetView{Generation: p.Generation, Lost: p.StateLoss, Version: p.CommittedVersion, Known: len(nodes), Share: 1, HushMS: p.QuietMS}
 	for i := range nodes {
 		switch n := &nodes[i]; {
 		case n.OutReason == membership.OutSilent:
@@ -184,9 +184,9 @@
 			s.Zones = append(s.Zones, fmt.Sprintf("%s is %s, takes %s", o.Name, word, share))
 			continue
 		}
-		s.Share, s.SinceMS, s.Cause = float64(o.Share)/api.FullShare, z.Clock-min(z.Clock, o.SinceMS), o.Cause
-		if o.Seen != nil {
-			s.Holds = o.Seen.Note
+		s.Share, s.SinceMS, s.Cause = float64(o.Share)/api.FullShare, z.ClockMS-min(z.ClockMS, o.SinceMS), o.Cause
+		if o.Evidence != nil {
+			s.Holds = o.Evidence.Note
 		}
 		// A step can't come sooner than a hold and the reports of it after the one before, and makes four times the share at most.
 		each := z.Rules.MinStepMS + zones.HeartbeatIntervalMS(s.In)
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -156,8 +156,8 @@
 	want(t, 0, "proposed by", "policy", "explain", "2", at)
 	want(t, 2, "found no change 99", "policy", "explain", "99", at)
 	var v consensus.PolicyView
-	if err := json.Unmarshal([]byte(want(t, 0, "", "policy", "status", "--json", at)), &v); err != nil || v.Force != 2 ||
-		len(v.Past) != 4 || v.Past[1].Step != policy.Settled {
+	if err := json.Unmarshal([]byte(want(t, 0, "", "policy", "status", "--json", at)), &v); err != nil || v.CommittedVersion != 2 ||
+		len(v.History) != 4 || v.History[1].Step != policy.Settled {
 		t.Errorf("%+v (%v)", v, err)
 	}
 	out := want(t, 0, "n3    z3    serves  2", "nodes", "list", at)
@@ -183,11 +183,11 @@
 
 // TestFleetStatus: what is told of a fleet on its way back, of one that lost state, and for how long at least.
 func TestFleetStatus(t *testing.T) {
-	p := &consensus.PolicyView{Gen: 2, Force: 7, Hush: 1500, Lost: "n3 was told of entry 812"}
+	p := &consensus.PolicyView{Generation: 2, CommittedVersion: 7, QuietMS: 1500, StateLoss: "n3 was told of entry 812"}
 	nodes := []consensus.NodeView{{}, {Node: membership.Node{OutReason: membership.OutSilent}}, {Fenced: "its lease has run out"}, {Node: membership.Node{OutReason: membership.OutLeft}}}
-	z := &consensus.ZonesView{Clock: 9000, Rules: api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 2000}}
+	z := &consensus.ZonesView{ClockMS: 9000, Rules: api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 2000}}
 	z.Zones = []consensus.ZoneView{{Zone: zones.Zone{Name: zones.WholeFleet, Phase: zones.Ramping, Share: 16, SinceMS: 8000, Cause: "restart"},
-		Seen: &zones.View{Note: "held"}}, {Zone: zones.Zone{Name: "z1", Phase: zones.Evacuated}}, {Zone: zones.Zone{Name: "z2", Phase: zones.InService}}}
+		Evidence: &zones.View{Note: "held"}}, {Zone: zones.Zone{Name: "z1", Phase: zones.Evacuated}}, {Zone: zones.Zone{Name: "z2", Phase: zones.InService}}}
 	s := fleetStatus(p, z, nodes)
 	// Three seconds a step, two steps to all of it, one of three gone by at this one.
 	if s.In != 2 || s.Silent != 1 || s.Left != 1 || s.Fenced != 1 || s.LeastMS != 8000 || s.Share != 1.0/16 || len(s.Zones) != 1 {
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -109,17 +109,17 @@
 		p.Base = v.Number
 	}
 	end, err := c.put(ctx, p)
-	if err == nil && end.End != consensus.Taken && end.End != consensus.Unchanged {
-		err = coded{fmt.Errorf("%s: %s", end.End, end.Reason), exitRefused}
+	if err == nil && end.Outcome != consensus.PutCommitted && end.Outcome != consensus.PutUnchanged {
+		err = coded{fmt.Errorf("%s: %s", end.Outcome, end.Reason), exitRefused}
 	}
 	return end.Version, err
 }
 
 func find(v *consensus.PolicyView, number uint64) *policy.Change {
-	if v.Now != nil && v.Now.Number == number {
-		return v.Now
+	if v.Current != nil && v.Current.Number == number {
+		return v.Current
 	}
-	for _, c := range v.Past {
+	for _, c := range v.History {
 		if c.Number == number {
 			return c
 		}
@@ -149,7 +149,7 @@
 				e := ch.Events[shown]
 				fmt.Fprintf(w, "%8d ms  %s\n", e.ClockMS-ch.ProposedAtMS, e.Text)
 			}
-			if now := waitsFor(v.Waits); !ended && now != waits && now != "" {
+			if now := waitsFor(v.WaitingFor); !ended && now != waits && now != "" {
 				waits = now
 				fmt.Fprintf(w, "             waits for %s\n", now)
 			}
@@ -191,23 +191,23 @@
 			if c.json {
 				return printJSON(w, v)
 			}
-			fmt.Fprintf(w, "version %d in force, %d decided; %d of %d nodes in; lease %v, when alone %s\n", v.Force, v.Need,
-				v.In, v.Nodes, time.Duration(v.Rules.LeaseMS)*time.Millisecond,
+			fmt.Fprintf(w, "version %d in force, %d decided; %d of %d nodes in; lease %v, when alone %s\n", v.CommittedVersion, v.DecidedVersion,
+				v.ActiveNodes, v.Nodes, time.Duration(v.Rules.LeaseMS)*time.Millisecond,
 				map[bool]string{true: "go-on", false: "fence"}[v.Rules.Autonomous])
-			if v.Lost != "" {
-				fmt.Fprintf(w, "the group has lost state and grants nothing: %s\n", v.Lost)
+			if v.StateLoss != "" {
+				fmt.Fprintf(w, "the group has lost state and grants nothing: %s\n", v.StateLoss)
 			}
 			if v.Level < consensus.LevelFleet {
 				fmt.Fprintf(w, "the group is at level %d: %v\n", v.Level, v.Levels)
 			}
-			if v.Now == nil {
+			if v.Current == nil {
 				fmt.Fprintln(w, "no change under way")
 				return nil
 			}
-			fmt.Fprintf(w, "change %d: version %d to %d, %s, by %s: %s\n", v.Now.Number, v.Now.PreviousVersion, v.Now.Version,
-				v.Now.Step, v.Now.Proposal.Author, v.Now.Proposal.Reason)
+			fmt.Fprintf(w, "change %d: version %d to %d, %s, by %s: %s\n", v.Current.Number, v.Current.PreviousVersion, v.Current.Version,
+				v.Current.Step, v.Current.Proposal.Author, v.Current.Proposal.Reason)
 			rows := [][]string{{"NODE", "ZONE", "WHY IT IS WAITED FOR"}}
-			for _, o := range append(v.Says, v.Waits...) {
+			for _, o := range append(v.RefusedBy, v.WaitingFor...) {
 				rows = append(rows, []string{o.Node, o.Zone, o.Reason})
 			}
 			return table(w, rows)
@@ -222,14 +222,14 @@
 			if err != nil {
 				return err
 			}
-			if v.Now == nil {
+			if v.Current == nil {
 				return coded{errors.New("no change is under way"), exitRefused}
 			}
-			if _, err = c.policyOp(ctx, policy.Op{Kind: "off", ChangeNumber: v.Now.Number, Author: whoami(),
+			if _, err = c.policyOp(ctx, policy.Op{Kind: "off", ChangeNumber: v.Current.Number, Author: whoami(),
 				Reason: why}); err != nil {
 				return err
 			}
-			fmt.Fprintf(w, "change %d is called off\n", v.Now.Number)
+			fmt.Fprintf(w, "change %d is called off\n", v.Current.Number)
 			return nil
 		})}
 	c.Flags().StringVar(&why, "reason", "", "why, for the history")
@@ -243,9 +243,9 @@
 			if err != nil {
 				return err
 			}
-			all := v.Past
-			if v.Now != nil {
-				all = append(all, v.Now)
+			all := v.History
+			if v.Current != nil {
+				all = append(all, v.Current)
 			}
 			if c.json {
 				return printJSON(w, all)
@@ -292,8 +292,8 @@
 			for _, e := range ch.Events {
 				fmt.Fprintf(w, "%8d ms  %s\n", e.ClockMS-ch.ProposedAtMS, e.Text)
 			}
-			if v.Now == ch {
-				for _, o := range append(v.Says, v.Waits...) {
+			if v.Current == ch {
+				for _, o := range append(v.RefusedBy, v.WaitingFor...) {
 					fmt.Fprintf(w, "             waits for %s of %s: it %s\n", o.Node, o.Zone, o.Reason)
 				}
 			}
@@ -324,7 +324,7 @@
 		if n.Lease.Autonomous {
 			note = "may serve alone until it is heard or forgotten"
 		}
-	case !n.Heard:
+	case !n.Reported:
 		word, note = "in", "not heard by this leader yet"
 	case n.Fenced != "":
 		word, note = "fenced", n.Fenced
@@ -332,8 +332,8 @@
 		word = "serves"
 	}
 	switch {
-	case n.Refused != 0:
-		note = fmt.Sprintf("refuses version %d: %s", n.Refused, n.Why)
+	case n.RefusedVersion != 0:
+		note = fmt.Sprintf("refuses version %d: %s", n.RefusedVersion, n.RefusalReason)
 	case len(n.EarlierLeases) > 0 && note == "":
 		note = fmt.Sprintf("%d earlier incarnations may still serve", len(n.EarlierLeases))
 	case len(n.JoinTimesMS) > 2 && note == "":
@@ -357,11 +357,11 @@
 				n := &all[i]
 				word, note := state(n)
 				serves, prepared := "-", "-"
-				if n.Heard {
-					serves = strconv.FormatUint(n.Serves, 10)
+				if n.Reported {
+					serves = strconv.FormatUint(n.ActiveVersion, 10)
 				}
-				if n.Prepared > 0 {
-					prepared = strconv.FormatUint(n.Prepared, 10)
+				if n.PreparedVersion > 0 {
+					prepared = strconv.FormatUint(n.PreparedVersion, 10)
 				}
 				rows = append(rows, []string{n.Name, n.Zone, word, serves, prepared, fmt.Sprintf("%.1f s ago",
 					float64(n.AgeMS)/1000), note})
@@ -388,7 +388,7 @@
 				word, note := state(n)
 				lease := fmt.Sprintf("%d, promised %d at least", n.Lease.ID, n.Lease.MinVersion)
 				rows := [][]string{{"node", n.Name}, {"zone", n.Zone}, {"serves at", n.Addr}, {"state", word}, {"note", note},
-					{"version", strconv.FormatUint(n.Serves, 10)}, {"prepared", strconv.FormatUint(n.Prepared, 10)},
+					{"version", strconv.FormatUint(n.ActiveVersion, 10)}, {"prepared", strconv.FormatUint(n.PreparedVersion, 10)},
 					{"lease", lease}, {"heard", fmt.Sprintf("%d ms ago by the group's time", n.AgeMS)},
 					{"starts", fmt.Sprintf("%d within a minute", len(n.JoinTimesMS))}}
 				for _, o := range n.EarlierLeases {
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return usage(err)
 	}
-	plan := consensus.PlanOf(o)
+	plan := consensus.ConfigFrom(o)
 	old, there, err := r.old(o.Data, plan)
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	found := recovery.PlanRestore(kept, old.Base(), r.take)
+	found := recovery.PlanRestore(kept, old.Evidence(), r.take)
 	if r.json {
 		if err = printJSON(w, found); err != nil {
 			return err
@@ -108,7 +108,7 @@
 }
 
 // old reads what there is of the group's own state.
-func (r *recoverCommand) old(data string, plan consensus.Plan) (old *consensus.Old, there bool, err error) {
+func (r *recoverCommand) old(data string, plan consensus.Config) (old *consensus.StoredGroup, there bool, err error) {
 	if entries, err := os.ReadDir(data); err == nil {
 		there = len(entries) > 0
 	}
@@ -117,7 +117,7 @@
 		if err != nil {
 			return nil, there, usage(err)
 		}
-		old, err = consensus.ReadSaved(raw)
+		old, err = consensus.ReadSnapshot(raw)
 		return old, there, err
 	}
 	if !there {
@@ -127,8 +127,8 @@
 	if err != nil {
 		return nil, there, err
 	}
-	old, err = consensus.ReadOld(dir, plan)
-	if errors.Is(err, consensus.ErrEmpty) {
+	old, err = consensus.ReadFolder(dir, plan)
+	if errors.Is(err, consensus.ErrEmptyFolder) {
 		return nil, there, nil
 	}
 	if err != nil {
@@ -147,7 +147,7 @@
 		return nil, 0, ln.Close()
 	}
 	var mu sync.Mutex
-	g, err := consensus.Gather(listen, func(k *recovery.NodeRecord, err error) {
+	g, err := consensus.StartCollector(listen, func(k *recovery.NodeRecord, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
@@ -169,16 +169,16 @@
 	case <-time.After(r.wait):
 	case <-ctx.Done():
 	}
-	asked, _ = g.Seen()
+	asked, _ = g.Counts()
 	end, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	kept = g.Stop(end)
 	return kept, asked, ctx.Err()
 }
 
-func (r *recoverCommand) show(w io.Writer, old *consensus.Old, f *recovery.RestorePlan, asked int) {
+func (r *recoverCommand) show(w io.Writer, old *consensus.StoredGroup, f *recovery.RestorePlan, asked int) {
 	base := "none"
-	if b := old.Base(); b != nil {
+	if b := old.Evidence(); b != nil {
 		base = fmt.Sprintf("version %d in force, %d decided, entry %d", b.CommittedVersion, b.DecidedVersion, b.Index)
 	}
 	version := fmt.Sprintf("%d, which has the text of %d (%.16s)", f.Version, f.SourceVersion, f.Hash)
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -53,7 +53,7 @@
 
 // zoneState says how a zone stands in a word and a share.
 func zoneState(v *consensus.ZoneView) (word, share string) {
-	if word = string(v.Phase); v.Phase == zones.InService && v.Seen != nil && v.Seen.FailureScore > 0 {
+	if word = string(v.Phase); v.Phase == zones.InService && v.Evidence != nil && v.Evidence.FailureScore > 0 {
 		word = "suspected"
 	}
 	return word, fmt.Sprintf("%.0f%%", 100*float64(v.Share)/api.FullShare)
@@ -77,7 +77,7 @@
 				z := &v.Zones[i]
 				word, share := zoneState(z)
 				row := []string{z.Name, word, share, "-", "-", "-", "-", fmt.Sprintf("%.0f", z.Capacity.RunRate), z.Cause, ""}
-				if s := z.Seen; s != nil {
+				if s := z.Evidence; s != nil {
 					row[3], row[4], row[5] = fmt.Sprint(s.NodesIn), fmt.Sprint(s.NodesReporting), fmt.Sprint(s.NodesUnhealthy)
 					row[6], row[9] = fmt.Sprintf("%.0f", s.RunRate), s.Note
 				}
@@ -112,7 +112,7 @@
 			}
 			word, share := zoneState(z)
 			rows := [][]string{{"zone", z.Name}, {"state", word}, {"takes", share},
-				{"epoch", fmt.Sprintf("%d; the fleet is at %d, settled %d", z.Epoch, v.Epoch, v.Settled)},
+				{"epoch", fmt.Sprintf("%d; the fleet is at %d, settled %d", z.Epoch, v.Epoch, v.SettledEpoch)},
 				{"bore", fmt.Sprintf("%.0f runs a second, %.1f under way, %.0f ms a run, %.0f ms a call, %.1f connections a second",
 					z.Capacity.RunRate, z.Capacity.Concurrency, z.Capacity.RunMS, z.Capacity.CallMS, z.Capacity.ConnectionRate)}}
 			if z.Cause != "" {
@@ -122,14 +122,14 @@
 				rows = append(rows, []string{"ceiling", fmt.Sprintf("%.0f runs and %.0f connections below a second, over %d leases",
 					z.RateLimit, z.ConnectRateLimit, len(z.Quotas))})
 			}
-			if v.Clock < z.RampNotBeforeMS && z.Phase != zones.InService {
+			if v.ClockMS < z.RampNotBeforeMS && z.Phase != zones.InService {
 				rows = append(rows, []string{"returns", fmt.Sprintf("in %.1f s at the soonest; it failed again %d times",
-					float64(z.RampNotBeforeMS-v.Clock)/1000, z.FlapCount)})
+					float64(z.RampNotBeforeMS-v.ClockMS)/1000, z.FlapCount)})
 			}
-			if v.Clock < z.HeldUntilMS {
-				rows = append(rows, []string{"held", fmt.Sprintf("by an operator, for %.1f s more", float64(z.HeldUntilMS-v.Clock)/1000)})
+			if v.ClockMS < z.HeldUntilMS {
+				rows = append(rows, []string{"held", fmt.Sprintf("by an operator, for %.1f s more", float64(z.HeldUntilMS-v.ClockMS)/1000)})
 			}
-			if s := z.Seen; s != nil {
+			if s := z.Evidence; s != nil {
 				rows = append(rows, []string{"seen", fmt.Sprintf("%d nodes, %d quiet, %d heard, %d sick %s; score %.1f", s.NodesIn, s.NodesSilent,
 					s.NodesReporting, s.NodesUnhealthy, s.Symptom, s.FailureScore)},
 					[]string{"does", fmt.Sprintf("%.0f runs a second of %.0f it could, %.1f under way, %.0f ms a run; value %.0f of %.0f a "+
@@ -150,13 +150,13 @@
 				return printJSON(w, z.Events)
 			}
 			for _, e := range z.Events {
-				fmt.Fprintf(w, "%10.1f s ago  epoch %-4d %s\n", float64(v.Clock-e.ClockMS)/1000, e.Epoch, e.Text)
+				fmt.Fprintf(w, "%10.1f s ago  epoch %-4d %s\n", float64(v.ClockMS-e.ClockMS)/1000, e.Epoch, e.Text)
 				if e.ValueOfStaying != 0 || e.ValueOfEvacuating != 0 {
 					fmt.Fprintf(w, "%31s value a second expected: %.0f by staying, %.0f by leaving\n", "", e.ValueOfStaying, e.ValueOfEvacuating)
 				}
 			}
-			if z.Seen != nil && z.Seen.Note != "" {
-				fmt.Fprintf(w, "%16s %s\n", "now", z.Seen.Note)
+			if z.Evidence != nil && z.Evidence.Note != "" {
+				fmt.Fprintf(w, "%16s %s\n", "now", z.Evidence.Note)
 			}
 			return nil
 		})}
--- a/internal/control/consensus/api.go
+++ b/internal/control/consensus/api.go
@@ -25,27 +25,27 @@
 
 // Bounds of the clients' side.
 const (
-	maxClients     = 6000 // a fleet's nodes keep a connection each; some ten KB each
-	maxWatchers    = 256
-	maxHead        = 8 << 10
-	maxBodies      = 64 << 20 // of puts in hand together: what a client may still send counts from the start
-	maxBody        = 7 << 20  // a document of the largest size, as JSON escapes it at worst, and what goes with it
-	headWithin     = 2 * time.Second
-	bodyWithin     = 10 * time.Second
-	answerWithin   = 5 * time.Second // of a put or a read; a new leader is there before
-	changeWithin   = 15 * time.Second
-	watchBeat      = 2 * time.Second // a watcher hears at least this often
-	watchWrite     = 5 * time.Second // for one line to leave; past it the watcher is let go of
-	maxHistory     = 1000            // versions in one answer
-	stopWatchAfter = time.Second
+	maxClients        = 6000 // a fleet's nodes keep a connection each; some ten KB each
+	maxWatchers       = 256
+	maxHeaderBytes    = 8 << 10
+	maxBodiesBytes    = 64 << 20 // of puts in hand together: what a client may still send counts from the start
+	maxBodyBytes      = 7 << 20  // a document of the largest size, as JSON escapes it at worst, and what goes with it
+	headerTimeout     = 2 * time.Second
+	bodyTimeout       = 10 * time.Second
+	answerTimeout     = 5 * time.Second // of a put or a read; a new leader is there before
+	membershipTimeout = 15 * time.Second
+	watchHeartbeat    = 2 * time.Second // a watcher hears at least this often
+	watchWriteTimeout = 5 * time.Second // for one line to leave; past it the watcher is let go of
+	maxHistory        = 1000            // versions in one answer
+	shutdownTimeout   = time.Second
 )
 
 // Headers of every answer.
 const (
-	HeadVersion = "Umberwinch-Version"
-	HeadTerm    = "Umberwinch-Term"
-	HeadAway    = "Umberwinch-Away-Ms"
-	HeadOut     = "Umberwinch-Out-Of-Touch" // only past the bound: what this instance holds may be old
+	HeaderVersion      = "Umberwinch-Version"
+	HeaderTerm         = "Umberwinch-Term"
+	HeaderSinceLeader  = "Umberwinch-Away-Ms"
+	HeaderOutOfContact = "Umberwinch-Out-Of-Touch" // only past the bound: what this instance holds may be old
 )
 
 // Failure is the body of an answer that is not 200.
@@ -66,28 +66,28 @@
 // Report is an instance's status for operators.
 type Report struct {
 	Status
-	AwayMS  int64    `json:"away_ms"`
-	Out     bool     `json:"out_of_touch"`
-	Members []Member `json:"members"`
+	SinceLeaderMS int64    `json:"away_ms"`
+	OutOfContact  bool     `json:"out_of_touch"`
+	Members       []Member `json:"members"`
 }
 
-// Beat is a line of a watch that brings no version.
-type Beat struct {
-	Beat   bool  `json:"beat"`
-	AwayMS int64 `json:"away_ms"`
-	Out    bool  `json:"out_of_touch"`
+// Heartbeat is a line of a watch that brings no version.
+type Heartbeat struct {
+	Heartbeat     bool  `json:"beat"`
+	SinceLeaderMS int64 `json:"away_ms"`
+	OutOfContact  bool  `json:"out_of_touch"`
 }
 
 // API serves clients of a group over HTTP/1.1 with JSON. It owns bounds and the form of answers; what they
 // say comes from the group.
 type API struct {
-	group    *Group
-	server   *http.Server
-	watchers atomic.Int64
-	bodies   *semaphore.Weighted
-	relay    *http.Client // to the leader, for what only it can answer
-	ending   context.Context
-	end      context.CancelFunc
+	group     *Group
+	server    *http.Server
+	watchers  atomic.Int64
+	bodies    *semaphore.Weighted
+	forwarder *http.Client // to the leader, for what only it can answer
+	stopping  context.Context
+	stop      context.CancelFunc
 }
 
 // Serve opens the clients' address. It returns once the address is open.
@@ -96,21 +96,21 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &API{group: g, bodies: semaphore.NewWeighted(maxBodies), relay: g.trust.client()}
-	a.ending, a.end = context.WithCancel(context.Background())
+	a := &API{group: g, bodies: semaphore.NewWeighted(maxBodiesBytes), forwarder: g.trust.client()}
+	a.stopping, a.stop = context.WithCancel(context.Background())
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/self", a.self)
-	mux.HandleFunc("GET /v1/status", a.status)
-	mux.HandleFunc("GET /v1/config", a.config)
-	mux.HandleFunc("PUT /v1/config", a.mayChange(a.put))
-	mux.HandleFunc("GET /v1/history", a.history)
-	mux.HandleFunc("GET /v1/watch", a.watch)
-	mux.HandleFunc("POST /v1/members", a.mayChange(a.members))
-	mux.HandleFunc("GET /v1/snapshot", a.mayChange(a.snapshot))
+	mux.HandleFunc("GET /v1/self", a.getSelf)
+	mux.HandleFunc("GET /v1/status", a.getStatus)
+	mux.HandleFunc("GET /v1/config", a.getConfig)
+	mux.HandleFunc("PUT /v1/config", a.requireToken(a.putConfig))
+	mux.HandleFunc("GET /v1/history", a.getHistory)
+	mux.HandleFunc("GET /v1/watch", a.getWatch)
+	mux.HandleFunc("POST /v1/members", a.requireToken(a.postMembers))
+	mux.HandleFunc("GET /v1/snapshot", a.requireToken(a.getSnapshot))
 	a.nodesRoutes(mux)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(g.meters.registry, promhttp.HandlerOpts{}))
-	a.server = &http.Server{Handler: a.headed(mux), ReadHeaderTimeout: headWithin, ReadTimeout: bodyWithin,
-		MaxHeaderBytes: maxHead, IdleTimeout: time.Minute,
+	a.server = &http.Server{Handler: a.withHeaders(mux), ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout,
+		MaxHeaderBytes: maxHeaderBytes, IdleTimeout: time.Minute,
 		ErrorLog: log.New(g.log.WriterLevel(logrus.DebugLevel), "", 0)}
 	go a.server.Serve(netutil.LimitListener(l, maxClients))
 	return a, nil
@@ -118,8 +118,8 @@
 
 // Stop lets clients finish for a moment, then closes.
 func (a *API) Stop() {
-	a.end()
-	ctx, cancel := context.WithTimeout(context.Background(), stopWatchAfter)
+	a.stop()
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if a.server.Shutdown(ctx) != nil {
 		a.server.Close()
@@ -127,45 +127,45 @@
 }
 
 // headed puts on each answer how new it can be.
-func (a *API) headed(next http.Handler) http.Handler {
+func (a *API) withHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
-		next.ServeHTTP(&heading{ResponseWriter: w, group: a.group}, r)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
+		next.ServeHTTP(&headerWriter{ResponseWriter: w, group: a.group}, r)
 	})
 }
 
 // heading writes the view's headers at the moment the answer begins.
-type heading struct {
+type headerWriter struct {
 	http.ResponseWriter
-	group *Group
-	begun bool
+	group       *Group
+	wroteHeader bool
 }
 
-func (h *heading) Unwrap() http.ResponseWriter { return h.ResponseWriter }
+func (h *headerWriter) Unwrap() http.ResponseWriter { return h.ResponseWriter }
 
-func (h *heading) WriteHeader(code int) {
-	if !h.begun {
-		h.begun = true
+func (h *headerWriter) WriteHeader(code int) {
+	if !h.wroteHeader {
+		h.wroteHeader = true
 		v := h.group.View()
-		h.Header().Set(HeadVersion, strconv.FormatUint(v.Version, 10))
-		h.Header().Set(HeadTerm, strconv.FormatUint(v.Term, 10))
-		h.Header().Set(HeadAway, strconv.FormatInt(v.Away().Milliseconds(), 10))
-		if v.Out() {
-			h.Header().Set(HeadOut, "no majority heard for "+v.Away().Round(time.Millisecond).String())
+		h.Header().Set(HeaderVersion, strconv.FormatUint(v.Version, 10))
+		h.Header().Set(HeaderTerm, strconv.FormatUint(v.Term, 10))
+		h.Header().Set(HeaderSinceLeader, strconv.FormatInt(v.SinceLeader().Milliseconds(), 10))
+		if v.OutOfContact() {
+			h.Header().Set(HeaderOutOfContact, "no majority heard for "+v.SinceLeader().Round(time.Millisecond).String())
 		}
 	}
 	h.ResponseWriter.WriteHeader(code)
 }
 
-func (h *heading) Write(p []byte) (int, error) {
-	if !h.begun {
+func (h *headerWriter) Write(p []byte) (int, error) {
+	if !h.wroteHeader {
 		h.WriteHeader(http.StatusOK)
 	}
 	return h.ResponseWriter.Write(p)
 }
 
-// mayChange asks for the operator's token where one is set.
-func (a *API) mayChange(next http.HandlerFunc) http.HandlerFunc {
+// requireToken asks for the operator's token where one is set.
+func (a *API) requireToken(next http.HandlerFunc) http.HandlerFunc {
 	want := a.group.control.Token
 	return func(w http.ResponseWriter, r *http.Request) {
 		got := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -199,27 +199,27 @@
 }
 
 // failed gives an error of the group's its status.
-func (a *API) failed(w http.ResponseWriter, err error) {
+func (a *API) failWith(w http.ResponseWriter, err error) {
 	switch {
-	case errors.Is(err, coordinator.ErrBusy), errors.Is(err, coordinator.ErrStateLost), errors.Is(err, coordinator.ErrNotLeader), errors.Is(err, ErrLevel),
-		errors.Is(err, ErrNoLeader), errors.Is(err, ErrBusy), errors.Is(err, ErrLate), errors.Is(err, ErrGone), errors.Is(err, ErrBarred),
+	case errors.Is(err, coordinator.ErrBusy), errors.Is(err, coordinator.ErrStateLost), errors.Is(err, coordinator.ErrNotLeader), errors.Is(err, ErrFeatureLevel),
+		errors.Is(err, ErrNoLeader), errors.Is(err, ErrBusy), errors.Is(err, ErrTimeout), errors.Is(err, ErrStopped), errors.Is(err, ErrBarred),
 		errors.Is(err, raft.ErrProposalDropped):
 		a.fail(w, http.StatusServiceUnavailable, err)
-	case errors.Is(err, ErrRoom):
+	case errors.Is(err, ErrLogNearLimit):
 		a.fail(w, http.StatusInsufficientStorage, err)
 	default:
 		a.fail(w, http.StatusBadRequest, err)
 	}
 }
 
-func (a *API) self(w http.ResponseWriter, _ *http.Request) {
+func (a *API) getSelf(w http.ResponseWriter, _ *http.Request) {
 	v, c := a.group.View(), a.group.control
 	a.answer(w, Self{v.ID, v.Name, c.Peer, c.Listen, v.Cluster})
 }
 
-func (a *API) status(w http.ResponseWriter, _ *http.Request) {
+func (a *API) getStatus(w http.ResponseWriter, _ *http.Request) {
 	v := a.group.View()
-	a.answer(w, Report{v.Status, v.Away().Milliseconds(), v.Out(), v.Members})
+	a.answer(w, Report{v.Status, v.SinceLeader().Milliseconds(), v.OutOfContact(), v.Members})
 }
 
 // view gives the state a read is answered from: as new as any answer before it, or as it is here where that
@@ -229,9 +229,9 @@
 	case "stale":
 		return a.group.View(), nil
 	case "":
-		ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+		ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 		defer cancel()
-		return a.group.Newest(ctx)
+		return a.group.LinearizableView(ctx)
 	default:
 		return nil, fmt.Errorf("read: found %q, expected stale or none", read)
 	}
@@ -249,20 +249,20 @@
 	return n, nil
 }
 
-func (a *API) config(w http.ResponseWriter, r *http.Request) {
+func (a *API) getConfig(w http.ResponseWriter, r *http.Request) {
 	v, err := a.view(r)
 	if err != nil {
-		a.failed(w, err)
+		a.failWith(w, err)
 		return
 	}
 	n, err := number(r, "version", v.Version)
 	if err != nil {
-		a.failed(w, err)
+		a.failWith(w, err)
 		return
 	}
-	line := v.Line(n)
+	line := v.VersionJSON(n)
 	if line == nil {
-		what := fmt.Errorf("version %d, expected one from %d to %d", n, v.First, v.Version)
+		what := fmt.Errorf("version %d, expected one from %d to %d", n, v.FirstVersion, v.Version)
 		if v.Version == 0 {
 			what = errors.New("there is no version yet")
 		}
@@ -274,10 +274,10 @@
 	w.Write(append(line[:len(line):len(line)], '\n'))
 }
 
-func (a *API) put(w http.ResponseWriter, r *http.Request) {
+func (a *API) putConfig(w http.ResponseWriter, r *http.Request) {
 	size := r.ContentLength
-	if size < 0 || size > maxBody {
-		size = maxBody
+	if size < 0 || size > maxBodyBytes {
+		size = maxBodyBytes
 	}
 	if !a.bodies.TryAcquire(size) {
 		a.fail(w, http.StatusServiceUnavailable, ErrBusy)
@@ -290,27 +290,27 @@
 	if err := d.Decode(&p); err != nil {
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
-			a.fail(w, http.StatusRequestEntityTooLarge, fmt.Errorf("more than %d bytes", maxBody))
+			a.fail(w, http.StatusRequestEntityTooLarge, fmt.Errorf("more than %d bytes", maxBodyBytes))
 			return
 		}
-		a.failed(w, fmt.Errorf("body: %w, expected a put as JSON", err))
+		a.failWith(w, fmt.Errorf("body: %w, expected a put as JSON", err))
 		return
 	}
 	p.At = time.Now().UnixMilli()
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 	defer cancel()
 	end, err := a.group.Put(ctx, p)
 	if err != nil {
-		a.failed(w, err)
+		a.failWith(w, err)
 		return
 	}
 	code := http.StatusOK
-	switch end.End {
-	case Conflict:
+	switch end.Outcome {
+	case PutConflict:
 		code = http.StatusConflict
-	case Refused:
+	case PutInvalid:
 		code = http.StatusUnprocessableEntity
-	case Expired:
+	case PutExpired:
 		code = http.StatusGone
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -319,24 +319,24 @@
 }
 
 // history gives versions without their texts, the oldest first.
-func (a *API) history(w http.ResponseWriter, r *http.Request) {
+func (a *API) getHistory(w http.ResponseWriter, r *http.Request) {
 	v, err := a.view(r)
 	if err != nil {
-		a.failed(w, err)
+		a.failWith(w, err)
 		return
 	}
 	limit, err := number(r, "limit", 20)
 	if err == nil && (limit == 0 || limit > maxHistory) {
 		err = fmt.Errorf("limit: found %d, expected 1 to %d", limit, maxHistory)
 	}
-	from, err2 := number(r, "from", v.First+uint64(len(v.Lines))-min(limit, uint64(len(v.Lines))))
+	from, err2 := number(r, "from", v.FirstVersion+uint64(len(v.Versions))-min(limit, uint64(len(v.Versions))))
 	if err = errors.Join(err, err2); err != nil {
-		a.failed(w, err)
+		a.failWith(w, err)
 		return
 	}
 	out := []*Version{}
-	for n := max(from, v.First); n <= v.Version && uint64(len(out)) < limit; n++ {
-		one, err := ReadVersion(v.Line(n))
+	for n := max(from, v.FirstVersion); n <= v.Version && uint64(len(out)) < limit; n++ {
+		one, err := ReadVersion(v.VersionJSON(n))
 		if err != nil {
 			a.fail(w, http.StatusInternalServerError, err)
 			return
@@ -349,17 +349,17 @@
 
 // watch streams versions in order, a line each, from a number on. A watcher that went away names the next
 // number wherever it comes back, so it misses none and gets none twice.
-func (a *API) watch(w http.ResponseWriter, r *http.Request) {
+func (a *API) getWatch(w http.ResponseWriter, r *http.Request) {
 	v := a.group.View()
 	from, err := number(r, "from", v.Version+1)
 	if err != nil {
-		a.failed(w, err)
+		a.failWith(w, err)
 		return
 	}
-	if from == 0 || from < v.First {
+	if from == 0 || from < v.FirstVersion {
 		a.fail(w, http.StatusGone, fmt.Errorf("from version %d, expected %d or later: older ones are not kept",
 			from,
-			v.First))
+			v.FirstVersion))
 		return
 	}
 	if a.watchers.Add(1) > maxWatchers {
@@ -375,39 +375,39 @@
 	beat := time.NewTimer(0)
 	defer beat.Stop()
 	for {
-		rc.SetWriteDeadline(time.Now().Add(watchWrite))
+		rc.SetWriteDeadline(time.Now().Add(watchWriteTimeout))
 		v = a.group.View()
-		if from < v.First { // it fell behind what is kept: it has to begin anew
+		if from < v.FirstVersion { // it fell behind what is kept: it has to begin anew
 			return
 		}
 		sent := false
 		for ; from <= v.Version; from++ {
-			if _, err := w.Write(append(v.Line(from)[:len(v.Line(from)):len(v.Line(from))], '\n')); err != nil {
+			if _, err := w.Write(append(v.VersionJSON(from)[:len(v.VersionJSON(from)):len(v.VersionJSON(from))], '\n')); err != nil {
 				return
 			}
-			rc.SetWriteDeadline(time.Now().Add(watchWrite))
+			rc.SetWriteDeadline(time.Now().Add(watchWriteTimeout))
 			sent = true
 		}
 		if sent {
 			if rc.Flush() != nil {
 				return
 			}
-			beat.Reset(watchBeat)
+			beat.Reset(watchHeartbeat)
 		}
 		select {
-		case <-v.Next:
+		case <-v.Superseded:
 		case <-beat.C:
-			line, err := json.Marshal(Beat{true, v.Away().Milliseconds(), v.Out()})
+			line, err := json.Marshal(Heartbeat{true, v.SinceLeader().Milliseconds(), v.OutOfContact()})
 			if err != nil {
 				return
 			}
 			if _, err = w.Write(append(line, '\n')); err != nil || rc.Flush() != nil {
 				return
 			}
-			beat.Reset(watchBeat)
+			beat.Reset(watchHeartbeat)
 		case <-r.Context().Done():
 			return
-		case <-a.ending.Done():
+		case <-a.stopping.Done():
 			return
 		case <-a.group.Done():
 			return
@@ -416,15 +416,15 @@
 }
 
 // members changes who is in the group; "transfer" hands the lead over.
-func (a *API) members(w http.ResponseWriter, r *http.Request) {
+func (a *API) postMembers(w http.ResponseWriter, r *http.Request) {
 	var c Change
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(&c); err != nil {
-		a.failed(w, fmt.Errorf("body: %w, expected a change of members as JSON", err))
+		a.failWith(w, fmt.Errorf("body: %w, expected a change of members as JSON", err))
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), changeWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), membershipTimeout)
 	defer cancel()
 	find := func(ms []Member, id uint64) *Member {
 		for i := range ms {
@@ -450,13 +450,13 @@
 	case "replace":
 		err = a.group.Change(ctx, c, func(ms []Member) bool {
 			m := find(ms, c.Member.ID)
-			return m != nil && m.Voter && find(ms, c.Gone) == nil
+			return m != nil && m.Voter && find(ms, c.ReplacedID) == nil
 		})
 	default:
 		err = fmt.Errorf("op: found %q, expected add, promote, remove, replace or transfer", c.Op)
 	}
 	if err != nil {
-		a.failed(w, err)
+		a.failWith(w, err)
 		return
 	}
 	a.group.log.WithFields(logrus.Fields{"op": c.Op, logging.Peer: fmt.Sprintf("%x", c.Member.ID)}).Info(
@@ -464,14 +464,14 @@
 	a.answer(w, a.group.View().Members)
 }
 
-func (a *API) snapshot(w http.ResponseWriter, r *http.Request) {
+func (a *API) getSnapshot(w http.ResponseWriter, r *http.Request) {
 	_, err := a.view(r)
 	var parts [][]byte
 	if err == nil {
-		parts, err = a.group.SaveState()
+		parts, err = a.group.Snapshot()
 	}
 	if err != nil {
-		a.failed(w, err)
+		a.failWith(w, err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
--- a/internal/control/consensus/frames.go
+++ b/internal/control/consensus/frames.go
@@ -11,27 +11,27 @@
 // A frame on a connection between instances: length u32 of what follows the sum | sum u32 | kind u8 | bytes.
 // The sum, Castagnoli's, takes in kind and bytes.
 const (
-	frameHello   byte = 1 // first, by whoever dialled
-	frameWelcome byte = 2 // the answer, a hello in its turn
-	frameRefused byte = 3 // the answer, with the reason; the connection closes
-	frameMessage byte = 4 // raft's
-	frameSnap    byte = 5 // on a bulk connection: raft's message without the state, and what the state is
-	frameChunk   byte = 6 // a part of the state
-	frameDone    byte = 7 // the answer to a whole snapshot
+	frameHello    byte = 1 // first, by whoever dialled
+	frameAccepted byte = 2 // the answer, a hello in its turn
+	frameRefused  byte = 3 // the answer, with the reason; the connection closes
+	frameMessage  byte = 4 // raft's
+	frameSnapshot byte = 5 // on a bulk connection: raft's message without the state, and what the state is
+	frameChunk    byte = 6 // a part of the state
+	frameDone     byte = 7 // the answer to a whole snapshot
 
-	frameHead = 8
-	// maxFrame has room for one message of raft's: a batch up to its bound and an entry with the largest
+	frameHeaderBytes = 8
+	// maxFrameBytes has room for one message of raft's: a batch up to its bound and an entry with the largest
 	// document, as JSON escapes it at worst.
-	maxFrame = 16 << 20
+	maxFrameBytes = 16 << 20
 )
 
 var frameSums = crc32.MakeTable(crc32.Castagnoli)
 
 func writeFrame(w io.Writer, kind byte, data []byte) error {
-	head := make([]byte, frameHead+1)
+	head := make([]byte, frameHeaderBytes+1)
 	binary.LittleEndian.PutUint32(head, uint32(len(data)+1))
-	head[frameHead] = kind
-	sum := crc32.Update(crc32.Checksum(head[frameHead:], frameSums), frameSums, data)
+	head[frameHeaderBytes] = kind
+	sum := crc32.Update(crc32.Checksum(head[frameHeaderBytes:], frameSums), frameSums, data)
 	binary.LittleEndian.PutUint32(head[4:], sum)
 	if _, err := w.Write(head); err != nil {
 		return err
@@ -42,7 +42,7 @@
 
 // readFrame reads one frame of at most some bytes. What it gives is a new slice.
 func readFrame(r io.Reader, most int) (kind byte, data []byte, err error) {
-	var head [frameHead]byte
+	var head [frameHeaderBytes]byte
 	if _, err = io.ReadFull(r, head[:]); err != nil {
 		return 0, nil, err
 	}
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -24,76 +24,78 @@
 
 // Bounds of an instance.
 const (
-	maxInbox   = 1024 // messages of peers that wait; past it their connections are read no further
-	maxAsked   = 1024 // clients' askings that wait; past it they are turned away
-	maxWaiting = 4096 // puts or reads that wait for an end
-	maxRound   = 512  // of either taken up before raft is asked for its work, so that one sync serves many
+	maxInbox         = 1024 // messages of peers that wait; past it their connections are read no further
+	maxRequests      = 1024 // clients' askings that wait; past it they are turned away
+	maxWaiting       = 4096 // puts or reads that wait for an end
+	maxTasksPerRound = 512  // of either taken up before raft is asked for its work, so that one sync serves many
 )
 
 // Errors that clients see.
 var (
-	ErrBusy = errors.New("too much waits already; come again")
-	ErrLate = errors.New("no answer in time; ask again under the same number")
-	ErrGone = errors.New("this instance is ending")
+	ErrBusy    = errors.New("too much waits already; come again")
+	ErrTimeout = errors.New("no answer in time; ask again under the same number")
+	ErrStopped = errors.New("this instance is ending")
 )
 
 // View is an instance's state as last published. Nothing in it changes.
 type View struct {
 	Status
-	Members []Member
-	Lines   [][]byte
-	First   uint64
-	At      time.Time
-	Next    chan struct{} // closed when there is a newer view
+	Members      []Member
+	Versions     [][]byte
+	FirstVersion uint64
+	PublishedAt  time.Time
+	Superseded   chan struct{} // closed when there is a newer view
 
-	touch time.Duration
-	tick  time.Duration
+	contactTimeout time.Duration
+	tick           time.Duration
 }
 
-// Away gives for how long no leader was heard; Out tells whether that is past the operator's bound, so that
+// SinceLeader gives for how long no leader was heard; Out tells whether that is past the operator's bound, so that
 // what this instance holds may be old.
-func (v *View) Away() time.Duration {
-	return time.Duration(v.Alone)*v.tick + max(0, time.Since(v.At)-v.tick)
+func (v *View) SinceLeader() time.Duration {
+	return time.Duration(v.TicksSinceLeader)*v.tick + max(0, time.Since(v.PublishedAt)-v.tick)
 }
 
-func (v *View) Out() bool { return v.Away() > v.touch || v.Barred != "" || v.Cluster == "" }
+func (v *View) OutOfContact() bool {
+	return v.SinceLeader() > v.contactTimeout || v.Barred != "" || v.Cluster == ""
+}
 
-// Line gives a version's line, nil where it is not kept.
-func (v *View) Line(number uint64) []byte {
-	if number < v.First || number >= v.First+uint64(len(v.Lines)) {
+// VersionJSON gives a version's line, nil where it is not kept.
+func (v *View) VersionJSON(number uint64) []byte {
+	if number < v.FirstVersion || number >= v.FirstVersion+uint64(len(v.Versions)) {
 		return nil
 	}
-	return v.Lines[number-v.First]
+	return v.Versions[number-v.FirstVersion]
 }
 
 // Group is an instance at work: one goroutine owns the replica; all others hand it what they have and wait.
 // It never waits for a peer or a client, only for its own disk.
 type Group struct {
-	control  *config.Control
-	log      *logrus.Logger
-	rep      *Replica
-	net      *transport
-	trust    *trust
-	inbox    chan *pb.Message
-	asks     chan func()
-	notes    chan func() // of the transport: never turned away
-	saves    chan saveEnd
-	view     atomic.Pointer[View]
-	done     chan struct{} // closed when the replica's goroutine ended
-	quit     chan struct{}
-	ended    sync.Once
-	err      error
-	meters   *meters
-	steward  *coordinator.Leader
-	steerAt  time.Time
-	toldLost bool // it was logged that the group has lost state
-
-	puts    map[putKey][]*waiter
-	waiting int
-	reads   map[uint64][]*waiter
-	fresh   []*waiter // reads that came this round
-	readID  uint64
-	ticks   uint64
+	control          *config.Control
+	log              *logrus.Logger
+	replica          *Replica
+	transport        *transport
+	trust            *credentials
+	inbox            chan *pb.Message
+	requests         chan func()
+	events           chan func() // of the transport: never turned away
+	snapshotsWritten chan snapshotWritten
+	view             atomic.Pointer[View]
+	done             chan struct{} // closed when the replica's goroutine ended
+	stopping         chan struct{}
+	stopOnce         sync.Once
+	err              error
+	meters           *metrics
+	leader           *coordinator.Leader
+	leaderTickedAt   time.Time
+	stateLossLogged  bool // it was logged that the group has lost state
+
+	puts     map[putKey][]*waiter
+	waiting  int
+	reads    map[uint64][]*waiter
+	newReads []*waiter // reads that came this round
+	readID   uint64
+	ticks    uint64
 }
 
 type putKey struct {
@@ -102,42 +104,42 @@
 }
 
 type waiter struct {
-	put   *Put // nil for a read
-	since uint64
-	end   chan answered
-	gone  atomic.Bool // whoever asked went
+	put       *Put // nil for a read
+	sinceTick uint64
+	done      chan outcome
+	abandoned atomic.Bool // whoever asked went
 }
 
-type answered struct {
-	answer Answer
+type outcome struct {
+	result PutResult
 	err    error
 }
 
-type saveEnd struct {
-	save *Save
-	err  error
+type snapshotWritten struct {
+	snapshot *PendingSnapshot
+	err      error
 }
 
-func drawID() uint64 {
+func randomID() uint64 {
 	var raw [8]byte
 	rand.Read(raw[:]) // never fails
 	return binary.LittleEndian.Uint64(raw[:])
 }
 
-// PlanOf gives what an operator's file means to a replica.
-func PlanOf(c *config.Control) Plan {
+// ConfigFrom gives what an operator's file means to a replica.
+func ConfigFrom(c *config.Control) Config {
 	bound := int64(c.DiskMB) << 20
-	return Plan{Name: c.Name, Peer: c.Peer, Listen: c.Listen, Found: c.Start == "new", Elect: c.Elect,
-		Snapshot: c.SnapMB << 20, Sizes: wal.Sizes{Segment: min(4<<20, bound/16), Bound: bound}, Draw: drawID}
+	return Config{Name: c.Name, Peer: c.Peer, Listen: c.Listen, FoundGroup: c.Start == "new", ElectionTicks: c.Elect,
+		SnapshotBytes: c.SnapMB << 20, Sizes: wal.Sizes{Segment: min(4<<20, bound/16), Bound: bound}, Random: randomID}
 }
 
 // Faults are what the laboratory does to an instance on purpose; the zero value does nothing.
 type Faults struct {
-	Point func(step string)   // hears of each step of Work
-	Disk  func(wal.FS) wal.FS // stands between the log and its folder
-	Fleet policy.Guard        // guards about nodes that are taken out
-	Zones zones.Guard         // and about zones
-	Level int                 // of an older program; 0: this one's
+	OnStep               func(step string)   // hears of each step of Work
+	WrapDisk             func(wal.FS) wal.FS // stands between the log and its folder
+	DisabledPolicyGuards policy.Guard        // guards about nodes that are taken out
+	DisabledZoneGuards   zones.Guard         // and about zones
+	Level                int                 // of an older program; 0: this one's
 }
 
 // Start opens the folder and begins to serve peers.
@@ -146,39 +148,39 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Group{control: c, log: log, inbox: make(chan *pb.Message, maxInbox), asks: make(chan func(), maxAsked),
-		notes: make(chan func(), maxInbox), saves: make(chan saveEnd, 1), done: make(chan struct{}),
-		quit: make(chan struct{}), puts: map[putKey][]*waiter{}, reads: map[uint64][]*waiter{},
-		steward: coordinator.NewLeader(faults.Fleet), steerAt: time.Now()}
-	g.meters = newMeters(g)
-	if g.trust, err = newTrust(c.Cert, c.Key, c.CA); err != nil {
+	g := &Group{control: c, log: log, inbox: make(chan *pb.Message, maxInbox), requests: make(chan func(), maxRequests),
+		events: make(chan func(), maxInbox), snapshotsWritten: make(chan snapshotWritten, 1), done: make(chan struct{}),
+		stopping: make(chan struct{}), puts: map[putKey][]*waiter{}, reads: map[uint64][]*waiter{},
+		leader: coordinator.NewLeader(faults.DisabledPolicyGuards), leaderTickedAt: time.Now()}
+	g.meters = newMetrics(g)
+	if g.trust, err = loadCredentials(c.Cert, c.Key, c.CA); err != nil {
 		return nil, err
 	}
-	plan := PlanOf(c)
-	plan.Logger, plan.Point, plan.Guards = raftLog{log}, faults.Point, faults.Fleet
-	plan.Level, plan.Zones = faults.Level, faults.Zones
-	g.steward.DisabledZoneGuards = faults.Zones
+	plan := ConfigFrom(c)
+	plan.Logger, plan.OnStep, plan.DisabledPolicyGuards = raftLog{log}, faults.OnStep, faults.DisabledPolicyGuards
+	plan.Level, plan.DisabledZoneGuards = faults.Level, faults.DisabledZoneGuards
+	g.leader.DisabledZoneGuards = faults.DisabledZoneGuards
 	var disk wal.FS = dir
-	if faults.Disk != nil {
-		disk = faults.Disk(dir)
+	if faults.WrapDisk != nil {
+		disk = faults.WrapDisk(dir)
 	}
-	g.rep, err = Open(timedFS{disk, g.meters}, plan)
+	g.replica, err = Open(timedFS{disk, g.meters}, plan)
 	if err != nil {
 		return nil, err
 	}
 	l, err := g.trust.listen(c.Bind)
 	if err != nil {
-		g.rep.Close()
+		g.replica.Close()
 		return nil, err
 	}
-	if f := g.rep.Found; f.Torn != "" {
+	if f := g.replica.LogRepair; f.Torn != "" {
 		log.WithFields(logrus.Fields{"at": f.Torn, "bytes": f.Bytes}).Warn("cut off a tail that was never durable")
 	}
-	g.net = newTransport(g, g.trust, log, c.RateMB)
+	g.transport = newTransport(g, g.trust, log, c.RateMB)
 	g.publish()
-	log.WithFields(logrus.Fields{logging.Node: c.Name, "id": fmt.Sprintf("%x", g.rep.ID()), "role": g.View().Role,
-		logging.PolicyVersion: g.View().Version, logging.Index: g.View().Last}).Info("instance is up")
-	go g.net.serve(l)
+	log.WithFields(logrus.Fields{logging.Node: c.Name, "id": fmt.Sprintf("%x", g.replica.ID()), "role": g.View().Role,
+		logging.PolicyVersion: g.View().Version, logging.Index: g.View().LastIndex}).Info("instance is up")
+	go g.transport.serve(l)
 	go g.run()
 	return g, nil
 }
@@ -198,10 +200,10 @@
 // Stop hands the lead over if it has it, then ends.
 func (g *Group) Stop(ctx context.Context) {
 	if v := g.View(); v.Role == "leader" && len(v.Members) > 1 {
-		g.ask(func() { g.rep.Transfer(0) })
+		g.enqueue(func() { g.replica.Transfer(0) })
 		for v.Role == "leader" && ctx.Err() == nil {
 			select {
-			case <-v.Next:
+			case <-v.Superseded:
 			case <-ctx.Done():
 			case <-g.done:
 				return
@@ -209,7 +211,7 @@
 			v = g.View()
 		}
 	}
-	g.ended.Do(func() { close(g.quit) })
+	g.stopOnce.Do(func() { close(g.stopping) })
 	<-g.done
 }
 
@@ -218,42 +220,42 @@
 	tick := time.NewTicker(g.control.Tick)
 	defer tick.Stop()
 	for {
-		g.fresh = g.fresh[:0]
+		g.newReads = g.newReads[:0]
 		select {
-		case <-g.quit:
-			g.end(nil)
+		case <-g.stopping:
+			g.shutDown(nil)
 			return
 		case <-tick.C:
 			g.tick()
 		case m := <-g.inbox:
-			g.rep.Step(m)
-		case f := <-g.notes:
+			g.replica.Step(m)
+		case f := <-g.events:
 			f()
-		case f := <-g.asks:
+		case f := <-g.requests:
 			f()
-		case s := <-g.saves:
-			if err := g.rep.Saved(s.save, s.err); err != nil {
-				g.end(err)
+		case s := <-g.snapshotsWritten:
+			if err := g.replica.SnapshotWritten(s.snapshot, s.err); err != nil {
+				g.shutDown(err)
 				return
 			}
 		}
-		g.more()
+		g.drainQueues()
 		if err := g.work(); err != nil {
-			g.end(err)
+			g.shutDown(err)
 			return
 		}
 	}
 }
 
 // more takes up what else waits, up to a bound.
-func (g *Group) more() {
-	for i := 0; i < maxRound; i++ {
+func (g *Group) drainQueues() {
+	for i := 0; i < maxTasksPerRound; i++ {
 		select {
 		case m := <-g.inbox:
-			g.rep.Step(m)
-		case f := <-g.notes:
+			g.replica.Step(m)
+		case f := <-g.events:
 			f()
-		case f := <-g.asks:
+		case f := <-g.requests:
 			f()
 		default:
 			return
@@ -262,36 +264,36 @@
 }
 
 func (g *Group) work() error {
-	if len(g.fresh) > 0 {
-		g.askRead(append([]*waiter(nil), g.fresh...))
+	if len(g.newReads) > 0 {
+		g.requestRead(append([]*waiter(nil), g.newReads...))
 	}
-	out, err := g.rep.Work(g.net.send)
+	out, err := g.replica.Work(g.transport.send)
 	if err != nil {
 		return err
 	}
-	for _, r := range out.Results {
-		g.meters.ends.WithLabelValues(r.Answer.End).Inc()
+	for _, r := range out.Puts {
+		g.meters.ends.WithLabelValues(r.Result.Outcome).Inc()
 		key := putKey{r.Session, r.Seq}
 		for _, w := range g.puts[key] {
-			w.end <- answered{answer: r.Answer}
+			w.done <- outcome{result: r.Result}
 			g.waiting--
 		}
 		delete(g.puts, key)
 	}
-	g.told(out.Nodes)
+	g.operationsApplied(out.Operations)
 	if out.Applied || len(out.Reads) > 0 {
 		g.publish()
 	}
 	for _, id := range out.Reads {
 		for _, w := range g.reads[id] {
-			w.end <- answered{answer: Answer{Version: g.rep.machine.last()}}
+			w.done <- outcome{result: PutResult{Version: g.replica.stateMachine.lastVersion()}}
 			g.waiting--
 		}
 		delete(g.reads, id)
 	}
-	s, err := g.rep.Due()
+	s, err := g.replica.SnapshotIfDue()
 	if s != nil && err == nil {
-		go func() { g.saves <- saveEnd{s, s.Write()} }()
+		go func() { g.snapshotsWritten <- snapshotWritten{s, s.Write()} }()
 	}
 	return err
 }
@@ -300,40 +302,40 @@
 // lost.
 func (g *Group) tick() {
 	g.ticks++
-	g.rep.Tick()
-	g.steer(g.passed())
+	g.replica.Tick()
+	g.tickLeader(g.elapsedMS())
 	again := uint64(g.control.Elect)
 	var late []*waiter
 	for id, ws := range g.reads {
-		if g.ticks-ws[0].since >= again {
+		if g.ticks-ws[0].sinceTick >= again {
 			late = append(late, ws...)
 			delete(g.reads, id)
 		}
 	}
-	if late = g.alive(late); len(late) > 0 {
-		g.askRead(late)
+	if late = g.dropAbandoned(late); len(late) > 0 {
+		g.requestRead(late)
 	}
 	for key, ws := range g.puts {
-		if g.ticks-ws[0].since < again {
+		if g.ticks-ws[0].sinceTick < again {
 			continue
 		}
-		if ws = g.alive(ws); len(ws) == 0 {
+		if ws = g.dropAbandoned(ws); len(ws) == 0 {
 			delete(g.puts, key)
 			continue
 		}
-		ws[0].since = g.ticks
+		ws[0].sinceTick = g.ticks
 		g.puts[key] = ws
 		p := *ws[0].put
-		g.rep.Propose(&p)
+		g.replica.Propose(&p)
 	}
 	g.publish()
 }
 
 // alive leaves out waiters whose client went.
-func (g *Group) alive(ws []*waiter) []*waiter {
+func (g *Group) dropAbandoned(ws []*waiter) []*waiter {
 	kept := ws[:0]
 	for _, w := range ws {
-		if w.gone.Load() {
+		if w.abandoned.Load() {
 			g.waiting--
 		} else {
 			kept = append(kept, w)
@@ -342,21 +344,21 @@
 	return kept
 }
 
-func (g *Group) askRead(ws []*waiter) {
+func (g *Group) requestRead(ws []*waiter) {
 	g.readID++
 	for _, w := range ws {
-		w.since = g.ticks
+		w.sinceTick = g.ticks
 	}
 	g.reads[g.readID] = ws
-	g.rep.Read(g.readID) // without a leader it is asked again
+	g.replica.Read(g.readID) // without a leader it is asked again
 }
 
 func (g *Group) publish() {
-	s := g.rep.Status()
+	s := g.replica.Status()
 	was := g.view.Load()
-	lines, first := g.rep.Lines()
-	v := &View{Status: s, Members: g.rep.Members(), Lines: lines, First: first, At: time.Now(),
-		Next: make(chan struct{}), touch: g.control.Touch, tick: g.control.Tick}
+	lines, first := g.replica.Versions()
+	v := &View{Status: s, Members: g.replica.Members(), Versions: lines, FirstVersion: first, PublishedAt: time.Now(),
+		Superseded: make(chan struct{}), contactTimeout: g.control.Touch, tick: g.control.Tick}
 	g.view.Store(v)
 	if was != nil {
 		if was.Role != s.Role || was.Term != s.Term || was.Leader != s.Leader {
@@ -366,43 +368,43 @@
 		if was.Version != s.Version {
 			g.log.WithFields(logrus.Fields{logging.PolicyVersion: s.Version, logging.Index: s.Applied}).Info("version in force")
 		}
-		if !was.Out() && v.Out() {
-			g.log.WithField("away", v.Away().Round(time.Millisecond)).Warn("out of touch with a majority")
+		if !was.OutOfContact() && v.OutOfContact() {
+			g.log.WithField("away", v.SinceLeader().Round(time.Millisecond)).Warn("out of touch with a majority")
 		}
-		close(was.Next)
+		close(was.Superseded)
 	}
-	g.net.know(g.rep.Known(), g.rep.machine.removed, s.ID)
+	g.transport.setPeers(g.replica.Contacts(), g.replica.stateMachine.removed, s.ID)
 }
 
 // end lets all go that wait. An error means that the process has to end: it is logged by whoever runs it.
-func (g *Group) end(err error) {
+func (g *Group) shutDown(err error) {
 	g.err = err
 	for key, ws := range g.puts {
 		for _, w := range ws {
-			w.end <- answered{err: ErrGone}
+			w.done <- outcome{err: ErrStopped}
 		}
 		delete(g.puts, key)
 	}
 	for id, ws := range g.reads {
 		for _, w := range ws {
-			w.end <- answered{err: ErrGone}
+			w.done <- outcome{err: ErrStopped}
 		}
 		delete(g.reads, id)
 	}
 	closing := make(chan struct{})
-	go func() { g.net.close(); close(closing) }()
+	go func() { g.transport.close(); close(closing) }()
 	for { // the transport's goroutines may wait for an answer of ours
 		select {
 		case <-g.inbox:
-		case f := <-g.notes:
+		case f := <-g.events:
 			f()
-		case f := <-g.asks:
+		case f := <-g.requests:
 			f()
 		case <-closing:
-			if g.rep.saving { // the folder is let go of once nobody writes to it
-				<-g.saves
+			if g.replica.snapshotting { // the folder is let go of once nobody writes to it
+				<-g.snapshotsWritten
 			}
-			if e := g.rep.Close(); e != nil && g.err == nil {
+			if e := g.replica.Close(); e != nil && g.err == nil {
 				g.err = e
 			}
 			return
@@ -411,38 +413,38 @@
 }
 
 // ask has something done on the replica's goroutine, without waiting for it.
-func (g *Group) ask(f func()) error {
+func (g *Group) enqueue(f func()) error {
 	select {
 	case <-g.done:
-		return ErrGone
+		return ErrStopped
 	default:
 	}
 	select {
-	case g.asks <- f:
+	case g.requests <- f:
 		return nil
 	case <-g.done:
-		return ErrGone
+		return ErrStopped
 	default:
 		return ErrBusy
 	}
 }
 
 // Put asks for a version and waits for its end.
-func (g *Group) Put(ctx context.Context, p Put) (Answer, error) {
+func (g *Group) Put(ctx context.Context, p Put) (PutResult, error) {
 	if err := p.valid(); err != nil {
-		return Answer{}, err
+		return PutResult{}, err
 	}
-	w := &waiter{put: &p, end: make(chan answered, 1)}
+	w := &waiter{put: &p, done: make(chan outcome, 1)}
 	started := time.Now()
-	a, err := g.wait(ctx, w, func() {
+	a, err := g.await(ctx, w, func() {
 		if g.waiting >= maxWaiting {
-			w.end <- answered{err: ErrBusy}
+			w.done <- outcome{err: ErrBusy}
 			return
 		}
-		w.since = g.ticks
+		w.sinceTick = g.ticks
 		copied := p
-		if err := g.rep.Propose(&copied); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
-			w.end <- answered{err: err}
+		if err := g.replica.Propose(&copied); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
+			w.done <- outcome{err: err}
 			return
 		}
 		key := putKey{p.Session, p.Seq}
@@ -455,39 +457,39 @@
 	return a, err
 }
 
-// Newest waits until the view is as new as any answer that was given before it was called.
-func (g *Group) Newest(ctx context.Context) (*View, error) {
-	w := &waiter{end: make(chan answered, 1)}
-	_, err := g.wait(ctx, w, func() {
+// LinearizableView waits until the view is as new as any answer that was given before it was called.
+func (g *Group) LinearizableView(ctx context.Context) (*View, error) {
+	w := &waiter{done: make(chan outcome, 1)}
+	_, err := g.await(ctx, w, func() {
 		if g.waiting >= maxWaiting {
-			w.end <- answered{err: ErrBusy}
+			w.done <- outcome{err: ErrBusy}
 			return
 		}
 		g.waiting++
-		g.fresh = append(g.fresh, w)
+		g.newReads = append(g.newReads, w)
 	})
 	return g.View(), err
 }
 
-func (g *Group) wait(ctx context.Context, w *waiter, f func()) (Answer, error) {
-	if err := g.ask(f); err != nil {
-		return Answer{}, err
+func (g *Group) await(ctx context.Context, w *waiter, f func()) (PutResult, error) {
+	if err := g.enqueue(f); err != nil {
+		return PutResult{}, err
 	}
 	select {
-	case a := <-w.end:
-		return a.answer, a.err
+	case a := <-w.done:
+		return a.result, a.err
 	case <-g.done:
-		return Answer{}, ErrGone
+		return PutResult{}, ErrStopped
 	case <-ctx.Done():
-		w.gone.Store(true)
-		return Answer{}, ErrLate
+		w.abandoned.Store(true)
+		return PutResult{}, ErrTimeout
 	}
 }
 
 // Change makes a change of members and waits until it shows, asking again where it was lost.
 func (g *Group) Change(ctx context.Context, c Change, shows func([]Member) bool) error {
 	for {
-		err, ended := answerOf(g, g.ask, func() error { return g.rep.Change(c) })
+		err, ended := callOn(g, g.enqueue, func() error { return g.replica.Change(c) })
 		if ended != nil {
 			return ended
 		}
@@ -503,13 +505,13 @@
 				return err
 			}
 			select {
-			case <-v.Next:
+			case <-v.Superseded:
 			case <-pause.C:
 				waiting = false
 			case <-ctx.Done():
-				return fmt.Errorf("%w: another change may be under way, or no leader", ErrLate)
+				return fmt.Errorf("%w: another change may be under way, or no leader", ErrTimeout)
 			case <-g.done:
-				return ErrGone
+				return ErrStopped
 			}
 		}
 	}
@@ -517,18 +519,18 @@
 
 // Transfer hands the lead to an instance; only the leader can.
 func (g *Group) Transfer(to uint64) error {
-	err, ended := answerOf(g, g.ask, func() error { return g.rep.Transfer(to) })
+	err, ended := callOn(g, g.enqueue, func() error { return g.replica.Transfer(to) })
 	return errors.Join(ended, err)
 }
 
-// SaveState gives a snapshot's bytes as `snapshot save` keeps them.
-func (g *Group) SaveState() ([][]byte, error) {
+// Snapshot gives a snapshot's bytes as `snapshot save` keeps them.
+func (g *Group) Snapshot() ([][]byte, error) {
 	type end struct {
 		parts [][]byte
 		err   error
 	}
-	e, ended := answerOf(g, g.ask, func() end {
-		meta, state, err := g.rep.state()
+	e, ended := callOn(g, g.enqueue, func() end {
+		meta, state, err := g.replica.snapshotState()
 		if err == nil {
 			state, err = snapshotParts(meta, state)
 		}
@@ -537,9 +539,9 @@
 	return e.parts, errors.Join(ended, e.err)
 }
 
-// answerOf has something done on the replica's goroutine, by one of its queues, and waits for what came of it; the
+// callOn has something done on the replica's goroutine, by one of its queues, and waits for what came of it; the
 // error is the queue's or the group's end.
-func answerOf[T any](g *Group, queue func(func()) error, f func() T) (answer T, err error) {
+func callOn[T any](g *Group, queue func(func()) error, f func() T) (answer T, err error) {
 	got := make(chan T, 1)
 	if err = queue(func() { got <- f() }); err != nil {
 		return answer, err
@@ -548,42 +550,42 @@
 	case answer = <-got:
 		return answer, nil
 	case <-g.done:
-		return answer, ErrGone
+		return answer, ErrStopped
 	}
 }
 
 // What the transport asks. Its askings wait their turn on the replica's goroutine.
 
-func (g *Group) note(f func()) error {
+func (g *Group) enqueueEvent(f func()) error {
 	select {
-	case g.notes <- f:
+	case g.events <- f:
 		return nil
 	case <-g.done:
-		return ErrGone
+		return ErrStopped
 	}
 }
 
 func (g *Group) hello(to uint64) (Hello, error) {
-	return answerOf(g, g.note, func() Hello { return g.rep.Hello(to) })
+	return callOn(g, g.enqueueEvent, func() Hello { return g.replica.HelloTo(to) })
 }
 
-func (g *Group) meet(h Hello) (string, error) {
+func (g *Group) handshake(h Hello) (string, error) {
 	type end struct {
 		reason string
 		err    error
 	}
-	e, ended := answerOf(g, g.note, func() end {
-		reason, err := g.rep.Meet(h)
+	e, ended := callOn(g, g.enqueueEvent, func() end {
+		reason, err := g.replica.Handshake(h)
 		return end{reason, err}
 	})
 	return e.reason, errors.Join(ended, e.err)
 }
 
 func (g *Group) bar(reason string) {
-	g.note(func() {
-		if g.rep.Barred() == "" {
+	g.enqueueEvent(func() {
+		if g.replica.Barred() == "" {
 			g.log.WithField(logging.Reason, reason).Error("this instance takes no part any more")
-			if err := g.rep.Bar(reason); err != nil {
+			if err := g.replica.Bar(reason); err != nil {
 				g.log.WithField(logging.Error, err).Error("that could not be kept")
 			}
 		}
@@ -597,19 +599,23 @@
 	}
 }
 
-func (g *Group) lost(to uint64)             { g.tell(func() { g.rep.Lost(to) }) }
-func (g *Group) snapped(to uint64, ok bool) { g.tell(func() { g.rep.Snapped(to, ok) }) }
+func (g *Group) reportUnreachable(to uint64) {
+	g.enqueueEventAsync(func() { g.replica.ReportUnreachable(to) })
+}
+func (g *Group) reportSnapshot(to uint64, ok bool) {
+	g.enqueueEventAsync(func() { g.replica.ReportSnapshot(to, ok) })
+}
 
 // tell is for what may come from the replica's own goroutine, which must not wait for itself.
-func (g *Group) tell(f func()) {
+func (g *Group) enqueueEventAsync(f func()) {
 	select {
-	case g.notes <- f:
+	case g.events <- f:
 	default:
-		go g.note(f)
+		go g.enqueueEvent(f)
 	}
 }
 
-var _ owner = (*Group)(nil)
+var _ messageHandler = (*Group)(nil)
 
 // raftLog hands the core's remarks on: what it calls information is detail here.
 type raftLog struct{ log *logrus.Logger }
--- a/internal/control/consensus/group_test.go
+++ b/internal/control/consensus/group_test.go
@@ -35,13 +35,13 @@
 // TestThreeInstances: a change shows at all; it outlasts the leader's end; what comes back catches up.
 func TestThreeInstances(t *testing.T) {
 	all := three(t, nil)
-	if a := all[1].put("s", 1, 0); a.End != Taken || a.Version != 1 {
+	if a := all[1].put("s", 1, 0); a.Outcome != PutCommitted || a.Version != 1 {
 		t.Fatalf("put at a follower: %+v", a)
 	}
 	for _, i := range all {
 		var v Version
 		if code, h := i.ask(http.MethodGet, "/v1/config", nil, &v); code != 200 || v.Number != 1 ||
-			h.Get(HeadVersion) != "1" || h.Get(HeadOut) != "" {
+			h.Get(HeaderVersion) != "1" || h.Get(HeaderOutOfContact) != "" {
 			t.Fatalf("read: %d, version %d, headers %v", code, v.Number, h)
 		}
 	}
@@ -53,11 +53,11 @@
 	}
 	all[leader].stop()
 	other := all[(leader+1)%3]
-	if a := other.put("s", 1, 0); a.End != Taken || a.Version != 1 {
+	if a := other.put("s", 1, 0); a.Outcome != PutCommitted || a.Version != 1 {
 		t.Fatalf("repeat under the next leader: %+v, expected the first answer", a)
 	}
 	for n := uint64(2); n < 12; n++ {
-		if a := other.put("s", n, n-1); a.End != Taken || a.Version != n {
+		if a := other.put("s", n, n-1); a.Outcome != PutCommitted || a.Version != n {
 			t.Fatalf("put %d: %+v", n, a)
 		}
 	}
@@ -73,15 +73,15 @@
 	all[2].await("version 1", func(v *View) bool { return v.Version == 1 })
 	all[0].stop()
 	all[1].stop()
-	all[2].await("out of touch", (*View).Out)
+	all[2].await("out of touch", (*View).OutOfContact)
 	var v Version
 	if code, h := all[2].ask(http.MethodGet, "/v1/config?read=stale", nil, &v); code != 200 || v.Number != 1 ||
-		h.Get(HeadOut) == "" {
+		h.Get(HeaderOutOfContact) == "" {
 		t.Fatalf("stale read: %d, version %d, headers %v", code, v.Number, h)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	if _, err := all[2].group.Newest(ctx); err == nil {
+	if _, err := all[2].group.LinearizableView(ctx); err == nil {
 		t.Fatal("a read was answered without a majority")
 	}
 	if _, err := all[2].group.Put(ctx, Put{Session: "t", Seq: 1, Author: "x", Text: text(1)}); err == nil {
@@ -111,8 +111,8 @@
 		lines := bufio.NewScanner(res.Body)
 		lines.Buffer(nil, 1<<20)
 		for got := 0; got < 3+round%3 && lines.Scan(); {
-			var b Beat
-			if json.Unmarshal(lines.Bytes(), &b) == nil && b.Beat {
+			var b Heartbeat
+			if json.Unmarshal(lines.Bytes(), &b) == nil && b.Heartbeat {
 				continue
 			}
 			v, err := ReadVersion(lines.Bytes())
@@ -142,10 +142,10 @@
 	all[2].await("barred", func(v *View) bool { return v.Barred != "" })
 	all[2].stop()
 	all[2].start()
-	if v := all[2].group.View(); v.Role != "barred" || !v.Out() {
+	if v := all[2].group.View(); v.Role != "barred" || !v.OutOfContact() {
 		t.Fatalf("after a start: %+v", v.Status)
 	}
-	if a := all[0].put("s", 1, 0); a.End != Taken {
+	if a := all[0].put("s", 1, 0); a.Outcome != PutCommitted {
 		t.Fatalf("put after a removal: %+v", a)
 	}
 }
@@ -163,7 +163,7 @@
 	fresh.await("it is a learner that has the state", func(v *View) bool { return v.Role == "learner" && v.Applied > 1 })
 	gone := all[2].group.View().ID
 	var out []Member
-	if code, _ := all[0].ask(http.MethodPost, "/v1/members", Change{Op: "replace", Member: learner, Gone: gone},
+	if code, _ := all[0].ask(http.MethodPost, "/v1/members", Change{Op: "replace", Member: learner, ReplacedID: gone},
 		&out); code != 200 {
 		t.Fatalf("replace: %d", code)
 	}
@@ -173,7 +173,7 @@
 		}
 	}
 	all[2].await("barred", func(v *View) bool { return v.Barred != "" })
-	if a := fresh.put("s", 1, 0); a.End != Taken {
+	if a := fresh.put("s", 1, 0); a.Outcome != PutCommitted {
 		t.Fatalf("put at the new one: %+v", a)
 	}
 }
@@ -192,7 +192,7 @@
 			200 {
 			t.Fatalf("remove: %d", code)
 		}
-		if a := other.put("s", 1, 0); a.End != Taken {
+		if a := other.put("s", 1, 0); a.Outcome != PutCommitted {
 			t.Fatalf("put: %+v", a)
 		}
 		return
@@ -213,19 +213,19 @@
 		return b.String()
 	}
 	for n := uint64(1); n <= 12; n++ {
-		var end Answer
+		var end PutResult
 		a.await("a leader", func(v *View) bool { return v.Leader != 0 })
 		if a.ask(http.MethodPut, "/v1/config", Put{Session: "s", Seq: n, Base: n - 1, Author: "x",
 			Text: large(int(n))},
-			&end); end.End != Taken {
+			&end); end.Outcome != PutCommitted {
 			t.Fatalf("put %d: %+v", n, end)
 		}
 	}
-	a.await("the log was let go of", func(v *View) bool { return v.Status.First > 2 })
+	a.await("the log was let go of", func(v *View) bool { return v.Status.FirstIndex > 2 })
 	b := boot(t, "b", "join", nil)
 	a.join(b)
-	if v := b.group.View(); v.Version != 12 || b.group.net.count.snapsReceived.Load() == 0 {
-		t.Fatalf("version %d after %d snapshots", v.Version, b.group.net.count.snapsReceived.Load())
+	if v := b.group.View(); v.Version != 12 || b.group.transport.count.snapsReceived.Load() == 0 {
+		t.Fatalf("version %d after %d snapshots", v.Version, b.group.transport.count.snapsReceived.Load())
 	}
 	b.stop()
 	b.start()
@@ -235,11 +235,11 @@
 func TestRestoreMakesAnotherGroup(t *testing.T) {
 	a := boot(t, "a", "new", nil)
 	a.put("s", 1, 0)
-	parts, err := a.group.SaveState()
+	parts, err := a.group.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.group.ended.Do(func() { close(a.group.quit) }) // its folder is looked into
+	a.group.stopOnce.Do(func() { close(a.group.stopping) }) // its folder is looked into
 	<-a.group.Done()
 	again, err := Open(wal.Dir(a.control.Data), loudPlan(a.control))
 	if err != nil {
@@ -255,7 +255,7 @@
 			t.Fatal(err)
 		}
 	}
-	head, err := again.SaveNow()
+	head, err := again.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -270,7 +270,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, err := Restore(wal.NewMem(), PlanOf(a.control), fromFolder); err != nil || v.Number != 1 {
+	if v, err := Restore(wal.NewMem(), ConfigFrom(a.control), fromFolder); err != nil || v.Number != 1 {
 		t.Fatalf("from a folder's file: %v, %v", v, err)
 	}
 	var control config.Control
@@ -279,10 +279,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err = Restore(dir, PlanOf(c), bytes.Join(parts, nil)); err != nil {
+		if _, err = Restore(dir, ConfigFrom(c), bytes.Join(parts, nil)); err != nil {
 			t.Fatal(err)
 		}
-		if _, err = Restore(dir, PlanOf(c), bytes.Join(parts, nil)); err == nil {
+		if _, err = Restore(dir, ConfigFrom(c), bytes.Join(parts, nil)); err == nil {
 			t.Fatal("restored into a folder that is an instance's")
 		}
 		control = *c
@@ -292,7 +292,7 @@
 		v.Members[0].Listen != control.Listen {
 		t.Fatalf("%+v with %+v", v.Status, v.Members)
 	}
-	if a := b.put("s", 1, 0); a.End != Taken || a.Version != 1 {
+	if a := b.put("s", 1, 0); a.Outcome != PutCommitted || a.Version != 1 {
 		t.Fatalf("a repeat of a put of before: %+v, expected its first answer", a)
 	}
 }
@@ -330,16 +330,16 @@
 	}
 	closed(c, "another cluster")
 	c = dial()
-	writeJSON(c, frameHello, Hello{Identity: Identity{Cluster: own.Cluster, ID: 9, Starts: 1}, To: own.ID, Level: LevelKnown})
-	if kind, _, err := readFrame(c, 1000); err != nil || kind != frameWelcome {
+	writeJSON(c, frameHello, Hello{Identity: Identity{Cluster: own.Cluster, ID: 9, Starts: 1}, To: own.ID, Level: LatestLevel})
+	if kind, _, err := readFrame(c, 1000); err != nil || kind != frameAccepted {
 		t.Fatalf("kind %d %v, expected a welcome", kind, err)
 	}
 	forged, _ := proto.Marshal(&pb.Message{Type: pb.MessageType_MsgHeartbeat.Enum(), From: proto.Uint64(8),
 		To: proto.Uint64(own.ID), Term: proto.Uint64(own.Term + 9)})
 	writeFrame(c, frameMessage, forged)
 	closed(c, "a message in another's name")
-	if v := a.group.View(); v.Term != own.Term || a.group.net.count.broken.Load() < 4 {
-		t.Fatalf("term %d, %d broken", v.Term, a.group.net.count.broken.Load())
+	if v := a.group.View(); v.Term != own.Term || a.group.transport.count.broken.Load() < 4 {
+		t.Fatalf("term %d, %d broken", v.Term, a.group.transport.count.broken.Load())
 	}
 }
 
@@ -348,19 +348,19 @@
 	a := boot(t, "a", "new", nil)
 	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
 	own := a.group.View()
-	for n, bytes := range []int{5000, -1, maxSnapBytes + 1, 3000} {
+	for n, bytes := range []int{5000, -1, maxSnapshotBytes + 1, 3000} {
 		c, err := net.Dial("tcp", a.control.Peer)
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.SetDeadline(time.Now().Add(10 * time.Second))
-		writeJSON(c, frameHello, Hello{Identity: Identity{Cluster: own.Cluster, ID: 9, Starts: 1}, To: own.ID, Level: LevelKnown,
+		writeJSON(c, frameHello, Hello{Identity: Identity{Cluster: own.Cluster, ID: 9, Starts: 1}, To: own.ID, Level: LatestLevel,
 			Bulk: true})
 		readFrame(c, 1000)
 		m, _ := proto.Marshal(&pb.Message{Type: pb.MessageType_MsgSnap.Enum(), From: proto.Uint64(9),
 			To: proto.Uint64(own.ID), Term: proto.Uint64(own.Term + 9),
 			Snapshot: &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(99), Term: proto.Uint64(9)}}})
-		writeJSON(c, frameSnap, snapNote{m, bytes, 1})
+		writeJSON(c, frameSnapshot, snapshotAnnouncement{m, bytes, 1})
 		writeFrame(c, frameChunk, make([]byte, 3000))
 		if n == 0 {
 			c.(*net.TCPConn).CloseWrite()
@@ -369,8 +369,8 @@
 		c.Close()
 	}
 	if v := a.group.View(); v.Term != own.Term || v.Applied < own.Applied ||
-		a.group.net.count.broken.Load() != 4 {
-		t.Fatalf("term %d, applied %d, %d broken of 4", v.Term, v.Applied, a.group.net.count.broken.Load())
+		a.group.transport.count.broken.Load() != 4 {
+		t.Fatalf("term %d, applied %d, %d broken of 4", v.Term, v.Applied, a.group.transport.count.broken.Load())
 	}
 }
 
@@ -393,7 +393,7 @@
 		{"no author", `{"session":"s","seq":1}`, a.control.Token, 400},
 		{"a long text", `{"session":"s","seq":1,"author":"x","text":"` + strings.Repeat("x", 1<<20+1) + `"}`,
 			a.control.Token, 400},
-		{"a body without end", `{"text":"` + strings.Repeat("x", maxBody) + `"}`, a.control.Token, 413},
+		{"a body without end", `{"text":"` + strings.Repeat("x", maxBodyBytes) + `"}`, a.control.Token, 413},
 		{"a wrong document", `{"session":"s","seq":1,"author":"x","text":"[x]\ny = 1\n"}`, a.control.Token, 422},
 		{"rules of its own", `{"session":"r","seq":1,"author":"x","rules":99,"text":"[tenant a]\nrate = 1\n"}`,
 			a.control.Token, 200},
@@ -440,13 +440,13 @@
 	a := boot(t, "a", "new", nil)
 	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
 	var open []net.Conn
-	for i := 0; i < maxBodies/maxBody; i++ {
+	for i := 0; i < maxBodiesBytes/maxBodyBytes; i++ {
 		c, err := net.Dial("tcp", a.control.Listen)
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(c, "PUT /v1/config HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n",
-			maxBody)
+			maxBodyBytes)
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if line, err := bufio.NewReader(c).ReadString('\n'); err != nil || !strings.Contains(line, "100 Continue") {
 			t.Fatalf("body %d: %q, %v", i, line, err)
@@ -460,24 +460,24 @@
 	for _, c := range open {
 		c.Close()
 	}
-	if end := a.put("t", 1, 0); end.End != Taken {
+	if end := a.put("t", 1, 0); end.Outcome != PutCommitted {
 		t.Fatalf("a put after them: %+v", end)
 	}
 }
 
 // TestQueueOfAPeerIsBounded: what waits for a peer that takes nothing is bounded in bytes too.
 func TestQueueOfAPeerIsBounded(t *testing.T) {
-	p := &peer{queue: make(chan *pb.Message, maxQueued)}
+	p := &peer{queue: make(chan *pb.Message, maxQueuedMessages)}
 	m := &pb.Message{Entries: []*pb.Entry{{Data: make([]byte, 1<<20)}}}
 	n := 0
-	for p.put(m) {
+	for p.enqueue(m) {
 		n++
 	}
 	if n < 30 || n > 32 {
 		t.Fatalf("%d messages of 1 MiB queued, expected 31", n)
 	}
-	p.took(<-p.queue)
-	if !p.put(m) {
+	p.release(<-p.queue)
+	if !p.enqueue(m) {
 		t.Fatal("no room after one left")
 	}
 }
@@ -503,7 +503,7 @@
 		Listen: at + ":7201", Tick: 10 * time.Millisecond, Elect: 10, DiskMB: 64, SnapMB: 1, RateMB: 64,
 		Touch: time.Second}
 	entered, gate := make(chan struct{}), make(chan struct{})
-	g, err := Start(c, quietLogger(), Faults{Disk: func(fs wal.FS) wal.FS { return gatedFS{fs, entered, gate} }})
+	g, err := Start(c, quietLogger(), Faults{WrapDisk: func(fs wal.FS) wal.FS { return gatedFS{fs, entered, gate} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -512,18 +512,18 @@
 		end, err := g.Put(ctx, Put{Session: "s", Seq: n, Base: n - 1, Author: "x",
 			Text: text(int(n)) + strings.Repeat(";\n", 1<<18)})
 		cancel()
-		if err != nil || end.End != Taken {
+		if err != nil || end.Outcome != PutCommitted {
 			t.Fatalf("put %d: %+v, %v", n, end, err)
 		}
 	}
 	<-entered
-	g.ended.Do(func() { close(g.quit) })
+	g.stopOnce.Do(func() { close(g.stopping) })
 	select {
 	case <-g.Done():
 		t.Fatal("it ended while its snapshot was being written")
 	case <-time.After(200 * time.Millisecond): // long past what an end takes
 	}
-	if _, _, err := wal.Open(wal.Dir(c.Data), PlanOf(c).Sizes); !errors.Is(err, wal.ErrLocked) {
+	if _, _, err := wal.Open(wal.Dir(c.Data), ConfigFrom(c).Sizes); !errors.Is(err, wal.ErrLocked) {
 		t.Fatalf("the folder meanwhile: %v, expected %v", err, wal.ErrLocked)
 	}
 	close(gate)
@@ -609,7 +609,7 @@
 			Certificates: []tls.Certificate{pair}}}}
 	}
 	a.join(b)
-	if end := b.put("s", 1, 0); end.End != Taken {
+	if end := b.put("s", 1, 0); end.Outcome != PutCommitted {
 		t.Fatalf("put: %+v", end)
 	}
 	bare := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
@@ -630,7 +630,7 @@
 	if err := a.group.Reload(); err == nil {
 		t.Fatal("a bad certificate was taken")
 	}
-	if end := a.put("s", 2, 1); end.End != Taken {
+	if end := a.put("s", 2, 1); end.Outcome != PutCommitted {
 		t.Fatalf("put after a bad certificate: %+v", end)
 	}
 	with(a.control)
@@ -663,14 +663,14 @@
 					return
 				}
 				mu.Lock()
-				ends[end.End]++
+				ends[end.Outcome]++
 				mu.Unlock()
 			}
 		}()
 	}
 	wg.Wait()
 	v := a.group.View()
-	if ends[Taken]+ends[Conflict] != 640 || uint64(ends[Taken]) != v.Version {
+	if ends[PutCommitted]+ends[PutConflict] != 640 || uint64(ends[PutCommitted]) != v.Version {
 		t.Fatalf("ends %v, version %d", ends, v.Version)
 	}
 	if v.Syncs >= 640 {
--- a/internal/control/consensus/guard.go
+++ b/internal/control/consensus/guard.go
@@ -8,13 +8,13 @@
 
 // The guards that can be taken out.
 const (
-	PersistFirst   Guard = 1 << iota // what is promised to others is durable before it is sent
-	CompareAndSet                    // a put names the version it was made from
-	SessionTable                     // a repeated put gets the first one's answer
-	ReadIndex                        // a read is answered only once a majority still follows this leader
-	PreVote                          // who comes back asks before it raises the term
-	MemberIdentity                   // an old copy of a folder takes no part
-	MembersKept                      // a change of members is known as committed on disk before it counts
+	PersistBeforeSend Guard = 1 << iota // what is promised to others is durable before it is sent
+	CompareAndSet                       // a put names the version it was made from
+	SessionTable                        // a repeated put gets the first one's answer
+	ReadIndex                           // a read is answered only once a majority still follows this leader
+	PreVote                             // who comes back asks before it raises the term
+	MemberIdentity                      // an old copy of a folder takes no part
+	PersistMembership                   // a change of members is known as committed on disk before it counts
 )
 
 var guardNames = []string{"persist-before-send", "compare-and-set", "session-table", "read-index", "pre-vote",
--- a/internal/control/consensus/helper_test.go
+++ b/internal/control/consensus/helper_test.go
@@ -92,7 +92,7 @@
 			return v
 		}
 		select {
-		case <-v.Next:
+		case <-v.Superseded:
 		case <-late:
 			i.t.Fatalf("%s: not within 20 s, %+v", what, v.Status)
 		}
@@ -130,10 +130,10 @@
 }
 
 // put asks for a version until it has an answer.
-func (i *instance) put(session string, seq, base uint64) Answer {
+func (i *instance) put(session string, seq, base uint64) PutResult {
 	i.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
-		var a Answer
+		var a PutResult
 		if code, _ := i.ask(http.MethodPut, "/v1/config", Put{Session: session, Seq: seq, Base: base,
 			Author: "test",
 			Text:   fmt.Sprintf("[tenant %s]\nrate = %d\n", session, seq)}, &a); code != http.StatusServiceUnavailable {
@@ -141,7 +141,7 @@
 		}
 	}
 	i.t.Fatal("no answer to a put within 20 s")
-	return Answer{}
+	return PutResult{}
 }
 
 // join takes an instance into this one's group and waits until it is a voter everywhere.
@@ -178,8 +178,8 @@
 
 func quietLogger() *logrus.Logger { return logging.New(io.Discard, "text", "error") }
 
-func loudPlan(c *config.Control) Plan {
-	p := PlanOf(c)
+func loudPlan(c *config.Control) Config {
+	p := ConfigFrom(c)
 	p.Logger = raftLog{quietLogger()}
 	return p
 }
--- a/internal/control/consensus/machine.go
+++ b/internal/control/consensus/machine.go
@@ -20,8 +20,8 @@
 	maxSessions     = 4096     // clients whose last put is known
 	maxMembers      = 15
 	maxRemoved      = 256
-	maxWord         = 200 // bytes of an author or session
-	maxReason       = 2000
+	maxNameBytes    = 200 // bytes of an author or session
+	maxReasonBytes  = 2000
 )
 
 // Version is one configuration that a majority committed.
@@ -51,18 +51,18 @@
 	Text    string `json:"text"`
 }
 
-// Ends of a put.
+// BarsInstance of a put.
 const (
-	Taken     = "taken"
-	Unchanged = "unchanged" // it says what the version in force says
-	Conflict  = "conflict"  // it was made from another version than the one in force
-	Refused   = "refused"   // the document is wrong, alone or after the one before
-	Expired   = "expired"   // its session is not known any more, or has gone on
+	PutCommitted = "taken"
+	PutUnchanged = "unchanged" // it says what the version in force says
+	PutConflict  = "conflict"  // it was made from another version than the one in force
+	PutInvalid   = "refused"   // the document is wrong, alone or after the one before
+	PutExpired   = "expired"   // its session is not known any more, or has gone on
 )
 
-// Answer is the end of a put, the same for each repeat.
-type Answer struct {
-	End     string `json:"end"`
+// PutResult is how a put ended; each repeat of the put gets the same one.
+type PutResult struct {
+	Outcome string `json:"end"`
 	Version uint64 `json:"version"` // taken: the new one; else the one in force
 	Reason  string `json:"reason,omitempty"`
 }
@@ -79,60 +79,60 @@
 
 // Change is what a change of members carries beside what raft needs of it.
 type Change struct {
-	Op     string `json:"op"` // add, promote, remove, replace
-	Member Member `json:"member"`
-	Gone   uint64 `json:"gone,omitempty"` // replace: who leaves as the member becomes a voter
+	Op         string `json:"op"` // add, promote, remove, replace
+	Member     Member `json:"member"`
+	ReplacedID uint64 `json:"gone,omitempty"` // replace: who leaves as the member becomes a voter
 }
 
 type session struct {
 	name   string
 	seq    uint64
-	answer Answer
+	answer PutResult
 }
 
-// Machine is the replicated state. It is told committed entries in order and nothing else, so it is the same
+// StateMachine is the replicated state. It is told committed entries in order and nothing else, so it is the same
 // at every instance after the same entry. It never looks at a clock; a session's age is how many others were
 // used since.
-type Machine struct {
-	without  Guard
-	cluster  string
-	applied  uint64
-	term     uint64   // of the entry applied last
-	lines    [][]byte // versions, each as one line of JSON; a line is never written again
-	first    uint64   // number of lines[0]
-	bytes    int
-	current  *document.Document
-	hash     string
-	sessions map[string]*list.Element
-	used     *list.List // of *session, the longest unused first
-	members  []Member   // by id
-	removed  []uint64   // oldest first
-	level    int        // of the program: what entries may be proposed
-	knows    int        // up to which level this instance's program can tell entries
-	nodes    *coordinator.State
-	tail     uint64 // entries of an old folder that are not known to be committed
+type StateMachine struct {
+	disabledGuards     Guard
+	cluster            string
+	applied            uint64
+	term               uint64   // of the entry applied last
+	lines              [][]byte // versions, each as one line of JSON; a line is never written again
+	first              uint64   // number of lines[0]
+	bytes              int
+	current            *document.Document
+	hash               string
+	sessions           map[string]*list.Element
+	used               *list.List // of *session, the longest unused first
+	members            []Member   // by id
+	removed            []uint64   // oldest first
+	level              int        // of the program: what entries may be proposed
+	supportedLevel     int        // up to which level this instance's program can tell entries
+	fleet              *coordinator.State
+	uncommittedEntries uint64 // entries of an old folder that are not known to be committed
 }
 
 // Levels of the program. A group has the least of its members', raised by an entry once all have said what they know,
 // and never lowered.
 const (
-	LevelVersions = 1                            // versions and members
-	LevelFleet    = 2                            // nodes, changes of policy, documents with [fleet]
-	LevelZones    = 3                            // zones that are left and returned to, documents with [zones]
-	LevelGen      = coordinator.LevelGenerations // lost state is told, and restored groups are new generations
-	LevelSame     = coordinator.LevelSameProcess
-	LevelKnown    = LevelSame
+	LevelVersions    = 1                            // versions and members
+	LevelFleet       = 2                            // nodes, changes of policy, documents with [fleet]
+	LevelZones       = 3                            // zones that are left and returned to, documents with [zones]
+	LevelGenerations = coordinator.LevelGenerations // lost state is told, and restored groups are new generations
+	LevelSameProcess = coordinator.LevelSameProcess
+	LatestLevel      = LevelSameProcess
 )
 
-// rulesAt is the numbering of a document's rules at a level.
-func rulesAt(level int) int { return min(level, document.Rules) }
+// rulesForLevel is the numbering of a document's rules at a level.
+func rulesForLevel(level int) int { return min(level, document.Rules) }
 
-// Last is the newest version of the configuration, 0 before the first.
-func (m *Machine) Last() uint64 { return m.last() }
+// Last returns the number of the newest version of the document, 0 before the first.
+func (m *StateMachine) Last() uint64 { return m.lastVersion() }
 
 // Text gives a version of the configuration with its hash; ok is false where it isn't held.
-func (m *Machine) Text(number uint64) (text, hash string, ok bool) {
-	if number < m.first || number > m.last() {
+func (m *StateMachine) Text(number uint64) (text, hash string, ok bool) {
+	if number < m.first || number > m.lastVersion() {
 		return "", "", false
 	}
 	v, err := ReadVersion(m.lines[number-m.first])
@@ -142,26 +142,26 @@
 	return v.Text, v.Hash, true
 }
 
-func newMachine(cluster string, without Guard) *Machine {
-	return &Machine{without: without, cluster: cluster, first: 1, sessions: map[string]*list.Element{},
-		used: list.New(), level: LevelVersions, knows: LevelKnown, nodes: coordinator.NewState(policy.Guard(0))}
+func newStateMachine(cluster string, without Guard) *StateMachine {
+	return &StateMachine{disabledGuards: without, cluster: cluster, first: 1, sessions: map[string]*list.Element{},
+		used: list.New(), level: LevelVersions, supportedLevel: LatestLevel, fleet: coordinator.NewState(policy.Guard(0))}
 }
 
 // last gives the number of the version in force, 0 before the first.
-func (m *Machine) last() uint64 { return m.first + uint64(len(m.lines)) - 1 }
+func (m *StateMachine) lastVersion() uint64 { return m.first + uint64(len(m.lines)) - 1 }
 
 // valid says what is wrong with a put before it is proposed; what hangs on the state is judged when it is
 // applied.
 func (p *Put) valid() error {
 	switch {
-	case p.Session == "" || len(p.Session) > maxWord:
-		return fmt.Errorf("session: found %d bytes, expected 1 to %d", len(p.Session), maxWord)
+	case p.Session == "" || len(p.Session) > maxNameBytes:
+		return fmt.Errorf("session: found %d bytes, expected 1 to %d", len(p.Session), maxNameBytes)
 	case p.Seq == 0:
 		return fmt.Errorf("seq: found 0, expected 1 or more")
-	case p.Author == "" || len(p.Author) > maxWord:
-		return fmt.Errorf("author: found %d bytes, expected 1 to %d", len(p.Author), maxWord)
-	case len(p.Reason) > maxReason:
-		return fmt.Errorf("reason: found %d bytes, expected at most %d", len(p.Reason), maxReason)
+	case p.Author == "" || len(p.Author) > maxNameBytes:
+		return fmt.Errorf("author: found %d bytes, expected 1 to %d", len(p.Author), maxNameBytes)
+	case len(p.Reason) > maxReasonBytes:
+		return fmt.Errorf("reason: found %d bytes, expected at most %d", len(p.Reason), maxReasonBytes)
 	case len(p.Text) > document.MaxBytes:
 		return fmt.Errorf("text: found %d bytes, expected at most %d", len(p.Text), document.MaxBytes)
 	}
@@ -169,21 +169,21 @@
 }
 
 // put applies a put at an index of the log.
-func (m *Machine) put(p *Put, index, term uint64) Answer {
+func (m *StateMachine) applyPut(p *Put, index, term uint64) PutResult {
 	if e := m.sessions[p.Session]; e != nil {
 		s := e.Value.(*session)
 		m.used.MoveToBack(e)
 		switch {
-		case p.Seq == s.seq && !m.without.Has(SessionTable):
+		case p.Seq == s.seq && !m.disabledGuards.Has(SessionTable):
 			return s.answer
 		case p.Seq < s.seq:
-			return Answer{Expired, m.last(), fmt.Sprintf("put %d, expected %d or later", p.Seq, s.seq)}
+			return PutResult{PutExpired, m.lastVersion(), fmt.Sprintf("put %d, expected %d or later", p.Seq, s.seq)}
 		}
 		s.seq, s.answer = p.Seq, m.judge(p, index, term)
 		return s.answer
 	}
 	if p.Seq != 1 {
-		return Answer{Expired, m.last(), "the session is not known any more, expected a new one from 1 on"}
+		return PutResult{PutExpired, m.lastVersion(), "the session is not known any more, expected a new one from 1 on"}
 	}
 	s := &session{p.Session, p.Seq, m.judge(p, index, term)}
 	m.sessions[p.Session] = m.used.PushBack(s)
@@ -194,33 +194,33 @@
 	return s.answer
 }
 
-func (m *Machine) judge(p *Put, index, term uint64) Answer {
-	if p.Base != m.last() && !m.without.Has(CompareAndSet) {
-		return Answer{Conflict, m.last(), fmt.Sprintf("made from version %d, expected %d", p.Base, m.last())}
+func (m *StateMachine) judge(p *Put, index, term uint64) PutResult {
+	if p.Base != m.lastVersion() && !m.disabledGuards.Has(CompareAndSet) {
+		return PutResult{PutConflict, m.lastVersion(), fmt.Sprintf("made from version %d, expected %d", p.Base, m.lastVersion())}
 	}
 	next, err := document.ParseUnder(p.Rules, "document", []byte(p.Text))
 	if err == nil {
-		err = next.Follows(m.before())
+		err = next.Follows(m.activeDocument())
 	}
 	if err != nil {
-		return Answer{Refused, m.last(), short(err.Error())}
+		return PutResult{PutInvalid, m.lastVersion(), truncateReason(err.Error())}
 	}
 	text := next.Canonical()
 	if len(text) > document.MaxBytes {
-		return Answer{Refused, m.last(), fmt.Sprintf("document: found %d bytes in canonical form, expected at most %d",
+		return PutResult{PutInvalid, m.lastVersion(), fmt.Sprintf("document: found %d bytes in canonical form, expected at most %d",
 			len(text), document.MaxBytes)}
 	}
 	hash := document.Hash(text)
 	if hash == m.hash {
-		return Answer{Unchanged, m.last(), ""}
+		return PutResult{PutUnchanged, m.lastVersion(), ""}
 	}
-	v := Version{m.last() + 1, m.last(), hash, p.Author, p.Reason, p.At, index, term, 0, string(text)}
+	v := Version{m.lastVersion() + 1, m.lastVersion(), hash, p.Author, p.Reason, p.At, index, term, 0, string(text)}
 	if p.Rules > 1 {
 		v.Rules = p.Rules
 	}
 	line, err := json.Marshal(&v)
 	if err != nil {
-		return Answer{Refused, m.last(), err.Error()}
+		return PutResult{PutInvalid, m.lastVersion(), err.Error()}
 	}
 	m.lines = append(m.lines, line)
 	m.bytes += len(line)
@@ -230,13 +230,13 @@
 		m.lines = m.lines[1:]
 		m.first++
 	}
-	return Answer{Taken, v.Number, ""}
+	return PutResult{PutCommitted, v.Number, ""}
 }
 
 // before gives the version that reqs in flight came under: the last one, or where nodes are told of changes, the one
 // that is in force there. A version that was called off binds nobody.
-func (m *Machine) before() *document.Document {
-	p := m.nodes.Policy
+func (m *StateMachine) activeDocument() *document.Document {
+	p := m.fleet.Policy
 	if p.LastNumber == 0 {
 		return m.current
 	}
@@ -255,18 +255,18 @@
 }
 
 // short bounds a reason: it is kept with its session, and a document may have a fault on each of many lines.
-func short(reason string) string {
-	if len(reason) <= maxReason {
+func truncateReason(reason string) string {
+	if len(reason) <= maxReasonBytes {
 		return reason
 	}
-	cut := strings.LastIndexByte(reason[:maxReason], '\n')
+	cut := strings.LastIndexByte(reason[:maxReasonBytes], '\n')
 	if cut <= 0 {
-		cut = maxReason
+		cut = maxReasonBytes
 	}
 	return fmt.Sprintf("%s\n%d more lines", reason[:cut], 1+strings.Count(reason[cut+1:], "\n"))
 }
 
-func (m *Machine) member(id uint64) *Member {
+func (m *StateMachine) member(id uint64) *Member {
 	i := sort.Search(len(m.members), func(i int) bool { return m.members[i].ID >= id })
 	if i < len(m.members) && m.members[i].ID == id {
 		return &m.members[i]
@@ -274,7 +274,7 @@
 	return nil
 }
 
-func (m *Machine) named(name string) *Member {
+func (m *StateMachine) memberByName(name string) *Member {
 	for i := range m.members {
 		if m.members[i].Name == name {
 			return &m.members[i]
@@ -283,7 +283,7 @@
 	return nil
 }
 
-func (m *Machine) voters() int {
+func (m *StateMachine) voters() int {
 	n := 0
 	for _, o := range m.members {
 		if o.Voter {
@@ -294,7 +294,7 @@
 }
 
 // may says why a change of members can't be made, by the state alone, so that all instances find the same.
-func (m *Machine) may(c *Change) error {
+func (m *StateMachine) checkChange(c *Change) error {
 	at := m.member(c.Member.ID)
 	switch c.Op {
 	case "add":
@@ -303,9 +303,9 @@
 			return fmt.Errorf("found id %x and name %q, expected both", c.Member.ID, c.Member.Name)
 		case at != nil:
 			return fmt.Errorf("instance %x is a member already", c.Member.ID)
-		case m.named(c.Member.Name) != nil:
+		case m.memberByName(c.Member.Name) != nil:
 			return fmt.Errorf("%q is instance %x already; remove that one first, or replace it", c.Member.Name,
-				m.named(c.Member.Name).ID)
+				m.memberByName(c.Member.Name).ID)
 		case m.wasRemoved(c.Member.ID):
 			return fmt.Errorf("instance %x was removed; start it anew on an empty folder", c.Member.ID)
 		case len(m.members) >= maxMembers:
@@ -323,9 +323,9 @@
 			return fmt.Errorf("%q is the only voter", at.Name)
 		}
 	case "replace":
-		gone := m.member(c.Gone)
+		gone := m.member(c.ReplacedID)
 		if at == nil || at.Voter || gone == nil || !gone.Voter {
-			return fmt.Errorf("replacing %x by %x: expected a voter and a learner", c.Gone, c.Member.ID)
+			return fmt.Errorf("replacing %x by %x: expected a voter and a learner", c.ReplacedID, c.Member.ID)
 		}
 	default:
 		return fmt.Errorf("found %q, expected add, promote, remove or replace", c.Op)
@@ -334,7 +334,7 @@
 }
 
 // change carries out what may said yes to.
-func (m *Machine) change(c *Change) {
+func (m *StateMachine) applyChange(c *Change) {
 	switch c.Op {
 	case "add":
 		n := c.Member
@@ -346,14 +346,14 @@
 		at := m.member(c.Member.ID)
 		at.Voter, at.Promote = true, false
 		if c.Op == "replace" {
-			m.drop(c.Gone)
+			m.drop(c.ReplacedID)
 		}
 	case "remove":
 		m.drop(c.Member.ID)
 	}
 }
 
-func (m *Machine) drop(id uint64) {
+func (m *StateMachine) drop(id uint64) {
 	var kept []Member
 	for _, o := range m.members {
 		if o.ID != id {
@@ -367,7 +367,7 @@
 	}
 }
 
-func (m *Machine) wasRemoved(id uint64) bool {
+func (m *StateMachine) wasRemoved(id uint64) bool {
 	for _, o := range m.removed {
 		if o == id {
 			return true
@@ -377,7 +377,7 @@
 }
 
 // picture is the head of a saved state; sessions and versions follow it, a line each.
-type picture struct {
+type snapshotHeader struct {
 	Cluster  string   `json:"cluster"`
 	Applied  uint64   `json:"applied"`
 	Term     uint64   `json:"term"`
@@ -387,24 +387,24 @@
 	Members  []Member `json:"members"`
 	Removed  []uint64 `json:"removed"`
 	Level    int      `json:"level,omitempty"`
-	// Nodes is the part about nodes, once there is one.
+	// Operations is the part about nodes, once there is one.
 	Nodes json.RawMessage `json:"nodes,omitempty"`
 }
 
 type savedSession struct {
-	Name   string `json:"name"`
-	Seq    uint64 `json:"seq"`
-	Answer Answer `json:"answer"`
+	Name   string    `json:"name"`
+	Seq    uint64    `json:"seq"`
+	Answer PutResult `json:"answer"`
 }
 
 // save gives the state in parts that don't change any more, so that they can be written beside what goes on.
-func (m *Machine) save() ([][]byte, error) {
+func (m *StateMachine) save() ([][]byte, error) {
 	var head bytes.Buffer
 	enc := json.NewEncoder(&head)
-	p := picture{Cluster: m.cluster, Applied: m.applied, Term: m.term, First: m.first, Versions: len(m.lines),
+	p := snapshotHeader{Cluster: m.cluster, Applied: m.applied, Term: m.term, First: m.first, Versions: len(m.lines),
 		Sessions: m.used.Len(), Members: m.members, Removed: m.removed}
 	if m.level > LevelVersions {
-		raw, err := m.nodes.Snapshot()
+		raw, err := m.fleet.Snapshot()
 		if err != nil {
 			return nil, err
 		}
@@ -429,26 +429,26 @@
 
 var newline = []byte{'\n'}
 
-// loadMachine reads what save gave.
-func loadMachine(raw []byte, without Guard) (*Machine, error) {
+// restoreStateMachine reads what save gave.
+func restoreStateMachine(raw []byte, without Guard) (*StateMachine, error) {
 	line := func() []byte {
 		l, rest, _ := bytes.Cut(raw, newline)
 		raw = rest
 		return l
 	}
-	var p picture
+	var p snapshotHeader
 	if err := json.Unmarshal(line(), &p); err != nil {
 		return nil, fmt.Errorf("head of a saved state: %w", err)
 	}
-	m := newMachine(p.Cluster, without)
+	m := newStateMachine(p.Cluster, without)
 	m.applied, m.term, m.first, m.members, m.removed = p.Applied, p.Term, p.First, p.Members, p.Removed
 	m.level = max(LevelVersions, p.Level)
-	if m.level > LevelKnown {
+	if m.level > LatestLevel {
 		return nil, fmt.Errorf("saved state of level %d, expected at most %d: it needs the program that made it", m.level,
-			LevelKnown)
+			LatestLevel)
 	}
 	if p.Nodes != nil {
-		if err := m.nodes.Restore(p.Nodes); err != nil {
+		if err := m.fleet.Restore(p.Nodes); err != nil {
 			return nil, err
 		}
 	}
@@ -473,8 +473,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if v.Number != m.last() {
-			return nil, fmt.Errorf("last version of a saved state is %d, expected %d", v.Number, m.last())
+		if v.Number != m.lastVersion() {
+			return nil, fmt.Errorf("last version of a saved state is %d, expected %d", v.Number, m.lastVersion())
 		}
 		if m.current, err = document.ParseUnder(max(1, v.Rules), "document", []byte(v.Text)); err != nil {
 			return nil, fmt.Errorf("version %d of a saved state: %w", v.Number, err)
--- a/internal/control/consensus/machine_test.go
+++ b/internal/control/consensus/machine_test.go
@@ -9,13 +9,13 @@
 
 func text(n int) string { return fmt.Sprintf("[tenant t]\nrate = %d\n", n) }
 
-func ask(m *Machine, session string, seq, base uint64, doc string) Answer {
+func ask(m *StateMachine, session string, seq, base uint64, doc string) PutResult {
 	m.applied++
-	return m.put(&Put{Session: session, Seq: seq, Base: base, Author: "x", Text: doc}, m.applied, 1)
+	return m.applyPut(&Put{Session: session, Seq: seq, Base: base, Author: "x", Text: doc}, m.applied, 1)
 }
 
 func TestEndsOfAPut(t *testing.T) {
-	m := newMachine("c", 0)
+	m := newStateMachine("c", 0)
 	for _, s := range []struct {
 		name      string
 		session   string
@@ -25,50 +25,50 @@
 		version   uint64
 		reason    string
 	}{
-		{"first", "a", 1, 0, text(1), Taken, 1, ""},
-		{"repeated", "a", 1, 0, text(1), Taken, 1, ""},
-		{"from an old version", "b", 1, 0, text(2), Conflict, 1, "made from version 0, expected 1"},
-		{"repeated after the state moved on", "b", 1, 0, text(2), Conflict, 1, ""},
-		{"the same text told otherwise", "b", 2, 1, "; remark\n" + text(1), Unchanged, 1, ""},
-		{"a wrong text", "b", 3, 1, "[tenant t]\nrat = 1\n", Refused, 1, "document:2: tenant t.rat: found a key"},
-		{"next", "a", 2, 1, text(3), Taken, 2, ""},
-		{"an asking that was passed", "a", 1, 2, text(4), Expired, 2, "put 1, expected 2 or later"},
-		{"a session that is not known", "c", 2, 2, text(4), Expired, 2, "not known any more"},
+		{"first", "a", 1, 0, text(1), PutCommitted, 1, ""},
+		{"repeated", "a", 1, 0, text(1), PutCommitted, 1, ""},
+		{"from an old version", "b", 1, 0, text(2), PutConflict, 1, "made from version 0, expected 1"},
+		{"repeated after the state moved on", "b", 1, 0, text(2), PutConflict, 1, ""},
+		{"the same text told otherwise", "b", 2, 1, "; remark\n" + text(1), PutUnchanged, 1, ""},
+		{"a wrong text", "b", 3, 1, "[tenant t]\nrat = 1\n", PutInvalid, 1, "document:2: tenant t.rat: found a key"},
+		{"next", "a", 2, 1, text(3), PutCommitted, 2, ""},
+		{"an asking that was passed", "a", 1, 2, text(4), PutExpired, 2, "put 1, expected 2 or later"},
+		{"a session that is not known", "c", 2, 2, text(4), PutExpired, 2, "not known any more"},
 	} {
 		a := ask(m, s.session, s.seq, s.base, s.doc)
-		if a.End != s.end || a.Version != s.version || !strings.Contains(a.Reason, s.reason) {
+		if a.Outcome != s.end || a.Version != s.version || !strings.Contains(a.Reason, s.reason) {
 			t.Errorf("%s: %+v, expected %s of %d with %q", s.name, a, s.end, s.version, s.reason)
 		}
 	}
 }
 
 func TestWhatMayNotFollowIsRefused(t *testing.T) {
-	m := newMachine("c", 0)
+	m := newStateMachine("c", 0)
 	ask(m, "a", 1, 0, "[class s]\nkind = uniqued\nwindow = 20s\n")
-	if a := ask(m, "a", 2, 1, "[class s]\nkind = uniqued\nwindow = 10s\n"); a.End != Refused || m.last() != 1 {
+	if a := ask(m, "a", 2, 1, "[class s]\nkind = uniqued\nwindow = 10s\n"); a.Outcome != PutInvalid || m.lastVersion() != 1 {
 		t.Fatalf("a smaller window: %+v", a)
 	}
 }
 
 // TestStateIsTheSameAfterASnapshot saves in the middle: what follows has to have the same answers at both.
 func TestStateIsTheSameAfterASnapshot(t *testing.T) {
-	m := newMachine("c", 0)
+	m := newStateMachine("c", 0)
 	m.members = []Member{{ID: 7, Name: "a", Voter: true}}
 	m.removed = []uint64{3}
 	for i := 0; i < 50; i++ {
-		ask(m, fmt.Sprint("s", i%9), uint64(1+i/9), m.last(), text(i))
+		ask(m, fmt.Sprint("s", i%9), uint64(1+i/9), m.lastVersion(), text(i))
 	}
 	parts, err := m.save()
 	if err != nil {
 		t.Fatal(err)
 	}
 	raw := bytes.Join(parts, nil)
-	o, err := loadMachine(raw, 0)
+	o, err := restoreStateMachine(raw, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := 0; i < 40; i++ {
-		s, seq, base := fmt.Sprint("s", i%12), uint64(1+i/9), m.last()-uint64(i%2)
+		s, seq, base := fmt.Sprint("s", i%12), uint64(1+i/9), m.lastVersion()-uint64(i%2)
 		if a, b := ask(m, s, seq, base, text(100+i)), ask(o, s, seq, base, text(100+i)); a != b {
 			t.Fatalf("put %d: %+v and %+v", i, a, b)
 		}
@@ -79,51 +79,51 @@
 		t.Fatal("two states after the same puts")
 	}
 	for cut := 0; cut < len(raw)-1; cut += 37 { // a state cut short is told, never taken
-		if got, err := loadMachine(raw[:cut], 0); err == nil && got.last() == 50 {
+		if got, err := restoreStateMachine(raw[:cut], 0); err == nil && got.lastVersion() == 50 {
 			t.Fatalf("a state cut at byte %d of %d was taken", cut, len(raw))
 		}
 	}
 }
 
 func TestReasonsAreBounded(t *testing.T) {
-	m := newMachine("c", 0)
+	m := newStateMachine("c", 0)
 	a := ask(m, "a", 1, 0, "[tenant t]\n"+strings.Repeat("nonsense\n", 50000))
-	if a.End != Refused || len(a.Reason) > maxReason+40 || !strings.HasSuffix(a.Reason, " more lines") ||
+	if a.Outcome != PutInvalid || len(a.Reason) > maxReasonBytes+40 || !strings.HasSuffix(a.Reason, " more lines") ||
 		!strings.HasPrefix(a.Reason, "document:2: line: found") {
-		t.Fatalf("%s with %d bytes of reason: ...%.60q", a.End, len(a.Reason), a.Reason[max(0, len(a.Reason)-60):])
+		t.Fatalf("%s with %d bytes of reason: ...%.60q", a.Outcome, len(a.Reason), a.Reason[max(0, len(a.Reason)-60):])
 	}
 }
 
 func TestTablesAreBounded(t *testing.T) {
-	m := newMachine("c", 0)
+	m := newStateMachine("c", 0)
 	for i := 0; i < maxSessions+10; i++ {
-		ask(m, fmt.Sprint("s", i), 1, m.last(), text(i))
+		ask(m, fmt.Sprint("s", i), 1, m.lastVersion(), text(i))
 	}
 	if len(m.sessions) != maxSessions || m.used.Len() != maxSessions {
 		t.Fatalf("%d sessions, expected %d", len(m.sessions), maxSessions)
 	}
-	if a := ask(m, "s0", 1, 0, text(0)); a.End != Conflict {
+	if a := ask(m, "s0", 1, 0, text(0)); a.Outcome != PutConflict {
 		t.Fatalf("a repeat whose session went: %+v, expected no second effect", a)
 	}
 	m.bytes = maxVersionBytes + 1 // as if their texts were large
 	first := m.first
-	ask(m, "large", 1, m.last(), text(-1+1<<20))
-	if m.first <= first || m.first > m.last() || len(m.lines) == 0 {
-		t.Fatalf("versions %d to %d are kept", m.first, m.last())
+	ask(m, "large", 1, m.lastVersion(), text(-1+1<<20))
+	if m.first <= first || m.first > m.lastVersion() || len(m.lines) == 0 {
+		t.Fatalf("versions %d to %d are kept", m.first, m.lastVersion())
 	}
 }
 
 func TestChangesOfMembers(t *testing.T) {
-	m := newMachine("c", 0)
+	m := newStateMachine("c", 0)
 	m.members = []Member{{ID: 5, Name: "a", Voter: true}}
 	do := func(c Change, want string) {
 		t.Helper()
-		err := m.may(&c)
+		err := m.checkChange(&c)
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Fatalf("%+v: %v, expected %q", c, err, want)
 		}
 		if err == nil {
-			m.change(&c)
+			m.applyChange(&c)
 		}
 	}
 	do(Change{Op: "remove", Member: Member{ID: 5}}, "the only voter")
@@ -133,8 +133,8 @@
 		t.Fatal("a new instance is a voter before it has caught up")
 	}
 	do(Change{Op: "add", Member: Member{ID: 9, Name: "c"}}, "a member already")
-	do(Change{Op: "replace", Member: Member{ID: 5}, Gone: 9}, "expected a voter and a learner")
-	do(Change{Op: "replace", Member: Member{ID: 9}, Gone: 5}, "")
+	do(Change{Op: "replace", Member: Member{ID: 5}, ReplacedID: 9}, "expected a voter and a learner")
+	do(Change{Op: "replace", Member: Member{ID: 9}, ReplacedID: 5}, "")
 	if len(m.members) != 1 || !m.members[0].Voter || m.members[0].ID != 9 {
 		t.Fatalf("members %+v, expected 9 alone as a voter", m.members)
 	}
@@ -148,10 +148,10 @@
 }
 
 func TestWhoIsSpokenWith(t *testing.T) {
-	fresh := func() *Acquaintance {
-		return &Acquaintance{own: Identity{Cluster: "c", ID: 1}, seen: map[uint64]start{2: {5, 50}},
-			said: map[uint64]saying{2: {term: 4, last: 30}}, removed: func(id uint64) bool { return id == 3 },
-			level: func() int { return LevelVersions }, levels: map[uint64]int{}}
+	fresh := func() *PeerRegistry {
+		return &PeerRegistry{self: Identity{Cluster: "c", ID: 1}, lastStarts: map[uint64]peerStart{2: {5, 50}},
+			progress: map[uint64]peerProgress{2: {term: 4, last: 30}}, removed: func(id uint64) bool { return id == 3 },
+			groupLevel: func() int { return LevelVersions }, peerLevels: map[uint64]int{}}
 	}
 	hello := func(cluster string, id, starts, nonce, term, last, to uint64) Hello {
 		return Hello{Identity: Identity{Cluster: cluster, ID: id, Starts: starts, Nonce: nonce}, Term: term,
@@ -172,7 +172,7 @@
 		{"a copy of the same life: an older term", hello("c", 2, 6, 60, 3, 30, 1), oldCopy, false, false},
 		{"a copy of the same life: a shorter log", hello("c", 2, 6, 60, 4, 29, 1), oldCopy, false, false},
 		{"a later term, with what was never agreed on gone", hello("c", 2, 6, 60, 5, 20, 1), "", true, false},
-		{"removed", hello("c", 3, 1, 1, 9, 9, 1), removedOnce, false, false},
+		{"removed", hello("c", 3, 1, 1, 9, 9, 1), wasRemoved, false, false},
 		{"of an older program", func() Hello {
 			h := hello("c", 2, 9, 9, 9, 9, 1)
 			h.Level = LevelVersions
@@ -187,17 +187,17 @@
 	} {
 		a := fresh()
 		if c.waiting {
-			a.own.Cluster = ""
+			a.self.Cluster = ""
 		}
-		reason, learnt := a.Meet(c.h)
+		reason, learnt := a.Handshake(c.h)
 		if reason != c.reason || learnt != c.learnt {
 			t.Errorf("%s: %q and %v, expected %q and %v", c.name, reason, learnt, c.reason, c.learnt)
 		}
 	}
 	a := fresh()
-	a.Heard(2, 4, 35)
-	a.Heard(2, 3, 99) // late news of an earlier term
-	if a.said[2] != (saying{4, 35}) {
-		t.Fatalf("heard %+v", a.said[2])
+	a.RecordProgress(2, 4, 35)
+	a.RecordProgress(2, 3, 99) // late news of an earlier term
+	if a.progress[2] != (peerProgress{4, 35}) {
+		t.Fatalf("heard %+v", a.progress[2])
 	}
 }
--- a/internal/control/consensus/nodes_test.go
+++ b/internal/control/consensus/nodes_test.go
@@ -26,15 +26,15 @@
 func TestTwoBuilds(t *testing.T) {
 	t.Parallel()
 	low := boot(t, "x", "new", nil)
-	low.await("the level of this build", func(v *View) bool { return v.Level == LevelKnown })
-	if reason, _ := low.group.meet(Hello{Identity: Identity{ID: 99, Name: "d", Starts: 1, Nonce: 1},
+	low.await("the level of this build", func(v *View) bool { return v.Level == LatestLevel })
+	if reason, _ := low.group.handshake(Hello{Identity: Identity{ID: 99, Name: "d", Starts: 1, Nonce: 1},
 		To: low.group.View().ID, Level: LevelVersions}); reason != olderProgram {
 		t.Errorf("an older build is met with %q, expected %q", reason, olderProgram)
 	}
 	low = old(t, "x", "new")
 	high := boot(t, "y", "join", nil)
 	low.join(high)
-	if got := low.put("s", 1, 0); got.End != Taken {
+	if got := low.put("s", 1, 0); got.Outcome != PutCommitted {
 		t.Fatalf("a put in a group of two builds: %+v", got)
 	}
 	high.await("the put", func(v *View) bool { return v.Version == 1 })
@@ -53,20 +53,20 @@
 	if _, code := high.node(joining("n", "one")); code != http.StatusServiceUnavailable {
 		t.Errorf("a node is answered %d, expected 503 until the group has risen", code)
 	}
-	if got := high.put("s", 2, 1); got.End != Taken {
+	if got := high.put("s", 2, 1); got.Outcome != PutCommitted {
 		t.Fatalf("a put by the newer build's leader: %+v", got)
 	}
 	low.await("that put", func(v *View) bool { return v.Version == 2 })
 	low.stop()
 	low.level = 0
 	low.start()
-	high.await("the higher level", func(v *View) bool { return v.Level == LevelKnown })
-	low.await("the same there", func(v *View) bool { return v.Level == LevelKnown })
+	high.await("the higher level", func(v *View) bool { return v.Level == LatestLevel })
+	low.await("the same there", func(v *View) bool { return v.Level == LatestLevel })
 	// And back: it is refused, takes part in nothing, and says so.
 	low.stop()
 	low.level = LevelVersions
 	low.start()
-	low.await("that it is out of touch", func(v *View) bool { return v.Out() })
+	low.await("that it is out of touch", func(v *View) bool { return v.OutOfContact() })
 	if v := low.group.View(); v.Role == "leader" || v.Leader != 0 {
 		t.Errorf("an instance of the older build follows %x as %s", v.Leader, v.Role)
 	}
@@ -88,7 +88,7 @@
 	t.Parallel()
 	all := three(t, nil)
 	for _, i := range all {
-		i.await("the level", func(v *View) bool { return v.Level == LevelKnown })
+		i.await("the level", func(v *View) bool { return v.Level == LatestLevel })
 	}
 	leases := map[string]uint32{}
 	for k, i := range all {
--- a/internal/control/consensus/pin_sent_test.go
+++ b/internal/control/consensus/pin_sent_test.go
@@ -22,14 +22,14 @@
 // TestPinMessages: each message between instances and with clients has the JSON of version 2a0a97e.
 func TestPinMessages(t *testing.T) {
 	pinnedJSON[Hello](t, "sent/hello.json")
-	pinnedJSON[snapNote](t, "sent/snapshot-note.json")
+	pinnedJSON[snapshotAnnouncement](t, "sent/snapshot-note.json")
 	pinnedJSON[Put](t, "sent/put.json")
-	pinnedJSON[Answer](t, "sent/answer.json")
+	pinnedJSON[PutResult](t, "sent/answer.json")
 	pinnedJSON[Version](t, "sent/version.json")
 	pinnedJSON[Change](t, "sent/member-change.json")
 	pinnedJSON[Self](t, "sent/self.json")
 	pinnedJSON[Report](t, "sent/report.json")
-	pinnedJSON[Beat](t, "sent/watch-beat.json")
+	pinnedJSON[Heartbeat](t, "sent/watch-beat.json")
 	pinnedJSON[Failure](t, "sent/failure.json")
 	pinnedJSON[PolicyView](t, "sent/policy-view.json")
 	pinnedJSON[NodeView](t, "sent/node-view.json")
@@ -47,10 +47,10 @@
 	if err := writeJSON(&wire, frameHello, filled[Hello]()); err != nil {
 		t.Fatal(err)
 	}
-	if err := writeJSON(&wire, frameWelcome, Hello{Identity: Identity{ID: 1}}); err != nil {
+	if err := writeJSON(&wire, frameAccepted, Hello{Identity: Identity{ID: 1}}); err != nil {
 		t.Fatal(err)
 	}
-	for _, reason := range []string{otherCluster, forAnother, removedOnce, oldCopy, itIsBarred, olderProgram} {
+	for _, reason := range []string{otherCluster, forAnother, wasRemoved, oldCopy, isBarred, olderProgram} {
 		if err := writeJSON(&wire, frameRefused, reason); err != nil {
 			t.Fatal(err)
 		}
@@ -66,7 +66,7 @@
 	for _, f := range []struct {
 		kind byte
 		data []byte
-	}{{frameMessage, raw}, {frameSnap, []byte(`{"message":"AQ==","bytes":5,"sum":6}`)}, {frameChunk, []byte("chunk")}, {frameDone, nil}} {
+	}{{frameMessage, raw}, {frameSnapshot, []byte(`{"message":"AQ==","bytes":5,"sum":6}`)}, {frameChunk, []byte("chunk")}, {frameDone, nil}} {
 		if err := writeFrame(&wire, f.kind, f.data); err != nil {
 			t.Fatal(err)
 		}
@@ -119,7 +119,7 @@
 func TestPinClientAPI(t *testing.T) {
 	t.Parallel()
 	a := boot(t, "a", "new", func(c *config.Control) { c.Token = "a token of some length" })
-	a.await("the newest level", func(v *View) bool { return v.Role == "leader" && v.Level == LevelKnown })
+	a.await("the newest level", func(v *View) bool { return v.Role == "leader" && v.Level == LatestLevel })
 	id := a.group.View().ID
 	var all report
 	ask := func(method, path, body string) {
@@ -142,8 +142,8 @@
 		}
 		all.add("%s %s %.300s\n%d, type %q, Retry-After %q, version %q, term and away %v, out of touch %q, by length %v\n%s", method, path,
 			strings.ReplaceAll(body, fmt.Sprint(id), "ID"), res.StatusCode, res.Header.Get("Content-Type"),
-			res.Header.Get("Retry-After"), res.Header.Get(HeadVersion),
-			res.Header.Get(HeadTerm) != "" && res.Header.Get(HeadAway) != "", res.Header.Get(HeadOut), res.ContentLength >= 0,
+			res.Header.Get("Retry-After"), res.Header.Get(HeaderVersion),
+			res.Header.Get(HeaderTerm) != "" && res.Header.Get(HeaderSinceLeader) != "", res.Header.Get(HeaderOutOfContact), res.ContentLength >= 0,
 			goTypes.ReplaceAll(steady(raw), []byte("Go value")))
 	}
 	for _, path := range []string{"self", "status", "config", "config?read=stale", "config?read=quick", "config?version=x", "config?version=7",
@@ -206,7 +206,7 @@
 func TestPinWatch(t *testing.T) {
 	t.Parallel()
 	a := boot(t, "a", "new", nil)
-	a.await("the newest level", func(v *View) bool { return v.Role == "leader" && v.Level == LevelKnown })
+	a.await("the newest level", func(v *View) bool { return v.Role == "leader" && v.Level == LatestLevel })
 	a.put("s", 1, 0)
 	a.put("s", 2, 1)
 	res, err := (&http.Client{Timeout: 20 * time.Second}).Get("http://" + a.control.Listen + "/v1/watch?from=1")
--- a/internal/control/consensus/pin_stored_test.go
+++ b/internal/control/consensus/pin_stored_test.go
@@ -22,11 +22,11 @@
 	pinZonesText = pinFleetText + "\n[zones]\ndecide = ask\nhold = 1s\n"
 )
 
-func pinPlan() Plan {
+func pinPlan() Config {
 	drawn := uint64(0)
-	return Plan{Name: "a", Peer: "10.1.1.1:7101", Listen: "10.1.1.1:7201", Found: true, Elect: 5, Snapshot: 1 << 30,
+	return Config{Name: "a", Peer: "10.1.1.1:7101", Listen: "10.1.1.1:7201", FoundGroup: true, ElectionTicks: 5, SnapshotBytes: 1 << 30,
 		Sizes: wal.Sizes{Segment: 1500, Bound: 64 << 20}, Logger: raftLog{quietLogger()},
-		Draw: func() uint64 { drawn += 0x1111; return drawn }}
+		Random: func() uint64 { drawn += 0x1111; return drawn }}
 }
 
 // scripted plays a group of one through entries of every kind at every level.
@@ -42,10 +42,11 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	for _, r := range out.Results {
-		s.report.add("put %s %d: %+v", r.Session, r.Seq, r.Answer)
+	for _, r := range out.Puts {
+		s.report.add("put %s %d: {End:%s Version:%d Reason:%s}", r.Session, r.Seq, r.Result.Outcome, r.Result.Version,
+			r.Result.Reason)
 	}
-	for _, n := range out.Nodes {
+	for _, n := range out.Operations {
 		switch n.(type) {
 		case policy.Result, zones.Result: // these are answers to clients; what a beat did shows in the state
 			raw, err := json.Marshal(n)
@@ -88,11 +89,11 @@
 
 func (s *scripted) snapshot() {
 	s.t.Helper()
-	save, err := s.rep.SaveNow()
+	save, err := s.rep.Snapshot()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if err = s.rep.Saved(save, save.Write()); err != nil {
+	if err = s.rep.SnapshotWritten(save, save.Write()); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -209,7 +210,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	parts, err := r.machine.save()
+	parts, err := r.stateMachine.save()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -251,7 +252,7 @@
 		t.Fatal(err)
 	}
 	pinned(t, "group/read.txt", stateOf(t, r))
-	hello, err := json.Marshal(r.Hello(9))
+	hello, err := json.Marshal(r.HelloTo(9))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -305,8 +306,8 @@
 		return "work: " + err.Error()
 	}
 	st := r.Status()
-	return fmt.Sprintf("%d bytes cut off %q, stale %v, applied %d, level %d, version %d", r.Found.Bytes, r.Found.Torn,
-		r.Found.Stale, st.Applied, st.Level, st.Version)
+	return fmt.Sprintf("%d bytes cut off %q, stale %v, applied %d, level %d, version %d", r.LogRepair.Bytes, r.LogRepair.Torn,
+		r.LogRepair.Stale, st.Applied, st.Level, st.Version)
 }
 
 // goTypes are names of the code in errors of encoding/json, which may change.
@@ -316,12 +317,12 @@
 func TestPinSpoiltState(t *testing.T) {
 	var all report
 	read := func(what, raw string) {
-		old, err := ReadSaved([]byte(raw))
+		old, err := ReadSnapshot([]byte(raw))
 		if err != nil {
 			all.add("%s: %v", what, err)
 			return
 		}
-		all.add("%s: read, version %d", what, old.machine.last())
+		all.add("%s: read, version %d", what, old.machine.lastVersion())
 	}
 	head := `{"meta":"CgQKAgEC"}` + "\n"
 	read("nothing", "")
@@ -343,12 +344,12 @@
 	for _, entry := range []string{"[]", `{"kind":""}`, `{"rules":9,"session":"s"}`, `{"kind":"level","body":9}`,
 		`{"kind":"beat","body":[]}`, `{"kind":"policy","body":{"op":"propose"}}`, `{"kind":"policy","body":7}`,
 		`{"kind":"zones","body":7}`, `{"kind":"other","body":7}`} {
-		m := newMachine("c", 0)
-		r := &Replica{machine: m}
-		var out Outcome
+		m := newStateMachine("c", 0)
+		r := &Replica{stateMachine: m}
+		var out WorkResult
 		kind := pb.EntryType_EntryNormal
 		all.add("entry %s: %v", entry, r.apply(&pb.Entry{Type: &kind, Data: []byte(entry)}, &out))
-		m.knows = LevelVersions
+		m.supportedLevel = LevelVersions
 		all.add("at level 1, entry %s: %v", entry, r.apply(&pb.Entry{Type: &kind, Data: []byte(entry)}, &out))
 	}
 	text := bytes.ReplaceAll([]byte(all.String()), []byte("\u00a0"), []byte(" ")) // protobuf draws one of two for each build
--- a/internal/control/consensus/recover_test.go
+++ b/internal/control/consensus/recover_test.go
@@ -32,7 +32,7 @@
 	listen := address() + ":7301"
 	var mu sync.Mutex
 	var wrong []error
-	g, err := Gather(listen, func(_ *recovery.NodeRecord, err error) {
+	g, err := StartCollector(listen, func(_ *recovery.NodeRecord, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err = Gather(listen, nil); err == nil {
+	if _, err = StartCollector(listen, nil); err == nil {
 		t.Error("two listen at one address")
 	}
 	post := func(path string, body any, into any) int {
@@ -114,8 +114,8 @@
 func TestRecover(t *testing.T) {
 	text := canonical(t, oneText)
 	hash := document.Hash([]byte(text))
-	plan := Plan{Name: "a", Peer: "p", Listen: "l", Elect: 10, Snapshot: 1 << 20, Sizes: wal.Sizes{Segment: 1 << 20, Bound: 64 << 20},
-		Draw: drawID}
+	plan := Config{Name: "a", Peer: "p", Listen: "l", ElectionTicks: 10, SnapshotBytes: 1 << 20, Sizes: wal.Sizes{Segment: 1 << 20, Bound: 64 << 20},
+		Random: randomID}
 	kept := []recovery.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 3, ActiveVersion: 7, MinVersion: 7, ActiveText: text, ActiveHash: hash, ZoneEpoch: 5, ZoneShare: 256,
 		LeaseMS: 4000}}
 	fs := wal.NewMem()
@@ -126,16 +126,16 @@
 	if _, err = Recover(fs, plan, nil, recovery.PlanRestore(kept, nil, "")); err == nil {
 		t.Error("a folder that is an instance's is written over")
 	}
-	old, err := ReadOld(fs, plan)
+	old, err := ReadFolder(fs, plan)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := old.Base()
+	b := old.Evidence()
 	if b.Generation != 4 || len(b.Predecessors) != 1 || b.Predecessors[0] != "g" || b.DecidedVersion != 7 || b.CommittedVersion != 7 || b.ZoneEpoch != 6 || b.UncommittedEntries != 0 {
 		t.Errorf("%+v: expected generation 4 of g, at version 7", b)
 	}
-	if old.machine.level != LevelKnown || old.machine.nodes.Fleet.UnknownLeasesExpireMS < 4000 || old.machine.nodes.Fleet.Lookup("n1") == nil {
-		t.Errorf("level %d, hush %d", old.machine.level, old.machine.nodes.Fleet.UnknownLeasesExpireMS)
+	if old.machine.level != LatestLevel || old.machine.fleet.Fleet.UnknownLeasesExpireMS < 4000 || old.machine.fleet.Fleet.Lookup("n1") == nil {
+		t.Errorf("level %d, hush %d", old.machine.level, old.machine.fleet.Fleet.UnknownLeasesExpireMS)
 	}
 	// Nobody holds the text of what was decided: nothing is in force, and the next put is newer than that.
 	none := recovery.PlanRestore([]recovery.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}}, nil, "")
@@ -143,14 +143,14 @@
 	if _, err = Recover(fs, plan, nil, none); err != nil {
 		t.Fatal(err)
 	}
-	if old, err = ReadOld(fs, Plan{Elect: 10, Sizes: plan.Sizes, Draw: drawID}); err != nil {
+	if old, err = ReadFolder(fs, Config{ElectionTicks: 10, Sizes: plan.Sizes, Random: randomID}); err != nil {
 		t.Fatal(err)
 	}
-	if b = old.Base(); b.LastVersion != 9 || b.DecidedVersion != 9 || b.CommittedVersion != 0 {
+	if b = old.Evidence(); b.LastVersion != 9 || b.DecidedVersion != 9 || b.CommittedVersion != 0 {
 		t.Errorf("%+v: expected nothing in force and 10 as the next version", b)
 	}
-	if _, err = ReadOld(wal.NewMem(), plan); err != ErrEmpty {
-		t.Errorf("%v, expected %v", err, ErrEmpty)
+	if _, err = ReadFolder(wal.NewMem(), plan); err != ErrEmptyFolder {
+		t.Errorf("%v, expected %v", err, ErrEmptyFolder)
 	}
 	if _, err = Recover(wal.NewMem(), plan, nil, &recovery.RestorePlan{Conflict: "two texts"}); err == nil {
 		t.Error("a conflict is restored")
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -17,37 +17,37 @@
 	"umberwinch/internal/wal"
 )
 
-// Plan is what a replica is told at its start.
-type Plan struct {
-	Name     string
-	Peer     string
-	Listen   string
-	Found    bool // an empty folder becomes a group of one; else it waits to be taken in
-	Elect    int  // ticks of silence after which it stands for election, up to twice as many by chance
-	Snapshot int  // bytes of log after which a snapshot is due
-	Sizes    wal.Sizes
-	Draw     func() uint64 // chance for ids; never for decisions
-	Logger   raft.Logger
-	Without  Guard
-	Level    int          // what its program knows, for tests of a group on two builds; 0: all that this one does
-	Guards   policy.Guard // taken out, for the laboratory
-	Zones    zones.Guard
-	Point    func(name string) // hears of each step of Work, for crashes on purpose; may be nil
+// Config is what a replica is told at its start.
+type Config struct {
+	Name                 string
+	Peer                 string
+	Listen               string
+	FoundGroup           bool // an empty folder becomes a group of one; else it waits to be taken in
+	ElectionTicks        int  // ticks of silence after which it stands for election, up to twice as many by chance
+	SnapshotBytes        int  // bytes of log after which a snapshot is due
+	Sizes                wal.Sizes
+	Random               func() uint64 // chance for ids; never for decisions
+	Logger               raft.Logger
+	DisabledGuards       Guard
+	Level                int          // what its program knows, for tests of a group on two builds; 0: all that this one does
+	DisabledPolicyGuards policy.Guard // taken out, for the laboratory
+	DisabledZoneGuards   zones.Guard
+	OnStep               func(name string) // hears of each step of Work, for crashes on purpose; may be nil
 }
 
 // The steps of Work at which Point is told.
 const (
-	AtPersist = "persist" // before what raft wants kept is written
-	AtSend    = "send"
-	AtApply   = "apply"
-	AtAnswer  = "answer"
+	StepPersist = "persist" // before what raft wants kept is written
+	StepSend    = "send"
+	StepApply   = "apply"
+	StepAnswer  = "answer"
 )
 
-// Points lists them in order.
-var Points = []string{AtPersist, AtSend, AtApply, AtAnswer}
+// Steps lists them in order.
+var Steps = []string{StepPersist, StepSend, StepApply, StepAnswer}
 
-// ErrRoom says that the log is too near its bound to take changes.
-var ErrRoom = errors.New("the log is near its bound; raise disk.limit_mb")
+// ErrLogNearLimit says that the log is too near its bound to take changes.
+var ErrLogNearLimit = errors.New("the log is near its bound; raise disk.limit_mb")
 
 // ErrBarred says that the instance takes no part any more.
 var ErrBarred = errors.New("this instance takes no part in the group any more")
@@ -55,37 +55,37 @@
 // Bounds on what raft holds: a message carries a large document or many small ones, and a slow follower has
 // at most this much on its way to it.
 const (
-	maxMessage     = 1 << 20
-	maxOnTheWay    = 64
-	maxOnTheWayB   = 8 << 20
-	maxUncommitted = 32 << 20
-	maxPerReady    = 4 << 20
-	maxReads       = 4096
+	maxMessageBytes           = 1 << 20
+	maxInflightMessages       = 64
+	maxInflightBytes          = 8 << 20
+	maxUncommittedBytes       = 32 << 20
+	maxCommittedBytesPerReady = 4 << 20
+	maxPendingReads           = 4096
 )
 
 // Replica is one instance's part of the group.
 type Replica struct {
-	plan    Plan
-	log     *wal.Log
-	store   *store
-	node    *raft.RawNode
-	machine *Machine
-	who     *Acquaintance
-	conf    *pb.ConfState // as applied
-	reads   []pendingRead
-	saving  bool
-
-	met      map[uint64]bool // in this life; members only
-	age      int             // ticks of this life
-	contacts []Member        // who greeted it before it knew the members
-	asked    int             // at this age for a promotion
-	raised   int             // and for a higher level
-	silent   int             // ticks since a leader was heard
-	alone    int             // the same, but not begun anew by standing for election
-	timeout  int
-	draws    uint32
-
-	Found     wal.Found // what the start met
+	plan         Config
+	log          *wal.Log
+	store        *store
+	node         *raft.RawNode
+	stateMachine *StateMachine
+	peers        *PeerRegistry
+	voterConfig  *pb.ConfState // as applied
+	pendingReads []pendingRead
+	snapshotting bool
+
+	metPeers          map[uint64]bool // in this life; members only
+	ticks             int             // ticks of this life
+	contacts          []Member        // who greeted it before it knew the members
+	promotedAtTick    int             // at this age for a promotion
+	levelRaisedAtTick int             // and for a higher level
+	electionTicks     int             // ticks since a leader was heard
+	ticksSinceLeader  int             // the same, but not begun anew by standing for election
+	electionTimeout   int
+	timeoutsDrawn     uint32
+
+	LogRepair wal.Found // what the start met
 	Campaigns uint64
 }
 
@@ -94,54 +94,54 @@
 	index uint64
 }
 
-// Result is a put's end as it was applied here.
-type Result struct {
+// AppliedPut is a put's end as it was applied here.
+type AppliedPut struct {
 	Session string
 	Seq     uint64
-	Answer  Answer
+	Result  PutResult
 }
 
-// Outcome is what came of a round of Work.
-type Outcome struct {
-	Results []Result
-	Reads   []uint64 // ids of reads that may be answered from the state as it is now
-	Applied bool     // entries were applied, or a snapshot
-	Nodes   []any    // ends of entries about nodes
+// WorkResult is what came of a round of Work.
+type WorkResult struct {
+	Puts       []AppliedPut
+	Reads      []uint64 // ids of reads that may be answered from the state as it is now
+	Applied    bool     // entries were applied, or a snapshot
+	Operations []any    // ends of entries about nodes
 }
 
 // rearm draws how long a silence may last. Chance is a sum over the start's nonce and a counter.
-func (r *Replica) rearm() {
-	r.silent = 0
-	r.draws++
+func (r *Replica) resetElectionTimer() {
+	r.electionTicks = 0
+	r.timeoutsDrawn++
 	var raw [12]byte
-	binary.LittleEndian.PutUint64(raw[:], r.who.own.Nonce)
-	binary.LittleEndian.PutUint32(raw[8:], r.draws)
-	r.timeout = r.plan.Elect + int(crc32.ChecksumIEEE(raw[:])%uint32(r.plan.Elect))
+	binary.LittleEndian.PutUint64(raw[:], r.peers.self.Nonce)
+	binary.LittleEndian.PutUint32(raw[8:], r.timeoutsDrawn)
+	r.electionTimeout = r.plan.ElectionTicks + int(crc32.ChecksumIEEE(raw[:])%uint32(r.plan.ElectionTicks))
 }
 
 // Tick tells of one unit of time. Elections are timed here and not by the core, whose chance has no seed: it
 // is told of time passing without its timer, and to stand when ours is over.
 func (r *Replica) Tick() {
-	if r.who.own.Barred != "" {
+	if r.peers.self.Barred != "" {
 		return
 	}
 	if r.node.BasicStatus().RaftState == raft.StateLeader {
-		r.silent, r.alone = 0, 0
+		r.electionTicks, r.ticksSinceLeader = 0, 0
 		r.node.Tick()
-		r.age++
-		r.promote()
-		r.rise()
+		r.ticks++
+		r.promoteLearner()
+		r.raiseLevel()
 		return
 	}
-	r.age++
-	r.alone++
+	r.ticks++
+	r.ticksSinceLeader++
 	r.node.TickQuiesced()
-	if !r.settled() {
+	if !r.introduced() {
 		return
 	}
-	if r.silent++; r.silent >= r.timeout {
-		r.rearm()
-		if r.votes(r.ID()) {
+	if r.electionTicks++; r.electionTicks >= r.electionTimeout {
+		r.resetElectionTimer()
+		if r.isVoter(r.ID()) {
 			r.Campaigns++
 			r.node.Campaign()
 		}
@@ -151,13 +151,13 @@
 // settled tells whether this life has made itself known: to all other voters, or to those that answered
 // within an election's time. Until then it says nothing, as one of them may know that its folder is an old
 // copy.
-func (r *Replica) settled() bool {
-	if r.age >= r.plan.Elect || r.plan.Without.Has(MemberIdentity) {
+func (r *Replica) introduced() bool {
+	if r.ticks >= r.plan.ElectionTicks || r.plan.DisabledGuards.Has(MemberIdentity) {
 		return true
 	}
-	for _, list := range [][]uint64{r.conf.GetVoters(), r.conf.GetVotersOutgoing()} {
+	for _, list := range [][]uint64{r.voterConfig.GetVoters(), r.voterConfig.GetVotersOutgoing()} {
 		for _, v := range list {
-			if v != r.ID() && !r.met[v] {
+			if v != r.ID() && !r.metPeers[v] {
 				return false
 			}
 		}
@@ -167,7 +167,7 @@
 
 // Step takes a message of another instance's.
 func (r *Replica) Step(m *pb.Message) {
-	if r.who.own.Barred != "" || m.GetTo() != r.ID() || r.who.own.Cluster == "" || !r.settled() {
+	if r.peers.self.Barred != "" || m.GetTo() != r.ID() || r.peers.self.Cluster == "" || !r.introduced() {
 		return
 	}
 	switch m.GetType() {
@@ -177,9 +177,9 @@
 		if m.GetReject() {
 			holds = 0
 		}
-		r.who.Heard(m.GetFrom(), m.GetTerm(), holds)
+		r.peers.RecordProgress(m.GetFrom(), m.GetTerm(), holds)
 	default:
-		r.who.Heard(m.GetFrom(), m.GetTerm(), 0)
+		r.peers.RecordProgress(m.GetFrom(), m.GetTerm(), 0)
 	}
 	was := r.node.BasicStatus()
 	vote, term := was.HardState.GetVote(), was.HardState.GetTerm()
@@ -190,20 +190,20 @@
 	switch m.GetType() {
 	case pb.MessageType_MsgApp, pb.MessageType_MsgHeartbeat, pb.MessageType_MsgSnap:
 		if now.Lead == m.GetFrom() {
-			r.silent, r.alone = 0, 0
+			r.electionTicks, r.ticksSinceLeader = 0, 0
 		}
 	case pb.MessageType_MsgVote:
 		if now.HardState.GetVote() == m.GetFrom() &&
 			(vote != now.HardState.GetVote() || term != now.HardState.GetTerm()) {
-			r.silent = 0
+			r.electionTicks = 0
 		}
 	}
 }
 
-// Lost tells that messages to another instance did not go out, Snapped how a snapshot's sending ended.
-func (r *Replica) Lost(to uint64) { r.node.ReportUnreachable(to) }
+// ReportUnreachable tells raft that messages to another instance were not sent.
+func (r *Replica) ReportUnreachable(to uint64) { r.node.ReportUnreachable(to) }
 
-func (r *Replica) Snapped(to uint64, ok bool) {
+func (r *Replica) ReportSnapshot(to uint64, ok bool) {
 	status := raft.SnapshotFinish
 	if !ok {
 		status = raft.SnapshotFailure
--- a/internal/control/consensus/replica_apply.go
+++ b/internal/control/consensus/replica_apply.go
@@ -12,37 +12,37 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func (r *Replica) point(name string) {
-	if r.plan.Point != nil {
-		r.plan.Point(name)
+func (r *Replica) reportStep(name string) {
+	if r.plan.OnStep != nil {
+		r.plan.OnStep(name)
 	}
 }
 
 // Work does what raft has ready: makes it durable, then sends, then applies. An error means that the instance
 // can't go on: what it holds in memory is no longer what is on its disk.
-func (r *Replica) Work(send func([]*pb.Message)) (Outcome, error) {
-	var out Outcome
+func (r *Replica) Work(send func([]*pb.Message)) (WorkResult, error) {
+	var out WorkResult
 	for r.node.HasReady() {
 		rd := r.node.Ready()
-		if r.plan.Without.Has(PersistFirst) {
+		if r.plan.DisabledGuards.Has(PersistBeforeSend) {
 			send(rd.Messages)
 		}
-		r.point(AtPersist)
+		r.reportStep(StepPersist)
 		if err := r.persist(&rd); err != nil {
 			return out, err
 		}
-		r.point(AtSend)
-		if !r.plan.Without.Has(PersistFirst) {
+		r.reportStep(StepSend)
+		if !r.plan.DisabledGuards.Has(PersistBeforeSend) {
 			send(rd.Messages)
 		}
-		r.point(AtApply)
+		r.reportStep(StepApply)
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			m, err := loadMachine(rd.Snapshot.GetData(), r.plan.Without)
+			m, err := restoreStateMachine(rd.Snapshot.GetData(), r.plan.DisabledGuards)
 			if err != nil {
 				return out, err
 			}
-			r.machine, r.conf, out.Applied = m, rd.Snapshot.GetMetadata().GetConfState(), true
-			r.fit()
+			r.stateMachine, r.voterConfig, out.Applied = m, rd.Snapshot.GetMetadata().GetConfState(), true
+			r.configureState()
 		}
 		for _, e := range rd.CommittedEntries {
 			if err := r.apply(e, &out); err != nil {
@@ -50,23 +50,23 @@
 			}
 		}
 		for _, s := range rd.ReadStates {
-			if len(s.RequestCtx) == 8 && len(r.reads) < maxReads {
-				r.reads = append(r.reads, pendingRead{binary.LittleEndian.Uint64(s.RequestCtx), s.Index})
+			if len(s.RequestCtx) == 8 && len(r.pendingReads) < maxPendingReads {
+				r.pendingReads = append(r.pendingReads, pendingRead{binary.LittleEndian.Uint64(s.RequestCtx), s.Index})
 			}
 		}
 		r.node.Advance(rd)
 	}
-	kept := r.reads[:0]
-	for _, p := range r.reads {
-		if p.index <= r.machine.applied {
+	kept := r.pendingReads[:0]
+	for _, p := range r.pendingReads {
+		if p.index <= r.stateMachine.applied {
 			out.Reads = append(out.Reads, p.id)
 		} else {
 			kept = append(kept, p)
 		}
 	}
-	r.reads = kept
-	if len(out.Results) > 0 {
-		r.point(AtAnswer)
+	r.pendingReads = kept
+	if len(out.Puts) > 0 {
+		r.reportStep(StepAnswer)
 	}
 	return out, nil
 }
@@ -77,19 +77,19 @@
 	}
 	if !rd.MustSync { // a commit index alone is learnt again from the leader
 		r.store.remember(rd.HardState, rd.Entries)
-		return r.keepMembers(rd.CommittedEntries)
+		return r.persistMembership(rd.CommittedEntries)
 	}
 	if err := r.store.persist(rd.HardState, rd.Entries); err != nil {
 		return err
 	}
-	return r.keepMembers(rd.CommittedEntries)
+	return r.persistMembership(rd.CommittedEntries)
 }
 
-// keepMembers makes it durable that a change of members is committed before the change counts here. A life
+// persistMembership makes it durable that a change of members is committed before the change counts here. A life
 // that began with an older commit index would count votes by the members of its snapshot: the founder alone,
 // as seen on a few schedules in a hundred.
-func (r *Replica) keepMembers(committed []*pb.Entry) error {
-	if r.plan.Without.Has(MembersKept) {
+func (r *Replica) persistMembership(committed []*pb.Entry) error {
+	if r.plan.DisabledGuards.Has(PersistMembership) {
 		return nil
 	}
 	for _, e := range committed {
@@ -101,9 +101,9 @@
 }
 
 // apply hands one committed entry to the state machine.
-func (r *Replica) apply(e *pb.Entry, out *Outcome) error {
+func (r *Replica) apply(e *pb.Entry, out *WorkResult) error {
 	out.Applied = true
-	m := r.machine
+	m := r.stateMachine
 	switch e.GetType() {
 	case pb.EntryType_EntryNormal:
 		if len(e.GetData()) > 0 {
@@ -121,12 +121,12 @@
 			if err := json.Unmarshal(cc.GetContext(), &c); err != nil {
 				return fmt.Errorf("not a change of members: %w", err)
 			}
-			if m.may(&c) != nil { // it no longer holds; all instances find so, and the core is not told
+			if m.checkChange(&c) != nil { // it no longer holds; all instances find so, and the core is not told
 				break
 			}
-			m.change(&c)
+			m.applyChange(&c)
 		}
-		r.conf = r.node.ApplyConfChange(cc)
+		r.voterConfig = r.node.ApplyConfChange(cc)
 	default:
 		return fmt.Errorf("of kind %v, expected a put or a change of members", e.GetType())
 	}
@@ -135,8 +135,8 @@
 }
 
 // applyData plays an entry with something in it: a put, or one of a kind.
-func (r *Replica) applyData(e *pb.Entry, out *Outcome) error {
-	m := r.machine
+func (r *Replica) applyData(e *pb.Entry, out *WorkResult) error {
+	m := r.stateMachine
 	var k entry
 	if err := json.Unmarshal(e.GetData(), &k); err != nil {
 		return fmt.Errorf("not an entry: %w", err)
@@ -147,26 +147,26 @@
 		if err := json.Unmarshal(e.GetData(), &p); err != nil {
 			return fmt.Errorf("not a put: %w", err)
 		}
-		if p.Rules < 1 || p.Rules > rulesAt(m.knows) {
+		if p.Rules < 1 || p.Rules > rulesForLevel(m.supportedLevel) {
 			return fmt.Errorf("made under rules %d, expected %d at most: this instance needs the program that made it",
-				p.Rules, rulesAt(m.knows))
+				p.Rules, rulesForLevel(m.supportedLevel))
 		}
-		out.Results = append(out.Results, Result{p.Session, p.Seq, m.put(&p, e.GetIndex(), e.GetTerm())})
-	case m.knows < LevelFleet:
+		out.Puts = append(out.Puts, AppliedPut{p.Session, p.Seq, m.applyPut(&p, e.GetIndex(), e.GetTerm())})
+	case m.supportedLevel < LevelFleet:
 		return fmt.Errorf("of kind %q, expected a put: this instance needs the program that made it", k.Kind)
 	case k.Kind == kindLevel:
 		var level int
-		if err := json.Unmarshal(k.Body, &level); err != nil || level > m.knows {
+		if err := json.Unmarshal(k.Body, &level); err != nil || level > m.supportedLevel {
 			return fmt.Errorf("a rise to level %s, expected %d at most: this instance needs the program that made it", k.Body,
-				m.knows)
+				m.supportedLevel)
 		}
 		m.level = max(m.level, level)
 	default:
-		end, err := m.nodes.Apply(k.Kind, k.Body, e.GetIndex(), e.GetTerm(), m)
+		end, err := m.fleet.Apply(k.Kind, k.Body, e.GetIndex(), e.GetTerm(), m)
 		if err != nil {
 			return err
 		}
-		out.Nodes = append(out.Nodes, end)
+		out.Operations = append(out.Operations, end)
 	}
 	return nil
 }
--- a/internal/control/consensus/replica_members.go
+++ b/internal/control/consensus/replica_members.go
@@ -13,47 +13,47 @@
 )
 
 // ID gives the instance's number in the group.
-func (r *Replica) ID() uint64 { return r.who.own.ID }
+func (r *Replica) ID() uint64 { return r.peers.self.ID }
 
-// Hello gives what this instance says of itself to another.
-func (r *Replica) Hello(to uint64) Hello {
-	_, last := r.Span()
-	return Hello{Identity: r.who.own, Peer: r.plan.Peer, Term: r.store.hard.GetTerm(), Last: last, To: to,
+// HelloTo gives what this instance says of itself to another.
+func (r *Replica) HelloTo(to uint64) Hello {
+	_, last := r.LogBounds()
+	return Hello{Identity: r.peers.self, Peer: r.plan.Peer, Term: r.store.hard.GetTerm(), Last: last, To: to,
 		Level: r.plan.Level}
 }
 
-// Meet judges another's hello; a refusal comes as its reason. What was learnt is durable on return.
-func (r *Replica) Meet(h Hello) (reason string, err error) {
-	reason, learnt := r.who.Meet(h)
+// Handshake judges another's hello; a refusal comes as its reason. What was learnt is durable on return.
+func (r *Replica) Handshake(h Hello) (reason string, err error) {
+	reason, learnt := r.peers.Handshake(h)
 	if reason == "" {
-		r.met[h.ID] = true
-		if len(r.machine.members) == 0 && len(r.contacts) < maxMembers {
+		r.metPeers[h.ID] = true
+		if len(r.stateMachine.members) == 0 && len(r.contacts) < maxMembers {
 			r.contacts = append(r.contacts, Member{ID: h.ID, Name: h.Name, Peer: h.Peer})
 		}
 	}
 	if !learnt {
 		return reason, nil
 	}
-	if r.machine.cluster == "" {
-		r.machine.cluster = r.who.own.Cluster
+	if r.stateMachine.cluster == "" {
+		r.stateMachine.cluster = r.peers.self.Cluster
 	}
-	return reason, r.remember()
+	return reason, r.persistIdentities()
 }
 
 // Bar ends this instance's part in the group for good, as others told it what it is.
 func (r *Replica) Bar(reason string) error {
-	if r.who.own.Barred != "" || r.plan.Without.Has(MemberIdentity) {
+	if r.peers.self.Barred != "" || r.plan.DisabledGuards.Has(MemberIdentity) {
 		return nil
 	}
-	r.who.own.Barred = reason
-	return r.remember()
+	r.peers.self.Barred = reason
+	return r.persistIdentities()
 }
 
 // Barred tells why it takes no part any more, empty if it does.
-func (r *Replica) Barred() string { return r.who.own.Barred }
+func (r *Replica) Barred() string { return r.peers.self.Barred }
 
-func (r *Replica) votes(id uint64) bool {
-	for _, list := range [][]uint64{r.conf.GetVoters(), r.conf.GetVotersOutgoing()} {
+func (r *Replica) isVoter(id uint64) bool {
+	for _, list := range [][]uint64{r.voterConfig.GetVoters(), r.voterConfig.GetVotersOutgoing()} {
 		for _, v := range list {
 			if v == id {
 				return true
@@ -65,13 +65,13 @@
 
 // Change asks for a change of members; that it was made shows in Members, that it was not shows nowhere.
 func (r *Replica) Change(c Change) error {
-	if r.who.own.Barred != "" {
+	if r.peers.self.Barred != "" {
 		return ErrBarred
 	}
-	if err := r.machine.may(&c); err != nil {
+	if err := r.stateMachine.checkChange(&c); err != nil {
 		return err
 	}
-	if c.Op == "remove" && c.Member.ID == r.ID() || c.Op == "replace" && c.Gone == r.ID() {
+	if c.Op == "remove" && c.Member.ID == r.ID() || c.Op == "replace" && c.ReplacedID == r.ID() {
 		if r.node.BasicStatus().RaftState == raft.StateLeader {
 			return r.Transfer(0) // the next leader makes the change when it is asked again
 		}
@@ -93,33 +93,33 @@
 		cc.Changes = append(cc.Changes, one(pb.ConfChangeType_ConfChangeRemoveNode, c.Member.ID))
 	case "replace":
 		cc.Changes = append(cc.Changes, one(pb.ConfChangeType_ConfChangeAddNode, c.Member.ID),
-			one(pb.ConfChangeType_ConfChangeRemoveNode, c.Gone))
+			one(pb.ConfChangeType_ConfChangeRemoveNode, c.ReplacedID))
 	}
 	return r.node.ProposeConfChange(cc)
 }
 
-// caughtUp is how many entries a learner may lack when it becomes a voter: less than comes in a round trip.
-const caughtUp = 16
+// maxPromotionLag is how many entries a learner may lack when it becomes a voter: less than comes in a round trip.
+const maxPromotionLag = 16
 
 // promote has the leader make voters of learners that have caught up, one at a time. What it asks for may
 // come to nothing, as while another change is under way; it asks again an election's time later. It looks at
 // each tick all the same: the core forgets at each of its checks for a quorum who was active lately.
-func (r *Replica) promote() {
-	if r.age < r.asked+r.plan.Elect {
+func (r *Replica) promoteLearner() {
+	if r.ticks < r.promotedAtTick+r.plan.ElectionTicks {
 		return
 	}
-	for _, m := range r.machine.members {
+	for _, m := range r.stateMachine.members {
 		if m.Voter || !m.Promote {
 			continue
 		}
 		ready, last := false, r.node.BasicStatus().HardState.GetCommit()
 		r.node.WithProgress(func(id uint64, _ raft.ProgressType, p tracker.Progress) {
-			if id == m.ID && p.RecentActive && p.Match+caughtUp >= last && p.Match > 0 {
+			if id == m.ID && p.RecentActive && p.Match+maxPromotionLag >= last && p.Match > 0 {
 				ready = true
 			}
 		})
 		if ready {
-			r.asked = r.age
+			r.promotedAtTick = r.ticks
 			r.Change(Change{Op: "promote", Member: m})
 			return
 		}
@@ -139,7 +139,7 @@
 			}
 		})
 	}
-	if to == 0 || !r.votes(to) {
+	if to == 0 || !r.isVoter(to) {
 		return fmt.Errorf("no voter to hand the lead to")
 	}
 	r.node.TransferLeader(to)
@@ -147,17 +147,17 @@
 }
 
 // Members gives the instances of the group, by id.
-func (r *Replica) Members() []Member { return r.machine.members }
+func (r *Replica) Members() []Member { return r.stateMachine.members }
 
 // Voters gives the ids that elections and commits count, in both halves of a joint change.
 func (r *Replica) Voters() (now, outgoing []uint64) {
-	return r.conf.GetVoters(), r.conf.GetVotersOutgoing()
+	return r.voterConfig.GetVoters(), r.voterConfig.GetVotersOutgoing()
 }
 
-// Known gives whom to speak with: the members, or until it has those, who greeted it.
-func (r *Replica) Known() []Member {
-	if len(r.machine.members) == 0 {
+// Contacts gives whom to speak with: the members, or until it has those, who greeted it.
+func (r *Replica) Contacts() []Member {
+	if len(r.stateMachine.members) == 0 {
 		return r.contacts
 	}
-	return r.machine.members
+	return r.stateMachine.members
 }
--- a/internal/control/consensus/replica_snapshot.go
+++ b/internal/control/consensus/replica_snapshot.go
@@ -11,32 +11,32 @@
 	"umberwinch/internal/wal"
 )
 
-// Save is a snapshot under way: Write may run beside the replica, Saved takes note of its end.
-type Save struct {
+// PendingSnapshot is a snapshot under way: Write may run beside the replica, Saved takes note of its end.
+type PendingSnapshot struct {
 	meta  *pb.SnapshotMetadata
 	parts [][]byte
 	log   *wal.Log
 }
 
-// Due gives a snapshot to be written if there is enough new log, nil if not.
-func (r *Replica) Due() (*Save, error) {
-	if r.saving || r.store.bytes < r.plan.Snapshot || r.machine.applied <= r.store.snap.GetIndex() {
+// SnapshotIfDue gives a snapshot to be written if there is enough new log, nil if not.
+func (r *Replica) SnapshotIfDue() (*PendingSnapshot, error) {
+	if r.snapshotting || r.store.bytes < r.plan.SnapshotBytes || r.stateMachine.applied <= r.store.snap.GetIndex() {
 		return nil, nil
 	}
-	return r.SaveNow()
+	return r.Snapshot()
 }
 
 // state gives the state machine as it is, in parts that don't change any more.
-func (r *Replica) state() (*pb.SnapshotMetadata, [][]byte, error) {
-	meta := &pb.SnapshotMetadata{Index: proto.Uint64(r.machine.applied), Term: proto.Uint64(r.machine.term),
-		ConfState: proto.Clone(r.conf).(*pb.ConfState)}
-	state, err := r.machine.save()
+func (r *Replica) snapshotState() (*pb.SnapshotMetadata, [][]byte, error) {
+	meta := &pb.SnapshotMetadata{Index: proto.Uint64(r.stateMachine.applied), Term: proto.Uint64(r.stateMachine.term),
+		ConfState: proto.Clone(r.voterConfig).(*pb.ConfState)}
+	state, err := r.stateMachine.save()
 	return meta, state, err
 }
 
-// SaveNow gives a snapshot of the state as it is.
-func (r *Replica) SaveNow() (*Save, error) {
-	meta, state, err := r.state()
+// Snapshot gives a snapshot of the state as it is.
+func (r *Replica) Snapshot() (*PendingSnapshot, error) {
+	meta, state, err := r.snapshotState()
 	if err != nil {
 		return nil, err
 	}
@@ -44,16 +44,16 @@
 	if err != nil {
 		return nil, err
 	}
-	r.saving = true
-	return &Save{meta, parts, r.log}, nil
+	r.snapshotting = true
+	return &PendingSnapshot{meta, parts, r.log}, nil
 }
 
 // Write makes it durable.
-func (s *Save) Write() error { return s.log.Save(s.meta.GetIndex(), s.parts...) }
+func (s *PendingSnapshot) Write() error { return s.log.Save(s.meta.GetIndex(), s.parts...) }
 
-// Saved ends a snapshot. One that found no room is tried again when more log has come.
-func (r *Replica) Saved(s *Save, err error) error {
-	r.saving = false
+// SnapshotWritten ends a snapshot. One that found no room is tried again when more log has come.
+func (r *Replica) SnapshotWritten(s *PendingSnapshot, err error) error {
+	r.snapshotting = false
 	if err != nil {
 		if errors.Is(err, wal.ErrFull) {
 			r.store.bytes = 0
@@ -61,5 +61,5 @@
 		}
 		return err
 	}
-	return r.store.saved(s.meta)
+	return r.store.snapshotWritten(s.meta)
 }
--- a/internal/control/consensus/replica_status.go
+++ b/internal/control/consensus/replica_status.go
@@ -19,37 +19,37 @@
 
 // Status is the replica's own view.
 type Status struct {
-	ID       uint64 `json:"id"`
-	Cluster  string `json:"cluster"`
-	Name     string `json:"name"`
-	Role     string `json:"role"`
-	Leader   uint64 `json:"leader"`
-	Term     uint64 `json:"term"`
-	Vote     uint64 `json:"vote"`
-	First    uint64 `json:"log_first"`
-	Last     uint64 `json:"log_last"`
-	Commit   uint64 `json:"commit"`
-	Applied  uint64 `json:"applied"`
-	Snapshot uint64 `json:"snapshot"`
-	Disk     int64  `json:"disk_bytes"`
-	Syncs    uint64 `json:"syncs"`
-	Version  uint64 `json:"version"`
-	Alone    int    `json:"alone_ticks"` // since a leader was heard
-	Stood    uint64 `json:"elections"`   // it stood for
-	Barred   string `json:"barred,omitempty"`
-	Level    int    `json:"level"` // of the group, as applied here
-	Peers    []Peer `json:"peers,omitempty"`
+	ID               uint64 `json:"id"`
+	Cluster          string `json:"cluster"`
+	Name             string `json:"name"`
+	Role             string `json:"role"`
+	Leader           uint64 `json:"leader"`
+	Term             uint64 `json:"term"`
+	Vote             uint64 `json:"vote"`
+	FirstIndex       uint64 `json:"log_first"`
+	LastIndex        uint64 `json:"log_last"`
+	Commit           uint64 `json:"commit"`
+	Applied          uint64 `json:"applied"`
+	SnapshotIndex    uint64 `json:"snapshot"`
+	DiskBytes        int64  `json:"disk_bytes"`
+	Syncs            uint64 `json:"syncs"`
+	Version          uint64 `json:"version"`
+	TicksSinceLeader int    `json:"alone_ticks"` // since a leader was heard
+	Campaigns        uint64 `json:"elections"`   // it stood for
+	Barred           string `json:"barred,omitempty"`
+	Level            int    `json:"level"` // of the group, as applied here
+	Peers            []Peer `json:"peers,omitempty"`
 }
 
 // Status gives the view as it is now.
 func (r *Replica) Status() Status {
 	b := r.node.BasicStatus()
 	last, _ := r.store.LastIndex()
-	s := Status{ID: r.ID(), Cluster: r.who.own.Cluster, Name: r.who.own.Name, Leader: b.Lead,
-		Term: b.HardState.GetTerm(), Vote: b.HardState.GetVote(), First: r.store.offset + 1, Last: last,
-		Commit: b.HardState.GetCommit(), Applied: r.machine.applied, Snapshot: r.store.snap.GetIndex(),
-		Disk: r.log.Usage(), Syncs: r.log.Flushes(), Version: r.machine.last(), Alone: r.alone, Stood: r.Campaigns,
-		Barred: r.who.own.Barred, Level: r.machine.level}
+	s := Status{ID: r.ID(), Cluster: r.peers.self.Cluster, Name: r.peers.self.Name, Leader: b.Lead,
+		Term: b.HardState.GetTerm(), Vote: b.HardState.GetVote(), FirstIndex: r.store.offset + 1, LastIndex: last,
+		Commit: b.HardState.GetCommit(), Applied: r.stateMachine.applied, SnapshotIndex: r.store.snap.GetIndex(),
+		DiskBytes: r.log.Usage(), Syncs: r.log.Flushes(), Version: r.stateMachine.lastVersion(), TicksSinceLeader: r.ticksSinceLeader, Campaigns: r.Campaigns,
+		Barred: r.peers.self.Barred, Level: r.stateMachine.level}
 	switch b.RaftState {
 	case raft.StateLeader:
 		s.Role = "leader"
@@ -59,7 +59,7 @@
 		sort.Slice(s.Peers, func(i, k int) bool { return s.Peers[i].ID < s.Peers[k].ID })
 	case raft.StateFollower:
 		s.Role = "follower"
-		if !r.votes(r.ID()) {
+		if !r.isVoter(r.ID()) {
 			s.Role = "learner"
 		}
 	default:
@@ -67,22 +67,22 @@
 	}
 	if s.Barred != "" {
 		s.Role = "barred"
-	} else if r.who.own.Cluster == "" {
+	} else if r.peers.self.Cluster == "" {
 		s.Role = "waiting"
 	}
 	return s
 }
 
-// Span gives the indexes of the first and last entry held, TermOf the term and bytes of one of them.
-func (r *Replica) Span() (first, last uint64) {
+// LogBounds gives the indexes of the first and last entry held, EntryAt the term and bytes of one of them.
+func (r *Replica) LogBounds() (first, last uint64) {
 	return r.store.offset + 1, r.store.offset + uint64(len(r.store.entries))
 }
 
-func (r *Replica) TermOf(i uint64) (term uint64, data []byte) {
+func (r *Replica) EntryAt(i uint64) (term uint64, data []byte) {
 	e := r.store.entries[i-r.store.offset-1]
 	return e.GetTerm(), e.GetData()
 }
 
-// Lines gives the versions kept, each as a line of JSON, and the number of the first. Neither changes any
+// Versions gives the versions kept, each as a line of JSON, and the number of the first. Neither changes any
 // more.
-func (r *Replica) Lines() ([][]byte, uint64) { return r.machine.lines, r.machine.first }
+func (r *Replica) Versions() ([][]byte, uint64) { return r.stateMachine.lines, r.stateMachine.first }
--- a/internal/control/consensus/store.go
+++ b/internal/control/consensus/store.go
@@ -15,9 +15,9 @@
 
 // Kinds of marks in the log.
 const (
-	markHard = iota
-	markOwn
-	markSeen
+	markHardState = iota
+	markIdentity
+	markPeers
 )
 
 // store keeps raft's entries and hard state on a log of ours and answers raft's questions about them. Entries
@@ -34,8 +34,8 @@
 	state   func() (*pb.SnapshotMetadata, [][]byte, error)
 }
 
-// snapHead is the first line of a snapshot, before the machine's state.
-type snapHead struct {
+// snapshotFileHeader is the first line of a snapshot, before the machine's state.
+type snapshotFileHeader struct {
 	Meta []byte `json:"meta"` // raft's, as protobuf
 }
 
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	head, err := json.Marshal(snapHead{raw})
+	head, err := json.Marshal(snapshotFileHeader{raw})
 	if err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 		if c != '\n' {
 			continue
 		}
-		var head snapHead
+		var head snapshotFileHeader
 		if err := json.Unmarshal(raw[:i], &head); err != nil {
 			return nil, nil, fmt.Errorf("head of a snapshot: %w", err)
 		}
@@ -73,7 +73,7 @@
 // nil if there is none.
 func openStore(log *wal.Log) (*store, []byte, error) {
 	s := &store{log: log, hard: &pb.HardState{}, snap: &pb.SnapshotMetadata{ConfState: &pb.ConfState{}}}
-	if raw := log.Mark(markHard); raw != nil {
+	if raw := log.Mark(markHardState); raw != nil {
 		if err := proto.Unmarshal(raw, s.hard); err != nil {
 			return nil, nil, fmt.Errorf("the hard state: %w", err)
 		}
@@ -97,7 +97,7 @@
 	if damaged != nil && (state == nil || log.First() > at+1) {
 		return nil, nil, damaged // the log was let go of up to the damaged one
 	}
-	if err := s.join(at); err != nil {
+	if err := s.alignLog(at); err != nil {
 		return nil, nil, err
 	}
 	s.offset, s.term = at, s.snap.GetTerm()
@@ -118,7 +118,7 @@
 // join makes the log go on from the snapshot. A crash may have come between writing a snapshot got from the
 // leader and cutting the log: then what is in the log is of another history, unless the entry at the
 // snapshot's index has the snapshot's term.
-func (s *store) join(at uint64) error {
+func (s *store) alignLog(at uint64) error {
 	if at == 0 || s.log.First() == at+1 {
 		return nil
 	}
@@ -172,7 +172,7 @@
 		if err != nil {
 			return err
 		}
-		b.Marks = append(b.Marks, wal.Mark{Kind: markHard, Data: raw})
+		b.Marks = append(b.Marks, wal.Mark{Kind: markHardState, Data: raw})
 	}
 	if len(b.Entries) == 0 && len(b.Marks) == 0 {
 		return nil
@@ -214,7 +214,7 @@
 	if err != nil {
 		return err
 	}
-	b.Marks = []wal.Mark{{Kind: markHard, Data: raw}}
+	b.Marks = []wal.Mark{{Kind: markHardState, Data: raw}}
 	if _, err := s.log.Commit(b); err != nil {
 		return err
 	}
@@ -224,7 +224,7 @@
 }
 
 // saved takes note of a snapshot of our own that is durable: what the older one stands for may go.
-func (s *store) saved(meta *pb.SnapshotMetadata) error {
+func (s *store) snapshotWritten(meta *pb.SnapshotMetadata) error {
 	if meta.GetIndex() <= s.snap.GetIndex() {
 		return nil
 	}
@@ -284,7 +284,7 @@
 	return part[:len(part):len(part)], nil
 }
 
-// Snapshot gives the state as it is: one on disk may be from before whoever asks became a member, and such a
+// SnapshotBytes gives the state as it is: one on disk may be from before whoever asks became a member, and such a
 // one is not taken.
 func (s *store) Snapshot() (*pb.Snapshot, error) {
 	meta, state, err := s.state()
--- a/internal/control/consensus/transport.go
+++ b/internal/control/consensus/transport.go
@@ -22,32 +22,32 @@
 
 // Bounds of the transport.
 const (
-	maxQueued     = 512             // messages that wait for one peer; the core sends again what is dropped
-	maxQueuedB    = 32 << 20        // and their bytes
-	maxLinks      = 64              // connections taken in at once
-	maxSnapBytes  = 160 << 20       // of a state: twice what the machine keeps of versions, and the rest of it
-	snapChunk     = 256 << 10       // of a state in one frame
-	greetWithin   = 2 * time.Second // for dialling and greeting
-	writeWithin   = 5 * time.Second // for a frame to leave
-	firstBackoff  = 20 * time.Millisecond
-	longestWait   = time.Second
-	snapIdle      = 10 * time.Second // without a chunk a snapshot is given up
-	refusedFrames = 4 << 10          // of a greeting
+	maxQueuedMessages     = 512             // messages that wait for one peer; the core sends again what is dropped
+	maxQueuedBytes        = 32 << 20        // and their bytes
+	maxInboundConnections = 64              // connections taken in at once
+	maxSnapshotBytes      = 160 << 20       // of a state: twice what the machine keeps of versions, and the rest of it
+	snapshotChunkBytes    = 256 << 10       // of a state in one frame
+	handshakeTimeout      = 2 * time.Second // for dialling and greeting
+	writeTimeout          = 5 * time.Second // for a frame to leave
+	minBackoff            = 20 * time.Millisecond
+	maxBackoff            = time.Second
+	snapshotIdleTimeout   = 10 * time.Second // without a chunk a snapshot is given up
+	maxHandshakeBytes     = 4 << 10          // of a greeting
 )
 
 // owner is what the transport asks of whoever owns the replica. All but the counters run on the owner's
 // goroutine.
-type owner interface {
+type messageHandler interface {
 	hello(to uint64) (Hello, error)
-	meet(h Hello) (reason string, err error)
+	handshake(h Hello) (reason string, err error)
 	bar(reason string)
 	receive(m *pb.Message)
-	lost(to uint64)
-	snapped(to uint64, ok bool)
+	reportUnreachable(to uint64)
+	reportSnapshot(to uint64, ok bool)
 }
 
 // traffic counts what went over the wire.
-type traffic struct {
+type transportCounters struct {
 	sent, received, dropped, refused, broken, snapsSent, snapsReceived atomic.Uint64
 }
 
@@ -55,34 +55,34 @@
 // another for a snapshot, so that a heartbeat never waits behind bulk. It owns connections and queues; it
 // never decides whom to speak with, and never waits for a peer on the owner's goroutine.
 type transport struct {
-	owner owner
-	trust *trust
-	log   *logrus.Logger
-	rate  *rate.Limiter
-	count traffic
-	ctx   context.Context
-	stop  context.CancelFunc
-	wg    sync.WaitGroup
+	handler messageHandler
+	trust   *credentials
+	log     *logrus.Logger
+	rate    *rate.Limiter
+	count   transportCounters
+	ctx     context.Context
+	stop    context.CancelFunc
+	wg      sync.WaitGroup
 
-	mu    sync.Mutex
-	peers map[uint64]*peer
-	links map[net.Conn]uint64 // taken in, by whom
-	bulk  bool                // a snapshot is coming in
+	mu                sync.Mutex
+	peers             map[uint64]*peer
+	inbound           map[net.Conn]uint64 // taken in, by whom
+	receivingSnapshot bool                // a snapshot is coming in
 }
 
 type peer struct {
-	id    uint64
-	addr  string
-	queue chan *pb.Message
-	bytes atomic.Int64 // of what is queued
-	stop  context.CancelFunc
-	snap  atomic.Bool
+	id              uint64
+	addr            string
+	queue           chan *pb.Message
+	bytes           atomic.Int64 // of what is queued
+	stop            context.CancelFunc
+	sendingSnapshot atomic.Bool
 }
 
 // put queues a message if there is room for it; took frees the room of one that left the queue.
-func (p *peer) put(m *pb.Message) bool {
+func (p *peer) enqueue(m *pb.Message) bool {
 	n := int64(proto.Size(m))
-	if p.bytes.Add(n) <= maxQueuedB {
+	if p.bytes.Add(n) <= maxQueuedBytes {
 		select {
 		case p.queue <- m:
 			return true
@@ -93,12 +93,12 @@
 	return false
 }
 
-func (p *peer) took(m *pb.Message) { p.bytes.Add(-int64(proto.Size(m))) }
+func (p *peer) release(m *pb.Message) { p.bytes.Add(-int64(proto.Size(m))) }
 
-func newTransport(o owner, t *trust, log *logrus.Logger, rateMB int) *transport {
+func newTransport(o messageHandler, t *credentials, log *logrus.Logger, rateMB int) *transport {
 	ctx, stop := context.WithCancel(context.Background())
-	return &transport{owner: o, trust: t, log: log, ctx: ctx, stop: stop, peers: map[uint64]*peer{},
-		links: map[net.Conn]uint64{}, rate: rate.NewLimiter(rate.Limit(rateMB<<20), max(snapChunk, rateMB<<18))}
+	return &transport{handler: o, trust: t, log: log, ctx: ctx, stop: stop, peers: map[uint64]*peer{},
+		inbound: map[net.Conn]uint64{}, rate: rate.NewLimiter(rate.Limit(rateMB<<20), max(snapshotChunkBytes, rateMB<<18))}
 }
 
 // serve takes connections in until the listener closes.
@@ -116,13 +116,13 @@
 				return
 			}
 			t.log.WithField(logging.Error, err).Warn("a connection of a peer was not accepted")
-			time.Sleep(firstBackoff)
+			time.Sleep(minBackoff)
 			continue
 		}
 		t.mu.Lock()
-		full := len(t.links) >= maxLinks
+		full := len(t.inbound) >= maxInboundConnections
 		if !full {
-			t.links[c] = 0
+			t.inbound[c] = 0
 		}
 		t.mu.Unlock()
 		if full {
@@ -133,9 +133,9 @@
 		t.wg.Add(1)
 		go func() {
 			defer t.wg.Done()
-			t.take(c)
+			t.accept(c)
 			t.mu.Lock()
-			delete(t.links, c)
+			delete(t.inbound, c)
 			t.mu.Unlock()
 			c.Close()
 		}()
@@ -143,10 +143,10 @@
 }
 
 // take greets whoever dialled and reads what it sends.
-func (t *transport) take(c net.Conn) {
-	c.SetDeadline(time.Now().Add(greetWithin))
+func (t *transport) accept(c net.Conn) {
+	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	r := bufio.NewReaderSize(c, 64<<10)
-	kind, raw, err := readFrame(r, refusedFrames)
+	kind, raw, err := readFrame(r, maxHandshakeBytes)
 	var h Hello
 	if err == nil && kind != frameHello {
 		err = fmt.Errorf("a frame of kind %d, expected a hello", kind)
@@ -159,10 +159,10 @@
 		t.log.WithField(logging.Error, err).Debug("a peer's connection without a greeting")
 		return
 	}
-	reason, err := t.owner.meet(h)
+	reason, err := t.handler.handshake(h)
 	var own Hello
 	if err == nil {
-		own, err = t.owner.hello(h.ID)
+		own, err = t.handler.hello(h.ID)
 	}
 	if err != nil {
 		return
@@ -174,17 +174,17 @@
 		writeJSON(c, frameRefused, reason)
 		return
 	}
-	if err = writeJSON(c, frameWelcome, own); err != nil {
+	if err = writeJSON(c, frameAccepted, own); err != nil {
 		return
 	}
 	c.SetDeadline(time.Time{})
 	if h.Bulk {
-		t.takeSnapshot(c, r, h.ID)
+		t.receiveSnapshot(c, r, h.ID)
 		return
 	}
-	t.replace(c, h.ID)
+	t.registerConnection(c, h.ID)
 	for t.ctx.Err() == nil {
-		kind, raw, err := readFrame(r, maxFrame)
+		kind, raw, err := readFrame(r, maxFrameBytes)
 		if err != nil {
 			return
 		}
@@ -196,65 +196,65 @@
 			return
 		}
 		t.count.received.Add(1)
-		t.owner.receive(m)
+		t.handler.receive(m)
 	}
 }
 
 // replace closes an older connection of the same peer.
-func (t *transport) replace(c net.Conn, id uint64) {
+func (t *transport) registerConnection(c net.Conn, id uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for o, who := range t.links {
+	for o, who := range t.inbound {
 		if who == id && o != c {
 			o.Close()
 		}
 	}
-	t.links[c] = id
+	t.inbound[c] = id
 }
 
-// snapNote opens a snapshot: how long the state is and its sum.
-type snapNote struct {
+// snapshotAnnouncement opens a snapshot: how long the state is and its sum.
+type snapshotAnnouncement struct {
 	Message []byte `json:"message"`
 	Bytes   int    `json:"bytes"`
 	Sum     uint64 `json:"sum"`
 }
 
-// takeSnapshot reads one snapshot, at most one at a time, and hands it over whole.
-func (t *transport) takeSnapshot(c net.Conn, r *bufio.Reader, from uint64) {
+// receiveSnapshot reads one snapshot, at most one at a time, and hands it over whole.
+func (t *transport) receiveSnapshot(c net.Conn, r *bufio.Reader, from uint64) {
 	t.mu.Lock()
-	busy := t.bulk
-	t.bulk = true
+	busy := t.receivingSnapshot
+	t.receivingSnapshot = true
 	t.mu.Unlock()
 	if busy {
 		t.count.refused.Add(1)
 		return
 	}
-	defer func() { t.mu.Lock(); t.bulk = false; t.mu.Unlock() }()
+	defer func() { t.mu.Lock(); t.receivingSnapshot = false; t.mu.Unlock() }()
 	bad := func(err error) {
 		t.count.broken.Add(1)
 		t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", from), logging.Error: err}).Warn(
 			"a snapshot did not come whole; it will be sent again")
 	}
-	c.SetReadDeadline(time.Now().Add(snapIdle))
-	kind, raw, err := readFrame(r, maxFrame)
-	var note snapNote
+	c.SetReadDeadline(time.Now().Add(snapshotIdleTimeout))
+	kind, raw, err := readFrame(r, maxFrameBytes)
+	var note snapshotAnnouncement
 	m := &pb.Message{}
-	if err == nil && kind == frameSnap {
+	if err == nil && kind == frameSnapshot {
 		err = json.Unmarshal(raw, &note)
 	}
 	if err == nil {
 		err = proto.Unmarshal(note.Message, m)
 	}
-	if err != nil || kind != frameSnap || note.Bytes < 0 || note.Bytes > maxSnapBytes || m.GetFrom() != from ||
+	if err != nil || kind != frameSnapshot || note.Bytes < 0 || note.Bytes > maxSnapshotBytes || m.GetFrom() != from ||
 		m.GetType() != pb.MessageType_MsgSnap || m.GetSnapshot() == nil {
 		bad(fmt.Errorf("it opens with kind %d and %d bytes to come, expected at most %d: %v", kind, note.Bytes,
-			maxSnapBytes, err))
+			maxSnapshotBytes, err))
 		return
 	}
 	state := make([]byte, 0, min(note.Bytes, 1<<20)) // grows as it comes: a note alone takes no memory
 	for len(state) < note.Bytes {
-		c.SetReadDeadline(time.Now().Add(snapIdle))
-		kind, raw, err := readFrame(r, snapChunk+1)
+		c.SetReadDeadline(time.Now().Add(snapshotIdleTimeout))
+		kind, raw, err := readFrame(r, snapshotChunkBytes+1)
 		if err != nil || kind != frameChunk || len(state)+len(raw) > note.Bytes {
 			bad(fmt.Errorf("%d of %d bytes, then kind %d: %w", len(state), note.Bytes, kind, err))
 			return
@@ -267,17 +267,17 @@
 	}
 	m.Snapshot.Data = state
 	t.count.snapsReceived.Add(1)
-	t.owner.receive(m)
-	c.SetWriteDeadline(time.Now().Add(writeWithin))
+	t.handler.receive(m)
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	writeFrame(c, frameDone, nil)
 }
 
 // know sets whom to speak with, by id and address. Connections of those that were removed close, so that they
 // hear of it when they come again.
-func (t *transport) know(members []Member, removed []uint64, own uint64) {
+func (t *transport) setPeers(members []Member, removed []uint64, own uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for c, who := range t.links {
+	for c, who := range t.inbound {
 		for _, id := range removed {
 			if who == id {
 				c.Close()
@@ -299,10 +299,10 @@
 			continue
 		}
 		ctx, stop := context.WithCancel(t.ctx)
-		p := &peer{id: m.ID, addr: m.Peer, queue: make(chan *pb.Message, maxQueued), stop: stop}
+		p := &peer{id: m.ID, addr: m.Peer, queue: make(chan *pb.Message, maxQueuedMessages), stop: stop}
 		t.peers[m.ID] = p
 		t.wg.Add(1)
-		go func() { defer t.wg.Done(); t.speak(ctx, p) }()
+		go func() { defer t.wg.Done(); t.connect(ctx, p) }()
 	}
 }
 
@@ -317,49 +317,49 @@
 		case p == nil:
 			t.count.dropped.Add(1)
 			if snap {
-				t.owner.snapped(m.GetTo(), false)
+				t.handler.reportSnapshot(m.GetTo(), false)
 			}
 		case snap:
-			if !p.snap.CompareAndSwap(false, true) {
-				t.owner.snapped(p.id, false)
+			if !p.sendingSnapshot.CompareAndSwap(false, true) {
+				t.handler.reportSnapshot(p.id, false)
 				continue
 			}
 			t.wg.Add(1)
 			go func() {
 				defer t.wg.Done()
 				err := t.sendSnapshot(p, m)
-				p.snap.Store(false)
+				p.sendingSnapshot.Store(false)
 				if err != nil {
 					t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", p.id), logging.Error: err}).Warn(
 						"a snapshot was not sent whole")
 				}
-				t.owner.snapped(p.id, err == nil)
+				t.handler.reportSnapshot(p.id, err == nil)
 			}()
 		default:
-			if !p.put(m) {
+			if !p.enqueue(m) {
 				t.count.dropped.Add(1)
-				t.owner.lost(p.id)
+				t.handler.reportUnreachable(p.id)
 			}
 		}
 	}
 }
 
 // greet dials a peer and makes sure of who answers.
-func (t *transport) greet(p *peer, bulk bool) (net.Conn, error) {
-	c, err := t.trust.dial(p.addr, greetWithin)
+func (t *transport) dial(p *peer, bulk bool) (net.Conn, error) {
+	c, err := t.trust.dial(p.addr, handshakeTimeout)
 	if err != nil {
 		return nil, err
 	}
-	if err = t.greeted(c, p, bulk); err != nil {
+	if err = t.handshake(c, p, bulk); err != nil {
 		c.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-func (t *transport) greeted(c net.Conn, p *peer, bulk bool) error {
-	c.SetDeadline(time.Now().Add(greetWithin))
-	h, err := t.owner.hello(p.id)
+func (t *transport) handshake(c net.Conn, p *peer, bulk bool) error {
+	c.SetDeadline(time.Now().Add(handshakeTimeout))
+	h, err := t.handler.hello(p.id)
 	if err != nil {
 		return err
 	}
@@ -367,7 +367,7 @@
 	if err = writeJSON(c, frameHello, h); err != nil {
 		return err
 	}
-	kind, raw, err := readFrame(c, refusedFrames)
+	kind, raw, err := readFrame(c, maxHandshakeBytes)
 	if err != nil {
 		return err
 	}
@@ -377,11 +377,11 @@
 		if err = json.Unmarshal(raw, &reason); err != nil {
 			return err
 		}
-		if Ends(reason) {
-			t.owner.bar(reason)
+		if BarsInstance(reason) {
+			t.handler.bar(reason)
 		}
 		return fmt.Errorf("refused: %s", reason)
-	case frameWelcome:
+	case frameAccepted:
 		var other Hello
 		if err = json.Unmarshal(raw, &other); err != nil {
 			return err
@@ -389,7 +389,7 @@
 		if other.ID != p.id {
 			return fmt.Errorf("instance %x answers, expected %x", other.ID, p.id)
 		}
-		reason, err := t.owner.meet(other)
+		reason, err := t.handler.handshake(other)
 		if err == nil && reason != "" {
 			t.count.refused.Add(1)
 			err = fmt.Errorf("it was refused: %s", reason)
@@ -401,41 +401,41 @@
 }
 
 // speak keeps a connection to a peer and sends what is queued.
-func (t *transport) speak(ctx context.Context, p *peer) {
-	wait, told := firstBackoff, ""
+func (t *transport) connect(ctx context.Context, p *peer) {
+	wait, told := minBackoff, ""
 	for ctx.Err() == nil {
-		c, err := t.greet(p, false)
+		c, err := t.dial(p, false)
 		if err != nil {
 			if err.Error() != told { // changes of state only
 				told = err.Error()
 				t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", p.id), "address": p.addr,
 					logging.Error: err}).Info("a peer can't be reached")
 			}
-			t.owner.lost(p.id)
-			t.drop(p)
+			t.handler.reportUnreachable(p.id)
+			t.dropQueued(p)
 			select {
 			case <-ctx.Done():
 			case <-time.After(wait):
 			}
-			wait = min(2*wait, longestWait)
+			wait = min(2*wait, maxBackoff)
 			continue
 		}
 		if told != "" {
 			t.log.WithField(logging.Peer, fmt.Sprintf("%x", p.id)).Info("a peer is reached again")
 		}
-		wait, told = firstBackoff, ""
-		t.pump(ctx, p, c)
+		wait, told = minBackoff, ""
+		t.writeMessages(ctx, p, c)
 		c.Close()
-		t.owner.lost(p.id)
+		t.handler.reportUnreachable(p.id)
 	}
 }
 
 // drop empties a queue: what waited while a peer was away is old, and the core sends it again.
-func (t *transport) drop(p *peer) {
+func (t *transport) dropQueued(p *peer) {
 	for {
 		select {
 		case m := <-p.queue:
-			p.took(m)
+			p.release(m)
 			t.count.dropped.Add(1)
 		default:
 			return
@@ -443,7 +443,7 @@
 	}
 }
 
-func (t *transport) pump(ctx context.Context, p *peer, c net.Conn) {
+func (t *transport) writeMessages(ctx context.Context, p *peer, c net.Conn) {
 	gone := make(chan struct{})
 	go func() { // nothing comes this way: a read that ends means that the peer is gone
 		var one [1]byte
@@ -458,9 +458,9 @@
 		case <-gone:
 			return
 		case m := <-p.queue:
-			c.SetWriteDeadline(time.Now().Add(writeWithin))
+			c.SetWriteDeadline(time.Now().Add(writeTimeout))
 			for m != nil {
-				p.took(m)
+				p.release(m)
 				raw, err := proto.Marshal(m)
 				if err == nil {
 					err = writeFrame(w, frameMessage, raw)
@@ -484,7 +484,7 @@
 
 // sendSnapshot sends one over a connection of its own, no faster than the operator allows.
 func (t *transport) sendSnapshot(p *peer, m *pb.Message) error {
-	c, err := t.greet(p, true)
+	c, err := t.dial(p, true)
 	if err != nil {
 		return err
 	}
@@ -496,23 +496,23 @@
 	if err != nil {
 		return err
 	}
-	c.SetWriteDeadline(time.Now().Add(writeWithin))
-	if err = writeJSON(c, frameSnap, snapNote{raw, len(state), xxhash.Sum64(state)}); err != nil {
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if err = writeJSON(c, frameSnapshot, snapshotAnnouncement{raw, len(state), xxhash.Sum64(state)}); err != nil {
 		return err
 	}
 	for len(state) > 0 {
-		n := min(snapChunk, len(state))
+		n := min(snapshotChunkBytes, len(state))
 		if err = t.rate.WaitN(t.ctx, n); err != nil {
 			return err
 		}
-		c.SetWriteDeadline(time.Now().Add(writeWithin))
+		c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if err = writeFrame(c, frameChunk, state[:n]); err != nil {
 			return err
 		}
 		state = state[n:]
 	}
-	c.SetReadDeadline(time.Now().Add(snapIdle))
-	kind, _, err := readFrame(c, refusedFrames)
+	c.SetReadDeadline(time.Now().Add(snapshotIdleTimeout))
+	kind, _, err := readFrame(c, maxHandshakeBytes)
 	if err == nil && kind != frameDone {
 		err = errors.New("it was not taken")
 	}
@@ -524,7 +524,7 @@
 func (t *transport) close() {
 	t.stop()
 	t.mu.Lock()
-	for c := range t.links {
+	for c := range t.inbound {
 		c.Close()
 	}
 	t.mu.Unlock()
--- a/internal/control/consensus/trust.go
+++ b/internal/control/consensus/trust.go
@@ -15,21 +15,21 @@
 // trust holds this instance's certificate and the authority of all others. It owns what is shown and whom is
 // believed on every connection; without files there is none, which the operator's file allows on loopback
 // addresses alone.
-type trust struct {
+type credentials struct {
 	cert, key, ca string
-	now           atomic.Pointer[tls.Config]
+	current       atomic.Pointer[tls.Config]
 }
 
-func newTrust(cert, key, ca string) (*trust, error) {
-	t := &trust{cert: cert, key: key, ca: ca}
+func loadCredentials(cert, key, ca string) (*credentials, error) {
+	t := &credentials{cert: cert, key: key, ca: ca}
 	return t, t.reload()
 }
 
-func (t *trust) on() bool { return t.cert != "" }
+func (t *credentials) enabled() bool { return t.cert != "" }
 
 // reload reads the files again. Where one is bad nothing changes.
-func (t *trust) reload() error {
-	if !t.on() {
+func (t *credentials) reload() error {
+	if !t.enabled() {
 		return nil
 	}
 	pair, err := tls.LoadX509KeyPair(t.cert, t.key)
@@ -51,28 +51,28 @@
 	if time.Now().After(leaf.NotAfter) {
 		return fmt.Errorf("certificate %s: ended on %s", t.cert, leaf.NotAfter.Format(time.DateTime))
 	}
-	t.now.Store(&tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}, RootCAs: pool,
+	t.current.Store(&tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}, RootCAs: pool,
 		ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert})
 	return nil
 }
 
 // listen opens an address; with files, for whoever shows a certificate of the authority's.
-func (t *trust) listen(addr string) (net.Listener, error) {
+func (t *credentials) listen(addr string) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr)
-	if err != nil || !t.on() {
+	if err != nil || !t.enabled() {
 		return l, err
 	}
 	return tls.NewListener(l, &tls.Config{MinVersion: tls.VersionTLS13,
-		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return t.now.Load(), nil }}), nil
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return t.current.Load(), nil }}), nil
 }
 
 // dial opens a connection to another instance.
-func (t *trust) dial(addr string, within time.Duration) (net.Conn, error) {
+func (t *credentials) dial(addr string, within time.Duration) (net.Conn, error) {
 	d := &net.Dialer{Timeout: within, KeepAlive: 5 * time.Second}
-	if !t.on() {
+	if !t.enabled() {
 		return d.Dial("tcp", addr)
 	}
-	c, err := tls.DialWithDialer(d, "tcp", addr, t.now.Load())
+	c, err := tls.DialWithDialer(d, "tcp", addr, t.current.Load())
 	if err != nil {
 		return nil, err
 	}
@@ -80,14 +80,14 @@
 }
 
 // scheme and client are for calls to another instance's clients' address.
-func (t *trust) scheme() string {
-	if t.on() {
+func (t *credentials) scheme() string {
+	if t.enabled() {
 		return "https"
 	}
 	return "http"
 }
 
-func (t *trust) client() *http.Client {
+func (t *credentials) client() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Minute,
 		DialContext:    func(_ context.Context, _, addr string) (net.Conn, error) { return t.dial(addr, time.Second) },
 		DialTLSContext: func(_ context.Context, _, addr string) (net.Conn, error) { return t.dial(addr, time.Second) }}}
--- a/internal/control/consensus/zones.go
+++ b/internal/control/consensus/zones.go
@@ -13,46 +13,46 @@
 	"umberwinch/internal/logging"
 )
 
-// Zones of a fleet for operators: what the group decided, what the leader sees, and what they ask of it.
+// DisabledZoneGuards of a fleet for operators: what the group decided, what the leader sees, and what they ask of it.
 
 // ZonesView is all of it.
 type ZonesView struct {
-	Clock   uint64        `json:"clock_ms"`
-	Epoch   uint64        `json:"epoch"`
-	Settled uint64        `json:"settled"`
-	Retry   int           `json:"retry,omitempty"` // of 256 first tries; 0: no bound
-	Rules   api.ZoneRules `json:"rules"`
-	Zones   []ZoneView    `json:"zones"`
-	Leads   bool          `json:"leads"`
+	ClockMS      uint64        `json:"clock_ms"`
+	Epoch        uint64        `json:"epoch"`
+	SettledEpoch uint64        `json:"settled"`
+	RetryQuota   int           `json:"retry,omitempty"` // of 256 first tries; 0: no bound
+	Rules        api.ZoneRules `json:"rules"`
+	Zones        []ZoneView    `json:"zones"`
+	IsLeader     bool          `json:"leads"`
 }
 
 // ZoneView is one zone.
 type ZoneView struct {
 	zones.Zone
-	Seen *zones.View `json:"seen,omitempty"` // by the leader
+	Evidence *zones.View `json:"seen,omitempty"` // by the leader
 }
 
-// Zones gives the state of zones, copied.
+// Zones returns a copy of the state of all zones.
 func (g *Group) Zones() (*ZonesView, error) {
-	raw, err := answerOf(g, g.ask, func() []byte {
-		p := g.rep.machine.nodes
-		v := ZonesView{Clock: p.Fleet.ClockMS, Epoch: p.Zones.Epoch, Settled: p.Zones.SettledEpoch, Retry: p.Zones.RetryBudget,
-			Rules: p.Policy.ActiveRules().Zones, Leads: g.steward.Leading(), Zones: []ZoneView{}}
+	raw, err := callOn(g, g.enqueue, func() []byte {
+		p := g.replica.stateMachine.fleet
+		v := ZonesView{ClockMS: p.Fleet.ClockMS, Epoch: p.Zones.Epoch, SettledEpoch: p.Zones.SettledEpoch, RetryQuota: p.Zones.RetryBudget,
+			Rules: p.Policy.ActiveRules().Zones, IsLeader: g.leader.Leading(), Zones: []ZoneView{}}
 		at := map[string]int{}
 		for _, z := range p.Zones.Zones {
 			at[z.Name] = len(v.Zones)
 			v.Zones = append(v.Zones, ZoneView{Zone: *z})
 		}
-		for _, o := range g.steward.ZoneViews() {
+		for _, o := range g.leader.ZoneViews() {
 			i, known := at[o.Zone]
 			if !known {
 				i = len(v.Zones)
 				v.Zones = append(v.Zones, ZoneView{Zone: zones.Zone{Name: o.Zone, Phase: zones.InService, Share: api.FullShare}})
 			}
-			v.Zones[i].Seen = o
+			v.Zones[i].Evidence = o
 		}
 		if i, known := at[zones.WholeFleet]; known {
-			v.Zones[i].Seen = g.steward.FleetView()
+			v.Zones[i].Evidence = g.leader.FleetView()
 		}
 		raw, _ := json.Marshal(&v) // the copy: what it shows goes on changing
 		return raw
@@ -71,9 +71,9 @@
 		err error
 	}
 	got := make(chan end, 1)
-	if err := g.ask(func() {
-		g.steward.SubmitZone(g.rep.machine.nodes, op, func(r zones.Result, err error) { got <- end{r, err} })
-		g.steer(0)
+	if err := g.enqueue(func() {
+		g.leader.SubmitZone(g.replica.stateMachine.fleet, op, func(r zones.Result, err error) { got <- end{r, err} })
+		g.tickLeader(0)
 	}); err != nil {
 		return zones.Result{}, err
 	}
@@ -81,15 +81,15 @@
 	case e := <-got:
 		return e.r, e.err
 	case <-g.done:
-		return zones.Result{}, ErrGone
+		return zones.Result{}, ErrStopped
 	case <-ctx.Done():
-		return zones.Result{}, ErrLate
+		return zones.Result{}, ErrTimeout
 	}
 }
 
-// zoneTold logs what an operator should know of a zone.
-func (g *Group) zoneTold(e zones.Result) {
-	z := g.rep.machine.nodes.Zones.Find(e.Zone)
+// logZoneChange logs what an operator should know of a zone.
+func (g *Group) logZoneChange(e zones.Result) {
+	z := g.replica.stateMachine.fleet.Zones.Find(e.Zone)
 	switch {
 	case e.Err != "":
 		g.log.WithFields(logrus.Fields{"zone": e.Zone, "step": e.Kind}).Debug(e.Err)
@@ -104,27 +104,27 @@
 
 // ---- HTTP.
 
-func (a *API) zones(w http.ResponseWriter, r *http.Request) {
+func (a *API) getZones(w http.ResponseWriter, r *http.Request) {
 	v, err := a.group.Zones()
 	if err != nil {
-		a.failed(w, err)
+		a.failWith(w, err)
 		return
 	}
-	a.whole(w, v)
+	a.writeSized(w, v)
 }
 
-func (a *API) zoneOp(w http.ResponseWriter, r *http.Request) {
+func (a *API) postZones(w http.ResponseWriter, r *http.Request) {
 	var op zones.Op
 	err := readBody(w, r, &op)
 	switch {
 	case err != nil:
 	case a.group.View().Level < LevelZones:
-		err = ErrLevel
+		err = ErrFeatureLevel
 	default:
 		err = op.Validate()
 	}
 	if err != nil {
-		a.failed(w, err)
+		a.failWith(w, err)
 		return
 	}
 	// What only the rules may say is left out: an operator's share gets its ceiling from what the zone bore.
@@ -135,16 +135,16 @@
 			op.Cause = "drill"
 		}
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 	defer cancel()
 	res, err := a.group.ZoneOp(ctx, op)
 	if err != nil {
-		a.failed(w, err)
+		a.failWith(w, err)
 		return
 	}
 	if res.Err != "" {
 		a.fail(w, http.StatusConflict, errors.New(res.Err))
 		return
 	}
-	a.whole(w, res)
+	a.writeSized(w, res)
 }
--- a/internal/harness/comeback.go
+++ b/internal/harness/comeback.go
@@ -227,8 +227,8 @@
 func (b *zoneBench) generation(at uint64) {
 	must(b.await(30*time.Second, func() error {
 		v, err := b.Policy()
-		if err == nil && (v.Gen != at || v.Force != b.force || v.Lost != "") {
-			err = fmt.Errorf("generation %d has version %d in force (%s), expected %d and %d", v.Gen, v.Force, v.Lost, at, b.force)
+		if err == nil && (v.Generation != at || v.CommittedVersion != b.force || v.StateLoss != "") {
+			err = fmt.Errorf("generation %d has version %d in force (%s), expected %d and %d", v.Generation, v.CommittedVersion, v.StateLoss, at, b.force)
 		}
 		return err
 	}))
@@ -237,7 +237,7 @@
 }
 
 // gen gives the group's generation.
-func (b *zoneBench) gen() uint64 { return got(b.Policy()).Gen }
+func (b *zoneBench) gen() uint64 { return got(b.Policy()).Generation }
 
 // allDown kills nodes, has the services below turn cold, and gives the time.
 func (b *zoneBench) allDown(nodes ...*rigNode) time.Time {
@@ -329,7 +329,7 @@
 		})
 		must(b.await(10*time.Second, func() error {
 			v, err := b.Policy()
-			if err == nil && v.Lost == "" {
+			if err == nil && v.StateLoss == "" {
 				err = errors.New("the group has not found that it lost state")
 			}
 			return err
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -190,7 +190,7 @@
 	was := len(w.history)
 	if !w.until(writesWithin, func() bool {
 		for _, o := range w.history[was:] {
-			if a, ok := o.Output.(consensus.Answer); ok && a.End == consensus.Taken {
+			if a, ok := o.Output.(consensus.PutResult); ok && a.Outcome == consensus.PutCommitted {
 				return true
 			}
 		}
--- a/internal/harness/fleet_ask.go
+++ b/internal/harness/fleet_ask.go
@@ -53,7 +53,7 @@
 	if _, err := r.ask(http.MethodGet, "/v1/policy", nil, &v); err != nil {
 		return nil, err
 	}
-	if !v.Leads {
+	if !v.IsLeader {
 		return nil, errors.New("no leader answered")
 	}
 	return &v, nil
@@ -85,10 +85,10 @@
 			}
 			v, ok := all[n.name]
 			switch {
-			case !ok || v.OutReason != "" || !v.Heard:
+			case !ok || v.OutReason != "" || !v.Reported:
 				return fmt.Errorf("%s is not in: %q", n.name, v.OutReason)
-			case v.Fenced != "" || v.Serves != version:
-				return fmt.Errorf("%s serves under version %d, fenced %q, expected version %d", n.name, v.Serves, v.Fenced,
+			case v.Fenced != "" || v.ActiveVersion != version:
+				return fmt.Errorf("%s serves under version %d, fenced %q, expected version %d", n.name, v.ActiveVersion, v.Fenced,
 					version)
 			case !r.ready.is(n.name):
 				return fmt.Errorf("%s is not ready by the list", n.name)
@@ -101,7 +101,7 @@
 // Put makes a text the group's next version.
 func (r *Rig) Put(text string) (uint64, error) {
 	r.seq++
-	var a consensus.Answer
+	var a consensus.PutResult
 	err := r.await(10*time.Second, func() error {
 		var s consensus.Report
 		if _, err := r.ask(http.MethodGet, "/v1/status", nil, &s); err != nil {
@@ -109,14 +109,14 @@
 		}
 		p := consensus.Put{Session: fmt.Sprintf("rig-%d-%d", r.Seed, r.seq), Seq: 1, Base: s.Version, Author: "lab", Text: text}
 		_, err := r.ask(http.MethodPut, "/v1/config", p, &a)
-		if err == nil && a.End == consensus.Conflict {
+		if err == nil && a.Outcome == consensus.PutConflict {
 			r.seq++
 			err = fmt.Errorf("%s", a.Reason)
 		}
 		return err
 	})
-	if err == nil && a.End != consensus.Taken {
-		err = fmt.Errorf("the version is %s: %s", a.End, a.Reason)
+	if err == nil && a.Outcome != consensus.PutCommitted {
+		err = fmt.Errorf("the version is %s: %s", a.Outcome, a.Reason)
 	}
 	return a.Version, err
 }
@@ -154,7 +154,7 @@
 			return err
 		}
 		c = nil
-		for _, o := range append(v.Past, v.Now) {
+		for _, o := range append(v.History, v.Current) {
 			if o != nil && o.Number == number {
 				c = o
 			}
@@ -167,7 +167,7 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("change %d is %s (%s; waits %v), expected %v", number, c.Step, c.AbortReason, v.Waits, steps)
+		return fmt.Errorf("change %d is %s (%s; waits %v), expected %v", number, c.Step, c.AbortReason, v.WaitingFor, steps)
 	})
 	return c, err
 }
@@ -176,7 +176,7 @@
 func (r *Rig) Prepared(node string, version uint64) error {
 	return r.await(10*time.Second, func() error {
 		all, err := r.Nodes()
-		if err == nil && all[node].Prepared != version {
+		if err == nil && all[node].PreparedVersion != version {
 			err = fmt.Errorf("%s has not prepared version %d", node, version)
 		}
 		return err
--- a/internal/harness/history.go
+++ b/internal/harness/history.go
@@ -92,7 +92,7 @@
 }
 
 // answer brings an end to a client, unless it is lost on the way.
-func (w *World) answer(k *call, a consensus.Answer) {
+func (w *World) answer(k *call, a consensus.PutResult) {
 	if w.net.Intn(100) < 15 {
 		return
 	}
@@ -104,7 +104,7 @@
 		w.history[k.at].Return = w.now * 1000
 		w.history[k.at].Output = a
 		k.c.base = max(k.c.base, a.Version)
-		if a.End == consensus.Expired || a.End == consensus.Refused {
+		if a.Outcome == consensus.PutExpired || a.Outcome == consensus.PutInvalid {
 			w.fail("client %s got %+v for put %d", k.c.name, a, k.put.Seq)
 		}
 		w.after(int64(w.net.Intn(150)), func() { w.next(k.c) })
@@ -116,7 +116,7 @@
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
 		now, in := state.(uint64), input.(asked)
-		a, answered := output.(consensus.Answer)
+		a, answered := output.(consensus.PutResult)
 		switch {
 		case !in.put:
 			return !answered || a.Version == now, now
@@ -125,9 +125,9 @@
 				return true, now + 1
 			}
 			return true, now
-		case a.End == consensus.Taken:
+		case a.Outcome == consensus.PutCommitted:
 			return in.base == now && a.Version == now+1, now + 1
-		case a.End == consensus.Conflict:
+		case a.Outcome == consensus.PutConflict:
 			return in.base != now && a.Version == now, now
 		}
 		return false, now
--- a/internal/harness/ondemand.go
+++ b/internal/harness/ondemand.go
@@ -39,7 +39,7 @@
 		}
 	}
 	f := faultsOnDemand(os.Getenv(faultEnv))
-	f.Fleet, f.Zones = out, zoned
+	f.DisabledPolicyGuards, f.DisabledZoneGuards = out, zoned
 	return f
 }
 
@@ -56,9 +56,9 @@
 		}
 	}()
 	if kind == diskStalls || kind == diskFull {
-		return consensus.Faults{Disk: func(fs wal.FS) wal.FS { return failing{fs, kind, armed} }}
+		return consensus.Faults{WrapDisk: func(fs wal.FS) wal.FS { return failing{fs, kind, armed} }}
 	}
-	return consensus.Faults{Point: func(name string) {
+	return consensus.Faults{OnStep: func(name string) {
 		if name == kind && armed.Load() {
 			syscall.Kill(os.Getpid(), syscall.SIGKILL)
 			select {}
--- a/internal/harness/policy_crowd.go
+++ b/internal/harness/policy_crowd.go
@@ -78,14 +78,14 @@
 	if err != nil {
 		return err
 	}
-	rep.Add("crowd_nodes", "%d", is.In)
+	rep.Add("crowd_nodes", "%d", is.ActiveNodes)
 	rep.Add("crowd_askings_per_s", "%.0f", float64(m.asked.Load())/span.Seconds())
-	rep.Add("crowd_entries_per_s", "%.2f", float64(is.Beats-was.Beats)/span.Seconds())
-	rep.Add("crowd_kb_per_s", "%.1f", float64(is.Bytes-was.Bytes)/1024/span.Seconds())
+	rep.Add("crowd_entries_per_s", "%.2f", float64(is.Batches-was.Batches)/span.Seconds())
+	rep.Add("crowd_kb_per_s", "%.1f", float64(is.BatchBytes-was.BatchBytes)/1024/span.Seconds())
 	rep.Add("crowd_leader_cores", "%.2f", (after-cpu).Seconds()/span.Seconds())
 	rep.Add("crowd_lost", "%d", m.lost.Load())
-	if is.In != crowdNodes || m.lost.Load() > m.asked.Load()/100 {
-		rep.Break("a group asked by %d nodes has %d in, and %d of %d askings were lost", crowdNodes, is.In, m.lost.Load(),
+	if is.ActiveNodes != crowdNodes || m.lost.Load() > m.asked.Load()/100 {
+		rep.Break("a group asked by %d nodes has %d in, and %d of %d askings were lost", crowdNodes, is.ActiveNodes, m.lost.Load(),
 			m.asked.Load())
 		return nil
 	}
--- a/internal/harness/procs.go
+++ b/internal/harness/procs.go
@@ -322,10 +322,10 @@
 		for ctx.Err() == nil {
 			// The last ask goes on after the load's end, so that nothing is left open.
 			try, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
-			var a consensus.Answer
+			var a consensus.PutResult
 			_, err := l.c.call(try, http.MethodPut, l.c.procs[at%len(l.c.procs)].listen, "/v1/config", put, &a)
 			cancel()
-			if err != nil || a.End == "" {
+			if err != nil || a.Outcome == "" {
 				at++
 				time.Sleep(2 * time.Millisecond)
 				continue
@@ -335,10 +335,10 @@
 			l.mu.Lock()
 			l.puts++
 			l.times.RecordValue(now.Sub(asked).Microseconds())
-			switch a.End {
-			case consensus.Taken:
+			switch a.Outcome {
+			case consensus.PutCommitted:
 				l.taken[name] = a.Version
-			case consensus.Conflict:
+			case consensus.PutConflict:
 			default:
 				l.broken = fmt.Sprintf("%s was answered %+v", name, a)
 			}
@@ -509,7 +509,7 @@
 	if err != nil {
 		return err
 	}
-	kinds := append([]string{"", diskStalls, diskFull}, consensus.Points...)
+	kinds := append([]string{"", diskStalls, diskFull}, consensus.Steps...)
 	chance := rand.New(rand.NewSource(r.Seed))
 	gaps := hdrhistogram.New(1, 60_000, 3)
 	kindsDone := map[string]int{}
@@ -521,7 +521,7 @@
 		}
 		if err := c.await(ctx, func() error {
 			r, err := c.report(p)
-			if err == nil && r.Out {
+			if err == nil && r.OutOfContact {
 				err = errors.New("out of touch")
 			}
 			return err
@@ -587,7 +587,7 @@
 		}
 		if err := c.await(ctx, func() error { // back before the next is killed
 			r, err := c.report(p)
-			if err == nil && (r.Out || r.Role != "follower" && r.Role != "leader") {
+			if err == nil && (r.OutOfContact || r.Role != "follower" && r.Role != "leader") {
 				err = fmt.Errorf("%s is %s", p.name, r.Role)
 			}
 			return err
--- a/internal/harness/world.go
+++ b/internal/harness/world.go
@@ -172,13 +172,13 @@
 	return holds()
 }
 
-func (w *World) plan(h *host, found bool) consensus.Plan {
-	return consensus.Plan{Name: fmt.Sprint("i", w.lives), Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h",
+func (w *World) plan(h *host, found bool) consensus.Config {
+	return consensus.Config{Name: fmt.Sprint("i", w.lives), Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h",
 		h.n),
-		Found: found, Elect: electing, Snapshot: worldSnap, Without: w.without, Draw: w.net.Uint64,
+		FoundGroup: found, ElectionTicks: electing, SnapshotBytes: worldSnap, DisabledGuards: w.without, Random: w.net.Uint64,
 		Sizes: wal.Sizes{Segment: worldSegment, Bound: worldBound}, Logger: quiet{},
-		Point: func(name string) {
-			if name == consensus.AtSend {
+		OnStep: func(name string) {
+			if name == consensus.StepSend {
 				w.hold(h)
 			}
 		}}
@@ -248,7 +248,7 @@
 					to = m.ID
 				}
 			}
-			reason, err = p[0].rep.Meet(p[1].rep.Hello(to))
+			reason, err = p[0].rep.Handshake(p[1].rep.HelloTo(to))
 			return err
 		})
 		if p[0].rep == nil {
@@ -256,7 +256,7 @@
 		}
 		if reason != "" {
 			ok = false
-			if consensus.Ends(reason) {
+			if consensus.BarsInstance(reason) {
 				w.say("host %d told by %d: %s", p[1].n, p[0].n, reason)
 				w.do(p[1], func() error { return p[1].rep.Bar(reason) })
 				if p[1].rep == nil {
@@ -329,7 +329,7 @@
 	if h.rep == nil || w.Broken != "" {
 		return
 	}
-	var out consensus.Outcome
+	var out consensus.WorkResult
 	life := h.life
 	w.do(h, func() (err error) {
 		out, err = h.rep.Work(func(ms []*pb.Message) { w.send(h, life, ms) })
@@ -339,25 +339,25 @@
 		return
 	}
 	w.check(h)
-	for _, r := range out.Results {
+	for _, r := range out.Puts {
 		if c := h.puts[r.Session]; c != nil && c.put.Seq == r.Seq {
 			delete(h.puts, r.Session)
-			w.answer(c, r.Answer)
+			w.answer(c, r.Result)
 		}
 	}
 	for _, id := range out.Reads {
 		if c := h.reads[id]; c != nil {
 			delete(h.reads, id)
-			lines, first := h.rep.Lines()
-			w.answer(c, consensus.Answer{Version: first + uint64(len(lines)) - 1})
+			lines, first := h.rep.Versions()
+			w.answer(c, consensus.PutResult{Version: first + uint64(len(lines)) - 1})
 		}
 	}
 	w.do(h, func() error {
-		s, err := h.rep.Due()
+		s, err := h.rep.SnapshotIfDue()
 		if s == nil || err != nil {
 			return err
 		}
-		return h.rep.Saved(s, s.Write())
+		return h.rep.SnapshotWritten(s, s.Write())
 	})
 }
 
@@ -380,7 +380,7 @@
 		if snap {
 			w.after(2*w.slow, func() {
 				if h.rep != nil && h.life == life {
-					h.rep.Snapped(to, true)
+					h.rep.ReportSnapshot(to, true)
 					w.work(h)
 				}
 			})
@@ -487,14 +487,14 @@
 	if h.rep == nil {
 		return
 	}
-	first, last := h.rep.Span()
+	first, last := h.rep.LogBounds()
 	h.base = first - 1
 	from := first
 	if h.seen > from {
 		from = h.seen
 	}
 	for i := from; i <= last; i++ {
-		term, data := h.rep.TermOf(i)
+		term, data := h.rep.EntryAt(i)
 		h.held[i] = term
 		sum := crc32.ChecksumIEEE(data)
 		if was, ok := w.texts[spot{i, term}]; ok && was != sum {
@@ -519,7 +519,7 @@
 		} else if !ok {
 			w.leaders[s.Term] = h.id
 			w.say("host %d leads term %d", h.n, s.Term)
-			for i := s.First; i <= s.Last || w.committed[i] > 0; i++ {
+			for i := s.FirstIndex; i <= s.LastIndex || w.committed[i] > 0; i++ {
 				if term := w.committed[i]; w.during[i] < s.Term && term > 0 && !h.holds(spot{i, term}) {
 					w.fail("leader completeness: host %d leads term %d without entry %d of term %d", h.n, s.Term, i,
 						term)
@@ -530,8 +530,8 @@
 	if s.Applied == h.seen {
 		return
 	}
-	for i := max(h.seen+1, s.First); i <= min(s.Applied, s.Last); i++ {
-		term, _ := h.rep.TermOf(i)
+	for i := max(h.seen+1, s.FirstIndex); i <= min(s.Applied, s.LastIndex); i++ {
+		term, _ := h.rep.EntryAt(i)
 		if was, ok := w.committed[i]; ok && was != term {
 			w.fail("state machine safety: entry %d was applied with term %d and with %d", i, was, term)
 		}
@@ -545,7 +545,7 @@
 }
 
 func (w *World) checkState(h *host, s consensus.Status) {
-	lines, first := h.rep.Lines()
+	lines, first := h.rep.Versions()
 	now, outgoing := h.rep.Voters()
 	last := ""
 	if len(lines) > 0 {
@@ -621,7 +621,7 @@
 		if h.rep == nil {
 			return false
 		}
-		lines, first := h.rep.Lines()
+		lines, first := h.rep.Versions()
 		got := append([]byte(fmt.Sprint(first)), bytes.Join(lines, nil)...)
 		if i > 0 && !bytes.Equal(got, want) {
 			return false
--- a/internal/harness/zones_bench.go
+++ b/internal/harness/zones_bench.go
@@ -53,7 +53,7 @@
 	if _, err := b.ask(http.MethodGet, "/v1/zones", nil, &v); err != nil {
 		return nil, err
 	}
-	if !v.Leads {
+	if !v.IsLeader {
 		return nil, errors.New("no leader answered")
 	}
 	for i := range v.Zones {
@@ -76,8 +76,8 @@
 			}
 		}
 		note := ""
-		if v.Seen != nil {
-			note = fmt.Sprintf("; %+v", *v.Seen)
+		if v.Evidence != nil {
+			note = fmt.Sprintf("; %+v", *v.Evidence)
 		}
 		return fmt.Errorf("zone %s is %s at %d (%s)%s, expected %v", name, v.Phase, v.Share, v.Cause, note, steps)
 	})
@@ -197,8 +197,8 @@
 			switch {
 			case err != nil:
 				return err
-			case v.Capacity.RunRate == 0 || v.Seen != nil && v.Capacity.RunRate < 0.7*v.Seen.RunRate || v.Seen == nil || v.Seen.NodesUnhealthy > 0 || v.Seen.FailureScore > 0 || v.Phase != zones.InService:
-				return fmt.Errorf("zone %s is %s, bore %.0f runs a second: %+v", z, v.Phase, v.Capacity.RunRate, v.Seen)
+			case v.Capacity.RunRate == 0 || v.Evidence != nil && v.Capacity.RunRate < 0.7*v.Evidence.RunRate || v.Evidence == nil || v.Evidence.NodesUnhealthy > 0 || v.Evidence.FailureScore > 0 || v.Phase != zones.InService:
+				return fmt.Errorf("zone %s is %s, bore %.0f runs a second: %+v", z, v.Phase, v.Capacity.RunRate, v.Evidence)
 			}
 			return nil
 		}); err != nil {
