--- a/admission/arrivals.go
+++ b/admission/arrivals.go
@@ -1,15 +1,16 @@
 package admission
 
 const (
-	// Queueing before the read is judged over one second: long enough for a mean, short beside every objective.
+	// unreadBuckets and unreadStep: the wait before the read is judged over one second, long enough for a mean and
+	// short beside every latency objective.
 	unreadBuckets = 4
 	unreadStep    = Second / 4
-	// Sheds and retries are judged over four seconds: dozens of requests at a server's rate, and shorter than a
-	// retry storm.
+	// retryBuckets and retryStep: sheds and retries are judged over four seconds, dozens of requests at a server's
+	// rate, and shorter than a retry storm.
 	retryBuckets = 8
 	retryStep    = Second / 2
-	// returnTime is how recently a caller must have come to count as returning: past the pause between the requests
-	// of a busy caller, short of the idle time that it is weighed against.
+	// returnTime is how recently a caller must have come to count as returning: past the pause between the requests of
+	// a busy caller, short of the idle time that it is weighed against.
 	returnTime    = 8 * Second
 	returnBuckets = 8
 	returnStep    = Second
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -1,38 +1,48 @@
 package admission
 
 const (
-	// The pace aims at half of the allowance: calls come in bunches and some take longer, and the mean must hold.
-	aimedAllowanceDivisor = 2 // the allowance over it
-	// Never is more than this share of the allowance in flight, so that no mean over time can come to the whole of it.
+	// aimedAllowanceDivisor: the pace aims at the allowance over it in flight, half. Calls come in bursts and some take
+	// longer: closer to the whole the mean may exceed the allowance, further from it the dependency idles.
+	aimedAllowanceDivisor = 2
+	// peakAllowanceFraction is the part of the allowance that is in flight at the most, at any moment, so that no mean
+	// over time can come to the whole of it.
 	peakAllowanceFraction = 0.9
-	// Where the allowance is under one call, a call is made only while the mean is under half of what may be in flight,
-	// so that it has time to end before the mean is used up.
-	meanAllowanceDivisor = 2 // what may be in flight over it
-	// savedCalls is how many unused turns of the pace are saved up, so that calls which come in a bunch need not wait.
+	// meanAllowanceDivisor: under an allowance of one, a call is made only while the mean in flight is under the peak
+	// over it, half, so that the call has time to end before the mean is used up.
+	meanAllowanceDivisor = 2
+	// savedCalls is the unused turns of the pace that are saved up, in calls: calls that come in a burst need not wait.
+	// More would let a burst of them reach a dependency that has just recovered.
 	savedCalls = 4
-	// The pace to a tier that rejects is a quarter over what it let through, and two a second at the least, so that the
-	// pace can find its way back.
+	// probeFactor is the pace to a next tier that rejects, over what it lets through. Over one, so that the pace finds
+	// its way back; far over one, the tier spends itself on rejections.
 	probeFactor = 1.25
-	probeExtra  = 4 // calls in the window of two seconds
-	// A call is given up no sooner than after twice the usual time of one and a fifth of a second: slow is not lost.
+	// probeExtra is the calls in the window of two seconds that are made in any case: two a second still show when a
+	// tier that let nothing through has recovered.
+	probeExtra = 4
+	// patienceFactor and patienceExtra: a call is given up no sooner than after so many usual times of one and so long
+	// beside, since slow is not lost. More holds slots at a dependency that has stopped.
 	patienceFactor = 2
 	patienceExtra  = Second / 5
-	// A rejected call of a request that can go on without it is made again twice; one that may have been executed,
-	// of a request that can't, three times.
+	// maxRejectedCalls is the rejected attempts after which a request that can do without its call does. More holds its
+	// slot, fewer gives up what a short rejection would have left.
 	maxRejectedCalls = 2
-	maxCallAttempts  = 3
-	// The backoff between attempts doubles from two timer periods to 32, so that rejections don't become a storm.
+	// maxCallAttempts is the attempts after which a request fails whose calls were executed without a result.
+	maxCallAttempts = 3
+	// maxBackoffDoublings: the backoff between attempts doubles from two timer periods to 32, so that rejections don't
+	// become a storm; longer would outlast the latency objective.
 	maxBackoffDoublings = 5
 
-	// Calls are measured over two seconds in short steps: long enough for a mean at a few calls a second, short beside
-	// a fault of the dependency.
+	// callBuckets and callStep: calls are measured over two seconds, long enough for a mean at a few calls a second, in
+	// steps that are short beside a fault of the dependency.
 	callBuckets = 8
 	callStep    = Second / 4
-	// The mean of calls in flight is taken in tenths of the deployment's span, a second at the least.
+	// inFlightBuckets: the mean of calls in flight is taken in tenths of the deployment's averaging time. Fewer lets it
+	// run behind by more than a tenth.
 	inFlightBuckets = 10
-	// Abandoned calls are counted for their cancellation delay and up to a quarter more.
-	abandonedBuckets = 5
+	// abandonedSteps: abandoned calls are counted in quarters of their cancellation delay, and abandonedBuckets, one
+	// more, count each for the whole of it at the least.
 	abandonedSteps   = 4
+	abandonedBuckets = abandonedSteps + 1
 )
 
 // callPace decides when calls to the services below are made and how long each may last.
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -4,15 +4,15 @@
 
 const (
 	// ceilingFraction is the part of the runs that the server survives that may be in progress. The rest is margin:
-	// past what it survives a server doesn't recover by itself. More margin only matters where nearly all runs are at
-	// calls.
+	// past what it survives a server doesn't recover by itself. More margin idles cores only where nearly all runs
+	// are at calls.
 	ceilingFraction = 0.8
 	// idleDivisor: half of the idle cores are given out at each look, so that two looks at one reading don't give out
 	// more than there is.
 	idleDivisor = 2
-	// crowdedDivisor is by how much of the cores the runs that want them may exceed them before the limit falls: runs
-	// that begin and end together swing by that much.
-	crowdedDivisor = 2 // the cores over it
+	// crowdedDivisor: the limit falls while the runs that want cores exceed them by the cores over it, half as many
+	// again. Runs that begin and end together swing by that much.
+	crowdedDivisor = 2
 )
 
 // concurrencyLimit decides how many runs may be in progress.
--- a/admission/deadlines.go
+++ b/admission/deadlines.go
@@ -1,12 +1,12 @@
 package admission
 
 const (
-	// reviewsPerObjective: a moving bound is looked at this many times in a latency objective, so that a wait exceeds
-	// its bound by a small part of the objective and the timers stay few.
+	// reviewsPerObjective is how often a moving timeout is looked at in a latency objective: a wait then exceeds its
+	// timeout by a small part of the objective, and the timers stay few.
 	reviewsPerObjective = 16
-	// longCallQueueDivisor: while the queue of calls is longer than this part of the objective at their pace, calls
-	// that earn little are skipped early.
-	longCallQueueDivisor = 8 // the objective over it
+	// longCallQueueDivisor: calls that earn little are skipped early while the queue of calls takes longer than the
+	// objective over it, an eighth, at their pace.
+	longCallQueueDivisor = 8
 	// recordReview is how often a record is looked at that is kept without an entry.
 	recordReview = Second
 )
--- a/admission/overloadsignal.go
+++ b/admission/overloadsignal.go
@@ -3,18 +3,22 @@
 import "math"
 
 const (
-	// The pressure settles where half as many requests are queued as there are cores, or what is read had waited unread
-	// for a quarter of its objective: cores stay busy and waits stay short.
+	// settledQueue is the queued requests for each core at which the pressure settles: cores stay busy and waits short.
 	settledQueue = 0.5
-	unreadFactor = 2 // settledQueue over a quarter
-	// pressureSteps is the seconds from none to all at the fastest. Callers hear a value late and bear it for a second,
-	// so a faster pace has them come and go in waves, with idle cores between.
+	// unreadFactor weighs the time that requests wait unread, in objectives, as queued requests for each core: a
+	// quarter of an objective counts as a queue at which the pressure settles.
+	unreadFactor = 2
+	// pressureSteps is the seconds from no pressure to all at the fastest. Callers hear a value late and bear it for a
+	// second, so a faster pace has them come and go in waves, with idle cores between.
 	pressureSteps = 3.0
-	maxRise       = 1.0
-	maxFall       = 0.25 // it falls slower than it rises, lest what was kept away come back at once
+	// maxRise and maxFall bound the excess that the pressure follows. It falls slower than it rises, lest what was kept
+	// away come back at once.
+	maxRise = 1.0
+	maxFall = 0.25
 	// maxPressure leaves a tenth of the traffic, by which the server sees that it has room again.
 	maxPressure = 0.9
-	// creditFactor: as many queued as running, split over the callers, is a short queue and no idle slot.
+	// creditFactor is the requests in flight for each run of the limit that credits add up to: as many queued as
+	// running is a short queue and no idle slot.
 	creditFactor = 2
 	// reportedChange is the smallest change of the value that callers are told.
 	reportedChange = 0.01
--- a/admission/queuetimeout.go
+++ b/admission/queuetimeout.go
@@ -7,34 +7,38 @@
 )
 
 const (
-	// runTimeReserve is how many expected runs of a request are left over from its objective for its own run: somewhat
-	// more than one, since half of all runs take longer than the mean. More sheds what would have been in time,
-	// less admits what will be late.
+	// runTimeReserve is the expected runs of a request that its objective has to leave for its own run: somewhat more
+	// than one, since half of all runs take longer than usual. More sheds what would have been in time, less admits
+	// what will be late.
 	runTimeReserve = 1.3
-	// A request may wait for half its objective at the most, so that what starts has time to run, and for an eighth
-	// at the least, also if runs take longer than the objective: what shows recovery must be admitted.
-	longestTimeoutDivisor  = 2 // the objective over it
+	// longestTimeoutDivisor: a request waits for its objective over it at the most, half, so that what starts has time
+	// to run and to make its calls.
+	longestTimeoutDivisor = 2
+	// shortestTimeoutDivisor: it may wait for its objective over it at the least, an eighth, also if runs take longer
+	// than the objective: what shows recovery must be admitted.
 	shortestTimeoutDivisor = 8
-	// minValueFactor is the share of its bound that is left to what earns least while the queue is long. Not 0: a
+	// minValueFactor is the part of its timeout that is left to what earns least while the queue is long. Not 0: a
 	// lull of a few runs is still used, and its class is still measured.
 	minValueFactor = 0.1
-	// minQueuedToReorder is how many requests have to wait before bounds are shortened by value: with fewer, a request
-	// shed for another's sake could leave a core idle. Half the cores' number where that is more.
+	// minQueuedToReorder is the requests that have to be queued before timeouts are shortened by value; half the cores'
+	// number where that is more. With fewer, a request shed for another's sake could leave a core idle.
 	minQueuedToReorder = 2.0
-	// retryTimeoutDivisor shortens the wait of retries and hedged requests: their objective runs from the first
+	// retryTimeoutDivisor shortens the wait of retries and hedged requests. Their objective runs from the first
 	// attempt, so part of it is gone, and they take places from requests with more time.
 	retryTimeoutDivisor = 3.0
-	// worstClassFade is the lead over the worst class, in share served, over which the extra weight of the worst class
-	// fades out: 1/10. A step there would let two classes swap places at each look.
+	// worstClassFade: the extra weight of the worst class is gone at a lead of one over it in the share served, a
+	// tenth. A step there would let two classes swap places at each look.
 	worstClassFade = 10.0
-	// clearlyMore is by how much a utility has to exceed another to rank above it: measured work differs by a few
-	// per cent from look to look.
+	// clearlyMore is the factor by which a utility has to exceed another to rank above it: measured work differs by a
+	// few per cent from look to look.
 	clearlyMore = 1.05
 
-	// Five seconds of arrivals: some dozens at a server's rate, and shorter than a surge lasts.
+	// demandBuckets and demandStep: arrivals are counted over five seconds, some dozens at a server's rate, and shorter
+	// than a surge lasts.
 	demandBuckets = 10
 	demandStep    = Second / 2
-	// Eight seconds of responses, since the share served of a rare class is read from few.
+	// servedBuckets and servedStep: the share served is taken over eight seconds, since that of a rare class is read
+	// from few responses.
 	servedBuckets = 8
 	servedStep    = Second
 )
--- a/admission/readiness.go
+++ b/admission/readiness.go
@@ -1,23 +1,27 @@
 package admission
 
 const (
-	// Work counts as stalled when no run has moved for a second, four usual runs and half an objective: one heavy run
-	// on a core or two may take half an objective without anything being wrong. Shorter takes slow servers for
-	// stalled ones, longer keeps callers waiting on a server that does nothing.
-	stalledAfter            = Second
-	stalledRuns             = 4
-	stalledObjectiveDivisor = 2 // the objective over it
-	// Fewer than four runs on the cores may well all be heavy: what shows with four at once takes longer with fewer.
+	// stalledAfter is the shortest standstill of started work that counts as a stall. Shorter takes a pause of the disk
+	// for one, longer keeps callers waiting on a server that does nothing.
+	stalledAfter = Second
+	// stalledRuns is the standstill in usual runs, lest a class of long runs pass for a stall.
+	stalledRuns = 4
+	// stalledObjectiveDivisor: the standstill is a latency objective over it at the least, half of one. One heavy run
+	// on a core or two may take that long without anything being wrong.
+	stalledObjectiveDivisor = 2
+	// stalledFullPace is the runs on the cores from which the standstill counts in full. Fewer may well all be heavy:
+	// what shows with four at once takes longer to tell with fewer.
 	stalledFullPace = 4
-	// A server counts as overloaded while most of what it reads or finishes is too late to be of use, and no longer
-	// when little of it is. The distance keeps it from changing with each burst.
+	// overloadedFrom is the share of what is read or done too late, of all, from which a server is overloaded: most of
+	// what it does is of no use. Lower has a burst take it out of service.
 	overloadedFrom = 0.8
-	overloadedTo   = 0.2
-	// Lateness is judged over one second.
+	// overloadedTo is the share down to which it stays so. The distance keeps it from changing with each burst.
+	overloadedTo = 0.2
+	// lateBuckets and lateStep: lateness is judged over one second. Longer acts late, shorter on single requests.
 	lateBuckets = 4
 	lateStep    = Second / 4
-	// probeAfter is how long a server whose work was stalled has to be empty before it calls itself ready again: some
-	// health checks' time.
+	// probeAfter is how long nothing has to have come to a stalled server that is empty before it calls itself ready
+	// again: a few health checks' time, so that all callers have heard that it wasn't.
 	probeAfter = 2 * Second
 )
 
--- a/admission/rejection.go
+++ b/admission/rejection.go
@@ -1,14 +1,15 @@
 package admission
 
 const (
-	// A shed request is not to be tried elsewhere once it has waited a third of its objective: another queue would
-	// take the rest.
-	longDelayDivisor = 3 // the objective over it
-	// Nor if callers are told to keep more than half of what they have away: all servers hear the same.
+	// longDelayDivisor: a shed request is not to be tried elsewhere once it has waited for its objective over it, a
+	// third: another queue would take the rest.
+	longDelayDivisor = 3
+	// fullPressure is the share of traffic that callers are told to keep away from which the fleet is likely full: all
+	// servers hear the same demand.
 	fullPressure = 0.5
-	// Nor if the share shed here and that of retries come to this in the last four seconds: what is read has then
-	// mostly been shed elsewhere. Lower takes the way out from callers while other servers have room; higher has a
-	// full fleet read requests that it can't serve.
+	// fullFraction is the share shed here and that of retries, together, from which it is: what is read has then mostly
+	// been shed elsewhere. Lower takes the way out from callers while other servers have room, higher has a full
+	// fleet read requests that it can't serve.
 	fullFraction = 0.8
 )
 
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -126,7 +126,8 @@
 }
 func (s *scene) SkipCall(id uint32) { s.busy[id] = true; s.note("skip %d", id) }
 
-// An entry lasts past the window of an idempotency-keyed request, by what rounding to tenths of a ms may have taken off.
+// An entry lasts past the window of an idempotency-keyed request, by what rounding to tenths of a ms may have taken
+// off.
 func (s *scene) Remember(id uint32, span Time) {
 	it := &s.c.requests.at[s.c.requests.find(id)]
 	if h := &s.c.classes[it.class]; h.keyed && s.now+span < it.arrivedAt+h.idempotencyWindow+2 {
