--- a/internal/node/server/control.go
+++ b/internal/node/server/control.go
@@ -56,7 +56,7 @@
 		return
 	}
 	c.reportOutstanding, c.delay = false, 0
-	if p.Status != 204 {
+	if p.Status != wire.StatusNoContent {
 		l.counters.ReportsLost++
 		l.logf("control plane answered %d", p.Status)
 	}
--- a/internal/node/server/counters.go
+++ b/internal/node/server/counters.go
@@ -32,10 +32,10 @@
 	runs, calls := 0, 0
 	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
 		r := l.requests.get(h)
-		if r.run == runRunning {
+		if r.isRunning() {
 			runs++
 		}
-		if r.callState != callNone {
+		if r.call != callNone {
 			calls++
 		}
 	}
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -56,7 +56,7 @@
 // runsInFlight counts the runs that the kernel carries out.
 func (l *loop) runsInFlight() (n int) {
 	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
-		if l.requests.get(h).run == runRunning {
+		if l.requests.get(h).isRunning() {
 			n++
 		}
 	}
@@ -77,13 +77,13 @@
 func (l *loop) rejectQueued() {
 	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
 		r := l.requests.get(h)
-		if r.answered || r.abandoned || r.run != runNotStarted || r.paused || r.keyed.isBeingRead() {
+		if !r.awaitsResponse() || r.run != runNotStarted || r.keyed.isBeingRead() {
 			continue
 		}
-		if e := l.idempotency.find(r.key); r.awaitsShared && e != nil && e.state == entryRunning {
+		if e := l.idempotency.find(r.key); r.shared == sharedAwaited && e != nil && e.state == entryRunning {
 			continue
 		}
-		r.awaitsShared = false
+		r.setShared(sharedNotAwaited)
 		l.nextRound().Disconnected = append(l.nextRound().Disconnected, uint32(h))
 		l.answer(h, r, wire.Response{Status: http.StatusServiceUnavailable,
 			RetryAfterMS: l.retryAfter(&l.fleet.spread, 0)})
--- a/internal/node/server/front.go
+++ b/internal/node/server/front.go
@@ -241,10 +241,9 @@
 	l.connections.drop(p.handle)
 	p.handle = 0
 	p.close()
-	if r := l.requests.get(open); r != nil && !r.answered {
-		r.abandoned = true
+	if r := l.requests.get(open); r != nil && !r.isAnswered() {
+		r.abandon()
 		l.trace(r, "gone")
-		r.awaitsShared = false
 		l.counters.Gone++
 		l.nextRound().Disconnected = append(l.nextRound().Disconnected, uint32(open))
 		l.maybeFinished = append(l.maybeFinished, open)
@@ -291,7 +290,7 @@
 	case path == healthPath && method == "GET":
 		l.checkHealth(c, &a)
 	case len(path) > len(handlerPrefix) && strings.HasPrefix(path, handlerPrefix) && method == "POST":
-		if a.Status = l.receiveRequest(c, m, path[len(handlerPrefix):], &a); a.Status != 400 {
+		if a.Status = l.receiveRequest(c, m, path[len(handlerPrefix):], &a); a.Status != wire.StatusBadRequest {
 			c.usage = usedForRequests
 		}
 		if a.Status == 0 {
@@ -301,7 +300,7 @@
 	default:
 		a.Status = l.badRequest("%s of path %q", method, path)
 	}
-	a.Close = a.Close || a.Status == 400
+	a.Close = a.Close || a.Status == wire.StatusBadRequest
 	m.release(&l.pool)
 	l.sendResponse(c, h, a)
 }
@@ -310,8 +309,8 @@
 func (l *loop) checkHealth(c *connection, a *wire.Response) {
 	l.counters.Checks++
 	c.usage = max(c.usage, usedForChecks)
-	if a.Status = 200; !l.ready {
-		a.Status = 503
+	if a.Status = wire.StatusOK; !l.ready {
+		a.Status = wire.StatusServiceUnavailable
 	}
 	a.Body = l.results.healthBody()
 }
@@ -320,7 +319,7 @@
 func (l *loop) unreadableResponse(err error) wire.Response {
 	if errors.Is(err, errNoBuffer) { // its sender has done nothing wrong
 		l.counters.Shed++
-		a := wire.Response{Status: 503, Close: true}
+		a := wire.Response{Status: wire.StatusServiceUnavailable, Close: true}
 		l.addRetryAfter(&a)
 		return a
 	}
@@ -330,7 +329,7 @@
 // addRetryAfter gives a refusal that the module was not asked about a time to come back, where the settings allow
 // one.
 func (l *loop) addRetryAfter(a *wire.Response) {
-	if a.Status == 503 && a.RetryAfterMS == 0 {
+	if a.Status == wire.StatusServiceUnavailable && a.RetryAfterMS == 0 {
 		a.RetryAfterMS = l.retryAfter(&l.refusals, 0)
 	}
 }
--- a/internal/node/server/kernel.go
+++ b/internal/node/server/kernel.go
@@ -77,7 +77,8 @@
 
 func (l *loop) sendResume(r *request) {
 	l.scratch = wire.AppendKernelCommand(l.scratch[:0], wire.KernelResume, r.id)
-	r.runCommand, r.resumed, r.paused = l.sendToKernel(), true, false
+	r.runCommand, r.resumed = l.sendToKernel(), true
+	r.setRun(runRunning)
 }
 
 func (l *loop) sendCallReply(r *request, reply []byte) {
@@ -138,7 +139,7 @@
 	case wire.KernelInvalid:
 		l.counters.Refused++
 		l.logf("kernel did not carry out %q for %q", n.Outcome, n.RunID)
-		if h, r := l.findRequest(n.RunID); r != nil && string(n.Outcome) == wire.KernelRun && r.run == runRunning {
+		if h, r := l.findRequest(n.RunID); r != nil && string(n.Outcome) == wire.KernelRun && r.isRunning() {
 			// It never ran and never will, as it is no req that the kernel knows of: nobody else can answer it,
 			// and whoever sent it is not listened to any more.
 			r.closeAfter = true
@@ -162,7 +163,7 @@
 	}
 	k.lastSequence, k.noEventYet = n.Sequence, false
 	h, r := l.findRequest(n.RunID)
-	if r == nil || r.run != runRunning {
+	if r == nil || !r.isRunning() {
 		return
 	}
 	r.runCommand, r.callResultCommand, r.stopCommand = 0, 0, 0 // it was read, or what it asked for is past
@@ -255,7 +256,7 @@
 	k.state = kernelLive
 	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
 		r := l.requests.get(h)
-		if r.run != runRunning {
+		if !r.isRunning() {
 			continue
 		}
 		sched, goes, halt := r.runCommand > k.acked, r.callResultCommand > k.acked, r.stopCommand > k.acked
--- /dev/null
+++ b/internal/node/server/lifecycle.go
@@ -0,0 +1,177 @@
+package server
+
+import "umberwinch/admission"
+
+// lifecycle says how far a request has come. It is four state machines side by side, as a run and its calls go on after
+// the client has its response or is gone:
+//
+//	response  pending -> sent | clientGone -> discarded
+//	run       notStarted -> running <-> pausing -> stopped -> running; running -> finished
+//	call      none -> queued -> sent -> none
+//	shared    not -> awaited -> not
+//
+// Where they have to agree is said once, in isOver. Each state changes by the methods of this file alone, and each
+// change is looked up in a table of those that are allowed. One that isn't is carried out all the same, as a request
+// must get its response, and reported to onWrongTransition: tests fail by it.
+type lifecycle struct {
+	response responseState
+	run      runState
+	call     callState
+	shared   sharedState
+}
+
+// responseState is what has become of the one response that a request gets.
+type responseState uint8
+
+const (
+	responsePending   responseState = iota
+	responseSent                    // handed to the connection
+	clientGone                      // the connection ended before
+	responseDiscarded               // the client was gone when the response was there
+	responseStates
+)
+
+// runState is where the run stands that the kernel carries out, as far as the loop knows.
+type runState uint8
+
+const (
+	runNotStarted runState = iota
+	runRunning
+	runPausing  // told to stop so that it runs on later; the kernel has not said yet that it did
+	runStopped  // ended while pausing: the controller may run it again
+	runFinished // ended for good
+	runStates
+)
+
+// callState is where the call to the store stands that a run waits for.
+type callState uint8
+
+const (
+	callNone   callState = iota
+	callQueued           // waits for its connection to open
+	callSent
+	callStates
+)
+
+// sharedState tells whether a request waits for the result of the one that it repeats.
+type sharedState uint8
+
+const (
+	sharedNotAwaited sharedState = iota
+	sharedAwaited
+	sharedStates
+)
+
+// The allowed transitions: from the first index to the second.
+var (
+	responseTransitions = [responseStates][responseStates]bool{
+		responsePending: {responseSent: true, clientGone: true},
+		clientGone:      {responseDiscarded: true},
+	}
+	runTransitions = [runStates][runStates]bool{
+		runNotStarted: {runRunning: true},
+		runRunning:    {runRunning: true, runPausing: true, runFinished: true}, // to itself: resumed anew over another link
+		runPausing:    {runRunning: true, runPausing: true, runStopped: true},
+		runStopped:    {runRunning: true},
+	}
+	callTransitions = [callStates][callStates]bool{
+		callNone:   {callNone: true, callQueued: true}, // to itself: the end of a call that there is none of
+		callQueued: {callNone: true, callSent: true},
+		callSent:   {callNone: true},
+	}
+	sharedTransitions = [sharedStates][sharedStates]bool{
+		sharedNotAwaited: {sharedNotAwaited: true, sharedAwaited: true},
+		sharedAwaited:    {sharedNotAwaited: true},
+	}
+)
+
+// onWrongTransition hears of each change of state that is not allowed. In service nothing is done about it.
+var onWrongTransition = func(machine string, from, to uint8) {}
+
+func (s *lifecycle) setResponse(to responseState) {
+	if !responseTransitions[s.response][to] {
+		onWrongTransition("response", uint8(s.response), uint8(to))
+	}
+	s.response = to
+}
+
+func (s *lifecycle) setRun(to runState) {
+	if !runTransitions[s.run][to] {
+		onWrongTransition("run", uint8(s.run), uint8(to))
+	}
+	s.run = to
+}
+
+func (s *lifecycle) setCall(to callState) {
+	if !callTransitions[s.call][to] {
+		onWrongTransition("call", uint8(s.call), uint8(to))
+	}
+	s.call = to
+}
+
+func (s *lifecycle) setShared(to sharedState) {
+	if !sharedTransitions[s.shared][to] {
+		onWrongTransition("shared", uint8(s.shared), uint8(to))
+	}
+	s.shared = to
+}
+
+// isAnswered tells whether the request had its response, which nobody may have read.
+func (s *lifecycle) isAnswered() bool {
+	return s.response == responseSent || s.response == responseDiscarded
+}
+
+// isAbandoned tells whether the client was gone before the response.
+func (s *lifecycle) isAbandoned() bool {
+	return s.response == clientGone || s.response == responseDiscarded
+}
+
+// awaitsResponse tells whether a client waits for the response.
+func (s *lifecycle) awaitsResponse() bool { return s.response == responsePending }
+
+// isRunning tells whether the kernel carries the run out, or is to be told so.
+func (s *lifecycle) isRunning() bool { return s.run == runRunning || s.run == runPausing }
+
+// isPaused tells whether the run was told to stop and not to go on yet.
+func (s *lifecycle) isPaused() bool { return s.run == runPausing || s.run == runStopped }
+
+// mayStart tells whether the controller may have the request run, for the first time or again.
+func (s *lifecycle) mayStart() bool { return s.run == runNotStarted || s.isPaused() }
+
+// isOver tells whether nothing of the request is left to come, so that its slot can be used again.
+func (s *lifecycle) isOver() bool {
+	return s.response != responsePending && !s.isRunning() && s.shared == sharedNotAwaited
+}
+
+// respond notes that the response is there; it tells whether the client is there to have it.
+func (s *lifecycle) respond() (hasClient bool) {
+	if s.isAbandoned() {
+		s.setResponse(responseDiscarded)
+		return false
+	}
+	s.setResponse(responseSent)
+	return true
+}
+
+// abandon notes that the client is gone; it takes no other request's result any more.
+func (s *lifecycle) abandon() {
+	s.setResponse(clientGone)
+	s.setShared(sharedNotAwaited)
+}
+
+// pause notes that the run is told to stop so that it can go on later.
+func (s *lifecycle) pause() { s.setRun(runPausing) }
+
+// endRun notes the end of the run. One that was pausing may be run again.
+func (s *lifecycle) endRun() {
+	if s.isPaused() {
+		s.setRun(runStopped)
+		return
+	}
+	s.setRun(runFinished)
+}
+
+// runOutcomeAnswers tells whether the end of a run is a response: that it was stopped by a pause is none.
+func (s *lifecycle) runOutcomeAnswers(outcome admission.Outcome) bool {
+	return outcome != admission.Stopped || !s.isPaused()
+}
--- /dev/null
+++ b/internal/node/server/lifecycle_test.go
@@ -0,0 +1,73 @@
+package server
+
+import (
+	"fmt"
+	"testing"
+)
+
+// A transition that is not in the tables means that the loop has lost track of a request: in service it is carried
+// out, and in tests it ends the program, in whatever test it comes up.
+func init() {
+	onWrongTransition = func(machine string, from, to uint8) {
+		panic(fmt.Sprintf("%s goes from %d to %d, which is not allowed", machine, from, to))
+	}
+}
+
+func wrongTransition(change func()) (wrong bool) {
+	defer func() { wrong = recover() != nil }()
+	change()
+	return false
+}
+
+// A request that gets two responses would have a client take the second for that of its next request.
+func TestASecondResponseIsAWrongTransition(t *testing.T) {
+	s := lifecycle{}
+	if !s.respond() || !s.isAnswered() || !wrongTransition(func() { s.respond() }) {
+		t.Errorf("a second response passes: %+v", s)
+	}
+	s = lifecycle{}
+	s.abandon()
+	if s.isAnswered() || s.respond() || !s.isAnswered() || !s.isAbandoned() {
+		t.Errorf("a response without a client: %+v", s)
+	}
+	if !wrongTransition(func() { s.respond() }) || !wrongTransition(func() { s.abandon() }) {
+		t.Errorf("a discarded response is given again: %+v", s)
+	}
+}
+
+// A run that has ended and goes on again would run what its client was told the end of. Only one that was stopped by
+// a pause may.
+func TestOnlyAPausedRunStartsAgain(t *testing.T) {
+	s := lifecycle{}
+	if !wrongTransition(s.endRun) {
+		t.Error("a run ends before it begins")
+	}
+	s = lifecycle{}
+	s.setRun(runRunning)
+	s.endRun()
+	if s.run != runFinished || s.mayStart() || !wrongTransition(func() { s.setRun(runRunning) }) {
+		t.Errorf("a finished run starts again: %+v", s)
+	}
+	s = lifecycle{}
+	s.setRun(runRunning)
+	s.pause()
+	s.endRun()
+	if s.run != runStopped || !s.mayStart() || wrongTransition(func() { s.setRun(runRunning) }) {
+		t.Errorf("a run that was stopped by a pause: %+v", s)
+	}
+}
+
+// The slot of a request must not be used again while its run or a result that it waits for is still to come.
+func TestARequestIsOverOnceNothingIsLeftToCome(t *testing.T) {
+	for response := range responseStates {
+		for run := range runStates {
+			for shared := range sharedStates {
+				s := lifecycle{response: response, run: run, shared: shared}
+				want := response != responsePending && run != runRunning && run != runPausing && shared != sharedAwaited
+				if s.isOver() != want {
+					t.Errorf("%+v: over %v", s, s.isOver())
+				}
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/server/request_arrival.go
@@ -0,0 +1,259 @@
+package server
+
+import (
+	"cmp"
+	"crypto/sha256"
+	"fmt"
+	"net/url"
+	"slices"
+
+	"umberwinch/admission"
+	"umberwinch/internal/node/wire"
+)
+
+// rejection is why a request never reaches the controller.
+type rejection uint8
+
+const (
+	notRejected rejection = iota
+	unknownHandler
+	fieldMissing
+	stampTooFarOff
+	unknownTenant
+	kernelNotUp
+	rejectedByFleet
+	idempotencyTableFull
+	mayHaveRunBefore
+	requestTableFull
+	rejections
+)
+
+// rejectionStatuses are the statuses that rejections are answered with. 400 is the client's mistake; after 503 another
+// server may have the request, as nothing of it ran; after 500 none may.
+var rejectionStatuses = [rejections]int{
+	unknownHandler:       wire.StatusBadRequest,
+	fieldMissing:         wire.StatusBadRequest,
+	stampTooFarOff:       wire.StatusBadRequest,
+	unknownTenant:        wire.StatusBadRequest,
+	kernelNotUp:          wire.StatusServiceUnavailable,
+	rejectedByFleet:      wire.StatusServiceUnavailable,
+	idempotencyTableFull: wire.StatusServiceUnavailable,
+	mayHaveRunBefore:     wire.StatusInternalServerError,
+	requestTableFull:     wire.StatusServiceUnavailable,
+}
+
+// arrivingRequest is a request that was read and is being checked.
+type arrivingRequest struct {
+	*wire.Request
+	handlerName  string
+	handler      int // index in the settings
+	knownHandler bool
+	tenant       int // index in the settings
+	knownTenant  bool
+	// The times between which it reached the machine; they differ where the wall clock was stepped.
+	earliest, latest admission.Time
+	knownTime        bool
+	key              string // shared with its repeats
+}
+
+// receiveRequest has the controller hear of a request that was read. A status other than 0 says that it is answered
+// without: response then has what goes with it.
+func (l *loop) receiveRequest(c *connection, e *requestRead, handlerName string, response *wire.Response) (status int) {
+	a := l.identify(&e.request, handlerName)
+	if why := l.checkRequest(&a, response); why != notRejected {
+		l.logBadRequest(&a, why)
+		return rejectionStatuses[why]
+	}
+	l.forgetAbandoned(a.ID)
+	h, r, ok := l.requests.take()
+	if !ok {
+		return rejectionStatuses[requestTableFull]
+	}
+	l.fillRequest(r, e, &a)
+	c.current = h
+	l.byRequestID[r.id] = h
+	l.counters.Reqs++
+	if a.IsRetry {
+		l.counters.Again++
+	}
+	l.trace(r, "came %.1f ms ago, handler %s, sender %d, again %v", milliseconds(l.now-a.latest), handlerName, a.Caller,
+		a.IsRetry)
+	l.fleet.requestAdmitted(a.handler, a.IsRetry)
+	l.submitOrIntercept(h, r, &a)
+	return 0
+}
+
+// identify looks up what a request names.
+func (l *loop) identify(q *wire.Request, handlerName string) arrivingRequest {
+	a := arrivingRequest{Request: q, handlerName: handlerName}
+	a.handler, a.knownHandler = l.handlerNamed(handlerName)
+	a.tenant, a.knownTenant = l.settings.TenantIndex[string(q.Tenant)]
+	a.earliest, a.latest, a.knownTime = l.placeStamp(q.ReceivedAtMS)
+	return a
+}
+
+// checkRequest tells why a request does not reach the controller, by the first check that it fails. The checks that
+// count what they reject, and those that change what is kept of other requests, come after those on the request itself.
+func (l *loop) checkRequest(a *arrivingRequest, response *wire.Response) rejection {
+	switch {
+	case !a.knownHandler:
+		return unknownHandler
+	case l.missesField(a):
+		return fieldMissing
+	case !a.knownTime:
+		return stampTooFarOff
+	case len(a.Tenant) > 0 && !a.knownTenant && len(l.settings.TenantIndex) > 0:
+		return unknownTenant
+	case l.controller == nil:
+		return kernelNotUp // nothing can run
+	}
+	a.key = l.repeatKey(a.handler, a.Request)
+	switch {
+	case l.fleet.rejection(a.handler, a.Request, a.key, response) != 0:
+		return rejectedByFleet
+	case l.hasIdempotencyKey(a.handler) && l.idempotency.full(l.limits.EventsPerRound) && l.idempotency.find(a.key) == nil:
+		return idempotencyTableFull // it could not be told from its repeats
+	case l.mayHaveRun(a.ID):
+		return mayHaveRunBefore
+	}
+	return notRejected
+}
+
+func (l *loop) missesField(a *arrivingRequest) bool {
+	return a.ID == nil || a.ReceivedAtMS == 0 || !a.HasCaller || a.FootprintKB == 0 ||
+		l.hasIdempotencyKey(a.handler) && len(a.IdempotencyKey) == 0
+}
+
+func (l *loop) hasIdempotencyKey(handler int) bool {
+	return l.settings.Deployment.Handlers[handler].RetrySafety == admission.IdempotencyKeyed
+}
+
+// mayHaveRun tells whether a request with this id is in hand: the same attempt comes again, and the first may have run.
+func (l *loop) mayHaveRun(id []byte) bool {
+	_, old := l.findRequest(id)
+	return old != nil && !(old.isAbandoned() && old.run == runNotStarted)
+}
+
+// forgetAbandoned lets a request of the same id, whose client is gone and which never ran, make room for the one that
+// comes now.
+func (l *loop) forgetAbandoned(id []byte) {
+	if h, old := l.findRequest(id); old != nil {
+		delete(l.byRequestID, old.id)
+		l.maybeFinished = append(l.maybeFinished, h)
+	}
+}
+
+// logBadRequest counts and logs a request that is its client's mistake.
+func (l *loop) logBadRequest(a *arrivingRequest, why rejection) {
+	switch why {
+	case unknownHandler:
+		l.badRequest("handler %q, expected one of the settings", a.handlerName)
+	case fieldMissing:
+		l.badRequest("a field of the request is missing")
+	case stampTooFarOff:
+		l.badRequest("received at %d, which is too far from now", a.ReceivedAtMS)
+	case unknownTenant:
+		l.badRequest("tenant %q, expected one of the settings", a.Tenant)
+	}
+}
+
+func (l *loop) fillRequest(r *request, e *requestRead, a *arrivingRequest) {
+	*r = request{id: string(a.ID), connection: e.peer.handle, closeAfter: a.Close, handler: a.handler, buf: e.buffer,
+		body: a.Body, key: a.key, earliestArrival: a.earliest, arrival: a.latest, deadline: l.statedDeadline(a)}
+	if r.deadline == 0 {
+		r.deadline = a.latest + l.settings.Deployment.Handlers[a.handler].Timeout
+	}
+	if l.results != nil && l.hasIdempotencyKey(a.handler) {
+		r.keyed = newKeyedRequest(l.names[a.handler], a.Tenant, a.IdempotencyKey, a.Body)
+	}
+}
+
+// statedDeadline is the deadline that the controller is told; 0 leaves it to the handler's timeout. Where the wall
+// clock was stepped and two times of arrival are possible, the earlier one counts for the deadline and for whom the
+// request repeats, the later one for how long its key is kept and for the grace of a drain.
+func (l *loop) statedDeadline(a *arrivingRequest) admission.Time {
+	switch {
+	case a.HasTimeout:
+		return a.earliest + admission.Time(a.TimeoutMS*unitsPerMS)
+	case a.earliest != a.latest:
+		return a.earliest + l.settings.Deployment.Handlers[a.handler].Timeout
+	}
+	return 0
+}
+
+// submitOrIntercept has the controller hear of a request, unless the result keeper answers it or holds it back.
+func (l *loop) submitOrIntercept(h handle, r *request, a *arrivingRequest) {
+	submission := admission.Request{ID: uint32(h), Handler: a.handler, Tenant: a.tenant, ArrivedAt: a.latest,
+		Deadline: l.statedDeadline(a), ExpectedWork: admission.Time(a.ExpectedWorkMS * unitsPerMS),
+		SizeKB: a.FootprintKB, IsRetry: a.IsRetry, Caller: a.Caller}
+	if r.keyed != nil {
+		r.keyed.submission = submission
+		if l.results.intercept(h, r) {
+			return
+		}
+	}
+	l.submit(&submission)
+}
+
+// handlerNamed finds the handler that a path names, which may be percent-encoded.
+func (l *loop) handlerNamed(name string) (index int, known bool) {
+	if index, known = l.settings.HandlerIndex[name]; known {
+		return index, true
+	}
+	if plain, err := url.PathUnescape(name); err == nil {
+		index, known = l.settings.HandlerIndex[plain]
+	}
+	return index, known
+}
+
+// repeatKey names what one request shares with its repeats; empty if it has none. The handler's number and the
+// length of the tenant's name stand before the texts. Guards against two requests of different handlers or
+// tenants whose texts run into the same name, so that one's result would be the other's answer.
+func (l *loop) repeatKey(handler int, q *wire.Request) string {
+	d := l.settings.Deployment
+	name := fmt.Appendf(nil, "%d/%d/%s/", handler, len(q.Tenant), q.Tenant)
+	switch {
+	case d.Handlers[handler].RetrySafety == admission.IdempotencyKeyed:
+		// Guards against a key that comes with another body: it is another request, whose run the kernel refuses,
+		// and must neither be answered with the true one's result nor stand in its way, whichever comes first.
+		sum := sha256.Sum256(q.Body)
+		name = append(name, q.IdempotencyKey...)
+		return string(append(name, sum[:16]...))
+	case d.Handlers[handler].RetrySafety == admission.Retryable && d.ResponseReuseTime > 0 && len(q.ResourceKey) > 0:
+		return string(append(name, q.ResourceKey...))
+	}
+	return ""
+}
+
+// submit has the controller hear of a request in the next round.
+func (l *loop) submit(q *admission.Request) {
+	l.nextRound().Arrived = append(l.nextRound().Arrived, *q)
+	l.fleet.requestSubmitted(l.now, q)
+}
+
+// badRequest counts and logs what is no request for this server; the controller never hears of it.
+func (l *loop) badRequest(format string, args ...any) int {
+	l.counters.Bad++
+	l.logf("bad request: "+format, args...)
+	return wire.StatusBadRequest
+}
+
+// orderArrivals puts the requests of a round in the order in which they reached the machine, as callbacks hand over in
+// any order what came at once, and says whom each repeats. Guards against two attempts of one key that are read in one
+// round, as after the machine stood still: neither is in the idempotency table yet, and both would run.
+func (l *loop) orderArrivals(all []admission.Request) {
+	slices.SortStableFunc(all, func(a, b admission.Request) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
+	for i := range all {
+		q := &all[i]
+		key := l.requests.get(handle(q.ID)).key
+		if key == "" {
+			continue
+		}
+		q.PreviousID = l.idempotency.previous(key, l.requests.get(handle(q.ID)).earliestArrival)
+		for k := 0; k < i && q.PreviousID == 0; k++ {
+			if l.requests.get(handle(all[k].ID)).key == key {
+				q.PreviousID = all[k].ID
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/server/response.go
@@ -0,0 +1,53 @@
+package server
+
+import (
+	"umberwinch/admission"
+	"umberwinch/internal/node/wire"
+)
+
+// answer gives a request its response, unless it has had one. Nothing goes out where the client is gone.
+func (l *loop) answer(h handle, r *request, a wire.Response) {
+	l.maybeFinished = append(l.maybeFinished, h)
+	if r.isAnswered() {
+		return
+	}
+	hasClient := r.respond()
+	l.trace(r, "answer %d, gone %v", a.Status, !hasClient)
+	if !hasClient {
+		return
+	}
+	l.fleet.requestAnswered(r.handler, a.Status,
+		l.now-r.arrival <= l.settings.Deployment.Handlers[r.handler].LatencyObjective)
+	if l.now > r.deadline {
+		l.counters.Late++
+	}
+	switch a.Status {
+	case wire.StatusOK:
+		l.counters.Done++
+	case wire.StatusServiceUnavailable:
+		l.counters.Shed++
+	default:
+		l.counters.Errored++
+	}
+	if c := l.connections.get(r.connection); c != nil && c.current == h {
+		a.Close = a.Close || r.closeAfter
+		l.sendResponse(c, r.connection, a)
+	}
+}
+
+// sharedResultReady ends a request that takes the result of the one that it repeats.
+func (l *loop) sharedResultReady(h handle, ok bool, result []byte) {
+	r := l.requests.get(h)
+	if r == nil || !r.awaitsResponse() {
+		return
+	}
+	r.setShared(sharedNotAwaited)
+	end := admission.RunEnd{ID: uint32(h), Outcome: admission.Failed}
+	a := wire.Response{Status: wire.StatusInternalServerError}
+	if ok {
+		end.Outcome, a = admission.Succeeded, wire.Response{Status: wire.StatusOK, Body: result}
+		l.counters.Shared++
+	}
+	l.nextRound().RunEnds = append(l.nextRound().RunEnds, end)
+	l.answer(h, r, a)
+}
--- a/internal/node/server/result_attempt.go
+++ b/internal/node/server/result_attempt.go
@@ -173,7 +173,7 @@
 		return
 	}
 	k.replayed++
-	if !r.answered && !r.abandoned {
+	if r.awaitsResponse() {
 		k.host.countShared()
 	}
 	k.host.answer(h, r, wire.Response{Status: http.StatusOK, Body: result})
@@ -183,7 +183,7 @@
 // controller's to answer: it has its slot.
 func (k *resultKeeper) answerLate(h handle) {
 	r := k.host.requestByHandle(h)
-	if r == nil || r.keyed == nil || r.answered || r.abandoned {
+	if r == nil || r.keyed == nil || !r.awaitsResponse() {
 		return
 	}
 	switch r.keyed.pending {
@@ -203,7 +203,7 @@
 		return
 	}
 	k.host.forEachRequest(func(h handle, r *request) {
-		if r.keyed != nil && r.keyed.pending != nothingPending && !r.answered {
+		if r.keyed != nil && r.keyed.pending != nothingPending && !r.isAnswered() {
 			k.host.setResultTimer(k.answerBy(r), h)
 		}
 	})
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -204,7 +204,7 @@
 	k.waiting = nil
 	for _, h := range waiting {
 		r := k.host.requestByHandle(h)
-		if r == nil || r.keyed == nil || r.keyed.pending != openingPending || r.answered || r.abandoned {
+		if r == nil || r.keyed == nil || r.keyed.pending != openingPending || !r.awaitsResponse() {
 			continue
 		}
 		r.keyed.pending = nothingPending
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -74,8 +74,9 @@
 // takes is a try that has its slot.
 func (l *loop) takes(key string) (handle, *request) {
 	h, r, _ := l.requests.take()
-	*r = request{keyed: newKeyedRequest("put", nil, []byte(key), []byte("body")), run: runRunning, arrival: l.now,
-		deadline: l.now + 2*admission.Second}
+	*r = request{keyed: newKeyedRequest("put", nil, []byte(key), []byte("body")), arrival: l.now,
+		lifecycle: lifecycle{run: runRunning},
+		deadline:  l.now + 2*admission.Second}
 	return h, r
 }
 
@@ -105,7 +106,7 @@
 	l.now += stallLimit + 1
 	l.results.updateMode()
 	h2, new := l.takes("b")
-	if l.results.intercept(h2, new); l.results.mode != modeStalled || !new.answered || l.counters.Shed != 1 {
+	if l.results.intercept(h2, new); l.results.mode != modeStalled || !new.isAnswered() || l.counters.Shed != 1 {
 		t.Errorf("%s, and a new key is not shed", l.results.mode)
 	}
 	l.Fail(uint32(h), admission.ReasonDeadline) // the module: its time is over
@@ -135,7 +136,7 @@
 	}
 	d.fails.Store(true)
 	l.runEnded(h, r, admission.Succeeded, 1, []byte("result"))
-	if r.answered {
+	if r.isAnswered() {
 		t.Fatal("answered before its result was durable")
 	}
 	l.hears(t)
@@ -184,7 +185,7 @@
 	l.results.drain()
 	l.now = l.answerBy - answerMargin
 	l.fireTimers()
-	if !r.answered || l.counters.Errored != 1 {
+	if !r.isAnswered() || l.counters.Errored != 1 {
 		t.Fatal("not answered before the kill")
 	}
 	close(d.gate)
@@ -206,35 +207,35 @@
 	k.index = nil
 	at := l.now
 	h, r := l.takes("a")
-	if !l.results.intercept(h, r) || r.keyed.pending != openingPending || r.answered {
+	if !l.results.intercept(h, r) || r.keyed.pending != openingPending || r.isAnswered() {
 		t.Fatal("it does not wait")
 	}
 	l.now = at + openingPatience - 1
 	l.fireTimers()
-	if r.answered {
+	if r.isAnswered() {
 		t.Fatal("answered too soon")
 	}
 	l.now = at + openingPatience
-	if l.fireTimers(); !r.answered || l.counters.Shed != 1 {
+	if l.fireTimers(); !r.isAnswered() || l.counters.Shed != 1 {
 		t.Fatal("it waits for too long")
 	}
 	h, r = l.takes("b")
 	r.keyed.submission.ID = uint32(h)
 	l.results.intercept(h, r)
 	l.results.opened(k.store, book, resultstore.Recovery{}, nil)
-	if in := l.nextRound().Arrived; len(in) != 1 || in[0].ID != uint32(h) || l.requests.get(h).answered {
+	if in := l.nextRound().Arrived; len(in) != 1 || in[0].ID != uint32(h) || l.requests.get(h).isAnswered() {
 		t.Errorf("%v came to the module, expected the one that waited", in)
 	}
 	k.index = nil
 	h, r = l.takes("c")
 	l.results.intercept(h, r)
 	l.results.opened(nil, nil, resultstore.Recovery{}, wal.ErrLocked)
-	if !l.requests.get(h).answered || l.counters.Shed != 2 || k.mode != modeFailed {
+	if !l.requests.get(h).isAnswered() || l.counters.Shed != 2 || k.mode != modeFailed {
 		t.Errorf("%s, and it still waits for a folder that can't be opened", k.mode)
 	}
 	h, r = l.takes("d")
 	r.keyed.submission.IsRetry = true // nobody knows whether its first try ran: shed, it would be tried elsewhere
-	if l.results.intercept(h, r); !r.answered || l.counters.Errored != 1 || l.counters.Shed != 2 {
+	if l.results.intercept(h, r); !r.isAnswered() || l.counters.Errored != 1 || l.counters.Shed != 2 {
 		t.Error("a further try of a key that nobody can know of is shed")
 	}
 }
--- a/internal/node/server/result_run.go
+++ b/internal/node/server/result_run.go
@@ -78,14 +78,14 @@
 		return
 	}
 	r.keyed.intentDurable = true
-	if r.answered {
+	if r.isAnswered() {
 		k.endUnstarted(h, r, wire.Response{Status: http.StatusInternalServerError})
 		return
 	}
 	k.faults.reach(faultIntentDurable)
 	k.host.startRun(r)
 	k.faults.reach(faultRunSent)
-	if r.paused {
+	if r.isPaused() {
 		k.host.stopRun(r)
 	}
 }
--- a/internal/node/server/store.go
+++ b/internal/node/server/store.go
@@ -38,14 +38,15 @@
 
 // call makes the call that a run stands at.
 func (l *loop) startCall(h handle, r *request, until admission.Time) {
-	r.callState, r.callStarted, r.callDeadline = callQueued, l.now, until
+	r.setCall(callQueued)
+	r.callStarted, r.callDeadline = l.now, until
 	l.counters.Calls++
 	l.trace(r, "call until %.1f ms", milliseconds(until-l.now))
 	held := l.deferredDials
 	at, w := l.pickStoreConnection(r)
 	if w == nil {
 		if l.deferredDials != held {
-			r.callState = callNone // by the zone's order: it says nothing about the store
+			r.setCall(callNone) // by the zone's order: it says nothing about the store
 		}
 		l.callEnded(h, r, admission.NotExecuted)
 		return
@@ -122,12 +123,13 @@
 		l.storeConnectionLost(at, l.store.connections.get(at), errStuck)
 		return
 	}
-	r.callState, w.lastUsed = callSent, l.now
+	r.setCall(callSent)
+	w.lastUsed = l.now
 }
 
 // callEnded tells the module of the end of a call, in the next round.
 func (l *loop) callEnded(h handle, r *request, how admission.Outcome) {
-	made := r.callState != callNone
+	made := r.call != callNone
 	l.endCall(h, r)
 	l.trace(r, "call ended %d after %.1f ms", how, milliseconds(l.now-r.callStarted))
 	if made {
@@ -155,18 +157,19 @@
 			l.dropStoreConnection(r.storeConn, w)
 		}
 	}
-	r.callState, r.storeConn = callNone, 0
+	r.setCall(callNone)
+	r.storeConn = 0
 }
 
 // cancelCall gives up a call that nobody waits for any more. Its wire may still bring the reply.
 func (l *loop) cancelCall(h handle, r *request) {
-	if w := l.store.connections.get(r.storeConn); w != nil && r.callState == callSent {
+	if w := l.store.connections.get(r.storeConn); w != nil && r.call == callSent {
 		l.scratch = wire.AppendCallCancel(l.scratch[:0], r.id)
 		w.dialed.writer.send(l.scratch, l.limits.LinkQueue)
 		l.counters.Dropped++
 		w.retired = true
 	}
-	if r.callState != callNone {
+	if r.call != callNone {
 		l.fleet.callEnded(milliseconds(l.now-r.callStarted), false)
 	}
 	l.endCall(h, r)
@@ -177,7 +180,7 @@
 	w := l.store.connections.get(at)
 	w.lastUsed = l.now
 	h, r := l.findRequest(p.ID)
-	if r == nil || r.callState != callSent || r.storeConn != at {
+	if r == nil || r.call != callSent || r.storeConn != at {
 		l.counters.Strays++
 		l.retireStoreConnection(at, w)
 		return
@@ -198,14 +201,14 @@
 // callTimedOut gives up a call that the store did not end in its time.
 func (l *loop) callTimedOut(h handle) {
 	r := l.requests.get(h)
-	if r == nil || r.callState == callNone {
+	if r == nil || r.call == callNone {
 		return
 	}
 	if end := r.callDeadline + l.limits.CallGrace; l.now < end {
 		return // an earlier call's time; the present one has its own
 	}
 	how := admission.Unknown
-	if r.callState == callQueued {
+	if r.call == callQueued {
 		how = admission.NotExecuted
 	}
 	l.cancelCall(h, r)
@@ -217,7 +220,7 @@
 	l.store.backoff = backoff{}
 	w.lastUsed = l.now
 	for _, h := range slices.Clone(w.calls) {
-		if r := l.requests.get(h); r != nil && r.callState == callQueued && l.store.connections.get(at) != nil {
+		if r := l.requests.get(h); r != nil && r.call == callQueued && l.store.connections.get(at) != nil {
 			l.sendCall(h, r, w)
 		}
 	}
@@ -239,7 +242,7 @@
 	for _, h := range slices.Clone(w.calls) {
 		how := admission.NotExecuted
 		if r := l.requests.get(h); r != nil {
-			if r.callState == callSent {
+			if r.call == callSent {
 				how = admission.Unknown
 			}
 			l.callEnded(h, r, how)
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -239,11 +239,12 @@
 	at, c, _ := l.store.connections.take()
 	old := &dialed{peer: peerStore, storeConn: at, parser: l.store.parser}
 	*c = storeConnection{dialed: old, calls: []handle{h}}
-	r.callState, r.storeConn = callQueued, at
+	r.setCall(callQueued)
+	r.storeConn = at
 	l.moveStore("127.0.0.1:2")
 	l.linkDialed(&linkDialed{dialed: old})
-	if r.callState != callQueued || old.writer != nil || c.dialed == old {
-		t.Errorf("the old dial counts: call state %d", r.callState)
+	if r.call != callQueued || old.writer != nil || c.dialed == old {
+		t.Errorf("the old dial counts: call state %d", r.call)
 	}
 }
 
@@ -358,7 +359,7 @@
 func TestCallsGivenUp(t *testing.T) {
 	l := &loop{now: 5000, requests: newTable[request](8), limits: NewLimits(1, 64, 256),
 		fleet: &fleetAgent{meter: zonegate.NewMeter(bootTime(), []float64{1})}}
-	r := &request{callState: callSent, callStarted: 2000}
+	r := &request{lifecycle: lifecycle{call: callSent}, callStarted: 2000}
 	l.cancelCall(1, r)
 	l.cancelCall(1, r) // there is none any more
 	if got := l.fleet.meter.Report(bootTime(), true, 1, 0); got.Calls != 1 || got.MeanCallMS != 300 || got.FailedCalls != 0 {
--- a/internal/node/wire/http_response.go
+++ b/internal/node/wire/http_response.go
@@ -11,11 +11,16 @@
 	Close  bool // the connection isn't to be used again
 }
 
-// Statuses that have no body, and those below which none has.
+// Statuses that a server answers with, and StatusNoContent, with which service discovery takes a report. They stand here
+// as net/http would cost a node more memory than all else that it links.
 const (
-	statusOK          = 200
-	statusNoContent   = 204
-	statusNotModified = 304
+	StatusOK                  = 200
+	StatusNoContent           = 204
+	StatusBadRequest          = 400
+	StatusInternalServerError = 500
+	StatusServiceUnavailable  = 503
+
+	statusNotModified = 304 // has no body, as StatusNoContent and all below StatusOK
 )
 
 // ParseResponseHead reads the response at the start of b and passes over its body; n is 0 while it is incomplete.
@@ -74,7 +79,7 @@
 			p.Close = endsConnection(p.Close, value)
 		}
 	}
-	if p.Status < statusOK || p.Status == statusNoContent || p.Status == statusNotModified {
+	if p.Status < StatusOK || p.Status == StatusNoContent || p.Status == statusNotModified {
 		return 0, nil
 	}
 	if !hasLength {
@@ -84,8 +89,8 @@
 }
 
 // reasonPhrases of the statuses that a server answers with.
-var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request",
-	500: "Internal Server Error", 503: "Service Unavailable"}
+var reasonPhrases = map[int]string{StatusOK: "OK", StatusBadRequest: "Bad Request",
+	StatusInternalServerError: "Internal Server Error", StatusServiceUnavailable: "Service Unavailable"}
 
 // Response is what goes out for a request.
 type Response struct {
