--- a/internal/node/agent/agent_test.go
+++ b/internal/node/agent/agent_test.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -138,18 +139,19 @@
 func TestRejectedResponses(t *testing.T) {
 	for what, c := range map[string]struct {
 		t    api.HeartbeatResponse
+		kind error
 		back uint64 // it is not asked again sooner
 	}{
 		"behind in its log": {api.HeartbeatResponse{Index: 9, DecidedVersion: 3,
-			CommittedVersion: api.VersionHash{Version: 3}}, 0},
+			CommittedVersion: api.VersionHash{Version: 3}}, ErrStale, 0},
 		"of another group": {api.HeartbeatResponse{Cluster: "other", Index: 99, DecidedVersion: 7,
-			CommittedVersion: api.VersionHash{Version: 7}}, untrustedBackoff / 2},
+			CommittedVersion: api.VersionHash{Version: 7}}, ErrUntrusted, untrustedBackoff / 2},
 		"in force, not decided": {api.HeartbeatResponse{Index: 99, DecidedVersion: 3,
-			CommittedVersion: api.VersionHash{Version: 4}},
-			untrustedBackoff / 2},
+			CommittedVersion: api.VersionHash{Version: 4}}, ErrUntrusted, untrustedBackoff / 2},
 		"an older one decided": {api.HeartbeatResponse{Index: 99, DecidedVersion: 2,
-			CommittedVersion: api.VersionHash{Version: 2}}, 0},
-		"without a group at all": {api.HeartbeatResponse{Cluster: " ", Index: 99, DecidedVersion: 3}, 0},
+			CommittedVersion: api.VersionHash{Version: 2}}, ErrStale, 0},
+		"without a group at all": {api.HeartbeatResponse{Cluster: " ", Index: 99, DecidedVersion: 3}, ErrUntrusted,
+			untrustedBackoff / 2},
 	} {
 		d := startAgent(t, nil, 0)
 		d.join(3, false)
@@ -157,11 +159,11 @@
 		at := d.agent.ControlAddress()
 		if strings.TrimSpace(c.t.Cluster) == "" && c.t.Cluster != "" {
 			c.t.Cluster = ""
-			if err := d.agent.HandleResponse(d.now, d.sequence, c.t); err == nil {
-				t.Errorf("%s: believed", what)
+			if err := d.agent.HandleResponse(d.now, d.sequence, c.t); !errors.Is(err, c.kind) {
+				t.Errorf("%s: found %v, expected %v", what, err, c.kind)
 			}
-		} else if err := d.respond(c.t); err == nil {
-			t.Errorf("%s: believed", what)
+		} else if err := d.respond(c.t); !errors.Is(err, c.kind) {
+			t.Errorf("%s: found %v, expected %v", what, err, c.kind)
 		}
 		if d.agent.ControlAddress() == at {
 			t.Errorf("%s: it goes on asking %s", what, at)
--- a/internal/node/agent/heartbeat.go
+++ b/internal/node/agent/heartbeat.go
@@ -92,7 +92,7 @@
 		request.Fenced = reason
 	}
 	request.Leave = a.leaving
-	request.Renew = !a.leaving && a.lease.renewalDue(now)
+	request.Renew = !a.leaving && a.lease.needsRenewal(now)
 	return request
 }
 
--- a/internal/node/agent/lease.go
+++ b/internal/node/agent/lease.go
@@ -18,8 +18,8 @@
 // holds tells whether the lease runs at now.
 func (l *lease) holds(now Milliseconds) bool { return l.id != 0 && now < l.expiry }
 
-// renewalDue tells whether the next heartbeat has to ask for more time.
-func (l *lease) renewalDue(now Milliseconds) bool { return l.id != 0 && now >= l.renewAt }
+// needsRenewal tells whether the next heartbeat has to ask for more time.
+func (l *lease) needsRenewal(now Milliseconds) bool { return l.id != 0 && now >= l.renewAt }
 
 // grant takes time that a response grants. It counts from the sending of the heartbeat, which the group has seen later:
 // so the node's lease has ended by the time that the group takes it for ended. A policy with a shorter lease takes time
--- a/internal/node/agent/pin_decisions_test.go
+++ b/internal/node/agent/pin_decisions_test.go
@@ -187,7 +187,8 @@
 		}
 		m := New(Config{Name: "node", Zone: "zone", Address: "127.0.0.1:7",
 			ControlAddresses: []string{"one", "two", "three"},
-			Nonce:            fmt.Sprint("nonce-", life), JitterSeed: uint32(seed) + uint32(life), DisabledGuards: without},
+			Nonce:            fmt.Sprint("nonce-", life), JitterSeed: uint32(seed) + uint32(life),
+			DisabledGuards: without},
 			kept, now)
 		silent := uint64(0) // until then no instance answers
 		late := uint64(0)   // an asking that was given up
--- a/internal/node/agent/response.go
+++ b/internal/node/agent/response.go
@@ -106,14 +106,16 @@
 // has every version that this node was told is decided.
 func (a *Agent) validateGeneration(r *api.HeartbeatResponse) error {
 	guards := a.config.DisabledGuards
-	group := recovery.GroupIdentity{Group: r.Cluster, Generation: max(firstGeneration, r.Generation), Predecessors: r.Predecessors}
+	group := recovery.GroupIdentity{Group: r.Cluster, Generation: max(firstGeneration, r.Generation),
+		Predecessors: r.Predecessors}
 	if !group.Succeeds(a.group.cluster, a.group.generation) && !guards.Has(policy.Generation) {
 		return fmt.Errorf("%w: found group %.16s in generation %d, expected %.16s in %d", ErrUntrusted,
 			r.Cluster, group.Generation, a.group.cluster, a.group.generation)
 	}
 	if r.DecidedVersion < a.versions.min && !guards.Has(policy.NoDowngrade) {
 		return fmt.Errorf("%w: generation %d of the group has version %d decided, expected %d at least: "+
-			"it was restored without what this node was told", ErrStale, group.Generation, r.DecidedVersion, a.versions.min)
+			"it was restored without what this node was told", ErrStale, group.Generation, r.DecidedVersion,
+			a.versions.min)
 	}
 	return nil
 }
--- a/internal/node/overlay/overlay_test.go
+++ b/internal/node/overlay/overlay_test.go
@@ -1,6 +1,7 @@
 package overlay
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
@@ -49,7 +50,7 @@
 			}
 			continue
 		}
-		if err == nil || !strings.Contains(err.Error(), c.why) {
+		if conflict := (*ConflictError)(nil); !errors.As(err, &conflict) || !strings.Contains(err.Error(), c.why) {
 			t.Errorf("%s: found %v, expected %q", c.name, err, c.why)
 		}
 	}
@@ -76,7 +77,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p, err = Apply(5, base, doc, true); err != nil || p.PoolClasses[0].MinFraction != 0.1 || p.PoolClasses[1].MaxFraction != 1 {
+	if p, err = Apply(5, base, doc, true); err != nil || p.PoolClasses[0].MinFraction != 0.1 ||
+		p.PoolClasses[1].MaxFraction != 1 {
 		t.Errorf("pools where run slots are set apart: %v %+v", err, p)
 	}
 }
--- a/internal/node/resultstore/decide.go
+++ b/internal/node/resultstore/decide.go
@@ -30,9 +30,9 @@
 	return WaitForResult, 0
 }
 
-// hasCapacity decides whether one more run fits, whatever it leaves: a slot in the index, unless the key has one, and the
-// bytes of its intent and the largest result. Guards against a run that is let in and whose result can't be stored,
-// which would make its key Indeterminate.
+// hasCapacity decides whether one more run fits, whatever it leaves: a slot in the index, unless the key has one, and
+// the bytes of its intent and the largest result. Guards against a run that is let in and whose result can't be
+// stored, which would make its key Indeterminate.
 func (b *Index) hasCapacity(known bool) bool {
 	return (known || b.table.count < b.limits.Keys) && b.BytesUsed()+b.limits.runBytes() <= b.limits.Bytes
 }
--- a/internal/node/resultstore/resultstore_test.go
+++ b/internal/node/resultstore/resultstore_test.go
@@ -69,8 +69,8 @@
 	}
 	for _, raw := range [][]byte{nil, make([]byte, recordHeaderBytes-1), make([]byte, recordHeaderBytes),
 		append((&Record{Kind: Intent}).Append(nil), 1)} {
-		if _, err := ParseRecord(raw); err == nil {
-			t.Errorf("%d bytes are read as a record", len(raw))
+		if _, err := ParseRecord(raw); !errors.Is(err, ErrMalformedRecord) {
+			t.Errorf("%d bytes are read as a record: %v", len(raw), err)
 		}
 	}
 }
@@ -218,8 +218,8 @@
 		t.Fatalf("%d keys and %d bytes once all windows are over", b.Len(), b.BytesUsed())
 	}
 	for _, bad := range []Limits{{}, {Keys: 1, Bytes: 10}, {Keys: 1, Bytes: 1 << 20, ResultBytes: -1}} {
-		if bad.Validate() == nil {
-			t.Errorf("%+v is taken", bad)
+		if err := bad.Validate(); !errors.Is(err, ErrInvalidLimits) {
+			t.Errorf("%+v gives %v", bad, err)
 		}
 	}
 }
--- a/internal/node/resultstore/table.go
+++ b/internal/node/resultstore/table.go
@@ -13,6 +13,8 @@
 	// At most maxLoadNumerator in maxLoadDenominator slots are used: fuller, a look-up takes long; emptier, memory is
 	// wasted.
 	maxLoadNumerator, maxLoadDenominator = 4, 5
+	// uint32Bytes is the size of the number that an entry has three bytes of.
+	uint32Bytes = 4
 	// hashBytes of a key are its hash.
 	hashBytes = 8
 	// maxDiskBytes is what an entry can count of its key's records.
@@ -43,14 +45,14 @@
 
 // onDisk gives the bytes of the key's records.
 func (e *entry) onDisk() int64 {
-	var number [4]byte
+	var number [uint32Bytes]byte
 	copy(number[:], e.diskBytes[:])
 	return int64(binary.LittleEndian.Uint32(number[:]))
 }
 
 func (e *entry) addOnDisk(n int64) {
 	n = min(e.onDisk()+n, maxDiskBytes)
-	var number [4]byte
+	var number [uint32Bytes]byte
 	binary.LittleEndian.PutUint32(number[:], uint32(n))
 	copy(e.diskBytes[:], number[:])
 }
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -105,8 +105,8 @@
 	}
 	l.now += stallLimit + 1
 	l.results.updateMode()
-	h2, new := l.takes("b")
-	if l.results.intercept(h2, new); l.results.mode != modeStalled || !new.isAnswered() || l.counters.Shed != 1 {
+	h2, other := l.takes("b")
+	if l.results.intercept(h2, other); l.results.mode != modeStalled || !other.isAnswered() || l.counters.Shed != 1 {
 		t.Errorf("%s, and a new key is not shed", l.results.mode)
 	}
 	l.Fail(uint32(h), admission.ReasonDeadline) // the module: its time is over
@@ -145,8 +145,8 @@
 		t.Errorf("%d errored, %d done, key %s", l.counters.Errored, l.counters.Done,
 			l.results.index.Lookup(bootTime(), r.keyed.key))
 	}
-	h2, new := l.takes("new")
-	if l.results.intercept(h2, new); l.results.mode != modeFailed || l.counters.Shed != 1 {
+	h2, other := l.takes("new")
+	if l.results.intercept(h2, other); l.results.mode != modeFailed || l.counters.Shed != 1 {
 		t.Errorf("%s, and a new key is not shed", l.results.mode)
 	}
 	h3, held := l.takes("held") // it passed the door before
