--- /dev/null
+++ b/internal/control/consensus/api_document.go
@@ -0,0 +1,134 @@
+package consensus
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+func (a *API) getSelf(w http.ResponseWriter, _ *http.Request) {
+	v, c := a.group.View(), a.group.control
+	a.answer(w, Self{v.ID, v.Name, c.Peer, c.Listen, v.Cluster})
+}
+
+func (a *API) getStatus(w http.ResponseWriter, _ *http.Request) {
+	v := a.group.View()
+	a.answer(w, Report{v.Status, v.SinceLeader().Milliseconds(), v.OutOfContact(), v.Members})
+}
+
+// view gives the state a read is answered from: as new as any answer before it, or as it is here where that
+// was asked.
+func (a *API) view(r *http.Request) (*View, error) {
+	switch read := r.URL.Query().Get("read"); read {
+	case "stale":
+		return a.group.View(), nil
+	case "":
+		ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
+		defer cancel()
+		return a.group.LinearizableView(ctx)
+	default:
+		return nil, fmt.Errorf("read: found %q, expected stale or none", read)
+	}
+}
+
+func (a *API) getConfig(w http.ResponseWriter, r *http.Request) {
+	v, err := a.view(r)
+	if err != nil {
+		a.failWith(w, err)
+		return
+	}
+	n, err := number(r, "version", v.Version)
+	if err != nil {
+		a.failWith(w, err)
+		return
+	}
+	line := v.VersionJSON(n)
+	if line == nil {
+		what := fmt.Errorf("version %d, expected one from %d to %d", n, v.FirstVersion, v.Version)
+		if v.Version == 0 {
+			what = errors.New("there is no version yet")
+		}
+		a.fail(w, http.StatusNotFound, what)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Length", strconv.Itoa(len(line)+1)) // nodes read no chunks
+	w.Write(append(line[:len(line):len(line)], '\n'))
+}
+
+func (a *API) putConfig(w http.ResponseWriter, r *http.Request) {
+	size := r.ContentLength
+	if size < 0 || size > maxBodyBytes {
+		size = maxBodyBytes
+	}
+	if !a.bodies.TryAcquire(size) {
+		a.fail(w, http.StatusServiceUnavailable, ErrBusy)
+		return
+	}
+	defer a.bodies.Release(size)
+	var p Put
+	d := json.NewDecoder(r.Body)
+	d.DisallowUnknownFields()
+	if err := d.Decode(&p); err != nil {
+		var large *http.MaxBytesError
+		if errors.As(err, &large) {
+			a.fail(w, http.StatusRequestEntityTooLarge, fmt.Errorf("more than %d bytes", maxBodyBytes))
+			return
+		}
+		a.failWith(w, fmt.Errorf("body: %w, expected a put as JSON", err))
+		return
+	}
+	p.At = time.Now().UnixMilli()
+	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
+	defer cancel()
+	end, err := a.group.Put(ctx, p)
+	if err != nil {
+		a.failWith(w, err)
+		return
+	}
+	code := http.StatusOK
+	switch end.Outcome {
+	case PutConflict:
+		code = http.StatusConflict
+	case PutInvalid:
+		code = http.StatusUnprocessableEntity
+	case PutExpired:
+		code = http.StatusGone
+	}
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(code)
+	json.NewEncoder(w).Encode(end)
+}
+
+// history gives versions without their texts, the oldest first.
+func (a *API) getHistory(w http.ResponseWriter, r *http.Request) {
+	v, err := a.view(r)
+	if err != nil {
+		a.failWith(w, err)
+		return
+	}
+	limit, err := number(r, "limit", 20)
+	if err == nil && (limit == 0 || limit > maxHistory) {
+		err = fmt.Errorf("limit: found %d, expected 1 to %d", limit, maxHistory)
+	}
+	from, err2 := number(r, "from", v.FirstVersion+uint64(len(v.Versions))-min(limit, uint64(len(v.Versions))))
+	if err = errors.Join(err, err2); err != nil {
+		a.failWith(w, err)
+		return
+	}
+	out := []*Version{}
+	for n := max(from, v.FirstVersion); n <= v.Version && uint64(len(out)) < limit; n++ {
+		one, err := ReadVersion(v.VersionJSON(n))
+		if err != nil {
+			a.fail(w, http.StatusInternalServerError, err)
+			return
+		}
+		one.Text = ""
+		out = append(out, one)
+	}
+	a.answer(w, out)
+}
--- /dev/null
+++ b/internal/control/consensus/api_middleware.go
@@ -0,0 +1,61 @@
+package consensus
+
+import (
+	"crypto/subtle"
+	"errors"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// headed puts on each answer how new it can be.
+func (a *API) withHeaders(next http.Handler) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
+		next.ServeHTTP(&headerWriter{ResponseWriter: w, group: a.group}, r)
+	})
+}
+
+// heading writes the view's headers at the moment the answer begins.
+type headerWriter struct {
+	http.ResponseWriter
+	group       *Group
+	wroteHeader bool
+}
+
+func (h *headerWriter) Unwrap() http.ResponseWriter { return h.ResponseWriter }
+
+func (h *headerWriter) WriteHeader(code int) {
+	if !h.wroteHeader {
+		h.wroteHeader = true
+		v := h.group.View()
+		h.Header().Set(HeaderVersion, strconv.FormatUint(v.Version, 10))
+		h.Header().Set(HeaderTerm, strconv.FormatUint(v.Term, 10))
+		h.Header().Set(HeaderSinceLeader, strconv.FormatInt(v.SinceLeader().Milliseconds(), 10))
+		if v.OutOfContact() {
+			h.Header().Set(HeaderOutOfContact, "no majority heard for "+v.SinceLeader().Round(time.Millisecond).String())
+		}
+	}
+	h.ResponseWriter.WriteHeader(code)
+}
+
+func (h *headerWriter) Write(p []byte) (int, error) {
+	if !h.wroteHeader {
+		h.WriteHeader(http.StatusOK)
+	}
+	return h.ResponseWriter.Write(p)
+}
+
+// requireToken asks for the operator's token where one is set.
+func (a *API) requireToken(next http.HandlerFunc) http.HandlerFunc {
+	want := a.group.control.Token
+	return func(w http.ResponseWriter, r *http.Request) {
+		got := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
+		if want != "" && subtle.ConstantTimeCompare([]byte(got), []byte(want)) != 1 {
+			a.fail(w, http.StatusUnauthorized, errors.New("no token, or another one, expected the one of [clients]"))
+			return
+		}
+		next(w, r)
+	}
+}
--- a/internal/control/consensus/guard.go
+++ b/internal/control/consensus/guard.go
@@ -1,6 +1,8 @@
 package consensus
 
-import "fmt"
+import (
+	"fmt"
+)
 
 // Guard is a set of guards that are taken out, for the laboratory alone: with one out, a promise of the
 // design has to break, or it is not checked. Every program that serves runs with none out.
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -6,7 +6,6 @@
 
 import (
 	"encoding/binary"
-	"errors"
 	"hash/crc32"
 
 	"go.etcd.io/raft/v3"
@@ -46,12 +45,6 @@
 // Steps lists them in order.
 var Steps = []string{StepPersist, StepSend, StepApply, StepAnswer}
 
-// ErrLogNearLimit says that the log is too near its bound to take changes.
-var ErrLogNearLimit = errors.New("the log is near its bound; raise disk.limit_mb")
-
-// ErrBarred says that the instance takes no part any more.
-var ErrBarred = errors.New("this instance takes no part in the group any more")
-
 // Bounds on what raft holds: a message carries a large document or many small ones, and a slow follower has
 // at most this much on its way to it.
 const (
--- a/internal/control/consensus/replica_apply.go
+++ b/internal/control/consensus/replica_apply.go
@@ -1,7 +1,5 @@
 package consensus
 
-// This file works through what the core has ready: it persists, sends, applies and answers, in that order.
-
 import (
 	"encoding/binary"
 	"encoding/json"
@@ -12,6 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
+// This file works through what the core has ready: it persists, sends, applies and answers, in that order.
+
 func (r *Replica) reportStep(name string) {
 	if r.plan.OnStep != nil {
 		r.plan.OnStep(name)
--- a/internal/control/consensus/replica_members.go
+++ b/internal/control/consensus/replica_members.go
@@ -1,7 +1,5 @@
 package consensus
 
-// This file is a replica's part in the group's membership: who it is, whom it meets, who votes, and how that changes.
-
 import (
 	"encoding/json"
 	"fmt"
@@ -12,6 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
+// This file is a replica's part in the group's membership: who it is, whom it meets, who votes, and how that changes.
+
 // ID gives the instance's number in the group.
 func (r *Replica) ID() uint64 { return r.peers.self.ID }
 
--- a/internal/control/consensus/replica_open.go
+++ b/internal/control/consensus/replica_open.go
@@ -1,7 +1,5 @@
 package consensus
 
-// This file opens a replica from its folder, founds a group, and begins one from what was restored.
-
 import (
 	"encoding/json"
 	"errors"
@@ -15,6 +13,8 @@
 	"umberwinch/internal/wal"
 )
 
+// This file opens a replica from its folder, founds a group, and begins one from what was restored.
+
 // Open starts a replica on a folder: its own from an earlier life, or an empty one.
 func Open(fs wal.FS, plan Config) (*Replica, error) {
 	log, found, err := wal.Open(fs, plan.Sizes)
--- a/internal/control/consensus/replica_propose.go
+++ b/internal/control/consensus/replica_propose.go
@@ -1,7 +1,5 @@
 package consensus
 
-// This file takes what is to be agreed on, and reads that have to see it.
-
 import (
 	"encoding/binary"
 	"encoding/json"
@@ -10,6 +8,8 @@
 	"go.etcd.io/raft/v3"
 )
 
+// This file takes what is to be agreed on, and reads that have to see it.
+
 // Propose asks for a version. The answer comes as a Result of some later Work here, or never: whoever waits
 // repeats it under the same number.
 func (r *Replica) Propose(p *Put) error {
--- a/internal/control/consensus/replica_snapshot.go
+++ b/internal/control/consensus/replica_snapshot.go
@@ -1,7 +1,5 @@
 package consensus
 
-// This file takes snapshots of the state and cuts the log behind them.
-
 import (
 	"errors"
 
@@ -11,6 +9,8 @@
 	"umberwinch/internal/wal"
 )
 
+// This file takes snapshots of the state and cuts the log behind them.
+
 // PendingSnapshot is a snapshot under way: Write may run beside the replica, Saved takes note of its end.
 type PendingSnapshot struct {
 	meta  *pb.SnapshotMetadata
--- a/internal/control/consensus/replica_status.go
+++ b/internal/control/consensus/replica_status.go
@@ -1,7 +1,5 @@
 package consensus
 
-// This file shows where a replica stands.
-
 import (
 	"sort"
 
@@ -9,6 +7,8 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
+// This file shows where a replica stands.
+
 // Peer is another instance as the leader sees it.
 type Peer struct {
 	ID     uint64 `json:"id"`
--- /dev/null
+++ b/internal/control/consensus/restored_group.go
@@ -0,0 +1,151 @@
+package consensus
+
+import (
+	"encoding/json"
+	"errors"
+	"io"
+
+	"github.com/sirupsen/logrus"
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"umberwinch/internal/control/document"
+	"umberwinch/internal/control/recovery"
+	"umberwinch/internal/wal"
+)
+
+// Restoring a group whose state is lost. What is decided about it is comeback's; here an old folder is read as far as it
+// is committed, nodes are listened to, and what was found is written as the first state of a new group.
+
+// StoredGroup is what an old folder holds.
+type StoredGroup struct {
+	machine *StateMachine
+	Name    string
+}
+
+// ReadFolder reads a folder as far as its entries are known to be committed. No other instance is asked, so what was committed
+// last may lack.
+func ReadFolder(fs wal.FS, plan Config) (*StoredGroup, error) {
+	log, _, err := wal.Open(fs, plan.Sizes)
+	if err != nil {
+		return nil, err
+	}
+	empty := log.Mark(markIdentity) == nil
+	if err = log.Close(); err != nil {
+		return nil, err
+	}
+	if empty {
+		return nil, ErrEmptyFolder
+	}
+	quiet := logrus.New()
+	quiet.SetOutput(io.Discard)
+	plan.Logger = raftLog{quiet}
+	r, err := Open(fs, plan)
+	if err != nil {
+		return nil, err
+	}
+	_, err = r.Work(func([]*pb.Message) {})
+	if voters := r.voterConfig.GetVoters(); err == nil && len(voters) == 1 && voters[0] == r.ID() {
+		// Of a group of one all that is durable is committed: it takes a term of its own to say so.
+		if err = r.node.Campaign(); err == nil {
+			_, err = r.Work(func([]*pb.Message) {})
+		}
+	}
+	_, last := r.LogBounds()
+	if err = errors.Join(err, r.Close()); err != nil {
+		return nil, err
+	}
+	r.stateMachine.uncommittedEntries = last - min(last, r.stateMachine.applied)
+	if r.stateMachine.cluster == "" {
+		return nil, ErrEmptyFolder // it waited to be taken in
+	}
+	return &StoredGroup{r.stateMachine, r.peers.self.Name}, nil
+}
+
+// ReadSnapshot reads a saved snapshot, out of another folder or as `control snapshot save` wrote it.
+func ReadSnapshot(raw []byte) (*StoredGroup, error) {
+	if body, _, ok := wal.Unwrap(raw); ok {
+		raw = body
+	}
+	_, state, err := readSnapshot(raw)
+	if err != nil {
+		return nil, err
+	}
+	m, err := restoreStateMachine(state, 0)
+	if err != nil {
+		return nil, err
+	}
+	return &StoredGroup{m, ""}, nil
+}
+
+// Evidence gives it to comeback.Config; nil has none.
+func (o *StoredGroup) Evidence() *recovery.StoredGroup {
+	if o == nil {
+		return nil
+	}
+	return o.machine.storedGroup()
+}
+
+func (m *StateMachine) storedGroup() *recovery.StoredGroup {
+	p := m.fleet
+	b := &recovery.StoredGroup{GroupIdentity: recovery.GroupIdentity{Group: m.cluster, Generation: p.Generation, Predecessors: p.Predecessors}, LastVersion: m.lastVersion(),
+		DecidedVersion: p.Policy.DecidedVersion, CommittedVersion: p.Policy.CommittedVersion, Index: p.Index, ZoneEpoch: p.Zones.Epoch, TextOf: m.Text,
+		LeaseMS: p.Policy.ActiveRules().LeaseMS, Autonomous: p.Policy.ActiveRules().Autonomous, UncommittedEntries: m.uncommittedEntries}
+	for _, n := range p.Fleet.Nodes() {
+		if n.OutReason == "" {
+			b.Nodes = append(b.Nodes, n.Name)
+		}
+	}
+	return b
+}
+
+// Recover makes an empty folder the first instance of the next generation of a group, by what was found.
+func Recover(fs wal.FS, plan Config, old *StoredGroup, found *recovery.RestorePlan) (*Version, error) {
+	if found.Conflict != "" {
+		return nil, errors.New(found.Conflict)
+	}
+	m := newStateMachine("", 0)
+	m.applied, m.term = 1, 1
+	if old != nil {
+		m = old.machine
+	}
+	return foundRestored(fs, plan, m, found)
+}
+
+// restore makes the state that of the next generation.
+func (m *StateMachine) restore(found *recovery.RestorePlan) error {
+	if found.Version > 0 {
+		if _, hash, ok := m.Text(found.Version); !ok || hash != found.Hash || found.Hash == "" {
+			if err := m.placeRestoredVersion(found); err != nil {
+				return err
+			}
+		}
+	}
+	if m.level >= LevelFleet || len(found.Records) > 0 || found.Version > 0 {
+		m.level = LatestLevel // an older program does not know generations
+	}
+	return m.fleet.BeginGeneration(found, m)
+}
+
+// place makes what was found the newest version. Where its number does not follow, what is before it is kept no more.
+func (m *StateMachine) placeRestoredVersion(found *recovery.RestorePlan) error {
+	if found.Version != m.lastVersion()+1 {
+		m.lines, m.bytes, m.first = nil, 0, found.Version
+	}
+	if found.Hash == "" { // nobody has a text: the number is the next put's
+		m.current, m.hash = nil, ""
+		return nil
+	}
+	d, err := document.ParseUnder(document.Rules, "what was found", []byte(found.Text))
+	if err != nil {
+		return err
+	}
+	v := Version{Number: found.Version, Parent: found.SourceVersion, Hash: found.Hash, Author: "recover", Reason: truncateReason(found.Proof),
+		Index: m.applied, Term: m.term, Rules: document.Rules, Text: found.Text}
+	line, err := json.Marshal(&v)
+	if err != nil {
+		return err
+	}
+	m.lines, m.bytes = append(m.lines, line), m.bytes+len(line)
+	m.current, m.hash = d, found.Hash
+	return nil
+}
--- a/internal/control/consensus/store.go
+++ b/internal/control/consensus/store.go
@@ -251,7 +251,8 @@
 	return s.hard, s.snap.GetConfState(), nil
 }
 
-func (s *store) LastIndex() (uint64, error)  { return s.offset + uint64(len(s.entries)), nil }
+func (s *store) LastIndex() (uint64, error) { return s.offset + uint64(len(s.entries)), nil }
+
 func (s *store) FirstIndex() (uint64, error) { return s.offset + 1, nil }
 
 func (s *store) Term(i uint64) (uint64, error) {
--- /dev/null
+++ b/internal/control/consensus/transport_peer.go
@@ -0,0 +1,180 @@
+package consensus
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"umberwinch/internal/logging"
+)
+
+type peer struct {
+	id              uint64
+	addr            string
+	queue           chan *pb.Message
+	bytes           atomic.Int64 // of what is queued
+	stop            context.CancelFunc
+	sendingSnapshot atomic.Bool
+}
+
+// put queues a message if there is room for it; took frees the room of one that left the queue.
+func (p *peer) enqueue(m *pb.Message) bool {
+	n := int64(proto.Size(m))
+	if p.bytes.Add(n) <= maxQueuedBytes {
+		select {
+		case p.queue <- m:
+			return true
+		default:
+		}
+	}
+	p.bytes.Add(-n)
+	return false
+}
+
+func (p *peer) release(m *pb.Message) { p.bytes.Add(-int64(proto.Size(m))) }
+
+// greet dials a peer and makes sure of who answers.
+func (t *transport) dial(p *peer, bulk bool) (net.Conn, error) {
+	c, err := t.trust.dial(p.addr, handshakeTimeout)
+	if err != nil {
+		return nil, err
+	}
+	if err = t.handshake(c, p, bulk); err != nil {
+		c.Close()
+		return nil, err
+	}
+	return c, nil
+}
+
+func (t *transport) handshake(c net.Conn, p *peer, bulk bool) error {
+	c.SetDeadline(time.Now().Add(handshakeTimeout))
+	h, err := t.handler.hello(p.id)
+	if err != nil {
+		return err
+	}
+	h.Bulk = bulk
+	if err = writeJSON(c, frameHello, h); err != nil {
+		return err
+	}
+	kind, raw, err := readFrame(c, maxHandshakeBytes)
+	if err != nil {
+		return err
+	}
+	switch kind {
+	case frameRefused:
+		var reason string
+		if err = json.Unmarshal(raw, &reason); err != nil {
+			return err
+		}
+		if BarsInstance(reason) {
+			t.handler.bar(reason)
+		}
+		return fmt.Errorf("refused: %s", reason)
+	case frameAccepted:
+		var other Hello
+		if err = json.Unmarshal(raw, &other); err != nil {
+			return err
+		}
+		if other.ID != p.id {
+			return fmt.Errorf("instance %x answers, expected %x", other.ID, p.id)
+		}
+		reason, err := t.handler.handshake(other)
+		if err == nil && reason != "" {
+			t.count.refused.Add(1)
+			err = fmt.Errorf("it was refused: %s", reason)
+		}
+		c.SetDeadline(time.Time{})
+		return err
+	}
+	return fmt.Errorf("a frame of kind %d, expected a welcome", kind)
+}
+
+// speak keeps a connection to a peer and sends what is queued.
+func (t *transport) connect(ctx context.Context, p *peer) {
+	wait, told := minBackoff, ""
+	for ctx.Err() == nil {
+		c, err := t.dial(p, false)
+		if err != nil {
+			if err.Error() != told { // changes of state only
+				told = err.Error()
+				t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", p.id), "address": p.addr,
+					logging.Error: err}).Info("a peer can't be reached")
+			}
+			t.handler.reportUnreachable(p.id)
+			t.dropQueued(p)
+			select {
+			case <-ctx.Done():
+			case <-time.After(wait):
+			}
+			wait = min(2*wait, maxBackoff)
+			continue
+		}
+		if told != "" {
+			t.log.WithField(logging.Peer, fmt.Sprintf("%x", p.id)).Info("a peer is reached again")
+		}
+		wait, told = minBackoff, ""
+		t.writeMessages(ctx, p, c)
+		c.Close()
+		t.handler.reportUnreachable(p.id)
+	}
+}
+
+// drop empties a queue: what waited while a peer was away is old, and the core sends it again.
+func (t *transport) dropQueued(p *peer) {
+	for {
+		select {
+		case m := <-p.queue:
+			p.release(m)
+			t.count.dropped.Add(1)
+		default:
+			return
+		}
+	}
+}
+
+func (t *transport) writeMessages(ctx context.Context, p *peer, c net.Conn) {
+	gone := make(chan struct{})
+	go func() { // nothing comes this way: a read that ends means that the peer is gone
+		var one [1]byte
+		c.Read(one[:])
+		close(gone)
+	}()
+	w := bufio.NewWriterSize(c, 64<<10)
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-gone:
+			return
+		case m := <-p.queue:
+			c.SetWriteDeadline(time.Now().Add(writeTimeout))
+			for m != nil {
+				p.release(m)
+				raw, err := proto.Marshal(m)
+				if err == nil {
+					err = writeFrame(w, frameMessage, raw)
+				}
+				if err != nil {
+					return
+				}
+				t.count.sent.Add(1)
+				select {
+				case m = <-p.queue:
+				default:
+					m = nil
+				}
+			}
+			if w.Flush() != nil {
+				return
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/control/consensus/transport_snapshot.go
@@ -0,0 +1,115 @@
+package consensus
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/sirupsen/logrus"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"umberwinch/internal/logging"
+)
+
+// snapshotAnnouncement opens a snapshot: how long the state is and its sum.
+type snapshotAnnouncement struct {
+	Message []byte `json:"message"`
+	Bytes   int    `json:"bytes"`
+	Sum     uint64 `json:"sum"`
+}
+
+// receiveSnapshot reads one snapshot, at most one at a time, and hands it over whole.
+func (t *transport) receiveSnapshot(c net.Conn, r *bufio.Reader, from uint64) {
+	t.mu.Lock()
+	busy := t.receivingSnapshot
+	t.receivingSnapshot = true
+	t.mu.Unlock()
+	if busy {
+		t.count.refused.Add(1)
+		return
+	}
+	defer func() { t.mu.Lock(); t.receivingSnapshot = false; t.mu.Unlock() }()
+	bad := func(err error) {
+		t.count.broken.Add(1)
+		t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", from), logging.Error: err}).Warn(
+			"a snapshot did not come whole; it will be sent again")
+	}
+	c.SetReadDeadline(time.Now().Add(snapshotIdleTimeout))
+	kind, raw, err := readFrame(r, maxFrameBytes)
+	var note snapshotAnnouncement
+	m := &pb.Message{}
+	if err == nil && kind == frameSnapshot {
+		err = json.Unmarshal(raw, &note)
+	}
+	if err == nil {
+		err = proto.Unmarshal(note.Message, m)
+	}
+	if err != nil || kind != frameSnapshot || note.Bytes < 0 || note.Bytes > maxSnapshotBytes || m.GetFrom() != from ||
+		m.GetType() != pb.MessageType_MsgSnap || m.GetSnapshot() == nil {
+		bad(fmt.Errorf("it opens with kind %d and %d bytes to come, expected at most %d: %v", kind, note.Bytes,
+			maxSnapshotBytes, err))
+		return
+	}
+	state := make([]byte, 0, min(note.Bytes, 1<<20)) // grows as it comes: a note alone takes no memory
+	for len(state) < note.Bytes {
+		c.SetReadDeadline(time.Now().Add(snapshotIdleTimeout))
+		kind, raw, err := readFrame(r, snapshotChunkBytes+1)
+		if err != nil || kind != frameChunk || len(state)+len(raw) > note.Bytes {
+			bad(fmt.Errorf("%d of %d bytes, then kind %d: %w", len(state), note.Bytes, kind, err))
+			return
+		}
+		state = append(state, raw...)
+	}
+	if sum := xxhash.Sum64(state); sum != note.Sum {
+		bad(fmt.Errorf("its sum is %016x, expected %016x", sum, note.Sum))
+		return
+	}
+	m.Snapshot.Data = state
+	t.count.snapsReceived.Add(1)
+	t.handler.receive(m)
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	writeFrame(c, frameDone, nil)
+}
+
+// sendSnapshot sends one over a connection of its own, no faster than the operator allows.
+func (t *transport) sendSnapshot(p *peer, m *pb.Message) error {
+	c, err := t.dial(p, true)
+	if err != nil {
+		return err
+	}
+	defer c.Close()
+	state := m.GetSnapshot().GetData()
+	head := proto.Clone(&pb.Message{Type: m.Type, To: m.To, From: m.From, Term: m.Term,
+		Snapshot: &pb.Snapshot{Metadata: m.GetSnapshot().GetMetadata()}}).(*pb.Message)
+	raw, err := proto.Marshal(head)
+	if err != nil {
+		return err
+	}
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if err = writeJSON(c, frameSnapshot, snapshotAnnouncement{raw, len(state), xxhash.Sum64(state)}); err != nil {
+		return err
+	}
+	for len(state) > 0 {
+		n := min(snapshotChunkBytes, len(state))
+		if err = t.rate.WaitN(t.ctx, n); err != nil {
+			return err
+		}
+		c.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if err = writeFrame(c, frameChunk, state[:n]); err != nil {
+			return err
+		}
+		state = state[n:]
+	}
+	c.SetReadDeadline(time.Now().Add(snapshotIdleTimeout))
+	kind, _, err := readFrame(c, maxHandshakeBytes)
+	if err == nil && kind != frameDone {
+		err = errors.New("it was not taken")
+	}
+	t.count.snapsSent.Add(1)
+	return err
+}
