--- a/internal/control/consensus/api_answers.go
+++ b/internal/control/consensus/api_answers.go
@@ -12,23 +12,42 @@
 	"umberwinch/internal/control/coordinator"
 )
 
+const (
+	contentJSON  = "application/json"
+	contentLines = "application/jsonl"
+	contentBytes = "application/octet-stream"
+	// retryAfterSeconds is what a client is told to wait after a temporary failure: by then a new leader is mostly elected.
+	retryAfterSeconds = "1"
+)
+
+// answer writes a value as JSON. A write that fails is the client's loss: it went.
 func (a *API) answer(w http.ResponseWriter, v any) {
-	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Type", contentJSON)
 	json.NewEncoder(w).Encode(v)
 }
 
-// whole answers with a length ahead, as nodes read no chunks.
+// answerOr writes a value, or the failure that came in its place.
+func (a *API) answerOr(w http.ResponseWriter, v any, err error) {
+	if err != nil {
+		a.failWith(w, err)
+		return
+	}
+	a.writeSized(w, v)
+}
+
+// writeSized writes a value as JSON with a Content-Length, as nodes read no chunks.
 func (a *API) writeSized(w http.ResponseWriter, v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		a.fail(w, http.StatusInternalServerError, err)
 		return
 	}
-	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Type", contentJSON)
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)+1))
 	w.Write(append(raw, '\n'))
 }
 
+// fail writes a Failure that names the leader's address where it is known.
 func (a *API) fail(w http.ResponseWriter, code int, err error) {
 	f := Failure{Error: err.Error()}
 	v := a.group.View()
@@ -37,28 +56,43 @@
 			f.Leader = m.Listen
 		}
 	}
-	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Type", contentJSON)
 	if code == http.StatusServiceUnavailable {
-		w.Header().Set("Retry-After", "1")
+		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
 	w.WriteHeader(code)
 	json.NewEncoder(w).Encode(f)
 }
 
-// failed gives an error of the group's its status.
-func (a *API) failWith(w http.ResponseWriter, err error) {
+// failWith writes an error under the status that it stands for.
+func (a *API) failWith(w http.ResponseWriter, err error) { a.fail(w, statusOf(err), err) }
+
+// temporary are errors that a client may ask again after.
+var temporary = []error{
+	coordinator.ErrBusy, coordinator.ErrStateLost, coordinator.ErrNotLeader,
+	ErrFeatureLevel, ErrNoLeader, ErrBusy, ErrTimeout, ErrStopped, ErrBarred,
+	raft.ErrProposalDropped,
+}
+
+// statusOf decides what a client does about an error: 503 ask again, 507 tell the operator, 409 the state is against the
+// operation, 400 mend the request.
+func statusOf(err error) int {
+	for _, t := range temporary {
+		if errors.Is(err, t) {
+			return http.StatusServiceUnavailable
+		}
+	}
+	var rejected *RejectedError
 	switch {
-	case errors.Is(err, coordinator.ErrBusy), errors.Is(err, coordinator.ErrStateLost), errors.Is(err, coordinator.ErrNotLeader), errors.Is(err, ErrFeatureLevel),
-		errors.Is(err, ErrNoLeader), errors.Is(err, ErrBusy), errors.Is(err, ErrTimeout), errors.Is(err, ErrStopped), errors.Is(err, ErrBarred),
-		errors.Is(err, raft.ErrProposalDropped):
-		a.fail(w, http.StatusServiceUnavailable, err)
 	case errors.Is(err, ErrLogNearLimit):
-		a.fail(w, http.StatusInsufficientStorage, err)
-	default:
-		a.fail(w, http.StatusBadRequest, err)
+		return http.StatusInsufficientStorage
+	case errors.As(err, &rejected):
+		return http.StatusConflict
 	}
+	return http.StatusBadRequest
 }
 
+// readBody decodes a small JSON body without unknown fields.
 func readBody[T any](w http.ResponseWriter, r *http.Request, into *T) error {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxNodeBodyBytes))
 	d.DisallowUnknownFields()
@@ -68,6 +102,7 @@
 	return nil
 }
 
+// number reads a whole number of the query, def where it has none under that key.
 func number(r *http.Request, key string, def uint64) (uint64, error) {
 	s := r.URL.Query().Get(key)
 	if s == "" {
--- a/internal/control/consensus/api_document.go
+++ b/internal/control/consensus/api_document.go
@@ -50,7 +50,7 @@
 	if line == nil {
 		what := fmt.Errorf("version %d, expected one from %d to %d", n, v.FirstVersion, v.Version)
 		if v.Version == 0 {
-			what = errors.New("there is no version yet")
+			what = errNoVersion
 		}
 		a.fail(w, http.StatusNotFound, what)
 		return
--- a/internal/control/consensus/api_fleet.go
+++ b/internal/control/consensus/api_fleet.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net/http"
 	"time"
@@ -12,99 +11,69 @@
 	"umberwinch/internal/control/zones"
 )
 
-// Operations of a fleet as clients of the group: their askings go to the leader's steward on the replica's goroutine, and
-// what it adds to the log is proposed like any entry. An instance that does not lead hands what it is asked on to the
-// one that does, once.
-
-// Bounds of the nodes' side.
 const (
+	// maxNodeBodyBytes bounds a heartbeat or an operation, which have no use for more.
 	maxNodeBodyBytes = 4 << 10
-	heartbeatTimeout = 1400 * time.Millisecond // a node gives up after 1.5 s and asks elsewhere
-	headerForwarded  = "Umberwinch-Relayed"
-	forwardTimeout   = 1300 * time.Millisecond
-	maxTicksPerStep  = 4 // ticks that count at most for one look at the clock, whatever went by
+	// heartbeatTimeout is less than the 1.5 s after which a node asks another instance, so that it hears why.
+	heartbeatTimeout = 1400 * time.Millisecond
 )
 
-// ---- HTTP.
-
-func (a *API) nodesRoutes(mux *http.ServeMux) {
+// fleetRoutes are the paths that the leader alone can serve.
+func (a *API) fleetRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("POST /v1/nodes", a.onLeader(a.postHeartbeat))
 	mux.HandleFunc("GET /v1/nodes", a.onLeader(a.getNodes))
 	mux.HandleFunc("POST /v1/nodes/forget", a.requireToken(a.onLeader(a.postForget)))
 	mux.HandleFunc("GET /v1/policy", a.onLeader(a.getPolicy))
+	mux.HandleFunc("POST /v1/policy", a.requireToken(a.onLeader(a.postPolicy)))
 	mux.HandleFunc("GET /v1/zones", a.onLeader(a.getZones))
 	mux.HandleFunc("POST /v1/zones", a.requireToken(a.onLeader(a.postZones)))
-	mux.HandleFunc("POST /v1/policy", a.requireToken(a.onLeader(a.postPolicy)))
 }
 
 func (a *API) postHeartbeat(w http.ResponseWriter, r *http.Request) {
-	var ask api.HeartbeatRequest
-	if err := readBody(w, r, &ask); err != nil {
-		a.failWith(w, err)
-		return
-	}
-	if a.group.View().Level < LevelFleet {
-		a.fail(w, http.StatusServiceUnavailable, ErrFeatureLevel)
-		return
+	var request api.HeartbeatRequest
+	err := readBody(w, r, &request)
+	if err == nil && a.group.View().Level < LevelFleet {
+		err = ErrFeatureLevel
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), heartbeatTimeout)
-	defer cancel()
-	t, err := a.group.Node(ctx, ask)
 	if err != nil {
 		a.failWith(w, err)
 		return
 	}
-	a.writeSized(w, t)
+	ctx, cancel := context.WithTimeout(r.Context(), heartbeatTimeout)
+	defer cancel()
+	response, err := a.group.Node(ctx, request)
+	a.answerOr(w, response, err)
 }
 
-func (a *API) getNodes(w http.ResponseWriter, r *http.Request) {
-	all, err := a.group.Nodes()
-	if err != nil {
-		a.failWith(w, err)
-		return
-	}
-	a.writeSized(w, all)
+func (a *API) getNodes(w http.ResponseWriter, _ *http.Request) {
+	nodes, err := a.group.Nodes()
+	a.answerOr(w, nodes, err)
 }
 
 func (a *API) postForget(w http.ResponseWriter, r *http.Request) {
-	var name struct {
+	var request struct {
 		Name string `json:"name"`
 	}
-	err := readBody(w, r, &name)
+	err := readBody(w, r, &request)
 	if err == nil {
 		ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 		defer cancel()
-		err = a.group.Forget(ctx, name.Name)
-	}
-	if err != nil {
-		a.failWith(w, err)
-		return
+		err = a.group.Forget(ctx, request.Name)
 	}
-	a.writeSized(w, map[string]string{"forgotten": name.Name})
+	a.answerOr(w, map[string]string{"forgotten": request.Name}, err)
 }
 
-func (a *API) getPolicy(w http.ResponseWriter, r *http.Request) {
-	v, err := a.group.Policy()
-	if err != nil {
-		a.failWith(w, err)
-		return
-	}
-	a.writeSized(w, v)
+func (a *API) getPolicy(w http.ResponseWriter, _ *http.Request) {
+	view, err := a.group.Policy()
+	a.answerOr(w, view, err)
 }
 
-// postPolicy takes an operator's propose or off.
+// postPolicy takes an operator's proposal of a change, or an operator's abort of one.
 func (a *API) postPolicy(w http.ResponseWriter, r *http.Request) {
 	var op policy.Op
 	err := readBody(w, r, &op)
-	switch {
-	case err != nil:
-	case a.group.View().Level < LevelFleet:
-		err = ErrFeatureLevel
-	case op.Kind == "propose" && op.Proposal != nil:
-		err = op.Proposal.Validate()
-	case op.Kind == "off" && op.Author != "" && len(op.Author) <= maxNameBytes && len(op.Reason) <= maxReasonBytes:
-	default:
-		err = fmt.Errorf("op: found %.20q, expected propose with a proposal, or off with by and why", op.Kind)
+	if err == nil {
+		err = a.validatePolicyOp(&op)
 	}
 	if err != nil {
 		a.failWith(w, err)
@@ -112,29 +81,31 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 	defer cancel()
-	res, err := a.group.PolicyOp(ctx, op)
-	if err != nil {
-		a.failWith(w, err)
-		return
-	}
-	if res.Rejection != "" {
-		a.fail(w, http.StatusConflict, errors.New(res.Rejection))
-		return
+	result, err := a.group.PolicyOp(ctx, op)
+	if err == nil && result.Rejection != "" {
+		err = &RejectedError{result.Rejection}
 	}
-	a.writeSized(w, res)
+	a.answerOr(w, result, err)
 }
 
-// ---- HTTP.
-
-func (a *API) getZones(w http.ResponseWriter, r *http.Request) {
-	v, err := a.group.Zones()
-	if err != nil {
-		a.failWith(w, err)
-		return
+func (a *API) validatePolicyOp(op *policy.Op) error {
+	switch {
+	case a.group.View().Level < LevelFleet:
+		return ErrFeatureLevel
+	case op.Kind == "propose" && op.Proposal != nil:
+		return op.Proposal.Validate()
+	case op.Kind == "off" && op.Author != "" && len(op.Author) <= maxNameBytes && len(op.Reason) <= maxReasonBytes:
+		return nil
 	}
-	a.writeSized(w, v)
+	return fmt.Errorf("op: found %.20q, expected propose with a proposal, or off with by and why", op.Kind)
 }
 
+func (a *API) getZones(w http.ResponseWriter, _ *http.Request) {
+	view, err := a.group.Zones()
+	a.answerOr(w, view, err)
+}
+
+// postZones takes an operator's operation on a zone.
 func (a *API) postZones(w http.ResponseWriter, r *http.Request) {
 	var op zones.Op
 	err := readBody(w, r, &op)
@@ -149,24 +120,28 @@
 		a.failWith(w, err)
 		return
 	}
-	// What only the rules may say is left out: an operator's share gets its ceiling from what the zone bore.
-	op.RateLimit, op.ConnectRateLimit, op.PriorityCutoff, op.Capacities, op.ValueOfStaying, op.ValueOfEvacuating, op.Epoch = 0, 0, 0, nil, 0, 0, 0
-	if op.Kind == zones.OpEvacuate {
-		op.Cause = "operator"
-		if op.DrillMS > 0 {
-			op.Cause = "drill"
-		}
-	}
+	keepOperatorsFields(&op)
 	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 	defer cancel()
-	res, err := a.group.ZoneOp(ctx, op)
-	if err != nil {
-		a.failWith(w, err)
-		return
+	result, err := a.group.ZoneOp(ctx, op)
+	if err == nil && result.Err != "" {
+		err = &RejectedError{result.Err}
 	}
-	if res.Err != "" {
-		a.fail(w, http.StatusConflict, errors.New(res.Err))
+	a.answerOr(w, result, err)
+}
+
+// keepOperatorsFields clears what only the rules may set: rate limits of a zone that an operator returns come from the
+// capacity that was observed in it.
+func keepOperatorsFields(op *zones.Op) {
+	op.RateLimit, op.ConnectRateLimit = 0, 0
+	op.PriorityCutoff, op.Capacities = 0, nil
+	op.ValueOfStaying, op.ValueOfEvacuating = 0, 0
+	op.Epoch = 0
+	if op.Kind != zones.OpEvacuate {
 		return
 	}
-	a.writeSized(w, res)
+	op.Cause = "operator"
+	if op.DrillMS > 0 {
+		op.Cause = "drill"
+	}
 }
--- a/internal/control/consensus/api_forward.go
+++ b/internal/control/consensus/api_forward.go
@@ -7,23 +7,27 @@
 	"io"
 	"net/http"
 	"strconv"
+	"time"
 )
 
-// led has an asking served here if this instance leads, and handed on to the one that does otherwise.
+const (
+	// headerForwarded marks a request that an instance forwarded, so that it is forwarded once at most: two instances that
+	// each take the other for the leader would pass it to and fro.
+	headerForwarded = "Umberwinch-Relayed"
+	// forwardTimeout is less than heartbeatTimeout, so that a node hears of a leader that does not answer.
+	forwardTimeout = 1300 * time.Millisecond
+)
+
+// onLeader has a request served here if this instance leads, and forwarded to the leader otherwise.
 func (a *API) onLeader(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		v := a.group.View()
-		if v.Role == "leader" || r.Header.Get(headerForwarded) != "" {
+		if v.Role == RoleLeader || r.Header.Get(headerForwarded) != "" {
 			next(w, r)
 			return
 		}
-		to := ""
-		for _, m := range v.Members {
-			if m.ID == v.Leader && m.ID != v.ID {
-				to = m.Listen
-			}
-		}
-		if to == "" {
+		leader := v.leaderAddress()
+		if leader == "" {
 			a.fail(w, http.StatusServiceUnavailable, ErrNoLeader)
 			return
 		}
@@ -32,37 +36,56 @@
 			a.failWith(w, fmt.Errorf("body: %w, expected at most %d bytes", err, maxNodeBodyBytes))
 			return
 		}
-		within := forwardTimeout
-		if r.URL.Path != "/v1/nodes" {
-			within = answerTimeout
-		}
-		ctx, cancel := context.WithTimeout(r.Context(), within)
-		defer cancel()
-		on, err := http.NewRequestWithContext(ctx, r.Method, a.group.trust.scheme()+"://"+to+r.URL.RequestURI(),
-			bytes.NewReader(body))
-		if err != nil {
-			a.failWith(w, err)
-			return
-		}
-		on.Header.Set(headerForwarded, v.Name)
-		on.Header.Set("Content-Type", "application/json")
-		if t := r.Header.Get("Authorization"); t != "" {
-			on.Header.Set("Authorization", t)
-		}
-		res, err := a.forwarder.Do(on)
-		if err != nil {
-			a.fail(w, http.StatusServiceUnavailable, fmt.Errorf("the leader at %s: %w", to, err))
-			return
-		}
-		defer res.Body.Close()
-		raw, err := io.ReadAll(res.Body)
-		if err != nil {
-			a.fail(w, http.StatusServiceUnavailable, fmt.Errorf("the leader at %s: %w", to, err))
-			return
+		a.forward(w, r, leader, body)
+	}
+}
+
+// leaderAddress gives where the leader listens for clients, empty where it is not known or is this instance.
+func (v *View) leaderAddress() string {
+	for _, m := range v.Members {
+		if m.ID == v.Leader && m.ID != v.ID {
+			return m.Listen
 		}
-		w.Header().Set("Content-Type", "application/json")
-		w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
-		w.WriteHeader(res.StatusCode)
-		w.Write(raw)
 	}
+	return ""
+}
+
+// forward sends a request to the leader and passes on its answer.
+func (a *API) forward(w http.ResponseWriter, r *http.Request, leader string, body []byte) {
+	timeout := forwardTimeout
+	if r.URL.Path != "/v1/nodes" {
+		timeout = answerTimeout
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), timeout)
+	defer cancel()
+	url := a.group.trust.scheme() + "://" + leader + r.URL.RequestURI()
+	request, err := http.NewRequestWithContext(ctx, r.Method, url, bytes.NewReader(body))
+	if err != nil {
+		a.failWith(w, err)
+		return
+	}
+	request.Header.Set(headerForwarded, a.group.View().Name)
+	request.Header.Set("Content-Type", contentJSON)
+	if token := r.Header.Get("Authorization"); token != "" {
+		request.Header.Set("Authorization", token)
+	}
+	status, raw, err := a.roundTrip(request)
+	if err != nil {
+		a.fail(w, http.StatusServiceUnavailable, fmt.Errorf("the leader at %s: %w", leader, err))
+		return
+	}
+	w.Header().Set("Content-Type", contentJSON)
+	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
+	w.WriteHeader(status)
+	w.Write(raw)
+}
+
+func (a *API) roundTrip(request *http.Request) (status int, body []byte, err error) {
+	response, err := a.forwarder.Do(request)
+	if err != nil {
+		return 0, nil, err
+	}
+	defer response.Body.Close()
+	body, err = io.ReadAll(response.Body)
+	return response.StatusCode, body, err
 }
--- a/internal/control/consensus/api_middleware.go
+++ b/internal/control/consensus/api_middleware.go
@@ -2,7 +2,6 @@
 
 import (
 	"crypto/subtle"
-	"errors"
 	"net/http"
 	"strconv"
 	"strings"
@@ -53,7 +52,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		got := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 		if want != "" && subtle.ConstantTimeCompare([]byte(got), []byte(want)) != 1 {
-			a.fail(w, http.StatusUnauthorized, errors.New("no token, or another one, expected the one of [clients]"))
+			a.fail(w, http.StatusUnauthorized, errNoToken)
 			return
 		}
 		next(w, r)
--- a/internal/control/consensus/api_watch.go
+++ b/internal/control/consensus/api_watch.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// watch streams versions in order, a line each, from a number on. A watcher that went away names the next
-// number wherever it comes back, so it misses none and gets none twice.
+// getWatch streams versions in order, a line each, from a number on. A watcher that lost its connection names the next
+// number wherever it connects again, so it misses none and gets none twice.
 func (a *API) getWatch(w http.ResponseWriter, r *http.Request) {
 	v := a.group.View()
 	from, err := number(r, "from", v.Version+1)
@@ -17,60 +17,100 @@
 		return
 	}
 	if from == 0 || from < v.FirstVersion {
-		a.fail(w, http.StatusGone, fmt.Errorf("from version %d, expected %d or later: older ones are not kept",
-			from,
-			v.FirstVersion))
+		a.fail(w, http.StatusGone,
+			fmt.Errorf("from version %d, expected %d or later: older ones are not kept", from, v.FirstVersion))
 		return
 	}
 	if a.watchers.Add(1) > maxWatchers {
 		a.watchers.Add(-1)
-		a.fail(w, http.StatusServiceUnavailable, fmt.Errorf("%d watchers, expected at most %d", maxWatchers+1,
-			maxWatchers))
+		a.fail(w, http.StatusServiceUnavailable,
+			fmt.Errorf("%d watchers, expected at most %d", maxWatchers+1, maxWatchers))
 		return
 	}
 	defer a.watchers.Add(-1)
-	rc := http.NewResponseController(w)
-	rc.SetReadDeadline(time.Time{})
-	w.Header().Set("Content-Type", "application/jsonl")
-	beat := time.NewTimer(0)
-	defer beat.Stop()
+	stream := &watchStream{api: a, writer: w, control: http.NewResponseController(w), next: from}
+	stream.run(r)
+}
+
+// watchStream is one watcher's answer.
+type watchStream struct {
+	api     *API
+	writer  http.ResponseWriter
+	control *http.ResponseController
+	next    uint64 // version to be sent
+}
+
+// run ends when the client goes, is too slow, or falls behind the oldest version held; it has to begin anew then. It ends
+// also when the API or the instance stops.
+func (s *watchStream) run(r *http.Request) {
+	s.control.SetReadDeadline(time.Time{}) // the server's deadline is for bodies; a watch has none
+	s.writer.Header().Set("Content-Type", contentLines)
+	heartbeat := time.NewTimer(0)
+	defer heartbeat.Stop()
 	for {
-		rc.SetWriteDeadline(time.Now().Add(watchWriteTimeout))
-		v = a.group.View()
-		if from < v.FirstVersion { // it fell behind what is kept: it has to begin anew
+		v := s.api.group.View()
+		if s.next < v.FirstVersion {
 			return
 		}
-		sent := false
-		for ; from <= v.Version; from++ {
-			if _, err := w.Write(append(v.VersionJSON(from)[:len(v.VersionJSON(from)):len(v.VersionJSON(from))], '\n')); err != nil {
-				return
-			}
-			rc.SetWriteDeadline(time.Now().Add(watchWriteTimeout))
-			sent = true
+		sent, err := s.sendVersions(v)
+		if err != nil {
+			return
 		}
 		if sent {
-			if rc.Flush() != nil {
-				return
-			}
-			beat.Reset(watchHeartbeat)
+			heartbeat.Reset(watchHeartbeat)
 		}
 		select {
 		case <-v.Superseded:
-		case <-beat.C:
-			line, err := json.Marshal(Heartbeat{true, v.SinceLeader().Milliseconds(), v.OutOfContact()})
-			if err != nil {
-				return
-			}
-			if _, err = w.Write(append(line, '\n')); err != nil || rc.Flush() != nil {
+		case <-heartbeat.C:
+			if s.sendHeartbeat(v) != nil {
 				return
 			}
-			beat.Reset(watchHeartbeat)
+			heartbeat.Reset(watchHeartbeat)
 		case <-r.Context().Done():
 			return
-		case <-a.stopping.Done():
+		case <-s.api.stopping.Done():
 			return
-		case <-a.group.Done():
+		case <-s.api.group.Done():
 			return
 		}
 	}
 }
+
+// sendVersions sends what is newer than the last version sent.
+func (s *watchStream) sendVersions(v *View) (sent bool, err error) {
+	s.extendDeadline()
+	for ; s.next <= v.Version; s.next++ {
+		if err = s.writeLine(v.VersionJSON(s.next)); err != nil {
+			return sent, err
+		}
+		s.extendDeadline()
+		sent = true
+	}
+	if sent {
+		err = s.control.Flush()
+	}
+	return sent, err
+}
+
+func (s *watchStream) sendHeartbeat(v *View) error {
+	line, err := json.Marshal(Heartbeat{true, v.SinceLeader().Milliseconds(), v.OutOfContact()})
+	if err != nil {
+		return err
+	}
+	if err = s.writeLine(line); err != nil {
+		return err
+	}
+	return s.control.Flush()
+}
+
+// writeLine never changes the line's array, which other watchers share.
+func (s *watchStream) writeLine(line []byte) error {
+	_, err := s.writer.Write(append(line[:len(line):len(line)], '\n'))
+	return err
+}
+
+// extendDeadline guards against a client that stopped reading: without a deadline each would hold a goroutine and a
+// place among the watchers for good.
+func (s *watchStream) extendDeadline() {
+	s.control.SetWriteDeadline(time.Now().Add(watchWriteTimeout))
+}
--- /dev/null
+++ b/internal/control/consensus/fleet_requests.go
@@ -0,0 +1,86 @@
+package consensus
+
+import (
+	"context"
+	"errors"
+	"fmt"
+
+	"umberwinch/internal/control/api"
+	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
+)
+
+// submit has a request put to the leader's duties on the replica's goroutine and waits for its result. The error is that
+// of the request, ErrBusy, ErrStopped, or ErrTimeout once ctx is done; the request may take effect after an ErrTimeout.
+func submit[T any](ctx context.Context, g *Group, request func(done func(T, error))) (result T, err error) {
+	type ended struct {
+		result T
+		err    error
+	}
+	done := make(chan ended, 1)
+	if err = g.enqueue(func() {
+		request(func(result T, err error) { done <- ended{result, err} })
+	}); err != nil {
+		return result, err
+	}
+	select {
+	case e := <-done:
+		return e.result, e.err
+	case <-g.done:
+		return result, ErrStopped
+	case <-ctx.Done():
+		return result, ErrTimeout
+	}
+}
+
+// Node puts a node's heartbeat to the leader and waits for the response.
+func (g *Group) Node(ctx context.Context, r api.HeartbeatRequest) (api.HeartbeatResponse, error) {
+	return submit(ctx, g, func(done func(api.HeartbeatResponse, error)) {
+		g.leader.Heartbeat(g.replica.stateMachine.fleet, r, done)
+	})
+}
+
+// PolicyOp puts an operator's step of a policy change to the leader and waits until it is applied.
+func (g *Group) PolicyOp(ctx context.Context, op policy.Op) (policy.Result, error) {
+	return submit(ctx, g, func(done func(policy.Result, error)) {
+		g.leader.SubmitPolicy(op, done)
+		g.tickLeader(0)
+	})
+}
+
+// ZoneOp puts an operator's operation on a zone to the leader and waits until it is applied.
+func (g *Group) ZoneOp(ctx context.Context, op zones.Op) (zones.Result, error) {
+	return submit(ctx, g, func(done func(zones.Result, error)) {
+		g.leader.SubmitZone(g.replica.stateMachine.fleet, op, done)
+		g.tickLeader(0)
+	})
+}
+
+// Forget removes a node from the fleet's list and waits until it is gone from the state here.
+func (g *Group) Forget(ctx context.Context, name string) error {
+	err, stopped := callOn(g, g.enqueue, func() error {
+		if !g.knowsNode(name) {
+			return fmt.Errorf("found no node %.50q", name)
+		}
+		return g.leader.Forget(name)
+	})
+	if err = errors.Join(stopped, err); err != nil {
+		return err
+	}
+	for {
+		listed, err := callOn(g, g.enqueue, func() bool { return g.knowsNode(name) })
+		if err != nil || !listed {
+			return err
+		}
+		select {
+		case <-g.View().Superseded:
+		case <-ctx.Done():
+			return ErrTimeout
+		}
+	}
+}
+
+// knowsNode runs on the replica's goroutine.
+func (g *Group) knowsNode(name string) bool {
+	return g.replica.stateMachine.fleet.Fleet.Lookup(name) != nil
+}
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -137,9 +137,9 @@
 
 // Stop hands the lead over if it has it, then ends.
 func (g *Group) Stop(ctx context.Context) {
-	if v := g.View(); v.Role == "leader" && len(v.Members) > 1 {
+	if v := g.View(); v.Role == RoleLeader && len(v.Members) > 1 {
 		g.enqueue(func() { g.replica.Transfer(0) })
-		for v.Role == "leader" && ctx.Err() == nil {
+		for v.Role == RoleLeader && ctx.Err() == nil {
 			select {
 			case <-v.Superseded:
 			case <-ctx.Done():
--- a/internal/control/consensus/leader.go
+++ b/internal/control/consensus/leader.go
@@ -11,78 +11,117 @@
 	"umberwinch/internal/logging"
 )
 
-// steer passes time on to the steward and proposes what it has for the log.
+// maxTicksPerStep is how many ticks count at most for one step of the leader's time, however long the process stood
+// still: nodes were not heard in a standstill, so their leases must not be held to it.
+const maxTicksPerStep = 4
+
+// tickLeader passes time, in ms, on to the leader's duties and proposes the entries that they have for the log.
 func (g *Group) tickLeader(ms uint64) {
 	r := g.replica
-	s := g.leader
-	b := r.node.BasicStatus()
-	// A leader acts once it has applied an entry of its own term: until then its state may lack what was told before.
-	leads := b.Lead == r.ID() && r.stateMachine.term == b.HardState.GetTerm() && r.stateMachine.level >= LevelFleet &&
-		r.Barred() == ""
-	s.SetRole(r.stateMachine.cluster, leads, b.HardState.GetTerm())
-	if lost := r.stateMachine.fleet.Fleet.LostState; lost != "" && !g.stateLossLogged { // also after a restart: no beat tells of it any more
-		g.stateLossLogged = true
-		g.log.WithField(logging.Reason, lost).Error("the group has lost state that nodes know of, and grants nothing: see umberctl " +
-			"control recover")
-	}
-	s.Level = r.stateMachine.level
-	for _, e := range s.Tick(r.stateMachine.fleet, ms) {
+	fleet := r.stateMachine.fleet
+	g.leader.SetRole(r.stateMachine.cluster, r.mayCoordinate(), r.node.BasicStatus().HardState.GetTerm())
+	g.leader.Level = r.stateMachine.level
+	g.logStateLoss()
+	for _, e := range g.leader.Tick(fleet, ms) {
 		if err := r.ProposeEntry(e.Kind, e.Body); err != nil {
-			g.log.WithField(logging.Error, err).Debug("an entry about nodes was not proposed")
+			g.log.WithField(logging.Error, err).Debug("fleet entry not proposed")
 		}
 	}
 }
 
-// passed gives the ms since it was last asked. A standstill of this process counts for little: nobody was heard in it,
-// so nobody may be held to it.
+// mayCoordinate tells whether this instance may act for the group. A new leader waits until it has applied an entry of its
+// own term: until then its state may lack what an earlier leader told nodes, and it would contradict that.
+func (r *Replica) mayCoordinate() bool {
+	status := r.node.BasicStatus()
+	m := r.stateMachine
+	return status.Lead == r.ID() && m.term == status.HardState.GetTerm() && m.level >= LevelFleet && r.Barred() == ""
+}
+
+// logStateLoss logs once in a life that nodes have proved the group to lack state, also after a restart, when no entry
+// tells of it any more.
+func (g *Group) logStateLoss() {
+	lost := g.replica.stateMachine.fleet.Fleet.LostState
+	if lost == "" || g.stateLossLogged {
+		return
+	}
+	g.stateLossLogged = true
+	g.log.WithField(logging.Reason, lost).
+		Error("the group has lost state that nodes know of, and grants nothing: see umberctl control recover")
+}
+
+// elapsedMS returns the ms since the last call, maxTicksPerStep ticks at most.
 func (g *Group) elapsedMS() uint64 {
-	now := time.Now()
-	d := now.Sub(g.leaderTickedAt)
-	ms := d.Milliseconds()
+	ms := time.Since(g.leaderTickedAt).Milliseconds()
 	g.leaderTickedAt = g.leaderTickedAt.Add(time.Duration(ms) * time.Millisecond)
 	return uint64(min(ms, (maxTicksPerStep * g.control.Tick).Milliseconds()))
 }
 
-// told tells the steward the ends of entries about nodes, and the log what an operator should know.
-func (g *Group) operationsApplied(ends []any) {
-	for _, e := range ends {
-		switch e := e.(type) {
+// operationsApplied logs what an operator should know of applied fleet entries and gives their results to the leader's
+// duties, where callers may wait for them.
+func (g *Group) operationsApplied(results []any) {
+	fleet := g.replica.stateMachine.fleet
+	for _, r := range results {
+		switch r := r.(type) {
 		case policy.Result:
-			if c := g.replica.stateMachine.fleet.Policy.Find(e.ChangeNumber); c != nil && e.Rejection == "" {
-				f := g.log.WithFields(logrus.Fields{"change": c.Number, logging.PolicyVersion: c.Version, "step": c.Step,
-					"from": c.PreviousVersion, "exclusive": c.Proposal.Exclusive})
-				if c.AbortReason != "" {
-					f = f.WithField(logging.Reason, c.AbortReason)
-				}
-				f.Info("change of policy")
-			} else if e.Rejection != "" {
-				g.log.WithFields(logrus.Fields{"change": e.ChangeNumber, "step": e.Kind}).Debug(e.Rejection)
-			}
+			g.logPolicyChange(r)
 		case zones.Result:
-			g.logZoneChange(e)
+			g.logZoneChange(r)
 		case coordinator.BatchApplied:
-			if e.FleetRestarted {
-				g.logZoneChange(zones.Result{Kind: "began", Zone: zones.WholeFleet, Phase: zones.Ramping, Epoch: g.replica.stateMachine.fleet.Zones.Epoch})
+			if r.FleetRestarted {
+				g.logZoneChange(zones.Result{Kind: "began", Zone: zones.WholeFleet, Phase: zones.Ramping,
+					Epoch: fleet.Zones.Epoch})
 			}
-			if len(e.CountedOut) > 0 {
-				g.log.WithField("nodes", policy.Summarize(e.CountedOut)).Warn("counted out: silent for a lease's time")
+			if len(r.CountedOut) > 0 {
+				g.log.WithField(logging.Nodes, policy.Summarize(r.CountedOut)).
+					Warn("nodes counted out: no heartbeat for the time of a lease")
 			}
 		}
-		g.leader.EntryApplied(g.replica.stateMachine.fleet, e)
+		g.leader.EntryApplied(fleet, r)
+	}
+}
+
+// logPolicyChange logs a step of a policy change. The fault tests read message and fields.
+func (g *Group) logPolicyChange(r policy.Result) {
+	if r.Rejection != "" {
+		g.log.WithFields(logrus.Fields{logging.Change: r.ChangeNumber, logging.Operation: r.Kind,
+			logging.Reason: r.Rejection}).Debug("policy operation rejected")
+		return
+	}
+	c := g.replica.stateMachine.fleet.Policy.Find(r.ChangeNumber)
+	if c == nil {
+		return
+	}
+	line := g.log.WithFields(logrus.Fields{
+		logging.Change:        c.Number,
+		logging.PolicyVersion: c.Version,
+		logging.Step:          c.Step,
+		logging.From:          c.PreviousVersion,
+		logging.Exclusive:     c.Proposal.Exclusive,
+	})
+	if c.AbortReason != "" {
+		line = line.WithField(logging.Reason, c.AbortReason)
 	}
+	line.Info("change of policy")
 }
 
-// logZoneChange logs what an operator should know of a zone.
-func (g *Group) logZoneChange(e zones.Result) {
-	z := g.replica.stateMachine.fleet.Zones.Find(e.Zone)
+// logZoneChange logs a change of a zone. The fault tests read message and fields.
+func (g *Group) logZoneChange(r zones.Result) {
+	zone := g.replica.stateMachine.fleet.Zones.Find(r.Zone)
 	switch {
-	case e.Err != "":
-		g.log.WithFields(logrus.Fields{"zone": e.Zone, "step": e.Kind}).Debug(e.Err)
-	case z != nil && e.Phase != "" && len(z.Events) > 0:
-		last := z.Events[len(z.Events)-1]
-		g.log.WithFields(logrus.Fields{"zone": z.Name, "step": z.Phase, "share": z.Share, "epoch": e.Epoch,
-			logging.Reason: last.Text, "op": e.Kind}).Info("change of a zone")
-	case e.Kind == zones.OpSettle:
-		g.log.WithField("epoch", e.Epoch).Info("epoch of zones settled")
+	case r.Err != "":
+		g.log.WithFields(logrus.Fields{logging.Zone: r.Zone, logging.Operation: r.Kind, logging.Reason: r.Err}).
+			Debug("zone operation rejected")
+	case zone != nil && r.Phase != "" && len(zone.Events) > 0:
+		newest := zone.Events[len(zone.Events)-1]
+		g.log.WithFields(logrus.Fields{
+			logging.Zone:      zone.Name,
+			logging.Step:      zone.Phase,
+			logging.Quota:     zone.Share,
+			logging.Epoch:     r.Epoch,
+			logging.Reason:    newest.Text,
+			logging.Operation: r.Kind,
+		}).Info("change of a zone")
+	case r.Kind == zones.OpSettle:
+		g.log.WithField(logging.Epoch, r.Epoch).Info("epoch of zones settled")
 	}
 }
--- a/internal/control/consensus/record_collector.go
+++ b/internal/control/consensus/record_collector.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -44,7 +43,7 @@
 	mux.HandleFunc("POST /v1/nodes", g.postHeartbeat)
 	mux.HandleFunc("POST /v1/kept", g.postRecord)
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
-		g.fail(w, http.StatusServiceUnavailable, errors.New("the group is being restored"))
+		g.fail(w, http.StatusServiceUnavailable, errRestoring)
 	})
 	g.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout, MaxHeaderBytes: maxHeaderBytes,
 		IdleTimeout: time.Minute}
@@ -99,7 +98,7 @@
 	}
 	g.mu.Unlock()
 	if told {
-		g.fail(w, http.StatusServiceUnavailable, errors.New("the group is being restored"))
+		g.fail(w, http.StatusServiceUnavailable, errRestoring)
 		return
 	}
 	raw, err := json.Marshal(api.HeartbeatResponse{CollectRecord: true})
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -1,7 +1,3 @@
-// Package consensus is the replicated group that keeps an installation's configuration: etcd's raft core on
-// our log, with our state machine, members, identity, transport and clients' API. replica.go owns the core
-// and is driven from outside: told of ticks and messages, asked what to send. It knows no clock, socket or
-// goroutine, so that a whole group runs in one test; group.go drives one in earnest.
 package consensus
 
 import (
--- a/internal/control/consensus/replica_members.go
+++ b/internal/control/consensus/replica_members.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
@@ -140,7 +139,7 @@
 		})
 	}
 	if to == 0 || !r.isVoter(to) {
-		return fmt.Errorf("no voter to hand the lead to")
+		return errNoTransfer
 	}
 	r.node.TransferLeader(to)
 	return nil
--- a/internal/control/consensus/replica_open.go
+++ b/internal/control/consensus/replica_open.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 
 	"go.etcd.io/raft/v3"
@@ -140,7 +139,7 @@
 	}
 	defer log.Close()
 	if log.Mark(markIdentity) != nil {
-		return nil, errors.New("the folder belongs to an instance already, expected an empty one")
+		return nil, ErrFolderInUse
 	}
 	r := &Replica{plan: plan, log: log}
 	own := Identity{ID: plan.Random() | 1, Name: plan.Name,
--- a/internal/control/consensus/replica_status.go
+++ b/internal/control/consensus/replica_status.go
@@ -52,23 +52,23 @@
 		Barred: r.peers.self.Barred, Level: r.stateMachine.level}
 	switch b.RaftState {
 	case raft.StateLeader:
-		s.Role = "leader"
+		s.Role = RoleLeader
 		r.node.WithProgress(func(id uint64, _ raft.ProgressType, p tracker.Progress) {
 			s.Peers = append(s.Peers, Peer{id, p.Match, p.State.String(), p.RecentActive})
 		})
 		sort.Slice(s.Peers, func(i, k int) bool { return s.Peers[i].ID < s.Peers[k].ID })
 	case raft.StateFollower:
-		s.Role = "follower"
+		s.Role = RoleFollower
 		if !r.isVoter(r.ID()) {
-			s.Role = "learner"
+			s.Role = RoleLearner
 		}
 	default:
-		s.Role = "candidate"
+		s.Role = RoleCandidate
 	}
 	if s.Barred != "" {
-		s.Role = "barred"
+		s.Role = RoleBarred
 	} else if r.peers.self.Cluster == "" {
-		s.Role = "waiting"
+		s.Role = RoleWaiting
 	}
 	return s
 }
--- a/internal/control/consensus/restored_group.go
+++ b/internal/control/consensus/restored_group.go
@@ -101,7 +101,7 @@
 // Recover makes an empty folder the first instance of the next generation of a group, by what was found.
 func Recover(fs wal.FS, plan Config, old *StoredGroup, found *recovery.RestorePlan) (*Version, error) {
 	if found.Conflict != "" {
-		return nil, errors.New(found.Conflict)
+		return nil, &RejectedError{found.Conflict}
 	}
 	m := newStateMachine("", 0)
 	m.applied, m.term = 1, 1
--- a/internal/control/consensus/store.go
+++ b/internal/control/consensus/store.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 
 	"go.etcd.io/raft/v3"
@@ -66,7 +65,7 @@
 		}
 		return meta, raw[i+1:], nil
 	}
-	return nil, nil, errors.New("a snapshot without a head")
+	return nil, nil, errNoSnapshotHeader
 }
 
 // openStore reads hard state, newest sound snapshot and the entries behind it. It gives the snapshot's state,
--- a/internal/control/consensus/transport_snapshot.go
+++ b/internal/control/consensus/transport_snapshot.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net"
 	"time"
@@ -108,7 +107,7 @@
 	c.SetReadDeadline(time.Now().Add(snapshotIdleTimeout))
 	kind, _, err := readFrame(c, maxHandshakeBytes)
 	if err == nil && kind != frameDone {
-		err = errors.New("it was not taken")
+		err = errSnapshotRefused
 	}
 	t.count.snapsSent.Add(1)
 	return err
--- a/internal/control/consensus/view.go
+++ b/internal/control/consensus/view.go
@@ -1,15 +1,23 @@
 package consensus
 
-import (
-	"time"
+import "time"
+
+// Roles of an instance, as Status gives them.
+const (
+	RoleLeader    = "leader"
+	RoleFollower  = "follower"
+	RoleLearner   = "learner"
+	RoleCandidate = "candidate"
+	RoleWaiting   = "waiting" // to be taken into a group
+	RoleBarred    = "barred"  // it must take no part any more
 )
 
-// View is an instance's state as last published. Nothing in it changes.
+// View is an instance's state as last published. Nothing in it changes, so any goroutine may read it.
 type View struct {
 	Status
 	Members      []Member
-	Versions     [][]byte
-	FirstVersion uint64
+	Versions     [][]byte // held versions, each as one line of JSON
+	FirstVersion uint64   // number of Versions[0]
 	PublishedAt  time.Time
 	Superseded   chan struct{} // closed when there is a newer view
 
@@ -17,17 +25,18 @@
 	tick           time.Duration
 }
 
-// SinceLeader gives for how long no leader was heard; Out tells whether that is past the operator's bound, so that
-// what this instance holds may be old.
+// SinceLeader returns for how long no leader was heard.
 func (v *View) SinceLeader() time.Duration {
 	return time.Duration(v.TicksSinceLeader)*v.tick + max(0, time.Since(v.PublishedAt)-v.tick)
 }
 
+// OutOfContact tells whether what this instance holds may be old: no leader was heard for longer than the operator's
+// limit, or it takes no part in a group.
 func (v *View) OutOfContact() bool {
 	return v.SinceLeader() > v.contactTimeout || v.Barred != "" || v.Cluster == ""
 }
 
-// VersionJSON gives a version's line, nil where it is not kept.
+// VersionJSON returns a version as a line of JSON, nil where it is not held.
 func (v *View) VersionJSON(number uint64) []byte {
 	if number < v.FirstVersion || number >= v.FirstVersion+uint64(len(v.Versions)) {
 		return nil
