--- a/internal/node/server/control_client.go
+++ b/internal/node/server/control_client.go
@@ -19,6 +19,12 @@
 	controlBodyBytes = 7 << 20
 )
 
+// Methods of HTTP requests.
+const (
+	methodGet  = "GET"
+	methodPost = "POST"
+)
+
 var controlBounds = wire.Bounds{HeadBytes: controlHeadBytes, BodyBytes: controlBodyBytes}
 
 // controlRequest is one HTTP request to an instance of the control service, or to another node.
--- a/internal/node/server/fleet_heartbeat.go
+++ b/internal/node/server/fleet_heartbeat.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"net/http"
 	"time"
 
 	"github.com/sirupsen/logrus"
@@ -11,6 +10,7 @@
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/node/agent"
+	"umberwinch/internal/node/wire"
 )
 
 // Paths of the control service and of nodes.
@@ -40,7 +40,7 @@
 	switch {
 	case r.err != nil:
 		return r.err
-	case r.status != http.StatusOK:
+	case r.status != wire.StatusOK:
 		return &statusError{r.status, r.body}
 	}
 	return json.Unmarshal(r.body, into)
@@ -64,7 +64,7 @@
 		return
 	}
 	address := f.agent.ControlAddress()
-	f.heartbeats.requests <- &controlRequest{address: address, method: http.MethodPost, path: pathHeartbeat, body: body,
+	f.heartbeats.requests <- &controlRequest{address: address, method: methodPost, path: pathHeartbeat, body: body,
 		timeout: time.Duration(f.agent.HeartbeatTimeout()) * time.Millisecond,
 		done: func(r controlResponse) {
 			f.host.runOnLoop(func() { f.heartbeatAnswered(address, sequence, r) })
@@ -141,7 +141,7 @@
 	}
 	target := p.targets[0]
 	p.targets, p.probing = p.targets[1:], true
-	p.client.requests <- &controlRequest{address: target.Addr, method: http.MethodGet, path: pathHealth,
+	p.client.requests <- &controlRequest{address: target.Addr, method: methodGet, path: pathHealth,
 		timeout: probeTimeout,
 		done: func(r controlResponse) {
 			host.runOnLoop(func() { p.answered(target.Name, r, host) })
@@ -153,7 +153,7 @@
 	p.probing = false
 	health := api.PeerHealth{Name: name, Health: api.PeerSilent}
 	switch {
-	case r.err == nil && r.status == http.StatusOK:
+	case r.err == nil && r.status == wire.StatusOK:
 		health.Health = api.PeerServing
 	case r.err == nil:
 		health.Health = api.PeerShedding
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -1,8 +1,6 @@
 package server
 
 import (
-	"net/http"
-
 	"github.com/sirupsen/logrus"
 
 	"umberwinch/admission"
@@ -85,7 +83,7 @@
 		}
 		r.setShared(sharedNotAwaited)
 		l.nextRound().Disconnected = append(l.nextRound().Disconnected, uint32(h))
-		l.answer(h, r, wire.Response{Status: http.StatusServiceUnavailable,
+		l.answer(h, r, wire.Response{Status: wire.StatusServiceUnavailable,
 			RetryAfterMS: l.retryAfter(&l.fleet.spread, 0)})
 	}
 }
--- a/internal/node/server/fleet_record.go
+++ b/internal/node/server/fleet_record.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"net/http"
 	"time"
 
 	"github.com/sirupsen/logrus"
@@ -12,6 +11,7 @@
 	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/node/agent"
+	"umberwinch/internal/node/wire"
 )
 
 const (
@@ -141,7 +141,7 @@
 	f.updateRecord()
 	record, address := f.nodeRecord(), f.agent.LastContacted()
 	go func() {
-		request := &controlRequest{address: address, method: http.MethodPost, path: pathNodeRecord,
+		request := &controlRequest{address: address, method: methodPost, path: pathNodeRecord,
 			timeout: sendRecordTimeout}
 		response := controlResponse{}
 		if request.body, response.err = json.Marshal(&record); response.err == nil {
@@ -156,7 +156,7 @@
 // recordSent takes what came of that.
 func (f *fleetAgent) recordSent(address string, r controlResponse) {
 	f.record.sending = false
-	if r.err == nil && r.status != http.StatusOK {
+	if r.err == nil && r.status != wire.StatusOK {
 		r.err = &statusError{r.status, r.body}
 	}
 	if r.err != nil {
--- a/internal/node/server/fleet_serving.go
+++ b/internal/node/server/fleet_serving.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"net/http"
 
 	"umberwinch/admission"
 	"umberwinch/internal/control/api"
@@ -89,10 +88,10 @@
 	case f.fenced:
 		f.host.counts().FenceShed++
 		response.RetryAfterMS = f.host.retryAfter(&f.spread, 0)
-		return http.StatusServiceUnavailable
+		return wire.StatusServiceUnavailable
 	case f.retired[handler]:
 		response.NoRetry = true
-		return http.StatusServiceUnavailable
+		return wire.StatusServiceUnavailable
 	}
 	now, asked := bootTime(), f.gateRequest(handler, q, key)
 	decision := f.gate.Admit(now, asked)
@@ -103,7 +102,7 @@
 	f.meter.RequestRejected(now, handler, q.IsRetry)
 	response.NoRetry, response.RetryAfterMS = decision.Final, f.host.retryAfter(&f.spread,
 		f.gate.RetryAfter(now, asked))
-	return http.StatusServiceUnavailable
+	return wire.StatusServiceUnavailable
 }
 
 // gateRequest is what the zone's gate hears of a request.
--- a/internal/node/server/fleet_version.go
+++ b/internal/node/server/fleet_version.go
@@ -5,7 +5,6 @@
 	"encoding/hex"
 	"errors"
 	"fmt"
-	"net/http"
 	"time"
 
 	"github.com/sirupsen/logrus"
@@ -71,7 +70,7 @@
 	}
 	v.current, v.committed = version, committed
 	address := f.agent.ControlAddress()
-	v.client.requests <- &controlRequest{address: address, method: http.MethodGet,
+	v.client.requests <- &controlRequest{address: address, method: methodGet,
 		path: fmt.Sprintf(pathDocument, version.Version), timeout: v.timeout,
 		done: func(r controlResponse) {
 			f.host.runOnLoop(func() { f.versionFetched(address, version, r) })
--- a/internal/node/server/front.go
+++ b/internal/node/server/front.go
@@ -287,9 +287,9 @@
 func (l *loop) serveRequest(c *connection, h handle, m *requestRead) {
 	a := wire.Response{Close: m.request.Close}
 	switch method, path := string(m.request.Method), string(m.request.Path); {
-	case path == healthPath && method == "GET":
+	case path == healthPath && method == methodGet:
 		l.checkHealth(c, &a)
-	case len(path) > len(handlerPrefix) && strings.HasPrefix(path, handlerPrefix) && method == "POST":
+	case len(path) > len(handlerPrefix) && strings.HasPrefix(path, handlerPrefix) && method == methodPost:
 		if a.Status = l.receiveRequest(c, m, path[len(handlerPrefix):], &a); a.Status != wire.StatusBadRequest {
 			c.usage = usedForRequests
 		}
--- a/internal/node/server/result_attempt.go
+++ b/internal/node/server/result_attempt.go
@@ -4,7 +4,6 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"fmt"
-	"net/http"
 
 	"umberwinch/admission"
 	"umberwinch/internal/logging"
@@ -41,7 +40,7 @@
 	response := wire.Response{}
 	response.Status = k.attempt(h, r, &response)
 	if response.Status != 0 {
-		response.Close = response.Status == http.StatusBadRequest
+		response.Close = response.Status == wire.StatusBadRequest
 		k.host.answer(h, r, response)
 		return true
 	}
@@ -73,7 +72,7 @@
 		return k.reject(response)
 	case resultstore.RejectMismatch:
 		k.mismatched++
-		return http.StatusBadRequest
+		return wire.StatusBadRequest
 	case resultstore.ReturnError:
 		return k.fail()
 	case resultstore.ReturnResult:
@@ -124,13 +123,13 @@
 func (k *resultKeeper) reject(response *wire.Response) (status int) {
 	k.rejected++
 	response.RetryAfterMS = k.host.retryAfter(&k.spread, 0)
-	return http.StatusServiceUnavailable
+	return wire.StatusServiceUnavailable
 }
 
 // fail is for a key that ran or may have run, and of which there is no result to tell.
 func (k *resultKeeper) fail() (status int) {
 	k.failed++
-	return http.StatusInternalServerError
+	return wire.StatusInternalServerError
 }
 
 // answerBy is when a request that waits for the disk gets its answer at the latest.
@@ -176,7 +175,7 @@
 	if r.awaitsResponse() {
 		k.host.countShared()
 	}
-	k.host.answer(h, r, wire.Response{Status: http.StatusOK, Body: result})
+	k.host.answer(h, r, wire.Response{Status: wire.StatusOK, Body: result})
 }
 
 // answerLate answers a request that waits for the disk at its last moment. One that waits for its intent is the
--- a/internal/node/server/result_run.go
+++ b/internal/node/server/result_run.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"net/http"
 
 	"github.com/sirupsen/logrus"
 
@@ -32,7 +31,7 @@
 		response.Status = k.reject(&response)
 	case resultstore.RejectMismatch:
 		k.mismatched++
-		response.Status = http.StatusBadRequest
+		response.Status = wire.StatusBadRequest
 	default: // it runs, ran or may have run by another attempt that the controller no longer knows of
 		response.Status = k.fail()
 	}
@@ -79,7 +78,7 @@
 	}
 	r.keyed.intentDurable = true
 	if r.isAnswered() {
-		k.endUnstarted(h, r, wire.Response{Status: http.StatusInternalServerError})
+		k.endUnstarted(h, r, wire.Response{Status: wire.StatusInternalServerError})
 		return
 	}
 	k.faults.reach(faultIntentDurable)
@@ -148,9 +147,9 @@
 	if r := k.host.requestByHandle(h); r != nil && r.keyed != nil && r.keyed.pending == resultPending {
 		r.keyed.pending = nothingPending
 		if durable {
-			k.host.answer(h, r, wire.Response{Status: http.StatusOK, Body: result})
+			k.host.answer(h, r, wire.Response{Status: wire.StatusOK, Body: result})
 		} else {
-			k.host.answer(h, r, wire.Response{Status: http.StatusInternalServerError})
+			k.host.answer(h, r, wire.Response{Status: wire.StatusInternalServerError})
 		}
 	}
 	k.host.shareResult(h, sharedKey, durable, result)
