--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -15,6 +15,7 @@
 	"github.com/spf13/cobra"
 
 	"umberwinch/internal/config"
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
@@ -138,7 +139,7 @@
 }
 
 // gather listens to nodes for the time given, or until the context ends.
-func (r *recoverCommand) gather(ctx context.Context, listen string, w io.Writer) (kept []recovery.NodeRecord, asked int, err error) {
+func (r *recoverCommand) gather(ctx context.Context, listen string, w io.Writer) (kept []api.NodeRecord, asked int, err error) {
 	if r.wait <= 0 { // an instance that runs on would lose its folder under it
 		ln, err := net.Listen("tcp", listen)
 		if err != nil {
@@ -147,7 +148,7 @@
 		return nil, 0, ln.Close()
 	}
 	var mu sync.Mutex
-	g, err := consensus.StartCollector(listen, func(k *recovery.NodeRecord, err error) {
+	g, err := consensus.StartCollector(listen, func(k *api.NodeRecord, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
--- a/internal/control/recovery/identity_test.go
+++ b/internal/control/api/identity_test.go
@@ -1,4 +1,4 @@
-package recovery
+package api
 
 import (
 	"fmt"
--- a/internal/control/recovery/record.go
+++ b/internal/control/api/record.go
@@ -1,16 +1,11 @@
-package recovery
+package api
 
 import (
 	"fmt"
 
-	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/document"
-	"umberwinch/internal/control/membership"
 )
 
-// MaxRecords are collected: one of each node that a fleet may have.
-const MaxRecords = membership.MaxNodes
-
 // maxNameBytes of a group's name or of a hash.
 const maxNameBytes = 80
 
@@ -39,13 +34,13 @@
 	PreparedText    string `json:"next_text,omitempty"`
 	Autonomous      bool   `json:"alone,omitempty"` // it may serve without a lease
 	ZoneEpoch       uint64 `json:"epoch,omitempty"` // of its zone's order; 0: it has none
-	ZoneShare       int    `json:"share,omitempty"` // that the order has it take, of api.FullShare
+	ZoneShare       int    `json:"share,omitempty"` // that the order has it take, of FullShare
 	LeaseMS         uint64 `json:"lease_ms,omitempty"`
 }
 
-// Validate says what is wrong with a record: an *api.FieldError, or an error that names several fields.
+// Validate says what is wrong with a record: a *FieldError, or an error that names several fields.
 func (r *NodeRecord) Validate() error {
-	names := api.JoinRequest{Name: r.Name, Zone: r.Zone, Addr: r.Addr, Nonce: anyNonce}
+	names := JoinRequest{Name: r.Name, Zone: r.Zone, Addr: r.Addr, Nonce: anyNonce}
 	if err := names.Validate(); err != nil {
 		return err
 	}
@@ -55,11 +50,11 @@
 	case max(len(r.ActiveText), len(r.PreparedText)) > document.MaxBytes:
 		return fmt.Errorf("text: found %d and %d bytes, expected at most %d", len(r.ActiveText), len(r.PreparedText),
 			document.MaxBytes)
-	case r.ZoneShare < 0 || r.ZoneShare > api.FullShare:
-		return &api.FieldError{Field: "share", Found: fmt.Sprint(r.ZoneShare), Expected: fmt.Sprintf("0 to %d",
-			api.FullShare)}
+	case r.ZoneShare < 0 || r.ZoneShare > FullShare:
+		return &FieldError{Field: "share", Found: fmt.Sprint(r.ZoneShare), Expected: fmt.Sprintf("0 to %d",
+			FullShare)}
 	case r.MinVersion < r.ActiveVersion:
-		return &api.FieldError{Field: "floor", Found: fmt.Sprint(r.MinVersion),
+		return &FieldError{Field: "floor", Found: fmt.Sprint(r.MinVersion),
 			Expected: fmt.Sprintf("%d at least, which is served under", r.ActiveVersion)}
 	}
 	return nil
--- a/internal/control/consensus/record_collector.go
+++ b/internal/control/consensus/record_collector.go
@@ -20,24 +20,24 @@
 // Collector listens, in place of an instance, to what nodes hold.
 type Collector struct {
 	mu       sync.Mutex
-	records  map[string]recovery.NodeRecord
+	records  map[string]api.NodeRecord
 	contacts map[string]time.Time // nodes that came by, and when last
 	texts    map[string]string    // by hash, so that a thousand nodes with one text hold it once
 	bodies   *semaphore.Weighted
 	server   *http.Server
-	onRecord func(k *recovery.NodeRecord, err error)
+	onRecord func(k *api.NodeRecord, err error)
 }
 
 // maxGatheredTexts bounds the different texts that are held: two versions at most are at hand at a node.
 const maxGatheredTexts = 64
 
 // StartCollector opens an address that nodes ask. heard is told of each node that told what it holds, or what was wrong with it.
-func StartCollector(listen string, heard func(k *recovery.NodeRecord, err error)) (*Collector, error) {
+func StartCollector(listen string, heard func(k *api.NodeRecord, err error)) (*Collector, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("%w: the instance that listens there has to be stopped first", err)
 	}
-	g := &Collector{records: map[string]recovery.NodeRecord{}, contacts: map[string]time.Time{}, texts: map[string]string{},
+	g := &Collector{records: map[string]api.NodeRecord{}, contacts: map[string]time.Time{}, texts: map[string]string{},
 		bodies: semaphore.NewWeighted(maxBodiesBytes), onRecord: heard}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/nodes", g.postHeartbeat)
@@ -52,13 +52,13 @@
 }
 
 // Stop ends it and gives what was told.
-func (g *Collector) Stop(ctx context.Context) []recovery.NodeRecord {
+func (g *Collector) Stop(ctx context.Context) []api.NodeRecord {
 	if g.server.Shutdown(ctx) != nil {
 		g.server.Close()
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := make([]recovery.NodeRecord, 0, len(g.records))
+	out := make([]api.NodeRecord, 0, len(g.records))
 	for _, k := range g.records { // Config puts them in order
 		out = append(out, k)
 	}
@@ -121,7 +121,7 @@
 		return
 	}
 	defer g.bodies.Release(size)
-	var k recovery.NodeRecord
+	var k api.NodeRecord
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, most)).Decode(&k)
 	if err == nil {
 		err = k.Validate()
@@ -137,7 +137,7 @@
 	g.whole(w, http.StatusOK, []byte("{}"))
 }
 
-func (g *Collector) store(k *recovery.NodeRecord) error {
+func (g *Collector) store(k *api.NodeRecord) error {
 	k.Generation = max(1, k.Generation)
 	k.ActiveText, k.ActiveHash = g.sharedText(k.ActiveText, k.ActiveHash)
 	k.PreparedText, k.PreparedHash = g.sharedText(k.PreparedText, k.PreparedHash)
--- a/internal/control/consensus/restored_group.go
+++ b/internal/control/consensus/restored_group.go
@@ -8,6 +8,7 @@
 	"github.com/sirupsen/logrus"
 	pb "go.etcd.io/raft/v3/raftpb"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/document"
 	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/wal"
@@ -87,7 +88,7 @@
 
 func (m *StateMachine) storedGroup() *recovery.StoredGroup {
 	p := m.fleet
-	b := &recovery.StoredGroup{GroupIdentity: recovery.GroupIdentity{Group: m.cluster, Generation: p.Generation, Predecessors: p.Predecessors}, LastVersion: m.lastVersion(),
+	b := &recovery.StoredGroup{GroupIdentity: api.GroupIdentity{Group: m.cluster, Generation: p.Generation, Predecessors: p.Predecessors}, LastVersion: m.lastVersion(),
 		DecidedVersion: p.Policy.DecidedVersion, CommittedVersion: p.Policy.CommittedVersion, Index: p.Index, ZoneEpoch: p.Zones.Epoch, TextOf: m.Text,
 		LeaseMS: p.Policy.ActiveRules().LeaseMS, Autonomous: p.Policy.ActiveRules().Autonomous, UncommittedEntries: m.uncommittedEntries}
 	for _, n := range p.Fleet.Nodes() {
--- a/internal/control/consensus/restored_group_test.go
+++ b/internal/control/consensus/restored_group_test.go
@@ -32,7 +32,7 @@
 	listen := address() + ":7301"
 	var mu sync.Mutex
 	var wrong []error
-	g, err := StartCollector(listen, func(_ *recovery.NodeRecord, err error) {
+	g, err := StartCollector(listen, func(_ *api.NodeRecord, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
@@ -71,7 +71,7 @@
 		return told, code
 	}
 	text := canonical(t, oneText)
-	k := recovery.NodeRecord{Name: "a", Zone: "z", Group: "g", Generation: 1, ActiveVersion: 3, MinVersion: 3, ActiveText: text, ActiveHash: document.Hash([]byte(text))}
+	k := api.NodeRecord{Name: "a", Zone: "z", Group: "g", Generation: 1, ActiveVersion: 3, MinVersion: 3, ActiveText: text, ActiveHash: document.Hash([]byte(text))}
 	if told, code := ask("a"); code != 200 || !told.CollectRecord {
 		t.Fatalf("%d, %+v: a node is not asked for what it holds", code, told)
 	}
@@ -99,7 +99,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	all := map[string]recovery.NodeRecord{}
+	all := map[string]api.NodeRecord{}
 	for _, k := range g.Stop(ctx) {
 		all[k.Name] = k
 	}
@@ -116,7 +116,7 @@
 	hash := document.Hash([]byte(text))
 	plan := Config{Name: "a", Peer: "p", Listen: "l", ElectionTicks: 10, SnapshotBytes: 1 << 20, Sizes: wal.Sizes{Segment: 1 << 20, Bound: 64 << 20},
 		Random: randomID}
-	kept := []recovery.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 3, ActiveVersion: 7, MinVersion: 7, ActiveText: text, ActiveHash: hash, ZoneEpoch: 5, ZoneShare: 256,
+	kept := []api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 3, ActiveVersion: 7, MinVersion: 7, ActiveText: text, ActiveHash: hash, ZoneEpoch: 5, ZoneShare: 256,
 		LeaseMS: 4000}}
 	fs := wal.NewMem()
 	v, err := Recover(fs, plan, nil, recovery.PlanRestore(kept, nil, ""))
@@ -138,7 +138,7 @@
 		t.Errorf("level %d, hush %d", old.machine.level, old.machine.fleet.Fleet.UnknownLeasesExpireMS)
 	}
 	// Nobody holds the text of what was decided: nothing is in force, and the next put is newer than that.
-	none := recovery.PlanRestore([]recovery.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}}, nil, "")
+	none := recovery.PlanRestore([]api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}}, nil, "")
 	fs = wal.NewMem()
 	if _, err = Recover(fs, plan, nil, none); err != nil {
 		t.Fatal(err)
--- a/internal/control/coordinator/generation.go
+++ b/internal/control/coordinator/generation.go
@@ -35,8 +35,8 @@
 }
 
 // reducedShares gives the zones that had less than the full share, by each zone's record of the newest epoch.
-func reducedShares(records []recovery.NodeRecord) map[string]int {
-	newest := map[string]recovery.NodeRecord{}
+func reducedShares(records []api.NodeRecord) map[string]int {
+	newest := map[string]api.NodeRecord{}
 	for _, r := range records {
 		if known, ok := newest[r.Zone]; r.ZoneEpoch > 0 && (!ok || r.ZoneEpoch > known.ZoneEpoch) {
 			newest[r.Zone] = r
--- a/internal/control/coordinator/loss_evidence.go
+++ b/internal/control/coordinator/loss_evidence.go
@@ -43,7 +43,7 @@
 		HashOf:         s.hashOf,
 		ChecksumAt:     s.checksumAt,
 	}
-	node := recovery.NodeRecord{
+	node := api.NodeRecord{
 		Group:         last.Group,
 		Generation:    max(1, last.Generation),
 		Term:          last.Term,
--- a/internal/control/coordinator/loss_test.go
+++ b/internal/control/coordinator/loss_test.go
@@ -80,9 +80,9 @@
 // restoreLostGroup restores a group that lost state. Its next generation has to grant again, to go on after all
 // epochs that nodes know, and to end what was under way.
 func restoreLostGroup(t *testing.T, g *testGroup, p *State) {
-	lost := recovery.GroupIdentity{Group: "g", Generation: 1}
+	lost := api.GroupIdentity{Group: "g", Generation: 1}
 	err := p.BeginGeneration(&recovery.RestorePlan{Lost: lost, Version: 2, Hash: "h2", ZoneEpoch: 7, LeaseMS: 4000,
-		Records: []recovery.NodeRecord{
+		Records: []api.NodeRecord{
 			{Name: "a", Zone: "z", ZoneEpoch: 7, ZoneShare: 256},
 			{Name: "k", Zone: "y", ZoneEpoch: 7, ZoneShare: 16},
 		}}, g)
--- a/internal/control/recovery/doc.go
+++ b/internal/control/recovery/doc.go
@@ -2,11 +2,10 @@
 // instances that lost its state, in whole or in part.
 //
 // It owns no state. Its inputs are plain values: how many nodes began lately, what nodes remember of their fleet
-// (NodeRecord), what an old folder of the group holds (StoredGroup), and where a group's own state stands (GroupState).
-// Times are in milliseconds. It reads no clock, no file and no socket, and its results depend on no random source but
-// the counter of a RetryAfterSpreader.
+// (api.NodeRecord), what an old folder of the group holds (StoredGroup), and where a group's own state stands
+// (GroupState). Times are in milliseconds. It reads no clock, no file and no socket, and uses no random source.
 //
 // Invariants: nothing is restored by guess. A text counts by its hash, a version as committed by a node that served
-// under it, as decided by a node that promised it; what is at odds is a conflict for an operator, what nobody holds
-// is named. The package never decides that a group has lost state by anything but what the group itself told a node.
+// under it, as decided by a node that promised it; what is at odds is a conflict for an operator, what nobody holds is
+// named. The package never decides that a group has lost state by anything but what the group itself told a node.
 package recovery
--- a/internal/control/recovery/lost_state.go
+++ b/internal/control/recovery/lost_state.go
@@ -1,6 +1,10 @@
 package recovery
 
-import "fmt"
+import (
+	"fmt"
+
+	"umberwinch/internal/control/api"
+)
 
 // GroupState is where a group's own state stands.
 type GroupState struct {
@@ -27,7 +31,7 @@
 // leases and decide versions that contradict what nodes act on. It shows as a node that knows a later entry, term,
 // decision or epoch, or another text or entry by the same number. The last two hold also once the group's log has
 // outgrown what was lost. The caller must not act on one node's word alone, which may be wrong.
-func (g *GroupState) LostState(node *NodeRecord) string {
+func (g *GroupState) LostState(node *api.NodeRecord) string {
 	if node.Group != g.Group || node.Generation != g.Generation {
 		return "" // of another generation: whoever is behind is told so
 	}
@@ -48,7 +52,7 @@
 }
 
 // knowsLater returns what a node was told that is later than all that the group has.
-func (g *GroupState) knowsLater(node *NodeRecord) string {
+func (g *GroupState) knowsLater(node *api.NodeRecord) string {
 	switch {
 	case node.Index > g.Index:
 		return fmt.Sprintf("entry %d of the log, and the group is at %d", node.Index, g.Index)
--- a/internal/control/recovery/pin_plan_test.go
+++ b/internal/control/recovery/pin_plan_test.go
@@ -13,14 +13,16 @@
 	"strings"
 	"testing"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/document"
+	"umberwinch/internal/retryafter"
 )
 
 // pick returns one of some values.
 func pick[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
 
 // randomNode makes what a node holds, with faults: spoilt texts, another group, another generation, a text of its own.
-func randomNode(rng *rand.Rand, i int) NodeRecord {
+func randomNode(rng *rand.Rand, i int) api.NodeRecord {
 	version := uint64(rng.IntN(6))
 	text := pick(rng, fmt.Sprint("t", version), fmt.Sprint("t", version), fmt.Sprint("t", version),
 		fmt.Sprint("other t", version))
@@ -53,9 +55,9 @@
 	sum, rng := sha256.New(), rand.New(rand.NewPCG(3, 4))
 	say := func(format string, args ...any) { fmt.Fprintf(sum, format+"\n", args...) }
 	conflicts, restored, lost, invalid := 0, 0, 0, 0
-	var spread RetryAfterSpreader
+	var spread retryafter.Spreader
 	for range 4000 {
-		var all []NodeRecord
+		var all []api.NodeRecord
 		for i := range rng.IntN(14) {
 			all = append(all, randomNode(rng, i))
 		}
@@ -98,7 +100,7 @@
 		}
 		young, in := rng.IntN(9), rng.IntN(9)
 		bound, after := int64(rng.IntN(40_000)), int64(rng.IntN(20_000))
-		from, to := RetryAfterWindow(bound, after)
+		from, to := retryafter.Window(bound, after)
 		say("%v %d %d %d", IsColdStart(young, in), from, to, spread.Next(bound, after))
 	}
 	got := fmt.Sprintf("%s conflicts=%d restored=%d lost=%d invalid=%d\n", hex.EncodeToString(sum.Sum(nil)),
@@ -113,10 +115,10 @@
 // TestPinnedForms: what a node tells, what a plan shows and how a group is named, with every field set, is written to
 // the bytes of version 2a0a97e and read back to the same value.
 func TestPinnedForms(t *testing.T) {
-	whose := GroupIdentity{Group: "g3", Generation: 3, Predecessors: []string{"g1", "g2"}}
+	whose := api.GroupIdentity{Group: "g3", Generation: 3, Predecessors: []string{"g1", "g2"}}
 	for name, value := range map[string]any{
 		"whose": &whose,
-		"kept": &NodeRecord{Name: "n1", Zone: "z", Addr: "a:1", Group: "g", Generation: 1, Term: 2, Index: 3,
+		"kept": &api.NodeRecord{Name: "n1", Zone: "z", Addr: "a:1", Group: "g", Generation: 1, Term: 2, Index: 3,
 			ActiveVersion: 5, ActiveHash: "h", ActiveText: "t", MinVersion: 6,
 			PreparedVersion: 7, PreparedHash: "nh", PreparedText: "nt", Autonomous: true, ZoneEpoch: 8, ZoneShare: 9,
 			LeaseMS: 10},
--- a/internal/control/recovery/plan.go
+++ b/internal/control/recovery/plan.go
@@ -4,11 +4,17 @@
 	"fmt"
 	"slices"
 	"sort"
+
+	"umberwinch/internal/control/api"
+	"umberwinch/internal/control/membership"
 )
 
+// MaxRecords are collected: one of each node that a fleet may have.
+const MaxRecords = membership.MaxNodes
+
 // StoredGroup is what an old folder of the group holds: proof of its own, as of some time ago.
 type StoredGroup struct {
-	GroupIdentity
+	api.GroupIdentity
 	LastVersion        uint64 // the newest, committed or not
 	DecidedVersion     uint64
 	CommittedVersion   uint64
@@ -32,19 +38,19 @@
 
 // RestorePlan is what would be restored, and on what grounds.
 type RestorePlan struct {
-	Lost          GroupIdentity `json:"of"`      // the group that is gone
-	Version       uint64        `json:"version"` // committed at the start; 0: nobody served under any
-	Text          string        `json:"-"`
-	Hash          string        `json:"hash,omitempty"`
-	SourceVersion uint64        `json:"was"`   // the number that the text had
-	Proof         string        `json:"proof"` // how it is known
-	ZoneEpoch     uint64        `json:"epoch"` // epochs of zones go on after it
-	LeaseMS       uint64        `json:"lease_ms"`
-	Records       []NodeRecord  `json:"-"` // that count
-	Nodes         []string      `json:"nodes"`
-	NotCounted    []string      `json:"not_counted,omitempty"` // nodes whose records do not count, and why
-	Unknown       []string      `json:"unknown,omitempty"`     // what can't be known
-	Conflict      string        `json:"conflict,omitempty"`    // nothing is restored before an operator has chosen
+	Lost          api.GroupIdentity `json:"of"`      // the group that is gone
+	Version       uint64            `json:"version"` // committed at the start; 0: nobody served under any
+	Text          string            `json:"-"`
+	Hash          string            `json:"hash,omitempty"`
+	SourceVersion uint64            `json:"was"`   // the number that the text had
+	Proof         string            `json:"proof"` // how it is known
+	ZoneEpoch     uint64            `json:"epoch"` // epochs of zones go on after it
+	LeaseMS       uint64            `json:"lease_ms"`
+	Records       []api.NodeRecord  `json:"-"` // that count
+	Nodes         []string          `json:"nodes"`
+	NotCounted    []string          `json:"not_counted,omitempty"` // nodes whose records do not count, and why
+	Unknown       []string          `json:"unknown,omitempty"`     // what can't be known
+	Conflict      string            `json:"conflict,omitempty"`    // nothing is restored before an operator has chosen
 }
 
 // planner works a plan out.
@@ -65,7 +71,7 @@
 // proved; an older one, under a new number, where nobody holds that text. The plan has a conflict, and restores
 // nothing, where records contradict each other. It never guesses: what nobody holds is in Unknown. An operator reads
 // the plan before it is carried out; nodes that were not heard may have been told more.
-func PlanRestore(records []NodeRecord, stored *StoredGroup, choice string) *RestorePlan {
+func PlanRestore(records []api.NodeRecord, stored *StoredGroup, choice string) *RestorePlan {
 	p := &planner{plan: &RestorePlan{}, stored: stored, choice: choice, texts: map[uint64][]*versionText{}}
 	records = slices.Clone(records)
 	sort.Slice(records, func(i, k int) bool { return records[i].Name < records[k].Name })
@@ -81,7 +87,7 @@
 
 // findGroup finds the newest generation among all, and whose records are of it. Two groups of one generation are a
 // conflict: somebody restored twice.
-func (p *planner) findGroup(records []NodeRecord) {
+func (p *planner) findGroup(records []api.NodeRecord) {
 	plan := p.plan
 	if p.stored != nil {
 		plan.Lost = p.stored.GroupIdentity
@@ -91,7 +97,7 @@
 		if record.Group == "" || record.Generation <= plan.Lost.Generation {
 			continue
 		}
-		plan.Lost = GroupIdentity{Group: record.Group, Generation: record.Generation}
+		plan.Lost = api.GroupIdentity{Group: record.Group, Generation: record.Generation}
 		if p.stored != nil {
 			plan.Lost.Predecessors = append(slices.Clone(p.stored.Predecessors), p.stored.Group)
 		}
@@ -115,7 +121,7 @@
 }
 
 // leaveOut names a record of an earlier generation.
-func (p *planner) leaveOut(record *NodeRecord) {
+func (p *planner) leaveOut(record *api.NodeRecord) {
 	lost := &p.plan.Lost
 	p.plan.NotCounted = append(p.plan.NotCounted, fmt.Sprintf("%s is of generation %d, the newest heard of is %d",
 		record.Name, record.Generation, lost.Generation))
--- a/internal/control/recovery/plan_test.go
+++ b/internal/control/recovery/plan_test.go
@@ -5,19 +5,20 @@
 	"strings"
 	"testing"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/document"
 )
 
 // kept makes what a node remembers: it serves under a version of a text, and was told of another as decided.
-func kept(name string, version uint64, text string, floor uint64) NodeRecord {
-	return NodeRecord{Name: name, Zone: "z", Group: "g1", Generation: 1, Term: 3, Index: 100, ActiveVersion: version,
+func kept(name string, version uint64, text string, floor uint64) api.NodeRecord {
+	return api.NodeRecord{Name: name, Zone: "z", Group: "g1", Generation: 1, Term: 3, Index: 100, ActiveVersion: version,
 		ActiveText: text,
 		ActiveHash: document.Hash([]byte(text)), MinVersion: floor, ZoneEpoch: 4, ZoneShare: 256, LeaseMS: 5000}
 }
 
 // folder makes what an old folder holds: versions with texts t1, t2, ...
 func folder(last, need, force uint64) *StoredGroup {
-	return &StoredGroup{GroupIdentity: GroupIdentity{Group: "g1", Generation: 1}, LastVersion: last,
+	return &StoredGroup{GroupIdentity: api.GroupIdentity{Group: "g1", Generation: 1}, LastVersion: last,
 		DecidedVersion: need, CommittedVersion: force, Index: 90, Nodes: []string{"a", "b", "x"},
 		LeaseMS: 2000, TextOf: func(n uint64) (string, string, bool) {
 			text := fmt.Sprint("t", n)
@@ -42,7 +43,7 @@
 	other := kept("a", 7, "another t7", 7)
 	for _, c := range []struct {
 		what     string
-		kept     []NodeRecord
+		kept     []api.NodeRecord
 		base     *StoredGroup
 		take     string
 		version  uint64
@@ -53,33 +54,33 @@
 		conflict bool
 	}{
 		{"nobody and nothing", nil, nil, "", 0, 0, 0, "nobody served", "nodes that were not heard", false},
-		{"nodes alone", []NodeRecord{kept("a", 5, "t5", 5), kept("b", 6, "t6", 6)}, nil, "", 6, 6, 1,
+		{"nodes alone", []api.NodeRecord{kept("a", 5, "t5", 5), kept("b", 6, "t6", 6)}, nil, "", 6, 6, 1,
 			"served under by b", "not heard", false},
-		{"decided, prepared by one, taken over by nobody", []NodeRecord{kept("a", 6, "t6", 6), next}, nil, "", 7, 7,
+		{"decided, prepared by one, taken over by nobody", []api.NodeRecord{kept("a", 6, "t6", 6), next}, nil, "", 7, 7,
 			1, "prepared by b", "", false},
-		{"prepared, and not decided as anybody knows", []NodeRecord{kept("a", 6, "t6", 6), undecided}, nil, "", 6, 6,
+		{"prepared, and not decided as anybody knows", []api.NodeRecord{kept("a", 6, "t6", 6), undecided}, nil, "", 6, 6,
 			1, "served under by a, b", "",
 			false},
-		{"decided, and nobody has the text", []NodeRecord{kept("a", 6, "t6", 8)}, nil, "", 9, 6, 1,
+		{"decided, and nobody has the text", []api.NodeRecord{kept("a", 6, "t6", 8)}, nil, "", 9, 6, 1,
 			"served under by a", "nobody holds its text",
 			false},
-		{"a text that its hash does not fit", []NodeRecord{spoilt, kept("b", 6, "t6", 6)}, nil, "", 10, 6, 1,
+		{"a text that its hash does not fit", []api.NodeRecord{spoilt, kept("b", 6, "t6", 6)}, nil, "", 10, 6, 1,
 			"served under by b",
 			"nobody holds its text", false},
 		{"a folder alone", nil, folder(6, 5, 5), "", 5, 5, 1, "the folder", "a, b, x: not heard", false},
-		{"an older folder", []NodeRecord{kept("a", 8, "t8", 8)}, folder(6, 5, 5), "", 8, 8, 1, "served under by a",
+		{"an older folder", []api.NodeRecord{kept("a", 8, "t8", 8)}, folder(6, 5, 5), "", 8, 8, 1, "served under by a",
 			"entry 90", false},
-		{"a folder that went on another way", []NodeRecord{kept("a", 6, "another t6", 6)}, folder(6, 5, 5), "", 7, 6,
+		{"a folder that went on another way", []api.NodeRecord{kept("a", 6, "another t6", 6)}, folder(6, 5, 5), "", 7, 6,
 			1, "served under by a", "",
 			false},
-		{"the same, and an operator chose", []NodeRecord{kept("a", 6, "another t6", 6)}, folder(6, 6, 6),
+		{"the same, and an operator chose", []api.NodeRecord{kept("a", 6, "another t6", 6)}, folder(6, 6, 6),
 			document.Hash([]byte("another t6"))[:12], 7, 6, 1,
 			"served under by a", "", false},
-		{"two texts by one number", []NodeRecord{other, kept("b", 7, "t7", 7)}, nil, "", 0, 0, 1,
+		{"two texts by one number", []api.NodeRecord{other, kept("b", 7, "t7", 7)}, nil, "", 0, 0, 1,
 			"name one with --take", "", true},
-		{"a newer generation", []NodeRecord{kept("a", 9, "t9", 9), later}, nil, "", 3, 3, 2, "served under by c", "",
+		{"a newer generation", []api.NodeRecord{kept("a", 9, "t9", 9), later}, nil, "", 3, 3, 2, "served under by c", "",
 			false},
-		{"two groups of one generation", []NodeRecord{kept("a", 3, "t3", 3), sibling}, nil, "", 0, 0, 1,
+		{"two groups of one generation", []api.NodeRecord{kept("a", 3, "t3", 3), sibling}, nil, "", 0, 0, 1,
 			"go on apart", "", true},
 	} {
 		f := PlanRestore(c.kept, c.base, c.take)
@@ -95,7 +96,7 @@
 			t.Errorf("%s: a text of another hash", c.what)
 		}
 	}
-	if f := PlanRestore([]NodeRecord{kept("a", 6, "t6", 6)}, folder(4, 4, 4), ""); f.ZoneEpoch != 4 ||
+	if f := PlanRestore([]api.NodeRecord{kept("a", 6, "t6", 6)}, folder(4, 4, 4), ""); f.ZoneEpoch != 4 ||
 		f.LeaseMS != 5000 {
 		t.Errorf("epoch %d, lease %d: expected the newest and the longest of all", f.ZoneEpoch, f.LeaseMS)
 	}
--- a/internal/harness/vlost.go
+++ b/internal/harness/vlost.go
@@ -27,7 +27,7 @@
 	gone      bool // no instance runs: the state is lost, or being restored
 	told      bool // an operator has seen that state is lost
 	gathers   bool // who restores it listens in place of an instance
-	heard     map[string]recovery.NodeRecord
+	heard     map[string]api.NodeRecord
 	old       []api.HeartbeatResponse // what leaders of generations before would go on saying
 	began     uint64                  // the zones' epoch that the present generation began with
 
@@ -198,10 +198,10 @@
 // are at hand.
 func (w *VFleet) recover(folders bool) {
 	w.ends()
-	w.gathers, w.heard = true, map[string]recovery.NodeRecord{}
+	w.gathers, w.heard = true, map[string]api.NodeRecord{}
 	w.after(7000, func() {
 		w.gathers = false
-		var all []recovery.NodeRecord
+		var all []api.NodeRecord
 		for _, n := range w.nodes {
 			if k, ok := w.heard[n.name]; ok {
 				all = append(all, k)
@@ -212,7 +212,7 @@
 		p.DisabledZoneGuards = w.WithoutZones
 		if folders {
 			p = w.part
-			base = &recovery.StoredGroup{GroupIdentity: recovery.GroupIdentity{Group: w.group, Generation: p.Generation, Predecessors: p.Predecessors}, LastVersion: w.Last(), DecidedVersion: p.Policy.DecidedVersion,
+			base = &recovery.StoredGroup{GroupIdentity: api.GroupIdentity{Group: w.group, Generation: p.Generation, Predecessors: p.Predecessors}, LastVersion: w.Last(), DecidedVersion: p.Policy.DecidedVersion,
 				CommittedVersion: p.Policy.CommittedVersion, Index: p.Index, ZoneEpoch: p.Zones.Epoch, TextOf: w.Text, LeaseMS: p.Policy.ActiveRules().LeaseMS}
 			for _, n := range p.Fleet.Nodes() {
 				if n.OutReason == "" {
@@ -286,7 +286,7 @@
 	}
 	n.note()
 	r := n.kept
-	k := recovery.NodeRecord{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Group: r.Cluster, Generation: max(1, r.Generation), Term: r.Term,
+	k := api.NodeRecord{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Group: r.Cluster, Generation: max(1, r.Generation), Term: r.Term,
 		Index: r.Index, ActiveVersion: n.m.ActiveVersion(), MinVersion: r.MinVersion, LeaseMS: n.m.LeaseDuration()}
 	if k.ActiveVersion > 0 {
 		k.ActiveHash, k.ActiveText = r.ActiveHash, w.ofHash[r.ActiveHash]
--- a/internal/harness/vzones.go
+++ b/internal/harness/vzones.go
@@ -4,9 +4,9 @@
 	"fmt"
 
 	"umberwinch/internal/control/api"
-	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/node/zonegate"
+	"umberwinch/internal/retryafter"
 )
 
 // vzones.go is traffic on a fleet in virtual time: callers that try elsewhere, nodes by their real gates, and for each
@@ -371,7 +371,7 @@
 			again(k, c, n)
 			return
 		}
-		from, to := recovery.RetryAfterWindow(flowPause, int64(min(after, flowPause)))
+		from, to := retryafter.Window(flowPause, int64(min(after, flowPause)))
 		if v.Without.Has(zones.RetryAfterSpread) { // as soon as it may be let in, or in a second
 			from, to = max(1000, int64(min(after, flowPause))), 0
 		}
--- a/internal/node/agent/response.go
+++ b/internal/node/agent/response.go
@@ -6,7 +6,6 @@
 
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/policy"
-	"umberwinch/internal/control/recovery"
 )
 
 // HandleResponse takes the response to the heartbeat with that number. A response to one that was given up is
@@ -106,7 +105,7 @@
 // has every version that this node was told is decided.
 func (a *Agent) validateGeneration(r *api.HeartbeatResponse) error {
 	guards := a.config.DisabledGuards
-	group := recovery.GroupIdentity{Group: r.Cluster, Generation: max(firstGeneration, r.Generation),
+	group := api.GroupIdentity{Group: r.Cluster, Generation: max(firstGeneration, r.Generation),
 		Predecessors: r.Predecessors}
 	if !group.Succeeds(a.group.cluster, a.group.generation) && !guards.Has(policy.Generation) {
 		return fmt.Errorf("%w: found group %.16s in generation %d, expected %.16s in %d", ErrUntrusted,
--- a/internal/node/server/fleet_agent.go
+++ b/internal/node/server/fleet_agent.go
@@ -12,13 +12,13 @@
 	"umberwinch/internal/config"
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/policy"
-	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/node/agent"
 	"umberwinch/internal/node/overlay"
 	"umberwinch/internal/node/settings"
 	"umberwinch/internal/node/shadow"
 	"umberwinch/internal/node/zonegate"
+	"umberwinch/internal/retryafter"
 )
 
 // Messages of the fleet agent. Log readers, fault tests among them, know the lines by them.
@@ -62,7 +62,7 @@
 	counts() *Counters                   // of the server
 	platform() *settings.Startup         // start-up settings, with the active deployment
 	isKnownKey(key string) bool          // the idempotency table has it
-	retryAfter(*recovery.RetryAfterSpreader, agent.Milliseconds) int64
+	retryAfter(*retryafter.Spreader, agent.Milliseconds) int64
 }
 
 // fleetAgent is the node's part in a fleet: it carries heartbeats to the control service, fetches, tries and
@@ -89,7 +89,7 @@
 	autonomous bool
 	retired    []bool             // by handler: the active version takes no new request of it
 	timerAt    agent.Milliseconds // the timer is set for then
-	spread     recovery.RetryAfterSpreader
+	spread     retryafter.Spreader
 }
 
 // bootTime is a time of the clock that nobody sets and that runs on while the process is stopped or the machine sleeps.
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -4,11 +4,11 @@
 	"github.com/sirupsen/logrus"
 
 	"umberwinch/admission"
-	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/node/agent"
 	"umberwinch/internal/node/overlay"
 	"umberwinch/internal/node/settings"
 	"umberwinch/internal/node/wire"
+	"umberwinch/internal/retryafter"
 )
 
 // What the loop does for the fleet agent, see fleetHost.
@@ -93,7 +93,7 @@
 
 // retryAfter gives the next caller a time to retry after within the bound of the settings, in ms; after is when it
 // would be in vain before.
-func (l *loop) retryAfter(spread *recovery.RetryAfterSpreader, after agent.Milliseconds) int64 {
+func (l *loop) retryAfter(spread *retryafter.Spreader, after agent.Milliseconds) int64 {
 	return spread.Next(int64(milliseconds(l.settings.MaxRetryAfter)), int64(min(after, maxRetryAfterMS)))
 }
 
--- a/internal/node/server/fleet_record.go
+++ b/internal/node/server/fleet_record.go
@@ -8,7 +8,6 @@
 
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/document"
-	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/node/agent"
 	"umberwinch/internal/node/wire"
@@ -165,9 +164,9 @@
 }
 
 // nodeRecord is what this node holds of its fleet.
-func (f *fleetAgent) nodeRecord() recovery.NodeRecord {
+func (f *fleetAgent) nodeRecord() api.NodeRecord {
 	r, about := &f.record.record, f.agent.Config()
-	out := recovery.NodeRecord{Name: about.Name, Zone: about.Zone, Addr: about.Address, Group: r.Cluster,
+	out := api.NodeRecord{Name: about.Name, Zone: about.Zone, Addr: about.Address, Group: r.Cluster,
 		Generation: max(1, r.Generation), Term: r.Term, Index: r.Index, ActiveVersion: r.ActiveVersion,
 		ActiveHash: r.ActiveHash,
 		ActiveText: r.ActiveText, MinVersion: r.MinVersion, Autonomous: r.ActiveAutonomous,
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -17,10 +17,10 @@
 
 	"umberwinch/admission"
 	"umberwinch/internal/clock"
-	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/node/pools"
 	"umberwinch/internal/node/settings"
+	"umberwinch/internal/retryafter"
 )
 
 // loop is what the one goroutine owns. Callbacks reach it by events alone.
@@ -59,10 +59,10 @@
 	kernel          kernelLink
 	store           storeConnections
 	discovery       discoveryLink
-	maybeFinished   []handle                    // that may be over
-	refusals        recovery.RetryAfterSpreader // by the loop itself
-	deferredDials   uint64                      // connections to the store that the zone's order put off
-	scratch         []byte                      // what is being written
+	maybeFinished   []handle            // that may be over
+	refusals        retryafter.Spreader // by the loop itself
+	deferredDials   uint64              // connections to the store that the zone's order put off
+	scratch         []byte              // what is being written
 	reconnectKernel bool
 
 	ready             bool    // health checks are told
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -7,12 +7,12 @@
 
 	"umberwinch/admission"
 	"umberwinch/internal/config"
-	"umberwinch/internal/control/recovery"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/node/agent"
 	"umberwinch/internal/node/resultstore"
 	"umberwinch/internal/node/settings"
 	"umberwinch/internal/node/wire"
+	"umberwinch/internal/retryafter"
 	"umberwinch/internal/wal"
 )
 
@@ -115,7 +115,7 @@
 	shareResult(h handle, key string, ok bool, result []byte)
 	trace(r *request, what string, args ...any)
 	limitLog() *logrus.Entry
-	retryAfter(*recovery.RetryAfterSpreader, agent.Milliseconds) int64
+	retryAfter(*retryafter.Spreader, agent.Milliseconds) int64
 }
 
 // resultKeeper keeps the results of requests with an idempotency key over restarts of the node. What an attempt gets
@@ -142,7 +142,7 @@
 	fullSince    admission.Time   // 0: there is room
 	openError    error            // why the folder can't be opened
 	mode         storeMode
-	spread       recovery.RetryAfterSpreader
+	spread       retryafter.Spreader
 	faults       faultPoint
 
 	rejected, failed, mismatched uint64 // attempts answered 503, 500, 400
--- a/internal/control/recovery/retry_after.go
+++ b/internal/retryafter/retryafter.go
@@ -1,4 +1,5 @@
-package recovery
+// Package retryafter decides when a rejected caller may retry, and spreads those times over callers. Times are in ms.
+package retryafter
 
 const (
 	// minWindowMS: a caller that is rejected comes back after one to two seconds, some lease renewals: by then the node
@@ -14,12 +15,12 @@
 	spreadMultiplier = 2654435761
 )
 
-// RetryAfterWindow decides when a rejected caller may retry, in ms from now; 0, 0 if the settings know no such time.
+// Window decides when a rejected caller may retry, in ms from now; 0, 0 if the settings know no such time.
 //
 // Inputs: the longest time that the settings allow, and the time for which a retry is known to be in vain, both in ms.
 // The window is from that time on and over half as long again, within the bound; one to two seconds where nothing is
 // known. Callers that come sooner are rejected again, callers that are told one moment come back together.
-func RetryAfterWindow(bound, after int64) (from, to int64) {
+func Window(bound, after int64) (from, to int64) {
 	if bound <= 0 {
 		return 0, 0
 	}
@@ -28,14 +29,14 @@
 	return min(max(to/2, after), to/2+to/windowQuarter), to
 }
 
-// RetryAfterSpreader counts the times that callers were told, so that each is told another one.
+// Spreader counts the times that callers were told, so that each is told another one.
 //
 // It guards against callers that were rejected together coming back together: that would reject them all again.
-type RetryAfterSpreader uint32
+type Spreader uint32
 
-// Next returns the time for one caller, in ms from now, within the window of RetryAfterWindow.
-func (s *RetryAfterSpreader) Next(bound, after int64) int64 {
-	from, to := RetryAfterWindow(bound, after)
+// Next returns the time for one caller, in ms from now, within the window of Window.
+func (s *Spreader) Next(bound, after int64) int64 {
+	from, to := Window(bound, after)
 	*s++
 	return from + int64(uint32(*s)*spreadMultiplier%spreadSteps)*(to-from)/spreadSteps
 }
