--- a/internal/node/server/fleet_serving.go
+++ b/internal/node/server/fleet_serving.go
@@ -74,35 +74,35 @@
 	f.storeRecord()
 }
 
-// rejection decides whether a request is rejected before the controller hears of it, with a status other than 0 and
-// what goes with it in response.
+// rejection decides whether a request is rejected before the controller hears of it, and why; response then has what
+// goes with it.
 //
 // A fenced node rejects everything with a time to retry after, a handler that the active version retires is rejected
 // for good, and the zone's gate rejects what is over the node's quota of a zone that is evacuated, ramps or is rate
 // limited. Reason: see agent.MayServe and zonegate. It harms only requests that another zone or a later time can
 // serve; those that no node has capacity for are told not to retry.
-func (f *fleetAgent) rejection(handler int, q *wire.Request, key string, response *wire.Response) (status int) {
+func (f *fleetAgent) rejection(handler int, q *wire.Request, key string, response *wire.Response) rejection {
 	switch {
 	case f == nil:
-		return 0
+		return notRejected
 	case f.fenced:
 		f.host.counts().FenceShed++
 		response.RetryAfterMS = f.host.retryAfter(&f.spread, 0)
-		return wire.StatusServiceUnavailable
+		return nodeFenced
 	case f.retired[handler]:
 		response.NoRetry = true
-		return wire.StatusServiceUnavailable
+		return handlerRetired
 	}
 	now, asked := bootTime(), f.gateRequest(handler, q, key)
 	decision := f.gate.Admit(now, asked)
 	if decision.Admitted {
-		return 0
+		return notRejected
 	}
 	f.host.counts().Turned++
 	f.meter.RequestRejected(now, handler, q.IsRetry)
 	response.NoRetry, response.RetryAfterMS = decision.Final, f.host.retryAfter(&f.spread,
 		f.gate.RetryAfter(now, asked))
-	return wire.StatusServiceUnavailable
+	return overZoneQuota
 }
 
 // gateRequest is what the zone's gate hears of a request.
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -8,6 +8,7 @@
 	"slices"
 
 	"umberwinch/admission"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/node/wire"
 )
 
@@ -21,7 +22,9 @@
 	stampTooFarOff
 	unknownTenant
 	kernelNotUp
-	rejectedByFleet
+	nodeFenced
+	handlerRetired
+	overZoneQuota
 	idempotencyTableFull
 	mayHaveRunBefore
 	requestTableFull
@@ -36,12 +39,32 @@
 	stampTooFarOff:       wire.StatusBadRequest,
 	unknownTenant:        wire.StatusBadRequest,
 	kernelNotUp:          wire.StatusServiceUnavailable,
-	rejectedByFleet:      wire.StatusServiceUnavailable,
+	nodeFenced:           wire.StatusServiceUnavailable,
+	handlerRetired:       wire.StatusServiceUnavailable,
+	overZoneQuota:        wire.StatusServiceUnavailable,
 	idempotencyTableFull: wire.StatusServiceUnavailable,
 	mayHaveRunBefore:     wire.StatusInternalServerError,
 	requestTableFull:     wire.StatusServiceUnavailable,
 }
 
+// rejectionNames are what the trace log says.
+var rejectionNames = [rejections]string{
+	notRejected:          "not rejected",
+	unknownHandler:       "unknown handler",
+	fieldMissing:         "field missing",
+	stampTooFarOff:       "stamp too far off",
+	unknownTenant:        "unknown tenant",
+	kernelNotUp:          "kernel not up",
+	nodeFenced:           "node fenced",
+	handlerRetired:       "handler retired",
+	overZoneQuota:        "over zone quota",
+	idempotencyTableFull: "idempotency table full",
+	mayHaveRunBefore:     "may have run before",
+	requestTableFull:     "request table full",
+}
+
+func (r rejection) String() string { return rejectionNames[r] }
+
 // arrivingRequest is a request that was read and is being checked.
 type arrivingRequest struct {
 	*wire.Request
@@ -62,11 +85,13 @@
 	a := l.identify(&e.request, handlerName)
 	if why := l.checkRequest(&a, response); why != notRejected {
 		l.logBadRequest(&a, why)
+		l.traceRejection(&a, why)
 		return rejectionStatuses[why]
 	}
 	l.forgetAbandoned(a.ID)
 	h, r, ok := l.requests.take()
 	if !ok {
+		l.traceRejection(&a, requestTableFull)
 		return rejectionStatuses[requestTableFull]
 	}
 	l.fillRequest(r, e, &a)
@@ -108,9 +133,10 @@
 		return kernelNotUp // nothing can run
 	}
 	a.key = l.repeatKey(a.handler, a.Request)
+	if why := l.fleet.rejection(a.handler, a.Request, a.key, response); why != notRejected {
+		return why
+	}
 	switch {
-	case l.fleet.rejection(a.handler, a.Request, a.key, response) != 0:
-		return rejectedByFleet
 	case l.hasIdempotencyKey(a.handler) && l.idempotency.full(l.limits.EventsPerRound) && l.idempotency.find(a.key) == nil:
 		return idempotencyTableFull // it could not be told from its repeats
 	case l.mayHaveRun(a.ID):
@@ -157,6 +183,13 @@
 	}
 }
 
+// traceRejection writes why a request does not reach the controller.
+func (l *loop) traceRejection(a *arrivingRequest, why rejection) {
+	if l.debug {
+		l.log.WithField("req", string(a.ID)).WithField(logging.Reason, why.String()).Debug("rejected on arrival")
+	}
+}
+
 func (l *loop) fillRequest(r *request, e *requestRead, a *arrivingRequest) {
 	*r = request{id: string(a.ID), connection: e.peer.handle, closeAfter: a.Close, handler: a.handler, buf: e.buffer,
 		body: a.Body, key: a.key, earliestArrival: a.earliest, arrival: a.latest, deadline: l.statedDeadline(a)}
