--- a/internal/control/consensus/group_loop.go
+++ b/internal/control/consensus/group_loop.go
@@ -80,7 +80,7 @@
 	}
 	for _, id := range out.Reads {
 		for _, w := range g.reads[id] {
-			w.done <- outcome{result: PutResult{Version: g.replica.stateMachine.lastVersion()}}
+			w.done <- outcome{result: PutResult{Version: g.replica.stateMachine.Last()}}
 			g.waiting--
 		}
 		delete(g.reads, id)
@@ -167,7 +167,7 @@
 		}
 		close(was.Superseded)
 	}
-	g.transport.setPeers(g.replica.Contacts(), g.replica.stateMachine.removed, s.ID)
+	g.transport.setPeers(g.replica.Contacts(), g.replica.stateMachine.members.removed, s.ID)
 }
 
 // end lets all go that wait. An error means that the process has to end: it is logged by whoever runs it.
--- a/internal/control/consensus/members.go
+++ b/internal/control/consensus/members.go
@@ -15,33 +15,54 @@
 	Promote bool   `json:"promote"` // becomes a voter once it has caught up
 }
 
-// Change is what a change of members carries beside what raft needs of it.
+// Operations on the members of a group.
+const (
+	OpAdd      = "add"      // as a learner
+	OpPromote  = "promote"  // a learner to a voter
+	OpRemove   = "remove"   // for good: an instance that was removed can't be added again
+	OpReplace  = "replace"  // a voter by a learner, in one joint change
+	OpTransfer = "transfer" // the lead, to a voter; it changes no members
+)
+
+// Bounds of the members.
+const (
+	maxMembers = 15  // a larger group commits no safer and slower
+	maxRemoved = 256 // ids of removed instances that are remembered and refused
+)
+
+// Change is an operation on the members, as its entry carries it beside what raft needs of it.
 type Change struct {
-	Op         string `json:"op"` // add, promote, remove, replace
+	Op         string `json:"op"`
 	Member     Member `json:"member"`
-	ReplacedID uint64 `json:"gone,omitempty"` // replace: who leaves as the member becomes a voter
+	ReplacedID uint64 `json:"gone,omitempty"` // OpReplace: the voter that leaves
+}
+
+// memberTable holds the group's members and those that were removed.
+type memberTable struct {
+	list    []Member // by id
+	removed []uint64 // ids, oldest first
 }
 
-func (m *StateMachine) member(id uint64) *Member {
-	i := sort.Search(len(m.members), func(i int) bool { return m.members[i].ID >= id })
-	if i < len(m.members) && m.members[i].ID == id {
-		return &m.members[i]
+func (t *memberTable) byID(id uint64) *Member {
+	i := sort.Search(len(t.list), func(i int) bool { return t.list[i].ID >= id })
+	if i < len(t.list) && t.list[i].ID == id {
+		return &t.list[i]
 	}
 	return nil
 }
 
-func (m *StateMachine) memberByName(name string) *Member {
-	for i := range m.members {
-		if m.members[i].Name == name {
-			return &m.members[i]
+func (t *memberTable) byName(name string) *Member {
+	for i := range t.list {
+		if t.list[i].Name == name {
+			return &t.list[i]
 		}
 	}
 	return nil
 }
 
-func (m *StateMachine) voters() int {
+func (t *memberTable) voters() int {
 	n := 0
-	for _, o := range m.members {
+	for _, o := range t.list {
 		if o.Voter {
 			n++
 		}
@@ -49,37 +70,37 @@
 	return n
 }
 
-// may says why a change of members can't be made, by the state alone, so that all instances find the same.
-func (m *StateMachine) checkChange(c *Change) error {
-	at := m.member(c.Member.ID)
+// check returns why a change can't be made, by the state alone, so that all instances find the same.
+func (t *memberTable) check(c *Change) error {
+	at := t.byID(c.Member.ID)
 	switch c.Op {
-	case "add":
+	case OpAdd:
 		switch {
 		case c.Member.ID == 0 || c.Member.Name == "":
 			return fmt.Errorf("found id %x and name %q, expected both", c.Member.ID, c.Member.Name)
 		case at != nil:
 			return fmt.Errorf("instance %x is a member already", c.Member.ID)
-		case m.memberByName(c.Member.Name) != nil:
+		case t.byName(c.Member.Name) != nil:
 			return fmt.Errorf("%q is instance %x already; remove that one first, or replace it", c.Member.Name,
-				m.memberByName(c.Member.Name).ID)
-		case m.wasRemoved(c.Member.ID):
+				t.byName(c.Member.Name).ID)
+		case t.wasRemoved(c.Member.ID):
 			return fmt.Errorf("instance %x was removed; start it anew on an empty folder", c.Member.ID)
-		case len(m.members) >= maxMembers:
-			return fmt.Errorf("%d members, expected at most %d", len(m.members)+1, maxMembers)
+		case len(t.list) >= maxMembers:
+			return fmt.Errorf("%d members, expected at most %d", len(t.list)+1, maxMembers)
 		}
-	case "promote":
+	case OpPromote:
 		if at == nil || at.Voter {
 			return fmt.Errorf("instance %x is no learner", c.Member.ID)
 		}
-	case "remove":
+	case OpRemove:
 		if at == nil {
 			return fmt.Errorf("instance %x is no member", c.Member.ID)
 		}
-		if at.Voter && m.voters() == 1 {
+		if at.Voter && t.voters() == 1 {
 			return fmt.Errorf("%q is the only voter", at.Name)
 		}
-	case "replace":
-		gone := m.member(c.ReplacedID)
+	case OpReplace:
+		gone := t.byID(c.ReplacedID)
 		if at == nil || at.Voter || gone == nil || !gone.Voter {
 			return fmt.Errorf("replacing %x by %x: expected a voter and a learner", c.ReplacedID, c.Member.ID)
 		}
@@ -89,42 +110,42 @@
 	return nil
 }
 
-// change carries out what may said yes to.
-func (m *StateMachine) applyChange(c *Change) {
+// apply makes a change that check allowed. It changes copies, as views share the lists.
+func (t *memberTable) apply(c *Change) {
 	switch c.Op {
-	case "add":
+	case OpAdd:
 		n := c.Member
 		n.Voter = false
-		m.members = append(append([]Member{}, m.members...), n)
-		sort.Slice(m.members, func(i, k int) bool { return m.members[i].ID < m.members[k].ID })
-	case "promote", "replace":
-		m.members = append([]Member{}, m.members...)
-		at := m.member(c.Member.ID)
+		t.list = append(append([]Member{}, t.list...), n)
+		sort.Slice(t.list, func(i, k int) bool { return t.list[i].ID < t.list[k].ID })
+	case OpPromote, OpReplace:
+		t.list = append([]Member{}, t.list...)
+		at := t.byID(c.Member.ID)
 		at.Voter, at.Promote = true, false
-		if c.Op == "replace" {
-			m.drop(c.ReplacedID)
+		if c.Op == OpReplace {
+			t.remove(c.ReplacedID)
 		}
-	case "remove":
-		m.drop(c.Member.ID)
+	case OpRemove:
+		t.remove(c.Member.ID)
 	}
 }
 
-func (m *StateMachine) drop(id uint64) {
+func (t *memberTable) remove(id uint64) {
 	var kept []Member
-	for _, o := range m.members {
+	for _, o := range t.list {
 		if o.ID != id {
 			kept = append(kept, o)
 		}
 	}
-	m.members = kept
-	m.removed = append(append([]uint64{}, m.removed...), id)
-	if len(m.removed) > maxRemoved {
-		m.removed = m.removed[1:]
+	t.list = kept
+	t.removed = append(append([]uint64{}, t.removed...), id)
+	if len(t.removed) > maxRemoved {
+		t.removed = t.removed[1:]
 	}
 }
 
-func (m *StateMachine) wasRemoved(id uint64) bool {
-	for _, o := range m.removed {
+func (t *memberTable) wasRemoved(id uint64) bool {
+	for _, o := range t.removed {
 		if o == id {
 			return true
 		}
--- a/internal/control/consensus/pin_stored_test.go
+++ b/internal/control/consensus/pin_stored_test.go
@@ -210,7 +210,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	parts, err := r.stateMachine.save()
+	parts, err := r.stateMachine.snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -322,7 +322,7 @@
 			all.add("%s: %v", what, err)
 			return
 		}
-		all.add("%s: read, version %d", what, old.machine.lastVersion())
+		all.add("%s: read, version %d", what, old.machine.Last())
 	}
 	head := `{"meta":"CgQKAgEC"}` + "\n"
 	read("nothing", "")
--- /dev/null
+++ b/internal/control/consensus/put.go
@@ -0,0 +1,72 @@
+package consensus
+
+import (
+	"fmt"
+	"strings"
+
+	"umberwinch/internal/control/document"
+)
+
+// Bounds of what a put stores beside its text, in bytes.
+const (
+	maxNameBytes   = 200  // an author or session: names, not texts
+	maxReasonBytes = 2000 // a reason, an author's or of a rejection: some lines for people
+)
+
+// Put asks for a new version of the document. Session and Seq name it: a client counts its puts from 1 and repeats one
+// under its number until it has a result.
+type Put struct {
+	Session string `json:"session"`
+	Seq     uint64 `json:"seq"`
+	Base    uint64 `json:"base"` // the version that it was made from
+	Author  string `json:"author"`
+	Reason  string `json:"reason"`
+	At      int64  `json:"at_ms"` // Unix time at the instance asked, in ms
+	Rules   int    `json:"rules"` // numbering of the document's rules that it is judged by
+	Text    string `json:"text"`
+}
+
+// Outcomes of a put.
+const (
+	PutCommitted = "taken"
+	PutUnchanged = "unchanged" // it says what the newest version says
+	PutConflict  = "conflict"  // it was made from another version than the newest
+	PutInvalid   = "refused"   // the document is wrong, alone or after the one before
+	PutExpired   = "expired"   // its session is not known any more, or has gone on
+)
+
+// PutResult is how a put ended; each repeat of the put gets the same one.
+type PutResult struct {
+	Outcome string `json:"end"`
+	Version uint64 `json:"version"` // the new version if the put was committed, the newest one otherwise
+	Reason  string `json:"reason,omitempty"`
+}
+
+// valid returns what is wrong with a put before it is proposed. What depends on the state is judged when it is applied.
+func (p *Put) valid() error {
+	switch {
+	case p.Session == "" || len(p.Session) > maxNameBytes:
+		return fmt.Errorf("session: found %d bytes, expected 1 to %d", len(p.Session), maxNameBytes)
+	case p.Seq == 0:
+		return fmt.Errorf("seq: found 0, expected 1 or more")
+	case p.Author == "" || len(p.Author) > maxNameBytes:
+		return fmt.Errorf("author: found %d bytes, expected 1 to %d", len(p.Author), maxNameBytes)
+	case len(p.Reason) > maxReasonBytes:
+		return fmt.Errorf("reason: found %d bytes, expected at most %d", len(p.Reason), maxReasonBytes)
+	case len(p.Text) > document.MaxBytes:
+		return fmt.Errorf("text: found %d bytes, expected at most %d", len(p.Text), document.MaxBytes)
+	}
+	return nil
+}
+
+// truncateReason bounds a reason, which is stored with its session: a document may have a fault on each of many lines.
+func truncateReason(reason string) string {
+	if len(reason) <= maxReasonBytes {
+		return reason
+	}
+	cut := strings.LastIndexByte(reason[:maxReasonBytes], '\n')
+	if cut <= 0 {
+		cut = maxReasonBytes
+	}
+	return fmt.Sprintf("%s\n%d more lines", reason[:cut], 1+strings.Count(reason[cut+1:], "\n"))
+}
--- a/internal/control/consensus/replica_apply.go
+++ b/internal/control/consensus/replica_apply.go
@@ -107,9 +107,16 @@
 	switch e.GetType() {
 	case pb.EntryType_EntryNormal:
 		if len(e.GetData()) > 0 {
-			if err := r.applyData(e, out); err != nil {
+			put, operation, err := m.applyEntry(e.GetData(), e.GetIndex(), e.GetTerm())
+			if err != nil {
 				return err
 			}
+			if put != nil {
+				out.Puts = append(out.Puts, *put)
+			}
+			if operation != nil {
+				out.Operations = append(out.Operations, operation)
+			}
 		}
 	case pb.EntryType_EntryConfChangeV2:
 		cc := &pb.ConfChangeV2{}
@@ -121,10 +128,10 @@
 			if err := json.Unmarshal(cc.GetContext(), &c); err != nil {
 				return fmt.Errorf("not a change of members: %w", err)
 			}
-			if m.checkChange(&c) != nil { // it no longer holds; all instances find so, and the core is not told
+			if m.members.check(&c) != nil { // it no longer holds; all instances find so, and the core is not told
 				break
 			}
-			m.applyChange(&c)
+			m.members.apply(&c)
 		}
 		r.voterConfig = r.node.ApplyConfChange(cc)
 	default:
@@ -133,40 +140,3 @@
 	m.applied, m.term = e.GetIndex(), e.GetTerm()
 	return nil
 }
-
-// applyData plays an entry with something in it: a put, or one of a kind.
-func (r *Replica) applyData(e *pb.Entry, out *WorkResult) error {
-	m := r.stateMachine
-	var k entry
-	if err := json.Unmarshal(e.GetData(), &k); err != nil {
-		return fmt.Errorf("not an entry: %w", err)
-	}
-	switch {
-	case k.Kind == "":
-		var p Put
-		if err := json.Unmarshal(e.GetData(), &p); err != nil {
-			return fmt.Errorf("not a put: %w", err)
-		}
-		if p.Rules < 1 || p.Rules > rulesForLevel(m.supportedLevel) {
-			return fmt.Errorf("made under rules %d, expected %d at most: this instance needs the program that made it",
-				p.Rules, rulesForLevel(m.supportedLevel))
-		}
-		out.Puts = append(out.Puts, AppliedPut{p.Session, p.Seq, m.applyPut(&p, e.GetIndex(), e.GetTerm())})
-	case m.supportedLevel < LevelFleet:
-		return fmt.Errorf("of kind %q, expected a put: this instance needs the program that made it", k.Kind)
-	case k.Kind == kindLevel:
-		var level int
-		if err := json.Unmarshal(k.Body, &level); err != nil || level > m.supportedLevel {
-			return fmt.Errorf("a rise to level %s, expected %d at most: this instance needs the program that made it", k.Body,
-				m.supportedLevel)
-		}
-		m.level = max(m.level, level)
-	default:
-		end, err := m.fleet.Apply(k.Kind, k.Body, e.GetIndex(), e.GetTerm(), m)
-		if err != nil {
-			return err
-		}
-		out.Operations = append(out.Operations, end)
-	}
-	return nil
-}
--- a/internal/control/consensus/replica_members.go
+++ b/internal/control/consensus/replica_members.go
@@ -26,7 +26,7 @@
 	reason, learnt := r.peers.Handshake(h)
 	if reason == "" {
 		r.metPeers[h.ID] = true
-		if len(r.stateMachine.members) == 0 && len(r.contacts) < maxMembers {
+		if len(r.stateMachine.members.list) == 0 && len(r.contacts) < maxMembers {
 			r.contacts = append(r.contacts, Member{ID: h.ID, Name: h.Name, Peer: h.Peer})
 		}
 	}
@@ -67,10 +67,10 @@
 	if r.peers.self.Barred != "" {
 		return ErrBarred
 	}
-	if err := r.stateMachine.checkChange(&c); err != nil {
+	if err := r.stateMachine.members.check(&c); err != nil {
 		return err
 	}
-	if c.Op == "remove" && c.Member.ID == r.ID() || c.Op == "replace" && c.ReplacedID == r.ID() {
+	if c.Op == OpRemove && c.Member.ID == r.ID() || c.Op == OpReplace && c.ReplacedID == r.ID() {
 		if r.node.BasicStatus().RaftState == raft.StateLeader {
 			return r.Transfer(0) // the next leader makes the change when it is asked again
 		}
@@ -84,13 +84,13 @@
 	}
 	cc := &pb.ConfChangeV2{Context: raw}
 	switch c.Op {
-	case "add":
+	case OpAdd:
 		cc.Changes = append(cc.Changes, one(pb.ConfChangeType_ConfChangeAddLearnerNode, c.Member.ID))
-	case "promote":
+	case OpPromote:
 		cc.Changes = append(cc.Changes, one(pb.ConfChangeType_ConfChangeAddNode, c.Member.ID))
-	case "remove":
+	case OpRemove:
 		cc.Changes = append(cc.Changes, one(pb.ConfChangeType_ConfChangeRemoveNode, c.Member.ID))
-	case "replace":
+	case OpReplace:
 		cc.Changes = append(cc.Changes, one(pb.ConfChangeType_ConfChangeAddNode, c.Member.ID),
 			one(pb.ConfChangeType_ConfChangeRemoveNode, c.ReplacedID))
 	}
@@ -107,7 +107,7 @@
 	if r.ticks < r.promotedAtTick+r.plan.ElectionTicks {
 		return
 	}
-	for _, m := range r.stateMachine.members {
+	for _, m := range r.stateMachine.members.list {
 		if m.Voter || !m.Promote {
 			continue
 		}
@@ -119,7 +119,7 @@
 		})
 		if ready {
 			r.promotedAtTick = r.ticks
-			r.Change(Change{Op: "promote", Member: m})
+			r.Change(Change{Op: OpPromote, Member: m})
 			return
 		}
 	}
@@ -146,7 +146,7 @@
 }
 
 // Members gives the instances of the group, by id.
-func (r *Replica) Members() []Member { return r.stateMachine.members }
+func (r *Replica) Members() []Member { return r.stateMachine.members.list }
 
 // Voters gives the ids that elections and commits count, in both halves of a joint change.
 func (r *Replica) Voters() (now, outgoing []uint64) {
@@ -155,8 +155,8 @@
 
 // Contacts gives whom to speak with: the members, or until it has those, who greeted it.
 func (r *Replica) Contacts() []Member {
-	if len(r.stateMachine.members) == 0 {
+	if len(r.stateMachine.members.list) == 0 {
 		return r.contacts
 	}
-	return r.stateMachine.members
+	return r.stateMachine.members.list
 }
--- a/internal/control/consensus/replica_open.go
+++ b/internal/control/consensus/replica_open.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	r.peers.disabledGuards = r.plan.DisabledGuards
-	r.peers.removed = func(id uint64) bool { return r.stateMachine.wasRemoved(id) }
+	r.peers.removed = func(id uint64) bool { return r.stateMachine.members.wasRemoved(id) }
 	r.peers.groupLevel = func() int { return r.stateMachine.level }
 	if r.plan.Level == 0 {
 		r.plan.Level = LatestLevel
@@ -88,7 +88,7 @@
 		own.Cluster = fmt.Sprintf("%016x%016x", r.plan.Random(), r.plan.Random())
 		m := newStateMachine(own.Cluster, r.plan.DisabledGuards)
 		m.applied, m.term = 1, 1
-		m.members = []Member{{ID: own.ID, Name: own.Name, Peer: r.plan.Peer, Listen: r.plan.Listen, Voter: true}}
+		m.members = firstMember(own, &r.plan)
 		if err := r.writeFirstState(m, own.ID, &b); err != nil {
 			return err
 		}
@@ -100,7 +100,7 @@
 func (r *Replica) writeFirstState(m *StateMachine, id uint64, b *wal.Batch) error {
 	meta := &pb.SnapshotMetadata{Index: proto.Uint64(m.applied), Term: proto.Uint64(m.term),
 		ConfState: &pb.ConfState{Voters: []uint64{id}}}
-	state, err := m.save()
+	state, err := m.snapshot()
 	if err != nil {
 		return err
 	}
@@ -150,8 +150,8 @@
 	if err = m.restore(found); err != nil {
 		return nil, err
 	}
-	m.cluster, m.removed = own.Cluster, nil
-	m.members = []Member{{ID: own.ID, Name: own.Name, Peer: plan.Peer, Listen: plan.Listen, Voter: true}}
+	m.cluster = own.Cluster
+	m.members = firstMember(own, &plan)
 	b := wal.Batch{}
 	if err = r.writeFirstState(m, own.ID, &b); err != nil {
 		return nil, err
@@ -159,10 +159,10 @@
 	if err = r.writeIdentity(own, b); err != nil {
 		return nil, err
 	}
-	if len(m.lines) == 0 {
+	if len(m.versions.lines) == 0 {
 		return &Version{}, nil
 	}
-	return ReadVersion(m.lines[len(m.lines)-1])
+	return ReadVersion(m.versions.lines[len(m.versions.lines)-1])
 }
 
 func (r *Replica) writeIdentity(own Identity, b wal.Batch) error {
@@ -186,3 +186,8 @@
 
 // Close lets the folder go; nothing is lost by not calling it.
 func (r *Replica) Close() error { return r.log.Close() }
+
+// firstMember is the member table of a group of one.
+func firstMember(own Identity, plan *Config) memberTable {
+	return memberTable{list: []Member{{ID: own.ID, Name: own.Name, Peer: plan.Peer, Listen: plan.Listen, Voter: true}}}
+}
--- a/internal/control/consensus/replica_propose.go
+++ b/internal/control/consensus/replica_propose.go
@@ -58,7 +58,7 @@
 // Levels gives what members know, as they told this instance in this life; one that has not is not in it.
 func (r *Replica) Levels() map[string]int {
 	out := map[string]int{}
-	for _, m := range r.stateMachine.members {
+	for _, m := range r.stateMachine.members.list {
 		if m.ID == r.ID() {
 			out[m.Name] = r.plan.Level
 		} else if l := r.peers.peerLevels[m.ID]; l > 0 {
@@ -70,10 +70,10 @@
 
 // rise has the leader raise the group's level once every member has told that it knows the next one.
 func (r *Replica) raiseLevel() {
-	if r.stateMachine.level >= r.plan.Level || r.ticks < r.levelRaisedAtTick+r.plan.ElectionTicks || len(r.stateMachine.members) == 0 {
+	if r.stateMachine.level >= r.plan.Level || r.ticks < r.levelRaisedAtTick+r.plan.ElectionTicks || len(r.stateMachine.members.list) == 0 {
 		return
 	}
-	for _, m := range r.stateMachine.members {
+	for _, m := range r.stateMachine.members.list {
 		if m.ID != r.ID() && r.peers.peerLevels[m.ID] <= r.stateMachine.level {
 			return
 		}
--- a/internal/control/consensus/replica_snapshot.go
+++ b/internal/control/consensus/replica_snapshot.go
@@ -30,7 +30,7 @@
 func (r *Replica) snapshotState() (*pb.SnapshotMetadata, [][]byte, error) {
 	meta := &pb.SnapshotMetadata{Index: proto.Uint64(r.stateMachine.applied), Term: proto.Uint64(r.stateMachine.term),
 		ConfState: proto.Clone(r.voterConfig).(*pb.ConfState)}
-	state, err := r.stateMachine.save()
+	state, err := r.stateMachine.snapshot()
 	return meta, state, err
 }
 
--- a/internal/control/consensus/replica_status.go
+++ b/internal/control/consensus/replica_status.go
@@ -48,7 +48,7 @@
 	s := Status{ID: r.ID(), Cluster: r.peers.self.Cluster, Name: r.peers.self.Name, Leader: b.Lead,
 		Term: b.HardState.GetTerm(), Vote: b.HardState.GetVote(), FirstIndex: r.store.offset + 1, LastIndex: last,
 		Commit: b.HardState.GetCommit(), Applied: r.stateMachine.applied, SnapshotIndex: r.store.snap.GetIndex(),
-		DiskBytes: r.log.Usage(), Syncs: r.log.Flushes(), Version: r.stateMachine.lastVersion(), TicksSinceLeader: r.ticksSinceLeader, Campaigns: r.Campaigns,
+		DiskBytes: r.log.Usage(), Syncs: r.log.Flushes(), Version: r.stateMachine.Last(), TicksSinceLeader: r.ticksSinceLeader, Campaigns: r.Campaigns,
 		Barred: r.peers.self.Barred, Level: r.stateMachine.level}
 	switch b.RaftState {
 	case raft.StateLeader:
@@ -85,4 +85,6 @@
 
 // Versions gives the versions kept, each as a line of JSON, and the number of the first. Neither changes any
 // more.
-func (r *Replica) Versions() ([][]byte, uint64) { return r.stateMachine.lines, r.stateMachine.first }
+func (r *Replica) Versions() ([][]byte, uint64) {
+	return r.stateMachine.versions.lines, r.stateMachine.versions.first
+}
--- a/internal/control/consensus/restored_group.go
+++ b/internal/control/consensus/restored_group.go
@@ -1,7 +1,6 @@
 package consensus
 
 import (
-	"encoding/json"
 	"errors"
 	"io"
 
@@ -86,11 +85,26 @@
 	return o.machine.storedGroup()
 }
 
+// storedGroup gives what a recovery has to know of the state.
 func (m *StateMachine) storedGroup() *recovery.StoredGroup {
 	p := m.fleet
-	b := &recovery.StoredGroup{GroupIdentity: api.GroupIdentity{Group: m.cluster, Generation: p.Generation, Predecessors: p.Predecessors}, LastVersion: m.lastVersion(),
-		DecidedVersion: p.Policy.DecidedVersion, CommittedVersion: p.Policy.CommittedVersion, Index: p.Index, ZoneEpoch: p.Zones.Epoch, TextOf: m.Text,
-		LeaseMS: p.Policy.ActiveRules().LeaseMS, Autonomous: p.Policy.ActiveRules().Autonomous, UncommittedEntries: m.uncommittedEntries}
+	rules := p.Policy.ActiveRules()
+	b := &recovery.StoredGroup{
+		GroupIdentity: api.GroupIdentity{
+			Group:        m.cluster,
+			Generation:   p.Generation,
+			Predecessors: p.Predecessors,
+		},
+		LastVersion:        m.Last(),
+		DecidedVersion:     p.Policy.DecidedVersion,
+		CommittedVersion:   p.Policy.CommittedVersion,
+		Index:              p.Index,
+		ZoneEpoch:          p.Zones.Epoch,
+		TextOf:             m.Text,
+		LeaseMS:            rules.LeaseMS,
+		Autonomous:         rules.Autonomous,
+		UncommittedEntries: m.uncommittedEntries,
+	}
 	for _, n := range p.Fleet.Nodes() {
 		if n.OutReason == "" {
 			b.Nodes = append(b.Nodes, n.Name)
@@ -129,11 +143,11 @@
 
 // place makes what was found the newest version. Where its number does not follow, what is before it is kept no more.
 func (m *StateMachine) placeRestoredVersion(found *recovery.RestorePlan) error {
-	if found.Version != m.lastVersion()+1 {
-		m.lines, m.bytes, m.first = nil, 0, found.Version
+	if found.Version != m.Last()+1 {
+		m.versions = versionHistory{first: found.Version}
 	}
 	if found.Hash == "" { // nobody has a text: the number is the next put's
-		m.current, m.hash = nil, ""
+		m.versions.newest, m.versions.hash = nil, ""
 		return nil
 	}
 	d, err := document.ParseUnder(document.Rules, "what was found", []byte(found.Text))
@@ -142,11 +156,5 @@
 	}
 	v := Version{Number: found.Version, Parent: found.SourceVersion, Hash: found.Hash, Author: "recover", Reason: truncateReason(found.Proof),
 		Index: m.applied, Term: m.term, Rules: document.Rules, Text: found.Text}
-	line, err := json.Marshal(&v)
-	if err != nil {
-		return err
-	}
-	m.lines, m.bytes = append(m.lines, line), m.bytes+len(line)
-	m.current, m.hash = d, found.Hash
-	return nil
+	return m.versions.append(&v, d)
 }
--- a/internal/control/consensus/state_machine_test.go
+++ b/internal/control/consensus/state_machine_test.go
@@ -45,7 +45,7 @@
 func TestWhatMayNotFollowIsRefused(t *testing.T) {
 	m := newStateMachine("c", 0)
 	ask(m, "a", 1, 0, "[class s]\nkind = uniqued\nwindow = 20s\n")
-	if a := ask(m, "a", 2, 1, "[class s]\nkind = uniqued\nwindow = 10s\n"); a.Outcome != PutInvalid || m.lastVersion() != 1 {
+	if a := ask(m, "a", 2, 1, "[class s]\nkind = uniqued\nwindow = 10s\n"); a.Outcome != PutInvalid || m.Last() != 1 {
 		t.Fatalf("a smaller window: %+v", a)
 	}
 }
@@ -53,12 +53,12 @@
 // TestStateIsTheSameAfterASnapshot saves in the middle: what follows has to have the same answers at both.
 func TestStateIsTheSameAfterASnapshot(t *testing.T) {
 	m := newStateMachine("c", 0)
-	m.members = []Member{{ID: 7, Name: "a", Voter: true}}
-	m.removed = []uint64{3}
+	m.members.list = []Member{{ID: 7, Name: "a", Voter: true}}
+	m.members.removed = []uint64{3}
 	for i := 0; i < 50; i++ {
-		ask(m, fmt.Sprint("s", i%9), uint64(1+i/9), m.lastVersion(), text(i))
+		ask(m, fmt.Sprint("s", i%9), uint64(1+i/9), m.Last(), text(i))
 	}
-	parts, err := m.save()
+	parts, err := m.snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,18 +68,18 @@
 		t.Fatal(err)
 	}
 	for i := 0; i < 40; i++ {
-		s, seq, base := fmt.Sprint("s", i%12), uint64(1+i/9), m.lastVersion()-uint64(i%2)
+		s, seq, base := fmt.Sprint("s", i%12), uint64(1+i/9), m.Last()-uint64(i%2)
 		if a, b := ask(m, s, seq, base, text(100+i)), ask(o, s, seq, base, text(100+i)); a != b {
 			t.Fatalf("put %d: %+v and %+v", i, a, b)
 		}
 	}
-	a, _ := m.save()
-	b, _ := o.save()
+	a, _ := m.snapshot()
+	b, _ := o.snapshot()
 	if !bytes.Equal(bytes.Join(a, nil), bytes.Join(b, nil)) {
 		t.Fatal("two states after the same puts")
 	}
 	for cut := 0; cut < len(raw)-1; cut += 37 { // a state cut short is told, never taken
-		if got, err := restoreStateMachine(raw[:cut], 0); err == nil && got.lastVersion() == 50 {
+		if got, err := restoreStateMachine(raw[:cut], 0); err == nil && got.Last() == 50 {
 			t.Fatalf("a state cut at byte %d of %d was taken", cut, len(raw))
 		}
 	}
@@ -97,46 +97,46 @@
 func TestTablesAreBounded(t *testing.T) {
 	m := newStateMachine("c", 0)
 	for i := 0; i < maxSessions+10; i++ {
-		ask(m, fmt.Sprint("s", i), 1, m.lastVersion(), text(i))
+		ask(m, fmt.Sprint("s", i), 1, m.Last(), text(i))
 	}
-	if len(m.sessions) != maxSessions || m.used.Len() != maxSessions {
-		t.Fatalf("%d sessions, expected %d", len(m.sessions), maxSessions)
+	if len(m.sessions.byName) != maxSessions || m.sessions.byUse.Len() != maxSessions {
+		t.Fatalf("%d sessions, expected %d", len(m.sessions.byName), maxSessions)
 	}
 	if a := ask(m, "s0", 1, 0, text(0)); a.Outcome != PutConflict {
 		t.Fatalf("a repeat whose session went: %+v, expected no second effect", a)
 	}
-	m.bytes = maxVersionBytes + 1 // as if their texts were large
-	first := m.first
-	ask(m, "large", 1, m.lastVersion(), text(-1+1<<20))
-	if m.first <= first || m.first > m.lastVersion() || len(m.lines) == 0 {
-		t.Fatalf("versions %d to %d are kept", m.first, m.lastVersion())
+	m.versions.bytes = maxVersionBytes + 1 // as if their texts were large
+	first := m.versions.first
+	ask(m, "large", 1, m.Last(), text(-1+1<<20))
+	if m.versions.first <= first || m.versions.first > m.Last() || len(m.versions.lines) == 0 {
+		t.Fatalf("versions %d to %d are kept", m.versions.first, m.Last())
 	}
 }
 
 func TestChangesOfMembers(t *testing.T) {
 	m := newStateMachine("c", 0)
-	m.members = []Member{{ID: 5, Name: "a", Voter: true}}
+	m.members.list = []Member{{ID: 5, Name: "a", Voter: true}}
 	do := func(c Change, want string) {
 		t.Helper()
-		err := m.checkChange(&c)
+		err := m.members.check(&c)
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Fatalf("%+v: %v, expected %q", c, err, want)
 		}
 		if err == nil {
-			m.applyChange(&c)
+			m.members.apply(&c)
 		}
 	}
 	do(Change{Op: "remove", Member: Member{ID: 5}}, "the only voter")
 	do(Change{Op: "add", Member: Member{ID: 9, Name: "a"}}, `"a" is instance 5 already`)
 	do(Change{Op: "add", Member: Member{ID: 9, Name: "b", Voter: true}}, "")
-	if m.member(9).Voter {
+	if m.members.byID(9).Voter {
 		t.Fatal("a new instance is a voter before it has caught up")
 	}
 	do(Change{Op: "add", Member: Member{ID: 9, Name: "c"}}, "a member already")
 	do(Change{Op: "replace", Member: Member{ID: 5}, ReplacedID: 9}, "expected a voter and a learner")
 	do(Change{Op: "replace", Member: Member{ID: 9}, ReplacedID: 5}, "")
-	if len(m.members) != 1 || !m.members[0].Voter || m.members[0].ID != 9 {
-		t.Fatalf("members %+v, expected 9 alone as a voter", m.members)
+	if len(m.members.list) != 1 || !m.members.list[0].Voter || m.members.list[0].ID != 9 {
+		t.Fatalf("members %+v, expected 9 alone as a voter", m.members.list)
 	}
 	do(Change{Op: "add", Member: Member{ID: 5, Name: "a"}}, "was removed")
 	do(Change{Op: "promote", Member: Member{ID: 9}}, "no learner")
--- a/internal/control/consensus/versions.go
+++ b/internal/control/consensus/versions.go
@@ -3,20 +3,15 @@
 import (
 	"encoding/json"
 	"fmt"
-	"strings"
 
 	"umberwinch/internal/control/document"
 )
 
-// Bounds of the replicated state, the same at every instance since what is let go of has to be the same.
+// Bounds of the versions held. They protect memory, snapshots and the time of a start; older versions than they allow can't
+// be read or watched any more. The same at every instance, as what is dropped must be.
 const (
-	maxVersions     = 100000   // numbers kept
-	maxVersionBytes = 64 << 20 // of their texts
-	maxSessions     = 4096     // clients whose last put is known
-	maxMembers      = 15
-	maxRemoved      = 256
-	maxNameBytes    = 200 // bytes of an author or session
-	maxReasonBytes  = 2000
+	maxVersions     = 100000   // numbers
+	maxVersionBytes = 64 << 20 // of their lines together
 )
 
 // Version is one configuration that a majority committed.
@@ -26,166 +21,114 @@
 	Hash   string `json:"hash"`
 	Author string `json:"author"`
 	Reason string `json:"reason"`
-	At     int64  `json:"at_ms"` // the proposer's wall clock: for people, nothing hangs on it
+	At     int64  `json:"at_ms"` // Unix time in ms at the proposer, for people: nothing depends on it
 	Index  uint64 `json:"index"`
 	Term   uint64 `json:"term"`
-	Rules  int    `json:"rules,omitempty"` // it was judged by, 0 for the first
+	Rules  int    `json:"rules,omitempty"` // numbering of the rules that it was judged by, 0 for the first
 	Text   string `json:"text,omitempty"`
 }
 
-// Put asks for a new version. Session and Seq name the asking: a client counts its puts from 1 and repeats
-// one under the same number until it has an answer.
-type Put struct {
-	Session string `json:"session"`
-	Seq     uint64 `json:"seq"`
-	Base    uint64 `json:"base"` // the version it was made from
-	Author  string `json:"author"`
-	Reason  string `json:"reason"`
-	At      int64  `json:"at_ms"`
-	Rules   int    `json:"rules"`
-	Text    string `json:"text"`
-}
-
-// BarsInstance of a put.
-const (
-	PutCommitted = "taken"
-	PutUnchanged = "unchanged" // it says what the version in force says
-	PutConflict  = "conflict"  // it was made from another version than the one in force
-	PutInvalid   = "refused"   // the document is wrong, alone or after the one before
-	PutExpired   = "expired"   // its session is not known any more, or has gone on
-)
-
-// PutResult is how a put ended; each repeat of the put gets the same one.
-type PutResult struct {
-	Outcome string `json:"end"`
-	Version uint64 `json:"version"` // taken: the new one; else the one in force
-	Reason  string `json:"reason,omitempty"`
+// ReadVersion reads a version's line of JSON.
+func ReadVersion(line []byte) (*Version, error) {
+	var v Version
+	if err := json.Unmarshal(line, &v); err != nil {
+		return nil, fmt.Errorf("a version: %w", err)
+	}
+	return &v, nil
 }
 
-// valid says what is wrong with a put before it is proposed; what hangs on the state is judged when it is
-// applied.
-func (p *Put) valid() error {
-	switch {
-	case p.Session == "" || len(p.Session) > maxNameBytes:
-		return fmt.Errorf("session: found %d bytes, expected 1 to %d", len(p.Session), maxNameBytes)
-	case p.Seq == 0:
-		return fmt.Errorf("seq: found 0, expected 1 or more")
-	case p.Author == "" || len(p.Author) > maxNameBytes:
-		return fmt.Errorf("author: found %d bytes, expected 1 to %d", len(p.Author), maxNameBytes)
-	case len(p.Reason) > maxReasonBytes:
-		return fmt.Errorf("reason: found %d bytes, expected at most %d", len(p.Reason), maxReasonBytes)
-	case len(p.Text) > document.MaxBytes:
-		return fmt.Errorf("text: found %d bytes, expected at most %d", len(p.Text), document.MaxBytes)
-	}
-	return nil
+// versionHistory holds the versions, the newest of them parsed.
+type versionHistory struct {
+	lines  [][]byte // each version as one line of JSON; a line is never written again, so views share it
+	first  uint64   // number of lines[0], or of the next version where there is none
+	bytes  int      // of all lines
+	newest *document.Document
+	hash   string // of the newest
 }
 
-// Last returns the number of the newest version of the document, 0 before the first.
-func (m *StateMachine) Last() uint64 { return m.lastVersion() }
+// last gives the number of the newest version, 0 before the first.
+func (h *versionHistory) last() uint64 { return h.first + uint64(len(h.lines)) - 1 }
 
-// Text gives a version of the configuration with its hash; ok is false where it isn't held.
-func (m *StateMachine) Text(number uint64) (text, hash string, ok bool) {
-	if number < m.first || number > m.lastVersion() {
+func (h *versionHistory) text(number uint64) (text, hash string, ok bool) {
+	if number < h.first || number > h.last() {
 		return "", "", false
 	}
-	v, err := ReadVersion(m.lines[number-m.first])
+	v, err := ReadVersion(h.lines[number-h.first])
 	if err != nil {
 		return "", "", false
 	}
 	return v.Text, v.Hash, true
 }
 
-// last gives the number of the version in force, 0 before the first.
-func (m *StateMachine) lastVersion() uint64 { return m.first + uint64(len(m.lines)) - 1 }
-
-// put applies a put at an index of the log.
-func (m *StateMachine) applyPut(p *Put, index, term uint64) PutResult {
-	if e := m.sessions[p.Session]; e != nil {
-		s := e.Value.(*session)
-		m.used.MoveToBack(e)
-		switch {
-		case p.Seq == s.seq && !m.disabledGuards.Has(SessionTable):
-			return s.answer
-		case p.Seq < s.seq:
-			return PutResult{PutExpired, m.lastVersion(), fmt.Sprintf("put %d, expected %d or later", p.Seq, s.seq)}
-		}
-		s.seq, s.answer = p.Seq, m.judge(p, index, term)
-		return s.answer
-	}
-	if p.Seq != 1 {
-		return PutResult{PutExpired, m.lastVersion(), "the session is not known any more, expected a new one from 1 on"}
-	}
-	s := &session{p.Session, p.Seq, m.judge(p, index, term)}
-	m.sessions[p.Session] = m.used.PushBack(s)
-	if m.used.Len() > maxSessions {
-		old := m.used.Remove(m.used.Front()).(*session)
-		delete(m.sessions, old.name)
-	}
-	return s.answer
-}
-
-func (m *StateMachine) judge(p *Put, index, term uint64) PutResult {
-	if p.Base != m.lastVersion() && !m.disabledGuards.Has(CompareAndSet) {
-		return PutResult{PutConflict, m.lastVersion(), fmt.Sprintf("made from version %d, expected %d", p.Base, m.lastVersion())}
-	}
+// commit makes a put's text the next version if it is a document that may follow the active one.
+func (h *versionHistory) commit(p *Put, active *document.Document, index, term uint64) PutResult {
 	next, err := document.ParseUnder(p.Rules, "document", []byte(p.Text))
 	if err == nil {
-		err = next.Follows(m.activeDocument())
+		err = next.Follows(active)
 	}
 	if err != nil {
-		return PutResult{PutInvalid, m.lastVersion(), truncateReason(err.Error())}
+		return PutResult{PutInvalid, h.last(), truncateReason(err.Error())}
 	}
 	text := next.Canonical()
 	if len(text) > document.MaxBytes {
-		return PutResult{PutInvalid, m.lastVersion(), fmt.Sprintf("document: found %d bytes in canonical form, expected at most %d",
-			len(text), document.MaxBytes)}
+		return PutResult{PutInvalid, h.last(),
+			fmt.Sprintf("document: found %d bytes in canonical form, expected at most %d", len(text), document.MaxBytes)}
 	}
 	hash := document.Hash(text)
-	if hash == m.hash {
-		return PutResult{PutUnchanged, m.lastVersion(), ""}
+	if hash == h.hash {
+		return PutResult{PutUnchanged, h.last(), ""}
 	}
-	v := Version{m.lastVersion() + 1, m.lastVersion(), hash, p.Author, p.Reason, p.At, index, term, 0, string(text)}
+	v := Version{Number: h.last() + 1, Parent: h.last(), Hash: hash, Author: p.Author, Reason: p.Reason, At: p.At,
+		Index: index, Term: term, Text: string(text)}
 	if p.Rules > 1 {
 		v.Rules = p.Rules
 	}
-	line, err := json.Marshal(&v)
-	if err != nil {
-		return PutResult{PutInvalid, m.lastVersion(), err.Error()}
-	}
-	m.lines = append(m.lines, line)
-	m.bytes += len(line)
-	m.current, m.hash = next, hash
-	for len(m.lines) > maxVersions || m.bytes > maxVersionBytes && len(m.lines) > 1 {
-		m.bytes -= len(m.lines[0])
-		m.lines = m.lines[1:]
-		m.first++
+	if err = h.append(&v, next); err != nil {
+		return PutResult{PutInvalid, h.last(), err.Error()}
 	}
+	h.dropOldest()
 	return PutResult{PutCommitted, v.Number, ""}
 }
 
-// short bounds a reason: it is kept with its session, and a document may have a fault on each of many lines.
-func truncateReason(reason string) string {
-	if len(reason) <= maxReasonBytes {
-		return reason
-	}
-	cut := strings.LastIndexByte(reason[:maxReasonBytes], '\n')
-	if cut <= 0 {
-		cut = maxReasonBytes
+func (h *versionHistory) append(v *Version, d *document.Document) error {
+	line, err := json.Marshal(v)
+	if err != nil {
+		return err
 	}
-	return fmt.Sprintf("%s\n%d more lines", reason[:cut], 1+strings.Count(reason[cut+1:], "\n"))
+	h.lines = append(h.lines, line)
+	h.bytes += len(line)
+	h.newest, h.hash = d, v.Hash
+	return nil
 }
 
-// ReadVersion reads a version's line.
-func ReadVersion(line []byte) (*Version, error) {
-	var v Version
-	if err := json.Unmarshal(line, &v); err != nil {
-		return nil, fmt.Errorf("a version: %w", err)
+func (h *versionHistory) dropOldest() {
+	for len(h.lines) > maxVersions || h.bytes > maxVersionBytes && len(h.lines) > 1 {
+		h.bytes -= len(h.lines[0])
+		h.lines = h.lines[1:]
+		h.first++
 	}
-	return &v, nil
 }
 
-type session struct {
-	name   string
-	seq    uint64
-	answer PutResult
+// restore reads the newest of some lines of a snapshot.
+func (h *versionHistory) restore(lines [][]byte) error {
+	h.lines = lines
+	for _, line := range lines {
+		h.bytes += len(line)
+	}
+	if len(lines) == 0 {
+		return nil
+	}
+	v, err := ReadVersion(lines[len(lines)-1])
+	if err != nil {
+		return err
+	}
+	if v.Number != h.last() {
+		return fmt.Errorf("last version of a saved state is %d, expected %d", v.Number, h.last())
+	}
+	h.newest, err = document.ParseUnder(max(1, v.Rules), "document", []byte(v.Text))
+	if err != nil {
+		return fmt.Errorf("version %d of a saved state: %w", v.Number, err)
+	}
+	h.hash = v.Hash
+	return nil
 }
