--- a/internal/node/server/fleet_agent.go
+++ b/internal/node/server/fleet_agent.go
@@ -73,6 +73,7 @@
 // loop calls on the way of a request do nothing on a nil agent.
 type fleetAgent struct {
 	host   fleetHost
+	clock  steadyClock
 	log    *logrus.Logger
 	config *config.Fleet
 	agent  *agent.Agent
@@ -92,6 +93,9 @@
 	spread     retryafter.Spreader
 }
 
+// steadyClock gives the present time of a clock that nobody sets: bootTime, or a test's own.
+type steadyClock func() agent.Milliseconds
+
 // bootTime is a time of the clock that nobody sets and that runs on while the process is stopped or the machine sleeps.
 func bootTime() agent.Milliseconds {
 	var t unix.Timespec
@@ -134,7 +138,7 @@
 // newFleetAgent readies the node's part in a fleet with what its folder has. It is fenced until the first tick.
 func newFleetAgent(host fleetHost, log *logrus.Logger, c *config.Fleet, startup *Node) (*fleetAgent, error) {
 	handlers := len(host.platform().Deployment.Handlers)
-	f := &fleetAgent{host: host, log: log, config: c, fenced: true, retired: make([]bool, handlers),
+	f := &fleetAgent{host: host, clock: bootTime, log: log, config: c, fenced: true, retired: make([]bool, handlers),
 		recording: shadow.NewRecording(handlers), meter: zonegate.NewMeter(bootTime(), handlerValues(host.platform())),
 		heartbeats: newControlClient(), probes: prober{client: newControlClient()},
 		versions: versionFetcher{client: newControlClient(), timeout: minFetchTimeout,
@@ -147,10 +151,10 @@
 	if err != nil {
 		return nil, err
 	}
-	f.agent = agent.New(about, stored, bootTime())
+	f.agent = agent.New(about, stored, f.clock())
 	f.loadStoredVersions()
 	f.gate = zonegate.NewGate(handlers, about.JitterSeed)
-	f.gate.SetOrder(bootTime(), f.agent.ZoneOrder())
+	f.gate.SetOrder(f.clock(), f.agent.ZoneOrder())
 	log.WithFields(logrus.Fields{logging.Node: about.Name, logging.Zone: about.Zone, logging.Address: c.Control}).
 		Info(logFleetJoining)
 	return f, nil
@@ -162,7 +166,7 @@
 	if f == nil {
 		return
 	}
-	now := bootTime()
+	now := f.clock()
 	if version, ok := f.agent.VersionToActivate(now); ok {
 		f.activate(now, version)
 	}
@@ -196,6 +200,12 @@
 	}
 }
 
+// leaseFields are those of a line about whether the node serves.
+func (f *fleetAgent) leaseFields() logrus.Fields {
+	return logrus.Fields{logging.LeaseID: f.agent.LeaseID(), logging.PolicyVersion: f.agent.ActiveVersion(),
+		logging.Generation: f.agent.LastSeen().Generation}
+}
+
 // quotaFields are those of a line about the zone's quota.
 func (f *fleetAgent) quotaFields() logrus.Fields {
 	return logrus.Fields{logging.Epoch: f.gate.Epoch(), logging.Quota: f.gate.Share()}
--- a/internal/node/server/fleet_heartbeat.go
+++ b/internal/node/server/fleet_heartbeat.go
@@ -73,7 +73,7 @@
 
 // heartbeatAnswered takes what came of a heartbeat.
 func (f *fleetAgent) heartbeatAnswered(address string, sequence uint64, r controlResponse) {
-	now := bootTime()
+	now := f.clock()
 	var response api.HeartbeatResponse
 	if err := r.decode(&response); err != nil {
 		f.host.counts().FleetLost++
--- a/internal/node/server/fleet_record.go
+++ b/internal/node/server/fleet_record.go
@@ -91,7 +91,7 @@
 	record, folder := r.record, f.config.Folder
 	go func() {
 		err := storeRecord(folder, &record)
-		f.host.runOnLoop(func() { f.recordStored(bootTime(), record.PreparedVersion, err) })
+		f.host.runOnLoop(func() { f.recordStored(f.clock(), record.PreparedVersion, err) })
 	}()
 }
 
--- a/internal/node/server/fleet_serving.go
+++ b/internal/node/server/fleet_serving.go
@@ -19,12 +19,12 @@
 	case !mayServe && !f.fenced:
 		f.fenced = true
 		f.host.counts().Fenced++
-		f.log.WithField(logging.Reason, reason).Warn(logNodeFenced)
+		f.log.WithFields(f.leaseFields()).WithField(logging.Reason, reason).Warn(logNodeFenced)
 		f.host.refreshReadiness()
 		f.host.rejectQueued()
 	case mayServe && f.fenced:
 		f.fenced = false
-		f.log.WithField(logging.PolicyVersion, f.agent.ActiveVersion()).Info(logNodeServes)
+		f.log.WithFields(f.leaseFields()).Info(logNodeServes)
 		f.host.refreshReadiness()
 	}
 }
@@ -44,7 +44,7 @@
 	if !autonomous {
 		return
 	}
-	f.log.WithField(logging.PolicyVersion, f.agent.ActiveVersion()).Warn(logAutonomous)
+	f.log.WithFields(f.leaseFields()).Warn(logAutonomous)
 	version, atHand := f.versions.atHand[f.agent.ActiveVersion()]
 	if !atHand || f.agent.GroupContacted() {
 		return
@@ -93,7 +93,7 @@
 		response.NoRetry = true
 		return handlerRetired
 	}
-	now, asked := bootTime(), f.gateRequest(handler, q, key)
+	now, asked := f.clock(), f.gateRequest(handler, q, key)
 	decision := f.gate.Admit(now, asked)
 	if decision.Admitted {
 		return notRejected
@@ -121,14 +121,14 @@
 func (f *fleetAgent) takesTraffic() bool { return f == nil || !f.fenced && !f.gate.Evacuated() }
 
 // admitsConnection tells whether a connection to the store may be opened now, by the zone's connection rate limit.
-func (f *fleetAgent) admitsConnection() bool { return f == nil || f.gate.AdmitConnection(bootTime()) }
+func (f *fleetAgent) admitsConnection() bool { return f == nil || f.gate.AdmitConnection(f.clock()) }
 
 // What the load report and the recording for trials are made of. On a nil agent they do nothing.
 
 // requestAdmitted counts a request that the gate let pass.
 func (f *fleetAgent) requestAdmitted(handler int, isRetry bool) {
 	if f != nil {
-		f.meter.RequestAdmitted(bootTime(), handler, isRetry)
+		f.meter.RequestAdmitted(f.clock(), handler, isRetry)
 	}
 }
 
@@ -142,7 +142,7 @@
 // requestAnswered counts an answer.
 func (f *fleetAgent) requestAnswered(handler, status int, onTime bool) {
 	if f != nil {
-		f.meter.RequestAnswered(bootTime(), handler, status, onTime)
+		f.meter.RequestAnswered(f.clock(), handler, status, onTime)
 	}
 }
 
@@ -152,7 +152,7 @@
 		return
 	}
 	if outcome == admission.Succeeded || outcome == admission.Failed {
-		f.meter.RunEnded(bootTime(), tookMS)
+		f.meter.RunEnded(f.clock(), tookMS)
 	}
 	if outcome == admission.Succeeded {
 		f.recording.RecordRun(id, took)
@@ -162,21 +162,21 @@
 // callEnded counts a call to the store that took so many ms.
 func (f *fleetAgent) callEnded(tookMS float64, failed bool) {
 	if f != nil {
-		f.meter.CallEnded(bootTime(), tookMS, failed)
+		f.meter.CallEnded(f.clock(), tookMS, failed)
 	}
 }
 
 // connectionOpened counts a connection to the store.
 func (f *fleetAgent) connectionOpened() {
 	if f != nil {
-		f.meter.ConnectionOpened(bootTime())
+		f.meter.ConnectionOpened(f.clock())
 	}
 }
 
 // coresSampled takes a reading of how many cores runs use.
 func (f *fleetAgent) coresSampled(runnable float64) {
 	if f != nil {
-		f.meter.CoresSampled(bootTime(), runnable)
+		f.meter.CoresSampled(f.clock(), runnable)
 	}
 }
 
--- a/internal/node/server/fleet_version.go
+++ b/internal/node/server/fleet_version.go
@@ -85,7 +85,7 @@
 
 // versionFetched takes a version's document, and has it tried if it fits the platform's settings.
 func (f *fleetAgent) versionFetched(address string, version api.VersionHash, r controlResponse) {
-	now, v := bootTime(), &f.versions
+	now, v := f.clock(), &f.versions
 	var response documentResponse
 	err := r.decode(&response)
 	if err == nil && response.Version != version.Version {
@@ -149,7 +149,7 @@
 
 // versionTried takes the verdict of a trial: a version that passed is stored, and then counts as prepared.
 func (f *fleetAgent) versionTried(v versionAtHand, verdict shadow.Verdict, took time.Duration) {
-	now := bootTime()
+	now := f.clock()
 	if verdict.Reason != "" {
 		f.rejectVersion(now, v.version, errors.New(verdict.Reason), logTrialFailed, false)
 		return
--- a/internal/node/server/result_attempt.go
+++ b/internal/node/server/result_attempt.go
@@ -85,7 +85,7 @@
 
 // decide asks the index what an attempt gets, also under its legacy key, and answers a retry of a key that may be lost.
 func (k *resultKeeper) decide(q *keyedRequest) (verdict resultstore.Verdict, position uint64) {
-	now := bootTime()
+	now := k.clock()
 	verdict, position = k.index.Decide(now, q.key, q.bodyDigest)
 	if verdict == resultstore.Execute && k.index.Lookup(now, q.legacyKey) != resultstore.Unknown {
 		verdict, position = k.index.Decide(now, q.legacyKey, q.bodyDigest)
--- a/internal/node/server/result_disk.go
+++ b/internal/node/server/result_disk.go
@@ -51,7 +51,7 @@
 		return
 	}
 	for range min(maxExpireSteps, max(1, k.index.ExpireSteps()/sweepsPerPass)) {
-		if _, firstNeeded := k.index.Expire(bootTime(), k.nextPosition); firstNeeded > 0 {
+		if _, firstNeeded := k.index.Expire(k.clock(), k.nextPosition); firstNeeded > 0 {
 			k.release(firstNeeded)
 			return
 		}
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -128,6 +128,7 @@
 // It never lets a key run whose intent is not durable, or that may have run.
 type resultKeeper struct {
 	host   resultHost
+	clock  steadyClock
 	log    *logrus.Logger
 	config *config.Kept
 
@@ -152,7 +153,8 @@
 
 // newResultKeeper starts to read the folder.
 func newResultKeeper(host resultHost, log *logrus.Logger, c *config.Kept) *resultKeeper {
-	k := &resultKeeper{host: host, log: log, config: c, mode: modeOpening, reads: make(chan func(), maxReads),
+	k := &resultKeeper{host: host, clock: bootTime, log: log, config: c, mode: modeOpening,
+		reads:  make(chan func(), maxReads),
 		faults: faultPoint{at: c.DieAt, on: c.DieOn}}
 	go func() { // ends with the process
 		for read := range k.reads {
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -59,8 +59,9 @@
 			MaxRetryAfter: 5 * admission.Second, Handlers: []admission.Handler{{IdempotencyWindow: admission.Second,
 				RetrySafety: admission.IdempotencyKeyed}}}}}
 	l.startClock(admission.Second)
-	l.results = &resultKeeper{host: l, log: log, config: &config.Kept{Entries: 100, MB: 1, Result: 100},
-		reads: make(chan func(), 1)}
+	l.results = &resultKeeper{host: l, clock: bootTime, log: log,
+		config: &config.Kept{Entries: 100, MB: 1, Result: 100},
+		reads:  make(chan func(), 1)}
 	store, book, found, err := resultstore.Open(d, wal.Sizes{Segment: 1 << 16, Bound: 1 << 20},
 		resultstore.Limits{Keys: 100, Bytes: 1 << 18, ResultBytes: 100},
 		bootTime(), "boot")
--- a/internal/node/server/result_run.go
+++ b/internal/node/server/result_run.go
@@ -43,7 +43,7 @@
 	q := r.keyed
 	k.faults.reach(faultBeforeIntent)
 	window := windowOf(&k.host.platform().Deployment.Handlers[r.handler])
-	intent := k.index.Begin(bootTime(), q.key, q.bodyDigest, window)
+	intent := k.index.Begin(k.clock(), q.key, q.bodyDigest, window)
 	q.pending = intentPending
 	if !k.write(intent, func(err error) { k.intentWritten(h, err) }) {
 		q.pending = nothingPending
@@ -95,7 +95,7 @@
 	if !r.keyed.intentDurable { // it never ran, and another attempt of its key may run, or have run
 		return false
 	}
-	now, key := bootTime(), r.keyed.key
+	now, key := k.clock(), r.keyed.key
 	switch outcome {
 	case admission.NotExecuted, admission.Superseded: // nothing was started
 		if record, ok := k.index.MarkNotExecuted(now, key); ok {
@@ -117,7 +117,7 @@
 // told that a repeat would not get too.
 func (k *resultKeeper) storeResult(h handle, r *request, result []byte) bool {
 	k.faults.reach(faultRunEnded)
-	record, ok := k.index.MarkExecuted(bootTime(), r.keyed.key, true, result)
+	record, ok := k.index.MarkExecuted(k.clock(), r.keyed.key, true, result)
 	if !ok {
 		return false
 	}
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -130,7 +130,8 @@
 	}
 	run("a", 1, true)
 	run("b", 2, true)
-	if a, b := k.find("a"), k.find("b"); a == nil || a.hasResult || a.state != entryDone || !b.hasResult || k.bytes != 60 {
+	if a, b := k.find("a"), k.find("b"); a == nil || a.hasResult || a.state != entryDone || !b.hasResult ||
+		k.bytes != 60 {
 		t.Errorf("a %+v, b %+v, %d bytes", a, b, k.bytes)
 	}
 	if k.previous("a", 999) != 1 || k.previous("a", 1000) != 0 {
@@ -154,8 +155,9 @@
 
 // What is wrong with the start-up file is told in one line, and the program ends with status 2.
 func TestWrongStart(t *testing.T) {
-	for text, says := range map[string]string{"": "not JSON", "{": "not JSON", `{"listen":"127.0.0.1:0"}`: "name: found none",
-		`{"name":"n"}`: `listen: found "", expected HOST:PORT`,
+	for text, says := range map[string]string{"": "not JSON", "{": "not JSON",
+		`{"listen":"127.0.0.1:0"}`: "name: found none",
+		`{"name":"n"}`:             `listen: found "", expected HOST:PORT`,
 		`{"name":"n","listen":"127.0.0.1:0","kernel":"x"}`:                                     `kernel: found "x", expected HOST:PORT`,
 		`{"name":"n","listen":"127.0.0.1:0","kernel":"127.0.0.1:1","store":"y"}`:               `store: found "y", expected HOST:PORT`,
 		`{"name":"n","listen":"127.0.0.1:0","kernel":"127.0.0.1:1","control":"z"}`:             `control: found "z", expected HOST:PORT`,
@@ -168,7 +170,8 @@
 		cmd := exec.Command(program)
 		cmd.Env = append(os.Environ(), "NODE_CONFIG="+file)
 		out, _ := cmd.CombinedOutput()
-		if cmd.ProcessState.ExitCode() != 2 || bytes.Count(out, []byte("\n")) != 1 || !strings.Contains(string(out), says) {
+		if cmd.ProcessState.ExitCode() != 2 || bytes.Count(out, []byte("\n")) != 1 ||
+			!strings.Contains(string(out), says) {
 			t.Errorf("%s: status %d, %s, expected %q", text, cmd.ProcessState.ExitCode(), out, says)
 		}
 	}
@@ -228,8 +231,9 @@
 	}
 }
 
-// The store moves to another address while a connection to the old one is being opened, and the old dial succeeds after
-// that. Its connection must not be taken for the new one, over which the call that waits would be sent before it is open.
+// The store moves to another address while a connection to the old one is being opened, and the old dial succeeds
+// after that. Its connection must not be taken for the new one, over which the call that waits would be sent before
+// it is open.
 func TestOldDialOfMovedStore(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -325,7 +329,8 @@
 		l := &loop{now: 5000, drainState: drainState{stopAfter: c.stop}, limits: NewLimits(c.cores, 64, 256)}
 		l.startDrain()
 		if r := l.nextRound(); !r.Drain || r.KillAt != 5000+c.stop-c.before {
-			t.Errorf("%.1f cores, notice of %d: the module hears of a kill at %d, expected %d before %d", c.cores, c.stop, r.KillAt,
+			t.Errorf("%.1f cores, notice of %d: the module hears of a kill at %d, expected %d before %d", c.cores,
+				c.stop, r.KillAt,
 				c.before, 5000+c.stop)
 		}
 	}
@@ -354,29 +359,35 @@
 	<-n.ended
 }
 
-// TestCallsGivenUp: a call that nobody waited for to the end counts with the time that it had, or a service that answers
-// nothing would look like one that nobody calls.
+// TestCallsGivenUp: a call that nobody waited for to the end counts with the time that it had, or a service that
+// answers nothing would look like one that nobody calls.
 func TestCallsGivenUp(t *testing.T) {
 	l := &loop{now: 5000, requests: newTable[request](8), limits: NewLimits(1, 64, 256),
-		fleet: &fleetAgent{meter: zonegate.NewMeter(bootTime(), []float64{1})}}
+		fleet: &fleetAgent{clock: bootTime, meter: zonegate.NewMeter(bootTime(), []float64{1})}}
 	r := &request{lifecycle: lifecycle{call: callSent}, callStarted: 2000}
 	l.cancelCall(1, r)
 	l.cancelCall(1, r) // there is none any more
-	if got := l.fleet.meter.Report(bootTime(), true, 1, 0); got.Calls != 1 || got.MeanCallMS != 300 || got.FailedCalls != 0 {
-		t.Errorf("%d calls, %.0f ms, %d bad, expected one of 300 ms that is not known to be bad", got.Calls, got.MeanCallMS, got.FailedCalls)
+	if got := l.fleet.meter.Report(bootTime(), true, 1, 0); got.Calls != 1 || got.MeanCallMS != 300 ||
+		got.FailedCalls != 0 {
+		t.Errorf("%d calls, %.0f ms, %d bad, expected one of 300 ms that is not known to be bad", got.Calls,
+			got.MeanCallMS, got.FailedCalls)
 	}
 }
 
-// Where two times are possible for a stamp, each rule goes by the one that is safe for it: the deadline and whom a request
-// repeats by the earlier, the window of its key and the grace of a drain by the later.
+// Where two times are possible for a stamp, each rule goes by the one that is safe for it: the deadline and whom a
+// request repeats by the earlier, the window of its key and the grace of a drain by the later.
 func TestStampWithTwoPlaces(t *testing.T) {
 	at, wall := time.Hour, 100*time.Hour
 	read := func() clock.Reading { return clock.Reading{Monotonic: at, Wall: wall} }
-	d := &admission.Deployment{Cores: 1, MemoryKB: 1e6, Handlers: []admission.Handler{{LatencyObjective: 3 * admission.Second,
-		Timeout: 6 * admission.Second, RetrySafety: admission.IdempotencyKeyed, IdempotencyWindow: 8 * admission.Second}}}
-	l := &loop{settings: &settings.Startup{Deployment: d, HandlerIndex: map[string]int{"put": 0}}, names: []string{"put"},
-		idempotency: newIdempotencyTable(2000, 1000, 6*admission.Second), requests: newTable[request](8), byRequestID: map[string]handle{},
-		limits: NewLimits(1, 64, 256), controller: admission.New(d), stamps: clock.NewStamps(read, 12*time.Second)}
+	d := &admission.Deployment{Cores: 1, MemoryKB: 1e6,
+		Handlers: []admission.Handler{{LatencyObjective: 3 * admission.Second,
+			Timeout: 6 * admission.Second, RetrySafety: admission.IdempotencyKeyed,
+			IdempotencyWindow: 8 * admission.Second}}}
+	l := &loop{settings: &settings.Startup{Deployment: d, HandlerIndex: map[string]int{"put": 0}},
+		names:       []string{"put"},
+		idempotency: newIdempotencyTable(2000, 1000, 6*admission.Second), requests: newTable[request](8),
+		byRequestID: map[string]handle{},
+		limits:      NewLimits(1, 64, 256), controller: admission.New(d), stamps: clock.NewStamps(read, 12*time.Second)}
 	stamp := wall
 	at, wall = at+2500*time.Millisecond, wall+2500*time.Millisecond
 	l.stamps.Observe(read)
@@ -385,10 +396,12 @@
 	if l.now = timeOf(now); step != -3*time.Second {
 		t.Fatalf("a step of %v is seen", step)
 	}
-	l.idempotency.remember(l.repeatKey(0, &wire.Request{IdempotencyKey: []byte("k")}), 77, l.now-admission.Second, &l.timers)
+	l.idempotency.remember(l.repeatKey(0, &wire.Request{IdempotencyKey: []byte("k")}), 77, l.now-admission.Second,
+		&l.timers)
 	c := &connection{}
-	e := &requestRead{peer: &peer{}, request: wire.Request{ID: []byte("0000000000000001"), ReceivedAtMS: stamp.Milliseconds(),
-		HasCaller: true, FootprintKB: 1, IdempotencyKey: []byte("k")}}
+	e := &requestRead{peer: &peer{}, request: wire.Request{ID: []byte("0000000000000001"),
+		ReceivedAtMS: stamp.Milliseconds(),
+		HasCaller:    true, FootprintKB: 1, IdempotencyKey: []byte("k")}}
 	if status := l.receiveRequest(c, e, "put", &wire.Response{}); status != 0 || len(l.nextRound().Arrived) != 1 {
 		t.Fatalf("status %d, %d are told to the module", status, len(l.nextRound().Arrived))
 	}
@@ -396,6 +409,7 @@
 	q := l.nextRound().Arrived[0]
 	earliest := timeOf(time.Hour)
 	if q.Deadline != earliest+6*admission.Second || q.ArrivedAt != l.now || q.PreviousID != 77 {
-		t.Errorf("due %d, came %d, repeats %d; expected %d, %d and 77", q.Deadline, q.ArrivedAt, q.PreviousID, earliest+6*admission.Second, l.now)
+		t.Errorf("due %d, came %d, repeats %d; expected %d, %d and 77", q.Deadline, q.ArrivedAt, q.PreviousID,
+			earliest+6*admission.Second, l.now)
 	}
 }
