--- a/internal/control/recovery/plan_test.go
+++ b/internal/control/recovery/plan_test.go
@@ -11,9 +11,10 @@
 
 // kept makes what a node remembers: it serves under a version of a text, and was told of another as decided.
 func kept(name string, version uint64, text string, floor uint64) api.NodeRecord {
-	return api.NodeRecord{Name: name, Zone: "z", Group: "g1", Generation: 1, Term: 3, Index: 100, ActiveVersion: version,
-		ActiveText: text,
-		ActiveHash: document.Hash([]byte(text)), MinVersion: floor, ZoneEpoch: 4, ZoneShare: 256, LeaseMS: 5000}
+	return api.NodeRecord{Name: name, Zone: "z", Group: "g1", Generation: 1, Term: 3, Index: 100,
+		ActiveVersion: version,
+		ActiveText:    text,
+		ActiveHash:    document.Hash([]byte(text)), MinVersion: floor, ZoneEpoch: 4, ZoneShare: 256, LeaseMS: 5000}
 }
 
 // folder makes what an old folder holds: versions with texts t1, t2, ...
@@ -58,7 +59,8 @@
 			"served under by b", "not heard", false},
 		{"decided, prepared by one, taken over by nobody", []api.NodeRecord{kept("a", 6, "t6", 6), next}, nil, "", 7, 7,
 			1, "prepared by b", "", false},
-		{"prepared, and not decided as anybody knows", []api.NodeRecord{kept("a", 6, "t6", 6), undecided}, nil, "", 6, 6,
+		{"prepared, and not decided as anybody knows", []api.NodeRecord{kept("a", 6, "t6", 6), undecided}, nil, "",
+			6, 6,
 			1, "served under by a, b", "",
 			false},
 		{"decided, and nobody has the text", []api.NodeRecord{kept("a", 6, "t6", 8)}, nil, "", 9, 6, 1,
@@ -70,7 +72,8 @@
 		{"a folder alone", nil, folder(6, 5, 5), "", 5, 5, 1, "the folder", "a, b, x: not heard", false},
 		{"an older folder", []api.NodeRecord{kept("a", 8, "t8", 8)}, folder(6, 5, 5), "", 8, 8, 1, "served under by a",
 			"entry 90", false},
-		{"a folder that went on another way", []api.NodeRecord{kept("a", 6, "another t6", 6)}, folder(6, 5, 5), "", 7, 6,
+		{"a folder that went on another way", []api.NodeRecord{kept("a", 6, "another t6", 6)}, folder(6, 5, 5), "",
+			7, 6,
 			1, "served under by a", "",
 			false},
 		{"the same, and an operator chose", []api.NodeRecord{kept("a", 6, "another t6", 6)}, folder(6, 6, 6),
@@ -78,7 +81,8 @@
 			"served under by a", "", false},
 		{"two texts by one number", []api.NodeRecord{other, kept("b", 7, "t7", 7)}, nil, "", 0, 0, 1,
 			"name one with --take", "", true},
-		{"a newer generation", []api.NodeRecord{kept("a", 9, "t9", 9), later}, nil, "", 3, 3, 2, "served under by c", "",
+		{"a newer generation", []api.NodeRecord{kept("a", 9, "t9", 9), later}, nil, "", 3, 3, 2, "served under by c",
+			"",
 			false},
 		{"two groups of one generation", []api.NodeRecord{kept("a", 3, "t3", 3), sibling}, nil, "", 0, 0, 1,
 			"go on apart", "", true},
