--- a/internal/harness/pools.go
+++ b/internal/harness/pools.go
@@ -428,8 +428,8 @@
 				row = append(row, fmt.Sprintf("%.3f", o[way].out[k].good()))
 				reqs += o[way].out[k].asked
 			}
-			rep.Rows = append(rep.Rows, append(row, ms(o["pools"].out[k].times.ValueAtQuantile(95)/10),
-				ms(o["off"].out[k].times.ValueAtQuantile(95)/10)))
+			rep.Rows = append(rep.Rows, append(row, Milliseconds(o["pools"].out[k].times.ValueAtQuantile(95)/10),
+				Milliseconds(o["off"].out[k].times.ValueAtQuantile(95)/10)))
 		}
 		rep.Rows = append(rep.Rows, []string{"", "value", "", fmt.Sprintf("%.0f", o["pools"].value),
 			fmt.Sprintf("%.0f", o["off"].value), fmt.Sprintf("%.0f", o["fixed"].value),
--- a/internal/harness/procs.go
+++ b/internal/harness/procs.go
@@ -445,7 +445,7 @@
 		calm.Points = append(calm.Points, [2]float64{float64(tick * 10), float64(median)})
 		busy.Points = append(busy.Points, [2]float64{float64(tick * 10), float64(100 * wrong)})
 		rep.Rows = append(rep.Rows, []string{fmt.Sprintf("timeout %d ms", tick*10), "3", "8 kills, 10 s busy",
-			"-", fmt.Sprintf("%d elections", wrong), ms(int64(median)), "-", sub.find("kills3_worst_ms") + " ms"})
+			"-", fmt.Sprintf("%d elections", wrong), Milliseconds(int64(median)), "-", sub.find("kills3_worst_ms") + " ms"})
 	}
 	plot.Lines = []Line{calm, busy}
 	rep.Plots = append(rep.Plots, plot)
@@ -600,7 +600,7 @@
 	}
 	rep.Rows = append(rep.Rows, []string{"leader lost", strconv.Itoa(size),
 		strconv.FormatInt(gaps.TotalCount(), 10), strconv.Itoa(l.puts), strconv.FormatBool(rep.Broken != ""),
-		ms(gaps.ValueAtQuantile(50)), ms(gaps.ValueAtQuantile(99)), ms(gaps.Max())})
+		Milliseconds(gaps.ValueAtQuantile(50)), Milliseconds(gaps.ValueAtQuantile(99)), Milliseconds(gaps.Max())})
 	key := fmt.Sprintf("kills%d", size)
 	rep.Add(key, "%d", gaps.TotalCount())
 	rep.Add(key+"_median_ms", "%d", gaps.ValueAtQuantile(50))
@@ -634,8 +634,6 @@
 	return "killed itself before " + kind
 }
 
-func ms(n int64) string { return strconv.FormatInt(n, 10) + " ms" }
-
 // speed measures puts without faults, by one client and by many.
 func (r *Raft) speed(ctx context.Context, rep *Report) error {
 	for _, clients := range []int{1, 64} {
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -3,18 +3,13 @@
 import (
 	"context"
 	"fmt"
-	"image/color"
 	"io"
 	"strconv"
 	"time"
 
-	"gonum.org/v1/plot/plotutil"
-
 	"umberwinch/internal/control/consensus"
 )
 
-func colour(i int) color.Color { return plotutil.Color(i) }
-
 // Raft is a run of `umberctl lab raft`.
 type Raft struct {
 	Seed      int64
--- a/internal/harness/report.go
+++ b/internal/harness/report.go
@@ -10,12 +10,14 @@
 	"os"
 	"path/filepath"
 	"runtime"
+	"strconv"
 	"strings"
 	"sync"
 	"text/tabwriter"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 )
 
@@ -197,7 +199,7 @@
 		if err != nil {
 			return "", err
 		}
-		line.Color, points.Color = colour(i), colour(i)
+		line.Color, points.Color = plotutil.Color(i), plotutil.Color(i)
 		marks := []plot.Thumbnailer{line}
 		g.Add(line)
 		if len(xys) <= marked {
@@ -222,3 +224,6 @@
 	}
 	return svg, nil
 }
+
+// Milliseconds is how a span stands in a table.
+func Milliseconds(n int64) string { return strconv.FormatInt(n, 10) + " ms" }
