--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -6,6 +6,7 @@
 	"os"
 	"slices"
 	"strings"
+	"umberwinch/internal/report"
 
 	"github.com/spf13/cobra"
 
@@ -60,7 +61,7 @@
 }
 
 // verdict makes a broken promise the command's error.
-func verdict(rep *harness.Report, err error) error {
+func verdict(rep *report.Report, err error) error {
 	if err == nil && rep.Broken != "" {
 		return errors.New("a promise was broken")
 	}
--- a/internal/harness/comeback.go
+++ b/internal/harness/comeback.go
@@ -15,6 +15,7 @@
 	"sync"
 	"syscall"
 	"time"
+	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/coordinator"
@@ -40,8 +41,8 @@
 }
 
 // Run plays restarts in virtual time beside baselines and the lower bound, then the hard cases on processes.
-func (r *Comeback) Run(ctx context.Context, w io.Writer) (*Report, error) {
-	rep := &Report{Name: "comeback", Title: "Coming back after a restart of most of the fleet",
+func (r *Comeback) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
+	rep := &report.Report{Name: "comeback", Title: "Coming back after a restart of most of the fleet",
 		Head: []string{"PART", "NODES", "LOAD", "WAY", "HALF", "95 IN 100", "WHOLE", "AT BEST", "BELOW, PEAK", "TRIES A REQ"}}
 	rep.Add("seed", "%d", r.Seed)
 	if r.Mode != "real" {
@@ -61,7 +62,7 @@
 			return nil, err
 		}
 	}
-	return rep.end(r.Out, w)
+	return rep.End(r.Out, w)
 }
 
 // bestWhole is the least time, in seconds, in which services of a coldness can be warm enough for a load: they serve all
@@ -75,7 +76,7 @@
 }
 
 // virtual plays a restart of all nodes at sizes and loads, each way on its own.
-func (r *Comeback) virtual(rep *Report) {
+func (r *Comeback) virtual(rep *report.Report) {
 	sizes, loads := []int{300, 5000}, []float64{0.6, 0.9, 1.3}
 	if r.Quick {
 		sizes, loads = []int{15}, []float64{0.6, 1.3}
@@ -112,7 +113,7 @@
 					fmt.Sprintf("%.0f s", bestWhole(min(load, 1), 8, flowFill)), fmt.Sprintf("%.2f", v.Start), fmt.Sprintf("%.2f", v.Tries)})
 				if i == 0 && n <= 300 {
 					v.Plot[0].Name, v.Plot[1].Name = "value done", "below: asked over what it bears"
-					rep.Plots = append(rep.Plots, Plot{Title: fmt.Sprintf("%d nodes restart, load %.2f", n, load),
+					rep.Plots = append(rep.Plots, report.Plot{Title: fmt.Sprintf("%d nodes restart, load %.2f", n, load),
 						X: "seconds; killed at 15, back from 17 on", Y: "share", Lines: v.Plot[:2]})
 				}
 			}
--- a/internal/harness/comeback_test.go
+++ b/internal/harness/comeback_test.go
@@ -8,6 +8,7 @@
 	"math"
 	"strings"
 	"testing"
+	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/zones"
@@ -42,7 +43,7 @@
 		"proof": "an old copy of all folders put back while nodes serve under a newer policy"} {
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
-			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*Report, error) {
+			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
 				return (&Comeback{Seed: seed, Quick: true, Mode: "real", Words: guard, Only: only, Program: built(t)}).Run(context.Background(), w)
 			})
 		})
--- a/internal/harness/fleet_test.go
+++ b/internal/harness/fleet_test.go
@@ -17,6 +17,7 @@
 	"syscall"
 	"testing"
 	"time"
+	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/policy"
 )
@@ -93,7 +94,7 @@
 		"no-way-back": "an instance that is behind speaks to a node that starts"} {
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
-			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*Report, error) {
+			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
 				return (&Policy{Seed: seed, Quick: true, Mode: "real", Words: guard, Only: only, Size: 6,
 					Program: built(t)}).Run(context.Background(), w)
 			})
@@ -103,7 +104,7 @@
 
 // breaksWithout plays a case on processes with a guard out. They go at the machine's pace, so it is played three times at most: a
 // promise has to break in one.
-func breaksWithout(t *testing.T, guard, only string, play func(seed int64, w io.Writer) (*Report, error)) {
+func breaksWithout(t *testing.T, guard, only string, play func(seed int64, w io.Writer) (*report.Report, error)) {
 	t.Helper()
 	var out bytes.Buffer
 	for seed := int64(21); seed < 24; seed++ {
--- a/internal/harness/kept.go
+++ b/internal/harness/kept.go
@@ -14,6 +14,7 @@
 	"strings"
 	"sync"
 	"time"
+	"umberwinch/internal/report"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -360,13 +361,13 @@
 const keptRigs = 6
 
 // Run plays all and writes the report.
-func (k *KeptLab) Run(ctx context.Context, w io.Writer) (*Report, error) {
+func (k *KeptLab) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	if k.Kills == 0 {
 		if k.Kills = 5000; k.Quick {
 			k.Kills = 120
 		}
 	}
-	rep := &Report{Name: "kept", Title: "Keyed results across restarts", Head: []string{"case", "kills", "reqs", "done", "repeats done",
+	rep := &report.Report{Name: "kept", Title: "Keyed results across restarts", Head: []string{"case", "kills", "reqs", "done", "repeats done",
 		"errored", "shed", "cut by a kill", "torn"}}
 	if k.Only != "costs" {
 		if err := k.kills(ctx, rep); err != nil {
@@ -387,7 +388,7 @@
 	return rep, nil
 }
 
-func (k *KeptLab) kills(ctx context.Context, rep *Report) error {
+func (k *KeptLab) kills(ctx context.Context, rep *report.Report) error {
 	rigs, errs := make([]*keptRig, keptRigs), make([]error, keptRigs)
 	var all sync.WaitGroup
 	for i := range rigs {
@@ -447,7 +448,7 @@
 	{"kept, a sync each", "[kept]\nfolder = DIR\n", "group"}, {"in memory", "", ""}}
 
 // costs has as many callers as the cores bear ask without a pause, uniqued reqs and others, in turn.
-func (k *KeptLab) costs(ctx context.Context, rep *Report) error {
+func (k *KeptLab) costs(ctx context.Context, rep *report.Report) error {
 	span := 8 * time.Second
 	if k.Quick {
 		span = 2 * time.Second
@@ -471,7 +472,7 @@
 	return nil
 }
 
-func (r *keptRig) cost(ctx context.Context, rep *Report, name string, callers int, span time.Duration) error {
+func (r *keptRig) cost(ctx context.Context, rep *report.Report, name string, callers int, span time.Duration) error {
 	defer r.close()
 	r.kernel.begins, r.kernel.calls = nil, false
 	r.kernel.Set(func(classes map[string]*vclass, cores *float64) {
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -8,6 +8,7 @@
 	"sort"
 	"strconv"
 	"time"
+	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/policy"
 )
@@ -38,8 +39,8 @@
 )
 
 // Run plays virtual schedules and large fleets, then processes, and reports.
-func (r *Policy) Run(ctx context.Context, w io.Writer) (*Report, error) {
-	rep := &Report{Name: "policy", Title: "A change of policy everywhere or nowhere",
+func (r *Policy) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
+	rep := &report.Report{Name: "policy", Title: "A change of policy everywhere or nowhere",
 		Head: []string{"PART", "NODES", "CHANGES", "SETTLED", "CALLED OFF", "MEDIAN", "99TH", "WORST", "OVERLAP"}}
 	rep.Add("seed", "%d", r.Seed)
 	if r.Mode != "real" {
@@ -53,7 +54,7 @@
 			return nil, err
 		}
 	}
-	return rep.end(r.Out, w)
+	return rep.End(r.Out, w)
 }
 
 // span gives the quantiles of times as a table's cells.
@@ -68,14 +69,14 @@
 	return []string{at(0.5), at(0.99), at(1)}
 }
 
-func (r *Policy) row(rep *Report, part string, nodes, changes int, ends map[policy.Step]int, times []float64, overlap int64) {
+func (r *Policy) row(rep *report.Report, part string, nodes, changes int, ends map[policy.Step]int, times []float64, overlap int64) {
 	rep.Rows = append(rep.Rows, append(append([]string{part, strconv.Itoa(nodes), strconv.Itoa(changes),
 		strconv.Itoa(ends[policy.Settled]), strconv.Itoa(ends[policy.Aborted])}, span(times)...),
 		fmt.Sprintf("%.0f ms", float64(overlap)/10)))
 }
 
 // virtual plays schedules of faults on all cores, each from a seed of its own.
-func (r *Policy) virtual(ctx context.Context, rep *Report) {
+func (r *Policy) virtual(ctx context.Context, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
 		if n = longFleets; r.Quick {
@@ -86,7 +87,7 @@
 	var times []float64
 	var overlap int64
 	why := ""
-	eachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *VFleet {
+	report.EachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *VFleet {
 		f := NewVFleet(FleetPlan{Seed: s, Nodes: 9 + int(s%7), Ctl: 3 + 2*int(s%2), Changes: 5, Without: r.Without})
 		f.Play()
 		return f
@@ -121,7 +122,7 @@
 
 // large plays fleets of the full size, calm and with a third down, and beside them the two baselines: telling each node
 // as it comes, and a majority of nodes.
-func (r *Policy) large(rep *Report) {
+func (r *Policy) large(rep *report.Report) {
 	sizes := []int{300, 5000}
 	if r.Quick {
 		sizes = []int{300}
@@ -155,7 +156,7 @@
 const OnlyLoad = "load"
 
 // real plays the cases on processes, then many changes under load.
-func (r *Policy) real(ctx context.Context, w io.Writer, rep *Report) error {
+func (r *Policy) real(ctx context.Context, w io.Writer, rep *report.Report) error {
 	dir, err := os.MkdirTemp("", "lab-policy-")
 	if err != nil {
 		return err
@@ -222,7 +223,7 @@
 
 // fencing measures what it costs callers that a zone is cut off from the group and stops serving: the same load for as
 // long, whole and cut.
-func (r *Policy) fencing(ctx context.Context, b *bench, rep *Report) error {
+func (r *Policy) fencing(ctx context.Context, b *bench, rep *report.Report) error {
 	const span = 10 * time.Second
 	for _, cut := range []bool{false, true} {
 		if cut {
@@ -243,7 +244,7 @@
 }
 
 // many makes changes one after the other under load, none of which a caller may notice.
-func (r *Policy) many(ctx context.Context, b *bench, rep *Report) error {
+func (r *Policy) many(ctx context.Context, b *bench, rep *report.Report) error {
 	n := r.Changes
 	if n == 0 {
 		if n = longChanges; r.Quick {
--- a/internal/harness/policy_crowd.go
+++ b/internal/harness/policy_crowd.go
@@ -16,6 +16,7 @@
 	"sync"
 	"sync/atomic"
 	"time"
+	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/consensus"
@@ -27,7 +28,7 @@
 
 // crowd measures what a fleet of the full size costs the group: processes of the control service, asked by members over
 // sockets, each with a connection of its own.
-func (r *Policy) crowd(ctx context.Context, rep *Report) error {
+func (r *Policy) crowd(ctx context.Context, rep *report.Report) error {
 	dir, err := os.MkdirTemp("", "lab-policy-")
 	if err != nil {
 		return err
--- a/internal/harness/pools.go
+++ b/internal/harness/pools.go
@@ -13,6 +13,7 @@
 	"strings"
 	"sync"
 	"time"
+	"umberwinch/internal/report"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
@@ -380,8 +381,8 @@
 func (t *tallies) good() float64 { return float64(t.inTime) / float64(max(1, t.asked)) }
 
 // Run plays all scenarios in all ways and reports.
-func (r *Pools) Run(ctx context.Context, w io.Writer) (*Report, error) {
-	rep := &Report{Name: "pools", Title: "Pools of run slots, in virtual time",
+func (r *Pools) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
+	rep := &report.Report{Name: "pools", Title: "Pools of run slots, in virtual time",
 		Head: []string{"SCENARIO", "CLASS", "ASKED", "POOLS", "OFF", "FIXED", "PLAIN", "95TH POOLS", "95TH OFF"}}
 	size := r.Size
 	if size == 0 {
@@ -428,8 +429,8 @@
 				row = append(row, fmt.Sprintf("%.3f", o[way].out[k].good()))
 				reqs += o[way].out[k].asked
 			}
-			rep.Rows = append(rep.Rows, append(row, Milliseconds(o["pools"].out[k].times.ValueAtQuantile(95)/10),
-				Milliseconds(o["off"].out[k].times.ValueAtQuantile(95)/10)))
+			rep.Rows = append(rep.Rows, append(row, report.Milliseconds(o["pools"].out[k].times.ValueAtQuantile(95)/10),
+				report.Milliseconds(o["off"].out[k].times.ValueAtQuantile(95)/10)))
 		}
 		rep.Rows = append(rep.Rows, []string{"", "value", "", fmt.Sprintf("%.0f", o["pools"].value),
 			fmt.Sprintf("%.0f", o["off"].value), fmt.Sprintf("%.0f", o["fixed"].value),
@@ -441,7 +442,7 @@
 	rep.Add("reqs", "%d", reqs)
 	rep.Add("cheapest_least", "%.3f", least)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("%.1f s for %d reqs", time.Since(started).Seconds(), reqs))
-	return rep.end(r.Out, w)
+	return rep.End(r.Out, w)
 }
 
 func (r *Pools) playAll(ctx context.Context, all []*scenario, size int) []map[string]*outcome {
@@ -473,7 +474,7 @@
 }
 
 // judge holds one scenario to the promises.
-func (r *Pools) judge(rep *Report, s *scenario, o map[string]*outcome, least *float64) {
+func (r *Pools) judge(rep *report.Report, s *scenario, o map[string]*outcome, least *float64) {
 	with, off := o["pools"], o["off"]
 	cheap := &with.out[s.cheapest]
 	good := float64(cheap.fairInTime) / float64(max(1, cheap.fair)) // of tenants within their share
@@ -496,10 +497,10 @@
 	}
 }
 
-func limitPlot(s *scenario, o *outcome) Plot {
-	p := Plot{Title: s.name + ": limits at one server (30: none)", X: "s", Y: "run slots"}
+func limitPlot(s *scenario, o *outcome) report.Plot {
+	p := report.Plot{Title: s.name + ": limits at one server (30: none)", X: "s", Y: "run slots"}
 	for k := range s.classes {
-		l := Line{Name: s.classes[k].name}
+		l := report.Line{Name: s.classes[k].name}
 		for i, row := range o.limits {
 			l.Points = append(l.Points, [2]float64{float64(i), row[k]})
 		}
@@ -508,10 +509,10 @@
 	return p
 }
 
-func servedPlot(s *scenario, o map[string]*outcome) Plot {
-	p := Plot{Title: s.name + ": " + s.classes[s.cheapest].name + " done in time", X: "s", Y: "share"}
+func servedPlot(s *scenario, o map[string]*outcome) report.Plot {
+	p := report.Plot{Title: s.name + ": " + s.classes[s.cheapest].name + " done in time", X: "s", Y: "share"}
 	for _, way := range poolWays {
-		l := Line{Name: way}
+		l := report.Line{Name: way}
 		t := &o[way].out[s.cheapest]
 		for i := 5; i+5 < len(t.came); i += 5 {
 			came, served := 0, 0
--- a/internal/harness/procs.go
+++ b/internal/harness/procs.go
@@ -20,6 +20,7 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+	"umberwinch/internal/report"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
@@ -395,7 +396,7 @@
 }
 
 // real kills leaders of real processes under load and measures how long no write is taken.
-func (r *Raft) real(ctx context.Context, w io.Writer, rep *Report) error {
+func (r *Raft) real(ctx context.Context, w io.Writer, rep *report.Report) error {
 	kills := r.Kills
 	if kills == 0 {
 		kills = longKills
@@ -409,7 +410,7 @@
 	} else if r.Quick {
 		sizes = []int{3}
 	}
-	plot := Plot{Title: "Writes after a leader's death", X: "ms without an answer", Y: "share of kills"}
+	plot := report.Plot{Title: "Writes after a leader's death", X: "ms without an answer", Y: "share of kills"}
 	for _, size := range sizes {
 		if err := r.killLeaders(ctx, w, rep, &plot, size, kills, "[disk]\nsnapshot_mb = 1\n"); err != nil {
 			return err
@@ -427,17 +428,17 @@
 
 // timeouts shows what the election timeout costs and saves: time without writes after a kill on a calm
 // machine, and elections that nothing called for while four times as many threads as cores want to run.
-func (r *Raft) timeouts(ctx context.Context, w io.Writer, rep *Report) error {
-	plot := Plot{Title: "Election timeout: failover against false elections on a busy machine", X: "timeout, ms",
+func (r *Raft) timeouts(ctx context.Context, w io.Writer, rep *report.Report) error {
+	plot := report.Plot{Title: "Election timeout: failover against false elections on a busy machine", X: "timeout, ms",
 		Y: "ms without writes; false elections x 100"}
-	calm, busy := Line{Name: "failover, median"}, Line{Name: "false elections in 10 s, x 100"}
+	calm, busy := report.Line{Name: "failover, median"}, report.Line{Name: "false elections in 10 s, x 100"}
 	for _, tick := range []int{5, 10, 25, 50, 100} {
-		sub := &Report{}
-		if err := r.killLeaders(ctx, w, sub, &Plot{}, 3, 8, fmt.Sprintf("[group]\ntick = %dms\n",
+		sub := &report.Report{}
+		if err := r.killLeaders(ctx, w, sub, &report.Plot{}, 3, 8, fmt.Sprintf("[group]\ntick = %dms\n",
 			tick)); err != nil {
 			return err
 		}
-		median, _ := strconv.Atoi(sub.find("kills3_median_ms"))
+		median, _ := strconv.Atoi(sub.Find("kills3_median_ms"))
 		wrong, err := r.falseElections(ctx, tick)
 		if err != nil {
 			return err
@@ -445,9 +446,9 @@
 		calm.Points = append(calm.Points, [2]float64{float64(tick * 10), float64(median)})
 		busy.Points = append(busy.Points, [2]float64{float64(tick * 10), float64(100 * wrong)})
 		rep.Rows = append(rep.Rows, []string{fmt.Sprintf("timeout %d ms", tick*10), "3", "8 kills, 10 s busy",
-			"-", fmt.Sprintf("%d elections", wrong), Milliseconds(int64(median)), "-", sub.find("kills3_worst_ms") + " ms"})
+			"-", fmt.Sprintf("%d elections", wrong), report.Milliseconds(int64(median)), "-", sub.Find("kills3_worst_ms") + " ms"})
 	}
-	plot.Lines = []Line{calm, busy}
+	plot.Lines = []report.Line{calm, busy}
 	rep.Plots = append(rep.Plots, plot)
 	return nil
 }
@@ -495,7 +496,7 @@
 	return after.Term - before.Term, nil
 }
 
-func (r *Raft) killLeaders(ctx context.Context, w io.Writer, rep *Report, plot *Plot, size, kills int,
+func (r *Raft) killLeaders(ctx context.Context, w io.Writer, rep *report.Report, plot *report.Plot, size, kills int,
 	extra string) error {
 	dir, err := os.MkdirTemp("", "lab-raft-")
 	if err != nil {
@@ -600,7 +601,7 @@
 	}
 	rep.Rows = append(rep.Rows, []string{"leader lost", strconv.Itoa(size),
 		strconv.FormatInt(gaps.TotalCount(), 10), strconv.Itoa(l.puts), strconv.FormatBool(rep.Broken != ""),
-		Milliseconds(gaps.ValueAtQuantile(50)), Milliseconds(gaps.ValueAtQuantile(99)), Milliseconds(gaps.Max())})
+		report.Milliseconds(gaps.ValueAtQuantile(50)), report.Milliseconds(gaps.ValueAtQuantile(99)), report.Milliseconds(gaps.Max())})
 	key := fmt.Sprintf("kills%d", size)
 	rep.Add(key, "%d", gaps.TotalCount())
 	rep.Add(key+"_median_ms", "%d", gaps.ValueAtQuantile(50))
@@ -612,7 +613,7 @@
 		}
 	}
 	rep.Add(key+"_versions", "%d", len(l.taken))
-	line := Line{Name: fmt.Sprintf("%d instances", size)}
+	line := report.Line{Name: fmt.Sprintf("%d instances", size)}
 	for _, q := range []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 100} {
 		line.Points = append(line.Points, [2]float64{float64(gaps.ValueAtQuantile(q)), q / 100})
 	}
@@ -635,7 +636,7 @@
 }
 
 // speed measures puts without faults, by one client and by many.
-func (r *Raft) speed(ctx context.Context, rep *Report) error {
+func (r *Raft) speed(ctx context.Context, rep *report.Report) error {
 	for _, clients := range []int{1, 64} {
 		dir, err := os.MkdirTemp("", "lab-raft-")
 		if err != nil {
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -6,6 +6,7 @@
 	"io"
 	"strconv"
 	"time"
+	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/consensus"
 )
@@ -34,8 +35,8 @@
 )
 
 // Run plays virtual schedules, then real processes, and reports.
-func (r *Raft) Run(ctx context.Context, w io.Writer) (*Report, error) {
-	rep := &Report{Name: "raft", Title: "The replicated group under faults",
+func (r *Raft) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
+	rep := &report.Report{Name: "raft", Title: "The replicated group under faults",
 		Head: []string{"PART", "GROUPS", "RUNS", "STEPS OR PUTS", "BROKEN", "MEDIAN", "99TH", "WORST"}}
 	rep.Add("seed", "%d", r.Seed)
 	if r.Mode != "real" {
@@ -46,7 +47,7 @@
 			return nil, err
 		}
 	}
-	return rep.end(r.Out, w)
+	return rep.End(r.Out, w)
 }
 
 // size gives the instances of a schedule's group.
@@ -58,7 +59,7 @@
 }
 
 // virtual plays schedules on all cores, each from a seed of its own.
-func (r *Raft) virtual(ctx context.Context, w io.Writer, rep *Report) {
+func (r *Raft) virtual(ctx context.Context, w io.Writer, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
 		n = longSchedules
@@ -69,7 +70,7 @@
 	started := time.Now()
 	var first *Result
 	steps, calls, terms, ran, bad := 0, 0, 0, 0, 0
-	eachSeed(ctx, r.Seed*1000003, n, func(s int64) Result {
+	report.EachSeed(ctx, r.Seed*1000003, n, func(s int64) Result {
 		size := r.size(s)
 		return Play(s, size, Schedule(s, size, scheduleMS), r.Without, nil)
 	}, func(_ int64, res Result) bool {
--- a/internal/harness/vlost_test.go
+++ b/internal/harness/vlost_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"strconv"
 	"testing"
+	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/policy"
 )
@@ -17,7 +18,7 @@
 		n, _ = strconv.Atoi(s)
 	}
 	lost, found, restored, bad := 0, 0, 0, 0
-	eachSeed(context.Background(), 1, n, func(seed int64) *VFleet {
+	report.EachSeed(context.Background(), 1, n, func(seed int64) *VFleet {
 		w := NewVFleet(DrawLost(seed, 0))
 		w.Play()
 		return w
--- a/internal/harness/vzones.go
+++ b/internal/harness/vzones.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/zones"
@@ -92,7 +93,7 @@
 	Worst    float64 // ms for which its service was asked for more than it bears, in that second failure
 	Failing  float64 // value done while it fails, from five seconds on
 	Others   float64 // share of value done by the zones that are in while one is left, at worst over a second
-	Plot     []Line
+	Plot     []report.Line
 	ceil     map[string][2]float64 // now, and before until settled
 	struck   bool                  // the second failure has come
 	Began    int                   // times that the fleet began with a share
--- a/internal/harness/vzones_plan.go
+++ b/internal/harness/vzones_plan.go
@@ -4,6 +4,7 @@
 
 import (
 	"math/rand"
+	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/zones"
 )
@@ -79,6 +80,6 @@
 	for z := 0; z < p.Zones; z++ {
 		v.below = append(v.below, &vbelow{cap: 1000, warm: 1, speed: 1, cold: p.Cold})
 	}
-	v.Plot = make([]Line, 3)
+	v.Plot = make([]report.Line, 3)
 	return v
 }
--- a/internal/harness/vzones_test.go
+++ b/internal/harness/vzones_test.go
@@ -6,6 +6,7 @@
 	"os"
 	"strconv"
 	"testing"
+	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/zones"
 )
@@ -23,7 +24,7 @@
 		n, _ = strconv.Atoi(s)
 	}
 	left, steps, bad := 0, 0, 0
-	eachSeed(context.Background(), 1, n, func(seed int64) *VZones { return playZones(DrawZones(seed)) }, func(seed int64, v *VZones) bool {
+	report.EachSeed(context.Background(), 1, n, func(seed int64) *VZones { return playZones(DrawZones(seed)) }, func(seed int64, v *VZones) bool {
 		if p := v.ZonePlan; v.Broken != "" {
 			t.Errorf("seed %d (%v, load %.2f, cold %.1f, %d nodes in %d zones, again %v, spare %d): %s", seed, p.Kinds, p.Load,
 				p.Cold, p.Nodes, p.Zones, p.Again, p.Spare, v.Broken)
--- a/internal/harness/zonecost.go
+++ b/internal/harness/zonecost.go
@@ -7,6 +7,7 @@
 	"strconv"
 	"sync"
 	"time"
+	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/zones"
 )
@@ -177,7 +178,7 @@
 )
 
 // costs measures all failures by all ways.
-func (r *Zones) costs(ctx context.Context, rep *Report, p *costPlan) error {
+func (r *Zones) costs(ctx context.Context, rep *report.Report, p *costPlan) error {
 	type run struct {
 		seed int64
 		way  *costWay
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"sync"
 	"time"
+	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/zones"
@@ -33,8 +34,8 @@
 }
 
 // Run plays schedules and large fleets in virtual time, then processes, and reports.
-func (r *Zones) Run(ctx context.Context, w io.Writer) (*Report, error) {
-	rep := &Report{Name: "zones", Title: "Leaving a zone that fails, and coming back",
+func (r *Zones) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
+	rep := &report.Report{Name: "zones", Title: "Leaving a zone that fails, and coming back",
 		Head: []string{"PART", "NODES", "LOAD", "WAY", "VALUE DONE", "LEFT AFTER", "IN AGAIN AFTER", "STEPS", "BELOW, PEAK"}}
 	rep.Add("seed", "%d", r.Seed)
 	if r.Mode != "real" {
@@ -49,14 +50,14 @@
 			return nil, err
 		}
 	}
-	return rep.end(r.Out, w)
+	return rep.End(r.Out, w)
 }
 
 // OnlyCosts stands for the measurement beside nodes alone, without the cases.
 const OnlyCosts = "costs"
 
 // virtual plays schedules on all cores, each from a seed of its own.
-func (r *Zones) virtual(ctx context.Context, rep *Report) {
+func (r *Zones) virtual(ctx context.Context, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
 		if n = 300; r.Quick {
@@ -64,7 +65,7 @@
 		}
 	}
 	left, steps, back, bad, first, why := 0, 0, 0, 0, int64(-1), ""
-	eachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *VZones {
+	report.EachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *VZones {
 		p := DrawZones(s)
 		p.Without = r.Without
 		v := NewVZones(p)
@@ -90,7 +91,7 @@
 }
 
 // ways plays each kind of failure at sizes and loads, beside the baselines and the best that could be done.
-func (r *Zones) ways(rep *Report) {
+func (r *Zones) ways(rep *report.Report) {
 	sizes, loads := []int{300, 5000}, []float64{0.5, 0.75}
 	if r.Quick {
 		sizes, loads = []int{300}, []float64{0.6}
@@ -107,7 +108,7 @@
 	}
 }
 
-func (r *Zones) way(rep *Report, n int, load float64, kind string) {
+func (r *Zones) way(rep *report.Report, n int, load float64, kind string) {
 	base := ZonePlan{Seed: r.Seed, Nodes: n, Kinds: []string{kind}, Fails: 15_000, Heals: 45_000, Ends: 220_000, Load: load}
 	ways := []struct {
 		name string
@@ -148,7 +149,7 @@
 				float64(v.f.Bytes)/1024/seconds, took.Round(time.Millisecond)))
 			if n == 300 {
 				v.Plot[0].Name, v.Plot[1].Name, v.Plot[2].Name = "value done", "below: asked over what it bears", "share of the zone"
-				rep.Plots = append(rep.Plots, Plot{Title: fmt.Sprintf("%d nodes, load %.2f: %s", n, load, kind),
+				rep.Plots = append(rep.Plots, report.Plot{Title: fmt.Sprintf("%d nodes, load %.2f: %s", n, load, kind),
 					X: "seconds; it fails at 15, ends at 45", Y: "share", Lines: v.Plot})
 			}
 		}
@@ -158,7 +159,7 @@
 }
 
 // calm plays hours of noise, in which no zone may be left.
-func (r *Zones) calm(rep *Report) {
+func (r *Zones) calm(rep *report.Report) {
 	hours := 24.0
 	if r.Quick {
 		hours = 1
@@ -191,7 +192,7 @@
 const zoneRate = 180
 
 // real plays the cases on processes.
-func (r *Zones) real(ctx context.Context, w io.Writer, rep *Report) error {
+func (r *Zones) real(ctx context.Context, w io.Writer, rep *report.Report) error {
 	if r.Only == OnlyCosts {
 		return r.costs(ctx, rep, r.plan())
 	}
--- a/internal/harness/zones_test.go
+++ b/internal/harness/zones_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"strings"
 	"testing"
+	"umberwinch/internal/report"
 )
 
 // TestZonesOnProcesses plays every hard case about zones on processes, in fleets side by side.
@@ -37,7 +38,7 @@
 	for guard, only := range map[string]string{"step-back": "its service below fails in the middle of the return", "one-epoch": "its kernels dead, its nodes well"} {
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
-			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*Report, error) {
+			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
 				return (&Zones{Seed: seed, Quick: true, Mode: "real", Words: guard, Only: only, Program: built(t)}).Run(context.Background(), w)
 			})
 		})
--- a/internal/harness/report.go
+++ b/internal/report/report.go
@@ -1,4 +1,4 @@
-package harness
+package report
 
 import (
 	"bytes"
@@ -59,7 +59,7 @@
 	r.Figures = append(r.Figures, Figure{key, fmt.Sprintf(format, args...)})
 }
 
-func (r *Report) find(key string) string {
+func (r *Report) Find(key string) string {
 	for _, f := range r.Figures {
 		if f.Key == key {
 			return f.Value
@@ -152,8 +152,8 @@
 	return os.WriteFile(filepath.Join(dir, "result.json"), append(raw, '\n'), 0o644)
 }
 
-// eachSeed plays n seeds from the first on, on all cores, and hands over each run, one at a time, until one is enough or ctx ends.
-func eachSeed[R any](ctx context.Context, first int64, n int, play func(seed int64) R, take func(seed int64, r R) (enough bool)) {
+// EachSeed plays n seeds from the first on, on all cores, and hands over each run, one at a time, until one is enough or ctx ends.
+func EachSeed[R any](ctx context.Context, first int64, n int, play func(seed int64) R, take func(seed int64, r R) (enough bool)) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	next, over := 0, false
@@ -175,7 +175,7 @@
 }
 
 // end prints the report, and saves it where a folder is named.
-func (r *Report) end(dir string, w io.Writer) (*Report, error) {
+func (r *Report) End(dir string, w io.Writer) (*Report, error) {
 	if dir != "" {
 		if err := r.Save(dir); err != nil {
 			return nil, err
