--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -6,12 +6,12 @@
 	"os"
 	"slices"
 	"strings"
-	"umberwinch/internal/report"
 
 	"github.com/spf13/cobra"
 
 	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/harness"
+	"umberwinch/internal/report"
 )
 
 // newFaultTest is the harness's command: each below it runs the real code under faults and load, and ends with a verdict.
--- a/internal/harness/comeback.go
+++ b/internal/harness/comeback.go
@@ -15,12 +15,12 @@
 	"sync"
 	"syscall"
 	"time"
-	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/coordinator"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/zones"
+	"umberwinch/internal/report"
 )
 
 // Comeback is a run of `umberctl lab comeback`: a fleet that restarts whole and a group that lost its state, on the rig of
--- a/internal/harness/comeback_test.go
+++ b/internal/harness/comeback_test.go
@@ -8,10 +8,9 @@
 	"math"
 	"strings"
 	"testing"
-	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/policy"
-	"umberwinch/internal/control/zones"
+	"umberwinch/internal/report"
 )
 
 // TestComebackOnProcesses plays the hard cases of coming back on processes, in two fleets side by side.
@@ -50,23 +49,6 @@
 	}
 }
 
-// TestSpread: callers that wait until they are told to come back are spread over the recovery; told one moment each, they come
-// together.
-func TestSpread(t *testing.T) {
-	p := ZonePlan{Seed: 1, Nodes: 15, Kinds: []string{ZoneRestart, ZoneRestart, ZoneRestart}, Fails: 15_000, Heals: 17_000, Ends: 220_000,
-		Load: 0.6, Patient: true}
-	v := playZones(p)
-	if v.Broken != "" || v.Began == 0 || v.Full() < 0 {
-		t.Errorf("%s; began small %d times, full after %.1f s", v.Broken, v.Began, v.Full()/1000)
-	}
-	t.Logf("at worst %.1f times the first tries", v.Rush)
-	p.Without = zones.RetryAfterSpread
-	if v = playZones(p); v.Broken == "" {
-		t.Error("without spread no promise broke")
-	}
-	t.Log(v.Broken)
-}
-
 // TestCrowd: a crowd of nodes is taken in by the group in the order in which they asked, in entries of a bounded size, and nobody
 // waits for long; without that order the first of them do.
 func TestCrowd(t *testing.T) {
--- a/internal/harness/fleet_test.go
+++ b/internal/harness/fleet_test.go
@@ -17,9 +17,9 @@
 	"syscall"
 	"testing"
 	"time"
-	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/report"
 )
 
 // programs builds umberctl and the node's program once, side by side.
--- a/internal/harness/kept.go
+++ b/internal/harness/kept.go
@@ -14,9 +14,10 @@
 	"strings"
 	"sync"
 	"time"
-	"umberwinch/internal/report"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"umberwinch/internal/report"
 )
 
 // kept.go kills a node that keeps results, over and over, at named points and at random ones, and starts it again on its
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -8,9 +8,9 @@
 	"sort"
 	"strconv"
 	"time"
-	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/report"
 )
 
 // Policy is a run of `umberctl lab policy`.
--- a/internal/harness/policy_crowd.go
+++ b/internal/harness/policy_crowd.go
@@ -16,11 +16,11 @@
 	"sync"
 	"sync/atomic"
 	"time"
-	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/node/agent"
+	"umberwinch/internal/report"
 )
 
 // crowdNodes is the fleet that a group of processes is asked by, played by as many members in this one.
--- a/internal/harness/pools.go
+++ b/internal/harness/pools.go
@@ -13,12 +13,12 @@
 	"strings"
 	"sync"
 	"time"
-	"umberwinch/internal/report"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"umberwinch/admission"
 	"umberwinch/internal/node/pools"
+	"umberwinch/internal/report"
 )
 
 //go:embed scenarios/*.txt
--- a/internal/harness/procs.go
+++ b/internal/harness/procs.go
@@ -20,11 +20,11 @@
 	"sync/atomic"
 	"syscall"
 	"time"
-	"umberwinch/internal/report"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"umberwinch/internal/control/consensus"
+	"umberwinch/internal/report"
 )
 
 // realWithin is the promise for processes: after a leader's death writes are taken again within it.
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -6,9 +6,9 @@
 	"io"
 	"strconv"
 	"time"
-	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/consensus"
+	"umberwinch/internal/report"
 )
 
 // Raft is a run of `umberctl lab raft`.
--- a/internal/harness/vlost_test.go
+++ b/internal/harness/vlost_test.go
@@ -5,9 +5,9 @@
 	"os"
 	"strconv"
 	"testing"
-	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/report"
 )
 
 // TestLostSchedules has groups lose state, in virtual time, and holds what nodes do to all promises: nobody acts on what an
--- a/internal/harness/vzones.go
+++ b/internal/harness/vzones.go
@@ -2,12 +2,11 @@
 
 import (
 	"fmt"
-	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/node/zonegate"
-	"umberwinch/internal/retryafter"
+	"umberwinch/internal/report"
 )
 
 // vzones.go is traffic on a fleet in virtual time: callers that try elsewhere, nodes by their real gates, and for each
--- a/internal/harness/vzones_plan.go
+++ b/internal/harness/vzones_plan.go
@@ -4,9 +4,9 @@
 
 import (
 	"math/rand"
-	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/zones"
+	"umberwinch/internal/report"
 )
 
 // ZonePlan is what one run is drawn from.
--- a/internal/harness/vzones_test.go
+++ b/internal/harness/vzones_test.go
@@ -6,9 +6,9 @@
 	"os"
 	"strconv"
 	"testing"
-	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/zones"
+	"umberwinch/internal/report"
 )
 
 func playZones(p ZonePlan) *VZones {
@@ -79,31 +79,6 @@
 	}
 }
 
-// TestWrongZoneHistories holds the checker to histories that are wrong on purpose.
-func TestWrongZoneHistories(t *testing.T) {
-	good := []ZoneEvent{{At: 0, Kind: "zone", Zone: "a"}, {At: 0, Kind: "zone", Zone: "b"},
-		{At: 10, Kind: "decided", Zone: "a", Epoch: 1, Share: 0, Op: "leave"}, {At: 20, Kind: "acts", Node: "n", Epoch: 1},
-		{At: 30, Kind: "settled", Epoch: 1}, {At: 40, Kind: "answers", Node: "n"},
-		{At: 50, Kind: "decided", Zone: "a", Epoch: 2, Share: 16, Op: "step"}, {At: 60, Kind: "settled", Epoch: 2},
-		{At: 62, Kind: "answers", Node: "n"}, {At: 65, Kind: "acts", Node: "n", Epoch: 2}, {At: 90, Kind: "answers", Node: "n"}}
-	may := map[string]bool{"a": true}
-	if broken := CheckZones(good, may, 5); broken != "" {
-		t.Fatalf("the right history: %s", broken)
-	}
-	for what, more := range map[string][]ZoneEvent{
-		"left without a reason":       {{At: 70, Kind: "decided", Zone: "b", Epoch: 3, Op: "leave"}},
-		"no zone is in":               {{At: 70, Kind: "decided", Zone: "b", Epoch: 3, Op: "step", Share: 0}},
-		"an epoch that goes back":     {{At: 70, Kind: "decided", Zone: "a", Epoch: 1, Share: 16, Op: "step"}},
-		"raised before it settled":    {{At: 70, Kind: "decided", Zone: "a", Epoch: 3, Share: 32, Op: "step"}, {At: 71, Kind: "decided", Zone: "a", Epoch: 4, Share: 64, Op: "step"}},
-		"acts on what was settled":    {{At: 61, Kind: "acts", Node: "m", Epoch: 1}, {At: 80, Kind: "answers", Node: "m"}},
-		"acts long after, by another": {{At: 15, Kind: "acts", Node: "k", Epoch: 0}, {At: 45, Kind: "answers", Node: "k"}},
-	} {
-		if broken := CheckZones(append(append([]ZoneEvent{}, good...), more...), may, 5); broken == "" {
-			t.Errorf("%s: not found", what)
-		}
-	}
-}
-
 // TestRestart: a fleet whose nodes all restart at once asks nothing of its cold services that they don't bear, and is back;
 // without a small start it asks for several times that. A lone restart has no part in it.
 func TestRestart(t *testing.T) {
@@ -135,3 +110,20 @@
 		}
 	}
 }
+
+// TestSpread: callers that wait until they are told to come back are spread over the recovery; told one moment each, they come
+// together.
+func TestSpread(t *testing.T) {
+	p := ZonePlan{Seed: 1, Nodes: 15, Kinds: []string{ZoneRestart, ZoneRestart, ZoneRestart}, Fails: 15_000, Heals: 17_000, Ends: 220_000,
+		Load: 0.6, Patient: true}
+	v := playZones(p)
+	if v.Broken != "" || v.Began == 0 || v.Full() < 0 {
+		t.Errorf("%s; began small %d times, full after %.1f s", v.Broken, v.Began, v.Full()/1000)
+	}
+	t.Logf("at worst %.1f times the first tries", v.Rush)
+	p.Without = zones.RetryAfterSpread
+	if v = playZones(p); v.Broken == "" {
+		t.Error("without spread no promise broke")
+	}
+	t.Log(v.Broken)
+}
--- a/internal/harness/zonecost.go
+++ b/internal/harness/zonecost.go
@@ -7,9 +7,9 @@
 	"strconv"
 	"sync"
 	"time"
-	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/zones"
+	"umberwinch/internal/report"
 )
 
 // What failures cost callers on processes, by several ways: the same failures, one after the other, in fleets with the same
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -9,10 +9,10 @@
 	"strconv"
 	"sync"
 	"time"
-	"umberwinch/internal/report"
 
 	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/zones"
+	"umberwinch/internal/report"
 )
 
 // Zones is a run of `umberctl lab zones`.
--- a/internal/harness/zones_test.go
+++ b/internal/harness/zones_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"strings"
 	"testing"
+
 	"umberwinch/internal/report"
 )
 
@@ -44,3 +45,28 @@
 		})
 	}
 }
+
+// TestWrongZoneHistories holds the checker to histories that are wrong on purpose.
+func TestWrongZoneHistories(t *testing.T) {
+	good := []ZoneEvent{{At: 0, Kind: "zone", Zone: "a"}, {At: 0, Kind: "zone", Zone: "b"},
+		{At: 10, Kind: "decided", Zone: "a", Epoch: 1, Share: 0, Op: "leave"}, {At: 20, Kind: "acts", Node: "n", Epoch: 1},
+		{At: 30, Kind: "settled", Epoch: 1}, {At: 40, Kind: "answers", Node: "n"},
+		{At: 50, Kind: "decided", Zone: "a", Epoch: 2, Share: 16, Op: "step"}, {At: 60, Kind: "settled", Epoch: 2},
+		{At: 62, Kind: "answers", Node: "n"}, {At: 65, Kind: "acts", Node: "n", Epoch: 2}, {At: 90, Kind: "answers", Node: "n"}}
+	may := map[string]bool{"a": true}
+	if broken := CheckZones(good, may, 5); broken != "" {
+		t.Fatalf("the right history: %s", broken)
+	}
+	for what, more := range map[string][]ZoneEvent{
+		"left without a reason":       {{At: 70, Kind: "decided", Zone: "b", Epoch: 3, Op: "leave"}},
+		"no zone is in":               {{At: 70, Kind: "decided", Zone: "b", Epoch: 3, Op: "step", Share: 0}},
+		"an epoch that goes back":     {{At: 70, Kind: "decided", Zone: "a", Epoch: 1, Share: 16, Op: "step"}},
+		"raised before it settled":    {{At: 70, Kind: "decided", Zone: "a", Epoch: 3, Share: 32, Op: "step"}, {At: 71, Kind: "decided", Zone: "a", Epoch: 4, Share: 64, Op: "step"}},
+		"acts on what was settled":    {{At: 61, Kind: "acts", Node: "m", Epoch: 1}, {At: 80, Kind: "answers", Node: "m"}},
+		"acts long after, by another": {{At: 15, Kind: "acts", Node: "k", Epoch: 0}, {At: 45, Kind: "answers", Node: "k"}},
+	} {
+		if broken := CheckZones(append(append([]ZoneEvent{}, good...), more...), may, 5); broken == "" {
+			t.Errorf("%s: not found", what)
+		}
+	}
+}
