--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -12,6 +12,7 @@
 	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/harness"
 	"umberwinch/internal/report"
+	"umberwinch/internal/simulation"
 )
 
 // newFaultTest is the harness's command: each below it runs the real code under faults and load, and ends with a verdict.
@@ -149,15 +150,15 @@
 }
 
 func newLabPools() *cobra.Command {
-	r := &harness.Pools{}
+	r := &simulation.Pools{}
 	c := &cobra.Command{Use: "pools", Short: "Pools of run slots: scenarios of overload in virtual time, four ways side by side",
 		Args: exact(0), Long: `Plays each scenario on emulated servers in virtual time, driving the module and its pools
 directly: with pools, without, with fixed ones, and with a plain pool before a short queue, from the same seed. Shows the
 share of each class's first tries done within the response target. The last line says "pools: kept" or "pools: broken:
 WHAT"; a broken promise is exit status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if r.Without != "" && !slices.Contains(harness.PoolGuards, r.Without) {
-				return usage(fmt.Errorf("--without: found %q, expected one of %v", r.Without, harness.PoolGuards))
+			if r.Without != "" && !slices.Contains(simulation.PoolGuards, r.Without) {
+				return usage(fmt.Errorf("--without: found %q, expected one of %v", r.Without, simulation.PoolGuards))
 			}
 			return verdict(r.Run(cmd.Context(), cmd.OutOrStdout()))
 		}}
@@ -166,7 +167,7 @@
 	f.BoolVar(&r.Quick, "quick", false, "six servers a scenario")
 	f.IntVar(&r.Size, "size", 0, "servers; 0 for 6 with --quick, 24 without")
 	f.StringVar(&r.Out, "out", "", "folder for report.html and result.json")
-	f.StringVar(&r.Without, "without", "", "a guard taken out: "+strings.Join(harness.PoolGuards, ", "))
+	f.StringVar(&r.Without, "without", "", "a guard taken out: "+strings.Join(simulation.PoolGuards, ", "))
 	f.StringVar(&r.Only, "only", "", "one scenario")
 	return c
 }
--- a/internal/harness/comeback.go
+++ b/internal/harness/comeback.go
@@ -21,6 +21,7 @@
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/report"
+	"umberwinch/internal/simulation"
 )
 
 // Comeback is a run of `umberctl lab comeback`: a fleet that restarts whole and a group that lost its state, on the rig of
@@ -83,22 +84,22 @@
 	}
 	ways := []struct {
 		name string
-		set  func(p *ZonePlan)
-	}{{"the fleet", func(*ZonePlan) {}}, {"the fleet, patient callers", func(p *ZonePlan) { p.Patient = true }}, {"no ramp", func(p *ZonePlan) { p.Without |= zones.ColdStart }},
-		{"by the clock", func(p *ZonePlan) { p.Without |= zones.ColdStart; p.Ramp = 60_000 }},
-		{"nodes alone", func(p *ZonePlan) { p.Off = true }}}
+		set  func(p *simulation.ZonePlan)
+	}{{"the fleet", func(*simulation.ZonePlan) {}}, {"the fleet, patient callers", func(p *simulation.ZonePlan) { p.Patient = true }}, {"no ramp", func(p *simulation.ZonePlan) { p.Without |= zones.ColdStart }},
+		{"by the clock", func(p *simulation.ZonePlan) { p.Without |= zones.ColdStart; p.Ramp = 60_000 }},
+		{"nodes alone", func(p *simulation.ZonePlan) { p.Off = true }}}
 	for _, n := range sizes {
 		for _, load := range loads {
-			runs := make([]*VZones, len(ways))
+			runs := make([]*simulation.Zones, len(ways))
 			var wg sync.WaitGroup
 			for i, way := range ways {
-				p := ZonePlan{Seed: r.Seed, Nodes: n, Kinds: []string{ZoneRestart, ZoneRestart, ZoneRestart}, Fails: 15_000,
+				p := simulation.ZonePlan{Seed: r.Seed, Nodes: n, Kinds: []string{simulation.ZoneRestart, simulation.ZoneRestart, simulation.ZoneRestart}, Fails: 15_000,
 					Heals: 17_000, Ends: 300_000, Load: load, Without: r.Without}
 				if way.set(&p); n > 1000 {
 					p.Ends = 200_000
 				}
 				wg.Add(1)
-				go func() { defer wg.Done(); runs[i] = NewVZones(p); runs[i].Play() }()
+				go func() { defer wg.Done(); runs[i] = simulation.NewZones(p); runs[i].Play() }()
 			}
 			wg.Wait()
 			for i, way := range ways {
@@ -109,8 +110,8 @@
 				}
 				most := min(1, 1/load)
 				rep.Rows = append(rep.Rows, []string{"virtual", strconv.Itoa(n), fmt.Sprintf("%.2f", load), way.name,
-					secs(v.back(0.5 * most)), secs(v.back(0.95 * most)), secs(v.back(0.98 * most)),
-					fmt.Sprintf("%.0f s", bestWhole(min(load, 1), 8, flowFill)), fmt.Sprintf("%.2f", v.Start), fmt.Sprintf("%.2f", v.Tries)})
+					secs(v.RecoveredAt(0.5 * most)), secs(v.RecoveredAt(0.95 * most)), secs(v.RecoveredAt(0.98 * most)),
+					fmt.Sprintf("%.0f s", bestWhole(min(load, 1), 8, simulation.WarmUpSeconds)), fmt.Sprintf("%.2f", v.Start), fmt.Sprintf("%.2f", v.Tries)})
 				if i == 0 && n <= 300 {
 					v.Plot[0].Name, v.Plot[1].Name = "value done", "below: asked over what it bears"
 					rep.Plots = append(rep.Plots, report.Plot{Title: fmt.Sprintf("%d nodes restart, load %.2f", n, load),
--- a/internal/harness/comeback_test.go
+++ b/internal/harness/comeback_test.go
@@ -11,6 +11,7 @@
 
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/report"
+	"umberwinch/internal/simulation"
 )
 
 // TestComebackOnProcesses plays the hard cases of coming back on processes, in two fleets side by side.
@@ -69,10 +70,10 @@
 		const cold, dt = 8.0, 0.001
 		warm, at := 0.0, 0.0
 		for 1/(1+(cold-1)*(1-warm)) < load-1e-9 && at < 100 {
-			warm = min(1, warm+dt/flowFill/(1+(cold-1)*(1-warm)))
+			warm = min(1, warm+dt/simulation.WarmUpSeconds/(1+(cold-1)*(1-warm)))
 			at += dt
 		}
-		if got := bestWhole(load, cold, flowFill); math.Abs(got-at) > 0.2 {
+		if got := bestWhole(load, cold, simulation.WarmUpSeconds); math.Abs(got-at) > 0.2 {
 			t.Errorf("load %.1f: %.2f s, counted %.2f", load, got, at)
 		}
 	}
--- a/internal/harness/demo.go
+++ b/internal/harness/demo.go
@@ -20,6 +20,7 @@
 	"umberwinch/internal/config"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/node/server"
+	"umberwinch/internal/simulation"
 )
 
 // Demo is a node, an emulated kernel and a load on loopback, for a look and for measurements on sockets.
@@ -57,7 +58,7 @@
 
 type demo struct {
 	*Demo
-	s      *scenario
+	s      *simulation.Scenario
 	kernel *Kernel
 	store  *Store // nil: none
 	client *http.Client
@@ -81,16 +82,16 @@
 
 // Run starts all of it, shows what happens, and ends it clean.
 func (d *Demo) Run(ctx context.Context, w io.Writer) ([]DemoResult, error) {
-	s, err := readScenario("demo", demoClasses)
+	s, err := simulation.ReadScenario("demo", demoClasses)
 	if err != nil {
 		return nil, err
 	}
 	o := &demo{Demo: d, s: s, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256,
 		IdleConnTimeout: 5 * time.Second}}}
-	for range s.classes {
+	for range s.Classes {
 		o.all, o.lately = append(o.all, newSeen()), append(o.lately, newSeen())
 	}
-	if o.kernel, err = NewKernel(loopback(7400), d.Seed, float64(s.cores), s.classes, kernelStep); err != nil {
+	if o.kernel, err = NewKernel(loopback(7400), d.Seed, float64(s.Cores), s.Classes, kernelStep); err != nil {
 		return nil, err
 	}
 	defer o.kernel.Close()
@@ -146,8 +147,8 @@
 	}
 	defer os.RemoveAll(dir)
 	o.addr = loopback(8080)
-	raw, err := nodeConfig("demo", o.addr, o.kernel.ln.Addr().String(), below, control, o.s.cores, o.s.tenants, o.s.classes,
-		o.s.classes[o.s.dearest].name)
+	raw, err := nodeConfig("demo", o.addr, o.kernel.ln.Addr().String(), below, control, o.s.Cores, o.s.Tenants, o.s.Classes,
+		o.s.Classes[o.s.Dearest].Name)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -161,7 +162,7 @@
 	}
 	own := &config.Node{Reserve: true}
 	if o.Pools {
-		own.Pools = []config.Pool{{Handler: o.s.classes[o.s.cheapest].name, Cap: 1}}
+		own.Pools = []config.Pool{{Handler: o.s.Classes[o.s.Cheapest].Name, Cap: 1}}
 	}
 	if err = node.Own(own); err != nil {
 		return nil, nil, err
@@ -198,7 +199,7 @@
 func (o *demo) play(ctx context.Context, w io.Writer, signals chan<- os.Signal) {
 	load, stop := context.WithCancel(ctx)
 	defer stop()
-	for k := range o.s.classes {
+	for k := range o.s.Classes {
 		o.wg.Add(1)
 		go func() { defer o.wg.Done(); o.class(load, k) }()
 	}
@@ -252,12 +253,12 @@
 		o.surge = !o.surge
 	case 'h':
 		o.heavy = !o.heavy
-		o.kernel.Set(func(classes map[string]*vclass, _ *float64) {
-			classes["save"].heavy, classes["save"].times = map[bool]float64{true: 0.05}[o.heavy], 10
+		o.kernel.Set(func(classes map[string]*simulation.Class, _ *float64) {
+			classes["save"].HeavyShare, classes["save"].HeavyFactor = map[bool]float64{true: 0.05}[o.heavy], 10
 		})
 	case 'c':
-		o.kernel.Set(func(_ map[string]*vclass, cores *float64) {
-			*cores = map[bool]float64{true: 2, false: float64(o.s.cores)}[*cores > 2]
+		o.kernel.Set(func(_ map[string]*simulation.Class, cores *float64) {
+			*cores = map[bool]float64{true: 2, false: float64(o.s.Cores)}[*cores > 2]
 		})
 	case 'd':
 		signals <- syscall.SIGTERM
@@ -275,7 +276,7 @@
 	defer open.Wait()
 	for {
 		o.mu.Lock()
-		rate := o.s.rates(o.Load)[k]
+		rate := o.s.Rates(o.Load)[k]
 		if o.surge && k == 1 {
 			rate *= 5
 		}
@@ -291,21 +292,21 @@
 		if ctx.Err() != nil {
 			return
 		}
-		due, tenant := next, r.Intn(o.s.tenants)
+		due, tenant := next, r.Intn(o.s.Tenants)
 		open.Add(1)
 		go func() { defer open.Done(); o.ask(k, tenant, due) }()
 	}
 }
 
 func (o *demo) ask(k, tenant int, due time.Time) {
-	c := &o.s.classes[k]
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(c.handler.Timeout)*100*time.Microsecond)
+	c := &o.s.Classes[k]
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(c.Handler.Timeout)*100*time.Microsecond)
 	defer cancel()
 	key := ""
-	if k == o.s.dearest {
+	if k == o.s.Dearest {
 		key = newKey()
 	}
-	code, _ := tryReq(ctx, o.client, o.addr, c.name, tenant, tenant, key, false)
+	code, _ := tryReq(ctx, o.client, o.addr, c.Name, tenant, tenant, key, false)
 	took := time.Since(due)
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -315,7 +316,7 @@
 		case code == http.StatusOK:
 			s.done++
 			s.times.RecordValue(took.Microseconds() / 100)
-			if took <= time.Duration(c.handler.LatencyObjective)*100*time.Microsecond {
+			if took <= time.Duration(c.Handler.LatencyObjective)*100*time.Microsecond {
 				s.inTime++
 			}
 		case code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests:
@@ -335,13 +336,13 @@
 		b.WriteString("\x1b[H\x1b[2J")
 	}
 	fmt.Fprintf(&b, "%4d s  load %.0f%%  cores used %.1f of %d  runs %d  pools %v%s%s\n", second, 100*o.Load, cores,
-		o.s.cores, runs, o.Pools, map[bool]string{true: "  surge of fill"}[o.surge],
+		o.s.Cores, runs, o.Pools, map[bool]string{true: "  surge of fill"}[o.surge],
 		map[bool]string{true: "  heavy saves"}[o.heavy])
 	t := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "CLASS\tASKED\tDONE\tSHED\tERRORED\tMEDIAN\t95TH\tIN TIME SO FAR")
 	for k, s := range o.lately {
 		a := o.all[k]
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.0f ms\t%.0f ms\t%.3f\n", o.s.classes[k].name, s.asked, s.done, s.shed,
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.0f ms\t%.0f ms\t%.3f\n", o.s.Classes[k].Name, s.asked, s.done, s.shed,
 			s.errored, float64(s.times.ValueAtQuantile(50))/10, float64(s.times.ValueAtQuantile(95))/10,
 			float64(a.inTime)/float64(max(1, a.asked)))
 		o.lately[k] = newSeen()
@@ -363,7 +364,7 @@
 	var out []DemoResult
 	for k, s := range o.all {
 		n := float64(max(1, s.asked))
-		out = append(out, DemoResult{o.s.classes[k].name, s.asked, float64(s.inTime) / n, float64(s.shed) / n,
+		out = append(out, DemoResult{o.s.Classes[k].Name, s.asked, float64(s.inTime) / n, float64(s.shed) / n,
 			float64(s.times.ValueAtQuantile(95)) / 10})
 	}
 	return out
--- a/internal/harness/demo_test.go
+++ b/internal/harness/demo_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"umberwinch/internal/simulation"
 )
 
 // TestDemo runs the node, the emulated kernel and the load on sockets for a few seconds past capacity.
@@ -34,11 +36,11 @@
 // TestEmulatedKernel speaks the platform's protocol: a run is told over, kept for a new link, and what it can't read
 // closes the link.
 func TestEmulatedKernel(t *testing.T) {
-	s, err := readScenario("demo", demoClasses)
+	s, err := simulation.ReadScenario("demo", demoClasses)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := NewKernel(loopback(7400), 1, 2, s.classes, kernelStep)
+	k, err := NewKernel(loopback(7400), 1, 2, s.Classes, kernelStep)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"umberwinch/internal/control/consensus"
+	"umberwinch/internal/simulation"
 )
 
 // fleet.go is the one rig for fleets: a group and nodes as processes of the built programs, emulated kernels, a list of
@@ -47,7 +48,7 @@
 	nodes  []*rigNode
 	ready  *readiness
 	client *http.Client
-	events []FleetEvent // the rig's own: kills and stops
+	events []simulation.FleetEvent // the rig's own: kills and stops
 	mu     sync.Mutex
 	loads  sync.WaitGroup
 	ending context.CancelFunc
@@ -198,11 +199,11 @@
 
 func (r *Rig) add(i int) (*rigNode, error) {
 	n := &rigNode{r: r, name: fmt.Sprintf("n%d", i+1), zone: fmt.Sprintf("z%d", 1+i%3), listen: loopback(8080)}
-	s, err := readScenario("fleet", rigClasses)
+	s, err := simulation.ReadScenario("fleet", rigClasses)
 	if err != nil {
 		return nil, err
 	}
-	if n.kernel, err = NewKernel(loopback(7400), r.Seed+int64(i), float64(s.cores), s.classes,
+	if n.kernel, err = NewKernel(loopback(7400), r.Seed+int64(i), float64(s.Cores), s.Classes,
 		5*time.Millisecond); err != nil {
 		return nil, err
 	}
@@ -236,11 +237,11 @@
 		}
 		control = append(control, at)
 	}
-	classes := s.classes
+	classes := s.Classes
 	if r.Odd == i+1 {
-		classes = append(append([]vclass{}, s.classes[0]), s.classes[2])
+		classes = append(append([]simulation.Class{}, s.Classes[0]), s.Classes[2])
 	}
-	raw, err := nodeConfig(n.name, n.listen, n.kernel.ln.Addr().String(), store, r.ready.ln.Addr().String(), s.cores, s.tenants,
+	raw, err := nodeConfig(n.name, n.listen, n.kernel.ln.Addr().String(), store, r.ready.ln.Addr().String(), s.Cores, s.Tenants,
 		classes, "submit")
 	if err != nil {
 		return nil, err
@@ -313,7 +314,7 @@
 
 func (r *Rig) event(kind, node string) {
 	r.mu.Lock()
-	r.events = append(r.events, FleetEvent{At: time.Now().UnixMicro() / 100, Kind: kind, Node: node})
+	r.events = append(r.events, simulation.FleetEvent{At: time.Now().UnixMicro() / 100, Kind: kind, Node: node})
 	r.mu.Unlock()
 }
 
--- a/internal/harness/fleet_events.go
+++ b/internal/harness/fleet_events.go
@@ -14,6 +14,7 @@
 
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/logging"
+	"umberwinch/internal/simulation"
 )
 
 // logLines reads a log of JSON lines; times are tenths of a ms.
@@ -41,14 +42,14 @@
 }
 
 // History reads what happened from the logs of all processes.
-func (r *Rig) History() ([]FleetEvent, error) {
-	var all []FleetEvent
+func (r *Rig) History() ([]simulation.FleetEvent, error) {
+	var all []simulation.FleetEvent
 	lines := logLines
 	type step struct {
 		number float64
 		name   policy.Step
 	}
-	first := map[step]FleetEvent{}
+	first := map[step]simulation.FleetEvent{}
 	var order []step
 	if err := lines(filepath.Join(r.Dir, "instances.log"), func(at int64, m map[string]any) {
 		if m["msg"] != "change of policy" {
@@ -64,7 +65,7 @@
 			if !there {
 				order = append(order, k)
 			}
-			first[k] = FleetEvent{At: at, Version: uint64(version), From: uint64(from), Excl: excl}
+			first[k] = simulation.FleetEvent{At: at, Version: uint64(version), From: uint64(from), Excl: excl}
 		}
 	}); err != nil {
 		return nil, err
@@ -92,13 +93,13 @@
 		}
 	}
 	r.mu.Lock()
-	own := append([]FleetEvent(nil), r.events...)
+	own := append([]simulation.FleetEvent(nil), r.events...)
 	r.mu.Unlock()
 	for _, n := range r.nodes {
-		var told []FleetEvent
+		var told []simulation.FleetEvent
 		if err := lines(filepath.Join(r.Dir, n.name+".log"), func(at int64, m map[string]any) {
 			version, _ := m[logging.PolicyVersion].(float64)
-			e := FleetEvent{At: at, Node: n.name}
+			e := simulation.FleetEvent{At: at, Node: n.name}
 			switch m["msg"] {
 			case "node is fenced: all requests are rejected":
 				e.Kind = "stops"
@@ -129,11 +130,11 @@
 
 // nodeHistory makes spans of service of what a node's log and the rig said: a process that stands still serves nothing,
 // and one that goes on serves what it did unless its first round fenced it.
-func nodeHistory(told []FleetEvent) (out []FleetEvent) {
+func nodeHistory(told []simulation.FleetEvent) (out []simulation.FleetEvent) {
 	sort.SliceStable(told, func(i, k int) bool { return told[i].At < told[k].At })
 	serves, under, before := false, uint64(0), false
 	say := func(at int64, kind string) {
-		out = append(out, FleetEvent{At: at, Kind: kind, Node: told[0].Node, Version: under})
+		out = append(out, simulation.FleetEvent{At: at, Kind: kind, Node: told[0].Node, Version: under})
 	}
 	for _, e := range told {
 		switch e.Kind {
@@ -172,12 +173,12 @@
 }
 
 // Check holds what happened against the promises.
-func (r *Rig) Check(p FleetPromises) (overlap int64, err error) {
+func (r *Rig) Check(p simulation.FleetPromises) (overlap int64, err error) {
 	h, err := r.History()
 	if err != nil {
 		return 0, err
 	}
-	broken, overlap := CheckFleet(h, p)
+	broken, overlap := simulation.CheckFleet(h, p)
 	if broken != "" {
 		return overlap, errors.New(broken)
 	}
--- a/internal/harness/fleet_load.go
+++ b/internal/harness/fleet_load.go
@@ -10,6 +10,8 @@
 	"sort"
 	"sync"
 	"time"
+
+	"umberwinch/internal/simulation"
 )
 
 // Calls is what became of callers' reqs.
@@ -53,7 +55,7 @@
 // is turned away: so a req is lost only if nobody answered it in its time.
 func (r *Rig) Load(ctx context.Context, rate float64) *Calls {
 	c := &Calls{}
-	s, _ := readScenario("fleet", rigClasses)
+	s, _ := simulation.ReadScenario("fleet", rigClasses)
 	chance := rand.New(rand.NewSource(r.Seed))
 	r.loads.Add(1)
 	go func() {
@@ -70,21 +72,21 @@
 				return
 			case <-time.After(time.Until(next)):
 			}
-			class, tenant, first := pickClass(s, chance.Float64()), chance.Intn(s.tenants), chance.Intn(len(r.nodes))
+			class, tenant, first := pickClass(s, chance.Float64()), chance.Intn(s.Tenants), chance.Intn(len(r.nodes))
 			open.Add(1)
-			go func() { defer open.Done(); r.call(c, &s.classes[class], class == s.dearest, tenant, first) }()
+			go func() { defer open.Done(); r.call(c, &s.Classes[class], class == s.Dearest, tenant, first) }()
 		}
 	}()
 	return c
 }
 
-func pickClass(s *scenario, at float64) int {
+func pickClass(s *simulation.Scenario, at float64) int {
 	sum := 0.0
-	for k := range s.classes {
-		sum += s.classes[k].rate
+	for k := range s.Classes {
+		sum += s.Classes[k].Rate
 	}
-	for k := range s.classes {
-		if at -= s.classes[k].rate / sum; at < 0 {
+	for k := range s.Classes {
+		if at -= s.Classes[k].Rate / sum; at < 0 {
 			return k
 		}
 	}
@@ -92,9 +94,9 @@
 }
 
 // call is one req with its tries.
-func (r *Rig) call(c *Calls, class *vclass, keyed bool, tenant, first int) {
+func (r *Rig) call(c *Calls, class *simulation.Class, keyed bool, tenant, first int) {
 	began := time.Now()
-	end := began.Add(time.Duration(class.handler.Timeout) * 100 * time.Microsecond)
+	end := began.Add(time.Duration(class.Handler.Timeout) * 100 * time.Microsecond)
 	key := ""
 	if keyed {
 		key = newKey()
@@ -108,7 +110,7 @@
 			time.Sleep(firstGap) // the list was gone through once
 		}
 		n := r.nodes[(first+k)%len(r.nodes)]
-		if !r.ready.is(n.name) || r.Odd == (first+k)%len(r.nodes)+1 && class.name == "fill" {
+		if !r.ready.is(n.name) || r.Odd == (first+k)%len(r.nodes)+1 && class.Name == "fill" {
 			continue
 		}
 		if keyed && tries > 0 && code != http.StatusServiceUnavailable {
@@ -123,7 +125,7 @@
 		}
 		ctx, cancel := context.WithDeadline(context.Background(), end)
 		var told time.Duration
-		code, told = tryReq(ctx, r.client, n.front, class.name, tenant, sender, key, tries > 0)
+		code, told = tryReq(ctx, r.client, n.front, class.Name, tenant, sender, key, tries > 0)
 		cancel()
 		tries++
 		last = n
@@ -136,8 +138,8 @@
 	c.Asked++
 	c.Tries += tries
 	if r.Below {
-		good := time.Since(began) <= time.Duration(class.handler.LatencyObjective)*100*time.Microsecond && code == http.StatusOK
-		c.Each = append(c.Each, Answered{time.Now(), last, code, class.handler.Value, good, tries})
+		good := time.Since(began) <= time.Duration(class.Handler.LatencyObjective)*100*time.Microsecond && code == http.StatusOK
+		c.Each = append(c.Each, Answered{time.Now(), last, code, class.Handler.Value, good, tries})
 	}
 	switch {
 	case code == 0 && tries == 0: // nobody was ready in all its time
--- a/internal/harness/fleet_test.go
+++ b/internal/harness/fleet_test.go
@@ -20,6 +20,7 @@
 
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/report"
+	"umberwinch/internal/simulation"
 )
 
 // programs builds umberctl and the node's program once, side by side.
@@ -191,7 +192,7 @@
 	}
 	b.heal()
 	fail("the fleet with the group", b.AllServe(version, 30*time.Second))
-	if _, err = b.Check(FleetPromises{}); err != nil {
+	if _, err = b.Check(simulation.FleetPromises{}); err != nil {
 		t.Error(err)
 	}
 }
@@ -280,16 +281,16 @@
 func TestCallersHaveAPace(t *testing.T) {
 	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }))
 	defer busy.Close()
-	s, err := readScenario("fleet", rigClasses)
+	s, err := simulation.ReadScenario("fleet", rigClasses)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.classes[0].handler.Timeout = 10_000 // a second: three at once, then after 30, 90, 210, 450 and 930 ms
+	s.Classes[0].Handler.Timeout = 10_000 // a second: three at once, then after 30, 90, 210, 450 and 930 ms
 	for _, eager := range []bool{false, true} {
 		r := &Rig{RigPlan: RigPlan{Eager: eager}, ready: &readiness{said: map[string]time.Time{"n1": time.Now()}}, client: busy.Client()}
 		r.nodes = []*rigNode{{name: "n1", front: strings.TrimPrefix(busy.URL, "http://")}}
 		c := &Calls{}
-		r.call(c, &s.classes[0], false, 0, 0)
+		r.call(c, &s.Classes[0], false, 0, 0)
 		if c.Shed != 1 || eager != (c.Tries > 8) || c.Tries < 4 {
 			t.Errorf("eager %v: %v", eager, c)
 		}
--- a/internal/harness/kept.go
+++ b/internal/harness/kept.go
@@ -18,6 +18,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"umberwinch/internal/report"
+	"umberwinch/internal/simulation"
 )
 
 // kept.go kills a node that keeps results, over and over, at named points and at random ones, and starts it again on its
@@ -90,11 +91,11 @@
 	r := &keptRig{dir: dir, program: program, listen: loopback(8080), runs: map[string][]keptRun{}, told: map[string]time.Time{}, effects: map[string]int{},
 		points: map[string]int{},
 		chance: rand.New(rand.NewSource(seed)), client: keptClient()}
-	s, err := readScenario("kept", keptClasses)
+	s, err := simulation.ReadScenario("kept", keptClasses)
 	if err != nil {
 		return nil, err
 	}
-	if r.kernel, err = NewKernel(loopback(7400), seed, float64(s.cores), s.classes, kernelStep); err != nil {
+	if r.kernel, err = NewKernel(loopback(7400), seed, float64(s.Cores), s.Classes, kernelStep); err != nil {
 		return nil, err
 	}
 	r.kernel.begins = r.begins
@@ -106,7 +107,7 @@
 		return nil, err
 	}
 	raw, err := nodeConfig("kept", r.listen, r.kernel.ln.Addr().String(), r.store.ln.Addr().String(),
-		r.control.ln.Addr().String(), s.cores, s.tenants, s.classes, "submit")
+		r.control.ln.Addr().String(), s.Cores, s.Tenants, s.Classes, "submit")
 	if err != nil {
 		return nil, err
 	}
@@ -476,9 +477,9 @@
 func (r *keptRig) cost(ctx context.Context, rep *report.Report, name string, callers int, span time.Duration) error {
 	defer r.close()
 	r.kernel.begins, r.kernel.calls = nil, false
-	r.kernel.Set(func(classes map[string]*vclass, cores *float64) {
+	r.kernel.Set(func(classes map[string]*simulation.Class, cores *float64) {
 		for _, c := range classes {
-			c.work, c.tail = 1, 0 // a tenth of a ms: what is measured is the node's own part
+			c.Work, c.WorkSigma = 1, 0 // a tenth of a ms: what is measured is the node's own part
 		}
 		*cores = 1000
 	})
--- a/internal/harness/kernel.go
+++ b/internal/harness/kernel.go
@@ -10,6 +10,8 @@
 	"net"
 	"sync"
 	"time"
+
+	"umberwinch/internal/simulation"
 )
 
 // Kernel is an emulated kernel on a socket: it speaks the platform's protocol to one node and shares a number of cores
@@ -19,7 +21,7 @@
 	r       *rand.Rand
 	ln      net.Listener
 	link    net.Conn
-	classes map[string]*vclass
+	classes map[string]*simulation.Class
 	cores   float64
 	runs    map[string]*kernelRun
 	order   []string
@@ -50,16 +52,16 @@
 )
 
 // NewKernel listens on an address.
-func NewKernel(addr string, seed int64, cores float64, classes []vclass, step time.Duration) (*Kernel, error) {
+func NewKernel(addr string, seed int64, cores float64, classes []simulation.Class, step time.Duration) (*Kernel, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	k := &Kernel{r: rand.New(rand.NewSource(seed)), ln: ln, classes: map[string]*vclass{}, cores: cores,
+	k := &Kernel{r: rand.New(rand.NewSource(seed)), ln: ln, classes: map[string]*simulation.Class{}, cores: cores,
 		runs: map[string]*kernelRun{}, first: 1, at: time.Now(), step: step, stop: make(chan struct{})}
 	for i := range classes {
 		c := classes[i]
-		k.classes[c.name] = &c
+		k.classes[c.Name] = &c
 	}
 	go k.accept()
 	go k.work()
@@ -78,7 +80,7 @@
 }
 
 // Set changes a class, or the cores, while it goes on.
-func (k *Kernel) Set(change func(classes map[string]*vclass, cores *float64)) {
+func (k *Kernel) Set(change func(classes map[string]*simulation.Class, cores *float64)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	change(k.classes, &k.cores)
@@ -216,13 +218,13 @@
 	return true
 }
 
-func (k *Kernel) draw(c *vclass) float64 {
-	work := c.work / 10
-	if c.tail > 0 {
-		work *= math.Exp(c.tail*k.r.NormFloat64() - c.tail*c.tail/2)
+func (k *Kernel) draw(c *simulation.Class) float64 {
+	work := c.Work / 10
+	if c.WorkSigma > 0 {
+		work *= math.Exp(c.WorkSigma*k.r.NormFloat64() - c.WorkSigma*c.WorkSigma/2)
 	}
-	if k.r.Float64() < c.heavy {
-		work *= c.times
+	if k.r.Float64() < c.HeavyShare {
+		work *= c.HeavyFactor
 	}
 	return work
 }
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -11,6 +11,7 @@
 
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/report"
+	"umberwinch/internal/simulation"
 )
 
 // Policy is a run of `umberctl lab policy`.
@@ -87,11 +88,11 @@
 	var times []float64
 	var overlap int64
 	why := ""
-	report.EachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *VFleet {
-		f := NewVFleet(FleetPlan{Seed: s, Nodes: 9 + int(s%7), Ctl: 3 + 2*int(s%2), Changes: 5, Without: r.Without})
+	report.EachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Fleet {
+		f := simulation.NewFleet(simulation.FleetPlan{Seed: s, Nodes: 9 + int(s%7), Ctl: 3 + 2*int(s%2), Changes: 5, Without: r.Without})
 		f.Play()
 		return f
-	}, func(s int64, f *VFleet) bool {
+	}, func(s int64, f *simulation.Fleet) bool {
 		for k, v := range f.Ends {
 			ends[k] += v
 		}
@@ -132,10 +133,10 @@
 			part string
 			down float64
 			way  string
-		}{{"calm", 0, ""}, {"a third down", 0.33, ""}, {"a third down, each as it comes", 0.33, WayEach},
-			{"a third down, majority", 0.33, WayMajority}} {
+		}{{"calm", 0, ""}, {"a third down", 0.33, ""}, {"a third down, each as it comes", 0.33, simulation.WayEach},
+			{"a third down, majority", 0.33, simulation.WayMajority}} {
 			started := time.Now()
-			f := NewVFleet(FleetPlan{Seed: r.Seed, Nodes: n, Ctl: 3, Changes: 3, Calm: true, Down: c.down, Way: c.way,
+			f := simulation.NewFleet(simulation.FleetPlan{Seed: r.Seed, Nodes: n, Ctl: 3, Changes: 3, Calm: true, Down: c.down, Way: c.way,
 				Lease: 10_000, Span: 60_000})
 			f.Play()
 			if f.Broken != "" {
@@ -143,9 +144,9 @@
 			}
 			r.row(rep, "virtual, "+c.part, n, len(f.Times), f.Ends, f.Times, f.Overlap)
 			if c.way == "" {
-				seconds := f.now / 1000
+				seconds := f.Now / 1000
 				rep.Notes = append(rep.Notes, fmt.Sprintf("%d nodes, %s: %.1f askings, %.2f entries and %.1f KB of them a "+
-					"second; played in %v", n, c.part, float64(f.Asks)/seconds, float64(f.Entries)/seconds,
+					"second; played in %v", n, c.part, float64(f.Heartbeats)/seconds, float64(f.Entries)/seconds,
 					float64(f.Bytes)/1024/seconds, time.Since(started).Round(time.Millisecond)))
 			}
 		}
--- a/internal/harness/policy_bench.go
+++ b/internal/harness/policy_bench.go
@@ -10,6 +10,7 @@
 
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/simulation"
 )
 
 // realLease is the lease of the real part's policies: short, so that what waits for one ends soon, and long beside a
@@ -206,6 +207,6 @@
 }
 
 // promises of the real part: a lease as the group counts it, and some ms of logs and rounds.
-func (b *bench) promises() FleetPromises {
-	return FleetPromises{Overlap: int64(membership.LeaseSpanMS(uint64(b.lease.Milliseconds())))*10 + 2000, Fences: b.alone == "fence"}
+func (b *bench) promises() simulation.FleetPromises {
+	return simulation.FleetPromises{Overlap: int64(membership.LeaseSpanMS(uint64(b.lease.Milliseconds())))*10 + 2000, Fences: b.alone == "fence"}
 }
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -9,6 +9,7 @@
 
 	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/report"
+	"umberwinch/internal/simulation"
 )
 
 // Raft is a run of `umberctl lab raft`.
@@ -68,12 +69,12 @@
 		}
 	}
 	started := time.Now()
-	var first *Result
+	var first *simulation.Result
 	steps, calls, terms, ran, bad := 0, 0, 0, 0, 0
-	report.EachSeed(ctx, r.Seed*1000003, n, func(s int64) Result {
+	report.EachSeed(ctx, r.Seed*1000003, n, func(s int64) simulation.Result {
 		size := r.size(s)
-		return Play(s, size, Schedule(s, size, scheduleMS), r.Without, nil)
-	}, func(_ int64, res Result) bool {
+		return simulation.Play(s, size, simulation.DrawFaults(s, size, simulation.ScheduleMilliseconds), r.Without, nil)
+	}, func(_ int64, res simulation.Result) bool {
 		ran, steps, calls, terms = ran+1, steps+res.Steps, calls+res.Calls, terms+res.Terms
 		if res.Broken != "" {
 			if bad++; first == nil || res.Seed < first.Seed {
@@ -95,10 +96,10 @@
 		return
 	}
 	size := r.size(first.Seed)
-	short := Cut(first.Seed, size, Schedule(first.Seed, size, scheduleMS), r.Without, cutRuns)
+	short := simulation.Shrink(first.Seed, size, simulation.DrawFaults(first.Seed, size, simulation.ScheduleMilliseconds), r.Without, cutRuns)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("seed %d of %d instances: %s\nwith these faults alone:\n%s",
 		first.Seed,
-		size, first.Broken, lines(short)))
+		size, first.Broken, simulation.FaultLines(short)))
 	rep.Break("seed %d: %s", first.Seed, first.Broken)
 }
 
@@ -110,7 +111,7 @@
 }
 
 // Replay plays one schedule and tells each thing that happens.
-func Replay(w io.Writer, seed int64, size int, without consensus.Guard) Result {
-	faults := Schedule(seed, size, scheduleMS)
-	return Play(seed, size, faults, without, func(s string) { fmt.Fprintln(w, s) })
+func Replay(w io.Writer, seed int64, size int, without consensus.Guard) simulation.Result {
+	faults := simulation.DrawFaults(seed, size, simulation.ScheduleMilliseconds)
+	return simulation.Play(seed, size, faults, without, func(s string) { fmt.Fprintln(w, s) })
 }
--- a/internal/harness/sidecar.go
+++ b/internal/harness/sidecar.go
@@ -11,18 +11,20 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"umberwinch/internal/simulation"
 )
 
 // What the demo and the rig say to a node: its start-up file, and reqs as a sidecar sends them.
 
 // nodeConfig makes a node's start-up file for emulated classes; the named one is uniqued.
-func nodeConfig(name, listen, kernel, store, control string, cores, tenants int, all []vclass, uniqued string) ([]byte, error) {
+func nodeConfig(name, listen, kernel, store, control string, cores, tenants int, all []simulation.Class, uniqued string) ([]byte, error) {
 	var classes, customers []map[string]any
 	for k := range all {
 		c := &all[k]
-		one := map[string]any{"name": c.name, "gain": c.handler.Value, "give_up": int(c.handler.Timeout) * 100,
-			"promise": int(c.handler.LatencyObjective) * 100, "semantics": "idempotent"}
-		if c.name == uniqued {
+		one := map[string]any{"name": c.Name, "gain": c.Handler.Value, "give_up": int(c.Handler.Timeout) * 100,
+			"promise": int(c.Handler.LatencyObjective) * 100, "semantics": "idempotent"}
+		if c.Name == uniqued {
 			one["semantics"], one["window"] = "deduplicated", 20_000_000
 		}
 		classes = append(classes, one)
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -13,6 +13,7 @@
 	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/report"
+	"umberwinch/internal/simulation"
 )
 
 // Zones is a run of `umberctl lab zones`.
@@ -65,13 +66,13 @@
 		}
 	}
 	left, steps, back, bad, first, why := 0, 0, 0, 0, int64(-1), ""
-	report.EachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *VZones {
-		p := DrawZones(s)
+	report.EachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Zones {
+		p := simulation.DrawZones(s)
 		p.Without = r.Without
-		v := NewVZones(p)
+		v := simulation.NewZones(p)
 		v.Play()
 		return v
-	}, func(s int64, v *VZones) bool {
+	}, func(s int64, v *simulation.Zones) bool {
 		left, steps, back = left+len(v.Left), steps+v.Steps, back+v.BackStep
 		if v.Broken != "" {
 			if bad++; first < 0 || s < first {
@@ -98,8 +99,8 @@
 	}
 	for _, n := range sizes {
 		for _, load := range loads {
-			for _, kind := range []string{ZoneDead, ZoneKernels, ZoneSlow, ZoneErrors} {
-				if n > 1000 && kind != ZoneDead && kind != ZoneSlow {
+			for _, kind := range []string{simulation.ZoneDead, simulation.ZoneKernels, simulation.ZoneSlow, simulation.ZoneErrors} {
+				if n > 1000 && kind != simulation.ZoneDead && kind != simulation.ZoneSlow {
 					continue
 				}
 				r.way(rep, n, load, kind)
@@ -109,21 +110,21 @@
 }
 
 func (r *Zones) way(rep *report.Report, n int, load float64, kind string) {
-	base := ZonePlan{Seed: r.Seed, Nodes: n, Kinds: []string{kind}, Fails: 15_000, Heals: 45_000, Ends: 220_000, Load: load}
+	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n, Kinds: []string{kind}, Fails: 15_000, Heals: 45_000, Ends: 220_000, Load: load}
 	ways := []struct {
 		name string
-		set  func(p *ZonePlan)
-	}{{"the fleet", func(*ZonePlan) {}}, {"nodes alone", func(p *ZonePlan) { p.Off = true }},
-		{"each by its own", func(p *ZonePlan) { p.Own = true }}, {"at best", func(p *ZonePlan) { p.Oracle = true }}}
+		set  func(p *simulation.ZonePlan)
+	}{{"the fleet", func(*simulation.ZonePlan) {}}, {"nodes alone", func(p *simulation.ZonePlan) { p.Off = true }},
+		{"each by its own", func(p *simulation.ZonePlan) { p.Own = true }}, {"at best", func(p *simulation.ZonePlan) { p.Oracle = true }}}
 	var wg sync.WaitGroup
-	runs, times := make([]*VZones, len(ways)), make([]time.Duration, len(ways))
+	runs, times := make([]*simulation.Zones, len(ways)), make([]time.Duration, len(ways))
 	for i, w := range ways {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			p, started := base, time.Now()
 			w.set(&p)
-			runs[i] = NewVZones(p)
+			runs[i] = simulation.NewZones(p)
 			runs[i].Play()
 			times[i] = time.Since(started)
 		}()
@@ -143,10 +144,10 @@
 		peak := "-"
 		if w.name == "the fleet" {
 			peak = fmt.Sprintf("%.2f", v.Peak)
-			seconds := v.f.now / 1000
+			seconds := v.Fleet.Now / 1000
 			rep.Notes = append(rep.Notes, fmt.Sprintf("%d nodes, load %.2f, %s: %.1f askings, %.2f entries and %.1f KB of them a "+
-				"second; played in %v", n, load, kind, float64(v.f.Asks)/seconds, float64(v.f.Entries)/seconds,
-				float64(v.f.Bytes)/1024/seconds, took.Round(time.Millisecond)))
+				"second; played in %v", n, load, kind, float64(v.Fleet.Heartbeats)/seconds, float64(v.Fleet.Entries)/seconds,
+				float64(v.Fleet.Bytes)/1024/seconds, took.Round(time.Millisecond)))
 			if n == 300 {
 				v.Plot[0].Name, v.Plot[1].Name, v.Plot[2].Name = "value done", "below: asked over what it bears", "share of the zone"
 				rep.Plots = append(rep.Plots, report.Plot{Title: fmt.Sprintf("%d nodes, load %.2f: %s", n, load, kind),
@@ -172,7 +173,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			v := NewVZones(ZonePlan{Seed: r.Seed*100 + int64(i), Nodes: 15, Kinds: []string{ZoneNoise, ZoneNoise, ZoneNoise},
+			v := simulation.NewZones(simulation.ZonePlan{Seed: r.Seed*100 + int64(i), Nodes: 15, Kinds: []string{simulation.ZoneNoise, simulation.ZoneNoise, simulation.ZoneNoise},
 				Fails: 1000, Heals: hours*3600_000/parts - 10_000, Ends: hours * 3600_000 / parts, Load: 0.3 + 0.1*float64(i)})
 			v.Play()
 			mu.Lock()
--- a/internal/harness/cases_test.go
+++ b/internal/simulation/consensus_cases_test.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 import (
 	"testing"
@@ -7,9 +7,9 @@
 )
 
 // grown gives a calm group, and fails the test where the world finds anything broken by its end.
-func grown(t *testing.T, size int) *World {
+func grown(t *testing.T, size int) *ConsensusGroup {
 	t.Helper()
-	w := NewWorld(int64(size)*77, size, 0)
+	w := NewConsensusGroup(int64(size)*77, size, 0)
 	if !w.until(20000, func() bool { return w.voters() == size }) {
 		t.Fatalf("the group did not grow: %s", w.Broken)
 	}
@@ -22,14 +22,14 @@
 }
 
 // put has a version taken at a host within some time.
-func put(t *testing.T, w *World, h *host, ms int64) {
+func put(t *testing.T, w *ConsensusGroup, h *host, ms int64) {
 	t.Helper()
 	if !w.scripted(h, ms) {
 		t.Fatalf("at %d ms: no write was taken within %d ms; %s", w.now, ms, w.Broken)
 	}
 }
 
-func whole(t *testing.T, w *World) {
+func whole(t *testing.T, w *ConsensusGroup) {
 	t.Helper()
 	if !w.settle() {
 		t.Fatal(w.Broken)
@@ -45,7 +45,7 @@
 		put(t, w, w.leader(), 2*w.slow+tickMS)
 	}
 	whole(t, w)
-	if slow.rep.Status().Version != w.leader().rep.Status().Version {
+	if slow.replica.Status().Version != w.leader().replica.Status().Version {
 		t.Fatal("the slow one was not caught up")
 	}
 }
@@ -60,7 +60,7 @@
 	}
 	put(t, w, w.leader(), 500)
 	whole(t, w)
-	if s := old.rep.Status(); s.Role == "leader" {
+	if s := old.replica.Status(); s.Role == "leader" {
 		t.Fatal("the old leader still leads")
 	}
 }
@@ -72,7 +72,7 @@
 	var down []*host
 	stop := func() {
 		h := w.follower(down...)
-		w.down(h, 1<<40)
+		w.crashHost(h, 1<<40)
 		down = append(down, h)
 	}
 	stop()
@@ -83,12 +83,12 @@
 	if w.scripted(l, 3000) {
 		t.Fatal("two of five took a write")
 	}
-	w.up(down[2], false)
+	w.startHost(down[2], false)
 	if !w.until(writesWithin, func() bool { return w.leader() != nil && w.scripted(w.leader(), 300) }) {
 		t.Fatalf("no write within %d ms of the third's return", writesWithin)
 	}
-	w.up(down[0], false)
-	w.up(down[1], false)
+	w.startHost(down[0], false)
+	w.startHost(down[1], false)
 	whole(t, w)
 }
 
@@ -96,14 +96,14 @@
 func TestGrowWithOneDown(t *testing.T) {
 	w := grown(t, 3)
 	away := w.follower()
-	w.down(away, 1<<40)
+	w.crashHost(away, 1<<40)
 	w.target = 4
 	w.addHost(false)
 	if !w.until(10000, func() bool { return w.voters() == 4 }) {
 		t.Fatal("the fourth did not become a voter while one was down")
 	}
 	put(t, w, w.leader(), 500)
-	w.up(away, false)
+	w.startHost(away, false)
 	whole(t, w)
 }
 
@@ -118,15 +118,15 @@
 			t.Fatal("a leader alone applied a write")
 		}
 	}
-	_, held := old.rep.LogBounds()
+	_, held := old.replica.Span()
 	if !w.until(2500, func() bool { l := w.leader(); return l != nil && l != old }) {
 		t.Fatal("the others have no leader")
 	}
 	put(t, w, w.leader(), 500)
-	term := w.leader().rep.Status().Term
+	term := w.leader().replica.Status().Term
 	w.Run(w.now + 2500)
 	whole(t, w)
-	if now := w.leader().rep.Status(); now.Term != term || now.Version != 1 {
+	if now := w.leader().replica.Status(); now.Term != term || now.Version != 1 {
 		t.Fatalf("term %d and version %d, expected term %d and version 1, with %d entries held alone", now.Term,
 			now.Version, term, held)
 	}
@@ -137,14 +137,14 @@
 	for _, deaf := range []bool{true, false} {
 		w := grown(t, 3)
 		l, f := w.leader(), w.follower()
-		term := l.rep.Status().Term
+		term := l.replica.Status().Term
 		w.part(4000, func(a, b *host) bool { return deaf && b == f || !deaf && a == f })
 		for i := 0; i < 4; i++ {
 			put(t, w, l, 500)
 			w.Run(w.now + 800)
 		}
 		whole(t, w)
-		if w.leader() != l || l.rep.Status().Term != term {
+		if w.leader() != l || l.replica.Status().Term != term {
 			t.Fatalf("deaf %v: the leader changed", deaf)
 		}
 	}
@@ -158,15 +158,15 @@
 	w.part(2000, func(a, b *host) bool { return a == f || b == f })
 	w.target = 2
 	l := w.leader()
-	l.rep.Change(consensus.Change{Op: "remove", Member: consensus.Member{ID: id}})
+	l.replica.Change(consensus.Change{Op: "remove", Member: consensus.Member{ID: id}})
 	w.work(l)
 	w.Run(w.now + 4000)
-	term := w.leader().rep.Status().Term
+	term := w.leader().replica.Status().Term
 	for i := 0; i < 5; i++ {
 		put(t, w, w.leader(), 500)
 		w.Run(w.now + 500)
 	}
-	if w.leader().rep.Status().Term != term {
+	if w.leader().replica.Status().Term != term {
 		t.Fatal("a removed instance raised the term")
 	}
 }
@@ -175,7 +175,7 @@
 func TestTransfer(t *testing.T) {
 	w := grown(t, 3)
 	l, to := w.leader(), w.follower()
-	if err := l.rep.Transfer(to.id); err != nil {
+	if err := l.replica.Transfer(to.id); err != nil {
 		t.Fatal(err)
 	}
 	w.work(l)
--- a/internal/harness/history.go
+++ b/internal/simulation/consensus_clients.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 import (
 	"fmt"
@@ -34,14 +34,14 @@
 	base uint64
 }
 
-func (w *World) addClient() {
+func (w *ConsensusGroup) addClient() {
 	c := &client{name: fmt.Sprint("c", len(w.clients))}
 	w.clients = append(w.clients, c)
 	w.after(int64(w.net.Intn(100)), func() { w.next(c) })
 }
 
 // next has a client ask its next thing.
-func (w *World) next(c *client) {
+func (w *ConsensusGroup) next(c *client) {
 	if c.stopped || c.open != nil {
 		return
 	}
@@ -61,7 +61,7 @@
 }
 
 // ask sends a call to some host; where no answer comes it goes to another.
-func (w *World) ask(k *call) {
+func (w *ConsensusGroup) ask(k *call) {
 	k.try++
 	try, h := k.try, w.hosts[w.net.Intn(len(w.hosts))]
 	w.after(1+int64(w.net.Intn(10)), func() { w.arrive(k, try, h) })
@@ -72,27 +72,27 @@
 	})
 }
 
-func (w *World) arrive(k *call, try int, h *host) {
-	if h.rep == nil || h.frozen > w.now || k.c.open != k || k.try != try {
+func (w *ConsensusGroup) arrive(k *call, try int, h *host) {
+	if h.replica == nil || h.frozen > w.now || k.c.open != k || k.try != try {
 		return
 	}
 	w.do(h, func() error {
 		if k.put != nil {
 			p := *k.put
 			h.puts[p.Session] = k
-			h.rep.Propose(&p) // dropped without a leader: the client asks again
+			h.replica.Propose(&p) // dropped without a leader: the client asks again
 			return nil
 		}
 		w.calls++
 		h.reads[w.calls] = k
-		h.rep.Read(w.calls)
+		h.replica.Read(w.calls)
 		return nil
 	})
 	w.work(h)
 }
 
 // answer brings an end to a client, unless it is lost on the way.
-func (w *World) answer(k *call, a consensus.PutResult) {
+func (w *ConsensusGroup) answer(k *call, a consensus.Answer) {
 	if w.net.Intn(100) < 15 {
 		return
 	}
@@ -135,7 +135,7 @@
 }
 
 // linear checks the clients' history.
-func (w *World) linear() {
+func (w *ConsensusGroup) linear() {
 	if w.Broken != "" {
 		return
 	}
--- a/internal/harness/faults.go
+++ b/internal/simulation/consensus_faults.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 import (
 	"fmt"
@@ -22,8 +22,8 @@
 	return fmt.Sprintf("%6d ms %-8s a=%d b=%d for=%d n=%d", f.At, f.Kind, f.A, f.B, f.For, f.N)
 }
 
-// Schedule draws the faults of a seed, over some time.
-func Schedule(seed int64, size int, ms int64) []Fault {
+// DrawFaults draws the faults of a seed, over some time.
+func DrawFaults(seed int64, size int, ms int64) []Fault {
 	r := rand.New(rand.NewSource(seed ^ 0x5eed))
 	kinds := []string{"crash", "crash", "crash", "kill", "leader", "leader", "split", "split", "oneway", "flap",
 		"loss", "slow", "stall", "copy", "back", "wipe", "transfer"}
@@ -37,22 +37,22 @@
 }
 
 // inflict does a fault. What it opens it ends by itself.
-func (w *World) inflict(f Fault) {
+func (w *ConsensusGroup) apply(f Fault) {
 	h := w.hosts[f.A]
 	if f.Kind == "leader" || f.Kind == "stall" {
 		if l := w.leader(); l != nil {
 			h = l
 		}
 	}
-	if h.rep == nil && f.Kind != "split" && f.Kind != "loss" && f.Kind != "slow" {
+	if h.replica == nil && f.Kind != "split" && f.Kind != "loss" && f.Kind != "slow" {
 		return
 	}
-	w.say("fault %v at host %d", f, h.n)
+	w.tracef("fault %v at host %d", f, h.n)
 	switch f.Kind {
 	case "crash", "leader": // somewhere within the next steps to its disk
 		h.left = f.N
 	case "kill":
-		w.down(h, f.For)
+		w.crashHost(h, f.For)
 	case "split":
 		w.part(f.For, func(a, b *host) bool { return (a.n+f.N)%len(w.hosts) <= f.B != ((b.n+f.N)%len(w.hosts) <= f.B) })
 	case "oneway":
@@ -80,13 +80,13 @@
 			w.wipe(h)
 		}
 	case "transfer":
-		h.rep.Transfer(0)
+		h.replica.Transfer(0)
 		w.work(h)
 	}
 }
 
 // part cuts the ways between hosts that a test picks, one way each, for some time.
-func (w *World) part(ms int64, picks func(a, b *host) bool) {
+func (w *ConsensusGroup) part(ms int64, picks func(a, b *host) bool) {
 	for _, a := range w.hosts {
 		for _, b := range w.hosts {
 			if key := [2]int{a.n, b.n}; a != b && picks(a, b) && !w.cut[key] {
@@ -100,7 +100,7 @@
 // mayLose tells whether a disk may be lost now without a majority being lost for good: all are up, take part,
 // reach each other and have the same state. To lose a disk beside others that are down is to lose what was
 // agreed on.
-func (w *World) mayLose() bool {
+func (w *ConsensusGroup) mayLose() bool {
 	if len(w.cut) > 0 || w.loss > 0 || w.voters() < w.target || !w.converged() {
 		return false
 	}
@@ -113,19 +113,19 @@
 }
 
 // restoreCopy has a host come back on a copy of its disk that it took earlier.
-func (w *World) restoreCopy(h *host) {
-	w.say("host %d comes back on an old copy", h.n)
-	w.lose(h)
-	h.rep, h.disk, h.left = nil, h.copied, -1
+func (w *ConsensusGroup) restoreCopy(h *host) {
+	w.tracef("host %d comes back on an old copy", h.n)
+	w.loseDisk(h)
+	h.replica, h.disk, h.left = nil, h.copied, -1
 	h.copied = nil
-	w.up(h, false)
+	w.startHost(h, false)
 }
 
-func (w *World) wipe(h *host) {
-	w.say("host %d comes back on an empty disk", h.n)
-	w.lose(h)
-	h.rep, h.disk, h.left = nil, wal.NewMem(), -1
-	w.up(h, false)
+func (w *ConsensusGroup) wipe(h *host) {
+	w.tracef("host %d comes back on an empty disk", h.n)
+	w.loseDisk(h)
+	h.replica, h.disk, h.left = nil, wal.NewMem(), -1
+	w.startHost(h, false)
 }
 
 // Result is what came of a schedule.
@@ -140,13 +140,13 @@
 // Play runs a schedule from its seed: growth, faults under load, rest, then scripted cases that every
 // schedule ends with. It is the same run each time.
 func Play(seed int64, size int, faults []Fault, without consensus.Guard, trace func(string)) Result {
-	w := NewWorld(seed, size, without)
+	w := NewConsensusGroup(seed, size, without)
 	w.Trace = trace
 	w.play(faults)
 	return Result{seed, w.Steps, len(w.history), len(w.leaders), w.Broken}
 }
 
-func (w *World) play(faults []Fault) {
+func (w *ConsensusGroup) play(faults []Fault) {
 	if !w.until(20000, func() bool { return w.voters() == w.target }) {
 		w.fail("the group did not grow to %d voters in 20 s", w.target)
 		return
@@ -156,7 +156,7 @@
 	}
 	start, end := w.now, w.now
 	for _, f := range faults {
-		w.after(f.At, func() { w.inflict(f) })
+		w.after(f.At, func() { w.apply(f) })
 		end = max(end, start+f.At)
 	}
 	w.Run(end + 500)
@@ -168,7 +168,7 @@
 }
 
 // rest ends all faults and holds the group to its promise.
-func (w *World) rest() {
+func (w *ConsensusGroup) rest() {
 	if w.Broken != "" {
 		return
 	}
@@ -179,7 +179,7 @@
 	}
 	if !w.until(3000, func() bool { // those that are down come up within it
 		for _, h := range w.hosts {
-			if h.rep == nil {
+			if h.replica == nil {
 				return false
 			}
 		}
@@ -214,7 +214,7 @@
 }
 
 // follower gives a voter that does not lead.
-func (w *World) follower(not ...*host) *host {
+func (w *ConsensusGroup) follower(not ...*host) *host {
 	l := w.leader()
 next:
 	for _, h := range w.members() {
@@ -231,31 +231,31 @@
 }
 
 // rejoin: one instance is cut off and comes back; a healthy leader stays, in its term.
-func (w *World) rejoin() {
+func (w *ConsensusGroup) rejoin() {
 	if w.Broken != "" {
 		return
 	}
 	l, f := w.leader(), w.follower()
-	term := l.rep.Status().Term
+	term := l.replica.Status().Term
 	w.part(2500, func(a, b *host) bool { return a == f || b == f })
 	w.Run(w.now + 4500)
-	if w.Broken == "" && (w.leader() != l || l.rep.Status().Term != term) {
+	if w.Broken == "" && (w.leader() != l || l.replica.Status().Term != term) {
 		w.fail("an instance that came back unseated a healthy leader")
 	}
 }
 
 // ends waits until a put by the script is applied at a host, and tells whether it was.
-func (w *World) scripted(h *host, ms int64) bool {
-	was := h.rep.Status().Version
+func (w *ConsensusGroup) scripted(h *host, ms int64) bool {
+	was := h.replica.Status().Version
 	w.calls++
-	h.rep.Propose(&consensus.Put{Session: fmt.Sprint("script", w.calls), Seq: 1, Base: was, Author: "script",
+	h.replica.Propose(&consensus.Put{Session: fmt.Sprint("script", w.calls), Seq: 1, Base: was, Author: "script",
 		Text: fmt.Sprintf("[tenant script]\nrate = %d\n", w.calls)})
 	w.work(h)
-	return w.until(ms, func() bool { return h.rep == nil || h.rep.Status().Version > was }) && h.rep != nil
+	return w.until(ms, func() bool { return h.replica == nil || h.replica.Status().Version > was }) && h.replica != nil
 }
 
 // settle waits for calm between two scripted cases.
-func (w *World) settle() bool {
+func (w *ConsensusGroup) settle() bool {
 	if w.Broken == "" && !w.until(10000, func() bool {
 		return len(w.cut) == 0 && w.leader() != nil && w.voters() == w.target && w.converged() &&
 			len(w.members()) == w.target
@@ -267,20 +267,20 @@
 
 // unsynced: with all but one follower away, the power goes at that one as it would keep an entry. What it did
 // not keep must not count.
-func (w *World) unsynced() {
+func (w *ConsensusGroup) unsynced() {
 	if !w.settle() {
 		return
 	}
 	l, f := w.leader(), w.follower()
 	away := w.cutOff(1500, l, f)
-	w.say("hosts %v away, host %d loses power at its next write", away, f.n)
+	w.tracef("hosts %v away, host %d loses power at its next write", away, f.n)
 	f.left = 0
 	w.scripted(l, 400)
 	w.settle()
 }
 
 // cutOff parts some hosts from the group, so that the leader and one more are just a majority.
-func (w *World) cutOff(ms int64, l, f *host) map[*host]bool {
+func (w *ConsensusGroup) cutOff(ms int64, l, f *host) map[*host]bool {
 	away := map[*host]bool{}
 	for _, h := range w.members() {
 		if h != l && h != f && len(away) < w.target-(w.target/2+1) {
@@ -293,7 +293,7 @@
 
 // oldDisk: what two of three agreed on while the third was away has to outlast one of the two coming back on
 // a copy of its disk from before, with the other then cut off.
-func (w *World) oldDisk() {
+func (w *ConsensusGroup) oldDisk() {
 	if !w.settle() {
 		return
 	}
@@ -314,7 +314,7 @@
 			w.fail("a majority took no write within %d ms", writesWithin)
 		}
 	}
-	if w.Broken != "" || f.rep == nil || w.leader() != l {
+	if w.Broken != "" || f.replica == nil || w.leader() != l {
 		return
 	}
 	w.restoreCopy(f)
@@ -327,9 +327,9 @@
 	}
 }
 
-// Cut makes a failing schedule shorter: it leaves out what is not needed for a failure, by halves, then one
+// Shrink makes a failing schedule shorter: it leaves out what is not needed for a failure, by halves, then one
 // by one.
-func Cut(seed int64, size int, faults []Fault, without consensus.Guard, runs int) []Fault {
+func Shrink(seed int64, size int, faults []Fault, without consensus.Guard, runs int) []Fault {
 	for part := (len(faults) + 1) / 2; part > 0 && runs > 0; {
 		shorter := false
 		for lo := 0; lo < len(faults) && runs > 0; {
@@ -350,7 +350,7 @@
 	return faults
 }
 
-func lines(faults []Fault) string {
+func FaultLines(faults []Fault) string {
 	out := make([]string, len(faults))
 	for i, f := range faults {
 		out[i] = f.String()
--- a/internal/harness/world.go
+++ b/internal/simulation/consensus_group.go
@@ -2,7 +2,7 @@
 // what came of it. It owns stand-ins, faults and measurements. No program that serves imports it, and nothing
 // in it decides for one. world.go is the group of instances in virtual time: the real consensus and wal code
 // on a network, disks and a clock that one seed moves.
-package harness
+package simulation
 
 import (
 	"bytes"
@@ -27,11 +27,11 @@
 	tickMS   = 50
 	electing = 10
 	// writesWithin is the promise: with a majority there, a leader takes writes again within it.
-	writesWithin = 5000
-	scheduleMS   = 12000 // of faults under load; growth, rest and scripted cases come to it
-	worldSegment = 16 << 10
-	worldBound   = 8 << 20
-	worldSnap    = 12 << 10 // small, so that snapshots and lagging followers come often
+	writesWithin         = 5000
+	ScheduleMilliseconds = 12000 // of faults under load; growth, rest and scripted cases come to it
+	worldSegment         = 16 << 10
+	worldBound           = 8 << 20
+	worldSnap            = 12 << 10 // small, so that snapshots and lagging followers come often
 )
 
 var errPower = errors.New("the power went")
@@ -58,29 +58,29 @@
 }
 
 // spot is an entry as some log has it.
-type spot struct{ index, term uint64 }
+type logPosition struct{ index, term uint64 }
 
 // host is a machine with a disk and, while it is up, an instance.
 type host struct {
-	n      int
-	disk   *wal.Mem
-	rep    *consensus.Replica
-	id     uint64
-	life   int   // numbered over all hosts
-	frozen int64 // its disk stalls until then
-	left   int   // file-system steps until it crashes, -1 for none
-	copied *wal.Mem
-	held   map[uint64]uint64 // index to term of what its log held on disk when last seen
-	base   uint64            // all up to it are held, in a snapshot
-	seen   uint64            // applied when last checked
-	first  uint64            // number of the version checked last
-	puts   map[string]*call
-	reads  map[uint64]*call
-	gone   bool // barred, or its disk was lost: the operator replaces it
-}
-
-// World is one run.
-type World struct {
+	n           int
+	disk        *wal.Mem
+	replica     *consensus.Replica
+	id          uint64
+	incarnation int   // numbered over all hosts
+	frozen      int64 // its disk stalls until then
+	left        int   // file-system steps until it crashes, -1 for none
+	copied      *wal.Mem
+	held        map[uint64]uint64 // index to term of what its log held on disk when last seen
+	base        uint64            // all up to it are held, in a snapshot
+	seen        uint64            // applied when last checked
+	first       uint64            // number of the version checked last
+	puts        map[string]*call
+	reads       map[uint64]*call
+	gone        bool // barred, or its disk was lost: the operator replaces it
+}
+
+// ConsensusGroup is one run.
+type ConsensusGroup struct {
 	seed    int64
 	net     *rand.Rand // network, disks and clients
 	without consensus.Guard
@@ -103,20 +103,20 @@
 	leaders   map[uint64]uint64
 	committed map[uint64]uint64 // index to term
 	during    map[uint64]uint64 // index to the term in which it was first seen applied: later leaders must have it
-	texts     map[spot]uint32
+	texts     map[logPosition]uint32
 	pictures  map[uint64]string
 	confs     [][]uint64
 	newest    uint64 // version applied anywhere
-	lost      map[uint64]map[spot]bool
+	lost      map[uint64]map[logPosition]bool
 	Trace     func(string)
 }
 
-// NewWorld founds a group of one and lets it grow to size, without faults.
-func NewWorld(seed int64, size int, without consensus.Guard) *World {
-	w := &World{seed: seed, net: rand.New(rand.NewSource(seed)), without: without, slow: 20, target: size,
+// NewConsensusGroup founds a group of one and lets it grow to size, without faults.
+func NewConsensusGroup(seed int64, size int, without consensus.Guard) *ConsensusGroup {
+	w := &ConsensusGroup{seed: seed, net: rand.New(rand.NewSource(seed)), without: without, slow: 20, target: size,
 		met: map[[2]int]bool{}, cut: map[[2]int]bool{}, leaders: map[uint64]uint64{},
-		committed: map[uint64]uint64{}, texts: map[spot]uint32{}, pictures: map[uint64]string{},
-		lost: map[uint64]map[spot]bool{}, during: map[uint64]uint64{}}
+		committed: map[uint64]uint64{}, texts: map[logPosition]uint32{}, pictures: map[uint64]string{},
+		lost: map[uint64]map[logPosition]bool{}, during: map[uint64]uint64{}}
 	for n := 0; n < size; n++ {
 		w.addHost(n == 0)
 	}
@@ -124,32 +124,32 @@
 	return w
 }
 
-func (w *World) addHost(found bool) {
+func (w *ConsensusGroup) addHost(found bool) {
 	h := &host{n: len(w.hosts), disk: wal.NewMem(), left: -1}
 	w.hosts = append(w.hosts, h)
-	w.up(h, found)
+	w.startHost(h, found)
 	w.after(int64(h.n)*7%tickMS, func() { w.tick(h) })
 }
 
-func (w *World) after(ms int64, do func()) {
+func (w *ConsensusGroup) after(ms int64, do func()) {
 	w.seq++
 	heap.Push(&w.queue, &event{w.now + ms, w.seq, do})
 }
 
-func (w *World) fail(format string, args ...any) {
+func (w *ConsensusGroup) fail(format string, args ...any) {
 	if w.Broken == "" {
 		w.Broken = fmt.Sprintf("at %d ms: ", w.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *World) say(format string, args ...any) {
+func (w *ConsensusGroup) tracef(format string, args ...any) {
 	if w.Trace != nil {
 		w.Trace(fmt.Sprintf("%7d ", w.now) + fmt.Sprintf(format, args...))
 	}
 }
 
 // Run lets the world go on until a moment, or until something is broken.
-func (w *World) Run(until int64) {
+func (w *ConsensusGroup) Run(until int64) {
 	for w.Broken == "" && len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(*event)
 		w.now = max(w.now, e.at)
@@ -162,7 +162,7 @@
 }
 
 // until runs on while a condition does not hold, at most some time.
-func (w *World) until(ms int64, holds func() bool) bool {
+func (w *ConsensusGroup) until(ms int64, holds func() bool) bool {
 	for end := w.now + ms; w.now < end && w.Broken == ""; {
 		if holds() {
 			return true
@@ -172,66 +172,66 @@
 	return holds()
 }
 
-func (w *World) plan(h *host, found bool) consensus.Config {
-	return consensus.Config{Name: fmt.Sprint("i", w.lives), Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h",
+func (w *ConsensusGroup) plan(h *host, found bool) consensus.Plan {
+	return consensus.Plan{Name: fmt.Sprint("i", w.lives), Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h",
 		h.n),
-		FoundGroup: found, ElectionTicks: electing, SnapshotBytes: worldSnap, DisabledGuards: w.without, Random: w.net.Uint64,
-		Sizes: wal.Sizes{Segment: worldSegment, Bound: worldBound}, Logger: quiet{},
-		OnStep: func(name string) {
-			if name == consensus.StepSend {
-				w.hold(h)
+		Found: found, Elect: electing, Snapshot: worldSnap, Without: w.without, Draw: w.net.Uint64,
+		Sizes: wal.Sizes{Segment: worldSegment, Bound: worldBound}, Logger: discardLogger{},
+		Point: func(name string) {
+			if name == consensus.AtSend {
+				w.recordLog(h)
 			}
 		}}
 }
 
 // up starts an instance on a host's disk.
-func (w *World) up(h *host, found bool) {
+func (w *ConsensusGroup) startHost(h *host, found bool) {
 	w.lives++
-	h.life = w.lives
+	h.incarnation = w.lives
 	h.puts, h.reads = map[string]*call{}, map[uint64]*call{}
 	w.do(h, func() error {
 		rep, err := consensus.Open(h.disk, w.plan(h, found))
 		if err != nil {
 			return err
 		}
-		if h.rep = rep; rep.ID() != h.id {
+		if h.replica = rep; rep.ID() != h.id {
 			h.id, h.gone = rep.ID(), false
 		}
 		h.held, h.base, h.seen, h.first = map[uint64]uint64{}, 0, 0, 0
-		w.hold(h)
+		w.recordLog(h)
 		return nil
 	})
-	w.say("host %d up as %x, life %d", h.n, h.id, h.life)
-	if h.rep != nil {
+	w.tracef("host %d up as %x, life %d", h.n, h.id, h.incarnation)
+	if h.replica != nil {
 		w.work(h)
-		w.greet(h, h.life)
+		w.connectInstance(h, h.incarnation)
 	}
 }
 
 // greet has an instance that came up make itself known to whoever it reaches, again until all know it or it
 // ends.
-func (w *World) greet(h *host, life int) {
-	if h.rep == nil || h.life != life {
+func (w *ConsensusGroup) connectInstance(h *host, life int) {
+	if h.replica == nil || h.incarnation != life {
 		return
 	}
 	all := true
 	for _, o := range w.hosts {
-		if o != h && o.rep != nil && !w.speak(h, o) {
+		if o != h && o.replica != nil && !w.exchange(h, o) {
 			all = false
 		}
-		if h.rep == nil {
+		if h.replica == nil {
 			return
 		}
 	}
 	if !all {
-		w.after(100, func() { w.greet(h, life) })
+		w.after(100, func() { w.connectInstance(h, life) })
 	}
 }
 
 // speak tells whether two instances speak with each other; they greet where both ways are open and neither
 // stalls.
-func (w *World) speak(a, b *host) bool {
-	key := [2]int{min(a.life, b.life), max(a.life, b.life)}
+func (w *ConsensusGroup) exchange(a, b *host) bool {
+	key := [2]int{min(a.incarnation, b.incarnation), max(a.incarnation, b.incarnation)}
 	if ok, known := w.met[key]; known {
 		return ok
 	}
@@ -243,42 +243,42 @@
 		var reason string
 		w.do(p[0], func() (err error) {
 			to := uint64(0) // an id is known by being a member's
-			for _, m := range p[1].rep.Members() {
+			for _, m := range p[1].replica.Members() {
 				if m.ID == p[0].id {
 					to = m.ID
 				}
 			}
-			reason, err = p[0].rep.Handshake(p[1].rep.HelloTo(to))
+			reason, err = p[0].replica.Meet(p[1].replica.Hello(to))
 			return err
 		})
-		if p[0].rep == nil {
+		if p[0].replica == nil {
 			return false
 		}
 		if reason != "" {
 			ok = false
-			if consensus.BarsInstance(reason) {
-				w.say("host %d told by %d: %s", p[1].n, p[0].n, reason)
-				w.do(p[1], func() error { return p[1].rep.Bar(reason) })
-				if p[1].rep == nil {
+			if consensus.Ends(reason) {
+				w.tracef("host %d told by %d: %s", p[1].n, p[0].n, reason)
+				w.do(p[1], func() error { return p[1].replica.Bar(reason) })
+				if p[1].replica == nil {
 					return false
 				}
-				p[1].gone = p[1].gone || p[1].rep.Barred() != ""
+				p[1].gone = p[1].gone || p[1].replica.Barred() != ""
 			}
 		}
 	}
 	// An instance that waits is spoken with once it was taken in; the question is put again until then.
-	if ok || a.rep.Status().Cluster != "" && b.rep.Status().Cluster != "" {
+	if ok || a.replica.Status().Cluster != "" && b.replica.Status().Cluster != "" {
 		w.met[key] = ok
 	}
 	return ok
 }
 
 // do runs something at a host. A failure put there on purpose takes it down, any other breaks the run.
-func (w *World) do(h *host, f func() error) {
+func (w *ConsensusGroup) do(h *host, f func() error) {
 	defer func() {
 		if p := recover(); p != nil {
 			w.fail("host %d gave up: %v", h.n, p)
-			h.rep = nil
+			h.replica = nil
 		}
 	}()
 	h.disk.Hook = func(step, name string) (int, error) {
@@ -295,47 +295,47 @@
 			w.fail("host %d: %v", h.n, err)
 			return
 		}
-		w.down(h, 300+int64(w.net.Intn(1500)))
+		w.crashHost(h, 300+int64(w.net.Intn(1500)))
 	}
 }
 
 // down ends a host's instance, by the power or by a kill, and has it come up again later.
-func (w *World) down(h *host, ms int64) {
-	w.say("host %d down", h.n)
-	h.rep, h.left = nil, -1
+func (w *ConsensusGroup) crashHost(h *host, ms int64) {
+	w.tracef("host %d down", h.n)
+	h.replica, h.left = nil, -1
 	if w.net.Intn(3) == 0 {
 		h.disk = h.disk.Kill()
 	} else {
 		h.disk = h.disk.Crash(w.net.Intn)
 	}
-	life := h.life
+	life := h.incarnation
 	w.after(ms, func() {
-		if h.rep == nil && h.life == life {
-			w.up(h, false)
+		if h.replica == nil && h.incarnation == life {
+			w.startHost(h, false)
 		}
 	})
 }
 
-func (w *World) tick(h *host) {
+func (w *ConsensusGroup) tick(h *host) {
 	w.after(tickMS, func() { w.tick(h) })
-	if h.rep != nil && h.frozen <= w.now {
-		h.rep.Tick()
+	if h.replica != nil && h.frozen <= w.now {
+		h.replica.Tick()
 		w.work(h)
 	}
 }
 
 // work lets an instance do what it has ready, then looks at what came of it.
-func (w *World) work(h *host) {
-	if h.rep == nil || w.Broken != "" {
+func (w *ConsensusGroup) work(h *host) {
+	if h.replica == nil || w.Broken != "" {
 		return
 	}
-	var out consensus.WorkResult
-	life := h.life
+	var out consensus.Outcome
+	life := h.incarnation
 	w.do(h, func() (err error) {
-		out, err = h.rep.Work(func(ms []*pb.Message) { w.send(h, life, ms) })
+		out, err = h.replica.Work(func(ms []*pb.Message) { w.send(h, life, ms) })
 		return err
 	})
-	if h.rep == nil {
+	if h.replica == nil {
 		return
 	}
 	w.check(h)
@@ -348,20 +348,20 @@
 	for _, id := range out.Reads {
 		if c := h.reads[id]; c != nil {
 			delete(h.reads, id)
-			lines, first := h.rep.Versions()
-			w.answer(c, consensus.PutResult{Version: first + uint64(len(lines)) - 1})
+			lines, first := h.replica.Lines()
+			w.answer(c, consensus.Answer{Version: first + uint64(len(lines)) - 1})
 		}
 	}
 	w.do(h, func() error {
-		s, err := h.rep.SnapshotIfDue()
+		s, err := h.replica.Due()
 		if s == nil || err != nil {
 			return err
 		}
-		return h.rep.SnapshotWritten(s, s.Write())
+		return h.replica.Saved(s, s.Write())
 	})
 }
 
-func (w *World) send(h *host, life int, ms []*pb.Message) {
+func (w *ConsensusGroup) send(h *host, life int, ms []*pb.Message) {
 	for _, m := range ms {
 		raw, err := proto.Marshal(m)
 		if err != nil {
@@ -379,8 +379,8 @@
 		}
 		if snap {
 			w.after(2*w.slow, func() {
-				if h.rep != nil && h.life == life {
-					h.rep.ReportSnapshot(to, true)
+				if h.replica != nil && h.incarnation == life {
+					h.replica.Snapped(to, true)
 					w.work(h)
 				}
 			})
@@ -388,10 +388,10 @@
 	}
 }
 
-func (w *World) deliver(from *host, life int, to uint64, raw []byte) {
+func (w *ConsensusGroup) deliver(from *host, life int, to uint64, raw []byte) {
 	var h *host
 	for _, o := range w.hosts {
-		if o.id == to && o.rep != nil {
+		if o.id == to && o.replica != nil {
 			h = o
 		}
 	}
@@ -402,7 +402,7 @@
 		w.after(h.frozen-w.now, func() { w.deliver(from, life, to, raw) })
 		return
 	}
-	if from.life == life && from.rep != nil && !w.speak(from, h) || h.rep == nil {
+	if from.incarnation == life && from.replica != nil && !w.exchange(from, h) || h.replica == nil {
 		return
 	}
 	m := &pb.Message{}
@@ -410,17 +410,17 @@
 		w.fail("a message: %v", err)
 		return
 	}
-	w.do(h, func() error { h.rep.Step(m); return nil })
+	w.do(h, func() error { h.replica.Step(m); return nil })
 	w.work(h)
 }
 
 // leader gives the host whose instance leads in the latest term, nil if none does.
-func (w *World) leader() *host {
+func (w *ConsensusGroup) leader() *host {
 	var best *host
 	term := uint64(0)
 	for _, h := range w.hosts {
-		if h.rep != nil {
-			if s := h.rep.Status(); s.Role == "leader" && s.Term > term {
+		if h.replica != nil {
+			if s := h.replica.Status(); s.Role == "leader" && s.Term > term {
 				best, term = h, s.Term
 			}
 		}
@@ -430,10 +430,10 @@
 
 // operate is the operator: it takes in instances that wait, promotes them, and removes those that take no
 // part.
-func (w *World) operate() {
+func (w *ConsensusGroup) operate() {
 	w.after(200, w.operate)
 	for _, h := range w.hosts {
-		if h.rep != nil && h.rep.Barred() != "" {
+		if h.replica != nil && h.replica.Barred() != "" {
 			w.wipe(h)
 		}
 	}
@@ -441,14 +441,14 @@
 	if l == nil || l.frozen > w.now {
 		return
 	}
-	members := l.rep.Members()
+	members := l.replica.Members()
 	for _, m := range members {
 		for _, h := range w.hosts {
 			if h.id == m.ID && !h.gone {
 				goto next
 			}
 		}
-		l.rep.Change(consensus.Change{Op: "remove", Member: m})
+		l.replica.Change(consensus.Change{Op: "remove", Member: m})
 		w.work(l)
 		return
 	next:
@@ -457,10 +457,10 @@
 		return
 	}
 	for _, h := range w.hosts {
-		if h.rep == nil || h.rep.Status().Role != "waiting" {
+		if h.replica == nil || h.replica.Status().Role != "waiting" {
 			continue
 		}
-		l.rep.Change(consensus.Change{Op: "add", Member: consensus.Member{ID: h.id, Name: fmt.Sprintf("m%x", h.id),
+		l.replica.Change(consensus.Change{Op: "add", Member: consensus.Member{ID: h.id, Name: fmt.Sprintf("m%x", h.id),
 			Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h", h.n), Promote: true}})
 		w.work(l)
 		return
@@ -468,13 +468,13 @@
 }
 
 // voters counts the voters that are up and take part, as the leader has them.
-func (w *World) voters() int {
+func (w *ConsensusGroup) voters() int {
 	l := w.leader()
 	if l == nil {
 		return 0
 	}
 	n := 0
-	for _, m := range l.rep.Members() {
+	for _, m := range l.replica.Members() {
 		if m.Voter {
 			n++
 		}
@@ -483,44 +483,44 @@
 }
 
 // hold notes what a host's log holds on disk.
-func (w *World) hold(h *host) {
-	if h.rep == nil {
+func (w *ConsensusGroup) recordLog(h *host) {
+	if h.replica == nil {
 		return
 	}
-	first, last := h.rep.LogBounds()
+	first, last := h.replica.Span()
 	h.base = first - 1
 	from := first
 	if h.seen > from {
 		from = h.seen
 	}
 	for i := from; i <= last; i++ {
-		term, data := h.rep.EntryAt(i)
+		term, data := h.replica.TermOf(i)
 		h.held[i] = term
 		sum := crc32.ChecksumIEEE(data)
-		if was, ok := w.texts[spot{i, term}]; ok && was != sum {
+		if was, ok := w.texts[logPosition{i, term}]; ok && was != sum {
 			w.fail("log matching: entry %d of term %d has two contents", i, term)
 		}
-		w.texts[spot{i, term}] = sum
+		w.texts[logPosition{i, term}] = sum
 	}
 	for i := last + 1; h.held[i] > 0; i++ {
 		delete(h.held, i)
 	}
 }
 
-func (h *host) holds(s spot) bool { return s.index <= h.base || h.held[s.index] == s.term }
+func (h *host) holds(s logPosition) bool { return s.index <= h.base || h.held[s.index] == s.term }
 
 // check holds a host's state against all that was seen before.
-func (w *World) check(h *host) {
-	s := h.rep.Status()
-	w.hold(h)
+func (w *ConsensusGroup) check(h *host) {
+	s := h.replica.Status()
+	w.recordLog(h)
 	if s.Role == "leader" {
 		if who, ok := w.leaders[s.Term]; ok && who != h.id {
 			w.fail("two leaders in term %d: %x and %x", s.Term, who, h.id)
 		} else if !ok {
 			w.leaders[s.Term] = h.id
-			w.say("host %d leads term %d", h.n, s.Term)
-			for i := s.FirstIndex; i <= s.LastIndex || w.committed[i] > 0; i++ {
-				if term := w.committed[i]; w.during[i] < s.Term && term > 0 && !h.holds(spot{i, term}) {
+			w.tracef("host %d leads term %d", h.n, s.Term)
+			for i := s.First; i <= s.Last || w.committed[i] > 0; i++ {
+				if term := w.committed[i]; w.during[i] < s.Term && term > 0 && !h.holds(logPosition{i, term}) {
 					w.fail("leader completeness: host %d leads term %d without entry %d of term %d", h.n, s.Term, i,
 						term)
 				}
@@ -530,8 +530,8 @@
 	if s.Applied == h.seen {
 		return
 	}
-	for i := max(h.seen+1, s.FirstIndex); i <= min(s.Applied, s.LastIndex); i++ {
-		term, _ := h.rep.EntryAt(i)
+	for i := max(h.seen+1, s.First); i <= min(s.Applied, s.Last); i++ {
+		term, _ := h.replica.TermOf(i)
 		if was, ok := w.committed[i]; ok && was != term {
 			w.fail("state machine safety: entry %d was applied with term %d and with %d", i, was, term)
 		}
@@ -544,14 +544,14 @@
 	w.checkState(h, s)
 }
 
-func (w *World) checkState(h *host, s consensus.Status) {
-	lines, first := h.rep.Versions()
-	now, outgoing := h.rep.Voters()
+func (w *ConsensusGroup) checkState(h *host, s consensus.Status) {
+	lines, first := h.replica.Lines()
+	now, outgoing := h.replica.Voters()
 	last := ""
 	if len(lines) > 0 {
 		last = string(lines[len(lines)-1])
 	}
-	picture := fmt.Sprint(s.Version, last, h.rep.Members(), now, outgoing)
+	picture := fmt.Sprint(s.Version, last, h.replica.Members(), now, outgoing)
 	if was, ok := w.pictures[s.Applied]; ok && was != picture {
 		w.fail("two states after entry %d:\n%s\n%s", s.Applied, was, picture)
 	}
@@ -567,7 +567,7 @@
 			w.fail("version %d reads as %v (%v)", n, v, err)
 			return
 		}
-		if n > w.newest && !w.majority(spot{v.Index, v.Term}) {
+		if n > w.newest && !w.majority(logPosition{v.Index, v.Term}) {
 			w.fail("host %d applied version %d of entry %d, term %d, which no majority held", h.n, n, v.Index, v.Term)
 		}
 	}
@@ -579,7 +579,7 @@
 }
 
 // majority tells whether one of the latest sets of voters held an entry by more than half.
-func (w *World) majority(s spot) bool {
+func (w *ConsensusGroup) majority(s logPosition) bool {
 	for k := len(w.confs) - 1; k >= max(0, len(w.confs)-4); k-- {
 		n := 0
 		for _, id := range w.confs[k] {
@@ -595,7 +595,7 @@
 }
 
 // holds tells whether an instance holds an entry, or held it on a disk that was lost since.
-func (w *World) holds(id uint64, s spot) bool {
+func (w *ConsensusGroup) holds(id uint64, s logPosition) bool {
 	for _, h := range w.hosts {
 		if h.id == id && h.holds(s) {
 			return true
@@ -605,23 +605,23 @@
 }
 
 // lose notes what a disk held that is no more.
-func (w *World) lose(h *host) {
+func (w *ConsensusGroup) loseDisk(h *host) {
 	for i, term := range h.held {
 		if w.lost[h.id] == nil {
-			w.lost[h.id] = map[spot]bool{}
+			w.lost[h.id] = map[logPosition]bool{}
 		}
-		w.lost[h.id][spot{i, term}] = true
+		w.lost[h.id][logPosition{i, term}] = true
 	}
 }
 
 // converged tells whether all that take part have the same versions.
-func (w *World) converged() bool {
+func (w *ConsensusGroup) converged() bool {
 	var want []byte
 	for i, h := range w.members() {
-		if h.rep == nil {
+		if h.replica == nil {
 			return false
 		}
-		lines, first := h.rep.Versions()
+		lines, first := h.replica.Lines()
 		got := append([]byte(fmt.Sprint(first)), bytes.Join(lines, nil)...)
 		if i > 0 && !bytes.Equal(got, want) {
 			return false
@@ -631,13 +631,13 @@
 	return true
 }
 
-func (w *World) members() []*host {
+func (w *ConsensusGroup) members() []*host {
 	var out []*host
 	l := w.leader()
 	if l == nil {
 		return nil
 	}
-	for _, m := range l.rep.Members() {
+	for _, m := range l.replica.Members() {
 		for _, h := range w.hosts {
 			if h.id == m.ID && !h.gone {
 				out = append(out, h)
@@ -648,21 +648,21 @@
 }
 
 // quiet is raft's logger in a world.
-type quiet struct{}
-
-func (quiet) Debug(...any)            {}
-func (quiet) Debugf(string, ...any)   {}
-func (quiet) Error(...any)            {}
-func (quiet) Errorf(string, ...any)   {}
-func (quiet) Info(...any)             {}
-func (quiet) Infof(string, ...any)    {}
-func (quiet) Warning(...any)          {}
-func (quiet) Warningf(string, ...any) {}
-func (quiet) Fatal(v ...any)          { panic(strings.TrimSpace(fmt.Sprintln(v...))) }
-func (quiet) Fatalf(f string, v ...any) {
+type discardLogger struct{}
+
+func (discardLogger) Debug(...any)            {}
+func (discardLogger) Debugf(string, ...any)   {}
+func (discardLogger) Error(...any)            {}
+func (discardLogger) Errorf(string, ...any)   {}
+func (discardLogger) Info(...any)             {}
+func (discardLogger) Infof(string, ...any)    {}
+func (discardLogger) Warning(...any)          {}
+func (discardLogger) Warningf(string, ...any) {}
+func (discardLogger) Fatal(v ...any)          { panic(strings.TrimSpace(fmt.Sprintln(v...))) }
+func (discardLogger) Fatalf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
-func (quiet) Panic(v ...any)            { panic(strings.TrimSpace(fmt.Sprintln(v...))) }
-func (quiet) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (discardLogger) Panic(v ...any)            { panic(strings.TrimSpace(fmt.Sprintln(v...))) }
+func (discardLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
-var _ raft.Logger = quiet{}
+var _ raft.Logger = discardLogger{}
--- a/internal/harness/raft_test.go
+++ b/internal/simulation/consensus_schedules_test.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 	"umberwinch/internal/control/consensus"
 )
 
-const playMS = scheduleMS
+const playMS = ScheduleMilliseconds
 
 // TestSchedules plays drawn faults on groups of three and five: no promise breaks.
 func TestSchedules(t *testing.T) {
@@ -14,9 +14,9 @@
 		size := 3 + int(seed%2)*2
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			faults := Schedule(seed, size, playMS)
+			faults := DrawFaults(seed, size, playMS)
 			if r := Play(seed, size, faults, 0, nil); r.Broken != "" {
-				t.Fatalf("seed %d, %d instances: %s\n%s", seed, size, r.Broken, lines(Cut(seed, size, faults, 0, 30)))
+				t.Fatalf("seed %d, %d instances: %s\n%s", seed, size, r.Broken, FaultLines(Shrink(seed, size, faults, 0, 30)))
 			}
 		})
 	}
@@ -32,7 +32,7 @@
 				t.Fatal(err)
 			}
 			for seed := int64(1); seed <= 120; seed++ {
-				if r := Play(seed, 3, Schedule(seed, 3, playMS), g, nil); r.Broken != "" {
+				if r := Play(seed, 3, DrawFaults(seed, 3, playMS), g, nil); r.Broken != "" {
 					t.Logf("seed %d: %s", seed, r.Broken)
 					return
 				}
@@ -44,8 +44,8 @@
 
 // TestSameSeedSameRun: a seed is of no use otherwise.
 func TestSameSeedSameRun(t *testing.T) {
-	a := Play(3, 5, Schedule(3, 5, playMS), 0, nil)
-	if b := Play(3, 5, Schedule(3, 5, playMS), 0, nil); a != b {
+	a := Play(3, 5, DrawFaults(3, 5, playMS), 0, nil)
+	if b := Play(3, 5, DrawFaults(3, 5, playMS), 0, nil); a != b {
 		t.Fatalf("two runs of one seed: %+v and %+v", a, b)
 	}
 }
--- a/internal/harness/fleethistory.go
+++ b/internal/simulation/fleet_history.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 import (
 	"fmt"
--- a/internal/harness/vlost.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 import (
 	"fmt"
@@ -15,10 +15,10 @@
 // the real code. What was left of the old one may go on speaking to nodes, as a majority that was paused does.
 
 // vlost is a schedule's part in it.
-type vlost struct {
+type stateLoss struct {
 	group  string
 	ofHash map[string]string // texts
-	saves  []vsave
+	saves  []savedState
 	// decidedAs has the hash that each version was decided by last.
 	decidedAs map[uint64]string
 	said      map[string]bool // what was recorded of which text
@@ -35,7 +35,7 @@
 }
 
 // vsave is a copy of the group's folders.
-type vsave struct {
+type savedState struct {
 	raw           []byte
 	texts, hashes []string
 	index, term   uint64
@@ -47,12 +47,12 @@
 const saveEvery, saveMost = 700, 24
 
 // save copies the folders now and then.
-func (w *VFleet) save() {
+func (w *Fleet) save() {
 	w.after(saveEvery, w.save)
-	if w.gone || w.part.Fleet.LostState != "" {
+	if w.gone || w.state.Fleet.LostState != "" {
 		return
 	}
-	raw, err := w.part.Snapshot()
+	raw, err := w.state.Snapshot()
 	if err != nil {
 		w.fail("%v", err)
 		return
@@ -61,18 +61,18 @@
 	for n, s := range w.known {
 		known[n] = s
 	}
-	w.saves = append(w.saves, vsave{raw, append([]string(nil), w.texts...), append([]string(nil), w.hashes...), w.index, w.term, known,
+	w.saves = append(w.saves, savedState{raw, append([]string(nil), w.texts...), append([]string(nil), w.hashes...), w.index, w.term, known,
 		len(w.History)})
 	w.saves = w.saves[max(0, len(w.saves)-saveMost):]
 }
 
 // lose has all instances end, and what is left of their folders is an older copy, or nothing.
-func (w *VFleet) lose() {
-	if w.gone || w.part.Fleet.LostState != "" || len(w.saves) == 0 || w.part.Policy.CommittedVersion < 2 {
+func (w *Fleet) lose() {
+	if w.gone || w.state.Fleet.LostState != "" || len(w.saves) == 0 || w.state.Policy.CommittedVersion < 2 {
 		return
 	}
 	// What one node alone knows more is no proof, as it may lie: that is a limit of the design, and not played.
-	at := w.r.Intn(len(w.saves))
+	at := w.random.Intn(len(w.saves))
 	for ; at > 0 && w.knowMore(w.saves[at].index) == 1; at-- {
 	}
 	s := w.saves[at]
@@ -81,11 +81,11 @@
 	}
 	w.ends()
 	w.losses, w.Lost = w.losses+1, w.Lost+1
-	if w.r.Intn(3) == 0 {
-		w.after(500+w.r.Float64()*2000, func() { w.recover(w.r.Intn(2) == 0) })
+	if w.random.Intn(3) == 0 {
+		w.after(500+w.random.Float64()*2000, func() { w.recover(w.random.Intn(2) == 0) })
 		return
 	}
-	w.after(200+w.r.Float64()*3000, func() {
+	w.after(200+w.random.Float64()*3000, func() {
 		if err := w.putBack(s); err != nil {
 			w.fail("%v", err)
 			return
@@ -96,9 +96,9 @@
 }
 
 // knowMore counts the nodes that were told of entries after one.
-func (w *VFleet) knowMore(index uint64) (n int) {
+func (w *Fleet) knowMore(index uint64) (n int) {
 	for _, o := range w.nodes {
-		if o.m != nil && o.m.LastSeen().Group == w.group && o.m.LastSeen().Index > index {
+		if o.agent != nil && o.agent.LastSeen().Group == w.group && o.agent.LastSeen().Index > index {
 			n++
 		}
 	}
@@ -106,50 +106,50 @@
 }
 
 // notices has an operator restore a group that found that it lost state.
-func (w *VFleet) notices() {
-	if w.part.Fleet.LostState == "" || w.told {
+func (w *Fleet) notices() {
+	if w.state.Fleet.LostState == "" || w.told {
 		return
 	}
 	w.told = true
 	w.Found++
-	w.after(1000+w.r.Float64()*5000, func() { w.recover(w.r.Intn(4) > 0) })
+	w.after(1000+w.random.Float64()*5000, func() { w.recover(w.random.Intn(4) > 0) })
 }
 
 // ends has no instance run any more.
-func (w *VFleet) ends() {
-	w.gone, w.lead = true, -1
-	for _, c := range w.ctl {
+func (w *Fleet) ends() {
+	w.gone, w.leader = true, -1
+	for _, c := range w.control {
 		c.up = false
 	}
 }
 
 // begin starts all instances.
-func (w *VFleet) begin() {
-	for _, c := range w.ctl {
-		c.s, c.up, c.last = w.steward(), true, w.now*c.rate
+func (w *Fleet) begin() {
+	for _, c := range w.control {
+		c.s, c.up, c.last = w.currentLeader(), true, w.Now*c.rate
 	}
-	w.after(100+w.r.Float64()*900, w.elect)
+	w.after(100+w.random.Float64()*900, w.elect)
 }
 
 // putBack puts a copy of the folders in place of what they held.
-func (w *VFleet) putBack(s vsave) error {
+func (w *Fleet) putBack(s savedState) error {
 	p := coordinator.NewState(w.Without)
 	p.DisabledZoneGuards = w.WithoutZones
 	if err := p.Restore(s.raw); err != nil {
 		return err
 	}
 	w.forgets(p.Policy.DecidedVersion, s.events)
-	w.part, w.index, w.term, w.known = p, s.index, s.term, s.known
+	w.state, w.index, w.term, w.known = p, s.index, s.term, s.known
 	w.texts, w.hashes = append([]string(nil), s.texts...), append([]string(nil), s.hashes...)
 	return nil
 }
 
 // forgets takes what the group decided after a copy and told nobody off the history: nobody can know of it.
-func (w *VFleet) forgets(need uint64, events int) {
+func (w *Fleet) forgets(need uint64, events int) {
 	told := uint64(0)
 	for _, n := range w.nodes {
-		if n.m != nil {
-			told = max(told, n.m.MinVersion(), n.kept.MinVersion)
+		if n.agent != nil {
+			told = max(told, n.agent.MinVersion(), n.record.MinVersion)
 		}
 	}
 	kept := w.History[:min(events, len(w.History))]
@@ -163,40 +163,40 @@
 }
 
 // note keeps on a node's disk what its record has.
-func (n *vnode) note() {
-	t := n.m.LastSeen()
-	n.kept.MinVersion, n.kept.Cluster, n.kept.Generation, n.kept.Term, n.kept.Index = n.m.MinVersion(), n.m.Cluster(), t.Generation, t.Term, t.Index
-	n.kept.EntryChecksum, n.kept.ZoneOrder = t.EntryChecksum, n.m.StoredZoneOrder()
+func (n *node) note() {
+	t := n.agent.LastSeen()
+	n.record.MinVersion, n.record.Cluster, n.record.Generation, n.record.Term, n.record.Index = n.agent.MinVersion(), n.agent.Cluster(), t.Generation, t.Term, t.Index
+	n.record.EntryChecksum, n.record.ZoneOrder = t.EntryChecksum, n.agent.StoredZoneOrder()
 }
 
 // believes gives a node an answer, and holds it to its generation.
-func (n *vnode) believes(no uint64, t api.HeartbeatResponse) bool {
-	was := n.m.LastSeen().Generation
-	if n.m.HandleResponse(n.clock(), no, t) != nil {
+func (n *node) believes(no uint64, t api.HeartbeatResponse) bool {
+	was := n.agent.LastSeen().Generation
+	if n.agent.HandleResponse(n.clock(), no, t) != nil {
 		return false
 	}
-	if now := n.m.LastSeen().Generation; now < was || t.Cluster != "" && max(1, t.Generation) < was {
-		n.w.fail("%s follows generation %d, and knew of %d", n.name, t.Generation, was)
+	if now := n.agent.LastSeen().Generation; now < was || t.Cluster != "" && max(1, t.Generation) < was {
+		n.fleet.fail("%s follows generation %d, and knew of %d", n.name, t.Generation, was)
 	}
 	return true
 }
 
 // ghost is a leader of a generation before, paused meanwhile, that answers nodes at one of the addresses as if nothing was.
-func (w *VFleet) ghost(n *vnode, to int, a *api.HeartbeatRequest) (t api.HeartbeatResponse, speaks bool) {
-	if len(w.old) == 0 || w.Calm || to != 0 || w.r.Intn(4) != 0 {
+func (w *Fleet) ghost(n *node, to int, a *api.HeartbeatRequest) (t api.HeartbeatResponse, speaks bool) {
+	if len(w.old) == 0 || w.Calm || to != 0 || w.random.Intn(4) != 0 {
 		return t, false
 	}
-	t = w.old[w.r.Intn(len(w.old))]
-	if t.Generation >= n.m.LastSeen().Generation { // who has not heard the later one may follow it: that is what old leases are waited for
+	t = w.old[w.random.Intn(len(w.old))]
+	if t.Generation >= n.agent.LastSeen().Generation { // who has not heard the later one may follow it: that is what old leases are waited for
 		return t, false
 	}
-	t.LeaseID, t.LeaseMS, t.Index = a.LeaseID, uint64(w.Lease), t.Index+uint64(w.r.Intn(5000))
+	t.LeaseID, t.LeaseMS, t.Index = a.LeaseID, uint64(w.Lease), t.Index+uint64(w.random.Intn(5000))
 	return t, true
 }
 
 // recover founds the next generation from what nodes tell within some seconds, and from the folders as they are, if they
 // are at hand.
-func (w *VFleet) recover(folders bool) {
+func (w *Fleet) recover(folders bool) {
 	w.ends()
 	w.gathers, w.heard = true, map[string]api.NodeRecord{}
 	w.after(7000, func() {
@@ -211,8 +211,8 @@
 		p := coordinator.NewState(w.Without)
 		p.DisabledZoneGuards = w.WithoutZones
 		if folders {
-			p = w.part
-			base = &recovery.StoredGroup{GroupIdentity: api.GroupIdentity{Group: w.group, Generation: p.Generation, Predecessors: p.Predecessors}, LastVersion: w.Last(), DecidedVersion: p.Policy.DecidedVersion,
+			p = w.state
+			base = &recovery.StoredGroup{GroupIdentity: recovery.GroupIdentity{Group: w.group, Generation: p.Generation, Predecessors: p.Predecessors}, LastVersion: w.Last(), DecidedVersion: p.Policy.DecidedVersion,
 				CommittedVersion: p.Policy.CommittedVersion, Index: p.Index, ZoneEpoch: p.Zones.Epoch, TextOf: w.Text, LeaseMS: p.Policy.ActiveRules().LeaseMS}
 			for _, n := range p.Fleet.Nodes() {
 				if n.OutReason == "" {
@@ -234,9 +234,9 @@
 }
 
 // found makes what was found the first state of the next generation.
-func (w *VFleet) found(p *coordinator.State, found *recovery.RestorePlan, folders bool) {
-	w.old = append(w.old, api.HeartbeatResponse{Cluster: w.group, Generation: max(1, found.Lost.Generation), Predecessors: w.part.Predecessors, Term: w.term + 1, Index: w.index,
-		DecidedVersion: w.part.Policy.DecidedVersion, CommittedVersion: api.VersionHash{Version: w.part.Policy.CommittedVersion, Hash: w.part.Policy.CommittedHash}, ClockMS: w.part.Fleet.ClockMS})
+func (w *Fleet) found(p *coordinator.State, found *recovery.RestorePlan, folders bool) {
+	w.old = append(w.old, api.HeartbeatResponse{Cluster: w.group, Generation: max(1, found.Lost.Generation), Predecessors: w.state.Predecessors, Term: w.term + 1, Index: w.index,
+		DecidedVersion: w.state.Policy.DecidedVersion, CommittedVersion: api.VersionHash{Version: w.state.Policy.CommittedVersion, Hash: w.state.Policy.CommittedHash}, ClockMS: w.state.Fleet.ClockMS})
 	if !folders {
 		w.texts, w.hashes, w.index, w.term = nil, nil, 1, 1
 	}
@@ -254,7 +254,7 @@
 		w.fail("%v", err)
 		return
 	}
-	w.part, w.began = p, p.Zones.Epoch
+	w.state, w.began = p, p.Zones.Epoch
 	w.group = fmt.Sprintf("g%d-%d", p.Generation, w.losses)
 	w.known = map[uint64]policy.Step{}
 	for _, c := range p.Policy.History {
@@ -267,7 +267,7 @@
 }
 
 // outcome records what a restoring decided: the version in force, if it was not before.
-func (w *VFleet) outcome(found *recovery.RestorePlan) {
+func (w *Fleet) outcome(found *recovery.RestorePlan) {
 	for _, e := range w.History {
 		if e.Kind == "decided" && e.Version == found.Version {
 			return
@@ -280,18 +280,18 @@
 }
 
 // hears has whoever restores the group hear what a node holds.
-func (w *VFleet) hears(n *vnode) {
+func (w *Fleet) hears(n *node) {
 	if !n.up || n.cut {
 		return
 	}
 	n.note()
-	r := n.kept
-	k := api.NodeRecord{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Group: r.Cluster, Generation: max(1, r.Generation), Term: r.Term,
-		Index: r.Index, ActiveVersion: n.m.ActiveVersion(), MinVersion: r.MinVersion, LeaseMS: n.m.LeaseDuration()}
+	r := n.record
+	k := recovery.NodeRecord{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Group: r.Cluster, Generation: max(1, r.Generation), Term: r.Term,
+		Index: r.Index, ActiveVersion: n.agent.ActiveVersion(), MinVersion: r.MinVersion, LeaseMS: n.agent.LeaseDuration()}
 	if k.ActiveVersion > 0 {
 		k.ActiveHash, k.ActiveText = r.ActiveHash, w.ofHash[r.ActiveHash]
 	}
-	if v := n.at.Version; v > k.ActiveVersion && n.m.IsPrepared(v) {
+	if v := n.at.Version; v > k.ActiveVersion && n.agent.IsPrepared(v) {
 		k.PreparedVersion, k.PreparedHash, k.PreparedText = v, n.at.Hash, w.ofHash[n.at.Hash]
 	}
 	if z := r.ZoneOrder; z != nil {
@@ -302,40 +302,40 @@
 
 // outdated holds every node that serves to the group's generation and epoch: nobody acts on a generation before the present
 // one once an epoch of this one has settled, nor on an older epoch of it.
-func (w *VFleet) outdated() {
+func (w *Fleet) outdated() {
 	w.after(50, w.outdated)
-	if w.gone || w.part.Fleet.LostState != "" || w.part.Zones.SettledEpoch <= w.began {
+	if w.gone || w.state.Fleet.LostState != "" || w.state.Zones.SettledEpoch <= w.began {
 		return
 	}
 	for _, n := range w.nodes {
 		if !n.up || n.paused || !n.serves {
 			continue
 		}
-		if ok, _ := n.m.MayServe(n.clock()); !ok {
+		if ok, _ := n.agent.MayServe(n.clock()); !ok {
 			continue
 		}
-		o, gen := n.m.ZoneOrder(), n.m.LastSeen().Generation
+		o, gen := n.agent.ZoneOrder(), n.agent.LastSeen().Generation
 		switch {
-		case gen < w.part.Generation:
-			w.fail("%s serves by generation %d, and epoch %d of %d has settled", n.name, gen, w.part.Zones.SettledEpoch, w.part.Generation)
-		case gen == w.part.Generation && o != nil && n.m.StoredZoneOrder().Epoch == o.Epoch && o.Epoch < w.part.Zones.SettledEpoch:
-			w.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, w.part.Zones.SettledEpoch)
+		case gen < w.state.Generation:
+			w.fail("%s serves by generation %d, and epoch %d of %d has settled", n.name, gen, w.state.Zones.SettledEpoch, w.state.Generation)
+		case gen == w.state.Generation && o != nil && n.agent.StoredZoneOrder().Epoch == o.Epoch && o.Epoch < w.state.Zones.SettledEpoch:
+			w.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, w.state.Zones.SettledEpoch)
 		}
 	}
 }
 
 // drill has an operator leave and return a zone now and then, so that there are epochs to be stale about.
-func (w *VFleet) drill() {
-	w.after(1500+w.r.Float64()*3000, w.drill)
-	if w.lead < 0 || !w.ctl[w.lead].up || w.part.Fleet.LostState != "" {
+func (w *Fleet) drill() {
+	w.after(1500+w.random.Float64()*3000, w.drill)
+	if w.leader < 0 || !w.control[w.leader].up || w.state.Fleet.LostState != "" {
 		return
 	}
-	zone := fmt.Sprint("z", w.r.Intn(w.Zones))
-	op := zones.Op{Kind: zones.OpEvacuate, Zone: zone, Operator: "lab", Reason: "a drill", IdempotencyKey: fmt.Sprintf("drill-%08.0f", w.now)}
-	if step, _ := w.part.Zones.PhaseOf(zone); step != zones.InService {
-		op.Kind, op.Share = "step", 1+w.r.Intn(api.FullShare)
+	zone := fmt.Sprint("z", w.random.Intn(w.Zones))
+	op := zones.Op{Kind: zones.OpEvacuate, Zone: zone, Operator: "lab", Reason: "a drill", IdempotencyKey: fmt.Sprintf("drill-%08.0f", w.Now)}
+	if step, _ := w.state.Zones.PhaseOf(zone); step != zones.InService {
+		op.Kind, op.Share = "step", 1+w.random.Intn(api.FullShare)
 	}
-	w.ctl[w.lead].s.SubmitZone(w.part, op, func(zones.Result, error) {})
+	w.control[w.leader].s.SubmitZone(w.state, op, func(zones.Result, error) {})
 }
 
 // DrawLost draws a schedule in which a group loses state.
--- a/internal/harness/vlost_test.go
+++ b/internal/simulation/fleet_state_loss_test.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 import (
 	"context"
@@ -18,11 +18,11 @@
 		n, _ = strconv.Atoi(s)
 	}
 	lost, found, restored, bad := 0, 0, 0, 0
-	report.EachSeed(context.Background(), 1, n, func(seed int64) *VFleet {
-		w := NewVFleet(DrawLost(seed, 0))
+	report.EachSeed(context.Background(), 1, n, func(seed int64) *Fleet {
+		w := NewFleet(DrawLost(seed, 0))
 		w.Play()
 		return w
-	}, func(seed int64, w *VFleet) bool {
+	}, func(seed int64, w *Fleet) bool {
 		if lost, found, restored = lost+w.Lost, found+w.Found, restored+w.Restored; w.Broken != "" {
 			t.Errorf("seed %d, %d losses, %d restorings: %s", seed, w.Lost, w.Restored, w.Broken)
 			bad++
@@ -40,7 +40,7 @@
 	for _, g := range []policy.Guard{policy.Generation, policy.Proof, policy.ListenFirst} {
 		broken := ""
 		for seed := int64(1); seed <= 100 && broken == ""; seed++ {
-			w := NewVFleet(DrawLost(seed, g))
+			w := NewFleet(DrawLost(seed, g))
 			w.Play()
 			broken = w.Broken
 		}
--- a/internal/harness/vfleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 import (
 	"fmt"
@@ -17,7 +17,7 @@
 	}
 	ends := map[policy.Step]int{}
 	for seed := 1; seed <= n; seed++ {
-		w := NewVFleet(FleetPlan{Seed: int64(seed), Nodes: 12, Ctl: 3, Changes: 5})
+		w := NewFleet(FleetPlan{Seed: int64(seed), Nodes: 12, Ctl: 3, Changes: 5})
 		w.Play()
 		if w.Broken != "" {
 			t.Fatalf("seed %d: %s", seed, w.Broken)
@@ -41,7 +41,7 @@
 		}
 		broken := ""
 		for seed := int64(1); seed <= 500 && broken == ""; seed++ {
-			w := NewVFleet(FleetPlan{Seed: seed, Nodes: 12, Ctl: 3, Changes: 5, Without: g})
+			w := NewFleet(FleetPlan{Seed: seed, Nodes: 12, Ctl: 3, Changes: 5, Without: g})
 			w.Play()
 			broken = w.Broken
 		}
--- a/internal/harness/pools.go
+++ b/internal/simulation/pool_scenarios.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 import (
 	"context"
@@ -58,34 +58,34 @@
 //
 // share is the class's part of all reqs. cheapest names the class whose promise is checked, dearest the one
 // that must not lose by pools.
-type scenario struct {
+type Scenario struct {
 	name              string
-	cores, tenants    int
-	span              vt
+	Cores, Tenants    int
+	span              virtualTime
 	load              float64
-	classes           []vclass
+	Classes           []Class
 	shares            []float64
-	at                []change
-	cheapest, dearest int
-	holds             []hold
+	at                []scenarioChange
+	Cheapest, Dearest int
+	holds             []serviceTarget
 	exempt            bool // the promise on the cheapest class does not hold here, as the file says why
 }
 
 // hold is a share of a class's reqs that has to be done in time with pools.
-type hold struct {
+type serviceTarget struct {
 	class int
 	share float64
 }
 
-type change struct {
-	at    vt
+type scenarioChange struct {
+	at    virtualTime
 	class int // -1 for the server
 	words map[string]float64
 	kind  string
 }
 
-func readScenario(name, text string) (*scenario, error) {
-	s := &scenario{name: name, cores: 6, tenants: 4, span: 120 * second, load: 1, cheapest: -1, dearest: -1}
+func ReadScenario(name, text string) (*Scenario, error) {
+	s := &Scenario{name: name, Cores: 6, Tenants: 4, span: 120 * second, load: 1, Cheapest: -1, Dearest: -1}
 	for n, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
 		if w := strings.Fields(line); len(w) > 0 {
@@ -94,23 +94,23 @@
 			}
 		}
 	}
-	if len(s.classes) == 0 || s.cheapest < 0 || s.dearest < 0 {
-		return nil, fmt.Errorf("%s: %d classes, expected some, a cheapest and a dearest", name, len(s.classes))
+	if len(s.Classes) == 0 || s.Cheapest < 0 || s.Dearest < 0 {
+		return nil, fmt.Errorf("%s: %d classes, expected some, a cheapest and a dearest", name, len(s.Classes))
 	}
 	sort.SliceStable(s.at, func(i, k int) bool { return s.at[i].at < s.at[k].at })
 	return s, nil
 }
 
-func (s *scenario) class(name string) (int, error) {
-	for k := range s.classes {
-		if s.classes[k].name == name {
+func (s *Scenario) class(name string) (int, error) {
+	for k := range s.Classes {
+		if s.Classes[k].Name == name {
 			return k, nil
 		}
 	}
 	return 0, fmt.Errorf("class %q, expected one named before", name)
 }
 
-func (s *scenario) line(w []string) (err error) {
+func (s *Scenario) line(w []string) (err error) {
 	number := func(i int) float64 {
 		if i >= len(w) {
 			err = errors.New("a number is missing")
@@ -136,11 +136,11 @@
 	}
 	switch w[0] {
 	case "cores":
-		s.cores = int(number(1))
+		s.Cores = int(number(1))
 	case "tenants":
-		s.tenants = int(number(1))
+		s.Tenants = int(number(1))
 	case "for":
-		s.span = vt(number(1) * float64(second))
+		s.span = virtualTime(number(1) * float64(second))
 	case "load":
 		s.load = number(1)
 	case "exempt":
@@ -154,13 +154,13 @@
 			return bad
 		}
 		if w[0] == "cheapest" {
-			s.cheapest = k
+			s.Cheapest = k
 		} else {
-			s.dearest = k
+			s.Dearest = k
 		}
 	case "holds":
 		k, bad := s.class(w[1])
-		s.holds = append(s.holds, hold{k, number(2)})
+		s.holds = append(s.holds, serviceTarget{k, number(2)})
 		return errors.Join(err, bad)
 	case "class":
 		p := pairs(2)
@@ -170,24 +170,24 @@
 			}
 			return def
 		}
-		s.classes = append(s.classes, vclass{name: w[1], work: get("work", 10) * 10, tail: get("tail", 0),
+		s.Classes = append(s.Classes, Class{Name: w[1], Work: get("work", 10) * 10, WorkSigma: get("tail", 0),
 			surge: -1,
-			tries: int(get("tries", 2)), handler: admission.Handler{LatencyObjective: vt(get("target", 1000) * 10),
-				Timeout: vt(get("timeout", 5000) * 10), Value: get("value", 1)}})
+			tries: int(get("tries", 2)), Handler: admission.Handler{LatencyObjective: virtualTime(get("target", 1000) * 10),
+				Timeout: virtualTime(get("timeout", 5000) * 10), Value: get("value", 1)}})
 		s.shares = append(s.shares, get("share", 1))
 	case "swing":
 		for at, k := 0.0, 0; at < float64(s.span)/float64(second); at, k = at+number(1), k+1 {
 			if err != nil || number(1) <= 0 {
 				return errors.Join(err, errors.New("a swing takes a time above 0"))
 			}
-			s.at = append(s.at, change{at: vt(at * float64(second)), class: -1, kind: "load",
+			s.at = append(s.at, scenarioChange{at: virtualTime(at * float64(second)), class: -1, kind: "load",
 				words: map[string]float64{"load": number(2 + k%2)}})
 		}
 	case "at":
 		if len(w) < 4 {
 			return errors.New("expected at SECONDS WHAT VALUE")
 		}
-		c := change{at: vt(number(1) * float64(second)), class: -1, kind: w[2]}
+		c := scenarioChange{at: virtualTime(number(1) * float64(second)), class: -1, kind: w[2]}
 		switch w[2] {
 		case "load", "cores", "drain":
 			c.words = map[string]float64{w[2]: number(3)}
@@ -206,49 +206,49 @@
 }
 
 // rates gives each class its reqs a second so that all together offer a share of capacity.
-func (s *scenario) rates(load float64) []float64 {
+func (s *Scenario) Rates(load float64) []float64 {
 	work := 0.0
-	for k := range s.classes {
-		work += s.shares[k] * s.classes[k].work / float64(second)
+	for k := range s.Classes {
+		work += s.shares[k] * s.Classes[k].Work / float64(second)
 	}
-	out := make([]float64, len(s.classes))
+	out := make([]float64, len(s.Classes))
 	for k := range out {
-		out[k] = load * float64(s.cores) / work * s.shares[k]
+		out[k] = load * float64(s.Cores) / work * s.shares[k]
 	}
 	return out
 }
 
 // way makes the decider of one way.
-func (s *scenario) way(way, without string) (decider, *pools.Pools) {
+func (s *Scenario) way(way, without string) (decider, *pools.Pools) {
 	if way == "plain" {
-		return &plain{slots: 2 * s.cores}, nil
+		return &plainQueue{slots: 2 * s.Cores}, nil
 	}
-	d := &admission.Deployment{Start: second, FleetSize: 1, Callers: 8, RoundInterval: 10, OverQuotaWeight: 0.05, Cores: s.cores,
+	d := &admission.Deployment{Start: second, FleetSize: 1, Callers: 8, RoundInterval: 10, OverQuotaWeight: 0.05, Cores: s.Cores,
 		MaxRunsPerCore: 5,
 		MemoryKB:       1 << 20, RunMemoryFactor: 2, TableEntryKB: 1, Cancellation: admission.CancelNever, DrainGrace: second, MaxRetryAfter: 5 * second,
 		IdleTimeout: 30 * second}
-	p := pools.Plan{Reserve: way == "pools" && without != "reserve", Tenants: s.tenants}
+	p := pools.Plan{Reserve: way == "pools" && without != "reserve", Tenants: s.Tenants}
 	total := 0.0
-	for k := range s.classes {
-		total += s.shares[k] * s.classes[k].work
+	for k := range s.Classes {
+		total += s.shares[k] * s.Classes[k].Work
 	}
-	for k := range s.classes {
-		c := &s.classes[k]
-		d.Handlers = append(d.Handlers, c.handler)
-		one := pools.Class{Name: c.name, Value: c.handler.Value}
+	for k := range s.Classes {
+		c := &s.Classes[k]
+		d.Handlers = append(d.Handlers, c.Handler)
+		one := pools.Class{Name: c.Name, Value: c.Handler.Value}
 		if way == "fixed" { // what an operator would set from a calm day's shares, with room for half as much again
-			one.MaxFraction, one.FixedLimit = min(1, max(0.1, 1.5*s.shares[k]*c.work/total)), true
+			one.MaxFraction, one.FixedLimit = min(1, max(0.1, 1.5*s.shares[k]*c.Work/total)), true
 		} else if without == "limits" {
 			one.MaxFraction, one.FixedLimit = 1, true
 		}
 		p.Classes = append(p.Classes, one)
 	}
-	for i := 0; i < s.tenants; i++ {
+	for i := 0; i < s.Tenants; i++ {
 		rate := 0.0
-		for _, r := range s.rates(1) {
+		for _, r := range s.Rates(1) {
 			rate += r
 		}
-		d.Tenants = append(d.Tenants, admission.Tenant{Quota: rate / float64(s.tenants)})
+		d.Tenants = append(d.Tenants, admission.Tenant{Quota: rate / float64(s.Tenants)})
 	}
 	if way == "off" {
 		return admission.New(d), nil
@@ -268,8 +268,8 @@
 }
 
 // play runs a scenario's servers one after the other, each from a seed of its own.
-func (s *scenario) play(seed int64, size int, way, without string) *outcome {
-	all := &outcome{out: make([]tallies, len(s.classes))}
+func (s *Scenario) play(seed int64, size int, way, without string) *outcome {
+	all := &outcome{out: make([]tallies, len(s.Classes))}
 	for k := range all.out {
 		all.out[k].times = hdrhistogram.New(1, 10_000_000, 2)
 		all.out[k].served, all.out[k].came = make([]int, s.span/second+2), make([]int, s.span/second+2)
@@ -281,14 +281,14 @@
 	return all
 }
 
-func (s *scenario) one(all *outcome, seed int64, d decider, p *pools.Pools, watch bool) {
+func (s *Scenario) one(all *outcome, seed int64, d decider, p *pools.Pools, watch bool) {
 	load := s.load
-	rates := s.rates(load)
-	classes := append([]vclass{}, s.classes...)
+	rates := s.Rates(load)
+	classes := append([]Class{}, s.Classes...)
 	for k := range classes {
-		classes[k].rate = rates[k]
+		classes[k].Rate = rates[k]
 	}
-	v := newServer(seed, d, s.cores, classes, s.tenants, s.span+second)
+	v := newEmulatedServer(seed, d, s.Cores, classes, s.Tenants, s.span+second)
 	times, works := make([]float64, len(classes)), make([]float64, len(classes))
 	for k := range times {
 		times[k], works[k] = 1, 1
@@ -299,14 +299,14 @@
 			s.apply(v, s.at[next], &load, times, works)
 			next++
 		}
-		rates = s.rates(load)
+		rates = s.Rates(load)
 		for k := range v.classes {
-			v.classes[k].rate = rates[k] * times[k]
-			v.classes[k].work = s.classes[k].work * works[k]
+			v.classes[k].Rate = rates[k] * times[k]
+			v.classes[k].Work = s.Classes[k].Work * works[k]
 		}
 		if v.drained {
 			for k := range v.classes {
-				v.classes[k].rate = 0
+				v.classes[k].Rate = 0
 			}
 		}
 		v.until(now + second)
@@ -328,7 +328,7 @@
 		a.fair, a.fairInTime = a.fair+b.fair, a.fairInTime+b.fairInTime
 		a.shed, a.errored = a.shed+b.shed, a.errored+b.errored
 		a.times.Merge(b.times)
-		all.value += float64(b.inTime) * s.classes[k].handler.Value
+		all.value += float64(b.inTime) * s.Classes[k].Handler.Value
 		for i := range a.served {
 			a.served[i] += b.served[i]
 			a.came[i] += b.came[i]
@@ -340,7 +340,7 @@
 	all.most = max(all.most, v.most)
 }
 
-func (s *scenario) apply(v *emulatedServer, c change, load *float64, times, works []float64) {
+func (s *Scenario) apply(v *server, c scenarioChange, load *float64, times, works []float64) {
 	if c.class < 0 {
 		switch c.kind {
 		case "load":
@@ -349,7 +349,7 @@
 			v.cores = c.words["cores"]
 		case "drain":
 			v.drained = true
-			v.round(&admission.Round{Drain: true, KillAt: v.now + vt(c.words["drain"]*float64(second))})
+			v.round(&admission.Round{Drain: true, KillAt: v.now + virtualTime(c.words["drain"]*float64(second))})
 		}
 		return
 	}
@@ -365,9 +365,9 @@
 		case "work":
 			works[c.class] = x
 		case "heavy":
-			k.heavy = x
+			k.HeavyShare = x
 		case "times":
-			k.times = x
+			k.HeavyFactor = x
 		case "hangs":
 			k.hangs = x
 		case "surge":
@@ -394,7 +394,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var all []*scenario
+	var all []*Scenario
 	for _, f := range files {
 		raw, err := scenarioFiles.ReadFile("scenarios/" + f.Name())
 		if err != nil {
@@ -404,7 +404,7 @@
 		if r.Only != "" && name != r.Only {
 			continue
 		}
-		s, err := readScenario(name, string(raw))
+		s, err := ReadScenario(name, string(raw))
 		if err != nil {
 			return nil, err
 		}
@@ -423,8 +423,8 @@
 	least, reqs := 1.0, 0
 	for i, s := range all {
 		o := done[i]
-		for k := range s.classes {
-			row := []string{s.name, s.classes[k].name, strconv.Itoa(o["pools"].out[k].asked)}
+		for k := range s.Classes {
+			row := []string{s.name, s.Classes[k].Name, strconv.Itoa(o["pools"].out[k].asked)}
 			for _, way := range poolWays {
 				row = append(row, fmt.Sprintf("%.3f", o[way].out[k].good()))
 				reqs += o[way].out[k].asked
@@ -435,7 +435,7 @@
 		rep.Rows = append(rep.Rows, []string{"", "value", "", fmt.Sprintf("%.0f", o["pools"].value),
 			fmt.Sprintf("%.0f", o["off"].value), fmt.Sprintf("%.0f", o["fixed"].value),
 			fmt.Sprintf("%.0f", o["plain"].value), fmt.Sprintf("%.1f runs a core", o["pools"].most), ""})
-		r.judge(rep, s, o, &least)
+		r.check(rep, s, o, &least)
 		rep.Plots = append(rep.Plots, limitPlot(s, o["pools"]), servedPlot(s, o))
 	}
 	rep.Add("scenarios", "%d", len(all))
@@ -445,7 +445,7 @@
 	return rep.End(r.Out, w)
 }
 
-func (r *Pools) playAll(ctx context.Context, all []*scenario, size int) []map[string]*outcome {
+func (r *Pools) playAll(ctx context.Context, all []*Scenario, size int) []map[string]*outcome {
 	done := make([]map[string]*outcome, len(all))
 	for i := range done {
 		done[i] = map[string]*outcome{}
@@ -474,22 +474,22 @@
 }
 
 // judge holds one scenario to the promises.
-func (r *Pools) judge(rep *report.Report, s *scenario, o map[string]*outcome, least *float64) {
+func (r *Pools) check(rep *report.Report, s *Scenario, o map[string]*outcome, least *float64) {
 	with, off := o["pools"], o["off"]
-	cheap := &with.out[s.cheapest]
+	cheap := &with.out[s.Cheapest]
 	good := float64(cheap.fairInTime) / float64(max(1, cheap.fair)) // of tenants within their share
 	if !s.exempt {
 		*least = min(*least, good)
 		if good < cheapServed {
-			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, good, s.classes[s.cheapest].name, cheapServed)
+			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, good, s.Classes[s.Cheapest].Name, cheapServed)
 		}
 	}
-	if a, b := with.out[s.dearest].good(), off.out[s.dearest].good(); a < b-keepsServing {
-		rep.Break("%s: %.3f of %s in time with pools, %.3f without", s.name, a, s.classes[s.dearest].name, b)
+	if a, b := with.out[s.Dearest].good(), off.out[s.Dearest].good(); a < b-keepsServing {
+		rep.Break("%s: %.3f of %s in time with pools, %.3f without", s.name, a, s.Classes[s.Dearest].Name, b)
 	}
 	for _, h := range s.holds {
 		if got := with.out[h.class].good(); got < h.share {
-			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, got, s.classes[h.class].name, h.share)
+			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, got, s.Classes[h.class].Name, h.share)
 		}
 	}
 	if with.most > 5 { // what the emulated cores survive; the module keeps a fifth off it
@@ -497,10 +497,10 @@
 	}
 }
 
-func limitPlot(s *scenario, o *outcome) report.Plot {
+func limitPlot(s *Scenario, o *outcome) report.Plot {
 	p := report.Plot{Title: s.name + ": limits at one server (30: none)", X: "s", Y: "run slots"}
-	for k := range s.classes {
-		l := report.Line{Name: s.classes[k].name}
+	for k := range s.Classes {
+		l := report.Line{Name: s.Classes[k].Name}
 		for i, row := range o.limits {
 			l.Points = append(l.Points, [2]float64{float64(i), row[k]})
 		}
@@ -509,11 +509,11 @@
 	return p
 }
 
-func servedPlot(s *scenario, o map[string]*outcome) report.Plot {
-	p := report.Plot{Title: s.name + ": " + s.classes[s.cheapest].name + " done in time", X: "s", Y: "share"}
+func servedPlot(s *Scenario, o map[string]*outcome) report.Plot {
+	p := report.Plot{Title: s.name + ": " + s.Classes[s.Cheapest].Name + " done in time", X: "s", Y: "share"}
 	for _, way := range poolWays {
 		l := report.Line{Name: way}
-		t := &o[way].out[s.cheapest]
+		t := &o[way].out[s.Cheapest]
 		for i := 5; i+5 < len(t.came); i += 5 {
 			came, served := 0, 0
 			for k := i; k < i+5; k++ {
--- a/internal/harness/pools_test.go
+++ b/internal/simulation/pool_scenarios_test.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 import (
 	"bytes"
@@ -38,7 +38,7 @@
 		{"class a\n", "s: 1 classes, expected some, a cheapest and a dearest"},
 		{"swing 0 1 2\n", "s:1: a swing takes a time above 0"},
 	} {
-		if _, err := readScenario("s", c.text); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := ReadScenario("s", c.text); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v, expected %q", c.text, err, c.want)
 		}
 	}
--- a/internal/harness/emulated.go
+++ b/internal/simulation/server.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 import (
 	"container/heap"
@@ -14,7 +14,7 @@
 // are answered, and a decider between them, the module or a baseline. It goes from event to event, so an hour
 // takes about a second for each server's dozen reqs a second.
 
-type vt = admission.Time
+type virtualTime = admission.Time
 
 const second = admission.Second
 
@@ -24,19 +24,19 @@
 }
 
 // vclass is what one class's reqs are like at the moment.
-type vclass struct {
-	name     string
-	handler  admission.Handler
-	work     float64 // tenths of a ms in the mean
-	tail     float64 // sigma of a log-normal spread, 0 for none
-	rate     float64 // reqs a second at a server
-	heavy    float64 // share of reqs at times the work
-	times    float64
-	hangs    float64 // share of runs that never end
-	surge    int     // tenant that asks more, -1 for none
-	surgeBy  float64
-	tries    int // further tries after a shed
-	arrivals vt  // when the next one comes
+type Class struct {
+	Name        string
+	Handler     admission.Handler
+	Work        float64 // tenths of a ms in the mean
+	WorkSigma   float64 // sigma of a log-normal spread, 0 for none
+	Rate        float64 // reqs a second at a server
+	HeavyShare  float64 // share of reqs at times the work
+	HeavyFactor float64
+	hangs       float64 // share of runs that never end
+	surge       int     // tenant that asks more, -1 for none
+	surgeBy     float64
+	tries       int         // further tries after a shed
+	arrivals    virtualTime // when the next one comes
 }
 
 // tallies are what became of a class's first tries.
@@ -48,52 +48,52 @@
 	came                               []int
 }
 
-type vreq struct {
+type attempt struct {
 	class, tenant int
-	first         vt // when it was first asked
-	came          vt
+	first         virtualTime // when it was first asked
+	came          virtualTime
 	try           int
 	answered      bool
-	start         vt
+	start         virtualTime
 	work          float64
 	hangs         bool
 	caller        uint32
 }
 
 // vrun is one run: it ends when the service that each run has had comes to its end.
-type vrun struct {
+type run struct {
 	id   uint32
 	ends float64
 }
 
-type vruns []vrun
+type runs []run
 
-func (r vruns) Len() int           { return len(r) }
-func (r vruns) Less(i, k int) bool { return r[i].ends < r[k].ends }
-func (r vruns) Swap(i, k int)      { r[i], r[k] = r[k], r[i] }
-func (r *vruns) Push(x any)        { *r = append(*r, x.(vrun)) }
-func (r *vruns) Pop() any {
+func (r runs) Len() int           { return len(r) }
+func (r runs) Less(i, k int) bool { return r[i].ends < r[k].ends }
+func (r runs) Swap(i, k int)      { r[i], r[k] = r[k], r[i] }
+func (r *runs) Push(x any)        { *r = append(*r, x.(run)) }
+func (r *runs) Pop() any {
 	old := *r
 	last := old[len(old)-1]
 	*r = old[:len(old)-1]
 	return last
 }
 
-type vagain struct {
-	at  vt
+type retry struct {
+	at  virtualTime
 	seq uint32
-	req vreq
+	req attempt
 }
 
-type vagains []vagain
+type retries []retry
 
-func (r vagains) Len() int { return len(r) }
-func (r vagains) Less(i, k int) bool {
+func (r retries) Len() int { return len(r) }
+func (r retries) Less(i, k int) bool {
 	return r[i].at < r[k].at || r[i].at == r[k].at && r[i].seq < r[k].seq
 }
-func (r vagains) Swap(i, k int) { r[i], r[k] = r[k], r[i] }
-func (r *vagains) Push(x any)   { *r = append(*r, x.(vagain)) }
-func (r *vagains) Pop() any {
+func (r retries) Swap(i, k int) { r[i], r[k] = r[k], r[i] }
+func (r *retries) Push(x any)   { *r = append(*r, x.(retry)) }
+func (r *retries) Pop() any {
 	old := *r
 	last := old[len(old)-1]
 	*r = old[:len(old)-1]
@@ -101,21 +101,21 @@
 }
 
 // server is one emulated server.
-type emulatedServer struct {
+type server struct {
 	r       *rand.Rand // all of what is asked, and what it takes: the same whatever is decided
 	d       decider
-	now     vt
+	now     virtualTime
 	cores   float64
 	fall    float64 // runs a core past which the cores lose speed
-	classes []vclass
+	classes []Class
 	tenants int
 	next    uint32
-	open    map[uint32]*vreq
-	runs    vruns
+	open    map[uint32]*attempt
+	runs    runs
 	hung    int
 	service float64 // what each run has had since the start
-	again   vagains
-	wake    vt
+	again   retries
+	wake    virtualTime
 	out     []tallies
 	busy    []float64 // core seconds, by window of 3 s
 	most    float64   // runs a core at most
@@ -125,10 +125,10 @@
 // window is over which the cores' use is looked at.
 const window = 3 * second
 
-func newServer(seed int64, d decider, cores int, classes []vclass, tenants int, span vt) *emulatedServer {
-	s := &emulatedServer{r: rand.New(rand.NewSource(seed)), d: d, now: second, cores: float64(cores), fall: 5,
+func newEmulatedServer(seed int64, d decider, cores int, classes []Class, tenants int, span virtualTime) *server {
+	s := &server{r: rand.New(rand.NewSource(seed)), d: d, now: second, cores: float64(cores), fall: 5,
 		tenants: tenants,
-		open:    map[uint32]*vreq{}, wake: -1}
+		open:    map[uint32]*attempt{}, wake: -1}
 	s.classes = append(s.classes, classes...)
 	s.out = make([]tallies, len(classes))
 	for k := range s.out {
@@ -142,20 +142,20 @@
 }
 
 // gap draws the time to a class's next req.
-func (s *emulatedServer) gap(k int) vt {
+func (s *server) gap(k int) virtualTime {
 	c := &s.classes[k]
-	rate := c.rate
+	rate := c.Rate
 	if c.surge >= 0 {
 		rate *= 1 + (c.surgeBy-1)/float64(s.tenants)
 	}
 	if rate <= 0 {
 		return second / 10
 	}
-	return max(1, vt(s.r.ExpFloat64()/rate*float64(second)))
+	return max(1, virtualTime(s.r.ExpFloat64()/rate*float64(second)))
 }
 
 // speed is how fast each run goes.
-func (s *emulatedServer) speed() float64 {
+func (s *server) speed() float64 {
 	n := float64(len(s.runs) + s.hung)
 	if n <= s.cores {
 		return 1
@@ -167,7 +167,7 @@
 	return v
 }
 
-func (s *emulatedServer) pass(to vt) {
+func (s *server) pass(to virtualTime) {
 	if dt := float64(to - s.now); dt > 0 {
 		n := float64(len(s.runs) + s.hung)
 		s.service += dt * s.speed()
@@ -180,7 +180,7 @@
 }
 
 // until goes on to a moment.
-func (s *emulatedServer) until(end vt) {
+func (s *server) until(end virtualTime) {
 	for {
 		at, what := end, -1
 		for k := range s.classes {
@@ -190,7 +190,7 @@
 		}
 		if len(s.runs) > 0 {
 			left := (s.runs[0].ends - s.service) / s.speed()
-			if a := s.now + vt(math.Ceil(max(left, 0))); a < at {
+			if a := s.now + virtualTime(math.Ceil(max(left, 0))); a < at {
 				at, what = a, -2
 			}
 		}
@@ -211,7 +211,7 @@
 			s.round(&admission.Round{TimerFired: true, HasGauges: true,
 				Gauges: admission.Gauges{Runnable: float64(len(s.runs) + s.hung), OpenConnections: 10}})
 		case what == -4:
-			a := heap.Pop(&s.again).(vagain)
+			a := heap.Pop(&s.again).(retry)
 			s.ask(a.req)
 		default:
 			return
@@ -219,18 +219,18 @@
 	}
 }
 
-func (s *emulatedServer) arrive(k int) {
+func (s *server) arrive(k int) {
 	c := &s.classes[k]
 	tenant := s.r.Intn(s.tenants)
 	if c.surge >= 0 && s.r.Float64() < (c.surgeBy-1)/(float64(s.tenants)+c.surgeBy-1) {
 		tenant = c.surge
 	}
-	work := c.work
-	if c.tail > 0 {
-		work *= math.Exp(c.tail*s.r.NormFloat64() - c.tail*c.tail/2)
+	work := c.Work
+	if c.WorkSigma > 0 {
+		work *= math.Exp(c.WorkSigma*s.r.NormFloat64() - c.WorkSigma*c.WorkSigma/2)
 	}
-	if s.r.Float64() < c.heavy {
-		work *= c.times
+	if s.r.Float64() < c.HeavyShare {
+		work *= c.HeavyFactor
 	}
 	hangs := s.r.Float64() < c.hangs
 	o := &s.out[k]
@@ -239,23 +239,23 @@
 		o.fair++
 	}
 	o.came[min(int(s.now/second), len(o.came)-1)]++
-	s.ask(vreq{class: k, tenant: tenant, first: s.now, work: max(work, 1), hangs: hangs,
+	s.ask(attempt{class: k, tenant: tenant, first: s.now, work: max(work, 1), hangs: hangs,
 		caller: 1 + uint32(s.r.Intn(40))})
 	c.arrivals = s.now + s.gap(k)
 }
 
-func (s *emulatedServer) ask(q vreq) {
+func (s *server) ask(q attempt) {
 	s.next++
 	q.came = s.now
 	s.open[s.next] = &q
 	c := &s.classes[q.class]
 	s.round(&admission.Round{Arrived: []admission.Request{{ID: s.next, Handler: q.class, Tenant: q.tenant,
 		ArrivedAt: s.now,
-		Deadline:  q.first + c.handler.Timeout, SizeKB: 8, IsRetry: q.try > 0, Caller: q.caller}}})
+		Deadline:  q.first + c.Handler.Timeout, SizeKB: 8, IsRetry: q.try > 0, Caller: q.caller}}})
 }
 
-func (s *emulatedServer) ends() {
-	r := heap.Pop(&s.runs).(vrun)
+func (s *server) ends() {
+	r := heap.Pop(&s.runs).(run)
 	q := s.open[r.id]
 	delete(s.open, r.id)
 	s.round(&admission.Round{RunEnds: []admission.RunEnd{{ID: r.id, Outcome: admission.Succeeded, Elapsed: s.now - q.start}}})
@@ -264,7 +264,7 @@
 	}
 	o, took := &s.out[q.class], s.now-q.first
 	o.times.RecordValue(int64(took))
-	if took <= s.classes[q.class].handler.LatencyObjective {
+	if took <= s.classes[q.class].Handler.LatencyObjective {
 		o.inTime++
 		if q.tenant != s.classes[q.class].surge {
 			o.fairInTime++
@@ -275,39 +275,39 @@
 	}
 }
 
-func (s *emulatedServer) round(r *admission.Round) {
+func (s *server) round(r *admission.Round) {
 	r.Now = s.now
 	s.d.Decide(r, s)
 }
 
 // What is decided.
 
-func (s *emulatedServer) Run(id uint32) {
+func (s *server) Run(id uint32) {
 	q := s.open[id]
 	q.start = s.now
 	if q.hangs {
 		s.hung++
 		return
 	}
-	heap.Push(&s.runs, vrun{id, s.service + q.work})
+	heap.Push(&s.runs, run{id, s.service + q.work})
 }
 
-func (s *emulatedServer) Shed(id uint32, _ admission.Reason, last bool, comeBack admission.Time) {
+func (s *server) Shed(id uint32, _ admission.Reason, last bool, comeBack admission.Time) {
 	q := s.open[id]
 	delete(s.open, id)
 	c := &s.classes[q.class]
 	wait := max(comeBack, second/5<<q.try)
-	if at := s.now + wait; !last && q.try < c.tries && at < q.first+c.handler.Timeout && !s.drained {
+	if at := s.now + wait; !last && q.try < c.tries && at < q.first+c.Handler.Timeout && !s.drained {
 		n := *q
 		n.try++
 		s.next++
-		heap.Push(&s.again, vagain{at, s.next, n})
+		heap.Push(&s.again, retry{at, s.next, n})
 		return
 	}
 	s.out[q.class].shed++
 }
 
-func (s *emulatedServer) Fail(id uint32, _ admission.Reason) {
+func (s *server) Fail(id uint32, _ admission.Reason) {
 	if q := s.open[id]; !q.answered {
 		q.answered = true
 		s.out[q.class].errored++
@@ -317,27 +317,27 @@
 	}
 }
 
-func (s *emulatedServer) WakeUp(at admission.Time)        { s.wake = at }
-func (s *emulatedServer) Stop(uint32)                     {}
-func (s *emulatedServer) Call(uint32, admission.Time)     {}
-func (s *emulatedServer) SkipCall(uint32)                 {}
-func (s *emulatedServer) Remember(uint32, admission.Time) {}
-func (s *emulatedServer) Forget(uint32)                   {}
-func (s *emulatedServer) ReuseResult(uint32)              {}
-func (s *emulatedServer) Health(bool)                     {}
-func (s *emulatedServer) SignalOverload(float64)          {}
-func (s *emulatedServer) SetIdleTimeout(admission.Time)   {}
-func (s *emulatedServer) Log(string)                      {}
+func (s *server) WakeUp(at admission.Time)        { s.wake = at }
+func (s *server) Stop(uint32)                     {}
+func (s *server) Call(uint32, admission.Time)     {}
+func (s *server) SkipCall(uint32)                 {}
+func (s *server) Remember(uint32, admission.Time) {}
+func (s *server) Forget(uint32)                   {}
+func (s *server) ReuseResult(uint32)              {}
+func (s *server) Health(bool)                     {}
+func (s *server) SignalOverload(float64)          {}
+func (s *server) SetIdleTimeout(admission.Time)   {}
+func (s *server) Log(string)                      {}
 
 // plain is the baseline: a pool of twice the cores and a queue that sheds what has waited a tenth of a
 // second.
-type plain struct {
+type plainQueue struct {
 	slots, running int
 	queue          []admission.Request
 	wake           bool
 }
 
-func (p *plain) Decide(r *admission.Round, w admission.Writer) {
+func (p *plainQueue) Decide(r *admission.Round, w admission.Writer) {
 	p.running -= len(r.RunEnds)
 	p.queue = append(p.queue, r.Arrived...)
 	if r.TimerFired {
--- a/internal/harness/vzones.go
+++ b/internal/simulation/zones.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 import (
 	"fmt"
@@ -35,11 +35,11 @@
 const flowTries = 4
 
 const (
-	flowStep   = 100  // ms
-	flowRun    = 20.0 // ms that a run takes on a warm service
-	flowTarget = 300.0
-	flowFill   = 10.0   // seconds of full capacity in which a service's cache is full
-	flowPause  = 10_000 // ms: the longest that a caller may be told to wait
+	flowStep      = 100  // ms
+	flowRun       = 20.0 // ms that a run takes on a warm service
+	flowTarget    = 300.0
+	WarmUpSeconds = 10.0   // seconds of full capacity in which a service's cache is full
+	flowPause     = 10_000 // ms: the longest that a caller may be told to wait
 	// Callers that are held off come again up to three times, and a step lets in all at once that it was told to: 6.6 to 9.1 in a
 	// tenth of a second over loads and sizes. Where all are told the same moment 13 to 50.
 	rushMost   = 12
@@ -49,7 +49,7 @@
 )
 
 // vbelow is a zone's service below, and what goes over it.
-type vbelow struct {
+type dependency struct {
 	cap    float64 // runs a second when warm
 	warm   float64
 	speed  float64
@@ -65,11 +65,11 @@
 // flows are a zone's figures a second.
 type flows struct{ came, again, turned, done, late, shed, errored, worth, got, runs, runMS, util float64 }
 
-// VZones is one run.
-type VZones struct {
+// Zones is one run.
+type Zones struct {
 	ZonePlan
-	f        *VFleet
-	below    []*vbelow
+	Fleet    *Fleet
+	below    []*dependency
 	retry    [flowWaits][flowTries][3]float64 // reqs that come again, by step, a ring
 	retryAt  int                              // of the next step
 	said     []float64                        // by node: when it last said that it is ready
@@ -102,7 +102,7 @@
 	Rush     float64               // after a restart: tries in a tenth of a second over first tries, at worst, from callers that wait
 }
 
-func (v *VZones) kind(z int) string {
+func (v *Zones) kind(z int) string {
 	if z < len(v.Kinds) {
 		return v.Kinds[z]
 	}
@@ -110,7 +110,7 @@
 }
 
 // common tells that one cause ails all zones.
-func (v *VZones) common() bool {
+func (v *Zones) common() bool {
 	for z := 1; z < v.Zones; z++ {
 		if v.kind(z) != v.kind(0) {
 			return false
@@ -119,20 +119,20 @@
 	return v.kind(0) != ""
 }
 
-func (v *VZones) fail(format string, args ...any) {
+func (v *Zones) fail(format string, args ...any) {
 	if v.Broken == "" {
-		v.Broken = fmt.Sprintf("%.1f s: ", (v.f.now-begins)/1000) + fmt.Sprintf(format, args...)
+		v.Broken = fmt.Sprintf("%.1f s: ", (v.Fleet.Now-begins)/1000) + fmt.Sprintf(format, args...)
 	}
 }
 
 // Play runs it: ten calm seconds, trouble, its end, and on until Ends.
-func (v *VZones) Play() {
-	w := v.f
+func (v *Zones) Play() {
+	w := v.Fleet
 	w.after(1500, func() { w.change(false, 0) })
 	w.Changes = 1
 	w.after(2000, v.step)
 	w.until(begins)
-	w.after(v.Fails, v.strike)
+	w.after(v.Fails, v.injectFault)
 	w.after(v.Heals, v.heal)
 	w.until(begins + v.Ends)
 	if w.Broken != "" {
@@ -141,12 +141,12 @@
 	if v.Off || v.Own || v.Oracle {
 		return
 	}
-	for _, z := range w.part.Zones.Zones {
+	for _, z := range w.state.Zones.Zones {
 		if z.Phase != zones.InService {
 			v.fail("zone %s is %s at %d at the end: %v", z.Name, z.Phase, z.Share, z.Events[len(z.Events)-1])
 		}
 	}
-	for _, z := range w.part.Zones.Zones {
+	for _, z := range w.state.Zones.Zones {
 		for _, e := range z.Events {
 			if e.ValueOfEvacuating < e.ValueOfStaying {
 				v.fail("zone %s was left for %.0f of value a second, where staying was to do %.0f", z.Name, e.ValueOfEvacuating, e.ValueOfStaying)
@@ -170,36 +170,36 @@
 	}
 }
 
-func (v *VZones) strike() {
+func (v *Zones) injectFault() {
 	v.failing = true
 	v.lead()
 	for z, b := range v.below {
 		switch k := v.kind(z); k {
 		case ZoneDead, ZoneRestart:
 			b.warm = 0
-			for i, n := range v.f.nodes {
+			for i, n := range v.Fleet.nodes {
 				if n.zone == z && n.up {
 					n.kill()
-					v.said[i] = min(v.said[i], v.f.now)
+					v.said[i] = min(v.said[i], v.Fleet.Now)
 				}
 			}
 		case ZoneSlow:
 			b.speed = 0.1
 		case ZoneCommon:
-			v.f.after(v.Stagger*float64(z), func() {
+			v.Fleet.after(v.Stagger*float64(z), func() {
 				if v.failing {
 					b.speed = 0.1
 				}
 			})
 		case ZoneCutOff:
-			for _, n := range v.f.nodes {
+			for _, n := range v.Fleet.nodes {
 				n.cut = n.cut || n.zone == z
 			}
 		}
 	}
 }
 
-func (v *VZones) heal() {
+func (v *Zones) heal() {
 	v.failing = false
 	for z, b := range v.below {
 		if b.speed < 1 {
@@ -209,7 +209,7 @@
 			b.warm = 0
 		}
 	}
-	for _, n := range v.f.nodes {
+	for _, n := range v.Fleet.nodes {
 		n.cut = false
 		if !n.up {
 			n.start()
@@ -218,34 +218,34 @@
 }
 
 // middle is what comes in the middle of a return.
-func (v *VZones) middle() {
+func (v *Zones) middle() {
 	if v.struck {
 		return
 	}
 	v.struck = true
-	for _, n := range v.f.nodes {
-		if n.held {
-			n.held = false
+	for _, n := range v.Fleet.nodes {
+		if n.notStarted {
+			n.notStarted = false
 			n.start()
 		}
 	}
 	v.lead()
 	if b := v.below[0]; v.Again {
 		b.speed = 0.3
-		v.f.after(25_000, func() { b.speed = 1 })
+		v.Fleet.after(25_000, func() { b.speed = 1 })
 	}
 }
 
 // lead has the leader lost, if that is asked for.
-func (v *VZones) lead() {
-	w := v.f
-	if !v.Lead || w.lead < 0 {
+func (v *Zones) lead() {
+	w := v.Fleet
+	if !v.Lead || w.leader < 0 {
 		return
 	}
-	c := w.ctl[w.lead]
-	c.up, w.lead = false, -1
+	c := w.control[w.leader]
+	c.up, w.leader = false, -1
 	w.after(800, w.elect)
-	w.after(3000, func() { c.s, c.up, c.last = w.steward(), true, w.now*c.rate })
+	w.after(3000, func() { c.s, c.up, c.last = w.currentLeader(), true, w.Now*c.rate })
 }
 
 // picks is the share of a class that a node's order takes.
@@ -265,8 +265,8 @@
 	return share
 }
 
-// zoneNow is how a zone's nodes stand at a step.
-type zoneNow struct {
+// zoneView is how a zone's nodes stand at a step.
+type zoneView struct {
 	listed, up, rate float64 // nodes on the callers' list, serving, by how much of a req each takes
 	pick             [3]float64
 	capped           bool
@@ -276,11 +276,11 @@
 	clock            uint64
 }
 
-func (v *VZones) stand() []zoneNow {
-	out := make([]zoneNow, v.Zones)
-	now := v.f.now
+func (v *Zones) views() []zoneView {
+	out := make([]zoneView, v.Zones)
+	now := v.Fleet.Now
 	clear(v.upIn)
-	for i, n := range v.f.nodes {
+	for i, n := range v.Fleet.nodes {
 		z := &out[n.zone]
 		o := (*api.ZoneOrder)(nil)
 		if n.up {
@@ -288,7 +288,7 @@
 		}
 		serves := n.up && n.serves
 		if serves {
-			o = n.m.ZoneOrder()
+			o = n.agent.ZoneOrder()
 		}
 		share := n.gate != nil && n.gate.Evacuated()
 		ready := serves && !share && now >= v.awayTill[i]
@@ -338,10 +338,10 @@
 }
 
 // step plays a tenth of a second.
-func (v *VZones) step() {
-	v.f.after(flowStep, v.step)
+func (v *Zones) step() {
+	v.Fleet.after(flowStep, v.step)
 	const dt = flowStep / 1000.0
-	all := v.stand()
+	all := v.views()
 	listed := 0.0
 	for z := range all {
 		if v.kind(z) == ZoneCallers && v.failing {
@@ -383,7 +383,7 @@
 	}
 	turned := func(k, c int, n float64) { wait(k, c, n, 0) }
 	// Those that a share leaves out are told by their place in it.
-	leftOut := func(s *zoneNow, k, c int, n float64) {
+	leftOut := func(s *zoneView, k, c int, n float64) {
 		if n <= 0 || !v.Patient || s.gate == nil {
 			turned(k, c, n)
 			return
@@ -412,7 +412,7 @@
 		for k := range ask {
 			for c := range ask[k] {
 				came := ask[k][c] * part
-				if v.f.now >= begins+v.Fails {
+				if v.Fleet.Now >= begins+v.Fails {
 					v.asks[0] += came
 					if k == 0 {
 						v.asks[1] += came
@@ -479,7 +479,7 @@
 		f.runMS = flowRun*b.cap/max(b.bears, 1) + 1000*b.queue/max(b.bears, 1)
 		f.runs = served
 		f.util = min(1, served/max(b.bears, 1))
-		b.warm = min(1, b.warm+served*dt/(b.cap*flowFill))
+		b.warm = min(1, b.warm+served*dt/(b.cap*WarmUpSeconds))
 		ok := 0.0
 		if f.runMS < flowTarget && !broken {
 			ok = 1
@@ -506,30 +506,30 @@
 		}
 		done += f.got
 		v.check(z, b, s, first, f)
-		if step, _ := v.f.part.Zones.PhaseOf(fmt.Sprint("z", z)); step == zones.InService && v.kind(z) == "" {
+		if step, _ := v.Fleet.state.Zones.PhaseOf(fmt.Sprint("z", z)); step == zones.InService && v.kind(z) == "" {
 			inDone, inAsked = inDone+f.got, inAsked+f.worth
 		}
 		mix(&b.rate, &was, &f)
 	}
-	if v.Patient && v.kind(0) == ZoneRestart && v.f.now > begins+v.Heals+5000 {
+	if v.Patient && v.kind(0) == ZoneRestart && v.Fleet.Now > begins+v.Heals+5000 {
 		v.Rush = max(v.Rush, tries/demand)
 	}
-	if v.f.now >= begins+v.Fails {
+	if v.Fleet.Now >= begins+v.Fails {
 		v.Tries = v.asks[0] / max(v.asks[1], 1)
 		v.Done += done * dt
 		v.Asked += total * dt
-		if v.failing && v.f.now >= begins+v.Fails+5000 {
+		if v.failing && v.Fleet.Now >= begins+v.Fails+5000 {
 			v.Failing += done * dt
 		}
 	}
-	if len(v.f.part.Zones.Zones) > 0 && inAsked > 0 && v.failing {
+	if len(v.Fleet.state.Zones.Zones) > 0 && inAsked > 0 && v.failing {
 		v.Others = min(v.Others, inDone/inAsked)
 	}
-	at := (v.f.now - begins) / 1000
+	at := (v.Fleet.Now - begins) / 1000
 	if int(at*10)%5 == 0 && at >= 0 {
 		v.Plot[0].Points = append(v.Plot[0].Points, [2]float64{at, done / max(total, 1)})
 		v.Plot[1].Points = append(v.Plot[1].Points, [2]float64{at, v.below[0].asked / max(v.below[0].bears, 1)})
-		_, share := v.f.part.Zones.PhaseOf("z0")
+		_, share := v.Fleet.state.Zones.PhaseOf("z0")
 		v.Plot[2].Points = append(v.Plot[2].Points, [2]float64{at, float64(share) / api.FullShare})
 	}
 	if v.Own {
@@ -550,10 +550,10 @@
 }
 
 // allIn tells that no zone is left, or has been for long enough for all nodes to have heard.
-func (w *VFleet) allIn() bool {
-	s := w.part.Zones
+func (w *Fleet) allIn() bool {
+	s := w.state.Zones
 	for _, z := range s.Zones {
-		if z.Phase != zones.InService && s.SettledEpoch == s.Epoch && float64(w.part.Fleet.ClockMS-z.SinceMS) > 2500 {
+		if z.Phase != zones.InService && s.SettledEpoch == s.Epoch && float64(w.state.Fleet.ClockMS-z.SinceMS) > 2500 {
 			return false
 		}
 	}
--- a/internal/harness/vzones_check.go
+++ b/internal/simulation/zones_check.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 // This file holds a step of zones in virtual time to their promises.
 
@@ -10,22 +10,22 @@
 )
 
 // check holds a step to the promises.
-func (v *VZones) check(z int, b *vbelow, s *zoneNow, first float64, f flows) {
+func (v *Zones) check(z int, b *dependency, s *zoneView, first float64, f flows) {
 	name := fmt.Sprint("z", z)
 	// Over a whole second, as on processes: who hears first that it may take more is asked for all of it, for a moment.
-	b.lately[int(v.f.now/flowStep)%len(b.lately)] = b.asked / max(b.bears, 1)
+	b.lately[int(v.Fleet.Now/flowStep)%len(b.lately)] = b.asked / max(b.bears, 1)
 	second := 0.0
 	for _, x := range b.lately {
 		second += x / float64(len(b.lately))
 	}
-	if v.kind(z) == ZoneRestart && !v.failing && v.f.now > begins+v.Heals {
+	if v.kind(z) == ZoneRestart && !v.failing && v.Fleet.Now > begins+v.Heals {
 		v.Start = max(v.Start, second)
 	}
-	if all := v.f.part.Zones.Find(zones.WholeFleet); z == 0 && all != nil && all.Phase == zones.Ramping {
+	if all := v.Fleet.state.Zones.Find(zones.WholeFleet); z == 0 && all != nil && all.Phase == zones.Ramping {
 		sum := 0.0
-		for _, n := range v.f.nodes {
+		for _, n := range v.Fleet.nodes {
 			if n.up && n.serves {
-				if o := n.m.ZoneOrder(); o != nil && o.RateLimited {
+				if o := n.agent.ZoneOrder(); o != nil && o.RateLimited {
 					sum += o.RateLimit
 				}
 			}
@@ -34,7 +34,7 @@
 			v.fail("the nodes have %.1f runs a second together, expected %.1f at most", sum, most)
 		}
 	}
-	st := v.f.part.Zones.Find(name)
+	st := v.Fleet.state.Zones.Find(name)
 	if st == nil || v.Off || v.Own {
 		return
 	}
@@ -45,18 +45,18 @@
 	case zones.Ramping:
 		if over := b.asked / max(b.bears, 1); !v.failing && b.speed == 1 {
 			if b.steady >= len(b.lately) && second > v.Peak {
-				v.Peak, v.peakAt = second, fmt.Sprintf("%s at %.1f s", name, (v.f.now-begins)/1000)
+				v.Peak, v.peakAt = second, fmt.Sprintf("%s at %.1f s", name, (v.Fleet.Now-begins)/1000)
 			}
 		} else if over > 1 && b.speed < 1 && !v.failing {
 			v.Worst += flowStep
 		}
 		most := max(v.ceil[name][0], v.ceil[name][1])
 		sum := 0.0
-		for _, n := range v.f.nodes {
+		for _, n := range v.Fleet.nodes {
 			if n.zone != z || !n.up || !n.serves {
 				continue
 			}
-			if o := n.m.ZoneOrder(); o != nil && o.RateLimited && o.Share > 0 { // of none it takes none, as where its zone is out
+			if o := n.agent.ZoneOrder(); o != nil && o.RateLimited && o.Share > 0 { // of none it takes none, as where its zone is out
 				sum += o.RateLimit
 			}
 		}
@@ -64,19 +64,19 @@
 			v.fail("nodes of %s have %.1f runs a second together, expected %.1f at most", name, sum, most)
 		}
 	case zones.InService:
-		if v.kind(z) == "" && first < 0.85*b.bears && !v.f.allIn() {
+		if v.kind(z) == "" && first < 0.85*b.bears && !v.Fleet.allIn() {
 			if second > v.Neigh {
-				v.Neigh, v.neighAt = second, fmt.Sprintf("%s at %.1f s, %.0f first tries of %.0f", name, (v.f.now-begins)/1000, first, b.bears)
+				v.Neigh, v.neighAt = second, fmt.Sprintf("%s at %.1f s, %.0f first tries of %.0f", name, (v.Fleet.Now-begins)/1000, first, b.bears)
 			}
 		}
 	}
-	if v.f.part.Zones.SettledEpoch > 0 {
-		for _, n := range v.f.nodes {
+	if v.Fleet.state.Zones.SettledEpoch > 0 {
+		for _, n := range v.Fleet.nodes {
 			if !n.up || !n.serves {
 				continue
 			}
-			if o := n.m.ZoneOrder(); o != nil && o.Epoch < v.f.part.Zones.SettledEpoch {
-				v.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, v.f.part.Zones.SettledEpoch)
+			if o := n.agent.ZoneOrder(); o != nil && o.Epoch < v.Fleet.state.Zones.SettledEpoch {
+				v.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, v.Fleet.state.Zones.SettledEpoch)
 			}
 		}
 	}
@@ -84,10 +84,10 @@
 
 // Full gives the ms from the end of the trouble until at least 98 in 100 of the value is done for ten seconds on end, -1
 // if it never is.
-func (v *VZones) Full() float64 { return v.back(0.98) }
+func (v *Zones) Full() float64 { return v.RecoveredAt(0.98) }
 
 // back is the same for any share.
-func (v *VZones) back(share float64) float64 {
+func (v *Zones) RecoveredAt(share float64) float64 {
 	since := -1.0
 	for _, p := range v.Plot[0].Points {
 		at := p[0]*1000 - v.Heals
@@ -105,10 +105,10 @@
 }
 
 // applied hears of what the group decided about zones.
-func (v *VZones) applied(end any) {
+func (v *Zones) applied(end any) {
 	if b, beat := end.(coordinator.BatchApplied); beat && b.FleetRestarted {
 		v.Began++
-		v.ceil[zones.WholeFleet] = [2]float64{v.f.part.Zones.Find(zones.WholeFleet).RateLimit, 0}
+		v.ceil[zones.WholeFleet] = [2]float64{v.Fleet.state.Zones.Find(zones.WholeFleet).RateLimit, 0}
 	}
 	e, is := end.(zones.Result)
 	if !is || e.Err != "" {
@@ -120,12 +120,12 @@
 		}
 		return
 	}
-	z := v.f.part.Zones.Find(e.Zone)
+	z := v.Fleet.state.Zones.Find(e.Zone)
 	if z == nil || e.Phase == "" {
 		return
 	}
 	v.ceil[z.Name] = [2]float64{z.RateLimit, max(v.ceil[z.Name][0], v.ceil[z.Name][1])}
-	at := v.f.now - begins
+	at := v.Fleet.Now - begins
 	k := 0
 	fmt.Sscanf(z.Name, "z%d", &k)
 	switch e.Kind {
@@ -144,7 +144,7 @@
 		}
 	case "step":
 		if v.Steps++; v.Steps == 3 {
-			v.f.after(500, v.middle)
+			v.Fleet.after(500, v.middle)
 		}
 	case "back":
 		v.BackStep++
--- a/internal/harness/vzones_report.go
+++ b/internal/simulation/zones_load_report.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 // This file is what nodes in virtual time report, and what the best possible would be.
 
@@ -10,12 +10,12 @@
 )
 
 // report is what a node tells of itself.
-func (v *VZones) report(n *vnode) *api.LoadReport {
+func (v *Zones) report(n *node) *api.LoadReport {
 	b := v.below[n.zone]
-	r, w := &b.rate, v.f
+	r, w := &b.rate, v.Fleet
 	nodes := v.upIn[n.zone]
 	noisy := v.kind(n.zone) == ZoneNoise && v.failing
-	if noisy && w.r.Intn(2) == 0 {
+	if noisy && w.random.Intn(2) == 0 {
 		return nil
 	}
 	spread := 0.1
@@ -23,14 +23,14 @@
 		spread = 0.5
 	}
 	count := func(x float64) int { // of two seconds
-		x = 2 * x / max(nodes, 1) * math.Exp(spread*w.r.NormFloat64())
-		return int(x + w.r.Float64())
+		x = 2 * x / max(nodes, 1) * math.Exp(spread*w.random.NormFloat64())
+		return int(x + w.random.Float64())
 	}
 	l := &api.LoadReport{WindowMS: 2000, KernelConnected: !(v.failing && v.kind(n.zone) == ZoneKernels), Cores: 4,
-		CoresUsed: 4 * r.util * math.Exp(spread*0.5*w.r.NormFloat64()), MeanRunMS: r.runMS * math.Exp(spread*w.r.NormFloat64()),
+		CoresUsed: 4 * r.util * math.Exp(spread*0.5*w.random.NormFloat64()), MeanRunMS: r.runMS * math.Exp(spread*w.random.NormFloat64()),
 		Arrived: count(r.came), Retries: count(r.again), RejectedByZone: count(r.turned), Completed: count(r.done), Late: count(r.late), Failed: count(r.errored),
 		Shed: count(r.shed), RunsEnded: count(r.runs), OfferedWeight: 2 * r.worth / max(nodes, 1), CompletedWeight: 2 * r.got / max(nodes, 1),
-		Calls: count(r.runs), MeanCallMS: r.runMS * 0.8 * math.Exp(spread*w.r.NormFloat64()), RunsInFlight: int((b.queue + r.runs*r.runMS/1000) / max(nodes, 1))}
+		Calls: count(r.runs), MeanCallMS: r.runMS * 0.8 * math.Exp(spread*w.random.NormFloat64()), RunsInFlight: int((b.queue + r.runs*r.runMS/1000) / max(nodes, 1))}
 	if l.CoresUsed > 4 {
 		l.CoresUsed = 4
 	}
@@ -48,13 +48,13 @@
 	return l
 }
 
-func (w *VFleet) numberOf(n *vnode) (k int) {
+func (w *Fleet) numberOf(n *node) (k int) {
 	fmt.Sscanf(n.name, "n%d", &k)
 	return k / w.Zones
 }
 
-func (v *VZones) firstOf(zone int) string {
-	for _, n := range v.f.nodes {
+func (v *Zones) firstOf(zone int) string {
+	for _, n := range v.Fleet.nodes {
 		if n.zone == zone {
 			return n.name
 		}
@@ -63,8 +63,8 @@
 }
 
 // seen is what one node sees of another.
-func (v *VZones) seen(n *vnode, l api.ProbeTarget) api.PeerHealth {
-	for _, o := range v.f.nodes {
+func (v *Zones) seen(n *node, l api.ProbeTarget) api.PeerHealth {
+	for _, o := range v.Fleet.nodes {
 		if o.name != l.Name {
 			continue
 		}
@@ -80,8 +80,8 @@
 }
 
 // own is the baseline in which each node judges for itself: sick for two seconds, it is not ready for five.
-func (v *VZones) own() {
-	for i, n := range v.f.nodes {
+func (v *Zones) own() {
+	for i, n := range v.Fleet.nodes {
 		b := v.below[n.zone]
 		sick := n.up && (v.failing && v.kind(n.zone) == ZoneKernels || b.rate.runMS > 3*flowRun+5 ||
 			b.rate.late+b.rate.errored > 0.3*(b.rate.done+b.rate.late+b.rate.errored))
@@ -89,16 +89,16 @@
 		case !sick:
 			v.sickAt[i] = 0
 		case v.sickAt[i] == 0:
-			v.sickAt[i] = v.f.now
-		case v.f.now-v.sickAt[i] > 2000+float64(i%10)*200 && v.f.now >= v.awayTill[i]:
-			v.awayTill[i], v.sickAt[i] = v.f.now+5000, 0
+			v.sickAt[i] = v.Fleet.Now
+		case v.Fleet.Now-v.sickAt[i] > 2000+float64(i%10)*200 && v.Fleet.Now >= v.awayTill[i]:
+			v.awayTill[i], v.sickAt[i] = v.Fleet.Now+5000, 0
 		}
 	}
 }
 
 // oracle is what could be done at best: the trouble and the room are known at once, the dearest goes first, and a cold
 // service is asked for just what it bears.
-func (v *VZones) oracle(total float64, dt float64) {
+func (v *Zones) oracle(total float64, dt float64) {
 	room, done := 0.0, 0.0
 	for z, b := range v.below {
 		dead := v.failing && (v.kind(z) == ZoneDead || v.kind(z) == ZoneKernels || v.kind(z) == ZoneCallers)
@@ -107,14 +107,14 @@
 		}
 		bears := b.cap * b.speed / (1 + (b.cold-1)*(1-b.warm))
 		room += bears
-		b.warm = min(1, b.warm+bears*dt/(b.cap*flowFill))
+		b.warm = min(1, b.warm+bears*dt/(b.cap*WarmUpSeconds))
 	}
 	for c := 2; c >= 0; c-- {
 		n := min(room, v.Load*float64(v.Zones)*1000*flowShare[c])
 		room -= n
 		done += n * flowValue[c]
 	}
-	if v.f.now >= begins+v.Fails {
+	if v.Fleet.Now >= begins+v.Fails {
 		v.Done += done * dt
 		v.Asked += total * dt
 	}
--- a/internal/harness/vzones_plan.go
+++ b/internal/simulation/zones_plan.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 // This file draws the worlds that zones are played in.
 
@@ -56,8 +56,8 @@
 	return p
 }
 
-// NewVZones readies a run.
-func NewVZones(p ZonePlan) *VZones {
+// NewZones readies a run.
+func NewZones(p ZonePlan) *Zones {
 	if p.Zones == 0 {
 		p.Zones = 3
 	}
@@ -68,17 +68,17 @@
 	if p.Off || p.Own || p.Oracle {
 		mode = "off"
 	}
-	v := &VZones{ZonePlan: p, Left: map[string]float64{}, Back: map[string]float64{}, ceil: map[string][2]float64{}, Others: 1}
-	v.f = NewVFleet(FleetPlan{Seed: p.Seed, Nodes: p.Nodes, Ctl: 3, Calm: true, Lease: 4000, Zones: p.Zones,
+	v := &Zones{ZonePlan: p, Left: map[string]float64{}, Back: map[string]float64{}, ceil: map[string][2]float64{}, Others: 1}
+	v.Fleet = NewFleet(FleetPlan{Seed: p.Seed, Nodes: p.Nodes, Ctl: 3, Calm: true, Lease: 4000, Zones: p.Zones,
 		Rules: "[zones]\ndecide = " + mode + "\nsmall_start = yes\n", WithoutZones: p.Without})
-	v.f.load, v.f.look, v.f.applied = v.report, v.seen, v.applied
+	v.Fleet.load, v.Fleet.look, v.Fleet.applied = v.report, v.seen, v.applied
 	v.upIn = make([]float64, p.Zones)
 	v.said, v.sickAt, v.awayTill = make([]float64, p.Nodes), make([]float64, p.Nodes), make([]float64, p.Nodes)
 	for i := 0; i < p.Spare; i++ {
-		v.f.nodes[(i+1)*p.Zones].held = true
+		v.Fleet.nodes[(i+1)*p.Zones].notStarted = true
 	}
 	for z := 0; z < p.Zones; z++ {
-		v.below = append(v.below, &vbelow{cap: 1000, warm: 1, speed: 1, cold: p.Cold})
+		v.below = append(v.below, &dependency{cap: 1000, warm: 1, speed: 1, cold: p.Cold})
 	}
 	v.Plot = make([]report.Line, 3)
 	return v
--- a/internal/harness/vzones_test.go
+++ b/internal/simulation/zones_test.go
@@ -1,4 +1,4 @@
-package harness
+package simulation
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"umberwinch/internal/report"
 )
 
-func playZones(p ZonePlan) *VZones {
-	v := NewVZones(p)
+func playZones(p ZonePlan) *Zones {
+	v := NewZones(p)
 	v.Play()
 	return v
 }
@@ -24,7 +24,7 @@
 		n, _ = strconv.Atoi(s)
 	}
 	left, steps, bad := 0, 0, 0
-	report.EachSeed(context.Background(), 1, n, func(seed int64) *VZones { return playZones(DrawZones(seed)) }, func(seed int64, v *VZones) bool {
+	report.EachSeed(context.Background(), 1, n, func(seed int64) *Zones { return playZones(DrawZones(seed)) }, func(seed int64, v *Zones) bool {
 		if p := v.ZonePlan; v.Broken != "" {
 			t.Errorf("seed %d (%v, load %.2f, cold %.1f, %d nodes in %d zones, again %v, spare %d): %s", seed, p.Kinds, p.Load,
 				p.Cold, p.Nodes, p.Zones, p.Again, p.Spare, v.Broken)
