--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -59,6 +59,7 @@
 	r.Figures = append(r.Figures, Figure{key, fmt.Sprintf(format, args...)})
 }
 
+// Find gives the value of a figure; empty where there is none.
 func (r *Report) Find(key string) string {
 	for _, f := range r.Figures {
 		if f.Key == key {
@@ -174,7 +175,7 @@
 	wg.Wait()
 }
 
-// end prints the report, and saves it where a folder is named.
+// End prints the report, and saves it where a folder is named.
 func (r *Report) End(dir string, w io.Writer) (*Report, error) {
 	if dir != "" {
 		if err := r.Save(dir); err != nil {
--- a/internal/simulation/consensus_faults.go
+++ b/internal/simulation/consensus_faults.go
@@ -350,6 +350,7 @@
 	return faults
 }
 
+// FaultLines lists faults, a line each.
 func FaultLines(faults []Fault) string {
 	out := make([]string, len(faults))
 	for i, f := range faults {
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -1,7 +1,3 @@
-// Package harness is the project's laboratory: worlds in which the real code meets failures, load, and reports of
-// what came of it. It owns stand-ins, faults and measurements. No program that serves imports it, and nothing
-// in it decides for one. world.go is the group of instances in virtual time: the real consensus and wal code
-// on a network, disks and a clock that one seed moves.
 package simulation
 
 import (
@@ -281,7 +277,7 @@
 			h.replica = nil
 		}
 	}()
-	h.disk.Hook = func(step, name string) (int, error) {
+	h.disk.Hook = func(string, string) (int, error) {
 		if h.left < 0 {
 			return 0, nil
 		}
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -139,6 +139,7 @@
 	applied func(end any)                                   // hears of each entry's end
 }
 
+// Last is the newest version of the policy.
 func (w *Fleet) Last() uint64 { return uint64(len(w.texts)) }
 
 // Text gives a version as the group keeps it.
--- a/internal/simulation/fleet_state_loss.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -73,7 +73,8 @@
 	}
 	// What one node alone knows more is no proof, as it may lie: that is a limit of the design, and not played.
 	at := w.random.Intn(len(w.saves))
-	for ; at > 0 && w.knowMore(w.saves[at].index) == 1; at-- {
+	for at > 0 && w.knowMore(w.saves[at].index) == 1 {
+		at--
 	}
 	s := w.saves[at]
 	if w.knowMore(s.index) == 1 {
--- a/internal/simulation/pool_scenarios.go
+++ b/internal/simulation/pool_scenarios.go
@@ -46,7 +46,7 @@
 	keepsServing = 0.03 // the most valued class loses at most so much by pools
 )
 
-// scenario is one text file:
+// Scenario is one text file:
 //
 //	cores N | tenants N | for SECONDS | load SHARE      of capacity, by mean work
 //	class NAME work=MS share=S [tail=SIGMA] [target=MS] [timeout=MS] [value=V] [tries=N]
@@ -84,6 +84,7 @@
 	kind  string
 }
 
+// ReadScenario reads a scenario; its errors name file, line, what was found and what was expected.
 func ReadScenario(name, text string) (*Scenario, error) {
 	s := &Scenario{name: name, Cores: 6, Tenants: 4, span: 120 * second, load: 1, Cheapest: -1, Dearest: -1}
 	for n, line := range strings.Split(text, "\n") {
@@ -205,7 +206,7 @@
 	return err
 }
 
-// rates gives each class its reqs a second so that all together offer a share of capacity.
+// Rates gives each class its requests a second so that all together offer a share of capacity.
 func (s *Scenario) Rates(load float64) []float64 {
 	work := 0.0
 	for k := range s.Classes {
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -23,7 +23,7 @@
 	Decide(r *admission.Round, w admission.Writer)
 }
 
-// vclass is what one class's reqs are like at the moment.
+// Class is what one class's requests are like at the moment.
 type Class struct {
 	Name        string
 	Handler     admission.Handler
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -35,10 +35,11 @@
 const flowTries = 4
 
 const (
-	flowStep      = 100  // ms
-	flowRun       = 20.0 // ms that a run takes on a warm service
-	flowTarget    = 300.0
-	WarmUpSeconds = 10.0   // seconds of full capacity in which a service's cache is full
+	flowStep   = 100  // ms
+	flowRun    = 20.0 // ms that a run takes on a warm service
+	flowTarget = 300.0
+	// WarmUpSeconds of full capacity fill a service's cache.
+	WarmUpSeconds = 10.0
 	flowPause     = 10_000 // ms: the longest that a caller may be told to wait
 	// Callers that are held off come again up to three times, and a step lets in all at once that it was told to: 6.6 to 9.1 in a
 	// tenth of a second over loads and sizes. Where all are told the same moment 13 to 50.
@@ -505,7 +506,7 @@
 			f.late, f.errored = 0, f.late
 		}
 		done += f.got
-		v.check(z, b, s, first, f)
+		v.check(z, b, first)
 		if step, _ := v.Fleet.state.Zones.PhaseOf(fmt.Sprint("z", z)); step == zones.InService && v.kind(z) == "" {
 			inDone, inAsked = inDone+f.got, inAsked+f.worth
 		}
--- a/internal/simulation/zones_check.go
+++ b/internal/simulation/zones_check.go
@@ -10,7 +10,7 @@
 )
 
 // check holds a step to the promises.
-func (v *Zones) check(z int, b *dependency, s *zoneView, first float64, f flows) {
+func (v *Zones) check(z int, b *dependency, first float64) {
 	name := fmt.Sprint("z", z)
 	// Over a whole second, as on processes: who hears first that it may take more is asked for all of it, for a moment.
 	b.lately[int(v.Fleet.Now/flowStep)%len(b.lately)] = b.asked / max(b.bears, 1)
@@ -86,7 +86,7 @@
 // if it never is.
 func (v *Zones) Full() float64 { return v.RecoveredAt(0.98) }
 
-// back is the same for any share.
+// RecoveredAt is the same for any share of the value.
 func (v *Zones) RecoveredAt(share float64) float64 {
 	since := -1.0
 	for _, p := range v.Plot[0].Points {
--- a/internal/simulation/zones_load_report.go
+++ b/internal/simulation/zones_load_report.go
@@ -63,7 +63,7 @@
 }
 
 // seen is what one node sees of another.
-func (v *Zones) seen(n *node, l api.ProbeTarget) api.PeerHealth {
+func (v *Zones) seen(_ *node, l api.ProbeTarget) api.PeerHealth {
 	for _, o := range v.Fleet.nodes {
 		if o.name != l.Name {
 			continue
