--- a/internal/simulation/consensus_cases_test.go
+++ b/internal/simulation/consensus_cases_test.go
@@ -118,7 +118,7 @@
 			t.Fatal("a leader alone applied a write")
 		}
 	}
-	_, held := old.replica.Span()
+	_, held := old.replica.LogBounds()
 	if !w.until(2500, func() bool { l := w.leader(); return l != nil && l != old }) {
 		t.Fatal("the others have no leader")
 	}
--- a/internal/simulation/consensus_clients.go
+++ b/internal/simulation/consensus_clients.go
@@ -92,7 +92,7 @@
 }
 
 // answer brings an end to a client, unless it is lost on the way.
-func (w *ConsensusGroup) answer(k *call, a consensus.Answer) {
+func (w *ConsensusGroup) answer(k *call, a consensus.PutResult) {
 	if w.net.Intn(100) < 15 {
 		return
 	}
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -168,13 +168,13 @@
 	return holds()
 }
 
-func (w *ConsensusGroup) plan(h *host, found bool) consensus.Plan {
-	return consensus.Plan{Name: fmt.Sprint("i", w.lives), Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h",
+func (w *ConsensusGroup) plan(h *host, found bool) consensus.Config {
+	return consensus.Config{Name: fmt.Sprint("i", w.lives), Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h",
 		h.n),
-		Found: found, Elect: electing, Snapshot: worldSnap, Without: w.without, Draw: w.net.Uint64,
+		FoundGroup: found, ElectionTicks: electing, SnapshotBytes: worldSnap, DisabledGuards: w.without, Random: w.net.Uint64,
 		Sizes: wal.Sizes{Segment: worldSegment, Bound: worldBound}, Logger: discardLogger{},
-		Point: func(name string) {
-			if name == consensus.AtSend {
+		OnStep: func(name string) {
+			if name == consensus.StepSend {
 				w.recordLog(h)
 			}
 		}}
@@ -244,7 +244,7 @@
 					to = m.ID
 				}
 			}
-			reason, err = p[0].replica.Meet(p[1].replica.Hello(to))
+			reason, err = p[0].replica.Handshake(p[1].replica.HelloTo(to))
 			return err
 		})
 		if p[0].replica == nil {
@@ -252,7 +252,7 @@
 		}
 		if reason != "" {
 			ok = false
-			if consensus.Ends(reason) {
+			if consensus.BarsInstance(reason) {
 				w.tracef("host %d told by %d: %s", p[1].n, p[0].n, reason)
 				w.do(p[1], func() error { return p[1].replica.Bar(reason) })
 				if p[1].replica == nil {
@@ -325,7 +325,7 @@
 	if h.replica == nil || w.Broken != "" {
 		return
 	}
-	var out consensus.Outcome
+	var out consensus.WorkResult
 	life := h.incarnation
 	w.do(h, func() (err error) {
 		out, err = h.replica.Work(func(ms []*pb.Message) { w.send(h, life, ms) })
@@ -344,16 +344,16 @@
 	for _, id := range out.Reads {
 		if c := h.reads[id]; c != nil {
 			delete(h.reads, id)
-			lines, first := h.replica.Lines()
-			w.answer(c, consensus.Answer{Version: first + uint64(len(lines)) - 1})
+			lines, first := h.replica.Versions()
+			w.answer(c, consensus.PutResult{Version: first + uint64(len(lines)) - 1})
 		}
 	}
 	w.do(h, func() error {
-		s, err := h.replica.Due()
+		s, err := h.replica.SnapshotIfDue()
 		if s == nil || err != nil {
 			return err
 		}
-		return h.replica.Saved(s, s.Write())
+		return h.replica.SnapshotWritten(s, s.Write())
 	})
 }
 
@@ -376,7 +376,7 @@
 		if snap {
 			w.after(2*w.slow, func() {
 				if h.replica != nil && h.incarnation == life {
-					h.replica.Snapped(to, true)
+					h.replica.ReportSnapshot(to, true)
 					w.work(h)
 				}
 			})
@@ -483,14 +483,14 @@
 	if h.replica == nil {
 		return
 	}
-	first, last := h.replica.Span()
+	first, last := h.replica.LogBounds()
 	h.base = first - 1
 	from := first
 	if h.seen > from {
 		from = h.seen
 	}
 	for i := from; i <= last; i++ {
-		term, data := h.replica.TermOf(i)
+		term, data := h.replica.EntryAt(i)
 		h.held[i] = term
 		sum := crc32.ChecksumIEEE(data)
 		if was, ok := w.texts[logPosition{i, term}]; ok && was != sum {
@@ -515,7 +515,7 @@
 		} else if !ok {
 			w.leaders[s.Term] = h.id
 			w.tracef("host %d leads term %d", h.n, s.Term)
-			for i := s.First; i <= s.Last || w.committed[i] > 0; i++ {
+			for i := s.FirstIndex; i <= s.LastIndex || w.committed[i] > 0; i++ {
 				if term := w.committed[i]; w.during[i] < s.Term && term > 0 && !h.holds(logPosition{i, term}) {
 					w.fail("leader completeness: host %d leads term %d without entry %d of term %d", h.n, s.Term, i,
 						term)
@@ -526,8 +526,8 @@
 	if s.Applied == h.seen {
 		return
 	}
-	for i := max(h.seen+1, s.First); i <= min(s.Applied, s.Last); i++ {
-		term, _ := h.replica.TermOf(i)
+	for i := max(h.seen+1, s.FirstIndex); i <= min(s.Applied, s.LastIndex); i++ {
+		term, _ := h.replica.EntryAt(i)
 		if was, ok := w.committed[i]; ok && was != term {
 			w.fail("state machine safety: entry %d was applied with term %d and with %d", i, was, term)
 		}
@@ -541,7 +541,7 @@
 }
 
 func (w *ConsensusGroup) checkState(h *host, s consensus.Status) {
-	lines, first := h.replica.Lines()
+	lines, first := h.replica.Versions()
 	now, outgoing := h.replica.Voters()
 	last := ""
 	if len(lines) > 0 {
@@ -617,7 +617,7 @@
 		if h.replica == nil {
 			return false
 		}
-		lines, first := h.replica.Lines()
+		lines, first := h.replica.Versions()
 		got := append([]byte(fmt.Sprint(first)), bytes.Join(lines, nil)...)
 		if i > 0 && !bytes.Equal(got, want) {
 			return false
--- a/internal/simulation/fleet_state_loss.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -213,7 +213,7 @@
 		p.DisabledZoneGuards = w.WithoutZones
 		if folders {
 			p = w.state
-			base = &recovery.StoredGroup{GroupIdentity: recovery.GroupIdentity{Group: w.group, Generation: p.Generation, Predecessors: p.Predecessors}, LastVersion: w.Last(), DecidedVersion: p.Policy.DecidedVersion,
+			base = &recovery.StoredGroup{GroupIdentity: api.GroupIdentity{Group: w.group, Generation: p.Generation, Predecessors: p.Predecessors}, LastVersion: w.Last(), DecidedVersion: p.Policy.DecidedVersion,
 				CommittedVersion: p.Policy.CommittedVersion, Index: p.Index, ZoneEpoch: p.Zones.Epoch, TextOf: w.Text, LeaseMS: p.Policy.ActiveRules().LeaseMS}
 			for _, n := range p.Fleet.Nodes() {
 				if n.OutReason == "" {
@@ -287,7 +287,7 @@
 	}
 	n.note()
 	r := n.record
-	k := recovery.NodeRecord{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Group: r.Cluster, Generation: max(1, r.Generation), Term: r.Term,
+	k := api.NodeRecord{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Group: r.Cluster, Generation: max(1, r.Generation), Term: r.Term,
 		Index: r.Index, ActiveVersion: n.agent.ActiveVersion(), MinVersion: r.MinVersion, LeaseMS: n.agent.LeaseDuration()}
 	if k.ActiveVersion > 0 {
 		k.ActiveHash, k.ActiveText = r.ActiveHash, w.ofHash[r.ActiveHash]
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -7,6 +7,7 @@
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/node/zonegate"
 	"umberwinch/internal/report"
+	"umberwinch/internal/retryafter"
 )
 
 // vzones.go is traffic on a fleet in virtual time: callers that try elsewhere, nodes by their real gates, and for each
