--- /dev/null
+++ b/internal/node/server/fleet_agent_test.go
@@ -0,0 +1,233 @@
+package server
+
+import (
+	"encoding/json"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	logtest "github.com/sirupsen/logrus/hooks/test"
+
+	"umberwinch/admission"
+	"umberwinch/internal/config"
+	"umberwinch/internal/control/api"
+	"umberwinch/internal/control/document"
+	"umberwinch/internal/logging"
+	"umberwinch/internal/node/agent"
+	"umberwinch/internal/node/overlay"
+	"umberwinch/internal/node/settings"
+	"umberwinch/internal/node/wire"
+	"umberwinch/internal/retryafter"
+)
+
+// testHost stands in for the loop: callbacks wait until the test takes them.
+type testHost struct {
+	callbacks chan func()
+	log       *logrus.Logger
+	counters  Counters
+	settings  *settings.Startup
+	activated []uint64
+	rejected  int // times that the queue was
+}
+
+func (h *testHost) runOnLoop(f func())               { h.callbacks <- f }
+func (h *testHost) setFleetTimer(agent.Milliseconds) {}
+func (h *testHost) refreshReadiness()                {}
+func (h *testHost) rejectQueued()                    { h.rejected++ }
+func (h *testHost) activate(s *overlay.Settings)     { h.activated = append(h.activated, s.Version) }
+func (h *testHost) runsInFlight() int                { return 0 }
+func (h *testHost) kernelConnected() bool            { return true }
+func (h *testHost) poolsEnabled() bool               { return false }
+func (h *testHost) isDraining() bool                 { return false }
+func (h *testHost) limitLog() *logrus.Entry          { return logrus.NewEntry(h.log) }
+func (h *testHost) counts() *Counters                { return &h.counters }
+func (h *testHost) platform() *settings.Startup      { return h.settings }
+func (h *testHost) isKnownKey(string) bool           { return false }
+func (h *testHost) retryAfter(*retryafter.Spreader, agent.Milliseconds) int64 {
+	return 1500
+}
+
+// testControl is an instance of the control service that answers what the test says.
+type testControl struct {
+	mu       sync.Mutex
+	response api.HeartbeatResponse
+	requests []api.HeartbeatRequest
+	text     string
+}
+
+func (c *testControl) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r.URL.Path != "/v1/nodes" {
+		_ = json.NewEncoder(w).Encode(documentResponse{Version: c.response.CommittedVersion.Version, Text: c.text})
+		return
+	}
+	var request api.HeartbeatRequest
+	_ = json.NewDecoder(r.Body).Decode(&request)
+	c.requests = append(c.requests, request)
+	_ = json.NewEncoder(w).Encode(&c.response)
+}
+
+// answers changes what the instance says.
+func (c *testControl) answers(change func(*api.HeartbeatResponse)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.response.Index++
+	change(&c.response)
+}
+
+// TestFleetAgent: a node joins its fleet, gets a lease and a committed version, has its zone evacuated, and loses the
+// control service. If it served before it had activated the version, went on after its lease had expired, or took
+// what its zone's quota leaves out, the group's decisions would not hold at it.
+func TestFleetAgent(t *testing.T) {
+	control := &testControl{text: "[class get]\nkind = replayable\nclient_timeout = 2s\nvalue = 3\n[fleet]\nwhen_alone = fence\n"}
+	service := httptest.NewServer(control)
+	defer service.Close()
+	control.response = api.HeartbeatResponse{Cluster: "group", Term: 1, Index: 1, LeaseID: 7, LeaseMS: 4000,
+		DecidedVersion:   1,
+		CommittedVersion: api.VersionHash{Version: 1, Hash: document.Hash([]byte(control.text))}, NextHeartbeatMS: 1000}
+	log, lines := logtest.NewNullLogger()
+	host := &testHost{callbacks: make(chan func(), 16), log: log,
+		settings: &settings.Startup{HandlerIndex: map[string]int{"get": 0},
+			Deployment: &admission.Deployment{Cores: 1, MemoryKB: 1000,
+				Handlers: []admission.Handler{{Timeout: 3 * admission.Second,
+					LatencyObjective: admission.Second, RetrySafety: admission.Retryable}}}}}
+	folder := t.TempDir()
+	f, err := newFleetAgent(host, log, &config.Fleet{Name: "n1", Zone: "z1", Folder: folder,
+		Control: []string{strings.TrimPrefix(service.URL, "http://")}}, &Node{Listen: "127.0.0.1:1"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	now := bootTime()
+	f.clock = func() agent.Milliseconds { return now }
+	ticksUntil := func(what string, holds func() bool) {
+		t.Helper()
+		for end := time.Now().Add(patience); !holds(); {
+			f.tick()
+			select {
+			case callback := <-host.callbacks:
+				callback()
+			case <-time.After(5 * time.Millisecond):
+				now += 20
+			}
+			if time.Now().After(end) {
+				t.Fatalf("%s: not within %v; log: %v", what, patience, messages(lines))
+			}
+		}
+	}
+	request := &wire.Request{Caller: 1}
+	response := wire.Response{}
+	if why := f.rejection(0, request, "", &response); why != nodeFenced || response.RetryAfterMS != 1500 ||
+		f.takesTraffic() {
+		t.Errorf("before it has a lease: %v, %+v", why, response)
+	}
+	ticksUntil("serving", func() bool { return !f.fenced })
+	if len(host.activated) != 1 || host.activated[0] != 1 || f.agent.ActiveVersion() != 1 {
+		t.Fatalf("serves under %d, activated %v, expected version 1", f.agent.ActiveVersion(), host.activated)
+	}
+	serves := lines.LastEntry()
+	if serves.Message != logNodeServes || serves.Data[logging.PolicyVersion] != uint64(1) ||
+		serves.Data[logging.LeaseID] != uint32(7) {
+		t.Errorf("logs %q, %v", serves.Message, serves.Data)
+	}
+	if why := f.rejection(0, request, "", &response); why != notRejected || !f.takesTraffic() {
+		t.Errorf("with a lease: %v", why)
+	}
+	ticksUntil("the record", func() bool { return !f.record.writing && !f.record.pending })
+	if raw, err := os.ReadFile(filepath.Join(folder, recordFile)); err != nil ||
+		!strings.Contains(string(raw), `"version":1`) {
+		t.Errorf("record %s, %v", raw, err)
+	}
+	control.answers(func(r *api.HeartbeatResponse) { r.Zone = &api.ZoneOrder{Epoch: 4, Share: 0, TTLMS: 60_000} })
+	ticksUntil("the zone's order", func() bool { return f.gate.Epoch() == 4 })
+	if why := f.rejection(0, request, "", &response); why != overZoneQuota || host.rejected != 1 || f.takesTraffic() {
+		t.Errorf("evacuated: %v, queue rejected %d times", why, host.rejected)
+	}
+	control.answers(func(r *api.HeartbeatResponse) {
+		r.Zone = &api.ZoneOrder{Epoch: 5, Share: api.FullShare,
+			TTLMS: 60_000}
+	})
+	ticksUntil("its return", func() bool { return f.gate.Epoch() == 5 })
+	service.Close()
+	ticksUntil("the end of its lease", func() bool { return f.fenced })
+	if now < f.agent.LeaseExpiry() || host.counters.Fenced != 1 || host.rejected != 2 {
+		t.Errorf("fenced at %d, %d times, queue rejected %d times; its lease ends at %d", now, host.counters.Fenced,
+			host.rejected,
+			f.agent.LeaseExpiry())
+	}
+	if last := lines.LastEntry(); !logged(lines, logNodeFenced, logging.Reason, "its lease has run out") {
+		t.Errorf("logs %q, %v", last.Message, last.Data)
+	}
+	control.mu.Lock()
+	defer control.mu.Unlock()
+	if first := control.requests[0]; first.Name != "n1" || first.Zone != "z1" || first.LeaseID != 0 ||
+		first.Fenced == "" {
+		t.Errorf("joins with %+v", first)
+	}
+	if last := control.requests[len(control.requests)-1]; last.ActiveVersion != 1 || last.MinVersion != 1 ||
+		last.LeaseID != 7 {
+		t.Errorf("goes on with %+v", last)
+	}
+}
+
+// TestVersionThatDoesNotFit: the group prepares a version that contradicts what the platform has promised callers.
+// The node votes against it with its reason and goes on under the version it has.
+func TestVersionThatDoesNotFit(t *testing.T) {
+	log, lines := logtest.NewNullLogger()
+	host := &testHost{callbacks: make(chan func(), 16), log: log,
+		settings: &settings.Startup{HandlerIndex: map[string]int{"get": 0},
+			Deployment: &admission.Deployment{Cores: 1, Handlers: []admission.Handler{{Timeout: admission.Second}}}}}
+	f, err := newFleetAgent(host, log, &config.Fleet{Name: "n1", Control: []string{"127.0.0.1:1"}},
+		&Node{Listen: "127.0.0.1:1"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	text := "[class get]\nkind = replayable\nclient_timeout = 2s\n"
+	body, err := json.Marshal(documentResponse{Version: 2, Text: text})
+	if err != nil {
+		t.Fatal(err)
+	}
+	version := api.VersionHash{Version: 2, Hash: document.Hash([]byte(text))}
+	f.versions.current = version
+	f.versionFetched("127.0.0.1:1", version, controlResponse{status: wire.StatusOK, body: body})
+	if !logged(lines, logVersionUnusable, logging.PolicyVersion, uint64(2)) || f.versions.current.Version != 0 {
+		t.Errorf("logs %v, current %+v", messages(lines), f.versions.current)
+	}
+	request, _, due := f.agent.Heartbeat(bootTime())
+	if !due || request.RefusedVersion != 2 || !strings.Contains(request.RefusedReason, "client_timeout: found 2s") {
+		t.Errorf("tells the group %+v", request)
+	}
+	version.Hash = "another"
+	f.versionFetched("127.0.0.1:1", version, controlResponse{status: wire.StatusOK, body: body})
+	if last := lines.LastEntry(); !strings.Contains(last.Data[logging.Error].(error).Error(), errWrongHash.Error()) {
+		t.Errorf("a text of another hash: logs %v", last.Data)
+	}
+	f.versionFetched("127.0.0.1:1", version, controlResponse{status: wire.StatusServiceUnavailable,
+		body: []byte("busy")})
+	if f.versions.timeout != 2*minFetchTimeout || f.versions.retryAt == 0 {
+		t.Errorf("after a fetch that failed: timeout %v, next at %d", f.versions.timeout, f.versions.retryAt)
+	}
+}
+
+// logged tells whether a line with that message has the field.
+func logged(lines *logtest.Hook, message, field string, value any) bool {
+	for _, e := range lines.AllEntries() {
+		if e.Message == message && e.Data[field] == value {
+			return true
+		}
+	}
+	return false
+}
+
+func messages(lines *logtest.Hook) (out []string) {
+	for _, e := range lines.AllEntries() {
+		out = append(out, e.Message)
+	}
+	return out
+}
