--- a/internal/control/consensus/api.go
+++ b/internal/control/consensus/api.go
@@ -98,7 +98,7 @@
 	mux.HandleFunc("POST /v1/members", a.requireToken(a.postMembers))
 	mux.HandleFunc("GET /v1/snapshot", a.requireToken(a.getSnapshot))
 	a.fleetRoutes(mux)
-	mux.Handle("GET /metrics", promhttp.HandlerFor(g.meters.registry, promhttp.HandlerOpts{}))
+	mux.Handle("GET /metrics", promhttp.HandlerFor(g.metrics.registry, promhttp.HandlerOpts{}))
 	a.server = &http.Server{Handler: a.withHeaders(mux), ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout,
 		MaxHeaderBytes: maxHeaderBytes, IdleTimeout: time.Minute,
 		ErrorLog: log.New(g.log.WriterLevel(logrus.DebugLevel), "", 0)}
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -20,58 +20,79 @@
 	"umberwinch/internal/wal"
 )
 
-// Bounds of an instance.
+// Bounds of an instance's queues. They protect memory from peers and clients that send more than the disk takes; larger
+// ones only delay ErrBusy and a peer's backpressure.
 const (
-	maxInbox         = 1024 // messages of peers that wait; past it their connections are read no further
-	maxRequests      = 1024 // clients' askings that wait; past it they are turned away
-	maxWaiting       = 4096 // puts or reads that wait for an end
-	maxTasksPerRound = 512  // of either taken up before raft is asked for its work, so that one sync serves many
+	maxInbox    = 1024 // messages of peers; past it their connections are not read
+	maxRequests = 1024 // clients' requests; past it they get ErrBusy
+	maxWaiting  = 4096 // puts or reads without a result
+	// maxTasksPerRound bounds what is taken from the queues before raft's work is done, so that one sync serves many
+	// requests and none waits without end.
+	maxTasksPerRound = 512
 )
 
-// Group is an instance at work: one goroutine owns the replica; all others hand it what they have and wait.
-// It never waits for a peer or a client, only for its own disk.
+// maxSegmentBytes is the size of a log segment unless the disk limit is small: whole segments leave the disk, so a small
+// limit needs small ones.
+const (
+	maxSegmentBytes   = 4 << 20
+	minSegmentsOnDisk = 16
+)
+
+// Group is a running instance. One goroutine, run, owns the replica and all fields below queues; other goroutines hand it
+// functions and wait. It never waits for a peer or a client, only for its own disk. It ends by Stop, or by an error after
+// which what is on disk is not known; Done and Err tell.
 type Group struct {
-	control          *config.Control
-	log              *logrus.Logger
-	replica          *Replica
-	transport        *transport
-	trust            *credentials
+	control   *config.Control
+	log       *logrus.Logger
+	transport *transport
+	trust     *credentials
+	metrics   *metrics
+	view      atomic.Pointer[View]
+
+	queues
+	done     chan struct{} // closed when run has ended
+	stopping chan struct{}
+	stopOnce sync.Once
+	err      error // set before done is closed
+
+	replica         *Replica
+	leader          *coordinator.Leader
+	leaderTickedAt  time.Time
+	stateLossLogged bool
+	ticks           uint64
+	waiting         waiters
+}
+
+// queues are how other goroutines reach the one that owns the replica.
+type queues struct {
 	inbox            chan *pb.Message
-	requests         chan func()
-	events           chan func() // of the transport: never turned away
+	requests         chan func() // of clients
+	events           chan func() // of the transport; never refused
 	snapshotsWritten chan snapshotWritten
-	view             atomic.Pointer[View]
-	done             chan struct{} // closed when the replica's goroutine ended
-	stopping         chan struct{}
-	stopOnce         sync.Once
-	err              error
-	meters           *metrics
-	leader           *coordinator.Leader
-	leaderTickedAt   time.Time
-	stateLossLogged  bool // it was logged that the group has lost state
-
-	puts     map[putKey][]*waiter
-	waiting  int
-	reads    map[uint64][]*waiter
-	newReads []*waiter // reads that came this round
-	readID   uint64
-	ticks    uint64
 }
 
-// Faults are what the laboratory does to an instance on purpose; the zero value does nothing.
+// Faults are what fault tests do to an instance on purpose; the zero value does nothing.
 type Faults struct {
-	OnStep               func(step string)   // hears of each step of Work
+	OnStep               func(step string)   // called before each step of Replica.Work
 	WrapDisk             func(wal.FS) wal.FS // stands between the log and its folder
-	DisabledPolicyGuards policy.Guard        // guards about nodes that are taken out
-	DisabledZoneGuards   zones.Guard         // and about zones
-	Level                int                 // of an older program; 0: this one's
+	DisabledPolicyGuards policy.Guard
+	DisabledZoneGuards   zones.Guard
+	Level                int // feature level of an older program; 0: this one's
 }
 
 // ConfigFrom gives what an operator's file means to a replica.
 func ConfigFrom(c *config.Control) Config {
-	bound := int64(c.DiskMB) << 20
-	return Config{Name: c.Name, Peer: c.Peer, Listen: c.Listen, FoundGroup: c.Start == "new", ElectionTicks: c.Elect,
-		SnapshotBytes: c.SnapMB << 20, Sizes: wal.Sizes{Segment: min(4<<20, bound/16), Bound: bound}, Random: randomID}
+	limit := int64(c.DiskMB) << 20
+	return Config{
+		Name:          c.Name,
+		Peer:          c.Peer,
+		Listen:        c.Listen,
+		FoundGroup:    c.Start == "new",
+		ElectionTicks: c.Elect,
+		SnapshotBytes: c.SnapMB << 20,
+		Sizes:         wal.Sizes{Segment: min(maxSegmentBytes, limit/minSegmentsOnDisk), Bound: limit},
+		Random:        randomID,
+	}
 }
 
 func randomID() uint64 {
@@ -80,62 +101,100 @@
 	return binary.LittleEndian.Uint64(raw[:])
 }
 
-// Start opens the folder and begins to serve peers.
+// Start opens the instance's folder, begins to serve its peers and returns the running instance. Errors are of the
+// folder (wal.ErrLocked, *wal.Damage), of the certificates, and of the address.
 func Start(c *config.Control, log *logrus.Logger, faults Faults) (*Group, error) {
 	dir, err := wal.MakeDir(c.Data)
 	if err != nil {
 		return nil, err
 	}
-	g := &Group{control: c, log: log, inbox: make(chan *pb.Message, maxInbox), requests: make(chan func(), maxRequests),
-		events: make(chan func(), maxInbox), snapshotsWritten: make(chan snapshotWritten, 1), done: make(chan struct{}),
-		stopping: make(chan struct{}), puts: map[putKey][]*waiter{}, reads: map[uint64][]*waiter{},
-		leader: coordinator.NewLeader(faults.DisabledPolicyGuards), leaderTickedAt: time.Now()}
-	g.meters = newMetrics(g)
+	g := newGroup(c, log, faults)
 	if g.trust, err = loadCredentials(c.Cert, c.Key, c.CA); err != nil {
 		return nil, err
 	}
-	plan := ConfigFrom(c)
-	plan.Logger, plan.OnStep, plan.DisabledPolicyGuards = raftLog{log}, faults.OnStep, faults.DisabledPolicyGuards
-	plan.Level, plan.DisabledZoneGuards = faults.Level, faults.DisabledZoneGuards
-	g.leader.DisabledZoneGuards = faults.DisabledZoneGuards
-	var disk wal.FS = dir
-	if faults.WrapDisk != nil {
-		disk = faults.WrapDisk(dir)
-	}
-	g.replica, err = Open(timedFS{disk, g.meters}, plan)
-	if err != nil {
+	if err = g.openReplica(dir, faults); err != nil {
 		return nil, err
 	}
-	l, err := g.trust.listen(c.Bind)
+	listener, err := g.trust.listen(c.Bind)
 	if err != nil {
 		g.replica.Close()
 		return nil, err
 	}
-	if f := g.replica.LogRepair; f.Torn != "" {
-		log.WithFields(logrus.Fields{"at": f.Torn, "bytes": f.Bytes}).Warn("cut off a tail that was never durable")
-	}
 	g.transport = newTransport(g, g.trust, log, c.RateMB)
 	g.publish()
-	log.WithFields(logrus.Fields{logging.Node: c.Name, "id": fmt.Sprintf("%x", g.replica.ID()), "role": g.View().Role,
-		logging.PolicyVersion: g.View().Version, logging.Index: g.View().LastIndex}).Info("instance is up")
-	go g.transport.serve(l)
+	g.logStart()
+	go g.transport.serve(listener)
 	go g.run()
 	return g, nil
 }
 
-// View gives the state as last published.
+func newGroup(c *config.Control, log *logrus.Logger, faults Faults) *Group {
+	g := &Group{
+		control: c,
+		log:     log,
+		queues: queues{
+			inbox:            make(chan *pb.Message, maxInbox),
+			requests:         make(chan func(), maxRequests),
+			events:           make(chan func(), maxInbox),
+			snapshotsWritten: make(chan snapshotWritten, 1),
+		},
+		done:           make(chan struct{}),
+		stopping:       make(chan struct{}),
+		waiting:        waiters{puts: map[putKey][]*waiter{}, reads: map[uint64][]*waiter{}},
+		leader:         coordinator.NewLeader(faults.DisabledPolicyGuards),
+		leaderTickedAt: time.Now(),
+	}
+	g.leader.DisabledZoneGuards = faults.DisabledZoneGuards
+	g.metrics = newMetrics(g)
+	return g
+}
+
+func (g *Group) openReplica(dir wal.FS, faults Faults) (err error) {
+	replicaConfig := ConfigFrom(g.control)
+	replicaConfig.Logger = raftLog{g.log}
+	replicaConfig.OnStep = faults.OnStep
+	replicaConfig.Level = faults.Level
+	replicaConfig.DisabledPolicyGuards = faults.DisabledPolicyGuards
+	replicaConfig.DisabledZoneGuards = faults.DisabledZoneGuards
+	if faults.WrapDisk != nil {
+		dir = faults.WrapDisk(dir)
+	}
+	g.replica, err = Open(timedFS{dir, g.metrics}, replicaConfig)
+	return err
+}
+
+func (g *Group) logStart() {
+	if repair := g.replica.LogRepair; repair.Torn != "" {
+		g.log.WithFields(logrus.Fields{logging.File: repair.Torn, logging.Bytes: repair.Bytes}).
+			Warn("cut off a tail that was never durable")
+	}
+	v := g.View()
+	g.log.WithFields(logrus.Fields{
+		logging.Node:          g.control.Name,
+		logging.Instance:      idText(g.replica.ID()),
+		logging.Role:          v.Role,
+		logging.PolicyVersion: v.Version,
+		logging.Index:         v.LastIndex,
+	}).Info("instance is up")
+}
+
+// idText is how logs show an instance's id.
+func idText(id uint64) string { return fmt.Sprintf("%x", id) }
+
+// View returns the state as last published.
 func (g *Group) View() *View { return g.view.Load() }
 
-// Done is closed when the instance has ended by itself or was stopped; Err tells why.
+// Done is closed when the instance has ended, by Stop or by an error.
 func (g *Group) Done() <-chan struct{} { return g.done }
 
-// Err gives what ended it, nil after Stop.
+// Err returns what ended the instance, nil after Stop. It is valid once Done is closed.
 func (g *Group) Err() error { return g.err }
 
-// Reload reads the certificates again.
+// Reload reads the certificates again. After an error the old ones stay in use.
 func (g *Group) Reload() error { return g.trust.reload() }
 
-// Stop hands the lead over if it has it, then ends.
+// Stop transfers the lead if this instance has it, so that writes go on without an election, until ctx is done; then it
+// ends the instance and returns once the folder is closed.
 func (g *Group) Stop(ctx context.Context) {
 	if v := g.View(); v.Role == RoleLeader && len(v.Members) > 1 {
 		g.enqueue(func() { g.replica.Transfer(0) })
--- a/internal/control/consensus/group_loop.go
+++ b/internal/control/consensus/group_loop.go
@@ -1,7 +1,6 @@
 package consensus
 
 import (
-	"fmt"
 	"time"
 
 	"github.com/sirupsen/logrus"
@@ -9,12 +8,14 @@
 	"umberwinch/internal/logging"
 )
 
+// run owns the replica until the instance ends.
 func (g *Group) run() {
 	defer close(g.done)
 	tick := time.NewTicker(g.control.Tick)
 	defer tick.Stop()
 	for {
-		g.newReads = g.newReads[:0]
+		g.waiting.newReads = g.waiting.newReads[:0]
+		var err error
 		select {
 		case <-g.stopping:
 			g.shutDown(nil)
@@ -28,22 +29,22 @@
 		case f := <-g.requests:
 			f()
 		case s := <-g.snapshotsWritten:
-			if err := g.replica.SnapshotWritten(s.snapshot, s.err); err != nil {
-				g.shutDown(err)
-				return
-			}
+			err = g.replica.SnapshotWritten(s.snapshot, s.err)
+		}
+		if err == nil {
+			g.drainQueues()
+			err = g.work()
 		}
-		g.drainQueues()
-		if err := g.work(); err != nil {
+		if err != nil {
 			g.shutDown(err)
 			return
 		}
 	}
 }
 
-// more takes up what else waits, up to a bound.
+// drainQueues takes up what else is queued, so that one sync serves it all.
 func (g *Group) drainQueues() {
-	for i := 0; i < maxTasksPerRound; i++ {
+	for range maxTasksPerRound {
 		select {
 		case m := <-g.inbox:
 			g.replica.Step(m)
@@ -57,34 +58,31 @@
 	}
 }
 
+// work has the replica do what raft has ready and answers whom that serves.
 func (g *Group) work() error {
-	if len(g.newReads) > 0 {
-		g.requestRead(append([]*waiter(nil), g.newReads...))
+	if len(g.waiting.newReads) > 0 {
+		g.requestRead(append([]*waiter(nil), g.waiting.newReads...))
 	}
-	out, err := g.replica.Work(g.transport.send)
+	done, err := g.replica.Work(g.transport.send)
 	if err != nil {
 		return err
 	}
-	for _, r := range out.Puts {
-		g.meters.ends.WithLabelValues(r.Result.Outcome).Inc()
-		key := putKey{r.Session, r.Seq}
-		for _, w := range g.puts[key] {
-			w.done <- outcome{result: r.Result}
-			g.waiting--
-		}
-		delete(g.puts, key)
+	for i := range done.Puts {
+		g.metrics.outcomes.WithLabelValues(done.Puts[i].Result.Outcome).Inc()
+		g.waiting.finishPut(&done.Puts[i])
 	}
-	g.operationsApplied(out.Operations)
-	if out.Applied || len(out.Reads) > 0 {
-		g.publish()
+	g.operationsApplied(done.Operations)
+	if done.Applied || len(done.Reads) > 0 {
+		g.publish() // before reads are answered: they look at the view
 	}
-	for _, id := range out.Reads {
-		for _, w := range g.reads[id] {
-			w.done <- outcome{result: PutResult{Version: g.replica.stateMachine.Last()}}
-			g.waiting--
-		}
-		delete(g.reads, id)
+	for _, id := range done.Reads {
+		g.waiting.finishRead(id, g.replica.stateMachine.Last())
 	}
+	return g.snapshotIfDue()
+}
+
+// snapshotIfDue has a snapshot written by a goroutine of its own, which ends with its one message; shutDown waits for it.
+func (g *Group) snapshotIfDue() error {
 	s, err := g.replica.SnapshotIfDue()
 	if s != nil && err == nil {
 		go func() { g.snapshotsWritten <- snapshotWritten{s, s.Write()} }()
@@ -92,114 +90,88 @@
 	return err
 }
 
-// tick passes time on and asks again for what has waited for an election's time: a forwarded asking may be
-// lost.
+// tick passes time on. What has waited for the time of an election is asked again: a follower forwards a request to the
+// leader by a message, and one that is lost would have the caller wait until its timeout.
 func (g *Group) tick() {
 	g.ticks++
 	g.replica.Tick()
 	g.tickLeader(g.elapsedMS())
-	again := uint64(g.control.Elect)
-	var late []*waiter
-	for id, ws := range g.reads {
-		if g.ticks-ws[0].sinceTick >= again {
-			late = append(late, ws...)
-			delete(g.reads, id)
-		}
+	retryAfter := uint64(g.control.Elect)
+	if overdue := g.waiting.overdueReads(g.ticks, retryAfter); len(overdue) > 0 {
+		g.requestRead(overdue)
 	}
-	if late = g.dropAbandoned(late); len(late) > 0 {
-		g.requestRead(late)
-	}
-	for key, ws := range g.puts {
-		if g.ticks-ws[0].sinceTick < again {
-			continue
-		}
-		if ws = g.dropAbandoned(ws); len(ws) == 0 {
-			delete(g.puts, key)
-			continue
-		}
-		ws[0].sinceTick = g.ticks
-		g.puts[key] = ws
-		p := *ws[0].put
+	for _, p := range g.waiting.overduePuts(g.ticks, retryAfter) {
 		g.replica.Propose(&p)
 	}
 	g.publish()
 }
 
-// alive leaves out waiters whose client went.
-func (g *Group) dropAbandoned(ws []*waiter) []*waiter {
-	kept := ws[:0]
-	for _, w := range ws {
-		if w.abandoned.Load() {
-			g.waiting--
-		} else {
-			kept = append(kept, w)
-		}
-	}
-	return kept
-}
-
-func (g *Group) requestRead(ws []*waiter) {
-	g.readID++
-	for _, w := range ws {
+// requestRead asks raft for one read that serves all of some waiters. Without a leader it fails and is asked again by tick.
+func (g *Group) requestRead(list []*waiter) {
+	g.waiting.lastReadID++
+	for _, w := range list {
 		w.sinceTick = g.ticks
 	}
-	g.reads[g.readID] = ws
-	g.replica.Read(g.readID) // without a leader it is asked again
+	g.waiting.reads[g.waiting.lastReadID] = list
+	g.replica.Read(g.waiting.lastReadID)
 }
 
+// publish makes a new view and tells all who wait for one.
 func (g *Group) publish() {
-	s := g.replica.Status()
-	was := g.view.Load()
-	lines, first := g.replica.Versions()
-	v := &View{Status: s, Members: g.replica.Members(), Versions: lines, FirstVersion: first, PublishedAt: time.Now(),
-		Superseded: make(chan struct{}), contactTimeout: g.control.Touch, tick: g.control.Tick}
-	g.view.Store(v)
-	if was != nil {
-		if was.Role != s.Role || was.Term != s.Term || was.Leader != s.Leader {
-			g.log.WithFields(logrus.Fields{"role": s.Role, logging.Term: s.Term, "leader": fmt.Sprintf("%x", s.Leader)}).
-				Info("role")
-		}
-		if was.Version != s.Version {
-			g.log.WithFields(logrus.Fields{logging.PolicyVersion: s.Version, logging.Index: s.Applied}).Info("version in force")
-		}
-		if !was.OutOfContact() && v.OutOfContact() {
-			g.log.WithField("away", v.SinceLeader().Round(time.Millisecond)).Warn("out of touch with a majority")
-		}
-		close(was.Superseded)
+	status := g.replica.Status()
+	versions, first := g.replica.Versions()
+	v := &View{
+		Status:         status,
+		Members:        g.replica.Members(),
+		Versions:       versions,
+		FirstVersion:   first,
+		PublishedAt:    time.Now(),
+		Superseded:     make(chan struct{}),
+		contactTimeout: g.control.Touch,
+		tick:           g.control.Tick,
+	}
+	previous := g.view.Swap(v)
+	if previous != nil {
+		g.logChanges(previous, v)
+		close(previous.Superseded)
+	}
+	g.transport.setPeers(g.replica.Contacts(), g.replica.stateMachine.members.removed, status.ID)
+}
+
+func (g *Group) logChanges(previous, v *View) {
+	if previous.Role != v.Role || previous.Term != v.Term || previous.Leader != v.Leader {
+		g.log.WithFields(logrus.Fields{logging.Role: v.Role, logging.Term: v.Term, logging.Leader: idText(v.Leader)}).
+			Info("role changed")
+	}
+	if previous.Version != v.Version {
+		g.log.WithFields(logrus.Fields{logging.PolicyVersion: v.Version, logging.Index: v.Applied}).
+			Info("new version committed")
+	}
+	if !previous.OutOfContact() && v.OutOfContact() {
+		g.log.WithField(logging.SilentMS, v.SinceLeader().Milliseconds()).Warn("out of touch with a majority")
 	}
-	g.transport.setPeers(g.replica.Contacts(), g.replica.stateMachine.members.removed, s.ID)
 }
 
-// end lets all go that wait. An error means that the process has to end: it is logged by whoever runs it.
+// shutDown ends all waits and closes transport and folder. An error means that the process has to end: whoever runs it
+// logs it.
 func (g *Group) shutDown(err error) {
 	g.err = err
-	for key, ws := range g.puts {
-		for _, w := range ws {
-			w.done <- outcome{err: ErrStopped}
-		}
-		delete(g.puts, key)
-	}
-	for id, ws := range g.reads {
-		for _, w := range ws {
-			w.done <- outcome{err: ErrStopped}
-		}
-		delete(g.reads, id)
-	}
-	closing := make(chan struct{})
-	go func() { g.transport.close(); close(closing) }()
-	for { // the transport's goroutines may wait for an answer of ours
+	g.waiting.failAll(ErrStopped)
+	closed := make(chan struct{})
+	go func() { g.transport.close(); close(closed) }()
+	for { // the transport's goroutines may wait for a result of this one
 		select {
 		case <-g.inbox:
 		case f := <-g.events:
 			f()
 		case f := <-g.requests:
 			f()
-		case <-closing:
-			if g.replica.snapshotting { // the folder is let go of once nobody writes to it
+		case <-closed:
+			if g.replica.snapshotting { // nobody may write to a folder that another process has opened
 				<-g.snapshotsWritten
 			}
-			if e := g.replica.Close(); e != nil && g.err == nil {
-				g.err = e
+			if err := g.replica.Close(); err != nil && g.err == nil {
+				g.err = err
 			}
 			return
 		}
--- a/internal/control/consensus/group_requests.go
+++ b/internal/control/consensus/group_requests.go
@@ -4,35 +4,17 @@
 	"context"
 	"errors"
 	"fmt"
-	"sync/atomic"
 	"time"
 
 	"go.etcd.io/raft/v3"
 )
 
-type putKey struct {
-	session string
-	seq     uint64
-}
-
-type waiter struct {
-	put       *Put // nil for a read
-	sinceTick uint64
-	done      chan outcome
-	abandoned atomic.Bool // whoever asked went
-}
-
-type outcome struct {
-	result PutResult
-	err    error
-}
-
 type snapshotWritten struct {
 	snapshot *PendingSnapshot
 	err      error
 }
 
-// ask has something done on the replica's goroutine, without waiting for it.
+// enqueue has a function run on the replica's goroutine, without waiting for it. It returns ErrStopped or ErrBusy.
 func (g *Group) enqueue(f func()) error {
 	select {
 	case <-g.done:
@@ -49,127 +31,132 @@
 	}
 }
 
-// Put asks for a version and waits for its end.
+// callOn runs a function on the replica's goroutine, by one of its queues, and returns its result. The error is the
+// queue's, or ErrStopped.
+func callOn[T any](g *Group, queue func(func()) error, f func() T) (result T, err error) {
+	done := make(chan T, 1)
+	if err = queue(func() { done <- f() }); err != nil {
+		return result, err
+	}
+	select {
+	case result = <-done:
+		return result, nil
+	case <-g.done:
+		return result, ErrStopped
+	}
+}
+
+// await enqueues a function that starts a wait, and waits. It returns ErrTimeout once ctx is done.
+func (g *Group) await(ctx context.Context, w *waiter, start func()) (PutResult, error) {
+	if err := g.enqueue(start); err != nil {
+		return PutResult{}, err
+	}
+	select {
+	case o := <-w.done:
+		return o.result, o.err
+	case <-g.done:
+		return PutResult{}, ErrStopped
+	case <-ctx.Done():
+		w.abandoned.Store(true)
+		return PutResult{}, ErrTimeout
+	}
+}
+
+// Put proposes a version and waits for the put's result. Errors: of the put itself, ErrBusy, ErrBarred, ErrLogNearLimit,
+// ErrStopped, and ErrTimeout once ctx is done, after which the put may still be committed.
 func (g *Group) Put(ctx context.Context, p Put) (PutResult, error) {
 	if err := p.valid(); err != nil {
 		return PutResult{}, err
 	}
 	w := &waiter{put: &p, done: make(chan outcome, 1)}
 	started := time.Now()
-	a, err := g.await(ctx, w, func() {
-		if g.waiting >= maxWaiting {
-			w.done <- outcome{err: ErrBusy}
+	result, err := g.await(ctx, w, func() {
+		if g.waiting.full(w) {
 			return
 		}
 		w.sinceTick = g.ticks
-		copied := p
-		if err := g.replica.Propose(&copied); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
+		proposed := p
+		if err := g.replica.Propose(&proposed); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
 			w.done <- outcome{err: err}
 			return
 		}
-		key := putKey{p.Session, p.Seq}
-		g.puts[key] = append(g.puts[key], w)
-		g.waiting++
+		g.waiting.addPut(w)
 	})
 	if err == nil {
-		g.meters.commit.Observe(time.Since(started).Seconds())
+		g.metrics.commit.Observe(time.Since(started).Seconds())
 	}
-	return a, err
+	return result, err
 }
 
-// LinearizableView waits until the view is as new as any answer that was given before it was called.
+// LinearizableView returns a view that is as new as any result given before the call, anywhere in the group. Errors are
+// ErrBusy, ErrStopped, and ErrTimeout once ctx is done.
 func (g *Group) LinearizableView(ctx context.Context) (*View, error) {
 	w := &waiter{done: make(chan outcome, 1)}
 	_, err := g.await(ctx, w, func() {
-		if g.waiting >= maxWaiting {
-			w.done <- outcome{err: ErrBusy}
-			return
+		if !g.waiting.full(w) {
+			g.waiting.addRead(w)
 		}
-		g.waiting++
-		g.newReads = append(g.newReads, w)
 	})
 	return g.View(), err
 }
 
-func (g *Group) await(ctx context.Context, w *waiter, f func()) (PutResult, error) {
-	if err := g.enqueue(f); err != nil {
-		return PutResult{}, err
-	}
-	select {
-	case a := <-w.done:
-		return a.result, a.err
-	case <-g.done:
-		return PutResult{}, ErrStopped
-	case <-ctx.Done():
-		w.abandoned.Store(true)
-		return PutResult{}, ErrTimeout
+// Change makes a change of members and waits until done says that it shows. Where it shows nowhere, as it was lost or
+// another one was under way, it is asked again after the time of an election.
+func (g *Group) Change(ctx context.Context, c Change, done func([]Member) bool) error {
+	for {
+		err, stopped := callOn(g, g.enqueue, func() error { return g.replica.Change(c) })
+		if stopped != nil {
+			return stopped
+		}
+		shown, err := g.awaitMembers(ctx, done, err)
+		if shown || err != nil {
+			return err
+		}
 	}
 }
 
-// Change makes a change of members and waits until it shows, asking again where it was lost.
-func (g *Group) Change(ctx context.Context, c Change, shows func([]Member) bool) error {
+// awaitMembers waits for the time of an election at most. failed is why the change was not proposed.
+func (g *Group) awaitMembers(ctx context.Context, done func([]Member) bool, failed error) (shown bool, err error) {
+	retry := time.NewTimer(time.Duration(g.control.Elect) * g.control.Tick)
+	defer retry.Stop()
 	for {
-		err, ended := callOn(g, g.enqueue, func() error { return g.replica.Change(c) })
-		if ended != nil {
-			return ended
+		v := g.View()
+		if done(v.Members) {
+			return true, nil
 		}
-		pause := time.NewTimer(time.Duration(g.control.Elect) * g.control.Tick)
-		for waiting := true; waiting; {
-			v := g.View()
-			if shows(v.Members) {
-				pause.Stop()
-				return nil
-			}
-			if err != nil && !errors.Is(err, raft.ErrProposalDropped) {
-				pause.Stop()
-				return err
-			}
-			select {
-			case <-v.Superseded:
-			case <-pause.C:
-				waiting = false
-			case <-ctx.Done():
-				return fmt.Errorf("%w: another change may be under way, or no leader", ErrTimeout)
-			case <-g.done:
-				return ErrStopped
-			}
+		if failed != nil && !errors.Is(failed, raft.ErrProposalDropped) {
+			return false, failed
+		}
+		select {
+		case <-v.Superseded:
+		case <-retry.C:
+			return false, nil
+		case <-ctx.Done():
+			return false, fmt.Errorf("%w: another change may be under way, or no leader", ErrTimeout)
+		case <-g.done:
+			return false, ErrStopped
 		}
 	}
 }
 
-// Transfer hands the lead to an instance; only the leader can.
-func (g *Group) Transfer(to uint64) error {
-	err, ended := callOn(g, g.enqueue, func() error { return g.replica.Transfer(to) })
-	return errors.Join(ended, err)
+// Transfer hands the lead to a voter, to the one with the longest log if id is 0. Only the leader can.
+func (g *Group) Transfer(id uint64) error {
+	err, stopped := callOn(g, g.enqueue, func() error { return g.replica.Transfer(id) })
+	return errors.Join(stopped, err)
 }
 
-// Snapshot gives a snapshot's bytes as `snapshot save` keeps them.
+// Snapshot returns the state as `umberctl control snapshot save` stores it.
 func (g *Group) Snapshot() ([][]byte, error) {
-	type end struct {
+	type snapshot struct {
 		parts [][]byte
 		err   error
 	}
-	e, ended := callOn(g, g.enqueue, func() end {
+	s, stopped := callOn(g, g.enqueue, func() snapshot {
 		meta, state, err := g.replica.snapshotState()
 		if err == nil {
 			state, err = snapshotParts(meta, state)
 		}
-		return end{state, err}
+		return snapshot{state, err}
 	})
-	return e.parts, errors.Join(ended, e.err)
-}
-
-// callOn has something done on the replica's goroutine, by one of its queues, and waits for what came of it; the
-// error is the queue's or the group's end.
-func callOn[T any](g *Group, queue func(func()) error, f func() T) (answer T, err error) {
-	got := make(chan T, 1)
-	if err = queue(func() { got <- f() }); err != nil {
-		return answer, err
-	}
-	select {
-	case answer = <-got:
-		return answer, nil
-	case <-g.done:
-		return answer, ErrStopped
-	}
+	return s.parts, errors.Join(stopped, s.err)
 }
--- a/internal/control/consensus/members.go
+++ b/internal/control/consensus/members.go
@@ -60,16 +60,6 @@
 	return nil
 }
 
-func (t *memberTable) voters() int {
-	n := 0
-	for _, o := range t.list {
-		if o.Voter {
-			n++
-		}
-	}
-	return n
-}
-
 // check returns why a change can't be made, by the state alone, so that all instances find the same.
 func (t *memberTable) check(c *Change) error {
 	at := t.byID(c.Member.ID)
@@ -96,7 +86,7 @@
 		if at == nil {
 			return fmt.Errorf("instance %x is no member", c.Member.ID)
 		}
-		if at.Voter && t.voters() == 1 {
+		if at.Voter && countVoters(t.list) == 1 {
 			return fmt.Errorf("%q is the only voter", at.Name)
 		}
 	case OpReplace:
--- /dev/null
+++ b/internal/control/consensus/metrics.go
@@ -0,0 +1,171 @@
+package consensus
+
+import (
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"umberwinch/internal/wal"
+)
+
+// metricPrefix begins the name of every metric of the control service.
+const metricPrefix = "umberwinch_control_"
+
+// durationBuckets are from 0.1 ms, a sync of a fast disk, to 6.6 s, past any client's timeout.
+var durationBuckets = prometheus.ExponentialBuckets(0.0001, 2, 17)
+
+// metrics are what Prometheus reads at the clients' address. Gauges and counters are read from the view and the transport
+// when asked for; durations and outcomes are recorded as they happen.
+type metrics struct {
+	group    *Group
+	registry *prometheus.Registry
+	commit   prometheus.Histogram
+	sync     prometheus.Histogram
+	outcomes *prometheus.CounterVec
+	read     []metric
+}
+
+// metric is one that is read when asked for.
+type metric struct {
+	desc  *prometheus.Desc
+	kind  prometheus.ValueType
+	value func(*View, *Group) float64
+}
+
+func newMetrics(g *Group) *metrics {
+	m := &metrics{
+		group:    g,
+		registry: prometheus.NewRegistry(),
+		commit: prometheus.NewHistogram(prometheus.HistogramOpts{Name: metricPrefix + "put_seconds",
+			Help: "From a put's asking to its end, at the instance asked.", Buckets: durationBuckets}),
+		sync: prometheus.NewHistogram(prometheus.HistogramOpts{Name: metricPrefix + "sync_seconds",
+			Help: "Of a file's sync.", Buckets: durationBuckets}),
+		outcomes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: metricPrefix + "puts_total",
+			Help: "Puts applied, by end; each instance counts all."}, []string{"end"}),
+	}
+	for _, outcome := range []string{PutCommitted, PutUnchanged, PutConflict, PutInvalid, PutExpired} {
+		m.outcomes.WithLabelValues(outcome) // shown from the start, as 0
+	}
+	m.addRaft()
+	m.addContact()
+	m.addTransport()
+	m.registry.MustRegister(m.commit, m.sync, m.outcomes, m)
+	return m
+}
+
+func (m *metrics) gauge(name, help string, value func(*View) float64) {
+	m.add(name, help, prometheus.GaugeValue, func(v *View, _ *Group) float64 { return value(v) })
+}
+
+func (m *metrics) counter(name, help string, value func(*View, *Group) uint64) {
+	m.add(name+"_total", help, prometheus.CounterValue,
+		func(v *View, g *Group) float64 { return float64(value(v, g)) })
+}
+
+func (m *metrics) add(name, help string, kind prometheus.ValueType, value func(*View, *Group) float64) {
+	m.read = append(m.read, metric{prometheus.NewDesc(metricPrefix+name, help, nil, nil), kind, value})
+}
+
+func (m *metrics) addRaft() {
+	m.gauge("term", "Of the group, as known here.", func(v *View) float64 { return float64(v.Term) })
+	m.gauge("leads", "1 at the leader.", func(v *View) float64 { return boolValue(v.Role == RoleLeader) })
+	m.gauge("voters", "In the group.", func(v *View) float64 { return float64(countVoters(v.Members)) })
+	m.gauge("version", "In force here.", func(v *View) float64 { return float64(v.Version) })
+	m.gauge("applied_index", "Of the log.", func(v *View) float64 { return float64(v.Applied) })
+	m.gauge("commit_index", "Of the log.", func(v *View) float64 { return float64(v.Commit) })
+	m.gauge("last_index", "Of the log.", func(v *View) float64 { return float64(v.LastIndex) })
+	m.gauge("disk_bytes", "Log and snapshots.", func(v *View) float64 { return float64(v.DiskBytes) })
+	m.counter("syncs", "That someone waited for.", func(v *View, _ *Group) uint64 { return v.Syncs })
+	m.counter("elections", "This instance stood for.", func(v *View, _ *Group) uint64 { return v.Campaigns })
+}
+
+func (m *metrics) addContact() {
+	m.gauge("away_seconds", "Since a leader was heard.", func(v *View) float64 { return v.SinceLeader().Seconds() })
+	m.gauge("out_of_touch", "1 past the operator's bound.", func(v *View) float64 { return boolValue(v.OutOfContact()) })
+	m.gauge("barred", "1 where it takes no part.", func(v *View) float64 { return boolValue(v.Barred != "") })
+}
+
+func (m *metrics) addTransport() {
+	m.add("inbox", "Messages that wait.", prometheus.GaugeValue,
+		func(_ *View, g *Group) float64 { return float64(len(g.inbox)) })
+	m.add("asked", "Askings that wait.", prometheus.GaugeValue,
+		func(_ *View, g *Group) float64 { return float64(len(g.requests)) })
+	m.counter("messages_sent", "To peers.", func(_ *View, g *Group) uint64 { return g.transport.count.sent.Load() })
+	m.counter("messages_received", "From peers.",
+		func(_ *View, g *Group) uint64 { return g.transport.count.received.Load() })
+	m.counter("messages_dropped", "For want of room or a connection.",
+		func(_ *View, g *Group) uint64 { return g.transport.count.dropped.Load() })
+	m.counter("peers_refused", "Of another cluster, removed, old copies.",
+		func(_ *View, g *Group) uint64 { return g.transport.count.refused.Load() })
+	m.counter("peers_broken", "Connections with what can't be read.",
+		func(_ *View, g *Group) uint64 { return g.transport.count.broken.Load() })
+	m.counter("snapshots_sent", "To peers.", func(_ *View, g *Group) uint64 { return g.transport.count.snapsSent.Load() })
+	m.counter("snapshots_received", "From peers.",
+		func(_ *View, g *Group) uint64 { return g.transport.count.snapsReceived.Load() })
+}
+
+func countVoters(members []Member) int {
+	n := 0
+	for _, m := range members {
+		if m.Voter {
+			n++
+		}
+	}
+	return n
+}
+
+func boolValue(b bool) float64 {
+	if b {
+		return 1
+	}
+	return 0
+}
+
+// Describe is part of prometheus.Collector.
+func (m *metrics) Describe(ch chan<- *prometheus.Desc) {
+	for _, r := range m.read {
+		ch <- r.desc
+	}
+}
+
+// Collect is part of prometheus.Collector.
+func (m *metrics) Collect(ch chan<- prometheus.Metric) {
+	v := m.group.View()
+	if v == nil {
+		return
+	}
+	for _, r := range m.read {
+		ch <- prometheus.MustNewConstMetric(r.desc, r.kind, r.value(v, m.group))
+	}
+}
+
+// timedFS records how long a file's sync takes.
+type timedFS struct {
+	wal.FS
+	metrics *metrics
+}
+
+type timedFile struct {
+	wal.File
+	metrics *metrics
+}
+
+// Create is part of wal.FS.
+func (t timedFS) Create(name string) (wal.File, error) {
+	f, err := t.FS.Create(name)
+	return timedFile{f, t.metrics}, err
+}
+
+// Open is part of wal.FS.
+func (t timedFS) Open(name string) (wal.File, error) {
+	f, err := t.FS.Open(name)
+	return timedFile{f, t.metrics}, err
+}
+
+// Sync is part of wal.File.
+func (t timedFile) Sync() error {
+	started := time.Now()
+	err := t.File.Sync()
+	t.metrics.sync.Observe(time.Since(started).Seconds())
+	return err
+}
