--- a/internal/control/consensus/api_answers.go
+++ b/internal/control/consensus/api_answers.go
@@ -16,7 +16,8 @@
 	contentJSON  = "application/json"
 	contentLines = "application/jsonl"
 	contentBytes = "application/octet-stream"
-	// retryAfterSeconds is what a client is told to wait after a temporary failure: by then a new leader is mostly elected.
+	// retryAfterSeconds is what a client is told to wait after a temporary failure: by then a new leader is mostly
+	// elected.
 	retryAfterSeconds = "1"
 )
 
@@ -74,8 +75,8 @@
 	raft.ErrProposalDropped,
 }
 
-// statusOf decides what a client does about an error: 503 ask again, 507 tell the operator, 409 the state is against the
-// operation, 400 mend the request.
+// statusOf decides what a client does about an error: 503 ask again, 507 tell the operator, 409 the state is against
+// the operation, 400 mend the request.
 func statusOf(err error) int {
 	for _, t := range temporary {
 		if errors.Is(err, t) {
--- a/internal/control/consensus/api_forward.go
+++ b/internal/control/consensus/api_forward.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// headerForwarded marks a request that an instance forwarded, so that it is forwarded once at most: two instances that
-	// each take the other for the leader would pass it to and fro.
+	// headerForwarded marks a request that an instance forwarded, so that it is forwarded once at most: two instances
+	// that each take the other for the leader would pass it to and fro.
 	headerForwarded = "Umberwinch-Relayed"
 	// forwardTimeout is less than heartbeatTimeout, so that a node hears of a leader that does not answer.
 	forwardTimeout = 1300 * time.Millisecond
--- a/internal/control/consensus/api_watch.go
+++ b/internal/control/consensus/api_watch.go
@@ -40,8 +40,8 @@
 	next    uint64 // version to be sent
 }
 
-// run ends when the client goes, is too slow, or falls behind the oldest version held; it has to begin anew then. It ends
-// also when the API or the instance stops.
+// run ends when the client goes, is too slow, or falls behind the oldest version held; it has to begin anew then. It
+// ends also when the API or the instance stops.
 func (s *watchStream) run(r *http.Request) {
 	s.control.SetReadDeadline(time.Time{}) // the server's deadline is for bodies; a watch has none
 	s.writer.Header().Set("Content-Type", contentLines)
--- a/internal/control/consensus/errors.go
+++ b/internal/control/consensus/errors.go
@@ -5,11 +5,13 @@
 	"fmt"
 )
 
-// Errors that clients see. Those of the first group are temporary: the client may ask again, at this instance or another.
+// Errors that clients see. Those of the first group are temporary: the client may ask again, at this instance or
+// another.
 var (
 	// ErrBusy is for a request that finds a queue of the instance full.
 	ErrBusy = errors.New("too much waits already; come again")
-	// ErrTimeout is for a request without a result in time. It may still take effect; a put is repeated under its number.
+	// ErrTimeout is for a request without a result in time. It may still take effect; a put is repeated under its
+	// number.
 	ErrTimeout = errors.New("no answer in time; ask again under the same number")
 	// ErrStopped is for a request to an instance that is stopping.
 	ErrStopped = errors.New("this instance is ending")
@@ -40,8 +42,8 @@
 	errSnapshotRefused  = errors.New("it was not taken")
 )
 
-// NewerProgramError is for an entry or snapshot that this program is too old to read. The instance can't go on: it would
-// come to another state than instances that can.
+// NewerProgramError is for an entry or snapshot that this program is too old to read. The instance can't go on: it
+// would come to another state than instances that can.
 type NewerProgramError struct {
 	Found    string
 	Expected string
--- a/internal/control/consensus/fleet_views.go
+++ b/internal/control/consensus/fleet_views.go
@@ -63,8 +63,8 @@
 	Evidence *zones.View `json:"seen,omitempty"`
 }
 
-// copyOf has a view made on the replica's goroutine and returns a copy that shares nothing with the state, which goes on
-// changing: its JSON, read again.
+// copyOf has a view made on the replica's goroutine and returns a copy that shares nothing with the state, which goes
+// on changing: its JSON, read again.
 func copyOf[T any](g *Group, view func() T) (*T, error) {
 	type encoded struct {
 		raw []byte
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -31,16 +31,16 @@
 	maxTasksPerRound = 512
 )
 
-// maxSegmentBytes is the size of a log segment unless the disk limit is small: whole segments leave the disk, so a small
-// limit needs small ones.
+// maxSegmentBytes is the size of a log segment unless the disk limit is small: whole segments leave the disk, so a
+// small limit needs small ones.
 const (
 	maxSegmentBytes   = 4 << 20
 	minSegmentsOnDisk = 16
 )
 
-// Group is a running instance. One goroutine, run, owns the replica and all fields below queues; other goroutines hand it
-// functions and wait. It never waits for a peer or a client, only for its own disk. It ends by Stop, or by an error after
-// which what is on disk is not known; Done and Err tell.
+// Group is a running instance. One goroutine, run, owns the replica and all fields below queues; other goroutines
+// hand it functions and wait. It never waits for a peer or a client, only for its own disk. It ends by Stop, or by an
+// error after which what is on disk is not known; Done and Err tell.
 type Group struct {
 	control   *config.Control
 	log       *logrus.Logger
--- a/internal/control/consensus/group_loop.go
+++ b/internal/control/consensus/group_loop.go
@@ -81,7 +81,8 @@
 	return g.snapshotIfDue()
 }
 
-// snapshotIfDue has a snapshot written by a goroutine of its own, which ends with its one message; shutDown waits for it.
+// snapshotIfDue has a snapshot written by a goroutine of its own, which ends with its one message; shutDown waits for
+// it.
 func (g *Group) snapshotIfDue() error {
 	s, err := g.replica.SnapshotIfDue()
 	if s != nil && err == nil {
@@ -106,7 +107,8 @@
 	g.publish()
 }
 
-// requestRead asks raft for one read that serves all of some waiters. Without a leader it fails and is asked again by tick.
+// requestRead asks raft for one read that serves all of some waiters. Without a leader it fails and is asked again by
+// tick.
 func (g *Group) requestRead(list []*waiter) {
 	g.waiting.lastReadID++
 	for _, w := range list {
--- a/internal/control/consensus/group_requests.go
+++ b/internal/control/consensus/group_requests.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Put proposes a version and waits for the put's result. Errors: of the put itself, ErrBusy, ErrBarred, ErrLogNearLimit,
-// ErrStopped, and ErrTimeout once ctx is done, after which the put may still be committed.
+// Put proposes a version and waits for the put's result. Errors: of the put itself, ErrBusy, ErrBarred,
+// ErrLogNearLimit, ErrStopped, and ErrTimeout once ctx is done, after which the put may still be committed.
 func (g *Group) Put(ctx context.Context, p Put) (PutResult, error) {
 	if err := p.valid(); err != nil {
 		return PutResult{}, err
--- a/internal/control/consensus/leader.go
+++ b/internal/control/consensus/leader.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// mayCoordinate tells whether this instance may act for the group. A new leader waits until it has applied an entry of its
-// own term: until then its state may lack what an earlier leader told nodes, and it would contradict that.
+// mayCoordinate tells whether this instance may act for the group. A new leader waits until it has applied an entry
+// of its own term: until then its state may lack what an earlier leader told nodes, and it would contradict that.
 func (r *Replica) mayCoordinate() bool {
 	status := r.node.BasicStatus()
 	m := r.stateMachine
--- a/internal/control/consensus/metrics.go
+++ b/internal/control/consensus/metrics.go
@@ -14,8 +14,8 @@
 // durationBuckets are from 0.1 ms, a sync of a fast disk, to 6.6 s, past any client's timeout.
 var durationBuckets = prometheus.ExponentialBuckets(0.0001, 2, 17)
 
-// metrics are what Prometheus reads at the clients' address. Gauges and counters are read from the view and the transport
-// when asked for; durations and outcomes are recorded as they happen.
+// metrics are what Prometheus reads at the clients' address. Gauges and counters are read from the view and the
+// transport when asked for; durations and outcomes are recorded as they happen.
 type metrics struct {
 	group    *Group
 	registry *prometheus.Registry
--- a/internal/control/consensus/record_collector.go
+++ b/internal/control/consensus/record_collector.go
@@ -31,7 +31,8 @@
 // maxGatheredTexts bounds the different texts that are held: two versions at most are at hand at a node.
 const maxGatheredTexts = 64
 
-// StartCollector opens an address that nodes ask. heard is told of each node that told what it holds, or what was wrong with it.
+// StartCollector opens an address that nodes ask. heard is told of each node that told what it holds, or what was
+// wrong with it.
 func StartCollector(listen string, heard func(k *api.NodeRecord, err error)) (*Collector, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
--- a/internal/control/consensus/restored_group.go
+++ b/internal/control/consensus/restored_group.go
@@ -13,8 +13,8 @@
 	"umberwinch/internal/wal"
 )
 
-// Restoring a group whose state is lost. What is decided about it is comeback's; here an old folder is read as far as it
-// is committed, nodes are listened to, and what was found is written as the first state of a new group.
+// Restoring a group whose state is lost. What is decided about it is comeback's; here an old folder is read as far as
+// it is committed, nodes are listened to, and what was found is written as the first state of a new group.
 
 // StoredGroup is what an old folder holds.
 type StoredGroup struct {
@@ -22,8 +22,8 @@
 	Name    string
 }
 
-// ReadFolder reads a folder as far as its entries are known to be committed. No other instance is asked, so what was committed
-// last may lack.
+// ReadFolder reads a folder as far as its entries are known to be committed. No other instance is asked, so what was
+// committed last may lack.
 func ReadFolder(fs wal.FS, plan Config) (*StoredGroup, error) {
 	log, _, err := wal.Open(fs, plan.Sizes)
 	if err != nil {
--- a/internal/control/consensus/sessions.go
+++ b/internal/control/consensus/sessions.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// maxSessions is how many clients' last results are held. A larger table costs memory and snapshot bytes; with a smaller
-// one a client that pauses meets PutExpired sooner. The same at every instance, as what is dropped must be.
+// maxSessions is how many clients' last results are held. A larger table costs memory and snapshot bytes; with a
+// smaller one a client that pauses meets PutExpired sooner. The same at every instance, as what is dropped must be.
 const maxSessions = 4096
 
 // session is a client's last put and its result.
@@ -16,9 +16,9 @@
 	result PutResult
 }
 
-// sessionTable guards against a repeated put that counts twice: a client that got no result in time, as across a change of
-// leader, repeats the put under its number and gets the first one's result. The longest unused sessions are dropped; a put
-// of one of those names an old version and ends as a conflict, so dropping is harmless.
+// sessionTable guards against a repeated put that counts twice: a client that got no result in time, as across a
+// change of leader, repeats the put under its number and gets the first one's result. The longest unused sessions are
+// dropped; a put of one of those names an old version and ends as a conflict, so dropping is harmless.
 type sessionTable struct {
 	byName map[string]*list.Element // of *session
 	byUse  *list.List               // the longest unused first
@@ -28,8 +28,8 @@
 	return sessionTable{byName: map[string]*list.Element{}, byUse: list.New()}
 }
 
-// once gives the stored result of a repeated put and runs apply for a new one. last is the newest version. forget is the
-// disabled guard, for fault tests alone.
+// once gives the stored result of a repeated put and runs apply for a new one. last is the newest version. forget is
+// the disabled guard, for fault tests alone.
 func (t *sessionTable) once(p *Put, last uint64, forget bool, apply func() PutResult) PutResult {
 	e := t.byName[p.Session]
 	if e == nil {
--- a/internal/control/consensus/state_machine.go
+++ b/internal/control/consensus/state_machine.go
@@ -10,8 +10,8 @@
 )
 
 // StateMachine is the replicated state, put together from its subsystems. It is given committed entries in order and
-// nothing else, so it is the same at every instance after the same entry. It never looks at a clock: the age of a session
-// is how many others were used since.
+// nothing else, so it is the same at every instance after the same entry. It never looks at a clock: the age of a
+// session is how many others were used since.
 type StateMachine struct {
 	disabledGuards Guard
 	supportedLevel int // the newest level of which this instance's program can read entries
@@ -65,8 +65,8 @@
 }
 
 // applyEntry applies what a committed entry carries, a put or an entry of a kind. It returns the put's result, or the
-// result of a fleet entry; one of them is nil. An error means that the entry can't be read: the instance can't go on, as
-// others may have applied it.
+// result of a fleet entry; one of them is nil. An error means that the entry can't be read: the instance can't go on,
+// as others may have applied it.
 func (m *StateMachine) applyEntry(data []byte, index, term uint64) (put *AppliedPut, operation any, err error) {
 	var e entry
 	if err := json.Unmarshal(data, &e); err != nil {
--- a/internal/control/consensus/transport.go
+++ b/internal/control/consensus/transport.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -15,23 +14,27 @@
 	"umberwinch/internal/logging"
 )
 
-// Bounds of the transport.
+// Bounds of the transport. They protect memory from peers that are slow or send what can't be read; raft sends again
+// what is dropped.
 const (
-	maxQueuedMessages     = 512             // messages that wait for one peer; the core sends again what is dropped
-	maxQueuedBytes        = 32 << 20        // and their bytes
-	maxInboundConnections = 64              // connections taken in at once
-	maxSnapshotBytes      = 160 << 20       // of a state: twice what the machine keeps of versions, and the rest of it
-	snapshotChunkBytes    = 256 << 10       // of a state in one frame
-	handshakeTimeout      = 2 * time.Second // for dialling and greeting
-	writeTimeout          = 5 * time.Second // for a frame to leave
-	minBackoff            = 20 * time.Millisecond
-	maxBackoff            = time.Second
-	snapshotIdleTimeout   = 10 * time.Second // without a chunk a snapshot is given up
-	maxHandshakeBytes     = 4 << 10          // of a greeting
+	maxQueuedMessages     = 512 // for one peer
+	maxQueuedBytes        = 32 << 20
+	maxInboundConnections = 64        // several for each of maxMembers
+	maxSnapshotBytes      = 160 << 20 // twice maxVersionBytes, and the rest of a state
+	snapshotChunkBytes    = 256 << 10 // in one frame: little enough that the rate limit is even
+	maxHandshakeBytes     = 4 << 10
 )
 
-// owner is what the transport asks of whoever owns the replica. All but the counters run on the owner's
-// goroutine.
+// Timeouts of the transport. Each is longer than a slow network takes and shorter than an operator's patience.
+const (
+	handshakeTimeout    = 2 * time.Second  // to connect and exchange hellos
+	writeTimeout        = 5 * time.Second  // for a frame to be sent
+	snapshotIdleTimeout = 10 * time.Second // between two chunks
+	minBackoff          = 20 * time.Millisecond
+	maxBackoff          = time.Second // a peer that is up again is reached within it
+)
+
+// messageHandler is what the transport needs of the replica's owner. Its methods run on the replica's goroutine.
 type messageHandler interface {
 	hello(to uint64) (Hello, error)
 	handshake(h Hello) (reason string, err error)
@@ -41,14 +44,15 @@
 	reportSnapshot(to uint64, ok bool)
 }
 
-// traffic counts what went over the wire.
+// transportCounters are read by metrics.
 type transportCounters struct {
 	sent, received, dropped, refused, broken, snapsSent, snapsReceived atomic.Uint64
 }
 
-// transport carries messages between instances: one connection a peer and direction for what is small,
-// another for a snapshot, so that a heartbeat never waits behind bulk. It owns connections and queues; it
-// never decides whom to speak with, and never waits for a peer on the owner's goroutine.
+// transport carries messages between instances: one connection a peer and direction for raft's messages, and one for
+// each snapshot, so that a heartbeat never waits behind a snapshot: it would look as if the leader were gone. It owns
+// connections, queues and their goroutines, which close ends. It never decides whom to speak with, and never waits
+// for a peer on the replica's goroutine.
 type transport struct {
 	handler messageHandler
 	trust   *credentials
@@ -61,17 +65,26 @@
 
 	mu                sync.Mutex
 	peers             map[uint64]*peer
-	inbound           map[net.Conn]uint64 // taken in, by whom
-	receivingSnapshot bool                // a snapshot is coming in
+	inbound           map[net.Conn]uint64 // by id of the peer, 0 before its hello
+	receivingSnapshot bool                // at most one
 }
 
 func newTransport(o messageHandler, t *credentials, log *logrus.Logger, rateMB int) *transport {
 	ctx, stop := context.WithCancel(context.Background())
-	return &transport{handler: o, trust: t, log: log, ctx: ctx, stop: stop, peers: map[uint64]*peer{},
-		inbound: map[net.Conn]uint64{}, rate: rate.NewLimiter(rate.Limit(rateMB<<20), max(snapshotChunkBytes, rateMB<<18))}
+	burst := max(snapshotChunkBytes, rateMB<<18)
+	return &transport{
+		handler: o,
+		trust:   t,
+		log:     log,
+		rate:    rate.NewLimiter(rate.Limit(rateMB<<20), burst),
+		ctx:     ctx,
+		stop:    stop,
+		peers:   map[uint64]*peer{},
+		inbound: map[net.Conn]uint64{},
+	}
 }
 
-// serve takes connections in until the listener closes.
+// serve accepts connections until close.
 func (t *transport) serve(l net.Listener) {
 	t.wg.Add(1)
 	go func() {
@@ -85,7 +98,7 @@
 			if t.ctx.Err() != nil {
 				return
 			}
-			t.log.WithField(logging.Error, err).Warn("a connection of a peer was not accepted")
+			t.log.WithField(logging.Error, err).Warn("inbound connection not accepted")
 			time.Sleep(minBackoff)
 			continue
 		}
@@ -112,8 +125,8 @@
 	}
 }
 
-// know sets whom to speak with, by id and address. Connections of those that were removed close, so that they
-// hear of it when they come again.
+// setPeers sets whom to connect to, by id and address. Connections of removed instances are closed, so that they are
+// told that they were removed when they connect again.
 func (t *transport) setPeers(members []Member, removed []uint64, own uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,7 +159,7 @@
 	}
 }
 
-// send queues messages; those for whom there is no room are dropped, as a network would.
+// send queues messages. Those that find a queue full are dropped, as a network would.
 func (t *transport) send(ms []*pb.Message) {
 	for _, m := range ms {
 		t.mu.Lock()
@@ -170,8 +183,8 @@
 				err := t.sendSnapshot(p, m)
 				p.sendingSnapshot.Store(false)
 				if err != nil {
-					t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", p.id), logging.Error: err}).Warn(
-						"a snapshot was not sent whole")
+					t.log.WithFields(logrus.Fields{logging.Peer: idText(p.id), logging.Error: err}).Warn(
+						"snapshot not sent completely")
 				}
 				t.handler.reportSnapshot(p.id, err == nil)
 			}()
--- a/internal/control/consensus/transport_inbound.go
+++ b/internal/control/consensus/transport_inbound.go
@@ -14,12 +14,25 @@
 	"umberwinch/internal/logging"
 )
 
-// take greets whoever dialled and reads what it sends.
+// accept answers the hello of an instance that connected and reads what it sends, until the connection ends.
 func (t *transport) accept(c net.Conn) {
-	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	r := bufio.NewReaderSize(c, 64<<10)
+	h, ok := t.acceptHello(c, r)
+	if !ok {
+		return
+	}
+	if h.Bulk {
+		t.receiveSnapshot(c, r, h.ID)
+		return
+	}
+	t.registerConnection(c, h.ID)
+	t.readMessages(r, h.ID)
+}
+
+// acceptHello reads and answers a hello. A connection that does not go on is for its caller to close.
+func (t *transport) acceptHello(c net.Conn, r *bufio.Reader) (h Hello, ok bool) {
+	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	kind, raw, err := readFrame(r, maxHandshakeBytes)
-	var h Hello
 	if err == nil && kind != frameHello {
 		err = fmt.Errorf("a frame of kind %d, expected a hello", kind)
 	}
@@ -28,8 +41,8 @@
 	}
 	if err != nil {
 		t.count.broken.Add(1)
-		t.log.WithField(logging.Error, err).Debug("a peer's connection without a greeting")
-		return
+		t.log.WithField(logging.Error, err).Debug("inbound connection without a hello")
+		return h, false
 	}
 	reason, err := t.handler.handshake(h)
 	var own Hello
@@ -37,34 +50,35 @@
 		own, err = t.handler.hello(h.ID)
 	}
 	if err != nil {
-		return
+		return h, false
 	}
 	if reason != "" {
 		t.count.refused.Add(1)
-		t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", h.ID), "name": h.Name, logging.Reason: reason}).
+		t.log.WithFields(logrus.Fields{logging.Peer: idText(h.ID), logging.Node: h.Name, logging.Reason: reason}).
 			Warn("an instance was refused")
 		writeJSON(c, frameRefused, reason)
-		return
+		return h, false
 	}
 	if err = writeJSON(c, frameAccepted, own); err != nil {
-		return
+		return h, false
 	}
 	c.SetDeadline(time.Time{})
-	if h.Bulk {
-		t.receiveSnapshot(c, r, h.ID)
-		return
-	}
-	t.registerConnection(c, h.ID)
+	return h, true
+}
+
+// readMessages hands over a peer's messages. One in the name of another instance, or a snapshot outside a bulk
+// connection, ends the connection: raft would take it for the other's.
+func (t *transport) readMessages(r *bufio.Reader, from uint64) {
 	for t.ctx.Err() == nil {
 		kind, raw, err := readFrame(r, maxFrameBytes)
 		if err != nil {
 			return
 		}
 		m := &pb.Message{}
-		if kind != frameMessage || proto.Unmarshal(raw, m) != nil || m.GetFrom() != h.ID ||
+		if kind != frameMessage || proto.Unmarshal(raw, m) != nil || m.GetFrom() != from ||
 			m.GetType() == pb.MessageType_MsgSnap {
 			t.count.broken.Add(1)
-			t.log.WithField(logging.Peer, fmt.Sprintf("%x", h.ID)).Warn("a message that can't be from this peer")
+			t.log.WithField(logging.Peer, idText(from)).Warn("message that can't be from this peer")
 			return
 		}
 		t.count.received.Add(1)
@@ -72,7 +86,7 @@
 	}
 }
 
-// replace closes an older connection of the same peer.
+// registerConnection closes an older connection of the same peer.
 func (t *transport) registerConnection(c net.Conn, id uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/consensus/transport_peer.go
+++ b/internal/control/consensus/transport_peer.go
@@ -16,6 +16,7 @@
 	"umberwinch/internal/logging"
 )
 
+// peer is another instance as this one sends to it.
 type peer struct {
 	id              uint64
 	addr            string
@@ -25,7 +26,7 @@
 	sendingSnapshot atomic.Bool
 }
 
-// put queues a message if there is room for it; took frees the room of one that left the queue.
+// enqueue queues a message unless that passes the bound of messages or bytes.
 func (p *peer) enqueue(m *pb.Message) bool {
 	n := int64(proto.Size(m))
 	if p.bytes.Add(n) <= maxQueuedBytes {
@@ -39,9 +40,10 @@
 	return false
 }
 
+// release returns the bytes of a message that left the queue.
 func (p *peer) release(m *pb.Message) { p.bytes.Add(-int64(proto.Size(m))) }
 
-// greet dials a peer and makes sure of who answers.
+// dial connects to a peer and makes sure that it is the one meant.
 func (t *transport) dial(p *peer, bulk bool) (net.Conn, error) {
 	c, err := t.trust.dial(p.addr, handshakeTimeout)
 	if err != nil {
@@ -54,6 +56,7 @@
 	return c, nil
 }
 
+// handshake sends a hello and judges the answer. A peer that says that this instance must take no part ends its part.
 func (t *transport) handshake(c net.Conn, p *peer, bulk bool) error {
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	h, err := t.handler.hello(p.id)
@@ -97,37 +100,38 @@
 	return fmt.Errorf("a frame of kind %d, expected a welcome", kind)
 }
 
-// speak keeps a connection to a peer and sends what is queued.
+// connect keeps a connection to a peer and sends what is queued, until ctx is done. Failures are logged as they change.
 func (t *transport) connect(ctx context.Context, p *peer) {
-	wait, told := minBackoff, ""
+	backoff, logged := minBackoff, ""
 	for ctx.Err() == nil {
 		c, err := t.dial(p, false)
 		if err != nil {
-			if err.Error() != told { // changes of state only
-				told = err.Error()
-				t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", p.id), "address": p.addr,
-					logging.Error: err}).Info("a peer can't be reached")
+			if err.Error() != logged { // log changes alone
+				logged = err.Error()
+				t.log.WithFields(logrus.Fields{logging.Peer: idText(p.id), logging.Address: p.addr,
+					logging.Error: err}).Info("peer unreachable")
 			}
 			t.handler.reportUnreachable(p.id)
 			t.dropQueued(p)
 			select {
 			case <-ctx.Done():
-			case <-time.After(wait):
+			case <-time.After(backoff):
 			}
-			wait = min(2*wait, maxBackoff)
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		if told != "" {
-			t.log.WithField(logging.Peer, fmt.Sprintf("%x", p.id)).Info("a peer is reached again")
+		if logged != "" {
+			t.log.WithField(logging.Peer, idText(p.id)).Info("peer reachable again")
 		}
-		wait, told = minBackoff, ""
+		backoff, logged = minBackoff, ""
 		t.writeMessages(ctx, p, c)
 		c.Close()
 		t.handler.reportUnreachable(p.id)
 	}
 }
 
-// drop empties a queue: what waited while a peer was away is old, and the core sends it again.
+// dropQueued empties a queue: messages that waited while a peer was unreachable are outdated, and raft sends them
+// again.
 func (t *transport) dropQueued(p *peer) {
 	for {
 		select {
@@ -140,19 +144,20 @@
 	}
 }
 
+// writeMessages sends queued messages until the connection breaks or ctx is done.
 func (t *transport) writeMessages(ctx context.Context, p *peer, c net.Conn) {
-	gone := make(chan struct{})
-	go func() { // nothing comes this way: a read that ends means that the peer is gone
-		var one [1]byte
-		c.Read(one[:])
-		close(gone)
+	closed := make(chan struct{})
+	go func() { // peers send nothing this way: a read that ends means that the connection is closed
+		var unread [1]byte
+		c.Read(unread[:])
+		close(closed)
 	}()
 	w := bufio.NewWriterSize(c, 64<<10)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-gone:
+		case <-closed:
 			return
 		case m := <-p.queue:
 			c.SetWriteDeadline(time.Now().Add(writeTimeout))
--- a/internal/control/consensus/transport_snapshot.go
+++ b/internal/control/consensus/transport_snapshot.go
@@ -35,8 +35,8 @@
 	defer func() { t.mu.Lock(); t.receivingSnapshot = false; t.mu.Unlock() }()
 	bad := func(err error) {
 		t.count.broken.Add(1)
-		t.log.WithFields(logrus.Fields{logging.Peer: fmt.Sprintf("%x", from), logging.Error: err}).Warn(
-			"a snapshot did not come whole; it will be sent again")
+		t.log.WithFields(logrus.Fields{logging.Peer: idText(from), logging.Error: err}).Warn(
+			"incomplete snapshot received; the peer sends it again")
 	}
 	c.SetReadDeadline(time.Now().Add(snapshotIdleTimeout))
 	kind, raw, err := readFrame(r, maxFrameBytes)
@@ -75,7 +75,8 @@
 	writeFrame(c, frameDone, nil)
 }
 
-// sendSnapshot sends one over a connection of its own, no faster than the operator allows.
+// sendSnapshot sends one over a connection of its own, no faster than the operator allows, so that heartbeats never
+// wait behind it.
 func (t *transport) sendSnapshot(p *peer, m *pb.Message) error {
 	c, err := t.dial(p, true)
 	if err != nil {
--- a/internal/control/consensus/versions.go
+++ b/internal/control/consensus/versions.go
@@ -7,8 +7,8 @@
 	"umberwinch/internal/control/document"
 )
 
-// Bounds of the versions held. They protect memory, snapshots and the time of a start; older versions than they allow can't
-// be read or watched any more. The same at every instance, as what is dropped must be.
+// Bounds of the versions held. They protect memory, snapshots and the time of a start; older versions than they allow
+// can't be read or watched any more. The same at every instance, as what is dropped must be.
 const (
 	maxVersions     = 100000   // numbers
 	maxVersionBytes = 64 << 20 // of their lines together
