--- a/internal/node/server/admission_writer.go
+++ b/internal/node/server/admission_writer.go
@@ -112,7 +112,7 @@
 
 // Health has health checks and service discovery learn whether the node is ready.
 func (l *loop) Health(good bool) {
-	l.moduleReady = good
+	l.controllerReady = good
 	l.ready = good && l.fleet.takesTraffic()
 	l.discovery.ready = l.ready
 	l.sendReport()
--- a/internal/node/server/front.go
+++ b/internal/node/server/client_connections.go
@@ -1,14 +1,7 @@
-// Front: the sidecars' side. It owns the listener with its bound on connections, what each connection has
-// brought and is owed, and health checks. It sends exactly one answer for each req and never closes a
-// connection on which an answer may still be unread: it says `Connection: close` and lets the sidecar close
-// first, or waits for a while.
-
 package server
 
 import (
 	"context"
-	"errors"
-	"strings"
 	"syscall"
 
 	"github.com/cloudwego/netpoll"
@@ -250,113 +243,6 @@
 	}
 }
 
-// messageReceived takes a message of a connection, or that what came is none. One is served at a time.
-func (l *loop) messageReceived(m clientMessage) {
-	c := l.connections.get(m.sender().handle)
-	if c == nil || c.closing {
-		m.release(&l.pool)
-		return
-	}
-	c.lastActive = l.now
-	if c.current != 0 || len(c.pending) > 0 {
-		c.pending = append(c.pending, m)
-		return
-	}
-	l.serveMessage(c, m)
-}
-
-// serveMessage starts on the next message of a connection.
-func (l *loop) serveMessage(c *connection, m clientMessage) {
-	p := m.sender()
-	p.pipelined.Add(-1)
-	switch m := m.(type) {
-	case *requestUnreadable:
-		l.sendResponse(c, p.handle, l.unreadableResponse(m.err))
-	case *requestRead:
-		l.serveRequest(c, p.handle, m)
-	}
-}
-
-// Paths that are served.
-const (
-	healthPath    = "/health"
-	handlerPrefix = "/rpc/"
-)
-
-// serveRequest answers a health check, and brings any other request before the module or answers it here.
-func (l *loop) serveRequest(c *connection, h handle, m *requestRead) {
-	a := wire.Response{Close: m.request.Close}
-	switch method, path := string(m.request.Method), string(m.request.Path); {
-	case path == healthPath && method == methodGet:
-		l.checkHealth(c, &a)
-	case len(path) > len(handlerPrefix) && strings.HasPrefix(path, handlerPrefix) && method == methodPost:
-		if a.Status = l.receiveRequest(c, m, path[len(handlerPrefix):], &a); a.Status != wire.StatusBadRequest {
-			c.usage = usedForRequests
-		}
-		if a.Status == 0 {
-			return
-		}
-		l.addRetryAfter(&a)
-	default:
-		a.Status = l.badRequest("%s of path %q", method, path)
-	}
-	a.Close = a.Close || a.Status == wire.StatusBadRequest
-	m.release(&l.pool)
-	l.sendResponse(c, h, a)
-}
-
-// checkHealth answers a health check.
-func (l *loop) checkHealth(c *connection, a *wire.Response) {
-	l.counters.Checks++
-	c.usage = max(c.usage, usedForChecks)
-	if a.Status = wire.StatusOK; !l.ready {
-		a.Status = wire.StatusServiceUnavailable
-	}
-	a.Body = l.results.healthBody()
-}
-
-// refusal answers what could not be read.
-func (l *loop) unreadableResponse(err error) wire.Response {
-	if errors.Is(err, errNoBuffer) { // its sender has done nothing wrong
-		l.counters.Shed++
-		a := wire.Response{Status: wire.StatusServiceUnavailable, Close: true}
-		l.addRetryAfter(&a)
-		return a
-	}
-	return wire.Response{Status: l.badRequest("%v", err), Close: true}
-}
-
-// addRetryAfter gives a refusal that the module was not asked about a time to come back, where the settings allow
-// one.
-func (l *loop) addRetryAfter(a *wire.Response) {
-	if a.Status == wire.StatusServiceUnavailable && a.RetryAfterMS == 0 {
-		a.RetryAfterMS = l.retryAfter(&l.refusals, 0)
-	}
-}
-
-// reply sends an answer on a connection and goes on to what else it has brought. What was read before a
-// connection is to be closed is still answered on it: only the last answer says that it closes.
-func (l *loop) sendResponse(c *connection, h handle, a wire.Response) {
-	c.current, c.lastActive = 0, l.now
-	c.ending = c.ending || a.Close || l.draining
-	a.Close = c.ending && !c.owesAnswer() && c.peer.seal(false)
-	a.OverloadSignal, a.HasOverloadSignal = l.overloadSignal, l.hasOverloadSignal
-	l.scratch = wire.AppendResponse(l.scratch[:0], a)
-	if !c.peer.send(l.scratch, l.limits.ConnectionQueue) {
-		l.abort(c) // it takes nothing: given up
-		return
-	}
-	if a.Close {
-		l.finish(c)
-		return
-	}
-	if len(c.pending) > 0 {
-		next := c.pending[0]
-		c.pending = append(c.pending[:0], c.pending[1:]...)
-		l.serveMessage(c, next)
-	}
-}
-
 // dropPending lets go of what a connection has brought and no answer will go out for.
 func (l *loop) dropPending(c *connection) {
 	for _, m := range c.pending {
--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -37,7 +37,9 @@
 	lim := NewLimits(1, 64, 256)
 	lim.Connections, lim.EvictAbove = conns, conns
 	l := &loop{log: log, limits: lim, events: make(chan event, 256), pool: bufferPool{capacity: lim.Buffers},
-		workers: newWorkers(1), connections: newTable[connection](conns), requests: newTable[request](8), ready: true, idleClose: admission.Second,
+		workers:        newWorkers(1),
+		clients:        clients{connections: newTable[connection](conns), idleClose: admission.Second},
+		requestsInHand: requestsInHand{requests: newTable[request](8)}, readiness: readiness{ready: true},
 		settings: &settings.Startup{Deployment: &admission.Deployment{}}}
 	l.startClock(admission.Second)
 	ln, err := newListener("127.0.0.1:0", conns, time.Millisecond)
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -154,7 +154,7 @@
 
 // The waits between dials double up to a bound, and two servers that lose one peer together do not come back together.
 func TestBackoffHasJitter(t *testing.T) {
-	l := &loop{now: 1000, limits: NewLimits(1, 64, 256)}
+	l := &loop{loopTime: loopTime{now: 1000}, limits: NewLimits(1, 64, 256)}
 	seen := map[admission.Time]bool{}
 	for range 20 {
 		var b backoff
@@ -173,7 +173,7 @@
 
 // Servers that were started together do not report together; none reports later than it has to.
 func TestReportsAreSpread(t *testing.T) {
-	l := &loop{now: 1000, limits: NewLimits(1, 64, 256)}
+	l := &loop{loopTime: loopTime{now: 1000}, limits: NewLimits(1, 64, 256)}
 	seen := map[admission.Time]bool{}
 	for range 50 {
 		wait := l.nextReport() - l.now
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -111,7 +111,7 @@
 }
 
 // refreshReadiness has health checks and discovery told anew.
-func (l *loop) refreshReadiness() { l.Health(l.moduleReady) }
+func (l *loop) refreshReadiness() { l.Health(l.controllerReady) }
 
 // limitLog gives a log line that counts against the bound on lines, nil past it.
 func (l *loop) limitLog() *logrus.Entry {
--- a/internal/node/server/kernel.go
+++ b/internal/node/server/kernel_link.go
@@ -117,6 +117,13 @@
 	l.wakeWithoutGauges()
 }
 
+// gaugesTimedOut lets a wake-up do without its gauges, unless it waits for others by now.
+func (l *loop) gaugesTimedOut() {
+	if l.now >= l.kernel.gaugesBy {
+		l.wakeWithoutGauges()
+	}
+}
+
 // ungauged lets a wake-up that is due come without gauges.
 func (l *loop) wakeWithoutGauges() {
 	if l.wakePending {
--- a/internal/node/server/limits.go
+++ b/internal/node/server/limits.go
@@ -60,9 +60,6 @@
 	LogInterval            admission.Time // of lines beyond a few, one is written so often
 }
 
-// A 4 KiB result in base64 with its line fits, and a 2 KiB body with its head does twice over.
-const bufferBytes = 8 << 10
-
 // NewLimits derives the bounds from what the machine allows.
 func NewLimits(cores float64, memoryMB, sockets int) Limits {
 	const ms = admission.Second / 1000
--- a/internal/node/server/link.go
+++ b/internal/node/server/links.go
@@ -14,7 +14,6 @@
 	"github.com/cloudwego/netpoll"
 
 	"umberwinch/admission"
-	"umberwinch/internal/config"
 )
 
 var (
@@ -230,28 +229,3 @@
 	}
 	l.closeLink(k, nil)
 }
-
-// reload takes a start-up file that was read anew, or word that it can't be used: then the old one stays.
-func (l *loop) reload(c *Node, err error) {
-	if err != nil {
-		l.log.Errorf("start-up file not taken, the old one stays: %v", err)
-		return
-	}
-	l.counters.Reloads++
-	if what := l.startup.fixed(c); what != "" {
-		l.log.Warnf("start-up file: %s can't change while the program serves and stays as it was", what)
-	}
-	l.log.Infof("start-up file taken: kernel %s, store %s, control plane %s", c.Kernel, c.Store, c.Control)
-	l.move(&l.kernel.link, c.Kernel)
-	l.move(&l.discovery.link, c.Control)
-	l.moveStore(c.Store)
-	if !c.own.Fleet.Same(l.startup.own.Fleet) {
-		l.log.Warn("operator's file: [fleet] can't change while the program serves and stays as it was")
-		c.own.Fleet = l.startup.own.Fleet
-	}
-	if !config.SameKept(c.own.Kept, l.startup.own.Kept) {
-		l.log.Warn("operator's file: [kept] can't change while the program serves and stays as it was")
-		c.own.Kept = l.startup.own.Kept
-	}
-	l.movePools(c)
-}
--- a/internal/node/server/looptime.go
+++ b/internal/node/server/loop_time.go
@@ -16,6 +16,13 @@
 
 func durationOf(t admission.Time) time.Duration { return time.Duration(t) * timeUnit }
 
+// loopTime is the loop's time: it stands still while events are handled, and never goes back.
+type loopTime struct {
+	clock  *clock.Clock
+	stamps *clock.Stamps // of requests, by the wall clock
+	now    admission.Time
+}
+
 // startClock begins to measure time; requests are taken that reached the machine up to oldest ago.
 func (l *loop) startClock(oldest admission.Time) {
 	l.clock = clock.New()
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -52,9 +52,10 @@
 func loopWithStore(t *testing.T, d *heldDisk) *loop {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &loop{log: log, events: make(chan event, 64), requests: newTable[request](8),
-		connections: newTable[connection](2), names: []string{"put"},
-		idempotency: newIdempotencyTable(10, 1000, 50), limits: NewLimits(1, 64, 256),
+	l := &loop{log: log, events: make(chan event, 64), names: []string{"put"},
+		requestsInHand: requestsInHand{requests: newTable[request](8),
+			idempotency: newIdempotencyTable(10, 1000, 50)},
+		clients: clients{connections: newTable[connection](2)}, limits: NewLimits(1, 64, 256),
 		settings: &settings.Startup{Deployment: &admission.Deployment{
 			MaxRetryAfter: 5 * admission.Second, Handlers: []admission.Handler{{IdempotencyWindow: admission.Second,
 				RetrySafety: admission.IdempotencyKeyed}}}}}
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -179,7 +179,8 @@
 
 // A round is decided in the order in which its reqs came, and a key's later try repeats the earlier one.
 func TestArrange(t *testing.T) {
-	l := &loop{requests: newTable[request](8), idempotency: newIdempotencyTable(10, 100, 50)}
+	l := &loop{requestsInHand: requestsInHand{requests: newTable[request](8),
+		idempotency: newIdempotencyTable(10, 100, 50)}}
 	var all []admission.Request
 	for i, came := range []admission.Time{30, 10, 20, 10, 15} {
 		h, r, _ := l.requests.take()
@@ -200,7 +201,7 @@
 
 // However often a report asks for a link that is down, one deadline has it dialled again.
 func TestDeadlinesDoNotPileUp(t *testing.T) {
-	l := &loop{now: 1000}
+	l := &loop{loopTime: loopTime{now: 1000}}
 	l.discovery.link = link{addr: "127.0.0.1:1", backoff: backoff{notBefore: 2000}, retry: timerDiscoveryDial}
 	for range 50 {
 		l.sendReport()
@@ -214,7 +215,8 @@
 func TestMoveDoesNotWait(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &loop{now: 1000, log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256), dialTo: dialTCP}
+	l := &loop{loopTime: loopTime{now: 1000}, log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256),
+		upstreams: upstreams{dialTo: dialTCP}}
 	k := &l.discovery.link
 	k.peer, k.addr, k.delay, k.notBefore = peerDiscovery, "127.0.0.1:1", 900, 2000
 	l.move(k, "127.0.0.1:2")
@@ -237,8 +239,9 @@
 func TestOldDialOfMovedStore(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &loop{now: 1000, log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256), dialTo: dialTCP,
-		requests: newTable[request](2), store: store1("127.0.0.1:1", NewLimits(1, 64, 256))}
+	l := &loop{loopTime: loopTime{now: 1000}, log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256),
+		upstreams:      upstreams{dialTo: dialTCP, store: store1("127.0.0.1:1", NewLimits(1, 64, 256))},
+		requestsInHand: requestsInHand{requests: newTable[request](2)}}
 	h, r, _ := l.requests.take()
 	at, c, _ := l.store.connections.take()
 	old := &dialed{peer: peerStore, storeConn: at, parser: l.store.parser}
@@ -254,7 +257,7 @@
 
 // An answer proves that commands were read only once it is older than what a break may take with it.
 func TestProofIsLate(t *testing.T) {
-	l := &loop{now: 10000, limits: NewLimits(1, 64, 256)}
+	l := &loop{loopTime: loopTime{now: 10000}, limits: NewLimits(1, 64, 256)}
 	k := &l.kernel
 	k.state, k.sent = kernelLive, 7
 	for _, step := range []struct {
@@ -326,7 +329,8 @@
 		cores        float64
 		stop, before admission.Time
 	}{{1, 24_000, 380}, {0.1, 24_000, 1100}, {0.1, 4000, 500}} {
-		l := &loop{now: 5000, drainState: drainState{stopAfter: c.stop}, limits: NewLimits(c.cores, 64, 256)}
+		l := &loop{loopTime: loopTime{now: 5000}, drainState: drainState{stopAfter: c.stop},
+			limits: NewLimits(c.cores, 64, 256)}
 		l.startDrain()
 		if r := l.nextRound(); !r.Drain || r.KillAt != 5000+c.stop-c.before {
 			t.Errorf("%.1f cores, notice of %d: the module hears of a kill at %d, expected %d before %d", c.cores,
@@ -362,8 +366,9 @@
 // TestCallsGivenUp: a call that nobody waited for to the end counts with the time that it had, or a service that
 // answers nothing would look like one that nobody calls.
 func TestCallsGivenUp(t *testing.T) {
-	l := &loop{now: 5000, requests: newTable[request](8), limits: NewLimits(1, 64, 256),
-		fleet: &fleetAgent{clock: bootTime, meter: zonegate.NewMeter(bootTime(), []float64{1})}}
+	l := &loop{loopTime: loopTime{now: 5000}, limits: NewLimits(1, 64, 256),
+		requestsInHand: requestsInHand{requests: newTable[request](8)},
+		fleet:          &fleetAgent{clock: bootTime, meter: zonegate.NewMeter(bootTime(), []float64{1})}}
 	r := &request{lifecycle: lifecycle{call: callSent}, callStarted: 2000}
 	l.cancelCall(1, r)
 	l.cancelCall(1, r) // there is none any more
@@ -384,10 +389,11 @@
 			Timeout: 6 * admission.Second, RetrySafety: admission.IdempotencyKeyed,
 			IdempotencyWindow: 8 * admission.Second}}}
 	l := &loop{settings: &settings.Startup{Deployment: d, HandlerIndex: map[string]int{"put": 0}},
-		names:       []string{"put"},
-		idempotency: newIdempotencyTable(2000, 1000, 6*admission.Second), requests: newTable[request](8),
-		byRequestID: map[string]handle{},
-		limits:      NewLimits(1, 64, 256), controller: admission.New(d), stamps: clock.NewStamps(read, 12*time.Second)}
+		names: []string{"put"},
+		requestsInHand: requestsInHand{idempotency: newIdempotencyTable(2000, 1000, 6*admission.Second),
+			requests: newTable[request](8), byRequestID: map[string]handle{}},
+		limits: NewLimits(1, 64, 256), decisions: decisions{controller: admission.New(d)},
+		loopTime: loopTime{stamps: clock.NewStamps(read, 12*time.Second)}}
 	stamp := wall
 	at, wall = at+2500*time.Millisecond, wall+2500*time.Millisecond
 	l.stamps.Observe(read)
--- /dev/null
+++ b/internal/node/server/writer.go
@@ -0,0 +1,149 @@
+package server
+
+import (
+	"errors"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/cloudwego/netpoll"
+)
+
+// writer is the way out of one connection.
+type writer struct {
+	conn     netpoll.Connection
+	pool     *bufferPool
+	workers  workers
+	busy     *atomic.Int64 // ways that still have something to send
+	mu       sync.Mutex
+	queue    []*buffer // waits for the flush that goes on
+	flushing bool
+	closed   bool         // nothing more is taken
+	ending   writerEnding // once the queue is empty
+
+	owesAnswers bool   // what is sent is owed: it never lacks a buffer
+	shutDown    func() // ends the sending side
+}
+
+// end is what becomes of a connection once all that was queued has gone out.
+type writerEnding uint8
+
+const (
+	keepOpen         writerEnding = iota
+	shutDownWhenSent              // its sending side is shut down
+	endClose
+)
+
+// send queues b; false if it would make more than most buffers wait, or nothing is taken any more.
+func (w *writer) send(b []byte, most int) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.closed || len(w.queue)+len(b)/bufferBytes >= most {
+		return false
+	}
+	for len(b) > 0 {
+		n := len(w.queue)
+		if n == 0 || w.queue[n-1].n == bufferBytes {
+			t := w.buffer()
+			if t == nil {
+				w.closed, w.ending = true, endClose // half a message must not stand before another one
+				w.kick()
+				return false
+			}
+			w.queue = append(w.queue, t)
+			n++
+		}
+		t := w.queue[n-1]
+		k := copy(t.b[t.n:], b)
+		t.n += k
+		b = b[k:]
+	}
+	w.kick()
+	return true
+}
+
+func (w *writer) buffer() *buffer {
+	if w.owesAnswers {
+		return w.pool.getOwed()
+	}
+	return w.pool.get()
+}
+
+// finish shuts the sending side down once what is queued has gone out.
+func (w *writer) finish() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.closed, w.ending = true, max(w.ending, shutDownWhenSent)
+	w.kick()
+}
+
+// close ends the connection once what is queued has gone out.
+func (w *writer) close() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.closed, w.ending = true, endClose
+	w.kick()
+}
+
+func (w *writer) kick() {
+	if !w.flushing {
+		w.flushing = true
+		w.busy.Add(1)
+		w.workers.run(w.flush)
+	}
+}
+
+func (w *writer) flush() {
+	defer w.busy.Add(-1)
+	var out []*buffer
+	var failed error
+	for {
+		w.mu.Lock()
+		if failed != nil {
+			w.closed, w.ending = true, endClose
+		}
+		out, w.queue = w.queue, out[:0]
+		last := w.ending
+		if w.flushing = len(out) > 0; !w.flushing {
+			w.mu.Unlock()
+			switch last {
+			case shutDownWhenSent:
+				w.shutDown()
+			case endClose:
+				w.conn.Close()
+			}
+			return
+		}
+		w.mu.Unlock()
+		for _, b := range out {
+			if failed == nil {
+				failed = w.write(b.bytes())
+			}
+			w.pool.put(b)
+		}
+	}
+}
+
+// A write that fails for a moment is tried so often, after a pause that doubles: 63 ms in all.
+const (
+	writeRetries = 6
+	writePause   = time.Millisecond
+)
+
+// write has netpoll send b. What it could not send for a moment stays in its buffer and is sent again. Guards
+// against an answer lost with its connection over a lack of memory that passes.
+func (w *writer) write(b []byte) error {
+	// Write holds netpoll's own lock against a close from the other side; its Writer does not.
+	_, err := w.conn.Write(b)
+	for try := 0; try < writeRetries && isMomentary(err); try++ {
+		time.Sleep(writePause << try)
+		err = w.conn.Writer().Flush()
+	}
+	return err
+}
+
+// isMomentary tells errors of a system call that say nothing about what it was to act on.
+func isMomentary(err error) bool {
+	return errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
+}
