--- a/internal/node/server/fleet_agent.go
+++ b/internal/node/server/fleet_agent.go
@@ -188,7 +188,7 @@
 // setTimer has the loop call tick again when something is due.
 func (f *fleetAgent) setTimer(now agent.Milliseconds) {
 	at := f.agent.NextHeartbeat()
-	for _, due := range []agent.Milliseconds{f.agent.LeaseExpiry(), f.versions.retryAt, f.record.retryDue()} {
+	for _, due := range []agent.Milliseconds{f.agent.LeaseExpiry(), f.versions.retryAt, f.record.nextRetry()} {
 		if due > now {
 			at = min(at, due)
 		}
--- a/internal/node/server/fleet_agent_test.go
+++ b/internal/node/server/fleet_agent_test.go
@@ -86,7 +86,8 @@
 // control service. If it served before it had activated the version, went on after its lease had expired, or took
 // what its zone's quota leaves out, the group's decisions would not hold at it.
 func TestFleetAgent(t *testing.T) {
-	control := &testControl{text: "[class get]\nkind = replayable\nclient_timeout = 2s\nvalue = 3\n[fleet]\nwhen_alone = fence\n"}
+	control := &testControl{text: "[class get]\nkind = replayable\nclient_timeout = 2s\nvalue = 3\n" +
+		"[fleet]\nwhen_alone = fence\n"}
 	service := httptest.NewServer(control)
 	defer service.Close()
 	control.response = api.HeartbeatResponse{Cluster: "group", Term: 1, Index: 1, LeaseID: 7, LeaseMS: 4000,
--- a/internal/node/server/fleet_record.go
+++ b/internal/node/server/fleet_record.go
@@ -29,8 +29,8 @@
 	sending bool               // it is on its way to whoever restores the group
 }
 
-// retryDue is when the record is to be written again, 0 where nothing is pending.
-func (r *recordStore) retryDue() agent.Milliseconds {
+// nextRetry is when the record is to be written again, 0 where nothing is pending.
+func (r *recordStore) nextRetry() agent.Milliseconds {
 	if !r.pending {
 		return 0
 	}
--- a/internal/node/server/result_attempt.go
+++ b/internal/node/server/result_attempt.go
@@ -71,7 +71,7 @@
 	case resultstore.RejectConflict:
 		return k.reject(response)
 	case resultstore.RejectMismatch:
-		k.mismatched++
+		k.counts.mismatched++
 		return wire.StatusBadRequest
 	case resultstore.ReturnError:
 		return k.fail()
@@ -121,14 +121,14 @@
 
 // reject is for a key that has not run and can't be taken in at present.
 func (k *resultKeeper) reject(response *wire.Response) (status int) {
-	k.rejected++
+	k.counts.rejected++
 	response.RetryAfterMS = k.host.retryAfter(&k.spread, 0)
 	return wire.StatusServiceUnavailable
 }
 
 // fail is for a key that ran or may have run, and of which there is no result to tell.
 func (k *resultKeeper) fail() (status int) {
-	k.failed++
+	k.counts.failed++
 	return wire.StatusInternalServerError
 }
 
@@ -171,7 +171,7 @@
 		k.host.answer(h, r, wire.Response{Status: k.fail()})
 		return
 	}
-	k.replayed++
+	k.counts.replayed++
 	if r.awaitsResponse() {
 		k.host.countShared()
 	}
--- a/internal/node/server/result_disk.go
+++ b/internal/node/server/result_disk.go
@@ -23,7 +23,7 @@
 				k.nextPosition = max(k.nextPosition, position+1)
 				k.index.MarkDurable(&record, position)
 			} else {
-				k.lost++
+				k.counts.lost++
 				k.index.MarkLost(&record)
 				k.fullSince = k.host.currentTime()
 			}
@@ -34,7 +34,7 @@
 	if ok {
 		k.pendingSince = append(k.pendingSince, k.host.currentTime())
 	} else {
-		k.lost++
+		k.counts.lost++
 		k.index.MarkLost(&record)
 	}
 	return ok
--- a/internal/node/server/result_host.go
+++ b/internal/node/server/result_host.go
@@ -59,7 +59,7 @@
 	return e != nil && r.earliestArrival < e.until && (e.hasResult || e.state < entryDone)
 }
 
-func (l *loop) shareResult(h handle, key string, ok bool, result []byte) {
+func (l *loop) completeWaiters(h handle, key string, ok bool, result []byte) {
 	for _, waiter := range l.idempotency.runEnded(key, uint32(h), ok, result) {
 		l.sharedResultReady(waiter, ok, result)
 	}
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -111,8 +111,8 @@
 	// endUnstarted ends a run that has its slot and that the kernel never heard of.
 	endUnstarted(h handle, r *request)
 	hasSharedResult(r *request) bool // the result of its key is in memory, or a run of it goes on
-	// shareResult gives those who wait for a run's result that, or an error.
-	shareResult(h handle, key string, ok bool, result []byte)
+	// completeWaiters gives those who wait for a run's result that, or an error.
+	completeWaiters(h handle, key string, ok bool, result []byte)
 	trace(r *request, what string, args ...any)
 	limitLog() *logrus.Entry
 	retryAfter(*retryafter.Spreader, agent.Milliseconds) int64
@@ -146,6 +146,11 @@
 	spread       retryafter.Spreader
 	faults       faultPoint
 
+	counts resultCounts
+}
+
+// resultCounts are sums since the start.
+type resultCounts struct {
 	rejected, failed, mismatched uint64 // attempts answered 503, 500, 400
 	replayed                     uint64 // attempts answered by a stored result
 	lost                         uint64 // records that did not reach the disk
@@ -273,10 +278,11 @@
 	if k == nil {
 		return
 	}
-	out["kept_mode"], out["kept_waits"], out["kept_lost"] = string(k.mode), len(k.pendingSince), k.lost
-	out["kept_shed"], out["kept_errored"], out["kept_refused"], out["kept_answers"] = k.rejected, k.failed,
-		k.mismatched,
-		k.replayed
+	out["kept_mode"], out["kept_waits"], out["kept_lost"] = string(k.mode), len(k.pendingSince), k.counts.lost
+	out["kept_shed"], out["kept_errored"], out["kept_refused"], out["kept_answers"] = k.counts.rejected,
+		k.counts.failed,
+		k.counts.mismatched,
+		k.counts.replayed
 	if k.index != nil {
 		out["kept_keys"], out["kept_bytes"] = k.index.Len(), k.index.BytesUsed()
 	}
--- a/internal/node/server/result_run.go
+++ b/internal/node/server/result_run.go
@@ -30,7 +30,7 @@
 	case resultstore.RejectFull, resultstore.RejectConflict:
 		response.Status = k.reject(&response)
 	case resultstore.RejectMismatch:
-		k.mismatched++
+		k.counts.mismatched++
 		response.Status = wire.StatusBadRequest
 	default: // it runs, ran or may have run by another attempt that the controller no longer knows of
 		response.Status = k.fail()
@@ -152,7 +152,7 @@
 			k.host.answer(h, r, wire.Response{Status: wire.StatusInternalServerError})
 		}
 	}
-	k.host.shareResult(h, sharedKey, durable, result)
+	k.host.completeWaiters(h, sharedKey, durable, result)
 }
 
 // holdsBack tells whether the kernel has not been told of a request's run yet: a stop is told with it.
