--- a/admission/startruns.go
+++ b/admission/startruns.go
@@ -8,11 +8,15 @@
 // order. With pools, a request whose class has no slot is passed by younger ones whose class has one. That guards
 // against costly work that holds all slots; it harms what is passed, by the slots of its pool at most. Each start may
 // change what the pools allow, so the next one begins at the head again.
+//
+// A request that waits for the run of the one it repeats is never started by itself, as it takes that run's result.
+// Guards against a retry that comes through a caller with a slot while its original's caller has none: it would pass its
+// original, and the key would run twice. Without pools the original is always ahead of it.
 func (c *Controller) startRuns() {
 	ceiling := c.limit.ceiling(c.now)
 	for i := c.queue.head; i != none && c.limit.running < min(c.limit.current, ceiling); {
 		r := &c.requests.at[i]
-		if c.pools != nil && !c.pools.CanStart(r.id) {
+		if c.pools != nil && (r.repeats.original != none || !c.pools.CanStart(r.id)) {
 			i = r.queueLink.next
 			continue
 		}
