--- a/internal/control/consensus/api.go
+++ b/internal/control/consensus/api.go
@@ -13,21 +13,27 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// Bounds of the clients' side.
+// Bounds of the clients' side. They protect memory from clients that are many, slow, or send much.
+const (
+	maxClients     = 6000 // connections: each node of a fleet keeps one, of some ten KB
+	maxWatchers    = 256
+	maxHeaderBytes = 8 << 10
+	maxBodiesBytes = 64 << 20 // of puts being read, together; a body counts by its announced length from its start
+	maxBodyBytes   = 7 << 20  // the largest document as JSON escapes it at worst, and its author and reason
+	maxHistory     = 1000     // versions in one answer
+	defaultHistory = 20       // a screenful
+)
+
+// Timeouts of the clients' side.
 const (
-	maxClients        = 6000 // a fleet's nodes keep a connection each; some ten KB each
-	maxWatchers       = 256
-	maxHeaderBytes    = 8 << 10
-	maxBodiesBytes    = 64 << 20 // of puts in hand together: what a client may still send counts from the start
-	maxBodyBytes      = 7 << 20  // a document of the largest size, as JSON escapes it at worst, and what goes with it
 	headerTimeout     = 2 * time.Second
 	bodyTimeout       = 10 * time.Second
-	answerTimeout     = 5 * time.Second // of a put or a read; a new leader is there before
-	membershipTimeout = 15 * time.Second
-	watchHeartbeat    = 2 * time.Second // a watcher hears at least this often
-	watchWriteTimeout = 5 * time.Second // for one line to leave; past it the watcher is let go of
-	maxHistory        = 1000            // versions in one answer
-	shutdownTimeout   = time.Second
+	idleTimeout       = time.Minute
+	answerTimeout     = 5 * time.Second  // of a put or a read: longer than the election of a new leader
+	membershipTimeout = 15 * time.Second // of a change of members, which may need several rounds
+	watchHeartbeat    = 2 * time.Second  // longest pause between two lines of a watch
+	watchWriteTimeout = 5 * time.Second  // for one line; a watcher that is slower is disconnected
+	shutdownTimeout   = time.Second      // for requests under way when the instance stops
 )
 
 // Headers of every answer.
@@ -35,7 +41,7 @@
 	HeaderVersion      = "Umberwinch-Version"
 	HeaderTerm         = "Umberwinch-Term"
 	HeaderSinceLeader  = "Umberwinch-Away-Ms"
-	HeaderOutOfContact = "Umberwinch-Out-Of-Touch" // only past the bound: what this instance holds may be old
+	HeaderOutOfContact = "Umberwinch-Out-Of-Touch" // only while View.OutOfContact: what this instance holds may be old
 )
 
 // Failure is the body of an answer that is not 200.
@@ -44,7 +50,7 @@
 	Leader string `json:"leader,omitempty"` // where the leader listens, if known
 }
 
-// Self is what an instance says of itself, so that it can be taken in.
+// Self is what an instance says of itself, so that an operator can add it to a group.
 type Self struct {
 	ID      uint64 `json:"id"`
 	Name    string `json:"name"`
@@ -68,14 +74,14 @@
 	OutOfContact  bool  `json:"out_of_touch"`
 }
 
-// API serves clients of a group over HTTP/1.1 with JSON. It owns bounds and the form of answers; what they
-// say comes from the group.
+// API serves clients of a group over HTTP/1.1 with JSON. It owns the bounds and the form of answers; the group decides
+// what they say.
 type API struct {
 	group     *Group
 	server    *http.Server
 	watchers  atomic.Int64
 	bodies    *semaphore.Weighted
-	forwarder *http.Client // to the leader, for what only it can answer
+	forwarder *http.Client // to the leader, for what it alone can answer
 	stopping  context.Context
 	stop      context.CancelFunc
 }
@@ -100,7 +106,7 @@
 	a.fleetRoutes(mux)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(g.metrics.registry, promhttp.HandlerOpts{}))
 	a.server = &http.Server{Handler: a.withHeaders(mux), ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout,
-		MaxHeaderBytes: maxHeaderBytes, IdleTimeout: time.Minute,
+		MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout,
 		ErrorLog: log.New(g.log.WriterLevel(logrus.DebugLevel), "", 0)}
 	go a.server.Serve(netutil.LimitListener(l, maxClients))
 	return a, nil
--- a/internal/control/consensus/api_document.go
+++ b/internal/control/consensus/api_document.go
@@ -20,8 +20,8 @@
 	a.answer(w, Report{v.Status, v.SinceLeader().Milliseconds(), v.OutOfContact(), v.Members})
 }
 
-// view gives the state a read is answered from: as new as any answer before it, or as it is here where that
-// was asked.
+// view gives the state that a read is answered from: linearizable, or this instance's own where the client asks for
+// that.
 func (a *API) view(r *http.Request) (*View, error) {
 	switch read := r.URL.Query().Get("read"); read {
 	case "stale":
@@ -55,7 +55,7 @@
 		a.fail(w, http.StatusNotFound, what)
 		return
 	}
-	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Type", contentJSON)
 	w.Header().Set("Content-Length", strconv.Itoa(len(line)+1)) // nodes read no chunks
 	w.Write(append(line[:len(line):len(line)], '\n'))
 }
@@ -99,36 +99,37 @@
 	case PutExpired:
 		code = http.StatusGone
 	}
-	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Type", contentJSON)
 	w.WriteHeader(code)
 	json.NewEncoder(w).Encode(end)
 }
 
-// history gives versions without their texts, the oldest first.
+// getHistory gives versions without their texts, the oldest first.
 func (a *API) getHistory(w http.ResponseWriter, r *http.Request) {
 	v, err := a.view(r)
 	if err != nil {
 		a.failWith(w, err)
 		return
 	}
-	limit, err := number(r, "limit", 20)
+	limit, err := number(r, "limit", defaultHistory)
 	if err == nil && (limit == 0 || limit > maxHistory) {
 		err = fmt.Errorf("limit: found %d, expected 1 to %d", limit, maxHistory)
 	}
-	from, err2 := number(r, "from", v.FirstVersion+uint64(len(v.Versions))-min(limit, uint64(len(v.Versions))))
+	held := uint64(len(v.Versions))
+	from, err2 := number(r, "from", v.FirstVersion+held-min(limit, held))
 	if err = errors.Join(err, err2); err != nil {
 		a.failWith(w, err)
 		return
 	}
-	out := []*Version{}
-	for n := max(from, v.FirstVersion); n <= v.Version && uint64(len(out)) < limit; n++ {
-		one, err := ReadVersion(v.VersionJSON(n))
+	versions := []*Version{}
+	for n := max(from, v.FirstVersion); n <= v.Version && uint64(len(versions)) < limit; n++ {
+		version, err := ReadVersion(v.VersionJSON(n))
 		if err != nil {
 			a.fail(w, http.StatusInternalServerError, err)
 			return
 		}
-		one.Text = ""
-		out = append(out, one)
+		version.Text = ""
+		versions = append(versions, version)
 	}
-	a.answer(w, out)
+	a.answer(w, versions)
 }
--- a/internal/control/consensus/api_members.go
+++ b/internal/control/consensus/api_members.go
@@ -11,7 +11,7 @@
 	"umberwinch/internal/logging"
 )
 
-// members changes who is in the group; "transfer" hands the lead over.
+// postMembers makes a change of members, or transfers the lead, and answers once it shows here.
 func (a *API) postMembers(w http.ResponseWriter, r *http.Request) {
 	var c Change
 	d := json.NewDecoder(r.Body)
@@ -22,41 +22,20 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), membershipTimeout)
 	defer cancel()
-	find := func(ms []Member, id uint64) *Member {
-		for i := range ms {
-			if ms[i].ID == id {
-				return &ms[i]
-			}
-		}
-		return nil
-	}
 	var err error
-	switch c.Op {
-	case "transfer":
+	if c.Op == OpTransfer {
 		err = a.group.Transfer(c.Member.ID)
-	case "add":
-		err = a.group.Change(ctx, c, func(ms []Member) bool { return find(ms, c.Member.ID) != nil })
-	case "promote":
-		err = a.group.Change(ctx, c, func(ms []Member) bool {
-			m := find(ms, c.Member.ID)
-			return m != nil && m.Voter
-		})
-	case "remove":
-		err = a.group.Change(ctx, c, func(ms []Member) bool { return find(ms, c.Member.ID) == nil })
-	case "replace":
-		err = a.group.Change(ctx, c, func(ms []Member) bool {
-			m := find(ms, c.Member.ID)
-			return m != nil && m.Voter && find(ms, c.ReplacedID) == nil
-		})
-	default:
+	} else if shown := c.shown(); shown != nil {
+		err = a.group.Change(ctx, c, shown)
+	} else {
 		err = fmt.Errorf("op: found %q, expected add, promote, remove, replace or transfer", c.Op)
 	}
 	if err != nil {
 		a.failWith(w, err)
 		return
 	}
-	a.group.log.WithFields(logrus.Fields{"op": c.Op, logging.Peer: fmt.Sprintf("%x", c.Member.ID)}).Info(
-		"members changed")
+	a.group.log.WithFields(logrus.Fields{logging.Operation: c.Op, logging.Peer: idText(c.Member.ID)}).
+		Info("members changed")
 	a.answer(w, a.group.View().Members)
 }
 
@@ -70,7 +49,7 @@
 		a.failWith(w, err)
 		return
 	}
-	w.Header().Set("Content-Type", "application/octet-stream")
+	w.Header().Set("Content-Type", contentBytes)
 	for _, p := range parts {
 		if _, err := w.Write(p); err != nil {
 			return
--- a/internal/control/consensus/api_middleware.go
+++ b/internal/control/consensus/api_middleware.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// headed puts on each answer how new it can be.
+// withHeaders puts on each answer how new it can be, and bounds each body.
 func (a *API) withHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
@@ -16,15 +16,17 @@
 	})
 }
 
-// heading writes the view's headers at the moment the answer begins.
+// headerWriter sets the view's headers when the answer begins.
 type headerWriter struct {
 	http.ResponseWriter
 	group       *Group
 	wroteHeader bool
 }
 
+// Unwrap is for http.ResponseController.
 func (h *headerWriter) Unwrap() http.ResponseWriter { return h.ResponseWriter }
 
+// WriteHeader is part of http.ResponseWriter.
 func (h *headerWriter) WriteHeader(code int) {
 	if !h.wroteHeader {
 		h.wroteHeader = true
@@ -33,12 +35,14 @@
 		h.Header().Set(HeaderTerm, strconv.FormatUint(v.Term, 10))
 		h.Header().Set(HeaderSinceLeader, strconv.FormatInt(v.SinceLeader().Milliseconds(), 10))
 		if v.OutOfContact() {
-			h.Header().Set(HeaderOutOfContact, "no majority heard for "+v.SinceLeader().Round(time.Millisecond).String())
+			silence := v.SinceLeader().Round(time.Millisecond)
+			h.Header().Set(HeaderOutOfContact, "no majority heard for "+silence.String())
 		}
 	}
 	h.ResponseWriter.WriteHeader(code)
 }
 
+// Write is part of http.ResponseWriter.
 func (h *headerWriter) Write(p []byte) (int, error) {
 	if !h.wroteHeader {
 		h.WriteHeader(http.StatusOK)
--- a/internal/control/consensus/credentials.go
+++ b/internal/control/consensus/credentials.go
@@ -12,83 +12,84 @@
 	"time"
 )
 
-// trust holds this instance's certificate and the authority of all others. It owns what is shown and whom is
-// believed on every connection; without files there is none, which the operator's file allows on loopback
-// addresses alone.
+// credentials are this instance's certificate and the authority that all others' certificates are checked by, on every
+// connection between instances and with clients. Without files there is no TLS, which the operator's file allows on
+// loopback addresses alone.
 type credentials struct {
 	cert, key, ca string
 	current       atomic.Pointer[tls.Config]
 }
 
 func loadCredentials(cert, key, ca string) (*credentials, error) {
-	t := &credentials{cert: cert, key: key, ca: ca}
-	return t, t.reload()
+	c := &credentials{cert: cert, key: key, ca: ca}
+	return c, c.reload()
 }
 
-func (t *credentials) enabled() bool { return t.cert != "" }
+func (c *credentials) enabled() bool { return c.cert != "" }
 
-// reload reads the files again. Where one is bad nothing changes.
-func (t *credentials) reload() error {
-	if !t.enabled() {
+// reload reads the files again. After an error those read before stay in use.
+func (c *credentials) reload() error {
+	if !c.enabled() {
 		return nil
 	}
-	pair, err := tls.LoadX509KeyPair(t.cert, t.key)
+	pair, err := tls.LoadX509KeyPair(c.cert, c.key)
 	if err != nil {
-		return fmt.Errorf("certificate %s and key %s: %w", t.cert, t.key, err)
+		return fmt.Errorf("certificate %s and key %s: %w", c.cert, c.key, err)
 	}
-	raw, err := os.ReadFile(t.ca)
+	raw, err := os.ReadFile(c.ca)
 	if err != nil {
 		return err
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
-		return fmt.Errorf("authority %s: found no certificate, expected PEM", t.ca)
+		return fmt.Errorf("authority %s: found no certificate, expected PEM", c.ca)
 	}
 	leaf, err := x509.ParseCertificate(pair.Certificate[0])
 	if err != nil {
-		return fmt.Errorf("certificate %s: %w", t.cert, err)
+		return fmt.Errorf("certificate %s: %w", c.cert, err)
 	}
 	if time.Now().After(leaf.NotAfter) {
-		return fmt.Errorf("certificate %s: ended on %s", t.cert, leaf.NotAfter.Format(time.DateTime))
+		return fmt.Errorf("certificate %s: ended on %s", c.cert, leaf.NotAfter.Format(time.DateTime))
 	}
-	t.current.Store(&tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}, RootCAs: pool,
+	c.current.Store(&tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}, RootCAs: pool,
 		ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert})
 	return nil
 }
 
-// listen opens an address; with files, for whoever shows a certificate of the authority's.
-func (t *credentials) listen(addr string) (net.Listener, error) {
+// listen opens an address; with files, for peers with a certificate of the authority.
+func (c *credentials) listen(addr string) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr)
-	if err != nil || !t.enabled() {
+	if err != nil || !c.enabled() {
 		return l, err
 	}
 	return tls.NewListener(l, &tls.Config{MinVersion: tls.VersionTLS13,
-		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return t.current.Load(), nil }}), nil
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return c.current.Load(), nil }}), nil
 }
 
 // dial opens a connection to another instance.
-func (t *credentials) dial(addr string, within time.Duration) (net.Conn, error) {
+func (c *credentials) dial(addr string, within time.Duration) (net.Conn, error) {
 	d := &net.Dialer{Timeout: within, KeepAlive: 5 * time.Second}
-	if !t.enabled() {
+	if !c.enabled() {
 		return d.Dial("tcp", addr)
 	}
-	c, err := tls.DialWithDialer(d, "tcp", addr, t.current.Load())
+	conn, err := tls.DialWithDialer(d, "tcp", addr, c.current.Load())
 	if err != nil {
 		return nil, err
 	}
-	return c, nil
+	return conn, nil
 }
 
-// scheme and client are for calls to another instance's clients' address.
-func (t *credentials) scheme() string {
-	if t.enabled() {
+// scheme is that of another instance's address for clients.
+func (c *credentials) scheme() string {
+	if c.enabled() {
 		return "https"
 	}
 	return "http"
 }
 
-func (t *credentials) client() *http.Client {
+// client is for calls to another instance's address for clients.
+func (c *credentials) client() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Minute,
-		DialContext:    func(_ context.Context, _, addr string) (net.Conn, error) { return t.dial(addr, time.Second) },
-		DialTLSContext: func(_ context.Context, _, addr string) (net.Conn, error) { return t.dial(addr, time.Second) }}}
+		DialContext:    func(_ context.Context, _, addr string) (net.Conn, error) { return c.dial(addr, time.Second) },
+		DialTLSContext: func(_ context.Context, _, addr string) (net.Conn, error) { return c.dial(addr, time.Second) }}}
 }
--- a/internal/control/consensus/frames.go
+++ b/internal/control/consensus/frames.go
@@ -11,22 +11,23 @@
 // A frame on a connection between instances: length u32 of what follows the sum | sum u32 | kind u8 | bytes.
 // The sum, Castagnoli's, takes in kind and bytes.
 const (
-	frameHello    byte = 1 // first, by whoever dialled
-	frameAccepted byte = 2 // the answer, a hello in its turn
-	frameRefused  byte = 3 // the answer, with the reason; the connection closes
-	frameMessage  byte = 4 // raft's
-	frameSnapshot byte = 5 // on a bulk connection: raft's message without the state, and what the state is
+	frameHello    byte = 1 // the first, of the instance that connected
+	frameAccepted byte = 2 // the answer: a hello in its turn
+	frameRefused  byte = 3 // the answer: the reason; the connection closes
+	frameMessage  byte = 4 // a message of raft
+	frameSnapshot byte = 5 // on a bulk connection: raft's message without the state, and the state's size and sum
 	frameChunk    byte = 6 // a part of the state
-	frameDone     byte = 7 // the answer to a whole snapshot
+	frameDone     byte = 7 // the answer to a complete snapshot
 
 	frameHeaderBytes = 8
-	// maxFrameBytes has room for one message of raft's: a batch up to its bound and an entry with the largest
-	// document, as JSON escapes it at worst.
+	// maxFrameBytes holds one message of raft: maxMessageBytes, and an entry with the largest document as JSON
+	// escapes it at worst.
 	maxFrameBytes = 16 << 20
 )
 
 var frameSums = crc32.MakeTable(crc32.Castagnoli)
 
+// writeFrame writes one frame.
 func writeFrame(w io.Writer, kind byte, data []byte) error {
 	head := make([]byte, frameHeaderBytes+1)
 	binary.LittleEndian.PutUint32(head, uint32(len(data)+1))
@@ -40,7 +41,8 @@
 	return err
 }
 
-// readFrame reads one frame of at most some bytes. What it gives is a new slice.
+// readFrame reads one frame. data is a new slice. It is an error if the frame is longer than most bytes or its sum is
+// wrong.
 func readFrame(r io.Reader, most int) (kind byte, data []byte, err error) {
 	var head [frameHeaderBytes]byte
 	if _, err = io.ReadFull(r, head[:]); err != nil {
@@ -61,6 +63,7 @@
 	return raw[0], raw[1:], nil
 }
 
+// writeJSON writes a frame with a value as JSON.
 func writeJSON(w io.Writer, kind byte, v any) error {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/internal/control/consensus/group_peers.go
+++ b/internal/control/consensus/group_peers.go
@@ -8,8 +8,9 @@
 	"umberwinch/internal/logging"
 )
 
-// What the transport asks. Its askings wait their turn on the replica's goroutine.
+// This file is messageHandler: what the transport needs of the replica, run on its goroutine.
 
+// enqueueEvent waits for a place in the queue: what the transport has to tell is never dropped.
 func (g *Group) enqueueEvent(f func()) error {
 	select {
 	case g.events <- f:
@@ -19,7 +20,7 @@
 	}
 }
 
-// tell is for what may come from the replica's own goroutine, which must not wait for itself.
+// enqueueEventAsync is for calls that may come from the replica's own goroutine, which must not wait for itself.
 func (g *Group) enqueueEventAsync(f func()) {
 	select {
 	case g.events <- f:
@@ -33,23 +34,23 @@
 }
 
 func (g *Group) handshake(h Hello) (string, error) {
-	type end struct {
+	type judged struct {
 		reason string
 		err    error
 	}
-	e, ended := callOn(g, g.enqueueEvent, func() end {
+	j, stopped := callOn(g, g.enqueueEvent, func() judged {
 		reason, err := g.replica.Handshake(h)
-		return end{reason, err}
+		return judged{reason, err}
 	})
-	return e.reason, errors.Join(ended, e.err)
+	return j.reason, errors.Join(stopped, j.err)
 }
 
 func (g *Group) bar(reason string) {
 	g.enqueueEvent(func() {
 		if g.replica.Barred() == "" {
-			g.log.WithField(logging.Reason, reason).Error("this instance takes no part any more")
+			g.log.WithField(logging.Reason, reason).Error("this instance takes no part in the group any more")
 			if err := g.replica.Bar(reason); err != nil {
-				g.log.WithField(logging.Error, err).Error("that could not be kept")
+				g.log.WithField(logging.Error, err).Error("barring this instance was not stored")
 			}
 		}
 	})
--- a/internal/control/consensus/group_test.go
+++ b/internal/control/consensus/group_test.go
@@ -348,7 +348,7 @@
 	a := boot(t, "a", "new", nil)
 	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
 	own := a.group.View()
-	for n, bytes := range []int{5000, -1, maxSnapshotBytes + 1, 3000} {
+	for n, announced := range []int{5000, -1, maxSnapshotBytes + 1, 3000} {
 		c, err := net.Dial("tcp", a.control.Peer)
 		if err != nil {
 			t.Fatal(err)
@@ -360,7 +360,7 @@
 		m, _ := proto.Marshal(&pb.Message{Type: pb.MessageType_MsgSnap.Enum(), From: proto.Uint64(9),
 			To: proto.Uint64(own.ID), Term: proto.Uint64(own.Term + 9),
 			Snapshot: &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(99), Term: proto.Uint64(9)}}})
-		writeJSON(c, frameSnapshot, snapshotAnnouncement{m, bytes, 1})
+		writeJSON(c, frameSnapshot, snapshotAnnouncement{m, announced, 1})
 		writeFrame(c, frameChunk, make([]byte, 3000))
 		if n == 0 {
 			c.(*net.TCPConn).CloseWrite()
--- a/internal/control/consensus/guard.go
+++ b/internal/control/consensus/guard.go
@@ -4,28 +4,28 @@
 	"fmt"
 )
 
-// Guard is a set of guards that are taken out, for the laboratory alone: with one out, a promise of the
-// design has to break, or it is not checked. Every program that serves runs with none out.
+// Guard is a set of guards that are disabled, for fault tests alone: with one disabled a promise of the design must
+// break, or the tests don't check it. Every program that serves runs with none disabled.
 type Guard uint
 
-// The guards that can be taken out.
+// The guards that can be disabled.
 const (
-	PersistBeforeSend Guard = 1 << iota // what is promised to others is durable before it is sent
-	CompareAndSet                       // a put names the version it was made from
-	SessionTable                        // a repeated put gets the first one's answer
-	ReadIndex                           // a read is answered only once a majority still follows this leader
-	PreVote                             // who comes back asks before it raises the term
-	MemberIdentity                      // an old copy of a folder takes no part
-	PersistMembership                   // a change of members is known as committed on disk before it counts
+	PersistBeforeSend Guard = 1 << iota // votes and acknowledgements are durable before they are sent
+	CompareAndSet                       // a put is committed only after the version it was made from
+	SessionTable                        // a repeated put gets the first one's result
+	ReadIndex                           // a read is answered once a majority has confirmed the leader
+	PreVote                             // an instance asks whether it could win before it raises the term
+	MemberIdentity                      // an instance on an old copy of its folder takes no part
+	PersistMembership                   // that a change of members is committed is durable before it counts
 )
 
 var guardNames = []string{"persist-before-send", "compare-and-set", "session-table", "read-index", "pre-vote",
 	"member-identity", "members-kept"}
 
-// Has tells whether a guard is out.
+// Has tells whether a guard is disabled.
 func (g Guard) Has(one Guard) bool { return g&one != 0 }
 
-// GuardNamed gives a guard by its name.
+// GuardNamed returns a guard by its name, or an error that lists the names.
 func GuardNamed(name string) (Guard, error) {
 	for i, n := range guardNames {
 		if n == name {
@@ -35,5 +35,5 @@
 	return 0, fmt.Errorf("guard %q, expected one of %v", name, guardNames)
 }
 
-// GuardNames lists them.
+// GuardNames lists the names of all guards.
 func GuardNames() []string { return guardNames }
--- a/internal/control/consensus/members.go
+++ b/internal/control/consensus/members.go
@@ -37,19 +37,41 @@
 	ReplacedID uint64 `json:"gone,omitempty"` // OpReplace: the voter that leaves
 }
 
+// shown gives the test whether a change shows in a list of members, nil for an unknown operation.
+func (c *Change) shown() func([]Member) bool {
+	isVoter := func(list []Member) bool {
+		m := findMember(list, c.Member.ID)
+		return m != nil && m.Voter
+	}
+	switch c.Op {
+	case OpAdd:
+		return func(list []Member) bool { return findMember(list, c.Member.ID) != nil }
+	case OpPromote:
+		return isVoter
+	case OpRemove:
+		return func(list []Member) bool { return findMember(list, c.Member.ID) == nil }
+	case OpReplace:
+		return func(list []Member) bool { return isVoter(list) && findMember(list, c.ReplacedID) == nil }
+	}
+	return nil
+}
+
+// findMember looks in a list ordered by id.
+func findMember(list []Member, id uint64) *Member {
+	i := sort.Search(len(list), func(i int) bool { return list[i].ID >= id })
+	if i < len(list) && list[i].ID == id {
+		return &list[i]
+	}
+	return nil
+}
+
 // memberTable holds the group's members and those that were removed.
 type memberTable struct {
 	list    []Member // by id
 	removed []uint64 // ids, oldest first
 }
 
-func (t *memberTable) byID(id uint64) *Member {
-	i := sort.Search(len(t.list), func(i int) bool { return t.list[i].ID >= id })
-	if i < len(t.list) && t.list[i].ID == id {
-		return &t.list[i]
-	}
-	return nil
-}
+func (t *memberTable) byID(id uint64) *Member { return findMember(t.list, id) }
 
 func (t *memberTable) byName(name string) *Member {
 	for i := range t.list {
@@ -121,13 +143,13 @@
 }
 
 func (t *memberTable) remove(id uint64) {
-	var kept []Member
-	for _, o := range t.list {
-		if o.ID != id {
-			kept = append(kept, o)
+	var remaining []Member
+	for _, m := range t.list {
+		if m.ID != id {
+			remaining = append(remaining, m)
 		}
 	}
-	t.list = kept
+	t.list = remaining
 	t.removed = append(append([]uint64{}, t.removed...), id)
 	if len(t.removed) > maxRemoved {
 		t.removed = t.removed[1:]
--- a/internal/control/consensus/metrics.go
+++ b/internal/control/consensus/metrics.go
@@ -81,7 +81,8 @@
 
 func (m *metrics) addContact() {
 	m.gauge("away_seconds", "Since a leader was heard.", func(v *View) float64 { return v.SinceLeader().Seconds() })
-	m.gauge("out_of_touch", "1 past the operator's bound.", func(v *View) float64 { return boolValue(v.OutOfContact()) })
+	m.gauge("out_of_touch", "1 past the operator's bound.",
+		func(v *View) float64 { return boolValue(v.OutOfContact()) })
 	m.gauge("barred", "1 where it takes no part.", func(v *View) float64 { return boolValue(v.Barred != "") })
 }
 
@@ -99,7 +100,8 @@
 		func(_ *View, g *Group) uint64 { return g.transport.count.refused.Load() })
 	m.counter("peers_broken", "Connections with what can't be read.",
 		func(_ *View, g *Group) uint64 { return g.transport.count.broken.Load() })
-	m.counter("snapshots_sent", "To peers.", func(_ *View, g *Group) uint64 { return g.transport.count.snapsSent.Load() })
+	m.counter("snapshots_sent", "To peers.",
+		func(_ *View, g *Group) uint64 { return g.transport.count.snapsSent.Load() })
 	m.counter("snapshots_received", "From peers.",
 		func(_ *View, g *Group) uint64 { return g.transport.count.snapsReceived.Load() })
 }
--- a/internal/control/consensus/peer_registry.go
+++ b/internal/control/consensus/peer_registry.go
@@ -137,7 +137,8 @@
 }
 
 func loadPeerRegistry(own, seen []byte) (*PeerRegistry, error) {
-	p := &PeerRegistry{lastStarts: map[uint64]peerStart{}, progress: map[uint64]peerProgress{}, peerLevels: map[uint64]int{},
+	p := &PeerRegistry{lastStarts: map[uint64]peerStart{}, progress: map[uint64]peerProgress{},
+		peerLevels: map[uint64]int{},
 		groupLevel: func() int { return LevelVersions }}
 	if err := json.Unmarshal(own, &p.self); err != nil {
 		return nil, fmt.Errorf("this instance's identity: %w", err)
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -12,27 +12,27 @@
 	"umberwinch/internal/wal"
 )
 
-// Config is what a replica is told at its start.
+// Config is what a replica needs at its start. Sizes are bytes, times ticks.
 type Config struct {
 	Name                 string
 	Peer                 string
 	Listen               string
-	FoundGroup           bool // an empty folder becomes a group of one; else it waits to be taken in
-	ElectionTicks        int  // ticks of silence after which it stands for election, up to twice as many by chance
-	SnapshotBytes        int  // bytes of log after which a snapshot is due
+	FoundGroup           bool // an empty folder becomes a group of one; else it waits to be added
+	ElectionTicks        int  // without a leader before it stands for election; drawn from here to twice as many
+	SnapshotBytes        int  // of log since the last snapshot, after which one is due
 	Sizes                wal.Sizes
-	Random               func() uint64 // chance for ids; never for decisions
+	Random               func() uint64 // for ids alone, never for decisions
 	Logger               raft.Logger
 	DisabledGuards       Guard
-	Level                int          // what its program knows, for tests of a group on two builds; 0: all that this one does
-	DisabledPolicyGuards policy.Guard // taken out, for the laboratory
+	Level                int          // supported, for tests of a group on two builds; 0: LatestLevel
+	DisabledPolicyGuards policy.Guard // for fault tests
 	DisabledZoneGuards   zones.Guard
-	OnStep               func(name string) // hears of each step of Work, for crashes on purpose; may be nil
+	OnStep               func(name string) // called before each step of Work, for fault tests; may be nil
 }
 
-// The steps of Work at which Point is told.
+// The steps of Work, as Config.OnStep is told them.
 const (
-	StepPersist = "persist" // before what raft wants kept is written
+	StepPersist = "persist" // before what raft needs stored is written
 	StepSend    = "send"
 	StepApply   = "apply"
 	StepAnswer  = "answer"
@@ -41,8 +41,8 @@
 // Steps lists them in order.
 var Steps = []string{StepPersist, StepSend, StepApply, StepAnswer}
 
-// Bounds on what raft holds: a message carries a large document or many small ones, and a slow follower has
-// at most this much on its way to it.
+// Bounds of raft: a message carries one large document or many small ones, and a slow follower has at most so much in
+// flight to it. They protect memory; smaller ones cost round trips.
 const (
 	maxMessageBytes           = 1 << 20
 	maxInflightMessages       = 64
@@ -52,7 +52,7 @@
 	maxPendingReads           = 4096
 )
 
-// Replica is one instance's part of the group.
+// Replica is one instance of the group: raft, its log and the state machine. One goroutine at a time may use it.
 type Replica struct {
 	plan         Config
 	log          *wal.Log
@@ -64,17 +64,17 @@
 	pendingReads []pendingRead
 	snapshotting bool
 
-	metPeers          map[uint64]bool // in this life; members only
-	ticks             int             // ticks of this life
-	contacts          []Member        // who greeted it before it knew the members
-	promotedAtTick    int             // at this age for a promotion
-	levelRaisedAtTick int             // and for a higher level
-	electionTicks     int             // ticks since a leader was heard
-	ticksSinceLeader  int             // the same, but not begun anew by standing for election
+	metPeers          map[uint64]bool // that shook hands in this run
+	ticks             int             // of this run
+	contacts          []Member        // instances that shook hands before it knew the members
+	promotedAtTick    int             // when a promotion was proposed last
+	levelRaisedAtTick int             // when a higher level was proposed last
+	electionTicks     int             // since a leader was heard, a vote was given or an election was begun
+	ticksSinceLeader  int             // since a leader was heard
 	electionTimeout   int
 	timeoutsDrawn     uint32
 
-	LogRepair wal.Found // what the start met
+	LogRepair wal.Found // what Open had to cut off
 	Campaigns uint64
 }
 
@@ -83,22 +83,23 @@
 	index uint64
 }
 
-// AppliedPut is a put's end as it was applied here.
+// AppliedPut is a put that was applied here, with its result.
 type AppliedPut struct {
 	Session string
 	Seq     uint64
 	Result  PutResult
 }
 
-// WorkResult is what came of a round of Work.
+// WorkResult is what a call of Work did.
 type WorkResult struct {
 	Puts       []AppliedPut
-	Reads      []uint64 // ids of reads that may be answered from the state as it is now
+	Reads      []uint64 // ids of reads that may be answered from the state now
 	Applied    bool     // entries were applied, or a snapshot
-	Operations []any    // ends of entries about nodes
+	Operations []any    // results of fleet entries, of types of package coordinator
 }
 
-// rearm draws how long a silence may last. Chance is a sum over the start's nonce and a counter.
+// resetElectionTimer draws the next election timeout, from a sum over the run's nonce and a counter, so that tests can
+// repeat it.
 func (r *Replica) resetElectionTimer() {
 	r.electionTicks = 0
 	r.timeoutsDrawn++
@@ -108,8 +109,8 @@
 	r.electionTimeout = r.plan.ElectionTicks + int(crc32.ChecksumIEEE(raw[:])%uint32(r.plan.ElectionTicks))
 }
 
-// Tick tells of one unit of time. Elections are timed here and not by the core, whose chance has no seed: it
-// is told of time passing without its timer, and to stand when ours is over.
+// Tick passes one tick on. Elections are timed here and not by raft, whose random timeouts have no seed: raft is told
+// of time without its timer (TickQuiesced) and to stand for election when ours is over (Campaign).
 func (r *Replica) Tick() {
 	if r.peers.self.Barred != "" {
 		return
@@ -137,9 +138,9 @@
 	}
 }
 
-// settled tells whether this life has made itself known: to all other voters, or to those that answered
-// within an election's time. Until then it says nothing, as one of them may know that its folder is an old
-// copy.
+// introduced tells whether this run has shaken hands with all other voters, or has waited for the time of an election
+// for those that don't answer. It guards against a vote by an instance on an old copy of its folder: until then it
+// sends nothing, as one of them may know that and bar it.
 func (r *Replica) introduced() bool {
 	if r.ticks >= r.plan.ElectionTicks || r.plan.DisabledGuards.Has(MemberIdentity) {
 		return true
@@ -154,13 +155,13 @@
 	return true
 }
 
-// Step takes a message of another instance's.
+// Step handles a message of another instance.
 func (r *Replica) Step(m *pb.Message) {
 	if r.peers.self.Barred != "" || m.GetTo() != r.ID() || r.peers.self.Cluster == "" || !r.introduced() {
 		return
 	}
 	switch m.GetType() {
-	case pb.MessageType_MsgPreVote, pb.MessageType_MsgPreVoteResp: // in a term that is not begun
+	case pb.MessageType_MsgPreVote, pb.MessageType_MsgPreVoteResp: // of a term that has not begun
 	case pb.MessageType_MsgAppResp:
 		holds := m.GetIndex()
 		if m.GetReject() {
@@ -173,7 +174,7 @@
 	was := r.node.BasicStatus()
 	vote, term := was.HardState.GetVote(), was.HardState.GetTerm()
 	if err := r.node.Step(m); err != nil {
-		return // of a kind that is not for others to send, or from one we don't know: dropped as a lost one would be
+		return // not for others to send, or from an unknown instance: dropped, as if it was lost
 	}
 	now := r.node.BasicStatus()
 	switch m.GetType() {
@@ -192,6 +193,7 @@
 // ReportUnreachable tells raft that messages to another instance were not sent.
 func (r *Replica) ReportUnreachable(to uint64) { r.node.ReportUnreachable(to) }
 
+// ReportSnapshot tells raft whether a snapshot was sent completely.
 func (r *Replica) ReportSnapshot(to uint64, ok bool) {
 	status := raft.SnapshotFinish
 	if !ok {
--- a/internal/control/consensus/replica_apply.go
+++ b/internal/control/consensus/replica_apply.go
@@ -10,16 +10,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// This file works through what the core has ready: it persists, sends, applies and answers, in that order.
-
 func (r *Replica) reportStep(name string) {
 	if r.plan.OnStep != nil {
 		r.plan.OnStep(name)
 	}
 }
 
-// Work does what raft has ready: makes it durable, then sends, then applies. An error means that the instance
-// can't go on: what it holds in memory is no longer what is on its disk.
+// Work does what raft has ready: it stores, then sends, then applies. An error means that the instance can't go on:
+// what is in memory is no longer what is on disk.
 func (r *Replica) Work(send func([]*pb.Message)) (WorkResult, error) {
 	var out WorkResult
 	for r.node.HasReady() {
@@ -50,32 +48,42 @@
 			}
 		}
 		for _, s := range rd.ReadStates {
-			if len(s.RequestCtx) == 8 && len(r.pendingReads) < maxPendingReads {
+			if len(s.RequestCtx) == readIDBytes && len(r.pendingReads) < maxPendingReads {
 				r.pendingReads = append(r.pendingReads, pendingRead{binary.LittleEndian.Uint64(s.RequestCtx), s.Index})
 			}
 		}
 		r.node.Advance(rd)
 	}
-	kept := r.pendingReads[:0]
+	out.Reads = r.finishReads()
+	if len(out.Puts) > 0 {
+		r.reportStep(StepAnswer)
+	}
+	return out, nil
+}
+
+// readIDBytes is the size of a read's id as raft passes it on.
+const readIDBytes = 8
+
+// finishReads takes out the reads whose index is applied.
+func (r *Replica) finishReads() (ids []uint64) {
+	waiting := r.pendingReads[:0]
 	for _, p := range r.pendingReads {
 		if p.index <= r.stateMachine.applied {
-			out.Reads = append(out.Reads, p.id)
+			ids = append(ids, p.id)
 		} else {
-			kept = append(kept, p)
+			waiting = append(waiting, p)
 		}
 	}
-	r.pendingReads = kept
-	if len(out.Puts) > 0 {
-		r.reportStep(StepAnswer)
-	}
-	return out, nil
+	r.pendingReads = waiting
+	return ids
 }
 
+// persist stores what raft needs stored before messages are sent.
 func (r *Replica) persist(rd *raft.Ready) error {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		return r.store.install(rd.Snapshot, rd.HardState)
 	}
-	if !rd.MustSync { // a commit index alone is learnt again from the leader
+	if !rd.MustSync { // a commit index alone is sent again by the leader
 		r.store.remember(rd.HardState, rd.Entries)
 		return r.persistMembership(rd.CommittedEntries)
 	}
@@ -85,9 +93,9 @@
 	return r.persistMembership(rd.CommittedEntries)
 }
 
-// persistMembership makes it durable that a change of members is committed before the change counts here. A life
-// that began with an older commit index would count votes by the members of its snapshot: the founder alone,
-// as seen on a few schedules in a hundred.
+// persistMembership stores that a change of members is committed before the change counts here. It guards against two
+// leaders in one term: raft counts votes by the members that it has applied, so an instance that starts with an older
+// commit index counts them by the members of its snapshot, at worst its founder alone, and elects itself.
 func (r *Replica) persistMembership(committed []*pb.Entry) error {
 	if r.plan.DisabledGuards.Has(PersistMembership) {
 		return nil
@@ -100,7 +108,7 @@
 	return nil
 }
 
-// apply hands one committed entry to the state machine.
+// apply applies one committed entry.
 func (r *Replica) apply(e *pb.Entry, out *WorkResult) error {
 	out.Applied = true
 	m := r.stateMachine
@@ -128,7 +136,7 @@
 			if err := json.Unmarshal(cc.GetContext(), &c); err != nil {
 				return fmt.Errorf("not a change of members: %w", err)
 			}
-			if m.members.check(&c) != nil { // it no longer holds; all instances find so, and the core is not told
+			if m.members.check(&c) != nil { // no longer possible; all instances find so, and raft is not told
 				break
 			}
 			m.members.apply(&c)
--- a/internal/control/consensus/replica_members.go
+++ b/internal/control/consensus/replica_members.go
@@ -9,19 +9,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// This file is a replica's part in the group's membership: who it is, whom it meets, who votes, and how that changes.
-
-// ID gives the instance's number in the group.
+// ID returns the instance's id in the group.
 func (r *Replica) ID() uint64 { return r.peers.self.ID }
 
-// HelloTo gives what this instance says of itself to another.
+// HelloTo returns the hello that this instance opens or answers a connection with.
 func (r *Replica) HelloTo(to uint64) Hello {
 	_, last := r.LogBounds()
 	return Hello{Identity: r.peers.self, Peer: r.plan.Peer, Term: r.store.hard.GetTerm(), Last: last, To: to,
 		Level: r.plan.Level}
 }
 
-// Handshake judges another's hello; a refusal comes as its reason. What was learnt is durable on return.
+// Handshake decides whether to speak with an instance by its hello; reason is why not, empty if so. What was learnt
+// is stored on return.
 func (r *Replica) Handshake(h Hello) (reason string, err error) {
 	reason, learnt := r.peers.Handshake(h)
 	if reason == "" {
@@ -39,7 +38,7 @@
 	return reason, r.persistIdentities()
 }
 
-// Bar ends this instance's part in the group for good, as others told it what it is.
+// Bar ends this instance's part in the group for good. The reason is stored.
 func (r *Replica) Bar(reason string) error {
 	if r.peers.self.Barred != "" || r.plan.DisabledGuards.Has(MemberIdentity) {
 		return nil
@@ -48,9 +47,10 @@
 	return r.persistIdentities()
 }
 
-// Barred tells why it takes no part any more, empty if it does.
+// Barred returns why the instance takes no part any more, empty if it does.
 func (r *Replica) Barred() string { return r.peers.self.Barred }
 
+// isVoter tells whether an instance counts in elections and commits, in either half of a joint change.
 func (r *Replica) isVoter(id uint64) bool {
 	for _, list := range [][]uint64{r.voterConfig.GetVoters(), r.voterConfig.GetVotersOutgoing()} {
 		for _, v := range list {
@@ -62,7 +62,8 @@
 	return false
 }
 
-// Change asks for a change of members; that it was made shows in Members, that it was not shows nowhere.
+// Change proposes a change of members. That it was made shows in Members; that it was lost shows nowhere, and the
+// caller asks again. Errors are ErrBarred, raft.ErrProposalDropped, and why the state does not allow it.
 func (r *Replica) Change(c Change) error {
 	if r.peers.self.Barred != "" {
 		return ErrBarred
@@ -97,12 +98,13 @@
 	return r.node.ProposeConfChange(cc)
 }
 
-// maxPromotionLag is how many entries a learner may lack when it becomes a voter: less than comes in a round trip.
+// maxPromotionLag is how many entries a learner may lack when it becomes a voter: with more, a quorum that needs it
+// would wait; with fewer, a busy group never promotes.
 const maxPromotionLag = 16
 
-// promote has the leader make voters of learners that have caught up, one at a time. What it asks for may
-// come to nothing, as while another change is under way; it asks again an election's time later. It looks at
-// each tick all the same: the core forgets at each of its checks for a quorum who was active lately.
+// promoteLearner has the leader make voters of learners that have caught up, one at a time. A proposal may come to
+// nothing, as while another change is under way, so it is repeated after the time of an election. It looks at each
+// tick, as raft forgets at each check of the quorum who was active.
 func (r *Replica) promoteLearner() {
 	if r.ticks < r.promotedAtTick+r.plan.ElectionTicks {
 		return
@@ -125,7 +127,8 @@
 	}
 }
 
-// Transfer hands the lead over, to the voter that is furthest if to is 0.
+// Transfer hands the lead to a voter, to the active one with the longest log if to is 0. It returns
+// raft.ErrProposalDropped where this instance does not lead.
 func (r *Replica) Transfer(to uint64) error {
 	if r.node.BasicStatus().RaftState != raft.StateLeader {
 		return raft.ErrProposalDropped
@@ -145,15 +148,15 @@
 	return nil
 }
 
-// Members gives the instances of the group, by id.
+// Members returns the instances of the group, by id. The list does not change.
 func (r *Replica) Members() []Member { return r.stateMachine.members.list }
 
-// Voters gives the ids that elections and commits count, in both halves of a joint change.
+// Voters returns the ids that elections and commits count, in both halves of a joint change.
 func (r *Replica) Voters() (now, outgoing []uint64) {
 	return r.voterConfig.GetVoters(), r.voterConfig.GetVotersOutgoing()
 }
 
-// Contacts gives whom to speak with: the members, or until it has those, who greeted it.
+// Contacts returns whom to connect to: the members, or until those are known, who shook hands.
 func (r *Replica) Contacts() []Member {
 	if len(r.stateMachine.members.list) == 0 {
 		return r.contacts
--- a/internal/control/consensus/replica_open.go
+++ b/internal/control/consensus/replica_open.go
@@ -12,9 +12,8 @@
 	"umberwinch/internal/wal"
 )
 
-// This file opens a replica from its folder, founds a group, and begins one from what was restored.
-
-// Open starts a replica on a folder: its own from an earlier life, or an empty one.
+// Open starts a replica on a folder: its own of an earlier run, or an empty one. Errors are wal.ErrLocked,
+// *wal.Damage, of a state that this program can't read, and of the disk.
 func Open(fs wal.FS, plan Config) (*Replica, error) {
 	log, found, err := wal.Open(fs, plan.Sizes)
 	if err != nil {
@@ -28,6 +27,8 @@
 	return r, nil
 }
 
+// open reads identity, log and state, and counts the start before anything is sent: a copy of the folder that is
+// started elsewhere has another count, so it can't pass for this one.
 func (r *Replica) open() error {
 	if r.log.Mark(markIdentity) == nil {
 		if err := r.initialize(); err != nil {
@@ -44,7 +45,6 @@
 	if r.plan.Level == 0 {
 		r.plan.Level = LatestLevel
 	}
-	// Counted before a word is said, so that a copy of the folder can't pass for it.
 	r.peers.self.Starts++
 	r.peers.self.Nonce = r.plan.Random()
 	if err = r.persistIdentities(); err != nil {
@@ -62,11 +62,22 @@
 	r.configureState()
 	r.voterConfig = r.store.snap.GetConfState()
 	r.store.state = r.snapshotState
-	r.node, err = raft.NewRawNode(&raft.Config{ID: r.ID(), ElectionTick: r.plan.ElectionTicks, HeartbeatTick: 1,
-		Storage: r.store, Applied: r.store.snap.GetIndex(), MaxSizePerMsg: maxMessageBytes,
-		MaxCommittedSizePerReady: maxCommittedBytesPerReady, MaxUncommittedEntriesSize: maxUncommittedBytes,
-		MaxInflightMsgs: maxInflightMessages, MaxInflightBytes: maxInflightBytes, CheckQuorum: true,
-		PreVote: !r.plan.DisabledGuards.Has(PreVote), StepDownOnRemoval: true, Logger: r.plan.Logger})
+	r.node, err = raft.NewRawNode(&raft.Config{
+		ID:                        r.ID(),
+		ElectionTick:              r.plan.ElectionTicks,
+		HeartbeatTick:             1,
+		Storage:                   r.store,
+		Applied:                   r.store.snap.GetIndex(),
+		MaxSizePerMsg:             maxMessageBytes,
+		MaxCommittedSizePerReady:  maxCommittedBytesPerReady,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
+		MaxInflightMsgs:           maxInflightMessages,
+		MaxInflightBytes:          maxInflightBytes,
+		CheckQuorum:               true,
+		PreVote:                   !r.plan.DisabledGuards.Has(PreVote),
+		StepDownOnRemoval:         true,
+		Logger:                    r.plan.Logger,
+	})
 	if err != nil {
 		return err
 	}
@@ -74,13 +85,15 @@
 	return nil
 }
 
-// fit tells a state that was made or loaded what this instance is.
+// configureState gives a state that was made or restored what is this instance's own.
 func (r *Replica) configureState() {
-	r.stateMachine.supportedLevel, r.stateMachine.fleet.DisabledGuards, r.stateMachine.fleet.DisabledZoneGuards = r.plan.Level, r.plan.DisabledPolicyGuards, r.plan.DisabledZoneGuards
+	r.stateMachine.supportedLevel = r.plan.Level
+	r.stateMachine.fleet.DisabledGuards = r.plan.DisabledPolicyGuards
+	r.stateMachine.fleet.DisabledZoneGuards = r.plan.DisabledZoneGuards
 }
 
-// begin makes an empty folder an instance's: its id, and where it founds a group, the group's first state.
-// The identity is written last, so that a crash on the way leaves a folder that counts as empty.
+// initialize makes an empty folder an instance's: its id, and where it founds a group, the group's first state. The
+// identity is written last, so that a crash on the way leaves a folder that counts as empty.
 func (r *Replica) initialize() error {
 	own := Identity{ID: r.plan.Random() | 1, Name: r.plan.Name}
 	b := wal.Batch{}
@@ -96,7 +109,7 @@
 	return r.writeIdentity(own, b)
 }
 
-// seed writes a state as the first of a group of one.
+// writeFirstState writes a state as the first of a group of one.
 func (r *Replica) writeFirstState(m *StateMachine, id uint64, b *wal.Batch) error {
 	meta := &pb.SnapshotMetadata{Index: proto.Uint64(m.applied), Term: proto.Uint64(m.term),
 		ConfState: &pb.ConfState{Voters: []uint64{id}}}
@@ -120,9 +133,10 @@
 	return nil
 }
 
-// Restore makes an empty folder the first instance of a new group that has the state of a saved snapshot. The
-// group is another one: instances of the old one are refused, and what was agreed on after the snapshot is
-// lost. It is the next generation of the old one, which nodes of that one follow.
+// Restore makes an empty folder the first instance of a new group with the state of a saved snapshot, and returns its
+// newest version. Instances of the old group are refused, and what it committed after the snapshot is lost. The new
+// group is the next generation of the old one, which nodes follow. Errors are ErrFolderInUse, of the snapshot and of
+// the disk.
 func Restore(fs wal.FS, plan Config, raw []byte) (*Version, error) {
 	old, err := ReadSnapshot(raw)
 	if err != nil {
@@ -131,7 +145,8 @@
 	return foundRestored(fs, plan, old.machine, nil)
 }
 
-// begun writes a state as the first of a new group's first instance, restored by what was found, or as it is.
+// foundRestored writes a state as that of a new group's first instance, changed by what a recovery found, or by
+// nothing but the snapshot's own state where found is nil.
 func foundRestored(fs wal.FS, plan Config, m *StateMachine, found *recovery.RestorePlan) (*Version, error) {
 	log, _, err := wal.Open(fs, plan.Sizes)
 	if err != nil {
@@ -165,6 +180,7 @@
 	return ReadVersion(m.versions.lines[len(m.versions.lines)-1])
 }
 
+// writeIdentity commits a batch together with the identity.
 func (r *Replica) writeIdentity(own Identity, b wal.Batch) error {
 	raw, err := json.Marshal(own)
 	if err != nil {
@@ -175,6 +191,7 @@
 	return err
 }
 
+// persistIdentities stores this instance's identity and the starts of the others.
 func (r *Replica) persistIdentities() error {
 	own, seen, err := r.peers.marshal()
 	if err != nil {
@@ -184,7 +201,7 @@
 	return err
 }
 
-// Close lets the folder go; nothing is lost by not calling it.
+// Close closes the folder. Nothing that was stored is lost without it.
 func (r *Replica) Close() error { return r.log.Close() }
 
 // firstMember is the member table of a group of one.
--- a/internal/control/consensus/replica_propose.go
+++ b/internal/control/consensus/replica_propose.go
@@ -8,10 +8,16 @@
 	"go.etcd.io/raft/v3"
 )
 
-// This file takes what is to be agreed on, and reads that have to see it.
+// Puts are refused when the log has less than a quarter of its size limit left, and the fleet's entries when it has
+// less than an eighth, so that leases go on where changes don't, and raft's own entries and a snapshot where neither
+// does: a log at its limit ends the instance. Smaller reserves risk that, larger ones waste disk.
+const (
+	putLogFraction   = 4
+	entryLogFraction = 8
+)
 
-// Propose asks for a version. The answer comes as a Result of some later Work here, or never: whoever waits
-// repeats it under the same number.
+// Propose proposes a put. Its result comes with some later Work, or never: the caller repeats it under the same
+// number. Errors are ErrBarred, ErrLogNearLimit, raft.ErrProposalDropped and what is wrong with the put.
 func (r *Replica) Propose(p *Put) error {
 	if r.peers.self.Barred != "" {
 		return ErrBarred
@@ -19,7 +25,7 @@
 	if err := p.valid(); err != nil {
 		return err
 	}
-	if r.log.Usage() > r.plan.Sizes.Bound/4*3 {
+	if r.log.Usage() > r.plan.Sizes.Bound/putLogFraction*(putLogFraction-1) {
 		return ErrLogNearLimit
 	}
 	p.Rules = rulesForLevel(r.stateMachine.level)
@@ -30,7 +36,7 @@
 	return r.node.Propose(raw)
 }
 
-// entry is what the log holds beside puts, whose entries have no kind.
+// entry is what the log holds but puts, whose entries have no kind.
 type entry struct {
 	Kind string          `json:"kind"`
 	Body json.RawMessage `json:"body"`
@@ -38,14 +44,15 @@
 
 const kindLevel = "level"
 
-// ProposeEntry asks for an entry of a kind that came with a later level; whether it was made shows in what it does.
+// ProposeEntry proposes an entry of a kind that came with a later level. That it was applied shows in its result.
+// Errors are ErrBarred, ErrFeatureLevel, ErrLogNearLimit and raft.ErrProposalDropped.
 func (r *Replica) ProposeEntry(kind string, body []byte) error {
 	switch {
 	case r.peers.self.Barred != "":
 		return ErrBarred
 	case r.stateMachine.level < LevelFleet && kind != kindLevel:
 		return ErrFeatureLevel
-	case r.log.Usage() > r.plan.Sizes.Bound/8*7: // past where changes of the configuration are refused
+	case r.log.Usage() > r.plan.Sizes.Bound/entryLogFraction*(entryLogFraction-1):
 		return ErrLogNearLimit
 	}
 	raw, err := json.Marshal(entry{kind, body})
@@ -55,7 +62,7 @@
 	return r.node.Propose(raw)
 }
 
-// Levels gives what members know, as they told this instance in this life; one that has not is not in it.
+// Levels returns the feature levels that members support, by name, as far as they reported them in this run.
 func (r *Replica) Levels() map[string]int {
 	out := map[string]int{}
 	for _, m := range r.stateMachine.members.list {
@@ -68,9 +75,13 @@
 	return out
 }
 
-// rise has the leader raise the group's level once every member has told that it knows the next one.
+// raiseLevel has the leader raise the group's level by one once every member has reported that it supports the next
+// one. A lost proposal is repeated after the time of an election.
 func (r *Replica) raiseLevel() {
-	if r.stateMachine.level >= r.plan.Level || r.ticks < r.levelRaisedAtTick+r.plan.ElectionTicks || len(r.stateMachine.members.list) == 0 {
+	if r.stateMachine.level >= r.plan.Level || len(r.stateMachine.members.list) == 0 {
+		return
+	}
+	if r.ticks < r.levelRaisedAtTick+r.plan.ElectionTicks {
 		return
 	}
 	for _, m := range r.stateMachine.members.list {
@@ -82,8 +93,9 @@
 	r.ProposeEntry(kindLevel, []byte(fmt.Sprint(r.stateMachine.level+1)))
 }
 
-// Read asks for a point from which the state here is as new as any answer given before; its id comes back in
-// an Outcome once that is so, or never. An id is used once.
+// Read asks for an index from which the state here is as new as any result given before. The id, used once, comes
+// back in a WorkResult once the index is applied, or never. Errors are ErrBarred, and raft.ErrProposalDropped without
+// a leader.
 func (r *Replica) Read(id uint64) error {
 	if r.peers.self.Barred != "" {
 		return ErrBarred
--- a/internal/control/consensus/replica_snapshot.go
+++ b/internal/control/consensus/replica_snapshot.go
@@ -9,16 +9,14 @@
 	"umberwinch/internal/wal"
 )
 
-// This file takes snapshots of the state and cuts the log behind them.
-
-// PendingSnapshot is a snapshot under way: Write may run beside the replica, Saved takes note of its end.
+// PendingSnapshot is a snapshot under way: Write may run while the replica works, SnapshotWritten ends it.
 type PendingSnapshot struct {
 	meta  *pb.SnapshotMetadata
 	parts [][]byte
 	log   *wal.Log
 }
 
-// SnapshotIfDue gives a snapshot to be written if there is enough new log, nil if not.
+// SnapshotIfDue returns a snapshot to be written if there is enough new log, nil if not.
 func (r *Replica) SnapshotIfDue() (*PendingSnapshot, error) {
 	if r.snapshotting || r.store.bytes < r.plan.SnapshotBytes || r.stateMachine.applied <= r.store.snap.GetIndex() {
 		return nil, nil
@@ -26,7 +24,7 @@
 	return r.Snapshot()
 }
 
-// state gives the state machine as it is, in parts that don't change any more.
+// snapshotState gives the state as it is now, in parts that don't change any more.
 func (r *Replica) snapshotState() (*pb.SnapshotMetadata, [][]byte, error) {
 	meta := &pb.SnapshotMetadata{Index: proto.Uint64(r.stateMachine.applied), Term: proto.Uint64(r.stateMachine.term),
 		ConfState: proto.Clone(r.voterConfig).(*pb.ConfState)}
@@ -34,7 +32,7 @@
 	return meta, state, err
 }
 
-// Snapshot gives a snapshot of the state as it is.
+// Snapshot returns a snapshot of the state as it is now, to be written.
 func (r *Replica) Snapshot() (*PendingSnapshot, error) {
 	meta, state, err := r.snapshotState()
 	if err != nil {
@@ -51,7 +49,9 @@
 // Write makes it durable.
 func (s *PendingSnapshot) Write() error { return s.log.Save(s.meta.GetIndex(), s.parts...) }
 
-// SnapshotWritten ends a snapshot. One that found no room is tried again when more log has come.
+// SnapshotWritten ends a snapshot with the result of its Write and lets the log before the older one go. One that
+// found the log at its size limit is tried again when more log has come; any other error means that the instance
+// can't go on.
 func (r *Replica) SnapshotWritten(s *PendingSnapshot, err error) error {
 	r.snapshotting = false
 	if err != nil {
--- a/internal/control/consensus/replica_status.go
+++ b/internal/control/consensus/replica_status.go
@@ -7,8 +7,6 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
-// This file shows where a replica stands.
-
 // Peer is another instance as the leader sees it.
 type Peer struct {
 	ID     uint64 `json:"id"`
@@ -41,15 +39,30 @@
 	Peers            []Peer `json:"peers,omitempty"`
 }
 
-// Status gives the view as it is now.
+// Status returns the view as it is now.
 func (r *Replica) Status() Status {
 	b := r.node.BasicStatus()
 	last, _ := r.store.LastIndex()
-	s := Status{ID: r.ID(), Cluster: r.peers.self.Cluster, Name: r.peers.self.Name, Leader: b.Lead,
-		Term: b.HardState.GetTerm(), Vote: b.HardState.GetVote(), FirstIndex: r.store.offset + 1, LastIndex: last,
-		Commit: b.HardState.GetCommit(), Applied: r.stateMachine.applied, SnapshotIndex: r.store.snap.GetIndex(),
-		DiskBytes: r.log.Usage(), Syncs: r.log.Flushes(), Version: r.stateMachine.Last(), TicksSinceLeader: r.ticksSinceLeader, Campaigns: r.Campaigns,
-		Barred: r.peers.self.Barred, Level: r.stateMachine.level}
+	s := Status{
+		ID:               r.ID(),
+		Cluster:          r.peers.self.Cluster,
+		Name:             r.peers.self.Name,
+		Leader:           b.Lead,
+		Term:             b.HardState.GetTerm(),
+		Vote:             b.HardState.GetVote(),
+		FirstIndex:       r.store.offset + 1,
+		LastIndex:        last,
+		Commit:           b.HardState.GetCommit(),
+		Applied:          r.stateMachine.applied,
+		SnapshotIndex:    r.store.snap.GetIndex(),
+		DiskBytes:        r.log.Usage(),
+		Syncs:            r.log.Flushes(),
+		Version:          r.stateMachine.Last(),
+		TicksSinceLeader: r.ticksSinceLeader,
+		Campaigns:        r.Campaigns,
+		Barred:           r.peers.self.Barred,
+		Level:            r.stateMachine.level,
+	}
 	switch b.RaftState {
 	case raft.StateLeader:
 		s.Role = RoleLeader
@@ -73,18 +86,18 @@
 	return s
 }
 
-// LogBounds gives the indexes of the first and last entry held, EntryAt the term and bytes of one of them.
+// LogBounds returns the indexes of the first and last entry held.
 func (r *Replica) LogBounds() (first, last uint64) {
 	return r.store.offset + 1, r.store.offset + uint64(len(r.store.entries))
 }
 
+// EntryAt returns the term and data of an entry that is held.
 func (r *Replica) EntryAt(i uint64) (term uint64, data []byte) {
 	e := r.store.entries[i-r.store.offset-1]
 	return e.GetTerm(), e.GetData()
 }
 
-// Versions gives the versions kept, each as a line of JSON, and the number of the first. Neither changes any
-// more.
+// Versions returns the versions held, each as a line of JSON, and the number of the first. Neither changes any more.
 func (r *Replica) Versions() ([][]byte, uint64) {
 	return r.stateMachine.versions.lines, r.stateMachine.versions.first
 }
--- a/internal/control/consensus/restored_group.go
+++ b/internal/control/consensus/restored_group.go
@@ -13,17 +13,14 @@
 	"umberwinch/internal/wal"
 )
 
-// Restoring a group whose state is lost. What is decided about it is comeback's; here an old folder is read as far as
-// it is committed, nodes are listened to, and what was found is written as the first state of a new group.
-
-// StoredGroup is what an old folder holds.
+// StoredGroup is the state of a group as a folder or a saved snapshot holds it.
 type StoredGroup struct {
 	machine *StateMachine
 	Name    string
 }
 
-// ReadFolder reads a folder as far as its entries are known to be committed. No other instance is asked, so what was
-// committed last may lack.
+// ReadFolder reads the state of a stopped instance's folder as far as its entries are known to be committed. No other
+// instance is asked, so what was committed last may be missing. Errors are ErrEmptyFolder and those of Open.
 func ReadFolder(fs wal.FS, plan Config) (*StoredGroup, error) {
 	log, _, err := wal.Open(fs, plan.Sizes)
 	if err != nil {
@@ -45,7 +42,7 @@
 	}
 	_, err = r.Work(func([]*pb.Message) {})
 	if voters := r.voterConfig.GetVoters(); err == nil && len(voters) == 1 && voters[0] == r.ID() {
-		// Of a group of one all that is durable is committed: it takes a term of its own to say so.
+		// In a group of one all that is durable is committed: an election of its own says so.
 		if err = r.node.Campaign(); err == nil {
 			_, err = r.Work(func([]*pb.Message) {})
 		}
@@ -56,12 +53,12 @@
 	}
 	r.stateMachine.uncommittedEntries = last - min(last, r.stateMachine.applied)
 	if r.stateMachine.cluster == "" {
-		return nil, ErrEmptyFolder // it waited to be taken in
+		return nil, ErrEmptyFolder // it waits to be added to a group
 	}
 	return &StoredGroup{r.stateMachine, r.peers.self.Name}, nil
 }
 
-// ReadSnapshot reads a saved snapshot, out of another folder or as `control snapshot save` wrote it.
+// ReadSnapshot reads a snapshot: a file of an instance's folder, or what `umberctl control snapshot save` wrote.
 func ReadSnapshot(raw []byte) (*StoredGroup, error) {
 	if body, _, ok := wal.Unwrap(raw); ok {
 		raw = body
@@ -77,7 +74,7 @@
 	return &StoredGroup{m, ""}, nil
 }
 
-// Evidence gives it to comeback.Config; nil has none.
+// Evidence returns what a recovery has to know of the stored state, nil where there is none.
 func (o *StoredGroup) Evidence() *recovery.StoredGroup {
 	if o == nil {
 		return nil
@@ -113,7 +110,9 @@
 	return b
 }
 
-// Recover makes an empty folder the first instance of the next generation of a group, by what was found.
+// Recover makes an empty folder the first instance of the next generation of a group, by what a recovery found, and
+// returns its newest version. Errors are *RejectedError where the evidence conflicts, ErrFolderInUse, and of the
+// disk.
 func Recover(fs wal.FS, plan Config, old *StoredGroup, found *recovery.RestorePlan) (*Version, error) {
 	if found.Conflict != "" {
 		return nil, &RejectedError{found.Conflict}
@@ -136,17 +135,18 @@
 		}
 	}
 	if m.level >= LevelFleet || len(found.Records) > 0 || found.Version > 0 {
-		m.level = LatestLevel // an older program does not know generations
+		m.level = LatestLevel // an older program can't read generations
 	}
 	return m.fleet.BeginGeneration(found, m)
 }
 
-// place makes what was found the newest version. Where its number does not follow, what is before it is kept no more.
+// placeRestoredVersion makes what was found the newest version. Where its number does not follow the newest one,
+// versions before it are dropped.
 func (m *StateMachine) placeRestoredVersion(found *recovery.RestorePlan) error {
 	if found.Version != m.Last()+1 {
 		m.versions = versionHistory{first: found.Version}
 	}
-	if found.Hash == "" { // nobody has a text: the number is the next put's
+	if found.Hash == "" { // no node has the text: the next put gets the number after it
 		m.versions.newest, m.versions.hash = nil, ""
 		return nil
 	}
@@ -154,7 +154,16 @@
 	if err != nil {
 		return err
 	}
-	v := Version{Number: found.Version, Parent: found.SourceVersion, Hash: found.Hash, Author: "recover", Reason: truncateReason(found.Proof),
-		Index: m.applied, Term: m.term, Rules: document.Rules, Text: found.Text}
+	v := Version{
+		Number: found.Version,
+		Parent: found.SourceVersion,
+		Hash:   found.Hash,
+		Author: "recover",
+		Reason: truncateReason(found.Proof),
+		Index:  m.applied,
+		Term:   m.term,
+		Rules:  document.Rules,
+		Text:   found.Text,
+	}
 	return m.versions.append(&v, d)
 }
--- a/internal/control/consensus/store.go
+++ b/internal/control/consensus/store.go
@@ -19,9 +19,8 @@
 	markPeers
 )
 
-// store keeps raft's entries and hard state on a log of ours and answers raft's questions about them. Entries
-// since the older of two snapshots are in memory too. It owns the log; only the replica's goroutine changes
-// it.
+// store keeps raft's entries and hard state in the durable log and is raft's storage. Entries since the older of two
+// snapshots are in memory too. The replica's goroutine alone uses it.
 type store struct {
 	log     *wal.Log
 	hard    *pb.HardState
@@ -33,11 +32,12 @@
 	state   func() (*pb.SnapshotMetadata, [][]byte, error)
 }
 
-// snapshotFileHeader is the first line of a snapshot, before the machine's state.
+// snapshotFileHeader is the first line of a snapshot, before the state.
 type snapshotFileHeader struct {
-	Meta []byte `json:"meta"` // raft's, as protobuf
+	Meta []byte `json:"meta"` // raft's metadata as protobuf
 }
 
+// snapshotParts puts raft's metadata before the parts of a state.
 func snapshotParts(meta *pb.SnapshotMetadata, state [][]byte) ([][]byte, error) {
 	raw, err := proto.Marshal(meta)
 	if err != nil {
@@ -50,6 +50,7 @@
 	return append([][]byte{append(head, '\n')}, state...), nil
 }
 
+// readSnapshot splits a snapshot into raft's metadata and the state.
 func readSnapshot(raw []byte) (*pb.SnapshotMetadata, []byte, error) {
 	for i, c := range raw {
 		if c != '\n' {
@@ -68,8 +69,8 @@
 	return nil, nil, errNoSnapshotHeader
 }
 
-// openStore reads hard state, newest sound snapshot and the entries behind it. It gives the snapshot's state,
-// nil if there is none.
+// openStore reads hard state, newest sound snapshot and the entries after it. It returns the snapshot's state, nil if
+// there is none.
 func openStore(log *wal.Log) (*store, []byte, error) {
 	s := &store{log: log, hard: &pb.HardState{}, snap: &pb.SnapshotMetadata{ConfState: &pb.ConfState{}}}
 	if raw := log.Mark(markHardState); raw != nil {
@@ -94,7 +95,7 @@
 	}
 	at := s.snap.GetIndex()
 	if damaged != nil && (state == nil || log.First() > at+1) {
-		return nil, nil, damaged // the log was let go of up to the damaged one
+		return nil, nil, damaged // entries before the damaged one are gone
 	}
 	if err := s.alignLog(at); err != nil {
 		return nil, nil, err
@@ -114,9 +115,9 @@
 	return s, state, nil
 }
 
-// join makes the log go on from the snapshot. A crash may have come between writing a snapshot got from the
-// leader and cutting the log: then what is in the log is of another history, unless the entry at the
-// snapshot's index has the snapshot's term.
+// alignLog makes the log go on from the snapshot. It guards against a crash between writing a snapshot of the leader
+// and cutting the log: what the log holds is then of another history, unless its entry at the snapshot's index has
+// the snapshot's term.
 func (s *store) alignLog(at uint64) error {
 	if at == 0 || s.log.First() == at+1 {
 		return nil
@@ -146,7 +147,7 @@
 	return e, nil
 }
 
-// persist makes durable what raft has to have kept before anything is sent: one write, one sync.
+// persist stores what raft needs stored before messages are sent: one write, one sync.
 func (s *store) persist(hard *pb.HardState, entries []*pb.Entry) error {
 	var b wal.Batch
 	if len(entries) > 0 {
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// remember takes over in memory what is, or is about to be, on disk.
+// remember takes over in memory what is on disk, or what raft does not need stored.
 func (s *store) remember(hard *pb.HardState, entries []*pb.Entry) {
 	if !raft.IsEmptyHardState(hard) {
 		s.hard = hard
@@ -194,7 +195,7 @@
 	}
 }
 
-// install puts a snapshot got from the leader in place of all there is.
+// install puts a snapshot of the leader in place of all there is.
 func (s *store) install(snap *pb.Snapshot, hard *pb.HardState) error {
 	meta := snap.GetMetadata()
 	parts, err := snapshotParts(meta, [][]byte{snap.GetData()})
@@ -222,7 +223,7 @@
 	return s.log.Release(at)
 }
 
-// saved takes note of a snapshot of our own that is durable: what the older one stands for may go.
+// snapshotWritten takes note of a durable snapshot: the log that the older one stands for may go.
 func (s *store) snapshotWritten(meta *pb.SnapshotMetadata) error {
 	if meta.GetIndex() <= s.snap.GetIndex() {
 		return nil
@@ -244,16 +245,18 @@
 	return s.log.Release(older)
 }
 
-// What raft asks.
-
+// InitialState is part of raft.Storage.
 func (s *store) InitialState() (*pb.HardState, *pb.ConfState, error) {
 	return s.hard, s.snap.GetConfState(), nil
 }
 
+// LastIndex is part of raft.Storage.
 func (s *store) LastIndex() (uint64, error) { return s.offset + uint64(len(s.entries)), nil }
 
+// FirstIndex is part of raft.Storage.
 func (s *store) FirstIndex() (uint64, error) { return s.offset + 1, nil }
 
+// Term is part of raft.Storage.
 func (s *store) Term(i uint64) (uint64, error) {
 	switch {
 	case i == s.offset:
@@ -266,6 +269,7 @@
 	return s.entries[i-s.offset-1].GetTerm(), nil
 }
 
+// Entries is part of raft.Storage.
 func (s *store) Entries(lo, hi, most uint64) ([]*pb.Entry, error) {
 	if lo <= s.offset {
 		return nil, raft.ErrCompacted
@@ -284,8 +288,8 @@
 	return part[:len(part):len(part)], nil
 }
 
-// SnapshotBytes gives the state as it is: one on disk may be from before whoever asks became a member, and such a
-// one is not taken.
+// Snapshot is part of raft.Storage. It gives the state as it is now: a snapshot on disk may be from before the
+// receiver became a member, and raft does not accept such a one.
 func (s *store) Snapshot() (*pb.Snapshot, error) {
 	meta, state, err := s.state()
 	if err != nil {
--- a/internal/control/consensus/versions.go
+++ b/internal/control/consensus/versions.go
@@ -71,8 +71,9 @@
 	}
 	text := next.Canonical()
 	if len(text) > document.MaxBytes {
-		return PutResult{PutInvalid, h.last(),
-			fmt.Sprintf("document: found %d bytes in canonical form, expected at most %d", len(text), document.MaxBytes)}
+		reason := fmt.Sprintf("document: found %d bytes in canonical form, expected at most %d", len(text),
+			document.MaxBytes)
+		return PutResult{PutInvalid, h.last(), reason}
 	}
 	hash := document.Hash(text)
 	if hash == h.hash {
