--- a/internal/node/agent/agent_test.go
+++ b/internal/node/agent/agent_test.go
@@ -19,11 +19,11 @@
 	sequence uint64
 }
 
-func startAgent(t *testing.T, kept *Record, without policy.Guard) *driver {
+func startAgent(t *testing.T, stored *Record, without policy.Guard) *driver {
 	d := &driver{T: t, now: 1000}
 	d.agent = New(Config{Name: "n", Zone: "z", ControlAddresses: []string{"a", "b", "c"}, Nonce: "nonce-00000000",
 		JitterSeed:     7,
-		DisabledGuards: without}, kept, d.now)
+		DisabledGuards: without}, stored, d.now)
 	return d
 }
 
@@ -107,7 +107,7 @@
 		LeaseMS: 4000}); err != nil {
 		t.Fatal(err)
 	}
-	d.expectServing(false, "run out") // the answer to an asking that was given up
+	d.expectServing(false, "run out") // the response to a heartbeat that was given up
 }
 
 // TestDecidedFencesAtOnce: the group has decided on a version that the node has not prepared. If the node served on,
@@ -166,7 +166,7 @@
 			t.Errorf("%s: found %v, expected %v", what, err, c.kind)
 		}
 		if d.agent.ControlAddress() == at {
-			t.Errorf("%s: it goes on asking %s", what, at)
+			t.Errorf("%s: it goes on contacting %s", what, at)
 		}
 		if d.agent.CommittedVersion() != 3 || d.agent.ActiveVersion() != 3 || d.agent.MinVersion() != 3 {
 			t.Errorf("%s: changed what it serves to %d, in force %d", what, d.agent.ActiveVersion(),
@@ -201,7 +201,7 @@
 // version lets nodes serve autonomously, and never if its record knows of a newer decision: the fleet may have gone
 // on without it.
 func TestAutonomousStart(t *testing.T) {
-	kept := Record{Cluster: "g", ActiveVersion: 3, ActiveHash: "h3", ActiveAutonomous: true, MinVersion: 3}
+	stored := Record{Cluster: "g", ActiveVersion: 3, ActiveHash: "h3", ActiveAutonomous: true, MinVersion: 3}
 	for what, c := range map[string]struct {
 		change func(*Record)
 		serves bool
@@ -218,7 +218,7 @@
 		}, false},
 		"it had said prepared, in doubt": {func(r *Record) { r.PreparedVersion, r.PreparedHash = 4, "h4" }, true},
 	} {
-		r := kept
+		r := stored
 		c.change(&r)
 		d := startAgent(t, &r, 0)
 		for end := d.now + 2*autonomousStartDelay; d.now < end; {
@@ -262,14 +262,14 @@
 	before := d.now
 	d.nextHeartbeat()
 	if !d.request.Leave || d.now-before > 200 {
-		t.Fatalf("after %d ms it asks %+v, expected its goodbye", d.now-before, d.request)
+		t.Fatalf("after %d ms it sends %+v, expected that it leaves", d.now-before, d.request)
 	}
 	d.respond(api.HeartbeatResponse{LeaseID: 5, DecidedVersion: 1,
 		CommittedVersion: api.VersionHash{Version: 1, Hash: "h1"}, Index: 12,
 		NextHeartbeatMS: 1000})
 	for end := d.now + 20_000; d.now < end; d.now += 50 {
 		if a, _, due := d.agent.Heartbeat(d.now); due {
-			t.Fatalf("after its goodbye it asks %+v", a)
+			t.Fatalf("after it has left it sends %+v", a)
 		}
 	}
 }
--- a/internal/node/agent/pin_decisions_test.go
+++ b/internal/node/agent/pin_decisions_test.go
@@ -191,7 +191,7 @@
 			DisabledGuards: without},
 			kept, now)
 		silent := uint64(0) // until then no instance answers
-		late := uint64(0)   // an asking that was given up
+		late := uint64(0)   // a heartbeat that was given up
 		for range 500 {
 			now += g.chance(250)
 			g.goesOn()
@@ -267,7 +267,7 @@
 			asked, taken, refused = asked+a, taken+k, refused+r
 		}
 		if asked < 1500 || taken < 50 || refused < 100 {
-			t.Errorf("%s: %d askings, %d versions taken over, %d answers not believed: too few to hold anything to",
+			t.Errorf("%s: %d heartbeats, %d versions activated, %d responses rejected: too few to hold anything to",
 				what, asked, taken, refused)
 		}
 		if got := hex.EncodeToString(sum.Sum(nil)); got != pinnedDecisions[what] {
--- a/internal/node/resultstore/offline.go
+++ b/internal/node/resultstore/offline.go
@@ -18,7 +18,7 @@
 	return index, found, usage, log.Close()
 }
 
-// Compact deletes what is over in a folder that no node uses, as a node does by and by: whole segments, from the
+// Compact deletes what is over in a folder that no node uses, as a node does while it serves: whole segments, from the
 // front. It gives the bytes on disk before and after.
 func Compact(fs wal.FS, sizes wal.Sizes, limits Limits, now Milliseconds, bootID string) (before, after int64,
 	err error) {
--- a/internal/node/resultstore/resultstore_test.go
+++ b/internal/node/resultstore/resultstore_test.go
@@ -315,7 +315,7 @@
 			if err != nil {
 				t.Fatalf("seed %d, life %d: %v", seed, life, err)
 			}
-			wait := func(rec Record) error { // the test is the loop; it waits where a node would go on with other reqs
+			wait := func(rec Record) error { // the test is the loop; it waits where a node would go on with other requests
 				got := make(chan error, 1)
 				if !s.Append(rec, func(place uint64, err error) {
 					if err == nil {
@@ -496,7 +496,7 @@
 	case <-opens:
 		d.locks.Store(nil)
 		close(let)
-		t.Fatal("the log is let go of before the disk is well")
+		t.Fatal("the log is closed before the disk works")
 	}
 	d.fails.Store(false)
 	<-opens
--- a/internal/node/resultstore/salvage_test.go
+++ b/internal/node/resultstore/salvage_test.go
@@ -81,7 +81,7 @@
 			}
 			if !b.KeysMayBeLost(now) || !b.KeysMayBeLost(now+window-1) && boot == "boot" ||
 				b.KeysMayBeLost(now+window) {
-				t.Fatalf("seed %d, life %d: further tries are not doubted for a window: %d at %d", seed, life,
+				t.Fatalf("seed %d, life %d: retries of unknown keys get no error for a window: %d at %d", seed, life,
 					b.lossSuspicionEnd, now)
 			}
 			for k := range keys {
@@ -102,9 +102,9 @@
 			s.Close()
 		}
 	}
-	t.Logf("%d results whole, %d keys lost, %d starts cut short", whole, lost, cuts)
+	t.Logf("%d results complete, %d keys lost, %d starts interrupted", whole, lost, cuts)
 	if lost == 0 || lost > whole/20 || cuts < 50 {
-		t.Errorf("%d results whole, %d keys lost, %d starts cut short: too little was damaged, or too much lost",
+		t.Errorf("%d results complete, %d keys lost, %d starts interrupted: too little was damaged, or too much lost",
 			whole, lost, cuts)
 	}
 }
--- a/internal/node/resultstore/state.go
+++ b/internal/node/resultstore/state.go
@@ -20,7 +20,7 @@
 	Failed                     // it ran to an error, durable: repeats get an error, as what it did is not undone
 )
 
-// stateNames are what operators see: `umberctl kept` prints them.
+// stateNames are what operators see: `umberctl results` prints them.
 var stateNames = [...]string{"unknown", "intended", "started", "may have run", "ended", "done", "failed"}
 
 // String names the state, for operators.
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -16,7 +16,7 @@
 	"umberwinch/internal/wal"
 )
 
-// heldDisk holds each sync until it is let go on, or fails it.
+// heldDisk holds each sync until the test lets it go on, or fails it.
 type heldDisk struct {
 	wal.FS
 	gate  chan struct{} // nil: nothing is held
@@ -238,7 +238,7 @@
 	h, r = l.takes("d")
 	r.keyed.submission.IsRetry = true // nobody knows whether its first try ran: shed, it would be tried elsewhere
 	if l.results.intercept(h, r); !r.isAnswered() || l.counters.Errored != 1 || l.counters.Shed != 2 {
-		t.Error("a further try of a key that nobody can know of is shed")
+		t.Error("a retry of a key that nobody can know of is shed")
 	}
 }
 
--- a/internal/node/shadow/shadow_test.go
+++ b/internal/node/shadow/shadow_test.go
@@ -52,7 +52,7 @@
 			}
 		}, nil, "requests of the trial"},
 		{"all retired", busy, func(*admission.Deployment) {}, []bool{true, true}, "were shed"},
-		{"memory for a few reqs", record(MaxRequests, 4*ms, 14*ms), func(d *admission.Deployment) {
+		{"memory for a few requests", record(MaxRequests, 4*ms, 14*ms), func(d *admission.Deployment) {
 			d.MemoryKB = 30
 		}, nil, "requests of the trial"},
 		{"on an idle server, one that sheds all", NewRecording(2), func(d *admission.Deployment) {
