--- a/internal/node/server/buffers.go
+++ b/internal/node/server/buffers.go
@@ -5,7 +5,8 @@
 // bufferBytes holds a 4 KiB result in base64 with its line, and a 2 KiB body with its head twice over.
 const bufferBytes = 8 << 10
 
-// buffer is a piece of memory of the one size, with the event that hands over the message in it: one of the four is in use.
+// buffer is a piece of memory of the one size, with the event that hands over the message in it: one of the four is in
+// use. It belongs to whoever took it out of the pool.
 type buffer struct {
 	n int // bytes in use
 	b [bufferBytes]byte
@@ -18,7 +19,8 @@
 
 func (b *buffer) bytes() []byte { return b.b[:b.n] }
 
-// pool keeps buffers that are out of use.
+// bufferPool keeps buffers that are out of use, for callbacks and the loop alike. Guards against clients that fill the
+// memory: no more than capacity are out for what is read.
 type bufferPool struct {
 	mu       sync.Mutex
 	free     []*buffer
@@ -26,7 +28,7 @@
 	capacity int
 }
 
-// get gives an empty buffer, or nil while too many are out: who asked then gives up what it was to hold.
+// get gives an empty buffer, or nil while too many are out: the caller then gives up what it was to hold.
 func (p *bufferPool) get() *buffer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,9 +45,8 @@
 	return new(buffer)
 }
 
-// must gives an empty buffer however many are out, for an answer that is owed. Guards against clients that hold
-// all buffers and so take answers from others; there are few such buffers, as each connection has one answer
-// at a time.
+// getOwed gives an empty buffer however many are out, for a response. Guards against clients that hold all buffers, by
+// which others would get no response; there are few such buffers, as a connection has one response at a time.
 func (p *bufferPool) getOwed() *buffer {
 	if b := p.get(); b != nil {
 		return b
@@ -56,6 +57,7 @@
 	return new(buffer)
 }
 
+// put gives a buffer back; nil is passed over.
 func (p *bufferPool) put(b *buffer) {
 	if b == nil {
 		return
--- a/internal/node/server/client_connections.go
+++ b/internal/node/server/client_connections.go
@@ -10,7 +10,12 @@
 	"umberwinch/internal/node/wire"
 )
 
-// conn is one connection of a client, as the loop knows it.
+// Clients' connections. The loop owns the table of them: what each has brought, and what it waits for. It sends exactly
+// one response for each request read, and never closes a connection on which a response may still be unread: it says
+// "Connection: close" and lets the client close first, or waits for a while. A connection ends with the client's close,
+// or with LingerTimeout after its sending side was shut down.
+
+// connection is one connection of a client, as the loop knows it.
 type connection struct {
 	peer             *peer
 	current          handle // the request that is being served on it
@@ -18,14 +23,14 @@
 	openedAt         admission.Time // when it was opened
 	lastActive       admission.Time // when it last carried anything
 	usage            connectionUse
-	ending           bool           // it is to be closed once nothing that was read on it is owed an answer
-	closing          bool           // its sending side is shut down, or will be once its last answer is out
+	ending           bool           // it is to be closed once each request read on it is answered
+	closing          bool           // its sending side is shut down, or will be once its last response is out
 	lingerUntil      admission.Time // while closing: the other side has so long to close it
-	closed           bool           // this side has closed it
-	evictionFailedAt admission.Time // it could not be closed for room then
+	closed           bool           // by this side
+	evictionFailedAt admission.Time // when it could not be closed to make room
 }
 
-// usage is what a connection has brought whole so far.
+// connectionUse is what a connection has brought so far, of what was complete.
 type connectionUse uint8
 
 const (
@@ -34,7 +39,7 @@
 	usedForRequests
 )
 
-// serve starts to take connections.
+// serve starts to accept connections, in a goroutine that ends when the listener is stopped.
 func (l *loop) serve(ln *listener) {
 	l.listener, l.accepts = ln, true
 	go func() {
@@ -43,11 +48,12 @@
 	}()
 }
 
-// enter has netpoll read a connection that was accepted.
+// acceptConnection has netpoll read a connection that was accepted. It runs on the listener's goroutine.
 func (l *loop) acceptConnection(fd int) {
-	syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
+	// Without it a response may wait for the client's acknowledgement; if it can't be had, responses are only slower.
+	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
 	nc, err := netpoll.NewFDConnection(fd)
-	if err != nil { // netpoll has closed the descriptor: it may be another's by now
+	if err != nil { // netpoll has closed the descriptor, whose number may be another connection's by now
 		l.log.Warnf("a connection can't be read: %v", err)
 		l.listener.release()
 		return
@@ -62,10 +68,11 @@
 	l.post(connectionOpened{peer: p})
 	nc.SetOnRequest(func(_ context.Context, nc netpoll.Connection) error { return l.readConnection(p, nc) })
 	if !nc.IsActive() {
-		nc.Close() // it ended before anybody listened for that
+		_ = nc.Close() // it ended before its close callback was set, which runs now
 	}
 }
 
+// connectionOpened takes a connection that was accepted into the table.
 func (l *loop) connectionOpened(p *peer) {
 	h, c, ok := l.connections.take()
 	if !ok { // the listener's bound is below the table's
@@ -78,10 +85,11 @@
 	l.evict()
 }
 
-// evict closes the connections that are of least use while there are too many: of those that have said
-// nothing whole the oldest, then of those that brought checks only the one idle for longest, then of all.
-// Guards against crowds that say nothing, and callers that keep what they no longer use. What crosses such a
-// close is sent again by its sidecar.
+// evict closes the connections that are of least use while more than EvictAbove are open: of those that have brought
+// nothing complete the oldest, then of those that brought health checks alone the one idle for longest, then of all.
+// Guards against clients that open connections and send nothing, and against those that keep what they no longer use:
+// all places would be taken, and further clients would wait to be accepted. It holds as the listener's bound is above
+// EvictAbove. A request that crosses such a close is sent again by its client.
 func (l *loop) evict() {
 	l.endLingering()
 	for l.connections.used > l.limits.EvictAbove && l.usable() > l.limits.EvictAbove {
@@ -97,7 +105,7 @@
 	}
 }
 
-// endLingering closes connections whose other side has had the time to close them, while all places are taken.
+// endLingering closes connections whose client has had the time to close them, while all places are taken.
 func (l *loop) endLingering() {
 	if l.connections.used < l.limits.Connections {
 		return
@@ -138,13 +146,13 @@
 	return out
 }
 
-// owes tells whether a request that was read on the connection has no answer yet.
+// owesAnswer tells whether a request that was read on the connection has no response yet.
 func (c *connection) owesAnswer() bool {
 	return c.current != 0 || len(c.pending) > 0 || c.peer.pipelined.Load() > 0
 }
 
-// closeIdle begins the end of a connection on which nothing is owed, unless something is on its way: a request
-// that is handed over and not taken, or bytes that are not read. With force only what was read whole counts.
+// closeIdle begins the end of a connection with no request unanswered, unless something is on its way: a request that is
+// handed over and not taken, or bytes that are not read. With force only complete requests count.
 func (l *loop) closeIdle(c *connection, force bool) bool {
 	if c.closing || c.owesAnswer() || !c.peer.seal(force) {
 		return false
@@ -160,18 +168,19 @@
 	c.peer.finish()
 }
 
-// abort closes a connection at once: on which nothing is owed, or whose other side takes nothing.
+// abort closes a connection at once: one with no request unanswered, or whose client takes nothing.
 func (l *loop) abort(c *connection) {
 	c.closing, c.closed = true, true
 	l.dropPending(c)
 	c.peer.close()
 }
 
-// sweep looks over all connections: those whose other side should have closed them, those that don't get to
-// the end of a message, and those idle for as long as the module lets them be.
+// sweep looks over all connections: those that their client should have closed, those that don't get to the end of a
+// message, and those idle for longer than the controller allows. Guards against closing what a standstill of this process
+// makes look idle: a sweep that comes late is left out, as what came meanwhile is not read yet.
 func (l *loop) sweep(at admission.Time) {
 	if l.now-at >= l.limits.SweepInterval {
-		return // this process stood still: what came meanwhile is not read yet
+		return
 	}
 	l.evict()
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
@@ -179,6 +188,7 @@
 	}
 }
 
+// sweepConn looks over one connection, see sweep.
 func (l *loop) sweepConn(h handle, c *connection) {
 	half := admission.Time(c.peer.incompleteSince.Load())
 	switch {
@@ -212,15 +222,15 @@
 	return l.idleClose
 }
 
-// flooded takes word that more comes on a sealed connection than is borne: it is closed, but not before what
-// was read on it has its answer.
+// connectionFlooded closes a connection on which more comes after its end than is passed over. Guards against clients
+// that send on and on: reading it takes a core. All that was read before is answered by then, as it is closing.
 func (l *loop) connectionFlooded(p *peer) {
 	if c := l.connections.get(p.handle); c != nil && c.closing && !c.closed {
 		l.abort(c)
 	}
 }
 
-// left takes the end of a connection: whoever waited for an answer on it is gone.
+// connectionClosed takes the end of a connection. A request whose response was to go out on it is abandoned.
 func (l *loop) connectionClosed(p *peer) {
 	if l.listener != nil {
 		l.listener.release() // not before: the table's slot is free from here on
@@ -243,7 +253,7 @@
 	}
 }
 
-// dropPending lets go of what a connection has brought and no answer will go out for.
+// dropPending releases the messages of a connection that no response will go out for.
 func (l *loop) dropPending(c *connection) {
 	for _, m := range c.pending {
 		m.release(&l.pool)
--- a/internal/node/server/client_peer.go
+++ b/internal/node/server/client_peer.go
@@ -1,9 +1,3 @@
-// Peer: one connection of a client as its callbacks know it: what has been read of it, and the end of each of
-// its two directions. A connection is ended in order: reading is sealed once nothing is on its way, the last
-// answer goes out, the sending side is shut down, what still comes is discarded until the client closes or a
-// bound is reached, then the descriptor is closed. Whatever was read before the seal is answered first, and
-// nothing that comes after it is ever forwarded.
-
 package server
 
 import (
@@ -18,24 +12,29 @@
 	"umberwinch/internal/node/wire"
 )
 
+// errAhead is what a client gets that sends more requests on one connection than are taken ahead of their responses.
 var errAhead = errors.New("too many requests ahead of their answers")
 
-// peer is shared by the connection's callbacks and the loop.
+// peer is one connection of a client as its callbacks know it, which share it with the loop: what has been read of it,
+// and the end of each of its two directions. A connection is ended in order: reading is sealed once nothing is on its
+// way, the last response goes out, the sending side is shut down, what still comes is discarded until the client closes
+// or a bound is reached, then the descriptor is closed. Whatever was read before the seal is answered first, and nothing
+// that comes after it ever reaches the controller.
 type peer struct {
 	writer
 	fd              int
 	handle          handle       // the loop's
 	pipelined       atomic.Int32 // messages handed over and not begun
-	incompleteSince atomic.Int64 // since when a message is not whole; 0: there is none
+	incompleteSince atomic.Int64 // since when a message is incomplete; 0: none is
 
-	// intake is held while input is read, never while it is handed over: the loop takes it too, and who hands over
-	// may be waiting for the loop.
+	// intake is held while input is read, never while it is handed over: the loop takes it too, and a callback that
+	// hands over may be waiting for the loop.
 	intake    sync.Mutex
 	in        intake
 	sealed    bool // what comes is discarded
 	closed    bool // the descriptor is about to be closed and may soon be another's
 	discarded int  // bytes that came after the seal
-	flooded   bool // they were more than is borne
+	flooded   bool // they were more than is passed over
 }
 
 func newPeer(nc netpoll.Connection, fd int, l *loop) *peer {
@@ -44,7 +43,7 @@
 	return p
 }
 
-// heard reads what a connection has brought and hands it over; it runs in a callback, never twice at once.
+// readConnection reads what a connection has brought and hands it over; it runs in a callback, never twice at once.
 func (l *loop) readConnection(p *peer, nc netpoll.Connection) error {
 	events, err := p.take(nc.Reader(), &l.limits, timeOf(l.clock.Now()))
 	for _, e := range events {
@@ -53,8 +52,8 @@
 	return err
 }
 
-// take reads all that has come. Each event is counted as on its way before the lock is let go of, so that no seal
-// can come between its reading and its handing over.
+// take reads all that has come. Guards against a seal between the reading of a request and its handing over, which would
+// leave it without a response: each event is counted in pipelined before the lock is released.
 func (p *peer) take(r netpoll.Reader, limits *Limits, now admission.Time) (events []event, err error) {
 	p.intake.Lock()
 	defer p.intake.Unlock()
@@ -84,8 +83,8 @@
 	p.incompleteSince.Store(0)
 }
 
-// parse reads one request. netpoll reads on whatever is done here, so the only bound on pipelined requests
-// that holds is to take no more of them.
+// parse reads one request. Guards against clients that send requests without end and read no response: netpoll reads on
+// whatever is done here, so the only bound that holds is to end the connection.
 func (p *peer) parse(b *buffer, limits *Limits) (event, int, error) {
 	e := &b.request
 	e.peer, e.buffer = p, b
@@ -98,7 +97,7 @@
 	return e, n, err
 }
 
-// noteUnfinished keeps since when a message is not whole. Empty lines between requests are no message.
+// noteUnfinished keeps since when a message is incomplete. Empty lines between requests are no message.
 func (p *peer) noteUnfinished(now admission.Time) {
 	if p.in.buf != nil && onlyLineEnds(p.in.buf.bytes()) {
 		p.in.drop()
@@ -120,22 +119,22 @@
 	return true
 }
 
-// discard passes over what comes after the seal, and tells when it has become more than a bound. Guards against
-// endless bodies, which take cores for as long as they are read: the loop closes the connection then, once nothing is
-// owed on it.
-func (p *peer) discard(r netpoll.Reader, most int) (tooMuch bool) {
+// discard passes over what comes after the seal, and tells once when it has become more than a bound. Guards against
+// endless bodies, which take a core for as long as they are read: the loop closes the connection then.
+func (p *peer) discard(r netpoll.Reader, limit int) (tooMuch bool) {
 	n := r.Len()
-	r.Skip(n)
+	_ = r.Skip(n) // n bytes are there
 	p.discarded += n
-	if p.discarded <= most || p.flooded {
+	if p.discarded <= limit || p.flooded {
 		return false
 	}
 	p.flooded = true
 	return true
 }
 
-// seal ends the reading of requests, unless one is on its way: handed over and not begun, begun to be read, or
-// in a buffer of this process or of the system. With force only what was read whole counts.
+// seal ends the reading of requests, unless one is on its way: handed over and not begun, begun to be read, or in a
+// buffer of this process or of the system. With force only complete requests count. Guards against a close that crosses a
+// request: the client could not tell whether it ran.
 func (p *peer) seal(force bool) bool {
 	p.intake.Lock()
 	defer p.intake.Unlock()
@@ -159,17 +158,17 @@
 	return n > 0 || err == syscall.EINTR
 }
 
-// shutDownWrite ends the sending side: the client reads the end of the stream after the last answer. A close in
-// its place would reset the connection where bytes are unread, and could take that answer with it.
+// shutDownWrite ends the sending side: the client reads the end of the stream after the last response. Guards against a
+// reset: a close with bytes unread would send one, and it could take that response with it.
 func (p *peer) shutDownWrite() {
 	p.intake.Lock()
 	defer p.intake.Unlock()
 	if !p.closed {
-		syscall.Shutdown(p.fd, syscall.SHUT_WR)
+		_ = syscall.Shutdown(p.fd, syscall.SHUT_WR) // an error says that it is shut down already
 	}
 }
 
-// release ends what the peer holds as its descriptor is about to be closed.
+// release gives back what the peer holds, as its descriptor is about to be closed.
 func (p *peer) release() {
 	p.intake.Lock()
 	defer p.intake.Unlock()
--- a/internal/node/server/discovery_link.go
+++ b/internal/node/server/discovery_link.go
@@ -1,7 +1,3 @@
-// Control: the reports that keep this server on the list that sidecars follow. It owns the link to the
-// control plane and says there what the module says of health; that the control plane is away must never
-// show anywhere else. A report that is not answered may count all the same, and must never hold up another.
-
 package server
 
 import (
@@ -11,6 +7,9 @@
 	"umberwinch/internal/node/wire"
 )
 
+// discoveryLink is the link to service discovery, by whose list clients find this server. It owns the reports of what the
+// controller and the fleet agent say of readiness; that service discovery is away shows nowhere else. A report without an
+// answer may count all the same, and never holds up another. It ends with the process.
 type discoveryLink struct {
 	link
 	name              string
@@ -20,13 +19,13 @@
 	reportPending     bool           // a report is to go out as soon as the link is up
 }
 
-// report sends the state now, or as soon as the link is up.
+// sendReport sends the state now, or as soon as the link is up.
 func (l *loop) sendReport() {
 	c := &l.discovery
 	c.reportPending = true
 	if c.reportOutstanding {
-		// On a link of its own, so that a late answer can't pass for this one's. It is dialled at once: this
-		// happens no more often than reports are due and health changes.
+		// Guards against a late answer that passes for this report's: the next report goes out on a link of its own.
+		// It is dialled at once: this happens no more often than reports are due and readiness changes.
 		l.closeLink(&c.link, nil)
 		return
 	}
@@ -43,13 +42,13 @@
 	l.counters.Reports++
 }
 
-// nextReport is when the next report is due. An eighth of the time between two is left to chance: servers that were started
-// together would report together for good.
+// nextReport is when the next report is due. An eighth of the time between two is left to chance: servers that were
+// started together would report together for good.
 func (l *loop) nextReport() admission.Time {
 	return l.now + l.limits.ReportInterval - admission.Time(rand.Int64N(int64(l.limits.ReportInterval/8)))
 }
 
-// reported takes the answer to a report.
+// reportAnswered takes the answer to a report.
 func (l *loop) reportAnswered(p wire.ResponseHead) {
 	c := &l.discovery
 	if !c.reportOutstanding {
@@ -65,13 +64,15 @@
 	}
 }
 
-func (l *loop) controlUp() {
+// discoveryUp sends the report that waited for the link.
+func (l *loop) discoveryUp() {
 	if l.discovery.reportPending {
 		l.sendReport()
 	}
 }
 
-func (l *loop) controlDown() {
+// discoveryDown takes the end of the link: a report that was out is to go out again.
+func (l *loop) discoveryDown() {
 	if c := &l.discovery; c.reportOutstanding {
 		l.counters.ReportsLost++
 		c.reportOutstanding, c.reportPending = false, true
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -1,22 +1,31 @@
-// Drain: from the notice to the end of the process. Health checks and discovery are told, what was read is answered, the
-// listener takes what the system has accepted and closes, and connections end in order.
-
 package server
 
-import (
-	"umberwinch/admission"
-)
+import "umberwinch/admission"
 
-// drain is where the drain of this process stands.
+// drainState is where the drain of this process stands: from the notice to its end. Health checks and service discovery say
+// that the node is not ready, what was read is answered, the listener takes what the system has accepted and closes, and
+// connections end in order. It never closes a connection with a request unanswered; while there is one only the kill ends
+// the process.
 type drainState struct {
 	draining     bool
 	stopAfter    admission.Time // the kill comes so long after the notice
-	answerBy     admission.Time // by then all has to be answered
+	answerBy     admission.Time // all has to be answered by then
 	killMargin   admission.Time // the kill comes so long after that
 	drainSince   admission.Time // when the notice came
 	closingSince admission.Time // since when idle connections are ended; 0: not yet
 }
 
+const (
+	// minServing is how long the listener stays open after the notice at least: service discovery takes that long to have
+	// clients learn of it.
+	minServing = 2 * admission.Second
+	// lastAnswers is how long before answerBy connections are closed whatever else is on them: the controller's last
+	// decisions come after.
+	lastAnswers = admission.Second / 20
+	// drainInterval is the time between two looks at whether the drain is over.
+	drainInterval = admission.Second / 100
+)
+
 // startDrain takes the notice to leave.
 func (l *loop) startDrain() {
 	if l.draining {
@@ -30,25 +39,25 @@
 	l.results.drain()
 }
 
-// leave sees whether nobody sends here any more, or the kill is near: then the listener takes what is complete
-// and closes, idle connections are closed, what crosses that is still answered, and the loop ends. The listener
-// stays open until then, as sidecars learn late that this server leaves.
+// drainTick sees whether nobody sends here any more, or the kill is near: then the listener takes what is complete and
+// closes, idle connections are closed, what crosses that is still answered, and the loop ends. The listener stays open
+// until then, as clients learn late that this server leaves.
 func (l *loop) drainTick() {
-	most := l.answerBy - admission.Second/20 // the module's last answers come after
-	quiet := l.now-max(l.lastRequest, l.drainSince) >= l.limits.DrainQuiet && l.now-l.drainSince >= 2*admission.Second
-	if l.closingSince == 0 && (l.now >= most-l.limits.CrossingGrace || quiet && l.connectionsOwed() == 0) {
+	closeBy := l.answerBy - lastAnswers
+	quiet := l.now-max(l.lastRequest, l.drainSince) >= l.limits.DrainQuiet && l.now-l.drainSince >= minServing
+	if l.closingSince == 0 && (l.now >= closeBy-l.limits.CrossingGrace || quiet && l.connectionsOwed() == 0) {
 		l.closingSince = l.now
 		if l.listener != nil {
 			l.listener.stop()
 		}
 	}
 	if l.closingSince != 0 {
-		l.closeAllIdle(l.now >= most)
+		l.closeAllIdle(l.now >= closeBy)
 	}
-	l.timers.set(l.now+admission.Second/100, timerDrain, 0)
+	l.timers.set(l.now+drainInterval, timerDrain, 0)
 }
 
-// closeAllIdle closes connections on which nothing is owed. A new one may be about to bring its first request.
+// closeAllIdle closes connections with no request unanswered. A new one may be about to bring its first.
 func (l *loop) closeAllIdle(force bool) {
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
 		c := l.connections.get(h)
@@ -58,7 +67,7 @@
 	}
 }
 
-// owed counts the connections on which an answer is owed.
+// connectionsOwed counts the connections with a request unanswered.
 func (l *loop) connectionsOwed() (n int) {
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
 		if l.connections.get(h).owesAnswer() {
@@ -79,10 +88,10 @@
 	return false
 }
 
-// finished says whether all is said and sent.
+// finished tells whether all is answered and sent, so that the process can end.
 func (l *loop) finished() bool {
 	if !l.draining || l.closingSince == 0 || l.connectionsOwed() > 0 || l.busy.Load() > 0 {
-		return false // while anything is owed it's the kill that ends it
+		return false
 	}
 	if l.now >= l.answerBy+l.killMargin/2 {
 		return true
--- a/internal/node/server/events.go
+++ b/internal/node/server/events.go
@@ -6,11 +6,12 @@
 	"umberwinch/internal/node/wire"
 )
 
-// event is one thing that a callback, a timer's goroutine or a disk hands over to the loop: one of the types of this file.
+// event is one thing that a callback or another goroutine hands over to the loop: one of the types of this file.
 // Those that come with each message lie in the buffer of their message, so that handing one over allocates nothing.
 type event interface{ isEvent() }
 
-// clientMessage is an event about what a client sent: a request, or what is none. Those of one connection wait in order.
+// clientMessage is an event about what a client sent: a request, or what is none. Those of one connection wait in
+// order.
 type clientMessage interface {
 	event
 	sender() *peer
@@ -32,12 +33,13 @@
 		buffer  *buffer // in which the request's slices lie
 		request wire.Request
 	}
-	// requestUnreadable says that what came is no request, or could not be taken in. Nothing more is read on the connection.
+	// requestUnreadable says that what came is no request, or could not be taken in. Nothing more is read on the
+	// connection.
 	requestUnreadable struct {
 		peer *peer
 		err  error
 	}
-	// listenerClosed says that nothing more is accepted; each connection accepted before was told of by connectionOpened.
+	// listenerClosed says that nothing more is accepted; each connection accepted before came with connectionOpened.
 	listenerClosed struct{}
 )
 
@@ -54,7 +56,7 @@
 		dialed *dialed
 		err    error
 	}
-	// kernelEventRead is a line of the kernel.
+	// kernelEventRead is an event of the kernel.
 	kernelEventRead struct {
 		dialed *dialed
 		buffer *buffer // in which the event's slices lie
@@ -87,8 +89,8 @@
 	}
 )
 
-// callback is what the loop is to do now that a part of the server is done with its disk or network: see fleetHost and
-// resultHost.
+// callback is what the loop is to do now that the fleet agent or the result keeper is done with its network or disk: see
+// fleetHost and resultHost.
 type callback struct{ then func() }
 
 func (connectionOpened) isEvent()   {}
--- a/internal/node/server/handle_table.go
+++ b/internal/node/server/handle_table.go
@@ -1,12 +1,9 @@
-// Numbered slots: connections, reqs and keys live in tables whose slots are used again. A handle names a slot
-// and the generation it was taken in, so that late news of what had the slot before finds nothing. A table
-// belongs to the loop alone; it must never be ranged over to decide anything but in slot order.
-
 package server
 
 // handle is a slot's number with its generation above; 0 names nothing.
 type handle uint32
 
+// slotBits is how many bits of a handle are the slot's number, which bounds each table.
 const (
 	slotBits = 14
 	maxSlots = 1 << slotBits
@@ -14,13 +11,16 @@
 
 func (h handle) slot() int { return int(h & (maxSlots - 1)) }
 
+// slot is one place of a table.
 type slot[T any] struct {
 	generation uint32
 	used       bool
 	value      T
 }
 
-// table is a set of numbered slots.
+// table is a set of numbered slots that are used again: for connections, requests and keys. A handle names a slot and the
+// generation it was taken in, so that a late event of what had the slot before finds nothing. A table belongs to the loop
+// alone; it is only ranged over in slot order, so that what the loop does is the same for the same events.
 type table[T any] struct {
 	slots    []slot[T]
 	free     []int
@@ -28,7 +28,7 @@
 	capacity int
 }
 
-func newTable[T any](most int) table[T] { return table[T]{capacity: min(most, maxSlots)} }
+func newTable[T any](capacity int) table[T] { return table[T]{capacity: min(capacity, maxSlots)} }
 
 // take gives an empty slot; ok is false while all are in use.
 func (t *table[T]) take() (h handle, v *T, ok bool) {
@@ -61,6 +61,7 @@
 	return &t.slots[i].value
 }
 
+// drop frees a slot; a handle that names none is passed over.
 func (t *table[T]) drop(h handle) {
 	if t.get(h) == nil {
 		return
--- a/internal/node/server/http_front_end.go
+++ b/internal/node/server/http_front_end.go
@@ -11,7 +11,7 @@
 // answers health checks and what is no request. Each request read gets exactly one response, and no response goes out
 // before those to what came earlier on its connection.
 
-// messageReceived takes a message of a connection, or that what came is none. One is served at a time.
+// messageReceived takes a message of a connection, or that what came is none. It waits while another is served.
 func (l *loop) messageReceived(m clientMessage) {
 	c := l.connections.get(m.sender().handle)
 	if c == nil || c.closing {
@@ -44,7 +44,7 @@
 	handlerPrefix = "/rpc/"
 )
 
-// serveRequest answers a health check, and brings any other request before the module or answers it here.
+// serveRequest answers a health check or what is no request, and has the controller hear of any other.
 func (l *loop) serveRequest(c *connection, h handle, m *requestRead) {
 	a := wire.Response{Close: m.request.Close}
 	switch method, path := string(m.request.Method), string(m.request.Path); {
@@ -76,9 +76,9 @@
 	a.Body = l.results.healthBody()
 }
 
-// refusal answers what could not be read.
+// unreadableResponse answers what could not be read. A lack of buffers is no fault of the client.
 func (l *loop) unreadableResponse(err error) wire.Response {
-	if errors.Is(err, errNoBuffer) { // its sender has done nothing wrong
+	if errors.Is(err, errNoBuffer) {
 		l.counters.Shed++
 		a := wire.Response{Status: wire.StatusServiceUnavailable, Close: true}
 		l.addRetryAfter(&a)
@@ -87,7 +87,7 @@
 	return wire.Response{Status: l.badRequest("%v", err), Close: true}
 }
 
-// addRetryAfter gives a refusal that the module was not asked about a time to come back, where the settings allow
+// addRetryAfter gives a rejection that the controller was not asked about a time to retry after, where the settings allow
 // one.
 func (l *loop) addRetryAfter(a *wire.Response) {
 	if a.Status == wire.StatusServiceUnavailable && a.RetryAfterMS == 0 {
@@ -95,8 +95,8 @@
 	}
 }
 
-// reply sends an answer on a connection and goes on to what else it has brought. What was read before a
-// connection is to be closed is still answered on it: only the last answer says that it closes.
+// sendResponse sends a response and goes on to what else the connection has brought. What was read before a connection is
+// to be closed is still answered on it: only the last response says that it closes.
 func (l *loop) sendResponse(c *connection, h handle, a wire.Response) {
 	c.current, c.lastActive = 0, l.now
 	c.ending = c.ending || a.Close || l.draining
@@ -104,7 +104,7 @@
 	a.OverloadSignal, a.HasOverloadSignal = l.overloadSignal, l.hasOverloadSignal
 	l.scratch = wire.AppendResponse(l.scratch[:0], a)
 	if !c.peer.send(l.scratch, l.limits.ConnectionQueue) {
-		l.abort(c) // it takes nothing: given up
+		l.abort(c) // its client takes nothing
 		return
 	}
 	if a.Close {
--- a/internal/node/server/idempotency_table.go
+++ b/internal/node/server/idempotency_table.go
@@ -1,55 +1,56 @@
-// Keys: which req a later one with the same key repeats, and the results that repeats are answered with. An
-// entry is made and renewed only by the module's Remember and ended by its Forget or its time; a result may
-// be let go of early, when kept results come to more than their share of memory, but the key of a req that
-// ran never is: a repeat is then answered with an error, as it must not run.
-
 package server
 
 import "umberwinch/admission"
 
+// entryState is where the run stands that decides a key's result.
 type entryState uint8
 
 const (
-	entryQueued entryState = iota // not run yet
+	entryQueued entryState = iota // it has not begun
 	entryRunning
 	entryDone
 	entryFailed
 )
 
-// entry is what is known of one key.
+// idempotencyEntry is what is known of one key.
 type idempotencyEntry struct {
 	key       string
-	holder    uint32 // the req that repeats are told they repeat
-	run       uint32 // the req whose run decides
+	holder    uint32 // the request that repeats are said to repeat
+	run       uint32 // the request whose run decides
 	until     admission.Time
 	state     entryState
 	result    []byte
-	hasResult bool     // the result is still there
-	waiters   []handle // reqs that take the result once it is there
+	hasResult bool     // the result is still kept
+	waiters   []handle // requests that take the result once it is there
 }
 
-// keys is the table of them.
+// idempotencyTable says which request a later one with the same key repeats, and has the results that repeats are answered
+// with. An entry is made and renewed by the controller's Remember alone, and ended by its Forget or its time. A result may be
+// dropped early, when results come to more than their share of memory, but the key of a request that ran never is: a
+// repeat then gets an error, as it must not run.
 type idempotencyTable struct {
 	entries     table[idempotencyEntry]
 	byKey       map[string]handle
-	resultOrder []handle // with results, the oldest first
+	resultOrder []handle // entries with results, the oldest first
 	bytes       int
 	maxBytes    int
-	maxLateness admission.Time // a repeat may be read so long after it came
+	maxLateness admission.Time // a repeat may be read so long after it reached the machine
 }
 
 func newIdempotencyTable(entries, bytes int, late admission.Time) idempotencyTable {
-	return idempotencyTable{entries: newTable[idempotencyEntry](entries), byKey: map[string]handle{}, maxBytes: bytes, maxLateness: late}
+	return idempotencyTable{entries: newTable[idempotencyEntry](entries), byKey: map[string]handle{}, maxBytes: bytes,
+		maxLateness: late}
 }
 
-// prior is the req that one with this key repeats if it came at that time; 0: none.
-func (k *idempotencyTable) previous(key string, came admission.Time) uint32 {
-	if e := k.find(key); e != nil && came < e.until {
+// previous is the request that one with this key repeats, if it arrived at that time; 0: none.
+func (k *idempotencyTable) previous(key string, arrival admission.Time) uint32 {
+	if e := k.find(key); e != nil && arrival < e.until {
 		return e.holder
 	}
 	return 0
 }
 
+// find gives the entry of a key; nil if there is none.
 func (k *idempotencyTable) find(key string) *idempotencyEntry {
 	if key == "" {
 		return nil
@@ -57,29 +58,29 @@
 	return k.entries.get(k.byKey[key])
 }
 
-// full says whether a round of further keys could not be taken in.
+// full tells whether the table might not hold the keys of one further round.
 func (k *idempotencyTable) full(round int) bool { return k.entries.used+round > k.entries.capacity }
 
-// remember makes or renews the entry of a key, which passes to the req named.
-func (k *idempotencyTable) remember(key string, id uint32, until admission.Time, due *timers) {
+// remember makes or renews the entry of a key, which passes to the request named.
+func (k *idempotencyTable) remember(key string, id uint32, until admission.Time, timers *timers) {
 	e := k.find(key)
 	if e == nil {
 		h, v, ok := k.entries.take()
 		if !ok {
-			return // the door keeps this from happening to what must not run twice
+			return // a read: checkRequest rejects what must not run twice while the table is full
 		}
 		k.byKey[key], e = h, v
 		e.key = key
-		due.set(until+k.maxLateness, timerIdempotencyKey, h)
+		timers.set(until+k.maxLateness, timerIdempotencyKey, h)
 	}
 	if e.holder != id && e.state >= entryDone {
-		e.state = entryQueued // a read whose answer is of no more use is run anew
+		e.state = entryQueued // a read whose result may no longer be used is run anew
 		k.dropResult(e)
 	}
 	e.holder, e.until = id, until
 }
 
-// forget ends the entry that a req holds.
+// forget ends the entry that a request holds, and gives those that wait for its result.
 func (k *idempotencyTable) forget(key string, id uint32) (wait []handle) {
 	e := k.find(key)
 	if e == nil || e.holder != id {
@@ -88,6 +89,7 @@
 	return k.drop(e)
 }
 
+// drop ends an entry.
 func (k *idempotencyTable) drop(e *idempotencyEntry) (wait []handle) {
 	wait = e.waiters
 	k.dropResult(e)
@@ -97,30 +99,30 @@
 	return wait
 }
 
-// expire ends an entry whose time has come, or files it again.
-func (k *idempotencyTable) expire(h handle, now admission.Time, due *timers) (wait []handle) {
+// expire ends an entry whose time is over, or sets its timer again.
+func (k *idempotencyTable) expire(h handle, now admission.Time, timers *timers) (wait []handle) {
 	e := k.entries.get(h)
 	switch {
 	case e == nil:
 		return nil
 	case now < e.until+k.maxLateness:
-		due.set(e.until+k.maxLateness, timerIdempotencyKey, h)
+		timers.set(e.until+k.maxLateness, timerIdempotencyKey, h)
 		return nil
 	case len(e.waiters) > 0 || e.state == entryRunning:
-		due.set(now+admission.Second, timerIdempotencyKey, h)
+		timers.set(now+admission.Second, timerIdempotencyKey, h)
 		return nil
 	}
 	return k.drop(e)
 }
 
-// runs notes that the run of a req now decides what its key's result is.
+// runStarted notes that the run of a request now decides what its key's result is.
 func (k *idempotencyTable) runStarted(key string, id uint32) {
 	if e := k.find(key); e != nil && e.holder == id {
 		e.run, e.state = id, entryRunning
 	}
 }
 
-// ended notes the end of that run and gives those that wait for it.
+// runEnded notes the end of that run and gives those that wait for it.
 func (k *idempotencyTable) runEnded(key string, id uint32, ok bool, result []byte) (wait []handle) {
 	e := k.find(key)
 	if e == nil || e.run != id || e.state != entryRunning {
@@ -133,17 +135,25 @@
 		k.bytes += len(result)
 		k.resultOrder = append(k.resultOrder, k.byKey[key])
 	}
-	for k.bytes > k.maxBytes || len(k.resultOrder) > 4*k.entries.capacity {
+	k.dropOldResults()
+	return wait
+}
+
+// maxStaleResults bounds resultOrder, in entries of the table: what was dropped out of turn stays in it.
+const maxStaleResults = 4
+
+// dropOldResults drops the oldest results while they take more than their share of memory.
+func (k *idempotencyTable) dropOldResults() {
+	for k.bytes > k.maxBytes || len(k.resultOrder) > maxStaleResults*k.entries.capacity {
 		old := k.entries.get(k.resultOrder[0])
 		k.resultOrder = k.resultOrder[1:]
 		if old != nil {
 			k.dropResult(old)
 		}
 	}
-	return wait
 }
 
-// dropResult ends the keeping of a result.
+// dropResult drops the result of an entry, which stays.
 func (k *idempotencyTable) dropResult(e *idempotencyEntry) {
 	if e.hasResult {
 		k.bytes -= len(e.result)
--- a/internal/node/server/intake.go
+++ b/internal/node/server/intake.go
@@ -11,17 +11,18 @@
 	errTooLong  = errors.New("message is longer than a buffer")
 )
 
-// intake gathers what a connection brings until a message is whole. It belongs to the connection's callback,
-// which netpoll never runs twice at once.
+// intake gathers what a connection brings until a message is complete. It belongs to the connection's callback, which
+// netpoll never runs twice at once, and ends with drop.
 type intake struct {
 	pool *bufferPool
 	buf  *buffer
 }
 
-// parser reads the message at the start of b into the event that b holds for it; n is 0 while the message is incomplete.
+// parser reads the message at the start of b into the event that b holds for it; n is 0 while the message is
+// incomplete.
 type parser func(b *buffer) (e event, n int, err error)
 
-// read takes all that has come. Each whole message goes to put together with the buffer it lies in.
+// read takes all that has come. Each complete message goes to put together with the buffer it lies in.
 func (in *intake) read(r netpoll.Reader, parse parser, put func(event)) error {
 	for r.Len() > 0 {
 		if in.buf == nil {
@@ -48,6 +49,7 @@
 	return nil
 }
 
+// parse hands over each message that is complete, and keeps what is left in a buffer of its own.
 func (in *intake) parse(parse parser, put func(event)) error {
 	for in.buf != nil {
 		e, n, err := parse(in.buf)
@@ -68,6 +70,7 @@
 	return nil
 }
 
+// drop gives up what is incomplete.
 func (in *intake) drop() {
 	in.pool.put(in.buf)
 	in.buf = nil
--- a/internal/node/server/kernel_link.go
+++ b/internal/node/server/kernel_link.go
@@ -1,9 +1,3 @@
-// Kernel: the link to the process that does the work. It owns the order of commands and notices: each notice
-// is handled once and in its order, and a command that may have been lost with a link is sent again, but only
-// after what the kernel told meanwhile was learned, and never for a run that had ended. Every command and
-// every asking for gauges takes the next number; an answered asking proves that all before it on the same
-// link were read.
-
 package server
 
 import (
@@ -13,45 +7,52 @@
 	"umberwinch/internal/node/wire"
 )
 
-type stand uint8
+// kernelState is how far the link to the kernel has come.
+type kernelState uint8
 
 const (
-	kernelOff stand = iota
+	kernelOff kernelState = iota
 	kernelOpened
-	kernelReplays // BOOTED came, what was missed is being told
+	kernelReplays // the kernel is up, and sends the events that were missed
 	kernelLive
 )
 
 // unsent is the number of a command that no link has taken yet.
 const unsent = ^uint64(0)
 
+// kernelLink is the link to the process that carries out runs. It owns the order of commands and events: each event is
+// handled once and in its order, and a command that may have been lost with a link is sent again, but only after what the
+// kernel said meanwhile is known, and never for a run that ended. Every command and every request for gauges takes the
+// next number; answered gauges prove that all before them on the same link were read. It ends with the process.
 type kernelLink struct {
 	link
-	state         stand
-	lastSequence  uint64 // the last notice handled
+	state         kernelState
+	lastSequence  uint64 // of the last event handled
 	sent          uint64 // number of the last command
 	acked         uint64 // commands to this one are known to have been read
 	proof         uint64 // so are these, but a break may still take with it what was on its way
 	proofAt       admission.Time
-	gaugesRequest uint64 // number of the asking for gauges that a wake-up waits for
+	gaugesRequest uint64 // number of the request for gauges that a wake-up waits for
 	gaugesBy      admission.Time
-	replayRequest uint64 // number of the asking that ends the replay
-	noEventYet    bool   // no notice came over this link yet
+	replayRequest uint64 // number of the request whose answer ends the replay
+	noEventYet    bool   // over this link
 }
 
+// kernelUp begins on a link that was opened.
 func (l *loop) kernelUp() {
 	k := &l.kernel
 	k.state, k.noEventYet = kernelOpened, true
 	k.dialed.writer.send(wire.AppendKernelOpen(l.scratch[:0], k.lastSequence), l.limits.LinkQueue)
 }
 
+// kernelDown takes the end of the link: nobody answers with gauges.
 func (l *loop) kernelDown() {
 	k := &l.kernel
 	k.state, k.gaugesRequest = kernelOff, 0
 	l.wakeWithoutGauges()
 }
 
-// tell sends a command that stands in l.scratch, and gives its number.
+// sendToKernel sends the command that stands in l.scratch, and gives its number.
 func (l *loop) sendToKernel() uint64 {
 	k := &l.kernel
 	if k.state != kernelLive {
@@ -101,7 +102,7 @@
 	r.callResultCommand = l.sendToKernel()
 }
 
-// ask asks for the gauges that the module's wake-up comes with.
+// requestGauges asks for the gauges that the controller's wake-up comes with.
 func (l *loop) requestGauges() {
 	k := &l.kernel
 	if k.state != kernelLive {
@@ -124,7 +125,7 @@
 	}
 }
 
-// ungauged lets a wake-up that is due come without gauges.
+// wakeWithoutGauges lets a wake-up that is due come without gauges.
 func (l *loop) wakeWithoutGauges() {
 	if l.wakePending {
 		l.wakePending = false
@@ -133,7 +134,7 @@
 	}
 }
 
-// noticed takes one line of the kernel.
+// kernelEvent takes one event of the kernel.
 func (l *loop) kernelEvent(n *wire.KernelEvent) {
 	k := &l.kernel
 	switch string(n.Kind) {
@@ -147,8 +148,8 @@
 		l.counters.Refused++
 		l.logf("kernel did not carry out %q for %q", n.Outcome, n.RunID)
 		if h, r := l.findRequest(n.RunID); r != nil && string(n.Outcome) == wire.KernelRun && r.isRunning() {
-			// It never ran and never will, as it is no req that the kernel knows of: nobody else can answer it,
-			// and whoever sent it is not listened to any more.
+			// It never ran and never will, as the kernel knows of no such request: nobody else can answer it, and its
+			// client's connection is used no more.
 			r.closeAfter = true
 			l.runEnded(h, r, admission.NotExecuted, 0, nil)
 		}
@@ -194,7 +195,7 @@
 	}
 }
 
-// booted takes the start of the kernel, which is also the server's own as far as the module goes.
+// kernelBooted takes the start of the kernel. The first has the controller begin, whose times count from there.
 func (l *loop) kernelBooted(n *wire.KernelEvent) {
 	k := &l.kernel
 	if k.state != kernelOpened {
@@ -221,7 +222,7 @@
 	l.timers.set(l.now+l.limits.ReplayTimeout, timerReplay, handle(k.replayRequest))
 }
 
-// info takes gauges; the first on a link says that all that was missed has been told.
+// gaugesReceived takes gauges; the first on a link say that all events that were missed have come.
 func (l *loop) gaugesReceived(n *wire.KernelEvent) {
 	k := &l.kernel
 	no, err := strconv.ParseUint(string(n.Nonce), 10, 64)
@@ -246,15 +247,15 @@
 	}
 }
 
-// unreplayed opens the link anew where the end of the replay is not told: to send again before all is learned
-// could run twice what has ended meanwhile.
-func (l *loop) replayTimedOut(asked handle) {
-	if k := &l.kernel; k.state == kernelReplays && handle(k.replayRequest) == asked {
+// replayTimedOut opens the link anew where the end of the replay does not come. Guards against a run that is started
+// twice: to send commands again before all events are known could start what has ended meanwhile.
+func (l *loop) replayTimedOut(request handle) {
+	if k := &l.kernel; k.state == kernelReplays && handle(k.replayRequest) == request {
 		l.closeLink(&k.link, errNoAnswer)
 	}
 }
 
-// replayed makes a link live: what may have been lost with the last one goes out again.
+// replayComplete makes a link live: what may have been lost with the last one goes out again.
 func (l *loop) replayComplete() {
 	k := &l.kernel
 	if k.state != kernelReplays {
@@ -266,27 +267,33 @@
 		if !r.isRunning() {
 			continue
 		}
-		sched, goes, halt := r.runCommand > k.acked, r.callResultCommand > k.acked, r.stopCommand > k.acked
-		if sched {
-			if r.resumed {
-				l.sendResume(r)
-			} else {
-				l.sendRun(r)
-			}
-			l.counters.Resent++
-		}
-		if goes && r.callResult != noCallResult {
-			l.sendCallResult(r)
-			l.counters.Resent++
-		}
-		if halt {
-			l.sendStop(r)
-			l.counters.Resent++
+		l.resendCommands(r)
+	}
+}
+
+// resendCommands sends those commands of a run again that are not known to have been read, in their first order.
+func (l *loop) resendCommands(r *request) {
+	acked := l.kernel.acked
+	runLost, resultLost, stopLost := r.runCommand > acked, r.callResultCommand > acked, r.stopCommand > acked
+	if runLost {
+		if r.resumed {
+			l.sendResume(r)
+		} else {
+			l.sendRun(r)
 		}
+		l.counters.Resent++
+	}
+	if resultLost && r.callResult != noCallResult {
+		l.sendCallResult(r)
+		l.counters.Resent++
+	}
+	if stopLost {
+		l.sendStop(r)
+		l.counters.Resent++
 	}
 }
 
-// kernelParser reads lines of the kernel.
+// kernelParser reads events of the kernel.
 func kernelParser(bounds wire.Bounds) linkParser {
 	return func(from *dialed, b *buffer) (event, int, error) {
 		line, n, err := wire.NextLine(b.bytes(), bounds.HeadBytes)
--- a/internal/node/server/lifecycle.go
+++ b/internal/node/server/lifecycle.go
@@ -70,12 +70,14 @@
 	}
 	runTransitions = [runStates][runStates]bool{
 		runNotStarted: {runRunning: true},
-		runRunning:    {runRunning: true, runPausing: true, runFinished: true}, // to itself: resumed anew over another link
-		runPausing:    {runRunning: true, runPausing: true, runStopped: true},
-		runStopped:    {runRunning: true},
+		// To itself: resumed anew over another link.
+		runRunning: {runRunning: true, runPausing: true, runFinished: true},
+		runPausing: {runRunning: true, runPausing: true, runStopped: true},
+		runStopped: {runRunning: true},
 	}
 	callTransitions = [callStates][callStates]bool{
-		callNone:   {callNone: true, callQueued: true}, // to itself: the end of a call that there is none of
+		// To itself: a call is given up that there is none of.
+		callNone:   {callNone: true, callQueued: true},
 		callQueued: {callNone: true, callSent: true},
 		callSent:   {callNone: true},
 	}
@@ -86,7 +88,9 @@
 )
 
 // onWrongTransition hears of each change of state that is not allowed. In service nothing is done about it.
-var onWrongTransition = func(machine string, from, to uint8) {}
+var onWrongTransition = func(_ string, _, _ uint8) {}
+
+// The setters carry a change out and report one that is not allowed.
 
 func (s *lifecycle) setResponse(to responseState) {
 	if !responseTransitions[s.response][to] {
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -1,8 +1,3 @@
-// Links: the connections that the program opens itself, to kernel, store and control plane. This owns how one
-// is dialled, which dial a piece of news is about, and how long after a failure the next dial waits. What
-// comes belongs to the line that brought it, and a line that is no longer its owner's is not listened to. It
-// must never look at what goes over a line.
-
 package server
 
 import (
@@ -16,25 +11,32 @@
 	"umberwinch/admission"
 )
 
+// Links are the connections that the server opens itself, to kernel, store and service discovery. This owns how one is
+// dialled, which dial an event is of, and how long after a failure the next dial waits. An event belongs to the dial that
+// brought it, and a dial that was replaced is not listened to. It never looks at what goes over a link. A link is dialled
+// again for as long as the process serves.
+
+// Why a link is closed.
 var (
 	errNoAnswer = errors.New("no answer in time")
 	errStuck    = errors.New("the other side takes nothing")
 	errClosed   = errors.New("closed by the other side")
-	errGap      = errors.New("a notice is missing")
+	errGap      = errors.New("a notice is missing") // the kernel's next event is not the one after the last
 )
 
+// Other sides of links.
 const (
 	peerKernel = iota
 	peerStore
 	peerDiscovery
 )
 
-// line is one dial and the connection that came of it.
+// dialed is one dial and the connection that came of it.
 type dialed struct {
 	peer      int
 	storeConn handle  // the store's, where it is one of those
 	writer    *writer // nil until it is open
-	err       error   // it ended, maybe before the loop had heard that it began
+	err       error   // it ended, maybe before the loop has handled its linkDialed
 	parser    linkParser
 }
 
@@ -44,14 +46,14 @@
 	notBefore admission.Time // not before then
 }
 
-// failed doubles the wait. Half of it is left to chance, so that servers which lost the same peer at the same
-// moment do not come back to it together.
+// failed doubles the wait, within MinBackoff and MaxBackoff. Half of it is left to chance, so that servers which lost the
+// same peer at the same moment don't come back to it together.
 func (b *backoff) failed(l *loop) {
 	b.delay = min(max(2*b.delay, l.limits.MinBackoff), l.limits.MaxBackoff)
 	b.notBefore = l.now + b.delay/2 + admission.Time(rand.Int64N(int64(b.delay/2)+1))
 }
 
-// linkParser is a parser of what came over a dial.
+// linkParser reads the first message of what came over a dial; n is 0 while it is incomplete.
 type linkParser func(from *dialed, b *buffer) (e event, n int, err error)
 
 // dialer opens a connection; a seam for tests.
@@ -61,14 +63,14 @@
 	return netpoll.NewDialer().DialConnection("tcp", address, within)
 }
 
-// link is the one line to kernel or control plane, replaced when it ends.
+// link is the one connection to kernel or service discovery, replaced when it ends.
 type link struct {
 	backoff
 	peer     int
 	name     string
 	addr     string
 	dialed   *dialed        // open, or being dialled; nil while down
-	armedFor admission.Time // the last time for which a deadline was set
+	armedFor admission.Time // the last time for which a timer was set
 	retry    timerKind
 	parser   linkParser
 }
@@ -81,7 +83,7 @@
 		return
 	}
 	if l.now < k.notBefore {
-		// Guards against a deadline more for every report that finds the link down: one is enough.
+		// Guards against a timer more for each report that finds the link down: one is enough.
 		if k.armedFor != k.notBefore {
 			k.armedFor = k.notBefore
 			l.timers.set(k.notBefore, k.retry, 0)
@@ -92,7 +94,7 @@
 	l.open(k.dialed, k.addr)
 }
 
-// open dials in a goroutine of its own, which ends with the dial; what comes of it and over it is handed over under its name.
+// open dials in a goroutine of its own, which ends with the dial; each event of the connection names the dial.
 func (l *loop) open(n *dialed, addr string) {
 	go func() {
 		c, err := l.dialTo(addr, l.limits.DialTimeout)
@@ -113,16 +115,17 @@
 			err := in.read(c.Reader(), parse, l.post)
 			if err != nil {
 				l.post(&linkClosed{dialed: n, err: err})
-				c.Close()
+				_ = c.Close() // it can't be read: its end is all that counts
 			}
 			return err
 		})
 		if !c.IsActive() {
-			c.Close() // it ended before anybody listened for that
+			_ = c.Close() // it ended before its close callback was set, which runs now
 		}
 	}()
 }
 
+// linkOf gives the link to kernel or service discovery.
 func (l *loop) linkOf(which int) *link {
 	if which == peerKernel {
 		return &l.kernel.link
@@ -153,7 +156,7 @@
 		return
 	}
 	if e.conn != nil {
-		e.conn.Close()
+		_ = e.conn.Close() // nothing was sent on it
 	}
 	if current {
 		l.linkLost(n, err)
@@ -171,6 +174,7 @@
 	}
 }
 
+// linkOpened tells whoever uses a link that it is up.
 func (l *loop) linkOpened(n *dialed) {
 	switch n.peer {
 	case peerKernel:
@@ -181,10 +185,11 @@
 		l.storeConnected(n.storeConn, l.store.connections.get(n.storeConn))
 	case peerDiscovery:
 		l.counters.ControlLinks++
-		l.controlUp()
+		l.discoveryUp()
 	}
 }
 
+// linkLost tells whoever uses a link that it is down.
 func (l *loop) linkLost(n *dialed, err error) {
 	if n.peer == peerStore {
 		l.storeConnectionLost(n.storeConn, l.store.connections.get(n.storeConn), err)
@@ -201,7 +206,7 @@
 	if k.dialed.writer != nil {
 		k.dialed.writer.close()
 	}
-	k.dialed = nil // whatever is still to come of it is late news
+	k.dialed = nil // events of it that are still to come are passed over
 	if err == nil {
 		k.backoff = backoff{} // closed in good order
 	} else {
@@ -211,7 +216,7 @@
 	if k.peer == peerKernel {
 		l.kernelDown()
 	} else {
-		l.controlDown()
+		l.discoveryDown()
 	}
 	l.dial(k)
 }
--- a/internal/node/server/listener.go
+++ b/internal/node/server/listener.go
@@ -1,7 +1,3 @@
-// Listener: the listening socket and its bound on open connections. It accepts in a goroutine of its own, which
-// alone waits while every place is taken. Guards against a full table that stops all reading: netpoll's server
-// accepts on its poller, and whatever waits there keeps every other connection and the links waiting too.
-
 package server
 
 import (
@@ -13,8 +9,10 @@
 	"time"
 )
 
-// listener accepts connections while fewer than limit are open. Each accepted connection holds a place until
-// release is called for it.
+// listener owns the listening socket and its bound on open connections. It accepts in a goroutine of its own, which alone
+// waits while every place is taken; each accepted connection holds a place until release is called for it. It ends with
+// stop, once what the system has completed is accepted. Guards against a full table that stops all reading: netpoll's
+// own server accepts on its poller, and whatever waits there keeps every other connection and the links waiting too.
 type listener struct {
 	file   *os.File // a non-blocking duplicate of the socket; its Fd method would make it block
 	raw    syscall.RawConn
@@ -28,12 +26,13 @@
 	stopping bool
 }
 
+// newListener opens a socket that listens on an address.
 func newListener(address string, limit int, pause time.Duration) (*listener, error) {
 	tcp, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	defer tcp.Close() // the duplicate stands for the same socket
+	defer func() { _ = tcp.Close() }() // the duplicate stands for the same socket
 	file, err := tcp.(*net.TCPListener).File()
 	if err != nil {
 		return nil, err
@@ -47,8 +46,9 @@
 	return ln, nil
 }
 
-// listenPatiently tries again for a while where the system can't open the socket at the moment: while the process
-// before still holds the address, or no descriptor or memory is left. warn hears of the first error.
+// listenPatiently tries again for ListenTimeout where the system can't open the socket at the moment. Guards against a
+// restart that fails while the process before still holds the address, or no descriptor or memory is left. warn hears of
+// the first error.
 func listenPatiently(address string, lim Limits, warn func(error)) (*listener, error) {
 	started := time.Now()
 	for try := 0; ; try++ {
@@ -65,8 +65,8 @@
 
 // mayListenLater tells errors of opening a listening socket that may pass.
 func mayListenLater(err error) bool {
-	for _, passing := range []error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
-		syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN} {
+	for _, passing := range []error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE,
+		syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN} {
 		if errors.Is(err, passing) {
 			return true
 		}
@@ -94,7 +94,7 @@
 		}
 		ln.release()
 		if errors.Is(err, errBacklogEmpty) {
-			ln.file.Close()
+			_ = ln.file.Close() // nothing is read or written by it
 			return
 		}
 		if isTransient(err) {
@@ -147,7 +147,7 @@
 		return
 	}
 	ln.stopping = true
-	ln.file.SetReadDeadline(time.Now().Add(-time.Second)) // past: whoever waits is woken
+	_ = ln.file.SetReadDeadline(time.Now().Add(-time.Second)) // it is past, so that run wakes
 }
 
 // reserve takes a place, and waits while none is free.
--- a/internal/node/server/loop_log.go
+++ b/internal/node/server/loop_log.go
@@ -13,7 +13,7 @@
 	logFrom admission.Time
 }
 
-// maxLogLines of one interval are written; more are counted.
+// maxLogLines of one interval are written, more are counted: enough to see what goes wrong.
 const maxLogLines = 20
 
 // mayLog counts a line, and tells whether it is to be written: only a few are in each interval.
@@ -35,7 +35,7 @@
 	}
 }
 
-// trace writes what happens to one req, when asked to by the log's level.
+// trace writes what happens to one request, when asked to by the log's level.
 func (l *loop) trace(r *request, what string, args ...any) {
 	if l.debug {
 		l.log.WithField("req", r.id).Debugf(what, args...)
--- a/internal/node/server/loop_time.go
+++ b/internal/node/server/loop_time.go
@@ -1,5 +1,3 @@
-// Time of the loop: monotonic, and the wall-clock stamps of requests placed on it.
-
 package server
 
 import (
@@ -12,8 +10,10 @@
 // timeUnit is one unit of admission.Time.
 const timeUnit = time.Second / time.Duration(admission.Second)
 
+// timeOf gives a time in the unit of the controller's.
 func timeOf(d time.Duration) admission.Time { return admission.Time(d / timeUnit) }
 
+// durationOf is the reverse of timeOf.
 func durationOf(t admission.Time) time.Duration { return time.Duration(t) * timeUnit }
 
 // loopTime is the loop's time: it stands still while events are handled, and never goes back.
@@ -42,8 +42,8 @@
 // placeStamp gives the time at which a request reached the machine, by the Unix time that it states. Where the wall
 // clock was stepped there may be two; the true one is not before earliest and not after latest.
 func (l *loop) placeStamp(unixMilliseconds int64) (earliest, latest admission.Time, ok bool) {
-	const most = int64(1<<62) / int64(time.Millisecond) // past the year 2100
-	if unixMilliseconds > most {
+	const latestStamp = int64(1<<62) / int64(time.Millisecond) // past the year 2100; beyond it the product could overflow
+	if unixMilliseconds > latestStamp {
 		return 0, 0, false
 	}
 	stamp := time.Duration(unixMilliseconds) * time.Millisecond
--- a/internal/node/server/netpoll_log.go
+++ b/internal/node/server/netpoll_log.go
@@ -1,5 +1,3 @@
-// Netpoll's own log lines.
-
 package server
 
 import (
@@ -11,6 +9,10 @@
 	"umberwinch/internal/clock"
 )
 
+// netpollLinesPerSecond of netpoll's own log are kept, at the level that is off in service: it writes one for each
+// connection that fails, which the loop logs or counts by itself.
+const netpollLinesPerSecond = 5
+
 // lines carries netpoll's own log lines into the log, a few at a time.
 type lines struct {
 	log   *logrus.Logger
@@ -19,11 +21,12 @@
 	sec   atomic.Int64
 }
 
+// Write takes one line. It never fails.
 func (w *lines) Write(b []byte) (int, error) {
 	if s := int64(w.clock.Now() / time.Second); w.sec.Swap(s) != s {
 		w.n.Store(0)
 	}
-	if w.n.Add(1) <= 5 {
+	if w.n.Add(1) <= netpollLinesPerSecond {
 		w.log.Debug(string(b))
 	}
 	return len(b), nil
--- a/internal/node/server/pools.go
+++ b/internal/node/server/pools.go
@@ -1,7 +1,3 @@
-// Pools on the node: what the operator's file says of run slots becomes a plan for internal/node/pools, moves with
-// a new file, and is shown. Nothing here decides about a req, and without pools in the file nothing here
-// runs.
-
 package server
 
 import (
@@ -11,8 +7,10 @@
 	"umberwinch/internal/node/pools"
 )
 
-// Own takes the operator's file along with the start-up file, checked against the handlers that this one
-// names.
+// Pools give classes their shares of the run slots: what the operator's file says of them becomes a plan for package
+// pools, and a new file changes it. Without pools in the file nothing here runs.
+
+// Own takes the operator's file along with the start-up file, checked against the handlers that this one names.
 func (c *Node) Own(own *config.Node) error {
 	names := make([]string, len(c.settings.Deployment.Handlers))
 	for name, i := range c.settings.HandlerIndex {
@@ -53,7 +51,7 @@
 	}
 }
 
-// movePools takes another file's word for pools.
+// movePools takes the pools of another file.
 func (l *loop) movePools(next *Node) {
 	p := next.poolPlan()
 	switch {
@@ -66,6 +64,9 @@
 	l.startup.own = next.own
 }
 
+// noLimit is from where a pool's limit is none.
+const noLimit = 1 << 20
+
 // showPools logs each pool.
 func (l *loop) showPools() {
 	if l.pools == nil {
@@ -73,11 +74,11 @@
 	}
 	for _, v := range l.pools.Status() {
 		limit := "none"
-		if v.Limit < 1<<20 {
+		if v.Limit < noLimit {
 			limit = fmt.Sprintf("%.1f", v.Limit)
 		}
 		l.log.Infof("pool %s: limit %s (%s), due %.1f, running %d, heavy %d, held %d, shed %d, lent %d, reserve %d, "+
-			"work %.1f ms, 95th %.1f ms", v.Name, limit, v.Reason, v.FairSlots, v.Running, v.Heavy, v.Queued, v.Shed, v.StartedOverLimit,
-			v.Reserve, v.MedianWork/10, v.P95Work/10)
+			"work %.1f ms, 95th %.1f ms", v.Name, limit, v.Reason, v.FairSlots, v.Running, v.Heavy, v.Queued, v.Shed,
+			v.StartedOverLimit, v.Reserve, v.MedianWork/unitsPerMS, v.P95Work/unitsPerMS)
 	}
 }
--- a/internal/node/server/reload.go
+++ b/internal/node/server/reload.go
@@ -2,7 +2,8 @@
 
 import "umberwinch/internal/config"
 
-// reload takes a start-up file that was read anew, or word that it can't be used: then the old one stays.
+// reload takes the addresses and pools of a start-up file that was read anew. Where it can't be read the old one stays, and
+// what can't change while the program serves stays as it was.
 func (l *loop) reload(c *Node, err error) {
 	if err != nil {
 		l.log.Errorf("start-up file not taken, the old one stays: %v", err)
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -45,6 +45,7 @@
 	callResultSkipped
 )
 
+// findRequest finds a request in hand by its id; nil if there is none.
 func (l *loop) findRequest(id []byte) (handle, *request) {
 	h := l.byRequestID[string(id)]
 	return h, l.requests.get(h)
@@ -100,6 +101,7 @@
 // unitsPerMS is how many units of admission.Time make a millisecond.
 const unitsPerMS = float64(admission.Second) / 1000
 
+// milliseconds gives a time in ms, for logs.
 func milliseconds(t admission.Time) float64 { return float64(t) / unitsPerMS }
 
 // wholeMilliseconds rounds up, as a client that comes back early comes in vain.
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -137,7 +137,8 @@
 		return why
 	}
 	switch {
-	case l.hasIdempotencyKey(a.handler) && l.idempotency.full(l.limits.EventsPerRound) && l.idempotency.find(a.key) == nil:
+	case l.hasIdempotencyKey(a.handler) && l.idempotency.full(l.limits.EventsPerRound) &&
+		l.idempotency.find(a.key) == nil:
 		return idempotencyTableFull // it could not be told from its repeats
 	case l.mayHaveRun(a.ID):
 		return mayHaveRunBefore
--- a/internal/node/server/signals.go
+++ b/internal/node/server/signals.go
@@ -1,5 +1,3 @@
-// Signals: what the program is told while it serves.
-
 package server
 
 import (
@@ -7,7 +5,7 @@
 	"os/signal"
 )
 
-// Signals are what the program is told while it serves, each by a channel of its own, so that no number of one
+// Signals are what the operator tells the program while it serves, each by a channel of its own, so that no number of one
 // kind takes the place of another. Read reads the start-up file anew.
 type Signals struct {
 	Drain, Count, Reload <-chan os.Signal
@@ -26,11 +24,12 @@
 	return Signals{Drain: subscribe(drain), Count: subscribe(count), Reload: subscribe(reload)}
 }
 
-// forward hands the signals over. A start-up file that is slow to read holds up no other signal.
+// forward hands the signals over, each kind in a goroutine that ends with the process: a start-up file that is slow to read
+// holds up no other signal.
 func (l *loop) forward(signals Signals) {
-	events := func(c <-chan os.Signal, make func() event) {
+	events := func(c <-chan os.Signal, newEvent func() event) {
 		for range c {
-			l.post(make())
+			l.post(newEvent())
 		}
 	}
 	go events(signals.Drain, func() event { return drainRequested{} })
--- a/internal/node/server/startup_file.go
+++ b/internal/node/server/startup_file.go
@@ -1,7 +1,3 @@
-// Node: what the program is told at its start, from one file, and told anew while it serves. A file is
-// checked whole before anything of it counts; nothing here decides about a req, and nothing here knows a
-// socket.
-
 package server
 
 import (
@@ -17,7 +13,8 @@
 	"umberwinch/internal/node/settings"
 )
 
-// Node is the start-up file.
+// Node is the start-up file: what the program is told at its start, and anew while it serves. A file is checked whole before
+// anything of it counts.
 type Node struct {
 	Name    string  `json:"name"`
 	Listen  string  `json:"listen"`
@@ -72,7 +69,12 @@
 	for _, a := range []struct {
 		key, found string
 		needed     bool
-	}{{"listen", c.Listen, true}, {"kernel", c.Kernel, true}, {"store", c.Store, false}, {"control", c.Control, false}} {
+	}{
+		{"listen", c.Listen, true},
+		{"kernel", c.Kernel, true},
+		{"store", c.Store, false},
+		{"control", c.Control, false},
+	} {
 		if (a.needed || a.found != "") && !address(a.found) {
 			return fmt.Errorf("%s: found %.80q, expected HOST:PORT", a.key, a.found)
 		}
@@ -102,6 +104,7 @@
 // Logs gives the form and level of the log.
 func (c *Node) Logs() (form, from string) { return c.own.LogForm, c.own.LogFrom }
 
+// address tells whether a text is HOST:PORT.
 func address(s string) bool {
 	_, port, err := net.SplitHostPort(s)
 	return err == nil && port != ""
--- a/internal/node/server/store_connections.go
+++ b/internal/node/server/store_connections.go
@@ -1,15 +1,3 @@
-// Store: the calls that runs make below. It owns a bounded set of connections to the store, called wires,
-// which of them each call is out on, and says how each call ended: never ran, may have run, went well. It
-// must never say that a call did not run unless that is proven, never take a reply for another call than the
-// one it was made for, and never make a call by itself: each is the module's decision.
-//
-// A wire carries one call at a time while the bound on wires allows, as whatever spoils one reply spoils all
-// that is out on its wire. No req calls twice over one wire, so that a second copy of a reply can't pass for
-// the reply to its next call. A wire is used no more, and ends with its last call, once it brought a reply
-// that nobody waits for, a call on it was given up or got no reply in its time, or the store has moved. That
-// a wire is reset at a call after it was idle proves nothing: the same is seen where the call ran and its
-// reply was lost. So idle wires are let go of early instead.
-
 package server
 
 import (
@@ -19,6 +7,21 @@
 	"umberwinch/internal/node/wire"
 )
 
+// storeConnections are the connections to the store, over which runs make their calls. It owns a bounded set of them,
+// which of them each call is out on, and how each call ended: not executed, unknown, failed, or succeeded. It never says
+// that a call was not executed unless that is proven, never takes a reply for another call than the one it was made for,
+// and never makes a call by itself: each is the controller's decision. A connection ends once it was idle for
+// StoreIdleTimeout, or with its last call once it is retired.
+//
+// Guards of one call against another's reply:
+//   - A connection carries one call at a time while the bound on connections allows, as whatever spoils one reply spoils
+//     all that are out on its connection.
+//   - No request calls twice over one connection, so that a second copy of a reply can't pass for the reply to its next
+//     call.
+//   - A connection is retired once it brought a reply that nobody waits for, a call on it was given up or got no reply in
+//     its time, or the store has moved.
+//   - A reset at a call after an idle time proves nothing: it looks the same where the call ran and its reply was lost.
+//     So idle connections are closed early instead.
 type storeConnections struct {
 	backoff
 	addr        string
@@ -26,17 +29,17 @@
 	parser      linkParser
 }
 
-// wire is one connection to the store.
+// storeConnection is one connection to the store.
 type storeConnection struct {
 	dialed   *dialed
-	calls    []handle       // reqs whose calls are out on it, or wait for it to open
+	calls    []handle       // requests whose calls are out on it, or wait for it to open
 	lastUsed admission.Time // when it last carried anything
-	retired  bool           // not trusted with another call
+	retired  bool           // gets no further call
 }
 
 func (w *storeConnection) idle() bool { return len(w.calls) == 0 }
 
-// call makes the call that a run stands at.
+// startCall makes the call that a run waits for. One that gets no connection ends as not executed.
 func (l *loop) startCall(h handle, r *request, until admission.Time) {
 	r.setCall(callQueued)
 	r.callStarted, r.callDeadline = l.now, until
@@ -46,12 +49,12 @@
 	at, w := l.pickStoreConnection(r)
 	if w == nil {
 		if l.deferredDials != held {
-			r.setCall(callNone) // by the zone's order: it says nothing about the store
+			r.setCall(callNone) // by the zone's quota: it says nothing about the store
 		}
 		l.callEnded(h, r, admission.NotExecuted)
 		return
 	}
-	// Only wires that are still there matter, so this stays as short as their table.
+	// Only connections that are still there matter, so this stays as short as their table.
 	gone := func(h handle) bool { return l.store.connections.get(h) == nil }
 	r.storeConn, r.usedStoreConns = at, append(slices.DeleteFunc(r.usedStoreConns, gone), at)
 	w.calls = append(w.calls, h)
@@ -61,8 +64,8 @@
 	}
 }
 
-// pickStoreConnection finds the wire for a call: the idle one used last, else a new one, else the one with the fewest
-// calls.
+// pickStoreConnection finds the connection for a call: the idle one used last, else a new one, else the one with the
+// fewest calls.
 func (l *loop) pickStoreConnection(r *request) (best handle, _ *storeConnection) {
 	s := &l.store
 	l.closeIdleStoreConnections()
@@ -89,7 +92,7 @@
 	return h, w
 }
 
-// closeIdleStoreConnections lets go of wires that were idle for too long to be trusted with a call.
+// closeIdleStoreConnections closes connections that were idle for too long to be trusted with a call.
 func (l *loop) closeIdleStoreConnections() {
 	for h, i := l.store.connections.next(0); h != 0; h, i = l.store.connections.next(i) {
 		if w := l.store.connections.get(h); w.idle() && l.now-w.lastUsed > l.limits.StoreIdleTimeout {
@@ -98,6 +101,7 @@
 	}
 }
 
+// dropStoreConnection ends a connection, after what waits to go out on it.
 func (l *loop) dropStoreConnection(h handle, w *storeConnection) {
 	if w.dialed.writer != nil {
 		w.dialed.writer.close()
@@ -105,7 +109,7 @@
 	l.store.connections.drop(h)
 }
 
-// retire has a wire used no more; it ends with its last call.
+// retireStoreConnection has a connection used for no further call; it ends with its last.
 func (l *loop) retireStoreConnection(h handle, w *storeConnection) {
 	w.retired = true
 	if w.idle() {
@@ -113,9 +117,10 @@
 	}
 }
 
+// sendCall sends a call on its connection.
 func (l *loop) sendCall(h handle, r *request, w *storeConnection) {
-	wait := max((r.callDeadline-l.now+9)/10, 1)
-	l.scratch = wire.AppendCall(l.scratch[:0], r.id, int64(wait), r.callBody)
+	wait := max(wholeMilliseconds(r.callDeadline-l.now), 1)
+	l.scratch = wire.AppendCall(l.scratch[:0], r.id, wait, r.callBody)
 	if !w.dialed.writer.send(l.scratch, l.limits.LinkQueue) {
 		// The queue is full because the store takes nothing: this call never left, the others may have.
 		at := r.storeConn
@@ -127,7 +132,7 @@
 	w.lastUsed = l.now
 }
 
-// callEnded tells the module of the end of a call, in the next round.
+// callEnded has the controller hear of the end of a call in the next round.
 func (l *loop) callEnded(h handle, r *request, how admission.Outcome) {
 	made := r.call != callNone
 	l.endCall(h, r)
@@ -147,7 +152,7 @@
 		admission.CallEnd{ID: uint32(h), Outcome: how, Elapsed: l.now - r.callStarted})
 }
 
-// endCall takes a call off its wire.
+// endCall takes a call off its connection.
 func (l *loop) endCall(h handle, r *request) {
 	if w := l.store.connections.get(r.storeConn); w != nil {
 		if i := slices.Index(w.calls, h); i >= 0 {
@@ -161,7 +166,7 @@
 	r.storeConn = 0
 }
 
-// cancelCall gives up a call that nobody waits for any more. Its wire may still bring the reply.
+// cancelCall gives up a call that nobody waits for any more. Its connection may still bring the reply, so it is retired.
 func (l *loop) cancelCall(h handle, r *request) {
 	if w := l.store.connections.get(r.storeConn); w != nil && r.call == callSent {
 		l.scratch = wire.AppendCallCancel(l.scratch[:0], r.id)
@@ -175,7 +180,7 @@
 	l.endCall(h, r)
 }
 
-// replied takes a reply of the store: it counts only for a call that is out on the wire that brought it.
+// callReplied takes a reply of the store: it counts only for a call that is out on the connection that brought it.
 func (l *loop) callReplied(at handle, p wire.CallReply) {
 	w := l.store.connections.get(at)
 	w.lastUsed = l.now
@@ -198,7 +203,8 @@
 	l.callEnded(h, r, how)
 }
 
-// callTimedOut gives up a call that the store did not end in its time.
+// callTimedOut gives up a call that the store did not end by CallGrace after its deadline. Guards against a store that
+// forgets a call: its run would wait, and hold its slot, until its request's deadline.
 func (l *loop) callTimedOut(h handle) {
 	r := l.requests.get(h)
 	if r == nil || r.call == callNone {
@@ -215,7 +221,7 @@
 	l.callEnded(h, r, how)
 }
 
-// storeConnected sends the calls that waited for a wire.
+// storeConnected sends the calls that waited for a connection to open.
 func (l *loop) storeConnected(at handle, w *storeConnection) {
 	l.store.backoff = backoff{}
 	w.lastUsed = l.now
@@ -226,7 +232,7 @@
 	}
 }
 
-// storeConnectionLost ends every call on a wire: those that had gone out may have run.
+// storeConnectionLost ends every call on a connection: those that had gone out may have run.
 func (l *loop) storeConnectionLost(at handle, w *storeConnection, err error) {
 	if w == nil {
 		return
--- a/internal/node/server/timers.go
+++ b/internal/node/server/timers.go
@@ -1,12 +1,8 @@
-// Deadlines: one ordered structure for everything that is to happen at a time: the module's wake-ups, gauges
-// that don't come, calls, reports, links to be tried again, the sweep of connections, keys. It knows
-// times only; what has come is dealt with by the loop. An entry can't be taken back: whoever it names sees
-// whether it still means anything.
-
 package server
 
 import "umberwinch/admission"
 
+// timerKind says what is to happen at a timer's time.
 type timerKind uint8
 
 const (
@@ -24,15 +20,16 @@
 	timerResultStore
 )
 
-// deadline names what is due, and for which slot.
+// timer names what is to happen at a time, and for which slot.
 type timer struct {
 	at      admission.Time
-	order   uint64 // those of one time come in the order they were set
+	order   uint64 // those of one time fire in the order in which they were set
 	kind    timerKind
 	subject handle
 }
 
-// deadlines is a binary heap, the earliest first.
+// timers is a binary heap of all that is to happen at a time, the earliest first. It knows times only; the loop deals with
+// what is due. A timer can't be taken back: what it names is looked at when it fires, and may have changed.
 type timers struct {
 	heap      []timer
 	lastOrder uint64
@@ -43,6 +40,7 @@
 	return a.at < b.at || a.at == b.at && a.order < b.order
 }
 
+// set adds a timer.
 func (d *timers) set(at admission.Time, kind timerKind, subject handle) {
 	d.lastOrder++
 	d.heap = append(d.heap, timer{at, d.lastOrder, kind, subject})
@@ -51,7 +49,7 @@
 	}
 }
 
-// next takes out the earliest that has come.
+// next takes out the earliest timer that is due.
 func (d *timers) next(now admission.Time) (timer, bool) {
 	if len(d.heap) == 0 || d.heap[0].at > now {
 		return timer{}, false
@@ -76,7 +74,7 @@
 	}
 }
 
-// first is the earliest time, if there is one.
+// first is the time of the earliest timer, if there is one.
 func (d *timers) first() (admission.Time, bool) {
 	if len(d.heap) == 0 {
 		return 0, false
--- a/internal/node/server/writer.go
+++ b/internal/node/server/writer.go
@@ -10,23 +10,25 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// writer is the way out of one connection.
+// writer is the sending side of one connection. It never makes its caller wait for a socket: bytes are queued, and
+// flushed by a goroutine that ends once the queue is empty. What is queued belongs to the writer. It ends with finish,
+// close, or an error.
 type writer struct {
 	conn     netpoll.Connection
 	pool     *bufferPool
 	workers  workers
-	busy     *atomic.Int64 // ways that still have something to send
+	busy     *atomic.Int64 // writers that still have something to send
 	mu       sync.Mutex
-	queue    []*buffer // waits for the flush that goes on
+	queue    []*buffer // not taken by flush yet
 	flushing bool
 	closed   bool         // nothing more is taken
 	ending   writerEnding // once the queue is empty
 
-	owesAnswers bool   // what is sent is owed: it never lacks a buffer
+	owesAnswers bool   // what is sent are responses, which never lack a buffer
 	shutDown    func() // ends the sending side
 }
 
-// end is what becomes of a connection once all that was queued has gone out.
+// writerEnding is what becomes of a connection once all that was queued has gone out.
 type writerEnding uint8
 
 const (
@@ -35,11 +37,11 @@
 	endClose
 )
 
-// send queues b; false if it would make more than most buffers wait, or nothing is taken any more.
-func (w *writer) send(b []byte, most int) bool {
+// send queues b; false if it would make more than limit buffers wait, or nothing is taken any more.
+func (w *writer) send(b []byte, limit int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.closed || len(w.queue)+len(b)/bufferBytes >= most {
+	if w.closed || len(w.queue)+len(b)/bufferBytes >= limit {
 		return false
 	}
 	for len(b) > 0 {
@@ -47,7 +49,7 @@
 		if n == 0 || w.queue[n-1].n == bufferBytes {
 			t := w.buffer()
 			if t == nil {
-				w.closed, w.ending = true, endClose // half a message must not stand before another one
+				w.closed, w.ending = true, endClose // or half a message would stand before the next one
 				w.kick()
 				return false
 			}
@@ -63,6 +65,7 @@
 	return true
 }
 
+// buffer gives an empty buffer; nil if there is none.
 func (w *writer) buffer() *buffer {
 	if w.owesAnswers {
 		return w.pool.getOwed()
@@ -86,6 +89,7 @@
 	w.kick()
 }
 
+// kick starts a flush unless one goes on.
 func (w *writer) kick() {
 	if !w.flushing {
 		w.flushing = true
@@ -94,6 +98,7 @@
 	}
 }
 
+// flush sends what is queued until the queue is empty, and then ends the connection as it was told to.
 func (w *writer) flush() {
 	defer w.busy.Add(-1)
 	var out []*buffer
@@ -111,7 +116,7 @@
 			case shutDownWhenSent:
 				w.shutDown()
 			case endClose:
-				w.conn.Close()
+				_ = w.conn.Close() // all that was to be sent has been
 			}
 			return
 		}
@@ -131,8 +136,8 @@
 	writePause   = time.Millisecond
 )
 
-// write has netpoll send b. What it could not send for a moment stays in its buffer and is sent again. Guards
-// against an answer lost with its connection over a lack of memory that passes.
+// write has netpoll send b. What it could not send for a moment stays in its buffer and is sent again. Guards against a
+// response that is lost with its connection over a lack of memory that passes.
 func (w *writer) write(b []byte) error {
 	// Write holds netpoll's own lock against a close from the other side; its Writer does not.
 	_, err := w.conn.Write(b)
