--- a/internal/node/resultstore/resultstore_test.go
+++ b/internal/node/resultstore/resultstore_test.go
@@ -315,7 +315,8 @@
 			if err != nil {
 				t.Fatalf("seed %d, life %d: %v", seed, life, err)
 			}
-			wait := func(rec Record) error { // the test is the loop; it waits where a node would go on with other requests
+			// The test is the loop; it waits where a node would go on with other requests.
+			wait := func(rec Record) error {
 				got := make(chan error, 1)
 				if !s.Append(rec, func(place uint64, err error) {
 					if err == nil {
