--- a/internal/cli/kept.go
+++ b/internal/cli/kept.go
@@ -41,7 +41,7 @@
 
 // What is read is bounded by the folder, not by what a node may put into it.
 var (
-	keptSizes  = wal.Sizes{Segment: 1 << 30, Bound: 1 << 40}
+	keptSizes  = wal.Sizes{SegmentBytes: 1 << 30, MaxBytes: 1 << 40}
 	keptBounds = resultstore.Limits{Keys: 1 << 26, Bytes: 1 << 40}
 )
 
--- a/internal/cli/kept_test.go
+++ b/internal/cli/kept_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, _, _, err := resultstore.Open(wal.Dir(dir), wal.Sizes{Segment: 1 << 20, Bound: 1 << 30}, resultstore.Limits{Keys: 100, Bytes: 1 << 20, ResultBytes: 100},
+	s, _, _, err := resultstore.Open(wal.Dir(dir), wal.Sizes{SegmentBytes: 1 << 20, MaxBytes: 1 << 30}, resultstore.Limits{Keys: 100, Bytes: 1 << 20, ResultBytes: 100},
 		now, boot)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -90,7 +90,7 @@
 		FoundGroup:    c.Start == "new",
 		ElectionTicks: c.Elect,
 		SnapshotBytes: c.SnapMB << 20,
-		Sizes:         wal.Sizes{Segment: min(maxSegmentBytes, limit/minSegmentsOnDisk), Bound: limit},
+		Sizes:         wal.Sizes{SegmentBytes: min(maxSegmentBytes, limit/minSegmentsOnDisk), MaxBytes: limit},
 		Random:        randomID,
 	}
 }
@@ -164,8 +164,8 @@
 }
 
 func (g *Group) logStart() {
-	if repair := g.replica.LogRepair; repair.Torn != "" {
-		g.log.WithFields(logrus.Fields{logging.File: repair.Torn, logging.Bytes: repair.Bytes}).
+	if repair := g.replica.LogRepair; repair.TornAt != "" {
+		g.log.WithFields(logrus.Fields{logging.File: repair.TornAt, logging.Bytes: repair.TornBytes}).
 			Warn("cut off a tail that was never durable")
 	}
 	v := g.View()
--- a/internal/control/consensus/group_test.go
+++ b/internal/control/consensus/group_test.go
@@ -270,7 +270,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, err := Restore(wal.NewMem(), ConfigFrom(a.control), fromFolder); err != nil || v.Number != 1 {
+	if v, err := Restore(wal.NewMemFS(), ConfigFrom(a.control), fromFolder); err != nil || v.Number != 1 {
 		t.Fatalf("from a folder's file: %v, %v", v, err)
 	}
 	var control config.Control
--- a/internal/control/consensus/pin_stored_test.go
+++ b/internal/control/consensus/pin_stored_test.go
@@ -25,7 +25,7 @@
 func pinPlan() Config {
 	drawn := uint64(0)
 	return Config{Name: "a", Peer: "10.1.1.1:7101", Listen: "10.1.1.1:7201", FoundGroup: true, ElectionTicks: 5, SnapshotBytes: 1 << 30,
-		Sizes: wal.Sizes{Segment: 1500, Bound: 64 << 20}, Logger: raftLog{quietLogger()},
+		Sizes: wal.Sizes{SegmentBytes: 1500, MaxBytes: 64 << 20}, Logger: raftLog{quietLogger()},
 		Random: func() uint64 { drawn += 0x1111; return drawn }}
 }
 
@@ -175,13 +175,13 @@
 }
 
 // storedFolder loads the folder of version 2a0a97e into memory.
-func storedFolder(t *testing.T) *wal.Mem {
+func storedFolder(t *testing.T) *wal.MemFS {
 	t.Helper()
 	paths, err := filepath.Glob("testdata/pin/group/0*")
 	if err != nil || len(paths) == 0 {
 		t.Fatalf("found no stored folder (%v)", err)
 	}
-	fs := wal.NewMem()
+	fs := wal.NewMemFS()
 	for _, path := range paths {
 		raw, err := os.ReadFile(path)
 		if err != nil {
@@ -219,7 +219,7 @@
 
 // TestPinGroupIsWritten: the same entries give the same answers, state, log segments and snapshots as version 2a0a97e.
 func TestPinGroupIsWritten(t *testing.T) {
-	fs := wal.NewMem()
+	fs := wal.NewMemFS()
 	r, err := Open(fs, pinPlan())
 	if err != nil {
 		t.Fatal(err)
@@ -277,7 +277,7 @@
 				}
 				switch how {
 				case "flipped":
-					fs.Flip(name, int64(at), 0x10)
+					fs.FlipBits(name, int64(at), 0x10)
 				case "cut":
 					err = f.Truncate(int64(at))
 				case "zeroed":
@@ -306,8 +306,8 @@
 		return "work: " + err.Error()
 	}
 	st := r.Status()
-	return fmt.Sprintf("%d bytes cut off %q, stale %v, applied %d, level %d, version %d", r.LogRepair.Bytes, r.LogRepair.Torn,
-		r.LogRepair.Stale, st.Applied, st.Level, st.Version)
+	return fmt.Sprintf("%d bytes cut off %q, stale %v, applied %d, level %d, version %d", r.LogRepair.TornBytes, r.LogRepair.TornAt,
+		r.LogRepair.RemovedFiles, st.Applied, st.Level, st.Version)
 }
 
 // goTypes are names of the code in errors of encoding/json, which may change.
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -74,7 +74,7 @@
 	electionTimeout   int
 	timeoutsDrawn     uint32
 
-	LogRepair wal.Found // what Open had to cut off
+	LogRepair wal.Repair // what Open had to cut off
 	Campaigns uint64
 }
 
--- a/internal/control/consensus/replica_open.go
+++ b/internal/control/consensus/replica_open.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	if err = r.log.Save(m.applied, parts...); err != nil {
+	if err = r.log.SaveSnapshot(m.applied, parts...); err != nil {
 		return err
 	}
 	hard, err := proto.Marshal(&pb.HardState{Term: meta.Term, Commit: meta.Index})
--- a/internal/control/consensus/replica_propose.go
+++ b/internal/control/consensus/replica_propose.go
@@ -25,7 +25,7 @@
 	if err := p.valid(); err != nil {
 		return err
 	}
-	if r.log.Usage() > r.plan.Sizes.Bound/putLogFraction*(putLogFraction-1) {
+	if r.log.DiskBytes() > r.plan.Sizes.MaxBytes/putLogFraction*(putLogFraction-1) {
 		return ErrLogNearLimit
 	}
 	p.Rules = rulesForLevel(r.stateMachine.level)
@@ -52,7 +52,7 @@
 		return ErrBarred
 	case r.stateMachine.level < LevelFleet && kind != kindLevel:
 		return ErrFeatureLevel
-	case r.log.Usage() > r.plan.Sizes.Bound/entryLogFraction*(entryLogFraction-1):
+	case r.log.DiskBytes() > r.plan.Sizes.MaxBytes/entryLogFraction*(entryLogFraction-1):
 		return ErrLogNearLimit
 	}
 	raw, err := json.Marshal(entry{kind, body})
--- a/internal/control/consensus/replica_snapshot.go
+++ b/internal/control/consensus/replica_snapshot.go
@@ -47,7 +47,7 @@
 }
 
 // Write makes it durable.
-func (s *PendingSnapshot) Write() error { return s.log.Save(s.meta.GetIndex(), s.parts...) }
+func (s *PendingSnapshot) Write() error { return s.log.SaveSnapshot(s.meta.GetIndex(), s.parts...) }
 
 // SnapshotWritten ends a snapshot with the result of its Write and lets the log before the older one go. One that
 // found the log at its size limit is tried again when more log has come; any other error means that the instance
--- a/internal/control/consensus/restored_group.go
+++ b/internal/control/consensus/restored_group.go
@@ -150,7 +150,7 @@
 		m.versions.newest, m.versions.hash = nil, ""
 		return nil
 	}
-	d, err := document.ParseUnder(document.Rules, "what was found", []byte(found.Text))
+	d, err := document.ParseUnder(document.LatestRules, "what was found", []byte(found.Text))
 	if err != nil {
 		return err
 	}
@@ -162,7 +162,7 @@
 		Reason: truncateReason(found.Proof),
 		Index:  m.applied,
 		Term:   m.term,
-		Rules:  document.Rules,
+		Rules:  document.LatestRules,
 		Text:   found.Text,
 	}
 	return m.versions.append(&v, d)
--- a/internal/control/consensus/restored_group_test.go
+++ b/internal/control/consensus/restored_group_test.go
@@ -114,11 +114,11 @@
 func TestRecover(t *testing.T) {
 	text := canonical(t, oneText)
 	hash := document.Hash([]byte(text))
-	plan := Config{Name: "a", Peer: "p", Listen: "l", ElectionTicks: 10, SnapshotBytes: 1 << 20, Sizes: wal.Sizes{Segment: 1 << 20, Bound: 64 << 20},
+	plan := Config{Name: "a", Peer: "p", Listen: "l", ElectionTicks: 10, SnapshotBytes: 1 << 20, Sizes: wal.Sizes{SegmentBytes: 1 << 20, MaxBytes: 64 << 20},
 		Random: randomID}
 	kept := []api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 3, ActiveVersion: 7, MinVersion: 7, ActiveText: text, ActiveHash: hash, ZoneEpoch: 5, ZoneShare: 256,
 		LeaseMS: 4000}}
-	fs := wal.NewMem()
+	fs := wal.NewMemFS()
 	v, err := Recover(fs, plan, nil, recovery.PlanRestore(kept, nil, ""))
 	if err != nil || v.Number != 7 || v.Hash != hash {
 		t.Fatalf("%+v, %v: expected version 7 as it was", v, err)
@@ -139,7 +139,7 @@
 	}
 	// Nobody holds the text of what was decided: nothing is in force, and the next put is newer than that.
 	none := recovery.PlanRestore([]api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}}, nil, "")
-	fs = wal.NewMem()
+	fs = wal.NewMemFS()
 	if _, err = Recover(fs, plan, nil, none); err != nil {
 		t.Fatal(err)
 	}
@@ -149,10 +149,10 @@
 	if b = old.Evidence(); b.LastVersion != 9 || b.DecidedVersion != 9 || b.CommittedVersion != 0 {
 		t.Errorf("%+v: expected nothing in force and 10 as the next version", b)
 	}
-	if _, err = ReadFolder(wal.NewMem(), plan); err != ErrEmptyFolder {
+	if _, err = ReadFolder(wal.NewMemFS(), plan); err != ErrEmptyFolder {
 		t.Errorf("%v, expected %v", err, ErrEmptyFolder)
 	}
-	if _, err = Recover(wal.NewMem(), plan, nil, &recovery.RestorePlan{Conflict: "two texts"}); err == nil {
+	if _, err = Recover(wal.NewMemFS(), plan, nil, &recovery.RestorePlan{Conflict: "two texts"}); err == nil {
 		t.Error("a conflict is restored")
 	}
 }
--- a/internal/control/consensus/state_machine.go
+++ b/internal/control/consensus/state_machine.go
@@ -42,7 +42,7 @@
 )
 
 // rulesForLevel gives the numbering of a document's rules at a level.
-func rulesForLevel(level int) int { return min(level, document.Rules) }
+func rulesForLevel(level int) int { return min(level, document.LatestRules) }
 
 func newStateMachine(cluster string, disabled Guard) *StateMachine {
 	return &StateMachine{
--- a/internal/control/consensus/store.go
+++ b/internal/control/consensus/store.go
@@ -81,7 +81,7 @@
 	var state []byte
 	var damaged error
 	for _, n := range log.Snapshots() {
-		raw, err := log.Load(n)
+		raw, err := log.LoadSnapshot(n)
 		if err == nil {
 			s.snap, state, err = readSnapshot(raw)
 		}
@@ -203,7 +203,7 @@
 		return err
 	}
 	at := meta.GetIndex()
-	if err := s.log.Save(at, parts...); err != nil {
+	if err := s.log.SaveSnapshot(at, parts...); err != nil {
 		return err
 	}
 	b := wal.Batch{Cut: at + 1}
@@ -220,7 +220,7 @@
 	}
 	s.hard, s.snap = hard, meta
 	s.offset, s.term, s.entries, s.bytes = at, meta.GetTerm(), nil, 0
-	return s.log.Release(at)
+	return s.log.TruncateFront(at)
 }
 
 // snapshotWritten takes note of a durable snapshot: the log that the older one stands for may go.
@@ -242,7 +242,7 @@
 	for _, e := range s.entries[meta.GetIndex()-s.offset:] {
 		s.bytes += proto.Size(e)
 	}
-	return s.log.Release(older)
+	return s.log.TruncateFront(older)
 }
 
 // InitialState is part of raft.Storage.
--- a/internal/control/coordinator/versions.go
+++ b/internal/control/coordinator/versions.go
@@ -51,15 +51,15 @@
 
 // rulesOf gives what a document says about leases and zones.
 func rulesOf(d *document.Document) policy.Rules {
-	rules := policy.Rules{LeaseMS: uint64(d.Fleet.Lease.Milliseconds()), Autonomous: d.Fleet.Alone}
-	if z := &d.Zones; z.Given {
+	rules := policy.Rules{LeaseMS: uint64(d.Fleet.Lease.Milliseconds()), Autonomous: d.Fleet.Autonomous}
+	if z := &d.Zones; z.Present {
 		rules.Zones = api.ZoneRules{
-			Mode:           api.ZoneMode(z.Decide),
-			InitialShare:   int(z.First*api.FullShare + roundHalfUp),
-			MinStepMS:      uint64(z.Hold.Milliseconds()),
-			OrderTTLMS:     uint64(z.Keep.Milliseconds()),
-			MaxRampDelayMS: uint64(z.Wait.Milliseconds()),
-			ColdStart:      z.Small,
+			Mode:           api.ZoneMode(z.Mode),
+			InitialShare:   int(z.FirstQuota*api.FullShare + roundHalfUp),
+			MinStepMS:      uint64(z.StepTime.Milliseconds()),
+			OrderTTLMS:     uint64(z.OrderTime.Milliseconds()),
+			MaxRampDelayMS: uint64(z.MaxBackoff.Milliseconds()),
+			ColdStart:      z.SmallStart,
 		}
 	}
 	return rules
--- a/internal/control/document/change.go
+++ b/internal/control/document/change.go
@@ -15,7 +15,7 @@
 	if before == nil {
 		return nil
 	}
-	var reasons Reasons
+	var reasons FollowErrors
 	for _, was := range before.Classes {
 		if was.Retired {
 			continue
@@ -28,9 +28,9 @@
 		case is.Kind != was.Kind:
 			reasons = append(reasons, fmt.Sprintf("class %s.kind: found %s, expected %s as before, or retired = yes "+
 				"for one version before it changes", was.Name, is.Kind, was.Kind))
-		case is.Window < was.Window:
+		case is.IdempotencyWindow < was.IdempotencyWindow:
 			reasons = append(reasons, fmt.Sprintf("class %s.window: found %s, expected %s at least, as reqs in "+
-				"flight were promised", was.Name, is.Window, was.Window))
+				"flight were promised", was.Name, is.IdempotencyWindow, was.IdempotencyWindow))
 		}
 	}
 	if len(reasons) == 0 {
@@ -39,17 +39,17 @@
 	return reasons
 }
 
-// Reasons are why a version may not follow another.
-type Reasons []string
+// FollowErrors are why a version may not follow another.
+type FollowErrors []string
 
-func (r Reasons) Error() string { return strings.Join(r, "\n") }
+func (r FollowErrors) Error() string { return strings.Join(r, "\n") }
 
 // Change is one key, or a whole section, that differs.
 type Change struct {
 	Section string `json:"section"`
 	Key     string `json:"key"`
-	Was     string `json:"was"` // empty and Added where it is new
-	Is      string `json:"is"`
+	Before  string `json:"was"` // empty and Added where it is new
+	After   string `json:"is"`
 	Added   bool   `json:"added,omitempty"`
 	Removed bool   `json:"removed,omitempty"`
 }
@@ -57,11 +57,11 @@
 func (c Change) String() string {
 	switch {
 	case c.Added:
-		return fmt.Sprintf("+ [%s] %s = %s", c.Section, c.Key, c.Is)
+		return fmt.Sprintf("+ [%s] %s = %s", c.Section, c.Key, c.After)
 	case c.Removed:
-		return fmt.Sprintf("- [%s] %s = %s", c.Section, c.Key, c.Was)
+		return fmt.Sprintf("- [%s] %s = %s", c.Section, c.Key, c.Before)
 	}
-	return fmt.Sprintf("~ [%s] %s = %s (was %s)", c.Section, c.Key, c.Is, c.Was)
+	return fmt.Sprintf("~ [%s] %s = %s (was %s)", c.Section, c.Key, c.After, c.Before)
 }
 
 // Diff gives what changes from one document to another, in the order of the later one's canonical form, with
@@ -85,14 +85,14 @@
 		k := at{l.Section, l.Key}
 		kept[k] = true
 		if v, ok := old[k]; !ok {
-			out = append(out, Change{Section: l.Section, Key: l.Key, Is: l.Value, Added: true})
+			out = append(out, Change{Section: l.Section, Key: l.Key, After: l.Value, Added: true})
 		} else if v != l.Value {
-			out = append(out, Change{Section: l.Section, Key: l.Key, Was: v, Is: l.Value})
+			out = append(out, Change{Section: l.Section, Key: l.Key, Before: v, After: l.Value})
 		}
 	}
 	for _, l := range was {
 		if !kept[at{l.Section, l.Key}] {
-			out = append(out, Change{Section: l.Section, Key: l.Key, Was: l.Value, Removed: true})
+			out = append(out, Change{Section: l.Section, Key: l.Key, Before: l.Value, Removed: true})
 		}
 	}
 	return out
--- a/internal/control/document/conf.go
+++ b/internal/control/document/conf.go
@@ -17,13 +17,13 @@
 	"umberwinch/internal/config"
 )
 
-// Rules numbers what Parse and Follows find. It rises with each change of a finding, and a proposal carries
+// LatestRules numbers what Parse and Follows find. It rises with each change of a finding, and a proposal carries
 // the number it was made under: an instance that does not know it must not judge it.
 //
 //	1: classes, tenants, pools, levels, rollout
 //	2: [fleet]
 //	3: [zones]
-const Rules = 3
+const LatestRules = 3
 
 // Bounds of a document.
 const (
@@ -36,71 +36,71 @@
 
 // Kinds of classes.
 const (
-	Replayable    = "replayable"
-	Uniqued       = "uniqued"
-	NonReplayable = "non-replayable"
+	Idempotent       = "replayable"
+	IdempotencyKeyed = "uniqued"
+	NotIdempotent    = "non-replayable"
 )
 
 // Class is what a handler's reqs are worth and may take.
 type Class struct {
-	Name    string
-	Kind    string
-	Value   float64
-	Target  time.Duration // response target
-	Timeout time.Duration // client timeout
-	Window  time.Duration // how long a uniqued req may come again
-	Pool    string
-	Retired bool // sheds all; may be removed, or become something else, in the next version
+	Name              string
+	Kind              string
+	Weight            float64
+	LatencyObjective  time.Duration // response target
+	Timeout           time.Duration // client timeout
+	IdempotencyWindow time.Duration // how long a uniqued req may come again
+	Pool              string
+	Retired           bool // sheds all; may be removed, or become something else, in the next version
 }
 
 // Tenant is what one tenant may have.
 type Tenant struct {
 	Name  string
-	Share float64 // of capacity, 0 for none of its own
+	Quota float64 // of capacity, 0 for none of its own
 	Rate  float64 // reqs a second, 0 for no bound
 }
 
 // Pool is work set apart, in shares of capacity.
 type Pool struct {
-	Name    string
-	Floor   float64
-	Cap     float64
-	Reserve bool // lent out while not needed
+	Name     string
+	MinShare float64
+	MaxShare float64
+	Lendable bool // lent out while not needed
 }
 
 // Level is a step of reduced service.
 type Level struct {
-	Number int
-	Enter  float64 // load, as a share of capacity, from which it holds
-	Leave  float64 // under which it ends
-	Hold   time.Duration
-	Sheds  []string
+	Number    int
+	EnterLoad float64 // load, as a share of capacity, from which it holds
+	LeaveLoad float64 // under which it ends
+	MinTime   time.Duration
+	Sheds     []string
 }
 
 // Rollout is how a version reaches the nodes.
 type Rollout struct {
-	Stages  []int // percent of nodes
-	Hold    time.Duration
-	MaxShed float64 // more reqs shed than before, as a share, that stop it
-	MaxLate float64
+	Stages          []int // percent of nodes
+	StageTime       time.Duration
+	MaxShedIncrease float64 // more reqs shed than before, as a share, that stop it
+	MaxLateIncrease float64
 }
 
 // Fleet is how nodes hold the version: until when without news of the group, and what then.
 type Fleet struct {
-	Lease time.Duration
-	Alone bool // when_alone = go-on
-	Given bool // the document has the section
+	Lease      time.Duration
+	Autonomous bool // when_alone = go-on
+	Present    bool // the document has the section
 }
 
 // Zones is whether the fleet leaves zones that fail and comes back to them, and how.
 type Zones struct {
-	Decide string        // off, ask or auto
-	First  float64       // the share a return begins with
-	Hold   time.Duration // the least time at each share
-	Keep   time.Duration // without the group a node keeps to its last order for so long
-	Wait   time.Duration // a zone that fails again and again waits no longer
-	Small  bool          // a fleet of which most nodes restart at once begins with First
-	Given  bool
+	Mode       string        // off, ask or auto
+	FirstQuota float64       // the share a return begins with
+	StepTime   time.Duration // the least time at each share
+	OrderTime  time.Duration // without the group a node keeps to its last order for so long
+	MaxBackoff time.Duration // a zone that fails again and again waits no longer
+	SmallStart bool          // a fleet of which most nodes restart at once begins with First
+	Present    bool
 }
 
 // Document is one version's content.
@@ -116,7 +116,7 @@
 
 // Parse reads a document and checks all that needs nothing else. What is wrong comes as operator.Faults, all
 // of it.
-func Parse(name string, raw []byte) (*Document, error) { return ParseUnder(Rules, name, raw) }
+func Parse(name string, raw []byte) (*Document, error) { return ParseUnder(LatestRules, name, raw) }
 
 // ParseUnder reads a document as an older numbering of the rules does, so that all instances of a group on two
 // builds find the same.
@@ -126,21 +126,21 @@
 	for _, n := range names(t, "class", MaxClasses) {
 		s := "class " + n
 		c := Class{Name: n,
-			Kind:    t.Choice(s, "kind", "", Replayable, Uniqued, NonReplayable),
-			Value:   t.Number(s, "value", 1, 0, 1e6),
-			Target:  t.Time(s, "response_target", time.Second, time.Millisecond, time.Hour),
-			Timeout: t.Time(s, "client_timeout", 10*time.Second, time.Millisecond, time.Hour),
-			Window:  t.Time(s, "window", 0, 0, 24*time.Hour),
-			Pool:    t.String(s, "pool", ""),
-			Retired: t.Flag(s, "retired", false)}
+			Kind:              t.Choice(s, "kind", "", Idempotent, IdempotencyKeyed, NotIdempotent),
+			Weight:            t.Number(s, "value", 1, 0, 1e6),
+			LatencyObjective:  t.Time(s, "response_target", time.Second, time.Millisecond, time.Hour),
+			Timeout:           t.Time(s, "client_timeout", 10*time.Second, time.Millisecond, time.Hour),
+			IdempotencyWindow: t.Time(s, "window", 0, 0, 24*time.Hour),
+			Pool:              t.String(s, "pool", ""),
+			Retired:           t.Flag(s, "retired", false)}
 		if c.Kind == "" {
 			t.Note(s, "kind", "none of them", "replayable, uniqued or non-replayable")
 		}
-		if c.Timeout < c.Target {
-			t.Note(s, "client_timeout", c.Timeout.String(), "no less than response_target, "+c.Target.String())
+		if c.Timeout < c.LatencyObjective {
+			t.Note(s, "client_timeout", c.Timeout.String(), "no less than response_target, "+c.LatencyObjective.String())
 		}
-		if (c.Kind == Uniqued) != (c.Window > 0) {
-			t.Note(s, "window", c.Window.String(), "above 0 for uniqued classes, and for them alone")
+		if (c.Kind == IdempotencyKeyed) != (c.IdempotencyWindow > 0) {
+			t.Note(s, "window", c.IdempotencyWindow.String(), "above 0 for uniqued classes, and for them alone")
 		}
 		d.Classes = append(d.Classes, c)
 	}
@@ -151,21 +151,21 @@
 	for _, n := range names(t, "pool", MaxPools) {
 		s := "pool " + n
 		p := Pool{n, t.Number(s, "floor", 0, 0, 1), t.Number(s, "cap", 1, 0, 1), t.Flag(s, "reserve", false)}
-		if p.Cap < p.Floor || p.Cap == 0 {
-			t.Note(s, "cap", number(p.Cap), "above 0 and no less than floor, "+number(p.Floor))
+		if p.MaxShare < p.MinShare || p.MaxShare == 0 {
+			t.Note(s, "cap", number(p.MaxShare), "above 0 and no less than floor, "+number(p.MinShare))
 		}
 		d.Pools = append(d.Pools, p)
 	}
 	for _, n := range names(t, "level", MaxLevels) {
 		s := "level " + n
-		l := Level{Enter: t.Number(s, "enter", 0, 0, 10), Leave: t.Number(s, "leave", 0, 0, 10),
-			Hold: t.Time(s, "hold", 30*time.Second, time.Second, time.Hour), Sheds: t.List(s, "sheds")}
+		l := Level{EnterLoad: t.Number(s, "enter", 0, 0, 10), LeaveLoad: t.Number(s, "leave", 0, 0, 10),
+			MinTime: t.Time(s, "hold", 30*time.Second, time.Second, time.Hour), Sheds: t.List(s, "sheds")}
 		var err error
 		if l.Number, err = strconv.Atoi(n); err != nil || l.Number < 1 || strconv.Itoa(l.Number) != n {
 			t.Note(s, "", strconv.Quote(n), "a number from 1 on")
 		}
-		if !(l.Enter > l.Leave && l.Leave > 0) {
-			t.Note(s, "enter", number(l.Enter)+" and leave "+number(l.Leave), "enter above leave above 0")
+		if !(l.EnterLoad > l.LeaveLoad && l.LeaveLoad > 0) {
+			t.Note(s, "enter", number(l.EnterLoad)+" and leave "+number(l.LeaveLoad), "enter above leave above 0")
 		}
 		sort.Strings(l.Sheds)
 		d.Levels = append(d.Levels, l)
@@ -173,21 +173,21 @@
 	d.Rollout = rollout(t)
 	// Ten seconds outlast a group's failover several times. Going on is the default: a fleet must not stop because
 	// its control service did, unless somebody chose that.
-	d.Fleet = Fleet{Lease: 10 * time.Second, Alone: true}
+	d.Fleet = Fleet{Lease: 10 * time.Second, Autonomous: true}
 	if rules >= 2 && t.Has("fleet") {
 		d.Fleet = Fleet{t.Time("fleet", "lease", 10*time.Second, time.Second, 10*time.Minute),
 			t.Choice("fleet", "when_alone", "go-on", "fence", "go-on") == "go-on", true}
 	}
 	// A sixteenth is what a service bears that is cold by a factor of ten, with room to spare. Two seconds are some
 	// reports of each node; a minute outlasts a group's failover many times.
-	d.Zones = Zones{Decide: "off", First: 0.0625, Hold: 2 * time.Second, Keep: time.Minute, Wait: 5 * time.Minute}
+	d.Zones = Zones{Mode: "off", FirstQuota: 0.0625, StepTime: 2 * time.Second, OrderTime: time.Minute, MaxBackoff: 5 * time.Minute}
 	if rules >= 3 && t.Has("zones") {
 		d.Zones = Zones{t.Choice("zones", "decide", "off", "off", "ask", "auto"), t.Number("zones", "first", 0.0625, 0.004, 1),
 			t.Time("zones", "hold", 2*time.Second, 500*time.Millisecond, time.Hour),
 			t.Time("zones", "keep", time.Minute, time.Second, 24*time.Hour),
 			t.Time("zones", "max_wait", 5*time.Minute, time.Second, 24*time.Hour), t.Flag("zones", "small_start", false), true}
-		if d.Zones.Wait < d.Zones.Hold {
-			t.Note("zones", "max_wait", d.Zones.Wait.String(), "no less than hold, "+d.Zones.Hold.String())
+		if d.Zones.MaxBackoff < d.Zones.StepTime {
+			t.Note("zones", "max_wait", d.Zones.MaxBackoff.String(), "no less than hold, "+d.Zones.StepTime.String())
 		}
 	}
 	d.sort()
@@ -214,8 +214,8 @@
 }
 
 func rollout(t *config.Text) Rollout {
-	r := Rollout{Hold: t.Time("rollout", "hold", time.Minute, time.Second, 24*time.Hour),
-		MaxShed: t.Number("rollout", "max_shed", 0.05, 0, 1), MaxLate: t.Number("rollout", "max_late", 0.05, 0, 1)}
+	r := Rollout{StageTime: t.Time("rollout", "hold", time.Minute, time.Second, 24*time.Hour),
+		MaxShedIncrease: t.Number("rollout", "max_shed", 0.05, 0, 1), MaxLateIncrease: t.Number("rollout", "max_late", 0.05, 0, 1)}
 	words := t.List("rollout", "stages")
 	if words == nil {
 		words = []string{"1", "10", "50", "100"}
@@ -265,8 +265,8 @@
 func (d *Document) check(t *config.Text) {
 	floors, shares, reserves := 0.0, 0.0, 0
 	for _, p := range d.Pools {
-		floors += p.Floor
-		if p.Reserve {
+		floors += p.MinShare
+		if p.Lendable {
 			if reserves++; reserves > 1 {
 				t.Note("pool "+p.Name, "reserve", "a second reserve", "one at most")
 			}
@@ -277,7 +277,7 @@
 		}
 	}
 	for _, n := range d.Tenants {
-		if shares += n.Share; shares > 1+1e-9 {
+		if shares += n.Quota; shares > 1+1e-9 {
 			t.Note("tenant "+n.Name, "share", "shares of "+number(shares)+" up to here", "1 at most")
 			break
 		}
@@ -293,8 +293,8 @@
 			t.Note(s, "", s, fmt.Sprintf("level %d, none left out", i+1))
 			return
 		}
-		if i > 0 && (l.Enter <= d.Levels[i-1].Enter || l.Leave <= d.Levels[i-1].Leave) {
-			t.Note(s, "enter", number(l.Enter)+" and leave "+number(l.Leave), "both above those of the level before")
+		if i > 0 && (l.EnterLoad <= d.Levels[i-1].EnterLoad || l.LeaveLoad <= d.Levels[i-1].LeaveLoad) {
+			t.Note(s, "enter", number(l.EnterLoad)+" and leave "+number(l.LeaveLoad), "both above those of the level before")
 		}
 		d.checkSheds(t, i)
 	}
@@ -317,12 +317,12 @@
 			t.Note(s, "sheds", strconv.Quote(n)+" twice", "each class once")
 		}
 		sheds[n] = true
-		top = max(top, c.Value)
+		top = max(top, c.Weight)
 	}
 	for _, c := range d.Classes {
-		if !sheds[c.Name] && !c.Retired && c.Value < top {
+		if !sheds[c.Name] && !c.Retired && c.Weight < top {
 			t.Note(s, "sheds", fmt.Sprintf("a class of value %s while %q of %s is served", number(top), c.Name,
-				number(c.Value)), "all of less value too")
+				number(c.Weight)), "all of less value too")
 			return
 		}
 	}
@@ -355,29 +355,29 @@
 	for _, c := range d.Classes {
 		s := "class " + c.Name
 		add(s, "kind", c.Kind)
-		add(s, "value", number(c.Value))
-		add(s, "response_target", c.Target.String())
+		add(s, "value", number(c.Weight))
+		add(s, "response_target", c.LatencyObjective.String())
 		add(s, "client_timeout", c.Timeout.String())
-		add(s, "window", c.Window.String())
+		add(s, "window", c.IdempotencyWindow.String())
 		add(s, "pool", c.Pool)
 		add(s, "retired", yes(c.Retired))
 	}
 	for _, n := range d.Tenants {
 		s := "tenant " + n.Name
-		add(s, "share", number(n.Share))
+		add(s, "share", number(n.Quota))
 		add(s, "rate", number(n.Rate))
 	}
 	for _, p := range d.Pools {
 		s := "pool " + p.Name
-		add(s, "floor", number(p.Floor))
-		add(s, "cap", number(p.Cap))
-		add(s, "reserve", yes(p.Reserve))
+		add(s, "floor", number(p.MinShare))
+		add(s, "cap", number(p.MaxShare))
+		add(s, "reserve", yes(p.Lendable))
 	}
 	for _, l := range d.Levels {
 		s := "level " + strconv.Itoa(l.Number)
-		add(s, "enter", number(l.Enter))
-		add(s, "leave", number(l.Leave))
-		add(s, "hold", l.Hold.String())
+		add(s, "enter", number(l.EnterLoad))
+		add(s, "leave", number(l.LeaveLoad))
+		add(s, "hold", l.MinTime.String())
 		add(s, "sheds", strings.Join(l.Sheds, ", "))
 	}
 	stages := make([]string, len(d.Rollout.Stages))
@@ -385,20 +385,20 @@
 		stages[i] = strconv.Itoa(n)
 	}
 	add("rollout", "stages", strings.Join(stages, ", "))
-	add("rollout", "hold", d.Rollout.Hold.String())
-	add("rollout", "max_shed", number(d.Rollout.MaxShed))
-	add("rollout", "max_late", number(d.Rollout.MaxLate))
-	if d.Fleet.Given { // a document without it has the canonical text that it had before there was one
+	add("rollout", "hold", d.Rollout.StageTime.String())
+	add("rollout", "max_shed", number(d.Rollout.MaxShedIncrease))
+	add("rollout", "max_late", number(d.Rollout.MaxLateIncrease))
+	if d.Fleet.Present { // a document without it has the canonical text that it had before there was one
 		add("fleet", "lease", d.Fleet.Lease.String())
-		add("fleet", "when_alone", map[bool]string{true: "go-on", false: "fence"}[d.Fleet.Alone])
+		add("fleet", "when_alone", map[bool]string{true: "go-on", false: "fence"}[d.Fleet.Autonomous])
 	}
-	if z := d.Zones; z.Given {
-		add("zones", "decide", z.Decide)
-		add("zones", "first", number(z.First))
-		add("zones", "hold", z.Hold.String())
-		add("zones", "keep", z.Keep.String())
-		add("zones", "max_wait", z.Wait.String())
-		add("zones", "small_start", yes(z.Small))
+	if z := d.Zones; z.Present {
+		add("zones", "decide", z.Mode)
+		add("zones", "first", number(z.FirstQuota))
+		add("zones", "hold", z.StepTime.String())
+		add("zones", "keep", z.OrderTime.String())
+		add("zones", "max_wait", z.MaxBackoff.String())
+		add("zones", "small_start", yes(z.SmallStart))
 	}
 	return out
 }
--- a/internal/node/overlay/overlay.go
+++ b/internal/node/overlay/overlay.go
@@ -20,8 +20,8 @@
 }
 
 // repeatOfKind maps the document's kinds of classes to the rule on repeats.
-var repeatOfKind = map[string]admission.RetrySafety{document.Replayable: admission.Retryable,
-	document.Uniqued: admission.IdempotencyKeyed, document.NonReplayable: admission.NonRetryable}
+var repeatOfKind = map[string]admission.RetrySafety{document.Idempotent: admission.Retryable,
+	document.IdempotencyKeyed: admission.IdempotencyKeyed, document.NotIdempotent: admission.NonRetryable}
 
 // admissionTick is the unit of admission.Time.
 const admissionTick = 100 * time.Microsecond
@@ -84,17 +84,17 @@
 	if handler.RetrySafety == admission.IdempotencyKeyed {
 		b.applyWindow(class, handler)
 	}
-	handler.Value = class.Value
-	handler.LatencyObjective = min(max(toAdmission(class.Target), 1), handler.Timeout)
+	handler.Value = class.Weight
+	handler.LatencyObjective = min(max(toAdmission(class.LatencyObjective), 1), handler.Timeout)
 	b.settings.RetiredHandlers[index] = class.Retired
 	b.assignPool(class)
 }
 
 // applyWindow takes the idempotency window of a class.
 func (b *builder) applyWindow(class *document.Class, handler *admission.Handler) {
-	window := toAdmission(class.Window)
+	window := toAdmission(class.IdempotencyWindow)
 	if window < handler.IdempotencyWindow {
-		b.conflict("class %s.window: found %s, expected at least the platform's %s", class.Name, class.Window,
+		b.conflict("class %s.window: found %s, expected at least the platform's %s", class.Name, class.IdempotencyWindow,
 			toDuration(handler.IdempotencyWindow))
 		return
 	}
@@ -139,7 +139,7 @@
 		if b.settings.PoolClasses == nil {
 			b.settings.PoolClasses = b.unlimitedPools()
 		}
-		b.settings.PoolClasses[index].MinFraction, b.settings.PoolClasses[index].MaxFraction = pool.Floor, pool.Cap
+		b.settings.PoolClasses[index].MinFraction, b.settings.PoolClasses[index].MaxFraction = pool.MinShare, pool.MaxShare
 	}
 }
 
--- a/internal/node/resultstore/bench_test.go
+++ b/internal/node/resultstore/bench_test.go
@@ -116,7 +116,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			sizes, room := wal.Sizes{Segment: 64 << 20, Bound: 1 << 40},
+			sizes, room := wal.Sizes{SegmentBytes: 64 << 20, MaxBytes: 1 << 40},
 				Limits{Keys: benchKeys, Bytes: 1 << 40, ResultBytes: 256}
 			s, _, _, err := Open(dir, sizes, room, 0, "boot")
 			if err != nil {
--- a/internal/node/resultstore/offline.go
+++ b/internal/node/resultstore/offline.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		return nil, found, 0, err
 	}
-	usage := log.Usage()
+	usage := log.DiskBytes()
 	return index, found, usage, log.Close()
 }
 
@@ -26,16 +26,16 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	before = log.Usage()
+	before = log.DiskBytes()
 	if found.SameBoot { // in another boot each window has only just begun
 		firstNeeded := uint64(0)
 		for firstNeeded == 0 {
 			_, firstNeeded = index.Expire(now, log.Next())
 		}
 		if firstNeeded > log.First() {
-			err = log.Release(min(firstNeeded, log.Next()) - 1)
+			err = log.TruncateFront(min(firstNeeded, log.Next()) - 1)
 		}
 	}
-	after = log.Usage()
+	after = log.DiskBytes()
 	return before, after, errors.Join(err, log.Close())
 }
--- a/internal/node/resultstore/open.go
+++ b/internal/node/resultstore/open.go
@@ -48,14 +48,14 @@
 		return nil, nil, found, err
 	}
 	began := time.Now()
-	if unfinished, err := wal.Salvaging(fs); err != nil || unfinished {
+	if unfinished, err := wal.SalvageStarted(fs); err != nil || unfinished {
 		return nil, nil, found, errors.Join(err, ErrSalvageUnfinished)
 	}
 	log, opened, err := wal.Open(fs, sizes)
 	if err != nil {
 		return nil, nil, found, err
 	}
-	found.SameBoot, found.TornTail = string(log.Mark(bootMark)) == bootID, opened.Torn
+	found.SameBoot, found.TornTail = string(log.Mark(bootMark)) == bootID, opened.TornAt
 	index := NewIndex(limits)
 	if found.Records, err = index.replayLog(log); err != nil {
 		return nil, nil, found, errors.Join(err, log.Close())
@@ -72,7 +72,7 @@
 
 // replayLog takes all records of a log, and counts them.
 func (b *Index) replayLog(log *wal.Log) (records int, err error) {
-	err = log.Each(func(position uint64, data []byte) error {
+	err = log.ForEach(func(position uint64, data []byte) error {
 		r, err := ParseRecord(data)
 		if err == nil {
 			records++
--- a/internal/node/resultstore/pin_stored_test.go
+++ b/internal/node/resultstore/pin_stored_test.go
@@ -18,7 +18,7 @@
 const pinnedFolder = "testdata/folder"
 
 var (
-	pinnedSizes  = wal.Sizes{Segment: 1024, Bound: 1 << 20}
+	pinnedSizes  = wal.Sizes{SegmentBytes: 1024, MaxBytes: 1 << 20}
 	pinnedBounds = Limits{Keys: 64, Bytes: 1 << 18, ResultBytes: 128, LongestWindow: 60_000}
 )
 
--- a/internal/node/resultstore/resultstore_test.go
+++ b/internal/node/resultstore/resultstore_test.go
@@ -305,12 +305,12 @@
 	kills, answers, errs := 0, 0, 0
 	for seed := int64(1); seed <= 150; seed++ {
 		r := rand.New(rand.NewSource(seed))
-		disk, now := wal.NewMem(), uint64(1000)
+		disk, now := wal.NewMemFS(), uint64(1000)
 		const window = 4000
 		ran, result := map[int]uint64{}, map[int][]byte{} // when it ran last, and what was answered for it
 		for life := 0; life < 6; life++ {
 			boot := fmt.Sprint("boot ", life/2) // every second restart is one of the machine
-			s, b, _, err := Open(disk, wal.Sizes{Segment: 4096, Bound: 1 << 20},
+			s, b, _, err := Open(disk, wal.Sizes{SegmentBytes: 4096, MaxBytes: 1 << 20},
 				Limits{Keys: 500, Bytes: 1 << 19, ResultBytes: 64}, now, boot)
 			if err != nil {
 				t.Fatalf("seed %d, life %d: %v", seed, life, err)
@@ -381,7 +381,7 @@
 				}
 			}
 			kills++
-			disk = disk.Crash(r.Intn)
+			disk = disk.PowerLoss(r.Intn)
 			s.Close()
 			now += uint64(r.Intn(2000))
 			if life%2 == 1 { // another boot: its clock begins anew, but what ran stays as long ago as it is
@@ -441,14 +441,14 @@
 // failed sync is told to all that wait, known results stay readable, and writing goes on by itself once the disk
 // works. Nobody who hands a record over waits meanwhile.
 func TestDiskFailsAndRecovers(t *testing.T) {
-	d := &faultyDisk{FS: wal.NewMem()}
-	s, _, _, err := Open(d, wal.Sizes{Segment: 1 << 16, Bound: 1 << 20}, limits, 0, "boot")
+	d := &faultyDisk{FS: wal.NewMemFS()}
+	s, _, _, err := Open(d, wal.Sizes{SegmentBytes: 1 << 16, MaxBytes: 1 << 20}, limits, 0, "boot")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	d.stall.Store(int64(20 * time.Millisecond))
-	before, got := s.log.Flushes(), make(chan error, 300)
+	before, got := s.log.SyncCount(), make(chan error, 300)
 	for i := range 300 {
 		if !s.Append(Record{Kind: Intent, Key: key(i)}, func(_ uint64, err error) { got <- err }) {
 			t.Fatal("not taken")
@@ -459,7 +459,7 @@
 			t.Fatal(err)
 		}
 	}
-	if n := s.log.Flushes() - before; n > 5 {
+	if n := s.log.SyncCount() - before; n > 5 {
 		t.Errorf("%d syncs for 300 records that waited together", n)
 	}
 	d.stall.Store(0)
--- a/internal/node/resultstore/salvage.go
+++ b/internal/node/resultstore/salvage.go
@@ -16,7 +16,7 @@
 	if err := limits.Validate(); err != nil {
 		return nil, nil, Recovery{}, err
 	}
-	interrupted, err := wal.Aside(fs, false)
+	interrupted, err := wal.SetAside(fs, false)
 	if err != nil {
 		return nil, nil, Recovery{}, err
 	}
@@ -25,7 +25,7 @@
 		if damage := (*wal.Damage)(nil); !errors.As(err, &damage) {
 			return log, index, found, err
 		}
-		if _, err = wal.Aside(fs, true); err != nil {
+		if _, err = wal.SetAside(fs, true); err != nil {
 			return nil, nil, found, err
 		}
 	}
@@ -58,7 +58,7 @@
 	if err = errors.Join(err, log.Close()); err != nil {
 		return gaps, err
 	}
-	return gaps, wal.SalvageDone(fs)
+	return gaps, wal.FinishSalvage(fs)
 }
 
 // salvager writes records of a damaged log to a new one.
@@ -71,7 +71,7 @@
 
 // take takes the next thing that could be read, or a gap. A gap may have been the record of another boot's clock:
 // windows go on from the record before it at the one behind, which is never too early.
-func (s *salvager) take(found wal.Salvaged) error {
+func (s *salvager) take(found wal.SalvagedRecord) error {
 	if found.Gap {
 		s.behindGap = true
 		return nil
--- a/internal/node/resultstore/salvage_test.go
+++ b/internal/node/resultstore/salvage_test.go
@@ -16,12 +16,12 @@
 // its first attempt may be what is missing.
 func TestSalvage(t *testing.T) {
 	const window, keys = 5000, 120
-	sizes := wal.Sizes{Segment: 2048, Bound: 1 << 20}
+	sizes := wal.Sizes{SegmentBytes: 2048, MaxBytes: 1 << 20}
 	room := Limits{Keys: 500, Bytes: 1 << 19, ResultBytes: 64, LongestWindow: window}
 	lost, whole, cuts := 0, 0, 0
 	for seed := int64(1); seed <= 200; seed++ {
 		r := rand.New(rand.NewSource(seed))
-		disk, now := wal.NewMem(), uint64(1000)
+		disk, now := wal.NewMemFS(), uint64(1000)
 		s, b, _, err := Open(disk, sizes, room, now, "boot")
 		if err != nil {
 			t.Fatal(err)
@@ -51,24 +51,24 @@
 			}
 		}
 		for range 1 + r.Intn(3) { // not in the last one: what stands there may be a torn tail
-			disk.Flip(segs[r.Intn(len(segs)-1)], int64(r.Intn(1500)), byte(1<<r.Intn(8)))
+			disk.FlipBits(segs[r.Intn(len(segs)-1)], int64(r.Intn(1500)), byte(1<<r.Intn(8)))
 		}
 		for cut := 0; r.Intn(3) > 0; cut++ { // its start dies at some step
 			left := r.Intn(60)
-			disk.Hook = func(string, string) (int, error) {
+			disk.OnStep = func(string, string) (int, error) {
 				if left--; left < 0 {
 					return 0, errors.New("killed")
 				}
 				return 0, nil
 			}
 			s, _, _, err = Open(disk, sizes, room, now, "boot")
-			disk.Hook = nil
+			disk.OnStep = nil
 			if err == nil {
 				s.Close()
 				break
 			}
 			cuts++
-			disk = disk.Crash(r.Intn)
+			disk = disk.PowerLoss(r.Intn)
 		}
 		boots := [2]string{"boot", fmt.Sprint("boot ", seed%2)} // the machine may have been restarted, too
 		for life, boot := range boots {
--- a/internal/node/resultstore/store.go
+++ b/internal/node/resultstore/store.go
@@ -168,14 +168,14 @@
 	if position <= log.First() {
 		return nil
 	}
-	return log.Release(min(position, log.Next()) - 1)
+	return log.TruncateFront(min(position, log.Next()) - 1)
 }
 
 // NextPosition gives the position that the next record gets, at least.
 func (s *Store) NextPosition() uint64 { return s.current().Next() }
 
 // DiskUsage gives the bytes on disk.
-func (s *Store) DiskUsage() int64 { return s.current().Usage() }
+func (s *Store) DiskUsage() int64 { return s.current().DiskBytes() }
 
 // current is the open log, or the one that failed.
 func (s *Store) current() *wal.Log {
--- a/internal/node/server/fleet_record.go
+++ b/internal/node/server/fleet_record.go
@@ -105,7 +105,7 @@
 		return
 	}
 	if v, atHand := f.versions.atHand[active]; atHand {
-		r.ActiveVersion, r.ActiveText, r.ActiveAutonomous = active, v.text, v.settings.Document.Fleet.Alone
+		r.ActiveVersion, r.ActiveText, r.ActiveAutonomous = active, v.text, v.settings.Document.Fleet.Autonomous
 		r.ActiveHash = document.Hash([]byte(v.text))
 	}
 }
--- a/internal/node/server/fleet_serving.go
+++ b/internal/node/server/fleet_serving.go
@@ -50,9 +50,9 @@
 		return
 	}
 	zones := &version.settings.Document.Zones
-	if zones.Small && api.ZoneMode(zones.Decide) == api.ZoneModeAuto {
-		quota := int(math.Round(zones.First * api.FullShare))
-		f.gate.BeginSlowStart(now, quota, uint64(zones.Hold.Milliseconds()))
+	if zones.SmallStart && api.ZoneMode(zones.Mode) == api.ZoneModeAuto {
+		quota := int(math.Round(zones.FirstQuota * api.FullShare))
+		f.gate.BeginSlowStart(now, quota, uint64(zones.StepTime.Milliseconds()))
 		f.log.WithFields(f.quotaFields()).Info(logColdStartQuota)
 	}
 }
@@ -67,7 +67,7 @@
 	f.host.activate(v.settings)
 	f.retired = v.settings.RetiredHandlers
 	f.meter.SetWeights(handlerValues(f.host.platform()))
-	f.agent.MarkActive(now, version, v.settings.Document.Fleet.Alone)
+	f.agent.MarkActive(now, version, v.settings.Document.Fleet.Autonomous)
 	f.host.counts().Versions++
 	f.log.WithField(logging.PolicyVersion, version.Version).Info(logVersionActivated)
 	f.versions.dropOlder(version.Version)
--- a/internal/node/server/fleet_version.go
+++ b/internal/node/server/fleet_version.go
@@ -138,7 +138,7 @@
 	}
 	current, recording := *f.host.platform().Deployment, f.recording.Snapshot()
 	rollout := &v.settings.Document.Rollout
-	limits := shadow.Limits{MaxShed: rollout.MaxShed, MaxLate: rollout.MaxLate}
+	limits := shadow.Limits{MaxShed: rollout.MaxShedIncrease, MaxLate: rollout.MaxLateIncrease}
 	go func() {
 		started := time.Now()
 		verdict := shadow.Evaluate(&current, v.settings.Deployment, v.settings.RetiredHandlers, recording, limits)
@@ -163,7 +163,7 @@
 	}
 	r := &f.record.record
 	r.PreparedVersion, r.PreparedText, r.PreparedHash = v.version.Version, v.text, v.version.Hash
-	r.PreparedAutonomous = v.settings.Document.Fleet.Alone
+	r.PreparedAutonomous = v.settings.Document.Fleet.Autonomous
 	f.storeRecord()
 }
 
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -178,8 +178,8 @@
 	for i := range handlers {
 		limits.LongestWindow = max(limits.LongestWindow, windowOf(&handlers[i]))
 	}
-	sizes := wal.Sizes{Segment: min(segmentBytes, max(limits.Bytes/segmentsPerStore, minSegmentBytes)),
-		Bound: 2 * (limits.Bytes + segmentBytes)}
+	sizes := wal.Sizes{SegmentBytes: min(segmentBytes, max(limits.Bytes/segmentsPerStore, minSegmentBytes)),
+		MaxBytes: 2 * (limits.Bytes + segmentBytes)}
 	folder := wal.Dir(k.config.Folder)
 	go func() {
 		time.Sleep(after)
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -63,7 +63,7 @@
 	l.results = &resultKeeper{host: l, clock: bootTime, log: log,
 		config: &config.Kept{Entries: 100, MB: 1, Result: 100},
 		reads:  make(chan func(), 1)}
-	store, book, found, err := resultstore.Open(d, wal.Sizes{Segment: 1 << 16, Bound: 1 << 20},
+	store, book, found, err := resultstore.Open(d, wal.Sizes{SegmentBytes: 1 << 16, MaxBytes: 1 << 20},
 		resultstore.Limits{Keys: 100, Bytes: 1 << 18, ResultBytes: 100},
 		bootTime(), "boot")
 	if err != nil {
@@ -97,7 +97,7 @@
 // until its deadline; so new keys are rejected meanwhile, what is durable only after its request was answered does
 // not run, and then all is well again.
 func TestDiskStalls(t *testing.T) {
-	d := &heldDisk{FS: wal.NewMem()}
+	d := &heldDisk{FS: wal.NewMemFS()}
 	l := loopWithStore(t, d)
 	d.gate = make(chan struct{})
 	h, r := l.takes("a")
@@ -128,7 +128,7 @@
 // TestDiskFails: a write fails. A run that waits for it is rejected and does not run, a result that is lost is
 // answered with an error, and new keys are rejected until the disk works again, by itself.
 func TestDiskFails(t *testing.T) {
-	d := &heldDisk{FS: wal.NewMem()}
+	d := &heldDisk{FS: wal.NewMemFS()}
 	l := loopWithStore(t, d)
 	h, r := l.takes("ran")
 	l.results.begin(h, r)
@@ -176,7 +176,7 @@
 // TestLastMoment: a result is not durable when its request is due, or when the process has to end. The caller gets an
 // error in time, once, and the result that gets there later is known.
 func TestLastMoment(t *testing.T) {
-	d := &heldDisk{FS: wal.NewMem()}
+	d := &heldDisk{FS: wal.NewMemFS()}
 	l := loopWithStore(t, d)
 	h, r := l.takes("a")
 	l.results.begin(h, r)
@@ -203,7 +203,7 @@
 // TestEarly: requests come before the folder is read. They wait for a second at most and are then rejected, or let in
 // as it is read; a retry that nobody can know of gets an error, as its first attempt may have run.
 func TestEarly(t *testing.T) {
-	l := loopWithStore(t, &heldDisk{FS: wal.NewMem()})
+	l := loopWithStore(t, &heldDisk{FS: wal.NewMemFS()})
 	k := l.results
 	book := k.index
 	k.index = nil
@@ -245,7 +245,7 @@
 // TestSlotLooksAgain: two attempts of a key pass as they come, and one has run by the time that the other gets its
 // slot. That one does not run, with the same body or another, and harms nothing of the first.
 func TestSlotLooksAgain(t *testing.T) {
-	l := loopWithStore(t, &heldDisk{FS: wal.NewMem()})
+	l := loopWithStore(t, &heldDisk{FS: wal.NewMemFS()})
 	h, r := l.takes("a")
 	l.results.begin(h, r)
 	l.hears(t)
@@ -274,7 +274,7 @@
 // TestTenantsKeysAreApart: two tenants use the same key. What one left behind says nothing of the other's request; a
 // key of a version that did not tell tenants apart binds all of them for its window.
 func TestTenantsKeysAreApart(t *testing.T) {
-	l := loopWithStore(t, &heldDisk{FS: wal.NewMem()})
+	l := loopWithStore(t, &heldDisk{FS: wal.NewMemFS()})
 	leave := func(q *keyedRequest) {
 		l.results.index.Begin(bootTime(), q.key, q.bodyDigest, 60_000)
 	}
--- a/internal/simulation/consensus_faults.go
+++ b/internal/simulation/consensus_faults.go
@@ -124,7 +124,7 @@
 func (w *ConsensusGroup) wipe(h *host) {
 	w.tracef("host %d comes back on an empty disk", h.n)
 	w.loseDisk(h)
-	h.replica, h.disk, h.left = nil, wal.NewMem(), -1
+	h.replica, h.disk, h.left = nil, wal.NewMemFS(), -1
 	w.startHost(h, false)
 }
 
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -59,13 +59,13 @@
 // host is a machine with a disk and, while it is up, an instance.
 type host struct {
 	n           int
-	disk        *wal.Mem
+	disk        *wal.MemFS
 	replica     *consensus.Replica
 	id          uint64
 	incarnation int   // numbered over all hosts
 	frozen      int64 // its disk stalls until then
 	left        int   // file-system steps until it crashes, -1 for none
-	copied      *wal.Mem
+	copied      *wal.MemFS
 	held        map[uint64]uint64 // index to term of what its log held on disk when last seen
 	base        uint64            // all up to it are held, in a snapshot
 	seen        uint64            // applied when last checked
@@ -121,7 +121,7 @@
 }
 
 func (w *ConsensusGroup) addHost(found bool) {
-	h := &host{n: len(w.hosts), disk: wal.NewMem(), left: -1}
+	h := &host{n: len(w.hosts), disk: wal.NewMemFS(), left: -1}
 	w.hosts = append(w.hosts, h)
 	w.startHost(h, found)
 	w.after(int64(h.n)*7%tickMS, func() { w.tick(h) })
@@ -172,7 +172,7 @@
 	return consensus.Config{Name: fmt.Sprint("i", w.lives), Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h",
 		h.n),
 		FoundGroup: found, ElectionTicks: electing, SnapshotBytes: worldSnap, DisabledGuards: w.without, Random: w.net.Uint64,
-		Sizes: wal.Sizes{Segment: worldSegment, Bound: worldBound}, Logger: discardLogger{},
+		Sizes: wal.Sizes{SegmentBytes: worldSegment, MaxBytes: worldBound}, Logger: discardLogger{},
 		OnStep: func(name string) {
 			if name == consensus.StepSend {
 				w.recordLog(h)
@@ -277,7 +277,7 @@
 			h.replica = nil
 		}
 	}()
-	h.disk.Hook = func(string, string) (int, error) {
+	h.disk.OnStep = func(string, string) (int, error) {
 		if h.left < 0 {
 			return 0, nil
 		}
@@ -302,7 +302,7 @@
 	if w.net.Intn(3) == 0 {
 		h.disk = h.disk.Kill()
 	} else {
-		h.disk = h.disk.Crash(w.net.Intn)
+		h.disk = h.disk.PowerLoss(w.net.Intn)
 	}
 	life := h.incarnation
 	w.after(ms, func() {
--- a/internal/wal/bench_test.go
+++ b/internal/wal/bench_test.go
@@ -20,7 +20,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			l := open(b, dir, Sizes{Segment: 4 << 20, Bound: 8 << 30})
+			l := open(b, dir, Sizes{SegmentBytes: 4 << 20, MaxBytes: 8 << 30})
 			defer l.Close()
 			records := make([][]byte, batch)
 			for i := range records {
--- a/internal/wal/helper_test.go
+++ b/internal/wal/helper_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-var small = Sizes{Segment: 700, Bound: 1 << 20}
+var small = Sizes{SegmentBytes: 700, MaxBytes: 1 << 20}
 
 func open(t testing.TB, fs FS, sizes Sizes) *Log {
 	t.Helper()
@@ -28,7 +28,7 @@
 type model struct {
 	base    uint64
 	entries []string
-	marks   [MaxMarks]string
+	marks   [MaxMarkKinds]string
 }
 
 func newModel() *model { return &model{base: 1} }
@@ -69,7 +69,7 @@
 		b.Entries = append(b.Entries, []byte(fmt.Sprintf("%d-%0*d", r.Int63(), r.Intn(300), 7)))
 	}
 	for n := r.Intn(3); n > 0; n-- {
-		b.Marks = append(b.Marks, Mark{r.Intn(MaxMarks), []byte(fmt.Sprint(r.Int63()))})
+		b.Marks = append(b.Marks, Mark{r.Intn(MaxMarkKinds), []byte(fmt.Sprint(r.Int63()))})
 	}
 	return b
 }
--- a/internal/wal/mem.go
+++ b/internal/wal/mem.go
@@ -8,25 +8,25 @@
 	"syscall"
 )
 
-// Mem is a folder in memory that knows what was synced, so that a test or a simulated world can take the
+// MemFS is a folder in memory that knows what was synced, so that a test or a simulated world can take the
 // power away at any moment and see what a disk may hold then. It stands in for a disk; no program writes to
 // it in earnest.
-type Mem struct {
-	mu      sync.Mutex
-	names   map[string]*memFile
-	durable map[string]*memFile // names as of the last Sync of the folder
-	moves   []func(map[string]*memFile)
-	locked  bool
+type MemFS struct {
+	mu           sync.Mutex
+	names        map[string]*memFile
+	syncedNames  map[string]*memFile // names as of the last Sync of the folder
+	pendingNames []func(map[string]*memFile)
+	locked       bool
 
-	Room int64 // bytes the folder takes, 0 for no end
-	// Hook hears of each step before it is done and can make it fail: create, open, rename, remove, write,
+	Capacity int64 // bytes the folder takes, 0 for no end
+	// OnStep hears of each step before it is done and can make it fail: create, open, rename, remove, write,
 	// truncate, sync, names (the folder's sync). What a failed write had put down already is for the hook to
 	// say, in bytes.
-	Hook func(step, name string) (done int, err error)
+	OnStep func(step, name string) (done int, err error)
 }
 
 type memFile struct {
-	dir     *Mem
+	dir     *MemFS
 	name    string
 	data    []byte
 	synced  []byte
@@ -41,20 +41,20 @@
 // sector is what a disk writes whole or not at all; the least of those in use.
 const sector = 512
 
-// NewMem gives an empty folder.
-func NewMem() *Mem {
-	return &Mem{names: map[string]*memFile{}, durable: map[string]*memFile{}}
+// NewMemFS gives an empty folder.
+func NewMemFS() *MemFS {
+	return &MemFS{names: map[string]*memFile{}, syncedNames: map[string]*memFile{}}
 }
 
-func (m *Mem) step(step, name string) (int, error) {
-	if m.Hook == nil {
+func (m *MemFS) step(step, name string) (int, error) {
+	if m.OnStep == nil {
 		return 0, nil
 	}
-	return m.Hook(step, name)
+	return m.OnStep(step, name)
 }
 
 // List gives the names in order.
-func (m *Mem) List() ([]string, error) {
+func (m *MemFS) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []string
@@ -65,23 +65,23 @@
 	return out, nil
 }
 
-func (m *Mem) move(f func(map[string]*memFile)) {
+func (m *MemFS) changeNames(f func(map[string]*memFile)) {
 	f(m.names)
-	m.moves = append(m.moves, f)
+	m.pendingNames = append(m.pendingNames, f)
 }
 
-func (m *Mem) Create(name string) (File, error) {
+func (m *MemFS) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, err := m.step("create", name); err != nil {
 		return nil, err
 	}
 	f := &memFile{dir: m, name: name}
-	m.move(func(names map[string]*memFile) { names[name] = f })
+	m.changeNames(func(names map[string]*memFile) { names[name] = f })
 	return f, nil
 }
 
-func (m *Mem) Open(name string) (File, error) {
+func (m *MemFS) Open(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, err := m.step("open", name); err != nil {
@@ -94,7 +94,7 @@
 	return f, nil
 }
 
-func (m *Mem) Rename(from, to string) error {
+func (m *MemFS) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, err := m.step("rename", from); err != nil {
@@ -104,12 +104,12 @@
 	if f == nil {
 		return &fs.PathError{Op: "rename", Path: from, Err: fs.ErrNotExist}
 	}
-	m.move(func(names map[string]*memFile) { delete(names, from); names[to] = f })
+	m.changeNames(func(names map[string]*memFile) { delete(names, from); names[to] = f })
 	f.name = to
 	return nil
 }
 
-func (m *Mem) Remove(name string) error {
+func (m *MemFS) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, err := m.step("remove", name); err != nil {
@@ -118,24 +118,24 @@
 	if m.names[name] == nil {
 		return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 	}
-	m.move(func(names map[string]*memFile) { delete(names, name) })
+	m.changeNames(func(names map[string]*memFile) { delete(names, name) })
 	return nil
 }
 
-func (m *Mem) Sync() error {
+func (m *MemFS) Sync() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, err := m.step("names", ""); err != nil {
 		return err
 	}
-	for _, f := range m.moves {
-		f(m.durable)
+	for _, f := range m.pendingNames {
+		f(m.syncedNames)
 	}
-	m.moves = m.moves[:0]
+	m.pendingNames = m.pendingNames[:0]
 	return nil
 }
 
-func (m *Mem) Lock() (func(), error) {
+func (m *MemFS) Lock() (func(), error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.locked {
@@ -145,7 +145,7 @@
 	return func() { m.mu.Lock(); m.locked = false; m.mu.Unlock() }, nil
 }
 
-func (m *Mem) used() int64 {
+func (m *MemFS) used() int64 {
 	var n int64
 	for _, f := range m.names {
 		n += int64(len(f.data))
@@ -173,7 +173,7 @@
 	if err == nil {
 		n = len(p)
 		grown := max(0, off+int64(n)-int64(len(f.data)))
-		if room := f.dir.Room; room > 0 && f.dir.used()+grown > room {
+		if room := f.dir.Capacity; room > 0 && f.dir.used()+grown > room {
 			n, err = int(max(0, int64(n)-(f.dir.used()+grown-room))), syscall.ENOSPC
 		}
 	}
@@ -230,8 +230,8 @@
 
 func (f *memFile) Close() error { return nil }
 
-// Flip turns bits of a byte over, as a disk that rots would.
-func (m *Mem) Flip(name string, off int64, bits byte) {
+// FlipBits turns bits of a byte over, as a disk that rots would.
+func (m *MemFS) FlipBits(name string, off int64, bits byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f := m.names[name]
@@ -243,10 +243,10 @@
 
 // Kill gives the folder as the next process finds it when this one was killed: all that was written is there,
 // and what was not synced still is not.
-func (m *Mem) Kill() *Mem {
+func (m *MemFS) Kill() *MemFS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.locked, m.Hook = false, nil
+	m.locked, m.OnStep = false, nil
 	for _, f := range m.names {
 		f.dir = m
 	}
@@ -254,19 +254,19 @@
 }
 
 // Copy gives what someone who copied the folder would have, and later may put back.
-func (m *Mem) Copy() *Mem { return m.copy(func(f *memFile) []byte { return f.data }, m.names) }
+func (m *MemFS) Copy() *MemFS { return m.copy(func(f *memFile) []byte { return f.data }, m.names) }
 
-// Crash gives the folder as it may be found after the power went: what was synced, and of the rest, by
+// PowerLoss gives the folder as it may be found after the power went: what was synced, and of the rest, by
 // chance, all, nothing, a part from its start or any sectors of it. chance gives a number from 0 to n-1.
-func (m *Mem) Crash(chance func(n int) int) *Mem {
+func (m *MemFS) PowerLoss(chance func(n int) int) *MemFS {
 	m.mu.Lock()
 	names := map[string]*memFile{}
-	for name, f := range m.durable {
+	for name, f := range m.syncedNames {
 		names[name] = f
 	}
-	for k := chance(len(m.moves) + 1); k > 0; k-- {
-		m.moves[0](names)
-		m.moves = m.moves[1:]
+	for k := chance(len(m.pendingNames) + 1); k > 0; k-- {
+		m.pendingNames[0](names)
+		m.pendingNames = m.pendingNames[1:]
 	}
 	m.mu.Unlock()
 	return m.copy(func(f *memFile) []byte {
@@ -296,11 +296,11 @@
 	}, names)
 }
 
-func (m *Mem) copy(content func(*memFile) []byte, names map[string]*memFile) *Mem {
+func (m *MemFS) copy(content func(*memFile) []byte, names map[string]*memFile) *MemFS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := NewMem()
-	out.Room = m.Room
+	out := NewMemFS()
+	out.Capacity = m.Capacity
 	var order []string
 	for name := range names {
 		order = append(order, name)
@@ -309,7 +309,7 @@
 	for _, name := range order {
 		data := append([]byte(nil), content(names[name])...)
 		f := &memFile{dir: out, name: name, data: data, synced: append([]byte(nil), data...)}
-		out.names[name], out.durable[name] = f, f
+		out.names[name], out.syncedNames[name] = f, f
 	}
 	return out
 }
--- a/internal/wal/pin_test.go
+++ b/internal/wal/pin_test.go
@@ -37,7 +37,7 @@
 // pinLog writes entries, marks, cuts and snapshots over several segments.
 func pinLog(t *testing.T, fs FS) {
 	t.Helper()
-	l, _, err := Open(fs, Sizes{Segment: 400, Bound: 1 << 20})
+	l, _, err := Open(fs, Sizes{SegmentBytes: 400, MaxBytes: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,11 +48,11 @@
 	commit(t, l, Batch{Cut: 20, Entries: [][]byte{entry(7), {}}, Marks: []Mark{{Kind: 0, Data: []byte("mark 0")}, {Kind: 15, Data: nil}}})
 	commit(t, l, Batch{Marks: []Mark{{Kind: 3, Data: []byte("mark 3")}}})
 	for _, number := range []uint64{4, 9, 15} {
-		if err := l.Save(number, []byte("state of "), nil, fmt.Appendf(nil, "%d", number)); err != nil {
+		if err := l.SaveSnapshot(number, []byte("state of "), nil, fmt.Appendf(nil, "%d", number)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := l.Release(9); err != nil {
+	if err := l.TruncateFront(9); err != nil {
 		t.Fatal(err)
 	}
 	for n := 30; n < 36; n++ {
@@ -67,8 +67,8 @@
 func pinContent(t *testing.T, l *Log) string {
 	t.Helper()
 	var out strings.Builder
-	fmt.Fprintf(&out, "entries %d to %d, snapshots %v, %d bytes\n", l.First(), l.Next()-1, l.Snapshots(), l.Usage())
-	if err := l.Each(func(n uint64, data []byte) error {
+	fmt.Fprintf(&out, "entries %d to %d, snapshots %v, %d bytes\n", l.First(), l.Next()-1, l.Snapshots(), l.DiskBytes())
+	if err := l.ForEach(func(n uint64, data []byte) error {
 		fmt.Fprintf(&out, "%d %q\n", n, data)
 		return nil
 	}); err != nil {
@@ -78,13 +78,13 @@
 		data, err := l.Read(n)
 		fmt.Fprintf(&out, "read %d %q %v\n", n, data, err)
 	}
-	for kind := range MaxMarks {
+	for kind := range MaxMarkKinds {
 		if m := l.Mark(kind); m != nil {
 			fmt.Fprintf(&out, "mark %d %q\n", kind, m)
 		}
 	}
 	for _, n := range l.Snapshots() {
-		body, err := l.Load(n)
+		body, err := l.LoadSnapshot(n)
 		fmt.Fprintf(&out, "snapshot %d %q %v\n", n, body, err)
 	}
 	return out.String()
@@ -109,7 +109,7 @@
 
 // TestPinLogIsWritten: the same steps give the same files as version 2a0a97e.
 func TestPinLogIsWritten(t *testing.T) {
-	fs := NewMem()
+	fs := NewMemFS()
 	pinLog(t, fs)
 	names, err := fs.List()
 	if err != nil {
@@ -124,13 +124,13 @@
 	}
 }
 
-func storedLog(t *testing.T) *Mem {
+func storedLog(t *testing.T) *MemFS {
 	t.Helper()
 	stored, err := filepath.Glob("testdata/pin/log/*")
 	if err != nil {
 		t.Fatal(err)
 	}
-	fs := NewMem()
+	fs := NewMemFS()
 	for _, path := range stored {
 		raw, err := os.ReadFile(path)
 		if err != nil {
@@ -152,8 +152,8 @@
 
 // TestPinLogIsRead: the stored files give what was written.
 func TestPinLogIsRead(t *testing.T) {
-	l, found, err := Open(storedLog(t), Sizes{Segment: 400, Bound: 1 << 20})
-	if err != nil || found.Torn != "" || found.Bytes != 0 || found.Stale != nil {
+	l, found, err := Open(storedLog(t), Sizes{SegmentBytes: 400, MaxBytes: 1 << 20})
+	if err != nil || found.TornAt != "" || found.TornBytes != 0 || found.RemovedFiles != nil {
 		t.Fatalf("%+v, %v", found, err)
 	}
 	defer l.Close()
@@ -167,16 +167,16 @@
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	end := func(fs *Mem) {
-		l, found, err := Open(fs, Sizes{Segment: 400, Bound: 1 << 20})
+	end := func(fs *MemFS) {
+		l, found, err := Open(fs, Sizes{SegmentBytes: 400, MaxBytes: 1 << 20})
 		if err != nil {
 			fmt.Fprintln(&out, err)
 			return
 		}
 		defer l.Close()
-		fmt.Fprintf(&out, "%d bytes cut off %q, entries %d to %d", found.Bytes, found.Torn, l.First(), l.Next()-1)
+		fmt.Fprintf(&out, "%d bytes cut off %q, entries %d to %d", found.TornBytes, found.TornAt, l.First(), l.Next()-1)
 		for _, n := range l.Snapshots() {
-			_, err := l.Load(n)
+			_, err := l.LoadSnapshot(n)
 			fmt.Fprintf(&out, "; snapshot %d: %v", n, err)
 		}
 		fmt.Fprintln(&out)
@@ -185,7 +185,7 @@
 		size := len(pinRead(t, storedLog(t), name))
 		for at := 0; at < size; at += 1 + size/40 {
 			fs := storedLog(t)
-			fs.Flip(name, int64(at), 1<<(at%8))
+			fs.FlipBits(name, int64(at), 1<<(at%8))
 			fmt.Fprintf(&out, "%s flipped at %d: ", name, at)
 			end(fs)
 			fs = storedLog(t)
@@ -212,26 +212,26 @@
 // TestPinErrors: the log's errors at a call are those of version 2a0a97e.
 func TestPinErrors(t *testing.T) {
 	var out strings.Builder
-	fs := NewMem()
-	l, _, err := Open(fs, Sizes{Segment: 100, Bound: 300})
+	fs := NewMemFS()
+	l, _, err := Open(fs, Sizes{SegmentBytes: 100, MaxBytes: 300})
 	if err != nil {
 		t.Fatal(err)
 	}
 	say := func(what string, err error) { fmt.Fprintf(&out, "%s: %v\n", what, err) }
-	_, err = l.Commit(Batch{Entries: [][]byte{make([]byte, MaxRecord+1)}})
+	_, err = l.Commit(Batch{Entries: [][]byte{make([]byte, MaxRecordBytes+1)}})
 	say("a large entry", err)
 	_, err = l.Commit(Batch{Marks: []Mark{{Kind: 16}}})
 	say("a mark of no kind", err)
 	_, err = l.Commit(Batch{Entries: [][]byte{make([]byte, 400)}})
 	say("past the bound", err)
-	say("a snapshot past the bound", l.Save(1, make([]byte, 400)))
+	say("a snapshot past the bound", l.SaveSnapshot(1, make([]byte, 400)))
 	_, err = l.Read(1)
 	say("an entry that is not there", err)
-	_, err = l.Load(7)
+	_, err = l.LoadSnapshot(7)
 	say("a snapshot that is not there", err)
-	_, _, err = Open(fs, Sizes{Segment: 100, Bound: 300})
+	_, _, err = Open(fs, Sizes{SegmentBytes: 100, MaxBytes: 300})
 	say("in use", err)
-	fs.Hook = func(step, _ string) (int, error) {
+	fs.OnStep = func(step, _ string) (int, error) {
 		if step == "sync" {
 			return 0, fmt.Errorf("no sync")
 		}
@@ -239,14 +239,14 @@
 	}
 	_, err = l.Commit(Batch{Entries: [][]byte{{1}}})
 	say("a failed sync", err)
-	fs.Hook = nil
+	fs.OnStep = nil
 	_, err = l.Commit(Batch{Entries: [][]byte{{1}}})
 	say("after it", err)
-	say("a release after it", l.Release(1))
+	say("a release after it", l.TruncateFront(1))
 	if err = l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	l, _, err = Open(fs, Sizes{Segment: 100, Bound: 300})
+	l, _, err = Open(fs, Sizes{SegmentBytes: 100, MaxBytes: 300})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wal/places_test.go
+++ b/internal/wal/places_test.go
@@ -12,13 +12,13 @@
 // one and all in order.
 func TestPlaces(t *testing.T) {
 	for seed := int64(1); seed <= 30; seed++ {
-		r, fs, m := rand.New(rand.NewSource(seed)), NewMem(), newModel()
+		r, fs, m := rand.New(rand.NewSource(seed)), NewMemFS(), newModel()
 		l := open(t, fs, small)
 		for step := range 120 {
 			switch k := r.Intn(12); {
 			case k == 0 && len(m.entries) > 0:
 				n := r.Intn(len(m.entries) + 1)
-				if err := l.Release(m.base + uint64(n) - 1); err != nil {
+				if err := l.TruncateFront(m.base + uint64(n) - 1); err != nil {
 					t.Fatal(err)
 				}
 				m.base, m.entries = m.base+uint64(n), m.entries[n:]
@@ -34,7 +34,7 @@
 			}
 			what := m.differs(l)
 			at := l.First()
-			if err := l.Each(func(number uint64, data []byte) error {
+			if err := l.ForEach(func(number uint64, data []byte) error {
 				if at != number || number >= m.base && string(data) != m.entries[number-m.base] {
 					return fmt.Errorf("entry %d is %.40q, expected %d", number, data, at)
 				}
@@ -53,8 +53,8 @@
 // TestReadPastDamage: an entry that is found by the heads of others is never another one, whichever bit of its segment turned over
 // since the log was opened.
 func TestReadPastDamage(t *testing.T) {
-	fs := NewMem()
-	l := open(t, fs, Sizes{Segment: 1 << 20, Bound: 1 << 20})
+	fs := NewMemFS()
+	l := open(t, fs, Sizes{SegmentBytes: 1 << 20, MaxBytes: 1 << 20})
 	var want []string
 	for i := range 12 {
 		want = append(want, strings.Repeat("x", 5*i)+fmt.Sprint(i))
@@ -67,7 +67,7 @@
 	size, _ := f.Size()
 	told := 0
 	var one [1]byte
-	for at := int64(headerBytes); at < size; at++ {
+	for at := int64(segmentHeaderBytes); at < size; at++ {
 		for bit := range 8 {
 			f.ReadAt(one[:], at)
 			was := one[0]
@@ -94,16 +94,16 @@
 
 // TestPlacesAreSmall: what a log keeps in memory of many small entries is a byte each, about.
 func TestPlacesAreSmall(t *testing.T) {
-	p := places{base: 1}
+	p := entryIndex{first: 1}
 	const n = 1 << 16
 	for i := range n {
 		p.add(uint64(i/1000), int64(i%1000)*80)
 	}
-	if bytes := 4*len(p.every) + 24*len(p.jumps); bytes > n*11/10 {
+	if bytes := 4*len(p.samples) + 24*len(p.runs); bytes > n*11/10 {
 		t.Errorf("%d bytes for %d entries, expected 1.1 each at most", bytes, n)
 	}
 	p.release(n - 10)
-	if len(p.every) > 4 || len(p.jumps) != 1 || p.find(p.base).number > p.base {
-		t.Errorf("%d offsets and %d jumps are kept for 10 entries", len(p.every), len(p.jumps))
+	if len(p.samples) > 4 || len(p.runs) != 1 || p.find(p.first).number > p.first {
+		t.Errorf("%d offsets and %d jumps are kept for 10 entries", len(p.samples), len(p.runs))
 	}
 }
--- a/internal/wal/salvage.go
+++ b/internal/wal/salvage.go
@@ -10,30 +10,30 @@
 	"strings"
 )
 
-// Salvaging is for logs whose records stand for themselves: what can still be read of a damaged one is read, with a word at
+// SalvageStarted is for logs whose records stand for themselves: what can still be read of a damaged one is read, with a word at
 // each place where something can't. A log that has to be whole, as a group's, must never be read so.
 
-// badSuffix marks segments that were put aside; the one set of them is kept until the next.
-const badSuffix = ".bad"
+// setAsideSuffix marks segments that were put aside; the one set of them is kept until the next.
+const setAsideSuffix = ".bad"
 
 // While segments are put aside, and while what was read of them is written anew, a file says so: a start that was interrupted
 // goes on from there.
 const (
-	asideMark = "salvage-aside"
-	anewMark  = "salvage-anew"
+	settingAsideFile = "salvage-aside"
+	rewritingFile    = "salvage-anew"
 )
 
-// Salvaged is one thing that was read, or a gap: something was there that can't be.
-type Salvaged struct {
+// SalvagedRecord is one thing that was read, or a gap: something was there that can't be.
+type SalvagedRecord struct {
 	Gap  bool
 	Mark bool // else an entry
 	Kind int  // of a mark
 	Data []byte
 }
 
-// Aside puts the segments of a damaged log aside, so that one can be begun in their place. It tells whether there is anything
+// SetAside puts the segments of a damaged log aside, so that one can be begun in their place. It tells whether there is anything
 // to salvage: damaged says that there is, else only what an interrupted one left counts.
-func Aside(fs FS, damaged bool) (bool, error) {
+func SetAside(fs FS, damaged bool) (bool, error) {
 	unlock, err := fs.Lock()
 	if err != nil {
 		return false, err
@@ -48,44 +48,44 @@
 		has[n] = true
 	}
 	switch {
-	case has[anewMark]: // all segments are copies of what was put aside
+	case has[rewritingFile]: // all segments are copies of what was put aside
 		for _, n := range names {
-			if _, ok := numbered(n, segSuffix); ok {
+			if _, ok := parseFileName(n, segmentSuffix); ok {
 				if err = fs.Remove(n); err != nil {
 					return false, err
 				}
 			}
 		}
 		return true, fs.Sync()
-	case has[asideMark]:
+	case has[settingAsideFile]:
 	case !damaged:
 		return false, nil
 	default:
 		for _, n := range names {
-			if strings.HasSuffix(n, badSuffix) {
+			if strings.HasSuffix(n, setAsideSuffix) {
 				if err = fs.Remove(n); err != nil {
 					return false, err
 				}
 			}
 		}
-		if err = mark(fs, asideMark); err != nil {
+		if err = createMarker(fs, settingAsideFile); err != nil {
 			return false, err
 		}
 	}
 	for _, n := range names {
-		if _, ok := numbered(n, segSuffix); ok {
-			if err = fs.Rename(n, n+badSuffix); err != nil {
+		if _, ok := parseFileName(n, segmentSuffix); ok {
+			if err = fs.Rename(n, n+setAsideSuffix); err != nil {
 				return false, err
 			}
 		}
 	}
 	if err = fs.Sync(); err == nil {
-		err = fs.Rename(asideMark, anewMark)
+		err = fs.Rename(settingAsideFile, rewritingFile)
 	}
 	return true, errors.Join(err, fs.Sync())
 }
 
-func mark(fs FS, name string) error {
+func createMarker(fs FS, name string) error {
 	f, err := fs.Create(name)
 	if err != nil {
 		return err
@@ -93,63 +93,63 @@
 	return errors.Join(f.Sync(), f.Close(), fs.Sync())
 }
 
-// Salvaging tells whether a salvage was begun and not ended.
-func Salvaging(fs FS) (bool, error) {
+// SalvageStarted tells whether a salvage was begun and not ended.
+func SalvageStarted(fs FS) (bool, error) {
 	names, err := fs.List()
-	return slices.Contains(names, asideMark) || slices.Contains(names, anewMark), err
+	return slices.Contains(names, settingAsideFile) || slices.Contains(names, rewritingFile), err
 }
 
-// SalvageDone says that all was written anew.
-func SalvageDone(fs FS) error { return errors.Join(fs.Remove(anewMark), fs.Sync()) }
+// FinishSalvage says that all was written anew.
+func FinishSalvage(fs FS) error { return errors.Join(fs.Remove(rewritingFile), fs.Sync()) }
 
 // Salvage reads what was put aside, in its order. Data is good until the next call.
-func Salvage(fs FS, take func(Salvaged) error) (gaps int, err error) {
+func Salvage(fs FS, take func(SalvagedRecord) error) (gaps int, err error) {
 	names, err := fs.List()
 	if err != nil {
 		return 0, err
 	}
 	var bad []string
 	for _, n := range names {
-		if _, ok := numbered(n, segSuffix+badSuffix); ok {
+		if _, ok := parseFileName(n, segmentSuffix+setAsideSuffix); ok {
 			bad = append(bad, n)
 		}
 	}
 	sort.Strings(bad) // sixteen digits each
 	gap := func() error {
 		gaps++
-		return take(Salvaged{Gap: true})
+		return take(SalvagedRecord{Gap: true})
 	}
 	before := uint64(0)
 	for _, n := range bad {
-		seq, _ := numbered(n, segSuffix+badSuffix)
+		seq, _ := parseFileName(n, segmentSuffix+setAsideSuffix)
 		if before > 0 && seq != before+1 {
 			if err = gap(); err != nil {
 				return gaps, err
 			}
 		}
 		before = seq
-		raw, err := whole(fs, n)
+		raw, err := readFile(fs, n)
 		if err != nil { // a segment that can't be read at all is a gap of many
 			if err = gap(); err != nil {
 				return gaps, err
 			}
 			continue
 		}
-		if err = salvage(raw, take, gap); err != nil {
+		if err = salvageSegment(raw, take, gap); err != nil {
 			return gaps, err
 		}
 	}
 	return gaps, nil
 }
 
-func whole(fs FS, name string) ([]byte, error) {
+func readFile(fs FS, name string) ([]byte, error) {
 	f, err := fs.Open(name)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
 	size, err := f.Size()
-	if err != nil || size > maxSegmented {
+	if err != nil || size > maxSegmentBytes {
 		return nil, errors.Join(err, fmt.Errorf("%d bytes", size))
 	}
 	raw := make([]byte, size)
@@ -161,19 +161,19 @@
 
 // salvage reads one segment. Each record's sum takes in the one before it, which stands right before it: so it can be told from
 // anything else wherever it begins.
-func salvage(raw []byte, take func(Salvaged) error, gap func() error) error {
-	if len(raw) < headerBytes {
+func salvageSegment(raw []byte, take func(SalvagedRecord) error, gap func() error) error {
+	if len(raw) < segmentHeaderBytes {
 		return gap()
 	}
-	lost, sum := false, binary.LittleEndian.Uint32(raw[headerBytes-sumBytes:])
-	for off := headerBytes; off < len(raw); {
+	lost, sum := false, binary.LittleEndian.Uint32(raw[segmentHeaderBytes-checksumBytes:])
+	for off := segmentHeaderBytes; off < len(raw); {
 		if lost {
-			sum = binary.LittleEndian.Uint32(raw[off-sumBytes:])
+			sum = binary.LittleEndian.Uint32(raw[off-checksumBytes:])
 		}
-		kind, number, data, ok := check(raw[off:], sum)
+		kind, number, data, ok := readRecord(raw[off:], sum)
 		whole := ok
 		if !ok {
-			kind, number, data, _, ok = vouched(raw[off:], sum)
+			kind, number, data, _, ok = readRecordByNext(raw[off:], sum)
 		}
 		if !ok {
 			lost = true
@@ -186,15 +186,15 @@
 				return err
 			}
 		}
-		end := off + headBytes + len(data)
+		end := off + recordHeaderBytes + len(data)
 		if whole {
 			sum = binary.LittleEndian.Uint32(raw[end:])
 		} else {
 			sum = crc32.Update(sum, castagnoli, raw[off:end])
 		}
-		off = end + sumBytes
-		if k := kind & kindBits; k != kindCut {
-			if err := take(Salvaged{Mark: k == kindMark, Kind: int(number), Data: data}); err != nil {
+		off = end + checksumBytes
+		if k := kind & kindMask; k != kindCut {
+			if err := take(SalvagedRecord{Mark: k == kindMark, Kind: int(number), Data: data}); err != nil {
 				return err
 			}
 		}
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -13,19 +13,19 @@
 //
 //	"umberwal" | sum of what follows u32 | format u32 | sequence u64 | next entry u64 | sum before u32
 const (
-	headerBytes  = 36
-	magic        = "umberwal"
-	format       = 1
-	segSuffix    = ".seg"
-	tmpSuffix    = ".tmp"
-	maxSegmented = 1 << 30 // a segment read whole at a start: past this it is not ours
+	segmentHeaderBytes = 36
+	magic              = "umberwal"
+	format             = 1
+	segmentSuffix      = ".seg"
+	temporarySuffix    = ".tmp"
+	maxSegmentBytes    = 1 << 30 // a segment read whole at a start: past this it is not ours
 )
 
 type segment struct {
-	seq  uint64
-	name string
-	size int64
-	file File
+	sequence uint64
+	name     string
+	size     int64
+	file     File
 }
 
 // Damage is what a log refuses to start on: something that was synced can't be read.
@@ -41,24 +41,24 @@
 		"out of the group and add an empty one, or put back a saved snapshot", d.File, d.Offset, d.Record, d.Found)
 }
 
-// Found tells what a start met.
-type Found struct {
-	Torn  string // file and byte from which a tail that was never synced was cut off, empty if none
-	Bytes int64  // cut off
-	Stale []string
+// Repair tells what a start met.
+type Repair struct {
+	TornAt       string // file and byte from which a tail that was never synced was cut off, empty if none
+	TornBytes    int64  // cut off
+	RemovedFiles []string
 }
 
-func segmentName(seq uint64) string { return fmt.Sprintf("%016x", seq) + segSuffix }
+func segmentName(seq uint64) string { return fmt.Sprintf("%016x", seq) + segmentSuffix }
 
 func createSegment(fs FS, seq, next uint64, sum uint32) (*segment, error) {
-	raw := make([]byte, headerBytes)
+	raw := make([]byte, segmentHeaderBytes)
 	copy(raw, magic)
 	binary.LittleEndian.PutUint32(raw[12:], format)
 	binary.LittleEndian.PutUint64(raw[16:], seq)
 	binary.LittleEndian.PutUint64(raw[24:], next)
 	binary.LittleEndian.PutUint32(raw[32:], sum)
 	binary.LittleEndian.PutUint32(raw[8:], crc32.Checksum(raw[12:], castagnoli))
-	s := &segment{seq: seq, name: segmentName(seq), size: headerBytes}
+	s := &segment{sequence: seq, name: segmentName(seq), size: segmentHeaderBytes}
 	var err error
 	if s.file, err = fs.Create(s.name); err != nil {
 		return nil, err
@@ -73,31 +73,31 @@
 }
 
 // check reads one record from the start of raw, given the sum before it.
-func check(raw []byte, before uint32) (kind byte, number uint64, data []byte, ok bool) {
-	if len(raw) < headBytes+sumBytes {
+func readRecord(raw []byte, before uint32) (kind byte, number uint64, data []byte, ok bool) {
+	if len(raw) < recordHeaderBytes+checksumBytes {
 		return 0, 0, nil, false
 	}
 	n := binary.LittleEndian.Uint32(raw)
 	kind = raw[4]
-	if k := kind & kindBits; n > MaxRecord || k < kindEntry || k > kindCut ||
-		int(n) > len(raw)-headBytes-sumBytes {
+	if k := kind & kindMask; n > MaxRecordBytes || k < kindEntry || k > kindCut ||
+		int(n) > len(raw)-recordHeaderBytes-checksumBytes {
 		return 0, 0, nil, false
 	}
-	end := headBytes + int(n)
+	end := recordHeaderBytes + int(n)
 	if crc32.Update(before, castagnoli, raw[:end]) != binary.LittleEndian.Uint32(raw[end:]) {
 		return 0, 0, nil, false
 	}
-	return kind, binary.LittleEndian.Uint64(raw[5:]), raw[headBytes:end], true
+	return kind, binary.LittleEndian.Uint64(raw[5:]), raw[recordHeaderBytes:end], true
 }
 
 // begun looks for the start of a flush anywhere behind from. One flush is synced before the next is written,
 // so where one is found whatever stands before it was durable once.
-func begun(raw []byte, from int) bool {
-	for q := from + 1; q+headBytes+sumBytes <= len(raw); q++ {
-		if raw[q+4]&firstOne == 0 {
+func flushStartsAfter(raw []byte, from int) bool {
+	for q := from + 1; q+recordHeaderBytes+checksumBytes <= len(raw); q++ {
+		if raw[q+4]&firstOfFlush == 0 {
 			continue
 		}
-		if _, _, _, ok := check(raw[q:], binary.LittleEndian.Uint32(raw[q-sumBytes:])); ok {
+		if _, _, _, ok := readRecord(raw[q:], binary.LittleEndian.Uint32(raw[q-checksumBytes:])); ok {
 			return true
 		}
 	}
@@ -106,30 +106,30 @@
 
 // vouched tells whether only the stored sum of the record at the start of raw is wrong: the one behind it takes in the sum that it
 // should have. next is that one's kind: where it begins a flush, what stands before it was durable.
-func vouched(raw []byte, before uint32) (kind byte, number uint64, data []byte, next byte, ok bool) {
-	if len(raw) < headBytes+sumBytes {
+func readRecordByNext(raw []byte, before uint32) (kind byte, number uint64, data []byte, next byte, ok bool) {
+	if len(raw) < recordHeaderBytes+checksumBytes {
 		return 0, 0, nil, 0, false
 	}
 	n := binary.LittleEndian.Uint32(raw)
-	if k := raw[4] & kindBits; n > MaxRecord || k < kindEntry || k > kindCut || int(n) > len(raw)-headBytes-sumBytes {
+	if k := raw[4] & kindMask; n > MaxRecordBytes || k < kindEntry || k > kindCut || int(n) > len(raw)-recordHeaderBytes-checksumBytes {
 		return 0, 0, nil, 0, false
 	}
-	end := headBytes + int(n)
-	next, _, _, ok = check(raw[end+sumBytes:], crc32.Update(before, castagnoli, raw[:end]))
-	return raw[4], binary.LittleEndian.Uint64(raw[5:]), raw[headBytes:end], next, ok
+	end := recordHeaderBytes + int(n)
+	next, _, _, ok = readRecord(raw[end+checksumBytes:], crc32.Update(before, castagnoli, raw[:end]))
+	return raw[4], binary.LittleEndian.Uint64(raw[5:]), raw[recordHeaderBytes:end], next, ok
 }
 
 // Open reads a folder's log, or begins one in an empty folder. A torn tail is cut off and told of; damage is
 // an error of type *Damage and leaves the folder as it is.
-func Open(fs FS, sizes Sizes) (*Log, Found, error) {
+func Open(fs FS, sizes Sizes) (*Log, Repair, error) {
 	unlock, err := fs.Lock()
 	if err != nil {
-		return nil, Found{}, err
+		return nil, Repair{}, err
 	}
-	l := &Log{fs: fs, sizes: sizes, unlock: unlock, at: places{base: 1}}
+	l := &Log{fs: fs, sizes: sizes, unlock: unlock, index: entryIndex{first: 1}}
 	found, err := l.recover()
 	if err != nil {
-		for _, s := range l.segs {
+		for _, s := range l.segments {
 			s.file.Close()
 		}
 		unlock()
@@ -138,7 +138,7 @@
 	return l, found, nil
 }
 
-func numbered(name, suffix string) (uint64, bool) {
+func parseFileName(name, suffix string) (uint64, bool) {
 	if len(name) != 16+len(suffix) || !strings.HasSuffix(name, suffix) {
 		return 0, false
 	}
@@ -146,21 +146,21 @@
 	return n, err == nil
 }
 
-func (l *Log) recover() (Found, error) {
-	var found Found
+func (l *Log) recover() (Repair, error) {
+	var found Repair
 	names, err := l.fs.List()
 	if err != nil {
 		return found, err
 	}
 	var seqs []uint64
 	for _, name := range names {
-		if n, ok := numbered(name, segSuffix); ok {
+		if n, ok := parseFileName(name, segmentSuffix); ok {
 			seqs = append(seqs, n)
-		} else if strings.HasSuffix(name, tmpSuffix) {
+		} else if strings.HasSuffix(name, temporarySuffix) {
 			if err := l.fs.Remove(name); err != nil {
 				return found, err
 			}
-			found.Stale = append(found.Stale, name)
+			found.RemovedFiles = append(found.RemovedFiles, name)
 		}
 	}
 	if err := l.findSnapshots(names); err != nil {
@@ -168,21 +168,21 @@
 	}
 	sort.Slice(seqs, func(i, k int) bool { return seqs[i] < seqs[k] })
 	for i, seq := range seqs {
-		if err := l.load(seq, i == 0, i == len(seqs)-1, &found); err != nil {
+		if err := l.loadSegment(seq, i == 0, i == len(seqs)-1, &found); err != nil {
 			return found, err
 		}
 	}
-	if len(l.segs) == 0 {
-		s, err := createSegment(l.fs, max(1, l.lastSeq(seqs)), l.at.base, l.sum)
+	if len(l.segments) == 0 {
+		s, err := createSegment(l.fs, max(1, l.lastSequence(seqs)), l.index.first, l.checksum)
 		if err != nil {
 			return found, err
 		}
-		l.segs = append(l.segs, s)
+		l.segments = append(l.segments, s)
 	}
 	return found, nil
 }
 
-func (l *Log) lastSeq(seqs []uint64) uint64 {
+func (l *Log) lastSequence(seqs []uint64) uint64 {
 	if len(seqs) == 0 {
 		return 0
 	}
@@ -190,18 +190,18 @@
 }
 
 // load reads one segment: its header has to go on from the one before, and its records from each other.
-func (l *Log) load(seq uint64, oldest, newest bool, found *Found) error {
+func (l *Log) loadSegment(seq uint64, oldest, newest bool, found *Repair) error {
 	name := segmentName(seq)
 	f, err := l.fs.Open(name)
 	if err != nil {
 		return err
 	}
-	s := &segment{seq: seq, name: name, file: f}
+	s := &segment{sequence: seq, name: name, file: f}
 	if s.size, err = f.Size(); err != nil {
 		return err
 	}
-	if s.size > maxSegmented {
-		return &Damage{name, 0, "the header", fmt.Sprintf("%d bytes, expected less than %d", s.size, maxSegmented)}
+	if s.size > maxSegmentBytes {
+		return &Damage{name, 0, "the header", fmt.Sprintf("%d bytes, expected less than %d", s.size, maxSegmentBytes)}
 	}
 	raw := make([]byte, s.size)
 	if s.size > 0 {
@@ -209,11 +209,11 @@
 			return &Damage{name, 0, "the header", err.Error()}
 		}
 	}
-	if bad := l.header(raw, seq, oldest); bad != "" {
-		if newest && !begun(raw, min(headerBytes, len(raw))-1) && len(raw) <= headerBytes {
+	if bad := l.checkHeader(raw, seq, oldest); bad != "" {
+		if newest && !flushStartsAfter(raw, min(segmentHeaderBytes, len(raw))-1) && len(raw) <= segmentHeaderBytes {
 			// It was being made: its header is synced before anything follows it.
 			f.Close()
-			found.Torn, found.Bytes = name+" at byte 0", s.size
+			found.TornAt, found.TornBytes = name+" at byte 0", s.size
 			if err = l.fs.Remove(name); err != nil {
 				return err
 			}
@@ -222,15 +222,15 @@
 		f.Close()
 		return &Damage{name, 0, "the header", bad}
 	}
-	l.segs = append(l.segs, s)
-	return l.records(s, raw, newest, found)
+	l.segments = append(l.segments, s)
+	return l.readRecords(s, raw, newest, found)
 }
 
-func (l *Log) header(raw []byte, seq uint64, oldest bool) string {
+func (l *Log) checkHeader(raw []byte, seq uint64, oldest bool) string {
 	switch {
-	case len(raw) < headerBytes || string(raw[:8]) != magic:
+	case len(raw) < segmentHeaderBytes || string(raw[:8]) != magic:
 		return "no header of a log"
-	case binary.LittleEndian.Uint32(raw[8:]) != crc32.Checksum(raw[12:headerBytes], castagnoli):
+	case binary.LittleEndian.Uint32(raw[8:]) != crc32.Checksum(raw[12:segmentHeaderBytes], castagnoli):
 		return "its sum does not fit"
 	case binary.LittleEndian.Uint32(raw[12:]) != format:
 		return fmt.Sprintf("format %d, expected %d", binary.LittleEndian.Uint32(raw[12:]), format)
@@ -239,20 +239,20 @@
 	}
 	next, sum := binary.LittleEndian.Uint64(raw[24:]), binary.LittleEndian.Uint32(raw[32:])
 	if oldest {
-		l.at.base, l.sum = next, sum
+		l.index.first, l.checksum = next, sum
 		return ""
 	}
-	if before := l.segs[len(l.segs)-1].seq; before+1 != seq {
+	if before := l.segments[len(l.segments)-1].sequence; before+1 != seq {
 		return fmt.Sprintf("it follows segment %d, expected %d: one is missing", before, seq-1)
 	}
-	if sum != l.sum || next != l.at.next() {
+	if sum != l.checksum || next != l.index.next() {
 		return "it does not go on from the segment before"
 	}
 	return ""
 }
 
 // records reads a segment's records flush by flush; a flush counts once it is whole.
-func (l *Log) records(s *segment, raw []byte, newest bool, found *Found) error {
+func (l *Log) readRecords(s *segment, raw []byte, newest bool, found *Repair) error {
 	type rec struct {
 		kind   byte
 		number uint64
@@ -260,61 +260,61 @@
 		off    int64
 	}
 	var flush []rec
-	sum, start, off := l.sum, headerBytes, headerBytes
-	next := l.at.next()
+	sum, start, off := l.checksum, segmentHeaderBytes, segmentHeaderBytes
+	next := l.index.next()
 	bad := ""
 	for off < len(raw) {
-		kind, number, data, ok := check(raw[off:], sum)
+		kind, number, data, ok := readRecord(raw[off:], sum)
 		switch {
 		case !ok:
 			bad = "its sum does not fit"
-		case (kind&firstOne != 0) != (len(flush) == 0):
+		case (kind&firstOfFlush != 0) != (len(flush) == 0):
 			bad = "it is out of its flush"
-		case kind&kindBits == kindEntry && number != next:
+		case kind&kindMask == kindEntry && number != next:
 			bad = fmt.Sprintf("entry %d, expected %d", number, next)
-		case kind&kindBits == kindMark && number >= MaxMarks:
-			bad = fmt.Sprintf("mark %d, expected one below %d", number, MaxMarks)
-		case kind&kindBits == kindCut && number == 0:
+		case kind&kindMask == kindMark && number >= MaxMarkKinds:
+			bad = fmt.Sprintf("mark %d, expected one below %d", number, MaxMarkKinds)
+		case kind&kindMask == kindCut && number == 0:
 			bad = "a cut to entry 0"
 		}
 		if bad != "" {
 			break
 		}
-		switch kind & kindBits {
+		switch kind & kindMask {
 		case kindEntry:
 			next++
 		case kindCut:
 			next = number
 		}
 		flush = append(flush, rec{kind, number, data, int64(off)})
-		off += headBytes + len(data) + sumBytes
-		sum = binary.LittleEndian.Uint32(raw[off-sumBytes:])
-		if kind&lastOne == 0 {
+		off += recordHeaderBytes + len(data) + checksumBytes
+		sum = binary.LittleEndian.Uint32(raw[off-checksumBytes:])
+		if kind&lastOfFlush == 0 {
 			continue
 		}
 		for _, r := range flush {
-			switch r.kind & kindBits {
+			switch r.kind & kindMask {
 			case kindEntry:
-				l.at.add(s.seq, r.off)
+				l.index.add(s.sequence, r.off)
 			case kindMark:
 				l.marks[r.number] = append([]byte{}, r.data...)
 			case kindCut:
-				l.at.cut(r.number)
+				l.index.cut(r.number)
 			}
 		}
-		l.sum, start, flush = sum, off, flush[:0]
+		l.checksum, start, flush = sum, off, flush[:0]
 	}
 	if start == len(raw) {
 		return l.settle(s, newest)
 	}
 	what := fmt.Sprintf("the record of entry %d or a mark before it", next)
-	if _, _, _, after, ok := vouched(raw[off:], sum); !newest || begun(raw, off) || ok && after&firstOne != 0 {
+	if _, _, _, after, ok := readRecordByNext(raw[off:], sum); !newest || flushStartsAfter(raw, off) || ok && after&firstOfFlush != 0 {
 		if bad == "" {
 			bad = "the flush it belongs to has no end"
 		}
 		return &Damage{s.name, int64(off), what, bad}
 	}
-	found.Torn, found.Bytes = fmt.Sprintf("%s at byte %d", s.name, start), int64(len(raw)-start)
+	found.TornAt, found.TornBytes = fmt.Sprintf("%s at byte %d", s.name, start), int64(len(raw)-start)
 	if err := s.file.Truncate(int64(start)); err != nil {
 		return err
 	}
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -10,11 +10,11 @@
 
 // A snapshot's file: "umbersnp" | sum u64 | number u64 | bytes. The sum takes in all that follows it.
 const (
-	snapSuffix = ".snap"
-	snapMagic  = "umbersnp"
-	snapHead   = 24
-	// keptSnaps is two: with the log kept from the older one on, a newest that can't be read costs nothing.
-	keptSnaps = 2
+	snapshotSuffix      = ".snap"
+	snapshotMagic       = "umbersnp"
+	snapshotHeaderBytes = 24
+	// maxSnapshots is two: with the log kept from the older one on, a newest that can't be read costs nothing.
+	maxSnapshots = 2
 )
 
 type snapshot struct {
@@ -22,11 +22,11 @@
 	bytes  int64
 }
 
-func snapName(number uint64) string { return fmt.Sprintf("%016x", number) + snapSuffix }
+func snapshotName(number uint64) string { return fmt.Sprintf("%016x", number) + snapshotSuffix }
 
 func (l *Log) findSnapshots(names []string) error {
 	for _, name := range names {
-		n, ok := numbered(name, snapSuffix)
+		n, ok := parseFileName(name, snapshotSuffix)
 		if !ok {
 			continue
 		}
@@ -39,18 +39,18 @@
 		if err != nil {
 			return err
 		}
-		l.snaps = append(l.snaps, snapshot{n, size})
+		l.snapshots = append(l.snapshots, snapshot{n, size})
 	}
-	sort.Slice(l.snaps, func(i, k int) bool { return l.snaps[i].number < l.snaps[k].number })
+	sort.Slice(l.snapshots, func(i, k int) bool { return l.snapshots[i].number < l.snapshots[k].number })
 	return nil
 }
 
-// Save writes a snapshot that stands for all entries up to a number. It is there whole or not at all; the two
+// SaveSnapshot writes a snapshot that stands for all entries up to a number. It is there whole or not at all; the two
 // newest are kept. The log itself is let go of by Release. One save at a time; commits go on beside it.
-func (l *Log) Save(number uint64, parts ...[]byte) error {
-	size := int64(snapHead)
-	head := make([]byte, snapHead)
-	copy(head, snapMagic)
+func (l *Log) SaveSnapshot(number uint64, parts ...[]byte) error {
+	size := int64(snapshotHeaderBytes)
+	head := make([]byte, snapshotHeaderBytes)
+	copy(head, snapshotMagic)
 	binary.LittleEndian.PutUint64(head[16:], number)
 	sum := xxhash.New()
 	sum.Write(head[16:])
@@ -59,57 +59,57 @@
 		size += int64(len(p))
 	}
 	binary.LittleEndian.PutUint64(head[8:], sum.Sum64())
-	if err := l.mayGrow(size); err != nil {
+	if err := l.checkSpace(size); err != nil {
 		return err
 	}
-	if err := l.writeSnapshot(snapName(number), head, parts); err != nil {
-		return l.breaks(err)
+	if err := l.writeSnapshot(snapshotName(number), head, parts); err != nil {
+		return l.failLocked(err)
 	}
-	for _, old := range l.add(snapshot{number, size}) {
-		if err := l.fs.Remove(snapName(old)); err != nil {
-			return l.breaks(err)
+	for _, old := range l.addSnapshot(snapshot{number, size}) {
+		if err := l.fs.Remove(snapshotName(old)); err != nil {
+			return l.failLocked(err)
 		}
 	}
 	if err := l.fs.Sync(); err != nil {
-		return l.breaks(err)
+		return l.failLocked(err)
 	}
 	return nil
 }
 
-func (l *Log) mayGrow(size int64) error {
+func (l *Log) checkSpace(size int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.fault != nil {
 		return l.fault
 	}
-	if l.usage()+size > l.sizes.Bound {
-		return fmt.Errorf("%w: a snapshot of %d bytes beside %d, expected at most %d", ErrFull, size, l.usage(),
-			l.sizes.Bound)
+	if l.diskBytes()+size > l.sizes.MaxBytes {
+		return fmt.Errorf("%w: a snapshot of %d bytes beside %d, expected at most %d", ErrFull, size, l.diskBytes(),
+			l.sizes.MaxBytes)
 	}
 	return nil
 }
 
 // add takes a snapshot into the list and gives the numbers of those that go for it.
-func (l *Log) add(s snapshot) (gone []uint64) {
+func (l *Log) addSnapshot(s snapshot) (gone []uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	kept := l.snaps[:0]
-	for _, o := range l.snaps {
+	kept := l.snapshots[:0]
+	for _, o := range l.snapshots {
 		if o.number != s.number {
 			kept = append(kept, o)
 		}
 	}
-	l.snaps = append(kept, s)
-	sort.Slice(l.snaps, func(i, k int) bool { return l.snaps[i].number < l.snaps[k].number })
-	for len(l.snaps) > keptSnaps {
-		gone = append(gone, l.snaps[0].number)
-		l.snaps = append(l.snaps[:0], l.snaps[1:]...)
+	l.snapshots = append(kept, s)
+	sort.Slice(l.snapshots, func(i, k int) bool { return l.snapshots[i].number < l.snapshots[k].number })
+	for len(l.snapshots) > maxSnapshots {
+		gone = append(gone, l.snapshots[0].number)
+		l.snapshots = append(l.snapshots[:0], l.snapshots[1:]...)
 	}
 	return gone
 }
 
 func (l *Log) writeSnapshot(name string, head []byte, parts [][]byte) error {
-	f, err := l.fs.Create(name + tmpSuffix)
+	f, err := l.fs.Create(name + temporarySuffix)
 	if err != nil {
 		return err
 	}
@@ -131,7 +131,7 @@
 	if err = f.Close(); err != nil {
 		return err
 	}
-	if err = l.fs.Rename(name+tmpSuffix, name); err != nil {
+	if err = l.fs.Rename(name+temporarySuffix, name); err != nil {
 		return err
 	}
 	return l.fs.Sync()
@@ -142,15 +142,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []uint64
-	for i := len(l.snaps) - 1; i >= 0; i-- {
-		out = append(out, l.snaps[i].number)
+	for i := len(l.snapshots) - 1; i >= 0; i-- {
+		out = append(out, l.snapshots[i].number)
 	}
 	return out
 }
 
-// Load reads a snapshot, checked against its sum.
-func (l *Log) Load(number uint64) ([]byte, error) {
-	name := snapName(number)
+// LoadSnapshot reads a snapshot, checked against its sum.
+func (l *Log) LoadSnapshot(number uint64) ([]byte, error) {
+	name := snapshotName(number)
 	f, err := l.fs.Open(name)
 	if err != nil {
 		return nil, err
@@ -175,9 +175,9 @@
 
 // Unwrap gives what a snapshot's file holds, and its number.
 func Unwrap(raw []byte) (body []byte, number uint64, ok bool) {
-	if len(raw) < snapHead || string(raw[:8]) != snapMagic ||
+	if len(raw) < snapshotHeaderBytes || string(raw[:8]) != snapshotMagic ||
 		binary.LittleEndian.Uint64(raw[8:]) != xxhash.Sum64(raw[16:]) {
 		return nil, 0, false
 	}
-	return raw[snapHead:], binary.LittleEndian.Uint64(raw[16:]), true
+	return raw[snapshotHeaderBytes:], binary.LittleEndian.Uint64(raw[16:]), true
 }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -16,8 +16,8 @@
 
 // Bounds that hold for every log.
 const (
-	MaxRecord = 8 << 20 // bytes of one entry or mark: the largest document, with room to spare
-	MaxMarks  = 16      // kinds of marks
+	MaxRecordBytes = 8 << 20 // bytes of one entry or mark: the largest document, with room to spare
+	MaxMarkKinds   = 16      // kinds of marks
 )
 
 // On disk a record is a head, what it carries, and a sum at its end that takes in the sum before it:
@@ -27,15 +27,15 @@
 // As the sum stands last, a reader can check a record from anywhere, with the four bytes before it as the sum
 // before. That tells a tail that was torn from damage with good records behind it.
 const (
-	headBytes = 13
-	sumBytes  = 4
-
-	kindEntry byte = 1
-	kindMark  byte = 2
-	kindCut   byte = 3 // the next entry has this number: later ones no longer count
-	kindBits  byte = 0x0f
-	firstOne  byte = 0x80 // of a flush, which is synced before the next is written
-	lastOne   byte = 0x40
+	recordHeaderBytes = 13
+	checksumBytes     = 4
+
+	kindEntry    byte = 1
+	kindMark     byte = 2
+	kindCut      byte = 3 // the next entry has this number: later ones no longer count
+	kindMask     byte = 0x0f
+	firstOfFlush byte = 0x80 // of a flush, which is synced before the next is written
+	lastOfFlush  byte = 0x40
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -49,13 +49,13 @@
 
 // Sizes are a log's two figures.
 type Sizes struct {
-	Segment int64 // bytes after which a new segment is begun
-	Bound   int64 // bytes of all files together
+	SegmentBytes int64 // bytes after which a new segment is begun
+	MaxBytes     int64 // bytes of all files together
 }
 
 // Mark is a small value that counts until the next of its kind.
 type Mark struct {
-	Kind int // 0 to MaxMarks-1
+	Kind int // 0 to MaxMarkKinds-1
 	Data []byte
 }
 
@@ -67,7 +67,7 @@
 }
 
 // place is where a record that was just written stands.
-type place struct {
+type position struct {
 	seg uint64 // sequence number of the segment
 	off int64  // of the record's head
 }
@@ -78,14 +78,14 @@
 	sizes  Sizes
 	unlock func()
 
-	mu    sync.Mutex // guards what follows
-	segs  []*segment // oldest first; the last one is written to
-	at    places
-	marks [MaxMarks][]byte
-	sum   uint32
-	snaps []snapshot // oldest first, two at most
-	fault error
-	buf   []byte
+	mu        sync.Mutex // guards what follows
+	segments  []*segment // oldest first; the last one is written to
+	index     entryIndex
+	marks     [MaxMarkKinds][]byte
+	checksum  uint32
+	snapshots []snapshot // oldest first, two at most
+	fault     error
+	buf       []byte
 
 	queue   []*waiter
 	writing bool
@@ -103,14 +103,14 @@
 // while another's sync is under way share the next one.
 func (l *Log) Commit(b Batch) (uint64, error) {
 	for _, e := range b.Entries {
-		if len(e) > MaxRecord {
-			return 0, fmt.Errorf("an entry of %d bytes, expected at most %d", len(e), MaxRecord)
+		if len(e) > MaxRecordBytes {
+			return 0, fmt.Errorf("an entry of %d bytes, expected at most %d", len(e), MaxRecordBytes)
 		}
 	}
 	for _, m := range b.Marks {
-		if len(m.Data) > MaxRecord || m.Kind < 0 || m.Kind >= MaxMarks {
+		if len(m.Data) > MaxRecordBytes || m.Kind < 0 || m.Kind >= MaxMarkKinds {
 			return 0, fmt.Errorf("a mark of kind %d with %d bytes, expected kinds below %d and at most %d bytes",
-				m.Kind, len(m.Data), MaxMarks, MaxRecord)
+				m.Kind, len(m.Data), MaxMarkKinds, MaxRecordBytes)
 		}
 	}
 	w := &waiter{batch: b}
@@ -158,38 +158,38 @@
 	for _, w := range took {
 		need += batchBytes(w.batch)
 	}
-	if l.usage()+need > l.sizes.Bound {
-		all(fmt.Errorf("%w: %d bytes and %d more, expected at most %d", ErrFull, l.usage(), need, l.sizes.Bound))
+	if l.diskBytes()+need > l.sizes.MaxBytes {
+		all(fmt.Errorf("%w: %d bytes and %d more, expected at most %d", ErrFull, l.diskBytes(), need, l.sizes.MaxBytes))
 		return
 	}
-	cur := l.segs[len(l.segs)-1]
-	fresh := cur.size > headerBytes && cur.size+need > l.sizes.Segment
+	cur := l.segments[len(l.segments)-1]
+	fresh := cur.size > segmentHeaderBytes && cur.size+need > l.sizes.SegmentBytes
 	if fresh {
-		at, sum := l.at.next(), l.sum
+		at, sum := l.index.next(), l.checksum
 		l.mu.Unlock()
-		next, err := createSegment(l.fs, cur.seq+1, at, sum)
+		next, err := createSegment(l.fs, cur.sequence+1, at, sum)
 		l.mu.Lock()
 		if err != nil {
 			l.fault = fmt.Errorf("%w: a new segment: %w", ErrBroken, err)
 			all(l.fault)
 			return
 		}
-		l.segs = append(l.segs, next)
+		l.segments = append(l.segments, next)
 		cur = next
 	}
-	w := writer{buf: l.buf[:0], sum: l.sum, seg: cur.seq, off: cur.size, next: l.at.next(),
-		last: -1}
+	w := recordWriter{buf: l.buf[:0], checksum: l.checksum, segment: cur.sequence, offset: cur.size, next: l.index.next(),
+		lastRecord: -1}
 	if fresh { // the marks stand in each segment, so that older ones can go
 		for k, m := range l.marks {
 			if m != nil {
-				w.add(kindMark, uint64(k), m)
+				w.append(kindMark, uint64(k), m)
 			}
 		}
 	}
 	for _, o := range took {
 		o.first, o.err = w.batch(o.batch), nil
 	}
-	if w.last < 0 {
+	if w.lastRecord < 0 {
 		return // nothing to write
 	}
 	w.close()
@@ -207,9 +207,9 @@
 	}
 	l.flushes++
 	cur.size += int64(len(w.buf))
-	l.sum = w.sum
+	l.checksum = w.checksum
 	for _, o := range took {
-		l.note(o.batch, &w)
+		l.applyBatch(o.batch, &w)
 	}
 	if cap(l.buf) > 1<<20 {
 		l.buf = nil
@@ -217,14 +217,14 @@
 }
 
 // note takes over what a batch says once it is durable.
-func (l *Log) note(b Batch, w *writer) {
+func (l *Log) applyBatch(b Batch, w *recordWriter) {
 	if b.Cut > 0 {
-		l.at.cut(b.Cut)
+		l.index.cut(b.Cut)
 	}
-	for _, p := range w.places[:len(b.Entries)] {
-		l.at.add(p.seg, p.off)
+	for _, p := range w.positions[:len(b.Entries)] {
+		l.index.add(p.seg, p.off)
 	}
-	w.places = w.places[len(b.Entries):]
+	w.positions = w.positions[len(b.Entries):]
 	for _, m := range b.Marks {
 		l.marks[m.Kind] = append([]byte{}, m.Data...)
 	}
@@ -233,79 +233,79 @@
 func batchBytes(b Batch) int64 {
 	n := int64(0)
 	if b.Cut > 0 {
-		n += headBytes + sumBytes
+		n += recordHeaderBytes + checksumBytes
 	}
 	for _, e := range b.Entries {
-		n += int64(len(e)) + headBytes + sumBytes
+		n += int64(len(e)) + recordHeaderBytes + checksumBytes
 	}
 	for _, m := range b.Marks {
-		n += int64(len(m.Data)) + headBytes + sumBytes
+		n += int64(len(m.Data)) + recordHeaderBytes + checksumBytes
 	}
 	return n
 }
 
 // writer puts records together for one flush.
-type writer struct {
-	buf    []byte
-	sum    uint32
-	seg    uint64
-	off    int64
-	next   uint64
-	last   int // where the last record's head stands in buf
-	prev   uint32
-	places []place
+type recordWriter struct {
+	buf              []byte
+	checksum         uint32
+	segment          uint64
+	offset           int64
+	next             uint64
+	lastRecord       int // where the last record's head stands in buf
+	previousChecksum uint32
+	positions        []position
 }
 
-func (w *writer) add(kind byte, number uint64, data []byte) {
-	if w.last < 0 {
-		kind |= firstOne
+func (w *recordWriter) append(kind byte, number uint64, data []byte) {
+	if w.lastRecord < 0 {
+		kind |= firstOfFlush
 	}
-	w.last, w.prev = len(w.buf), w.sum
+	w.lastRecord, w.previousChecksum = len(w.buf), w.checksum
 	w.buf = binary.LittleEndian.AppendUint32(w.buf, uint32(len(data)))
 	w.buf = append(w.buf, kind)
 	w.buf = binary.LittleEndian.AppendUint64(w.buf, number)
 	w.buf = append(w.buf, data...)
-	w.sum = crc32.Update(w.prev, castagnoli, w.buf[w.last:])
-	w.buf = binary.LittleEndian.AppendUint32(w.buf, w.sum)
+	w.checksum = crc32.Update(w.previousChecksum, castagnoli, w.buf[w.lastRecord:])
+	w.buf = binary.LittleEndian.AppendUint32(w.buf, w.checksum)
 }
 
-func (w *writer) batch(b Batch) uint64 {
+func (w *recordWriter) batch(b Batch) uint64 {
 	if b.Cut > 0 {
-		w.add(kindCut, b.Cut, nil)
+		w.append(kindCut, b.Cut, nil)
 		w.next = b.Cut
 	}
 	first := w.next
 	for _, e := range b.Entries {
-		w.places = append(w.places, place{w.seg, w.off + int64(len(w.buf))})
-		w.add(kindEntry, w.next, e)
+		w.positions = append(w.positions, position{w.segment, w.offset + int64(len(w.buf))})
+		w.append(kindEntry, w.next, e)
 		w.next++
 	}
 	for _, m := range b.Marks {
-		w.add(kindMark, uint64(m.Kind), m.Data)
+		w.append(kindMark, uint64(m.Kind), m.Data)
 	}
 	return first
 }
 
 // close marks the last record as such and sums it again.
-func (w *writer) close() {
-	w.buf[w.last+4] |= lastOne
-	end := len(w.buf) - sumBytes
-	w.sum = crc32.Update(w.prev, castagnoli, w.buf[w.last:end])
-	binary.LittleEndian.PutUint32(w.buf[end:], w.sum)
+func (w *recordWriter) close() {
+	w.buf[w.lastRecord+4] |= lastOfFlush
+	end := len(w.buf) - checksumBytes
+	w.checksum = crc32.Update(w.previousChecksum, castagnoli, w.buf[w.lastRecord:end])
+	binary.LittleEndian.PutUint32(w.buf[end:], w.checksum)
 }
 
 // First gives the number of the first entry held; it is Next where there is none.
 func (l *Log) First() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.at.base
+	return l.index.first
 }
 
 // Next gives the number the next entry gets.
 func (l *Log) Next() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.at.next()
+	return l.index.next()
 }
 
 // Mark gives the last mark of a kind, nil if there is none.
@@ -315,26 +315,26 @@
 	return l.marks[kind]
 }
 
-// Flushes counts the syncs that callers waited for.
-func (l *Log) Flushes() uint64 {
+// SyncCount counts the syncs that callers waited for.
+func (l *Log) SyncCount() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.flushes
 }
 
-// Usage gives the bytes of all files.
-func (l *Log) Usage() int64 {
+// DiskBytes gives the bytes of all files.
+func (l *Log) DiskBytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.usage()
+	return l.diskBytes()
 }
 
-func (l *Log) usage() int64 {
+func (l *Log) diskBytes() int64 {
 	n := int64(0)
-	for _, s := range l.segs {
+	for _, s := range l.segments {
 		n += s.size
 	}
-	for _, s := range l.snaps {
+	for _, s := range l.snapshots {
 		n += s.bytes
 	}
 	return n
@@ -344,10 +344,10 @@
 func (l *Log) Read(number uint64) ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if number < l.at.base || number >= l.at.next() {
-		return nil, fmt.Errorf("entry %d, expected one from %d to %d", number, l.at.base, l.at.next()-1)
+	if number < l.index.first || number >= l.index.next() {
+		return nil, fmt.Errorf("entry %d, expected one from %d to %d", number, l.index.first, l.index.next()-1)
 	}
-	from := l.at.find(number)
+	from := l.index.find(number)
 	s := l.segment(from.seg)
 	bad := func(off int64, what string) error {
 		return &Damage{s.name, off, fmt.Sprintf("entry %d", number), what}
@@ -359,46 +359,46 @@
 	if err != nil {
 		return nil, bad(off, err.Error())
 	}
-	raw := make([]byte, sumBytes+headBytes+length+sumBytes)
-	if _, err := s.file.ReadAt(raw, off-sumBytes); err != nil {
+	raw := make([]byte, checksumBytes+recordHeaderBytes+length+checksumBytes)
+	if _, err := s.file.ReadAt(raw, off-checksumBytes); err != nil {
 		return nil, bad(off, err.Error())
 	}
-	kind, n, data, ok := check(raw[sumBytes:], binary.LittleEndian.Uint32(raw))
-	if !ok || kind&kindBits != kindEntry || n != number {
+	kind, n, data, ok := readRecord(raw[checksumBytes:], binary.LittleEndian.Uint32(raw))
+	if !ok || kind&kindMask != kindEntry || n != number {
 		return nil, bad(off, "its sum does not fit")
 	}
 	return data, nil
 }
 
-// Each gives all entries in order, segment by segment, as they were checked when the log was opened. It is for a start: nothing
+// ForEach gives all entries in order, segment by segment, as they were checked when the log was opened. It is for a start: nothing
 // else goes on meanwhile.
-func (l *Log) Each(f func(number uint64, data []byte) error) error {
+func (l *Log) ForEach(f func(number uint64, data []byte) error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var s *segment
 	var raw []byte
 	read := func(head []byte, off int64) error {
-		if off+headBytes > s.size {
+		if off+recordHeaderBytes > s.size {
 			return io.ErrUnexpectedEOF
 		}
 		copy(head, raw[off:])
 		return nil
 	}
-	for i, j := range l.at.jumps { // from each of these on, entries stand one behind the other
-		if s == nil || s.seq != j.seg {
+	for i, j := range l.index.runs { // from each of these on, entries stand one behind the other
+		if s == nil || s.sequence != j.seg {
 			s = l.segment(j.seg)
 			raw = make([]byte, s.size)
 			if _, err := s.file.ReadAt(raw, 0); err != nil {
 				return &Damage{s.name, 0, "its records", err.Error()}
 			}
 		}
-		number, end := max(j.number, l.at.base), l.at.next()
-		if i+1 < len(l.at.jumps) {
-			end = l.at.jumps[i+1].number
+		number, end := max(j.number, l.index.first), l.index.next()
+		if i+1 < len(l.index.runs) {
+			end = l.index.runs[i+1].number
 		}
-		for from := l.at.find(number); number < end; number++ {
+		for from := l.index.find(number); number < end; number++ {
 			off, length, err := seek(read, from, number)
-			if off += headBytes; err == nil && off+int64(length) > s.size {
+			if off += recordHeaderBytes; err == nil && off+int64(length) > s.size {
 				err = io.ErrUnexpectedEOF
 			}
 			if err != nil {
@@ -407,54 +407,54 @@
 			if err = f(number, raw[off:off+int64(length)]); err != nil {
 				return err
 			}
-			from = jump{number + 1, j.seg, uint32(off + int64(length) + sumBytes)}
+			from = run{number + 1, j.seg, uint32(off + int64(length) + checksumBytes)}
 		}
 	}
 	return nil
 }
 
-func (l *Log) segment(seq uint64) *segment { return l.segs[seq-l.segs[0].seq] }
+func (l *Log) segment(seq uint64) *segment { return l.segments[seq-l.segments[0].sequence] }
 
-// Release lets entries up to a number go. Whole segments leave the disk; what shares a segment with later
+// TruncateFront lets entries up to a number go. Whole segments leave the disk; what shares a segment with later
 // entries stays until they go too. The caller keeps a snapshot of what it lets go of.
-func (l *Log) Release(upto uint64) error {
+func (l *Log) TruncateFront(upto uint64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.fault != nil {
 		return l.fault
 	}
-	if upto+1 > l.at.base {
-		l.at.release(int(min(upto+1-l.at.base, uint64(l.at.n))))
+	if upto+1 > l.index.first {
+		l.index.release(int(min(upto+1-l.index.first, uint64(l.index.count))))
 	}
-	keep := l.segs[len(l.segs)-1].seq
-	if l.at.n > 0 {
-		keep = l.at.find(l.at.base).seg
+	keep := l.segments[len(l.segments)-1].sequence
+	if l.index.count > 0 {
+		keep = l.index.find(l.index.first).seg
 	}
 	gone := 0
-	for l.segs[gone].seq < keep {
-		if err := l.fs.Remove(l.segs[gone].name); err != nil {
-			return l.broken(err)
+	for l.segments[gone].sequence < keep {
+		if err := l.fs.Remove(l.segments[gone].name); err != nil {
+			return l.fail(err)
 		}
-		l.segs[gone].file.Close()
+		l.segments[gone].file.Close()
 		gone++
 	}
 	if gone == 0 {
 		return nil
 	}
-	l.segs = append([]*segment{}, l.segs[gone:]...)
+	l.segments = append([]*segment{}, l.segments[gone:]...)
 	if err := l.fs.Sync(); err != nil {
-		return l.broken(err)
+		return l.fail(err)
 	}
 	return nil
 }
 
-func (l *Log) breaks(err error) error {
+func (l *Log) failLocked(err error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.broken(err)
+	return l.fail(err)
 }
 
-func (l *Log) broken(err error) error {
+func (l *Log) fail(err error) error {
 	l.fault = fmt.Errorf("%w: %w", ErrBroken, err)
 	return l.fault
 }
@@ -469,7 +469,7 @@
 	if l.fault == nil {
 		l.fault = errors.New("the log is closed")
 	}
-	for _, s := range l.segs {
+	for _, s := range l.segments {
 		s.file.Close()
 	}
 	l.unlock()
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -18,10 +18,10 @@
 	torn := 0
 	for seed := int64(0); seed < 400; seed++ {
 		r := rand.New(rand.NewSource(seed))
-		disk, m := NewMem(), newModel()
+		disk, m := NewMemFS(), newModel()
 		for life := 0; life < 6; life++ {
 			left := r.Intn(120)
-			disk.Hook = func(string, string) (int, error) {
+			disk.OnStep = func(string, string) (int, error) {
 				if left--; left < 0 {
 					return r.Intn(400), errPower
 				}
@@ -30,7 +30,7 @@
 			var tried *model
 			l, found, err := Open(disk, small)
 			if err == nil {
-				if found.Torn != "" {
+				if found.TornAt != "" {
 					torn++
 				}
 				if d := m.differs(l); d != "" {
@@ -47,7 +47,7 @@
 					if r.Intn(6) == 0 && len(m.entries) > 3 {
 						gone := r.Intn(3) + 1
 						m.entries, m.base = m.entries[gone:], m.base+uint64(gone)
-						if err = l.Release(m.base - 1); err != nil {
+						if err = l.TruncateFront(m.base - 1); err != nil {
 							break
 						}
 					}
@@ -58,11 +58,11 @@
 			if r.Intn(4) == 0 {
 				disk = disk.Kill()
 			} else {
-				disk = disk.Crash(r.Intn)
+				disk = disk.PowerLoss(r.Intn)
 			}
 			if tried != nil { // settled by what is found, once
 				l, found, err := Open(disk, small)
-				if found.Torn != "" {
+				if found.TornAt != "" {
 					torn++
 				}
 				if err != nil {
@@ -87,17 +87,17 @@
 // TestDamageInTheMiddle flips each byte in turn. Before the last flush that is damage, told with its place,
 // and the folder is left as it was; within the last flush it can't be told from a torn tail.
 func TestDamageInTheMiddle(t *testing.T) {
-	fill := func(flushes int) (*Mem, int64) {
-		disk := NewMem()
-		l := open(t, disk, Sizes{Segment: 300, Bound: 1 << 20})
+	fill := func(flushes int) (*MemFS, int64) {
+		disk := NewMemFS()
+		l := open(t, disk, Sizes{SegmentBytes: 300, MaxBytes: 1 << 20})
 		last := int64(0)
 		for i := 0; i < flushes; i++ {
-			was := len(l.segs)
-			last = l.segs[was-1].size
+			was := len(l.segments)
+			last = l.segments[was-1].size
 			commit(t, l, Batch{Entries: [][]byte{[]byte(fmt.Sprint("entry ", i))},
 				Marks: []Mark{{1, []byte(fmt.Sprint(i))}}})
-			if len(l.segs) > was {
-				last = headerBytes
+			if len(l.segments) > was {
+				last = segmentHeaderBytes
 			}
 		}
 		l.Close()
@@ -114,11 +114,11 @@
 			size, _ := f.Size()
 			for off := int64(0); off < size; off++ {
 				disk, _ := fill(flushes)
-				disk.Flip(name, off, 0x10)
+				disk.FlipBits(name, off, 0x10)
 				l, found, err := Open(disk, small)
 				var damage *Damage
 				if i == len(names)-1 && off >= lastFlush {
-					if err != nil || found.Torn == "" || l.Next() != uint64(flushes) {
+					if err != nil || found.TornAt == "" || l.Next() != uint64(flushes) {
 						t.Fatalf("%s byte %d: %v, expected the last flush cut off", name, off, err)
 					}
 					continue
@@ -135,8 +135,8 @@
 }
 
 func TestMissingSegmentIsDamage(t *testing.T) {
-	disk := NewMem()
-	l := open(t, disk, Sizes{Segment: 100, Bound: 1 << 20})
+	disk := NewMemFS()
+	l := open(t, disk, Sizes{SegmentBytes: 100, MaxBytes: 1 << 20})
 	for i := 0; i < 9; i++ {
 		commit(t, l, Batch{Entries: [][]byte{make([]byte, 50)}})
 	}
@@ -149,11 +149,11 @@
 }
 
 func TestFailedSyncEndsTheLog(t *testing.T) {
-	disk := NewMem()
+	disk := NewMemFS()
 	l := open(t, disk, small)
 	commit(t, l, Batch{Entries: [][]byte{[]byte("a")}})
 	fail := true
-	disk.Hook = func(step, _ string) (int, error) {
+	disk.OnStep = func(step, _ string) (int, error) {
 		if step == "sync" && fail {
 			fail = false // a second sync would succeed and say nothing of what was lost
 			return 0, syscall.EIO
@@ -165,14 +165,14 @@
 			t.Fatalf("commit %d: %v, expected %v", i, err, ErrBroken)
 		}
 	}
-	if err := l.Save(1, []byte("x")); !errors.Is(err, ErrBroken) {
+	if err := l.SaveSnapshot(1, []byte("x")); !errors.Is(err, ErrBroken) {
 		t.Fatalf("snapshot: %v, expected %v", err, ErrBroken)
 	}
 }
 
 func TestFullDisk(t *testing.T) {
-	disk := NewMem()
-	disk.Room = 3000
+	disk := NewMemFS()
+	disk.Capacity = 3000
 	l := open(t, disk, small)
 	m := newModel()
 	for n := 0; ; n++ {
@@ -187,10 +187,10 @@
 	}
 	l.Close()
 	disk = disk.Kill()
-	disk.Room = 0
+	disk.Capacity = 0
 	l, found, err := Open(disk, small)
-	if err != nil || found.Torn == "" {
-		t.Fatalf("open after a full disk: %v, torn %q", err, found.Torn)
+	if err != nil || found.TornAt == "" {
+		t.Fatalf("open after a full disk: %v, torn %q", err, found.TornAt)
 	}
 	if d := m.differs(l); d != "" {
 		t.Fatal(d)
@@ -198,7 +198,7 @@
 }
 
 func TestBoundRefusesAndHarmsNothing(t *testing.T) {
-	l := open(t, NewMem(), Sizes{Segment: 400, Bound: 2000})
+	l := open(t, NewMemFS(), Sizes{SegmentBytes: 400, MaxBytes: 2000})
 	m := newModel()
 	for {
 		b := Batch{Entries: [][]byte{make([]byte, 150)}}
@@ -210,13 +210,13 @@
 		}
 		m.apply(b)
 	}
-	if l.Usage() > 2000 {
-		t.Fatalf("%d bytes, expected at most 2000", l.Usage())
+	if l.DiskBytes() > 2000 {
+		t.Fatalf("%d bytes, expected at most 2000", l.DiskBytes())
 	}
 	if d := m.differs(l); d != "" {
 		t.Fatal(d)
 	}
-	if err := l.Release(m.next() - 2); err != nil {
+	if err := l.TruncateFront(m.next() - 2); err != nil {
 		t.Fatal(err)
 	}
 	commit(t, l, Batch{Entries: [][]byte{make([]byte, 150)}})
@@ -224,11 +224,11 @@
 
 // TestGroupCommit holds the first sync until all others wait: they share the second.
 func TestGroupCommit(t *testing.T) {
-	disk := NewMem()
-	l := open(t, disk, Sizes{Segment: 1 << 20, Bound: 1 << 20})
+	disk := NewMemFS()
+	l := open(t, disk, Sizes{SegmentBytes: 1 << 20, MaxBytes: 1 << 20})
 	entered, gate := make(chan struct{}), make(chan struct{})
 	first := true
-	disk.Hook = func(step, _ string) (int, error) {
+	disk.OnStep = func(step, _ string) (int, error) {
 		if step == "sync" && first {
 			first = false
 			close(entered)
@@ -260,8 +260,8 @@
 	}
 	close(gate)
 	wg.Wait()
-	if l.Flushes() != 2 {
-		t.Fatalf("%d syncs for 20 commits, expected 2", l.Flushes())
+	if l.SyncCount() != 2 {
+		t.Fatalf("%d syncs for 20 commits, expected 2", l.SyncCount())
 	}
 	for i, n := range numbers {
 		if got, err := l.Read(n); err != nil || string(got) != fmt.Sprint(i) {
@@ -271,19 +271,19 @@
 }
 
 func TestReleaseKeepsMarksAndBoundsTheDisk(t *testing.T) {
-	disk := NewMem()
+	disk := NewMemFS()
 	l := open(t, disk, small)
 	commit(t, l, Batch{Marks: []Mark{{3, []byte("kept")}}})
 	most := int64(0)
 	for i := uint64(1); i <= 500; i++ {
 		commit(t, l, Batch{Entries: [][]byte{make([]byte, 100)}})
-		if err := l.Release(i - min(i, 5)); err != nil {
+		if err := l.TruncateFront(i - min(i, 5)); err != nil {
 			t.Fatal(err)
 		}
-		most = max(most, l.Usage())
+		most = max(most, l.DiskBytes())
 	}
-	if most > 4*small.Segment {
-		t.Fatalf("%d bytes at most, expected under %d", most, 4*small.Segment)
+	if most > 4*small.SegmentBytes {
+		t.Fatalf("%d bytes at most, expected under %d", most, 4*small.SegmentBytes)
 	}
 	l.Close()
 	if l = open(t, disk, small); string(l.Mark(3)) != "kept" || l.Next() != 501 {
@@ -294,33 +294,33 @@
 // TestSnapshotAtAnyStep crashes at each step of a save: the old ones are there, or the new one whole.
 func TestSnapshotAtAnyStep(t *testing.T) {
 	for at := 0; ; at++ {
-		disk := NewMem()
+		disk := NewMemFS()
 		l := open(t, disk, small)
 		for i := uint64(1); i <= 3; i++ {
 			commit(t, l, Batch{Entries: [][]byte{{byte(i)}}})
-			if err := l.Save(i, []byte("state "), []byte{'0' + byte(i)}); err != nil {
+			if err := l.SaveSnapshot(i, []byte("state "), []byte{'0' + byte(i)}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		left, failed := at, false
-		disk.Hook = func(string, string) (int, error) {
+		disk.OnStep = func(string, string) (int, error) {
 			if left--; left < 0 {
 				failed = true
 				return 7, errPower
 			}
 			return 0, nil
 		}
-		l.Save(4, []byte("state "), []byte("4"))
+		l.SaveSnapshot(4, []byte("state "), []byte("4"))
 		r := rand.New(rand.NewSource(int64(at)))
-		disk.Hook = nil
-		after := disk.Crash(r.Intn)
+		disk.OnStep = nil
+		after := disk.PowerLoss(r.Intn)
 		l = open(t, after, small)
 		snaps := l.Snapshots()
 		if len(snaps) < 2 || snaps[0] < 3 {
 			t.Fatalf("step %d: snapshots %v, expected two, 3 or 4 the newest", at, snaps)
 		}
 		for _, n := range snaps {
-			if got, err := l.Load(n); err != nil || string(got) != fmt.Sprint("state ", n) {
+			if got, err := l.LoadSnapshot(n); err != nil || string(got) != fmt.Sprint("state ", n) {
 				t.Fatalf("step %d: snapshot %d is %q (%v)", at, n, got, err)
 			}
 		}
@@ -331,14 +331,14 @@
 }
 
 func TestDamagedSnapshotIsTold(t *testing.T) {
-	disk := NewMem()
+	disk := NewMemFS()
 	l := open(t, disk, small)
-	if err := l.Save(1, []byte("state")); err != nil {
+	if err := l.SaveSnapshot(1, []byte("state")); err != nil {
 		t.Fatal(err)
 	}
-	disk.Flip(snapName(1), 26, 1)
+	disk.FlipBits(snapshotName(1), 26, 1)
 	var damage *Damage
-	if _, err := l.Load(1); !errors.As(err, &damage) {
+	if _, err := l.LoadSnapshot(1); !errors.As(err, &damage) {
 		t.Fatalf("got %v, expected damage", err)
 	}
 }
@@ -353,7 +353,7 @@
 		t.Fatalf("second open: %v, expected %v", err, ErrLocked)
 	}
 	commit(t, l, Batch{Entries: [][]byte{[]byte("on disk")}, Marks: []Mark{{0, []byte("m")}}})
-	if err = l.Save(1, []byte("s")); err != nil {
+	if err = l.SaveSnapshot(1, []byte("s")); err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
@@ -371,7 +371,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			l := open(b, dir, Sizes{Segment: 4 << 20, Bound: 8 << 30})
+			l := open(b, dir, Sizes{SegmentBytes: 4 << 20, MaxBytes: 8 << 30})
 			defer l.Close()
 			b.ResetTimer()
 			var wg sync.WaitGroup
@@ -387,7 +387,7 @@
 				}()
 			}
 			wg.Wait()
-			b.ReportMetric(float64(l.Flushes())/float64(b.N), "syncs/op")
+			b.ReportMetric(float64(l.SyncCount())/float64(b.N), "syncs/op")
 		})
 	}
 }
@@ -396,9 +396,9 @@
 // has to outlast the next loss of power too.
 func TestKilledThenPowerLost(t *testing.T) {
 	for seed := int64(0); seed < 40; seed++ {
-		disk := NewMem()
+		disk := NewMemFS()
 		l := open(t, disk, small)
-		disk.Hook = func(step, _ string) (int, error) {
+		disk.OnStep = func(step, _ string) (int, error) {
 			if step == "sync" {
 				return 0, errPower
 			}
@@ -409,7 +409,7 @@
 		if l = open(t, disk, small); l.Next() != 2 {
 			t.Fatalf("next %d, expected what was written to be read", l.Next())
 		}
-		disk = disk.Crash(rand.New(rand.NewSource(seed)).Intn)
+		disk = disk.PowerLoss(rand.New(rand.NewSource(seed)).Intn)
 		if l = open(t, disk, small); l.Next() != 2 {
 			t.Fatalf("seed %d: next %d, expected what was read before to be there", seed, l.Next())
 		}
