--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -110,6 +110,38 @@
 	}
 }
 
+var (
+	testSpan = regexp.MustCompile(`^Test[A-Z]\w*$`)
+	testFunc = regexp.MustCompile(`(?m)^func (Test[A-Z]\w*)\(`)
+)
+
+// A test that a page names in code is there.
+func TestNamedTestsExist(t *testing.T) {
+	known := map[string]bool{}
+	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
+		if err != nil || !strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		for _, m := range testFunc.FindAllStringSubmatch(read(t, path), -1) {
+			known[m[1]] = true
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, page := range pages(t) {
+		if strings.Contains(page, "CHANGELOG") || strings.Contains(page, "incidents") || strings.HasSuffix(page, "standing.md") {
+			continue
+		}
+		for _, name := range spans(read(t, page)) {
+			if testSpan.MatchString(name) && !known[name] {
+				t.Errorf("%s names %s, which isn't there", page, name)
+			}
+		}
+	}
+}
+
 // declarations are the identifiers of the module's packages, as package.Name and package.Type.Member, and for each the files
 // that declare one of that name.
 type declarations map[string][]string
