--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -51,7 +51,7 @@
 
 func runInstance(ctx context.Context, o *config.Control, out io.Writer) error {
 	log := logging.New(out, o.LogForm, o.LogFrom)
-	g, err := consensus.Start(o, log, harness.FaultsOnDemand())
+	g, err := consensus.Start(o, log, harness.FaultsFromEnvironment())
 	if err != nil {
 		return err
 	}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -46,7 +46,7 @@
 }
 
 func newFleetLocal() *cobra.Command {
-	l := harness.Local{}
+	l := harness.LocalFleet{}
 	c := &cobra.Command{Use: "local", Short: "Three control instances, six nodes in three zones and a load, on loopback",
 		Args: exact(0), Long: `Starts a control service, nodes with emulated kernels and a load, all on loopback addresses, as processes of
 their own; says what to ask and what to kill; starts again what ends, two seconds later; runs until it is interrupted.
@@ -86,7 +86,7 @@
 }
 
 func newLabPolicy() *cobra.Command {
-	r := &harness.Policy{}
+	r := &harness.PolicyTest{}
 	c := &cobra.Command{Use: "policy", Short: "Changes of policy: schedules in virtual time, hard cases on processes",
 		Args: exact(0), Long: `Virtual: the real decisions of group and nodes on played clocks, lines and crashes, many schedules from one
 seed, and fleets of 300 and 5,000 nodes beside two baselines. Real: a group and nodes as processes, with kills, stops and
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -70,7 +70,7 @@
 }
 
 func newLabRaft() *cobra.Command {
-	r := &harness.Raft{}
+	r := &harness.RaftTest{}
 	var without string
 	var replay int64
 	c := &cobra.Command{Use: "raft", Short: "The replicated group: schedules of faults in virtual time, kills of processes",
@@ -119,7 +119,7 @@
 }
 
 func newLabKept() *cobra.Command {
-	r := &harness.KeptLab{}
+	r := &harness.ResultStoreTest{}
 	c := &cobra.Command{Use: "kept", Short: "Keyed results: a node killed over and over while callers repeat their keys", Args: exact(0),
 		Long: `Nodes with [kept], each with an emulated kernel that outlives it and counts runs by key, and callers that repeat
 their keys inside the window and outside. Each is killed with SIGKILL at named points and at random ones, at times in its
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -240,7 +240,7 @@
 }
 
 func newLabZones() *cobra.Command {
-	r := &harness.Zones{}
+	r := &harness.ZonesTest{}
 	c := &cobra.Command{Use: "zones", Short: "Zones: schedules in virtual time, hard cases on processes", Args: exact(0),
 		Long: `Virtual: the real decisions of group, leaders and nodes, with flows of reqs between callers, zones and services below
 that have a capacity and a cache; many schedules from one seed, fleets of 300 and 5,000 nodes beside three baselines, and
--- a/internal/harness/sidecar.go
+++ b/internal/harness/client.go
@@ -49,15 +49,15 @@
 	return hex.EncodeToString(raw[:])
 }
 
-// tryReq sends one try of a req and gives its status, 0 where none came, and for how long to keep away.
-func tryReq(ctx context.Context, client *http.Client, addr, class string, tenant, sender int, key string,
+// sendAttempt sends one try of a req and gives its status, 0 where none came, and for how long to keep away.
+func sendAttempt(ctx context.Context, client *http.Client, addr, class string, tenant, sender int, key string,
 	again bool) (code int, backOff time.Duration) {
-	code, _, backOff, _ = tryBody(ctx, client, addr, class, tenant, sender, key, again, "body")
+	code, _, backOff, _ = sendAttemptWithBody(ctx, client, addr, class, tenant, sender, key, again, "body")
 	return code, backOff
 }
 
-// tryBody is tryReq with a body, and the answer's.
-func tryBody(ctx context.Context, client *http.Client, addr, class string, tenant, sender int, key string, again bool,
+// sendAttemptWithBody is sendAttempt with a body, and the answer's.
+func sendAttemptWithBody(ctx context.Context, client *http.Client, addr, class string, tenant, sender int, key string, again bool,
 	body string) (code int, answer string, backOff time.Duration, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/rpc/"+class, strings.NewReader(body))
 	if err != nil {
--- a/internal/harness/procs.go
+++ b/internal/harness/control_processes.go
@@ -31,7 +31,7 @@
 const realWithin = 5 * time.Second
 
 // proc is one instance as a process.
-type proc struct {
+type instanceProcess struct {
 	name, listen, peer, bind, file string
 	cmd                            *exec.Cmd
 	ended                          chan struct{}
@@ -39,13 +39,13 @@
 }
 
 // cluster is a group of processes on loopback.
-type cluster struct {
+type controlProcesses struct {
 	program, dir string
 	env          []string // of its processes, beside this one's
-	procs        []*proc
+	procs        []*instanceProcess
 	http         *http.Client
 	out          *os.File
-	board        *switchboard
+	board        *forwarders
 }
 
 // hosts numbers loopback addresses so that no two instances of a run share one. A port out of the range that
@@ -57,9 +57,9 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", 128+os.Getpid()>>8&0x7f, (os.Getpid()+int(n/250))&0xff, 1+n%250, port)
 }
 
-// newCluster starts a group and waits until all are voters. extra stands at the end of each operator's file.
-func newCluster(ctx context.Context, program, dir string, size int, extra string, env ...string) (*cluster, error) {
-	c := &cluster{program: program, dir: dir, env: env, board: newSwitchboard(),
+// newControlProcesses starts a group and waits until all are voters. extra stands at the end of each operator's file.
+func newControlProcesses(ctx context.Context, program, dir string, size int, extra string, env ...string) (*controlProcesses, error) {
+	c := &controlProcesses{program: program, dir: dir, env: env, board: newForwarders(),
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128,
 			DialContext: (&net.Dialer{Timeout: 200 * time.Millisecond}).DialContext}}}
 	var err error
@@ -106,9 +106,9 @@
 	})
 }
 
-func (c *cluster) add(i int, extra string) error {
+func (c *controlProcesses) add(i int, extra string) error {
 	name := string(rune('a' + i))
-	p := &proc{name: name, file: filepath.Join(c.dir, name+".ini")}
+	p := &instanceProcess{name: name, file: filepath.Join(c.dir, name+".ini")}
 	p.listen, p.bind, p.peer = loopback(7201), loopback(7101), loopback(7102)
 	l, err := net.Listen("tcp", p.peer)
 	if err != nil {
@@ -125,7 +125,7 @@
 		name), start, p.peer, p.bind, p.listen, extra)), 0o600)
 }
 
-func (c *cluster) start(p *proc, fault string) error {
+func (c *controlProcesses) start(p *instanceProcess, fault string) error {
 	p.cmd = exec.Command(c.program, "control", "run", "--file", p.file)
 	p.cmd.Stderr = c.out
 	p.cmd.Env = append(append(os.Environ(), faultEnv+"="+fault), c.env...)
@@ -133,14 +133,14 @@
 	if err := p.cmd.Start(); err != nil {
 		return err
 	}
-	go func(p *proc, cmd *exec.Cmd, ended chan struct{}) { cmd.Wait(); close(ended) }(p, p.cmd, p.ended)
+	go func(p *instanceProcess, cmd *exec.Cmd, ended chan struct{}) { cmd.Wait(); close(ended) }(p, p.cmd, p.ended)
 	return nil
 }
 
-func (p *proc) pid() int { return p.cmd.Process.Pid }
+func (p *instanceProcess) pid() int { return p.cmd.Process.Pid }
 
 // keep starts again what ends, two seconds later, until the context does.
-func (c *cluster) keep(ctx context.Context) {
+func (c *controlProcesses) restartEnded(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, p := range c.procs {
 		wg.Add(1)
@@ -167,7 +167,7 @@
 }
 
 // kill ends a process at its step, or at once, and waits until it is gone.
-func (c *cluster) kill(p *proc) {
+func (c *controlProcesses) kill(p *instanceProcess) {
 	if p.fault != "" && p.fault != diskStalls {
 		p.cmd.Process.Signal(syscall.SIGUSR2)
 		select {
@@ -185,7 +185,7 @@
 
 // strike does to a leader what it was started for, or parts it from the others. It tells whether the process
 // ended.
-func (c *cluster) strike(p *proc, cut bool) (ended bool) {
+func (c *controlProcesses) crashAt(p *instanceProcess, cut bool) (ended bool) {
 	switch {
 	case cut:
 		var others []string
@@ -194,7 +194,7 @@
 				others = append(others, o.name)
 			}
 		}
-		c.board.part(p.name, others, true, true)
+		c.board.partition(p.name, others, true, true)
 		return false
 	case p.fault == diskStalls:
 		p.cmd.Process.Signal(syscall.SIGUSR2)
@@ -204,7 +204,7 @@
 	return true
 }
 
-func (c *cluster) close() {
+func (c *controlProcesses) close() {
 	for _, p := range c.procs {
 		if p.cmd != nil && p.cmd.Process != nil {
 			p.cmd.Process.Kill()
@@ -215,7 +215,7 @@
 	c.board.close()
 }
 
-func (c *cluster) await(ctx context.Context, holds func() error) error {
+func (c *controlProcesses) await(ctx context.Context, holds func() error) error {
 	var err error
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end) && ctx.Err() == nil; {
 		if err = holds(); err == nil {
@@ -226,7 +226,7 @@
 	return fmt.Errorf("not within 20 s: %w", errors.Join(err, ctx.Err()))
 }
 
-func (c *cluster) call(ctx context.Context, method, at, path string, in, out any) (int, error) {
+func (c *controlProcesses) call(ctx context.Context, method, at, path string, in, out any) (int, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return 0, err
@@ -250,7 +250,7 @@
 	return res.StatusCode, json.Unmarshal(raw, out)
 }
 
-func (c *cluster) report(p *proc) (*consensus.Report, error) {
+func (c *controlProcesses) report(p *instanceProcess) (*consensus.Report, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	var r consensus.Report
@@ -258,8 +258,8 @@
 	return &r, err
 }
 
-func (c *cluster) leader() *proc {
-	var best *proc
+func (c *controlProcesses) leader() *instanceProcess {
+	var best *instanceProcess
 	term := uint64(0)
 	for _, p := range c.procs {
 		if r, err := c.report(p); err == nil && r.Role == "leader" && r.Term > term {
@@ -270,7 +270,7 @@
 }
 
 // join takes an instance in.
-func (c *cluster) join(ctx context.Context, p *proc) error {
+func (c *controlProcesses) join(ctx context.Context, p *instanceProcess) error {
 	var s consensus.Self
 	if _, err := c.call(ctx, http.MethodGet, p.listen, "/v1/self", nil, &s); err != nil {
 		return err
@@ -289,7 +289,7 @@
 
 // load is clients that put as fast as they get answers, and what they were told.
 type load struct {
-	c      *cluster
+	c      *controlProcesses
 	wg     sync.WaitGroup
 	stop   context.CancelFunc
 	last   atomic.Int64 // when an answer came last, in ns since the start
@@ -301,7 +301,7 @@
 	broken string
 }
 
-func (c *cluster) load(ctx context.Context, clients int) *load {
+func (c *controlProcesses) load(ctx context.Context, clients int) *load {
 	l := &load{c: c, begun: time.Now(), taken: map[string]uint64{}, times: hdrhistogram.New(1, 60_000_000, 3)}
 	ctx, l.stop = context.WithCancel(ctx)
 	for i := 0; i < clients; i++ {
@@ -396,7 +396,7 @@
 }
 
 // real kills leaders of real processes under load and measures how long no write is taken.
-func (r *Raft) real(ctx context.Context, w io.Writer, rep *report.Report) error {
+func (r *RaftTest) real(ctx context.Context, w io.Writer, rep *report.Report) error {
 	kills := r.Kills
 	if kills == 0 {
 		kills = longKills
@@ -428,7 +428,7 @@
 
 // timeouts shows what the election timeout costs and saves: time without writes after a kill on a calm
 // machine, and elections that nothing called for while four times as many threads as cores want to run.
-func (r *Raft) timeouts(ctx context.Context, w io.Writer, rep *report.Report) error {
+func (r *RaftTest) timeouts(ctx context.Context, w io.Writer, rep *report.Report) error {
 	plot := report.Plot{Title: "Election timeout: failover against false elections on a busy machine", X: "timeout, ms",
 		Y: "ms without writes; false elections x 100"}
 	calm, busy := report.Line{Name: "failover, median"}, report.Line{Name: "false elections in 10 s, x 100"}
@@ -454,13 +454,13 @@
 }
 
 // falseElections counts terms begun within 10 s with all cores wanted four times over.
-func (r *Raft) falseElections(ctx context.Context, tick int) (uint64, error) {
+func (r *RaftTest) falseElections(ctx context.Context, tick int) (uint64, error) {
 	dir, err := os.MkdirTemp("", "lab-raft-")
 	if err != nil {
 		return 0, err
 	}
 	defer os.RemoveAll(dir)
-	c, err := newCluster(ctx, r.Program, dir, 3, fmt.Sprintf("[group]\ntick = %dms\n", tick))
+	c, err := newControlProcesses(ctx, r.Program, dir, 3, fmt.Sprintf("[group]\ntick = %dms\n", tick))
 	if c != nil {
 		defer c.close()
 	}
@@ -496,14 +496,14 @@
 	return after.Term - before.Term, nil
 }
 
-func (r *Raft) killLeaders(ctx context.Context, w io.Writer, rep *report.Report, plot *report.Plot, size, kills int,
+func (r *RaftTest) killLeaders(ctx context.Context, w io.Writer, rep *report.Report, plot *report.Plot, size, kills int,
 	extra string) error {
 	dir, err := os.MkdirTemp("", "lab-raft-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	c, err := newCluster(ctx, r.Program, dir, size, extra)
+	c, err := newControlProcesses(ctx, r.Program, dir, size, extra)
 	if c != nil {
 		defer c.close()
 	}
@@ -532,7 +532,7 @@
 	}
 	for k := 0; k < kills && ctx.Err() == nil; k++ {
 		time.Sleep(time.Duration(100+chance.Intn(200)) * time.Millisecond)
-		var p *proc
+		var p *instanceProcess
 		if err := c.await(ctx, func() error {
 			if p = c.leader(); p == nil {
 				return errors.New("no leader")
@@ -546,7 +546,7 @@
 			what = cutOff
 		}
 		died := time.Since(l.begun)
-		ended := c.strike(p, cut)
+		ended := c.crashAt(p, cut)
 		if ended {
 			died = time.Since(l.begun)
 		} else { // writes go on until the fault shows: it is over once another leads
@@ -636,14 +636,14 @@
 }
 
 // speed measures puts without faults, by one client and by many.
-func (r *Raft) speed(ctx context.Context, rep *report.Report) error {
+func (r *RaftTest) speed(ctx context.Context, rep *report.Report) error {
 	for _, clients := range []int{1, 64} {
 		dir, err := os.MkdirTemp("", "lab-raft-")
 		if err != nil {
 			return err
 		}
 		defer os.RemoveAll(dir)
-		c, err := newCluster(ctx, r.Program, dir, 3, "")
+		c, err := newControlProcesses(ctx, r.Program, dir, 3, "")
 		if c != nil {
 			defer c.close()
 		}
--- a/internal/harness/procs_test.go
+++ b/internal/harness/control_processes_test.go
@@ -14,7 +14,7 @@
 func TestKilledLeaders(t *testing.T) {
 	var out bytes.Buffer
 	dir := t.TempDir()
-	rep, err := (&Raft{Seed: 4, Quick: true, Size: 3, Mode: "real", Kills: 4, Program: built(t), Out: dir}).Run(
+	rep, err := (&RaftTest{Seed: 4, Quick: true, Size: 3, Mode: "real", Kills: 4, Program: built(t), Out: dir}).Run(
 		context.Background(), &out)
 	if err != nil || rep.Broken != "" {
 		t.Fatalf("%v\n%s", err, out.String())
@@ -32,7 +32,7 @@
 // TestBrokenIsSaid: the command's verdict follows what was found.
 func TestBrokenIsSaid(t *testing.T) {
 	var out bytes.Buffer
-	rep, err := (&Raft{Seed: 2, Quick: true, Mode: "virtual", Schedules: 20,
+	rep, err := (&RaftTest{Seed: 2, Quick: true, Mode: "virtual", Schedules: 20,
 		Without: consensus.CompareAndSet}).Run(
 		context.Background(), &out)
 	if err != nil {
--- a/internal/harness/demo.go
+++ b/internal/harness/demo.go
@@ -49,23 +49,23 @@
 dearest submit`
 
 // seen is what became of a class's reqs, in all and since the last table.
-type seen struct {
+type classResults struct {
 	asked, done, inTime, shed, errored int
 	times                              *hdrhistogram.Histogram // tenths of a ms from the moment it was meant to be sent
 }
 
-func newSeen() *seen { return &seen{times: hdrhistogram.New(1, 1_000_000, 2)} }
+func newClassResults() *classResults { return &classResults{times: hdrhistogram.New(1, 1_000_000, 2)} }
 
 type demo struct {
 	*Demo
 	s      *simulation.Scenario
-	kernel *Kernel
-	store  *Store // nil: none
+	kernel *EmulatedKernel
+	store  *EmulatedStore // nil: none
 	client *http.Client
 	addr   string
 	mu     sync.Mutex
-	all    []*seen
-	lately []*seen
+	all    []*classResults
+	lately []*classResults
 	surge  bool
 	heavy  bool
 	wg     sync.WaitGroup
@@ -89,16 +89,16 @@
 	o := &demo{Demo: d, s: s, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256,
 		IdleConnTimeout: 5 * time.Second}}}
 	for range s.Classes {
-		o.all, o.lately = append(o.all, newSeen()), append(o.lately, newSeen())
+		o.all, o.lately = append(o.all, newClassResults()), append(o.lately, newClassResults())
 	}
-	if o.kernel, err = NewKernel(loopback(7400), d.Seed, float64(s.Cores), s.Classes, kernelStep); err != nil {
+	if o.kernel, err = NewEmulatedKernel(loopback(7400), d.Seed, float64(s.Cores), s.Classes, kernelStep); err != nil {
 		return nil, err
 	}
 	defer o.kernel.Close()
 	below := ""
 	if d.Trouble == "slow" || d.Trouble == "cold" {
 		// It bears four times what the cores do; slow, or cold, two thirds of that.
-		if o.store, err = NewStore(loopback(9042), d.Seed, 8, 10*time.Millisecond, 6, 4000); err != nil {
+		if o.store, err = NewEmulatedStore(loopback(9042), d.Seed, 8, 10*time.Millisecond, 6, 4000); err != nil {
 			return nil, err
 		}
 		defer o.store.Close()
@@ -306,11 +306,11 @@
 	if k == o.s.Dearest {
 		key = newKey()
 	}
-	code, _ := tryReq(ctx, o.client, o.addr, c.Name, tenant, tenant, key, false)
+	code, _ := sendAttempt(ctx, o.client, o.addr, c.Name, tenant, tenant, key, false)
 	took := time.Since(due)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, s := range []*seen{o.all[k], o.lately[k]} {
+	for _, s := range []*classResults{o.all[k], o.lately[k]} {
 		s.asked++
 		switch {
 		case code == http.StatusOK:
@@ -345,7 +345,7 @@
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.0f ms\t%.0f ms\t%.3f\n", o.s.Classes[k].Name, s.asked, s.done, s.shed,
 			s.errored, float64(s.times.ValueAtQuantile(50))/10, float64(s.times.ValueAtQuantile(95))/10,
 			float64(a.inTime)/float64(max(1, a.asked)))
-		o.lately[k] = newSeen()
+		o.lately[k] = newClassResults()
 	}
 	t.Flush()
 	if o.Keys != nil {
--- a/internal/harness/demo_test.go
+++ b/internal/harness/demo_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := NewKernel(loopback(7400), 1, 2, s.Classes, kernelStep)
+	k, err := NewEmulatedKernel(loopback(7400), 1, 2, s.Classes, kernelStep)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/harness/kernel.go
+++ b/internal/harness/emulated_kernel.go
@@ -14,9 +14,9 @@
 	"umberwinch/internal/simulation"
 )
 
-// Kernel is an emulated kernel on a socket: it speaks the platform's protocol to one node and shares a number of cores
+// EmulatedKernel is an emulated kernel on a socket: it speaks the platform's protocol to one node and shares a number of cores
 // among what runs. Work takes no real core: each run is told over once the service it would have had is its work.
-type Kernel struct {
+type EmulatedKernel struct {
 	mu      sync.Mutex
 	r       *rand.Rand
 	ln      net.Listener
@@ -51,13 +51,13 @@
 	standMost   = 1500 * time.Millisecond // that a run stands at a call: what it is for is over by then
 )
 
-// NewKernel listens on an address.
-func NewKernel(addr string, seed int64, cores float64, classes []simulation.Class, step time.Duration) (*Kernel, error) {
+// NewEmulatedKernel listens on an address.
+func NewEmulatedKernel(addr string, seed int64, cores float64, classes []simulation.Class, step time.Duration) (*EmulatedKernel, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	k := &Kernel{r: rand.New(rand.NewSource(seed)), ln: ln, classes: map[string]*simulation.Class{}, cores: cores,
+	k := &EmulatedKernel{r: rand.New(rand.NewSource(seed)), ln: ln, classes: map[string]*simulation.Class{}, cores: cores,
 		runs: map[string]*kernelRun{}, first: 1, at: time.Now(), step: step, stop: make(chan struct{})}
 	for i := range classes {
 		c := classes[i]
@@ -69,7 +69,7 @@
 }
 
 // Close ends it.
-func (k *Kernel) Close() {
+func (k *EmulatedKernel) Close() {
 	close(k.stop)
 	k.ln.Close()
 	k.mu.Lock()
@@ -80,14 +80,14 @@
 }
 
 // Set changes a class, or the cores, while it goes on.
-func (k *Kernel) Set(change func(classes map[string]*simulation.Class, cores *float64)) {
+func (k *EmulatedKernel) Set(change func(classes map[string]*simulation.Class, cores *float64)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	change(k.classes, &k.cores)
 }
 
 // Kill has it stand still and take no link, until it is told otherwise; then it has forgotten every run.
-func (k *Kernel) Kill(dead bool) {
+func (k *EmulatedKernel) Kill(dead bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.dead = dead; dead && k.link != nil {
@@ -96,13 +96,13 @@
 	}
 	if !dead {
 		for len(k.order) > 0 {
-			k.over(k.order[0], "ERROR")
+			k.endRun(k.order[0], "ERROR")
 		}
 	}
 }
 
 // Break ends the link; what runs goes on.
-func (k *Kernel) Break() {
+func (k *EmulatedKernel) Break() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.link != nil {
@@ -112,7 +112,7 @@
 }
 
 // onCores counts the runs that want cores.
-func (k *Kernel) onCores() (n float64) {
+func (k *EmulatedKernel) onCores() (n float64) {
 	for _, r := range k.runs {
 		if !r.away {
 			n++
@@ -122,13 +122,13 @@
 }
 
 // Used gives the core time used so far, in ms, and how many runs there are.
-func (k *Kernel) Used() (float64, int) {
+func (k *EmulatedKernel) Used() (float64, int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.busy, len(k.runs)
 }
 
-func (k *Kernel) accept() {
+func (k *EmulatedKernel) accept() {
 	for {
 		c, err := k.ln.Accept()
 		if err != nil {
@@ -155,7 +155,7 @@
 	Index                      int
 }
 
-func (k *Kernel) serve(c net.Conn) {
+func (k *EmulatedKernel) serve(c net.Conn) {
 	defer c.Close()
 	lines := bufio.NewReaderSize(c, 16<<10)
 	for {
@@ -168,7 +168,7 @@
 			return
 		}
 		k.mu.Lock()
-		known := k.obey(c, &m)
+		known := k.execute(c, &m)
 		k.mu.Unlock()
 		if !known {
 			return
@@ -177,7 +177,7 @@
 }
 
 // obey carries out one command; false closes the link.
-func (k *Kernel) obey(c net.Conn, m *command) bool {
+func (k *EmulatedKernel) execute(c net.Conn, m *command) bool {
 	switch m.Verb {
 	case "OPEN":
 		fmt.Fprintf(c, "{\"verb\":\"BOOTED\",\"outcome\":\"WARM\",\"spent\":60000}\n")
@@ -193,7 +193,7 @@
 		case class == nil || len(m.Task) != 16:
 			fmt.Fprintf(c, "{\"verb\":\"EINVAL\",\"outcome\":\"SCHED\",\"task\":%q}\n", m.Task)
 		case k.runs[m.Task] == nil:
-			r := &kernelRun{left: k.draw(class), began: time.Now()}
+			r := &kernelRun{left: k.drawWork(class), began: time.Now()}
 			if k.calls {
 				r.call = r.left / 2
 			}
@@ -205,7 +205,7 @@
 		}
 	case "PREEMPT":
 		if r := k.runs[m.Task]; r != nil {
-			k.over(m.Task, "STOPPED")
+			k.endRun(m.Task, "STOPPED")
 		}
 	case "IODONE", "NOIO":
 		if r := k.runs[m.Task]; r != nil {
@@ -218,7 +218,7 @@
 	return true
 }
 
-func (k *Kernel) draw(c *simulation.Class) float64 {
+func (k *EmulatedKernel) drawWork(c *simulation.Class) float64 {
 	work := c.Work / 10
 	if c.WorkSigma > 0 {
 		work *= math.Exp(c.WorkSigma*k.r.NormFloat64() - c.WorkSigma*c.WorkSigma/2)
@@ -230,7 +230,7 @@
 }
 
 // work lets all runs go on, each with its part of the cores.
-func (k *Kernel) work() {
+func (k *EmulatedKernel) work() {
 	tick := time.NewTicker(k.step)
 	defer tick.Stop()
 	for {
@@ -251,17 +251,17 @@
 				r := k.runs[id]
 				if r.away {
 					if time.Since(r.began) > standMost {
-						k.over(id, "STOPPED")
+						k.endRun(id, "STOPPED")
 						i--
 					}
 					continue
 				}
 				if r.left -= part; r.call > 0 && r.left <= r.call {
 					r.call, r.away = 0, true
-					k.tell(fmt.Sprintf("{\"verb\":\"IOREQ\",\"index\":%d,\"task\":%q,\"bytes\":%q}\n", k.first+len(k.notices), id,
+					k.sendEvent(fmt.Sprintf("{\"verb\":\"IOREQ\",\"index\":%d,\"task\":%q,\"bytes\":%q}\n", k.first+len(k.notices), id,
 						base64.StdEncoding.EncodeToString(r.asks)))
 				} else if r.left <= 0 {
-					k.over(id, "OK")
+					k.endRun(id, "OK")
 					i--
 				}
 			}
@@ -271,7 +271,7 @@
 }
 
 // over ends a run and tells of it.
-func (k *Kernel) over(id, how string) {
+func (k *EmulatedKernel) endRun(id, how string) {
 	r := k.runs[id]
 	delete(k.runs, id)
 	for i, o := range k.order {
@@ -284,12 +284,12 @@
 	if how == "OK" {
 		body = base64.StdEncoding.EncodeToString(r.gives)
 	}
-	k.tell(fmt.Sprintf("{\"verb\":\"REAP\",\"index\":%d,\"task\":%q,\"outcome\":%q,\"spent\":%.1f,\"bytes\":%q}\n",
+	k.sendEvent(fmt.Sprintf("{\"verb\":\"REAP\",\"index\":%d,\"task\":%q,\"outcome\":%q,\"spent\":%.1f,\"bytes\":%q}\n",
 		k.first+len(k.notices), id, how, float64(time.Since(r.began))/float64(time.Millisecond), body))
 }
 
 // tell sends a notice and keeps it for a link that comes later.
-func (k *Kernel) tell(text string) {
+func (k *EmulatedKernel) sendEvent(text string) {
 	line := []byte(text)
 	k.notices = append(k.notices, line)
 	if len(k.notices) > keptNotices {
--- a/internal/harness/store.go
+++ b/internal/harness/emulated_store.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Store is an emulated service below on a socket: it speaks the platform's lines to the nodes of a zone and has so many
+// EmulatedStore is an emulated service below on a socket: it speaks the platform's lines to the nodes of a zone and has so many
 // workers, a cache that calls fill, and a cost for each connection that is opened. Work takes no real core: a call is
 // answered when its turn and its time have come.
-type Store struct {
+type EmulatedStore struct {
 	mu    sync.Mutex
 	ln    net.Listener
 	conns map[net.Conn]bool
@@ -39,13 +39,13 @@
 // busyAfter is how long a call may have to wait; then it is told BUSY at once.
 const busyAfter = 2 * time.Second
 
-// NewStore listens on an address.
-func NewStore(addr string, seed int64, workers int, cost time.Duration, cold, fill float64) (*Store, error) {
+// NewEmulatedStore listens on an address.
+func NewEmulatedStore(addr string, seed int64, workers int, cost time.Duration, cold, fill float64) (*EmulatedStore, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{ln: ln, conns: map[net.Conn]bool{}, r: rand.New(rand.NewSource(seed)), free: make([]time.Time, workers),
+	s := &EmulatedStore{ln: ln, conns: map[net.Conn]bool{}, r: rand.New(rand.NewSource(seed)), free: make([]time.Time, workers),
 		cost: cost, cold: cold, fill: fill, warm: 1, speed: 1, gone: map[string]bool{}, from: time.Now()}
 	go func() {
 		for {
@@ -65,7 +65,7 @@
 }
 
 // Close ends it.
-func (s *Store) Close() {
+func (s *EmulatedStore) Close() {
 	s.ln.Close()
 	s.mu.Lock()
 	for c := range s.conns {
@@ -75,14 +75,14 @@
 }
 
 // Set changes it while it goes on.
-func (s *Store) Set(change func(speed, warm, fails *float64)) {
+func (s *EmulatedStore) Set(change func(speed, warm, fails *float64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.speed, &s.warm, &s.fails)
 }
 
 // work takes a worker's time and says when it is done and how long it had to wait.
-func (s *Store) work(cost time.Duration) (done time.Time, wait time.Duration) {
+func (s *EmulatedStore) work(cost time.Duration) (done time.Time, wait time.Duration) {
 	now := time.Now()
 	best := 0
 	for i := range s.free {
@@ -107,7 +107,7 @@
 }
 
 // Peak gives the most that was asked for over what it bears since a time, over any whole second.
-func (s *Store) Peak(since time.Time) (peak float64) {
+func (s *EmulatedStore) Peak(since time.Time) (peak float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := max(0, int(since.Sub(s.from)/(100*time.Millisecond))); i+10 <= len(s.asked); i++ {
@@ -121,7 +121,7 @@
 }
 
 // Mean gives what was asked for over what it bears since a time, in the mean.
-func (s *Store) Mean(since time.Time) float64 {
+func (s *EmulatedStore) Mean(since time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sum, from := 0.0, max(0, int(since.Sub(s.from)/(100*time.Millisecond)))
@@ -131,7 +131,7 @@
 	return sum / max(1, float64(time.Since(s.from)/(100*time.Millisecond))-float64(from))
 }
 
-func (s *Store) serve(c net.Conn) {
+func (s *EmulatedStore) serve(c net.Conn) {
 	defer func() {
 		c.Close()
 		s.mu.Lock()
--- a/internal/harness/ondemand.go
+++ b/internal/harness/faults_on_demand.go
@@ -26,8 +26,8 @@
 	diskStall  = 3 * time.Second
 )
 
-// FaultsOnDemand gives an instance the faults that its environment asks for.
-func FaultsOnDemand() consensus.Faults {
+// FaultsFromEnvironment gives an instance the faults that its environment asks for.
+func FaultsFromEnvironment() consensus.Faults {
 	var out policy.Guard
 	var zoned zones.Guard
 	for _, word := range strings.Split(os.Getenv(WithoutEnv), ",") {
@@ -38,12 +38,12 @@
 			zoned |= g
 		}
 	}
-	f := faultsOnDemand(os.Getenv(faultEnv))
+	f := faultsOfKind(os.Getenv(faultEnv))
 	f.DisabledPolicyGuards, f.DisabledZoneGuards = out, zoned
 	return f
 }
 
-func faultsOnDemand(kind string) consensus.Faults {
+func faultsOfKind(kind string) consensus.Faults {
 	if kind == "" {
 		return consensus.Faults{}
 	}
@@ -56,7 +56,7 @@
 		}
 	}()
 	if kind == diskStalls || kind == diskFull {
-		return consensus.Faults{WrapDisk: func(fs wal.FS) wal.FS { return failing{fs, kind, armed} }}
+		return consensus.Faults{WrapDisk: func(fs wal.FS) wal.FS { return failingDisk{fs, kind, armed} }}
 	}
 	return consensus.Faults{OnStep: func(name string) {
 		if name == kind && armed.Load() {
@@ -67,7 +67,7 @@
 }
 
 // failing is a folder whose disk fails once armed.
-type failing struct {
+type failingDisk struct {
 	wal.FS
 	kind  string
 	armed *atomic.Bool
@@ -75,15 +75,15 @@
 
 type failingFile struct {
 	wal.File
-	of failing
+	of failingDisk
 }
 
-func (f failing) Create(name string) (wal.File, error) {
+func (f failingDisk) Create(name string) (wal.File, error) {
 	file, err := f.FS.Create(name)
 	return failingFile{file, f}, err
 }
 
-func (f failing) Open(name string) (wal.File, error) {
+func (f failingDisk) Open(name string) (wal.File, error) {
 	file, err := f.FS.Open(name)
 	return failingFile{file, f}, err
 }
--- a/internal/harness/fleet_ask.go
+++ b/internal/harness/fleet_ask.go
@@ -14,14 +14,14 @@
 )
 
 // sleep waits, unless the rig ends.
-func (r *Rig) sleep(d time.Duration) {
+func (r *FleetProcesses) sleep(d time.Duration) {
 	select {
 	case <-r.ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-func (r *Rig) await(within time.Duration, holds func() error) error {
+func (r *FleetProcesses) await(within time.Duration, holds func() error) error {
 	var err error
 	for end := time.Now().Add(within); time.Now().Before(end) && r.ctx.Err() == nil; {
 		if err = holds(); err == nil {
@@ -33,7 +33,7 @@
 }
 
 // ask brings something to any instance that answers.
-func (r *Rig) ask(method, path string, in, out any) (int, error) {
+func (r *FleetProcesses) ask(method, path string, in, out any) (int, error) {
 	var last error
 	for _, p := range r.group.procs {
 		ctx, cancel := context.WithTimeout(r.ctx, 2*time.Second)
@@ -47,8 +47,8 @@
 	return 0, last
 }
 
-// Policy gives the leader's view.
-func (r *Rig) Policy() (*consensus.PolicyView, error) {
+// PolicyTest gives the leader's view.
+func (r *FleetProcesses) Policy() (*consensus.PolicyView, error) {
 	var v consensus.PolicyView
 	if _, err := r.ask(http.MethodGet, "/v1/policy", nil, &v); err != nil {
 		return nil, err
@@ -60,7 +60,7 @@
 }
 
 // Nodes gives the leader's list.
-func (r *Rig) Nodes() (map[string]consensus.NodeView, error) {
+func (r *FleetProcesses) Nodes() (map[string]consensus.NodeView, error) {
 	var all []consensus.NodeView
 	if _, err := r.ask(http.MethodGet, "/v1/nodes", nil, &all); err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 }
 
 // AllServe waits until every node that is up serves under a version, and is ready by the platform's list.
-func (r *Rig) AllServe(version uint64, within time.Duration) error {
+func (r *FleetProcesses) AllServe(version uint64, within time.Duration) error {
 	return r.await(within, func() error {
 		all, err := r.Nodes()
 		if err != nil {
@@ -99,7 +99,7 @@
 }
 
 // Put makes a text the group's next version.
-func (r *Rig) Put(text string) (uint64, error) {
+func (r *FleetProcesses) Put(text string) (uint64, error) {
 	r.seq++
 	var a consensus.PutResult
 	err := r.await(10*time.Second, func() error {
@@ -122,7 +122,7 @@
 }
 
 // Propose begins a change to a text, and gives its number and version.
-func (r *Rig) Propose(text string, p policy.Proposal) (number, version uint64, err error) {
+func (r *FleetProcesses) Propose(text string, p policy.Proposal) (number, version uint64, err error) {
 	if version, err = r.Put(text); err != nil {
 		return 0, 0, err
 	}
@@ -146,7 +146,7 @@
 }
 
 // Step waits until a change is at one of some steps.
-func (r *Rig) Step(number uint64, within time.Duration, steps ...policy.Step) (*policy.Change, error) {
+func (r *FleetProcesses) Step(number uint64, within time.Duration, steps ...policy.Step) (*policy.Change, error) {
 	var c *policy.Change
 	err := r.await(within, func() error {
 		v, err := r.Policy()
@@ -173,7 +173,7 @@
 }
 
 // Prepared waits until the leader heard from a node that it prepared a version.
-func (r *Rig) Prepared(node string, version uint64) error {
+func (r *FleetProcesses) Prepared(node string, version uint64) error {
 	return r.await(10*time.Second, func() error {
 		all, err := r.Nodes()
 		if err == nil && all[node].PreparedVersion != version {
--- a/internal/harness/fleet_events.go
+++ b/internal/harness/fleet_events.go
@@ -42,7 +42,7 @@
 }
 
 // History reads what happened from the logs of all processes.
-func (r *Rig) History() ([]simulation.FleetEvent, error) {
+func (r *FleetProcesses) History() ([]simulation.FleetEvent, error) {
 	var all []simulation.FleetEvent
 	lines := logLines
 	type step struct {
@@ -173,7 +173,7 @@
 }
 
 // Check holds what happened against the promises.
-func (r *Rig) Check(p simulation.FleetPromises) (overlap int64, err error) {
+func (r *FleetProcesses) Check(p simulation.FleetPromises) (overlap int64, err error) {
 	h, err := r.History()
 	if err != nil {
 		return 0, err
@@ -186,7 +186,7 @@
 }
 
 // tail gives the end of a process's log, for a failure's report.
-func (r *Rig) tail(name string, n int) string {
+func (r *FleetProcesses) tail(name string, n int) string {
 	raw, err := os.ReadFile(filepath.Join(r.Dir, name+".log"))
 	if err != nil {
 		return err.Error()
--- a/internal/harness/fleet_load.go
+++ b/internal/harness/fleet_load.go
@@ -14,26 +14,26 @@
 	"umberwinch/internal/simulation"
 )
 
-// Calls is what became of callers' reqs.
-type Calls struct {
+// CallResults is what became of callers' reqs.
+type CallResults struct {
 	mu                              sync.Mutex
 	Asked, Done, Shed, Lost, Errors int
 	Tries                           int
 	Times                           []float64 // ms of those done
-	Each                            []Answered
+	Each                            []CallResult
 }
 
-// Answered is one req that a node answered.
-type Answered struct {
+// CallResult is one req that a node answered.
+type CallResult struct {
 	At    time.Time
-	Node  *rigNode
+	Node  *nodeProcess
 	Code  int // 0: it had no answer
 	Value float64
 	Good  bool // done within its target
 	Tries int
 }
 
-func (c *Calls) String() string {
+func (c *CallResults) String() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return fmt.Sprintf("asked %d, done %d, shed %d, lost %d, errored %d, tries %d", c.Asked, c.Done, c.Shed, c.Lost, c.Errors,
@@ -41,7 +41,7 @@
 }
 
 // quantile gives a time that a share of reqs was done within.
-func (c *Calls) quantile(q float64) float64 {
+func (c *CallResults) quantile(q float64) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.Times) == 0 {
@@ -53,8 +53,8 @@
 
 // Load sends reqs at a rate until the context ends, each to a node that the list says is ready, and elsewhere when it
 // is turned away: so a req is lost only if nobody answered it in its time.
-func (r *Rig) Load(ctx context.Context, rate float64) *Calls {
-	c := &Calls{}
+func (r *FleetProcesses) Load(ctx context.Context, rate float64) *CallResults {
+	c := &CallResults{}
 	s, _ := simulation.ReadScenario("fleet", rigClasses)
 	chance := rand.New(rand.NewSource(r.Seed))
 	r.loads.Add(1)
@@ -94,7 +94,7 @@
 }
 
 // call is one req with its tries.
-func (r *Rig) call(c *Calls, class *simulation.Class, keyed bool, tenant, first int) {
+func (r *FleetProcesses) call(c *CallResults, class *simulation.Class, keyed bool, tenant, first int) {
 	began := time.Now()
 	end := began.Add(time.Duration(class.Handler.Timeout) * 100 * time.Microsecond)
 	key := ""
@@ -102,7 +102,7 @@
 		key = newKey()
 	}
 	code, tries := 0, 0
-	var last *rigNode
+	var last *nodeProcess
 	sender := first*131 + tenant*17 + int(began.UnixNano()>>10)%64
 	gap := firstGap
 	for k := 0; tries < maxTries && time.Now().Before(end) && code != http.StatusOK; k++ {
@@ -125,7 +125,7 @@
 		}
 		ctx, cancel := context.WithDeadline(context.Background(), end)
 		var told time.Duration
-		code, told = tryReq(ctx, r.client, n.front, class.Name, tenant, sender, key, tries > 0)
+		code, told = sendAttempt(ctx, r.client, n.front, class.Name, tenant, sender, key, tries > 0)
 		cancel()
 		tries++
 		last = n
@@ -139,7 +139,7 @@
 	c.Tries += tries
 	if r.Below {
 		good := time.Since(began) <= time.Duration(class.Handler.LatencyObjective)*100*time.Microsecond && code == http.StatusOK
-		c.Each = append(c.Each, Answered{time.Now(), last, code, class.Handler.Value, good, tries})
+		c.Each = append(c.Each, CallResult{time.Now(), last, code, class.Handler.Value, good, tries})
 	}
 	switch {
 	case code == 0 && tries == 0: // nobody was ready in all its time
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet_processes.go
@@ -24,8 +24,8 @@
 // who is ready, callers that try elsewhere, and a forwarder on every line that can cut, mute and slow it. What happened
 // is read from the processes' own logs afterwards.
 
-// RigPlan says what a rig is made of.
-type RigPlan struct {
+// FleetProcessesPlan says what a rig is made of.
+type FleetProcessesPlan struct {
 	Program   string // umberctl; the node's program stands beside it, or is its hidden command
 	Dir       string
 	Seed      int64
@@ -41,11 +41,11 @@
 	Below     bool // each zone has a service below, which each run calls once; what it bears is in rigBelow
 }
 
-// Rig is a fleet at work.
-type Rig struct {
-	RigPlan
-	group  *cluster
-	nodes  []*rigNode
+// FleetProcesses is a fleet at work.
+type FleetProcesses struct {
+	FleetProcessesPlan
+	group  *controlProcesses
+	nodes  []*nodeProcess
 	ready  *readiness
 	client *http.Client
 	events []simulation.FleetEvent // the rig's own: kills and stops
@@ -58,7 +58,7 @@
 	// ms from a change's first step to its being in force, by the instances' logs, as of the last History: the group's own
 	// time stands between beats, so it can't tell.
 	inForce map[uint64]float64
-	stores  map[string]*Store // by zone
+	stores  map[string]*EmulatedStore // by zone
 }
 
 // rigBelow is a zone's service below: four workers and 8 ms a call, so 500 calls a second; cold a call takes twelve times
@@ -70,16 +70,16 @@
 	belowFill    = 200
 )
 
-// rigNode is one node's process with its kernel.
-type rigNode struct {
-	r                   *Rig
+// nodeProcess is one node's process with its kernel.
+type nodeProcess struct {
+	r                   *FleetProcesses
 	name, zone          string
 	listen, front       string
 	folder, config, ini string
 	log                 *os.File
 	cmd                 *exec.Cmd
 	ended               chan struct{}
-	kernel              *Kernel
+	kernel              *EmulatedKernel
 	down, stopped       bool
 }
 
@@ -129,9 +129,9 @@
 	return ok && time.Since(t) < 3*time.Second
 }
 
-// NewRig starts a group and its nodes and waits until all nodes serve.
-func NewRig(ctx context.Context, plan RigPlan) (*Rig, error) {
-	r := &Rig{RigPlan: plan, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
+// NewFleetProcesses starts a group and its nodes and waits until all nodes serve.
+func NewFleetProcesses(ctx context.Context, plan FleetProcessesPlan) (*FleetProcesses, error) {
+	r := &FleetProcesses{FleetProcessesPlan: plan, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
 		IdleConnTimeout: 5 * time.Second, DialContext: (&net.Dialer{Timeout: 300 * time.Millisecond}).DialContext}}}
 	r.ctx, r.ending = context.WithCancel(ctx)
 	if err := r.startAll(ctx); err != nil {
@@ -142,9 +142,9 @@
 }
 
 // startAll starts the group, then the nodes, and waits until all of them serve.
-func (r *Rig) startAll(ctx context.Context) (err error) {
+func (r *FleetProcesses) startAll(ctx context.Context) (err error) {
 	extra := "[log]\nform = json\n"
-	if r.group, err = newCluster(ctx, r.Program, r.Dir, r.Instances, extra, WithoutEnv+"="+r.Without); err != nil {
+	if r.group, err = newControlProcesses(ctx, r.Program, r.Dir, r.Instances, extra, WithoutEnv+"="+r.Without); err != nil {
 		return err
 	}
 	if r.ready, err = newReadiness(); err != nil {
@@ -159,7 +159,7 @@
 	}); err != nil {
 		return err
 	}
-	for i := 0; i < r.RigPlan.Nodes; i++ {
+	for i := 0; i < r.FleetProcessesPlan.Nodes; i++ {
 		n, err := r.add(i)
 		if err != nil {
 			return err
@@ -175,9 +175,9 @@
 const WithoutEnv = "UMBERWINCH_WITHOUT"
 
 // Close ends all processes.
-func (r *Rig) Close() { r.closed.Do(r.close) }
+func (r *FleetProcesses) Close() { r.closed.Do(r.close) }
 
-func (r *Rig) close() {
+func (r *FleetProcesses) close() {
 	r.ending()
 	r.loads.Wait()
 	for _, n := range r.nodes {
@@ -197,13 +197,13 @@
 	r.client.CloseIdleConnections()
 }
 
-func (r *Rig) add(i int) (*rigNode, error) {
-	n := &rigNode{r: r, name: fmt.Sprintf("n%d", i+1), zone: fmt.Sprintf("z%d", 1+i%3), listen: loopback(8080)}
+func (r *FleetProcesses) add(i int) (*nodeProcess, error) {
+	n := &nodeProcess{r: r, name: fmt.Sprintf("n%d", i+1), zone: fmt.Sprintf("z%d", 1+i%3), listen: loopback(8080)}
 	s, err := simulation.ReadScenario("fleet", rigClasses)
 	if err != nil {
 		return nil, err
 	}
-	if n.kernel, err = NewKernel(loopback(7400), r.Seed+int64(i), float64(s.Cores), s.Classes,
+	if n.kernel, err = NewEmulatedKernel(loopback(7400), r.Seed+int64(i), float64(s.Cores), s.Classes,
 		5*time.Millisecond); err != nil {
 		return nil, err
 	}
@@ -211,27 +211,27 @@
 	if r.Below {
 		n.kernel.calls = true
 		if r.stores == nil {
-			r.stores = map[string]*Store{}
+			r.stores = map[string]*EmulatedStore{}
 		}
 		if r.stores[n.zone] == nil {
-			if r.stores[n.zone], err = NewStore(loopback(9042), r.Seed+int64(i), belowWorkers, belowCost, belowCold,
+			if r.stores[n.zone], err = NewEmulatedStore(loopback(9042), r.Seed+int64(i), belowWorkers, belowCost, belowCold,
 				belowFill); err != nil {
 				return nil, err
 			}
 		}
 		store = r.stores[n.zone].ln.Addr().String()
-		peers, err := r.group.board.between("peers", n.name, n.listen)
+		peers, err := r.group.board.faultBetween("peers", n.name, n.listen)
 		if err != nil {
 			return nil, err
 		}
 		at = "at = " + peers + "\n"
 	}
-	if n.front, err = r.group.board.between("callers", n.name, n.listen); err != nil {
+	if n.front, err = r.group.board.faultBetween("callers", n.name, n.listen); err != nil {
 		return nil, err
 	}
 	var control []string
 	for _, p := range r.group.procs {
-		at, err := r.group.board.between(n.name, p.name, p.listen)
+		at, err := r.group.board.faultBetween(n.name, p.name, p.listen)
 		if err != nil {
 			return nil, err
 		}
@@ -284,7 +284,7 @@
 }
 
 // start runs the node's program.
-func (n *rigNode) start() error {
+func (n *nodeProcess) start() error {
 	n.cmd = nodeCommand(n.r.Program)
 	n.cmd.Stderr = n.log
 	n.cmd.Env = append(os.Environ(), "NODE_CONFIG="+n.config, "UMBERWINCH_FILE="+n.ini, WithoutEnv+"="+n.r.Without)
@@ -312,14 +312,14 @@
 	return nil
 }
 
-func (r *Rig) event(kind, node string) {
+func (r *FleetProcesses) event(kind, node string) {
 	r.mu.Lock()
 	r.events = append(r.events, simulation.FleetEvent{At: time.Now().UnixMicro() / 100, Kind: kind, Node: node})
 	r.mu.Unlock()
 }
 
 // Kill ends a node as kill -9 does, and keeps it down.
-func (n *rigNode) Kill() {
+func (n *nodeProcess) Kill() {
 	n.r.mu.Lock()
 	n.down = true
 	n.r.mu.Unlock()
@@ -330,10 +330,10 @@
 }
 
 // Start begins a node that is down.
-func (n *rigNode) Start() error { return n.start() }
+func (n *nodeProcess) Start() error { return n.start() }
 
 // Drain ends it with the platform's notice, and keeps it down.
-func (n *rigNode) Drain() {
+func (n *nodeProcess) Drain() {
 	n.r.mu.Lock()
 	n.down = true
 	n.r.mu.Unlock()
@@ -341,23 +341,25 @@
 }
 
 // Stop has it stand still, Go on go on as if nothing was.
-func (n *rigNode) Stop() {
+func (n *nodeProcess) Stop() {
 	n.cmd.Process.Signal(syscall.SIGSTOP)
 	n.stopped = true
 	n.r.event("pause", n.name)
 }
 
-func (n *rigNode) GoOn() {
+func (n *nodeProcess) GoOn() {
 	n.r.event("resume", n.name)
 	n.stopped = false
 	n.cmd.Process.Signal(syscall.SIGCONT)
 }
 
 // cut parts nodes from all instances, both ways; heal ends every trouble of the lines.
-func (r *Rig) cut(nodes ...*rigNode) { r.lines(lineFault{cut: true}, nodes...) }
+func (r *FleetProcesses) cutOff(nodes ...*nodeProcess) {
+	r.setLinkFault(linkFault{cut: true}, nodes...)
+}
 
 // lines does something to the lines between nodes and instances, in the direction asked for by each fault.
-func (r *Rig) lines(f lineFault, nodes ...*rigNode) {
+func (r *FleetProcesses) setLinkFault(f linkFault, nodes ...*nodeProcess) {
 	for _, n := range nodes {
 		for _, p := range r.group.procs {
 			r.group.board.set(n.name, p.name, f)
@@ -365,10 +367,10 @@
 	}
 }
 
-func (r *Rig) heal() { r.group.board.heal() }
+func (r *FleetProcesses) heal() { r.group.board.heal() }
 
 // zoned gives the nodes of a zone.
-func (r *Rig) zoned(zone string) (out []*rigNode) {
+func (r *FleetProcesses) nodesIn(zone string) (out []*nodeProcess) {
 	for _, n := range r.nodes {
 		if n.zone == zone {
 			out = append(out, n)
@@ -378,8 +380,8 @@
 }
 
 // killLeader ends the leader's process and gives it, to be started again.
-func (r *Rig) killLeader() (*proc, error) {
-	var p *proc
+func (r *FleetProcesses) killLeader() (*instanceProcess, error) {
+	var p *instanceProcess
 	if err := r.await(10*time.Second, func() error {
 		if p = r.group.leader(); p == nil {
 			return errors.New("no leader")
--- a/internal/harness/fleet_test.go
+++ b/internal/harness/fleet_processes_test.go
@@ -73,7 +73,7 @@
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
 			t.Parallel()
 			var out bytes.Buffer
-			rep, err := (&Policy{Seed: int64(3 + part), Quick: true, Mode: "real", Changes: 3, Part: part, Parts: parts,
+			rep, err := (&PolicyTest{Seed: int64(3 + part), Quick: true, Mode: "real", Changes: 3, Part: part, Parts: parts,
 				Program: built(t)}).Run(context.Background(), &out)
 			if err != nil || rep.Broken != "" {
 				t.Fatalf("%v\n%s", err, out.String())
@@ -96,7 +96,7 @@
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
 			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
-				return (&Policy{Seed: seed, Quick: true, Mode: "real", Words: guard, Only: only, Size: 6,
+				return (&PolicyTest{Seed: seed, Quick: true, Mode: "real", Words: guard, Only: only, Size: 6,
 					Program: built(t)}).Run(context.Background(), w)
 			})
 		})
@@ -125,7 +125,7 @@
 // with a node cut off is called off, and made once that node is forgotten.
 func TestGoesOnAlone(t *testing.T) {
 	t.Parallel()
-	p := &Policy{Seed: 5, Size: 6, Program: built(t)}
+	p := &PolicyTest{Seed: 5, Size: 6, Program: built(t)}
 	b, err := p.begin(context.Background(), t.TempDir(), "go-on")
 	if err != nil {
 		t.Fatal(err)
@@ -138,7 +138,7 @@
 		}
 	}
 	// A node cut off goes on, so a change waits for it and is called off.
-	b.cut(b.nodes[0])
+	b.cutOff(b.nodes[0])
 	fail("the silence of a node", b.await(20*time.Second, func() error {
 		all, err := b.Nodes()
 		if err == nil && all["n1"].OutReason == "" {
@@ -206,7 +206,7 @@
 	dir := t.TempDir()
 	go func() {
 		defer close(over)
-		errs <- (&Local{Program: built(t), Dir: dir, Instances: 3, Nodes: 3, Rate: 50}).Run(ctx, out)
+		errs <- (&LocalFleet{Program: built(t), Dir: dir, Instances: 3, Nodes: 3, Rate: 50}).Run(ctx, out)
 	}()
 	t.Cleanup(func() { cancel(); <-over }) // nothing is left behind where the test fails
 	pid := 0
@@ -287,9 +287,9 @@
 	}
 	s.Classes[0].Handler.Timeout = 10_000 // a second: three at once, then after 30, 90, 210, 450 and 930 ms
 	for _, eager := range []bool{false, true} {
-		r := &Rig{RigPlan: RigPlan{Eager: eager}, ready: &readiness{said: map[string]time.Time{"n1": time.Now()}}, client: busy.Client()}
-		r.nodes = []*rigNode{{name: "n1", front: strings.TrimPrefix(busy.URL, "http://")}}
-		c := &Calls{}
+		r := &FleetProcesses{FleetProcessesPlan: FleetProcessesPlan{Eager: eager}, ready: &readiness{said: map[string]time.Time{"n1": time.Now()}}, client: busy.Client()}
+		r.nodes = []*nodeProcess{{name: "n1", front: strings.TrimPrefix(busy.URL, "http://")}}
+		c := &CallResults{}
 		r.call(c, &s.Classes[0], false, 0, 0)
 		if c.Shed != 1 || eager != (c.Tries > 8) || c.Tries < 4 {
 			t.Errorf("eager %v: %v", eager, c)
--- a/internal/harness/proxy.go
+++ b/internal/harness/forwarders.go
@@ -15,26 +15,26 @@
 
 // switchboard stands between instances of a group of processes: a forwarder in front of each peers' address,
 // which knows by the greeting who dialled, and can part any two, one way each.
-type switchboard struct {
+type forwarders struct {
 	mu    sync.Mutex
 	cut   map[[2]string]bool // by names, from and to
-	fault map[[2]string]lineFault
+	fault map[[2]string]linkFault
 	conns map[net.Conn][2]string
 	wg    sync.WaitGroup
 	ls    []net.Listener
 }
 
-func newSwitchboard() *switchboard {
-	return &switchboard{cut: map[[2]string]bool{}, fault: map[[2]string]lineFault{}, conns: map[net.Conn][2]string{}}
+func newForwarders() *forwarders {
+	return &forwarders{cut: map[[2]string]bool{}, fault: map[[2]string]linkFault{}, conns: map[net.Conn][2]string{}}
 }
 
 // front forwards what comes to a listener to an instance.
-func (s *switchboard) front(l net.Listener, name, to string) {
+func (s *forwarders) front(l net.Listener, name, to string) {
 	s.serve(l, func(c net.Conn) { s.forward(c, name, to) })
 }
 
 // serve takes what comes to a listener until it is closed.
-func (s *switchboard) serve(l net.Listener, take func(net.Conn)) {
+func (s *forwarders) serve(l net.Listener, take func(net.Conn)) {
 	s.ls = append(s.ls, l)
 	s.wg.Add(1)
 	go func() {
@@ -52,7 +52,7 @@
 
 // forward reads the greeting to learn who dials, then copies both ways until either side ends or the two are
 // parted.
-func (s *switchboard) forward(c net.Conn, name, to string) {
+func (s *forwarders) forward(c net.Conn, name, to string) {
 	defer c.Close()
 	c.SetReadDeadline(time.Now().Add(2 * time.Second))
 	head := make([]byte, 8)
@@ -101,7 +101,7 @@
 }
 
 // part cuts one instance off from some others, both ways, or only what it says or only what it hears.
-func (s *switchboard) part(name string, others []string, says, hears bool) {
+func (s *forwarders) partition(name string, others []string, says, hears bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range others {
@@ -119,14 +119,14 @@
 	}
 }
 
-func (s *switchboard) heal() {
+func (s *forwarders) heal() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut, s.fault = map[[2]string]bool{}, map[[2]string]lineFault{}
+	s.cut, s.fault = map[[2]string]bool{}, map[[2]string]linkFault{}
 }
 
-// lineFault is what goes wrong on the lines from one to another, both named where they are made.
-type lineFault struct {
+// linkFault is what goes wrong on the lines from one to another, both named where they are made.
+type linkFault struct {
 	cut      bool          // nothing opens, and what is open closes
 	mute     bool          // what the one says is swallowed
 	muteBack bool          // and what the other answers
@@ -137,7 +137,7 @@
 }
 
 // set puts a fault in place of the one before.
-func (s *switchboard) set(from, to string, f lineFault) {
+func (s *forwarders) set(from, to string, f linkFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := [2]string{from, to}
@@ -149,7 +149,7 @@
 	}
 }
 
-func (s *switchboard) on(key [2]string) lineFault {
+func (s *forwarders) on(key [2]string) linkFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.fault[key]
@@ -158,16 +158,16 @@
 }
 
 // between opens an address on which one reaches another, and forwards what comes.
-func (s *switchboard) between(from, to, target string) (string, error) {
+func (s *forwarders) faultBetween(from, to, target string) (string, error) {
 	l, err := net.Listen("tcp", loopback(7300))
 	if err != nil {
 		return "", err
 	}
-	s.serve(l, func(c net.Conn) { s.cross(c, [2]string{from, to}, target) })
+	s.serve(l, func(c net.Conn) { s.relay(c, [2]string{from, to}, target) })
 	return l.Addr().String(), nil
 }
 
-func (s *switchboard) cross(c net.Conn, key [2]string, target string) {
+func (s *forwarders) relay(c net.Conn, key [2]string, target string) {
 	defer c.Close()
 	f := s.on(key)
 	if f.cut {
@@ -178,7 +178,7 @@
 	s.mu.Unlock()
 	defer func() { s.mu.Lock(); delete(s.conns, c); s.mu.Unlock() }()
 	if f.says != nil {
-		pretend(c, target, f.says)
+		answerInPlace(c, target, f.says)
 		return
 	}
 	out, err := net.DialTimeout("tcp", target, time.Second)
@@ -188,12 +188,12 @@
 	defer out.Close()
 	back := make(chan struct{})
 	go func() {
-		s.pump(c, out, key, func(f lineFault, _ []byte) bool { return f.muteBack })
+		s.copyBytes(c, out, key, func(f linkFault, _ []byte) bool { return f.muteBack })
 		c.Close()
 		close(back)
 	}()
 	deaf := false
-	s.pump(out, c, key, func(f lineFault, b []byte) bool {
+	s.copyBytes(out, c, key, func(f linkFault, b []byte) bool {
 		deaf = deaf || f.deaf != "" && bytes.HasPrefix(b, []byte(f.deaf))
 		return f.mute || deaf
 	})
@@ -202,7 +202,7 @@
 }
 
 // pretend answers a node in an instance's place with what it said long ago; texts it has from the true one.
-func pretend(c net.Conn, target string, says []byte) {
+func answerInPlace(c net.Conn, target string, says []byte) {
 	lines := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(lines)
@@ -224,7 +224,7 @@
 }
 
 // pump copies piece by piece, but for what is swallowed.
-func (s *switchboard) pump(dst, src net.Conn, key [2]string, swallow func(lineFault, []byte) bool) {
+func (s *forwarders) copyBytes(dst, src net.Conn, key [2]string, swallow func(linkFault, []byte) bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := src.Read(buf)
@@ -249,7 +249,7 @@
 	}
 }
 
-func (s *switchboard) close() {
+func (s *forwarders) close() {
 	for _, l := range s.ls {
 		l.Close()
 	}
--- a/internal/harness/local.go
+++ b/internal/harness/local_fleet.go
@@ -10,8 +10,8 @@
 	"umberwinch/internal/control/policy"
 )
 
-// Local is a fleet for a look: a rig that starts again what ends.
-type Local struct {
+// LocalFleet is a fleet for a look: a rig that starts again what ends.
+type LocalFleet struct {
 	Program, Dir     string
 	Instances, Nodes int
 	Rate             float64
@@ -19,16 +19,16 @@
 }
 
 // Run starts it, says what can be done with it, and goes on until the context ends.
-func (l *Local) Run(ctx context.Context, w io.Writer) error {
+func (l *LocalFleet) Run(ctx context.Context, w io.Writer) error {
 	run, end := context.WithCancel(context.WithoutCancel(ctx)) // so that what is started can be ended in order
 	defer end()
-	r, err := NewRig(run, RigPlan{Program: l.Program, Dir: l.Dir, Seed: 1, Instances: l.Instances, Nodes: l.Nodes,
+	r, err := NewFleetProcesses(run, FleetProcessesPlan{Program: l.Program, Dir: l.Dir, Seed: 1, Instances: l.Instances, Nodes: l.Nodes,
 		Folders: true, Keep: true})
 	if err != nil {
 		return err
 	}
 	defer r.Close()
-	go r.group.keep(run)
+	go r.group.restartEnded(run)
 	number, version, err := r.Propose(policyText(5*time.Second, "fence", 1, ""), policy.Proposal{Reason: "the first"})
 	if err == nil {
 		_, err = r.Step(number, 30*time.Second, policy.Settled)
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -14,8 +14,8 @@
 	"umberwinch/internal/simulation"
 )
 
-// Policy is a run of `umberctl lab policy`.
-type Policy struct {
+// PolicyTest is a run of `umberctl lab policy`.
+type PolicyTest struct {
 	Seed      int64
 	Quick     bool
 	Size      int // nodes of the real part
@@ -40,7 +40,7 @@
 )
 
 // Run plays virtual schedules and large fleets, then processes, and reports.
-func (r *Policy) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
+func (r *PolicyTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "policy", Title: "A change of policy everywhere or nowhere",
 		Head: []string{"PART", "NODES", "CHANGES", "SETTLED", "CALLED OFF", "MEDIAN", "99TH", "WORST", "OVERLAP"}}
 	rep.Add("seed", "%d", r.Seed)
@@ -70,14 +70,14 @@
 	return []string{at(0.5), at(0.99), at(1)}
 }
 
-func (r *Policy) row(rep *report.Report, part string, nodes, changes int, ends map[policy.Step]int, times []float64, overlap int64) {
+func (r *PolicyTest) row(rep *report.Report, part string, nodes, changes int, ends map[policy.Step]int, times []float64, overlap int64) {
 	rep.Rows = append(rep.Rows, append(append([]string{part, strconv.Itoa(nodes), strconv.Itoa(changes),
 		strconv.Itoa(ends[policy.Settled]), strconv.Itoa(ends[policy.Aborted])}, span(times)...),
 		fmt.Sprintf("%.0f ms", float64(overlap)/10)))
 }
 
 // virtual plays schedules of faults on all cores, each from a seed of its own.
-func (r *Policy) virtual(ctx context.Context, rep *report.Report) {
+func (r *PolicyTest) virtual(ctx context.Context, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
 		if n = longFleets; r.Quick {
@@ -123,7 +123,7 @@
 
 // large plays fleets of the full size, calm and with a third down, and beside them the two baselines: telling each node
 // as it comes, and a majority of nodes.
-func (r *Policy) large(rep *report.Report) {
+func (r *PolicyTest) large(rep *report.Report) {
 	sizes := []int{300, 5000}
 	if r.Quick {
 		sizes = []int{300}
@@ -157,7 +157,7 @@
 const OnlyLoad = "load"
 
 // real plays the cases on processes, then many changes under load.
-func (r *Policy) real(ctx context.Context, w io.Writer, rep *report.Report) error {
+func (r *PolicyTest) real(ctx context.Context, w io.Writer, rep *report.Report) error {
 	dir, err := os.MkdirTemp("", "lab-policy-")
 	if err != nil {
 		return err
@@ -224,11 +224,11 @@
 
 // fencing measures what it costs callers that a zone is cut off from the group and stops serving: the same load for as
 // long, whole and cut.
-func (r *Policy) fencing(ctx context.Context, b *bench, rep *report.Report) error {
+func (r *PolicyTest) fencing(ctx context.Context, b *policyBench, rep *report.Report) error {
 	const span = 10 * time.Second
 	for _, cut := range []bool{false, true} {
 		if cut {
-			b.cut(b.zoned("z2")...)
+			b.cutOff(b.nodesIn("z2")...)
 			time.Sleep(b.lease + b.lease/2)
 		}
 		load, stop := context.WithTimeout(ctx, span)
@@ -245,7 +245,7 @@
 }
 
 // many makes changes one after the other under load, none of which a caller may notice.
-func (r *Policy) many(ctx context.Context, b *bench, rep *report.Report) error {
+func (r *PolicyTest) many(ctx context.Context, b *policyBench, rep *report.Report) error {
 	n := r.Changes
 	if n == 0 {
 		if n = longChanges; r.Quick {
--- a/internal/harness/policy_bench.go
+++ b/internal/harness/policy_bench.go
@@ -23,8 +23,8 @@
 }
 
 // bench is a rig under load, for the cases.
-type bench struct {
-	*Rig
+type policyBench struct {
+	*FleetProcesses
 	n     int // texts made so far
 	force uint64
 	lease time.Duration
@@ -32,13 +32,13 @@
 	more  string // that all its texts have
 }
 
-func (b *bench) text(more string) string {
+func (b *policyBench) text(more string) string {
 	b.n++
 	return policyText(b.lease, b.alone, b.n, b.more+more)
 }
 
 // change makes a change and waits until it is settled and all that are up serve under it.
-func (b *bench) change(p policy.Proposal) (*policy.Change, error) {
+func (b *policyBench) change(p policy.Proposal) (*policy.Change, error) {
 	number, version, err := b.Propose(b.text(""), p)
 	if err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	return b.settled(number, version)
 }
 
-func (b *bench) settled(number, version uint64) (*policy.Change, error) {
+func (b *policyBench) settled(number, version uint64) (*policy.Change, error) {
 	c, err := b.Step(number, 30*time.Second, policy.Settled, policy.Aborted)
 	if err != nil {
 		return c, err
@@ -59,7 +59,7 @@
 }
 
 // off waits until a change is called off, and holds the fleet to serving on under the older version.
-func (b *bench) off(number uint64) (*policy.Change, error) {
+func (b *policyBench) off(number uint64) (*policy.Change, error) {
 	c, err := b.Step(number, 40*time.Second, policy.Settled, policy.Aborted)
 	if err != nil {
 		return c, err
@@ -71,7 +71,7 @@
 }
 
 // callOff has an operator call a change off, and gives why it was not.
-func (b *bench) callOff(number uint64) (no string, err error) {
+func (b *policyBench) callOff(number uint64) (no string, err error) {
 	var res struct {
 		Error string `json:"error"`
 	}
@@ -81,12 +81,12 @@
 }
 
 // one sends one req to one node.
-func (b *bench) one(name string) (code int, backOff time.Duration, err error) {
+func (b *policyBench) one(name string) (code int, backOff time.Duration, err error) {
 	for _, n := range b.nodes {
 		if n.name == name {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			defer cancel()
-			code, backOff = tryReq(ctx, b.client, n.front, "view", 0, 0, "", false)
+			code, backOff = sendAttempt(ctx, b.client, n.front, "view", 0, 0, "", false)
 			return code, backOff, fmt.Errorf("%s answers %d", name, code)
 		}
 	}
@@ -123,18 +123,18 @@
 }
 
 // made is a change that was proposed.
-type made struct{ number, version uint64 }
+type proposedChange struct{ number, version uint64 }
 
 // proposes makes a change with more in its text than usual.
-func (b *bench) proposes(more string, p policy.Proposal) made {
+func (b *policyBench) proposes(more string, p policy.Proposal) proposedChange {
 	number, version, err := b.Propose(b.text(more), p)
 	must(err)
-	return made{number, version}
+	return proposedChange{number, version}
 }
 
 // held begins a change that one node does not get to prepare, so that it stays at the first step; others have prepared it.
-func (b *bench) held(slow *rigNode, p policy.Proposal, others ...*rigNode) made {
-	b.lines(lineFault{deaf: "GET /v1/config"}, slow)
+func (b *policyBench) held(slow *nodeProcess, p policy.Proposal, others ...*nodeProcess) proposedChange {
+	b.setLinkFault(linkFault{deaf: "GET /v1/config"}, slow)
 	c := b.proposes("", p)
 	for _, n := range others {
 		must(b.Prepared(n.name, c.version))
@@ -143,26 +143,28 @@
 }
 
 // goesOn lets a node that was held take part again, and waits until the change stands at one of some steps.
-func (b *bench) goesOn(slow *rigNode, c made, steps ...policy.Step) *policy.Change {
-	b.lines(lineFault{}, slow)
+func (b *policyBench) goesOn(slow *nodeProcess, c proposedChange, steps ...policy.Step) *policy.Change {
+	b.setLinkFault(linkFault{}, slow)
 	return got(b.Step(c.number, 30*time.Second, steps...))
 }
 
 // settles waits until a change has settled and all that are up serve under it; follows, until that is so of one that not all
 // took part in, once they can again.
-func (b *bench) settles(c made) *policy.Change { return got(b.settled(c.number, c.version)) }
+func (b *policyBench) settles(c proposedChange) *policy.Change {
+	return got(b.settled(c.number, c.version))
+}
 
-func (b *bench) follows(c made) {
+func (b *policyBench) follows(c proposedChange) {
 	got(b.Step(c.number, 30*time.Second, policy.Settled))
 	b.heal()
 	b.force = c.version
 	b.allServe(c.version)
 }
 
-func (b *bench) allServe(version uint64) { must(b.AllServe(version, 60*time.Second)) }
+func (b *policyBench) allServe(version uint64) { must(b.AllServe(version, 60*time.Second)) }
 
 // leaderLost kills the leader, has the others settle a change, and starts it again.
-func (b *bench) leaderLost(c made) {
+func (b *policyBench) leaderLost(c proposedChange) {
 	p := got(b.killLeader())
 	b.heal()
 	b.settles(c)
@@ -170,26 +172,26 @@
 }
 
 // others are the instances but the first: without them there is no majority.
-func (b *bench) others(do func(p *proc)) {
+func (b *policyBench) others(do func(p *instanceProcess)) {
 	for _, p := range b.group.procs[1:] {
 		do(p)
 	}
 }
 
-func (b *bench) starts(p *proc) { must(b.group.start(p, "")) }
+func (b *policyBench) starts(p *instanceProcess) { must(b.group.start(p, "")) }
 
 // begin starts a rig with a first policy.
-func (r *Policy) begin(ctx context.Context, dir string, alone string) (*bench, error) {
+func (r *PolicyTest) begin(ctx context.Context, dir string, alone string) (*policyBench, error) {
 	n := r.Size
 	if n == 0 {
 		n = 9
 	}
-	rig, err := NewRig(ctx, RigPlan{Program: r.Program, Dir: dir, Seed: r.Seed, Instances: 3, Nodes: n, Without: r.Words,
+	rig, err := NewFleetProcesses(ctx, FleetProcessesPlan{Program: r.Program, Dir: dir, Seed: r.Seed, Instances: 3, Nodes: n, Without: r.Words,
 		Odd: n, Folders: true})
 	if err != nil {
 		return nil, err
 	}
-	b := &bench{Rig: rig, lease: realLease, alone: alone}
+	b := &policyBench{FleetProcesses: rig, lease: realLease, alone: alone}
 	if err = b.settleFirst(); err != nil {
 		b.Close()
 		return nil, err
@@ -198,7 +200,7 @@
 }
 
 // settleFirst proposes the first version and waits until it is settled.
-func (b *bench) settleFirst() error {
+func (b *policyBench) settleFirst() error {
 	number, version, err := b.Propose(b.text(""), policy.Proposal{})
 	if err == nil {
 		_, err = b.settled(number, version)
@@ -207,6 +209,6 @@
 }
 
 // promises of the real part: a lease as the group counts it, and some ms of logs and rounds.
-func (b *bench) promises() simulation.FleetPromises {
+func (b *policyBench) promises() simulation.FleetPromises {
 	return simulation.FleetPromises{Overlap: int64(membership.LeaseSpanMS(uint64(b.lease.Milliseconds())))*10 + 2000, Fences: b.alone == "fence"}
 }
--- a/internal/harness/policy_cases.go
+++ b/internal/harness/policy_cases.go
@@ -21,16 +21,16 @@
 // policyCase is one hard case on processes.
 type policyCase struct {
 	name string
-	run  func(b *bench)
+	run  func(b *policyBench)
 	long bool // not with --quick
 }
 
 var policyCases = []policyCase{
-	{name: "a change, and one without overlap", run: func(b *bench) {
+	{name: "a change, and one without overlap", run: func(b *policyBench) {
 		got(b.change(policy.Proposal{}))
 		got(b.change(policy.Proposal{Exclusive: true}))
 	}},
-	{name: "killed before it prepared", run: func(b *bench) {
+	{name: "killed before it prepared", run: func(b *policyBench) {
 		n := b.nodes[0]
 		c := b.held(n, policy.Proposal{})
 		n.Kill()
@@ -39,7 +39,7 @@
 		must(n.Start())
 		b.allServe(c.version)
 	}},
-	{name: "killed after it prepared", run: func(b *bench) {
+	{name: "killed after it prepared", run: func(b *policyBench) {
 		slow, n := b.nodes[1], b.nodes[0]
 		c := b.held(slow, policy.Proposal{}, n)
 		n.Kill()
@@ -48,10 +48,10 @@
 		must(n.Start())
 		b.allServe(c.version)
 	}},
-	{name: "killed between the decision and being told", run: func(b *bench) {
+	{name: "killed between the decision and being told", run: func(b *policyBench) {
 		slow, n, cut := b.nodes[1], b.nodes[0], b.nodes[2]
 		c := b.held(slow, policy.Proposal{}, n, cut)
-		b.lines(lineFault{muteBack: true}, n, cut) // neither hears any more, and the slow one goes on
+		b.setLinkFault(linkFault{muteBack: true}, n, cut) // neither hears any more, and the slow one goes on
 		b.goesOn(slow, c, policy.Committed, policy.Settled)
 		n.Kill() // the other one is fenced instead
 		got(b.Step(c.number, 20*time.Second, policy.Settled))
@@ -59,7 +59,7 @@
 		must(n.Start())
 		b.follows(c)
 	}},
-	{name: "stopped past its lease and continued", run: func(b *bench) {
+	{name: "stopped past its lease and continued", run: func(b *policyBench) {
 		n := b.nodes[3%len(b.nodes)]
 		n.Stop()
 		defer func() {
@@ -71,26 +71,26 @@
 		n.GoOn()
 		b.allServe(c.Version)
 	}},
-	{name: "a zone cut off from the group, not from its callers", run: func(b *bench) {
-		b.cut(b.zoned("z2")...)
+	{name: "a zone cut off from the group, not from its callers", run: func(b *policyBench) {
+		b.cutOff(b.nodesIn("z2")...)
 		b.follows(b.proposes("", policy.Proposal{}))
 	}},
-	{name: "one-way cuts", run: func(b *bench) {
-		b.lines(lineFault{mute: true}, b.nodes[0])
-		b.lines(lineFault{muteBack: true}, b.nodes[1])
+	{name: "one-way cuts", run: func(b *policyBench) {
+		b.setLinkFault(linkFault{mute: true}, b.nodes[0])
+		b.setLinkFault(linkFault{muteBack: true}, b.nodes[1])
 		b.follows(b.proposes("", policy.Proposal{}))
 	}},
-	{name: "the leader killed while nodes prepare", run: func(b *bench) {
+	{name: "the leader killed while nodes prepare", run: func(b *policyBench) {
 		b.leaderLost(b.held(b.nodes[4%len(b.nodes)], policy.Proposal{}, b.nodes[0]))
 	}},
-	{name: "the leader killed while it is held, without overlap", run: func(b *bench) {
+	{name: "the leader killed while it is held, without overlap", run: func(b *policyBench) {
 		cut, slow := b.nodes[5%len(b.nodes)], b.nodes[1]
 		c := b.held(slow, policy.Proposal{Exclusive: true}, cut)
-		b.lines(lineFault{muteBack: true}, cut)
+		b.setLinkFault(linkFault{muteBack: true}, cut)
 		b.goesOn(slow, c, policy.Decided, policy.Committed, policy.Settled)
 		b.leaderLost(c)
 	}},
-	{name: "no majority in the middle, and back", run: func(b *bench) {
+	{name: "no majority in the middle, and back", run: func(b *policyBench) {
 		c := b.held(b.nodes[1], policy.Proposal{PrepareWithinMS: 30_000})
 		b.others(b.group.kill)
 		time.Sleep(b.lease + b.lease/2) // past every lease
@@ -98,38 +98,38 @@
 		b.others(b.starts)
 		b.settles(c)
 	}},
-	{name: "an instance that is slow, and the leader", run: func(b *bench) {
+	{name: "an instance that is slow, and the leader", run: func(b *policyBench) {
 		p := b.group.leader()
 		if p == nil {
 			must(errors.New("no leader"))
 		}
 		for _, n := range b.nodes {
-			b.group.board.set(n.name, p.name, lineFault{delay: time.Second})
+			b.group.board.set(n.name, p.name, linkFault{delay: time.Second})
 		}
 		got(b.change(policy.Proposal{}))
 	}},
-	{name: "a node says no", run: func(b *bench) {
+	{name: "a node says no", run: func(b *policyBench) {
 		c := got(b.off(b.proposes("[class fill]\nkind = replayable\nvalue = 2\nresponse_target = 500ms\nclient_timeout = 3s\n",
 			policy.Proposal{}).number))
 		if !strings.Contains(c.AbortReason, "class fill: found it in the policy") {
 			must(fmt.Errorf("called off for %q, expected the odd node's no", c.AbortReason))
 		}
 	}},
-	{name: "a node never answers", run: func(b *bench) {
+	{name: "a node never answers", run: func(b *policyBench) {
 		got(b.off(b.held(b.nodes[0], policy.Proposal{PrepareWithinMS: 3000}).number))
 	}},
-	{name: "it is left behind, and comes after", run: func(b *bench) {
+	{name: "it is left behind, and comes after", run: func(b *policyBench) {
 		b.follows(b.held(b.nodes[0], policy.Proposal{PrepareWithinMS: 3000, MaxLeftBehind: 1}))
 	}},
-	{name: "says prepared and forgets it", run: func(b *bench) {
+	{name: "says prepared and forgets it", run: func(b *policyBench) {
 		slow, n := b.nodes[1], b.nodes[0]
 		c := b.held(slow, policy.Proposal{}, n)
 		n.Kill()
 		must(n.Start())
-		b.lines(lineFault{}, slow)
+		b.setLinkFault(linkFault{}, slow)
 		b.settles(c)
 	}},
-	{name: "restarts in a loop", run: func(b *bench) {
+	{name: "restarts in a loop", run: func(b *policyBench) {
 		n := b.nodes[2]
 		stop, done := make(chan struct{}), make(chan error, 1)
 		go func() {
@@ -147,7 +147,7 @@
 				}
 			}
 		}()
-		c := made{}
+		c := proposedChange{}
 		err := played(func() {
 			c = b.proposes("", policy.Proposal{PrepareWithinMS: 20_000})
 			got(b.Step(c.number, 30*time.Second, policy.Settled))
@@ -156,7 +156,7 @@
 		must(errors.Join(err, <-done))
 		b.follows(c)
 	}},
-	{name: "joins in the middle", run: func(b *bench) {
+	{name: "joins in the middle", run: func(b *policyBench) {
 		n, slow := b.nodes[0], b.nodes[1]
 		n.Kill()
 		c := b.held(slow, policy.Proposal{})
@@ -165,7 +165,7 @@
 		b.heal()
 		b.settles(c)
 	}},
-	{name: "drains in the middle", run: func(b *bench) {
+	{name: "drains in the middle", run: func(b *policyBench) {
 		n, slow := b.nodes[0], b.nodes[1]
 		c := b.held(slow, policy.Proposal{})
 		n.Drain()
@@ -182,7 +182,7 @@
 		must(n.Start())
 		b.allServe(c.version)
 	}},
-	{name: "a version that would shed everything", run: func(b *bench) {
+	{name: "a version that would shed everything", run: func(b *policyBench) {
 		more := ""
 		for _, c := range []string{"view", "submit"} {
 			more += fmt.Sprintf("[class %s]\nkind = %s\nretired = yes\nresponse_target = 300ms\nclient_timeout = 3s\n", c,
@@ -192,7 +192,7 @@
 			must(fmt.Errorf("called off for %q, expected the trial's finding", c.AbortReason))
 		}
 	}},
-	{name: "called off before it is decided, and not after", run: func(b *bench) {
+	{name: "called off before it is decided, and not after", run: func(b *policyBench) {
 		slow := b.nodes[1]
 		c := b.held(slow, policy.Proposal{})
 		if no := got(b.callOff(c.number)); no != "" {
@@ -201,7 +201,7 @@
 		got(b.off(c.number))
 		b.heal()
 		c = b.held(slow, policy.Proposal{}, b.nodes[0])
-		b.lines(lineFault{}, slow)
+		b.setLinkFault(linkFault{}, slow)
 		must(b.Prepared(slow.name, c.version))
 		got(b.Step(c.number, 20*time.Second, policy.Committed, policy.Settled))
 		if got(b.callOff(c.number)) == "" {
@@ -209,7 +209,7 @@
 		}
 		b.settles(c)
 	}},
-	{name: "its next incarnation hears nothing", run: func(b *bench) {
+	{name: "its next incarnation hears nothing", run: func(b *policyBench) {
 		// Under a lease that is long beside what a slow machine takes to go on, so that the change can't wait it out by chance.
 		b.lease = 4 * realLease
 		got(b.change(policy.Proposal{}))
@@ -218,7 +218,7 @@
 		c := b.held(slow, policy.Proposal{PrepareWithinMS: 30_000}, n)
 		n.Kill()
 		must(os.Remove(filepath.Join(n.folder, "policy.json"))) // it forgets what it prepared
-		b.lines(lineFault{muteBack: true}, n)                   // it joins, and no answer reaches it
+		b.setLinkFault(linkFault{muteBack: true}, n)            // it joins, and no answer reaches it
 		before := got(b.Nodes())
 		must(n.Start())
 		must(b.await(10*time.Second, func() error {
@@ -236,7 +236,7 @@
 		b.heal()
 		b.settles(c)
 	}},
-	{name: "an instance that is behind speaks to a node that starts", run: func(b *bench) {
+	{name: "an instance that is behind speaks to a node that starts", run: func(b *policyBench) {
 		n := b.nodes[4%len(b.nodes)]
 		var s consensus.Report
 		got(b.ask(http.MethodGet, "/v1/status", nil, &s))
@@ -247,7 +247,7 @@
 			DecidedVersion: old.Version, CommittedVersion: old, NextHeartbeatMS: 200}))
 		c := got(b.change(policy.Proposal{}))
 		n.Kill()
-		b.lines(lineFault{says: says}, n)
+		b.setLinkFault(linkFault{says: says}, n)
 		must(n.Start())
 		time.Sleep(b.lease)
 		if code, _, _ := b.one(n.name); code == http.StatusOK {
@@ -258,22 +258,22 @@
 		must(n.Start())
 		b.allServe(c.Version)
 	}},
-	{name: "a zone cut off from its callers, not from the group", run: func(b *bench) {
-		for _, n := range b.zoned("z3") {
-			b.group.board.set("callers", n.name, lineFault{cut: true})
+	{name: "a zone cut off from its callers, not from the group", run: func(b *policyBench) {
+		for _, n := range b.nodesIn("z3") {
+			b.group.board.set("callers", n.name, linkFault{cut: true})
 		}
 		c := got(b.change(policy.Proposal{}))
 		b.heal()
 		b.allServe(c.Version)
 	}},
-	{name: "the leader killed before it has settled", run: func(b *bench) {
+	{name: "the leader killed before it has settled", run: func(b *policyBench) {
 		cut, slow := b.nodes[5%len(b.nodes)], b.nodes[1]
 		c := b.held(slow, policy.Proposal{}, cut)
-		b.lines(lineFault{muteBack: true}, cut)
+		b.setLinkFault(linkFault{muteBack: true}, cut)
 		b.goesOn(slow, c, policy.Committed, policy.Settled)
 		b.leaderLost(c)
 	}},
-	{name: "the leader kills itself at each step of its work", long: true, run: func(b *bench) {
+	{name: "the leader kills itself at each step of its work", long: true, run: func(b *policyBench) {
 		for _, point := range consensus.Steps {
 			for _, p := range b.group.procs { // started anew, so that a signal arms the crash
 				b.group.kill(p)
@@ -289,7 +289,7 @@
 			}
 		}
 	}},
-	{name: "two in five down, back one by one, at first without the group", run: func(b *bench) {
+	{name: "two in five down, back one by one, at first without the group", run: func(b *policyBench) {
 		down := b.nodes[:2*len(b.nodes)/5]
 		for _, n := range down {
 			n.Kill()
--- a/internal/harness/policy_crowd.go
+++ b/internal/harness/policy_node_crowd.go
@@ -28,20 +28,20 @@
 
 // crowd measures what a fleet of the full size costs the group: processes of the control service, asked by members over
 // sockets, each with a connection of its own.
-func (r *Policy) crowd(ctx context.Context, rep *report.Report) error {
+func (r *PolicyTest) crowd(ctx context.Context, rep *report.Report) error {
 	dir, err := os.MkdirTemp("", "lab-policy-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	c, err := newCluster(ctx, r.Program, dir, 3, "")
+	c, err := newControlProcesses(ctx, r.Program, dir, 3, "")
 	if c != nil {
 		defer c.close()
 	}
 	if err != nil {
 		return err
 	}
-	m := &crowd{c: c, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: crowdNodes, MaxIdleConns: 3 * crowdNodes}},
+	m := &nodeCrowd{c: c, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: crowdNodes, MaxIdleConns: 3 * crowdNodes}},
 		began: time.Now()}
 	defer m.client.CloseIdleConnections()
 	stop := m.begin(ctx, 1, 10*time.Second)
@@ -132,8 +132,8 @@
 }
 
 // crowd is a fleet of members in this process.
-type crowd struct {
-	c      *cluster
+type nodeCrowd struct {
+	c      *controlProcesses
 	client *http.Client
 	began  time.Time
 	asked  atomic.Int64
@@ -143,7 +143,7 @@
 }
 
 // begin starts all members within a time; the end it gives waits for them.
-func (m *crowd) begin(ctx context.Context, life int, within time.Duration) (stop func()) {
+func (m *nodeCrowd) begin(ctx context.Context, life int, within time.Duration) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	m.in.Store(0)
 	var control []string
@@ -164,7 +164,7 @@
 }
 
 // one is one member, with a connection of its own.
-func (m *crowd) one(ctx context.Context, plan agent.Config) {
+func (m *nodeCrowd) one(ctx context.Context, plan agent.Config) {
 	now := func() uint64 { return uint64(time.Since(m.began).Milliseconds()) + 1000 }
 	n, in := agent.New(plan, nil, now()), false
 	for ctx.Err() == nil {
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -12,8 +12,8 @@
 	"umberwinch/internal/simulation"
 )
 
-// Raft is a run of `umberctl lab raft`.
-type Raft struct {
+// RaftTest is a run of `umberctl lab raft`.
+type RaftTest struct {
 	Seed      int64
 	Quick     bool
 	Size      int // instances; 0 for groups of three and of five
@@ -36,7 +36,7 @@
 )
 
 // Run plays virtual schedules, then real processes, and reports.
-func (r *Raft) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
+func (r *RaftTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "raft", Title: "The replicated group under faults",
 		Head: []string{"PART", "GROUPS", "RUNS", "STEPS OR PUTS", "BROKEN", "MEDIAN", "99TH", "WORST"}}
 	rep.Add("seed", "%d", r.Seed)
@@ -52,7 +52,7 @@
 }
 
 // size gives the instances of a schedule's group.
-func (r *Raft) size(seed int64) int {
+func (r *RaftTest) size(seed int64) int {
 	if r.Size > 0 {
 		return r.Size
 	}
@@ -60,7 +60,7 @@
 }
 
 // virtual plays schedules on all cores, each from a seed of its own.
-func (r *Raft) virtual(ctx context.Context, w io.Writer, rep *report.Report) {
+func (r *RaftTest) virtual(ctx context.Context, w io.Writer, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
 		n = longSchedules
--- a/internal/harness/comeback.go
+++ b/internal/harness/recovery.go
@@ -24,9 +24,9 @@
 	"umberwinch/internal/simulation"
 )
 
-// Comeback is a run of `umberctl lab comeback`: a fleet that restarts whole and a group that lost its state, on the rig of
+// RecoveryTest is a run of `umberctl lab comeback`: a fleet that restarts whole and a group that lost its state, on the rig of
 // the zones and in their virtual time.
-type Comeback struct {
+type RecoveryTest struct {
 	Seed    int64
 	Quick   bool
 	Size    int
@@ -42,12 +42,12 @@
 }
 
 // Run plays restarts in virtual time beside baselines and the lower bound, then the hard cases on processes.
-func (r *Comeback) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
+func (r *RecoveryTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "comeback", Title: "Coming back after a restart of most of the fleet",
 		Head: []string{"PART", "NODES", "LOAD", "WAY", "HALF", "95 IN 100", "WHOLE", "AT BEST", "BELOW, PEAK", "TRIES A REQ"}}
 	rep.Add("seed", "%d", r.Seed)
 	if r.Mode != "real" {
-		entries, largest, worst, broken := crowdIn(r.Seed, 5000, r.Lead)
+		entries, largest, worst, broken := joinCrowd(r.Seed, 5000, r.Lead)
 		rep.Add("crowd_entries", "%d", entries)
 		rep.Add("crowd_largest", "%d", largest)
 		rep.Add("crowd_worst_ms", "%d", worst)
@@ -57,7 +57,7 @@
 		r.virtual(rep)
 	}
 	if r.Mode != "virtual" && rep.Broken == "" {
-		z := &Zones{Seed: r.Seed, Quick: r.Quick, Size: r.Size, Words: r.Words, Program: r.Program, Only: r.Only, Part: r.Part,
+		z := &ZonesTest{Seed: r.Seed, Quick: r.Quick, Size: r.Size, Words: r.Words, Program: r.Program, Only: r.Only, Part: r.Part,
 			Parts: r.Parts, cases: comebackCases}
 		if err := z.real(ctx, w, rep); err != nil {
 			return nil, err
@@ -66,9 +66,9 @@
 	return rep.End(r.Out, w)
 }
 
-// bestWhole is the least time, in seconds, in which services of a coldness can be warm enough for a load: they serve all
+// shortestRecovery is the least time, in seconds, in which services of a coldness can be warm enough for a load: they serve all
 // that they bear from the first moment on, and that is what warms them. fill is the seconds of full capacity that their caches take.
-func bestWhole(load, cold, fill float64) float64 {
+func shortestRecovery(load, cold, fill float64) float64 {
 	cool := (1/load - 1) / (cold - 1)
 	if cool >= 1 {
 		return 0
@@ -77,7 +77,7 @@
 }
 
 // virtual plays a restart of all nodes at sizes and loads, each way on its own.
-func (r *Comeback) virtual(rep *report.Report) {
+func (r *RecoveryTest) virtual(rep *report.Report) {
 	sizes, loads := []int{300, 5000}, []float64{0.6, 0.9, 1.3}
 	if r.Quick {
 		sizes, loads = []int{15}, []float64{0.6, 1.3}
@@ -111,7 +111,7 @@
 				most := min(1, 1/load)
 				rep.Rows = append(rep.Rows, []string{"virtual", strconv.Itoa(n), fmt.Sprintf("%.2f", load), way.name,
 					secs(v.RecoveredAt(0.5 * most)), secs(v.RecoveredAt(0.95 * most)), secs(v.RecoveredAt(0.98 * most)),
-					fmt.Sprintf("%.0f s", bestWhole(min(load, 1), 8, simulation.WarmUpSeconds)), fmt.Sprintf("%.2f", v.Start), fmt.Sprintf("%.2f", v.Tries)})
+					fmt.Sprintf("%.0f s", shortestRecovery(min(load, 1), 8, simulation.WarmUpSeconds)), fmt.Sprintf("%.2f", v.Start), fmt.Sprintf("%.2f", v.Tries)})
 				if i == 0 && n <= 300 {
 					v.Plot[0].Name, v.Plot[1].Name = "value done", "below: asked over what it bears"
 					rep.Plots = append(rep.Plots, report.Plot{Title: fmt.Sprintf("%d nodes restart, load %.2f", n, load),
@@ -123,14 +123,14 @@
 }
 
 // nothing is a group that has no version yet.
-type nothing struct{}
+type emptyPolicyLog struct{}
 
-func (nothing) Last() uint64                       { return 0 }
-func (nothing) Text(uint64) (string, string, bool) { return "", "", false }
+func (emptyPolicyLog) Last() uint64                       { return 0 }
+func (emptyPolicyLog) Text(uint64) (string, string, bool) { return "", "", false }
 
-// crowdIn has nodes ask a leader to be taken in, most of them within a second and a fifth over the next two, and holds it to the order
+// joinCrowd has nodes ask a leader to be taken in, most of them within a second and a fifth over the next two, and holds it to the order
 // in which they came. It gives the entries that this took, the largest of them, and the longest that any waited, in ms.
-func crowdIn(seed int64, nodes int, without policy.Guard) (entries, largest, worst int, broken string) {
+func joinCrowd(seed int64, nodes int, without policy.Guard) (entries, largest, worst int, broken string) {
 	const step, commit = 20, 40 // ms
 	r, part, s := rand.New(rand.NewSource(seed)), coordinator.NewState(without), coordinator.NewLeader(without)
 	s.SetRole("g", true, 1)
@@ -159,7 +159,7 @@
 		}
 		if len(sent) > 0 && now >= due {
 			for _, e := range sent {
-				end, err := part.Apply(e.Kind, e.Body, uint64(entries), 1, nothing{})
+				end, err := part.Apply(e.Kind, e.Body, uint64(entries), 1, emptyPolicyLog{})
 				if err != nil {
 					return entries, largest, worst, err.Error()
 				}
@@ -191,14 +191,14 @@
 // ---- Processes.
 
 // down ends all instances, or those that are named.
-func (b *zoneBench) down(procs ...*proc) {
+func (b *zoneBench) down(procs ...*instanceProcess) {
 	for _, p := range procs {
 		b.group.kill(p)
 	}
 }
 
 // recovers founds the group's next generation at the first instance, and has the others join it on empty folders.
-func (b *zoneBench) recovers(others ...*proc) (said string) {
+func (b *zoneBench) recovers(others ...*instanceProcess) (said string) {
 	first := b.group.procs[0]
 	raw, err := exec.CommandContext(b.ctx, b.Program, "control", "recover", "--file", first.file, "--for", "7s",
 		"--found").CombinedOutput()
@@ -212,11 +212,11 @@
 }
 
 // folder is an instance's, and old where a copy of it is put.
-func (b *zoneBench) folder(p *proc) string { return filepath.Join(b.Dir, p.name) }
-func (b *zoneBench) old(p *proc) string    { return filepath.Join(b.Dir, "old-"+p.name) }
+func (b *zoneBench) folder(p *instanceProcess) string { return filepath.Join(b.Dir, p.name) }
+func (b *zoneBench) old(p *instanceProcess) string    { return filepath.Join(b.Dir, "old-"+p.name) }
 
 // rejoin has instances join on empty folders.
-func (b *zoneBench) rejoin(procs ...*proc) {
+func (b *zoneBench) rejoin(procs ...*instanceProcess) {
 	for _, p := range procs {
 		must(os.RemoveAll(b.folder(p)))
 		b.starts(p)
@@ -242,7 +242,7 @@
 func (b *zoneBench) gen() uint64 { return got(b.Policy()).Generation }
 
 // allDown kills nodes, has the services below turn cold, and gives the time.
-func (b *zoneBench) allDown(nodes ...*rigNode) time.Time {
+func (b *zoneBench) allDown(nodes ...*nodeProcess) time.Time {
 	b.kills(nodes...)
 	for _, z := range allZones {
 		b.below(z, 1, 0, true)
@@ -310,14 +310,14 @@
 		b.generation(gen + 1)
 	}},
 	{name: "an old copy of all folders put back while nodes serve under a newer policy", run: func(b *zoneBench) {
-		each := func(do func(p *proc)) {
+		each := func(do func(p *instanceProcess)) {
 			for _, p := range b.group.procs {
 				do(p)
 			}
 		}
 		b.down(b.group.procs...)
-		each(func(p *proc) { must(os.CopyFS(b.old(p), os.DirFS(b.folder(p)))) })
-		defer each(func(p *proc) { os.RemoveAll(b.old(p)) })
+		each(func(p *instanceProcess) { must(os.CopyFS(b.old(p), os.DirFS(b.folder(p)))) })
+		defer each(func(p *instanceProcess) { os.RemoveAll(b.old(p)) })
 		each(b.starts)
 		b.allServe(b.force)
 		for range 2 {
@@ -325,7 +325,7 @@
 		}
 		gen := b.gen()
 		b.down(b.group.procs...)
-		each(func(p *proc) {
+		each(func(p *instanceProcess) {
 			must(errors.Join(os.RemoveAll(b.folder(p)), os.Rename(b.old(p), b.folder(p))))
 			b.starts(p)
 		})
@@ -352,7 +352,7 @@
 	}},
 	{name: "a paused majority of the old generation goes on", may: allZones, run: func(b *zoneBench) {
 		gen := b.gen()
-		b.others(func(p *proc) { p.cmd.Process.Signal(syscall.SIGSTOP) })
+		b.others(func(p *instanceProcess) { p.cmd.Process.Signal(syscall.SIGSTOP) })
 		b.down(b.group.procs[0])
 		b.recovers()
 		b.allServe(b.force)
@@ -361,10 +361,10 @@
 		for _, n := range b.nodes {
 			before[n.name] = b.logged(n.name, bad)
 		}
-		b.others(func(p *proc) { p.cmd.Process.Signal(syscall.SIGCONT) })
+		b.others(func(p *instanceProcess) { p.cmd.Process.Signal(syscall.SIGCONT) })
 		// Without a word of the new one they ask the old one, which leads by a majority of its own.
 		for _, n := range b.nodes {
-			b.group.board.set(n.name, b.group.procs[0].name, lineFault{cut: true})
+			b.group.board.set(n.name, b.group.procs[0].name, linkFault{cut: true})
 		}
 		time.Sleep(3*b.lease + 2*time.Second)
 		b.heal()
@@ -421,7 +421,7 @@
 		got(b.change(policy.Proposal{}))
 	}},
 	{name: "in waves that overlap with the recovery, some nodes in a loop", long: true, run: func(b *zoneBench) {
-		restart := func(nodes []*rigNode, pace time.Duration) {
+		restart := func(nodes []*nodeProcess, pace time.Duration) {
 			for _, n := range nodes {
 				n.Kill()
 				b.begins(pace, n)
@@ -445,8 +445,8 @@
 // ComebackGuards are the guards of coming back.
 var ComebackGuards = []string{"small-start", "generation", "proof", "listen-first", "spread", "arrival-order"}
 
-// ComebackCases names the cases.
-func ComebackCases() (names []string) {
+// RecoveryCases names the cases.
+func RecoveryCases() (names []string) {
 	names = append(names, OnlyCosts)
 	for _, c := range comebackCases {
 		names = append(names, c.name)
--- a/internal/harness/comeback_test.go
+++ b/internal/harness/recovery_test.go
@@ -22,7 +22,7 @@
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
 			t.Parallel()
 			var out bytes.Buffer
-			rep, err := (&Comeback{Seed: int64(31 + part), Quick: true, Mode: "real", Part: part, Parts: parts,
+			rep, err := (&RecoveryTest{Seed: int64(31 + part), Quick: true, Mode: "real", Part: part, Parts: parts,
 				Program: built(t)}).Run(context.Background(), &out)
 			if err != nil || rep.Broken != "" {
 				t.Fatalf("%v\n%s", err, out.String())
@@ -44,7 +44,7 @@
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
 			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
-				return (&Comeback{Seed: seed, Quick: true, Mode: "real", Words: guard, Only: only, Program: built(t)}).Run(context.Background(), w)
+				return (&RecoveryTest{Seed: seed, Quick: true, Mode: "real", Words: guard, Only: only, Program: built(t)}).Run(context.Background(), w)
 			})
 		})
 	}
@@ -53,12 +53,12 @@
 // TestCrowd: a crowd of nodes is taken in by the group in the order in which they asked, in entries of a bounded size, and nobody
 // waits for long; without that order the first of them do.
 func TestCrowd(t *testing.T) {
-	entries, largest, worst, broken := crowdIn(1, 5000, 0)
+	entries, largest, worst, broken := joinCrowd(1, 5000, 0)
 	if broken != "" || largest > 200_000 || worst > 1500 {
 		t.Errorf("%d entries, the largest of %d bytes, %d ms at worst: %s", entries, largest, worst, broken)
 	}
 	t.Logf("%d entries, the largest of %d bytes, %d ms at worst", entries, largest, worst)
-	if _, _, _, broken = crowdIn(1, 5000, policy.ArrivalOrder); broken == "" {
+	if _, _, _, broken = joinCrowd(1, 5000, policy.ArrivalOrder); broken == "" {
 		t.Error("without arrival-order no promise broke")
 	}
 	t.Log(broken)
@@ -73,7 +73,7 @@
 			warm = min(1, warm+dt/simulation.WarmUpSeconds/(1+(cold-1)*(1-warm)))
 			at += dt
 		}
-		if got := bestWhole(load, cold, simulation.WarmUpSeconds); math.Abs(got-at) > 0.2 {
+		if got := shortestRecovery(load, cold, simulation.WarmUpSeconds); math.Abs(got-at) > 0.2 {
 			t.Errorf("load %.1f: %.2f s, counted %.2f", load, got, at)
 		}
 	}
--- a/internal/harness/kept.go
+++ b/internal/harness/result_store.go
@@ -24,8 +24,8 @@
 // kept.go kills a node that keeps results, over and over, at named points and at random ones, and starts it again on its
 // folder, while clients repeat their keys at random. The emulated kernel outlives it and counts runs by key.
 
-// KeptLab is `lab kept`.
-type KeptLab struct {
+// ResultStoreTest is `lab kept`.
+type ResultStoreTest struct {
 	Seed    int64
 	Quick   bool
 	Kills   int
@@ -55,24 +55,24 @@
 dearest submit`
 )
 
-// keptRun is one run that the kernel began.
-type keptRun struct {
+// callResult is one run that the kernel began.
+type callResult struct {
 	at     time.Time
 	result string
 }
 
-// keptRig is one node, killed over and over.
-type keptRig struct {
+// resultStoreProcesses is one node, killed over and over.
+type resultStoreProcesses struct {
 	dir, listen     string
 	program         string
 	env             []string
-	kernel          *Kernel
-	store           *Store
+	kernel          *EmulatedKernel
+	store           *EmulatedStore
 	control         *readiness
 	client          *http.Client
 	chance          *rand.Rand
 	mu              sync.Mutex
-	runs            map[string][]keptRun
+	runs            map[string][]callResult
 	effects         map[string]int       // calls that the service below carried out, by key
 	told            map[string]time.Time // when a result was told last
 	life            int                  // counts deaths
@@ -87,19 +87,19 @@
 	errored, shed   int
 }
 
-func newKeptRig(dir, program string, seed int64, window time.Duration, own, without string) (*keptRig, error) {
-	r := &keptRig{dir: dir, program: program, listen: loopback(8080), runs: map[string][]keptRun{}, told: map[string]time.Time{}, effects: map[string]int{},
+func newResultStoreProcesses(dir, program string, seed int64, window time.Duration, own, without string) (*resultStoreProcesses, error) {
+	r := &resultStoreProcesses{dir: dir, program: program, listen: loopback(8080), runs: map[string][]callResult{}, told: map[string]time.Time{}, effects: map[string]int{},
 		points: map[string]int{},
 		chance: rand.New(rand.NewSource(seed)), client: keptClient()}
 	s, err := simulation.ReadScenario("kept", keptClasses)
 	if err != nil {
 		return nil, err
 	}
-	if r.kernel, err = NewKernel(loopback(7400), seed, float64(s.Cores), s.Classes, kernelStep); err != nil {
+	if r.kernel, err = NewEmulatedKernel(loopback(7400), seed, float64(s.Cores), s.Classes, kernelStep); err != nil {
 		return nil, err
 	}
 	r.kernel.begins = r.begins
-	if r.store, err = NewStore(loopback(9042), seed, 8, 2*time.Millisecond, 1, 1); err != nil {
+	if r.store, err = NewEmulatedStore(loopback(9042), seed, 8, 2*time.Millisecond, 1, 1); err != nil {
 		return nil, err
 	}
 	r.store.heard, r.kernel.calls = r.acts, true
@@ -134,7 +134,7 @@
 	return &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 5 * time.Second}}
 }
 
-func (r *keptRig) close() {
+func (r *resultStoreProcesses) close() {
 	r.kernel.Close()
 	r.store.Close()
 	r.control.ln.Close()
@@ -142,7 +142,7 @@
 }
 
 // begins is told each run by the kernel, and holds it against those before.
-func (r *keptRig) begins(body []byte) []byte {
+func (r *resultStoreProcesses) begins(body []byte) []byte {
 	key, now := string(body), time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -151,12 +151,12 @@
 		r.fail("%s ran again %v after its last run began, expected %v at least", key, now.Sub(before[n-1].at), keptWindow)
 	}
 	result := fmt.Sprintf("%s#%d\x00\xff", key, len(before)+1)
-	r.runs[key] = append(before, keptRun{now, result})
+	r.runs[key] = append(before, callResult{now, result})
 	return []byte(result)
 }
 
 // acts is told each call that the service below carries out: an effect that nobody can take back, one a run at most.
-func (r *keptRig) acts(body []byte) {
+func (r *resultStoreProcesses) acts(body []byte) {
 	key := string(body)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,14 +165,14 @@
 	}
 }
 
-func (r *keptRig) fail(format string, args ...any) {
+func (r *resultStoreProcesses) fail(format string, args ...any) {
 	if r.broken == "" {
 		r.broken = fmt.Sprintf(format, args...)
 	}
 }
 
 // start runs the node; die names a point and a count, or is empty.
-func (r *keptRig) start(die string) (*exec.Cmd, chan struct{}, error) {
+func (r *resultStoreProcesses) start(die string) (*exec.Cmd, chan struct{}, error) {
 	cmd := nodeCommand(r.program)
 	cmd.Env = append(slices.Clip(r.env), "UMBERWINCH_DIE_AT="+die)
 	log, err := os.OpenFile(filepath.Join(r.dir, "node.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -190,17 +190,17 @@
 }
 
 // send is one try. code 0: no answer came; read tells whether the node may have read it.
-func (r *keptRig) send(ctx context.Context, client *http.Client, class, key string, again bool) (code int, body string, read bool) {
+func (r *resultStoreProcesses) send(ctx context.Context, client *http.Client, class, key string, again bool) (code int, body string, read bool) {
 	once := ""
 	if class == "submit" {
 		once = key
 	}
-	code, body, _, err := tryBody(ctx, client, r.listen, class, 0, 1, once, again, key)
+	code, body, _, err := sendAttemptWithBody(ctx, client, r.listen, class, 0, 1, once, again, key)
 	return code, body, err == nil || !strings.Contains(err.Error(), "connection refused")
 }
 
 // caller asks until the context ends: new keys, and old ones again, inside the window and outside.
-func (r *keptRig) caller(ctx context.Context, chance *rand.Rand, name string) {
+func (r *resultStoreProcesses) caller(ctx context.Context, chance *rand.Rand, name string) {
 	var mine []string
 	for n := 0; ctx.Err() == nil; n++ {
 		r.mu.Lock()
@@ -237,7 +237,7 @@
 }
 
 // note holds an answer against what ran.
-func (r *keptRig) note(life int, key string, code int, body string, again, read bool, took time.Duration) {
+func (r *resultStoreProcesses) note(life int, key string, code int, body string, again, read bool, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.asked++
@@ -255,7 +255,7 @@
 		if again {
 			r.repeats++
 		}
-		if !slices.ContainsFunc(r.runs[key], func(o keptRun) bool { return o.result == body }) {
+		if !slices.ContainsFunc(r.runs[key], func(o callResult) bool { return o.result == body }) {
 			r.fail("%s was answered by %q, which no run of it gave", key, body)
 		}
 		r.told[key] = time.Now()
@@ -274,7 +274,7 @@
 }
 
 // tear leaves part of a write that was never synced at the log's end.
-func (r *keptRig) tear() error {
+func (r *resultStoreProcesses) tear() error {
 	logs, _ := filepath.Glob(filepath.Join(r.dir, "folder", "*.seg"))
 	if len(logs) == 0 {
 		return nil
@@ -293,7 +293,7 @@
 }
 
 // play kills so many times.
-func (r *keptRig) play(ctx context.Context, kills int) error {
+func (r *resultStoreProcesses) play(ctx context.Context, kills int) error {
 	ctx, end := context.WithCancel(ctx)
 	var callers sync.WaitGroup
 	for i := range keptClients {
@@ -354,7 +354,7 @@
 	return ctx.Err()
 }
 
-func (r *keptRig) tail() string {
+func (r *resultStoreProcesses) tail() string {
 	raw, _ := os.ReadFile(filepath.Join(r.dir, "node.log"))
 	return string(raw[max(0, len(raw)-600):])
 }
@@ -363,7 +363,7 @@
 const keptRigs = 6
 
 // Run plays all and writes the report.
-func (k *KeptLab) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
+func (k *ResultStoreTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	if k.Kills == 0 {
 		if k.Kills = 5000; k.Quick {
 			k.Kills = 120
@@ -390,8 +390,8 @@
 	return rep, nil
 }
 
-func (k *KeptLab) kills(ctx context.Context, rep *report.Report) error {
-	rigs, errs := make([]*keptRig, keptRigs), make([]error, keptRigs)
+func (k *ResultStoreTest) kills(ctx context.Context, rep *report.Report) error {
+	rigs, errs := make([]*resultStoreProcesses, keptRigs), make([]error, keptRigs)
 	var all sync.WaitGroup
 	for i := range rigs {
 		dir, err := os.MkdirTemp("", "kept-")
@@ -399,7 +399,7 @@
 			return err
 		}
 		defer os.RemoveAll(dir)
-		if rigs[i], err = newKeptRig(dir, k.Program, k.Seed*100+int64(i), keptWindow, "[kept]\nfolder = DIR\nentries = 4000\nmb = 8\n",
+		if rigs[i], err = newResultStoreProcesses(dir, k.Program, k.Seed*100+int64(i), keptWindow, "[kept]\nfolder = DIR\nentries = 4000\nmb = 8\n",
 			k.Without); err != nil {
 			return err
 		}
@@ -408,7 +408,7 @@
 		go func() { defer all.Done(); errs[i] = rigs[i].play(ctx, (k.Kills+keptRigs-1)/keptRigs) }()
 	}
 	all.Wait()
-	sum := &keptRig{points: map[string]int{}}
+	sum := &resultStoreProcesses{points: map[string]int{}}
 	keys, runs, effects := 0, 0, 0
 	for i, r := range rigs {
 		if errs[i] != nil {
@@ -450,7 +450,7 @@
 	{"kept, a sync each", "[kept]\nfolder = DIR\n", "group"}, {"in memory", "", ""}}
 
 // costs has as many callers as the cores bear ask without a pause, uniqued reqs and others, in turn.
-func (k *KeptLab) costs(ctx context.Context, rep *report.Report) error {
+func (k *ResultStoreTest) costs(ctx context.Context, rep *report.Report) error {
 	span := 8 * time.Second
 	if k.Quick {
 		span = 2 * time.Second
@@ -462,7 +462,7 @@
 				return err
 			}
 			defer os.RemoveAll(dir)
-			r, err := newKeptRig(dir, k.Program, k.Seed, time.Second, way.own, way.without)
+			r, err := newResultStoreProcesses(dir, k.Program, k.Seed, time.Second, way.own, way.without)
 			if err != nil {
 				return err
 			}
@@ -474,7 +474,7 @@
 	return nil
 }
 
-func (r *keptRig) cost(ctx context.Context, rep *report.Report, name string, callers int, span time.Duration) error {
+func (r *resultStoreProcesses) cost(ctx context.Context, rep *report.Report, name string, callers int, span time.Duration) error {
 	defer r.close()
 	r.kernel.begins, r.kernel.calls = nil, false
 	r.kernel.Set(func(classes map[string]*simulation.Class, cores *float64) {
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -16,8 +16,8 @@
 	"umberwinch/internal/simulation"
 )
 
-// Zones is a run of `umberctl lab zones`.
-type Zones struct {
+// ZonesTest is a run of `umberctl lab zones`.
+type ZonesTest struct {
 	Seed      int64
 	Quick     bool
 	Size      int // nodes of the real part
@@ -35,7 +35,7 @@
 }
 
 // Run plays schedules and large fleets in virtual time, then processes, and reports.
-func (r *Zones) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
+func (r *ZonesTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "zones", Title: "Leaving a zone that fails, and coming back",
 		Head: []string{"PART", "NODES", "LOAD", "WAY", "VALUE DONE", "LEFT AFTER", "IN AGAIN AFTER", "STEPS", "BELOW, PEAK"}}
 	rep.Add("seed", "%d", r.Seed)
@@ -58,7 +58,7 @@
 const OnlyCosts = "costs"
 
 // virtual plays schedules on all cores, each from a seed of its own.
-func (r *Zones) virtual(ctx context.Context, rep *report.Report) {
+func (r *ZonesTest) virtual(ctx context.Context, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
 		if n = 300; r.Quick {
@@ -92,7 +92,7 @@
 }
 
 // ways plays each kind of failure at sizes and loads, beside the baselines and the best that could be done.
-func (r *Zones) ways(rep *report.Report) {
+func (r *ZonesTest) ways(rep *report.Report) {
 	sizes, loads := []int{300, 5000}, []float64{0.5, 0.75}
 	if r.Quick {
 		sizes, loads = []int{300}, []float64{0.6}
@@ -109,7 +109,7 @@
 	}
 }
 
-func (r *Zones) way(rep *report.Report, n int, load float64, kind string) {
+func (r *ZonesTest) way(rep *report.Report, n int, load float64, kind string) {
 	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n, Kinds: []string{kind}, Fails: 15_000, Heals: 45_000, Ends: 220_000, Load: load}
 	ways := []struct {
 		name string
@@ -160,7 +160,7 @@
 }
 
 // calm plays hours of noise, in which no zone may be left.
-func (r *Zones) calm(rep *report.Report) {
+func (r *ZonesTest) calm(rep *report.Report) {
 	hours := 24.0
 	if r.Quick {
 		hours = 1
@@ -193,7 +193,7 @@
 const zoneRate = 180
 
 // real plays the cases on processes.
-func (r *Zones) real(ctx context.Context, w io.Writer, rep *report.Report) error {
+func (r *ZonesTest) real(ctx context.Context, w io.Writer, rep *report.Report) error {
 	if r.Only == OnlyCosts {
 		return r.costs(ctx, rep, r.plan())
 	}
@@ -278,7 +278,7 @@
 }
 
 // plan gives what is measured on processes.
-func (r *Zones) plan() *costPlan {
+func (r *ZonesTest) plan() *costPlan {
 	if r.cases != nil {
 		return &comebackCosts
 	}
--- a/internal/harness/zones_bench.go
+++ b/internal/harness/zones_bench.go
@@ -16,7 +16,7 @@
 
 // zoneBench is a rig for cases about zones.
 type zoneBench struct {
-	*bench
+	*policyBench
 	w     io.Writer
 	may   map[string]bool // zones that the case at hand has a reason to leave
 	pace  time.Duration   // of the platform, between the starts of two nodes
@@ -24,17 +24,17 @@
 }
 
 // begin starts a rig whose policy leaves zones by itself.
-func (r *Zones) begin(ctx context.Context, dir, alone, mode string) (*zoneBench, error) {
+func (r *ZonesTest) begin(ctx context.Context, dir, alone, mode string) (*zoneBench, error) {
 	n := r.Size
 	if n == 0 {
 		n = 9
 	}
-	rig, err := NewRig(ctx, RigPlan{Program: r.Program, Dir: dir, Seed: r.Seed, Instances: 3, Nodes: n, Without: r.Words,
+	rig, err := NewFleetProcesses(ctx, FleetProcessesPlan{Program: r.Program, Dir: dir, Seed: r.Seed, Instances: 3, Nodes: n, Without: r.Words,
 		Folders: true, Below: true})
 	if err != nil {
 		return nil, err
 	}
-	b := &zoneBench{bench: &bench{Rig: rig, lease: realLease, alone: alone}, may: map[string]bool{}}
+	b := &zoneBench{policyBench: &policyBench{FleetProcesses: rig, lease: realLease, alone: alone}, may: map[string]bool{}}
 	small := "yes"
 	if mode == "no-ramp" {
 		mode, small = "auto", "no"
@@ -124,7 +124,7 @@
 }
 
 func (b *zoneBench) kernels(zone string, dead bool) {
-	for _, n := range b.zoned(zone) {
+	for _, n := range b.nodesIn(zone) {
 		n.kernel.Kill(dead)
 	}
 }
@@ -150,14 +150,14 @@
 }
 
 // begins starts nodes, one each pace.
-func (b *zoneBench) begins(pace time.Duration, nodes ...*rigNode) {
+func (b *zoneBench) begins(pace time.Duration, nodes ...*nodeProcess) {
 	for _, n := range nodes {
 		must(n.Start())
 		time.Sleep(pace)
 	}
 }
 
-func (b *zoneBench) kills(nodes ...*rigNode) {
+func (b *zoneBench) kills(nodes ...*nodeProcess) {
 	for _, n := range nodes {
 		n.Kill()
 	}
--- a/internal/harness/zones_cases.go
+++ b/internal/harness/zones_cases.go
@@ -22,11 +22,11 @@
 
 var zoneCases = []zoneCase{
 	{name: "a zone dead at once, and back cold", may: []string{"z2"}, run: func(b *zoneBench) {
-		b.kills(b.zoned("z2")...)
+		b.kills(b.nodesIn("z2")...)
 		b.left("z2")
 		b.below("z2", 1, 0, true)
 		since := time.Now()
-		b.begins(0, b.zoned("z2")...)
+		b.begins(0, b.nodesIn("z2")...)
 		must(b.back("z2"))
 		must(b.bore("z2", since))
 	}},
@@ -45,7 +45,7 @@
 		must(b.bore("z3", since.Add(time.Second)))
 	}},
 	{name: "one bad node, and the zone stays", run: func(b *zoneBench) {
-		n := b.zoned("z1")[0]
+		n := b.nodesIn("z1")[0]
 		n.kernel.Kill(true)
 		defer n.kernel.Kill(false)
 		must(b.stays(5 * time.Second))
@@ -61,13 +61,13 @@
 		must(b.stays(3 * time.Second))
 	}},
 	{name: "cut off from its callers alone, and it stays", run: func(b *zoneBench) {
-		for _, n := range b.zoned("z1") {
-			b.group.board.set("callers", n.name, lineFault{cut: true})
+		for _, n := range b.nodesIn("z1") {
+			b.group.board.set("callers", n.name, linkFault{cut: true})
 		}
 		must(b.stays(5 * time.Second))
 	}},
 	{name: "cut off from the group, and fenced", may: []string{"z2"}, run: func(b *zoneBench) {
-		b.cut(b.zoned("z2")...)
+		b.cutOff(b.nodesIn("z2")...)
 		v := b.left("z2")
 		b.heal()
 		if v.Cause != "cut off" {
@@ -76,7 +76,7 @@
 		must(b.back("z2"))
 	}},
 	{name: "answers lost one way between it and the group", long: true, may: []string{"z3"}, run: func(b *zoneBench) {
-		b.lines(lineFault{muteBack: true}, b.zoned("z3")...)
+		b.setLinkFault(linkFault{muteBack: true}, b.nodesIn("z3")...)
 		b.left("z3", zones.InService)
 		time.Sleep(b.lease)
 		b.heal()
@@ -148,7 +148,7 @@
 	{name: "a release on its way back", may: []string{"z1"}, run: func(b *zoneBench) {
 		must(b.op(zones.Op{Kind: zones.OpEvacuate, Zone: "z1", DrillMS: 1000}))
 		got(b.stands("z1", 20*time.Second, zones.Ramping))
-		for _, n := range b.zoned("z1") {
+		for _, n := range b.nodesIn("z1") {
 			n.Kill()
 			b.begins(300*time.Millisecond, n)
 		}
@@ -157,17 +157,17 @@
 	{name: "half of the nodes unheard, and the zones stay", run: func(b *zoneBench) {
 		for i := range 8 {
 			for k, n := range b.nodes {
-				f := lineFault{}
+				f := linkFault{}
 				if (i+k)%2 == 0 {
 					f.delay = 900 * time.Millisecond
 				}
-				b.lines(f, n)
+				b.setLinkFault(f, n)
 			}
 			must(b.stays(600 * time.Millisecond))
 		}
 	}},
 	{name: "one node in three lies, and the zone stays", run: func(b *zoneBench) {
-		b.lines(lineFault{swap: [2]string{`"kernel":true`, `"kernel":null`}}, b.zoned("z2")[0])
+		b.setLinkFault(linkFault{swap: [2]string{`"kernel":true`, `"kernel":null`}}, b.nodesIn("z2")[0])
 		must(b.stays(5 * time.Second))
 	}},
 	{name: "it is well again while nobody leads", may: []string{"z1"}, run: func(b *zoneBench) {
@@ -176,7 +176,7 @@
 		b.others(b.group.kill)
 		b.kernels("z1", false)
 		time.Sleep(b.lease)
-		for _, n := range b.zoned("z1") {
+		for _, n := range b.nodesIn("z1") {
 			if code, _, _ := b.one(n.name); code == http.StatusOK {
 				must(fmt.Errorf("%s of a zone that was left serves while nobody leads", n.name))
 			}
@@ -187,7 +187,7 @@
 	{name: "a drill, and an operator's hold", may: []string{"z2"}, run: func(b *zoneBench) {
 		must(b.op(zones.Op{Kind: zones.OpEvacuate, Zone: "z2", DrillMS: 2000, Reason: "a drill"}))
 		got(b.stands("z2", 10*time.Second, zones.Evacuated))
-		for _, n := range b.zoned("z2") {
+		for _, n := range b.nodesIn("z2") {
 			if code, _, _ := b.one(n.name); code != http.StatusServiceUnavailable {
 				must(fmt.Errorf("%s of a zone that was left answers %d", n.name, code))
 			}
@@ -212,7 +212,7 @@
 	return names
 }
 
-func (r *Zones) all() []zoneCase {
+func (r *ZonesTest) all() []zoneCase {
 	if r.cases != nil {
 		return r.cases
 	}
--- a/internal/harness/zonecost.go
+++ b/internal/harness/zones_cost.go
@@ -41,13 +41,13 @@
 
 var zoneFailures = []zoneFailure{
 	{name: "dead", strike: func(b *zoneBench) error {
-		for _, n := range b.zoned("z1") {
+		for _, n := range b.nodesIn("z1") {
 			n.Kill()
 		}
 		return nil
 	}, heal: func(b *zoneBench) error {
 		b.below("z1", 1, 0, true)
-		for _, n := range b.zoned("z1") {
+		for _, n := range b.nodesIn("z1") {
 			if err := n.Start(); err != nil {
 				return err
 			}
@@ -80,7 +80,7 @@
 // shares of full service that are timed.
 var costShares = [3]float64{0.5, 0.95, 0.98}
 
-func (b *zoneBench) cost(c *Calls, f *zoneFailure, p *costPlan) (out cost, err error) {
+func (b *zoneBench) cost(c *CallResults, f *zoneFailure, p *costPlan) (out cost, err error) {
 	from := time.Now()
 	for _, s := range b.stores { // each is judged alone
 		out.load = max(out.load, s.Mean(from.Add(-calmSpan)))
@@ -103,7 +103,7 @@
 			continue
 		}
 		ready := true
-		for _, n := range b.zoned("z1") {
+		for _, n := range b.nodesIn("z1") {
 			ready = ready && b.ready.is(n.name)
 		}
 		if v, err := b.zone("z1"); ready && err == nil && v.Phase == zones.InService {
@@ -147,7 +147,7 @@
 
 // serviceBack gives how long after a moment a share of the value that is asked for is done in time, from there to the end;
 // -1 if it is not. A req counts when it ends.
-func serviceBack(each []Answered, since time.Time, over time.Duration, share float64) time.Duration {
+func serviceBack(each []CallResult, since time.Time, over time.Duration, share float64) time.Duration {
 	n := int(over / serviceSpan)
 	good, all := make([]float64, n), make([]float64, n)
 	for _, a := range each {
@@ -178,7 +178,7 @@
 )
 
 // costs measures all failures by all ways.
-func (r *Zones) costs(ctx context.Context, rep *report.Report, p *costPlan) error {
+func (r *ZonesTest) costs(ctx context.Context, rep *report.Report, p *costPlan) error {
 	type run struct {
 		seed int64
 		way  *costWay
@@ -296,7 +296,7 @@
 	row: func(_ *costWay, failure string, c *cost) []string {
 		out, best := []string{}, "-"
 		if failure == "all nodes restart" { // from the start of the processes on; that they take a part of a second is not in it
-			best = secs(1000 * bestWhole(c.load, belowCold, belowFill*belowCost.Seconds()/belowWorkers))
+			best = secs(1000 * shortestRecovery(c.load, belowCold, belowFill*belowCost.Seconds()/belowWorkers))
 		}
 		for _, s := range c.service {
 			out = append(out, secs(1000*s.Seconds())) // -1 stays below zero: not in the time there was
--- a/internal/harness/zones_test.go
+++ b/internal/harness/zones_test.go
@@ -19,7 +19,7 @@
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
 			t.Parallel()
 			var out bytes.Buffer
-			rep, err := (&Zones{Seed: int64(11 + part), Quick: true, Mode: "real", Part: part, Parts: parts,
+			rep, err := (&ZonesTest{Seed: int64(11 + part), Quick: true, Mode: "real", Part: part, Parts: parts,
 				Program: built(t)}).Run(context.Background(), &out)
 			if err != nil || rep.Broken != "" {
 				t.Fatalf("%v\n%s", err, out.String())
@@ -40,7 +40,7 @@
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
 			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
-				return (&Zones{Seed: seed, Quick: true, Mode: "real", Words: guard, Only: only, Program: built(t)}).Run(context.Background(), w)
+				return (&ZonesTest{Seed: seed, Quick: true, Mode: "real", Words: guard, Only: only, Program: built(t)}).Run(context.Background(), w)
 			})
 		})
 	}
