--- a/internal/harness/fleet_ask.go
+++ b/internal/harness/fleet_ask.go
@@ -47,7 +47,7 @@
 	return 0, last
 }
 
-// PolicyTest gives the leader's view.
+// Policy gives the leader's view.
 func (r *FleetProcesses) Policy() (*consensus.PolicyView, error) {
 	var v consensus.PolicyView
 	if _, err := r.ask(http.MethodGet, "/v1/policy", nil, &v); err != nil {
--- a/internal/harness/fleet_processes_test.go
+++ b/internal/harness/fleet_processes_test.go
@@ -181,10 +181,10 @@
 		}
 		return nil
 	}))
-	if !strings.Contains(b.tail("n2", 20), "goes on alone under version") {
+	if !strings.Contains(b.tail("n2", 20), `"msg":"node serves autonomously, without the group","policy_version":`) {
 		t.Errorf("n2 does not say that it is alone:\n%s", b.tail("n2", 8))
 	}
-	if !strings.Contains(b.tail("n2", 20), "begins with 32 of 256 of what comes") {
+	if !strings.Contains(b.tail("n2", 20), `"msg":"cold start without the group: serving begins with a quota","share":32,`) {
 		t.Errorf("n2 starts without the group and does not begin small:\n%s", b.tail("n2", 8))
 	}
 	for _, p := range b.group.procs {
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -20,6 +20,7 @@
 	"umberwinch/internal/control/coordinator"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/zones"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/report"
 	"umberwinch/internal/simulation"
 )
@@ -267,6 +268,17 @@
 	return strings.Count(string(raw), what)
 }
 
+// followed counts how often a node said that it follows a generation of the group.
+func (b *zoneBench) followed(name string, generation uint64) (n int) {
+	must(logLines(filepath.Join(b.Dir, name+".log"), func(_ int64, m map[string]any) {
+		of, _ := m[logging.Generation].(float64)
+		if m["msg"] == "a restored generation of the group is followed" && uint64(of) == generation {
+			n++
+		}
+	}))
+	return n
+}
+
 var comebackCases = []zoneCase{
 	{name: "the group and all nodes killed at once, the services below cold", run: func(b *zoneBench) {
 		for _, name := range allZones { // what they bore has to be what is asked of them, or it takes minutes
@@ -356,10 +368,9 @@
 		b.down(b.group.procs[0])
 		b.recovers()
 		b.allServe(b.force)
-		bad := fmt.Sprintf("generation %d of the group", gen)
 		before := map[string]int{}
 		for _, n := range b.nodes {
-			before[n.name] = b.logged(n.name, bad)
+			before[n.name] = b.followed(n.name, gen)
 		}
 		b.others(func(p *instanceProcess) { p.cmd.Process.Signal(syscall.SIGCONT) })
 		// Without a word of the new one they ask the old one, which leads by a majority of its own.
@@ -369,8 +380,8 @@
 		time.Sleep(3*b.lease + 2*time.Second)
 		b.heal()
 		for _, n := range b.nodes {
-			if b.logged(n.name, bad) > before[n.name] {
-				must(fmt.Errorf("%s follows %s after %d was restored:\n%s", n.name, bad, gen+1, b.tail(n.name, 6)))
+			if b.followed(n.name, gen) > before[n.name] {
+				must(fmt.Errorf("%s follows generation %d of the group after %d was restored:\n%s", n.name, gen, gen+1, b.tail(n.name, 6)))
 			}
 		}
 		b.down(b.group.procs[1:]...)
