--- /dev/null
+++ b/internal/wal/commit.go
@@ -0,0 +1,169 @@
+package wal
+
+import (
+	"fmt"
+)
+
+type waiter struct {
+	batch Batch
+	first uint64
+	err   error
+	wake  chan bool // true: done; false: flush what waits yourself
+}
+
+// Commit writes a batch and returns once it is durable, with the number of its first entry. Callers that come while
+// another's sync is under way share the next one. Errors are ErrFull, ErrBroken, and of an entry or mark that is too
+// large.
+func (l *Log) Commit(b Batch) (uint64, error) {
+	for _, e := range b.Entries {
+		if len(e) > MaxRecordBytes {
+			return 0, fmt.Errorf("an entry of %d bytes, expected at most %d", len(e), MaxRecordBytes)
+		}
+	}
+	for _, m := range b.Marks {
+		if len(m.Data) > MaxRecordBytes || m.Kind < 0 || m.Kind >= MaxMarkKinds {
+			return 0, fmt.Errorf("a mark of kind %d with %d bytes, expected kinds below %d and at most %d bytes",
+				m.Kind, len(m.Data), MaxMarkKinds, MaxRecordBytes)
+		}
+	}
+	w := &waiter{batch: b}
+	l.mu.Lock()
+	l.queue = append(l.queue, w)
+	if l.writing {
+		w.wake = make(chan bool, 1)
+		l.mu.Unlock()
+		if <-w.wake {
+			return w.first, w.err
+		}
+		l.mu.Lock()
+	}
+	l.writing = true
+	took := l.queue
+	l.queue = nil
+	l.flush(took)
+	if len(l.queue) > 0 {
+		l.queue[0].wake <- false // it flushes for those behind it, so no caller waits for others without end
+	} else {
+		l.writing = false
+	}
+	l.mu.Unlock()
+	for _, o := range took {
+		if o != w {
+			o.wake <- true
+		}
+	}
+	return w.first, w.err
+}
+
+// flush writes the batches of some callers with one write and one sync. It is entered and left with the lock held and
+// releases it while the disk works; writing keeps every other writer out meanwhile.
+func (l *Log) flush(callers []*waiter) {
+	if err := l.write(callers); err != nil {
+		for _, w := range callers {
+			w.first, w.err = 0, err
+		}
+	}
+}
+
+func (l *Log) write(callers []*waiter) error {
+	if l.fault != nil {
+		return l.fault
+	}
+	need := int64(0)
+	for _, w := range callers {
+		need += batchBytes(w.batch)
+	}
+	if used := l.diskBytes(); used+need > l.sizes.MaxBytes {
+		return fmt.Errorf("%w: %d bytes and %d more, expected at most %d", ErrFull, used, need, l.sizes.MaxBytes)
+	}
+	segment, isNew, err := l.segmentFor(need)
+	if err != nil {
+		return err
+	}
+	w := l.newRecordWriter(segment)
+	if isNew { // each segment has all marks, so that older segments can go
+		w.appendMarks(l.marks[:])
+	}
+	for _, c := range callers {
+		c.first, c.err = w.batch(c.batch), nil
+	}
+	if w.lastRecord < 0 {
+		return nil // empty batches
+	}
+	w.close()
+	if err = l.writeRecords(segment, w); err != nil {
+		return err
+	}
+	for _, c := range callers {
+		l.applyBatch(c.batch, w)
+	}
+	return nil
+}
+
+// segmentFor gives the segment to write to: a new one where the newest would pass the size of a segment.
+func (l *Log) segmentFor(need int64) (s *segment, isNew bool, err error) {
+	newest := l.segments[len(l.segments)-1]
+	if newest.size <= segmentHeaderBytes || newest.size+need <= l.sizes.SegmentBytes {
+		return newest, false, nil
+	}
+	next, checksum := l.index.next(), l.checksum
+	l.mu.Unlock()
+	created, err := createSegment(l.fs, newest.sequence+1, next, checksum)
+	l.mu.Lock()
+	if err != nil {
+		l.fault = fmt.Errorf("%w: a new segment: %w", ErrBroken, err)
+		return nil, false, l.fault
+	}
+	l.segments = append(l.segments, created)
+	return created, true, nil
+}
+
+// maxSpareBuffer is how much of a write's buffer is held for the next, in bytes: enough for many small batches, while
+// one large document must not occupy memory for good.
+const maxSpareBuffer = 1 << 20
+
+func (l *Log) newRecordWriter(s *segment) *recordWriter {
+	return &recordWriter{
+		buf:        l.buf[:0],
+		checksum:   l.checksum,
+		segment:    s.sequence,
+		offset:     s.size,
+		next:       l.index.next(),
+		lastRecord: -1,
+	}
+}
+
+// writeRecords makes records durable, without the lock while the disk works.
+func (l *Log) writeRecords(s *segment, w *recordWriter) error {
+	l.mu.Unlock()
+	_, err := s.file.WriteAt(w.buf, s.size)
+	if err == nil {
+		err = s.file.Sync()
+	}
+	l.mu.Lock()
+	if err != nil {
+		l.fault = fmt.Errorf("%w: %s: %w", ErrBroken, s.name, err)
+		return l.fault
+	}
+	l.flushes++
+	s.size += int64(len(w.buf))
+	l.checksum = w.checksum
+	if l.buf = w.buf; cap(l.buf) > maxSpareBuffer {
+		l.buf = nil
+	}
+	return nil
+}
+
+// applyBatch takes over what a batch says once it is durable.
+func (l *Log) applyBatch(b Batch, w *recordWriter) {
+	if b.Cut > 0 {
+		l.index.cut(b.Cut)
+	}
+	for _, p := range w.positions[:len(b.Entries)] {
+		l.index.add(p.seg, p.off)
+	}
+	w.positions = w.positions[len(b.Entries):]
+	for _, m := range b.Marks {
+		l.marks[m.Kind] = append([]byte{}, m.Data...)
+	}
+}
--- a/internal/wal/places.go
+++ b/internal/wal/entry_index.go
@@ -6,9 +6,9 @@
 	"sort"
 )
 
-// places knows where the entries held stand: the offset of one in stride, and of each that does not stand behind the one before
-// it. What lies between is found by the lengths in the records' heads. An entry costs a byte of memory so, and a read looks at a
-// head or two more: a log of many small records, as of keyed results, is mostly entries.
+// entryIndex knows where the entries held stand: the offset of one in sampleInterval, and of each that does not
+// follow the one before it on disk. Others are found by the lengths in the headers of records between. An entry costs
+// a byte of memory so: a log of many small records, as of stored results, is mostly entries.
 type entryIndex struct {
 	first       uint64 // number of the first entry held
 	count       int    // entries held
@@ -18,18 +18,9 @@
 	afterCut    bool  // the next entry does not stand behind the last one: a cut lies between
 }
 
-// jump is an entry that is a segment's first, or the first behind a cut.
-type run struct {
-	number, seg uint64
-	off         uint32 // of its record's head
-}
-
-// stride is a power of two; at four a key with intent and result has two bytes, and a read 1.5 more heads in the mean.
-const sampleInterval = 4
-
 func (p *entryIndex) next() uint64 { return p.first + uint64(p.count) }
 
-// add takes in where the next entry stands. Segments are read whole, so an offset has 32 bits.
+// add notes where the next entry stands. Segments are read whole, so an offset has 32 bits.
 func (p *entryIndex) add(seg uint64, off int64) {
 	number := p.next()
 	if p.afterCut || len(p.runs) == 0 || p.runs[len(p.runs)-1].seg != seg {
@@ -45,7 +36,7 @@
 	p.count++
 }
 
-// cut drops what is numbered next or later; where it leaves a gap, all.
+// cut drops entries from a number on; all of them where that leaves a gap.
 func (p *entryIndex) cut(next uint64) {
 	if next <= p.first || next > p.next() {
 		*p = entryIndex{first: next}
@@ -73,24 +64,27 @@
 	}
 	p.sampledFrom += sampleInterval * uint64(gone)
 	p.samples = append(make([]uint32, 0, len(p.samples)-gone+16), p.samples[gone:]...)
-	for gone = 0; gone+1 < len(p.runs) && p.runs[gone+1].number <= p.first; gone++ {
+	gone = 0
+	for gone+1 < len(p.runs) && p.runs[gone+1].number <= p.first {
+		gone++
 	}
 	p.runs = append([]run{}, p.runs[gone:]...)
 }
 
-// find gives the nearest place that is known at an entry that is held, or before it in its segment.
+// find returns the nearest known place at an entry or before it in its segment.
 func (p *entryIndex) find(number uint64) run {
 	j := p.runs[sort.Search(len(p.runs), func(i int) bool { return p.runs[i].number > number })-1]
 	if len(p.samples) > 0 && number >= p.sampledFrom {
-		if i := min(int((number-p.sampledFrom)/sampleInterval), len(p.samples)-1); p.sampledFrom+sampleInterval*uint64(i) >= j.number {
-			return run{p.sampledFrom + sampleInterval*uint64(i), j.seg, p.samples[i]}
+		i := min(int((number-p.sampledFrom)/sampleInterval), len(p.samples)-1)
+		if sampled := p.sampledFrom + sampleInterval*uint64(i); sampled >= j.number {
+			return run{sampled, j.seg, p.samples[i]}
 		}
 	}
 	return j
 }
 
-// seek goes on from a place to where an entry's record stands, by the heads of those before it, which read gives. What it comes
-// to where a length is damaged is no record of that entry, which its sum tells.
+// seek goes on from a known place to an entry's record by the headers before it, which read gives. Where a length is
+// damaged it may end at no record of that entry, which the caller finds by its checksum.
 func seek(read func(head []byte, off int64) error, from run, number uint64) (off int64, length int, err error) {
 	var head [recordHeaderBytes]byte
 	for off = int64(from.off); ; off += recordHeaderBytes + int64(length) + checksumBytes {
@@ -111,3 +105,14 @@
 		}
 	}
 }
+
+// run is an entry that is the first of a segment, or the first after a cut; entries after it stand one behind the
+// other.
+type run struct {
+	number, seg uint64
+	off         uint32 // of its record's head
+}
+
+// sampleInterval is a power of two. A larger one costs more header reads for each Read, a smaller one more memory for
+// each entry.
+const sampleInterval = 4
--- a/internal/wal/places_test.go
+++ b/internal/wal/entry_index_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestPlaces writes, cuts, lets go of and opens again by chance, and holds each entry that is held to a plain list, read one by
-// one and all in order.
-func TestPlaces(t *testing.T) {
+// TestEntryIndex writes, cuts, truncates and opens again by chance, and holds each entry that is held to a plain list,
+// read one by one and all in order.
+func TestEntryIndex(t *testing.T) {
 	for seed := int64(1); seed <= 30; seed++ {
 		r, fs, m := rand.New(rand.NewSource(seed)), NewMemFS(), newModel()
 		l := open(t, fs, small)
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestReadPastDamage: an entry that is found by the heads of others is never another one, whichever bit of its segment turned over
-// since the log was opened.
+// TestReadPastDamage: an entry that is found by the heads of others is never another one, whichever bit of its
+// segment turned over since the log was opened.
 func TestReadPastDamage(t *testing.T) {
 	fs := NewMemFS()
 	l := open(t, fs, Sizes{SegmentBytes: 1 << 20, MaxBytes: 1 << 20})
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestPlacesAreSmall: what a log keeps in memory of many small entries is a byte each, about.
-func TestPlacesAreSmall(t *testing.T) {
+// TestEntryIndexIsSmall: what a log keeps in memory of many small entries is a byte each, about.
+func TestEntryIndexIsSmall(t *testing.T) {
 	p := entryIndex{first: 1}
 	const n = 1 << 16
 	for i := range n {
--- /dev/null
+++ b/internal/wal/errors.go
@@ -0,0 +1,34 @@
+package wal
+
+import (
+	"errors"
+	"fmt"
+)
+
+// ErrFull is for a batch or snapshot that would take the log past Sizes.MaxBytes. Nothing was written, and the log
+// goes on.
+var ErrFull = errors.New("the log is at its bound")
+
+// ErrBroken is for a write or sync that failed, and for every call after it: what is on disk is not known until the
+// log is opened again, so the process has to end.
+var ErrBroken = errors.New("the log can't be relied on any more")
+
+// ErrLocked is for a folder that another process uses.
+var ErrLocked = errors.New("the folder is in use by another process")
+
+// errClosed is for a call after Close.
+var errClosed = errors.New("the log is closed")
+
+// Damage is for something that was synced and can't be read. The log does not open, and the folder stays as it is.
+type Damage struct {
+	File   string
+	Offset int64  // byte in the file
+	Record string // which record it is
+	Found  string // what is wrong with it
+}
+
+// Error says where the damage is, what was found, and what an operator can do.
+func (d *Damage) Error() string {
+	return fmt.Sprintf("%s at byte %d, %s: %s. What was durable is damaged: this folder can't be used. Take it "+
+		"out of the group and add an empty one, or put back a saved snapshot", d.File, d.Offset, d.Record, d.Found)
+}
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -10,16 +10,20 @@
 	"syscall"
 )
 
-// FS is one folder, the only way by which a log reaches a disk. Nothing is durable before a Sync: of a file
-// for what is in it, of the folder for which names it has.
+// FS is one folder, the only way by which a log reaches a disk. Nothing is durable before a sync: a file's content by
+// the file's, names by the folder's.
 type FS interface {
+	// List returns the names of the files, in order.
 	List() ([]string, error)
-	Create(name string) (File, error) // empty, also where the name was there
+	// Create makes an empty file, also where the name exists.
+	Create(name string) (File, error)
 	Open(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
+	// Sync makes names durable.
 	Sync() error
-	Lock() (release func(), err error) // fails while another process holds it
+	// Lock returns an error that wraps ErrLocked while another process holds the folder.
+	Lock() (release func(), err error)
 }
 
 // File is one file of a folder.
@@ -32,13 +36,10 @@
 	Close() error
 }
 
-// ErrLocked is what a folder in use by another process gives.
-var ErrLocked = errors.New("the folder is in use by another process")
-
-// Dir is a folder of the machine's.
+// Dir is a folder on disk.
 type Dir string
 
-// MakeDir gives a folder, made if it is missing.
+// MakeDir returns a folder, made if it is missing.
 func MakeDir(path string) (Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return "", err
@@ -46,6 +47,7 @@
 	return Dir(path), nil
 }
 
+// List is part of FS.
 func (d Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -69,15 +71,21 @@
 	return diskFile{f}, nil
 }
 
+// Create is part of FS.
 func (d Dir) Create(name string) (File, error) { return d.open(name, os.O_CREATE|os.O_TRUNC) }
-func (d Dir) Open(name string) (File, error)   { return d.open(name, 0) }
 
+// Open is part of FS.
+func (d Dir) Open(name string) (File, error) { return d.open(name, 0) }
+
+// Rename is part of FS.
 func (d Dir) Rename(from, to string) error {
 	return os.Rename(filepath.Join(string(d), from), filepath.Join(string(d), to))
 }
 
+// Remove is part of FS.
 func (d Dir) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
+// Sync is part of FS.
 func (d Dir) Sync() error {
 	f, err := os.Open(string(d))
 	if err != nil {
@@ -87,6 +95,7 @@
 	return errors.Join(err, f.Close())
 }
 
+// Lock is part of FS.
 func (d Dir) Lock() (func(), error) {
 	f, err := os.OpenFile(filepath.Join(string(d), "lock"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/log_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-var errPower = errors.New("the power went")
+var errPower = errors.New("power lost")
 
-// TestCrashAnywhere takes the power at a step drawn by chance, or kills the process there, opens what a disk
+// TestCrashAnywhere loses power at a step drawn by chance, or kills the process there, opens what a disk
 // may hold then, and goes on: what was acknowledged is there, what was not is there whole or not at all.
 func TestCrashAnywhere(t *testing.T) {
 	torn := 0
@@ -134,6 +134,8 @@
 	}
 }
 
+// A segment in the middle was deleted by hand. Entries in it were acknowledged; a log that opened without them would
+// let an instance forget what it voted for. It must not open, and must say where.
 func TestMissingSegmentIsDamage(t *testing.T) {
 	disk := NewMemFS()
 	l := open(t, disk, Sizes{SegmentBytes: 100, MaxBytes: 1 << 20})
@@ -148,6 +150,8 @@
 	}
 }
 
+// The disk fails a sync. What is on it is not known then: a second sync may succeed although the data is lost. The log
+// must refuse everything from then on.
 func TestFailedSyncEndsTheLog(t *testing.T) {
 	disk := NewMemFS()
 	l := open(t, disk, small)
@@ -170,6 +174,8 @@
 	}
 }
 
+// The disk has no space for a write. What was durable before must be there when the log is opened again, and nothing of
+// the failed write may count.
 func TestFullDisk(t *testing.T) {
 	disk := NewMemFS()
 	disk.Capacity = 3000
@@ -197,6 +203,7 @@
 	}
 }
 
+// A batch would take the log past its limit. It must be refused as a whole, and the log must go on with smaller ones.
 func TestBoundRefusesAndHarmsNothing(t *testing.T) {
 	l := open(t, NewMemFS(), Sizes{SegmentBytes: 400, MaxBytes: 2000})
 	m := newModel()
@@ -270,6 +277,7 @@
 	}
 }
 
+// Entries are dropped from the front for a long time. Segments must leave the disk, and marks in them must not be lost.
 func TestReleaseKeepsMarksAndBoundsTheDisk(t *testing.T) {
 	disk := NewMemFS()
 	l := open(t, disk, small)
@@ -330,6 +338,7 @@
 	}
 }
 
+// A bit of a snapshot flips. It must not be loaded as if it was sound.
 func TestDamagedSnapshotIsTold(t *testing.T) {
 	disk := NewMemFS()
 	l := open(t, disk, small)
@@ -343,6 +352,8 @@
 	}
 }
 
+// Two processes are started on one folder, as by an operator's mistake. Both writing would destroy the log: the second
+// must be refused.
 func TestOneProcessAtATime(t *testing.T) {
 	dir, err := MakeDir(t.TempDir())
 	if err != nil {
--- a/internal/wal/mem.go
+++ b/internal/wal/memfs.go
@@ -8,9 +8,8 @@
 	"syscall"
 )
 
-// MemFS is a folder in memory that knows what was synced, so that a test or a simulated world can take the
-// power away at any moment and see what a disk may hold then. It stands in for a disk; no program writes to
-// it in earnest.
+// MemFS is a folder in memory that knows what was synced, so that a test or a simulation can lose power at any moment
+// and see what a disk may hold then. No program stores anything in it.
 type MemFS struct {
 	mu           sync.Mutex
 	names        map[string]*memFile
@@ -38,7 +37,7 @@
 	data []byte // nil for a truncation to off
 }
 
-// sector is what a disk writes whole or not at all; the least of those in use.
+// sector is what a disk writes completely or not at all, in bytes: the least of those in use.
 const sector = 512
 
 // NewMemFS gives an empty folder.
@@ -53,7 +52,7 @@
 	return m.OnStep(step, name)
 }
 
-// List gives the names in order.
+// List is part of FS.
 func (m *MemFS) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -70,6 +69,7 @@
 	m.pendingNames = append(m.pendingNames, f)
 }
 
+// Create is part of FS.
 func (m *MemFS) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,6 +81,7 @@
 	return f, nil
 }
 
+// Open is part of FS.
 func (m *MemFS) Open(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,6 +95,7 @@
 	return f, nil
 }
 
+// Rename is part of FS.
 func (m *MemFS) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,6 +111,7 @@
 	return nil
 }
 
+// Remove is part of FS.
 func (m *MemFS) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -122,6 +125,7 @@
 	return nil
 }
 
+// Sync is part of FS.
 func (m *MemFS) Sync() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -135,6 +139,7 @@
 	return nil
 }
 
+// Lock is part of FS.
 func (m *MemFS) Lock() (func(), error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -230,7 +235,7 @@
 
 func (f *memFile) Close() error { return nil }
 
-// FlipBits turns bits of a byte over, as a disk that rots would.
+// FlipBits flips bits of a byte, as a failing disk would.
 func (m *MemFS) FlipBits(name string, off int64, bits byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -241,8 +246,8 @@
 	}
 }
 
-// Kill gives the folder as the next process finds it when this one was killed: all that was written is there,
-// and what was not synced still is not.
+// Kill returns the folder as the next process finds it after this one was killed: all that was written is there, and
+// what was not synced still is not.
 func (m *MemFS) Kill() *MemFS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -253,11 +258,11 @@
 	return m
 }
 
-// Copy gives what someone who copied the folder would have, and later may put back.
+// Copy returns what a copy of the folder would hold, to be put back later.
 func (m *MemFS) Copy() *MemFS { return m.copy(func(f *memFile) []byte { return f.data }, m.names) }
 
-// PowerLoss gives the folder as it may be found after the power went: what was synced, and of the rest, by
-// chance, all, nothing, a part from its start or any sectors of it. chance gives a number from 0 to n-1.
+// PowerLoss returns the folder as it may be found after power was lost: what was synced, and of the rest, by chance,
+// all, nothing, a part from its start or any sectors of it. chance returns a number from 0 to n-1.
 func (m *MemFS) PowerLoss(chance func(n int) int) *MemFS {
 	m.mu.Lock()
 	names := map[string]*memFile{}
--- /dev/null
+++ b/internal/wal/open.go
@@ -0,0 +1,264 @@
+package wal
+
+import (
+	"encoding/binary"
+	"fmt"
+	"hash/crc32"
+	"sort"
+	"strconv"
+	"strings"
+)
+
+// Repair tells what Open had to remove: what a crash left behind.
+type Repair struct {
+	TornAt       string   // file and byte from which a torn tail was cut off, empty if there was none
+	TornBytes    int64    // cut off there
+	RemovedFiles []string // files that were being made
+}
+
+// Open reads a folder's log, or begins one in an empty folder. A torn tail, which was never durable, is cut off and
+// told in Repair. Errors are *Damage, which leaves the folder as it is, ErrLocked, and of the disk.
+func Open(fs FS, sizes Sizes) (*Log, Repair, error) {
+	unlock, err := fs.Lock()
+	if err != nil {
+		return nil, Repair{}, err
+	}
+	l := &Log{fs: fs, sizes: sizes, unlock: unlock, index: entryIndex{first: 1}}
+	found, err := l.recover()
+	if err != nil {
+		for _, s := range l.segments {
+			s.file.Close()
+		}
+		unlock()
+		return nil, found, err
+	}
+	return l, found, nil
+}
+
+func (l *Log) recover() (Repair, error) {
+	var found Repair
+	names, err := l.fs.List()
+	if err != nil {
+		return found, err
+	}
+	var seqs []uint64
+	for _, name := range names {
+		if n, ok := parseFileName(name, segmentSuffix); ok {
+			seqs = append(seqs, n)
+		} else if strings.HasSuffix(name, temporarySuffix) {
+			if err := l.fs.Remove(name); err != nil {
+				return found, err
+			}
+			found.RemovedFiles = append(found.RemovedFiles, name)
+		}
+	}
+	if err := l.findSnapshots(names); err != nil {
+		return found, err
+	}
+	sort.Slice(seqs, func(i, k int) bool { return seqs[i] < seqs[k] })
+	for i, seq := range seqs {
+		if err := l.loadSegment(seq, i == 0, i == len(seqs)-1, &found); err != nil {
+			return found, err
+		}
+	}
+	if len(l.segments) == 0 {
+		s, err := createSegment(l.fs, max(1, l.lastSequence(seqs)), l.index.first, l.checksum)
+		if err != nil {
+			return found, err
+		}
+		l.segments = append(l.segments, s)
+	}
+	return found, nil
+}
+
+func (l *Log) lastSequence(seqs []uint64) uint64 {
+	if len(seqs) == 0 {
+		return 0
+	}
+	return seqs[len(seqs)-1]
+}
+
+// loadSegment reads one segment: its header has to go on from the segment before, and its records from each other.
+func (l *Log) loadSegment(seq uint64, oldest, newest bool, found *Repair) error {
+	name := segmentName(seq)
+	f, err := l.fs.Open(name)
+	if err != nil {
+		return err
+	}
+	s := &segment{sequence: seq, name: name, file: f}
+	if s.size, err = f.Size(); err != nil {
+		return err
+	}
+	if s.size > maxSegmentBytes {
+		return &Damage{name, 0, "the header", fmt.Sprintf("%d bytes, expected less than %d", s.size, maxSegmentBytes)}
+	}
+	raw := make([]byte, s.size)
+	if s.size > 0 {
+		if _, err = f.ReadAt(raw, 0); err != nil {
+			return &Damage{name, 0, "the header", err.Error()}
+		}
+	}
+	if bad := l.checkHeader(raw, seq, oldest); bad != "" {
+		if newest && !flushStartsAfter(raw, min(segmentHeaderBytes, len(raw))-1) && len(raw) <= segmentHeaderBytes {
+			// It was being made: its header is synced before a record follows it.
+			f.Close()
+			found.TornAt, found.TornBytes = name+" at byte 0", s.size
+			if err = l.fs.Remove(name); err != nil {
+				return err
+			}
+			return l.fs.Sync()
+		}
+		f.Close()
+		return &Damage{name, 0, "the header", bad}
+	}
+	l.segments = append(l.segments, s)
+	return l.readRecords(s, raw, newest, found)
+}
+
+func (l *Log) checkHeader(raw []byte, seq uint64, oldest bool) string {
+	switch {
+	case len(raw) < segmentHeaderBytes || string(raw[:8]) != magic:
+		return "no header of a log"
+	case binary.LittleEndian.Uint32(raw[8:]) != crc32.Checksum(raw[12:segmentHeaderBytes], castagnoli):
+		return "its sum does not fit"
+	case binary.LittleEndian.Uint32(raw[12:]) != format:
+		return fmt.Sprintf("format %d, expected %d", binary.LittleEndian.Uint32(raw[12:]), format)
+	case binary.LittleEndian.Uint64(raw[16:]) != seq:
+		return fmt.Sprintf("segment %d, expected %d", binary.LittleEndian.Uint64(raw[16:]), seq)
+	}
+	next, sum := binary.LittleEndian.Uint64(raw[24:]), binary.LittleEndian.Uint32(raw[32:])
+	if oldest {
+		l.index.first, l.checksum = next, sum
+		return ""
+	}
+	if before := l.segments[len(l.segments)-1].sequence; before+1 != seq {
+		return fmt.Sprintf("it follows segment %d, expected %d: one is missing", before, seq-1)
+	}
+	if sum != l.checksum || next != l.index.next() {
+		return "it does not go on from the segment before"
+	}
+	return ""
+}
+
+// scannedRecord is a record of a flush that is not complete yet.
+type scannedRecord struct {
+	kind   byte // without the flags of a flush
+	number uint64
+	data   []byte
+	offset int
+}
+
+// segmentScan reads a segment's records in order.
+type segmentScan struct {
+	raw      []byte
+	offset   int             // of the next record
+	complete int             // end of the last complete flush
+	checksum uint32          // before the next record
+	next     uint64          // number of the next entry
+	flush    []scannedRecord // records of the flush that is being read
+}
+
+// readRecords reads a segment's records flush by flush; a flush counts once it is complete. An incomplete one at the
+// end of the newest segment was never synced, and is cut off. Anywhere else what can't be read was durable once:
+// damage.
+func (l *Log) readRecords(s *segment, raw []byte, newest bool, repair *Repair) error {
+	scan := &segmentScan{raw: raw, offset: segmentHeaderBytes, complete: segmentHeaderBytes, checksum: l.checksum,
+		next: l.index.next()}
+	fault := ""
+	for scan.offset < len(raw) && fault == "" {
+		var ended bool
+		if ended, fault = scan.record(); ended {
+			l.applyFlush(s, scan.flush)
+			l.checksum, scan.complete, scan.flush = scan.checksum, scan.offset, scan.flush[:0]
+		}
+	}
+	if scan.complete == len(raw) {
+		return l.settle(s, newest)
+	}
+	if !newest || scan.wasDurable() {
+		if fault == "" {
+			fault = "the flush it belongs to has no end"
+		}
+		record := fmt.Sprintf("the record of entry %d or a mark before it", scan.next)
+		return &Damage{s.name, int64(scan.offset), record, fault}
+	}
+	repair.TornAt = fmt.Sprintf("%s at byte %d", s.name, scan.complete)
+	repair.TornBytes = int64(len(raw) - scan.complete)
+	if err := s.file.Truncate(int64(scan.complete)); err != nil {
+		return err
+	}
+	s.size = int64(scan.complete)
+	return l.settle(s, newest)
+}
+
+// record reads the next record. ended tells that it is the last of its flush; fault is why it can't be read, empty if
+// it can.
+func (c *segmentScan) record() (ended bool, fault string) {
+	flags, number, data, ok := readRecord(c.raw[c.offset:], c.checksum)
+	kind := flags & kindMask
+	switch {
+	case !ok:
+		return false, "its sum does not fit"
+	case (flags&firstOfFlush != 0) != (len(c.flush) == 0):
+		return false, "it is out of its flush"
+	case kind == kindEntry && number != c.next:
+		return false, fmt.Sprintf("entry %d, expected %d", number, c.next)
+	case kind == kindMark && number >= MaxMarkKinds:
+		return false, fmt.Sprintf("mark %d, expected one below %d", number, MaxMarkKinds)
+	case kind == kindCut && number == 0:
+		return false, "a cut to entry 0"
+	}
+	switch kind {
+	case kindEntry:
+		c.next++
+	case kindCut:
+		c.next = number
+	}
+	c.flush = append(c.flush, scannedRecord{kind, number, data, c.offset})
+	c.offset += recordHeaderBytes + len(data) + checksumBytes
+	c.checksum = binary.LittleEndian.Uint32(c.raw[c.offset-checksumBytes:])
+	return flags&lastOfFlush != 0, ""
+}
+
+// wasDurable tells whether what stands at the scan's offset was synced once: a flush begins after it, and each flush is
+// synced before the next is written.
+func (c *segmentScan) wasDurable() bool {
+	if flushStartsAfter(c.raw, c.offset) {
+		return true
+	}
+	_, _, _, next, ok := readRecordByNext(c.raw[c.offset:], c.checksum)
+	return ok && next&firstOfFlush != 0
+}
+
+// applyFlush takes over what a complete flush says.
+func (l *Log) applyFlush(s *segment, flush []scannedRecord) {
+	for _, r := range flush {
+		switch r.kind {
+		case kindEntry:
+			l.index.add(s.sequence, int64(r.offset))
+		case kindMark:
+			l.marks[r.number] = append([]byte{}, r.data...)
+		case kindCut:
+			l.index.cut(r.number)
+		}
+	}
+}
+
+// settle syncs what was read, names too: a process that was killed may have left it written but not synced.
+func (l *Log) settle(s *segment, newest bool) error {
+	if !newest {
+		return nil
+	}
+	if err := s.file.Sync(); err != nil {
+		return err
+	}
+	return l.fs.Sync()
+}
+
+func parseFileName(name, suffix string) (uint64, bool) {
+	if len(name) != 16+len(suffix) || !strings.HasSuffix(name, suffix) {
+		return 0, false
+	}
+	n, err := strconv.ParseUint(name[:16], 16, 64)
+	return n, err == nil
+}
--- a/internal/wal/pin_test.go
+++ b/internal/wal/pin_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// The fixtures under testdata/pin are what version 2a0a97e stored; they are written with -write-pins at that version alone.
+// The fixtures under testdata/pin are what version 2a0a97e stored; they are written with -write-pins at that version
+// alone.
 var writePins = flag.Bool("write-pins", false, "write the fixtures of pinned forms anew")
 
 func pinned(t *testing.T, name string, got []byte) {
@@ -45,7 +46,8 @@
 	for n := 1; n <= 12; n++ {
 		commit(t, l, Batch{Entries: [][]byte{entry(n), entry(100 + n)}})
 	}
-	commit(t, l, Batch{Cut: 20, Entries: [][]byte{entry(7), {}}, Marks: []Mark{{Kind: 0, Data: []byte("mark 0")}, {Kind: 15, Data: nil}}})
+	commit(t, l, Batch{Cut: 20, Entries: [][]byte{entry(7), {}},
+		Marks: []Mark{{Kind: 0, Data: []byte("mark 0")}, {Kind: 15, Data: nil}}})
 	commit(t, l, Batch{Marks: []Mark{{Kind: 3, Data: []byte("mark 3")}}})
 	for _, number := range []uint64{4, 9, 15} {
 		if err := l.SaveSnapshot(number, []byte("state of "), nil, fmt.Appendf(nil, "%d", number)); err != nil {
--- a/internal/wal/salvage.go
+++ b/internal/wal/salvage.go
@@ -10,20 +10,21 @@
 	"strings"
 )
 
-// SalvageStarted is for logs whose records stand for themselves: what can still be read of a damaged one is read, with a word at
-// each place where something can't. A log that has to be whole, as a group's, must never be read so.
+// Salvage is for logs whose records stand for themselves, as those of stored results: what can still be read of a
+// damaged log is read, with a gap told where something can't. A group's log must never be read so: raft needs all of
+// it.
 
-// setAsideSuffix marks segments that were put aside; the one set of them is kept until the next.
+// setAsideSuffix marks segments that were set aside. They are held until the next salvage.
 const setAsideSuffix = ".bad"
 
-// While segments are put aside, and while what was read of them is written anew, a file says so: a start that was interrupted
-// goes on from there.
+// These files mark a salvage under way, so that a start after a crash goes on with it: the first while segments are
+// renamed, the second while what was read of them is written anew.
 const (
 	settingAsideFile = "salvage-aside"
 	rewritingFile    = "salvage-anew"
 )
 
-// SalvagedRecord is one thing that was read, or a gap: something was there that can't be.
+// SalvagedRecord is a record that was read, or a gap where something can't be.
 type SalvagedRecord struct {
 	Gap  bool
 	Mark bool // else an entry
@@ -31,8 +32,8 @@
 	Data []byte
 }
 
-// SetAside puts the segments of a damaged log aside, so that one can be begun in their place. It tells whether there is anything
-// to salvage: damaged says that there is, else only what an interrupted one left counts.
+// SetAside sets the segments of a damaged log aside, so that a new log can be begun in their place. It tells whether
+// there is anything to salvage: if damaged, or if an earlier salvage was interrupted.
 func SetAside(fs FS, damaged bool) (bool, error) {
 	unlock, err := fs.Lock()
 	if err != nil {
@@ -93,16 +94,17 @@
 	return errors.Join(f.Sync(), f.Close(), fs.Sync())
 }
 
-// SalvageStarted tells whether a salvage was begun and not ended.
+// SalvageStarted tells whether a salvage was begun and not finished.
 func SalvageStarted(fs FS) (bool, error) {
 	names, err := fs.List()
 	return slices.Contains(names, settingAsideFile) || slices.Contains(names, rewritingFile), err
 }
 
-// FinishSalvage says that all was written anew.
+// FinishSalvage ends a salvage: all was written anew.
 func FinishSalvage(fs FS) error { return errors.Join(fs.Remove(rewritingFile), fs.Sync()) }
 
-// Salvage reads what was put aside, in its order. Data is good until the next call.
+// Salvage reads what was set aside, in order, and calls take for each record and gap. Data is valid until the next
+// call.
 func Salvage(fs FS, take func(SalvagedRecord) error) (gaps int, err error) {
 	names, err := fs.List()
 	if err != nil {
@@ -159,8 +161,8 @@
 	return raw, err
 }
 
-// salvage reads one segment. Each record's sum takes in the one before it, which stands right before it: so it can be told from
-// anything else wherever it begins.
+// salvageSegment reads one segment. Each record's checksum takes in the one before it, which stands right before it,
+// so a record can be told from anything else wherever it begins.
 func salvageSegment(raw []byte, take func(SalvagedRecord) error, gap func() error) error {
 	if len(raw) < segmentHeaderBytes {
 		return gap()
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -8,12 +8,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A snapshot's file: "umbersnp" | sum u64 | number u64 | bytes. The sum takes in all that follows it.
+// A snapshot's file: "umbersnp" | sum u64 | number u64 | bytes. The checksum, xxhash, takes in all that follows it.
 const (
 	snapshotSuffix      = ".snap"
 	snapshotMagic       = "umbersnp"
 	snapshotHeaderBytes = 24
-	// maxSnapshots is two: with the log kept from the older one on, a newest that can't be read costs nothing.
+	// maxSnapshots is two: with the log from the older one on, a newest one that can't be read loses nothing.
 	maxSnapshots = 2
 )
 
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// SaveSnapshot writes a snapshot that stands for all entries up to a number. It is there whole or not at all; the two
-// newest are kept. The log itself is let go of by Release. One save at a time; commits go on beside it.
+// SaveSnapshot writes a snapshot that stands for all entries up to a number. It is there completely or not at all;
+// the two newest are held. One call at a time; commits go on meanwhile. Errors are ErrFull and ErrBroken.
 func (l *Log) SaveSnapshot(number uint64, parts ...[]byte) error {
 	size := int64(snapshotHeaderBytes)
 	head := make([]byte, snapshotHeaderBytes)
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// add takes a snapshot into the list and gives the numbers of those that go for it.
+// addSnapshot adds a snapshot to the list and returns the numbers of those that go for it.
 func (l *Log) addSnapshot(s snapshot) (gone []uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,7 +137,7 @@
 	return l.fs.Sync()
 }
 
-// Snapshots gives the numbers of the snapshots there, the newest first.
+// Snapshots returns the numbers of the snapshots held, the newest first.
 func (l *Log) Snapshots() []uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,7 +148,7 @@
 	return out
 }
 
-// LoadSnapshot reads a snapshot, checked against its sum.
+// LoadSnapshot reads a snapshot, checked against its checksum. The error is *Damage or of the disk.
 func (l *Log) LoadSnapshot(number uint64) ([]byte, error) {
 	name := snapshotName(number)
 	f, err := l.fs.Open(name)
@@ -173,7 +173,7 @@
 	return body, nil
 }
 
-// Unwrap gives what a snapshot's file holds, and its number.
+// Unwrap returns what a snapshot's file holds and its number; ok is false if it is none.
 func Unwrap(raw []byte) (body []byte, number uint64, ok bool) {
 	if len(raw) < snapshotHeaderBytes || string(raw[:8]) != snapshotMagic ||
 		binary.LittleEndian.Uint64(raw[8:]) != xxhash.Sum64(raw[16:]) {
