--- a/admission/queuetimeout.go
+++ b/admission/queuetimeout.go
@@ -148,7 +148,7 @@
 	isRetry         bool
 }
 
-// bound decides how long a request may wait for a run slot, from its arrival: for half its objective, or what its own
+// timeout decides how long a request may wait for a run slot, from its arrival: for half its objective, or what its own
 // run will leave of it. Past the first tier only that tier's part of the objective can be used. While the queue is
 // long, what earns least for its work waits least, so that the queue delay settles where the least of what the cores
 // can do still gets its turn. It may harm a brief burst that the cores would have caught up with.
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -25,7 +25,7 @@
 	"umberwinch/internal/wal"
 )
 
-// recovery is a run of `umberctl control recover`.
+// recoverCommand is a run of `umberctl control recover`.
 type recoverCommand struct {
 	file, take  string
 	wait        time.Duration
--- a/internal/control/coordinator/submissions.go
+++ b/internal/control/coordinator/submissions.go
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// due gives the operations to append now: new ones, and those that count as lost.
+// toAppend gives the operations to append now: new ones, and those that count as lost.
 func (q *submissions[Op, Result]) toAppend(nowMS uint64) (ops []*Op) {
 	for _, p := range q.pending {
 		if !p.sent || nowMS-p.sentMS > appendTimeoutMS {
--- a/internal/control/zones/ramp.go
+++ b/internal/control/zones/ramp.go
@@ -27,7 +27,7 @@
 	// minShareDivisor: a step back ends at a quarter of the policy's initial share; below it the zone is evacuated
 	// again.
 	minShareDivisor = 4
-	// warmFactorGrow: a warm service's share at least doubles, whatever is in flight: its rate alone limits it.
+	// warmGrowth: a warm service's share at least doubles, whatever is in flight: its rate alone limits it.
 	warmGrowth = api.MaxRampFactor / 2
 )
 
--- a/internal/harness/control_processes.go
+++ b/internal/harness/control_processes.go
@@ -30,7 +30,7 @@
 // realWithin is the promise for processes: after a leader's death writes are taken again within it.
 const realWithin = 5 * time.Second
 
-// proc is one instance as a process.
+// instanceProcess is one instance as a process.
 type instanceProcess struct {
 	name, listen, peer, bind, file string
 	cmd                            *exec.Cmd
@@ -38,7 +38,7 @@
 	fault                          string // what SIGUSR2 brings, "" for plain SIGKILL
 }
 
-// cluster is a group of processes on loopback.
+// controlProcesses is a group of processes on loopback.
 type controlProcesses struct {
 	program, dir string
 	env          []string // of its processes, beside this one's
@@ -139,7 +139,7 @@
 
 func (p *instanceProcess) pid() int { return p.cmd.Process.Pid }
 
-// keep starts again what ends, two seconds later, until the context does.
+// restartEnded starts again what ends, two seconds later, until the context does.
 func (c *controlProcesses) restartEnded(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, p := range c.procs {
@@ -183,7 +183,7 @@
 // cutOff is a fault of the lines between processes, beside those that a process brings on itself.
 const cutOff = "cut off"
 
-// strike does to a leader what it was started for, or parts it from the others. It tells whether the process
+// crashAt does to a leader what it was started for, or parts it from the others. It tells whether the process
 // ended.
 func (c *controlProcesses) crashAt(p *instanceProcess, cut bool) (ended bool) {
 	switch {
--- a/internal/harness/demo.go
+++ b/internal/harness/demo.go
@@ -48,7 +48,7 @@
 cheapest view
 dearest submit`
 
-// seen is what became of a class's reqs, in all and since the last table.
+// classResults is what became of a class's reqs, in all and since the last table.
 type classResults struct {
 	asked, done, inTime, shed, errored int
 	times                              *hdrhistogram.Histogram // tenths of a ms from the moment it was meant to be sent
--- a/internal/harness/emulated_kernel.go
+++ b/internal/harness/emulated_kernel.go
@@ -176,7 +176,7 @@
 	}
 }
 
-// obey carries out one command; false closes the link.
+// execute carries out one command; false closes the link.
 func (k *EmulatedKernel) execute(c net.Conn, m *command) bool {
 	switch m.Verb {
 	case "OPEN":
@@ -270,7 +270,7 @@
 	}
 }
 
-// over ends a run and tells of it.
+// endRun ends a run and tells of it.
 func (k *EmulatedKernel) endRun(id, how string) {
 	r := k.runs[id]
 	delete(k.runs, id)
@@ -288,7 +288,7 @@
 		k.first+len(k.notices), id, how, float64(time.Since(r.began))/float64(time.Millisecond), body))
 }
 
-// tell sends a notice and keeps it for a link that comes later.
+// sendEvent sends a notice and keeps it for a link that comes later.
 func (k *EmulatedKernel) sendEvent(text string) {
 	line := []byte(text)
 	k.notices = append(k.notices, line)
--- a/internal/harness/faults_on_demand.go
+++ b/internal/harness/faults_on_demand.go
@@ -66,7 +66,7 @@
 	}}
 }
 
-// failing is a folder whose disk fails once armed.
+// failingDisk is a folder whose disk fails once armed.
 type failingDisk struct {
 	wal.FS
 	kind  string
--- a/internal/harness/fleet_processes.go
+++ b/internal/harness/fleet_processes.go
@@ -353,12 +353,12 @@
 	n.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// cut parts nodes from all instances, both ways; heal ends every trouble of the lines.
+// cutOff parts nodes from all instances, both ways; heal ends every trouble of the lines.
 func (r *FleetProcesses) cutOff(nodes ...*nodeProcess) {
 	r.setLinkFault(linkFault{cut: true}, nodes...)
 }
 
-// lines does something to the lines between nodes and instances, in the direction asked for by each fault.
+// setLinkFault does something to the lines between nodes and instances, in the direction asked for by each fault.
 func (r *FleetProcesses) setLinkFault(f linkFault, nodes ...*nodeProcess) {
 	for _, n := range nodes {
 		for _, p := range r.group.procs {
@@ -369,7 +369,7 @@
 
 func (r *FleetProcesses) heal() { r.group.board.heal() }
 
-// zoned gives the nodes of a zone.
+// nodesIn gives the nodes of a zone.
 func (r *FleetProcesses) nodesIn(zone string) (out []*nodeProcess) {
 	for _, n := range r.nodes {
 		if n.zone == zone {
--- a/internal/harness/forwarders.go
+++ b/internal/harness/forwarders.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// switchboard stands between instances of a group of processes: a forwarder in front of each peers' address,
+// forwarders stands between instances of a group of processes: a forwarder in front of each peers' address,
 // which knows by the greeting who dialled, and can part any two, one way each.
 type forwarders struct {
 	mu    sync.Mutex
@@ -100,7 +100,7 @@
 	<-back
 }
 
-// part cuts one instance off from some others, both ways, or only what it says or only what it hears.
+// partition cuts one instance off from some others, both ways, or only what it says or only what it hears.
 func (s *forwarders) partition(name string, others []string, says, hears bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,7 +157,7 @@
 	return f
 }
 
-// between opens an address on which one reaches another, and forwards what comes.
+// faultBetween opens an address on which one reaches another, and forwards what comes.
 func (s *forwarders) faultBetween(from, to, target string) (string, error) {
 	l, err := net.Listen("tcp", loopback(7300))
 	if err != nil {
@@ -201,7 +201,7 @@
 	<-back
 }
 
-// pretend answers a node in an instance's place with what it said long ago; texts it has from the true one.
+// answerInPlace answers a node in an instance's place with what it said long ago; texts it has from the true one.
 func answerInPlace(c net.Conn, target string, says []byte) {
 	lines := bufio.NewReader(c)
 	for {
@@ -223,7 +223,7 @@
 	}
 }
 
-// pump copies piece by piece, but for what is swallowed.
+// copyBytes copies piece by piece, but for what is swallowed.
 func (s *forwarders) copyBytes(dst, src net.Conn, key [2]string, swallow func(linkFault, []byte) bool) {
 	buf := make([]byte, 16<<10)
 	for {
--- a/internal/harness/policy_bench.go
+++ b/internal/harness/policy_bench.go
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("[fleet]\nlease = %v\nwhen_alone = %s\n[tenant t0]\nrate = %d\n%s", lease, alone, 1000+n, more)
 }
 
-// bench is a rig under load, for the cases.
+// policyBench is a rig under load, for the cases.
 type policyBench struct {
 	*FleetProcesses
 	n     int // texts made so far
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// made is a change that was proposed.
+// proposedChange is a change that was proposed.
 type proposedChange struct{ number, version uint64 }
 
 // proposes makes a change with more in its text than usual.
--- a/internal/harness/policy_node_crowd.go
+++ b/internal/harness/policy_node_crowd.go
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// crowd is a fleet of members in this process.
+// nodeCrowd is a fleet of members in this process.
 type nodeCrowd struct {
 	c      *controlProcesses
 	client *http.Client
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// nothing is a group that has no version yet.
+// emptyPolicyLog is a group that has no version yet.
 type emptyPolicyLog struct{}
 
 func (emptyPolicyLog) Last() uint64                       { return 0 }
--- a/internal/harness/zones_cost.go
+++ b/internal/harness/zones_cost.go
@@ -77,7 +77,7 @@
 	service [3]time.Duration // from its end until half, 95 and 98 in 100 of the value is done for good; -1: not in that time
 }
 
-// shares of full service that are timed.
+// costShares are the shares of full service that are timed.
 var costShares = [3]float64{0.5, 0.95, 0.98}
 
 func (b *zoneBench) cost(c *CallResults, f *zoneFailure, p *costPlan) (out cost, err error) {
--- a/internal/node/agent/agent_test.go
+++ b/internal/node/agent/agent_test.go
@@ -48,7 +48,7 @@
 	return d.agent.HandleResponse(d.now, d.sequence, t)
 }
 
-// joined takes a lease under a version in force.
+// join takes a lease under a version in force.
 func (d *driver) join(version uint64, alone bool) {
 	d.Helper()
 	d.nextHeartbeat()
--- a/internal/node/wire/wire_test.go
+++ b/internal/node/wire/wire_test.go
@@ -11,7 +11,7 @@
 
 var smallBounds = Bounds{HeadBytes: 300, BodyBytes: 64}
 
-// whole reads b to its end as a stream that comes in the pieces given, and says all that was read.
+// readAll reads b to its end as a stream that comes in the pieces given, and says all that was read.
 func readAll(b []byte, piece int, read func(b []byte) (string, int, error)) (out string) {
 	var have []byte
 	for len(b) > 0 {
--- a/internal/simulation/consensus_faults.go
+++ b/internal/simulation/consensus_faults.go
@@ -36,7 +36,7 @@
 	return out
 }
 
-// inflict does a fault. What it opens it ends by itself.
+// apply does a fault. What it opens it ends by itself.
 func (w *ConsensusGroup) apply(f Fault) {
 	h := w.hosts[f.A]
 	if f.Kind == "leader" || f.Kind == "stall" {
@@ -244,7 +244,7 @@
 	}
 }
 
-// ends waits until a put by the script is applied at a host, and tells whether it was.
+// scripted waits until a put by the script is applied at a host, and tells whether it was.
 func (w *ConsensusGroup) scripted(h *host, ms int64) bool {
 	was := h.replica.Status().Version
 	w.calls++
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -53,7 +53,7 @@
 	return last
 }
 
-// spot is an entry as some log has it.
+// logPosition is an entry as some log has it.
 type logPosition struct{ index, term uint64 }
 
 // host is a machine with a disk and, while it is up, an instance.
@@ -180,7 +180,7 @@
 		}}
 }
 
-// up starts an instance on a host's disk.
+// startHost starts an instance on a host's disk.
 func (w *ConsensusGroup) startHost(h *host, found bool) {
 	w.lives++
 	h.incarnation = w.lives
@@ -204,7 +204,7 @@
 	}
 }
 
-// greet has an instance that came up make itself known to whoever it reaches, again until all know it or it
+// connectInstance has an instance that came up make itself known to whoever it reaches, again until all know it or it
 // ends.
 func (w *ConsensusGroup) connectInstance(h *host, life int) {
 	if h.replica == nil || h.incarnation != life {
@@ -224,7 +224,7 @@
 	}
 }
 
-// speak tells whether two instances speak with each other; they greet where both ways are open and neither
+// exchange tells whether two instances speak with each other; they greet where both ways are open and neither
 // stalls.
 func (w *ConsensusGroup) exchange(a, b *host) bool {
 	key := [2]int{min(a.incarnation, b.incarnation), max(a.incarnation, b.incarnation)}
@@ -295,7 +295,7 @@
 	}
 }
 
-// down ends a host's instance, by the power or by a kill, and has it come up again later.
+// crashHost ends a host's instance, by the power or by a kill, and has it come up again later.
 func (w *ConsensusGroup) crashHost(h *host, ms int64) {
 	w.tracef("host %d down", h.n)
 	h.replica, h.left = nil, -1
@@ -478,7 +478,7 @@
 	return n
 }
 
-// hold notes what a host's log holds on disk.
+// recordLog notes what a host's log holds on disk.
 func (w *ConsensusGroup) recordLog(h *host) {
 	if h.replica == nil {
 		return
@@ -600,7 +600,7 @@
 	return w.lost[id][s]
 }
 
-// lose notes what a disk held that is no more.
+// loseDisk notes what a disk held that is no more.
 func (w *ConsensusGroup) loseDisk(h *host) {
 	for i, term := range h.held {
 		if w.lost[h.id] == nil {
@@ -643,7 +643,7 @@
 	return out
 }
 
-// quiet is raft's logger in a world.
+// discardLogger is raft's logger in a world.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)            {}
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -68,7 +68,7 @@
 	return last
 }
 
-// vnode is one node.
+// node is one node.
 type node struct {
 	fleet         *Fleet
 	name          string
@@ -94,7 +94,7 @@
 	notStarted    bool // not started yet
 }
 
-// vctl is one instance of the group.
+// controlInstance is one instance of the group.
 type controlInstance struct {
 	s    *coordinator.Leader
 	up   bool
@@ -626,7 +626,7 @@
 	}
 }
 
-// trouble does one thing that goes wrong, and has it heal.
+// injectFault does one thing that goes wrong, and has it heal.
 func (w *Fleet) injectFault() {
 	n := w.nodes[w.random.Intn(len(w.nodes))]
 	lease := float64(w.Lease)
--- a/internal/simulation/fleet_state_loss.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -14,7 +14,7 @@
 // finds out by what nodes prove, an operator gathers what they hold, and the next generation is founded from that, all by
 // the real code. What was left of the old one may go on speaking to nodes, as a majority that was paused does.
 
-// vlost is a schedule's part in it.
+// stateLoss is a schedule's part in it.
 type stateLoss struct {
 	group  string
 	ofHash map[string]string // texts
@@ -34,7 +34,7 @@
 	Lost, Found, Restored int // losses, those that the group found by itself, and restorings
 }
 
-// vsave is a copy of the group's folders.
+// savedState is a copy of the group's folders.
 type savedState struct {
 	raw           []byte
 	texts, hashes []string
--- a/internal/simulation/pool_scenarios.go
+++ b/internal/simulation/pool_scenarios.go
@@ -71,7 +71,7 @@
 	exempt            bool // the promise on the cheapest class does not hold here, as the file says why
 }
 
-// hold is a share of a class's reqs that has to be done in time with pools.
+// serviceTarget is a share of a class's reqs that has to be done in time with pools.
 type serviceTarget struct {
 	class int
 	share float64
@@ -474,7 +474,7 @@
 	return done
 }
 
-// judge holds one scenario to the promises.
+// check holds one scenario to the promises.
 func (r *Pools) check(rep *report.Report, s *Scenario, o map[string]*outcome, least *float64) {
 	with, off := o["pools"], o["off"]
 	cheap := &with.out[s.Cheapest]
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -60,7 +60,7 @@
 	caller        uint32
 }
 
-// vrun is one run: it ends when the service that each run has had comes to its end.
+// run is one run: it ends when the service that each run has had comes to its end.
 type run struct {
 	id   uint32
 	ends float64
@@ -329,7 +329,7 @@
 func (s *server) SetIdleTimeout(admission.Time)   {}
 func (s *server) Log(string)                      {}
 
-// plain is the baseline: a pool of twice the cores and a queue that sheds what has waited a tenth of a
+// plainQueue is the baseline: a pool of twice the cores and a queue that sheds what has waited a tenth of a
 // second.
 type plainQueue struct {
 	slots, running int
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -29,7 +29,7 @@
 	ZoneNoise   = "noise"    // half of the reports are missing, the others vary
 )
 
-// vclassOf are the classes of the flows: shares and values.
+// flowShare and flowValue are the classes of the flows: shares and values.
 var flowShare, flowValue = [3]float64{0.7, 0.2, 0.1}, [3]float64{1, 2, 20}
 
 // flowTries is how often a caller asks for one req at most.
@@ -50,7 +50,7 @@
 	flowOut    = 80.0 // run slots of a zone's nodes, four times what its service below works on at once
 )
 
-// vbelow is a zone's service below, and what goes over it.
+// dependency is a zone's service below, and what goes over it.
 type dependency struct {
 	cap    float64 // runs a second when warm
 	warm   float64
