--- a/admission/reason.go
+++ b/admission/reason.go
@@ -3,7 +3,9 @@
 // Reason is why a request got no result.
 type Reason uint8
 
-// Values of Reason. The first four are of requests that never ran, and may be tried elsewhere unless that is final.
+// Values of Reason. A request that never ran is shed (503) and may be tried elsewhere unless that is final: for
+// ReasonQueueTimeout, ReasonMemory, ReasonStalled, ReasonDraining or ReasonDeadline. One that may have run fails (500):
+// for ReasonDeadline, ReasonCallFailed, ReasonOriginalFailed, or ReasonMemory as a repeat of one that ran.
 const (
 	ReasonQueueTimeout   Reason = iota // it waited in the admission queue for as long as it may
 	ReasonMemory                       // no memory for its run, or for its wait
--- a/internal/control/zones/ramp.go
+++ b/internal/control/zones/ramp.go
@@ -22,7 +22,8 @@
 	overloadEvaluations = 3
 	// minShownRuns have to have ended at a step before it counts as shown: fewer tell nothing about the services below.
 	minShownRuns = 10
-	// afterStepMarginMS: before reports of this step are there, those of the one before would be held against it.
+	// afterStepMarginMS: reports that are older than a step describe the share before it; wait this much beyond one
+	// heartbeat before the step is judged.
 	afterStepMarginMS = 1000
 	// minShareDivisor: a step back ends at a quarter of the policy's initial share; below it the zone is evacuated
 	// again.
@@ -35,9 +36,9 @@
 // of the rate limit, a larger share, the end of the ramp, or to wait.
 //
 // Inputs: the zone's state (share, rate limit, observed capacity), its view, the time since the share settled in ms.
-// The reason: only what was seen at the present share tells what services that may be cold bear; no clock does. It
-// acts while a zone, or the fleet as a whole, ramps. A step that is too large may overload the services below; one
-// that is too small prolongs the ramp.
+// The reason: only what was seen at the present share tells what services that may be cold bear; no clock does, but
+// for the end of a ramp (finishRamp). It acts while a zone, or the fleet as a whole, ramps. A step that is too large
+// may overload the services below; one that is too small prolongs the ramp.
 func (d *decider) continueRamp(zone *Zone, view *View) *Op {
 	if view.silent() {
 		if view.FailureScore >= evacuateScore {
--- a/internal/node/agent/doc.go
+++ b/internal/node/agent/doc.go
@@ -14,7 +14,8 @@
 //   - Once the lease has expired the node serves nothing (it is fenced), unless the committed version lets nodes
 //     serve autonomously.
 //   - The node never serves under a version older than one that it was told is decided, and activates none that it
-//     was not told is committed.
+//     was not told is committed. One exception: a node that starts may take the version it had prepared for
+//     committed, where it was told that it is decided and a change does not wait between the two (versions.restore).
 //   - A response of an earlier generation of the group, or of an earlier position of its log, changes nothing.
 //
 // It never reads a clock, opens a connection or file, or starts a goroutine, and is used by one goroutine alone.
--- a/internal/node/agent/serving.go
+++ b/internal/node/agent/serving.go
@@ -25,7 +25,8 @@
 // the version that it serves under lets nodes go on autonomously. Reason: the group counts a node out once its lease
 // must have expired, and goes on with a change of policy or an evacuation; a node that served on would serve under a
 // version, or take traffic of a zone, that the fleet has left. It is asked before each round of decisions; a node
-// that is fenced by it rejects all requests with 503 until it holds a lease again.
+// that is fenced by it rejects all requests with 503 until MayServe allows it to serve again: by a lease or without the
+// group as above, and under no version older than the decided one.
 func (a *Agent) MayServe(now Milliseconds) (ok bool, reason string) {
 	guards := a.config.DisabledGuards
 	switch {
--- a/internal/node/zonegate/admit.go
+++ b/internal/node/zonegate/admit.go
@@ -13,7 +13,7 @@
 	Weight     float64 // its priority weight
 	Hash       uint32  // by RequestHash
 	IsRetry    bool
-	SeenBefore bool // its first attempt came to this node
+	SeenBefore bool // its key came to this process before; what came before a restart does not count
 }
 
 // RequestHash places a request among all for the share: by its idempotency key where it has one, else by its tenant
@@ -56,7 +56,9 @@
 // may harm callers whose place is beyond the share: they are rejected again and again until the share has grown (see
 // RetryAfter).
 //
-// A request seen before is always admitted: its result is here, and another node would run it a second time.
+// A request whose key was seen since this process started is always admitted: its result is here, and another node
+// would run it a second time. The gate does not know the keys of results that an earlier process stored: a request
+// with one of those is admitted or rejected like a new one.
 func (g *Gate) Admit(now uint64, request Request) Decision {
 	if !g.hasOrder || request.SeenBefore {
 		return Decision{Admitted: true}
--- a/internal/node/zonegate/doc.go
+++ b/internal/node/zonegate/doc.go
@@ -8,6 +8,6 @@
 //
 // Invariants: tokens saved under one epoch are never spent under the next, so that all nodes of a zone together never
 // exceed the rate limit of the newest epoch; a request admitted at a share stays admitted while the share grows; a
-// retry of a request whose first attempt was seen here is always admitted. It never raises its share while the
-// control service is heard.
+// retry of a request whose first attempt was seen here since this process started is always admitted. It never raises
+// its share while the control service is heard.
 package zonegate
