--- a/internal/node/server/client_connections.go
+++ b/internal/node/server/client_connections.go
@@ -184,12 +184,12 @@
 	}
 	l.evict()
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
-		l.sweepConn(h, l.connections.get(h))
+		l.sweepConn(l.connections.get(h))
 	}
 }
 
 // sweepConn looks over one connection, see sweep.
-func (l *loop) sweepConn(h handle, c *connection) {
+func (l *loop) sweepConn(c *connection) {
 	half := admission.Time(c.peer.incompleteSince.Load())
 	switch {
 	case c.closing:
@@ -202,7 +202,7 @@
 			return // more of it is being read at this moment
 		}
 		l.counters.Silent++
-		l.sendResponse(c, h, wire.Response{Status: l.badRequest("a message does not get to its end"), Close: true})
+		l.sendResponse(c, wire.Response{Status: l.badRequest("a message does not get to its end"), Close: true})
 	case c.ending:
 		l.closeIdle(c, l.now-c.lastActive >= l.limits.LingerTimeout)
 	case c.usage == usedForNothing && l.now-c.openedAt >= l.limits.MessageTimeout:
--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -177,8 +177,7 @@
 	l.takes(cap(l.events) + 1)
 	gets(t, bufio.NewReader(c), 200)
 	io.WriteString(c, "GET /hea")
-	for end := time.Now().Add(patience); p.incompleteSince.Load() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-	}
+	waitUntil(func() bool { return p.incompleteSince.Load() != 0 })
 	l.first().lastActive = l.now + admission.Second // it goes on slowly
 	l.closeAllIdle(false)
 	if l.first().closing {
@@ -304,7 +303,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		t.Cleanup(func() { c.Close() })
 		io.WriteString(c, "x")
 		clients = append(clients, c)
 	}
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -83,9 +83,7 @@
 			p, busy := bufferPool{capacity: 8}, atomic.Int64{}
 			w := &writer{conn: outgoing{f}, pool: &p, busy: &busy}
 			w.send([]byte("answer"), 4)
-			for end := time.Now().Add(patience); busy.Load() > 0 &&
-				time.Now().Before(end); time.Sleep(time.Millisecond) {
-			}
+			waitUntil(func() bool { return busy.Load() == 0 })
 			if got := f.got.String(); c.sent != (got == "answer") {
 				t.Errorf("%q went out, expected that it does: %v", got, c.sent)
 			}
--- a/internal/node/server/helper_test.go
+++ b/internal/node/server/helper_test.go
@@ -529,3 +529,10 @@
 	was := n.kernel.count("SYSINFO")
 	return n.kernel.until(func() bool { return n.kernel.tally("SYSINFO") >= was+3 })
 }
+
+// waitUntil waits for a condition that no event tells of, for as long as patience; the test then sees what is wrong.
+func waitUntil(met func() bool) {
+	for end := time.Now().Add(patience); !met() && time.Now().Before(end); {
+		time.Sleep(time.Millisecond)
+	}
+}
--- a/internal/node/server/http_front_end.go
+++ b/internal/node/server/http_front_end.go
@@ -32,9 +32,9 @@
 	p.pipelined.Add(-1)
 	switch m := m.(type) {
 	case *requestUnreadable:
-		l.sendResponse(c, p.handle, l.unreadableResponse(m.err))
+		l.sendResponse(c, l.unreadableResponse(m.err))
 	case *requestRead:
-		l.serveRequest(c, p.handle, m)
+		l.serveRequest(c, m)
 	}
 }
 
@@ -45,7 +45,7 @@
 )
 
 // serveRequest answers a health check or what is no request, and has the controller hear of any other.
-func (l *loop) serveRequest(c *connection, h handle, m *requestRead) {
+func (l *loop) serveRequest(c *connection, m *requestRead) {
 	a := wire.Response{Close: m.request.Close}
 	switch method, path := string(m.request.Method), string(m.request.Path); {
 	case path == healthPath && method == methodGet:
@@ -63,7 +63,7 @@
 	}
 	a.Close = a.Close || a.Status == wire.StatusBadRequest
 	m.release(&l.pool)
-	l.sendResponse(c, h, a)
+	l.sendResponse(c, a)
 }
 
 // checkHealth answers a health check.
@@ -97,7 +97,7 @@
 
 // sendResponse sends a response and goes on to what else the connection has brought. What was read before a connection is
 // to be closed is still answered on it: only the last response says that it closes.
-func (l *loop) sendResponse(c *connection, h handle, a wire.Response) {
+func (l *loop) sendResponse(c *connection, a wire.Response) {
 	c.current, c.lastActive = 0, l.now
 	c.ending = c.ending || a.Close || l.draining
 	a.Close = c.ending && !c.owesAnswer() && c.peer.seal(false)
--- a/internal/node/server/response.go
+++ b/internal/node/server/response.go
@@ -31,7 +31,7 @@
 	}
 	if c := l.connections.get(r.connection); c != nil && c.current == h {
 		a.Close = a.Close || r.closeAfter
-		l.sendResponse(c, r.connection, a)
+		l.sendResponse(c, a)
 	}
 }
 
