--- a/internal/logging/fields.go
+++ b/internal/logging/fields.go
@@ -54,4 +54,21 @@
 	SameBoot       = "same_boot"       // windows go on by the same clock; else from the last record
 	TornTail       = "torn_tail"       // a tail of the log that was never synced was cut off
 	MaxBytes       = "max_bytes"       // bound on a size
+
+	Command             = "command"               // that the kernel was sent
+	Event               = "event"                 // kind of an event of the kernel
+	Sequence            = "sequence"              // number of an event of the kernel
+	LastSequence        = "last_sequence"         // number of the one handled before
+	Status              = "status"                // HTTP status
+	Link                = "link"                  // connection that a node opens: kernel or control
+	KernelAddress       = "kernel_address"        // that a node dials
+	StoreAddress        = "store_address"         // that a node dials
+	DiscoveryAddress    = "discovery_address"     // that a node dials
+	Cores               = "cores"                 // that a node may use
+	MemoryMB            = "memory_mb"             // that a node may use, in MiB
+	Descriptors         = "descriptors"           // that a node may have open
+	MaxConnections      = "max_connections"       // of clients, at one time
+	MaxStoreConnections = "max_store_connections" // at one time
+	Reserve             = "reserve"               // whether pools share a reserve of run slots
+	Enabled             = "enabled"               // whether what the message names is on
 )
--- a/internal/node/server/client_connections.go
+++ b/internal/node/server/client_connections.go
@@ -7,6 +7,7 @@
 	"github.com/cloudwego/netpoll"
 
 	"umberwinch/admission"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/node/wire"
 )
 
@@ -43,7 +44,7 @@
 func (l *loop) serve(ln *listener) {
 	l.listener, l.accepts = ln, true
 	go func() {
-		ln.run(l.acceptConnection, func(err error) { l.log.Warnf("accept: %v", err) })
+		ln.run(l.acceptConnection, func(err error) { l.log.WithField(logging.Error, err).Warn(logAcceptFailed) })
 		l.post(listenerClosed{})
 	}()
 }
@@ -54,7 +55,7 @@
 	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
 	nc, err := netpoll.NewFDConnection(fd)
 	if err != nil { // netpoll has closed the descriptor, whose number may be another connection's by now
-		l.log.Warnf("a connection can't be read: %v", err)
+		l.log.WithField(logging.Error, err).Warn(logConnectionUnreadable)
 		l.listener.release()
 		return
 	}
@@ -76,7 +77,7 @@
 func (l *loop) connectionOpened(p *peer) {
 	h, c, ok := l.connections.take()
 	if !ok { // the listener's bound is below the table's
-		l.log.Errorf("no room in the table for a connection, which has room for %d", l.connections.capacity)
+		l.log.WithField(logging.MaxConnections, l.connections.capacity).Error(logConnectionTableFull)
 		p.close()
 		return
 	}
@@ -151,8 +152,8 @@
 	return c.current != 0 || len(c.pending) > 0 || c.peer.pipelined.Load() > 0
 }
 
-// closeIdle begins the end of a connection with no request unanswered, unless something is on its way: a request that is
-// handed over and not taken, or bytes that are not read. With force only complete requests count.
+// closeIdle begins the end of a connection with no request unanswered, unless something is on its way: a request that
+// is handed over and not taken, or bytes that are not read. With force only complete requests count.
 func (l *loop) closeIdle(c *connection, force bool) bool {
 	if c.closing || c.owesAnswer() || !c.peer.seal(force) {
 		return false
@@ -176,8 +177,8 @@
 }
 
 // sweep looks over all connections: those that their client should have closed, those that don't get to the end of a
-// message, and those idle for longer than the controller allows. Guards against closing what a standstill of this process
-// makes look idle: a sweep that comes late is left out, as what came meanwhile is not read yet.
+// message, and those idle for longer than the controller allows. Guards against closing what a standstill of this
+// process makes look idle: a sweep that comes late is left out, as what came meanwhile is not read yet.
 func (l *loop) sweep(at admission.Time) {
 	if l.now-at >= l.limits.SweepInterval {
 		return
--- a/internal/node/server/client_peer.go
+++ b/internal/node/server/client_peer.go
@@ -17,9 +17,9 @@
 
 // peer is one connection of a client as its callbacks know it, which share it with the loop: what has been read of it,
 // and the end of each of its two directions. A connection is ended in order: reading is sealed once nothing is on its
-// way, the last response goes out, the sending side is shut down, what still comes is discarded until the client closes
-// or a bound is reached, then the descriptor is closed. Whatever was read before the seal is answered first, and nothing
-// that comes after it ever reaches the controller.
+// way, the last response goes out, the sending side is shut down, what still comes is discarded until the client
+// closes or a bound is reached, then the descriptor is closed. Whatever was read before the seal is answered first,
+// and nothing that comes after it ever reaches the controller.
 type peer struct {
 	writer
 	fd              int
@@ -39,7 +39,8 @@
 
 func newPeer(nc netpoll.Connection, fd int, l *loop) *peer {
 	p := &peer{fd: fd, in: intake{pool: &l.pool}}
-	p.writer = writer{conn: nc, pool: &l.pool, workers: l.workers, busy: &l.busy, owesAnswers: true, shutDown: p.shutDownWrite}
+	p.writer = writer{conn: nc, pool: &l.pool, workers: l.workers, busy: &l.busy, owesAnswers: true,
+		shutDown: p.shutDownWrite}
 	return p
 }
 
@@ -52,8 +53,8 @@
 	return err
 }
 
-// take reads all that has come. Guards against a seal between the reading of a request and its handing over, which would
-// leave it without a response: each event is counted in pipelined before the lock is released.
+// take reads all that has come. Guards against a seal between the reading of a request and its handing over, which
+// would leave it without a response: each event is counted in pipelined before the lock is released.
 func (p *peer) take(r netpoll.Reader, limits *Limits, now admission.Time) (events []event, err error) {
 	p.intake.Lock()
 	defer p.intake.Unlock()
@@ -133,8 +134,8 @@
 }
 
 // seal ends the reading of requests, unless one is on its way: handed over and not begun, begun to be read, or in a
-// buffer of this process or of the system. With force only complete requests count. Guards against a close that crosses a
-// request: the client could not tell whether it ran.
+// buffer of this process or of the system. With force only complete requests count. Guards against a close that
+// crosses a request: the client could not tell whether it ran.
 func (p *peer) seal(force bool) bool {
 	p.intake.Lock()
 	defer p.intake.Unlock()
--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -155,7 +155,8 @@
 	}
 }
 
-// A message that is read whole and waits for room in the queue, and one that is not whole yet, keep their connection open.
+// A message that is read whole and waits for room in the queue, and one that is not whole yet, keep their connection
+// open.
 func TestReadingKeepsAConnection(t *testing.T) {
 	l := newHandLoop(t, 4)
 	c := l.dial()
@@ -188,8 +189,8 @@
 	gets(t, bufio.NewReader(c), 200)
 }
 
-// An idle connection ends by its sending side: the client reads the end of the stream, and what it has sent meanwhile is
-// discarded and answered by nothing.
+// An idle connection ends by its sending side: the client reads the end of the stream, and what it has sent meanwhile
+// is discarded and answered by nothing.
 func TestIdleConnectionEndsInOrder(t *testing.T) {
 	l := newHandLoop(t, 4)
 	c := l.dial()
@@ -234,8 +235,8 @@
 	}
 }
 
-// A new connection always finds a slot in the table: however many are closed and opened before the loop hears of either, no
-// more are accepted than it has slots.
+// A new connection always finds a slot in the table: however many are closed and opened before the loop hears of
+// either, no more are accepted than it has slots.
 func TestNewConnectionFindsASlot(t *testing.T) {
 	l := newHandLoop(t, 2)
 	for range 2 {
@@ -343,7 +344,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	failures := []error{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+	failures := []error{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
+		syscall.ENOMEM,
 		syscall.ENETDOWN, syscall.EPROTO, syscall.EHOSTUNREACH, syscall.EPERM}
 	var tries atomic.Int32
 	warnings := make(chan error, len(failures))
@@ -386,8 +388,8 @@
 	}
 }
 
-// Clients that hold all buffers take no answer from others: what is owed goes out all the same, and a request that could
-// not be read is shed.
+// Clients that hold all buffers take no answer from others: what is owed goes out all the same, and a request that
+// could not be read is shed.
 func TestAnswersNeedNoFreeBuffer(t *testing.T) {
 	l := newHandLoop(t, 4)
 	a, b := l.dial(), l.dial()
@@ -450,7 +452,7 @@
 	writer.Write(text)
 	n.write("") // in place of the pipe, for the second reading
 	writer.Close()
-	if !n.logged("start-up file taken") {
+	if !n.logged(`msg="start-up file taken" `) {
 		t.Error("a SIGHUP that came early is lost")
 	}
 }
--- a/internal/node/server/counters.go
+++ b/internal/node/server/counters.go
@@ -2,9 +2,9 @@
 
 import "github.com/sirupsen/logrus"
 
-// Counters are what the node took in, sent and answered since its start, logged at the end and on SIGUSR1. Only the loop
-// counts, so they need no lock, and nothing is decided by them. Beside them stands what is held at that moment: all
-// requests are done, shed, errored, gone or in hand, and all runs have ended or are running, so that a gap shows.
+// Counters are what the node took in, sent and answered since its start, logged at the end and on SIGUSR1. Only the
+// loop counts, so they need no lock, and nothing is decided by them. Beside them stands what is held at that moment:
+// all requests are done, shed, errored, gone or in hand, and all runs have ended or are running, so that a gap shows.
 type Counters struct {
 	Conns, Reqs, Checks, Bad, Again        uint64 // taken in
 	Done, Shed, Errored, Shared            uint64 // answered; Shared, with another's result, is a part of Done
@@ -47,7 +47,8 @@
 		"kernel_links": c.KernelLinks, "store_links": c.StoreLinks, "control_links": c.ControlLinks,
 		"wires_lost": c.WiresLost, "strays": c.Strays, "reloads": c.Reloads, "silent": c.Silent,
 		"evicted": c.Evicted, "resent": c.Resent, "refused": c.Refused, "reports": c.Reports,
-		"reports_lost": c.ReportsLost, "clock_steps": c.ClockSteps, "rounds": c.Rounds, "wakes": c.Wakes, "ungauged": c.Ungauged, "slow": c.Slow}
+		"reports_lost": c.ReportsLost, "clock_steps": c.ClockSteps, "rounds": c.Rounds,
+		"wakes": c.Wakes, "ungauged": c.Ungauged, "slow": c.Slow}
 	if f := l.fleet; f != nil {
 		out["version"], out["fenced"], out["alone"] = f.agent.ActiveVersion(), f.fenced, f.autonomous
 		out["versions"], out["times_fenced"], out["fence_shed"], out["fleet_lost"] = c.Versions, c.Fenced, c.FenceShed,
--- a/internal/node/server/discovery_link.go
+++ b/internal/node/server/discovery_link.go
@@ -4,12 +4,13 @@
 	"math/rand/v2"
 
 	"umberwinch/admission"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/node/wire"
 )
 
-// discoveryLink is the link to service discovery, by whose list clients find this server. It owns the reports of what the
-// controller and the fleet agent say of readiness; that service discovery is away shows nowhere else. A report without an
-// answer may count all the same, and never holds up another. It ends with the process.
+// discoveryLink is the link to service discovery, by whose list clients find this server. It owns the reports of what
+// the controller and the fleet agent say of readiness; that service discovery is away shows nowhere else. A report
+// without an answer may count all the same, and never holds up another. It ends with the process.
 type discoveryLink struct {
 	link
 	name              string
@@ -57,7 +58,9 @@
 	c.reportOutstanding, c.delay = false, 0
 	if p.Status != wire.StatusNoContent {
 		l.counters.ReportsLost++
-		l.logf("control plane answered %d", p.Status)
+		if log := l.limitLog(); log != nil {
+			log.WithField(logging.Status, p.Status).Info(logReportRejected)
+		}
 	}
 	if p.Close {
 		l.closeLink(&c.link, nil)
--- a/internal/node/server/doc.go
+++ b/internal/node/server/doc.go
@@ -3,10 +3,10 @@
 //
 // # What it owns
 //
-// One goroutine, the loop, owns all tables: connections, requests, idempotency keys, links, timers and counters, and the
-// controller. Callbacks of sockets, signals and disks hand it typed events (events.go) over one bounded queue, and wait
-// while the queue is full. The loop takes what is there, makes one round of it, and carries out what the controller
-// decides (admission_writer.go). Outside the loop are only:
+// One goroutine, the loop, owns all tables: connections, requests, idempotency keys, links, timers and counters, and
+// the controller. Callbacks of sockets, signals and disks hand it typed events (events.go) over one bounded queue, and
+// wait while the queue is full. The loop takes what is there, makes one round of it, and carries out what the
+// controller decides (admission_writer.go). Outside the loop are only:
 //
 //   - one goroutine that accepts connections (listener.go) and ends with the drain;
 //   - callbacks of connections, which netpoll never runs twice at once for one of them (client_peer.go, links.go);
@@ -23,8 +23,8 @@
 //
 //   - Each request read gets exactly one response, or none if its client is gone (lifecycle.go).
 //   - Responses go out in the order in which their requests came on a connection (http_front_end.go).
-//   - Each event of the kernel is handled once and in order; a command that may have been lost is sent again only after
-//     what the kernel said meanwhile is known, and never for a run that ended (kernel_link.go).
+//   - Each event of the kernel is handled once and in order; a command that may have been lost is sent again only
+//     after what the kernel said meanwhile is known, and never for a run that ended (kernel_link.go).
 //   - A call is said not to have run only where that is proven (store_connections.go).
 //   - A connection is closed only when no response on it may still be unread (client_peer.go).
 //   - Events of a dial that was replaced are passed over (links.go).
@@ -35,5 +35,6 @@
 // before has not run. It never calls the store or starts a run by itself, and never changes a setting while it serves,
 // but for the addresses and pools of a start-up file that is read anew (reload.go).
 //
-// Times are admission.Time, in tenths of a millisecond, by the monotonic clock; fields that end in MS are milliseconds.
+// Times are admission.Time, in tenths of a millisecond, by the monotonic clock; fields that end in MS are
+// milliseconds.
 package server
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -2,10 +2,10 @@
 
 import "umberwinch/admission"
 
-// drainState is where the drain of this process stands: from the notice to its end. Health checks and service discovery say
-// that the node is not ready, what was read is answered, the listener takes what the system has accepted and closes, and
-// connections end in order. It never closes a connection with a request unanswered; while there is one only the kill ends
-// the process.
+// drainState is where the drain of this process stands: from the notice to its end. Health checks and service
+// discovery say that the node is not ready, what was read is answered, the listener takes what the system has accepted
+// and closes, and connections end in order. It never closes a connection with a request unanswered; while there is one
+// only the kill ends the process.
 type drainState struct {
 	draining     bool
 	stopAfter    admission.Time // the kill comes so long after the notice
@@ -16,8 +16,8 @@
 }
 
 const (
-	// minServing is how long the listener stays open after the notice at least: service discovery takes that long to have
-	// clients learn of it.
+	// minServing is how long the listener stays open after the notice at least: service discovery takes that long to
+	// have clients learn of it.
 	minServing = 2 * admission.Second
 	// lastAnswers is how long before answerBy connections are closed whatever else is on them: the controller's last
 	// decisions come after.
--- a/internal/node/server/events.go
+++ b/internal/node/server/events.go
@@ -89,8 +89,8 @@
 	}
 )
 
-// callback is what the loop is to do now that the fleet agent or the result keeper is done with its network or disk: see
-// fleetHost and resultHost.
+// callback is what the loop is to do now that the fleet agent or the result keeper is done with its network or disk:
+// see fleetHost and resultHost.
 type callback struct{ then func() }
 
 func (connectionOpened) isEvent()   {}
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -300,7 +300,8 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &loop{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)}
-	f := &fleetAgent{host: l, clock: bootTime, log: log, config: &config.Fleet{Folder: filepath.Join(t.TempDir(), "gone")},
+	f := &fleetAgent{host: l, clock: bootTime, log: log,
+		config: &config.Fleet{Folder: filepath.Join(t.TempDir(), "gone")},
 		agent:  agent.New(agent.Config{Name: "n1", ControlAddresses: []string{"127.0.0.1:1"}}, nil, bootTime()),
 		record: recordStore{writing: true}}
 	f.recordStored(bootTime(), 0, syscall.ENOSPC)
--- a/internal/node/server/handle_table.go
+++ b/internal/node/server/handle_table.go
@@ -18,9 +18,9 @@
 	value      T
 }
 
-// table is a set of numbered slots that are used again: for connections, requests and keys. A handle names a slot and the
-// generation it was taken in, so that a late event of what had the slot before finds nothing. A table belongs to the loop
-// alone; it is only ranged over in slot order, so that what the loop does is the same for the same events.
+// table is a set of numbered slots that are used again: for connections, requests and keys. A handle names a slot and
+// the generation it was taken in, so that a late event of what had the slot before finds nothing. A table belongs to
+// the loop alone; it is only ranged over in slot order, so that what the loop does is the same for the same events.
 type table[T any] struct {
 	slots    []slot[T]
 	free     []int
--- a/internal/node/server/helper_test.go
+++ b/internal/node/server/helper_test.go
@@ -265,7 +265,8 @@
 			case "SYSINFO":
 				k.mu.Lock()
 				if !k.mute {
-					fmt.Fprintf(c, "{\"verb\":\"INFO\",\"nonce\":%q,\"readings\":[0.5,%s,0.1,%s]}\n", m.Nonce, k.on, k.links)
+					fmt.Fprintf(c, "{\"verb\":\"INFO\",\"nonce\":%q,\"readings\":[0.5,%s,0.1,%s]}\n",
+						m.Nonce, k.on, k.links)
 				}
 				k.mu.Unlock()
 				k.add("SYSINFO")
@@ -484,7 +485,8 @@
  "customers":[{"name":"home","quota_per_s":5},{"name":"acme","quota_per_s":5}],
  "fleet_size":2,"granularity":2000,"invariants":{"drain_grace":500000,"fall_multiple":5},
  "limits":{"max_retry_after":1000000,"retry_after":true}}}`, n.addr, n.kernel.addr, n.ctl.addr, store,
-		get("stop_ms", "3000"), get("cores", "1"), get("memory_mb", "64"), get("sockets", "256"), get("fresh", "0"), get("say", "off"))
+		get("stop_ms", "3000"), get("cores", "1"), get("memory_mb", "64"), get("sockets", "256"), get("fresh", "0"),
+		get("say", "off"))
 	if instead != "" {
 		text = instead
 	}
--- a/internal/node/server/history_test.go
+++ b/internal/node/server/history_test.go
@@ -102,7 +102,8 @@
 			}
 			name := fmt.Sprint(e.server, "/", q.sent.key)
 			if last, ok := ran[name]; ok && q.sent.at < last.at+r.window {
-				say("key %s runs by %s and again by %s, which came %v later", q.sent.key, last.id, e.id, q.sent.at-last.at)
+				say("key %s runs by %s and again by %s, which came %v later",
+					q.sent.key, last.id, e.id, q.sent.at-last.at)
 			}
 			ran[name] = record{id: e.id, at: q.sent.at}
 		}
--- a/internal/node/server/http_front_end.go
+++ b/internal/node/server/http_front_end.go
@@ -87,16 +87,16 @@
 	return wire.Response{Status: l.badRequest("%v", err), Close: true}
 }
 
-// addRetryAfter gives a rejection that the controller was not asked about a time to retry after, where the settings allow
-// one.
+// addRetryAfter gives a rejection that the controller was not asked about a time to retry after, where the settings
+// allow one.
 func (l *loop) addRetryAfter(a *wire.Response) {
 	if a.Status == wire.StatusServiceUnavailable && a.RetryAfterMS == 0 {
 		a.RetryAfterMS = l.retryAfter(&l.refusals, 0)
 	}
 }
 
-// sendResponse sends a response and goes on to what else the connection has brought. What was read before a connection is
-// to be closed is still answered on it: only the last response says that it closes.
+// sendResponse sends a response and goes on to what else the connection has brought. What was read before a connection
+// is to be closed is still answered on it: only the last response says that it closes.
 func (l *loop) sendResponse(c *connection, a wire.Response) {
 	c.current, c.lastActive = 0, l.now
 	c.ending = c.ending || a.Close || l.draining
--- a/internal/node/server/idempotency_table.go
+++ b/internal/node/server/idempotency_table.go
@@ -24,10 +24,10 @@
 	waiters   []handle // requests that take the result once it is there
 }
 
-// idempotencyTable says which request a later one with the same key repeats, and has the results that repeats are answered
-// with. An entry is made and renewed by the controller's Remember alone, and ended by its Forget or its time. A result may be
-// dropped early, when results come to more than their share of memory, but the key of a request that ran never is: a
-// repeat then gets an error, as it must not run.
+// idempotencyTable says which request a later one with the same key repeats, and has the results that repeats are
+// answered with. An entry is made and renewed by the controller's Remember alone, and ended by its Forget or its time.
+// A result may be dropped early, when results come to more than their share of memory, but the key of a request that
+// ran never is: a repeat then gets an error, as it must not run.
 type idempotencyTable struct {
 	entries     table[idempotencyEntry]
 	byKey       map[string]handle
--- a/internal/node/server/imports_test.go
+++ b/internal/node/server/imports_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A node has a few MB for all it holds: with net/http linked in, its tables and goroutines would take a good part of it.
+// A node has a few MB for all it holds: with net/http linked in, its tables and goroutines would take a good part of
+// it.
 func TestNetHTTPIsNotLinkedIn(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
--- a/internal/node/server/kernel_link.go
+++ b/internal/node/server/kernel_link.go
@@ -3,7 +3,10 @@
 import (
 	"strconv"
 
+	"github.com/sirupsen/logrus"
+
 	"umberwinch/admission"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/node/wire"
 )
 
@@ -21,9 +24,9 @@
 const unsent = ^uint64(0)
 
 // kernelLink is the link to the process that carries out runs. It owns the order of commands and events: each event is
-// handled once and in its order, and a command that may have been lost with a link is sent again, but only after what the
-// kernel said meanwhile is known, and never for a run that ended. Every command and every request for gauges takes the
-// next number; answered gauges prove that all before them on the same link were read. It ends with the process.
+// handled once and in its order, and a command that may have been lost with a link is sent again, but only after what
+// the kernel said meanwhile is known, and never for a run that ended. Every command and every request for gauges takes
+// the next number; answered gauges prove that all before them on the same link were read. It ends with the process.
 type kernelLink struct {
 	link
 	state         kernelState
@@ -146,7 +149,10 @@
 		return
 	case wire.KernelInvalid:
 		l.counters.Refused++
-		l.logf("kernel did not carry out %q for %q", n.Outcome, n.RunID)
+		if log := l.limitLog(); log != nil {
+			log.WithFields(logrus.Fields{logging.Command: string(n.Outcome), logging.RequestID: string(n.RunID)}).
+				Info(logCommandRefused)
+		}
 		if h, r := l.findRequest(n.RunID); r != nil && string(n.Outcome) == wire.KernelRun && r.isRunning() {
 			// It never ran and never will, as the kernel knows of no such request: nobody else can answer it, and its
 			// client's connection is used no more.
@@ -157,17 +163,19 @@
 	}
 	switch {
 	case n.Sequence == 0:
-		l.logf("kernel says %q, which is not known", n.Kind)
+		if log := l.limitLog(); log != nil {
+			log.WithField(logging.Event, string(n.Kind)).Info(logKernelEventUnknown)
+		}
 		return
 	case n.Sequence <= k.lastSequence:
 		return
 	case n.Sequence > k.lastSequence+1 && !k.noEventYet:
-		l.logf("kernel's notice %d comes after %d", n.Sequence, k.lastSequence)
+		l.logEventGap(logKernelEventMissing, n.Sequence)
 		l.closeLink(&k.link, errGap)
 		return
 	}
 	if n.Sequence > k.lastSequence+1 {
-		l.logf("kernel no longer has notices %d to %d", k.lastSequence+1, n.Sequence-1)
+		l.logEventGap(logKernelEventsLost, n.Sequence)
 	}
 	k.lastSequence, k.noEventYet = n.Sequence, false
 	h, r := l.findRequest(n.RunID)
@@ -195,6 +203,14 @@
 	}
 }
 
+// logEventGap logs that events are missing between the last one and this.
+func (l *loop) logEventGap(message string, sequence uint64) {
+	if log := l.limitLog(); log != nil {
+		log.WithFields(logrus.Fields{logging.Sequence: sequence, logging.LastSequence: l.kernel.lastSequence}).
+			Info(message)
+	}
+}
+
 // kernelBooted takes the start of the kernel. The first has the controller begin, whose times count from there.
 func (l *loop) kernelBooted(n *wire.KernelEvent) {
 	k := &l.kernel
--- a/internal/node/server/limits.go
+++ b/internal/node/server/limits.go
@@ -56,7 +56,7 @@
 	ReportInterval         admission.Time // time between reports to service discovery
 	MinBackoff             admission.Time // first wait before a link is dialled again, which doubles
 	MaxBackoff             admission.Time // longest such wait
-	KillMargin             admission.Time // the controller is told of a kill so much earlier, for its responses to go out
+	KillMargin             admission.Time // the controller is told of a kill so much earlier
 	DrainQuiet             admission.Time // without a request for so long, no client sends here any more
 	CrossingGrace          admission.Time // what crosses the close of a connection may come so late
 	LogInterval            admission.Time // of lines beyond a few, their number is written so often
@@ -87,8 +87,8 @@
 	ownDescriptors = 24
 	// storeDescriptors is the part of all descriptors for connections to the store.
 	storeDescriptors = 8
-	// minStoreConnections let one call go on beside another that hangs; maxStoreConnections are more than a node runs at
-	// one time, so that each call has a connection to itself.
+	// minStoreConnections let one call go on beside another that hangs; maxStoreConnections are more than a node runs
+	// at one time, so that each call has a connection to itself.
 	minStoreConnections, maxStoreConnections = 2, 64
 	// evictionReserve is the part of all connections that stays free for new ones: an eighth takes a burst of clients
 	// in while the idle ones are closed.
@@ -115,7 +115,8 @@
 	l.setFixedTimes()
 	// Clients use up to half of all descriptors, so no more than that is kept back.
 	keptBack := min(ownDescriptors+sockets/storeDescriptors, sockets/2)
-	l.Connections = max(min(sockets-keptBack, memory/connectionsMemory/(buffersPerConnection*bufferBytes)), minConnections)
+	inMemory := memory / connectionsMemory / (buffersPerConnection * bufferBytes)
+	l.Connections = max(min(sockets-keptBack, inMemory), minConnections)
 	l.EvictAbove = l.Connections - max(l.Connections/evictionReserve, 1)
 	l.StoreConnections = min(max(sockets/storeDescriptors, minStoreConnections), maxStoreConnections)
 	// A request outlives its connection while it still runs: twice the connections, within what handles can name.
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -7,14 +7,16 @@
 	"time"
 
 	"github.com/cloudwego/netpoll"
+	"github.com/sirupsen/logrus"
 
 	"umberwinch/admission"
+	"umberwinch/internal/logging"
 )
 
 // Links are the connections that the server opens itself, to kernel, store and service discovery. This owns how one is
-// dialled, which dial an event is of, and how long after a failure the next dial waits. An event belongs to the dial that
-// brought it, and a dial that was replaced is not listened to. It never looks at what goes over a link. A link is dialled
-// again for as long as the process serves.
+// dialled, which dial an event is of, and how long after a failure the next dial waits. An event belongs to the dial
+// that brought it, and a dial that was replaced is not listened to. It never looks at what goes over a link. A link is
+// dialled again for as long as the process serves.
 
 // Why a link is closed.
 var (
@@ -46,8 +48,8 @@
 	notBefore admission.Time // not before then
 }
 
-// failed doubles the wait, within MinBackoff and MaxBackoff. Half of it is left to chance, so that servers which lost the
-// same peer at the same moment don't come back to it together.
+// failed doubles the wait, within MinBackoff and MaxBackoff. Half of it is left to chance, so that servers which lost
+// the same peer at the same moment don't come back to it together.
 func (b *backoff) failed(l *loop) {
 	b.delay = min(max(2*b.delay, l.limits.MinBackoff), l.limits.MaxBackoff)
 	b.notBefore = l.now + b.delay/2 + admission.Time(rand.Int64N(int64(b.delay/2)+1))
@@ -226,7 +228,9 @@
 	if k.addr == addr {
 		return
 	}
-	l.logf("%s link: the address is another one now", k.name)
+	if log := l.limitLog(); log != nil {
+		log.WithFields(logrus.Fields{logging.Link: k.name, logging.Address: addr}).Info(logLinkMoved)
+	}
 	k.addr, k.backoff = addr, backoff{}
 	if k.dialed == nil {
 		l.dial(k)
--- a/internal/node/server/listener.go
+++ b/internal/node/server/listener.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// listener owns the listening socket and its bound on open connections. It accepts in a goroutine of its own, which alone
-// waits while every place is taken; each accepted connection holds a place until release is called for it. It ends with
-// stop, once what the system has completed is accepted. Guards against a full table that stops all reading: netpoll's
-// own server accepts on its poller, and whatever waits there keeps every other connection and the links waiting too.
+// listener owns the listening socket and its bound on open connections. It accepts in a goroutine of its own, which
+// alone waits while every place is taken; each accepted connection holds a place until release is called for it. It
+// ends with stop, once what the system has completed is accepted. Guards against a full table that stops all reading:
+// netpoll's own server accepts on its poller, and whatever waits there keeps every other connection and the links
+// waiting too.
 type listener struct {
 	file   *os.File // a non-blocking duplicate of the socket; its Fd method would make it block
 	raw    syscall.RawConn
@@ -47,8 +48,8 @@
 }
 
 // listenPatiently tries again for ListenTimeout where the system can't open the socket at the moment. Guards against a
-// restart that fails while the process before still holds the address, or no descriptor or memory is left. warn hears of
-// the first error.
+// restart that fails while the process before still holds the address, or no descriptor or memory is left. warn hears
+// of the first error.
 func listenPatiently(address string, lim Limits, warn func(error)) (*listener, error) {
 	started := time.Now()
 	for try := 0; ; try++ {
--- a/internal/node/server/loop_log.go
+++ b/internal/node/server/loop_log.go
@@ -20,7 +20,7 @@
 func (l *loop) mayLog() bool {
 	if l.now-l.logFrom >= l.limits.LogInterval {
 		if l.logged > maxLogLines {
-			l.log.Warnf("%d more lines were left out", l.logged-maxLogLines)
+			l.log.WithField(logging.Count, l.logged-maxLogLines).Warn(logLinesLeftOut)
 		}
 		l.logFrom, l.logged = l.now, 0
 	}
--- a/internal/node/server/loop_time.go
+++ b/internal/node/server/loop_time.go
@@ -42,7 +42,7 @@
 // placeStamp gives the time at which a request reached the machine, by the Unix time that it states. Where the wall
 // clock was stepped there may be two; the true one is not before earliest and not after latest.
 func (l *loop) placeStamp(unixMilliseconds int64) (earliest, latest admission.Time, ok bool) {
-	const latestStamp = int64(1<<62) / int64(time.Millisecond) // past the year 2100; beyond it the product could overflow
+	const latestStamp = int64(1<<62) / int64(time.Millisecond) // past the year 2100; the product could overflow beyond
 	if unixMilliseconds > latestStamp {
 		return 0, 0, false
 	}
--- a/internal/node/server/pools.go
+++ b/internal/node/server/pools.go
@@ -3,7 +3,10 @@
 import (
 	"fmt"
 
+	"github.com/sirupsen/logrus"
+
 	"umberwinch/internal/config"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/node/pools"
 )
 
@@ -42,12 +45,13 @@
 	return p
 }
 
-// makePools readies pools for a module that starts, if the operator wants them.
+// makePools readies pools for a controller that starts, if the operator wants them.
 func (l *loop) makePools() {
 	if p := l.startup.poolPlan(); !p.Disabled {
 		l.pools = pools.New(p)
 		l.settings.Deployment.Pools = l.pools
-		l.log.Infof("pools for %d handlers, reserve %v", len(l.startup.own.Pools), p.Reserve)
+		l.log.WithFields(logrus.Fields{logging.Count: len(l.startup.own.Pools), logging.Reserve: p.Reserve}).
+			Info(logPoolsMade)
 	}
 }
 
@@ -57,9 +61,9 @@
 	switch {
 	case l.pools != nil:
 		l.pools.Reconfigure(p)
-		l.log.Infof("operator's file taken: pools %s", map[bool]string{true: "off", false: "on"}[p.Disabled])
+		l.log.WithField(logging.Enabled, !p.Disabled).Info(logPoolsChanged)
 	case !p.Disabled:
-		l.log.Warn("operator's file: pools can't be begun while the program serves; restart it")
+		l.log.Warn(logPoolsNeedRestart)
 	}
 	l.startup.own = next.own
 }
--- a/internal/node/server/pools_test.go
+++ b/internal/node/server/pools_test.go
@@ -12,7 +12,7 @@
 // TestPoolsOnTheNode: pools show themselves and move with a new file; pools.txt has what they do to reqs.
 func TestPoolsOnTheNode(t *testing.T) {
 	n := start(t, map[string]string{"own": "[pools]\nreserve = no\n[pool act]\ncap = 0.5\nlimit = fixed\n"})
-	if !n.logged("pools for 1 handlers, reserve false") {
+	if !n.logged(`msg="pools are on" count=1 reserve=false `) {
 		t.Fatal("no pools at the start")
 	}
 	if !n.logged("pool act: limit 1 of 2, was +Inf: fixed") {
@@ -29,7 +29,7 @@
 	}
 	n.writeOwn("[log]\nform = text\n")
 	n.cmd.Process.Signal(syscall.SIGHUP)
-	if !n.logged("operator's file taken: pools off") {
+	if !n.logged(`msg="operator's file taken" enabled=false `) {
 		t.Fatal("a file without pools is not taken")
 	}
 }
--- a/internal/node/server/reload.go
+++ b/internal/node/server/reload.go
@@ -1,9 +1,14 @@
 package server
 
-import "umberwinch/internal/config"
+import (
+	"github.com/sirupsen/logrus"
 
-// reload takes the addresses and pools of a start-up file that was read anew. Where it can't be read the old one stays, and
-// what can't change while the program serves stays as it was.
+	"umberwinch/internal/config"
+	"umberwinch/internal/logging"
+)
+
+// reload takes the addresses and pools of a start-up file that was read anew. Where it can't be read the old one
+// stays, and what can't change while the program serves stays as it was.
 func (l *loop) reload(c *Node, err error) {
 	if err != nil {
 		l.log.Errorf("start-up file not taken, the old one stays: %v", err)
@@ -13,16 +18,17 @@
 	if what := l.startup.fixed(c); what != "" {
 		l.log.Warnf("start-up file: %s can't change while the program serves and stays as it was", what)
 	}
-	l.log.Infof("start-up file taken: kernel %s, store %s, control plane %s", c.Kernel, c.Store, c.Control)
+	l.log.WithFields(logrus.Fields{logging.KernelAddress: c.Kernel, logging.StoreAddress: c.Store,
+		logging.DiscoveryAddress: c.Control}).Info(logStartupFileTaken)
 	l.move(&l.kernel.link, c.Kernel)
 	l.move(&l.discovery.link, c.Control)
 	l.moveStore(c.Store)
 	if !c.own.Fleet.Same(l.startup.own.Fleet) {
-		l.log.Warn("operator's file: [fleet] can't change while the program serves and stays as it was")
+		l.log.Warn(logFleetSectionKept)
 		c.own.Fleet = l.startup.own.Fleet
 	}
 	if !config.SameKept(c.own.Kept, l.startup.own.Kept) {
-		l.log.Warn("operator's file: [kept] can't change while the program serves and stays as it was")
+		l.log.Warn(logResultSectionKept)
 		c.own.Kept = l.startup.own.Kept
 	}
 	l.movePools(c)
--- a/internal/node/server/run.go
+++ b/internal/node/server/run.go
@@ -11,6 +11,7 @@
 
 	"umberwinch/admission"
 	"umberwinch/internal/clock"
+	"umberwinch/internal/logging"
 )
 
 const (
@@ -35,14 +36,18 @@
 	if err := configureNetpoll(limits, log, workers); err != nil {
 		return err
 	}
-	log.Infof("%s on %s: %g cores, %d MB, %d descriptors, %d connections, %d to the store", c.Name, c.Listen,
-		c.Limits.Cores, limits.MemoryMB, c.Limits.Sockets, limits.Connections, limits.StoreConnections)
+	log.WithFields(logrus.Fields{logging.Node: c.Name, logging.Address: c.Listen, logging.Cores: c.Limits.Cores,
+		logging.MemoryMB: limits.MemoryMB, logging.Descriptors: c.Limits.Sockets,
+		logging.MaxConnections: limits.Connections, logging.MaxStoreConnections: limits.StoreConnections}).
+		Info(logNodeStarts)
 	l := newLoop(c, limits, log)
 	l.workers = workers
 	if err := l.joinFleet(); err != nil {
 		return err
 	}
-	warn := func(err error) { log.Warnf("listen on %s: %v; tried again", c.Listen, err) }
+	warn := func(err error) {
+		log.WithFields(logrus.Fields{logging.Address: c.Listen, logging.Error: err}).Warn(logListenFailed)
+	}
 	ln, err := listenPatiently(c.Listen, limits, warn)
 	if err != nil {
 		return fmt.Errorf("listen on %s: %w", c.Listen, err)
--- a/internal/node/server/signals.go
+++ b/internal/node/server/signals.go
@@ -5,8 +5,8 @@
 	"os/signal"
 )
 
-// Signals are what the operator tells the program while it serves, each by a channel of its own, so that no number of one
-// kind takes the place of another. Read reads the start-up file anew.
+// Signals are what the operator tells the program while it serves, each by a channel of its own, so that no number of
+// one kind takes the place of another. Read reads the start-up file anew.
 type Signals struct {
 	Drain, Count, Reload <-chan os.Signal
 	Read                 func() (*Node, error)
@@ -24,8 +24,8 @@
 	return Signals{Drain: subscribe(drain), Count: subscribe(count), Reload: subscribe(reload)}
 }
 
-// forward hands the signals over, each kind in a goroutine that ends with the process: a start-up file that is slow to read
-// holds up no other signal.
+// forward hands the signals over, each kind in a goroutine that ends with the process: a start-up file that is slow to
+// read holds up no other signal.
 func (l *loop) forward(signals Signals) {
 	events := func(c <-chan os.Signal, newEvent func() event) {
 		for range c {
--- a/internal/node/server/startup_file.go
+++ b/internal/node/server/startup_file.go
@@ -13,8 +13,8 @@
 	"umberwinch/internal/node/settings"
 )
 
-// Node is the start-up file: what the program is told at its start, and anew while it serves. A file is checked whole before
-// anything of it counts.
+// Node is the start-up file: what the program is told at its start, and anew while it serves. A file is checked whole
+// before anything of it counts.
 type Node struct {
 	Name    string  `json:"name"`
 	Listen  string  `json:"listen"`
--- a/internal/node/server/store_connections.go
+++ b/internal/node/server/store_connections.go
@@ -8,20 +8,20 @@
 )
 
 // storeConnections are the connections to the store, over which runs make their calls. It owns a bounded set of them,
-// which of them each call is out on, and how each call ended: not executed, unknown, failed, or succeeded. It never says
-// that a call was not executed unless that is proven, never takes a reply for another call than the one it was made for,
-// and never makes a call by itself: each is the controller's decision. A connection ends once it was idle for
-// StoreIdleTimeout, or with its last call once it is retired.
+// which of them each call is out on, and how each call ended: not executed, unknown, failed, or succeeded. It never
+// says that a call was not executed unless that is proven, never takes a reply for another call than the one it was
+// made for, and never makes a call by itself: each is the controller's decision. A connection ends once it was idle
+// for StoreIdleTimeout, or with its last call once it is retired.
 //
 // Guards of one call against another's reply:
-//   - A connection carries one call at a time while the bound on connections allows, as whatever spoils one reply spoils
-//     all that are out on its connection.
-//   - No request calls twice over one connection, so that a second copy of a reply can't pass for the reply to its next
-//     call.
-//   - A connection is retired once it brought a reply that nobody waits for, a call on it was given up or got no reply in
-//     its time, or the store has moved.
-//   - A reset at a call after an idle time proves nothing: it looks the same where the call ran and its reply was lost.
-//     So idle connections are closed early instead.
+//   - A connection carries one call at a time while the bound on connections allows, as whatever spoils one reply
+//     spoils all that are out on its connection.
+//   - No request calls twice over one connection, so that a second copy of a reply can't pass for the reply to its
+//     next call.
+//   - A connection is retired once it brought a reply that nobody waits for, a call on it was given up or got no reply
+//     in its time, or the store has moved.
+//   - A reset at a call after an idle time proves nothing: it looks the same where the call ran and its reply was
+//     lost. So idle connections are closed early instead.
 type storeConnections struct {
 	backoff
 	addr        string
@@ -166,7 +166,8 @@
 	r.storeConn = 0
 }
 
-// cancelCall gives up a call that nobody waits for any more. Its connection may still bring the reply, so it is retired.
+// cancelCall gives up a call that nobody waits for any more. Its connection may still bring the reply, so it is
+// retired.
 func (l *loop) cancelCall(h handle, r *request) {
 	if w := l.store.connections.get(r.storeConn); w != nil && r.call == callSent {
 		l.scratch = wire.AppendCallCancel(l.scratch[:0], r.id)
--- a/internal/node/server/timers.go
+++ b/internal/node/server/timers.go
@@ -28,8 +28,8 @@
 	subject handle
 }
 
-// timers is a binary heap of all that is to happen at a time, the earliest first. It knows times only; the loop deals with
-// what is due. A timer can't be taken back: what it names is looked at when it fires, and may have changed.
+// timers is a binary heap of all that is to happen at a time, the earliest first. It knows times only; the loop deals
+// with what is due. A timer can't be taken back: what it names is looked at when it fires, and may have changed.
 type timers struct {
 	heap      []timer
 	lastOrder uint64
--- a/internal/node/server/trouble_test.go
+++ b/internal/node/server/trouble_test.go
@@ -98,7 +98,8 @@
 	wg.Wait()
 }
 
-// ask sends a request and waits for its end. One that crosses the end of its connection is sent again, once, as a new try.
+// ask sends a request and waits for its end. One that crosses the end of its connection is sent again, once, as a new
+// try.
 func (c *troubleClient) ask() {
 	class, key := "get", ""
 	switch c.rand.IntN(3) {
--- a/internal/node/server/workers.go
+++ b/internal/node/server/workers.go
@@ -1,7 +1,7 @@
 package server
 
-// workers are goroutines that wait for work, so that a piece of it need not start one and grow its stack. What comes while
-// all are at work gets one of its own, so nothing waits for another. They end with the process.
+// workers are goroutines that wait for work, so that a piece of it need not start one and grow its stack. What comes
+// while all are at work gets one of its own, so nothing waits for another. They end with the process.
 type workers chan func()
 
 // newWorkers starts n of them.
