--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -9,6 +9,8 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
+	"strconv"
 	"strings"
 	"testing"
 )
@@ -329,3 +331,136 @@
 	}
 	return false
 }
+
+var (
+	// quotedMessage is a code span behind the word log: the message of a log line.
+	quotedMessage = regexp.MustCompile("\\blog `([^`]+)`")
+	// placeholder is what stands for a value in a quoted message: "..." or a word in capitals.
+	placeholder = regexp.MustCompile(`\.\.\.|\b[A-Z]+\b`)
+	// formatVerb is what stands for a value in a format of the code.
+	formatVerb = regexp.MustCompile(`%[-+ #0]*[\d.]*[a-z]`)
+)
+
+// minConstantPart of a quoted message, in bytes: one with less would be found in any literal.
+const minConstantPart = 5
+
+// quotesSource tells whether a folder's string literals repeat messages of other packages, as fault tests do.
+func quotesSource(folder string) bool {
+	switch filepath.Base(folder) {
+	case "harness", "simulation", "testdata":
+		return true
+	}
+	return false
+}
+
+// stringLiterals gives the string literals of the programs, without their tests; literals joined by + are one.
+func stringLiterals(t *testing.T) []string {
+	t.Helper()
+	var out []string
+	set := token.NewFileSet()
+	for _, folder := range []string{"admission", "cmd", "internal"} {
+		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, entry fs.DirEntry, err error) error {
+			switch {
+			case err != nil:
+				return err
+			case entry.IsDir() && quotesSource(path):
+				return filepath.SkipDir
+			case !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
+				return nil
+			}
+			file, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution)
+			if err != nil {
+				return err
+			}
+			ast.Inspect(file, func(n ast.Node) bool {
+				e, ok := n.(ast.Expr)
+				if !ok {
+					return true
+				}
+				text, known := literalText(e)
+				if known {
+					out = append(out, text)
+				}
+				return !known
+			})
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return out
+}
+
+// literalText gives the text of a string literal, or of several joined by +.
+func literalText(e ast.Expr) (text string, known bool) {
+	switch e := e.(type) {
+	case *ast.BasicLit:
+		text, err := strconv.Unquote(e.Value)
+		return text, e.Kind == token.STRING && err == nil
+	case *ast.BinaryExpr:
+		left, knownLeft := literalText(e.X)
+		right, knownRight := literalText(e.Y)
+		return left + right, e.Op == token.ADD && knownLeft && knownRight
+	}
+	return "", false
+}
+
+// isMessage tells whether a literal gives a quoted message: it has the same constant parts, in the same order, and nothing
+// else but values. A message that is quoted with "..." at its end may go on.
+func isMessage(literal, quoted string) bool {
+	parts := placeholder.Split(quoted, -1)
+	if len(strings.Join(parts, "")) < minConstantPart {
+		return false
+	}
+	for i := range parts {
+		parts[i] = regexp.QuoteMeta(parts[i])
+	}
+	pattern := regexp.MustCompile("^" + strings.Join(parts, ".*") + "$")
+	return pattern.MatchString(formatVerb.ReplaceAllString(literal, "?"))
+}
+
+// A log line that a page quotes, as a code span behind the word log, is written by the programs: its message stands in a
+// string literal, with "..." or a word in capitals for what is a value.
+func TestQuotedLogMessagesExist(t *testing.T) {
+	literals := stringLiterals(t)
+	found := map[string]int{}
+	for _, page := range pages(t) {
+		if strings.Contains(page, "CHANGELOG") || strings.Contains(page, "incidents") || strings.HasSuffix(page, "standing.md") {
+			continue
+		}
+		for _, m := range quotedMessage.FindAllStringSubmatch(read(t, page), -1) {
+			found[filepath.Base(page)]++
+			if !slices.ContainsFunc(literals, func(literal string) bool { return isMessage(literal, m[1]) }) {
+				t.Errorf("%s quotes the log message %q, which no program writes", page, m[1])
+			}
+		}
+	}
+	for _, page := range []string{"oncall.md", "decisions.md"} {
+		if found[page] == 0 {
+			t.Errorf("found no log message in %s", page)
+		}
+	}
+}
+
+func TestIsMessage(t *testing.T) {
+	tests := []struct {
+		literal, quoted string
+		want            bool
+	}{
+		{"node serves", "node serves", true},
+		{"node serves", "node serve", false},
+		{"node serves autonomously", "node serves", false},
+		{"node serves autonomously", "node serves ...", true},
+		{"drain: %d in hand", "drain: N in hand", true},
+		{"drain: %d in hand", "drain: N taken", false},
+		{"%s link: %v", "LINK link: ...", true},
+		{"kernel link", "LINK link: ...", false},
+		{"any", "...", false},
+	}
+	for _, test := range tests {
+		if got := isMessage(test.literal, test.quoted); got != test.want {
+			t.Errorf("%q as %q: found %v, expected %v", test.literal, test.quoted, got, test.want)
+		}
+	}
+}
