--- a/internal/control/consensus/group_test.go
+++ b/internal/control/consensus/group_test.go
@@ -160,7 +160,10 @@
 	if code, _ := all[0].ask(http.MethodPost, "/v1/members", Change{Op: "add", Member: learner}, nil); code != 200 {
 		t.Fatalf("add: %d", code)
 	}
-	fresh.await("it is a learner that has the state", func(v *View) bool { return v.Role == "learner" && v.Applied > 1 })
+	fresh.await("it is a learner that has the state", func(v *View) bool {
+		return v.Role == "learner" &&
+			v.Applied > 1
+	})
 	gone := all[2].group.View().ID
 	var out []Member
 	if code, _ := all[0].ask(http.MethodPost, "/v1/members", Change{Op: "replace", Member: learner, ReplacedID: gone},
@@ -330,7 +333,8 @@
 	}
 	closed(c, "another cluster")
 	c = dial()
-	writeJSON(c, frameHello, Hello{Identity: Identity{Cluster: own.Cluster, ID: 9, Starts: 1}, To: own.ID, Level: LatestLevel})
+	writeJSON(c, frameHello, Hello{Identity: Identity{Cluster: own.Cluster, ID: 9, Starts: 1}, To: own.ID,
+		Level: LatestLevel})
 	if kind, _, err := readFrame(c, 1000); err != nil || kind != frameAccepted {
 		t.Fatalf("kind %d %v, expected a welcome", kind, err)
 	}
@@ -354,8 +358,9 @@
 			t.Fatal(err)
 		}
 		c.SetDeadline(time.Now().Add(10 * time.Second))
-		writeJSON(c, frameHello, Hello{Identity: Identity{Cluster: own.Cluster, ID: 9, Starts: 1}, To: own.ID, Level: LatestLevel,
-			Bulk: true})
+		writeJSON(c, frameHello, Hello{Identity: Identity{Cluster: own.Cluster, ID: 9, Starts: 1}, To: own.ID,
+			Level: LatestLevel,
+			Bulk:  true})
 		readFrame(c, 1000)
 		m, _ := proto.Marshal(&pb.Message{Type: pb.MessageType_MsgSnap.Enum(), From: proto.Uint64(9),
 			To: proto.Uint64(own.ID), Term: proto.Uint64(own.Term + 9),
--- a/internal/control/consensus/pin_golden_test.go
+++ b/internal/control/consensus/pin_golden_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// The fixtures under testdata/pin are what version 2a0a97e stored, sent and answered. They are written with -write-pins at
-// that version alone; a later version has to read and write the same bytes.
+// The fixtures under testdata/pin are what version 2a0a97e stored, sent and answered. They are written with
+// -write-pins at that version alone; a later version has to read and write the same bytes.
 var writePins = flag.Bool("write-pins", false, "write the fixtures of pinned forms anew")
 
 // pinned holds bytes to a fixture.
@@ -44,7 +44,8 @@
 		at++
 	}
 	cut := func(b []byte) []byte { return b[max(0, min(at-40, len(b))):min(len(b), at+80)] }
-	return fmt.Sprintf("found %d bytes, expected %d; they differ at byte %d: found %q, expected %q", len(got), len(want), at,
+	return fmt.Sprintf("found %d bytes, expected %d; they differ at byte %d: found %q, expected %q", len(got),
+		len(want), at,
 		cut(got), cut(want))
 }
 
--- a/internal/control/consensus/pin_sent_test.go
+++ b/internal/control/consensus/pin_sent_test.go
@@ -55,7 +55,8 @@
 			t.Fatal(err)
 		}
 	}
-	m := &pb.Message{Type: pb.MessageType_MsgApp.Enum(), From: proto.Uint64(1), To: proto.Uint64(2), Term: proto.Uint64(3),
+	m := &pb.Message{Type: pb.MessageType_MsgApp.Enum(), From: proto.Uint64(1), To: proto.Uint64(2),
+		Term:    proto.Uint64(3),
 		LogTerm: proto.Uint64(4), Index: proto.Uint64(5), Commit: proto.Uint64(6), Reject: proto.Bool(true),
 		Entries: []*pb.Entry{{Type: pb.EntryType_EntryNormal.Enum(), Term: proto.Uint64(7), Index: proto.Uint64(8),
 			Data: []byte("data")}}}
@@ -66,7 +67,8 @@
 	for _, f := range []struct {
 		kind byte
 		data []byte
-	}{{frameMessage, raw}, {frameSnapshot, []byte(`{"message":"AQ==","bytes":5,"sum":6}`)}, {frameChunk, []byte("chunk")}, {frameDone, nil}} {
+	}{{frameMessage, raw}, {frameSnapshot, []byte(`{"message":"AQ==","bytes":5,"sum":6}`)}, {frameChunk,
+		[]byte("chunk")}, {frameDone, nil}} {
 		if err := writeFrame(&wire, f.kind, f.data); err != nil {
 			t.Fatal(err)
 		}
@@ -87,8 +89,10 @@
 	for what, raw := range map[string][]byte{"a": stored[:3], "b": stored[:20], "c": {0, 0, 0, 0, 0, 0, 0, 0},
 		"d": {255, 255, 0, 0, 0, 0, 0, 0}, "e": {2, 0, 0, 0, 1, 2, 3, 4, 1, 1}} {
 		_, _, err := readFrame(bytes.NewReader(raw), 1000)
-		want := map[string]string{"a": "unexpected EOF", "b": "unexpected EOF", "c": "a frame of 0 bytes, expected 1 to 1000",
-			"d": "a frame of 65535 bytes, expected 1 to 1000", "e": "a frame whose sum is 10a86ca6, expected 04030201"}[what]
+		want := map[string]string{"a": "unexpected EOF", "b": "unexpected EOF",
+			"c": "a frame of 0 bytes, expected 1 to 1000",
+			"d": "a frame of 65535 bytes, expected 1 to 1000",
+			"e": "a frame whose sum is 10a86ca6, expected 04030201"}[what]
 		if err == nil || err.Error() != want {
 			t.Errorf("%s: %v, expected %s", what, err, want)
 		}
@@ -96,10 +100,13 @@
 	pinned(t, "sent/frames.txt", []byte(all.String()))
 }
 
-var pinVaries = []*regexp.Regexp{regexp.MustCompile(`127\.[0-9]+\.[0-9]+\.[0-9]+`), regexp.MustCompile(`"cluster":"([0-9a-f]{32})"`),
-	regexp.MustCompile(`"(?:id|leader|vote)":([0-9]{6,})`), regexp.MustCompile(`"(?:at_ms|away_ms|clock_ms|age_ms)":([0-9]+)`),
+var pinVaries = []*regexp.Regexp{regexp.MustCompile(`127\.[0-9]+\.[0-9]+\.[0-9]+`),
+	regexp.MustCompile(`"cluster":"([0-9a-f]{32})"`),
+	regexp.MustCompile(`"(?:id|leader|vote)":([0-9]{6,})`),
+	regexp.MustCompile(`"(?:at_ms|away_ms|clock_ms|age_ms)":([0-9]+)`),
 	regexp.MustCompile(`"(?:term|log_last|commit|applied|disk_bytes|syncs|index|match|elections|alone_ticks|sum|until|since|seen)":\[?([0-9]+)`),
-	regexp.MustCompile(`instance ([0-9a-f]{6,16})`), regexp.MustCompile(`"wait_ms":([0-9]+)`), regexp.MustCompile(`"starts":\[([0-9]+)`)}
+	regexp.MustCompile(`instance ([0-9a-f]{6,16})`), regexp.MustCompile(`"wait_ms":([0-9]+)`),
+	regexp.MustCompile(`"starts":\[([0-9]+)`)}
 
 // steady puts X in place of what differs from run to run.
 func steady(raw []byte) []byte {
@@ -114,8 +121,8 @@
 	return raw
 }
 
-// TestPinClientAPI: an instance that leads a group of one answers each request of a client as version 2a0a97e did: status,
-// headers and body. Numbers that differ from run to run are X.
+// TestPinClientAPI: an instance that leads a group of one answers each request of a client as version 2a0a97e did:
+// status, headers and body. Numbers that differ from run to run are X.
 func TestPinClientAPI(t *testing.T) {
 	t.Parallel()
 	a := boot(t, "a", "new", func(c *config.Control) { c.Token = "a token of some length" })
@@ -143,11 +150,14 @@
 		all.add("%s %s %.300s\n%d, type %q, Retry-After %q, version %q, term and away %v, out of touch %q, by length %v\n%s", method, path,
 			strings.ReplaceAll(body, fmt.Sprint(id), "ID"), res.StatusCode, res.Header.Get("Content-Type"),
 			res.Header.Get("Retry-After"), res.Header.Get(HeaderVersion),
-			res.Header.Get(HeaderTerm) != "" && res.Header.Get(HeaderSinceLeader) != "", res.Header.Get(HeaderOutOfContact), res.ContentLength >= 0,
+			res.Header.Get(HeaderTerm) != "" && res.Header.Get(HeaderSinceLeader) != "",
+			res.Header.Get(HeaderOutOfContact), res.ContentLength >= 0,
 			goTypes.ReplaceAll(steady(raw), []byte("Go value")))
 	}
-	for _, path := range []string{"self", "status", "config", "config?read=stale", "config?read=quick", "config?version=x", "config?version=7",
-		"history", "history?limit=0", "history?limit=1001&from=x", "watch?from=0", "watch?from=x", "nodes", "policy", "zones", "none"} {
+	for _, path := range []string{"self", "status", "config", "config?read=stale", "config?read=quick",
+		"config?version=x", "config?version=7",
+		"history", "history?limit=0", "history?limit=1001&from=x", "watch?from=0", "watch?from=x", "nodes", "policy",
+		"zones", "none"} {
 		ask("GET", "/v1/"+path, "")
 	}
 	ask("PUT", "/v1/config?tokenless", "{}")
@@ -155,7 +165,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, body := range []string{"x", `{"sesion":"x"}`, `{"seq":1,"author":"x"}`, `{"session":"s","author":"x"}`, `{"session":"s","seq":1}`,
+	for _, body := range []string{"x", `{"sesion":"x"}`, `{"seq":1,"author":"x"}`, `{"session":"s","author":"x"}`,
+		`{"session":"s","seq":1}`,
 		`{"session":"s","seq":1,"author":"x","text":"[x]\ny = 1\n"}`,
 		`{"session":"t","seq":1,"author":"x","reason":"why","text":` + string(text) + `}`,
 		`{"session":"t","seq":1,"author":"x","reason":"why","text":` + string(text) + `}`,
@@ -170,15 +181,19 @@
 	for _, path := range []string{"config", "config?version=1&read=stale", "history", "history?from=1&limit=1"} {
 		ask("GET", "/v1/"+path, "")
 	}
-	for _, body := range []string{"x", `{"op":"fly"}`, `{"op":"add","member":{"id":0}}`, `{"op":"add","member":{"id":5,"name":"a"}}`,
+	for _, body := range []string{"x", `{"op":"fly"}`, `{"op":"add","member":{"id":0}}`,
+		`{"op":"add","member":{"id":5,"name":"a"}}`,
 		`{"op":"add","member":{"id":77,"name":"b","peer":"127.0.0.1:1","listen":"127.0.0.1:2"}}`,
-		fmt.Sprintf(`{"op":"remove","member":{"id":%d}}`, id), `{"op":"remove","member":{"id":5}}`, `{"op":"promote","member":{"id":5}}`,
-		`{"op":"replace","member":{"id":5},"gone":6}`, `{"op":"transfer","member":{"id":5}}`, `{"op":"remove","member":{"id":77}}`,
+		fmt.Sprintf(`{"op":"remove","member":{"id":%d}}`, id), `{"op":"remove","member":{"id":5}}`,
+		`{"op":"promote","member":{"id":5}}`,
+		`{"op":"replace","member":{"id":5},"gone":6}`, `{"op":"transfer","member":{"id":5}}`,
+		`{"op":"remove","member":{"id":77}}`,
 		`{"op":"add","member":{"id":77,"name":"b","peer":"127.0.0.1:1","listen":"127.0.0.1:2"}}`} {
 		ask("POST", "/v1/members", body)
 	}
 	ask("POST", "/v1/members?tokenless", "{}")
-	for _, body := range []string{"x", `{"unknown":1}`, `{"name":"n1"}`, `{"name":"n1","zone":"z1","addr":"127.0.0.1:9","nonce":"n1-12345678"}`,
+	for _, body := range []string{"x", `{"unknown":1}`, `{"name":"n1"}`,
+		`{"name":"n1","zone":"z1","addr":"127.0.0.1:9","nonce":"n1-12345678"}`,
 		`{"name":"n1","zone":"z1","addr":"127.0.0.1:9","nonce":"n1-12345678","lease":9,"renew":true}`} {
 		ask("POST", "/v1/nodes", body)
 	}
@@ -190,7 +205,8 @@
 		ask("POST", "/v1/policy", body)
 	}
 	ask("POST", "/v1/policy?tokenless", "{}")
-	for _, body := range []string{"x", `{"op":"fly"}`, `{"op":"leave"}`, `{"op":"leave","zone":"z1","by":"op","key":"12345678","why":"w"}`,
+	for _, body := range []string{"x", `{"op":"fly"}`, `{"op":"leave"}`,
+		`{"op":"leave","zone":"z1","by":"op","key":"12345678","why":"w"}`,
 		`{"op":"hold","by":"op","key":"12345679","wait_ms":1000}`} {
 		ask("POST", "/v1/zones", body)
 	}
@@ -221,5 +237,6 @@
 		}
 		got = append(got, buf...)
 	}
-	pinned(t, "sent/watch.txt", fmt.Appendf(nil, "%d %s\n%s", res.StatusCode, res.Header.Get("Content-Type"), steady(got)))
+	pinned(t, "sent/watch.txt", fmt.Appendf(nil, "%d %s\n%s", res.StatusCode, res.Header.Get("Content-Type"),
+		steady(got)))
 }
--- a/internal/control/consensus/pin_stored_test.go
+++ b/internal/control/consensus/pin_stored_test.go
@@ -24,8 +24,9 @@
 
 func pinPlan() Config {
 	drawn := uint64(0)
-	return Config{Name: "a", Peer: "10.1.1.1:7101", Listen: "10.1.1.1:7201", FoundGroup: true, ElectionTicks: 5, SnapshotBytes: 1 << 30,
-		Sizes: wal.Sizes{SegmentBytes: 1500, MaxBytes: 64 << 20}, Logger: raftLog{quietLogger()},
+	return Config{Name: "a", Peer: "10.1.1.1:7101", Listen: "10.1.1.1:7201", FoundGroup: true, ElectionTicks: 5,
+		SnapshotBytes: 1 << 30,
+		Sizes:         wal.Sizes{SegmentBytes: 1500, MaxBytes: 64 << 20}, Logger: raftLog{quietLogger()},
 		Random: func() uint64 { drawn += 0x1111; return drawn }}
 }
 
@@ -72,7 +73,8 @@
 
 func (s *scripted) put(session string, seq, base uint64, text string) {
 	s.t.Helper()
-	if err := s.rep.Propose(&Put{Session: session, Seq: seq, Base: base, Author: "an author", Reason: "a reason", At: 1700000000123,
+	if err := s.rep.Propose(&Put{Session: session, Seq: seq, Base: base, Author: "an author", Reason: "a reason",
+		At:   1700000000123,
 		Text: text}); err != nil {
 		s.t.Fatal(err)
 	}
@@ -122,9 +124,11 @@
 	s.put("client", 3, 2, pinZonesText)
 	s.put("client", 4, 3, "[class view]\nkind = replayable\n")
 	s.put("third", 1, 1, pinZonesText)
-	s.entry("policy", `{"op":"propose","propose":{"version":3,"within_ms":9000,"author":"op","reason":"zones","key":"key-00002"}}`)
+	s.entry("policy",
+		`{"op":"propose","propose":{"version":3,"within_ms":9000,"author":"op","reason":"zones","key":"key-00002"}}`)
 	s.entry("policy", `{"op":"off","number":2,"why":"not now","by":"op"}`)
-	s.entry("policy", `{"op":"propose","propose":{"version":3,"within_ms":9000,"author":"op","reason":"zones","key":"key-00005"}}`)
+	s.entry("policy",
+		`{"op":"propose","propose":{"version":3,"within_ms":9000,"author":"op","reason":"zones","key":"key-00005"}}`)
 	s.entry("policy", `{"op":"decide","number":3,"epoch":2}`)
 	s.entry("policy", `{"op":"force","number":3}`)
 	s.entry("beat", `{"term":2,"no":5,"after":4,"ms":9000,"floor":3,"renew":[1,2]}`)
@@ -134,13 +138,15 @@
 		`"drill_ms":60000,"key":"key-00003"}`)
 	s.entry("beat", `{"term":2,"no":6,"after":5,"ms":3000,"floor":3,"zones":1,"renew":[1,2]}`)
 	s.entry("zones", `{"op":"settle","epoch":1}`)
-	if err := s.rep.Change(Change{Op: "add", Member: Member{ID: 77, Name: "b", Peer: "10.1.1.2:7101", Listen: "10.1.1.2:7201",
+	if err := s.rep.Change(Change{Op: "add", Member: Member{ID: 77, Name: "b", Peer: "10.1.1.2:7101",
+		Listen:  "10.1.1.2:7201",
 		Promote: true}}); err != nil {
 		s.t.Fatal(err)
 	}
 	s.work()
 	s.snapshot()
-	s.entry("zones", `{"op":"step","zone":"z1","epoch":1,"share":64,"ceiling":50.5,"dials":3.5,"why":"it returns","key":"key-00004"}`)
+	s.entry("zones",
+		`{"op":"step","zone":"z1","epoch":1,"share":64,"ceiling":50.5,"dials":3.5,"why":"it returns","key":"key-00004"}`)
 	if err := s.rep.Change(Change{Op: "remove", Member: Member{ID: 77}}); err != nil {
 		s.t.Fatal(err)
 	}
@@ -306,7 +312,8 @@
 		return "work: " + err.Error()
 	}
 	st := r.Status()
-	return fmt.Sprintf("%d bytes cut off %q, stale %v, applied %d, level %d, version %d", r.LogRepair.TornBytes, r.LogRepair.TornAt,
+	return fmt.Sprintf("%d bytes cut off %q, stale %v, applied %d, level %d, version %d", r.LogRepair.TornBytes,
+		r.LogRepair.TornAt,
 		r.LogRepair.RemovedFiles, st.Applied, st.Level, st.Version)
 }
 
@@ -352,6 +359,7 @@
 		m.supportedLevel = LevelVersions
 		all.add("at level 1, entry %s: %v", entry, r.apply(&pb.Entry{Type: &kind, Data: []byte(entry)}, &out))
 	}
-	text := bytes.ReplaceAll([]byte(all.String()), []byte("\u00a0"), []byte(" ")) // protobuf draws one of two for each build
+	text := bytes.ReplaceAll([]byte(all.String()), []byte("\u00a0"),
+		[]byte(" ")) // protobuf draws one of two for each build
 	pinned(t, "group/wrong-states.txt", goTypes.ReplaceAll(text, []byte("Go value")))
 }
--- a/internal/control/consensus/restored_group_test.go
+++ b/internal/control/consensus/restored_group_test.go
@@ -67,11 +67,13 @@
 		return res.StatusCode
 	}
 	ask := func(name string) (told api.HeartbeatResponse, code int) {
-		code = post("/v1/nodes", api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: name, Zone: "z", Nonce: name + "-00000000"}}, &told)
+		code = post("/v1/nodes", api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: name, Zone: "z",
+			Nonce: name + "-00000000"}}, &told)
 		return told, code
 	}
 	text := canonical(t, oneText)
-	k := api.NodeRecord{Name: "a", Zone: "z", Group: "g", Generation: 1, ActiveVersion: 3, MinVersion: 3, ActiveText: text, ActiveHash: document.Hash([]byte(text))}
+	k := api.NodeRecord{Name: "a", Zone: "z", Group: "g", Generation: 1, ActiveVersion: 3, MinVersion: 3,
+		ActiveText: text, ActiveHash: document.Hash([]byte(text))}
 	if told, code := ask("a"); code != 200 || !told.CollectRecord {
 		t.Fatalf("%d, %+v: a node is not asked for what it holds", code, told)
 	}
@@ -105,7 +107,8 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if len(all) != 3 || all["a"].ActiveText != text || all["b"].ActiveText != "" || all["c"].ActiveText != text || len(g.texts) != 1 || len(wrong) != 1 {
+	if len(all) != 3 || all["a"].ActiveText != text || all["b"].ActiveText != "" || all["c"].ActiveText != text ||
+		len(g.texts) != 1 || len(wrong) != 1 {
 		t.Errorf("%d kept, %d texts, wrong %v", len(all), len(g.texts), wrong)
 	}
 }
@@ -114,9 +117,11 @@
 func TestRecover(t *testing.T) {
 	text := canonical(t, oneText)
 	hash := document.Hash([]byte(text))
-	plan := Config{Name: "a", Peer: "p", Listen: "l", ElectionTicks: 10, SnapshotBytes: 1 << 20, Sizes: wal.Sizes{SegmentBytes: 1 << 20, MaxBytes: 64 << 20},
+	plan := Config{Name: "a", Peer: "p", Listen: "l", ElectionTicks: 10, SnapshotBytes: 1 << 20,
+		Sizes:  wal.Sizes{SegmentBytes: 1 << 20, MaxBytes: 64 << 20},
 		Random: randomID}
-	kept := []api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 3, ActiveVersion: 7, MinVersion: 7, ActiveText: text, ActiveHash: hash, ZoneEpoch: 5, ZoneShare: 256,
+	kept := []api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 3, ActiveVersion: 7, MinVersion: 7,
+		ActiveText: text, ActiveHash: hash, ZoneEpoch: 5, ZoneShare: 256,
 		LeaseMS: 4000}}
 	fs := wal.NewMemFS()
 	v, err := Recover(fs, plan, nil, recovery.PlanRestore(kept, nil, ""))
@@ -131,14 +136,17 @@
 		t.Fatal(err)
 	}
 	b := old.Evidence()
-	if b.Generation != 4 || len(b.Predecessors) != 1 || b.Predecessors[0] != "g" || b.DecidedVersion != 7 || b.CommittedVersion != 7 || b.ZoneEpoch != 6 || b.UncommittedEntries != 0 {
+	if b.Generation != 4 || len(b.Predecessors) != 1 || b.Predecessors[0] != "g" || b.DecidedVersion != 7 ||
+		b.CommittedVersion != 7 || b.ZoneEpoch != 6 || b.UncommittedEntries != 0 {
 		t.Errorf("%+v: expected generation 4 of g, at version 7", b)
 	}
-	if old.machine.level != LatestLevel || old.machine.fleet.Fleet.UnknownLeasesExpireMS < 4000 || old.machine.fleet.Fleet.Lookup("n1") == nil {
+	if old.machine.level != LatestLevel || old.machine.fleet.Fleet.UnknownLeasesExpireMS < 4000 ||
+		old.machine.fleet.Fleet.Lookup("n1") == nil {
 		t.Errorf("level %d, hush %d", old.machine.level, old.machine.fleet.Fleet.UnknownLeasesExpireMS)
 	}
 	// Nobody holds the text of what was decided: nothing is in force, and the next put is newer than that.
-	none := recovery.PlanRestore([]api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}}, nil, "")
+	none := recovery.PlanRestore([]api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}},
+		nil, "")
 	fs = wal.NewMemFS()
 	if _, err = Recover(fs, plan, nil, none); err != nil {
 		t.Fatal(err)
--- a/internal/control/document/pin_test.go
+++ b/internal/control/document/pin_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// The fixtures under testdata/pin are what version 2a0a97e made of these texts; they are written with -write-pins at that
-// version alone.
+// The fixtures under testdata/pin are what version 2a0a97e made of these texts; they are written with -write-pins at
+// that version alone.
 var writePins = flag.Bool("write-pins", false, "write the fixtures of pinned forms anew")
 
 func pinned(t *testing.T, name string, got []byte) {
@@ -94,8 +94,8 @@
 small_start = yes
 `
 
-// TestPinDocument: a document with every key has the canonical form and hash of version 2a0a97e under each numbering of the
-// rules, and so has one that leaves all to the defaults.
+// TestPinDocument: a document with every key has the canonical form and hash of version 2a0a97e under each numbering
+// of the rules, and so has one that leaves all to the defaults.
 func TestPinDocument(t *testing.T) {
 	for name, text := range map[string]string{"every-key": everyKey,
 		"defaults": "[class a]\nkind = replayable\n[tenant b]\n[pool c]\n[level 1]\nenter = 2\nleave = 1\n[rollout]\n[fleet]\n[zones]\n",
@@ -116,16 +116,25 @@
 // TestPinFindings: what is wrong with a text, in it or after the one before, is told in the words of version 2a0a97e.
 func TestPinFindings(t *testing.T) {
 	var out strings.Builder
-	for _, c := range [][2]string{{"kind = uniqued", "kind = x"}, {"kind = uniqued", ""}, {"window = 20s", ""}, {"window = 20s", "window = 25h"},
-		{"value = 40", "value = -1"}, {"value = 40", "value = NaN"}, {"response_target = 400ms", "response_target = 10s"},
-		{"pool = heavy", "pool = none"}, {"retired = no", "retired = maybe"}, {"share = 0.25", "share = 2"}, {"rate = 1e3", "rates = 1"},
-		{"cap = 0.5", "cap = 0.1"}, {"cap = 0.5", "cap = 0"}, {"[pool light]", "[pool light]\nreserve = yes\nfloor = 0.9"},
-		{"[tenant city]", "[tenant town]\nshare = 0.9\n[tenant city]"}, {"[tenant city]", "[tenant a b]\n[tenant city]"},
-		{"leave = 0.9", "leave = 1"}, {"enter = 1.2", "enter = 0.95"}, {"[level 2]", "[level 3]"}, {"[level 2]", "[level 02]"},
-		{"sheds = view, old", "sheds = submit"}, {"sheds = view, old", "sheds = old"}, {"sheds = view, old", "sheds = none"},
-		{"sheds = view, old", "sheds = view, view"}, {"stages = 5, 100", "stages = 5, 50"}, {"stages = 5, 100", "stages = 5, 4"},
+	for _, c := range [][2]string{{"kind = uniqued", "kind = x"}, {"kind = uniqued", ""}, {"window = 20s", ""},
+		{"window = 20s", "window = 25h"},
+		{"value = 40", "value = -1"}, {"value = 40", "value = NaN"}, {"response_target = 400ms",
+			"response_target = 10s"},
+		{"pool = heavy", "pool = none"}, {"retired = no", "retired = maybe"}, {"share = 0.25", "share = 2"},
+		{"rate = 1e3", "rates = 1"},
+		{"cap = 0.5", "cap = 0.1"}, {"cap = 0.5", "cap = 0"}, {"[pool light]",
+			"[pool light]\nreserve = yes\nfloor = 0.9"},
+		{"[tenant city]", "[tenant town]\nshare = 0.9\n[tenant city]"}, {"[tenant city]",
+			"[tenant a b]\n[tenant city]"},
+		{"leave = 0.9", "leave = 1"}, {"enter = 1.2", "enter = 0.95"}, {"[level 2]", "[level 3]"}, {"[level 2]",
+			"[level 02]"},
+		{"sheds = view, old", "sheds = submit"}, {"sheds = view, old", "sheds = old"}, {"sheds = view, old",
+			"sheds = none"},
+		{"sheds = view, old", "sheds = view, view"}, {"stages = 5, 100", "stages = 5, 50"}, {"stages = 5, 100",
+			"stages = 5, 4"},
 		{"lease = 4s", "lease = 0s"}, {"when_alone = fence", "when_alone = no"}, {"decide = auto", "decide = yes"},
-		{"first = 0.125", "first = 0"}, {"hold = 3s", "hold = 11m"}, {"keep = 2m", "keep = 0s"}, {"small_start = yes", "small = yes"},
+		{"first = 0.125", "first = 0"}, {"hold = 3s", "hold = 11m"}, {"keep = 2m", "keep = 0s"},
+		{"small_start = yes", "small = yes"},
 		{"[zones]", "[zone]"}, {"[zones]", "zones"}} {
 		text := strings.Replace(everyKey, c[0], c[1], 1)
 		if text == everyKey {
@@ -149,7 +158,8 @@
 		t.Fatal(err)
 	}
 	for _, c := range [][2]string{{"window = 20s", "window = 19s"}, {"window = 20s", "window = 21s"},
-		{"kind = replayable", "kind = non-replayable"}, {"[class submit]\nkind = uniqued\nvalue = 40\nwindow = 20s\n", ""},
+		{"kind = replayable", "kind = non-replayable"},
+		{"[class submit]\nkind = uniqued\nvalue = 40\nwindow = 20s\n", ""},
 		{"[class old]\nkind = non-replayable", "[class old]\nkind = replayable"}, {"cap = 0.5", "cap = 0.6"},
 		{"[pool light]", "[pool lights]"}, {"[zones]", "[rollout]"}} {
 		after, err := Parse("f", []byte(strings.Replace(everyKey, c[0], c[1], 1)))
