--- /dev/null
+++ b/internal/control/consensus/credentials_test.go
@@ -0,0 +1,132 @@
+package consensus
+
+import (
+	"crypto/ecdsa"
+	"crypto/elliptic"
+	"crypto/rand"
+	"crypto/tls"
+	"crypto/x509"
+	"crypto/x509/pkix"
+	"encoding/pem"
+	"math/big"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"umberwinch/internal/config"
+)
+
+// authority writes certificates of its own.
+type authority struct {
+	key  *ecdsa.PrivateKey
+	cert *x509.Certificate
+	dir  string
+	n    int64
+}
+
+func newAuthority(t *testing.T) *authority {
+	t.Helper()
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	if err != nil {
+		t.Fatal(err)
+	}
+	a := &authority{key: key, dir: t.TempDir(), n: 1}
+	a.cert = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"},
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), IsCA: true,
+		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
+	a.write(t, "authority", a.cert, key)
+	return a
+}
+
+func (a *authority) path(name string) string { return filepath.Join(a.dir, name) }
+
+func (a *authority) write(t *testing.T, name string, c *x509.Certificate, key *ecdsa.PrivateKey) {
+	t.Helper()
+	der, err := x509.CreateCertificate(rand.Reader, c, a.cert, &key.PublicKey, a.key)
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw, err := x509.MarshalECPrivateKey(key)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for path, block := range map[string]*pem.Block{name + ".pem": {Type: "CERTIFICATE", Bytes: der},
+		name + ".key": {Type: "EC PRIVATE KEY", Bytes: raw}} {
+		if err := os.WriteFile(a.path(path), pem.EncodeToMemory(block), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func (a *authority) issue(t *testing.T, name, ip string) {
+	t.Helper()
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	if err != nil {
+		t.Fatal(err)
+	}
+	a.n++
+	a.write(t, name, &x509.Certificate{SerialNumber: big.NewInt(a.n), Subject: pkix.Name{CommonName: name},
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
+		IPAddresses: []net.IP{net.ParseIP(ip)}, KeyUsage: x509.KeyUsageDigitalSignature,
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}, key)
+}
+
+// A client or peer without a certificate of the authority must not be answered, and a bad new certificate must leave
+// the old one in use, or a slip at a renewal would cut the instance off.
+func TestTLS(t *testing.T) {
+	ca := newAuthority(t)
+	with := func(c *config.Control) {
+		host, _, _ := net.SplitHostPort(c.Peer)
+		ca.issue(t, c.Name, host)
+		c.Cert, c.Key, c.CA = ca.path(c.Name+".pem"), ca.path(c.Name+".key"), ca.path("authority.pem")
+	}
+	a, b := boot(t, "a", "new", with), boot(t, "b", "join", with)
+	ca.issue(t, "client", "127.0.0.1")
+	pair, err := tls.LoadX509KeyPair(ca.path("client.pem"), ca.path("client.key"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	pool := x509.NewCertPool()
+	raw, _ := os.ReadFile(ca.path("authority.pem"))
+	pool.AppendCertsFromPEM(raw)
+	for _, i := range []*instance{a, b} {
+		i.web = "https"
+		i.http = &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool,
+			Certificates: []tls.Certificate{pair}}}}
+	}
+	a.join(b)
+	if end := b.put("s", 1, 0); end.Outcome != PutCommitted {
+		t.Fatalf("put: %+v", end)
+	}
+	bare := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
+	if _, err := bare.Get("https://" + a.control.Listen + "/v1/status"); err == nil {
+		t.Fatal("a client without a certificate was answered")
+	}
+	if c, err := net.Dial("tcp", a.control.Peer); err == nil {
+		writeJSON(c, frameHello, Hello{Identity: Identity{ID: 9}})
+		c.SetReadDeadline(time.Now().Add(5 * time.Second))
+		if kind, _, err := readFrame(c, 1000); err == nil {
+			t.Fatalf("a peer without TLS was answered with kind %d", kind)
+		}
+		c.Close()
+	}
+	if err := os.WriteFile(a.control.Cert, []byte("nothing"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := a.group.Reload(); err == nil {
+		t.Fatal("a bad certificate was taken")
+	}
+	if end := a.put("s", 2, 1); end.Outcome != PutCommitted {
+		t.Fatalf("put after a bad certificate: %+v", end)
+	}
+	with(a.control)
+	if err := a.group.Reload(); err != nil {
+		t.Fatalf("a good certificate: %v", err)
+	}
+	b.stop() // a new connection, with the new certificate
+	b.start()
+	b.await("it hears the leader", func(v *View) bool { return v.Leader != 0 && v.Version == 2 })
+}
--- a/internal/control/consensus/fleet_test.go
+++ b/internal/control/consensus/fleet_test.go
@@ -21,8 +21,8 @@
 	return api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: name, Zone: "z1", Nonce: nonce + "-12345678"}}
 }
 
-// TestTwoBuilds: a group with an instance of an older build goes on at the older level, and rises once it is replaced;
-// from then on the older build is refused.
+// A group has an instance of an older build. It must not use what that one can't read, must rise once it is replaced,
+// and must refuse the older build from then on, or that one would come to another state.
 func TestTwoBuilds(t *testing.T) {
 	t.Parallel()
 	low := boot(t, "x", "new", nil)
@@ -82,8 +82,8 @@
 	return i
 }
 
-// TestNodesAnywhere: a node may ask any instance; one entry serves all who ask meanwhile; a new leader neither counts
-// out who is there nor keeps who was counted out.
+// Nodes send heartbeats to any instance, and the leader dies. The next leader must neither count out nodes that it
+// never heard nor keep a lease that was replaced.
 func TestNodesAnywhere(t *testing.T) {
 	t.Parallel()
 	all := three(t, nil)
--- a/internal/control/consensus/restored_group_test.go
+++ b/internal/control/consensus/restored_group_test.go
@@ -27,7 +27,8 @@
 	return string(d.Canonical())
 }
 
-// TestGather: each node is asked for what it holds until it told, and what can't be is refused or left out.
+// Nodes make contact while a group is being restored. Each must be asked for its record until it has sent one, and
+// records that can't be true must be refused or lose their text.
 func TestGather(t *testing.T) {
 	listen := address() + ":7301"
 	var mu sync.Mutex
@@ -113,7 +114,8 @@
 	}
 }
 
-// TestRecover: what was found is the first state of the next generation, and nothing is in force that nobody holds.
+// A group lost all its state. What was found must be the first state of the next generation, and no version may be in
+// force that no node holds.
 func TestRecover(t *testing.T) {
 	text := canonical(t, oneText)
 	hash := document.Hash([]byte(text))
--- a/internal/control/consensus/state_machine_test.go
+++ b/internal/control/consensus/state_machine_test.go
@@ -42,6 +42,7 @@
 	}
 }
 
+// A put would break what requests in flight were promised. It must be refused.
 func TestWhatMayNotFollowIsRefused(t *testing.T) {
 	m := newStateMachine("c", 0)
 	ask(m, "a", 1, 0, "[class s]\nkind = uniqued\nwindow = 20s\n")
@@ -50,7 +51,8 @@
 	}
 }
 
-// TestStateIsTheSameAfterASnapshot saves in the middle: what follows has to have the same answers at both.
+// An instance restores a snapshot that was taken in the middle. It must give the same results as one that applied all
+// entries, or the group would have two states.
 func TestStateIsTheSameAfterASnapshot(t *testing.T) {
 	m := newStateMachine("c", 0)
 	m.members.list = []Member{{ID: 7, Name: "a", Voter: true}}
@@ -147,6 +149,8 @@
 	do(Change{Op: "add", Member: Member{ID: 99, Name: "x"}}, "expected at most")
 }
 
+// Instances connect on old copies of their folders, after a removal, of another cluster, or of an older build. Only
+// those that can do no harm may be spoken with.
 func TestWhoIsSpokenWith(t *testing.T) {
 	fresh := func() *PeerRegistry {
 		return &PeerRegistry{self: Identity{Cluster: "c", ID: 1}, lastStarts: map[uint64]peerStart{2: {5, 50}},
