--- a/internal/control/consensus/api.go
+++ b/internal/control/consensus/api.go
@@ -88,11 +88,11 @@
 
 // Serve opens the clients' address. It returns once the address is open.
 func (g *Group) Serve() (*API, error) {
-	l, err := g.trust.listen(g.control.Listen)
+	l, err := g.credentials.listen(g.control.Listen)
 	if err != nil {
 		return nil, err
 	}
-	a := &API{group: g, bodies: semaphore.NewWeighted(maxBodiesBytes), forwarder: g.trust.client()}
+	a := &API{group: g, bodies: semaphore.NewWeighted(maxBodiesBytes), forwarder: g.credentials.client()}
 	a.stopping, a.stop = context.WithCancel(context.Background())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/self", a.getSelf)
--- a/internal/control/consensus/api_forward.go
+++ b/internal/control/consensus/api_forward.go
@@ -58,7 +58,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
-	url := a.group.trust.scheme() + "://" + leader + r.URL.RequestURI()
+	url := a.group.credentials.scheme() + "://" + leader + r.URL.RequestURI()
 	request, err := http.NewRequestWithContext(ctx, r.Method, url, bytes.NewReader(body))
 	if err != nil {
 		a.failWith(w, err)
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -42,12 +42,12 @@
 // hand it functions and wait. It never waits for a peer or a client, only for its own disk. It ends by Stop, or by an
 // error after which what is on disk is not known; Done and Err tell.
 type Group struct {
-	control   *config.Control
-	log       *logrus.Logger
-	transport *transport
-	trust     *credentials
-	metrics   *metrics
-	view      atomic.Pointer[View]
+	control     *config.Control
+	log         *logrus.Logger
+	transport   *transport
+	credentials *credentials
+	metrics     *metrics
+	view        atomic.Pointer[View]
 
 	queues
 	done     chan struct{} // closed when run has ended
@@ -109,18 +109,18 @@
 		return nil, err
 	}
 	g := newGroup(c, log, faults)
-	if g.trust, err = loadCredentials(c.Cert, c.Key, c.CA); err != nil {
+	if g.credentials, err = loadCredentials(c.Cert, c.Key, c.CA); err != nil {
 		return nil, err
 	}
 	if err = g.openReplica(dir, faults); err != nil {
 		return nil, err
 	}
-	listener, err := g.trust.listen(c.Bind)
+	listener, err := g.credentials.listen(c.Bind)
 	if err != nil {
 		g.replica.Close()
 		return nil, err
 	}
-	g.transport = newTransport(g, g.trust, log, c.RateMB)
+	g.transport = newTransport(g, g.credentials, log, c.RateMB)
 	g.publish()
 	g.logStart()
 	go g.transport.serve(listener)
@@ -191,7 +191,7 @@
 func (g *Group) Err() error { return g.err }
 
 // Reload reads the certificates again. After an error the old ones stay in use.
-func (g *Group) Reload() error { return g.trust.reload() }
+func (g *Group) Reload() error { return g.credentials.reload() }
 
 // Stop transfers the lead if this instance has it, so that writes go on without an election, until ctx is done; then it
 // ends the instance and returns once the folder is closed.
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -54,7 +54,7 @@
 
 // Replica is one instance of the group: raft, its log and the state machine. One goroutine at a time may use it.
 type Replica struct {
-	plan         Config
+	config       Config
 	log          *wal.Log
 	store        *store
 	node         *raft.RawNode
@@ -106,7 +106,7 @@
 	var raw [12]byte
 	binary.LittleEndian.PutUint64(raw[:], r.peers.self.Nonce)
 	binary.LittleEndian.PutUint32(raw[8:], r.timeoutsDrawn)
-	r.electionTimeout = r.plan.ElectionTicks + int(crc32.ChecksumIEEE(raw[:])%uint32(r.plan.ElectionTicks))
+	r.electionTimeout = r.config.ElectionTicks + int(crc32.ChecksumIEEE(raw[:])%uint32(r.config.ElectionTicks))
 }
 
 // Tick passes one tick on. Elections are timed here and not by raft, whose random timeouts have no seed: raft is told
@@ -142,7 +142,7 @@
 // for those that don't answer. It guards against a vote by an instance on an old copy of its folder: until then it
 // sends nothing, as one of them may know that and bar it.
 func (r *Replica) introduced() bool {
-	if r.ticks >= r.plan.ElectionTicks || r.plan.DisabledGuards.Has(MemberIdentity) {
+	if r.ticks >= r.config.ElectionTicks || r.config.DisabledGuards.Has(MemberIdentity) {
 		return true
 	}
 	for _, list := range [][]uint64{r.voterConfig.GetVoters(), r.voterConfig.GetVotersOutgoing()} {
--- a/internal/control/consensus/replica_apply.go
+++ b/internal/control/consensus/replica_apply.go
@@ -11,8 +11,8 @@
 )
 
 func (r *Replica) reportStep(name string) {
-	if r.plan.OnStep != nil {
-		r.plan.OnStep(name)
+	if r.config.OnStep != nil {
+		r.config.OnStep(name)
 	}
 }
 
@@ -22,7 +22,7 @@
 	var out WorkResult
 	for r.node.HasReady() {
 		rd := r.node.Ready()
-		if r.plan.DisabledGuards.Has(PersistBeforeSend) {
+		if r.config.DisabledGuards.Has(PersistBeforeSend) {
 			send(rd.Messages)
 		}
 		r.reportStep(StepPersist)
@@ -30,12 +30,12 @@
 			return out, err
 		}
 		r.reportStep(StepSend)
-		if !r.plan.DisabledGuards.Has(PersistBeforeSend) {
+		if !r.config.DisabledGuards.Has(PersistBeforeSend) {
 			send(rd.Messages)
 		}
 		r.reportStep(StepApply)
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			m, err := restoreStateMachine(rd.Snapshot.GetData(), r.plan.DisabledGuards)
+			m, err := restoreStateMachine(rd.Snapshot.GetData(), r.config.DisabledGuards)
 			if err != nil {
 				return out, err
 			}
@@ -97,7 +97,7 @@
 // leaders in one term: raft counts votes by the members that it has applied, so an instance that starts with an older
 // commit index counts them by the members of its snapshot, at worst its founder alone, and elects itself.
 func (r *Replica) persistMembership(committed []*pb.Entry) error {
-	if r.plan.DisabledGuards.Has(PersistMembership) {
+	if r.config.DisabledGuards.Has(PersistMembership) {
 		return nil
 	}
 	for _, e := range committed {
--- a/internal/control/consensus/replica_members.go
+++ b/internal/control/consensus/replica_members.go
@@ -15,8 +15,8 @@
 // HelloTo returns the hello that this instance opens or answers a connection with.
 func (r *Replica) HelloTo(to uint64) Hello {
 	_, last := r.LogBounds()
-	return Hello{Identity: r.peers.self, Peer: r.plan.Peer, Term: r.store.hard.GetTerm(), Last: last, To: to,
-		Level: r.plan.Level}
+	return Hello{Identity: r.peers.self, Peer: r.config.Peer, Term: r.store.hard.GetTerm(), Last: last, To: to,
+		Level: r.config.Level}
 }
 
 // Handshake decides whether to speak with an instance by its hello; reason is why not, empty if so. What was learnt
@@ -40,7 +40,7 @@
 
 // Bar ends this instance's part in the group for good. The reason is stored.
 func (r *Replica) Bar(reason string) error {
-	if r.peers.self.Barred != "" || r.plan.DisabledGuards.Has(MemberIdentity) {
+	if r.peers.self.Barred != "" || r.config.DisabledGuards.Has(MemberIdentity) {
 		return nil
 	}
 	r.peers.self.Barred = reason
@@ -80,20 +80,20 @@
 	if err != nil {
 		return err
 	}
-	one := func(t pb.ConfChangeType, id uint64) *pb.ConfChangeSingle {
+	change := func(t pb.ConfChangeType, id uint64) *pb.ConfChangeSingle {
 		return &pb.ConfChangeSingle{Type: t.Enum(), NodeId: proto.Uint64(id)}
 	}
 	cc := &pb.ConfChangeV2{Context: raw}
 	switch c.Op {
 	case OpAdd:
-		cc.Changes = append(cc.Changes, one(pb.ConfChangeType_ConfChangeAddLearnerNode, c.Member.ID))
+		cc.Changes = append(cc.Changes, change(pb.ConfChangeType_ConfChangeAddLearnerNode, c.Member.ID))
 	case OpPromote:
-		cc.Changes = append(cc.Changes, one(pb.ConfChangeType_ConfChangeAddNode, c.Member.ID))
+		cc.Changes = append(cc.Changes, change(pb.ConfChangeType_ConfChangeAddNode, c.Member.ID))
 	case OpRemove:
-		cc.Changes = append(cc.Changes, one(pb.ConfChangeType_ConfChangeRemoveNode, c.Member.ID))
+		cc.Changes = append(cc.Changes, change(pb.ConfChangeType_ConfChangeRemoveNode, c.Member.ID))
 	case OpReplace:
-		cc.Changes = append(cc.Changes, one(pb.ConfChangeType_ConfChangeAddNode, c.Member.ID),
-			one(pb.ConfChangeType_ConfChangeRemoveNode, c.ReplacedID))
+		cc.Changes = append(cc.Changes, change(pb.ConfChangeType_ConfChangeAddNode, c.Member.ID),
+			change(pb.ConfChangeType_ConfChangeRemoveNode, c.ReplacedID))
 	}
 	return r.node.ProposeConfChange(cc)
 }
@@ -106,7 +106,7 @@
 // nothing, as while another change is under way, so it is repeated after the time of an election. It looks at each
 // tick, as raft forgets at each check of the quorum who was active.
 func (r *Replica) promoteLearner() {
-	if r.ticks < r.promotedAtTick+r.plan.ElectionTicks {
+	if r.ticks < r.promotedAtTick+r.config.ElectionTicks {
 		return
 	}
 	for _, m := range r.stateMachine.members.list {
--- a/internal/control/consensus/replica_open.go
+++ b/internal/control/consensus/replica_open.go
@@ -14,12 +14,12 @@
 
 // Open starts a replica on a folder: its own of an earlier run, or an empty one. Errors are wal.ErrLocked,
 // *wal.Damage, of a state that this program can't read, and of the disk.
-func Open(fs wal.FS, plan Config) (*Replica, error) {
-	log, found, err := wal.Open(fs, plan.Sizes)
+func Open(fs wal.FS, config Config) (*Replica, error) {
+	log, found, err := wal.Open(fs, config.Sizes)
 	if err != nil {
 		return nil, err
 	}
-	r := &Replica{plan: plan, log: log, LogRepair: found, metPeers: map[uint64]bool{}}
+	r := &Replica{config: config, log: log, LogRepair: found, metPeers: map[uint64]bool{}}
 	if err := r.open(); err != nil {
 		log.Close()
 		return nil, err
@@ -39,14 +39,14 @@
 	if r.peers, err = loadPeerRegistry(r.log.Mark(markIdentity), r.log.Mark(markPeers)); err != nil {
 		return err
 	}
-	r.peers.disabledGuards = r.plan.DisabledGuards
+	r.peers.disabledGuards = r.config.DisabledGuards
 	r.peers.removed = func(id uint64) bool { return r.stateMachine.members.wasRemoved(id) }
 	r.peers.groupLevel = func() int { return r.stateMachine.level }
-	if r.plan.Level == 0 {
-		r.plan.Level = LatestLevel
+	if r.config.Level == 0 {
+		r.config.Level = LatestLevel
 	}
 	r.peers.self.Starts++
-	r.peers.self.Nonce = r.plan.Random()
+	r.peers.self.Nonce = r.config.Random()
 	if err = r.persistIdentities(); err != nil {
 		return err
 	}
@@ -55,8 +55,8 @@
 		return err
 	}
 	if state == nil {
-		r.stateMachine = newStateMachine(r.peers.self.Cluster, r.plan.DisabledGuards)
-	} else if r.stateMachine, err = restoreStateMachine(state, r.plan.DisabledGuards); err != nil {
+		r.stateMachine = newStateMachine(r.peers.self.Cluster, r.config.DisabledGuards)
+	} else if r.stateMachine, err = restoreStateMachine(state, r.config.DisabledGuards); err != nil {
 		return err
 	}
 	r.configureState()
@@ -64,7 +64,7 @@
 	r.store.state = r.snapshotState
 	r.node, err = raft.NewRawNode(&raft.Config{
 		ID:                        r.ID(),
-		ElectionTick:              r.plan.ElectionTicks,
+		ElectionTick:              r.config.ElectionTicks,
 		HeartbeatTick:             1,
 		Storage:                   r.store,
 		Applied:                   r.store.snap.GetIndex(),
@@ -74,9 +74,9 @@
 		MaxInflightMsgs:           maxInflightMessages,
 		MaxInflightBytes:          maxInflightBytes,
 		CheckQuorum:               true,
-		PreVote:                   !r.plan.DisabledGuards.Has(PreVote),
+		PreVote:                   !r.config.DisabledGuards.Has(PreVote),
 		StepDownOnRemoval:         true,
-		Logger:                    r.plan.Logger,
+		Logger:                    r.config.Logger,
 	})
 	if err != nil {
 		return err
@@ -87,21 +87,21 @@
 
 // configureState gives a state that was made or restored what is this instance's own.
 func (r *Replica) configureState() {
-	r.stateMachine.supportedLevel = r.plan.Level
-	r.stateMachine.fleet.DisabledGuards = r.plan.DisabledPolicyGuards
-	r.stateMachine.fleet.DisabledZoneGuards = r.plan.DisabledZoneGuards
+	r.stateMachine.supportedLevel = r.config.Level
+	r.stateMachine.fleet.DisabledGuards = r.config.DisabledPolicyGuards
+	r.stateMachine.fleet.DisabledZoneGuards = r.config.DisabledZoneGuards
 }
 
 // initialize makes an empty folder an instance's: its id, and where it founds a group, the group's first state. The
 // identity is written last, so that a crash on the way leaves a folder that counts as empty.
 func (r *Replica) initialize() error {
-	own := Identity{ID: r.plan.Random() | 1, Name: r.plan.Name}
+	own := Identity{ID: r.config.Random() | 1, Name: r.config.Name}
 	b := wal.Batch{}
-	if r.plan.FoundGroup {
-		own.Cluster = fmt.Sprintf("%016x%016x", r.plan.Random(), r.plan.Random())
-		m := newStateMachine(own.Cluster, r.plan.DisabledGuards)
+	if r.config.FoundGroup {
+		own.Cluster = fmt.Sprintf("%016x%016x", r.config.Random(), r.config.Random())
+		m := newStateMachine(own.Cluster, r.config.DisabledGuards)
 		m.applied, m.term = 1, 1
-		m.members = firstMember(own, &r.plan)
+		m.members = firstMember(own, &r.config)
 		if err := r.writeFirstState(m, own.ID, &b); err != nil {
 			return err
 		}
@@ -137,18 +137,18 @@
 // newest version. Instances of the old group are refused, and what it committed after the snapshot is lost. The new
 // group is the next generation of the old one, which nodes follow. Errors are ErrFolderInUse, of the snapshot and of
 // the disk.
-func Restore(fs wal.FS, plan Config, raw []byte) (*Version, error) {
+func Restore(fs wal.FS, config Config, raw []byte) (*Version, error) {
 	old, err := ReadSnapshot(raw)
 	if err != nil {
 		return nil, err
 	}
-	return foundRestored(fs, plan, old.machine, nil)
+	return foundRestored(fs, config, old.machine, nil)
 }
 
 // foundRestored writes a state as that of a new group's first instance, changed by what a recovery found, or by
 // nothing but the snapshot's own state where found is nil.
-func foundRestored(fs wal.FS, plan Config, m *StateMachine, found *recovery.RestorePlan) (*Version, error) {
-	log, _, err := wal.Open(fs, plan.Sizes)
+func foundRestored(fs wal.FS, config Config, m *StateMachine, found *recovery.RestorePlan) (*Version, error) {
+	log, _, err := wal.Open(fs, config.Sizes)
 	if err != nil {
 		return nil, err
 	}
@@ -156,9 +156,9 @@
 	if log.Mark(markIdentity) != nil {
 		return nil, ErrFolderInUse
 	}
-	r := &Replica{plan: plan, log: log}
-	own := Identity{ID: plan.Random() | 1, Name: plan.Name,
-		Cluster: fmt.Sprintf("%016x%016x", plan.Random(), plan.Random())}
+	r := &Replica{config: config, log: log}
+	own := Identity{ID: config.Random() | 1, Name: config.Name,
+		Cluster: fmt.Sprintf("%016x%016x", config.Random(), config.Random())}
 	if found == nil {
 		found = recovery.PlanRestore(nil, m.storedGroup(), "")
 	}
@@ -166,7 +166,7 @@
 		return nil, err
 	}
 	m.cluster = own.Cluster
-	m.members = firstMember(own, &plan)
+	m.members = firstMember(own, &config)
 	b := wal.Batch{}
 	if err = r.writeFirstState(m, own.ID, &b); err != nil {
 		return nil, err
@@ -205,6 +205,6 @@
 func (r *Replica) Close() error { return r.log.Close() }
 
 // firstMember is the member table of a group of one.
-func firstMember(own Identity, plan *Config) memberTable {
-	return memberTable{list: []Member{{ID: own.ID, Name: own.Name, Peer: plan.Peer, Listen: plan.Listen, Voter: true}}}
+func firstMember(own Identity, config *Config) memberTable {
+	return memberTable{list: []Member{{ID: own.ID, Name: own.Name, Peer: config.Peer, Listen: config.Listen, Voter: true}}}
 }
--- a/internal/control/consensus/replica_propose.go
+++ b/internal/control/consensus/replica_propose.go
@@ -25,7 +25,7 @@
 	if err := p.valid(); err != nil {
 		return err
 	}
-	if r.log.DiskBytes() > r.plan.Sizes.MaxBytes/putLogFraction*(putLogFraction-1) {
+	if r.log.DiskBytes() > r.config.Sizes.MaxBytes/putLogFraction*(putLogFraction-1) {
 		return ErrLogNearLimit
 	}
 	p.Rules = rulesForLevel(r.stateMachine.level)
@@ -52,7 +52,7 @@
 		return ErrBarred
 	case r.stateMachine.level < LevelFleet && kind != kindLevel:
 		return ErrFeatureLevel
-	case r.log.DiskBytes() > r.plan.Sizes.MaxBytes/entryLogFraction*(entryLogFraction-1):
+	case r.log.DiskBytes() > r.config.Sizes.MaxBytes/entryLogFraction*(entryLogFraction-1):
 		return ErrLogNearLimit
 	}
 	raw, err := json.Marshal(entry{kind, body})
@@ -67,7 +67,7 @@
 	out := map[string]int{}
 	for _, m := range r.stateMachine.members.list {
 		if m.ID == r.ID() {
-			out[m.Name] = r.plan.Level
+			out[m.Name] = r.config.Level
 		} else if l := r.peers.peerLevels[m.ID]; l > 0 {
 			out[m.Name] = l
 		}
@@ -78,10 +78,10 @@
 // raiseLevel has the leader raise the group's level by one once every member has reported that it supports the next
 // one. A lost proposal is repeated after the time of an election.
 func (r *Replica) raiseLevel() {
-	if r.stateMachine.level >= r.plan.Level || len(r.stateMachine.members.list) == 0 {
+	if r.stateMachine.level >= r.config.Level || len(r.stateMachine.members.list) == 0 {
 		return
 	}
-	if r.ticks < r.levelRaisedAtTick+r.plan.ElectionTicks {
+	if r.ticks < r.levelRaisedAtTick+r.config.ElectionTicks {
 		return
 	}
 	for _, m := range r.stateMachine.members.list {
@@ -100,7 +100,7 @@
 	if r.peers.self.Barred != "" {
 		return ErrBarred
 	}
-	if r.plan.DisabledGuards.Has(ReadIndex) {
+	if r.config.DisabledGuards.Has(ReadIndex) {
 		r.pendingReads = append(r.pendingReads, pendingRead{id, 0})
 		return nil
 	}
--- a/internal/control/consensus/replica_snapshot.go
+++ b/internal/control/consensus/replica_snapshot.go
@@ -18,7 +18,7 @@
 
 // SnapshotIfDue returns a snapshot to be written if there is enough new log, nil if not.
 func (r *Replica) SnapshotIfDue() (*PendingSnapshot, error) {
-	if r.snapshotting || r.store.bytes < r.plan.SnapshotBytes || r.stateMachine.applied <= r.store.snap.GetIndex() {
+	if r.snapshotting || r.store.bytes < r.config.SnapshotBytes || r.stateMachine.applied <= r.store.snap.GetIndex() {
 		return nil, nil
 	}
 	return r.Snapshot()
--- a/internal/control/consensus/restored_group.go
+++ b/internal/control/consensus/restored_group.go
@@ -21,8 +21,8 @@
 
 // ReadFolder reads the state of a stopped instance's folder as far as its entries are known to be committed. No other
 // instance is asked, so what was committed last may be missing. Errors are ErrEmptyFolder and those of Open.
-func ReadFolder(fs wal.FS, plan Config) (*StoredGroup, error) {
-	log, _, err := wal.Open(fs, plan.Sizes)
+func ReadFolder(fs wal.FS, config Config) (*StoredGroup, error) {
+	log, _, err := wal.Open(fs, config.Sizes)
 	if err != nil {
 		return nil, err
 	}
@@ -35,8 +35,8 @@
 	}
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
-	plan.Logger = raftLog{quiet}
-	r, err := Open(fs, plan)
+	config.Logger = raftLog{quiet}
+	r, err := Open(fs, config)
 	if err != nil {
 		return nil, err
 	}
@@ -113,7 +113,7 @@
 // Recover makes an empty folder the first instance of the next generation of a group, by what a recovery found, and
 // returns its newest version. Errors are *RejectedError where the evidence conflicts, ErrFolderInUse, and of the
 // disk.
-func Recover(fs wal.FS, plan Config, old *StoredGroup, found *recovery.RestorePlan) (*Version, error) {
+func Recover(fs wal.FS, config Config, old *StoredGroup, found *recovery.RestorePlan) (*Version, error) {
 	if found.Conflict != "" {
 		return nil, &RejectedError{found.Conflict}
 	}
@@ -122,7 +122,7 @@
 	if old != nil {
 		m = old.machine
 	}
-	return foundRestored(fs, plan, m, found)
+	return foundRestored(fs, config, m, found)
 }
 
 // restore makes the state that of the next generation.
--- a/internal/control/consensus/state_machine_test.go
+++ b/internal/control/consensus/state_machine_test.go
@@ -14,6 +14,8 @@
 	return m.applyPut(&Put{Session: session, Seq: seq, Base: base, Author: "x", Text: doc}, m.applied, 1)
 }
 
+// Clients put, repeat and conflict. Each put must end once, and a repeat must get the first result whatever happened
+// since.
 func TestEndsOfAPut(t *testing.T) {
 	m := newStateMachine("c", 0)
 	for _, s := range []struct {
@@ -87,6 +89,7 @@
 	}
 }
 
+// A document has a fault on each of many lines. The reason, which is stored with the session, must be cut at a line.
 func TestReasonsAreBounded(t *testing.T) {
 	m := newStateMachine("c", 0)
 	a := ask(m, "a", 1, 0, "[tenant t]\n"+strings.Repeat("nonsense\n", 50000))
@@ -96,6 +99,8 @@
 	}
 }
 
+// More clients and larger texts come than the state holds. The oldest must be dropped, and a repeat of a dropped
+// client's put must have no second effect.
 func TestTablesAreBounded(t *testing.T) {
 	m := newStateMachine("c", 0)
 	for i := 0; i < maxSessions+10; i++ {
@@ -115,6 +120,8 @@
 	}
 }
 
+// Changes of members that would leave no voter, reuse a name or bring a removed instance back must be refused, by the
+// state alone.
 func TestChangesOfMembers(t *testing.T) {
 	m := newStateMachine("c", 0)
 	m.members.list = []Member{{ID: 5, Name: "a", Voter: true}}
--- a/internal/control/consensus/transport.go
+++ b/internal/control/consensus/transport.go
@@ -54,14 +54,14 @@
 // connections, queues and their goroutines, which close ends. It never decides whom to speak with, and never waits
 // for a peer on the replica's goroutine.
 type transport struct {
-	handler messageHandler
-	trust   *credentials
-	log     *logrus.Logger
-	rate    *rate.Limiter
-	count   transportCounters
-	ctx     context.Context
-	stop    context.CancelFunc
-	wg      sync.WaitGroup
+	handler     messageHandler
+	credentials *credentials
+	log         *logrus.Logger
+	rate        *rate.Limiter
+	count       transportCounters
+	ctx         context.Context
+	stop        context.CancelFunc
+	wg          sync.WaitGroup
 
 	mu                sync.Mutex
 	peers             map[uint64]*peer
@@ -73,14 +73,14 @@
 	ctx, stop := context.WithCancel(context.Background())
 	burst := max(snapshotChunkBytes, rateMB<<18)
 	return &transport{
-		handler: o,
-		trust:   t,
-		log:     log,
-		rate:    rate.NewLimiter(rate.Limit(rateMB<<20), burst),
-		ctx:     ctx,
-		stop:    stop,
-		peers:   map[uint64]*peer{},
-		inbound: map[net.Conn]uint64{},
+		handler:     o,
+		credentials: t,
+		log:         log,
+		rate:        rate.NewLimiter(rate.Limit(rateMB<<20), burst),
+		ctx:         ctx,
+		stop:        stop,
+		peers:       map[uint64]*peer{},
+		inbound:     map[net.Conn]uint64{},
 	}
 }
 
--- a/internal/control/consensus/transport_peer.go
+++ b/internal/control/consensus/transport_peer.go
@@ -45,7 +45,7 @@
 
 // dial connects to a peer and makes sure that it is the one meant.
 func (t *transport) dial(p *peer, bulk bool) (net.Conn, error) {
-	c, err := t.trust.dial(p.addr, handshakeTimeout)
+	c, err := t.credentials.dial(p.addr, handshakeTimeout)
 	if err != nil {
 		return nil, err
 	}
