--- a/internal/node/server/client_connections.go
+++ b/internal/node/server/client_connections.go
@@ -137,7 +137,7 @@
 		if c.usage == usedForNothing {
 			least = l.limits.EvictionMinAge
 		}
-		if c.closing || c.evictionFailedAt == l.now || c.owesAnswer() || l.now-c.lastActive < least {
+		if c.closing || c.evictionFailedAt == l.now || c.hasUnanswered() || l.now-c.lastActive < least {
 			continue
 		}
 		if out == nil || c.usage < out.usage || c.usage == out.usage && c.lastActive < out.lastActive {
@@ -147,15 +147,15 @@
 	return out
 }
 
-// owesAnswer tells whether a request that was read on the connection has no response yet.
-func (c *connection) owesAnswer() bool {
+// hasUnanswered tells whether a request that was read on the connection has no response yet.
+func (c *connection) hasUnanswered() bool {
 	return c.current != 0 || len(c.pending) > 0 || c.peer.pipelined.Load() > 0
 }
 
 // closeIdle begins the end of a connection with no request unanswered, unless something is on its way: a request that
 // is handed over and not taken, or bytes that are not read. With force only complete requests count.
 func (l *loop) closeIdle(c *connection, force bool) bool {
-	if c.closing || c.owesAnswer() || !c.peer.seal(force) {
+	if c.closing || c.hasUnanswered() || !c.peer.seal(force) {
 		return false
 	}
 	l.finish(c)
@@ -197,7 +197,7 @@
 		if !c.closed && l.now >= c.lingerUntil {
 			l.abort(c)
 		}
-	case c.owesAnswer():
+	case c.hasUnanswered():
 	case half != 0 && l.now-max(half, c.lastActive) >= l.limits.MessageTimeout:
 		if !c.peer.seal(true) {
 			return // more of it is being read at this moment
--- a/internal/node/server/client_peer.go
+++ b/internal/node/server/client_peer.go
@@ -12,8 +12,8 @@
 	"umberwinch/internal/node/wire"
 )
 
-// errAhead is what a client gets that sends more requests on one connection than are taken ahead of their responses.
-var errAhead = errors.New("too many requests ahead of their answers")
+// errTooManyPipelined is what a client gets that sends more requests on one connection than are taken ahead of their responses.
+var errTooManyPipelined = errors.New("too many requests ahead of their answers")
 
 // peer is one connection of a client as its callbacks know it, which share it with the loop: what has been read of it,
 // and the end of each of its two directions. A connection is ended in order: reading is sealed once nothing is on its
@@ -39,7 +39,7 @@
 
 func newPeer(nc netpoll.Connection, fd int, l *loop) *peer {
 	p := &peer{fd: fd, in: intake{pool: &l.pool}}
-	p.writer = writer{conn: nc, pool: &l.pool, workers: l.workers, busy: &l.busy, owesAnswers: true,
+	p.writer = writer{conn: nc, pool: &l.pool, workers: l.workers, busy: &l.busy, sendsResponses: true,
 		shutDown: p.shutDownWrite}
 	return p
 }
@@ -93,7 +93,7 @@
 	var err error
 	e.request, n, err = wire.ParseRequest(b.bytes(), limits.RequestBounds)
 	if n > 0 && err == nil && int(p.pipelined.Load()) > limits.Pipelined {
-		err = errAhead
+		err = errTooManyPipelined
 	}
 	return e, n, err
 }
--- a/internal/node/server/counters.go
+++ b/internal/node/server/counters.go
@@ -25,7 +25,7 @@
 }
 
 // fields are the counters and what is held, under the names by which operators know them.
-func (l *loop) fields() logrus.Fields {
+func (l *loop) counterFields() logrus.Fields {
 	c := &l.counters
 	runs, calls := 0, 0
 	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -45,7 +45,7 @@
 func (l *loop) drainTick() {
 	closeBy := l.answerBy - lastAnswers
 	quiet := l.now-max(l.lastRequest, l.drainSince) >= l.limits.DrainQuiet && l.now-l.drainSince >= minServing
-	if l.closingSince == 0 && (l.now >= closeBy-l.limits.CrossingGrace || quiet && l.connectionsOwed() == 0) {
+	if l.closingSince == 0 && (l.now >= closeBy-l.limits.CrossingGrace || quiet && l.unansweredConnections() == 0) {
 		l.closingSince = l.now
 		if l.listener != nil {
 			l.listener.stop()
@@ -67,10 +67,10 @@
 	}
 }
 
-// connectionsOwed counts the connections with a request unanswered.
-func (l *loop) connectionsOwed() (n int) {
+// unansweredConnections counts the connections with a request unanswered.
+func (l *loop) unansweredConnections() (n int) {
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
-		if l.connections.get(h).owesAnswer() {
+		if l.connections.get(h).hasUnanswered() {
 			n++
 		}
 	}
@@ -78,7 +78,7 @@
 }
 
 // lingers tells whether a client may still be reading, or sending what crosses the end of its connection.
-func (l *loop) lingers() bool {
+func (l *loop) hasLingering() bool {
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
 		c := l.connections.get(h)
 		if !c.closing || l.now < c.lingerUntil-l.limits.LingerTimeout+l.limits.CrossingGrace {
@@ -90,11 +90,11 @@
 
 // finished tells whether all is answered and sent, so that the process can end.
 func (l *loop) finished() bool {
-	if !l.draining || l.closingSince == 0 || l.connectionsOwed() > 0 || l.busy.Load() > 0 {
+	if !l.draining || l.closingSince == 0 || l.unansweredConnections() > 0 || l.busy.Load() > 0 {
 		return false
 	}
 	if l.now >= l.answerBy+l.killMargin/2 {
 		return true
 	}
-	return !l.accepts && !l.lingers() && l.now >= max(l.closingSince, l.lastConnection)+l.limits.CrossingGrace
+	return !l.accepts && !l.hasLingering() && l.now >= max(l.closingSince, l.lastConnection)+l.limits.CrossingGrace
 }
--- a/internal/node/server/events.go
+++ b/internal/node/server/events.go
@@ -153,8 +153,8 @@
 	case drainRequested:
 		l.startDrain()
 	case countersRequested:
-		l.log.WithFields(l.fields()).Info("counters")
-		l.showPools()
+		l.log.WithFields(l.counterFields()).Info("counters")
+		l.logPools()
 	case *startupFileRead:
 		l.reload(e.node, e.err)
 	case callback:
--- a/internal/node/server/http_front_end.go
+++ b/internal/node/server/http_front_end.go
@@ -100,7 +100,7 @@
 func (l *loop) sendResponse(c *connection, a wire.Response) {
 	c.current, c.lastActive = 0, l.now
 	c.ending = c.ending || a.Close || l.draining
-	a.Close = c.ending && !c.owesAnswer() && c.peer.seal(false)
+	a.Close = c.ending && !c.hasUnanswered() && c.peer.seal(false)
 	a.OverloadSignal, a.HasOverloadSignal = l.overloadSignal, l.hasOverloadSignal
 	l.scratch = wire.AppendResponse(l.scratch[:0], a)
 	if !c.peer.send(l.scratch, l.limits.ConnectionQueue) {
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -224,7 +224,7 @@
 }
 
 // move has a link go to another address, at once.
-func (l *loop) move(k *link, addr string) {
+func (l *loop) moveLink(k *link, addr string) {
 	if k.addr == addr {
 		return
 	}
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -119,8 +119,8 @@
 		l.finishRound()
 	}
 	killIn := l.answerBy + l.killMargin - max(l.now, timeOf(l.clock.Now()))
-	l.log.WithFields(l.fields()).WithField("kill_in_ms", milliseconds(killIn)).Info("counters")
-	l.showPools()
+	l.log.WithFields(l.counterFields()).WithField("kill_in_ms", milliseconds(killIn)).Info("counters")
+	l.logPools()
 }
 
 // awaitEvent waits for the next event, which it handles, or the next timer.
--- a/internal/node/server/netpoll_log.go
+++ b/internal/node/server/netpoll_log.go
@@ -14,7 +14,7 @@
 const netpollLinesPerSecond = 5
 
 // lines carries netpoll's own log lines into the log, a few at a time.
-type lines struct {
+type netpollLog struct {
 	log   *logrus.Logger
 	clock *clock.Clock
 	n     atomic.Int64
@@ -22,7 +22,7 @@
 }
 
 // Write takes one line. It never fails.
-func (w *lines) Write(b []byte) (int, error) {
+func (w *netpollLog) Write(b []byte) (int, error) {
 	if s := int64(w.clock.Now() / time.Second); w.sec.Swap(s) != s {
 		w.n.Store(0)
 	}
--- a/internal/node/server/pools.go
+++ b/internal/node/server/pools.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// movePools takes the pools of another file.
-func (l *loop) movePools(next *Node) {
+// reconfigurePools takes the pools of another file.
+func (l *loop) reconfigurePools(next *Node) {
 	p := next.poolPlan()
 	switch {
 	case l.pools != nil:
@@ -71,8 +71,8 @@
 // noLimit is from where a pool's limit is none.
 const noLimit = 1 << 20
 
-// showPools logs each pool.
-func (l *loop) showPools() {
+// logPools logs each pool.
+func (l *loop) logPools() {
 	if l.pools == nil {
 		return
 	}
--- a/internal/node/server/reload.go
+++ b/internal/node/server/reload.go
@@ -20,8 +20,8 @@
 	}
 	l.log.WithFields(logrus.Fields{logging.KernelAddress: c.Kernel, logging.StoreAddress: c.Store,
 		logging.DiscoveryAddress: c.Control}).Info(logStartupFileTaken)
-	l.move(&l.kernel.link, c.Kernel)
-	l.move(&l.discovery.link, c.Control)
+	l.moveLink(&l.kernel.link, c.Kernel)
+	l.moveLink(&l.discovery.link, c.Control)
 	l.moveStore(c.Store)
 	if !c.own.Fleet.Same(l.startup.own.Fleet) {
 		l.log.Warn(logFleetSectionKept)
@@ -31,5 +31,5 @@
 		l.log.Warn(logResultSectionKept)
 		c.own.Kept = l.startup.own.Kept
 	}
-	l.movePools(c)
+	l.reconfigurePools(c)
 }
--- a/internal/node/server/run.go
+++ b/internal/node/server/run.go
@@ -69,7 +69,7 @@
 func configureNetpoll(limits Limits, log *logrus.Logger, workers workers) error {
 	return netpoll.Configure(netpoll.Config{
 		PollerNum:    limits.Cores,
-		LoggerOutput: &lines{log: log, clock: clock.New()},
+		LoggerOutput: &netpollLog{log: log, clock: clock.New()},
 		LoadBalance:  netpoll.RoundRobin,
 		Runner:       func(_ context.Context, f func()) { workers.run(f) },
 	})
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -219,12 +219,12 @@
 		upstreams: upstreams{dialTo: dialTCP}}
 	k := &l.discovery.link
 	k.peer, k.addr, k.delay, k.notBefore = peerDiscovery, "127.0.0.1:1", 900, 2000
-	l.move(k, "127.0.0.1:2")
+	l.moveLink(k, "127.0.0.1:2")
 	if k.dialed == nil || k.delay != 0 {
 		t.Errorf("not dialled, its wait is %d", k.delay)
 	}
 	first := k.dialed
-	if l.move(k, "127.0.0.1:3"); k.dialed == first || k.dialed == nil {
+	if l.moveLink(k, "127.0.0.1:3"); k.dialed == first || k.dialed == nil {
 		t.Error("a dial to the old address holds up the new one")
 	}
 	e := &linkDialed{dialed: first, err: errClosed}
--- a/internal/node/server/writer.go
+++ b/internal/node/server/writer.go
@@ -24,8 +24,8 @@
 	closed   bool         // nothing more is taken
 	ending   writerEnding // once the queue is empty
 
-	owesAnswers bool   // what is sent are responses, which never lack a buffer
-	shutDown    func() // ends the sending side
+	sendsResponses bool   // what is sent are responses, which never lack a buffer
+	shutDown       func() // ends the sending side
 }
 
 // writerEnding is what becomes of a connection once all that was queued has gone out.
@@ -67,8 +67,8 @@
 
 // buffer gives an empty buffer; nil if there is none.
 func (w *writer) buffer() *buffer {
-	if w.owesAnswers {
-		return w.pool.getOwed()
+	if w.sendsResponses {
+		return w.pool.getForResponse()
 	}
 	return w.pool.get()
 }
