--- a/internal/node/server/buffers.go
+++ b/internal/node/server/buffers.go
@@ -45,8 +45,9 @@
 	return new(buffer)
 }
 
-// getForResponse gives an empty buffer however many are out, for a response. Guards against clients that hold all buffers, by
-// which others would get no response; there are few such buffers, as a connection has one response at a time.
+// getForResponse gives an empty buffer however many are out, for a response. Guards against clients that hold all
+// buffers, by which others would get no response; there are few such buffers, as a connection has one response at a
+// time.
 func (p *bufferPool) getForResponse() *buffer {
 	if b := p.get(); b != nil {
 		return b
--- a/internal/node/server/client_peer.go
+++ b/internal/node/server/client_peer.go
@@ -12,7 +12,8 @@
 	"umberwinch/internal/node/wire"
 )
 
-// errTooManyPipelined is what a client gets that sends more requests on one connection than are taken ahead of their responses.
+// errTooManyPipelined is what a client gets that sends more requests on one connection than are taken ahead of their
+// responses.
 var errTooManyPipelined = errors.New("too many requests ahead of their answers")
 
 // peer is one connection of a client as its callbacks know it, which share it with the loop: what has been read of it,
--- a/internal/node/server/helper_test.go
+++ b/internal/node/server/helper_test.go
@@ -1,7 +1,7 @@
 package server
 
 // What the tests share: the program itself, built once and started on free ports, and small stand-ins for
-// the kernel, the store and the control plane, written from the protocol alone. Every wait is bounded by
+// the kernel, the store and service discovery, written from the protocol alone. Every wait is bounded by
 // patience.
 
 import (
@@ -143,7 +143,7 @@
 	mu   sync.Mutex
 	c    net.Conn // the newest
 	open []net.Conn
-	on   map[string]net.Conn // the store's: which one a req's call came on; with ', the one before
+	on   map[string]net.Conn // the store's: which one a request's call came on; with ', the one before
 	talk func(net.Conn, *bufio.Reader)
 	mute bool // what it hears gets no answer
 }
@@ -199,7 +199,7 @@
 	s.cut()
 }
 
-// writeTo writes on the connection that a req's last call came on; nothing to write resets it.
+// writeTo writes on the connection that a request's last call came on; nothing to write resets it.
 func (s *side) writeTo(id, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -336,7 +336,7 @@
 	return s
 }
 
-// newControl is the stand-in for the control plane.
+// newControl is the stand-in for service discovery.
 func newControl(t testing.TB) *side {
 	var s *side
 	s = newSide(t, func(c net.Conn, r *bufio.Reader) {
@@ -506,7 +506,7 @@
 	})
 }
 
-// dial opens a connection as a sidecar would; the program may only just be starting.
+// dial opens a connection as a client would; the program may only just be starting.
 func (n *node) dial() net.Conn {
 	for end := time.Now().Add(patience); ; {
 		c, err := net.Dial("tcp", n.addr)
--- a/internal/node/server/pools_test.go
+++ b/internal/node/server/pools_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// TestPoolsOnTheNode: pools show themselves and move with a new file; pools.txt has what they do to reqs.
+// TestPoolsOnTheNode: pools show themselves and move with a new file; pools.txt has what they do to requests.
 func TestPoolsOnTheNode(t *testing.T) {
 	n := start(t, map[string]string{"own": "[pools]\nreserve = no\n[pool act]\ncap = 0.5\nlimit = fixed\n"})
 	if !n.logged(`msg="pools are on" count=1 reserve=false `) {
--- a/internal/node/server/scenario_test.go
+++ b/internal/node/server/scenario_test.go
@@ -362,7 +362,7 @@
 		(m["hint"] == "any") == (a.Header.Get("Server-Hint") != "")
 }
 
-// front plays one sidecar's connection.
+// front plays one client's connection.
 func (p *play) front(name, verb string, w []string) {
 	if p.conns[name] == nil {
 		p.conns[name] = p.dial()
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// A round is decided in the order in which its reqs came, and a key's later try repeats the earlier one.
+// A round is decided in the order in which its requests came, and a key's later try repeats the earlier one.
 func TestArrange(t *testing.T) {
 	l := &loop{requestsInHand: requestsInHand{requests: newTable[request](8),
 		idempotency: newIdempotencyTable(10, 100, 50)}}
@@ -271,7 +271,7 @@
 	}
 }
 
-// With as many connections as sidecars may open and as many results as are kept, the program stays well
+// With as many connections as clients may open and as many results as are kept, the program stays well
 // inside the memory and descriptors it is told of.
 func TestFullTables(t *testing.T) {
 	n := start(t, map[string]string{"memory_mb": "64", "sockets": "1024", "window": "60000000"})
--- a/internal/node/server/trouble_test.go
+++ b/internal/node/server/trouble_test.go
@@ -43,7 +43,7 @@
 	ids     *atomic.Int64
 }
 
-// troubleClient is a sidecar's connection: it rests between bursts until the server ends it.
+// troubleClient is a client's connection: it rests between bursts until the server ends it.
 type troubleClient struct {
 	s    *troubleServer
 	rand *rand.Rand
