--- /dev/null
+++ b/internal/cli/control_members.go
@@ -0,0 +1,115 @@
+package cli
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"umberwinch/internal/control/consensus"
+)
+
+func newMembers(a *access) *cobra.Command {
+	c := &cobra.Command{Use: "members", Short: "Add, promote, remove or replace instances; hand the lead over"}
+	change := func(use, short string, n int, make func(context.Context, *client, []string) (consensus.Change,
+		error)) {
+		c.AddCommand(&cobra.Command{Use: use, Short: short, Args: exact(n),
+			RunE: func(cmd *cobra.Command, args []string) error {
+				c, err := a.client()
+				if err != nil {
+					return err
+				}
+				ch, err := make(cmd.Context(), c, args)
+				if err != nil {
+					return err
+				}
+				if err = c.change(cmd.Context(), ch); err != nil {
+					return err
+				}
+				return c.status(cmd.Context(), cmd.OutOrStdout())
+			}})
+	}
+	change("add LISTEN", "Take in the instance that listens at LISTEN: a learner, and a voter once it caught up", 1,
+		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
+			return c.adding(ctx, args[0])
+		})
+	for _, op := range []string{"promote", "remove"} {
+		change(op+" NAME", map[string]string{"promote": "Make a learner a voter",
+			"remove": "Remove an instance"}[op], 1,
+			func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
+				m, err := c.member(ctx, args[0])
+				return consensus.Change{Op: op, Member: m}, err
+			})
+	}
+	change("replace NAME BY", "Make the learner BY a voter and remove NAME, in one step", 2,
+		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
+			gone, err := c.member(ctx, args[0])
+			if err != nil {
+				return consensus.Change{}, err
+			}
+			m, err := c.member(ctx, args[1])
+			return consensus.Change{Op: "replace", Member: m, ReplacedID: gone.ID}, err
+		})
+	change("transfer NAME", "Hand the lead to an instance", 1,
+		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
+			m, err := c.member(ctx, args[0])
+			return consensus.Change{Op: "transfer", Member: m}, err
+		})
+	return c
+}
+
+// adding asks an instance who it is.
+func (c *client) adding(ctx context.Context, listen string) (consensus.Change, error) {
+	res, err := c.one(ctx, listen, http.MethodGet, "/v1/self", nil)
+	if err != nil {
+		return consensus.Change{}, fmt.Errorf("%s, the instance to be added: %w", listen, err)
+	}
+	defer res.Body.Close()
+	var s consensus.Self
+	if err = json.NewDecoder(res.Body).Decode(&s); err != nil {
+		return consensus.Change{}, err
+	}
+	return consensus.Change{Op: "add", Member: consensus.Member{ID: s.ID, Name: s.Name, Peer: s.Peer,
+		Listen: s.Listen, Promote: true}}, nil
+}
+
+func (c *client) member(ctx context.Context, name string) (consensus.Member, error) {
+	_, best, err := c.rows(ctx)
+	if err != nil {
+		return consensus.Member{}, err
+	}
+	names := make([]string, 0, len(best.Members))
+	for _, m := range best.Members {
+		if m.Name == name {
+			return m, nil
+		}
+		names = append(names, m.Name)
+	}
+	return consensus.Member{}, usage(fmt.Errorf("found no instance %q, expected one of %s", name,
+		strings.Join(names, ", ")))
+}
+
+// change asks for a change of members. Asked again it is found done, or refused for what it is.
+func (c *client) change(ctx context.Context, ch consensus.Change) error {
+	body, err := json.Marshal(ch)
+	if err != nil {
+		return err
+	}
+	if ch.Op == "transfer" { // only the leader can
+		if rows, _, err := c.rows(ctx); err == nil {
+			for _, r := range rows {
+				if r.Report != nil && r.Report.Role == "leader" {
+					c.at = append([]string{r.Listen}, c.at...)
+				}
+			}
+		}
+	}
+	res, err := c.ask(ctx, http.MethodPost, "/v1/members", body)
+	if err != nil {
+		return err
+	}
+	return res.Body.Close()
+}
--- /dev/null
+++ b/internal/harness/result_store_cost.go
@@ -0,0 +1,99 @@
+package harness
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"os"
+	"sync"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"umberwinch/internal/report"
+	"umberwinch/internal/simulation"
+)
+
+// keptWays are what is compared: what a uniqued req takes more, and what others notice of it.
+var keptWays = []struct{ name, own, without string }{{"kept, one sync for all that wait", "[kept]\nfolder = DIR\n", ""},
+	{"kept, a sync each", "[kept]\nfolder = DIR\n", "group"}, {"in memory", "", ""}}
+
+// costs has as many callers as the cores bear ask without a pause, uniqued reqs and others, in turn.
+func (k *ResultStoreTest) costs(ctx context.Context, rep *report.Report) error {
+	span := 8 * time.Second
+	if k.Quick {
+		span = 2 * time.Second
+	}
+	for _, way := range keptWays {
+		for _, callers := range []int{1, 32} {
+			dir, err := os.MkdirTemp("", "kept-")
+			if err != nil {
+				return err
+			}
+			defer os.RemoveAll(dir)
+			r, err := newResultStoreProcesses(dir, k.Program, k.Seed, time.Second, way.own, way.without)
+			if err != nil {
+				return err
+			}
+			if err = r.cost(ctx, rep, way.name, callers, span); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+func (r *resultStoreProcesses) cost(ctx context.Context, rep *report.Report, name string, callers int, span time.Duration) error {
+	defer r.close()
+	r.kernel.begins, r.kernel.calls = nil, false
+	r.kernel.Set(func(classes map[string]*simulation.Class, cores *float64) {
+		for _, c := range classes {
+			c.Work, c.WorkSigma = 1, 0 // a tenth of a ms: what is measured is the node's own part
+		}
+		*cores = 1000
+	})
+	cmd, ended, err := r.start("")
+	if err != nil {
+		return err
+	}
+	defer func() { cmd.Process.Kill(); <-ended }()
+	for end := time.Now().Add(5 * time.Second); ; {
+		if code, _, _ := r.send(ctx, r.client, "submit", newKey(), false); code == http.StatusOK {
+			break
+		}
+		if time.Now().After(end) {
+			return fmt.Errorf("%s: the node is not ready after 5 s: %s", name, r.tail())
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	for _, class := range []string{"submit", "view"} {
+		took, done := hdrhistogram.New(1, 10_000_000, 3), 0
+		var mu sync.Mutex
+		var all sync.WaitGroup
+		began := time.Now()
+		cpu, _ := cpuOf(cmd.Process.Pid)
+		for range callers {
+			all.Add(1)
+			go func() {
+				defer all.Done()
+				for time.Since(began) < span && ctx.Err() == nil {
+					at := time.Now()
+					code, _, _ := r.send(ctx, r.client, class, newKey(), false)
+					mu.Lock()
+					if code == http.StatusOK {
+						done++
+						took.RecordValue(time.Since(at).Microseconds())
+					}
+					mu.Unlock()
+				}
+			}()
+		}
+		all.Wait()
+		after, _ := cpuOf(cmd.Process.Pid)
+		key := fmt.Sprintf("%s, %d callers, %s", name, callers, class)
+		rep.Add(key, "%.0f a second, median %.2f ms, 99th %.2f ms, %.0f us of CPU each", float64(done)/time.Since(began).Seconds(),
+			float64(took.ValueAtQuantile(50))/1000, float64(took.ValueAtQuantile(99))/1000,
+			(after-cpu).Seconds()*1e6/float64(max(done, 1)))
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/simulation/consensus_checks.go
@@ -0,0 +1,148 @@
+package simulation
+
+import (
+	"bytes"
+	"fmt"
+	"hash/crc32"
+
+	"umberwinch/internal/control/consensus"
+)
+
+// recordLog notes what a host's log holds on disk.
+func (w *ConsensusGroup) recordLog(h *host) {
+	if h.replica == nil {
+		return
+	}
+	first, last := h.replica.LogBounds()
+	h.base = first - 1
+	from := first
+	if h.seen > from {
+		from = h.seen
+	}
+	for i := from; i <= last; i++ {
+		term, data := h.replica.EntryAt(i)
+		h.held[i] = term
+		sum := crc32.ChecksumIEEE(data)
+		if was, ok := w.texts[logPosition{i, term}]; ok && was != sum {
+			w.fail("log matching: entry %d of term %d has two contents", i, term)
+		}
+		w.texts[logPosition{i, term}] = sum
+	}
+	for i := last + 1; h.held[i] > 0; i++ {
+		delete(h.held, i)
+	}
+}
+
+func (h *host) holds(s logPosition) bool { return s.index <= h.base || h.held[s.index] == s.term }
+
+// check holds a host's state against all that was seen before.
+func (w *ConsensusGroup) check(h *host) {
+	s := h.replica.Status()
+	w.recordLog(h)
+	if s.Role == "leader" {
+		if who, ok := w.leaders[s.Term]; ok && who != h.id {
+			w.fail("two leaders in term %d: %x and %x", s.Term, who, h.id)
+		} else if !ok {
+			w.leaders[s.Term] = h.id
+			w.tracef("host %d leads term %d", h.n, s.Term)
+			for i := s.FirstIndex; i <= s.LastIndex || w.committed[i] > 0; i++ {
+				if term := w.committed[i]; w.during[i] < s.Term && term > 0 && !h.holds(logPosition{i, term}) {
+					w.fail("leader completeness: host %d leads term %d without entry %d of term %d", h.n, s.Term, i,
+						term)
+				}
+			}
+		}
+	}
+	if s.Applied == h.seen {
+		return
+	}
+	for i := max(h.seen+1, s.FirstIndex); i <= min(s.Applied, s.LastIndex); i++ {
+		term, _ := h.replica.EntryAt(i)
+		if was, ok := w.committed[i]; ok && was != term {
+			w.fail("state machine safety: entry %d was applied with term %d and with %d", i, was, term)
+		}
+		w.committed[i] = term
+		if w.during[i] == 0 {
+			w.during[i] = s.Term
+		}
+	}
+	h.seen = s.Applied
+	w.checkState(h, s)
+}
+
+func (w *ConsensusGroup) checkState(h *host, s consensus.Status) {
+	lines, first := h.replica.Versions()
+	now, outgoing := h.replica.Voters()
+	last := ""
+	if len(lines) > 0 {
+		last = string(lines[len(lines)-1])
+	}
+	picture := fmt.Sprint(s.Version, last, h.replica.Members(), now, outgoing)
+	if was, ok := w.pictures[s.Applied]; ok && was != picture {
+		w.fail("two states after entry %d:\n%s\n%s", s.Applied, was, picture)
+	}
+	w.pictures[s.Applied] = picture
+	for _, c := range [][]uint64{now, outgoing} {
+		if len(c) > 0 && (len(w.confs) == 0 || fmt.Sprint(w.confs[len(w.confs)-1]) != fmt.Sprint(c)) {
+			w.confs = append(w.confs, append([]uint64{}, c...))
+		}
+	}
+	for n := max(h.first+1, first); n <= s.Version; n++ {
+		v, err := consensus.ReadVersion(lines[n-first])
+		if err != nil || v.Number != n {
+			w.fail("version %d reads as %v (%v)", n, v, err)
+			return
+		}
+		if n > w.newest && !w.majority(logPosition{v.Index, v.Term}) {
+			w.fail("host %d applied version %d of entry %d, term %d, which no majority held", h.n, n, v.Index, v.Term)
+		}
+	}
+	w.newest = max(w.newest, s.Version)
+	if s.Version < h.first {
+		w.fail("host %d went back from version %d to %d", h.n, h.first, s.Version)
+	}
+	h.first = s.Version
+}
+
+// majority tells whether one of the latest sets of voters held an entry by more than half.
+func (w *ConsensusGroup) majority(s logPosition) bool {
+	for k := len(w.confs) - 1; k >= max(0, len(w.confs)-4); k-- {
+		n := 0
+		for _, id := range w.confs[k] {
+			if w.holds(id, s) {
+				n++
+			}
+		}
+		if n > len(w.confs[k])/2 {
+			return true
+		}
+	}
+	return false
+}
+
+// holds tells whether an instance holds an entry, or held it on a disk that was lost since.
+func (w *ConsensusGroup) holds(id uint64, s logPosition) bool {
+	for _, h := range w.hosts {
+		if h.id == id && h.holds(s) {
+			return true
+		}
+	}
+	return w.lost[id][s]
+}
+
+// converged tells whether all that take part have the same versions.
+func (w *ConsensusGroup) converged() bool {
+	var want []byte
+	for i, h := range w.members() {
+		if h.replica == nil {
+			return false
+		}
+		lines, first := h.replica.Versions()
+		got := append([]byte(fmt.Sprint(first)), bytes.Join(lines, nil)...)
+		if i > 0 && !bytes.Equal(got, want) {
+			return false
+		}
+		want = got
+	}
+	return true
+}
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -1,18 +1,14 @@
 package simulation
 
 import (
-	"bytes"
 	"container/heap"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"math/rand"
-	"strings"
 
 	"github.com/anishathalye/porcupine"
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/protobuf/proto"
 
 	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/wal"
@@ -204,71 +200,6 @@
 	}
 }
 
-// connectInstance has an instance that came up make itself known to whoever it reaches, again until all know it or it
-// ends.
-func (w *ConsensusGroup) connectInstance(h *host, life int) {
-	if h.replica == nil || h.incarnation != life {
-		return
-	}
-	all := true
-	for _, o := range w.hosts {
-		if o != h && o.replica != nil && !w.exchange(h, o) {
-			all = false
-		}
-		if h.replica == nil {
-			return
-		}
-	}
-	if !all {
-		w.after(100, func() { w.connectInstance(h, life) })
-	}
-}
-
-// exchange tells whether two instances speak with each other; they greet where both ways are open and neither
-// stalls.
-func (w *ConsensusGroup) exchange(a, b *host) bool {
-	key := [2]int{min(a.incarnation, b.incarnation), max(a.incarnation, b.incarnation)}
-	if ok, known := w.met[key]; known {
-		return ok
-	}
-	if w.cut[[2]int{a.n, b.n}] || w.cut[[2]int{b.n, a.n}] || a.frozen > w.now || b.frozen > w.now {
-		return false
-	}
-	ok := true
-	for _, p := range [][2]*host{{a, b}, {b, a}} {
-		var reason string
-		w.do(p[0], func() (err error) {
-			to := uint64(0) // an id is known by being a member's
-			for _, m := range p[1].replica.Members() {
-				if m.ID == p[0].id {
-					to = m.ID
-				}
-			}
-			reason, err = p[0].replica.Handshake(p[1].replica.HelloTo(to))
-			return err
-		})
-		if p[0].replica == nil {
-			return false
-		}
-		if reason != "" {
-			ok = false
-			if consensus.BarsInstance(reason) {
-				w.tracef("host %d told by %d: %s", p[1].n, p[0].n, reason)
-				w.do(p[1], func() error { return p[1].replica.Bar(reason) })
-				if p[1].replica == nil {
-					return false
-				}
-				p[1].gone = p[1].gone || p[1].replica.Barred() != ""
-			}
-		}
-	}
-	// An instance that waits is spoken with once it was taken in; the question is put again until then.
-	if ok || a.replica.Status().Cluster != "" && b.replica.Status().Cluster != "" {
-		w.met[key] = ok
-	}
-	return ok
-}
-
 // do runs something at a host. A failure put there on purpose takes it down, any other breaks the run.
 func (w *ConsensusGroup) do(h *host, f func() error) {
 	defer func() {
@@ -357,59 +288,6 @@
 	})
 }
 
-func (w *ConsensusGroup) send(h *host, life int, ms []*pb.Message) {
-	for _, m := range ms {
-		raw, err := proto.Marshal(m)
-		if err != nil {
-			w.fail("a message: %v", err)
-			return
-		}
-		copies := 1
-		if w.net.Intn(1000) < w.loss {
-			copies = w.net.Intn(2) * 2 // lost, or doubled
-		}
-		to, snap := m.GetTo(), m.GetType() == pb.MessageType_MsgSnap
-		for ; copies > 0; copies-- {
-			took := 1 + w.net.Int63n(w.slow)
-			w.after(took, func() { w.deliver(h, life, to, raw) })
-		}
-		if snap {
-			w.after(2*w.slow, func() {
-				if h.replica != nil && h.incarnation == life {
-					h.replica.ReportSnapshot(to, true)
-					w.work(h)
-				}
-			})
-		}
-	}
-}
-
-func (w *ConsensusGroup) deliver(from *host, life int, to uint64, raw []byte) {
-	var h *host
-	for _, o := range w.hosts {
-		if o.id == to && o.replica != nil {
-			h = o
-		}
-	}
-	if h == nil || w.cut[[2]int{from.n, h.n}] {
-		return
-	}
-	if h.frozen > w.now { // it waits in a socket
-		w.after(h.frozen-w.now, func() { w.deliver(from, life, to, raw) })
-		return
-	}
-	if from.incarnation == life && from.replica != nil && !w.exchange(from, h) || h.replica == nil {
-		return
-	}
-	m := &pb.Message{}
-	if err := proto.Unmarshal(raw, m); err != nil {
-		w.fail("a message: %v", err)
-		return
-	}
-	w.do(h, func() error { h.replica.Step(m); return nil })
-	w.work(h)
-}
-
 // leader gives the host whose instance leads in the latest term, nil if none does.
 func (w *ConsensusGroup) leader() *host {
 	var best *host
@@ -478,128 +356,6 @@
 	return n
 }
 
-// recordLog notes what a host's log holds on disk.
-func (w *ConsensusGroup) recordLog(h *host) {
-	if h.replica == nil {
-		return
-	}
-	first, last := h.replica.LogBounds()
-	h.base = first - 1
-	from := first
-	if h.seen > from {
-		from = h.seen
-	}
-	for i := from; i <= last; i++ {
-		term, data := h.replica.EntryAt(i)
-		h.held[i] = term
-		sum := crc32.ChecksumIEEE(data)
-		if was, ok := w.texts[logPosition{i, term}]; ok && was != sum {
-			w.fail("log matching: entry %d of term %d has two contents", i, term)
-		}
-		w.texts[logPosition{i, term}] = sum
-	}
-	for i := last + 1; h.held[i] > 0; i++ {
-		delete(h.held, i)
-	}
-}
-
-func (h *host) holds(s logPosition) bool { return s.index <= h.base || h.held[s.index] == s.term }
-
-// check holds a host's state against all that was seen before.
-func (w *ConsensusGroup) check(h *host) {
-	s := h.replica.Status()
-	w.recordLog(h)
-	if s.Role == "leader" {
-		if who, ok := w.leaders[s.Term]; ok && who != h.id {
-			w.fail("two leaders in term %d: %x and %x", s.Term, who, h.id)
-		} else if !ok {
-			w.leaders[s.Term] = h.id
-			w.tracef("host %d leads term %d", h.n, s.Term)
-			for i := s.FirstIndex; i <= s.LastIndex || w.committed[i] > 0; i++ {
-				if term := w.committed[i]; w.during[i] < s.Term && term > 0 && !h.holds(logPosition{i, term}) {
-					w.fail("leader completeness: host %d leads term %d without entry %d of term %d", h.n, s.Term, i,
-						term)
-				}
-			}
-		}
-	}
-	if s.Applied == h.seen {
-		return
-	}
-	for i := max(h.seen+1, s.FirstIndex); i <= min(s.Applied, s.LastIndex); i++ {
-		term, _ := h.replica.EntryAt(i)
-		if was, ok := w.committed[i]; ok && was != term {
-			w.fail("state machine safety: entry %d was applied with term %d and with %d", i, was, term)
-		}
-		w.committed[i] = term
-		if w.during[i] == 0 {
-			w.during[i] = s.Term
-		}
-	}
-	h.seen = s.Applied
-	w.checkState(h, s)
-}
-
-func (w *ConsensusGroup) checkState(h *host, s consensus.Status) {
-	lines, first := h.replica.Versions()
-	now, outgoing := h.replica.Voters()
-	last := ""
-	if len(lines) > 0 {
-		last = string(lines[len(lines)-1])
-	}
-	picture := fmt.Sprint(s.Version, last, h.replica.Members(), now, outgoing)
-	if was, ok := w.pictures[s.Applied]; ok && was != picture {
-		w.fail("two states after entry %d:\n%s\n%s", s.Applied, was, picture)
-	}
-	w.pictures[s.Applied] = picture
-	for _, c := range [][]uint64{now, outgoing} {
-		if len(c) > 0 && (len(w.confs) == 0 || fmt.Sprint(w.confs[len(w.confs)-1]) != fmt.Sprint(c)) {
-			w.confs = append(w.confs, append([]uint64{}, c...))
-		}
-	}
-	for n := max(h.first+1, first); n <= s.Version; n++ {
-		v, err := consensus.ReadVersion(lines[n-first])
-		if err != nil || v.Number != n {
-			w.fail("version %d reads as %v (%v)", n, v, err)
-			return
-		}
-		if n > w.newest && !w.majority(logPosition{v.Index, v.Term}) {
-			w.fail("host %d applied version %d of entry %d, term %d, which no majority held", h.n, n, v.Index, v.Term)
-		}
-	}
-	w.newest = max(w.newest, s.Version)
-	if s.Version < h.first {
-		w.fail("host %d went back from version %d to %d", h.n, h.first, s.Version)
-	}
-	h.first = s.Version
-}
-
-// majority tells whether one of the latest sets of voters held an entry by more than half.
-func (w *ConsensusGroup) majority(s logPosition) bool {
-	for k := len(w.confs) - 1; k >= max(0, len(w.confs)-4); k-- {
-		n := 0
-		for _, id := range w.confs[k] {
-			if w.holds(id, s) {
-				n++
-			}
-		}
-		if n > len(w.confs[k])/2 {
-			return true
-		}
-	}
-	return false
-}
-
-// holds tells whether an instance holds an entry, or held it on a disk that was lost since.
-func (w *ConsensusGroup) holds(id uint64, s logPosition) bool {
-	for _, h := range w.hosts {
-		if h.id == id && h.holds(s) {
-			return true
-		}
-	}
-	return w.lost[id][s]
-}
-
 // loseDisk notes what a disk held that is no more.
 func (w *ConsensusGroup) loseDisk(h *host) {
 	for i, term := range h.held {
@@ -610,23 +366,6 @@
 	}
 }
 
-// converged tells whether all that take part have the same versions.
-func (w *ConsensusGroup) converged() bool {
-	var want []byte
-	for i, h := range w.members() {
-		if h.replica == nil {
-			return false
-		}
-		lines, first := h.replica.Versions()
-		got := append([]byte(fmt.Sprint(first)), bytes.Join(lines, nil)...)
-		if i > 0 && !bytes.Equal(got, want) {
-			return false
-		}
-		want = got
-	}
-	return true
-}
-
 func (w *ConsensusGroup) members() []*host {
 	var out []*host
 	l := w.leader()
@@ -643,22 +382,4 @@
 	return out
 }
 
-// discardLogger is raft's logger in a world.
-type discardLogger struct{}
-
-func (discardLogger) Debug(...any)            {}
-func (discardLogger) Debugf(string, ...any)   {}
-func (discardLogger) Error(...any)            {}
-func (discardLogger) Errorf(string, ...any)   {}
-func (discardLogger) Info(...any)             {}
-func (discardLogger) Infof(string, ...any)    {}
-func (discardLogger) Warning(...any)          {}
-func (discardLogger) Warningf(string, ...any) {}
-func (discardLogger) Fatal(v ...any)          { panic(strings.TrimSpace(fmt.Sprintln(v...))) }
-func (discardLogger) Fatalf(f string, v ...any) {
-	panic(fmt.Sprintf(f, v...))
-}
-func (discardLogger) Panic(v ...any)            { panic(strings.TrimSpace(fmt.Sprintln(v...))) }
-func (discardLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-
 var _ raft.Logger = discardLogger{}
--- /dev/null
+++ b/internal/simulation/consensus_network.go
@@ -0,0 +1,126 @@
+package simulation
+
+import (
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"umberwinch/internal/control/consensus"
+)
+
+// connectInstance has an instance that came up make itself known to whoever it reaches, again until all know it or it
+// ends.
+func (w *ConsensusGroup) connectInstance(h *host, life int) {
+	if h.replica == nil || h.incarnation != life {
+		return
+	}
+	all := true
+	for _, o := range w.hosts {
+		if o != h && o.replica != nil && !w.exchange(h, o) {
+			all = false
+		}
+		if h.replica == nil {
+			return
+		}
+	}
+	if !all {
+		w.after(100, func() { w.connectInstance(h, life) })
+	}
+}
+
+// exchange tells whether two instances speak with each other; they greet where both ways are open and neither
+// stalls.
+func (w *ConsensusGroup) exchange(a, b *host) bool {
+	key := [2]int{min(a.incarnation, b.incarnation), max(a.incarnation, b.incarnation)}
+	if ok, known := w.met[key]; known {
+		return ok
+	}
+	if w.cut[[2]int{a.n, b.n}] || w.cut[[2]int{b.n, a.n}] || a.frozen > w.now || b.frozen > w.now {
+		return false
+	}
+	ok := true
+	for _, p := range [][2]*host{{a, b}, {b, a}} {
+		var reason string
+		w.do(p[0], func() (err error) {
+			to := uint64(0) // an id is known by being a member's
+			for _, m := range p[1].replica.Members() {
+				if m.ID == p[0].id {
+					to = m.ID
+				}
+			}
+			reason, err = p[0].replica.Handshake(p[1].replica.HelloTo(to))
+			return err
+		})
+		if p[0].replica == nil {
+			return false
+		}
+		if reason != "" {
+			ok = false
+			if consensus.BarsInstance(reason) {
+				w.tracef("host %d told by %d: %s", p[1].n, p[0].n, reason)
+				w.do(p[1], func() error { return p[1].replica.Bar(reason) })
+				if p[1].replica == nil {
+					return false
+				}
+				p[1].gone = p[1].gone || p[1].replica.Barred() != ""
+			}
+		}
+	}
+	// An instance that waits is spoken with once it was taken in; the question is put again until then.
+	if ok || a.replica.Status().Cluster != "" && b.replica.Status().Cluster != "" {
+		w.met[key] = ok
+	}
+	return ok
+}
+
+func (w *ConsensusGroup) send(h *host, life int, ms []*pb.Message) {
+	for _, m := range ms {
+		raw, err := proto.Marshal(m)
+		if err != nil {
+			w.fail("a message: %v", err)
+			return
+		}
+		copies := 1
+		if w.net.Intn(1000) < w.loss {
+			copies = w.net.Intn(2) * 2 // lost, or doubled
+		}
+		to, snap := m.GetTo(), m.GetType() == pb.MessageType_MsgSnap
+		for ; copies > 0; copies-- {
+			took := 1 + w.net.Int63n(w.slow)
+			w.after(took, func() { w.deliver(h, life, to, raw) })
+		}
+		if snap {
+			w.after(2*w.slow, func() {
+				if h.replica != nil && h.incarnation == life {
+					h.replica.ReportSnapshot(to, true)
+					w.work(h)
+				}
+			})
+		}
+	}
+}
+
+func (w *ConsensusGroup) deliver(from *host, life int, to uint64, raw []byte) {
+	var h *host
+	for _, o := range w.hosts {
+		if o.id == to && o.replica != nil {
+			h = o
+		}
+	}
+	if h == nil || w.cut[[2]int{from.n, h.n}] {
+		return
+	}
+	if h.frozen > w.now { // it waits in a socket
+		w.after(h.frozen-w.now, func() { w.deliver(from, life, to, raw) })
+		return
+	}
+	if from.incarnation == life && from.replica != nil && !w.exchange(from, h) || h.replica == nil {
+		return
+	}
+	m := &pb.Message{}
+	if err := proto.Unmarshal(raw, m); err != nil {
+		w.fail("a message: %v", err)
+		return
+	}
+	w.do(h, func() error { h.replica.Step(m); return nil })
+	w.work(h)
+}
--- /dev/null
+++ b/internal/simulation/pools.go
@@ -0,0 +1,173 @@
+package simulation
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"runtime"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"umberwinch/internal/report"
+)
+
+// Pools is a run of `umberctl lab pools`: each scenario in virtual time with pools, without, with fixed ones,
+// and with a plain pool before a short queue, from the same seed.
+type Pools struct {
+	Seed    int64
+	Quick   bool
+	Size    int // servers
+	Out     string
+	Without string // reserve, limits or heavy
+	Only    string // one scenario
+}
+
+// Run plays all scenarios in all ways and reports.
+func (r *Pools) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
+	rep := &report.Report{Name: "pools", Title: "Pools of run slots, in virtual time",
+		Head: []string{"SCENARIO", "CLASS", "ASKED", "POOLS", "OFF", "FIXED", "PLAIN", "95TH POOLS", "95TH OFF"}}
+	size := r.Size
+	if size == 0 {
+		if size = 24; r.Quick {
+			size = 6
+		}
+	}
+	files, err := scenarioFiles.ReadDir("scenarios")
+	if err != nil {
+		return nil, err
+	}
+	var all []*Scenario
+	for _, f := range files {
+		raw, err := scenarioFiles.ReadFile("scenarios/" + f.Name())
+		if err != nil {
+			return nil, err
+		}
+		name := strings.TrimSuffix(f.Name(), ".txt")
+		if r.Only != "" && name != r.Only {
+			continue
+		}
+		s, err := ReadScenario(name, string(raw))
+		if err != nil {
+			return nil, err
+		}
+		all = append(all, s)
+	}
+	if len(all) == 0 {
+		return nil, fmt.Errorf("no scenario %q", r.Only)
+	}
+	started := time.Now()
+	done := r.playAll(ctx, all, size)
+	if ctx.Err() != nil {
+		return nil, ctx.Err()
+	}
+	rep.Add("seed", "%d", r.Seed)
+	rep.Add("servers", "%d", size)
+	least, reqs := 1.0, 0
+	for i, s := range all {
+		o := done[i]
+		for k := range s.Classes {
+			row := []string{s.name, s.Classes[k].Name, strconv.Itoa(o["pools"].out[k].asked)}
+			for _, way := range poolWays {
+				row = append(row, fmt.Sprintf("%.3f", o[way].out[k].good()))
+				reqs += o[way].out[k].asked
+			}
+			rep.Rows = append(rep.Rows, append(row, report.Milliseconds(o["pools"].out[k].times.ValueAtQuantile(95)/10),
+				report.Milliseconds(o["off"].out[k].times.ValueAtQuantile(95)/10)))
+		}
+		rep.Rows = append(rep.Rows, []string{"", "value", "", fmt.Sprintf("%.0f", o["pools"].value),
+			fmt.Sprintf("%.0f", o["off"].value), fmt.Sprintf("%.0f", o["fixed"].value),
+			fmt.Sprintf("%.0f", o["plain"].value), fmt.Sprintf("%.1f runs a core", o["pools"].most), ""})
+		r.check(rep, s, o, &least)
+		rep.Plots = append(rep.Plots, limitPlot(s, o["pools"]), servedPlot(s, o))
+	}
+	rep.Add("scenarios", "%d", len(all))
+	rep.Add("reqs", "%d", reqs)
+	rep.Add("cheapest_least", "%.3f", least)
+	rep.Notes = append(rep.Notes, fmt.Sprintf("%.1f s for %d reqs", time.Since(started).Seconds(), reqs))
+	return rep.End(r.Out, w)
+}
+
+func (r *Pools) playAll(ctx context.Context, all []*Scenario, size int) []map[string]*outcome {
+	done := make([]map[string]*outcome, len(all))
+	for i := range done {
+		done[i] = map[string]*outcome{}
+	}
+	var mu sync.Mutex
+	var wg sync.WaitGroup
+	room := make(chan struct{}, runtime.GOMAXPROCS(0))
+	for i, s := range all {
+		for _, way := range poolWays {
+			room <- struct{}{}
+			wg.Add(1)
+			go func() {
+				defer func() { <-room; wg.Done() }()
+				if ctx.Err() != nil {
+					return
+				}
+				o := s.play(r.Seed, size, way, r.Without)
+				mu.Lock()
+				done[i][way] = o
+				mu.Unlock()
+			}()
+		}
+	}
+	wg.Wait()
+	return done
+}
+
+// check holds one scenario to the promises.
+func (r *Pools) check(rep *report.Report, s *Scenario, o map[string]*outcome, least *float64) {
+	with, off := o["pools"], o["off"]
+	cheap := &with.out[s.Cheapest]
+	good := float64(cheap.fairInTime) / float64(max(1, cheap.fair)) // of tenants within their share
+	if !s.exempt {
+		*least = min(*least, good)
+		if good < cheapServed {
+			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, good, s.Classes[s.Cheapest].Name, cheapServed)
+		}
+	}
+	if a, b := with.out[s.Dearest].good(), off.out[s.Dearest].good(); a < b-keepsServing {
+		rep.Break("%s: %.3f of %s in time with pools, %.3f without", s.name, a, s.Classes[s.Dearest].Name, b)
+	}
+	for _, h := range s.holds {
+		if got := with.out[h.class].good(); got < h.share {
+			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, got, s.Classes[h.class].Name, h.share)
+		}
+	}
+	if with.most > 5 { // what the emulated cores survive; the module keeps a fifth off it
+		rep.Break("%s: %.1f runs a core", s.name, with.most)
+	}
+}
+
+func limitPlot(s *Scenario, o *outcome) report.Plot {
+	p := report.Plot{Title: s.name + ": limits at one server (30: none)", X: "s", Y: "run slots"}
+	for k := range s.Classes {
+		l := report.Line{Name: s.Classes[k].Name}
+		for i, row := range o.limits {
+			l.Points = append(l.Points, [2]float64{float64(i), row[k]})
+		}
+		p.Lines = append(p.Lines, l)
+	}
+	return p
+}
+
+func servedPlot(s *Scenario, o map[string]*outcome) report.Plot {
+	p := report.Plot{Title: s.name + ": " + s.Classes[s.Cheapest].Name + " done in time", X: "s", Y: "share"}
+	for _, way := range poolWays {
+		l := report.Line{Name: way}
+		t := &o[way].out[s.Cheapest]
+		for i := 5; i+5 < len(t.came); i += 5 {
+			came, served := 0, 0
+			for k := i; k < i+5; k++ {
+				came, served = came+t.came[k], served+t.served[k]
+			}
+			if came > 0 {
+				l.Points = append(l.Points, [2]float64{float64(i), float64(served) / float64(came)})
+			}
+		}
+		p.Lines = append(p.Lines, l)
+	}
+	return p
+}
--- /dev/null
+++ b/internal/simulation/zones_faults.go
@@ -0,0 +1,79 @@
+package simulation
+
+func (v *Zones) injectFault() {
+	v.failing = true
+	v.lead()
+	for z, b := range v.below {
+		switch k := v.kind(z); k {
+		case ZoneDead, ZoneRestart:
+			b.warm = 0
+			for i, n := range v.Fleet.nodes {
+				if n.zone == z && n.up {
+					n.kill()
+					v.said[i] = min(v.said[i], v.Fleet.Now)
+				}
+			}
+		case ZoneSlow:
+			b.speed = 0.1
+		case ZoneCommon:
+			v.Fleet.after(v.Stagger*float64(z), func() {
+				if v.failing {
+					b.speed = 0.1
+				}
+			})
+		case ZoneCutOff:
+			for _, n := range v.Fleet.nodes {
+				n.cut = n.cut || n.zone == z
+			}
+		}
+	}
+}
+
+func (v *Zones) heal() {
+	v.failing = false
+	for z, b := range v.below {
+		if b.speed < 1 {
+			b.speed, b.warm = 1, 0 // what comes back is cold
+		}
+		if v.kind(z) == ZoneKernels {
+			b.warm = 0
+		}
+	}
+	for _, n := range v.Fleet.nodes {
+		n.cut = false
+		if !n.up {
+			n.start()
+		}
+	}
+}
+
+// middle is what comes in the middle of a return.
+func (v *Zones) middle() {
+	if v.struck {
+		return
+	}
+	v.struck = true
+	for _, n := range v.Fleet.nodes {
+		if n.notStarted {
+			n.notStarted = false
+			n.start()
+		}
+	}
+	v.lead()
+	if b := v.below[0]; v.Again {
+		b.speed = 0.3
+		v.Fleet.after(25_000, func() { b.speed = 1 })
+	}
+}
+
+// lead has the leader lost, if that is asked for.
+func (v *Zones) lead() {
+	w := v.Fleet
+	if !v.Lead || w.leader < 0 {
+		return
+	}
+	c := w.control[w.leader]
+	c.up, w.leader = false, -1
+	w.after(800, w.elect)
+	w.after(3000, func() { c.s, c.up, c.last = w.currentLeader(), true, w.Now*c.rate })
+}
