--- a/internal/config/operator_test.go
+++ b/internal/config/config_test.go
@@ -127,11 +127,13 @@
 func TestKeptSection(t *testing.T) {
 	dir := t.TempDir()
 	n, err := readNode(Parse("node.ini", []byte("[kept]\nfolder = "+dir+"\n")))
-	if err != nil || n.Kept.Folder != dir || n.Kept.Entries != 100_000 || n.Kept.MB != 512 || n.Kept.Result != 8<<10 {
+	if err != nil || n.ResultStore.Folder != dir || n.ResultStore.MaxKeys != 100_000 || n.ResultStore.MaxMB != 512 ||
+		n.ResultStore.MaxResultBytes != 8<<10 {
 		t.Fatalf("%+v %v", n, err)
 	}
 	o, err := readNode(Parse("node.ini", nil))
-	if err != nil || o.Kept != nil || SameKept(n.Kept, o.Kept) || !SameKept(n.Kept, n.Kept) {
+	if err != nil || o.ResultStore != nil || SameResultStore(n.ResultStore, o.ResultStore) ||
+		!SameResultStore(n.ResultStore, n.ResultStore) {
 		t.Errorf("without a section: %+v %v", o, err)
 	}
 	for text, want := range map[string]string{
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// Fleet is what a node is told of the fleet it serves in. Without a [fleet] section it serves alone, as ever.
+// Fleet is the [fleet] section of a node's file. Without one the node serves without a control service.
 type Fleet struct {
-	Control []string // where instances of the control service listen for clients
-	Name    string   // empty: the platform's
-	At      string   // where other nodes reach it; empty: where it listens
-	Zone    string
-	Folder  string // kept there: the version served under and the one prepared; empty: nothing is
-	NoTrial bool   // for the laboratory alone, as is Without
-	Without []string
+	Control        []string // where instances of the control service listen for clients
+	Name           string   // empty: the platform's
+	At             string   // where other nodes reach it; empty: where it listens
+	Zone           string
+	Folder         string // for the active and the prepared version; empty: none is stored
+	NoTrialRun     bool   // for fault tests alone, as DisabledGuards
+	DisabledGuards []string
 }
 
-// withoutEnv names guards to be taken out, for the laboratory alone.
-const withoutEnv = "UMBERWINCH_WITHOUT"
+// disabledGuardsEnv names the environment variable with guards to be disabled, for fault tests alone.
+const disabledGuardsEnv = "UMBERWINCH_WITHOUT"
 
 // maxControl bounds the list; a group has 15 members at most.
 const maxControl = 15
@@ -56,11 +56,11 @@
 			t.Note("fleet", "folder", strconv.Quote(clip(f.Folder)), "a folder that is there")
 		}
 	}
-	for _, word := range strings.Split(os.Getenv(withoutEnv), ",") {
+	for _, word := range strings.Split(os.Getenv(disabledGuardsEnv), ",") {
 		if word == "shadow" {
-			f.NoTrial = true
+			f.NoTrialRun = true
 		} else if word == "fence" || word == "no-way-back" || word == "generation" {
-			f.Without = append(f.Without, word)
+			f.DisabledGuards = append(f.DisabledGuards, word)
 		}
 	}
 	return f
@@ -71,5 +71,6 @@
 	if f == nil || o == nil {
 		return f == o
 	}
-	return slices.Equal(f.Control, o.Control) && f.Name == o.Name && f.Zone == o.Zone && f.Folder == o.Folder && f.At == o.At
+	return slices.Equal(f.Control, o.Control) && f.Name == o.Name && f.Zone == o.Zone && f.Folder == o.Folder &&
+		f.At == o.At
 }
--- a/internal/config/text.go
+++ b/internal/config/ini.go
@@ -1,6 +1,3 @@
-// Package config reads the files that operators write: INI text, typed, checked whole, with the line of
-// every fault. It owns the form of such files and how faults are told. It never acts on what it read, and no
-// part of a file with a fault counts.
 package config
 
 import (
@@ -27,6 +24,7 @@
 	Expected string
 }
 
+// String names file, line and key, and says what was found and expected.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s:%d: %s: found %s, expected %s", f.File, f.Line, f.Key, f.Found, f.Expected)
 }
@@ -34,6 +32,7 @@
 // Faults are all that is wrong in a file, in the order of its lines.
 type Faults []Fault
 
+// Error gives a line for each fault.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
@@ -42,16 +41,16 @@
 	return strings.Join(lines, "\n")
 }
 
-type place struct{ section, key string }
+type keyName struct{ section, key string }
 
 // Text is one file as read. Its getters answer with the value, or with the default and a fault noted.
 type Text struct {
 	name   string
 	file   *ini.File
 	order  []string // sections as they come
-	lines  map[place]int
-	secret map[place]bool
-	used   map[place]bool
+	lines  map[keyName]int
+	secret map[keyName]bool
+	used   map[keyName]bool
 	known  map[string]bool
 	faults Faults
 }
@@ -74,8 +73,8 @@
 
 // Parse takes text at hand; name stands in the faults.
 func Parse(name string, raw []byte) *Text {
-	t := &Text{name: name, lines: map[place]int{}, used: map[place]bool{}, known: map[string]bool{},
-		secret: map[place]bool{}}
+	t := &Text{name: name, lines: map[keyName]int{}, used: map[keyName]bool{}, known: map[string]bool{},
+		secret: map[keyName]bool{}}
 	if len(raw) > maxText {
 		t.file = ini.Empty()
 		t.note(0, "file", fmt.Sprintf("%d bytes", len(raw)), "1048576 at most")
@@ -117,7 +116,7 @@
 			} else {
 				seen[name] = at
 				t.order = append(t.order, name)
-				t.lines[place{name, ""}] = at
+				t.lines[keyName{name, ""}] = at
 			}
 			section, bare = name, "["+name+"]"
 		default:
@@ -128,7 +127,7 @@
 				bare = ""
 				break
 			}
-			p := place{section, key}
+			p := keyName{section, key}
 			if first := t.lines[p]; first > 0 {
 				t.note(at, section+"."+key, fmt.Sprintf("it again, first on line %d", first), "each key once")
 				bare = ""
@@ -152,17 +151,17 @@
 	t.faults = append(t.faults, Fault{t.name, line, key, found, expected})
 }
 
-// Note adds a fault found by whoever uses the file; an empty key means the section.
+// Note adds a fault found by the user of the file; an empty key means the section.
 func (t *Text) Note(section, key, found, expected string) {
-	line := t.lines[place{section, key}]
+	line := t.lines[keyName{section, key}]
 	if line == 0 {
-		line = t.lines[place{section, ""}]
+		line = t.lines[keyName{section, ""}]
 	}
 	name := section
 	if key != "" {
 		name += "." + key
 	}
-	if t.secret[place{section, key}] {
+	if t.secret[keyName{section, key}] {
 		found = "a value that is not shown"
 	}
 	t.note(line, name, found, expected)
@@ -184,12 +183,12 @@
 // Has tells whether a section stands in the file.
 func (t *Text) Has(section string) bool {
 	t.known[section] = true
-	return t.lines[place{section, ""}] > 0
+	return t.lines[keyName{section, ""}] > 0
 }
 
 func (t *Text) value(section, key string) (string, bool) {
 	t.known[section] = true
-	t.used[place{section, key}] = true
+	t.used[keyName{section, key}] = true
 	s, err := t.file.GetSection(section)
 	if err != nil || !s.HasKey(key) {
 		return "", false
@@ -216,7 +215,7 @@
 
 // Secret is a text that is never shown.
 func (t *Text) Secret(section, key string) string {
-	t.secret[place{section, key}] = true
+	t.secret[keyName{section, key}] = true
 	return t.String(section, key, "")
 }
 
@@ -339,7 +338,7 @@
 			continue
 		}
 		for _, key := range section.KeyStrings() {
-			if !t.used[place{s, key}] {
+			if !t.used[keyName{s, key}] {
 				t.Note(s, key, "a key that is not known", "one of this section's keys")
 			}
 		}
--- a/internal/config/pin_keys_test.go
+++ b/internal/config/pin_keys_test.go
@@ -33,7 +33,8 @@
 		got  []string
 		want string
 	}{
-		{"control.ini", keysOf(control), `clients.token disk.limit_mb disk.snapshot_mb disk.snapshot_rate_mb group.election_ticks group.out_of_touch
+		{"control.ini", keysOf(control),
+			`clients.token disk.limit_mb disk.snapshot_mb disk.snapshot_rate_mb group.election_ticks group.out_of_touch
 group.tick instance.bind instance.data instance.listen instance.name instance.peer
 instance.start log.form log.from tls.authority tls.certificate tls.key`},
 		{"node.ini", keysOf(node), `fleet.at fleet.control fleet.folder fleet.name fleet.zone kept.entries
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -88,8 +88,8 @@
 		Peer:          c.Peer,
 		Listen:        c.Listen,
 		FoundGroup:    c.Start == "new",
-		ElectionTicks: c.Elect,
-		SnapshotBytes: c.SnapMB << 20,
+		ElectionTicks: c.ElectionTicks,
+		SnapshotBytes: c.SnapshotMB << 20,
 		Sizes:         wal.Sizes{SegmentBytes: min(maxSegmentBytes, limit/minSegmentsOnDisk), MaxBytes: limit},
 		Random:        randomID,
 	}
@@ -120,7 +120,7 @@
 		g.replica.Close()
 		return nil, err
 	}
-	g.transport = newTransport(g, g.credentials, log, c.RateMB)
+	g.transport = newTransport(g, g.credentials, log, c.SnapshotRateMB)
 	g.publish()
 	g.logStart()
 	go g.transport.serve(listener)
--- a/internal/control/consensus/group_loop.go
+++ b/internal/control/consensus/group_loop.go
@@ -97,7 +97,7 @@
 	g.ticks++
 	g.replica.Tick()
 	g.tickLeader(g.elapsedMS())
-	retryAfter := uint64(g.control.Elect)
+	retryAfter := uint64(g.control.ElectionTicks)
 	if overdue := g.waiting.overdueReads(g.ticks, retryAfter); len(overdue) > 0 {
 		g.requestRead(overdue)
 	}
@@ -129,7 +129,7 @@
 		FirstVersion:   first,
 		PublishedAt:    time.Now(),
 		Superseded:     make(chan struct{}),
-		contactTimeout: g.control.Touch,
+		contactTimeout: g.control.ContactTimeout,
 		tick:           g.control.Tick,
 	}
 	previous := g.view.Swap(v)
--- a/internal/control/consensus/group_requests.go
+++ b/internal/control/consensus/group_requests.go
@@ -117,7 +117,7 @@
 
 // awaitMembers waits for the time of an election at most. failed is why the change was not proposed.
 func (g *Group) awaitMembers(ctx context.Context, done func([]Member) bool, failed error) (shown bool, err error) {
-	retry := time.NewTimer(time.Duration(g.control.Elect) * g.control.Tick)
+	retry := time.NewTimer(time.Duration(g.control.ElectionTicks) * g.control.Tick)
 	defer retry.Stop()
 	for {
 		v := g.View()
--- a/internal/node/server/fleet_agent.go
+++ b/internal/node/server/fleet_agent.go
@@ -125,7 +125,7 @@
 	if !config.IsName(out.Name) {
 		return out, fmt.Errorf("fleet.name: found %.50q, expected up to 40 letters, digits, '-', '_' and '.'", out.Name)
 	}
-	for _, name := range c.Without {
+	for _, name := range c.DisabledGuards {
 		guard, err := policy.GuardNamed(name)
 		if err != nil {
 			return out, err
--- a/internal/node/server/fleet_version.go
+++ b/internal/node/server/fleet_version.go
@@ -132,7 +132,7 @@
 
 // tryVersion evaluates a version on the requests that came lately, off the loop. One that is committed needs no trial.
 func (f *fleetAgent) tryVersion(v versionAtHand) {
-	if f.versions.committed || f.config.NoTrial {
+	if f.versions.committed || f.config.NoTrialRun {
 		go f.host.runOnLoop(func() { f.versionTried(v, shadow.Verdict{}, 0) })
 		return
 	}
--- a/internal/node/server/pools.go
+++ b/internal/node/server/pools.go
@@ -40,7 +40,7 @@
 	p.Reserve = c.own.Reserve
 	for _, o := range c.own.Pools {
 		k := &p.Classes[c.settings.HandlerIndex[o.Handler]]
-		k.MinFraction, k.MaxFraction, k.FixedLimit = o.Floor, o.Cap, o.Fixed
+		k.MinFraction, k.MaxFraction, k.FixedLimit = o.MinShare, o.Cap, o.Fixed
 	}
 	return p
 }
--- a/internal/node/server/reload.go
+++ b/internal/node/server/reload.go
@@ -27,9 +27,9 @@
 		l.log.Warn(logFleetSectionKept)
 		c.own.Fleet = l.startup.own.Fleet
 	}
-	if !config.SameKept(c.own.Kept, l.startup.own.Kept) {
+	if !config.SameResultStore(c.own.ResultStore, l.startup.own.ResultStore) {
 		l.log.Warn(logResultSectionKept)
-		c.own.Kept = l.startup.own.Kept
+		c.own.ResultStore = l.startup.own.ResultStore
 	}
 	l.reconfigurePools(c)
 }
--- a/internal/node/server/result_fault.go
+++ b/internal/node/server/result_fault.go
@@ -36,7 +36,9 @@
 )
 
 // without tells whether a fault test took a guard out.
-func (k *resultKeeper) without(guard string) bool { return slices.Contains(k.config.Without, guard) }
+func (k *resultKeeper) without(guard string) bool {
+	return slices.Contains(k.config.DisabledGuards, guard)
+}
 
 // faultPoint is where a fault test wants the node to die, the n-th time that it gets there.
 type faultPoint struct {
--- a/internal/node/server/result_host.go
+++ b/internal/node/server/result_host.go
@@ -8,8 +8,8 @@
 
 // startResultKeeper readies the result keeper, if the operator's file has one.
 func (l *loop) startResultKeeper() {
-	if l.startup.own != nil && l.startup.own.Kept != nil {
-		l.results = newResultKeeper(l, l.log, l.startup.own.Kept)
+	if l.startup.own != nil && l.startup.own.ResultStore != nil {
+		l.results = newResultKeeper(l, l.log, l.startup.own.ResultStore)
 	}
 }
 
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -130,7 +130,7 @@
 	host   resultHost
 	clock  steadyClock
 	log    *logrus.Logger
-	config *config.Kept
+	config *config.ResultStore
 
 	index *resultstore.Index // nil: the folder is not read yet
 	store *resultstore.Store
@@ -157,10 +157,10 @@
 }
 
 // newResultKeeper starts to read the folder.
-func newResultKeeper(host resultHost, log *logrus.Logger, c *config.Kept) *resultKeeper {
+func newResultKeeper(host resultHost, log *logrus.Logger, c *config.ResultStore) *resultKeeper {
 	k := &resultKeeper{host: host, clock: bootTime, log: log, config: c, mode: modeOpening,
 		reads:  make(chan func(), maxReads),
-		faults: faultPoint{at: c.DieAt, on: c.DieOn}}
+		faults: faultPoint{at: c.KillAt, on: c.KillCount}}
 	go func() { // ends with the process
 		for read := range k.reads {
 			read()
@@ -172,8 +172,8 @@
 
 // open reads the folder, off the loop.
 func (k *resultKeeper) open(after time.Duration) {
-	limits := resultstore.Limits{Keys: k.config.Entries, Bytes: int64(k.config.MB) * bytesPerMB,
-		ResultBytes: k.config.Result}
+	limits := resultstore.Limits{Keys: k.config.MaxKeys, Bytes: int64(k.config.MaxMB) * bytesPerMB,
+		ResultBytes: k.config.MaxResultBytes}
 	handlers := k.host.platform().Deployment.Handlers
 	for i := range handlers {
 		limits.LongestWindow = max(limits.LongestWindow, windowOf(&handlers[i]))
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -61,7 +61,7 @@
 				RetrySafety: admission.IdempotencyKeyed}}}}}
 	l.startClock(admission.Second)
 	l.results = &resultKeeper{host: l, clock: bootTime, log: log,
-		config: &config.Kept{Entries: 100, MB: 1, Result: 100},
+		config: &config.ResultStore{MaxKeys: 100, MaxMB: 1, MaxResultBytes: 100},
 		reads:  make(chan func(), 1)}
 	store, book, found, err := resultstore.Open(d, wal.Sizes{SegmentBytes: 1 << 16, MaxBytes: 1 << 20},
 		resultstore.Limits{Keys: 100, Bytes: 1 << 18, ResultBytes: 100},
--- a/internal/node/server/result_run.go
+++ b/internal/node/server/result_run.go
@@ -124,7 +124,7 @@
 	if record.Kind != resultstore.Result {
 		if log := k.host.limitLog(); log != nil {
 			log.WithFields(logrus.Fields{logging.Bytes: len(result),
-				logging.MaxBytes: k.config.Result}).Info(logResultTooLarge)
+				logging.MaxBytes: k.config.MaxResultBytes}).Info(logResultTooLarge)
 		}
 	}
 	sharedKey := r.key
