--- a/internal/node/server/client_connections.go
+++ b/internal/node/server/client_connections.go
@@ -90,7 +90,8 @@
 // nothing complete the oldest, then of those that brought health checks alone the one idle for longest, then of all.
 // Guards against clients that open connections and send nothing, and against those that keep what they no longer use:
 // all places would be taken, and further clients would wait to be accepted. It holds as the listener's bound is above
-// EvictAbove. A request that crosses such a close is sent again by its client.
+// EvictAbove. A request that crosses such a close is sent again by its client. See "eviction for room" and "full
+// table" in docs/design/shutdown.md.
 func (l *loop) evict() {
 	l.endLingering()
 	for l.connections.used > l.limits.EvictAbove && l.usable() > l.limits.EvictAbove {
@@ -129,7 +130,9 @@
 	return n
 }
 
-// leastUsed finds the idle connection whose close costs least, if there is one.
+// leastUsed finds the idle connection whose close costs least, if there is one: by what it has brought, then by when
+// it was last active. One used or opened just now is left, as its next request may be on its way (EvictionMinIdle,
+// EvictionMinAge); so is one whose close failed in this round.
 func (l *loop) leastUsed() (out *connection) {
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
 		c := l.connections.get(h)
@@ -224,7 +227,8 @@
 }
 
 // connectionFlooded closes a connection on which more comes after its end than is passed over. Guards against clients
-// that send on and on: reading it takes a core. All that was read before is answered by then, as it is closing.
+// that send on and on: reading it takes a core. All that was read before is answered by then, as it is closing. See
+// "endless input" in docs/design/shutdown.md.
 func (l *loop) connectionFlooded(p *peer) {
 	if c := l.connections.get(p.handle); c != nil && c.closing && !c.closed {
 		l.abort(c)
--- a/internal/node/server/client_peer.go
+++ b/internal/node/server/client_peer.go
@@ -136,7 +136,8 @@
 
 // seal ends the reading of requests, unless one is on its way: handed over and not begun, begun to be read, or in a
 // buffer of this process or of the system. With force only complete requests count. Guards against a close that
-// crosses a request: the client could not tell whether it ran.
+// crosses a request: the client could not tell whether it ran. See "The order in which a connection ends" in
+// docs/design/shutdown.md.
 func (p *peer) seal(force bool) bool {
 	p.intake.Lock()
 	defer p.intake.Unlock()
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -41,7 +41,7 @@
 
 // drainTick sees whether nobody sends here any more, or the kill is near: then the listener takes what is complete and
 // closes, idle connections are closed, what crosses that is still answered, and the loop ends. The listener stays open
-// until then, as clients learn late that this server leaves.
+// until then, as clients learn late that this server leaves. See docs/design/shutdown.md.
 func (l *loop) drainTick() {
 	closeBy := l.answerBy - lastAnswers
 	quiet := l.now-max(l.lastRequest, l.drainSince) >= l.limits.DrainQuiet && l.now-l.drainSince >= minServing
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -49,7 +49,7 @@
 }
 
 // failed doubles the wait, within MinBackoff and MaxBackoff. Half of it is left to chance, so that servers which lost
-// the same peer at the same moment don't come back to it together.
+// the same peer at the same moment don't come back to it together. It harms only what needs the peer meanwhile.
 func (b *backoff) failed(l *loop) {
 	b.delay = min(max(2*b.delay, l.limits.MinBackoff), l.limits.MaxBackoff)
 	b.notBefore = l.now + b.delay/2 + admission.Time(rand.Int64N(int64(b.delay/2)+1))
--- a/internal/node/server/listener.go
+++ b/internal/node/server/listener.go
@@ -80,9 +80,10 @@
 	return accepted, err
 }
 
-// run hands each accepted descriptor to enter until stop is called. Before it returns it accepts whatever the
-// system had completed by then and closes the socket: who connects after that is refused, which proves that
-// nothing ran. warn hears of an error once for as long as it lasts.
+// run hands each accepted descriptor to enter until stop is called; what fails is tried again, by the rows of accept in
+// docs/design/failures.md. Before it returns it accepts whatever the system had completed by then and closes the
+// socket: who connects after that is refused, which proves that nothing ran. warn hears of an error once for as long
+// as it lasts.
 func (ln *listener) run(enter func(fd int), warn func(error)) {
 	var last error
 	for {
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -117,8 +117,9 @@
 	return a
 }
 
-// checkRequest tells why a request does not reach the controller, by the first check that it fails. The checks that
-// count what they reject, and those that change what is kept of other requests, come after those on the request itself.
+// checkRequest tells why a request does not reach the controller, by the first check that it fails: first what is
+// wrong with the request itself, then what this server can't take at present. It harms only that request. The checks
+// that count what they reject, and those that look at other requests, come last.
 func (l *loop) checkRequest(a *arrivingRequest, response *wire.Response) rejection {
 	switch {
 	case !a.knownHandler:
--- a/internal/node/server/store_connections.go
+++ b/internal/node/server/store_connections.go
@@ -64,8 +64,10 @@
 	}
 }
 
-// pickStoreConnection finds the connection for a call: the idle one used last, else a new one, else the one with the
-// fewest calls.
+// pickStoreConnection finds the connection for a call: the idle one used last, as it is the least likely to be closed
+// by the other side; else a new one, unless the bound, the backoff after a failed dial or the zone's quota forbids it;
+// else the one with the fewest calls, which shares their fate if it breaks. None: the call ends as not executed, which
+// harms only that request.
 func (l *loop) pickStoreConnection(r *request) (best handle, _ *storeConnection) {
 	s := &l.store
 	l.closeIdleStoreConnections()
--- a/internal/node/server/writer.go
+++ b/internal/node/server/writer.go
@@ -137,7 +137,8 @@
 )
 
 // write has netpoll send b. What it could not send for a moment stays in its buffer and is sent again. Guards against a
-// response that is lost with its connection over a lack of memory that passes.
+// response that is lost with its connection over a lack of memory that passes. See the rows of write in
+// docs/design/failures.md.
 func (w *writer) write(b []byte) error {
 	// Write holds netpoll's own lock against a close from the other side; its Writer does not.
 	_, err := w.conn.Write(b)
