--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -22,21 +22,21 @@
 	running        int     // runs in progress, those at calls too
 	current        int     // the limit that follows the gauge
 	maxRunsPerCore float64
-	slowStart      slowStart
+	warmUp         warmUp
 }
 
 func newConcurrencyLimit(d *Deployment) concurrencyLimit {
 	return concurrencyLimit{cores: float64(d.Cores), current: d.Cores, maxRunsPerCore: max(d.MaxRunsPerCore, 1),
-		slowStart: newSlowStart(d)}
+		warmUp: newWarmUp(d)}
 }
 
 // ceiling decides how many runs this server survives on its cores. Runs at calls count, since all may come back at
 // once.
 func (l *concurrencyLimit) ceiling(now Time) int {
-	speed := l.slowStart.speed(now)
+	speed := l.warmUp.speed(now)
 	ceiling := ceilingFraction * l.cores * (1 + (l.maxRunsPerCore-1)*speed)
 	if speed < 1 {
-		ceiling = min(ceiling, slowStartBudget(l.cores*l.maxRunsPerCore*speed))
+		ceiling = min(ceiling, warmUpBudget(l.cores*l.maxRunsPerCore*speed))
 	}
 	return max(1, int(ceiling))
 }
--- a/internal/control/coordinator/heartbeat_pace.go
+++ b/internal/control/coordinator/heartbeat_pace.go
@@ -11,35 +11,35 @@
 	changeHeartbeatMS = 200
 	// maxHeartbeatsPerMS bounds what a large fleet sends during a change, in heartbeats a ms.
 	maxHeartbeatsPerMS = 5
-	// slowStartHeartbeatMS is the least time for a node that has just begun, so that a lone restart is released
+	// newNodeHeartbeatMS is the least time for a node that has just begun, so that a lone restart is released
 	// within a second.
-	slowStartHeartbeatMS = 250
-	// slowStartSpeedup bounds what a fleet that restarts as a whole sends: twice as many heartbeats as ever at most.
-	slowStartSpeedup = 2
+	newNodeHeartbeatMS = 250
+	// newNodeSpeedup bounds what a fleet that restarts as a whole sends: twice as many heartbeats as ever at most.
+	newNodeSpeedup = 2
 )
 
 // heartbeatPace is what the time to a node's next heartbeat is decided by.
 type heartbeatPace struct {
-	leaseMS   uint64
-	nodes     int  // of the fleet
-	zones     bool // zones are decided about, by load reports
-	slowStart bool // the node waits to be released to full load
-	change    bool // a change of policy is under way
+	leaseMS        uint64
+	nodes          int  // of the fleet
+	zones          bool // zones are decided about, by load reports
+	newNodeLimited bool // the node waits to be released to full load
+	change         bool // a change of policy is under way
 }
 
 // nextMS decides after how many ms a node sends its next heartbeat.
 //
 // It decides by the lease, the number of nodes and what waits for reports. Each reason bounds the time, and the
-// shortest holds: a quarter of a lease, the interval of load reports, half of that for a node in slow start, and soon
-// while a change is under way. In larger fleets the times are longer, which bounds the requests that the leader gets
-// and slows a change.
+// shortest holds: a quarter of a lease, the interval of load reports, half of that for a new node that is limited, and
+// soon while a change is under way. In larger fleets the times are longer, which bounds the requests that the leader
+// gets and slows a change.
 func (p heartbeatPace) nextMS() uint64 {
 	next := p.leaseMS / heartbeatsPerLease
 	if p.zones {
 		next = min(next, zones.HeartbeatIntervalMS(p.nodes))
 	}
-	if p.slowStart {
-		next = min(next, max(slowStartHeartbeatMS, zones.HeartbeatIntervalMS(p.nodes)/slowStartSpeedup))
+	if p.newNodeLimited {
+		next = min(next, max(newNodeHeartbeatMS, zones.HeartbeatIntervalMS(p.nodes)/newNodeSpeedup))
 	}
 	if p.change {
 		next = min(next, max(changeHeartbeatMS, uint64(p.nodes)/maxHeartbeatsPerMS))
--- a/internal/control/coordinator/response.go
+++ b/internal/control/coordinator/response.go
@@ -17,7 +17,7 @@
 	pace := heartbeatPace{leaseMS: terms.LeaseMS, nodes: len(s.Fleet.Nodes())}
 	if rules := s.Policy.ActiveRules().Zones; rules.Enabled() {
 		pace.zones = true
-		pace.slowStart = l.addZoneOrder(s, &rules, &r)
+		pace.newNodeLimited = l.addZoneOrder(s, &rules, &r)
 	}
 	if c := s.Policy.Current; c != nil {
 		pace.change = true
@@ -29,9 +29,9 @@
 	return r
 }
 
-// addZoneOrder adds the order of the node's zone and whom to check. slowStart tells whether the node is held at a
-// share as the whole fleet may be restarting.
-func (l *Leader) addZoneOrder(s *State, rules *api.ZoneRules, r *api.HeartbeatResponse) (slowStart bool) {
+// addZoneOrder adds the order of the node's zone and whom to check. newNodeLimited tells whether the node has
+// just begun and is limited to a share, as the whole fleet may be restarting.
+func (l *Leader) addZoneOrder(s *State, rules *api.ZoneRules, r *api.HeartbeatResponse) (newNodeLimited bool) {
 	n := s.Fleet.LeaseHolder(r.LeaseID)
 	if n == nil {
 		return false
@@ -40,11 +40,11 @@
 	if rules.ColdStart && l.mayBeFirstOfMany(s, n) {
 		node := zones.NewNode{Zone: n.Zone, UptimeMS: n.UptimeMS(s.Fleet.ClockMS), ClockMS: s.Fleet.ClockMS,
 			NodesIn: l.coldStart.census.byZone[n.Zone]}
-		slowStart = s.Zones.LimitNewNode(&order, node, rules, l.DisabledZoneGuards)
+		newNodeLimited = s.Zones.LimitNewNode(&order, node, rules, l.DisabledZoneGuards)
 	}
-	if !slowStart {
+	if !newNodeLimited {
 		l.coldStart.release(r.LeaseID)
 	}
 	r.Zone, r.ProbeTargets = &order, l.zoneMonitor.ProbesFor(n.Name)
-	return slowStart
+	return newNodeLimited
 }
--- a/internal/control/coordinator/rules_test.go
+++ b/internal/control/coordinator/rules_test.go
@@ -19,8 +19,8 @@
 	}{
 		{heartbeatPace{leaseMS: 10_000, nodes: 12}, 2500},
 		{heartbeatPace{leaseMS: 10_000, nodes: 12, zones: true}, 1000},
-		{heartbeatPace{leaseMS: 10_000, nodes: 12, zones: true, slowStart: true}, 500},
-		{heartbeatPace{leaseMS: 1000, nodes: 12, zones: true, slowStart: true}, 250},
+		{heartbeatPace{leaseMS: 10_000, nodes: 12, zones: true, newNodeLimited: true}, 500},
+		{heartbeatPace{leaseMS: 1000, nodes: 12, zones: true, newNodeLimited: true}, 250},
 		{heartbeatPace{leaseMS: 10_000, nodes: 12, change: true}, 200},
 		{heartbeatPace{leaseMS: 10_000, nodes: 5000, change: true}, 1000},
 		{heartbeatPace{leaseMS: 10_000, nodes: 5000, zones: true}, 2000},
--- a/internal/control/zones/apply.go
+++ b/internal/control/zones/apply.go
@@ -73,7 +73,7 @@
 		return s.splitAnew(zone, op, fleet)
 	case OpStepBack:
 		return s.stepBack(zone, op, fleet)
-	case OpReturn:
+	case OpEndRamp:
 		return s.endRamp(zone, op, fleet)
 	}
 	return rejected(ErrUnknownOp, "op %.20q, expected leave, settle, step, split, in, back, bore or hold", op.Kind)
--- a/internal/control/zones/op.go
+++ b/internal/control/zones/op.go
@@ -15,7 +15,7 @@
 	OpSettle   OpKind = "settle" // no lease acts on an older epoch any more
 	OpRamp     OpKind = "step"   // begin a ramp, or raise its share or rate limit
 	OpSplit    OpKind = "split"  // divide a rate limit among the leases anew
-	OpReturn   OpKind = "in"     // end a ramp: the zone is in service
+	OpEndRamp  OpKind = "in"     // end a ramp: the zone is in service
 	OpStepBack OpKind = "back"   // lower a ramp's share; to 0: evacuate
 	OpObserve  OpKind = "bore"   // keep observed capacities
 	OpHold     OpKind = "hold"   // let the rules decide nothing for a time
@@ -100,5 +100,5 @@
 
 // raisesLoad reports whether the operation may give a node more than it has.
 func (op *Op) raisesLoad() bool {
-	return op.Kind == OpRamp || op.Kind == OpReturn || op.Kind == OpSplit
+	return op.Kind == OpRamp || op.Kind == OpEndRamp || op.Kind == OpSplit
 }
--- a/internal/control/zones/ramp_end.go
+++ b/internal/control/zones/ramp_end.go
@@ -32,7 +32,7 @@
 	if manyRejected && zone.RateLimit < maxLimit*zone.Capacity.RunRate && shownMS < maxEndMS {
 		return d.raiseLimit(zone, view)
 	}
-	op := &Op{Kind: OpReturn, Reason: fmt.Sprintf("%.0f runs under way of %.0f it bore", view.Concurrency,
+	op := &Op{Kind: OpEndRamp, Reason: fmt.Sprintf("%.0f runs under way of %.0f it bore", view.Concurrency,
 		zone.Capacity.Concurrency)}
 	return d.withRetryBudget(op, view, InService, true)
 }
--- a/internal/control/zones/ramp_end_test.go
+++ b/internal/control/zones/ramp_end_test.go
@@ -14,11 +14,11 @@
 		load     float64
 		kind     OpKind
 	}{
-		{"a tenth is rejected", 10, 100, 5000, 0.5, OpReturn},
+		{"a tenth is rejected", 10, 100, 5000, 0.5, OpEndRamp},
 		{"more is", 10.1, 100, 5000, 0.5, OpRamp},
 		{"more is, near the highest limit", 10.1, 149, 5000, 0.5, OpRamp},
-		{"more is, at the highest limit", 10.1, 150, 5000, 0.5, OpReturn},
-		{"more is, for long", 10.1, 100, 30_000, 0.5, OpReturn},
+		{"more is, at the highest limit", 10.1, 150, 5000, 0.5, OpEndRamp},
+		{"more is, for long", 10.1, 100, 30_000, 0.5, OpEndRamp},
 		{"more is, and a little more may be asked for", 10.1, 100, 5000, 1.07, OpRamp},
 		{"more is, and all that was observed is in flight", 10.1, 100, 5000, 1.08, ""},
 	} {
--- a/internal/node/server/fleet_serving.go
+++ b/internal/node/server/fleet_serving.go
@@ -52,7 +52,7 @@
 	zones := &version.settings.Document.Zones
 	if zones.SmallStart && api.ZoneMode(zones.Mode) == api.ZoneModeAuto {
 		quota := int(math.Round(zones.FirstQuota * api.FullShare))
-		f.gate.BeginSlowStart(now, quota, uint64(zones.StepTime.Milliseconds()))
+		f.gate.BeginAutonomousColdStart(now, quota, uint64(zones.StepTime.Milliseconds()))
 		f.log.WithFields(f.quotaFields()).Info(logColdStartQuota)
 	}
 }
--- a/internal/node/zonegate/autonomous.go
+++ b/internal/node/zonegate/autonomous.go
@@ -64,10 +64,10 @@
 	}
 }
 
-// BeginSlowStart has the node begin with a share, of api.FullShare, by itself: it starts while the control service is
-// away, and can't tell whether most of the fleet does so with it. From there ContinueAutonomously decides, each
-// stepMS.
-func (g *Gate) BeginSlowStart(now uint64, share int, stepMS uint64) {
+// BeginAutonomousColdStart has the node begin with a share, of api.FullShare, by itself: it starts while the control
+// service is away, and can't tell whether most of the fleet does so with it. From there ContinueAutonomously decides,
+// each stepMS.
+func (g *Gate) BeginAutonomousColdStart(now uint64, share int, stepMS uint64) {
 	if !g.hasOrder {
 		g.order = api.ZoneOrder{Share: api.FullShare}
 	}
--- a/internal/node/zonegate/autonomous_test.go
+++ b/internal/node/zonegate/autonomous_test.go
@@ -39,7 +39,7 @@
 // that goes well, and takes all at once when the group says so.
 func TestSlowStartWithoutControl(t *testing.T) {
 	g := NewGate(1, 7)
-	g.BeginSlowStart(1000, 16, 2000)
+	g.BeginAutonomousColdStart(1000, 16, 2000)
 	took := func(now uint64) (n int) {
 		for i := uint32(0); i < 256; i++ {
 			if g.Admit(now, Request{Hash: i << 16}).Admitted {
@@ -63,12 +63,12 @@
 	if n := took(15_000); n != 256 {
 		t.Fatalf("takes %d of 256 after four holds that went well", n)
 	}
-	g.BeginSlowStart(20_000, 16, 2000)
+	g.BeginAutonomousColdStart(20_000, 16, 2000)
 	if g.SetOrder(20_100, nil); g.Share() != api.FullShare {
 		t.Fatalf("share %d, though the group has said nothing of zones", g.Share())
 	}
 	g.SetOrder(1, &api.ZoneOrder{Epoch: 3, Share: 0, TTLMS: 1000})
-	if g.BeginSlowStart(2, 16, 2000); g.Share() != 0 {
+	if g.BeginAutonomousColdStart(2, 16, 2000); g.Share() != 0 {
 		t.Fatalf("share %d of a zone that was out", g.Share())
 	}
 }
--- a/internal/node/zonegate/pin_gate_test.go
+++ b/internal/node/zonegate/pin_gate_test.go
@@ -47,7 +47,7 @@
 		case 850:
 			say("none %v", gate.SetOrder(now, nil))
 		case 890:
-			gate.BeginSlowStart(now, 16, 1000)
+			gate.BeginAutonomousColdStart(now, 16, 1000)
 		}
 		if step%900 > 550 && step%900 < 690 || step%900 > 890 {
 			if gate.ContinueAutonomously(now, rng.IntN(4) != 0) {
