--- a/internal/simulation/fleet_history.go
+++ b/internal/simulation/fleet_history.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"sort"
 )
 
@@ -58,108 +59,170 @@
 // CheckFleet holds a history against the promises of docs/design/policy.md and gives the first that is broken, and
 // the longest overlap seen.
 func CheckFleet(all []FleetEvent, p FleetPromises) (broken string, overlap int64) {
-	h := append([]FleetEvent(nil), all...)
-	sort.SliceStable(h, func(i, k int) bool { return h[i].At < h[k].At })
-	type span struct {
-		node     string
-		version  uint64
-		from, to int64
-	}
-	const open = int64(1) << 62
-	var spans []span
-	at := map[string]int{} // a node's open span
-	served := map[string]uint64{}
-	off, settled := map[uint64]int64{}, map[uint64]int64{}
-	decided, excl := map[uint64]int64{}, map[uint64]bool{}
-	first := map[uint64]bool{} // from no version at all, which nodes hold without bounds
-	forced := map[uint64]int64{}
-	end := map[uint64]string{}
-	var order []uint64
-	for _, e := range h {
-		switch e.Kind {
-		case "serves":
-			if i, on := at[e.Node]; on {
-				spans[i].to = e.At
-			}
-			if was := served[e.Node]; e.Version < was {
-				return fmt.Sprintf("%s served under version %d at %.1f ms, and under %d before", e.Node, e.Version,
-					float64(e.At)/10, was), 0
-			}
-			served[e.Node] = e.Version
-			at[e.Node] = len(spans)
-			spans = append(spans, span{e.Node, e.Version, e.At, open})
-		case "stops":
-			if i, on := at[e.Node]; on {
-				spans[i].to = e.At
-				delete(at, e.Node)
-			}
-		case "decided":
-			if was := end[e.Version]; was != "" {
-				return fmt.Sprintf("version %d was decided and %s before", e.Version, was), 0
-			}
-			end[e.Version], decided[e.Version], excl[e.Version] = "decided", e.At, e.Excl
-			first[e.Version] = e.From == 0
-			order = append(order, e.Version)
-		case "forced":
-			forced[e.Version] = e.At
-		case "settled":
-			if end[e.Version] != "decided" {
-				return fmt.Sprintf("version %d was settled and never decided", e.Version), 0
-			}
-			settled[e.Version] = e.At
-		case "off":
-			if was := end[e.Version]; was != "" {
-				return fmt.Sprintf("version %d was called off and %s before", e.Version, was), 0
-			}
-			end[e.Version], off[e.Version] = "called off", e.At
-		}
+	events := append([]FleetEvent(nil), all...)
+	sort.SliceStable(events, func(i, k int) bool { return events[i].At < events[k].At })
+	c := &historyCheck{
+		open:   map[string]int{},
+		served: map[string]uint64{},
+		ends:   map[uint64]*versionEnd{},
 	}
-	for _, s := range spans {
-		if s.version == 0 {
-			continue
-		}
-		if _, gone := off[s.version]; gone {
-			return fmt.Sprintf("%s served under version %d, which was called off", s.node, s.version), 0
-		}
-		if d, ok := decided[s.version]; !ok || s.from < d {
-			return fmt.Sprintf("%s served under version %d at %.1f ms, before it was decided", s.node, s.version,
-				float64(s.from)/10), 0
-		}
-		if f, ok := forced[s.version]; ok && s.from < f {
-			return fmt.Sprintf("%s served under version %d at %.1f ms, before it was in force", s.node, s.version,
-				float64(s.from)/10), 0
+	for _, e := range events {
+		if broken = c.take(e); broken != "" {
+			return broken, 0
 		}
 	}
-	for _, v := range order {
-		begin, last, who := open, int64(-1), ""
-		for _, s := range spans {
-			if s.version >= v {
-				begin = min(begin, s.from)
-			} else if s.to > last {
-				last, who = s.to, s.node
-			}
+	for _, s := range c.spans {
+		if broken = c.checkSpan(s); broken != "" {
+			return broken, 0
 		}
-		if t, ok := settled[v]; ok && last > t {
-			return fmt.Sprintf("%s served under an older version than %d at %.1f ms, which was settled at %.1f", who, v,
-				float64(last)/10, float64(t)/10), 0
-		}
-		if begin == open || last <= begin || first[v] {
-			continue
-		}
-		if last != open {
-			overlap = max(overlap, last-begin)
-		}
-		if !p.Fences {
-			continue
-		}
-		if excl[v] {
-			return fmt.Sprintf("%s served under an older version than %d %.1f ms after the first under it, in a change "+
-				"without overlap", who, v, float64(last-begin)/10), 0
+	}
+	for _, version := range c.order {
+		if broken = c.checkChange(version, p); broken != "" {
+			return broken, 0
 		}
-		if last-begin > p.Overlap {
-			return fmt.Sprintf("%s served under an older version than %d %.1f ms after the first under it, expected %.1f at "+
-				"most", who, v, float64(last-begin)/10, float64(p.Overlap)/10), 0
+	}
+	return "", c.overlap
+}
+
+// notYet is a time after all events.
+const notYet = int64(1) << 62
+
+// serviceSpan is a time in which a node served under one version.
+type serviceSpan struct {
+	node     string
+	version  uint64
+	from, to int64
+}
+
+// versionEnd is what became of the change to a version, and when. A version that isn't decided or settled has notYet as that
+// time; one that has no step of its own in which it is committed is committed from the beginning.
+type versionEnd struct {
+	outcome   string // decided, or called off
+	decided   int64
+	forced    int64
+	settled   int64
+	exclusive bool
+	first     bool // from no version at all, which nodes hold without bounds
+}
+
+// historyCheck is what a history tells, by node and by version.
+type historyCheck struct {
+	spans   []serviceSpan
+	open    map[string]int    // a node's span that has not ended
+	served  map[string]uint64 // the newest version a node served under
+	ends    map[uint64]*versionEnd
+	order   []uint64 // versions as they were decided
+	overlap int64
+}
+
+func (c *historyCheck) end(version uint64) *versionEnd {
+	if c.ends[version] == nil {
+		c.ends[version] = &versionEnd{decided: notYet, forced: math.MinInt64, settled: notYet}
+	}
+	return c.ends[version]
+}
+
+// take notes one event. A version ends once, and no node goes back to an older one.
+func (c *historyCheck) take(e FleetEvent) (broken string) {
+	switch e.Kind {
+	case "serves":
+		return c.serves(e)
+	case "stops":
+		if i, on := c.open[e.Node]; on {
+			c.spans[i].to = e.At
+			delete(c.open, e.Node)
+		}
+	case "decided":
+		v := c.end(e.Version)
+		if v.outcome != "" {
+			return fmt.Sprintf("version %d was decided and %s before", e.Version, v.outcome)
+		}
+		v.outcome, v.decided, v.exclusive, v.first = "decided", e.At, e.Excl, e.From == 0
+		c.order = append(c.order, e.Version)
+	case "forced":
+		c.end(e.Version).forced = e.At
+	case "settled":
+		v := c.end(e.Version)
+		if v.outcome != "decided" {
+			return fmt.Sprintf("version %d was settled and never decided", e.Version)
+		}
+		v.settled = e.At
+	case "off":
+		v := c.end(e.Version)
+		if v.outcome != "" {
+			return fmt.Sprintf("version %d was called off and %s before", e.Version, v.outcome)
+		}
+		v.outcome = "called off"
+	}
+	return ""
+}
+
+// serves begins a span of service, which ends the one before.
+func (c *historyCheck) serves(e FleetEvent) (broken string) {
+	if i, on := c.open[e.Node]; on {
+		c.spans[i].to = e.At
+	}
+	if before := c.served[e.Node]; e.Version < before {
+		return fmt.Sprintf("%s served under version %d at %.1f ms, and under %d before", e.Node, e.Version,
+			milliseconds(e.At), before)
+	}
+	c.served[e.Node] = e.Version
+	c.open[e.Node] = len(c.spans)
+	c.spans = append(c.spans, serviceSpan{e.Node, e.Version, e.At, notYet})
+	return ""
+}
+
+// checkSpan: nobody serves under a version that was called off, or before it is decided and committed.
+func (c *historyCheck) checkSpan(s serviceSpan) (broken string) {
+	if s.version == 0 {
+		return ""
+	}
+	v := c.end(s.version)
+	switch {
+	case v.outcome == "called off":
+		return fmt.Sprintf("%s served under version %d, which was called off", s.node, s.version)
+	case s.from < v.decided:
+		return fmt.Sprintf("%s served under version %d at %.1f ms, before it was decided", s.node, s.version,
+			milliseconds(s.from))
+	case s.from < v.forced:
+		return fmt.Sprintf("%s served under version %d at %.1f ms, before it was in force", s.node, s.version,
+			milliseconds(s.from))
+	}
+	return ""
+}
+
+// checkChange: after a change has settled nobody serves under an older version, and until then the overlap is bounded.
+func (c *historyCheck) checkChange(version uint64, p FleetPromises) (broken string) {
+	v := c.end(version)
+	begin, last, who := notYet, int64(-1), ""
+	for _, s := range c.spans {
+		if s.version >= version {
+			begin = min(begin, s.from)
+		} else if s.to > last {
+			last, who = s.to, s.node
 		}
 	}
-	return "", overlap
+	if v.settled != notYet && last > v.settled {
+		return fmt.Sprintf("%s served under an older version than %d at %.1f ms, which was settled at %.1f", who, version,
+			milliseconds(last), milliseconds(v.settled))
+	}
+	if begin == notYet || last <= begin || v.first {
+		return ""
+	}
+	if last != notYet {
+		c.overlap = max(c.overlap, last-begin)
+	}
+	switch {
+	case !p.Fences:
+	case v.exclusive:
+		return fmt.Sprintf("%s served under an older version than %d %.1f ms after the first under it, in a change "+
+			"without overlap", who, version, milliseconds(last-begin))
+	case last-begin > p.Overlap:
+		return fmt.Sprintf("%s served under an older version than %d %.1f ms after the first under it, expected %.1f at "+
+			"most", who, version, milliseconds(last-begin), milliseconds(p.Overlap))
+	}
+	return ""
 }
+
+// milliseconds of a time or span in tenths.
+func milliseconds(tenths int64) float64 { return float64(tenths) / 10 }
