--- a/internal/node/server/helper_test.go
+++ b/internal/node/server/helper_test.go
@@ -48,7 +48,8 @@
 }
 
 func buildProgram(file string, flags ...string) error {
-	args := append([]string{"build", "-o", file}, flags...)
+	const strict = "-X umberwinch/internal/node/server.wrongTransitionEndsProgram=yes"
+	args := append([]string{"build", "-o", file, "-ldflags", strict}, flags...)
 	out, err := exec.Command("go", append(args, "umberwinch/cmd/umberwinch")...).CombinedOutput()
 	if err != nil {
 		return fmt.Errorf("%w: %s", err, out)
--- a/internal/node/server/lifecycle.go
+++ b/internal/node/server/lifecycle.go
@@ -1,6 +1,10 @@
 package server
 
-import "umberwinch/admission"
+import (
+	"fmt"
+
+	"umberwinch/admission"
+)
 
 // lifecycle says how far a request has come. It is four state machines side by side, as a run and its calls go on after
 // the client has its response or is gone:
@@ -87,8 +91,15 @@
 	}
 )
 
+// wrongTransitionEndsProgram is set by the linker in the builds that scenarios play against, and by tests.
+var wrongTransitionEndsProgram string
+
 // onWrongTransition hears of each change of state that is not allowed. In service nothing is done about it.
-var onWrongTransition = func(_ string, _, _ uint8) {}
+func onWrongTransition(machine string, from, to uint8) {
+	if wrongTransitionEndsProgram != "" {
+		panic(fmt.Sprintf("%s state goes from %d to %d, which is not allowed", machine, from, to))
+	}
+}
 
 // The setters carry a change out and report one that is not allowed.
 
--- a/internal/node/server/lifecycle_test.go
+++ b/internal/node/server/lifecycle_test.go
@@ -1,17 +1,10 @@
 package server
 
-import (
-	"fmt"
-	"testing"
-)
+import "testing"
 
 // A transition that is not in the tables means that the loop has lost track of a request: in service it is carried
-// out, and in tests it ends the program, in whatever test it comes up.
-func init() {
-	onWrongTransition = func(machine string, from, to uint8) {
-		panic(fmt.Sprintf("%s goes from %d to %d, which is not allowed", machine, from, to))
-	}
-}
+// out; in tests, and in the program that scenarios play against, it ends the program, whatever it comes up in.
+func init() { wrongTransitionEndsProgram = "yes" }
 
 func wrongTransition(change func()) (wrong bool) {
 	defer func() { wrong = recover() != nil }()
