--- a/internal/control/consensus/leader.go
+++ b/internal/control/consensus/leader.go
@@ -116,7 +116,7 @@
 		g.log.WithFields(logrus.Fields{
 			logging.Zone:      zone.Name,
 			logging.Step:      zone.Phase,
-			logging.Quota:     zone.Share,
+			logging.Share:     zone.Share,
 			logging.Epoch:     r.Epoch,
 			logging.Reason:    newest.Text,
 			logging.Operation: r.Kind,
--- a/internal/control/coordinator/versions.go
+++ b/internal/control/coordinator/versions.go
@@ -55,7 +55,7 @@
 	if z := &d.Zones; z.Present {
 		rules.Zones = api.ZoneRules{
 			Mode:           api.ZoneMode(z.Mode),
-			InitialShare:   int(z.FirstQuota*api.FullShare + roundHalfUp),
+			InitialShare:   int(z.FirstShare*api.FullShare + roundHalfUp),
 			MinStepMS:      uint64(z.StepTime.Milliseconds()),
 			OrderTTLMS:     uint64(z.OrderTime.Milliseconds()),
 			MaxRampDelayMS: uint64(z.MaxBackoff.Milliseconds()),
--- a/internal/control/document/canonical.go
+++ b/internal/control/document/canonical.go
@@ -44,7 +44,7 @@
 	}
 	for _, n := range d.Tenants {
 		s := "tenant " + n.Name
-		add(s, "share", number(n.Quota))
+		add(s, "share", number(n.Share))
 		add(s, "rate", number(n.Rate))
 	}
 	for _, p := range d.Pools {
@@ -74,7 +74,7 @@
 	}
 	if z := d.Zones; z.Present {
 		add("zones", "decide", z.Mode)
-		add("zones", "first", number(z.FirstQuota))
+		add("zones", "first", number(z.FirstShare))
 		add("zones", "hold", z.StepTime.String())
 		add("zones", "keep", z.OrderTime.String())
 		add("zones", "max_wait", z.MaxBackoff.String())
--- a/internal/control/document/document.go
+++ b/internal/control/document/document.go
@@ -36,7 +36,7 @@
 // Tenant is what one tenant may use.
 type Tenant struct {
 	Name  string
-	Quota float64 // of capacity, 0 for none of its own
+	Share float64 // of capacity, 0 for none of its own
 	Rate  float64 // requests a second, 0 for no limit
 }
 
@@ -75,11 +75,11 @@
 // Zones is whether the fleet evacuates zones that fail and returns to them, and how.
 type Zones struct {
 	Mode       string        // ZonesOff, ZonesAsk or ZonesAuto
-	FirstQuota float64       // of its traffic, that a return begins with
+	FirstShare float64       // of its traffic, that a return begins with
 	StepTime   time.Duration // least time at each quota of a return
 	OrderTime  time.Duration // how long a node follows its last order without the group
 	MaxBackoff time.Duration // longest wait of a zone that fails again and again
-	SmallStart bool          // a fleet of which most nodes restart at once begins with FirstQuota
+	SmallStart bool          // a fleet of which most nodes restart at once begins with FirstShare
 	Present    bool
 }
 
--- a/internal/control/document/parse.go
+++ b/internal/control/document/parse.go
@@ -29,7 +29,7 @@
 	maxLoad       = 10  // times capacity
 	maxPeriod     = 24 * time.Hour
 	maxStages     = 20
-	minFirstQuota = 0.004 // a 256th, the least quota that a zone can have
+	minFirstShare = 0.004 // a 256th, the least share that a zone can have
 )
 
 // Defaults of keys that an operator leaves out.
@@ -46,8 +46,8 @@
 	// not stop because its control service did, unless an operator chose that.
 	defaultLease = 10 * time.Second
 
-	// defaultFirstQuota is what a service bears that is slower by a factor of ten while cold, with room to spare.
-	defaultFirstQuota = 0.0625
+	// defaultFirstShare is what a service bears that is slower by a factor of ten while cold, with room to spare.
+	defaultFirstShare = 0.0625
 	// defaultStepTime is some load reports of each node, so that a step is judged before the next.
 	defaultStepTime = 2 * time.Second
 	// defaultOrderTime outlasts an election of the control service many times, so that one reverts no order.
@@ -174,7 +174,7 @@
 func parseZones(t *config.Text, known bool) Zones {
 	z := Zones{
 		Mode:       ZonesOff,
-		FirstQuota: defaultFirstQuota,
+		FirstShare: defaultFirstShare,
 		StepTime:   defaultStepTime,
 		OrderTime:  defaultOrderTime,
 		MaxBackoff: defaultMaxBackoff,
@@ -183,7 +183,7 @@
 		return z
 	}
 	z.Mode = t.Choice("zones", "decide", ZonesOff, ZonesOff, ZonesAsk, ZonesAuto)
-	z.FirstQuota = t.Number("zones", "first", defaultFirstQuota, minFirstQuota, 1)
+	z.FirstShare = t.Number("zones", "first", defaultFirstShare, minFirstShare, 1)
 	z.StepTime = t.Time("zones", "hold", defaultStepTime, 500*time.Millisecond, time.Hour)
 	z.OrderTime = t.Time("zones", "keep", defaultOrderTime, time.Second, maxPeriod)
 	z.MaxBackoff = t.Time("zones", "max_wait", defaultMaxBackoff, time.Second, maxPeriod)
--- a/internal/control/document/validate.go
+++ b/internal/control/document/validate.go
@@ -23,7 +23,7 @@
 		}
 	}
 	for _, n := range d.Tenants {
-		if shares += n.Quota; shares > 1+1e-9 {
+		if shares += n.Share; shares > 1+1e-9 {
 			t.Note("tenant "+n.Name, "share", "shares of "+number(shares)+" up to here", "1 at most")
 			break
 		}
--- a/internal/control/zones/ramp.go
+++ b/internal/control/zones/ramp.go
@@ -47,8 +47,8 @@
 		return nil
 	}
 	shownMS := d.fleet.ClockMS - zone.SinceMS
-	d.noteLoad(zone, view, shownMS)
-	if share, reason := d.harm(zone, view, shownMS); reason != "" {
+	d.recordLoad(zone, view, shownMS)
+	if share, reason := d.needsStepBack(zone, view, shownMS); reason != "" {
 		return d.stepBack(zone, view, share, reason)
 	}
 	if !d.mayRaise() {
@@ -66,8 +66,8 @@
 	return d.raiseShare(zone, view)
 }
 
-// noteLoad keeps how much is in flight over what was observed, and for how many evaluations it has been too much.
-func (d *decider) noteLoad(zone *Zone, view *View, shownMS uint64) {
+// recordLoad notes in the view how much is in flight over what was observed, and for how many evaluations it has been too much.
+func (d *decider) recordLoad(zone *Zone, view *View, shownMS uint64) {
 	view.loads[0] = 0
 	if zone.Capacity.Concurrency > 0 {
 		view.loads[0] = view.Concurrency / zone.Capacity.Concurrency
@@ -81,11 +81,12 @@
 	}
 }
 
-// harm decides whether a ramp has to step back, and to which share; the reason is empty if it need not. Where nodes
-// fail the zone is evacuated; where more was in flight than the services bore, the share goes down in proportion.
+// needsStepBack decides whether a ramp has to step back, and to which share; the reason is empty if it need not. Where
+// nodes fail the zone is evacuated; where more was in flight than the services bore, the share goes down in
+// proportion, and the evaluations with too much are counted anew.
 //
 // Guards against a step being judged by reports of the one before: they have to be of this share.
-func (d *decider) harm(zone *Zone, view *View, shownMS uint64) (share int, reason string) {
+func (d *decider) needsStepBack(zone *Zone, view *View, shownMS uint64) (share int, reason string) {
 	reportsAreOfThisStep := shownMS >= max(d.rules.MinStepMS/2, d.monitor.heartbeatMS+afterStepMarginMS)
 	if d.without.Has(StepBack) || !reportsAreOfThisStep || !view.hasQuorum() {
 		return 0, ""
--- a/internal/harness/zones_check.go
+++ b/internal/harness/zones_check.go
@@ -117,7 +117,7 @@
 			switch m["msg"] {
 			case "zone order is in effect":
 				epoch, _ := m[logging.Epoch].(float64)
-				share, _ := m[logging.Quota].(float64)
+				share, _ := m[logging.Share].(float64)
 				e.Kind, e.Epoch, e.Share = "acts", uint64(epoch), int(share)
 			case "node is fenced: all requests are rejected":
 				e.Kind = "stops"
--- a/internal/logging/fields.go
+++ b/internal/logging/fields.go
@@ -41,7 +41,7 @@
 	Exclusive     = "exclusive"      // the change waits until no node serves under the older version
 	Zone          = "zone"           // name of a zone
 	Epoch         = "epoch"          // number of a zone decision
-	Quota         = "share"          // quota of a zone, of 256
+	Share         = "share"          // of its load that a zone takes, of 256
 	ElapsedMS     = "elapsed_ms"     // time that something took, in milliseconds
 	SilentMS      = "silent_ms"      // time without word from a leader or the group, in milliseconds
 
--- a/internal/node/agent/heartbeat.go
+++ b/internal/node/agent/heartbeat.go
@@ -79,7 +79,7 @@
 		JoinRequest: api.JoinRequest{Name: a.config.Name, Zone: a.config.Zone, Addr: a.config.Address, Nonce: a.nonce(),
 			UptimeMS: max(1, now-a.startedAt)},
 		LeaseID: a.lease.id, LastClockMS: a.group.clock, MinVersion: v.min, ActiveVersion: v.active.Version,
-		RefusedVersion: v.rejected.version, RefusedReason: v.rejected.reason, MinZoneEpoch: a.zone.epoch()}
+		RefusedVersion: v.refused.version, RefusedReason: v.refused.reason, MinZoneEpoch: a.zone.epoch()}
 	if a.group.lastSeen.Group != "" {
 		seen := a.group.lastSeen
 		seen.ActiveHash = v.active.Hash
--- a/internal/node/agent/response.go
+++ b/internal/node/agent/response.go
@@ -16,6 +16,8 @@
 		return nil
 	}
 	a.heartbeat.inFlight = false
+	// Before validate: a tool that restores a group has no generation or lease to show yet. All that it gets is the
+	// node's record; the next heartbeat goes to another instance, and nothing else changes.
 	if r.CollectRecord {
 		a.recordRequested = true
 		a.failOver(now, 0)
@@ -49,7 +51,7 @@
 	a.lease.id = 0
 	a.zone.foreign = true
 	a.versions.preparing, a.versions.committed = api.VersionHash{}, api.VersionHash{}
-	a.versions.rejected = rejection{}
+	a.versions.refused = refusal{}
 	a.incarnation++
 }
 
--- a/internal/node/agent/versions.go
+++ b/internal/node/agent/versions.go
@@ -13,7 +13,7 @@
 	active           api.VersionHash // served under; version 0: none
 	activeAutonomous bool            // the active version lets nodes serve without a lease
 	prepared         map[uint64]string
-	rejected         rejection
+	refused          refusal
 
 	// Of the record that a start found.
 	stored          api.VersionHash
@@ -21,7 +21,7 @@
 }
 
 // rejection is the version that the node can't or won't serve under.
-type rejection struct {
+type refusal struct {
 	version   uint64 // 0: none
 	reason    string
 	permanent bool // its document does not fit the platform's settings: not activated even if it is committed
@@ -59,8 +59,8 @@
 	}
 	if v.preparing != r.PrepareVersion {
 		v.preparing = r.PrepareVersion
-		if v.rejected.version != r.PrepareVersion.Version {
-			v.rejected = rejection{}
+		if v.refused.version != r.PrepareVersion.Version {
+			v.refused = refusal{}
 		}
 	}
 	if v.active.Version == v.committed.Version {
@@ -80,11 +80,11 @@
 // all the same.
 func (a *Agent) VersionToFetch() (version api.VersionHash, committed, ok bool) {
 	v := &a.versions
-	refused := v.rejected.permanent && v.rejected.version == v.committed.Version
+	refused := v.refused.permanent && v.refused.version == v.committed.Version
 	if v.committed.Version > v.active.Version && !v.has(v.committed) && !refused {
 		return v.committed, true, true
 	}
-	if v.preparing.Version > v.active.Version && !v.has(v.preparing) && v.rejected.version != v.preparing.Version {
+	if v.preparing.Version > v.active.Version && !v.has(v.preparing) && v.refused.version != v.preparing.Version {
 		return v.preparing, false, true
 	}
 	return api.VersionHash{}, false, false
@@ -117,7 +117,7 @@
 // Reject tells that the node votes against a version. permanent: it can't serve under it at all; a version that only
 // failed its trial is activated if it is committed all the same.
 func (a *Agent) Reject(now Milliseconds, version uint64, reason string, permanent bool) {
-	a.versions.rejected = rejection{version: version, reason: reason, permanent: permanent}
+	a.versions.refused = refusal{version: version, reason: reason, permanent: permanent}
 	a.heartbeat.hasten(now)
 }
 
--- a/internal/node/server/fleet_agent.go
+++ b/internal/node/server/fleet_agent.go
@@ -29,8 +29,8 @@
 	logVersionActivated   = "policy version is active"
 	logZoneOrder          = "zone order is in effect"
 	logAutonomous         = "node serves autonomously, without the group"
-	logAutonomousQuota    = "autonomous for long: quota by the node's own rule"
-	logColdStartQuota     = "cold start without the group: serving begins with a quota"
+	logAutonomousShare    = "autonomous for long: quota by the node's own rule"
+	logColdStartShare     = "cold start without the group: serving begins with a quota"
 	logHeartbeatFailed    = "heartbeat failed"
 	logResponseRejected   = "heartbeat response rejected"
 	logGenerationFollowed = "a restored generation of the group is followed"
@@ -206,9 +206,9 @@
 		logging.Generation: f.agent.LastSeen().Generation}
 }
 
-// quotaFields are those of a line about the zone's quota.
-func (f *fleetAgent) quotaFields() logrus.Fields {
-	return logrus.Fields{logging.Epoch: f.gate.Epoch(), logging.Quota: f.gate.Share()}
+// shareFields are those of a line about the zone's quota.
+func (f *fleetAgent) shareFields() logrus.Fields {
+	return logrus.Fields{logging.Epoch: f.gate.Epoch(), logging.Share: f.gate.Share()}
 }
 
 // handlerValues gives the priority weight of each handler.
@@ -227,7 +227,7 @@
 	if !f.gate.SetOrder(now, order) {
 		return
 	}
-	f.log.WithFields(f.quotaFields()).Info(logZoneOrder)
+	f.log.WithFields(f.shareFields()).Info(logZoneOrder)
 	if evacuated := f.gate.Evacuated(); evacuated != was {
 		f.host.refreshReadiness()
 		if evacuated {
--- a/internal/node/server/fleet_agent_test.go
+++ b/internal/node/server/fleet_agent_test.go
@@ -147,7 +147,7 @@
 	}
 	control.answers(func(r *api.HeartbeatResponse) { r.Zone = &api.ZoneOrder{Epoch: 4, Share: 0, TTLMS: 60_000} })
 	ticksUntil("the zone's order", func() bool { return f.gate.Epoch() == 4 })
-	if why := f.rejection(0, request, "", &response); why != overZoneQuota || host.rejected != 1 || f.takesTraffic() {
+	if why := f.rejection(0, request, "", &response); why != rejectedByZone || host.rejected != 1 || f.takesTraffic() {
 		t.Errorf("evacuated: %v, queue rejected %d times", why, host.rejected)
 	}
 	control.answers(func(r *api.HeartbeatResponse) {
--- a/internal/node/server/fleet_serving.go
+++ b/internal/node/server/fleet_serving.go
@@ -33,7 +33,7 @@
 // own rule; one that starts so begins with the quota of a cold start, where its version has one.
 func (f *fleetAgent) updateAutonomous(now agent.Milliseconds, mayServe bool) {
 	if f.autonomous && f.gate.ContinueAutonomously(now, f.meter.Healthy(now, f.host.runsInFlight())) {
-		f.log.WithFields(f.quotaFields()).Warn(logAutonomousQuota)
+		f.log.WithFields(f.shareFields()).Warn(logAutonomousShare)
 		f.host.refreshReadiness()
 	}
 	autonomous := mayServe && f.agent.Autonomous(now)
@@ -51,9 +51,9 @@
 	}
 	zones := &version.settings.Document.Zones
 	if zones.SmallStart && api.ZoneMode(zones.Mode) == api.ZoneModeAuto {
-		quota := int(math.Round(zones.FirstQuota * api.FullShare))
-		f.gate.BeginAutonomousColdStart(now, quota, uint64(zones.StepTime.Milliseconds()))
-		f.log.WithFields(f.quotaFields()).Info(logColdStartQuota)
+		share := int(math.Round(zones.FirstShare * api.FullShare))
+		f.gate.BeginAutonomousColdStart(now, share, uint64(zones.StepTime.Milliseconds()))
+		f.log.WithFields(f.shareFields()).Info(logColdStartShare)
 	}
 }
 
@@ -102,7 +102,7 @@
 	f.meter.RequestRejected(now, handler, q.IsRetry)
 	response.NoRetry, response.RetryAfterMS = decision.Final, f.host.retryAfter(&f.spread,
 		f.gate.RetryAfter(now, asked))
-	return overZoneQuota
+	return rejectedByZone
 }
 
 // gateRequest is what the zone's gate hears of a request.
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -24,7 +24,7 @@
 	kernelNotUp
 	nodeFenced
 	handlerRetired
-	overZoneQuota
+	rejectedByZone
 	idempotencyTableFull
 	mayHaveRunBefore
 	requestTableFull
@@ -41,7 +41,7 @@
 	kernelNotUp:          wire.StatusServiceUnavailable,
 	nodeFenced:           wire.StatusServiceUnavailable,
 	handlerRetired:       wire.StatusServiceUnavailable,
-	overZoneQuota:        wire.StatusServiceUnavailable,
+	rejectedByZone:       wire.StatusServiceUnavailable,
 	idempotencyTableFull: wire.StatusServiceUnavailable,
 	mayHaveRunBefore:     wire.StatusInternalServerError,
 	requestTableFull:     wire.StatusServiceUnavailable,
@@ -57,7 +57,7 @@
 	kernelNotUp:          "kernel not up",
 	nodeFenced:           "node fenced",
 	handlerRetired:       "handler retired",
-	overZoneQuota:        "over zone quota",
+	rejectedByZone:       "over zone quota",
 	idempotencyTableFull: "idempotency table full",
 	mayHaveRunBefore:     "may have run before",
 	requestTableFull:     "request table full",
