--- a/internal/control/coordinator/append_timer.go
+++ b/internal/control/coordinator/append_timer.go
@@ -5,7 +5,8 @@
 // costs log and changes nothing; a longer one leaves nodes without an answer while their leases run.
 const appendTimeoutMS = 5000
 
-// appendTimer follows one entry from its append to its application. The zero value follows none.
+// appendTimer follows one entry from its append to its application. The zero value follows none,
+// nor does a timer that is started at 0 ms, before the leader's first Tick.
 type appendTimer struct {
 	sinceMS uint64 // 0: none
 }
--- a/internal/control/coordinator/leader.go
+++ b/internal/control/coordinator/leader.go
@@ -44,8 +44,8 @@
 // Leading tells whether this instance leads.
 func (l *Leader) Leading() bool { return l.leading }
 
-// SetRole tells who leads. All callers that wait are told ErrNotLeader when the role, the term or the group changes,
-// and all nodes are heard anew.
+// SetRole tells whether this instance leads, and in which term. All callers that wait are told ErrNotLeader when the
+// role, the term or the group changes, and all nodes are heard anew.
 func (l *Leader) SetRole(cluster string, leads bool, term uint64) {
 	if leads == l.leading && term == l.term && cluster == l.cluster {
 		return
@@ -141,6 +141,8 @@
 		}
 		l.zoneOps.applied(o, func(op *zones.Op) bool { return op.IdempotencyKey == o.IdempotencyKey })
 	case policy.Result:
+		// Also for an operator's operation: if the rules' own is still on its way, the rules may append it a second
+		// time, and what comes twice is refused when it is applied.
 		l.policyAppend.stop()
 		l.policyOps.applied(o, func(op *policy.Op) bool { return isPolicyOutcome(op, &o) })
 	}
--- a/internal/control/policy/guard.go
+++ b/internal/control/policy/guard.go
@@ -5,7 +5,7 @@
 
 // The guards.
 const (
-	LeaseGuard   Guard = 1 << iota // nobody is counted out before its lease has run out
+	LeaseGuard   Guard = 1 << iota // commit and settle wait for the leases of older versions
 	Fence                          // a node whose lease ran out serves nothing
 	PrepareAll                     // all who may serve have prepared, not a majority
 	DecideOnce                     // what is decided is not taken back
--- a/internal/control/recovery/doc.go
+++ b/internal/control/recovery/doc.go
@@ -8,4 +8,9 @@
 // Invariants: nothing is restored by guess. A text counts by its hash, a version as committed by a node that served
 // under it, as decided by a node that promised it; what is at odds is a conflict for an operator, what nobody holds is
 // named. The package never decides that a group has lost state by anything but what the group itself told a node.
+//
+// Recovery here is of a group; "umberctl control recover" is its command, a ramp that returns load to a zone is in
+// package zones, and what an opened store found on disk is resultstore.Recovery. What holds a restarted fleet back is
+// spread: zones (BeginColdStart, the ramp), coordinator (limits of new nodes, the time that a new leader listens),
+// membership (the wait after many joins) and zonegate (nodes without the group).
 package recovery
--- a/internal/control/zones/decide.go
+++ b/internal/control/zones/decide.go
@@ -66,7 +66,8 @@
 			return d.evacuate(view)
 		}
 	case Evacuated:
-		// evacuated in part, and now it is dead
+		// It was evacuated in part, and now it is dead: the rest is evacuated by the rules, under decide = ask too, as
+		// nothing is left there to serve what stayed.
 		if zone.Share > 0 && view.FailureScore >= evacuateScore && view.silent() {
 			return d.evacuate(view)
 		}
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -63,8 +63,7 @@
 // ActiveVersion is the policy version that the node serves under, 0 without one.
 func (a *Agent) ActiveVersion() uint64 { return a.versions.active.Version }
 
-// MinVersion is the oldest version that the node may serve under: a newer one than the active one is decided and
-// fences it.
+// MinVersion is the oldest version that the node may serve under. If it is newer than ActiveVersion the node is fenced.
 func (a *Agent) MinVersion() uint64 { return a.versions.min }
 
 // CommittedVersion is the version that the group has committed, as far as this node was told; 0: none.
