--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -475,3 +475,30 @@
 		}
 	}
 }
+
+// nameInFile is a code span with a name, and behind it one with the Go file that declares it.
+var nameInFile = regexp.MustCompile("`([A-Za-z][\\w.]*)`(?:, | in | \\()`((?:admission|internal)/[\\w./-]+\\.go)`")
+
+// A name that a page gives together with its file is declared in that file.
+func TestNamesAreInTheFilesBesideThem(t *testing.T) {
+	known := declared(t)
+	found := 0
+	for _, page := range pages(t) {
+		if strings.Contains(page, "CHANGELOG") || strings.Contains(page, "incidents") || strings.HasSuffix(page, "standing.md") {
+			continue
+		}
+		for _, m := range nameInFile.FindAllStringSubmatch(read(t, page), -1) {
+			name, file := m[1], m[2]
+			if strings.HasSuffix(name, ".go") {
+				continue
+			}
+			found++
+			if !declaredIn(known[packageOf(file)+"."+name], []string{file}) {
+				t.Errorf("%s: found no %s in %s", page, name, file)
+			}
+		}
+	}
+	if found == 0 {
+		t.Error("found no names with their files")
+	}
+}
