--- a/internal/control/coordinator/coldstart.go
+++ b/internal/control/coordinator/coldstart.go
@@ -54,7 +54,7 @@
 	}
 	*c = fleetCensus{atMS: l.nowMS, taken: true, byZone: map[string]int{}, warmHeartbeatsMS: c.warmHeartbeatsMS[:0]}
 	for _, n := range s.Fleet.Nodes() {
-		if n.OutReason != "" {
+		if n.IsOut() {
 			continue
 		}
 		c.in++
--- a/internal/control/coordinator/listen.go
+++ b/internal/control/coordinator/listen.go
@@ -39,7 +39,7 @@
 	guarded := l.Level >= LevelGenerations && !l.DisabledGuards.Has(policy.ListenFirst)
 	if guarded && l.nowMS-p.sinceMS < min(maxListenMS, s.leaseTerms().LeaseMS/listenLeaseFraction) {
 		for _, n := range s.Fleet.Nodes() {
-			if n.OutReason == "" && !p.seenNames[n.Name] {
+			if !n.IsOut() && !p.seenNames[n.Name] {
 				return true
 			}
 		}
--- a/internal/control/membership/expiry.go
+++ b/internal/control/membership/expiry.go
@@ -10,7 +10,7 @@
 	span := LeaseSpanMS(terms.LeaseMS)
 	for _, n := range s.nodes {
 		silentSince := max(n.LastHeartbeatMS, s.ListeningSinceMS)
-		if n.OutReason == "" && s.ClockMS > silentSince+span && s.ClockMS >= n.Lease.ExpiresAtMS {
+		if !n.IsOut() && s.ClockMS > silentSince+span && s.ClockMS >= n.Lease.ExpiresAtMS {
 			s.markOut(n, OutSilent)
 			result.CountedOut = append(result.CountedOut, n.Name)
 		}
@@ -29,7 +29,7 @@
 func (s *State) evictLongestOut() bool {
 	var longest *Node
 	for _, n := range s.nodes {
-		gone := n.OutReason != "" && len(n.EarlierLeases) == 0 && !n.Lease.Live(s.ClockMS)
+		gone := n.IsOut() && len(n.EarlierLeases) == 0 && !n.Lease.Live(s.ClockMS)
 		if gone && (longest == nil || n.OutAtMS < longest.OutAtMS) {
 			longest = n
 		}
--- a/internal/control/membership/join.go
+++ b/internal/control/membership/join.go
@@ -40,7 +40,7 @@
 // It guards against a node whose requests arrive and that hears no answer: it serves nothing, and must not stay in by
 // sending on. Past the span of a lease the request extends nothing, so the node is counted out for silence.
 func (s *State) repeatJoin(n *Node, nonce string, terms LeaseTerms) JoinResult {
-	if n.OutReason != "" {
+	if n.IsOut() {
 		return JoinResult{Nonce: nonce, RefusedReason: "this incarnation was counted out; begin another"}
 	}
 	if s.ClockMS-n.JoinedAtMS > LeaseSpanMS(terms.LeaseMS) {
--- a/internal/control/membership/node.go
+++ b/internal/control/membership/node.go
@@ -21,6 +21,9 @@
 	EarlierLeases   []Lease  `json:"old,omitempty"`    // of replaced incarnations, still live
 }
 
+// IsOut reports whether the node is counted out: for OutReason.
+func (n *Node) IsOut() bool { return n.OutReason != "" }
+
 // UptimeMS gives for how long the node's process has been up at a group's time, as far as it said, in ms.
 func (n *Node) UptimeMS(clockMS uint64) uint64 {
 	return clockMS - min(clockMS, n.JoinedAtMS) + n.UptimeAtJoinMS
--- a/internal/control/membership/snapshot.go
+++ b/internal/control/membership/snapshot.go
@@ -52,7 +52,7 @@
 		}
 		s.nodes = append(s.nodes, n)
 		s.byName[n.Name] = n
-		if n.OutReason == "" && n.Lease.ID != 0 {
+		if !n.IsOut() && n.Lease.ID != 0 {
 			s.byLease[n.Lease.ID] = n
 		}
 	}
--- a/internal/control/membership/state.go
+++ b/internal/control/membership/state.go
@@ -35,7 +35,7 @@
 // LeaseHolder gives the node that holds a lease and is in; nil where the incarnation was replaced or counted out.
 func (s *State) LeaseHolder(id uint32) *Node {
 	n := s.byLease[id]
-	if n == nil || n.OutReason != "" || n.Lease.ID != id {
+	if n == nil || n.IsOut() || n.Lease.ID != id {
 		return nil
 	}
 	return n
@@ -69,7 +69,7 @@
 
 // markOut counts a node out. Its lease may be live still.
 func (s *State) markOut(n *Node, reason string) {
-	if n.OutReason == "" {
+	if !n.IsOut() {
 		n.OutReason, n.OutAtMS = reason, s.ClockMS
 	}
 	delete(s.byLease, n.Lease.ID)
--- a/internal/control/policy/blockers.go
+++ b/internal/control/policy/blockers.go
@@ -49,7 +49,7 @@
 				reason := "may serve under an older version " + olderLeaseBound(f, n, c.Version)
 				blockers = append(blockers, Blocker{n.Name, n.Zone, reason})
 			}
-		case n.OutReason != "":
+		case n.IsOut():
 			if n.Lease.Live(f.ClockMS) && n.Lease.Autonomous {
 				const reason = "is silent and may serve alone, as when_alone = go-on is in force"
 				blockers = append(blockers, Blocker{n.Name, n.Zone, reason})
--- a/internal/control/zones/apply.go
+++ b/internal/control/zones/apply.go
@@ -7,16 +7,9 @@
 	"umberwinch/internal/control/membership"
 )
 
-const (
-	// flapWindowMS: a zone that fails again so soon after its return has flapped, and waits twice as long before the
-	// next ramp. Ten minutes are several ramps; shorter would let a zone that fails at each return bring its callers
-	// down every time.
-	flapWindowMS = 600_000
-
-	// recentlyOutMS: a node that was counted out for silence so lately counts as one that the zone had. A zone that
-	// dies has most of its nodes counted out while its evacuation is decided.
-	recentlyOutMS = 60_000
-)
+// recentlyOutMS: a node that was counted out for silence so lately counts as one that the zone had. A zone that dies has
+// most of its nodes counted out while its evacuation is decided.
+const recentlyOutMS = 60_000
 
 // Apply plays one operation of the log. One that no longer holds is rejected: it names the epoch that it was decided
 // in, so of two leaders' decisions about one picture one counts.
@@ -143,7 +136,7 @@
 func (z *Zone) recentNodes(fleet *membership.State) (n int) {
 	for _, node := range fleet.Nodes() {
 		lately := node.OutReason == membership.OutSilent && fleet.ClockMS-node.OutAtMS < recentlyOutMS
-		if node.Zone == z.Name && (node.OutReason == "" || lately) {
+		if node.Zone == z.Name && (!node.IsOut() || lately) {
 			n++
 		}
 	}
--- a/internal/control/zones/cold_start.go
+++ b/internal/control/zones/cold_start.go
@@ -57,7 +57,7 @@
 		lastStartEnded = whole.InServiceSinceMS
 	}
 	for _, node := range fleet.Nodes() {
-		if node.OutReason != "" {
+		if node.IsOut() {
 			continue
 		}
 		in++
--- a/internal/control/zones/evacuate.go
+++ b/internal/control/zones/evacuate.go
@@ -20,6 +20,10 @@
 	minPartShare = api.FullShare / 8
 	// maxDoublings of a wait: beyond it MaxRampDelayMS is the limit in any case, and the shift must not overflow.
 	maxDoublings = 20
+	// flapWindowMS: a zone that fails again so soon after its return has flapped, and waits twice as long before the
+	// next ramp. Ten minutes are several ramps; shorter would let a zone that fails at each return bring its callers
+	// down every time.
+	flapWindowMS = 600_000
 	// minRate stands for no rate where one is divided by.
 	minRate = 1e-9
 )
--- a/internal/control/zones/evaluate.go
+++ b/internal/control/zones/evaluate.go
@@ -57,7 +57,7 @@
 			view = &View{Zone: node.Zone}
 			views[node.Zone] = view
 		}
-		if node.OutReason != "" {
+		if node.IsOut() {
 			if node.OutReason != membership.OutLeft && fleet.ClockMS-node.OutAtMS < recentlyOutMS {
 				view.NodesSilent++
 			}
--- a/internal/control/zones/quota.go
+++ b/internal/control/zones/quota.go
@@ -90,7 +90,7 @@
 		for i := range node.EarlierLeases {
 			keep(&node.EarlierLeases[i])
 		}
-		if node.OutReason == "" {
+		if !node.IsOut() {
 			in = append(in, node)
 		} else {
 			keep(&node.Lease)
--- a/internal/control/zones/ramp.go
+++ b/internal/control/zones/ramp.go
@@ -66,7 +66,8 @@
 	return d.raiseShare(zone, view)
 }
 
-// recordLoad notes in the view how much is in flight over what was observed, and for how many evaluations it has been too much.
+// recordLoad notes in the view how much is in flight over what was observed, and for how many evaluations it has been
+// too much.
 func (d *decider) recordLoad(zone *Zone, view *View, shownMS uint64) {
 	view.loads[0] = 0
 	if zone.Capacity.Concurrency > 0 {
--- a/internal/control/zones/resplit.go
+++ b/internal/control/zones/resplit.go
@@ -29,7 +29,7 @@
 			}
 		}
 		rate, has := quotaOf(zone.Quotas, node.Lease.ID)
-		if node.OutReason == "" && !has {
+		if !node.IsOut() && !has {
 			return true
 		}
 		if node.Lease.Live(d.fleet.ClockMS) {
--- a/internal/control/zones/state.go
+++ b/internal/control/zones/state.go
@@ -118,7 +118,7 @@
 // anotherInService reports whether another zone with nodes is in service.
 func (s *State) anotherInService(name string, fleet *membership.State) bool {
 	for _, node := range fleet.Nodes() {
-		if node.OutReason == "" && node.Zone != name && s.inService(node.Zone) {
+		if !node.IsOut() && node.Zone != name && s.inService(node.Zone) {
 			return true
 		}
 	}
@@ -143,7 +143,7 @@
 // nodesIn counts the zone's nodes that are in.
 func (z *Zone) nodesIn(fleet *membership.State) (n int) {
 	for _, node := range fleet.Nodes() {
-		if z.has(node) && node.OutReason == "" {
+		if z.has(node) && !node.IsOut() {
 			n++
 		}
 	}
--- a/internal/node/agent/versions.go
+++ b/internal/node/agent/versions.go
@@ -20,7 +20,7 @@
 	startAutonomous bool // it may be activated without the group
 }
 
-// rejection is the version that the node can't or won't serve under.
+// refusal is the node's vote against one version, which it can't or won't serve under.
 type refusal struct {
 	version   uint64 // 0: none
 	reason    string
