--- a/admission/readiness.go
+++ b/admission/readiness.go
@@ -36,41 +36,41 @@
 func newReadiness() readiness { return readiness{tooLate: newWindow(lateBuckets, lateStep)} }
 
 // countLate counts a request that was read, or a run that ended, as too late to be of use or not.
-func (s *readiness) countLate(now Time, late bool) { s.tooLate.add(now, indicator(late), 1) }
+func (r *readiness) countLate(now Time, late bool) { r.tooLate.add(now, indicator(late), 1) }
 
 // watchRuns adds the time that runs on the cores have not moved; onCores is how many they are.
-func (s *readiness) watchRuns(elapsed Time, onCores int) {
-	if onCores <= 0 || s.stalled {
-		s.stalledFor = 0
+func (r *readiness) watchRuns(elapsed Time, onCores int) {
+	if onCores <= 0 || r.stalled {
+		r.stalledFor = 0
 	} else {
-		s.stalledFor += elapsed * Time(min(onCores, stalledFullPace)) / stalledFullPace
+		r.stalledFor += elapsed * Time(min(onCores, stalledFullPace)) / stalledFullPace
 	}
 }
 
 // isStalling decides whether started work has come to a standstill: there are as many runs as cores, and none has
 // moved for far longer than runs take. The failure is a kernel or a disk that hangs; it shows as waiters that each
 // spend their bound on a server that does nothing. It may harm where every slot has a very heavy request at once.
-func (s *readiness) isStalling(running int, cores float64, classes []class) bool {
+func (r *readiness) isStalling(running int, cores float64, classes []class) bool {
 	longest := float64(stalledAfter)
 	for k := range classes {
 		usual := stalledRuns * classes[k].runTimePerWork * classes[k].usualWork
 		longest = max(longest, usual, float64(classes[k].objective)/stalledObjectiveDivisor)
 	}
-	return !s.stalled && s.stalledFor > Time(longest) && float64(running) >= cores
+	return !r.stalled && r.stalledFor > Time(longest) && float64(running) >= cores
 }
 
 // judgeOverload decides whether the server is overloaded by what it has not read yet: nearly all that it reads has
 // waited unread for half its objective, or its runs end past it, so that no client gets what it does in time. Once
 // checks are told, arrivals stop, and it recovers when what it reads is fresh or nothing is left. It gives the
 // line for the log if that changed. It may harm where a whole fleet goes off at once.
-func (s *readiness) judgeOverload(now Time, cores float64) (line string) {
-	late, all := s.tooLate.sums(now)
+func (r *readiness) judgeOverload(now Time, cores float64) (line string) {
+	late, all := r.tooLate.sums(now)
 	switch {
-	case !s.overloaded && all >= cores && late > overloadedFrom*all:
-		s.overloaded = true
+	case !r.overloaded && all >= cores && late > overloadedFrom*all:
+		r.overloaded = true
 		return "swamped: what is read or done is too late to be of use"
-	case s.overloaded && late <= overloadedTo*all:
-		s.overloaded = false
+	case r.overloaded && late <= overloadedTo*all:
+		r.overloaded = false
 		return "swamped: over, what is read and done is in time"
 	}
 	return ""
@@ -79,9 +79,9 @@
 // isReady decides what health checks are told: whether to send anything here. A server whose work was stalled, that is
 // empty and that nothing has come to for a while, says yes until something comes: else no caller that obeys checks
 // would ever send what shows that work goes on again. That costs one request each two seconds while it does not.
-func (s *readiness) isReady(empty bool, sinceArrival Time, draining bool) bool {
+func (r *readiness) isReady(empty bool, sinceArrival Time, draining bool) bool {
 	probing := empty && sinceArrival > probeAfter
-	return (!s.stalled || probing) && !s.overloaded && !draining
+	return (!r.stalled || probing) && !r.overloaded && !draining
 }
 
 // detectStall sheds what is queued when started work has come to a standstill.
--- a/internal/control/coordinator/coldstart.go
+++ b/internal/control/coordinator/coldstart.go
@@ -28,20 +28,20 @@
 	warmHeartbeatsMS []uint64
 }
 
-func (h *coldStartLimits) limit(lease uint32, nowMS uint64) {
-	if len(h.limitedSinceMS) < membership.MaxNodes {
-		h.limitedSinceMS[lease] = nowMS
+func (c *coldStartLimits) limit(lease uint32, nowMS uint64) {
+	if len(c.limitedSinceMS) < membership.MaxNodes {
+		c.limitedSinceMS[lease] = nowMS
 	}
 }
 
 // release lets a node take its full load; it is not held again.
-func (h *coldStartLimits) release(lease uint32) { delete(h.limitedSinceMS, lease) }
+func (c *coldStartLimits) release(lease uint32) { delete(c.limitedSinceMS, lease) }
 
 // dropEnded forgets leases whose incarnations are not in any more.
-func (h *coldStartLimits) dropEnded(f *membership.State) {
-	for lease := range h.limitedSinceMS {
+func (c *coldStartLimits) dropEnded(f *membership.State) {
+	for lease := range c.limitedSinceMS {
 		if f.LeaseHolder(lease) == nil {
-			delete(h.limitedSinceMS, lease)
+			delete(c.limitedSinceMS, lease)
 		}
 	}
 }
--- a/internal/node/zonegate/retry_after.go
+++ b/internal/node/zonegate/retry_after.go
@@ -14,15 +14,15 @@
 }
 
 // record takes a change of the share. One that does not raise it says nothing of when the next one will.
-func (s *shareGrowth) record(now uint64, from, to int) {
+func (g *shareGrowth) record(now uint64, from, to int) {
 	if from <= 0 || to <= from {
-		*s = shareGrowth{steppedAt: now}
+		*g = shareGrowth{steppedAt: now}
 		return
 	}
-	if s.steppedAt != 0 {
-		s.interval = max(now-s.steppedAt, 1)
+	if g.steppedAt != 0 {
+		g.interval = max(now-g.steppedAt, 1)
 	}
-	s.steppedAt, s.factor = now, min(float64(to)/float64(from), api.MaxRampFactor)
+	g.steppedAt, g.factor = now, min(float64(to)/float64(from), api.MaxRampFactor)
 }
 
 // roundingSlack keeps a place that the share reaches exactly at a step from being counted one step later.
