--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -338,7 +338,7 @@
 
 var (
 	// quotedMessage is a code span behind the word log: the message of a log line.
-	quotedMessage = regexp.MustCompile("\\blog `([^`]+)`")
+	quotedMessage = regexp.MustCompile("\\b[Ll]og `([^`]+)`")
 	// placeholder is what stands for a value in a quoted message: "..." or a word in capitals.
 	placeholder = regexp.MustCompile(`\.\.\.|\b[A-Z]+\b`)
 	// formatVerb is what stands for a value in a format of the code.
