--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -77,6 +77,6 @@
 	}
 }
 
-// Again, and how long after its end, an instance of a local group is started; one that ends by itself
+// againAfter is how long after its end an instance of a local group is started again; one that ends by itself
 // sooner than that does not come up at all, as on a folder that can't be used, and ends the command.
 const againAfter = 2 * time.Second
--- a/internal/control/zones/ramp.go
+++ b/internal/control/zones/ramp.go
@@ -83,7 +83,7 @@
 }
 
 // needsStepBack decides whether a ramp has to step back, and to which share; the reason is empty if it need not. Where
-// nodes fail the zone is evacuated; where more was in flight than the services bore, the share goes down in
+// nodes fail the zone is evacuated; where more was in flight than the services sustained, the share goes down in
 // proportion, and the evaluations with too much are counted anew.
 //
 // Guards against a step being judged by reports of the one before: they have to be of this share.
--- a/internal/control/zones/state.go
+++ b/internal/control/zones/state.go
@@ -17,8 +17,8 @@
 	maxEventBytes = 300
 )
 
-// ObservedCapacity is what a zone's services below bore while the zone was healthy: peaks that decay slowly, and what
-// a run and a call usually took.
+// ObservedCapacity is what a zone's services below sustained while the zone was healthy: peaks that decay slowly, and
+// what a run and a call usually took.
 type ObservedCapacity struct {
 	RunRate          float64 `json:"runs"`      // runs a second, peak
 	Concurrency      float64 `json:"in_flight"` // runs in flight, peak
--- a/internal/control/zones/view.go
+++ b/internal/control/zones/view.go
@@ -33,7 +33,7 @@
 	mix []api.PriorityCount
 	// demand, of the fleet's view: the most first attempts a second that arrived lately.
 	demand float64
-	// busy: slow, but it does nearly what it bore at most.
+	// busy: slow, but it does nearly what it sustained at most.
 	busy bool
 
 	history
@@ -47,7 +47,7 @@
 	loggedAt       uint64             // ms
 
 	commonCauseAt uint64 // ms, when it was last unhealthy together with the others
-	overloaded    int    // evaluations in a row at which more was in flight than it bore
+	overloaded    int    // evaluations in a row at which more was in flight than it sustained
 	// loads are runs in flight over those observed, at the last evaluations, the newest first.
 	loads [loadHistory]float64
 }
--- a/internal/node/resultstore/doc.go
+++ b/internal/node/resultstore/doc.go
@@ -21,4 +21,6 @@
 //
 // It never decides about requests without a key, and never waits for the disk on the caller's goroutine but in Open,
 // Close, Inspect, Compact and ReadResult.
+//
+// Recovery here is what an opened store found on disk; for a group that lost its state see internal/control/recovery.
 package resultstore
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -31,7 +31,7 @@
 	off int64  // of the record's head
 }
 
-// writer puts records together for one flush.
+// recordWriter puts records together for one flush.
 type recordWriter struct {
 	buf              []byte
 	checksum         uint32
