--- a/internal/control/zones/ramp.go
+++ b/internal/control/zones/ramp.go
@@ -69,11 +69,12 @@
 // recordLoad notes in the view how much is in flight over what was observed, and for how many evaluations it has been
 // too much.
 func (d *decider) recordLoad(zone *Zone, view *View, shownMS uint64) {
-	view.loads[0] = 0
+	load := 0.0
 	if zone.Capacity.Concurrency > 0 {
-		view.loads[0] = view.Concurrency / zone.Capacity.Concurrency
+		load = view.Concurrency / zone.Capacity.Concurrency
 	}
-	tooMuch := shownMS >= d.monitor.heartbeatMS && view.loads[0] > stepBackLoad && view.Concurrency >= 1 &&
+	view.recordLoad(load)
+	tooMuch := shownMS >= d.monitor.heartbeatMS && load > stepBackLoad && view.Concurrency >= 1 &&
 		!isWarm(view, &zone.Capacity) && view.hasQuorum()
 	if tooMuch {
 		view.overloaded++
@@ -101,7 +102,7 @@
 		return 0, ""
 	}
 	view.overloaded = 0
-	if share = int(float64(zone.Share) * stepBackTarget / view.loads[0]); share < max(1,
+	if share = int(float64(zone.Share) * stepBackTarget / view.currentLoad()); share < max(1,
 		d.rules.InitialShare/minShareDivisor) {
 		share = 0
 	}
--- a/internal/control/zones/ramp_begin.go
+++ b/internal/control/zones/ramp_begin.go
@@ -57,7 +57,7 @@
 // goOnFromPart has a zone that was evacuated in part go on from what it takes, and reports whether it may.
 func goOnFromPart(zone *Zone, view *View, op *Op) bool {
 	observed := zone.Capacity.Concurrency
-	view.loads[0] = view.Concurrency / max(observed, minRate)
+	view.recordLoad(view.Concurrency / max(observed, minRate))
 	if view.highestLoad() > targetLoad && !isWarm(view, &zone.Capacity) {
 		view.Note = fmt.Sprintf("left in part, and held there: %.0f runs under way of %.0f it bore",
 			view.Concurrency, observed)
--- a/internal/control/zones/view.go
+++ b/internal/control/zones/view.go
@@ -84,6 +84,12 @@
 	return v.NodesSilent > 0 && v.NodesSilent*allOf >= silentOf*max(v.NodesIn, v.NodesSilent)
 }
 
+// recordLoad sets the load of this evaluation: runs in flight over those observed.
+func (v *View) recordLoad(load float64) { v.loads[0] = load }
+
+// currentLoad is the load that was recorded at this evaluation.
+func (v *View) currentLoad() float64 { return v.loads[0] }
+
 // highestLoad is the highest of the last evaluations, of runs in flight over those observed.
 func (v *View) highestLoad() float64 {
 	highest := 0.0
