--- a/deploy/sites/sites_test.go
+++ b/deploy/sites/sites_test.go
@@ -67,12 +67,12 @@
 		checkTenants(t, s)
 		for _, name := range []string{"real.json", "wire.json"} {
 			text, err := os.ReadFile(filepath.Join(folder, name))
-			var any map[string]any
+			var fields map[string]any
 			if err == nil {
-				err = json.Unmarshal(text, &any)
+				err = json.Unmarshal(text, &fields)
 			}
-			if err != nil || any["family"] != "server" {
-				t.Errorf("%s/%s: %v, family %v, expected JSON of the family server", folder, name, err, any["family"])
+			if err != nil || fields["family"] != "server" {
+				t.Errorf("%s/%s: %v, family %v, expected JSON of the family server", folder, name, err, fields["family"])
 			}
 		}
 		checkUnlock(t, filepath.Join(folder, "unlock.txt"))
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -68,15 +68,18 @@
 			return g.Err()
 		case <-ctx.Done():
 			log.Info("ending")
-			end, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-			defer cancel()
+			end, cancel := context.WithTimeout(context.Background(), stopWithin)
 			g.Stop(end)
+			cancel()
 			api.Stop()
 			return g.Err()
 		}
 	}
 }
 
+// stopWithin is how long an instance that ends may take to hand its lead over.
+const stopWithin = 2 * time.Second
+
 // againAfter is how long after its end an instance of a local group is started again; one that ends by itself
 // sooner than that does not come up at all, as on a folder that can't be used, and ends the command.
 const againAfter = 2 * time.Second
--- a/internal/cli/control_local.go
+++ b/internal/cli/control_local.go
@@ -50,6 +50,12 @@
 	defer stop()
 	ended := make(chan error, size)
 	var listens, pids []string
+	var logs []*os.File
+	defer func() {
+		for _, l := range logs {
+			l.Close()
+		}
+	}()
 	for i := 0; i < size; i++ {
 		name := string(rune('a' + i))
 		listen := fmt.Sprintf("127.0.0.1:%d", port+i)
@@ -61,7 +67,7 @@
 		if err != nil {
 			return err
 		}
-		defer out.Close()
+		logs = append(logs, out)
 		begin := func() (*exec.Cmd, error) {
 			child := exec.CommandContext(running, self, "control", "run", "--file", file)
 			child.Stderr = out
--- a/internal/cli/control_members.go
+++ b/internal/cli/control_members.go
@@ -14,7 +14,7 @@
 
 func newMembers(a *access) *cobra.Command {
 	c := &cobra.Command{Use: "members", Short: "Add, promote, remove or replace instances; hand the lead over"}
-	change := func(use, short string, n int, make func(context.Context, *client, []string) (consensus.Change,
+	change := func(use, short string, n int, build func(context.Context, *client, []string) (consensus.Change,
 		error)) {
 		c.AddCommand(&cobra.Command{Use: use, Short: short, Args: exact(n),
 			RunE: func(cmd *cobra.Command, args []string) error {
@@ -22,7 +22,7 @@
 				if err != nil {
 					return err
 				}
-				ch, err := make(cmd.Context(), c, args)
+				ch, err := build(cmd.Context(), c, args)
 				if err != nil {
 					return err
 				}
--- a/internal/harness/control_processes.go
+++ b/internal/harness/control_processes.go
@@ -127,7 +127,7 @@
 	if err := p.cmd.Start(); err != nil {
 		return err
 	}
-	go func(p *instanceProcess, cmd *exec.Cmd, ended chan struct{}) { cmd.Wait(); close(ended) }(p, p.cmd, p.ended)
+	go func(cmd *exec.Cmd, ended chan struct{}) { cmd.Wait(); close(ended) }(p.cmd, p.ended)
 	return nil
 }
 
--- a/internal/harness/policy_bench.go
+++ b/internal/harness/policy_bench.go
@@ -85,8 +85,8 @@
 	for _, n := range b.nodes {
 		if n.name == name {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-			defer cancel()
 			code, backOff = sendAttempt(ctx, b.client, n.front, "view", 0, 0, "", false)
+			cancel()
 			return code, backOff, fmt.Errorf("%s answers %d", name, code)
 		}
 	}
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -60,7 +60,7 @@
 }
 
 // virtual plays schedules on all cores, each from a seed of its own.
-func (r *RaftTest) virtual(ctx context.Context, w io.Writer, rep *report.Report) {
+func (r *RaftTest) virtual(ctx context.Context, _ io.Writer, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
 		n = longSchedules
--- a/internal/harness/raft_processes.go
+++ b/internal/harness/raft_processes.go
@@ -100,7 +100,9 @@
 	var stop atomic.Bool
 	for i := 0; i < n; i++ {
 		go func() {
-			for x := 1; !stop.Load(); x = x*31 + 7 {
+			x := 1
+			for !stop.Load() {
+				x = x*31 + 7
 			}
 		}()
 	}
@@ -119,7 +121,7 @@
 	return after.Term - before.Term, nil
 }
 
-func (r *RaftTest) killLeaders(ctx context.Context, w io.Writer, rep *report.Report, plot *report.Plot, size, kills int,
+func (r *RaftTest) killLeaders(ctx context.Context, _ io.Writer, rep *report.Report, plot *report.Plot, size, kills int,
 	extra string) error {
 	dir, err := os.MkdirTemp("", "lab-raft-")
 	if err != nil {
@@ -205,9 +207,10 @@
 			ended = true
 		}
 		c.board.heal()
-		if !ended {
-		} else if err := c.start(p, kinds[chance.Intn(len(kinds))]); err != nil {
-			return err
+		if ended {
+			if err := c.start(p, kinds[chance.Intn(len(kinds))]); err != nil {
+				return err
+			}
 		}
 		if err := c.await(ctx, func() error { // back before the next is killed
 			r, err := c.report(p)
@@ -261,51 +264,59 @@
 // speed measures puts without faults, by one client and by many.
 func (r *RaftTest) speed(ctx context.Context, rep *report.Report) error {
 	for _, clients := range []int{1, 64} {
-		dir, err := os.MkdirTemp("", "lab-raft-")
-		if err != nil {
-			return err
-		}
-		defer os.RemoveAll(dir)
-		c, err := newControlProcesses(ctx, r.Program, dir, 3, "")
-		if c != nil {
-			defer c.close()
-		}
-		if err != nil {
-			return err
-		}
-		l := c.load(ctx, clients)
-		time.Sleep(time.Second)
-		before, err := c.report(c.leader())
-		if err != nil {
-			return err
-		}
-		l.mu.Lock()
-		puts, versions := l.puts, len(l.taken)
-		l.times.Reset()
-		l.mu.Unlock()
-		started := time.Now()
-		time.Sleep(10 * time.Second)
-		l.mu.Lock()
-		puts, versions = l.puts-puts, len(l.taken)-versions
-		took := time.Since(started).Seconds()
-		l.mu.Unlock()
-		after, err := c.report(c.leader())
-		if err != nil {
+		if err := r.speedWith(ctx, rep, clients); err != nil {
 			return err
 		}
-		if err := l.end(); err != nil {
-			rep.Break("%d clients: %v", clients, err)
-		}
-		key := fmt.Sprintf("clients%d", clients)
-		rep.Add(key+"_puts_per_s", "%.0f", float64(puts)/took)
-		rep.Add(key+"_versions_per_s", "%.0f", float64(versions)/took)
-		rep.Add(key+"_syncs_per_put", "%.2f", float64(after.Syncs-before.Syncs)/float64(max(1, puts)))
-		rep.Rows = append(rep.Rows, []string{fmt.Sprintf("put, %d clients", clients), "3", "10 s",
-			strconv.Itoa(puts), "-", us(l.times.ValueAtQuantile(50)), us(l.times.ValueAtQuantile(99)),
-			us(l.times.Max())})
-		c.close()
 	}
 	return nil
 }
 
+// speedWith measures puts by so many clients on a group of its own.
+func (r *RaftTest) speedWith(ctx context.Context, rep *report.Report, clients int) error {
+	dir, err := os.MkdirTemp("", "lab-raft-")
+	if err != nil {
+		return err
+	}
+	defer os.RemoveAll(dir)
+	c, err := newControlProcesses(ctx, r.Program, dir, 3, "")
+	if c != nil {
+		defer c.close()
+	}
+	if err != nil {
+		return err
+	}
+	l := c.load(ctx, clients)
+	time.Sleep(time.Second)
+	before, err := c.report(c.leader())
+	if err != nil {
+		return err
+	}
+	l.mu.Lock()
+	puts, versions := l.puts, len(l.taken)
+	l.times.Reset()
+	l.mu.Unlock()
+	started := time.Now()
+	time.Sleep(10 * time.Second)
+	l.mu.Lock()
+	puts, versions = l.puts-puts, len(l.taken)-versions
+	took := time.Since(started).Seconds()
+	l.mu.Unlock()
+	after, err := c.report(c.leader())
+	if err != nil {
+		return err
+	}
+	if err := l.end(); err != nil {
+		rep.Break("%d clients: %v", clients, err)
+	}
+	key := fmt.Sprintf("clients%d", clients)
+	rep.Add(key+"_puts_per_s", "%.0f", float64(puts)/took)
+	rep.Add(key+"_versions_per_s", "%.0f", float64(versions)/took)
+	rep.Add(key+"_syncs_per_put", "%.2f", float64(after.Syncs-before.Syncs)/float64(max(1, puts)))
+	rep.Rows = append(rep.Rows, []string{fmt.Sprintf("put, %d clients", clients), "3", "10 s",
+		strconv.Itoa(puts), "-", us(l.times.ValueAtQuantile(50)), us(l.times.ValueAtQuantile(99)),
+		us(l.times.Max())})
+	c.close()
+	return nil
+}
+
 func us(n int64) string { return fmt.Sprintf("%.2f ms", float64(n)/1000) }
--- a/internal/harness/result_store.go
+++ b/internal/harness/result_store.go
@@ -307,17 +307,23 @@
 func (k *ResultStoreTest) kills(ctx context.Context, rep *report.Report) error {
 	rigs, errs := make([]*resultStoreProcesses, keptRigs), make([]error, keptRigs)
 	var all sync.WaitGroup
+	var ends []func()
+	defer func() {
+		for _, end := range slices.Backward(ends) {
+			end()
+		}
+	}()
 	for i := range rigs {
 		dir, err := os.MkdirTemp("", "kept-")
 		if err != nil {
 			return err
 		}
-		defer os.RemoveAll(dir)
+		ends = append(ends, func() { os.RemoveAll(dir) })
 		if rigs[i], err = newResultStoreProcesses(dir, k.Program, k.Seed*100+int64(i), keptWindow, "[kept]\nfolder = DIR\nentries = 4000\nmb = 8\n",
 			k.Without); err != nil {
 			return err
 		}
-		defer rigs[i].close()
+		ends = append(ends, rigs[i].close)
 		all.Add(1)
 		go func() { defer all.Done(); errs[i] = rigs[i].play(ctx, (k.Kills+keptRigs-1)/keptRigs) }()
 	}
--- a/internal/harness/result_store_cost.go
+++ b/internal/harness/result_store_cost.go
@@ -26,16 +26,8 @@
 	}
 	for _, way := range keptWays {
 		for _, callers := range []int{1, 32} {
-			dir, err := os.MkdirTemp("", "kept-")
-			if err != nil {
-				return err
-			}
-			defer os.RemoveAll(dir)
-			r, err := newResultStoreProcesses(dir, k.Program, k.Seed, time.Second, way.own, way.without)
-			if err != nil {
-				return err
-			}
-			if err = r.cost(ctx, rep, way.name, callers, span); err != nil {
+			measure := func(r *resultStoreProcesses) error { return r.cost(ctx, rep, way.name, callers, span) }
+			if err := k.withProcesses(way.own, way.without, measure); err != nil {
 				return err
 			}
 		}
@@ -43,6 +35,20 @@
 	return nil
 }
 
+// withProcesses starts a node with its stand-ins in a folder of its own for as long as use takes.
+func (k *ResultStoreTest) withProcesses(own, without string, use func(*resultStoreProcesses) error) error {
+	dir, err := os.MkdirTemp("", "kept-")
+	if err != nil {
+		return err
+	}
+	defer os.RemoveAll(dir)
+	r, err := newResultStoreProcesses(dir, k.Program, k.Seed, time.Second, own, without)
+	if err != nil {
+		return err
+	}
+	return use(r)
+}
+
 func (r *resultStoreProcesses) cost(ctx context.Context, rep *report.Report, name string, callers int, span time.Duration) error {
 	defer r.close()
 	r.kernel.begins, r.kernel.calls = nil, false
--- a/internal/harness/zones_cost.go
+++ b/internal/harness/zones_cost.go
@@ -273,7 +273,7 @@
 var comebackCosts = costPlan{ways: []costWay{{name: "the fleet", mode: "auto"},
 	{name: "the fleet, patient callers", mode: "auto", patient: true}, {name: "the fleet, eager callers", mode: "auto", eager: true},
 	{name: "no ramp", mode: "no-ramp"}, {name: "by the clock", mode: "off", pace: 3 * time.Second}, {name: "nodes alone", mode: "off"}},
-	failures: []zoneFailure{{name: "one node restarts", strike: func(b *zoneBench) error { return nil }, heal: func(b *zoneBench) error {
+	failures: []zoneFailure{{name: "one node restarts", strike: func(*zoneBench) error { return nil }, heal: func(b *zoneBench) error {
 		b.nodes[0].Kill()
 		return b.nodes[0].Start()
 	}, after: 12 * time.Second}, {name: "all nodes restart", strike: func(b *zoneBench) error {
