--- a/internal/node/server/counters.go
+++ b/internal/node/server/counters.go
@@ -4,7 +4,9 @@
 
 // Counters are what the node took in, sent and answered since its start, logged at the end and on SIGUSR1. Only the
 // loop counts, so they need no lock, and nothing is decided by them. Beside them stands what is held at that moment:
-// all requests are done, shed, errored, gone or in hand, and all runs have ended or are running, so that a gap shows.
+// all requests that were taken in hand (Reqs) are done, shed, errored, gone or in hand, and all runs have ended or are
+// running, so that a gap shows. What is rejected before it is taken in hand is in Reqs nowhere: of that, Shed counts
+// requests for which no buffer was free, FenceShed and Turned those of fencing and of the zone's quota.
 type Counters struct {
 	Conns, Reqs, Checks, Bad, Again        uint64 // taken in
 	Done, Shed, Errored, Shared            uint64 // answered; Shared, with another's result, is a part of Done
@@ -24,7 +26,7 @@
 	Rounds, Wakes, Ungauged, Slow          uint64 // Slow: rounds that began over 10 ms after their time
 }
 
-// fields are the counters and what is held, under the names by which operators know them.
+// counterFields are the counters and what is held, under the names by which operators know them.
 func (l *loop) counterFields() logrus.Fields {
 	c := &l.counters
 	runs, calls := 0, 0
--- a/internal/node/server/doc.go
+++ b/internal/node/server/doc.go
@@ -31,9 +31,11 @@
 //
 // # What it never does
 //
-// It decides on no request: where the controller has been asked, its decision is carried out, and what is rejected
-// before has not run. It never calls the store or starts a run by itself, and never changes a setting while it serves,
-// but for the addresses and pools of a start-up file that is read anew (reload.go).
+// It decides on no request: where the controller has been asked, its decision is carried out. What is rejected before
+// has not run, but for an attempt whose earlier run may have happened: that is answered 500 (request_arrival.go,
+// result_attempt.go). It never calls the store or starts a run by itself, and never changes a setting while it serves,
+// but for the addresses and pools of a start-up file that is read anew (reload.go) and for a policy version that it
+// adopts between two rounds (fleet_version.go).
 //
 // Times are admission.Time, in tenths of a millisecond, by the monotonic clock; fields that end in MS are
 // milliseconds.
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -77,7 +77,7 @@
 	return n
 }
 
-// lingers tells whether a client may still be reading, or sending what crosses the end of its connection.
+// hasLingering tells whether a client may still be reading, or sending what crosses the end of its connection.
 func (l *loop) hasLingering() bool {
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
 		c := l.connections.get(h)
--- a/internal/node/server/fleet_heartbeat.go
+++ b/internal/node/server/fleet_heartbeat.go
@@ -17,7 +17,7 @@
 const (
 	pathHeartbeat  = "/v1/nodes"
 	pathDocument   = "/v1/config?version=%d&read=stale"
-	pathNodeRecord = "/v1/kept"
+	pathNodeRecord = "/v1/kept" // takes the node's record; "kept" on the wire is no stored result
 	pathHealth     = "/health"
 )
 
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -82,6 +82,7 @@
 			continue
 		}
 		r.setShared(sharedNotAwaited)
+		// The controller is told that nobody waits for it any more, which is so once it is answered here.
 		l.nextRound().Disconnected = append(l.nextRound().Disconnected, uint32(h))
 		l.answer(h, r, wire.Response{Status: wire.StatusServiceUnavailable,
 			RetryAfterMS: l.retryAfter(&l.fleet.spread, 0)})
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -223,7 +223,7 @@
 	l.dial(k)
 }
 
-// move has a link go to another address, at once.
+// moveLink has a link go to another address, at once.
 func (l *loop) moveLink(k *link, addr string) {
 	if k.addr == addr {
 		return
--- a/internal/node/server/netpoll_log.go
+++ b/internal/node/server/netpoll_log.go
@@ -13,7 +13,7 @@
 // connection that fails, which the loop logs or counts by itself.
 const netpollLinesPerSecond = 5
 
-// lines carries netpoll's own log lines into the log, a few at a time.
+// netpollLog carries netpoll's own log lines into the log, a few at a time.
 type netpollLog struct {
 	log   *logrus.Logger
 	clock *clock.Clock
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -17,7 +17,7 @@
 	keyed           *keyedRequest // nil: its result is not stored
 	buf             *buffer       // the message, of which body is a part
 	body            []byte
-	key             string         // shared with its repeats; empty if there can be none
+	key             string         // shared with its repeats in this process (repeatKey); empty if there can be none
 	earliestArrival admission.Time // it may have come as early as this, where the wall clock was stepped
 	arrival         admission.Time
 	deadline        admission.Time
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -32,7 +32,8 @@
 // storeMode is what the result store can do at present. Logs, counters and the body of health checks show it.
 type storeMode string
 
-// The modes. In all but the second new keys are rejected, and known ones get what is known.
+// The modes. While opening, attempts of keys wait for the folder, for a time. In all others but modeReady new keys are
+// rejected; known ones get what is known.
 const (
 	modeOpening storeMode = "opening" // the folder is not read yet: attempts of keyed requests wait
 	modeReady   storeMode = "well"
