--- a/internal/node/settings/errors.go
+++ b/internal/node/settings/errors.go
@@ -11,4 +11,5 @@
 	Problem string // what was found, and what was expected
 }
 
+// Error names the key, what was found and what was expected.
 func (e *InvalidError) Error() string { return "settings: " + e.Key + " " + e.Problem }
--- a/internal/simulation/consensus_faults.go
+++ b/internal/simulation/consensus_faults.go
@@ -18,6 +18,7 @@
 	N    int
 }
 
+// String is the fault as a trace shows it.
 func (f Fault) String() string {
 	return fmt.Sprintf("%6d ms %-8s a=%d b=%d for=%d n=%d", f.At, f.Kind, f.A, f.B, f.For, f.N)
 }
