--- a/internal/harness/fleet_load.go
+++ b/internal/harness/fleet_load.go
@@ -33,7 +33,7 @@
 	Tries int
 }
 
-// String is the line of a report: calls by outcome, and how long they took.
+// String is the line of a report: calls by outcome, and their attempts.
 func (c *CallResults) String() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
