--- a/internal/control/consensus/transport.go
+++ b/internal/control/consensus/transport.go
@@ -84,14 +84,29 @@
 	}
 }
 
+// spawn runs f on a goroutine that close waits for. It returns false, and f does not run, once close has begun: a
+// goroutine that came to the wait group while close waits there would outlive the transport, or panic if it came as
+// the group reached zero.
+func (t *transport) spawn(f func()) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.ctx.Err() != nil {
+		return false
+	}
+	t.wg.Go(f)
+	return true
+}
+
 // serve accepts connections until close.
 func (t *transport) serve(l net.Listener) {
-	t.wg.Add(1)
-	go func() {
-		defer t.wg.Done()
+	closer := func() {
 		<-t.ctx.Done()
 		l.Close()
-	}()
+	}
+	if !t.spawn(closer) {
+		l.Close()
+		return
+	}
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -102,29 +117,46 @@
 			time.Sleep(minBackoff)
 			continue
 		}
-		t.mu.Lock()
-		full := len(t.inbound) >= maxInboundConnections
-		if !full {
-			t.inbound[c] = 0
-		}
-		t.mu.Unlock()
-		if full {
-			t.count.refused.Add(1)
-			c.Close()
-			continue
-		}
-		t.wg.Add(1)
-		go func() {
-			defer t.wg.Done()
-			t.accept(c)
-			t.mu.Lock()
-			delete(t.inbound, c)
-			t.mu.Unlock()
-			c.Close()
-		}()
+		t.serveConnection(c)
 	}
 }
 
+// serveConnection handles an accepted connection on a goroutine of its own. One that comes as the transport closes,
+// or past the bound, is closed at once.
+func (t *transport) serveConnection(c net.Conn) {
+	if !t.register(c) {
+		t.count.refused.Add(1)
+		c.Close()
+		return
+	}
+	handle := func() {
+		defer t.unregister(c)
+		t.accept(c)
+	}
+	if !t.spawn(handle) {
+		t.unregister(c)
+	}
+}
+
+// register takes an inbound connection into the table. It returns false when the table is full.
+func (t *transport) register(c net.Conn) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.inbound) >= maxInboundConnections {
+		return false
+	}
+	t.inbound[c] = 0
+	return true
+}
+
+// unregister closes an inbound connection and takes it from the table.
+func (t *transport) unregister(c net.Conn) {
+	t.mu.Lock()
+	delete(t.inbound, c)
+	t.mu.Unlock()
+	c.Close()
+}
+
 // setPeers sets whom to connect to, by id and address. Connections of removed instances are closed, so that they are
 // told that they were removed when they connect again.
 func (t *transport) setPeers(members []Member, removed []uint64, own uint64) {
@@ -154,8 +186,7 @@
 		ctx, stop := context.WithCancel(t.ctx)
 		p := &peer{id: m.ID, addr: m.Peer, queue: make(chan *pb.Message, maxQueuedMessages), stop: stop}
 		t.peers[m.ID] = p
-		t.wg.Add(1)
-		go func() { defer t.wg.Done(); t.connect(ctx, p) }()
+		t.wg.Go(func() { t.connect(ctx, p) })
 	}
 }
 
@@ -177,17 +208,10 @@
 				t.handler.reportSnapshot(p.id, false)
 				continue
 			}
-			t.wg.Add(1)
-			go func() {
-				defer t.wg.Done()
-				err := t.sendSnapshot(p, m)
+			if !t.spawn(func() { t.deliverSnapshot(p, m) }) {
 				p.sendingSnapshot.Store(false)
-				if err != nil {
-					t.log.WithFields(logrus.Fields{logging.Peer: idText(p.id), logging.Error: err}).Warn(
-						"snapshot not sent completely")
-				}
-				t.handler.reportSnapshot(p.id, err == nil)
-			}()
+				t.handler.reportSnapshot(p.id, false)
+			}
 		default:
 			if !p.enqueue(m) {
 				t.count.dropped.Add(1)
@@ -197,6 +221,17 @@
 	}
 }
 
+// deliverSnapshot sends a snapshot and reports how that ended.
+func (t *transport) deliverSnapshot(p *peer, m *pb.Message) {
+	err := t.sendSnapshot(p, m)
+	p.sendingSnapshot.Store(false)
+	if err != nil {
+		t.log.WithFields(logrus.Fields{logging.Peer: idText(p.id), logging.Error: err}).
+			Warn("snapshot not sent completely")
+	}
+	t.handler.reportSnapshot(p.id, err == nil)
+}
+
 // close ends all connections and waits for their goroutines.
 func (t *transport) close() {
 	t.stop()
