--- a/internal/node/server/kernel_link.go
+++ b/internal/node/server/kernel_link.go
@@ -139,68 +139,89 @@
 
 // kernelEvent takes one event of the kernel.
 func (l *loop) kernelEvent(n *wire.KernelEvent) {
-	k := &l.kernel
 	switch string(n.Kind) {
 	case wire.KernelBooted:
 		l.kernelBooted(n)
-		return
 	case wire.KernelGauges:
 		l.gaugesReceived(n)
-		return
 	case wire.KernelInvalid:
-		l.counters.Refused++
-		if log := l.limitLog(); log != nil {
-			log.WithFields(logrus.Fields{logging.Command: string(n.Outcome), logging.RequestID: string(n.RunID)}).
-				Info(logCommandRefused)
-		}
-		if h, r := l.findRequest(n.RunID); r != nil && string(n.Outcome) == wire.KernelRun && r.isRunning() {
-			// It never ran and never will, as the kernel knows of no such request: nobody else can answer it, and its
-			// client's connection is used no more.
-			r.closeAfter = true
-			l.runEnded(h, r, admission.NotExecuted, 0, nil)
-		}
+		l.commandRefused(n)
+	default:
+		l.numberedEvent(n)
+	}
+}
+
+// commandRefused takes that a command was not carried out. A run that the kernel does not know never ran and never
+// will, and nobody else can answer its request; its client's connection is used no more.
+func (l *loop) commandRefused(n *wire.KernelEvent) {
+	l.counters.Refused++
+	if log := l.limitLog(); log != nil {
+		log.WithFields(logrus.Fields{logging.Command: string(n.Outcome), logging.RequestID: string(n.RunID)}).
+			Info(logCommandRefused)
+	}
+	if h, r := l.findRequest(n.RunID); r != nil && string(n.Outcome) == wire.KernelRun && r.isRunning() {
+		r.closeAfter = true
+		l.runEnded(h, r, admission.NotExecuted, 0, nil)
+	}
+}
+
+// numberedEvent takes an event about a run. Those have numbers, by which each counts once and in order.
+func (l *loop) numberedEvent(n *wire.KernelEvent) {
+	if !l.isNextEvent(n) {
+		return
+	}
+	h, r := l.findRequest(n.RunID)
+	if r == nil || !r.isRunning() {
 		return
 	}
+	r.runCommand, r.callResultCommand, r.stopCommand = 0, 0, 0 // it was read, or what it asked for is past
+	r.callResult = noCallResult
+	switch string(n.Kind) {
+	case wire.KernelRunEnded:
+		l.runEnded(h, r, runOutcome(n), n.RunMS, n.Body)
+	case wire.KernelCallAsked:
+		l.trace(r, "stands at a call")
+		r.callBody, r.callSequence = append(r.callBody[:0], n.Body...), n.Sequence
+		l.nextRound().CallRequests = append(l.nextRound().CallRequests, uint32(h))
+	}
+}
+
+// isNextEvent tells whether an event is to be handled, and notes its number. One that was handled before comes again
+// over a new link, and is passed over. A gap amid a link has it opened anew, which has the missing events sent again;
+// a gap at the begin of a link says that the kernel no longer has them.
+func (l *loop) isNextEvent(n *wire.KernelEvent) bool {
+	k := &l.kernel
 	switch {
 	case n.Sequence == 0:
 		if log := l.limitLog(); log != nil {
 			log.WithField(logging.Event, string(n.Kind)).Info(logKernelEventUnknown)
 		}
-		return
+		return false
 	case n.Sequence <= k.lastSequence:
-		return
+		return false
 	case n.Sequence > k.lastSequence+1 && !k.noEventYet:
 		l.logEventGap(logKernelEventMissing, n.Sequence)
 		l.closeLink(&k.link, errGap)
-		return
+		return false
 	}
 	if n.Sequence > k.lastSequence+1 {
 		l.logEventGap(logKernelEventsLost, n.Sequence)
 	}
 	k.lastSequence, k.noEventYet = n.Sequence, false
-	h, r := l.findRequest(n.RunID)
-	if r == nil || !r.isRunning() {
-		return
-	}
-	r.runCommand, r.callResultCommand, r.stopCommand = 0, 0, 0 // it was read, or what it asked for is past
-	r.callResult = noCallResult
-	switch string(n.Kind) {
-	case wire.KernelRunEnded:
-		how := admission.Failed
-		switch string(n.Outcome) {
-		case wire.RunSucceeded:
-			how = admission.Succeeded
-		case wire.RunStopped:
-			how = admission.Stopped
-		case wire.RunSuperseded:
-			how = admission.Superseded
-		}
-		l.runEnded(h, r, how, n.RunMS, n.Body)
-	case wire.KernelCallAsked:
-		l.trace(r, "stands at a call")
-		r.callBody, r.callSequence = append(r.callBody[:0], n.Body...), n.Sequence
-		l.nextRound().CallRequests = append(l.nextRound().CallRequests, uint32(h))
+	return true
+}
+
+// runOutcome is how a run ended.
+func runOutcome(n *wire.KernelEvent) admission.Outcome {
+	switch string(n.Outcome) {
+	case wire.RunSucceeded:
+		return admission.Succeeded
+	case wire.RunStopped:
+		return admission.Stopped
+	case wire.RunSuperseded:
+		return admission.Superseded
 	}
+	return admission.Failed
 }
 
 // logEventGap logs that events are missing between the last one and this.
