--- a/internal/node/server/client_connections.go
+++ b/internal/node/server/client_connections.go
@@ -59,7 +59,7 @@
 		l.listener.release()
 		return
 	}
-	p := newPeer(nc, fd, l)
+	p := newPeer(nc, fd, &l.shared)
 	nc.SetWriteTimeout(l.limits.WriteTimeout)
 	nc.AddCloseCallback(func(netpoll.Connection) error {
 		p.release()
@@ -67,7 +67,9 @@
 		return nil
 	})
 	l.post(connectionOpened{peer: p})
-	nc.SetOnRequest(func(_ context.Context, nc netpoll.Connection) error { return l.readConnection(p, nc) })
+	nc.SetOnRequest(func(_ context.Context, nc netpoll.Connection) error {
+		return l.readConnection(p, nc, timeOf(l.clock.Now()))
+	})
 	if !nc.IsActive() {
 		_ = nc.Close() // it ended before its close callback was set, which runs now
 	}
--- a/internal/node/server/client_peer.go
+++ b/internal/node/server/client_peer.go
@@ -38,18 +38,18 @@
 	flooded   bool // they were more than is passed over
 }
 
-func newPeer(nc netpoll.Connection, fd int, l *loop) *peer {
-	p := &peer{fd: fd, in: intake{pool: &l.pool}}
-	p.writer = writer{conn: nc, pool: &l.pool, workers: l.workers, busy: &l.busy, sendsResponses: true,
+func newPeer(nc netpoll.Connection, fd int, s *shared) *peer {
+	p := &peer{fd: fd, in: intake{pool: &s.pool}}
+	p.writer = writer{conn: nc, pool: &s.pool, workers: s.workers, busy: &s.busy, sendsResponses: true,
 		shutDown: p.shutDownWrite}
 	return p
 }
 
 // readConnection reads what a connection has brought and hands it over; it runs in a callback, never twice at once.
-func (l *loop) readConnection(p *peer, nc netpoll.Connection) error {
-	events, err := p.take(nc.Reader(), &l.limits, timeOf(l.clock.Now()))
+func (s *shared) readConnection(p *peer, nc netpoll.Connection, now admission.Time) error {
+	events, err := p.take(nc.Reader(), &s.limits, now)
 	for _, e := range events {
-		l.post(e)
+		s.post(e)
 	}
 	return err
 }
--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -36,11 +36,11 @@
 	log.SetOutput(io.Discard)
 	lim := NewLimits(1, 64, 256)
 	lim.Connections, lim.EvictAbove = conns, conns
-	l := &loop{log: log, limits: lim, events: make(chan event, 256), pool: bufferPool{capacity: lim.Buffers},
-		workers:        newWorkers(1),
+	l := &loop{shared: shared{log: log, limits: lim, events: make(chan event, 256),
+		pool: bufferPool{capacity: lim.Buffers}, workers: newWorkers(1)},
 		clients:        clients{connections: newTable[connection](conns), idleClose: admission.Second},
 		requestsInHand: requestsInHand{requests: newTable[request](8)}, readiness: readiness{ready: true},
-		settings: &settings.Startup{Deployment: &admission.Deployment{}}}
+		configuration: configuration{settings: &settings.Startup{Deployment: &admission.Deployment{}}}}
 	l.startClock(admission.Second)
 	ln, err := newListener("127.0.0.1:0", conns, time.Millisecond)
 	if err != nil {
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -128,7 +128,7 @@
 			}
 			l.store = store1(store.addr, l.limits)
 			h, r, _ := l.requests.take()
-			*r = request{id: long("1"), lifecycle: lifecycle{run: runRunning}, callBody: []byte("q")}
+			*r = request{id: long("1"), lifecycle: lifecycle{run: runRunning}, storeCall: storeCall{callBody: []byte("q")}}
 			l.startCall(h, r, l.now+admission.Second)
 			l.takes(1)
 			if got := l.nextRound().CallEnds; len(got) != 1 || got[0].Outcome != admission.NotExecuted {
@@ -152,12 +152,12 @@
 
 // The waits between dials double up to a bound, and two servers that lose one peer together do not come back together.
 func TestBackoffHasJitter(t *testing.T) {
-	l := &loop{loopTime: loopTime{now: 1000}, limits: NewLimits(1, 64, 256)}
+	l := &loop{loopTime: loopTime{now: 1000}, shared: shared{limits: NewLimits(1, 64, 256)}}
 	seen := map[admission.Time]bool{}
 	for range 20 {
 		var b backoff
 		for range 10 {
-			b.failed(l)
+			b.failed(l.now, &l.limits)
 			if wait := b.notBefore - l.now; wait < b.delay/2 || wait > b.delay || b.delay > l.limits.MaxBackoff {
 				t.Fatalf("waits %d of %d", wait, b.delay)
 			}
@@ -171,7 +171,7 @@
 
 // Servers that were started together do not report together; none reports later than it has to.
 func TestReportsAreSpread(t *testing.T) {
-	l := &loop{loopTime: loopTime{now: 1000}, limits: NewLimits(1, 64, 256)}
+	l := &loop{loopTime: loopTime{now: 1000}, shared: shared{limits: NewLimits(1, 64, 256)}}
 	seen := map[admission.Time]bool{}
 	for range 50 {
 		wait := l.nextReport() - l.now
@@ -299,7 +299,7 @@
 func TestRecordWaitsForItsDisk(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &loop{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)}
+	l := &loop{shared: shared{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)}}
 	f := &fleetAgent{host: l, clock: bootTime, log: log,
 		config: &config.Fleet{Folder: filepath.Join(t.TempDir(), "gone")},
 		agent:  agent.New(agent.Config{Name: "n1", ControlAddresses: []string{"127.0.0.1:1"}}, nil, bootTime()),
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -50,9 +50,9 @@
 
 // failed doubles the wait, within MinBackoff and MaxBackoff. Half of it is left to chance, so that servers which lost
 // the same peer at the same moment don't come back to it together. It harms only what needs the peer meanwhile.
-func (b *backoff) failed(l *loop) {
-	b.delay = min(max(2*b.delay, l.limits.MinBackoff), l.limits.MaxBackoff)
-	b.notBefore = l.now + b.delay/2 + admission.Time(rand.Int64N(int64(b.delay/2)+1))
+func (b *backoff) failed(now admission.Time, limits *Limits) {
+	b.delay = min(max(2*b.delay, limits.MinBackoff), limits.MaxBackoff)
+	b.notBefore = now + b.delay/2 + admission.Time(rand.Int64N(int64(b.delay/2)+1))
 }
 
 // linkParser reads the first message of what came over a dial; n is 0 while it is incomplete.
@@ -153,7 +153,7 @@
 	}
 	current := l.isCurrent(n)
 	if current && err == nil {
-		n.writer = &writer{conn: e.conn, pool: &l.pool, workers: l.workers, busy: &l.busy}
+		n.writer = l.newWriter(e.conn)
 		l.linkOpened(n)
 		return
 	}
@@ -212,7 +212,7 @@
 	if err == nil {
 		k.backoff = backoff{} // closed in good order
 	} else {
-		k.failed(l)
+		k.failed(l.now, &l.limits)
 		l.logf("%s link: %v", k.name, err)
 	}
 	if k.peer == peerKernel {
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -12,23 +12,11 @@
 	"umberwinch/internal/retryafter"
 )
 
-// loop is what the one goroutine owns. All else reaches it by events alone, but for the fields of the first group,
-// which are safe for any goroutine.
+// loop is what the one goroutine owns. All else reaches it by events alone, but for what is shared.
 type loop struct {
-	limits  Limits
-	log     *logrus.Logger
-	events  chan event
-	pool    bufferPool
-	workers workers
-	busy    atomic.Int64 // writers that still have something to send
-
-	startup  *Node // the start-up file
-	settings *settings.Startup
-	names    []string // of handlers, by their index
-
+	shared
+	configuration
 	loopTime
-	timer  *time.Timer
-	timers timers
 	logLimit
 	counters Counters
 	scratch  []byte // the message that is being written
@@ -45,6 +33,23 @@
 	results  *resultKeeper       // nil: results are kept in memory alone
 }
 
+// shared is what callbacks of connections, dials and other goroutines use too; each field is safe for any of them.
+type shared struct {
+	limits  Limits // never change
+	log     *logrus.Logger
+	events  chan event
+	pool    bufferPool
+	workers workers
+	busy    atomic.Int64 // writers that still have something to send
+}
+
+// configuration is what the node was told: at its start, and anew while it serves.
+type configuration struct {
+	startup  *Node // the start-up file
+	settings *settings.Startup
+	names    []string // of handlers, by their index
+}
+
 // decisions is the controller and the rounds that it is given.
 type decisions struct {
 	controller  *admission.Controller // nil until the kernel is up
@@ -91,7 +96,7 @@
 }
 
 // post hands an event over; it waits while the queue is full.
-func (l *loop) post(e event) { l.events <- e }
+func (s *shared) post(e event) { s.events <- e }
 
 // nextRound is the round that is being filled.
 func (l *loop) nextRound() *admission.Round { return &l.rounds[l.filling] }
--- a/internal/node/server/loop_time.go
+++ b/internal/node/server/loop_time.go
@@ -16,11 +16,14 @@
 // durationOf is the reverse of timeOf.
 func durationOf(t admission.Time) time.Duration { return time.Duration(t) * timeUnit }
 
-// loopTime is the loop's time: it stands still while events are handled, and never goes back.
+// loopTime is the loop's time and what is to happen at which: it stands still while events are handled, and never goes
+// back.
 type loopTime struct {
 	clock  *clock.Clock
 	stamps *clock.Stamps // of requests, by the wall clock
 	now    admission.Time
+	timers timers
+	timer  *time.Timer // wakes the loop for the first of them
 }
 
 // startClock begins to measure time; requests are taken that reached the machine up to oldest ago.
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -22,18 +22,27 @@
 	arrival         admission.Time
 	deadline        admission.Time
 
-	// Numbers of the commands that may have to be sent again; 0: none.
+	kernelCommands
+	storeCall
+}
+
+// kernelCommands are the commands about a run that may have to be sent to the kernel again.
+type kernelCommands struct {
+	// Numbers of the last ones; 0: none that may have been lost.
 	runCommand, callResultCommand, stopCommand uint64
 
-	resumed      bool       // the last start command was to resume
-	callResult   callResult // what the last end of a call was told with
-	callBody     []byte     // of the call that the run waits for
-	callSequence uint64     // of the kernel's event that asked for it
-	reply        []byte     // the store's, as the kernel is told it
+	resumed    bool       // the last start command was to resume
+	callResult callResult // what the last end of a call was told with
+	reply      []byte     // the store's, as the kernel is told it
+}
 
+// storeCall is the call to the store that a run waits for, or the one before.
+type storeCall struct {
+	callBody                  []byte
+	callSequence              uint64 // of the kernel's event that asked for it
 	callStarted, callDeadline admission.Time
 	storeConn                 handle   // that the call is out on, or waits for
-	usedStoreConns            []handle // that carried a call of it
+	usedStoreConns            []handle // that carried a call of the request
 }
 
 // callResult is what a run that waits for a call goes on with.
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -52,13 +52,13 @@
 func loopWithStore(t *testing.T, d *heldDisk) *loop {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &loop{log: log, events: make(chan event, 64), names: []string{"put"},
+	l := &loop{shared: shared{log: log, events: make(chan event, 64), limits: NewLimits(1, 64, 256)},
 		requestsInHand: requestsInHand{requests: newTable[request](8),
 			idempotency: newIdempotencyTable(10, 1000, 50)},
-		clients: clients{connections: newTable[connection](2)}, limits: NewLimits(1, 64, 256),
-		settings: &settings.Startup{Deployment: &admission.Deployment{
-			MaxRetryAfter: 5 * admission.Second, Handlers: []admission.Handler{{IdempotencyWindow: admission.Second,
-				RetrySafety: admission.IdempotencyKeyed}}}}}
+		clients: clients{connections: newTable[connection](2)},
+		configuration: configuration{names: []string{"put"}, settings: &settings.Startup{
+			Deployment: &admission.Deployment{MaxRetryAfter: 5 * admission.Second, Handlers: []admission.Handler{
+				{IdempotencyWindow: admission.Second, RetrySafety: admission.IdempotencyKeyed}}}}}}
 	l.startClock(admission.Second)
 	l.results = &resultKeeper{host: l, clock: bootTime, log: log,
 		config: &config.ResultStore{MaxKeys: 100, MaxMB: 1, MaxResultBytes: 100},
--- a/internal/node/server/run.go
+++ b/internal/node/server/run.go
@@ -40,8 +40,7 @@
 		logging.MemoryMB: limits.MemoryMB, logging.Descriptors: c.Limits.Sockets,
 		logging.MaxConnections: limits.Connections, logging.MaxStoreConnections: limits.StoreConnections}).
 		Info(logNodeStarts)
-	l := newLoop(c, limits, log)
-	l.workers = workers
+	l := newLoop(c, limits, log, workers)
 	if err := l.joinFleet(); err != nil {
 		return err
 	}
@@ -76,17 +75,19 @@
 }
 
 // newLoop gives a loop with empty tables, its clock running and nothing dialled.
-func newLoop(c *Node, limits Limits, log *logrus.Logger) *loop {
+func newLoop(c *Node, limits Limits, log *logrus.Logger, workers workers) *loop {
 	deployment := c.settings.Deployment
 	longest := admission.Time(0)
 	for _, h := range deployment.Handlers {
 		longest = max(longest, h.Timeout)
 	}
 	l := &loop{
-		limits: limits, log: log, events: make(chan event, limits.EventQueue),
-		pool:  bufferPool{capacity: limits.Buffers},
-		timer: time.NewTimer(time.Hour), logLimit: logLimit{debug: log.IsLevelEnabled(logrus.DebugLevel)},
-		startup: c, settings: c.settings, names: make([]string, len(deployment.Handlers)),
+		shared: shared{limits: limits, log: log, events: make(chan event, limits.EventQueue),
+			pool: bufferPool{capacity: limits.Buffers}, workers: workers},
+		configuration: configuration{startup: c, settings: c.settings,
+			names: make([]string, len(deployment.Handlers))},
+		loopTime:       loopTime{timer: time.NewTimer(time.Hour)},
+		logLimit:       logLimit{debug: log.IsLevelEnabled(logrus.DebugLevel)},
 		readiness:      readiness{ready: true, controllerReady: true},
 		requestsInHand: newRequestsInHand(limits, longest),
 		clients:        newClients(limits, c.settings.IdleTimeout),
--- a/internal/node/server/store_connections.go
+++ b/internal/node/server/store_connections.go
@@ -241,7 +241,7 @@
 		return
 	}
 	if w.dialed.writer == nil {
-		l.store.failed(l) // it could not be opened
+		l.store.failed(l.now, &l.limits) // it could not be opened
 	}
 	if len(w.calls) > 0 {
 		l.counters.WiresLost++
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -215,7 +215,8 @@
 func TestMoveDoesNotWait(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &loop{loopTime: loopTime{now: 1000}, log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256),
+	l := &loop{loopTime: loopTime{now: 1000},
+		shared:    shared{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)},
 		upstreams: upstreams{dialTo: dialTCP}}
 	k := &l.discovery.link
 	k.peer, k.addr, k.delay, k.notBefore = peerDiscovery, "127.0.0.1:1", 900, 2000
@@ -239,7 +240,8 @@
 func TestOldDialOfMovedStore(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &loop{loopTime: loopTime{now: 1000}, log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256),
+	l := &loop{loopTime: loopTime{now: 1000},
+		shared:         shared{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)},
 		upstreams:      upstreams{dialTo: dialTCP, store: store1("127.0.0.1:1", NewLimits(1, 64, 256))},
 		requestsInHand: requestsInHand{requests: newTable[request](2)}}
 	h, r, _ := l.requests.take()
@@ -257,7 +259,7 @@
 
 // An answer proves that commands were read only once it is older than what a break may take with it.
 func TestProofIsLate(t *testing.T) {
-	l := &loop{loopTime: loopTime{now: 10000}, limits: NewLimits(1, 64, 256)}
+	l := &loop{loopTime: loopTime{now: 10000}, shared: shared{limits: NewLimits(1, 64, 256)}}
 	k := &l.kernel
 	k.state, k.sent = kernelLive, 7
 	for _, step := range []struct {
@@ -330,7 +332,7 @@
 		stop, before admission.Time
 	}{{1, 24_000, 380}, {0.1, 24_000, 1100}, {0.1, 4000, 500}} {
 		l := &loop{loopTime: loopTime{now: 5000}, drainState: drainState{stopAfter: c.stop},
-			limits: NewLimits(c.cores, 64, 256)}
+			shared: shared{limits: NewLimits(c.cores, 64, 256)}}
 		l.startDrain()
 		if r := l.nextRound(); !r.Drain || r.KillAt != 5000+c.stop-c.before {
 			t.Errorf("%.1f cores, notice of %d: the module hears of a kill at %d, expected %d before %d", c.cores,
@@ -366,10 +368,10 @@
 // TestCallsGivenUp: a call that nobody waited for to the end counts with the time that it had, or a service that
 // answers nothing would look like one that nobody calls.
 func TestCallsGivenUp(t *testing.T) {
-	l := &loop{loopTime: loopTime{now: 5000}, limits: NewLimits(1, 64, 256),
+	l := &loop{loopTime: loopTime{now: 5000}, shared: shared{limits: NewLimits(1, 64, 256)},
 		requestsInHand: requestsInHand{requests: newTable[request](8)},
 		fleet:          &fleetAgent{clock: bootTime, meter: zonegate.NewMeter(bootTime(), []float64{1})}}
-	r := &request{lifecycle: lifecycle{call: callSent}, callStarted: 2000}
+	r := &request{lifecycle: lifecycle{call: callSent}, storeCall: storeCall{callStarted: 2000}}
 	l.cancelCall(1, r)
 	l.cancelCall(1, r) // there is none any more
 	if got := l.fleet.meter.Report(bootTime(), true, 1, 0); got.Calls != 1 || got.MeanCallMS != 300 ||
@@ -388,11 +390,11 @@
 		Handlers: []admission.Handler{{LatencyObjective: 3 * admission.Second,
 			Timeout: 6 * admission.Second, RetrySafety: admission.IdempotencyKeyed,
 			IdempotencyWindow: 8 * admission.Second}}}
-	l := &loop{settings: &settings.Startup{Deployment: d, HandlerIndex: map[string]int{"put": 0}},
-		names: []string{"put"},
+	l := &loop{configuration: configuration{names: []string{"put"},
+		settings: &settings.Startup{Deployment: d, HandlerIndex: map[string]int{"put": 0}}},
 		requestsInHand: requestsInHand{idempotency: newIdempotencyTable(2000, 1000, 6*admission.Second),
 			requests: newTable[request](8), byRequestID: map[string]handle{}},
-		limits: NewLimits(1, 64, 256), decisions: decisions{controller: admission.New(d)},
+		shared: shared{limits: NewLimits(1, 64, 256)}, decisions: decisions{controller: admission.New(d)},
 		loopTime: loopTime{stamps: clock.NewStamps(read, 12*time.Second)}}
 	stamp := wall
 	at, wall = at+2500*time.Millisecond, wall+2500*time.Millisecond
--- a/internal/node/server/writer.go
+++ b/internal/node/server/writer.go
@@ -28,6 +28,11 @@
 	shutDown       func() // ends the sending side
 }
 
+// newWriter gives the sending side of a connection that the server opened itself.
+func (s *shared) newWriter(conn netpoll.Connection) *writer {
+	return &writer{conn: conn, pool: &s.pool, workers: s.workers, busy: &s.busy}
+}
+
 // writerEnding is what becomes of a connection once all that was queued has gone out.
 type writerEnding uint8
 
