--- a/internal/control/consensus/api_fleet.go
+++ b/internal/control/consensus/api_fleet.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"net/http"
 	"time"
 
@@ -72,8 +71,12 @@
 func (a *API) postPolicy(w http.ResponseWriter, r *http.Request) {
 	var op policy.Op
 	err := readBody(w, r, &op)
-	if err == nil {
-		err = a.validatePolicyOp(&op)
+	switch {
+	case err != nil:
+	case a.group.View().Level < LevelFleet:
+		err = ErrFeatureLevel
+	default:
+		err = op.Validate()
 	}
 	if err != nil {
 		a.failWith(w, err)
@@ -82,24 +85,12 @@
 	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 	defer cancel()
 	result, err := a.group.PolicyOp(ctx, op)
-	if err == nil && result.Rejection != "" {
+	if err == nil && result.Rejected() {
 		err = &RejectedError{result.Rejection}
 	}
 	a.answerOr(w, result, err)
 }
 
-func (a *API) validatePolicyOp(op *policy.Op) error {
-	switch {
-	case a.group.View().Level < LevelFleet:
-		return ErrFeatureLevel
-	case op.Kind == "propose" && op.Proposal != nil:
-		return op.Proposal.Validate()
-	case op.Kind == "off" && op.Author != "" && len(op.Author) <= maxNameBytes && len(op.Reason) <= maxReasonBytes:
-		return nil
-	}
-	return fmt.Errorf("op: found %.20q, expected propose with a proposal, or off with by and why", op.Kind)
-}
-
 func (a *API) getZones(w http.ResponseWriter, _ *http.Request) {
 	view, err := a.group.Zones()
 	a.answerOr(w, view, err)
@@ -124,7 +115,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 	defer cancel()
 	result, err := a.group.ZoneOp(ctx, op)
-	if err == nil && result.Err != "" {
+	if err == nil && result.Rejected() {
 		err = &RejectedError{result.Err}
 	}
 	a.answerOr(w, result, err)
--- a/internal/control/consensus/leader.go
+++ b/internal/control/consensus/leader.go
@@ -56,33 +56,33 @@
 	return uint64(min(ms, (maxTicksPerStep * g.control.Tick).Milliseconds()))
 }
 
-// operationsApplied logs what an operator should know of applied fleet entries and gives their results to the leader's
+// operationsApplied logs what an operator should know of applied fleet entries and gives their outcomes to the leader's
 // duties, where callers may wait for them.
-func (g *Group) operationsApplied(results []any) {
+func (g *Group) operationsApplied(outcomes []coordinator.Outcome) {
 	fleet := g.replica.stateMachine.fleet
-	for _, r := range results {
-		switch r := r.(type) {
+	for _, outcome := range outcomes {
+		switch o := outcome.(type) {
 		case policy.Result:
-			g.logPolicyChange(r)
+			g.logPolicyChange(o)
 		case zones.Result:
-			g.logZoneChange(r)
+			g.logZoneChange(o)
 		case coordinator.BatchApplied:
-			if r.FleetRestarted {
+			if o.FleetRestarted {
 				g.logZoneChange(zones.Result{Kind: "began", Zone: zones.WholeFleet, Phase: zones.Ramping,
 					Epoch: fleet.Zones.Epoch})
 			}
-			if len(r.CountedOut) > 0 {
-				g.log.WithField(logging.Nodes, policy.Summarize(r.CountedOut)).
+			if len(o.CountedOut) > 0 {
+				g.log.WithField(logging.Nodes, policy.Summarize(o.CountedOut)).
 					Warn("nodes counted out: no heartbeat for the time of a lease")
 			}
 		}
-		g.leader.EntryApplied(fleet, r)
+		g.leader.EntryApplied(fleet, outcome)
 	}
 }
 
 // logPolicyChange logs a step of a policy change. The fault tests read message and fields.
 func (g *Group) logPolicyChange(r policy.Result) {
-	if r.Rejection != "" {
+	if r.Rejected() {
 		g.log.WithFields(logrus.Fields{logging.Change: r.ChangeNumber, logging.Operation: r.Kind,
 			logging.Reason: r.Rejection}).Debug("policy operation rejected")
 		return
@@ -108,7 +108,7 @@
 func (g *Group) logZoneChange(r zones.Result) {
 	zone := g.replica.stateMachine.fleet.Zones.Find(r.Zone)
 	switch {
-	case r.Err != "":
+	case r.Rejected():
 		g.log.WithFields(logrus.Fields{logging.Zone: r.Zone, logging.Operation: r.Kind, logging.Reason: r.Err}).
 			Debug("zone operation rejected")
 	case zone != nil && r.Phase != "" && len(zone.Events) > 0:
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -7,6 +7,7 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 
+	"umberwinch/internal/control/coordinator"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/wal"
@@ -95,7 +96,7 @@
 	Puts       []AppliedPut
 	Reads      []uint64 // ids of reads that may be answered from the state now
 	Applied    bool     // entries were applied, or a snapshot
-	Operations []any    // results of fleet entries, of types of package coordinator
+	Operations []coordinator.Outcome
 }
 
 // resetElectionTimer draws the next election timeout, from a sum over the run's nonce and a counter, so that tests can
--- a/internal/control/consensus/replica_apply.go
+++ b/internal/control/consensus/replica_apply.go
@@ -115,15 +115,15 @@
 	switch e.GetType() {
 	case pb.EntryType_EntryNormal:
 		if len(e.GetData()) > 0 {
-			put, operation, err := m.applyEntry(e.GetData(), e.GetIndex(), e.GetTerm())
+			put, outcome, err := m.applyEntry(e.GetData(), e.GetIndex(), e.GetTerm())
 			if err != nil {
 				return err
 			}
 			if put != nil {
 				out.Puts = append(out.Puts, *put)
 			}
-			if operation != nil {
-				out.Operations = append(out.Operations, operation)
+			if outcome != nil {
+				out.Operations = append(out.Operations, outcome)
 			}
 		}
 	case pb.EntryType_EntryConfChangeV2:
--- a/internal/control/consensus/state_machine.go
+++ b/internal/control/consensus/state_machine.go
@@ -65,24 +65,24 @@
 }
 
 // applyEntry applies what a committed entry carries, a put or an entry of a kind. It returns the put's result, or the
-// result of a fleet entry; one of them is nil. An error means that the entry can't be read: the instance can't go on,
-// as others may have applied it.
-func (m *StateMachine) applyEntry(data []byte, index, term uint64) (put *AppliedPut, operation any, err error) {
+// outcome of a fleet entry; at least one of them is nil. An error means that the entry can't be read: the instance can't
+// go on, as others may have applied it.
+func (m *StateMachine) applyEntry(data []byte, index, term uint64) (*AppliedPut, coordinator.Outcome, error) {
 	var e entry
 	if err := json.Unmarshal(data, &e); err != nil {
 		return nil, nil, fmt.Errorf("not an entry: %w", err)
 	}
 	switch {
 	case e.Kind == "":
-		put, err = m.applyPutEntry(data, index, term)
+		put, err := m.applyPutEntry(data, index, term)
 		return put, nil, err
 	case m.supportedLevel < LevelFleet:
 		return nil, nil, &NewerProgramError{fmt.Sprintf("of kind %q", e.Kind), "a put"}
 	case e.Kind == kindLevel:
 		return nil, nil, m.applyLevel(e.Body)
 	}
-	operation, err = m.fleet.Apply(e.Kind, e.Body, index, term, m)
-	return nil, operation, err
+	outcome, err := m.fleet.Apply(e.Kind, e.Body, index, term, m)
+	return nil, outcome, err
 }
 
 func (m *StateMachine) applyPutEntry(data []byte, index, term uint64) (*AppliedPut, error) {
--- a/internal/control/coordinator/errors.go
+++ b/internal/control/coordinator/errors.go
@@ -18,9 +18,6 @@
 // ErrSnapshot is what errors of State.Restore wrap that are not of one of its subsystems.
 var ErrSnapshot = errors.New("the saved state about nodes")
 
-// ErrEmptyProposal is for an entry that proposes a change without saying which.
-var ErrEmptyProposal = errors.New("a proposal of nothing")
-
 // errNoJoinResult is for a request to join that its batch has no result of: an internal fault, which the node retries.
 var errNoJoinResult = errors.New("the beat had no joining")
 
--- a/internal/control/coordinator/leader.go
+++ b/internal/control/coordinator/leader.go
@@ -1,7 +1,6 @@
 package coordinator
 
 import (
-	"encoding/json"
 	"fmt"
 
 	"umberwinch/internal/control/membership"
@@ -30,7 +29,7 @@
 	evidence     lossEvidence
 	coldStart    coldStartLimits
 	policyAppend appendTimer // of an operation that the rules of policy decided
-	policyOps    submissions[policy.Op, policy.Result]
+	policyOps    submissions[policy.Operation, policy.Result]
 	zoneAppend   appendTimer // of an operation that the rules of zones decided
 	zoneOps      submissions[zones.Op, zones.Result]
 	zoneMonitor  *zones.Monitor
@@ -87,7 +86,7 @@
 	}
 	var entries []Entry
 	if l.shouldSendBatch(s, lost != "") {
-		entry := newEntry(KindHeartbeats, l.heartbeats.next(l.batchHeader(s, lost), l.nowMS, l.DisabledGuards))
+		entry := heartbeatsEntry(l.heartbeats.next(l.batchHeader(s, lost), l.nowMS, l.DisabledGuards))
 		entries = append(entries, entry)
 		l.BatchesSent++
 		l.BatchBytes += uint64(len(entry.Body))
@@ -99,39 +98,30 @@
 func (l *Leader) operations(s *State) (entries []Entry) {
 	l.policyAppend.stopIfLost(l.nowMS)
 	if !l.policyAppend.running() {
-		if op := s.Policy.Next(s.Fleet, l.report, l.DisabledGuards); op != nil {
+		if operation := s.Policy.Next(s.Fleet, l.report, l.DisabledGuards); operation != nil {
 			l.policyAppend.start(l.nowMS)
-			entries = append(entries, newEntry(KindPolicy, op))
+			entries = append(entries, policyEntry(operation))
 		}
 	}
 	l.zoneAppend.stopIfLost(l.nowMS)
 	if rules := s.Policy.ActiveRules().Zones; !l.zoneAppend.running() && rules.Enabled() {
 		if op := l.zoneMonitor.Decide(l.nowMS, s.Zones, s.Fleet, &rules, l.DisabledZoneGuards); op != nil {
 			l.zoneAppend.start(l.nowMS)
-			entries = append(entries, newEntry(KindZones, op))
+			entries = append(entries, zonesEntry(op))
 		}
 	}
 	for _, op := range l.zoneOps.toAppend(l.nowMS) {
 		op.Epoch = s.Zones.Epoch
-		entries = append(entries, newEntry(KindZones, op))
+		entries = append(entries, zonesEntry(op))
 	}
-	for _, op := range l.policyOps.toAppend(l.nowMS) {
-		entries = append(entries, newEntry(KindPolicy, op))
+	for _, operation := range l.policyOps.toAppend(l.nowMS) {
+		entries = append(entries, policyEntry(*operation))
 	}
 	return entries
 }
 
-// newEntry encodes an entry's body, which is one of our own structs and can always be encoded.
-func newEntry(kind string, body any) Entry {
-	raw, err := json.Marshal(body)
-	if err != nil {
-		panic(fmt.Sprintf("encoding an entry of kind %s: %v", kind, err))
-	}
-	return Entry{kind, raw}
-}
-
 // EntryApplied tells the outcome of an entry that was applied to the state, whoever appended it.
-func (l *Leader) EntryApplied(s *State, outcome any) {
+func (l *Leader) EntryApplied(s *State, outcome Outcome) {
 	switch o := outcome.(type) {
 	case BatchApplied:
 		l.batchApplied(s, &o)
@@ -144,16 +134,8 @@
 		// Also for an operator's operation: if the rules' own is still on its way, the rules may append it a second
 		// time, and what comes twice is refused when it is applied.
 		l.policyAppend.stop()
-		l.policyOps.applied(o, func(op *policy.Op) bool { return isPolicyOutcome(op, &o) })
-	}
-}
-
-// isPolicyOutcome tells whether a result is an operation's: a proposal has a key, the others their change.
-func isPolicyOutcome(op *policy.Op, r *policy.Result) bool {
-	if r.IdempotencyKey != "" {
-		return op.Proposal != nil && op.Proposal.IdempotencyKey == r.IdempotencyKey
+		l.policyOps.applied(o, func(op *policy.Operation) bool { return o.IsOutcomeOf(*op) })
 	}
-	return op.Kind == r.Kind && op.ChangeNumber == r.ChangeNumber
 }
 
 // accepting gives the error that an operator is told who submits something now, nil if it is taken.
@@ -171,13 +153,21 @@
 func (l *Leader) SubmitPolicy(op policy.Op, done func(policy.Result, error)) {
 	err := l.accepting()
 	if err == nil {
-		err = l.policyOps.add(op, done)
+		err = l.submitPolicy(&op, done)
 	}
 	if err != nil {
 		done(policy.Result{}, err)
 	}
 }
 
+func (l *Leader) submitPolicy(op *policy.Op, done func(policy.Result, error)) error {
+	operation, err := op.Operation()
+	if err != nil {
+		return err
+	}
+	return l.policyOps.add(operation, done)
+}
+
 // SubmitZone takes an operator's operation on a zone. done is called once, when it is applied here or can't be.
 func (l *Leader) SubmitZone(s *State, op zones.Op, done func(zones.Result, error)) {
 	err := l.accepting()
--- a/internal/control/coordinator/rules_test.go
+++ b/internal/control/coordinator/rules_test.go
@@ -152,8 +152,8 @@
 		t.Errorf("found %v, expected an UnknownKindError", err)
 	}
 	_, err := NewState(0).Apply(KindPolicy, []byte(`{"op":"propose"}`), 1, 1, nil)
-	if !errors.Is(err, ErrEmptyProposal) {
-		t.Errorf("found %v, expected %v", err, ErrEmptyProposal)
+	if !errors.Is(err, policy.ErrEmptyProposal) {
+		t.Errorf("found %v, expected %v", err, policy.ErrEmptyProposal)
 	}
 	for raw, want := range map[string]error{
 		"{":                       ErrSnapshot,
--- a/internal/control/policy/apply.go
+++ b/internal/control/policy/apply.go
@@ -11,26 +11,26 @@
 // Each operation is checked against the state that it meets, not the one that its leader saw. This guards against
 // operations that two leaders appended, or that come late: one that no longer holds changes nothing, and its Result
 // says why.
-func (s *State) Apply(op *Op, f *membership.State, v Versions, disabled Guard) Result {
-	if op.Kind == OpPropose {
-		return s.propose(op.Proposal, f, v)
+func (s *State) Apply(operation Operation, f *membership.State, v Versions, disabled Guard) Result {
+	if o, is := operation.(Propose); is {
+		return s.propose(&o.Proposal, f, v)
 	}
-	r := Result{Kind: op.Kind, ChangeNumber: op.ChangeNumber}
-	if s.Current == nil || s.Current.Number != op.ChangeNumber {
-		r.Rejection = fmt.Sprintf("change %d is not under way", op.ChangeNumber)
+	r := Result{Kind: operation.kind(), ChangeNumber: operation.changeNumber()}
+	if s.Current == nil || s.Current.Number != r.ChangeNumber {
+		r.Rejection = fmt.Sprintf("change %d is not under way", r.ChangeNumber)
 		return r
 	}
-	switch op.Kind {
-	case OpDecide:
-		r.Rejection = s.decide(op, f, disabled)
-	case OpCommit:
+	switch o := operation.(type) {
+	case Decide:
+		r.Rejection = s.decide(&o, f, disabled)
+	case Commit:
 		r.Rejection = s.commit(f, disabled)
-	case OpSettle:
+	case Settle:
 		r.Rejection = s.settle(f, disabled)
-	case OpAbort:
-		r.Rejection = s.abort(op, f, disabled)
+	case Abort:
+		r.Rejection = s.abort(&o, f, disabled)
 	default:
-		r.Rejection = fmt.Sprintf("op %q, expected propose, decide, force, settle or off", op.Kind)
+		r.Rejection = fmt.Sprintf("op %q, expected propose, decide, force, settle or off", r.Kind)
 	}
 	return r
 }
@@ -100,18 +100,18 @@
 //
 // It counts only for the epoch of the fleet that its leader saw. This guards against a node that joined meanwhile and
 // has not prepared: it would be out of service with a version that it can't serve under.
-func (s *State) decide(op *Op, f *membership.State, disabled Guard) (rejection string) {
+func (s *State) decide(o *Decide, f *membership.State, disabled Guard) (rejection string) {
 	c := s.Current
 	if c.Step != Preparing {
 		return c.wrongStep(Preparing)
 	}
-	if op.FleetEpoch != f.Epoch && !disabled.Has(PrepareAll) {
-		return fmt.Sprintf("decided for the fleet of epoch %d, and it is in %d: a node joined", op.FleetEpoch, f.Epoch)
+	if o.FleetEpoch != f.Epoch && !disabled.Has(PrepareAll) {
+		return fmt.Sprintf("decided for the fleet of epoch %d, and it is in %d: a node joined", o.FleetEpoch, f.Epoch)
 	}
 	s.DecidedVersion, c.DecidedAtMS = c.Version, f.ClockMS
 	c.event(f.ClockMS, "decided")
-	if len(op.LeftBehind) > 0 {
-		c.event(f.ClockMS, "left behind, out of service: %s", Summarize(op.LeftBehind))
+	if len(o.LeftBehind) > 0 {
+		c.event(f.ClockMS, "left behind, out of service: %s", Summarize(o.LeftBehind))
 	}
 	c.Step = Decided
 	if !c.Proposal.Exclusive {
@@ -152,7 +152,7 @@
 
 // abort ends a change that is not decided. What is decided is never taken back: nodes may serve under it already, and
 // others would not learn in time that they must not.
-func (s *State) abort(op *Op, f *membership.State, disabled Guard) (rejection string) {
+func (s *State) abort(o *Abort, f *membership.State, disabled Guard) (rejection string) {
 	c := s.Current
 	if c.Step != Preparing {
 		if !disabled.Has(DecideOnce) || c.Step == Settled {
@@ -161,11 +161,11 @@
 		}
 		s.DecidedVersion, s.CommittedVersion = c.PreviousVersion, c.PreviousVersion
 	}
-	c.Step, c.EndedAtMS, c.AbortReason = Aborted, f.ClockMS, op.Reason
-	if op.Author != "" {
-		c.event(f.ClockMS, "called off by %s: %s", op.Author, op.Reason)
+	c.Step, c.EndedAtMS, c.AbortReason = Aborted, f.ClockMS, o.Reason
+	if o.Author != "" {
+		c.event(f.ClockMS, "called off by %s: %s", o.Author, o.Reason)
 	} else {
-		c.event(f.ClockMS, "called off: %s", op.Reason)
+		c.event(f.ClockMS, "called off: %s", o.Reason)
 	}
 	s.end(c)
 	return ""
--- a/internal/control/policy/errors.go
+++ b/internal/control/policy/errors.go
@@ -10,6 +10,9 @@
 // used.
 var ErrSnapshot = errors.New("a saved policy")
 
+// ErrEmptyProposal is for an operation that proposes a change without saying which.
+var ErrEmptyProposal = errors.New("a proposal of nothing")
+
 // UnknownGuardError is given for a guard's name that there is not.
 type UnknownGuardError struct{ Name string }
 
--- a/internal/control/policy/next.go
+++ b/internal/control/policy/next.go
@@ -6,12 +6,12 @@
 	"umberwinch/internal/control/membership"
 )
 
-// Next decides what the leader appends for the change under way, nil while the change has to wait.
+// Next decides which operation the leader appends for the change under way, nil while the change has to wait.
 //
 // It decides by the step of the change, the table of nodes and the nodes' reports since the leader leads. It acts at
 // each tick of the leader. A change ends once: it is decided when all nodes that are in have prepared it, or aborted;
 // after the decision it only goes on, to in force and to settled, as leases run out.
-func (s *State) Next(f *membership.State, reports Reports, disabled Guard) *Op {
+func (s *State) Next(f *membership.State, reports Reports, disabled Guard) Operation {
 	c := s.Current
 	if c == nil {
 		return nil
@@ -22,9 +22,9 @@
 	case c.Step == Preparing:
 		return nextOfPreparing(c, f, blockers, refusals, disabled)
 	case c.Step == Decided && free:
-		return &Op{Kind: OpCommit, ChangeNumber: c.Number}
+		return Commit{c.Number}
 	case c.Step == Committed && free:
-		return &Op{Kind: OpSettle, ChangeNumber: c.Number}
+		return Settle{c.Number}
 	}
 	return nil
 }
@@ -36,24 +36,24 @@
 // it goes on without those that may be left behind, and is aborted if there are more. So nobody is waited for for
 // ever, and a node is put out of service only as far as the operator allowed. In a restored group's first moments
 // nobody is left behind: nodes that are on their way to it would be.
-func nextOfPreparing(c *Change, f *membership.State, blockers, refusals []Blocker, disabled Guard) *Op {
+func nextOfPreparing(c *Change, f *membership.State, blockers, refusals []Blocker, disabled Guard) Operation {
 	missing := len(blockers) + len(refusals)
 	late := f.ClockMS >= c.DecideByMS
 	mayLeaveBehind := late && missing <= c.Proposal.MaxLeftBehind && f.ClockMS >= f.UnknownLeasesExpireMS
 	switch {
 	case disabled.Has(PrepareAll) && 2*missing < len(f.Nodes()):
-		return &Op{Kind: OpDecide, ChangeNumber: c.Number, FleetEpoch: f.Epoch}
+		return Decide{ChangeNumber: c.Number, FleetEpoch: f.Epoch}
 	case len(refusals) > c.Proposal.MaxLeftBehind:
-		return &Op{Kind: OpAbort, ChangeNumber: c.Number, Reason: "refused by " + summarizeBlockers(refusals)}
+		return Abort{ChangeNumber: c.Number, Reason: "refused by " + summarizeBlockers(refusals)}
 	case len(blockers) == 0 || mayLeaveBehind:
-		decide := &Op{Kind: OpDecide, ChangeNumber: c.Number, FleetEpoch: f.Epoch}
+		decide := Decide{ChangeNumber: c.Number, FleetEpoch: f.Epoch}
 		for _, b := range append(refusals, blockers...) {
 			decide.LeftBehind = append(decide.LeftBehind, b.Node)
 		}
 		return decide
 	case late:
 		reason := fmt.Sprintf("not prepared within %d ms: %s", c.Proposal.PrepareWithinMS, summarizeBlockers(blockers))
-		return &Op{Kind: OpAbort, ChangeNumber: c.Number, Reason: reason}
+		return Abort{ChangeNumber: c.Number, Reason: reason}
 	}
 	return nil
 }
--- a/internal/control/policy/policy_test.go
+++ b/internal/control/policy/policy_test.go
@@ -1,8 +1,10 @@
 package policy
 
 import (
+	"encoding/json"
 	"errors"
 	"fmt"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -47,8 +49,8 @@
 	f.Apply(batch, 1, terms)
 }
 
-func proposal(version uint64) *Proposal {
-	return &Proposal{Version: version, PrepareWithinMS: 5000, MaxLeftBehind: 1, Author: "an operator",
+func proposal(version uint64) Proposal {
+	return Proposal{Version: version, PrepareWithinMS: 5000, MaxLeftBehind: 1, Author: "an operator",
 		IdempotencyKey: fmt.Sprint("key-00000", version)}
 }
 
@@ -67,7 +69,7 @@
 	for name, c := range map[string]struct {
 		reports reports
 		late    bool
-		kind    OpKind
+		kind    OpKind // empty: the change waits
 		reason  string
 		left    string
 	}{
@@ -86,16 +88,16 @@
 		t.Run(name, func(t *testing.T) {
 			terms := membership.LeaseTerms{LeaseMS: 4000}
 			f, s := fleetOf(t, terms, "a", "b", "c"), &State{}
-			if r := s.Apply(&Op{Kind: OpPropose, Proposal: proposal(1)}, f, versions{}, 0); r.Rejection != "" {
+			if r := s.Apply(Propose{proposal(1)}, f, versions{}, 0); r.Rejection != "" {
 				t.Fatal(r.Rejection)
 			}
 			if c.late {
 				advance(f, terms, 2500, "a", "b", "c")
 				advance(f, terms, 2500, "a", "b", "c")
 			}
-			op := s.Next(f, reportsOf(c.reports), 0)
-			if op == nil {
-				op = &Op{}
+			var op Op
+			if operation := s.Next(f, reportsOf(c.reports), 0); operation != nil {
+				op = Encode(operation)
 			}
 			if op.Kind != c.kind || op.Reason != c.reason || strings.Join(op.LeftBehind, " ") != c.left {
 				t.Fatalf("found %+v, expected %s of %q, %q left behind", op, c.kind, c.reason, c.left)
@@ -109,17 +111,17 @@
 func TestOneOutcome(t *testing.T) {
 	terms := membership.LeaseTerms{LeaseMS: 4000}
 	f, s := fleetOf(t, terms, "a", "b"), &State{}
-	s.Apply(&Op{Kind: OpPropose, Proposal: proposal(1)}, f, versions{}, 0)
-	early := &Op{Kind: OpDecide, ChangeNumber: 1, FleetEpoch: f.Epoch - 1}
+	s.Apply(Propose{proposal(1)}, f, versions{}, 0)
+	early := Decide{ChangeNumber: 1, FleetEpoch: f.Epoch - 1}
 	if r := s.Apply(early, f, versions{}, 0); r.Rejection == "" {
 		t.Fatal("it is decided by a leader that did not hear a node which joined")
 	}
-	if r := s.Apply(&Op{Kind: OpDecide, ChangeNumber: 1, FleetEpoch: f.Epoch}, f, versions{}, 0); r.Rejection != "" {
+	if r := s.Apply(Decide{ChangeNumber: 1, FleetEpoch: f.Epoch}, f, versions{}, 0); r.Rejection != "" {
 		t.Fatal(r.Rejection)
 	}
-	for _, kind := range []OpKind{OpAbort, OpDecide, OpSettle} {
-		if r := s.Apply(&Op{Kind: kind, ChangeNumber: 1}, f, versions{}, 0); r.Rejection == "" {
-			t.Errorf("%s counts while a node may serve under an older version", kind)
+	for _, o := range []Operation{Abort{ChangeNumber: 1}, Decide{ChangeNumber: 1}, Settle{1}} {
+		if r := s.Apply(o, f, versions{}, 0); r.Rejection == "" {
+			t.Errorf("%s counts while a node may serve under an older version", r.Kind)
 		}
 	}
 	terms.DecidedVersion = s.DecidedVersion
@@ -129,8 +131,8 @@
 	}
 	advance(f, terms, membership.LeaseSpanMS(4000)-4000+1, "a")
 	op := s.Next(f, reportsOf(nil), 0)
-	if op == nil || op.Kind != OpSettle {
-		t.Fatalf("found %+v, expected %s", op, OpSettle)
+	if op != (Settle{1}) {
+		t.Fatalf("found %#v, expected %#v", op, Settle{1})
 	}
 	if r := s.Apply(op, f, versions{}, 0); r.Rejection != "" || s.Find(1).Step != Settled || s.Current != nil {
 		t.Errorf("%s: change %+v", r.Rejection, s.Find(1))
@@ -143,22 +145,86 @@
 	f, s := fleetOf(t, membership.LeaseTerms{LeaseMS: 4000}, "a"), &State{DecidedVersion: 2}
 	exclusive := proposal(3)
 	exclusive.Exclusive = true
-	for _, p := range []*Proposal{proposal(2), proposal(10), proposal(7), exclusive} {
-		if r := s.Apply(&Op{Kind: OpPropose, Proposal: p}, f, versions{}, 0); r.Rejection == "" || s.Current != nil {
+	for _, p := range []Proposal{proposal(2), proposal(10), proposal(7), exclusive} {
+		if r := s.Apply(Propose{p}, f, versions{}, 0); r.Rejection == "" || s.Current != nil {
 			t.Errorf("%+v begins %+v", p, s.Current)
 		}
 	}
 	for range 2 {
-		r := s.Apply(&Op{Kind: OpPropose, Proposal: proposal(3)}, f, versions{}, 0)
+		r := s.Apply(Propose{proposal(3)}, f, versions{}, 0)
 		if r.Rejection != "" || r.ChangeNumber != 1 {
 			t.Errorf("found %+v, expected change 1", r)
 		}
 	}
-	if r := s.Apply(&Op{Kind: OpPropose, Proposal: proposal(4)}, f, versions{}, 0); r.Rejection == "" {
+	if r := s.Apply(Propose{proposal(4)}, f, versions{}, 0); r.Rejection == "" {
 		t.Error("a second change begins beside the first")
 	}
 }
 
+// TestStoredOperations: an entry of an older build, or of an instance that led before, is read as what it was
+// appended as. Each operation is stored in one form, and what that says beside the fields of its kind counts for
+// nothing.
+func TestStoredOperations(t *testing.T) {
+	for stored, want := range map[string]Operation{
+		`{"op":"propose","propose":{"version":1,"within_ms":5000,"spare":1,"author":"an operator","reason":"",` +
+			`"key":"key-000001"}}`: Propose{proposal(1)},
+		`{"op":"decide","number":3,"epoch":7,"left":["a","b"]}`: Decide{3, 7, []string{"a", "b"}},
+		`{"op":"force","number":3}`:                             Commit{3},
+		`{"op":"settle","number":3}`:                            Settle{3},
+		`{"op":"off","number":3,"why":"enough","by":"someone"}`: Abort{3, "enough", "someone"},
+		`{"op":"fly","number":3}`:                               unknownOperation{"fly", 3},
+	} {
+		var op Op
+		if err := json.Unmarshal([]byte(stored), &op); err != nil {
+			t.Fatal(err)
+		}
+		read, err := op.Operation()
+		if err != nil || !reflect.DeepEqual(read, want) {
+			t.Errorf("%s: found %#v (%v), expected %#v", stored, read, err, want)
+			continue
+		}
+		if raw, err := json.Marshal(Encode(read)); err != nil || string(raw) != stored {
+			t.Errorf("found %s (%v), expected %s", raw, err, stored)
+		}
+	}
+	settle, err := (&Op{Kind: OpSettle, ChangeNumber: 3, FleetEpoch: 7, Reason: "late"}).Operation()
+	if err != nil || settle != (Settle{3}) {
+		t.Errorf("found %#v (%v), expected %#v", settle, err, Settle{3})
+	}
+	if _, err := (&Op{Kind: OpPropose}).Operation(); !errors.Is(err, ErrEmptyProposal) {
+		t.Errorf("found %v, expected %v", err, ErrEmptyProposal)
+	}
+	s := &State{Current: &Change{Number: 3}}
+	r := s.Apply(unknownOperation{"fly", 3}, membership.New(), versions{}, 0)
+	if want := `op "fly", expected propose, decide, force, settle or off`; r.Rejection != want {
+		t.Errorf("found %q, expected %q", r.Rejection, want)
+	}
+}
+
+// TestOperatorsOperations: an operator may propose and abort; what the leader alone decides is refused before it
+// reaches the log, by an error that says what was found and expected.
+func TestOperatorsOperations(t *testing.T) {
+	p := proposal(1)
+	const expected = "propose with a proposal, or off with by and why"
+	for _, c := range []struct {
+		op   Op
+		want string
+	}{
+		{Op{Kind: OpPropose, Proposal: &p}, ""},
+		{Op{Kind: OpAbort, ChangeNumber: 1, Author: "an operator"}, ""},
+		{Op{Kind: OpPropose}, `op: found "propose", expected ` + expected},
+		{Op{Kind: OpAbort}, `op: found "off", expected ` + expected},
+		{Op{Kind: OpAbort, Author: strings.Repeat("x", maxAuthorBytes+1)}, `op: found "off", expected ` + expected},
+		{Op{Kind: OpDecide, ChangeNumber: 1}, `op: found "decide", expected ` + expected},
+	} {
+		err := c.op.Validate()
+		var field *api.FieldError
+		if c.want == "" && err != nil || c.want != "" && (!errors.As(err, &field) || err.Error() != c.want) {
+			t.Errorf("%+v: found %v, expected %q", c.op, err, c.want)
+		}
+	}
+}
+
 // TestErrors: callers can tell errors of input, of snapshots and of guards' names from others.
 func TestErrors(t *testing.T) {
 	p := proposal(1)
--- a/internal/control/zones/op.go
+++ b/internal/control/zones/op.go
@@ -64,6 +64,9 @@
 	Err            string `json:"Err"` // why it was rejected; empty: it was applied
 }
 
+// Rejected reports whether the operation changed nothing, for the reason in Err.
+func (r Result) Rejected() bool { return r.Err != "" }
+
 // Validate says what is wrong with an operator's operation before it is proposed: an *api.FieldError, or an error
 // that names two fields.
 func (op *Op) Validate() error {
--- a/internal/simulation/fleet_control.go
+++ b/internal/simulation/fleet_control.go
@@ -157,7 +157,7 @@
 			if w.Way == WayEach {
 				w.after(0, func() {
 					w.index++
-					w.state.Policy.Apply(&policy.Op{Kind: "decide", ChangeNumber: c.Number}, w.state.Fleet, nil, w.Without)
+					w.state.Policy.Apply(policy.Decide{ChangeNumber: c.Number}, w.state.Fleet, nil, w.Without)
 					w.watch()
 				})
 			}
