--- a/internal/harness/control_load.go
+++ b/internal/harness/control_load.go
@@ -77,11 +77,16 @@
 	}
 }
 
+// close stops the load and waits for its clients.
+func (l *load) close() {
+	l.stop()
+	l.wg.Wait()
+}
+
 // end stops the load and holds what clients were told against what the group has: each version told is there,
 // once, in order.
 func (l *load) end() error {
-	l.stop()
-	l.wg.Wait()
+	l.close()
 	if l.broken != "" {
 		return errors.New(l.broken)
 	}
--- a/internal/harness/control_processes.go
+++ b/internal/harness/control_processes.go
@@ -70,7 +70,7 @@
 		if err := c.start(p, ""); err != nil {
 			return c, err
 		}
-		if err := c.await(ctx, func() error { _, err := c.report(p); return err }); err != nil {
+		if err := c.awaitUp(ctx, p); err != nil {
 			return c, err
 		}
 		if i > 0 {
@@ -100,6 +100,23 @@
 	})
 }
 
+// withGroup runs a group in a folder of its own for as long as use takes.
+func withGroup(ctx context.Context, program string, size int, extra string, use func(c *controlProcesses) error) error {
+	dir, err := os.MkdirTemp("", "lab-raft-")
+	if err != nil {
+		return err
+	}
+	defer os.RemoveAll(dir)
+	c, err := newControlProcesses(ctx, program, dir, size, extra)
+	if c != nil {
+		defer c.close()
+	}
+	if err != nil {
+		return err
+	}
+	return use(c)
+}
+
 func (c *controlProcesses) add(i int, extra string) error {
 	name := string(rune('a' + i))
 	p := &instanceProcess{name: name, file: filepath.Join(c.dir, name+".ini")}
@@ -263,6 +280,22 @@
 	return best
 }
 
+// awaitUp waits until an instance answers.
+func (c *controlProcesses) awaitUp(ctx context.Context, p *instanceProcess) error {
+	return c.await(ctx, func() error { _, err := c.report(p); return err })
+}
+
+// awaitLeader waits until an instance says that it leads, and gives it.
+func (c *controlProcesses) awaitLeader(ctx context.Context) (p *instanceProcess, err error) {
+	err = c.await(ctx, func() error {
+		if p = c.leader(); p == nil {
+			return errors.New("no leader")
+		}
+		return nil
+	})
+	return p, err
+}
+
 // join takes an instance in.
 func (c *controlProcesses) join(ctx context.Context, p *instanceProcess) error {
 	var s consensus.Self
--- a/internal/harness/raft_processes.go
+++ b/internal/harness/raft_processes.go
@@ -2,19 +2,14 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
-	"math/rand"
-	"os"
 	"runtime"
 	"strconv"
+	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/report"
 )
 
@@ -77,188 +72,46 @@
 }
 
 // falseElections counts terms begun within 10 s with all cores wanted four times over.
-func (r *RaftTest) falseElections(ctx context.Context, tick int) (uint64, error) {
-	dir, err := os.MkdirTemp("", "lab-raft-")
-	if err != nil {
-		return 0, err
-	}
-	defer os.RemoveAll(dir)
-	c, err := newControlProcesses(ctx, r.Program, dir, 3, fmt.Sprintf("[group]\ntick = %dms\n", tick))
-	if c != nil {
-		defer c.close()
-	}
-	if err != nil {
-		return 0, err
-	}
-	before, err := c.report(c.procs[0])
-	if err != nil {
-		return 0, err
-	}
-	was := runtime.GOMAXPROCS(0)
-	n := 4 * runtime.NumCPU()
-	runtime.GOMAXPROCS(n + 2)
-	var stop atomic.Bool
-	for i := 0; i < n; i++ {
-		go func() {
-			x := 1
-			for !stop.Load() {
-				x = x*31 + 7
-			}
-		}()
-	}
-	l := c.load(ctx, 2)
-	time.Sleep(10 * time.Second)
-	stop.Store(true)
-	runtime.GOMAXPROCS(was)
-	if err := l.end(); err != nil {
-		return 0, err
-	}
-	var after *consensus.Report
-	err = c.await(ctx, func() error { after, err = c.report(c.procs[0]); return err })
-	if err != nil {
-		return 0, err
-	}
-	return after.Term - before.Term, nil
-}
-
-func (r *RaftTest) killLeaders(ctx context.Context, _ io.Writer, rep *report.Report, plot *report.Plot, size, kills int,
-	extra string) error {
-	dir, err := os.MkdirTemp("", "lab-raft-")
-	if err != nil {
-		return err
-	}
-	defer os.RemoveAll(dir)
-	c, err := newControlProcesses(ctx, r.Program, dir, size, extra)
-	if c != nil {
-		defer c.close()
-	}
-	if err != nil {
-		return err
-	}
-	kinds := append([]string{"", diskStalls, diskFull}, consensus.Steps...)
-	chance := rand.New(rand.NewSource(r.Seed))
-	gaps := hdrhistogram.New(1, 60_000, 3)
-	kindsDone := map[string]int{}
-	l := c.load(ctx, max(1, r.Clients))
-	for _, p := range c.procs { // armed by being started anew, so that each step's crash can be told by a signal
-		c.kill(p)
-		if err := c.start(p, kinds[chance.Intn(len(kinds))]); err != nil {
+func (r *RaftTest) falseElections(ctx context.Context, tick int) (terms uint64, err error) {
+	err = withGroup(ctx, r.Program, 3, fmt.Sprintf("[group]\ntick = %dms\n", tick), func(c *controlProcesses) error {
+		before, err := c.report(c.procs[0])
+		if err != nil {
 			return err
 		}
-		if err := c.await(ctx, func() error {
-			r, err := c.report(p)
-			if err == nil && r.OutOfContact {
-				err = errors.New("out of touch")
-			}
-			return err
-		}); err != nil {
+		l := c.load(ctx, 2)
+		defer l.close()
+		busyFor(10 * time.Second)
+		if err := l.end(); err != nil {
 			return err
 		}
-	}
-	for k := 0; k < kills && ctx.Err() == nil; k++ {
-		time.Sleep(time.Duration(100+chance.Intn(200)) * time.Millisecond)
-		var p *instanceProcess
-		if err := c.await(ctx, func() error {
-			if p = c.leader(); p == nil {
-				return errors.New("no leader")
+		return c.await(ctx, func() error {
+			after, err := c.report(c.procs[0])
+			if err == nil {
+				terms = after.Term - before.Term
 			}
-			return nil
-		}); err != nil {
 			return err
-		}
-		what, cut := p.fault, chance.Intn(8) == 0
-		if cut {
-			what = cutOff
-		}
-		died := time.Since(l.begun)
-		ended := c.crashAt(p, cut)
-		if ended {
-			died = time.Since(l.begun)
-		} else { // writes go on until the fault shows: it is over once another leads
-			if err := c.await(ctx, func() error {
-				if n := c.leader(); n == nil || n == p {
-					return errors.New("no other leader")
-				}
-				return nil
-			}); err != nil {
-				rep.Break("kill %d: leader %q is not followed: %v", k+1, what, err)
-				break
-			}
-		}
-		for l.last.Load() <= int64(died) && ctx.Err() == nil {
-			if time.Since(l.begun)-died > 2*realWithin {
-				break
-			}
-			time.Sleep(time.Millisecond)
-		}
-		gap := time.Duration(l.last.Load()) - died
-		if gap <= 0 || gap > realWithin {
-			rep.Break("no write was taken for %v after kill %d of a leader of %d at %q", time.Since(l.begun)-died, k+1,
-				size, what)
-			break
-		}
-		kindsDone[what]++
-		gaps.RecordValue(gap.Milliseconds())
-		if !ended && !cut {
-			if err := c.await(ctx, func() error { _, err := c.report(p); return err }); err != nil {
-				return err
-			}
-			c.kill(p)
-			ended = true
-		}
-		c.board.heal()
-		if ended {
-			if err := c.start(p, kinds[chance.Intn(len(kinds))]); err != nil {
-				return err
-			}
-		}
-		if err := c.await(ctx, func() error { // back before the next is killed
-			r, err := c.report(p)
-			if err == nil && (r.OutOfContact || r.Role != "follower" && r.Role != "leader") {
-				err = fmt.Errorf("%s is %s", p.name, r.Role)
-			}
-			return err
-		}); err != nil {
-			return err
-		}
-	}
-	if err := l.end(); err != nil {
-		rep.Break("%d instances: %v", size, err)
-	}
-	rep.Rows = append(rep.Rows, []string{"leader lost", strconv.Itoa(size),
-		strconv.FormatInt(gaps.TotalCount(), 10), strconv.Itoa(l.puts), strconv.FormatBool(rep.Broken != ""),
-		report.Milliseconds(gaps.ValueAtQuantile(50)), report.Milliseconds(gaps.ValueAtQuantile(99)), report.Milliseconds(gaps.Max())})
-	key := fmt.Sprintf("kills%d", size)
-	rep.Add(key, "%d", gaps.TotalCount())
-	rep.Add(key+"_median_ms", "%d", gaps.ValueAtQuantile(50))
-	rep.Add(key+"_p99_ms", "%d", gaps.ValueAtQuantile(99))
-	rep.Add(key+"_worst_ms", "%d", gaps.Max())
-	for _, kind := range append(kinds, cutOff) {
-		if n := kindsDone[kind]; n > 0 {
-			rep.Notes = append(rep.Notes, fmt.Sprintf("%d instances: %d leaders: %s", size, n, whatKind(kind)))
-		}
-	}
-	rep.Add(key+"_versions", "%d", len(l.taken))
-	line := report.Line{Name: fmt.Sprintf("%d instances", size)}
-	for _, q := range []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 100} {
-		line.Points = append(line.Points, [2]float64{float64(gaps.ValueAtQuantile(q)), q / 100})
-	}
-	plot.Lines = append(plot.Lines, line)
-	return nil
+		})
+	})
+	return terms, err
 }
 
-func whatKind(kind string) string {
-	switch kind {
-	case "":
-		return "kill -9"
-	case cutOff:
-		return "cut off from all others"
-	case diskStalls:
-		return "its disk stalled " + diskStall.String()
-	case diskFull:
-		return "its disk was full"
+// busyFor wants all cores of the machine four times over for a while.
+func busyFor(span time.Duration) {
+	was, threads := runtime.GOMAXPROCS(0), 4*runtime.NumCPU()
+	runtime.GOMAXPROCS(threads + 2)
+	defer runtime.GOMAXPROCS(was)
+	var stop atomic.Bool
+	var busy sync.WaitGroup
+	for range threads {
+		busy.Go(func() {
+			for x := 1; !stop.Load(); {
+				x = x*31 + 7
+			}
+		})
 	}
-	return "killed itself before " + kind
+	time.Sleep(span)
+	stop.Store(true)
+	busy.Wait()
 }
 
 // speed measures puts without faults, by one client and by many.
@@ -273,50 +126,40 @@
 
 // speedWith measures puts by so many clients on a group of its own.
 func (r *RaftTest) speedWith(ctx context.Context, rep *report.Report, clients int) error {
-	dir, err := os.MkdirTemp("", "lab-raft-")
-	if err != nil {
-		return err
-	}
-	defer os.RemoveAll(dir)
-	c, err := newControlProcesses(ctx, r.Program, dir, 3, "")
-	if c != nil {
-		defer c.close()
-	}
-	if err != nil {
-		return err
-	}
-	l := c.load(ctx, clients)
-	time.Sleep(time.Second)
-	before, err := c.report(c.leader())
-	if err != nil {
-		return err
-	}
-	l.mu.Lock()
-	puts, versions := l.puts, len(l.taken)
-	l.times.Reset()
-	l.mu.Unlock()
-	started := time.Now()
-	time.Sleep(10 * time.Second)
-	l.mu.Lock()
-	puts, versions = l.puts-puts, len(l.taken)-versions
-	took := time.Since(started).Seconds()
-	l.mu.Unlock()
-	after, err := c.report(c.leader())
-	if err != nil {
-		return err
-	}
-	if err := l.end(); err != nil {
-		rep.Break("%d clients: %v", clients, err)
-	}
-	key := fmt.Sprintf("clients%d", clients)
-	rep.Add(key+"_puts_per_s", "%.0f", float64(puts)/took)
-	rep.Add(key+"_versions_per_s", "%.0f", float64(versions)/took)
-	rep.Add(key+"_syncs_per_put", "%.2f", float64(after.Syncs-before.Syncs)/float64(max(1, puts)))
-	rep.Rows = append(rep.Rows, []string{fmt.Sprintf("put, %d clients", clients), "3", "10 s",
-		strconv.Itoa(puts), "-", us(l.times.ValueAtQuantile(50)), us(l.times.ValueAtQuantile(99)),
-		us(l.times.Max())})
-	c.close()
-	return nil
+	return withGroup(ctx, r.Program, 3, "", func(c *controlProcesses) error {
+		l := c.load(ctx, clients)
+		defer l.close()
+		time.Sleep(time.Second)
+		before, err := c.report(c.leader())
+		if err != nil {
+			return err
+		}
+		l.mu.Lock()
+		puts, versions := l.puts, len(l.taken)
+		l.times.Reset()
+		l.mu.Unlock()
+		started := time.Now()
+		time.Sleep(10 * time.Second)
+		l.mu.Lock()
+		puts, versions = l.puts-puts, len(l.taken)-versions
+		took := time.Since(started).Seconds()
+		l.mu.Unlock()
+		after, err := c.report(c.leader())
+		if err != nil {
+			return err
+		}
+		if err := l.end(); err != nil {
+			rep.Break("%d clients: %v", clients, err)
+		}
+		key := fmt.Sprintf("clients%d", clients)
+		rep.Add(key+"_puts_per_s", "%.0f", float64(puts)/took)
+		rep.Add(key+"_versions_per_s", "%.0f", float64(versions)/took)
+		rep.Add(key+"_syncs_per_put", "%.2f", float64(after.Syncs-before.Syncs)/float64(max(1, puts)))
+		rep.Rows = append(rep.Rows, []string{fmt.Sprintf("put, %d clients", clients), "3", "10 s",
+			strconv.Itoa(puts), "-", us(l.times.ValueAtQuantile(50)), us(l.times.ValueAtQuantile(99)),
+			us(l.times.Max())})
+		return nil
+	})
 }
 
 func us(n int64) string { return fmt.Sprintf("%.2f ms", float64(n)/1000) }
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -207,7 +207,7 @@
 		must(fmt.Errorf("control recover: %v\n%s", err, raw))
 	}
 	b.starts(first)
-	must(b.group.await(b.ctx, func() error { _, err := b.group.report(first); return err }))
+	must(b.group.awaitUp(b.ctx, first))
 	b.rejoin(others...)
 	return said
 }
@@ -221,7 +221,7 @@
 	for _, p := range procs {
 		must(os.RemoveAll(b.folder(p)))
 		b.starts(p)
-		must(b.group.await(b.ctx, func() error { _, err := b.group.report(p); return err }))
+		must(b.group.awaitUp(b.ctx, p))
 		must(b.group.join(b.ctx, p))
 	}
 }
