--- a/internal/harness/policy_node_crowd.go
+++ b/internal/harness/policy_node_crowd.go
@@ -27,103 +27,109 @@
 const crowdNodes = 5000
 
 // crowd measures what a fleet of the full size costs the group: processes of the control service, asked by members over
-// sockets, each with a connection of its own.
+// sockets, each with a connection of its own. First all members join within ten seconds and the group is measured at
+// rest; then the group and all members are killed, and come back within a second of each other.
 func (r *PolicyTest) crowd(ctx context.Context, rep *report.Report) error {
-	dir, err := os.MkdirTemp("", "lab-policy-")
-	if err != nil {
-		return err
-	}
-	defer os.RemoveAll(dir)
-	c, err := newControlProcesses(ctx, r.Program, dir, 3, "")
-	if c != nil {
-		defer c.close()
-	}
-	if err != nil {
-		return err
-	}
-	m := &nodeCrowd{c: c, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: crowdNodes, MaxIdleConns: 3 * crowdNodes}},
-		began: time.Now()}
-	defer m.client.CloseIdleConnections()
-	stop := m.begin(ctx, 1, 10*time.Second)
-	defer func() { stop() }()
-	select {
-	case <-ctx.Done():
-		return nil
-	case <-time.After(25 * time.Second):
+	return withGroup(ctx, r.Program, 3, "", func(c *controlProcesses) error {
+		m := &nodeCrowd{c: c, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: crowdNodes,
+			MaxIdleConns: 3 * crowdNodes}}, began: time.Now()}
+		defer m.client.CloseIdleConnections()
+		defer m.close()
+		m.begin(ctx, 1, 10*time.Second)
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-time.After(25 * time.Second):
+		}
+		if err := m.measureAtRest(ctx, rep); err != nil || rep.Broken != "" {
+			return err
+		}
+		return m.measureRestart(ctx, rep)
+	})
+}
+
+// crowdUsage is what a group has done for a crowd so far.
+type crowdUsage struct {
+	view consensus.PolicyView
+	cpu  time.Duration // of the leader
+}
+
+func (m *nodeCrowd) usage(ctx context.Context, leader *instanceProcess) (u crowdUsage, err error) {
+	if _, err = m.c.call(ctx, http.MethodGet, leader.listen, "/v1/policy", nil, &u.view); err != nil {
+		return u, err
 	}
+	u.cpu, err = cpuOf(leader.pid())
+	return u, err
+}
+
+// measureAtRest holds the group to having all members in, and counts what they cost it over a while.
+func (m *nodeCrowd) measureAtRest(ctx context.Context, rep *report.Report) error {
 	const span = 20 * time.Second
-	leader := c.leader()
+	leader := m.c.leader()
 	if leader == nil {
 		return errors.New("no leader")
 	}
-	view := func() (v consensus.PolicyView, err error) {
-		_, err = c.call(ctx, http.MethodGet, leader.listen, "/v1/policy", nil, &v)
-		return v, err
-	}
-	was, err := view()
-	if err != nil {
-		return err
-	}
-	cpu, err := cpuOf(leader.pid())
+	before, err := m.usage(ctx, leader)
 	if err != nil {
 		return err
 	}
 	m.asked.Store(0)
 	m.lost.Store(0)
 	time.Sleep(span)
-	is, err := view()
-	if err != nil {
-		return err
-	}
-	after, err := cpuOf(leader.pid())
+	after, err := m.usage(ctx, leader)
 	if err != nil {
 		return err
 	}
+	was, is, seconds := before.view, after.view, span.Seconds()
 	rep.Add("crowd_nodes", "%d", is.ActiveNodes)
-	rep.Add("crowd_askings_per_s", "%.0f", float64(m.asked.Load())/span.Seconds())
-	rep.Add("crowd_entries_per_s", "%.2f", float64(is.Batches-was.Batches)/span.Seconds())
-	rep.Add("crowd_kb_per_s", "%.1f", float64(is.BatchBytes-was.BatchBytes)/1024/span.Seconds())
-	rep.Add("crowd_leader_cores", "%.2f", (after-cpu).Seconds()/span.Seconds())
+	rep.Add("crowd_askings_per_s", "%.0f", float64(m.asked.Load())/seconds)
+	rep.Add("crowd_entries_per_s", "%.2f", float64(is.Batches-was.Batches)/seconds)
+	rep.Add("crowd_kb_per_s", "%.1f", float64(is.BatchBytes-was.BatchBytes)/1024/seconds)
+	rep.Add("crowd_leader_cores", "%.2f", (after.cpu-before.cpu).Seconds()/seconds)
 	rep.Add("crowd_lost", "%d", m.lost.Load())
 	if is.ActiveNodes != crowdNodes || m.lost.Load() > m.asked.Load()/100 {
-		rep.Break("a group asked by %d nodes has %d in, and %d of %d askings were lost", crowdNodes, is.ActiveNodes, m.lost.Load(),
-			m.asked.Load())
-		return nil
+		rep.Break("a group asked by %d nodes has %d in, and %d of %d askings were lost", crowdNodes, is.ActiveNodes,
+			m.lost.Load(), m.asked.Load())
 	}
-	// All nodes and the group are killed, and come back within a second of each other.
-	stop()
-	for _, p := range c.procs {
-		c.kill(p)
+	return nil
+}
+
+// measureRestart kills the group and all members, has them come back within a second, and times when all are in again.
+func (m *nodeCrowd) measureRestart(ctx context.Context, rep *report.Report) error {
+	m.close()
+	for _, p := range m.c.procs {
+		m.c.kill(p)
 	}
 	m.client.CloseIdleConnections()
 	back := time.Now()
-	for _, p := range c.procs {
-		if err := c.start(p, ""); err != nil {
+	for _, p := range m.c.procs {
+		if err := m.c.start(p, ""); err != nil {
 			return err
 		}
 	}
-	stop = m.begin(ctx, 2, time.Second)
+	m.begin(ctx, 2, time.Second)
 	leads, peak, before := time.Duration(0), int64(0), m.asked.Load()
 	for m.in.Load() < crowdNodes && time.Since(back) < time.Minute && ctx.Err() == nil {
 		time.Sleep(100 * time.Millisecond)
 		now := m.asked.Load()
 		peak, before = max(peak, now-before), now
-		if leads == 0 && c.leader() != nil {
+		if leads == 0 && m.c.leader() != nil {
 			leads = time.Since(back)
 		}
 	}
 	all := time.Since(back)
-	if leader = c.leader(); leader == nil {
+	leader := m.c.leader()
+	if leader == nil {
 		return errors.New("no leader")
 	}
-	after, err = cpuOf(leader.pid())
+	cpu, err := cpuOf(leader.pid())
 	if err != nil {
 		return err
 	}
 	rep.Add("restart_leads_ms", "%d", leads.Milliseconds())
 	rep.Add("restart_all_in_ms", "%d", all.Milliseconds())
 	rep.Add("restart_askings_per_s_peak", "%d", 10*peak)
-	rep.Add("restart_leader_cpu_s", "%.2f", after.Seconds())
+	rep.Add("restart_leader_cpu_s", "%.2f", cpu.Seconds())
 	rep.Add("restart_leader_mb", "%.0f", rssOf(leader.pid()))
 	if m.in.Load() < crowdNodes {
 		rep.Break("a group and %d nodes restart at once, and %d are in after %v", crowdNodes, m.in.Load(), all)
@@ -140,11 +146,12 @@
 	lost   atomic.Int64
 	in     atomic.Int64 // members that hold a lease
 	wg     sync.WaitGroup
+	stop   context.CancelFunc // of the members that run
 }
 
-// begin starts all members within a time; the end it gives waits for them.
-func (m *nodeCrowd) begin(ctx context.Context, life int, within time.Duration) (stop func()) {
-	ctx, cancel := context.WithCancel(ctx)
+// begin starts all members within a time; close ends them.
+func (m *nodeCrowd) begin(ctx context.Context, life int, within time.Duration) {
+	ctx, m.stop = context.WithCancel(ctx)
 	m.in.Store(0)
 	var control []string
 	for _, p := range m.c.procs {
@@ -160,7 +167,12 @@
 				Nonce: fmt.Sprintf("crowd-%d-%s", life, name), JitterSeed: uint32(i)})
 		}()
 	}
-	return func() { cancel(); m.wg.Wait() }
+}
+
+// close ends all members and waits for them.
+func (m *nodeCrowd) close() {
+	m.stop()
+	m.wg.Wait()
 }
 
 // one is one member, with a connection of its own.
