--- a/internal/harness/fleet_load.go
+++ b/internal/harness/fleet_load.go
@@ -52,6 +52,26 @@
 	return c.Times[min(len(c.Times)-1, int(q*float64(len(c.Times))))]
 }
 
+// count gives how many reqs were noted one by one so far.
+func (c *CallResults) count() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.Each)
+}
+
+// valueInTime gives the share of value that was done in time, of the reqs after the first from.
+func (c *CallResults) valueInTime(from int) float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	good, all := 0.0, 0.0
+	for _, a := range c.Each[from:] {
+		if all += a.Value; a.Good {
+			good += a.Value
+		}
+	}
+	return good / max(all, 1)
+}
+
 // Load sends reqs at a rate until the context ends, each to a node that the list says is ready, and elsewhere when it
 // is turned away: so a req is lost only if nobody answered it in its time.
 func (r *FleetProcesses) Load(ctx context.Context, rate float64) *CallResults {
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -168,37 +168,34 @@
 		return err
 	}
 	defer b.Close()
-	if r.Only == OnlyLoad {
-		if err = r.many(ctx, b, rep); err != nil || rep.Broken != "" {
-			return err
-		}
-		if err = r.fencing(ctx, b, rep); err != nil {
-			return err
+	if r.Only != OnlyLoad {
+		if r.playCases(ctx, b, w, rep); rep.Broken != "" || r.Only != "" {
+			return nil
 		}
-		b.Close()
-		return r.crowd(ctx, rep)
 	}
+	if err = r.many(ctx, b, rep); err != nil || rep.Broken != "" || r.Quick && r.Only != OnlyLoad {
+		return err
+	}
+	if err = r.fencing(ctx, b, rep); err != nil {
+		return err
+	}
+	b.Close()
+	return r.crowd(ctx, rep)
+}
+
+// playCases plays the cases that were asked for, one after the other under load, up to the first that breaks.
+func (r *PolicyTest) playCases(ctx context.Context, b *policyBench, w io.Writer, rep *report.Report) {
 	load, stop := context.WithCancel(ctx)
+	defer stop()
 	calls := b.Load(load, 100)
 	kept := 0
-	for i, c := range policyCases {
-		if r.Parts > 0 && i%r.Parts != r.Part {
-			continue
-		}
-		if r.Only != "" && c.name != r.Only || r.Only == "" && c.long && r.Quick {
+	for i := range policyCases {
+		c := &policyCases[i]
+		if !r.selection().takes(i, c.name, c.long) {
 			continue
 		}
 		started := time.Now()
-		err := played(func() { c.run(b) })
-		b.heal()
-		if err == nil {
-			err = b.AllServe(b.force, 60*time.Second)
-		}
-		if err != nil {
-			rep.Break("%s: %v", c.name, err)
-			break
-		}
-		if _, err = b.Check(b.promises()); err != nil {
+		if err := b.playCase(c); err != nil {
 			rep.Break("%s: %v", c.name, err)
 			break
 		}
@@ -209,17 +206,23 @@
 	b.loads.Wait()
 	rep.Add("cases", "%d", kept)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("cases, real: callers: %v", calls))
-	if rep.Broken != "" || r.Only != "" {
-		return nil
-	}
-	if err = r.many(ctx, b, rep); err != nil || r.Quick || rep.Broken != "" {
-		return err
+}
+
+func (r *PolicyTest) selection() caseSelection {
+	return caseSelection{only: r.Only, quick: r.Quick, part: r.Part, parts: r.Parts}
+}
+
+// playCase plays a case; then, with every link whole again, all nodes have to serve and the history to keep its promises.
+func (b *policyBench) playCase(c *policyCase) error {
+	err := played(func() { c.run(b) })
+	b.heal()
+	if err == nil {
+		err = b.AllServe(b.force, 60*time.Second)
 	}
-	if err = r.fencing(ctx, b, rep); err != nil {
-		return err
+	if err == nil {
+		_, err = b.Check(b.promises())
 	}
-	b.Close()
-	return r.crowd(ctx, rep)
+	return err
 }
 
 // fencing measures what it costs callers that a zone is cut off from the group and stops serving: the same load for as
--- a/internal/harness/policy_bench.go
+++ b/internal/harness/policy_bench.go
@@ -93,6 +93,20 @@
 	return 0, 0, fmt.Errorf("no node %s", name)
 }
 
+// caseSelection is which cases of a list a run plays.
+type caseSelection struct {
+	only        string // the one of this name; empty: all, but with quick none that is long
+	quick       bool
+	part, parts int // of so many runs side by side this one takes each parts-th case; 0 of 0 for all
+}
+
+func (s caseSelection) takes(i int, name string, long bool) bool {
+	if s.parts > 0 && i%s.parts != s.part {
+		return false
+	}
+	return name == s.only || s.only == "" && !(long && s.quick)
+}
+
 // failed is how a step of a case ends it.
 type failed struct{ err error }
 
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -192,11 +192,18 @@
 // zoneRate is the callers' rate in the cases, reqs a second over all nodes: a third of what three services bear warm.
 const zoneRate = 180
 
-// real plays the cases on processes.
+// real plays the cases on processes, then measures what failures cost callers.
 func (r *ZonesTest) real(ctx context.Context, w io.Writer, rep *report.Report) error {
-	if r.Only == OnlyCosts {
-		return r.costs(ctx, rep, r.plan())
+	if r.Only != OnlyCosts {
+		if err := r.realCases(ctx, w, rep); err != nil || r.Quick || rep.Broken != "" || r.Only != "" {
+			return err
+		}
 	}
+	return r.costs(ctx, rep, r.plan())
+}
+
+// realCases plays the cases that were asked for in one fleet under load, up to the first that breaks.
+func (r *ZonesTest) realCases(ctx context.Context, w io.Writer, rep *report.Report) error {
 	dir, err := os.MkdirTemp("", "lab-zones-")
 	if err != nil {
 		return err
@@ -214,67 +221,71 @@
 	if err = b.usual(); err != nil {
 		return err
 	}
-	kept := 0
-	var list []zoneCase
-	for i, c := range r.all() {
-		if (r.Parts == 0 || i%r.Parts == r.Part) && (c.name == r.Only || r.Only == "" && !(c.long && r.Quick)) {
-			list = append(list, c)
-		}
+	kept, err := r.playCases(b, calls)
+	if err = breakOrReturn(rep, err); err != nil {
+		return err
 	}
-	for i, c := range list {
-		b.may = map[string]bool{}
-		for _, z := range c.may {
-			b.may[z] = true
-		}
-		began := time.Now()
-		var v consensus.ZonesView
-		if _, err := b.ask(http.MethodGet, "/v1/zones", nil, &v); err != nil {
-			return err
-		}
-		b.epoch = v.Epoch
-		calls.mu.Lock()
-		from := len(calls.Each)
-		calls.mu.Unlock()
-		err := played(func() { c.run(b) })
-		b.heal()
-		if err == nil {
-			err = b.AllServe(b.force, 40*time.Second)
-		}
-		if err == nil {
-			err = b.history(began)
-		}
-		if err != nil {
-			rep.Break("%s: %v", c.name, err)
-			b.tell(w)
-			break
+	stop()
+	b.loads.Wait()
+	rep.Add("cases", "%d", kept)
+	rep.Notes = append(rep.Notes, fmt.Sprintf("cases, real: callers: %v", calls))
+	return nil
+}
+
+// playCases plays the cases one after the other, each once the fleet stands as usual, and counts those that kept their
+// promises.
+func (r *ZonesTest) playCases(b *zoneBench, calls *CallResults) (kept int, err error) {
+	before := ""
+	for i, c := range r.all() {
+		if !r.selection().takes(i, c.name, c.long) {
+			continue
 		}
-		kept++
-		calls.mu.Lock()
-		good, all := 0.0, 0.0
-		for _, a := range calls.Each[from:] {
-			if all += a.Value; a.Good {
-				good += a.Value
+		if before != "" {
+			if err := b.usual(); err != nil {
+				return kept, brokenPromise(fmt.Sprintf("%s: after it: %v", before, err))
 			}
 		}
-		calls.mu.Unlock()
-		fmt.Fprintf(w, "%-55s kept, %.1f s, %.3f of value done in time\n", c.name, time.Since(began).Seconds(), good/max(all, 1))
-		if i == len(list)-1 {
-			break // what is usual is for the next one
-		}
-		if err := b.usual(); err != nil {
-			rep.Break("%s: after it: %v", c.name, err)
-			break
+		began, from := time.Now(), calls.count()
+		if err := b.playCase(&c); err != nil {
+			return kept, err
 		}
+		kept++
+		fmt.Fprintf(b.w, "%-55s kept, %.1f s, %.3f of value done in time\n", c.name, time.Since(began).Seconds(),
+			calls.valueInTime(from))
+		before = c.name
 	}
-	stop()
-	b.loads.Wait()
-	rep.Add("cases", "%d", kept)
-	rep.Notes = append(rep.Notes, fmt.Sprintf("cases, real: callers: %v", calls))
-	if r.Quick || rep.Broken != "" || r.Only != "" {
-		return nil
+	return kept, nil
+}
+
+func (r *ZonesTest) selection() caseSelection {
+	return caseSelection{only: r.Only, quick: r.Quick, part: r.Part, parts: r.Parts}
+}
+
+// playCase plays a case; then, with every link whole again, all nodes have to serve and the history to keep its promises.
+func (b *zoneBench) playCase(c *zoneCase) error {
+	b.may = map[string]bool{}
+	for _, z := range c.may {
+		b.may[z] = true
 	}
-	b.Close()
-	return r.costs(ctx, rep, r.plan())
+	began := time.Now()
+	var v consensus.ZonesView
+	if _, err := b.ask(http.MethodGet, "/v1/zones", nil, &v); err != nil {
+		return err
+	}
+	b.epoch = v.Epoch
+	err := played(func() { c.run(b) })
+	b.heal()
+	if err == nil {
+		err = b.AllServe(b.force, 40*time.Second)
+	}
+	if err == nil {
+		err = b.history(began)
+	}
+	if err != nil {
+		b.tell(b.w)
+		return brokenPromise(fmt.Sprintf("%s: %v", c.name, err))
+	}
+	return nil
 }
 
 // plan gives what is measured on processes.
