--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -270,9 +270,8 @@
 
 // followed counts how often a node said that it follows a generation of the group.
 func (b *zoneBench) followed(name string, generation uint64) (n int) {
-	must(logLines(filepath.Join(b.Dir, name+".log"), func(_ int64, m map[string]any) {
-		of, _ := m[logging.Generation].(float64)
-		if m["msg"] == "a restored generation of the group is followed" && uint64(of) == generation {
+	must(readLog(filepath.Join(b.Dir, name+".log"), func(l *logRecord) {
+		if l.message == "a restored generation of the group is followed" && l.number(logging.Generation) == generation {
 			n++
 		}
 	}))
--- a/internal/harness/zones_check.go
+++ b/internal/harness/zones_check.go
@@ -3,14 +3,8 @@
 // This file holds the history of zones to their promises.
 
 import (
-	"errors"
 	"fmt"
-	"path/filepath"
 	"sort"
-	"time"
-
-	"umberwinch/internal/control/zones"
-	"umberwinch/internal/logging"
 )
 
 // ZoneEvent is one thing that a run recorded about zones, in tenths of a ms.
@@ -76,74 +70,3 @@
 	}
 	return ""
 }
-
-// history reads what the processes logged since a time and checks it.
-func (b *zoneBench) history(since time.Time) error {
-	from := since.UnixMicro() / 100
-	var h []ZoneEvent
-	for _, n := range b.nodes {
-		h = append(h, ZoneEvent{At: from, Kind: "zone", Zone: n.zone})
-	}
-	seen := map[uint64]bool{}
-	if err := logLines(filepath.Join(b.Dir, "instances.log"), func(at int64, m map[string]any) {
-		epoch, _ := m["epoch"].(float64)
-		e := ZoneEvent{At: at, Epoch: uint64(epoch)}
-		switch m["msg"] {
-		case "change of a zone":
-			e.Kind = "decided"
-			if e.Zone, _ = m["zone"].(string); e.Zone == zones.WholeFleet { // it is no zone: its steps raise and lower all
-				return
-			}
-			e.Op, _ = m["op"].(string)
-			share, _ := m["share"].(float64)
-			e.Share = int(share)
-			if at < from || e.Op == "hold" || e.Epoch <= b.epoch || seen[e.Epoch] { // each instance logs it
-				return
-			}
-			seen[e.Epoch] = true
-		case "epoch of zones settled":
-			e.Kind = "settled"
-		default:
-			return
-		}
-		h = append(h, e)
-	}); err != nil {
-		return err
-	}
-	sort.SliceStable(h, func(i, k int) bool { return h[i].At < h[k].At })
-	for _, n := range b.nodes {
-		if err := logLines(filepath.Join(b.Dir, n.name+".log"), func(at int64, m map[string]any) {
-			e := ZoneEvent{At: at, Node: n.name, Zone: n.zone}
-			switch m["msg"] {
-			case "zone order is in effect":
-				epoch, _ := m[logging.Epoch].(float64)
-				share, _ := m[logging.Share].(float64)
-				e.Kind, e.Epoch, e.Share = "acts", uint64(epoch), int(share)
-			case "node is fenced: all requests are rejected":
-				e.Kind = "stops"
-			default:
-				return
-			}
-			h = append(h, e)
-		}); err != nil {
-			return err
-		}
-	}
-	b.mu.Lock()
-	for _, e := range b.events {
-		if e.Kind == "stops" {
-			h = append(h, ZoneEvent{At: e.At, Kind: "stops", Node: e.Node})
-		}
-	}
-	b.mu.Unlock()
-	// What the nodes answered between is what acting is; a req of each node stands for it every tenth of a second.
-	for at := from; at < time.Now().UnixMicro()/100; at += 1000 {
-		for _, n := range b.nodes {
-			h = append(h, ZoneEvent{At: at, Kind: "answers", Node: n.name})
-		}
-	}
-	if broken := CheckZones(h, b.may, 1000); broken != "" {
-		return errors.New(broken)
-	}
-	return nil
-}
--- /dev/null
+++ b/internal/harness/zones_history.go
@@ -0,0 +1,108 @@
+package harness
+
+// This file reads the history of zones from the logs of a fleet of processes.
+
+import (
+	"errors"
+	"sort"
+	"time"
+
+	"umberwinch/internal/control/zones"
+	"umberwinch/internal/logging"
+)
+
+// logSlack covers logs of whole ms and a round between a node and its group, in tenths of a ms.
+const logSlack = 1000
+
+// answerStep is how often the history has a node answer, in tenths of a ms.
+const answerStep = 1000
+
+// history reads what the processes logged since a time and holds it to the promises.
+func (b *zoneBench) history(since time.Time) error {
+	from := since.UnixMicro() / 100
+	var h []ZoneEvent
+	for _, n := range b.nodes {
+		h = append(h, ZoneEvent{At: from, Kind: "zone", Zone: n.zone})
+	}
+	decisions, err := b.loggedDecisions(from)
+	if err != nil {
+		return err
+	}
+	h = append(h, decisions...)
+	sort.SliceStable(h, func(i, k int) bool { return h[i].At < h[k].At })
+	for _, n := range b.nodes {
+		orders, err := n.loggedZoneOrders()
+		if err != nil {
+			return err
+		}
+		h = append(h, orders...)
+	}
+	h = append(append(h, b.processEnds()...), b.answers(from)...)
+	if broken := CheckZones(h, b.may, logSlack); broken != "" {
+		return errors.New(broken)
+	}
+	return nil
+}
+
+// loggedDecisions gives what the group decided since a time, each epoch once, and when epochs settled. The whole fleet is
+// no zone: its steps raise and lower all.
+func (b *zoneBench) loggedDecisions(from int64) (h []ZoneEvent, err error) {
+	seen := map[uint64]bool{}
+	err = readLog(b.instancesLog(), func(l *logRecord) {
+		e := ZoneEvent{At: l.at, Epoch: l.number(logging.Epoch)}
+		switch l.message {
+		case "change of a zone":
+			e.Kind, e.Zone, e.Op, e.Share = "decided", l.text(logging.Zone), l.text(logging.Operation), int(l.number(logging.Share))
+			if e.Zone == zones.WholeFleet || e.At < from || e.Op == "hold" || e.Epoch <= b.epoch || seen[e.Epoch] {
+				return
+			}
+			seen[e.Epoch] = true
+		case "epoch of zones settled":
+			e.Kind = "settled"
+		default:
+			return
+		}
+		h = append(h, e)
+	})
+	return h, err
+}
+
+// loggedZoneOrders gives which epochs a node acted on, and when it was fenced.
+func (n *nodeProcess) loggedZoneOrders() (h []ZoneEvent, err error) {
+	err = readLog(n.logFile(), func(l *logRecord) {
+		e := ZoneEvent{At: l.at, Node: n.name, Zone: n.zone}
+		switch l.message {
+		case "zone order is in effect":
+			e.Kind, e.Epoch, e.Share = "acts", l.number(logging.Epoch), int(l.number(logging.Share))
+		case "node is fenced: all requests are rejected":
+			e.Kind = "stops"
+		default:
+			return
+		}
+		h = append(h, e)
+	})
+	return h, err
+}
+
+// processEnds gives the ends of nodes' processes.
+func (b *zoneBench) processEnds() (h []ZoneEvent) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, e := range b.events {
+		if e.Kind == "stops" {
+			h = append(h, ZoneEvent{At: e.At, Kind: "stops", Node: e.Node})
+		}
+	}
+	return h
+}
+
+// answers stands for what nodes answered: acting on an order is to answer by it, so each node has a request every tenth
+// of a second.
+func (b *zoneBench) answers(from int64) (h []ZoneEvent) {
+	for at := from; at < time.Now().UnixMicro()/100; at += answerStep {
+		for _, n := range b.nodes {
+			h = append(h, ZoneEvent{At: at, Kind: "answers", Node: n.name})
+		}
+	}
+	return h
+}
