--- a/internal/harness/control_processes.go
+++ b/internal/harness/control_processes.go
@@ -40,6 +40,8 @@
 	http         *http.Client
 	out          *os.File
 	board        *forwarders
+	mu           sync.Mutex // held while a process starts, so that none does once closed is set
+	closed       bool
 }
 
 // hosts numbers loopback addresses so that no two instances of a run share one. A port out of the range that
@@ -137,6 +139,11 @@
 }
 
 func (c *controlProcesses) start(p *instanceProcess, fault string) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return errors.New("the group's processes are being ended")
+	}
 	p.cmd = exec.Command(c.program, "control", "run", "--file", p.file)
 	p.cmd.Stderr = c.out
 	p.cmd.Env = append(append(os.Environ(), faultEnv+"="+fault), c.env...)
@@ -215,7 +222,11 @@
 	return true
 }
 
+// close ends all processes; none is started from then on.
 func (c *controlProcesses) close() {
+	c.mu.Lock()
+	c.closed = true
+	c.mu.Unlock()
 	for _, p := range c.procs {
 		if p.cmd != nil && p.cmd.Process != nil {
 			p.cmd.Process.Kill()
--- a/internal/harness/fleet_processes.go
+++ b/internal/harness/fleet_processes.go
@@ -300,10 +300,9 @@
 			select {
 			case <-n.r.ctx.Done():
 			case <-time.After(2 * time.Second): // the platform's pace
-				n.r.mu.Lock()
-				down := n.down
-				n.r.mu.Unlock()
-				if !down && n.r.ctx.Err() == nil {
+				n.r.mu.Lock() // Kill waits for it, and then finds the process that was started
+				defer n.r.mu.Unlock()
+				if !n.down && n.r.ctx.Err() == nil {
 					n.start()
 				}
 			}
