--- a/internal/harness/control_processes.go
+++ b/internal/harness/control_processes.go
@@ -19,6 +19,7 @@
 	"time"
 
 	"umberwinch/internal/control/consensus"
+	"umberwinch/internal/report"
 )
 
 // realWithin is the promise for processes: after a leader's death writes are taken again within it.
@@ -103,20 +104,18 @@
 }
 
 // withGroup runs a group in a folder of its own for as long as use takes.
-func withGroup(ctx context.Context, program string, size int, extra string, use func(c *controlProcesses) error) error {
-	dir, err := os.MkdirTemp("", "lab-raft-")
-	if err != nil {
-		return err
-	}
-	defer os.RemoveAll(dir)
-	c, err := newControlProcesses(ctx, program, dir, size, extra)
-	if c != nil {
-		defer c.close()
-	}
-	if err != nil {
-		return err
-	}
-	return use(c)
+func withGroup(ctx context.Context, program string, rep *report.Report, size int, extra string,
+	use func(c *controlProcesses) error) error {
+	return withWorkFolder(ctx, rep, func(dir string) error {
+		c, err := newControlProcesses(ctx, program, dir, size, extra)
+		if c != nil {
+			defer c.close()
+		}
+		if err != nil {
+			return err
+		}
+		return use(c)
+	})
 }
 
 func (c *controlProcesses) add(i int, extra string) error {
--- a/internal/harness/fleet_processes_test.go
+++ b/internal/harness/fleet_processes_test.go
@@ -51,9 +51,16 @@
 	// Fleets at once: three on four cores, as one takes some 0.6 of a core. With six busy loops beside them on the same four cores
 	// three fleets keep all, and four are swamped.
 	flag.Set("test.parallel", fmt.Sprint(min(5, max(3, runtime.NumCPU()-1))))
+	// Runs that break a promise leave their logs, and here many are meant to; they stay where a test fails.
+	dir, err := os.MkdirTemp("", "harness-tests-")
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+	os.Setenv("TMPDIR", dir)
 	code := m.Run()
-	if p, err := programs(); err == nil {
-		os.RemoveAll(filepath.Dir(p))
+	if code == 0 {
+		os.RemoveAll(dir)
 	}
 	os.Exit(code)
 }
--- a/internal/harness/local_fleet.go
+++ b/internal/harness/local_fleet.go
@@ -18,10 +18,19 @@
 	Seconds          int
 }
 
-// Run starts it, says what can be done with it, and goes on until the context ends.
+// Run starts it, says what can be done with it, and goes on until the context ends. In the end it says where logs are.
 func (l *LocalFleet) Run(ctx context.Context, w io.Writer) error {
+	if err := l.run(ctx, w); err != nil && ctx.Err() == nil {
+		return fmt.Errorf("%w; logs are in %s", err, l.Dir)
+	}
+	_, err := fmt.Fprintf(w, "all processes have ended; logs are in %s\n", l.Dir)
+	return err
+}
+
+func (l *LocalFleet) run(ctx context.Context, w io.Writer) error {
 	run, end := context.WithCancel(context.WithoutCancel(ctx)) // so that what is started can be ended in order
 	defer end()
+	isUp := context.AfterFunc(ctx, end) // until then there is nothing to be ended in order
 	r, err := NewFleetProcesses(run, FleetProcessesPlan{Program: l.Program, Dir: l.Dir, Seed: 1, Instances: l.Instances, Nodes: l.Nodes,
 		Folders: true, Keep: true})
 	if err != nil {
@@ -39,6 +48,7 @@
 	if err != nil {
 		return err
 	}
+	isUp()
 	var at []string
 	for _, p := range r.group.procs {
 		at = append(at, p.listen)
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"io"
-	"os"
 	"sort"
 	"strconv"
 	"time"
@@ -47,7 +46,7 @@
 	if r.Mode != "real" {
 		r.virtual(ctx, rep)
 		if rep.Broken == "" && r.Without == 0 {
-			r.large(rep)
+			r.large(ctx, rep)
 		}
 	}
 	if r.Mode != "virtual" && rep.Broken == "" {
@@ -55,6 +54,9 @@
 			return nil, err
 		}
 	}
+	if err := interrupted(ctx, nil); err != nil {
+		return nil, err
+	}
 	return rep.End(r.Out, w)
 }
 
@@ -123,7 +125,7 @@
 
 // large plays fleets of the full size, calm and with a third down, and beside them the two baselines: telling each node
 // as it comes, and a majority of nodes.
-func (r *PolicyTest) large(rep *report.Report) {
+func (r *PolicyTest) large(ctx context.Context, rep *report.Report) {
 	sizes := []int{300, 5000}
 	if r.Quick {
 		sizes = []int{300}
@@ -135,6 +137,9 @@
 			way  string
 		}{{"calm", 0, ""}, {"a third down", 0.33, ""}, {"a third down, each as it comes", 0.33, simulation.WayEach},
 			{"a third down, majority", 0.33, simulation.WayMajority}} {
+			if ctx.Err() != nil {
+				return
+			}
 			started := time.Now()
 			f := simulation.NewFleet(simulation.FleetPlan{Seed: r.Seed, Nodes: n, Ctl: 3, Changes: 3, Calm: true, Down: c.down, Way: c.way,
 				Lease: 10_000, Span: 60_000})
@@ -158,11 +163,10 @@
 
 // real plays the cases on processes, then many changes under load.
 func (r *PolicyTest) real(ctx context.Context, w io.Writer, rep *report.Report) error {
-	dir, err := os.MkdirTemp("", "lab-policy-")
-	if err != nil {
-		return err
-	}
-	defer os.RemoveAll(dir)
+	return withWorkFolder(ctx, rep, func(dir string) error { return r.realIn(ctx, dir, w, rep) })
+}
+
+func (r *PolicyTest) realIn(ctx context.Context, dir string, w io.Writer, rep *report.Report) error {
 	b, err := r.begin(ctx, dir, "fence")
 	if err != nil {
 		return err
--- a/internal/harness/policy_node_crowd.go
+++ b/internal/harness/policy_node_crowd.go
@@ -30,7 +30,7 @@
 // sockets, each with a connection of its own. First all members join within ten seconds and the group is measured at
 // rest; then the group and all members are killed, and come back within a second of each other.
 func (r *PolicyTest) crowd(ctx context.Context, rep *report.Report) error {
-	return withGroup(ctx, r.Program, 3, "", func(c *controlProcesses) error {
+	return withGroup(ctx, r.Program, rep, 3, "", func(c *controlProcesses) error {
 		m := &nodeCrowd{c: c, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: crowdNodes,
 			MaxIdleConns: 3 * crowdNodes}}, began: time.Now()}
 		defer m.client.CloseIdleConnections()
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -48,6 +48,9 @@
 			return nil, err
 		}
 	}
+	if err := interrupted(ctx, nil); err != nil {
+		return nil, err
+	}
 	return rep.End(r.Out, w)
 }
 
--- a/internal/harness/raft_kills.go
+++ b/internal/harness/raft_kills.go
@@ -39,7 +39,7 @@
 // told, once.
 func (r *RaftTest) killLeaders(ctx context.Context, _ io.Writer, rep *report.Report, plot *report.Plot, size, kills int,
 	extra string) error {
-	return withGroup(ctx, r.Program, size, extra, func(c *controlProcesses) error {
+	return withGroup(ctx, r.Program, rep, size, extra, func(c *controlProcesses) error {
 		k := &leaderKills{group: c, random: rand.New(rand.NewSource(r.Seed)), gaps: hdrhistogram.New(1, 60_000, 3),
 			kinds: append([]string{"", diskStalls, diskFull}, consensus.Steps...), byFault: map[string]int{}}
 		k.load = c.load(ctx, max(1, r.Clients))
--- a/internal/harness/raft_processes.go
+++ b/internal/harness/raft_processes.go
@@ -73,7 +73,8 @@
 
 // falseElections counts terms begun within 10 s with all cores wanted four times over.
 func (r *RaftTest) falseElections(ctx context.Context, tick int) (terms uint64, err error) {
-	err = withGroup(ctx, r.Program, 3, fmt.Sprintf("[group]\ntick = %dms\n", tick), func(c *controlProcesses) error {
+	extra := fmt.Sprintf("[group]\ntick = %dms\n", tick)
+	err = withGroup(ctx, r.Program, &report.Report{}, 3, extra, func(c *controlProcesses) error {
 		before, err := c.report(c.procs[0])
 		if err != nil {
 			return err
@@ -126,7 +127,7 @@
 
 // speedWith measures puts by so many clients on a group of its own.
 func (r *RaftTest) speedWith(ctx context.Context, rep *report.Report, clients int) error {
-	return withGroup(ctx, r.Program, 3, "", func(c *controlProcesses) error {
+	return withGroup(ctx, r.Program, rep, 3, "", func(c *controlProcesses) error {
 		l := c.load(ctx, clients)
 		defer l.close()
 		time.Sleep(time.Second)
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -55,7 +55,7 @@
 		if broken != "" {
 			rep.Break("5,000 nodes at the group: %s", broken)
 		}
-		r.virtual(rep)
+		r.virtual(ctx, rep)
 	}
 	if r.Mode != "virtual" && rep.Broken == "" {
 		z := &ZonesTest{Seed: r.Seed, Quick: r.Quick, Size: r.Size, Words: r.Words, Program: r.Program, Only: r.Only, Part: r.Part,
@@ -64,6 +64,9 @@
 			return nil, err
 		}
 	}
+	if err := interrupted(ctx, nil); err != nil {
+		return nil, err
+	}
 	return rep.End(r.Out, w)
 }
 
@@ -78,7 +81,7 @@
 }
 
 // virtual plays a restart of all nodes at sizes and loads, each way on its own.
-func (r *RecoveryTest) virtual(rep *report.Report) {
+func (r *RecoveryTest) virtual(ctx context.Context, rep *report.Report) {
 	sizes, loads := []int{300, 5000}, []float64{0.6, 0.9, 1.3}
 	if r.Quick {
 		sizes, loads = []int{15}, []float64{0.6, 1.3}
@@ -91,6 +94,9 @@
 		{"nodes alone", func(p *simulation.ZonePlan) { p.Off = true }}}
 	for _, n := range sizes {
 		for _, load := range loads {
+			if ctx.Err() != nil {
+				return
+			}
 			runs := make([]*simulation.Zones, len(ways))
 			var wg sync.WaitGroup
 			for i, way := range ways {
--- a/internal/harness/result_store.go
+++ b/internal/harness/result_store.go
@@ -295,6 +295,9 @@
 			return nil, err
 		}
 	}
+	if err := interrupted(ctx, nil); err != nil {
+		return nil, err
+	}
 	if err := rep.Print(w); err != nil {
 		return nil, err
 	}
@@ -305,21 +308,28 @@
 }
 
 func (k *ResultStoreTest) kills(ctx context.Context, rep *report.Report) error {
+	return withWorkFolder(ctx, rep, func(dir string) error { return k.killsIn(ctx, dir, rep) })
+}
+
+func (k *ResultStoreTest) killsIn(ctx context.Context, dir string, rep *report.Report) error {
+	ctx, stop := context.WithCancel(ctx)
 	rigs, errs := make([]*resultStoreProcesses, keptRigs), make([]error, keptRigs)
 	var all sync.WaitGroup
 	var ends []func()
 	defer func() {
+		stop() // a node that can't be set up ends the others' lives
+		all.Wait()
 		for _, end := range slices.Backward(ends) {
 			end()
 		}
 	}()
 	for i := range rigs {
-		dir, err := os.MkdirTemp("", "kept-")
+		own := filepath.Join(dir, fmt.Sprint("node", i+1))
+		err := os.Mkdir(own, 0o700)
 		if err != nil {
 			return err
 		}
-		ends = append(ends, func() { os.RemoveAll(dir) })
-		if rigs[i], err = newResultStoreProcesses(dir, k.Program, k.Seed*100+int64(i), keptWindow, "[kept]\nfolder = DIR\nentries = 4000\nmb = 8\n",
+		if rigs[i], err = newResultStoreProcesses(own, k.Program, k.Seed*100+int64(i), keptWindow, "[kept]\nfolder = DIR\nentries = 4000\nmb = 8\n",
 			k.Without); err != nil {
 			return err
 		}
--- a/internal/harness/result_store_cost.go
+++ b/internal/harness/result_store_cost.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"net/http"
-	"os"
 	"sync"
 	"time"
 
@@ -27,7 +26,7 @@
 	for _, way := range keptWays {
 		for _, callers := range []int{1, 32} {
 			measure := func(r *resultStoreProcesses) error { return r.cost(ctx, rep, way.name, callers, span) }
-			if err := k.withProcesses(way.own, way.without, measure); err != nil {
+			if err := k.withProcesses(ctx, way.own, way.without, measure); err != nil {
 				return err
 			}
 		}
@@ -36,17 +35,14 @@
 }
 
 // withProcesses starts a node with its stand-ins in a folder of its own for as long as use takes.
-func (k *ResultStoreTest) withProcesses(own, without string, use func(*resultStoreProcesses) error) error {
-	dir, err := os.MkdirTemp("", "kept-")
-	if err != nil {
-		return err
-	}
-	defer os.RemoveAll(dir)
-	r, err := newResultStoreProcesses(dir, k.Program, k.Seed, time.Second, own, without)
-	if err != nil {
-		return err
-	}
-	return use(r)
+func (k *ResultStoreTest) withProcesses(ctx context.Context, own, without string, use func(*resultStoreProcesses) error) error {
+	return withWorkFolder(ctx, &report.Report{}, func(dir string) error {
+		r, err := newResultStoreProcesses(dir, k.Program, k.Seed, time.Second, own, without)
+		if err != nil {
+			return err
+		}
+		return use(r)
+	})
 }
 
 func (r *resultStoreProcesses) cost(ctx context.Context, rep *report.Report, name string, callers int, span time.Duration) error {
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"net/http"
-	"os"
 	"strconv"
 	"sync"
 	"time"
@@ -42,8 +41,10 @@
 	if r.Mode != "real" {
 		r.virtual(ctx, rep)
 		if rep.Broken == "" && r.Without == 0 {
-			r.ways(rep)
-			r.calm(rep)
+			r.ways(ctx, rep)
+			if ctx.Err() == nil {
+				r.calm(rep)
+			}
 		}
 	}
 	if r.Mode != "virtual" && rep.Broken == "" {
@@ -51,6 +52,9 @@
 			return nil, err
 		}
 	}
+	if err := interrupted(ctx, nil); err != nil {
+		return nil, err
+	}
 	return rep.End(r.Out, w)
 }
 
@@ -92,7 +96,7 @@
 }
 
 // ways plays each kind of failure at sizes and loads, beside the baselines and the best that could be done.
-func (r *ZonesTest) ways(rep *report.Report) {
+func (r *ZonesTest) ways(ctx context.Context, rep *report.Report) {
 	sizes, loads := []int{300, 5000}, []float64{0.5, 0.75}
 	if r.Quick {
 		sizes, loads = []int{300}, []float64{0.6}
@@ -100,6 +104,9 @@
 	for _, n := range sizes {
 		for _, load := range loads {
 			for _, kind := range []string{simulation.ZoneDead, simulation.ZoneKernels, simulation.ZoneSlow, simulation.ZoneErrors} {
+				if ctx.Err() != nil {
+					return
+				}
 				if n > 1000 && kind != simulation.ZoneDead && kind != simulation.ZoneSlow {
 					continue
 				}
@@ -204,11 +211,10 @@
 
 // realCases plays the cases that were asked for in one fleet under load, up to the first that breaks.
 func (r *ZonesTest) realCases(ctx context.Context, w io.Writer, rep *report.Report) error {
-	dir, err := os.MkdirTemp("", "lab-zones-")
-	if err != nil {
-		return err
-	}
-	defer os.RemoveAll(dir)
+	return withWorkFolder(ctx, rep, func(dir string) error { return r.realCasesIn(ctx, dir, w, rep) })
+}
+
+func (r *ZonesTest) realCasesIn(ctx context.Context, dir string, w io.Writer, rep *report.Report) error {
 	b, err := r.begin(ctx, dir, "fence", "auto")
 	if err != nil {
 		return err
--- a/internal/harness/zones_cost.go
+++ b/internal/harness/zones_cost.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"os"
 	"strconv"
 	"sync"
 	"time"
@@ -202,41 +201,10 @@
 			if one.err = ctx.Err(); one.err != nil {
 				return
 			}
-			dir, err := os.MkdirTemp("", "lab-zones-")
-			if err != nil {
-				one.err = err
-				return
-			}
-			defer os.RemoveAll(dir)
-			mine := *r
-			mine.Seed = one.seed
-			b, err := mine.begin(ctx, dir, "fence", one.way.mode)
-			if err != nil {
-				one.err = err
-				return
-			}
-			defer b.Close()
-			b.Patient, b.Eager, b.pace = one.way.patient, one.way.eager, one.way.pace
-			load, stop := context.WithCancel(ctx)
-			defer stop()
-			calls := b.Load(load, zoneRate)
-			b.sleep(12 * time.Second)
-			if one.way.mode == "auto" || one.way.mode == "no-ramp" {
-				if one.err = b.usual(); one.err != nil { // the group knows what services bear
-					return
-				}
-			}
-			for i := range p.failures {
-				out, err := b.cost(calls, &p.failures[i], p)
-				if err != nil {
-					one.err = fmt.Errorf("seed %d, %s, %s: %w", one.seed, one.way.name, p.failures[i].name, err)
-					return
-				}
-				if one.err = b.ctx.Err(); one.err != nil {
-					return
-				}
-				one.out = append(one.out, out)
-			}
+			one.err = withWorkFolder(ctx, &report.Report{}, func(dir string) (err error) {
+				one.out, err = r.costsOf(ctx, dir, p, one.seed, one.way)
+				return err
+			})
 		}()
 	}
 	wg.Wait()
@@ -257,6 +225,39 @@
 	return nil
 }
 
+// costsOf measures all failures by one way, on a fleet of its own.
+func (r *ZonesTest) costsOf(ctx context.Context, dir string, p *costPlan, seed int64, way *costWay) ([]cost, error) {
+	mine := *r
+	mine.Seed = seed
+	b, err := mine.begin(ctx, dir, "fence", way.mode)
+	if err != nil {
+		return nil, err
+	}
+	defer b.Close()
+	b.Patient, b.Eager, b.pace = way.patient, way.eager, way.pace
+	load, stop := context.WithCancel(ctx)
+	defer stop()
+	calls := b.Load(load, zoneRate)
+	b.sleep(12 * time.Second)
+	if way.mode == "auto" || way.mode == "no-ramp" {
+		if err := b.usual(); err != nil { // the group knows what services bear
+			return nil, err
+		}
+	}
+	var costs []cost
+	for i := range p.failures {
+		out, err := b.cost(calls, &p.failures[i], p)
+		if err != nil {
+			return nil, fmt.Errorf("seed %d, %s, %s: %w", seed, way.name, p.failures[i].name, err)
+		}
+		if err := b.ctx.Err(); err != nil {
+			return nil, err
+		}
+		costs = append(costs, out)
+	}
+	return costs, nil
+}
+
 // zoneCosts are a zone's failures, with the fleet's decisions and without.
 var zoneCosts = costPlan{ways: []costWay{{name: "the fleet", mode: "auto", eager: true}, {name: "nodes alone", mode: "off", eager: true}},
 	failures: zoneFailures, fails: 8 * time.Second, after: 30 * time.Second, bound: "the fleet",
