--- a/internal/logging/fields.go
+++ b/internal/logging/fields.go
@@ -71,4 +71,30 @@
 	MaxStoreConnections = "max_store_connections" // at one time
 	Reserve             = "reserve"               // whether pools share a reserve of run slots
 	Enabled             = "enabled"               // whether what the message names is on
+	Calls               = "calls"                 // to the store, that are out
+	ClockStepMS         = "clock_step_ms"         // by which the wall clock was stepped, in milliseconds
+	KernelState         = "kernel_state"          // of the kernel as it came up: WARM or COLD
+	UptimeMS            = "uptime_ms"             // of the kernel, in milliseconds
+	FileKeys            = "file_keys"             // keys of the start-up file
+	KillInMS            = "kill_in_ms"            // until the platform kills the process, in milliseconds
+	Method              = "method"                // of an HTTP request
+	Path                = "path"                  // of an HTTP request
+	ReceivedAtMS        = "received_at_ms"        // when a request reached the machine as it states, in Unix milliseconds
+
+	Limit            = "limit"              // run slots of a class; none
+	FairSlots        = "fair_slots"         // run slots that a class has by value and need
+	Running          = "running"            // run slots of a class that are in use
+	Heavy            = "heavy"              // runs of a class in the slots for heavy runs
+	Queued           = "queued"             // requests of a class
+	Shed             = "shed"               // requests of a class, since the start
+	StartedOverLimit = "started_over_limit" // runs of a class that were started as nobody else wanted the slot
+	ReserveSlots     = "reserve_slots"      // run slots that are kept for a class first
+	MedianWorkMS     = "median_work_ms"     // of a run, without its calls, in milliseconds
+	P95WorkMS        = "p95_work_ms"        // the same; 95 of 100 runs take less
+
+	Caller   = "caller"    // who sent a request, as it states
+	IsRetry  = "is_retry"  // the request says that it repeats one
+	Outcome  = "outcome"   // of a run or a call
+	WithinMS = "within_ms" // time that is left for something, in milliseconds
+	Client   = "client"    // whether the client is still there
 )
--- a/internal/node/server/admission_writer.go
+++ b/internal/node/server/admission_writer.go
@@ -20,7 +20,7 @@
 	default:
 		r.setRun(runRunning)
 		l.counters.Runs++
-		l.trace(r, "run")
+		l.trace(r, traceRun)
 		l.idempotency.runStarted(r.key, id)
 		if r.keyed != nil {
 			l.results.begin(handle(id), r)
@@ -33,7 +33,7 @@
 // Stop pauses a run, which the kernel carries on or starts anew when Run names it again.
 func (l *loop) Stop(id uint32) {
 	if r := l.requests.get(handle(id)); r != nil && r.isRunning() {
-		l.trace(r, "pause")
+		l.trace(r, tracePaused)
 		l.counters.Pauses++
 		if r.pause(); !r.keyed.holdsBack() { // else the stop is sent with the run
 			l.sendStop(r)
@@ -45,7 +45,7 @@
 // client is to wait.
 func (l *loop) Shed(id uint32, why admission.Reason, noRetry bool, retryAfter admission.Time) {
 	if r := l.requests.get(handle(id)); r != nil {
-		l.traceReason(r, "shed", why)
+		l.traceReason(r, traceShed, why)
 		l.answer(handle(id), r, wire.Response{Status: wire.StatusServiceUnavailable, NoRetry: noRetry,
 			RetryAfterMS: wholeMilliseconds(retryAfter)})
 	}
@@ -54,7 +54,7 @@
 // Fail answers a request that ran, or may have run, without a result.
 func (l *loop) Fail(id uint32, why admission.Reason) {
 	if r := l.requests.get(handle(id)); r != nil {
-		l.traceReason(r, "failed", why)
+		l.traceReason(r, traceFailed, why)
 		l.cancelCall(handle(id), r)
 		r.setShared(sharedNotAwaited)
 		l.answer(handle(id), r, wire.Response{Status: wire.StatusInternalServerError})
@@ -128,4 +128,8 @@
 func (l *loop) WakeUp(at admission.Time) { l.timers.set(at, timerWake, 0) }
 
 // Log writes a line of the controller's.
-func (l *loop) Log(line string) { l.logf("%s", line) }
+func (l *loop) Log(line string) {
+	if log := l.limitLog(); log != nil {
+		log.Info(line)
+	}
+}
--- a/internal/node/server/client_connections.go
+++ b/internal/node/server/client_connections.go
@@ -208,7 +208,10 @@
 			return // more of it is being read at this moment
 		}
 		l.counters.Silent++
-		l.sendResponse(c, wire.Response{Status: l.badRequest("a message does not get to its end"), Close: true})
+		if log := l.badRequest(); log != nil {
+			log.WithField(logging.Reason, messageIncomplete).Info(logBadRequest)
+		}
+		l.sendResponse(c, wire.Response{Status: wire.StatusBadRequest, Close: true})
 	case c.ending:
 		l.closeIdle(c, l.now-c.lastActive >= l.limits.LingerTimeout)
 	case c.usage == usedForNothing && l.now-c.openedAt >= l.limits.MessageTimeout:
@@ -253,7 +256,7 @@
 	p.close()
 	if r := l.requests.get(open); r != nil && !r.isAnswered() {
 		r.abandon()
-		l.trace(r, "gone")
+		l.trace(r, traceClientIsGone)
 		l.counters.Gone++
 		l.nextRound().Disconnected = append(l.nextRound().Disconnected, uint32(open))
 		l.maybeFinished = append(l.maybeFinished, open)
--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -433,7 +433,7 @@
 		t.Fatal("SIGTERM is lost behind SIGHUP")
 	}
 	n.cmd.Process.Signal(syscall.SIGUSR1)
-	if !n.logged("counters") {
+	if !n.logged("msg=counters ") {
 		t.Error("SIGUSR1 is lost behind SIGHUP")
 	}
 	n.cmd.Process.Kill()
--- a/internal/node/server/events.go
+++ b/internal/node/server/events.go
@@ -153,7 +153,7 @@
 	case drainRequested:
 		l.startDrain()
 	case countersRequested:
-		l.log.WithFields(l.counterFields()).Info("counters")
+		l.log.WithFields(l.counterFields()).Info(logCounters)
 		l.logPools()
 	case *startupFileRead:
 		l.reload(e.node, e.err)
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -1,8 +1,6 @@
 package server
 
 import (
-	"github.com/sirupsen/logrus"
-
 	"umberwinch/admission"
 	"umberwinch/internal/node/agent"
 	"umberwinch/internal/node/overlay"
@@ -113,11 +111,3 @@
 
 // refreshReadiness has health checks and discovery told anew.
 func (l *loop) refreshReadiness() { l.Health(l.controllerReady) }
-
-// limitLog gives a log line that counts against the bound on lines, nil past it.
-func (l *loop) limitLog() *logrus.Entry {
-	if !l.mayLog() {
-		return nil
-	}
-	return logrus.NewEntry(l.log)
-}
--- a/internal/node/server/helper_test.go
+++ b/internal/node/server/helper_test.go
@@ -459,7 +459,7 @@
 			t.Logf("log:\n%s", strings.Join(log.all, "\n"))
 		}
 	})
-	if !n.kernel.late && !n.logged("kernel is up") {
+	if !n.kernel.late && !n.logged(`msg="kernel is up" `) {
 		t.Fatal("the kernel is never up")
 	}
 }
@@ -500,10 +500,12 @@
 	}
 }
 
-// logged waits for a line of the program's log with want in it.
-func (n *node) logged(want string) bool {
+// logged waits for a line of the program's log that has each of these texts.
+func (n *node) logged(texts ...string) bool {
 	return n.log.until(func() bool {
-		return slices.ContainsFunc(n.log.all, func(l string) bool { return strings.Contains(l+" ", want) })
+		return slices.ContainsFunc(n.log.all, func(line string) bool {
+			return !slices.ContainsFunc(texts, func(text string) bool { return !strings.Contains(line+" ", text) })
+		})
 	})
 }
 
--- a/internal/node/server/http_front_end.go
+++ b/internal/node/server/http_front_end.go
@@ -4,6 +4,9 @@
 	"errors"
 	"strings"
 
+	"github.com/sirupsen/logrus"
+
+	"umberwinch/internal/logging"
 	"umberwinch/internal/node/wire"
 )
 
@@ -11,6 +14,13 @@
 // answers health checks and what is no request. Each request read gets exactly one response, and no response goes out
 // before those to what came earlier on its connection.
 
+// Reasons of bad requests that stand in no field of one; the others are rejections.
+const (
+	messageIncomplete = "a message does not get to its end"
+	notReadable       = "no request"
+	notServed         = "unknown method or path"
+)
+
 // messageReceived takes a message of a connection, or that what came is none. It waits while another is served.
 func (l *loop) messageReceived(m clientMessage) {
 	c := l.connections.get(m.sender().handle)
@@ -59,7 +69,11 @@
 		}
 		l.addRetryAfter(&a)
 	default:
-		a.Status = l.badRequest("%s of path %q", method, path)
+		a.Status = wire.StatusBadRequest
+		if log := l.badRequest(); log != nil {
+			log.WithFields(logrus.Fields{logging.Reason: notServed, logging.Method: method, logging.Path: path}).
+				Info(logBadRequest)
+		}
 	}
 	a.Close = a.Close || a.Status == wire.StatusBadRequest
 	m.release(&l.pool)
@@ -84,7 +98,10 @@
 		l.addRetryAfter(&a)
 		return a
 	}
-	return wire.Response{Status: l.badRequest("%v", err), Close: true}
+	if log := l.badRequest(); log != nil {
+		log.WithFields(logrus.Fields{logging.Reason: notReadable, logging.Error: err}).Info(logBadRequest)
+	}
+	return wire.Response{Status: wire.StatusBadRequest, Close: true}
 }
 
 // addRetryAfter gives a rejection that the controller was not asked about a time to retry after, where the settings
--- a/internal/node/server/kernel_link.go
+++ b/internal/node/server/kernel_link.go
@@ -180,7 +180,7 @@
 	case wire.KernelRunEnded:
 		l.runEnded(h, r, runOutcome(n), n.RunMS, n.Body)
 	case wire.KernelCallAsked:
-		l.trace(r, "stands at a call")
+		l.trace(r, traceCallAsked)
 		r.callBody, r.callSequence = append(r.callBody[:0], n.Body...), n.Sequence
 		l.nextRound().CallRequests = append(l.nextRound().CallRequests, uint32(h))
 	}
@@ -241,7 +241,8 @@
 	if l.controller == nil {
 		d := l.settings.Deployment
 		d.Start, d.ColdStart = l.now-admission.Time(n.RunMS*10), string(n.Outcome) == wire.KernelCold
-		l.logf("kernel is up, %s for %.0f ms", n.Outcome, n.RunMS)
+		l.log.WithFields(logrus.Fields{logging.KernelState: string(n.Outcome), logging.UptimeMS: n.RunMS}).
+			Info(logKernelUp)
 		l.makePools()
 		l.controller = admission.New(d)
 		l.wakePending = true
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -213,7 +213,9 @@
 		k.backoff = backoff{} // closed in good order
 	} else {
 		k.failed(l.now, &l.limits)
-		l.logf("%s link: %v", k.name, err)
+		if log := l.limitLog(); log != nil {
+			log.WithFields(logrus.Fields{logging.Link: k.name, logging.Error: err}).Info(logLinkLost)
+		}
 	}
 	if k.peer == peerKernel {
 		l.kernelDown()
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -7,6 +7,7 @@
 	"github.com/sirupsen/logrus"
 
 	"umberwinch/admission"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/node/pools"
 	"umberwinch/internal/node/settings"
 	"umberwinch/internal/retryafter"
@@ -124,7 +125,7 @@
 		l.finishRound()
 	}
 	killIn := l.answerBy + l.killMargin - max(l.now, timeOf(l.clock.Now()))
-	l.log.WithFields(l.counterFields()).WithField("kill_in_ms", milliseconds(killIn)).Info("counters")
+	l.log.WithFields(l.counterFields()).WithField(logging.KillInMS, milliseconds(killIn)).Info(logCounters)
 	l.logPools()
 }
 
--- a/internal/node/server/loop_log.go
+++ b/internal/node/server/loop_log.go
@@ -1,6 +1,8 @@
 package server
 
 import (
+	"github.com/sirupsen/logrus"
+
 	"umberwinch/admission"
 	"umberwinch/internal/logging"
 )
@@ -28,23 +30,30 @@
 	return l.logged <= maxLogLines
 }
 
-// logf writes a line that may come often.
-func (l *loop) logf(format string, args ...any) {
-	if l.mayLog() {
-		l.log.Infof(format, args...)
+// limitLog gives a log line that counts against the bound on lines, nil past it.
+func (l *loop) limitLog() *logrus.Entry {
+	if !l.mayLog() {
+		return nil
 	}
+	return logrus.NewEntry(l.log)
 }
 
-// trace writes what happens to one request, when asked to by the log's level.
-func (l *loop) trace(r *request, what string, args ...any) {
+// trace writes the step that a request has come to, when asked to by the log's level. A step with values is written
+// by traceWith behind a look at debug, so that without it nothing is allocated for them.
+func (l *loop) trace(r *request, step traceStep) {
 	if l.debug {
-		l.log.WithField("req", r.id).Debugf(what, args...)
+		l.traceWith(r.id, step, nil)
 	}
 }
 
+// traceWith writes a step with its values.
+func (l *loop) traceWith(id string, step traceStep, values logrus.Fields) {
+	l.log.WithField(logging.RequestID, id).WithFields(values).Debug(string(step))
+}
+
 // traceReason writes why a request gets no result.
-func (l *loop) traceReason(r *request, what string, why admission.Reason) {
+func (l *loop) traceReason(r *request, step traceStep, why admission.Reason) {
 	if l.debug {
-		l.log.WithField("req", r.id).WithField(logging.Reason, why.String()).Debug(what)
+		l.traceWith(r.id, step, logrus.Fields{logging.Reason: why.String()})
 	}
 }
--- a/internal/node/server/loop_time.go
+++ b/internal/node/server/loop_time.go
@@ -5,6 +5,7 @@
 
 	"umberwinch/admission"
 	"umberwinch/internal/clock"
+	"umberwinch/internal/logging"
 )
 
 // timeUnit is one unit of admission.Time.
@@ -38,7 +39,9 @@
 	now, step := l.stamps.Observe(l.clock.Read)
 	if l.now = max(l.now, timeOf(now)); step != 0 {
 		l.counters.ClockSteps++
-		l.logf("the wall clock was stepped by %v; times are measured without it", step.Round(time.Millisecond))
+		if log := l.limitLog(); log != nil {
+			log.WithField(logging.ClockStepMS, step.Round(time.Millisecond).Milliseconds()).Info(logClockStepped)
+		}
 	}
 }
 
--- a/internal/node/server/pools.go
+++ b/internal/node/server/pools.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 
 	"github.com/sirupsen/logrus"
 
@@ -81,8 +82,13 @@
 		if v.Limit < noLimit {
 			limit = fmt.Sprintf("%.1f", v.Limit)
 		}
-		l.log.Infof("pool %s: limit %s (%s), due %.1f, running %d, heavy %d, held %d, shed %d, lent %d, reserve %d, "+
-			"work %.1f ms, 95th %.1f ms", v.Name, limit, v.Reason, v.FairSlots, v.Running, v.Heavy, v.Queued, v.Shed,
-			v.StartedOverLimit, v.Reserve, v.MedianWork/unitsPerMS, v.P95Work/unitsPerMS)
+		l.log.WithFields(logrus.Fields{logging.Class: v.Name, logging.Limit: limit, logging.Reason: v.Reason,
+			logging.FairSlots: roundToTenth(v.FairSlots), logging.Running: v.Running, logging.Heavy: v.Heavy,
+			logging.Queued: v.Queued, logging.Shed: v.Shed, logging.StartedOverLimit: v.StartedOverLimit,
+			logging.ReserveSlots: v.Reserve, logging.MedianWorkMS: roundToTenth(v.MedianWork / unitsPerMS),
+			logging.P95WorkMS: roundToTenth(v.P95Work / unitsPerMS)}).Info(logPoolStatus)
 	}
 }
+
+// roundToTenth is for figures of log lines.
+func roundToTenth(x float64) float64 { return math.Round(10*x) / 10 }
--- a/internal/node/server/pools_test.go
+++ b/internal/node/server/pools_test.go
@@ -19,12 +19,12 @@
 		t.Fatal("the fixed limit is not told")
 	}
 	n.cmd.Process.Signal(syscall.SIGUSR1)
-	if !n.logged("pool act: limit 1.0 (fixed), due 0.0, running 0, heavy 0, held 0") {
+	if !n.logged(`msg="pool status" class=act fair_slots=0 heavy=0 limit=1.0 `, " queued=0 reason=fixed ", " running=0 ") {
 		t.Fatal("the pools are not shown")
 	}
 	n.writeOwn("[pool act]\ncap = 2\n")
 	n.cmd.Process.Signal(syscall.SIGHUP)
-	if !n.logged("start-up file not taken, the old one stays: " + n.own + ":2: pool act.cap: found ") {
+	if !n.logged(`msg="start-up file not taken, the old one stays" error="` + n.own + ":2: pool act.cap: found ") {
 		t.Fatal("a bad file is not told")
 	}
 	n.writeOwn("[log]\nform = text\n")
--- a/internal/node/server/reload.go
+++ b/internal/node/server/reload.go
@@ -11,12 +11,12 @@
 // stays, and what can't change while the program serves stays as it was.
 func (l *loop) reload(c *Node, err error) {
 	if err != nil {
-		l.log.Errorf("start-up file not taken, the old one stays: %v", err)
+		l.log.WithField(logging.Error, err).Error(logStartupFileRejected)
 		return
 	}
 	l.counters.Reloads++
-	if what := l.startup.fixed(c); what != "" {
-		l.log.Warnf("start-up file: %s can't change while the program serves and stays as it was", what)
+	if keys := l.startup.fixed(c); keys != "" {
+		l.log.WithField(logging.FileKeys, keys).Warn(logStartupKeysKept)
 	}
 	l.log.WithFields(logrus.Fields{logging.KernelAddress: c.Kernel, logging.StoreAddress: c.Store,
 		logging.DiscoveryAddress: c.Control}).Info(logStartupFileTaken)
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -1,7 +1,10 @@
 package server
 
 import (
+	"github.com/sirupsen/logrus"
+
 	"umberwinch/admission"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/node/wire"
 )
 
@@ -62,7 +65,9 @@
 
 // runEnded takes the end of a run: its result is the response, and that of those who wait for it.
 func (l *loop) runEnded(h handle, r *request, how admission.Outcome, ms float64, result []byte) {
-	l.trace(r, "run ended %d after %.1f ms", how, ms)
+	if l.debug {
+		l.traceWith(r.id, traceRunEnded, logrus.Fields{logging.Outcome: outcomeNames[how], logging.ElapsedMS: ms})
+	}
 	r.endRun()
 	l.counters.Ends++
 	l.cancelCall(h, r)
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -7,6 +7,8 @@
 	"net/url"
 	"slices"
 
+	"github.com/sirupsen/logrus"
+
 	"umberwinch/admission"
 	"umberwinch/internal/logging"
 	"umberwinch/internal/node/wire"
@@ -84,8 +86,7 @@
 func (l *loop) receiveRequest(c *connection, e *requestRead, handlerName string, response *wire.Response) (status int) {
 	a := l.identify(&e.request, handlerName)
 	if why := l.checkRequest(&a, response); why != notRejected {
-		l.logBadRequest(&a, why)
-		l.traceRejection(&a, why)
+		l.logRejection(&a, why)
 		return rejectionStatuses[why]
 	}
 	l.forgetAbandoned(a.ID)
@@ -101,8 +102,10 @@
 	if a.IsRetry {
 		l.counters.Again++
 	}
-	l.trace(r, "came %.1f ms ago, handler %s, sender %d, again %v", milliseconds(l.now-a.latest), handlerName, a.Caller,
-		a.IsRetry)
+	if l.debug {
+		l.traceWith(r.id, traceArrived, logrus.Fields{logging.ElapsedMS: milliseconds(l.now - a.latest),
+			logging.Class: handlerName, logging.Caller: a.Caller, logging.IsRetry: a.IsRetry})
+	}
 	l.fleet.requestAdmitted(a.handler, a.IsRetry)
 	l.submitOrIntercept(h, r, &a)
 	return 0
@@ -171,24 +174,32 @@
 	}
 }
 
-// logBadRequest counts and logs a request that is its client's mistake.
-func (l *loop) logBadRequest(a *arrivingRequest, why rejection) {
+// logRejection counts and logs a request that is its client's mistake, and traces any.
+func (l *loop) logRejection(a *arrivingRequest, why rejection) {
+	l.traceRejection(a, why)
+	if rejectionStatuses[why] != wire.StatusBadRequest {
+		return
+	}
+	log := l.badRequest()
+	if log == nil {
+		return
+	}
+	fields := logrus.Fields{logging.Reason: why.String()}
 	switch why {
 	case unknownHandler:
-		l.badRequest("handler %q, expected one of the settings", a.handlerName)
-	case fieldMissing:
-		l.badRequest("a field of the request is missing")
+		fields[logging.Class] = a.handlerName
 	case stampTooFarOff:
-		l.badRequest("received at %d, which is too far from now", a.ReceivedAtMS)
+		fields[logging.ReceivedAtMS] = a.ReceivedAtMS
 	case unknownTenant:
-		l.badRequest("tenant %q, expected one of the settings", a.Tenant)
+		fields[logging.Tenant] = string(a.Tenant)
 	}
+	log.WithFields(fields).Info(logBadRequest)
 }
 
 // traceRejection writes why a request does not reach the controller.
 func (l *loop) traceRejection(a *arrivingRequest, why rejection) {
 	if l.debug {
-		l.log.WithField("req", string(a.ID)).WithField(logging.Reason, why.String()).Debug("rejected on arrival")
+		l.traceWith(string(a.ID), traceRejected, logrus.Fields{logging.Reason: why.String()})
 	}
 }
 
@@ -266,11 +277,11 @@
 	l.fleet.requestSubmitted(l.now, q)
 }
 
-// badRequest counts and logs what is no request for this server; the controller never hears of it.
-func (l *loop) badRequest(format string, args ...any) int {
+// badRequest counts what is no request for this server, and is answered 400; the controller never hears of it. It gives
+// the log line for that, nil past the bound on lines.
+func (l *loop) badRequest() *logrus.Entry {
 	l.counters.Bad++
-	l.logf("bad request: "+format, args...)
-	return wire.StatusBadRequest
+	return l.limitLog()
 }
 
 // orderArrivals puts the requests of a round in the order in which they reached the machine, as callbacks hand over in
--- a/internal/node/server/response.go
+++ b/internal/node/server/response.go
@@ -1,7 +1,10 @@
 package server
 
 import (
+	"github.com/sirupsen/logrus"
+
 	"umberwinch/admission"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/node/wire"
 )
 
@@ -12,7 +15,9 @@
 		return
 	}
 	hasClient := r.respond()
-	l.trace(r, "answer %d, gone %v", a.Status, !hasClient)
+	if l.debug {
+		l.traceWith(r.id, traceAnswered, logrus.Fields{logging.Status: a.Status, logging.Client: hasClient})
+	}
 	if !hasClient {
 		return
 	}
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -114,7 +114,7 @@
 	hasSharedResult(r *request) bool // the result of its key is in memory, or a run of it goes on
 	// completeWaiters gives those who wait for a run's result that, or an error.
 	completeWaiters(h handle, key string, ok bool, result []byte)
-	trace(r *request, what string, args ...any)
+	trace(r *request, step traceStep)
 	limitLog() *logrus.Entry
 	retryAfter(*retryafter.Spreader, agent.Milliseconds) int64
 }
--- a/internal/node/server/result_run.go
+++ b/internal/node/server/result_run.go
@@ -49,7 +49,7 @@
 		q.pending = nothingPending
 		return false
 	}
-	k.host.trace(r, "intent on its way")
+	k.host.trace(r, traceIntent)
 	if k.without(guardIntent) {
 		k.intentWritten(h, nil)
 	}
--- a/internal/node/server/scenario_test.go
+++ b/internal/node/server/scenario_test.go
@@ -59,7 +59,8 @@
 //	disk full | well                 the program can write to no file, or can again
 //	rots N                           a bit of byte N of its folder's first segment turns over
 //	again [KEY=VALUE ...]            it is started once more, with what its folder has; connections are new
-//	signal TERM | USR1 | STOP | CONT | KILL, exits, log TEXT, counts KEY=N ...
+//	signal TERM | USR1 | STOP | CONT | KILL, exits, log TEXT ..., counts KEY=N ...
+//	logged TEXT ...                  one line of the log has all of these
 type play struct {
 	*node
 	file  string
@@ -240,6 +241,10 @@
 		case <-time.After(patience):
 			p.fatal("the program does not end")
 		}
+	case "logged":
+		if !p.logged(w[1:]...) {
+			p.fatal("never logged in one line: %q", w[1:])
+		}
 	case "log", "counts":
 		for _, want := range w[1:] {
 			if w[0] == "counts" {
--- a/internal/node/server/store_connections.go
+++ b/internal/node/server/store_connections.go
@@ -3,7 +3,10 @@
 import (
 	"slices"
 
+	"github.com/sirupsen/logrus"
+
 	"umberwinch/admission"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/node/wire"
 )
 
@@ -44,7 +47,9 @@
 	r.setCall(callQueued)
 	r.callStarted, r.callDeadline = l.now, until
 	l.counters.Calls++
-	l.trace(r, "call until %.1f ms", milliseconds(until-l.now))
+	if l.debug {
+		l.traceWith(r.id, traceCallStarted, logrus.Fields{logging.WithinMS: milliseconds(until - l.now)})
+	}
 	held := l.deferredDials
 	at, w := l.pickStoreConnection(r)
 	if w == nil {
@@ -138,7 +143,10 @@
 func (l *loop) callEnded(h handle, r *request, how admission.Outcome) {
 	made := r.call != callNone
 	l.endCall(h, r)
-	l.trace(r, "call ended %d after %.1f ms", how, milliseconds(l.now-r.callStarted))
+	if l.debug {
+		l.traceWith(r.id, traceCallEnded, logrus.Fields{logging.Outcome: outcomeNames[how],
+			logging.ElapsedMS: milliseconds(l.now - r.callStarted)})
+	}
 	if made {
 		l.fleet.callEnded(milliseconds(l.now-r.callStarted), how != admission.Succeeded)
 	}
@@ -245,7 +253,9 @@
 	}
 	if len(w.calls) > 0 {
 		l.counters.WiresLost++
-		l.logf("store: %v with %d calls out", err, len(w.calls))
+		if log := l.limitLog(); log != nil {
+			log.WithFields(logrus.Fields{logging.Error: err, logging.Calls: len(w.calls)}).Info(logStoreConnectionLost)
+		}
 	}
 	w.retired = false // or the last of its calls would end it again
 	for _, h := range slices.Clone(w.calls) {
