--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -52,10 +52,9 @@
 	ZonePlan
 	Fleet    *Fleet
 	below    []*dependency
-	retry    [flowWaits][flowTries][3]float64 // reqs that come again, by step, a ring
-	retryAt  int                              // of the next step
-	said     []float64                        // by node: when it last said that it is ready
-	sickAt   []float64                        // by node, for its own judgement: since when it is sick
+	retries  retryQueue
+	said     []float64 // by node: when it last said that it is ready
+	sickAt   []float64 // by node, for its own judgement: since when it is sick
 	awayTill []float64
 	failing  bool
 	upIn     []float64 // nodes that are up, by zone
--- a/internal/simulation/zones_load_report.go
+++ b/internal/simulation/zones_load_report.go
@@ -105,9 +105,9 @@
 		if dead {
 			continue
 		}
-		bears := b.cap * b.speed / (1 + (b.cold-1)*(1-b.warm))
+		bears := b.bearable()
 		room += bears
-		b.warm = min(1, b.warm+bears*dt/(b.cap*WarmUpSeconds))
+		b.warmUp(bears, dt)
 	}
 	for c := 2; c >= 0; c-- {
 		n := min(room, v.Load*float64(v.Zones)*1000*flowShare[c])
--- a/internal/simulation/zones_traffic.go
+++ b/internal/simulation/zones_traffic.go
@@ -23,6 +23,14 @@
 	steady int         // steps for which its zone has been returning, with nothing wrong below
 }
 
+// bearable is how many runs a second it bears now, warm or not.
+func (b *dependency) bearable() float64 { return b.cap * b.speed / (1 + (b.cold-1)*(1-b.warm)) }
+
+// warmUp fills its cache by what it does in some seconds.
+func (b *dependency) warmUp(runs, seconds float64) {
+	b.warm = min(1, b.warm+runs*seconds/(b.cap*WarmUpSeconds))
+}
+
 // flows are a zone's figures a second.
 type flows struct{ came, again, turned, done, late, shed, errored, worth, got, runs, runMS, util float64 }
 
@@ -115,214 +123,303 @@
 	return out
 }
 
-// step plays a tenth of a second.
+// requestMatrix is requests a second, by attempt (the first is 0) and class.
+type requestMatrix [flowTries][3]float64
+
+// retryQueue holds the requests that come again, by the step in which they do: a ring.
+type retryQueue struct {
+	steps [flowWaits]requestMatrix
+	next  int // the step that is played next
+}
+
+// take gives what comes again in this step, and goes on to the next.
+func (q *retryQueue) take() requestMatrix {
+	due := q.steps[q.next]
+	q.steps[q.next] = requestMatrix{}
+	q.next = (q.next + 1) % flowWaits
+	return due
+}
+
+// add has requests come again as their next attempt, some steps from now. Those whose last attempt this was are given up.
+func (q *retryQueue) add(steps, attempt, class int, n float64) {
+	if attempt+1 < flowTries {
+		q.steps[(q.next+steps)%flowWaits][attempt+1][class] += n
+	}
+}
+
+// trafficStep is one step of traffic over all zones: a tenth of a second.
+type trafficStep struct {
+	*Zones
+	views   []zoneView
+	listed  float64       // nodes on the callers' list, of all zones
+	offered requestMatrix // what callers ask for in this step
+	demand  float64       // first attempts a second
+	weight  float64       // and their priority weight
+
+	attempts                      float64 // sent to some zone
+	done                          float64 // weight completed in time
+	inServiceDone, inServiceAsked float64 // the same of zones in service that have no fault, and what they were offered
+}
+
+// step plays a tenth of a second: who is asked, what each zone admits and its service does, and what is measured.
 func (v *Zones) step() {
 	v.Fleet.after(flowStep, v.step)
-	const dt = flowStep / 1000.0
-	all := v.views()
-	listed := 0.0
-	for z := range all {
+	s := v.newTrafficStep()
+	if v.Oracle {
+		v.oracle(s.weight, flowStep/1000.0)
+		return
+	}
+	for z, b := range v.below {
+		s.playZone(z, b)
+	}
+	s.measure()
+	s.plot()
+	if v.Own {
+		v.own()
+	}
+}
+
+// newTrafficStep gathers how the zones stand and what callers ask for.
+func (v *Zones) newTrafficStep() *trafficStep {
+	s := &trafficStep{Zones: v, views: v.views(), demand: v.Load * float64(v.ZonePlan.Zones) * 1000}
+	for z := range s.views {
 		if v.kind(z) == ZoneCallers && v.failing {
-			all[z].listed = 0
+			s.views[z].listed = 0
 		}
-		listed += all[z].listed
+		s.listed += s.views[z].listed
 	}
-	var ask [flowTries][3]float64 // a second
-	demand := v.Load * float64(v.Zones) * 1000
-	total := 0.0
+	s.offered = v.retries.take()
 	for c := range flowShare {
-		ask[0][c] = demand * flowShare[c]
-		total += ask[0][c] * flowValue[c]
-		for k := 1; k < flowTries; k++ {
-			ask[k][c] = v.retry[v.retryAt][k][c]
-		}
+		s.offered[0][c] = s.demand * flowShare[c]
+		s.weight += s.offered[0][c] * flowValue[c]
 	}
-	v.retry[v.retryAt] = [flowTries][3]float64{}
-	v.retryAt = (v.retryAt + 1) % flowWaits
-	again := func(k, c int, n float64) {
-		if k+1 < flowTries {
-			v.retry[v.retryAt][k+1][c] += n
-		}
+	return s
+}
+
+// reject turns requests away, to come again when they were told to; after is the gate's wait in ms, 0 for none.
+func (s *trafficStep) reject(attempt, class int, n float64, after uint64) {
+	if !s.Patient {
+		s.retries.add(0, attempt, class, n)
+		return
 	}
-	wait := func(k, c int, n float64, after uint64) { // turned away, and told when to come back
-		if !v.Patient || k+1 >= flowTries {
-			again(k, c, n)
-			return
-		}
-		from, to := retryafter.Window(flowPause, int64(min(after, flowPause)))
-		if v.Without.Has(zones.RetryAfterSpread) { // as soon as it may be let in, or in a second
-			from, to = max(1000, int64(min(after, flowPause))), 0
-		}
-		first := int(from) / flowStep
-		steps := max(1, int(to)/flowStep-first)
-		for i := range steps {
-			v.retry[(v.retryAt+first+i)%flowWaits][k+1][c] += n / float64(steps)
-		}
+	from, to := retryafter.Window(flowPause, int64(min(after, flowPause)))
+	if s.Without.Has(zones.RetryAfterSpread) { // as soon as it may be let in, or in a second
+		from, to = max(1000, int64(min(after, flowPause))), 0
 	}
-	turned := func(k, c int, n float64) { wait(k, c, n, 0) }
-	// Those that a share leaves out are told by their place in it.
-	leftOut := func(s *zoneView, k, c int, n float64) {
-		if n <= 0 || !v.Patient || s.gate == nil {
-			turned(k, c, n)
-			return
-		}
-		for i := range flowPlaces {
-			place := s.pick[c] + (1-s.pick[c])*(float64(i)+0.5)/flowPlaces
-			wait(k, c, n/flowPlaces, s.gate.RetryAfter(s.clock, zonegate.Request{Hash: uint32(place*api.FullShare) << 16}))
-		}
+	first := int(from) / flowStep
+	steps := max(1, int(to)/flowStep-first)
+	for i := range steps {
+		s.retries.add(first+i, attempt, class, n/float64(steps))
 	}
-	if v.Oracle {
-		v.oracle(total, dt)
+}
+
+// rejectByQuota turns away those that a zone's quota leaves out: each is told to wait by its place in the quota.
+func (s *trafficStep) rejectByQuota(view *zoneView, attempt, class int, n float64) {
+	if n <= 0 || !s.Patient || view.gate == nil {
+		s.reject(attempt, class, n, 0)
 		return
 	}
-	done, inDone, inAsked, tries := 0.0, 0.0, 0.0, 0.0
-	for z, b := range v.below {
-		s := &all[z]
-		part := 0.0
-		if listed > 0 {
-			part = s.listed / listed
-		}
-		dead := s.up == 0
-		was := b.rate
-		var f flows
-		var take [flowTries][3]float64
-		sum := 0.0
-		for k := range ask {
-			for c := range ask[k] {
-				came := ask[k][c] * part
-				if v.Fleet.Now >= begins+v.Fails {
-					v.asks[0] += came
-					if k == 0 {
-						v.asks[1] += came
-					}
-				}
-				f.came += came
-				tries += came
-				if k > 0 {
-					f.again += came
-				} else {
-					f.worth += came * flowValue[c]
-				}
-				if dead {
-					again(k, c, came)
-					continue
-				}
-				// Nodes on the list that are gone answer nothing; the others take by their order.
-				live := came * s.up / max(s.listed, 1e-9)
-				again(k, c, came-live)
-				take[k][c] = live * s.pick[c]
-				leftOut(s, k, c, live-take[k][c])
-				f.turned += live - take[k][c]
-				sum += take[k][c]
-			}
-		}
-		scale := func(from int, x float64) { // the rest is turned away
-			for k := from; k < flowTries; k++ {
-				for c := range take[k] {
-					f.turned += take[k][c] * (1 - x)
-					turned(k, c, take[k][c]*(1-x))
-					take[k][c] *= x
-				}
-			}
-		}
-		// Nodes that heard that there is no ceiling any more take their part of what comes whole.
-		if most := s.rate + sum*s.free/max(s.up, 1); s.capped && sum > most {
-			scale(0, most/sum)
-		}
-		first, more := 0.0, 0.0
-		for c := range take[0] {
-			first += take[0][c]
-			for k := 1; k < flowTries; k++ {
-				more += take[k][c]
+	for i := range flowPlaces {
+		place := view.pick[class] + (1-view.pick[class])*(float64(i)+0.5)/flowPlaces
+		after := view.gate.RetryAfter(view.clock, zonegate.Request{Hash: uint32(place*api.FullShare) << 16})
+		s.reject(attempt, class, n/flowPlaces, after)
+	}
+}
+
+// playZone plays the step at one zone: its nodes admit, its service works, its callers have their answers.
+func (s *trafficStep) playZone(zone int, b *dependency) {
+	t := &zoneStep{trafficStep: s, zone: zone, view: &s.views[zone], b: b}
+	t.arrive()
+	t.limitRate()
+	first, retries := t.limitRetries()
+	t.serve(first + retries)
+	t.complete()
+	s.done += t.rates.got
+	s.check(zone, b, first)
+	if phase, _ := s.Fleet.state.Zones.PhaseOf(fmt.Sprint("z", zone)); phase == zones.InService && s.kind(zone) == "" {
+		s.inServiceDone, s.inServiceAsked = s.inServiceDone+t.rates.got, s.inServiceAsked+t.rates.worth
+	}
+	b.rate.follow(&t.rates)
+}
+
+// zoneStep is one zone's part in a step.
+type zoneStep struct {
+	*trafficStep
+	zone     int
+	view     *zoneView
+	b        *dependency
+	rates    flows
+	admitted requestMatrix // by its nodes
+	sum      float64       // of what their quotas admit, before rate limits
+	shed     float64       // by its service
+	served   float64       // and completed by it, in time or not
+	inTime   float64       // the share of these that counts
+}
+
+// arrive brings the zone its part of all requests, and has its nodes admit what their quotas let in. Nodes on the callers'
+// list that are down answer nothing.
+func (t *zoneStep) arrive() {
+	part := 0.0
+	if t.listed > 0 {
+		part = t.view.listed / t.listed
+	}
+	for k := range t.offered {
+		for c := range t.offered[k] {
+			came := t.offered[k][c] * part
+			t.count(k, c, came)
+			if t.view.up == 0 {
+				t.retries.add(0, k, c, came)
+				continue
 			}
+			live := came * t.view.up / max(t.view.listed, 1e-9)
+			t.retries.add(0, k, c, came-live)
+			t.admitted[k][c] = live * t.view.pick[c]
+			t.rejectByQuota(t.view, k, c, live-t.admitted[k][c])
+			t.rates.turned += live - t.admitted[k][c]
+			t.sum += t.admitted[k][c]
 		}
-		if more > s.retry*first {
-			scale(1, s.retry*first/more)
-			more = s.retry * first
-		}
-		b.asked = first + more
-		b.bears = b.cap * b.speed / (1 + (b.cold-1)*(1-b.warm))
-		broken := v.failing && v.kind(z) == ZoneKernels
-		served := min(b.asked+b.queue/dt, b.bears)
-		if broken {
-			served = 0
+	}
+}
+
+// count adds requests to the figures of the run, of the step and of the zone.
+func (t *zoneStep) count(attempt, class int, n float64) {
+	if t.Fleet.Now >= begins+t.Fails {
+		t.asks[0] += n
+		if attempt == 0 {
+			t.asks[1] += n
 		}
-		b.queue += (b.asked - served) * dt
-		shed := 0.0
-		if b.queue > flowOut {
-			shed = (b.queue - flowOut) / dt
-			b.queue = flowOut
+	}
+	t.attempts += n
+	t.rates.came += n
+	if attempt > 0 {
+		t.rates.again += n
+	} else {
+		t.rates.worth += n * flowValue[class]
+	}
+}
+
+// scale rejects all but a part of what was admitted, from an attempt on.
+func (t *zoneStep) scale(from int, part float64) {
+	for k := from; k < flowTries; k++ {
+		for c := range t.admitted[k] {
+			t.rates.turned += t.admitted[k][c] * (1 - part)
+			t.reject(k, c, t.admitted[k][c]*(1-part), 0)
+			t.admitted[k][c] *= part
 		}
-		f.shed = shed
-		f.runMS = flowRun*b.cap/max(b.bears, 1) + 1000*b.queue/max(b.bears, 1)
-		f.runs = served
-		f.util = min(1, served/max(b.bears, 1))
-		b.warm = min(1, b.warm+served*dt/(b.cap*WarmUpSeconds))
-		ok := 0.0
-		if f.runMS < flowTarget && !broken {
-			ok = 1
+	}
+}
+
+// limitRate holds the nodes to their rate limits. Nodes that were notified that theirs has ended take their part of what
+// arrives whole.
+func (t *zoneStep) limitRate() {
+	limit := t.view.rate + t.sum*t.view.free/max(t.view.up, 1)
+	if t.view.capped && t.sum > limit {
+		t.scale(0, limit/t.sum)
+	}
+}
+
+// limitRetries holds retries to their budget, and gives first attempts and retries that are admitted in the end.
+func (t *zoneStep) limitRetries() (first, retries float64) {
+	for c := range t.admitted[0] {
+		first += t.admitted[0][c]
+		for k := 1; k < flowTries; k++ {
+			retries += t.admitted[k][c]
 		}
-		if v.failing && v.kind(z) == ZoneErrors {
-			if ok *= 0.6; v.common() && z == 0 {
-				ok /= 2 // the same everywhere, and worst here
-			}
+	}
+	if budget := t.view.retry * first; retries > budget {
+		t.scale(1, budget/retries)
+		retries = budget
+	}
+	return first, retries
+}
+
+// serve has the zone's service do what it bears of what it is asked for and of its queue, and warm up by it.
+func (t *zoneStep) serve(asked float64) {
+	const dt = flowStep / 1000.0
+	b := t.b
+	b.asked, b.bears = asked, b.bearable()
+	broken := t.failing && t.kind(t.zone) == ZoneKernels
+	t.served = min(b.asked+b.queue/dt, b.bears)
+	if broken {
+		t.served = 0
+	}
+	b.queue += (b.asked - t.served) * dt
+	if b.queue > flowOut {
+		t.shed = (b.queue - flowOut) / dt
+		b.queue = flowOut
+	}
+	b.warmUp(t.served, dt)
+	t.rates.runMS = flowRun*b.cap/max(b.bears, 1) + 1000*b.queue/max(b.bears, 1)
+	t.rates.util = min(1, t.served/max(b.bears, 1))
+	t.rates.shed, t.rates.runs = t.shed, t.served
+	if t.rates.runMS < flowTarget && !broken {
+		t.inTime = 1
+	}
+	if t.failing && t.kind(t.zone) == ZoneErrors {
+		if t.inTime *= 0.6; t.common() && t.zone == 0 {
+			t.inTime /= 2 // the same everywhere, and worst here
 		}
-		for k := range take {
-			for c := range take[k] {
-				if b.asked <= 0 {
-					continue
-				}
-				n := take[k][c] / b.asked
-				got := served * n * flowValue[c] * ok
-				f.got += got
-				turned(k, c, shed*n)
+	}
+}
+
+// complete divides what was done in time, late and shed among the requests.
+func (t *zoneStep) complete() {
+	for k := range t.admitted {
+		for c := range t.admitted[k] {
+			if t.b.asked <= 0 {
+				continue
 			}
+			part := t.admitted[k][c] / t.b.asked
+			got := t.served * part * flowValue[c] * t.inTime
+			t.rates.got += got
+			t.reject(k, c, t.shed*part, 0)
 		}
-		f.done, f.late = served*ok, served*(1-ok)
-		if v.failing && v.kind(z) == ZoneErrors {
-			f.late, f.errored = 0, f.late
-		}
-		done += f.got
-		v.check(z, b, first)
-		if step, _ := v.Fleet.state.Zones.PhaseOf(fmt.Sprint("z", z)); step == zones.InService && v.kind(z) == "" {
-			inDone, inAsked = inDone+f.got, inAsked+f.worth
-		}
-		mix(&b.rate, &was, &f)
 	}
-	if v.Patient && v.kind(0) == ZoneRestart && v.Fleet.Now > begins+v.Heals+5000 {
-		v.Rush = max(v.Rush, tries/demand)
+	t.rates.done, t.rates.late = t.served*t.inTime, t.served*(1-t.inTime)
+	if t.failing && t.kind(t.zone) == ZoneErrors {
+		t.rates.late, t.rates.errored = 0, t.rates.late
+	}
+}
+
+// measure adds the step to the figures of the run.
+func (s *trafficStep) measure() {
+	const dt = flowStep / 1000.0
+	now := s.Fleet.Now
+	if s.Patient && s.kind(0) == ZoneRestart && now > begins+s.Heals+5000 {
+		s.Rush = max(s.Rush, s.attempts/s.demand)
 	}
-	if v.Fleet.Now >= begins+v.Fails {
-		v.Tries = v.asks[0] / max(v.asks[1], 1)
-		v.Done += done * dt
-		v.Asked += total * dt
-		if v.failing && v.Fleet.Now >= begins+v.Fails+5000 {
-			v.Failing += done * dt
+	if now >= begins+s.Fails {
+		s.Tries = s.asks[0] / max(s.asks[1], 1)
+		s.Done += s.done * dt
+		s.Asked += s.weight * dt
+		if s.failing && now >= begins+s.Fails+5000 {
+			s.Failing += s.done * dt
 		}
 	}
-	if len(v.Fleet.state.Zones.Zones) > 0 && inAsked > 0 && v.failing {
-		v.Others = min(v.Others, inDone/inAsked)
+	if len(s.Fleet.state.Zones.Zones) > 0 && s.inServiceAsked > 0 && s.failing {
+		s.Others = min(s.Others, s.inServiceDone/s.inServiceAsked)
 	}
-	at := (v.Fleet.Now - begins) / 1000
-	if int(at*10)%5 == 0 && at >= 0 {
-		v.Plot[0].Points = append(v.Plot[0].Points, [2]float64{at, done / max(total, 1)})
-		v.Plot[1].Points = append(v.Plot[1].Points, [2]float64{at, v.below[0].asked / max(v.below[0].bears, 1)})
-		_, share := v.Fleet.state.Zones.PhaseOf("z0")
-		v.Plot[2].Points = append(v.Plot[2].Points, [2]float64{at, float64(share) / api.FullShare})
+}
+
+// plot adds a point to each line of the plot, twice a second.
+func (s *trafficStep) plot() {
+	at := (s.Fleet.Now - begins) / 1000
+	if int(at*10)%5 != 0 || at < 0 {
+		return
 	}
-	if v.Own {
-		v.own()
+	_, quota := s.Fleet.state.Zones.PhaseOf("z0")
+	for i, y := range []float64{s.done / max(s.weight, 1), s.below[0].asked / max(s.below[0].bears, 1),
+		float64(quota) / api.FullShare} {
+		s.Plot[i].Points = append(s.Plot[i].Points, [2]float64{at, y})
 	}
 }
 
-// mix has a zone's figures follow within two thirds of a second, as a report over two seconds does.
-func mix(into, was, is *flows) {
-	const a = 0.15
-	for _, p := range [][3]*float64{{&into.came, &was.came, &is.came}, {&into.again, &was.again, &is.again},
-		{&into.turned, &was.turned, &is.turned},
-		{&into.errored, &was.errored, &is.errored}, {&into.done, &was.done, &is.done}, {&into.late, &was.late, &is.late},
-		{&into.shed, &was.shed, &is.shed}, {&into.worth, &was.worth, &is.worth}, {&into.got, &was.got, &is.got},
-		{&into.runs, &was.runs, &is.runs}, {&into.runMS, &was.runMS, &is.runMS}, {&into.util, &was.util, &is.util}} {
-		*p[0] = *p[1] + a*(*p[2]-*p[1])
+// follow has a zone's figures follow within two thirds of a second, as a report over two seconds does.
+func (f *flows) follow(now *flows) {
+	const weight = 0.15
+	for _, p := range [][2]*float64{{&f.came, &now.came}, {&f.again, &now.again}, {&f.turned, &now.turned},
+		{&f.errored, &now.errored}, {&f.done, &now.done}, {&f.late, &now.late}, {&f.shed, &now.shed},
+		{&f.worth, &now.worth}, {&f.got, &now.got}, {&f.runs, &now.runs}, {&f.runMS, &now.runMS}, {&f.util, &now.util}} {
+		*p[0] += weight * (*p[1] - *p[0])
 	}
 }
