--- a/internal/simulation/pool_scenario_text.go
+++ b/internal/simulation/pool_scenario_text.go
@@ -28,106 +28,142 @@
 	return s, nil
 }
 
-func (s *Scenario) class(name string) (int, error) {
-	for k := range s.Classes {
-		if s.Classes[k].Name == name {
-			return k, nil
-		}
-	}
-	return 0, fmt.Errorf("class %q, expected one named before", name)
+// scenarioLine is one line's words as they are read; the first error found stays.
+type scenarioLine struct {
+	scenario *Scenario
+	words    []string
+	err      error
 }
 
-func (s *Scenario) line(w []string) (err error) {
-	number := func(i int) float64 {
-		if i >= len(w) {
-			err = errors.New("a number is missing")
-			return 0
-		}
-		v, bad := strconv.ParseFloat(w[i], 64)
-		if bad != nil {
-			err = fmt.Errorf("%q, expected a number", w[i])
-		}
-		return v
-	}
-	pairs := func(from int) map[string]float64 {
-		out := map[string]float64{}
-		for _, p := range w[from:] {
-			k, v, _ := strings.Cut(p, "=")
-			f, bad := strconv.ParseFloat(v, 64)
-			if bad != nil {
-				err = fmt.Errorf("%q, expected KEY=NUMBER", p)
-			}
-			out[k] = f
-		}
-		return out
-	}
-	switch w[0] {
+func (s *Scenario) line(words []string) error {
+	l := &scenarioLine{scenario: s, words: words}
+	l.read()
+	return l.err
+}
+
+func (l *scenarioLine) read() {
+	s := l.scenario
+	switch l.words[0] {
 	case "cores":
-		s.Cores = int(number(1))
+		s.Cores = int(l.number(1))
 	case "tenants":
-		s.Tenants = int(number(1))
+		s.Tenants = int(l.number(1))
 	case "for":
-		s.span = virtualTime(number(1) * float64(second))
+		s.span = l.seconds(1)
 	case "load":
-		s.load = number(1)
+		s.load = l.number(1)
 	case "exempt":
 		s.exempt = true
-	case "cheapest", "dearest":
-		if len(w) < 2 {
-			return errors.New("a class is missing")
-		}
-		k, bad := s.class(w[1])
-		if bad != nil {
-			return bad
-		}
-		if w[0] == "cheapest" {
-			s.Cheapest = k
-		} else {
-			s.Dearest = k
-		}
+	case "cheapest":
+		s.Cheapest = l.class(1)
+	case "dearest":
+		s.Dearest = l.class(1)
 	case "holds":
-		k, bad := s.class(w[1])
-		s.holds = append(s.holds, serviceTarget{k, number(2)})
-		return errors.Join(err, bad)
+		s.holds = append(s.holds, serviceTarget{l.class(1), l.number(2)})
 	case "class":
-		p := pairs(2)
-		get := func(key string, def float64) float64 {
-			if v, ok := p[key]; ok {
-				return v
-			}
-			return def
-		}
-		s.Classes = append(s.Classes, Class{Name: w[1], Work: get("work", 10) * 10, WorkSigma: get("tail", 0),
-			surge: -1,
-			tries: int(get("tries", 2)), Handler: admission.Handler{LatencyObjective: virtualTime(get("target", 1000) * 10),
-				Timeout: virtualTime(get("timeout", 5000) * 10), Value: get("value", 1)}})
-		s.shares = append(s.shares, get("share", 1))
+		l.readClass()
 	case "swing":
-		for at, k := 0.0, 0; at < float64(s.span)/float64(second); at, k = at+number(1), k+1 {
-			if err != nil || number(1) <= 0 {
-				return errors.Join(err, errors.New("a swing takes a time above 0"))
-			}
-			s.at = append(s.at, scenarioChange{at: virtualTime(at * float64(second)), class: -1, kind: "load",
-				words: map[string]float64{"load": number(2 + k%2)}})
-		}
+		l.readSwing()
 	case "at":
-		if len(w) < 4 {
-			return errors.New("expected at SECONDS WHAT VALUE")
+		l.readChange()
+	default:
+		l.fail(fmt.Errorf("%q is not known", l.words[0]))
+	}
+}
+
+func (l *scenarioLine) fail(err error) {
+	if l.err == nil {
+		l.err = err
+	}
+}
+
+func (l *scenarioLine) word(i int, missing string) string {
+	if i >= len(l.words) {
+		l.fail(errors.New(missing))
+		return ""
+	}
+	return l.words[i]
+}
+
+func (l *scenarioLine) number(i int) float64 {
+	word := l.word(i, "a number is missing")
+	if word == "" {
+		return 0
+	}
+	v, err := strconv.ParseFloat(word, 64)
+	if err != nil {
+		l.fail(fmt.Errorf("%q, expected a number", word))
+	}
+	return v
+}
+
+func (l *scenarioLine) seconds(i int) virtualTime { return virtualTime(l.number(i) * float64(second)) }
+
+// class gives the index of a class that a line before has named.
+func (l *scenarioLine) class(i int) int {
+	name := l.word(i, "a class is missing")
+	for k := range l.scenario.Classes {
+		if l.scenario.Classes[k].Name == name {
+			return k
 		}
-		c := scenarioChange{at: virtualTime(number(1) * float64(second)), class: -1, kind: w[2]}
-		switch w[2] {
-		case "load", "cores", "drain":
-			c.words = map[string]float64{w[2]: number(3)}
-		default:
-			k, bad := s.class(w[2])
-			if bad != nil {
-				return bad
-			}
-			c.class, c.words = k, pairs(3)
+	}
+	l.fail(fmt.Errorf("class %q, expected one named before", name))
+	return -1
+}
+
+func (l *scenarioLine) pairs(from int) map[string]float64 {
+	out := map[string]float64{}
+	for _, p := range l.words[min(from, len(l.words)):] {
+		key, text, _ := strings.Cut(p, "=")
+		v, err := strconv.ParseFloat(text, 64)
+		if err != nil {
+			l.fail(fmt.Errorf("%q, expected KEY=NUMBER", p))
 		}
-		s.at = append(s.at, c)
+		out[key] = v
+	}
+	return out
+}
+
+func (l *scenarioLine) readClass() {
+	name, given := l.word(1, "a class is missing"), l.pairs(2)
+	get := func(key string, otherwise float64) float64 {
+		if v, ok := given[key]; ok {
+			return v
+		}
+		return otherwise
+	}
+	const perMillisecond = float64(second) / 1000
+	l.scenario.Classes = append(l.scenario.Classes, Class{
+		Name: name, Work: get("work", 10) * perMillisecond, WorkSigma: get("tail", 0), surge: -1, tries: int(get("tries", 2)),
+		Handler: admission.Handler{LatencyObjective: virtualTime(get("target", 1000) * perMillisecond),
+			Timeout: virtualTime(get("timeout", 5000) * perMillisecond), Value: get("value", 1)}})
+	l.scenario.shares = append(l.scenario.shares, get("share", 1))
+}
+
+// readSwing has the load go to and fro between two values until the end.
+func (l *scenarioLine) readSwing() {
+	period, loads := l.number(1), [2]float64{l.number(2), l.number(3)}
+	if l.err != nil || period <= 0 {
+		l.err = errors.Join(l.err, errors.New("a swing takes a time above 0"))
+		return
+	}
+	for at, k := 0.0, 0; at < float64(l.scenario.span)/float64(second); at, k = at+period, k+1 {
+		l.scenario.at = append(l.scenario.at, scenarioChange{at: virtualTime(at * float64(second)), class: -1, kind: "load",
+			words: map[string]float64{"load": loads[k%2]}})
+	}
+}
+
+func (l *scenarioLine) readChange() {
+	if len(l.words) < 4 {
+		l.fail(errors.New("expected at SECONDS WHAT VALUE"))
+		return
+	}
+	c := scenarioChange{at: l.seconds(1), class: -1, kind: l.words[2]}
+	switch c.kind {
+	case "load", "cores", "drain":
+		c.words = map[string]float64{c.kind: l.number(3)}
 	default:
-		return fmt.Errorf("%q is not known", w[0])
+		c.class, c.words = l.class(2), l.pairs(3)
 	}
-	return err
+	l.scenario.at = append(l.scenario.at, c)
 }
--- a/internal/simulation/pools.go
+++ b/internal/simulation/pools.go
@@ -34,20 +34,52 @@
 			size = 6
 		}
 	}
+	scenarios, err := r.scenarios()
+	if err != nil {
+		return nil, err
+	}
+	started := time.Now()
+	outcomes := r.playAll(ctx, scenarios, size)
+	if ctx.Err() != nil {
+		return nil, ctx.Err()
+	}
+	rep.Add("seed", "%d", r.Seed)
+	rep.Add("servers", "%d", size)
+	least, requests := 1.0, 0
+	for i, s := range scenarios {
+		o := outcomes[i]
+		for k := range s.Classes {
+			for _, way := range poolWays {
+				requests += o[way].out[k].asked
+			}
+		}
+		rep.Rows = append(rep.Rows, s.rows(o)...)
+		r.check(rep, s, o, &least)
+		rep.Plots = append(rep.Plots, limitPlot(s, o["pools"]), servedPlot(s, o))
+	}
+	rep.Add("scenarios", "%d", len(scenarios))
+	rep.Add("reqs", "%d", requests)
+	rep.Add("cheapest_least", "%.3f", least)
+	rep.Notes = append(rep.Notes, fmt.Sprintf("%.1f s for %d reqs", time.Since(started).Seconds(), requests))
+	return rep.End(r.Out, w)
+}
+
+// scenarios reads all scenarios, or the one that is named.
+func (r *Pools) scenarios() ([]*Scenario, error) {
 	files, err := scenarioFiles.ReadDir("scenarios")
 	if err != nil {
 		return nil, err
 	}
 	var all []*Scenario
 	for _, f := range files {
-		raw, err := scenarioFiles.ReadFile("scenarios/" + f.Name())
-		if err != nil {
-			return nil, err
-		}
 		name := strings.TrimSuffix(f.Name(), ".txt")
 		if r.Only != "" && name != r.Only {
 			continue
 		}
+		raw, err := scenarioFiles.ReadFile("scenarios/" + f.Name())
+		if err != nil {
+			return nil, err
+		}
 		s, err := ReadScenario(name, string(raw))
 		if err != nil {
 			return nil, err
@@ -57,36 +89,26 @@
 	if len(all) == 0 {
 		return nil, fmt.Errorf("no scenario %q", r.Only)
 	}
-	started := time.Now()
-	done := r.playAll(ctx, all, size)
-	if ctx.Err() != nil {
-		return nil, ctx.Err()
+	return all, nil
+}
+
+// rows are a scenario's in the table: each class's share done in time by each way, then the value done.
+func (s *Scenario) rows(o map[string]*outcome) (rows [][]string) {
+	percentile95 := func(way string, k int) string {
+		return report.Milliseconds(o[way].out[k].times.ValueAtQuantile(95) / 10)
 	}
-	rep.Add("seed", "%d", r.Seed)
-	rep.Add("servers", "%d", size)
-	least, reqs := 1.0, 0
-	for i, s := range all {
-		o := done[i]
-		for k := range s.Classes {
-			row := []string{s.name, s.Classes[k].Name, strconv.Itoa(o["pools"].out[k].asked)}
-			for _, way := range poolWays {
-				row = append(row, fmt.Sprintf("%.3f", o[way].out[k].good()))
-				reqs += o[way].out[k].asked
-			}
-			rep.Rows = append(rep.Rows, append(row, report.Milliseconds(o["pools"].out[k].times.ValueAtQuantile(95)/10),
-				report.Milliseconds(o["off"].out[k].times.ValueAtQuantile(95)/10)))
+	value := []string{"", "value", ""}
+	for k := range s.Classes {
+		row := []string{s.name, s.Classes[k].Name, strconv.Itoa(o["pools"].out[k].asked)}
+		for _, way := range poolWays {
+			row = append(row, fmt.Sprintf("%.3f", o[way].out[k].good()))
 		}
-		rep.Rows = append(rep.Rows, []string{"", "value", "", fmt.Sprintf("%.0f", o["pools"].value),
-			fmt.Sprintf("%.0f", o["off"].value), fmt.Sprintf("%.0f", o["fixed"].value),
-			fmt.Sprintf("%.0f", o["plain"].value), fmt.Sprintf("%.1f runs a core", o["pools"].most), ""})
-		r.check(rep, s, o, &least)
-		rep.Plots = append(rep.Plots, limitPlot(s, o["pools"]), servedPlot(s, o))
+		rows = append(rows, append(row, percentile95("pools", k), percentile95("off", k)))
 	}
-	rep.Add("scenarios", "%d", len(all))
-	rep.Add("reqs", "%d", reqs)
-	rep.Add("cheapest_least", "%.3f", least)
-	rep.Notes = append(rep.Notes, fmt.Sprintf("%.1f s for %d reqs", time.Since(started).Seconds(), reqs))
-	return rep.End(r.Out, w)
+	for _, way := range poolWays {
+		value = append(value, fmt.Sprintf("%.0f", o[way].value))
+	}
+	return append(rows, append(value, fmt.Sprintf("%.1f runs a core", o["pools"].most), ""))
 }
 
 func (r *Pools) playAll(ctx context.Context, all []*Scenario, size int) []map[string]*outcome {
