--- a/internal/simulation/fleet_control.go
+++ b/internal/simulation/fleet_control.go
@@ -25,6 +25,11 @@
 	return s
 }
 
+// startInstance starts an instance of the group, without what it had in memory.
+func (w *Fleet) startInstance(c *controlInstance) {
+	c.s, c.up, c.last = w.currentLeader(), true, w.Now*c.rate
+}
+
 // put adds a version to the group's.
 func (w *Fleet) put() uint64 {
 	n := len(w.texts) + 1
--- a/internal/simulation/fleet_node.go
+++ b/internal/simulation/fleet_node.go
@@ -20,7 +20,6 @@
 	incarnation   int
 	up            bool
 	paused        bool
-	missed        bool   // something came while it was paused
 	rejects       uint64 // a version it refuses
 	neverPrepares bool   // never gets to prepare anything
 	diskless      bool   // has no disk
@@ -82,11 +81,7 @@
 // step is a round of the node's loop.
 func (n *node) step() {
 	w := n.fleet
-	if !n.up {
-		return
-	}
-	if n.paused {
-		n.missed = true
+	if !n.up || n.paused {
 		return
 	}
 	now := n.clock()
@@ -152,76 +147,109 @@
 	})
 }
 
-// send brings an asking to the instance and its answer back, unless either is lost.
-func (n *node) send(a api.HeartbeatRequest, no uint64) {
+// exchange is one heartbeat: from a node to an instance of the group, and its response back.
+type exchange struct {
+	node        *node
+	incarnation int // of the node as it sent it
+	instance    int
+	number      uint64 // the agent's, of the heartbeat
+	request     api.HeartbeatRequest
+	lossPercent int // of messages
+}
+
+// maxStaleResponses is how many responses of long ago are at hand to be given once more.
+const maxStaleResponses = 64
+
+// send brings a heartbeat to the instance that the node goes by and the response back, unless either is lost.
+func (n *node) send(request api.HeartbeatRequest, number uint64) {
 	w := n.fleet
-	to, life := 0, n.incarnation
-	fmt.Sscan(n.agent.ControlAddress(), &to)
-	lossy := 0
+	x := &exchange{node: n, incarnation: n.incarnation, number: number, request: request}
+	fmt.Sscan(n.agent.ControlAddress(), &x.instance)
 	if !w.Calm {
-		lossy = 3
+		x.lossPercent = 3
+	}
+	if !x.lost() {
+		w.after(0.3+w.random.ExpFloat64()*3, x.arrive)
 	}
-	if n.cut || w.random.Intn(100) < lossy {
+}
+
+func (x *exchange) lost() bool {
+	return x.node.cut || x.node.fleet.random.Intn(100) < x.lossPercent
+}
+
+// arrive has the instance answer, by its leader where it isn't the leader itself.
+func (x *exchange) arrive() {
+	w := x.node.fleet
+	if t, speaks := w.ghost(x.node, x.instance, &x.request); speaks {
+		x.respond(t, nil)
 		return
 	}
-	back := func(t api.HeartbeatResponse, err error) {
-		if err == nil && t.LeaseID != 0 && t.LeaseMS == 0 && !w.Calm {
-			if len(w.stale) < 64 || w.random.Intn(8) == 0 {
-				w.stale = append(w.stale, t)
-				w.stale = w.stale[max(0, len(w.stale)-64):]
-			}
-			if w.random.Intn(60) == 0 {
-				t = w.stale[w.random.Intn(len(w.stale))]
-			}
-		}
-		if n.cut || w.random.Intn(100) < lossy {
-			return
-		}
-		w.after(0.3+w.random.ExpFloat64()*3, func() {
-			if n.incarnation != life || !n.up {
-				return
-			}
-			if n.paused { // it waits in the socket
-				n.missed = true
-				return
-			}
-			if err != nil {
-				n.agent.HandleFailure(n.clock(), no)
-			} else {
-				was := n.agent.MinVersion()
-				if n.believes(no, t) {
-					n.gate.SetOrder(n.clock(), n.agent.ZoneOrder())
-					for _, l := range t.ProbeTargets {
-						if w.look == nil {
-							break
-						}
-						n.peerHealth = append(n.peerHealth, w.look(n, l))
-					}
-				}
-				if n.agent.MinVersion() > was || n.agent.LastSeen().Generation != n.record.Generation {
-					n.note()
-				}
-			}
-			n.step()
-		})
+	if w.gathers {
+		w.hears(x.node)
 	}
-	w.after(0.3+w.random.ExpFloat64()*3, func() {
-		if t, speaks := w.ghost(n, to, &a); speaks {
-			back(t, nil)
-			return
-		}
-		if w.gathers {
-			w.hears(n)
-		}
-		if !w.control[to].up || w.leader < 0 || !w.control[w.leader].up {
-			back(api.HeartbeatResponse{}, coordinator.ErrNotLeader)
-			return
+	if !w.control[x.instance].up || w.leader < 0 || !w.control[w.leader].up {
+		x.respond(api.HeartbeatResponse{}, coordinator.ErrNotLeader)
+		return
+	}
+	leader := w.leader
+	heartbeat := func() { w.control[leader].s.Heartbeat(w.state, x.request, x.respond) }
+	if leader == x.instance {
+		heartbeat()
+		return
+	}
+	w.after(0.3+w.random.ExpFloat64(), heartbeat)
+}
+
+// respond sends a response back, now and then one of long ago in its place.
+func (x *exchange) respond(t api.HeartbeatResponse, err error) {
+	w := x.node.fleet
+	if err == nil && t.LeaseID != 0 && t.LeaseMS == 0 && !w.Calm {
+		t = w.orStale(t)
+	}
+	if !x.lost() {
+		w.after(0.3+w.random.ExpFloat64()*3, func() { x.receive(t, err) })
+	}
+}
+
+// orStale keeps a response to be given again later, and gives it or an earlier one.
+func (w *Fleet) orStale(t api.HeartbeatResponse) api.HeartbeatResponse {
+	if len(w.stale) < maxStaleResponses || w.random.Intn(8) == 0 {
+		w.stale = append(w.stale, t)
+		w.stale = w.stale[max(0, len(w.stale)-maxStaleResponses):]
+	}
+	if w.random.Intn(60) == 0 {
+		return w.stale[w.random.Intn(len(w.stale))]
+	}
+	return t
+}
+
+// receive hands the response to the agent, unless the node restarted or is paused meanwhile.
+func (x *exchange) receive(t api.HeartbeatResponse, err error) {
+	n := x.node
+	if n.incarnation != x.incarnation || !n.up || n.paused {
+		return
+	}
+	if err != nil {
+		n.agent.HandleFailure(n.clock(), x.number)
+	} else {
+		minVersion := n.agent.MinVersion()
+		if n.believes(x.number, t) {
+			n.gate.SetOrder(n.clock(), n.agent.ZoneOrder())
+			n.probe(t.ProbeTargets)
 		}
-		if w.leader == to {
-			w.control[to].s.Heartbeat(w.state, a, back)
-			return
+		if n.agent.MinVersion() > minVersion || n.agent.LastSeen().Generation != n.record.Generation {
+			n.note()
 		}
-		lead := w.leader
-		w.after(0.3+w.random.ExpFloat64(), func() { w.control[lead].s.Heartbeat(w.state, a, back) })
-	})
+	}
+	n.step()
+}
+
+// probe looks at other nodes, for the next load report.
+func (n *node) probe(targets []api.ProbeTarget) {
+	if n.fleet.look == nil {
+		return
+	}
+	for _, t := range targets {
+		n.peerHealth = append(n.peerHealth, n.fleet.look(n, t))
+	}
 }
--- a/internal/simulation/fleet_state_loss.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -127,7 +127,7 @@
 // begin starts all instances.
 func (w *Fleet) begin() {
 	for _, c := range w.control {
-		c.s, c.up, c.last = w.currentLeader(), true, w.Now*c.rate
+		w.startInstance(c)
 	}
 	w.after(100+w.random.Float64()*900, w.elect)
 }
--- a/internal/simulation/zones_check.go
+++ b/internal/simulation/zones_check.go
@@ -5,79 +5,103 @@
 import (
 	"fmt"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/coordinator"
 	"umberwinch/internal/control/zones"
 )
 
-// check holds a step to the promises.
+// check holds a zone's step to the promises; first is the rate of first attempts that its nodes admitted.
 func (v *Zones) check(z int, b *dependency, first float64) {
 	name := fmt.Sprint("z", z)
-	// Over a whole second, as on processes: who hears first that it may take more is asked for all of it, for a moment.
-	b.lately[int(v.Fleet.Now/flowStep)%len(b.lately)] = b.asked / max(b.bears, 1)
-	second := 0.0
-	for _, x := range b.lately {
-		second += x / float64(len(b.lately))
-	}
+	load := v.loadOfLastSecond(b)
 	if v.kind(z) == ZoneRestart && !v.failing && v.Fleet.Now > begins+v.Heals {
-		v.Start = max(v.Start, second)
-	}
-	if all := v.Fleet.state.Zones.Find(zones.WholeFleet); z == 0 && all != nil && all.Phase == zones.Ramping {
-		sum := 0.0
-		for _, n := range v.Fleet.nodes {
-			if n.up && n.serves {
-				if o := n.agent.ZoneOrder(); o != nil && o.RateLimited {
-					sum += o.RateLimit
-				}
-			}
-		}
-		if most := max(v.ceil[zones.WholeFleet][0], v.ceil[zones.WholeFleet][1]); sum > most*1.001+1e-6 {
-			v.fail("the nodes have %.1f runs a second together, expected %.1f at most", sum, most)
-		}
+		v.Start = max(v.Start, load)
 	}
-	st := v.Fleet.state.Zones.Find(name)
-	if st == nil || v.Off || v.Own {
+	if z == 0 {
+		v.checkColdStart()
+	}
+	zone := v.Fleet.state.Zones.Find(name)
+	if zone == nil || v.Off || v.Own {
 		return
 	}
-	if b.steady++; st.Phase != zones.Ramping || v.failing || b.speed != 1 {
+	if b.steady++; zone.Phase != zones.Ramping || v.failing || b.speed != 1 {
 		b.steady = 0
 	}
-	switch st.Phase {
+	switch zone.Phase {
 	case zones.Ramping:
-		if over := b.asked / max(b.bears, 1); !v.failing && b.speed == 1 {
-			if b.steady >= len(b.lately) && second > v.Peak {
-				v.Peak, v.peakAt = second, fmt.Sprintf("%s at %.1f s", name, (v.Fleet.Now-begins)/1000)
-			}
-		} else if over > 1 && b.speed < 1 && !v.failing {
-			v.Worst += flowStep
+		v.measureRamp(name, b, load)
+		v.checkRateLimits("nodes of "+name, name, func(n *node, o *api.ZoneOrder) bool {
+			return n.zone == z && o.Share > 0 // of no share it takes nothing, as where its zone is out
+		})
+	case zones.InService:
+		if v.kind(z) == "" && first < 0.85*b.bears && !v.Fleet.allIn() && load > v.Neigh {
+			v.Neigh = load
+			v.neighAt = fmt.Sprintf("%s at %.1f s, %.0f first tries of %.0f", name, (v.Fleet.Now-begins)/1000, first, b.bears)
 		}
-		most := max(v.ceil[name][0], v.ceil[name][1])
-		sum := 0.0
-		for _, n := range v.Fleet.nodes {
-			if n.zone != z || !n.up || !n.serves {
-				continue
-			}
-			if o := n.agent.ZoneOrder(); o != nil && o.RateLimited && o.Share > 0 { // of none it takes none, as where its zone is out
-				sum += o.RateLimit
-			}
+	}
+	v.checkEpochs()
+}
+
+// loadOfLastSecond is what a service was asked for over what it bears. It is taken over a whole second, as on processes: the
+// node that is notified first that it may admit more is asked for all of it, for a moment.
+func (v *Zones) loadOfLastSecond(b *dependency) float64 {
+	b.lately[int(v.Fleet.Now/flowStep)%len(b.lately)] = b.asked / max(b.bears, 1)
+	load := 0.0
+	for _, x := range b.lately {
+		load += x / float64(len(b.lately))
+	}
+	return load
+}
+
+// checkColdStart: while the whole fleet begins small, its nodes' rate limits come to no more than the fleet's.
+func (v *Zones) checkColdStart() {
+	if all := v.Fleet.state.Zones.Find(zones.WholeFleet); all != nil && all.Phase == zones.Ramping {
+		v.checkRateLimits("the nodes", zones.WholeFleet, func(*node, *api.ZoneOrder) bool { return true })
+	}
+}
+
+// measureRamp notes how much a service is asked for while its zone returns: at worst while nothing is wrong with it, and for
+// how long too much in a second failure.
+func (v *Zones) measureRamp(name string, b *dependency, load float64) {
+	switch {
+	case v.failing:
+	case b.speed == 1:
+		if b.steady >= len(b.lately) && load > v.Peak {
+			v.Peak, v.peakAt = load, fmt.Sprintf("%s at %.1f s", name, (v.Fleet.Now-begins)/1000)
 		}
-		if sum > most*1.001+1e-6 {
-			v.fail("nodes of %s have %.1f runs a second together, expected %.1f at most", name, sum, most)
+	case b.speed < 1 && b.asked/max(b.bears, 1) > 1:
+		v.Worst += flowStep
+	}
+}
+
+// checkRateLimits: some nodes have no more together than the group gave out under a name, now or before that is settled.
+func (v *Zones) checkRateLimits(who, name string, counts func(n *node, o *api.ZoneOrder) bool) {
+	sum := 0.0
+	for _, n := range v.Fleet.nodes {
+		if !n.up || !n.serves {
+			continue
 		}
-	case zones.InService:
-		if v.kind(z) == "" && first < 0.85*b.bears && !v.Fleet.allIn() {
-			if second > v.Neigh {
-				v.Neigh, v.neighAt = second, fmt.Sprintf("%s at %.1f s, %.0f first tries of %.0f", name, (v.Fleet.Now-begins)/1000, first, b.bears)
-			}
+		if o := n.agent.ZoneOrder(); o != nil && o.RateLimited && counts(n, o) {
+			sum += o.RateLimit
 		}
 	}
-	if v.Fleet.state.Zones.SettledEpoch > 0 {
-		for _, n := range v.Fleet.nodes {
-			if !n.up || !n.serves {
-				continue
-			}
-			if o := n.agent.ZoneOrder(); o != nil && o.Epoch < v.Fleet.state.Zones.SettledEpoch {
-				v.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, v.Fleet.state.Zones.SettledEpoch)
-			}
+	if limit := max(v.ceil[name][0], v.ceil[name][1]); sum > limit*1.001+1e-6 {
+		v.fail("%s have %.1f runs a second together, expected %.1f at most", who, sum, limit)
+	}
+}
+
+// checkEpochs: no node that serves acts on an epoch before the one that has settled.
+func (v *Zones) checkEpochs() {
+	settled := v.Fleet.state.Zones.SettledEpoch
+	if settled == 0 {
+		return
+	}
+	for _, n := range v.Fleet.nodes {
+		if !n.up || !n.serves {
+			continue
+		}
+		if o := n.agent.ZoneOrder(); o != nil && o.Epoch < settled {
+			v.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, settled)
 		}
 	}
 }
@@ -104,14 +128,14 @@
 	return -1
 }
 
-// applied hears of what the group decided about zones.
-func (v *Zones) applied(end any) {
-	if b, beat := end.(coordinator.BatchApplied); beat && b.FleetRestarted {
+// applied notes what the group decided about zones, by the result of each entry.
+func (v *Zones) applied(result any) {
+	if b, ok := result.(coordinator.BatchApplied); ok && b.FleetRestarted {
 		v.Began++
 		v.ceil[zones.WholeFleet] = [2]float64{v.Fleet.state.Zones.Find(zones.WholeFleet).RateLimit, 0}
 	}
-	e, is := end.(zones.Result)
-	if !is || e.Err != "" {
+	e, ok := result.(zones.Result)
+	if !ok || e.Err != "" {
 		return
 	}
 	if e.Kind == "settle" {
@@ -126,19 +150,9 @@
 	}
 	v.ceil[z.Name] = [2]float64{z.RateLimit, max(v.ceil[z.Name][0], v.ceil[z.Name][1])}
 	at := v.Fleet.Now - begins
-	k := 0
-	fmt.Sscanf(z.Name, "z%d", &k)
 	switch e.Kind {
 	case "leave":
-		kind := v.kind(k)
-		// What is cold crawls too, where it was not left before; what ails all is no zone's.
-		b := v.below[k]
-		crawls := b.bears < 0.85*b.cap || b.warm < 0.99 && b.asked > b.bears
-		right := crawls || kind == ZoneCutOff && z.Cause == "cut off" || kind == ZoneDead || kind == ZoneKernels || kind == ZoneSlow || kind == ZoneErrors
-		if v.common() || !right || !v.failing && !crawls {
-			v.Wrong++
-			v.fail("%s was left, and it is %q (bears %.0f, warm %.2f, asked %.0f): %s", z.Name, kind, b.bears, b.warm, b.asked, z.Events[len(z.Events)-1].Text)
-		}
+		v.checkEvacuation(z)
 		if _, known := v.Left[z.Name]; !known {
 			v.Left[z.Name] = at - v.Fails
 		}
@@ -152,3 +166,24 @@
 		v.Back[z.Name] = at - v.Heals
 	}
 }
+
+// checkEvacuation: a zone is left for a fault of its own alone, while it lasts. A cold service is one too, where its zone was
+// not left before; what ails all zones is none.
+func (v *Zones) checkEvacuation(z *zones.Zone) {
+	k := 0
+	fmt.Sscanf(z.Name, "z%d", &k)
+	kind, b := v.kind(k), v.below[k]
+	cold := b.bears < 0.85*b.cap || b.warm < 0.99 && b.asked > b.bears
+	right := cold
+	switch kind {
+	case ZoneDead, ZoneKernels, ZoneSlow, ZoneErrors:
+		right = true
+	case ZoneCutOff:
+		right = cold || z.Cause == "cut off"
+	}
+	if v.common() || !right || !v.failing && !cold {
+		v.Wrong++
+		v.fail("%s was left, and it is %q (bears %.0f, warm %.2f, asked %.0f): %s", z.Name, kind, b.bears, b.warm, b.asked,
+			z.Events[len(z.Events)-1].Text)
+	}
+}
--- a/internal/simulation/zones_faults.go
+++ b/internal/simulation/zones_faults.go
@@ -75,5 +75,5 @@
 	c := w.control[w.leader]
 	c.up, w.leader = false, -1
 	w.after(800, w.elect)
-	w.after(3000, func() { c.s, c.up, c.last = w.currentLeader(), true, w.Now*c.rate })
+	w.after(3000, func() { w.startInstance(c) })
 }
