--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -320,7 +320,7 @@
 func state(n *consensus.NodeView) (word, note string) {
 	switch {
 	case n.OutReason != "":
-		word = n.OutReason
+		word = string(n.OutReason)
 		if n.Lease.Autonomous {
 			note = "may serve alone until it is heard or forgotten"
 		}
--- a/internal/control/membership/state.go
+++ b/internal/control/membership/state.go
@@ -68,7 +68,7 @@
 }
 
 // markOut counts a node out. Its lease may be live still.
-func (s *State) markOut(n *Node, reason string) {
+func (s *State) markOut(n *Node, reason OutReason) {
 	if !n.IsOut() {
 		n.OutReason, n.OutAtMS = reason, s.ClockMS
 	}
