--- a/internal/cli/control_members.go
+++ b/internal/cli/control_members.go
@@ -36,9 +36,9 @@
 		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
 			return c.adding(ctx, args[0])
 		})
-	for _, op := range []string{"promote", "remove"} {
-		change(op+" NAME", map[string]string{"promote": "Make a learner a voter",
-			"remove": "Remove an instance"}[op], 1,
+	for _, op := range []consensus.ChangeOp{consensus.OpPromote, consensus.OpRemove} {
+		change(string(op)+" NAME", map[consensus.ChangeOp]string{consensus.OpPromote: "Make a learner a voter",
+			consensus.OpRemove: "Remove an instance"}[op], 1,
 			func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
 				m, err := c.member(ctx, args[0])
 				return consensus.Change{Op: op, Member: m}, err
@@ -51,12 +51,12 @@
 				return consensus.Change{}, err
 			}
 			m, err := c.member(ctx, args[1])
-			return consensus.Change{Op: "replace", Member: m, ReplacedID: gone.ID}, err
+			return consensus.Change{Op: consensus.OpReplace, Member: m, ReplacedID: gone.ID}, err
 		})
 	change("transfer NAME", "Hand the lead to an instance", 1,
 		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
 			m, err := c.member(ctx, args[0])
-			return consensus.Change{Op: "transfer", Member: m}, err
+			return consensus.Change{Op: consensus.OpTransfer, Member: m}, err
 		})
 	return c
 }
@@ -72,7 +72,7 @@
 	if err = json.NewDecoder(res.Body).Decode(&s); err != nil {
 		return consensus.Change{}, err
 	}
-	return consensus.Change{Op: "add", Member: consensus.Member{ID: s.ID, Name: s.Name, Peer: s.Peer,
+	return consensus.Change{Op: consensus.OpAdd, Member: consensus.Member{ID: s.ID, Name: s.Name, Peer: s.Peer,
 		Listen: s.Listen, Promote: true}}, nil
 }
 
@@ -98,10 +98,10 @@
 	if err != nil {
 		return err
 	}
-	if ch.Op == "transfer" { // only the leader can
+	if ch.Op == consensus.OpTransfer { // only the leader can
 		if rows, _, err := c.rows(ctx); err == nil {
 			for _, r := range rows {
-				if r.Report != nil && r.Report.Role == "leader" {
+				if r.Report != nil && r.Report.Role == consensus.RoleLeader {
 					c.at = append([]string{r.Listen}, c.at...)
 				}
 			}
--- a/internal/cli/control_status.go
+++ b/internal/cli/control_status.go
@@ -115,7 +115,7 @@
 		if commit > s.Applied {
 			lag = commit - s.Applied
 		}
-		out = append(out, []string{r.Name, r.Listen, s.Role, strconv.FormatUint(s.Term, 10),
+		out = append(out, []string{r.Name, r.Listen, string(s.Role), strconv.FormatUint(s.Term, 10),
 			fmt.Sprintf("%d-%d", s.FirstIndex, s.LastIndex), strconv.FormatUint(s.Applied, 10), strconv.FormatUint(lag, 10),
 			strconv.FormatUint(s.Version, 10), fmt.Sprintf("%.1f MB", float64(s.DiskBytes)/(1<<20)),
 			fmt.Sprintf("%d ms", s.SinceLeaderMS), note})
--- a/internal/control/consensus/api_test.go
+++ b/internal/control/consensus/api_test.go
@@ -152,7 +152,7 @@
 	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	ends := map[string]int{}
+	ends := map[PutOutcome]int{}
 	for n := 0; n < 32; n++ {
 		wg.Add(1)
 		go func() {
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -73,7 +73,7 @@
 
 // Faults are what fault tests do to an instance on purpose; the zero value does nothing.
 type Faults struct {
-	OnStep               func(step string)   // called before each step of Replica.Work
+	OnStep               func(WorkStep)      // called before each step of Replica.Work
 	WrapDisk             func(wal.FS) wal.FS // stands between the log and its folder
 	DisabledPolicyGuards policy.Guard
 	DisabledZoneGuards   zones.Guard
--- a/internal/control/consensus/group_loop.go
+++ b/internal/control/consensus/group_loop.go
@@ -68,7 +68,7 @@
 		return err
 	}
 	for i := range done.Puts {
-		g.metrics.outcomes.WithLabelValues(done.Puts[i].Result.Outcome).Inc()
+		g.metrics.outcomes.WithLabelValues(string(done.Puts[i].Result.Outcome)).Inc()
 		g.waiting.finishPut(&done.Puts[i])
 	}
 	g.operationsApplied(done.Operations)
--- a/internal/control/consensus/members.go
+++ b/internal/control/consensus/members.go
@@ -15,13 +15,16 @@
 	Promote bool   `json:"promote"` // becomes a voter once it has caught up
 }
 
+// ChangeOp names an operation on the members of a group, as stored and sent.
+type ChangeOp string
+
 // Operations on the members of a group.
 const (
-	OpAdd      = "add"      // as a learner
-	OpPromote  = "promote"  // a learner to a voter
-	OpRemove   = "remove"   // for good: an instance that was removed can't be added again
-	OpReplace  = "replace"  // a voter by a learner, in one joint change
-	OpTransfer = "transfer" // the lead, to a voter; it changes no members
+	OpAdd      ChangeOp = "add"      // as a learner
+	OpPromote  ChangeOp = "promote"  // a learner to a voter
+	OpRemove   ChangeOp = "remove"   // for good: an instance that was removed can't be added again
+	OpReplace  ChangeOp = "replace"  // a voter by a learner, in one joint change
+	OpTransfer ChangeOp = "transfer" // the lead, to a voter; it changes no members
 )
 
 // Bounds of the members.
@@ -32,9 +35,9 @@
 
 // Change is an operation on the members, as its entry carries it beside what raft needs of it.
 type Change struct {
-	Op         string `json:"op"`
-	Member     Member `json:"member"`
-	ReplacedID uint64 `json:"gone,omitempty"` // OpReplace: the voter that leaves
+	Op         ChangeOp `json:"op"`
+	Member     Member   `json:"member"`
+	ReplacedID uint64   `json:"gone,omitempty"` // OpReplace: the voter that leaves
 }
 
 // shown gives the test whether a change shows in a list of members, nil for an unknown operation.
--- a/internal/control/consensus/metrics.go
+++ b/internal/control/consensus/metrics.go
@@ -43,8 +43,8 @@
 		outcomes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: metricPrefix + "puts_total",
 			Help: "Puts applied, by end; each instance counts all."}, []string{"end"}),
 	}
-	for _, outcome := range []string{PutCommitted, PutUnchanged, PutConflict, PutInvalid, PutExpired} {
-		m.outcomes.WithLabelValues(outcome) // shown from the start, as 0
+	for _, outcome := range []PutOutcome{PutCommitted, PutUnchanged, PutConflict, PutInvalid, PutExpired} {
+		m.outcomes.WithLabelValues(string(outcome)) // shown from the start, as 0
 	}
 	m.addRaft()
 	m.addContact()
--- a/internal/control/consensus/put.go
+++ b/internal/control/consensus/put.go
@@ -26,20 +26,23 @@
 	Text    string `json:"text"`
 }
 
+// PutOutcome is how a put ended, as stored with its session and sent to the client.
+type PutOutcome string
+
 // Outcomes of a put.
 const (
-	PutCommitted = "taken"
-	PutUnchanged = "unchanged" // it says what the newest version says
-	PutConflict  = "conflict"  // it was made from another version than the newest
-	PutInvalid   = "refused"   // the document is wrong, alone or after the one before
-	PutExpired   = "expired"   // its session is not known any more, or has gone on
+	PutCommitted PutOutcome = "taken"
+	PutUnchanged PutOutcome = "unchanged" // it says what the newest version says
+	PutConflict  PutOutcome = "conflict"  // it was made from another version than the newest
+	PutInvalid   PutOutcome = "refused"   // the document is wrong, alone or after the one before
+	PutExpired   PutOutcome = "expired"   // its session is not known any more, or has gone on
 )
 
 // PutResult is how a put ended; each repeat of the put gets the same one.
 type PutResult struct {
-	Outcome string `json:"end"`
-	Version uint64 `json:"version"` // the new version if the put was committed, the newest one otherwise
-	Reason  string `json:"reason,omitempty"`
+	Outcome PutOutcome `json:"end"`
+	Version uint64     `json:"version"` // the new version if the put was committed, the newest one otherwise
+	Reason  string     `json:"reason,omitempty"`
 }
 
 // valid returns what is wrong with a put before it is proposed. What depends on the state is judged when it is applied.
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -28,19 +28,22 @@
 	Level                int          // supported, for tests of a group on two builds; 0: LatestLevel
 	DisabledPolicyGuards policy.Guard // for fault tests
 	DisabledZoneGuards   zones.Guard
-	OnStep               func(name string) // called before each step of Work, for fault tests; may be nil
+	OnStep               func(WorkStep) // called before each step of Work, for fault tests; may be nil
 }
 
-// The steps of Work, as Config.OnStep is told them.
+// WorkStep names a step of Work, as Config.OnStep is told before it is done.
+type WorkStep string
+
+// Steps of Work.
 const (
-	StepPersist = "persist" // before what raft needs stored is written
-	StepSend    = "send"
-	StepApply   = "apply"
-	StepAnswer  = "answer"
+	StepPersist WorkStep = "persist" // what raft needs stored is written
+	StepSend    WorkStep = "send"
+	StepApply   WorkStep = "apply"
+	StepAnswer  WorkStep = "answer"
 )
 
 // Steps lists them in order.
-var Steps = []string{StepPersist, StepSend, StepApply, StepAnswer}
+var Steps = []WorkStep{StepPersist, StepSend, StepApply, StepAnswer}
 
 // Bounds of raft: a message carries one large document or many small ones, and a slow follower has at most so much in
 // flight to it. They protect memory; smaller ones cost round trips.
--- a/internal/control/consensus/replica_apply.go
+++ b/internal/control/consensus/replica_apply.go
@@ -10,9 +10,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func (r *Replica) reportStep(name string) {
+func (r *Replica) reportStep(step WorkStep) {
 	if r.config.OnStep != nil {
-		r.config.OnStep(name)
+		r.config.OnStep(step)
 	}
 }
 
--- a/internal/control/consensus/replica_status.go
+++ b/internal/control/consensus/replica_status.go
@@ -20,7 +20,7 @@
 	ID               uint64 `json:"id"`
 	Cluster          string `json:"cluster"`
 	Name             string `json:"name"`
-	Role             string `json:"role"`
+	Role             Role   `json:"role"`
 	Leader           uint64 `json:"leader"`
 	Term             uint64 `json:"term"`
 	Vote             uint64 `json:"vote"`
--- a/internal/control/consensus/state_machine_test.go
+++ b/internal/control/consensus/state_machine_test.go
@@ -23,7 +23,7 @@
 		session   string
 		seq, base uint64
 		doc       string
-		end       string
+		end       PutOutcome
 		version   uint64
 		reason    string
 	}{
--- a/internal/control/consensus/view.go
+++ b/internal/control/consensus/view.go
@@ -2,14 +2,17 @@
 
 import "time"
 
-// Roles of an instance, as Status gives them.
+// Role is what an instance is in its group, as Status gives it and operators are shown.
+type Role string
+
+// Roles of an instance.
 const (
-	RoleLeader    = "leader"
-	RoleFollower  = "follower"
-	RoleLearner   = "learner"
-	RoleCandidate = "candidate"
-	RoleWaiting   = "waiting" // to be taken into a group
-	RoleBarred    = "barred"  // it must take no part any more
+	RoleLeader    Role = "leader"
+	RoleFollower  Role = "follower"
+	RoleLearner   Role = "learner"
+	RoleCandidate Role = "candidate"
+	RoleWaiting   Role = "waiting" // to be taken into a group
+	RoleBarred    Role = "barred"  // it must take no part any more
 )
 
 // View is an instance's state as last published. Nothing in it changes, so any goroutine may read it.
--- a/internal/harness/faults_on_demand.go
+++ b/internal/harness/faults_on_demand.go
@@ -43,6 +43,14 @@
 	return f
 }
 
+// stepNames are the kinds of faults that kill an instance at a step of its work.
+func stepNames() (names []string) {
+	for _, step := range consensus.Steps {
+		names = append(names, string(step))
+	}
+	return names
+}
+
 func faultsOfKind(kind string) consensus.Faults {
 	if kind == "" {
 		return consensus.Faults{}
@@ -58,8 +66,8 @@
 	if kind == diskStalls || kind == diskFull {
 		return consensus.Faults{WrapDisk: func(fs wal.FS) wal.FS { return failingDisk{fs, kind, armed} }}
 	}
-	return consensus.Faults{OnStep: func(name string) {
-		if name == kind && armed.Load() {
+	return consensus.Faults{OnStep: func(step consensus.WorkStep) {
+		if string(step) == kind && armed.Load() {
 			syscall.Kill(os.Getpid(), syscall.SIGKILL)
 			select {}
 		}
--- a/internal/harness/policy_cases.go
+++ b/internal/harness/policy_cases.go
@@ -274,7 +274,7 @@
 		b.leaderLost(c)
 	}},
 	{name: "the leader kills itself at each step of its work", long: true, run: func(b *policyBench) {
-		for _, point := range consensus.Steps {
+		for _, point := range stepNames() {
 			for _, p := range b.group.procs { // started anew, so that a signal arms the crash
 				b.group.kill(p)
 				must(b.group.start(p, point))
--- a/internal/harness/raft_kills.go
+++ b/internal/harness/raft_kills.go
@@ -11,7 +11,6 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/report"
 )
 
@@ -41,7 +40,7 @@
 	extra string) error {
 	return withGroup(ctx, r.Program, rep, size, extra, func(c *controlProcesses) error {
 		k := &leaderKills{group: c, random: rand.New(rand.NewSource(r.Seed)), gaps: hdrhistogram.New(1, 60_000, 3),
-			kinds: append([]string{"", diskStalls, diskFull}, consensus.Steps...), byFault: map[string]int{}}
+			kinds: append([]string{"", diskStalls, diskFull}, stepNames()...), byFault: map[string]int{}}
 		k.load = c.load(ctx, max(1, r.Clients))
 		defer k.load.close()
 		if err := k.armAll(ctx); err != nil {
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -169,8 +169,8 @@
 		h.n),
 		FoundGroup: found, ElectionTicks: electing, SnapshotBytes: worldSnap, DisabledGuards: w.without, Random: w.net.Uint64,
 		Sizes: wal.Sizes{SegmentBytes: worldSegment, MaxBytes: worldBound}, Logger: discardLogger{},
-		OnStep: func(name string) {
-			if name == consensus.StepSend {
+		OnStep: func(step consensus.WorkStep) {
+			if step == consensus.StepSend {
 				w.recordLog(h)
 			}
 		}}
