--- a/internal/control/consensus/api_answers.go
+++ b/internal/control/consensus/api_answers.go
@@ -3,12 +3,12 @@
 import (
 	"encoding/json"
 	"errors"
-	"fmt"
 	"net/http"
 	"strconv"
 
 	"go.etcd.io/raft/v3"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/coordinator"
 )
 
@@ -72,23 +72,38 @@
 var temporary = []error{
 	coordinator.ErrBusy, coordinator.ErrStateLost, coordinator.ErrNotLeader,
 	ErrFeatureLevel, ErrNoLeader, ErrBusy, ErrTimeout, ErrStopped, ErrBarred,
-	raft.ErrProposalDropped,
+	errTooManyWatchers, raft.ErrProposalDropped,
 }
 
 // statusOf decides what a client does about an error: 503 ask again, 507 tell the operator, 409 the state is against
-// the operation, 400 mend the request.
+// the operation, 401 get the token, 404 and 410 ask for another version, 413 send less, 400 mend the request.
 func statusOf(err error) int {
 	for _, t := range temporary {
 		if errors.Is(err, t) {
 			return http.StatusServiceUnavailable
 		}
 	}
-	var rejected *RejectedError
+	var (
+		rejected    *RejectedError
+		unreachable *LeaderUnreachableError
+		notHeld     *VersionNotHeldError
+		dropped     *VersionDroppedError
+	)
 	switch {
+	case errors.As(err, &unreachable):
+		return http.StatusServiceUnavailable
 	case errors.Is(err, ErrLogNearLimit):
 		return http.StatusInsufficientStorage
 	case errors.As(err, &rejected):
 		return http.StatusConflict
+	case errors.Is(err, errNoToken):
+		return http.StatusUnauthorized
+	case errors.Is(err, errNoVersion) || errors.As(err, &notHeld):
+		return http.StatusNotFound
+	case errors.As(err, &dropped):
+		return http.StatusGone
+	case errors.Is(err, errBodyTooLarge):
+		return http.StatusRequestEntityTooLarge
 	}
 	return http.StatusBadRequest
 }
@@ -98,7 +113,7 @@
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxNodeBodyBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return fmt.Errorf("body: %w", err)
+		return &BodyError{Err: err}
 	}
 	return nil
 }
@@ -111,7 +126,7 @@
 	}
 	n, err := strconv.ParseUint(s, 10, 63)
 	if err != nil {
-		return 0, fmt.Errorf("%s: found %q, expected a whole number", key, s)
+		return 0, &api.FieldError{Field: key, Found: strconv.Quote(s), Expected: "a whole number"}
 	}
 	return n, nil
 }
--- a/internal/control/consensus/api_document.go
+++ b/internal/control/consensus/api_document.go
@@ -8,6 +8,8 @@
 	"net/http"
 	"strconv"
 	"time"
+
+	"umberwinch/internal/control/api"
 )
 
 func (a *API) getSelf(w http.ResponseWriter, _ *http.Request) {
@@ -31,7 +33,7 @@
 		defer cancel()
 		return a.group.LinearizableView(ctx)
 	default:
-		return nil, fmt.Errorf("read: found %q, expected stale or none", read)
+		return nil, &api.FieldError{Field: "read", Found: strconv.Quote(read), Expected: "stale or none"}
 	}
 }
 
@@ -48,11 +50,7 @@
 	}
 	line := v.VersionJSON(n)
 	if line == nil {
-		what := fmt.Errorf("version %d, expected one from %d to %d", n, v.FirstVersion, v.Version)
-		if v.Version == 0 {
-			what = errNoVersion
-		}
-		a.fail(w, http.StatusNotFound, what)
+		a.failWith(w, v.notHeld(n))
 		return
 	}
 	w.Header().Set("Content-Type", contentJSON)
@@ -66,7 +64,7 @@
 		size = maxBodyBytes
 	}
 	if !a.bodies.TryAcquire(size) {
-		a.fail(w, http.StatusServiceUnavailable, ErrBusy)
+		a.failWith(w, ErrBusy)
 		return
 	}
 	defer a.bodies.Release(size)
@@ -76,10 +74,10 @@
 	if err := d.Decode(&p); err != nil {
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
-			a.fail(w, http.StatusRequestEntityTooLarge, fmt.Errorf("more than %d bytes", maxBodyBytes))
+			a.failWith(w, errBodyTooLarge)
 			return
 		}
-		a.failWith(w, fmt.Errorf("body: %w, expected a put as JSON", err))
+		a.failWith(w, &BodyError{err, "a put as JSON"})
 		return
 	}
 	p.At = time.Now().UnixMilli()
@@ -113,7 +111,8 @@
 	}
 	limit, err := number(r, "limit", defaultHistory)
 	if err == nil && (limit == 0 || limit > maxHistory) {
-		err = fmt.Errorf("limit: found %d, expected 1 to %d", limit, maxHistory)
+		err = &api.FieldError{Field: "limit", Found: strconv.FormatUint(limit, 10),
+			Expected: fmt.Sprintf("1 to %d", maxHistory)}
 	}
 	held := uint64(len(v.Versions))
 	from, err2 := number(r, "from", v.FirstVersion+held-min(limit, held))
--- a/internal/control/consensus/api_forward.go
+++ b/internal/control/consensus/api_forward.go
@@ -28,12 +28,12 @@
 		}
 		leader := v.leaderAddress()
 		if leader == "" {
-			a.fail(w, http.StatusServiceUnavailable, ErrNoLeader)
+			a.failWith(w, ErrNoLeader)
 			return
 		}
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxNodeBodyBytes))
 		if err != nil {
-			a.failWith(w, fmt.Errorf("body: %w, expected at most %d bytes", err, maxNodeBodyBytes))
+			a.failWith(w, &BodyError{err, fmt.Sprintf("at most %d bytes", maxNodeBodyBytes)})
 			return
 		}
 		a.forward(w, r, leader, body)
@@ -71,7 +71,7 @@
 	}
 	status, raw, err := a.roundTrip(request)
 	if err != nil {
-		a.fail(w, http.StatusServiceUnavailable, fmt.Errorf("the leader at %s: %w", leader, err))
+		a.failWith(w, &LeaderUnreachableError{leader, err})
 		return
 	}
 	w.Header().Set("Content-Type", contentJSON)
--- a/internal/control/consensus/api_members.go
+++ b/internal/control/consensus/api_members.go
@@ -3,11 +3,12 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
 	"net/http"
+	"strconv"
 
 	"github.com/sirupsen/logrus"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/logging"
 )
 
@@ -17,7 +18,7 @@
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(&c); err != nil {
-		a.failWith(w, fmt.Errorf("body: %w, expected a change of members as JSON", err))
+		a.failWith(w, &BodyError{err, "a change of members as JSON"})
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), membershipTimeout)
@@ -28,7 +29,8 @@
 	} else if shown := c.shown(); shown != nil {
 		err = a.group.Change(ctx, c, shown)
 	} else {
-		err = fmt.Errorf("op: found %q, expected add, promote, remove, replace or transfer", c.Op)
+		err = &api.FieldError{Field: "op", Found: strconv.Quote(string(c.Op)),
+			Expected: "add, promote, remove, replace or transfer"}
 	}
 	if err != nil {
 		a.failWith(w, err)
--- a/internal/control/consensus/api_watch.go
+++ b/internal/control/consensus/api_watch.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"net/http"
 	"time"
 )
@@ -17,14 +16,12 @@
 		return
 	}
 	if from == 0 || from < v.FirstVersion {
-		a.fail(w, http.StatusGone,
-			fmt.Errorf("from version %d, expected %d or later: older ones are not kept", from, v.FirstVersion))
+		a.failWith(w, &VersionDroppedError{from, v.FirstVersion})
 		return
 	}
 	if a.watchers.Add(1) > maxWatchers {
 		a.watchers.Add(-1)
-		a.fail(w, http.StatusServiceUnavailable,
-			fmt.Errorf("%d watchers, expected at most %d", maxWatchers+1, maxWatchers))
+		a.failWith(w, errTooManyWatchers)
 		return
 	}
 	defer a.watchers.Add(-1)
--- a/internal/control/consensus/errors.go
+++ b/internal/control/consensus/errors.go
@@ -25,12 +25,105 @@
 	// ErrBarred is for any request to an instance that must take no part in the group any more.
 	ErrBarred = errors.New("this instance takes no part in the group any more")
 
-	errNoToken    = errors.New("no token, or another one, expected the one of [clients]")
-	errNoVersion  = errors.New("there is no version yet")
-	errNoTransfer = errors.New("no voter to hand the lead to")
-	errRestoring  = errors.New("the group is being restored")
+	errNoToken         = errors.New("no token, or another one, expected the one of [clients]")
+	errNoVersion       = errors.New("there is no version yet")
+	errNoTransfer      = errors.New("no voter to hand the lead to")
+	errRestoring       = errors.New("the group is being restored")
+	errTooManyWatchers = fmt.Errorf("%d watchers, expected at most %d", maxWatchers+1, maxWatchers)
+	errBodyTooLarge    = fmt.Errorf("more than %d bytes", maxBodyBytes)
 )
 
+// Why a change of members can't be made; a ChangeError wraps one of them.
+var (
+	ErrIncompleteMember   = errors.New("a member without id or name")
+	ErrAlreadyMember      = errors.New("a member already")
+	ErrNameTaken          = errors.New("another member has the name")
+	ErrMemberRemoved      = errors.New("the instance was removed")
+	ErrTooManyMembers     = errors.New("too many members")
+	ErrNotLearner         = errors.New("no learner")
+	ErrNotMember          = errors.New("no member")
+	ErrOnlyVoter          = errors.New("the only voter")
+	ErrNotVoterAndLearner = errors.New("not a voter and a learner")
+	ErrUnknownChange      = errors.New("unknown change of members")
+)
+
+// ChangeError says why a change of members can't be made, with what was found and expected.
+type ChangeError struct {
+	Reason error // one of the errors above
+	Text   string
+}
+
+// Error returns the text that operators are shown.
+func (e *ChangeError) Error() string { return e.Text }
+
+// Unwrap returns the reason.
+func (e *ChangeError) Unwrap() error { return e.Reason }
+
+func invalidChange(reason error, format string, args ...any) error {
+	return &ChangeError{Reason: reason, Text: fmt.Sprintf(format, args...)}
+}
+
+// BodyError is for a request's body that can't be read. The client has to mend it.
+type BodyError struct {
+	Err      error
+	Expected string // may be empty
+}
+
+// Error says what is wrong with the body, and what was expected.
+func (e *BodyError) Error() string {
+	if e.Expected == "" {
+		return fmt.Sprintf("body: %v", e.Err)
+	}
+	return fmt.Sprintf("body: %v, expected %s", e.Err, e.Expected)
+}
+
+// Unwrap gives the error of reading it.
+func (e *BodyError) Unwrap() error { return e.Err }
+
+// LeaderUnreachableError is for a request that could not be forwarded to the leader. The client may ask again.
+type LeaderUnreachableError struct {
+	Leader string // where it listens
+	Err    error
+}
+
+// Error names the leader's address.
+func (e *LeaderUnreachableError) Error() string {
+	return fmt.Sprintf("the leader at %s: %v", e.Leader, e.Err)
+}
+
+// Unwrap gives the error of the forwarding.
+func (e *LeaderUnreachableError) Unwrap() error { return e.Err }
+
+// VersionNotHeldError is for a version of the document that the instance does not hold.
+type VersionNotHeldError struct{ Version, First, Last uint64 }
+
+// Error says which versions are held.
+func (e *VersionNotHeldError) Error() string {
+	return fmt.Sprintf("version %d, expected one from %d to %d", e.Version, e.First, e.Last)
+}
+
+// VersionDroppedError is for a watch that would miss versions, as they are held no more.
+type VersionDroppedError struct{ From, First uint64 }
+
+// Error says from where on a watch can begin.
+func (e *VersionDroppedError) Error() string {
+	return fmt.Sprintf("from version %d, expected %d or later: older ones are not kept", e.From, e.First)
+}
+
+// UnknownNodeError is for an operation on a node that the fleet's table does not have.
+type UnknownNodeError struct{ Name string }
+
+// Error names the node, as far as a name may be long.
+func (e *UnknownNodeError) Error() string { return fmt.Sprintf("found no node %.50q", e.Name) }
+
+// UnknownGuardError is for a guard's name that there is not.
+type UnknownGuardError struct{ Name string }
+
+// Error lists the names that there are.
+func (e *UnknownGuardError) Error() string {
+	return fmt.Sprintf("guard %q, expected one of %v", e.Name, guardNames)
+}
+
 // Errors about folders and snapshots.
 var (
 	// ErrEmptyFolder is for a folder that belongs to no instance.
--- a/internal/control/consensus/errors_test.go
+++ b/internal/control/consensus/errors_test.go
@@ -3,15 +3,18 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"net/http"
 	"testing"
 
 	"go.etcd.io/raft/v3"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/coordinator"
 )
 
-// A client decides by the status whether to ask again. Each typed error, wrapped too, must have the status it stands for.
+// TestStatusOfErrors: a client decides by the status whether to ask again. Each typed error, wrapped too, must have the
+// status it stands for.
 func TestStatusOfErrors(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -27,6 +30,16 @@
 		{raft.ErrProposalDropped, http.StatusServiceUnavailable},
 		{ErrLogNearLimit, http.StatusInsufficientStorage},
 		{fmt.Errorf("wrapped: %w", &RejectedError{"a reason"}), http.StatusConflict},
+		{&LeaderUnreachableError{"10.0.0.1:7201", errors.New("refused")}, http.StatusServiceUnavailable},
+		{errTooManyWatchers, http.StatusServiceUnavailable},
+		{errNoToken, http.StatusUnauthorized},
+		{errNoVersion, http.StatusNotFound},
+		{&VersionNotHeldError{7, 1, 3}, http.StatusNotFound},
+		{&VersionDroppedError{1, 3}, http.StatusGone},
+		{errBodyTooLarge, http.StatusRequestEntityTooLarge},
+		{&BodyError{Err: io.ErrUnexpectedEOF}, http.StatusBadRequest},
+		{&UnknownNodeError{"n1"}, http.StatusBadRequest},
+		{&ChangeError{Reason: ErrOnlyVoter}, http.StatusBadRequest},
 		{errors.New("anything else"), http.StatusBadRequest},
 	} {
 		if got := statusOf(c.err); got != c.want {
@@ -35,9 +48,44 @@
 	}
 }
 
-// An instance of an older program meets an entry that it can't read. It must stop with an error that says so, or its state
-// would differ from the others'.
-func TestEntryOfANewerProgram(t *testing.T) {
+// TestErrorTexts: operators and clients are shown what was found and what was expected. Scripts and pages quote these
+// texts, so they stay as they are.
+func TestErrorTexts(t *testing.T) {
+	v := &View{Status: Status{Version: 3}, FirstVersion: 2}
+	for _, c := range []struct {
+		err  error
+		want string
+	}{
+		{(&Put{}).validate(), "session: found 0 bytes, expected 1 to 200"},
+		{(&Put{Session: "s"}).validate(), "seq: found 0, expected 1 or more"},
+		{(&Put{Session: "s", Seq: 1}).validate(), "author: found 0 bytes, expected 1 to 200"},
+		{v.notHeld(7), "version 7, expected one from 2 to 3"},
+		{(&View{}).notHeld(7), "there is no version yet"},
+		{&VersionDroppedError{1, 2}, "from version 1, expected 2 or later: older ones are not kept"},
+		{errTooManyWatchers, "257 watchers, expected at most 256"},
+		{errBodyTooLarge, "more than 7340032 bytes"},
+		{&BodyError{Err: io.ErrUnexpectedEOF}, "body: unexpected EOF"},
+		{&BodyError{io.ErrUnexpectedEOF, "a put as JSON"}, "body: unexpected EOF, expected a put as JSON"},
+		{&LeaderUnreachableError{"10.0.0.1:7201", errors.New("refused")}, "the leader at 10.0.0.1:7201: refused"},
+		{&UnknownNodeError{"n1"}, `found no node "n1"`},
+	} {
+		if c.err == nil || c.err.Error() != c.want {
+			t.Errorf("found %v, expected %s", c.err, c.want)
+		}
+	}
+	var field *api.FieldError
+	if err := (&Put{Session: "s"}).validate(); !errors.As(err, &field) || field.Field != "seq" {
+		t.Errorf("found %v, expected an api.FieldError of seq", err)
+	}
+	var guard *UnknownGuardError
+	if _, err := GuardNamed("lease"); !errors.As(err, &guard) || guard.Name != "lease" {
+		t.Errorf("found %v, expected an UnknownGuardError of lease", err)
+	}
+}
+
+// TestEntryOfNewerProgram: an instance of an older program meets an entry that it can't read. It must stop with an
+// error that says so, or its state would differ from the others'.
+func TestEntryOfNewerProgram(t *testing.T) {
 	m := newStateMachine("c", 0)
 	for _, entry := range []string{`{"rules":9,"session":"s"}`, `{"kind":"level","body":9}`} {
 		var newer *NewerProgramError
--- a/internal/control/consensus/fleet_requests.go
+++ b/internal/control/consensus/fleet_requests.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/policy"
@@ -61,7 +60,7 @@
 func (g *Group) Forget(ctx context.Context, name string) error {
 	err, stopped := callOn(g, g.enqueue, func() error {
 		if !g.knowsNode(name) {
-			return fmt.Errorf("found no node %.50q", name)
+			return &UnknownNodeError{name}
 		}
 		return g.leader.Forget(name)
 	})
--- a/internal/control/consensus/group_requests.go
+++ b/internal/control/consensus/group_requests.go
@@ -65,7 +65,7 @@
 // Put proposes a version and waits for the put's result. Errors: of the put itself, ErrBusy, ErrBarred,
 // ErrLogNearLimit, ErrStopped, and ErrTimeout once ctx is done, after which the put may still be committed.
 func (g *Group) Put(ctx context.Context, p Put) (PutResult, error) {
-	if err := p.valid(); err != nil {
+	if err := p.validate(); err != nil {
 		return PutResult{}, err
 	}
 	w := &waiter{put: &p, done: make(chan outcome, 1)}
--- a/internal/control/consensus/guard.go
+++ b/internal/control/consensus/guard.go
@@ -1,9 +1,5 @@
 package consensus
 
-import (
-	"fmt"
-)
-
 // Guard is a set of guards that are disabled, for fault tests alone: with one disabled a promise of the design must
 // break, or the tests don't check it. Every program that serves runs with none disabled.
 type Guard uint
@@ -25,14 +21,14 @@
 // Has tells whether a guard is disabled.
 func (g Guard) Has(one Guard) bool { return g&one != 0 }
 
-// GuardNamed returns a guard by its name, or an error that lists the names.
+// GuardNamed returns a guard by its name, or an *UnknownGuardError.
 func GuardNamed(name string) (Guard, error) {
 	for i, n := range guardNames {
 		if n == name {
 			return 1 << i, nil
 		}
 	}
-	return 0, fmt.Errorf("guard %q, expected one of %v", name, guardNames)
+	return 0, &UnknownGuardError{name}
 }
 
 // GuardNames lists the names of all guards.
--- a/internal/control/consensus/members.go
+++ b/internal/control/consensus/members.go
@@ -1,9 +1,6 @@
 package consensus
 
-import (
-	"fmt"
-	"sort"
-)
+import "sort"
 
 // Member is an instance as the group knows it.
 type Member struct {
@@ -85,42 +82,44 @@
 	return nil
 }
 
-// check returns why a change can't be made, by the state alone, so that all instances find the same.
+// check returns why a change can't be made, a *ChangeError, by the state alone, so that all instances find the same.
 func (t *memberTable) check(c *Change) error {
 	at := t.byID(c.Member.ID)
 	switch c.Op {
 	case OpAdd:
 		switch {
 		case c.Member.ID == 0 || c.Member.Name == "":
-			return fmt.Errorf("found id %x and name %q, expected both", c.Member.ID, c.Member.Name)
+			return invalidChange(ErrIncompleteMember, "found id %x and name %q, expected both", c.Member.ID, c.Member.Name)
 		case at != nil:
-			return fmt.Errorf("instance %x is a member already", c.Member.ID)
+			return invalidChange(ErrAlreadyMember, "instance %x is a member already", c.Member.ID)
 		case t.byName(c.Member.Name) != nil:
-			return fmt.Errorf("%q is instance %x already; remove that one first, or replace it", c.Member.Name,
-				t.byName(c.Member.Name).ID)
+			return invalidChange(ErrNameTaken, "%q is instance %x already; remove that one first, or replace it",
+				c.Member.Name, t.byName(c.Member.Name).ID)
 		case t.wasRemoved(c.Member.ID):
-			return fmt.Errorf("instance %x was removed; start it anew on an empty folder", c.Member.ID)
+			return invalidChange(ErrMemberRemoved, "instance %x was removed; start it anew on an empty folder",
+				c.Member.ID)
 		case len(t.list) >= maxMembers:
-			return fmt.Errorf("%d members, expected at most %d", len(t.list)+1, maxMembers)
+			return invalidChange(ErrTooManyMembers, "%d members, expected at most %d", len(t.list)+1, maxMembers)
 		}
 	case OpPromote:
 		if at == nil || at.Voter {
-			return fmt.Errorf("instance %x is no learner", c.Member.ID)
+			return invalidChange(ErrNotLearner, "instance %x is no learner", c.Member.ID)
 		}
 	case OpRemove:
 		if at == nil {
-			return fmt.Errorf("instance %x is no member", c.Member.ID)
+			return invalidChange(ErrNotMember, "instance %x is no member", c.Member.ID)
 		}
 		if at.Voter && countVoters(t.list) == 1 {
-			return fmt.Errorf("%q is the only voter", at.Name)
+			return invalidChange(ErrOnlyVoter, "%q is the only voter", at.Name)
 		}
 	case OpReplace:
 		gone := t.byID(c.ReplacedID)
 		if at == nil || at.Voter || gone == nil || !gone.Voter {
-			return fmt.Errorf("replacing %x by %x: expected a voter and a learner", c.ReplacedID, c.Member.ID)
+			return invalidChange(ErrNotVoterAndLearner, "replacing %x by %x: expected a voter and a learner",
+				c.ReplacedID, c.Member.ID)
 		}
 	default:
-		return fmt.Errorf("found %q, expected add, promote, remove or replace", c.Op)
+		return invalidChange(ErrUnknownChange, "found %q, expected add, promote, remove or replace", c.Op)
 	}
 	return nil
 }
--- a/internal/control/consensus/put.go
+++ b/internal/control/consensus/put.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"strings"
 
+	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/document"
 )
 
@@ -45,19 +46,23 @@
 	Reason  string     `json:"reason,omitempty"`
 }
 
-// valid returns what is wrong with a put before it is proposed. What depends on the state is judged when it is applied.
-func (p *Put) valid() error {
+// validate gives an *api.FieldError for the first field that the log would not store. What depends on the state is
+// judged when the put is applied.
+func (p *Put) validate() error {
+	bytes := func(field, text, expected string) error {
+		return &api.FieldError{Field: field, Found: fmt.Sprintf("%d bytes", len(text)), Expected: expected}
+	}
 	switch {
 	case p.Session == "" || len(p.Session) > maxNameBytes:
-		return fmt.Errorf("session: found %d bytes, expected 1 to %d", len(p.Session), maxNameBytes)
+		return bytes("session", p.Session, fmt.Sprintf("1 to %d", maxNameBytes))
 	case p.Seq == 0:
-		return fmt.Errorf("seq: found 0, expected 1 or more")
+		return &api.FieldError{Field: "seq", Found: "0", Expected: "1 or more"}
 	case p.Author == "" || len(p.Author) > maxNameBytes:
-		return fmt.Errorf("author: found %d bytes, expected 1 to %d", len(p.Author), maxNameBytes)
+		return bytes("author", p.Author, fmt.Sprintf("1 to %d", maxNameBytes))
 	case len(p.Reason) > maxReasonBytes:
-		return fmt.Errorf("reason: found %d bytes, expected at most %d", len(p.Reason), maxReasonBytes)
+		return bytes("reason", p.Reason, fmt.Sprintf("at most %d", maxReasonBytes))
 	case len(p.Text) > document.MaxBytes:
-		return fmt.Errorf("text: found %d bytes, expected at most %d", len(p.Text), document.MaxBytes)
+		return bytes("text", p.Text, fmt.Sprintf("at most %d", document.MaxBytes))
 	}
 	return nil
 }
--- a/internal/control/consensus/replica_propose.go
+++ b/internal/control/consensus/replica_propose.go
@@ -22,7 +22,7 @@
 	if r.peers.self.Barred != "" {
 		return ErrBarred
 	}
-	if err := p.valid(); err != nil {
+	if err := p.validate(); err != nil {
 		return err
 	}
 	if r.log.DiskBytes() > r.config.Sizes.MaxBytes/putLogFraction*(putLogFraction-1) {
--- a/internal/control/consensus/state_machine_test.go
+++ b/internal/control/consensus/state_machine_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -125,35 +126,38 @@
 func TestChangesOfMembers(t *testing.T) {
 	m := newStateMachine("c", 0)
 	m.members.list = []Member{{ID: 5, Name: "a", Voter: true}}
-	do := func(c Change, want string) {
+	do := func(c Change, reason error, text string) {
 		t.Helper()
 		err := m.members.check(&c)
-		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-			t.Fatalf("%+v: %v, expected %q", c, err, want)
+		if !errors.Is(err, reason) || err != nil && !strings.Contains(err.Error(), text) {
+			t.Fatalf("%+v: %v, expected %v with %q", c, err, reason, text)
 		}
 		if err == nil {
 			m.members.apply(&c)
 		}
 	}
-	do(Change{Op: "remove", Member: Member{ID: 5}}, "the only voter")
-	do(Change{Op: "add", Member: Member{ID: 9, Name: "a"}}, `"a" is instance 5 already`)
-	do(Change{Op: "add", Member: Member{ID: 9, Name: "b", Voter: true}}, "")
+	do(Change{Op: "remove", Member: Member{ID: 5}}, ErrOnlyVoter, "the only voter")
+	do(Change{Op: "add", Member: Member{ID: 9, Name: "a"}}, ErrNameTaken, `"a" is instance 5 already`)
+	do(Change{Op: "add", Member: Member{ID: 9, Name: "b", Voter: true}}, nil, "")
 	if m.members.byID(9).Voter {
 		t.Fatal("a new instance is a voter before it has caught up")
 	}
-	do(Change{Op: "add", Member: Member{ID: 9, Name: "c"}}, "a member already")
-	do(Change{Op: "replace", Member: Member{ID: 5}, ReplacedID: 9}, "expected a voter and a learner")
-	do(Change{Op: "replace", Member: Member{ID: 9}, ReplacedID: 5}, "")
+	do(Change{Op: "add", Member: Member{ID: 9, Name: "c"}}, ErrAlreadyMember, "a member already")
+	do(Change{Op: "replace", Member: Member{ID: 5}, ReplacedID: 9}, ErrNotVoterAndLearner,
+		"expected a voter and a learner")
+	do(Change{Op: "replace", Member: Member{ID: 9}, ReplacedID: 5}, nil, "")
 	if len(m.members.list) != 1 || !m.members.list[0].Voter || m.members.list[0].ID != 9 {
 		t.Fatalf("members %+v, expected 9 alone as a voter", m.members.list)
 	}
-	do(Change{Op: "add", Member: Member{ID: 5, Name: "a"}}, "was removed")
-	do(Change{Op: "promote", Member: Member{ID: 9}}, "no learner")
-	do(Change{Op: "fly", Member: Member{ID: 9}}, `found "fly"`)
+	do(Change{Op: "add", Member: Member{ID: 5, Name: "a"}}, ErrMemberRemoved, "was removed")
+	do(Change{Op: "remove", Member: Member{ID: 6}}, ErrNotMember, "instance 6 is no member")
+	do(Change{Op: "add", Member: Member{ID: 6}}, ErrIncompleteMember, `found id 6 and name ""`)
+	do(Change{Op: "promote", Member: Member{ID: 9}}, ErrNotLearner, "no learner")
+	do(Change{Op: "fly", Member: Member{ID: 9}}, ErrUnknownChange, `found "fly"`)
 	for i := uint64(0); i < maxMembers-1; i++ {
-		do(Change{Op: "add", Member: Member{ID: 100 + i, Name: fmt.Sprint(i)}}, "")
+		do(Change{Op: "add", Member: Member{ID: 100 + i, Name: fmt.Sprint(i)}}, nil, "")
 	}
-	do(Change{Op: "add", Member: Member{ID: 99, Name: "x"}}, "expected at most")
+	do(Change{Op: "add", Member: Member{ID: 99, Name: "x"}}, ErrTooManyMembers, "expected at most")
 }
 
 // Instances connect on old copies of their folders, after a removal, of another cluster, or of an older build. Only
