--- a/cmd/umberwinch/main.go
+++ b/cmd/umberwinch/main.go
@@ -25,7 +25,9 @@
 
 func main() {
 	signals := server.NotifySignals(syscall.SIGTERM, syscall.SIGUSR1, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // a log reader that is gone must not end the server
+	// A log reader that is gone must not end the server: see row "write to the log: stands still, EPIPE" in
+	// docs/design/failures.md.
+	signal.Ignore(syscall.SIGPIPE)
 	signals.Read = func() (*server.Node, error) { return server.ReadBoth(os.Getenv) }
 	node, err := signals.Read()
 	if err != nil {
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// Writer writes lines on a goroutine of its own, which Close ends. It guards against a log reader that stalls, such as a
-// full pipe: without it the process that logs would stall too. Write never blocks; lines that find the queue full are
-// dropped, and a line in their place says how many.
+// Writer writes lines on a goroutine of its own, which Close ends. Guards against a log reader that stalls, such as a
+// full pipe: without it the process that logs would stall too. It holds as Write never blocks; lines that find the
+// queue full are dropped, and a line in their place says how many. See row "write to the log: stands still, EPIPE" in
+// docs/design/failures.md.
 type Writer struct {
 	out     io.Writer
 	queue   chan []byte
@@ -44,7 +45,8 @@
 	}
 }
 
-// Close writes the queued lines and returns once that is done or the timeout is over. Write must not be called after it.
+// Close writes the queued lines and returns once that is done or the timeout is over. Write must not be called after
+// it.
 func (w *Writer) Close(timeout time.Duration) {
 	close(w.queue)
 	select {
--- a/internal/node/server/buffers.go
+++ b/internal/node/server/buffers.go
@@ -6,7 +6,8 @@
 const bufferBytes = 8 << 10
 
 // buffer is a piece of memory of the one size, with the event that hands over the message in it: one of the four is in
-// use. It belongs to whoever took it out of the pool.
+// use. It belongs to whoever took it out of the pool, until put gives it back: an intake while it reads, the event that
+// hands a message over, the loop, a request in hand, or a writer's queue.
 type buffer struct {
 	n int // bytes in use
 	b [bufferBytes]byte
@@ -20,7 +21,8 @@
 func (b *buffer) bytes() []byte { return b.b[:b.n] }
 
 // bufferPool keeps buffers that are out of use, for callbacks and the loop alike. Guards against clients that fill the
-// memory: no more than capacity are out for what is read.
+// memory, by which the process would be killed: no more than capacity are out for what is read, and who gets none gives
+// up what it reads. See row "no buffer free" in docs/design/shutdown.md.
 type bufferPool struct {
 	mu       sync.Mutex
 	free     []*buffer
@@ -46,8 +48,8 @@
 }
 
 // getForResponse gives an empty buffer however many are out, for a response. Guards against clients that hold all
-// buffers, by which others would get no response; there are few such buffers, as a connection has one response at a
-// time.
+// buffers, by which others would get no response. It holds as there are few such buffers: a connection has one response
+// at a time. See row "no buffer free" in docs/design/shutdown.md.
 func (p *bufferPool) getForResponse() *buffer {
 	if b := p.get(); b != nil {
 		return b
--- a/internal/node/server/client_connections.go
+++ b/internal/node/server/client_connections.go
@@ -52,9 +52,13 @@
 // acceptConnection has netpoll read a connection that was accepted. It runs on the listener's goroutine.
 func (l *loop) acceptConnection(fd int) {
 	// Without it a response may wait for the client's acknowledgement; if it can't be had, responses are only slower.
+	// See row "setsockopt of TCP_NODELAY: any" in docs/design/failures.md.
 	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
 	nc, err := netpoll.NewFDConnection(fd)
-	if err != nil { // netpoll has closed the descriptor, whose number may be another connection's by now
+	if err != nil {
+		// Guards against a connection that holds a place for good though nothing is read of it. netpoll has closed the
+		// descriptor, whose number may be another connection's by now, so only the place is given back. See row
+		// "epoll_ctl on an accepted connection: any" in docs/design/failures.md.
 		l.log.WithField(logging.Error, err).Warn(logConnectionUnreadable)
 		l.listener.release()
 		return
@@ -71,14 +75,19 @@
 		return l.readConnection(p, nc, timeOf(l.clock.Now()))
 	})
 	if !nc.IsActive() {
-		_ = nc.Close() // it ended before its close callback was set, which runs now
+		// Guards against a connection that ended before its close callback was set, of whose end the loop would never
+		// hear: Close runs the callback now, once. See row "connection that ends as it is set up" in
+		// docs/design/shutdown.md.
+		_ = nc.Close()
 	}
 }
 
 // connectionOpened takes a connection that was accepted into the table.
 func (l *loop) connectionOpened(p *peer) {
 	h, c, ok := l.connections.take()
-	if !ok { // the listener's bound is below the table's
+	if !ok {
+		// Not reached, as the listener's bound is below the table's and a place is given back only once its slot is
+		// free. See row "full table" in docs/design/shutdown.md.
 		l.log.WithField(logging.MaxConnections, l.connections.capacity).Error(logConnectionTableFull)
 		p.close()
 		return
@@ -92,8 +101,8 @@
 // nothing complete the oldest, then of those that brought health checks alone the one idle for longest, then of all.
 // Guards against clients that open connections and send nothing, and against those that keep what they no longer use:
 // all places would be taken, and further clients would wait to be accepted. It holds as the listener's bound is above
-// EvictAbove. A request that crosses such a close is sent again by its client. See "eviction for room" and "full
-// table" in docs/design/shutdown.md.
+// EvictAbove. A request that crosses such a close is sent again by its client. See row "eviction for room" in
+// docs/design/shutdown.md.
 func (l *loop) evict() {
 	l.endLingering()
 	for l.connections.used > l.limits.EvictAbove && l.usable() > l.limits.EvictAbove {
@@ -109,7 +118,9 @@
 	}
 }
 
-// endLingering closes connections whose client has had the time to close them, while all places are taken.
+// endLingering closes connections whose client has had the time to close them, while all places are taken. Guards
+// against clients that never close: who waits to be accepted would wait for LingerTimeout. What could cross the end has
+// come by CrossingGrace. See row "many connections that linger" in docs/design/shutdown.md.
 func (l *loop) endLingering() {
 	if l.connections.used < l.limits.Connections {
 		return
@@ -158,7 +169,8 @@
 }
 
 // closeIdle begins the end of a connection with no request unanswered, unless something is on its way: a request that
-// is handed over and not taken, or bytes that are not read. With force only complete requests count.
+// is handed over and not taken, or bytes that are not read. With force only complete requests count. Guards against a
+// close that crosses a request, see peer.seal and row "idle close" in docs/design/shutdown.md.
 func (l *loop) closeIdle(c *connection, force bool) bool {
 	if c.closing || c.hasUnanswered() || !c.peer.seal(force) {
 		return false
@@ -183,7 +195,8 @@
 
 // sweep looks over all connections: those that their client should have closed, those that don't get to the end of a
 // message, and those idle for longer than the controller allows. Guards against closing what a standstill of this
-// process makes look idle: a sweep that comes late is left out, as what came meanwhile is not read yet.
+// process makes look idle, which would leave requests that came meanwhile without a response: a sweep that comes late
+// is left out, and by the next one what came is read. See row "standstill of this process" in docs/design/shutdown.md.
 func (l *loop) sweep(at admission.Time) {
 	if l.now-at >= l.limits.SweepInterval {
 		return
@@ -194,7 +207,8 @@
 	}
 }
 
-// sweepConn looks over one connection, see sweep.
+// sweepConn looks over one connection, see sweep. One that does not get to the end of its first message is closed,
+// after a 400 where some of it came: see row "first message late" in docs/design/shutdown.md.
 func (l *loop) sweepConn(c *connection) {
 	half := admission.Time(c.peer.incompleteSince.Load())
 	switch {
@@ -233,17 +247,19 @@
 
 // connectionFlooded closes a connection on which more comes after its end than is passed over. Guards against clients
 // that send on and on: reading it takes a core. All that was read before is answered by then, as it is closing. See
-// "endless input" in docs/design/shutdown.md.
+// row "endless input" in docs/design/shutdown.md.
 func (l *loop) connectionFlooded(p *peer) {
 	if c := l.connections.get(p.handle); c != nil && c.closing && !c.closed {
 		l.abort(c)
 	}
 }
 
-// connectionClosed takes the end of a connection. A request whose response was to go out on it is abandoned.
+// connectionClosed takes the end of a connection, whatever ended it. A request whose response was to go out on it is
+// abandoned: see row "client gone" in docs/design/shutdown.md and row "read: ECONNRESET, ETIMEDOUT, EHOSTUNREACH,
+// EPIPE, end" in docs/design/failures.md.
 func (l *loop) connectionClosed(p *peer) {
 	if l.listener != nil {
-		l.listener.release() // not before: the table's slot is free from here on
+		l.listener.release() // not before the table's slot is free, which it is by the next event
 	}
 	c := l.connections.get(p.handle)
 	if c == nil {
--- a/internal/node/server/client_peer.go
+++ b/internal/node/server/client_peer.go
@@ -55,7 +55,8 @@
 }
 
 // take reads all that has come. Guards against a seal between the reading of a request and its handing over, which
-// would leave it without a response: each event is counted in pipelined before the lock is released.
+// would leave it without a response: each event is counted in pipelined before the lock is released. See row "idle
+// close" in docs/design/shutdown.md.
 func (p *peer) take(r netpoll.Reader, limits *Limits, now admission.Time) (events []event, err error) {
 	p.intake.Lock()
 	defer p.intake.Unlock()
@@ -85,8 +86,9 @@
 	p.incompleteSince.Store(0)
 }
 
-// parse reads one request. Guards against clients that send requests without end and read no response: netpoll reads on
-// whatever is done here, so the only bound that holds is to end the connection.
+// parse reads one request. Guards against clients that send requests without end and read no response, which would
+// fill the queue: netpoll reads on whatever is done here, so the only bound that holds is to end the connection. See
+// row "bad input" in docs/design/shutdown.md.
 func (p *peer) parse(b *buffer, limits *Limits) (event, int, error) {
 	e := &b.request
 	e.peer, e.buffer = p, b
@@ -122,7 +124,8 @@
 }
 
 // discard passes over what comes after the seal, and tells once when it has become more than a bound. Guards against
-// endless bodies, which take a core for as long as they are read: the loop closes the connection then.
+// endless bodies, which take a core for as long as they are read: the loop closes the connection then. See rows "the
+// same, and the client goes on" and "endless input" in docs/design/shutdown.md.
 func (p *peer) discard(r netpoll.Reader, limit int) (tooMuch bool) {
 	n := r.Len()
 	_ = r.Skip(n) // n bytes are there
@@ -136,8 +139,8 @@
 
 // seal ends the reading of requests, unless one is on its way: handed over and not begun, begun to be read, or in a
 // buffer of this process or of the system. With force only complete requests count. Guards against a close that
-// crosses a request: the client could not tell whether it ran. See "The order in which a connection ends" in
-// docs/design/shutdown.md.
+// crosses a request: the client could not tell whether it ran. It holds as reading and the seal exclude each other by
+// intake. See row "idle close" and the order in which a connection ends in docs/design/shutdown.md.
 func (p *peer) seal(force bool) bool {
 	p.intake.Lock()
 	defer p.intake.Unlock()
@@ -154,7 +157,9 @@
 	return true
 }
 
-// hasUnread tells whether bytes wait in a socket's receive buffer; the end of the stream is none.
+// hasUnread tells whether bytes wait in a socket's receive buffer; the end of the stream is none. A look that was
+// interrupted says nothing, and counts as bytes: the end of the connection is tried again later. See row "recv with
+// MSG_PEEK: EINTR" in docs/design/failures.md.
 func hasUnread(fd int) bool {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -162,16 +167,19 @@
 }
 
 // shutDownWrite ends the sending side: the client reads the end of the stream after the last response. Guards against a
-// reset: a close with bytes unread would send one, and it could take that response with it.
+// reset: a close with bytes unread would send one, and it could take that response with it. See row "answer that closes
+// (client's wish, bad input, a run that the kernel does not take up)" in docs/design/shutdown.md.
 func (p *peer) shutDownWrite() {
 	p.intake.Lock()
 	defer p.intake.Unlock()
 	if !p.closed {
-		_ = syscall.Shutdown(p.fd, syscall.SHUT_WR) // an error says that it is shut down already
+		_ = syscall.Shutdown(p.fd, syscall.SHUT_WR) // see row "shutdown: any" in docs/design/failures.md
 	}
 }
 
-// release gives back what the peer holds, as its descriptor is about to be closed.
+// release gives back what the peer holds, as its descriptor is about to be closed. Guards against a shutdown of
+// another connection that gets the descriptor's number: closed is set under the lock that shutDownWrite takes. See row
+// "shutdown: any" in docs/design/failures.md.
 func (p *peer) release() {
 	p.intake.Lock()
 	defer p.intake.Unlock()
--- a/internal/node/server/control_client.go
+++ b/internal/node/server/control_client.go
@@ -71,8 +71,9 @@
 	}
 }
 
-// do sends one request and closes the connection after an error. A kept connection that the other side has closed
-// meanwhile is opened anew, once: all requests are safe to be sent twice.
+// do sends one request and closes the connection after an error. Guards against a kept connection that the other side
+// closed meanwhile, which would count as a heartbeat lost: it is opened anew, once, as all requests are safe to be sent
+// twice. See row "read, write to the control service: any" in docs/design/failures.md.
 func (c *controlClient) do(r *controlRequest) controlResponse {
 	deadline := time.Now().Add(r.timeout)
 	if c.address != r.address {
--- a/internal/node/server/discovery_link.go
+++ b/internal/node/server/discovery_link.go
@@ -26,7 +26,8 @@
 	c.reportPending = true
 	if c.reportOutstanding {
 		// Guards against a late answer that passes for this report's: the next report goes out on a link of its own.
-		// It is dialled at once: this happens no more often than reports are due and readiness changes.
+		// It is dialled at once: this happens no more often than reports are due and readiness changes. See row
+		// "discovery: report unanswered, half answered, refused, link cut" in docs/design/shutdown.md.
 		l.closeLink(&c.link, nil)
 		return
 	}
@@ -44,7 +45,8 @@
 }
 
 // nextReport is when the next report is due. An eighth of the time between two is left to chance: servers that were
-// started together would report together for good.
+// started together would report together for good. See row "many servers lose one peer, or start together" in
+// docs/design/shutdown.md.
 func (l *loop) nextReport() admission.Time {
 	return l.now + l.limits.ReportInterval - admission.Time(rand.Int64N(int64(l.limits.ReportInterval/8)))
 }
@@ -74,7 +76,8 @@
 	}
 }
 
-// discoveryDown takes the end of the link: a report that was out is to go out again.
+// discoveryDown takes the end of the link: a report that was out is to go out again, as it may not have been read. See
+// row "drain during a discovery outage, new addresses during a drain" in docs/design/shutdown.md.
 func (l *loop) discoveryDown() {
 	if c := &l.discovery; c.reportOutstanding {
 		l.counters.ReportsLost++
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -26,7 +26,8 @@
 	drainInterval = admission.Second / 100
 )
 
-// startDrain takes the notice to leave.
+// startDrain takes the notice to leave, whatever is in hand: see rows "notice: half a request, a held one, a repeat
+// that waits, one on a resting connection" and "notice while the process is stopped" in docs/design/shutdown.md.
 func (l *loop) startDrain() {
 	if l.draining {
 		return
@@ -41,7 +42,8 @@
 
 // drainTick sees whether nobody sends here any more, or the kill is near: then the listener takes what is complete and
 // closes, idle connections are closed, what crosses that is still answered, and the loop ends. The listener stays open
-// until then, as clients learn late that this server leaves. See docs/design/shutdown.md.
+// until then, as clients learn late that this server leaves. See rows "drain's end" and "kill near" in
+// docs/design/shutdown.md.
 func (l *loop) drainTick() {
 	closeBy := l.answerBy - lastAnswers
 	quiet := l.now-max(l.lastRequest, l.drainSince) >= l.limits.DrainQuiet && l.now-l.drainSince >= minServing
--- a/internal/node/server/fleet_agent.go
+++ b/internal/node/server/fleet_agent.go
@@ -97,6 +97,8 @@
 type steadyClock func() agent.Milliseconds
 
 // bootTime is a time of the clock that nobody sets and that runs on while the process is stopped or the machine sleeps.
+// Guards against a lease that counts on over a time that this process did not see. Where the system refuses that clock
+// the other stands in: see row "clock_gettime of CLOCK_BOOTTIME: any" in docs/design/failures.md.
 func bootTime() agent.Milliseconds {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
--- a/internal/node/server/fleet_record.go
+++ b/internal/node/server/fleet_record.go
@@ -111,7 +111,9 @@
 }
 
 // recordStored takes what came of a write with that prepared version. The current version counts as prepared once it
-// is on disk: a node that said so and forgot would start without it after it was decided.
+// is on disk: a node that said so and forgot would start without it after it was decided. After an error it is written
+// to a new file, as the first may be there or not: see row "write or sync of the policy's record: any" in
+// docs/design/failures.md.
 func (f *fleetAgent) recordStored(now agent.Milliseconds, prepared uint64, err error) {
 	r := &f.record
 	r.writing = false
--- a/internal/node/server/fleet_version.go
+++ b/internal/node/server/fleet_version.go
@@ -83,7 +83,9 @@
 	Text    string `json:"text"`
 }
 
-// versionFetched takes a version's document, and has it tried if it fits the platform's settings.
+// versionFetched takes a version's document, and has it tried if it fits the platform's settings. A document that came
+// torn or from a wrong folder has another hash than was told, and is not used. A fetch that failed is tried again after
+// fetchRetryDelay: see row "read, write to the control service: any" in docs/design/failures.md.
 func (f *fleetAgent) versionFetched(address string, version api.VersionHash, r controlResponse) {
 	now, v := f.clock(), &f.versions
 	var response documentResponse
--- /dev/null
+++ b/internal/node/server/guards_test.go
@@ -0,0 +1,95 @@
+package server
+
+import (
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// Comments on guards name rows of the pages that say what fails and what is done then. Whoever is on call follows them
+// from the code to the page and back: a row that isn't there, or one that no code stands behind, would lead nowhere.
+
+const (
+	failuresPage = "docs/design/failures.md"
+	shutdownPage = "docs/design/shutdown.md"
+)
+
+var (
+	// namedRows is `row "X" in PAGE`, or several rows with "and" or a comma between.
+	namedRows = regexp.MustCompile(`rows? ((?:"[^"]+"(?:, | and )?)+) in (docs/design/[a-z]+\.md)`)
+	quoted    = regexp.MustCompile(`"([^"]+)"`)
+	// commentBreak is the end of a comment's line and the begin of its next.
+	commentBreak = regexp.MustCompile(`\n\s*// `)
+)
+
+// tableRows gives the names of a page's rows: the first cell, with the second behind a colon in the table of system
+// calls.
+func tableRows(t *testing.T, page string) map[string]bool {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("../../..", page))
+	if err != nil {
+		t.Fatal(err)
+	}
+	rows := map[string]bool{}
+	for _, line := range strings.Split(string(text), "\n") {
+		cells := strings.Split(line, " | ")
+		if !strings.HasPrefix(line, "| ") || len(cells) < 4 || strings.HasPrefix(line, "| ---") {
+			continue
+		}
+		name := strings.TrimPrefix(cells[0], "| ")
+		if page == failuresPage {
+			name += ": " + cells[1]
+		}
+		rows[name] = true
+	}
+	delete(rows, "call: error") // the heads of the tables
+	delete(rows, "end")
+	if len(rows) == 0 {
+		t.Fatalf("%s has no rows", page)
+	}
+	return rows
+}
+
+func TestGuardsNameRowsOfPages(t *testing.T) {
+	rows := map[string]map[string]bool{failuresPage: tableRows(t, failuresPage), shutdownPage: tableRows(t, shutdownPage)}
+	named := map[string]bool{}
+	for _, pattern := range []string{"*.go", "../../logging/*.go", "../../../cmd/umberwinch/*.go"} {
+		files, err := filepath.Glob(pattern)
+		if err != nil || len(files) == 0 {
+			t.Fatalf("%s: %v", pattern, err)
+		}
+		for _, file := range files {
+			if strings.HasSuffix(file, "_test.go") {
+				continue
+			}
+			text, err := os.ReadFile(file)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, m := range namedRows.FindAllStringSubmatch(commentBreak.ReplaceAllString(string(text), " "), -1) {
+				for _, name := range quoted.FindAllStringSubmatch(m[1], -1) {
+					named[m[2]+" "+name[1]] = true
+					if !rows[m[2]][name[1]] {
+						t.Errorf("%s names row %q of %s, which has none", file, name[1], m[2])
+					}
+				}
+			}
+		}
+	}
+	// What netpoll does by itself, and what package admission guards.
+	elsewhere := map[string]bool{
+		failuresPage + " read: EINTR, EAGAIN":                        true,
+		failuresPage + " epoll_wait: EINTR":                          true,
+		shutdownPage + " slow start, also a second within the first": true,
+		shutdownPage + " request with a few ms left":                 true,
+	}
+	for page := range rows {
+		for name := range rows[page] {
+			if key := page + " " + name; !named[key] && !elsewhere[key] {
+				t.Errorf("no comment names row %q of %s", name, page)
+			}
+		}
+	}
+}
--- a/internal/node/server/idempotency_table.go
+++ b/internal/node/server/idempotency_table.go
@@ -99,7 +99,9 @@
 	return wait
 }
 
-// expire ends an entry whose time is over, or sets its timer again.
+// expire ends an entry whose time is over, or sets its timer again. Guards against a repeat that reached the machine in
+// time and is read late, which would run: an entry stays for maxLateness, the longest wait of a client. See row "keyed
+// entry over" in docs/design/shutdown.md.
 func (k *idempotencyTable) expire(h handle, now admission.Time, timers *timers) (wait []handle) {
 	e := k.entries.get(h)
 	switch {
@@ -142,7 +144,8 @@
 // maxStaleResults bounds resultOrder, in entries of the table: what was dropped out of turn stays in it.
 const maxStaleResults = 4
 
-// dropOldResults drops the oldest results while they take more than their share of memory.
+// dropOldResults drops the oldest results while they take more than their share of memory. The keys stay: see row "kept
+// result let go of for room" in docs/design/shutdown.md.
 func (k *idempotencyTable) dropOldResults() {
 	for k.bytes > k.maxBytes || len(k.resultOrder) > maxStaleResults*k.entries.capacity {
 		old := k.entries.get(k.resultOrder[0])
--- a/internal/node/server/intake.go
+++ b/internal/node/server/intake.go
@@ -12,7 +12,8 @@
 )
 
 // intake gathers what a connection brings until a message is complete. It belongs to the connection's callback, which
-// netpoll never runs twice at once, and ends with drop.
+// netpoll never runs twice at once, and ends with drop; until then it owns the one buffer of what is incomplete. It
+// gives up with errNoBuffer while none is free: see row "no buffer free" in docs/design/shutdown.md.
 type intake struct {
 	pool *bufferPool
 	buf  *buffer
--- a/internal/node/server/kernel_link.go
+++ b/internal/node/server/kernel_link.go
@@ -41,7 +41,8 @@
 	noEventYet    bool   // over this link
 }
 
-// kernelUp begins on a link that was opened.
+// kernelUp begins on a link that was opened: the kernel hears which event was the last that was handled, and sends
+// those after it again. See row "kernel link broken or moved" in docs/design/shutdown.md.
 func (l *loop) kernelUp() {
 	k := &l.kernel
 	k.state, k.noEventYet = kernelOpened, true
@@ -62,7 +63,9 @@
 		return unsent
 	}
 	if !k.dialed.writer.send(l.scratch, l.limits.LinkQueue) {
-		l.reconnectKernel = true // not from within a round: what is lost is sent again on the next link
+		// Not from within a round: what is lost is sent again on the next link. See row "link that takes nothing" in
+		// docs/design/shutdown.md.
+		l.reconnectKernel = true
 		return unsent
 	}
 	k.sent++
@@ -121,7 +124,9 @@
 	l.wakeWithoutGauges()
 }
 
-// gaugesTimedOut lets a wake-up do without its gauges, unless it waits for others by now.
+// gaugesTimedOut lets a wake-up do without its gauges, unless it waits for others by now. Guards against a kernel that
+// does not answer, by which the controller would not wake: see row "kernel that does not answer" in
+// docs/design/shutdown.md.
 func (l *loop) gaugesTimedOut() {
 	if l.now >= l.kernel.gaugesBy {
 		l.wakeWithoutGauges()
@@ -152,7 +157,8 @@
 }
 
 // commandRefused takes that a command was not carried out. A run that the kernel does not know never ran and never
-// will, and nobody else can answer its request; its client's connection is used no more.
+// will, and nobody else can answer its request; its client's connection is used no more. See row "run that the kernel
+// does not know" in docs/design/shutdown.md.
 func (l *loop) commandRefused(n *wire.KernelEvent) {
 	l.counters.Refused++
 	if log := l.limitLog(); log != nil {
@@ -186,9 +192,10 @@
 	}
 }
 
-// isNextEvent tells whether an event is to be handled, and notes its number. One that was handled before comes again
-// over a new link, and is passed over. A gap amid a link has it opened anew, which has the missing events sent again;
-// a gap at the begin of a link says that the kernel no longer has them.
+// isNextEvent tells whether an event is to be handled, and notes its number. Guards against ends of runs that count
+// twice or never after a link broke. One that was handled before comes again over a new link, and is passed over. A
+// gap amid a link has it opened anew, which has the missing events sent again; a gap at the begin of a link says that
+// the kernel no longer has them. See row "kernel link broken or moved" in docs/design/shutdown.md.
 func (l *loop) isNextEvent(n *wire.KernelEvent) bool {
 	k := &l.kernel
 	switch {
@@ -260,7 +267,9 @@
 	l.timers.set(l.now+l.limits.ReplayTimeout, timerReplay, handle(k.replayRequest))
 }
 
-// gaugesReceived takes gauges; the first on a link say that all events that were missed have come.
+// gaugesReceived takes gauges; the first on a link say that all events that were missed have come. Guards against
+// commands that were read by the system and lost with the link: an answer proves them only once it is AckSafetyMargin
+// old. See row "kernel link broken or moved" in docs/design/shutdown.md.
 func (l *loop) gaugesReceived(n *wire.KernelEvent) {
 	k := &l.kernel
 	no, err := strconv.ParseUint(string(n.Nonce), 10, 64)
@@ -286,7 +295,8 @@
 }
 
 // replayTimedOut opens the link anew where the end of the replay does not come. Guards against a run that is started
-// twice: to send commands again before all events are known could start what has ended meanwhile.
+// twice: to send commands again before all events are known could start what has ended meanwhile. See row "kernel that
+// does not answer" in docs/design/shutdown.md.
 func (l *loop) replayTimedOut(request handle) {
 	if k := &l.kernel; k.state == kernelReplays && handle(k.replayRequest) == request {
 		l.closeLink(&k.link, errNoAnswer)
--- a/internal/node/server/limits.go
+++ b/internal/node/server/limits.go
@@ -124,7 +124,8 @@
 	l.IdempotencyKeys = memory / keysMemory / keyBytes
 	l.ResultBytes = memory / resultsMemory
 	l.Buffers = memory / buffersMemory / bufferBytes
-	// Guards against a kill with a response unsent. Longer takes from the drain, in which little runs by then.
+	// Guards against a kill with a response unsent, see row "kill near" in docs/design/shutdown.md. Longer takes from
+	// the drain, in which little runs by then.
 	l.KillMargin = killMarginBase + admission.Time(float64(killMarginWork)/min(max(cores, minCoreShare), 1))
 	return l
 }
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -49,7 +49,8 @@
 }
 
 // failed doubles the wait, within MinBackoff and MaxBackoff. Half of it is left to chance, so that servers which lost
-// the same peer at the same moment don't come back to it together. It harms only what needs the peer meanwhile.
+// the same peer at the same moment don't come back to it together. It harms only what needs the peer meanwhile. See row
+// "socket, connect: any" in docs/design/failures.md.
 func (b *backoff) failed(now admission.Time, limits *Limits) {
 	b.delay = min(max(2*b.delay, limits.MinBackoff), limits.MaxBackoff)
 	b.notBefore = now + b.delay/2 + admission.Time(rand.Int64N(int64(b.delay/2)+1))
@@ -96,7 +97,9 @@
 	l.open(k.dialed, k.addr)
 }
 
-// open dials in a goroutine of its own, which ends with the dial; each event of the connection names the dial.
+// open dials in a goroutine of its own, which ends with the dial; each event of the connection names the dial. The
+// connection belongs to the dial's writer from linkDialed on, and is closed there where the dial was replaced; its
+// intake ends with its close callback.
 func (l *loop) open(n *dialed, addr string) {
 	go func() {
 		c, err := l.dialTo(addr, l.limits.DialTimeout)
@@ -122,7 +125,9 @@
 			return err
 		})
 		if !c.IsActive() {
-			_ = c.Close() // it ended before its close callback was set, which runs now
+			// It ended before its close callback was set, which runs now. See row "connection that ends as it is set
+			// up" in docs/design/shutdown.md.
+			_ = c.Close()
 		}
 	}()
 }
@@ -136,7 +141,8 @@
 }
 
 // isCurrent says whether a dial is still the one that its owner goes by. Guards against late events of a dial that was
-// given up, such as one to an address that was replaced meanwhile.
+// given up, such as one to an address that was replaced meanwhile: its replies would count for calls that go out anew.
+// It holds as each event names its dial. See row "dial that was replaced" in docs/design/shutdown.md.
 func (l *loop) isCurrent(n *dialed) bool {
 	if n.peer == peerStore {
 		c := l.store.connections.get(n.storeConn)
@@ -165,7 +171,8 @@
 	}
 }
 
-// linkClosed takes the end of a connection. Where that is handled before its beginning it is kept for linkDialed.
+// linkClosed takes the end of a connection. Where that is handled before its beginning it is kept for linkDialed, or
+// the link would count as open for good. See row "connection that ends as it is set up" in docs/design/shutdown.md.
 func (l *loop) linkClosed(e *linkClosed) {
 	n := e.dialed
 	if n.err == nil {
--- a/internal/node/server/listener.go
+++ b/internal/node/server/listener.go
@@ -11,9 +11,9 @@
 
 // listener owns the listening socket and its bound on open connections. It accepts in a goroutine of its own, which
 // alone waits while every place is taken; each accepted connection holds a place until release is called for it. It
-// ends with stop, once what the system has completed is accepted. Guards against a full table that stops all reading:
-// netpoll's own server accepts on its poller, and whatever waits there keeps every other connection and the links
-// waiting too.
+// ends with stop, once what the system has completed is accepted; run closes the socket. Guards against a full table
+// that stops all reading: netpoll's own server accepts on its poller, and whatever waits there keeps every other
+// connection and the links waiting too. See row "full table" in docs/design/shutdown.md.
 type listener struct {
 	file   *os.File // a non-blocking duplicate of the socket; its Fd method would make it block
 	raw    syscall.RawConn
@@ -48,8 +48,9 @@
 }
 
 // listenPatiently tries again for ListenTimeout where the system can't open the socket at the moment. Guards against a
-// restart that fails while the process before still holds the address, or no descriptor or memory is left. warn hears
-// of the first error.
+// restart that fails while the process before still holds the address, or no descriptor or memory is left. It holds for
+// as long as a process may take to end. warn hears of the first error. See row "socket, bind, listen: EADDRINUSE,
+// EADDRNOTAVAIL, EMFILE, ENFILE, ENOBUFS, ENOMEM" in docs/design/failures.md.
 func listenPatiently(address string, lim Limits, warn func(error)) (*listener, error) {
 	started := time.Now()
 	for try := 0; ; try++ {
@@ -80,10 +81,10 @@
 	return accepted, err
 }
 
-// run hands each accepted descriptor to enter until stop is called; what fails is tried again, by the rows of accept in
-// docs/design/failures.md. Before it returns it accepts whatever the system had completed by then and closes the
-// socket: who connects after that is refused, which proves that nothing ran. warn hears of an error once for as long
-// as it lasts.
+// run hands each accepted descriptor to enter until stop is called. What fails is tried again: see rows "accept:
+// ECONNABORTED, EINTR" and "accept: any other" in docs/design/failures.md. Before it returns it accepts whatever the
+// system had completed by then and closes the socket: who connects after that is refused, which proves that nothing
+// ran. See row "drain's end" in docs/design/shutdown.md. warn hears of an error once for as long as it lasts.
 func (ln *listener) run(enter func(fd int), warn func(error)) {
 	var last error
 	for {
--- a/internal/node/server/loop_time.go
+++ b/internal/node/server/loop_time.go
@@ -34,7 +34,9 @@
 	l.now = timeOf(l.clock.Now())
 }
 
-// lookAtClock brings the loop's time up to now, by the monotonic clock, and notices a step of the wall clock.
+// lookAtClock brings the loop's time up to now, by the monotonic clock, and notices a step of the wall clock. Guards
+// against a step that would put requests past their deadlines or have windows end early: no span is measured by the
+// wall clock. See row "wall clock stepped" in docs/design/shutdown.md.
 func (l *loop) lookAtClock() {
 	now, step := l.stamps.Observe(l.clock.Read)
 	if l.now = max(l.now, timeOf(now)); step != 0 {
@@ -46,7 +48,8 @@
 }
 
 // placeStamp gives the time at which a request reached the machine, by the Unix time that it states. Where the wall
-// clock was stepped there may be two; the true one is not before earliest and not after latest.
+// clock was stepped there may be two; the true one is not before earliest and not after latest, and each rule goes by
+// the one that is safe for it. See row "wall clock stepped" in docs/design/shutdown.md.
 func (l *loop) placeStamp(unixMilliseconds int64) (earliest, latest admission.Time, ok bool) {
 	const latestStamp = int64(1<<62) / int64(time.Millisecond) // past the year 2100; the product could overflow beyond
 	if unixMilliseconds > latestStamp {
--- a/internal/node/server/netpoll_log.go
+++ b/internal/node/server/netpoll_log.go
@@ -13,7 +13,8 @@
 // connection that fails, which the loop logs or counts by itself.
 const netpollLinesPerSecond = 5
 
-// netpollLog carries netpoll's own log lines into the log, a few at a time.
+// netpollLog carries netpoll's own log lines into the log, a few at a time. It never waits: see row "log reader stands
+// still, or is gone" in docs/design/shutdown.md.
 type netpollLog struct {
 	log   *logrus.Logger
 	clock *clock.Clock
--- a/internal/node/server/record_file.go
+++ b/internal/node/server/record_file.go
@@ -18,7 +18,8 @@
 
 // storeRecord writes the record to a file beside and renames it. Guards against a crash in the middle of the write:
 // the node would start without knowing which version it served under. The older or the newer record is there as a
-// whole, since a rename is atomic and the file was synced before it, and the folder after it.
+// whole, since a rename is atomic and the file was synced before it, and the folder after it. See row "process killed
+// amid its record" in docs/design/shutdown.md.
 func storeRecord(folder string, record *agent.Record) error {
 	raw, err := json.Marshal(record)
 	if err != nil {
@@ -47,7 +48,8 @@
 }
 
 // removeUnfinished removes what a kill left of records that were being written. Guards against a folder that fills with
-// them, one for each such kill.
+// them, one for each such kill. No other process writes there, so none of them is in use. See row "process killed amid
+// its record" in docs/design/shutdown.md.
 func removeUnfinished(folder string) error {
 	unfinished, err := filepath.Glob(filepath.Join(folder, recordFile+".*"))
 	for _, file := range unfinished {
@@ -57,7 +59,8 @@
 }
 
 // loadRecord reads what storeRecord wrote; found is false for a new node's folder. An error of a record that is torn
-// or altered wraps errUnreadableRecord.
+// or altered wraps errUnreadableRecord: this program renames whole records alone, so what can't be read was not its own
+// doing, and the node does not begin.
 func loadRecord(folder string, record *agent.Record) (found bool, err error) {
 	file := filepath.Join(folder, recordFile)
 	raw, err := os.ReadFile(file)
--- a/internal/node/server/reload.go
+++ b/internal/node/server/reload.go
@@ -8,7 +8,8 @@
 )
 
 // reload takes the addresses and pools of a start-up file that was read anew. Where it can't be read the old one
-// stays, and what can't change while the program serves stays as it was.
+// stays, and what can't change while the program serves stays as it was. Calls and runs under the old addresses end
+// where they are: see row "new start-up file, one or many in a row" in docs/design/shutdown.md.
 func (l *loop) reload(c *Node, err error) {
 	if err != nil {
 		l.log.WithField(logging.Error, err).Error(logStartupFileRejected)
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -63,7 +63,8 @@
 	return h, l.requests.get(h)
 }
 
-// runEnded takes the end of a run: its result is the response, and that of those who wait for it.
+// runEnded takes the end of a run: its result is the response, and that of those who wait for it. Where the client is
+// gone the result of a keyed run is still its repeats': see row "client gone" in docs/design/shutdown.md.
 func (l *loop) runEnded(h handle, r *request, how admission.Outcome, ms float64, result []byte) {
 	if l.debug {
 		l.traceWith(r.id, traceRunEnded, logrus.Fields{logging.Outcome: outcomeNames[how], logging.ElapsedMS: ms})
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -286,7 +286,8 @@
 
 // orderArrivals puts the requests of a round in the order in which they reached the machine, as callbacks hand over in
 // any order what came at once, and says whom each repeats. Guards against two attempts of one key that are read in one
-// round, as after the machine stood still: neither is in the idempotency table yet, and both would run.
+// round, as after the machine stood still: neither is in the idempotency table yet, and both would run. See row
+// "standstill of this process" in docs/design/shutdown.md.
 func (l *loop) orderArrivals(all []admission.Request) {
 	slices.SortStableFunc(all, func(a, b admission.Request) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
 	for i := range all {
--- a/internal/node/server/result_attempt.go
+++ b/internal/node/server/result_attempt.go
@@ -158,6 +158,8 @@
 	return 0
 }
 
+// resultRead answers with a result that was read, or an error where it can't be: the key ran. See row "open, read of
+// kept results: any" in docs/design/failures.md.
 func (k *resultKeeper) resultRead(h handle, result []byte, err error) {
 	r := k.host.requestByHandle(h)
 	if r == nil || r.keyed == nil || r.keyed.pending != readPending {
@@ -178,8 +180,9 @@
 	k.host.answer(h, r, wire.Response{Status: wire.StatusOK, Body: result})
 }
 
-// answerLate answers a request that waits for the disk at its last moment. One that waits for its intent is the
-// controller's to answer: it has its slot.
+// answerLate answers a request that waits for the disk at its last moment. Guards against a disk that stands still, by
+// which a client would get no answer. One that waits for its intent is the controller's to answer: it has its slot. See
+// row "request out of time" in docs/design/shutdown.md.
 func (k *resultKeeper) answerLate(h handle) {
 	r := k.host.requestByHandle(h)
 	if r == nil || r.keyed == nil || !r.awaitsResponse() {
--- a/internal/node/server/result_disk.go
+++ b/internal/node/server/result_disk.go
@@ -14,7 +14,8 @@
 )
 
 // write hands a record over, after which done hears whether it is durable; false: as many wait as may. A record that
-// is lost has new keys rejected for a moment, whatever the cause.
+// is lost has new keys rejected for a moment, whatever the cause. See row "write or sync of kept results: any" in
+// docs/design/failures.md.
 func (k *resultKeeper) write(record resultstore.Record, done func(err error)) bool {
 	ok := k.store.Append(record, func(position uint64, err error) {
 		k.host.runOnLoop(func() {
--- a/internal/node/server/result_host.go
+++ b/internal/node/server/result_host.go
@@ -14,7 +14,8 @@
 }
 
 // closeResults closes the result store, within what is left before the process is killed. Callbacks that nobody takes
-// any more are let through, as the store's goroutine waits for them.
+// any more are let through, as the store's goroutine waits for them; the goroutine that does so ends with the process.
+// See row "kill near" in docs/design/shutdown.md.
 func (l *loop) closeResults() {
 	if l.results == nil {
 		return
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -195,7 +195,9 @@
 	}()
 }
 
-// opened takes the folder over, and lets the requests in that came meanwhile.
+// opened takes the folder over, and lets the requests in that came meanwhile. Guards against a folder that can't be
+// read, of whose keys nothing is known: it is tried again after reopenFolderDelay, and meanwhile no key runs that may
+// have run. See row "open, read of kept results: any" in docs/design/failures.md.
 func (k *resultKeeper) opened(store *resultstore.Store, index *resultstore.Index, found resultstore.Recovery,
 	err error) {
 	if err != nil {
@@ -261,7 +263,8 @@
 
 // rejectsNewKeys decides whether no new key may be let in, since its intent could not be made durable soon: the
 // folder is not read, the disk fails or takes too long, or there is no room. Guards against runs that hold a slot
-// until their deadline for a record that never gets there.
+// until their deadline for a record that never gets there. See row "write or sync of kept results: any" in
+// docs/design/failures.md.
 func (k *resultKeeper) rejectsNewKeys(now admission.Time) bool {
 	return k.index == nil || k.store.Err() != nil || k.isStalled(now) || k.isFull(now)
 }
--- a/internal/node/server/result_run.go
+++ b/internal/node/server/result_run.go
@@ -13,7 +13,8 @@
 
 // begin has the intent of a run that was given its slot made durable; the kernel is told of the run after that, and
 // the run keeps its slot and place meanwhile. The key is decided on once more, as another attempt of it may have run
-// since the request came.
+// since the request came. Guards against a kill after which the key runs again: what may have run has its intent on
+// disk. See row "process killed with results kept" in docs/design/shutdown.md.
 func (k *resultKeeper) begin(h handle, r *request) {
 	q, verdict := r.keyed, resultstore.RejectFull
 	if !k.rejectsNewKeys(k.host.currentTime()) {
@@ -62,8 +63,8 @@
 	k.host.endUnstarted(h, r)
 }
 
-// intentWritten goes on with a run whose intent is durable, or never will be. A request that was answered meanwhile
-// does not run.
+// intentWritten goes on with a run whose intent is durable, or never will be. A request that was answered while the
+// disk took its time does not run: nobody waits for it, and its key is free for its repeat.
 func (k *resultKeeper) intentWritten(h handle, err error) {
 	r := k.host.requestByHandle(h)
 	if r == nil || r.keyed == nil || r.keyed.pending != intentPending {
--- a/internal/node/server/signals.go
+++ b/internal/node/server/signals.go
@@ -6,7 +6,8 @@
 )
 
 // Signals are what the operator tells the program while it serves, each by a channel of its own, so that no number of
-// one kind takes the place of another. Read reads the start-up file anew.
+// one kind takes the place of another. Read reads the start-up file anew. See row "signals at once" in
+// docs/design/shutdown.md.
 type Signals struct {
 	Drain, Count, Reload <-chan os.Signal
 	Read                 func() (*Node, error)
--- a/internal/node/server/store_connections.go
+++ b/internal/node/server/store_connections.go
@@ -42,7 +42,8 @@
 
 func (w *storeConnection) idle() bool { return len(w.calls) == 0 }
 
-// startCall makes the call that a run waits for. One that gets no connection ends as not executed.
+// startCall makes the call that a run waits for. One that gets no connection ends as not executed, which is proven as
+// not a byte of it was sent: see row "socket, connect: any" in docs/design/failures.md.
 func (l *loop) startCall(h handle, r *request, until admission.Time) {
 	r.setCall(callQueued)
 	r.callStarted, r.callDeadline = l.now, until
@@ -129,7 +130,8 @@
 	wait := max(wholeMilliseconds(r.callDeadline-l.now), 1)
 	l.scratch = wire.AppendCall(l.scratch[:0], r.id, wait, r.callBody)
 	if !w.dialed.writer.send(l.scratch, l.limits.LinkQueue) {
-		// The queue is full because the store takes nothing: this call never left, the others may have.
+		// The queue is full because the store takes nothing: this call never left, the others may have. See row "link
+		// that takes nothing" in docs/design/shutdown.md.
 		at := r.storeConn
 		l.callEnded(h, r, admission.NotExecuted)
 		l.storeConnectionLost(at, l.store.connections.get(at), errStuck)
@@ -215,7 +217,8 @@
 }
 
 // callTimedOut gives up a call that the store did not end by CallGrace after its deadline. Guards against a store that
-// forgets a call: its run would wait, and hold its slot, until its request's deadline.
+// forgets a call: its run would wait, and hold its slot, until its request's deadline. See row "call that the store
+// forgets" in docs/design/shutdown.md.
 func (l *loop) callTimedOut(h handle) {
 	r := l.requests.get(h)
 	if r == nil || r.call == callNone {
@@ -243,7 +246,8 @@
 	}
 }
 
-// storeConnectionLost ends every call on a connection: those that had gone out may have run.
+// storeConnectionLost ends every call on a connection: those that had gone out may have run. See row "store connection
+// broken, spoilt, idle" in docs/design/shutdown.md.
 func (l *loop) storeConnectionLost(at handle, w *storeConnection, err error) {
 	if w == nil {
 		return
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -381,6 +381,40 @@
 	}
 }
 
+// The store forgets a call. Its run would hold its slot until the request's deadline, so the call is given up by its
+// own; one that never left is proven not to have run, one that did may have.
+func TestCallThatTheStoreForgets(t *testing.T) {
+	const deadline = 5000
+	limits := NewLimits(1, 64, 256)
+	tests := map[string]struct {
+		call  callState
+		after admission.Time // the deadline of the call
+		ends  []admission.Outcome
+	}{
+		"a timer of the call before": {callSent, 0, nil},
+		"it never left":              {callQueued, limits.CallGrace, []admission.Outcome{admission.NotExecuted}},
+		"it left":                    {callSent, limits.CallGrace, []admission.Outcome{admission.Unknown}},
+		"there is none any more":     {callNone, limits.CallGrace, nil},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			l := &loop{loopTime: loopTime{now: deadline + test.after}, shared: shared{limits: limits},
+				requestsInHand: requestsInHand{requests: newTable[request](8)}}
+			h, r, _ := l.requests.take()
+			*r = request{lifecycle: lifecycle{run: runRunning, call: test.call},
+				storeCall: storeCall{callDeadline: deadline}}
+			l.callTimedOut(h)
+			var ends []admission.Outcome
+			for _, end := range l.nextRound().CallEnds {
+				ends = append(ends, end.Outcome)
+			}
+			if !slices.Equal(ends, test.ends) {
+				t.Errorf("the controller hears of %v, expected %v", ends, test.ends)
+			}
+		})
+	}
+}
+
 // Where two times are possible for a stamp, each rule goes by the one that is safe for it: the deadline and whom a
 // request repeats by the earlier, the window of its key and the grace of a drain by the later.
 func TestStampWithTwoPlaces(t *testing.T) {
--- a/internal/node/server/writer.go
+++ b/internal/node/server/writer.go
@@ -11,8 +11,10 @@
 )
 
 // writer is the sending side of one connection. It never makes its caller wait for a socket: bytes are queued, and
-// flushed by a goroutine that ends once the queue is empty. What is queued belongs to the writer. It ends with finish,
-// close, or an error.
+// flushed by a goroutine that ends once the queue is empty. What is queued belongs to the writer, and so does the
+// connection's close where the loop asks for it. It ends with finish, close, or an error. Guards against a peer that
+// takes nothing, for which all others would wait: the queue is bounded and a flush takes WriteTimeout at most. See row
+// "client that takes nothing" in docs/design/shutdown.md and row "write: EAGAIN, short" in docs/design/failures.md.
 type writer struct {
 	conn     netpoll.Connection
 	pool     *bufferPool
@@ -141,9 +143,9 @@
 	writePause   = time.Millisecond
 )
 
-// write has netpoll send b. What it could not send for a moment stays in its buffer and is sent again. Guards against a
-// response that is lost with its connection over a lack of memory that passes. See the rows of write in
-// docs/design/failures.md.
+// write has netpoll send b. What it could not send for a moment stays in its buffer and is sent again. Guards against
+// a response that is lost with its connection over a lack of memory that passes. It holds as netpoll keeps what it
+// could not send. See rows "write: EINTR, ENOBUFS, ENOMEM" and "write: any other" in docs/design/failures.md.
 func (w *writer) write(b []byte) error {
 	// Write holds netpoll's own lock against a close from the other side; its Writer does not.
 	_, err := w.conn.Write(b)
