--- a/internal/harness/client.go
+++ b/internal/harness/client.go
@@ -17,26 +17,41 @@
 
 // What the demo and the rig say to a node: its start-up file, and reqs as a sidecar sends them.
 
-// nodeConfig makes a node's start-up file for emulated classes; the named one is uniqued.
-func nodeConfig(name, listen, kernel, store, control string, cores, tenants int, all []simulation.Class, uniqued string) ([]byte, error) {
+// nodeSetUp is what a node's start-up file is made from.
+type nodeSetUp struct {
+	name, listen, kernel, store, control string // addresses but for the name
+	cores, tenants                       int
+	classes                              []simulation.Class
+	keyed                                string        // the class whose requests have idempotency keys
+	window                               time.Duration // of those; 0: keyedWindow
+}
+
+// keyedWindow is the idempotency window of emulated fleets.
+const keyedWindow = 20 * time.Second
+
+// nodeConfig makes a node's start-up file for emulated classes.
+func nodeConfig(n nodeSetUp) ([]byte, error) {
+	if n.window == 0 {
+		n.window = keyedWindow
+	}
 	var classes, customers []map[string]any
-	for k := range all {
-		c := &all[k]
+	for k := range n.classes {
+		c := &n.classes[k]
 		one := map[string]any{"name": c.Name, "gain": c.Handler.Value, "give_up": int(c.Handler.Timeout) * 100,
 			"promise": int(c.Handler.LatencyObjective) * 100, "semantics": "idempotent"}
-		if c.Name == uniqued {
-			one["semantics"], one["window"] = "deduplicated", 20_000_000
+		if c.Name == n.keyed {
+			one["semantics"], one["window"] = "deduplicated", n.window.Microseconds()
 		}
 		classes = append(classes, one)
 	}
-	for i := 0; i < tenants; i++ {
+	for i := range n.tenants {
 		customers = append(customers, map[string]any{"name": fmt.Sprint("t", i), "quota_per_s": 100})
 	}
-	return json.Marshal(map[string]any{"name": name, "listen": listen, "kernel": kernel, "store": store,
-		"control": control, "seed": "1", "stop_ms": 2000,
+	return json.Marshal(map[string]any{"name": n.name, "listen": n.listen, "kernel": n.kernel, "store": n.store,
+		"control": n.control, "seed": "1", "stop_ms": 2000,
 		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 1024},
 		"settings": map[string]any{"classes": classes, "customers": customers, "fleet_size": 1, "granularity": 2000,
-			"family_info": map[string]any{"below": "tier", "cores": cores, "memory_kb": 500000, "run_factor": 2,
+			"family_info": map[string]any{"below": "tier", "cores": n.cores, "memory_kb": 500000, "run_factor": 2,
 				"key_kb": 1, "meters": []string{"core_use", "on_cores", "heap_share", "links"}, "preemption": "off",
 				"say": "off", "senders": 4, "idle": 30_000_000},
 			"invariants": map[string]any{"drain_grace": 500_000, "fall_multiple": 5},
--- a/internal/harness/control_processes.go
+++ b/internal/harness/control_processes.go
@@ -13,7 +13,6 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
@@ -27,9 +26,8 @@
 
 // instanceProcess is one instance as a process.
 type instanceProcess struct {
+	process
 	name, listen, peer, bind, file string
-	cmd                            *exec.Cmd
-	ended                          chan struct{}
 	fault                          string // what SIGUSR2 brings, "" for plain SIGKILL
 }
 
@@ -41,8 +39,6 @@
 	http         *http.Client
 	out          *os.File
 	board        *forwarders
-	mu           sync.Mutex // held while a process starts, so that none does once closed is set
-	closed       bool
 }
 
 // hosts numbers loopback addresses so that no two instances of a run share one. A port out of the range that
@@ -60,8 +56,7 @@
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128,
 			DialContext: (&net.Dialer{Timeout: 200 * time.Millisecond}).DialContext}}}
 	var err error
-	if c.out, err = os.OpenFile(filepath.Join(dir, "instances.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY,
-		0o600); err != nil {
+	if c.out, err = openLog(filepath.Join(dir, "instances.log")); err != nil {
 		return nil, err
 	}
 	for i := 0; i < size; i++ {
@@ -137,64 +132,26 @@
 		name), start, p.peer, p.bind, p.listen, extra)), 0o600)
 }
 
+// start runs an instance; fault is what SIGUSR2 brings, "" for nothing.
 func (c *controlProcesses) start(p *instanceProcess, fault string) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closed {
-		return errors.New("the group's processes are being ended")
-	}
-	p.cmd = exec.Command(c.program, "control", "run", "--file", p.file)
-	p.cmd.Stderr = c.out
-	p.cmd.Env = append(append(os.Environ(), faultEnv+"="+fault), c.env...)
-	p.fault, p.ended = fault, make(chan struct{})
-	if err := p.cmd.Start(); err != nil {
-		return err
-	}
-	go func(cmd *exec.Cmd, ended chan struct{}) { cmd.Wait(); close(ended) }(p.cmd, p.ended)
-	return nil
-}
-
-func (p *instanceProcess) pid() int { return p.cmd.Process.Pid }
-
-// restartEnded starts again what ends, two seconds later, until the context does.
-func (c *controlProcesses) restartEnded(ctx context.Context) {
-	var wg sync.WaitGroup
-	for _, p := range c.procs {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for {
-				select {
-				case <-ctx.Done():
-					return
-				case <-p.ended:
-				}
-				select {
-				case <-ctx.Done():
-					return
-				case <-time.After(2 * time.Second):
-				}
-				if c.start(p, "") != nil {
-					return
-				}
-			}
-		}()
-	}
-	wg.Wait()
+	cmd := exec.Command(c.program, "control", "run", "--file", p.file)
+	cmd.Stderr = c.out
+	cmd.Env = append(append(os.Environ(), faultEnv+"="+fault), c.env...)
+	p.fault = fault
+	return p.process.start(cmd)
 }
 
 // kill ends a process at its step, or at once, and waits until it is gone.
 func (c *controlProcesses) kill(p *instanceProcess) {
 	if p.fault != "" && p.fault != diskStalls {
-		p.cmd.Process.Signal(syscall.SIGUSR2)
+		p.signal(syscall.SIGUSR2)
 		select {
-		case <-p.ended:
+		case <-p.done():
 			return
 		case <-time.After(2 * time.Second): // the step did not come
 		}
 	}
-	p.cmd.Process.Kill()
-	<-p.ended
+	p.process.kill()
 }
 
 // cutOff is a fault of the lines between processes, beside those that a process brings on itself.
@@ -214,7 +171,7 @@
 		c.board.partition(p.name, others, true, true)
 		return false
 	case p.fault == diskStalls:
-		p.cmd.Process.Signal(syscall.SIGUSR2)
+		p.signal(syscall.SIGUSR2)
 		return false
 	}
 	c.kill(p)
@@ -223,14 +180,8 @@
 
 // close ends all processes; none is started from then on.
 func (c *controlProcesses) close() {
-	c.mu.Lock()
-	c.closed = true
-	c.mu.Unlock()
 	for _, p := range c.procs {
-		if p.cmd != nil && p.cmd.Process != nil {
-			p.cmd.Process.Kill()
-			<-p.ended
-		}
+		p.close()
 	}
 	c.out.Close()
 	c.board.close()
--- a/internal/harness/demo.go
+++ b/internal/harness/demo.go
@@ -113,8 +113,8 @@
 	if err != nil {
 		return nil, err
 	}
-	defer control.ln.Close()
-	signals, ended, err := o.startNode(control.ln.Addr().String(), below)
+	defer control.close()
+	signals, ended, err := o.startNode(control.addr(), below)
 	if err != nil {
 		return nil, err
 	}
@@ -147,8 +147,9 @@
 	}
 	defer os.RemoveAll(dir)
 	o.addr = loopback(8080)
-	raw, err := nodeConfig("demo", o.addr, o.kernel.ln.Addr().String(), below, control, o.s.Cores, o.s.Tenants, o.s.Classes,
-		o.s.Classes[o.s.Dearest].Name)
+	raw, err := nodeConfig(nodeSetUp{name: "demo", listen: o.addr, kernel: o.kernel.ln.Addr().String(), store: below,
+		control: control, cores: o.s.Cores, tenants: o.s.Tenants, classes: o.s.Classes,
+		keyed: o.s.Classes[o.s.Dearest].Name})
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/harness/emulated_kernel.go
+++ b/internal/harness/emulated_kernel.go
@@ -34,6 +34,7 @@
 	calls   bool                     // each run calls below once, in the middle of its work
 	begins  func(body []byte) []byte // told each run as it begins, and gives its result; nil: "done" for all
 	dead    bool
+	wg      sync.WaitGroup // of what accepts, works and serves links
 }
 
 type kernelRun struct {
@@ -63,20 +64,22 @@
 		c := classes[i]
 		k.classes[c.Name] = &c
 	}
-	go k.accept()
-	go k.work()
+	k.wg.Go(k.accept)
+	k.wg.Go(k.work)
 	return k, nil
 }
 
-// Close ends it.
+// Close ends it and waits for its goroutines.
 func (k *EmulatedKernel) Close() {
 	close(k.stop)
 	k.ln.Close()
 	k.mu.Lock()
+	k.dead = true
 	if k.link != nil {
 		k.link.Close()
 	}
 	k.mu.Unlock()
+	k.wg.Wait()
 }
 
 // Set changes a class, or the cores, while it goes on.
@@ -145,7 +148,7 @@
 		}
 		k.link = c
 		k.mu.Unlock()
-		go k.serve(c)
+		k.wg.Go(func() { k.serve(c) })
 	}
 }
 
--- a/internal/harness/fleet_ask.go
+++ b/internal/harness/fleet_ask.go
@@ -80,7 +80,7 @@
 			return err
 		}
 		for _, n := range r.nodes {
-			if n.down || n.stopped {
+			if !n.up() {
 				continue
 			}
 			v, ok := all[n.name]
--- a/internal/harness/fleet_processes.go
+++ b/internal/harness/fleet_processes.go
@@ -2,18 +2,11 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
-	"os"
-	"os/exec"
-	"path/filepath"
-	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"umberwinch/internal/control/consensus"
@@ -44,17 +37,18 @@
 // FleetProcesses is a fleet at work.
 type FleetProcesses struct {
 	FleetProcessesPlan
-	group  *controlProcesses
-	nodes  []*nodeProcess
-	ready  *readiness
-	client *http.Client
-	events []simulation.FleetEvent // the rig's own: kills and stops
-	mu     sync.Mutex
-	loads  sync.WaitGroup
-	ending context.CancelFunc
-	ctx    context.Context
-	seq    int
-	closed sync.Once
+	group      *controlProcesses
+	nodes      []*nodeProcess
+	ready      *readiness
+	client     *http.Client
+	events     []simulation.FleetEvent // the rig's own: kills and stops
+	mu         sync.Mutex
+	loads      sync.WaitGroup
+	background sync.WaitGroup // what starts processes again
+	ending     context.CancelFunc
+	ctx        context.Context
+	seq        int
+	closed     sync.Once
 	// ms from a change's first step to its being in force, by the instances' logs, as of the last History: the group's own
 	// time stands between beats, so it can't tell.
 	inForce map[uint64]float64
@@ -70,19 +64,6 @@
 	belowFill    = 200
 )
 
-// nodeProcess is one node's process with its kernel.
-type nodeProcess struct {
-	r                   *FleetProcesses
-	name, zone          string
-	listen, front       string
-	folder, config, ini string
-	log                 *os.File
-	cmd                 *exec.Cmd
-	ended               chan struct{}
-	kernel              *EmulatedKernel
-	down, stopped       bool
-}
-
 // rigClasses are the reqs of a rig: light, so that a dozen nodes fit a small machine.
 const rigClasses = `cores 4
 tenants 2
@@ -92,46 +73,9 @@
 cheapest view
 dearest submit`
 
-// readiness is the platform's list: who said Ready within the last three seconds.
-type readiness struct {
-	mu   sync.Mutex
-	said map[string]time.Time // ready, and when it said so last
-	ln   net.Listener
-}
-
-func newReadiness() (*readiness, error) {
-	ln, err := net.Listen("tcp", loopback(7500))
-	if err != nil {
-		return nil, err
-	}
-	p := &readiness{said: map[string]time.Time{}, ln: ln}
-	go http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var said struct {
-			Condition string `json:"condition"`
-		}
-		json.NewDecoder(io.LimitReader(r.Body, 4096)).Decode(&said)
-		p.mu.Lock()
-		if name := filepath.Base(r.URL.Path); said.Condition == "Ready" {
-			p.said[name] = time.Now()
-		} else {
-			delete(p.said, name)
-		}
-		p.mu.Unlock()
-		w.WriteHeader(http.StatusNoContent)
-	}))
-	return p, nil
-}
-
-func (p *readiness) is(name string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	t, ok := p.said[name]
-	return ok && time.Since(t) < 3*time.Second
-}
-
 // NewFleetProcesses starts a group and its nodes and waits until all nodes serve.
 func NewFleetProcesses(ctx context.Context, plan FleetProcessesPlan) (*FleetProcesses, error) {
-	r := &FleetProcesses{FleetProcessesPlan: plan, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
+	r := &FleetProcesses{FleetProcessesPlan: plan, stores: map[string]*EmulatedStore{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
 		IdleConnTimeout: 5 * time.Second, DialContext: (&net.Dialer{Timeout: 300 * time.Millisecond}).DialContext}}}
 	r.ctx, r.ending = context.WithCancel(ctx)
 	if err := r.startAll(ctx); err != nil {
@@ -147,6 +91,11 @@
 	if r.group, err = newControlProcesses(ctx, r.Program, r.Dir, r.Instances, extra, WithoutEnv+"="+r.Without); err != nil {
 		return err
 	}
+	if r.Keep {
+		for _, p := range r.group.procs {
+			r.background.Go(func() { p.keepRunning(r.ctx, func() error { return r.group.start(p, "") }) })
+		}
+	}
 	if r.ready, err = newReadiness(); err != nil {
 		return err
 	}
@@ -164,9 +113,12 @@
 		if err != nil {
 			return err
 		}
-		if err = n.start(); err != nil {
+		if err = n.Start(); err != nil {
 			return err
 		}
+		if r.Keep {
+			r.background.Go(func() { n.proc.keepRunning(r.ctx, n.Start) })
+		}
 	}
 	return r.AllServe(0, time.Minute)
 }
@@ -180,10 +132,9 @@
 func (r *FleetProcesses) close() {
 	r.ending()
 	r.loads.Wait()
+	r.background.Wait()
 	for _, n := range r.nodes {
-		n.Kill()
-		n.kernel.Close()
-		n.log.Close()
+		n.close()
 	}
 	for _, s := range r.stores { // each is ended alone
 		s.Close()
@@ -192,166 +143,17 @@
 		r.group.close()
 	}
 	if r.ready != nil {
-		r.ready.ln.Close()
+		r.ready.close()
 	}
 	r.client.CloseIdleConnections()
 }
 
-func (r *FleetProcesses) add(i int) (*nodeProcess, error) {
-	n := &nodeProcess{r: r, name: fmt.Sprintf("n%d", i+1), zone: fmt.Sprintf("z%d", 1+i%3), listen: loopback(8080)}
-	s, err := simulation.ReadScenario("fleet", rigClasses)
-	if err != nil {
-		return nil, err
-	}
-	if n.kernel, err = NewEmulatedKernel(loopback(7400), r.Seed+int64(i), float64(s.Cores), s.Classes,
-		5*time.Millisecond); err != nil {
-		return nil, err
-	}
-	store, at := "", ""
-	if r.Below {
-		n.kernel.calls = true
-		if r.stores == nil {
-			r.stores = map[string]*EmulatedStore{}
-		}
-		if r.stores[n.zone] == nil {
-			if r.stores[n.zone], err = NewEmulatedStore(loopback(9042), r.Seed+int64(i), belowWorkers, belowCost, belowCold,
-				belowFill); err != nil {
-				return nil, err
-			}
-		}
-		store = r.stores[n.zone].ln.Addr().String()
-		peers, err := r.group.board.faultBetween("peers", n.name, n.listen)
-		if err != nil {
-			return nil, err
-		}
-		at = "at = " + peers + "\n"
-	}
-	if n.front, err = r.group.board.faultBetween("callers", n.name, n.listen); err != nil {
-		return nil, err
-	}
-	var control []string
-	for _, p := range r.group.procs {
-		at, err := r.group.board.faultBetween(n.name, p.name, p.listen)
-		if err != nil {
-			return nil, err
-		}
-		control = append(control, at)
-	}
-	classes := s.Classes
-	if r.Odd == i+1 {
-		classes = append(append([]simulation.Class{}, s.Classes[0]), s.Classes[2])
-	}
-	raw, err := nodeConfig(n.name, n.listen, n.kernel.ln.Addr().String(), store, r.ready.ln.Addr().String(), s.Cores, s.Tenants,
-		classes, "submit")
-	if err != nil {
-		return nil, err
-	}
-	n.config, n.ini = filepath.Join(r.Dir, n.name+".json"), filepath.Join(r.Dir, n.name+".ini")
-	if err = os.WriteFile(n.config, raw, 0o600); err != nil {
-		return nil, err
-	}
-	folder := ""
-	if r.Folders {
-		n.folder = filepath.Join(r.Dir, n.name)
-		if err = os.MkdirAll(n.folder, 0o700); err != nil {
-			return nil, err
-		}
-		folder = "folder = " + n.folder + "\n"
-	}
-	if err = os.WriteFile(n.ini, []byte(fmt.Sprintf("[log]\nform = json\n[fleet]\ncontrol = %s\nzone = %s\n%s%s",
-		strings.Join(control, ", "), n.zone, at, folder)), 0o600); err != nil {
-		return nil, err
-	}
-	if n.log, err = os.OpenFile(filepath.Join(r.Dir, n.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY,
-		0o600); err != nil {
-		return nil, err
-	}
-	r.nodes = append(r.nodes, n)
-	return n, nil
-}
-
-// nodeCommand runs a node: by the program beside umberctl, or by umberctl's hidden command.
-func nodeCommand(umberctl string) *exec.Cmd {
-	if program := filepath.Join(filepath.Dir(umberctl), "umberwinch"); fileThere(program) {
-		return exec.Command(program)
-	}
-	return exec.Command(umberctl, "node")
-}
-
-func fileThere(path string) bool {
-	_, err := os.Stat(path)
-	return err == nil
-}
-
-// start runs the node's program.
-func (n *nodeProcess) start() error {
-	n.cmd = nodeCommand(n.r.Program)
-	n.cmd.Stderr = n.log
-	n.cmd.Env = append(os.Environ(), "NODE_CONFIG="+n.config, "UMBERWINCH_FILE="+n.ini, WithoutEnv+"="+n.r.Without)
-	n.ended, n.down, n.stopped = make(chan struct{}), false, false
-	if err := n.cmd.Start(); err != nil {
-		return err
-	}
-	go func(cmd *exec.Cmd, ended chan struct{}) {
-		cmd.Wait()
-		n.r.event("stops", n.name)
-		close(ended)
-		if n.r.Keep {
-			select {
-			case <-n.r.ctx.Done():
-			case <-time.After(2 * time.Second): // the platform's pace
-				n.r.mu.Lock() // Kill waits for it, and then finds the process that was started
-				defer n.r.mu.Unlock()
-				if !n.down && n.r.ctx.Err() == nil {
-					n.start()
-				}
-			}
-		}
-	}(n.cmd, n.ended)
-	return nil
-}
-
 func (r *FleetProcesses) event(kind, node string) {
 	r.mu.Lock()
 	r.events = append(r.events, simulation.FleetEvent{At: time.Now().UnixMicro() / 100, Kind: kind, Node: node})
 	r.mu.Unlock()
 }
 
-// Kill ends a node as kill -9 does, and keeps it down.
-func (n *nodeProcess) Kill() {
-	n.r.mu.Lock()
-	n.down = true
-	n.r.mu.Unlock()
-	if n.cmd != nil && n.cmd.Process != nil {
-		n.cmd.Process.Kill()
-		<-n.ended
-	}
-}
-
-// Start begins a node that is down.
-func (n *nodeProcess) Start() error { return n.start() }
-
-// Drain ends it with the platform's notice, and keeps it down.
-func (n *nodeProcess) Drain() {
-	n.r.mu.Lock()
-	n.down = true
-	n.r.mu.Unlock()
-	n.cmd.Process.Signal(syscall.SIGTERM)
-}
-
-// Stop has it stand still, Go on go on as if nothing was.
-func (n *nodeProcess) Stop() {
-	n.cmd.Process.Signal(syscall.SIGSTOP)
-	n.stopped = true
-	n.r.event("pause", n.name)
-}
-
-func (n *nodeProcess) GoOn() {
-	n.r.event("resume", n.name)
-	n.stopped = false
-	n.cmd.Process.Signal(syscall.SIGCONT)
-}
-
 // cutOff parts nodes from all instances, both ways; heal ends every trouble of the lines.
 func (r *FleetProcesses) cutOff(nodes ...*nodeProcess) {
 	r.setLinkFault(linkFault{cut: true}, nodes...)
--- a/internal/harness/fleet_processes_test.go
+++ b/internal/harness/fleet_processes_test.go
@@ -294,7 +294,7 @@
 	}
 	s.Classes[0].Handler.Timeout = 10_000 // a second: three at once, then after 30, 90, 210, 450 and 930 ms
 	for _, eager := range []bool{false, true} {
-		r := &FleetProcesses{FleetProcessesPlan: FleetProcessesPlan{Eager: eager}, ready: &readiness{said: map[string]time.Time{"n1": time.Now()}}, client: busy.Client()}
+		r := &FleetProcesses{FleetProcessesPlan: FleetProcessesPlan{Eager: eager}, ready: &readiness{readyAt: map[string]time.Time{"n1": time.Now()}}, client: busy.Client()}
 		r.nodes = []*nodeProcess{{name: "n1", front: strings.TrimPrefix(busy.URL, "http://")}}
 		c := &CallResults{}
 		r.call(c, &s.Classes[0], false, 0, 0)
--- a/internal/harness/forwarders.go
+++ b/internal/harness/forwarders.go
@@ -22,10 +22,13 @@
 	conns map[net.Conn][2]string
 	wg    sync.WaitGroup
 	ls    []net.Listener
+	open  map[net.Conn]bool // what was accepted and has not ended
+	ended bool
 }
 
 func newForwarders() *forwarders {
-	return &forwarders{cut: map[[2]string]bool{}, fault: map[[2]string]linkFault{}, conns: map[net.Conn][2]string{}}
+	return &forwarders{cut: map[[2]string]bool{}, fault: map[[2]string]linkFault{}, conns: map[net.Conn][2]string{},
+		open: map[net.Conn]bool{}}
 }
 
 // front forwards what comes to a listener to an instance.
@@ -44,12 +47,33 @@
 			if err != nil {
 				return
 			}
+			if !s.hold(c) {
+				c.Close()
+				return
+			}
 			s.wg.Add(1)
-			go func() { defer s.wg.Done(); take(c) }()
+			go func() { defer s.wg.Done(); defer s.release(c); take(c) }()
 		}
 	}()
 }
 
+// hold notes a connection for close; false: the forwarders are closed.
+func (s *forwarders) hold(c net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.ended {
+		s.open[c] = true
+	}
+	return !s.ended
+}
+
+func (s *forwarders) release(c net.Conn) {
+	c.Close()
+	s.mu.Lock()
+	delete(s.open, c)
+	s.mu.Unlock()
+}
+
 // forward reads the greeting to learn who dials, then copies both ways until either side ends or the two are
 // parted.
 func (s *forwarders) forward(c net.Conn, name, to string) {
@@ -249,13 +273,16 @@
 	}
 }
 
+// close ends all connections and waits for what forwards them. The processes behind them have ended before.
 func (s *forwarders) close() {
 	for _, l := range s.ls {
 		l.Close()
 	}
 	s.mu.Lock()
-	for c := range s.conns {
+	s.ended = true
+	for c := range s.open {
 		c.Close()
 	}
 	s.mu.Unlock()
+	s.wg.Wait()
 }
--- a/internal/harness/local_fleet.go
+++ b/internal/harness/local_fleet.go
@@ -37,7 +37,6 @@
 		return err
 	}
 	defer r.Close()
-	go r.group.restartEnded(run)
 	number, version, err := r.Propose(policyText(5*time.Second, "fence", 1, ""), policy.Proposal{Reason: "the first"})
 	if err == nil {
 		_, err = r.Step(number, 30*time.Second, policy.Settled)
@@ -63,7 +62,7 @@
 		fmt.Fprintf(w, "  control %s  pid %d  at %s\n", p.name, p.pid(), p.listen)
 	}
 	for _, n := range r.nodes {
-		fmt.Fprintf(w, "  node %s of %s  pid %d  at %s\n", n.name, n.zone, n.cmd.Process.Pid, n.listen)
+		fmt.Fprintf(w, "  node %s of %s  pid %d  at %s\n", n.name, n.zone, n.proc.pid(), n.listen)
 	}
 	fmt.Fprintln(w, "what ends is started again after two seconds; Ctrl-C ends all")
 	calls := r.Load(ctx, max(l.Rate, 0.001))
--- a/internal/harness/policy_cases.go
+++ b/internal/harness/policy_cases.go
@@ -63,7 +63,7 @@
 		n := b.nodes[3%len(b.nodes)]
 		n.Stop()
 		defer func() {
-			if n.stopped {
+			if !n.up() {
 				n.GoOn()
 			}
 		}()
@@ -178,7 +178,7 @@
 		}))
 		b.heal()
 		b.settles(c)
-		<-n.ended
+		<-n.proc.done()
 		must(n.Start())
 		b.allServe(c.version)
 	}},
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -369,7 +369,7 @@
 	}},
 	{name: "a paused majority of the old generation goes on", may: allZones, run: func(b *zoneBench) {
 		gen := b.gen()
-		b.others(func(p *instanceProcess) { p.cmd.Process.Signal(syscall.SIGSTOP) })
+		b.others(func(p *instanceProcess) { p.signal(syscall.SIGSTOP) })
 		b.down(b.group.procs[0])
 		b.recovers()
 		b.allServe(b.force)
@@ -377,7 +377,7 @@
 		for _, n := range b.nodes {
 			before[n.name] = b.followed(n.name, gen)
 		}
-		b.others(func(p *instanceProcess) { p.cmd.Process.Signal(syscall.SIGCONT) })
+		b.others(func(p *instanceProcess) { p.signal(syscall.SIGCONT) })
 		// Without a word of the new one they ask the old one, which leads by a majority of its own.
 		for _, n := range b.nodes {
 			b.group.board.set(n.name, b.group.procs[0].name, linkFault{cut: true})
--- a/internal/harness/result_store.go
+++ b/internal/harness/result_store.go
@@ -1,14 +1,12 @@
 package harness
 
 import (
-	"bytes"
 	"context"
 	"fmt"
 	"io"
 	"math/rand"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -64,6 +62,7 @@
 	dir, listen     string
 	program         string
 	env             []string
+	node            process
 	kernel          *EmulatedKernel
 	store           *EmulatedStore
 	control         *readiness
@@ -104,12 +103,12 @@
 	if r.control, err = newReadiness(); err != nil {
 		return nil, err
 	}
-	raw, err := nodeConfig("kept", r.listen, r.kernel.ln.Addr().String(), r.store.ln.Addr().String(),
-		r.control.ln.Addr().String(), s.Cores, s.Tenants, s.Classes, "submit")
+	raw, err := nodeConfig(nodeSetUp{name: "kept", listen: r.listen, kernel: r.kernel.ln.Addr().String(),
+		store: r.store.ln.Addr().String(), control: r.control.addr(), cores: s.Cores, tenants: s.Tenants,
+		classes: s.Classes, keyed: "submit", window: window})
 	if err != nil {
 		return nil, err
 	}
-	raw = bytes.Replace(raw, []byte(`"window":20000000`), []byte(fmt.Sprintf(`"window":%d`, window.Microseconds())), 1)
 	folder := filepath.Join(dir, "folder")
 	if err = os.MkdirAll(folder, 0o700); err != nil {
 		return nil, err
@@ -133,9 +132,10 @@
 }
 
 func (r *resultStoreProcesses) close() {
+	r.node.close()
 	r.kernel.Close()
 	r.store.Close()
-	r.control.ln.Close()
+	r.control.close()
 	r.client.CloseIdleConnections()
 }
 
@@ -170,21 +170,16 @@
 }
 
 // start runs the node; die names a point and a count, or is empty.
-func (r *resultStoreProcesses) start(die string) (*exec.Cmd, chan struct{}, error) {
+func (r *resultStoreProcesses) start(die string) error {
 	cmd := nodeCommand(r.program)
 	cmd.Env = append(slices.Clip(r.env), "UMBERWINCH_DIE_AT="+die)
-	log, err := os.OpenFile(filepath.Join(r.dir, "node.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := openLog(filepath.Join(r.dir, "node.log"))
 	if err != nil {
-		return nil, nil, err
+		return err
 	}
 	defer log.Close()
 	cmd.Stderr = log
-	if err = cmd.Start(); err != nil {
-		return nil, nil, err
-	}
-	ended := make(chan struct{})
-	go func() { cmd.Wait(); close(ended) }()
-	return cmd, ended, nil
+	return r.node.start(cmd)
 }
 
 // tear leaves part of a write that was never synced at the log's end.
@@ -232,8 +227,7 @@
 		default:
 			at = time.Duration(30+r.chance.Intn(170)) * time.Millisecond
 		}
-		cmd, ended, err := r.start(die)
-		if err != nil {
+		if err := r.start(die); err != nil {
 			return err
 		}
 		r.mu.Lock()
@@ -244,7 +238,7 @@
 			wait = time.After(3 * time.Second) // so many runs may not come
 		}
 		select {
-		case <-ended:
+		case <-r.node.done():
 			if at > 0 {
 				return fmt.Errorf("the node ended by itself; the end of its log: %s", r.tail())
 			}
@@ -256,11 +250,10 @@
 		r.client.CloseIdleConnections()
 		r.client = keptClient()
 		r.mu.Unlock()
-		cmd.Process.Kill()
-		<-ended
+		r.node.kill()
 		r.kills++
 		if r.chance.Float64() < 0.2 {
-			if err = r.tear(); err != nil {
+			if err := r.tear(); err != nil {
 				return err
 			}
 		}
--- a/internal/harness/result_store_cost.go
+++ b/internal/harness/result_store_cost.go
@@ -54,11 +54,9 @@
 		}
 		*cores = 1000
 	})
-	cmd, ended, err := r.start("")
-	if err != nil {
+	if err := r.start(""); err != nil {
 		return err
 	}
-	defer func() { cmd.Process.Kill(); <-ended }()
 	for end := time.Now().Add(5 * time.Second); ; {
 		if code, _, _ := r.send(ctx, r.client, "submit", newKey(), false); code == http.StatusOK {
 			break
@@ -73,7 +71,7 @@
 		var mu sync.Mutex
 		var all sync.WaitGroup
 		began := time.Now()
-		cpu, _ := cpuOf(cmd.Process.Pid)
+		cpu, _ := cpuOf(r.node.pid())
 		for range callers {
 			all.Add(1)
 			go func() {
@@ -91,7 +89,7 @@
 			}()
 		}
 		all.Wait()
-		after, _ := cpuOf(cmd.Process.Pid)
+		after, _ := cpuOf(r.node.pid())
 		key := fmt.Sprintf("%s, %d callers, %s", name, callers, class)
 		rep.Add(key, "%.0f a second, median %.2f ms, 99th %.2f ms, %.0f us of CPU each", float64(done)/time.Since(began).Seconds(),
 			float64(took.ValueAtQuantile(50))/1000, float64(took.ValueAtQuantile(99))/1000,
