--- a/internal/harness/emulated_store.go
+++ b/internal/harness/emulated_store.go
@@ -39,6 +39,9 @@
 // busyAfter is how long a call may have to wait; then it is told BUSY at once.
 const busyAfter = 2 * time.Second
 
+// maxStoreBody is the largest body of a call, in bytes.
+const maxStoreBody = 1 << 20
+
 // NewEmulatedStore listens on an address.
 func NewEmulatedStore(addr string, seed int64, workers int, cost time.Duration, cold, fill float64) (*EmulatedStore, error) {
 	ln, err := net.Listen("tcp", addr)
@@ -131,6 +134,20 @@
 	return sum / max(1, float64(time.Since(s.from)/(100*time.Millisecond))-float64(from))
 }
 
+// storeConn is one connection to the store.
+type storeConn struct {
+	s   *EmulatedStore
+	c   net.Conn
+	out sync.Mutex // one answer is written at a time
+}
+
+// storeCall is one call of a node.
+type storeCall struct {
+	id   string
+	body []byte
+}
+
+// serve reads commands until the connection ends or says something that is none.
 func (s *EmulatedStore) serve(c net.Conn) {
 	defer func() {
 		c.Close()
@@ -138,14 +155,7 @@
 		delete(s.conns, c)
 		s.mu.Unlock()
 	}()
-	var out sync.Mutex
-	say := func(line string) {
-		out.Lock()
-		defer out.Unlock()
-		c.SetWriteDeadline(time.Now().Add(time.Second))
-		io.WriteString(c, line)
-	}
-	lines := bufio.NewReader(c)
+	conn, lines := &storeConn{s: s, c: c}, bufio.NewReader(c)
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
@@ -156,44 +166,67 @@
 		fmt.Sscan(line, &verb, &id, &wait, &size)
 		switch {
 		case verb == "DROP":
-			s.mu.Lock()
-			s.gone[id] = true
-			s.mu.Unlock()
-			continue
-		case verb != "CALL" || size < 0 || size > 1<<20:
-			return
-		}
-		body := make([]byte, size+2)
-		if _, err = io.ReadFull(lines, body); err != nil {
+			s.drop(id)
+		case verb != "CALL" || size < 0 || size > maxStoreBody:
 			return
-		}
-		s.mu.Lock()
-		s.calls++
-		delete(s.gone, id)
-		cost := time.Duration(float64(s.cost) * (1 + (s.cold-1)*(1-s.warm)) / s.speed)
-		done, waits := s.work(cost)
-		fails := s.r.Float64() < s.fails
-		s.mu.Unlock()
-		if waits > busyAfter {
-			say(id + " BUSY\r\n")
-			continue
-		}
-		time.AfterFunc(time.Until(done), func() {
-			s.mu.Lock()
-			s.warm = min(1, s.warm+1/s.fill)
-			gone := s.gone[id]
-			delete(s.gone, id)
-			if s.heard != nil && !gone && !fails {
-				s.heard(body[:size])
-			}
-			s.mu.Unlock()
-			switch {
-			case gone:
-			case fails:
-				say(id + " ERR\r\n")
-			default:
-				say(id + " OK 4\r\nread\r\n")
+		default:
+			body := make([]byte, size+2)
+			if _, err = io.ReadFull(lines, body); err != nil {
+				return
 			}
-		})
+			conn.begin(storeCall{id, body[:size]})
+		}
+	}
+}
+
+// drop has a call that is under way go without an answer or an effect.
+func (s *EmulatedStore) drop(id string) {
+	s.mu.Lock()
+	s.gone[id] = true
+	s.mu.Unlock()
+}
+
+// begin gives a call its place among the workers and answers it when its time has come, or at once where it would wait
+// too long.
+func (c *storeConn) begin(call storeCall) {
+	s := c.s
+	s.mu.Lock()
+	s.calls++
+	delete(s.gone, call.id)
+	cost := time.Duration(float64(s.cost) * (1 + (s.cold-1)*(1-s.warm)) / s.speed)
+	done, waits := s.work(cost)
+	fails := s.r.Float64() < s.fails
+	s.mu.Unlock()
+	if waits > busyAfter {
+		c.answer(call.id + " BUSY\r\n")
+		return
+	}
+	time.AfterFunc(time.Until(done), func() { c.end(call, fails) })
+}
+
+// end carries a call out and answers it.
+func (c *storeConn) end(call storeCall, fails bool) {
+	s := c.s
+	s.mu.Lock()
+	s.warm = min(1, s.warm+1/s.fill)
+	gone := s.gone[call.id]
+	delete(s.gone, call.id)
+	if s.heard != nil && !gone && !fails {
+		s.heard(call.body)
 	}
+	s.mu.Unlock()
+	switch {
+	case gone:
+	case fails:
+		c.answer(call.id + " ERR\r\n")
+	default:
+		c.answer(call.id + " OK 4\r\nread\r\n")
+	}
+}
+
+func (c *storeConn) answer(line string) {
+	c.out.Lock()
+	defer c.out.Unlock()
+	c.c.SetWriteDeadline(time.Now().Add(time.Second))
+	io.WriteString(c.c, line)
 }
--- a/internal/harness/fleet_load.go
+++ b/internal/harness/fleet_load.go
@@ -114,66 +114,106 @@
 	return 0
 }
 
-// call is one req with its tries.
+// clientCall is one req with its attempts.
+type clientCall struct {
+	r               *FleetProcesses
+	class           *simulation.Class
+	key             string // empty: it has none
+	tenant, sender  int
+	first           int // the node that is asked first
+	began, deadline time.Time
+	backoff         time.Duration // before the next attempt, once there were some
+	code            int           // of the last answer, 0: there was none
+	attempts        int
+	last            *nodeProcess
+}
+
+// call sends one req and notes what became of it.
 func (r *FleetProcesses) call(c *CallResults, class *simulation.Class, keyed bool, tenant, first int) {
 	began := time.Now()
-	end := began.Add(time.Duration(class.Handler.Timeout) * 100 * time.Microsecond)
-	key := ""
+	q := &clientCall{r: r, class: class, tenant: tenant, first: first, began: began, backoff: firstGap,
+		deadline: began.Add(time.Duration(class.Handler.Timeout) * 100 * time.Microsecond),
+		sender:   first*131 + tenant*17 + int(began.UnixNano()>>10)%64}
 	if keyed {
-		key = newKey()
+		q.key = newKey()
 	}
-	code, tries := 0, 0
-	var last *nodeProcess
-	sender := first*131 + tenant*17 + int(began.UnixNano()>>10)%64
-	gap := firstGap
-	for k := 0; tries < maxTries && time.Now().Before(end) && code != http.StatusOK; k++ {
-		if k > 0 && k%len(r.nodes) == 0 {
+	q.run()
+	c.note(q)
+}
+
+// run asks one node after the other until one is done with it, its time is over, or asking on would be wrong.
+func (q *clientCall) run() {
+	nodes := q.r.nodes
+	for k := 0; q.attempts < maxTries && time.Now().Before(q.deadline) && q.code != http.StatusOK; k++ {
+		if k > 0 && k%len(nodes) == 0 {
 			time.Sleep(firstGap) // the list was gone through once
 		}
-		n := r.nodes[(first+k)%len(r.nodes)]
-		if !r.ready.is(n.name) || r.Odd == (first+k)%len(r.nodes)+1 && class.Name == "fill" {
+		i := (q.first + k) % len(nodes)
+		if !q.r.ready.is(nodes[i].name) || q.r.Odd == i+1 && q.class.Name == "fill" {
 			continue
 		}
-		if keyed && tries > 0 && code != http.StatusServiceUnavailable {
-			break // it may have run: elsewhere it would run again
-		}
-		if tries >= atOnce && !r.Eager {
-			if gap > time.Until(end) {
-				break // the next try would be for nobody
-			}
-			time.Sleep(gap)
-			gap *= 2
-		}
-		ctx, cancel := context.WithDeadline(context.Background(), end)
-		var told time.Duration
-		code, told = sendAttempt(ctx, r.client, n.front, class.Name, tenant, sender, key, tries > 0)
-		cancel()
-		tries++
-		last = n
-		if r.Patient && code == http.StatusServiceUnavailable {
-			time.Sleep(min(told, time.Until(end)))
+		if q.mayHaveRun() || !q.pause() {
+			return
 		}
+		q.attempt(nodes[i])
 	}
+}
+
+// mayHaveRun tells whether a keyed req may have run at the last node: elsewhere it would run again.
+func (q *clientCall) mayHaveRun() bool {
+	return q.key != "" && q.attempts > 0 && q.code != http.StatusServiceUnavailable
+}
+
+// pause waits before an attempt after the first ones, unless that would be for nobody: then it gives false.
+func (q *clientCall) pause() bool {
+	if q.attempts < atOnce || q.r.Eager {
+		return true
+	}
+	if q.backoff > time.Until(q.deadline) {
+		return false
+	}
+	time.Sleep(q.backoff)
+	q.backoff *= 2
+	return true
+}
+
+// attempt asks one node; a patient caller that is turned away waits for as long as it is told to.
+func (q *clientCall) attempt(n *nodeProcess) {
+	ctx, cancel := context.WithDeadline(context.Background(), q.deadline)
+	defer cancel()
+	var retryAfter time.Duration
+	q.code, retryAfter = sendAttempt(ctx, q.r.client, n.front, q.class.Name, q.tenant, q.sender, q.key, q.attempts > 0)
+	q.attempts++
+	q.last = n
+	if q.r.Patient && q.code == http.StatusServiceUnavailable {
+		time.Sleep(min(retryAfter, time.Until(q.deadline)))
+	}
+}
+
+// note counts what became of a req.
+func (c *CallResults) note(q *clientCall) {
+	took := time.Since(q.began)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Asked++
-	c.Tries += tries
-	if r.Below {
-		good := time.Since(began) <= time.Duration(class.Handler.LatencyObjective)*100*time.Microsecond && code == http.StatusOK
-		c.Each = append(c.Each, CallResult{time.Now(), last, code, class.Handler.Value, good, tries})
+	c.Tries += q.attempts
+	if q.r.Below {
+		objective := time.Duration(q.class.Handler.LatencyObjective) * 100 * time.Microsecond
+		c.Each = append(c.Each, CallResult{At: time.Now(), Node: q.last, Code: q.code, Value: q.class.Handler.Value,
+			Good: took <= objective && q.code == http.StatusOK, Tries: q.attempts})
 	}
-	switch {
-	case code == 0 && tries == 0: // nobody was ready in all its time
-		c.Shed++
-	}
-	switch code {
+	switch q.code {
 	case http.StatusOK:
 		c.Done++
-		c.Times = append(c.Times, float64(time.Since(began).Microseconds())/1000)
+		c.Times = append(c.Times, float64(took.Microseconds())/1000)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		c.Shed++
 	case 0:
-		c.Lost += min(tries, 1)
+		if q.attempts == 0 { // nobody was ready in all its time
+			c.Shed++
+		} else {
+			c.Lost++
+		}
 	default:
 		c.Errors++
 	}
--- a/internal/harness/zones_cost.go
+++ b/internal/harness/zones_cost.go
@@ -79,6 +79,7 @@
 // costShares are the shares of full service that are timed.
 var costShares = [3]float64{0.5, 0.95, 0.98}
 
+// cost has a failure begin and end, and gives what it came to.
 func (b *zoneBench) cost(c *CallResults, f *zoneFailure, p *costPlan) (out cost, err error) {
 	from := time.Now()
 	for _, s := range b.stores { // each is judged alone
@@ -96,9 +97,25 @@
 	if f.after > 0 {
 		over = f.after
 	}
+	out.whole = b.watchReturn(healed, over)
+	for _, s := range b.stores { // each is judged alone
+		out.peak = max(out.peak, s.Peak(healed))
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out.ofCalls(c.Each, from, healed)
+	for i, share := range costShares {
+		out.service[i] = serviceBack(c.Each, healed, over, share)
+	}
+	return out, nil
+}
+
+// watchReturn looks on for a while after a failure's end, and gives when zone z1 was in with all its nodes ready; 0: not
+// in that time.
+func (b *zoneBench) watchReturn(healed time.Time, over time.Duration) (whole time.Duration) {
 	for time.Since(healed) < over && b.ctx.Err() == nil {
 		b.sleep(20 * time.Millisecond)
-		if out.whole != 0 {
+		if whole != 0 {
 			continue
 		}
 		ready := true
@@ -106,21 +123,21 @@
 			ready = ready && b.ready.is(n.name)
 		}
 		if v, err := b.zone("z1"); ready && err == nil && v.Phase == zones.InService {
-			out.whole = time.Since(healed)
+			whole = time.Since(healed)
 		}
 	}
-	for _, s := range b.stores { // each is judged alone
-		out.peak = max(out.peak, s.Peak(healed))
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	return whole
+}
+
+// ofCalls takes from the calls since a failure's begin what callers got, and what the zones beside it did while it lasted.
+func (c *cost) ofCalls(each []CallResult, from, healed time.Time) {
 	all, good, asked, near, well := 0.0, 0.0, 0, 0.0, 0.0
-	for _, a := range c.Each {
+	for _, a := range each {
 		if a.At.Before(from) {
 			continue
 		}
 		asked++
-		out.tries += float64(a.Tries)
+		c.tries += float64(a.Tries)
 		all += a.Value
 		if a.Good {
 			good += a.Value
@@ -129,16 +146,12 @@
 			continue
 		}
 		if a.Node.zone == "z1" {
-			out.last = max(out.last, a.At.Sub(from))
+			c.last = max(c.last, a.At.Sub(from))
 		} else if near += a.Value; a.Good {
 			well += a.Value
 		}
 	}
-	out.value, out.others, out.tries = good/max(all, 1), well/max(near, 1), out.tries/float64(max(asked, 1))
-	for i, share := range costShares {
-		out.service[i] = serviceBack(c.Each, healed, over, share)
-	}
-	return out, nil
+	c.value, c.others, c.tries = good/max(all, 1), well/max(near, 1), c.tries/float64(max(asked, 1))
 }
 
 // serviceSpan is over which done is held to asked: at 180 reqs a second one dear req weighs a hundredth of it.
@@ -176,26 +189,26 @@
 	costFleets = 4
 )
 
-// costs measures all failures by all ways.
+// costRun is one fleet of a measurement: all failures, one after the other.
+type costRun struct {
+	seed int64
+	way  *costWay
+	out  []cost // by failure
+	err  error
+}
+
+// costs measures all failures by all ways, each in a fleet of its own, costFleets of them at once.
 func (r *ZonesTest) costs(ctx context.Context, rep *report.Report, p *costPlan) error {
-	type run struct {
-		seed int64
-		way  *costWay
-		out  []cost
-		err  error
-	}
-	var runs []*run
+	var runs []*costRun
 	for seed := r.Seed; seed < r.Seed+costSeeds; seed++ {
 		for i := range p.ways {
-			runs = append(runs, &run{seed: seed, way: &p.ways[i]})
+			runs = append(runs, &costRun{seed: seed, way: &p.ways[i]})
 		}
 	}
 	var wg sync.WaitGroup
 	room := make(chan struct{}, costFleets)
 	for _, one := range runs {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
+		wg.Go(func() {
 			room <- struct{}{}
 			defer func() { <-room }()
 			if one.err = ctx.Err(); one.err != nil {
@@ -205,22 +218,14 @@
 				one.out, err = r.costsOf(ctx, dir, p, one.seed, one.way)
 				return err
 			})
-		}()
+		})
 	}
 	wg.Wait()
 	for _, one := range runs {
 		if one.err != nil {
 			return one.err
 		}
-		for i := range one.out {
-			name := fmt.Sprintf("real, %s, seed %d", p.failures[i].name, one.seed)
-			rep.Rows = append(rep.Rows, append([]string{name, "9", strconv.Itoa(zoneRate) + "/s", one.way.name},
-				p.row(one.way, p.failures[i].name, &one.out[i])...))
-			if one.way.name == p.bound && one.out[i].peak > 1 {
-				rep.Break("seed %d, %s: a service below was asked for %.2f of what it bears on the way back", one.seed,
-					p.failures[i].name, one.out[i].peak)
-			}
-		}
+		one.addRows(rep, p)
 	}
 	return nil
 }
@@ -258,6 +263,20 @@
 	return costs, nil
 }
 
+// addRows brings a fleet's costs into the report, and holds the plan's own way to what services below bear.
+func (one *costRun) addRows(rep *report.Report, p *costPlan) {
+	for i := range one.out {
+		failure := p.failures[i].name
+		name := fmt.Sprintf("real, %s, seed %d", failure, one.seed)
+		rep.Rows = append(rep.Rows, append([]string{name, "9", strconv.Itoa(zoneRate) + "/s", one.way.name},
+			p.row(one.way, failure, &one.out[i])...))
+		if one.way.name == p.bound && one.out[i].peak > 1 {
+			rep.Break("seed %d, %s: a service below was asked for %.2f of what it bears on the way back", one.seed, failure,
+				one.out[i].peak)
+		}
+	}
+}
+
 // zoneCosts are a zone's failures, with the fleet's decisions and without.
 var zoneCosts = costPlan{ways: []costWay{{name: "the fleet", mode: "auto", eager: true}, {name: "nodes alone", mode: "off", eager: true}},
 	failures: zoneFailures, fails: 8 * time.Second, after: 30 * time.Second, bound: "the fleet",
