--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -184,7 +184,7 @@
 			s.Zones = append(s.Zones, fmt.Sprintf("%s is %s, takes %s", o.Name, word, share))
 			continue
 		}
-		s.Share, s.SinceMS, s.Cause = float64(o.Share)/api.FullShare, z.ClockMS-min(z.ClockMS, o.SinceMS), o.Cause
+		s.Share, s.SinceMS, s.Cause = float64(o.Share)/api.FullShare, z.ClockMS-min(z.ClockMS, o.SinceMS), string(o.Cause)
 		if o.Evidence != nil {
 			s.Holds = o.Evidence.Note
 		}
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -76,7 +76,7 @@
 			for i := range v.Zones {
 				z := &v.Zones[i]
 				word, share := zoneState(z)
-				row := []string{z.Name, word, share, "-", "-", "-", "-", fmt.Sprintf("%.0f", z.Capacity.RunRate), z.Cause, ""}
+				row := []string{z.Name, word, share, "-", "-", "-", "-", fmt.Sprintf("%.0f", z.Capacity.RunRate), string(z.Cause), ""}
 				if s := z.Evidence; s != nil {
 					row[3], row[4], row[5] = fmt.Sprint(s.NodesIn), fmt.Sprint(s.NodesReporting), fmt.Sprint(s.NodesUnhealthy)
 					row[6], row[9] = fmt.Sprintf("%.0f", s.RunRate), s.Note
@@ -116,7 +116,7 @@
 				{"bore", fmt.Sprintf("%.0f runs a second, %.1f under way, %.0f ms a run, %.0f ms a call, %.1f connections a second",
 					z.Capacity.RunRate, z.Capacity.Concurrency, z.Capacity.RunMS, z.Capacity.CallMS, z.Capacity.ConnectionRate)}}
 			if z.Cause != "" {
-				rows = append(rows, []string{"cause", z.Cause})
+				rows = append(rows, []string{"cause", string(z.Cause)})
 			}
 			if z.Phase == zones.Ramping {
 				rows = append(rows, []string{"ceiling", fmt.Sprintf("%.0f runs and %.0f connections below a second, over %d leases",
--- a/internal/control/consensus/api_fleet.go
+++ b/internal/control/consensus/api_fleet.go
@@ -111,7 +111,7 @@
 		a.failWith(w, err)
 		return
 	}
-	keepOperatorsFields(&op)
+	op.ClearRulesFields()
 	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 	defer cancel()
 	result, err := a.group.ZoneOp(ctx, op)
@@ -120,19 +120,3 @@
 	}
 	a.answerOr(w, result, err)
 }
-
-// keepOperatorsFields clears what only the rules may set: rate limits of a zone that an operator returns come from the
-// capacity that was observed in it.
-func keepOperatorsFields(op *zones.Op) {
-	op.RateLimit, op.ConnectRateLimit = 0, 0
-	op.PriorityCutoff, op.Capacities = 0, nil
-	op.ValueOfStaying, op.ValueOfEvacuating = 0, 0
-	op.Epoch = 0
-	if op.Kind != zones.OpEvacuate {
-		return
-	}
-	op.Cause = "operator"
-	if op.DrillMS > 0 {
-		op.Cause = "drill"
-	}
-}
--- a/internal/control/zones/apply.go
+++ b/internal/control/zones/apply.go
@@ -7,15 +7,15 @@
 	"umberwinch/internal/control/membership"
 )
 
-// recentlyOutMS: a node that was counted out for silence so lately counts as one that the zone had. A zone that dies has
-// most of its nodes counted out while its evacuation is decided.
+// recentlyOutMS: a node that was counted out for silence so lately counts as one that the zone had. A zone that dies
+// has most of its nodes counted out while its evacuation is decided.
 const recentlyOutMS = 60_000
 
 // Apply plays one operation of the log. One that no longer holds is rejected: it names the epoch that it was decided
 // in, so of two leaders' decisions about one picture one counts.
 func (s *State) Apply(op *Op, fleet *membership.State, without Guard) Result {
 	result := Result{Kind: op.Kind, Zone: op.Zone, IdempotencyKey: op.IdempotencyKey, Epoch: s.Epoch}
-	zone, err := s.apply(op, fleet, without)
+	zone, err := s.apply(op.decode(), fleet, without)
 	switch {
 	case err != nil:
 		result.Err = err.Error()
@@ -26,65 +26,67 @@
 }
 
 // apply returns the zone that the operation is about, nil if it is about several.
-func (s *State) apply(op *Op, fleet *membership.State, without Guard) (*Zone, error) {
-	switch op.Kind {
-	case OpObserve:
-		s.storeCapacities(op, fleet)
+func (s *State) apply(o operation, fleet *membership.State, without Guard) (*Zone, error) {
+	switch o := o.(type) {
+	case *observation:
+		s.storeCapacities(o, fleet)
 		return nil, nil
-	case OpSettle:
-		return nil, s.settle(op, fleet, without)
+	case *settlement:
+		return nil, s.settle(o, fleet, without)
 	}
-	zone := s.findOrAdd(op.Zone, fleet)
-	if zone == nil || zone.Name == WholeFleet && op.evacuates() {
-		return nil, rejected(ErrUnknownZone, "found no zone %.50q, expected one that nodes are of", op.Zone)
+	on := o.about()
+	zone := s.findOrAdd(on.zone, fleet)
+	if zone == nil || zone.Name == WholeFleet && evacuatesWholly(o) {
+		return nil, rejected(ErrUnknownZone, "found no zone %.50q, expected one that nodes are of", on.zone)
 	}
-	if op.Kind == OpHold {
-		zone.HeldUntilMS = fleet.ClockMS + op.WaitMS
-		zone.addEvent(fleet.ClockMS, s.Epoch, nil, "%s: nothing is decided by rules for %d ms", op.Operator, op.WaitMS)
+	if o, is := o.(*hold); is {
+		zone.HeldUntilMS = fleet.ClockMS + o.forMS
+		zone.addEvent(fleet.ClockMS, s.Epoch, nil, "%s: nothing is decided by rules for %d ms", o.operator, o.forMS)
 		return zone, nil
 	}
-	if op.Epoch != s.Epoch {
-		return nil, rejected(ErrStaleEpoch, "decided in epoch %d, expected %d", op.Epoch, s.Epoch)
+	if on.epoch != s.Epoch {
+		return nil, rejected(ErrStaleEpoch, "decided in epoch %d, expected %d", on.epoch, s.Epoch)
 	}
 	// Guards against two epochs being acted on at once: nodes of the older one would take their load beside what the
 	// newer returns to others, and the rate limit would be exceeded. Nothing is raised before all have promised the
 	// newest.
-	if op.raisesLoad() && !s.settled() && !without.Has(OneEpoch) {
+	if raisesLoad(o) && !s.settled() && !without.Has(OneEpoch) {
 		return nil, rejected(ErrUnsettled, "epoch %d is not settled: some node may act on an older one", s.Epoch)
 	}
-	return zone, s.transition(zone, op, fleet)
+	return zone, s.transition(zone, o, fleet)
 }
 
 // transition moves a zone to its next phase, share or rate limit.
-func (s *State) transition(zone *Zone, op *Op, fleet *membership.State) error {
-	switch op.Kind {
-	case OpEvacuate:
-		return s.evacuate(zone, op, fleet)
-	case OpRamp:
-		return s.ramp(zone, op, fleet)
-	case OpSplit:
-		return s.splitAnew(zone, op, fleet)
-	case OpStepBack:
-		return s.stepBack(zone, op, fleet)
-	case OpEndRamp:
-		return s.endRamp(zone, op, fleet)
-	}
-	return rejected(ErrUnknownOp, "op %.20q, expected leave, settle, step, split, in, back, bore or hold", op.Kind)
+func (s *State) transition(zone *Zone, o operation, fleet *membership.State) error {
+	switch o := o.(type) {
+	case *evacuation:
+		return s.evacuate(zone, o, fleet)
+	case *rampStep:
+		return s.ramp(zone, o, fleet)
+	case *quotaSplit:
+		return s.splitAnew(zone, o, fleet)
+	case *stepBack:
+		return s.stepBack(zone, o, fleet)
+	case *rampEnd:
+		return s.endRamp(zone, o, fleet)
+	}
+	return rejected(ErrUnknownOp, "op %.20q, expected leave, settle, step, split, in, back, bore or hold",
+		o.encode().Kind)
 }
 
 // storeCapacities keeps what the leader observed, so that it outlives the leader.
-func (s *State) storeCapacities(op *Op, fleet *membership.State) {
-	for _, name := range sortedKeys(op.Capacities) {
+func (s *State) storeCapacities(o *observation, fleet *membership.State) {
+	for _, name := range sortedKeys(o.capacities) {
 		if zone := s.findOrAdd(name, fleet); zone != nil {
-			zone.Capacity = op.Capacities[name]
+			zone.Capacity = o.capacities[name]
 		}
 	}
 }
 
 // settle ends the time in which nodes may act on an older epoch: evacuations are complete, quotas that grew count.
-func (s *State) settle(op *Op, fleet *membership.State, without Guard) error {
-	if op.Epoch != s.Epoch || s.settled() {
-		return rejected(ErrStaleEpoch, "epoch %d is settled or past", op.Epoch)
+func (s *State) settle(o *settlement, fleet *membership.State, without Guard) error {
+	if o.epoch != s.Epoch || s.settled() {
+		return rejected(ErrStaleEpoch, "epoch %d is settled or past", o.epoch)
 	}
 	if older := fleet.NodesOnOlderZoneEpoch(s.Epoch); len(older) > 0 && !without.Has(OneEpoch) {
 		return rejected(ErrUnsettled, "%d nodes may act on an older epoch", len(older))
@@ -103,8 +105,8 @@
 	return nil
 }
 
-func (s *State) evacuate(zone *Zone, op *Op, fleet *membership.State) error {
-	if zone.Phase == Evacuated && zone.Share <= op.Share || zone.Phase == Evacuating {
+func (s *State) evacuate(zone *Zone, o *evacuation, fleet *membership.State) error {
+	if zone.Phase == Evacuated && zone.Share <= o.share || zone.Phase == Evacuating {
 		return rejected(ErrWrongPhase, "zone %s is %s already", zone.Name, zone.Phase)
 	}
 	if !s.anotherInService(zone.Name, fleet) {
@@ -114,21 +116,21 @@
 	if fleet.ClockMS-zone.InServiceSinceMS > flapWindowMS {
 		zone.FlapCount = 0
 	}
-	if capacity, known := op.Capacities[zone.Name]; known {
+	if capacity, known := o.capacities[zone.Name]; known {
 		zone.Capacity = capacity
 	}
 	zone.NodesBefore = zone.recentNodes(fleet)
-	s.beginEpoch(zone, Evacuating, op, fleet)
-	zone.Cause, zone.Operator, zone.RampNotBeforeMS = op.Cause, op.Operator, fleet.ClockMS+op.WaitMS
+	s.beginEpoch(zone, Evacuating, &o.limits, fleet)
+	zone.Cause, zone.Operator, zone.RampNotBeforeMS = o.cause, o.operator, fleet.ClockMS+o.waitMS
 	zone.DrillUntilMS = 0
-	if op.DrillMS > 0 {
-		zone.DrillUntilMS = fleet.ClockMS + op.DrillMS
+	if o.drillMS > 0 {
+		zone.DrillUntilMS = fleet.ClockMS + o.drillMS
 	}
 	what := "left"
-	if op.Share > 0 {
-		what = fmt.Sprintf("left in part, keeps %d of %d by value", op.Share, api.FullShare)
+	if o.share > 0 {
+		what = fmt.Sprintf("left in part, keeps %d of %d by value", o.share, api.FullShare)
 	}
-	zone.addEvent(fleet.ClockMS, s.Epoch, op, "%s: %s", what, op.grounds())
+	zone.addEvent(fleet.ClockMS, s.Epoch, &o.grounds, "%s: %s", what, o.grounds.text())
 	return nil
 }
 
@@ -143,64 +145,59 @@
 	return n
 }
 
-func (s *State) ramp(zone *Zone, op *Op, fleet *membership.State) error {
+func (s *State) ramp(zone *Zone, o *rampStep, fleet *membership.State) error {
 	if zone.Phase != Evacuated && zone.Phase != Ramping {
 		return rejected(ErrWrongPhase, "zone %s is %s, expected it out or returning", zone.Name, zone.Phase)
 	}
-	step := *op
-	if op.RateLimit == 0 { // an operator's has none
-		step.RateLimit, step.ConnectRateLimit = zone.rateLimits(op.Share, zone.nodesIn(fleet))
+	takes := o.limits
+	if takes.rateLimit == 0 { // an operator's has none
+		takes.rateLimit, takes.connectRateLimit = zone.rateLimits(takes.share, zone.nodesIn(fleet))
 	}
-	s.beginEpoch(zone, Ramping, &step, fleet)
-	zone.Operator = op.Operator
-	zone.addEvent(fleet.ClockMS, s.Epoch, op, "returns at %d of %d, %.0f runs a second at most: %s", zone.Share,
-		api.FullShare,
-		zone.RateLimit, op.grounds())
+	s.beginEpoch(zone, Ramping, &takes, fleet)
+	zone.Operator = o.operator
+	zone.addEvent(fleet.ClockMS, s.Epoch, &o.grounds, "returns at %d of %d, %.0f runs a second at most: %s", zone.Share,
+		api.FullShare, zone.RateLimit, o.grounds.text())
 	return nil
 }
 
 // splitAnew leaves all as it is but for the quotas.
-func (s *State) splitAnew(zone *Zone, op *Op, fleet *membership.State) error {
+func (s *State) splitAnew(zone *Zone, o *quotaSplit, fleet *membership.State) error {
 	if err := zone.expectRamping(); err != nil {
 		return err
 	}
-	same := *op
-	same.Share, same.PriorityCutoff = zone.Share, zone.PriorityCutoff
-	same.RateLimit, same.ConnectRateLimit = zone.RateLimit, zone.ConnectRateLimit
+	same := limits{zone.Share, zone.PriorityCutoff, zone.RateLimit, zone.ConnectRateLimit, o.budget}
 	since := zone.SinceMS
 	s.beginEpoch(zone, Ramping, &same, fleet)
 	zone.SinceMS = since
 	return nil
 }
 
-func (s *State) stepBack(zone *Zone, op *Op, fleet *membership.State) error {
+func (s *State) stepBack(zone *Zone, o *stepBack, fleet *membership.State) error {
 	if err := zone.expectRamping(); err != nil {
 		return err
 	}
 	next := Ramping
-	if op.Share == 0 {
+	if o.share == 0 {
 		next = Evacuating
 		zone.FlapCount++
-		zone.RampNotBeforeMS = fleet.ClockMS + op.WaitMS
+		zone.RampNotBeforeMS = fleet.ClockMS + o.waitMS
 	}
-	s.beginEpoch(zone, next, op, fleet)
-	zone.Cause, zone.Operator = op.Cause, op.Operator
-	zone.addEvent(fleet.ClockMS, s.Epoch, op, "back to %d of %d: %s", zone.Share, api.FullShare, op.grounds())
+	s.beginEpoch(zone, next, &o.limits, fleet)
+	zone.Cause, zone.Operator = o.cause, o.operator
+	zone.addEvent(fleet.ClockMS, s.Epoch, &o.grounds, "back to %d of %d: %s", zone.Share, api.FullShare,
+		o.grounds.text())
 	return nil
 }
 
-func (s *State) endRamp(zone *Zone, op *Op, fleet *membership.State) error {
+func (s *State) endRamp(zone *Zone, o *rampEnd, fleet *membership.State) error {
 	if err := zone.expectRamping(); err != nil {
 		return err
 	}
-	full := *op
-	full.Share = api.FullShare
-	s.beginEpoch(zone, InService, &full, fleet)
+	s.beginEpoch(zone, InService, &limits{share: api.FullShare, budget: o.budget}, fleet)
 	zone.Cause, zone.Operator = "", ""
-	zone.PriorityCutoff, zone.RateLimit, zone.ConnectRateLimit = 0, 0, 0
 	zone.Quotas, zone.DrillUntilMS = nil, 0
 	zone.InServiceSinceMS = fleet.ClockMS
-	zone.addEvent(fleet.ClockMS, s.Epoch, op, "in again: %s", op.grounds())
+	zone.addEvent(fleet.ClockMS, s.Epoch, &o.grounds, "in again: %s", o.grounds.text())
 	return nil
 }
 
@@ -211,14 +208,15 @@
 	return nil
 }
 
-// beginEpoch has a zone go on by an operation in a new epoch, and splits its rate limit among the leases.
-func (s *State) beginEpoch(zone *Zone, next Phase, op *Op, fleet *membership.State) {
+// beginEpoch has a zone go on in a new epoch with what it takes from then on, and splits its rate limit among the
+// leases.
+func (s *State) beginEpoch(zone *Zone, next Phase, takes *limits, fleet *membership.State) {
 	s.Epoch++
 	previous := zone.Phase
-	zone.Phase, zone.Share, zone.PriorityCutoff = next, op.Share, op.PriorityCutoff
+	zone.Phase, zone.Share, zone.PriorityCutoff = next, takes.share, takes.priorityCutoff
 	zone.Epoch, zone.SinceMS = s.Epoch, fleet.ClockMS
-	zone.RateLimit, zone.ConnectRateLimit = op.RateLimit, op.ConnectRateLimit
-	s.RetryBudget, s.NoCapacityElsewhere = op.RetryBudget, op.NoCapacityElsewhere
+	zone.RateLimit, zone.ConnectRateLimit = takes.rateLimit, takes.connectRateLimit
+	s.RetryBudget, s.NoCapacityElsewhere = takes.budget.retries, takes.budget.noCapacityElsewhere
 	if s.allInService() {
 		s.RetryBudget, s.NoCapacityElsewhere = 0, false
 	}
@@ -228,15 +226,3 @@
 		zone.PreviousQuotas = append([]LeaseQuota{}, zone.Quotas...)
 	}
 }
-
-// grounds returns who decided the operation, if an operator did, and why.
-func (op *Op) grounds() string {
-	reason := op.Reason
-	if len(reason) > maxEventBytes {
-		reason = reason[:maxEventBytes] + "..."
-	}
-	if op.Operator == "" {
-		return reason
-	}
-	return op.Operator + ": " + reason
-}
--- a/internal/control/zones/cold_start.go
+++ b/internal/control/zones/cold_start.go
@@ -6,9 +6,6 @@
 	"umberwinch/internal/control/recovery"
 )
 
-// causeRestart is the cause of a fleet's ramp after a cold start.
-const causeRestart = "restart"
-
 // BeginColdStart decides, after a batch of heartbeats was applied, whether most of the fleet has just restarted, and
 // begins the ramp of the whole fleet. It reports whether it did.
 //
@@ -37,9 +34,9 @@
 		return false
 	}
 	whole.Capacity, whole.NodesBefore = capacity, in
-	op := &Op{Share: max(1, rules.InitialShare)}
-	op.RateLimit, op.ConnectRateLimit = whole.rateLimits(op.Share, in)
-	s.beginEpoch(whole, Ramping, op, fleet)
+	takes := limits{share: max(1, rules.InitialShare)}
+	takes.rateLimit, takes.connectRateLimit = whole.rateLimits(takes.share, in)
+	s.beginEpoch(whole, Ramping, &takes, fleet)
 	whole.Cause = causeRestart
 	whole.addEvent(fleet.ClockMS, s.Epoch, nil,
 		"%d of %d nodes began within %d s: returns at %d of %d, %.0f runs a second at most; "+
--- a/internal/control/zones/decide.go
+++ b/internal/control/zones/decide.go
@@ -22,6 +22,14 @@
 // one in service (evacuate), begin the ramp of an evacuated one (beginRamp), go on with a ramp (continueRamp); keep
 // observed capacities.
 func (m *Monitor) Decide(now uint64, state *State, fleet *membership.State, rules *api.ZoneRules, without Guard) *Op {
+	if o := m.decide(now, state, fleet, rules, without); o != nil {
+		return o.encode()
+	}
+	return nil
+}
+
+func (m *Monitor) decide(now uint64, state *State, fleet *membership.State, rules *api.ZoneRules, without Guard,
+) operation {
 	if !rules.Enabled() {
 		return nil
 	}
@@ -30,34 +38,26 @@
 	}
 	d := &decider{monitor: m, now: now, state: state, fleet: fleet, rules: rules, without: without}
 	if !state.settled() && (len(fleet.NodesOnOlderZoneEpoch(state.Epoch)) == 0 || without.Has(OneEpoch)) {
-		return &Op{Kind: OpSettle, Epoch: state.Epoch}
+		return &settlement{target{epoch: state.Epoch}}
 	}
 	if whole := state.Find(WholeFleet); whole != nil && whole.Phase == Ramping {
-		if op := d.decideFor(whole, m.fleet); op != nil {
-			return op
+		if o := d.decideFor(whole, m.fleet); o != nil {
+			return o
 		}
 	}
 	for _, view := range m.views {
-		if op := d.decideFor(state.Find(view.Zone), view); op != nil {
-			return op
+		if o := d.decideFor(state.Find(view.Zone), view); o != nil {
+			return o
 		}
 	}
 	return m.capacitiesToStore(now)
 }
 
 // decideFor returns the next operation about a zone; zone is nil if nothing was ever decided about it.
-func (d *decider) decideFor(zone *Zone, view *View) *Op {
+func (d *decider) decideFor(zone *Zone, view *View) operation {
 	if zone != nil && d.fleet.ClockMS < zone.HeldUntilMS {
 		return nil
 	}
-	op := d.nextOp(zone, view)
-	if op != nil {
-		op.Zone, op.Epoch = view.Zone, d.state.Epoch
-	}
-	return op
-}
-
-func (d *decider) nextOp(zone *Zone, view *View) *Op {
 	automatic := d.rules.Mode == api.ZoneModeAuto
 	phase, _ := d.state.PhaseOf(view.Zone)
 	switch phase {
@@ -80,5 +80,14 @@
 	return nil
 }
 
+// target is the zone of a view, for an operation that is decided now.
+func (d *decider) target(view *View) target { return target{view.Zone, d.state.Epoch} }
+
+// retryBudget decides what the zones in service may admit of retries once an operation is applied.
+func (d *decider) retryBudget(view *View, next Phase, listed bool) retryBudget {
+	retries, noCapacity := d.monitor.retryBudget(d.state, view, next, listed)
+	return retryBudget{retries, noCapacity}
+}
+
 // mayRaise reports whether load may be raised: nobody acts on an older epoch.
 func (d *decider) mayRaise() bool { return d.state.settled() || d.without.Has(OneEpoch) }
--- a/internal/control/zones/doc.go
+++ b/internal/control/zones/doc.go
@@ -1,9 +1,10 @@
 // Package zones decides how a fleet evacuates a zone that fails and ramps load back to it.
 //
 // State is what the group's log made of the zones, the same at every instance: phases, shares, rate limits with each
-// lease's quota, observed capacities, events. Each change is one Op in the log and one epoch, which nodes promise
-// with their leases as they promise a policy version. Monitor is the leader's alone and in memory: the evidence from
-// nodes' reports (a View for each zone), and Decide, which gives the next Op from the evidence and the State.
+// lease's quota, observed capacities, events. Each change is one operation in the log, stored as an Op, and one epoch,
+// which nodes promise with their leases as they promise a policy version. Monitor is the leader's alone and in memory:
+// the evidence from nodes' reports (a View for each zone), and Decide, which gives the next operation from the evidence
+// and the State.
 //
 // Inputs are the replicated membership, the policy's rules (api.ZoneRules), nodes' load reports and the time. Times
 // are in milliseconds: in State the group's time (membership.State.ClockMS), in Monitor the leader's monotonic clock.
@@ -16,6 +17,6 @@
 // clock alone, with one exception: a zone that takes all of its load at one rate limit for maxEndMS is in service, and
 // its limit ends, though many requests are still rejected (finishRamp).
 //
-// A newcomer reads apply.go (transitions), monitor.go and evaluate.go (evidence), then decide.go, which names the
-// rules in order.
+// A newcomer reads operation.go, apply.go (transitions), monitor.go and evaluate.go (evidence), then decide.go, which
+// names the rules in order.
 package zones
--- a/internal/control/zones/errors_test.go
+++ b/internal/control/zones/errors_test.go
@@ -39,7 +39,7 @@
 		{"unknown", Op{Kind: "fly", Zone: "a"}, nil, [2]uint64{}, ErrUnknownOp},
 	} {
 		state := &State{Epoch: c.epochs[0], SettledEpoch: c.epochs[1], Zones: c.zones}
-		_, err := state.apply(&c.op, fleet, 0)
+		_, err := state.apply(c.op.decode(), fleet, 0)
 		var rejection *RejectedError
 		if !errors.Is(err, c.reason) || !errors.As(err, &rejection) || rejection.Text == "" {
 			t.Errorf("%s: %v, expected %v", c.name, err, c.reason)
--- a/internal/control/zones/evacuate.go
+++ b/internal/control/zones/evacuate.go
@@ -37,7 +37,7 @@
 //
 // One zone is always in service, and while the fleet ramps after a cold start a zone that is merely slow is not warm
 // yet.
-func (d *decider) evacuate(view *View) *Op {
+func (d *decider) evacuate(view *View) operation {
 	if view.FailureScore < evacuateScore || !d.state.anotherInService(view.Zone, d.fleet) {
 		return nil
 	}
@@ -48,25 +48,27 @@
 	return d.evacuateFailing(view)
 }
 
-func (d *decider) evacuateFailing(view *View) *Op {
-	op := &Op{Kind: OpEvacuate, Cause: view.Cause, WaitMS: rampDelayMS(d.rules, d.flapsAtNextFailure(view))}
+func (d *decider) evacuateFailing(view *View) operation {
+	o := &evacuation{target: d.target(view), cause: view.Cause,
+		waitMS: rampDelayMS(d.rules, d.flapsAtNextFailure(view))}
 	if view.observed.RunRate > 0 { // the ramp goes by it
-		op.Capacities = map[string]ObservedCapacity{view.Zone: view.observed}
+		o.capacities = map[string]ObservedCapacity{view.Zone: view.observed}
 	}
 	if view.silent() { // it serves nobody: this takes nothing from anybody
-		op.Reason = view.Note
-		return d.withRetryBudget(op, view, Evacuated, false)
+		o.reason, o.budget = view.Note, d.retryBudget(view, Evacuated, false)
+		return o
 	}
 	others, ok := d.spareCapacity(view)
 	if !ok || view.unhealthy() < unhealthyShare { // it is healthy again, and the score has not fallen yet
 		return nil
 	}
-	if !d.weigh(op, view, others) {
+	if !d.weigh(o, view, others) {
 		return nil
 	}
-	op.Reason = fmt.Sprintf("%d of %d nodes heard are sick (%s); %.0f runs a second here, room for %.0f elsewhere",
+	o.reason = fmt.Sprintf("%d of %d nodes heard are sick (%s); %.0f runs a second here, room for %.0f elsewhere",
 		view.NodesUnhealthy, view.NodesReporting, view.Cause, view.RunRate, others.runs)
-	return d.withRetryBudget(op, view, Evacuated, op.Share > 0)
+	o.budget = d.retryBudget(view, Evacuated, o.share > 0)
+	return o
 }
 
 // weigh decides between staying, a whole evacuation and one in part, and sets the operation's values, share and
@@ -74,7 +76,7 @@
 //
 // What the zone does not do is asked for elsewhere already, as callers retry. So what the others would take besides
 // is what runs here. The requests of most value move; those of least value stay and take their chances.
-func (d *decider) weigh(op *Op, view *View, others spare) bool {
+func (d *decider) weigh(o *evacuation, view *View, others spare) bool {
 	runs := max(view.RunRate, minRate)
 	admitted := max(view.AdmittedRate, minRate)
 	moved := min(runs, others.runs)
@@ -84,21 +86,21 @@
 	part := moved / runs
 	asked := view.OfferedWeight * min(1, runs/admitted) // the value of as many first attempts as run
 	whole := asked * others.completed * valueOfPart(view.mix, part)
-	op.ValueOfStaying = view.CompletedWeight
-	op.ValueOfEvacuating = whole + view.CompletedWeight*(1-part)
+	o.valueOfStaying = view.CompletedWeight
+	o.valueOfEvacuating = whole + view.CompletedWeight*(1-part)
 	switch {
 	case view.CompletedWeight <= minGain*view.OfferedWeight && whole >= view.CompletedWeight:
-		op.ValueOfEvacuating = whole // it does hardly anything: to evacuate it wholly takes nothing from anybody
-	case op.ValueOfEvacuating-op.ValueOfStaying < minGain*view.OfferedWeight:
+		o.valueOfEvacuating = whole // it does hardly anything: to evacuate it wholly takes nothing from anybody
+	case o.valueOfEvacuating-o.valueOfStaying < minGain*view.OfferedWeight:
 		view.Note = fmt.Sprintf("sick (%s), but leaving would do %.0f of value a second, staying %.0f", view.Symptom,
-			op.ValueOfEvacuating, op.ValueOfStaying)
+			o.valueOfEvacuating, o.valueOfStaying)
 		return false
 	case part < 1 && int(part*api.FullShare) < minPartShare:
 		view.Note = fmt.Sprintf("sick (%s), and the others have room for %.0f runs a second of %.0f", view.Symptom,
 			others.runs, runs)
 		return false
 	case part < 1:
-		op.Share, op.PriorityCutoff = whatStays(view.mix, min(1, (runs-moved)/admitted))
+		o.share, o.priorityCutoff = whatStays(view.mix, min(1, (runs-moved)/admitted))
 	}
 	return true
 }
@@ -184,9 +186,3 @@
 func rampDelayMS(rules *api.ZoneRules, flaps int) uint64 {
 	return min(rules.MinStepMS<<min(flaps, maxDoublings), rules.MaxRampDelayMS)
 }
-
-// withRetryBudget sets what the zones in service may admit of retries once the operation is applied.
-func (d *decider) withRetryBudget(op *Op, view *View, next Phase, listed bool) *Op {
-	op.RetryBudget, op.NoCapacityElsewhere = d.monitor.retryBudget(d.state, view, next, listed)
-	return op
-}
--- a/internal/control/zones/generation.go
+++ b/internal/control/zones/generation.go
@@ -5,9 +5,6 @@
 	"umberwinch/internal/control/membership"
 )
 
-// causeRestored is the cause of an evacuation that nodes reported to a restored group.
-const causeRestored = "restored"
-
 // BeginGeneration makes the state that of a restored group. epoch is the newest that any node was told; evacuated has
 // the zones of which nodes were told to take a share only, with that share.
 //
--- a/internal/control/zones/op.go
+++ b/internal/control/zones/op.go
@@ -30,7 +30,8 @@
 	maxOperatorMS    = 24 * 3600_000 // a day: a zone that is held or drilled for longer was forgotten
 )
 
-// Op is one operation, as it stands in the log.
+// Op is the stored and sent form of an operation: one JSON object with the fields that its kind has. decode reads it,
+// and nothing else goes by its fields but what an operator may set.
 type Op struct {
 	Kind                OpKind  `json:"op"`
 	Zone                string  `json:"zone,omitempty"`
@@ -41,7 +42,7 @@
 	ConnectRateLimit    float64 `json:"dials,omitempty"`   // connections a second
 	RetryBudget         int     `json:"retry,omitempty"`
 	NoCapacityElsewhere bool    `json:"full,omitempty"`
-	Cause               string  `json:"cause,omitempty"`
+	Cause               Cause   `json:"cause,omitempty"`
 	Reason              string  `json:"why,omitempty"`
 	Operator            string  `json:"by,omitempty"`
 	ValueOfStaying      float64 `json:"stay,omitempty"` // priority weight completed a second
@@ -67,6 +68,22 @@
 // Rejected reports whether the operation changed nothing, for the reason in Err.
 func (r Result) Rejected() bool { return r.Err != "" }
 
+// ClearRulesFields clears what an operator sent and only the rules may set: rate limits of a zone that an operator
+// returns come from the capacity that was observed in it.
+func (op *Op) ClearRulesFields() {
+	op.RateLimit, op.ConnectRateLimit = 0, 0
+	op.PriorityCutoff, op.Capacities = 0, nil
+	op.ValueOfStaying, op.ValueOfEvacuating = 0, 0
+	op.Epoch = 0
+	if op.Kind != OpEvacuate {
+		return
+	}
+	op.Cause = causeOperator
+	if op.DrillMS > 0 {
+		op.Cause = causeDrill
+	}
+}
+
 // Validate says what is wrong with an operator's operation before it is proposed: an *api.FieldError, or an error
 // that names two fields.
 func (op *Op) Validate() error {
@@ -94,14 +111,3 @@
 func bytesError(field, text, expected string) error {
 	return &api.FieldError{Field: field, Found: fmt.Sprintf("%d bytes", len(text)), Expected: expected}
 }
-
-// evacuates reports whether the operation leaves nothing to the zone. The fleet as a whole has nowhere else to send its
-// load.
-func (op *Op) evacuates() bool {
-	return op.Kind == OpEvacuate || op.Kind == OpStepBack && op.Share == 0
-}
-
-// raisesLoad reports whether the operation may give a node more than it has.
-func (op *Op) raisesLoad() bool {
-	return op.Kind == OpRamp || op.Kind == OpEndRamp || op.Kind == OpSplit
-}
--- /dev/null
+++ b/internal/control/zones/operation_test.go
@@ -0,0 +1,66 @@
+package zones
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+)
+
+// TestStoredOperations: an entry that an older build or an earlier leader appended is read as what it was appended as,
+// and each operation is stored in one form. What an entry says beside the fields of its kind counts for nothing.
+func TestStoredOperations(t *testing.T) {
+	on, budget := target{"a", 4}, retryBudget{9, true}
+	takes := limits{16, 2.5, 100, 50, budget}
+	why := grounds{"an operator", "enough", 7.5, 8.5}
+	capacities := map[string]ObservedCapacity{"a": {RunRate: 100, Concurrency: 3}}
+	const grounded = `"why":"enough","by":"an operator","stay":7.5,"go":8.5`
+	const limited = `"share":16,"worth":2.5,"ceiling":100,"dials":50,"retry":9,"full":true`
+	const observed = `"bores":{"a":{"runs":100,"in_flight":3,"run_ms":0,"call_ms":0,"opened":0,"came":0}}`
+	for stored, want := range map[string]operation{
+		`{"op":"leave","zone":"a","epoch":4,` + limited + `,"cause":"dead",` + grounded +
+			`,"wait_ms":2000,"drill_ms":1000,` + observed + `}`: &evacuation{on, takes, why, causeDead, 2000, 1000, capacities},
+		`{"op":"settle","epoch":4}`: &settlement{target{epoch: 4}},
+		`{"op":"step","zone":"a","epoch":4,` + limited + `,` + grounded + `}`:     &rampStep{on, takes, why},
+		`{"op":"split","zone":"a","epoch":4,"retry":9,"full":true}`:               &quotaSplit{on, budget},
+		`{"op":"in","zone":"a","epoch":4,"retry":9,"full":true,` + grounded + `}`: &rampEnd{on, why, budget},
+		`{"op":"back","zone":"a","epoch":4,` + limited + `,"cause":"lateness",` + grounded + `,"wait_ms":2000}`: &stepBack{
+			on, takes, why, Cause(symptomRunsLate), 2000},
+		`{"op":"bore","epoch":0,` + observed + `}`:                             &observation{target{}, capacities},
+		`{"op":"hold","zone":"a","epoch":4,"by":"an operator","wait_ms":2000}`: &hold{on, "an operator", 2000},
+		`{"op":"fly","zone":"a","epoch":4}`:                                    &unknownOperation{on, "fly"},
+	} {
+		var op Op
+		if err := json.Unmarshal([]byte(stored), &op); err != nil {
+			t.Fatal(err)
+		}
+		read := op.decode()
+		if !reflect.DeepEqual(read, want) {
+			t.Errorf("%s: found %#v, expected %#v", stored, read, want)
+			continue
+		}
+		if raw, err := json.Marshal(read.encode()); err != nil || string(raw) != stored {
+			t.Errorf("found %s (%v), expected %s", raw, err, stored)
+		}
+	}
+	split := (&Op{Kind: OpSplit, Zone: "a", Epoch: 4, Share: 3, Cause: causeDead, Reason: "late"}).decode()
+	if !reflect.DeepEqual(split, &quotaSplit{target: on}) {
+		t.Errorf("found %#v, expected a split alone", split)
+	}
+}
+
+// TestClearRulesFields: what only the rules may set must not come from an operator, or a request could give a zone a
+// rate limit that its services were never seen to bear.
+func TestClearRulesFields(t *testing.T) {
+	full := Op{Kind: OpRamp, Zone: "a", Epoch: 4, Share: 3, PriorityCutoff: 2, RateLimit: 5, ConnectRateLimit: 6,
+		ValueOfStaying: 7, ValueOfEvacuating: 8, Capacities: map[string]ObservedCapacity{"a": {}}, Operator: "op"}
+	full.ClearRulesFields()
+	if want := (Op{Kind: OpRamp, Zone: "a", Share: 3, Operator: "op"}); !reflect.DeepEqual(full, want) {
+		t.Errorf("found %+v, expected %+v", full, want)
+	}
+	for drillMS, want := range map[uint64]Cause{0: causeOperator, 1000: causeDrill} {
+		op := Op{Kind: OpEvacuate, Zone: "a", DrillMS: drillMS}
+		if op.ClearRulesFields(); op.Cause != want {
+			t.Errorf("a drill of %d ms: found cause %q, expected %q", drillMS, op.Cause, want)
+		}
+	}
+}
--- a/internal/control/zones/ramp.go
+++ b/internal/control/zones/ramp.go
@@ -39,7 +39,7 @@
 // The reason: only what was seen at the present share tells what services that may be cold bear; no clock does, but
 // for the end of a ramp (finishRamp). It acts while a zone, or the fleet as a whole, ramps. A step that is too large
 // may overload the services below; one that is too small prolongs the ramp.
-func (d *decider) continueRamp(zone *Zone, view *View) *Op {
+func (d *decider) continueRamp(zone *Zone, view *View) operation {
 	if view.silent() {
 		if view.FailureScore >= evacuateScore {
 			return d.stepBack(zone, view, 0, "it fell silent: "+view.Note)
@@ -55,7 +55,7 @@
 		return nil
 	}
 	if d.needsSplit(zone) {
-		return &Op{Kind: OpSplit, RetryBudget: d.state.RetryBudget, NoCapacityElsewhere: d.state.NoCapacityElsewhere}
+		return &quotaSplit{d.target(view), retryBudget{d.state.RetryBudget, d.state.NoCapacityElsewhere}}
 	}
 	if !d.stepShown(zone, view, shownMS) {
 		return nil
@@ -111,19 +111,20 @@
 
 // stepBack returns the operation that lowers a ramp's share, to 0 to evacuate the zone again. The fleet as a whole has
 // nowhere else to send its load: it keeps a least share.
-func (d *decider) stepBack(zone *Zone, view *View, share int, reason string) *Op {
+func (d *decider) stepBack(zone *Zone, view *View, share int, reason string) operation {
 	if zone.Name == WholeFleet {
 		share = max(share, 1, d.rules.InitialShare/minShareDivisor)
 		if share >= zone.Share {
 			return nil
 		}
 	}
-	op := &Op{Kind: OpStepBack, Share: share, Cause: string(view.Symptom), Reason: reason,
-		WaitMS: rampDelayMS(d.rules, zone.FlapCount+1)}
+	o := &stepBack{target: d.target(view), grounds: grounds{reason: reason}, cause: Cause(view.Symptom),
+		waitMS: rampDelayMS(d.rules, zone.FlapCount+1)}
+	o.share, o.budget = share, d.retryBudget(view, Ramping, share > 0)
 	if share > 0 {
-		op.RateLimit, op.ConnectRateLimit = zone.rateLimits(share, view.NodesIn)
+		o.rateLimit, o.connectRateLimit = zone.rateLimits(share, view.NodesIn)
 	}
-	return d.withRetryBudget(op, view, Ramping, share > 0)
+	return o
 }
 
 // stepShown decides whether the present share has shown what it can: for the policy's least time, by reports of this
@@ -149,7 +150,7 @@
 
 // raiseShare decides by how much a ramp's share grows: as far as the runs in flight then expected are targetLoad of
 // those observed.
-func (d *decider) raiseShare(zone *Zone, view *View) *Op {
+func (d *decider) raiseShare(zone *Zone, view *View) operation {
 	factor := float64(api.MaxRampFactor)
 	if load := view.highestLoad(); load > 0 {
 		factor = min(factor, targetLoad/load)
@@ -169,10 +170,9 @@
 		most *= evenFactor / slower
 	}
 	share := max(zone.Share+1, int(min(most, float64(zone.Share)*factor)))
-	op := &Op{Kind: OpRamp, Share: min(api.FullShare, share), Operator: zone.Operator,
-		Reason: fmt.Sprintf("%.1f runs under way of %.1f it bore, %.0f ms a run", view.Concurrency,
-			zone.Capacity.Concurrency, view.RunMS)}
-	return d.rampStep(zone, view, op)
+	why := grounds{operator: zone.Operator, reason: fmt.Sprintf("%.1f runs under way of %.1f it bore, %.0f ms a run",
+		view.Concurrency, zone.Capacity.Concurrency, view.RunMS)}
+	return d.rampStep(zone, view, min(api.FullShare, share), why)
 }
 
 // isWarm reports whether the services below take the time that they usually do.
--- a/internal/control/zones/ramp_begin.go
+++ b/internal/control/zones/ramp_begin.go
@@ -15,7 +15,7 @@
 // Inputs: the zone's state, its view, the policy's initial share. The zone has to be ready (readyToRamp), its wait
 // has to be over, and no lease may act on an older epoch. It may harm the callers whose requests are in the share,
 // should the zone fail again.
-func (d *decider) beginRamp(zone *Zone, view *View) *Op {
+func (d *decider) beginRamp(zone *Zone, view *View) operation {
 	if obstacle := readyToRamp(zone, view); obstacle != "" {
 		view.Note = "out: " + obstacle
 		return nil
@@ -27,11 +27,14 @@
 	if !d.mayRaise() {
 		return nil
 	}
-	op := &Op{Kind: OpRamp, Share: max(1, d.rules.InitialShare), Reason: "its nodes and kernels are there"}
-	if zone.Share > 0 && view.FirstAttemptRate > 0 && !goOnFromPart(zone, view, op) {
-		return nil
+	share := max(1, d.rules.InitialShare)
+	if zone.Share > 0 && view.FirstAttemptRate > 0 {
+		if !mayGoOnFromPart(zone, view) {
+			return nil
+		}
+		share = max(share, int(partialRampShare*min(1, view.AdmittedRate/view.FirstAttemptRate)))
 	}
-	return d.rampStep(zone, view, op)
+	return d.rampStep(zone, view, share, grounds{reason: "its nodes and kernels are there"})
 }
 
 // readyToRamp decides whether an evacuated zone could take load again, and returns what it lacks, empty if nothing.
@@ -54,8 +57,8 @@
 	return ""
 }
 
-// goOnFromPart has a zone that was evacuated in part go on from what it takes, and reports whether it may.
-func goOnFromPart(zone *Zone, view *View, op *Op) bool {
+// mayGoOnFromPart reports whether a zone that was evacuated in part may go on from what it takes.
+func mayGoOnFromPart(zone *Zone, view *View) bool {
 	observed := zone.Capacity.Concurrency
 	view.recordLoad(view.Concurrency / max(observed, minRate))
 	if view.highestLoad() > targetLoad && !isWarm(view, &zone.Capacity) {
@@ -63,15 +66,15 @@
 			view.Concurrency, observed)
 		return false
 	}
-	op.Share = max(op.Share, int(partialRampShare*min(1, view.AdmittedRate/view.FirstAttemptRate)))
 	return true
 }
 
-// rampStep completes a step of a ramp by the rate limits of its share.
-func (d *decider) rampStep(zone *Zone, view *View, op *Op) *Op {
+// rampStep returns a step of a ramp to a share, with the rate limits of that share.
+func (d *decider) rampStep(zone *Zone, view *View, share int, why grounds) operation {
 	if d.without.Has(PacedRamp) {
-		op.Share = api.FullShare
+		share = api.FullShare
 	}
-	op.RateLimit, op.ConnectRateLimit = zone.rateLimits(op.Share, view.NodesIn)
-	return d.withRetryBudget(op, view, Ramping, true)
+	takes := limits{share: share, budget: d.retryBudget(view, Ramping, true)}
+	takes.rateLimit, takes.connectRateLimit = zone.rateLimits(share, view.NodesIn)
+	return &rampStep{d.target(view), takes, why}
 }
--- a/internal/control/zones/ramp_end.go
+++ b/internal/control/zones/ramp_end.go
@@ -27,18 +27,17 @@
 // Inputs: the rates of attempts and of rejections, the rate limit and the observed rate in runs a second, the time at
 // this limit in ms. While many attempts are rejected the rate limit grows in place of ending: who was rejected comes
 // again, and all would come at once if the limit just ended. It may prolong the ramp by maxEndMS at each limit.
-func (d *decider) finishRamp(zone *Zone, view *View, shownMS uint64) *Op {
+func (d *decider) finishRamp(zone *Zone, view *View, shownMS uint64) operation {
 	manyRejected := view.RejectedRate > rejectedAtEnd*view.FirstAttemptRate
 	if manyRejected && zone.RateLimit < maxLimit*zone.Capacity.RunRate && shownMS < maxEndMS {
 		return d.raiseLimit(zone, view)
 	}
-	op := &Op{Kind: OpEndRamp, Reason: fmt.Sprintf("%.0f runs under way of %.0f it bore", view.Concurrency,
-		zone.Capacity.Concurrency)}
-	return d.withRetryBudget(op, view, InService, true)
+	reason := fmt.Sprintf("%.0f runs under way of %.0f it bore", view.Concurrency, zone.Capacity.Concurrency)
+	return &rampEnd{d.target(view), grounds{reason: reason}, d.retryBudget(view, InService, true)}
 }
 
 // raiseLimit raises the rate limit of a zone that takes all of its load, nil if all that it bore is in flight.
-func (d *decider) raiseLimit(zone *Zone, view *View) *Op {
+func (d *decider) raiseLimit(zone *Zone, view *View) operation {
 	factor := maxLimitFactor
 	if load := view.highestLoad(); load > 0 {
 		factor = min(factor, stepBackLoad/load) // a little more than was observed, or no fewer would be rejected
@@ -49,8 +48,13 @@
 			view.RejectedRate, view.Concurrency, zone.Capacity.Concurrency)
 		return nil
 	}
-	op := &Op{Kind: OpRamp, Share: api.FullShare, Operator: zone.Operator,
-		Reason: fmt.Sprintf("takes all, and still turns %.0f a second away", view.RejectedRate)}
-	op.RateLimit, op.ConnectRateLimit = zone.RateLimit*factor, zone.ConnectRateLimit*factor
-	return d.withRetryBudget(op, view, Ramping, true)
+	takes := limits{
+		share:            api.FullShare,
+		rateLimit:        zone.RateLimit * factor,
+		connectRateLimit: zone.ConnectRateLimit * factor,
+		budget:           d.retryBudget(view, Ramping, true),
+	}
+	why := grounds{operator: zone.Operator,
+		reason: fmt.Sprintf("takes all, and still turns %.0f a second away", view.RejectedRate)}
+	return &rampStep{d.target(view), takes, why}
 }
--- a/internal/control/zones/ramp_end_test.go
+++ b/internal/control/zones/ramp_end_test.go
@@ -28,12 +28,11 @@
 			history: history{loads: [loadHistory]float64{c.load}}}
 		zone := &Zone{Name: "a", Phase: Ramping, RateLimit: c.limit, ConnectRateLimit: c.limit,
 			Capacity: ObservedCapacity{RunRate: 100}}
-		kind := OpKind("")
-		op := d.finishRamp(zone, view, c.shownMS)
-		if op != nil {
-			kind = op.Kind
+		op := &Op{}
+		if o := d.finishRamp(zone, view, c.shownMS); o != nil {
+			op = o.encode()
 		}
-		if kind != c.kind || kind == OpRamp && (op.RateLimit <= c.limit || op.RateLimit > maxLimitFactor*c.limit) {
+		if op.Kind != c.kind || op.Kind == OpRamp && (op.RateLimit <= c.limit || op.RateLimit > maxLimitFactor*c.limit) {
 			t.Errorf("%s: %+v, expected %q", c.name, op, c.kind)
 		}
 	}
--- a/internal/control/zones/score.go
+++ b/internal/control/zones/score.go
@@ -81,7 +81,7 @@
 			view.NodesReporting, view.Symptom)
 		return
 	}
-	view.Cause = string(view.Symptom)
+	view.Cause = Cause(view.Symptom)
 	if view.commonCauseAt != 0 && now-view.commonCauseAt < commonCauseMS {
 		view.addScore(afterCommonPoints)
 	} else {
@@ -107,12 +107,6 @@
 	return healthy > 0 && 2*healthy >= inService
 }
 
-// Causes of a silent zone's evacuation.
-const (
-	causeDead   = "dead"
-	causeCutOff = "cut off" // from the group, so its leases have run out
-)
-
 // scoreSilent scores a zone of which no node is heard, by what nodes of other zones found of its health.
 //
 // Guards against evacuating a zone that serves and is cut off from the group alone.
--- a/internal/control/zones/spare_capacity_test.go
+++ b/internal/control/zones/spare_capacity_test.go
@@ -92,10 +92,10 @@
 		d, view := zonesOf()
 		view.AdmittedRate, view.OfferedWeight, view.CompletedWeight = 50, 100, c.completed
 		view.mix = []api.PriorityCount{{Weight: 2, Arrived: 100}}
-		op := &Op{}
-		if got := d.weigh(op, view, spare{runs: c.spare, completed: 1}); got != c.evacuated || got &&
-			op.Share != c.share {
-			t.Errorf("%s: %v, keeps %d; expected %v, %d (%s)", c.name, got, op.Share, c.evacuated, c.share, view.Note)
+		o := &evacuation{}
+		if got := d.weigh(o, view, spare{runs: c.spare, completed: 1}); got != c.evacuated || got &&
+			o.share != c.share {
+			t.Errorf("%s: %v, keeps %d; expected %v, %d (%s)", c.name, got, o.share, c.evacuated, c.share, view.Note)
 		}
 	}
 }
--- a/internal/control/zones/state.go
+++ b/internal/control/zones/state.go
@@ -45,7 +45,7 @@
 	PriorityCutoff   float64          `json:"worth,omitempty"` // see api.ZoneOrder
 	Epoch            uint64           `json:"epoch"`           // of its last change
 	SinceMS          uint64           `json:"since"`           // when that change was applied, then when it settled
-	Cause            string           `json:"cause,omitempty"`
+	Cause            Cause            `json:"cause,omitempty"`
 	Operator         string           `json:"by,omitempty"` // who did it; empty: the rules
 	NodesBefore      int              `json:"had,omitempty"`
 	RateLimit        float64          `json:"ceiling,omitempty"` // runs a second, while it ramps
@@ -150,11 +150,11 @@
 	return n
 }
 
-// addEvent keeps what was decided; op, if not nil, is what it was decided by.
-func (z *Zone) addEvent(clock, epoch uint64, op *Op, format string, args ...any) {
+// addEvent keeps what was decided, with the values that it was decided by where why is not nil.
+func (z *Zone) addEvent(clock, epoch uint64, why *grounds, format string, args ...any) {
 	event := Event{ClockMS: clock, Epoch: epoch, Text: fmt.Sprintf(format, args...)}
-	if op != nil {
-		event.ValueOfStaying, event.ValueOfEvacuating = op.ValueOfStaying, op.ValueOfEvacuating
+	if why != nil {
+		event.ValueOfStaying, event.ValueOfEvacuating = why.valueOfStaying, why.valueOfEvacuating
 	}
 	z.Events = append(z.Events, event)
 	if len(z.Events) > maxEvents {
--- a/internal/control/zones/store_capacity.go
+++ b/internal/control/zones/store_capacity.go
@@ -13,19 +13,19 @@
 
 // capacitiesToStore decides which observed capacities go to the log, so that they outlive the leader: seldom, and
 // where they moved.
-func (m *Monitor) capacitiesToStore(now uint64) *Op {
-	var op *Op
+func (m *Monitor) capacitiesToStore(now uint64) operation {
+	capacities := map[string]ObservedCapacity{}
 	for _, view := range m.views {
 		if !view.storesCapacity(now) {
 			continue
 		}
-		if op == nil {
-			op = &Op{Kind: OpObserve, Capacities: map[string]ObservedCapacity{}}
-		}
-		op.Capacities[view.Zone] = view.observed
+		capacities[view.Zone] = view.observed
 		view.logged, view.loggedAt = view.observed, now
 	}
-	return op
+	if len(capacities) == 0 {
+		return nil
+	}
+	return &observation{capacities: capacities}
 }
 
 func (v *View) storesCapacity(now uint64) bool {
--- a/internal/control/zones/view.go
+++ b/internal/control/zones/view.go
@@ -12,7 +12,7 @@
 	NodesUnhealthy int     `json:"sick"`  // of those that report
 	Symptom        Symptom `json:"kind,omitempty"`
 	FailureScore   float64 `json:"score"` // how sure it is that the zone fails: evacuated at evacuateScore
-	Cause          string  `json:"cause,omitempty"`
+	Cause          Cause   `json:"cause,omitempty"`
 	Note           string  `json:"note,omitempty"` // what holds a decision up, for operators
 
 	FirstAttemptRate float64 `json:"came"`   // that arrived, whether the zone's order admitted them or not
