--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -79,7 +79,3 @@
 
 // stopWithin is how long an instance that ends may take to hand its lead over.
 const stopWithin = 2 * time.Second
-
-// againAfter is how long after its end an instance of a local group is started again; one that ends by itself
-// sooner than that does not come up at all, as on a folder that can't be used, and ends the command.
-const againAfter = 2 * time.Second
--- a/internal/cli/control_local.go
+++ b/internal/cli/control_local.go
@@ -9,155 +9,242 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
+	"sync"
 	"syscall"
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"umberwinch/internal/control/consensus"
+)
+
+// Times of a local group.
+const (
+	// restartAfter is how long after its end an instance is started again. One that ends by itself sooner than that does
+	// not come up at all, as on a folder that can't be used, and ends the command.
+	restartAfter = 2 * time.Second
+	// localStopTimeout is how long an instance may take to end before it is killed.
+	localStopTimeout = 5 * time.Second
+	// localJoinTimeout is how long an instance may take to answer, and the group to have all of them as voters.
+	localJoinTimeout = 10 * time.Second
+	// localPollInterval is the pause between two looks at instances that are not up yet.
+	localPollInterval = 20 * time.Millisecond
 )
 
+// peerPortOffset is how far below an instance's port for clients its port for peers is.
+const peerPortOffset = 100
+
+// localRequest is what the flags of `control local` ask for.
+type localRequest struct {
+	dir       string
+	instances int
+	port      int
+}
+
 func newLocal(a *access) *cobra.Command {
-	var dir string
-	var size, port int
+	var r localRequest
 	c := &cobra.Command{Use: "local", Short: "Run a whole group on loopback, for a look", Args: exact(0),
 		Long: `Starts instances as processes of their own on loopback ports, takes them into one group, shows it and runs
-until it is interrupted. One that ends is started again two seconds later; the others go on meanwhile. Their files and folders stay under --dir, so a later start goes on where this one ended.`,
+until it is interrupted. One that ends is started again two seconds later; the others go on meanwhile. Their files, logs
+and folders stay under --dir, so a later start goes on where this one ended.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if size < 1 || size > 7 {
-				return usage(fmt.Errorf("--instances: found %d, expected 1 to 7", size))
+			if r.instances < 1 || r.instances > 7 {
+				return usage(fmt.Errorf("--instances: found %d, expected 1 to 7", r.instances))
 			}
-			return runLocal(cmd, a, dir, size, port)
+			return r.run(cmd.Context(), a, cmd.OutOrStdout())
 		}}
-	c.Flags().StringVar(&dir, "dir", "control-local", "folder for their files and data")
-	c.Flags().IntVar(&size, "instances", 3, "how many")
-	c.Flags().IntVar(&port, "port", 7201, "first port for clients; peers have those 100 below")
+	c.Flags().StringVar(&r.dir, "dir", "control-local", "folder for their files, logs and data")
+	c.Flags().IntVar(&r.instances, "instances", 3, "how many")
+	c.Flags().IntVar(&r.port, "port", 7201, "first port for clients; peers have those 100 below")
 	return c
 }
 
-func runLocal(cmd *cobra.Command, a *access, dir string, size, port int) error {
-	self, err := os.Executable()
+// run runs the group until the context ends or an instance does not come up.
+func (r *localRequest) run(ctx context.Context, a *access, w io.Writer) error {
+	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	if err = os.MkdirAll(dir, 0o700); err != nil {
+	if err = os.MkdirAll(r.dir, 0o700); err != nil {
 		return err
 	}
 	c, err := a.client()
 	if err != nil {
 		return err
 	}
-	c.at = nil
-	running, stop := context.WithCancel(cmd.Context())
-	defer stop()
-	ended := make(chan error, size)
-	var listens, pids []string
-	var logs []*os.File
-	defer func() {
-		for _, l := range logs {
-			l.Close()
-		}
-	}()
-	for i := 0; i < size; i++ {
+	g := &localGroup{program: program, client: c, out: w, failed: make(chan error, r.instances+1)}
+	for i := range r.instances {
 		name := string(rune('a' + i))
-		listen := fmt.Sprintf("127.0.0.1:%d", port+i)
-		file := filepath.Join(dir, name+".ini")
-		if err := writeLocal(file, dir, name, listen, port-100+i, i == 0); err != nil {
-			return err
-		}
-		out, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
-		if err != nil {
-			return err
-		}
-		logs = append(logs, out)
-		begin := func() (*exec.Cmd, error) {
-			child := exec.CommandContext(running, self, "control", "run", "--file", file)
-			child.Stderr = out
-			child.Cancel = func() error { return child.Process.Signal(syscall.SIGTERM) }
-			child.WaitDelay = 5 * time.Second
-			return child, child.Start()
-		}
-		child, err := begin()
-		if err != nil {
+		g.instances = append(g.instances, &localInstance{name: name, listen: fmt.Sprintf("127.0.0.1:%d", r.port+i),
+			peer: fmt.Sprintf("127.0.0.1:%d", r.port+i-peerPortOffset), data: filepath.Join(r.dir, name)})
+	}
+	if err = g.run(ctx); err != nil {
+		return fmt.Errorf("%w; logs are in %s", err, r.dir)
+	}
+	_, err = fmt.Fprintf(w, "all instances have ended; logs are in %s\n", r.dir)
+	return err
+}
+
+// localGroup is a group whose instances are processes of this one.
+type localGroup struct {
+	program     string
+	client      *client
+	out         io.Writer
+	instances   []*localInstance
+	supervisors sync.WaitGroup
+	failed      chan error // why the group can't go on; has room for one of each instance and of the set-up
+}
+
+// localInstance is one of them. Its data is in a folder, its settings and log beside that under the folder's name.
+type localInstance struct {
+	name, listen, peer, data string
+	process                  *exec.Cmd // its supervisor's alone once it began
+	firstPID                 int
+}
+
+func (i *localInstance) settings() string { return i.data + ".ini" }
+func (i *localInstance) log() string      { return i.data + ".log" }
+
+// run starts all instances and returns once all have ended.
+func (g *localGroup) run(ctx context.Context) error {
+	running, stop := context.WithCancel(ctx)
+	defer g.supervisors.Wait()
+	defer stop()
+	for n, i := range g.instances {
+		if err := g.begin(running, i, n == 0); err != nil {
 			return err
 		}
-		go func() { ended <- again(running, cmd.OutOrStdout(), name, child, begin) }()
-		listens, pids = append(listens, listen), append(pids, fmt.Sprintf("instance %s: pid %d", name, child.Process.Pid))
 	}
-	c.at = listens
-	go func() {
-		err := c.gather(running, listens)
-		if err == nil {
-			err = c.status(running, cmd.OutOrStdout())
+	g.supervisors.Go(func() {
+		if err := g.setUp(running); err != nil && running.Err() == nil {
+			g.failed <- err
 		}
-		if err != nil && running.Err() == nil {
-			ended <- err
-		} else if running.Err() == nil {
-			fmt.Fprintf(cmd.OutOrStdout(), "%s\nrunning; ask it with: umberctl control status --at %s\n",
-				strings.Join(pids, ", "), strings.Join(listens, ","))
-		}
-	}()
+	})
 	select {
-	case err = <-ended:
-		size--
-	case <-cmd.Context().Done():
-		err = nil
+	case err := <-g.failed:
+		return err
+	case <-ctx.Done():
+		return nil
 	}
-	stop()
-	for ; size > 0; size-- {
-		<-ended
+}
+
+// begin starts an instance for the first time, and has it started again whenever it ends.
+func (g *localGroup) begin(ctx context.Context, i *localInstance, founds bool) error {
+	if err := i.writeSettings(founds); err != nil {
+		return err
 	}
-	return err
+	if err := g.start(ctx, i); err != nil {
+		return err
+	}
+	i.firstPID = i.process.Process.Pid
+	g.supervisors.Go(func() {
+		if err := g.supervise(ctx, i); err != nil {
+			g.failed <- err
+		}
+	})
+	return nil
 }
 
-// again starts an instance anew whenever it ends, until the context does.
-func again(ctx context.Context, w io.Writer, name string, child *exec.Cmd, begin func() (*exec.Cmd, error)) error {
+// start runs an instance's process until the context ends.
+func (g *localGroup) start(ctx context.Context, i *localInstance) error {
+	log, err := os.OpenFile(i.log(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	if err != nil {
+		return err
+	}
+	defer log.Close() // the process has its own descriptor
+	p := exec.CommandContext(ctx, g.program, "control", "run", "--file", i.settings())
+	p.Stderr = log
+	p.Cancel = func() error { return p.Process.Signal(syscall.SIGTERM) }
+	p.WaitDelay = localStopTimeout
+	i.process = p
+	return p.Start()
+}
+
+// supervise starts an instance again whenever it ends, until the context does.
+func (g *localGroup) supervise(ctx context.Context, i *localInstance) error {
 	for {
 		began := time.Now()
-		err := child.Wait()
+		err := i.process.Wait()
 		if ctx.Err() != nil {
 			return nil
 		}
-		var exit *exec.ExitError
-		if killed := errors.As(err, &exit) && exit.ExitCode() < 0; !killed && time.Since(began) < againAfter {
-			return fmt.Errorf("instance %s does not come up, see its log: %w", name, err)
+		if !endedBySignal(err) && time.Since(began) < restartAfter {
+			return fmt.Errorf("instance %s does not come up, see %s: %w", i.name, i.log(), err)
+		}
+		how := "status 0"
+		if err != nil {
+			how = err.Error()
 		}
-		fmt.Fprintf(w, "instance %s ended (%v); it is started again in %v, the others go on\n", name, err, againAfter)
+		fmt.Fprintf(g.out, "instance %s ended (%s); it is started again in %v, the others go on\n", i.name, how, restartAfter)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(againAfter):
+		case <-time.After(restartAfter):
 		}
-		if child, err = begin(); err != nil {
+		if err = g.start(ctx, i); err != nil {
 			return err
 		}
-		fmt.Fprintf(w, "instance %s is up again, pid %d\n", name, child.Process.Pid)
+		fmt.Fprintf(g.out, "instance %s is up again, pid %d\n", i.name, i.process.Process.Pid)
 	}
 }
 
-// gather takes all instances into one group, those that are not yet.
-func (c *client) gather(ctx context.Context, listens []string) error {
-	for _, listen := range listens {
-		for end := time.Now().Add(10 * time.Second); ; {
-			r, err := c.report(ctx, listen)
-			if err == nil && r.Cluster != "" {
-				break
-			}
-			if err == nil {
-				ch, err := c.adding(ctx, listen)
-				if err != nil {
-					return err
-				}
-				if err = c.change(ctx, ch); err != nil {
-					return err
-				}
-				break
-			}
-			if ctx.Err() != nil || time.Now().After(end) {
-				return fmt.Errorf("%s does not answer: %w", listen, err)
-			}
-			time.Sleep(20 * time.Millisecond)
+// endedBySignal says whether an instance was killed, or asked to end: then it ends without an error.
+func endedBySignal(err error) bool {
+	var exit *exec.ExitError
+	return err == nil || errors.As(err, &exit) && exit.ExitCode() < 0
+}
+
+// setUp takes all instances into one group, and says how it is reached.
+func (g *localGroup) setUp(ctx context.Context) error {
+	var addresses, pids []string
+	for _, i := range g.instances {
+		addresses = append(addresses, i.listen)
+		pids = append(pids, fmt.Sprintf("instance %s: pid %d", i.name, i.firstPID))
+	}
+	g.client.at = addresses
+	for _, address := range addresses {
+		if err := g.client.joinOnceUp(ctx, address); err != nil {
+			return err
+		}
+	}
+	if err := g.client.awaitVoters(ctx, len(addresses)); err != nil {
+		return err
+	}
+	if err := g.client.status(ctx, g.out); err != nil {
+		return err
+	}
+	_, err := fmt.Fprintf(g.out, "%s\nrunning; ask it with: umberctl control status --at %s\n", strings.Join(pids, ", "),
+		strings.Join(addresses, ","))
+	return err
+}
+
+// joinOnceUp takes an instance into the group once it answers, unless it is a member already.
+func (c *client) joinOnceUp(ctx context.Context, address string) error {
+	for end := time.Now().Add(localJoinTimeout); ; time.Sleep(localPollInterval) {
+		r, err := c.report(ctx, address)
+		if err == nil {
+			return c.joinUnlessMember(ctx, address, r)
 		}
+		if ctx.Err() != nil || time.Now().After(end) {
+			return fmt.Errorf("%s does not answer: %w", address, err)
+		}
+	}
+}
+
+func (c *client) joinUnlessMember(ctx context.Context, address string, r *consensus.Report) error {
+	if r.Cluster != "" {
+		return nil
 	}
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end) && ctx.Err() == nil; {
+	ch, err := c.adding(ctx, address)
+	if err != nil {
+		return err
+	}
+	return c.change(ctx, ch)
+}
+
+// awaitVoters waits until so many instances are voters.
+func (c *client) awaitVoters(ctx context.Context, count int) error {
+	for end := time.Now().Add(localJoinTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(localPollInterval) {
 		rows, _, err := c.rows(ctx)
 		voters := 0
 		for _, r := range rows {
@@ -165,25 +252,29 @@
 				voters++
 			}
 		}
-		if err == nil && voters == len(listens) {
+		if err == nil && voters == count {
 			return nil
 		}
-		time.Sleep(20 * time.Millisecond)
 	}
-	return errors.New("not all instances became voters in 10 s")
+	return fmt.Errorf("not all instances became voters in %v", localJoinTimeout)
 }
 
-func writeLocal(file, dir, name, listen string, peer int, found bool) error {
-	if _, err := os.Stat(file); err == nil {
+// writeSettings writes the operator's file, unless it is there from an earlier run.
+func (i *localInstance) writeSettings(founds bool) error {
+	if _, err := os.Stat(i.settings()); err == nil {
 		return nil
 	}
-	start := map[bool]string{true: "new", false: "join"}[found]
-	return os.WriteFile(file, []byte(fmt.Sprintf(`; written by umberctl control local
+	start := "join"
+	if founds {
+		start = "new"
+	}
+	text := fmt.Sprintf(`; written by umberctl control local
 [instance]
 name = %s
 data = %s
 start = %s
-peer = 127.0.0.1:%d
+peer = %s
 listen = %s
-`, name, filepath.Join(dir, name), start, peer, listen)), 0o600)
+`, i.name, i.data, start, i.peer, i.listen)
+	return os.WriteFile(i.settings(), []byte(text), 0o600)
 }
