--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -1,7 +1,9 @@
 package cli
 
 import (
+	"context"
 	"fmt"
+	"io"
 	"os"
 	"slices"
 
@@ -11,56 +13,86 @@
 	"umberwinch/internal/harness"
 )
 
+// demoRequest is what the flags of `demo` ask for.
+type demoRequest struct {
+	demo   harness.Demo
+	asJSON bool
+}
+
 func newDemo() *cobra.Command {
-	d := &harness.Demo{}
-	var asJSON bool
+	var r demoRequest
 	c := &cobra.Command{Use: "demo", Short: "A node, an emulated kernel and a load on loopback, with a live table",
-		Args: exact(0), RunE: func(cmd *cobra.Command, _ []string) error {
-			if d.Load <= 0 || d.Load > 10 {
-				return usage(fmt.Errorf("--load: found %g, expected above 0 and at most 10", d.Load))
-			}
-			if d.Trouble != "" && !slices.Contains(harness.DemoTroubles, d.Trouble) {
-				return usage(fmt.Errorf("--trouble: found %q, expected one of %v", d.Trouble, harness.DemoTroubles))
-			}
-			d.Plain = true
-			out := cmd.OutOrStdout()
-			if f, ok := out.(*os.File); ok && term.IsTerminal(int(f.Fd())) && term.IsTerminal(int(os.Stdin.Fd())) {
-				was, err := term.MakeRaw(int(os.Stdin.Fd()))
-				if err != nil {
-					return err
-				}
-				defer term.Restore(int(os.Stdin.Fd()), was)
-				keys := make(chan byte)
-				go func() {
-					for one := make([]byte, 1); ; {
-						if _, err := os.Stdin.Read(one); err != nil {
-							return
-						}
-						keys <- one[0]
-					}
-				}()
-				d.Plain, d.Keys = false, keys
+		Args: exact(0), Long: `Runs a node, an emulated kernel and callers in this process until --seconds are over, q is pressed or it
+is interrupted, and prints what each class of requests got. A run that is interrupted or fails leaves the node's log, and
+says on standard error where.`,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			if err := r.check(); err != nil {
+				return usage(err)
 			}
-			res, err := d.Run(cmd.Context(), out)
-			if err != nil {
-				return err
-			}
-			if asJSON {
-				return printJSON(out, res)
-			}
-			rows := [][]string{{"CLASS", "ASKED", "IN TIME", "SHED", "95TH"}}
-			for _, r := range res {
-				rows = append(rows, []string{r.Class, fmt.Sprint(r.Asked), fmt.Sprintf("%.3f", r.InTime),
-					fmt.Sprintf("%.3f", r.Shed), fmt.Sprintf("%.0f ms", r.P95)})
-			}
-			return table(out, rows)
+			return r.run(cmd.Context(), cmd.OutOrStdout(), cmd.ErrOrStderr())
 		}}
 	f := c.Flags()
-	f.Int64Var(&d.Seed, "seed", 1, "the load's chance comes from it")
-	f.Float64Var(&d.Load, "load", 0.9, "share of the cores' capacity that is asked for")
-	f.BoolVar(&d.Pools, "pools", false, "with pools of run slots")
-	f.IntVar(&d.Seconds, "seconds", 0, "how long; 0 until it is interrupted")
-	f.StringVar(&d.Trouble, "trouble", "", "slow or cold: a service below that is; links: the kernel's link breaks every 5 s")
-	f.BoolVar(&asJSON, "json", false, "print the sums as JSON")
+	f.Int64Var(&r.demo.Seed, "seed", 1, "seed of the load's random numbers")
+	f.Float64Var(&r.demo.Load, "load", 0.9, "share of the cores' capacity that is asked for")
+	f.BoolVar(&r.demo.Pools, "pools", false, "with pools of run slots")
+	f.IntVar(&r.demo.Seconds, "seconds", 0, "how long; 0 until it is interrupted")
+	f.StringVar(&r.demo.Trouble, "trouble", "", "a fault: a slow or cold dependency; links: the kernel's link breaks every 5 s")
+	f.BoolVar(&r.asJSON, "json", false, "print the results as JSON")
 	return c
 }
+
+func (r *demoRequest) check() error {
+	if r.demo.Load <= 0 || r.demo.Load > 10 {
+		return fmt.Errorf("--load: found %g, expected above 0 and at most 10", r.demo.Load)
+	}
+	if r.demo.Trouble != "" && !slices.Contains(harness.DemoTroubles, r.demo.Trouble) {
+		return fmt.Errorf("--trouble: found %q, expected one of %v", r.demo.Trouble, harness.DemoTroubles)
+	}
+	return nil
+}
+
+func (r *demoRequest) run(ctx context.Context, out, errs io.Writer) error {
+	r.demo.Plain = true
+	if f, ok := out.(*os.File); ok && term.IsTerminal(int(f.Fd())) && term.IsTerminal(int(os.Stdin.Fd())) {
+		was, err := term.MakeRaw(int(os.Stdin.Fd()))
+		if err != nil {
+			return err
+		}
+		defer term.Restore(int(os.Stdin.Fd()), was)
+		r.demo.Plain, r.demo.Keys = false, pressedKeys(os.Stdin)
+	}
+	results, err := r.demo.Run(ctx, out)
+	if err != nil {
+		return err
+	}
+	if r.demo.Folder != "" {
+		fmt.Fprintf(errs, "interrupted; logs are in %s\n", r.demo.Folder)
+	}
+	if r.asJSON {
+		return printJSON(out, results)
+	}
+	return table(out, demoTable(results))
+}
+
+// pressedKeys reads a terminal in raw mode.
+func pressedKeys(terminal io.Reader) <-chan byte {
+	keys := make(chan byte)
+	go func() {
+		for one := make([]byte, 1); ; {
+			if _, err := terminal.Read(one); err != nil {
+				return
+			}
+			keys <- one[0]
+		}
+	}()
+	return keys
+}
+
+func demoTable(results []harness.DemoResult) [][]string {
+	rows := [][]string{{"CLASS", "ASKED", "IN TIME", "SHED", "95TH"}}
+	for _, r := range results {
+		rows = append(rows, []string{r.Class, fmt.Sprint(r.Asked), fmt.Sprintf("%.3f", r.InTime),
+			fmt.Sprintf("%.3f", r.Shed), fmt.Sprintf("%.0f ms", r.P95)})
+	}
+	return rows
+}
--- a/internal/harness/demo.go
+++ b/internal/harness/demo.go
@@ -15,7 +15,6 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-	"github.com/sirupsen/logrus"
 
 	"umberwinch/internal/config"
 	"umberwinch/internal/logging"
@@ -32,6 +31,7 @@
 	Keys    <-chan byte
 	Plain   bool // lines, not a table drawn over the last one
 	Trouble string
+	Folder  string // where the node's log is; set by a run that failed or was interrupted, which leaves it
 }
 
 // DemoTroubles are what a demo may have beside its load: a service below that each run calls, slow in the middle third of the
@@ -80,8 +80,25 @@
 	P95    float64 // ms
 }
 
-// Run starts all of it, shows what happens, and ends it clean.
+// Run starts all of it, shows what happens, and ends it clean. A run that failed or was interrupted leaves the node's log:
+// the error says where, or Folder.
 func (d *Demo) Run(ctx context.Context, w io.Writer) ([]DemoResult, error) {
+	dir, err := os.MkdirTemp("", "umberctl-demo-")
+	if err != nil {
+		return nil, err
+	}
+	results, err := d.run(ctx, dir, w)
+	switch {
+	case err != nil:
+		return nil, fmt.Errorf("%w; logs are in %s", err, dir)
+	case ctx.Err() != nil:
+		d.Folder = dir
+		return results, nil
+	}
+	return results, os.RemoveAll(dir)
+}
+
+func (d *Demo) run(ctx context.Context, dir string, w io.Writer) ([]DemoResult, error) {
 	s, err := simulation.ReadScenario("demo", demoClasses)
 	if err != nil {
 		return nil, err
@@ -114,7 +131,7 @@
 		return nil, err
 	}
 	defer control.close()
-	signals, ended, err := o.startNode(control.addr(), below)
+	signals, ended, err := o.startNode(dir, control.addr(), below)
 	if err != nil {
 		return nil, err
 	}
@@ -139,13 +156,8 @@
 	return nil
 }
 
-// startNode runs the node in this process, as its program would.
-func (o *demo) startNode(control, below string) (chan os.Signal, <-chan error, error) {
-	dir, err := os.MkdirTemp("", "demo-")
-	if err != nil {
-		return nil, nil, err
-	}
-	defer os.RemoveAll(dir)
+// startNode runs the node in this process, as its program would. Its settings and log are in a folder.
+func (o *demo) startNode(dir, control, below string) (chan os.Signal, <-chan error, error) {
 	o.addr = loopback(8080)
 	raw, err := nodeConfig(nodeSetUp{name: "demo", listen: o.addr, kernel: o.kernel.ln.Addr().String(), store: below,
 		control: control, cores: o.s.Cores, tenants: o.s.Tenants, classes: o.s.Classes,
@@ -168,10 +180,14 @@
 	if err = node.Own(own); err != nil {
 		return nil, nil, err
 	}
+	out, err := os.Create(filepath.Join(dir, "node.log"))
+	if err != nil {
+		return nil, nil, err
+	}
 	signals, ended := make(chan os.Signal, 4), make(chan error, 1)
-	log := logging.New(io.Discard, "text", "error")
-	log.SetLevel(logrus.ErrorLevel)
+	log := logging.New(out, "text", "info")
 	go func() {
+		defer out.Close()
 		ended <- server.Run(node, log, server.Signals{Drain: signals,
 			Read: func() (*server.Node, error) { return node, nil }})
 	}()
