--- a/internal/node/server/admission_writer.go
+++ b/internal/node/server/admission_writer.go
@@ -13,7 +13,7 @@
 	r := l.requests.get(handle(id))
 	switch {
 	case r == nil || !r.mayStart():
-	case r.isPaused() && r.keyed.holdsBack(): // the kernel has been told neither of the run nor of the pause
+	case r.isPaused() && r.isHeldBack(): // the kernel has been told neither of the run nor of the pause
 		r.setRun(runRunning)
 	case r.isPaused() && l.settings.Cancellation == admission.CancelPause:
 		l.sendResume(r)
@@ -35,7 +35,7 @@
 	if r := l.requests.get(handle(id)); r != nil && r.isRunning() {
 		l.trace(r, tracePaused)
 		l.counters.Pauses++
-		if r.pause(); !r.keyed.holdsBack() { // else the stop is sent with the run
+		if r.pause(); !r.isHeldBack() { // else the stop is sent with the run
 			l.sendStop(r)
 		}
 	}
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -73,7 +73,7 @@
 func (l *loop) rejectQueued() {
 	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
 		r := l.requests.get(h)
-		if !r.awaitsResponse() || r.run != runNotStarted || r.keyed.isBeingRead() {
+		if !r.awaitsResponse() || r.run != runNotStarted || r.disk == readPending {
 			continue
 		}
 		if e := l.idempotency.find(r.key); r.shared == sharedAwaited && e != nil && e.state == entryRunning {
--- a/internal/node/server/handle_table.go
+++ b/internal/node/server/handle_table.go
@@ -52,6 +52,9 @@
 	return handle(s.generation<<slotBits | uint32(i)), &s.value, true
 }
 
+// full tells whether all slots are in use.
+func (t *table[T]) full() bool { return len(t.free) == 0 && len(t.slots) >= t.capacity }
+
 // get finds what a handle names; nil if it is no longer there. It lasts until the next take.
 func (t *table[T]) get(h handle) *T {
 	i := h.slot()
--- a/internal/node/server/lifecycle.go
+++ b/internal/node/server/lifecycle.go
@@ -6,13 +6,14 @@
 	"umberwinch/admission"
 )
 
-// lifecycle says how far a request has come. It is four state machines side by side, as a run and its calls go on after
+// lifecycle says how far a request has come. It is five state machines side by side, as a run and its calls go on after
 // the client has its response or is gone:
 //
 //	response  pending -> sent | clientGone -> discarded
 //	run       notStarted -> running <-> pausing -> stopped -> running; running -> finished
 //	call      none -> queued -> sent -> none
 //	shared    not -> awaited -> not
+//	disk      nothing -> opening | read | intent | result -> nothing
 //
 // Where they have to agree is said once, in isOver. Each state changes by the methods of this file alone, and each
 // change is looked up in a table of those that are allowed. One that isn't is carried out all the same, as a request
@@ -22,6 +23,7 @@
 	run      runState
 	call     callState
 	shared   sharedState
+	disk     diskState
 }
 
 // responseState is what has become of the one response that a request gets.
@@ -66,6 +68,18 @@
 	sharedStates
 )
 
+// diskState is what a request with an idempotency key waits for, where results are stored.
+type diskState uint8
+
+const (
+	nothingPending diskState = iota
+	openingPending           // the folder is not read yet: the controller has not heard of the request
+	readPending              // its result is being read: the controller does not hear of it
+	intentPending            // it has its slot, and its intent record is on the way to the disk
+	resultPending            // it ran, its slot is free, and its result is on the way to the disk
+	diskStates
+)
+
 // The allowed transitions: from the first index to the second.
 var (
 	responseTransitions = [responseStates][responseStates]bool{
@@ -89,6 +103,13 @@
 		sharedNotAwaited: {sharedNotAwaited: true, sharedAwaited: true},
 		sharedAwaited:    {sharedNotAwaited: true},
 	}
+	diskTransitions = [diskStates][diskStates]bool{
+		nothingPending: {openingPending: true, readPending: true, intentPending: true, resultPending: true},
+		openingPending: {nothingPending: true},
+		readPending:    {nothingPending: true},
+		intentPending:  {nothingPending: true},
+		resultPending:  {nothingPending: true},
+	}
 )
 
 // wrongTransitionEndsProgram is set by the linker in the builds that scenarios play against, and by tests.
@@ -131,6 +152,13 @@
 	s.shared = to
 }
 
+func (s *lifecycle) setDisk(to diskState) {
+	if !diskTransitions[s.disk][to] {
+		onWrongTransition("disk", uint8(s.disk), uint8(to))
+	}
+	s.disk = to
+}
+
 // isAnswered tells whether the request had its response, which nobody may have read.
 func (s *lifecycle) isAnswered() bool {
 	return s.response == responseSent || s.response == responseDiscarded
@@ -150,6 +178,10 @@
 // isPaused tells whether the run was told to stop and not to go on yet.
 func (s *lifecycle) isPaused() bool { return s.run == runPausing || s.run == runStopped }
 
+// isHeldBack tells whether the kernel has not been told of the run yet, as its intent is not on disk: a stop is told
+// with it.
+func (s *lifecycle) isHeldBack() bool { return s.disk == intentPending }
+
 // mayStart tells whether the controller may have the request run, for the first time or again.
 func (s *lifecycle) mayStart() bool { return s.run == runNotStarted || s.isPaused() }
 
--- a/internal/node/server/lifecycle_test.go
+++ b/internal/node/server/lifecycle_test.go
@@ -50,6 +50,23 @@
 	}
 }
 
+// A request that waits for the disk waits for one thing: a word of the disk about another would be taken for the one
+// that it waits for, and have it run, or answered, before its record is durable.
+func TestARequestWaitsForOneThingOfTheDisk(t *testing.T) {
+	for from := range diskStates {
+		for to := range diskStates {
+			s := lifecycle{disk: from}
+			allowed := (from == nothingPending) != (to == nothingPending)
+			if wrongTransition(func() { s.setDisk(to) }) == allowed {
+				t.Errorf("from %d to %d: expected that it is allowed: %v", from, to, allowed)
+			}
+			if s := (lifecycle{disk: from}); s.isHeldBack() != (from == intentPending) {
+				t.Errorf("%d: held back %v", from, s.isHeldBack())
+			}
+		}
+	}
+}
+
 // The slot of a request must not be used again while its run or a result that it waits for is still to come.
 func TestARequestIsOverOnceNothingIsLeftToCome(t *testing.T) {
 	for response := range responseStates {
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -33,39 +33,30 @@
 	rejections
 )
 
-// rejectionStatuses are the statuses that rejections are answered with. 400 is the client's mistake; after 503 another
-// server may have the request, as nothing of it ran; after 500 none may.
-var rejectionStatuses = [rejections]int{
-	unknownHandler:       wire.StatusBadRequest,
-	fieldMissing:         wire.StatusBadRequest,
-	stampTooFarOff:       wire.StatusBadRequest,
-	unknownTenant:        wire.StatusBadRequest,
-	kernelNotUp:          wire.StatusServiceUnavailable,
-	nodeFenced:           wire.StatusServiceUnavailable,
-	handlerRetired:       wire.StatusServiceUnavailable,
-	rejectedByZone:       wire.StatusServiceUnavailable,
-	idempotencyTableFull: wire.StatusServiceUnavailable,
-	mayHaveRunBefore:     wire.StatusInternalServerError,
-	requestTableFull:     wire.StatusServiceUnavailable,
+// rejectionTable has the name of each rejection, for logs, and the status that it is answered with. 400 is the client's
+// mistake; after 503 another server may have the request, as nothing of it ran; after 500 none may.
+var rejectionTable = [rejections]struct {
+	name   string
+	status int
+}{
+	notRejected:          {"not rejected", 0},
+	unknownHandler:       {"unknown handler", wire.StatusBadRequest},
+	fieldMissing:         {"field missing", wire.StatusBadRequest},
+	stampTooFarOff:       {"stamp too far off", wire.StatusBadRequest},
+	unknownTenant:        {"unknown tenant", wire.StatusBadRequest},
+	kernelNotUp:          {"kernel not up", wire.StatusServiceUnavailable},
+	nodeFenced:           {"node fenced", wire.StatusServiceUnavailable},
+	handlerRetired:       {"handler retired", wire.StatusServiceUnavailable},
+	rejectedByZone:       {"over zone quota", wire.StatusServiceUnavailable},
+	idempotencyTableFull: {"idempotency table full", wire.StatusServiceUnavailable},
+	mayHaveRunBefore:     {"may have run before", wire.StatusInternalServerError},
+	requestTableFull:     {"request table full", wire.StatusServiceUnavailable},
 }
 
-// rejectionNames are what the trace log says.
-var rejectionNames = [rejections]string{
-	notRejected:          "not rejected",
-	unknownHandler:       "unknown handler",
-	fieldMissing:         "field missing",
-	stampTooFarOff:       "stamp too far off",
-	unknownTenant:        "unknown tenant",
-	kernelNotUp:          "kernel not up",
-	nodeFenced:           "node fenced",
-	handlerRetired:       "handler retired",
-	rejectedByZone:       "over zone quota",
-	idempotencyTableFull: "idempotency table full",
-	mayHaveRunBefore:     "may have run before",
-	requestTableFull:     "request table full",
-}
+func (r rejection) String() string { return rejectionTable[r].name }
 
-func (r rejection) String() string { return rejectionNames[r] }
+// status is what a rejection is answered with.
+func (r rejection) status() int { return rejectionTable[r].status }
 
 // arrivingRequest is a request that was read and is being checked.
 type arrivingRequest struct {
@@ -87,14 +78,10 @@
 	a := l.identify(&e.request, handlerName)
 	if why := l.checkRequest(&a, response); why != notRejected {
 		l.logRejection(&a, why)
-		return rejectionStatuses[why]
+		return why.status()
 	}
 	l.forgetAbandoned(a.ID)
-	h, r, ok := l.requests.take()
-	if !ok {
-		l.traceRejection(&a, requestTableFull)
-		return rejectionStatuses[requestTableFull]
-	}
+	h, r, _ := l.requests.take() // checkRequest found a free slot
 	l.fillRequest(r, e, &a)
 	c.current = h
 	l.byRequestID[r.id] = h
@@ -146,6 +133,8 @@
 		return idempotencyTableFull // it could not be told from its repeats
 	case l.mayHaveRun(a.ID):
 		return mayHaveRunBefore
+	case l.requests.full():
+		return requestTableFull
 	}
 	return notRejected
 }
@@ -174,10 +163,13 @@
 	}
 }
 
-// logRejection counts and logs a request that is its client's mistake, and traces any.
+// logRejection counts and logs a request that is its client's mistake, and traces each that does not reach the
+// controller.
 func (l *loop) logRejection(a *arrivingRequest, why rejection) {
-	l.traceRejection(a, why)
-	if rejectionStatuses[why] != wire.StatusBadRequest {
+	if l.debug {
+		l.traceWith(string(a.ID), traceRejected, logrus.Fields{logging.Reason: why.String()})
+	}
+	if why.status() != wire.StatusBadRequest {
 		return
 	}
 	log := l.badRequest()
@@ -196,13 +188,6 @@
 	log.WithFields(fields).Info(logBadRequest)
 }
 
-// traceRejection writes why a request does not reach the controller.
-func (l *loop) traceRejection(a *arrivingRequest, why rejection) {
-	if l.debug {
-		l.traceWith(string(a.ID), traceRejected, logrus.Fields{logging.Reason: why.String()})
-	}
-}
-
 func (l *loop) fillRequest(r *request, e *requestRead, a *arrivingRequest) {
 	*r = request{id: string(a.ID), connection: e.peer.handle, closeAfter: a.Close, handler: a.handler, buf: e.buffer,
 		body: a.Body, key: a.key, earliestArrival: a.earliest, arrival: a.latest, deadline: l.statedDeadline(a)}
--- a/internal/node/server/result_attempt.go
+++ b/internal/node/server/result_attempt.go
@@ -44,11 +44,11 @@
 		k.host.answer(h, r, response)
 		return true
 	}
-	return r.keyed.pending != nothingPending
+	return r.disk != nothingPending
 }
 
 // attempt decides what an attempt of a key gets as it comes: a status other than 0 answers it, with what goes with it
-// in response; else it waits for what keyedRequest.pending says, or the controller hears of it as of any other.
+// in response; else it waits for what lifecycle.disk says, or the controller hears of it as of any other.
 //
 // A key that is not known is passed on, unless the disk could not take its intent: then it is rejected with a time to
 // retry after, as it has not run. A stored result is read, unless it is in memory too. What ran or may have run
@@ -104,7 +104,7 @@
 	if k.openError != nil || len(k.waiting) >= k.host.requestCapacity()/waitingFraction {
 		return k.answerBlind(r.keyed, response)
 	}
-	r.keyed.pending = openingPending
+	r.setDisk(openingPending)
 	k.waiting = append(k.waiting, h)
 	k.host.setResultTimer(min(k.host.currentTime()+openingPatience, k.answerBy(r)), h)
 	return 0
@@ -153,7 +153,7 @@
 	default:
 		return k.fail()
 	}
-	r.keyed.pending = readPending
+	r.setDisk(readPending)
 	k.host.setResultTimer(k.answerBy(r), h)
 	return 0
 }
@@ -162,10 +162,10 @@
 // kept results: any" in docs/design/failures.md.
 func (k *resultKeeper) resultRead(h handle, result []byte, err error) {
 	r := k.host.requestByHandle(h)
-	if r == nil || r.keyed == nil || r.keyed.pending != readPending {
+	if r == nil || r.disk != readPending {
 		return
 	}
-	r.keyed.pending = nothingPending
+	r.setDisk(nothingPending)
 	if err != nil {
 		if log := k.host.limitLog(); log != nil {
 			log.WithField(logging.Error, err).Info(logResultUnreadable)
@@ -185,12 +185,12 @@
 // row "request out of time" in docs/design/shutdown.md.
 func (k *resultKeeper) answerLate(h handle) {
 	r := k.host.requestByHandle(h)
-	if r == nil || r.keyed == nil || !r.awaitsResponse() {
+	if r == nil || !r.awaitsResponse() {
 		return
 	}
-	switch r.keyed.pending {
+	switch r.disk {
 	case openingPending:
-		r.keyed.pending = nothingPending
+		r.setDisk(nothingPending)
 		response := wire.Response{}
 		response.Status = k.answerBlind(r.keyed, &response)
 		k.host.answer(h, r, response)
@@ -205,7 +205,7 @@
 		return
 	}
 	k.host.forEachRequest(func(h handle, r *request) {
-		if r.keyed != nil && r.keyed.pending != nothingPending && !r.isAnswered() {
+		if r.disk != nothingPending && !r.isAnswered() {
 			k.host.setResultTimer(k.answerBy(r), h)
 		}
 	})
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -70,17 +70,6 @@
 	bytesPerMB       = 1 << 20
 )
 
-// pendingStep is what a keyed request waits for.
-type pendingStep uint8
-
-const (
-	nothingPending pendingStep = iota
-	openingPending             // the folder is not read yet: the controller has not heard of the request
-	readPending                // its result is being read: the controller does not hear of it
-	intentPending              // it has its slot, and its intent record is on the way to the disk
-	resultPending              // it ran, its slot is free, and its result is on the way to the disk
-)
-
 // keyedRequest is what a request with an idempotency key has beside, where results are stored.
 type keyedRequest struct {
 	key resultstore.Key
@@ -88,7 +77,6 @@
 	// second run of what such a version let run, within its window.
 	legacyKey     resultstore.Key
 	bodyDigest    uint64
-	pending       pendingStep
 	intentDurable bool              // its own: what becomes of the key is for it to say
 	submission    admission.Request // what the controller hears once the folder is read
 }
@@ -214,10 +202,10 @@
 	k.waiting = nil
 	for _, h := range waiting {
 		r := k.host.requestByHandle(h)
-		if r == nil || r.keyed == nil || r.keyed.pending != openingPending || !r.awaitsResponse() {
+		if r == nil || r.disk != openingPending || !r.awaitsResponse() {
 			continue
 		}
-		r.keyed.pending = nothingPending
+		r.setDisk(nothingPending)
 		if !k.intercept(h, r) {
 			k.host.submit(&r.keyed.submission)
 		}
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -102,7 +102,7 @@
 	d.gate = make(chan struct{})
 	h, r := l.takes("a")
 	l.results.begin(h, r)
-	if r.runCommand != 0 || r.keyed.pending != intentPending {
+	if r.runCommand != 0 || r.disk != intentPending {
 		t.Fatal("it went to the kernel before its intent was durable")
 	}
 	l.now += stallLimit + 1
@@ -164,7 +164,7 @@
 		}
 	}
 	h4, again := l.takes("new")
-	if l.results.begin(h4, again); again.keyed.pending != intentPending {
+	if l.results.begin(h4, again); again.disk != intentPending {
 		t.Fatal("not let in")
 	}
 	l.hears(t)
@@ -209,7 +209,7 @@
 	k.index = nil
 	at := l.now
 	h, r := l.takes("a")
-	if !l.results.intercept(h, r) || r.keyed.pending != openingPending || r.isAnswered() {
+	if !l.results.intercept(h, r) || r.disk != openingPending || r.isAnswered() {
 		t.Fatal("it does not wait")
 	}
 	l.now = at + openingPatience - 1
--- a/internal/node/server/result_run.go
+++ b/internal/node/server/result_run.go
@@ -45,9 +45,9 @@
 	k.faults.reach(faultBeforeIntent)
 	window := windowOf(&k.host.platform().Deployment.Handlers[r.handler])
 	intent := k.index.Begin(k.clock(), q.key, q.bodyDigest, window)
-	q.pending = intentPending
+	r.setDisk(intentPending)
 	if !k.write(intent, func(err error) { k.intentWritten(h, err) }) {
-		q.pending = nothingPending
+		r.setDisk(nothingPending)
 		return false
 	}
 	k.host.trace(r, traceIntent)
@@ -67,10 +67,10 @@
 // disk took its time does not run: nobody waits for it, and its key is free for its repeat.
 func (k *resultKeeper) intentWritten(h handle, err error) {
 	r := k.host.requestByHandle(h)
-	if r == nil || r.keyed == nil || r.keyed.pending != intentPending {
+	if r == nil || r.disk != intentPending {
 		return
 	}
-	r.keyed.pending = nothingPending
+	r.setDisk(nothingPending)
 	if err != nil {
 		response := wire.Response{}
 		response.Status = k.reject(&response)
@@ -136,7 +136,7 @@
 	}) {
 		return false
 	}
-	if r.keyed.pending = resultPending; k.without(guardResult) {
+	if r.setDisk(resultPending); k.without(guardResult) {
 		k.resultWritten(h, sharedKey, true, record.Result)
 	}
 	k.host.setResultTimer(k.answerBy(r), h)
@@ -145,8 +145,8 @@
 
 // resultWritten tells a result that is durable now, or an error where it is not.
 func (k *resultKeeper) resultWritten(h handle, sharedKey string, durable bool, result []byte) {
-	if r := k.host.requestByHandle(h); r != nil && r.keyed != nil && r.keyed.pending == resultPending {
-		r.keyed.pending = nothingPending
+	if r := k.host.requestByHandle(h); r != nil && r.disk == resultPending {
+		r.setDisk(nothingPending)
 		if durable {
 			k.host.answer(h, r, wire.Response{Status: wire.StatusOK, Body: result})
 		} else {
@@ -155,9 +155,3 @@
 	}
 	k.host.completeWaiters(h, sharedKey, durable, result)
 }
-
-// holdsBack tells whether the kernel has not been told of a request's run yet: a stop is told with it.
-func (q *keyedRequest) holdsBack() bool { return q != nil && q.pending == intentPending }
-
-// isBeingRead tells whether a request waits for a stored result.
-func (q *keyedRequest) isBeingRead() bool { return q != nil && q.pending == readPending }
