--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -18,8 +18,8 @@
 	return r.accepted.Write(b)
 }
 
-// The reader of the log stalls while a process goes on logging. If Write waited for it, the process would stall too. Write
-// must return at once, and the dropped lines must be counted where they are missing.
+// The reader of the log stalls while a process goes on logging. If Write waited for it, the process would stall too.
+// Write must return at once, and the dropped lines must be counted where they are missing.
 func TestWriterNeverWaits(t *testing.T) {
 	reader := &stalledReader{resume: make(chan bool)}
 	w := NewWriter(reader, 4)
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -155,14 +155,15 @@
 
 // What is wrong with the start-up file is told in one line, and the program ends with status 2.
 func TestWrongStart(t *testing.T) {
+	const addresses = `{"name":"n","listen":"127.0.0.1:0","kernel":"127.0.0.1:1",`
 	for text, says := range map[string]string{"": "not JSON", "{": "not JSON",
 		`{"listen":"127.0.0.1:0"}`: "name: found none",
 		`{"name":"n"}`:             `listen: found "", expected HOST:PORT`,
-		`{"name":"n","listen":"127.0.0.1:0","kernel":"x"}`:                                     `kernel: found "x", expected HOST:PORT`,
-		`{"name":"n","listen":"127.0.0.1:0","kernel":"127.0.0.1:1","store":"y"}`:               `store: found "y", expected HOST:PORT`,
-		`{"name":"n","listen":"127.0.0.1:0","kernel":"127.0.0.1:1","control":"z"}`:             `control: found "z", expected HOST:PORT`,
-		`{"name":"n","listen":"127.0.0.1:0","kernel":"127.0.0.1:1","stop_ms":-1}`:              "stop_ms: found -1, expected above 0",
-		`{"name":"n","listen":"127.0.0.1:0","kernel":"127.0.0.1:1","stop_ms":9,"settings":{}}`: "no classes, expected at least one"} {
+		`{"name":"n","listen":"127.0.0.1:0","kernel":"x"}`: `kernel: found "x", expected HOST:PORT`,
+		addresses + `"store":"y"}`:                         `store: found "y", expected HOST:PORT`,
+		addresses + `"control":"z"}`:                       `control: found "z", expected HOST:PORT`,
+		addresses + `"stop_ms":-1}`:                        "stop_ms: found -1, expected above 0",
+		addresses + `"stop_ms":9,"settings":{}}`:           "no classes, expected at least one"} {
 		file := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/node/settings/doc.go
+++ b/internal/node/settings/doc.go
@@ -2,8 +2,8 @@
 // simulator's adapter. It maps them to the decision module's terms and decides nothing.
 //
 // The platform's own names stop at this package. Spans come in microseconds and become tenths of a millisecond
-// (admission.Time), rounded down where they are promises of ours and up where they bound how often something happens or how
-// long a key is remembered. Unknown keys are passed over: a newer platform may send more.
+// (admission.Time), rounded down where they are promises of ours and up where they bound how often something happens
+// or how long a key is remembered. Unknown keys are passed over: a newer platform may send more.
 //
 //	key                              term in admission.Deployment
 //	classes[].gain, late_share       Handler.Value, LateValue
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -68,7 +68,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Startup{Deployment: d, GaugeNames: text.Family.Meters, HandlerIndex: map[string]int{}, TenantIndex: map[string]int{}}
+	s := &Startup{Deployment: d, GaugeNames: text.Family.Meters, HandlerIndex: map[string]int{},
+		TenantIndex: map[string]int{}}
 	for i, class := range text.Classes {
 		h, err := class.handler(i)
 		if err != nil {
@@ -157,7 +158,8 @@
 		IdempotencyWindow: ticksUp(c.Window),
 	}
 	if h.Timeout <= 0 {
-		return h, &InvalidError{fmt.Sprintf("classes[%d].give_up", index), fmt.Sprintf("is %g, expected above 0", c.GiveUp)}
+		return h, &InvalidError{fmt.Sprintf("classes[%d].give_up", index),
+			fmt.Sprintf("is %g, expected above 0", c.GiveUp)}
 	}
 	if h.LatencyObjective <= 0 || h.LatencyObjective > h.Timeout {
 		h.LatencyObjective = h.Timeout
--- a/internal/node/wire/doc.go
+++ b/internal/node/wire/doc.go
@@ -1,10 +1,10 @@
-// Package wire parses and writes the platform's protocol: HTTP/1.1 with callers, lines of JSON with the kernel that runs
-// requests, lines with the store that serves calls, and readiness reports to service discovery.
+// Package wire parses and writes the platform's protocol: HTTP/1.1 with callers, lines of JSON with the kernel that
+// runs requests, lines with the store that serves calls, and readiness reports to service discovery.
 //
-// It has no socket, no clock and no state between calls. A parser takes all the bytes at hand and says how many a complete
-// message took, 0 while it is incomplete, so that the messages are the same however the bytes were split. What it returns
-// are views into those bytes. A message past its Bounds is an error at once, so that nobody can make a reader buffer
-// without end.
+// It has no socket, no clock and no state between calls. A parser takes all the bytes at hand and says how many a
+// complete message took, 0 while it is incomplete, so that the messages are the same however the bytes were split.
+// What it returns are views into those bytes. A message past its Bounds is an error at once, so that nobody can make a
+// reader buffer without end.
 //
 // The protocol's own names stop at this package. They are mapped to the terms that the program uses here, once:
 //
--- a/internal/node/wire/errors.go
+++ b/internal/node/wire/errors.go
@@ -2,7 +2,8 @@
 
 import "errors"
 
-// Errors of the parsers. After any of them the connection can't be read further: where the next message begins is unknown.
+// Errors of the parsers. After any of them the connection can't be read further: where the next message begins is
+// unknown.
 var (
 	// ErrHead says that a head isn't HTTP/1.0 or 1.1 as expected.
 	ErrHead = errors.New("head is not as expected")
--- a/internal/node/wire/http_response.go
+++ b/internal/node/wire/http_response.go
@@ -11,8 +11,8 @@
 	Close  bool // the connection isn't to be used again
 }
 
-// Statuses that a server answers with, and StatusNoContent, with which service discovery takes a report. They stand here
-// as net/http would cost a node more memory than all else that it links.
+// Statuses that a server answers with, and StatusNoContent, with which service discovery takes a report. They stand
+// here as net/http would cost a node more memory than all else that it links.
 const (
 	StatusOK                  = 200
 	StatusNoContent           = 204
--- a/internal/node/wire/kernel_command.go
+++ b/internal/node/wire/kernel_command.go
@@ -9,7 +9,8 @@
 const (
 	KernelStop   = "PREEMPT" // take the run off its core, or end it, as the settings say
 	KernelResume = "RESCHED" // have a run that was stopped go on
-	// KernelRun starts a run; it has a writer of its own, as it carries a body. An event of kind KernelInvalid names it.
+	// KernelRun starts a run; it has a writer of its own, as it carries a body. An event of kind KernelInvalid names
+	// it.
 	KernelRun = "SCHED"
 )
 
--- a/internal/node/wire/kernel_event.go
+++ b/internal/node/wire/kernel_event.go
@@ -50,8 +50,8 @@
 	return bytes.TrimSuffix(b[:i], []byte("\r")), i + 1, nil
 }
 
-// ParseKernelEvent reads one line. It decodes into the line's own bytes, so a line can't be read twice. Unknown keys are
-// passed over: a newer kernel may send more.
+// ParseKernelEvent reads one line. It decodes into the line's own bytes, so a line can't be read twice. Unknown keys
+// are passed over: a newer kernel may send more.
 func ParseKernelEvent(line []byte) (e KernelEvent, err error) {
 	s := jsonScanner{b: line}
 	s.want('{')
--- a/internal/node/wire/wire_test.go
+++ b/internal/node/wire/wire_test.go
@@ -38,8 +38,8 @@
 func readRequest(b []byte) (string, int, error) {
 	q, n, err := ParseRequest(b, smallBounds)
 	return fmt.Sprintf("%s %s %q id=%s at=%d by=%d %v %g %g %q %q %q %v %g %g", q.Method, q.Path, q.Body, q.ID,
-		q.ReceivedAtMS, q.Caller, q.IsRetry, q.FootprintKB, q.Priority, q.Tenant, q.IdempotencyKey, q.ResourceKey, q.Close, q.TimeoutMS,
-		q.ExpectedWorkMS), n, err
+		q.ReceivedAtMS, q.Caller, q.IsRetry, q.FootprintKB, q.Priority, q.Tenant, q.IdempotencyKey, q.ResourceKey,
+		q.Close, q.TimeoutMS, q.ExpectedWorkMS), n, err
 }
 
 func readResponse(b []byte) (string, int, error) {
@@ -151,7 +151,8 @@
 
 func TestWriters(t *testing.T) {
 	body := []byte("a\x00\"\r\n")
-	refusal := Response{Status: 503, RetryAfterMS: 20, NoRetry: true, Close: true, HasOverloadSignal: true, OverloadSignal: 0.5}
+	refusal := Response{Status: 503, RetryAfterMS: 20, NoRetry: true, Close: true, HasOverloadSignal: true,
+		OverloadSignal: 0.5}
 	b64 := base64.StdEncoding.EncodeToString(body)
 	for got, want := range map[string]string{
 		string(AppendKernelRun(nil, "9b", `q"\`+"\x01", body)): "" +
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -131,8 +131,8 @@
 	in.round.Gauges = in.settings.Gauges(read)
 }
 
-// decide plays the round. A panic in the module is declared as the failure of this instance, and of no other: what it had
-// decided in this round is taken back, and it decides nothing more.
+// decide plays the round. A panic in the module is declared as the failure of this instance, and of no other: what it
+// had decided in this round is taken back, and it decides nothing more.
 func (in *instance) decide(reply *wire.Reply, decisions *decisionWriter) {
 	mark := reply.Mark()
 	defer func() {
--- a/internal/simulator/wire/doc.go
+++ b/internal/simulator/wire/doc.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the frames of the simulator's wire: batches of events from it, replies of actions to it.
-// It has no state but buffers, and decides nothing.
+// Package wire reads and writes the frames of the simulator's wire: batches of events from it, replies of actions to
+// it. It has no state but buffers, and decides nothing.
 //
 // The protocol's own names stop at this package. They are mapped to the terms that the program uses here, once:
 //
--- a/internal/simulator/wire/event.go
+++ b/internal/simulator/wire/event.go
@@ -125,7 +125,8 @@
 // KillAtUS is when the instance is stopped, by the simulator's clock, of DrainNotice.
 func (e Event) KillAtUS() uint64 { return e.uint64(atKillTime) }
 
-// Gauges appends what the gauges read to read, in the order in which the settings name them; none in most WakeUp events.
+// Gauges appends what the gauges read to read, in the order in which the settings name them; none in most WakeUp
+// events.
 func (e Event) Gauges(read []float64) []float64 {
 	for k := range min(int(e[atGaugeCount]), maxGauges) {
 		read = append(read, e.float32(atGauges+gaugeBytes*k))
