--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -71,10 +71,8 @@
 // waits until so many events are handed over, and takes none.
 func (l *handLoop) waits(events int) {
 	l.t.Helper()
-	for end := time.Now().Add(patience); len(l.events) < events; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			l.t.Fatalf("%d events are handed over, expected %d", len(l.events), events)
-		}
+	if !waitUntil(func() bool { return len(l.events) >= events }) {
+		l.t.Fatalf("%d events are handed over, expected %d", len(l.events), events)
 	}
 }
 
@@ -97,7 +95,9 @@
 	return l.connections.get(h)
 }
 
-func check(c net.Conn) { io.WriteString(c, "GET /health HTTP/1.1\r\n\r\n") }
+const healthCheck = "GET /health HTTP/1.1\r\n\r\n"
+
+func check(c net.Conn) { io.WriteString(c, healthCheck) }
 
 // gets reads an answer and tells whether it says that the connection closes.
 func gets(t *testing.T, r *bufio.Reader, status int) (closes bool) {
@@ -166,10 +166,8 @@
 		l.events <- callback{func() {}}
 	}
 	check(c)
-	for end := time.Now().Add(patience); p.pipelined.Load() == 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("never read")
-		}
+	if !waitUntil(func() bool { return p.pipelined.Load() > 0 }) {
+		t.Fatal("never read")
 	}
 	l.later(10 * admission.Second)
 	if l.first().closing {
@@ -178,7 +176,9 @@
 	l.takes(cap(l.events) + 1)
 	gets(t, bufio.NewReader(c), 200)
 	io.WriteString(c, "GET /hea")
-	waitUntil(func() bool { return p.incompleteSince.Load() != 0 })
+	if !waitUntil(func() bool { return p.incompleteSince.Load() != 0 }) {
+		t.Fatal("half a message is never read")
+	}
 	l.first().lastActive = l.now + admission.Second // it goes on slowly
 	l.closeAllIdle(false)
 	if l.first().closing {
@@ -205,7 +205,15 @@
 	}
 	check(c)
 	check(c)
-	time.Sleep(20 * time.Millisecond) // nothing is to come of them
+	p := l.first().peer
+	discarded := func() int {
+		p.intake.Lock()
+		defer p.intake.Unlock()
+		return p.discarded
+	}
+	if !waitUntil(func() bool { return discarded() == 2*len(healthCheck) }) {
+		t.Errorf("%d bytes are discarded, expected both requests", discarded())
+	}
 	if len(l.events) > 0 {
 		t.Error("a request is handed over that came after the end")
 	}
@@ -252,7 +260,7 @@
 		asks = append(asks, l.dial())
 		check(asks[len(asks)-1])
 	}
-	time.Sleep(50 * time.Millisecond)
+	time.Sleep(50 * time.Millisecond) // nothing is to happen, so there is no event to wait for
 	if len(l.events) != 2 {
 		t.Fatalf("%d events: connections are accepted that have no slot", len(l.events))
 	}
@@ -425,8 +433,7 @@
 	}
 	pipe() // the file is read until the test writes it
 	for range 20 {
-		n.cmd.Process.Signal(syscall.SIGHUP)
-		time.Sleep(time.Millisecond)
+		n.signal(syscall.SIGHUP)
 	}
 	n.cmd.Process.Signal(syscall.SIGTERM)
 	if !n.logged("drain: ") {
@@ -447,8 +454,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.cmd.Process.Signal(syscall.SIGHUP)
-	time.Sleep(20 * time.Millisecond)
+	n.signal(syscall.SIGHUP)
 	writer.Write(text)
 	n.write("") // in place of the pipe, for the second reading
 	writer.Close()
@@ -489,8 +495,8 @@
 	l.takes(1)
 	r := bufio.NewReader(c)
 	gets(t, r, 200)
-	for end := time.Now().Add(patience); l.first().peer.incompleteSince.Load() == 0 && time.Now().Before(end); {
-		time.Sleep(time.Millisecond)
+	if !waitUntil(func() bool { return l.first().closing || l.first().peer.incompleteSince.Load() != 0 }) {
+		t.Error("half a message is never read")
 	}
 	if !l.first().closing {
 		l.later(l.limits.LingerTimeout)
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -83,7 +83,9 @@
 			p, busy := bufferPool{capacity: 8}, atomic.Int64{}
 			w := &writer{conn: outgoing{f}, pool: &p, busy: &busy}
 			w.send([]byte("answer"), 4)
-			waitUntil(func() bool { return busy.Load() == 0 })
+			if !waitUntil(func() bool { return busy.Load() == 0 }) {
+				t.Error("it is still being sent")
+			}
 			if got := f.got.String(); c.sent != (got == "answer") {
 				t.Errorf("%q went out, expected that it does: %v", got, c.sent)
 			}
--- a/internal/node/server/helper_test.go
+++ b/internal/node/server/helper_test.go
@@ -19,6 +19,7 @@
 	"slices"
 	"strings"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 )
@@ -535,9 +536,33 @@
 	return n.kernel.until(func() bool { return n.kernel.tally("SYSINFO") >= was+3 })
 }
 
-// waitUntil waits for a condition that no event tells of, for as long as patience; the test then sees what is wrong.
-func waitUntil(met func() bool) {
-	for end := time.Now().Add(patience); !met() && time.Now().Before(end); {
-		time.Sleep(time.Millisecond)
+// signal sends the program a signal and waits until the system has delivered it: two of a kind that wait are one.
+func (n *node) signal(s syscall.Signal) {
+	n.t.Helper()
+	n.cmd.Process.Signal(s)
+	pending := func() bool {
+		status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", n.cmd.Process.Pid))
+		if err != nil {
+			n.t.Fatal(err)
+		}
+		_, rest, _ := strings.Cut(string(status), "ShdPnd:")
+		var set uint64
+		if _, err := fmt.Sscanf(rest, "%x", &set); err != nil {
+			n.t.Fatalf("found no pending signals in the status: %v", err)
+		}
+		return set&(1<<(s-1)) != 0
 	}
+	if !waitUntil(func() bool { return !pending() }) {
+		n.t.Fatalf("%v is not delivered", s)
+	}
+}
+
+// waitUntil waits for a condition that no event tells of, for as long as patience, and tells whether it came.
+func waitUntil(met func() bool) bool {
+	for end := time.Now().Add(patience); !met(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			return false
+		}
+	}
+	return true
 }
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -157,11 +157,12 @@
 		t.Error("it ran on a disk that fails")
 	}
 	d.fails.Store(false)
-	for end := time.Now().Add(patience); l.results.mode != modeReady; time.Sleep(10 * time.Millisecond) {
+	if !waitUntil(func() bool {
 		l.now = timeOf(l.clock.Now())
-		if l.results.updateMode(); time.Now().After(end) {
-			t.Fatalf("still %s, and the disk is well", l.results.mode)
-		}
+		l.results.updateMode()
+		return l.results.mode == modeReady
+	}) {
+		t.Fatalf("still %s, and the disk is well", l.results.mode)
 	}
 	h4, again := l.takes("new")
 	if l.results.begin(h4, again); again.disk != intentPending {
--- a/internal/node/server/scenario_test.go
+++ b/internal/node/server/scenario_test.go
@@ -83,6 +83,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
+			if story, _, _ := strings.Cut(string(text), "\n"); !strings.HasPrefix(story, "# ") {
+				t.Errorf("%s begins with %q, expected its story in plain sentences", f, story)
+			}
 			p := &play{file: f, conns: map[string]net.Conn{}, reads: map[string]*bufio.Reader{}}
 			for i, line := range strings.Split(string(text), "\n") {
 				line, _, _ = strings.Cut(line, " #")
--- a/internal/node/server/trouble_test.go
+++ b/internal/node/server/trouble_test.go
@@ -156,15 +156,17 @@
 
 // connect waits while the address is refused, as between two processes; a refusal proves that nothing ran.
 func (c *troubleClient) connect() bool {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	accepted := waitUntil(func() bool {
 		conn, err := net.Dial("tcp", c.s.node.addr)
 		if err == nil {
 			c.conn, c.read = conn, bufio.NewReader(conn)
-			return true
 		}
+		return err == nil
+	})
+	if !accepted {
+		c.s.t.Errorf("server %d: never accepts", c.s.number)
 	}
-	c.s.t.Errorf("server %d: never accepts", c.s.number)
-	return false
+	return accepted
 }
 
 // drain tells the process to leave and gives a channel that is closed once it has ended.
@@ -198,12 +200,16 @@
 // trouble is what one server goes through.
 func (s *troubleServer) trouble() {
 	s.burst()
-	time.Sleep(troubleQuiet)
-	s.node.ctl.down() // longer than discovery keeps a silent server
+	time.Sleep(troubleQuiet) // what is tested is that time passes with nothing to do
+	s.node.ctl.down()        // longer than discovery keeps a silent server
 	during(s.burst, func() {
-		s.node.kernel.cut()
-		time.Sleep(10 * time.Millisecond)
-		s.node.kernel.cut()
+		kernel := s.node.kernel
+		links := kernel.count("OPEN")
+		kernel.cut()
+		if !waitUntil(func() bool { return kernel.count("OPEN") > links }) {
+			s.t.Errorf("server %d: the kernel's link is not opened anew", s.number)
+		}
+		kernel.cut()
 	})
 	during(s.burst, func() {
 		for range 3 { // new addresses in a row
