--- a/internal/simulation/consensus_cases_test.go
+++ b/internal/simulation/consensus_cases_test.go
@@ -25,7 +25,7 @@
 func put(t *testing.T, w *ConsensusGroup, h *host, ms int64) {
 	t.Helper()
 	if !w.scripted(h, ms) {
-		t.Fatalf("at %d ms: no write was taken within %d ms; %s", w.now, ms, w.Broken)
+		t.Fatalf("at %d ms: no write was taken within %d ms; %s", w.Now, ms, w.Broken)
 	}
 }
 
@@ -40,8 +40,8 @@
 func TestSlowFollower(t *testing.T) {
 	w := grown(t, 3)
 	slow := w.follower()
-	slow.frozen = w.now + 3000
-	for end := w.now + 2500; w.now < end; {
+	slow.frozen = w.Now + 3000
+	for end := w.Now + 2500; w.Now < end; {
 		put(t, w, w.leader(), 2*w.slow+tickMS)
 	}
 	whole(t, w)
@@ -54,7 +54,7 @@
 func TestStalledDisk(t *testing.T) {
 	w := grown(t, 3)
 	old := w.leader()
-	old.frozen = w.now + 3000
+	old.frozen = w.Now + 3000
 	if !w.until(2500, func() bool { l := w.leader(); return l != nil && l != old }) {
 		t.Fatal("no other took over while the disk stalled")
 	}
@@ -124,7 +124,7 @@
 	}
 	put(t, w, w.leader(), 500)
 	term := w.leader().replica.Status().Term
-	w.Run(w.now + 2500)
+	w.Run(w.Now + 2500)
 	whole(t, w)
 	if now := w.leader().replica.Status(); now.Term != term || now.Version != 1 {
 		t.Fatalf("term %d and version %d, expected term %d and version 1, with %d entries held alone", now.Term,
@@ -141,7 +141,7 @@
 		w.part(4000, func(a, b *host) bool { return deaf && b == f || !deaf && a == f })
 		for i := 0; i < 4; i++ {
 			put(t, w, l, 500)
-			w.Run(w.now + 800)
+			w.Run(w.Now + 800)
 		}
 		whole(t, w)
 		if w.leader() != l || l.replica.Status().Term != term {
@@ -160,11 +160,11 @@
 	l := w.leader()
 	l.replica.Change(consensus.Change{Op: "remove", Member: consensus.Member{ID: id}})
 	w.work(l)
-	w.Run(w.now + 4000)
+	w.Run(w.Now + 4000)
 	term := w.leader().replica.Status().Term
 	for i := 0; i < 5; i++ {
 		put(t, w, w.leader(), 500)
-		w.Run(w.now + 500)
+		w.Run(w.Now + 500)
 	}
 	if w.leader().replica.Status().Term != term {
 		t.Fatal("a removed instance raised the term")
--- a/internal/simulation/consensus_clients.go
+++ b/internal/simulation/consensus_clients.go
@@ -45,7 +45,7 @@
 	if c.stopped || c.open != nil {
 		return
 	}
-	k := &call{c: c, called: w.now, at: len(w.history)}
+	k := &call{c: c, called: w.Now, at: len(w.history)}
 	in := asked{}
 	if w.net.Intn(5) < 3 {
 		c.seq++
@@ -53,7 +53,7 @@
 		k.put = &consensus.Put{Session: c.name, Seq: c.seq, Base: c.base, Author: c.name, At: w.net.Int63n(1 << 40),
 			Text: fmt.Sprintf("[tenant %s]\nrate = %d\n", c.name, c.seq)}
 	}
-	w.history = append(w.history, porcupine.Operation{ClientId: len(w.clients), Input: in, Call: w.now*1000 +
+	w.history = append(w.history, porcupine.Operation{ClientId: len(w.clients), Input: in, Call: w.Now*1000 +
 		500,
 		Return: math.MaxInt64})
 	c.open = k
@@ -73,7 +73,7 @@
 }
 
 func (w *ConsensusGroup) arrive(k *call, try int, h *host) {
-	if h.replica == nil || h.frozen > w.now || k.c.open != k || k.try != try {
+	if h.replica == nil || h.frozen > w.Now || k.c.open != k || k.try != try {
 		return
 	}
 	w.do(h, func() error {
@@ -101,7 +101,7 @@
 			return
 		}
 		k.c.open = nil
-		w.history[k.at].Return = w.now * 1000
+		w.history[k.at].Return = w.Now * 1000
 		w.history[k.at].Output = a
 		k.c.base = max(k.c.base, a.Version)
 		if a.Outcome == consensus.PutExpired || a.Outcome == consensus.PutInvalid {
--- a/internal/simulation/consensus_faults.go
+++ b/internal/simulation/consensus_faults.go
@@ -69,7 +69,7 @@
 		w.slow = 100 + f.For/10
 		w.after(f.For, func() { w.slow = 20 })
 	case "stall":
-		h.frozen = w.now + 3000
+		h.frozen = w.Now + 3000
 	case "copy":
 		h.copied = h.disk.Copy()
 	case "back":
@@ -106,7 +106,7 @@
 		return false
 	}
 	for _, h := range w.members() {
-		if h.left >= 0 || h.frozen > w.now {
+		if h.left >= 0 || h.frozen > w.Now {
 			return false
 		}
 	}
@@ -144,7 +144,7 @@
 	w := NewConsensusGroup(seed, size, without)
 	w.Trace = trace
 	w.play(faults)
-	return Result{seed, w.Steps, len(w.history), len(w.leaders), w.Broken}
+	return Result{seed, w.played, len(w.history), len(w.leaders), w.Broken}
 }
 
 func (w *ConsensusGroup) play(faults []Fault) {
@@ -155,7 +155,7 @@
 	for i := 0; i < 5; i++ {
 		w.addClient()
 	}
-	start, end := w.now, w.now
+	start, end := w.Now, w.Now
 	for _, f := range faults {
 		w.after(f.At, func() { w.apply(f) })
 		end = max(end, start+f.At)
@@ -176,7 +176,7 @@
 	w.cut, w.loss, w.slow = map[[2]int]bool{}, 0, 20
 	for _, h := range w.hosts {
 		h.left = -1
-		h.frozen = min(h.frozen, w.now)
+		h.frozen = min(h.frozen, w.Now)
 	}
 	if !w.until(3000, func() bool { // those that are down come up within it
 		for _, h := range w.hosts {
@@ -239,7 +239,7 @@
 	l, f := w.leader(), w.follower()
 	term := l.replica.Status().Term
 	w.part(2500, func(a, b *host) bool { return a == f || b == f })
-	w.Run(w.now + 4500)
+	w.Run(w.Now + 4500)
 	if w.Broken == "" && (w.leader() != l || l.replica.Status().Term != term) {
 		w.fail("an instance that came back unseated a healthy leader")
 	}
@@ -304,9 +304,9 @@
 	for i := 0; i < 3; i++ {
 		// The leader may be a few ms old and another's election still under way: the promise is not on one leader.
 		took := false
-		for end := w.now + writesWithin; w.now < end && !took && w.Broken == ""; {
+		for end := w.Now + writesWithin; w.Now < end && !took && w.Broken == ""; {
 			if n := w.leader(); n == nil {
-				w.Run(w.now + 50)
+				w.Run(w.Now + 50)
 			} else {
 				took = w.scripted(n, 300)
 			}
@@ -319,10 +319,10 @@
 		return
 	}
 	w.restoreCopy(f)
-	w.Run(w.now + 400)
+	w.Run(w.Now + 400)
 	w.cut = map[[2]int]bool{}
 	w.part(2000, func(a, b *host) bool { return a == l || b == l })
-	w.Run(w.now + 2500)
+	w.Run(w.Now + 2500)
 	if w.Broken == "" {
 		w.settle()
 	}
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"container/heap"
 	"errors"
 	"fmt"
 	"math/rand"
@@ -28,27 +27,6 @@
 
 var errPower = errors.New("the power went")
 
-type event struct {
-	at  int64
-	seq uint64
-	do  func()
-}
-
-type events []*event
-
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, k int) bool {
-	return e[i].at < e[k].at || e[i].at == e[k].at && e[i].seq < e[k].seq
-}
-func (e events) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(*event)) }
-func (e *events) Pop() any {
-	old := *e
-	last := old[len(old)-1]
-	*e = old[:len(old)-1]
-	return last
-}
-
 // logPosition is an entry as some log has it.
 type logPosition struct{ index, term uint64 }
 
@@ -73,25 +51,36 @@
 
 // ConsensusGroup is one run.
 type ConsensusGroup struct {
-	seed    int64
+	timeline[int64]
+	network
+	callers
+	logChecks
 	net     *rand.Rand // network, disks and clients
 	without consensus.Guard
-	now     int64
-	seq     uint64
-	queue   events
-	Steps   int
 	hosts   []*host
 	lives   int
-	met     map[[2]int]bool // by lives: whether they speak with each other
-	cut     map[[2]int]bool // by hosts, one way
-	loss    int             // of 1,000 messages
-	slow    int64           // most time a message takes
+	target  int // voters wanted
+	Broken  string
+	Trace   func(string)
+}
+
+// network is what lies between hosts.
+type network struct {
+	met  map[[2]int]bool // by lives: whether they speak with each other
+	cut  map[[2]int]bool // by hosts, one way
+	loss int             // of 1,000 messages
+	slow int64           // most time a message takes
+}
+
+// callers are the clients, and what they asked and were answered.
+type callers struct {
 	calls   uint64
 	clients []*client
 	history []porcupine.Operation
-	target  int // voters wanted
-	Broken  string
+}
 
+// logChecks is what was seen of all logs and states, for later ones to be held against.
+type logChecks struct {
 	leaders   map[uint64]uint64
 	committed map[uint64]uint64 // index to term
 	during    map[uint64]uint64 // index to the term in which it was first seen applied: later leaders must have it
@@ -100,15 +89,16 @@
 	confs     [][]uint64
 	newest    uint64 // version applied anywhere
 	lost      map[uint64]map[logPosition]bool
-	Trace     func(string)
 }
 
 // NewConsensusGroup founds a group of one and lets it grow to size, without faults.
 func NewConsensusGroup(seed int64, size int, without consensus.Guard) *ConsensusGroup {
-	w := &ConsensusGroup{seed: seed, net: rand.New(rand.NewSource(seed)), without: without, slow: 20, target: size,
-		met: map[[2]int]bool{}, cut: map[[2]int]bool{}, leaders: map[uint64]uint64{},
-		committed: map[uint64]uint64{}, texts: map[logPosition]uint32{}, pictures: map[uint64]string{},
-		lost: map[uint64]map[logPosition]bool{}, during: map[uint64]uint64{}}
+	w := &ConsensusGroup{
+		network: network{met: map[[2]int]bool{}, cut: map[[2]int]bool{}, slow: 20},
+		logChecks: logChecks{leaders: map[uint64]uint64{}, committed: map[uint64]uint64{}, during: map[uint64]uint64{},
+			texts: map[logPosition]uint32{}, pictures: map[uint64]string{}, lost: map[uint64]map[logPosition]bool{}},
+		net: rand.New(rand.NewSource(seed)), without: without, target: size,
+	}
 	for n := 0; n < size; n++ {
 		w.addHost(n == 0)
 	}
@@ -123,43 +113,33 @@
 	w.after(int64(h.n)*7%tickMS, func() { w.tick(h) })
 }
 
-func (w *ConsensusGroup) after(ms int64, do func()) {
-	w.seq++
-	heap.Push(&w.queue, &event{w.now + ms, w.seq, do})
-}
-
 func (w *ConsensusGroup) fail(format string, args ...any) {
 	if w.Broken == "" {
-		w.Broken = fmt.Sprintf("at %d ms: ", w.now) + fmt.Sprintf(format, args...)
+		w.Broken = fmt.Sprintf("at %d ms: ", w.Now) + fmt.Sprintf(format, args...)
 	}
 }
 
 func (w *ConsensusGroup) tracef(format string, args ...any) {
 	if w.Trace != nil {
-		w.Trace(fmt.Sprintf("%7d ", w.now) + fmt.Sprintf(format, args...))
+		w.Trace(fmt.Sprintf("%7d ", w.Now) + fmt.Sprintf(format, args...))
 	}
 }
 
 // Run lets the world go on until a moment, or until something is broken.
 func (w *ConsensusGroup) Run(until int64) {
-	for w.Broken == "" && len(w.queue) > 0 && w.queue[0].at <= until {
-		e := heap.Pop(&w.queue).(*event)
-		w.now = max(w.now, e.at)
-		w.Steps++
-		e.do()
-	}
+	w.timeline.play(until, func() bool { return w.Broken != "" })
 	if w.Broken == "" {
-		w.now = until
+		w.Now = until
 	}
 }
 
 // until runs on while a condition does not hold, at most some time.
 func (w *ConsensusGroup) until(ms int64, holds func() bool) bool {
-	for end := w.now + ms; w.now < end && w.Broken == ""; {
+	for end := w.Now + ms; w.Now < end && w.Broken == ""; {
 		if holds() {
 			return true
 		}
-		w.Run(min(end, w.now+20))
+		w.Run(min(end, w.Now+20))
 	}
 	return holds()
 }
@@ -245,7 +225,7 @@
 
 func (w *ConsensusGroup) tick(h *host) {
 	w.after(tickMS, func() { w.tick(h) })
-	if h.replica != nil && h.frozen <= w.now {
+	if h.replica != nil && h.frozen <= w.Now {
 		h.replica.Tick()
 		w.work(h)
 	}
@@ -312,7 +292,7 @@
 		}
 	}
 	l := w.leader()
-	if l == nil || l.frozen > w.now {
+	if l == nil || l.frozen > w.Now {
 		return
 	}
 	members := l.replica.Members()
--- a/internal/simulation/consensus_network.go
+++ b/internal/simulation/consensus_network.go
@@ -34,7 +34,7 @@
 	if ok, known := w.met[key]; known {
 		return ok
 	}
-	if w.cut[[2]int{a.n, b.n}] || w.cut[[2]int{b.n, a.n}] || a.frozen > w.now || b.frozen > w.now {
+	if w.cut[[2]int{a.n, b.n}] || w.cut[[2]int{b.n, a.n}] || a.frozen > w.Now || b.frozen > w.Now {
 		return false
 	}
 	ok := true
@@ -109,8 +109,8 @@
 	if h == nil || w.cut[[2]int{from.n, h.n}] {
 		return
 	}
-	if h.frozen > w.now { // it waits in a socket
-		w.after(h.frozen-w.now, func() { w.deliver(from, life, to, raw) })
+	if h.frozen > w.Now { // it waits in a socket
+		w.after(h.frozen-w.Now, func() { w.deliver(from, life, to, raw) })
 		return
 	}
 	if from.incarnation == life && from.replica != nil && !w.exchange(from, h) || h.replica == nil {
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand"
 
@@ -45,38 +44,44 @@
 // Fleet is one schedule.
 type Fleet struct {
 	FleetPlan
-	random     *rand.Rand
-	Now        float64
-	seq        int
-	events     timedEvents
-	state      *coordinator.State
-	control    []*controlInstance
-	leader     int // -1: nobody
-	term       uint64
-	index      uint64
-	nodes      []*node
-	texts      []string // by version less one
-	hashes     []string
-	History    []FleetEvent
-	known      map[uint64]policy.Step // step by change
-	Broken     string
+	timeline[float64]
+	controlGroup
+	stateLoss
+	FleetFigures
+	random  *rand.Rand
+	nodes   []*node
+	done    int                     // changes that were answered
+	bad     map[string]bool         // hashes of texts that any trial fails
+	stale   []api.HeartbeatResponse // answers of long ago, as an instance that is behind would give them
+	History []FleetEvent
+	Broken  string
+
+	load    func(n *node) *api.LoadReport                   // what a node reports of itself; nil: nothing
+	look    func(n *node, l api.ProbeTarget) api.PeerHealth // what it sees of another
+	applied func(end any)                                   // hears of each entry's end
+}
+
+// controlGroup is the group: its instances, and what they have agreed on.
+type controlGroup struct {
+	control []*controlInstance
+	leader  int // -1: nobody
+	term    uint64
+	index   uint64
+	state   *coordinator.State
+	texts   []string // by version less one
+	hashes  []string
+	known   map[uint64]policy.Step // step by change
+}
+
+// FleetFigures is what a schedule came to.
+type FleetFigures struct {
 	Heartbeats int
 	Entries    int
 	Bytes      int
 	Times      []float64           // ms from proposed to in force
 	Ends       map[policy.Step]int // of changes
 	Causes     map[string]int      // of those called off
-	Overlap    int64
-	Shed       float64 // node-ms fenced while up and reachable
-	Served     float64
-	done       int
-	bad        map[string]bool         // hashes of texts that any trial fails
-	stale      []api.HeartbeatResponse // answers of long ago, as an instance that is behind would give them
-
-	stateLoss
-	load    func(n *node) *api.LoadReport                   // what a node reports of itself; nil: nothing
-	look    func(n *node, l api.ProbeTarget) api.PeerHealth // what it sees of another
-	applied func(end any)                                   // hears of each entry's end
+	Overlap    int64               // the longest, in tenths of a ms
 }
 
 // Last is the newest version of the policy.
@@ -90,16 +95,17 @@
 	return w.texts[n-1], w.hashes[n-1], true
 }
 
-func (w *Fleet) after(ms float64, f func()) {
-	w.seq++
-	heap.Push(&w.events, timedEvent{w.Now + ms, w.seq, f})
-}
-
 // NewFleet readies a schedule.
 func NewFleet(p FleetPlan) *Fleet {
-	w := &Fleet{FleetPlan: p, random: rand.New(rand.NewSource(p.Seed)), state: coordinator.NewState(p.Without), leader: -1,
-		known: map[uint64]policy.Step{}, Ends: map[policy.Step]int{}, Causes: map[string]int{}, bad: map[string]bool{},
-		stateLoss: stateLoss{group: "g1", ofHash: map[string]string{}, decidedAs: map[uint64]string{}, said: map[string]bool{}}}
+	w := &Fleet{
+		FleetPlan:    p,
+		random:       rand.New(rand.NewSource(p.Seed)),
+		controlGroup: controlGroup{state: coordinator.NewState(p.Without), leader: -1, known: map[uint64]policy.Step{}},
+		stateLoss: stateLoss{group: "g1", ofHash: map[string]string{}, decidedAs: map[uint64]string{},
+			said: map[string]bool{}},
+		FleetFigures: FleetFigures{Ends: map[policy.Step]int{}, Causes: map[string]int{}},
+		bad:          map[string]bool{},
+	}
 	w.state.DisabledZoneGuards = p.WithoutZones
 	if w.Zones == 0 {
 		w.Zones = 3
@@ -117,7 +123,7 @@
 	}
 	for i := 0; i < p.Nodes; i++ {
 		n := &node{fleet: w, name: fmt.Sprintf("n%04d", i), zone: i % w.Zones, rate: 1 + (w.random.Float64()-0.5)*0.008,
-			diskless: w.random.Intn(2) == 0 && p.Loses == 0} // what only such a node knew is gone with it
+			nodeFaults: nodeFaults{diskless: w.random.Intn(2) == 0 && p.Loses == 0}} // what only such a node knew is gone with it
 		w.nodes = append(w.nodes, n)
 		w.after(w.random.Float64()*500, n.start)
 	}
@@ -128,8 +134,6 @@
 	return w
 }
 
-// ---- The group.
-
 func (w *Fleet) record(e FleetEvent) {
 	e.At = int64(w.Now * 10)
 	w.History = append(w.History, e)
@@ -141,10 +145,6 @@
 	}
 }
 
-// ---- Nodes.
-
-// ---- The operator and the troubles.
-
 // begins is when the first version is long settled: ten seconds of leases from before it, and its own changes.
 const begins = 16_000
 
@@ -205,11 +205,7 @@
 }
 
 func (w *Fleet) until(at float64) {
-	for len(w.events) > 0 && w.events[0].at <= at {
-		e := heap.Pop(&w.events).(timedEvent)
-		w.Now = e.at
-		e.do()
-	}
+	w.play(at, func() bool { return false })
 	w.Now = at
 }
 
--- a/internal/simulation/fleet_node.go
+++ b/internal/simulation/fleet_node.go
@@ -12,27 +12,32 @@
 
 // node is one node.
 type node struct {
-	fleet         *Fleet
-	name          string
-	zone          int
-	rate          float64 // of its clock
+	fleet       *Fleet
+	name        string
+	zone        int
+	rate        float64 // of its clock
+	incarnation int
+	up          bool
+	notStarted  bool // not started yet
+	nodeFaults
 	agent         *agent.Agent
-	incarnation   int
-	up            bool
-	paused        bool
-	rejects       uint64 // a version it refuses
-	neverPrepares bool   // never gets to prepare anything
-	diskless      bool   // has no disk
-	record        agent.Record
+	gate          *zonegate.Gate
+	record        agent.Record // on its disk
 	serves        bool
 	activeVersion uint64
-	cut           bool // from the group
 	armed         float64
 	busy          uint64          // version being prepared
 	at            api.VersionHash // prepared last
-	gate          *zonegate.Gate
 	peerHealth    []api.PeerHealth
-	notStarted    bool // not started yet
+}
+
+// nodeFaults is what is wrong with a node.
+type nodeFaults struct {
+	paused        bool
+	cut           bool   // from the group
+	rejects       uint64 // a version it refuses
+	neverPrepares bool   // never gets to prepare anything
+	diskless      bool   // has no disk
 }
 
 func (n *node) nonce() string { return fmt.Sprintf("%s-%08d", n.name, n.incarnation) }
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"container/heap"
 	"math"
 	"math/rand"
 
@@ -66,18 +65,7 @@
 	ends float64
 }
 
-type runs []run
-
-func (r runs) Len() int           { return len(r) }
-func (r runs) Less(i, k int) bool { return r[i].ends < r[k].ends }
-func (r runs) Swap(i, k int)      { r[i], r[k] = r[k], r[i] }
-func (r *runs) Push(x any)        { *r = append(*r, x.(run)) }
-func (r *runs) Pop() any {
-	old := *r
-	last := old[len(old)-1]
-	*r = old[:len(old)-1]
-	return last
-}
+func (r run) before(o run) bool { return r.ends < o.ends }
 
 type retry struct {
 	at  virtualTime
@@ -85,20 +73,7 @@
 	req attempt
 }
 
-type retries []retry
-
-func (r retries) Len() int { return len(r) }
-func (r retries) Less(i, k int) bool {
-	return r[i].at < r[k].at || r[i].at == r[k].at && r[i].seq < r[k].seq
-}
-func (r retries) Swap(i, k int) { r[i], r[k] = r[k], r[i] }
-func (r *retries) Push(x any)   { *r = append(*r, x.(retry)) }
-func (r *retries) Pop() any {
-	old := *r
-	last := old[len(old)-1]
-	*r = old[:len(old)-1]
-	return last
-}
+func (r retry) before(o retry) bool { return r.at < o.at || r.at == o.at && r.seq < o.seq }
 
 // server is one emulated server.
 type server struct {
@@ -111,10 +86,10 @@
 	tenants int
 	next    uint32
 	open    map[uint32]*attempt
-	runs    runs
+	runs    priorityQueue[run]
 	hung    int
 	service float64 // what each run has had since the start
-	again   retries
+	again   priorityQueue[retry]
 	wake    virtualTime
 	out     []tallies
 	busy    []float64 // core seconds, by window of 3 s
@@ -211,7 +186,7 @@
 			s.round(&admission.Round{TimerFired: true, HasGauges: true,
 				Gauges: admission.Gauges{Runnable: float64(len(s.runs) + s.hung), OpenConnections: 10}})
 		case what == -4:
-			a := heap.Pop(&s.again).(retry)
+			a := s.again.take()
 			s.ask(a.req)
 		default:
 			return
@@ -255,7 +230,7 @@
 }
 
 func (s *server) ends() {
-	r := heap.Pop(&s.runs).(run)
+	r := s.runs.take()
 	q := s.open[r.id]
 	delete(s.open, r.id)
 	s.round(&admission.Round{RunEnds: []admission.RunEnd{{ID: r.id, Outcome: admission.Succeeded, Elapsed: s.now - q.start}}})
@@ -289,7 +264,7 @@
 		s.hung++
 		return
 	}
-	heap.Push(&s.runs, run{id, s.service + q.work})
+	s.runs.add(run{id, s.service + q.work})
 }
 
 func (s *server) Shed(id uint32, _ admission.Reason, last bool, comeBack admission.Time) {
@@ -301,7 +276,7 @@
 		n := *q
 		n.try++
 		s.next++
-		heap.Push(&s.again, retry{at, s.next, n})
+		s.again.add(retry{at, s.next, n})
 		return
 	}
 	s.out[q.class].shed++
--- /dev/null
+++ b/internal/simulation/timeline.go
@@ -0,0 +1,60 @@
+package simulation
+
+import "container/heap"
+
+// ordered is an item of a queue that comes before others.
+type ordered[T any] interface{ before(other T) bool }
+
+// priorityQueue gives the item first that comes before all others. Of equal ones none comes first by rule, but each run has
+// them in the same order.
+type priorityQueue[T ordered[T]] []T
+
+func (q *priorityQueue[T]) add(x T) { heap.Push(q, x) }
+
+func (q *priorityQueue[T]) take() T { return heap.Pop(q).(T) }
+
+// Len, Less, Swap, Push and Pop are for container/heap.
+func (q priorityQueue[T]) Len() int           { return len(q) }
+func (q priorityQueue[T]) Less(i, k int) bool { return q[i].before(q[k]) }
+func (q priorityQueue[T]) Swap(i, k int)      { q[i], q[k] = q[k], q[i] }
+func (q *priorityQueue[T]) Push(x any)        { *q = append(*q, x.(T)) }
+func (q *priorityQueue[T]) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
+
+// timedEvent is something done at a time; of one time's events the one added first comes first.
+type timedEvent[T int64 | float64] struct {
+	at     T
+	number uint64
+	do     func()
+}
+
+func (e timedEvent[T]) before(o timedEvent[T]) bool {
+	return e.at < o.at || e.at == o.at && e.number < o.number
+}
+
+// timeline is virtual time, in ms, and what is to be done in it.
+type timeline[T int64 | float64] struct {
+	Now    T
+	events priorityQueue[timedEvent[T]]
+	added  uint64
+	played int
+}
+
+// after has something done some ms from now.
+func (t *timeline[T]) after(ms T, do func()) {
+	t.added++
+	t.events.add(timedEvent[T]{t.Now + ms, t.added, do})
+}
+
+// play plays all events up to a time, or until the run is over.
+func (t *timeline[T]) play(until T, over func() bool) {
+	for !over() && len(t.events) > 0 && t.events[0].at <= until {
+		e := t.events.take()
+		t.Now = max(t.Now, e.at)
+		t.played++
+		e.do()
+	}
+}
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -50,37 +50,47 @@
 // Zones is one run.
 type Zones struct {
 	ZonePlan
-	Fleet    *Fleet
-	below    []*dependency
-	retries  retryQueue
-	said     []float64 // by node: when it last said that it is ready
-	sickAt   []float64 // by node, for its own judgement: since when it is sick
-	awayTill []float64
-	failing  bool
-	upIn     []float64 // nodes that are up, by zone
-	Broken   string
+	ZoneFigures
+	Fleet   *Fleet
+	below   []*dependency
+	retries retryQueue
+	health  []nodeHealth // by node
+	upIn    []float64    // nodes that are up, by zone
+	failing bool
+	struck  bool                  // the second failure has come
+	ceil    map[string][2]float64 // now, and before until settled
+	asks    [2]float64            // tries, and first ones, from the trouble on
+	Broken  string
+}
+
+// nodeHealth is how a node looks to callers. Times are ms of the fleet.
+type nodeHealth struct {
+	lastReady      float64 // it reported that it is ready; 0: it reported last that it isn't
+	unhealthySince float64 // by its own judgement; 0: it is well
+	ejectedUntil   float64
+}
+
+// ZoneFigures is what a run came to.
+type ZoneFigures struct {
 	Done     float64 // value done in time, and asked for, since the trouble began
 	Asked    float64
+	Failing  float64            // value done while it fails, from five seconds on
+	Others   float64            // share of value done by the zones that are in while one is left, at worst over a second
+	Tries    float64            // a req, from the trouble on
 	Left     map[string]float64 // ms from the trouble to a zone's leaving
 	Back     map[string]float64 // and from its end to the zone's being in again
 	Wrong    int
 	Steps    int
 	BackStep int
 	Peak     float64 // below while it returns: asked over what it bears
-	neighAt  string
 	peakAt   string
 	Neigh    float64 // the most that a zone that is in was asked for over what it bears, its own first tries fitting
+	neighAt  string
 	Worst    float64 // ms for which its service was asked for more than it bears, in that second failure
-	Failing  float64 // value done while it fails, from five seconds on
-	Others   float64 // share of value done by the zones that are in while one is left, at worst over a second
+	Began    int     // times that the fleet began with a share
+	Start    float64 // after a restart: asked below over what it bears, at worst
+	Rush     float64 // after a restart: tries in a tenth of a second over first tries, at worst, from callers that wait
 	Plot     []report.Line
-	ceil     map[string][2]float64 // now, and before until settled
-	struck   bool                  // the second failure has come
-	Began    int                   // times that the fleet began with a share
-	Tries    float64               // a req, from the trouble on
-	asks     [2]float64            // tries, and first ones
-	Start    float64               // after a restart: asked below over what it bears, at worst
-	Rush     float64               // after a restart: tries in a tenth of a second over first tries, at worst, from callers that wait
 }
 
 func (v *Zones) kind(z int) string {
--- a/internal/simulation/zones_faults.go
+++ b/internal/simulation/zones_faults.go
@@ -10,7 +10,7 @@
 			for i, n := range v.Fleet.nodes {
 				if n.zone == z && n.up {
 					n.kill()
-					v.said[i] = min(v.said[i], v.Fleet.Now)
+					v.health[i].lastReady = min(v.health[i].lastReady, v.Fleet.Now)
 				}
 			}
 		case ZoneSlow:
--- a/internal/simulation/zones_load_report.go
+++ b/internal/simulation/zones_load_report.go
@@ -82,16 +82,16 @@
 // own is the baseline in which each node judges for itself: sick for two seconds, it is not ready for five.
 func (v *Zones) own() {
 	for i, n := range v.Fleet.nodes {
-		b := v.below[n.zone]
+		b, h := v.below[n.zone], &v.health[i]
 		sick := n.up && (v.failing && v.kind(n.zone) == ZoneKernels || b.rate.runMS > 3*flowRun+5 ||
 			b.rate.late+b.rate.errored > 0.3*(b.rate.done+b.rate.late+b.rate.errored))
 		switch {
 		case !sick:
-			v.sickAt[i] = 0
-		case v.sickAt[i] == 0:
-			v.sickAt[i] = v.Fleet.Now
-		case v.Fleet.Now-v.sickAt[i] > 2000+float64(i%10)*200 && v.Fleet.Now >= v.awayTill[i]:
-			v.awayTill[i], v.sickAt[i] = v.Fleet.Now+5000, 0
+			h.unhealthySince = 0
+		case h.unhealthySince == 0:
+			h.unhealthySince = v.Fleet.Now
+		case v.Fleet.Now-h.unhealthySince > 2000+float64(i%10)*200 && v.Fleet.Now >= h.ejectedUntil:
+			h.ejectedUntil, h.unhealthySince = v.Fleet.Now+5000, 0
 		}
 	}
 }
--- a/internal/simulation/zones_plan.go
+++ b/internal/simulation/zones_plan.go
@@ -68,18 +68,17 @@
 	if p.Off || p.Own || p.Oracle {
 		mode = "off"
 	}
-	v := &Zones{ZonePlan: p, Left: map[string]float64{}, Back: map[string]float64{}, ceil: map[string][2]float64{}, Others: 1}
+	v := &Zones{ZonePlan: p, ceil: map[string][2]float64{}, health: make([]nodeHealth, p.Nodes), upIn: make([]float64, p.Zones),
+		ZoneFigures: ZoneFigures{Left: map[string]float64{}, Back: map[string]float64{}, Others: 1,
+			Plot: make([]report.Line, 3)}}
 	v.Fleet = NewFleet(FleetPlan{Seed: p.Seed, Nodes: p.Nodes, Ctl: 3, Calm: true, Lease: 4000, Zones: p.Zones,
 		Rules: "[zones]\ndecide = " + mode + "\nsmall_start = yes\n", WithoutZones: p.Without})
 	v.Fleet.load, v.Fleet.look, v.Fleet.applied = v.report, v.seen, v.applied
-	v.upIn = make([]float64, p.Zones)
-	v.said, v.sickAt, v.awayTill = make([]float64, p.Nodes), make([]float64, p.Nodes), make([]float64, p.Nodes)
 	for i := 0; i < p.Spare; i++ {
 		v.Fleet.nodes[(i+1)*p.Zones].notStarted = true
 	}
 	for z := 0; z < p.Zones; z++ {
 		v.below = append(v.below, &dependency{cap: 1000, warm: 1, speed: 1, cold: p.Cold})
 	}
-	v.Plot = make([]report.Line, 3)
 	return v
 }
--- a/internal/simulation/zones_traffic.go
+++ b/internal/simulation/zones_traffic.go
@@ -51,78 +51,108 @@
 	return share
 }
 
+// unlimitedRetries stands for a retry budget that a node doesn't have.
+const unlimitedRetries = 1e9
+
+// readyTTL is for how long callers go by a node's last report that it is ready, in ms.
+const readyTTL = 3000
+
 // zoneView is how a zone's nodes stand at a step.
 type zoneView struct {
-	listed, up, rate float64 // nodes on the callers' list, serving, by how much of a req each takes
-	pick             [3]float64
-	capped           bool
-	free             float64 // nodes without a ceiling
-	retry            float64
-	gate             *zonegate.Gate // of one of them, and its clock
-	clock            uint64
+	listed float64    // nodes on the callers' list
+	up     float64    // of these the ones that serve
+	rate   float64    // their rate limits together, runs a second
+	pick   [3]float64 // the part of each class that a node admits
+	capped bool       // some node has a rate limit
+	free   float64    // nodes without one
+	retry  float64    // retries for a first attempt that a node admits
+	gate   *zonegate.Gate
+	clock  uint64 // of the node whose gate it is
 }
 
+// views gathers how the zones stand.
 func (v *Zones) views() []zoneView {
 	out := make([]zoneView, v.Zones)
-	now := v.Fleet.Now
 	clear(v.upIn)
 	for i, n := range v.Fleet.nodes {
-		z := &out[n.zone]
-		o := (*api.ZoneOrder)(nil)
 		if n.up {
 			v.upIn[n.zone]++
 		}
-		serves := n.up && n.serves
-		if serves {
-			o = n.agent.ZoneOrder()
-		}
-		share := n.gate != nil && n.gate.Evacuated()
-		ready := serves && !share && now >= v.awayTill[i]
-		if ready {
-			v.said[i] = now
-		} else if n.up {
-			v.said[i] = 0 // it says that it is not
-		}
-		if v.said[i] == 0 || now-v.said[i] > 3000 {
+		ready := v.isReady(i, n)
+		if at := v.health[i].lastReady; at == 0 || v.Fleet.Now-at > readyTTL {
 			continue
 		}
+		z := &out[n.zone]
 		z.listed++
-		if !ready {
-			continue
-		}
-		if z.up++; z.gate == nil {
-			z.gate, z.clock = n.gate, n.clock()
-		}
-		for c := range z.pick {
-			z.pick[c] += picks(o, c)
-		}
-		if o != nil {
-			z.rate += o.RateLimit
-			if z.capped = z.capped || o.RateLimited; !o.RateLimited {
-				z.free++
-			}
-			z.retry += float64(o.RetryBudget) / api.FullShare
-			if o.RetryBudget == 0 {
-				z.retry += 1e9
-			}
-		} else {
-			z.retry += 1e9
+		if ready {
+			z.add(n)
 		}
 	}
+	ramp := v.rampByClock()
 	for k := range out {
-		if n := out[k].up; n > 0 {
-			out[k].retry /= n
-			for c := range out[k].pick {
-				out[k].pick[c] /= n
-				if since := now - begins - v.Heals; v.Ramp > 0 && !v.failing && since > 0 {
-					out[k].pick[c] *= min(1, max(since/v.Ramp, 1.0/16))
-				}
-			}
-		}
+		out[k].average(ramp)
 	}
 	return out
 }
 
+// isReady tells whether a node serves callers, and notes what it reports of that.
+func (v *Zones) isReady(i int, n *node) bool {
+	evacuated := n.gate != nil && n.gate.Evacuated()
+	ready := n.up && n.serves && !evacuated && v.Fleet.Now >= v.health[i].ejectedUntil
+	if ready {
+		v.health[i].lastReady = v.Fleet.Now
+	} else if n.up {
+		v.health[i].lastReady = 0
+	}
+	return ready
+}
+
+// add adds a node that serves.
+func (z *zoneView) add(n *node) {
+	if z.up++; z.gate == nil {
+		z.gate, z.clock = n.gate, n.clock()
+	}
+	o := n.agent.ZoneOrder()
+	for c := range z.pick {
+		z.pick[c] += picks(o, c)
+	}
+	if o == nil {
+		z.retry += unlimitedRetries
+		return
+	}
+	z.rate += o.RateLimit
+	if o.RateLimited {
+		z.capped = true
+	} else {
+		z.free++
+	}
+	z.retry += float64(o.RetryBudget) / api.FullShare
+	if o.RetryBudget == 0 {
+		z.retry += unlimitedRetries
+	}
+}
+
+// average makes sums over nodes that serve means; ramp is by how much a node that starts by the clock holds back.
+func (z *zoneView) average(ramp float64) {
+	if z.up == 0 {
+		return
+	}
+	z.retry /= z.up
+	for c := range z.pick {
+		z.pick[c] /= z.up
+		z.pick[c] *= ramp
+	}
+}
+
+// rampByClock is the baseline in which nodes that come back admit a part that grows by the clock alone.
+func (v *Zones) rampByClock() float64 {
+	since := v.Fleet.Now - begins - v.Heals
+	if v.Ramp == 0 || v.failing || since <= 0 {
+		return 1
+	}
+	return min(1, max(since/v.Ramp, 1.0/16))
+}
+
 // requestMatrix is requests a second, by attempt (the first is 0) and class.
 type requestMatrix [flowTries][3]float64
 
@@ -181,7 +211,7 @@
 
 // newTrafficStep gathers how the zones stand and what callers ask for.
 func (v *Zones) newTrafficStep() *trafficStep {
-	s := &trafficStep{Zones: v, views: v.views(), demand: v.Load * float64(v.ZonePlan.Zones) * 1000}
+	s := &trafficStep{Zones: v, views: v.views(), demand: v.Load * float64(v.Zones) * 1000}
 	for z := range s.views {
 		if v.kind(z) == ZoneCallers && v.failing {
 			s.views[z].listed = 0
