--- a/internal/simulation/consensus_cases_test.go
+++ b/internal/simulation/consensus_cases_test.go
@@ -6,11 +6,11 @@
 	"umberwinch/internal/control/consensus"
 )
 
-// grown gives a calm group, and fails the test where the world finds anything broken by its end.
-func grown(t *testing.T, size int) *ConsensusGroup {
+// newGrownGroup gives a calm group, and fails the test where the world finds anything broken by its end.
+func newGrownGroup(t *testing.T, size int) *ConsensusGroup {
 	t.Helper()
 	w := NewConsensusGroup(int64(size)*77, size, 0)
-	if !w.until(20000, func() bool { return w.voters() == size }) {
+	if !w.waitFor(20000, func() bool { return w.voters() == size }) {
 		t.Fatalf("the group did not grow: %s", w.Broken)
 	}
 	t.Cleanup(func() {
@@ -21,30 +21,30 @@
 	return w
 }
 
-// put has a version taken at a host within some time.
-func put(t *testing.T, w *ConsensusGroup, h *host, ms int64) {
+// putVersion has a version taken at a host within some time.
+func putVersion(t *testing.T, w *ConsensusGroup, h *host, ms int64) {
 	t.Helper()
-	if !w.scripted(h, ms) {
+	if !w.putByScript(h, ms) {
 		t.Fatalf("at %d ms: no write was taken within %d ms; %s", w.Now, ms, w.Broken)
 	}
 }
 
-func whole(t *testing.T, w *ConsensusGroup) {
+func waitUntilSettled(t *testing.T, w *ConsensusGroup) {
 	t.Helper()
-	if !w.settle() {
+	if !w.waitUntilSettled() {
 		t.Fatal(w.Broken)
 	}
 }
 
 // TestSlowFollower: one that stands still for 3 s slows no write and is caught up after.
 func TestSlowFollower(t *testing.T) {
-	w := grown(t, 3)
+	w := newGrownGroup(t, 3)
 	slow := w.follower()
 	slow.frozen = w.Now + 3000
 	for end := w.Now + 2500; w.Now < end; {
-		put(t, w, w.leader(), 2*w.slow+tickMS)
+		putVersion(t, w, w.leader(), 2*w.maxDelay+tickMS)
 	}
-	whole(t, w)
+	waitUntilSettled(t, w)
 	if slow.replica.Status().Version != w.leader().replica.Status().Version {
 		t.Fatal("the slow one was not caught up")
 	}
@@ -52,14 +52,14 @@
 
 // TestStalledDisk: a leader whose disk stalls for 3 s is followed by another; what it held open has one end.
 func TestStalledDisk(t *testing.T) {
-	w := grown(t, 3)
+	w := newGrownGroup(t, 3)
 	old := w.leader()
 	old.frozen = w.Now + 3000
-	if !w.until(2500, func() bool { l := w.leader(); return l != nil && l != old }) {
+	if !w.waitFor(2500, func() bool { l := w.leader(); return l != nil && l != old }) {
 		t.Fatal("no other took over while the disk stalled")
 	}
-	put(t, w, w.leader(), 500)
-	whole(t, w)
+	putVersion(t, w, w.leader(), 500)
+	waitUntilSettled(t, w)
 	if s := old.replica.Status(); s.Role == "leader" {
 		t.Fatal("the old leader still leads")
 	}
@@ -68,7 +68,7 @@
 // TestThreeOfFive: with two down writes go on; with a third they stop, and nothing new is applied; with it
 // back they go on within the promise.
 func TestThreeOfFive(t *testing.T) {
-	w := grown(t, 5)
+	w := newGrownGroup(t, 5)
 	var down []*host
 	stop := func() {
 		h := w.follower(down...)
@@ -77,55 +77,55 @@
 	}
 	stop()
 	stop()
-	put(t, w, w.leader(), 500)
+	putVersion(t, w, w.leader(), 500)
 	l := w.leader()
 	stop()
-	if w.scripted(l, 3000) {
+	if w.putByScript(l, 3000) {
 		t.Fatal("two of five took a write")
 	}
 	w.startHost(down[2], false)
-	if !w.until(writesWithin, func() bool { return w.leader() != nil && w.scripted(w.leader(), 300) }) {
+	if !w.waitFor(writesWithin, func() bool { return w.leader() != nil && w.putByScript(w.leader(), 300) }) {
 		t.Fatalf("no write within %d ms of the third's return", writesWithin)
 	}
 	w.startHost(down[0], false)
 	w.startHost(down[1], false)
-	whole(t, w)
+	waitUntilSettled(t, w)
 }
 
 // TestGrowWithOneDown takes a fourth in while one of three is down.
 func TestGrowWithOneDown(t *testing.T) {
-	w := grown(t, 3)
+	w := newGrownGroup(t, 3)
 	away := w.follower()
 	w.crashHost(away, 1<<40)
-	w.target = 4
+	w.votersWanted = 4
 	w.addHost(false)
-	if !w.until(10000, func() bool { return w.voters() == 4 }) {
+	if !w.waitFor(10000, func() bool { return w.voters() == 4 }) {
 		t.Fatal("the fourth did not become a voter while one was down")
 	}
-	put(t, w, w.leader(), 500)
+	putVersion(t, w, w.leader(), 500)
 	w.startHost(away, false)
-	whole(t, w)
+	waitUntilSettled(t, w)
 }
 
 // TestOldEntriesVanish: a leader cut off takes entries that no majority gets. Back again it has the others'
 // instead, it applied none of its own, and its term unseats nobody.
 func TestOldEntriesVanish(t *testing.T) {
-	w := grown(t, 3)
+	w := newGrownGroup(t, 3)
 	old := w.leader()
-	w.part(3000, func(a, b *host) bool { return a == old || b == old })
+	w.partition(3000, func(a, b *host) bool { return a == old || b == old })
 	for i := 0; i < 3; i++ {
-		if w.scripted(old, 100) {
+		if w.putByScript(old, 100) {
 			t.Fatal("a leader alone applied a write")
 		}
 	}
 	_, held := old.replica.LogBounds()
-	if !w.until(2500, func() bool { l := w.leader(); return l != nil && l != old }) {
+	if !w.waitFor(2500, func() bool { l := w.leader(); return l != nil && l != old }) {
 		t.Fatal("the others have no leader")
 	}
-	put(t, w, w.leader(), 500)
+	putVersion(t, w, w.leader(), 500)
 	term := w.leader().replica.Status().Term
 	w.Run(w.Now + 2500)
-	whole(t, w)
+	waitUntilSettled(t, w)
 	if now := w.leader().replica.Status(); now.Term != term || now.Version != 1 {
 		t.Fatalf("term %d and version %d, expected term %d and version 1, with %d entries held alone", now.Term,
 			now.Version, term, held)
@@ -135,15 +135,15 @@
 // TestOneWay: a follower that hears nothing but is heard, and one that is heard by none, unseat no leader.
 func TestOneWay(t *testing.T) {
 	for _, deaf := range []bool{true, false} {
-		w := grown(t, 3)
+		w := newGrownGroup(t, 3)
 		l, f := w.leader(), w.follower()
 		term := l.replica.Status().Term
-		w.part(4000, func(a, b *host) bool { return deaf && b == f || !deaf && a == f })
+		w.partition(4000, func(a, b *host) bool { return deaf && b == f || !deaf && a == f })
 		for i := 0; i < 4; i++ {
-			put(t, w, l, 500)
+			putVersion(t, w, l, 500)
 			w.Run(w.Now + 800)
 		}
-		whole(t, w)
+		waitUntilSettled(t, w)
 		if w.leader() != l || l.replica.Status().Term != term {
 			t.Fatalf("deaf %v: the leader changed", deaf)
 		}
@@ -152,18 +152,18 @@
 
 // TestRemovedKeepsTalking: an instance that was removed while it was cut off comes back and harms nothing.
 func TestRemovedKeepsTalking(t *testing.T) {
-	w := grown(t, 3)
+	w := newGrownGroup(t, 3)
 	f := w.follower()
 	id := f.id
-	w.part(2000, func(a, b *host) bool { return a == f || b == f })
-	w.target = 2
+	w.partition(2000, func(a, b *host) bool { return a == f || b == f })
+	w.votersWanted = 2
 	l := w.leader()
 	l.replica.Change(consensus.Change{Op: "remove", Member: consensus.Member{ID: id}})
 	w.work(l)
 	w.Run(w.Now + 4000)
 	term := w.leader().replica.Status().Term
 	for i := 0; i < 5; i++ {
-		put(t, w, w.leader(), 500)
+		putVersion(t, w, w.leader(), 500)
 		w.Run(w.Now + 500)
 	}
 	if w.leader().replica.Status().Term != term {
@@ -173,14 +173,14 @@
 
 // TestTransfer: a lead is handed over without waiting for an election.
 func TestTransfer(t *testing.T) {
-	w := grown(t, 3)
+	w := newGrownGroup(t, 3)
 	l, to := w.leader(), w.follower()
 	if err := l.replica.Transfer(to.id); err != nil {
 		t.Fatal(err)
 	}
 	w.work(l)
-	if !w.until(8*w.slow, func() bool { return w.leader() == to }) {
+	if !w.waitFor(8*w.maxDelay, func() bool { return w.leader() == to }) {
 		t.Fatal("the lead was not handed over in a few round trips")
 	}
-	put(t, w, to, 500)
+	putVersion(t, w, to, 500)
 }
--- a/internal/simulation/consensus_checks.go
+++ b/internal/simulation/consensus_checks.go
@@ -14,26 +14,28 @@
 		return
 	}
 	first, last := h.replica.LogBounds()
-	h.base = first - 1
+	h.snapshotIndex = first - 1
 	from := first
-	if h.seen > from {
-		from = h.seen
+	if h.checkedIndex > from {
+		from = h.checkedIndex
 	}
 	for i := from; i <= last; i++ {
 		term, data := h.replica.EntryAt(i)
-		h.held[i] = term
+		h.terms[i] = term
 		sum := crc32.ChecksumIEEE(data)
-		if was, ok := w.texts[logPosition{i, term}]; ok && was != sum {
+		if was, ok := w.checksums[logPosition{i, term}]; ok && was != sum {
 			w.fail("log matching: entry %d of term %d has two contents", i, term)
 		}
-		w.texts[logPosition{i, term}] = sum
+		w.checksums[logPosition{i, term}] = sum
 	}
-	for i := last + 1; h.held[i] > 0; i++ {
-		delete(h.held, i)
+	for i := last + 1; h.terms[i] > 0; i++ {
+		delete(h.terms, i)
 	}
 }
 
-func (h *host) holds(s logPosition) bool { return s.index <= h.base || h.held[s.index] == s.term }
+func (h *host) holds(s logPosition) bool {
+	return s.index <= h.snapshotIndex || h.terms[s.index] == s.term
+}
 
 // check holds a host's state against all that was seen before.
 func (w *ConsensusGroup) check(h *host) {
@@ -46,27 +48,27 @@
 			w.leaders[s.Term] = h.id
 			w.tracef("host %d leads term %d", h.n, s.Term)
 			for i := s.FirstIndex; i <= s.LastIndex || w.committed[i] > 0; i++ {
-				if term := w.committed[i]; w.during[i] < s.Term && term > 0 && !h.holds(logPosition{i, term}) {
+				if term := w.committed[i]; w.appliedInTerm[i] < s.Term && term > 0 && !h.holds(logPosition{i, term}) {
 					w.fail("leader completeness: host %d leads term %d without entry %d of term %d", h.n, s.Term, i,
 						term)
 				}
 			}
 		}
 	}
-	if s.Applied == h.seen {
+	if s.Applied == h.checkedIndex {
 		return
 	}
-	for i := max(h.seen+1, s.FirstIndex); i <= min(s.Applied, s.LastIndex); i++ {
+	for i := max(h.checkedIndex+1, s.FirstIndex); i <= min(s.Applied, s.LastIndex); i++ {
 		term, _ := h.replica.EntryAt(i)
 		if was, ok := w.committed[i]; ok && was != term {
 			w.fail("state machine safety: entry %d was applied with term %d and with %d", i, was, term)
 		}
 		w.committed[i] = term
-		if w.during[i] == 0 {
-			w.during[i] = s.Term
+		if w.appliedInTerm[i] == 0 {
+			w.appliedInTerm[i] = s.Term
 		}
 	}
-	h.seen = s.Applied
+	h.checkedIndex = s.Applied
 	w.checkState(h, s)
 }
 
@@ -78,42 +80,42 @@
 		last = string(lines[len(lines)-1])
 	}
 	picture := fmt.Sprint(s.Version, last, h.replica.Members(), now, outgoing)
-	if was, ok := w.pictures[s.Applied]; ok && was != picture {
+	if was, ok := w.stateAt[s.Applied]; ok && was != picture {
 		w.fail("two states after entry %d:\n%s\n%s", s.Applied, was, picture)
 	}
-	w.pictures[s.Applied] = picture
+	w.stateAt[s.Applied] = picture
 	for _, c := range [][]uint64{now, outgoing} {
-		if len(c) > 0 && (len(w.confs) == 0 || fmt.Sprint(w.confs[len(w.confs)-1]) != fmt.Sprint(c)) {
-			w.confs = append(w.confs, append([]uint64{}, c...))
+		if len(c) > 0 && (len(w.voterSets) == 0 || fmt.Sprint(w.voterSets[len(w.voterSets)-1]) != fmt.Sprint(c)) {
+			w.voterSets = append(w.voterSets, append([]uint64{}, c...))
 		}
 	}
-	for n := max(h.first+1, first); n <= s.Version; n++ {
+	for n := max(h.checkedVersion+1, first); n <= s.Version; n++ {
 		v, err := consensus.ReadVersion(lines[n-first])
 		if err != nil || v.Number != n {
 			w.fail("version %d reads as %v (%v)", n, v, err)
 			return
 		}
-		if n > w.newest && !w.majority(logPosition{v.Index, v.Term}) {
+		if n > w.newestVersion && !w.majority(logPosition{v.Index, v.Term}) {
 			w.fail("host %d applied version %d of entry %d, term %d, which no majority held", h.n, n, v.Index, v.Term)
 		}
 	}
-	w.newest = max(w.newest, s.Version)
-	if s.Version < h.first {
-		w.fail("host %d went back from version %d to %d", h.n, h.first, s.Version)
+	w.newestVersion = max(w.newestVersion, s.Version)
+	if s.Version < h.checkedVersion {
+		w.fail("host %d went back from version %d to %d", h.n, h.checkedVersion, s.Version)
 	}
-	h.first = s.Version
+	h.checkedVersion = s.Version
 }
 
 // majority tells whether one of the latest sets of voters held an entry by more than half.
 func (w *ConsensusGroup) majority(s logPosition) bool {
-	for k := len(w.confs) - 1; k >= max(0, len(w.confs)-4); k-- {
+	for k := len(w.voterSets) - 1; k >= max(0, len(w.voterSets)-4); k-- {
 		n := 0
-		for _, id := range w.confs[k] {
+		for _, id := range w.voterSets[k] {
 			if w.holds(id, s) {
 				n++
 			}
 		}
-		if n > len(w.confs[k])/2 {
+		if n > len(w.voterSets[k])/2 {
 			return true
 		}
 	}
@@ -127,7 +129,7 @@
 			return true
 		}
 	}
-	return w.lost[id][s]
+	return w.lostEntries[id][s]
 }
 
 // converged tells whether all that take part have the same versions.
--- a/internal/simulation/consensus_clients.go
+++ b/internal/simulation/consensus_clients.go
@@ -16,12 +16,12 @@
 	name    string
 	seq     uint64
 	base    uint64 // the newest version it knows
-	open    *call
+	open    *pendingCall
 	stopped bool
 }
 
-// call is one asking of a client's, with all its repeats.
-type call struct {
+// pendingCall is one asking of a client's, with all its repeats.
+type pendingCall struct {
 	c      *client
 	put    *consensus.Put // nil for a read
 	called int64
@@ -29,7 +29,7 @@
 	at     int // place in the history
 }
 
-type asked struct {
+type registerInput struct {
 	put  bool
 	base uint64
 }
@@ -37,66 +37,66 @@
 func (w *ConsensusGroup) addClient() {
 	c := &client{name: fmt.Sprint("c", len(w.clients))}
 	w.clients = append(w.clients, c)
-	w.after(int64(w.net.Intn(100)), func() { w.next(c) })
+	w.after(int64(w.random.Intn(100)), func() { w.nextCall(c) })
 }
 
-// next has a client ask its next thing.
-func (w *ConsensusGroup) next(c *client) {
+// nextCall has a client ask its next thing.
+func (w *ConsensusGroup) nextCall(c *client) {
 	if c.stopped || c.open != nil {
 		return
 	}
-	k := &call{c: c, called: w.Now, at: len(w.history)}
-	in := asked{}
-	if w.net.Intn(5) < 3 {
+	k := &pendingCall{c: c, called: w.Now, at: len(w.history)}
+	in := registerInput{}
+	if w.random.Intn(5) < 3 {
 		c.seq++
-		in = asked{true, c.base}
-		k.put = &consensus.Put{Session: c.name, Seq: c.seq, Base: c.base, Author: c.name, At: w.net.Int63n(1 << 40),
+		in = registerInput{true, c.base}
+		k.put = &consensus.Put{Session: c.name, Seq: c.seq, Base: c.base, Author: c.name, At: w.random.Int63n(1 << 40),
 			Text: fmt.Sprintf("[tenant %s]\nrate = %d\n", c.name, c.seq)}
 	}
 	w.history = append(w.history, porcupine.Operation{ClientId: len(w.clients), Input: in, Call: w.Now*1000 +
 		500,
 		Return: math.MaxInt64})
 	c.open = k
-	w.ask(k)
+	w.sendCall(k)
 }
 
-// ask sends a call to some host; where no answer comes it goes to another.
-func (w *ConsensusGroup) ask(k *call) {
+// sendCall sends a call to some host; where no answer comes it goes to another.
+func (w *ConsensusGroup) sendCall(k *pendingCall) {
 	k.try++
-	try, h := k.try, w.hosts[w.net.Intn(len(w.hosts))]
-	w.after(1+int64(w.net.Intn(10)), func() { w.arrive(k, try, h) })
-	w.after(400+int64(w.net.Intn(800)), func() {
+	try, h := k.try, w.hosts[w.random.Intn(len(w.hosts))]
+	w.after(1+int64(w.random.Intn(10)), func() { w.deliverCall(k, try, h) })
+	w.after(400+int64(w.random.Intn(800)), func() {
 		if k.c.open == k && k.try == try {
-			w.ask(k)
+			w.sendCall(k)
 		}
 	})
 }
 
-func (w *ConsensusGroup) arrive(k *call, try int, h *host) {
+func (w *ConsensusGroup) deliverCall(k *pendingCall, try int, h *host) {
 	if h.replica == nil || h.frozen > w.Now || k.c.open != k || k.try != try {
 		return
 	}
-	w.do(h, func() error {
+	w.atHost(h, func() error {
 		if k.put != nil {
 			p := *k.put
 			h.puts[p.Session] = k
 			h.replica.Propose(&p) // dropped without a leader: the client asks again
 			return nil
 		}
-		w.calls++
-		h.reads[w.calls] = k
-		h.replica.Read(w.calls)
+		w.callCount++
+		h.reads[w.callCount] = k
+		h.replica.Read(w.callCount)
 		return nil
 	})
 	w.work(h)
 }
 
-// answer brings an end to a client, unless it is lost on the way.
-func (w *ConsensusGroup) answer(k *call, a consensus.PutResult) {
-	if w.net.Intn(100) < 15 {
+// respond brings an end to a client, unless it is lost on the way.
+func (w *ConsensusGroup) respond(k *pendingCall, a consensus.PutResult) {
+	if w.random.Intn(100) < 15 {
 		return
 	}
-	w.after(1+int64(w.net.Intn(10)), func() {
+	w.after(1+int64(w.random.Intn(10)), func() {
 		if k.c.open != k {
 			return
 		}
@@ -107,7 +107,7 @@
 		if a.Outcome == consensus.PutExpired || a.Outcome == consensus.PutInvalid {
 			w.fail("client %s got %+v for put %d", k.c.name, a, k.put.Seq)
 		}
-		w.after(int64(w.net.Intn(150)), func() { w.next(k.c) })
+		w.after(int64(w.random.Intn(150)), func() { w.nextCall(k.c) })
 	})
 }
 
@@ -115,7 +115,7 @@
 var register = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		now, in := state.(uint64), input.(asked)
+		now, in := state.(uint64), input.(registerInput)
 		a, answered := output.(consensus.PutResult)
 		switch {
 		case !in.put:
@@ -134,8 +134,8 @@
 	},
 }
 
-// linear checks the clients' history.
-func (w *ConsensusGroup) linear() {
+// checkLinearizable checks the clients' history.
+func (w *ConsensusGroup) checkLinearizable() {
 	if w.Broken != "" {
 		return
 	}
--- a/internal/simulation/consensus_faults.go
+++ b/internal/simulation/consensus_faults.go
@@ -37,8 +37,8 @@
 	return out
 }
 
-// apply does a fault. What it opens it ends by itself.
-func (w *ConsensusGroup) apply(f Fault) {
+// inject does a fault. What it opens it ends by itself.
+func (w *ConsensusGroup) inject(f Fault) {
 	h := w.hosts[f.A]
 	if f.Kind == "leader" || f.Kind == "stall" {
 		if l := w.leader(); l != nil {
@@ -51,33 +51,33 @@
 	w.tracef("fault %v at host %d", f, h.n)
 	switch f.Kind {
 	case "crash", "leader": // somewhere within the next steps to its disk
-		h.left = f.N
+		h.stepsToCrash = f.N
 	case "kill":
 		w.crashHost(h, f.For)
 	case "split":
-		w.part(f.For, func(a, b *host) bool { return (a.n+f.N)%len(w.hosts) <= f.B != ((b.n+f.N)%len(w.hosts) <= f.B) })
+		w.partition(f.For, func(a, b *host) bool { return (a.n+f.N)%len(w.hosts) <= f.B != ((b.n+f.N)%len(w.hosts) <= f.B) })
 	case "oneway":
-		w.part(f.For, func(a, b *host) bool { return a.n == f.A && (b.n == f.B || f.N%2 == 0) })
+		w.partition(f.For, func(a, b *host) bool { return a.n == f.A && (b.n == f.B || f.N%2 == 0) })
 	case "flap":
 		for t := int64(0); t < f.For; t += 200 {
-			w.after(t, func() { w.part(100, func(a, b *host) bool { return a == h || b == h }) })
+			w.after(t, func() { w.partition(100, func(a, b *host) bool { return a == h || b == h }) })
 		}
 	case "loss":
 		w.loss = 20 + 4*f.N
 		w.after(f.For, func() { w.loss = 0 })
 	case "slow":
-		w.slow = 100 + f.For/10
-		w.after(f.For, func() { w.slow = 20 })
+		w.maxDelay = 100 + f.For/10
+		w.after(f.For, func() { w.maxDelay = 20 })
 	case "stall":
 		h.frozen = w.Now + 3000
 	case "copy":
-		h.copied = h.disk.Copy()
+		h.diskCopy = h.disk.Copy()
 	case "back":
-		if h.copied != nil && w.mayLose() {
+		if h.diskCopy != nil && w.mayLoseDisk() {
 			w.restoreCopy(h)
 		}
 	case "wipe":
-		if w.mayLose() {
+		if w.mayLoseDisk() {
 			w.wipe(h)
 		}
 	case "transfer":
@@ -86,8 +86,8 @@
 	}
 }
 
-// part cuts the ways between hosts that a test picks, one way each, for some time.
-func (w *ConsensusGroup) part(ms int64, picks func(a, b *host) bool) {
+// partition cuts the ways between hosts that a test picks, one way each, for some time.
+func (w *ConsensusGroup) partition(ms int64, picks func(a, b *host) bool) {
 	for _, a := range w.hosts {
 		for _, b := range w.hosts {
 			if key := [2]int{a.n, b.n}; a != b && picks(a, b) && !w.cut[key] {
@@ -98,34 +98,34 @@
 	}
 }
 
-// mayLose tells whether a disk may be lost now without a majority being lost for good: all are up, take part,
+// mayLoseDisk tells whether a disk may be lost now without a majority being lost for good: all are up, take part,
 // reach each other and have the same state. To lose a disk beside others that are down is to lose what was
 // agreed on.
-func (w *ConsensusGroup) mayLose() bool {
-	if len(w.cut) > 0 || w.loss > 0 || w.voters() < w.target || !w.converged() {
+func (w *ConsensusGroup) mayLoseDisk() bool {
+	if len(w.cut) > 0 || w.loss > 0 || w.voters() < w.votersWanted || !w.converged() {
 		return false
 	}
 	for _, h := range w.members() {
-		if h.left >= 0 || h.frozen > w.Now {
+		if h.stepsToCrash >= 0 || h.frozen > w.Now {
 			return false
 		}
 	}
-	return len(w.members()) == w.target
+	return len(w.members()) == w.votersWanted
 }
 
 // restoreCopy has a host come back on a copy of its disk that it took earlier.
 func (w *ConsensusGroup) restoreCopy(h *host) {
 	w.tracef("host %d comes back on an old copy", h.n)
 	w.loseDisk(h)
-	h.replica, h.disk, h.left = nil, h.copied, -1
-	h.copied = nil
+	h.replica, h.disk, h.stepsToCrash = nil, h.diskCopy, -1
+	h.diskCopy = nil
 	w.startHost(h, false)
 }
 
 func (w *ConsensusGroup) wipe(h *host) {
 	w.tracef("host %d comes back on an empty disk", h.n)
 	w.loseDisk(h)
-	h.replica, h.disk, h.left = nil, wal.NewMemFS(), -1
+	h.replica, h.disk, h.stepsToCrash = nil, wal.NewMemFS(), -1
 	w.startHost(h, false)
 }
 
@@ -148,8 +148,8 @@
 }
 
 func (w *ConsensusGroup) play(faults []Fault) {
-	if !w.until(20000, func() bool { return w.voters() == w.target }) {
-		w.fail("the group did not grow to %d voters in 20 s", w.target)
+	if !w.waitFor(20000, func() bool { return w.voters() == w.votersWanted }) {
+		w.fail("the group did not grow to %d voters in 20 s", w.votersWanted)
 		return
 	}
 	for i := 0; i < 5; i++ {
@@ -157,28 +157,28 @@
 	}
 	start, end := w.Now, w.Now
 	for _, f := range faults {
-		w.after(f.At, func() { w.apply(f) })
+		w.after(f.At, func() { w.inject(f) })
 		end = max(end, start+f.At)
 	}
 	w.Run(end + 500)
-	w.rest()
-	w.rejoin()
-	w.unsynced()
-	w.oldDisk()
-	w.linear()
+	w.endFaults()
+	w.checkRejoin()
+	w.checkUnsyncedWrite()
+	w.checkOldDisk()
+	w.checkLinearizable()
 }
 
-// rest ends all faults and holds the group to its promise.
-func (w *ConsensusGroup) rest() {
+// endFaults ends all faults and holds the group to its promise.
+func (w *ConsensusGroup) endFaults() {
 	if w.Broken != "" {
 		return
 	}
-	w.cut, w.loss, w.slow = map[[2]int]bool{}, 0, 20
+	w.cut, w.loss, w.maxDelay = map[[2]int]bool{}, 0, 20
 	for _, h := range w.hosts {
-		h.left = -1
+		h.stepsToCrash = -1
 		h.frozen = min(h.frozen, w.Now)
 	}
-	if !w.until(3000, func() bool { // those that are down come up within it
+	if !w.waitFor(3000, func() bool { // those that are down come up within it
 		for _, h := range w.hosts {
 			if h.replica == nil {
 				return false
@@ -189,7 +189,7 @@
 		w.fail("a host did not come up")
 	}
 	was := len(w.history)
-	if !w.until(writesWithin, func() bool {
+	if !w.waitFor(writesWithin, func() bool {
 		for _, o := range w.history[was:] {
 			if a, ok := o.Output.(consensus.PutResult); ok && a.Outcome == consensus.PutCommitted {
 				return true
@@ -202,24 +202,24 @@
 	for _, c := range w.clients {
 		c.stopped = true
 	}
-	if !w.until(20000, func() bool {
+	if !w.waitFor(20000, func() bool {
 		for _, c := range w.clients {
 			if c.open != nil {
 				return false
 			}
 		}
-		return w.voters() == w.target && w.converged()
+		return w.voters() == w.votersWanted && w.converged()
 	}) {
 		w.fail("clients are without an answer, or instances differ, 20 s after the last fault")
 	}
 }
 
 // follower gives a voter that does not lead.
-func (w *ConsensusGroup) follower(not ...*host) *host {
+func (w *ConsensusGroup) follower(except ...*host) *host {
 	l := w.leader()
 next:
 	for _, h := range w.members() {
-		for _, n := range not {
+		for _, n := range except {
 			if h == n {
 				continue next
 			}
@@ -231,75 +231,75 @@
 	return nil
 }
 
-// rejoin: one instance is cut off and comes back; a healthy leader stays, in its term.
-func (w *ConsensusGroup) rejoin() {
+// checkRejoin: one instance is cut off and comes back; a healthy leader stays, in its term.
+func (w *ConsensusGroup) checkRejoin() {
 	if w.Broken != "" {
 		return
 	}
 	l, f := w.leader(), w.follower()
 	term := l.replica.Status().Term
-	w.part(2500, func(a, b *host) bool { return a == f || b == f })
+	w.partition(2500, func(a, b *host) bool { return a == f || b == f })
 	w.Run(w.Now + 4500)
 	if w.Broken == "" && (w.leader() != l || l.replica.Status().Term != term) {
 		w.fail("an instance that came back unseated a healthy leader")
 	}
 }
 
-// scripted waits until a put by the script is applied at a host, and tells whether it was.
-func (w *ConsensusGroup) scripted(h *host, ms int64) bool {
+// putByScript waits until a put by the script is applied at a host, and tells whether it was.
+func (w *ConsensusGroup) putByScript(h *host, ms int64) bool {
 	was := h.replica.Status().Version
-	w.calls++
-	h.replica.Propose(&consensus.Put{Session: fmt.Sprint("script", w.calls), Seq: 1, Base: was, Author: "script",
-		Text: fmt.Sprintf("[tenant script]\nrate = %d\n", w.calls)})
+	w.callCount++
+	h.replica.Propose(&consensus.Put{Session: fmt.Sprint("script", w.callCount), Seq: 1, Base: was, Author: "script",
+		Text: fmt.Sprintf("[tenant script]\nrate = %d\n", w.callCount)})
 	w.work(h)
-	return w.until(ms, func() bool { return h.replica == nil || h.replica.Status().Version > was }) && h.replica != nil
+	return w.waitFor(ms, func() bool { return h.replica == nil || h.replica.Status().Version > was }) && h.replica != nil
 }
 
-// settle waits for calm between two scripted cases.
-func (w *ConsensusGroup) settle() bool {
-	if w.Broken == "" && !w.until(10000, func() bool {
-		return len(w.cut) == 0 && w.leader() != nil && w.voters() == w.target && w.converged() &&
-			len(w.members()) == w.target
+// waitUntilSettled waits for calm between two scripted cases.
+func (w *ConsensusGroup) waitUntilSettled() bool {
+	if w.Broken == "" && !w.waitFor(10000, func() bool {
+		return len(w.cut) == 0 && w.leader() != nil && w.voters() == w.votersWanted && w.converged() &&
+			len(w.members()) == w.votersWanted
 	}) {
 		w.fail("the group is not whole 10 s after a scripted fault")
 	}
 	return w.Broken == ""
 }
 
-// unsynced: with all but one follower away, the power goes at that one as it would keep an entry. What it did
+// checkUnsyncedWrite: with all but one follower away, the power goes at that one as it would keep an entry. What it did
 // not keep must not count.
-func (w *ConsensusGroup) unsynced() {
-	if !w.settle() {
+func (w *ConsensusGroup) checkUnsyncedWrite() {
+	if !w.waitUntilSettled() {
 		return
 	}
 	l, f := w.leader(), w.follower()
 	away := w.cutOff(1500, l, f)
 	w.tracef("hosts %v away, host %d loses power at its next write", away, f.n)
-	f.left = 0
-	w.scripted(l, 400)
-	w.settle()
+	f.stepsToCrash = 0
+	w.putByScript(l, 400)
+	w.waitUntilSettled()
 }
 
 // cutOff parts some hosts from the group, so that the leader and one more are just a majority.
 func (w *ConsensusGroup) cutOff(ms int64, l, f *host) map[*host]bool {
 	away := map[*host]bool{}
 	for _, h := range w.members() {
-		if h != l && h != f && len(away) < w.target-(w.target/2+1) {
+		if h != l && h != f && len(away) < w.votersWanted-(w.votersWanted/2+1) {
 			away[h] = true
 		}
 	}
-	w.part(ms, func(a, b *host) bool { return away[a] != away[b] })
+	w.partition(ms, func(a, b *host) bool { return away[a] != away[b] })
 	return away
 }
 
-// oldDisk: what two of three agreed on while the third was away has to outlast one of the two coming back on
+// checkOldDisk: what two of three agreed on while the third was away has to outlast one of the two coming back on
 // a copy of its disk from before, with the other then cut off.
-func (w *ConsensusGroup) oldDisk() {
-	if !w.settle() {
+func (w *ConsensusGroup) checkOldDisk() {
+	if !w.waitUntilSettled() {
 		return
 	}
 	l, f := w.leader(), w.follower()
-	f.copied = f.disk.Copy()
+	f.diskCopy = f.disk.Copy()
 	w.cutOff(3000, l, f)
 	for i := 0; i < 3; i++ {
 		// The leader may be a few ms old and another's election still under way: the promise is not on one leader.
@@ -308,7 +308,7 @@
 			if n := w.leader(); n == nil {
 				w.Run(w.Now + 50)
 			} else {
-				took = w.scripted(n, 300)
+				took = w.putByScript(n, 300)
 			}
 		}
 		if !took && w.Broken == "" {
@@ -321,10 +321,10 @@
 	w.restoreCopy(f)
 	w.Run(w.Now + 400)
 	w.cut = map[[2]int]bool{}
-	w.part(2000, func(a, b *host) bool { return a == l || b == l })
+	w.partition(2000, func(a, b *host) bool { return a == l || b == l })
 	w.Run(w.Now + 2500)
 	if w.Broken == "" {
-		w.settle()
+		w.waitUntilSettled()
 	}
 }
 
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -15,38 +15,38 @@
 
 // The world's unit of time is a millisecond. An instance ticks as the shipped file has it.
 const (
-	tickMS   = 50
-	electing = 10
+	tickMS        = 50
+	electionTicks = 10
 	// writesWithin is the promise: with a majority there, a leader takes writes again within it.
 	writesWithin         = 5000
 	ScheduleMilliseconds = 12000 // of faults under load; growth, rest and scripted cases come to it
-	worldSegment         = 16 << 10
-	worldBound           = 8 << 20
-	worldSnap            = 12 << 10 // small, so that snapshots and lagging followers come often
+	segmentBytes         = 16 << 10
+	maxLogBytes          = 8 << 20
+	snapshotBytes        = 12 << 10 // small, so that snapshots and lagging followers come often
 )
 
-var errPower = errors.New("the power went")
+var errPowerLoss = errors.New("the power went")
 
 // logPosition is an entry as some log has it.
 type logPosition struct{ index, term uint64 }
 
 // host is a machine with a disk and, while it is up, an instance.
 type host struct {
-	n           int
-	disk        *wal.MemFS
-	replica     *consensus.Replica
-	id          uint64
-	incarnation int   // numbered over all hosts
-	frozen      int64 // its disk stalls until then
-	left        int   // file-system steps until it crashes, -1 for none
-	copied      *wal.MemFS
-	held        map[uint64]uint64 // index to term of what its log held on disk when last seen
-	base        uint64            // all up to it are held, in a snapshot
-	seen        uint64            // applied when last checked
-	first       uint64            // number of the version checked last
-	puts        map[string]*call
-	reads       map[uint64]*call
-	gone        bool // barred, or its disk was lost: the operator replaces it
+	n              int
+	disk           *wal.MemFS
+	replica        *consensus.Replica
+	id             uint64
+	incarnation    int   // numbered over all hosts
+	frozen         int64 // its disk stalls until then
+	stepsToCrash   int   // file-system steps until it crashes, -1 for none
+	diskCopy       *wal.MemFS
+	terms          map[uint64]uint64 // index to term of what its log held on disk when last seen
+	snapshotIndex  uint64            // all up to it are held, in a snapshot
+	checkedIndex   uint64            // applied when last checked
+	checkedVersion uint64            // number of the version checked last
+	puts           map[string]*pendingCall
+	reads          map[uint64]*pendingCall
+	replaced       bool // barred, or its disk was lost: the operator replaces it
 }
 
 // ConsensusGroup is one run.
@@ -55,59 +55,59 @@
 	network
 	callers
 	logChecks
-	net     *rand.Rand // network, disks and clients
-	without consensus.Guard
-	hosts   []*host
-	lives   int
-	target  int // voters wanted
-	Broken  string
-	Trace   func(string)
+	random       *rand.Rand // network, disks and clients
+	without      consensus.Guard
+	hosts        []*host
+	incarnations int
+	votersWanted int // voters wanted
+	Broken       string
+	Trace        func(string)
 }
 
 // network is what lies between hosts.
 type network struct {
-	met  map[[2]int]bool // by lives: whether they speak with each other
-	cut  map[[2]int]bool // by hosts, one way
-	loss int             // of 1,000 messages
-	slow int64           // most time a message takes
+	greeted  map[[2]int]bool // by lives: whether they speak with each other
+	cut      map[[2]int]bool // by hosts, one way
+	loss     int             // of 1,000 messages
+	maxDelay int64           // most time a message takes
 }
 
 // callers are the clients, and what they asked and were answered.
 type callers struct {
-	calls   uint64
-	clients []*client
-	history []porcupine.Operation
+	callCount uint64
+	clients   []*client
+	history   []porcupine.Operation
 }
 
 // logChecks is what was seen of all logs and states, for later ones to be held against.
 type logChecks struct {
-	leaders   map[uint64]uint64
-	committed map[uint64]uint64 // index to term
-	during    map[uint64]uint64 // index to the term in which it was first seen applied: later leaders must have it
-	texts     map[logPosition]uint32
-	pictures  map[uint64]string
-	confs     [][]uint64
-	newest    uint64 // version applied anywhere
-	lost      map[uint64]map[logPosition]bool
+	leaders       map[uint64]uint64
+	committed     map[uint64]uint64 // index to term
+	appliedInTerm map[uint64]uint64 // index to the term in which it was first seen applied: later leaders must have it
+	checksums     map[logPosition]uint32
+	stateAt       map[uint64]string
+	voterSets     [][]uint64
+	newestVersion uint64 // version applied anywhere
+	lostEntries   map[uint64]map[logPosition]bool
 }
 
 // NewConsensusGroup founds a group of one and lets it grow to size, without faults.
 func NewConsensusGroup(seed int64, size int, without consensus.Guard) *ConsensusGroup {
 	w := &ConsensusGroup{
-		network: network{met: map[[2]int]bool{}, cut: map[[2]int]bool{}, slow: 20},
-		logChecks: logChecks{leaders: map[uint64]uint64{}, committed: map[uint64]uint64{}, during: map[uint64]uint64{},
-			texts: map[logPosition]uint32{}, pictures: map[uint64]string{}, lost: map[uint64]map[logPosition]bool{}},
-		net: rand.New(rand.NewSource(seed)), without: without, target: size,
+		network: network{greeted: map[[2]int]bool{}, cut: map[[2]int]bool{}, maxDelay: 20},
+		logChecks: logChecks{leaders: map[uint64]uint64{}, committed: map[uint64]uint64{}, appliedInTerm: map[uint64]uint64{},
+			checksums: map[logPosition]uint32{}, stateAt: map[uint64]string{}, lostEntries: map[uint64]map[logPosition]bool{}},
+		random: rand.New(rand.NewSource(seed)), without: without, votersWanted: size,
 	}
 	for n := 0; n < size; n++ {
 		w.addHost(n == 0)
 	}
-	w.operate()
+	w.reconcileMembers()
 	return w
 }
 
 func (w *ConsensusGroup) addHost(found bool) {
-	h := &host{n: len(w.hosts), disk: wal.NewMemFS(), left: -1}
+	h := &host{n: len(w.hosts), disk: wal.NewMemFS(), stepsToCrash: -1}
 	w.hosts = append(w.hosts, h)
 	w.startHost(h, found)
 	w.after(int64(h.n)*7%tickMS, func() { w.tick(h) })
@@ -133,8 +133,8 @@
 	}
 }
 
-// until runs on while a condition does not hold, at most some time.
-func (w *ConsensusGroup) until(ms int64, holds func() bool) bool {
+// waitFor runs on while a condition does not hold, at most some time.
+func (w *ConsensusGroup) waitFor(ms int64, holds func() bool) bool {
 	for end := w.Now + ms; w.Now < end && w.Broken == ""; {
 		if holds() {
 			return true
@@ -144,11 +144,11 @@
 	return holds()
 }
 
-func (w *ConsensusGroup) plan(h *host, found bool) consensus.Config {
-	return consensus.Config{Name: fmt.Sprint("i", w.lives), Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h",
+func (w *ConsensusGroup) config(h *host, found bool) consensus.Config {
+	return consensus.Config{Name: fmt.Sprint("i", w.incarnations), Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h",
 		h.n),
-		FoundGroup: found, ElectionTicks: electing, SnapshotBytes: worldSnap, DisabledGuards: w.without, Random: w.net.Uint64,
-		Sizes: wal.Sizes{SegmentBytes: worldSegment, MaxBytes: worldBound}, Logger: discardLogger{},
+		FoundGroup: found, ElectionTicks: electionTicks, SnapshotBytes: snapshotBytes, DisabledGuards: w.without, Random: w.random.Uint64,
+		Sizes: wal.Sizes{SegmentBytes: segmentBytes, MaxBytes: maxLogBytes}, Logger: discardLogger{},
 		OnStep: func(step consensus.WorkStep) {
 			if step == consensus.StepSend {
 				w.recordLog(h)
@@ -158,18 +158,18 @@
 
 // startHost starts an instance on a host's disk.
 func (w *ConsensusGroup) startHost(h *host, found bool) {
-	w.lives++
-	h.incarnation = w.lives
-	h.puts, h.reads = map[string]*call{}, map[uint64]*call{}
-	w.do(h, func() error {
-		rep, err := consensus.Open(h.disk, w.plan(h, found))
+	w.incarnations++
+	h.incarnation = w.incarnations
+	h.puts, h.reads = map[string]*pendingCall{}, map[uint64]*pendingCall{}
+	w.atHost(h, func() error {
+		rep, err := consensus.Open(h.disk, w.config(h, found))
 		if err != nil {
 			return err
 		}
 		if h.replica = rep; rep.ID() != h.id {
-			h.id, h.gone = rep.ID(), false
+			h.id, h.replaced = rep.ID(), false
 		}
-		h.held, h.base, h.seen, h.first = map[uint64]uint64{}, 0, 0, 0
+		h.terms, h.snapshotIndex, h.checkedIndex, h.checkedVersion = map[uint64]uint64{}, 0, 0, 0
 		w.recordLog(h)
 		return nil
 	})
@@ -180,8 +180,8 @@
 	}
 }
 
-// do runs something at a host. A failure put there on purpose takes it down, any other breaks the run.
-func (w *ConsensusGroup) do(h *host, f func() error) {
+// atHost runs something at a host. A failure put there on purpose takes it down, any other breaks the run.
+func (w *ConsensusGroup) atHost(h *host, f func() error) {
 	defer func() {
 		if p := recover(); p != nil {
 			w.fail("host %d gave up: %v", h.n, p)
@@ -189,31 +189,31 @@
 		}
 	}()
 	h.disk.OnStep = func(string, string) (int, error) {
-		if h.left < 0 {
+		if h.stepsToCrash < 0 {
 			return 0, nil
 		}
-		if h.left--; h.left < 0 {
-			return w.net.Intn(600), errPower
+		if h.stepsToCrash--; h.stepsToCrash < 0 {
+			return w.random.Intn(600), errPowerLoss
 		}
 		return 0, nil
 	}
 	if err := f(); err != nil {
-		if !errors.Is(err, errPower) {
+		if !errors.Is(err, errPowerLoss) {
 			w.fail("host %d: %v", h.n, err)
 			return
 		}
-		w.crashHost(h, 300+int64(w.net.Intn(1500)))
+		w.crashHost(h, 300+int64(w.random.Intn(1500)))
 	}
 }
 
 // crashHost ends a host's instance, by the power or by a kill, and has it come up again later.
 func (w *ConsensusGroup) crashHost(h *host, ms int64) {
 	w.tracef("host %d down", h.n)
-	h.replica, h.left = nil, -1
-	if w.net.Intn(3) == 0 {
+	h.replica, h.stepsToCrash = nil, -1
+	if w.random.Intn(3) == 0 {
 		h.disk = h.disk.Kill()
 	} else {
-		h.disk = h.disk.PowerLoss(w.net.Intn)
+		h.disk = h.disk.PowerLoss(w.random.Intn)
 	}
 	life := h.incarnation
 	w.after(ms, func() {
@@ -238,7 +238,7 @@
 	}
 	var out consensus.WorkResult
 	life := h.incarnation
-	w.do(h, func() (err error) {
+	w.atHost(h, func() (err error) {
 		out, err = h.replica.Work(func(ms []*pb.Message) { w.send(h, life, ms) })
 		return err
 	})
@@ -249,17 +249,17 @@
 	for _, r := range out.Puts {
 		if c := h.puts[r.Session]; c != nil && c.put.Seq == r.Seq {
 			delete(h.puts, r.Session)
-			w.answer(c, r.Result)
+			w.respond(c, r.Result)
 		}
 	}
 	for _, id := range out.Reads {
 		if c := h.reads[id]; c != nil {
 			delete(h.reads, id)
 			lines, first := h.replica.Versions()
-			w.answer(c, consensus.PutResult{Version: first + uint64(len(lines)) - 1})
+			w.respond(c, consensus.PutResult{Version: first + uint64(len(lines)) - 1})
 		}
 	}
-	w.do(h, func() error {
+	w.atHost(h, func() error {
 		s, err := h.replica.SnapshotIfDue()
 		if s == nil || err != nil {
 			return err
@@ -282,10 +282,10 @@
 	return best
 }
 
-// operate is the operator: it takes in instances that wait, promotes them, and removes those that take no
+// reconcileMembers is the operator: it takes in instances that wait, promotes them, and removes those that take no
 // part.
-func (w *ConsensusGroup) operate() {
-	w.after(200, w.operate)
+func (w *ConsensusGroup) reconcileMembers() {
+	w.after(200, w.reconcileMembers)
 	for _, h := range w.hosts {
 		if h.replica != nil && h.replica.Barred() != "" {
 			w.wipe(h)
@@ -298,7 +298,7 @@
 	members := l.replica.Members()
 	for _, m := range members {
 		for _, h := range w.hosts {
-			if h.id == m.ID && !h.gone {
+			if h.id == m.ID && !h.replaced {
 				goto next
 			}
 		}
@@ -307,7 +307,7 @@
 		return
 	next:
 	}
-	if len(members) >= w.target {
+	if len(members) >= w.votersWanted {
 		return
 	}
 	for _, h := range w.hosts {
@@ -338,11 +338,11 @@
 
 // loseDisk notes what a disk held that is no more.
 func (w *ConsensusGroup) loseDisk(h *host) {
-	for i, term := range h.held {
-		if w.lost[h.id] == nil {
-			w.lost[h.id] = map[logPosition]bool{}
+	for i, term := range h.terms {
+		if w.lostEntries[h.id] == nil {
+			w.lostEntries[h.id] = map[logPosition]bool{}
 		}
-		w.lost[h.id][logPosition{i, term}] = true
+		w.lostEntries[h.id][logPosition{i, term}] = true
 	}
 }
 
@@ -354,7 +354,7 @@
 	}
 	for _, m := range l.replica.Members() {
 		for _, h := range w.hosts {
-			if h.id == m.ID && !h.gone {
+			if h.id == m.ID && !h.replaced {
 				out = append(out, h)
 			}
 		}
--- a/internal/simulation/consensus_network.go
+++ b/internal/simulation/consensus_network.go
@@ -31,7 +31,7 @@
 // stalls.
 func (w *ConsensusGroup) exchange(a, b *host) bool {
 	key := [2]int{min(a.incarnation, b.incarnation), max(a.incarnation, b.incarnation)}
-	if ok, known := w.met[key]; known {
+	if ok, known := w.greeted[key]; known {
 		return ok
 	}
 	if w.cut[[2]int{a.n, b.n}] || w.cut[[2]int{b.n, a.n}] || a.frozen > w.Now || b.frozen > w.Now {
@@ -40,7 +40,7 @@
 	ok := true
 	for _, p := range [][2]*host{{a, b}, {b, a}} {
 		var reason string
-		w.do(p[0], func() (err error) {
+		w.atHost(p[0], func() (err error) {
 			to := uint64(0) // an id is known by being a member's
 			for _, m := range p[1].replica.Members() {
 				if m.ID == p[0].id {
@@ -57,17 +57,17 @@
 			ok = false
 			if consensus.BarsInstance(reason) {
 				w.tracef("host %d told by %d: %s", p[1].n, p[0].n, reason)
-				w.do(p[1], func() error { return p[1].replica.Bar(reason) })
+				w.atHost(p[1], func() error { return p[1].replica.Bar(reason) })
 				if p[1].replica == nil {
 					return false
 				}
-				p[1].gone = p[1].gone || p[1].replica.Barred() != ""
+				p[1].replaced = p[1].replaced || p[1].replica.Barred() != ""
 			}
 		}
 	}
 	// An instance that waits is spoken with once it was taken in; the question is put again until then.
 	if ok || a.replica.Status().Cluster != "" && b.replica.Status().Cluster != "" {
-		w.met[key] = ok
+		w.greeted[key] = ok
 	}
 	return ok
 }
@@ -80,16 +80,16 @@
 			return
 		}
 		copies := 1
-		if w.net.Intn(1000) < w.loss {
-			copies = w.net.Intn(2) * 2 // lost, or doubled
+		if w.random.Intn(1000) < w.loss {
+			copies = w.random.Intn(2) * 2 // lost, or doubled
 		}
 		to, snap := m.GetTo(), m.GetType() == pb.MessageType_MsgSnap
 		for ; copies > 0; copies-- {
-			took := 1 + w.net.Int63n(w.slow)
+			took := 1 + w.random.Int63n(w.maxDelay)
 			w.after(took, func() { w.deliver(h, life, to, raw) })
 		}
 		if snap {
-			w.after(2*w.slow, func() {
+			w.after(2*w.maxDelay, func() {
 				if h.replica != nil && h.incarnation == life {
 					h.replica.ReportSnapshot(to, true)
 					w.work(h)
@@ -121,6 +121,6 @@
 		w.fail("a message: %v", err)
 		return
 	}
-	w.do(h, func() error { h.replica.Step(m); return nil })
+	w.atHost(h, func() error { h.replica.Step(m); return nil })
 	w.work(h)
 }
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -35,9 +35,9 @@
 	Down    float64
 	Way     string // "", or a baseline
 
-	Loses        int    // times that the group loses state, see vlost.go
+	StateLosses  int    // times that the group loses state, see vlost.go
 	Zones        int    // 0: three
-	Rules        string // [zones] of the policy; empty: none
+	ZoneRules    string // [zones] of the policy; empty: none
 	WithoutZones zones.Guard
 }
 
@@ -48,29 +48,29 @@
 	controlGroup
 	stateLoss
 	FleetFigures
-	random  *rand.Rand
-	nodes   []*node
-	done    int                     // changes that were answered
-	bad     map[string]bool         // hashes of texts that any trial fails
-	stale   []api.HeartbeatResponse // answers of long ago, as an instance that is behind would give them
-	History []FleetEvent
-	Broken  string
-
-	load    func(n *node) *api.LoadReport                   // what a node reports of itself; nil: nothing
-	look    func(n *node, l api.ProbeTarget) api.PeerHealth // what it sees of another
-	applied func(end any)                                   // hears of each entry's end
+	random          *rand.Rand
+	nodes           []*node
+	changesAnswered int                     // changes that were answered
+	failsTrial      map[string]bool         // hashes of texts that any trial fails
+	staleResponses  []api.HeartbeatResponse // answers of long ago, as an instance that is behind would give them
+	History         []FleetEvent
+	Broken          string
+
+	loadReport func(n *node) *api.LoadReport                   // what a node reports of itself; nil: nothing
+	probePeer  func(n *node, l api.ProbeTarget) api.PeerHealth // what it sees of another
+	onApplied  func(end any)                                   // hears of each entry's end
 }
 
 // controlGroup is the group: its instances, and what they have agreed on.
 type controlGroup struct {
-	control []*controlInstance
-	leader  int // -1: nobody
-	term    uint64
-	index   uint64
-	state   *coordinator.State
-	texts   []string // by version less one
-	hashes  []string
-	known   map[uint64]policy.Step // step by change
+	instances []*controlInstance
+	leader    int // -1: nobody
+	term      uint64
+	index     uint64
+	state     *coordinator.State
+	texts     []string // by version less one
+	hashes    []string
+	steps     map[uint64]policy.Step // step by change
 }
 
 // FleetFigures is what a schedule came to.
@@ -100,11 +100,11 @@
 	w := &Fleet{
 		FleetPlan:    p,
 		random:       rand.New(rand.NewSource(p.Seed)),
-		controlGroup: controlGroup{state: coordinator.NewState(p.Without), leader: -1, known: map[uint64]policy.Step{}},
-		stateLoss: stateLoss{group: "g1", ofHash: map[string]string{}, decidedAs: map[uint64]string{},
-			said: map[string]bool{}},
+		controlGroup: controlGroup{state: coordinator.NewState(p.Without), leader: -1, steps: map[uint64]policy.Step{}},
+		stateLoss: stateLoss{group: "g1", textOf: map[string]string{}, decidedHash: map[uint64]string{},
+			recorded: map[string]bool{}},
 		FleetFigures: FleetFigures{Ends: map[policy.Step]int{}, Causes: map[string]int{}},
-		bad:          map[string]bool{},
+		failsTrial:   map[string]bool{},
 	}
 	w.state.DisabledZoneGuards = p.WithoutZones
 	if w.Zones == 0 {
@@ -117,18 +117,18 @@
 	if w.Lease == 0 {
 		w.Lease = 4000
 	}
-	w.put()
+	w.addVersion()
 	for i := 0; i < max(1, p.Ctl); i++ {
-		w.control = append(w.control, &controlInstance{s: w.currentLeader(), up: true, rate: 1 + (w.random.Float64()-0.5)*0.008})
+		w.instances = append(w.instances, &controlInstance{coordinator: w.newLeader(), up: true, rate: 1 + (w.random.Float64()-0.5)*0.008})
 	}
 	for i := 0; i < p.Nodes; i++ {
 		n := &node{fleet: w, name: fmt.Sprintf("n%04d", i), zone: i % w.Zones, rate: 1 + (w.random.Float64()-0.5)*0.008,
-			nodeFaults: nodeFaults{diskless: w.random.Intn(2) == 0 && p.Loses == 0}} // what only such a node knew is gone with it
+			nodeFaults: nodeFaults{diskless: w.random.Intn(2) == 0 && p.StateLosses == 0}} // what only such a node knew is gone with it
 		w.nodes = append(w.nodes, n)
 		w.after(w.random.Float64()*500, n.start)
 	}
 	w.after(10, w.elect)
-	for i := range w.control {
+	for i := range w.instances {
 		w.tick(i)
 	}
 	return w
@@ -145,8 +145,8 @@
 	}
 }
 
-// begins is when the first version is long settled: ten seconds of leases from before it, and its own changes.
-const begins = 16_000
+// faultsBeginMS is when the first version is long settled: ten seconds of leases from before it, and its own changes.
+const faultsBeginMS = 16_000
 
 // Play lets the schedule run to its end.
 func (w *Fleet) Play() {
@@ -154,23 +154,23 @@
 		w.Span = 30_000
 	}
 	// The first version of all: until it is settled nodes hold what they had before on other terms.
-	w.after(1500, func() { w.change(false, 0) })
+	w.after(1500, func() { w.proposeChange(false, 0) })
 	w.Changes++
-	w.until(begins)
+	w.runUntil(faultsBeginMS)
 	at := 500.0
 	for i := 1; i < w.Changes; i++ {
 		excl, spare := w.random.Intn(3) == 0, 0
 		if w.random.Intn(4) == 0 {
 			spare = 1
 		}
-		w.after(at, func() { w.change(excl, spare) })
+		w.after(at, func() { w.proposeChange(excl, spare) })
 		at += float64(w.Span) / float64(w.Changes+1)
 	}
 	if w.Down > 0 { // a share of the fleet is cut off while changes are made, back one by one afterwards
 		for i, n := range w.nodes {
 			if float64(i) < w.Down*float64(len(w.nodes)) {
-				w.after(200, func() { n.cut = true })
-				w.after(float64(w.Span)+float64(i)*10, func() { n.cut = false })
+				w.after(200, func() { n.partitioned = true })
+				w.after(float64(w.Span)+float64(i)*10, func() { n.partitioned = false })
 			}
 		}
 	}
@@ -179,45 +179,45 @@
 			w.after(t, w.injectFault)
 		}
 	}
-	if w.Loses > 0 {
-		w.save()
-		w.outdated()
-		w.drill()
+	if w.StateLosses > 0 {
+		w.copyState()
+		w.checkEpochs()
+		w.drillZones()
 	}
-	for i := 0; i < w.Loses; i++ {
-		w.after(2000+w.random.Float64()*float64(w.Span), w.lose)
+	for i := 0; i < w.StateLosses; i++ {
+		w.after(2000+w.random.Float64()*float64(w.Span), w.loseState)
 	}
-	w.until(w.Now + float64(w.Span) + 3*float64(w.Lease) + float64(len(w.nodes))*10*w.Down)
+	w.runUntil(w.Now + float64(w.Span) + 3*float64(w.Lease) + float64(len(w.nodes))*10*w.Down)
 	// All heals: then every change ends and every node serves under what is in force.
 	for _, n := range w.nodes {
-		n.cut, n.neverPrepares, n.busy = false, false, 0
+		n.partitioned, n.neverPrepares, n.preparing = false, false, 0
 	}
 	w.Calm = true
-	if w.Loses > 0 { // one may have come last of all
-		w.until(w.Now + 30_000)
+	if w.StateLosses > 0 { // one may have come last of all
+		w.runUntil(w.Now + 30_000)
 	}
-	w.until(w.Now + 12*float64(w.Lease) + 65_000)
+	w.runUntil(w.Now + 12*float64(w.Lease) + 65_000)
 	if w.Way != "" {
 		w.Overlap = longestOverlap(w.History)
 		return
 	}
-	w.check()
+	w.checkEnd()
 }
 
-func (w *Fleet) until(at float64) {
+func (w *Fleet) runUntil(at float64) {
 	w.play(at, func() bool { return false })
 	w.Now = at
 }
 
-func (w *Fleet) check() {
+func (w *Fleet) checkEnd() {
 	if w.Broken != "" {
 		return
 	}
 	if c := w.state.Policy.Current; c != nil {
 		w.fail("change %d to version %d is still %s", c.Number, c.Version, c.Step)
 	}
-	if w.done < w.Changes {
-		w.fail("%d of %d changes were never taken", w.Changes-w.done, w.Changes)
+	if w.changesAnswered < w.Changes {
+		w.fail("%d of %d changes were never taken", w.Changes-w.changesAnswered, w.Changes)
 	}
 	for _, n := range w.nodes {
 		if !n.serves || n.activeVersion != w.state.Policy.CommittedVersion {
--- a/internal/simulation/fleet_control.go
+++ b/internal/simulation/fleet_control.go
@@ -13,13 +13,13 @@
 
 // controlInstance is one instance of the group.
 type controlInstance struct {
-	s    *coordinator.Leader
-	up   bool
-	rate float64
-	last float64
+	coordinator *coordinator.Leader
+	up          bool
+	rate        float64
+	lastTick    float64
 }
 
-func (w *Fleet) currentLeader() *coordinator.Leader {
+func (w *Fleet) newLeader() *coordinator.Leader {
 	s := coordinator.NewLeader(w.Without)
 	s.DisabledZoneGuards, s.Level = w.WithoutZones, coordinator.LevelSameProcess
 	return s
@@ -27,36 +27,36 @@
 
 // startInstance starts an instance of the group, without what it had in memory.
 func (w *Fleet) startInstance(c *controlInstance) {
-	c.s, c.up, c.last = w.currentLeader(), true, w.Now*c.rate
+	c.coordinator, c.up, c.lastTick = w.newLeader(), true, w.Now*c.rate
 }
 
-// put adds a version to the group's.
-func (w *Fleet) put() uint64 {
+// addVersion adds a version to the group's.
+func (w *Fleet) addVersion() uint64 {
 	n := len(w.texts) + 1
-	w.puts++ // no text comes twice, also where a number does after a loss
+	w.versionsMade++ // no text comes twice, also where a number does after a loss
 	d, err := document.Parse("version", []byte(fmt.Sprintf("[fleet]\nlease = %dms\nwhen_alone = fence\n[tenant t]\nrate = %d\n%s",
-		w.Lease, w.puts, w.Rules)))
+		w.Lease, w.versionsMade, w.ZoneRules)))
 	if err != nil {
 		panic(err)
 	}
 	text := d.Canonical()
 	w.texts, w.hashes = append(w.texts, string(text)), append(w.hashes, document.Hash(text))
-	w.ofHash[document.Hash(text)] = string(text)
+	w.textOf[document.Hash(text)] = string(text)
 	return uint64(n)
 }
 
 func (w *Fleet) elect() {
-	if w.gone || w.leader >= 0 && w.control[w.leader].up {
+	if w.stopped || w.leader >= 0 && w.instances[w.leader].up {
 		return
 	}
-	up, most := []int{}, 0
-	for i, c := range w.control {
+	up, running := []int{}, 0
+	for i, c := range w.instances {
 		if c.up {
 			up = append(up, i)
-			most++
+			running++
 		}
 	}
-	if 2*most <= len(w.control) {
+	if 2*running <= len(w.instances) {
 		w.after(100, w.elect)
 		return
 	}
@@ -66,25 +66,25 @@
 
 // tick lets an instance look at its clock.
 func (w *Fleet) tick(i int) {
-	c := w.control[i]
+	c := w.instances[i]
 	if c.up {
 		leads := w.leader == i
-		c.s.SetRole(w.group, leads, w.term)
+		c.coordinator.SetRole(w.group, leads, w.term)
 		at := w.Now * c.rate
-		ms := uint64(at) - uint64(c.last)
+		ms := uint64(at) - uint64(c.lastTick)
 		if ms > 200 {
 			ms = 200
 		}
-		c.last = at
-		for _, e := range c.s.Tick(w.state, ms) {
-			w.propose(i, e)
+		c.lastTick = at
+		for _, e := range c.coordinator.Tick(w.state, ms) {
+			w.appendEntry(i, e)
 		}
 	}
 	w.after(20+w.random.Float64()*10, func() { w.tick(i) })
 }
 
-// propose has an entry committed after a while, unless its leader is lost first; it may be committed all the same then.
-func (w *Fleet) propose(i int, e coordinator.Entry) {
+// appendEntry has an entry committed after a while, unless its leader is lost first; it may be committed all the same then.
+func (w *Fleet) appendEntry(i int, e coordinator.Entry) {
 	term, lost, part := w.term, w.random.Intn(2) == 0, w.state
 	w.after(2+w.random.ExpFloat64()*5, func() {
 		if w.state != part { // lost with the state that it was for
@@ -101,28 +101,28 @@
 			json.Unmarshal(e.Body, &op)
 		}
 		if op.Kind == "decide" && w.Broken == "" && w.Way == "" {
-			w.allPrepared(&op)
+			w.checkAllPrepared(&op)
 		}
 		end, err := w.state.Apply(e.Kind, e.Body, w.index, term, w)
 		if err != nil {
 			w.fail("%v", err)
 			return
 		}
-		w.watch()
-		w.notices()
-		if w.applied != nil {
-			w.applied(end)
+		w.recordDecisions()
+		w.noticeLoss()
+		if w.onApplied != nil {
+			w.onApplied(end)
 		}
-		for _, c := range w.control {
+		for _, c := range w.instances {
 			if c.up {
-				c.s.EntryApplied(w.state, end)
+				c.coordinator.EntryApplied(w.state, end)
 			}
 		}
 	})
 }
 
-// allPrepared holds a decision that counts to its condition: whoever is in has the version at hand.
-func (w *Fleet) allPrepared(op *policy.Op) {
+// checkAllPrepared holds a decision that counts to its condition: whoever is in has the version at hand.
+func (w *Fleet) checkAllPrepared(op *policy.Op) {
 	c := w.state.Policy.Current
 	if c == nil || c.Number != op.ChangeNumber || c.Step != policy.Preparing || op.FleetEpoch != w.state.Fleet.Epoch &&
 		!w.Without.Has(policy.PrepareAll) {
@@ -140,20 +140,20 @@
 	}
 }
 
-// watch records what the group decided.
-func (w *Fleet) watch() {
+// recordDecisions records what the group decided.
+func (w *Fleet) recordDecisions() {
 	look := func(c *policy.Change) {
-		was := w.known[c.Number]
+		was := w.steps[c.Number]
 		if was == c.Step {
 			return
 		}
-		w.known[c.Number] = c.Step
+		w.steps[c.Number] = c.Step
 		ev := func(kind string) {
-			if w.said[kind+c.Hash] {
+			if w.recorded[kind+c.Hash] {
 				return // by a copy of the state from before: the same once more
 			}
-			if w.said[kind+c.Hash] = true; kind == "decided" {
-				w.decidedAs[c.Version] = c.Hash
+			if w.recorded[kind+c.Hash] = true; kind == "decided" {
+				w.decidedHash[c.Version] = c.Hash
 			}
 			w.record(FleetEvent{Kind: kind, Version: c.Version, From: c.PreviousVersion, Excl: c.Proposal.Exclusive, Why: c.AbortReason})
 		}
@@ -163,16 +163,16 @@
 				w.after(0, func() {
 					w.index++
 					w.state.Policy.Apply(policy.Decide{ChangeNumber: c.Number}, w.state.Fleet, nil, w.Without)
-					w.watch()
+					w.recordDecisions()
 				})
 			}
 		case policy.Decided:
 			ev("decided")
-			w.tried(c)
+			w.checkTrial(c)
 		case policy.Committed:
 			if was == policy.Preparing || was == "" {
 				ev("decided")
-				w.tried(c)
+				w.checkTrial(c)
 			}
 			ev("forced")
 			w.Times = append(w.Times, float64(c.CommittedAtMS-c.ProposedAtMS))
@@ -193,9 +193,9 @@
 	}
 }
 
-// tried holds a decision to the trial: no version that fails it is decided.
-func (w *Fleet) tried(c *policy.Change) {
-	if w.bad[c.Hash] {
+// checkTrial holds a decision to the trial: no version that fails it is decided.
+func (w *Fleet) checkTrial(c *policy.Change) {
+	if w.failsTrial[c.Hash] {
 		w.fail("version %d was decided, and it fails its trial at any node", c.Version)
 	}
 }
--- a/internal/simulation/fleet_faults.go
+++ b/internal/simulation/fleet_faults.go
@@ -11,15 +11,15 @@
 	case 3:
 		w.cutZone(w.random.Intn(3))
 	case 4:
-		n.cut = true
-		w.after(w.upToTwoLeases(), func() { n.cut = false })
+		n.partitioned = true
+		w.after(w.upToTwoLeases(), func() { n.partitioned = false })
 	case 5, 6, 7:
 		w.crashInstance()
 	case 8: // refuses the next version
 		n.rejects = w.Last() + 1
 	case 9: // prepares nothing, for a while
 		n.neverPrepares = true
-		w.after(2*float64(w.Lease), func() { n.neverPrepares, n.busy = false, 0 })
+		w.after(2*float64(w.Lease), func() { n.neverPrepares, n.preparing = false, 0 })
 	case 10:
 		w.crashLoop(n)
 	}
@@ -45,7 +45,7 @@
 	if !n.up || n.paused {
 		return
 	}
-	n.set(false)
+	n.setServing(false)
 	n.paused = true
 	incarnation := n.incarnation
 	w.after(w.upToTwoLeases(), func() {
@@ -62,7 +62,7 @@
 	set := func(cut bool) {
 		for _, n := range w.nodes {
 			if n.zone == zone {
-				n.cut = cut
+				n.partitioned = cut
 			}
 		}
 	}
@@ -72,12 +72,12 @@
 
 // crashInstance ends an instance of the group, in half of the cases its leader, and starts it again.
 func (w *Fleet) crashInstance() {
-	i := w.random.Intn(len(w.control))
+	i := w.random.Intn(len(w.instances))
 	if w.random.Intn(2) == 0 && w.leader >= 0 {
 		i = w.leader
 	}
-	c := w.control[i]
-	if !c.up || w.gone {
+	c := w.instances[i]
+	if !c.up || w.stopped {
 		return
 	}
 	c.up = false
@@ -87,7 +87,7 @@
 	}
 	state := w.state
 	w.after(500+w.random.Float64()*float64(w.Lease), func() {
-		if w.state != state || w.gone { // all were started anew meanwhile
+		if w.state != state || w.stopped { // all were started anew meanwhile
 			return
 		}
 		w.startInstance(c)
--- a/internal/simulation/fleet_node.go
+++ b/internal/simulation/fleet_node.go
@@ -25,16 +25,16 @@
 	record        agent.Record // on its disk
 	serves        bool
 	activeVersion uint64
-	armed         float64
-	busy          uint64          // version being prepared
-	at            api.VersionHash // prepared last
+	nextRound     float64
+	preparing     uint64          // version being prepared
+	prepared      api.VersionHash // prepared last
 	peerHealth    []api.PeerHealth
 }
 
 // nodeFaults is what is wrong with a node.
 type nodeFaults struct {
 	paused        bool
-	cut           bool   // from the group
+	partitioned   bool   // from the group
 	rejects       uint64 // a version it refuses
 	neverPrepares bool   // never gets to prepare anything
 	diskless      bool   // has no disk
@@ -49,28 +49,28 @@
 		return
 	}
 	n.incarnation++
-	n.up, n.paused, n.busy, n.armed = true, false, 0, 0
-	plan := agent.Config{Name: n.name, Zone: fmt.Sprint("z", n.zone), Address: n.name, Nonce: n.nonce(),
+	n.up, n.paused, n.preparing, n.nextRound = true, false, 0, 0
+	config := agent.Config{Name: n.name, Zone: fmt.Sprint("z", n.zone), Address: n.name, Nonce: n.nonce(),
 		JitterSeed: uint32(n.fleet.random.Int31()), DisabledGuards: n.fleet.Without}
-	for i := range n.fleet.control {
-		plan.ControlAddresses = append(plan.ControlAddresses, fmt.Sprint(i))
+	for i := range n.fleet.instances {
+		config.ControlAddresses = append(config.ControlAddresses, fmt.Sprint(i))
 	}
-	var kept *agent.Record
+	var record *agent.Record
 	if !n.diskless && n.record.Cluster != "" {
-		kept = &n.record
+		record = &n.record
 	}
-	n.agent, n.gate = agent.New(plan, kept, n.clock()), zonegate.NewGate(1, plan.JitterSeed)
+	n.agent, n.gate = agent.New(config, record, n.clock()), zonegate.NewGate(1, config.JitterSeed)
 	n.gate.SetOrder(n.clock(), n.agent.ZoneOrder())
 	n.step()
 }
 
 // kill ends its process; a name that comes back begins a new life.
 func (n *node) kill() {
-	n.set(false)
+	n.setServing(false)
 	n.up, n.incarnation = false, n.incarnation+1
 }
 
-func (n *node) set(serves bool) {
+func (n *node) setServing(serves bool) {
 	if serves == n.serves && (!serves || n.activeVersion == n.agent.ActiveVersion()) {
 		return
 	}
@@ -93,42 +93,42 @@
 	if v, ok := n.agent.VersionToActivate(now); ok {
 		n.agent.MarkActive(now, v, false)
 		n.record.ActiveVersion, n.record.ActiveHash = v.Version, v.Hash
-		n.note()
+		n.storeRecord()
 	}
 	ok, _ := n.agent.MayServe(now)
-	n.set(ok)
+	n.setServing(ok)
 	if a, no, due := n.agent.Heartbeat(now); due {
 		w.Heartbeats++
-		if w.load != nil && n.agent.ZoneOrder() != nil {
-			a.Load, a.Peers, n.peerHealth = w.load(n), n.peerHealth, nil
+		if w.loadReport != nil && n.agent.ZoneOrder() != nil {
+			a.Load, a.Peers, n.peerHealth = w.loadReport(n), n.peerHealth, nil
 		}
 		n.send(a, no)
 	}
-	if v, decided, ok := n.agent.VersionToFetch(); ok && n.busy != v.Version {
-		n.busy = v.Version
-		life := n.incarnation
+	if v, decided, ok := n.agent.VersionToFetch(); ok && n.preparing != v.Version {
+		n.preparing = v.Version
+		incarnation := n.incarnation
 		if n.neverPrepares && !decided {
 			return
 		}
 		w.after(10+w.random.ExpFloat64()*150, func() {
-			if n.incarnation != life || !n.up {
+			if n.incarnation != incarnation || !n.up {
 				return
 			}
-			n.busy = 0
-			if (n.rejects == v.Version || w.bad[v.Hash] && !w.Without.Has(policy.Shadow)) && !decided {
+			n.preparing = 0
+			if (n.rejects == v.Version || w.failsTrial[v.Hash] && !w.Without.Has(policy.Shadow)) && !decided {
 				n.agent.Reject(n.clock(), v.Version, "it says no", false)
 			} else {
 				n.agent.MarkPrepared(n.clock(), v)
-				n.at = v
+				n.prepared = v
 			}
 			n.step()
 		})
 	}
-	n.arm(now)
+	n.scheduleRound(now)
 }
 
-// arm has the next round come when the member wants one or its lease ends.
-func (n *node) arm(now uint64) {
+// scheduleRound has the next round come when the member wants one or its lease ends.
+func (n *node) scheduleRound(now uint64) {
 	w := n.fleet
 	at := n.agent.NextHeartbeat()
 	if u := n.agent.LeaseExpiry(); n.serves && u > now {
@@ -136,13 +136,13 @@
 	}
 	at = max(at, now+1)
 	wait := (float64(at-now) + 0.01) / n.rate
-	if n.armed > w.Now && n.armed <= w.Now+wait {
+	if n.nextRound > w.Now && n.nextRound <= w.Now+wait {
 		return
 	}
-	n.armed = w.Now + wait
-	life := n.incarnation
+	n.nextRound = w.Now + wait
+	incarnation := n.incarnation
 	w.after(wait, func() {
-		if n.incarnation != life {
+		if n.incarnation != incarnation {
 			return
 		}
 		if n.agent.NextHeartbeat() <= n.clock() {
@@ -179,25 +179,25 @@
 }
 
 func (x *exchange) lost() bool {
-	return x.node.cut || x.node.fleet.random.Intn(100) < x.lossPercent
+	return x.node.partitioned || x.node.fleet.random.Intn(100) < x.lossPercent
 }
 
 // arrive has the instance answer, by its leader where it isn't the leader itself.
 func (x *exchange) arrive() {
 	w := x.node.fleet
-	if t, speaks := w.ghost(x.node, x.instance, &x.request); speaks {
+	if t, speaks := w.formerLeaderResponse(x.node, x.instance, &x.request); speaks {
 		x.respond(t, nil)
 		return
 	}
-	if w.gathers {
-		w.hears(x.node)
+	if w.gathering {
+		w.collectRecord(x.node)
 	}
-	if !w.control[x.instance].up || w.leader < 0 || !w.control[w.leader].up {
+	if !w.instances[x.instance].up || w.leader < 0 || !w.instances[w.leader].up {
 		x.respond(api.HeartbeatResponse{}, coordinator.ErrNotLeader)
 		return
 	}
 	leader := w.leader
-	heartbeat := func() { w.control[leader].s.Heartbeat(w.state, x.request, x.respond) }
+	heartbeat := func() { w.instances[leader].coordinator.Heartbeat(w.state, x.request, x.respond) }
 	if leader == x.instance {
 		heartbeat()
 		return
@@ -209,21 +209,21 @@
 func (x *exchange) respond(t api.HeartbeatResponse, err error) {
 	w := x.node.fleet
 	if err == nil && t.LeaseID != 0 && t.LeaseMS == 0 && !w.Calm {
-		t = w.orStale(t)
+		t = w.staleOr(t)
 	}
 	if !x.lost() {
 		w.after(0.3+w.random.ExpFloat64()*3, func() { x.receive(t, err) })
 	}
 }
 
-// orStale keeps a response to be given again later, and gives it or an earlier one.
-func (w *Fleet) orStale(t api.HeartbeatResponse) api.HeartbeatResponse {
-	if len(w.stale) < maxStaleResponses || w.random.Intn(8) == 0 {
-		w.stale = append(w.stale, t)
-		w.stale = w.stale[max(0, len(w.stale)-maxStaleResponses):]
+// staleOr keeps a response to be given again later, and gives it or an earlier one.
+func (w *Fleet) staleOr(t api.HeartbeatResponse) api.HeartbeatResponse {
+	if len(w.staleResponses) < maxStaleResponses || w.random.Intn(8) == 0 {
+		w.staleResponses = append(w.staleResponses, t)
+		w.staleResponses = w.staleResponses[max(0, len(w.staleResponses)-maxStaleResponses):]
 	}
 	if w.random.Intn(60) == 0 {
-		return w.stale[w.random.Intn(len(w.stale))]
+		return w.staleResponses[w.random.Intn(len(w.staleResponses))]
 	}
 	return t
 }
@@ -238,12 +238,12 @@
 		n.agent.HandleFailure(n.clock(), x.number)
 	} else {
 		minVersion := n.agent.MinVersion()
-		if n.believes(x.number, t) {
+		if n.handleResponse(x.number, t) {
 			n.gate.SetOrder(n.clock(), n.agent.ZoneOrder())
 			n.probe(t.ProbeTargets)
 		}
 		if n.agent.MinVersion() > minVersion || n.agent.LastSeen().Generation != n.record.Generation {
-			n.note()
+			n.storeRecord()
 		}
 	}
 	n.step()
@@ -251,10 +251,10 @@
 
 // probe looks at other nodes, for the next load report.
 func (n *node) probe(targets []api.ProbeTarget) {
-	if n.fleet.look == nil {
+	if n.fleet.probePeer == nil {
 		return
 	}
 	for _, t := range targets {
-		n.peerHealth = append(n.peerHealth, n.fleet.look(n, t))
+		n.peerHealth = append(n.peerHealth, n.fleet.probePeer(n, t))
 	}
 }
--- a/internal/simulation/fleet_operator.go
+++ b/internal/simulation/fleet_operator.go
@@ -6,47 +6,47 @@
 	"umberwinch/internal/control/policy"
 )
 
-// change proposes a version, as an operator would: asked again under one key until there is an answer.
-func (w *Fleet) change(excl bool, spare int) {
+// proposeChange proposes a version, as an operator would: asked again under one key until there is an answer.
+func (w *Fleet) proposeChange(excl bool, spare int) {
 	if w.leader < 0 || w.state.Policy.Current != nil {
-		w.after(200, func() { w.change(excl, spare) })
+		w.after(200, func() { w.proposeChange(excl, spare) })
 		return
 	}
-	v := w.put()
-	w.bad[w.hashes[v-1]] = v > 2 && !w.Calm && w.random.Intn(12) == 0
-	w.submit(policy.Op{Kind: "propose", Proposal: &policy.Proposal{Version: v, Exclusive: excl,
+	v := w.addVersion()
+	w.failsTrial[w.hashes[v-1]] = v > 2 && !w.Calm && w.random.Intn(12) == 0
+	w.submitPolicy(policy.Op{Kind: "propose", Proposal: &policy.Proposal{Version: v, Exclusive: excl,
 		PrepareWithinMS: 2*uint64(w.Lease) + 4000, MaxLeftBehind: spare, Author: "lab", IdempotencyKey: fmt.Sprintf("change-%08d", v)}})
 }
 
-func (w *Fleet) submit(op policy.Op) {
+func (w *Fleet) submitPolicy(op policy.Op) {
 	answered := false
-	if w.leader >= 0 && w.control[w.leader].up {
-		w.control[w.leader].s.SubmitPolicy(op, func(r policy.Result, err error) {
+	if w.leader >= 0 && w.instances[w.leader].up {
+		w.instances[w.leader].coordinator.SubmitPolicy(op, func(r policy.Result, err error) {
 			if answered || err != nil {
 				return
 			}
 			answered = true
 			if r.Rejection != "" { // another change came first: a later version, as this one may be behind by then
-				w.change(op.Proposal.Exclusive, op.Proposal.MaxLeftBehind)
+				w.proposeChange(op.Proposal.Exclusive, op.Proposal.MaxLeftBehind)
 				return
 			}
-			w.done++
+			w.changesAnswered++
 			if op.Proposal.Version > 2 && !w.Calm && w.random.Intn(3) == 0 { // an operator who thinks better of it
-				w.after(w.random.Float64()*3000, func() { w.abort(r.ChangeNumber) })
+				w.after(w.random.Float64()*3000, func() { w.abortChange(r.ChangeNumber) })
 			}
 		})
 	}
 	w.after(3000, func() {
 		if !answered {
 			answered = true
-			w.submit(op)
+			w.submitPolicy(op)
 		}
 	})
 }
 
-func (w *Fleet) abort(number uint64) {
-	if w.leader >= 0 && w.control[w.leader].up {
-		w.control[w.leader].s.SubmitPolicy(policy.Op{Kind: "off", ChangeNumber: number, Author: "lab", Reason: "it is called off"},
+func (w *Fleet) abortChange(number uint64) {
+	if w.leader >= 0 && w.instances[w.leader].up {
+		w.instances[w.leader].coordinator.SubmitPolicy(policy.Op{Kind: "off", ChangeNumber: number, Author: "lab", Reason: "it is called off"},
 			func(policy.Result, error) {})
 	}
 }
--- a/internal/simulation/fleet_state_loss.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -17,19 +17,19 @@
 // stateLoss is a schedule's part in it.
 type stateLoss struct {
 	group  string
-	ofHash map[string]string // texts
-	saves  []savedState
+	textOf map[string]string // texts
+	copies []savedState
 	// decidedAs has the hash that each version was decided by last.
-	decidedAs map[uint64]string
-	said      map[string]bool // what was recorded of which text
-	losses    int
-	puts      int
-	gone      bool // no instance runs: the state is lost, or being restored
-	told      bool // an operator has seen that state is lost
-	gathers   bool // who restores it listens in place of an instance
-	heard     map[string]api.NodeRecord
-	old       []api.HeartbeatResponse // what leaders of generations before would go on saying
-	began     uint64                  // the zones' epoch that the present generation began with
+	decidedHash   map[uint64]string
+	recorded      map[string]bool // what was recorded of which text
+	losses        int
+	versionsMade  int
+	stopped       bool // no instance runs: the state is lost, or being restored
+	lossNoticed   bool // an operator has seen that state is lost
+	gathering     bool // who restores it listens in place of an instance
+	nodeRecords   map[string]api.NodeRecord
+	formerLeaders []api.HeartbeatResponse // what leaders of generations before would go on saying
+	firstEpoch    uint64                  // the zones' epoch that the present generation began with
 
 	Lost, Found, Restored int // losses, those that the group found by itself, and restorings
 }
@@ -43,13 +43,13 @@
 	events        int // of the history
 }
 
-// saveEvery is how often the folders are copied, in ms, saveMost how many copies are kept.
-const saveEvery, saveMost = 700, 24
+// copyIntervalMS is how often the folders are copied, in ms, saveMost how many copies are kept.
+const copyIntervalMS, maxCopies = 700, 24
 
-// save copies the folders now and then.
-func (w *Fleet) save() {
-	w.after(saveEvery, w.save)
-	if w.gone || w.state.Fleet.LostState != "" {
+// copyState copies the folders now and then.
+func (w *Fleet) copyState() {
+	w.after(copyIntervalMS, w.copyState)
+	if w.stopped || w.state.Fleet.LostState != "" {
 		return
 	}
 	raw, err := w.state.Snapshot()
@@ -58,46 +58,46 @@
 		return
 	}
 	known := map[uint64]policy.Step{}
-	for n, s := range w.known {
+	for n, s := range w.steps {
 		known[n] = s
 	}
-	w.saves = append(w.saves, savedState{raw, append([]string(nil), w.texts...), append([]string(nil), w.hashes...), w.index, w.term, known,
+	w.copies = append(w.copies, savedState{raw, append([]string(nil), w.texts...), append([]string(nil), w.hashes...), w.index, w.term, known,
 		len(w.History)})
-	w.saves = w.saves[max(0, len(w.saves)-saveMost):]
+	w.copies = w.copies[max(0, len(w.copies)-maxCopies):]
 }
 
-// lose has all instances end, and what is left of their folders is an older copy, or nothing.
-func (w *Fleet) lose() {
-	if w.gone || w.state.Fleet.LostState != "" || len(w.saves) == 0 || w.state.Policy.CommittedVersion < 2 {
+// loseState has all instances end, and what is left of their folders is an older copy, or nothing.
+func (w *Fleet) loseState() {
+	if w.stopped || w.state.Fleet.LostState != "" || len(w.copies) == 0 || w.state.Policy.CommittedVersion < 2 {
 		return
 	}
 	// What one node alone knows more is no proof, as it may lie: that is a limit of the design, and not played.
-	at := w.random.Intn(len(w.saves))
-	for at > 0 && w.knowMore(w.saves[at].index) == 1 {
+	at := w.random.Intn(len(w.copies))
+	for at > 0 && w.nodesAhead(w.copies[at].index) == 1 {
 		at--
 	}
-	s := w.saves[at]
-	if w.knowMore(s.index) == 1 {
+	s := w.copies[at]
+	if w.nodesAhead(s.index) == 1 {
 		return
 	}
-	w.ends()
+	w.stopInstances()
 	w.losses, w.Lost = w.losses+1, w.Lost+1
 	if w.random.Intn(3) == 0 {
-		w.after(500+w.random.Float64()*2000, func() { w.recover(w.random.Intn(2) == 0) })
+		w.after(500+w.random.Float64()*2000, func() { w.restoreGroup(w.random.Intn(2) == 0) })
 		return
 	}
 	w.after(200+w.random.Float64()*3000, func() {
-		if err := w.putBack(s); err != nil {
+		if err := w.restoreCopy(s); err != nil {
 			w.fail("%v", err)
 			return
 		}
-		w.gone = false
-		w.begin()
+		w.stopped = false
+		w.startInstances()
 	})
 }
 
-// knowMore counts the nodes that were told of entries after one.
-func (w *Fleet) knowMore(index uint64) (n int) {
+// nodesAhead counts the nodes that were told of entries after one.
+func (w *Fleet) nodesAhead(index uint64) (n int) {
 	for _, o := range w.nodes {
 		if o.agent != nil && o.agent.LastSeen().Group == w.group && o.agent.LastSeen().Index > index {
 			n++
@@ -106,56 +106,56 @@
 	return n
 }
 
-// notices has an operator restore a group that found that it lost state.
-func (w *Fleet) notices() {
-	if w.state.Fleet.LostState == "" || w.told {
+// noticeLoss has an operator restore a group that found that it lost state.
+func (w *Fleet) noticeLoss() {
+	if w.state.Fleet.LostState == "" || w.lossNoticed {
 		return
 	}
-	w.told = true
+	w.lossNoticed = true
 	w.Found++
-	w.after(1000+w.random.Float64()*5000, func() { w.recover(w.random.Intn(4) > 0) })
+	w.after(1000+w.random.Float64()*5000, func() { w.restoreGroup(w.random.Intn(4) > 0) })
 }
 
-// ends has no instance run any more.
-func (w *Fleet) ends() {
-	w.gone, w.leader = true, -1
-	for _, c := range w.control {
+// stopInstances has no instance run any more.
+func (w *Fleet) stopInstances() {
+	w.stopped, w.leader = true, -1
+	for _, c := range w.instances {
 		c.up = false
 	}
 }
 
-// begin starts all instances.
-func (w *Fleet) begin() {
-	for _, c := range w.control {
+// startInstances starts all instances.
+func (w *Fleet) startInstances() {
+	for _, c := range w.instances {
 		w.startInstance(c)
 	}
 	w.after(100+w.random.Float64()*900, w.elect)
 }
 
-// putBack puts a copy of the folders in place of what they held.
-func (w *Fleet) putBack(s savedState) error {
+// restoreCopy puts a copy of the folders in place of what they held.
+func (w *Fleet) restoreCopy(s savedState) error {
 	p := coordinator.NewState(w.Without)
 	p.DisabledZoneGuards = w.WithoutZones
 	if err := p.Restore(s.raw); err != nil {
 		return err
 	}
-	w.forgets(p.Policy.DecidedVersion, s.events)
-	w.state, w.index, w.term, w.known = p, s.index, s.term, s.known
+	w.dropUnnotified(p.Policy.DecidedVersion, s.events)
+	w.state, w.index, w.term, w.steps = p, s.index, s.term, s.known
 	w.texts, w.hashes = append([]string(nil), s.texts...), append([]string(nil), s.hashes...)
 	return nil
 }
 
-// forgets takes what the group decided after a copy and told nobody off the history: nobody can know of it.
-func (w *Fleet) forgets(need uint64, events int) {
-	told := uint64(0)
+// dropUnnotified takes what the group decided after a copy and told nobody off the history: nobody can know of it.
+func (w *Fleet) dropUnnotified(need uint64, events int) {
+	notified := uint64(0)
 	for _, n := range w.nodes {
 		if n.agent != nil {
-			told = max(told, n.agent.MinVersion(), n.record.MinVersion)
+			notified = max(notified, n.agent.MinVersion(), n.record.MinVersion)
 		}
 	}
 	kept := w.History[:min(events, len(w.History))]
 	for _, e := range w.History[len(kept):] {
-		if group := e.Kind != "serves" && e.Kind != "stops"; group && e.Version > max(told, need) {
+		if group := e.Kind != "serves" && e.Kind != "stops"; group && e.Version > max(notified, need) {
 			continue
 		}
 		kept = append(kept, e)
@@ -163,15 +163,15 @@
 	w.History = kept
 }
 
-// note keeps on a node's disk what its record has.
-func (n *node) note() {
+// storeRecord keeps on a node's disk what its record has.
+func (n *node) storeRecord() {
 	t := n.agent.LastSeen()
 	n.record.MinVersion, n.record.Cluster, n.record.Generation, n.record.Term, n.record.Index = n.agent.MinVersion(), n.agent.Cluster(), t.Generation, t.Term, t.Index
 	n.record.EntryChecksum, n.record.ZoneOrder = t.EntryChecksum, n.agent.StoredZoneOrder()
 }
 
-// believes gives a node an answer, and holds it to its generation.
-func (n *node) believes(no uint64, t api.HeartbeatResponse) bool {
+// handleResponse gives a node an answer, and holds it to its generation.
+func (n *node) handleResponse(no uint64, t api.HeartbeatResponse) bool {
 	was := n.agent.LastSeen().Generation
 	if n.agent.HandleResponse(n.clock(), no, t) != nil {
 		return false
@@ -182,12 +182,12 @@
 	return true
 }
 
-// ghost is a leader of a generation before, paused meanwhile, that answers nodes at one of the addresses as if nothing was.
-func (w *Fleet) ghost(n *node, to int, a *api.HeartbeatRequest) (t api.HeartbeatResponse, speaks bool) {
-	if len(w.old) == 0 || w.Calm || to != 0 || w.random.Intn(4) != 0 {
+// formerLeaderResponse is a leader of a generation before, paused meanwhile, that answers nodes at one of the addresses as if nothing was.
+func (w *Fleet) formerLeaderResponse(n *node, to int, a *api.HeartbeatRequest) (t api.HeartbeatResponse, speaks bool) {
+	if len(w.formerLeaders) == 0 || w.Calm || to != 0 || w.random.Intn(4) != 0 {
 		return t, false
 	}
-	t = w.old[w.random.Intn(len(w.old))]
+	t = w.formerLeaders[w.random.Intn(len(w.formerLeaders))]
 	if t.Generation >= n.agent.LastSeen().Generation { // who has not heard the later one may follow it: that is what old leases are waited for
 		return t, false
 	}
@@ -195,16 +195,16 @@
 	return t, true
 }
 
-// recover founds the next generation from what nodes tell within some seconds, and from the folders as they are, if they
+// restoreGroup founds the next generation from what nodes tell within some seconds, and from the folders as they are, if they
 // are at hand.
-func (w *Fleet) recover(folders bool) {
-	w.ends()
-	w.gathers, w.heard = true, map[string]api.NodeRecord{}
+func (w *Fleet) restoreGroup(folders bool) {
+	w.stopInstances()
+	w.gathering, w.nodeRecords = true, map[string]api.NodeRecord{}
 	w.after(7000, func() {
-		w.gathers = false
+		w.gathering = false
 		var all []api.NodeRecord
 		for _, n := range w.nodes {
-			if k, ok := w.heard[n.name]; ok {
+			if k, ok := w.nodeRecords[n.name]; ok {
 				all = append(all, k)
 			}
 		}
@@ -224,19 +224,19 @@
 		found := recovery.PlanRestore(all, base, "")
 		two := uint64(0)
 		if n, _ := fmt.Sscanf(found.Conflict, "version %d goes by", &two); n == 1 { // the operator has his notes of what was decided
-			found = recovery.PlanRestore(all, base, w.decidedAs[two])
+			found = recovery.PlanRestore(all, base, w.decidedHash[two])
 		}
 		if found.Conflict != "" || !folders && found.Version == 0 || len(all) < len(w.nodes) {
-			w.after(3000, func() { w.recover(folders) }) // listens once more: not all were heard who may serve
+			w.after(3000, func() { w.restoreGroup(folders) }) // listens once more: not all were heard who may serve
 			return
 		}
-		w.found(p, found, folders)
+		w.beginGeneration(p, found, folders)
 	})
 }
 
-// found makes what was found the first state of the next generation.
-func (w *Fleet) found(p *coordinator.State, found *recovery.RestorePlan, folders bool) {
-	w.old = append(w.old, api.HeartbeatResponse{Cluster: w.group, Generation: max(1, found.Lost.Generation), Predecessors: w.state.Predecessors, Term: w.term + 1, Index: w.index,
+// beginGeneration makes what was found the first state of the next generation.
+func (w *Fleet) beginGeneration(p *coordinator.State, found *recovery.RestorePlan, folders bool) {
+	w.formerLeaders = append(w.formerLeaders, api.HeartbeatResponse{Cluster: w.group, Generation: max(1, found.Lost.Generation), Predecessors: w.state.Predecessors, Term: w.term + 1, Index: w.index,
 		DecidedVersion: w.state.Policy.DecidedVersion, CommittedVersion: api.VersionHash{Version: w.state.Policy.CommittedVersion, Hash: w.state.Policy.CommittedHash}, ClockMS: w.state.Fleet.ClockMS})
 	if !folders {
 		w.texts, w.hashes, w.index, w.term = nil, nil, 1, 1
@@ -250,25 +250,25 @@
 			w.texts[found.Version-1], w.hashes[found.Version-1] = found.Text, found.Hash
 		}
 	}
-	w.forgets(found.Version, 0)
+	w.dropUnnotified(found.Version, 0)
 	if err := p.BeginGeneration(found, w); err != nil {
 		w.fail("%v", err)
 		return
 	}
-	w.state, w.began = p, p.Zones.Epoch
+	w.state, w.firstEpoch = p, p.Zones.Epoch
 	w.group = fmt.Sprintf("g%d-%d", p.Generation, w.losses)
-	w.known = map[uint64]policy.Step{}
+	w.steps = map[uint64]policy.Step{}
 	for _, c := range p.Policy.History {
-		w.known[c.Number] = c.Step
+		w.steps[c.Number] = c.Step
 	}
-	w.outcome(found)
-	w.saves, w.told, w.gone = nil, false, false
+	w.recordRestore(found)
+	w.copies, w.lossNoticed, w.stopped = nil, false, false
 	w.Restored++
-	w.begin()
+	w.startInstances()
 }
 
-// outcome records what a restoring decided: the version in force, if it was not before.
-func (w *Fleet) outcome(found *recovery.RestorePlan) {
+// recordRestore records what a restoring decided: the version in force, if it was not before.
+func (w *Fleet) recordRestore(found *recovery.RestorePlan) {
 	for _, e := range w.History {
 		if e.Kind == "decided" && e.Version == found.Version {
 			return
@@ -280,32 +280,32 @@
 	}
 }
 
-// hears has whoever restores the group hear what a node holds.
-func (w *Fleet) hears(n *node) {
-	if !n.up || n.cut {
+// collectRecord has whoever restores the group hear what a node holds.
+func (w *Fleet) collectRecord(n *node) {
+	if !n.up || n.partitioned {
 		return
 	}
-	n.note()
+	n.storeRecord()
 	r := n.record
 	k := api.NodeRecord{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Group: r.Cluster, Generation: max(1, r.Generation), Term: r.Term,
 		Index: r.Index, ActiveVersion: n.agent.ActiveVersion(), MinVersion: r.MinVersion, LeaseMS: n.agent.LeaseDuration()}
 	if k.ActiveVersion > 0 {
-		k.ActiveHash, k.ActiveText = r.ActiveHash, w.ofHash[r.ActiveHash]
+		k.ActiveHash, k.ActiveText = r.ActiveHash, w.textOf[r.ActiveHash]
 	}
-	if v := n.at.Version; v > k.ActiveVersion && n.agent.IsPrepared(v) {
-		k.PreparedVersion, k.PreparedHash, k.PreparedText = v, n.at.Hash, w.ofHash[n.at.Hash]
+	if v := n.prepared.Version; v > k.ActiveVersion && n.agent.IsPrepared(v) {
+		k.PreparedVersion, k.PreparedHash, k.PreparedText = v, n.prepared.Hash, w.textOf[n.prepared.Hash]
 	}
 	if z := r.ZoneOrder; z != nil {
 		k.ZoneEpoch, k.ZoneShare = z.Epoch, z.Share
 	}
-	w.heard[n.name] = k
+	w.nodeRecords[n.name] = k
 }
 
-// outdated holds every node that serves to the group's generation and epoch: nobody acts on a generation before the present
+// checkEpochs holds every node that serves to the group's generation and epoch: nobody acts on a generation before the present
 // one once an epoch of this one has settled, nor on an older epoch of it.
-func (w *Fleet) outdated() {
-	w.after(50, w.outdated)
-	if w.gone || w.state.Fleet.LostState != "" || w.state.Zones.SettledEpoch <= w.began {
+func (w *Fleet) checkEpochs() {
+	w.after(50, w.checkEpochs)
+	if w.stopped || w.state.Fleet.LostState != "" || w.state.Zones.SettledEpoch <= w.firstEpoch {
 		return
 	}
 	for _, n := range w.nodes {
@@ -325,10 +325,10 @@
 	}
 }
 
-// drill has an operator leave and return a zone now and then, so that there are epochs to be stale about.
-func (w *Fleet) drill() {
-	w.after(1500+w.random.Float64()*3000, w.drill)
-	if w.leader < 0 || !w.control[w.leader].up || w.state.Fleet.LostState != "" {
+// drillZones has an operator leave and return a zone now and then, so that there are epochs to be stale about.
+func (w *Fleet) drillZones() {
+	w.after(1500+w.random.Float64()*3000, w.drillZones)
+	if w.leader < 0 || !w.instances[w.leader].up || w.state.Fleet.LostState != "" {
 		return
 	}
 	zone := fmt.Sprint("z", w.random.Intn(w.Zones))
@@ -336,10 +336,10 @@
 	if step, _ := w.state.Zones.PhaseOf(zone); step != zones.InService {
 		op.Kind, op.Share = "step", 1+w.random.Intn(api.FullShare)
 	}
-	w.control[w.leader].s.SubmitZone(w.state, op, func(zones.Result, error) {})
+	w.instances[w.leader].coordinator.SubmitZone(w.state, op, func(zones.Result, error) {})
 }
 
-// DrawLost draws a schedule in which a group loses state.
-func DrawLost(seed int64, without policy.Guard) FleetPlan {
-	return FleetPlan{Seed: seed, Nodes: 9, Ctl: 3, Changes: 5, Loses: 2, Without: without, Rules: "[zones]\ndecide = ask\n"}
+// DrawStateLoss draws a schedule in which a group loses state.
+func DrawStateLoss(seed int64, without policy.Guard) FleetPlan {
+	return FleetPlan{Seed: seed, Nodes: 9, Ctl: 3, Changes: 5, StateLosses: 2, Without: without, ZoneRules: "[zones]\ndecide = ask\n"}
 }
--- a/internal/simulation/fleet_state_loss_test.go
+++ b/internal/simulation/fleet_state_loss_test.go
@@ -19,7 +19,7 @@
 	}
 	lost, found, restored, bad := 0, 0, 0, 0
 	report.EachSeed(context.Background(), 1, n, func(seed int64) *Fleet {
-		w := NewFleet(DrawLost(seed, 0))
+		w := NewFleet(DrawStateLoss(seed, 0))
 		w.Play()
 		return w
 	}, func(seed int64, w *Fleet) bool {
@@ -40,7 +40,7 @@
 	for _, g := range []policy.Guard{policy.Generation, policy.Proof, policy.ListenFirst} {
 		broken := ""
 		for seed := int64(1); seed <= 100 && broken == ""; seed++ {
-			w := NewFleet(DrawLost(seed, g))
+			w := NewFleet(DrawStateLoss(seed, g))
 			w.Play()
 			broken = w.Broken
 		}
--- a/internal/simulation/pool_scenario_text.go
+++ b/internal/simulation/pool_scenario_text.go
@@ -24,7 +24,7 @@
 	if len(s.Classes) == 0 || s.Cheapest < 0 || s.Dearest < 0 {
 		return nil, fmt.Errorf("%s: %d classes, expected some, a cheapest and a dearest", name, len(s.Classes))
 	}
-	sort.SliceStable(s.at, func(i, k int) bool { return s.at[i].at < s.at[k].at })
+	sort.SliceStable(s.changes, func(i, k int) bool { return s.changes[i].at < s.changes[k].at })
 	return s, nil
 }
 
@@ -59,7 +59,7 @@
 	case "dearest":
 		s.Dearest = l.class(1)
 	case "holds":
-		s.holds = append(s.holds, serviceTarget{l.class(1), l.number(2)})
+		s.targets = append(s.targets, serviceTarget{l.class(1), l.number(2)})
 	case "class":
 		l.readClass()
 	case "swing":
@@ -137,7 +137,7 @@
 		Name: name, Work: get("work", 10) * perMillisecond, WorkSigma: get("tail", 0), surge: -1, tries: int(get("tries", 2)),
 		Handler: admission.Handler{LatencyObjective: virtualTime(get("target", 1000) * perMillisecond),
 			Timeout: virtualTime(get("timeout", 5000) * perMillisecond), Value: get("value", 1)}})
-	l.scenario.shares = append(l.scenario.shares, get("share", 1))
+	l.scenario.fractions = append(l.scenario.fractions, get("share", 1))
 }
 
 // readSwing has the load go to and fro between two values until the end.
@@ -148,7 +148,7 @@
 		return
 	}
 	for at, k := 0.0, 0; at < float64(l.scenario.span)/float64(second); at, k = at+period, k+1 {
-		l.scenario.at = append(l.scenario.at, scenarioChange{at: virtualTime(at * float64(second)), class: -1, kind: "load",
+		l.scenario.changes = append(l.scenario.changes, scenarioChange{at: virtualTime(at * float64(second)), class: -1, kind: "load",
 			words: map[string]float64{"load": loads[k%2]}})
 	}
 }
@@ -165,5 +165,5 @@
 	default:
 		c.class, c.words = l.class(2), l.pairs(3)
 	}
-	l.scenario.at = append(l.scenario.at, c)
+	l.scenario.changes = append(l.scenario.changes, c)
 }
--- a/internal/simulation/pool_scenarios.go
+++ b/internal/simulation/pool_scenarios.go
@@ -16,12 +16,12 @@
 // PoolGuards are what can be taken out.
 var PoolGuards = []string{"reserve", "limits"}
 
-var poolWays = []string{"pools", "off", "fixed", "plain"}
+var poolVariants = []string{"pools", "off", "fixed", "plain"}
 
 // Promises of docs/design/pools.md, as far as virtual time can show them.
 const (
-	cheapServed  = 0.95 // of the cheapest class's reqs done within their target, in every scenario
-	keepsServing = 0.03 // the most valued class loses at most so much by pools
+	minCheapestInTime = 0.95 // of the cheapest class's reqs done within their target, in every scenario
+	maxDearestLoss    = 0.03 // the most valued class loses at most so much by pools
 )
 
 // Scenario is one text file:
@@ -42,17 +42,17 @@
 	span              virtualTime
 	load              float64
 	Classes           []Class
-	shares            []float64
-	at                []scenarioChange
+	fractions         []float64
+	changes           []scenarioChange
 	Cheapest, Dearest int
-	holds             []serviceTarget
+	targets           []serviceTarget
 	exempt            bool // the promise on the cheapest class does not hold here, as the file says why
 }
 
 // serviceTarget is a share of a class's reqs that has to be done in time with pools.
 type serviceTarget struct {
-	class int
-	share float64
+	class    int
+	fraction float64
 }
 
 type scenarioChange struct {
@@ -66,35 +66,35 @@
 func (s *Scenario) Rates(load float64) []float64 {
 	work := 0.0
 	for k := range s.Classes {
-		work += s.shares[k] * s.Classes[k].Work / float64(second)
+		work += s.fractions[k] * s.Classes[k].Work / float64(second)
 	}
 	out := make([]float64, len(s.Classes))
 	for k := range out {
-		out[k] = load * float64(s.Cores) / work * s.shares[k]
+		out[k] = load * float64(s.Cores) / work * s.fractions[k]
 	}
 	return out
 }
 
-// way makes the decider of one way.
-func (s *Scenario) way(way, without string) (decider, *pools.Pools) {
-	if way == "plain" {
+// newDecider makes the decider of one variant.
+func (s *Scenario) newDecider(variant, without string) (decider, *pools.Pools) {
+	if variant == "plain" {
 		return &plainQueue{slots: 2 * s.Cores}, nil
 	}
 	d := &admission.Deployment{Start: second, FleetSize: 1, Callers: 8, RoundInterval: 10, OverQuotaWeight: 0.05, Cores: s.Cores,
 		MaxRunsPerCore: 5,
 		MemoryKB:       1 << 20, RunMemoryFactor: 2, TableEntryKB: 1, Cancellation: admission.CancelNever, DrainGrace: second, MaxRetryAfter: 5 * second,
 		IdleTimeout: 30 * second}
-	p := pools.Plan{Reserve: way == "pools" && without != "reserve", Tenants: s.Tenants}
+	p := pools.Plan{Reserve: variant == "pools" && without != "reserve", Tenants: s.Tenants}
 	total := 0.0
 	for k := range s.Classes {
-		total += s.shares[k] * s.Classes[k].Work
+		total += s.fractions[k] * s.Classes[k].Work
 	}
 	for k := range s.Classes {
 		c := &s.Classes[k]
 		d.Handlers = append(d.Handlers, c.Handler)
 		one := pools.Class{Name: c.Name, Value: c.Handler.Value}
-		if way == "fixed" { // what an operator would set from a calm day's shares, with room for half as much again
-			one.MaxFraction, one.FixedLimit = min(1, max(0.1, 1.5*s.shares[k]*c.Work/total)), true
+		if variant == "fixed" { // what an operator would set from a calm day's shares, with room for half as much again
+			one.MaxFraction, one.FixedLimit = min(1, max(0.1, 1.5*s.fractions[k]*c.Work/total)), true
 		} else if without == "limits" {
 			one.MaxFraction, one.FixedLimit = 1, true
 		}
@@ -107,7 +107,7 @@
 		}
 		d.Tenants = append(d.Tenants, admission.Tenant{Quota: rate / float64(s.Tenants)})
 	}
-	if way == "off" {
+	if variant == "off" {
 		return admission.New(d), nil
 	}
 	o := pools.New(p)
@@ -117,28 +117,28 @@
 
 // outcome is what came of one scenario with one way, over all servers.
 type outcome struct {
-	out     []tallies
-	busiest float64 // share of the cores in use over the fullest window
-	most    float64 // runs a core
-	value   float64
-	limits  [][]float64 // of the first server, by second
+	classes  []tallies
+	busiest  float64 // share of the cores in use over the fullest window
+	peakRuns float64 // runs a core
+	value    float64
+	limits   [][]float64 // of the first server, by second
 }
 
 // play runs a scenario's servers one after the other, each from a seed of its own.
-func (s *Scenario) play(seed int64, size int, way, without string) *outcome {
-	all := &outcome{out: make([]tallies, len(s.Classes))}
-	for k := range all.out {
-		all.out[k].times = hdrhistogram.New(1, 10_000_000, 2)
-		all.out[k].served, all.out[k].came = make([]int, s.span/second+2), make([]int, s.span/second+2)
+func (s *Scenario) play(seed int64, size int, variant, without string) *outcome {
+	all := &outcome{classes: make([]tallies, len(s.Classes))}
+	for k := range all.classes {
+		all.classes[k].times = hdrhistogram.New(1, 10_000_000, 2)
+		all.classes[k].served, all.classes[k].arrived = make([]int, s.span/second+2), make([]int, s.span/second+2)
 	}
 	for n := 0; n < size; n++ {
-		d, p := s.way(way, without)
-		s.one(all, seed*1000+int64(n), d, p, n == 0)
+		d, p := s.newDecider(variant, without)
+		s.playServer(all, seed*1000+int64(n), d, p, n == 0)
 	}
 	return all
 }
 
-func (s *Scenario) one(all *outcome, seed int64, d decider, p *pools.Pools, watch bool) {
+func (s *Scenario) playServer(all *outcome, seed int64, d decider, p *pools.Pools, watch bool) {
 	load := s.load
 	rates := s.Rates(load)
 	classes := append([]Class{}, s.Classes...)
@@ -152,8 +152,8 @@
 	}
 	next := 0
 	for now := second; now < s.span+second; now += second {
-		for next < len(s.at) && s.at[next].at <= now-second {
-			s.apply(v, s.at[next], &load, times, works)
+		for next < len(s.changes) && s.changes[next].at <= now-second {
+			s.applyChange(v, s.changes[next], &load, times, works)
 			next++
 		}
 		rates = s.Rates(load)
@@ -166,7 +166,7 @@
 				v.classes[k].Rate = 0
 			}
 		}
-		v.until(now + second)
+		v.runUntil(now + second)
 		if watch && p != nil {
 			var row []float64
 			for _, view := range p.Status() {
@@ -178,26 +178,26 @@
 	for k := range v.classes {
 		v.classes[k].arrivals = math.MaxInt64 / 2
 	}
-	v.until(v.now + 10*second) // what is open has its end
-	for k := range all.out {
-		a, b := &all.out[k], &v.out[k]
-		a.asked, a.inTime, a.late = a.asked+b.asked, a.inTime+b.inTime, a.late+b.late
-		a.fair, a.fairInTime = a.fair+b.fair, a.fairInTime+b.fairInTime
+	v.runUntil(v.now + 10*second) // what is open has its end
+	for k := range all.classes {
+		a, b := &all.classes[k], &v.out[k]
+		a.offered, a.inTime, a.late = a.offered+b.offered, a.inTime+b.inTime, a.late+b.late
+		a.withinQuota, a.withinQuotaInTime = a.withinQuota+b.withinQuota, a.withinQuotaInTime+b.withinQuotaInTime
 		a.shed, a.errored = a.shed+b.shed, a.errored+b.errored
 		a.times.Merge(b.times)
 		all.value += float64(b.inTime) * s.Classes[k].Handler.Value
 		for i := range a.served {
 			a.served[i] += b.served[i]
-			a.came[i] += b.came[i]
+			a.arrived[i] += b.arrived[i]
 		}
 	}
 	for _, b := range v.busy {
 		all.busiest = max(all.busiest, b/float64(window))
 	}
-	all.most = max(all.most, v.most)
+	all.peakRuns = max(all.peakRuns, v.peakRuns)
 }
 
-func (s *Scenario) apply(v *server, c scenarioChange, load *float64, times, works []float64) {
+func (s *Scenario) applyChange(v *server, c scenarioChange, load *float64, times, works []float64) {
 	if c.class < 0 {
 		switch c.kind {
 		case "load":
@@ -235,4 +235,4 @@
 	}
 }
 
-func (t *tallies) good() float64 { return float64(t.inTime) / float64(max(1, t.asked)) }
+func (t *tallies) inTimeFraction() float64 { return float64(t.inTime) / float64(max(1, t.offered)) }
--- a/internal/simulation/pools.go
+++ b/internal/simulation/pools.go
@@ -49,8 +49,8 @@
 	for i, s := range scenarios {
 		o := outcomes[i]
 		for k := range s.Classes {
-			for _, way := range poolWays {
-				requests += o[way].out[k].asked
+			for _, variant := range poolVariants {
+				requests += o[variant].classes[k].offered
 			}
 		}
 		rep.Rows = append(rep.Rows, s.rows(o)...)
@@ -94,21 +94,21 @@
 
 // rows are a scenario's in the table: each class's share done in time by each way, then the value done.
 func (s *Scenario) rows(o map[string]*outcome) (rows [][]string) {
-	percentile95 := func(way string, k int) string {
-		return report.Milliseconds(o[way].out[k].times.ValueAtQuantile(95) / 10)
+	percentile95 := func(variant string, k int) string {
+		return report.Milliseconds(o[variant].classes[k].times.ValueAtQuantile(95) / 10)
 	}
 	value := []string{"", "value", ""}
 	for k := range s.Classes {
-		row := []string{s.name, s.Classes[k].Name, strconv.Itoa(o["pools"].out[k].asked)}
-		for _, way := range poolWays {
-			row = append(row, fmt.Sprintf("%.3f", o[way].out[k].good()))
+		row := []string{s.name, s.Classes[k].Name, strconv.Itoa(o["pools"].classes[k].offered)}
+		for _, variant := range poolVariants {
+			row = append(row, fmt.Sprintf("%.3f", o[variant].classes[k].inTimeFraction()))
 		}
 		rows = append(rows, append(row, percentile95("pools", k), percentile95("off", k)))
 	}
-	for _, way := range poolWays {
-		value = append(value, fmt.Sprintf("%.0f", o[way].value))
+	for _, variant := range poolVariants {
+		value = append(value, fmt.Sprintf("%.0f", o[variant].value))
 	}
-	return append(rows, append(value, fmt.Sprintf("%.1f runs a core", o["pools"].most), ""))
+	return append(rows, append(value, fmt.Sprintf("%.1f runs a core", o["pools"].peakRuns), ""))
 }
 
 func (r *Pools) playAll(ctx context.Context, all []*Scenario, size int) []map[string]*outcome {
@@ -120,7 +120,7 @@
 	var wg sync.WaitGroup
 	room := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i, s := range all {
-		for _, way := range poolWays {
+		for _, variant := range poolVariants {
 			room <- struct{}{}
 			wg.Add(1)
 			go func() {
@@ -128,9 +128,9 @@
 				if ctx.Err() != nil {
 					return
 				}
-				o := s.play(r.Seed, size, way, r.Without)
+				o := s.play(r.Seed, size, variant, r.Without)
 				mu.Lock()
-				done[i][way] = o
+				done[i][variant] = o
 				mu.Unlock()
 			}()
 		}
@@ -142,24 +142,24 @@
 // check holds one scenario to the promises.
 func (r *Pools) check(rep *report.Report, s *Scenario, o map[string]*outcome, least *float64) {
 	with, off := o["pools"], o["off"]
-	cheap := &with.out[s.Cheapest]
-	good := float64(cheap.fairInTime) / float64(max(1, cheap.fair)) // of tenants within their share
+	cheap := &with.classes[s.Cheapest]
+	good := float64(cheap.withinQuotaInTime) / float64(max(1, cheap.withinQuota)) // of tenants within their share
 	if !s.exempt {
 		*least = min(*least, good)
-		if good < cheapServed {
-			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, good, s.Classes[s.Cheapest].Name, cheapServed)
+		if good < minCheapestInTime {
+			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, good, s.Classes[s.Cheapest].Name, minCheapestInTime)
 		}
 	}
-	if a, b := with.out[s.Dearest].good(), off.out[s.Dearest].good(); a < b-keepsServing {
+	if a, b := with.classes[s.Dearest].inTimeFraction(), off.classes[s.Dearest].inTimeFraction(); a < b-maxDearestLoss {
 		rep.Break("%s: %.3f of %s in time with pools, %.3f without", s.name, a, s.Classes[s.Dearest].Name, b)
 	}
-	for _, h := range s.holds {
-		if got := with.out[h.class].good(); got < h.share {
-			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, got, s.Classes[h.class].Name, h.share)
+	for _, h := range s.targets {
+		if got := with.classes[h.class].inTimeFraction(); got < h.fraction {
+			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, got, s.Classes[h.class].Name, h.fraction)
 		}
 	}
-	if with.most > 5 { // what the emulated cores survive; the module keeps a fifth off it
-		rep.Break("%s: %.1f runs a core", s.name, with.most)
+	if with.peakRuns > 5 { // what the emulated cores survive; the module keeps a fifth off it
+		rep.Break("%s: %.1f runs a core", s.name, with.peakRuns)
 	}
 }
 
@@ -177,16 +177,16 @@
 
 func servedPlot(s *Scenario, o map[string]*outcome) report.Plot {
 	p := report.Plot{Title: s.name + ": " + s.Classes[s.Cheapest].Name + " done in time", X: "s", Y: "share"}
-	for _, way := range poolWays {
-		l := report.Line{Name: way}
-		t := &o[way].out[s.Cheapest]
-		for i := 5; i+5 < len(t.came); i += 5 {
-			came, served := 0, 0
+	for _, variant := range poolVariants {
+		l := report.Line{Name: variant}
+		t := &o[variant].classes[s.Cheapest]
+		for i := 5; i+5 < len(t.arrived); i += 5 {
+			arrived, served := 0, 0
 			for k := i; k < i+5; k++ {
-				came, served = came+t.came[k], served+t.served[k]
+				arrived, served = arrived+t.arrived[k], served+t.served[k]
 			}
-			if came > 0 {
-				l.Points = append(l.Points, [2]float64{float64(i), float64(served) / float64(came)})
+			if arrived > 0 {
+				l.Points = append(l.Points, [2]float64{float64(i), float64(served) / float64(arrived)})
 			}
 		}
 		p.Lines = append(p.Lines, l)
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -40,17 +40,17 @@
 
 // tallies are what became of a class's first tries.
 type tallies struct {
-	asked, inTime, late, shed, errored int
-	fair, fairInTime                   int                     // those of tenants that don't surge
-	times                              *hdrhistogram.Histogram // of those done, from the first try, in tenths of a ms
-	served                             []int                   // in time, by second
-	came                               []int
+	offered, inTime, late, shed, errored int
+	withinQuota, withinQuotaInTime       int                     // those of tenants that don't surge
+	times                                *hdrhistogram.Histogram // of those done, from the first try, in tenths of a ms
+	served                               []int                   // in time, by second
+	arrived                              []int
 }
 
 type attempt struct {
 	class, tenant int
 	first         virtualTime // when it was first asked
-	came          virtualTime
+	arrived       virtualTime
 	try           int
 	answered      bool
 	start         virtualTime
@@ -77,38 +77,38 @@
 
 // server is one emulated server.
 type server struct {
-	r       *rand.Rand // all of what is asked, and what it takes: the same whatever is decided
-	d       decider
-	now     virtualTime
-	cores   float64
-	fall    float64 // runs a core past which the cores lose speed
-	classes []Class
-	tenants int
-	next    uint32
-	open    map[uint32]*attempt
-	runs    priorityQueue[run]
-	hung    int
-	service float64 // what each run has had since the start
-	again   priorityQueue[retry]
-	wake    virtualTime
-	out     []tallies
-	busy    []float64 // core seconds, by window of 3 s
-	most    float64   // runs a core at most
-	drained bool
+	random        *rand.Rand // all of what is asked, and what it takes: the same whatever is decided
+	decider       decider
+	now           virtualTime
+	cores         float64
+	overloadRatio float64 // runs a core past which the cores lose speed
+	classes       []Class
+	tenants       int
+	next          uint32
+	open          map[uint32]*attempt
+	runs          priorityQueue[run]
+	hung          int
+	service       float64 // what each run has had since the start
+	retries       priorityQueue[retry]
+	wake          virtualTime
+	out           []tallies
+	busy          []float64 // core seconds, by window of 3 s
+	peakRuns      float64   // runs a core at most
+	drained       bool
 }
 
 // window is over which the cores' use is looked at.
 const window = 3 * second
 
 func newEmulatedServer(seed int64, d decider, cores int, classes []Class, tenants int, span virtualTime) *server {
-	s := &server{r: rand.New(rand.NewSource(seed)), d: d, now: second, cores: float64(cores), fall: 5,
+	s := &server{random: rand.New(rand.NewSource(seed)), decider: d, now: second, cores: float64(cores), overloadRatio: 5,
 		tenants: tenants,
 		open:    map[uint32]*attempt{}, wake: -1}
 	s.classes = append(s.classes, classes...)
 	s.out = make([]tallies, len(classes))
 	for k := range s.out {
 		s.out[k].times = hdrhistogram.New(1, 10_000_000, 2)
-		s.out[k].served, s.out[k].came = make([]int, span/second+2), make([]int, span/second+2)
+		s.out[k].served, s.out[k].arrived = make([]int, span/second+2), make([]int, span/second+2)
 		s.classes[k].arrivals = s.now + s.gap(k)
 	}
 	s.busy = make([]float64, span/window+2)
@@ -126,7 +126,7 @@
 	if rate <= 0 {
 		return second / 10
 	}
-	return max(1, virtualTime(s.r.ExpFloat64()/rate*float64(second)))
+	return max(1, virtualTime(s.random.ExpFloat64()/rate*float64(second)))
 }
 
 // speed is how fast each run goes.
@@ -136,26 +136,26 @@
 		return 1
 	}
 	v := s.cores / n
-	if over := n / s.cores / s.fall; over > 1 {
+	if over := n / s.cores / s.overloadRatio; over > 1 {
 		v /= over // past what it survives it gets less done the more it does at once
 	}
 	return v
 }
 
-func (s *server) pass(to virtualTime) {
+func (s *server) advance(to virtualTime) {
 	if dt := float64(to - s.now); dt > 0 {
 		n := float64(len(s.runs) + s.hung)
 		s.service += dt * s.speed()
 		if k := int(s.now / window); k < len(s.busy) {
 			s.busy[k] += dt * min(n, s.cores) / s.cores
 		}
-		s.most = max(s.most, n/s.cores)
+		s.peakRuns = max(s.peakRuns, n/s.cores)
 		s.now = to
 	}
 }
 
-// until goes on to a moment.
-func (s *server) until(end virtualTime) {
+// runUntil goes on to a moment.
+func (s *server) runUntil(end virtualTime) {
 	for {
 		at, what := end, -1
 		for k := range s.classes {
@@ -172,22 +172,22 @@
 		if s.wake >= 0 && s.wake < at {
 			at, what = s.wake, -3
 		}
-		if len(s.again) > 0 && s.again[0].at < at {
-			at, what = s.again[0].at, -4
+		if len(s.retries) > 0 && s.retries[0].at < at {
+			at, what = s.retries[0].at, -4
 		}
-		s.pass(max(at, s.now))
+		s.advance(max(at, s.now))
 		switch {
 		case what >= 0:
 			s.arrive(what)
 		case what == -2:
-			s.ends()
+			s.endRun()
 		case what == -3:
 			s.wake = -1
 			s.round(&admission.Round{TimerFired: true, HasGauges: true,
 				Gauges: admission.Gauges{Runnable: float64(len(s.runs) + s.hung), OpenConnections: 10}})
 		case what == -4:
-			a := s.again.take()
-			s.ask(a.req)
+			a := s.retries.take()
+			s.sendAttempt(a.req)
 		default:
 			return
 		}
@@ -196,32 +196,32 @@
 
 func (s *server) arrive(k int) {
 	c := &s.classes[k]
-	tenant := s.r.Intn(s.tenants)
-	if c.surge >= 0 && s.r.Float64() < (c.surgeBy-1)/(float64(s.tenants)+c.surgeBy-1) {
+	tenant := s.random.Intn(s.tenants)
+	if c.surge >= 0 && s.random.Float64() < (c.surgeBy-1)/(float64(s.tenants)+c.surgeBy-1) {
 		tenant = c.surge
 	}
 	work := c.Work
 	if c.WorkSigma > 0 {
-		work *= math.Exp(c.WorkSigma*s.r.NormFloat64() - c.WorkSigma*c.WorkSigma/2)
+		work *= math.Exp(c.WorkSigma*s.random.NormFloat64() - c.WorkSigma*c.WorkSigma/2)
 	}
-	if s.r.Float64() < c.HeavyShare {
+	if s.random.Float64() < c.HeavyShare {
 		work *= c.HeavyFactor
 	}
-	hangs := s.r.Float64() < c.hangs
+	hangs := s.random.Float64() < c.hangs
 	o := &s.out[k]
-	o.asked++
+	o.offered++
 	if tenant != c.surge {
-		o.fair++
+		o.withinQuota++
 	}
-	o.came[min(int(s.now/second), len(o.came)-1)]++
-	s.ask(attempt{class: k, tenant: tenant, first: s.now, work: max(work, 1), hangs: hangs,
-		caller: 1 + uint32(s.r.Intn(40))})
+	o.arrived[min(int(s.now/second), len(o.arrived)-1)]++
+	s.sendAttempt(attempt{class: k, tenant: tenant, first: s.now, work: max(work, 1), hangs: hangs,
+		caller: 1 + uint32(s.random.Intn(40))})
 	c.arrivals = s.now + s.gap(k)
 }
 
-func (s *server) ask(q attempt) {
+func (s *server) sendAttempt(q attempt) {
 	s.next++
-	q.came = s.now
+	q.arrived = s.now
 	s.open[s.next] = &q
 	c := &s.classes[q.class]
 	s.round(&admission.Round{Arrived: []admission.Request{{ID: s.next, Handler: q.class, Tenant: q.tenant,
@@ -229,7 +229,7 @@
 		Deadline:  q.first + c.Handler.Timeout, SizeKB: 8, IsRetry: q.try > 0, Caller: q.caller}}})
 }
 
-func (s *server) ends() {
+func (s *server) endRun() {
 	r := s.runs.take()
 	q := s.open[r.id]
 	delete(s.open, r.id)
@@ -242,7 +242,7 @@
 	if took <= s.classes[q.class].Handler.LatencyObjective {
 		o.inTime++
 		if q.tenant != s.classes[q.class].surge {
-			o.fairInTime++
+			o.withinQuotaInTime++
 		}
 		o.served[min(int(q.first/second), len(o.served)-1)]++
 	} else {
@@ -252,7 +252,7 @@
 
 func (s *server) round(r *admission.Round) {
 	r.Now = s.now
-	s.d.Decide(r, s)
+	s.decider.Decide(r, s)
 }
 
 // What is decided.
@@ -276,7 +276,7 @@
 		n := *q
 		n.try++
 		s.next++
-		s.again.add(retry{at, s.next, n})
+		s.retries.add(retry{at, s.next, n})
 		return
 	}
 	s.out[q.class].shed++
--- a/internal/simulation/timeline.go
+++ b/internal/simulation/timeline.go
@@ -13,11 +13,19 @@
 
 func (q *priorityQueue[T]) take() T { return heap.Pop(q).(T) }
 
-// Len, Less, Swap, Push and Pop are for container/heap.
-func (q priorityQueue[T]) Len() int           { return len(q) }
+// Len, with the methods below, is container/heap's.
+func (q priorityQueue[T]) Len() int { return len(q) }
+
+// Less tells whether an item comes before another.
 func (q priorityQueue[T]) Less(i, k int) bool { return q[i].before(q[k]) }
-func (q priorityQueue[T]) Swap(i, k int)      { q[i], q[k] = q[k], q[i] }
-func (q *priorityQueue[T]) Push(x any)        { *q = append(*q, x.(T)) }
+
+// Swap swaps two items.
+func (q priorityQueue[T]) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
+
+// Push appends an item; add keeps the order.
+func (q *priorityQueue[T]) Push(x any) { *q = append(*q, x.(T)) }
+
+// Pop removes the last item; take gives the first.
 func (q *priorityQueue[T]) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -13,54 +13,54 @@
 
 // Kinds of trouble of a zone's schedule.
 const (
-	ZoneDead    = "dead"     // its nodes are killed and come back cold
-	ZoneKernels = "kernels"  // its kernels are dead, its nodes well
-	ZoneSlow    = "slow"     // its service below at a tenth of its speed
-	ZoneErrors  = "errors"   // four in ten of its runs fail for good
-	ZoneCutOff  = "cut off"  // from the group alone
-	ZoneCallers = "callers"  // from its callers alone
-	ZoneBadNode = "bad node" // one node of it is sick
-	ZoneCommon  = "common"   // all zones are slow
-	ZoneLies    = "lies"     // two of five of its nodes say that they are sick
-	ZoneRestart = "restart"  // its nodes are killed and come back at once, cold: of all zones, a restart of the fleet
-	ZoneNoise   = "noise"    // half of the reports are missing, the others vary
+	ZoneDead         = "dead"     // its nodes are killed and come back cold
+	ZoneKernels      = "kernels"  // its kernels are dead, its nodes well
+	ZoneSlow         = "slow"     // its service below at a tenth of its speed
+	ZoneErrors       = "errors"   // four in ten of its runs fail for good
+	ZoneCutOff       = "cut off"  // from the group alone
+	ZoneCallers      = "callers"  // from its callers alone
+	ZoneOutlierNode  = "bad node" // one node of it is sick
+	ZoneCommon       = "common"   // all zones are slow
+	ZoneFalseReports = "lies"     // two of five of its nodes say that they are sick
+	ZoneRestart      = "restart"  // its nodes are killed and come back at once, cold: of all zones, a restart of the fleet
+	ZoneNoise        = "noise"    // half of the reports are missing, the others vary
 )
 
-// flowShare and flowValue are the classes of the flows: shares and values.
-var flowShare, flowValue = [3]float64{0.7, 0.2, 0.1}, [3]float64{1, 2, 20}
+// classFractions and flowValue are the classes of the flows: shares and values.
+var classFractions, classWeights = [3]float64{0.7, 0.2, 0.1}, [3]float64{1, 2, 20}
 
-// flowTries is how often a caller asks for one req at most.
-const flowTries = 4
+// maxAttempts is how often a caller asks for one req at most.
+const maxAttempts = 4
 
 const (
-	flowStep   = 100  // ms
-	flowRun    = 20.0 // ms that a run takes on a warm service
-	flowTarget = 300.0
+	stepMS             = 100  // ms
+	warmRunMS          = 20.0 // ms that a run takes on a warm service
+	latencyObjectiveMS = 300.0
 	// WarmUpSeconds of full capacity fill a service's cache.
-	WarmUpSeconds = 10.0
-	flowPause     = 10_000 // ms: the longest that a caller may be told to wait
+	WarmUpSeconds   = 10.0
+	maxRetryAfterMS = 10_000 // ms: the longest that a caller may be told to wait
 	// Callers that are held off come again up to three times, and a step lets in all at once that it was told to: 6.6 to 9.1 in a
 	// tenth of a second over loads and sizes. Where all are told the same moment 13 to 50.
-	rushMost   = 12
-	flowWaits  = flowPause/100 + 20
-	flowPlaces = 8    // of those that a share leaves out, told apart by when they are let in
-	flowOut    = 80.0 // run slots of a zone's nodes, four times what its service below works on at once
+	maxRetryPeak = 12
+	retrySteps   = maxRetryAfterMS/100 + 20
+	quotaPlaces  = 8    // of those that a share leaves out, told apart by when they are let in
+	zoneRunSlots = 80.0 // run slots of a zone's nodes, four times what its service below works on at once
 )
 
 // Zones is one run.
 type Zones struct {
 	ZonePlan
 	ZoneFigures
-	Fleet   *Fleet
-	below   []*dependency
-	retries retryQueue
-	health  []nodeHealth // by node
-	upIn    []float64    // nodes that are up, by zone
-	failing bool
-	struck  bool                  // the second failure has come
-	ceil    map[string][2]float64 // now, and before until settled
-	asks    [2]float64            // tries, and first ones, from the trouble on
-	Broken  string
+	Fleet            *Fleet
+	dependencies     []*dependency
+	retries          retryQueue
+	health           []nodeHealth // by node
+	upNodes          []float64    // nodes that are up, by zone
+	failing          bool
+	secondFaultBegan bool                  // the second failure has come
+	rateLimits       map[string][2]float64 // now, and before until settled
+	attemptCounts    [2]float64            // tries, and first ones, from the trouble on
+	Broken           string
 }
 
 // nodeHealth is how a node looks to callers. Times are ms of the fleet.
@@ -72,25 +72,25 @@
 
 // ZoneFigures is what a run came to.
 type ZoneFigures struct {
-	Done     float64 // value done in time, and asked for, since the trouble began
-	Asked    float64
-	Failing  float64            // value done while it fails, from five seconds on
-	Others   float64            // share of value done by the zones that are in while one is left, at worst over a second
-	Tries    float64            // a req, from the trouble on
-	Left     map[string]float64 // ms from the trouble to a zone's leaving
-	Back     map[string]float64 // and from its end to the zone's being in again
-	Wrong    int
-	Steps    int
-	BackStep int
-	Peak     float64 // below while it returns: asked over what it bears
-	peakAt   string
-	Neigh    float64 // the most that a zone that is in was asked for over what it bears, its own first tries fitting
-	neighAt  string
-	Worst    float64 // ms for which its service was asked for more than it bears, in that second failure
-	Began    int     // times that the fleet began with a share
-	Start    float64 // after a restart: asked below over what it bears, at worst
-	Rush     float64 // after a restart: tries in a tenth of a second over first tries, at worst, from callers that wait
-	Plot     []report.Line
+	Done            float64 // value done in time, and asked for, since the trouble began
+	Asked           float64
+	Failing         float64            // value done while it fails, from five seconds on
+	OthersDone      float64            // share of value done by the zones that are in while one is left, at worst over a second
+	Tries           float64            // a req, from the trouble on
+	Left            map[string]float64 // ms from the trouble to a zone's leaving
+	Back            map[string]float64 // and from its end to the zone's being in again
+	Wrong           int
+	Steps           int
+	BackStep        int
+	Peak            float64 // below while it returns: asked over what it bears
+	peakAt          string
+	NeighbourPeak   float64 // the most that a zone that is in was asked for over what it bears, its own first tries fitting
+	neighbourPeakAt string
+	OverloadMS      float64 // ms for which its service was asked for more than it bears, in that second failure
+	ColdStarts      int     // times that the fleet began with a share
+	Start           float64 // after a restart: asked below over what it bears, at worst
+	RetryPeak       float64 // after a restart: tries in a tenth of a second over first tries, at worst, from callers that wait
+	Plot            []report.Line
 }
 
 func (v *Zones) kind(z int) string {
@@ -100,8 +100,8 @@
 	return ""
 }
 
-// common tells that one cause ails all zones.
-func (v *Zones) common() bool {
+// commonCause tells that one cause ails all zones.
+func (v *Zones) commonCause() bool {
 	for z := 1; z < v.Zones; z++ {
 		if v.kind(z) != v.kind(0) {
 			return false
@@ -112,20 +112,20 @@
 
 func (v *Zones) fail(format string, args ...any) {
 	if v.Broken == "" {
-		v.Broken = fmt.Sprintf("%.1f s: ", (v.Fleet.Now-begins)/1000) + fmt.Sprintf(format, args...)
+		v.Broken = fmt.Sprintf("%.1f s: ", (v.Fleet.Now-faultsBeginMS)/1000) + fmt.Sprintf(format, args...)
 	}
 }
 
 // Play runs it: ten calm seconds, trouble, its end, and on until Ends.
 func (v *Zones) Play() {
 	w := v.Fleet
-	w.after(1500, func() { w.change(false, 0) })
+	w.after(1500, func() { w.proposeChange(false, 0) })
 	w.Changes = 1
-	w.after(2000, v.step)
-	w.until(begins)
+	w.after(2000, v.playStep)
+	w.runUntil(faultsBeginMS)
 	w.after(v.Fails, v.injectFault)
 	w.after(v.Heals, v.heal)
-	w.until(begins + v.Ends)
+	w.runUntil(faultsBeginMS + v.Ends)
 	if w.Broken != "" {
 		v.fail("%s", w.Broken)
 	}
@@ -147,22 +147,22 @@
 	if v.Start > 1 {
 		v.fail("a service was asked for %.2f of what it bears after the restart", v.Start)
 	}
-	if v.Rush > rushMost {
-		v.fail("callers that wait until they are told to come back asked %.1f times as much together as first tries came", v.Rush)
+	if v.RetryPeak > maxRetryPeak {
+		v.fail("callers that wait until they are told to come back asked %.1f times as much together as first tries came", v.RetryPeak)
 	}
-	if v.Worst > 8000 {
-		v.fail("a service that failed during the return was asked for more than it bears for %.1f s", v.Worst/1000)
+	if v.OverloadMS > 8000 {
+		v.fail("a service that failed during the return was asked for more than it bears for %.1f s", v.OverloadMS/1000)
 	}
 	if v.Peak > 1.0 {
 		v.fail("a service was asked for %.2f of what it bears while its zone returned: %s", v.Peak, v.peakAt)
 	}
-	if v.Neigh > 1.1 && v.Load*float64(v.Zones) < 0.85*float64(v.Zones) {
-		v.fail("a zone that is in was asked for %.2f of what it bears by tries from elsewhere: %s", v.Neigh, v.neighAt)
+	if v.NeighbourPeak > 1.1 && v.Load*float64(v.Zones) < 0.85*float64(v.Zones) {
+		v.fail("a zone that is in was asked for %.2f of what it bears by tries from elsewhere: %s", v.NeighbourPeak, v.neighbourPeakAt)
 	}
 }
 
-// allIn tells that no zone is left, or has been for long enough for all nodes to have heard.
-func (w *Fleet) allIn() bool {
+// allInService tells that no zone is left, or has been for long enough for all nodes to have heard.
+func (w *Fleet) allInService() bool {
 	s := w.state.Zones
 	for _, z := range s.Zones {
 		if z.Phase != zones.InService && s.SettledEpoch == s.Epoch && float64(w.state.Fleet.ClockMS-z.SinceMS) > 2500 {
--- a/internal/simulation/zones_check.go
+++ b/internal/simulation/zones_check.go
@@ -14,7 +14,7 @@
 func (v *Zones) check(z int, b *dependency, first float64) {
 	name := fmt.Sprint("z", z)
 	load := v.loadOfLastSecond(b)
-	if v.kind(z) == ZoneRestart && !v.failing && v.Fleet.Now > begins+v.Heals {
+	if v.kind(z) == ZoneRestart && !v.failing && v.Fleet.Now > faultsBeginMS+v.Heals {
 		v.Start = max(v.Start, load)
 	}
 	if z == 0 {
@@ -24,8 +24,8 @@
 	if zone == nil || v.Off || v.Own {
 		return
 	}
-	if b.steady++; zone.Phase != zones.Ramping || v.failing || b.speed != 1 {
-		b.steady = 0
+	if b.steadySteps++; zone.Phase != zones.Ramping || v.failing || b.speed != 1 {
+		b.steadySteps = 0
 	}
 	switch zone.Phase {
 	case zones.Ramping:
@@ -34,9 +34,9 @@
 			return n.zone == z && o.Share > 0 // of no share it takes nothing, as where its zone is out
 		})
 	case zones.InService:
-		if v.kind(z) == "" && first < 0.85*b.bears && !v.Fleet.allIn() && load > v.Neigh {
-			v.Neigh = load
-			v.neighAt = fmt.Sprintf("%s at %.1f s, %.0f first tries of %.0f", name, (v.Fleet.Now-begins)/1000, first, b.bears)
+		if v.kind(z) == "" && first < 0.85*b.capacity && !v.Fleet.allInService() && load > v.NeighbourPeak {
+			v.NeighbourPeak = load
+			v.neighbourPeakAt = fmt.Sprintf("%s at %.1f s, %.0f first tries of %.0f", name, (v.Fleet.Now-faultsBeginMS)/1000, first, b.capacity)
 		}
 	}
 	v.checkEpochs()
@@ -45,10 +45,10 @@
 // loadOfLastSecond is what a service was asked for over what it bears. It is taken over a whole second, as on processes: the
 // node that is notified first that it may admit more is asked for all of it, for a moment.
 func (v *Zones) loadOfLastSecond(b *dependency) float64 {
-	b.lately[int(v.Fleet.Now/flowStep)%len(b.lately)] = b.asked / max(b.bears, 1)
+	b.recentLoad[int(v.Fleet.Now/stepMS)%len(b.recentLoad)] = b.demand / max(b.capacity, 1)
 	load := 0.0
-	for _, x := range b.lately {
-		load += x / float64(len(b.lately))
+	for _, x := range b.recentLoad {
+		load += x / float64(len(b.recentLoad))
 	}
 	return load
 }
@@ -66,11 +66,11 @@
 	switch {
 	case v.failing:
 	case b.speed == 1:
-		if b.steady >= len(b.lately) && load > v.Peak {
-			v.Peak, v.peakAt = load, fmt.Sprintf("%s at %.1f s", name, (v.Fleet.Now-begins)/1000)
+		if b.steadySteps >= len(b.recentLoad) && load > v.Peak {
+			v.Peak, v.peakAt = load, fmt.Sprintf("%s at %.1f s", name, (v.Fleet.Now-faultsBeginMS)/1000)
 		}
-	case b.speed < 1 && b.asked/max(b.bears, 1) > 1:
-		v.Worst += flowStep
+	case b.speed < 1 && b.demand/max(b.capacity, 1) > 1:
+		v.OverloadMS += stepMS
 	}
 }
 
@@ -85,7 +85,7 @@
 			sum += o.RateLimit
 		}
 	}
-	if limit := max(v.ceil[name][0], v.ceil[name][1]); sum > limit*1.001+1e-6 {
+	if limit := max(v.rateLimits[name][0], v.rateLimits[name][1]); sum > limit*1.001+1e-6 {
 		v.fail("%s have %.1f runs a second together, expected %.1f at most", who, sum, limit)
 	}
 }
@@ -128,19 +128,19 @@
 	return -1
 }
 
-// applied notes what the group decided about zones, by the result of each entry.
-func (v *Zones) applied(result any) {
+// onApplied notes what the group decided about zones, by the result of each entry.
+func (v *Zones) onApplied(result any) {
 	if b, ok := result.(coordinator.BatchApplied); ok && b.FleetRestarted {
-		v.Began++
-		v.ceil[zones.WholeFleet] = [2]float64{v.Fleet.state.Zones.Find(zones.WholeFleet).RateLimit, 0}
+		v.ColdStarts++
+		v.rateLimits[zones.WholeFleet] = [2]float64{v.Fleet.state.Zones.Find(zones.WholeFleet).RateLimit, 0}
 	}
 	e, ok := result.(zones.Result)
 	if !ok || e.Err != "" {
 		return
 	}
 	if e.Kind == "settle" {
-		for n, c := range v.ceil {
-			v.ceil[n] = [2]float64{c[0], 0}
+		for n, c := range v.rateLimits {
+			v.rateLimits[n] = [2]float64{c[0], 0}
 		}
 		return
 	}
@@ -148,8 +148,8 @@
 	if z == nil || e.Phase == "" {
 		return
 	}
-	v.ceil[z.Name] = [2]float64{z.RateLimit, max(v.ceil[z.Name][0], v.ceil[z.Name][1])}
-	at := v.Fleet.Now - begins
+	v.rateLimits[z.Name] = [2]float64{z.RateLimit, max(v.rateLimits[z.Name][0], v.rateLimits[z.Name][1])}
+	at := v.Fleet.Now - faultsBeginMS
 	switch e.Kind {
 	case "leave":
 		v.checkEvacuation(z)
@@ -158,7 +158,7 @@
 		}
 	case "step":
 		if v.Steps++; v.Steps == 3 {
-			v.Fleet.after(500, v.middle)
+			v.Fleet.after(500, v.injectSecondFault)
 		}
 	case "back":
 		v.BackStep++
@@ -172,8 +172,8 @@
 func (v *Zones) checkEvacuation(z *zones.Zone) {
 	k := 0
 	fmt.Sscanf(z.Name, "z%d", &k)
-	kind, b := v.kind(k), v.below[k]
-	cold := b.bears < 0.85*b.cap || b.warm < 0.99 && b.asked > b.bears
+	kind, b := v.kind(k), v.dependencies[k]
+	cold := b.capacity < 0.85*b.warmCapacity || b.warm < 0.99 && b.demand > b.capacity
 	right := cold
 	switch kind {
 	case ZoneDead, ZoneKernels, ZoneSlow, ZoneErrors:
@@ -181,9 +181,9 @@
 	case ZoneCutOff:
 		right = cold || z.Cause == "cut off"
 	}
-	if v.common() || !right || !v.failing && !cold {
+	if v.commonCause() || !right || !v.failing && !cold {
 		v.Wrong++
-		v.fail("%s was left, and it is %q (bears %.0f, warm %.2f, asked %.0f): %s", z.Name, kind, b.bears, b.warm, b.asked,
+		v.fail("%s was left, and it is %q (bears %.0f, warm %.2f, asked %.0f): %s", z.Name, kind, b.capacity, b.warm, b.demand,
 			z.Events[len(z.Events)-1].Text)
 	}
 }
--- a/internal/simulation/zones_faults.go
+++ b/internal/simulation/zones_faults.go
@@ -2,8 +2,8 @@
 
 func (v *Zones) injectFault() {
 	v.failing = true
-	v.lead()
-	for z, b := range v.below {
+	v.loseLeader()
+	for z, b := range v.dependencies {
 		switch k := v.kind(z); k {
 		case ZoneDead, ZoneRestart:
 			b.warm = 0
@@ -23,7 +23,7 @@
 			})
 		case ZoneCutOff:
 			for _, n := range v.Fleet.nodes {
-				n.cut = n.cut || n.zone == z
+				n.partitioned = n.partitioned || n.zone == z
 			}
 		}
 	}
@@ -31,7 +31,7 @@
 
 func (v *Zones) heal() {
 	v.failing = false
-	for z, b := range v.below {
+	for z, b := range v.dependencies {
 		if b.speed < 1 {
 			b.speed, b.warm = 1, 0 // what comes back is cold
 		}
@@ -40,39 +40,39 @@
 		}
 	}
 	for _, n := range v.Fleet.nodes {
-		n.cut = false
+		n.partitioned = false
 		if !n.up {
 			n.start()
 		}
 	}
 }
 
-// middle is what comes in the middle of a return.
-func (v *Zones) middle() {
-	if v.struck {
+// injectSecondFault is what comes in the middle of a return.
+func (v *Zones) injectSecondFault() {
+	if v.secondFaultBegan {
 		return
 	}
-	v.struck = true
+	v.secondFaultBegan = true
 	for _, n := range v.Fleet.nodes {
 		if n.notStarted {
 			n.notStarted = false
 			n.start()
 		}
 	}
-	v.lead()
-	if b := v.below[0]; v.Again {
+	v.loseLeader()
+	if b := v.dependencies[0]; v.SecondFault {
 		b.speed = 0.3
 		v.Fleet.after(25_000, func() { b.speed = 1 })
 	}
 }
 
-// lead has the leader lost, if that is asked for.
-func (v *Zones) lead() {
+// loseLeader has the leader lost, if that is asked for.
+func (v *Zones) loseLeader() {
 	w := v.Fleet
 	if !v.Lead || w.leader < 0 {
 		return
 	}
-	c := w.control[w.leader]
+	c := w.instances[w.leader]
 	c.up, w.leader = false, -1
 	w.after(800, w.elect)
 	w.after(3000, func() { w.startInstance(c) })
--- a/internal/simulation/zones_load_report.go
+++ b/internal/simulation/zones_load_report.go
@@ -9,11 +9,11 @@
 	"umberwinch/internal/control/api"
 )
 
-// report is what a node tells of itself.
-func (v *Zones) report(n *node) *api.LoadReport {
-	b := v.below[n.zone]
-	r, w := &b.rate, v.Fleet
-	nodes := v.upIn[n.zone]
+// loadReport is what a node tells of itself.
+func (v *Zones) loadReport(n *node) *api.LoadReport {
+	b := v.dependencies[n.zone]
+	r, w := &b.smoothed, v.Fleet
+	nodes := v.upNodes[n.zone]
 	noisy := v.kind(n.zone) == ZoneNoise && v.failing
 	if noisy && w.random.Intn(2) == 0 {
 		return nil
@@ -27,19 +27,19 @@
 		return int(x + w.random.Float64())
 	}
 	l := &api.LoadReport{WindowMS: 2000, KernelConnected: !(v.failing && v.kind(n.zone) == ZoneKernels), Cores: 4,
-		CoresUsed: 4 * r.util * math.Exp(spread*0.5*w.random.NormFloat64()), MeanRunMS: r.runMS * math.Exp(spread*w.random.NormFloat64()),
-		Arrived: count(r.came), Retries: count(r.again), RejectedByZone: count(r.turned), Completed: count(r.done), Late: count(r.late), Failed: count(r.errored),
-		Shed: count(r.shed), RunsEnded: count(r.runs), OfferedWeight: 2 * r.worth / max(nodes, 1), CompletedWeight: 2 * r.got / max(nodes, 1),
+		CoresUsed: 4 * r.utilization * math.Exp(spread*0.5*w.random.NormFloat64()), MeanRunMS: r.runMS * math.Exp(spread*w.random.NormFloat64()),
+		Arrived: count(r.arrived), Retries: count(r.retries), RejectedByZone: count(r.rejected), Completed: count(r.completed), Late: count(r.late), Failed: count(r.failed),
+		Shed: count(r.shed), RunsEnded: count(r.runs), OfferedWeight: 2 * r.offeredWeight / max(nodes, 1), CompletedWeight: 2 * r.completedWeight / max(nodes, 1),
 		Calls: count(r.runs), MeanCallMS: r.runMS * 0.8 * math.Exp(spread*w.random.NormFloat64()), RunsInFlight: int((b.queue + r.runs*r.runMS/1000) / max(nodes, 1))}
 	if l.CoresUsed > 4 {
 		l.CoresUsed = 4
 	}
-	for c := range flowShare {
-		l.ArrivedByWeight = append(l.ArrivedByWeight, api.PriorityCount{Weight: flowValue[c], Arrived: count((r.came - r.again) * flowShare[c])})
+	for c := range classFractions {
+		l.ArrivedByWeight = append(l.ArrivedByWeight, api.PriorityCount{Weight: classWeights[c], Arrived: count((r.arrived - r.retries) * classFractions[c])})
 	}
 	if v.failing {
-		bad := v.kind(n.zone) == ZoneBadNode && n.name == v.firstOf(n.zone) ||
-			v.kind(n.zone) == ZoneLies && w.numberOf(n)%5 < 2
+		bad := v.kind(n.zone) == ZoneOutlierNode && n.name == v.firstOf(n.zone) ||
+			v.kind(n.zone) == ZoneFalseReports && w.numberOf(n)%5 < 2
 		if bad {
 			l.KernelConnected = false
 			l.Completed, l.Late = 0, l.Completed
@@ -62,8 +62,8 @@
 	return ""
 }
 
-// seen is what one node sees of another.
-func (v *Zones) seen(_ *node, l api.ProbeTarget) api.PeerHealth {
+// probe is what one node sees of another.
+func (v *Zones) probe(_ *node, l api.ProbeTarget) api.PeerHealth {
 	for _, o := range v.Fleet.nodes {
 		if o.name != l.Name {
 			continue
@@ -79,12 +79,12 @@
 	return api.PeerHealth{Name: l.Name, Health: api.PeerSilent}
 }
 
-// own is the baseline in which each node judges for itself: sick for two seconds, it is not ready for five.
-func (v *Zones) own() {
+// judgeByNode is the baseline in which each node judges for itself: sick for two seconds, it is not ready for five.
+func (v *Zones) judgeByNode() {
 	for i, n := range v.Fleet.nodes {
-		b, h := v.below[n.zone], &v.health[i]
-		sick := n.up && (v.failing && v.kind(n.zone) == ZoneKernels || b.rate.runMS > 3*flowRun+5 ||
-			b.rate.late+b.rate.errored > 0.3*(b.rate.done+b.rate.late+b.rate.errored))
+		b, h := v.dependencies[n.zone], &v.health[i]
+		sick := n.up && (v.failing && v.kind(n.zone) == ZoneKernels || b.smoothed.runMS > 3*warmRunMS+5 ||
+			b.smoothed.late+b.smoothed.failed > 0.3*(b.smoothed.completed+b.smoothed.late+b.smoothed.failed))
 		switch {
 		case !sick:
 			h.unhealthySince = 0
@@ -96,25 +96,25 @@
 	}
 }
 
-// oracle is what could be done at best: the trouble and the room are known at once, the dearest goes first, and a cold
+// playOracle is what could be done at best: the trouble and the room are known at once, the dearest goes first, and a cold
 // service is asked for just what it bears.
-func (v *Zones) oracle(total float64, dt float64) {
+func (v *Zones) playOracle(total float64, dt float64) {
 	room, done := 0.0, 0.0
-	for z, b := range v.below {
+	for z, b := range v.dependencies {
 		dead := v.failing && (v.kind(z) == ZoneDead || v.kind(z) == ZoneKernels || v.kind(z) == ZoneCallers)
 		if dead {
 			continue
 		}
-		bears := b.bearable()
+		bears := b.capacityNow()
 		room += bears
 		b.warmUp(bears, dt)
 	}
 	for c := 2; c >= 0; c-- {
-		n := min(room, v.Load*float64(v.Zones)*1000*flowShare[c])
+		n := min(room, v.Load*float64(v.Zones)*1000*classFractions[c])
 		room -= n
-		done += n * flowValue[c]
+		done += n * classWeights[c]
 	}
-	if v.Fleet.Now >= begins+v.Fails {
+	if v.Fleet.Now >= faultsBeginMS+v.Fails {
 		v.Done += done * dt
 		v.Asked += total * dt
 	}
--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -27,7 +27,7 @@
 	report.EachSeed(context.Background(), 1, n, func(seed int64) *Zones { return playZones(DrawZones(seed)) }, func(seed int64, v *Zones) bool {
 		if p := v.ZonePlan; v.Broken != "" {
 			t.Errorf("seed %d (%v, load %.2f, cold %.1f, %d nodes in %d zones, again %v, spare %d): %s", seed, p.Kinds, p.Load,
-				p.Cold, p.Nodes, p.Zones, p.Again, p.Spare, v.Broken)
+				p.Cold, p.Nodes, p.Zones, p.SecondFault, p.Spare, v.Broken)
 			bad++
 		}
 		left, steps = left+len(v.Left), steps+v.Steps
@@ -50,7 +50,7 @@
 		"room":         func(p *ZonePlan) { p.Kinds, p.Load = []string{ZoneErrors}, 0.9 },
 		"one-epoch":    func(p *ZonePlan) { p.Kinds = []string{ZoneKernels} },
 		"paced":        func(p *ZonePlan) { p.Kinds = []string{ZoneDead} },
-		"step-back":    func(p *ZonePlan) { p.Kinds, p.Again = []string{ZoneDead}, true },
+		"step-back":    func(p *ZonePlan) { p.Kinds, p.SecondFault = []string{ZoneDead}, true },
 		"retry-budget": func(p *ZonePlan) { p.Kinds, p.Load = []string{ZoneDead}, 0.8 },
 		"lease-tokens": func(p *ZonePlan) { p.Kinds, p.Spare = []string{ZoneDead}, 2 },
 	} {
@@ -85,8 +85,8 @@
 	base := ZonePlan{Seed: 5, Nodes: 15, Kinds: []string{ZoneRestart, ZoneRestart, ZoneRestart}, Fails: 15_000, Heals: 17_000,
 		Ends: 220_000, Load: 0.6}
 	v := playZones(base)
-	if v.Broken != "" || v.Began == 0 || v.Full() < 0 {
-		t.Errorf("%s; began small %d times, full after %.1f s", v.Broken, v.Began, v.Full()/1000)
+	if v.Broken != "" || v.ColdStarts == 0 || v.Full() < 0 {
+		t.Errorf("%s; began small %d times, full after %.1f s", v.Broken, v.ColdStarts, v.Full()/1000)
 	}
 	t.Logf("below at worst %.2f of what it bears; full after %.1f s", v.Start, v.Full()/1000)
 	without := base
@@ -98,7 +98,7 @@
 	}
 	lone := base
 	lone.Kinds, lone.Nodes = []string{ZoneDead}, 15
-	if v := playZones(lone); v.Began != 0 {
+	if v := playZones(lone); v.ColdStarts != 0 {
 		t.Errorf("a third of the fleet restarted and all began with a share")
 	}
 	for seed := int64(1); seed <= 12; seed++ {
@@ -117,10 +117,10 @@
 	p := ZonePlan{Seed: 1, Nodes: 15, Kinds: []string{ZoneRestart, ZoneRestart, ZoneRestart}, Fails: 15_000, Heals: 17_000, Ends: 220_000,
 		Load: 0.6, Patient: true}
 	v := playZones(p)
-	if v.Broken != "" || v.Began == 0 || v.Full() < 0 {
-		t.Errorf("%s; began small %d times, full after %.1f s", v.Broken, v.Began, v.Full()/1000)
+	if v.Broken != "" || v.ColdStarts == 0 || v.Full() < 0 {
+		t.Errorf("%s; began small %d times, full after %.1f s", v.Broken, v.ColdStarts, v.Full()/1000)
 	}
-	t.Logf("at worst %.1f times the first tries", v.Rush)
+	t.Logf("at worst %.1f times the first tries", v.RetryPeak)
 	p.Without = zones.RetryAfterSpread
 	if v = playZones(p); v.Broken == "" {
 		t.Error("without spread no promise broke")
--- a/internal/simulation/zones_traffic.go
+++ b/internal/simulation/zones_traffic.go
@@ -11,40 +11,42 @@
 
 // dependency is a zone's service below, and what goes over it.
 type dependency struct {
-	cap    float64 // runs a second when warm
-	warm   float64
-	speed  float64
-	queue  float64
-	rate   flows // slowly moving, as reports have it
-	asked  float64
-	bears  float64
-	cold   float64
-	lately [10]float64 // asked over what it bears, of the last second
-	steady int         // steps for which its zone has been returning, with nothing wrong below
+	warmCapacity float64 // runs a second when warm
+	warm         float64
+	speed        float64
+	queue        float64
+	smoothed     flows // slowly moving, as reports have it
+	demand       float64
+	capacity     float64
+	coldFactor   float64
+	recentLoad   [10]float64 // asked over what it bears, of the last second
+	steadySteps  int         // steps for which its zone has been returning, with nothing wrong below
 }
 
-// bearable is how many runs a second it bears now, warm or not.
-func (b *dependency) bearable() float64 { return b.cap * b.speed / (1 + (b.cold-1)*(1-b.warm)) }
+// capacityNow is how many runs a second it bears now, warm or not.
+func (b *dependency) capacityNow() float64 {
+	return b.warmCapacity * b.speed / (1 + (b.coldFactor-1)*(1-b.warm))
+}
 
 // warmUp fills its cache by what it does in some seconds.
 func (b *dependency) warmUp(runs, seconds float64) {
-	b.warm = min(1, b.warm+runs*seconds/(b.cap*WarmUpSeconds))
+	b.warm = min(1, b.warm+runs*seconds/(b.warmCapacity*WarmUpSeconds))
 }
 
 // flows are a zone's figures a second.
-type flows struct{ came, again, turned, done, late, shed, errored, worth, got, runs, runMS, util float64 }
+type flows struct{ arrived, retries, rejected, completed, late, shed, failed, offeredWeight, completedWeight, runs, runMS, utilization float64 }
 
-// picks is the share of a class that a node's order takes.
-func picks(o *api.ZoneOrder, class int) float64 {
+// admittedFraction is the share of a class that a node's order takes.
+func admittedFraction(o *api.ZoneOrder, class int) float64 {
 	if o == nil {
 		return 1
 	}
 	share := float64(o.Share) / api.FullShare
 	if o.PriorityCutoff > 0 {
 		switch {
-		case flowValue[class] < o.PriorityCutoff:
+		case classWeights[class] < o.PriorityCutoff:
 			return 1
-		case flowValue[class] > o.PriorityCutoff:
+		case classWeights[class] > o.PriorityCutoff:
 			return 0
 		}
 	}
@@ -59,24 +61,24 @@
 
 // zoneView is how a zone's nodes stand at a step.
 type zoneView struct {
-	listed float64    // nodes on the callers' list
-	up     float64    // of these the ones that serve
-	rate   float64    // their rate limits together, runs a second
-	pick   [3]float64 // the part of each class that a node admits
-	capped bool       // some node has a rate limit
-	free   float64    // nodes without one
-	retry  float64    // retries for a first attempt that a node admits
-	gate   *zonegate.Gate
-	clock  uint64 // of the node whose gate it is
+	listed      float64    // nodes on the callers' list
+	up          float64    // of these the ones that serve
+	rateLimit   float64    // their rate limits together, runs a second
+	admits      [3]float64 // the part of each class that a node admits
+	rateLimited bool       // some node has a rate limit
+	unlimited   float64    // nodes without one
+	retryBudget float64    // retries for a first attempt that a node admits
+	gate        *zonegate.Gate
+	clock       uint64 // of the node whose gate it is
 }
 
-// views gathers how the zones stand.
-func (v *Zones) views() []zoneView {
+// zoneViews gathers how the zones stand.
+func (v *Zones) zoneViews() []zoneView {
 	out := make([]zoneView, v.Zones)
-	clear(v.upIn)
+	clear(v.upNodes)
 	for i, n := range v.Fleet.nodes {
 		if n.up {
-			v.upIn[n.zone]++
+			v.upNodes[n.zone]++
 		}
 		ready := v.isReady(i, n)
 		if at := v.health[i].lastReady; at == 0 || v.Fleet.Now-at > readyTTL {
@@ -113,22 +115,22 @@
 		z.gate, z.clock = n.gate, n.clock()
 	}
 	o := n.agent.ZoneOrder()
-	for c := range z.pick {
-		z.pick[c] += picks(o, c)
+	for c := range z.admits {
+		z.admits[c] += admittedFraction(o, c)
 	}
 	if o == nil {
-		z.retry += unlimitedRetries
+		z.retryBudget += unlimitedRetries
 		return
 	}
-	z.rate += o.RateLimit
+	z.rateLimit += o.RateLimit
 	if o.RateLimited {
-		z.capped = true
+		z.rateLimited = true
 	} else {
-		z.free++
+		z.unlimited++
 	}
-	z.retry += float64(o.RetryBudget) / api.FullShare
+	z.retryBudget += float64(o.RetryBudget) / api.FullShare
 	if o.RetryBudget == 0 {
-		z.retry += unlimitedRetries
+		z.retryBudget += unlimitedRetries
 	}
 }
 
@@ -137,16 +139,16 @@
 	if z.up == 0 {
 		return
 	}
-	z.retry /= z.up
-	for c := range z.pick {
-		z.pick[c] /= z.up
-		z.pick[c] *= ramp
+	z.retryBudget /= z.up
+	for c := range z.admits {
+		z.admits[c] /= z.up
+		z.admits[c] *= ramp
 	}
 }
 
 // rampByClock is the baseline in which nodes that come back admit a part that grows by the clock alone.
 func (v *Zones) rampByClock() float64 {
-	since := v.Fleet.Now - begins - v.Heals
+	since := v.Fleet.Now - faultsBeginMS - v.Heals
 	if v.Ramp == 0 || v.failing || since <= 0 {
 		return 1
 	}
@@ -154,11 +156,11 @@
 }
 
 // requestMatrix is requests a second, by attempt (the first is 0) and class.
-type requestMatrix [flowTries][3]float64
+type requestMatrix [maxAttempts][3]float64
 
 // retryQueue holds the requests that come again, by the step in which they do: a ring.
 type retryQueue struct {
-	steps [flowWaits]requestMatrix
+	steps [retrySteps]requestMatrix
 	next  int // the step that is played next
 }
 
@@ -166,14 +168,14 @@
 func (q *retryQueue) take() requestMatrix {
 	due := q.steps[q.next]
 	q.steps[q.next] = requestMatrix{}
-	q.next = (q.next + 1) % flowWaits
+	q.next = (q.next + 1) % retrySteps
 	return due
 }
 
 // add has requests come again as their next attempt, some steps from now. Those whose last attempt this was are given up.
 func (q *retryQueue) add(steps, attempt, class int, n float64) {
-	if attempt+1 < flowTries {
-		q.steps[(q.next+steps)%flowWaits][attempt+1][class] += n
+	if attempt+1 < maxAttempts {
+		q.steps[(q.next+steps)%retrySteps][attempt+1][class] += n
 	}
 }
 
@@ -191,27 +193,27 @@
 	inServiceDone, inServiceAsked float64 // the same of zones in service that have no fault, and what they were offered
 }
 
-// step plays a tenth of a second: who is asked, what each zone admits and its service does, and what is measured.
-func (v *Zones) step() {
-	v.Fleet.after(flowStep, v.step)
+// playStep plays a tenth of a second: who is asked, what each zone admits and its service does, and what is measured.
+func (v *Zones) playStep() {
+	v.Fleet.after(stepMS, v.playStep)
 	s := v.newTrafficStep()
 	if v.Oracle {
-		v.oracle(s.weight, flowStep/1000.0)
+		v.playOracle(s.weight, stepMS/1000.0)
 		return
 	}
-	for z, b := range v.below {
+	for z, b := range v.dependencies {
 		s.playZone(z, b)
 	}
 	s.measure()
 	s.plot()
 	if v.Own {
-		v.own()
+		v.judgeByNode()
 	}
 }
 
 // newTrafficStep gathers how the zones stand and what callers ask for.
 func (v *Zones) newTrafficStep() *trafficStep {
-	s := &trafficStep{Zones: v, views: v.views(), demand: v.Load * float64(v.Zones) * 1000}
+	s := &trafficStep{Zones: v, views: v.zoneViews(), demand: v.Load * float64(v.Zones) * 1000}
 	for z := range s.views {
 		if v.kind(z) == ZoneCallers && v.failing {
 			s.views[z].listed = 0
@@ -219,9 +221,9 @@
 		s.listed += s.views[z].listed
 	}
 	s.offered = v.retries.take()
-	for c := range flowShare {
-		s.offered[0][c] = s.demand * flowShare[c]
-		s.weight += s.offered[0][c] * flowValue[c]
+	for c := range classFractions {
+		s.offered[0][c] = s.demand * classFractions[c]
+		s.weight += s.offered[0][c] * classWeights[c]
 	}
 	return s
 }
@@ -232,12 +234,12 @@
 		s.retries.add(0, attempt, class, n)
 		return
 	}
-	from, to := retryafter.Window(flowPause, int64(min(after, flowPause)))
+	from, to := retryafter.Window(maxRetryAfterMS, int64(min(after, maxRetryAfterMS)))
 	if s.Without.Has(zones.RetryAfterSpread) { // as soon as it may be let in, or in a second
-		from, to = max(1000, int64(min(after, flowPause))), 0
+		from, to = max(1000, int64(min(after, maxRetryAfterMS))), 0
 	}
-	first := int(from) / flowStep
-	steps := max(1, int(to)/flowStep-first)
+	first := int(from) / stepMS
+	steps := max(1, int(to)/stepMS-first)
 	for i := range steps {
 		s.retries.add(first+i, attempt, class, n/float64(steps))
 	}
@@ -249,41 +251,41 @@
 		s.reject(attempt, class, n, 0)
 		return
 	}
-	for i := range flowPlaces {
-		place := view.pick[class] + (1-view.pick[class])*(float64(i)+0.5)/flowPlaces
+	for i := range quotaPlaces {
+		place := view.admits[class] + (1-view.admits[class])*(float64(i)+0.5)/quotaPlaces
 		after := view.gate.RetryAfter(view.clock, zonegate.Request{Hash: uint32(place*api.FullShare) << 16})
-		s.reject(attempt, class, n/flowPlaces, after)
+		s.reject(attempt, class, n/quotaPlaces, after)
 	}
 }
 
 // playZone plays the step at one zone: its nodes admit, its service works, its callers have their answers.
 func (s *trafficStep) playZone(zone int, b *dependency) {
-	t := &zoneStep{trafficStep: s, zone: zone, view: &s.views[zone], b: b}
+	t := &zoneStep{trafficStep: s, zone: zone, view: &s.views[zone], dependency: b}
 	t.arrive()
 	t.limitRate()
 	first, retries := t.limitRetries()
 	t.serve(first + retries)
 	t.complete()
-	s.done += t.rates.got
+	s.done += t.rates.completedWeight
 	s.check(zone, b, first)
 	if phase, _ := s.Fleet.state.Zones.PhaseOf(fmt.Sprint("z", zone)); phase == zones.InService && s.kind(zone) == "" {
-		s.inServiceDone, s.inServiceAsked = s.inServiceDone+t.rates.got, s.inServiceAsked+t.rates.worth
+		s.inServiceDone, s.inServiceAsked = s.inServiceDone+t.rates.completedWeight, s.inServiceAsked+t.rates.offeredWeight
 	}
-	b.rate.follow(&t.rates)
+	b.smoothed.follow(&t.rates)
 }
 
 // zoneStep is one zone's part in a step.
 type zoneStep struct {
 	*trafficStep
-	zone     int
-	view     *zoneView
-	b        *dependency
-	rates    flows
-	admitted requestMatrix // by its nodes
-	sum      float64       // of what their quotas admit, before rate limits
-	shed     float64       // by its service
-	served   float64       // and completed by it, in time or not
-	inTime   float64       // the share of these that counts
+	zone            int
+	view            *zoneView
+	dependency      *dependency
+	rates           flows
+	admitted        requestMatrix // by its nodes
+	admittedByQuota float64       // of what their quotas admit, before rate limits
+	shed            float64       // by its service
+	served          float64       // and completed by it, in time or not
+	inTime          float64       // the share of these that counts
 }
 
 // arrive brings the zone its part of all requests, and has its nodes admit what their quotas let in. Nodes on the callers'
@@ -295,44 +297,44 @@
 	}
 	for k := range t.offered {
 		for c := range t.offered[k] {
-			came := t.offered[k][c] * part
-			t.count(k, c, came)
+			arrived := t.offered[k][c] * part
+			t.count(k, c, arrived)
 			if t.view.up == 0 {
-				t.retries.add(0, k, c, came)
+				t.retries.add(0, k, c, arrived)
 				continue
 			}
-			live := came * t.view.up / max(t.view.listed, 1e-9)
-			t.retries.add(0, k, c, came-live)
-			t.admitted[k][c] = live * t.view.pick[c]
+			live := arrived * t.view.up / max(t.view.listed, 1e-9)
+			t.retries.add(0, k, c, arrived-live)
+			t.admitted[k][c] = live * t.view.admits[c]
 			t.rejectByQuota(t.view, k, c, live-t.admitted[k][c])
-			t.rates.turned += live - t.admitted[k][c]
-			t.sum += t.admitted[k][c]
+			t.rates.rejected += live - t.admitted[k][c]
+			t.admittedByQuota += t.admitted[k][c]
 		}
 	}
 }
 
 // count adds requests to the figures of the run, of the step and of the zone.
 func (t *zoneStep) count(attempt, class int, n float64) {
-	if t.Fleet.Now >= begins+t.Fails {
-		t.asks[0] += n
+	if t.Fleet.Now >= faultsBeginMS+t.Fails {
+		t.attemptCounts[0] += n
 		if attempt == 0 {
-			t.asks[1] += n
+			t.attemptCounts[1] += n
 		}
 	}
 	t.attempts += n
-	t.rates.came += n
+	t.rates.arrived += n
 	if attempt > 0 {
-		t.rates.again += n
+		t.rates.retries += n
 	} else {
-		t.rates.worth += n * flowValue[class]
+		t.rates.offeredWeight += n * classWeights[class]
 	}
 }
 
 // scale rejects all but a part of what was admitted, from an attempt on.
 func (t *zoneStep) scale(from int, part float64) {
-	for k := from; k < flowTries; k++ {
+	for k := from; k < maxAttempts; k++ {
 		for c := range t.admitted[k] {
-			t.rates.turned += t.admitted[k][c] * (1 - part)
+			t.rates.rejected += t.admitted[k][c] * (1 - part)
 			t.reject(k, c, t.admitted[k][c]*(1-part), 0)
 			t.admitted[k][c] *= part
 		}
@@ -342,9 +344,9 @@
 // limitRate holds the nodes to their rate limits. Nodes that were notified that theirs has ended take their part of what
 // arrives whole.
 func (t *zoneStep) limitRate() {
-	limit := t.view.rate + t.sum*t.view.free/max(t.view.up, 1)
-	if t.view.capped && t.sum > limit {
-		t.scale(0, limit/t.sum)
+	limit := t.view.rateLimit + t.admittedByQuota*t.view.unlimited/max(t.view.up, 1)
+	if t.view.rateLimited && t.admittedByQuota > limit {
+		t.scale(0, limit/t.admittedByQuota)
 	}
 }
 
@@ -352,11 +354,11 @@
 func (t *zoneStep) limitRetries() (first, retries float64) {
 	for c := range t.admitted[0] {
 		first += t.admitted[0][c]
-		for k := 1; k < flowTries; k++ {
+		for k := 1; k < maxAttempts; k++ {
 			retries += t.admitted[k][c]
 		}
 	}
-	if budget := t.view.retry * first; retries > budget {
+	if budget := t.view.retryBudget * first; retries > budget {
 		t.scale(1, budget/retries)
 		retries = budget
 	}
@@ -365,28 +367,28 @@
 
 // serve has the zone's service do what it bears of what it is asked for and of its queue, and warm up by it.
 func (t *zoneStep) serve(asked float64) {
-	const dt = flowStep / 1000.0
-	b := t.b
-	b.asked, b.bears = asked, b.bearable()
+	const dt = stepMS / 1000.0
+	b := t.dependency
+	b.demand, b.capacity = asked, b.capacityNow()
 	broken := t.failing && t.kind(t.zone) == ZoneKernels
-	t.served = min(b.asked+b.queue/dt, b.bears)
+	t.served = min(b.demand+b.queue/dt, b.capacity)
 	if broken {
 		t.served = 0
 	}
-	b.queue += (b.asked - t.served) * dt
-	if b.queue > flowOut {
-		t.shed = (b.queue - flowOut) / dt
-		b.queue = flowOut
+	b.queue += (b.demand - t.served) * dt
+	if b.queue > zoneRunSlots {
+		t.shed = (b.queue - zoneRunSlots) / dt
+		b.queue = zoneRunSlots
 	}
 	b.warmUp(t.served, dt)
-	t.rates.runMS = flowRun*b.cap/max(b.bears, 1) + 1000*b.queue/max(b.bears, 1)
-	t.rates.util = min(1, t.served/max(b.bears, 1))
+	t.rates.runMS = warmRunMS*b.warmCapacity/max(b.capacity, 1) + 1000*b.queue/max(b.capacity, 1)
+	t.rates.utilization = min(1, t.served/max(b.capacity, 1))
 	t.rates.shed, t.rates.runs = t.shed, t.served
-	if t.rates.runMS < flowTarget && !broken {
+	if t.rates.runMS < latencyObjectiveMS && !broken {
 		t.inTime = 1
 	}
 	if t.failing && t.kind(t.zone) == ZoneErrors {
-		if t.inTime *= 0.6; t.common() && t.zone == 0 {
+		if t.inTime *= 0.6; t.commonCause() && t.zone == 0 {
 			t.inTime /= 2 // the same everywhere, and worst here
 		}
 	}
@@ -396,49 +398,49 @@
 func (t *zoneStep) complete() {
 	for k := range t.admitted {
 		for c := range t.admitted[k] {
-			if t.b.asked <= 0 {
+			if t.dependency.demand <= 0 {
 				continue
 			}
-			part := t.admitted[k][c] / t.b.asked
-			got := t.served * part * flowValue[c] * t.inTime
-			t.rates.got += got
+			part := t.admitted[k][c] / t.dependency.demand
+			got := t.served * part * classWeights[c] * t.inTime
+			t.rates.completedWeight += got
 			t.reject(k, c, t.shed*part, 0)
 		}
 	}
-	t.rates.done, t.rates.late = t.served*t.inTime, t.served*(1-t.inTime)
+	t.rates.completed, t.rates.late = t.served*t.inTime, t.served*(1-t.inTime)
 	if t.failing && t.kind(t.zone) == ZoneErrors {
-		t.rates.late, t.rates.errored = 0, t.rates.late
+		t.rates.late, t.rates.failed = 0, t.rates.late
 	}
 }
 
 // measure adds the step to the figures of the run.
 func (s *trafficStep) measure() {
-	const dt = flowStep / 1000.0
+	const dt = stepMS / 1000.0
 	now := s.Fleet.Now
-	if s.Patient && s.kind(0) == ZoneRestart && now > begins+s.Heals+5000 {
-		s.Rush = max(s.Rush, s.attempts/s.demand)
+	if s.Patient && s.kind(0) == ZoneRestart && now > faultsBeginMS+s.Heals+5000 {
+		s.RetryPeak = max(s.RetryPeak, s.attempts/s.demand)
 	}
-	if now >= begins+s.Fails {
-		s.Tries = s.asks[0] / max(s.asks[1], 1)
+	if now >= faultsBeginMS+s.Fails {
+		s.Tries = s.attemptCounts[0] / max(s.attemptCounts[1], 1)
 		s.Done += s.done * dt
 		s.Asked += s.weight * dt
-		if s.failing && now >= begins+s.Fails+5000 {
+		if s.failing && now >= faultsBeginMS+s.Fails+5000 {
 			s.Failing += s.done * dt
 		}
 	}
 	if len(s.Fleet.state.Zones.Zones) > 0 && s.inServiceAsked > 0 && s.failing {
-		s.Others = min(s.Others, s.inServiceDone/s.inServiceAsked)
+		s.OthersDone = min(s.OthersDone, s.inServiceDone/s.inServiceAsked)
 	}
 }
 
 // plot adds a point to each line of the plot, twice a second.
 func (s *trafficStep) plot() {
-	at := (s.Fleet.Now - begins) / 1000
+	at := (s.Fleet.Now - faultsBeginMS) / 1000
 	if int(at*10)%5 != 0 || at < 0 {
 		return
 	}
 	_, quota := s.Fleet.state.Zones.PhaseOf("z0")
-	for i, y := range []float64{s.done / max(s.weight, 1), s.below[0].asked / max(s.below[0].bears, 1),
+	for i, y := range []float64{s.done / max(s.weight, 1), s.dependencies[0].demand / max(s.dependencies[0].capacity, 1),
 		float64(quota) / api.FullShare} {
 		s.Plot[i].Points = append(s.Plot[i].Points, [2]float64{at, y})
 	}
@@ -447,9 +449,9 @@
 // follow has a zone's figures follow within two thirds of a second, as a report over two seconds does.
 func (f *flows) follow(now *flows) {
 	const weight = 0.15
-	for _, p := range [][2]*float64{{&f.came, &now.came}, {&f.again, &now.again}, {&f.turned, &now.turned},
-		{&f.errored, &now.errored}, {&f.done, &now.done}, {&f.late, &now.late}, {&f.shed, &now.shed},
-		{&f.worth, &now.worth}, {&f.got, &now.got}, {&f.runs, &now.runs}, {&f.runMS, &now.runMS}, {&f.util, &now.util}} {
+	for _, p := range [][2]*float64{{&f.arrived, &now.arrived}, {&f.retries, &now.retries}, {&f.rejected, &now.rejected},
+		{&f.failed, &now.failed}, {&f.completed, &now.completed}, {&f.late, &now.late}, {&f.shed, &now.shed},
+		{&f.offeredWeight, &now.offeredWeight}, {&f.completedWeight, &now.completedWeight}, {&f.runs, &now.runs}, {&f.runMS, &now.runMS}, {&f.utilization, &now.utilization}} {
 		*p[0] += weight * (*p[1] - *p[0])
 	}
 }
