--- a/internal/wal/commit.go
+++ b/internal/wal/commit.go
@@ -12,18 +12,17 @@
 }
 
 // Commit writes a batch and returns once it is durable, with the number of its first entry. Callers that come while
-// another's sync is under way share the next one. Errors are ErrFull, ErrBroken, and of an entry or mark that is too
-// large.
+// another's sync is under way share the next one. Errors are ErrFull, ErrBroken, *EntryTooLargeError and
+// *InvalidMarkError.
 func (l *Log) Commit(b Batch) (uint64, error) {
 	for _, e := range b.Entries {
 		if len(e) > MaxRecordBytes {
-			return 0, fmt.Errorf("an entry of %d bytes, expected at most %d", len(e), MaxRecordBytes)
+			return 0, &EntryTooLargeError{len(e)}
 		}
 	}
 	for _, m := range b.Marks {
 		if len(m.Data) > MaxRecordBytes || m.Kind < 0 || m.Kind >= MaxMarkKinds {
-			return 0, fmt.Errorf("a mark of kind %d with %d bytes, expected kinds below %d and at most %d bytes",
-				m.Kind, len(m.Data), MaxMarkKinds, MaxRecordBytes)
+			return 0, &InvalidMarkError{m.Kind, len(m.Data)}
 		}
 	}
 	w := &waiter{batch: b}
--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -16,6 +16,32 @@
 // ErrLocked is for a folder that another process uses.
 var ErrLocked = errors.New("the folder is in use by another process")
 
+// EntryTooLargeError is for an entry that is larger than MaxRecordBytes. Nothing of its batch was written.
+type EntryTooLargeError struct{ Bytes int }
+
+// Error says how large the entry is, and how large it may be.
+func (e *EntryTooLargeError) Error() string {
+	return fmt.Sprintf("an entry of %d bytes, expected at most %d", e.Bytes, MaxRecordBytes)
+}
+
+// InvalidMarkError is for a mark of no kind, or one that is larger than MaxRecordBytes. Nothing of its batch was
+// written.
+type InvalidMarkError struct{ Kind, Bytes int }
+
+// Error says what the mark is, and what it may be.
+func (e *InvalidMarkError) Error() string {
+	return fmt.Sprintf("a mark of kind %d with %d bytes, expected kinds below %d and at most %d bytes", e.Kind, e.Bytes,
+		MaxMarkKinds, MaxRecordBytes)
+}
+
+// NotHeldError is for an entry that the log does not hold: it was dropped, or was never written.
+type NotHeldError struct{ Number, First, Last uint64 }
+
+// Error says which entries are held.
+func (e *NotHeldError) Error() string {
+	return fmt.Sprintf("entry %d, expected one from %d to %d", e.Number, e.First, e.Last)
+}
+
 // errClosed is for a call after Close.
 var errClosed = errors.New("the log is closed")
 
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -1,6 +1,7 @@
 package wal
 
 import (
+	"errors"
 	"fmt"
 	"sync"
 )
@@ -121,7 +122,7 @@
 		if err := l.fs.Remove(l.segments[gone].name); err != nil {
 			return l.fail(err)
 		}
-		l.segments[gone].file.Close()
+		l.segments[gone].file.Close() // all of it was synced, and it is gone
 		gone++
 	}
 	if gone == 0 {
@@ -145,7 +146,8 @@
 	return l.fault
 }
 
-// Close closes the files and unlocks the folder. Nothing has to be written by it.
+// Close closes the files and unlocks the folder, also where a file's close fails, which is the error. Nothing has to be
+// written by it: what Commit returned is synced.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,10 +157,15 @@
 	if l.fault == nil {
 		l.fault = errClosed
 	}
-	for _, s := range l.segments {
-		s.file.Close()
-	}
+	err := l.closeSegments()
 	l.unlock()
 	l.unlock = nil
-	return nil
+	return err
+}
+
+func (l *Log) closeSegments() (err error) {
+	for _, s := range l.segments {
+		err = errors.Join(err, s.file.Close())
+	}
+	return err
 }
--- a/internal/wal/open.go
+++ b/internal/wal/open.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"hash/crc32"
 	"sort"
@@ -26,9 +27,7 @@
 	l := &Log{fs: fs, sizes: sizes, unlock: unlock, index: entryIndex{first: 1}}
 	found, err := l.recover()
 	if err != nil {
-		for _, s := range l.segments {
-			s.file.Close()
-		}
+		err = errors.Join(err, l.closeSegments())
 		unlock()
 		return nil, found, err
 	}
@@ -80,41 +79,52 @@
 
 // loadSegment reads one segment: its header has to go on from the segment before, and its records from each other.
 func (l *Log) loadSegment(seq uint64, oldest, newest bool, found *Repair) error {
-	name := segmentName(seq)
-	f, err := l.fs.Open(name)
+	f, err := l.fs.Open(segmentName(seq))
 	if err != nil {
 		return err
 	}
-	s := &segment{sequence: seq, name: name, file: f}
-	if s.size, err = f.Size(); err != nil {
-		return err
-	}
-	if s.size > maxSegmentBytes {
-		return &Damage{name, 0, "the header", fmt.Sprintf("%d bytes, expected less than %d", s.size, maxSegmentBytes)}
-	}
-	raw := make([]byte, s.size)
-	if s.size > 0 {
-		if _, err = f.ReadAt(raw, 0); err != nil {
-			return &Damage{name, 0, "the header", err.Error()}
-		}
+	s := &segment{sequence: seq, name: segmentName(seq), file: f}
+	raw, err := s.readWhole()
+	if err != nil {
+		return errors.Join(err, f.Close())
 	}
 	if bad := l.checkHeader(raw, seq, oldest); bad != "" {
+		if err = f.Close(); err != nil {
+			return err
+		}
 		if newest && !flushStartsAfter(raw, min(segmentHeaderBytes, len(raw))-1) && len(raw) <= segmentHeaderBytes {
 			// It was being made: its header is synced before a record follows it.
-			f.Close()
-			found.TornAt, found.TornBytes = name+" at byte 0", s.size
-			if err = l.fs.Remove(name); err != nil {
+			found.TornAt, found.TornBytes = s.name+" at byte 0", s.size
+			if err = l.fs.Remove(s.name); err != nil {
 				return err
 			}
 			return l.fs.Sync()
 		}
-		f.Close()
-		return &Damage{name, 0, "the header", bad}
+		return &Damage{s.name, 0, "the header", bad}
 	}
-	l.segments = append(l.segments, s)
+	l.segments = append(l.segments, s) // from here on Open or Close closes it
 	return l.readRecords(s, raw, newest, found)
 }
 
+// readWhole reads a segment's file and notes its size.
+func (s *segment) readWhole() ([]byte, error) {
+	var err error
+	if s.size, err = s.file.Size(); err != nil {
+		return nil, err
+	}
+	if s.size > maxSegmentBytes {
+		return nil, &Damage{s.name, 0, "the header",
+			fmt.Sprintf("%d bytes, expected less than %d", s.size, maxSegmentBytes)}
+	}
+	raw := make([]byte, s.size)
+	if s.size > 0 {
+		if _, err = s.file.ReadAt(raw, 0); err != nil {
+			return nil, &Damage{s.name, 0, "the header", err.Error()}
+		}
+	}
+	return raw, nil
+}
+
 func (l *Log) checkHeader(raw []byte, seq uint64, oldest bool) string {
 	switch {
 	case len(raw) < segmentHeaderBytes || string(raw[:8]) != magic:
--- a/internal/wal/salvage.go
+++ b/internal/wal/salvage.go
@@ -151,8 +151,11 @@
 	}
 	defer f.Close()
 	size, err := f.Size()
-	if err != nil || size > maxSegmentBytes {
-		return nil, errors.Join(err, fmt.Errorf("%d bytes", size))
+	if err != nil {
+		return nil, err
+	}
+	if size > maxSegmentBytes {
+		return nil, fmt.Errorf("%s: %d bytes, expected less than %d", name, size, maxSegmentBytes)
 	}
 	raw := make([]byte, size)
 	if size > 0 {
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"hash/crc32"
 )
@@ -46,5 +47,8 @@
 	if err == nil {
 		err = fs.Sync()
 	}
-	return s, err
+	if err != nil {
+		return nil, errors.Join(err, s.file.Close())
+	}
+	return s, nil
 }
