--- a/internal/control/consensus/api.go
+++ b/internal/control/consensus/api.go
@@ -2,7 +2,10 @@
 
 import (
 	"context"
+	"errors"
+	"io"
 	"log"
+	"net"
 	"net/http"
 	"sync/atomic"
 	"time"
@@ -11,6 +14,8 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/semaphore"
+
+	"umberwinch/internal/logging"
 )
 
 // Bounds of the clients' side. They protect memory from clients that are many, slow, or send much.
@@ -81,12 +86,13 @@
 	server    *http.Server
 	watchers  atomic.Int64
 	bodies    *semaphore.Weighted
-	forwarder *http.Client // to the leader, for what it alone can answer
+	forwarder *http.Client   // to the leader, for what it alone can answer
+	errorLog  *io.PipeWriter // of the server, to the group's log; Stop ends its goroutine by closing it
 	stopping  context.Context
 	stop      context.CancelFunc
 }
 
-// Serve opens the clients' address. It returns once the address is open.
+// Serve opens the clients' address. It returns once the address is open. Its goroutines end by Stop.
 func (g *Group) Serve() (*API, error) {
 	l, err := g.credentials.listen(g.control.Listen)
 	if err != nil {
@@ -105,19 +111,29 @@
 	mux.HandleFunc("GET /v1/snapshot", a.requireToken(a.getSnapshot))
 	a.fleetRoutes(mux)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(g.metrics.registry, promhttp.HandlerOpts{}))
+	a.errorLog = g.log.WriterLevel(logrus.DebugLevel)
 	a.server = &http.Server{Handler: a.withHeaders(mux), ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout,
 		MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout,
-		ErrorLog: log.New(g.log.WriterLevel(logrus.DebugLevel), "", 0)}
-	go a.server.Serve(netutil.LimitListener(l, maxClients))
+		ErrorLog: log.New(a.errorLog, "", 0)}
+	go a.serve(netutil.LimitListener(l, maxClients))
 	return a, nil
 }
 
+// serve accepts connections until Stop. An address that can't be served any more is logged: the instance goes on with
+// its peers, and clients find another one.
+func (a *API) serve(l net.Listener) {
+	if err := a.server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+		a.group.log.WithField(logging.Error, err).Error("the clients' address is not served any more")
+	}
+}
+
 // Stop lets clients finish for a moment, then closes.
 func (a *API) Stop() {
 	a.stop()
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if a.server.Shutdown(ctx) != nil {
-		a.server.Close()
+		a.server.Close() // the requests that are left are cut off: all of them may be repeated
 	}
+	a.errorLog.Close()
 }
--- a/internal/control/consensus/api_test.go
+++ b/internal/control/consensus/api_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -146,6 +147,24 @@
 	}
 }
 
+// TestStoppedAPI: an instance ends within a process that goes on, as in tests and in a restart of it. The goroutine that
+// logs for the server has to end with it: its pipe is closed, and the address is free.
+func TestStoppedAPI(t *testing.T) {
+	a := boot(t, "a", "new", nil)
+	stopped := a.api
+	a.stop()
+	if _, err := stopped.errorLog.Write([]byte("late\n")); !errors.Is(err, io.ErrClosedPipe) {
+		t.Errorf("found %v, expected %v", err, io.ErrClosedPipe)
+	}
+	l, err := net.Listen("tcp", a.control.Listen)
+	if err != nil {
+		t.Fatalf("the address is not free: %v", err)
+	}
+	if err = l.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
 // Many clients put at once. Each must get one result, and one sync must serve many puts.
 func TestManyClients(t *testing.T) {
 	a := boot(t, "a", "new", nil)
--- a/internal/control/consensus/errors.go
+++ b/internal/control/consensus/errors.go
@@ -3,6 +3,8 @@
 import (
 	"errors"
 	"fmt"
+
+	"umberwinch/internal/control/recovery"
 )
 
 // Errors that clients see. Those of the first group are temporary: the client may ask again, at this instance or
@@ -30,6 +32,7 @@
 	errNoTransfer      = errors.New("no voter to hand the lead to")
 	errRestoring       = errors.New("the group is being restored")
 	errTooManyWatchers = fmt.Errorf("%d watchers, expected at most %d", maxWatchers+1, maxWatchers)
+	errTooManyRecords  = fmt.Errorf("%d nodes, expected at most %d", recovery.MaxRecords+1, recovery.MaxRecords)
 	errBodyTooLarge    = fmt.Errorf("more than %d bytes", maxBodyBytes)
 )
 
@@ -147,6 +150,37 @@
 	return fmt.Sprintf("%s, expected %s: this instance needs the program that made it", e.Found, e.Expected)
 }
 
+// PeerRefusedError is for a connection that this instance, or the other one, does not go on with.
+type PeerRefusedError struct {
+	ByPeer bool
+	Reason string
+}
+
+// Error says who refused and why.
+func (e *PeerRefusedError) Error() string {
+	if e.ByPeer {
+		return "refused: " + e.Reason
+	}
+	return "it was refused: " + e.Reason
+}
+
+// UnexpectedPeerError is for an address at which another instance answers than the one that is meant.
+type UnexpectedPeerError struct{ Found, Expected uint64 }
+
+// Error names both instances.
+func (e *UnexpectedPeerError) Error() string {
+	return fmt.Sprintf("instance %x answers, expected %x", e.Found, e.Expected)
+}
+
+// SnapshotError is for a saved state that can't be read: torn, spoilt, or not of a group. Nothing of it is used.
+type SnapshotError struct{ Err error }
+
+// Error says what is wrong with the saved state.
+func (e *SnapshotError) Error() string { return e.Err.Error() }
+
+// Unwrap gives what is wrong with it.
+func (e *SnapshotError) Unwrap() error { return e.Err }
+
 // RejectedError is an operation that the state machine did not carry out, with its reason.
 type RejectedError struct{ Reason string }
 
--- a/internal/control/consensus/errors_test.go
+++ b/internal/control/consensus/errors_test.go
@@ -94,3 +94,21 @@
 		}
 	}
 }
+
+// TestSpoiltSnapshots: an operator restores from a file that is torn or not a snapshot. The error has to be one that
+// callers can tell from a disk's, and nothing of the file may be used.
+func TestSpoiltSnapshots(t *testing.T) {
+	for name, raw := range map[string]string{
+		"empty":         "",
+		"no head":       "{}",
+		"a wrong head":  "[]\n{}",
+		"a torn state":  `{"meta":""}` + "\n" + `{"cluster":"c"`,
+		"no versions":   `{"meta":""}` + "\n" + `{"cluster":"c","first":1,"versions":1}` + "\n",
+		"a later level": `{"meta":""}` + "\n" + `{"cluster":"c","first":1,"level":99}` + "\n",
+	} {
+		var spoilt *SnapshotError
+		if old, err := ReadSnapshot([]byte(raw)); old != nil || !errors.As(err, &spoilt) {
+			t.Errorf("%s: found %v (%v), expected a SnapshotError", name, old, err)
+		}
+	}
+}
--- a/internal/control/consensus/fleet_views.go
+++ b/internal/control/consensus/fleet_views.go
@@ -112,7 +112,7 @@
 	}
 	for _, n := range s.Fleet.Nodes() {
 		v.Nodes++
-		if n.OutReason == "" {
+		if !n.IsOut() {
 			v.ActiveNodes++
 		}
 	}
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -4,6 +4,7 @@
 	"context"
 	"crypto/rand"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"sync"
 	"sync/atomic"
@@ -117,8 +118,7 @@
 	}
 	listener, err := g.credentials.listen(c.Bind)
 	if err != nil {
-		g.replica.Close()
-		return nil, err
+		return nil, errors.Join(err, g.replica.Close())
 	}
 	g.transport = newTransport(g, g.credentials, log, c.SnapshotRateMB)
 	g.publish()
@@ -173,6 +173,8 @@
 		logging.Node:          g.control.Name,
 		logging.Instance:      idText(g.replica.ID()),
 		logging.Role:          v.Role,
+		logging.Term:          v.Term,
+		logging.Generation:    g.replica.stateMachine.fleet.Generation,
 		logging.PolicyVersion: v.Version,
 		logging.Index:         v.LastIndex,
 	}).Info("instance is up")
--- a/internal/control/consensus/group_peers.go
+++ b/internal/control/consensus/group_peers.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// enqueueEventAsync is for calls that may come from the replica's own goroutine, which must not wait for itself.
+// enqueueEventAsync is for calls that may come from the replica's own goroutine, which must not wait for itself. Where
+// the queue is full a goroutine waits for a place in it, until the instance has ended at the latest.
 func (g *Group) enqueueEventAsync(f func()) {
 	select {
 	case g.events <- f:
--- a/internal/control/consensus/group_test.go
+++ b/internal/control/consensus/group_test.go
@@ -165,7 +165,8 @@
 func TestFolderIsKeptWhileASnapshotIsWritten(t *testing.T) {
 	at := address()
 	c := &config.Control{Name: "a", Data: t.TempDir(), Start: "new", Peer: at + ":7101", Bind: at + ":7101",
-		Listen: at + ":7201", Tick: 10 * time.Millisecond, ElectionTicks: 10, DiskMB: 64, SnapshotMB: 1, SnapshotRateMB: 64,
+		Listen: at + ":7201", Tick: 10 * time.Millisecond, ElectionTicks: 10, DiskMB: 64, SnapshotMB: 1,
+		SnapshotRateMB: 64,
 		ContactTimeout: time.Second}
 	entered, gate := make(chan struct{}), make(chan struct{})
 	g, err := Start(c, quietLogger(), Faults{WrapDisk: func(fs wal.FS) wal.FS { return gatedFS{fs, entered, gate} }})
--- a/internal/control/consensus/helper_test.go
+++ b/internal/control/consensus/helper_test.go
@@ -52,7 +52,8 @@
 	at := address()
 	c := &config.Control{Name: name, Data: filepath.Join(t.TempDir(), name), Start: start, Peer: at +
 		":7101", Bind: at + ":7101",
-		Listen: at + ":7201", Tick: 10 * time.Millisecond, ElectionTicks: 10, DiskMB: 64, SnapshotMB: 1, SnapshotRateMB: 64,
+		Listen: at + ":7201", Tick: 10 * time.Millisecond, ElectionTicks: 10, DiskMB: 64, SnapshotMB: 1,
+		SnapshotRateMB: 64,
 		ContactTimeout: 500 * time.Millisecond}
 	if change != nil {
 		change(c)
--- a/internal/control/consensus/record_collector.go
+++ b/internal/control/consensus/record_collector.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"net"
 	"net/http"
+	"strconv"
 	"sync"
 	"time"
 
@@ -48,7 +49,7 @@
 	})
 	c.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout,
 		MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout}
-	go c.server.Serve(netutil.LimitListener(ln, maxClients))
+	go c.server.Serve(netutil.LimitListener(ln, maxClients)) // until Stop
 	return c, nil
 }
 
@@ -75,13 +76,13 @@
 
 func (c *Collector) fail(w http.ResponseWriter, code int, err error) {
 	raw, _ := json.Marshal(Failure{Error: err.Error()})
-	c.whole(w, code, raw)
+	c.writeSized(w, code, raw)
 }
 
-// whole answers with a Content-Length, as nodes read no chunks.
-func (c *Collector) whole(w http.ResponseWriter, code int, raw []byte) {
-	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", fmt.Sprint(len(raw))) // nodes read no chunks
+// writeSized answers with a Content-Length, as nodes read no chunks.
+func (c *Collector) writeSized(w http.ResponseWriter, code int, raw []byte) {
+	w.Header().Set("Content-Type", contentJSON)
+	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.WriteHeader(code)
 	w.Write(raw)
 }
@@ -108,15 +109,15 @@
 		c.fail(w, http.StatusInternalServerError, err)
 		return
 	}
-	c.whole(w, http.StatusOK, raw)
+	c.writeSized(w, http.StatusOK, raw)
 }
 
 // postRecord takes a node's record.
 func (c *Collector) postRecord(w http.ResponseWriter, r *http.Request) {
-	const most = 2*maxBodyBytes + maxNodeBodyBytes // a record has two texts
+	const maxRecordBytes = 2*maxBodyBytes + maxNodeBodyBytes // a record has two texts
 	size := r.ContentLength
-	if size < 0 || size > most {
-		size = most
+	if size < 0 || size > maxRecordBytes {
+		size = maxRecordBytes
 	}
 	if !c.bodies.TryAcquire(size) {
 		c.fail(w, http.StatusServiceUnavailable, ErrBusy)
@@ -124,7 +125,7 @@
 	}
 	defer c.bodies.Release(size)
 	var k api.NodeRecord
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, most)).Decode(&k)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRecordBytes)).Decode(&k)
 	if err == nil {
 		err = k.Validate()
 	}
@@ -136,7 +137,7 @@
 		c.fail(w, http.StatusBadRequest, err)
 		return
 	}
-	c.whole(w, http.StatusOK, []byte("{}"))
+	c.writeSized(w, http.StatusOK, []byte("{}"))
 }
 
 // store holds a valid record.
@@ -147,7 +148,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, there := c.records[k.Name]; !there && len(c.records) >= recovery.MaxRecords {
-		return fmt.Errorf("%d nodes, expected at most %d", len(c.records)+1, recovery.MaxRecords)
+		return errTooManyRecords
 	}
 	c.records[k.Name] = *k
 	return nil
--- a/internal/control/consensus/replica_open.go
+++ b/internal/control/consensus/replica_open.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 
 	"go.etcd.io/raft/v3"
@@ -21,8 +22,7 @@
 	}
 	r := &Replica{config: config, log: log, LogRepair: found, metPeers: map[uint64]bool{}}
 	if err := r.open(); err != nil {
-		log.Close()
-		return nil, err
+		return nil, errors.Join(err, log.Close())
 	}
 	return r, nil
 }
@@ -147,12 +147,16 @@
 
 // foundRestored writes a state as that of a new group's first instance, changed by what a recovery found, or by
 // nothing but the snapshot's own state where found is nil.
-func foundRestored(fs wal.FS, config Config, m *StateMachine, found *recovery.RestorePlan) (*Version, error) {
+func foundRestored(fs wal.FS, config Config, m *StateMachine, found *recovery.RestorePlan) (v *Version, err error) {
 	log, _, err := wal.Open(fs, config.Sizes)
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close()
+	defer func() {
+		if err = errors.Join(err, log.Close()); err != nil {
+			v = nil
+		}
+	}()
 	if log.Mark(markIdentity) != nil {
 		return nil, ErrFolderInUse
 	}
@@ -206,5 +210,6 @@
 
 // firstMember is the member table of a group of one.
 func firstMember(own Identity, config *Config) memberTable {
-	return memberTable{list: []Member{{ID: own.ID, Name: own.Name, Peer: config.Peer, Listen: config.Listen, Voter: true}}}
+	founder := Member{ID: own.ID, Name: own.Name, Peer: config.Peer, Listen: config.Listen, Voter: true}
+	return memberTable{list: []Member{founder}}
 }
--- a/internal/control/consensus/restored_group.go
+++ b/internal/control/consensus/restored_group.go
@@ -103,7 +103,7 @@
 		UncommittedEntries: m.uncommittedEntries,
 	}
 	for _, n := range p.Fleet.Nodes() {
-		if n.OutReason == "" {
+		if !n.IsOut() {
 			b.Nodes = append(b.Nodes, n.Name)
 		}
 	}
--- a/internal/control/consensus/state_snapshot.go
+++ b/internal/control/consensus/state_snapshot.go
@@ -69,9 +69,16 @@
 	return line
 }
 
-// restoreStateMachine reads what snapshot gave.
+// restoreStateMachine reads what snapshot gave. Its error is a *SnapshotError.
 func restoreStateMachine(raw []byte, disabled Guard) (*StateMachine, error) {
-	lines := &lineReader{raw}
+	m, err := parseSnapshot(&lineReader{raw}, disabled)
+	if err != nil {
+		return nil, &SnapshotError{err}
+	}
+	return m, nil
+}
+
+func parseSnapshot(lines *lineReader, disabled Guard) (*StateMachine, error) {
 	var h snapshotHeader
 	if err := json.Unmarshal(lines.next(), &h); err != nil {
 		return nil, fmt.Errorf("head of a saved state: %w", err)
--- a/internal/control/consensus/store.go
+++ b/internal/control/consensus/store.go
@@ -50,7 +50,7 @@
 	return append([][]byte{append(head, '\n')}, state...), nil
 }
 
-// readSnapshot splits a snapshot into raft's metadata and the state.
+// readSnapshot splits a snapshot into raft's metadata and the state. Its error is a *SnapshotError.
 func readSnapshot(raw []byte) (*pb.SnapshotMetadata, []byte, error) {
 	for i, c := range raw {
 		if c != '\n' {
@@ -58,15 +58,15 @@
 		}
 		var head snapshotFileHeader
 		if err := json.Unmarshal(raw[:i], &head); err != nil {
-			return nil, nil, fmt.Errorf("head of a snapshot: %w", err)
+			return nil, nil, &SnapshotError{fmt.Errorf("head of a snapshot: %w", err)}
 		}
 		meta := &pb.SnapshotMetadata{}
 		if err := proto.Unmarshal(head.Meta, meta); err != nil {
-			return nil, nil, fmt.Errorf("head of a snapshot: %w", err)
+			return nil, nil, &SnapshotError{fmt.Errorf("head of a snapshot: %w", err)}
 		}
 		return meta, raw[i+1:], nil
 	}
-	return nil, nil, errNoSnapshotHeader
+	return nil, nil, &SnapshotError{errNoSnapshotHeader}
 }
 
 // openStore reads hard state, newest sound snapshot and the entries after it. It returns the snapshot's state, nil if
--- a/internal/control/consensus/transport_peer.go
+++ b/internal/control/consensus/transport_peer.go
@@ -80,19 +80,19 @@
 		if BarsInstance(reason) {
 			t.handler.bar(reason)
 		}
-		return fmt.Errorf("refused: %s", reason)
+		return &PeerRefusedError{ByPeer: true, Reason: reason}
 	case frameAccepted:
 		var other Hello
 		if err = json.Unmarshal(raw, &other); err != nil {
 			return err
 		}
 		if other.ID != p.id {
-			return fmt.Errorf("instance %x answers, expected %x", other.ID, p.id)
+			return &UnexpectedPeerError{other.ID, p.id}
 		}
 		reason, err := t.handler.handshake(other)
 		if err == nil && reason != "" {
 			t.count.refused.Add(1)
-			err = fmt.Errorf("it was refused: %s", reason)
+			err = &PeerRefusedError{Reason: reason}
 		}
 		c.SetDeadline(time.Time{})
 		return err
@@ -147,7 +147,9 @@
 // writeMessages sends queued messages until the connection breaks or ctx is done.
 func (t *transport) writeMessages(ctx context.Context, p *peer, c net.Conn) {
 	closed := make(chan struct{})
-	go func() { // peers send nothing this way: a read that ends means that the connection is closed
+	// Peers send nothing this way: a read that ends means that the connection is closed. connect closes it once this
+	// function has returned, which ends the goroutine.
+	go func() {
 		var unread [1]byte
 		c.Read(unread[:])
 		close(closed)
--- a/internal/control/consensus/transport_snapshot.go
+++ b/internal/control/consensus/transport_snapshot.go
@@ -59,7 +59,7 @@
 		c.SetReadDeadline(time.Now().Add(snapshotIdleTimeout))
 		kind, raw, err := readFrame(r, snapshotChunkBytes+1)
 		if err != nil || kind != frameChunk || len(state)+len(raw) > note.Bytes {
-			bad(fmt.Errorf("%d of %d bytes, then kind %d: %w", len(state), note.Bytes, kind, err))
+			bad(fmt.Errorf("%d of %d bytes, then kind %d: %v", len(state), note.Bytes, kind, err))
 			return
 		}
 		state = append(state, raw...)
--- a/internal/node/overlay/overlay.go
+++ b/internal/node/overlay/overlay.go
@@ -94,8 +94,8 @@
 func (b *builder) applyWindow(class *document.Class, handler *admission.Handler) {
 	window := toAdmission(class.IdempotencyWindow)
 	if window < handler.IdempotencyWindow {
-		b.conflict("class %s.window: found %s, expected at least the platform's %s", class.Name, class.IdempotencyWindow,
-			toDuration(handler.IdempotencyWindow))
+		b.conflict("class %s.window: found %s, expected at least the platform's %s", class.Name,
+			class.IdempotencyWindow, toDuration(handler.IdempotencyWindow))
 		return
 	}
 	handler.IdempotencyWindow = window
@@ -139,7 +139,8 @@
 		if b.settings.PoolClasses == nil {
 			b.settings.PoolClasses = b.unlimitedPools()
 		}
-		b.settings.PoolClasses[index].MinFraction, b.settings.PoolClasses[index].MaxFraction = pool.MinShare, pool.MaxShare
+		limits := &b.settings.PoolClasses[index]
+		limits.MinFraction, limits.MaxFraction = pool.MinShare, pool.MaxShare
 	}
 }
 
