--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -91,7 +91,7 @@
 func demoTable(results []harness.DemoResult) [][]string {
 	rows := [][]string{{"CLASS", "ASKED", "IN TIME", "SHED", "95TH"}}
 	for _, r := range results {
-		rows = append(rows, []string{r.Class, fmt.Sprint(r.Asked), fmt.Sprintf("%.3f", r.InTime),
+		rows = append(rows, []string{r.Class, fmt.Sprint(r.Requests), fmt.Sprintf("%.3f", r.InTime),
 			fmt.Sprintf("%.3f", r.Shed), fmt.Sprintf("%.0f ms", r.P95)})
 	}
 	return rows
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -94,7 +94,7 @@
 "policy: kept" or "policy: broken: WHAT"; a broken promise is exit status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var err error
-			if r.Without, err = guards(r.Words, policy.GuardNamed); err != nil {
+			if r.Without, err = guards(r.ProcessGuards, policy.GuardNamed); err != nil {
 				return err
 			}
 			if r.Program, err = rigged(r.Mode, r.Only, harness.PolicyCases(), r.Size); err != nil {
@@ -111,7 +111,7 @@
 	f.IntVar(&r.Schedules, "schedules", 0, "virtual schedules; 0 for 200 with --quick, 2000 without")
 	f.IntVar(&r.Changes, "changes", 0, "real changes under load; 0 for 10 with --quick, 100 without")
 	f.StringVar(&r.Only, "only", "", "one case of the real part")
-	f.StringVar(&r.Words, "without", "", "guards taken out, parted by commas: "+strings.Join(policy.GuardNames(), ", "))
+	f.StringVar(&r.ProcessGuards, "without", "", "guards taken out, parted by commas: "+strings.Join(policy.GuardNames(), ", "))
 	return c
 }
 
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -127,8 +127,8 @@
 beside one that is kept in memory alone. The last line says "kept: kept" or "kept: broken: WHAT"; a broken promise is exit
 status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if r.Without != "" && !slices.Contains(harness.KeptGuards, r.Without) {
-				return usage(fmt.Errorf("--without: found %q, expected one of %v", r.Without, harness.KeptGuards))
+			if r.Without != "" && !slices.Contains(harness.ResultStoreGuards, r.Without) {
+				return usage(fmt.Errorf("--without: found %q, expected one of %v", r.Without, harness.ResultStoreGuards))
 			}
 			if r.Only != "" && r.Only != "kills" && r.Only != "costs" {
 				return usage(fmt.Errorf("--only: found %q, expected kills or costs", r.Only))
@@ -145,7 +145,7 @@
 	f.IntVar(&r.Kills, "kills", 0, "kills in all; 0 for 120 with --quick, 5000 without")
 	f.StringVar(&r.Out, "out", "", "folder for report.html and result.json")
 	f.StringVar(&r.Only, "only", "", "kills or costs")
-	f.StringVar(&r.Without, "without", "", "a guard taken out of the node: "+strings.Join(harness.KeptGuards, ", "))
+	f.StringVar(&r.Without, "without", "", "a guard taken out of the node: "+strings.Join(harness.ResultStoreGuards, ", "))
 	return c
 }
 
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -210,9 +210,9 @@
 once; folders lost, put back from an older copy, or gone on with by an older generation. The last line says
 "comeback: kept" or "comeback: broken: WHAT"; a broken promise is exit status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			for _, name := range strings.Split(r.Words, ",") {
-				if r.Words != "" && !slices.Contains(harness.ComebackGuards, name) {
-					return usage(fmt.Errorf("--without: found %q, expected one of %s", name, strings.Join(harness.ComebackGuards, ", ")))
+			for _, name := range strings.Split(r.ProcessGuards, ",") {
+				if r.ProcessGuards != "" && !slices.Contains(harness.RecoveryGuards, name) {
+					return usage(fmt.Errorf("--without: found %q, expected one of %s", name, strings.Join(harness.RecoveryGuards, ", ")))
 				}
 				if g, err := zones.GuardNamed(name); err == nil { // some are taken out on processes alone
 					r.Without |= g
@@ -234,6 +234,6 @@
 	f.StringVar(&r.Out, "out", "", "folder for report.html and result.json")
 	f.StringVar(&r.Mode, "mode", "both", "virtual, real or both")
 	f.StringVar(&r.Only, "only", "", "one case of the real part")
-	f.StringVar(&r.Words, "without", "", "guards taken out, parted by commas: "+strings.Join(harness.ComebackGuards, ", "))
+	f.StringVar(&r.ProcessGuards, "without", "", "guards taken out, parted by commas: "+strings.Join(harness.RecoveryGuards, ", "))
 	return c
 }
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -248,7 +248,7 @@
 between. The last line says "zones: kept" or "zones: broken: WHAT"; a broken promise is exit status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var err error
-			if r.Without, err = guards(r.Words, zones.GuardNamed); err != nil {
+			if r.Without, err = guards(r.ProcessGuards, zones.GuardNamed); err != nil {
 				return err
 			}
 			if r.Program, err = rigged(r.Mode, r.Only, harness.ZoneCases(), r.Size); err != nil {
@@ -264,6 +264,6 @@
 	f.StringVar(&r.Mode, "mode", "both", "virtual, real or both")
 	f.IntVar(&r.Schedules, "schedules", 0, "virtual schedules; 0 for 60 with --quick, 300 without")
 	f.StringVar(&r.Only, "only", "", "one case of the real part")
-	f.StringVar(&r.Words, "without", "", "guards taken out, parted by commas: "+strings.Join(zones.GuardNames(), ", "))
+	f.StringVar(&r.ProcessGuards, "without", "", "guards taken out, parted by commas: "+strings.Join(zones.GuardNames(), ", "))
 	return c
 }
--- a/internal/harness/client.go
+++ b/internal/harness/client.go
@@ -15,7 +15,7 @@
 	"umberwinch/internal/simulation"
 )
 
-// What the demo and the rig say to a node: its start-up file, and reqs as a sidecar sends them.
+// What the demo and fleets of processes send to a node: its start-up file, and requests as a sidecar sends them.
 
 // nodeSetUp is what a node's start-up file is made from.
 type nodeSetUp struct {
@@ -64,7 +64,7 @@
 	return hex.EncodeToString(raw[:])
 }
 
-// sendAttempt sends one try of a req and gives its status, 0 where none came, and for how long to keep away.
+// sendAttempt sends one attempt of a request and gives its status, 0 where none came, and its Retry-After.
 func sendAttempt(ctx context.Context, client *http.Client, addr, class string, tenant, sender int, key string,
 	again bool) (code int, backOff time.Duration) {
 	code, _, backOff, _ = sendAttemptWithBody(ctx, client, addr, class, tenant, sender, key, again, "body")
--- a/internal/harness/control_load.go
+++ b/internal/harness/control_load.go
@@ -14,22 +14,22 @@
 	"umberwinch/internal/control/consensus"
 )
 
-// load is clients that put as fast as they get answers, and what they were told.
-type load struct {
-	c      *controlProcesses
-	wg     sync.WaitGroup
-	stop   context.CancelFunc
-	last   atomic.Int64 // when an answer came last, in ns since the start
-	begun  time.Time
-	mu     sync.Mutex
-	taken  map[string]uint64 // by client and number, the version it was told
-	puts   int
-	times  *hdrhistogram.Histogram // of a put, in us
-	broken string
+// putLoad is clients that put as fast as they get answers, and what they were told.
+type putLoad struct {
+	c          *controlProcesses
+	wg         sync.WaitGroup
+	stop       context.CancelFunc
+	lastAnswer atomic.Int64 // when an answer came last, in ns since the start
+	started    time.Time
+	mu         sync.Mutex
+	committed  map[string]uint64 // by client and number, the version it was told
+	puts       int
+	times      *hdrhistogram.Histogram // of a put, in us
+	broken     string
 }
 
-func (c *controlProcesses) load(ctx context.Context, clients int) *load {
-	l := &load{c: c, begun: time.Now(), taken: map[string]uint64{}, times: hdrhistogram.New(1, 60_000_000, 3)}
+func (c *controlProcesses) startLoad(ctx context.Context, clients int) *putLoad {
+	l := &putLoad{c: c, started: time.Now(), committed: map[string]uint64{}, times: hdrhistogram.New(1, 60_000_000, 3)}
 	ctx, l.stop = context.WithCancel(ctx)
 	for i := 0; i < clients; i++ {
 		l.wg.Add(1)
@@ -39,14 +39,14 @@
 }
 
 // client puts one version after the other, each under a number that it repeats until it has an answer.
-func (l *load) client(ctx context.Context, n int) {
+func (l *putLoad) client(ctx context.Context, n int) {
 	session, base := fmt.Sprintf("load-%d-%d", n, time.Now().UnixNano()), uint64(0)
 	at := n
 	for seq := uint64(1); ctx.Err() == nil; seq++ {
 		name := fmt.Sprintf("%s-%d", session, seq)
 		put := consensus.Put{Session: session, Seq: seq, Base: base, Author: "load", Reason: name,
 			Text: fmt.Sprintf("[tenant t%d]\nrate = %d\n", n, seq)}
-		asked := time.Now()
+		sentAt := time.Now()
 		for ctx.Err() == nil {
 			// The last ask goes on after the load's end, so that nothing is left open.
 			try, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -59,13 +59,13 @@
 				continue
 			}
 			now := time.Now()
-			l.last.Store(int64(now.Sub(l.begun)))
+			l.lastAnswer.Store(int64(now.Sub(l.started)))
 			l.mu.Lock()
 			l.puts++
-			l.times.RecordValue(now.Sub(asked).Microseconds())
+			l.times.RecordValue(now.Sub(sentAt).Microseconds())
 			switch a.Outcome {
 			case consensus.PutCommitted:
-				l.taken[name] = a.Version
+				l.committed[name] = a.Version
 			case consensus.PutConflict:
 			default:
 				l.broken = fmt.Sprintf("%s was answered %+v", name, a)
@@ -78,14 +78,14 @@
 }
 
 // close stops the load and waits for its clients.
-func (l *load) close() {
+func (l *putLoad) close() {
 	l.stop()
 	l.wg.Wait()
 }
 
 // end stops the load and holds what clients were told against what the group has: each version told is there,
 // once, in order.
-func (l *load) end() error {
+func (l *putLoad) end() error {
 	l.close()
 	if l.broken != "" {
 		return errors.New(l.broken)
@@ -119,7 +119,7 @@
 			break
 		}
 	}
-	for name, version := range l.taken {
+	for name, version := range l.committed {
 		if byReason[name] != version {
 			return fmt.Errorf("%s was told version %d, the history has it as %d", name, version, byReason[name])
 		}
--- a/internal/harness/control_processes.go
+++ b/internal/harness/control_processes.go
@@ -38,7 +38,7 @@
 	procs        []*instanceProcess
 	http         *http.Client
 	out          *os.File
-	board        *forwarders
+	forwarders   *forwarders
 }
 
 // hosts numbers loopback addresses so that no two instances of a run share one. A port out of the range that
@@ -52,7 +52,7 @@
 
 // newControlProcesses starts a group and waits until all are voters. extra stands at the end of each operator's file.
 func newControlProcesses(ctx context.Context, program, dir string, size int, extra string, env ...string) (*controlProcesses, error) {
-	c := &controlProcesses{program: program, dir: dir, env: env, board: newForwarders(),
+	c := &controlProcesses{program: program, dir: dir, env: env, forwarders: newForwarders(),
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128,
 			DialContext: (&net.Dialer{Timeout: 200 * time.Millisecond}).DialContext}}}
 	var err error
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	c.board.front(l, name, p.bind)
+	c.forwarders.front(l, name, p.bind)
 	start := "join"
 	if i == 0 {
 		start = "new"
@@ -168,7 +168,7 @@
 				others = append(others, o.name)
 			}
 		}
-		c.board.partition(p.name, others, true, true)
+		c.forwarders.partition(p.name, others, true, true)
 		return false
 	case p.fault == diskStalls:
 		p.signal(syscall.SIGUSR2)
@@ -184,7 +184,7 @@
 		p.close()
 	}
 	c.out.Close()
-	c.board.close()
+	c.forwarders.close()
 }
 
 func (c *controlProcesses) await(ctx context.Context, holds func() error) error {
--- a/internal/harness/demo.go
+++ b/internal/harness/demo.go
@@ -48,10 +48,10 @@
 cheapest view
 dearest submit`
 
-// classResults is what became of a class's reqs, in all and since the last table.
+// classResults is what became of a class's requests, in all and since the last table.
 type classResults struct {
-	asked, done, inTime, shed, errored int
-	times                              *hdrhistogram.Histogram // tenths of a ms from the moment it was meant to be sent
+	requests, done, inTime, shed, errored int
+	times                                 *hdrhistogram.Histogram // tenths of a ms from the moment it was meant to be sent
 }
 
 func newClassResults() *classResults { return &classResults{times: hdrhistogram.New(1, 1_000_000, 2)} }
@@ -73,11 +73,11 @@
 
 // DemoResult is what one class got during a demo.
 type DemoResult struct {
-	Class  string
-	Asked  int
-	InTime float64
-	Shed   float64
-	P95    float64 // ms
+	Class    string
+	Requests int `json:"Asked"` // the key is kept for those that read it
+	InTime   float64
+	Shed     float64
+	P95      float64 // ms
 }
 
 // Run starts all of it, shows what happens, and ends it clean. A run that failed or was interrupted leaves the node's log:
@@ -119,7 +119,7 @@
 			return nil, err
 		}
 		defer o.store.Close()
-		below, o.kernel.calls = o.store.ln.Addr().String(), true
+		below, o.kernel.callsStore = o.store.ln.Addr().String(), true
 		o.store.Set(func(_, warm, _ *float64) {
 			if d.Trouble == "cold" {
 				*warm = 0
@@ -194,7 +194,7 @@
 	return signals, ended, nil
 }
 
-// ready waits until the node takes reqs.
+// ready waits until the node takes requests.
 func (o *demo) ready(ctx context.Context) error {
 	for end := time.Now().Add(10 * time.Second); ctx.Err() == nil; {
 		res, err := o.client.Get("http://" + o.addr + "/health")
@@ -285,7 +285,7 @@
 	return false
 }
 
-// class sends one class's reqs when they are due, whether or not earlier ones were answered.
+// class sends one class's requests when they are due, whether or not earlier ones were answered.
 func (o *demo) class(ctx context.Context, k int) {
 	r := mrand.New(mrand.NewSource(o.Seed*100 + int64(k)))
 	next := time.Now()
@@ -328,7 +328,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, s := range []*classResults{o.all[k], o.lately[k]} {
-		s.asked++
+		s.requests++
 		switch {
 		case code == http.StatusOK:
 			s.done++
@@ -359,9 +359,9 @@
 	fmt.Fprintln(t, "CLASS\tASKED\tDONE\tSHED\tERRORED\tMEDIAN\t95TH\tIN TIME SO FAR")
 	for k, s := range o.lately {
 		a := o.all[k]
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.0f ms\t%.0f ms\t%.3f\n", o.s.Classes[k].Name, s.asked, s.done, s.shed,
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.0f ms\t%.0f ms\t%.3f\n", o.s.Classes[k].Name, s.requests, s.done, s.shed,
 			s.errored, float64(s.times.ValueAtQuantile(50))/10, float64(s.times.ValueAtQuantile(95))/10,
-			float64(a.inTime)/float64(max(1, a.asked)))
+			float64(a.inTime)/float64(max(1, a.requests)))
 		o.lately[k] = newClassResults()
 	}
 	t.Flush()
@@ -380,8 +380,8 @@
 	defer o.mu.Unlock()
 	var out []DemoResult
 	for k, s := range o.all {
-		n := float64(max(1, s.asked))
-		out = append(out, DemoResult{o.s.Classes[k].Name, s.asked, float64(s.inTime) / n, float64(s.shed) / n,
+		n := float64(max(1, s.requests))
+		out = append(out, DemoResult{o.s.Classes[k].Name, s.requests, float64(s.inTime) / n, float64(s.shed) / n,
 			float64(s.times.ValueAtQuantile(95)) / 10})
 	}
 	return out
--- a/internal/harness/demo_test.go
+++ b/internal/harness/demo_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"context"
+	"encoding/json"
 	"fmt"
 	"net"
 	"strings"
@@ -24,8 +25,8 @@
 		t.Fatalf("%+v\n%s", res, out.String())
 	}
 	for _, r := range res {
-		if r.Asked < 20 {
-			t.Errorf("%s: %d asked", r.Class, r.Asked)
+		if r.Requests < 20 {
+			t.Errorf("%s: %d asked", r.Class, r.Requests)
 		}
 	}
 	if view := res[0]; view.InTime < 0.9 {
@@ -33,6 +34,14 @@
 	}
 }
 
+// The results of a demo are printed as JSON by `umberctl demo --json`: its keys stay whatever the fields' names are.
+func TestDemoResultKeepsItsKeys(t *testing.T) {
+	raw, err := json.Marshal(DemoResult{Class: "view", Requests: 3, InTime: 0.5, Shed: 0.25, P95: 12})
+	if want := `{"Class":"view","Asked":3,"InTime":0.5,"Shed":0.25,"P95":12}`; err != nil || string(raw) != want {
+		t.Errorf("%s, %v; expected %s", raw, err, want)
+	}
+}
+
 // TestEmulatedKernel speaks the platform's protocol: a run is told over, kept for a new link, and what it can't read
 // closes the link.
 func TestEmulatedKernel(t *testing.T) {
--- a/internal/harness/emulated_kernel.go
+++ b/internal/harness/emulated_kernel.go
@@ -17,39 +17,39 @@
 // EmulatedKernel is an emulated kernel on a socket: it speaks the platform's protocol to one node and shares a number of cores
 // among what runs. Work takes no real core: each run is told over once the service it would have had is its work.
 type EmulatedKernel struct {
-	mu      sync.Mutex
-	r       *rand.Rand
-	ln      net.Listener
-	link    net.Conn
-	classes map[string]*simulation.Class
-	cores   float64
-	runs    map[string]*kernelRun
-	order   []string
-	notices [][]byte // the latest keptNotices
-	first   int      // number of notices[0]
-	busy    float64  // core time used, in ms
-	at      time.Time
-	step    time.Duration // between looks at what has ended
-	stop    chan struct{}
-	calls   bool                     // each run calls below once, in the middle of its work
-	begins  func(body []byte) []byte // told each run as it begins, and gives its result; nil: "done" for all
-	dead    bool
-	wg      sync.WaitGroup // of what accepts, works and serves links
+	mu         sync.Mutex
+	random     *rand.Rand
+	ln         net.Listener
+	conn       net.Conn
+	classes    map[string]*simulation.Class
+	cores      float64
+	runs       map[string]*kernelRun
+	order      []string
+	events     [][]byte // the latest retainedEvents
+	first      int      // number of events[0]
+	busy       float64  // core time used, in ms
+	at         time.Time
+	step       time.Duration // between looks at what has ended
+	stop       chan struct{}
+	callsStore bool                     // each run calls below once, in the middle of its work
+	onBegin    func(body []byte) []byte // told each run as it begins, and gives its result; nil: "done" for all
+	dead       bool
+	wg         sync.WaitGroup // of what accepts, works and serves links
 }
 
 type kernelRun struct {
-	left  float64 // ms of work
-	call  float64 // it calls below when so much is left; 0: not, or not any more
-	away  bool    // it stands at that call
-	began time.Time
-	gives []byte
-	asks  []byte // the body of its call
+	remaining float64 // ms of work
+	callAt    float64 // it calls below when so much is left; 0: not, or not any more
+	waiting   bool    // it stands at that call
+	began     time.Time
+	result    []byte
+	callBody  []byte // the body of its call
 }
 
 const (
-	keptNotices = 4000
-	kernelStep  = time.Millisecond
-	standMost   = 1500 * time.Millisecond // that a run stands at a call: what it is for is over by then
+	retainedEvents = 4000
+	kernelStep     = time.Millisecond
+	maxCallWait    = 1500 * time.Millisecond // that a run stands at a call: what it is for is over by then
 )
 
 // NewEmulatedKernel listens on an address.
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &EmulatedKernel{r: rand.New(rand.NewSource(seed)), ln: ln, classes: map[string]*simulation.Class{}, cores: cores,
+	k := &EmulatedKernel{random: rand.New(rand.NewSource(seed)), ln: ln, classes: map[string]*simulation.Class{}, cores: cores,
 		runs: map[string]*kernelRun{}, first: 1, at: time.Now(), step: step, stop: make(chan struct{})}
 	for i := range classes {
 		c := classes[i]
@@ -75,8 +75,8 @@
 	k.ln.Close()
 	k.mu.Lock()
 	k.dead = true
-	if k.link != nil {
-		k.link.Close()
+	if k.conn != nil {
+		k.conn.Close()
 	}
 	k.mu.Unlock()
 	k.wg.Wait()
@@ -93,9 +93,9 @@
 func (k *EmulatedKernel) Kill(dead bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.dead = dead; dead && k.link != nil {
-		k.link.Close()
-		k.link = nil
+	if k.dead = dead; dead && k.conn != nil {
+		k.conn.Close()
+		k.conn = nil
 	}
 	if !dead {
 		for len(k.order) > 0 {
@@ -108,16 +108,16 @@
 func (k *EmulatedKernel) Break() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.link != nil {
-		k.link.Close()
-		k.link = nil
+	if k.conn != nil {
+		k.conn.Close()
+		k.conn = nil
 	}
 }
 
 // onCores counts the runs that want cores.
 func (k *EmulatedKernel) onCores() (n float64) {
 	for _, r := range k.runs {
-		if !r.away {
+		if !r.waiting {
 			n++
 		}
 	}
@@ -143,10 +143,10 @@
 			c.Close()
 			continue
 		}
-		if k.link != nil {
-			k.link.Close() // a new link takes the place of the one before
+		if k.conn != nil {
+			k.conn.Close() // a new link takes the place of the one before
 		}
-		k.link = c
+		k.conn = c
 		k.mu.Unlock()
 		k.wg.Go(func() { k.serve(c) })
 	}
@@ -184,8 +184,8 @@
 	switch m.Verb {
 	case "OPEN":
 		fmt.Fprintf(c, "{\"verb\":\"BOOTED\",\"outcome\":\"WARM\",\"spent\":60000}\n")
-		for i := max(m.Index+1-k.first, 0); i < len(k.notices); i++ {
-			c.Write(k.notices[i])
+		for i := max(m.Index+1-k.first, 0); i < len(k.events); i++ {
+			c.Write(k.events[i])
 		}
 	case "SYSINFO":
 		n := k.onCores()
@@ -196,12 +196,12 @@
 		case class == nil || len(m.Task) != 16:
 			fmt.Fprintf(c, "{\"verb\":\"EINVAL\",\"outcome\":\"SCHED\",\"task\":%q}\n", m.Task)
 		case k.runs[m.Task] == nil:
-			r := &kernelRun{left: k.drawWork(class), began: time.Now()}
-			if k.calls {
-				r.call = r.left / 2
+			r := &kernelRun{remaining: k.drawWork(class), began: time.Now()}
+			if k.callsStore {
+				r.callAt = r.remaining / 2
 			}
-			if r.gives, r.asks = []byte("done"), []byte("ask"); k.begins != nil {
-				r.gives, r.asks = k.begins(m.Bytes), m.Bytes
+			if r.result, r.callBody = []byte("done"), []byte("ask"); k.onBegin != nil {
+				r.result, r.callBody = k.onBegin(m.Bytes), m.Bytes
 			}
 			k.runs[m.Task] = r
 			k.order = append(k.order, m.Task)
@@ -212,7 +212,7 @@
 		}
 	case "IODONE", "NOIO":
 		if r := k.runs[m.Task]; r != nil {
-			r.away = false
+			r.waiting = false
 		}
 	case "RESCHED":
 	default:
@@ -224,9 +224,9 @@
 func (k *EmulatedKernel) drawWork(c *simulation.Class) float64 {
 	work := c.Work / 10
 	if c.WorkSigma > 0 {
-		work *= math.Exp(c.WorkSigma*k.r.NormFloat64() - c.WorkSigma*c.WorkSigma/2)
+		work *= math.Exp(c.WorkSigma*k.random.NormFloat64() - c.WorkSigma*c.WorkSigma/2)
 	}
-	if k.r.Float64() < c.HeavyShare {
+	if k.random.Float64() < c.HeavyShare {
 		work *= c.HeavyFactor
 	}
 	return work
@@ -252,18 +252,18 @@
 			for i := 0; i < len(k.order); i++ {
 				id := k.order[i]
 				r := k.runs[id]
-				if r.away {
-					if time.Since(r.began) > standMost {
+				if r.waiting {
+					if time.Since(r.began) > maxCallWait {
 						k.endRun(id, "STOPPED")
 						i--
 					}
 					continue
 				}
-				if r.left -= part; r.call > 0 && r.left <= r.call {
-					r.call, r.away = 0, true
-					k.sendEvent(fmt.Sprintf("{\"verb\":\"IOREQ\",\"index\":%d,\"task\":%q,\"bytes\":%q}\n", k.first+len(k.notices), id,
-						base64.StdEncoding.EncodeToString(r.asks)))
-				} else if r.left <= 0 {
+				if r.remaining -= part; r.callAt > 0 && r.remaining <= r.callAt {
+					r.callAt, r.waiting = 0, true
+					k.sendEvent(fmt.Sprintf("{\"verb\":\"IOREQ\",\"index\":%d,\"task\":%q,\"bytes\":%q}\n", k.first+len(k.events), id,
+						base64.StdEncoding.EncodeToString(r.callBody)))
+				} else if r.remaining <= 0 {
 					k.endRun(id, "OK")
 					i--
 				}
@@ -285,22 +285,22 @@
 	}
 	body := ""
 	if how == "OK" {
-		body = base64.StdEncoding.EncodeToString(r.gives)
+		body = base64.StdEncoding.EncodeToString(r.result)
 	}
 	k.sendEvent(fmt.Sprintf("{\"verb\":\"REAP\",\"index\":%d,\"task\":%q,\"outcome\":%q,\"spent\":%.1f,\"bytes\":%q}\n",
-		k.first+len(k.notices), id, how, float64(time.Since(r.began))/float64(time.Millisecond), body))
+		k.first+len(k.events), id, how, float64(time.Since(r.began))/float64(time.Millisecond), body))
 }
 
 // sendEvent sends a notice and keeps it for a link that comes later.
 func (k *EmulatedKernel) sendEvent(text string) {
 	line := []byte(text)
-	k.notices = append(k.notices, line)
-	if len(k.notices) > keptNotices {
-		k.notices = k.notices[1:]
+	k.events = append(k.events, line)
+	if len(k.events) > retainedEvents {
+		k.events = k.events[1:]
 		k.first++
 	}
-	if k.link != nil {
-		k.link.SetWriteDeadline(time.Now().Add(time.Second))
-		k.link.Write(line)
+	if k.conn != nil {
+		k.conn.SetWriteDeadline(time.Now().Add(time.Second))
+		k.conn.Write(line)
 	}
 }
--- a/internal/harness/emulated_store.go
+++ b/internal/harness/emulated_store.go
@@ -14,23 +14,23 @@
 // workers, a cache that calls fill, and a cost for each connection that is opened. Work takes no real core: a call is
 // answered when its turn and its time have come.
 type EmulatedStore struct {
-	mu    sync.Mutex
-	ln    net.Listener
-	conns map[net.Conn]bool
-	r     *rand.Rand
-	free  []time.Time // when each worker is
-	cost  time.Duration
-	cold  float64 // times that a call takes while the cache is empty
-	fill  float64 // calls after which it is full
-	warm  float64
-	speed float64
-	fails float64
-	gone  map[string]bool // calls that were dropped
-	from  time.Time
-	asked []float64 // worker time asked for, by tenth of a second since from, over what there is
-	calls int
-	opens int
-	heard func(body []byte) // told each call that is carried out; nil: nobody is
+	mu          sync.Mutex
+	ln          net.Listener
+	conns       map[net.Conn]bool
+	random      *rand.Rand
+	freeAt      []time.Time // when each worker is
+	cost        time.Duration
+	coldFactor  float64 // times that a call takes while the cache is empty
+	warmUpCalls float64 // calls after which it is full
+	warmth      float64
+	speed       float64
+	errorRate   float64
+	dropped     map[string]bool // calls that were dropped
+	started     time.Time
+	demand      []float64 // worker time asked for, by tenth of a second since from, over what there is
+	calls       int
+	opens       int
+	onCall      func(body []byte) // told each call that is carried out; nil: nobody is
 }
 
 // openCost is what a new connection takes of a worker: some calls' time, as a handshake and a session do.
@@ -48,8 +48,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &EmulatedStore{ln: ln, conns: map[net.Conn]bool{}, r: rand.New(rand.NewSource(seed)), free: make([]time.Time, workers),
-		cost: cost, cold: cold, fill: fill, warm: 1, speed: 1, gone: map[string]bool{}, from: time.Now()}
+	s := &EmulatedStore{ln: ln, conns: map[net.Conn]bool{}, random: rand.New(rand.NewSource(seed)), freeAt: make([]time.Time, workers),
+		cost: cost, coldFactor: cold, warmUpCalls: fill, warmth: 1, speed: 1, dropped: map[string]bool{}, started: time.Now()}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -81,41 +81,41 @@
 func (s *EmulatedStore) Set(change func(speed, warm, fails *float64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change(&s.speed, &s.warm, &s.fails)
+	change(&s.speed, &s.warmth, &s.errorRate)
 }
 
 // work takes a worker's time and says when it is done and how long it had to wait.
 func (s *EmulatedStore) work(cost time.Duration) (done time.Time, wait time.Duration) {
 	now := time.Now()
 	best := 0
-	for i := range s.free {
-		if s.free[i].Before(s.free[best]) {
+	for i := range s.freeAt {
+		if s.freeAt[i].Before(s.freeAt[best]) {
 			best = i
 		}
 	}
 	start := now
-	if s.free[best].After(now) {
-		start = s.free[best]
+	if s.freeAt[best].After(now) {
+		start = s.freeAt[best]
 	}
-	slot := int(now.Sub(s.from) / (100 * time.Millisecond))
-	for len(s.asked) <= slot {
-		s.asked = append(s.asked, 0)
+	slot := int(now.Sub(s.started) / (100 * time.Millisecond))
+	for len(s.demand) <= slot {
+		s.demand = append(s.demand, 0)
 	}
-	s.asked[slot] += cost.Seconds() / (0.1 * float64(len(s.free)))
+	s.demand[slot] += cost.Seconds() / (0.1 * float64(len(s.freeAt)))
 	if wait = start.Sub(now); wait > busyAfter {
 		return start, wait
 	}
-	s.free[best] = start.Add(cost)
-	return s.free[best], wait
+	s.freeAt[best] = start.Add(cost)
+	return s.freeAt[best], wait
 }
 
 // Peak gives the most that was asked for over what it bears since a time, over any whole second.
 func (s *EmulatedStore) Peak(since time.Time) (peak float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := max(0, int(since.Sub(s.from)/(100*time.Millisecond))); i+10 <= len(s.asked); i++ {
+	for i := max(0, int(since.Sub(s.started)/(100*time.Millisecond))); i+10 <= len(s.demand); i++ {
 		sum := 0.0
-		for _, a := range s.asked[i : i+10] {
+		for _, a := range s.demand[i : i+10] {
 			sum += a / 10
 		}
 		peak = max(peak, sum)
@@ -127,11 +127,11 @@
 func (s *EmulatedStore) Mean(since time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sum, from := 0.0, max(0, int(since.Sub(s.from)/(100*time.Millisecond)))
-	for _, a := range s.asked[min(from, len(s.asked)):] {
+	sum, from := 0.0, max(0, int(since.Sub(s.started)/(100*time.Millisecond)))
+	for _, a := range s.demand[min(from, len(s.demand)):] {
 		sum += a
 	}
-	return sum / max(1, float64(time.Since(s.from)/(100*time.Millisecond))-float64(from))
+	return sum / max(1, float64(time.Since(s.started)/(100*time.Millisecond))-float64(from))
 }
 
 // storeConn is one connection to the store.
@@ -182,7 +182,7 @@
 // drop has a call that is under way go without an answer or an effect.
 func (s *EmulatedStore) drop(id string) {
 	s.mu.Lock()
-	s.gone[id] = true
+	s.dropped[id] = true
 	s.mu.Unlock()
 }
 
@@ -192,10 +192,10 @@
 	s := c.s
 	s.mu.Lock()
 	s.calls++
-	delete(s.gone, call.id)
-	cost := time.Duration(float64(s.cost) * (1 + (s.cold-1)*(1-s.warm)) / s.speed)
+	delete(s.dropped, call.id)
+	cost := time.Duration(float64(s.cost) * (1 + (s.coldFactor-1)*(1-s.warmth)) / s.speed)
 	done, waits := s.work(cost)
-	fails := s.r.Float64() < s.fails
+	fails := s.random.Float64() < s.errorRate
 	s.mu.Unlock()
 	if waits > busyAfter {
 		c.answer(call.id + " BUSY\r\n")
@@ -208,11 +208,11 @@
 func (c *storeConn) end(call storeCall, fails bool) {
 	s := c.s
 	s.mu.Lock()
-	s.warm = min(1, s.warm+1/s.fill)
-	gone := s.gone[call.id]
-	delete(s.gone, call.id)
-	if s.heard != nil && !gone && !fails {
-		s.heard(call.body)
+	s.warmth = min(1, s.warmth+1/s.warmUpCalls)
+	gone := s.dropped[call.id]
+	delete(s.dropped, call.id)
+	if s.onCall != nil && !gone && !fails {
+		s.onCall(call.body)
 	}
 	s.mu.Unlock()
 	switch {
--- a/internal/harness/faults_on_demand.go
+++ b/internal/harness/faults_on_demand.go
@@ -56,10 +56,10 @@
 		return consensus.Faults{}
 	}
 	armed := &atomic.Bool{}
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGUSR2)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGUSR2)
 	go func() {
-		for range told {
+		for range signals {
 			armed.Store(true)
 		}
 	}()
--- a/internal/harness/fleet_ask.go
+++ b/internal/harness/fleet_control.go
@@ -13,7 +13,7 @@
 	"umberwinch/internal/control/policy"
 )
 
-// sleep waits, unless the rig ends.
+// sleep waits, unless the fleet ends.
 func (r *FleetProcesses) sleep(d time.Duration) {
 	select {
 	case <-r.ctx.Done():
@@ -90,7 +90,7 @@
 			case v.Fenced != "" || v.ActiveVersion != version:
 				return fmt.Errorf("%s serves under version %d, fenced %q, expected version %d", n.name, v.ActiveVersion, v.Fenced,
 					version)
-			case !r.ready.is(n.name):
+			case !r.ready.ready(n.name):
 				return fmt.Errorf("%s is not ready by the list", n.name)
 			}
 		}
--- a/internal/harness/fleet_history.go
+++ b/internal/harness/fleet_history.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.inForce = steps.inForce()
+	r.commitTimes = steps.commitTimes()
 	all := steps.events()
 	r.mu.Lock()
 	own := append([]simulation.FleetEvent(nil), r.events...)
@@ -127,8 +127,8 @@
 	})
 }
 
-// inForce gives the ms that each change took from its first step to being in force.
-func (c *changeSteps) inForce() map[uint64]float64 {
+// commitTimes gives the ms that each change took from its first step to being in force.
+func (c *changeSteps) commitTimes() map[uint64]float64 {
 	out := map[uint64]float64{}
 	for _, k := range c.order {
 		begun, known := c.first[changeStep{k.number, policy.Preparing}]
@@ -188,7 +188,7 @@
 // machine may let it wait for a core.
 const settle = 10_000
 
-// nodeHistory makes spans of service of what a node's log and the rig said: a process that stands still serves nothing,
+// nodeHistory makes spans of service of what a node's log and the scenario say: a process that stands still serves nothing,
 // and one that goes on serves what it did unless its first round fenced it.
 func nodeHistory(told []simulation.FleetEvent) (out []simulation.FleetEvent) {
 	sort.SliceStable(told, func(i, k int) bool { return told[i].At < told[k].At })
--- a/internal/harness/fleet_load.go
+++ b/internal/harness/fleet_load.go
@@ -14,34 +14,34 @@
 	"umberwinch/internal/simulation"
 )
 
-// CallResults is what became of callers' reqs.
+// CallResults is what became of callers' requests.
 type CallResults struct {
-	mu                              sync.Mutex
-	Asked, Done, Shed, Lost, Errors int
-	Tries                           int
-	Times                           []float64 // ms of those done
-	Each                            []CallResult
+	mu                                 sync.Mutex
+	Requests, Done, Shed, Lost, Errors int
+	Attempts                           int
+	Times                              []float64 // ms of those done
+	Each                               []CallResult
 }
 
-// CallResult is one req that a node answered.
+// CallResult is one request that a node answered.
 type CallResult struct {
-	At    time.Time
-	Node  *nodeProcess
-	Code  int // 0: it had no answer
-	Value float64
-	Good  bool // done within its target
-	Tries int
+	At       time.Time
+	Node     *nodeProcess
+	Code     int // 0: it had no answer
+	Value    float64
+	InTime   bool // done within its target
+	Attempts int
 }
 
 // String is the line of a report: calls by outcome, and their attempts.
 func (c *CallResults) String() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return fmt.Sprintf("asked %d, done %d, shed %d, lost %d, errored %d, tries %d", c.Asked, c.Done, c.Shed, c.Lost, c.Errors,
-		c.Tries)
+	return fmt.Sprintf("asked %d, done %d, shed %d, lost %d, errored %d, tries %d", c.Requests, c.Done, c.Shed, c.Lost, c.Errors,
+		c.Attempts)
 }
 
-// quantile gives a time that a share of reqs was done within.
+// quantile gives a time that a share of requests was done within.
 func (c *CallResults) quantile(q float64) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,31 +52,31 @@
 	return c.Times[min(len(c.Times)-1, int(q*float64(len(c.Times))))]
 }
 
-// count gives how many reqs were noted one by one so far.
+// count gives how many requests were noted one by one so far.
 func (c *CallResults) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.Each)
 }
 
-// valueInTime gives the share of value that was done in time, of the reqs after the first from.
+// valueInTime gives the share of value that was done in time, of the requests after the first from.
 func (c *CallResults) valueInTime(from int) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	good, all := 0.0, 0.0
 	for _, a := range c.Each[from:] {
-		if all += a.Value; a.Good {
+		if all += a.Value; a.InTime {
 			good += a.Value
 		}
 	}
 	return good / max(all, 1)
 }
 
-// Load sends reqs at a rate until the context ends, each to a node that the list says is ready, and elsewhere when it
-// is turned away: so a req is lost only if nobody answered it in its time.
+// Load sends requests at a rate until the context ends, each to a node that the list says is ready, and elsewhere when it
+// is turned away: so a request is lost only if nobody answered it in its time.
 func (r *FleetProcesses) Load(ctx context.Context, rate float64) *CallResults {
 	c := &CallResults{}
-	s, _ := simulation.ReadScenario("fleet", rigClasses)
+	s, _ := simulation.ReadScenario("fleet", fleetClasses)
 	chance := rand.New(rand.NewSource(r.Seed))
 	r.loads.Add(1)
 	go func() {
@@ -114,7 +114,7 @@
 	return 0
 }
 
-// clientCall is one req with its attempts.
+// clientCall is one request with its attempts.
 type clientCall struct {
 	r               *FleetProcesses
 	class           *simulation.Class
@@ -128,7 +128,7 @@
 	last            *nodeProcess
 }
 
-// call sends one req and notes what became of it.
+// call sends one request and notes what became of it.
 func (r *FleetProcesses) call(c *CallResults, class *simulation.Class, keyed bool, tenant, first int) {
 	began := time.Now()
 	q := &clientCall{r: r, class: class, tenant: tenant, first: first, began: began, backoff: firstGap,
@@ -149,7 +149,7 @@
 			time.Sleep(firstGap) // the list was gone through once
 		}
 		i := (q.first + k) % len(nodes)
-		if !q.r.ready.is(nodes[i].name) || q.r.Odd == i+1 && q.class.Name == "fill" {
+		if !q.r.ready.ready(nodes[i].name) || q.r.OddNode == i+1 && q.class.Name == "fill" {
 			continue
 		}
 		if q.mayHaveRun() || !q.pause() {
@@ -159,14 +159,14 @@
 	}
 }
 
-// mayHaveRun tells whether a keyed req may have run at the last node: elsewhere it would run again.
+// mayHaveRun tells whether a keyed request may have run at the last node: elsewhere it would run again.
 func (q *clientCall) mayHaveRun() bool {
 	return q.key != "" && q.attempts > 0 && q.code != http.StatusServiceUnavailable
 }
 
 // pause waits before an attempt after the first ones, unless that would be for nobody: then it gives false.
 func (q *clientCall) pause() bool {
-	if q.attempts < atOnce || q.r.Eager {
+	if q.attempts < atOnce || q.r.RetryAtOnce {
 		return true
 	}
 	if q.backoff > time.Until(q.deadline) {
@@ -185,22 +185,22 @@
 	q.code, retryAfter = sendAttempt(ctx, q.r.client, n.front, q.class.Name, q.tenant, q.sender, q.key, q.attempts > 0)
 	q.attempts++
 	q.last = n
-	if q.r.Patient && q.code == http.StatusServiceUnavailable {
+	if q.r.HonorRetryAfter && q.code == http.StatusServiceUnavailable {
 		time.Sleep(min(retryAfter, time.Until(q.deadline)))
 	}
 }
 
-// note counts what became of a req.
+// note counts what became of a request.
 func (c *CallResults) note(q *clientCall) {
 	took := time.Since(q.began)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.Asked++
-	c.Tries += q.attempts
-	if q.r.Below {
+	c.Requests++
+	c.Attempts += q.attempts
+	if q.r.WithStores {
 		objective := time.Duration(q.class.Handler.LatencyObjective) * 100 * time.Microsecond
 		c.Each = append(c.Each, CallResult{At: time.Now(), Node: q.last, Code: q.code, Value: q.class.Handler.Value,
-			Good: took <= objective && q.code == http.StatusOK, Tries: q.attempts})
+			InTime: took <= objective && q.code == http.StatusOK, Attempts: q.attempts})
 	}
 	switch q.code {
 	case http.StatusOK:
--- a/internal/harness/fleet_processes.go
+++ b/internal/harness/fleet_processes.go
@@ -13,25 +13,25 @@
 	"umberwinch/internal/simulation"
 )
 
-// fleet.go is the one rig for fleets: a group and nodes as processes of the built programs, emulated kernels, a list of
-// who is ready, callers that try elsewhere, and a forwarder on every line that can cut, mute and slow it. What happened
-// is read from the processes' own logs afterwards.
+// A fleet of processes is a control group and nodes of the built programs, emulated kernels, an endpoint list, callers that
+// retry at other nodes, and a forwarder on every link that can cut, drop and delay it. What happened is read from the
+// processes' own logs afterwards.
 
-// FleetProcessesPlan says what a rig is made of.
+// FleetProcessesPlan says what a fleet is made of.
 type FleetProcessesPlan struct {
-	Program   string // umberctl; the node's program stands beside it, or is its hidden command
-	Dir       string
-	Seed      int64
-	Instances int
-	Nodes     int
-	Folders   bool // nodes keep their policy on disk
-	Rate      float64
-	Without   string
-	Keep      bool // what ends is started again, by a pace of its own
-	Odd       int  // this node's platform has no class "fill"; 0: none
-	Patient   bool // callers that are turned away come back when they are told to, not sooner
-	Eager     bool // callers that are turned away ask on at once, elsewhere
-	Below     bool // each zone has a service below, which each run calls once; what it bears is in rigBelow
+	Program         string // umberctl; the node's program stands beside it, or is its hidden command
+	Dir             string
+	Seed            int64
+	Instances       int
+	Nodes           int
+	Folders         bool // nodes keep their policy on disk
+	Rate            float64
+	Without         string
+	RestartEnded    bool // what ends is started again, by a pace of its own
+	OddNode         int  // this node's platform has no class "fill"; 0: none
+	HonorRetryAfter bool // callers that are turned away come back when they are told to, not sooner
+	RetryAtOnce     bool // callers that are turned away ask on at once, elsewhere
+	WithStores      bool // each zone has a service below, which each run calls once
 }
 
 // FleetProcesses is a fleet at work.
@@ -41,7 +41,7 @@
 	nodes      []*nodeProcess
 	ready      *readiness
 	client     *http.Client
-	events     []simulation.FleetEvent // the rig's own: kills and stops
+	events     []simulation.FleetEvent // the fleet's own: kills and stops
 	mu         sync.Mutex
 	loads      sync.WaitGroup
 	background sync.WaitGroup // what starts processes again
@@ -51,12 +51,12 @@
 	closed     sync.Once
 	// ms from a change's first step to its being in force, by the instances' logs, as of the last History: the group's own
 	// time stands between beats, so it can't tell.
-	inForce map[uint64]float64
-	stores  map[string]*EmulatedStore // by zone
+	commitTimes map[uint64]float64
+	stores      map[string]*EmulatedStore // by zone
 }
 
-// rigBelow is a zone's service below: four workers and 8 ms a call, so 500 calls a second; cold a call takes twelve times
-// as long, and 200 calls fill the cache.
+// A zone's service below has four workers and takes 8 ms a call, so it serves 500 calls a second; cold, a call takes twelve
+// times as long, and 200 calls warm the cache.
 const (
 	belowWorkers = 4
 	belowCost    = 8 * time.Millisecond
@@ -64,8 +64,8 @@
 	belowFill    = 200
 )
 
-// rigClasses are the reqs of a rig: light, so that a dozen nodes fit a small machine.
-const rigClasses = `cores 4
+// fleetClasses are the requests of a fleet: light, so that a dozen nodes fit a small machine.
+const fleetClasses = `cores 4
 tenants 2
 class view work=2 share=70 tail=0 target=300 timeout=3000 value=1
 class fill work=4 share=20 tail=0 target=500 timeout=3000 value=2
@@ -91,9 +91,9 @@
 	if r.group, err = newControlProcesses(ctx, r.Program, r.Dir, r.Instances, extra, WithoutEnv+"="+r.Without); err != nil {
 		return err
 	}
-	if r.Keep {
+	if r.RestartEnded {
 		for _, p := range r.group.procs {
-			r.background.Go(func() { p.keepRunning(r.ctx, func() error { return r.group.start(p, "") }) })
+			r.background.Go(func() { p.restartWhenEnded(r.ctx, func() error { return r.group.start(p, "") }) })
 		}
 	}
 	if r.ready, err = newReadiness(); err != nil {
@@ -116,14 +116,14 @@
 		if err = n.Start(); err != nil {
 			return err
 		}
-		if r.Keep {
-			r.background.Go(func() { n.proc.keepRunning(r.ctx, n.Start) })
+		if r.RestartEnded {
+			r.background.Go(func() { n.proc.restartWhenEnded(r.ctx, n.Start) })
 		}
 	}
 	return r.AllServe(0, time.Minute)
 }
 
-// WithoutEnv names guards that processes of a rig leave out.
+// WithoutEnv names guards that processes of a fleet leave out.
 const WithoutEnv = "UMBERWINCH_WITHOUT"
 
 // Close ends all processes.
@@ -163,12 +163,12 @@
 func (r *FleetProcesses) setLinkFault(f linkFault, nodes ...*nodeProcess) {
 	for _, n := range nodes {
 		for _, p := range r.group.procs {
-			r.group.board.set(n.name, p.name, f)
+			r.group.forwarders.set(n.name, p.name, f)
 		}
 	}
 }
 
-func (r *FleetProcesses) heal() { r.group.board.heal() }
+func (r *FleetProcesses) heal() { r.group.forwarders.heal() }
 
 // nodesIn gives the nodes of a zone.
 func (r *FleetProcesses) nodesIn(zone string) (out []*nodeProcess) {
@@ -196,7 +196,7 @@
 }
 
 // A caller asks three nodes at once, one after the other, then waits before each further try, twice as long each time from 30 ms:
-// nine tries in the 3 s that most reqs have. Without a pace callers take the cores that a fleet which is
+// nine attempts in the 3 s that most requests have. Without a pace callers take the cores that a fleet which is
 // down needs to come up, where machines are short of them.
 const (
 	maxTries = 20 // of those that are Eager; the others' time is over before
--- a/internal/harness/fleet_processes_test.go
+++ b/internal/harness/fleet_processes_test.go
@@ -103,7 +103,7 @@
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
 			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
-				return (&PolicyTest{Seed: seed, Quick: true, Mode: "real", Words: guard, Only: only, Size: 6,
+				return (&PolicyTest{Seed: seed, Quick: true, Mode: "real", ProcessGuards: guard, Only: only, Size: 6,
 					Program: built(t)}).Run(context.Background(), w)
 			})
 		})
@@ -160,7 +160,7 @@
 	if c.Step != "called off" || !strings.Contains(c.AbortReason, "n1 (is silent and may serve alone") {
 		t.Fatalf("change %+v, expected it called off for n1", c)
 	}
-	if code, _, _ := b.one("n1"); code != 200 {
+	if code, _, _ := b.sendOne("n1"); code != 200 {
 		t.Errorf("the node that is cut off answers %d, expected that it serves", code)
 	}
 	// Killed and forgotten, it is waited for no more.
@@ -168,10 +168,10 @@
 	var out map[string]string
 	_, err = b.ask("POST", "/v1/nodes/forget", map[string]string{"name": "n1"}, &out)
 	fail("forgetting", err)
-	b.more = "[zones]\ndecide = auto\nfirst = 0.125\nhold = 500ms\nsmall_start = yes\n"
+	b.extraText = "[zones]\ndecide = auto\nfirst = 0.125\nhold = 500ms\nsmall_start = yes\n"
 	number, version, err := b.Propose(b.text(""), policyProposal(10000))
 	fail("a change", err)
-	_, err = b.settled(number, version)
+	_, err = b.awaitSettled(number, version)
 	fail("a change without the node that was forgotten", err)
 	// The group goes; all serve on, and one that starts now serves its last version.
 	for _, p := range b.group.procs {
@@ -182,7 +182,7 @@
 	time.Sleep(2 * b.lease)
 	fail("service without the group", b.await(20*time.Second, func() error {
 		for _, n := range b.nodes[1:] {
-			if code, _, err := b.one(n.name); code != 200 {
+			if code, _, err := b.sendOne(n.name); code != 200 {
 				return err
 			}
 		}
@@ -288,17 +288,17 @@
 func TestCallersHaveAPace(t *testing.T) {
 	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }))
 	defer busy.Close()
-	s, err := simulation.ReadScenario("fleet", rigClasses)
+	s, err := simulation.ReadScenario("fleet", fleetClasses)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Classes[0].Handler.Timeout = 10_000 // a second: three at once, then after 30, 90, 210, 450 and 930 ms
 	for _, eager := range []bool{false, true} {
-		r := &FleetProcesses{FleetProcessesPlan: FleetProcessesPlan{Eager: eager}, ready: &readiness{readyAt: map[string]time.Time{"n1": time.Now()}}, client: busy.Client()}
+		r := &FleetProcesses{FleetProcessesPlan: FleetProcessesPlan{RetryAtOnce: eager}, ready: &readiness{readyAt: map[string]time.Time{"n1": time.Now()}}, client: busy.Client()}
 		r.nodes = []*nodeProcess{{name: "n1", front: strings.TrimPrefix(busy.URL, "http://")}}
 		c := &CallResults{}
 		r.call(c, &s.Classes[0], false, 0, 0)
-		if c.Shed != 1 || eager != (c.Tries > 8) || c.Tries < 4 {
+		if c.Shed != 1 || eager != (c.Attempts > 8) || c.Attempts < 4 {
 			t.Errorf("eager %v: %v", eager, c)
 		}
 	}
--- a/internal/harness/forwarders.go
+++ b/internal/harness/forwarders.go
@@ -47,18 +47,18 @@
 			if err != nil {
 				return
 			}
-			if !s.hold(c) {
+			if !s.track(c) {
 				c.Close()
 				return
 			}
 			s.wg.Add(1)
-			go func() { defer s.wg.Done(); defer s.release(c); take(c) }()
+			go func() { defer s.wg.Done(); defer s.untrack(c); take(c) }()
 		}
 	}()
 }
 
-// hold notes a connection for close; false: the forwarders are closed.
-func (s *forwarders) hold(c net.Conn) bool {
+// track notes a connection for close; false: the forwarders are closed.
+func (s *forwarders) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ended {
@@ -67,7 +67,7 @@
 	return !s.ended
 }
 
-func (s *forwarders) release(c net.Conn) {
+func (s *forwarders) untrack(c net.Conn) {
 	c.Close()
 	s.mu.Lock()
 	delete(s.open, c)
@@ -151,13 +151,13 @@
 
 // linkFault is what goes wrong on the lines from one to another, both named where they are made.
 type linkFault struct {
-	cut      bool          // nothing opens, and what is open closes
-	mute     bool          // what the one says is swallowed
-	muteBack bool          // and what the other answers
-	delay    time.Duration // of each piece, both ways
-	deaf     string        // connections that begin so are swallowed
-	swap     [2]string     // what is said has the one in place of the other, of the same length: a node that lies
-	says     []byte        // what is answered in place of the one beyond to POST /v1/nodes: an instance that is behind
+	cut           bool          // nothing opens, and what is open closes
+	dropSent      bool          // what the one says is swallowed
+	dropReplies   bool          // and what the other answers
+	delay         time.Duration // of each piece, both ways
+	swallowPrefix string        // connections that begin so are swallowed
+	replace       [2]string     // what is said has the one in place of the other, of the same length: a node that lies
+	answer        []byte        // what is answered in place of the one beyond to POST /v1/nodes: an instance that is behind
 }
 
 // set puts a fault in place of the one before.
@@ -167,7 +167,7 @@
 	key := [2]string{from, to}
 	s.fault[key] = f
 	for c, k := range s.conns {
-		if (f.cut || f.says != nil) && k == key {
+		if (f.cut || f.answer != nil) && k == key {
 			c.Close()
 		}
 	}
@@ -201,8 +201,8 @@
 	s.conns[c] = key
 	s.mu.Unlock()
 	defer func() { s.mu.Lock(); delete(s.conns, c); s.mu.Unlock() }()
-	if f.says != nil {
-		answerInPlace(c, target, f.says)
+	if f.answer != nil {
+		answerInPlace(c, target, f.answer)
 		return
 	}
 	out, err := net.DialTimeout("tcp", target, time.Second)
@@ -212,14 +212,14 @@
 	defer out.Close()
 	back := make(chan struct{})
 	go func() {
-		s.copyBytes(c, out, key, func(f linkFault, _ []byte) bool { return f.muteBack })
+		s.copyBytes(c, out, key, func(f linkFault, _ []byte) bool { return f.dropReplies })
 		c.Close()
 		close(back)
 	}()
 	deaf := false
 	s.copyBytes(out, c, key, func(f linkFault, b []byte) bool {
-		deaf = deaf || f.deaf != "" && bytes.HasPrefix(b, []byte(f.deaf))
-		return f.mute || deaf
+		deaf = deaf || f.swallowPrefix != "" && bytes.HasPrefix(b, []byte(f.swallowPrefix))
+		return f.dropSent || deaf
 	})
 	out.Close()
 	<-back
@@ -259,8 +259,8 @@
 			}
 			if !swallow(f, buf[:n]) {
 				piece := buf[:n]
-				if f.swap[0] != "" {
-					piece = bytes.ReplaceAll(piece, []byte(f.swap[0]), []byte(f.swap[1]))
+				if f.replace[0] != "" {
+					piece = bytes.ReplaceAll(piece, []byte(f.replace[0]), []byte(f.replace[1]))
 				}
 				if _, werr := dst.Write(piece); werr != nil {
 					return
--- a/internal/harness/policy_node_crowd.go
+++ b/internal/harness/heartbeat_load.go
@@ -1,6 +1,6 @@
 package harness
 
-// This file measures a group that is asked by thousands of members over sockets.
+// This file measures a group that gets the heartbeats of thousands of members over sockets.
 
 import (
 	"bytes"
@@ -23,19 +23,19 @@
 	"umberwinch/internal/report"
 )
 
-// crowdNodes is the fleet that a group of processes is asked by, played by as many members in this one.
-const crowdNodes = 5000
+// heartbeatNodes is the size of the fleet whose heartbeats a group of processes gets, from as many members in this one.
+const heartbeatNodes = 5000
 
-// crowd measures what a fleet of the full size costs the group: processes of the control service, asked by members over
-// sockets, each with a connection of its own. First all members join within ten seconds and the group is measured at
+// measureHeartbeats measures what the heartbeats of a fleet of the full size cost the group: processes of the control
+// service, and members in this process, each with a connection of its own. First all members join within ten seconds and the group is measured at
 // rest; then the group and all members are killed, and come back within a second of each other.
-func (r *PolicyTest) crowd(ctx context.Context, rep *report.Report) error {
+func (r *PolicyTest) measureHeartbeats(ctx context.Context, rep *report.Report) error {
 	return withGroup(ctx, r.Program, rep, 3, "", func(c *controlProcesses) error {
-		m := &nodeCrowd{c: c, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: crowdNodes,
-			MaxIdleConns: 3 * crowdNodes}}, began: time.Now()}
+		m := &heartbeatLoad{group: c, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: heartbeatNodes,
+			MaxIdleConns: 3 * heartbeatNodes}}, began: time.Now()}
 		defer m.client.CloseIdleConnections()
 		defer m.close()
-		m.begin(ctx, 1, 10*time.Second)
+		m.start(ctx, 1, 10*time.Second)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -48,14 +48,14 @@
 	})
 }
 
-// crowdUsage is what a group has done for a crowd so far.
-type crowdUsage struct {
+// groupUsage is what a group has done for heartbeats so far.
+type groupUsage struct {
 	view consensus.PolicyView
 	cpu  time.Duration // of the leader
 }
 
-func (m *nodeCrowd) usage(ctx context.Context, leader *instanceProcess) (u crowdUsage, err error) {
-	if _, err = m.c.call(ctx, http.MethodGet, leader.listen, "/v1/policy", nil, &u.view); err != nil {
+func (m *heartbeatLoad) usage(ctx context.Context, leader *instanceProcess) (u groupUsage, err error) {
+	if _, err = m.group.call(ctx, http.MethodGet, leader.listen, "/v1/policy", nil, &u.view); err != nil {
 		return u, err
 	}
 	u.cpu, err = cpuOf(leader.pid())
@@ -63,9 +63,9 @@
 }
 
 // measureAtRest holds the group to having all members in, and counts what they cost it over a while.
-func (m *nodeCrowd) measureAtRest(ctx context.Context, rep *report.Report) error {
+func (m *heartbeatLoad) measureAtRest(ctx context.Context, rep *report.Report) error {
 	const span = 20 * time.Second
-	leader := m.c.leader()
+	leader := m.group.leader()
 	if leader == nil {
 		return errors.New("no leader")
 	}
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	m.asked.Store(0)
+	m.heartbeats.Store(0)
 	m.lost.Store(0)
 	time.Sleep(span)
 	after, err := m.usage(ctx, leader)
@@ -82,43 +82,43 @@
 	}
 	was, is, seconds := before.view, after.view, span.Seconds()
 	rep.Add("crowd_nodes", "%d", is.ActiveNodes)
-	rep.Add("crowd_askings_per_s", "%.0f", float64(m.asked.Load())/seconds)
+	rep.Add("crowd_askings_per_s", "%.0f", float64(m.heartbeats.Load())/seconds)
 	rep.Add("crowd_entries_per_s", "%.2f", float64(is.Batches-was.Batches)/seconds)
 	rep.Add("crowd_kb_per_s", "%.1f", float64(is.BatchBytes-was.BatchBytes)/1024/seconds)
 	rep.Add("crowd_leader_cores", "%.2f", (after.cpu-before.cpu).Seconds()/seconds)
 	rep.Add("crowd_lost", "%d", m.lost.Load())
-	if is.ActiveNodes != crowdNodes || m.lost.Load() > m.asked.Load()/100 {
-		rep.Break("a group asked by %d nodes has %d in, and %d of %d askings were lost", crowdNodes, is.ActiveNodes,
-			m.lost.Load(), m.asked.Load())
+	if is.ActiveNodes != heartbeatNodes || m.lost.Load() > m.heartbeats.Load()/100 {
+		rep.Break("a group asked by %d nodes has %d in, and %d of %d askings were lost", heartbeatNodes, is.ActiveNodes,
+			m.lost.Load(), m.heartbeats.Load())
 	}
 	return nil
 }
 
 // measureRestart kills the group and all members, has them come back within a second, and times when all are in again.
-func (m *nodeCrowd) measureRestart(ctx context.Context, rep *report.Report) error {
+func (m *heartbeatLoad) measureRestart(ctx context.Context, rep *report.Report) error {
 	m.close()
-	for _, p := range m.c.procs {
-		m.c.kill(p)
+	for _, p := range m.group.procs {
+		m.group.kill(p)
 	}
 	m.client.CloseIdleConnections()
 	back := time.Now()
-	for _, p := range m.c.procs {
-		if err := m.c.start(p, ""); err != nil {
+	for _, p := range m.group.procs {
+		if err := m.group.start(p, ""); err != nil {
 			return err
 		}
 	}
-	m.begin(ctx, 2, time.Second)
-	leads, peak, before := time.Duration(0), int64(0), m.asked.Load()
-	for m.in.Load() < crowdNodes && time.Since(back) < time.Minute && ctx.Err() == nil {
+	m.start(ctx, 2, time.Second)
+	leads, peak, before := time.Duration(0), int64(0), m.heartbeats.Load()
+	for m.leased.Load() < heartbeatNodes && time.Since(back) < time.Minute && ctx.Err() == nil {
 		time.Sleep(100 * time.Millisecond)
-		now := m.asked.Load()
+		now := m.heartbeats.Load()
 		peak, before = max(peak, now-before), now
-		if leads == 0 && m.c.leader() != nil {
+		if leads == 0 && m.group.leader() != nil {
 			leads = time.Since(back)
 		}
 	}
 	all := time.Since(back)
-	leader := m.c.leader()
+	leader := m.group.leader()
 	if leader == nil {
 		return errors.New("no leader")
 	}
@@ -131,52 +131,52 @@
 	rep.Add("restart_askings_per_s_peak", "%d", 10*peak)
 	rep.Add("restart_leader_cpu_s", "%.2f", cpu.Seconds())
 	rep.Add("restart_leader_mb", "%.0f", rssOf(leader.pid()))
-	if m.in.Load() < crowdNodes {
-		rep.Break("a group and %d nodes restart at once, and %d are in after %v", crowdNodes, m.in.Load(), all)
+	if m.leased.Load() < heartbeatNodes {
+		rep.Break("a group and %d nodes restart at once, and %d are in after %v", heartbeatNodes, m.leased.Load(), all)
 	}
 	return nil
 }
 
-// nodeCrowd is a fleet of members in this process.
-type nodeCrowd struct {
-	c      *controlProcesses
-	client *http.Client
-	began  time.Time
-	asked  atomic.Int64
-	lost   atomic.Int64
-	in     atomic.Int64 // members that hold a lease
-	wg     sync.WaitGroup
-	stop   context.CancelFunc // of the members that run
+// heartbeatLoad is a fleet of members in this process that send heartbeats to a group.
+type heartbeatLoad struct {
+	group      *controlProcesses
+	client     *http.Client
+	began      time.Time
+	heartbeats atomic.Int64
+	lost       atomic.Int64
+	leased     atomic.Int64 // members that hold a lease
+	wg         sync.WaitGroup
+	stop       context.CancelFunc // of the members that run
 }
 
-// begin starts all members within a time; close ends them.
-func (m *nodeCrowd) begin(ctx context.Context, life int, within time.Duration) {
+// start starts all members within a time; close ends them.
+func (m *heartbeatLoad) start(ctx context.Context, life int, within time.Duration) {
 	ctx, m.stop = context.WithCancel(ctx)
-	m.in.Store(0)
+	m.leased.Store(0)
 	var control []string
-	for _, p := range m.c.procs {
+	for _, p := range m.group.procs {
 		control = append(control, p.listen)
 	}
-	for i := 0; i < crowdNodes; i++ {
+	for i := 0; i < heartbeatNodes; i++ {
 		m.wg.Add(1)
 		go func() {
 			defer m.wg.Done()
-			time.Sleep(time.Duration(i) * within / crowdNodes)
+			time.Sleep(time.Duration(i) * within / heartbeatNodes)
 			name := fmt.Sprintf("n%04d", i)
-			m.one(ctx, agent.Config{Name: name, Zone: fmt.Sprint("z", i%3), ControlAddresses: control,
+			m.runNode(ctx, agent.Config{Name: name, Zone: fmt.Sprint("z", i%3), ControlAddresses: control,
 				Nonce: fmt.Sprintf("crowd-%d-%s", life, name), JitterSeed: uint32(i)})
 		}()
 	}
 }
 
 // close ends all members and waits for them.
-func (m *nodeCrowd) close() {
+func (m *heartbeatLoad) close() {
 	m.stop()
 	m.wg.Wait()
 }
 
-// one is one member, with a connection of its own.
-func (m *nodeCrowd) one(ctx context.Context, plan agent.Config) {
+// runNode is one member, with a connection of its own.
+func (m *heartbeatLoad) runNode(ctx context.Context, plan agent.Config) {
 	now := func() uint64 { return uint64(time.Since(m.began).Milliseconds()) + 1000 }
 	n, in := agent.New(plan, nil, now()), false
 	for ctx.Err() == nil {
@@ -188,21 +188,21 @@
 			}
 			continue
 		}
-		m.asked.Add(1)
+		m.heartbeats.Add(1)
 		raw, _ := json.Marshal(a)
 		try, cancel := context.WithTimeout(ctx, time.Duration(n.HeartbeatTimeout())*time.Millisecond)
-		var told api.HeartbeatResponse
-		err := postJSON(try, m.client, "http://"+n.ControlAddress()+"/v1/nodes", raw, &told)
+		var response api.HeartbeatResponse
+		err := postJSON(try, m.client, "http://"+n.ControlAddress()+"/v1/nodes", raw, &response)
 		cancel()
 		if err != nil {
 			m.lost.Add(1)
 			n.HandleFailure(now(), no)
-		} else if err = n.HandleResponse(now(), no, told); err != nil {
+		} else if err = n.HandleResponse(now(), no, response); err != nil {
 			m.lost.Add(1)
 		}
 		if !in && n.LeaseID() != 0 {
 			in = true
-			m.in.Add(1)
+			m.leased.Add(1)
 		}
 	}
 }
--- a/internal/harness/local_fleet.go
+++ b/internal/harness/local_fleet.go
@@ -10,7 +10,7 @@
 	"umberwinch/internal/control/policy"
 )
 
-// LocalFleet is a fleet for a look: a rig that starts again what ends.
+// LocalFleet is a fleet on loopback for trying things out: it starts again what ends.
 type LocalFleet struct {
 	Program, Dir     string
 	Instances, Nodes int
@@ -32,7 +32,7 @@
 	defer end()
 	isUp := context.AfterFunc(ctx, end) // until then there is nothing to be ended in order
 	r, err := NewFleetProcesses(run, FleetProcessesPlan{Program: l.Program, Dir: l.Dir, Seed: 1, Instances: l.Instances, Nodes: l.Nodes,
-		Folders: true, Keep: true})
+		Folders: true, RestartEnded: true})
 	if err != nil {
 		return err
 	}
--- a/internal/harness/node_process.go
+++ b/internal/harness/node_process.go
@@ -30,7 +30,7 @@
 	n := &nodeProcess{r: r, name: fmt.Sprintf("n%d", i+1), zone: fmt.Sprintf("z%d", 1+i%3), listen: loopback(8080)}
 	n.proc.onEnd = func() { r.event("stops", n.name) }
 	r.nodes = append(r.nodes, n)
-	s, err := simulation.ReadScenario("fleet", rigClasses)
+	s, err := simulation.ReadScenario("fleet", fleetClasses)
 	if err != nil {
 		return nil, err
 	}
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.Odd == i+1 {
+	if r.OddNode == i+1 {
 		s.Classes = []simulation.Class{s.Classes[0], s.Classes[2]}
 	}
 	if err = n.writeFiles(s, store, peers, control); err != nil {
@@ -60,24 +60,24 @@
 // reach it; both are empty where there is none.
 func (n *nodeProcess) openBelow(seed int64) (store, peers string, err error) {
 	r := n.r
-	if !r.Below {
+	if !r.WithStores {
 		return "", "", nil
 	}
-	n.kernel.calls = true
+	n.kernel.callsStore = true
 	if r.stores[n.zone] == nil {
 		if r.stores[n.zone], err = NewEmulatedStore(loopback(9042), seed, belowWorkers, belowCost, belowCold,
 			belowFill); err != nil {
 			return "", "", err
 		}
 	}
-	peers, err = r.group.board.faultBetween("peers", n.name, n.listen)
+	peers, err = r.group.forwarders.faultBetween("peers", n.name, n.listen)
 	return r.stores[n.zone].ln.Addr().String(), peers, err
 }
 
 // openLinks puts a forwarder before the node for its callers, and one between it and each instance. It gives the
 // addresses of those.
 func (n *nodeProcess) openLinks() (control []string, err error) {
-	board := n.r.group.board
+	board := n.r.group.forwarders
 	if n.front, err = board.faultBetween("callers", n.name, n.listen); err != nil {
 		return nil, err
 	}
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -13,21 +13,21 @@
 	"umberwinch/internal/simulation"
 )
 
-// PolicyTest is a run of `umberctl lab policy`.
+// PolicyTest is a run of `umberctl faulttest policy`.
 type PolicyTest struct {
-	Seed      int64
-	Quick     bool
-	Size      int // nodes of the real part
-	Out       string
-	Without   policy.Guard
-	Words     string // the guards, as words for processes
-	Mode      string // virtual, real or both
-	Schedules int
-	Changes   int
-	Program   string
-	Only      string // one case
-	Part      int    // of Parts: which of the cases, for runs side by side; 0 of 0 for all
-	Parts     int
+	Seed          int64
+	Quick         bool
+	Size          int // nodes of the real part
+	Out           string
+	Without       policy.Guard
+	ProcessGuards string // the guards, as words for processes
+	Mode          string // virtual, real or both
+	Schedules     int
+	Changes       int
+	Program       string
+	Only          string // one case
+	Part          int    // of Parts: which of the cases, for runs side by side; 0 of 0 for all
+	Parts         int
 }
 
 // Numbers of the two modes. Quick ends within 50 s on four cores.
@@ -184,11 +184,11 @@
 		return err
 	}
 	b.Close()
-	return r.crowd(ctx, rep)
+	return r.measureHeartbeats(ctx, rep)
 }
 
 // playCases plays the cases that were asked for, one after the other under load, up to the first that breaks.
-func (r *PolicyTest) playCases(ctx context.Context, b *policyBench, w io.Writer, rep *report.Report) {
+func (r *PolicyTest) playCases(ctx context.Context, b *policyFixture, w io.Writer, rep *report.Report) {
 	load, stop := context.WithCancel(ctx)
 	defer stop()
 	calls := b.Load(load, 100)
@@ -217,11 +217,11 @@
 }
 
 // playCase plays a case; then, with every link whole again, all nodes have to serve and the history to keep its promises.
-func (b *policyBench) playCase(c *policyCase) error {
-	err := played(func() { c.run(b) })
+func (b *policyFixture) playCase(c *policyCase) error {
+	err := runCase(func() { c.run(b) })
 	b.heal()
 	if err == nil {
-		err = b.AllServe(b.force, 60*time.Second)
+		err = b.AllServe(b.committedVersion, 60*time.Second)
 	}
 	if err == nil {
 		_, err = b.Check(b.promises())
@@ -231,7 +231,7 @@
 
 // fencing measures what it costs callers that a zone is cut off from the group and stops serving: the same load for as
 // long, whole and cut.
-func (r *PolicyTest) fencing(ctx context.Context, b *policyBench, rep *report.Report) error {
+func (r *PolicyTest) fencing(ctx context.Context, b *policyFixture, rep *report.Report) error {
 	const span = 10 * time.Second
 	for _, cut := range []bool{false, true} {
 		if cut {
@@ -243,16 +243,16 @@
 		b.loads.Wait()
 		stop()
 		what := map[bool]string{false: "whole", true: "zone_cut"}[cut]
-		rep.Add(what+"_done_of", "%d/%d", calls.Done, calls.Asked)
-		rep.Add(what+"_tries_each", "%.3f", float64(calls.Tries)/float64(max(1, calls.Asked)))
+		rep.Add(what+"_done_of", "%d/%d", calls.Done, calls.Requests)
+		rep.Add(what+"_tries_each", "%.3f", float64(calls.Attempts)/float64(max(1, calls.Requests)))
 		rep.Add(what+"_ms_99th", "%.0f", calls.quantile(0.99))
 	}
 	b.heal()
-	return b.AllServe(b.force, 20*time.Second)
+	return b.AllServe(b.committedVersion, 20*time.Second)
 }
 
 // many makes changes one after the other under load, none of which a caller may notice.
-func (r *PolicyTest) many(ctx context.Context, b *policyBench, rep *report.Report) error {
+func (r *PolicyTest) many(ctx context.Context, b *policyFixture, rep *report.Report) error {
 	n := r.Changes
 	if n == 0 {
 		if n = longChanges; r.Quick {
@@ -280,11 +280,11 @@
 		rep.Break("%d changes under load: %v", n, err)
 	}
 	for _, c := range numbers {
-		times = append(times, b.inForce[c])
+		times = append(times, b.commitTimes[c])
 	}
 	r.row(rep, "real, under load", len(b.nodes), n, ends, times, overlap)
 	rep.Add("real_changes", "%d", n)
-	rep.Add("asked", "%d", calls.Asked)
+	rep.Add("asked", "%d", calls.Requests)
 	rep.Add("lost", "%d", calls.Lost)
 	rep.Add("shed", "%d", calls.Shed)
 	rep.Add("errored", "%d", calls.Errors)
--- a/internal/harness/policy_cases.go
+++ b/internal/harness/policy_cases.go
@@ -21,45 +21,45 @@
 // policyCase is one hard case on processes.
 type policyCase struct {
 	name string
-	run  func(b *policyBench)
+	run  func(b *policyFixture)
 	long bool // not with --quick
 }
 
 var policyCases = []policyCase{
-	{name: "a change, and one without overlap", run: func(b *policyBench) {
-		got(b.change(policy.Proposal{}))
-		got(b.change(policy.Proposal{Exclusive: true}))
+	{name: "a change, and one without overlap", run: func(b *policyFixture) {
+		mustGet(b.change(policy.Proposal{}))
+		mustGet(b.change(policy.Proposal{Exclusive: true}))
 	}},
-	{name: "killed before it prepared", run: func(b *policyBench) {
+	{name: "killed before it prepared", run: func(b *policyFixture) {
 		n := b.nodes[0]
-		c := b.held(n, policy.Proposal{})
+		c := b.proposeHeld(n, policy.Proposal{})
 		n.Kill()
 		b.heal()
-		b.settles(c)
+		b.mustSettle(c)
 		must(n.Start())
-		b.allServe(c.version)
+		b.mustAllServe(c.version)
 	}},
-	{name: "killed after it prepared", run: func(b *policyBench) {
+	{name: "killed after it prepared", run: func(b *policyFixture) {
 		slow, n := b.nodes[1], b.nodes[0]
-		c := b.held(slow, policy.Proposal{}, n)
+		c := b.proposeHeld(slow, policy.Proposal{}, n)
 		n.Kill()
 		b.heal()
-		b.settles(c)
+		b.mustSettle(c)
 		must(n.Start())
-		b.allServe(c.version)
+		b.mustAllServe(c.version)
 	}},
-	{name: "killed between the decision and being told", run: func(b *policyBench) {
+	{name: "killed between the decision and being told", run: func(b *policyFixture) {
 		slow, n, cut := b.nodes[1], b.nodes[0], b.nodes[2]
-		c := b.held(slow, policy.Proposal{}, n, cut)
-		b.setLinkFault(linkFault{muteBack: true}, n, cut) // neither hears any more, and the slow one goes on
-		b.goesOn(slow, c, policy.Committed, policy.Settled)
+		c := b.proposeHeld(slow, policy.Proposal{}, n, cut)
+		b.setLinkFault(linkFault{dropReplies: true}, n, cut) // neither hears any more, and the slow one goes on
+		b.release(slow, c, policy.Committed, policy.Settled)
 		n.Kill() // the other one is fenced instead
-		got(b.Step(c.number, 20*time.Second, policy.Settled))
+		mustGet(b.Step(c.number, 20*time.Second, policy.Settled))
 		b.heal()
 		must(n.Start())
-		b.follows(c)
+		b.settleWhenHealed(c)
 	}},
-	{name: "stopped past its lease and continued", run: func(b *policyBench) {
+	{name: "stopped past its lease and continued", run: func(b *policyFixture) {
 		n := b.nodes[3%len(b.nodes)]
 		n.Stop()
 		defer func() {
@@ -67,69 +67,69 @@
 				n.GoOn()
 			}
 		}()
-		c := got(b.change(policy.Proposal{}))
+		c := mustGet(b.change(policy.Proposal{}))
 		n.GoOn()
-		b.allServe(c.Version)
+		b.mustAllServe(c.Version)
 	}},
-	{name: "a zone cut off from the group, not from its callers", run: func(b *policyBench) {
+	{name: "a zone cut off from the group, not from its callers", run: func(b *policyFixture) {
 		b.cutOff(b.nodesIn("z2")...)
-		b.follows(b.proposes("", policy.Proposal{}))
+		b.settleWhenHealed(b.propose("", policy.Proposal{}))
 	}},
-	{name: "one-way cuts", run: func(b *policyBench) {
-		b.setLinkFault(linkFault{mute: true}, b.nodes[0])
-		b.setLinkFault(linkFault{muteBack: true}, b.nodes[1])
-		b.follows(b.proposes("", policy.Proposal{}))
+	{name: "one-way cuts", run: func(b *policyFixture) {
+		b.setLinkFault(linkFault{dropSent: true}, b.nodes[0])
+		b.setLinkFault(linkFault{dropReplies: true}, b.nodes[1])
+		b.settleWhenHealed(b.propose("", policy.Proposal{}))
 	}},
-	{name: "the leader killed while nodes prepare", run: func(b *policyBench) {
-		b.leaderLost(b.held(b.nodes[4%len(b.nodes)], policy.Proposal{}, b.nodes[0]))
+	{name: "the leader killed while nodes prepare", run: func(b *policyFixture) {
+		b.loseLeader(b.proposeHeld(b.nodes[4%len(b.nodes)], policy.Proposal{}, b.nodes[0]))
 	}},
-	{name: "the leader killed while it is held, without overlap", run: func(b *policyBench) {
+	{name: "the leader killed while it is held, without overlap", run: func(b *policyFixture) {
 		cut, slow := b.nodes[5%len(b.nodes)], b.nodes[1]
-		c := b.held(slow, policy.Proposal{Exclusive: true}, cut)
-		b.setLinkFault(linkFault{muteBack: true}, cut)
-		b.goesOn(slow, c, policy.Decided, policy.Committed, policy.Settled)
-		b.leaderLost(c)
+		c := b.proposeHeld(slow, policy.Proposal{Exclusive: true}, cut)
+		b.setLinkFault(linkFault{dropReplies: true}, cut)
+		b.release(slow, c, policy.Decided, policy.Committed, policy.Settled)
+		b.loseLeader(c)
 	}},
-	{name: "no majority in the middle, and back", run: func(b *policyBench) {
-		c := b.held(b.nodes[1], policy.Proposal{PrepareWithinMS: 30_000})
-		b.others(b.group.kill)
+	{name: "no majority in the middle, and back", run: func(b *policyFixture) {
+		c := b.proposeHeld(b.nodes[1], policy.Proposal{PrepareWithinMS: 30_000})
+		b.eachButFirst(b.group.kill)
 		time.Sleep(b.lease + b.lease/2) // past every lease
 		b.heal()
-		b.others(b.starts)
-		b.settles(c)
+		b.eachButFirst(b.mustStart)
+		b.mustSettle(c)
 	}},
-	{name: "an instance that is slow, and the leader", run: func(b *policyBench) {
+	{name: "an instance that is slow, and the leader", run: func(b *policyFixture) {
 		p := b.group.leader()
 		if p == nil {
 			must(errors.New("no leader"))
 		}
 		for _, n := range b.nodes {
-			b.group.board.set(n.name, p.name, linkFault{delay: time.Second})
+			b.group.forwarders.set(n.name, p.name, linkFault{delay: time.Second})
 		}
-		got(b.change(policy.Proposal{}))
+		mustGet(b.change(policy.Proposal{}))
 	}},
-	{name: "a node says no", run: func(b *policyBench) {
-		c := got(b.off(b.proposes("[class fill]\nkind = replayable\nvalue = 2\nresponse_target = 500ms\nclient_timeout = 3s\n",
+	{name: "a node says no", run: func(b *policyFixture) {
+		c := mustGet(b.awaitAborted(b.propose("[class fill]\nkind = replayable\nvalue = 2\nresponse_target = 500ms\nclient_timeout = 3s\n",
 			policy.Proposal{}).number))
 		if !strings.Contains(c.AbortReason, "class fill: found it in the policy") {
 			must(fmt.Errorf("called off for %q, expected the odd node's no", c.AbortReason))
 		}
 	}},
-	{name: "a node never answers", run: func(b *policyBench) {
-		got(b.off(b.held(b.nodes[0], policy.Proposal{PrepareWithinMS: 3000}).number))
+	{name: "a node never answers", run: func(b *policyFixture) {
+		mustGet(b.awaitAborted(b.proposeHeld(b.nodes[0], policy.Proposal{PrepareWithinMS: 3000}).number))
 	}},
-	{name: "it is left behind, and comes after", run: func(b *policyBench) {
-		b.follows(b.held(b.nodes[0], policy.Proposal{PrepareWithinMS: 3000, MaxLeftBehind: 1}))
+	{name: "it is left behind, and comes after", run: func(b *policyFixture) {
+		b.settleWhenHealed(b.proposeHeld(b.nodes[0], policy.Proposal{PrepareWithinMS: 3000, MaxLeftBehind: 1}))
 	}},
-	{name: "says prepared and forgets it", run: func(b *policyBench) {
+	{name: "says prepared and forgets it", run: func(b *policyFixture) {
 		slow, n := b.nodes[1], b.nodes[0]
-		c := b.held(slow, policy.Proposal{}, n)
+		c := b.proposeHeld(slow, policy.Proposal{}, n)
 		n.Kill()
 		must(n.Start())
 		b.setLinkFault(linkFault{}, slow)
-		b.settles(c)
+		b.mustSettle(c)
 	}},
-	{name: "restarts in a loop", run: func(b *policyBench) {
+	{name: "restarts in a loop", run: func(b *policyFixture) {
 		n := b.nodes[2]
 		stop, done := make(chan struct{}), make(chan error, 1)
 		go func() {
@@ -148,26 +148,26 @@
 			}
 		}()
 		c := proposedChange{}
-		err := played(func() {
-			c = b.proposes("", policy.Proposal{PrepareWithinMS: 20_000})
-			got(b.Step(c.number, 30*time.Second, policy.Settled))
+		err := runCase(func() {
+			c = b.propose("", policy.Proposal{PrepareWithinMS: 20_000})
+			mustGet(b.Step(c.number, 30*time.Second, policy.Settled))
 		})
 		close(stop)
 		must(errors.Join(err, <-done))
-		b.follows(c)
+		b.settleWhenHealed(c)
 	}},
-	{name: "joins in the middle", run: func(b *policyBench) {
+	{name: "joins in the middle", run: func(b *policyFixture) {
 		n, slow := b.nodes[0], b.nodes[1]
 		n.Kill()
-		c := b.held(slow, policy.Proposal{})
+		c := b.proposeHeld(slow, policy.Proposal{})
 		must(n.Start())
 		must(b.Prepared(n.name, c.version))
 		b.heal()
-		b.settles(c)
+		b.mustSettle(c)
 	}},
-	{name: "drains in the middle", run: func(b *policyBench) {
+	{name: "drains in the middle", run: func(b *policyFixture) {
 		n, slow := b.nodes[0], b.nodes[1]
-		c := b.held(slow, policy.Proposal{})
+		c := b.proposeHeld(slow, policy.Proposal{})
 		n.Drain()
 		must(b.await(10*time.Second, func() error {
 			all, err := b.Nodes()
@@ -177,49 +177,49 @@
 			return err
 		}))
 		b.heal()
-		b.settles(c)
+		b.mustSettle(c)
 		<-n.proc.done()
 		must(n.Start())
-		b.allServe(c.version)
+		b.mustAllServe(c.version)
 	}},
-	{name: "a version that would shed everything", run: func(b *policyBench) {
+	{name: "a version that would shed everything", run: func(b *policyFixture) {
 		more := ""
 		for _, c := range []string{"view", "submit"} {
 			more += fmt.Sprintf("[class %s]\nkind = %s\nretired = yes\nresponse_target = 300ms\nclient_timeout = 3s\n", c,
 				map[string]string{"view": "replayable", "submit": "uniqued\nwindow = 20s"}[c])
 		}
-		if c := got(b.off(b.proposes(more, policy.Proposal{}).number)); !strings.Contains(c.AbortReason, "requests of the trial were shed") {
+		if c := mustGet(b.awaitAborted(b.propose(more, policy.Proposal{}).number)); !strings.Contains(c.AbortReason, "requests of the trial were shed") {
 			must(fmt.Errorf("called off for %q, expected the trial's finding", c.AbortReason))
 		}
 	}},
-	{name: "called off before it is decided, and not after", run: func(b *policyBench) {
+	{name: "called off before it is decided, and not after", run: func(b *policyFixture) {
 		slow := b.nodes[1]
-		c := b.held(slow, policy.Proposal{})
-		if no := got(b.callOff(c.number)); no != "" {
+		c := b.proposeHeld(slow, policy.Proposal{})
+		if no := mustGet(b.abort(c.number)); no != "" {
 			must(fmt.Errorf("before it is decided: %s, expected it called off", no))
 		}
-		got(b.off(c.number))
+		mustGet(b.awaitAborted(c.number))
 		b.heal()
-		c = b.held(slow, policy.Proposal{}, b.nodes[0])
+		c = b.proposeHeld(slow, policy.Proposal{}, b.nodes[0])
 		b.setLinkFault(linkFault{}, slow)
 		must(b.Prepared(slow.name, c.version))
-		got(b.Step(c.number, 20*time.Second, policy.Committed, policy.Settled))
-		if got(b.callOff(c.number)) == "" {
+		mustGet(b.Step(c.number, 20*time.Second, policy.Committed, policy.Settled))
+		if mustGet(b.abort(c.number)) == "" {
 			must(errors.New("after it was decided: called off, expected a no"))
 		}
-		b.settles(c)
+		b.mustSettle(c)
 	}},
-	{name: "its next incarnation hears nothing", run: func(b *policyBench) {
+	{name: "its next incarnation hears nothing", run: func(b *policyFixture) {
 		// Under a lease that is long beside what a slow machine takes to go on, so that the change can't wait it out by chance.
 		b.lease = 4 * realLease
-		got(b.change(policy.Proposal{}))
+		mustGet(b.change(policy.Proposal{}))
 		b.lease = realLease // of the next one
 		slow, n := b.nodes[1], b.nodes[0]
-		c := b.held(slow, policy.Proposal{PrepareWithinMS: 30_000}, n)
+		c := b.proposeHeld(slow, policy.Proposal{PrepareWithinMS: 30_000}, n)
 		n.Kill()
 		must(os.Remove(filepath.Join(n.folder, "policy.json"))) // it forgets what it prepared
-		b.setLinkFault(linkFault{muteBack: true}, n)            // it joins, and no answer reaches it
-		before := got(b.Nodes())
+		b.setLinkFault(linkFault{dropReplies: true}, n)         // it joins, and no answer reaches it
+		before := mustGet(b.Nodes())
 		must(n.Start())
 		must(b.await(10*time.Second, func() error {
 			all, err := b.Nodes()
@@ -228,86 +228,86 @@
 			}
 			return err
 		}))
-		is := b.goesOn(slow, c, policy.Committed, policy.Settled)
-		if v := got(b.Nodes())[n.name]; v.JoinedAtMS < is.DecidedAtMS && (v.OutReason == "" || v.OutAtMS > is.DecidedAtMS) {
+		is := b.release(slow, c, policy.Committed, policy.Settled)
+		if v := mustGet(b.Nodes())[n.name]; v.JoinedAtMS < is.DecidedAtMS && (v.OutReason == "" || v.OutAtMS > is.DecidedAtMS) {
 			must(fmt.Errorf("decided at %d, and %s, in since %d and without the version, was out at %d", is.DecidedAtMS, n.name,
 				v.JoinedAtMS, v.OutAtMS))
 		}
 		b.heal()
-		b.settles(c)
+		b.mustSettle(c)
 	}},
-	{name: "an instance that is behind speaks to a node that starts", run: func(b *policyBench) {
+	{name: "an instance that is behind speaks to a node that starts", run: func(b *policyFixture) {
 		n := b.nodes[4%len(b.nodes)]
 		var s consensus.Report
-		got(b.ask(http.MethodGet, "/v1/status", nil, &s))
+		mustGet(b.ask(http.MethodGet, "/v1/status", nil, &s))
 		var was consensus.Version
-		got(b.ask(http.MethodGet, fmt.Sprintf("/v1/config?version=%d&read=stale", b.force), nil, &was))
+		mustGet(b.ask(http.MethodGet, fmt.Sprintf("/v1/config?version=%d&read=stale", b.committedVersion), nil, &was))
 		old := api.VersionHash{Version: was.Number, Hash: was.Hash}
-		says := got(json.Marshal(api.HeartbeatResponse{Cluster: s.Cluster, Term: s.Term, Index: s.Applied, LeaseID: 1 << 30, LeaseMS: 60_000,
+		says := mustGet(json.Marshal(api.HeartbeatResponse{Cluster: s.Cluster, Term: s.Term, Index: s.Applied, LeaseID: 1 << 30, LeaseMS: 60_000,
 			DecidedVersion: old.Version, CommittedVersion: old, NextHeartbeatMS: 200}))
-		c := got(b.change(policy.Proposal{}))
+		c := mustGet(b.change(policy.Proposal{}))
 		n.Kill()
-		b.setLinkFault(linkFault{says: says}, n)
+		b.setLinkFault(linkFault{answer: says}, n)
 		must(n.Start())
 		time.Sleep(b.lease)
-		if code, _, _ := b.one(n.name); code == http.StatusOK {
+		if code, _, _ := b.sendOne(n.name); code == http.StatusOK {
 			must(fmt.Errorf("%s serves by the word of an instance that is behind", n.name))
 		}
 		b.heal()
 		n.Kill() // the one that lied is not asked for a minute
 		must(n.Start())
-		b.allServe(c.Version)
+		b.mustAllServe(c.Version)
 	}},
-	{name: "a zone cut off from its callers, not from the group", run: func(b *policyBench) {
+	{name: "a zone cut off from its callers, not from the group", run: func(b *policyFixture) {
 		for _, n := range b.nodesIn("z3") {
-			b.group.board.set("callers", n.name, linkFault{cut: true})
+			b.group.forwarders.set("callers", n.name, linkFault{cut: true})
 		}
-		c := got(b.change(policy.Proposal{}))
+		c := mustGet(b.change(policy.Proposal{}))
 		b.heal()
-		b.allServe(c.Version)
+		b.mustAllServe(c.Version)
 	}},
-	{name: "the leader killed before it has settled", run: func(b *policyBench) {
+	{name: "the leader killed before it has settled", run: func(b *policyFixture) {
 		cut, slow := b.nodes[5%len(b.nodes)], b.nodes[1]
-		c := b.held(slow, policy.Proposal{}, cut)
-		b.setLinkFault(linkFault{muteBack: true}, cut)
-		b.goesOn(slow, c, policy.Committed, policy.Settled)
-		b.leaderLost(c)
+		c := b.proposeHeld(slow, policy.Proposal{}, cut)
+		b.setLinkFault(linkFault{dropReplies: true}, cut)
+		b.release(slow, c, policy.Committed, policy.Settled)
+		b.loseLeader(c)
 	}},
-	{name: "the leader kills itself at each step of its work", long: true, run: func(b *policyBench) {
+	{name: "the leader kills itself at each step of its work", long: true, run: func(b *policyFixture) {
 		for _, point := range stepNames() {
 			for _, p := range b.group.procs { // started anew, so that a signal arms the crash
 				b.group.kill(p)
 				must(b.group.start(p, point))
-				b.allServe(b.force)
+				b.mustAllServe(b.committedVersion)
 			}
-			c := b.held(b.nodes[2], policy.Proposal{Exclusive: true})
-			p := got(b.killLeader()) // by the step it is armed for
+			c := b.proposeHeld(b.nodes[2], policy.Proposal{Exclusive: true})
+			p := mustGet(b.killLeader()) // by the step it is armed for
 			b.heal()
-			b.starts(p)
-			if _, err := b.settled(c.number, c.version); err != nil {
+			b.mustStart(p)
+			if _, err := b.awaitSettled(c.number, c.version); err != nil {
 				must(fmt.Errorf("at %s: %w", point, err))
 			}
 		}
 	}},
-	{name: "two in five down, back one by one, at first without the group", run: func(b *policyBench) {
+	{name: "two in five down, back one by one, at first without the group", run: func(b *policyFixture) {
 		down := b.nodes[:2*len(b.nodes)/5]
 		for _, n := range down {
 			n.Kill()
 		}
-		c := got(b.change(policy.Proposal{}))
-		b.others(b.group.kill)
+		c := mustGet(b.change(policy.Proposal{}))
+		b.eachButFirst(b.group.kill)
 		must(down[0].Start())
 		time.Sleep(b.lease)
-		if code, _, _ := b.one(down[0].name); code == http.StatusOK {
+		if code, _, _ := b.sendOne(down[0].name); code == http.StatusOK {
 			must(fmt.Errorf("%s serves, and nobody can have told it what is in force", down[0].name))
 		}
-		if b.ready.is(down[0].name) {
+		if b.ready.ready(down[0].name) {
 			must(fmt.Errorf("%s is ready by the list, and takes nothing", down[0].name))
 		}
-		b.others(b.starts)
+		b.eachButFirst(b.mustStart)
 		for _, n := range down[1:] {
 			must(n.Start())
-			b.allServe(c.Version)
+			b.mustAllServe(c.Version)
 		}
 	}},
 }
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -101,8 +101,8 @@
 // restartPace is how long the platform takes to start again what ended.
 const restartPace = 2 * time.Second
 
-// keepRunning starts the process again after each of its ends, at the platform's pace, until the context ends.
-func (p *process) keepRunning(ctx context.Context, start func() error) {
+// restartWhenEnded starts the process again after each of its ends, at the platform's pace, until the context ends.
+func (p *process) restartWhenEnded(ctx context.Context, start func() error) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -12,7 +12,7 @@
 	"umberwinch/internal/simulation"
 )
 
-// RaftTest is a run of `umberctl lab raft`.
+// RaftTest is a run of `umberctl faulttest raft`.
 type RaftTest struct {
 	Seed      int64
 	Quick     bool
--- a/internal/harness/raft_kills.go
+++ b/internal/harness/raft_kills.go
@@ -17,7 +17,7 @@
 // leaderKills takes one leader after the other from a group under load, and measures how long no write is taken.
 type leaderKills struct {
 	group   *controlProcesses
-	load    *load
+	load    *putLoad
 	random  *rand.Rand
 	kinds   []string // faults that an instance may be started with
 	gaps    *hdrhistogram.Histogram
@@ -41,7 +41,7 @@
 	return withGroup(ctx, r.Program, rep, size, extra, func(c *controlProcesses) error {
 		k := &leaderKills{group: c, random: rand.New(rand.NewSource(r.Seed)), gaps: hdrhistogram.New(1, 60_000, 3),
 			kinds: append([]string{"", diskStalls, diskFull}, stepNames()...), byFault: map[string]int{}}
-		k.load = c.load(ctx, max(1, r.Clients))
+		k.load = c.startLoad(ctx, max(1, r.Clients))
 		defer k.load.close()
 		if err := k.armAll(ctx); err != nil {
 			return err
@@ -103,7 +103,7 @@
 	gap := k.awaitWrite(ctx, loss.at)
 	if gap <= 0 || gap > realWithin {
 		return brokenPromise(fmt.Sprintf("no write was taken for %v after kill %d of a leader of %d at %q",
-			time.Since(k.load.begun)-loss.at, number, len(k.group.procs), loss.fault))
+			time.Since(k.load.started)-loss.at, number, len(k.group.procs), loss.fault))
 	}
 	k.byFault[loss.fault]++
 	k.gaps.RecordValue(gap.Milliseconds())
@@ -120,9 +120,9 @@
 	if loss.cut {
 		loss.fault = cutOff
 	}
-	loss.at = time.Since(k.load.begun)
+	loss.at = time.Since(k.load.started)
 	if loss.ended = k.group.crashAt(leader, loss.cut); loss.ended {
-		loss.at = time.Since(k.load.begun)
+		loss.at = time.Since(k.load.started)
 	}
 	return loss, nil
 }
@@ -139,10 +139,10 @@
 // awaitWrite waits until a write is taken after a moment, twice as long as is promised at most. It gives how long that
 // took; not above zero: none was.
 func (k *leaderKills) awaitWrite(ctx context.Context, since time.Duration) time.Duration {
-	for k.load.last.Load() <= int64(since) && ctx.Err() == nil && time.Since(k.load.begun)-since <= 2*realWithin {
+	for k.load.lastAnswer.Load() <= int64(since) && ctx.Err() == nil && time.Since(k.load.started)-since <= 2*realWithin {
 		time.Sleep(time.Millisecond)
 	}
-	return time.Duration(k.load.last.Load()) - since
+	return time.Duration(k.load.lastAnswer.Load()) - since
 }
 
 // restore ends the fault and waits until the instance that led takes part again, before the next leader is lost.
@@ -155,7 +155,7 @@
 		k.group.kill(p)
 		loss.ended = true
 	}
-	k.group.board.heal()
+	k.group.forwarders.heal()
 	if loss.ended {
 		if err := k.group.start(p, k.drawFault()); err != nil {
 			return err
@@ -187,7 +187,7 @@
 			rep.Notes = append(rep.Notes, fmt.Sprintf("%d instances: %d leaders: %s", size, n, faultText(fault)))
 		}
 	}
-	rep.Add(key+"_versions", "%d", len(k.load.taken))
+	rep.Add(key+"_versions", "%d", len(k.load.committed))
 	line := report.Line{Name: fmt.Sprintf("%d instances", size)}
 	for _, q := range []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 100} {
 		line.Points = append(line.Points, [2]float64{float64(gaps.ValueAtQuantile(q)), q / 100})
--- a/internal/harness/raft_processes.go
+++ b/internal/harness/raft_processes.go
@@ -79,7 +79,7 @@
 		if err != nil {
 			return err
 		}
-		l := c.load(ctx, 2)
+		l := c.startLoad(ctx, 2)
 		defer l.close()
 		busyFor(10 * time.Second)
 		if err := l.end(); err != nil {
@@ -128,7 +128,7 @@
 // speedWith measures puts by so many clients on a group of its own.
 func (r *RaftTest) speedWith(ctx context.Context, rep *report.Report, clients int) error {
 	return withGroup(ctx, r.Program, rep, 3, "", func(c *controlProcesses) error {
-		l := c.load(ctx, clients)
+		l := c.startLoad(ctx, clients)
 		defer l.close()
 		time.Sleep(time.Second)
 		before, err := c.report(c.leader())
@@ -136,13 +136,13 @@
 			return err
 		}
 		l.mu.Lock()
-		puts, versions := l.puts, len(l.taken)
+		puts, versions := l.puts, len(l.committed)
 		l.times.Reset()
 		l.mu.Unlock()
 		started := time.Now()
 		time.Sleep(10 * time.Second)
 		l.mu.Lock()
-		puts, versions = l.puts-puts, len(l.taken)-versions
+		puts, versions = l.puts-puts, len(l.committed)-versions
 		took := time.Since(started).Seconds()
 		l.mu.Unlock()
 		after, err := c.report(c.leader())
--- a/internal/harness/readiness.go
+++ b/internal/harness/readiness.go
@@ -48,7 +48,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (p *readiness) is(name string) bool {
+func (p *readiness) ready(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at, ok := p.readyAt[name]
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -25,21 +25,21 @@
 	"umberwinch/internal/simulation"
 )
 
-// RecoveryTest is a run of `umberctl lab comeback`: a fleet that restarts whole and a group that lost its state, on the rig of
-// the zones and in their virtual time.
+// RecoveryTest is a run of `umberctl faulttest comeback`: a fleet that restarts whole and a group that lost its state, on the
+// fleet of the zones' cases and in their virtual time.
 type RecoveryTest struct {
-	Seed    int64
-	Quick   bool
-	Size    int
-	Out     string
-	Words   string
-	Without zones.Guard
-	Lead    policy.Guard // taken out of the leader, in virtual time
-	Mode    string
-	Program string
-	Only    string
-	Part    int
-	Parts   int
+	Seed          int64
+	Quick         bool
+	Size          int
+	Out           string
+	ProcessGuards string
+	Without       zones.Guard
+	Lead          policy.Guard // taken out of the leader, in virtual time
+	Mode          string
+	Program       string
+	Only          string
+	Part          int
+	Parts         int
 }
 
 // Run plays restarts in virtual time beside baselines and the lower bound, then the hard cases on processes.
@@ -48,7 +48,7 @@
 		Head: []string{"PART", "NODES", "LOAD", "WAY", "HALF", "95 IN 100", "WHOLE", "AT BEST", "BELOW, PEAK", "TRIES A REQ"}}
 	rep.Add("seed", "%d", r.Seed)
 	if r.Mode != "real" {
-		entries, largest, worst, broken := joinCrowd(r.Seed, 5000, r.Lead)
+		entries, largest, worst, broken := joinAll(r.Seed, 5000, r.Lead)
 		rep.Add("crowd_entries", "%d", entries)
 		rep.Add("crowd_largest", "%d", largest)
 		rep.Add("crowd_worst_ms", "%d", worst)
@@ -58,8 +58,8 @@
 		r.virtual(ctx, rep)
 	}
 	if r.Mode != "virtual" && rep.Broken == "" {
-		z := &ZonesTest{Seed: r.Seed, Quick: r.Quick, Size: r.Size, Words: r.Words, Program: r.Program, Only: r.Only, Part: r.Part,
-			Parts: r.Parts, cases: comebackCases}
+		z := &ZonesTest{Seed: r.Seed, Quick: r.Quick, Size: r.Size, ProcessGuards: r.ProcessGuards, Program: r.Program, Only: r.Only, Part: r.Part,
+			Parts: r.Parts, cases: recoveryCases}
 		if err := z.real(ctx, w, rep); err != nil {
 			return nil, err
 		}
@@ -117,7 +117,7 @@
 				}
 				most := min(1, 1/load)
 				rep.Rows = append(rep.Rows, []string{"virtual", strconv.Itoa(n), fmt.Sprintf("%.2f", load), way.name,
-					secs(v.RecoveredAt(0.5 * most)), secs(v.RecoveredAt(0.95 * most)), secs(v.RecoveredAt(0.98 * most)),
+					secondsText(v.RecoveredAt(0.5 * most)), secondsText(v.RecoveredAt(0.95 * most)), secondsText(v.RecoveredAt(0.98 * most)),
 					fmt.Sprintf("%.0f s", shortestRecovery(min(load, 1), 8, simulation.WarmUpSeconds)), fmt.Sprintf("%.2f", v.Start), fmt.Sprintf("%.2f", v.Tries)})
 				if i == 0 && n <= 300 {
 					v.Plot[0].Name, v.Plot[1].Name = "value done", "below: asked over what it bears"
@@ -135,9 +135,9 @@
 func (emptyPolicyLog) Last() uint64                       { return 0 }
 func (emptyPolicyLog) Text(uint64) (string, string, bool) { return "", "", false }
 
-// joinCrowd has nodes ask a leader to be taken in, most of them within a second and a fifth over the next two, and holds it to the order
-// in which they came. It gives the entries that this took, the largest of them, and the longest that any waited, in ms.
-func joinCrowd(seed int64, nodes int, without policy.Guard) (entries, largest, worst int, broken string) {
+// joinAll has nodes ask a leader to be taken in, most of them within a second and a fifth over the next two, and holds it
+// to the order in which they came. It gives the entries that this took, the largest of them, and the longest that any waited, in ms.
+func joinAll(seed int64, nodes int, without policy.Guard) (entries, largest, worst int, broken string) {
 	const step, commit = 20, 40 // ms
 	r, part, s := rand.New(rand.NewSource(seed)), coordinator.NewState(without), coordinator.NewLeader(without)
 	s.SetRole("g", true, 1)
@@ -188,7 +188,7 @@
 	return entries, largest, worst, broken
 }
 
-func secs(ms float64) string {
+func secondsText(ms float64) string {
 	if ms < 0 {
 		return "-"
 	}
@@ -197,85 +197,87 @@
 
 // ---- Processes.
 
-// down ends all instances, or those that are named.
-func (b *zoneBench) down(procs ...*instanceProcess) {
+// killInstances ends all instances, or those that are named.
+func (b *zoneFixture) killInstances(procs ...*instanceProcess) {
 	for _, p := range procs {
 		b.group.kill(p)
 	}
 }
 
-// recovers founds the group's next generation at the first instance, and has the others join it on empty folders.
-func (b *zoneBench) recovers(others ...*instanceProcess) (said string) {
+// recoverGroup founds the group's next generation at the first instance, and has the others join it on empty folders.
+func (b *zoneFixture) recoverGroup(others ...*instanceProcess) (output string) {
 	first := b.group.procs[0]
 	raw, err := exec.CommandContext(b.ctx, b.Program, "control", "recover", "--file", first.file, "--for", "7s",
 		"--found").CombinedOutput()
-	if said = string(raw); err != nil || !strings.Contains(said, "is founded") {
+	if output = string(raw); err != nil || !strings.Contains(output, "is founded") {
 		must(fmt.Errorf("control recover: %v\n%s", err, raw))
 	}
-	b.starts(first)
+	b.mustStart(first)
 	must(b.group.awaitUp(b.ctx, first))
 	b.rejoin(others...)
-	return said
+	return output
 }
 
-// folder is an instance's, and old where a copy of it is put.
-func (b *zoneBench) folder(p *instanceProcess) string { return filepath.Join(b.Dir, p.name) }
-func (b *zoneBench) old(p *instanceProcess) string    { return filepath.Join(b.Dir, "old-"+p.name) }
+// folderOf is an instance's folder, copyOf where a copy of it is put.
+func (b *zoneFixture) folderOf(p *instanceProcess) string { return filepath.Join(b.Dir, p.name) }
+func (b *zoneFixture) copyOf(p *instanceProcess) string   { return filepath.Join(b.Dir, "old-"+p.name) }
 
 // rejoin has instances join on empty folders.
-func (b *zoneBench) rejoin(procs ...*instanceProcess) {
+func (b *zoneFixture) rejoin(procs ...*instanceProcess) {
 	for _, p := range procs {
-		must(os.RemoveAll(b.folder(p)))
-		b.starts(p)
+		must(os.RemoveAll(b.folderOf(p)))
+		b.mustStart(p)
 		must(b.group.awaitUp(b.ctx, p))
 		must(b.group.join(b.ctx, p))
 	}
 }
 
-// generation holds the group to a generation and the fleet to the version that was in force, and a change after it.
-func (b *zoneBench) generation(at uint64) {
+// checkGeneration holds the group to a generation and the fleet to the version that was in force, and a change after it.
+func (b *zoneFixture) checkGeneration(at uint64) {
 	must(b.await(30*time.Second, func() error {
 		v, err := b.Policy()
-		if err == nil && (v.Generation != at || v.CommittedVersion != b.force || v.StateLoss != "") {
-			err = fmt.Errorf("generation %d has version %d in force (%s), expected %d and %d", v.Generation, v.CommittedVersion, v.StateLoss, at, b.force)
+		if err == nil && (v.Generation != at || v.CommittedVersion != b.committedVersion || v.StateLoss != "") {
+			err = fmt.Errorf("generation %d has version %d in force (%s), expected %d and %d", v.Generation, v.CommittedVersion, v.StateLoss, at, b.committedVersion)
 		}
 		return err
 	}))
-	b.allServe(b.force)
-	got(b.change(policy.Proposal{}))
+	b.mustAllServe(b.committedVersion)
+	mustGet(b.change(policy.Proposal{}))
 }
 
-// gen gives the group's generation.
-func (b *zoneBench) gen() uint64 { return got(b.Policy()).Generation }
+// currentGeneration gives the group's generation.
+func (b *zoneFixture) currentGeneration() uint64 { return mustGet(b.Policy()).Generation }
 
-// allDown kills nodes, has the services below turn cold, and gives the time.
-func (b *zoneBench) allDown(nodes ...*nodeProcess) time.Time {
-	b.kills(nodes...)
+// killWithColdStores kills nodes, has the services below turn cold, and gives the time.
+func (b *zoneFixture) killWithColdStores(nodes ...*nodeProcess) time.Time {
+	b.killNodes(nodes...)
 	for _, z := range allZones {
-		b.below(z, 1, 0, true)
+		b.setStore(z, 1, 0, true)
 	}
 	return time.Now()
 }
 
-// whole waits until the fleet that began with a share is in again, and holds the services below to what they bear since then.
-func (b *zoneBench) whole(since time.Time) {
-	got(b.stands(zones.WholeFleet, 150*time.Second, zones.InService))
-	fmt.Fprintf(b.w, "  the fleet is in again after %.1f s\n", time.Since(since).Seconds())
-	b.bores(since)
+// awaitRecovered waits until the fleet that began with a share is in again, and holds the services below to what they bear
+// since then.
+func (b *zoneFixture) awaitRecovered(since time.Time) {
+	mustGet(b.awaitPhase(zones.WholeFleet, 150*time.Second, zones.InService))
+	fmt.Fprintf(b.out, "  the fleet is in again after %.1f s\n", time.Since(since).Seconds())
+	b.checkStoreLoads(since)
 }
 
-func (b *zoneBench) bores(since time.Time) {
-	must(errors.Join(b.bore("z1", since), b.bore("z2", since), b.bore("z3", since)))
+// checkStoreLoads holds each zone's service below to what it bears, since a time.
+func (b *zoneFixture) checkStoreLoads(since time.Time) {
+	must(errors.Join(b.checkStoreLoad("z1", since), b.checkStoreLoad("z2", since), b.checkStoreLoad("z3", since)))
 }
 
-// logged counts what a process logged.
-func (b *zoneBench) logged(name, what string) int {
+// countLogged counts what a process logged.
+func (b *zoneFixture) countLogged(name, what string) int {
 	raw, _ := os.ReadFile(filepath.Join(b.Dir, name+".log"))
 	return strings.Count(string(raw), what)
 }
 
-// followed counts how often a node said that it follows a generation of the group.
-func (b *zoneBench) followed(name string, generation uint64) (n int) {
+// countFollowed counts how often a node said that it follows a generation of the group.
+func (b *zoneFixture) countFollowed(name string, generation uint64) (n int) {
 	must(readLog(filepath.Join(b.Dir, name+".log"), func(l *logRecord) {
 		if l.message == "a restored generation of the group is followed" && l.number(logging.Generation) == generation {
 			n++
@@ -284,67 +286,67 @@
 	return n
 }
 
-var comebackCases = []zoneCase{
-	{name: "the group and all nodes killed at once, the services below cold", run: func(b *zoneBench) {
+var recoveryCases = []zoneCase{
+	{name: "the group and all nodes killed at once, the services below cold", run: func(b *zoneFixture) {
 		for _, name := range allZones { // what they bore has to be what is asked of them, or it takes minutes
 			must(b.await(20*time.Second, func() error {
-				z, err := b.zone(name)
+				z, err := b.zoneView(name)
 				if err == nil && z.Capacity.RunRate < 0.7*zoneRate/3 {
 					err = fmt.Errorf("zone %s bore %.0f runs a second", name, z.Capacity.RunRate)
 				}
 				return err
 			}))
 		}
-		b.down(b.group.procs...)
-		since := b.allDown(b.nodes...)
+		b.killInstances(b.group.procs...)
+		since := b.killWithColdStores(b.nodes...)
 		time.Sleep(time.Second) // the platform's pace
 		for i, n := range b.nodes {
 			if i%3 == 0 && i/3 < len(b.group.procs) {
-				b.starts(b.group.procs[i/3])
+				b.mustStart(b.group.procs[i/3])
 			}
 			must(n.Start())
 		}
-		b.allServe(b.force)
-		fmt.Fprintf(b.w, "  all serve after %.1f s\n", time.Since(since).Seconds())
-		if _, err := b.stands(zones.WholeFleet, 5*time.Second, zones.Ramping, zones.InService); err != nil {
-			fmt.Fprintln(b.w, err)
-			b.bores(since)
+		b.mustAllServe(b.committedVersion)
+		fmt.Fprintf(b.out, "  all serve after %.1f s\n", time.Since(since).Seconds())
+		if _, err := b.awaitPhase(zones.WholeFleet, 5*time.Second, zones.Ramping, zones.InService); err != nil {
+			fmt.Fprintln(b.out, err)
+			b.checkStoreLoads(since)
 			must(err)
 		}
-		b.whole(since)
+		b.awaitRecovered(since)
 	}},
-	{name: "all folders of the group lost, and nodes know what they served under", run: func(b *zoneBench) {
-		got(b.change(policy.Proposal{}))
-		gen := b.gen()
-		b.down(b.group.procs...)
+	{name: "all folders of the group lost, and nodes know what they served under", run: func(b *zoneFixture) {
+		mustGet(b.change(policy.Proposal{}))
+		gen := b.currentGeneration()
+		b.killInstances(b.group.procs...)
 		for _, p := range b.group.procs {
-			must(os.RemoveAll(b.folder(p)))
+			must(os.RemoveAll(b.folderOf(p)))
 		}
-		said := b.recovers(b.group.procs[1:]...)
-		if want := fmt.Sprintf("%d came by, %[1]d count", len(b.nodes)); !strings.Contains(said, want) {
-			must(fmt.Errorf("expected %q in\n%s", want, said))
+		output := b.recoverGroup(b.group.procs[1:]...)
+		if want := fmt.Sprintf("%d came by, %[1]d count", len(b.nodes)); !strings.Contains(output, want) {
+			must(fmt.Errorf("expected %q in\n%s", want, output))
 		}
-		b.generation(gen + 1)
+		b.checkGeneration(gen + 1)
 	}},
-	{name: "an old copy of all folders put back while nodes serve under a newer policy", run: func(b *zoneBench) {
+	{name: "an old copy of all folders put back while nodes serve under a newer policy", run: func(b *zoneFixture) {
 		each := func(do func(p *instanceProcess)) {
 			for _, p := range b.group.procs {
 				do(p)
 			}
 		}
-		b.down(b.group.procs...)
-		each(func(p *instanceProcess) { must(os.CopyFS(b.old(p), os.DirFS(b.folder(p)))) })
-		defer each(func(p *instanceProcess) { os.RemoveAll(b.old(p)) })
-		each(b.starts)
-		b.allServe(b.force)
+		b.killInstances(b.group.procs...)
+		each(func(p *instanceProcess) { must(os.CopyFS(b.copyOf(p), os.DirFS(b.folderOf(p)))) })
+		defer each(func(p *instanceProcess) { os.RemoveAll(b.copyOf(p)) })
+		each(b.mustStart)
+		b.mustAllServe(b.committedVersion)
 		for range 2 {
-			got(b.change(policy.Proposal{}))
+			mustGet(b.change(policy.Proposal{}))
 		}
-		gen := b.gen()
-		b.down(b.group.procs...)
+		gen := b.currentGeneration()
+		b.killInstances(b.group.procs...)
 		each(func(p *instanceProcess) {
-			must(errors.Join(os.RemoveAll(b.folder(p)), os.Rename(b.old(p), b.folder(p))))
-			b.starts(p)
+			must(errors.Join(os.RemoveAll(b.folderOf(p)), os.Rename(b.copyOf(p), b.folderOf(p))))
+			b.mustStart(p)
 		})
 		must(b.await(10*time.Second, func() error {
 			v, err := b.Policy()
@@ -354,96 +356,96 @@
 			return err
 		}))
 		// It says so after a restart as well.
-		b.down(b.group.procs...)
-		before := b.logged("instances", "the group has lost state")
-		each(b.starts)
+		b.killInstances(b.group.procs...)
+		before := b.countLogged("instances", "the group has lost state")
+		each(b.mustStart)
 		must(b.await(10*time.Second, func() error {
-			if b.logged("instances", "the group has lost state") == before {
+			if b.countLogged("instances", "the group has lost state") == before {
 				return errors.New("instances that lost state say nothing of it after a restart")
 			}
 			return nil
 		}))
-		b.down(b.group.procs...)
-		b.recovers(b.group.procs[1:]...)
-		b.generation(gen + 1)
+		b.killInstances(b.group.procs...)
+		b.recoverGroup(b.group.procs[1:]...)
+		b.checkGeneration(gen + 1)
 	}},
-	{name: "a paused majority of the old generation goes on", may: allZones, run: func(b *zoneBench) {
-		gen := b.gen()
-		b.others(func(p *instanceProcess) { p.signal(syscall.SIGSTOP) })
-		b.down(b.group.procs[0])
-		b.recovers()
-		b.allServe(b.force)
+	{name: "a paused majority of the old generation goes on", mayLeave: allZones, run: func(b *zoneFixture) {
+		gen := b.currentGeneration()
+		b.eachButFirst(func(p *instanceProcess) { p.signal(syscall.SIGSTOP) })
+		b.killInstances(b.group.procs[0])
+		b.recoverGroup()
+		b.mustAllServe(b.committedVersion)
 		before := map[string]int{}
 		for _, n := range b.nodes {
-			before[n.name] = b.followed(n.name, gen)
+			before[n.name] = b.countFollowed(n.name, gen)
 		}
-		b.others(func(p *instanceProcess) { p.signal(syscall.SIGCONT) })
+		b.eachButFirst(func(p *instanceProcess) { p.signal(syscall.SIGCONT) })
 		// Without a word of the new one they ask the old one, which leads by a majority of its own.
 		for _, n := range b.nodes {
-			b.group.board.set(n.name, b.group.procs[0].name, linkFault{cut: true})
+			b.group.forwarders.set(n.name, b.group.procs[0].name, linkFault{cut: true})
 		}
 		time.Sleep(3*b.lease + 2*time.Second)
 		b.heal()
 		for _, n := range b.nodes {
-			if b.followed(n.name, gen) > before[n.name] {
+			if b.countFollowed(n.name, gen) > before[n.name] {
 				must(fmt.Errorf("%s follows generation %d of the group after %d was restored:\n%s", n.name, gen, gen+1, b.tail(n.name, 6)))
 			}
 		}
-		b.down(b.group.procs[1:]...)
+		b.killInstances(b.group.procs[1:]...)
 		b.rejoin(b.group.procs[1:]...)
-		b.generation(gen + 1)
+		b.checkGeneration(gen + 1)
 	}},
-	{name: "all nodes killed at once, and back while the group has no leader", long: true, run: func(b *zoneBench) {
+	{name: "all nodes killed at once, and back while the group has no leader", long: true, run: func(b *zoneFixture) {
 		leader := b.group.leader()
 		if leader == nil {
 			must(errors.New("no leader"))
 		}
-		b.down(leader)
-		since := b.allDown(b.nodes...)
-		b.begins(0, b.nodes...)
-		b.allServe(b.force)
-		b.starts(leader)
-		b.whole(since)
+		b.killInstances(leader)
+		since := b.killWithColdStores(b.nodes...)
+		b.startNodes(0, b.nodes...)
+		b.mustAllServe(b.committedVersion)
+		b.mustStart(leader)
+		b.awaitRecovered(since)
 	}},
-	{name: "nodes up some seconds before their kernels", long: true, run: func(b *zoneBench) {
-		b.kills(b.nodes...)
+	{name: "nodes up some seconds before their kernels", long: true, run: func(b *zoneFixture) {
+		b.killNodes(b.nodes...)
 		for _, z := range allZones {
-			b.kernels(z, true)
+			b.setKernelsDead(z, true)
 		}
-		b.begins(0, b.nodes...)
+		b.startNodes(0, b.nodes...)
 		time.Sleep(5 * time.Second)
-		since := b.allDown()
+		since := b.killWithColdStores()
 		for _, z := range allZones {
-			b.kernels(z, false)
+			b.setKernelsDead(z, false)
 		}
-		b.allServe(b.force)
-		b.whole(since)
+		b.mustAllServe(b.committedVersion)
+		b.awaitRecovered(since)
 	}},
-	{name: "in the middle of a change of policy and of a zone's return", long: true, may: []string{"z1"}, run: func(b *zoneBench) {
-		must(b.op(zones.Op{Kind: zones.OpEvacuate, Zone: "z1", DrillMS: 1000}))
-		got(b.stands("z1", 20*time.Second, zones.Ramping))
-		c := b.proposes("", policy.Proposal{})
-		since := b.allDown(b.nodes...)
+	{name: "in the middle of a change of policy and of a zone's return", long: true, mayLeave: []string{"z1"}, run: func(b *zoneFixture) {
+		must(b.operate(zones.Op{Kind: zones.OpEvacuate, Zone: "z1", DrillMS: 1000}))
+		mustGet(b.awaitPhase("z1", 20*time.Second, zones.Ramping))
+		c := b.propose("", policy.Proposal{})
+		since := b.killWithColdStores(b.nodes...)
 		time.Sleep(time.Second)
-		b.begins(0, b.nodes...)
+		b.startNodes(0, b.nodes...)
 		// In force by then or called off: either way all serve under one version.
-		if got(b.Step(c.number, 40*time.Second, policy.Settled, policy.Aborted)).Step == policy.Settled {
-			b.force = c.version
+		if mustGet(b.Step(c.number, 40*time.Second, policy.Settled, policy.Aborted)).Step == policy.Settled {
+			b.committedVersion = c.version
 		}
-		b.allServe(b.force)
-		got(b.stands(zones.WholeFleet, 10*time.Second, zones.Ramping))
-		b.whole(since)
-		must(b.back("z1"))
-		got(b.change(policy.Proposal{}))
+		b.mustAllServe(b.committedVersion)
+		mustGet(b.awaitPhase(zones.WholeFleet, 10*time.Second, zones.Ramping))
+		b.awaitRecovered(since)
+		must(b.awaitInService("z1"))
+		mustGet(b.change(policy.Proposal{}))
 	}},
-	{name: "in waves that overlap with the recovery, some nodes in a loop", long: true, run: func(b *zoneBench) {
+	{name: "in waves that overlap with the recovery, some nodes in a loop", long: true, run: func(b *zoneFixture) {
 		restart := func(nodes []*nodeProcess, pace time.Duration) {
 			for _, n := range nodes {
 				n.Kill()
-				b.begins(pace, n)
+				b.startNodes(pace, n)
 			}
 		}
-		since := b.allDown()
+		since := b.killWithColdStores()
 		most := len(b.nodes)*5/9 + 1
 		restart(b.nodes[:most], 0)
 		time.Sleep(3 * time.Second)
@@ -452,19 +454,19 @@
 			restart(b.nodes[:2], 500*time.Millisecond)
 		}
 		restart(b.nodes[2:], 0)
-		got(b.stands(zones.WholeFleet, 10*time.Second, zones.Ramping))
-		b.allServe(b.force)
-		b.whole(since)
+		mustGet(b.awaitPhase(zones.WholeFleet, 10*time.Second, zones.Ramping))
+		b.mustAllServe(b.committedVersion)
+		b.awaitRecovered(since)
 	}},
 }
 
-// ComebackGuards are the guards of coming back.
-var ComebackGuards = []string{"small-start", "generation", "proof", "listen-first", "spread", "arrival-order"}
+// RecoveryGuards are the guards of coming back.
+var RecoveryGuards = []string{"small-start", "generation", "proof", "listen-first", "spread", "arrival-order"}
 
 // RecoveryCases names the cases.
 func RecoveryCases() (names []string) {
 	names = append(names, OnlyCosts)
-	for _, c := range comebackCases {
+	for _, c := range recoveryCases {
 		names = append(names, c.name)
 	}
 	return names
--- a/internal/harness/recovery_test.go
+++ b/internal/harness/recovery_test.go
@@ -36,7 +36,7 @@
 }
 
 // TestComebackGuards takes guards out on processes: the case that needs each breaks. small-start is taken out in virtual
-// time (TestRestart), and by lab comeback.
+// time (TestRestart), and by umberctl faulttest comeback.
 func TestComebackGuards(t *testing.T) {
 	t.Parallel()
 	for guard, only := range map[string]string{"generation": "a paused majority of the old generation goes on",
@@ -44,7 +44,7 @@
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
 			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
-				return (&RecoveryTest{Seed: seed, Quick: true, Mode: "real", Words: guard, Only: only, Program: built(t)}).Run(context.Background(), w)
+				return (&RecoveryTest{Seed: seed, Quick: true, Mode: "real", ProcessGuards: guard, Only: only, Program: built(t)}).Run(context.Background(), w)
 			})
 		})
 	}
@@ -53,12 +53,12 @@
 // TestCrowd: a crowd of nodes is taken in by the group in the order in which they asked, in entries of a bounded size, and nobody
 // waits for long; without that order the first of them do.
 func TestCrowd(t *testing.T) {
-	entries, largest, worst, broken := joinCrowd(1, 5000, 0)
+	entries, largest, worst, broken := joinAll(1, 5000, 0)
 	if broken != "" || largest > 200_000 || worst > 1500 {
 		t.Errorf("%d entries, the largest of %d bytes, %d ms at worst: %s", entries, largest, worst, broken)
 	}
 	t.Logf("%d entries, the largest of %d bytes, %d ms at worst", entries, largest, worst)
-	if _, _, _, broken = joinCrowd(1, 5000, policy.ArrivalOrder); broken == "" {
+	if _, _, _, broken = joinAll(1, 5000, policy.ArrivalOrder); broken == "" {
 		t.Error("without arrival-order no promise broke")
 	}
 	t.Log(broken)
--- a/internal/harness/result_store.go
+++ b/internal/harness/result_store.go
@@ -17,10 +17,10 @@
 	"umberwinch/internal/simulation"
 )
 
-// kept.go kills a node that keeps results, over and over, at named points and at random ones, and starts it again on its
+// This file kills a node that stores results, over and over, at named points and at random ones, and starts it again on its
 // folder, while clients repeat their keys at random. The emulated kernel outlives it and counts runs by key.
 
-// ResultStoreTest is `lab kept`.
+// ResultStoreTest is `umberctl faulttest kept`.
 type ResultStoreTest struct {
 	Seed    int64
 	Quick   bool
@@ -31,19 +31,19 @@
 	Program string
 }
 
-// KeptGuards can be taken out of the node; with one of them the run ends broken.
-var KeptGuards = []string{"proof", "intent", "result"}
+// ResultStoreGuards can be taken out of the node; with one of them the run ends broken.
+var ResultStoreGuards = []string{"proof", "intent", "result"}
 
-// keptPoints are where a node can be told to die.
-var keptPoints = []string{"intent", "sync", "durable", "sched", "reap", "result", "answer"}
+// crashPoints are where a node can be told to die.
+var crashPoints = []string{"intent", "sync", "durable", "sched", "reap", "result", "answer"}
 
 // A short window, so that repeats come inside it and outside; a run takes some ms.
 const (
-	keptWindow  = 1500 * time.Millisecond
-	keptClients = 4
-	keptRepeat  = 0.6
-	keptSlack   = 300 * time.Millisecond
-	keptClasses = `cores 4
+	resultWindow       = 1500 * time.Millisecond
+	clientsPerNode     = 4
+	repeatShare        = 0.6
+	windowSlack        = 300 * time.Millisecond
+	resultStoreClasses = `cores 4
 tenants 1
 class view work=1 share=1 tail=0 target=300 timeout=1500 value=1
 class submit work=3 share=1 tail=0.5 target=600 timeout=1500 value=20
@@ -57,8 +57,8 @@
 	result string
 }
 
-// resultStoreProcesses is one node, killed over and over.
-type resultStoreProcesses struct {
+// resultStoreNode is one node, killed over and over.
+type resultStoreNode struct {
 	dir, listen     string
 	program         string
 	env             []string
@@ -84,22 +84,22 @@
 	errored, shed   int
 }
 
-func newResultStoreProcesses(dir, program string, seed int64, window time.Duration, own, without string) (*resultStoreProcesses, error) {
-	r := &resultStoreProcesses{dir: dir, program: program, listen: loopback(8080), runs: map[string][]callResult{}, told: map[string]time.Time{}, effects: map[string]int{},
+func newResultStoreNode(dir, program string, seed int64, window time.Duration, own, without string) (*resultStoreNode, error) {
+	r := &resultStoreNode{dir: dir, program: program, listen: loopback(8080), runs: map[string][]callResult{}, told: map[string]time.Time{}, effects: map[string]int{},
 		points: map[string]int{},
-		chance: rand.New(rand.NewSource(seed)), client: keptClient()}
-	s, err := simulation.ReadScenario("kept", keptClasses)
+		chance: rand.New(rand.NewSource(seed)), client: newLifeClient()}
+	s, err := simulation.ReadScenario("kept", resultStoreClasses)
 	if err != nil {
 		return nil, err
 	}
 	if r.kernel, err = NewEmulatedKernel(loopback(7400), seed, float64(s.Cores), s.Classes, kernelStep); err != nil {
 		return nil, err
 	}
-	r.kernel.begins = r.begins
+	r.kernel.onBegin = r.begins
 	if r.store, err = NewEmulatedStore(loopback(9042), seed, 8, 2*time.Millisecond, 1, 1); err != nil {
 		return nil, err
 	}
-	r.store.heard, r.kernel.calls = r.acts, true
+	r.store.onCall, r.kernel.callsStore = r.acts, true
 	if r.control, err = newReadiness(); err != nil {
 		return nil, err
 	}
@@ -126,12 +126,12 @@
 	return r, os.WriteFile(filepath.Join(dir, "node.ini"), []byte("[log]\nform = json\nfrom = warning\n"+own), 0o600)
 }
 
-// keptClient has connections of one life alone: on one of a life before a try would get an error that says nothing.
-func keptClient() *http.Client {
+// newLifeClient has connections of one life alone: on one of a life before a try would get an error that says nothing.
+func newLifeClient() *http.Client {
 	return &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 5 * time.Second}}
 }
 
-func (r *resultStoreProcesses) close() {
+func (r *resultStoreNode) close() {
 	r.node.close()
 	r.kernel.Close()
 	r.store.Close()
@@ -140,13 +140,13 @@
 }
 
 // begins is told each run by the kernel, and holds it against those before.
-func (r *resultStoreProcesses) begins(body []byte) []byte {
+func (r *resultStoreNode) begins(body []byte) []byte {
 	key, now := string(body), time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	before := r.runs[key]
-	if n := len(before); n > 0 && now.Sub(before[n-1].at) < keptWindow {
-		r.fail("%s ran again %v after its last run began, expected %v at least", key, now.Sub(before[n-1].at), keptWindow)
+	if n := len(before); n > 0 && now.Sub(before[n-1].at) < resultWindow {
+		r.fail("%s ran again %v after its last run began, expected %v at least", key, now.Sub(before[n-1].at), resultWindow)
 	}
 	result := fmt.Sprintf("%s#%d\x00\xff", key, len(before)+1)
 	r.runs[key] = append(before, callResult{now, result})
@@ -154,7 +154,7 @@
 }
 
 // acts is told each call that the service below carries out: an effect that nobody can take back, one a run at most.
-func (r *resultStoreProcesses) acts(body []byte) {
+func (r *resultStoreNode) acts(body []byte) {
 	key := string(body)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,14 +163,14 @@
 	}
 }
 
-func (r *resultStoreProcesses) fail(format string, args ...any) {
+func (r *resultStoreNode) fail(format string, args ...any) {
 	if r.broken == "" {
 		r.broken = fmt.Sprintf(format, args...)
 	}
 }
 
 // start runs the node; die names a point and a count, or is empty.
-func (r *resultStoreProcesses) start(die string) error {
+func (r *resultStoreNode) start(die string) error {
 	cmd := nodeCommand(r.program)
 	cmd.Env = append(slices.Clip(r.env), "UMBERWINCH_DIE_AT="+die)
 	log, err := openLog(filepath.Join(r.dir, "node.log"))
@@ -183,7 +183,7 @@
 }
 
 // tear leaves part of a write that was never synced at the log's end.
-func (r *resultStoreProcesses) tear() error {
+func (r *resultStoreNode) tear() error {
 	logs, _ := filepath.Glob(filepath.Join(r.dir, "folder", "*.seg"))
 	if len(logs) == 0 {
 		return nil
@@ -202,10 +202,10 @@
 }
 
 // play kills so many times.
-func (r *resultStoreProcesses) play(ctx context.Context, kills int) error {
+func (r *resultStoreNode) play(ctx context.Context, kills int) error {
 	ctx, end := context.WithCancel(ctx)
 	var callers sync.WaitGroup
-	for i := range keptClients {
+	for i := range clientsPerNode {
 		callers.Add(1)
 		chance := rand.New(rand.NewSource(r.chance.Int63()))
 		go func() { defer callers.Done(); r.caller(ctx, chance, fmt.Sprintf("%c", 'a'+i)) }()
@@ -218,7 +218,7 @@
 		case x < 0.6 || r.at != "":
 			point := r.at
 			if point == "" {
-				point = keptPoints[r.chance.Intn(len(keptPoints))]
+				point = crashPoints[r.chance.Intn(len(crashPoints))]
 			}
 			die = fmt.Sprintf("%s:%d", point, 1+r.chance.Intn(20))
 			r.points[point]++
@@ -248,7 +248,7 @@
 		r.mu.Lock()
 		r.life, r.up = r.life+1, false
 		r.client.CloseIdleConnections()
-		r.client = keptClient()
+		r.client = newLifeClient()
 		r.mu.Unlock()
 		r.node.kill()
 		r.kills++
@@ -261,13 +261,13 @@
 	return ctx.Err()
 }
 
-func (r *resultStoreProcesses) tail() string {
+func (r *resultStoreNode) tail() string {
 	raw, _ := os.ReadFile(filepath.Join(r.dir, "node.log"))
 	return string(raw[max(0, len(raw)-600):])
 }
 
-// keptRigs at one time: a life is mostly waits.
-const keptRigs = 6
+// nodesAtOnce is how many nodes are killed side by side: the life of one is mostly waits.
+const nodesAtOnce = 6
 
 // Run plays all and writes the report.
 func (k *ResultStoreTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
@@ -306,7 +306,7 @@
 
 func (k *ResultStoreTest) killsIn(ctx context.Context, dir string, rep *report.Report) error {
 	ctx, stop := context.WithCancel(ctx)
-	rigs, errs := make([]*resultStoreProcesses, keptRigs), make([]error, keptRigs)
+	rigs, errs := make([]*resultStoreNode, nodesAtOnce), make([]error, nodesAtOnce)
 	var all sync.WaitGroup
 	var ends []func()
 	defer func() {
@@ -322,16 +322,16 @@
 		if err != nil {
 			return err
 		}
-		if rigs[i], err = newResultStoreProcesses(own, k.Program, k.Seed*100+int64(i), keptWindow, "[kept]\nfolder = DIR\nentries = 4000\nmb = 8\n",
+		if rigs[i], err = newResultStoreNode(own, k.Program, k.Seed*100+int64(i), resultWindow, "[kept]\nfolder = DIR\nentries = 4000\nmb = 8\n",
 			k.Without); err != nil {
 			return err
 		}
 		ends = append(ends, rigs[i].close)
 		all.Add(1)
-		go func() { defer all.Done(); errs[i] = rigs[i].play(ctx, (k.Kills+keptRigs-1)/keptRigs) }()
+		go func() { defer all.Done(); errs[i] = rigs[i].play(ctx, (k.Kills+nodesAtOnce-1)/nodesAtOnce) }()
 	}
 	all.Wait()
-	sum := &resultStoreProcesses{points: map[string]int{}}
+	sum := &resultStoreNode{points: map[string]int{}}
 	keys, runs, effects := 0, 0, 0
 	for i, r := range rigs {
 		if errs[i] != nil {
@@ -354,7 +354,7 @@
 	}
 	rep.Rows = append(rep.Rows, []string{"kills", fmt.Sprint(sum.kills), fmt.Sprint(sum.asked), fmt.Sprint(sum.done), fmt.Sprint(sum.repeats),
 		fmt.Sprint(sum.errored), fmt.Sprint(sum.shed), fmt.Sprint(sum.cut), fmt.Sprint(sum.torn)})
-	for _, p := range keptPoints {
+	for _, p := range crashPoints {
 		rep.Add("kills_"+p, "%d", sum.points[p])
 	}
 	rep.Add("kills", "%d", sum.kills)
--- a/internal/harness/result_store_callers.go
+++ b/internal/harness/result_store_callers.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// send is one try. code 0: no answer came; read tells whether the node may have read it.
-func (r *resultStoreProcesses) send(ctx context.Context, client *http.Client, class, key string, again bool) (code int, body string, read bool) {
+// send is one attempt. code 0: no answer came; read tells whether the node may have read it.
+func (r *resultStoreNode) send(ctx context.Context, client *http.Client, class, key string, again bool) (code int, body string, read bool) {
 	once := ""
 	if class == "submit" {
 		once = key
@@ -21,7 +21,7 @@
 }
 
 // caller asks until the context ends: new keys, and old ones again, inside the window and outside.
-func (r *resultStoreProcesses) caller(ctx context.Context, chance *rand.Rand, name string) {
+func (r *resultStoreNode) caller(ctx context.Context, chance *rand.Rand, name string) {
 	var mine []string
 	for n := 0; ctx.Err() == nil; n++ {
 		r.mu.Lock()
@@ -32,7 +32,7 @@
 			continue
 		}
 		key, again := fmt.Sprintf("%s-%d", name, n), false
-		if len(mine) > 0 && chance.Float64() < keptRepeat {
+		if len(mine) > 0 && chance.Float64() < repeatShare {
 			back := int(chance.ExpFloat64() * 8)
 			if chance.Float64() < 0.05 { // long ago, most often outside the window
 				back = chance.Intn(len(mine))
@@ -58,7 +58,7 @@
 }
 
 // note holds an answer against what ran.
-func (r *resultStoreProcesses) note(life int, key string, code int, body string, again, read bool, took time.Duration) {
+func (r *resultStoreNode) note(life int, key string, code int, body string, again, read bool, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.asked++
@@ -85,7 +85,7 @@
 	case http.StatusInternalServerError:
 		r.errored++
 		// One that waited for the disk until it was due is errored too, whatever is known.
-		if since := time.Since(r.told[key]); since < keptWindow-keptSlack && took < keptSlack {
+		if since := time.Since(r.told[key]); since < resultWindow-windowSlack && took < windowSlack {
 			r.fail("%s was errored %v after its result was told", key, since)
 		}
 	default:
--- a/internal/harness/result_store_cost.go
+++ b/internal/harness/result_store_cost.go
@@ -13,20 +13,20 @@
 	"umberwinch/internal/simulation"
 )
 
-// keptWays are what is compared: what a uniqued req takes more, and what others notice of it.
-var keptWays = []struct{ name, own, without string }{{"kept, one sync for all that wait", "[kept]\nfolder = DIR\n", ""},
+// resultStoreVariants are what is compared: what a keyed request takes more, and what others notice of it.
+var resultStoreVariants = []struct{ name, own, without string }{{"kept, one sync for all that wait", "[kept]\nfolder = DIR\n", ""},
 	{"kept, a sync each", "[kept]\nfolder = DIR\n", "group"}, {"in memory", "", ""}}
 
-// costs has as many callers as the cores bear ask without a pause, uniqued reqs and others, in turn.
+// costs has as many callers as the cores bear ask without a pause, keyed requests and others, in turn.
 func (k *ResultStoreTest) costs(ctx context.Context, rep *report.Report) error {
 	span := 8 * time.Second
 	if k.Quick {
 		span = 2 * time.Second
 	}
-	for _, way := range keptWays {
+	for _, way := range resultStoreVariants {
 		for _, callers := range []int{1, 32} {
-			measure := func(r *resultStoreProcesses) error { return r.cost(ctx, rep, way.name, callers, span) }
-			if err := k.withProcesses(ctx, way.own, way.without, measure); err != nil {
+			measure := func(r *resultStoreNode) error { return r.cost(ctx, rep, way.name, callers, span) }
+			if err := k.withNode(ctx, way.own, way.without, measure); err != nil {
 				return err
 			}
 		}
@@ -34,10 +34,10 @@
 	return nil
 }
 
-// withProcesses starts a node with its stand-ins in a folder of its own for as long as use takes.
-func (k *ResultStoreTest) withProcesses(ctx context.Context, own, without string, use func(*resultStoreProcesses) error) error {
+// withNode starts a node with its stand-ins in a folder of its own for as long as use takes.
+func (k *ResultStoreTest) withNode(ctx context.Context, own, without string, use func(*resultStoreNode) error) error {
 	return withWorkFolder(ctx, &report.Report{}, func(dir string) error {
-		r, err := newResultStoreProcesses(dir, k.Program, k.Seed, time.Second, own, without)
+		r, err := newResultStoreNode(dir, k.Program, k.Seed, time.Second, own, without)
 		if err != nil {
 			return err
 		}
@@ -45,9 +45,9 @@
 	})
 }
 
-func (r *resultStoreProcesses) cost(ctx context.Context, rep *report.Report, name string, callers int, span time.Duration) error {
+func (r *resultStoreNode) cost(ctx context.Context, rep *report.Report, name string, callers int, span time.Duration) error {
 	defer r.close()
-	r.kernel.begins, r.kernel.calls = nil, false
+	r.kernel.onBegin, r.kernel.callsStore = nil, false
 	r.kernel.Set(func(classes map[string]*simulation.Class, cores *float64) {
 		for _, c := range classes {
 			c.Work, c.WorkSigma = 1, 0 // a tenth of a ms: what is measured is the node's own part
--- a/internal/harness/result_store_test.go
+++ b/internal/harness/result_store_test.go
@@ -15,7 +15,7 @@
 		{"result", "sync", "after its result was told"}} {
 		t.Run("without "+c.without, func(t *testing.T) {
 			t.Parallel()
-			r, err := newResultStoreProcesses(t.TempDir(), built(t), 7, keptWindow, "[kept]\nfolder = DIR\nentries = 4000\nmb = 8\n", c.without)
+			r, err := newResultStoreNode(t.TempDir(), built(t), 7, resultWindow, "[kept]\nfolder = DIR\nentries = 4000\nmb = 8\n", c.without)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -41,28 +41,28 @@
 func TestKeptChecker(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		play func(r *resultStoreProcesses)
+		play func(r *resultStoreNode)
 	}{
-		{"a second run", func(r *resultStoreProcesses) { r.begins([]byte("a")); r.begins([]byte("a")) }},
-		{"a second effect", func(r *resultStoreProcesses) { r.begins([]byte("a")); r.acts([]byte("a")); r.acts([]byte("a")) }},
-		{"another's result", func(r *resultStoreProcesses) {
+		{"a second run", func(r *resultStoreNode) { r.begins([]byte("a")); r.begins([]byte("a")) }},
+		{"a second effect", func(r *resultStoreNode) { r.begins([]byte("a")); r.acts([]byte("a")); r.acts([]byte("a")) }},
+		{"another's result", func(r *resultStoreNode) {
 			r.begins([]byte("a"))
 			r.note(0, "b", 200, "a#1\x00\xff", true, true, 0)
 		}},
-		{"a changed result", func(r *resultStoreProcesses) { r.begins([]byte("a")); r.note(0, "a", 200, "a#1\x00", true, true, 0) }},
-		{"no answer", func(r *resultStoreProcesses) { r.up = true; r.note(0, "a", 0, "", false, true, 0) }},
-		{"a result that is lost", func(r *resultStoreProcesses) {
+		{"a changed result", func(r *resultStoreNode) { r.begins([]byte("a")); r.note(0, "a", 200, "a#1\x00", true, true, 0) }},
+		{"no answer", func(r *resultStoreNode) { r.up = true; r.note(0, "a", 0, "", false, true, 0) }},
+		{"a result that is lost", func(r *resultStoreNode) {
 			r.note(0, "a", 200, string(r.begins([]byte("a"))), false, true, 0)
 			r.note(0, "a", 500, "", true, true, 0)
 		}},
-		{"an answer of no kind", func(r *resultStoreProcesses) { r.note(0, "a", 404, "", false, true, 0) }},
+		{"an answer of no kind", func(r *resultStoreNode) { r.note(0, "a", 404, "", false, true, 0) }},
 	} {
-		r := &resultStoreProcesses{runs: map[string][]callResult{}, told: map[string]time.Time{}, effects: map[string]int{}}
+		r := &resultStoreNode{runs: map[string][]callResult{}, told: map[string]time.Time{}, effects: map[string]int{}}
 		if c.play(r); r.broken == "" {
 			t.Errorf("%s: not found", c.name)
 		}
 	}
-	r := &resultStoreProcesses{runs: map[string][]callResult{}, told: map[string]time.Time{}, effects: map[string]int{}, up: true}
+	r := &resultStoreNode{runs: map[string][]callResult{}, told: map[string]time.Time{}, effects: map[string]int{}, up: true}
 	r.note(0, "a", 200, string(r.begins([]byte("a"))), false, true, 0)
 	r.note(0, "b", 0, "", false, false, 0)
 	r.life++
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -15,20 +15,20 @@
 	"umberwinch/internal/simulation"
 )
 
-// ZonesTest is a run of `umberctl lab zones`.
+// ZonesTest is a run of `umberctl faulttest zones`.
 type ZonesTest struct {
-	Seed      int64
-	Quick     bool
-	Size      int // nodes of the real part
-	Out       string
-	Without   zones.Guard
-	Words     string
-	Mode      string // virtual, real or both
-	Schedules int
-	Program   string
-	Only      string
-	Part      int
-	Parts     int
+	Seed          int64
+	Quick         bool
+	Size          int // nodes of the real part
+	Out           string
+	Without       zones.Guard
+	ProcessGuards string
+	Mode          string // virtual, real or both
+	Schedules     int
+	Program       string
+	Only          string
+	Part          int
+	Parts         int
 
 	cases []zoneCase // those of another direction, in place of zoneCases
 }
@@ -41,7 +41,7 @@
 	if r.Mode != "real" {
 		r.virtual(ctx, rep)
 		if rep.Broken == "" && r.Without == 0 {
-			r.ways(ctx, rep)
+			r.playFailures(ctx, rep)
 			if ctx.Err() == nil {
 				r.calm(rep)
 			}
@@ -95,8 +95,8 @@
 	}
 }
 
-// ways plays each kind of failure at sizes and loads, beside the baselines and the best that could be done.
-func (r *ZonesTest) ways(ctx context.Context, rep *report.Report) {
+// playFailures plays each kind of failure at sizes and loads, beside the baselines and the best that could be done.
+func (r *ZonesTest) playFailures(ctx context.Context, rep *report.Report) {
 	sizes, loads := []int{300, 5000}, []float64{0.5, 0.75}
 	if r.Quick {
 		sizes, loads = []int{300}, []float64{0.6}
@@ -110,13 +110,13 @@
 				if n > 1000 && kind != simulation.ZoneDead && kind != simulation.ZoneSlow {
 					continue
 				}
-				r.way(rep, n, load, kind)
+				r.playFailure(rep, n, load, kind)
 			}
 		}
 	}
 }
 
-func (r *ZonesTest) way(rep *report.Report, n int, load float64, kind string) {
+func (r *ZonesTest) playFailure(rep *report.Report, n int, load float64, kind string) {
 	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n, Kinds: []string{kind}, Fails: 15_000, Heals: 45_000, Ends: 220_000, Load: load}
 	ways := []struct {
 		name string
@@ -196,7 +196,7 @@
 	rep.Add("wrong_leaves", "%d", wrong)
 }
 
-// zoneRate is the callers' rate in the cases, reqs a second over all nodes: a third of what three services bear warm.
+// zoneRate is the callers' rate in the cases, requests a second over all nodes: a third of what three services bear warm.
 const zoneRate = 180
 
 // real plays the cases on processes, then measures what failures cost callers.
@@ -220,11 +220,11 @@
 		return err
 	}
 	defer b.Close()
-	b.w = w
+	b.out = w
 	load, stop := context.WithCancel(ctx)
 	defer stop()
 	calls := b.Load(load, zoneRate)
-	if err = b.usual(); err != nil {
+	if err = b.awaitNormal(); err != nil {
 		return err
 	}
 	kept, err := r.playCases(b, calls)
@@ -240,14 +240,14 @@
 
 // playCases plays the cases one after the other, each once the fleet stands as usual, and counts those that kept their
 // promises.
-func (r *ZonesTest) playCases(b *zoneBench, calls *CallResults) (kept int, err error) {
+func (r *ZonesTest) playCases(b *zoneFixture, calls *CallResults) (kept int, err error) {
 	before := ""
 	for i, c := range r.all() {
 		if !r.selection().takes(i, c.name, c.long) {
 			continue
 		}
 		if before != "" {
-			if err := b.usual(); err != nil {
+			if err := b.awaitNormal(); err != nil {
 				return kept, brokenPromise(fmt.Sprintf("%s: after it: %v", before, err))
 			}
 		}
@@ -256,7 +256,7 @@
 			return kept, err
 		}
 		kept++
-		fmt.Fprintf(b.w, "%-55s kept, %.1f s, %.3f of value done in time\n", c.name, time.Since(began).Seconds(),
+		fmt.Fprintf(b.out, "%-55s kept, %.1f s, %.3f of value done in time\n", c.name, time.Since(began).Seconds(),
 			calls.valueInTime(from))
 		before = c.name
 	}
@@ -268,27 +268,27 @@
 }
 
 // playCase plays a case; then, with every link whole again, all nodes have to serve and the history to keep its promises.
-func (b *zoneBench) playCase(c *zoneCase) error {
-	b.may = map[string]bool{}
-	for _, z := range c.may {
-		b.may[z] = true
+func (b *zoneFixture) playCase(c *zoneCase) error {
+	b.mayLeave = map[string]bool{}
+	for _, z := range c.mayLeave {
+		b.mayLeave[z] = true
 	}
 	began := time.Now()
 	var v consensus.ZonesView
 	if _, err := b.ask(http.MethodGet, "/v1/zones", nil, &v); err != nil {
 		return err
 	}
-	b.epoch = v.Epoch
-	err := played(func() { c.run(b) })
+	b.firstEpoch = v.Epoch
+	err := runCase(func() { c.run(b) })
 	b.heal()
 	if err == nil {
-		err = b.AllServe(b.force, 40*time.Second)
+		err = b.AllServe(b.committedVersion, 40*time.Second)
 	}
 	if err == nil {
-		err = b.history(began)
+		err = b.checkHistory(began)
 	}
 	if err != nil {
-		b.tell(b.w)
+		b.printDecisions(b.out)
 		return brokenPromise(fmt.Sprintf("%s: %v", c.name, err))
 	}
 	return nil
@@ -297,7 +297,7 @@
 // plan gives what is measured on processes.
 func (r *ZonesTest) plan() *costPlan {
 	if r.cases != nil {
-		return &comebackCosts
+		return &recoveryCosts
 	}
 	return &zoneCosts
 }
--- a/internal/harness/zones_cost.go
+++ b/internal/harness/zones_cost.go
@@ -17,12 +17,12 @@
 // zoneFailure is one of them.
 type zoneFailure struct {
 	name         string
-	strike, heal func(b *zoneBench) error
+	strike, heal func(b *zoneFixture) error
 	after        time.Duration // in place of the plan's
 }
 
-// costWay is a way to be measured: how its fleet decides, and what its callers and its platform are like.
-type costWay struct {
+// costVariant is a way to be measured: how its fleet decides, and what its callers and its platform are like.
+type costVariant struct {
 	name, mode string
 	patient    bool          // callers come back when they are told to
 	eager      bool          // callers ask on at once
@@ -31,21 +31,21 @@
 
 // costPlan is a measurement.
 type costPlan struct {
-	ways         []costWay
+	variants     []costVariant
 	failures     []zoneFailure
 	fails, after time.Duration // long enough for the failure to show, and for all to be whole again
-	row          func(way *costWay, failure string, c *cost) []string
+	row          func(way *costVariant, failure string, c *cost) []string
 	bound        string // this way's services below are never asked for more than they bear
 }
 
 var zoneFailures = []zoneFailure{
-	{name: "dead", strike: func(b *zoneBench) error {
+	{name: "dead", strike: func(b *zoneFixture) error {
 		for _, n := range b.nodesIn("z1") {
 			n.Kill()
 		}
 		return nil
-	}, heal: func(b *zoneBench) error {
-		b.below("z1", 1, 0, true)
+	}, heal: func(b *zoneFixture) error {
+		b.setStore("z1", 1, 0, true)
 		for _, n := range b.nodesIn("z1") {
 			if err := n.Start(); err != nil {
 				return err
@@ -53,34 +53,34 @@
 		}
 		return nil
 	}},
-	{name: "kernels", strike: func(b *zoneBench) error { b.kernels("z1", true); return nil }, heal: func(b *zoneBench) error {
-		b.below("z1", 1, 0, true)
-		b.kernels("z1", false)
+	{name: "kernels", strike: func(b *zoneFixture) error { b.setKernelsDead("z1", true); return nil }, heal: func(b *zoneFixture) error {
+		b.setStore("z1", 1, 0, true)
+		b.setKernelsDead("z1", false)
 		return nil
 	}},
-	{name: "slow", strike: func(b *zoneBench) error { b.below("z1", 0.05, 0, false); return nil }, heal: func(b *zoneBench) error {
-		b.below("z1", 1, 0, true)
+	{name: "slow", strike: func(b *zoneFixture) error { b.setStore("z1", 0.05, 0, false); return nil }, heal: func(b *zoneFixture) error {
+		b.setStore("z1", 1, 0, true)
 		return nil
 	}},
 }
 
 // cost is what one failure came to.
 type cost struct {
-	value   float64 // done in time, of what was asked, from the failure to the end
-	others  float64 // of what the other zones answered while it failed
-	last    time.Duration
-	load    float64 // asked of a service below before, over what it bears when warm, in the mean: that of the busiest
-	peak    float64
-	tries   float64
-	whole   time.Duration    // from its end until the zone is in and all its nodes are ready; 0: not in the time there was
-	service [3]time.Duration // from its end until half, 95 and 98 in 100 of the value is done for good; -1: not in that time
+	value      float64 // done in time, of what was asked, from the failure to the end
+	others     float64 // of what the other zones answered while it failed
+	lastAnswer time.Duration
+	load       float64 // asked of a service below before, over what it bears when warm, in the mean: that of the busiest
+	peak       float64
+	tries      float64
+	recovered  time.Duration    // from its end until the zone is in and all its nodes are ready; 0: not in the time there was
+	service    [3]time.Duration // from its end until half, 95 and 98 in 100 of the value is done for good; -1: not in that time
 }
 
 // costShares are the shares of full service that are timed.
 var costShares = [3]float64{0.5, 0.95, 0.98}
 
 // cost has a failure begin and end, and gives what it came to.
-func (b *zoneBench) cost(c *CallResults, f *zoneFailure, p *costPlan) (out cost, err error) {
+func (b *zoneFixture) cost(c *CallResults, f *zoneFailure, p *costPlan) (out cost, err error) {
 	from := time.Now()
 	for _, s := range b.stores { // each is judged alone
 		out.load = max(out.load, s.Mean(from.Add(-calmSpan)))
@@ -97,7 +97,7 @@
 	if f.after > 0 {
 		over = f.after
 	}
-	out.whole = b.watchReturn(healed, over)
+	out.recovered = b.watchReturn(healed, over)
 	for _, s := range b.stores { // each is judged alone
 		out.peak = max(out.peak, s.Peak(healed))
 	}
@@ -112,7 +112,7 @@
 
 // watchReturn looks on for a while after a failure's end, and gives when zone z1 was in with all its nodes ready; 0: not
 // in that time.
-func (b *zoneBench) watchReturn(healed time.Time, over time.Duration) (whole time.Duration) {
+func (b *zoneFixture) watchReturn(healed time.Time, over time.Duration) (whole time.Duration) {
 	for time.Since(healed) < over && b.ctx.Err() == nil {
 		b.sleep(20 * time.Millisecond)
 		if whole != 0 {
@@ -120,9 +120,9 @@
 		}
 		ready := true
 		for _, n := range b.nodesIn("z1") {
-			ready = ready && b.ready.is(n.name)
+			ready = ready && b.ready.ready(n.name)
 		}
-		if v, err := b.zone("z1"); ready && err == nil && v.Phase == zones.InService {
+		if v, err := b.zoneView("z1"); ready && err == nil && v.Phase == zones.InService {
 			whole = time.Since(healed)
 		}
 	}
@@ -131,40 +131,40 @@
 
 // ofCalls takes from the calls since a failure's begin what callers got, and what the zones beside it did while it lasted.
 func (c *cost) ofCalls(each []CallResult, from, healed time.Time) {
-	all, good, asked, near, well := 0.0, 0.0, 0, 0.0, 0.0
+	all, good, requests, near, well := 0.0, 0.0, 0, 0.0, 0.0
 	for _, a := range each {
 		if a.At.Before(from) {
 			continue
 		}
-		asked++
-		c.tries += float64(a.Tries)
+		requests++
+		c.tries += float64(a.Attempts)
 		all += a.Value
-		if a.Good {
+		if a.InTime {
 			good += a.Value
 		}
 		if a.At.After(healed) || a.Node == nil {
 			continue
 		}
 		if a.Node.zone == "z1" {
-			c.last = max(c.last, a.At.Sub(from))
-		} else if near += a.Value; a.Good {
+			c.lastAnswer = max(c.lastAnswer, a.At.Sub(from))
+		} else if near += a.Value; a.InTime {
 			well += a.Value
 		}
 	}
-	c.value, c.others, c.tries = good/max(all, 1), well/max(near, 1), c.tries/float64(max(asked, 1))
+	c.value, c.others, c.tries = good/max(all, 1), well/max(near, 1), c.tries/float64(max(requests, 1))
 }
 
-// serviceSpan is over which done is held to asked: at 180 reqs a second one dear req weighs a hundredth of it.
+// serviceSpan is over which done is held to asked: at 180 requests a second one dear request weighs a hundredth of it.
 const serviceSpan = 2 * time.Second
 
 // serviceBack gives how long after a moment a share of the value that is asked for is done in time, from there to the end;
-// -1 if it is not. A req counts when it ends.
+// -1 if it is not. A request counts when it ends.
 func serviceBack(each []CallResult, since time.Time, over time.Duration, share float64) time.Duration {
 	n := int(over / serviceSpan)
 	good, all := make([]float64, n), make([]float64, n)
 	for _, a := range each {
 		if k := int(a.At.Sub(since) / serviceSpan); !a.At.Before(since) && k < n {
-			if all[k] += a.Value; a.Good {
+			if all[k] += a.Value; a.InTime {
 				good[k] += a.Value
 			}
 		}
@@ -183,7 +183,7 @@
 const calmSpan = 5 * time.Second
 
 // costSeeds is how many seeds a measurement is made with, costFleets how many fleets run at once: they restart in the same moments,
-// and where all callers were eager, nine tries a req, and five fleets had six cores, some of them came late or not at all.
+// and where all callers were eager, nine attempts a request, and five fleets had six cores, some of them came late or not at all.
 const (
 	costSeeds  = 3
 	costFleets = 4
@@ -191,18 +191,18 @@
 
 // costRun is one fleet of a measurement: all failures, one after the other.
 type costRun struct {
-	seed int64
-	way  *costWay
-	out  []cost // by failure
-	err  error
+	seed    int64
+	variant *costVariant
+	out     []cost // by failure
+	err     error
 }
 
 // costs measures all failures by all ways, each in a fleet of its own, costFleets of them at once.
 func (r *ZonesTest) costs(ctx context.Context, rep *report.Report, p *costPlan) error {
 	var runs []*costRun
 	for seed := r.Seed; seed < r.Seed+costSeeds; seed++ {
-		for i := range p.ways {
-			runs = append(runs, &costRun{seed: seed, way: &p.ways[i]})
+		for i := range p.variants {
+			runs = append(runs, &costRun{seed: seed, variant: &p.variants[i]})
 		}
 	}
 	var wg sync.WaitGroup
@@ -215,7 +215,7 @@
 				return
 			}
 			one.err = withWorkFolder(ctx, &report.Report{}, func(dir string) (err error) {
-				one.out, err = r.costsOf(ctx, dir, p, one.seed, one.way)
+				one.out, err = r.costsOf(ctx, dir, p, one.seed, one.variant)
 				return err
 			})
 		})
@@ -231,7 +231,7 @@
 }
 
 // costsOf measures all failures by one way, on a fleet of its own.
-func (r *ZonesTest) costsOf(ctx context.Context, dir string, p *costPlan, seed int64, way *costWay) ([]cost, error) {
+func (r *ZonesTest) costsOf(ctx context.Context, dir string, p *costPlan, seed int64, way *costVariant) ([]cost, error) {
 	mine := *r
 	mine.Seed = seed
 	b, err := mine.begin(ctx, dir, "fence", way.mode)
@@ -239,13 +239,13 @@
 		return nil, err
 	}
 	defer b.Close()
-	b.Patient, b.Eager, b.pace = way.patient, way.eager, way.pace
+	b.HonorRetryAfter, b.RetryAtOnce, b.pace = way.patient, way.eager, way.pace
 	load, stop := context.WithCancel(ctx)
 	defer stop()
 	calls := b.Load(load, zoneRate)
 	b.sleep(12 * time.Second)
 	if way.mode == "auto" || way.mode == "no-ramp" {
-		if err := b.usual(); err != nil { // the group knows what services bear
+		if err := b.awaitNormal(); err != nil { // the group knows what services bear
 			return nil, err
 		}
 	}
@@ -268,9 +268,9 @@
 	for i := range one.out {
 		failure := p.failures[i].name
 		name := fmt.Sprintf("real, %s, seed %d", failure, one.seed)
-		rep.Rows = append(rep.Rows, append([]string{name, "9", strconv.Itoa(zoneRate) + "/s", one.way.name},
-			p.row(one.way, failure, &one.out[i])...))
-		if one.way.name == p.bound && one.out[i].peak > 1 {
+		rep.Rows = append(rep.Rows, append([]string{name, "9", strconv.Itoa(zoneRate) + "/s", one.variant.name},
+			p.row(one.variant, failure, &one.out[i])...))
+		if one.variant.name == p.bound && one.out[i].peak > 1 {
 			rep.Break("seed %d, %s: a service below was asked for %.2f of what it bears on the way back", one.seed, failure,
 				one.out[i].peak)
 		}
@@ -278,32 +278,32 @@
 }
 
 // zoneCosts are a zone's failures, with the fleet's decisions and without.
-var zoneCosts = costPlan{ways: []costWay{{name: "the fleet", mode: "auto", eager: true}, {name: "nodes alone", mode: "off", eager: true}},
+var zoneCosts = costPlan{variants: []costVariant{{name: "the fleet", mode: "auto", eager: true}, {name: "nodes alone", mode: "off", eager: true}},
 	failures: zoneFailures, fails: 8 * time.Second, after: 30 * time.Second, bound: "the fleet",
-	row: func(_ *costWay, _ string, c *cost) []string {
+	row: func(_ *costVariant, _ string, c *cost) []string {
 		whole := "-"
-		if c.whole > 0 {
-			whole = fmt.Sprintf("%.1f s", c.whole.Seconds())
+		if c.recovered > 0 {
+			whole = fmt.Sprintf("%.1f s", c.recovered.Seconds())
 		}
-		return []string{fmt.Sprintf("%.4f", c.value), fmt.Sprintf("%.1f s", c.last.Seconds()), whole, fmt.Sprintf("%.2f tries", c.tries),
+		return []string{fmt.Sprintf("%.4f", c.value), fmt.Sprintf("%.1f s", c.lastAnswer.Seconds()), whole, fmt.Sprintf("%.2f tries", c.tries),
 			fmt.Sprintf("%.2f", c.peak)}
 	}}
 
-// comebackCosts are a restart of all nodes over cold services, and that of one node.
-var comebackCosts = costPlan{ways: []costWay{{name: "the fleet", mode: "auto"},
+// recoveryCosts are a restart of all nodes over cold services, and that of one node.
+var recoveryCosts = costPlan{variants: []costVariant{{name: "the fleet", mode: "auto"},
 	{name: "the fleet, patient callers", mode: "auto", patient: true}, {name: "the fleet, eager callers", mode: "auto", eager: true},
 	{name: "no ramp", mode: "no-ramp"}, {name: "by the clock", mode: "off", pace: 3 * time.Second}, {name: "nodes alone", mode: "off"}},
-	failures: []zoneFailure{{name: "one node restarts", strike: func(*zoneBench) error { return nil }, heal: func(b *zoneBench) error {
+	failures: []zoneFailure{{name: "one node restarts", strike: func(*zoneFixture) error { return nil }, heal: func(b *zoneFixture) error {
 		b.nodes[0].Kill()
 		return b.nodes[0].Start()
-	}, after: 12 * time.Second}, {name: "all nodes restart", strike: func(b *zoneBench) error {
+	}, after: 12 * time.Second}, {name: "all nodes restart", strike: func(b *zoneFixture) error {
 		for _, n := range b.nodes {
 			n.Kill()
 		}
 		return nil
-	}, heal: func(b *zoneBench) error {
+	}, heal: func(b *zoneFixture) error {
 		for _, z := range []string{"z1", "z2", "z3"} {
-			b.below(z, 1, 0, true)
+			b.setStore(z, 1, 0, true)
 		}
 		for _, n := range b.nodes {
 			if err := n.Start(); err != nil {
@@ -313,13 +313,13 @@
 		}
 		return nil
 	}}}, fails: time.Second, after: 56 * time.Second, bound: "the fleet",
-	row: func(_ *costWay, failure string, c *cost) []string {
+	row: func(_ *costVariant, failure string, c *cost) []string {
 		out, best := []string{}, "-"
 		if failure == "all nodes restart" { // from the start of the processes on; that they take a part of a second is not in it
-			best = secs(1000 * shortestRecovery(c.load, belowCold, belowFill*belowCost.Seconds()/belowWorkers))
+			best = secondsText(1000 * shortestRecovery(c.load, belowCold, belowFill*belowCost.Seconds()/belowWorkers))
 		}
 		for _, s := range c.service {
-			out = append(out, secs(1000*s.Seconds())) // -1 stays below zero: not in the time there was
+			out = append(out, secondsText(1000*s.Seconds())) // -1 stays below zero: not in the time there was
 		}
 		return append(out, best, fmt.Sprintf("%.2f", c.peak), fmt.Sprintf("%.2f; %.3f of value", c.tries, c.value))
 	}}
--- a/internal/harness/zones_history.go
+++ b/internal/harness/zones_history.go
@@ -17,8 +17,8 @@
 // answerStep is how often the history has a node answer, in tenths of a ms.
 const answerStep = 1000
 
-// history reads what the processes logged since a time and holds it to the promises.
-func (b *zoneBench) history(since time.Time) error {
+// checkHistory reads what the processes logged since a time and holds it to the promises.
+func (b *zoneFixture) checkHistory(since time.Time) error {
 	from := since.UnixMicro() / 100
 	var h []ZoneEvent
 	for _, n := range b.nodes {
@@ -38,7 +38,7 @@
 		h = append(h, orders...)
 	}
 	h = append(append(h, b.processEnds()...), b.answers(from)...)
-	if broken := CheckZones(h, b.may, logSlack); broken != "" {
+	if broken := CheckZones(h, b.mayLeave, logSlack); broken != "" {
 		return errors.New(broken)
 	}
 	return nil
@@ -46,14 +46,14 @@
 
 // loggedDecisions gives what the group decided since a time, each epoch once, and when epochs settled. The whole fleet is
 // no zone: its steps raise and lower all.
-func (b *zoneBench) loggedDecisions(from int64) (h []ZoneEvent, err error) {
+func (b *zoneFixture) loggedDecisions(from int64) (h []ZoneEvent, err error) {
 	seen := map[uint64]bool{}
 	err = readLog(b.instancesLog(), func(l *logRecord) {
 		e := ZoneEvent{At: l.at, Epoch: l.number(logging.Epoch)}
 		switch l.message {
 		case "change of a zone":
 			e.Kind, e.Zone, e.Op, e.Share = "decided", l.text(logging.Zone), l.text(logging.Operation), int(l.number(logging.Share))
-			if e.Zone == zones.WholeFleet || e.At < from || e.Op == "hold" || e.Epoch <= b.epoch || seen[e.Epoch] {
+			if e.Zone == zones.WholeFleet || e.At < from || e.Op == "hold" || e.Epoch <= b.firstEpoch || seen[e.Epoch] {
 				return
 			}
 			seen[e.Epoch] = true
@@ -85,7 +85,7 @@
 }
 
 // processEnds gives the ends of nodes' processes.
-func (b *zoneBench) processEnds() (h []ZoneEvent) {
+func (b *zoneFixture) processEnds() (h []ZoneEvent) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range b.events {
@@ -98,7 +98,7 @@
 
 // answers stands for what nodes answered: acting on an order is to answer by it, so each node has a request every tenth
 // of a second.
-func (b *zoneBench) answers(from int64) (h []ZoneEvent) {
+func (b *zoneFixture) answers(from int64) (h []ZoneEvent) {
 	for at := from; at < time.Now().UnixMicro()/100; at += answerStep {
 		for _, n := range b.nodes {
 			h = append(h, ZoneEvent{At: at, Kind: "answers", Node: n.name})
--- a/internal/harness/zones_test.go
+++ b/internal/harness/zones_test.go
@@ -33,14 +33,14 @@
 }
 
 // TestZoneGuardsOnProcesses takes guards out of the processes: the case that needs each breaks. "paced" takes half a minute and is
-// taken out by lab zones --without; the others need more load or more nodes than a rig has; all are taken out in virtual time.
+// taken out by faulttest zones --without; the others need more load or more nodes than a fleet has; all are taken out in virtual time.
 func TestZoneGuardsOnProcesses(t *testing.T) {
 	t.Parallel()
 	for guard, only := range map[string]string{"step-back": "its service below fails in the middle of the return", "one-epoch": "its kernels dead, its nodes well"} {
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
 			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
-				return (&ZonesTest{Seed: seed, Quick: true, Mode: "real", Words: guard, Only: only, Program: built(t)}).Run(context.Background(), w)
+				return (&ZonesTest{Seed: seed, Quick: true, Mode: "real", ProcessGuards: guard, Only: only, Program: built(t)}).Run(context.Background(), w)
 			})
 		})
 	}
