--- a/internal/node/server/client_peer.go
+++ b/internal/node/server/client_peer.go
@@ -20,7 +20,8 @@
 // and the end of each of its two directions. A connection is ended in order: reading is sealed once nothing is on its
 // way, the last response goes out, the sending side is shut down, what still comes is discarded until the client
 // closes or a bound is reached, then the descriptor is closed. Whatever was read before the seal is answered first,
-// and nothing that comes after it ever reaches the controller.
+// and nothing that comes after it ever reaches the controller. It owns the descriptor, which netpoll closes once for
+// it, and the buffer of what is incomplete, until release.
 type peer struct {
 	writer
 	fd              int
--- a/internal/node/server/control_client.go
+++ b/internal/node/server/control_client.go
@@ -44,8 +44,9 @@
 	err    error // no response that can be read
 }
 
-// controlClient sends one request after the other over a connection that it keeps open. Its goroutine goes on as long
-// as the process. It never looks at what a response says.
+// controlClient sends one request after the other over a connection that it keeps open and owns: it is closed after an
+// error, for another address, or with the process. Its goroutine goes on as long as the process. It never looks at
+// what a response says.
 type controlClient struct {
 	requests   chan *controlRequest
 	connection net.Conn
--- a/internal/node/server/doc.go
+++ b/internal/node/server/doc.go
@@ -11,8 +11,21 @@
 //   - one goroutine that accepts connections (listener.go) and ends with the drain;
 //   - callbacks of connections, which netpoll never runs twice at once for one of them (client_peer.go, links.go);
 //   - one goroutine for each dial, which ends with the dial (links.go);
-//   - writers, one goroutine while a connection has something to send (writer.go);
-//   - goroutines for signals, the fleet agent's requests and the result store's disk.
+//   - writers, one goroutine while a connection has something to send (writer.go), run by workers that end with the
+//     process (workers.go);
+//   - one goroutine for each kind of signal, which ends with the process (signals.go);
+//   - one goroutine for each client of the control service, which ends with the process (control_client.go);
+//   - one goroutine for a trial of a version, a write of the node's record or its sending, which ends with that
+//     (fleet_version.go, fleet_record.go);
+//   - one goroutine that reads stored results, which ends with the process, one that opens their folder and one that
+//     deletes expired records, which end with that (result_keeper.go, result_disk.go), and the result store's own, which
+//     ends with its close.
+//
+// # Who owns a descriptor
+//
+// A client's connection belongs to its peer, which closes it once; a connection that the server opened to its dial's
+// writer; the listening socket to the listener; a connection to the control service to its client; files to the
+// function that opens them, or to the result store.
 //
 // # What the loop may never wait for
 //
--- a/internal/node/server/fleet_record.go
+++ b/internal/node/server/fleet_record.go
@@ -73,7 +73,8 @@
 	}
 }
 
-// storeRecord has the record written, if there is a folder, off the loop.
+// storeRecord has the record written, if there is a folder, off the loop: by a goroutine that ends with the write, of
+// which there is one at a time.
 func (f *fleetAgent) storeRecord() {
 	r := &f.record
 	if f.config.Folder == "" {
@@ -133,7 +134,8 @@
 	}
 }
 
-// sendRecord tells whoever restores the group what this node holds, off the loop.
+// sendRecord tells whoever restores the group what this node holds, off the loop: by a goroutine that ends with the
+// response, of which there is one at a time, over a connection of its own that is closed then.
 func (f *fleetAgent) sendRecord() {
 	if f.record.sending {
 		return
--- a/internal/node/server/fleet_version.go
+++ b/internal/node/server/fleet_version.go
@@ -132,7 +132,8 @@
 	f.versions.done()
 }
 
-// tryVersion evaluates a version on the requests that came lately, off the loop. One that is committed needs no trial.
+// tryVersion evaluates a version on the requests that came lately, off the loop: by a goroutine that ends with the
+// trial, of which there is one at a time. One that is committed needs no trial.
 func (f *fleetAgent) tryVersion(v versionAtHand) {
 	if f.versions.committed || f.config.NoTrialRun {
 		go f.host.runOnLoop(func() { f.versionTried(v, shadow.Verdict{}, 0) })
--- a/internal/node/server/result_disk.go
+++ b/internal/node/server/result_disk.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// release deletes the records before a position, off the loop, unless that goes on.
+// release deletes the records before a position, off the loop, unless that goes on: its goroutine ends with that.
 func (k *resultKeeper) release(firstNeeded uint64) {
 	if k.releasing {
 		return
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -159,7 +159,8 @@
 	return k
 }
 
-// open reads the folder, off the loop.
+// open reads the folder, off the loop, by a goroutine that ends with that. The store that it opens belongs to the
+// keeper from opened on, and ends with close.
 func (k *resultKeeper) open(after time.Duration) {
 	limits := resultstore.Limits{Keys: k.config.MaxKeys, Bytes: int64(k.config.MaxMB) * bytesPerMB,
 		ResultBytes: k.config.MaxResultBytes}
--- a/internal/node/server/timers.go
+++ b/internal/node/server/timers.go
@@ -29,7 +29,8 @@
 }
 
 // timers is a binary heap of all that is to happen at a time, the earliest first. It knows times only; the loop deals
-// with what is due. A timer can't be taken back: what it names is looked at when it fires, and may have changed.
+// with what is due. It belongs to the loop and ends with it. A timer can't be taken back: what it names is looked at
+// when it fires, and may have changed.
 type timers struct {
 	heap      []timer
 	lastOrder uint64
