--- a/internal/logging/fields.go
+++ b/internal/logging/fields.go
@@ -79,7 +79,7 @@
 	KillInMS            = "kill_in_ms"            // until the platform kills the process, in milliseconds
 	Method              = "method"                // of an HTTP request
 	Path                = "path"                  // of an HTTP request
-	ReceivedAtMS        = "received_at_ms"        // when a request reached the machine as it states, in Unix milliseconds
+	ReceivedAtMS        = "received_at_ms"        // when a request came, as it states, in Unix milliseconds
 
 	Limit            = "limit"              // run slots of a class; none
 	FairSlots        = "fair_slots"         // run slots that a class has by value and need
--- a/internal/node/server/doc.go
+++ b/internal/node/server/doc.go
@@ -18,8 +18,8 @@
 //   - one goroutine for a trial of a version, a write of the node's record or its sending, which ends with that
 //     (fleet_version.go, fleet_record.go);
 //   - one goroutine that reads stored results, which ends with the process, one that opens their folder and one that
-//     deletes expired records, which end with that (result_keeper.go, result_disk.go), and the result store's own, which
-//     ends with its close.
+//     deletes expired records, which end with that (result_keeper.go, result_disk.go), and the result store's own,
+//     which ends with its close.
 //
 // # Who owns a descriptor
 //
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -130,7 +130,8 @@
 			}
 			l.store = store1(store.addr, l.limits)
 			h, r, _ := l.requests.take()
-			*r = request{id: long("1"), lifecycle: lifecycle{run: runRunning}, storeCall: storeCall{callBody: []byte("q")}}
+			*r = request{id: long("1"), lifecycle: lifecycle{run: runRunning},
+				storeCall: storeCall{callBody: []byte("q")}}
 			l.startCall(h, r, l.now+admission.Second)
 			l.takes(1)
 			if got := l.nextRound().CallEnds; len(got) != 1 || got[0].Outcome != admission.NotExecuted {
--- a/internal/node/server/guards_test.go
+++ b/internal/node/server/guards_test.go
@@ -53,7 +53,10 @@
 }
 
 func TestGuardsNameRowsOfPages(t *testing.T) {
-	rows := map[string]map[string]bool{failuresPage: tableRows(t, failuresPage), shutdownPage: tableRows(t, shutdownPage)}
+	rows := map[string]map[string]bool{}
+	for _, page := range []string{failuresPage, shutdownPage} {
+		rows[page] = tableRows(t, page)
+	}
 	named := map[string]bool{}
 	for _, pattern := range []string{"*.go", "../../logging/*.go", "../../../cmd/umberwinch/*.go"} {
 		files, err := filepath.Glob(pattern)
--- a/internal/node/server/history_test.go
+++ b/internal/node/server/history_test.go
@@ -180,7 +180,8 @@
 			run("2", 901*ms), answer("2", 500, "", 950*ms)}, 0},
 		"another process": {[]record{sent("1", "k", 0), run("1", 1), answer("1", 500, "", 9*ms), sent("2", "k", 90*ms),
 			{kind: recordRun, id: "2", server: 1}, answer("2", 500, "", 95*ms)}, 0},
-		"drained":          {[]record{notice, sent("1", "", 50*ms), run("1", 300*ms), answer("1", 500, "", 120*ms), exit}, 0},
+		"drained": {[]record{notice, sent("1", "", 50*ms), run("1", 300*ms),
+			answer("1", 500, "", 120*ms), exit}, 0},
 		"no answer":        {[]record{sent("1", "", 0)}, 1},
 		"two answers":      {[]record{sent("1", "", 0), answer("1", 503, "", 9*ms), answer("1", 503, "", 10*ms)}, 1},
 		"late":             {[]record{sent("1", "", 0), answer("1", 503, "", 151*ms)}, 1},
@@ -191,10 +192,11 @@
 		"run twice":        {[]record{sent("1", "", 0), run("1", 1), run("1", 2), answer("1", 500, "", 9*ms)}, 1},
 		"key run twice": {[]record{sent("1", "k", 0), run("1", 1), answer("1", 500, "", 9*ms), sent("2", "k", 700*ms),
 			run("2", 701*ms), answer("2", 500, "", 709*ms)}, 1},
-		"unknown run":    {[]record{run("1", 1)}, 1},
-		"run past grace": {[]record{notice, sent("1", "", 111*ms), run("1", 112*ms), answer("1", 500, "", 120*ms), exit}, 1},
-		"no exit":        {[]record{notice}, 1},
-		"late exit":      {[]record{notice, {kind: recordExit, at: 511 * ms}}, 1},
+		"unknown run": {[]record{run("1", 1)}, 1},
+		"run past grace": {[]record{notice, sent("1", "", 111*ms), run("1", 112*ms),
+			answer("1", 500, "", 120*ms), exit}, 1},
+		"no exit":   {[]record{notice}, 1},
+		"late exit": {[]record{notice, {kind: recordExit, at: 511 * ms}}, 1},
 	} {
 		h := &history{records: c.records}
 		if found := h.broken(r); len(found) != c.wrong {
--- a/internal/node/server/pools_test.go
+++ b/internal/node/server/pools_test.go
@@ -19,7 +19,8 @@
 		t.Fatal("the fixed limit is not told")
 	}
 	n.cmd.Process.Signal(syscall.SIGUSR1)
-	if !n.logged(`msg="pool status" class=act fair_slots=0 heavy=0 limit=1.0 `, " queued=0 reason=fixed ", " running=0 ") {
+	if !n.logged(`msg="pool status" class=act fair_slots=0 heavy=0 limit=1.0 `, " queued=0 reason=fixed ",
+		" running=0 ") {
 		t.Fatal("the pools are not shown")
 	}
 	n.writeOwn("[pool act]\ncap = 2\n")
--- a/internal/node/server/trouble_test.go
+++ b/internal/node/server/trouble_test.go
@@ -124,7 +124,8 @@
 		body, once = key, "Once-Key: "+key+"\r\n"
 	}
 	text := fmt.Sprintf("POST /rpc/%s HTTP/1.1\r\nRequest-Id: %s\r\nReceived-At: %d\r\nSent-By: 1\r\n"+
-		"Footprint-Kb: 1\r\n%sContent-Length: %d\r\n\r\n%s", class, long(id), time.Now().UnixMilli(), once, len(body), body)
+		"Footprint-Kb: 1\r\n%sContent-Length: %d\r\n\r\n%s", class, long(id), time.Now().UnixMilli(), once,
+		len(body), body)
 	// Recorded first: a run may be seen before the write returns.
 	c.s.h.add(record{kind: recordSent, id: id, key: key, due: time.Since(c.s.h.began) + troubleTimeout})
 	c.conn.SetDeadline(time.Now().Add(patience))
