--- a/internal/node/server/admission_writer.go
+++ b/internal/node/server/admission_writer.go
@@ -71,7 +71,7 @@
 // SkipCall has a run go on without the call that it waits for.
 func (l *loop) SkipCall(id uint32) {
 	if r := l.requests.get(handle(id)); r != nil && r.isRunning() {
-		l.counters.Skips++
+		l.counters.CallsSkipped++
 		l.sendCallSkipped(r)
 	}
 }
--- a/internal/node/server/client_connections.go
+++ b/internal/node/server/client_connections.go
@@ -93,7 +93,7 @@
 		return
 	}
 	p.handle, c.peer, c.openedAt, c.lastActive, l.lastConnection = h, p, l.now, l.now, l.now
-	l.counters.Conns++
+	l.counters.Connections++
 	l.evict()
 }
 
@@ -111,7 +111,7 @@
 			return
 		}
 		if l.closeIdle(c, false) {
-			l.counters.Evicted++
+			l.counters.ClosedForRoom++
 		} else {
 			c.evictionFailedAt = l.now
 		}
@@ -221,7 +221,7 @@
 		if !c.peer.seal(true) {
 			return // more of it is being read at this moment
 		}
-		l.counters.Silent++
+		l.counters.ClosedSilent++
 		if log := l.badRequest(); log != nil {
 			log.WithField(logging.Reason, messageIncomplete).Info(logBadRequest)
 		}
@@ -230,7 +230,7 @@
 		l.closeIdle(c, l.now-c.lastActive >= l.limits.LingerTimeout)
 	case c.usage == usedForNothing && l.now-c.openedAt >= l.limits.MessageTimeout:
 		if l.closeIdle(c, false) {
-			l.counters.Silent++
+			l.counters.ClosedSilent++
 		}
 	case half == 0 && l.now-c.lastActive >= l.maxIdle(c):
 		l.closeIdle(c, false)
@@ -273,7 +273,7 @@
 	if r := l.requests.get(open); r != nil && !r.isAnswered() {
 		r.abandon()
 		l.trace(r, traceClientIsGone)
-		l.counters.Gone++
+		l.counters.Abandoned++
 		l.nextRound().Disconnected = append(l.nextRound().Disconnected, uint32(open))
 		l.maybeFinished = append(l.maybeFinished, open)
 	}
--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -413,7 +413,7 @@
 	if !gets(t, bufio.NewReader(b), 503) {
 		t.Error("what is not read whole goes on")
 	}
-	if l.counters.Bad != 0 {
+	if l.counters.BadRequests != 0 {
 		t.Error("its sender did nothing wrong")
 	}
 }
--- a/internal/node/server/fleet_agent_test.go
+++ b/internal/node/server/fleet_agent_test.go
@@ -157,10 +157,9 @@
 	ticksUntil("its return", func() bool { return f.gate.Epoch() == 5 })
 	service.Close()
 	ticksUntil("the end of its lease", func() bool { return f.fenced })
-	if now < f.agent.LeaseExpiry() || host.counters.Fenced != 1 || host.rejected != 2 {
-		t.Errorf("fenced at %d, %d times, queue rejected %d times; its lease ends at %d", now, host.counters.Fenced,
-			host.rejected,
-			f.agent.LeaseExpiry())
+	if now < f.agent.LeaseExpiry() || host.counters.TimesFenced != 1 || host.rejected != 2 {
+		t.Errorf("fenced at %d, %d times, queue rejected %d times; its lease ends at %d", now,
+			host.counters.TimesFenced, host.rejected, f.agent.LeaseExpiry())
 	}
 	if last := lines.LastEntry(); !logged(lines, logNodeFenced, logging.Reason, "its lease has run out") {
 		t.Errorf("logs %q, %v", last.Message, last.Data)
--- a/internal/node/server/fleet_heartbeat.go
+++ b/internal/node/server/fleet_heartbeat.go
@@ -76,14 +76,14 @@
 	now := f.clock()
 	var response api.HeartbeatResponse
 	if err := r.decode(&response); err != nil {
-		f.host.counts().FleetLost++
+		f.host.counts().HeartbeatsLost++
 		f.limitedLog(logrus.Fields{logging.Address: address, logging.Error: err}, logHeartbeatFailed)
 		f.agent.HandleFailure(now, sequence)
 		return
 	}
 	minVersion, generation := f.agent.MinVersion(), f.agent.LastSeen().Generation
 	if err := f.agent.HandleResponse(now, sequence, response); err != nil {
-		f.host.counts().FleetLost++
+		f.host.counts().HeartbeatsLost++
 		f.log.WithFields(logrus.Fields{logging.Address: address, logging.Error: err}).Warn(logResponseRejected)
 		return
 	}
--- a/internal/node/server/fleet_serving.go
+++ b/internal/node/server/fleet_serving.go
@@ -18,7 +18,7 @@
 	switch {
 	case !mayServe && !f.fenced:
 		f.fenced = true
-		f.host.counts().Fenced++
+		f.host.counts().TimesFenced++
 		f.log.WithFields(f.leaseFields()).WithField(logging.Reason, reason).Warn(logNodeFenced)
 		f.host.refreshReadiness()
 		f.host.rejectQueued()
@@ -68,7 +68,7 @@
 	f.retired = v.settings.RetiredHandlers
 	f.meter.SetWeights(handlerValues(f.host.platform()))
 	f.agent.MarkActive(now, version, v.settings.Document.Fleet.Autonomous)
-	f.host.counts().Versions++
+	f.host.counts().VersionsAdopted++
 	f.log.WithField(logging.PolicyVersion, version.Version).Info(logVersionActivated)
 	f.versions.dropOlder(version.Version)
 	f.storeRecord()
@@ -86,7 +86,7 @@
 	case f == nil:
 		return notRejected
 	case f.fenced:
-		f.host.counts().FenceShed++
+		f.host.counts().RejectedFenced++
 		response.RetryAfterMS = f.host.retryAfter(&f.spread, 0)
 		return nodeFenced
 	case f.retired[handler]:
@@ -98,7 +98,7 @@
 	if decision.Admitted {
 		return notRejected
 	}
-	f.host.counts().Turned++
+	f.host.counts().RejectedByZone++
 	f.meter.RequestRejected(now, handler, q.IsRetry)
 	response.NoRetry, response.RetryAfterMS = decision.Final, f.host.retryAfter(&f.spread,
 		f.gate.RetryAfter(now, asked))
--- a/internal/node/server/http_front_end.go
+++ b/internal/node/server/http_front_end.go
@@ -82,7 +82,7 @@
 
 // checkHealth answers a health check.
 func (l *loop) checkHealth(c *connection, a *wire.Response) {
-	l.counters.Checks++
+	l.counters.HealthChecks++
 	c.usage = max(c.usage, usedForChecks)
 	if a.Status = wire.StatusOK; !l.ready {
 		a.Status = wire.StatusServiceUnavailable
@@ -93,7 +93,7 @@
 // unreadableResponse answers what could not be read. A lack of buffers is no fault of the client.
 func (l *loop) unreadableResponse(err error) wire.Response {
 	if errors.Is(err, errNoBuffer) {
-		l.counters.Shed++
+		l.counters.Rejected++
 		a := wire.Response{Status: wire.StatusServiceUnavailable, Close: true}
 		l.addRetryAfter(&a)
 		return a
--- a/internal/node/server/kernel_link.go
+++ b/internal/node/server/kernel_link.go
@@ -137,7 +137,7 @@
 func (l *loop) wakeWithoutGauges() {
 	if l.wakePending {
 		l.wakePending = false
-		l.counters.Ungauged++
+		l.counters.WakeUpsWithoutGauges++
 		l.nextRound().TimerFired = true
 	}
 }
@@ -160,7 +160,7 @@
 // will, and nobody else can answer its request; its client's connection is used no more. See row "run that the kernel
 // does not know" in docs/design/shutdown.md.
 func (l *loop) commandRefused(n *wire.KernelEvent) {
-	l.counters.Refused++
+	l.counters.CommandsRefused++
 	if log := l.limitLog(); log != nil {
 		log.WithFields(logrus.Fields{logging.Command: string(n.Outcome), logging.RequestID: string(n.RunID)}).
 			Info(logCommandRefused)
@@ -329,15 +329,15 @@
 		} else {
 			l.sendRun(r)
 		}
-		l.counters.Resent++
+		l.counters.CommandsResent++
 	}
 	if resultLost && r.callResult != noCallResult {
 		l.sendCallResult(r)
-		l.counters.Resent++
+		l.counters.CommandsResent++
 	}
 	if stopLost {
 		l.sendStop(r)
-		l.counters.Resent++
+		l.counters.CommandsResent++
 	}
 }
 
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -193,7 +193,7 @@
 		l.counters.StoreLinks++
 		l.storeConnected(n.storeConn, l.store.connections.get(n.storeConn))
 	case peerDiscovery:
-		l.counters.ControlLinks++
+		l.counters.DiscoveryLinks++
 		l.discoveryUp()
 	}
 }
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -204,9 +204,9 @@
 // wakeUp asks for the gauges that a wake-up of the controller comes with.
 func (l *loop) wakeUp(due admission.Time) {
 	if l.now-due > lateWakeUp {
-		l.counters.Slow++
+		l.counters.LateWakeUps++
 	}
-	l.counters.Wakes++
+	l.counters.WakeUps++
 	l.wakePending = true
 	l.requestGauges()
 }
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -70,7 +70,7 @@
 		l.traceWith(r.id, traceRunEnded, logrus.Fields{logging.Outcome: outcomeNames[how], logging.ElapsedMS: ms})
 	}
 	r.endRun()
-	l.counters.Ends++
+	l.counters.RunEnds++
 	l.cancelCall(h, r)
 	l.maybeFinished = append(l.maybeFinished, h)
 	l.nextRound().RunEnds = append(l.nextRound().RunEnds,
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -85,9 +85,9 @@
 	l.fillRequest(r, e, &a)
 	c.current = h
 	l.byRequestID[r.id] = h
-	l.counters.Reqs++
+	l.counters.Requests++
 	if a.IsRetry {
-		l.counters.Again++
+		l.counters.Retries++
 	}
 	if l.debug {
 		l.traceWith(r.id, traceArrived, logrus.Fields{logging.ElapsedMS: milliseconds(l.now - a.latest),
@@ -265,7 +265,7 @@
 // badRequest counts what is no request for this server, and is answered 400; the controller never hears of it. It gives
 // the log line for that, nil past the bound on lines.
 func (l *loop) badRequest() *logrus.Entry {
-	l.counters.Bad++
+	l.counters.BadRequests++
 	return l.limitLog()
 }
 
--- a/internal/node/server/request_arrival_test.go
+++ b/internal/node/server/request_arrival_test.go
@@ -70,7 +70,7 @@
 	l, q := newArrivalLoop(), newArrival()
 	for _, test := range tests {
 		test.spoil(l, &q)
-		in, bad := l.requests.used, l.counters.Bad
+		in, bad := l.requests.used, l.counters.BadRequests
 		e := &requestRead{peer: &peer{}, request: q}
 		a := l.identify(&e.request, "put")
 		if why := l.checkRequest(&a, &wire.Response{}); why != test.fails {
@@ -81,7 +81,7 @@
 			t.Errorf("%s: answered %d, %d in hand and %d told to the controller, expected %d, %d and none", test.fails,
 				status, l.requests.used, len(l.nextRound().Arrived), test.fails.status(), in)
 		}
-		if isBad := l.counters.Bad > bad; isBad != (status == wire.StatusBadRequest) {
+		if isBad := l.counters.BadRequests > bad; isBad != (status == wire.StatusBadRequest) {
 			t.Errorf("%s: counted as bad: %v", test.fails, isBad)
 		}
 	}
--- a/internal/node/server/request_bench_test.go
+++ b/internal/node/server/request_bench_test.go
@@ -87,8 +87,8 @@
 		l.finishRound()
 		awaitWriters(l)
 	}
-	if l.requests.used != 0 || l.counters.Done != l.counters.Reqs || l.counters.Done == 0 {
-		b.Fatalf("%d in hand, %d done of %d", l.requests.used, l.counters.Done, l.counters.Reqs)
+	if l.requests.used != 0 || l.counters.Succeeded != l.counters.Requests || l.counters.Succeeded == 0 {
+		b.Fatalf("%d in hand, %d done of %d", l.requests.used, l.counters.Succeeded, l.counters.Requests)
 	}
 }
 
@@ -114,7 +114,7 @@
 		l.finishRound()
 		awaitWriters(l)
 	}
-	if l.requests.used != 0 || l.counters.Reqs != 0 {
-		b.Fatalf("%d in hand of %d", l.requests.used, l.counters.Reqs)
+	if l.requests.used != 0 || l.counters.Requests != 0 {
+		b.Fatalf("%d in hand of %d", l.requests.used, l.counters.Requests)
 	}
 }
--- a/internal/node/server/response.go
+++ b/internal/node/server/response.go
@@ -24,15 +24,15 @@
 	l.fleet.requestAnswered(r.handler, a.Status,
 		l.now-r.arrival <= l.settings.Deployment.Handlers[r.handler].LatencyObjective)
 	if l.now > r.deadline {
-		l.counters.Late++
+		l.counters.AnsweredLate++
 	}
 	switch a.Status {
 	case wire.StatusOK:
-		l.counters.Done++
+		l.counters.Succeeded++
 	case wire.StatusServiceUnavailable:
-		l.counters.Shed++
+		l.counters.Rejected++
 	default:
-		l.counters.Errored++
+		l.counters.Failed++
 	}
 	if c := l.connections.get(r.connection); c != nil && c.current == h {
 		a.Close = a.Close || r.closeAfter
@@ -51,7 +51,7 @@
 	a := wire.Response{Status: wire.StatusInternalServerError}
 	if ok {
 		end.Outcome, a = admission.Succeeded, wire.Response{Status: wire.StatusOK, Body: result}
-		l.counters.Shared++
+		l.counters.SharedResults++
 	}
 	l.nextRound().RunEnds = append(l.nextRound().RunEnds, end)
 	l.answer(h, r, a)
--- a/internal/node/server/result_host.go
+++ b/internal/node/server/result_host.go
@@ -45,7 +45,7 @@
 
 func (l *loop) requestCapacity() int { return l.requests.capacity }
 
-func (l *loop) countShared() { l.counters.Shared++ }
+func (l *loop) countShared() { l.counters.SharedResults++ }
 
 func (l *loop) startRun(r *request) { l.sendRun(r) }
 
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -108,7 +108,8 @@
 	l.now += stallLimit + 1
 	l.results.updateMode()
 	h2, other := l.takes("b")
-	if l.results.intercept(h2, other); l.results.mode != modeStalled || !other.isAnswered() || l.counters.Shed != 1 {
+	l.results.intercept(h2, other)
+	if l.results.mode != modeStalled || !other.isAnswered() || l.counters.Rejected != 1 {
 		t.Errorf("%s, and a new key is not shed", l.results.mode)
 	}
 	l.Fail(uint32(h), admission.ReasonDeadline) // the module: its time is over
@@ -142,18 +143,18 @@
 		t.Fatal("answered before its result was durable")
 	}
 	l.hears(t)
-	if l.counters.Errored != 1 || l.counters.Done != 0 || l.results.index.Lookup(bootTime(),
+	if l.counters.Failed != 1 || l.counters.Succeeded != 0 || l.results.index.Lookup(bootTime(),
 		r.keyed.key) != resultstore.Indeterminate {
-		t.Errorf("%d errored, %d done, key %s", l.counters.Errored, l.counters.Done,
+		t.Errorf("%d errored, %d done, key %s", l.counters.Failed, l.counters.Succeeded,
 			l.results.index.Lookup(bootTime(), r.keyed.key))
 	}
 	h2, other := l.takes("new")
-	if l.results.intercept(h2, other); l.results.mode != modeFailed || l.counters.Shed != 1 {
+	if l.results.intercept(h2, other); l.results.mode != modeFailed || l.counters.Rejected != 1 {
 		t.Errorf("%s, and a new key is not shed", l.results.mode)
 	}
 	h3, held := l.takes("held") // it passed the door before
 	l.results.begin(h3, held)
-	if held.runCommand != 0 || held.run != runFinished || l.counters.Shed != 2 {
+	if held.runCommand != 0 || held.run != runFinished || l.counters.Rejected != 2 {
 		t.Error("it ran on a disk that fails")
 	}
 	d.fails.Store(false)
@@ -188,13 +189,13 @@
 	l.results.drain()
 	l.now = l.answerBy - answerMargin
 	l.fireTimers()
-	if !r.isAnswered() || l.counters.Errored != 1 {
+	if !r.isAnswered() || l.counters.Failed != 1 {
 		t.Fatal("not answered before the kill")
 	}
 	close(d.gate)
 	l.hears(t)
-	if l.counters.Done+l.counters.Errored != 1 {
-		t.Errorf("%d answers", l.counters.Done+l.counters.Errored)
+	if l.counters.Succeeded+l.counters.Failed != 1 {
+		t.Errorf("%d answers", l.counters.Succeeded+l.counters.Failed)
 	}
 	if l.results.index.Lookup(bootTime(), r.keyed.key) != resultstore.Completed {
 		t.Error("its result is durable, and not known")
@@ -219,7 +220,7 @@
 		t.Fatal("answered too soon")
 	}
 	l.now = at + openingPatience
-	if l.fireTimers(); !r.isAnswered() || l.counters.Shed != 1 {
+	if l.fireTimers(); !r.isAnswered() || l.counters.Rejected != 1 {
 		t.Fatal("it waits for too long")
 	}
 	h, r = l.takes("b")
@@ -233,12 +234,12 @@
 	h, r = l.takes("c")
 	l.results.intercept(h, r)
 	l.results.opened(nil, nil, resultstore.Recovery{}, wal.ErrLocked)
-	if !l.requests.get(h).isAnswered() || l.counters.Shed != 2 || k.mode != modeFailed {
+	if !l.requests.get(h).isAnswered() || l.counters.Rejected != 2 || k.mode != modeFailed {
 		t.Errorf("%s, and it still waits for a folder that can't be opened", k.mode)
 	}
 	h, r = l.takes("d")
 	r.keyed.submission.IsRetry = true // nobody knows whether its first try ran: shed, it would be tried elsewhere
-	if l.results.intercept(h, r); !r.isAnswered() || l.counters.Errored != 1 || l.counters.Shed != 2 {
+	if l.results.intercept(h, r); !r.isAnswered() || l.counters.Failed != 1 || l.counters.Rejected != 2 {
 		t.Error("a retry of a key that nobody can know of is shed")
 	}
 }
@@ -258,17 +259,17 @@
 		h, r := l.takes("a")
 		r.keyed = newKeyedRequest("put", nil, []byte("a"), []byte(c.body))
 		l.results.begin(h, r)
-		if r.runCommand != 0 || r.run != runFinished || l.counters.Shed != c.shed || l.counters.Errored != c.failed {
-			t.Errorf("%s: sent as %d, %d shed, %d errored, expected %d, %d", c.body, r.runCommand, l.counters.Shed,
-				l.counters.Errored, c.shed, c.failed)
+		if r.runCommand != 0 || r.run != runFinished || l.counters.Rejected != c.shed || l.counters.Failed != c.failed {
+			t.Errorf("%s: sent as %d, %d shed, %d errored, expected %d, %d", c.body, r.runCommand, l.counters.Rejected,
+				l.counters.Failed, c.shed, c.failed)
 		}
 		if is := l.results.index.Lookup(bootTime(), r.keyed.key); is != first || is != resultstore.Running {
 			t.Errorf("%s: the one that runs is %s, expected it %s", c.body, is, first)
 		}
 	}
 	l.runEnded(h, l.requests.get(h), admission.Succeeded, 1, []byte("result"))
-	if l.hears(t); l.counters.Done != 1 {
-		t.Errorf("%d done, expected the first", l.counters.Done)
+	if l.hears(t); l.counters.Succeeded != 1 {
+		t.Errorf("%d done, expected the first", l.counters.Succeeded)
 	}
 }
 
--- a/internal/node/server/store_connections.go
+++ b/internal/node/server/store_connections.go
@@ -154,11 +154,11 @@
 	}
 	switch how {
 	case admission.Succeeded:
-		l.counters.CallsOK++
+		l.counters.CallsSucceeded++
 	case admission.NotExecuted:
-		l.counters.CallsUnrun++
+		l.counters.CallsNotExecuted++
 	default:
-		l.counters.CallsOther++
+		l.counters.CallsFailed++
 	}
 	l.nextRound().CallEnds = append(l.nextRound().CallEnds,
 		admission.CallEnd{ID: uint32(h), Outcome: how, Elapsed: l.now - r.callStarted})
@@ -184,7 +184,7 @@
 	if w := l.store.connections.get(r.storeConn); w != nil && r.call == callSent {
 		l.scratch = wire.AppendCallCancel(l.scratch[:0], r.id)
 		w.dialed.writer.send(l.scratch, l.limits.LinkQueue)
-		l.counters.Dropped++
+		l.counters.CallsCancelled++
 		w.retired = true
 	}
 	if r.call != callNone {
@@ -199,7 +199,7 @@
 	w.lastUsed = l.now
 	h, r := l.findRequest(p.ID)
 	if r == nil || r.call != callSent || r.storeConn != at {
-		l.counters.Strays++
+		l.counters.StrayReplies++
 		l.retireStoreConnection(at, w)
 		return
 	}
@@ -256,7 +256,7 @@
 		l.store.failed(l.now, &l.limits) // it could not be opened
 	}
 	if len(w.calls) > 0 {
-		l.counters.WiresLost++
+		l.counters.StoreConnectionsLost++
 		if log := l.limitLog(); log != nil {
 			log.WithFields(logrus.Fields{logging.Error: err, logging.Calls: len(w.calls)}).Info(logStoreConnectionLost)
 		}
