--- a/internal/control/api/errors.go
+++ b/internal/control/api/errors.go
@@ -14,3 +14,12 @@
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s: found %s, expected %s", e.Field, e.Found, e.Expected)
 }
+
+// FieldsError is a FieldError for several fields together.
+type FieldsError struct {
+	Fields   string // their JSON keys, with what was found where that is short
+	Expected string
+}
+
+// Error says what was expected of the fields.
+func (e *FieldsError) Error() string { return e.Fields + ": expected " + e.Expected }
--- a/internal/control/api/record.go
+++ b/internal/control/api/record.go
@@ -38,7 +38,7 @@
 	LeaseMS         uint64 `json:"lease_ms,omitempty"`
 }
 
-// Validate says what is wrong with a record: a *FieldError, or an error that names several fields.
+// Validate says what is wrong with a record: a *FieldError or a *FieldsError.
 func (r *NodeRecord) Validate() error {
 	names := JoinRequest{Name: r.Name, Zone: r.Zone, Addr: r.Addr, Nonce: anyNonce}
 	if err := names.Validate(); err != nil {
@@ -46,10 +46,10 @@
 	}
 	switch {
 	case max(len(r.Group), len(r.ActiveHash), len(r.PreparedHash)) > maxNameBytes:
-		return fmt.Errorf("group, hash, next_hash: expected at most %d bytes each", maxNameBytes)
+		return &FieldsError{"group, hash, next_hash", fmt.Sprintf("at most %d bytes each", maxNameBytes)}
 	case max(len(r.ActiveText), len(r.PreparedText)) > document.MaxBytes:
-		return fmt.Errorf("text: found %d and %d bytes, expected at most %d", len(r.ActiveText), len(r.PreparedText),
-			document.MaxBytes)
+		return &FieldError{Field: "text", Found: fmt.Sprintf("%d and %d bytes", len(r.ActiveText), len(r.PreparedText)),
+			Expected: fmt.Sprintf("at most %d", document.MaxBytes)}
 	case r.ZoneShare < 0 || r.ZoneShare > FullShare:
 		return &FieldError{Field: "share", Found: fmt.Sprint(r.ZoneShare), Expected: fmt.Sprintf("0 to %d",
 			FullShare)}
--- a/internal/control/coordinator/leader.go
+++ b/internal/control/coordinator/leader.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 
-	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/zones"
 )
@@ -210,4 +209,4 @@
 func (l *Leader) FleetView() *zones.View { return l.zoneMonitor.FleetView() }
 
 // Reports gives what nodes told this leader.
-func (l *Leader) Reports() func(*membership.Node) *policy.NodeReport { return l.report }
+func (l *Leader) Reports() policy.Reports { return l.report }
--- a/internal/control/document/canonical.go
+++ b/internal/control/document/canonical.go
@@ -34,7 +34,7 @@
 	add := func(section, key, value string) { out = append(out, Line{section, key, value}) }
 	for _, c := range d.Classes {
 		s := "class " + c.Name
-		add(s, "kind", c.Kind)
+		add(s, "kind", string(c.Kind))
 		add(s, "value", number(c.Weight))
 		add(s, "response_target", c.LatencyObjective.String())
 		add(s, "client_timeout", c.Timeout.String())
@@ -73,7 +73,7 @@
 		add("fleet", "when_alone", whenAlone(d.Fleet.Autonomous))
 	}
 	if z := d.Zones; z.Present {
-		add("zones", "decide", z.Mode)
+		add("zones", "decide", string(z.Mode))
 		add("zones", "first", number(z.FirstShare))
 		add("zones", "hold", z.StepTime.String())
 		add("zones", "keep", z.OrderTime.String())
--- a/internal/control/document/document.go
+++ b/internal/control/document/document.go
@@ -14,17 +14,20 @@
 	MaxLevels  = 16
 )
 
-// Kinds of classes: whether a request may be run a second time.
+// ClassKind says whether a request may be run a second time, in the words of documents.
+type ClassKind string
+
+// Kinds of classes.
 const (
-	Idempotent       = "replayable"
-	IdempotencyKeyed = "uniqued" // a retry gets the first run's result
-	NotIdempotent    = "non-replayable"
+	Idempotent       ClassKind = "replayable"
+	IdempotencyKeyed ClassKind = "uniqued" // a retry gets the first run's result
+	NotIdempotent    ClassKind = "non-replayable"
 )
 
 // Class is what requests of one handler are worth and how they may be run.
 type Class struct {
 	Name              string
-	Kind              string
+	Kind              ClassKind
 	Weight            float64
 	LatencyObjective  time.Duration // response_target
 	Timeout           time.Duration // of the client
@@ -72,9 +75,19 @@
 	Present    bool // the document has the section
 }
 
+// ZonesMode says who evacuates zones and returns load to them, in the words of documents.
+type ZonesMode string
+
+// Modes of Zones.
+const (
+	ZonesOff  ZonesMode = "off"
+	ZonesAsk  ZonesMode = "ask"  // an operator decides
+	ZonesAuto ZonesMode = "auto" // the rules decide
+)
+
 // Zones is whether the fleet evacuates zones that fail and returns to them, and how.
 type Zones struct {
-	Mode       string        // ZonesOff, ZonesAsk or ZonesAuto
+	Mode       ZonesMode     // ZonesOff without the section
 	FirstShare float64       // of its traffic, that a return begins with
 	StepTime   time.Duration // least time at each quota of a return
 	OrderTime  time.Duration // how long a node follows its last order without the group
--- a/internal/control/document/document_test.go
+++ b/internal/control/document/document_test.go
@@ -2,12 +2,15 @@
 
 import (
 	"bytes"
+	"errors"
 	"flag"
 	"fmt"
 	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"umberwinch/internal/config"
 )
 
 const filing = `
@@ -50,6 +53,8 @@
 	return d
 }
 
+// TestCanonicalFormIsAFixedPoint: a version is read, written canonically and read again, and another operator writes the
+// same content otherwise. All of them must have one hash: nodes would take equal versions for different ones.
 func TestCanonicalFormIsAFixedPoint(t *testing.T) {
 	d := parse(t, filing)
 	text := d.Canonical()
@@ -66,6 +71,8 @@
 	}
 }
 
+// TestFaultsOfADocument: an operator's document has a slip. It must be refused before nodes serve under it, with the
+// section, the key, what was found and what was expected.
 func TestFaultsOfADocument(t *testing.T) {
 	for _, c := range []struct{ was, is, want string }{
 		{"kind = uniqued", "", "class submit.kind: found none of them"},
@@ -88,7 +95,8 @@
 		if raw == filing {
 			t.Fatalf("%q is not in the document", c.was)
 		}
-		if _, err := Parse("f", []byte(raw)); err == nil || !strings.Contains(err.Error(), c.want) {
+		var faults config.Faults
+		if _, err := Parse("f", []byte(raw)); !errors.As(err, &faults) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q for %q: got %v, expected %q", c.is, c.was, err, c.want)
 		}
 	}
@@ -97,6 +105,8 @@
 	}
 }
 
+// TestWhatMayNotChangeInFlight: a version takes away what requests in flight were promised under the one before. A retry
+// could run a second time, so the version may not follow; with the class retired in between it may.
 func TestWhatMayNotChangeInFlight(t *testing.T) {
 	before := parse(t, filing)
 	retired := parse(t, strings.Replace(filing, "window = 20s", "window = 20s\nretired = yes", 1))
@@ -117,12 +127,16 @@
 		{"the first version", nil, filing, ""},
 	} {
 		err := parse(t, c.to).Follows(c.from)
-		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
+		var reasons FollowErrors
+		refused := errors.As(err, &reasons) && strings.Contains(err.Error(), c.want)
+		if c.want == "" && err != nil || c.want != "" && !refused {
 			t.Errorf("%s: got %v, expected %q", c.name, err, c.want)
 		}
 	}
 }
 
+// TestDiffReads: an operator looks at what a new version changes. Each key that differs has to be one line, and nothing
+// else may show.
 func TestDiffReads(t *testing.T) {
 	is := strings.Replace(strings.Replace(filing, "cap = 0.5", "cap = 0.6", 1), "[pool heavy]",
 		"[tenant t]\nshare = 0.1\n[pool heavy]", 1)
--- a/internal/control/document/follow.go
+++ b/internal/control/document/follow.go
@@ -1,9 +1,6 @@
 package document
 
-import (
-	"fmt"
-	"strings"
-)
+import "fmt"
 
 // Follows returns why d may not come after the version before it, all reasons at once as FollowErrors, and nil if it
 // may. It protects what requests in flight were promised under the version before: a class that is not retired stays,
@@ -36,9 +33,3 @@
 	}
 	return reasons
 }
-
-// FollowErrors are why a version may not follow another.
-type FollowErrors []string
-
-// Error gives a line for each reason.
-func (r FollowErrors) Error() string { return strings.Join(r, "\n") }
--- a/internal/control/document/parse.go
+++ b/internal/control/document/parse.go
@@ -56,13 +56,10 @@
 	defaultMaxBackoff = 5 * time.Minute
 )
 
-// Values of keys.
+// Values of when_alone.
 const (
-	goOn      = "go-on"
-	fence     = "fence"
-	ZonesOff  = "off"
-	ZonesAsk  = "ask"  // an operator decides
-	ZonesAuto = "auto" // the rules decide
+	goOn  = "go-on"
+	fence = "fence"
 )
 
 // Parse reads a document under the latest rules. name is the document's in errors. The error is config.Faults, all
@@ -95,7 +92,7 @@
 		s := "class " + name
 		c := Class{
 			Name:              name,
-			Kind:              t.Choice(s, "kind", "", Idempotent, IdempotencyKeyed, NotIdempotent),
+			Kind:              choice(t, s, "kind", "", Idempotent, IdempotencyKeyed, NotIdempotent),
 			Weight:            t.Number(s, "value", defaultWeight, 0, maxWeight),
 			LatencyObjective:  t.Time(s, "response_target", defaultLatencyObjective, time.Millisecond, time.Hour),
 			Timeout:           t.Time(s, "client_timeout", defaultClientTimeout, time.Millisecond, time.Hour),
@@ -182,7 +179,7 @@
 	if !known || !t.Has("zones") {
 		return z
 	}
-	z.Mode = t.Choice("zones", "decide", ZonesOff, ZonesOff, ZonesAsk, ZonesAuto)
+	z.Mode = choice(t, "zones", "decide", ZonesOff, ZonesOff, ZonesAsk, ZonesAuto)
 	z.FirstShare = t.Number("zones", "first", defaultFirstShare, minFirstShare, 1)
 	z.StepTime = t.Time("zones", "hold", defaultStepTime, 500*time.Millisecond, time.Hour)
 	z.OrderTime = t.Time("zones", "keep", defaultOrderTime, time.Second, maxPeriod)
@@ -195,6 +192,15 @@
 	return z
 }
 
+// choice reads a key that has one of some values.
+func choice[T ~string](t *config.Text, section, key string, def T, values ...T) T {
+	words := make([]string, len(values))
+	for i, v := range values {
+		words[i] = string(v)
+	}
+	return T(t.Choice(section, key, string(def), words...))
+}
+
 // names gives the names of a kind of section, with faults for those that can't be one.
 func names(t *config.Text, prefix string, most int) []string {
 	all := t.Names(prefix)
--- a/internal/control/zones/op.go
+++ b/internal/control/zones/op.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// Validate says what is wrong with an operator's operation before it is proposed: an *api.FieldError, or an error
-// that names two fields.
+// Validate says what is wrong with an operator's operation before it is proposed: an *api.FieldError or an
+// *api.FieldsError.
 func (op *Op) Validate() error {
 	switch op.Kind {
 	case OpEvacuate, OpStepBack, OpRamp, OpHold:
@@ -103,7 +103,8 @@
 	case len(op.IdempotencyKey) < minKeyBytes || len(op.IdempotencyKey) > maxKeyBytes:
 		return bytesError("key", op.IdempotencyKey, fmt.Sprintf("%d to %d", minKeyBytes, maxKeyBytes))
 	case op.WaitMS > maxOperatorMS || op.DrillMS > maxOperatorMS:
-		return fmt.Errorf("wait_ms %d, drill_ms %d: expected a day at most", op.WaitMS, op.DrillMS)
+		return &api.FieldsError{Fields: fmt.Sprintf("wait_ms %d, drill_ms %d", op.WaitMS, op.DrillMS),
+			Expected: "a day at most"}
 	}
 	return nil
 }
--- a/internal/control/zones/operation_test.go
+++ b/internal/control/zones/operation_test.go
@@ -2,8 +2,12 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"reflect"
+	"strings"
 	"testing"
+
+	"umberwinch/internal/control/api"
 )
 
 // TestStoredOperations: an entry that an older build or an earlier leader appended is read as what it was appended as,
@@ -64,3 +68,36 @@
 		}
 	}
 }
+
+// TestOperatorsOperations: what an operator may not ask for is refused before it reaches the log, by an error that says
+// what was found and expected.
+func TestOperatorsOperations(t *testing.T) {
+	valid := Op{Kind: OpEvacuate, Operator: "op", IdempotencyKey: "key-00001"}
+	if err := valid.Validate(); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		change func(*Op)
+		want   string
+	}{
+		{func(op *Op) { op.Kind = OpSettle }, `op: found "settle", expected leave, step, back or hold`},
+		{func(op *Op) { op.Operator = "" }, "by: found 0 bytes, expected 1 to 200"},
+		{func(op *Op) { op.Reason = strings.Repeat("x", 2001) }, "why: found 2001 bytes, expected at most 2000"},
+		{func(op *Op) { op.Share = 257 }, "share: found 257, expected 0 to 256"},
+		{func(op *Op) { op.IdempotencyKey = "key" }, "key: found 3 bytes, expected 8 to 80"},
+	} {
+		op := valid
+		c.change(&op)
+		var field *api.FieldError
+		if err := op.Validate(); !errors.As(err, &field) || err.Error() != c.want {
+			t.Errorf("found %v, expected %s", err, c.want)
+		}
+	}
+	op := valid
+	op.DrillMS = maxOperatorMS + 1
+	var fields *api.FieldsError
+	const want = "wait_ms 0, drill_ms 86400001: expected a day at most"
+	if err := op.Validate(); !errors.As(err, &fields) || err.Error() != want {
+		t.Errorf("found %v, expected %s", err, want)
+	}
+}
--- a/internal/node/overlay/overlay.go
+++ b/internal/node/overlay/overlay.go
@@ -20,7 +20,7 @@
 }
 
 // repeatOfKind maps the document's kinds of classes to the rule on repeats.
-var repeatOfKind = map[string]admission.RetrySafety{document.Idempotent: admission.Retryable,
+var repeatOfKind = map[document.ClassKind]admission.RetrySafety{document.Idempotent: admission.Retryable,
 	document.IdempotencyKeyed: admission.IdempotencyKeyed, document.NotIdempotent: admission.NonRetryable}
 
 // admissionTick is the unit of admission.Time.
