--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -27,8 +27,8 @@
 	return c
 }
 
-// asked runs a command with a client.
-func asked(a *access, f func(context.Context, *client, []string, io.Writer) error) func(*cobra.Command,
+// withClient runs a command with a client.
+func withClient(a *access, f func(context.Context, *client, []string, io.Writer) error) func(*cobra.Command,
 	[]string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		c, err := a.client()
@@ -65,7 +65,7 @@
 	var number uint64
 	var stale bool
 	c := &cobra.Command{Use: "get", Short: "Print a version's text, the newest by default", Args: exact(0),
-		RunE: asked(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
+		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			v, err := c.version(ctx, number, stale)
 			if err != nil {
 				return err
@@ -102,7 +102,7 @@
 		Args: exact(1), Long: `Checks the document, then asks the group to take it as the next version. It names the
 version it was made from (--base, the one in force if not given): had another come since, it is a conflict and nothing
 is changed. Repeated askings count once, whatever happens to answers on the way.`,
-		RunE: asked(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
+		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			raw, err := readText(args[0])
 			if err != nil {
 				return err
@@ -156,7 +156,7 @@
 	c := &cobra.Command{Use: "diff [FILE]", Short: "What a file, or a version, would change",
 		Args: cobra.MaximumNArgs(1), Long: `With FILE: what it would change in the version in force (or --from). Without:
 what changed from version --from to --to (the one before the newest, and the newest, if not given).`,
-		RunE: asked(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
+		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			newest, err := c.current(ctx)
 			if err != nil {
 				return err
@@ -219,7 +219,7 @@
 	var alone bool
 	c := &cobra.Command{Use: "check FILE", Short: "Check a document, alone and after the version in force",
 		Args: exact(1),
-		RunE: asked(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
+		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			raw, err := readText(args[0])
 			if err != nil {
 				return err
@@ -260,7 +260,7 @@
 	var from uint64
 	var limit int
 	c := &cobra.Command{Use: "history", Short: "List versions, the newest last", Args: exact(0),
-		RunE: asked(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
+		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			path := fmt.Sprintf("/v1/history?limit=%d", limit)
 			if from > 0 {
 				path += fmt.Sprintf("&from=%d", from)
@@ -288,7 +288,7 @@
 	var from uint64
 	c := &cobra.Command{Use: "watch", Short: "Follow versions as they come, without a gap or a double",
 		Args: exact(0),
-		RunE: asked(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
+		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			return c.watch(ctx, from, func(v *consensus.Version) error {
 				if c.json {
 					return json.NewEncoder(w).Encode(v)
--- a/internal/cli/lab.go
+++ b/internal/cli/faulttest.go
@@ -18,23 +18,23 @@
 // newFaultTest is the harness's command: each below it runs the real code under faults and load, and ends with a verdict.
 func newFaultTest() *cobra.Command {
 	c := &cobra.Command{Use: "faulttest", Short: "The fault harness: the real code under faults and load"}
-	c.AddCommand(newLabRaft(), newLabPools(), newLabPolicy(), newLabZones(), renamed(newLabComeback(), "recovery"),
-		renamed(newLabKept(), "results"))
+	c.AddCommand(newRaftTest(), newPoolsTest(), newPolicyTest(), newZonesTest(), renamed(newRecoveryTest(), "recovery"),
+		renamed(newResultStoreTest(), "results"))
 	return c
 }
 
 // newLab has the harness's commands under their earlier names.
 func newLab() *cobra.Command {
 	c := &cobra.Command{Use: "lab", Short: "Earlier name of faulttest", Hidden: true}
-	for _, below := range []*cobra.Command{newLabRaft(), newLabPools(), newLabPolicy(), newLabZones()} {
+	for _, below := range []*cobra.Command{newRaftTest(), newPoolsTest(), newPolicyTest(), newZonesTest()} {
 		c.AddCommand(deprecated(below, "faulttest "+below.Name()))
 	}
-	c.AddCommand(deprecated(newLabComeback(), "faulttest recovery"), deprecated(newLabKept(), "faulttest results"))
+	c.AddCommand(deprecated(newRecoveryTest(), "faulttest recovery"), deprecated(newResultStoreTest(), "faulttest results"))
 	return c
 }
 
-// rigged checks what the laboratory's commands on processes have in common, and gives the program that they start.
-func rigged(mode, only string, cases []string, size int) (program string, err error) {
+// checkProcessTest checks what the laboratory's commands on processes have in common, and gives the program that they start.
+func checkProcessTest(mode, only string, cases []string, size int) (program string, err error) {
 	switch {
 	case mode != "both" && mode != "virtual" && mode != "real":
 		return "", usage(fmt.Errorf("--mode: found %q, expected virtual, real or both", mode))
@@ -46,8 +46,8 @@
 	return os.Executable()
 }
 
-// guards reads the guards that --without names, parted by commas.
-func guards[G ~uint](words string, named func(string) (G, error)) (out G, err error) {
+// parseGuards reads the guards that --without names, parted by commas.
+func parseGuards[G ~uint](words string, named func(string) (G, error)) (out G, err error) {
 	if words == "" {
 		return 0, nil
 	}
@@ -69,7 +69,7 @@
 	return err
 }
 
-func newLabRaft() *cobra.Command {
+func newRaftTest() *cobra.Command {
 	r := &harness.RaftTest{}
 	var without string
 	var replay int64
@@ -80,7 +80,7 @@
 answer. The last line says "raft: kept" or "raft: broken: WHAT"; a broken promise is exit status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var err error
-			if r.Without, err = guards(without, consensus.GuardNamed); err != nil {
+			if r.Without, err = parseGuards(without, consensus.GuardNamed); err != nil {
 				return err
 			}
 			if r.Mode != "both" && r.Mode != "virtual" && r.Mode != "real" {
@@ -118,7 +118,7 @@
 	return c
 }
 
-func newLabKept() *cobra.Command {
+func newResultStoreTest() *cobra.Command {
 	r := &harness.ResultStoreTest{}
 	c := &cobra.Command{Use: "kept", Short: "Keyed results: a node killed over and over while callers repeat their keys", Args: exact(0),
 		Long: `Nodes with [kept], each with an emulated kernel that outlives it and counts runs by key, and callers that repeat
@@ -149,7 +149,7 @@
 	return c
 }
 
-func newLabPools() *cobra.Command {
+func newPoolsTest() *cobra.Command {
 	r := &simulation.Pools{}
 	c := &cobra.Command{Use: "pools", Short: "Pools of run slots: scenarios of overload in virtual time, four ways side by side",
 		Args: exact(0), Long: `Plays each scenario on emulated servers in virtual time, driving the module and its pools
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -85,7 +85,7 @@
 	return c
 }
 
-func newLabPolicy() *cobra.Command {
+func newPolicyTest() *cobra.Command {
 	r := &harness.PolicyTest{}
 	c := &cobra.Command{Use: "policy", Short: "Changes of policy: schedules in virtual time, hard cases on processes",
 		Args: exact(0), Long: `Virtual: the real decisions of group and nodes on played clocks, lines and crashes, many schedules from one
@@ -94,10 +94,10 @@
 "policy: kept" or "policy: broken: WHAT"; a broken promise is exit status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var err error
-			if r.Without, err = guards(r.ProcessGuards, policy.GuardNamed); err != nil {
+			if r.Without, err = parseGuards(r.ProcessGuards, policy.GuardNamed); err != nil {
 				return err
 			}
-			if r.Program, err = rigged(r.Mode, r.Only, harness.PolicyCases(), r.Size); err != nil {
+			if r.Program, err = checkProcessTest(r.Mode, r.Only, harness.PolicyCases(), r.Size); err != nil {
 				return err
 			}
 			return verdict(r.Run(cmd.Context(), cmd.OutOrStdout()))
@@ -119,7 +119,7 @@
 func newFleetStatus() *cobra.Command {
 	var a access
 	c := &cobra.Command{Use: "status", Short: "How far back the fleet is, what holds it, and the time to its being whole at least",
-		Args: exact(0), RunE: asked(&a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
+		Args: exact(0), RunE: withClient(&a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			p, z, nodes, err := c.fleetViews(ctx)
 			if err != nil {
 				return err
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -57,7 +57,7 @@
 under an older one for longer than a lease. A node that says no, or is up and does not prepare within --prepare, has
 the change called off, unless no more than --spare do. With --exclusive no two versions are served under at one moment:
 nodes shed between the decision and the last lease's end.`,
-		RunE: asked(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
+		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			var err error
 			if p.Version, err = strconv.ParseUint(args[0], 10, 63); err != nil {
 				if p.Version, err = c.putFirst(ctx, args[0], p.Reason); err != nil {
@@ -149,7 +149,7 @@
 				e := ch.Events[shown]
 				fmt.Fprintf(w, "%8d ms  %s\n", e.ClockMS-ch.ProposedAtMS, e.Text)
 			}
-			if now := waitsFor(v.WaitingFor); !ended && now != waits && now != "" {
+			if now := blockerNames(v.WaitingFor); !ended && now != waits && now != "" {
 				waits = now
 				fmt.Fprintf(w, "             waits for %s\n", now)
 			}
@@ -170,7 +170,7 @@
 	}
 }
 
-func waitsFor(ws []policy.Blocker) string {
+func blockerNames(ws []policy.Blocker) string {
 	var names []string
 	for _, w := range ws {
 		names = append(names, w.Node)
@@ -183,7 +183,7 @@
 
 func newPolicyStatus(a *access) *cobra.Command {
 	return &cobra.Command{Use: "status", Short: "Show what is in force, the change under way, and whom it waits for",
-		Args: exact(0), RunE: asked(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
+		Args: exact(0), RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			v, err := c.policyView(ctx)
 			if err != nil {
 				return err
@@ -217,7 +217,7 @@
 func newCallOff(a *access) *cobra.Command {
 	var why string
 	c := &cobra.Command{Use: "call-off", Short: "Call off the change under way, if it is not decided yet", Args: exact(0),
-		RunE: asked(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
+		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			v, err := c.policyView(ctx)
 			if err != nil {
 				return err
@@ -238,7 +238,7 @@
 
 func newPolicyHistory(a *access) *cobra.Command {
 	return &cobra.Command{Use: "history", Short: "Show earlier changes, the newest last", Args: exact(0),
-		RunE: asked(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
+		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			v, err := c.policyView(ctx)
 			if err != nil {
 				return err
@@ -272,7 +272,7 @@
 
 func newExplain(a *access) *cobra.Command {
 	return &cobra.Command{Use: "explain CHANGE", Short: "Tell a change's steps, when each came, and why", Args: exact(1),
-		RunE: asked(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
+		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			number, err := strconv.ParseUint(args[0], 10, 63)
 			if err != nil {
 				return usage(fmt.Errorf("CHANGE: found %q, expected a number of policy history", args[0]))
@@ -344,7 +344,7 @@
 
 func newNodesList(a *access) *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "List all nodes", Args: exact(0),
-		RunE: asked(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
+		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			all, err := c.nodes(ctx)
 			if err != nil {
 				return err
@@ -372,7 +372,7 @@
 
 func newNodesShow(a *access) *cobra.Command {
 	return &cobra.Command{Use: "show NODE", Short: "Show one node whole", Args: exact(1),
-		RunE: asked(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
+		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			all, err := c.nodes(ctx)
 			if err != nil {
 				return err
@@ -404,7 +404,7 @@
 	return &cobra.Command{Use: "forget NODE", Short: "Take a node off the list: you vouch that it is dead", Args: exact(1),
 		Long: `Takes a node off the list, with all that is waited for of it. Whoever forgets a node vouches that it serves nothing
 any more: if it does, it may serve under an older version than all others until it hears of the group.`,
-		RunE: asked(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
+		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			body, err := json.Marshal(map[string]string{"name": args[0]})
 			if err != nil {
 				return err
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -202,7 +202,7 @@
 	table(w, rows)
 }
 
-func newLabComeback() *cobra.Command {
+func newRecoveryTest() *cobra.Command {
 	r := &harness.RecoveryTest{}
 	c := &cobra.Command{Use: "comeback", Short: "Coming back: restarts of a whole fleet, a group that lost its state",
 		Args: exact(0), Long: `Virtual: all nodes restart at once, with services below that are cold, at sizes and loads, beside a start without a
@@ -222,7 +222,7 @@
 				}
 			}
 			var err error
-			if r.Program, err = rigged(r.Mode, r.Only, harness.RecoveryCases(), r.Size); err != nil {
+			if r.Program, err = checkProcessTest(r.Mode, r.Only, harness.RecoveryCases(), r.Size); err != nil {
 				return err
 			}
 			return verdict(r.Run(cmd.Context(), cmd.OutOrStdout()))
--- a/internal/cli/kept_test.go
+++ b/internal/cli/results_test.go
@@ -10,8 +10,8 @@
 	"umberwinch/internal/wal"
 )
 
-// TestKept: a folder's keys are told by state; one that is in use, damaged or none is refused and left as it is.
-func TestKept(t *testing.T) {
+// A folder's keys are told by state; one that is in use, damaged or none is refused and left as it is.
+func TestResultsOfFolder(t *testing.T) {
 	dir := t.TempDir()
 	want(t, 2, "found no log", "kept", "stat", dir)
 	if names, _ := os.ReadDir(dir); len(names) > 0 {
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -61,7 +61,7 @@
 
 func newZonesList(a *access) *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "List all zones", Args: exact(0),
-		RunE: asked(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
+		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			v, err := c.zones(ctx)
 			if err != nil {
 				return err
@@ -87,7 +87,7 @@
 		})}
 }
 
-func oneZone(ctx context.Context, c *client, name string) (*consensus.ZonesView, *consensus.ZoneView, error) {
+func findZone(ctx context.Context, c *client, name string) (*consensus.ZonesView, *consensus.ZoneView, error) {
 	v, err := c.zones(ctx)
 	if err != nil {
 		return nil, nil, err
@@ -102,8 +102,8 @@
 
 func newZonesShow(a *access) *cobra.Command {
 	return &cobra.Command{Use: "show ZONE", Short: "Show one zone whole", Args: exact(1),
-		RunE: asked(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
-			v, z, err := oneZone(ctx, c, args[0])
+		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
+			v, z, err := findZone(ctx, c, args[0])
 			if err != nil {
 				return err
 			}
@@ -141,8 +141,8 @@
 
 func newZonesExplain(a *access) *cobra.Command {
 	return &cobra.Command{Use: "explain ZONE", Short: "Tell what was decided about a zone, when, and on what", Args: exact(1),
-		RunE: asked(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
-			v, z, err := oneZone(ctx, c, args[0])
+		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
+			v, z, err := findZone(ctx, c, args[0])
 			if err != nil {
 				return err
 			}
@@ -162,11 +162,11 @@
 		})}
 }
 
-// zoneDo makes a command of one step of an operator's.
-func zoneDo(a *access, use, short, long string, flags func(c *cobra.Command), op func() (zones.Op, error)) *cobra.Command {
+// newZoneStep makes a command of one step of an operator's.
+func newZoneStep(a *access, use, short, long string, flags func(c *cobra.Command), op func() (zones.Op, error)) *cobra.Command {
 	why := ""
 	c := &cobra.Command{Use: use + " ZONE", Short: short, Long: long, Args: exact(1),
-		RunE: asked(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
+		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			o, err := op()
 			if err != nil {
 				return usage(err)
@@ -189,7 +189,7 @@
 	return c
 }
 
-func shareOf(part float64) (int, error) {
+func parseShare(part float64) (int, error) {
 	if part < 0 || part > 1 {
 		return 0, fmt.Errorf("--share: found %g, expected 0 to 1", part)
 	}
@@ -197,25 +197,25 @@
 }
 
 func newZonesLeave(a *access) *cobra.Command {
-	return zoneDo(a, "leave", "Leave a zone: its nodes take nothing more", `Its nodes say that they are not ready, shed at once
+	return newZoneStep(a, "leave", "Leave a zone: its nodes take nothing more", `Its nodes say that they are not ready, shed at once
 what comes and what is held, with a time to come back, and end what runs. It stays so until "zones return". The last zone
 that is in is not left.`, nil, func() (zones.Op, error) { return zones.Op{Kind: zones.OpEvacuate}, nil })
 }
 
 func newZonesReturn(a *access) *cobra.Command {
 	share := 0.0
-	return zoneDo(a, "return", "Begin the return to a zone", `Begins with a share, and goes on by what the services below show.
+	return newZoneStep(a, "return", "Begin the return to a zone", `Begins with a share, and goes on by what the services below show.
 Without --share it is a sixteenth.`, func(c *cobra.Command) {
 		c.Flags().Float64Var(&share, "share", 0.0625, "of what comes, to begin with")
 	}, func() (zones.Op, error) {
-		n, err := shareOf(share)
+		n, err := parseShare(share)
 		return zones.Op{Kind: zones.OpRamp, Share: max(1, n)}, err
 	})
 }
 
 func newZonesHold(a *access) *cobra.Command {
 	d := time.Hour
-	return zoneDo(a, "hold", "Have nothing decided about a zone by rules for a while", "It stays as it is; an operator's own steps "+
+	return newZoneStep(a, "hold", "Have nothing decided about a zone by rules for a while", "It stays as it is; an operator's own steps "+
 		"count all the same.", func(c *cobra.Command) { c.Flags().DurationVar(&d, "for", time.Hour, "for so long; 0 ends it") },
 		func() (zones.Op, error) {
 			if d < 0 || d > 24*time.Hour {
@@ -227,7 +227,7 @@
 
 func newZonesDrill(a *access) *cobra.Command {
 	d := time.Minute
-	return zoneDo(a, "drill", "Leave a zone on purpose for a while, and return to it", `Leaves a zone as if it had failed and
+	return newZoneStep(a, "drill", "Leave a zone on purpose for a while, and return to it", `Leaves a zone as if it had failed and
 begins its return when the time is over, or as soon as it does harm: another zone turns sick, or does less than eight
 tenths of the value that it is asked for.`, func(c *cobra.Command) {
 		c.Flags().DurationVar(&d, "for", time.Minute, "how long it is left, 1s to 1h")
@@ -239,7 +239,7 @@
 	})
 }
 
-func newLabZones() *cobra.Command {
+func newZonesTest() *cobra.Command {
 	r := &harness.ZonesTest{}
 	c := &cobra.Command{Use: "zones", Short: "Zones: schedules in virtual time, hard cases on processes", Args: exact(0),
 		Long: `Virtual: the real decisions of group, leaders and nodes, with flows of reqs between callers, zones and services below
@@ -248,10 +248,10 @@
 between. The last line says "zones: kept" or "zones: broken: WHAT"; a broken promise is exit status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var err error
-			if r.Without, err = guards(r.ProcessGuards, zones.GuardNamed); err != nil {
+			if r.Without, err = parseGuards(r.ProcessGuards, zones.GuardNamed); err != nil {
 				return err
 			}
-			if r.Program, err = rigged(r.Mode, r.Only, harness.ZoneCases(), r.Size); err != nil {
+			if r.Program, err = checkProcessTest(r.Mode, r.Only, harness.ZoneCases(), r.Size); err != nil {
 				return err
 			}
 			return verdict(r.Run(cmd.Context(), cmd.OutOrStdout()))
