--- a/internal/cli/faulttest.go
+++ b/internal/cli/faulttest.go
@@ -1,15 +1,20 @@
 package cli
 
 import (
+	"context"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"slices"
 	"strings"
 
 	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
 
 	"umberwinch/internal/control/consensus"
+	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
 	"umberwinch/internal/harness"
 	"umberwinch/internal/report"
 	"umberwinch/internal/simulation"
@@ -17,36 +22,73 @@
 
 // newFaultTest is the harness's command: each below it runs the real code under faults and load, and ends with a verdict.
 func newFaultTest() *cobra.Command {
-	c := &cobra.Command{Use: "faulttest", Short: "The fault harness: the real code under faults and load"}
-	c.AddCommand(newRaftTest(), newPoolsTest(), newPolicyTest(), newZonesTest(), renamed(newRecoveryTest(), "recovery"),
-		renamed(newResultStoreTest(), "results"))
+	c := &cobra.Command{Use: "faulttest", Short: "Fault tests: the real code under faults and load"}
+	c.AddCommand(newRaftTest(), newPoolsTest(), newPolicyTest(), newZonesTest(), newRecoveryTest(), newResultStoreTest())
 	return c
 }
 
-// newLab has the harness's commands under their earlier names.
-func newLab() *cobra.Command {
-	c := &cobra.Command{Use: "lab", Short: "Earlier name of faulttest", Hidden: true}
-	for _, below := range []*cobra.Command{newRaftTest(), newPoolsTest(), newPolicyTest(), newZonesTest()} {
-		c.AddCommand(deprecated(below, "faulttest "+below.Name()))
+// Modes of a fault test.
+const (
+	modeBoth    = "both"
+	modeVirtual = "virtual"
+	modeReal    = "real"
+)
+
+// Bounds of --size.
+const (
+	minFleetSize = 6
+	maxFleetSize = 60
+	minGroupSize = 2
+	maxGroupSize = 7
+)
+
+// commonFlags are those of every fault test.
+func commonFlags(f *pflag.FlagSet, seed *int64, quick *bool, out *string, quickMeans string) {
+	f.Int64Var(seed, "seed", 1, "seed of all random numbers")
+	f.BoolVar(quick, "quick", false, quickMeans)
+	f.StringVar(out, "out", "", "folder for report.html and result.json")
+}
+
+// processFlags are those of fault tests that have cases on a fleet of processes.
+func processFlags(f *pflag.FlagSet, mode, only *string, size *int) {
+	f.StringVar(mode, "mode", modeBoth, "virtual (in virtual time), real (on processes) or both")
+	f.StringVar(only, "only", "", "one case on processes")
+	f.IntVar(size, "size", 0, "nodes of the fleet of processes; 0 for 9")
+}
+
+// guardsFlag is --without. What a guard's absence breaks is in the pages on design.
+func guardsFlag(f *pflag.FlagSet, words *string, names []string) {
+	f.StringVar(words, "without", "", "guards to disable, separated by commas: "+strings.Join(names, ", "))
+}
+
+// checkMode says whether --mode is one of the three.
+func checkMode(mode string) error {
+	if mode != modeBoth && mode != modeVirtual && mode != modeReal {
+		return fmt.Errorf("--mode: found %q, expected virtual, real or both", mode)
 	}
-	c.AddCommand(deprecated(newRecoveryTest(), "faulttest recovery"), deprecated(newResultStoreTest(), "faulttest results"))
-	return c
+	return nil
+}
+
+// checkOneOf says whether a flag that may be empty is one of its values.
+func checkOneOf(flag, value string, values []string) error {
+	if value != "" && !slices.Contains(values, value) {
+		return fmt.Errorf("%s: found %q, expected one of %q", flag, value, values)
+	}
+	return nil
 }
 
-// checkProcessTest checks what the laboratory's commands on processes have in common, and gives the program that they start.
-func checkProcessTest(mode, only string, cases []string, size int) (program string, err error) {
-	switch {
-	case mode != "both" && mode != "virtual" && mode != "real":
-		return "", usage(fmt.Errorf("--mode: found %q, expected virtual, real or both", mode))
-	case only != "" && !slices.Contains(cases, only):
-		return "", usage(fmt.Errorf("--only: found %q, expected one of %q", only, cases))
-	case size != 0 && (size < 6 || size > 60):
-		return "", usage(fmt.Errorf("--size: found %d, expected 6 to 60 nodes, or 0 for 9", size))
+// checkProcessTest checks the flags of a fault test that has cases on a fleet of processes.
+func checkProcessTest(mode, only string, cases []string, size int) error {
+	if err := errors.Join(checkMode(mode), checkOneOf("--only", only, cases)); err != nil {
+		return err
 	}
-	return os.Executable()
+	if size != 0 && (size < minFleetSize || size > maxFleetSize) {
+		return fmt.Errorf("--size: found %d, expected %d to %d nodes, or 0 for 9", size, minFleetSize, maxFleetSize)
+	}
+	return nil
 }
 
-// parseGuards reads the guards that --without names, parted by commas.
+// parseGuards reads the guards that --without names, separated by commas.
 func parseGuards[G ~uint](words string, named func(string) (G, error)) (out G, err error) {
 	if words == "" {
 		return 0, nil
@@ -54,120 +96,212 @@
 	for _, name := range strings.Split(words, ",") {
 		g, err := named(name)
 		if err != nil {
-			return 0, usage(err)
+			return 0, err
 		}
 		out |= g
 	}
 	return out, nil
 }
 
-// verdict makes a broken promise the command's error.
-func verdict(rep *report.Report, err error) error {
-	if err == nil && rep.Broken != "" {
-		return errors.New("a promise was broken")
+// faultTest is a run of any of the fault tests.
+type faultTest interface {
+	Run(ctx context.Context, w io.Writer) (*report.Report, error)
+}
+
+// runFaultTest checks the flags of a fault test, hands it this program to start processes of, and makes a broken promise the
+// command's error.
+func runFaultTest(test faultTest, program *string, check func() error) func(*cobra.Command, []string) error {
+	return func(cmd *cobra.Command, _ []string) (err error) {
+		if err = check(); err != nil {
+			return usage(err)
+		}
+		if *program, err = os.Executable(); err != nil {
+			return err
+		}
+		rep, err := test.Run(cmd.Context(), cmd.OutOrStdout())
+		if err == nil && rep.Broken != "" {
+			return errors.New("a promise was broken")
+		}
+		return err
 	}
-	return err
 }
 
 func newRaftTest() *cobra.Command {
 	r := &harness.RaftTest{}
 	var without string
 	var replay int64
+	check := func() (err error) {
+		if r.Without, err = parseGuards(without, consensus.GuardNamed); err != nil {
+			return err
+		}
+		if err = checkMode(r.Mode); err != nil {
+			return err
+		}
+		if r.Size != 0 && (r.Size < minGroupSize || r.Size > maxGroupSize) {
+			return fmt.Errorf("--size: found %d, expected %d to %d, or 0 for groups of 3 and 5", r.Size, minGroupSize, maxGroupSize)
+		}
+		return nil
+	}
+	run := runFaultTest(r, &r.Program, check)
 	c := &cobra.Command{Use: "raft", Short: "The replicated group: schedules of faults in virtual time, kills of processes",
 		Args: exact(0), Long: `Virtual: the real consensus and log code on a simulated network, disks and clock, many
 schedules from one seed, with the promises of docs/design/raft.md checked after each step and clients' histories checked
 for linearizability. Real: processes on loopback whose leader is killed between any two of persist, send, apply and
-answer. The last line says "raft: kept" or "raft: broken: WHAT"; a broken promise is exit status 1.`,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			var err error
-			if r.Without, err = parseGuards(without, consensus.GuardNamed); err != nil {
-				return err
+respond. The last line says "raft: kept" or "raft: broken: WHAT"; a broken promise is exit status 1.`,
+		RunE: func(cmd *cobra.Command, args []string) error {
+			if replay == 0 {
+				return run(cmd, args)
 			}
-			if r.Mode != "both" && r.Mode != "virtual" && r.Mode != "real" {
-				return usage(fmt.Errorf("--mode: found %q, expected virtual, real or both", r.Mode))
+			if err := check(); err != nil {
+				return usage(err)
 			}
-			if r.Size != 0 && (r.Size < 2 || r.Size > 7) {
-				return usage(fmt.Errorf("--size: found %d, expected 2 to 7, or 0 for groups of 3 and 5", r.Size))
-			}
-			if replay != 0 {
-				size := r.Size
-				if size == 0 {
-					size = 3 + int(replay%2)*2
-				}
-				if res := harness.Replay(cmd.OutOrStdout(), replay, size, r.Without); res.Broken != "" {
-					return errors.New(res.Broken)
-				}
-				return nil
-			}
-			if r.Program, err = os.Executable(); err != nil {
-				return err
-			}
-			return verdict(r.Run(cmd.Context(), cmd.OutOrStdout()))
+			return replaySchedule(cmd.OutOrStdout(), replay, r.Size, r.Without)
 		}}
 	f := c.Flags()
-	f.Int64Var(&r.Seed, "seed", 1, "all chance comes from it")
-	f.BoolVar(&r.Quick, "quick", false, "under 50 s on four cores")
+	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "under 50 s on four cores")
+	f.StringVar(&r.Mode, "mode", modeBoth, "virtual (in virtual time), real (on processes) or both")
 	f.IntVar(&r.Size, "size", 0, "instances in a group; 0 for groups of 3 and of 5")
-	f.StringVar(&r.Out, "out", "", "folder for report.html and result.json")
-	f.StringVar(&r.Mode, "mode", "both", "virtual, real or both")
 	f.IntVar(&r.Schedules, "schedules", 0, "virtual schedules; 0 for 400 with --quick, 6000 without")
 	f.IntVar(&r.Kills, "kills", 0, "kills a group; 0 for 10 with --quick, 200 without")
 	f.IntVar(&r.Clients, "clients", 8, "real: clients that put while leaders are killed")
-	f.StringVar(&without, "without", "", "guards taken out, parted by commas: "+strings.Join(consensus.GuardNames(), ", "))
-	f.Int64Var(&replay, "replay", 0, "play one schedule's seed and tell each step")
+	f.Int64Var(&replay, "replay", 0, "replay the schedule of one seed and print each step")
+	guardsFlag(f, &without, consensus.GuardNames())
 	return c
 }
 
+// replaySchedule plays one schedule of the group, of the size that it had among the others unless one is named.
+func replaySchedule(w io.Writer, seed int64, size int, without consensus.Guard) error {
+	if size == 0 {
+		size = 3 + int(seed%2)*2
+	}
+	if res := harness.Replay(w, seed, size, without); res.Broken != "" {
+		return errors.New(res.Broken)
+	}
+	return nil
+}
+
 func newResultStoreTest() *cobra.Command {
 	r := &harness.ResultStoreTest{}
-	c := &cobra.Command{Use: "kept", Short: "Keyed results: a node killed over and over while callers repeat their keys", Args: exact(0),
-		Long: `Nodes with [kept], each with an emulated kernel that outlives it and counts runs by key, and callers that repeat
-their keys inside the window and outside. Each is killed with SIGKILL at named points and at random ones, at times in its
-start, sometimes with part of a write left at its log's end, and started again on its folder. Then what a uniqued req costs
-beside one that is kept in memory alone. The last line says "kept: kept" or "kept: broken: WHAT"; a broken promise is exit
-status 1.`,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if r.Without != "" && !slices.Contains(harness.ResultStoreGuards, r.Without) {
-				return usage(fmt.Errorf("--without: found %q, expected one of %v", r.Without, harness.ResultStoreGuards))
-			}
-			if r.Only != "" && r.Only != "kills" && r.Only != "costs" {
-				return usage(fmt.Errorf("--only: found %q, expected kills or costs", r.Only))
-			}
-			var err error
-			if r.Program, err = os.Executable(); err != nil {
-				return err
-			}
-			return verdict(r.Run(cmd.Context(), cmd.OutOrStdout()))
-		}}
+	check := func() error {
+		return errors.Join(checkOneOf("--without", r.Without, harness.ResultStoreGuards),
+			checkOneOf("--only", r.Only, []string{"kills", "costs"}))
+	}
+	c := &cobra.Command{Use: "results", Short: "Stored results: a node killed over and over while clients retry their keys",
+		Args: exact(0), Long: `Nodes with [kept], each with an emulated kernel that outlives it and counts runs by idempotency
+key, and clients that retry their keys within the idempotency window and after it. Each node is killed with SIGKILL at
+named points and at random ones, at times in its start, sometimes with part of a write left at its log's end, and started
+again on its folder. Then the cost of a request with an idempotency key, beside one that is kept in memory alone. The last
+line says "kept: kept" or "kept: broken: WHAT"; a broken promise is exit status 1.`,
+		RunE: runFaultTest(r, &r.Program, check)}
 	f := c.Flags()
-	f.Int64Var(&r.Seed, "seed", 1, "all chance comes from it, but for what processes do at one time")
-	f.BoolVar(&r.Quick, "quick", false, "under 50 s on four cores")
+	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "under 50 s on four cores")
 	f.IntVar(&r.Kills, "kills", 0, "kills in all; 0 for 120 with --quick, 5000 without")
-	f.StringVar(&r.Out, "out", "", "folder for report.html and result.json")
 	f.StringVar(&r.Only, "only", "", "kills or costs")
-	f.StringVar(&r.Without, "without", "", "a guard taken out of the node: "+strings.Join(harness.ResultStoreGuards, ", "))
+	f.StringVar(&r.Without, "without", "", "one guard to disable in the node: "+strings.Join(harness.ResultStoreGuards, ", "))
 	return c
 }
 
 func newPoolsTest() *cobra.Command {
 	r := &simulation.Pools{}
-	c := &cobra.Command{Use: "pools", Short: "Pools of run slots: scenarios of overload in virtual time, four ways side by side",
+	var program string // it starts no processes
+	c := &cobra.Command{Use: "pools", Short: "Pools of run slots: overload in virtual time, beside three baselines",
 		Args: exact(0), Long: `Plays each scenario on emulated servers in virtual time, driving the module and its pools
 directly: with pools, without, with fixed ones, and with a plain pool before a short queue, from the same seed. Shows the
-share of each class's first tries done within the response target. The last line says "pools: kept" or "pools: broken:
-WHAT"; a broken promise is exit status 1.`,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if r.Without != "" && !slices.Contains(simulation.PoolGuards, r.Without) {
-				return usage(fmt.Errorf("--without: found %q, expected one of %v", r.Without, simulation.PoolGuards))
-			}
-			return verdict(r.Run(cmd.Context(), cmd.OutOrStdout()))
-		}}
+share of each class's first attempts that complete within the latency objective. The last line says "pools: kept" or
+"pools: broken: WHAT"; a broken promise is exit status 1.`,
+		RunE: runFaultTest(r, &program, func() error {
+			return checkOneOf("--without", r.Without, simulation.PoolGuards)
+		})}
 	f := c.Flags()
-	f.Int64Var(&r.Seed, "seed", 1, "all chance comes from it")
-	f.BoolVar(&r.Quick, "quick", false, "six servers a scenario")
+	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "six servers a scenario")
 	f.IntVar(&r.Size, "size", 0, "servers; 0 for 6 with --quick, 24 without")
-	f.StringVar(&r.Out, "out", "", "folder for report.html and result.json")
-	f.StringVar(&r.Without, "without", "", "a guard taken out: "+strings.Join(simulation.PoolGuards, ", "))
+	f.StringVar(&r.Without, "without", "", "one guard to disable: "+strings.Join(simulation.PoolGuards, ", "))
 	f.StringVar(&r.Only, "only", "", "one scenario")
 	return c
 }
+
+func newPolicyTest() *cobra.Command {
+	r := &harness.PolicyTest{}
+	check := func() (err error) {
+		if r.Without, err = parseGuards(r.ProcessGuards, policy.GuardNamed); err != nil {
+			return err
+		}
+		return checkProcessTest(r.Mode, r.Only, harness.PolicyCases(), r.Size)
+	}
+	c := &cobra.Command{Use: "policy", Short: "Changes of policy: schedules in virtual time, hard cases on processes",
+		Args: exact(0), Long: `Virtual: the real decisions of group and nodes on simulated clocks, links and crashes, many
+schedules from one seed, and fleets of 300 and 5,000 nodes beside two baselines. Real: a group and nodes as processes,
+with kills, pauses and network partitions, under load. The history is checked against the promises of
+docs/design/policy.md. The last line says "policy: kept" or "policy: broken: WHAT"; a broken promise is exit status 1.`,
+		RunE: runFaultTest(r, &r.Program, check)}
+	f := c.Flags()
+	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "fewer schedules, smaller fleets, fewer changes")
+	processFlags(f, &r.Mode, &r.Only, &r.Size)
+	f.IntVar(&r.Schedules, "schedules", 0, "virtual schedules; 0 for 200 with --quick, 2000 without")
+	f.IntVar(&r.Changes, "changes", 0, "real changes under load; 0 for 10 with --quick, 100 without")
+	guardsFlag(f, &r.ProcessGuards, policy.GuardNames())
+	return c
+}
+
+func newZonesTest() *cobra.Command {
+	r := &harness.ZonesTest{}
+	check := func() (err error) {
+		if r.Without, err = parseGuards(r.ProcessGuards, zones.GuardNamed); err != nil {
+			return err
+		}
+		return checkProcessTest(r.Mode, r.Only, harness.ZoneCases(), r.Size)
+	}
+	c := &cobra.Command{Use: "zones", Short: "Zones: schedules in virtual time, hard cases on processes", Args: exact(0),
+		Long: `Virtual: the real decisions of group, leaders and nodes, with the traffic of callers, zones and dependencies that
+have a capacity and a cache; many schedules from one seed, fleets of 300 and 5,000 nodes beside three baselines, and hours
+of noise. Real: a group and nodes in three zones as processes, a dependency for each zone on a socket, forwarders between.
+The last line says "zones: kept" or "zones: broken: WHAT"; a broken promise is exit status 1.`,
+		RunE: runFaultTest(r, &r.Program, check)}
+	f := c.Flags()
+	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "fewer schedules, one size, an hour of noise")
+	processFlags(f, &r.Mode, &r.Only, &r.Size)
+	f.IntVar(&r.Schedules, "schedules", 0, "virtual schedules; 0 for 60 with --quick, 300 without")
+	guardsFlag(f, &r.ProcessGuards, zones.GuardNames())
+	return c
+}
+
+func newRecoveryTest() *cobra.Command {
+	r := &harness.RecoveryTest{}
+	check := func() error {
+		if err := parseRecoveryGuards(r); err != nil {
+			return err
+		}
+		return checkProcessTest(r.Mode, r.Only, harness.RecoveryCases(), r.Size)
+	}
+	c := &cobra.Command{Use: "recovery", Short: "Recovery: restarts of a whole fleet, a group that lost its state",
+		Args: exact(0), Long: `Virtual: all nodes restart at once over cold dependencies, at several sizes and loads, beside a
+start without a ramp, one by the clock, nodes without the group, and the shortest recovery there could be. Real: a group
+and nodes as processes, killed at once; folders lost, restored from an older copy, or used on by an older generation. The
+last line says "comeback: kept" or "comeback: broken: WHAT"; a broken promise is exit status 1.`,
+		RunE: runFaultTest(r, &r.Program, check)}
+	f := c.Flags()
+	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "one size and two loads in virtual time")
+	processFlags(f, &r.Mode, &r.Only, &r.Size)
+	guardsFlag(f, &r.ProcessGuards, harness.RecoveryGuards)
+	return c
+}
+
+// parseRecoveryGuards reads guards of zones and of the leader. Some are disabled in processes alone, which read the words
+// themselves.
+func parseRecoveryGuards(r *harness.RecoveryTest) error {
+	if r.ProcessGuards == "" {
+		return nil
+	}
+	for _, name := range strings.Split(r.ProcessGuards, ",") {
+		if err := checkOneOf("--without", name, harness.RecoveryGuards); err != nil {
+			return err
+		}
+		if g, err := zones.GuardNamed(name); err == nil {
+			r.Without |= g
+		}
+		if g, err := policy.GuardNamed(name); err == nil {
+			r.Lead |= g
+		}
+	}
+	return nil
+}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -7,7 +7,6 @@
 	"io"
 	"os"
 	"path/filepath"
-	"strings"
 	"syscall"
 	"time"
 
@@ -16,7 +15,6 @@
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/membership"
-	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/harness"
 	"umberwinch/internal/logging"
@@ -85,36 +83,6 @@
 	return c
 }
 
-func newPolicyTest() *cobra.Command {
-	r := &harness.PolicyTest{}
-	c := &cobra.Command{Use: "policy", Short: "Changes of policy: schedules in virtual time, hard cases on processes",
-		Args: exact(0), Long: `Virtual: the real decisions of group and nodes on played clocks, lines and crashes, many schedules from one
-seed, and fleets of 300 and 5,000 nodes beside two baselines. Real: a group and nodes as processes, with kills, stops and
-cuts between them, a load on top. What happened is held against the promises of docs/design/policy.md. The last line says
-"policy: kept" or "policy: broken: WHAT"; a broken promise is exit status 1.`,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			var err error
-			if r.Without, err = parseGuards(r.ProcessGuards, policy.GuardNamed); err != nil {
-				return err
-			}
-			if r.Program, err = checkProcessTest(r.Mode, r.Only, harness.PolicyCases(), r.Size); err != nil {
-				return err
-			}
-			return verdict(r.Run(cmd.Context(), cmd.OutOrStdout()))
-		}}
-	f := c.Flags()
-	f.Int64Var(&r.Seed, "seed", 1, "all chance comes from it")
-	f.BoolVar(&r.Quick, "quick", false, "fewer schedules, smaller fleets, fewer changes")
-	f.IntVar(&r.Size, "size", 0, "nodes of the real part; 0 for 9")
-	f.StringVar(&r.Out, "out", "", "folder for report.html and result.json")
-	f.StringVar(&r.Mode, "mode", "both", "virtual, real or both")
-	f.IntVar(&r.Schedules, "schedules", 0, "virtual schedules; 0 for 200 with --quick, 2000 without")
-	f.IntVar(&r.Changes, "changes", 0, "real changes under load; 0 for 10 with --quick, 100 without")
-	f.StringVar(&r.Only, "only", "", "one case of the real part")
-	f.StringVar(&r.ProcessGuards, "without", "", "guards taken out, parted by commas: "+strings.Join(policy.GuardNames(), ", "))
-	return c
-}
-
 // newFleetStatus shows how far back a fleet is, and what holds it.
 func newFleetStatus() *cobra.Command {
 	var a access
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -7,8 +7,6 @@
 	"io"
 	"net"
 	"os"
-	"slices"
-	"strings"
 	"sync"
 	"time"
 
@@ -18,10 +16,7 @@
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/membership"
-	"umberwinch/internal/control/policy"
 	"umberwinch/internal/control/recovery"
-	"umberwinch/internal/control/zones"
-	"umberwinch/internal/harness"
 	"umberwinch/internal/wal"
 )
 
@@ -201,39 +196,3 @@
 	}
 	table(w, rows)
 }
-
-func newRecoveryTest() *cobra.Command {
-	r := &harness.RecoveryTest{}
-	c := &cobra.Command{Use: "comeback", Short: "Coming back: restarts of a whole fleet, a group that lost its state",
-		Args: exact(0), Long: `Virtual: all nodes restart at once, with services below that are cold, at sizes and loads, beside a start without a
-ramp, one by the clock, nodes alone, and the least time there could be. Real: a group and nodes as processes, killed at
-once; folders lost, put back from an older copy, or gone on with by an older generation. The last line says
-"comeback: kept" or "comeback: broken: WHAT"; a broken promise is exit status 1.`,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			for _, name := range strings.Split(r.ProcessGuards, ",") {
-				if r.ProcessGuards != "" && !slices.Contains(harness.RecoveryGuards, name) {
-					return usage(fmt.Errorf("--without: found %q, expected one of %s", name, strings.Join(harness.RecoveryGuards, ", ")))
-				}
-				if g, err := zones.GuardNamed(name); err == nil { // some are taken out on processes alone
-					r.Without |= g
-				}
-				if g, err := policy.GuardNamed(name); err == nil {
-					r.Lead |= g
-				}
-			}
-			var err error
-			if r.Program, err = checkProcessTest(r.Mode, r.Only, harness.RecoveryCases(), r.Size); err != nil {
-				return err
-			}
-			return verdict(r.Run(cmd.Context(), cmd.OutOrStdout()))
-		}}
-	f := c.Flags()
-	f.Int64Var(&r.Seed, "seed", 1, "all chance comes from it")
-	f.BoolVar(&r.Quick, "quick", false, "one size and two loads in virtual time")
-	f.IntVar(&r.Size, "size", 0, "nodes of the real part; 0 for 9")
-	f.StringVar(&r.Out, "out", "", "folder for report.html and result.json")
-	f.StringVar(&r.Mode, "mode", "both", "virtual, real or both")
-	f.StringVar(&r.Only, "only", "", "one case of the real part")
-	f.StringVar(&r.ProcessGuards, "without", "", "guards taken out, parted by commas: "+strings.Join(harness.RecoveryGuards, ", "))
-	return c
-}
--- a/internal/cli/results_test.go
+++ b/internal/cli/results_test.go
@@ -13,7 +13,7 @@
 // A folder's keys are told by state; one that is in use, damaged or none is refused and left as it is.
 func TestResultsOfFolder(t *testing.T) {
 	dir := t.TempDir()
-	want(t, 2, "found no log", "kept", "stat", dir)
+	want(t, 2, "found no log", "results", "stat", dir)
 	if names, _ := os.ReadDir(dir); len(names) > 0 {
 		t.Fatalf("a folder that is none has %v now", names)
 	}
@@ -33,23 +33,23 @@
 			t.Fatal(err)
 		}
 	}
-	want(t, 1, "stop the node first", "kept", "stat", dir)
+	want(t, 1, "stop the node first", "results", "stat", dir)
 	if err = s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	out := want(t, 0, "windows go on", "kept", "stat", dir)
+	out := want(t, 0, "windows go on", "results", "stat", dir)
 	for _, line := range []string{"may have run  2", "done          1", "failed        1", "keys          4"} {
 		if !strings.Contains(out, line) {
 			t.Errorf("expected %q in\n%s", line, out)
 		}
 	}
-	if out = want(t, 0, "may have run", "kept", "list", dir, "--most", "2"); strings.Count(out, "\n") != 3 {
+	if out = want(t, 0, "may have run", "results", "list", dir, "--most", "2"); strings.Count(out, "\n") != 3 {
 		t.Errorf("expected two keys in\n%s", out)
 	}
-	want(t, 0, `"states": {`, "kept", "stat", dir, "--json")
-	want(t, 0, "whole: 5 records, 4 keys, 2 that may have run", "kept", "verify", dir)
-	want(t, 0, "bytes", "kept", "compact", dir)
-	want(t, 0, "whole: 5 records", "kept", "verify", dir) // every window goes on
+	want(t, 0, `"states": {`, "results", "stat", dir, "--json")
+	want(t, 0, "whole: 5 records, 4 keys, 2 that may have run", "results", "verify", dir)
+	want(t, 0, "bytes", "results", "compact", dir)
+	want(t, 0, "whole: 5 records", "results", "verify", dir) // every window goes on
 	logs, _ := filepath.Glob(filepath.Join(dir, "*.seg"))
 	raw, err := os.ReadFile(logs[0])
 	if err != nil {
@@ -59,9 +59,9 @@
 	if err = os.WriteFile(logs[0], raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	want(t, 1, "damaged", "kept", "stat", dir)
-	want(t, 1, "damaged", "kept", "verify", dir)
-	want(t, 1, "damaged", "kept", "compact", dir)
+	want(t, 1, "damaged", "results", "stat", dir)
+	want(t, 1, "damaged", "results", "verify", dir)
+	want(t, 1, "damaged", "results", "compact", dir)
 	if is, _ := os.ReadFile(logs[0]); string(is) != string(raw) {
 		t.Error("a damaged folder was changed")
 	}
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -77,7 +77,7 @@
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.NoArgs}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
 	root.AddCommand(newDemo(), newControl(), newConfig(), newPolicy(), newNodes(), newZones(), newFleet(), newNode(),
-		renamed(newResults(), "results"), newFaultTest(), deprecated(newResults(), "results"), newLab())
+		newResults(), newFaultTest(), newKept(), newLab())
 	return root
 }
 
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"net/http"
-	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -14,7 +13,6 @@
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/consensus"
 	"umberwinch/internal/control/zones"
-	"umberwinch/internal/harness"
 )
 
 // Zones of the fleet: how they stand and why, and what an operator does about them.
@@ -238,32 +236,3 @@
 		return zones.Op{Kind: zones.OpEvacuate, DrillMS: uint64(d.Milliseconds())}, nil
 	})
 }
-
-func newZonesTest() *cobra.Command {
-	r := &harness.ZonesTest{}
-	c := &cobra.Command{Use: "zones", Short: "Zones: schedules in virtual time, hard cases on processes", Args: exact(0),
-		Long: `Virtual: the real decisions of group, leaders and nodes, with flows of reqs between callers, zones and services below
-that have a capacity and a cache; many schedules from one seed, fleets of 300 and 5,000 nodes beside three baselines, and
-hours of noise. Real: a group and nodes in three zones as processes, a service below for each zone on a socket, forwarders
-between. The last line says "zones: kept" or "zones: broken: WHAT"; a broken promise is exit status 1.`,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			var err error
-			if r.Without, err = parseGuards(r.ProcessGuards, zones.GuardNamed); err != nil {
-				return err
-			}
-			if r.Program, err = checkProcessTest(r.Mode, r.Only, harness.ZoneCases(), r.Size); err != nil {
-				return err
-			}
-			return verdict(r.Run(cmd.Context(), cmd.OutOrStdout()))
-		}}
-	f := c.Flags()
-	f.Int64Var(&r.Seed, "seed", 1, "all chance comes from it")
-	f.BoolVar(&r.Quick, "quick", false, "fewer schedules, one size, an hour of noise")
-	f.IntVar(&r.Size, "size", 0, "nodes of the real part; 0 for 9")
-	f.StringVar(&r.Out, "out", "", "folder for report.html and result.json")
-	f.StringVar(&r.Mode, "mode", "both", "virtual, real or both")
-	f.IntVar(&r.Schedules, "schedules", 0, "virtual schedules; 0 for 60 with --quick, 300 without")
-	f.StringVar(&r.Only, "only", "", "one case of the real part")
-	f.StringVar(&r.ProcessGuards, "without", "", "guards taken out, parted by commas: "+strings.Join(zones.GuardNames(), ", "))
-	return c
-}
