--- a/internal/cli/control_local.go
+++ b/internal/cli/control_local.go
@@ -248,7 +248,7 @@
 		rows, _, err := c.rows(ctx)
 		voters := 0
 		for _, r := range rows {
-			if r.Report != nil && (r.Report.Role == "leader" || r.Report.Role == "follower") {
+			if r.Report != nil && (r.Report.Role == consensus.RoleLeader || r.Report.Role == consensus.RoleFollower) {
 				voters++
 			}
 		}
--- a/internal/cli/control_status.go
+++ b/internal/cli/control_status.go
@@ -97,8 +97,8 @@
 }
 
 func statusTable(rows []row, commit uint64) [][]string {
-	out := [][]string{{"NAME", "LISTEN", "ROLE", "TERM", "LOG", "APPLIED", "LAG", "VERSION", "DISK", "AWAY",
-		"NOTE"}}
+	out := [][]string{{"NAME", "LISTEN", "ROLE", "TERM", "LOG", "APPLIED", "LAG", "VERSION", "DISK",
+		"LEADER SEEN", "NOTE"}}
 	for _, r := range rows {
 		if r.Report == nil {
 			out = append(out, []string{r.Name, r.Listen, "-", "-", "-", "-", "-", "-", "-", "-", "no answer"})
@@ -109,7 +109,7 @@
 		case s.Barred != "":
 			note = s.Barred
 		case s.OutOfContact:
-			note = "out of touch: may be old"
+			note = "out of touch: may be stale"
 		}
 		lag := uint64(0)
 		if commit > s.Applied {
@@ -118,7 +118,7 @@
 		out = append(out, []string{r.Name, r.Listen, string(s.Role), strconv.FormatUint(s.Term, 10),
 			fmt.Sprintf("%d-%d", s.FirstIndex, s.LastIndex), strconv.FormatUint(s.Applied, 10), strconv.FormatUint(lag, 10),
 			strconv.FormatUint(s.Version, 10), fmt.Sprintf("%.1f MB", float64(s.DiskBytes)/(1<<20)),
-			fmt.Sprintf("%d ms", s.SinceLeaderMS), note})
+			fmt.Sprintf("%d ms ago", s.SinceLeaderMS), note})
 	}
 	return out
 }
--- /dev/null
+++ b/internal/cli/nodes.go
@@ -0,0 +1,141 @@
+package cli
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+
+	"github.com/spf13/cobra"
+
+	"umberwinch/internal/control/consensus"
+	"umberwinch/internal/control/membership"
+)
+
+func newNodes() *cobra.Command {
+	c := &cobra.Command{Use: "nodes", Short: "The nodes of the fleet, as the group knows them"}
+	var a access
+	a.flags(c)
+	c.AddCommand(newNodesList(&a), newNodesShow(&a), newNodesForget(&a))
+	return c
+}
+
+func (c *client) nodes(ctx context.Context) ([]consensus.NodeView, error) {
+	var v []consensus.NodeView
+	return v, c.get(ctx, "/v1/nodes", &v)
+}
+
+// nodeState gives a node's state in a word, and in a note what an operator should know of it.
+func nodeState(n *consensus.NodeView) (word, note string) {
+	switch {
+	case n.OutReason != "":
+		word = string(n.OutReason)
+		if n.Lease.Autonomous {
+			note = "may serve without the group until its next heartbeat, or until it is forgotten"
+		}
+	case !n.Reported:
+		word, note = "in", "no heartbeat to this leader yet"
+	case n.Fenced != "":
+		word, note = "fenced", n.Fenced
+	default:
+		word = "serves"
+	}
+	switch {
+	case n.RefusedVersion != 0:
+		note = fmt.Sprintf("refuses version %d: %s", n.RefusedVersion, n.RefusalReason)
+	case len(n.EarlierLeases) > 0 && note == "":
+		note = fmt.Sprintf("%d earlier incarnations may still serve", len(n.EarlierLeases))
+	case len(n.JoinTimesMS) > 2 && note == "":
+		note = fmt.Sprintf("%d joins within a minute", len(n.JoinTimesMS))
+	}
+	return word, note
+}
+
+func newNodesList(a *access) *cobra.Command {
+	return &cobra.Command{Use: "list", Short: "List all nodes", Args: exact(0),
+		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
+			all, err := c.nodes(ctx)
+			if err != nil {
+				return err
+			}
+			if c.json {
+				return printJSON(w, all)
+			}
+			return table(w, nodesTable(all))
+		})}
+}
+
+func nodesTable(all []consensus.NodeView) [][]string {
+	rows := [][]string{{"NODE", "ZONE", "STATE", "ACTIVE", "PREPARED", "LAST HEARTBEAT", "NOTE"}}
+	for i := range all {
+		n := &all[i]
+		state, note := nodeState(n)
+		active, prepared := "-", "-"
+		if n.Reported {
+			active = strconv.FormatUint(n.ActiveVersion, 10)
+		}
+		if n.PreparedVersion > 0 {
+			prepared = strconv.FormatUint(n.PreparedVersion, 10)
+		}
+		rows = append(rows, []string{n.Name, n.Zone, state, active, prepared, seconds(n.AgeMS) + " ago", note})
+	}
+	return rows
+}
+
+func newNodesShow(a *access) *cobra.Command {
+	return &cobra.Command{Use: "show NODE", Short: "Show all that is known of one node", Args: exact(1),
+		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
+			all, err := c.nodes(ctx)
+			if err != nil {
+				return err
+			}
+			for i := range all {
+				n := &all[i]
+				if n.Name != args[0] {
+					continue
+				}
+				if c.json {
+					return printJSON(w, n)
+				}
+				return table(w, nodeRows(n))
+			}
+			return usage(fmt.Errorf("found no node %q, expected one of nodes list", args[0]))
+		})}
+}
+
+func nodeRows(n *consensus.NodeView) [][]string {
+	state, note := nodeState(n)
+	rows := [][]string{{"node", n.Name}, {"zone", n.Zone}, {"address", n.Addr}, {"state", state}, {"note", note},
+		{"active", fmt.Sprintf("version %d", n.ActiveVersion)}, {"prepared", fmt.Sprintf("version %d", n.PreparedVersion)},
+		{"lease", leaseText(n.Lease)}, {"last heartbeat", fmt.Sprintf("%d ms ago by the group's clock", n.AgeMS)},
+		{"joins", fmt.Sprintf("%d within a minute", len(n.JoinTimesMS))}}
+	for _, l := range n.EarlierLeases {
+		rows = append(rows, []string{"earlier lease", leaseText(l)})
+	}
+	return rows
+}
+
+func leaseText(l membership.Lease) string {
+	return fmt.Sprintf("%d, minimum version %d", l.ID, l.MinVersion)
+}
+
+func newNodesForget(a *access) *cobra.Command {
+	return &cobra.Command{Use: "forget NODE", Short: "Remove a node from the list: you vouch that it is dead", Args: exact(1),
+		Long: `Removes a node from the list, with its leases that changes wait for. Whoever forgets a node vouches that it serves
+nothing any more: if it does, it may serve under an older version than all others until its next heartbeat.`,
+		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
+			body, err := json.Marshal(map[string]string{"name": args[0]})
+			if err != nil {
+				return err
+			}
+			res, err := c.ask(ctx, http.MethodPost, "/v1/nodes/forget", body)
+			if err != nil {
+				return err
+			}
+			res.Body.Close()
+			fmt.Fprintf(w, "%s is forgotten\n", args[0])
+			return nil
+		})}
+}
--- /dev/null
+++ b/internal/cli/tables_test.go
@@ -0,0 +1,52 @@
+package cli
+
+import (
+	"strings"
+	"testing"
+
+	"umberwinch/internal/control/consensus"
+	"umberwinch/internal/control/membership"
+	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
+)
+
+// Operators read the tables with the glossary beside them: columns have its terms, and each row has what belongs there.
+func TestTablesHaveGlossaryColumns(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		rows [][]string
+		want []string
+	}{
+		{"nodes list", nodesTable([]consensus.NodeView{
+			{Node: membership.Node{Name: "n1", Zone: "z1"}, AgeMS: 1500, Reported: true, ActiveVersion: 4, PreparedVersion: 5},
+			{Node: membership.Node{Name: "n2", Zone: "z2", OutReason: membership.OutSilent}}}),
+			[]string{"NODE|ZONE|STATE|ACTIVE|PREPARED|LAST HEARTBEAT|NOTE", "n1|z1|serves|4|5|1.5 s ago|", "n2|z2|silent|-|-|0.0 s ago|"}},
+		{"zones list", zonesTable([]consensus.ZoneView{
+			{Zone: zones.Zone{Name: "z1", Phase: zones.Ramping, Share: 64, Cause: "dead"}, Evidence: &zones.View{NodesIn: 3,
+				NodesReporting: 2, NodesUnhealthy: 1, RunRate: 40, Note: "waits"}},
+			{Zone: zones.Zone{Name: "z2", Phase: zones.InService, Share: 256}}}),
+			[]string{"ZONE|STATE|SHARE|NODES|REPORTING|UNHEALTHY|RUNS/S|CAPACITY|CAUSE|NOTE", "z1|returning|25%|3|2|1|40|0|dead|waits",
+				"z2|in|100%|-|-|-|-|0||"}},
+		{"policy status", blockersTable(&consensus.PolicyView{RefusedBy: []policy.Blocker{{Node: "n1", Zone: "z1", Reason: "refused it"}},
+			WaitingFor: []policy.Blocker{{Node: "n2", Zone: "z2", Reason: "is silent"}}}),
+			[]string{"BLOCKER|ZONE|REASON", "n1|z1|refused it", "n2|z2|is silent"}},
+		{"control status", statusTable([]row{{Name: "a", Listen: "127.0.0.1:7201", Report: &consensus.Report{SinceLeaderMS: 40,
+			OutOfContact: true, Status: consensus.Status{Role: consensus.RoleFollower, Term: 2, FirstIndex: 1, LastIndex: 9,
+				Applied: 7, Version: 3, DiskBytes: 1 << 20}}},
+			{Name: "b", Listen: "127.0.0.1:7202"}}, 9),
+			[]string{"NAME|LISTEN|ROLE|TERM|LOG|APPLIED|LAG|VERSION|DISK|LEADER SEEN|NOTE",
+				"a|127.0.0.1:7201|follower|2|1-9|7|2|3|1.0 MB|40 ms ago|out of touch: may be stale",
+				"b|127.0.0.1:7202|-|-|-|-|-|-|-|-|no answer"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if len(c.rows) != len(c.want) {
+				t.Fatalf("%d rows, expected %d: %v", len(c.rows), len(c.want), c.rows)
+			}
+			for i, want := range c.want {
+				if got := strings.Join(c.rows[i], "|"); got != want {
+					t.Errorf("row %d is\n%s, expected\n%s", i, got, want)
+				}
+			}
+		})
+	}
+}
