--- a/internal/simulation/consensus_faults.go
+++ b/internal/simulation/consensus_faults.go
@@ -55,7 +55,8 @@
 	case "kill":
 		w.crashHost(h, f.For)
 	case "split":
-		w.partition(f.For, func(a, b *host) bool { return (a.n+f.N)%len(w.hosts) <= f.B != ((b.n+f.N)%len(w.hosts) <= f.B) })
+		side := func(h *host) bool { return (h.n+f.N)%len(w.hosts) <= f.B }
+		w.partition(f.For, func(a, b *host) bool { return side(a) != side(b) })
 	case "oneway":
 		w.partition(f.For, func(a, b *host) bool { return a.n == f.A && (b.n == f.B || f.N%2 == 0) })
 	case "flap":
@@ -252,7 +253,9 @@
 	h.replica.Propose(&consensus.Put{Session: fmt.Sprint("script", w.callCount), Seq: 1, Base: was, Author: "script",
 		Text: fmt.Sprintf("[tenant script]\nrate = %d\n", w.callCount)})
 	w.work(h)
-	return w.waitFor(ms, func() bool { return h.replica == nil || h.replica.Status().Version > was }) && h.replica != nil
+	return w.waitFor(ms, func() bool {
+		return h.replica == nil || h.replica.Status().Version > was
+	}) && h.replica != nil
 }
 
 // waitUntilSettled waits for calm between two scripted cases.
@@ -266,8 +269,8 @@
 	return w.Broken == ""
 }
 
-// checkUnsyncedWrite: with all but one follower away, the power goes at that one as it would keep an entry. What it did
-// not keep must not count.
+// checkUnsyncedWrite: with all but one follower away, the power goes at that one as it would keep an entry. What it
+// did not keep must not count.
 func (w *ConsensusGroup) checkUnsyncedWrite() {
 	if !w.waitUntilSettled() {
 		return
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -13,7 +13,7 @@
 	"umberwinch/internal/wal"
 )
 
-// The world's unit of time is a millisecond. An instance ticks as the shipped file has it.
+// Times are milliseconds. An instance ticks as the shipped file has it.
 const (
 	tickMS        = 50
 	electionTicks = 10
@@ -59,20 +59,20 @@
 	without      consensus.Guard
 	hosts        []*host
 	incarnations int
-	votersWanted int // voters wanted
+	votersWanted int
 	Broken       string
 	Trace        func(string)
 }
 
 // network is what lies between hosts.
 type network struct {
-	greeted  map[[2]int]bool // by lives: whether they speak with each other
+	greeted  map[[2]int]bool // by incarnations: whether they have exchanged handshakes that both accept
 	cut      map[[2]int]bool // by hosts, one way
 	loss     int             // of 1,000 messages
-	maxDelay int64           // most time a message takes
+	maxDelay int64           // of a message
 }
 
-// callers are the clients, and what they asked and were answered.
+// callers are the clients, and the history of their calls and responses.
 type callers struct {
 	callCount uint64
 	clients   []*client
@@ -95,8 +95,14 @@
 func NewConsensusGroup(seed int64, size int, without consensus.Guard) *ConsensusGroup {
 	w := &ConsensusGroup{
 		network: network{greeted: map[[2]int]bool{}, cut: map[[2]int]bool{}, maxDelay: 20},
-		logChecks: logChecks{leaders: map[uint64]uint64{}, committed: map[uint64]uint64{}, appliedInTerm: map[uint64]uint64{},
-			checksums: map[logPosition]uint32{}, stateAt: map[uint64]string{}, lostEntries: map[uint64]map[logPosition]bool{}},
+		logChecks: logChecks{
+			leaders:       map[uint64]uint64{},
+			committed:     map[uint64]uint64{},
+			appliedInTerm: map[uint64]uint64{},
+			checksums:     map[logPosition]uint32{},
+			stateAt:       map[uint64]string{},
+			lostEntries:   map[uint64]map[logPosition]bool{},
+		},
 		random: rand.New(rand.NewSource(seed)), without: without, votersWanted: size,
 	}
 	for n := 0; n < size; n++ {
@@ -125,7 +131,7 @@
 	}
 }
 
-// Run lets the world go on until a moment, or until something is broken.
+// Run goes on until a moment, or until something is broken.
 func (w *ConsensusGroup) Run(until int64) {
 	w.timeline.play(until, func() bool { return w.Broken != "" })
 	if w.Broken == "" {
@@ -147,8 +153,9 @@
 func (w *ConsensusGroup) config(h *host, found bool) consensus.Config {
 	return consensus.Config{Name: fmt.Sprint("i", w.incarnations), Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h",
 		h.n),
-		FoundGroup: found, ElectionTicks: electionTicks, SnapshotBytes: snapshotBytes, DisabledGuards: w.without, Random: w.random.Uint64,
-		Sizes: wal.Sizes{SegmentBytes: segmentBytes, MaxBytes: maxLogBytes}, Logger: discardLogger{},
+		FoundGroup: found, ElectionTicks: electionTicks, SnapshotBytes: snapshotBytes, DisabledGuards: w.without,
+		Random: w.random.Uint64,
+		Sizes:  wal.Sizes{SegmentBytes: segmentBytes, MaxBytes: maxLogBytes}, Logger: discardLogger{},
 		OnStep: func(step consensus.WorkStep) {
 			if step == consensus.StepSend {
 				w.recordLog(h)
--- a/internal/simulation/consensus_schedules_test.go
+++ b/internal/simulation/consensus_schedules_test.go
@@ -16,7 +16,8 @@
 			t.Parallel()
 			faults := DrawFaults(seed, size, playMS)
 			if r := Play(seed, size, faults, 0, nil); r.Broken != "" {
-				t.Fatalf("seed %d, %d instances: %s\n%s", seed, size, r.Broken, FaultLines(Shrink(seed, size, faults, 0, 30)))
+				short := Shrink(seed, size, faults, 0, 30)
+				t.Fatalf("seed %d, %d instances: %s\n%s", seed, size, r.Broken, FaultLines(short))
 			}
 		})
 	}
--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -1,7 +1,9 @@
-// Package simulation plays the project's real decisions in virtual time, from one seed a run: a Raft group on a simulated network
-// and disks (ConsensusGroup), a fleet of nodes with its control group (Fleet, with loss of the group's state and evacuation of zones), and
-// servers with run slots per class (Pools). Promises are checked after each step; with a guard taken out one has to break.
+// Package simulation runs the project's own decision code in virtual time. There are three simulations: a Raft
+// group on a simulated network and disks (ConsensusGroup); a fleet of nodes with its control group (Fleet), also
+// where the group loses its state and where whole zones fail (Zones); and servers with run slots per class (Pools).
 //
-// A run is reproduced by its seed alone: no run reads a clock, a socket, a disk or a random source of its own. Times are
-// milliseconds of virtual time unless their type says otherwise.
+// Each run is drawn from one seed and is reproduced by it: no run reads a clock, a socket, a disk or a random
+// source of its own. Promises are checked after each step. A guard of the real code can be taken out, and then a
+// promise must break, which shows that the check finds what it is there to find. Times are milliseconds of virtual
+// time unless their type says otherwise.
 package simulation
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -11,12 +11,12 @@
 	"umberwinch/internal/control/zones"
 )
 
-// vfleet.go is a fleet in virtual time: the group's replicated part and its leaders' stewards, the nodes' members, all
-// of them the real code, on played clocks, lines and crashes. The log is played too: what a leader proposes is committed
-// after a while, or lost with it. Times are ms.
+// A fleet in virtual time: the group's replicated state, its leaders' coordinators and the nodes' agents are the
+// real code; clocks, the network and crashes are simulated. So is the log: what a leader proposes is committed
+// after a while, or lost with the leader.
 
-// The baselines: a version is in force as soon as it is proposed, or as soon as half of the nodes have prepared it, and
-// nodes hold no leases.
+// The baselines: a version is in force as soon as it is proposed, or as soon as half of the nodes have prepared it,
+// and nodes hold no leases.
 const (
 	WayEach     = "each"
 	WayMajority = "majority"
@@ -26,16 +26,16 @@
 type FleetPlan struct {
 	Seed    int64
 	Nodes   int
-	Ctl     int
-	Span    int64 // ms in which faults come; then all heals
+	Ctl     int   // instances of the group
+	Span    int64 // ms in which faults begin; then all heals
 	Changes int
 	Without policy.Guard
-	Lease   int64 // of the policy, ms
-	Calm    bool  // no faults
-	Down    float64
-	Way     string // "", or a baseline
+	Lease   int64   // of the policy, ms
+	Calm    bool    // no faults
+	Down    float64 // share of the nodes that are cut off from the group while changes are made
+	Way     string  // "", or a baseline
 
-	StateLosses  int    // times that the group loses state, see vlost.go
+	StateLosses  int    // times that the group loses state, see fleet_state_loss.go
 	Zones        int    // 0: three
 	ZoneRules    string // [zones] of the policy; empty: none
 	WithoutZones zones.Guard
@@ -50,15 +50,15 @@
 	FleetFigures
 	random          *rand.Rand
 	nodes           []*node
-	changesAnswered int                     // changes that were answered
-	failsTrial      map[string]bool         // hashes of texts that any trial fails
+	changesAnswered int
+	failsTrial      map[string]bool         // hashes of texts that fail their trial at any node
 	staleResponses  []api.HeartbeatResponse // answers of long ago, as an instance that is behind would give them
 	History         []FleetEvent
 	Broken          string
 
 	loadReport func(n *node) *api.LoadReport                   // what a node reports of itself; nil: nothing
 	probePeer  func(n *node, l api.ProbeTarget) api.PeerHealth // what it sees of another
-	onApplied  func(end any)                                   // hears of each entry's end
+	onApplied  func(end any)                                   // is handed each entry's result
 }
 
 // controlGroup is the group: its instances, and what they have agreed on.
@@ -95,7 +95,7 @@
 	return w.texts[n-1], w.hashes[n-1], true
 }
 
-// NewFleet readies a schedule.
+// NewFleet sets up a schedule.
 func NewFleet(p FleetPlan) *Fleet {
 	w := &Fleet{
 		FleetPlan:    p,
@@ -119,11 +119,13 @@
 	}
 	w.addVersion()
 	for i := 0; i < max(1, p.Ctl); i++ {
-		w.instances = append(w.instances, &controlInstance{coordinator: w.newLeader(), up: true, rate: 1 + (w.random.Float64()-0.5)*0.008})
+		c := &controlInstance{coordinator: w.newLeader(), up: true, rate: w.drawClockRate()}
+		w.instances = append(w.instances, c)
 	}
 	for i := 0; i < p.Nodes; i++ {
-		n := &node{fleet: w, name: fmt.Sprintf("n%04d", i), zone: i % w.Zones, rate: 1 + (w.random.Float64()-0.5)*0.008,
-			nodeFaults: nodeFaults{diskless: w.random.Intn(2) == 0 && p.StateLosses == 0}} // what only such a node knew is gone with it
+		n := &node{fleet: w, name: fmt.Sprintf("n%04d", i), zone: i % w.Zones, rate: w.drawClockRate()}
+		// Where state is lost all have disks: what only a node without one knew would be lost with it.
+		n.diskless = w.random.Intn(2) == 0 && p.StateLosses == 0
 		w.nodes = append(w.nodes, n)
 		w.after(w.random.Float64()*500, n.start)
 	}
@@ -134,6 +136,9 @@
 	return w
 }
 
+// drawClockRate draws a clock that is up to four thousandths off.
+func (w *Fleet) drawClockRate() float64 { return 1 + (w.random.Float64()-0.5)*0.008 }
+
 func (w *Fleet) record(e FleetEvent) {
 	e.At = int64(w.Now * 10)
 	w.History = append(w.History, e)
@@ -222,8 +227,8 @@
 	for _, n := range w.nodes {
 		if !n.serves || n.activeVersion != w.state.Policy.CommittedVersion {
 			_, why := n.agent.MayServe(n.clock())
-			w.fail("%s serves %v under version %d at the end (%s), expected version %d", n.name, n.serves, n.activeVersion, why,
-				w.state.Policy.CommittedVersion)
+			w.fail("%s serves %v under version %d at the end (%s), expected version %d", n.name, n.serves,
+				n.activeVersion, why, w.state.Policy.CommittedVersion)
 		}
 	}
 	// A lease, its margin by the group's count, and a clock a hundredth off: what design/policy.md promises.
--- a/internal/simulation/fleet_control.go
+++ b/internal/simulation/fleet_control.go
@@ -34,8 +34,9 @@
 func (w *Fleet) addVersion() uint64 {
 	n := len(w.texts) + 1
 	w.versionsMade++ // no text comes twice, also where a number does after a loss
-	d, err := document.Parse("version", []byte(fmt.Sprintf("[fleet]\nlease = %dms\nwhen_alone = fence\n[tenant t]\nrate = %d\n%s",
-		w.Lease, w.versionsMade, w.ZoneRules)))
+	given := fmt.Sprintf("[fleet]\nlease = %dms\nwhen_alone = fence\n[tenant t]\nrate = %d\n%s", w.Lease,
+		w.versionsMade, w.ZoneRules)
+	d, err := document.Parse("version", []byte(given))
 	if err != nil {
 		panic(err)
 	}
@@ -83,7 +84,7 @@
 	w.after(20+w.random.Float64()*10, func() { w.tick(i) })
 }
 
-// appendEntry has an entry committed after a while, unless its leader is lost first; it may be committed all the same then.
+// appendEntry has an entry committed after a while. If its leader is lost first it may be committed all the same.
 func (w *Fleet) appendEntry(i int, e coordinator.Entry) {
 	term, lost, part := w.term, w.random.Intn(2) == 0, w.state
 	w.after(2+w.random.ExpFloat64()*5, func() {
@@ -135,7 +136,8 @@
 			continue
 		}
 		if !n.agent.IsPrepared(c.Version) && !slices.Contains(op.LeftBehind, n.name) {
-			w.fail("change %d was decided and %s, which has a lease, has not prepared version %d", c.Number, n.name, c.Version)
+			w.fail("change %d was decided and %s, which has a lease, has not prepared version %d", c.Number, n.name,
+				c.Version)
 		}
 	}
 }
@@ -155,7 +157,8 @@
 			if w.recorded[kind+c.Hash] = true; kind == "decided" {
 				w.decidedHash[c.Version] = c.Hash
 			}
-			w.record(FleetEvent{Kind: kind, Version: c.Version, From: c.PreviousVersion, Excl: c.Proposal.Exclusive, Why: c.AbortReason})
+			w.record(FleetEvent{Kind: kind, Version: c.Version, From: c.PreviousVersion, Excl: c.Proposal.Exclusive,
+				Why: c.AbortReason})
 		}
 		switch c.Step {
 		case policy.Preparing:
--- a/internal/simulation/fleet_history.go
+++ b/internal/simulation/fleet_history.go
@@ -94,8 +94,8 @@
 	from, to int64
 }
 
-// versionEnd is what became of the change to a version, and when. A version that isn't decided or settled has notYet as that
-// time; one that has no step of its own in which it is committed is committed from the beginning.
+// versionEnd is what became of the change to a version, and when. A version that isn't decided or settled has
+// notYet as that time; one that has no step of its own in which it is committed is committed from the beginning.
 type versionEnd struct {
 	outcome   string // decided, or called off
 	decided   int64
@@ -203,8 +203,8 @@
 		}
 	}
 	if v.settled != notYet && last > v.settled {
-		return fmt.Sprintf("%s served under an older version than %d at %.1f ms, which was settled at %.1f", who, version,
-			milliseconds(last), milliseconds(v.settled))
+		return fmt.Sprintf("%s served under an older version than %d at %.1f ms, which was settled at %.1f", who,
+			version, milliseconds(last), milliseconds(v.settled))
 	}
 	if begin == notYet || last <= begin || v.first {
 		return ""
@@ -218,8 +218,8 @@
 		return fmt.Sprintf("%s served under an older version than %d %.1f ms after the first under it, in a change "+
 			"without overlap", who, version, milliseconds(last-begin))
 	case last-begin > p.Overlap:
-		return fmt.Sprintf("%s served under an older version than %d %.1f ms after the first under it, expected %.1f at "+
-			"most", who, version, milliseconds(last-begin), milliseconds(p.Overlap))
+		return fmt.Sprintf("%s served under an older version than %d %.1f ms after the first under it, expected %.1f "+
+			"at most", who, version, milliseconds(last-begin), milliseconds(p.Overlap))
 	}
 	return ""
 }
--- a/internal/simulation/fleet_operator.go
+++ b/internal/simulation/fleet_operator.go
@@ -15,7 +15,8 @@
 	v := w.addVersion()
 	w.failsTrial[w.hashes[v-1]] = v > 2 && !w.Calm && w.random.Intn(12) == 0
 	w.submitPolicy(policy.Op{Kind: "propose", Proposal: &policy.Proposal{Version: v, Exclusive: excl,
-		PrepareWithinMS: 2*uint64(w.Lease) + 4000, MaxLeftBehind: spare, Author: "lab", IdempotencyKey: fmt.Sprintf("change-%08d", v)}})
+		PrepareWithinMS: 2*uint64(w.Lease) + 4000, MaxLeftBehind: spare, Author: "lab",
+		IdempotencyKey: fmt.Sprintf("change-%08d", v)}})
 }
 
 func (w *Fleet) submitPolicy(op policy.Op) {
@@ -46,7 +47,7 @@
 
 func (w *Fleet) abortChange(number uint64) {
 	if w.leader >= 0 && w.instances[w.leader].up {
-		w.instances[w.leader].coordinator.SubmitPolicy(policy.Op{Kind: "off", ChangeNumber: number, Author: "lab", Reason: "it is called off"},
-			func(policy.Result, error) {})
+		op := policy.Op{Kind: "off", ChangeNumber: number, Author: "lab", Reason: "it is called off"}
+		w.instances[w.leader].coordinator.SubmitPolicy(op, func(policy.Result, error) {})
 	}
 }
--- a/internal/simulation/fleet_state_loss.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/coordinator"
@@ -10,11 +12,12 @@
 	"umberwinch/internal/control/zones"
 )
 
-// vlost.go has a group in virtual time lose what it knows: older copies of its state are put back, or none is left; it
-// finds out by what nodes prove, an operator gathers what they hold, and the next generation is founded from that, all by
-// the real code. What was left of the old one may go on speaking to nodes, as a majority that was paused does.
+// Loss of the group's state in virtual time: an older copy of its folders is put back, or none is left. The group
+// detects it by what nodes prove, an operator collects the nodes' records, and the next generation begins from
+// them, all by the real code. A leader of a former generation may go on answering nodes, as one does whose majority
+// was paused.
 
-// stateLoss is a schedule's part in it.
+// stateLoss is a schedule's state for it.
 type stateLoss struct {
 	group  string
 	textOf map[string]string // texts
@@ -57,12 +60,8 @@
 		w.fail("%v", err)
 		return
 	}
-	known := map[uint64]policy.Step{}
-	for n, s := range w.steps {
-		known[n] = s
-	}
-	w.copies = append(w.copies, savedState{raw, append([]string(nil), w.texts...), append([]string(nil), w.hashes...), w.index, w.term, known,
-		len(w.History)})
+	w.copies = append(w.copies, savedState{raw: raw, texts: slices.Clone(w.texts), hashes: slices.Clone(w.hashes),
+		index: w.index, term: w.term, known: maps.Clone(w.steps), events: len(w.History)})
 	w.copies = w.copies[max(0, len(w.copies)-maxCopies):]
 }
 
@@ -141,7 +140,7 @@
 	}
 	w.dropUnnotified(p.Policy.DecidedVersion, s.events)
 	w.state, w.index, w.term, w.steps = p, s.index, s.term, s.known
-	w.texts, w.hashes = append([]string(nil), s.texts...), append([]string(nil), s.hashes...)
+	w.texts, w.hashes = slices.Clone(s.texts), slices.Clone(s.hashes)
 	return nil
 }
 
@@ -166,8 +165,9 @@
 // storeRecord keeps on a node's disk what its record has.
 func (n *node) storeRecord() {
 	t := n.agent.LastSeen()
-	n.record.MinVersion, n.record.Cluster, n.record.Generation, n.record.Term, n.record.Index = n.agent.MinVersion(), n.agent.Cluster(), t.Generation, t.Term, t.Index
-	n.record.EntryChecksum, n.record.ZoneOrder = t.EntryChecksum, n.agent.StoredZoneOrder()
+	r := &n.record
+	r.MinVersion, r.Cluster, r.ZoneOrder = n.agent.MinVersion(), n.agent.Cluster(), n.agent.StoredZoneOrder()
+	r.Generation, r.Term, r.Index, r.EntryChecksum = t.Generation, t.Term, t.Index, t.EntryChecksum
 }
 
 // handleResponse gives a node an answer, and holds it to its generation.
@@ -182,21 +182,24 @@
 	return true
 }
 
-// formerLeaderResponse is a leader of a generation before, paused meanwhile, that answers nodes at one of the addresses as if nothing was.
+// formerLeaderResponse is the response of a former generation's leader, which was paused meanwhile and answers
+// nodes at one of the addresses as before.
 func (w *Fleet) formerLeaderResponse(n *node, to int, a *api.HeartbeatRequest) (t api.HeartbeatResponse, speaks bool) {
 	if len(w.formerLeaders) == 0 || w.Calm || to != 0 || w.random.Intn(4) != 0 {
 		return t, false
 	}
 	t = w.formerLeaders[w.random.Intn(len(w.formerLeaders))]
-	if t.Generation >= n.agent.LastSeen().Generation { // who has not heard the later one may follow it: that is what old leases are waited for
+	if t.Generation >= n.agent.LastSeen().Generation {
+		// A node that was not notified of a later generation may follow this one: a restored group waits for old
+		// leases.
 		return t, false
 	}
 	t.LeaseID, t.LeaseMS, t.Index = a.LeaseID, uint64(w.Lease), t.Index+uint64(w.random.Intn(5000))
 	return t, true
 }
 
-// restoreGroup founds the next generation from what nodes tell within some seconds, and from the folders as they are, if they
-// are at hand.
+// restoreGroup begins the next generation from the records that nodes send within some seconds, and from the
+// folders as they are, where the operator has them.
 func (w *Fleet) restoreGroup(folders bool) {
 	w.stopInstances()
 	w.gathering, w.nodeRecords = true, map[string]api.NodeRecord{}
@@ -213,18 +216,12 @@
 		p.DisabledZoneGuards = w.WithoutZones
 		if folders {
 			p = w.state
-			base = &recovery.StoredGroup{GroupIdentity: api.GroupIdentity{Group: w.group, Generation: p.Generation, Predecessors: p.Predecessors}, LastVersion: w.Last(), DecidedVersion: p.Policy.DecidedVersion,
-				CommittedVersion: p.Policy.CommittedVersion, Index: p.Index, ZoneEpoch: p.Zones.Epoch, TextOf: w.Text, LeaseMS: p.Policy.ActiveRules().LeaseMS}
-			for _, n := range p.Fleet.Nodes() {
-				if n.OutReason == "" {
-					base.Nodes = append(base.Nodes, n.Name)
-				}
-			}
+			base = w.storedGroup(p)
 		}
 		found := recovery.PlanRestore(all, base, "")
-		two := uint64(0)
-		if n, _ := fmt.Sscanf(found.Conflict, "version %d goes by", &two); n == 1 { // the operator has his notes of what was decided
-			found = recovery.PlanRestore(all, base, w.decidedHash[two])
+		conflict := uint64(0)
+		if n, _ := fmt.Sscanf(found.Conflict, "version %d goes by", &conflict); n == 1 {
+			found = recovery.PlanRestore(all, base, w.decidedHash[conflict]) // as the operator has noted it
 		}
 		if found.Conflict != "" || !folders && found.Version == 0 || len(all) < len(w.nodes) {
 			w.after(3000, func() { w.restoreGroup(folders) }) // listens once more: not all were heard who may serve
@@ -234,10 +231,38 @@
 	})
 }
 
+// storedGroup is what the group's folders tell of it.
+func (w *Fleet) storedGroup(p *coordinator.State) *recovery.StoredGroup {
+	stored := &recovery.StoredGroup{
+		GroupIdentity:    api.GroupIdentity{Group: w.group, Generation: p.Generation, Predecessors: p.Predecessors},
+		LastVersion:      w.Last(),
+		DecidedVersion:   p.Policy.DecidedVersion,
+		CommittedVersion: p.Policy.CommittedVersion,
+		Index:            p.Index,
+		ZoneEpoch:        p.Zones.Epoch,
+		TextOf:           w.Text,
+		LeaseMS:          p.Policy.ActiveRules().LeaseMS,
+	}
+	for _, n := range p.Fleet.Nodes() {
+		if n.OutReason == "" {
+			stored.Nodes = append(stored.Nodes, n.Name)
+		}
+	}
+	return stored
+}
+
 // beginGeneration makes what was found the first state of the next generation.
 func (w *Fleet) beginGeneration(p *coordinator.State, found *recovery.RestorePlan, folders bool) {
-	w.formerLeaders = append(w.formerLeaders, api.HeartbeatResponse{Cluster: w.group, Generation: max(1, found.Lost.Generation), Predecessors: w.state.Predecessors, Term: w.term + 1, Index: w.index,
-		DecidedVersion: w.state.Policy.DecidedVersion, CommittedVersion: api.VersionHash{Version: w.state.Policy.CommittedVersion, Hash: w.state.Policy.CommittedHash}, ClockMS: w.state.Fleet.ClockMS})
+	w.formerLeaders = append(w.formerLeaders, api.HeartbeatResponse{
+		Cluster:          w.group,
+		Generation:       max(1, found.Lost.Generation),
+		Predecessors:     w.state.Predecessors,
+		Term:             w.term + 1,
+		Index:            w.index,
+		DecidedVersion:   w.state.Policy.DecidedVersion,
+		CommittedVersion: api.VersionHash{Version: w.state.Policy.CommittedVersion, Hash: w.state.Policy.CommittedHash},
+		ClockMS:          w.state.Fleet.ClockMS,
+	})
 	if !folders {
 		w.texts, w.hashes, w.index, w.term = nil, nil, 1, 1
 	}
@@ -287,8 +312,11 @@
 	}
 	n.storeRecord()
 	r := n.record
-	k := api.NodeRecord{Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name, Group: r.Cluster, Generation: max(1, r.Generation), Term: r.Term,
-		Index: r.Index, ActiveVersion: n.agent.ActiveVersion(), MinVersion: r.MinVersion, LeaseMS: n.agent.LeaseDuration()}
+	k := api.NodeRecord{
+		Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name,
+		Group: r.Cluster, Generation: max(1, r.Generation), Term: r.Term, Index: r.Index,
+		ActiveVersion: n.agent.ActiveVersion(), MinVersion: r.MinVersion, LeaseMS: n.agent.LeaseDuration(),
+	}
 	if k.ActiveVersion > 0 {
 		k.ActiveHash, k.ActiveText = r.ActiveHash, w.textOf[r.ActiveHash]
 	}
@@ -301,11 +329,12 @@
 	w.nodeRecords[n.name] = k
 }
 
-// checkEpochs holds every node that serves to the group's generation and epoch: nobody acts on a generation before the present
-// one once an epoch of this one has settled, nor on an older epoch of it.
+// checkEpochs holds every node that serves to the group's generation and epoch: once an epoch of the present
+// generation has settled, nobody acts on a former generation, nor on an older epoch of this one.
 func (w *Fleet) checkEpochs() {
 	w.after(50, w.checkEpochs)
-	if w.stopped || w.state.Fleet.LostState != "" || w.state.Zones.SettledEpoch <= w.firstEpoch {
+	settled, generation := w.state.Zones.SettledEpoch, w.state.Generation
+	if w.stopped || w.state.Fleet.LostState != "" || settled <= w.firstEpoch {
 		return
 	}
 	for _, n := range w.nodes {
@@ -317,10 +346,10 @@
 		}
 		o, gen := n.agent.ZoneOrder(), n.agent.LastSeen().Generation
 		switch {
-		case gen < w.state.Generation:
-			w.fail("%s serves by generation %d, and epoch %d of %d has settled", n.name, gen, w.state.Zones.SettledEpoch, w.state.Generation)
-		case gen == w.state.Generation && o != nil && n.agent.StoredZoneOrder().Epoch == o.Epoch && o.Epoch < w.state.Zones.SettledEpoch:
-			w.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, w.state.Zones.SettledEpoch)
+		case gen < generation:
+			w.fail("%s serves by generation %d, and epoch %d of %d has settled", n.name, gen, settled, generation)
+		case gen == generation && o != nil && n.agent.StoredZoneOrder().Epoch == o.Epoch && o.Epoch < settled:
+			w.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, settled)
 		}
 	}
 }
@@ -332,7 +361,8 @@
 		return
 	}
 	zone := fmt.Sprint("z", w.random.Intn(w.Zones))
-	op := zones.Op{Kind: zones.OpEvacuate, Zone: zone, Operator: "lab", Reason: "a drill", IdempotencyKey: fmt.Sprintf("drill-%08.0f", w.Now)}
+	op := zones.Op{Kind: zones.OpEvacuate, Zone: zone, Operator: "lab", Reason: "a drill",
+		IdempotencyKey: fmt.Sprintf("drill-%08.0f", w.Now)}
 	if step, _ := w.state.Zones.PhaseOf(zone); step != zones.InService {
 		op.Kind, op.Share = "step", 1+w.random.Intn(api.FullShare)
 	}
@@ -341,5 +371,6 @@
 
 // DrawStateLoss draws a schedule in which a group loses state.
 func DrawStateLoss(seed int64, without policy.Guard) FleetPlan {
-	return FleetPlan{Seed: seed, Nodes: 9, Ctl: 3, Changes: 5, StateLosses: 2, Without: without, ZoneRules: "[zones]\ndecide = ask\n"}
+	return FleetPlan{Seed: seed, Nodes: 9, Ctl: 3, Changes: 5, StateLosses: 2, Without: without,
+		ZoneRules: "[zones]\ndecide = ask\n"}
 }
--- a/internal/simulation/fleet_state_loss_test.go
+++ b/internal/simulation/fleet_state_loss_test.go
@@ -10,8 +10,8 @@
 	"umberwinch/internal/report"
 )
 
-// TestLostSchedules has groups lose state, in virtual time, and holds what nodes do to all promises: nobody acts on what an
-// earlier generation said, nor goes back to an older version.
+// TestLostSchedules has groups lose state, in virtual time, and holds what nodes do to all promises: nobody acts on
+// what an earlier generation said, nor goes back to an older version.
 func TestLostSchedules(t *testing.T) {
 	n := 60
 	if s := os.Getenv("UMBERWINCH_SCHEDULES"); s != "" {
--- a/internal/simulation/pool_scenario_text.go
+++ b/internal/simulation/pool_scenario_text.go
@@ -134,7 +134,8 @@
 	}
 	const perMillisecond = float64(second) / 1000
 	l.scenario.Classes = append(l.scenario.Classes, Class{
-		Name: name, Work: get("work", 10) * perMillisecond, WorkSigma: get("tail", 0), surge: -1, tries: int(get("tries", 2)),
+		Name: name, Work: get("work", 10) * perMillisecond, WorkSigma: get("tail", 0), surge: -1,
+		tries: int(get("tries", 2)),
 		Handler: admission.Handler{LatencyObjective: virtualTime(get("target", 1000) * perMillisecond),
 			Timeout: virtualTime(get("timeout", 5000) * perMillisecond), Value: get("value", 1)}})
 	l.scenario.fractions = append(l.scenario.fractions, get("share", 1))
@@ -148,8 +149,8 @@
 		return
 	}
 	for at, k := 0.0, 0; at < float64(l.scenario.span)/float64(second); at, k = at+period, k+1 {
-		l.scenario.changes = append(l.scenario.changes, scenarioChange{at: virtualTime(at * float64(second)), class: -1, kind: "load",
-			words: map[string]float64{"load": loads[k%2]}})
+		l.scenario.changes = append(l.scenario.changes, scenarioChange{at: virtualTime(at * float64(second)), class: -1,
+			kind: "load", words: map[string]float64{"load": loads[k%2]}})
 	}
 }
 
--- a/internal/simulation/pool_scenarios.go
+++ b/internal/simulation/pool_scenarios.go
@@ -80,10 +80,11 @@
 	if variant == "plain" {
 		return &plainQueue{slots: 2 * s.Cores}, nil
 	}
-	d := &admission.Deployment{Start: second, FleetSize: 1, Callers: 8, RoundInterval: 10, OverQuotaWeight: 0.05, Cores: s.Cores,
-		MaxRunsPerCore: 5,
-		MemoryKB:       1 << 20, RunMemoryFactor: 2, TableEntryKB: 1, Cancellation: admission.CancelNever, DrainGrace: second, MaxRetryAfter: 5 * second,
-		IdleTimeout: 30 * second}
+	d := &admission.Deployment{
+		Start: second, FleetSize: 1, Callers: 8, RoundInterval: 10, OverQuotaWeight: 0.05,
+		Cores: s.Cores, MaxRunsPerCore: 5, MemoryKB: 1 << 20, RunMemoryFactor: 2, TableEntryKB: 1,
+		Cancellation: admission.CancelNever, DrainGrace: second, MaxRetryAfter: 5 * second, IdleTimeout: 30 * second,
+	}
 	p := pools.Plan{Reserve: variant == "pools" && without != "reserve", Tenants: s.Tenants}
 	total := 0.0
 	for k := range s.Classes {
--- a/internal/simulation/pools.go
+++ b/internal/simulation/pools.go
@@ -13,7 +13,7 @@
 	"umberwinch/internal/report"
 )
 
-// Pools is a run of `umberctl lab pools`: each scenario in virtual time with pools, without, with fixed ones,
+// Pools is a run of `umberctl faulttest pools`: each scenario in virtual time with pools, without, with fixed ones,
 // and with a plain pool before a short queue, from the same seed.
 type Pools struct {
 	Seed    int64
@@ -147,7 +147,8 @@
 	if !s.exempt {
 		*least = min(*least, good)
 		if good < minCheapestInTime {
-			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, good, s.Classes[s.Cheapest].Name, minCheapestInTime)
+			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, good, s.Classes[s.Cheapest].Name,
+				minCheapestInTime)
 		}
 	}
 	if a, b := with.classes[s.Dearest].inTimeFraction(), off.classes[s.Dearest].inTimeFraction(); a < b-maxDearestLoss {
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -9,9 +9,9 @@
 	"umberwinch/admission"
 )
 
-// emulated.go is one server in virtual time: cores shared by what runs, clients that ask whether or not they
-// are answered, and a decider between them, the module or a baseline. It goes from event to event, so an hour
-// takes about a second for each server's dozen reqs a second.
+// One server in virtual time: cores shared by what runs, clients that send whether or not they are answered, and a
+// decider between them, the admission module or a baseline. It goes from event to event, so that hours take
+// seconds.
 
 type virtualTime = admission.Time
 
@@ -101,9 +101,8 @@
 const window = 3 * second
 
 func newEmulatedServer(seed int64, d decider, cores int, classes []Class, tenants int, span virtualTime) *server {
-	s := &server{random: rand.New(rand.NewSource(seed)), decider: d, now: second, cores: float64(cores), overloadRatio: 5,
-		tenants: tenants,
-		open:    map[uint32]*attempt{}, wake: -1}
+	s := &server{random: rand.New(rand.NewSource(seed)), decider: d, now: second, cores: float64(cores),
+		overloadRatio: 5, tenants: tenants, open: map[uint32]*attempt{}, wake: -1}
 	s.classes = append(s.classes, classes...)
 	s.out = make([]tallies, len(classes))
 	for k := range s.out {
@@ -233,7 +232,8 @@
 	r := s.runs.take()
 	q := s.open[r.id]
 	delete(s.open, r.id)
-	s.round(&admission.Round{RunEnds: []admission.RunEnd{{ID: r.id, Outcome: admission.Succeeded, Elapsed: s.now - q.start}}})
+	end := admission.RunEnd{ID: r.id, Outcome: admission.Succeeded, Elapsed: s.now - q.start}
+	s.round(&admission.Round{RunEnds: []admission.RunEnd{end}})
 	if q.answered {
 		return
 	}
@@ -255,7 +255,7 @@
 	s.decider.Decide(r, s)
 }
 
-// What is decided.
+// What the decider has done: server is its admission.Writer.
 
 func (s *server) Run(id uint32) {
 	q := s.open[id]
--- a/internal/simulation/timeline.go
+++ b/internal/simulation/timeline.go
@@ -5,8 +5,8 @@
 // ordered is an item of a queue that comes before others.
 type ordered[T any] interface{ before(other T) bool }
 
-// priorityQueue gives the item first that comes before all others. Of equal ones none comes first by rule, but each run has
-// them in the same order.
+// priorityQueue gives the item first that comes before all others. The order of equal ones is not defined, but it
+// is the same in each run.
 type priorityQueue[T ordered[T]] []T
 
 func (q *priorityQueue[T]) add(x T) { heap.Push(q, x) }
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -7,11 +7,11 @@
 	"umberwinch/internal/report"
 )
 
-// vzones.go is traffic on a fleet in virtual time: callers that try elsewhere, nodes by their real gates, and for each
-// zone a service below with a capacity, a cache that has to fill, and faults. Reqs are flows, a tenth of a second at a
-// time; group, stewards, members and gates are the real code.
+// Traffic on a fleet in virtual time: callers that retry elsewhere, nodes by their real gates, and for each zone a
+// service below with a capacity, a cache that has to warm up, and faults. Requests are rates, a tenth of a second
+// at a time; group, coordinators, agents and gates are the real code.
 
-// Kinds of trouble of a zone's schedule.
+// Kinds of fault of a zone.
 const (
 	ZoneDead         = "dead"     // its nodes are killed and come back cold
 	ZoneKernels      = "kernels"  // its kernels are dead, its nodes well
@@ -22,7 +22,7 @@
 	ZoneOutlierNode  = "bad node" // one node of it is sick
 	ZoneCommon       = "common"   // all zones are slow
 	ZoneFalseReports = "lies"     // two of five of its nodes say that they are sick
-	ZoneRestart      = "restart"  // its nodes are killed and come back at once, cold: of all zones, a restart of the fleet
+	ZoneRestart      = "restart"  // its nodes are killed and start again at once, cold
 	ZoneNoise        = "noise"    // half of the reports are missing, the others vary
 )
 
@@ -39,8 +39,9 @@
 	// WarmUpSeconds of full capacity fill a service's cache.
 	WarmUpSeconds   = 10.0
 	maxRetryAfterMS = 10_000 // ms: the longest that a caller may be told to wait
-	// Callers that are held off come again up to three times, and a step lets in all at once that it was told to: 6.6 to 9.1 in a
-	// tenth of a second over loads and sizes. Where all are told the same moment 13 to 50.
+	// maxRetryPeak is how much more than first attempts callers may send at once, by each coming back up to three
+	// times and by a step that admits all that were told to come in it. Callers that are all told the same moment
+	// exceed it.
 	maxRetryPeak = 12
 	retrySteps   = maxRetryAfterMS/100 + 20
 	quotaPlaces  = 8    // of those that a share leaves out, told apart by when they are let in
@@ -75,7 +76,7 @@
 	Done            float64 // value done in time, and asked for, since the trouble began
 	Asked           float64
 	Failing         float64            // value done while it fails, from five seconds on
-	OthersDone      float64            // share of value done by the zones that are in while one is left, at worst over a second
+	OthersDone      float64            // least share of weight done by zones in service
 	Tries           float64            // a req, from the trouble on
 	Left            map[string]float64 // ms from the trouble to a zone's leaving
 	Back            map[string]float64 // and from its end to the zone's being in again
@@ -84,12 +85,12 @@
 	BackStep        int
 	Peak            float64 // below while it returns: asked over what it bears
 	peakAt          string
-	NeighbourPeak   float64 // the most that a zone that is in was asked for over what it bears, its own first tries fitting
+	NeighbourPeak   float64 // most load over capacity of a zone in service, its own first attempts fitting
 	neighbourPeakAt string
 	OverloadMS      float64 // ms for which its service was asked for more than it bears, in that second failure
 	ColdStarts      int     // times that the fleet began with a share
 	Start           float64 // after a restart: asked below over what it bears, at worst
-	RetryPeak       float64 // after a restart: tries in a tenth of a second over first tries, at worst, from callers that wait
+	RetryPeak       float64 // after a restart, from callers that wait: most attempts at once over first ones
 	Plot            []report.Line
 }
 
@@ -140,7 +141,8 @@
 	for _, z := range w.state.Zones.Zones {
 		for _, e := range z.Events {
 			if e.ValueOfEvacuating < e.ValueOfStaying {
-				v.fail("zone %s was left for %.0f of value a second, where staying was to do %.0f", z.Name, e.ValueOfEvacuating, e.ValueOfStaying)
+				v.fail("zone %s was left for %.0f of value a second, where staying was to do %.0f", z.Name,
+					e.ValueOfEvacuating, e.ValueOfStaying)
 			}
 		}
 	}
@@ -148,7 +150,8 @@
 		v.fail("a service was asked for %.2f of what it bears after the restart", v.Start)
 	}
 	if v.RetryPeak > maxRetryPeak {
-		v.fail("callers that wait until they are told to come back asked %.1f times as much together as first tries came", v.RetryPeak)
+		v.fail("callers that wait until they are told to come back asked %.1f times as much together as first tries "+
+			"came", v.RetryPeak)
 	}
 	if v.OverloadMS > 8000 {
 		v.fail("a service that failed during the return was asked for more than it bears for %.1f s", v.OverloadMS/1000)
@@ -157,7 +160,8 @@
 		v.fail("a service was asked for %.2f of what it bears while its zone returned: %s", v.Peak, v.peakAt)
 	}
 	if v.NeighbourPeak > 1.1 && v.Load*float64(v.Zones) < 0.85*float64(v.Zones) {
-		v.fail("a zone that is in was asked for %.2f of what it bears by tries from elsewhere: %s", v.NeighbourPeak, v.neighbourPeakAt)
+		v.fail("a zone that is in was asked for %.2f of what it bears by tries from elsewhere: %s", v.NeighbourPeak,
+			v.neighbourPeakAt)
 	}
 }
 
--- a/internal/simulation/zones_check.go
+++ b/internal/simulation/zones_check.go
@@ -36,14 +36,15 @@
 	case zones.InService:
 		if v.kind(z) == "" && first < 0.85*b.capacity && !v.Fleet.allInService() && load > v.NeighbourPeak {
 			v.NeighbourPeak = load
-			v.neighbourPeakAt = fmt.Sprintf("%s at %.1f s, %.0f first tries of %.0f", name, (v.Fleet.Now-faultsBeginMS)/1000, first, b.capacity)
+			v.neighbourPeakAt = fmt.Sprintf("%s at %.1f s, %.0f first tries of %.0f", name,
+				(v.Fleet.Now-faultsBeginMS)/1000, first, b.capacity)
 		}
 	}
 	v.checkEpochs()
 }
 
-// loadOfLastSecond is what a service was asked for over what it bears. It is taken over a whole second, as on processes: the
-// node that is notified first that it may admit more is asked for all of it, for a moment.
+// loadOfLastSecond is a service's load over its capacity. It is taken over a whole second, as on processes: the
+// node that is notified first that it may admit more is sent all of it, for a moment.
 func (v *Zones) loadOfLastSecond(b *dependency) float64 {
 	b.recentLoad[int(v.Fleet.Now/stepMS)%len(b.recentLoad)] = b.demand / max(b.capacity, 1)
 	load := 0.0
@@ -60,8 +61,8 @@
 	}
 }
 
-// measureRamp notes how much a service is asked for while its zone returns: at worst while nothing is wrong with it, and for
-// how long too much in a second failure.
+// measureRamp notes a service's load while its zone returns: the highest while it has no fault, and for how long it
+// was overloaded in a second one.
 func (v *Zones) measureRamp(name string, b *dependency, load float64) {
 	switch {
 	case v.failing:
@@ -74,7 +75,8 @@
 	}
 }
 
-// checkRateLimits: some nodes have no more together than the group gave out under a name, now or before that is settled.
+// checkRateLimits: nodes' rate limits come to no more than the group gave out under a name, now or before that is
+// settled.
 func (v *Zones) checkRateLimits(who, name string, counts func(n *node, o *api.ZoneOrder) bool) {
 	sum := 0.0
 	for _, n := range v.Fleet.nodes {
@@ -106,8 +108,8 @@
 	}
 }
 
-// Full gives the ms from the end of the trouble until at least 98 in 100 of the value is done for ten seconds on end, -1
-// if it never is.
+// Full gives the ms from the end of the fault until at least 98 in 100 of the weight is done for ten seconds on
+// end, -1 if it never is.
 func (v *Zones) Full() float64 { return v.RecoveredAt(0.98) }
 
 // RecoveredAt is the same for any share of the value.
@@ -167,8 +169,8 @@
 	}
 }
 
-// checkEvacuation: a zone is left for a fault of its own alone, while it lasts. A cold service is one too, where its zone was
-// not left before; what ails all zones is none.
+// checkEvacuation: a zone is evacuated for a fault of its own alone, while it lasts. A cold service is such a fault
+// where its zone was not evacuated before; a fault that all zones have is not.
 func (v *Zones) checkEvacuation(z *zones.Zone) {
 	k := 0
 	fmt.Sscanf(z.Name, "z%d", &k)
@@ -183,7 +185,7 @@
 	}
 	if v.commonCause() || !right || !v.failing && !cold {
 		v.Wrong++
-		v.fail("%s was left, and it is %q (bears %.0f, warm %.2f, asked %.0f): %s", z.Name, kind, b.capacity, b.warm, b.demand,
-			z.Events[len(z.Events)-1].Text)
+		v.fail("%s was left, and it is %q (bears %.0f, warm %.2f, asked %.0f): %s", z.Name, kind, b.capacity, b.warm,
+			b.demand, z.Events[len(z.Events)-1].Text)
 	}
 }
--- a/internal/simulation/zones_load_report.go
+++ b/internal/simulation/zones_load_report.go
@@ -26,16 +26,33 @@
 		x = 2 * x / max(nodes, 1) * math.Exp(spread*w.random.NormFloat64())
 		return int(x + w.random.Float64())
 	}
-	l := &api.LoadReport{WindowMS: 2000, KernelConnected: !(v.failing && v.kind(n.zone) == ZoneKernels), Cores: 4,
-		CoresUsed: 4 * r.utilization * math.Exp(spread*0.5*w.random.NormFloat64()), MeanRunMS: r.runMS * math.Exp(spread*w.random.NormFloat64()),
-		Arrived: count(r.arrived), Retries: count(r.retries), RejectedByZone: count(r.rejected), Completed: count(r.completed), Late: count(r.late), Failed: count(r.failed),
-		Shed: count(r.shed), RunsEnded: count(r.runs), OfferedWeight: 2 * r.offeredWeight / max(nodes, 1), CompletedWeight: 2 * r.completedWeight / max(nodes, 1),
-		Calls: count(r.runs), MeanCallMS: r.runMS * 0.8 * math.Exp(spread*w.random.NormFloat64()), RunsInFlight: int((b.queue + r.runs*r.runMS/1000) / max(nodes, 1))}
+	// The order of fields is the order of random draws.
+	l := &api.LoadReport{
+		WindowMS:        2000,
+		KernelConnected: !(v.failing && v.kind(n.zone) == ZoneKernels),
+		Cores:           4,
+		CoresUsed:       4 * r.utilization * math.Exp(spread*0.5*w.random.NormFloat64()),
+		MeanRunMS:       r.runMS * math.Exp(spread*w.random.NormFloat64()),
+		Arrived:         count(r.arrived),
+		Retries:         count(r.retries),
+		RejectedByZone:  count(r.rejected),
+		Completed:       count(r.completed),
+		Late:            count(r.late),
+		Failed:          count(r.failed),
+		Shed:            count(r.shed),
+		RunsEnded:       count(r.runs),
+		OfferedWeight:   2 * r.offeredWeight / max(nodes, 1),
+		CompletedWeight: 2 * r.completedWeight / max(nodes, 1),
+		Calls:           count(r.runs),
+		MeanCallMS:      r.runMS * 0.8 * math.Exp(spread*w.random.NormFloat64()),
+		RunsInFlight:    int((b.queue + r.runs*r.runMS/1000) / max(nodes, 1)),
+	}
 	if l.CoresUsed > 4 {
 		l.CoresUsed = 4
 	}
 	for c := range classFractions {
-		l.ArrivedByWeight = append(l.ArrivedByWeight, api.PriorityCount{Weight: classWeights[c], Arrived: count((r.arrived - r.retries) * classFractions[c])})
+		l.ArrivedByWeight = append(l.ArrivedByWeight, api.PriorityCount{Weight: classWeights[c],
+			Arrived: count((r.arrived - r.retries) * classFractions[c])})
 	}
 	if v.failing {
 		bad := v.kind(n.zone) == ZoneOutlierNode && n.name == v.firstOf(n.zone) ||
@@ -96,8 +113,8 @@
 	}
 }
 
-// playOracle is what could be done at best: the trouble and the room are known at once, the dearest goes first, and a cold
-// service is asked for just what it bears.
+// playOracle is the best that could be done: the fault and the capacity left are known at once, requests of the
+// highest weight go first, and a cold service is sent exactly its capacity.
 func (v *Zones) playOracle(total float64, dt float64) {
 	room, done := 0.0, 0.0
 	for z, b := range v.dependencies {
--- a/internal/simulation/zones_plan.go
+++ b/internal/simulation/zones_plan.go
@@ -1,6 +1,6 @@
 package simulation
 
-// This file draws the worlds that zones are played in.
+// This file draws what runs of zones are played from.
 
 import (
 	"math/rand"
@@ -35,10 +35,12 @@
 // DrawZones draws a run from a seed: what fails, at which load, in a fleet of what size.
 func DrawZones(seed int64) ZonePlan {
 	r := rand.New(rand.NewSource(seed))
-	p := ZonePlan{Seed: seed, Zones: 3 + r.Intn(3), Fails: 15_000, Heals: 35_000 + float64(r.Intn(15))*1000, Ends: 400_000,
-		Load: 0.3 + 0.5*r.Float64(), Cold: 1 + 9*r.Float64(), Lead: r.Intn(4) == 0, SecondFault: r.Intn(4) == 0}
+	p := ZonePlan{Seed: seed, Zones: 3 + r.Intn(3), Fails: 15_000, Heals: 35_000 + float64(r.Intn(15))*1000,
+		Ends: 400_000, Load: 0.3 + 0.5*r.Float64(), Cold: 1 + 9*r.Float64(), Lead: r.Intn(4) == 0,
+		SecondFault: r.Intn(4) == 0}
 	p.Nodes = p.Zones * (3 + r.Intn(5))
-	kinds := []string{ZoneDead, ZoneKernels, ZoneSlow, ZoneErrors, ZoneCutOff, ZoneCallers, ZoneOutlierNode, ZoneFalseReports, ZoneNoise}
+	kinds := []string{ZoneDead, ZoneKernels, ZoneSlow, ZoneErrors, ZoneCutOff, ZoneCallers, ZoneOutlierNode,
+		ZoneFalseReports, ZoneNoise}
 	p.Kinds = append(p.Kinds, kinds[r.Intn(len(kinds))])
 	if p.Kinds[0] == ZoneFalseReports {
 		p.Nodes = p.Zones * 5
@@ -68,7 +70,8 @@
 	if p.Off || p.Own || p.Oracle {
 		mode = "off"
 	}
-	v := &Zones{ZonePlan: p, rateLimits: map[string][2]float64{}, health: make([]nodeHealth, p.Nodes), upNodes: make([]float64, p.Zones),
+	v := &Zones{ZonePlan: p, rateLimits: map[string][2]float64{}, health: make([]nodeHealth, p.Nodes),
+		upNodes: make([]float64, p.Zones),
 		ZoneFigures: ZoneFigures{Left: map[string]float64{}, Back: map[string]float64{}, OthersDone: 1,
 			Plot: make([]report.Line, 3)}}
 	v.Fleet = NewFleet(FleetPlan{Seed: p.Seed, Nodes: p.Nodes, Ctl: 3, Calm: true, Lease: 4000, Zones: p.Zones,
--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestRestart: a fleet whose nodes all restart at once asks nothing of its cold services that they don't bear, and is back;
-// without a small start it asks for several times that. A lone restart has no part in it.
+// TestRestart: a fleet whose nodes all restart at once asks nothing of its cold services that they don't bear, and
+// is back; without a small start it asks for several times that. A lone restart has no part in it.
 func TestRestart(t *testing.T) {
 	base := ZonePlan{Seed: 5, Nodes: 15, Kinds: []string{ZoneRestart, ZoneRestart, ZoneRestart}, Fails: 15_000, Heals: 17_000,
 		Ends: 220_000, Load: 0.6}
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestSpread: callers that wait until they are told to come back are spread over the recovery; told one moment each, they come
-// together.
+// TestSpread: callers that wait until they are told to come back are spread over the recovery; told one moment
+// each, they come together.
 func TestSpread(t *testing.T) {
 	p := ZonePlan{Seed: 1, Nodes: 15, Kinds: []string{ZoneRestart, ZoneRestart, ZoneRestart}, Fails: 15_000, Heals: 17_000, Ends: 220_000,
 		Load: 0.6, Patient: true}
--- a/internal/simulation/zones_traffic.go
+++ b/internal/simulation/zones_traffic.go
@@ -34,7 +34,10 @@
 }
 
 // flows are a zone's figures a second.
-type flows struct{ arrived, retries, rejected, completed, late, shed, failed, offeredWeight, completedWeight, runs, runMS, utilization float64 }
+type flows struct {
+	arrived, retries, rejected, completed, late, shed, failed float64
+	offeredWeight, completedWeight, runs, runMS, utilization  float64
+}
 
 // admittedFraction is the share of a class that a node's order takes.
 func admittedFraction(o *api.ZoneOrder, class int) float64 {
@@ -172,7 +175,7 @@
 	return due
 }
 
-// add has requests come again as their next attempt, some steps from now. Those whose last attempt this was are given up.
+// add has requests come again as their next attempt, some steps from now. Requests without attempts left are given up.
 func (q *retryQueue) add(steps, attempt, class int, n float64) {
 	if attempt+1 < maxAttempts {
 		q.steps[(q.next+steps)%retrySteps][attempt+1][class] += n
@@ -188,9 +191,9 @@
 	demand  float64       // first attempts a second
 	weight  float64       // and their priority weight
 
-	attempts                      float64 // sent to some zone
-	done                          float64 // weight completed in time
-	inServiceDone, inServiceAsked float64 // the same of zones in service that have no fault, and what they were offered
+	attempts                        float64 // sent to some zone
+	done                            float64 // weight completed in time
+	inServiceDone, inServiceOffered float64 // of zones in service without a fault: weight done, offered
 }
 
 // playStep plays a tenth of a second: who is asked, what each zone admits and its service does, and what is measured.
@@ -269,7 +272,8 @@
 	s.done += t.rates.completedWeight
 	s.check(zone, b, first)
 	if phase, _ := s.Fleet.state.Zones.PhaseOf(fmt.Sprint("z", zone)); phase == zones.InService && s.kind(zone) == "" {
-		s.inServiceDone, s.inServiceAsked = s.inServiceDone+t.rates.completedWeight, s.inServiceAsked+t.rates.offeredWeight
+		s.inServiceDone += t.rates.completedWeight
+		s.inServiceOffered += t.rates.offeredWeight
 	}
 	b.smoothed.follow(&t.rates)
 }
@@ -288,8 +292,8 @@
 	inTime          float64       // the share of these that counts
 }
 
-// arrive brings the zone its part of all requests, and has its nodes admit what their quotas let in. Nodes on the callers'
-// list that are down answer nothing.
+// arrive brings the zone its part of all requests, and has its nodes admit what their quotas allow. Nodes on the
+// callers' list that are down answer nothing.
 func (t *zoneStep) arrive() {
 	part := 0.0
 	if t.listed > 0 {
@@ -341,8 +345,8 @@
 	}
 }
 
-// limitRate holds the nodes to their rate limits. Nodes that were notified that theirs has ended take their part of what
-// arrives whole.
+// limitRate holds the nodes to their rate limits. Nodes that were notified that theirs has ended admit all of their
+// part.
 func (t *zoneStep) limitRate() {
 	limit := t.view.rateLimit + t.admittedByQuota*t.view.unlimited/max(t.view.up, 1)
 	if t.view.rateLimited && t.admittedByQuota > limit {
@@ -428,8 +432,8 @@
 			s.Failing += s.done * dt
 		}
 	}
-	if len(s.Fleet.state.Zones.Zones) > 0 && s.inServiceAsked > 0 && s.failing {
-		s.OthersDone = min(s.OthersDone, s.inServiceDone/s.inServiceAsked)
+	if len(s.Fleet.state.Zones.Zones) > 0 && s.inServiceOffered > 0 && s.failing {
+		s.OthersDone = min(s.OthersDone, s.inServiceDone/s.inServiceOffered)
 	}
 }
 
@@ -440,18 +444,23 @@
 		return
 	}
 	_, quota := s.Fleet.state.Zones.PhaseOf("z0")
-	for i, y := range []float64{s.done / max(s.weight, 1), s.dependencies[0].demand / max(s.dependencies[0].capacity, 1),
-		float64(quota) / api.FullShare} {
+	b := s.dependencies[0]
+	values := []float64{s.done / max(s.weight, 1), b.demand / max(b.capacity, 1), float64(quota) / api.FullShare}
+	for i, y := range values {
 		s.Plot[i].Points = append(s.Plot[i].Points, [2]float64{at, y})
 	}
 }
 
+func (f *flows) values() []*float64 {
+	return []*float64{&f.arrived, &f.retries, &f.rejected, &f.completed, &f.late, &f.shed, &f.failed,
+		&f.offeredWeight, &f.completedWeight, &f.runs, &f.runMS, &f.utilization}
+}
+
 // follow has a zone's figures follow within two thirds of a second, as a report over two seconds does.
 func (f *flows) follow(now *flows) {
 	const weight = 0.15
-	for _, p := range [][2]*float64{{&f.arrived, &now.arrived}, {&f.retries, &now.retries}, {&f.rejected, &now.rejected},
-		{&f.failed, &now.failed}, {&f.completed, &now.completed}, {&f.late, &now.late}, {&f.shed, &now.shed},
-		{&f.offeredWeight, &now.offeredWeight}, {&f.completedWeight, &now.completedWeight}, {&f.runs, &now.runs}, {&f.runMS, &now.runMS}, {&f.utilization, &now.utilization}} {
-		*p[0] += weight * (*p[1] - *p[0])
+	average, latest := f.values(), now.values()
+	for i := range average {
+		*average[i] += weight * (*latest[i] - *average[i])
 	}
 }
