--- a/internal/simulation/consensus_cases_test.go
+++ b/internal/simulation/consensus_cases_test.go
@@ -6,7 +6,8 @@
 	"umberwinch/internal/control/consensus"
 )
 
-// newGrownGroup gives a calm group, and fails the test where the world finds anything broken by its end.
+// newGrownGroup gives a group that has grown to size, without faults. The test fails if a promise is broken by its
+// end.
 func newGrownGroup(t *testing.T, size int) *ConsensusGroup {
 	t.Helper()
 	w := NewConsensusGroup(int64(size)*77, size, 0)
@@ -21,7 +22,7 @@
 	return w
 }
 
-// putVersion has a version taken at a host within some time.
+// putVersion puts a version at a host, which has to be applied there within some time.
 func putVersion(t *testing.T, w *ConsensusGroup, h *host, ms int64) {
 	t.Helper()
 	if !w.putByScript(h, ms) {
@@ -29,6 +30,7 @@
 	}
 }
 
+// waitUntilSettled waits until all voters take part and have the same state.
 func waitUntilSettled(t *testing.T, w *ConsensusGroup) {
 	t.Helper()
 	if !w.waitUntilSettled() {
@@ -36,7 +38,8 @@
 	}
 }
 
-// TestSlowFollower: one that stands still for 3 s slows no write and is caught up after.
+// TestSlowFollower: a follower of three stalls for 3 s. Meanwhile each write has a majority without it and takes no
+// longer. When it goes on it is caught up to the leader's version.
 func TestSlowFollower(t *testing.T) {
 	w := newGrownGroup(t, 3)
 	slow := w.follower()
@@ -46,11 +49,12 @@
 	}
 	waitUntilSettled(t, w)
 	if slow.replica.Status().Version != w.leader().replica.Status().Version {
-		t.Fatal("the slow one was not caught up")
+		t.Fatal("the slow follower was not caught up")
 	}
 }
 
-// TestStalledDisk: a leader whose disk stalls for 3 s is followed by another; what it held open has one end.
+// TestStalledDisk: the leader's disk stalls for 3 s. Another instance is elected and takes writes; the old leader,
+// whose disk goes on, follows it, and each write that was in flight has one outcome.
 func TestStalledDisk(t *testing.T) {
 	w := newGrownGroup(t, 3)
 	old := w.leader()
@@ -65,8 +69,8 @@
 	}
 }
 
-// TestThreeOfFive: with two down writes go on; with a third they stop, and nothing new is applied; with it
-// back they go on within the promise.
+// TestThreeOfFive: of five instances two go down and writes go on. A third goes down: there is no quorum, writes
+// stop and nothing new is applied. It comes back, and a write is taken within the promised time.
 func TestThreeOfFive(t *testing.T) {
 	w := newGrownGroup(t, 5)
 	var down []*host
@@ -92,7 +96,8 @@
 	waitUntilSettled(t, w)
 }
 
-// TestGrowWithOneDown takes a fourth in while one of three is down.
+// TestGrowWithOneDown: one of three instances is down as a fourth joins. The two that are left are a quorum: the
+// fourth becomes a voter, writes go on, and the instance that was down is caught up when it comes back.
 func TestGrowWithOneDown(t *testing.T) {
 	w := newGrownGroup(t, 3)
 	away := w.follower()
@@ -107,8 +112,9 @@
 	waitUntilSettled(t, w)
 }
 
-// TestOldEntriesVanish: a leader cut off takes entries that no majority gets. Back again it has the others'
-// instead, it applied none of its own, and its term unseats nobody.
+// TestOldEntriesVanish: a leader is partitioned from the others and appends entries that no majority gets. The
+// others elect a leader and commit a write. When the partition ends the old leader has the others' entries in place
+// of its own, has applied none of its own, and raises no term.
 func TestOldEntriesVanish(t *testing.T) {
 	w := newGrownGroup(t, 3)
 	old := w.leader()
@@ -132,25 +138,27 @@
 	}
 }
 
-// TestOneWay: a follower that hears nothing but is heard, and one that is heard by none, unseat no leader.
+// TestOneWay: a follower's network fails in one direction for 4 s. Whether it receives nothing or none of its messages
+// arrive, pre-vote keeps it from raising the term: the leader stays, and writes go on.
 func TestOneWay(t *testing.T) {
-	for _, deaf := range []bool{true, false} {
+	for _, receivesNothing := range []bool{true, false} {
 		w := newGrownGroup(t, 3)
 		l, f := w.leader(), w.follower()
 		term := l.replica.Status().Term
-		w.partition(4000, func(a, b *host) bool { return deaf && b == f || !deaf && a == f })
+		w.partition(4000, func(a, b *host) bool { return receivesNothing && b == f || !receivesNothing && a == f })
 		for i := 0; i < 4; i++ {
 			putVersion(t, w, l, 500)
 			w.Run(w.Now + 800)
 		}
 		waitUntilSettled(t, w)
 		if w.leader() != l || l.replica.Status().Term != term {
-			t.Fatalf("deaf %v: the leader changed", deaf)
+			t.Fatalf("the follower receives nothing %v: the leader changed", receivesNothing)
 		}
 	}
 }
 
-// TestRemovedKeepsTalking: an instance that was removed while it was cut off comes back and harms nothing.
+// TestRemovedKeepsTalking: an instance is removed from the group while it is partitioned, so that it doesn't learn
+// of it. It comes back and goes on as a member would. The others reject it: the term stays and writes go on.
 func TestRemovedKeepsTalking(t *testing.T) {
 	w := newGrownGroup(t, 3)
 	f := w.follower()
@@ -171,7 +179,8 @@
 	}
 }
 
-// TestTransfer: a lead is handed over without waiting for an election.
+// TestTransfer: an operator has the leader transfer leadership to a follower. That takes a few round trips, not an
+// election timeout, and the new leader takes writes.
 func TestTransfer(t *testing.T) {
 	w := newGrownGroup(t, 3)
 	l, to := w.leader(), w.follower()
--- a/internal/simulation/consensus_schedules_test.go
+++ b/internal/simulation/consensus_schedules_test.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"fmt"
 	"testing"
 
 	"umberwinch/internal/control/consensus"
@@ -8,11 +9,14 @@
 
 const playMS = ScheduleMilliseconds
 
-// TestSchedules plays drawn faults on groups of three and five: no promise breaks.
+// TestSchedules: groups of three and of five grow, and clients put and read while drawn faults come: crashes, power
+// loss, partitions, lost messages, stalled disks, disks lost or put back. Then all heals, and scripted cases
+// follow. Throughout no two leaders have one term, no applied entry changes, and the clients' history is
+// linearizable.
 func TestSchedules(t *testing.T) {
 	for seed := int64(1); seed <= 24; seed++ {
 		size := 3 + int(seed%2)*2
-		t.Run("", func(t *testing.T) {
+		t.Run(fmt.Sprintf("seed %d, %d instances", seed, size), func(t *testing.T) {
 			t.Parallel()
 			faults := DrawFaults(seed, size, playMS)
 			if r := Play(seed, size, faults, 0, nil); r.Broken != "" {
@@ -23,7 +27,8 @@
 	}
 }
 
-// TestWithoutGuards takes each guard out in turn: a promise has to break, or nothing checks it.
+// TestWithoutGuards: a guard of the consensus code is taken out and schedules are played until a promise breaks.
+// One must, on 120 seeds, or no check would find that the guard is missing.
 func TestWithoutGuards(t *testing.T) {
 	for _, name := range consensus.GuardNames() {
 		t.Run(name, func(t *testing.T) {
@@ -43,7 +48,8 @@
 	}
 }
 
-// TestSameSeedSameRun: a seed is of no use otherwise.
+// TestSameSeedSameRun: a schedule is played twice from its seed and comes to the same, so that a failure can be
+// reproduced.
 func TestSameSeedSameRun(t *testing.T) {
 	a := Play(3, 5, DrawFaults(3, 5, playMS), 0, nil)
 	if b := Play(3, 5, DrawFaults(3, 5, playMS), 0, nil); a != b {
--- a/internal/simulation/fleet_state_loss_test.go
+++ b/internal/simulation/fleet_state_loss_test.go
@@ -2,21 +2,18 @@
 
 import (
 	"context"
-	"os"
-	"strconv"
 	"testing"
 
 	"umberwinch/internal/control/policy"
 	"umberwinch/internal/report"
 )
 
-// TestLostSchedules has groups lose state, in virtual time, and holds what nodes do to all promises: nobody acts on
-// what an earlier generation said, nor goes back to an older version.
+// TestLostSchedules: while the policy changes and faults come, the group loses its state twice: an older copy of its
+// folders is put back, or none is left. Nodes prove the loss, an operator restores the group from what they have, and a
+// leader of the former generation may go on answering. No node acts on a former generation once the new one has
+// settled an epoch, and none goes back to an older version.
 func TestLostSchedules(t *testing.T) {
-	n := 60
-	if s := os.Getenv("UMBERWINCH_SCHEDULES"); s != "" {
-		n, _ = strconv.Atoi(s)
-	}
+	n := scheduleCount(t, 60)
 	lost, found, restored, bad := 0, 0, 0, 0
 	report.EachSeed(context.Background(), 1, n, func(seed int64) *Fleet {
 		w := NewFleet(DrawStateLoss(seed, 0))
@@ -29,13 +26,15 @@
 		}
 		return bad > 8
 	})
-	t.Logf("%d schedules, state lost %d times, found by nodes' proofs %d times, %d restorings", n, lost, found, restored)
+	t.Logf("%d schedules, state lost %d times, found by nodes' proofs %d times, %d restorings", n, lost, found,
+		restored)
 	if lost < n || found < n/8 || restored < n/2 {
 		t.Error("too few to hold anything to")
 	}
 }
 
-// TestLostGuards takes the guards of a restored group out: a promise has to break on some schedule.
+// TestLostGuards: a guard of restoring a group is taken out, and schedules of state loss are played until a promise
+// breaks. One must, on 100 seeds, or no check would find that the guard is missing.
 func TestLostGuards(t *testing.T) {
 	for _, g := range []policy.Guard{policy.Generation, policy.Proof, policy.ListenFirst} {
 		broken := ""
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -2,19 +2,18 @@
 
 import (
 	"fmt"
-	"os"
-	"strconv"
+	"slices"
 	"testing"
 
 	"umberwinch/internal/control/policy"
 )
 
-// TestFleetSchedules plays schedules of troubles in virtual time and holds each to all promises.
+// TestFleetSchedules: an operator changes the policy version five times while nodes are killed, paused, partitioned
+// and restarted, instances of the group crash, and nodes reject a version or never prepare it. Then all heals. Each
+// change has settled or was called off, all nodes serve under the version in force, and the history keeps the
+// promises of docs/design/policy.md.
 func TestFleetSchedules(t *testing.T) {
-	n := 60
-	if s := os.Getenv("UMBERWINCH_SCHEDULES"); s != "" {
-		n, _ = strconv.Atoi(s)
-	}
+	n := scheduleCount(t, 60)
 	ends := map[policy.Step]int{}
 	for seed := 1; seed <= n; seed++ {
 		w := NewFleet(FleetPlan{Seed: int64(seed), Nodes: 12, Ctl: 3, Changes: 5})
@@ -27,12 +26,13 @@
 		}
 	}
 	t.Log(fmt.Sprint(ends))
-	if ends["settled"] < n || ends["called off"] == 0 {
+	if ends[policy.Settled] < n || ends[policy.Aborted] == 0 {
 		t.Errorf("%v: expected changes that settled and some that were called off", ends)
 	}
 }
 
-// TestFleetGuards takes each guard out: a promise has to break on some schedule, or it is not checked.
+// TestFleetGuards: a guard of the policy change is taken out, and the same schedules are played until a promise
+// breaks. One must, on 500 seeds, or no check would find that the guard is missing.
 func TestFleetGuards(t *testing.T) {
 	for _, name := range policy.GuardNames() {
 		g, err := policy.GuardNamed(name)
@@ -53,7 +53,8 @@
 	}
 }
 
-// TestWrongHistories holds the checker to histories that are wrong on purpose.
+// TestWrongHistories: a correct history of changes passes the check. Each case adds events that break one promise,
+// and the check has to find it.
 func TestWrongHistories(t *testing.T) {
 	good := []FleetEvent{{At: 0, Kind: "serves", Node: "a", Version: 1}, {At: 0, Kind: "serves", Node: "b", Version: 1},
 		{At: 100, Kind: "decided", Version: 2, From: 1}, {At: 100, Kind: "forced", Version: 2},
@@ -66,13 +67,15 @@
 		t.Fatalf("the right history: %q, overlap %d", broken, overlap)
 	}
 	for what, more := range map[string][]FleetEvent{
-		"back to an older version":    {{At: 170, Kind: "serves", Node: "a", Version: 1}},
-		"before it was decided":       {{At: 50, Kind: "serves", Node: "c", Version: 2}},
-		"called off and served":       {{At: 310, Kind: "serves", Node: "c", Version: 3}},
-		"decided and called off":      {{At: 310, Kind: "off", Version: 2}},
-		"called off and decided":      {{At: 310, Kind: "decided", Version: 3, From: 2}},
-		"older after it was settled":  {{At: 90, Kind: "serves", Node: "c", Version: 1}, {At: 210, Kind: "stops", Node: "c"}},
-		"older for longer than bound": {{At: 90, Kind: "serves", Node: "c", Version: 1}, {At: 180, Kind: "stops", Node: "c"}},
+		"back to an older version": {{At: 170, Kind: "serves", Node: "a", Version: 1}},
+		"before it was decided":    {{At: 50, Kind: "serves", Node: "c", Version: 2}},
+		"called off and served":    {{At: 310, Kind: "serves", Node: "c", Version: 3}},
+		"decided and called off":   {{At: 310, Kind: "off", Version: 2}},
+		"called off and decided":   {{At: 310, Kind: "decided", Version: 3, From: 2}},
+		"older after it was settled": {{At: 90, Kind: "serves", Node: "c", Version: 1},
+			{At: 210, Kind: "stops", Node: "c"}},
+		"older for longer than bound": {{At: 90, Kind: "serves", Node: "c", Version: 1},
+			{At: 180, Kind: "stops", Node: "c"}},
 		"settled and never decided":   {{At: 320, Kind: "settled", Version: 4}},
 		"in a version nobody decided": {{At: 320, Kind: "serves", Node: "c", Version: 9}},
 		"overlap in an exclusive change": {{At: 400, Kind: "decided", Version: 5, From: 2, Excl: true},
@@ -81,7 +84,7 @@
 		"in force only later": {{At: 400, Kind: "decided", Version: 5, From: 2}, {At: 450, Kind: "forced", Version: 5},
 			{At: 410, Kind: "serves", Node: "a", Version: 5}},
 	} {
-		if broken, _ := CheckFleet(append(append(append([]FleetEvent{}, first...), good...), more...), p); broken == "" {
+		if broken, _ := CheckFleet(slices.Concat(first, good, more), p); broken == "" {
 			t.Errorf("%s: not found", what)
 		}
 	}
--- a/internal/simulation/pool_scenarios_test.go
+++ b/internal/simulation/pool_scenarios_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestPoolScenarios plays each scenario on a few emulated servers: the promises hold, and break without each
-// guard.
+// TestPoolScenarios: each scenario of overload is played on a few emulated servers. The cheapest class is served,
+// the one of the highest weight doesn't lose by pools; without the reserve, or without limits, a promise breaks.
 func TestPoolScenarios(t *testing.T) {
 	for _, c := range []struct {
 		without, want string
@@ -29,12 +29,16 @@
 	}
 }
 
+// TestScenarioFaults: a scenario with a fault in its text is rejected, with the line, what was found and what is
+// expected.
 func TestScenarioFaults(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"class a work=x\n", `s:1: "work=x", expected KEY=NUMBER`},
 		{"class a\nat 3 b rate=2\n", `s:2: class "b", expected one named before`},
 		{"fly 3\n", `s:1: "fly" is not known`},
 		{"cores\n", "s:1: a number is missing"},
+		{"class\n", "s:1: a class is missing"},
+		{"holds\n", "s:1: a class is missing"},
 		{"class a\n", "s: 1 classes, expected some, a cheapest and a dearest"},
 		{"swing 0 1 2\n", "s:1: a swing takes a time above 0"},
 	} {
--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -3,31 +3,36 @@
 import (
 	"context"
 	"fmt"
-	"os"
-	"strconv"
 	"testing"
 
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/report"
 )
 
+// restartOfAll has all nodes of three zones killed at once, to start again two seconds later.
+func restartOfAll(seed int64) ZonePlan {
+	return ZonePlan{Seed: seed, Nodes: 15, Kinds: []string{ZoneRestart, ZoneRestart, ZoneRestart}, Fails: 15_000,
+		Heals: 17_000, Ends: 220_000, Load: 0.6}
+}
+
 func playZones(p ZonePlan) *Zones {
 	v := NewZones(p)
 	v.Play()
 	return v
 }
 
-// TestZoneSchedules plays what goes wrong with zones in virtual time and holds each run to all promises.
+// TestZoneSchedules: in a fleet of three to five zones one fails, or two, or all by one cause, at a drawn load;
+// some leaders are lost, some services fail once more while their zone returns. Then all heals. Zones are left for
+// a fault of their own alone, no service is overloaded by a return or by a neighbour's callers, and all zones are
+// in service at the end.
 func TestZoneSchedules(t *testing.T) {
-	n := 40
-	if s := os.Getenv("UMBERWINCH_SCHEDULES"); s != "" {
-		n, _ = strconv.Atoi(s)
-	}
+	n := scheduleCount(t, 40)
 	left, steps, bad := 0, 0, 0
-	report.EachSeed(context.Background(), 1, n, func(seed int64) *Zones { return playZones(DrawZones(seed)) }, func(seed int64, v *Zones) bool {
+	play := func(seed int64) *Zones { return playZones(DrawZones(seed)) }
+	report.EachSeed(context.Background(), 1, n, play, func(seed int64, v *Zones) bool {
 		if p := v.ZonePlan; v.Broken != "" {
-			t.Errorf("seed %d (%v, load %.2f, cold %.1f, %d nodes in %d zones, again %v, spare %d): %s", seed, p.Kinds, p.Load,
-				p.Cold, p.Nodes, p.Zones, p.SecondFault, p.Spare, v.Broken)
+			t.Errorf("seed %d (%v, load %.2f, cold %.1f, %d nodes in %d zones, again %v, spare %d): %s", seed, p.Kinds,
+				p.Load, p.Cold, p.Nodes, p.Zones, p.SecondFault, p.Spare, v.Broken)
 			bad++
 		}
 		left, steps = left+len(v.Left), steps+v.Steps
@@ -39,7 +44,8 @@
 	}
 }
 
-// TestZoneGuards takes each guard out: a promise has to break, or it is not checked.
+// TestZoneGuards: a fault that one guard of zone evacuation is there for keeps all promises. With that guard taken
+// out a promise has to break, or no check would find that it is missing.
 func TestZoneGuards(t *testing.T) {
 	base := ZonePlan{Seed: 3, Nodes: 15, Fails: 15_000, Heals: 40_000, Ends: 200_000, Load: 0.6}
 	room := base
@@ -59,7 +65,8 @@
 		verdict := func(p ZonePlan) string {
 			v := playZones(p)
 			if name == "room" && v.Failing < 0.98*alone.Failing {
-				return fmt.Sprintf("%.0f of value done while it failed, and %.0f by nodes alone", v.Failing, alone.Failing)
+				return fmt.Sprintf("%.0f of value done while it failed, and %.0f by nodes alone", v.Failing,
+					alone.Failing)
 			}
 			return v.Broken
 		}
@@ -79,11 +86,11 @@
 	}
 }
 
-// TestRestart: a fleet whose nodes all restart at once asks nothing of its cold services that they don't bear, and
-// is back; without a small start it asks for several times that. A lone restart has no part in it.
+// TestRestart: all nodes of a fleet are killed at once and start again, and the services below are cold. The fleet
+// begins with a small rate limit: no service is sent more than its capacity, and all of the load is done in the end.
+// Without a small start services are overloaded. A restart of one zone alone doesn't begin small.
 func TestRestart(t *testing.T) {
-	base := ZonePlan{Seed: 5, Nodes: 15, Kinds: []string{ZoneRestart, ZoneRestart, ZoneRestart}, Fails: 15_000, Heals: 17_000,
-		Ends: 220_000, Load: 0.6}
+	base := restartOfAll(5)
 	v := playZones(base)
 	if v.Broken != "" || v.ColdStarts == 0 || v.Full() < 0 {
 		t.Errorf("%s; began small %d times, full after %.1f s", v.Broken, v.ColdStarts, v.Full()/1000)
@@ -111,11 +118,11 @@
 	}
 }
 
-// TestSpread: callers that wait until they are told to come back are spread over the recovery; told one moment
-// each, they come together.
+// TestSpread: the same restart, with callers that wait for their Retry-After. It is spread, so that their retries arrive
+// over the recovery. With one moment told to all they arrive together.
 func TestSpread(t *testing.T) {
-	p := ZonePlan{Seed: 1, Nodes: 15, Kinds: []string{ZoneRestart, ZoneRestart, ZoneRestart}, Fails: 15_000, Heals: 17_000, Ends: 220_000,
-		Load: 0.6, Patient: true}
+	p := restartOfAll(1)
+	p.Patient = true
 	v := playZones(p)
 	if v.Broken != "" || v.ColdStarts == 0 || v.Full() < 0 {
 		t.Errorf("%s; began small %d times, full after %.1f s", v.Broken, v.ColdStarts, v.Full()/1000)
