--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -21,7 +21,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Report is what a laboratory's run found: a table, figures, plots, and whether a promise was broken.
+// Report is what a run found: a table, figures, plots, and whether a promise was broken.
 type Report struct {
 	Name    string
 	Title   string
@@ -39,8 +39,8 @@
 	Value string `json:"value"`
 }
 
-// marked is up to how many points each is drawn as a mark too.
-const marked = 30
+// maxMarkedPoints is up to how many points of a line are drawn as marks too.
+const maxMarkedPoints = 30
 
 // Plot is lines over a common axis.
 type Plot struct {
@@ -113,7 +113,8 @@
 td,th{border:1px solid #ccc;padding:.3em .7em;text-align:left}pre{background:#f4f4f4;padding:1em;overflow:auto}
 .broken{color:#b00}.kept{color:#070}</style></head><body>
 <h1>{{.Title}}</h1>
-{{if .Broken}}<p class="broken">Broken:</p><pre>{{.Broken}}</pre>{{else}}<p class="kept">Every promise was kept.</p>{{end}}
+{{if .Broken}}<p class="broken">Broken:</p><pre>{{.Broken}}</pre>{{else -}}
+<p class="kept">Every promise was kept.</p>{{end}}
 {{if .Rows}}<table><tr>{{range .Head}}<th>{{.}}</th>{{end}}</tr>
 {{range .Rows}}<tr>{{range .}}<td>{{.}}</td>{{end}}</tr>{{end}}</table>{{end}}
 <table>{{range .Figures}}<tr><td>{{.Key}}</td><td>{{.Value}}</td></tr>{{end}}</table>
@@ -122,6 +123,16 @@
 </body></html>
 `))
 
+// resultFile is result.json, its keys in the order of the alphabet.
+type resultFile struct {
+	Broken  string     `json:"broken"`
+	Figures []Figure   `json:"figures"`
+	Head    []string   `json:"head"`
+	Name    string     `json:"name"`
+	Notes   []string   `json:"notes"`
+	Rows    [][]string `json:"rows"`
+}
+
 // Save writes report.html and result.json to a folder.
 func (r *Report) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -145,16 +156,18 @@
 	if err := os.WriteFile(filepath.Join(dir, "report.html"), b.Bytes(), 0o644); err != nil {
 		return err
 	}
-	raw, err := json.MarshalIndent(map[string]any{"name": r.Name, "broken": r.Broken, "figures": r.Figures,
-		"head": r.Head, "rows": r.Rows, "notes": r.Notes}, "", " ")
+	result := resultFile{Broken: r.Broken, Figures: r.Figures, Head: r.Head, Name: r.Name, Notes: r.Notes, Rows: r.Rows}
+	raw, err := json.MarshalIndent(result, "", " ")
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(filepath.Join(dir, "result.json"), append(raw, '\n'), 0o644)
 }
 
-// EachSeed plays n seeds from the first on, on all cores, and hands over each run, one at a time, until one is enough or ctx ends.
-func EachSeed[R any](ctx context.Context, first int64, n int, play func(seed int64) R, take func(seed int64, r R) (enough bool)) {
+// EachSeed plays n seeds from the first on, on all cores, and hands over each run, one at a time, until one is
+// enough or ctx ends.
+func EachSeed[R any](ctx context.Context, first int64, n int, play func(seed int64) R,
+	take func(seed int64, r R) (enough bool)) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	next, over := 0, false
@@ -203,7 +216,7 @@
 		line.Color, points.Color = plotutil.Color(i), plotutil.Color(i)
 		marks := []plot.Thumbnailer{line}
 		g.Add(line)
-		if len(xys) <= marked {
+		if len(xys) <= maxMarkedPoints {
 			g.Add(points)
 			marks = append(marks, points)
 		}
