--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -25,7 +25,7 @@
 	"umberwinch/internal/simulation"
 )
 
-// RecoveryTest is a run of `umberctl faulttest comeback`: a fleet that restarts whole and a group that lost its state, on the
+// RecoveryTest is a run of `umberctl faulttest recovery`: a fleet that restarts whole and a group that lost its state, on the
 // fleet of the zones' cases and in their virtual time.
 type RecoveryTest struct {
 	Seed          int64
--- a/internal/harness/recovery_test.go
+++ b/internal/harness/recovery_test.go
@@ -36,7 +36,7 @@
 }
 
 // TestComebackGuards takes guards out on processes: the case that needs each breaks. small-start is taken out in virtual
-// time (TestRestart), and by umberctl faulttest comeback.
+// time (TestRestart), and by umberctl faulttest recovery.
 func TestComebackGuards(t *testing.T) {
 	t.Parallel()
 	for guard, only := range map[string]string{"generation": "a paused majority of the old generation goes on",
--- a/internal/harness/result_store_cost.go
+++ b/internal/harness/result_store_cost.go
@@ -37,7 +37,8 @@
 // withNode starts a node with its stand-ins in a folder of its own for as long as use takes.
 func (k *ResultStoreTest) withNode(ctx context.Context, own, without string, use func(*resultStoreNode) error) error {
 	return withWorkFolder(ctx, &report.Report{}, func(dir string) error {
-		r, err := newResultStoreNode(dir, k.Program, k.Seed, time.Second, own, without)
+		r, err := newResultStoreNode(resultStoreSetUp{dir: dir, program: k.Program, seed: k.Seed, window: time.Second,
+			own: own, without: without})
 		if err != nil {
 			return err
 		}
@@ -47,6 +48,7 @@
 
 func (r *resultStoreNode) cost(ctx context.Context, rep *report.Report, name string, callers int, span time.Duration) error {
 	defer r.close()
+	client := r.currentLife().client
 	r.kernel.onBegin, r.kernel.callsStore = nil, false
 	r.kernel.Set(func(classes map[string]*simulation.Class, cores *float64) {
 		for _, c := range classes {
@@ -58,7 +60,7 @@
 		return err
 	}
 	for end := time.Now().Add(5 * time.Second); ; {
-		if code, _, _ := r.send(ctx, r.client, "submit", newKey(), false); code == http.StatusOK {
+		if code, _, _ := r.send(ctx, client, "submit", newKey(), false); code == http.StatusOK {
 			break
 		}
 		if time.Now().After(end) {
@@ -71,14 +73,14 @@
 		var mu sync.Mutex
 		var all sync.WaitGroup
 		began := time.Now()
-		cpu, _ := cpuOf(r.node.pid())
+		cpu, _ := cpuOf(r.proc.pid())
 		for range callers {
 			all.Add(1)
 			go func() {
 				defer all.Done()
 				for time.Since(began) < span && ctx.Err() == nil {
 					at := time.Now()
-					code, _, _ := r.send(ctx, r.client, class, newKey(), false)
+					code, _, _ := r.send(ctx, client, class, newKey(), false)
 					mu.Lock()
 					if code == http.StatusOK {
 						done++
@@ -89,7 +91,7 @@
 			}()
 		}
 		all.Wait()
-		after, _ := cpuOf(r.node.pid())
+		after, _ := cpuOf(r.proc.pid())
 		key := fmt.Sprintf("%s, %d callers, %s", name, callers, class)
 		rep.Add(key, "%.0f a second, median %.2f ms, 99th %.2f ms, %.0f us of CPU each", float64(done)/time.Since(began).Seconds(),
 			float64(took.ValueAtQuantile(50))/1000, float64(took.ValueAtQuantile(99))/1000,
--- a/internal/harness/result_store_test.go
+++ b/internal/harness/result_store_test.go
@@ -15,12 +15,13 @@
 		{"result", "sync", "after its result was told"}} {
 		t.Run("without "+c.without, func(t *testing.T) {
 			t.Parallel()
-			r, err := newResultStoreNode(t.TempDir(), built(t), 7, resultWindow, "[kept]\nfolder = DIR\nentries = 4000\nmb = 8\n", c.without)
+			r, err := newResultStoreNode(resultStoreSetUp{dir: t.TempDir(), program: built(t), seed: 7, window: resultWindow,
+				own: killedStore, without: c.without})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer r.close()
-			r.at = c.at
+			r.crashPoint = c.at
 			ctx, end := context.WithTimeout(context.Background(), 40*time.Second)
 			defer end()
 			kills := 25
@@ -30,44 +31,69 @@
 			if err = r.play(ctx, kills); err != nil {
 				t.Fatal(err, r.tail())
 			}
-			if c.broken == "" && (r.broken != "" || r.repeats == 0) || c.broken != "" && !strings.Contains(r.broken, c.broken) {
-				t.Fatalf("after %d kills, %d done, %d repeats: broken %q, expected %q", r.kills, r.done, r.repeats, r.broken, c.broken)
+			broken, answers := r.history.broken(), r.history.answers
+			if c.broken == "" && (broken != "" || answers.repeatsDone == 0) || !strings.Contains(broken, c.broken) {
+				t.Fatalf("after %d kills, %d done, %d repeats: broken %q, expected %q", r.kills.all, answers.done,
+					answers.repeatsDone, broken, c.broken)
 			}
 		})
 	}
 }
 
-// TestKeptChecker: wrong histories are found.
+// A checker that finds nothing would let every run pass: each kind of wrong history is found, and a right one is not.
 func TestKeptChecker(t *testing.T) {
+	key := []byte("a")
 	for _, c := range []struct {
 		name string
-		play func(r *resultStoreNode)
+		play func(h *resultHistory)
 	}{
-		{"a second run", func(r *resultStoreNode) { r.begins([]byte("a")); r.begins([]byte("a")) }},
-		{"a second effect", func(r *resultStoreNode) { r.begins([]byte("a")); r.acts([]byte("a")); r.acts([]byte("a")) }},
-		{"another's result", func(r *resultStoreNode) {
-			r.begins([]byte("a"))
-			r.note(0, "b", 200, "a#1\x00\xff", true, true, 0)
+		{"a second run", func(h *resultHistory) { h.runBegins(key); h.runBegins(key) }},
+		{"a second effect", func(h *resultHistory) { h.runBegins(key); h.effectDone(key); h.effectDone(key) }},
+		{"another's result", func(h *resultHistory) {
+			h.runBegins(key)
+			h.note(attemptOutcome{key: "b", code: 200, body: "a#1\x00\xff", again: true, read: true})
 		}},
-		{"a changed result", func(r *resultStoreNode) { r.begins([]byte("a")); r.note(0, "a", 200, "a#1\x00", true, true, 0) }},
-		{"no answer", func(r *resultStoreNode) { r.up = true; r.note(0, "a", 0, "", false, true, 0) }},
-		{"a result that is lost", func(r *resultStoreNode) {
-			r.note(0, "a", 200, string(r.begins([]byte("a"))), false, true, 0)
-			r.note(0, "a", 500, "", true, true, 0)
+		{"a changed result", func(h *resultHistory) {
+			h.runBegins(key)
+			h.note(attemptOutcome{key: "a", code: 200, body: "a#1\x00", again: true, read: true})
 		}},
-		{"an answer of no kind", func(r *resultStoreNode) { r.note(0, "a", 404, "", false, true, 0) }},
+		{"no answer", func(h *resultHistory) { h.note(attemptOutcome{key: "a", read: true, alive: true}) }},
+		{"a result that is lost", func(h *resultHistory) {
+			h.note(attemptOutcome{key: "a", code: 200, body: string(h.runBegins(key)), read: true})
+			h.note(attemptOutcome{key: "a", code: 500, again: true, read: true})
+		}},
+		{"an answer of no kind", func(h *resultHistory) { h.note(attemptOutcome{key: "a", code: 404, read: true}) }},
 	} {
-		r := &resultStoreNode{runs: map[string][]callResult{}, told: map[string]time.Time{}, effects: map[string]int{}}
-		if c.play(r); r.broken == "" {
-			t.Errorf("%s: not found", c.name)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			h := newResultHistory()
+			if c.play(h); h.broken() == "" {
+				t.Error("not found")
+			}
+		})
+	}
+	h := newResultHistory()
+	h.note(attemptOutcome{key: "a", code: 200, body: string(h.runBegins(key)), read: true, alive: true})
+	h.note(attemptOutcome{key: "b", alive: true})
+	h.note(attemptOutcome{key: "c", read: true})
+	if broken := h.broken(); broken != "" {
+		t.Errorf("a right history: %s", broken)
+	}
+}
+
+// A request that got no answer is a broken promise only while the node is in the life in which it was sent.
+func TestNodeIsAliveInItsOwnLifeAlone(t *testing.T) {
+	r := &resultStoreNode{life: nodeLife{client: newLifeClient()}}
+	first := r.currentLife()
+	if r.alive(first) {
+		t.Error("alive before it began")
+	}
+	if r.beginLife(); !r.alive(first) {
+		t.Error("not alive after it began")
+	}
+	if r.endLife(); r.alive(first) {
+		t.Error("alive after its end")
 	}
-	r := &resultStoreNode{runs: map[string][]callResult{}, told: map[string]time.Time{}, effects: map[string]int{}, up: true}
-	r.note(0, "a", 200, string(r.begins([]byte("a"))), false, true, 0)
-	r.note(0, "b", 0, "", false, false, 0)
-	r.life++
-	r.note(0, "c", 0, "", false, true, 0)
-	if r.broken != "" {
-		t.Errorf("a right history: %s", r.broken)
+	if r.beginLife(); r.alive(first) {
+		t.Error("alive in the life after it")
 	}
 }
