--- a/internal/node/server/client_connections.go
+++ b/internal/node/server/client_connections.go
@@ -134,9 +134,9 @@
 }
 
 // usable counts the connections that may bring a further request.
-func (l *loop) usable() (n int) {
-	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
-		if !l.connections.get(h).closing {
+func (c *clients) usable() (n int) {
+	for h, i := c.connections.next(0); h != 0; h, i = c.connections.next(i) {
+		if !c.connections.get(h).closing {
 			n++
 		}
 	}
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -70,9 +70,9 @@
 }
 
 // unansweredConnections counts the connections with a request unanswered.
-func (l *loop) unansweredConnections() (n int) {
-	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
-		if l.connections.get(h).hasUnanswered() {
+func (c *clients) unansweredConnections() (n int) {
+	for h, i := c.connections.next(0); h != 0; h, i = c.connections.next(i) {
+		if c.connections.get(h).hasUnanswered() {
 			n++
 		}
 	}
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -28,8 +28,8 @@
 
 func (l *loop) runOnLoop(f func()) { l.post(callback{f}) }
 
-func (l *loop) setFleetTimer(in agent.Milliseconds) {
-	l.timers.set(l.now+admissionTime(in), timerFleet, 0)
+func (t *loopTime) setFleetTimer(in agent.Milliseconds) {
+	t.timers.set(t.now+admissionTime(in), timerFleet, 0)
 }
 
 // admissionTime gives ms in the unit of the loop's times.
@@ -45,14 +45,14 @@
 
 func (l *loop) counts() *Counters { return &l.counters }
 
-func (l *loop) platform() *settings.Startup { return l.settings }
+func (c *configuration) platform() *settings.Startup { return c.settings }
 
-func (l *loop) isKnownKey(key string) bool { return l.idempotency.find(key) != nil }
+func (in *requestsInHand) isKnownKey(key string) bool { return in.idempotency.find(key) != nil }
 
 // runsInFlight counts the runs that the kernel carries out.
-func (l *loop) runsInFlight() (n int) {
-	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
-		if l.requests.get(h).isRunning() {
+func (in *requestsInHand) runsInFlight() (n int) {
+	for h, i := in.requests.next(0); h != 0; h, i = in.requests.next(i) {
+		if in.requests.get(h).isRunning() {
 			n++
 		}
 	}
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -133,22 +133,22 @@
 }
 
 // linkOf gives the link to kernel or service discovery.
-func (l *loop) linkOf(which int) *link {
+func (u *upstreams) linkOf(which int) *link {
 	if which == peerKernel {
-		return &l.kernel.link
+		return &u.kernel.link
 	}
-	return &l.discovery.link
+	return &u.discovery.link
 }
 
 // isCurrent says whether a dial is still the one that its owner goes by. Guards against late events of a dial that was
 // given up, such as one to an address that was replaced meanwhile: its replies would count for calls that go out anew.
 // It holds as each event names its dial. See row "dial that was replaced" in docs/design/shutdown.md.
-func (l *loop) isCurrent(n *dialed) bool {
+func (u *upstreams) isCurrent(n *dialed) bool {
 	if n.peer == peerStore {
-		c := l.store.connections.get(n.storeConn)
+		c := u.store.connections.get(n.storeConn)
 		return c != nil && c.dialed == n
 	}
-	return l.linkOf(n.peer).dialed == n
+	return u.linkOf(n.peer).dialed == n
 }
 
 // linkDialed takes what came of a dial. The connection may have ended before this event was handled.
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -13,7 +13,8 @@
 	"umberwinch/internal/retryafter"
 )
 
-// loop is what the one goroutine owns. All else reaches it by events alone, but for what is shared.
+// loop is what the one goroutine owns, by concern. All else reaches it by events alone, but for what is shared. What
+// needs one concern only is a method of that; what ties several together, such as the end of a call, is the loop's.
 type loop struct {
 	shared
 	configuration
@@ -100,7 +101,7 @@
 func (s *shared) post(e event) { s.events <- e }
 
 // nextRound is the round that is being filled.
-func (l *loop) nextRound() *admission.Round { return &l.rounds[l.filling] }
+func (d *decisions) nextRound() *admission.Round { return &d.rounds[d.filling] }
 
 // finishRound lets go of what is over, now that the controller names it no more.
 func (l *loop) finishRound() {
--- a/internal/node/server/loop_time.go
+++ b/internal/node/server/loop_time.go
@@ -28,10 +28,10 @@
 }
 
 // startClock begins to measure time; requests are taken that reached the machine up to oldest ago.
-func (l *loop) startClock(oldest admission.Time) {
-	l.clock = clock.New()
-	l.stamps = clock.NewStamps(l.clock.Read, durationOf(oldest))
-	l.now = timeOf(l.clock.Now())
+func (t *loopTime) startClock(oldest admission.Time) {
+	t.clock = clock.New()
+	t.stamps = clock.NewStamps(t.clock.Read, durationOf(oldest))
+	t.now = timeOf(t.clock.Now())
 }
 
 // lookAtClock brings the loop's time up to now, by the monotonic clock, and notices a step of the wall clock. Guards
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -58,9 +58,9 @@
 )
 
 // findRequest finds a request in hand by its id; nil if there is none.
-func (l *loop) findRequest(id []byte) (handle, *request) {
-	h := l.byRequestID[string(id)]
-	return h, l.requests.get(h)
+func (in *requestsInHand) findRequest(id []byte) (handle, *request) {
+	h := in.byRequestID[string(id)]
+	return h, in.requests.get(h)
 }
 
 // runEnded takes the end of a run: its result is the response, and that of those who wait for it. Where the client is
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -139,27 +139,27 @@
 	return notRejected
 }
 
-func (l *loop) missesField(a *arrivingRequest) bool {
+func (c *configuration) missesField(a *arrivingRequest) bool {
 	return a.ID == nil || a.ReceivedAtMS == 0 || !a.HasCaller || a.FootprintKB == 0 ||
-		l.hasIdempotencyKey(a.handler) && len(a.IdempotencyKey) == 0
+		c.hasIdempotencyKey(a.handler) && len(a.IdempotencyKey) == 0
 }
 
-func (l *loop) hasIdempotencyKey(handler int) bool {
-	return l.settings.Deployment.Handlers[handler].RetrySafety == admission.IdempotencyKeyed
+func (c *configuration) hasIdempotencyKey(handler int) bool {
+	return c.settings.Deployment.Handlers[handler].RetrySafety == admission.IdempotencyKeyed
 }
 
 // mayHaveRun tells whether a request with this id is in hand: the same attempt comes again, and the first may have run.
-func (l *loop) mayHaveRun(id []byte) bool {
-	_, old := l.findRequest(id)
+func (in *requestsInHand) mayHaveRun(id []byte) bool {
+	_, old := in.findRequest(id)
 	return old != nil && !(old.isAbandoned() && old.run == runNotStarted)
 }
 
 // forgetAbandoned lets a request of the same id, whose client is gone and which never ran, make room for the one that
 // comes now.
-func (l *loop) forgetAbandoned(id []byte) {
-	if h, old := l.findRequest(id); old != nil {
-		delete(l.byRequestID, old.id)
-		l.maybeFinished = append(l.maybeFinished, h)
+func (in *requestsInHand) forgetAbandoned(id []byte) {
+	if h, old := in.findRequest(id); old != nil {
+		delete(in.byRequestID, old.id)
+		in.maybeFinished = append(in.maybeFinished, h)
 	}
 }
 
@@ -227,12 +227,12 @@
 }
 
 // handlerNamed finds the handler that a path names, which may be percent-encoded.
-func (l *loop) handlerNamed(name string) (index int, known bool) {
-	if index, known = l.settings.HandlerIndex[name]; known {
+func (c *configuration) handlerNamed(name string) (index int, known bool) {
+	if index, known = c.settings.HandlerIndex[name]; known {
 		return index, true
 	}
 	if plain, err := url.PathUnescape(name); err == nil {
-		index, known = l.settings.HandlerIndex[plain]
+		index, known = c.settings.HandlerIndex[plain]
 	}
 	return index, known
 }
@@ -240,8 +240,8 @@
 // repeatKey names what one request shares with its repeats; empty if it has none. The handler's number and the
 // length of the tenant's name stand before the texts. Guards against two requests of different handlers or
 // tenants whose texts run into the same name, so that one's result would be the other's answer.
-func (l *loop) repeatKey(handler int, q *wire.Request) string {
-	d := l.settings.Deployment
+func (c *configuration) repeatKey(handler int, q *wire.Request) string {
+	d := c.settings.Deployment
 	name := fmt.Appendf(nil, "%d/%d/%s/", handler, len(q.Tenant), q.Tenant)
 	switch {
 	case d.Handlers[handler].RetrySafety == admission.IdempotencyKeyed:
@@ -273,17 +273,17 @@
 // any order what came at once, and says whom each repeats. Guards against two attempts of one key that are read in one
 // round, as after the machine stood still: neither is in the idempotency table yet, and both would run. See row
 // "standstill of this process" in docs/design/shutdown.md.
-func (l *loop) orderArrivals(all []admission.Request) {
+func (in *requestsInHand) orderArrivals(all []admission.Request) {
 	slices.SortStableFunc(all, func(a, b admission.Request) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
 	for i := range all {
 		q := &all[i]
-		key := l.requests.get(handle(q.ID)).key
+		key := in.requests.get(handle(q.ID)).key
 		if key == "" {
 			continue
 		}
-		q.PreviousID = l.idempotency.previous(key, l.requests.get(handle(q.ID)).earliestArrival)
+		q.PreviousID = in.idempotency.previous(key, in.requests.get(handle(q.ID)).earliestArrival)
 		for k := 0; k < i && q.PreviousID == 0; k++ {
-			if l.requests.get(handle(all[k].ID)).key == key {
+			if in.requests.get(handle(all[k].ID)).key == key {
 				q.PreviousID = all[k].ID
 			}
 		}
--- a/internal/node/server/result_host.go
+++ b/internal/node/server/result_host.go
@@ -27,23 +27,23 @@
 	l.results.close(durationOf(l.answerBy+l.killMargin/2) - l.clock.Now())
 }
 
-func (l *loop) currentTime() admission.Time { return l.now }
+func (t *loopTime) currentTime() admission.Time { return t.now }
 
 func (l *loop) drainDeadline() (answerBy admission.Time, draining bool) {
 	return l.answerBy, l.draining
 }
 
-func (l *loop) setResultTimer(at admission.Time, h handle) { l.timers.set(at, timerResultStore, h) }
+func (t *loopTime) setResultTimer(at admission.Time, h handle) { t.timers.set(at, timerResultStore, h) }
 
-func (l *loop) requestByHandle(h handle) *request { return l.requests.get(h) }
+func (in *requestsInHand) requestByHandle(h handle) *request { return in.requests.get(h) }
 
-func (l *loop) forEachRequest(f func(h handle, r *request)) {
-	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
-		f(h, l.requests.get(h))
+func (in *requestsInHand) forEachRequest(f func(h handle, r *request)) {
+	for h, i := in.requests.next(0); h != 0; h, i = in.requests.next(i) {
+		f(h, in.requests.get(h))
 	}
 }
 
-func (l *loop) requestCapacity() int { return l.requests.capacity }
+func (in *requestsInHand) requestCapacity() int { return in.requests.capacity }
 
 func (l *loop) countShared() { l.counters.SharedResults++ }
 
@@ -55,8 +55,8 @@
 
 // hasSharedResult tells whether the result of a request's key is in memory or will be: the controller then has it
 // answered.
-func (l *loop) hasSharedResult(r *request) bool {
-	e := l.idempotency.find(r.key)
+func (in *requestsInHand) hasSharedResult(r *request) bool {
+	e := in.idempotency.find(r.key)
 	return e != nil && r.earliestArrival < e.until && (e.hasResult || e.state < entryDone)
 }
 
