--- a/internal/simulation/consensus_clients.go
+++ b/internal/simulation/consensus_clients.go
@@ -60,7 +60,7 @@
 	w.sendCall(k)
 }
 
-// sendCall sends a call to some host; where no answer comes it goes to another.
+// sendCall sends a call to some host, and to another when no response has come in time.
 func (w *ConsensusGroup) sendCall(k *pendingCall) {
 	k.try++
 	try, h := k.try, w.hosts[w.random.Intn(len(w.hosts))]
--- a/internal/simulation/consensus_faults.go
+++ b/internal/simulation/consensus_faults.go
@@ -9,7 +9,7 @@
 	"umberwinch/internal/wal"
 )
 
-// Fault is one thing done to a world at a moment.
+// Fault is one fault of a schedule, at a time after its beginning.
 type Fault struct {
 	At   int64
 	Kind string
@@ -130,7 +130,7 @@
 	w.startHost(h, false)
 }
 
-// Result is what came of a schedule.
+// Result is the outcome of a schedule.
 type Result struct {
 	Seed   int64
 	Steps  int
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -64,7 +64,7 @@
 	Trace        func(string)
 }
 
-// network is what lies between hosts.
+// network is what connects hosts.
 type network struct {
 	greeted  map[[2]int]bool // by incarnations: whether they have exchanged handshakes that both accept
 	cut      map[[2]int]bool // by hosts, one way
@@ -139,7 +139,7 @@
 	}
 }
 
-// waitFor runs on while a condition does not hold, at most some time.
+// waitFor runs until a condition holds, for some time at most, and tells whether it does.
 func (w *ConsensusGroup) waitFor(ms int64, holds func() bool) bool {
 	for end := w.Now + ms; w.Now < end && w.Broken == ""; {
 		if holds() {
@@ -222,9 +222,9 @@
 	} else {
 		h.disk = h.disk.PowerLoss(w.random.Intn)
 	}
-	life := h.incarnation
+	incarnation := h.incarnation
 	w.after(ms, func() {
-		if h.replica == nil && h.incarnation == life {
+		if h.replica == nil && h.incarnation == incarnation {
 			w.startHost(h, false)
 		}
 	})
@@ -238,15 +238,15 @@
 	}
 }
 
-// work lets an instance do what it has ready, then looks at what came of it.
+// work lets an instance do what it has ready, checks its state, and responds to clients.
 func (w *ConsensusGroup) work(h *host) {
 	if h.replica == nil || w.Broken != "" {
 		return
 	}
 	var out consensus.WorkResult
-	life := h.incarnation
+	incarnation := h.incarnation
 	w.atHost(h, func() (err error) {
-		out, err = h.replica.Work(func(ms []*pb.Message) { w.send(h, life, ms) })
+		out, err = h.replica.Work(func(ms []*pb.Message) { w.send(h, incarnation, ms) })
 		return err
 	})
 	if h.replica == nil {
--- a/internal/simulation/consensus_network.go
+++ b/internal/simulation/consensus_network.go
@@ -7,10 +7,10 @@
 	"umberwinch/internal/control/consensus"
 )
 
-// connectInstance has an instance that came up make itself known to whoever it reaches, again until all know it or it
-// ends.
-func (w *ConsensusGroup) connectInstance(h *host, life int) {
-	if h.replica == nil || h.incarnation != life {
+// connectInstance has an instance that has started exchange handshakes with all that it reaches, again until all have
+// accepted it or it ends.
+func (w *ConsensusGroup) connectInstance(h *host, incarnation int) {
+	if h.replica == nil || h.incarnation != incarnation {
 		return
 	}
 	all := true
@@ -23,7 +23,7 @@
 		}
 	}
 	if !all {
-		w.after(100, func() { w.connectInstance(h, life) })
+		w.after(100, func() { w.connectInstance(h, incarnation) })
 	}
 }
 
@@ -41,7 +41,7 @@
 	for _, p := range [][2]*host{{a, b}, {b, a}} {
 		var reason string
 		w.atHost(p[0], func() (err error) {
-			to := uint64(0) // an id is known by being a member's
+			to := uint64(0) // an id is known from the list of members
 			for _, m := range p[1].replica.Members() {
 				if m.ID == p[0].id {
 					to = m.ID
@@ -72,7 +72,7 @@
 	return ok
 }
 
-func (w *ConsensusGroup) send(h *host, life int, ms []*pb.Message) {
+func (w *ConsensusGroup) send(h *host, incarnation int, ms []*pb.Message) {
 	for _, m := range ms {
 		raw, err := proto.Marshal(m)
 		if err != nil {
@@ -86,11 +86,11 @@
 		to, snap := m.GetTo(), m.GetType() == pb.MessageType_MsgSnap
 		for ; copies > 0; copies-- {
 			took := 1 + w.random.Int63n(w.maxDelay)
-			w.after(took, func() { w.deliver(h, life, to, raw) })
+			w.after(took, func() { w.deliver(h, incarnation, to, raw) })
 		}
 		if snap {
 			w.after(2*w.maxDelay, func() {
-				if h.replica != nil && h.incarnation == life {
+				if h.replica != nil && h.incarnation == incarnation {
 					h.replica.ReportSnapshot(to, true)
 					w.work(h)
 				}
@@ -99,7 +99,7 @@
 	}
 }
 
-func (w *ConsensusGroup) deliver(from *host, life int, to uint64, raw []byte) {
+func (w *ConsensusGroup) deliver(from *host, incarnation int, to uint64, raw []byte) {
 	var h *host
 	for _, o := range w.hosts {
 		if o.id == to && o.replica != nil {
@@ -110,10 +110,10 @@
 		return
 	}
 	if h.frozen > w.Now { // it waits in a socket
-		w.after(h.frozen-w.Now, func() { w.deliver(from, life, to, raw) })
+		w.after(h.frozen-w.Now, func() { w.deliver(from, incarnation, to, raw) })
 		return
 	}
-	if from.incarnation == life && from.replica != nil && !w.exchange(from, h) || h.replica == nil {
+	if from.incarnation == incarnation && from.replica != nil && !w.exchange(from, h) || h.replica == nil {
 		return
 	}
 	m := &pb.Message{}
--- a/internal/simulation/discard_logger.go
+++ b/internal/simulation/discard_logger.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// discardLogger is raft's logger in a world.
+// discardLogger drops what the Raft library logs, but for failures.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any) {}
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -153,7 +153,8 @@
 // faultsBeginMS is when the first version is long settled: ten seconds of leases from before it, and its own changes.
 const faultsBeginMS = 16_000
 
-// Play lets the schedule run to its end.
+// Play plays the schedule: the first version settles; changes, faults and losses of state come; all heals; then
+// every change has to end, and every node to serve under the version in force.
 func (w *Fleet) Play() {
 	if w.Span == 0 {
 		w.Span = 30_000
@@ -162,51 +163,56 @@
 	w.after(1500, func() { w.proposeChange(false, 0) })
 	w.Changes++
 	w.runUntil(faultsBeginMS)
+	w.scheduleChanges()
+	w.schedulePartition()
+	if !w.Calm {
+		for t := 1000.0; t < float64(w.Span); t += w.random.ExpFloat64() * float64(w.Span) / 12 {
+			w.after(t, w.injectFault)
+		}
+	}
+	w.scheduleStateLosses()
+	w.runUntil(w.Now + float64(w.Span) + 3*float64(w.Lease) + float64(len(w.nodes))*10*w.Down)
+	w.heal()
+	w.runUntil(w.Now + 12*float64(w.Lease) + 65_000)
+	if w.Way != "" {
+		w.Overlap = longestOverlap(w.History)
+		return
+	}
+	w.checkEnd()
+}
+
+// scheduleChanges spreads the changes over the span: a third is exclusive, a fourth may leave a node behind.
+func (w *Fleet) scheduleChanges() {
 	at := 500.0
 	for i := 1; i < w.Changes; i++ {
-		excl, spare := w.random.Intn(3) == 0, 0
+		exclusive, spare := w.random.Intn(3) == 0, 0
 		if w.random.Intn(4) == 0 {
 			spare = 1
 		}
-		w.after(at, func() { w.proposeChange(excl, spare) })
+		w.after(at, func() { w.proposeChange(exclusive, spare) })
 		at += float64(w.Span) / float64(w.Changes+1)
 	}
-	if w.Down > 0 { // a share of the fleet is cut off while changes are made, back one by one afterwards
-		for i, n := range w.nodes {
-			if float64(i) < w.Down*float64(len(w.nodes)) {
-				w.after(200, func() { n.partitioned = true })
-				w.after(float64(w.Span)+float64(i)*10, func() { n.partitioned = false })
-			}
-		}
-	}
-	if !w.Calm {
-		for t := 1000.0; t < float64(w.Span); t += w.random.ExpFloat64() * float64(w.Span) / 12 {
-			w.after(t, w.injectFault)
+}
+
+// schedulePartition cuts a share of the fleet off while changes are made. Its nodes are back one by one afterwards.
+func (w *Fleet) schedulePartition() {
+	for i, n := range w.nodes {
+		if float64(i) < w.Down*float64(len(w.nodes)) {
+			w.after(200, func() { n.partitioned = true })
+			w.after(float64(w.Span)+float64(i)*10, func() { n.partitioned = false })
 		}
 	}
-	if w.StateLosses > 0 {
-		w.copyState()
-		w.checkEpochs()
-		w.drillZones()
-	}
-	for i := 0; i < w.StateLosses; i++ {
-		w.after(2000+w.random.Float64()*float64(w.Span), w.loseState)
-	}
-	w.runUntil(w.Now + float64(w.Span) + 3*float64(w.Lease) + float64(len(w.nodes))*10*w.Down)
-	// All heals: then every change ends and every node serves under what is in force.
+}
+
+// heal ends all faults.
+func (w *Fleet) heal() {
 	for _, n := range w.nodes {
 		n.partitioned, n.neverPrepares, n.preparing = false, false, 0
 	}
 	w.Calm = true
-	if w.StateLosses > 0 { // one may have come last of all
+	if w.StateLosses > 0 { // the last loss may have come late
 		w.runUntil(w.Now + 30_000)
 	}
-	w.runUntil(w.Now + 12*float64(w.Lease) + 65_000)
-	if w.Way != "" {
-		w.Overlap = longestOverlap(w.History)
-		return
-	}
-	w.checkEnd()
 }
 
 func (w *Fleet) runUntil(at float64) {
--- a/internal/simulation/fleet_control.go
+++ b/internal/simulation/fleet_control.go
@@ -33,7 +33,7 @@
 // addVersion adds a version to the group's.
 func (w *Fleet) addVersion() uint64 {
 	n := len(w.texts) + 1
-	w.versionsMade++ // no text comes twice, also where a number does after a loss
+	w.versionsMade++ // no two texts are the same, also where a loss of state repeats a number
 	given := fmt.Sprintf("[fleet]\nlease = %dms\nwhen_alone = fence\n[tenant t]\nrate = %d\n%s", w.Lease,
 		w.versionsMade, w.ZoneRules)
 	d, err := document.Parse("version", []byte(given))
@@ -46,18 +46,18 @@
 	return uint64(n)
 }
 
+// elect makes one of the running instances the leader, as soon as they are a majority.
 func (w *Fleet) elect() {
 	if w.stopped || w.leader >= 0 && w.instances[w.leader].up {
 		return
 	}
-	up, running := []int{}, 0
+	var up []int
 	for i, c := range w.instances {
 		if c.up {
 			up = append(up, i)
-			running++
 		}
 	}
-	if 2*running <= len(w.instances) {
+	if 2*len(up) <= len(w.instances) {
 		w.after(100, w.elect)
 		return
 	}
@@ -69,13 +69,9 @@
 func (w *Fleet) tick(i int) {
 	c := w.instances[i]
 	if c.up {
-		leads := w.leader == i
-		c.coordinator.SetRole(w.group, leads, w.term)
+		c.coordinator.SetRole(w.group, w.leader == i, w.term)
 		at := w.Now * c.rate
-		ms := uint64(at) - uint64(c.lastTick)
-		if ms > 200 {
-			ms = 200
-		}
+		ms := min(uint64(at)-uint64(c.lastTick), 200)
 		c.lastTick = at
 		for _, e := range c.coordinator.Tick(w.state, ms) {
 			w.appendEntry(i, e)
@@ -86,9 +82,9 @@
 
 // appendEntry has an entry committed after a while. If its leader is lost first it may be committed all the same.
 func (w *Fleet) appendEntry(i int, e coordinator.Entry) {
-	term, lost, part := w.term, w.random.Intn(2) == 0, w.state
+	term, lost, state := w.term, w.random.Intn(2) == 0, w.state
 	w.after(2+w.random.ExpFloat64()*5, func() {
-		if w.state != part { // lost with the state that it was for
+		if w.state != state { // lost with the state that it was for
 			return
 		}
 		if (w.leader != i || w.term != term) && lost {
@@ -122,7 +118,7 @@
 	})
 }
 
-// checkAllPrepared holds a decision that counts to its condition: whoever is in has the version at hand.
+// checkAllPrepared: when a version is decided, each node with a lease that isn't left behind has prepared it.
 func (w *Fleet) checkAllPrepared(op *policy.Op) {
 	c := w.state.Policy.Current
 	if c == nil || c.Number != op.ChangeNumber || c.Step != policy.Preparing || op.FleetEpoch != w.state.Fleet.Epoch &&
@@ -142,58 +138,66 @@
 	}
 }
 
-// recordDecisions records what the group decided.
+// recordDecisions records what the group decided since it was last looked at.
 func (w *Fleet) recordDecisions() {
-	look := func(c *policy.Change) {
-		was := w.steps[c.Number]
-		if was == c.Step {
-			return
-		}
-		w.steps[c.Number] = c.Step
-		ev := func(kind string) {
-			if w.recorded[kind+c.Hash] {
-				return // by a copy of the state from before: the same once more
-			}
-			if w.recorded[kind+c.Hash] = true; kind == "decided" {
-				w.decidedHash[c.Version] = c.Hash
-			}
-			w.record(FleetEvent{Kind: kind, Version: c.Version, From: c.PreviousVersion, Excl: c.Proposal.Exclusive,
-				Why: c.AbortReason})
+	for _, c := range w.state.Policy.History {
+		w.recordStep(c)
+	}
+	if c := w.state.Policy.Current; c != nil {
+		w.recordStep(c)
+	}
+}
+
+// recordStep records the step that a change is in, if it is new.
+func (w *Fleet) recordStep(c *policy.Change) {
+	before := w.steps[c.Number]
+	if before == c.Step {
+		return
+	}
+	w.steps[c.Number] = c.Step
+	switch c.Step {
+	case policy.Preparing:
+		if w.Way == WayEach {
+			w.after(0, func() { w.decideAtOnce(c) })
 		}
-		switch c.Step {
-		case policy.Preparing:
-			if w.Way == WayEach {
-				w.after(0, func() {
-					w.index++
-					w.state.Policy.Apply(policy.Decide{ChangeNumber: c.Number}, w.state.Fleet, nil, w.Without)
-					w.recordDecisions()
-				})
-			}
-		case policy.Decided:
-			ev("decided")
+	case policy.Decided:
+		w.recordChange("decided", c)
+		w.checkTrial(c)
+	case policy.Committed:
+		if before == policy.Preparing || before == "" {
+			w.recordChange("decided", c)
 			w.checkTrial(c)
-		case policy.Committed:
-			if was == policy.Preparing || was == "" {
-				ev("decided")
-				w.checkTrial(c)
-			}
-			ev("forced")
-			w.Times = append(w.Times, float64(c.CommittedAtMS-c.ProposedAtMS))
-		case policy.Settled:
-			ev("settled")
-			w.Ends[c.Step]++
-		case policy.Aborted:
-			ev("off")
-			w.Ends[c.Step]++
-			w.Causes[causeOf(c.AbortReason)]++
 		}
+		w.recordChange("forced", c)
+		w.Times = append(w.Times, float64(c.CommittedAtMS-c.ProposedAtMS))
+	case policy.Settled:
+		w.recordChange("settled", c)
+		w.Ends[c.Step]++
+	case policy.Aborted:
+		w.recordChange("off", c)
+		w.Ends[c.Step]++
+		w.Causes[causeOf(c.AbortReason)]++
 	}
-	for _, c := range w.state.Policy.History {
-		look(c)
+}
+
+// recordChange adds an event to the history, unless a copy of the group's state from before has come to it once more.
+func (w *Fleet) recordChange(kind string, c *policy.Change) {
+	if w.recorded[kind+c.Hash] {
+		return
 	}
-	if c := w.state.Policy.Current; c != nil {
-		look(c)
+	w.recorded[kind+c.Hash] = true
+	if kind == "decided" {
+		w.decidedHash[c.Version] = c.Hash
 	}
+	w.record(FleetEvent{Kind: kind, Version: c.Version, From: c.PreviousVersion, Excl: c.Proposal.Exclusive,
+		Why: c.AbortReason})
+}
+
+// decideAtOnce is the baseline in which a version is in force as soon as it is proposed.
+func (w *Fleet) decideAtOnce(c *policy.Change) {
+	w.index++
+	w.state.Policy.Apply(policy.Decide{ChangeNumber: c.Number}, w.state.Fleet, nil, w.Without)
+	w.recordDecisions()
 }
 
 // checkTrial holds a decision to the trial: no version that fails it is decided.
--- a/internal/simulation/fleet_faults.go
+++ b/internal/simulation/fleet_faults.go
@@ -87,7 +87,7 @@
 	}
 	state := w.state
 	w.after(500+w.random.Float64()*float64(w.Lease), func() {
-		if w.state != state || w.stopped { // all were started anew meanwhile
+		if w.state != state || w.stopped { // all were restarted meanwhile
 			return
 		}
 		w.startInstance(c)
--- a/internal/simulation/fleet_node.go
+++ b/internal/simulation/fleet_node.go
@@ -64,7 +64,7 @@
 	n.step()
 }
 
-// kill ends its process; a name that comes back begins a new life.
+// kill ends its process; it starts again as another incarnation.
 func (n *node) kill() {
 	n.setServing(false)
 	n.up, n.incarnation = false, n.incarnation+1
@@ -185,7 +185,7 @@
 // arrive has the instance answer, by its leader where it isn't the leader itself.
 func (x *exchange) arrive() {
 	w := x.node.fleet
-	if t, speaks := w.formerLeaderResponse(x.node, x.instance, &x.request); speaks {
+	if t, answers := w.formerLeaderResponse(x.node, x.instance, &x.request); answers {
 		x.respond(t, nil)
 		return
 	}
--- a/internal/simulation/fleet_operator.go
+++ b/internal/simulation/fleet_operator.go
@@ -6,7 +6,7 @@
 	"umberwinch/internal/control/policy"
 )
 
-// proposeChange proposes a version, as an operator would: asked again under one key until there is an answer.
+// proposeChange proposes a version, as an operator would: retried under one idempotency key until there is a response.
 func (w *Fleet) proposeChange(excl bool, spare int) {
 	if w.leader < 0 || w.state.Policy.Current != nil {
 		w.after(200, func() { w.proposeChange(excl, spare) })
@@ -27,7 +27,8 @@
 				return
 			}
 			answered = true
-			if r.Rejection != "" { // another change came first: a later version, as this one may be behind by then
+			if r.Rejection != "" {
+				// Another change came first: propose a later version, as this one may be older than it.
 				w.proposeChange(op.Proposal.Exclusive, op.Proposal.MaxLeftBehind)
 				return
 			}
--- a/internal/simulation/fleet_state_loss.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -19,19 +19,17 @@
 
 // stateLoss is a schedule's state for it.
 type stateLoss struct {
-	group  string
-	textOf map[string]string // texts
-	copies []savedState
-	// decidedAs has the hash that each version was decided by last.
-	decidedHash   map[uint64]string
-	recorded      map[string]bool // what was recorded of which text
-	losses        int
+	group         string
+	textOf        map[string]string // by hash
+	copies        []savedState
+	decidedHash   map[uint64]string // by version, as it was decided last
+	recorded      map[string]bool   // kind of event and hash of the text
 	versionsMade  int
 	stopped       bool // no instance runs: the state is lost, or being restored
 	lossNoticed   bool // an operator has seen that state is lost
-	gathering     bool // who restores it listens in place of an instance
+	gathering     bool // the operator collects nodes' records
 	nodeRecords   map[string]api.NodeRecord
-	formerLeaders []api.HeartbeatResponse // what leaders of generations before would go on saying
+	formerLeaders []api.HeartbeatResponse // responses of former generations' leaders
 	firstEpoch    uint64                  // the zones' epoch that the present generation began with
 
 	Lost, Found, Restored int // losses, those that the group found by itself, and restorings
@@ -46,9 +44,22 @@
 	events        int // of the history
 }
 
-// copyIntervalMS is how often the folders are copied, in ms, saveMost how many copies are kept.
+// copyIntervalMS is how often the folders are copied, in ms, maxCopies how many copies are there to be put back.
 const copyIntervalMS, maxCopies = 700, 24
 
+// scheduleStateLosses has the folders copied, and state lost, now and then.
+func (w *Fleet) scheduleStateLosses() {
+	if w.StateLosses == 0 {
+		return
+	}
+	w.copyState()
+	w.checkEpochs()
+	w.drillZones()
+	for range w.StateLosses {
+		w.after(2000+w.random.Float64()*float64(w.Span), w.loseState)
+	}
+}
+
 // copyState copies the folders now and then.
 func (w *Fleet) copyState() {
 	w.after(copyIntervalMS, w.copyState)
@@ -80,7 +91,7 @@
 		return
 	}
 	w.stopInstances()
-	w.losses, w.Lost = w.losses+1, w.Lost+1
+	w.Lost++
 	if w.random.Intn(3) == 0 {
 		w.after(500+w.random.Float64()*2000, func() { w.restoreGroup(w.random.Intn(2) == 0) })
 		return
@@ -95,7 +106,7 @@
 	})
 }
 
-// nodesAhead counts the nodes that were told of entries after one.
+// nodesAhead counts the nodes that were notified of entries after one.
 func (w *Fleet) nodesAhead(index uint64) (n int) {
 	for _, o := range w.nodes {
 		if o.agent != nil && o.agent.LastSeen().Group == w.group && o.agent.LastSeen().Index > index {
@@ -184,7 +195,7 @@
 
 // formerLeaderResponse is the response of a former generation's leader, which was paused meanwhile and answers
 // nodes at one of the addresses as before.
-func (w *Fleet) formerLeaderResponse(n *node, to int, a *api.HeartbeatRequest) (t api.HeartbeatResponse, speaks bool) {
+func (w *Fleet) formerLeaderResponse(n *node, to int, a *api.HeartbeatRequest) (t api.HeartbeatResponse, answers bool) {
 	if len(w.formerLeaders) == 0 || w.Calm || to != 0 || w.random.Intn(4) != 0 {
 		return t, false
 	}
@@ -224,7 +235,8 @@
 			found = recovery.PlanRestore(all, base, w.decidedHash[conflict]) // as the operator has noted it
 		}
 		if found.Conflict != "" || !folders && found.Version == 0 || len(all) < len(w.nodes) {
-			w.after(3000, func() { w.restoreGroup(folders) }) // listens once more: not all were heard who may serve
+			// The record of some node that may serve is missing: collect once more.
+			w.after(3000, func() { w.restoreGroup(folders) })
 			return
 		}
 		w.beginGeneration(p, found, folders)
@@ -281,7 +293,7 @@
 		return
 	}
 	w.state, w.firstEpoch = p, p.Zones.Epoch
-	w.group = fmt.Sprintf("g%d-%d", p.Generation, w.losses)
+	w.group = fmt.Sprintf("g%d-%d", p.Generation, w.Lost)
 	w.steps = map[uint64]policy.Step{}
 	for _, c := range p.Policy.History {
 		w.steps[c.Number] = c.Step
--- a/internal/simulation/fleet_state_loss_test.go
+++ b/internal/simulation/fleet_state_loss_test.go
@@ -8,10 +8,10 @@
 	"umberwinch/internal/report"
 )
 
-// TestLostSchedules: while the policy changes and faults come, the group loses its state twice: an older copy of its
-// folders is put back, or none is left. Nodes prove the loss, an operator restores the group from what they have, and a
-// leader of the former generation may go on answering. No node acts on a former generation once the new one has
-// settled an epoch, and none goes back to an older version.
+// TestLostSchedules: while the policy changes and faults come, the group loses its state twice: an older copy of
+// its folders is put back, or none is left. Nodes prove the loss, an operator restores the group from what they
+// have, and a leader of the former generation may go on answering. No node acts on a former generation once the new
+// one has settled an epoch, and none goes back to an older version.
 func TestLostSchedules(t *testing.T) {
 	n := scheduleCount(t, 60)
 	lost, found, restored, bad := 0, 0, 0, 0
--- a/internal/simulation/pool_scenarios.go
+++ b/internal/simulation/pool_scenarios.go
@@ -20,8 +20,8 @@
 
 // Promises of docs/design/pools.md, as far as virtual time can show them.
 const (
-	minCheapestInTime = 0.95 // of the cheapest class's reqs done within their target, in every scenario
-	maxDearestLoss    = 0.03 // the most valued class loses at most so much by pools
+	minCheapestInTime = 0.95 // of the cheapest class's requests done within their target, in every scenario
+	maxDearestLoss    = 0.03 // of requests that the class of the highest value may lose by pools
 )
 
 // Scenario is one text file:
@@ -34,7 +34,7 @@
 //
 //	holds CLASS SHARE                   so much of it is done in time with pools
 //
-// share is the class's part of all reqs. cheapest names the class whose promise is checked, dearest the one
+// share is the class's part of all requests. cheapest names the class whose promise is checked, dearest the one
 // that must not lose by pools.
 type Scenario struct {
 	name              string
@@ -49,7 +49,7 @@
 	exempt            bool // the promise on the cheapest class does not hold here, as the file says why
 }
 
-// serviceTarget is a share of a class's reqs that has to be done in time with pools.
+// serviceTarget is a share of a class's requests that has to be done in time with pools.
 type serviceTarget struct {
 	class    int
 	fraction float64
@@ -116,7 +116,7 @@
 	return admission.New(d), o
 }
 
-// outcome is what came of one scenario with one way, over all servers.
+// outcome is a scenario's, in one variant, over all servers.
 type outcome struct {
 	classes  []tallies
 	busiest  float64 // share of the cores in use over the fullest window
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -28,17 +28,17 @@
 	Handler     admission.Handler
 	Work        float64 // tenths of a ms in the mean
 	WorkSigma   float64 // sigma of a log-normal spread, 0 for none
-	Rate        float64 // reqs a second at a server
-	HeavyShare  float64 // share of reqs at times the work
+	Rate        float64 // requests a second at a server
+	HeavyShare  float64 // share of requests that take HeavyFactor times the work
 	HeavyFactor float64
 	hangs       float64 // share of runs that never end
 	surge       int     // tenant that asks more, -1 for none
 	surgeBy     float64
-	tries       int         // further tries after a shed
+	tries       int         // further attempts after one was shed
 	arrivals    virtualTime // when the next one comes
 }
 
-// tallies are what became of a class's first tries.
+// tallies count what became of a class's requests.
 type tallies struct {
 	offered, inTime, late, shed, errored int
 	withinQuota, withinQuotaInTime       int                     // those of tenants that don't surge
@@ -49,7 +49,7 @@
 
 type attempt struct {
 	class, tenant int
-	first         virtualTime // when it was first asked
+	first         virtualTime // of the first attempt
 	arrived       virtualTime
 	try           int
 	answered      bool
@@ -59,7 +59,7 @@
 	caller        uint32
 }
 
-// run is one run: it ends when the service that each run has had comes to its end.
+// run is one run: it ends when the service that each run has had reaches a sum.
 type run struct {
 	id   uint32
 	ends float64
@@ -77,7 +77,7 @@
 
 // server is one emulated server.
 type server struct {
-	random        *rand.Rand // all of what is asked, and what it takes: the same whatever is decided
+	random        *rand.Rand // draws all requests and their work: the same whatever is decided
 	decider       decider
 	now           virtualTime
 	cores         float64
@@ -115,7 +115,7 @@
 	return s
 }
 
-// gap draws the time to a class's next req.
+// gap draws the time to a class's next request.
 func (s *server) gap(k int) virtualTime {
 	c := &s.classes[k]
 	rate := c.Rate
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -21,7 +21,7 @@
 	ZoneCallers      = "callers"  // from its callers alone
 	ZoneOutlierNode  = "bad node" // one node of it is sick
 	ZoneCommon       = "common"   // all zones are slow
-	ZoneFalseReports = "lies"     // two of five of its nodes say that they are sick
+	ZoneFalseReports = "lies"     // two of five of its nodes report that they are unhealthy
 	ZoneRestart      = "restart"  // its nodes are killed and start again at once, cold
 	ZoneNoise        = "noise"    // half of the reports are missing, the others vary
 )
@@ -29,7 +29,7 @@
 // classFractions and flowValue are the classes of the flows: shares and values.
 var classFractions, classWeights = [3]float64{0.7, 0.2, 0.1}, [3]float64{1, 2, 20}
 
-// maxAttempts is how often a caller asks for one req at most.
+// maxAttempts is how often a caller sends one request at most.
 const maxAttempts = 4
 
 const (
@@ -38,13 +38,13 @@
 	latencyObjectiveMS = 300.0
 	// WarmUpSeconds of full capacity fill a service's cache.
 	WarmUpSeconds   = 10.0
-	maxRetryAfterMS = 10_000 // ms: the longest that a caller may be told to wait
+	maxRetryAfterMS = 10_000 // ms, of a Retry-After
 	// maxRetryPeak is how much more than first attempts callers may send at once, by each coming back up to three
 	// times and by a step that admits all that were told to come in it. Callers that are all told the same moment
 	// exceed it.
 	maxRetryPeak = 12
 	retrySteps   = maxRetryAfterMS/100 + 20
-	quotaPlaces  = 8    // of those that a share leaves out, told apart by when they are let in
+	quotaPlaces  = 8    // parts of the requests that a quota leaves out, each with a Retry-After of its own
 	zoneRunSlots = 80.0 // run slots of a zone's nodes, four times what its service below works on at once
 )
 
@@ -60,7 +60,7 @@
 	failing          bool
 	secondFaultBegan bool                  // the second failure has come
 	rateLimits       map[string][2]float64 // now, and before until settled
-	attemptCounts    [2]float64            // tries, and first ones, from the trouble on
+	attemptCounts    [2]float64            // attempts, and first ones, from the fault on
 	Broken           string
 }
 
@@ -71,25 +71,25 @@
 	ejectedUntil   float64
 }
 
-// ZoneFigures is what a run came to.
+// ZoneFigures is what was measured in a run.
 type ZoneFigures struct {
-	Done            float64 // value done in time, and asked for, since the trouble began
+	Done            float64 // weight done in time, and offered, from the fault on
 	Asked           float64
 	Failing         float64            // value done while it fails, from five seconds on
 	OthersDone      float64            // least share of weight done by zones in service
-	Tries           float64            // a req, from the trouble on
-	Left            map[string]float64 // ms from the trouble to a zone's leaving
-	Back            map[string]float64 // and from its end to the zone's being in again
+	Tries           float64            // attempts a request, from the fault on
+	Left            map[string]float64 // ms from the fault to a zone's evacuation
+	Back            map[string]float64 // and from its end until the zone is in service again
 	Wrong           int
 	Steps           int
 	BackStep        int
-	Peak            float64 // below while it returns: asked over what it bears
+	Peak            float64 // load over capacity of a service while its zone returns
 	peakAt          string
 	NeighbourPeak   float64 // most load over capacity of a zone in service, its own first attempts fitting
 	neighbourPeakAt string
-	OverloadMS      float64 // ms for which its service was asked for more than it bears, in that second failure
+	OverloadMS      float64 // ms for which a service was overloaded by a second fault
 	ColdStarts      int     // times that the fleet began with a share
-	Start           float64 // after a restart: asked below over what it bears, at worst
+	Start           float64 // highest load over capacity of a service after a restart
 	RetryPeak       float64 // after a restart, from callers that wait: most attempts at once over first ones
 	Plot            []report.Line
 }
@@ -101,7 +101,7 @@
 	return ""
 }
 
-// commonCause tells that one cause ails all zones.
+// commonCause tells that all zones have one fault.
 func (v *Zones) commonCause() bool {
 	for z := 1; z < v.Zones; z++ {
 		if v.kind(z) != v.kind(0) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// Play runs it: ten calm seconds, trouble, its end, and on until Ends.
+// Play plays the run: calm seconds, the fault, its end, and on until Ends; then all promises have to hold.
 func (v *Zones) Play() {
 	w := v.Fleet
 	w.after(1500, func() { w.proposeChange(false, 0) })
@@ -130,15 +130,20 @@
 	if w.Broken != "" {
 		v.fail("%s", w.Broken)
 	}
-	if v.Off || v.Own || v.Oracle {
-		return
+	if !v.Off && !v.Own && !v.Oracle {
+		v.checkZones()
+		v.checkLoad()
 	}
-	for _, z := range w.state.Zones.Zones {
+}
+
+// checkZones: all zones are in service at the end, and none was evacuated where staying was worth more.
+func (v *Zones) checkZones() {
+	for _, z := range v.Fleet.state.Zones.Zones {
 		if z.Phase != zones.InService {
 			v.fail("zone %s is %s at %d at the end: %v", z.Name, z.Phase, z.Share, z.Events[len(z.Events)-1])
 		}
 	}
-	for _, z := range w.state.Zones.Zones {
+	for _, z := range v.Fleet.state.Zones.Zones {
 		for _, e := range z.Events {
 			if e.ValueOfEvacuating < e.ValueOfStaying {
 				v.fail("zone %s was left for %.0f of value a second, where staying was to do %.0f", z.Name,
@@ -146,6 +151,10 @@
 			}
 		}
 	}
+}
+
+// checkLoad: no service was overloaded by a restart, a return or a neighbour's callers.
+func (v *Zones) checkLoad() {
 	if v.Start > 1 {
 		v.fail("a service was asked for %.2f of what it bears after the restart", v.Start)
 	}
@@ -165,7 +174,7 @@
 	}
 }
 
-// allInService tells that no zone is left, or has been for long enough for all nodes to have heard.
+// allInService tells that no zone is evacuated, or none for long enough that all nodes were notified.
 func (w *Fleet) allInService() bool {
 	s := w.state.Zones
 	for _, z := range s.Zones {
--- a/internal/simulation/zones_faults.go
+++ b/internal/simulation/zones_faults.go
@@ -33,7 +33,7 @@
 	v.failing = false
 	for z, b := range v.dependencies {
 		if b.speed < 1 {
-			b.speed, b.warm = 1, 0 // what comes back is cold
+			b.speed, b.warm = 1, 0 // its cache is empty
 		}
 		if v.kind(z) == ZoneKernels {
 			b.warm = 0
@@ -47,7 +47,7 @@
 	}
 }
 
-// injectSecondFault is what comes in the middle of a return.
+// injectSecondFault does what is planned for the middle of a return.
 func (v *Zones) injectSecondFault() {
 	if v.secondFaultBegan {
 		return
@@ -66,7 +66,7 @@
 	}
 }
 
-// loseLeader has the leader lost, if that is asked for.
+// loseLeader crashes the leader, if the plan says so, and starts it again later.
 func (v *Zones) loseLeader() {
 	w := v.Fleet
 	if !v.Lead || w.leader < 0 {
--- a/internal/simulation/zones_plan.go
+++ b/internal/simulation/zones_plan.go
@@ -26,9 +26,9 @@
 	Without     zones.Guard
 	SecondFault bool    // its service below fails once more, to a third of its speed, in the middle of the return
 	Spare       int     // nodes of z0 that start for the first time in the middle of the return
-	Stagger     float64 // ms by which a common cause comes later to each next zone
+	Stagger     float64 // ms by which a common fault begins later in each next zone
 	Ramp        float64 // a baseline: after a restart nodes take a share that grows by the clock, in so many ms
-	Patient     bool    // callers that are turned away come again when they are told to
+	Patient     bool    // callers that are rejected wait for their Retry-After
 	Lead        bool    // the leader is lost as the zone fails, and as it begins to return
 }
 
--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestSpread: the same restart, with callers that wait for their Retry-After. It is spread, so that their retries arrive
-// over the recovery. With one moment told to all they arrive together.
+// TestSpread: the same restart, with callers that wait for their Retry-After. It is spread, so that their retries
+// arrive over the recovery. With one moment told to all they arrive together.
 func TestSpread(t *testing.T) {
 	p := restartOfAll(1)
 	p.Patient = true
--- a/internal/simulation/zones_traffic.go
+++ b/internal/simulation/zones_traffic.go
@@ -9,7 +9,7 @@
 	"umberwinch/internal/retryafter"
 )
 
-// dependency is a zone's service below, and what goes over it.
+// dependency is the service that a zone's nodes call.
 type dependency struct {
 	warmCapacity float64 // runs a second when warm
 	warm         float64
@@ -19,8 +19,8 @@
 	demand       float64
 	capacity     float64
 	coldFactor   float64
-	recentLoad   [10]float64 // asked over what it bears, of the last second
-	steadySteps  int         // steps for which its zone has been returning, with nothing wrong below
+	recentLoad   [10]float64 // demand over capacity, of the last second
+	steadySteps  int         // steps for which its zone has been returning and it had no fault
 }
 
 // capacityNow is how many runs a second it bears now, warm or not.
@@ -167,7 +167,7 @@
 	next  int // the step that is played next
 }
 
-// take gives what comes again in this step, and goes on to the next.
+// take gives the retries of this step, and goes on to the next.
 func (q *retryQueue) take() requestMatrix {
 	due := q.steps[q.next]
 	q.steps[q.next] = requestMatrix{}
@@ -196,7 +196,7 @@
 	inServiceDone, inServiceOffered float64 // of zones in service without a fault: weight done, offered
 }
 
-// playStep plays a tenth of a second: who is asked, what each zone admits and its service does, and what is measured.
+// playStep plays a tenth of a second: what callers send, what each zone admits and its service does, what is measured.
 func (v *Zones) playStep() {
 	v.Fleet.after(stepMS, v.playStep)
 	s := v.newTrafficStep()
@@ -231,14 +231,14 @@
 	return s
 }
 
-// reject turns requests away, to come again when they were told to; after is the gate's wait in ms, 0 for none.
+// reject rejects requests, which are retried after their Retry-After; after is the gate's wait in ms, 0 for none.
 func (s *trafficStep) reject(attempt, class int, n float64, after uint64) {
 	if !s.Patient {
 		s.retries.add(0, attempt, class, n)
 		return
 	}
 	from, to := retryafter.Window(maxRetryAfterMS, int64(min(after, maxRetryAfterMS)))
-	if s.Without.Has(zones.RetryAfterSpread) { // as soon as it may be let in, or in a second
+	if s.Without.Has(zones.RetryAfterSpread) { // as soon as it may be admitted, or in a second
 		from, to = max(1000, int64(min(after, maxRetryAfterMS))), 0
 	}
 	first := int(from) / stepMS
@@ -248,7 +248,7 @@
 	}
 }
 
-// rejectByQuota turns away those that a zone's quota leaves out: each is told to wait by its place in the quota.
+// rejectByQuota rejects requests that a zone's quota leaves out: their Retry-After goes by their place in the quota.
 func (s *trafficStep) rejectByQuota(view *zoneView, attempt, class int, n float64) {
 	if n <= 0 || !s.Patient || view.gate == nil {
 		s.reject(attempt, class, n, 0)
@@ -369,11 +369,11 @@
 	return first, retries
 }
 
-// serve has the zone's service do what it bears of what it is asked for and of its queue, and warm up by it.
-func (t *zoneStep) serve(asked float64) {
+// serve has the zone's service do what its capacity allows of new requests and of its queue, and warm up by it.
+func (t *zoneStep) serve(demand float64) {
 	const dt = stepMS / 1000.0
 	b := t.dependency
-	b.demand, b.capacity = asked, b.capacityNow()
+	b.demand, b.capacity = demand, b.capacityNow()
 	broken := t.failing && t.kind(t.zone) == ZoneKernels
 	t.served = min(b.demand+b.queue/dt, b.capacity)
 	if broken {
