--- a/internal/harness/client.go
+++ b/internal/harness/client.go
@@ -72,8 +72,8 @@
 }
 
 // sendAttemptWithBody is sendAttempt with a body, and the answer's.
-func sendAttemptWithBody(ctx context.Context, client *http.Client, addr, class string, tenant, sender int, key string, again bool,
-	body string) (code int, answer string, backOff time.Duration, err error) {
+func sendAttemptWithBody(ctx context.Context, client *http.Client, addr, class string, tenant, sender int, key string,
+	again bool, body string) (code int, answer string, backOff time.Duration, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/rpc/"+class, strings.NewReader(body))
 	if err != nil {
 		return 0, "", 0, err
--- a/internal/harness/control_processes.go
+++ b/internal/harness/control_processes.go
@@ -51,7 +51,8 @@
 }
 
 // newControlProcesses starts a group and waits until all are voters. extra stands at the end of each operator's file.
-func newControlProcesses(ctx context.Context, program, dir string, size int, extra string, env ...string) (*controlProcesses, error) {
+func newControlProcesses(ctx context.Context, program, dir string, size int, extra string,
+	env ...string) (*controlProcesses, error) {
 	c := &controlProcesses{program: program, dir: dir, env: env, forwarders: newForwarders(),
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128,
 			DialContext: (&net.Dialer{Timeout: 200 * time.Millisecond}).DialContext}}}
--- a/internal/harness/demo.go
+++ b/internal/harness/demo.go
@@ -34,8 +34,8 @@
 	Folder  string // where the node's log is; set by a run that failed or was interrupted, which leaves it
 }
 
-// DemoTroubles are what a demo may have beside its load: a service below that each run calls, slow in the middle third of the
-// time or cold at first; a link to the kernel that breaks every five seconds.
+// DemoTroubles are what a demo may have beside its load: a service below that each run calls, slow in the middle third
+// of the time or cold at first; a link to the kernel that breaks every five seconds.
 var DemoTroubles = []string{"slow", "cold", "links"}
 
 // demoClasses are the scenarios' own.
@@ -51,7 +51,8 @@
 // classResults is what became of a class's requests, in all and since the last table.
 type classResults struct {
 	requests, done, inTime, shed, errored int
-	times                                 *hdrhistogram.Histogram // tenths of a ms from the moment it was meant to be sent
+	// tenths of a ms from the moment it was meant to be sent
+	times *hdrhistogram.Histogram
 }
 
 func newClassResults() *classResults { return &classResults{times: hdrhistogram.New(1, 1_000_000, 2)} }
@@ -80,8 +81,8 @@
 	P95      float64 // ms
 }
 
-// Run starts all of it, shows what happens, and ends it clean. A run that failed or was interrupted leaves the node's log:
-// the error says where, or Folder.
+// Run starts all of it, shows what happens, and ends it clean. A run that failed or was interrupted leaves the node's
+// log: the error says where, or Folder.
 func (d *Demo) Run(ctx context.Context, w io.Writer) ([]DemoResult, error) {
 	dir, err := os.MkdirTemp("", "umberctl-demo-")
 	if err != nil {
--- a/internal/harness/emulated_kernel.go
+++ b/internal/harness/emulated_kernel.go
@@ -14,8 +14,9 @@
 	"umberwinch/internal/simulation"
 )
 
-// EmulatedKernel is an emulated kernel on a socket: it speaks the platform's protocol to one node and shares a number of cores
-// among what runs. Work takes no real core: each run is told over once the service it would have had is its work.
+// EmulatedKernel is an emulated kernel on a socket: it speaks the platform's protocol to one node and shares a number
+// of cores among what runs. Work takes no real core: each run is told over once the service it would have had is its
+// work.
 type EmulatedKernel struct {
 	mu         sync.Mutex
 	random     *rand.Rand
@@ -53,13 +54,14 @@
 )
 
 // NewEmulatedKernel listens on an address.
-func NewEmulatedKernel(addr string, seed int64, cores float64, classes []simulation.Class, step time.Duration) (*EmulatedKernel, error) {
+func NewEmulatedKernel(addr string, seed int64, cores float64, classes []simulation.Class,
+	step time.Duration) (*EmulatedKernel, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	k := &EmulatedKernel{random: rand.New(rand.NewSource(seed)), ln: ln, classes: map[string]*simulation.Class{}, cores: cores,
-		runs: map[string]*kernelRun{}, first: 1, at: time.Now(), step: step, stop: make(chan struct{})}
+	k := &EmulatedKernel{random: rand.New(rand.NewSource(seed)), ln: ln, classes: map[string]*simulation.Class{},
+		cores: cores, runs: map[string]*kernelRun{}, first: 1, at: time.Now(), step: step, stop: make(chan struct{})}
 	for i := range classes {
 		c := classes[i]
 		k.classes[c.Name] = &c
@@ -189,7 +191,8 @@
 		}
 	case "SYSINFO":
 		n := k.onCores()
-		fmt.Fprintf(c, "{\"verb\":\"INFO\",\"nonce\":%q,\"readings\":[%.3f,%.1f,0.1,10]}\n", m.Nonce, min(1, n/k.cores), n)
+		fmt.Fprintf(c, "{\"verb\":\"INFO\",\"nonce\":%q,\"readings\":[%.3f,%.1f,0.1,10]}\n", m.Nonce,
+			min(1, n/k.cores), n)
 	case "SCHED":
 		class := k.classes[m.Handler]
 		switch {
@@ -261,7 +264,8 @@
 				}
 				if r.remaining -= part; r.callAt > 0 && r.remaining <= r.callAt {
 					r.callAt, r.waiting = 0, true
-					k.sendEvent(fmt.Sprintf("{\"verb\":\"IOREQ\",\"index\":%d,\"task\":%q,\"bytes\":%q}\n", k.first+len(k.events), id,
+					k.sendEvent(fmt.Sprintf("{\"verb\":\"IOREQ\",\"index\":%d,\"task\":%q,\"bytes\":%q}\n",
+						k.first+len(k.events), id,
 						base64.StdEncoding.EncodeToString(r.callBody)))
 				} else if r.remaining <= 0 {
 					k.endRun(id, "OK")
--- a/internal/harness/emulated_store.go
+++ b/internal/harness/emulated_store.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// EmulatedStore is an emulated service below on a socket: it speaks the platform's lines to the nodes of a zone and has so many
-// workers, a cache that calls fill, and a cost for each connection that is opened. Work takes no real core: a call is
-// answered when its turn and its time have come.
+// EmulatedStore is an emulated service below on a socket: it speaks the platform's lines to the nodes of a zone and has
+// so many workers, a cache that calls fill, and a cost for each connection that is opened. Work takes no real core: a
+// call is answered when its turn and its time have come.
 type EmulatedStore struct {
 	mu          sync.Mutex
 	ln          net.Listener
@@ -43,13 +43,15 @@
 const maxStoreBody = 1 << 20
 
 // NewEmulatedStore listens on an address.
-func NewEmulatedStore(addr string, seed int64, workers int, cost time.Duration, cold, fill float64) (*EmulatedStore, error) {
+func NewEmulatedStore(addr string, seed int64, workers int, cost time.Duration,
+	cold, fill float64) (*EmulatedStore, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	s := &EmulatedStore{ln: ln, conns: map[net.Conn]bool{}, random: rand.New(rand.NewSource(seed)), freeAt: make([]time.Time, workers),
-		cost: cost, coldFactor: cold, warmUpCalls: fill, warmth: 1, speed: 1, dropped: map[string]bool{}, started: time.Now()}
+	s := &EmulatedStore{ln: ln, conns: map[net.Conn]bool{}, random: rand.New(rand.NewSource(seed)),
+		freeAt: make([]time.Time, workers), cost: cost, coldFactor: cold, warmUpCalls: fill, warmth: 1, speed: 1,
+		dropped: map[string]bool{}, started: time.Now()}
 	go func() {
 		for {
 			c, err := ln.Accept()
--- a/internal/harness/fleet_control.go
+++ b/internal/harness/fleet_control.go
@@ -88,8 +88,8 @@
 			case !ok || v.OutReason != "" || !v.Reported:
 				return fmt.Errorf("%s is not in: %q", n.name, v.OutReason)
 			case v.Fenced != "" || v.ActiveVersion != version:
-				return fmt.Errorf("%s serves under version %d, fenced %q, expected version %d", n.name, v.ActiveVersion, v.Fenced,
-					version)
+				return fmt.Errorf("%s serves under version %d, fenced %q, expected version %d", n.name,
+					v.ActiveVersion, v.Fenced, version)
 			case !r.ready.ready(n.name):
 				return fmt.Errorf("%s is not ready by the list", n.name)
 			}
@@ -107,7 +107,8 @@
 		if _, err := r.ask(http.MethodGet, "/v1/status", nil, &s); err != nil {
 			return err
 		}
-		p := consensus.Put{Session: fmt.Sprintf("rig-%d-%d", r.Seed, r.seq), Seq: 1, Base: s.Version, Author: "lab", Text: text}
+		p := consensus.Put{Session: fmt.Sprintf("rig-%d-%d", r.Seed, r.seq), Seq: 1, Base: s.Version, Author: "lab",
+			Text: text}
 		_, err := r.ask(http.MethodPut, "/v1/config", p, &a)
 		if err == nil && a.Outcome == consensus.PutConflict {
 			r.seq++
@@ -167,7 +168,8 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("change %d is %s (%s; waits %v), expected %v", number, c.Step, c.AbortReason, v.WaitingFor, steps)
+		return fmt.Errorf("change %d is %s (%s; waits %v), expected %v", number, c.Step, c.AbortReason, v.WaitingFor,
+			steps)
 	})
 	return c, err
 }
--- a/internal/harness/fleet_history.go
+++ b/internal/harness/fleet_history.go
@@ -122,7 +122,8 @@
 		if !known {
 			c.order = append(c.order, k)
 		}
-		c.first[k] = simulation.FleetEvent{At: l.at, Version: l.number(logging.PolicyVersion), From: l.number(logging.From),
+		c.first[k] = simulation.FleetEvent{At: l.at, Version: l.number(logging.PolicyVersion),
+			From: l.number(logging.From),
 			Excl: l.flag(logging.Exclusive)}
 	})
 }
@@ -188,8 +189,8 @@
 // machine may let it wait for a core.
 const settle = 10_000
 
-// nodeHistory makes spans of service of what a node's log and the scenario say: a process that stands still serves nothing,
-// and one that goes on serves what it did unless its first round fenced it.
+// nodeHistory makes spans of service of what a node's log and the scenario say: a process that stands still serves
+// nothing, and one that goes on serves what it did unless its first round fenced it.
 func nodeHistory(told []simulation.FleetEvent) (out []simulation.FleetEvent) {
 	sort.SliceStable(told, func(i, k int) bool { return told[i].At < told[k].At })
 	serves, under, before := false, uint64(0), false
--- a/internal/harness/fleet_load.go
+++ b/internal/harness/fleet_load.go
@@ -37,8 +37,8 @@
 func (c *CallResults) String() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return fmt.Sprintf("asked %d, done %d, shed %d, lost %d, errored %d, tries %d", c.Requests, c.Done, c.Shed, c.Lost, c.Errors,
-		c.Attempts)
+	return fmt.Sprintf("asked %d, done %d, shed %d, lost %d, errored %d, tries %d", c.Requests, c.Done, c.Shed,
+		c.Lost, c.Errors, c.Attempts)
 }
 
 // quantile gives a time that a share of requests was done within.
@@ -72,8 +72,8 @@
 	return good / max(all, 1)
 }
 
-// Load sends requests at a rate until the context ends, each to a node that the list says is ready, and elsewhere when it
-// is turned away: so a request is lost only if nobody answered it in its time.
+// Load sends requests at a rate until the context ends, each to a node that the list says is ready, and elsewhere when
+// it is turned away: so a request is lost only if nobody answered it in its time.
 func (r *FleetProcesses) Load(ctx context.Context, rate float64) *CallResults {
 	c := &CallResults{}
 	s, _ := simulation.ReadScenario("fleet", fleetClasses)
--- a/internal/harness/fleet_processes.go
+++ b/internal/harness/fleet_processes.go
@@ -13,9 +13,9 @@
 	"umberwinch/internal/simulation"
 )
 
-// A fleet of processes is a control group and nodes of the built programs, emulated kernels, an endpoint list, callers that
-// retry at other nodes, and a forwarder on every link that can cut, drop and delay it. What happened is read from the
-// processes' own logs afterwards.
+// A fleet of processes is a control group and nodes of the built programs, emulated kernels, an endpoint list, callers
+// that retry at other nodes, and a forwarder on every link that can cut, drop and delay it. What happened is read from
+// the processes' own logs afterwards.
 
 // FleetProcessesPlan says what a fleet is made of.
 type FleetProcessesPlan struct {
@@ -49,14 +49,14 @@
 	ctx        context.Context
 	seq        int
 	closed     sync.Once
-	// ms from a change's first step to its being in force, by the instances' logs, as of the last History: the group's own
-	// time stands between beats, so it can't tell.
+	// ms from a change's first step to its being in force, by the instances' logs, as of the last History: the group's
+	// own time stands between beats, so it can't tell.
 	commitTimes map[uint64]float64
 	stores      map[string]*EmulatedStore // by zone
 }
 
-// A zone's service below has four workers and takes 8 ms a call, so it serves 500 calls a second; cold, a call takes twelve
-// times as long, and 200 calls warm the cache.
+// A zone's service below has four workers and takes 8 ms a call, so it serves 500 calls a second; cold, a call takes
+// twelve times as long, and 200 calls warm the cache.
 const (
 	belowWorkers = 4
 	belowCost    = 8 * time.Millisecond
@@ -75,8 +75,9 @@
 
 // NewFleetProcesses starts a group and its nodes and waits until all nodes serve.
 func NewFleetProcesses(ctx context.Context, plan FleetProcessesPlan) (*FleetProcesses, error) {
-	r := &FleetProcesses{FleetProcessesPlan: plan, stores: map[string]*EmulatedStore{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
-		IdleConnTimeout: 5 * time.Second, DialContext: (&net.Dialer{Timeout: 300 * time.Millisecond}).DialContext}}}
+	r := &FleetProcesses{FleetProcessesPlan: plan, stores: map[string]*EmulatedStore{},
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
+			IdleConnTimeout: 5 * time.Second, DialContext: (&net.Dialer{Timeout: 300 * time.Millisecond}).DialContext}}}
 	r.ctx, r.ending = context.WithCancel(ctx)
 	if err := r.startAll(ctx); err != nil {
 		r.Close()
@@ -88,7 +89,8 @@
 // startAll starts the group, then the nodes, and waits until all of them serve.
 func (r *FleetProcesses) startAll(ctx context.Context) (err error) {
 	extra := "[log]\nform = json\n"
-	if r.group, err = newControlProcesses(ctx, r.Program, r.Dir, r.Instances, extra, WithoutEnv+"="+r.Without); err != nil {
+	if r.group, err = newControlProcesses(ctx, r.Program, r.Dir, r.Instances, extra,
+		WithoutEnv+"="+r.Without); err != nil {
 		return err
 	}
 	if r.RestartEnded {
@@ -195,9 +197,9 @@
 	return p, nil
 }
 
-// A caller asks three nodes at once, one after the other, then waits before each further try, twice as long each time from 30 ms:
-// nine attempts in the 3 s that most requests have. Without a pace callers take the cores that a fleet which is
-// down needs to come up, where machines are short of them.
+// A caller asks three nodes at once, one after the other, then waits before each further try, twice as long each time
+// from 30 ms: nine attempts in the 3 s that most requests have. Without a pace callers take the cores that a fleet
+// which is down needs to come up, where machines are short of them.
 const (
 	maxTries = 20 // of those that are Eager; the others' time is over before
 	atOnce   = 3
--- a/internal/harness/fleet_processes_test.go
+++ b/internal/harness/fleet_processes_test.go
@@ -48,8 +48,8 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// Fleets at once: three on four cores, as one takes some 0.6 of a core. With six busy loops beside them on the same four cores
-	// three fleets keep all, and four are swamped.
+	// Fleets at once: three on four cores, as one takes some 0.6 of a core. With six busy loops beside them on the same
+	// four cores three fleets keep all, and four are swamped.
 	flag.Set("test.parallel", fmt.Sprint(min(5, max(3, runtime.NumCPU()-1))))
 	// Runs that break a promise leave their logs, and here many are meant to; they stay where a test fails.
 	dir, err := os.MkdirTemp("", "harness-tests-")
@@ -80,12 +80,13 @@
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
 			t.Parallel()
 			var out bytes.Buffer
-			rep, err := (&PolicyTest{Seed: int64(3 + part), Quick: true, Mode: "real", Changes: 3, Part: part, Parts: parts,
-				Program: built(t)}).Run(context.Background(), &out)
+			rep, err := (&PolicyTest{Seed: int64(3 + part), Quick: true, Mode: "real", Changes: 3, Part: part,
+				Parts: parts, Program: built(t)}).Run(context.Background(), &out)
 			if err != nil || rep.Broken != "" {
 				t.Fatalf("%v\n%s", err, out.String())
 			}
-			if strings.Count(out.String(), " kept, ") < cases/parts || !strings.Contains(out.String(), "real_changes=3 ") {
+			if strings.Count(out.String(), " kept, ") < cases/parts ||
+				!strings.Contains(out.String(), "real_changes=3 ") {
 				t.Fatalf("last line of\n%s", out.String())
 			}
 		})
@@ -98,7 +99,8 @@
 	for guard, only := range map[string]string{"fence": "stopped past its lease and continued",
 		"shadow": "a version that would shed everything", "prepare-all": "a node never answers",
 		"lease":       "killed between the decision and being told",
-		"decide-once": "called off before it is decided, and not after", "incarnation": "its next incarnation hears nothing",
+		"decide-once": "called off before it is decided, and not after",
+		"incarnation": "its next incarnation hears nothing",
 		"no-way-back": "an instance that is behind speaks to a node that starts"} {
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
@@ -110,8 +112,8 @@
 	}
 }
 
-// breaksWithout plays a case on processes with a guard out. They go at the machine's pace, so it is played three times at most: a
-// promise has to break in one.
+// breaksWithout plays a case on processes with a guard out. They go at the machine's pace, so it is played three times
+// at most: a promise has to break in one.
 func breaksWithout(t *testing.T, guard, only string, play func(seed int64, w io.Writer) (*report.Report, error)) {
 	t.Helper()
 	var out bytes.Buffer
@@ -191,7 +193,8 @@
 	if !strings.Contains(b.tail("n2", 20), `"msg":"node serves autonomously, without the group","policy_version":`) {
 		t.Errorf("n2 does not say that it is alone:\n%s", b.tail("n2", 8))
 	}
-	if !strings.Contains(b.tail("n2", 20), `"msg":"cold start without the group: serving begins with a quota","share":32,`) {
+	if !strings.Contains(b.tail("n2", 20),
+		`"msg":"cold start without the group: serving begins with a quota","share":32,`) {
 		t.Errorf("n2 starts without the group and does not begin small:\n%s", b.tail("n2", 8))
 	}
 	for _, p := range b.group.procs {
@@ -242,7 +245,8 @@
 		raw, _ := os.ReadFile(filepath.Join(dir, log))
 		return strings.Count(string(raw), line)
 	}
-	wait("the node's second start", func() bool { return starts("n1.log", `"msg":"node serves","policy_version":1,`) >= 1 })
+	serves := `"msg":"node serves","policy_version":1,`
+	wait("the node's second start", func() bool { return starts("n1.log", serves) >= 1 })
 	wait("the instance's second start", func() bool { return starts("instances.log", "instance is up") >= 4 })
 	cancel()
 	if err := <-errs; err != nil {
@@ -283,10 +287,12 @@
 
 func policyProposal(within uint64) policy.Proposal { return policy.Proposal{PrepareWithinMS: within} }
 
-// TestCallersHaveAPace: callers that are turned away by all ask on ever more slowly, so that a fleet that is down stays able to
-// come up; eager ones go on at once.
+// TestCallersHaveAPace: callers that are turned away by all ask on ever more slowly, so that a fleet that is down stays
+// able to come up; eager ones go on at once.
 func TestCallersHaveAPace(t *testing.T) {
-	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }))
+	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}))
 	defer busy.Close()
 	s, err := simulation.ReadScenario("fleet", fleetClasses)
 	if err != nil {
@@ -294,7 +300,8 @@
 	}
 	s.Classes[0].Handler.Timeout = 10_000 // a second: three at once, then after 30, 90, 210, 450 and 930 ms
 	for _, eager := range []bool{false, true} {
-		r := &FleetProcesses{FleetProcessesPlan: FleetProcessesPlan{RetryAtOnce: eager}, ready: &readiness{readyAt: map[string]time.Time{"n1": time.Now()}}, client: busy.Client()}
+		r := &FleetProcesses{FleetProcessesPlan: FleetProcessesPlan{RetryAtOnce: eager},
+			ready: &readiness{readyAt: map[string]time.Time{"n1": time.Now()}}, client: busy.Client()}
 		r.nodes = []*nodeProcess{{name: "n1", front: strings.TrimPrefix(busy.URL, "http://")}}
 		c := &CallResults{}
 		r.call(c, &s.Classes[0], false, 0, 0)
--- a/internal/harness/forwarders.go
+++ b/internal/harness/forwarders.go
@@ -157,7 +157,8 @@
 	delay         time.Duration // of each piece, both ways
 	swallowPrefix string        // connections that begin so are swallowed
 	replace       [2]string     // what is said has the one in place of the other, of the same length: a node that lies
-	answer        []byte        // what is answered in place of the one beyond to POST /v1/nodes: an instance that is behind
+	// in place of what the other one answers to POST /v1/nodes: an instance that is behind
+	answer []byte
 }
 
 // set puts a fault in place of the one before.
--- a/internal/harness/heartbeat_load.go
+++ b/internal/harness/heartbeat_load.go
@@ -27,12 +27,13 @@
 const heartbeatNodes = 5000
 
 // measureHeartbeats measures what the heartbeats of a fleet of the full size cost the group: processes of the control
-// service, and members in this process, each with a connection of its own. First all members join within ten seconds and the group is measured at
-// rest; then the group and all members are killed, and come back within a second of each other.
+// service, and members in this process, each with a connection of its own. First all members join within ten seconds
+// and the group is measured at rest; then the group and all members are killed, and come back within a second of each
+// other.
 func (r *PolicyTest) measureHeartbeats(ctx context.Context, rep *report.Report) error {
 	return withGroup(ctx, r.Program, rep, 3, "", func(c *controlProcesses) error {
-		m := &heartbeatLoad{group: c, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: heartbeatNodes,
-			MaxIdleConns: 3 * heartbeatNodes}}, began: time.Now()}
+		transport := &http.Transport{MaxIdleConnsPerHost: heartbeatNodes, MaxIdleConns: 3 * heartbeatNodes}
+		m := &heartbeatLoad{group: c, client: &http.Client{Transport: transport}, began: time.Now()}
 		defer m.client.CloseIdleConnections()
 		defer m.close()
 		m.start(ctx, 1, 10*time.Second)
--- a/internal/harness/local_fleet.go
+++ b/internal/harness/local_fleet.go
@@ -31,8 +31,8 @@
 	run, end := context.WithCancel(context.WithoutCancel(ctx)) // so that what is started can be ended in order
 	defer end()
 	isUp := context.AfterFunc(ctx, end) // until then there is nothing to be ended in order
-	r, err := NewFleetProcesses(run, FleetProcessesPlan{Program: l.Program, Dir: l.Dir, Seed: 1, Instances: l.Instances, Nodes: l.Nodes,
-		Folders: true, RestartEnded: true})
+	r, err := NewFleetProcesses(run, FleetProcessesPlan{Program: l.Program, Dir: l.Dir, Seed: 1,
+		Instances: l.Instances, Nodes: l.Nodes, Folders: true, RestartEnded: true})
 	if err != nil {
 		return err
 	}
@@ -52,10 +52,11 @@
 	for _, p := range r.group.procs {
 		at = append(at, p.listen)
 	}
-	fmt.Fprintf(w, "%d control instances, %d nodes in 3 zones, policy version %d in force; logs are in %s\n\n", l.Instances,
-		l.Nodes, version, l.Dir)
+	fmt.Fprintf(w, "%d control instances, %d nodes in 3 zones, policy version %d in force; logs are in %s\n\n",
+		l.Instances, l.Nodes, version, l.Dir)
 	fmt.Fprintf(w, "ask:\n  umberctl nodes list --at %s\n  umberctl policy status --at %[1]s\n", strings.Join(at, ","))
-	fmt.Fprintf(w, "change (on standard input):\n  printf '[fleet]\\nlease = 5s\\nwhen_alone = fence\\n[tenant t0]\\nrate = 500\\n' |\n"+
+	fmt.Fprintf(w, "change (on standard input):\n"+
+		"  printf '[fleet]\\nlease = 5s\\nwhen_alone = fence\\n[tenant t0]\\nrate = 500\\n' |\n"+
 		"    umberctl policy propose - --reason \"t0 grows\" --at %s\n", strings.Join(at, ","))
 	fmt.Fprintln(w, "kill -9, or stop (kill -STOP) and continue (kill -CONT):")
 	for _, p := range r.group.procs {
--- a/internal/harness/node_process.go
+++ b/internal/harness/node_process.go
@@ -35,7 +35,8 @@
 		return nil, err
 	}
 	seed := r.Seed + int64(i)
-	if n.kernel, err = NewEmulatedKernel(loopback(7400), seed, float64(s.Cores), s.Classes, 5*time.Millisecond); err != nil {
+	if n.kernel, err = NewEmulatedKernel(loopback(7400), seed, float64(s.Cores), s.Classes,
+		5*time.Millisecond); err != nil {
 		return nil, err
 	}
 	store, peers, err := n.openBelow(seed)
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -72,7 +72,8 @@
 	return []string{at(0.5), at(0.99), at(1)}
 }
 
-func (r *PolicyTest) row(rep *report.Report, part string, nodes, changes int, ends map[policy.Step]int, times []float64, overlap int64) {
+func (r *PolicyTest) row(rep *report.Report, part string, nodes, changes int, ends map[policy.Step]int,
+	times []float64, overlap int64) {
 	rep.Rows = append(rep.Rows, append(append([]string{part, strconv.Itoa(nodes), strconv.Itoa(changes),
 		strconv.Itoa(ends[policy.Settled]), strconv.Itoa(ends[policy.Aborted])}, span(times)...),
 		fmt.Sprintf("%.0f ms", float64(overlap)/10)))
@@ -91,7 +92,8 @@
 	var overlap int64
 	why := ""
 	report.EachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Fleet {
-		f := simulation.NewFleet(simulation.FleetPlan{Seed: s, Nodes: 9 + int(s%7), Ctl: 3 + 2*int(s%2), Changes: 5, Without: r.Without})
+		f := simulation.NewFleet(simulation.FleetPlan{Seed: s, Nodes: 9 + int(s%7), Ctl: 3 + 2*int(s%2), Changes: 5,
+			Without: r.Without})
 		f.Play()
 		return f
 	}, func(s int64, f *simulation.Fleet) bool {
@@ -141,7 +143,8 @@
 				return
 			}
 			started := time.Now()
-			f := simulation.NewFleet(simulation.FleetPlan{Seed: r.Seed, Nodes: n, Ctl: 3, Changes: 3, Calm: true, Down: c.down, Way: c.way,
+			f := simulation.NewFleet(simulation.FleetPlan{Seed: r.Seed, Nodes: n, Ctl: 3, Changes: 3, Calm: true,
+				Down: c.down, Way: c.way,
 				Lease: 10_000, Span: 60_000})
 			f.Play()
 			if f.Broken != "" {
@@ -150,8 +153,9 @@
 			r.row(rep, "virtual, "+c.part, n, len(f.Times), f.Ends, f.Times, f.Overlap)
 			if c.way == "" {
 				seconds := f.Now / 1000
-				rep.Notes = append(rep.Notes, fmt.Sprintf("%d nodes, %s: %.1f askings, %.2f entries and %.1f KB of them a "+
-					"second; played in %v", n, c.part, float64(f.Heartbeats)/seconds, float64(f.Entries)/seconds,
+				rep.Notes = append(rep.Notes, fmt.Sprintf(
+					"%d nodes, %s: %.1f askings, %.2f entries and %.1f KB of them a "+
+						"second; played in %v", n, c.part, float64(f.Heartbeats)/seconds, float64(f.Entries)/seconds,
 					float64(f.Bytes)/1024/seconds, time.Since(started).Round(time.Millisecond)))
 			}
 		}
@@ -216,7 +220,8 @@
 	return caseSelection{only: r.Only, quick: r.Quick, part: r.Part, parts: r.Parts}
 }
 
-// playCase plays a case; then, with every link whole again, all nodes have to serve and the history to keep its promises.
+// playCase plays a case; then, with every link whole again, all nodes have to serve and the history to keep its
+// promises.
 func (b *policyFixture) playCase(c *policyCase) error {
 	err := runCase(func() { c.run(b) })
 	b.heal()
--- a/internal/harness/policy_fixture.go
+++ b/internal/harness/policy_fixture.go
@@ -75,7 +75,8 @@
 	var res struct {
 		Error string `json:"error"`
 	}
-	_, err = b.ask(http.MethodPost, "/v1/policy", policy.Op{Kind: "off", ChangeNumber: number, Author: "lab", Reason: "on second thoughts"},
+	_, err = b.ask(http.MethodPost, "/v1/policy", policy.Op{Kind: "off", ChangeNumber: number, Author: "lab",
+		Reason: "on second thoughts"},
 		&res)
 	return res.Error, err
 }
@@ -168,8 +169,8 @@
 	return mustGet(b.awaitSettled(c.number, c.version))
 }
 
-// settleWhenHealed waits until a change that not all nodes could take part in has settled, ends all link faults, and waits
-// until all serve under it.
+// settleWhenHealed waits until a change that not all nodes could take part in has settled, ends all link faults, and
+// waits until all serve under it.
 func (b *policyFixture) settleWhenHealed(c proposedChange) {
 	mustGet(b.Step(c.number, 30*time.Second, policy.Settled))
 	b.heal()
@@ -202,7 +203,8 @@
 	if n == 0 {
 		n = 9
 	}
-	fleet, err := NewFleetProcesses(ctx, FleetProcessesPlan{Program: r.Program, Dir: dir, Seed: r.Seed, Instances: 3, Nodes: n, Without: r.ProcessGuards,
+	fleet, err := NewFleetProcesses(ctx, FleetProcessesPlan{Program: r.Program, Dir: dir, Seed: r.Seed, Instances: 3,
+		Nodes: n, Without: r.ProcessGuards,
 		OddNode: n, Folders: true})
 	if err != nil {
 		return nil, err
@@ -226,5 +228,6 @@
 
 // promises of the real part: a lease as the group counts it, and some ms of logs and rounds.
 func (b *policyFixture) promises() simulation.FleetPromises {
-	return simulation.FleetPromises{Overlap: int64(membership.LeaseSpanMS(uint64(b.lease.Milliseconds())))*10 + 2000, Fences: b.whenAlone == "fence"}
+	return simulation.FleetPromises{Overlap: int64(membership.LeaseSpanMS(uint64(b.lease.Milliseconds())))*10 + 2000,
+		Fences: b.whenAlone == "fence"}
 }
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// process is one program that a run starts, ends and may start again. Each start and end goes through it, so that none is
-// left once it is closed.
+// process is one program that a run starts, ends and may start again. Each start and end goes through it, so that none
+// is left once it is closed.
 type process struct {
 	onEnd func() // called at each end, before anybody who waits for it goes on; nil: nothing is
 
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -99,7 +99,8 @@
 		return
 	}
 	size := r.size(first.Seed)
-	short := simulation.Shrink(first.Seed, size, simulation.DrawFaults(first.Seed, size, simulation.ScheduleMilliseconds), r.Without, cutRuns)
+	short := simulation.Shrink(first.Seed, size, simulation.DrawFaults(first.Seed, size,
+		simulation.ScheduleMilliseconds), r.Without, cutRuns)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("seed %d of %d instances: %s\nwith these faults alone:\n%s",
 		first.Seed,
 		size, first.Broken, simulation.FaultLines(short)))
--- a/internal/harness/raft_kills.go
+++ b/internal/harness/raft_kills.go
@@ -139,7 +139,8 @@
 // awaitWrite waits until a write is taken after a moment, twice as long as is promised at most. It gives how long that
 // took; not above zero: none was.
 func (k *leaderKills) awaitWrite(ctx context.Context, since time.Duration) time.Duration {
-	for k.load.lastAnswer.Load() <= int64(since) && ctx.Err() == nil && time.Since(k.load.started)-since <= 2*realWithin {
+	for k.load.lastAnswer.Load() <= int64(since) && ctx.Err() == nil &&
+		time.Since(k.load.started)-since <= 2*realWithin {
 		time.Sleep(time.Millisecond)
 	}
 	return time.Duration(k.load.lastAnswer.Load()) - since
--- a/internal/harness/raft_processes.go
+++ b/internal/harness/raft_processes.go
@@ -64,7 +64,8 @@
 		calm.Points = append(calm.Points, [2]float64{float64(tick * 10), float64(median)})
 		busy.Points = append(busy.Points, [2]float64{float64(tick * 10), float64(100 * wrong)})
 		rep.Rows = append(rep.Rows, []string{fmt.Sprintf("timeout %d ms", tick*10), "3", "8 kills, 10 s busy",
-			"-", fmt.Sprintf("%d elections", wrong), report.Milliseconds(int64(median)), "-", sub.Find("kills3_worst_ms") + " ms"})
+			"-", fmt.Sprintf("%d elections", wrong), report.Milliseconds(int64(median)), "-",
+			sub.Find("kills3_worst_ms") + " ms"})
 	}
 	plot.Lines = []report.Line{calm, busy}
 	rep.Plots = append(rep.Plots, plot)
--- a/internal/harness/recovery_test.go
+++ b/internal/harness/recovery_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestComebackGuards takes guards out on processes: the case that needs each breaks. small-start is taken out in virtual
-// time (TestRestart), and by umberctl faulttest recovery.
+// TestComebackGuards takes guards out on processes: the case that needs each breaks. small-start is taken out in
+// virtual time (TestRestart), and by umberctl faulttest recovery.
 func TestComebackGuards(t *testing.T) {
 	t.Parallel()
 	for guard, only := range map[string]string{"generation": "a paused majority of the old generation goes on",
@@ -44,14 +44,15 @@
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
 			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
-				return (&RecoveryTest{Seed: seed, Quick: true, Mode: "real", ProcessGuards: guard, Only: only, Program: built(t)}).Run(context.Background(), w)
+				return (&RecoveryTest{Seed: seed, Quick: true, Mode: "real", ProcessGuards: guard, Only: only,
+					Program: built(t)}).Run(context.Background(), w)
 			})
 		})
 	}
 }
 
-// TestCrowd: a crowd of nodes is taken in by the group in the order in which they asked, in entries of a bounded size, and nobody
-// waits for long; without that order the first of them do.
+// TestCrowd: a crowd of nodes is taken in by the group in the order in which they asked, in entries of a bounded size,
+// and nobody waits for long; without that order the first of them do.
 func TestCrowd(t *testing.T) {
 	entries, largest, worst, broken := joinAll(1, 5000, 0)
 	if broken != "" || largest > 200_000 || worst > 1500 {
--- a/internal/harness/result_store.go
+++ b/internal/harness/result_store.go
@@ -13,8 +13,8 @@
 	"umberwinch/internal/report"
 )
 
-// This file kills a node that stores results, over and over, at named points and at random ones, and starts it again on its
-// folder, while clients repeat their keys at random. The emulated kernel outlives it and counts runs by key.
+// This file kills a node that stores results, over and over, at named points and at random ones, and starts it again on
+// its folder, while clients repeat their keys at random. The emulated kernel outlives it and counts runs by key.
 
 // ResultStoreTest is `umberctl faulttest results`.
 type ResultStoreTest struct {
@@ -57,8 +57,9 @@
 			k.Kills = 120
 		}
 	}
-	rep := &report.Report{Name: "kept", Title: "Keyed results across restarts", Head: []string{"case", "kills", "reqs", "done", "repeats done",
-		"errored", "shed", "cut by a kill", "torn"}}
+	rep := &report.Report{Name: "kept", Title: "Keyed results across restarts",
+		Head: []string{"case", "kills", "reqs", "done", "repeats done",
+			"errored", "shed", "cut by a kill", "torn"}}
 	if k.Only != "costs" {
 		if err := k.kills(ctx, rep); err != nil {
 			return nil, err
--- a/internal/harness/result_store_cost.go
+++ b/internal/harness/result_store_cost.go
@@ -14,8 +14,11 @@
 )
 
 // resultStoreVariants are what is compared: what a keyed request takes more, and what others notice of it.
-var resultStoreVariants = []struct{ name, own, without string }{{"kept, one sync for all that wait", "[kept]\nfolder = DIR\n", ""},
-	{"kept, a sync each", "[kept]\nfolder = DIR\n", "group"}, {"in memory", "", ""}}
+var resultStoreVariants = []struct{ name, own, without string }{
+	{"kept, one sync for all that wait", "[kept]\nfolder = DIR\n", ""},
+	{"kept, a sync each", "[kept]\nfolder = DIR\n", "group"},
+	{"in memory", "", ""},
+}
 
 // costs has as many callers as the cores bear ask without a pause, keyed requests and others, in turn.
 func (k *ResultStoreTest) costs(ctx context.Context, rep *report.Report) error {
@@ -46,7 +49,8 @@
 	})
 }
 
-func (r *resultStoreNode) cost(ctx context.Context, rep *report.Report, name string, callers int, span time.Duration) error {
+func (r *resultStoreNode) cost(ctx context.Context, rep *report.Report, name string, callers int,
+	span time.Duration) error {
 	defer r.close()
 	client := r.currentLife().client
 	r.kernel.onBegin, r.kernel.callsStore = nil, false
@@ -93,7 +97,8 @@
 		all.Wait()
 		after, _ := cpuOf(r.proc.pid())
 		key := fmt.Sprintf("%s, %d callers, %s", name, callers, class)
-		rep.Add(key, "%.0f a second, median %.2f ms, 99th %.2f ms, %.0f us of CPU each", float64(done)/time.Since(began).Seconds(),
+		rep.Add(key, "%.0f a second, median %.2f ms, 99th %.2f ms, %.0f us of CPU each",
+			float64(done)/time.Since(began).Seconds(),
 			float64(took.ValueAtQuantile(50))/1000, float64(took.ValueAtQuantile(99))/1000,
 			(after-cpu).Seconds()*1e6/float64(max(done, 1)))
 	}
--- a/internal/harness/result_store_history.go
+++ b/internal/harness/result_store_history.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// resultHistory is what a node did with keys and what callers got, held to the promises as it happens: no key runs twice
-// within its window, a run has its effect once at most, a repeat gets the result of a run of its key, and a result that was
-// acknowledged is not lost.
+// resultHistory is what a node did with keys and what callers got, held to the promises as it happens: no key runs
+// twice within its window, a run has its effect once at most, a repeat gets the result of a run of its key, and a
+// result that was acknowledged is not lost.
 type resultHistory struct {
 	mu           sync.Mutex
 	runs         map[string][]storedRun
@@ -52,7 +52,8 @@
 }
 
 func newResultHistory() *resultHistory {
-	return &resultHistory{runs: map[string][]storedRun{}, effects: map[string]int{}, acknowledged: map[string]time.Time{}}
+	return &resultHistory{runs: map[string][]storedRun{}, effects: map[string]int{},
+		acknowledged: map[string]time.Time{}}
 }
 
 // runBegins is told each run by the kernel, and gives its result.
@@ -62,14 +63,16 @@
 	defer h.mu.Unlock()
 	before := h.runs[key]
 	if n := len(before); n > 0 && now.Sub(before[n-1].at) < resultWindow {
-		h.fail("%s ran again %v after its last run began, expected %v at least", key, now.Sub(before[n-1].at), resultWindow)
+		h.fail("%s ran again %v after its last run began, expected %v at least", key, now.Sub(before[n-1].at),
+			resultWindow)
 	}
 	result := fmt.Sprintf("%s#%d\x00\xff", key, len(before)+1)
 	h.runs[key] = append(before, storedRun{now, result})
 	return []byte(result)
 }
 
-// effectDone is told each call that the service below carries out: an effect that nobody can take back, one a run at most.
+// effectDone is told each call that the service below carries out: an effect that nobody can take back, one a run at
+// most.
 func (h *resultHistory) effectDone(body []byte) {
 	key := string(body)
 	h.mu.Lock()
--- a/internal/harness/result_store_node.go
+++ b/internal/harness/result_store_node.go
@@ -82,7 +82,8 @@
 	if err != nil {
 		return err
 	}
-	if r.kernel, err = NewEmulatedKernel(loopback(7400), set.seed, float64(s.Cores), s.Classes, kernelStep); err != nil {
+	if r.kernel, err = NewEmulatedKernel(loopback(7400), set.seed, float64(s.Cores), s.Classes,
+		kernelStep); err != nil {
 		return err
 	}
 	r.kernel.onBegin, r.kernel.callsStore = r.history.runBegins, true
@@ -120,7 +121,8 @@
 	return os.WriteFile(own, []byte(text), 0o600)
 }
 
-// newLifeClient has connections of one life alone: on one of a life before an attempt would get an error that says nothing.
+// newLifeClient has connections of one life alone: on one of a life before an attempt would get an error that says
+// nothing.
 func newLifeClient() *http.Client {
 	return &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64,
 		IdleConnTimeout: 5 * time.Second}}
--- a/internal/harness/result_store_test.go
+++ b/internal/harness/result_store_test.go
@@ -7,16 +7,20 @@
 	"time"
 )
 
-// TestKeptKills: a node killed at named points and at random ones runs no key twice within its window, and repeats get the
-// first result; without a guard the checker finds it.
+// TestKeptKills: a node killed at named points and at random ones runs no key twice within its window, and repeats get
+// the first result; without a guard the checker finds it.
 func TestKeptKills(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ without, at, broken string }{{}, {"proof", "durable", "ran again"}, {"intent", "sync", "ran again"},
-		{"result", "sync", "after its result was told"}} {
+	for _, c := range []struct{ without, at, broken string }{
+		{},
+		{"proof", "durable", "ran again"},
+		{"intent", "sync", "ran again"},
+		{"result", "sync", "after its result was told"},
+	} {
 		t.Run("without "+c.without, func(t *testing.T) {
 			t.Parallel()
-			r, err := newResultStoreNode(resultStoreSetUp{dir: t.TempDir(), program: built(t), seed: 7, window: resultWindow,
-				own: killedStore, without: c.without})
+			r, err := newResultStoreNode(resultStoreSetUp{dir: t.TempDir(), program: built(t), seed: 7,
+				window: resultWindow, own: killedStore, without: c.without})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/harness/work_folder.go
+++ b/internal/harness/work_folder.go
@@ -9,9 +9,9 @@
 	"umberwinch/internal/report"
 )
 
-// withWorkFolder runs processes whose files, logs and data are in a temporary folder of their own. The folder is removed
-// after a run that kept its promises. One that failed, broke a promise or was interrupted leaves it, and says where it is:
-// in its error, or in the report's notes. An interrupted run always has an error, as it has no verdict.
+// withWorkFolder runs processes whose files, logs and data are in a temporary folder of their own. The folder is
+// removed after a run that kept its promises. One that failed, broke a promise or was interrupted leaves it, and says
+// where it is: in its error, or in the report's notes. An interrupted run always has an error, as it has no verdict.
 func withWorkFolder(ctx context.Context, rep *report.Report, run func(dir string) error) error {
 	dir, err := os.MkdirTemp("", "umberctl-faulttest-")
 	if err != nil {
--- a/internal/harness/work_folder_test.go
+++ b/internal/harness/work_folder_test.go
@@ -11,8 +11,8 @@
 	"umberwinch/internal/report"
 )
 
-// A run on processes writes a log into its folder and ends. Only where all went well is the folder gone afterwards; else
-// it is there with the log, and the error or the report says where. An interrupted run has an error in any case.
+// A run on processes writes a log into its folder and ends. Only where all went well is the folder gone afterwards;
+// else it is there with the log, and the error or the report says where. An interrupted run has an error in any case.
 func TestFolderOfRunStaysUnlessPromisesWereKept(t *testing.T) {
 	t.Parallel()
 	failure := errors.New("the node ended by itself")
@@ -64,7 +64,8 @@
 	}
 }
 
-// A run in virtual time alone is interrupted: it ends with an error and prints no verdict, as most of it was not played.
+// A run in virtual time alone is interrupted: it ends with an error and prints no verdict, as most of it was not
+// played.
 func TestInterruptedVirtualRunHasNoVerdict(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -36,7 +36,8 @@
 // Run plays schedules and large fleets in virtual time, then processes, and reports.
 func (r *ZonesTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "zones", Title: "Leaving a zone that fails, and coming back",
-		Head: []string{"PART", "NODES", "LOAD", "WAY", "VALUE DONE", "LEFT AFTER", "IN AGAIN AFTER", "STEPS", "BELOW, PEAK"}}
+		Head: []string{"PART", "NODES", "LOAD", "WAY", "VALUE DONE", "LEFT AFTER", "IN AGAIN AFTER", "STEPS",
+			"BELOW, PEAK"}}
 	rep.Add("seed", "%d", r.Seed)
 	if r.Mode != "real" {
 		r.virtual(ctx, rep)
@@ -103,7 +104,8 @@
 	}
 	for _, n := range sizes {
 		for _, load := range loads {
-			for _, kind := range []string{simulation.ZoneDead, simulation.ZoneKernels, simulation.ZoneSlow, simulation.ZoneErrors} {
+			for _, kind := range []string{simulation.ZoneDead, simulation.ZoneKernels, simulation.ZoneSlow,
+				simulation.ZoneErrors} {
 				if ctx.Err() != nil {
 					return
 				}
@@ -117,12 +119,14 @@
 }
 
 func (r *ZonesTest) playFailure(rep *report.Report, n int, load float64, kind string) {
-	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n, Kinds: []string{kind}, Fails: 15_000, Heals: 45_000, Ends: 220_000, Load: load}
+	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n, Kinds: []string{kind}, Fails: 15_000, Heals: 45_000,
+		Ends: 220_000, Load: load}
 	ways := []struct {
 		name string
 		set  func(p *simulation.ZonePlan)
 	}{{"the fleet", func(*simulation.ZonePlan) {}}, {"nodes alone", func(p *simulation.ZonePlan) { p.Off = true }},
-		{"each by its own", func(p *simulation.ZonePlan) { p.Own = true }}, {"at best", func(p *simulation.ZonePlan) { p.Oracle = true }}}
+		{"each by its own", func(p *simulation.ZonePlan) { p.Own = true }},
+		{"at best", func(p *simulation.ZonePlan) { p.Oracle = true }}}
 	var wg sync.WaitGroup
 	runs, times := make([]*simulation.Zones, len(ways)), make([]time.Duration, len(ways))
 	for i, w := range ways {
@@ -152,17 +156,21 @@
 		if w.name == "the fleet" {
 			peak = fmt.Sprintf("%.2f", v.Peak)
 			seconds := v.Fleet.Now / 1000
-			rep.Notes = append(rep.Notes, fmt.Sprintf("%d nodes, load %.2f, %s: %.1f askings, %.2f entries and %.1f KB of them a "+
-				"second; played in %v", n, load, kind, float64(v.Fleet.Heartbeats)/seconds, float64(v.Fleet.Entries)/seconds,
+			rep.Notes = append(rep.Notes, fmt.Sprintf(
+				"%d nodes, load %.2f, %s: %.1f askings, %.2f entries and %.1f KB of them a "+
+					"second; played in %v", n, load, kind, float64(v.Fleet.Heartbeats)/seconds,
+				float64(v.Fleet.Entries)/seconds,
 				float64(v.Fleet.Bytes)/1024/seconds, took.Round(time.Millisecond)))
 			if n == 300 {
-				v.Plot[0].Name, v.Plot[1].Name, v.Plot[2].Name = "value done", "below: asked over what it bears", "share of the zone"
+				v.Plot[0].Name, v.Plot[1].Name, v.Plot[2].Name = "value done", "below: asked over what it bears",
+					"share of the zone"
 				rep.Plots = append(rep.Plots, report.Plot{Title: fmt.Sprintf("%d nodes, load %.2f: %s", n, load, kind),
 					X: "seconds; it fails at 15, ends at 45", Y: "share", Lines: v.Plot})
 			}
 		}
 		rep.Rows = append(rep.Rows, []string{"virtual, " + kind, strconv.Itoa(n), fmt.Sprintf("%.2f", load), w.name,
-			fmt.Sprintf("%.4f", v.Done/v.Asked), after(v.Left), after(v.Back), fmt.Sprintf("%d/%d", v.Steps, v.BackStep), peak})
+			fmt.Sprintf("%.4f", v.Done/v.Asked), after(v.Left), after(v.Back),
+			fmt.Sprintf("%d/%d", v.Steps, v.BackStep), peak})
 	}
 }
 
@@ -180,8 +188,10 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			v := simulation.NewZones(simulation.ZonePlan{Seed: r.Seed*100 + int64(i), Nodes: 15, Kinds: []string{simulation.ZoneNoise, simulation.ZoneNoise, simulation.ZoneNoise},
-				Fails: 1000, Heals: hours*3600_000/parts - 10_000, Ends: hours * 3600_000 / parts, Load: 0.3 + 0.1*float64(i)})
+			v := simulation.NewZones(simulation.ZonePlan{Seed: r.Seed*100 + int64(i), Nodes: 15,
+				Kinds: []string{simulation.ZoneNoise, simulation.ZoneNoise, simulation.ZoneNoise},
+				Fails: 1000, Heals: hours*3600_000/parts - 10_000, Ends: hours * 3600_000 / parts,
+				Load: 0.3 + 0.1*float64(i)})
 			v.Play()
 			mu.Lock()
 			defer mu.Unlock()
@@ -196,7 +206,8 @@
 	rep.Add("wrong_leaves", "%d", wrong)
 }
 
-// zoneRate is the callers' rate in the cases, requests a second over all nodes: a third of what three services bear warm.
+// zoneRate is the callers' rate in the cases, requests a second over all nodes: a third of what three services bear
+// warm.
 const zoneRate = 180
 
 // real plays the cases on processes, then measures what failures cost callers.
@@ -267,7 +278,8 @@
 	return caseSelection{only: r.Only, quick: r.Quick, part: r.Part, parts: r.Parts}
 }
 
-// playCase plays a case; then, with every link whole again, all nodes have to serve and the history to keep its promises.
+// playCase plays a case; then, with every link whole again, all nodes have to serve and the history to keep its
+// promises.
 func (b *zoneFixture) playCase(c *zoneCase) error {
 	b.mayLeave = map[string]bool{}
 	for _, z := range c.mayLeave {
--- a/internal/harness/zones_cases.go
+++ b/internal/harness/zones_cases.go
@@ -21,6 +21,8 @@
 }
 
 var zoneCases = []zoneCase{
+	// All nodes of a zone are killed. The zone is evacuated; its service below loses its cache. The nodes start, and
+	// the zone comes back by a ramp that never asks the service for more than it bears.
 	{name: "a zone dead at once, and back cold", mayLeave: []string{"z2"}, run: func(b *zoneFixture) {
 		b.killNodes(b.nodesIn("z2")...)
 		b.awaitEvacuation("z2")
@@ -30,12 +32,15 @@
 		must(b.awaitInService("z2"))
 		must(b.checkStoreLoad("z2", since))
 	}},
+	// The kernels of a zone die and its nodes go on. The zone is evacuated, and comes back once the kernels do.
 	{name: "its kernels dead, its nodes well", mayLeave: []string{"z1"}, run: func(b *zoneFixture) {
 		b.setKernelsDead("z1", true)
 		b.awaitEvacuation("z1")
 		b.setKernelsDead("z1", false)
 		must(b.awaitInService("z1"))
 	}},
+	// A zone's service below falls to a twentieth of its speed. The zone is evacuated, and comes back within what the
+	// service bears once that is fast again.
 	{name: "its service below at a twentieth of its speed", mayLeave: []string{"z3"}, run: func(b *zoneFixture) {
 		b.setStore("z3", 0.05, 0, false)
 		b.awaitEvacuation("z3")
@@ -44,12 +49,14 @@
 		must(b.awaitInService("z3"))
 		must(b.checkStoreLoad("z3", since.Add(time.Second)))
 	}},
+	// One node of a zone has a dead kernel. That is no reason to evacuate the zone.
 	{name: "one bad node, and the zone stays", run: func(b *zoneFixture) {
 		n := b.nodesIn("z1")[0]
 		n.kernel.Kill(true)
 		defer n.kernel.Kill(false)
 		must(b.checkNoEvacuation(5 * time.Second))
 	}},
+	// The services of all zones are slow at once. Evacuating a zone would not help, and none is.
 	{name: "all services slow for a common cause, and nobody leaves", run: func(b *zoneFixture) {
 		for _, z := range allZones {
 			b.setStore(z, 0.1, 0, false)
@@ -60,12 +67,16 @@
 		}
 		must(b.checkNoEvacuation(3 * time.Second))
 	}},
+	// The callers of a zone can't reach it, but the group can. Its nodes report that they are well, and the zone
+	// stays.
 	{name: "cut off from its callers alone, and it stays", run: func(b *zoneFixture) {
 		for _, n := range b.nodesIn("z1") {
 			b.group.forwarders.set("callers", n.name, linkFault{cut: true})
 		}
 		must(b.checkNoEvacuation(5 * time.Second))
 	}},
+	// A zone loses the group. Its nodes are fenced as their leases end, and the zone is evacuated with that as its
+	// cause; it comes back once it is connected again.
 	{name: "cut off from the group, and fenced", mayLeave: []string{"z2"}, run: func(b *zoneFixture) {
 		b.cutOff(b.nodesIn("z2")...)
 		v := b.awaitEvacuation("z2")
@@ -75,13 +86,18 @@
 		}
 		must(b.awaitInService("z2"))
 	}},
-	{name: "answers lost one way between it and the group", long: true, mayLeave: []string{"z3"}, run: func(b *zoneFixture) {
-		b.setLinkFault(linkFault{dropReplies: true}, b.nodesIn("z3")...)
-		b.awaitEvacuation("z3", zones.InService)
-		time.Sleep(b.lease)
-		b.heal()
-		must(b.awaitInService("z3"))
-	}},
+	// The group's answers to a zone are lost, and its heartbeats arrive. Whether or not the zone is evacuated, it is
+	// in service again once the link is whole.
+	{name: "answers lost one way between it and the group", long: true, mayLeave: []string{"z3"},
+		run: func(b *zoneFixture) {
+			b.setLinkFault(linkFault{dropReplies: true}, b.nodesIn("z3")...)
+			b.awaitEvacuation("z3", zones.InService)
+			time.Sleep(b.lease)
+			b.heal()
+			must(b.awaitInService("z3"))
+		}},
+	// Two of three zones fail. Both are evacuated; the last one stays, also where an operator asks to evacuate it.
+	// Then both come back.
 	{name: "two of three, and the last one stays", mayLeave: allZones, run: func(b *zoneFixture) {
 		for _, z := range []string{"z1", "z2"} {
 			b.setKernelsDead(z, true)
@@ -99,20 +115,26 @@
 		}
 		must(errors.Join(b.awaitInService("z1"), b.awaitInService("z2")))
 	}},
-	{name: "the leader lost as it fails, and again on the way back", mayLeave: []string{"z1"}, run: func(b *zoneFixture) {
-		b.setKernelsDead("z1", true)
-		b.restartLeader()
-		b.awaitEvacuation("z1")
-		b.setKernelsDead("z1", false)
-		before := b.awaitRamp("z1")
-		b.restartLeader()
-		after := b.awaitRamp("z1")
-		if after.Epoch < before.Epoch || after.Phase == zones.Ramping && after.Share < before.Share && after.Cause == before.Cause {
-			must(fmt.Errorf("a new leader has epoch %d at %d, the one before had %d at %d", after.Epoch, after.Share, before.Epoch,
-				before.Share))
-		}
-		must(b.awaitInService("z1"))
-	}},
+	// The leader is killed as a zone fails, and again on the zone's way back. The next leader evacuates it, and goes
+	// on with the ramp from where it was.
+	{name: "the leader lost as it fails, and again on the way back", mayLeave: []string{"z1"},
+		run: func(b *zoneFixture) {
+			b.setKernelsDead("z1", true)
+			b.restartLeader()
+			b.awaitEvacuation("z1")
+			b.setKernelsDead("z1", false)
+			before := b.awaitRamp("z1")
+			b.restartLeader()
+			after := b.awaitRamp("z1")
+			if after.Epoch < before.Epoch || after.Phase == zones.Ramping && after.Share < before.Share &&
+				after.Cause == before.Cause {
+				must(fmt.Errorf("a new leader has epoch %d at %d, the one before had %d at %d", after.Epoch,
+					after.Share, before.Epoch, before.Share))
+			}
+			must(b.awaitInService("z1"))
+		}},
+	// A zone fails, and fails again during its ramp. It counts as flapping, so it waits longer, and comes back in the
+	// end.
 	{name: "fails again on its way back", long: true, mayLeave: []string{"z2"}, run: func(b *zoneFixture) {
 		for i := range 2 {
 			b.setKernelsDead("z2", true)
@@ -126,6 +148,8 @@
 		}
 		must(b.awaitInService("z2"))
 	}},
+	// A zone is on its way back when its service below begins to fail. The ramp steps back, and the zone comes back
+	// once the service is well.
 	{name: "its service below fails in the middle of the return", mayLeave: []string{"z3"}, run: func(b *zoneFixture) {
 		must(b.operate(zones.Op{Kind: zones.OpEvacuate, Zone: "z3", DrillMS: 1500}))
 		mustGet(b.awaitPhase("z3", 20*time.Second, zones.Ramping))
@@ -145,6 +169,7 @@
 		b.setStore("z3", 1, 0, false)
 		must(b.awaitInService("z3"))
 	}},
+	// A zone is on its way back when its nodes are restarted one after the other, as a release does. It comes back.
 	{name: "a release on its way back", mayLeave: []string{"z1"}, run: func(b *zoneFixture) {
 		must(b.operate(zones.Op{Kind: zones.OpEvacuate, Zone: "z1", DrillMS: 1000}))
 		mustGet(b.awaitPhase("z1", 20*time.Second, zones.Ramping))
@@ -154,6 +179,7 @@
 		}
 		must(b.awaitInService("z1"))
 	}},
+	// Heartbeats of half of the nodes are late, each time of another half. No zone is evacuated for that.
 	{name: "half of the nodes unheard, and the zones stay", run: func(b *zoneFixture) {
 		for i := range 8 {
 			for k, n := range b.nodes {
@@ -166,10 +192,13 @@
 			must(b.checkNoEvacuation(600 * time.Millisecond))
 		}
 	}},
+	// One of three nodes of a zone reports wrongly that its kernel is down. The zone stays.
 	{name: "one node in three lies, and the zone stays", run: func(b *zoneFixture) {
 		b.setLinkFault(linkFault{replace: [2]string{`"kernel":true`, `"kernel":null`}}, b.nodesIn("z2")[0])
 		must(b.checkNoEvacuation(5 * time.Second))
 	}},
+	// A zone is evacuated, and its cause ends while the group has no leader. Its nodes may not serve until a leader
+	// says so; then the zone comes back.
 	{name: "it is well again while nobody leads", mayLeave: []string{"z1"}, run: func(b *zoneFixture) {
 		b.setKernelsDead("z1", true)
 		mustGet(b.awaitPhase("z1", 15*time.Second, zones.Evacuated))
@@ -184,6 +213,8 @@
 		b.eachButFirst(b.mustStart)
 		must(b.awaitInService("z1"))
 	}},
+	// An operator evacuates a zone as a drill: its nodes reject all requests, and it comes back by itself. Then the
+	// operator holds it: while the hold lasts it stays though it fails, and is evacuated only after.
 	{name: "a drill, and an operator's hold", mayLeave: []string{"z2"}, run: func(b *zoneFixture) {
 		must(b.operate(zones.Op{Kind: zones.OpEvacuate, Zone: "z2", DrillMS: 2000, Reason: "a drill"}))
 		mustGet(b.awaitPhase("z2", 10*time.Second, zones.Evacuated))
--- a/internal/harness/zones_check.go
+++ b/internal/harness/zones_check.go
@@ -18,9 +18,9 @@
 	Op    string
 }
 
-// CheckZones holds a history to its promises: nobody acts on an epoch before one that is settled, a share grows only once
-// the epoch before has settled, one zone is always in, epochs never go back, and no zone is left but those there was a
-// reason to leave. slack covers logs of whole ms and a round.
+// CheckZones holds a history to its promises: nobody acts on an epoch before one that is settled, a share grows only
+// once the epoch before has settled, one zone is always in, epochs never go back, and no zone is left but those there
+// was a reason to leave. slack covers logs of whole ms and a round.
 func CheckZones(h []ZoneEvent, may map[string]bool, slack int64) string {
 	h = append([]ZoneEvent(nil), h...)
 	sort.SliceStable(h, func(i, k int) bool { return h[i].At < h[k].At })
@@ -47,7 +47,8 @@
 				return fmt.Sprintf("zone %s was left in epoch %d, and there was no reason to", e.Zone, e.Epoch)
 			}
 			if was, left := shares[e.Zone]; left && e.Share > was && settled < decided {
-				return fmt.Sprintf("zone %s was raised to %d in epoch %d, and epoch %d was not settled", e.Zone, e.Share, e.Epoch, decided)
+				return fmt.Sprintf("zone %s was raised to %d in epoch %d, and epoch %d was not settled", e.Zone,
+					e.Share, e.Epoch, decided)
 			}
 			decided, shares[e.Zone] = e.Epoch, e.Share
 			if len(seen) > 1 && in() == 0 {
--- a/internal/harness/zones_cost.go
+++ b/internal/harness/zones_cost.go
@@ -11,8 +11,8 @@
 	"umberwinch/internal/report"
 )
 
-// What failures cost callers on processes, by several ways: the same failures, one after the other, in fleets with the same
-// load.
+// What failures cost callers on processes, by several ways: the same failures, one after the other, in fleets with the
+// same load.
 
 // zoneFailure is one of them.
 type zoneFailure struct {
@@ -53,15 +53,17 @@
 		}
 		return nil
 	}},
-	{name: "kernels", strike: func(b *zoneFixture) error { b.setKernelsDead("z1", true); return nil }, heal: func(b *zoneFixture) error {
-		b.setStore("z1", 1, 0, true)
-		b.setKernelsDead("z1", false)
-		return nil
-	}},
-	{name: "slow", strike: func(b *zoneFixture) error { b.setStore("z1", 0.05, 0, false); return nil }, heal: func(b *zoneFixture) error {
-		b.setStore("z1", 1, 0, true)
-		return nil
-	}},
+	{name: "kernels", strike: func(b *zoneFixture) error { b.setKernelsDead("z1", true); return nil },
+		heal: func(b *zoneFixture) error {
+			b.setStore("z1", 1, 0, true)
+			b.setKernelsDead("z1", false)
+			return nil
+		}},
+	{name: "slow", strike: func(b *zoneFixture) error { b.setStore("z1", 0.05, 0, false); return nil },
+		heal: func(b *zoneFixture) error {
+			b.setStore("z1", 1, 0, true)
+			return nil
+		}},
 }
 
 // cost is what one failure came to.
@@ -69,11 +71,14 @@
 	value      float64 // done in time, of what was asked, from the failure to the end
 	others     float64 // of what the other zones answered while it failed
 	lastAnswer time.Duration
-	load       float64 // asked of a service below before, over what it bears when warm, in the mean: that of the busiest
-	peak       float64
-	tries      float64
-	recovered  time.Duration    // from its end until the zone is in and all its nodes are ready; 0: not in the time there was
-	service    [3]time.Duration // from its end until half, 95 and 98 in 100 of the value is done for good; -1: not in that time
+	// asked of a service below before, over what it bears when warm, in the mean: that of the busiest
+	load  float64
+	peak  float64
+	tries float64
+	// from its end until the zone is in and all its nodes are ready; 0: not in the time there was
+	recovered time.Duration
+	// from its end until half, 95 and 98 in 100 of the value is done for good; -1: not in that time
+	service [3]time.Duration
 }
 
 // costShares are the shares of full service that are timed.
@@ -110,8 +115,8 @@
 	return out, nil
 }
 
-// watchReturn looks on for a while after a failure's end, and gives when zone z1 was in with all its nodes ready; 0: not
-// in that time.
+// watchReturn looks on for a while after a failure's end, and gives when zone z1 was in with all its nodes ready; 0:
+// not in that time.
 func (b *zoneFixture) watchReturn(healed time.Time, over time.Duration) (whole time.Duration) {
 	for time.Since(healed) < over && b.ctx.Err() == nil {
 		b.sleep(20 * time.Millisecond)
@@ -129,7 +134,8 @@
 	return whole
 }
 
-// ofCalls takes from the calls since a failure's begin what callers got, and what the zones beside it did while it lasted.
+// ofCalls takes from the calls since a failure's begin what callers got, and what the zones beside it did while it
+// lasted.
 func (c *cost) ofCalls(each []CallResult, from, healed time.Time) {
 	all, good, requests, near, well := 0.0, 0.0, 0, 0.0, 0.0
 	for _, a := range each {
@@ -157,8 +163,8 @@
 // serviceSpan is over which done is held to asked: at 180 requests a second one dear request weighs a hundredth of it.
 const serviceSpan = 2 * time.Second
 
-// serviceBack gives how long after a moment a share of the value that is asked for is done in time, from there to the end;
-// -1 if it is not. A request counts when it ends.
+// serviceBack gives how long after a moment a share of the value that is asked for is done in time, from there to the
+// end; -1 if it is not. A request counts when it ends.
 func serviceBack(each []CallResult, since time.Time, over time.Duration, share float64) time.Duration {
 	n := int(over / serviceSpan)
 	good, all := make([]float64, n), make([]float64, n)
@@ -182,8 +188,9 @@
 // calmSpan is over which the load before a failure is taken.
 const calmSpan = 5 * time.Second
 
-// costSeeds is how many seeds a measurement is made with, costFleets how many fleets run at once: they restart in the same moments,
-// and where all callers were eager, nine attempts a request, and five fleets had six cores, some of them came late or not at all.
+// costSeeds is how many seeds a measurement is made with, costFleets how many fleets run at once: they restart in the
+// same moments, and where all callers were eager, nine attempts a request, and five fleets had six cores, some of them
+// came late or not at all.
 const (
 	costSeeds  = 3
 	costFleets = 4
@@ -231,7 +238,8 @@
 }
 
 // costsOf measures all failures by one way, on a fleet of its own.
-func (r *ZonesTest) costsOf(ctx context.Context, dir string, p *costPlan, seed int64, way *costVariant) ([]cost, error) {
+func (r *ZonesTest) costsOf(ctx context.Context, dir string, p *costPlan, seed int64, way *costVariant) ([]cost,
+	error) {
 	mine := *r
 	mine.Seed = seed
 	b, err := mine.begin(ctx, dir, "fence", way.mode)
@@ -271,32 +279,38 @@
 		rep.Rows = append(rep.Rows, append([]string{name, "9", strconv.Itoa(zoneRate) + "/s", one.variant.name},
 			p.row(one.variant, failure, &one.out[i])...))
 		if one.variant.name == p.bound && one.out[i].peak > 1 {
-			rep.Break("seed %d, %s: a service below was asked for %.2f of what it bears on the way back", one.seed, failure,
+			rep.Break("seed %d, %s: a service below was asked for %.2f of what it bears on the way back", one.seed,
+				failure,
 				one.out[i].peak)
 		}
 	}
 }
 
 // zoneCosts are a zone's failures, with the fleet's decisions and without.
-var zoneCosts = costPlan{variants: []costVariant{{name: "the fleet", mode: "auto", eager: true}, {name: "nodes alone", mode: "off", eager: true}},
+var zoneCosts = costPlan{variants: []costVariant{{name: "the fleet", mode: "auto", eager: true},
+	{name: "nodes alone", mode: "off", eager: true}},
 	failures: zoneFailures, fails: 8 * time.Second, after: 30 * time.Second, bound: "the fleet",
 	row: func(_ *costVariant, _ string, c *cost) []string {
 		whole := "-"
 		if c.recovered > 0 {
 			whole = fmt.Sprintf("%.1f s", c.recovered.Seconds())
 		}
-		return []string{fmt.Sprintf("%.4f", c.value), fmt.Sprintf("%.1f s", c.lastAnswer.Seconds()), whole, fmt.Sprintf("%.2f tries", c.tries),
+		return []string{fmt.Sprintf("%.4f", c.value), fmt.Sprintf("%.1f s", c.lastAnswer.Seconds()), whole,
+			fmt.Sprintf("%.2f tries", c.tries),
 			fmt.Sprintf("%.2f", c.peak)}
 	}}
 
 // recoveryCosts are a restart of all nodes over cold services, and that of one node.
 var recoveryCosts = costPlan{variants: []costVariant{{name: "the fleet", mode: "auto"},
-	{name: "the fleet, patient callers", mode: "auto", patient: true}, {name: "the fleet, eager callers", mode: "auto", eager: true},
-	{name: "no ramp", mode: "no-ramp"}, {name: "by the clock", mode: "off", pace: 3 * time.Second}, {name: "nodes alone", mode: "off"}},
-	failures: []zoneFailure{{name: "one node restarts", strike: func(*zoneFixture) error { return nil }, heal: func(b *zoneFixture) error {
-		b.nodes[0].Kill()
-		return b.nodes[0].Start()
-	}, after: 12 * time.Second}, {name: "all nodes restart", strike: func(b *zoneFixture) error {
+	{name: "the fleet, patient callers", mode: "auto", patient: true},
+	{name: "the fleet, eager callers", mode: "auto", eager: true},
+	{name: "no ramp", mode: "no-ramp"}, {name: "by the clock", mode: "off", pace: 3 * time.Second},
+	{name: "nodes alone", mode: "off"}},
+	failures: []zoneFailure{{name: "one node restarts", strike: func(*zoneFixture) error { return nil },
+		heal: func(b *zoneFixture) error {
+			b.nodes[0].Kill()
+			return b.nodes[0].Start()
+		}, after: 12 * time.Second}, {name: "all nodes restart", strike: func(b *zoneFixture) error {
 		for _, n := range b.nodes {
 			n.Kill()
 		}
@@ -315,7 +329,8 @@
 	}}}, fails: time.Second, after: 56 * time.Second, bound: "the fleet",
 	row: func(_ *costVariant, failure string, c *cost) []string {
 		out, best := []string{}, "-"
-		if failure == "all nodes restart" { // from the start of the processes on; that they take a part of a second is not in it
+		// from the start of the processes on; that they take a part of a second is not in it
+		if failure == "all nodes restart" {
 			best = secondsText(1000 * shortestRecovery(c.load, belowCold, belowFill*belowCost.Seconds()/belowWorkers))
 		}
 		for _, s := range c.service {
--- a/internal/harness/zones_fixture.go
+++ b/internal/harness/zones_fixture.go
@@ -29,17 +29,20 @@
 	if n == 0 {
 		n = 9
 	}
-	fleet, err := NewFleetProcesses(ctx, FleetProcessesPlan{Program: r.Program, Dir: dir, Seed: r.Seed, Instances: 3, Nodes: n, Without: r.ProcessGuards,
+	fleet, err := NewFleetProcesses(ctx, FleetProcessesPlan{Program: r.Program, Dir: dir, Seed: r.Seed, Instances: 3,
+		Nodes: n, Without: r.ProcessGuards,
 		Folders: true, WithStores: true})
 	if err != nil {
 		return nil, err
 	}
-	b := &zoneFixture{policyFixture: &policyFixture{FleetProcesses: fleet, lease: realLease, whenAlone: alone}, mayLeave: map[string]bool{}}
+	b := &zoneFixture{policyFixture: &policyFixture{FleetProcesses: fleet, lease: realLease, whenAlone: alone},
+		mayLeave: map[string]bool{}}
 	small := "yes"
 	if mode == "no-ramp" {
 		mode, small = "auto", "no"
 	}
-	b.extraText = fmt.Sprintf("[zones]\ndecide = %s\nfirst = 0.125\nhold = 500ms\nkeep = 2s\nmax_wait = 4s\nsmall_start = %s\n", mode, small)
+	b.extraText = fmt.Sprintf("[zones]\ndecide = %s\nfirst = 0.125\nhold = 500ms\nkeep = 2s\nmax_wait = 4s\n"+
+		"small_start = %s\n", mode, small)
 	if err = b.settleFirst(); err != nil {
 		b.Close()
 		return nil, err
@@ -65,7 +68,8 @@
 }
 
 // awaitPhase waits until a zone is at one of some steps.
-func (b *zoneFixture) awaitPhase(name string, within time.Duration, steps ...zones.Phase) (v *consensus.ZoneView, err error) {
+func (b *zoneFixture) awaitPhase(name string, within time.Duration, steps ...zones.Phase) (v *consensus.ZoneView,
+	err error) {
 	err = b.await(within, func() error {
 		if v, err = b.zoneView(name); err != nil {
 			return err
@@ -197,8 +201,11 @@
 			switch {
 			case err != nil:
 				return err
-			case v.Capacity.RunRate == 0 || v.Evidence != nil && v.Capacity.RunRate < 0.7*v.Evidence.RunRate || v.Evidence == nil || v.Evidence.NodesUnhealthy > 0 || v.Evidence.FailureScore > 0 || v.Phase != zones.InService:
-				return fmt.Errorf("zone %s is %s, bore %.0f runs a second: %+v", z, v.Phase, v.Capacity.RunRate, v.Evidence)
+			case v.Capacity.RunRate == 0 || v.Evidence != nil && v.Capacity.RunRate < 0.7*v.Evidence.RunRate ||
+				v.Evidence == nil || v.Evidence.NodesUnhealthy > 0 || v.Evidence.FailureScore > 0 ||
+				v.Phase != zones.InService:
+				return fmt.Errorf("zone %s is %s, bore %.0f runs a second: %+v", z, v.Phase, v.Capacity.RunRate,
+					v.Evidence)
 			}
 			return nil
 		}); err != nil {
--- a/internal/harness/zones_history.go
+++ b/internal/harness/zones_history.go
@@ -44,15 +44,16 @@
 	return nil
 }
 
-// loggedDecisions gives what the group decided since a time, each epoch once, and when epochs settled. The whole fleet is
-// no zone: its steps raise and lower all.
+// loggedDecisions gives what the group decided since a time, each epoch once, and when epochs settled. The whole fleet
+// is no zone: its steps raise and lower all.
 func (b *zoneFixture) loggedDecisions(from int64) (h []ZoneEvent, err error) {
 	seen := map[uint64]bool{}
 	err = readLog(b.instancesLog(), func(l *logRecord) {
 		e := ZoneEvent{At: l.at, Epoch: l.number(logging.Epoch)}
 		switch l.message {
 		case "change of a zone":
-			e.Kind, e.Zone, e.Op, e.Share = "decided", l.text(logging.Zone), l.text(logging.Operation), int(l.number(logging.Share))
+			e.Kind, e.Zone, e.Op, e.Share = "decided", l.text(logging.Zone), l.text(logging.Operation),
+				int(l.number(logging.Share))
 			if e.Zone == zones.WholeFleet || e.At < from || e.Op == "hold" || e.Epoch <= b.firstEpoch || seen[e.Epoch] {
 				return
 			}
