--- a/internal/control/consensus/api.go
+++ b/internal/control/consensus/api.go
@@ -88,6 +88,7 @@
 	bodies    *semaphore.Weighted
 	forwarder *http.Client   // to the leader, for what it alone can answer
 	errorLog  *io.PipeWriter // of the server, to the group's log; Stop ends its goroutine by closing it
+	served    chan struct{}  // closed when serve has ended
 	stopping  context.Context
 	stop      context.CancelFunc
 }
@@ -98,7 +99,8 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &API{group: g, bodies: semaphore.NewWeighted(maxBodiesBytes), forwarder: g.credentials.client()}
+	a := &API{group: g, bodies: semaphore.NewWeighted(maxBodiesBytes), forwarder: g.credentials.client(),
+		served: make(chan struct{})}
 	a.stopping, a.stop = context.WithCancel(context.Background())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/self", a.getSelf)
@@ -122,12 +124,14 @@
 // serve accepts connections until Stop. An address that can't be served any more is logged: the instance goes on with
 // its peers, and clients find another one.
 func (a *API) serve(l net.Listener) {
+	defer close(a.served)
 	if err := a.server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		a.group.log.WithField(logging.Error, err).Error("the clients' address is not served any more")
 	}
 }
 
-// Stop lets clients finish for a moment, then closes.
+// Stop lets clients finish for a moment, then closes. The address is free when it returns, also where serve had not
+// begun yet.
 func (a *API) Stop() {
 	a.stop()
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
@@ -135,5 +139,7 @@
 	if a.server.Shutdown(ctx) != nil {
 		a.server.Close() // the requests that are left are cut off: all of them may be repeated
 	}
+	<-a.served
+	a.forwarder.CloseIdleConnections()
 	a.errorLog.Close()
 }
--- a/internal/control/consensus/credentials.go
+++ b/internal/control/consensus/credentials.go
@@ -42,14 +42,14 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
-		return fmt.Errorf("authority %s: found no certificate, expected PEM", c.ca)
+		return fmt.Errorf("authority %s: %w", c.ca, errNoCertificate)
 	}
 	leaf, err := x509.ParseCertificate(pair.Certificate[0])
 	if err != nil {
 		return fmt.Errorf("certificate %s: %w", c.cert, err)
 	}
 	if time.Now().After(leaf.NotAfter) {
-		return fmt.Errorf("certificate %s: ended on %s", c.cert, leaf.NotAfter.Format(time.DateTime))
+		return &CertificateExpiredError{c.cert, leaf.NotAfter}
 	}
 	c.current.Store(&tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}, RootCAs: pool,
 		ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert})
--- a/internal/control/consensus/errors.go
+++ b/internal/control/consensus/errors.go
@@ -3,6 +3,9 @@
 import (
 	"errors"
 	"fmt"
+	"time"
+
+	pb "go.etcd.io/raft/v3/raftpb"
 
 	"umberwinch/internal/control/recovery"
 )
@@ -138,6 +141,59 @@
 	errSnapshotRefused  = errors.New("it was not taken")
 )
 
+// errNoCertificate is for an authority's file that has none.
+var errNoCertificate = errors.New("found no certificate, expected PEM")
+
+// CertificateExpiredError is for a certificate that no other instance would accept any more.
+type CertificateExpiredError struct {
+	File  string
+	EndAt time.Time
+}
+
+// Error names the file and when the certificate ended.
+func (e *CertificateExpiredError) Error() string {
+	return fmt.Sprintf("certificate %s: ended on %s", e.File, e.EndAt.Format(time.DateTime))
+}
+
+// FrameError is for a frame of a connection between instances that can't be what is sent there. The connection ends.
+type FrameError struct{ Found, Expected string }
+
+// Error says what was found and expected.
+func (e *FrameError) Error() string {
+	return fmt.Sprintf("a frame %s, expected %s", e.Found, e.Expected)
+}
+
+// EntryTypeError is for an entry of the log of a type that this program never proposes. The instance can't go on.
+type EntryTypeError struct{ Type pb.EntryType }
+
+// Error names the type.
+func (e *EntryTypeError) Error() string {
+	return fmt.Sprintf("of kind %v, expected a put or a change of members", e.Type)
+}
+
+// LogEntryError is for an entry of the log that is sound and not raft's, or not the one that belongs there. The folder
+// can't be used.
+type LogEntryError struct {
+	Index, Found uint64
+	Err          error // of its decoding; nil: the index is wrong
+}
+
+// Error says which entry it is and what was found there.
+func (e *LogEntryError) Error() string {
+	return fmt.Sprintf("entry %d of the log is not raft's: index %d, %v", e.Index, e.Found, e.Err)
+}
+
+// Unwrap gives the error of its decoding.
+func (e *LogEntryError) Unwrap() error { return e.Err }
+
+// CompactedEntryError is for an entry to be stored that a snapshot stands for already. The instance can't go on.
+type CompactedEntryError struct{ Index, Compacted uint64 }
+
+// Error names the entry, and the last one that the snapshot stands for.
+func (e *CompactedEntryError) Error() string {
+	return fmt.Sprintf("entry %d, expected one after %d", e.Index, e.Compacted)
+}
+
 // NewerProgramError is for an entry or snapshot that this program is too old to read. The instance can't go on: it
 // would come to another state than instances that can.
 type NewerProgramError struct {
--- a/internal/control/consensus/errors_test.go
+++ b/internal/control/consensus/errors_test.go
@@ -5,9 +5,12 @@
 	"fmt"
 	"io"
 	"net/http"
+	"strings"
 	"testing"
+	"time"
 
 	"go.etcd.io/raft/v3"
+	pb "go.etcd.io/raft/v3/raftpb"
 
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/coordinator"
@@ -68,6 +71,15 @@
 		{&BodyError{io.ErrUnexpectedEOF, "a put as JSON"}, "body: unexpected EOF, expected a put as JSON"},
 		{&LeaderUnreachableError{"10.0.0.1:7201", errors.New("refused")}, "the leader at 10.0.0.1:7201: refused"},
 		{&UnknownNodeError{"n1"}, `found no node "n1"`},
+		{&CertificateExpiredError{"a.pem", time.Unix(0, 0).UTC()}, "certificate a.pem: ended on 1970-01-01 00:00:00"},
+		{&FrameError{"of 0 bytes", "1 to 9"}, "a frame of 0 bytes, expected 1 to 9"},
+		{&EntryTypeError{pb.EntryType_EntryConfChange},
+			"of kind EntryConfChange, expected a put or a change of members"},
+		{&LogEntryError{3, 4, nil}, "entry 3 of the log is not raft's: index 4, <nil>"},
+		{&CompactedEntryError{3, 5}, "entry 3, expected one after 5"},
+		{&PeerRefusedError{true, wasRemoved}, "refused: it was removed from the group"},
+		{&PeerRefusedError{false, oldCopy}, "it was refused: its folder is an old copy, or is in use twice"},
+		{&UnexpectedPeerError{1, 2}, "instance 1 answers, expected 2"},
 	} {
 		if c.err == nil || c.err.Error() != c.want {
 			t.Errorf("found %v, expected %s", c.err, c.want)
@@ -95,6 +107,24 @@
 	}
 }
 
+// TestUnreadableInput: what can't be read, of the log or of a peer, is told by types: the instance ends for the one, and
+// closes the connection for the other.
+func TestUnreadableInput(t *testing.T) {
+	m := newStateMachine("c", 0)
+	for _, raw := range []string{"x", `{"seq":-1}`} {
+		var entry *coordinator.EntryError
+		if _, _, err := m.applyEntry([]byte(raw), 1, 1); !errors.As(err, &entry) {
+			t.Errorf("%s: found %v, expected an EntryError", raw, err)
+		}
+	}
+	for _, raw := range []string{"\x00\x00\x00\x00\x00\x00\x00\x00", "\x02\x00\x00\x00\x00\x00\x00\x00ab"} {
+		var frame *FrameError
+		if _, _, err := readFrame(strings.NewReader(raw), 100); !errors.As(err, &frame) {
+			t.Errorf("%q: found %v, expected a FrameError", raw, err)
+		}
+	}
+}
+
 // TestSpoiltSnapshots: an operator restores from a file that is torn or not a snapshot. The error has to be one that
 // callers can tell from a disk's, and nothing of the file may be used.
 func TestSpoiltSnapshots(t *testing.T) {
--- a/internal/control/consensus/frames.go
+++ b/internal/control/consensus/frames.go
@@ -41,24 +41,24 @@
 	return err
 }
 
-// readFrame reads one frame. data is a new slice. It is an error if the frame is longer than most bytes or its sum is
-// wrong.
-func readFrame(r io.Reader, most int) (kind byte, data []byte, err error) {
+// readFrame reads one frame. data is a new slice. The error is that of the reader, or a *FrameError for a frame that is
+// longer than maxBytes or whose sum is wrong.
+func readFrame(r io.Reader, maxBytes int) (kind byte, data []byte, err error) {
 	var head [frameHeaderBytes]byte
 	if _, err = io.ReadFull(r, head[:]); err != nil {
 		return 0, nil, err
 	}
 	n := binary.LittleEndian.Uint32(head[:])
-	if n == 0 || int64(n) > int64(most) {
-		return 0, nil, fmt.Errorf("a frame of %d bytes, expected 1 to %d", n, most)
+	if n == 0 || int64(n) > int64(maxBytes) {
+		return 0, nil, &FrameError{fmt.Sprintf("of %d bytes", n), fmt.Sprintf("1 to %d", maxBytes)}
 	}
 	raw := make([]byte, n)
 	if _, err = io.ReadFull(r, raw); err != nil {
 		return 0, nil, err
 	}
 	if sum := crc32.Checksum(raw, frameSums); sum != binary.LittleEndian.Uint32(head[4:]) {
-		return 0, nil, fmt.Errorf("a frame whose sum is %08x, expected %08x", sum,
-			binary.LittleEndian.Uint32(head[4:]))
+		return 0, nil, &FrameError{fmt.Sprintf("whose sum is %08x", sum),
+			fmt.Sprintf("%08x", binary.LittleEndian.Uint32(head[4:]))}
 	}
 	return raw[0], raw[1:], nil
 }
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -123,7 +123,7 @@
 	g.transport = newTransport(g, g.credentials, log, c.SnapshotRateMB)
 	g.publish()
 	g.logStart()
-	go g.transport.serve(listener)
+	g.transport.spawn(func() { g.transport.serve(listener) }) // close waits for it, so the address is free after it
 	go g.run()
 	return g, nil
 }
--- a/internal/control/consensus/record_collector.go
+++ b/internal/control/consensus/record_collector.go
@@ -26,6 +26,7 @@
 	texts    map[string]string    // by hash, so that a thousand nodes with one text hold it once
 	bodies   *semaphore.Weighted
 	server   *http.Server
+	served   chan struct{} // closed when the server's goroutine has ended
 	onRecord func(k *api.NodeRecord, err error)
 }
 
@@ -40,7 +41,7 @@
 		return nil, fmt.Errorf("%w: the instance that listens there has to be stopped first", err)
 	}
 	c := &Collector{records: map[string]api.NodeRecord{}, contacts: map[string]time.Time{}, texts: map[string]string{},
-		bodies: semaphore.NewWeighted(maxBodiesBytes), onRecord: onRecord}
+		bodies: semaphore.NewWeighted(maxBodiesBytes), served: make(chan struct{}), onRecord: onRecord}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/nodes", c.postHeartbeat)
 	mux.HandleFunc("POST /v1/kept", c.postRecord)
@@ -49,7 +50,10 @@
 	})
 	c.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout,
 		MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout}
-	go c.server.Serve(netutil.LimitListener(ln, maxClients)) // until Stop
+	go func() {
+		defer close(c.served)
+		c.server.Serve(netutil.LimitListener(ln, maxClients)) // until Stop; an earlier end shows as no records
+	}()
 	return c, nil
 }
 
@@ -58,6 +62,7 @@
 	if c.server.Shutdown(ctx) != nil {
 		c.server.Close()
 	}
+	<-c.served
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make([]api.NodeRecord, 0, len(c.records))
--- a/internal/control/consensus/replica_apply.go
+++ b/internal/control/consensus/replica_apply.go
@@ -8,6 +8,8 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"umberwinch/internal/control/coordinator"
 )
 
 func (r *Replica) reportStep(step WorkStep) {
@@ -129,12 +131,12 @@
 	case pb.EntryType_EntryConfChangeV2:
 		cc := &pb.ConfChangeV2{}
 		if err := proto.Unmarshal(e.GetData(), cc); err != nil {
-			return fmt.Errorf("not a change of members: %w", err)
+			return &coordinator.EntryError{Expected: "a change of members", Err: err}
 		}
 		if len(cc.GetContext()) > 0 {
 			var c Change
 			if err := json.Unmarshal(cc.GetContext(), &c); err != nil {
-				return fmt.Errorf("not a change of members: %w", err)
+				return &coordinator.EntryError{Expected: "a change of members", Err: err}
 			}
 			if m.members.check(&c) != nil { // no longer possible; all instances find so, and raft is not told
 				break
@@ -143,7 +145,7 @@
 		}
 		r.voterConfig = r.node.ApplyConfChange(cc)
 	default:
-		return fmt.Errorf("of kind %v, expected a put or a change of members", e.GetType())
+		return &EntryTypeError{e.GetType()}
 	}
 	m.applied, m.term = e.GetIndex(), e.GetTerm()
 	return nil
--- a/internal/control/consensus/state_machine.go
+++ b/internal/control/consensus/state_machine.go
@@ -70,7 +70,7 @@
 func (m *StateMachine) applyEntry(data []byte, index, term uint64) (*AppliedPut, coordinator.Outcome, error) {
 	var e entry
 	if err := json.Unmarshal(data, &e); err != nil {
-		return nil, nil, fmt.Errorf("not an entry: %w", err)
+		return nil, nil, &coordinator.EntryError{Expected: "an entry", Err: err}
 	}
 	switch {
 	case e.Kind == "":
@@ -88,7 +88,7 @@
 func (m *StateMachine) applyPutEntry(data []byte, index, term uint64) (*AppliedPut, error) {
 	var p Put
 	if err := json.Unmarshal(data, &p); err != nil {
-		return nil, fmt.Errorf("not a put: %w", err)
+		return nil, &coordinator.EntryError{Expected: "a put", Err: err}
 	}
 	if newest := rulesForLevel(m.supportedLevel); p.Rules < 1 || p.Rules > newest {
 		return nil, &NewerProgramError{fmt.Sprintf("made under rules %d", p.Rules), fmt.Sprintf("%d at most", newest)}
--- a/internal/control/consensus/store.go
+++ b/internal/control/consensus/store.go
@@ -142,7 +142,7 @@
 	}
 	e := &pb.Entry{}
 	if err := proto.Unmarshal(raw, e); err != nil || e.GetIndex() != i {
-		return nil, fmt.Errorf("entry %d of the log is not raft's: index %d, %v", i, e.GetIndex(), err)
+		return nil, &LogEntryError{Index: i, Found: e.GetIndex(), Err: err}
 	}
 	return e, nil
 }
@@ -153,7 +153,7 @@
 	if len(entries) > 0 {
 		first := entries[0].GetIndex()
 		if first <= s.offset {
-			return fmt.Errorf("entry %d, expected one after %d", first, s.offset)
+			return &CompactedEntryError{first, s.offset}
 		}
 		if first != s.log.Next() {
 			b.Cut = first
--- a/internal/control/consensus/transport_inbound.go
+++ b/internal/control/consensus/transport_inbound.go
@@ -34,7 +34,7 @@
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	kind, raw, err := readFrame(r, maxHandshakeBytes)
 	if err == nil && kind != frameHello {
-		err = fmt.Errorf("a frame of kind %d, expected a hello", kind)
+		err = &FrameError{fmt.Sprintf("of kind %d", kind), "a hello"}
 	}
 	if err == nil {
 		err = json.Unmarshal(raw, &h)
--- a/internal/control/consensus/transport_peer.go
+++ b/internal/control/consensus/transport_peer.go
@@ -97,7 +97,7 @@
 		c.SetDeadline(time.Time{})
 		return err
 	}
-	return fmt.Errorf("a frame of kind %d, expected a welcome", kind)
+	return &FrameError{fmt.Sprintf("of kind %d", kind), "a welcome"}
 }
 
 // connect keeps a connection to a peer and sends what is queued, until ctx is done. Failures are logged as they change.
