--- a/internal/control/api/join_test.go
+++ b/internal/control/api/join_test.go
@@ -46,7 +46,8 @@
 		change func(*NodeRecord)
 		want   string
 	}{
-		{func(r *NodeRecord) { r.Zone = "a b" }, `zone: found "a b", expected up to 40 letters, digits, '-', '_' and '.'`},
+		{func(r *NodeRecord) { r.Zone = "a b" },
+			`zone: found "a b", expected up to 40 letters, digits, '-', '_' and '.'`},
 		{func(r *NodeRecord) { r.ActiveText = strings.Repeat("x", 1<<20+1) },
 			"text: found 1048577 and 0 bytes, expected at most 1048576"},
 		{func(r *NodeRecord) { r.ZoneShare = 257 }, "share: found 257, expected 0 to 256"},
--- a/internal/control/consensus/api_test.go
+++ b/internal/control/consensus/api_test.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestStoppedAPI: an instance ends within a process that goes on, as in tests and in a restart of it. The goroutine that
-// logs for the server has to end with it: its pipe is closed, and the address is free.
+// TestStoppedAPI: an instance ends within a process that goes on, as in tests and in a restart of it. The goroutine
+// that logs for the server has to end with it, as its pipe is closed, and the address has to be free.
 func TestStoppedAPI(t *testing.T) {
 	a := boot(t, "a", "new", nil)
 	stopped := a.api
--- a/internal/control/consensus/errors_test.go
+++ b/internal/control/consensus/errors_test.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestUnreadableInput: what can't be read, of the log or of a peer, is told by types: the instance ends for the one, and
-// closes the connection for the other.
+// TestUnreadableInput: what can't be read, of the log or of a peer, is told by types: the instance ends for the one,
+// and closes the connection for the other.
 func TestUnreadableInput(t *testing.T) {
 	m := newStateMachine("c", 0)
 	for _, raw := range []string{"x", `{"seq":-1}`} {
--- a/internal/control/consensus/members.go
+++ b/internal/control/consensus/members.go
@@ -89,7 +89,8 @@
 	case OpAdd:
 		switch {
 		case c.Member.ID == 0 || c.Member.Name == "":
-			return invalidChange(ErrIncompleteMember, "found id %x and name %q, expected both", c.Member.ID, c.Member.Name)
+			return invalidChange(ErrIncompleteMember, "found id %x and name %q, expected both", c.Member.ID,
+				c.Member.Name)
 		case at != nil:
 			return invalidChange(ErrAlreadyMember, "instance %x is a member already", c.Member.ID)
 		case t.byName(c.Member.Name) != nil:
--- a/internal/control/consensus/state_machine.go
+++ b/internal/control/consensus/state_machine.go
@@ -65,8 +65,8 @@
 }
 
 // applyEntry applies what a committed entry carries, a put or an entry of a kind. It returns the put's result, or the
-// outcome of a fleet entry; at least one of them is nil. An error means that the entry can't be read: the instance can't
-// go on, as others may have applied it.
+// outcome of a fleet entry; at least one of them is nil. An error means that the entry can't be read: the instance
+// can't go on, as others may have applied it.
 func (m *StateMachine) applyEntry(data []byte, index, term uint64) (*AppliedPut, coordinator.Outcome, error) {
 	var e entry
 	if err := json.Unmarshal(data, &e); err != nil {
--- a/internal/control/document/document_test.go
+++ b/internal/control/document/document_test.go
@@ -53,8 +53,8 @@
 	return d
 }
 
-// TestCanonicalFormIsAFixedPoint: a version is read, written canonically and read again, and another operator writes the
-// same content otherwise. All of them must have one hash: nodes would take equal versions for different ones.
+// TestCanonicalFormIsAFixedPoint: a version is read, written canonically and read again, and another operator writes
+// the same content otherwise. All of them must have one hash: nodes would take equal versions for different ones.
 func TestCanonicalFormIsAFixedPoint(t *testing.T) {
 	d := parse(t, filing)
 	text := d.Canonical()
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestWhatMayNotChangeInFlight: a version takes away what requests in flight were promised under the one before. A retry
-// could run a second time, so the version may not follow; with the class retired in between it may.
+// TestWhatMayNotChangeInFlight: a version takes away what requests in flight were promised under the one before. A
+// retry could run a second time, so the version may not follow; with the class retired in between it may.
 func TestWhatMayNotChangeInFlight(t *testing.T) {
 	before := parse(t, filing)
 	retired := parse(t, strings.Replace(filing, "window = 20s", "window = 20s\nretired = yes", 1))
--- a/internal/control/zones/operation_test.go
+++ b/internal/control/zones/operation_test.go
@@ -20,30 +20,34 @@
 	const grounded = `"why":"enough","by":"an operator","stay":7.5,"go":8.5`
 	const limited = `"share":16,"worth":2.5,"ceiling":100,"dials":50,"retry":9,"full":true`
 	const observed = `"bores":{"a":{"runs":100,"in_flight":3,"run_ms":0,"call_ms":0,"opened":0,"came":0}}`
-	for stored, want := range map[string]operation{
-		`{"op":"leave","zone":"a","epoch":4,` + limited + `,"cause":"dead",` + grounded +
-			`,"wait_ms":2000,"drill_ms":1000,` + observed + `}`: &evacuation{on, takes, why, causeDead, 2000, 1000, capacities},
-		`{"op":"settle","epoch":4}`: &settlement{target{epoch: 4}},
-		`{"op":"step","zone":"a","epoch":4,` + limited + `,` + grounded + `}`:     &rampStep{on, takes, why},
-		`{"op":"split","zone":"a","epoch":4,"retry":9,"full":true}`:               &quotaSplit{on, budget},
-		`{"op":"in","zone":"a","epoch":4,"retry":9,"full":true,` + grounded + `}`: &rampEnd{on, why, budget},
-		`{"op":"back","zone":"a","epoch":4,` + limited + `,"cause":"lateness",` + grounded + `,"wait_ms":2000}`: &stepBack{
-			on, takes, why, Cause(symptomRunsLate), 2000},
-		`{"op":"bore","epoch":0,` + observed + `}`:                             &observation{target{}, capacities},
-		`{"op":"hold","zone":"a","epoch":4,"by":"an operator","wait_ms":2000}`: &hold{on, "an operator", 2000},
-		`{"op":"fly","zone":"a","epoch":4}`:                                    &unknownOperation{on, "fly"},
+	for _, c := range []struct {
+		stored string
+		want   operation
+	}{
+		{`{"op":"leave","zone":"a","epoch":4,` + limited + `,"cause":"dead",` + grounded +
+			`,"wait_ms":2000,"drill_ms":1000,` + observed + `}`,
+			&evacuation{on, takes, why, causeDead, 2000, 1000, capacities}},
+		{`{"op":"settle","epoch":4}`, &settlement{target{epoch: 4}}},
+		{`{"op":"step","zone":"a","epoch":4,` + limited + `,` + grounded + `}`, &rampStep{on, takes, why}},
+		{`{"op":"split","zone":"a","epoch":4,"retry":9,"full":true}`, &quotaSplit{on, budget}},
+		{`{"op":"in","zone":"a","epoch":4,"retry":9,"full":true,` + grounded + `}`, &rampEnd{on, why, budget}},
+		{`{"op":"back","zone":"a","epoch":4,` + limited + `,"cause":"lateness",` + grounded + `,"wait_ms":2000}`,
+			&stepBack{on, takes, why, Cause(symptomRunsLate), 2000}},
+		{`{"op":"bore","epoch":0,` + observed + `}`, &observation{target{}, capacities}},
+		{`{"op":"hold","zone":"a","epoch":4,"by":"an operator","wait_ms":2000}`, &hold{on, "an operator", 2000}},
+		{`{"op":"fly","zone":"a","epoch":4}`, &unknownOperation{on, "fly"}},
 	} {
 		var op Op
-		if err := json.Unmarshal([]byte(stored), &op); err != nil {
+		if err := json.Unmarshal([]byte(c.stored), &op); err != nil {
 			t.Fatal(err)
 		}
 		read := op.decode()
-		if !reflect.DeepEqual(read, want) {
-			t.Errorf("%s: found %#v, expected %#v", stored, read, want)
+		if !reflect.DeepEqual(read, c.want) {
+			t.Errorf("%s: found %#v, expected %#v", c.stored, read, c.want)
 			continue
 		}
-		if raw, err := json.Marshal(read.encode()); err != nil || string(raw) != stored {
-			t.Errorf("found %s (%v), expected %s", raw, err, stored)
+		if raw, err := json.Marshal(read.encode()); err != nil || string(raw) != c.stored {
+			t.Errorf("found %s (%v), expected %s", raw, err, c.stored)
 		}
 	}
 	split := (&Op{Kind: OpSplit, Zone: "a", Epoch: 4, Share: 3, Cause: causeDead, Reason: "late"}).decode()
--- a/internal/control/zones/ramp_end_test.go
+++ b/internal/control/zones/ramp_end_test.go
@@ -32,7 +32,8 @@
 		if o := d.finishRamp(zone, view, c.shownMS); o != nil {
 			op = o.encode()
 		}
-		if op.Kind != c.kind || op.Kind == OpRamp && (op.RateLimit <= c.limit || op.RateLimit > maxLimitFactor*c.limit) {
+		tooLittle, tooMuch := op.RateLimit <= c.limit, op.RateLimit > maxLimitFactor*c.limit
+		if op.Kind != c.kind || op.Kind == OpRamp && (tooLittle || tooMuch) {
 			t.Errorf("%s: %+v, expected %q", c.name, op, c.kind)
 		}
 	}
