--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -60,6 +60,7 @@
 	leader          *coordinator.Leader
 	leaderTickedAt  time.Time
 	stateLossLogged bool
+	outOfContact    bool // as the last view was when it was published
 	ticks           uint64
 	waiting         waiters
 }
--- a/internal/control/consensus/group_loop.go
+++ b/internal/control/consensus/group_loop.go
@@ -133,7 +133,9 @@
 		tick:           g.control.Tick,
 	}
 	previous := g.view.Swap(v)
-	if previous != nil {
+	if previous == nil {
+		g.outOfContact = v.OutOfContact()
+	} else {
 		g.logChanges(previous, v)
 		close(previous.Superseded)
 	}
@@ -149,7 +151,9 @@
 		g.log.WithFields(logrus.Fields{logging.PolicyVersion: v.Version, logging.Index: v.Applied}).
 			Info("new version committed")
 	}
-	if !previous.OutOfContact() && v.OutOfContact() {
+	// The previous view ages on, so it may be out of contact by now too: what was logged is held beside it.
+	wasOutOfContact := g.outOfContact
+	if g.outOfContact = v.OutOfContact(); g.outOfContact && !wasOutOfContact {
 		g.log.WithField(logging.SilentMS, v.SinceLeader().Milliseconds()).Warn("out of touch with a majority")
 	}
 }
--- a/internal/control/consensus/group_test.go
+++ b/internal/control/consensus/group_test.go
@@ -7,13 +7,17 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
 
+	"github.com/sirupsen/logrus"
+	logtest "github.com/sirupsen/logrus/hooks/test"
 	pb "go.etcd.io/raft/v3/raftpb"
 
 	"umberwinch/internal/config"
+	"umberwinch/internal/logging"
 	"umberwinch/internal/wal"
 )
 
@@ -58,9 +62,16 @@
 	all := three(t, nil)
 	all[0].put("s", 1, 0)
 	all[2].await("version 1", func(v *View) bool { return v.Version == 1 })
+	logged := logtest.NewLocal(all[2].group.log)
+	all[2].group.log.SetLevel(logrus.WarnLevel)
 	all[0].stop()
 	all[1].stop()
 	all[2].await("out of touch", (*View).OutOfContact)
+	all[2].await("a log line that says so", func(*View) bool {
+		return slices.ContainsFunc(logged.AllEntries(), func(e *logrus.Entry) bool {
+			return e.Message == "out of touch with a majority" && e.Data[logging.SilentMS] != nil
+		})
+	})
 	var v Version
 	if code, h := all[2].ask(http.MethodGet, "/v1/config?read=stale", nil, &v); code != 200 || v.Number != 1 ||
 		h.Get(HeaderOutOfContact) == "" {
