--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -304,15 +304,11 @@
 	}
 	members := l.replica.Members()
 	for _, m := range members {
-		for _, h := range w.hosts {
-			if h.id == m.ID && !h.replaced {
-				goto next
-			}
+		if w.hostOf(m) == nil {
+			l.replica.Change(consensus.Change{Op: "remove", Member: m})
+			w.work(l)
+			return
 		}
-		l.replica.Change(consensus.Change{Op: "remove", Member: m})
-		w.work(l)
-		return
-	next:
 	}
 	if len(members) >= w.votersWanted {
 		return
@@ -353,6 +349,17 @@
 	}
 }
 
+// hostOf gives the host that a member runs on, nil if its disk was lost.
+func (w *ConsensusGroup) hostOf(m consensus.Member) *host {
+	for _, h := range w.hosts {
+		if h.id == m.ID && !h.replaced {
+			return h
+		}
+	}
+	return nil
+}
+
+// members gives the hosts of the group's members, as the leader has them.
 func (w *ConsensusGroup) members() []*host {
 	var out []*host
 	l := w.leader()
@@ -360,10 +367,8 @@
 		return nil
 	}
 	for _, m := range l.replica.Members() {
-		for _, h := range w.hosts {
-			if h.id == m.ID && !h.replaced {
-				out = append(out, h)
-			}
+		if h := w.hostOf(m); h != nil {
+			out = append(out, h)
 		}
 	}
 	return out
--- a/internal/simulation/pool_scenarios.go
+++ b/internal/simulation/pool_scenarios.go
@@ -3,8 +3,7 @@
 import (
 	"embed"
 	"math"
-
-	"github.com/HdrHistogram/hdrhistogram-go"
+	"slices"
 
 	"umberwinch/admission"
 	"umberwinch/internal/node/pools"
@@ -119,7 +118,6 @@
 // outcome is a scenario's, in one variant, over all servers.
 type outcome struct {
 	classes  []tallies
-	busiest  float64 // share of the cores in use over the fullest window
 	peakRuns float64 // runs a core
 	value    float64
 	limits   [][]float64 // of the first server, by second
@@ -127,111 +125,108 @@
 
 // play runs a scenario's servers one after the other, each from a seed of its own.
 func (s *Scenario) play(seed int64, size int, variant, without string) *outcome {
-	all := &outcome{classes: make([]tallies, len(s.Classes))}
-	for k := range all.classes {
-		all.classes[k].times = hdrhistogram.New(1, 10_000_000, 2)
-		all.classes[k].served, all.classes[k].arrived = make([]int, s.span/second+2), make([]int, s.span/second+2)
-	}
+	all := &outcome{classes: newTallies(len(s.Classes), s.span)}
 	for n := 0; n < size; n++ {
 		d, p := s.newDecider(variant, without)
-		s.playServer(all, seed*1000+int64(n), d, p, n == 0)
+		v := newEmulatedServer(seed*1000+int64(n), d, s.Cores, s.classesAt(s.load), s.Tenants, s.span+second)
+		limits := s.playServer(v, p)
+		if n == 0 {
+			all.limits = limits
+		}
+		all.add(s, v)
 	}
 	return all
 }
 
-func (s *Scenario) playServer(all *outcome, seed int64, d decider, p *pools.Pools, watch bool) {
-	load := s.load
-	rates := s.Rates(load)
-	classes := append([]Class{}, s.Classes...)
-	for k := range classes {
-		classes[k].Rate = rates[k]
+// classesAt gives the classes with their rates at a load.
+func (s *Scenario) classesAt(load float64) []Class {
+	classes := slices.Clone(s.Classes)
+	for k, rate := range s.Rates(load) {
+		classes[k].Rate = rate
 	}
-	v := newEmulatedServer(seed, d, s.Cores, classes, s.Tenants, s.span+second)
-	times, works := make([]float64, len(classes)), make([]float64, len(classes))
-	for k := range times {
-		times[k], works[k] = 1, 1
+	return classes
+}
+
+// scale is by how much a class's rate and work differ from what its scenario begins with.
+type scale struct{ rate, work float64 }
+
+// playServer plays a scenario at one server, second by second, and gives the limits of its pools.
+func (s *Scenario) playServer(v *server, p *pools.Pools) (limits [][]float64) {
+	load, scales := s.load, make([]scale, len(s.Classes))
+	for k := range scales {
+		scales[k] = scale{1, 1}
 	}
 	next := 0
 	for now := second; now < s.span+second; now += second {
-		for next < len(s.changes) && s.changes[next].at <= now-second {
-			s.applyChange(v, s.changes[next], &load, times, works)
-			next++
-		}
-		rates = s.Rates(load)
-		for k := range v.classes {
-			v.classes[k].Rate = rates[k] * times[k]
-			v.classes[k].Work = s.Classes[k].Work * works[k]
+		for ; next < len(s.changes) && s.changes[next].at <= now-second; next++ {
+			s.changes[next].apply(v, &load, scales)
 		}
-		if v.drained {
-			for k := range v.classes {
+		for k, class := range s.classesAt(load) {
+			v.classes[k].Rate, v.classes[k].Work = class.Rate*scales[k].rate, class.Work*scales[k].work
+			if v.drained {
 				v.classes[k].Rate = 0
 			}
 		}
 		v.runUntil(now + second)
-		if watch && p != nil {
-			var row []float64
-			for _, view := range p.Status() {
-				row = append(row, min(view.Limit, 30))
-			}
-			all.limits = append(all.limits, row)
+		if p != nil {
+			limits = append(limits, poolLimits(p))
 		}
 	}
 	for k := range v.classes {
 		v.classes[k].arrivals = math.MaxInt64 / 2
 	}
-	v.runUntil(v.now + 10*second) // what is open has its end
-	for k := range all.classes {
-		a, b := &all.classes[k], &v.out[k]
-		a.offered, a.inTime, a.late = a.offered+b.offered, a.inTime+b.inTime, a.late+b.late
-		a.withinQuota, a.withinQuotaInTime = a.withinQuota+b.withinQuota, a.withinQuotaInTime+b.withinQuotaInTime
-		a.shed, a.errored = a.shed+b.shed, a.errored+b.errored
-		a.times.Merge(b.times)
-		all.value += float64(b.inTime) * s.Classes[k].Handler.Value
-		for i := range a.served {
-			a.served[i] += b.served[i]
-			a.arrived[i] += b.arrived[i]
-		}
+	v.runUntil(v.now + 10*second) // requests in flight end
+	return limits
+}
+
+// poolLimits gives each pool's limit, cut off where the plot ends.
+func poolLimits(p *pools.Pools) (row []float64) {
+	for _, view := range p.Status() {
+		row = append(row, min(view.Limit, 30))
 	}
-	for _, b := range v.busy {
-		all.busiest = max(all.busiest, b/float64(window))
+	return row
+}
+
+// add adds what became of a server's requests.
+func (o *outcome) add(s *Scenario, v *server) {
+	for k := range o.classes {
+		o.classes[k].add(&v.out[k])
+		o.value += float64(v.out[k].inTime) * s.Classes[k].Handler.Value
 	}
-	all.peakRuns = max(all.peakRuns, v.peakRuns)
+	o.peakRuns = max(o.peakRuns, v.peakRuns)
 }
 
-func (s *Scenario) applyChange(v *server, c scenarioChange, load *float64, times, works []float64) {
-	if c.class < 0 {
-		switch c.kind {
-		case "load":
-			*load = c.words["load"]
-		case "cores":
-			v.cores = c.words["cores"]
-		case "drain":
-			v.drained = true
-			v.round(&admission.Round{Drain: true, KillAt: v.now + virtualTime(c.words["drain"]*float64(second))})
-		}
+// apply makes a change at a server: to the load and the scales where they are the scenario's.
+func (c *scenarioChange) apply(v *server, load *float64, scales []scale) {
+	switch c.kind {
+	case "load":
+		*load = c.words["load"]
+		return
+	case "cores":
+		v.cores = c.words["cores"]
+		return
+	case "drain":
+		v.drained = true
+		v.round(&admission.Round{Drain: true, KillAt: v.now + virtualTime(c.words["drain"]*float64(second))})
 		return
 	}
-	k := &v.classes[c.class]
-	for _, key := range []string{"rate", "work", "heavy", "times", "hangs", "surge", "by"} {
-		x, ok := c.words[key]
-		if !ok {
-			continue
-		}
+	class := &v.classes[c.class]
+	for key, x := range c.words {
 		switch key {
 		case "rate":
-			times[c.class] = x
+			scales[c.class].rate = x
 		case "work":
-			works[c.class] = x
+			scales[c.class].work = x
 		case "heavy":
-			k.HeavyShare = x
+			class.HeavyShare = x
 		case "times":
-			k.HeavyFactor = x
+			class.HeavyFactor = x
 		case "hangs":
-			k.hangs = x
+			class.hangs = x
 		case "surge":
-			k.surge = int(x)
+			class.surge = int(x)
 		case "by":
-			k.surgeBy = x
+			class.surgeBy = x
 		}
 	}
 }
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -40,11 +40,31 @@
 
 // tallies count what became of a class's requests.
 type tallies struct {
-	offered, inTime, late, shed, errored int
-	withinQuota, withinQuotaInTime       int                     // those of tenants that don't surge
-	times                                *hdrhistogram.Histogram // of those done, from the first try, in tenths of a ms
-	served                               []int                   // in time, by second
-	arrived                              []int
+	offered, inTime                int
+	withinQuota, withinQuotaInTime int                     // of tenants that don't surge
+	times                          *hdrhistogram.Histogram // of those done, from the first attempt, in tenths of a ms
+	served                         []int                   // in time, by second
+	arrived                        []int
+}
+
+func newTallies(classes int, span virtualTime) []tallies {
+	all := make([]tallies, classes)
+	for k := range all {
+		all[k] = tallies{times: hdrhistogram.New(1, 10_000_000, 2), served: make([]int, span/second+2),
+			arrived: make([]int, span/second+2)}
+	}
+	return all
+}
+
+// add adds another server's.
+func (t *tallies) add(o *tallies) {
+	t.offered, t.inTime = t.offered+o.offered, t.inTime+o.inTime
+	t.withinQuota, t.withinQuotaInTime = t.withinQuota+o.withinQuota, t.withinQuotaInTime+o.withinQuotaInTime
+	t.times.Merge(o.times)
+	for i := range t.served {
+		t.served[i] += o.served[i]
+		t.arrived[i] += o.arrived[i]
+	}
 }
 
 type attempt struct {
@@ -92,25 +112,18 @@
 	retries       priorityQueue[retry]
 	wake          virtualTime
 	out           []tallies
-	busy          []float64 // core seconds, by window of 3 s
-	peakRuns      float64   // runs a core at most
+	peakRuns      float64 // runs a core at most
 	drained       bool
 }
 
-// window is over which the cores' use is looked at.
-const window = 3 * second
-
 func newEmulatedServer(seed int64, d decider, cores int, classes []Class, tenants int, span virtualTime) *server {
 	s := &server{random: rand.New(rand.NewSource(seed)), decider: d, now: second, cores: float64(cores),
 		overloadRatio: 5, tenants: tenants, open: map[uint32]*attempt{}, wake: -1}
 	s.classes = append(s.classes, classes...)
-	s.out = make([]tallies, len(classes))
-	for k := range s.out {
-		s.out[k].times = hdrhistogram.New(1, 10_000_000, 2)
-		s.out[k].served, s.out[k].arrived = make([]int, span/second+2), make([]int, span/second+2)
+	s.out = newTallies(len(classes), span)
+	for k := range s.classes {
 		s.classes[k].arrivals = s.now + s.gap(k)
 	}
-	s.busy = make([]float64, span/window+2)
 	s.round(&admission.Round{})
 	return s
 }
@@ -145,9 +158,6 @@
 	if dt := float64(to - s.now); dt > 0 {
 		n := float64(len(s.runs) + s.hung)
 		s.service += dt * s.speed()
-		if k := int(s.now / window); k < len(s.busy) {
-			s.busy[k] += dt * min(n, s.cores) / s.cores
-		}
 		s.peakRuns = max(s.peakRuns, n/s.cores)
 		s.now = to
 	}
@@ -245,8 +255,6 @@
 			o.withinQuotaInTime++
 		}
 		o.served[min(int(q.first/second), len(o.served)-1)]++
-	} else {
-		o.late++
 	}
 }
 
@@ -277,15 +285,12 @@
 		n.try++
 		s.next++
 		s.retries.add(retry{at, s.next, n})
-		return
 	}
-	s.out[q.class].shed++
 }
 
 func (s *server) Fail(id uint32, _ admission.Reason) {
 	if q := s.open[id]; !q.answered {
 		q.answered = true
-		s.out[q.class].errored++
 		if q.start == 0 {
 			delete(s.open, id)
 		}
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -76,7 +76,6 @@
 	Done            float64 // weight done in time, and offered, from the fault on
 	Asked           float64
 	Failing         float64            // value done while it fails, from five seconds on
-	OthersDone      float64            // least share of weight done by zones in service
 	Tries           float64            // attempts a request, from the fault on
 	Left            map[string]float64 // ms from the fault to a zone's evacuation
 	Back            map[string]float64 // and from its end until the zone is in service again
--- a/internal/simulation/zones_plan.go
+++ b/internal/simulation/zones_plan.go
@@ -71,9 +71,8 @@
 		mode = "off"
 	}
 	v := &Zones{ZonePlan: p, rateLimits: map[string][2]float64{}, health: make([]nodeHealth, p.Nodes),
-		upNodes: make([]float64, p.Zones),
-		ZoneFigures: ZoneFigures{Left: map[string]float64{}, Back: map[string]float64{}, OthersDone: 1,
-			Plot: make([]report.Line, 3)}}
+		upNodes:     make([]float64, p.Zones),
+		ZoneFigures: ZoneFigures{Left: map[string]float64{}, Back: map[string]float64{}, Plot: make([]report.Line, 3)}}
 	v.Fleet = NewFleet(FleetPlan{Seed: p.Seed, Nodes: p.Nodes, Ctl: 3, Calm: true, Lease: 4000, Zones: p.Zones,
 		ZoneRules: "[zones]\ndecide = " + mode + "\nsmall_start = yes\n", WithoutZones: p.Without})
 	v.Fleet.loadReport, v.Fleet.probePeer, v.Fleet.onApplied = v.loadReport, v.probe, v.onApplied
--- a/internal/simulation/zones_traffic.go
+++ b/internal/simulation/zones_traffic.go
@@ -1,8 +1,6 @@
 package simulation
 
 import (
-	"fmt"
-
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/zones"
 	"umberwinch/internal/node/zonegate"
@@ -191,9 +189,8 @@
 	demand  float64       // first attempts a second
 	weight  float64       // and their priority weight
 
-	attempts                        float64 // sent to some zone
-	done                            float64 // weight completed in time
-	inServiceDone, inServiceOffered float64 // of zones in service without a fault: weight done, offered
+	attempts float64 // sent to some zone
+	done     float64 // weight completed in time
 }
 
 // playStep plays a tenth of a second: what callers send, what each zone admits and its service does, what is measured.
@@ -271,10 +268,6 @@
 	t.complete()
 	s.done += t.rates.completedWeight
 	s.check(zone, b, first)
-	if phase, _ := s.Fleet.state.Zones.PhaseOf(fmt.Sprint("z", zone)); phase == zones.InService && s.kind(zone) == "" {
-		s.inServiceDone += t.rates.completedWeight
-		s.inServiceOffered += t.rates.offeredWeight
-	}
 	b.smoothed.follow(&t.rates)
 }
 
@@ -432,9 +425,6 @@
 			s.Failing += s.done * dt
 		}
 	}
-	if len(s.Fleet.state.Zones.Zones) > 0 && s.inServiceOffered > 0 && s.failing {
-		s.OthersDone = min(s.OthersDone, s.inServiceDone/s.inServiceOffered)
-	}
 }
 
 // plot adds a point to each line of the plot, twice a second.
