--- a/internal/control/coordinator/rules_test.go
+++ b/internal/control/coordinator/rules_test.go
@@ -9,6 +9,7 @@
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/membership"
 	"umberwinch/internal/control/policy"
+	"umberwinch/internal/control/zones"
 )
 
 // TestHeartbeatPace: the shortest of the times that apply holds, and larger fleets send more slowly.
@@ -156,9 +157,10 @@
 		t.Errorf("found %v, expected %v", err, policy.ErrEmptyProposal)
 	}
 	for raw, want := range map[string]error{
-		"{":                       ErrSnapshot,
-		`{"fleet":{"clock":-1}}`:  membership.ErrSnapshot,
-		`{"fleet":{},"policy":1}`: policy.ErrSnapshot,
+		"{":                                  ErrSnapshot,
+		`{"fleet":{"clock":-1}}`:             membership.ErrSnapshot,
+		`{"fleet":{},"policy":1}`:            policy.ErrSnapshot,
+		`{"fleet":{},"policy":{},"zones":1}`: zones.ErrSnapshot,
 	} {
 		if err := NewState(0).Restore([]byte(raw)); !errors.Is(err, want) {
 			t.Errorf("%s: found %v, expected one that wraps %v", raw, err, want)
--- a/internal/control/zones/errors.go
+++ b/internal/control/zones/errors.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"strings"
 )
 
 // Why an operation is rejected. A rejected operation changes nothing; Result.Err has its text.
@@ -30,3 +31,14 @@
 func rejected(reason error, format string, args ...any) error {
 	return &RejectedError{Reason: reason, Text: fmt.Sprintf(format, args...)}
 }
+
+// ErrSnapshot is what all errors of Restore wrap: the snapshot is torn, spoilt or not of zones. Nothing of it is used.
+var ErrSnapshot = errors.New("saved zones")
+
+// UnknownGuardError is given for a guard's name that there is not.
+type UnknownGuardError struct{ Name string }
+
+// Error names the guards that there are.
+func (e *UnknownGuardError) Error() string {
+	return fmt.Sprintf("guard %q, expected one of %s", e.Name, strings.Join(guardNames, ", "))
+}
--- a/internal/control/zones/errors_test.go
+++ b/internal/control/zones/errors_test.go
@@ -53,3 +53,14 @@
 		}
 	}
 }
+
+// TestUnknownGuard: an operator's slip in a guard's name is told with the names that there are.
+func TestUnknownGuard(t *testing.T) {
+	var unknown *UnknownGuardError
+	if _, err := GuardNamed("rooms"); !errors.As(err, &unknown) || unknown.Name != "rooms" {
+		t.Errorf("found %v, expected an UnknownGuardError of rooms", err)
+	}
+	if guard, err := GuardNamed("room"); err != nil || guard != SpareCapacity {
+		t.Errorf("found %v, %v, expected %v", guard, err, SpareCapacity)
+	}
+}
--- a/internal/control/zones/guards.go
+++ b/internal/control/zones/guards.go
@@ -1,10 +1,5 @@
 package zones
 
-import (
-	"fmt"
-	"strings"
-)
-
 // Guard is a set of guards that are taken out, for fault tests alone: without one of them a promise has to break,
 // which shows that the test finds what the guard is for.
 type Guard uint
@@ -41,14 +36,14 @@
 // Has reports whether a guard is taken out.
 func (g Guard) Has(one Guard) bool { return g&one != 0 }
 
-// GuardNamed returns a guard by its name.
+// GuardNamed returns a guard by its name, or an *UnknownGuardError.
 func GuardNamed(name string) (Guard, error) {
 	for i, known := range guardNames {
 		if known == name {
 			return 1 << i, nil
 		}
 	}
-	return 0, fmt.Errorf("guard %q, expected one of %s", name, strings.Join(guardNames, ", "))
+	return 0, &UnknownGuardError{name}
 }
 
 // GuardNames lists the guards of evacuations and ramps.
--- a/internal/control/zones/snapshot.go
+++ b/internal/control/zones/snapshot.go
@@ -9,18 +9,18 @@
 // Snapshot returns the state in the form that Restore reads.
 func (s *State) Snapshot() ([]byte, error) { return json.Marshal(s) }
 
-// Restore reads what Snapshot gave; nothing stands for a group that has decided nothing about zones. It fails on what
-// is not JSON of a state, or has more than MaxZones zones.
+// Restore reads what Snapshot gave; nothing stands for a group that has decided nothing about zones. Its errors wrap
+// ErrSnapshot: what is not JSON of a state, or has more than MaxZones zones.
 func Restore(raw []byte) (*State, error) {
 	state := &State{}
 	if len(raw) == 0 {
 		return state, nil
 	}
 	if err := json.Unmarshal(raw, state); err != nil {
-		return nil, fmt.Errorf("saved zones: %w", err)
+		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
 	if len(state.Zones) > MaxZones {
-		return nil, fmt.Errorf("%d saved zones, expected at most %d", len(state.Zones), MaxZones)
+		return nil, fmt.Errorf("%d %w, expected at most %d", len(state.Zones), ErrSnapshot, MaxZones)
 	}
 	return state, nil
 }
--- a/internal/node/zonegate/meter.go
+++ b/internal/node/zonegate/meter.go
@@ -16,9 +16,9 @@
 	slotMS     = 250
 	statusOK   = 200
 	statusShed = 503
-	// Healthy: at least healthyLeast in healthyOf requests, which one bad request among ten does not break
-	healthyOf    = 10
-	healthyLeast = 9
+	// Healthy: at least minHealthyInSample in healthySample requests, which one bad request among ten does not break
+	healthySample      = 10
+	minHealthyInSample = 9
 )
 
 // meterSlot counts what happened in slotMS.
@@ -143,5 +143,5 @@
 	if ended == 0 {
 		return inFlight == 0
 	}
-	return healthyOf*report.Completed >= healthyLeast*ended
+	return healthySample*report.Completed >= minHealthyInSample*ended
 }
