--- a/internal/node/server/guards_test.go
+++ b/internal/node/server/guards_test.go
@@ -8,9 +8,6 @@
 	"testing"
 )
 
-// Comments on guards name rows of the pages that say what fails and what is done then. Whoever is on call follows them
-// from the code to the page and back: a row that isn't there, or one that no code stands behind, would lead nowhere.
-
 const (
 	failuresPage = "docs/design/failures.md"
 	shutdownPage = "docs/design/shutdown.md"
@@ -52,6 +49,8 @@
 	return rows
 }
 
+// Comments on guards name rows of the pages that say what fails and what is done then. Whoever is on call follows them
+// from the code to the page and back: a row that isn't there, or one that no code stands behind, would lead nowhere.
 func TestGuardsNameRowsOfPages(t *testing.T) {
 	rows := map[string]map[string]bool{}
 	for _, page := range []string{failuresPage, shutdownPage} {
--- a/internal/node/server/pools_test.go
+++ b/internal/node/server/pools_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestWrongOwnFile: a handler that the platform does not name starts nothing.
-func TestWrongOwnFile(t *testing.T) {
+// TestWrongOperatorFile: a handler that the platform does not name starts nothing.
+func TestWrongOperatorFile(t *testing.T) {
 	n := start(t, nil)
 	own := filepath.Join(t.TempDir(), "node.ini")
 	if err := os.WriteFile(own, []byte("[log]\nform = json\n\n[pool fly]\n"), 0o600); err != nil {
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -175,9 +175,9 @@
 	}
 }
 
-// TestLastMoment: a result is not durable when its request is due, or when the process has to end. The caller gets an
+// TestLateResultIsAnsweredInTime: a result is not durable when its request is due, or when the process has to end. The caller gets an
 // error in time, once, and the result that gets there later is known.
-func TestLastMoment(t *testing.T) {
+func TestLateResultIsAnsweredInTime(t *testing.T) {
 	d := &heldDisk{FS: wal.NewMemFS()}
 	l := loopWithStore(t, d)
 	h, r := l.takes("a")
@@ -202,9 +202,9 @@
 	}
 }
 
-// TestEarly: requests come before the folder is read. They wait for a second at most and are then rejected, or let in
+// TestRequestsBeforeTheFolderIsRead: requests come before the folder is read. They wait for a second at most and are then rejected, or let in
 // as it is read; a retry that nobody can know of gets an error, as its first attempt may have run.
-func TestEarly(t *testing.T) {
+func TestRequestsBeforeTheFolderIsRead(t *testing.T) {
 	l := loopWithStore(t, &heldDisk{FS: wal.NewMemFS()})
 	k := l.results
 	book := k.index
@@ -244,9 +244,9 @@
 	}
 }
 
-// TestSlotLooksAgain: two attempts of a key pass as they come, and one has run by the time that the other gets its
+// TestKeyIsCheckedAgainAtItsSlot: two attempts of a key pass as they come, and one has run by the time that the other gets its
 // slot. That one does not run, with the same body or another, and harms nothing of the first.
-func TestSlotLooksAgain(t *testing.T) {
+func TestKeyIsCheckedAgainAtItsSlot(t *testing.T) {
 	l := loopWithStore(t, &heldDisk{FS: wal.NewMemFS()})
 	h, r := l.takes("a")
 	l.results.begin(h, r)
--- a/internal/node/server/scenario_test.go
+++ b/internal/node/server/scenario_test.go
@@ -71,6 +71,8 @@
 	wallStep time.Duration
 }
 
+// Each scenario starts the program between stand-ins for clients, kernel, store and service discovery, and plays what
+// happens to it step by step. It ends at the first step that does not come out as it says, or that is never seen.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -43,7 +43,7 @@
 func (s *slow) Close() error { close(s.closed); return nil }
 
 // A peer that takes nothing makes nobody wait: what it is sent is bounded, and goes out whole and in order.
-func TestWayOutNeverWaits(t *testing.T) {
+func TestSendingNeverWaits(t *testing.T) {
 	s := &slow{let: make(chan bool), closed: make(chan bool)}
 	p, busy := bufferPool{capacity: 8}, atomic.Int64{}
 	w := &writer{conn: s, pool: &p, busy: &busy}
@@ -72,8 +72,8 @@
 	}
 }
 
-// Late news of a slot's earlier tenant must find nothing, and a full table must say so.
-func TestSlots(t *testing.T) {
+// A late event names a slot that another connection has by now. It must find nothing, and a full table must say so.
+func TestLateEventFindsNoSlot(t *testing.T) {
 	tab := newTable[int](2)
 	a, v, _ := tab.take()
 	*v = 7
@@ -97,7 +97,9 @@
 	}
 }
 
-func TestDeadlinesComeInOrder(t *testing.T) {
+// Timers are set in any order, many for the same time. They fire by time, those of one time in the order in which they
+// were set, and none before its time: else what a later one undoes would be done again.
+func TestTimersFireInOrder(t *testing.T) {
 	var d timers
 	for i := range 200 {
 		d.set(admission.Time(i*37%50), timerCall, handle(i))
@@ -154,7 +156,7 @@
 }
 
 // What is wrong with the start-up file is told in one line, and the program ends with status 2.
-func TestWrongStart(t *testing.T) {
+func TestWrongStartupFile(t *testing.T) {
 	const addresses = `{"name":"n","listen":"127.0.0.1:0","kernel":"127.0.0.1:1",`
 	for text, says := range map[string]string{"": "not JSON", "{": "not JSON",
 		`{"listen":"127.0.0.1:0"}`: "name: found none",
@@ -179,7 +181,7 @@
 }
 
 // A round is decided in the order in which its requests came, and a key's later try repeats the earlier one.
-func TestArrange(t *testing.T) {
+func TestRoundIsInOrderOfArrival(t *testing.T) {
 	l := &loop{requestsInHand: requestsInHand{requests: newTable[request](8),
 		idempotency: newIdempotencyTable(10, 100, 50)}}
 	var all []admission.Request
@@ -201,7 +203,7 @@
 }
 
 // However often a report asks for a link that is down, one deadline has it dialled again.
-func TestDeadlinesDoNotPileUp(t *testing.T) {
+func TestTimersDoNotPileUp(t *testing.T) {
 	l := &loop{loopTime: loopTime{now: 1000}}
 	l.discovery.link = link{addr: "127.0.0.1:1", backoff: backoff{notBefore: 2000}, retry: timerDiscoveryDial}
 	for range 50 {
--- a/internal/node/server/trouble_test.go
+++ b/internal/node/server/trouble_test.go
@@ -238,6 +238,8 @@
 	wg.Wait()
 }
 
+// After a long quiet, links break, addresses change, the control service is away and processes are replaced, at one
+// server and at many together, while clients go on. Each request gets one response in time and no key runs twice.
 func TestQuietThenTrouble(t *testing.T) {
 	for _, servers := range []int{1, 3, 12} {
 		t.Run(fmt.Sprint(servers), func(t *testing.T) {
--- a/internal/node/wire/wire_test.go
+++ b/internal/node/wire/wire_test.go
@@ -52,21 +52,21 @@
 	return fmt.Sprintf("%s %d %q", r.ID, r.Outcome, r.Body), n, err
 }
 
-// readNotice copies the line first, as reading uses it up.
-func readNotice(b []byte) (string, int, error) {
+// readKernelEvent copies the line first, as reading uses it up.
+func readKernelEvent(b []byte) (string, int, error) {
 	line, n, err := NextLine(bytes.Clone(b), smallBounds.HeadBytes)
 	if n == 0 || err != nil {
 		return "", 0, err
 	}
-	note, err := ParseKernelEvent(line)
-	return fmt.Sprintf("%s %s %s %s %q %d %g %v", note.Kind, note.RunID, note.Outcome, note.Nonce, note.Body,
-		note.Sequence, note.RunMS, note.Gauges[:note.GaugeCount]), n, err
+	event, err := ParseKernelEvent(line)
+	return fmt.Sprintf("%s %s %s %s %q %d %g %v", event.Kind, event.RunID, event.Outcome, event.Nonce, event.Body,
+		event.Sequence, event.RunMS, event.Gauges[:event.GaugeCount]), n, err
 }
 
 type reader = func(b []byte) (string, int, error)
 
 var readers = map[string]reader{"request": readRequest, "response": readResponse, "reply": readReply,
-	"notice": readNotice}
+	"kernel event": readKernelEvent}
 
 const full = "POST /rpc/pay?x=1 HTTP/1.1\r\nHost: s\r\nRequest-Id: 9b1f03aa5c7e2d41\r\n" +
 	"received-at:1764576000123\r\nSent-By: 4\r\nAccount: acme\r\nAttempt-Again: 1\r\n" +
@@ -107,19 +107,21 @@
 	{"reply", "9b1f03aa5c7e2d41 BUSY 1\r\n", "bad"},
 	{"reply", "9b1f03aa5c7e2d41 WHAT\r\n", "bad"},
 	{"reply", "short OK 1\r\n", "bad"},
-	{"notice", `{"verb":"REAP","index":7,"task":"9b","outcome":"OK","spent":12.5,"bytes":"AP8="}` + "\r\n" +
+	{"kernel event", `{"verb":"REAP","index":7,"task":"9b","outcome":"OK","spent":12.5,"bytes":"AP8="}` + "\r\n" +
 		` { "verb" : "INFO", "nonce": "a\"\\\u0041", "readings": [1, 2.5e0] , ` +
 		`"new": {"a": [null, true, "}"]} }` + "\n{",
 		"REAP 9b OK  \"\\x00\\xff\" 7 12.5 []\nINFO   a\"\\A \"\" 0 0 [1 2.5]\n1 left"},
-	{"notice", `{"verb":"REAP","bytes":"A"}` + "\n", "bad"},
-	{"notice", `{"verb":"REAP"} x` + "\n", "bad"},
-	{"notice", `{"index":1}` + "\n", "bad"},
-	{"notice", `{"verb":"REAP","index":-1}` + "\n", "bad"},
-	{"notice", `{"verb":"INFO","readings":[1,2,3,4,5,6,7,8,9]}` + "\n", "bad"},
-	{"notice", `["verb"]` + "\n", "bad"},
-	{"notice", strings.Repeat(" ", 301), "bad"},
+	{"kernel event", `{"verb":"REAP","bytes":"A"}` + "\n", "bad"},
+	{"kernel event", `{"verb":"REAP"} x` + "\n", "bad"},
+	{"kernel event", `{"index":1}` + "\n", "bad"},
+	{"kernel event", `{"verb":"REAP","index":-1}` + "\n", "bad"},
+	{"kernel event", `{"verb":"INFO","readings":[1,2,3,4,5,6,7,8,9]}` + "\n", "bad"},
+	{"kernel event", `["verb"]` + "\n", "bad"},
+	{"kernel event", strings.Repeat(" ", 301), "bad"},
 }
 
+// A message comes in pieces of any size. A parser that took a piece for the whole, or forgot what came before, would
+// read something that nobody sent.
 func TestAnySplitReadsTheSame(t *testing.T) {
 	for _, c := range cases {
 		want := c.out
@@ -149,7 +151,9 @@
 	})
 }
 
-func TestWriters(t *testing.T) {
+// What is written is read by programs of others, which know the bytes as they are here; a body with quotes, line ends
+// or zero bytes must not break out of its message.
+func TestMessagesAsWritten(t *testing.T) {
 	body := []byte("a\x00\"\r\n")
 	refusal := Response{Status: 503, RetryAfterMS: 20, NoRetry: true, Close: true, HasOverloadSignal: true,
 		OverloadSignal: 0.5}
--- a/internal/simulator/adapter_test.go
+++ b/internal/simulator/adapter_test.go
@@ -56,7 +56,10 @@
 	return codes, err
 }
 
-func TestFrames(t *testing.T) {
+// The simulator sends frames that are whole, cut short, or at odds with themselves. The adapter replies to each whole
+// one and ends at the first bad one, saying which and why; an instance may start again in the same frame in which it
+// ended.
+func TestRepliesToFrames(t *testing.T) {
 	about := rec(100, uint32(3))
 	long := frame("", order(1))
 	binary.BigEndian.PutUint32(long, uint32(len(long)+9))
@@ -95,19 +98,21 @@
 		{"unknown semantics", "", `"magic", which is not known`,
 			[][]byte{start(strings.Replace(settingsJSON, "idempotent", "magic", 1))}},
 	} {
-		codes, err := serve(c.in...)
-		if c.err == "" && err != nil || c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)) {
-			t.Errorf("%s: error %v, want %q", c.name, err, c.err)
-		}
-		if codes != c.codes {
-			t.Errorf("%s: replied %q, want %q", c.name, codes, c.codes)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			codes, err := serve(c.in...)
+			if c.err == "" && err != nil || c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)) {
+				t.Errorf("error %v, expected %q", err, c.err)
+			}
+			if codes != c.codes {
+				t.Errorf("replied %q, expected %q", codes, c.codes)
+			}
+		})
 	}
 }
 
 // Hundreds of instances: one that appears late may see an id that another saw, and what is malformed for one
 // of them is said with its record.
-func TestFleet(t *testing.T) {
+func TestManyInstances(t *testing.T) {
 	var fleet [][]byte
 	for i := range uint32(400) {
 		fleet = append(fleet, rec(100, i), spawned(uint64(i)))
@@ -125,7 +130,7 @@
 }
 
 // A panic in the module is declared as the failure of that instance, and of no other.
-func TestPanic(t *testing.T) {
+func TestPanicFailsOneInstance(t *testing.T) {
 	h := New()
 	var out bytes.Buffer
 	if err := h.Serve(bytes.NewReader(start(settingsJSON)), &out); err != nil {
