--- a/internal/harness/control_processes.go
+++ b/internal/harness/control_processes.go
@@ -188,15 +188,11 @@
 	c.forwarders.close()
 }
 
+// groupPatience is how long anything of a group may take, unless it is said.
+const groupPatience = 20 * time.Second
+
 func (c *controlProcesses) await(ctx context.Context, holds func() error) error {
-	var err error
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end) && ctx.Err() == nil; {
-		if err = holds(); err == nil {
-			return nil
-		}
-		time.Sleep(5 * time.Millisecond)
-	}
-	return fmt.Errorf("not within 20 s: %w", errors.Join(err, ctx.Err()))
+	return awaitUntil(ctx, groupPatience, 5*time.Millisecond, holds)
 }
 
 func (c *controlProcesses) call(ctx context.Context, method, at, path string, in, out any) (int, error) {
@@ -248,8 +244,8 @@
 }
 
 // awaitLeader waits until an instance says that it leads, and gives it.
-func (c *controlProcesses) awaitLeader(ctx context.Context) (p *instanceProcess, err error) {
-	err = c.await(ctx, func() error {
+func (c *controlProcesses) awaitLeader(ctx context.Context, within time.Duration) (p *instanceProcess, err error) {
+	err = awaitUntil(ctx, within, 5*time.Millisecond, func() error {
 		if p = c.leader(); p == nil {
 			return errors.New("no leader")
 		}
--- a/internal/harness/demo.go
+++ b/internal/harness/demo.go
@@ -197,20 +197,21 @@
 
 // ready waits until the node takes requests.
 func (o *demo) ready(ctx context.Context) error {
-	for end := time.Now().Add(10 * time.Second); ctx.Err() == nil; {
+	err := awaitUntil(ctx, 10*time.Second, 20*time.Millisecond, func() error {
 		res, err := o.client.Get("http://" + o.addr + "/health")
-		if err == nil {
-			res.Body.Close()
-			if res.StatusCode == http.StatusOK {
-				return nil
-			}
+		if err != nil {
+			return err
 		}
-		if time.Now().After(end) {
-			return fmt.Errorf("the node is not ready after 10 s: %v", err)
+		res.Body.Close()
+		if res.StatusCode != http.StatusOK {
+			return fmt.Errorf("health: %s", res.Status)
 		}
-		time.Sleep(20 * time.Millisecond)
+		return nil
+	})
+	if err != nil && ctx.Err() == nil {
+		return fmt.Errorf("the node is not ready: %w", err)
 	}
-	return ctx.Err()
+	return err
 }
 
 // play sends load and shows a table a second, until the time is over, a key or a signal ends it.
--- a/internal/harness/emulated_store.go
+++ b/internal/harness/emulated_store.go
@@ -27,9 +27,7 @@
 	errorRate   float64
 	dropped     map[string]bool // calls that were dropped
 	started     time.Time
-	demand      []float64 // worker time asked for, by tenth of a second since from, over what there is
-	calls       int
-	opens       int
+	demand      []float64         // worker time asked for, by tenth of a second since from, over what there is
 	onCall      func(body []byte) // told each call that is carried out; nil: nobody is
 }
 
@@ -60,7 +58,6 @@
 			}
 			s.mu.Lock()
 			s.conns[c] = true
-			s.opens++
 			s.work(openCost)
 			s.mu.Unlock()
 			go s.serve(c)
@@ -193,7 +190,6 @@
 func (c *storeConn) begin(call storeCall) {
 	s := c.s
 	s.mu.Lock()
-	s.calls++
 	delete(s.dropped, call.id)
 	cost := time.Duration(float64(s.cost) * (1 + (s.coldFactor-1)*(1-s.warmth)) / s.speed)
 	done, waits := s.work(cost)
--- a/internal/harness/fleet_control.go
+++ b/internal/harness/fleet_control.go
@@ -14,22 +14,10 @@
 )
 
 // sleep waits, unless the fleet ends.
-func (r *FleetProcesses) sleep(d time.Duration) {
-	select {
-	case <-r.ctx.Done():
-	case <-time.After(d):
-	}
-}
+func (r *FleetProcesses) sleep(d time.Duration) { pause(r.ctx, d) }
 
 func (r *FleetProcesses) await(within time.Duration, holds func() error) error {
-	var err error
-	for end := time.Now().Add(within); time.Now().Before(end) && r.ctx.Err() == nil; {
-		if err = holds(); err == nil {
-			return nil
-		}
-		time.Sleep(20 * time.Millisecond)
-	}
-	return fmt.Errorf("not within %v: %w", within, errors.Join(err, r.ctx.Err()))
+	return awaitUntil(r.ctx, within, 20*time.Millisecond, holds)
 }
 
 // ask brings something to any instance that answers.
--- a/internal/harness/fleet_load.go
+++ b/internal/harness/fleet_load.go
@@ -27,7 +27,6 @@
 type CallResult struct {
 	At       time.Time
 	Node     *nodeProcess
-	Code     int // 0: it had no answer
 	Value    float64
 	InTime   bool // done within its target
 	Attempts int
@@ -199,7 +198,7 @@
 	c.Attempts += q.attempts
 	if q.r.WithStores {
 		objective := time.Duration(q.class.Handler.LatencyObjective) * 100 * time.Microsecond
-		c.Each = append(c.Each, CallResult{At: time.Now(), Node: q.last, Code: q.code, Value: q.class.Handler.Value,
+		c.Each = append(c.Each, CallResult{At: time.Now(), Node: q.last, Value: q.class.Handler.Value,
 			InTime: took <= objective && q.code == http.StatusOK, Attempts: q.attempts})
 	}
 	switch q.code {
--- a/internal/harness/fleet_processes.go
+++ b/internal/harness/fleet_processes.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -25,7 +24,6 @@
 	Instances       int
 	Nodes           int
 	Folders         bool // nodes keep their policy on disk
-	Rate            float64
 	Without         string
 	RestartEnded    bool // what ends is started again, by a pace of its own
 	OddNode         int  // this node's platform has no class "fill"; 0: none
@@ -184,13 +182,8 @@
 
 // killLeader ends the leader's process and gives it, to be started again.
 func (r *FleetProcesses) killLeader() (*instanceProcess, error) {
-	var p *instanceProcess
-	if err := r.await(10*time.Second, func() error {
-		if p = r.group.leader(); p == nil {
-			return errors.New("no leader")
-		}
-		return nil
-	}); err != nil {
+	p, err := r.group.awaitLeader(r.ctx, 10*time.Second)
+	if err != nil {
 		return nil, err
 	}
 	r.group.kill(p)
--- a/internal/harness/heartbeat_load.go
+++ b/internal/harness/heartbeat_load.go
@@ -37,10 +37,8 @@
 		defer m.client.CloseIdleConnections()
 		defer m.close()
 		m.start(ctx, 1, 10*time.Second)
-		select {
-		case <-ctx.Done():
+		if pause(ctx, 25*time.Second); ctx.Err() != nil {
 			return nil
-		case <-time.After(25 * time.Second):
 		}
 		if err := m.measureAtRest(ctx, rep); err != nil || rep.Broken != "" {
 			return err
@@ -76,7 +74,7 @@
 	}
 	m.heartbeats.Store(0)
 	m.lost.Store(0)
-	time.Sleep(span)
+	pause(ctx, span)
 	after, err := m.usage(ctx, leader)
 	if err != nil {
 		return err
@@ -162,7 +160,7 @@
 		m.wg.Add(1)
 		go func() {
 			defer m.wg.Done()
-			time.Sleep(time.Duration(i) * within / heartbeatNodes)
+			pause(ctx, time.Duration(i)*within/heartbeatNodes)
 			name := fmt.Sprintf("n%04d", i)
 			m.runNode(ctx, agent.Config{Name: name, Zone: fmt.Sprint("z", i%3), ControlAddresses: control,
 				Nonce: fmt.Sprintf("crowd-%d-%s", life, name), JitterSeed: uint32(i)})
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -87,10 +87,9 @@
 			n = quickFleets
 		}
 	}
-	ends, causes, bad, first := map[policy.Step]int{}, map[string]int{}, 0, int64(-1)
+	ends, causes, broken := map[policy.Step]int{}, map[string]int{}, brokenSchedules{}
 	var times []float64
 	var overlap int64
-	why := ""
 	report.EachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Fleet {
 		f := simulation.NewFleet(simulation.FleetPlan{Seed: s, Nodes: 9 + int(s%7), Ctl: 3 + 2*int(s%2), Changes: 5,
 			Without: r.Without})
@@ -104,25 +103,19 @@
 			causes[k] += v
 		}
 		times, overlap = append(times, f.Times...), max(overlap, f.Overlap)
-		if f.Broken != "" {
-			if bad++; first < 0 || s < first {
-				first, why = s, f.Broken
-			}
-		}
+		broken.note(s, f.Broken)
 		return false
 	})
 	changes := ends[policy.Settled] + ends[policy.Aborted]
 	r.row(rep, "virtual, faults", 12, changes, ends, times, overlap)
 	rep.Add("schedules", "%d", n)
 	rep.Add("changes", "%d", changes)
-	rep.Add("broken", "%d", bad)
+	rep.Add("broken", "%d", broken.count)
 	for _, c := range []string{"a node said no", "not prepared in time", "by the operator"} {
 		rep.Notes = append(rep.Notes, fmt.Sprintf("virtual, faults: called off, %s: %d of %d", c, causes[c],
 			ends[policy.Aborted]))
 	}
-	if bad > 0 {
-		rep.Break("seed %d of %d broken schedules: %s", first, bad, why)
-	}
+	broken.report(rep)
 }
 
 // large plays fleets of the full size, calm and with a third down, and beside them the two baselines: telling each node
--- a/internal/harness/policy_fixture.go
+++ b/internal/harness/policy_fixture.go
@@ -3,6 +3,7 @@
 // This file has what a case on processes is written with: proposing, waiting for steps, losing leaders.
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"net/http"
@@ -197,19 +198,24 @@
 
 func (b *policyFixture) mustStart(p *instanceProcess) { must(b.group.start(p, "")) }
 
+// fixtureNodes is how many nodes a fixture's fleet has where no size was asked for.
+const fixtureNodes = 9
+
 // begin starts a fleet with a first policy.
 func (r *PolicyTest) begin(ctx context.Context, dir string, alone string) (*policyFixture, error) {
-	n := r.Size
-	if n == 0 {
-		n = 9
-	}
-	fleet, err := NewFleetProcesses(ctx, FleetProcessesPlan{Program: r.Program, Dir: dir, Seed: r.Seed, Instances: 3,
-		Nodes: n, Without: r.ProcessGuards,
-		OddNode: n, Folders: true})
+	n := cmp.Or(r.Size, fixtureNodes)
+	return newPolicyFixture(ctx, FleetProcessesPlan{Program: r.Program, Dir: dir, Seed: r.Seed, Nodes: n,
+		Without: r.ProcessGuards, OddNode: n}, alone, "")
+}
+
+// newPolicyFixture starts a fleet with three instances, and its first policy; all its texts have extra.
+func newPolicyFixture(ctx context.Context, plan FleetProcessesPlan, alone, extra string) (*policyFixture, error) {
+	plan.Instances, plan.Folders = 3, true
+	fleet, err := NewFleetProcesses(ctx, plan)
 	if err != nil {
 		return nil, err
 	}
-	b := &policyFixture{FleetProcesses: fleet, lease: realLease, whenAlone: alone}
+	b := &policyFixture{FleetProcesses: fleet, lease: realLease, whenAlone: alone, extraText: extra}
 	if err = b.settleFirst(); err != nil {
 		b.Close()
 		return nil, err
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -41,10 +41,10 @@
 		Head: []string{"PART", "GROUPS", "RUNS", "STEPS OR PUTS", "BROKEN", "MEDIAN", "99TH", "WORST"}}
 	rep.Add("seed", "%d", r.Seed)
 	if r.Mode != "real" {
-		r.virtual(ctx, w, rep)
+		r.virtual(ctx, rep)
 	}
 	if r.Mode != "virtual" && rep.Broken == "" && r.Without == 0 {
-		if err := r.real(ctx, w, rep); err != nil {
+		if err := r.real(ctx, rep); err != nil {
 			return nil, err
 		}
 	}
@@ -63,7 +63,7 @@
 }
 
 // virtual plays schedules on all cores, each from a seed of its own.
-func (r *RaftTest) virtual(ctx context.Context, _ io.Writer, rep *report.Report) {
+func (r *RaftTest) virtual(ctx context.Context, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
 		n = longSchedules
--- a/internal/harness/raft_kills.go
+++ b/internal/harness/raft_kills.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"math/rand"
 	"strconv"
 	"time"
@@ -36,7 +35,7 @@
 // killLeaders has clients put under load while each leader in turn fails by a fault drawn from the seed. Another
 // instance has to take writes within realWithin, and at the end the history has to hold each version that a client was
 // told, once.
-func (r *RaftTest) killLeaders(ctx context.Context, _ io.Writer, rep *report.Report, plot *report.Plot, size, kills int,
+func (r *RaftTest) killLeaders(ctx context.Context, rep *report.Report, plot *report.Plot, size, kills int,
 	extra string) error {
 	return withGroup(ctx, r.Program, rep, size, extra, func(c *controlProcesses) error {
 		k := &leaderKills{group: c, random: rand.New(rand.NewSource(r.Seed)), gaps: hdrhistogram.New(1, 60_000, 3),
@@ -112,7 +111,7 @@
 
 // strike sets off the leader's fault, or parts the leader from the others.
 func (k *leaderKills) strike(ctx context.Context) (*leaderLoss, error) {
-	leader, err := k.group.awaitLeader(ctx)
+	leader, err := k.group.awaitLeader(ctx, groupPatience)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/harness/raft_processes.go
+++ b/internal/harness/raft_processes.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"runtime"
 	"strconv"
 	"sync"
@@ -14,7 +13,7 @@
 )
 
 // real kills leaders of real processes under load and measures how long no write is taken.
-func (r *RaftTest) real(ctx context.Context, w io.Writer, rep *report.Report) error {
+func (r *RaftTest) real(ctx context.Context, rep *report.Report) error {
 	kills := r.Kills
 	if kills == 0 {
 		kills = longKills
@@ -30,7 +29,7 @@
 	}
 	plot := report.Plot{Title: "Writes after a leader's death", X: "ms without an answer", Y: "share of kills"}
 	for _, size := range sizes {
-		if err := r.killLeaders(ctx, w, rep, &plot, size, kills, "[disk]\nsnapshot_mb = 1\n"); err != nil {
+		if err := r.killLeaders(ctx, rep, &plot, size, kills, "[disk]\nsnapshot_mb = 1\n"); err != nil {
 			return err
 		}
 	}
@@ -41,18 +40,18 @@
 	if err := r.speed(ctx, rep); err != nil {
 		return err
 	}
-	return r.timeouts(ctx, w, rep)
+	return r.timeouts(ctx, rep)
 }
 
 // timeouts shows what the election timeout costs and saves: time without writes after a kill on a calm
 // machine, and elections that nothing called for while four times as many threads as cores want to run.
-func (r *RaftTest) timeouts(ctx context.Context, w io.Writer, rep *report.Report) error {
+func (r *RaftTest) timeouts(ctx context.Context, rep *report.Report) error {
 	plot := report.Plot{Title: "Election timeout: failover against false elections on a busy machine", X: "timeout, ms",
 		Y: "ms without writes; false elections x 100"}
 	calm, busy := report.Line{Name: "failover, median"}, report.Line{Name: "false elections in 10 s, x 100"}
 	for _, tick := range []int{5, 10, 25, 50, 100} {
 		sub := &report.Report{}
-		if err := r.killLeaders(ctx, w, sub, &report.Plot{}, 3, 8, fmt.Sprintf("[group]\ntick = %dms\n",
+		if err := r.killLeaders(ctx, sub, &report.Plot{}, 3, 8, fmt.Sprintf("[group]\ntick = %dms\n",
 			tick)); err != nil {
 			return err
 		}
@@ -82,7 +81,7 @@
 		}
 		l := c.startLoad(ctx, 2)
 		defer l.close()
-		busyFor(10 * time.Second)
+		busyFor(ctx, 10*time.Second)
 		if err := l.end(); err != nil {
 			return err
 		}
@@ -98,7 +97,7 @@
 }
 
 // busyFor wants all cores of the machine four times over for a while.
-func busyFor(span time.Duration) {
+func busyFor(ctx context.Context, span time.Duration) {
 	was, threads := runtime.GOMAXPROCS(0), 4*runtime.NumCPU()
 	runtime.GOMAXPROCS(threads + 2)
 	defer runtime.GOMAXPROCS(was)
@@ -111,7 +110,7 @@
 			}
 		})
 	}
-	time.Sleep(span)
+	pause(ctx, span)
 	stop.Store(true)
 	busy.Wait()
 }
@@ -131,7 +130,7 @@
 	return withGroup(ctx, r.Program, rep, 3, "", func(c *controlProcesses) error {
 		l := c.startLoad(ctx, clients)
 		defer l.close()
-		time.Sleep(time.Second)
+		pause(ctx, time.Second)
 		before, err := c.report(c.leader())
 		if err != nil {
 			return err
@@ -141,7 +140,7 @@
 		l.times.Reset()
 		l.mu.Unlock()
 		started := time.Now()
-		time.Sleep(10 * time.Second)
+		pause(ctx, 10*time.Second)
 		l.mu.Lock()
 		puts, versions = l.puts-puts, len(l.committed)-versions
 		took := time.Since(started).Seconds()
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -7,7 +7,6 @@
 	"math/rand"
 	"slices"
 	"strconv"
-	"sync"
 
 	"umberwinch/internal/control/api"
 	"umberwinch/internal/control/coordinator"
@@ -81,52 +80,44 @@
 	if r.Quick {
 		sizes, loads = []int{15}, []float64{0.6, 1.3}
 	}
-	ways := []struct {
-		name string
-		set  func(p *simulation.ZonePlan)
-	}{{"the fleet", func(*simulation.ZonePlan) {}},
-		{"the fleet, patient callers", func(p *simulation.ZonePlan) { p.Patient = true }},
-		{"no ramp", func(p *simulation.ZonePlan) { p.Without |= zones.ColdStart }},
-		{"by the clock", func(p *simulation.ZonePlan) { p.Without |= zones.ColdStart; p.Ramp = 60_000 }},
-		{"nodes alone", func(p *simulation.ZonePlan) { p.Off = true }}}
 	for _, n := range sizes {
 		for _, load := range loads {
 			if ctx.Err() != nil {
 				return
 			}
-			runs := make([]*simulation.Zones, len(ways))
-			var wg sync.WaitGroup
-			for i, way := range ways {
-				p := simulation.ZonePlan{Seed: r.Seed, Nodes: n,
-					Kinds: []string{simulation.ZoneRestart, simulation.ZoneRestart, simulation.ZoneRestart},
-					Fails: 15_000,
-					Heals: 17_000, Ends: 300_000, Load: load, Without: r.Without}
-				if way.set(&p); n > 1000 {
-					p.Ends = 200_000
-				}
-				wg.Add(1)
-				go func() { defer wg.Done(); runs[i] = simulation.NewZones(p); runs[i].Play() }()
-			}
-			wg.Wait()
-			for i, way := range ways {
-				v := runs[i]
-				// A fleet that is always asked for more than it bears never shows what that is: a limit of the design.
-				if i < 2 && v.Broken != "" && load <= 1 {
-					rep.Break("%d nodes, load %.2f: %s", n, load, v.Broken)
-				}
-				most := min(1, 1/load)
-				rep.Rows = append(rep.Rows, []string{"virtual", strconv.Itoa(n), fmt.Sprintf("%.2f", load), way.name,
-					secondsText(v.RecoveredAt(0.5 * most)), secondsText(v.RecoveredAt(0.95 * most)),
-					secondsText(v.RecoveredAt(0.98 * most)),
-					fmt.Sprintf("%.0f s", shortestRecovery(min(load, 1), 8, simulation.WarmUpSeconds)),
-					fmt.Sprintf("%.2f", v.Start), fmt.Sprintf("%.2f", v.Tries)})
-				if i == 0 && n <= 300 {
-					v.Plot[0].Name, v.Plot[1].Name = "value done", "below: asked over what it bears"
-					rep.Plots = append(rep.Plots, report.Plot{
-						Title: fmt.Sprintf("%d nodes restart, load %.2f", n, load),
-						X:     "seconds; killed at 15, back from 17 on", Y: "share", Lines: v.Plot[:2]})
-				}
-			}
+			r.playRestart(rep, n, load)
+		}
+	}
+}
+
+// playRestart plays a restart of a whole fleet by the fleet and its baselines.
+func (r *RecoveryTest) playRestart(rep *report.Report, n int, load float64) {
+	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n,
+		Kinds: []string{simulation.ZoneRestart, simulation.ZoneRestart, simulation.ZoneRestart},
+		Fails: 15_000, Heals: 17_000, Ends: 300_000, Load: load, Without: r.Without}
+	if n > 1000 {
+		base.Ends = 200_000
+	}
+	for i, v := range playVariants(base, []zoneVariant{{"the fleet", func(*simulation.ZonePlan) {}},
+		{"the fleet, patient callers", func(p *simulation.ZonePlan) { p.Patient = true }},
+		{"no ramp", func(p *simulation.ZonePlan) { p.Without |= zones.ColdStart }},
+		{"by the clock", func(p *simulation.ZonePlan) { p.Without |= zones.ColdStart; p.Ramp = 60_000 }},
+		{"nodes alone", func(p *simulation.ZonePlan) { p.Off = true }}}) {
+		// A fleet that is always asked for more than it bears never shows what that is: a limit of the design.
+		if i < 2 && v.Broken != "" && load <= 1 {
+			rep.Break("%d nodes, load %.2f: %s", n, load, v.Broken)
+		}
+		most := min(1, 1/load)
+		rep.Rows = append(rep.Rows, []string{"virtual", strconv.Itoa(n), fmt.Sprintf("%.2f", load), v.name,
+			secondsText(v.RecoveredAt(0.5 * most)), secondsText(v.RecoveredAt(0.95 * most)),
+			secondsText(v.RecoveredAt(0.98 * most)),
+			fmt.Sprintf("%.0f s", shortestRecovery(min(load, 1), 8, simulation.WarmUpSeconds)),
+			fmt.Sprintf("%.2f", v.Start), fmt.Sprintf("%.2f", v.Tries)})
+		if i == 0 && n <= 300 {
+			v.Plot[0].Name, v.Plot[1].Name = "value done", "below: asked over what it bears"
+			rep.Plots = append(rep.Plots, report.Plot{
+				Title: fmt.Sprintf("%d nodes restart, load %.2f", n, load),
+				X:     "seconds; killed at 15, back from 17 on", Y: "share", Lines: v.Plot[:2]})
 		}
 	}
 }
--- a/internal/harness/result_store_cost.go
+++ b/internal/harness/result_store_cost.go
@@ -63,14 +63,13 @@
 	if err := r.start(""); err != nil {
 		return err
 	}
-	for end := time.Now().Add(5 * time.Second); ; {
-		if code, _, _ := r.send(ctx, client, "submit", newKey(), false); code == http.StatusOK {
-			break
+	if err := awaitUntil(ctx, 5*time.Second, 5*time.Millisecond, func() error {
+		if code, _, _ := r.send(ctx, client, "submit", newKey(), false); code != http.StatusOK {
+			return fmt.Errorf("it answers %d", code)
 		}
-		if time.Now().After(end) {
-			return fmt.Errorf("%s: the node is not ready after 5 s: %s", name, r.tail())
-		}
-		time.Sleep(5 * time.Millisecond)
+		return nil
+	}); err != nil {
+		return fmt.Errorf("%s: the node is not ready: %w; the end of its log: %s", name, err, r.tail())
 	}
 	for _, class := range []string{"submit", "view"} {
 		took, done := hdrhistogram.New(1, 10_000_000, 3), 0
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -70,7 +70,7 @@
 			n = 60
 		}
 	}
-	left, steps, back, bad, first, why := 0, 0, 0, 0, int64(-1), ""
+	left, steps, back, broken := 0, 0, 0, brokenSchedules{}
 	report.EachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Zones {
 		p := simulation.DrawZones(s)
 		p.Without = r.Without
@@ -79,21 +79,15 @@
 		return v
 	}, func(s int64, v *simulation.Zones) bool {
 		left, steps, back = left+len(v.Left), steps+v.Steps, back+v.BackStep
-		if v.Broken != "" {
-			if bad++; first < 0 || s < first {
-				first, why = s, v.Broken
-			}
-		}
+		broken.note(s, v.Broken)
 		return false
 	})
 	rep.Add("schedules", "%d", n)
-	rep.Add("broken", "%d", bad)
+	rep.Add("broken", "%d", broken.count)
 	rep.Add("zones_left", "%d", left)
 	rep.Add("steps_in", "%d", steps)
 	rep.Add("steps_back", "%d", back)
-	if bad > 0 {
-		rep.Break("seed %d of %d broken schedules: %s", first, bad, why)
-	}
+	broken.report(rep)
 }
 
 // playFailures plays each kind of failure at sizes and loads, beside the baselines and the best that could be done.
@@ -118,33 +112,16 @@
 	}
 }
 
+// playFailure plays one kind of failure of a zone by the fleet, its baselines and the best that could be done.
 func (r *ZonesTest) playFailure(rep *report.Report, n int, load float64, kind string) {
 	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n, Kinds: []string{kind}, Fails: 15_000, Heals: 45_000,
 		Ends: 220_000, Load: load}
-	ways := []struct {
-		name string
-		set  func(p *simulation.ZonePlan)
-	}{{"the fleet", func(*simulation.ZonePlan) {}}, {"nodes alone", func(p *simulation.ZonePlan) { p.Off = true }},
+	for _, v := range playVariants(base, []zoneVariant{{"the fleet", func(*simulation.ZonePlan) {}},
+		{"nodes alone", func(p *simulation.ZonePlan) { p.Off = true }},
 		{"each by its own", func(p *simulation.ZonePlan) { p.Own = true }},
-		{"at best", func(p *simulation.ZonePlan) { p.Oracle = true }}}
-	var wg sync.WaitGroup
-	runs, times := make([]*simulation.Zones, len(ways)), make([]time.Duration, len(ways))
-	for i, w := range ways {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			p, started := base, time.Now()
-			w.set(&p)
-			runs[i] = simulation.NewZones(p)
-			runs[i].Play()
-			times[i] = time.Since(started)
-		}()
-	}
-	wg.Wait()
-	for i, w := range ways {
-		v, took := runs[i], times[i]
+		{"at best", func(p *simulation.ZonePlan) { p.Oracle = true }}}) {
 		if v.Broken != "" {
-			rep.Break("%d nodes, load %.2f, %s, %s: %s", n, load, kind, w.name, v.Broken)
+			rep.Break("%d nodes, load %.2f, %s, %s: %s", n, load, kind, v.name, v.Broken)
 		}
 		after := func(m map[string]float64) string {
 			if t, ok := m["z0"]; ok {
@@ -153,14 +130,14 @@
 			return "-"
 		}
 		peak := "-"
-		if w.name == "the fleet" {
+		if v.name == "the fleet" {
 			peak = fmt.Sprintf("%.2f", v.Peak)
 			seconds := v.Fleet.Now / 1000
 			rep.Notes = append(rep.Notes, fmt.Sprintf(
 				"%d nodes, load %.2f, %s: %.1f askings, %.2f entries and %.1f KB of them a "+
 					"second; played in %v", n, load, kind, float64(v.Fleet.Heartbeats)/seconds,
 				float64(v.Fleet.Entries)/seconds,
-				float64(v.Fleet.Bytes)/1024/seconds, took.Round(time.Millisecond)))
+				float64(v.Fleet.Bytes)/1024/seconds, v.took.Round(time.Millisecond)))
 			if n == 300 {
 				v.Plot[0].Name, v.Plot[1].Name, v.Plot[2].Name = "value done", "below: asked over what it bears",
 					"share of the zone"
@@ -168,7 +145,7 @@
 					X: "seconds; it fails at 15, ends at 45", Y: "share", Lines: v.Plot})
 			}
 		}
-		rep.Rows = append(rep.Rows, []string{"virtual, " + kind, strconv.Itoa(n), fmt.Sprintf("%.2f", load), w.name,
+		rep.Rows = append(rep.Rows, []string{"virtual, " + kind, strconv.Itoa(n), fmt.Sprintf("%.2f", load), v.name,
 			fmt.Sprintf("%.4f", v.Done/v.Asked), after(v.Left), after(v.Back),
 			fmt.Sprintf("%d/%d", v.Steps, v.BackStep), peak})
 	}
--- a/internal/harness/zones_cost.go
+++ b/internal/harness/zones_cost.go
@@ -69,7 +69,6 @@
 // cost is what one failure came to.
 type cost struct {
 	value      float64 // done in time, of what was asked, from the failure to the end
-	others     float64 // of what the other zones answered while it failed
 	lastAnswer time.Duration
 	// asked of a service below before, over what it bears when warm, in the mean: that of the busiest
 	load  float64
@@ -134,10 +133,9 @@
 	return whole
 }
 
-// ofCalls takes from the calls since a failure's begin what callers got, and what the zones beside it did while it
-// lasted.
+// ofCalls takes from the calls since a failure's begin what callers got, and when the zone that failed answered last.
 func (c *cost) ofCalls(each []CallResult, from, healed time.Time) {
-	all, good, requests, near, well := 0.0, 0.0, 0, 0.0, 0.0
+	all, good, requests := 0.0, 0.0, 0
 	for _, a := range each {
 		if a.At.Before(from) {
 			continue
@@ -153,11 +151,9 @@
 		}
 		if a.Node.zone == "z1" {
 			c.lastAnswer = max(c.lastAnswer, a.At.Sub(from))
-		} else if near += a.Value; a.InTime {
-			well += a.Value
 		}
 	}
-	c.value, c.others, c.tries = good/max(all, 1), well/max(near, 1), c.tries/float64(max(requests, 1))
+	c.value, c.tries = good/max(all, 1), c.tries/float64(max(requests, 1))
 }
 
 // serviceSpan is over which done is held to asked: at 180 requests a second one dear request weighs a hundredth of it.
--- a/internal/harness/zones_fixture.go
+++ b/internal/harness/zones_fixture.go
@@ -3,6 +3,7 @@
 // This file has what a case of zones on processes is written with.
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -25,29 +26,18 @@
 
 // begin starts a fleet whose policy leaves zones by itself.
 func (r *ZonesTest) begin(ctx context.Context, dir, alone, mode string) (*zoneFixture, error) {
-	n := r.Size
-	if n == 0 {
-		n = 9
-	}
-	fleet, err := NewFleetProcesses(ctx, FleetProcessesPlan{Program: r.Program, Dir: dir, Seed: r.Seed, Instances: 3,
-		Nodes: n, Without: r.ProcessGuards,
-		Folders: true, WithStores: true})
-	if err != nil {
-		return nil, err
-	}
-	b := &zoneFixture{policyFixture: &policyFixture{FleetProcesses: fleet, lease: realLease, whenAlone: alone},
-		mayLeave: map[string]bool{}}
 	small := "yes"
 	if mode == "no-ramp" {
 		mode, small = "auto", "no"
 	}
-	b.extraText = fmt.Sprintf("[zones]\ndecide = %s\nfirst = 0.125\nhold = 500ms\nkeep = 2s\nmax_wait = 4s\n"+
+	extra := fmt.Sprintf("[zones]\ndecide = %s\nfirst = 0.125\nhold = 500ms\nkeep = 2s\nmax_wait = 4s\n"+
 		"small_start = %s\n", mode, small)
-	if err = b.settleFirst(); err != nil {
-		b.Close()
+	b, err := newPolicyFixture(ctx, FleetProcessesPlan{Program: r.Program, Dir: dir, Seed: r.Seed,
+		Nodes: cmp.Or(r.Size, fixtureNodes), Without: r.ProcessGuards, WithStores: true}, alone, extra)
+	if err != nil {
 		return nil, err
 	}
-	return b, nil
+	return &zoneFixture{policyFixture: b, mayLeave: map[string]bool{}}, nil
 }
 
 // zoneView gives a zone as the leader shows it.
