--- a/admission/start_runs.go
+++ b/admission/start_runs.go
@@ -10,8 +10,8 @@
 // change what the pools allow, so the next one begins at the head again.
 //
 // A request that waits for the run of the one it repeats is never started by itself, as it takes that run's result.
-// Guards against a retry that comes through a caller with a slot while its original's caller has none: it would pass its
-// original, and the key would run twice. Without pools the original is always ahead of it.
+// Guards against a retry that comes through a caller with a slot while its original's caller has none: it would pass
+// its original, and the key would run twice. Without pools the original is always ahead of it.
 func (c *Controller) startRuns() {
 	ceiling := c.limit.ceiling(c.now)
 	for i := c.queue.head; i != none && c.limit.running < min(c.limit.current, ceiling); {
--- a/deploy/sites/sites_test.go
+++ b/deploy/sites/sites_test.go
@@ -72,7 +72,8 @@
 				err = json.Unmarshal(text, &fields)
 			}
 			if err != nil || fields["family"] != "server" {
-				t.Errorf("%s/%s: %v, family %v, expected JSON of the family server", folder, name, err, fields["family"])
+				t.Errorf("%s/%s: %v, family %v, expected JSON of the family server", folder, name, err,
+					fields["family"])
 			}
 		}
 		checkUnlock(t, filepath.Join(folder, "unlock.txt"))
@@ -87,12 +88,15 @@
 			t.Errorf("%s: class %q has no name, or another's", s.Name, c.Name)
 		}
 		seen[c.Name] = true
-		if len(c.WorkMS) != 2 || c.WorkMS[0] > c.WorkMS[1] || c.WorkMS[1] >= c.AimMS || c.AimMS >= c.Deadline || c.Worth <= 0 {
-			t.Errorf("%s: class %s: work %v, aim %v, deadline %v, worth %v: expected them to rise, and a worth", s.Name, c.Name,
+		if len(c.WorkMS) != 2 || c.WorkMS[0] > c.WorkMS[1] || c.WorkMS[1] >= c.AimMS || c.AimMS >= c.Deadline ||
+			c.Worth <= 0 {
+			t.Errorf("%s: class %s: work %v, aim %v, deadline %v, worth %v: expected them to rise, and a worth",
+				s.Name, c.Name,
 				c.WorkMS, c.AimMS, c.Deadline, c.Worth)
 		}
 		if (c.Effect == "keyed") != (c.WindowMS > 0) || (c.Effect == "safe") == c.Write {
-			t.Errorf("%s: class %s: effect %q with window %v and write %v", s.Name, c.Name, c.Effect, c.WindowMS, c.Write)
+			t.Errorf("%s: class %s: effect %q with window %v and write %v", s.Name, c.Name, c.Effect, c.WindowMS,
+				c.Write)
 		}
 	}
 	if len(s.Class) == 0 || math.Abs(total-1) > 0.01 {
@@ -144,7 +148,8 @@
 			quoted = append(quoted, `"`+tenant.Name+`"`)
 		}
 	}
-	for _, pattern := range []string{"../*.toml", "../*.ini", "../../admission/*.go", "../../internal/*/*.go", "../../cmd/*/*.go"} {
+	for _, pattern := range []string{"../*.toml", "../*.ini", "../../admission/*.go", "../../internal/*/*.go",
+		"../../cmd/*/*.go"} {
 		files, err := filepath.Glob(pattern)
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: %d files, %v", pattern, len(files), err)
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,4 +1,5 @@
-// Package docs holds no code: its tests check that the pages name files, headings, identifiers and constants that exist.
+// Package docs holds no code: its tests check that the pages name files, headings, identifiers and constants that
+// exist.
 package docs
 
 import (
@@ -25,7 +26,8 @@
 		switch name := entry.Name(); {
 		case err != nil:
 			return err
-		case entry.IsDir() && (name == "journal" || name == "testdata" || name == "bin" || name != ".." && strings.HasPrefix(name, ".")):
+		case entry.IsDir() && (name == "journal" || name == "testdata" || name == "bin" || name != ".." &&
+			strings.HasPrefix(name, ".")):
 			return filepath.SkipDir
 		case strings.HasSuffix(name, ".md"):
 			out = append(out, path)
@@ -93,11 +95,12 @@
 	}
 }
 
-// A file or folder of the repository that a page names in code is there. The changelog, incidents, measurements and the page of
-// figures tell of earlier versions.
+// A file or folder of the repository that a page names in code is there. The changelog, incidents, measurements and the
+// page of figures tell of earlier versions.
 func TestNamedPathsExist(t *testing.T) {
 	for _, page := range pages(t) {
-		if strings.Contains(page, "CHANGELOG") || strings.Contains(page, "incidents") || strings.Contains(page, "measured") ||
+		if strings.Contains(page, "CHANGELOG") || strings.Contains(page, "incidents") ||
+			strings.Contains(page, "measured") ||
 			strings.HasSuffix(page, "standing.md") {
 			continue
 		}
@@ -133,7 +136,8 @@
 		t.Fatal(err)
 	}
 	for _, page := range pages(t) {
-		if strings.Contains(page, "CHANGELOG") || strings.Contains(page, "incidents") || strings.HasSuffix(page, "standing.md") {
+		if strings.Contains(page, "CHANGELOG") || strings.Contains(page, "incidents") ||
+			strings.HasSuffix(page, "standing.md") {
 			continue
 		}
 		for _, name := range spans(read(t, page)) {
@@ -144,8 +148,8 @@
 	}
 }
 
-// declarations are the identifiers of the module's packages, as package.Name and package.Type.Member, and for each the files
-// that declare one of that name.
+// declarations are the identifiers of the module's packages, as package.Name and package.Type.Member, and for each the
+// files that declare one of that name.
 type declarations map[string][]string
 
 func (d declarations) add(file string, parts ...string) {
@@ -281,7 +285,8 @@
 	}
 }
 
-// Each rule of the page of decisions stands in the file that its row names, and its constants stand in that file's package.
+// Each rule of the page of decisions stands in the file that its row names, and its constants stand in that file's
+// package.
 func TestDecisionsNameRulesThatExist(t *testing.T) {
 	known := declared(t)
 	found := 0
@@ -357,8 +362,8 @@
 	return false
 }
 
-// stringLiterals gives the string literals of the programs, without their tests; literals joined by + are one, and a format's
-// verbs are question marks.
+// stringLiterals gives the string literals of the programs, without their tests; literals joined by + are one, and a
+// format's verbs are question marks.
 func stringLiterals(t *testing.T) []string {
 	t.Helper()
 	var out []string
@@ -411,8 +416,9 @@
 	return "", false
 }
 
-// messagePattern matches the literals that give a quoted message: they have the same constant parts, in the same order, and
-// nothing else but values. A message that is quoted with "..." at its end may go on. It gives nil if too little is constant.
+// messagePattern matches the literals that give a quoted message: they have the same constant parts, in the same order,
+// and nothing else but values. A message that is quoted with "..." at its end may go on. It gives nil if too little is
+// constant.
 func messagePattern(quoted string) *regexp.Regexp {
 	parts := placeholder.Split(quoted, -1)
 	if len(strings.Join(parts, "")) < minConstantPart {
@@ -430,13 +436,14 @@
 	return pattern != nil && slices.ContainsFunc(literals, pattern.MatchString)
 }
 
-// A log line that a page quotes, as a code span behind the word log, is written by the programs: its message stands in a
-// string literal, with "..." or a word in capitals for what is a value.
+// A log line that a page quotes, as a code span behind the word log, is written by the programs: its message stands in
+// a string literal, with "..." or a word in capitals for what is a value.
 func TestQuotedLogMessagesExist(t *testing.T) {
 	literals := stringLiterals(t)
 	found := map[string]int{}
 	for _, page := range pages(t) {
-		if strings.Contains(page, "CHANGELOG") || strings.Contains(page, "incidents") || strings.HasSuffix(page, "standing.md") {
+		if strings.Contains(page, "CHANGELOG") || strings.Contains(page, "incidents") ||
+			strings.HasSuffix(page, "standing.md") {
 			continue
 		}
 		for _, m := range quotedMessage.FindAllStringSubmatch(read(t, page), -1) {
@@ -484,7 +491,8 @@
 	known := declared(t)
 	found := 0
 	for _, page := range pages(t) {
-		if strings.Contains(page, "CHANGELOG") || strings.Contains(page, "incidents") || strings.HasSuffix(page, "standing.md") {
+		if strings.Contains(page, "CHANGELOG") || strings.Contains(page, "incidents") ||
+			strings.HasSuffix(page, "standing.md") {
 			continue
 		}
 		for _, m := range nameInFile.FindAllStringSubmatch(read(t, page), -1) {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -124,8 +124,8 @@
 	want(t, 2, `guard "x", expected one of`, "lab", "raft", "--without", "x")
 }
 
-// A group of two: an operator puts versions, compares, is refused wrong ones, watches, and saves a snapshot. One instance is
-// stopped: nothing can be read. A new group of one begins from the snapshot, and has the last version.
+// A group of two: an operator puts versions, compares, is refused wrong ones, watches, and saves a snapshot. One
+// instance is stopped: nothing can be read. A new group of one begins from the snapshot, and has the last version.
 func TestOperatorRunsGroupAndRestoresIt(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -188,8 +188,8 @@
 	want(t, 0, "window = 30s", "config", "get", "--at="+r)
 }
 
-// An instance with five versions is killed, and a byte in the middle of its log changes: it does not start, says where, and
-// leaves the log as it is.
+// An instance with five versions is killed, and a byte in the middle of its log changes: it does not start, says where,
+// and leaves the log as it is.
 func TestInstanceWithDamagedLogDoesNotStart(t *testing.T) {
 	dir := t.TempDir()
 	a, cmd := startInstance(t, dir, "a", "new", 4)
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -154,8 +154,8 @@
 func newDiff(a *access) *cobra.Command {
 	var from, to uint64
 	c := &cobra.Command{Use: "diff [FILE]", Short: "What a file, or a version, would change",
-		Args: cobra.MaximumNArgs(1), Long: `With FILE: what it would change in the version in force (or --from). Without:
-what changed from version --from to --to (the one before the newest, and the newest, if not given).`,
+		Args: cobra.MaximumNArgs(1), Long: `With FILE: what it would change in the version in force (or --from).
+Without: what changed from version --from to --to (the one before the newest, and the newest, if not given).`,
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			newest, err := c.current(ctx)
 			if err != nil {
--- a/internal/cli/control_local.go
+++ b/internal/cli/control_local.go
@@ -20,8 +20,8 @@
 
 // Times of a local group.
 const (
-	// restartAfter is how long after its end an instance is started again. One that ends by itself sooner than that does
-	// not come up at all, as on a folder that can't be used, and ends the command.
+	// restartAfter is how long after its end an instance is started again. One that ends by itself sooner than that
+	// does not come up at all, as on a folder that can't be used, and ends the command.
 	restartAfter = 2 * time.Second
 	// localStopTimeout is how long an instance may take to end before it is killed.
 	localStopTimeout = 5 * time.Second
@@ -44,9 +44,9 @@
 func newLocal(a *access) *cobra.Command {
 	var r localRequest
 	c := &cobra.Command{Use: "local", Short: "Run a whole group on loopback, for a look", Args: exact(0),
-		Long: `Starts instances as processes of their own on loopback ports, takes them into one group, shows it and runs
-until it is interrupted. One that ends is started again two seconds later; the others go on meanwhile. Their files, logs
-and folders stay under --dir, so a later start goes on where this one ended.`,
+		Long: `Starts instances as processes of their own on loopback ports, takes them into one group, shows it
+and runs until it is interrupted. One that ends is started again two seconds later; the others go on meanwhile.
+Their files, logs and folders stay under --dir, so a later start goes on where this one ended.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if r.instances < 1 || r.instances > 7 {
 				return usage(fmt.Errorf("--instances: found %d, expected 1 to 7", r.instances))
@@ -175,7 +175,8 @@
 		if err != nil {
 			how = err.Error()
 		}
-		fmt.Fprintf(g.out, "instance %s ended (%s); it is started again in %v, the others go on\n", i.name, how, restartAfter)
+		fmt.Fprintf(g.out, "instance %s ended (%s); it is started again in %v, the others go on\n", i.name, how,
+			restartAfter)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -213,7 +214,8 @@
 	if err := g.client.status(ctx, g.out); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(g.out, "%s\nrunning; ask it with: umberctl control status --at %s\n", strings.Join(pids, ", "),
+	_, err := fmt.Fprintf(g.out, "%s\nrunning; ask it with: umberctl control status --at %s\n",
+		strings.Join(pids, ", "),
 		strings.Join(addresses, ","))
 	return err
 }
@@ -244,7 +246,8 @@
 
 // awaitVoters waits until so many instances are voters.
 func (c *client) awaitVoters(ctx context.Context, count int) error {
-	for end := time.Now().Add(localJoinTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(localPollInterval) {
+	end := time.Now().Add(localJoinTimeout)
+	for ; time.Now().Before(end) && ctx.Err() == nil; time.Sleep(localPollInterval) {
 		rows, _, err := c.rows(ctx)
 		voters := 0
 		for _, r := range rows {
--- a/internal/cli/control_status.go
+++ b/internal/cli/control_status.go
@@ -116,7 +116,8 @@
 			lag = commit - s.Applied
 		}
 		out = append(out, []string{r.Name, r.Listen, string(s.Role), strconv.FormatUint(s.Term, 10),
-			fmt.Sprintf("%d-%d", s.FirstIndex, s.LastIndex), strconv.FormatUint(s.Applied, 10), strconv.FormatUint(lag, 10),
+			fmt.Sprintf("%d-%d", s.FirstIndex, s.LastIndex), strconv.FormatUint(s.Applied, 10),
+			strconv.FormatUint(lag, 10),
 			strconv.FormatUint(s.Version, 10), fmt.Sprintf("%.1f MB", float64(s.DiskBytes)/(1<<20)),
 			fmt.Sprintf("%d ms ago", s.SinceLeaderMS), note})
 	}
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -22,9 +22,9 @@
 func newDemo() *cobra.Command {
 	var r demoRequest
 	c := &cobra.Command{Use: "demo", Short: "A node, an emulated kernel and a load on loopback, with a live table",
-		Args: exact(0), Long: `Runs a node, an emulated kernel and callers in this process until --seconds are over, q is pressed or it
-is interrupted, and prints what each class of requests got. A run that is interrupted or fails leaves the node's log, and
-says on standard error where.`,
+		Args: exact(0), Long: `Runs a node, an emulated kernel and callers in this process until --seconds are
+over, q is pressed or it is interrupted, and prints what each class of requests got. A run that is interrupted
+or fails leaves the node's log, and says on standard error where.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := r.check(); err != nil {
 				return usage(err)
@@ -36,7 +36,8 @@
 	f.Float64Var(&r.demo.Load, "load", 0.9, "share of the cores' capacity that is asked for")
 	f.BoolVar(&r.demo.Pools, "pools", false, "with pools of run slots")
 	f.IntVar(&r.demo.Seconds, "seconds", 0, "how long; 0 until it is interrupted")
-	f.StringVar(&r.demo.Trouble, "trouble", "", "a fault: a slow or cold dependency; links: the kernel's link breaks every 5 s")
+	f.StringVar(&r.demo.Trouble, "trouble", "",
+		"a fault: a slow or cold dependency; links: the kernel's link breaks every 5 s")
 	f.BoolVar(&r.asJSON, "json", false, "print the results as JSON")
 	return c
 }
--- a/internal/cli/deprecated.go
+++ b/internal/cli/deprecated.go
@@ -27,9 +27,9 @@
 	return c
 }
 
-// deprecated keeps a command, and those below it, under an earlier name: not shown in help, and with a warning on standard
-// error that names the present one. Standard output stays as it is, as scripts read it. now is the present name without
-// the program's.
+// deprecated keeps a command, and those below it, under an earlier name: not shown in help, and with a warning on
+// standard error that names the present one. Standard output stays as it is, as scripts read it. now is the present
+// name without the program's.
 func deprecated(c *cobra.Command, now string) *cobra.Command {
 	c.Hidden = true
 	for _, below := range c.Commands() {
--- a/internal/cli/deprecated_test.go
+++ b/internal/cli/deprecated_test.go
@@ -7,8 +7,8 @@
 	"github.com/spf13/cobra"
 )
 
-// Earlier names of commands do what the present ones do, with the same flags, status and output, and say on standard error
-// what they are called now. Help shows the present ones alone.
+// Earlier names of commands do what the present ones do, with the same flags, status and output, and say on standard
+// error what they are called now. Help shows the present ones alone.
 func TestDeprecatedCommandsWorkAndWarn(t *testing.T) {
 	for _, c := range []struct{ name, earlier, now string }{
 		{"harness", "lab raft --without x", "faulttest raft --without x"},
@@ -25,7 +25,8 @@
 				t.Errorf("warns %q", warning)
 			}
 			if out != nowOut || status != nowStatus || len(rest) == 0 || len(rest) != len(nowErrs) {
-				t.Errorf("status %d, output %q, errors %q; expected %d, %q, %q", status, out, rest, nowStatus, nowOut, nowErrs)
+				t.Errorf("status %d, output %q, errors %q; expected %d, %q, %q", status, out, rest, nowStatus, nowOut,
+					nowErrs)
 			}
 			if strings.Contains(nowErrs, "deprecated") {
 				t.Errorf("the present name warns: %q", nowErrs)
--- a/internal/cli/faulttest.go
+++ b/internal/cli/faulttest.go
@@ -20,10 +20,12 @@
 	"umberwinch/internal/simulation"
 )
 
-// newFaultTest is the harness's command: each below it runs the real code under faults and load, and ends with a verdict.
+// newFaultTest is the harness's command: each below it runs the real code under faults and load, and ends with a
+// verdict.
 func newFaultTest() *cobra.Command {
 	c := &cobra.Command{Use: "faulttest", Short: "Fault tests: the real code under faults and load"}
-	c.AddCommand(newRaftTest(), newPoolsTest(), newPolicyTest(), newZonesTest(), newRecoveryTest(), newResultStoreTest())
+	c.AddCommand(newRaftTest(), newPoolsTest(), newPolicyTest(), newZonesTest(), newRecoveryTest(),
+		newResultStoreTest())
 	return c
 }
 
@@ -108,8 +110,8 @@
 	Run(ctx context.Context, w io.Writer) (*report.Report, error)
 }
 
-// runFaultTest checks the flags of a fault test, hands it this program to start processes of, and makes a broken promise the
-// command's error.
+// runFaultTest checks the flags of a fault test, hands it this program to start processes of, and makes a broken
+// promise the command's error.
 func runFaultTest(test faultTest, program *string, check func() error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, _ []string) (err error) {
 		if err = check(); err != nil {
@@ -138,13 +140,15 @@
 			return err
 		}
 		if r.Size != 0 && (r.Size < minGroupSize || r.Size > maxGroupSize) {
-			return fmt.Errorf("--size: found %d, expected %d to %d, or 0 for groups of 3 and 5", r.Size, minGroupSize, maxGroupSize)
+			return fmt.Errorf("--size: found %d, expected %d to %d, or 0 for groups of 3 and 5", r.Size, minGroupSize,
+				maxGroupSize)
 		}
 		return nil
 	}
 	run := runFaultTest(r, &r.Program, check)
-	c := &cobra.Command{Use: "raft", Short: "The replicated group: schedules of faults in virtual time, kills of processes",
-		Args: exact(0), Long: `Virtual: the real consensus and log code on a simulated network, disks and clock, many
+	c := &cobra.Command{Use: "raft",
+		Short: "The replicated group: schedules of faults in virtual time, kills of processes",
+		Args:  exact(0), Long: `Virtual: the real consensus and log code on a simulated network, disks and clock, many
 schedules from one seed, with the promises of docs/design/raft.md checked after each step and clients' histories checked
 for linearizability. Real: processes on loopback whose leader is killed between any two of persist, send, apply and
 respond. The last line says "raft: kept" or "raft: broken: WHAT"; a broken promise is exit status 1.`,
@@ -186,18 +190,21 @@
 		return errors.Join(checkOneOf("--without", r.Without, harness.ResultStoreGuards),
 			checkOneOf("--only", r.Only, []string{"kills", "costs"}))
 	}
-	c := &cobra.Command{Use: "results", Short: "Stored results: a node killed over and over while clients retry their keys",
-		Args: exact(0), Long: `Nodes with [kept], each with an emulated kernel that outlives it and counts runs by idempotency
-key, and clients that retry their keys within the idempotency window and after it. Each node is killed with SIGKILL at
-named points and at random ones, at times in its start, sometimes with part of a write left at its log's end, and started
-again on its folder. Then the cost of a request with an idempotency key, beside one that is kept in memory alone. The last
-line says "kept: kept" or "kept: broken: WHAT"; a broken promise is exit status 1.`,
+	c := &cobra.Command{Use: "results",
+		Short: "Stored results: a node killed over and over while clients retry their keys",
+		Args:  exact(0), Long: `Nodes with [kept], each with an emulated kernel that outlives it and counts runs
+by idempotency key, and clients that retry their keys within the idempotency window and after it. Each node is
+killed with SIGKILL at named points and at random ones, at times in its start, sometimes with part of a write
+left at its log's end, and started again on its folder. Then the cost of a request with an idempotency key,
+beside one that is kept in memory alone. The last line says "kept: kept" or "kept: broken: WHAT"; a broken
+promise is exit status 1.`,
 		RunE: runFaultTest(r, &r.Program, check)}
 	f := c.Flags()
 	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "under 50 s on four cores")
 	f.IntVar(&r.Kills, "kills", 0, "kills in all; 0 for 120 with --quick, 5000 without")
 	f.StringVar(&r.Only, "only", "", "kills or costs")
-	f.StringVar(&r.Without, "without", "", "one guard to disable in the node: "+strings.Join(harness.ResultStoreGuards, ", "))
+	f.StringVar(&r.Without, "without", "",
+		"one guard to disable in the node: "+strings.Join(harness.ResultStoreGuards, ", "))
 	return c
 }
 
@@ -205,10 +212,10 @@
 	r := &simulation.Pools{}
 	var program string // it starts no processes
 	c := &cobra.Command{Use: "pools", Short: "Pools of run slots: overload in virtual time, beside three baselines",
-		Args: exact(0), Long: `Plays each scenario on emulated servers in virtual time, driving the module and its pools
-directly: with pools, without, with fixed ones, and with a plain pool before a short queue, from the same seed. Shows the
-share of each class's first attempts that complete within the latency objective. The last line says "pools: kept" or
-"pools: broken: WHAT"; a broken promise is exit status 1.`,
+		Args: exact(0), Long: `Plays each scenario on emulated servers in virtual time, driving the module and
+its pools directly: with pools, without, with fixed ones, and with a plain pool before a short queue, from the
+same seed. Shows the share of each class's first attempts that complete within the latency objective. The last
+line says "pools: kept" or "pools: broken: WHAT"; a broken promise is exit status 1.`,
 		RunE: runFaultTest(r, &program, func() error {
 			return checkOneOf("--without", r.Without, simulation.PoolGuards)
 		})}
@@ -229,10 +236,11 @@
 		return checkProcessTest(r.Mode, r.Only, harness.PolicyCases(), r.Size)
 	}
 	c := &cobra.Command{Use: "policy", Short: "Changes of policy: schedules in virtual time, hard cases on processes",
-		Args: exact(0), Long: `Virtual: the real decisions of group and nodes on simulated clocks, links and crashes, many
-schedules from one seed, and fleets of 300 and 5,000 nodes beside two baselines. Real: a group and nodes as processes,
-with kills, pauses and network partitions, under load. The history is checked against the promises of
-docs/design/policy.md. The last line says "policy: kept" or "policy: broken: WHAT"; a broken promise is exit status 1.`,
+		Args: exact(0), Long: `Virtual: the real decisions of group and nodes on simulated clocks, links and
+crashes, many schedules from one seed, and fleets of 300 and 5,000 nodes beside two baselines. Real: a group and
+nodes as processes, with kills, pauses and network partitions, under load. The history is checked against the
+promises of docs/design/policy.md. The last line says "policy: kept" or "policy: broken: WHAT"; a broken promise
+is exit status 1.`,
 		RunE: runFaultTest(r, &r.Program, check)}
 	f := c.Flags()
 	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "fewer schedules, smaller fleets, fewer changes")
@@ -251,11 +259,13 @@
 		}
 		return checkProcessTest(r.Mode, r.Only, harness.ZoneCases(), r.Size)
 	}
-	c := &cobra.Command{Use: "zones", Short: "Zones: schedules in virtual time, hard cases on processes", Args: exact(0),
-		Long: `Virtual: the real decisions of group, leaders and nodes, with the traffic of callers, zones and dependencies that
-have a capacity and a cache; many schedules from one seed, fleets of 300 and 5,000 nodes beside three baselines, and hours
-of noise. Real: a group and nodes in three zones as processes, a dependency for each zone on a socket, forwarders between.
-The last line says "zones: kept" or "zones: broken: WHAT"; a broken promise is exit status 1.`,
+	c := &cobra.Command{Use: "zones", Short: "Zones: schedules in virtual time, hard cases on processes",
+		Args: exact(0),
+		Long: `Virtual: the real decisions of group, leaders and nodes, with the traffic of callers, zones and
+dependencies that have a capacity and a cache; many schedules from one seed, fleets of 300 and 5,000 nodes
+beside three baselines, and hours of noise. Real: a group and nodes in three zones as processes, a dependency
+for each zone on a socket, forwarders between. The last line says "zones: kept" or "zones: broken: WHAT"; a
+broken promise is exit status 1.`,
 		RunE: runFaultTest(r, &r.Program, check)}
 	f := c.Flags()
 	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "fewer schedules, one size, an hour of noise")
@@ -274,10 +284,11 @@
 		return checkProcessTest(r.Mode, r.Only, harness.RecoveryCases(), r.Size)
 	}
 	c := &cobra.Command{Use: "recovery", Short: "Recovery: restarts of a whole fleet, a group that lost its state",
-		Args: exact(0), Long: `Virtual: all nodes restart at once over cold dependencies, at several sizes and loads, beside a
-start without a ramp, one by the clock, nodes without the group, and the shortest recovery there could be. Real: a group
-and nodes as processes, killed at once; folders lost, restored from an older copy, or used on by an older generation. The
-last line says "comeback: kept" or "comeback: broken: WHAT"; a broken promise is exit status 1.`,
+		Args: exact(0), Long: `Virtual: all nodes restart at once over cold dependencies, at several sizes and
+loads, beside a start without a ramp, one by the clock, nodes without the group, and the shortest recovery there
+could be. Real: a group and nodes as processes, killed at once; folders lost, restored from an older copy, or
+used on by an older generation. The last line says "comeback: kept" or "comeback: broken: WHAT"; a broken
+promise is exit status 1.`,
 		RunE: runFaultTest(r, &r.Program, check)}
 	f := c.Flags()
 	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "one size and two loads in virtual time")
@@ -286,8 +297,8 @@
 	return c
 }
 
-// parseRecoveryGuards reads guards of zones and of the leader. Some are disabled in processes alone, which read the words
-// themselves.
+// parseRecoveryGuards reads guards of zones and of the leader. Some are disabled in processes alone, which read the
+// words themselves.
 func parseRecoveryGuards(r *harness.RecoveryTest) error {
 	if r.ProcessGuards == "" {
 		return nil
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -50,10 +50,12 @@
 
 func newFleetLocal() *cobra.Command {
 	var r localFleetRequest
-	c := &cobra.Command{Use: "local", Short: "Three control instances, six nodes in three zones and a load, on loopback",
-		Args: exact(0), Long: `Starts a control service, nodes with emulated kernels and a load, all on loopback addresses, as
-processes of their own; prints commands to try and processes to kill; starts again what ends, two seconds later; runs
-until it is interrupted. Files, logs and data are under --dir, which has to be new; at its end it says where.`,
+	c := &cobra.Command{Use: "local",
+		Short: "Three control instances, six nodes in three zones and a load, on loopback",
+		Args:  exact(0), Long: `Starts a control service, nodes with emulated kernels and a load, all on loopback
+addresses, as processes of their own; prints commands to try and processes to kill; starts again what ends, two
+seconds later; runs until it is interrupted. Files, logs and data are under --dir, which has to be new; at its
+end it says where.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := r.check(); err != nil {
 				return err
--- a/internal/cli/fleet_status.go
+++ b/internal/cli/fleet_status.go
@@ -17,8 +17,9 @@
 // newFleetStatus shows how far a fleet's recovery is, and what it waits for.
 func newFleetStatus() *cobra.Command {
 	var a access
-	c := &cobra.Command{Use: "status", Short: "The fleet's share of traffic, what holds it there, and the least time to all of it",
-		Args: exact(0), RunE: withClient(&a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
+	c := &cobra.Command{Use: "status",
+		Short: "The fleet's share of traffic, what holds it there, and the least time to all of it",
+		Args:  exact(0), RunE: withClient(&a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			views, err := c.fleetViews(ctx)
 			if err != nil {
 				return err
@@ -65,8 +66,8 @@
 }
 
 func (v *fleetViews) status() *fleetStatus {
-	s := &fleetStatus{Generation: v.policy.Generation, StateLoss: v.policy.StateLoss, Version: v.policy.CommittedVersion,
-		Known: len(v.nodes), Share: 1, UnknownLeasesMS: v.policy.QuietMS}
+	s := &fleetStatus{Generation: v.policy.Generation, StateLoss: v.policy.StateLoss,
+		Version: v.policy.CommittedVersion, Known: len(v.nodes), Share: 1, UnknownLeasesMS: v.policy.QuietMS}
 	s.countNodes(v.nodes)
 	for i := range v.zones.Zones {
 		switch z := &v.zones.Zones[i]; {
@@ -96,10 +97,11 @@
 	}
 }
 
-// setRamp sets the share of a fleet that ramps as a whole, and the least time until it has all. A step can't come sooner than
-// a hold and the reports of it after the one before, and raises the share by the largest factor at most.
+// setRamp sets the share of a fleet that ramps as a whole, and the least time until it has all. A step can't come
+// sooner than a hold and the reports of it after the one before, and raises the share by the largest factor at most.
 func (s *fleetStatus) setRamp(v *consensus.ZonesView, fleet *consensus.ZoneView) {
-	s.Share, s.SinceMS, s.Cause = float64(fleet.Share)/api.FullShare, v.ClockMS-min(v.ClockMS, fleet.SinceMS), string(fleet.Cause)
+	s.Share, s.SinceMS, s.Cause = float64(fleet.Share)/api.FullShare, v.ClockMS-min(v.ClockMS, fleet.SinceMS),
+		string(fleet.Cause)
 	if fleet.Evidence != nil {
 		s.Note = fleet.Evidence.Note
 	}
@@ -111,20 +113,21 @@
 }
 
 func (s *fleetStatus) rows() [][]string {
-	rows := [][]string{{"generation", fmt.Sprint(s.Generation)}, {"policy", fmt.Sprintf("version %d committed", s.Version)},
+	rows := [][]string{{"generation", fmt.Sprint(s.Generation)},
+		{"policy", fmt.Sprintf("version %d committed", s.Version)},
 		{"nodes", fmt.Sprintf("%d of %d in, %d silent, %d left, %d fenced", s.In, s.Known, s.Silent, s.Left, s.Fenced)}}
 	if s.StateLoss != "" {
 		rows = append(rows, []string{"state loss", s.StateLoss})
 	}
 	if s.UnknownLeasesMS > 0 {
-		rows = append(rows, []string{"unknown leases", fmt.Sprintf("of the generation before, may be acted on for %s more",
-			seconds(s.UnknownLeasesMS))})
+		rows = append(rows, []string{"unknown leases",
+			fmt.Sprintf("of the generation before, may be acted on for %s more", seconds(s.UnknownLeasesMS))})
 	}
 	if s.Share == 1 && s.EstimateMS == 0 {
 		rows = append(rows, []string{"fleet", "full share"})
 	} else {
-		rows = append(rows, []string{"fleet", fmt.Sprintf("ramping: share %.0f%% since %s, %s", 100*s.Share, seconds(s.SinceMS),
-			s.Cause)}, []string{"note", s.Note},
+		rows = append(rows, []string{"fleet", fmt.Sprintf("ramping: share %.0f%% since %s, %s", 100*s.Share,
+			seconds(s.SinceMS), s.Cause)}, []string{"note", s.Note},
 			[]string{"estimate", fmt.Sprintf("%.0f s at least until its full share", float64(s.EstimateMS)/1000)})
 	}
 	for _, z := range s.Zones {
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -110,7 +110,8 @@
 	return 0
 }
 
-// An instance of a local group is killed: the others take a write meanwhile, and it is started again and has that write.
+// An instance of a local group is killed: the others take a write meanwhile, and it is started again and has that
+// write.
 func TestLocalGroupStartsKilledInstanceAgain(t *testing.T) {
 	t.Parallel()
 	dir, port := t.TempDir(), freePort(t)
@@ -122,7 +123,8 @@
 	o.says(t, `instance b is up again, pid (\d+)`)
 	b := fmt.Sprintf("--at=127.0.0.1:%d", port+1)
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if out, _, code := run(t, "config", "get", b, "--within", "1s"); code == 0 && strings.Contains(out, "rate = 1") {
+		out, _, code := run(t, "config", "get", b, "--within", "1s")
+		if code == 0 && strings.Contains(out, "rate = 1") {
 			break
 		}
 		if time.Now().After(end) {
@@ -131,8 +133,8 @@
 	}
 }
 
-// An operator looks at a fleet of three, makes a change, is refused wrong ones, makes another while a node is killed, and
-// forgets a node that lives: it joins again, and all three serve under the last version.
+// An operator looks at a fleet of three, makes a change, is refused wrong ones, makes another while a node is killed,
+// and forgets a node that lives: it joins again, and all three serve under the last version.
 func TestOperatorChangesPolicyOfLocalFleet(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -140,8 +142,9 @@
 	at := "--at=" + o.says(t, `nodes list --at (\S+)`)
 	o.says(t, `Ctrl-C ends all`)
 	text := func(n int, more string) string {
-		return file(t, dir, fmt.Sprintf("p%d.ini", n), fmt.Sprintf("[fleet]\nlease = 2s\nwhen_alone = fence\n[tenant t0]\n"+
-			"rate = %d\n%s", n, more))
+		return file(t, dir, fmt.Sprintf("p%d.ini", n),
+			fmt.Sprintf("[fleet]\nlease = 2s\nwhen_alone = fence\n[tenant t0]\n"+
+				"rate = %d\n%s", n, more))
 	}
 	want(t, 0, "no change under way", "policy", "status", at)
 	want(t, 0, "3 of 3 in, 0 silent, 0 left, 0 fenced\nfleet       full share", "fleet", "status", at)
@@ -157,7 +160,8 @@
 	want(t, 0, "proposed by", "policy", "explain", "2", at)
 	want(t, 2, "found no change 99", "policy", "explain", "99", at)
 	var v consensus.PolicyView
-	if err := json.Unmarshal([]byte(want(t, 0, "", "policy", "status", "--json", at)), &v); err != nil || v.CommittedVersion != 2 ||
+	if err := json.Unmarshal([]byte(want(t, 0, "", "policy", "status", "--json", at)), &v); err != nil ||
+		v.CommittedVersion != 2 ||
 		len(v.History) != 4 || v.History[1].Step != policy.Settled {
 		t.Errorf("%+v (%v)", v, err)
 	}
@@ -182,9 +186,10 @@
 	}
 }
 
-// A group that was restored has lost an entry that a node was told of, and leases of the generation before may still be acted
-// on. Its fleet ramps as a whole, with one of four nodes silent, one gone and one fenced, and a zone evacuated: the status has
-// all of it, with the least time until the fleet has its full share. Once the ramp is over, the share is full.
+// A group that was restored has lost an entry that a node was told of, and leases of the generation before may still be
+// acted on. Its fleet ramps as a whole, with one of four nodes silent, one gone and one fenced, and a zone evacuated:
+// the status has all of it, with the least time until the fleet has its full share. Once the ramp is over, the share is
+// full.
 func TestFleetStatusOfRampAfterStateLoss(t *testing.T) {
 	nodes := []consensus.NodeView{{}, {Node: membership.Node{OutReason: membership.OutSilent}},
 		{Fenced: "its lease has run out"}, {Node: membership.Node{OutReason: membership.OutLeft}}}
@@ -202,7 +207,8 @@
 		t.Errorf("%+v", s)
 	}
 	printed := fmt.Sprint(s.rows())
-	for _, want := range []string{"[state loss n3 was told of entry 812]", "for 1.5 s more", "ramping: share 6% since 1.0 s, restart",
+	for _, want := range []string{"[state loss n3 was told of entry 812]", "for 1.5 s more",
+		"ramping: share 6% since 1.0 s, restart",
 		"[note held]", "8 s at least", "z1 is out, share 0%", "2 of 4 in, 1 silent, 1 left, 1 fenced"} {
 		if !strings.Contains(printed, want) {
 			t.Errorf("%q is not in %s", want, printed)
@@ -214,14 +220,15 @@
 	}
 }
 
-// An instance has a version and a saved snapshot. Recovery changes nothing without --found, and nothing while the instance is
-// up. Once it is killed, its folder is read, moved aside and followed by the next generation; so is the snapshot.
+// An instance has a version and a saved snapshot. Recovery changes nothing without --found, and nothing while the
+// instance is up. Once it is killed, its folder is read, moved aside and followed by the next generation; so is the
+// snapshot.
 func TestRecoverFoundsNextGenerationOfStoppedInstance(t *testing.T) {
 	t.Parallel()
 	dir, port := t.TempDir(), freePort(t)
 	data := filepath.Join(dir, "data")
-	ini := file(t, dir, "a.ini", fmt.Sprintf("[instance]\nname = a\ndata = %s\npeer = 127.0.0.1:%d\nlisten = 127.0.0.1:%d\n", data, port-100,
-		port))
+	ini := file(t, dir, "a.ini", fmt.Sprintf("[instance]\nname = a\ndata = %s\npeer = 127.0.0.1:%d\nlisten = 127.0.0.1:%d\n", data,
+		port-100, port))
 	want(t, 2, "no such file", "control", "recover", "--file", filepath.Join(dir, "none.ini"))
 	want(t, 0, "nobody served under a version", "control", "recover", "--file", ini, "--for", "0s")
 	if _, err := os.Stat(data); err == nil {
@@ -241,14 +248,16 @@
 	want(t, 1, "the folder is in use by another process", "control", "recover", "--file", ini, "--for", "1s")
 	saved := filepath.Join(dir, "saved")
 	want(t, 0, "saved version 1", "control", "snapshot", "save", saved, at)
-	want(t, 1, "has to be stopped first", "control", "recover", "--file", ini, "--for", "0s", "--from", saved, "--found")
+	want(t, 1, "has to be stopped first", "control", "recover", "--file", ini, "--for", "0s", "--from", saved,
+		"--found")
 	end()
 	var found struct {
 		Of struct {
 			Generation uint64 `json:"generation"`
 		} `json:"of"`
 	}
-	if err := json.Unmarshal([]byte(want(t, 0, "", "control", "recover", "--file", ini, "--for", "0s", "--json")), &found); err != nil ||
+	if err := json.Unmarshal([]byte(want(t, 0, "", "control", "recover", "--file", ini, "--for", "0s", "--json")),
+		&found); err != nil ||
 		found.Of.Generation != 1 {
 		t.Fatalf("%+v, %v", found, err)
 	}
@@ -259,7 +268,8 @@
 	end = serve()
 	want(t, 0, "rate = 1", "config", "get", at)
 	end()
-	want(t, 0, "generation 2 is founded", "control", "recover", "--file", ini, "--for", "0s", "--found", "--from", saved)
+	want(t, 0, "generation 2 is founded", "control", "recover", "--file", ini, "--for", "0s", "--found", "--from",
+		saved)
 	end = serve()
 	want(t, 0, "rate = 1", "config", "get", at)
 }
--- a/internal/cli/interrupted_test.go
+++ b/internal/cli/interrupted_test.go
@@ -72,7 +72,8 @@
 		default:
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d processes after %v, expected %d\n%s%s", len(g.children()), childrenWithin, count, g.out, g.errs)
+			t.Fatalf("%d processes after %v, expected %d\n%s%s", len(g.children()), childrenWithin, count, g.out,
+				g.errs)
 		}
 	}
 }
@@ -116,9 +117,10 @@
 	}
 }
 
-// A command has started its processes when it is interrupted: by a signal to it alone, as from a supervisor, or to it and
-// all its processes, as by Ctrl-C at a terminal. It ends soon, no process is left, and it has said where their logs are.
-// What was interrupted in the middle of a verdict has none, which is status 1; what runs until it is interrupted has 0.
+// A command has started its processes when it is interrupted: by a signal to it alone, as from a supervisor, or to it
+// and all its processes, as by Ctrl-C at a terminal. It ends soon, no process is left, and it has said where their logs
+// are. What was interrupted in the middle of a verdict has none, which is status 1; what runs until it is interrupted
+// has 0.
 func TestInterruptedCommandLeavesNoProcess(t *testing.T) {
 	t.Parallel()
 	policyCase := []string{"faulttest", "policy", "--mode", "real", "--quick", "--size", "6", "--only"}
@@ -134,7 +136,8 @@
 		{"fault test while its nodes start", append(policyCase, "killed before it prepared"), 5, "", exitFailed, 1},
 		{"fault test once all processes are up", append(policyCase, "load"), 9, "", exitFailed, 1},
 		{"fault test of the group", []string{"faulttest", "raft", "--mode", "real", "--quick"}, 3, "", exitFailed, 1},
-		{"fault test of stored results", []string{"faulttest", "results", "--quick", "--only", "kills"}, 6, "", exitFailed, 0},
+		{"fault test of stored results", []string{"faulttest", "results", "--quick", "--only", "kills"}, 6, "",
+			exitFailed, 0},
 		{"fleet while it is set up", []string{"fleet", "local", "--nodes", "3"}, 4, "", exitDone, 1},
 		{"fleet at work", []string{"fleet", "local", "--nodes", "3"}, 6, "Ctrl-C ends all", exitDone, 1},
 		{"group while it is set up", []string{"control", "local"}, 3, "", exitDone, 0},
@@ -190,7 +193,8 @@
 		g := startGroup(t, "control", "local", "--dir", dir, "--port", strconv.Itoa(port))
 		g.awaitEnd(t, exitFailed)
 		g.checkLogs(t, 1)
-		if want := "instance b does not come up, see " + filepath.Join(dir, "b.log"); !strings.Contains(g.errs.String(), want) {
+		want := "instance b does not come up, see " + filepath.Join(dir, "b.log")
+		if !strings.Contains(g.errs.String(), want) {
 			t.Errorf("says %q, expected %q", g.errs, want)
 		}
 	})
@@ -227,7 +231,8 @@
 	})
 	t.Run("a promise is broken", func(t *testing.T) {
 		t.Parallel()
-		g := startGroup(t, "faulttest", "policy", "--mode", "real", "--quick", "--size", "6", "--without", "shadow", "--only",
+		g := startGroup(t, "faulttest", "policy", "--mode", "real", "--quick", "--size", "6", "--without", "shadow",
+			"--only",
 			"a version that would shed everything")
 		g.awaitChildren(t, 9)
 		g.awaitEnd(t, exitFailed)
--- a/internal/cli/nodes.go
+++ b/internal/cli/nodes.go
@@ -108,7 +108,8 @@
 func nodeRows(n *consensus.NodeView) [][]string {
 	state, note := nodeState(n)
 	rows := [][]string{{"node", n.Name}, {"zone", n.Zone}, {"address", n.Addr}, {"state", state}, {"note", note},
-		{"active", fmt.Sprintf("version %d", n.ActiveVersion)}, {"prepared", fmt.Sprintf("version %d", n.PreparedVersion)},
+		{"active", fmt.Sprintf("version %d", n.ActiveVersion)},
+		{"prepared", fmt.Sprintf("version %d", n.PreparedVersion)},
 		{"lease", leaseText(n.Lease)}, {"last heartbeat", fmt.Sprintf("%d ms ago by the group's clock", n.AgeMS)},
 		{"joins", fmt.Sprintf("%d within a minute", len(n.JoinTimesMS))}}
 	for _, l := range n.EarlierLeases {
@@ -122,9 +123,11 @@
 }
 
 func newNodesForget(a *access) *cobra.Command {
-	return &cobra.Command{Use: "forget NODE", Short: "Remove a node from the list: you vouch that it is dead", Args: exact(1),
-		Long: `Removes a node from the list, with its leases that changes wait for. Whoever forgets a node vouches that it serves
-nothing any more: if it does, it may serve under an older version than all others until its next heartbeat.`,
+	return &cobra.Command{Use: "forget NODE", Short: "Remove a node from the list: you vouch that it is dead",
+		Args: exact(1),
+		Long: `Removes a node from the list, with its leases that changes wait for. Whoever forgets a node
+vouches that it serves nothing any more: if it does, it may serve under an older version than all others until
+its next heartbeat.`,
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			body, err := json.Marshal(map[string]string{"name": args[0]})
 			if err != nil {
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -57,11 +57,12 @@
 	var r proposeRequest
 	c := &cobra.Command{Use: "propose VERSION|FILE",
 		Short: "Propose a change to a version, or to a document that becomes one", Args: exact(1),
-		Long: `Proposes a change of all nodes to a version of the configuration. A FILE (or - for standard input) is put first, as
-with "config put". Every node prepares the version: it checks it and evaluates it on recent traffic. Once all have, the
-change is decided, and no node serves under an older version for longer than a lease. A node that refuses the version, or
-is up and does not prepare within --prepare, has the change called off, unless no more than --spare do. With --exclusive
-no two versions are active at one moment: nodes reject requests between the decision and the last lease's end.`,
+		Long: `Proposes a change of all nodes to a version of the configuration. A FILE (or - for standard
+input) is put first, as with "config put". Every node prepares the version: it checks it and evaluates it on
+recent traffic. Once all have, the change is decided, and no node serves under an older version for longer than
+a lease. A node that refuses the version, or is up and does not prepare within --prepare, has the change called
+off, unless no more than --spare do. With --exclusive no two versions are active at one moment: nodes reject
+requests between the decision and the last lease's end.`,
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			return r.run(ctx, c, args[0], w)
 		})}
@@ -178,7 +179,8 @@
 		}
 	}
 	if ch.Step == policy.Aborted {
-		return coded{fmt.Errorf("change %d to version %d was called off: %s", ch.Number, ch.Version, ch.AbortReason), exitRefused}
+		return coded{fmt.Errorf("change %d to version %d was called off: %s", ch.Number, ch.Version, ch.AbortReason),
+			exitRefused}
 	}
 	return nil
 }
@@ -249,7 +251,8 @@
 
 func newCallOff(a *access) *cobra.Command {
 	var why string
-	c := &cobra.Command{Use: "call-off", Short: "Call off the change under way, if it is not decided yet", Args: exact(0),
+	c := &cobra.Command{Use: "call-off", Short: "Call off the change under way, if it is not decided yet",
+		Args: exact(0),
 		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			v, err := c.policyView(ctx)
 			if err != nil {
@@ -301,14 +304,16 @@
 			reason = ch.AbortReason
 		}
 		rows = append(rows, []string{strconv.FormatUint(ch.Number, 10), strconv.FormatUint(ch.PreviousVersion, 10),
-			strconv.FormatUint(ch.Version, 10), string(ch.Step), ch.Proposal.Author, after(ch.CommittedAtMS, ch.ProposedAtMS),
+			strconv.FormatUint(ch.Version, 10), string(ch.Step), ch.Proposal.Author,
+			after(ch.CommittedAtMS, ch.ProposedAtMS),
 			after(ch.EndedAtMS, ch.ProposedAtMS), reason})
 	}
 	return rows
 }
 
 func newExplain(a *access) *cobra.Command {
-	return &cobra.Command{Use: "explain CHANGE", Short: "Show a change's steps, when each came, and why", Args: exact(1),
+	return &cobra.Command{Use: "explain CHANGE", Short: "Show a change's steps, when each came, and why",
+		Args: exact(1),
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			number, err := strconv.ParseUint(args[0], 10, 63)
 			if err != nil {
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -30,18 +30,21 @@
 
 func newRecover() *cobra.Command {
 	r := &recoverCommand{}
-	c := &cobra.Command{Use: "recover", Short: "Restore a group whose state is lost, from what nodes and an old folder hold",
-		Args: exact(0), Long: `Listens where the instance of the operator's file listens for clients, which has to be stopped, as all of
-the old group have to be. Nodes that come by tell what they served under; the instance's folder, or the saved snapshot
-of --from, tells what it holds. Shows what would be restored, on what proof, and what can't be known. With --found it
-then makes the folder that of the first instance of the group's next generation; the old folder is kept beside it.
-Nothing is ever restored without that.`,
+	c := &cobra.Command{Use: "recover",
+		Short: "Restore a group whose state is lost, from what nodes and an old folder hold",
+		Args:  exact(0), Long: `Listens where the instance of the operator's file listens for clients, which has
+to be stopped, as all of the old group have to be. Nodes that come by tell what they served under; the
+instance's folder, or the saved snapshot of --from, tells what it holds. Shows what would be restored, on what
+proof, and what can't be known. With --found it then makes the folder that of the first instance of the group's
+next generation; the old folder is kept beside it. Nothing is ever restored without that.`,
 		RunE: func(cmd *cobra.Command, _ []string) error { return r.run(cmd.Context(), cmd.OutOrStdout()) }}
 	f := c.Flags()
 	f.StringVar(&r.file, "file", "deploy/control.ini", "the operator's file of the instance")
-	f.DurationVar(&r.wait, "for", 15*time.Second, "how long to listen for nodes; they ask every few seconds; 0: not at all")
+	f.DurationVar(&r.wait, "for", 15*time.Second,
+		"how long to listen for nodes; they ask every few seconds; 0: not at all")
 	f.BoolVar(&r.found, "found", false, "found the group anew from what was found")
-	f.StringVar(&r.take, "take", "", "where two texts go by one number: the hash, or its first digits, of the one to take")
+	f.StringVar(&r.take, "take", "",
+		"where two texts go by one number: the hash, or its first digits, of the one to take")
 	f.StringVar(&r.from, "from", "", "a file of `control snapshot save`, in place of the folder")
 	f.BoolVar(&r.json, "json", false, "print JSON")
 	return c
@@ -79,7 +82,8 @@
 		return nil
 	}
 	if there {
-		aside := fmt.Sprintf("%s.generation-%d-%s", o.Data, found.Lost.Generation, time.Now().UTC().Format("20060102T150405"))
+		aside := fmt.Sprintf("%s.generation-%d-%s", o.Data, found.Lost.Generation,
+			time.Now().UTC().Format("20060102T150405"))
 		if err = os.Rename(o.Data, aside); err != nil {
 			return err
 		}
@@ -97,7 +101,8 @@
 	}
 	if !r.json {
 		fmt.Fprintf(w, "generation %d is founded, with version %d. Start it with: umberctl control run --file %s\n"+
-			"Other instances join it on empty folders, by start = join and umberctl control members add.\n", found.Lost.Generation+1,
+			"Other instances join it on empty folders, by start = join and umberctl control members add.\n",
+			found.Lost.Generation+1,
 			v.Number, r.file)
 	}
 	return nil
@@ -134,7 +139,8 @@
 }
 
 // gather listens to nodes for the time given, or until the context ends.
-func (r *recoverCommand) gather(ctx context.Context, listen string, w io.Writer) (kept []api.NodeRecord, asked int, err error) {
+func (r *recoverCommand) gather(ctx context.Context, listen string, w io.Writer) (kept []api.NodeRecord, asked int,
+	err error) {
 	if r.wait <= 0 { // an instance that runs on would lose its folder under it
 		ln, err := net.Listen("tcp", listen)
 		if err != nil {
@@ -151,7 +157,8 @@
 		case err != nil:
 			fmt.Fprintf(w, "a node's word does not count: %v\n", err)
 		default:
-			fmt.Fprintf(w, "%s of zone %s: served under version %d, was told of %d, generation %d, entry %d\n", k.Name, k.Zone,
+			fmt.Fprintf(w, "%s of zone %s: served under version %d, was told of %d, generation %d, entry %d\n", k.Name,
+				k.Zone,
 				k.ActiveVersion, k.MinVersion, k.Generation, k.Index)
 		}
 	})
@@ -184,7 +191,8 @@
 	if f.Hash == "" {
 		version = "none"
 	}
-	rows := [][]string{{"group", fmt.Sprintf("%s, generation %d", orNone(f.Lost.Group), f.Lost.Generation)}, {"folder", base},
+	rows := [][]string{{"group", fmt.Sprintf("%s, generation %d", orNone(f.Lost.Group), f.Lost.Generation)},
+		{"folder", base},
 		{"nodes", fmt.Sprintf("%d came by, %d count", asked, len(f.Nodes))}, {"restored", version}, {"proof", f.Proof},
 		{"zones", fmt.Sprintf("go on after epoch %d", f.ZoneEpoch)},
 		{"leases", fmt.Sprintf("of the old generation are waited for, %d ms", membership.LeaseSpanMS(f.LeaseMS))}}
--- a/internal/cli/results.go
+++ b/internal/cli/results.go
@@ -22,8 +22,8 @@
 
 // readNote is what stat and list promise of a folder that they read.
 const readNote = `
-Each record's checksum is verified. A folder in use, or a damaged one, is refused and left as it is; a tail that was never
-synced is cut off, as a start would.`
+Each record's checksum is verified. A folder in use, or a damaged one, is refused and left as it is; a tail that was
+never synced is cut off, as a start would.`
 
 func newResultsStat() *cobra.Command {
 	var asJSON bool
@@ -68,8 +68,8 @@
 
 func newResultsVerify() *cobra.Command {
 	return &cobra.Command{Use: "verify FOLDER", Short: "Verify each record's checksum and that it fits those before it",
-		Args: exact(1), Long: `Reads the whole folder as a start would and says what is wrong, if anything is: that is exit
-status 1. Nothing is changed, but for a tail that was never synced, which is cut off.`,
+		Args: exact(1), Long: `Reads the whole folder as a start would and says what is wrong, if anything is:
+that is exit status 1. Nothing is changed, but for a tail that was never synced, which is cut off.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			o, err := openResults(args[0])
 			if err != nil {
@@ -83,8 +83,8 @@
 
 func newResultsCompact() *cobra.Command {
 	return &cobra.Command{Use: "compact FOLDER", Short: "Delete segments in which every idempotency window is over",
-		Args: exact(1), Long: `A node does so by itself while it serves. After another boot of the machine nobody knows how
-long it was down, and nothing is deleted before a node has served for a window's time.`,
+		Args: exact(1), Long: `A node does so by itself while it serves. After another boot of the machine
+nobody knows how long it was down, and nothing is deleted before a node has served for a window's time.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			now, boot, err := checkResultsFolder(args[0])
 			if err != nil {
@@ -164,8 +164,8 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &resultsView{Records: o.Records, Bytes: o.bytes, Keys: o.Keys, States: map[string]int{}, IsSameBoot: o.SameBoot,
-		TornTail: o.TornTail, TookMS: o.Duration.Milliseconds()}
+	v := &resultsView{Records: o.Records, Bytes: o.bytes, Keys: o.Keys, States: map[string]int{},
+		IsSameBoot: o.SameBoot, TornTail: o.TornTail, TookMS: o.Duration.Milliseconds()}
 	o.index.ForEach(o.readAt, func(k resultstore.Key, s resultstore.State, left uint64) {
 		if v.States[s.String()]++; list {
 			v.List = append(v.List, resultsKey{hex.EncodeToString(k[:]), s.String(), left})
--- a/internal/cli/results_test.go
+++ b/internal/cli/results_test.go
@@ -22,14 +22,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, _, _, err := resultstore.Open(wal.Dir(dir), wal.Sizes{SegmentBytes: 1 << 20, MaxBytes: 1 << 30}, resultstore.Limits{Keys: 100, Bytes: 1 << 20, ResultBytes: 100},
+	s, _, _, err := resultstore.Open(wal.Dir(dir), wal.Sizes{SegmentBytes: 1 << 20, MaxBytes: 1 << 30},
+		resultstore.Limits{Keys: 100, Bytes: 1 << 20, ResultBytes: 100},
 		now, boot)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, kind := range []resultstore.RecordKind{resultstore.Intent, resultstore.Intent, resultstore.Result, resultstore.Failure} {
+	for i, kind := range []resultstore.RecordKind{resultstore.Intent, resultstore.Intent, resultstore.Result,
+		resultstore.Failure} {
 		done := make(chan error)
-		s.Append(resultstore.Record{Kind: kind, Key: resultstore.Key{byte(i)}, BodyDigest: 1, At: now, Window: 100_000 + uint64(i)}, func(_ uint64, err error) { done <- err })
+		s.Append(resultstore.Record{Kind: kind, Key: resultstore.Key{byte(i)}, BodyDigest: 1, At: now,
+			Window: 100_000 + uint64(i)}, func(_ uint64, err error) { done <- err })
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -69,11 +69,11 @@
 func newRoot() *cobra.Command {
 	root := &cobra.Command{Use: "umberctl",
 		Short: "Run, ask and change umberwinch's control service; the fault harness",
-		Long: `umberctl runs an instance of umberwinch's control service, asks and changes a group of them, and holds the
-project's fault harness.
+		Long: `umberctl runs an instance of umberwinch's control service, asks and changes a group of them, and
+holds the project's fault harness.
 
-Exit statuses: 0 done; 1 failed, or a promise was broken; 2 a wrong file, flag or document, nothing was done;
-3 the group said no; 4 no answer, it may or may not have been done.`,
+Exit statuses: 0 done; 1 failed, or a promise was broken; 2 a wrong file, flag or document, nothing was done; 3
+the group said no; 4 no answer, it may or may not have been done.`,
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.NoArgs}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
 	root.AddCommand(newDemo(), newControl(), newConfig(), newPolicy(), newNodes(), newZones(), newFleet(), newNode(),
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -76,7 +76,8 @@
 }
 
 func zonesTable(all []consensus.ZoneView) [][]string {
-	rows := [][]string{{"ZONE", "STATE", "SHARE", "NODES", "REPORTING", "UNHEALTHY", "RUNS/S", "CAPACITY", "CAUSE", "NOTE"}}
+	rows := [][]string{{"ZONE", "STATE", "SHARE", "NODES", "REPORTING", "UNHEALTHY", "RUNS/S", "CAPACITY", "CAUSE",
+		"NOTE"}}
 	for i := range all {
 		z := &all[i]
 		state, share := zoneState(z)
@@ -122,35 +123,42 @@
 	state, share := zoneState(z)
 	rows := [][]string{{"zone", z.Name}, {"state", state}, {"share", share},
 		{"epoch", fmt.Sprintf("%d; the fleet is at %d, settled %d", z.Epoch, v.Epoch, v.SettledEpoch)},
-		{"capacity", fmt.Sprintf("%.0f runs a second, %.1f in flight, %.0f ms a run, %.0f ms a call, %.1f connections a second",
-			z.Capacity.RunRate, z.Capacity.Concurrency, z.Capacity.RunMS, z.Capacity.CallMS, z.Capacity.ConnectionRate)}}
+		{"capacity", fmt.Sprintf("%.0f runs a second, %.1f in flight, %.0f ms a run, %.0f ms a call, "+
+			"%.1f connections a second",
+			z.Capacity.RunRate, z.Capacity.Concurrency, z.Capacity.RunMS, z.Capacity.CallMS,
+			z.Capacity.ConnectionRate)}}
 	if z.Cause != "" {
 		rows = append(rows, []string{"cause", string(z.Cause)})
 	}
 	if z.Phase == zones.Ramping {
-		rows = append(rows, []string{"rate limit", fmt.Sprintf("%.0f runs and %.0f connections to dependencies a second, over "+
-			"%d leases", z.RateLimit, z.ConnectRateLimit, len(z.Quotas))})
+		rows = append(rows, []string{"rate limit",
+			fmt.Sprintf("%.0f runs and %.0f connections to dependencies a second, over "+
+				"%d leases", z.RateLimit, z.ConnectRateLimit, len(z.Quotas))})
 	}
 	if v.ClockMS < z.RampNotBeforeMS && z.Phase != zones.InService {
 		rows = append(rows, []string{"returns", fmt.Sprintf("in %s at the soonest; it failed again %d times",
 			seconds(z.RampNotBeforeMS-v.ClockMS), z.FlapCount)})
 	}
 	if v.ClockMS < z.HeldUntilMS {
-		rows = append(rows, []string{"hold", fmt.Sprintf("by an operator, for %s more", seconds(z.HeldUntilMS-v.ClockMS))})
+		rows = append(rows, []string{"hold", fmt.Sprintf("by an operator, for %s more",
+			seconds(z.HeldUntilMS-v.ClockMS))})
 	}
 	if e := z.Evidence; e != nil {
 		rows = append(rows,
-			[]string{"nodes", fmt.Sprintf("%d in, %d silent, %d reporting, %d unhealthy %s; failure score %.1f", e.NodesIn,
+			[]string{"nodes", fmt.Sprintf("%d in, %d silent, %d reporting, %d unhealthy %s; failure score %.1f",
+				e.NodesIn,
 				e.NodesSilent, e.NodesReporting, e.NodesUnhealthy, e.Symptom, e.FailureScore)},
-			[]string{"load", fmt.Sprintf("%.0f runs a second of %.0f possible, %.1f in flight, %.0f ms a run; priority weight %.0f "+
-				"of %.0f a second", e.RunRate, e.RunCapacity, e.Concurrency, e.RunMS, e.CompletedWeight, e.OfferedWeight)},
+			[]string{"load", fmt.Sprintf("%.0f runs a second of %.0f possible, %.1f in flight, %.0f ms a run; "+
+				"priority weight %.0f of %.0f a second", e.RunRate, e.RunCapacity, e.Concurrency, e.RunMS, e.CompletedWeight,
+				e.OfferedWeight)},
 			[]string{"note", e.Note})
 	}
 	return rows
 }
 
 func newZonesExplain(a *access) *cobra.Command {
-	return &cobra.Command{Use: "explain ZONE", Short: "Show what was decided about a zone, when, and why", Args: exact(1),
+	return &cobra.Command{Use: "explain ZONE", Short: "Show what was decided about a zone, when, and why",
+		Args: exact(1),
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			v, z, err := findZone(ctx, c, args[0])
 			if err != nil {
@@ -162,7 +170,8 @@
 			for _, e := range z.Events {
 				fmt.Fprintf(w, "%10.1f s ago  epoch %-4d %s\n", float64(v.ClockMS-e.ClockMS)/1000, e.Epoch, e.Text)
 				if e.ValueOfStaying != 0 || e.ValueOfEvacuating != 0 {
-					fmt.Fprintf(w, "%31s expected value a second: %.0f by staying, %.0f by leaving\n", "", e.ValueOfStaying,
+					fmt.Fprintf(w, "%31s expected value a second: %.0f by staying, %.0f by leaving\n", "",
+						e.ValueOfStaying,
 						e.ValueOfEvacuating)
 				}
 			}
@@ -209,8 +218,9 @@
 
 func newZonesLeave(a *access) *cobra.Command {
 	return (&zoneStep{use: "leave", short: "Evacuate a zone: its nodes take no more requests",
-		long: `Its nodes say that they are not ready, reject at once what arrives and what is queued, with a Retry-After, and
-complete what runs. It stays so until "zones return". The last zone that is in service can't be evacuated.`,
+		long: `Its nodes say that they are not ready, reject at once what arrives and what is queued, with a
+Retry-After, and complete what runs. It stays so until "zones return". The last zone that is in service can't be
+evacuated.`,
 		op: func() (zones.Op, error) { return zones.Op{Kind: zones.OpEvacuate}, nil }}).command(a)
 }
 
@@ -220,7 +230,8 @@
 func newZonesReturn(a *access) *cobra.Command {
 	share := defaultReturnShare
 	return (&zoneStep{use: "return", short: "Begin a zone's recovery ramp",
-		long: `Begins with a share of traffic and raises it by what the dependencies show. Without --share it is a sixteenth.`,
+		long: `Begins with a share of traffic and raises it by what the dependencies show. Without --share it is
+a sixteenth.`,
 		flags: func(c *cobra.Command) {
 			c.Flags().Float64Var(&share, "share", defaultReturnShare, "of traffic, to begin with")
 		},
@@ -259,8 +270,9 @@
 func newZonesDrill(a *access) *cobra.Command {
 	span := time.Minute
 	return (&zoneStep{use: "drill", short: "Evacuate a zone on purpose for a while, and return to it",
-		long: `Evacuates a zone as if it had failed and begins its recovery ramp when the time is over, or as soon as it does
-harm: another zone becomes unhealthy, or completes less than eight tenths of the priority weight that arrives there.`,
+		long: `Evacuates a zone as if it had failed and begins its recovery ramp when the time is over, or as
+soon as it does harm: another zone becomes unhealthy, or completes less than eight tenths of the priority weight
+that arrives there.`,
 		flags: func(c *cobra.Command) {
 			c.Flags().DurationVar(&span, "for", time.Minute, "how long it stays evacuated, 1s to 1h")
 		},
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -72,13 +72,15 @@
 		m.sleep(time.Second)
 	}
 	for i := range stamps {
-		if earliest, latest, ok := s.Place(m.mono, stamps[i], time.Second); !ok || earliest != places[i] || latest != places[i] {
+		if earliest, latest, ok := s.Place(m.mono, stamps[i], time.Second); !ok || earliest != places[i] ||
+			latest != places[i] {
 			t.Errorf("stamp %d: %v, from %v to %v, expected %v", i, ok, earliest, latest, places[i])
 		}
 	}
 }
 
-// A process that was stopped as the clock was stepped does not know when; stamps of the whole stop are placed all the same.
+// A process that was stopped as the clock was stepped does not know when; stamps of the whole stop are placed all the
+// same.
 func TestStepWhileStopped(t *testing.T) {
 	m := newMachine()
 	s := NewStamps(m.read, 2*deadline)
@@ -99,7 +101,8 @@
 	s := NewStamps(m.read, 2*deadline)
 	m.sleep(time.Hour)
 	s.Observe(m.read)
-	for _, off := range []time.Duration{time.Hour, 1001 * time.Millisecond, -2*deadline - time.Millisecond, -time.Hour} {
+	for _, off := range []time.Duration{time.Hour, 1001 * time.Millisecond, -2*deadline - time.Millisecond,
+		-time.Hour} {
 		if _, _, ok := s.Place(m.mono, m.wall+off, time.Second); ok {
 			t.Errorf("a stamp %v off is placed", off)
 		}
@@ -161,7 +164,8 @@
 }
 
 // wallClock finds what reads the wall clock, or makes a time that has no monotonic part.
-var wallClock = regexp.MustCompile(`\.Unix(Micro|Milli|Nano)?\(|time\.Unix(Micro|Milli)?\(|\.Round\(0\)|\.Date\(|CLOCK_REALTIME`)
+var wallClock = regexp.MustCompile(`\.Unix(Micro|Milli|Nano)?\(|time\.Unix(Micro|Milli)?\(|` +
+	`\.Round\(0\)|\.Date\(|CLOCK_REALTIME`)
 
 // The server's packages read the wall clock in this package alone.
 func TestWallClockIsReadHereAlone(t *testing.T) {
@@ -169,7 +173,8 @@
 		"../../admission", "../../cmd/umberwinch",
 		"../config", "../logging", "../retryafter", "../wal",
 		"../control/api", "../control/membership", "../control/recovery", "../control/zones",
-		"../node/agent", "../node/overlay", "../node/pools", "../node/resultstore", "../node/server", "../node/settings",
+		"../node/agent", "../node/overlay", "../node/pools", "../node/resultstore", "../node/server",
+		"../node/settings",
 		"../node/shadow", "../node/wire", "../node/zonegate",
 	} {
 		files, err := filepath.Glob(filepath.Join(folder, "*.go"))
--- a/scripts/testrun/knownred.go
+++ b/scripts/testrun/knownred.go
@@ -143,12 +143,14 @@
 func (e *entry) knownRed() (knownRed, error) {
 	for _, name := range fieldNames {
 		if e.fields[name] == "" {
-			return knownRed{}, fmt.Errorf("found an entry without %q, expected %s", name, strings.Join(fieldNames, ", "))
+			return knownRed{}, fmt.Errorf("found an entry without %q, expected %s", name,
+				strings.Join(fieldNames, ", "))
 		}
 	}
 	parts := testName.FindStringSubmatch(e.fields[fieldTest])
 	if parts == nil {
-		return knownRed{}, fmt.Errorf("found the test %q, expected a package's folder and a test, such as internal/wal.TestTorn",
+		return knownRed{}, fmt.Errorf("found the test %q, expected a package's folder and a test, "+
+			"such as internal/wal.TestTorn",
 			e.fields[fieldTest])
 	}
 	if !issueNumber.MatchString(e.fields[fieldIssue]) {
--- a/scripts/testrun/main_test.go
+++ b/scripts/testrun/main_test.go
@@ -32,8 +32,9 @@
 // module is a module with tests that fail, and a list.
 func module(t *testing.T, list string) *runner {
 	folder := t.TempDir()
-	for name, text := range map[string]string{"go.mod": "module example\n\ngo 1.24\n", "a/a_test.go": sources, "b/b_test.go": others,
-		knownRedFile: list} {
+	for name, text := range map[string]string{"go.mod": "module example\n\ngo 1.24\n", "a/a_test.go": sources,
+		"b/b_test.go": others,
+		knownRedFile:  list} {
 		file := filepath.Join(folder, name)
 		if err := os.MkdirAll(filepath.Dir(file), 0o700); err != nil {
 			t.Fatal(err)
