--- a/deploy/sites/sites_test.go
+++ b/deploy/sites/sites_test.go
@@ -39,6 +39,7 @@
 
 // variants gives the folders.
 func variants(t *testing.T) []string {
+	t.Helper()
 	files, err := filepath.Glob("*/*.toml")
 	if err != nil || len(files) < 2 {
 		t.Fatalf("found %d variants, %v, expected two or more", len(files), err)
@@ -51,6 +52,7 @@
 }
 
 func read(t *testing.T, folder string) (s site) {
+	t.Helper()
 	if _, err := toml.DecodeFile(filepath.Join(folder, folder+".toml"), &s); err != nil {
 		t.Fatal(err)
 	}
@@ -81,6 +83,7 @@
 }
 
 func checkClasses(t *testing.T, s site) {
+	t.Helper()
 	total, seen := 0.0, map[string]bool{}
 	for _, c := range s.Class {
 		total += c.Share
@@ -108,6 +111,7 @@
 }
 
 func checkTenants(t *testing.T, s site) {
+	t.Helper()
 	total, seen := 0.0, map[string]bool{}
 	for _, tenant := range s.Tenant {
 		total += tenant.Share
@@ -124,6 +128,7 @@
 var unlockLine = regexp.MustCompile(`^unlock [a-z_]+(,[a-z_]+)* [0-9a-f]{16}$`)
 
 func checkUnlock(t *testing.T, file string) {
+	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Error(err)
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -22,7 +22,7 @@
 const deadline = 6 * time.Second
 
 // A stamp made on either side of a step is placed where it was made, or between bounds that hold that place.
-func TestStampsAroundASteps(t *testing.T) {
+func TestStampsAroundStepAreBounded(t *testing.T) {
 	for _, step := range []time.Duration{3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		for _, before := range []time.Duration{0, time.Second, 4 * time.Second} {
 			for _, after := range []time.Duration{0, 10 * time.Millisecond, time.Second, 3500 * time.Millisecond} {
@@ -81,7 +81,7 @@
 
 // A process that was stopped as the clock was stepped does not know when; stamps of the whole stop are placed all the
 // same.
-func TestStepWhileStopped(t *testing.T) {
+func TestStampsOfStopWithStepArePlaced(t *testing.T) {
 	m := newMachine()
 	s := NewStamps(m.read, 2*deadline)
 	m.sleep(time.Second)
@@ -96,7 +96,7 @@
 }
 
 // No stamp is placed that no reading makes plausible; one a little ahead is as if it were made now.
-func TestImplausibleStamps(t *testing.T) {
+func TestImplausibleStampsHaveNoPlace(t *testing.T) {
 	m := newMachine()
 	s := NewStamps(m.read, 2*deadline)
 	m.sleep(time.Hour)
@@ -113,7 +113,7 @@
 }
 
 // Slewing is followed and is no step; nor is a stop, nor a pause between the two readings.
-func TestNoStep(t *testing.T) {
+func TestSlewingAndStopsAreNoStep(t *testing.T) {
 	m := newMachine()
 	s := NewStamps(m.read, 2*deadline)
 	for range 1000 {
@@ -144,7 +144,7 @@
 }
 
 // Steps without end do not pile up.
-func TestEpochsAreBounded(t *testing.T) {
+func TestRememberedStepsAreBounded(t *testing.T) {
 	m := newMachine()
 	s := NewStamps(m.read, 2*deadline)
 	for range 1000 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -88,7 +88,8 @@
 	}
 }
 
-func TestPoolsOfANode(t *testing.T) {
+// Pools of run slots stand in a node's file, each for a handler that the platform's settings have. A wrong one says its line.
+func TestNodeFileHasPoolsOfHandlers(t *testing.T) {
 	read := func(raw string) (*Node, string) {
 		n, err := readNode(Parse("f", []byte(raw)))
 		if err == nil {
@@ -99,19 +100,22 @@
 		}
 		return n, ""
 	}
-	for _, c := range []struct{ raw, want string }{
-		{"[pool view]\nfloor = 0.5\n[pool save]\nfloor = 0.6\n",
+	for _, c := range []struct{ name, raw, want string }{
+		{"floors above one", "[pool view]\nfloor = 0.5\n[pool save]\nfloor = 0.6\n",
 			"f:4: pool save.floor: found floors of 1.1 up to here"},
-		{"[pool view]\nfloor = 0.5\ncap = 0.4\n",
+		{"cap below floor", "[pool view]\nfloor = 0.5\ncap = 0.4\n",
 			"f:3: pool view.cap: found 0.4, expected no less than floor, 0.5"},
-		{"[pool load]\n", "f:1: pool load: found a handler that is not known, expected one of view, save"},
-		{"[pools]\nreserve = no\n", "f:1: pools: found no [pool HANDLER]"},
-		{"[pool view]\nlimit = often\n", `f:2: pool view.limit: found "often"`},
-		{"[pool view]\ncap = 0\n", `f:2: pool view.cap: found "0"`},
+		{"unknown handler", "[pool load]\n",
+			"f:1: pool load: found a handler that is not known, expected one of view, save"},
+		{"no pool", "[pools]\nreserve = no\n", "f:1: pools: found no [pool HANDLER]"},
+		{"unknown limit", "[pool view]\nlimit = often\n", `f:2: pool view.limit: found "often"`},
+		{"cap of nothing", "[pool view]\ncap = 0\n", `f:2: pool view.cap: found "0"`},
 	} {
-		if _, got := read(c.raw); !strings.HasPrefix(got, c.want) {
-			t.Errorf("%q: got %q, expected %q", c.raw, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if _, got := read(c.raw); !strings.HasPrefix(got, c.want) {
+				t.Errorf("%q: got %q, expected %q", c.raw, got, c.want)
+			}
+		})
 	}
 	n, got := read("[pools]\n[pool view]\n[pool save]\ncap = 0.4\nlimit = fixed\n")
 	if got != "" || !n.Reserve || len(n.Pools) != 2 || n.Pools[1] != (Pool{"save", 0, 0.4, true}) {
@@ -123,8 +127,8 @@
 	}
 }
 
-// TestKeptSection: what the [kept] section of a node's file may say.
-func TestKeptSection(t *testing.T) {
+// The [kept] section of a node's file names a folder for stored results; all else has defaults. A wrong one says its line.
+func TestNodeFileNamesResultStore(t *testing.T) {
 	dir := t.TempDir()
 	n, err := readNode(Parse("node.ini", []byte("[kept]\nfolder = "+dir+"\n")))
 	if err != nil || n.ResultStore.Folder != dir || n.ResultStore.MaxKeys != 100_000 || n.ResultStore.MaxMB != 512 ||
@@ -136,22 +140,32 @@
 		!SameResultStore(n.ResultStore, n.ResultStore) {
 		t.Errorf("without a section: %+v %v", o, err)
 	}
-	for text, want := range map[string]string{
-		"[kept]\n":                    "node.ini:1: kept.folder: found nothing",
-		"[kept]\nfolder = /no/such\n": "node.ini:2: kept.folder: found \"/no/such\"",
-		"[kept]\nfolder = " + dir + "\nentries = 4\n":              "node.ini:3: kept.entries: found \"4\"",
-		"[kept]\nfolder = " + dir + "\nmb = no\n":                  "node.ini:3: kept.mb: found \"no\"",
-		"[kept]\nfolder = " + dir + "\nmb = 1\nresult = 1000000\n": "node.ini:3: kept.mb: found 1, expected room",
-		"[kept]\nfolder = " + dir + "\nwindow = 2s\n":              "node.ini:3: kept.window: found a key that is not known",
+	for _, c := range []wrongNode{
+		{"no folder", "[kept]\n", "node.ini:1: kept.folder: found nothing"},
+		{"folder that is not there", "[kept]\nfolder = /no/such\n", `node.ini:2: kept.folder: found "/no/such"`},
+		{"too few entries", "[kept]\nfolder = " + dir + "\nentries = 4\n", `node.ini:3: kept.entries: found "4"`},
+		{"size that is no number", "[kept]\nfolder = " + dir + "\nmb = no\n", `node.ini:3: kept.mb: found "no"`},
+		{"no room for a result", "[kept]\nfolder = " + dir + "\nmb = 1\nresult = 1000000\n",
+			"node.ini:3: kept.mb: found 1, expected room"},
+		{"unknown key", "[kept]\nfolder = " + dir + "\nwindow = 2s\n",
+			"node.ini:3: kept.window: found a key that is not known"},
 	} {
-		if _, err := readNode(Parse("node.ini", []byte(text))); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: found %v, expected %q", text, err, want)
-		}
+		t.Run(c.name, c.check)
 	}
 }
 
-// TestFleetSection: what the [fleet] section of a node's file may say.
-func TestFleetSection(t *testing.T) {
+// wrongNode is a node's file with a fault, and how its error has to begin.
+type wrongNode struct{ name, text, want string }
+
+func (c wrongNode) check(t *testing.T) {
+	_, err := readNode(Parse("node.ini", []byte(c.text)))
+	if err == nil || !strings.Contains(err.Error(), c.want) {
+		t.Errorf("%q: found %v, expected %q", c.text, err, c.want)
+	}
+}
+
+// The [fleet] section of a node's file names the control service and the node's zone. A wrong one says its line.
+func TestNodeFileNamesFleet(t *testing.T) {
 	n, err := readNode(Parse("node.ini", []byte("[fleet]\ncontrol = 127.0.0.1:7201, 127.0.0.1:7202\nzone = north\n")))
 	if err != nil || len(n.Fleet.Control) != 2 || n.Fleet.Zone != "north" {
 		t.Fatalf("%+v %v", n, err)
@@ -159,18 +173,20 @@
 	if n, err = readNode(Parse("node.ini", nil)); err != nil || n.Fleet != nil {
 		t.Errorf("without a section: %+v %v", n, err)
 	}
-	for text, want := range map[string]string{
-		"[fleet]\nzone = z\n":                                           "node.ini:1: fleet.control: found 0 addresses",
-		"[fleet]\ncontrol = 127.0.0.1:1\n":                              "node.ini:1: fleet.zone: found nothing",
-		"[fleet]\ncontrol = 10.0.0.1:7201\nzone = z\n":                  "node.ini:2: fleet.control: found \"10.0.0.1:7201\"",
-		"[fleet]\ncontrol = host:7201\nzone = z\n":                      "node.ini:2: fleet.control: found \"host:7201\"",
-		"[fleet]\ncontrol = 127.0.0.1:1\nzone = a b\n":                  "node.ini:3: fleet.zone: found \"a b\"",
-		"[fleet]\ncontrol = 127.0.0.1:1\nzone = z\nfolder = /no/such\n": "node.ini:4: fleet.folder: found \"/no/such\"",
-		"[fleet]\ncontrol = 127.0.0.1:1\nzone = z\nlease = 3s\n":        "node.ini:4: fleet.lease: found a key that is not known",
-		"[fleet]\ncontrol = 127.0.0.1:1\nzone = z\nname = -x\n":         "node.ini:4: fleet.name: found \"-x\"",
+	for _, c := range []wrongNode{
+		{"no addresses", "[fleet]\nzone = z\n", "node.ini:1: fleet.control: found 0 addresses"},
+		{"no zone", "[fleet]\ncontrol = 127.0.0.1:1\n", "node.ini:1: fleet.zone: found nothing"},
+		{"beyond loopback without TLS", "[fleet]\ncontrol = 10.0.0.1:7201\nzone = z\n",
+			`node.ini:2: fleet.control: found "10.0.0.1:7201"`},
+		{"host name", "[fleet]\ncontrol = host:7201\nzone = z\n", `node.ini:2: fleet.control: found "host:7201"`},
+		{"zone with a blank", "[fleet]\ncontrol = 127.0.0.1:1\nzone = a b\n", `node.ini:3: fleet.zone: found "a b"`},
+		{"folder that is not there", "[fleet]\ncontrol = 127.0.0.1:1\nzone = z\nfolder = /no/such\n",
+			`node.ini:4: fleet.folder: found "/no/such"`},
+		{"unknown key", "[fleet]\ncontrol = 127.0.0.1:1\nzone = z\nlease = 3s\n",
+			"node.ini:4: fleet.lease: found a key that is not known"},
+		{"name that begins with a dash", "[fleet]\ncontrol = 127.0.0.1:1\nzone = z\nname = -x\n",
+			`node.ini:4: fleet.name: found "-x"`},
 	} {
-		if _, err := readNode(Parse("node.ini", []byte(text))); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: found %v, expected %q", text, err, want)
-		}
+		t.Run(c.name, c.check)
 	}
 }
--- a/scripts/testrun/main_test.go
+++ b/scripts/testrun/main_test.go
@@ -31,6 +31,7 @@
 
 // module is a module with tests that fail, and a list.
 func module(t *testing.T, list string) *runner {
+	t.Helper()
 	folder := t.TempDir()
 	for name, text := range map[string]string{"go.mod": "module example\n\ngo 1.24\n", "a/a_test.go": sources,
 		"b/b_test.go": others,
@@ -52,7 +53,7 @@
 }
 
 // Tests that fail as they are listed are passed over and printed; all others have to pass.
-func TestListed(t *testing.T) {
+func TestListedTestsMayFail(t *testing.T) {
 	r := module(t, "# known\n\n"+listing("a.TestBad", "it is wrong", "7")+listing("a.TestParts/bad", "so is this", "8"))
 	err := r.run([]string{"./..."})
 	out := r.out.(*bytes.Buffer).String()
@@ -70,7 +71,7 @@
 }
 
 // More than three tests may be listed: the users ask for one entry each, and set no bound.
-func TestManyEntries(t *testing.T) {
+func TestListTakesMoreThanThree(t *testing.T) {
 	list := ""
 	for _, name := range []string{"a.TestA", "a.TestB", "b.TestA", "b.TestB"} {
 		list += listing(name, "it is wrong", "7")
@@ -82,7 +83,7 @@
 }
 
 // A list that is wrong fails the run, and the message says file, line and what was expected.
-func TestWrongLists(t *testing.T) {
+func TestWrongListFailsRun(t *testing.T) {
 	good := listing("a.TestBad", "it is wrong", "7") + listing("a.TestParts/bad", "so is this", "8")
 	for _, c := range []struct{ name, list, want string }{
 		{"none listed", "", "go test"},
