--- a/internal/simulation/consensus_clients.go
+++ b/internal/simulation/consensus_clients.go
@@ -10,25 +10,25 @@
 	"umberwinch/internal/control/consensus"
 )
 
-// client asks one thing at a time, as a program would: it repeats a put under its number at another instance
-// until it has an answer.
+// client makes one call at a time, as a program would: it retries a put under its sequence number at another
+// instance until it has a response.
 type client struct {
 	name    string
 	seq     uint64
 	base    uint64 // the newest version it knows
-	open    *pendingCall
+	pending *pendingCall
 	stopped bool
 }
 
-// pendingCall is one asking of a client's, with all its repeats.
+// pendingCall is one call of a client, with all its attempts.
 type pendingCall struct {
-	c      *client
-	put    *consensus.Put // nil for a read
-	called int64
-	try    int
-	at     int // place in the history
+	c            *client
+	put          *consensus.Put // nil for a read
+	attempt      int
+	historyIndex int // place in the history
 }
 
+// registerInput is what a call does to the register: a put names the version that it is based on.
 type registerInput struct {
 	put  bool
 	base uint64
@@ -40,12 +40,12 @@
 	w.after(int64(w.random.Intn(100)), func() { w.nextCall(c) })
 }
 
-// nextCall has a client ask its next thing.
+// nextCall has a client begin its next put or read.
 func (w *ConsensusGroup) nextCall(c *client) {
-	if c.stopped || c.open != nil {
+	if c.stopped || c.pending != nil {
 		return
 	}
-	k := &pendingCall{c: c, called: w.Now, at: len(w.history)}
+	k := &pendingCall{c: c, historyIndex: len(w.history)}
 	in := registerInput{}
 	if w.random.Intn(5) < 3 {
 		c.seq++
@@ -53,27 +53,27 @@
 		k.put = &consensus.Put{Session: c.name, Seq: c.seq, Base: c.base, Author: c.name, At: w.random.Int63n(1 << 40),
 			Text: fmt.Sprintf("[tenant %s]\nrate = %d\n", c.name, c.seq)}
 	}
-	w.history = append(w.history, porcupine.Operation{ClientId: len(w.clients), Input: in, Call: w.Now*1000 +
-		500,
+	w.history = append(w.history, porcupine.Operation{ClientId: len(w.clients), Input: in, Call: w.Now*1000 + 500,
 		Return: math.MaxInt64})
-	c.open = k
+	c.pending = k
 	w.sendCall(k)
 }
 
 // sendCall sends a call to some host, and to another when no response has come in time.
 func (w *ConsensusGroup) sendCall(k *pendingCall) {
-	k.try++
-	try, h := k.try, w.hosts[w.random.Intn(len(w.hosts))]
+	k.attempt++
+	try, h := k.attempt, w.hosts[w.random.Intn(len(w.hosts))]
 	w.after(1+int64(w.random.Intn(10)), func() { w.deliverCall(k, try, h) })
 	w.after(400+int64(w.random.Intn(800)), func() {
-		if k.c.open == k && k.try == try {
+		if k.c.pending == k && k.attempt == try {
 			w.sendCall(k)
 		}
 	})
 }
 
+// deliverCall hands a call to a host's instance, unless the client has a response or has sent the call elsewhere.
 func (w *ConsensusGroup) deliverCall(k *pendingCall, try int, h *host) {
-	if h.replica == nil || h.frozen > w.Now || k.c.open != k || k.try != try {
+	if h.replica == nil || h.frozen > w.Now || k.c.pending != k || k.attempt != try {
 		return
 	}
 	w.atHost(h, func() error {
@@ -91,18 +91,18 @@
 	w.work(h)
 }
 
-// respond brings an end to a client, unless it is lost on the way.
+// respond sends a response to a client, unless it is lost on the way.
 func (w *ConsensusGroup) respond(k *pendingCall, a consensus.PutResult) {
 	if w.random.Intn(100) < 15 {
 		return
 	}
 	w.after(1+int64(w.random.Intn(10)), func() {
-		if k.c.open != k {
+		if k.c.pending != k {
 			return
 		}
-		k.c.open = nil
-		w.history[k.at].Return = w.Now * 1000
-		w.history[k.at].Output = a
+		k.c.pending = nil
+		w.history[k.historyIndex].Return = w.Now * 1000
+		w.history[k.historyIndex].Output = a
 		k.c.base = max(k.c.base, a.Version)
 		if a.Outcome == consensus.PutExpired || a.Outcome == consensus.PutInvalid {
 			w.fail("client %s got %+v for put %d", k.c.name, a, k.put.Seq)
@@ -111,7 +111,8 @@
 	})
 }
 
-// register is what clients see: a number that a put raises by one if it names it, and that reads give.
+// register is the model that the history is checked against: the newest version's number, which reads give, and
+// which a put that is based on it raises by one.
 var register = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
--- a/internal/simulation/consensus_faults.go
+++ b/internal/simulation/consensus_faults.go
@@ -205,7 +205,7 @@
 	}
 	if !w.waitFor(20000, func() bool {
 		for _, c := range w.clients {
-			if c.open != nil {
+			if c.pending != nil {
 				return false
 			}
 		}
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -139,7 +139,7 @@
 // drawClockRate draws a clock that is up to four thousandths off.
 func (w *Fleet) drawClockRate() float64 { return 1 + (w.random.Float64()-0.5)*0.008 }
 
-func (w *Fleet) record(e FleetEvent) {
+func (w *Fleet) recordEvent(e FleetEvent) {
 	e.At = int64(w.Now * 10)
 	w.History = append(w.History, e)
 }
--- a/internal/simulation/fleet_control.go
+++ b/internal/simulation/fleet_control.go
@@ -189,7 +189,7 @@
 	if kind == "decided" {
 		w.decidedHash[c.Version] = c.Hash
 	}
-	w.record(FleetEvent{Kind: kind, Version: c.Version, From: c.PreviousVersion, Excl: c.Proposal.Exclusive,
+	w.recordEvent(FleetEvent{Kind: kind, Version: c.Version, From: c.PreviousVersion, Excl: c.Proposal.Exclusive,
 		Why: c.AbortReason})
 }
 
--- a/internal/simulation/fleet_node.go
+++ b/internal/simulation/fleet_node.go
@@ -70,6 +70,7 @@
 	n.up, n.incarnation = false, n.incarnation+1
 }
 
+// setServing records when a node begins to serve under a version, and when it stops.
 func (n *node) setServing(serves bool) {
 	if serves == n.serves && (!serves || n.activeVersion == n.agent.ActiveVersion()) {
 		return
@@ -77,9 +78,9 @@
 	n.serves = serves
 	if serves {
 		n.activeVersion = n.agent.ActiveVersion()
-		n.fleet.record(FleetEvent{Kind: "serves", Node: n.name, Version: n.activeVersion})
+		n.fleet.recordEvent(FleetEvent{Kind: "serves", Node: n.name, Version: n.activeVersion})
 	} else {
-		n.fleet.record(FleetEvent{Kind: "stops", Node: n.name})
+		n.fleet.recordEvent(FleetEvent{Kind: "stops", Node: n.name})
 	}
 }
 
@@ -106,28 +107,35 @@
 	}
 	if v, decided, ok := n.agent.VersionToFetch(); ok && n.preparing != v.Version {
 		n.preparing = v.Version
-		incarnation := n.incarnation
 		if n.neverPrepares && !decided {
 			return
 		}
-		w.after(10+w.random.ExpFloat64()*150, func() {
-			if n.incarnation != incarnation || !n.up {
-				return
-			}
-			n.preparing = 0
-			if (n.rejects == v.Version || w.failsTrial[v.Hash] && !w.Without.Has(policy.Shadow)) && !decided {
-				n.agent.Reject(n.clock(), v.Version, "it says no", false)
-			} else {
-				n.agent.MarkPrepared(n.clock(), v)
-				n.prepared = v
-			}
-			n.step()
-		})
+		n.prepare(v, decided)
 	}
 	n.scheduleRound(now)
 }
 
-// scheduleRound has the next round come when the member wants one or its lease ends.
+// prepare fetches a version and tries it, which takes a while, then accepts or rejects it. One that is decided
+// already isn't rejected any more.
+func (n *node) prepare(v api.VersionHash, decided bool) {
+	w, incarnation := n.fleet, n.incarnation
+	w.after(10+w.random.ExpFloat64()*150, func() {
+		if n.incarnation != incarnation || !n.up {
+			return
+		}
+		n.preparing = 0
+		fails := n.rejects == v.Version || w.failsTrial[v.Hash] && !w.Without.Has(policy.Shadow)
+		if fails && !decided {
+			n.agent.Reject(n.clock(), v.Version, "it says no", false)
+		} else {
+			n.agent.MarkPrepared(n.clock(), v)
+			n.prepared = v
+		}
+		n.step()
+	})
+}
+
+// scheduleRound has the next round come when the agent's next heartbeat is due or its lease ends.
 func (n *node) scheduleRound(now uint64) {
 	w := n.fleet
 	at := n.agent.NextHeartbeat()
@@ -162,10 +170,10 @@
 	lossPercent int // of messages
 }
 
-// maxStaleResponses is how many responses of long ago are at hand to be given once more.
+// maxStaleResponses is how many former responses are stored, to be sent in place of later ones.
 const maxStaleResponses = 64
 
-// send brings a heartbeat to the instance that the node goes by and the response back, unless either is lost.
+// send sends a heartbeat to the agent's control address; the heartbeat or its response may be lost.
 func (n *node) send(request api.HeartbeatRequest, number uint64) {
 	w := n.fleet
 	x := &exchange{node: n, incarnation: n.incarnation, number: number, request: request}
--- a/internal/simulation/fleet_state_loss.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -312,8 +312,8 @@
 		}
 	}
 	if v := found.Version; v > 0 && found.Hash != "" {
-		w.record(FleetEvent{Kind: "decided", Version: v, From: found.SourceVersion})
-		w.record(FleetEvent{Kind: "forced", Version: v})
+		w.recordEvent(FleetEvent{Kind: "decided", Version: v, From: found.SourceVersion})
+		w.recordEvent(FleetEvent{Kind: "forced", Version: v})
 	}
 }
 
--- a/internal/simulation/zones_faults.go
+++ b/internal/simulation/zones_faults.go
@@ -1,5 +1,6 @@
 package simulation
 
+// injectFault begins the fault of each zone.
 func (v *Zones) injectFault() {
 	v.failing = true
 	v.loseLeader()
@@ -29,6 +30,7 @@
 	}
 }
 
+// heal ends all faults. Services that had one, and nodes that were killed, start cold.
 func (v *Zones) heal() {
 	v.failing = false
 	for z, b := range v.dependencies {
