--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestLateResultIsAnsweredInTime: a result is not durable when its request is due, or when the process has to end. The caller gets an
-// error in time, once, and the result that gets there later is known.
+// TestLateResultIsAnsweredInTime: a result is not durable when its request is due, or when the process has to end. The
+// caller gets an error in time, once, and the result that gets there later is known.
 func TestLateResultIsAnsweredInTime(t *testing.T) {
 	d := &heldDisk{FS: wal.NewMemFS()}
 	l := loopWithStore(t, d)
@@ -202,8 +202,9 @@
 	}
 }
 
-// TestRequestsBeforeTheFolderIsRead: requests come before the folder is read. They wait for a second at most and are then rejected, or let in
-// as it is read; a retry that nobody can know of gets an error, as its first attempt may have run.
+// TestRequestsBeforeTheFolderIsRead: requests come before the folder is read. They wait for a second at most and are
+// then rejected, or let in as it is read; a retry that nobody can know of gets an error, as its first attempt may have
+// run.
 func TestRequestsBeforeTheFolderIsRead(t *testing.T) {
 	l := loopWithStore(t, &heldDisk{FS: wal.NewMemFS()})
 	k := l.results
@@ -244,8 +245,8 @@
 	}
 }
 
-// TestKeyIsCheckedAgainAtItsSlot: two attempts of a key pass as they come, and one has run by the time that the other gets its
-// slot. That one does not run, with the same body or another, and harms nothing of the first.
+// TestKeyIsCheckedAgainAtItsSlot: two attempts of a key pass as they come, and one has run by the time that the other
+// gets its slot. That one does not run, with the same body or another, and harms nothing of the first.
 func TestKeyIsCheckedAgainAtItsSlot(t *testing.T) {
 	l := loopWithStore(t, &heldDisk{FS: wal.NewMemFS()})
 	h, r := l.takes("a")
