--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -21,17 +21,17 @@
 	"umberwinch/internal/control/consensus"
 )
 
-// client speaks with a group: it asks one instance after the other until one has an answer.
+// client sends requests to a group: it tries one instance after the other until one responds.
 type client struct {
 	at    []string
 	http  *http.Client
 	web   string // http or https
 	token string
-	tries time.Duration // how long it goes on asking
+	tries time.Duration // how long it retries
 	json  bool
 }
 
-// access is what the flags of every command that speaks with a group say.
+// access is what the flags of every command that sends requests to a group say.
 type access struct {
 	at, cert, key, ca, token string
 	within                   time.Duration
@@ -40,12 +40,12 @@
 
 func (a *access) flags(c *cobra.Command) {
 	f := c.PersistentFlags()
-	f.StringVar(&a.at, "at", "127.0.0.1:7201", "where instances listen, parted by commas; each is asked in turn")
+	f.StringVar(&a.at, "at", "127.0.0.1:7201", "where instances listen, separated by commas; each is tried in turn")
 	f.StringVar(&a.cert, "certificate", "", "this client's certificate (PEM), where the group has TLS")
 	f.StringVar(&a.key, "key", "", "its key (PEM)")
 	f.StringVar(&a.ca, "authority", "", "the group's authority (PEM)")
-	f.StringVar(&a.token, "token-file", "", "file with the token that [clients] asks for")
-	f.DurationVar(&a.within, "within", 15*time.Second, "how long to go on asking")
+	f.StringVar(&a.token, "token-file", "", "file with the token that [clients] requires")
+	f.DurationVar(&a.within, "within", 15*time.Second, "how long to retry")
 	f.BoolVar(&a.json, "json", false, "print JSON")
 }
 
@@ -80,10 +80,10 @@
 	return c, nil
 }
 
-// errUnknown says that an asking may or may not have had its effect.
+// errUnknown says that a request may or may not have had its effect.
 var errUnknown = errors.New("no answer from any instance: what was asked for may or may not have been done")
 
-// refusal is an answer that is not 200.
+// refusal is a response that is not 200.
 type refusal struct {
 	code int
 	consensus.Failure
@@ -92,7 +92,7 @@
 
 func (r *refusal) Error() string { return r.Failure.Error }
 
-// one asks one instance.
+// one sends a request to one instance.
 func (c *client) one(ctx context.Context, at, method, path string, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.web+"://"+at+path, bytes.NewReader(body))
 	if err != nil {
@@ -120,7 +120,7 @@
 	return nil, r
 }
 
-// ask goes from instance to instance until one answers otherwise than 503.
+// ask goes from instance to instance until one responds otherwise than 503.
 func (c *client) ask(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
 	end := time.Now().Add(c.tries)
 	var last error
@@ -144,7 +144,7 @@
 	}
 }
 
-// get asks for JSON.
+// get requests JSON.
 func (c *client) get(ctx context.Context, path string, into any) error {
 	res, err := c.ask(ctx, http.MethodGet, path, nil)
 	if err != nil {
@@ -157,7 +157,7 @@
 	return json.NewDecoder(res.Body).Decode(into)
 }
 
-// put asks for a version. It repeats the asking under one number, so it counts once however often it is sent.
+// put requests a new version. It retries under one number, so the put counts once however often it is sent.
 func (c *client) put(ctx context.Context, p consensus.Put) (consensus.PutResult, error) {
 	if p.Session == "" {
 		p.Session, p.Seq = newSession(), 1
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -98,10 +98,10 @@
 func newPut(a *access) *cobra.Command {
 	var base int64
 	var reason, author string
-	c := &cobra.Command{Use: "put FILE", Short: "Ask for a new version; FILE may be - for standard input",
-		Args: exact(1), Long: `Checks the document, then asks the group to take it as the next version. It names the
-version it was made from (--base, the one in force if not given): had another come since, it is a conflict and nothing
-is changed. Repeated askings count once, whatever happens to answers on the way.`,
+	c := &cobra.Command{Use: "put FILE", Short: "Put a new version; FILE may be - for standard input",
+		Args: exact(1), Long: `Checks the document, then puts it as the group's next version. It names the version it was
+made from (--base, the newest if not given): if there is another since, that is a conflict and nothing is changed.
+Retries count once, whatever happens to responses on the way.`,
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			raw, err := readText(args[0])
 			if err != nil {
@@ -138,9 +138,9 @@
 			}
 			return nil
 		})}
-	c.Flags().Int64Var(&base, "base", -1, "the version it was made from; -1 for the one in force")
+	c.Flags().Int64Var(&base, "base", -1, "the version it was made from; -1 for the newest")
 	c.Flags().StringVar(&reason, "reason", "", "why, for the history")
-	c.Flags().StringVar(&author, "author", whoami(), "who asks, for the history")
+	c.Flags().StringVar(&author, "author", whoami(), "who puts it, for the history")
 	return c
 }
 
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -17,7 +17,7 @@
 )
 
 func newControl() *cobra.Command {
-	c := &cobra.Command{Use: "control", Short: "The control service: run an instance, see and change a group"}
+	c := &cobra.Command{Use: "control", Short: "The control service: run an instance, show and change a group"}
 	var a access
 	a.flags(c)
 	c.AddCommand(newRun(), newLocal(&a), newStatus(&a), newMembers(&a), newSnapshot(&a), newRecover())
@@ -27,7 +27,7 @@
 func newRun() *cobra.Command {
 	var file string
 	c := &cobra.Command{Use: "run", Short: "Run one instance until SIGTERM", Args: exact(0),
-		Long: `Runs one instance of the control service by the operator's file. SIGTERM hands the lead over and ends it;
+		Long: `Runs one instance of the control service by the operator's file. SIGTERM transfers leadership and ends it;
 SIGHUP reads the certificates again. A write or sync that fails ends it with status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			o, err := config.ReadControl(file)
@@ -77,5 +77,5 @@
 	}
 }
 
-// stopWithin is how long an instance that ends may take to hand its lead over.
+// stopWithin is how long an instance that ends may take to transfer its leadership.
 const stopWithin = 2 * time.Second
--- a/internal/cli/control_members.go
+++ b/internal/cli/control_members.go
@@ -13,7 +13,7 @@
 )
 
 func newMembers(a *access) *cobra.Command {
-	c := &cobra.Command{Use: "members", Short: "Add, promote, remove or replace instances; hand the lead over"}
+	c := &cobra.Command{Use: "members", Short: "Add, promote, remove or replace instances; transfer leadership"}
 	change := func(use, short string, n int, build func(context.Context, *client, []string) (consensus.Change,
 		error)) {
 		c.AddCommand(&cobra.Command{Use: use, Short: short, Args: exact(n),
@@ -32,7 +32,7 @@
 				return c.status(cmd.Context(), cmd.OutOrStdout())
 			}})
 	}
-	change("add LISTEN", "Take in the instance that listens at LISTEN: a learner, and a voter once it caught up", 1,
+	change("add LISTEN", "Add the instance that listens at LISTEN: a learner, and a voter once it caught up", 1,
 		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
 			return c.adding(ctx, args[0])
 		})
@@ -53,7 +53,7 @@
 			m, err := c.member(ctx, args[1])
 			return consensus.Change{Op: consensus.OpReplace, Member: m, ReplacedID: gone.ID}, err
 		})
-	change("transfer NAME", "Hand the lead to an instance", 1,
+	change("transfer NAME", "Transfer leadership to an instance", 1,
 		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
 			m, err := c.member(ctx, args[0])
 			return consensus.Change{Op: consensus.OpTransfer, Member: m}, err
@@ -61,7 +61,7 @@
 	return c
 }
 
-// adding asks an instance who it is.
+// adding makes the change that adds an instance, by what the instance says of itself.
 func (c *client) adding(ctx context.Context, listen string) (consensus.Change, error) {
 	res, err := c.one(ctx, listen, http.MethodGet, "/v1/self", nil)
 	if err != nil {
@@ -92,7 +92,7 @@
 		strings.Join(names, ", ")))
 }
 
-// change asks for a change of members. Asked again it is found done, or refused for what it is.
+// change requests a change of members. A retry finds it done, or is refused for what it is.
 func (c *client) change(ctx context.Context, ch consensus.Change) error {
 	body, err := json.Marshal(ch)
 	if err != nil {
--- a/internal/cli/control_status.go
+++ b/internal/cli/control_status.go
@@ -33,7 +33,7 @@
 	Error  string            `json:"error,omitempty"`
 }
 
-// rows asks every member of the group, as the instance says that is furthest of those asked first.
+// rows gets the status of every member of the group, by the member list of the instance that has applied the most.
 func (c *client) rows(ctx context.Context) ([]row, *consensus.Report, error) {
 	var best *consensus.Report
 	var last error
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -33,18 +33,18 @@
 	c := &cobra.Command{Use: "recover",
 		Short: "Restore a group whose state is lost, from what nodes and an old folder hold",
 		Args:  exact(0), Long: `Listens where the instance of the operator's file listens for clients, which has
-to be stopped, as all of the old group have to be. Nodes that come by tell what they served under; the
-instance's folder, or the saved snapshot of --from, tells what it holds. Shows what would be restored, on what
+to be stopped, as all of the old group have to be. Nodes send their records, with what they served under;
+the instance's folder, or the saved snapshot of --from, has its part. Shows what would be restored, on what
 proof, and what can't be known. With --found it then makes the folder that of the first instance of the group's
 next generation; the old folder is kept beside it. Nothing is ever restored without that.`,
 		RunE: func(cmd *cobra.Command, _ []string) error { return r.run(cmd.Context(), cmd.OutOrStdout()) }}
 	f := c.Flags()
 	f.StringVar(&r.file, "file", "deploy/control.ini", "the operator's file of the instance")
 	f.DurationVar(&r.wait, "for", 15*time.Second,
-		"how long to listen for nodes; they ask every few seconds; 0: not at all")
+		"how long to listen for nodes; they send heartbeats every few seconds; 0: not at all")
 	f.BoolVar(&r.found, "found", false, "found the group anew from what was found")
 	f.StringVar(&r.take, "take", "",
-		"where two texts go by one number: the hash, or its first digits, of the one to take")
+		"where two documents have one number: the hash, or its first digits, of the one to take")
 	f.StringVar(&r.from, "from", "", "a file of `control snapshot save`, in place of the folder")
 	f.BoolVar(&r.json, "json", false, "print JSON")
 	return c
@@ -155,9 +155,9 @@
 		switch {
 		case r.json:
 		case err != nil:
-			fmt.Fprintf(w, "a node's word does not count: %v\n", err)
+			fmt.Fprintf(w, "a node's record does not count: %v\n", err)
 		default:
-			fmt.Fprintf(w, "%s of zone %s: served under version %d, was told of %d, generation %d, entry %d\n", k.Name,
+			fmt.Fprintf(w, "%s of zone %s: served under version %d, minimum version %d, generation %d, entry %d\n", k.Name,
 				k.Zone,
 				k.ActiveVersion, k.MinVersion, k.Generation, k.Index)
 		}
@@ -193,9 +193,9 @@
 	}
 	rows := [][]string{{"group", fmt.Sprintf("%s, generation %d", orNone(f.Lost.Group), f.Lost.Generation)},
 		{"folder", base},
-		{"nodes", fmt.Sprintf("%d came by, %d count", asked, len(f.Nodes))}, {"restored", version}, {"proof", f.Proof},
+		{"nodes", fmt.Sprintf("%d sent a record, %d count", asked, len(f.Nodes))}, {"restored", version}, {"proof", f.Proof},
 		{"zones", fmt.Sprintf("go on after epoch %d", f.ZoneEpoch)},
-		{"leases", fmt.Sprintf("of the old generation are waited for, %d ms", membership.LeaseSpanMS(f.LeaseMS))}}
+		{"leases", fmt.Sprintf("of the old generation run out first, %d ms", membership.LeaseSpanMS(f.LeaseMS))}}
 	for _, u := range f.NotCounted {
 		rows = append(rows, []string{"not counted", u})
 	}
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -1,5 +1,5 @@
 // Package cli is umberctl's commands: what operators type, print and get as an exit status. It owns flags,
-// tables and exit statuses alike in all of them; it decides nothing about a group or a req.
+// tables and exit statuses alike in all of them; it decides nothing about a group or a request.
 package cli
 
 import (
@@ -21,10 +21,10 @@
 // Exit statuses.
 const (
 	exitDone    = 0
-	exitFailed  = 1 // it ran and failed, or a promise of a laboratory's was broken
+	exitFailed  = 1 // it ran and failed, or a fault test broke a promise
 	exitWrong   = 2 // a wrong file, flag or document: nothing was done
-	exitRefused = 3 // the group said no: a conflict, a refused document or change
-	exitUnknown = 4 // no answer: it may or may not have been done
+	exitRefused = 3 // the group refused it: a conflict, a wrong document or change
+	exitUnknown = 4 // no response: it may or may not have been done
 )
 
 // coded is an error with an exit status of its own.
@@ -68,12 +68,12 @@
 
 func newRoot() *cobra.Command {
 	root := &cobra.Command{Use: "umberctl",
-		Short: "Run, ask and change umberwinch's control service; the fault harness",
-		Long: `umberctl runs an instance of umberwinch's control service, asks and changes a group of them, and
-holds the project's fault harness.
+		Short: "Run, query and change umberwinch's control service; run fault tests",
+		Long: `umberctl runs an instance of umberwinch's control service, queries and changes a group of them, and
+runs the project's fault tests.
 
 Exit statuses: 0 done; 1 failed, or a promise was broken; 2 a wrong file, flag or document, nothing was done; 3
-the group said no; 4 no answer, it may or may not have been done.`,
+the group refused it; 4 no response, it may or may not have been done.`,
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.NoArgs}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
 	root.AddCommand(newDemo(), newControl(), newConfig(), newPolicy(), newNodes(), newZones(), newFleet(), newNode(),
@@ -81,7 +81,7 @@
 	return root
 }
 
-// exact asks for so many arguments, else it is a wrong line.
+// exact requires so many arguments; another number is a wrong line.
 func exact(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(c, args); err != nil {
@@ -97,7 +97,7 @@
 	return e.Encode(v)
 }
 
-// table prints rows under a head.
+// table prints rows in columns, the first row as their head.
 func table(w io.Writer, rows [][]string) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	for _, row := range rows {
--- a/internal/harness/recovery_cases.go
+++ b/internal/harness/recovery_cases.go
@@ -150,7 +150,7 @@
 			must(os.RemoveAll(b.folderOf(p)))
 		}
 		output := b.recoverGroup(b.group.procs[1:]...)
-		if want := fmt.Sprintf("%d came by, %[1]d count", len(b.nodes)); !strings.Contains(output, want) {
+		if want := fmt.Sprintf("%d sent a record, %[1]d count", len(b.nodes)); !strings.Contains(output, want) {
 			must(fmt.Errorf("expected %q in\n%s", want, output))
 		}
 		b.checkGeneration(gen + 1)
