--- a/internal/control/consensus/api_answers.go
+++ b/internal/control/consensus/api_answers.go
@@ -84,10 +84,10 @@
 		}
 	}
 	var (
-		rejected    *RejectedError
-		unreachable *LeaderUnreachableError
-		notHeld     *VersionNotHeldError
-		dropped     *VersionDroppedError
+		rejected        *RejectedError
+		unreachable     *LeaderUnreachableError
+		versionNotFound *VersionNotFoundError
+		dropped         *VersionDroppedError
 	)
 	switch {
 	case errors.As(err, &unreachable):
@@ -98,7 +98,7 @@
 		return http.StatusConflict
 	case errors.Is(err, errNoToken):
 		return http.StatusUnauthorized
-	case errors.Is(err, errNoVersion) || errors.As(err, &notHeld):
+	case errors.Is(err, errNoVersion) || errors.As(err, &versionNotFound):
 		return http.StatusNotFound
 	case errors.As(err, &dropped):
 		return http.StatusGone
--- a/internal/control/consensus/api_document.go
+++ b/internal/control/consensus/api_document.go
@@ -50,7 +50,7 @@
 	}
 	line := v.VersionJSON(n)
 	if line == nil {
-		a.failWith(w, v.notHeld(n))
+		a.failWith(w, v.versionNotFound(n))
 		return
 	}
 	w.Header().Set("Content-Type", contentJSON)
--- a/internal/control/consensus/errors.go
+++ b/internal/control/consensus/errors.go
@@ -100,11 +100,11 @@
 // Unwrap gives the error of the forwarding.
 func (e *LeaderUnreachableError) Unwrap() error { return e.Err }
 
-// VersionNotHeldError is for a version of the document that the instance does not hold.
-type VersionNotHeldError struct{ Version, First, Last uint64 }
+// VersionNotFoundError is for a version of the document that the instance does not hold.
+type VersionNotFoundError struct{ Version, First, Last uint64 }
 
 // Error says which versions are held.
-func (e *VersionNotHeldError) Error() string {
+func (e *VersionNotFoundError) Error() string {
 	return fmt.Sprintf("version %d, expected one from %d to %d", e.Version, e.First, e.Last)
 }
 
--- a/internal/control/consensus/guard.go
+++ b/internal/control/consensus/guard.go
@@ -6,8 +6,8 @@
 
 // The guards that can be disabled: what each holds to, and what goes wrong without it.
 const (
-	// PersistBeforeSend: votes and acknowledgements are durable before they are sent. An instance that loses power votes
-	// twice in a term or lacks what it acknowledged, and a committed version is gone.
+	// PersistBeforeSend: votes and acknowledgements are durable before they are sent. An instance that loses power
+	// votes twice in a term or lacks what it acknowledged, and a committed version is gone.
 	PersistBeforeSend Guard = 1 << iota
 	// CompareAndSet: a put is committed only after the version it was made from. Of two operators' changes one is lost.
 	CompareAndSet
--- a/internal/control/consensus/view.go
+++ b/internal/control/consensus/view.go
@@ -39,12 +39,12 @@
 	return v.SinceLeader() > v.contactTimeout || v.Barred != "" || v.Cluster == ""
 }
 
-// notHeld is the error for a version that VersionJSON does not give.
-func (v *View) notHeld(number uint64) error {
+// versionNotFound is the error for a version that VersionJSON does not give.
+func (v *View) versionNotFound(number uint64) error {
 	if v.Version == 0 {
 		return errNoVersion
 	}
-	return &VersionNotHeldError{number, v.FirstVersion, v.Version}
+	return &VersionNotFoundError{number, v.FirstVersion, v.Version}
 }
 
 // VersionJSON returns a version as a line of JSON, nil where it is not held.
--- a/internal/control/policy/guard.go
+++ b/internal/control/policy/guard.go
@@ -5,8 +5,8 @@
 
 // The guards: what each holds to, and what goes wrong without it.
 const (
-	// LeaseGuard: commit and settle wait for the leases of older versions. A change is reported settled, and a node that
-	// was cut off still serves under the version before.
+	// LeaseGuard: commit and settle wait for the leases of older versions. A change is reported settled, and a node
+	// that was cut off still serves under the version before.
 	LeaseGuard Guard = 1 << iota
 	// Fence: a node whose lease ran out serves nothing. It serves on under a version that the fleet has left.
 	Fence
@@ -15,8 +15,8 @@
 	PrepareAll
 	// DecideOnce: what is decided is not taken back. Nodes that were told activate it, and the others never do.
 	DecideOnce
-	// Incarnation: a replaced incarnation gets no longer lease, and its report counts for nothing. A change goes by what
-	// a process prepared that is gone.
+	// Incarnation: a replaced incarnation gets no longer lease, and its report counts for nothing. A change goes by
+	// what a process prepared that is gone.
 	Incarnation
 	// NoDowngrade: a node never activates an older version. It goes back as it hears an instance that is behind.
 	NoDowngrade
--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -34,11 +34,11 @@
 		MaxMarkKinds, MaxRecordBytes)
 }
 
-// NotHeldError is for an entry that the log does not hold: it was dropped, or was never written.
-type NotHeldError struct{ Number, First, Last uint64 }
+// EntryNotFoundError is for an entry that the log does not hold: it was dropped, or was never written.
+type EntryNotFoundError struct{ Number, First, Last uint64 }
 
 // Error says which entries are held.
-func (e *NotHeldError) Error() string {
+func (e *EntryNotFoundError) Error() string {
 	return fmt.Sprintf("entry %d, expected one from %d to %d", e.Number, e.First, e.Last)
 }
 
--- a/internal/wal/errors_test.go
+++ b/internal/wal/errors_test.go
@@ -119,9 +119,9 @@
 		mark.Kind != MaxMarkKinds {
 		t.Errorf("found %v, expected an InvalidMarkError", err)
 	}
-	var held *NotHeldError
-	if _, err = l.Read(1); !errors.As(err, &held) || err.Error() != "entry 1, expected one from 1 to 0" {
-		t.Errorf("found %v, expected a NotHeldError", err)
+	var missing *EntryNotFoundError
+	if _, err = l.Read(1); !errors.As(err, &missing) || err.Error() != "entry 1, expected one from 1 to 0" {
+		t.Errorf("found %v, expected a EntryNotFoundError", err)
 	}
 	commit(t, l, Batch{Entries: [][]byte{{1}}})
 	if _, err = l.Read(1); err != nil {
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -6,12 +6,12 @@
 	"io"
 )
 
-// Read returns an entry, checked against its checksum. The error is *Damage or *NotHeldError.
+// Read returns an entry, checked against its checksum. The error is *Damage or *EntryNotFoundError.
 func (l *Log) Read(number uint64) ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if number < l.index.first || number >= l.index.next() {
-		return nil, &NotHeldError{number, l.index.first, l.index.next() - 1}
+		return nil, &EntryNotFoundError{number, l.index.first, l.index.next() - 1}
 	}
 	from := l.index.find(number)
 	s := l.segment(from.seg)
--- a/internal/wal/salvage.go
+++ b/internal/wal/salvage.go
@@ -110,19 +110,19 @@
 	if err != nil {
 		return 0, err
 	}
-	var bad []string
+	var setAside []string
 	for _, n := range names {
 		if _, ok := parseFileName(n, segmentSuffix+setAsideSuffix); ok {
-			bad = append(bad, n)
+			setAside = append(setAside, n)
 		}
 	}
-	sort.Strings(bad) // sixteen digits each
+	sort.Strings(setAside) // sixteen digits each
 	gap := func() error {
 		gaps++
 		return take(SalvagedRecord{Gap: true})
 	}
 	before := uint64(0)
-	for _, n := range bad {
+	for _, n := range setAside {
 		seq, _ := parseFileName(n, segmentSuffix+setAsideSuffix)
 		if before > 0 && seq != before+1 {
 			if err = gap(); err != nil {
