--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -99,9 +99,9 @@
 	var base int64
 	var reason, author string
 	c := &cobra.Command{Use: "put FILE", Short: "Put a new version; FILE may be - for standard input",
-		Args: exact(1), Long: `Checks the document, then puts it as the group's next version. It names the version it was
-made from (--base, the newest if not given): if there is another since, that is a conflict and nothing is changed.
-Retries count once, whatever happens to responses on the way.`,
+		Args: exact(1), Long: `Checks the document, then puts it as the group's next version. It names the version
+it was made from (--base, the newest if not given): if there is another since, that is a conflict and nothing is
+changed. Retries count once, whatever happens to responses on the way.`,
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			raw, err := readText(args[0])
 			if err != nil {
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -27,8 +27,8 @@
 func newRun() *cobra.Command {
 	var file string
 	c := &cobra.Command{Use: "run", Short: "Run one instance until SIGTERM", Args: exact(0),
-		Long: `Runs one instance of the control service by the operator's file. SIGTERM transfers leadership and ends it;
-SIGHUP reads the certificates again. A write or sync that fails ends it with status 1.`,
+		Long: `Runs one instance of the control service by the operator's file. SIGTERM transfers leadership and
+ends it; SIGHUP reads the certificates again. A write or sync that fails ends it with status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			o, err := config.ReadControl(file)
 			if err != nil {
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -64,12 +64,24 @@
 func (o *output) says(t *testing.T, pattern string) string {
 	t.Helper()
 	re := regexp.MustCompile(pattern)
-	for end := time.Now().Add(40 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		if m := re.FindStringSubmatch(o.String()); m != nil {
-			return m[len(m)-1]
+	var found []string
+	eventually(t, 40*time.Second, func() (string, bool) {
+		found = re.FindStringSubmatch(o.String())
+		return fmt.Sprintf("%q in\n%s", pattern, o), found != nil
+	})
+	return found[len(found)-1]
+}
+
+// eventually waits until a condition holds; it fails the test with what is missing once the time is over.
+func eventually(t *testing.T, within time.Duration, holds func() (what string, ok bool)) {
+	t.Helper()
+	for end := time.Now().Add(within); ; time.Sleep(10 * time.Millisecond) {
+		what, ok := holds()
+		if ok {
+			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%q: not within 40 s\n%s", pattern, o)
+			t.Fatalf("not within %v: %s", within, what)
 		}
 	}
 }
@@ -122,15 +134,10 @@
 	o.says(t, `instance b ended`)
 	o.says(t, `instance b is up again, pid (\d+)`)
 	b := fmt.Sprintf("--at=127.0.0.1:%d", port+1)
-	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+	eventually(t, 20*time.Second, func() (string, bool) {
 		out, _, code := run(t, "config", "get", b, "--within", "1s")
-		if code == 0 && strings.Contains(out, "rate = 1") {
-			break
-		}
-		if time.Now().After(end) {
-			t.Fatal("the instance that was started again has no version 1 after 20 s")
-		}
-	}
+		return "version 1 at the instance that was started again", code == 0 && strings.Contains(out, "rate = 1")
+	})
 }
 
 // An operator looks at a fleet of three, makes a change, is refused wrong ones, makes another while a node is killed,
@@ -175,15 +182,10 @@
 	kill(t, o.says(t, `node n2 of z2  pid (\d+)`))
 	want(t, 0, "settled", "policy", "propose", text(4, ""), "--exclusive", at) // it is down, or comes back meanwhile
 	want(t, 0, "n1 is forgotten", "nodes", "forget", "n1", at)                 // it lives, and joins again
-	for end := time.Now().Add(20 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-		if out, _, _ := run(t, "nodes", "list", at); strings.Count(out, " serves  4 ") == 3 {
-			break
-		}
-		if time.Now().After(end) {
-			out, _, _ := run(t, "nodes", "list", at)
-			t.Fatalf("three nodes do not serve under version 4 after 20 s:\n%s", out)
-		}
-	}
+	eventually(t, 20*time.Second, func() (string, bool) {
+		out, _, _ := run(t, "nodes", "list", at)
+		return "three nodes under version 4 in\n" + out, strings.Count(out, " serves  4 ") == 3
+	})
 }
 
 // A group that was restored has lost an entry that a node was told of, and leases of the generation before may still be
@@ -227,8 +229,8 @@
 	t.Parallel()
 	dir, port := t.TempDir(), freePort(t)
 	data := filepath.Join(dir, "data")
-	ini := file(t, dir, "a.ini", fmt.Sprintf("[instance]\nname = a\ndata = %s\npeer = 127.0.0.1:%d\nlisten = 127.0.0.1:%d\n", data,
-		port-100, port))
+	ini := file(t, dir, "a.ini", fmt.Sprintf("[instance]\nname = a\ndata = %s\npeer = 127.0.0.1:%d\n"+
+		"listen = 127.0.0.1:%d\n", data, port-100, port))
 	want(t, 2, "no such file", "control", "recover", "--file", filepath.Join(dir, "none.ini"))
 	want(t, 0, "nobody served under a version", "control", "recover", "--file", ini, "--for", "0s")
 	if _, err := os.Stat(data); err == nil {
--- a/internal/cli/interrupted_test.go
+++ b/internal/cli/interrupted_test.go
@@ -65,17 +65,15 @@
 // awaitChildren waits until so many processes are up.
 func (g *groupLeader) awaitChildren(t *testing.T, count int) {
 	t.Helper()
-	for end := time.Now().Add(childrenWithin); len(g.children()) < count; time.Sleep(5 * time.Millisecond) {
+	eventually(t, childrenWithin, func() (string, bool) {
+		up := len(g.children())
 		select {
 		case <-g.ended:
-			t.Fatalf("ended with %d processes up, expected %d\n%s%s", len(g.children()), count, g.out, g.errs)
+			t.Fatalf("ended, expected %d processes\n%s%s", count, g.out, g.errs)
 		default:
 		}
-		if time.Now().After(end) {
-			t.Fatalf("%d processes after %v, expected %d\n%s%s", len(g.children()), childrenWithin, count, g.out,
-				g.errs)
-		}
-	}
+		return fmt.Sprintf("%d processes, found %d\n%s%s", count, up, g.out, g.errs), up >= count
+	})
 }
 
 // awaitEnd waits until the command has ended, and fails where its status is another or a process is left.
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -157,8 +157,8 @@
 		case err != nil:
 			fmt.Fprintf(w, "a node's record does not count: %v\n", err)
 		default:
-			fmt.Fprintf(w, "%s of zone %s: served under version %d, minimum version %d, generation %d, entry %d\n", k.Name,
-				k.Zone,
+			fmt.Fprintf(w, "%s of zone %s: served under version %d, minimum version %d, generation %d, entry %d\n",
+				k.Name, k.Zone,
 				k.ActiveVersion, k.MinVersion, k.Generation, k.Index)
 		}
 	})
@@ -193,7 +193,8 @@
 	}
 	rows := [][]string{{"group", fmt.Sprintf("%s, generation %d", orNone(f.Lost.Group), f.Lost.Generation)},
 		{"folder", base},
-		{"nodes", fmt.Sprintf("%d sent a record, %d count", asked, len(f.Nodes))}, {"restored", version}, {"proof", f.Proof},
+		{"nodes", fmt.Sprintf("%d sent a record, %d count", asked, len(f.Nodes))},
+		{"restored", version}, {"proof", f.Proof},
 		{"zones", fmt.Sprintf("go on after epoch %d", f.ZoneEpoch)},
 		{"leases", fmt.Sprintf("of the old generation run out first, %d ms", membership.LeaseSpanMS(f.LeaseMS))}}
 	for _, u := range f.NotCounted {
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -146,11 +146,10 @@
 	if e := z.Evidence; e != nil {
 		rows = append(rows,
 			[]string{"nodes", fmt.Sprintf("%d in, %d silent, %d reporting, %d unhealthy %s; failure score %.1f",
-				e.NodesIn,
-				e.NodesSilent, e.NodesReporting, e.NodesUnhealthy, e.Symptom, e.FailureScore)},
+				e.NodesIn, e.NodesSilent, e.NodesReporting, e.NodesUnhealthy, e.Symptom, e.FailureScore)},
 			[]string{"load", fmt.Sprintf("%.0f runs a second of %.0f possible, %.1f in flight, %.0f ms a run; "+
-				"priority weight %.0f of %.0f a second", e.RunRate, e.RunCapacity, e.Concurrency, e.RunMS, e.CompletedWeight,
-				e.OfferedWeight)},
+				"priority weight %.0f of %.0f a second", e.RunRate, e.RunCapacity, e.Concurrency, e.RunMS,
+				e.CompletedWeight, e.OfferedWeight)},
 			[]string{"note", e.Note})
 	}
 	return rows
