--- a/internal/control/consensus/api_test.go
+++ b/internal/control/consensus/api_test.go
@@ -147,6 +147,26 @@
 	}
 }
 
+// TestPutIsPublished: a client puts a version, is told its number, and looks at the same instance. The instance's view,
+// which every answer's headers and stale reads go by, must have that version by then: a client that waits for its
+// version by the header would take the put for lost.
+func TestPutIsPublished(t *testing.T) {
+	a := boot(t, "a", "new", nil)
+	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
+	for seq := uint64(1); seq <= 3000; seq++ {
+		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+		end, err := a.group.Put(ctx, Put{Session: "s", Seq: seq, Base: seq - 1, Author: "x",
+			Text: fmt.Sprintf("[tenant t]\nrate = %d\n", seq)})
+		cancel()
+		if err != nil || end.Outcome != PutCommitted {
+			t.Fatalf("put %d: %+v, %v", seq, end, err)
+		}
+		if v := a.group.View(); v.Version < end.Version {
+			t.Fatalf("put %d was told, and the view has %d", end.Version, v.Version)
+		}
+	}
+}
+
 // TestStoppedAPI: an instance ends within a process that goes on, as in tests and in a restart of it. The goroutine
 // that logs for the server has to end with it, as its pipe is closed, and the address has to be free.
 func TestStoppedAPI(t *testing.T) {
--- a/internal/control/consensus/group_loop.go
+++ b/internal/control/consensus/group_loop.go
@@ -67,14 +67,14 @@
 	if err != nil {
 		return err
 	}
+	g.operationsApplied(done.Operations)
+	if done.Applied || len(done.Reads) > 0 {
+		g.publish() // before puts and reads are answered: the headers of an answer, and reads, go by the view
+	}
 	for i := range done.Puts {
 		g.metrics.outcomes.WithLabelValues(string(done.Puts[i].Result.Outcome)).Inc()
 		g.waiting.finishPut(&done.Puts[i])
 	}
-	g.operationsApplied(done.Operations)
-	if done.Applied || len(done.Reads) > 0 {
-		g.publish() // before reads are answered: they look at the view
-	}
 	for _, id := range done.Reads {
 		g.waiting.finishRead(id, g.replica.stateMachine.Last())
 	}
