--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -97,29 +97,67 @@
 	}
 }
 
-// portsGiven counts the ports that freePort gave, as what is given is not listened on at once.
-var portsGiven atomic.Int32
+// Ports of a local group: three for clients, and as many for peers a hundred below.
+const (
+	groupPorts  = 3
+	peersBelow  = 100
+	portBlock   = 2 * peersBelow // its lower half is for peers
+	lastPort    = 30000
+	firstPort   = 17201
+	pidSpread   = 500 // programs of tests that run at one time begin at ports of their own
+	portsPerPID = 20
+)
+
+// givenPorts counts the groups of ports that freePort gave, or found taken. What is given is not listened on at once, so
+// none is given twice.
+var givenPorts atomic.Int32
 
 // freePort gives a port from which a few on, and those a hundred below, are free.
 func freePort(t *testing.T) int {
 	t.Helper()
-	for port := 17201 + os.Getpid()%500*20; port < 30000; port += 7 {
-		port += 7 * int(portsGiven.Add(1))
-		free := true
-		for _, p := range []int{port, port + 1, port + 2, port - 100, port - 99, port - 98} {
+	for {
+		n := int(givenPorts.Add(1)) - 1
+		perBlock := peersBelow / groupPorts
+		port := firstPort + os.Getpid()%pidSpread*portsPerPID + n/perBlock*portBlock + n%perBlock*groupPorts + peersBelow
+		if port+groupPorts > lastPort {
+			t.Fatal("no free ports")
+		}
+		if groupIsFree(port) {
+			return port
+		}
+	}
+}
+
+// groupIsFree reports whether nothing listens on the ports of a group.
+func groupIsFree(port int) bool {
+	for i := range groupPorts {
+		for _, p := range []int{port + i, port - peersBelow + i} {
 			l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", p))
 			if err != nil {
-				free = false
-				break
+				return false
 			}
 			l.Close()
 		}
-		if free {
-			return port
+	}
+	return true
+}
+
+// Ports of groups that tests start side by side: none is given twice, neither for clients nor for peers. A port that was
+// given twice had one of two groups fail to listen.
+func TestFreePortsAreGivenOnce(t *testing.T) {
+	t.Parallel()
+	given := map[int]bool{}
+	for range 2 * peersBelow / groupPorts {
+		port := freePort(t)
+		for i := range groupPorts {
+			for _, p := range []int{port + i, port - peersBelow + i} {
+				if given[p] {
+					t.Fatalf("port %d is given twice", p)
+				}
+				given[p] = true
+			}
 		}
 	}
-	t.Fatal("no free ports")
-	return 0
 }
 
 // An instance of a local group is killed: the others take a write meanwhile, and it is started again and has that
