--- a/internal/control/consensus/api_fleet.go
+++ b/internal/control/consensus/api_fleet.go
@@ -40,7 +40,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), heartbeatTimeout)
 	defer cancel()
-	response, err := a.group.Node(ctx, request)
+	response, err := a.group.Heartbeat(ctx, request)
 	a.answerOr(w, response, err)
 }
 
--- a/internal/control/consensus/fleet_requests.go
+++ b/internal/control/consensus/fleet_requests.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Node puts a node's heartbeat to the leader and waits for the response.
-func (g *Group) Node(ctx context.Context, r api.HeartbeatRequest) (api.HeartbeatResponse, error) {
+// Heartbeat hands a node's heartbeat to the leader and waits for the response.
+func (g *Group) Heartbeat(ctx context.Context, r api.HeartbeatRequest) (api.HeartbeatResponse, error) {
 	return submit(ctx, g, func(done func(api.HeartbeatResponse, error)) {
 		g.leader.Heartbeat(g.replica.stateMachine.fleet, r, done)
 	})
--- a/internal/control/consensus/fleet_test.go
+++ b/internal/control/consensus/fleet_test.go
@@ -27,7 +27,7 @@
 	t.Parallel()
 	low := boot(t, "x", "new", nil)
 	low.await("the level of this build", func(v *View) bool { return v.Level == LatestLevel })
-	if reason, _ := low.group.handshake(Hello{Identity: Identity{ID: 99, Name: "d", Starts: 1, Nonce: 1},
+	if reason, _ := low.group.judgeHello(Hello{Identity: Identity{ID: 99, Name: "d", Starts: 1, Nonce: 1},
 		To: low.group.View().ID, Level: LevelVersions}); reason != olderProgram {
 		t.Errorf("an older build is met with %q, expected %q", reason, olderProgram)
 	}
--- a/internal/control/consensus/group_peers.go
+++ b/internal/control/consensus/group_peers.go
@@ -34,7 +34,7 @@
 	return callOn(g, g.enqueueEvent, func() Hello { return g.replica.HelloTo(to) })
 }
 
-func (g *Group) handshake(h Hello) (string, error) {
+func (g *Group) judgeHello(h Hello) (string, error) {
 	type judged struct {
 		reason string
 		err    error
--- a/internal/control/consensus/transport.go
+++ b/internal/control/consensus/transport.go
@@ -37,7 +37,7 @@
 // messageHandler is what the transport needs of the replica's owner. Its methods run on the replica's goroutine.
 type messageHandler interface {
 	hello(to uint64) (Hello, error)
-	handshake(h Hello) (reason string, err error)
+	judgeHello(h Hello) (reason string, err error)
 	bar(reason string)
 	receive(m *pb.Message)
 	reportUnreachable(to uint64)
--- a/internal/control/consensus/transport_inbound.go
+++ b/internal/control/consensus/transport_inbound.go
@@ -25,7 +25,7 @@
 		t.receiveSnapshot(c, r, h.ID)
 		return
 	}
-	t.registerConnection(c, h.ID)
+	t.replaceConnection(c, h.ID)
 	t.readMessages(r, h.ID)
 }
 
@@ -44,7 +44,7 @@
 		t.log.WithField(logging.Error, err).Debug("inbound connection without a hello")
 		return h, false
 	}
-	reason, err := t.handler.handshake(h)
+	reason, err := t.handler.judgeHello(h)
 	var own Hello
 	if err == nil {
 		own, err = t.handler.hello(h.ID)
@@ -86,8 +86,8 @@
 	}
 }
 
-// registerConnection closes an older connection of the same peer.
-func (t *transport) registerConnection(c net.Conn, id uint64) {
+// replaceConnection notes whose connection this is and closes an older one of that peer.
+func (t *transport) replaceConnection(c net.Conn, id uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for o, who := range t.inbound {
--- a/internal/control/consensus/transport_peer.go
+++ b/internal/control/consensus/transport_peer.go
@@ -89,7 +89,7 @@
 		if other.ID != p.id {
 			return &UnexpectedPeerError{other.ID, p.id}
 		}
-		reason, err := t.handler.handshake(other)
+		reason, err := t.handler.judgeHello(other)
 		if err == nil && reason != "" {
 			t.count.refused.Add(1)
 			err = &PeerRefusedError{Reason: reason}
--- a/internal/control/coordinator/batch.go
+++ b/internal/control/coordinator/batch.go
@@ -55,8 +55,8 @@
 	b.waiting = append(heartbeats, b.waiting...)
 }
 
-// next makes the batch that a header belongs to of heartbeats that wait.
-func (b *heartbeatBatcher) next(batch *membership.HeartbeatBatch, nowMS uint64, disabled policy.Guard,
+// fill takes the waiting heartbeats into a batch that has its header, and starts to wait until it is applied.
+func (b *heartbeatBatcher) fill(batch *membership.HeartbeatBatch, nowMS uint64, disabled policy.Guard,
 ) *membership.HeartbeatBatch {
 	b.sequence++
 	batch.Sequence, batch.Forget = b.sequence, b.forget
--- a/internal/control/coordinator/leader.go
+++ b/internal/control/coordinator/leader.go
@@ -85,7 +85,7 @@
 	}
 	var entries []Entry
 	if l.shouldSendBatch(s, lost != "") {
-		entry := heartbeatsEntry(l.heartbeats.next(l.batchHeader(s, lost), l.nowMS, l.DisabledGuards))
+		entry := heartbeatsEntry(l.heartbeats.fill(l.batchHeader(s, lost), l.nowMS, l.DisabledGuards))
 		entries = append(entries, entry)
 		l.BatchesSent++
 		l.BatchBytes += uint64(len(entry.Body))
--- a/internal/control/coordinator/rules_test.go
+++ b/internal/control/coordinator/rules_test.go
@@ -98,7 +98,7 @@
 	}
 	var got []string
 	for batches := range 2 {
-		batch := b.next(&membership.HeartbeatBatch{}, 1, 0)
+		batch := b.fill(&membership.HeartbeatBatch{}, 1, 0)
 		for _, j := range batch.Joins {
 			got = append(got, j.Name)
 		}
--- a/internal/node/agent/response.go
+++ b/internal/node/agent/response.go
@@ -106,14 +106,14 @@
 // validateGeneration accepts a group of another name only if it was restored from the one that is followed, and still
 // has every version that this node was told is decided.
 func (a *Agent) validateGeneration(r *api.HeartbeatResponse) error {
-	guards := a.config.DisabledGuards
+	disabled := a.config.DisabledGuards
 	group := api.GroupIdentity{Group: r.Cluster, Generation: max(firstGeneration, r.Generation),
 		Predecessors: r.Predecessors}
-	if !group.Succeeds(a.group.cluster, a.group.generation) && !guards.Has(policy.Generation) {
+	if !group.Succeeds(a.group.cluster, a.group.generation) && !disabled.Has(policy.Generation) {
 		return fmt.Errorf("%w: found group %.16s in generation %d, expected %.16s in %d", ErrUntrusted,
 			r.Cluster, group.Generation, a.group.cluster, a.group.generation)
 	}
-	if r.DecidedVersion < a.versions.min && !guards.Has(policy.NoDowngrade) {
+	if r.DecidedVersion < a.versions.min && !disabled.Has(policy.NoDowngrade) {
 		return fmt.Errorf("%w: generation %d of the group has version %d decided, expected %d at least: "+
 			"it was restored without what this node was told", ErrStale, group.Generation, r.DecidedVersion,
 			a.versions.min)
@@ -123,16 +123,16 @@
 
 // validatePosition accepts no earlier position of the group's log, zone epoch or decided version than was seen.
 func (a *Agent) validatePosition(r *api.HeartbeatResponse) error {
-	wayBack := a.config.DisabledGuards.Has(policy.NoDowngrade)
+	downgradeAllowed := a.config.DisabledGuards.Has(policy.NoDowngrade)
 	switch {
-	case r.Term < a.group.term || r.Index < a.group.index && !wayBack:
+	case r.Term < a.group.term || r.Index < a.group.index && !downgradeAllowed:
 		return fmt.Errorf("%w: found term %d and entry %d, expected %d and %d at least", ErrStale, r.Term, r.Index,
 			a.group.term,
 			a.group.index)
 	case r.Zone != nil && r.Zone.Epoch < a.zone.epoch():
 		return fmt.Errorf("%w: found epoch %d of the zones, expected %d at least", ErrStale, r.Zone.Epoch,
 			a.zone.epoch())
-	case r.DecidedVersion < a.versions.min && !wayBack:
+	case r.DecidedVersion < a.versions.min && !downgradeAllowed:
 		return fmt.Errorf("%w: found version %d decided, expected %d at least", ErrStale, r.DecidedVersion,
 			a.versions.min)
 	}
--- a/internal/node/agent/serving.go
+++ b/internal/node/agent/serving.go
@@ -28,11 +28,11 @@
 // that is fenced by it rejects all requests with 503 until MayServe allows it to serve again: by a lease or without the
 // group as above, and under no version older than the decided one.
 func (a *Agent) MayServe(now Milliseconds) (ok bool, reason string) {
-	guards := a.config.DisabledGuards
+	disabled := a.config.DisabledGuards
 	switch {
-	case guards.Has(policy.Fence) && a.group.contacted:
+	case disabled.Has(policy.Fence) && a.group.contacted:
 		return true, ""
-	case a.versions.active.Version < a.versions.min && !guards.Has(policy.NoDowngrade):
+	case a.versions.active.Version < a.versions.min && !disabled.Has(policy.NoDowngrade):
 		return false, fmt.Sprintf(fencedBehind, a.versions.min)
 	case a.lease.holds(now), a.servesBetweenGenerations(now):
 		return true, ""
--- a/internal/node/agent/versions.go
+++ b/internal/node/agent/versions.go
@@ -49,12 +49,12 @@
 }
 
 // update takes the versions of an accepted response. Neither the decided nor the committed one ever goes back.
-func (v *versions) update(r *api.HeartbeatResponse, guards policy.Guard) {
-	wayBack := guards.Has(policy.NoDowngrade)
-	if !wayBack {
+func (v *versions) update(r *api.HeartbeatResponse, disabled policy.Guard) {
+	downgradeAllowed := disabled.Has(policy.NoDowngrade)
+	if !downgradeAllowed {
 		v.min = max(v.min, r.DecidedVersion)
 	}
-	if r.CommittedVersion.Version >= v.committed.Version || wayBack {
+	if r.CommittedVersion.Version >= v.committed.Version || downgradeAllowed {
 		v.committed = r.CommittedVersion
 	}
 	if v.preparing != r.PrepareVersion {
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -120,7 +120,7 @@
 	gone := 0
 	for l.segments[gone].sequence < keep {
 		if err := l.fs.Remove(l.segments[gone].name); err != nil {
-			return l.fail(err)
+			return l.failLocked(err)
 		}
 		l.segments[gone].file.Close() // all of it was synced, and it is gone
 		gone++
@@ -130,18 +130,20 @@
 	}
 	l.segments = append([]*segment{}, l.segments[gone:]...)
 	if err := l.fs.Sync(); err != nil {
-		return l.fail(err)
+		return l.failLocked(err)
 	}
 	return nil
 }
 
-func (l *Log) failLocked(err error) error {
+// fail makes the log unusable: every later call gets the error. It takes mu.
+func (l *Log) fail(err error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fail(err)
+	return l.failLocked(err)
 }
 
-func (l *Log) fail(err error) error {
+// failLocked is fail for a caller that holds mu.
+func (l *Log) failLocked(err error) error {
 	l.fault = fmt.Errorf("%w: %w", ErrBroken, err)
 	return l.fault
 }
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -63,15 +63,15 @@
 		return err
 	}
 	if err := l.writeSnapshot(snapshotName(number), head, parts); err != nil {
-		return l.failLocked(err)
+		return l.fail(err)
 	}
 	for _, old := range l.addSnapshot(snapshot{number, size}) {
 		if err := l.fs.Remove(snapshotName(old)); err != nil {
-			return l.failLocked(err)
+			return l.fail(err)
 		}
 	}
 	if err := l.fs.Sync(); err != nil {
-		return l.failLocked(err)
+		return l.fail(err)
 	}
 	return nil
 }
