--- a/admission/admission_queue.go
+++ b/admission/admission_queue.go
@@ -35,7 +35,7 @@
 	switch {
 	case c.drain.active && r.arrivedAt > c.drain.admitBefore:
 		c.shed(i, ReasonDraining)
-	case c.readiness.stalled && (c.limit.running > 0 || c.queue.length > 0 || class.runsOnce):
+	case c.readiness.stalled && (c.limit.slotsTaken > 0 || c.queue.length > 0 || class.runsOnce):
 		// While work stands still one retryable request at a time is admitted, to see whether it finishes again.
 		c.shed(i, ReasonStalled)
 	case r.repeats.original == none && c.memory.exceededBy(r.sizeKB, entryKB):
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -47,7 +47,7 @@
 
 // callPace decides when calls to the services below are made and how long each may last.
 type callPace struct {
-	shared            bool    // a dependency that states an allowance
+	hasAllowance      bool    // a dependency that states an allowance
 	aimedInFlight     float64 // calls meant to be in flight in the mean
 	maxInFlight       float64
 	cancellationDelay Time
@@ -64,7 +64,7 @@
 
 func newCallPace(d *Deployment) callPace {
 	return callPace{
-		shared:            d.Dependency == DependencyShared && d.CallAllowance > 0,
+		hasAllowance:      d.Dependency == DependencyShared && d.CallAllowance > 0,
 		aimedInFlight:     d.CallAllowance / aimedAllowanceDivisor,
 		maxInFlight:       d.CallAllowance * peakAllowanceFraction,
 		cancellationDelay: d.CancellationDelay,
@@ -93,7 +93,7 @@
 // be in flight. A next tier states no allowance: while it rejects, the pace follows what it lets through.
 func (p *callPace) gap(now Time) Time {
 	p.time = p.times.mean(now, p.time)
-	if p.shared {
+	if p.hasAllowance {
 		return Time(p.time / p.aimedInFlight)
 	}
 	if rejected, _ := p.rejected.sums(now); rejected > 0 {
@@ -119,7 +119,7 @@
 // lastUseful, the latest moment that leaves time to answer. One that must not be repeated lasts until then.
 func (p *callPace) deadline(now, lastUseful, objectiveEnd Time, runsOnce bool) Time {
 	last := lastUseful
-	if p.shared && p.maxInFlight < 1 {
+	if p.hasAllowance && p.maxInFlight < 1 {
 		// The failure: a stalled dependency held by one call of each of hundreds of servers. One call is more than
 		// the allowance, so it lasts at most for what the mean has left. Could harm where just this one is slow.
 		left := (p.maxInFlight - p.inFlight.average(now)) * float64(p.inFlight.span())
@@ -170,7 +170,7 @@
 func (c *Controller) makeCalls() {
 	gap := c.calls.gap(c.now)
 	for c.calls.queue.head != none && c.calls.next <= c.now {
-		if c.calls.shared && !c.calls.allows(c.now) {
+		if c.calls.hasAllowance && !c.calls.allows(c.now) {
 			return
 		}
 		i := c.calls.queue.head
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -19,7 +19,7 @@
 type concurrencyLimit struct {
 	cores          float64
 	runnable       float64 // runs that want a core, by the gauge
-	running        int     // runs in progress, those at calls too
+	slotsTaken     int     // runs in progress, those at calls too
 	current        int     // the limit that follows the gauge
 	maxRunsPerCore float64
 	warmUp         warmUp
@@ -48,8 +48,8 @@
 // down by one while clearly more runs want the cores than there are. It is never under the number of cores.
 func (l *concurrencyLimit) adjust(now Time, waiting int) {
 	switch idle := l.cores - l.runnable; {
-	case waiting > 0 && l.running >= l.current && idle > 0:
-		l.current = min(l.running+int(math.Ceil(idle/idleDivisor)), l.ceiling(now))
+	case waiting > 0 && l.slotsTaken >= l.current && idle > 0:
+		l.current = min(l.slotsTaken+int(math.Ceil(idle/idleDivisor)), l.ceiling(now))
 	case idle < -l.cores/crowdedDivisor:
 		l.current--
 	}
--- a/admission/end_of_run.go
+++ b/admission/end_of_run.go
@@ -88,7 +88,7 @@
 		c.calls.inFlight.change(c.now, -1)
 		c.calls.abandon(c.now)
 	}
-	c.limit.running--
+	c.limit.slotsTaken--
 	if c.pools != nil {
 		c.pools.Ended(c.now, r.id, succeeded, succeeded && inTime)
 	}
--- a/admission/readiness.go
+++ b/admission/readiness.go
@@ -86,8 +86,8 @@
 
 // detectStall sheds what is queued when started work has come to a standstill.
 func (c *Controller) detectStall(elapsed Time) {
-	c.readiness.watchRuns(elapsed, c.limit.running-c.calls.inFlight.count-c.calls.queue.length)
-	if c.readiness.isStalling(c.limit.running, c.limit.cores, c.classes) {
+	c.readiness.watchRuns(elapsed, c.limit.slotsTaken-c.calls.inFlight.count-c.calls.queue.length)
+	if c.readiness.isStalling(c.limit.slotsTaken, c.limit.cores, c.classes) {
 		c.readiness.stalled = true
 		c.writer.Log("hung: started work does not finish")
 		for c.queue.head != none {
@@ -108,7 +108,7 @@
 
 // updateHealth tells health checks what has changed.
 func (c *Controller) updateHealth() {
-	empty := c.limit.running == 0 && c.queue.length == 0
+	empty := c.limit.slotsTaken == 0 && c.queue.length == 0
 	if ready := c.readiness.isReady(empty, c.now-c.arrivals.last, c.drain.active); ready != c.readiness.ready {
 		c.readiness.ready = ready
 		c.writer.Health(ready)
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -56,7 +56,7 @@
 		{100, 3, 0, 16},   // never over the ceiling
 		{100, 0, 3.5, 16}, // kept while nothing presses
 	} {
-		l.running, l.runnable = step.running, step.runnable
+		l.slotsTaken, l.runnable = step.running, step.runnable
 		if l.adjust(0, step.waiting); l.current != step.want {
 			t.Errorf("step %d: limit %d, expected %d", k, l.current, step.want)
 		}
--- a/admission/start_runs.go
+++ b/admission/start_runs.go
@@ -14,13 +14,13 @@
 // its original, and the key would run twice. Without pools the original is always ahead of it.
 func (c *Controller) startRuns() {
 	ceiling := c.limit.ceiling(c.now)
-	for i := c.queue.head; i != none && c.limit.running < min(c.limit.current, ceiling); {
+	for i := c.queue.head; i != none && c.limit.slotsTaken < min(c.limit.current, ceiling); {
 		r := &c.requests.at[i]
 		if c.pools != nil && (r.repeats.original != none || !c.pools.CanStart(r.id)) {
 			i = r.queueLink.next
 			continue
 		}
-		if c.memory.exceededBy(r.sizeKB, 0) || c.readiness.stalled && c.limit.running > 0 {
+		if c.memory.exceededBy(r.sizeKB, 0) || c.readiness.stalled && c.limit.slotsTaken > 0 {
 			return
 		}
 		if c.drain.active && !c.drain.canFinish(c.now, c.expectedRunTime(r)) {
@@ -41,7 +41,7 @@
 	c.queue.remove(&c.requests, i)
 	r.enter(running)
 	r.executed = true
-	c.limit.running++
+	c.limit.slotsTaken++
 	c.memory.used += c.memory.runKB(r.sizeKB)
 	c.writer.Run(r.id)
 	for k := r.repeats.newest; k != none; k = r.repeats.newest {
--- a/internal/node/server/admission_writer.go
+++ b/internal/node/server/admission_writer.go
@@ -13,9 +13,9 @@
 	r := l.requests.get(handle(id))
 	switch {
 	case r == nil || !r.mayStart():
-	case r.isPaused() && r.isHeldBack(): // the kernel has been told neither of the run nor of the pause
+	case r.isToldToStop() && r.isHeldBack(): // the kernel has been told neither of the run nor of the pause
 		r.setRun(runRunning)
-	case r.isPaused() && l.settings.Cancellation == admission.CancelPause:
+	case r.isToldToStop() && l.settings.Cancellation == admission.CancelPause:
 		l.sendResume(r)
 	default:
 		r.setRun(runRunning)
@@ -33,9 +33,9 @@
 // Stop pauses a run, which the kernel carries on or starts anew when Run names it again.
 func (l *loop) Stop(id uint32) {
 	if r := l.requests.get(handle(id)); r != nil && r.isRunning() {
-		l.trace(r, tracePaused)
+		l.trace(r, traceStopped)
 		l.counters.Pauses++
-		if r.pause(); !r.isHeldBack() { // else the stop is sent with the run
+		if r.stop(); !r.isHeldBack() { // else the stop is sent with the run
 			l.sendStop(r)
 		}
 	}
@@ -56,7 +56,7 @@
 	if r := l.requests.get(handle(id)); r != nil {
 		l.traceReason(r, traceFailed, why)
 		l.cancelCall(handle(id), r)
-		r.setShared(sharedNotAwaited)
+		r.setAwaits(awaitsNothing)
 		l.answer(handle(id), r, wire.Response{Status: wire.StatusInternalServerError})
 	}
 }
@@ -105,7 +105,7 @@
 	case e.state == entryDone:
 		l.sharedResultReady(h, true, e.result)
 	default:
-		r.setShared(sharedAwaited)
+		r.setAwaits(awaitsOriginal)
 		e.waiters = append(e.waiters, h)
 	}
 }
--- a/internal/node/server/client_connections.go
+++ b/internal/node/server/client_connections.go
@@ -63,7 +63,7 @@
 		l.listener.release()
 		return
 	}
-	p := newPeer(nc, fd, &l.shared)
+	p := newPeer(nc, fd, &l.crossGoroutine)
 	nc.SetWriteTimeout(l.limits.WriteTimeout)
 	nc.AddCloseCallback(func(netpoll.Connection) error {
 		p.release()
@@ -222,7 +222,7 @@
 			return // more of it is being read at this moment
 		}
 		l.counters.ClosedSilent++
-		if log := l.badRequest(); log != nil {
+		if log := l.countBadRequest(); log != nil {
 			log.WithField(logging.Reason, messageIncomplete).Info(logBadRequest)
 		}
 		l.sendResponse(c, wire.Response{Status: wire.StatusBadRequest, Close: true})
--- a/internal/node/server/client_peer.go
+++ b/internal/node/server/client_peer.go
@@ -39,7 +39,7 @@
 	flooded   bool // they were more than is passed over
 }
 
-func newPeer(nc netpoll.Connection, fd int, s *shared) *peer {
+func newPeer(nc netpoll.Connection, fd int, s *crossGoroutine) *peer {
 	p := &peer{fd: fd, in: intake{pool: &s.pool}}
 	p.writer = writer{conn: nc, pool: &s.pool, workers: s.workers, busy: &s.busy, sendsResponses: true,
 		shutDown: p.shutDownWrite}
@@ -47,7 +47,7 @@
 }
 
 // readConnection reads what a connection has brought and hands it over; it runs in a callback, never twice at once.
-func (s *shared) readConnection(p *peer, nc netpoll.Connection, now admission.Time) error {
+func (s *crossGoroutine) readConnection(p *peer, nc netpoll.Connection, now admission.Time) error {
 	events, err := p.take(nc.Reader(), &s.limits, now)
 	for _, e := range events {
 		s.post(e)
--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -36,7 +36,7 @@
 	log.SetOutput(io.Discard)
 	lim := NewLimits(1, 64, 256)
 	lim.Connections, lim.EvictAbove = conns, conns
-	l := &loop{shared: shared{log: log, limits: lim, events: make(chan event, 256),
+	l := &loop{crossGoroutine: crossGoroutine{log: log, limits: lim, events: make(chan event, 256),
 		pool: bufferPool{capacity: lim.Buffers}, workers: newWorkers(1)},
 		clients:        clients{connections: newTable[connection](conns), idleClose: admission.Second},
 		requestsInHand: requestsInHand{requests: newTable[request](8)}, readiness: readiness{ready: true},
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -155,7 +155,7 @@
 
 // The waits between dials double up to a bound, and two servers that lose one peer together do not come back together.
 func TestBackoffHasJitter(t *testing.T) {
-	l := &loop{loopTime: loopTime{now: 1000}, shared: shared{limits: NewLimits(1, 64, 256)}}
+	l := &loop{loopTime: loopTime{now: 1000}, crossGoroutine: crossGoroutine{limits: NewLimits(1, 64, 256)}}
 	seen := map[admission.Time]bool{}
 	for range 20 {
 		var b backoff
@@ -174,7 +174,7 @@
 
 // Servers that were started together do not report together; none reports later than it has to.
 func TestReportsAreSpread(t *testing.T) {
-	l := &loop{loopTime: loopTime{now: 1000}, shared: shared{limits: NewLimits(1, 64, 256)}}
+	l := &loop{loopTime: loopTime{now: 1000}, crossGoroutine: crossGoroutine{limits: NewLimits(1, 64, 256)}}
 	seen := map[admission.Time]bool{}
 	for range 50 {
 		wait := l.nextReport() - l.now
@@ -302,7 +302,7 @@
 func TestRecordWaitsForItsDisk(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &loop{shared: shared{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)}}
+	l := &loop{crossGoroutine: crossGoroutine{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)}}
 	f := &fleetAgent{host: l, clock: bootTime, log: log,
 		config: &config.Fleet{Folder: filepath.Join(t.TempDir(), "gone")},
 		agent:  agent.New(agent.Config{Name: "n1", ControlAddresses: []string{"127.0.0.1:1"}}, nil, bootTime()),
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -76,10 +76,10 @@
 		if !r.awaitsResponse() || r.run != runNotStarted || r.disk == readPending {
 			continue
 		}
-		if e := l.idempotency.find(r.key); r.shared == sharedAwaited && e != nil && e.state == entryRunning {
+		if e := l.idempotency.find(r.key); r.awaits == awaitsOriginal && e != nil && e.state == entryRunning {
 			continue
 		}
-		r.setShared(sharedNotAwaited)
+		r.setAwaits(awaitsNothing)
 		// The controller is told that nobody waits for it any more, which is so once it is answered here.
 		l.nextRound().Disconnected = append(l.nextRound().Disconnected, uint32(h))
 		l.answer(h, r, wire.Response{Status: wire.StatusServiceUnavailable,
--- a/internal/node/server/http_front_end.go
+++ b/internal/node/server/http_front_end.go
@@ -70,7 +70,7 @@
 		l.addRetryAfter(&a)
 	default:
 		a.Status = wire.StatusBadRequest
-		if log := l.badRequest(); log != nil {
+		if log := l.countBadRequest(); log != nil {
 			log.WithFields(logrus.Fields{logging.Reason: notServed, logging.Method: method, logging.Path: path}).
 				Info(logBadRequest)
 		}
@@ -98,7 +98,7 @@
 		l.addRetryAfter(&a)
 		return a
 	}
-	if log := l.badRequest(); log != nil {
+	if log := l.countBadRequest(); log != nil {
 		log.WithFields(logrus.Fields{logging.Reason: notReadable, logging.Error: err}).Info(logBadRequest)
 	}
 	return wire.Response{Status: wire.StatusBadRequest, Close: true}
@@ -108,7 +108,7 @@
 // allow one.
 func (l *loop) addRetryAfter(a *wire.Response) {
 	if a.Status == wire.StatusServiceUnavailable && a.RetryAfterMS == 0 {
-		a.RetryAfterMS = l.retryAfter(&l.refusals, 0)
+		a.RetryAfterMS = l.retryAfter(&l.retryTimes, 0)
 	}
 }
 
--- a/internal/node/server/kernel_link.go
+++ b/internal/node/server/kernel_link.go
@@ -32,9 +32,9 @@
 	state         kernelState
 	lastSequence  uint64 // of the last event handled
 	sent          uint64 // number of the last command
-	acked         uint64 // commands to this one are known to have been read
-	proof         uint64 // so are these, but a break may still take with it what was on its way
-	proofAt       admission.Time
+	provenRead    uint64 // commands to this one are known to have been read
+	provenNext    uint64 // so are these, but a break may still take with it what was on its way
+	provenNextAt  admission.Time
 	gaugesRequest uint64 // number of the request for gauges that a wake-up waits for
 	gaugesBy      admission.Time
 	replayRequest uint64 // number of the request whose answer ends the replay
@@ -173,7 +173,7 @@
 
 // numberedEvent takes an event about a run. Those have numbers, by which each counts once and in order.
 func (l *loop) numberedEvent(n *wire.KernelEvent) {
-	if !l.isNextEvent(n) {
+	if !l.takeSequence(n) {
 		return
 	}
 	h, r := l.findRequest(n.RunID)
@@ -192,16 +192,16 @@
 	}
 }
 
-// isNextEvent tells whether an event is to be handled, and notes its number. Guards against ends of runs that count
+// takeSequence tells whether an event is to be handled, and notes its number. Guards against ends of runs that count
 // twice or never after a link broke. One that was handled before comes again over a new link, and is passed over. A
 // gap amid a link has it opened anew, which has the missing events sent again; a gap at the begin of a link says that
 // the kernel no longer has them. See row "kernel link broken or moved" in docs/design/shutdown.md.
-func (l *loop) isNextEvent(n *wire.KernelEvent) bool {
+func (l *loop) takeSequence(n *wire.KernelEvent) bool {
 	k := &l.kernel
 	switch {
 	case n.Sequence == 0:
 		if log := l.limitLog(); log != nil {
-			log.WithField(logging.Event, string(n.Kind)).Info(logKernelEventUnknown)
+			log.WithField(logging.Event, string(n.Kind)).Info(logKernelEventUnnumbered)
 		}
 		return false
 	case n.Sequence <= k.lastSequence:
@@ -282,8 +282,8 @@
 	if k.state != kernelLive || no > k.sent {
 		return
 	}
-	if l.now >= k.proofAt+l.limits.AckSafetyMargin {
-		k.acked, k.proof, k.proofAt = k.proof, no, l.now
+	if l.now >= k.provenNextAt+l.limits.AckSafetyMargin {
+		k.provenRead, k.provenNext, k.provenNextAt = k.provenNext, no, l.now
 	}
 	if l.wakePending && (no == k.gaugesRequest || no == k.replayRequest) {
 		k.gaugesRequest, l.wakePending = 0, false
@@ -321,8 +321,9 @@
 
 // resendCommands sends those commands of a run again that are not known to have been read, in their first order.
 func (l *loop) resendCommands(r *request) {
-	acked := l.kernel.acked
-	runLost, resultLost, stopLost := r.runCommand > acked, r.callResultCommand > acked, r.stopCommand > acked
+	provenRead := l.kernel.provenRead
+	runLost, stopLost := r.runCommand > provenRead, r.stopCommand > provenRead
+	resultLost := r.callResultCommand > provenRead
 	if runLost {
 		if r.resumed {
 			l.sendResume(r)
--- a/internal/node/server/lifecycle.go
+++ b/internal/node/server/lifecycle.go
@@ -10,9 +10,9 @@
 // the client has its response or is gone:
 //
 //	response  pending -> sent | clientGone -> discarded
-//	run       notStarted -> running <-> pausing -> stopped -> running; running -> finished
+//	run       notStarted -> running <-> stopping -> stopped -> running; running -> finished
 //	call      none -> queued -> sent -> none
-//	shared    not -> awaited -> not
+//	awaits    nothing -> original -> nothing
 //	disk      nothing -> opening | read | intent | result -> nothing
 //
 // Where they have to agree is said once, in isOver. Each state changes by the methods of this file alone, and each
@@ -22,7 +22,7 @@
 	response responseState
 	run      runState
 	call     callState
-	shared   sharedState
+	awaits   awaitState
 	disk     diskState
 }
 
@@ -43,7 +43,7 @@
 const (
 	runNotStarted runState = iota
 	runRunning
-	runPausing  // told to stop so that it runs on later; the kernel has not said yet that it did
+	runStopping // told to stop so that it runs on later; the kernel has not said yet that it did
 	runStopped  // ended while pausing: the controller may run it again
 	runFinished // ended for good
 	runStates
@@ -59,13 +59,13 @@
 	callStates
 )
 
-// sharedState tells whether a request waits for the result of the one that it repeats.
-type sharedState uint8
+// awaitState tells whether a request waits for the result of the one that it repeats.
+type awaitState uint8
 
 const (
-	sharedNotAwaited sharedState = iota
-	sharedAwaited
-	sharedStates
+	awaitsNothing awaitState = iota
+	awaitsOriginal
+	awaitStates
 )
 
 // diskState is what a request with an idempotency key waits for, where results are stored.
@@ -89,9 +89,9 @@
 	runTransitions = [runStates][runStates]bool{
 		runNotStarted: {runRunning: true},
 		// To itself: resumed anew over another link.
-		runRunning: {runRunning: true, runPausing: true, runFinished: true},
-		runPausing: {runRunning: true, runPausing: true, runStopped: true},
-		runStopped: {runRunning: true},
+		runRunning:  {runRunning: true, runStopping: true, runFinished: true},
+		runStopping: {runRunning: true, runStopping: true, runStopped: true},
+		runStopped:  {runRunning: true},
 	}
 	callTransitions = [callStates][callStates]bool{
 		// To itself: a call is given up that there is none of.
@@ -99,9 +99,9 @@
 		callQueued: {callNone: true, callSent: true},
 		callSent:   {callNone: true},
 	}
-	sharedTransitions = [sharedStates][sharedStates]bool{
-		sharedNotAwaited: {sharedNotAwaited: true, sharedAwaited: true},
-		sharedAwaited:    {sharedNotAwaited: true},
+	awaitTransitions = [awaitStates][awaitStates]bool{
+		awaitsNothing:  {awaitsNothing: true, awaitsOriginal: true},
+		awaitsOriginal: {awaitsNothing: true},
 	}
 	diskTransitions = [diskStates][diskStates]bool{
 		nothingPending: {openingPending: true, readPending: true, intentPending: true, resultPending: true},
@@ -145,11 +145,11 @@
 	s.call = to
 }
 
-func (s *lifecycle) setShared(to sharedState) {
-	if !sharedTransitions[s.shared][to] {
-		onWrongTransition("shared", uint8(s.shared), uint8(to))
+func (s *lifecycle) setAwaits(to awaitState) {
+	if !awaitTransitions[s.awaits][to] {
+		onWrongTransition("awaits", uint8(s.awaits), uint8(to))
 	}
-	s.shared = to
+	s.awaits = to
 }
 
 func (s *lifecycle) setDisk(to diskState) {
@@ -173,21 +173,21 @@
 func (s *lifecycle) awaitsResponse() bool { return s.response == responsePending }
 
 // isRunning tells whether the kernel carries the run out, or is to be told so.
-func (s *lifecycle) isRunning() bool { return s.run == runRunning || s.run == runPausing }
+func (s *lifecycle) isRunning() bool { return s.run == runRunning || s.run == runStopping }
 
-// isPaused tells whether the run was told to stop and not to go on yet.
-func (s *lifecycle) isPaused() bool { return s.run == runPausing || s.run == runStopped }
+// isToldToStop tells whether the run was told to stop and not to go on yet.
+func (s *lifecycle) isToldToStop() bool { return s.run == runStopping || s.run == runStopped }
 
 // isHeldBack tells whether the kernel has not been told of the run yet, as its intent is not on disk: a stop is told
 // with it.
 func (s *lifecycle) isHeldBack() bool { return s.disk == intentPending }
 
 // mayStart tells whether the controller may have the request run, for the first time or again.
-func (s *lifecycle) mayStart() bool { return s.run == runNotStarted || s.isPaused() }
+func (s *lifecycle) mayStart() bool { return s.run == runNotStarted || s.isToldToStop() }
 
 // isOver tells whether nothing of the request is left to come, so that its slot can be used again.
 func (s *lifecycle) isOver() bool {
-	return s.response != responsePending && !s.isRunning() && s.shared == sharedNotAwaited
+	return s.response != responsePending && !s.isRunning() && s.awaits == awaitsNothing
 }
 
 // respond notes that the response is there; it tells whether the client is there to have it.
@@ -203,15 +203,15 @@
 // abandon notes that the client is gone; it takes no other request's result any more.
 func (s *lifecycle) abandon() {
 	s.setResponse(clientGone)
-	s.setShared(sharedNotAwaited)
+	s.setAwaits(awaitsNothing)
 }
 
-// pause notes that the run is told to stop so that it can go on later.
-func (s *lifecycle) pause() { s.setRun(runPausing) }
+// stop notes that the run is told to stop so that it can go on later.
+func (s *lifecycle) stop() { s.setRun(runStopping) }
 
 // endRun notes the end of the run. One that was pausing may be run again.
 func (s *lifecycle) endRun() {
-	if s.isPaused() {
+	if s.isToldToStop() {
 		s.setRun(runStopped)
 		return
 	}
@@ -220,5 +220,5 @@
 
 // runOutcomeAnswers tells whether the end of a run is a response: that it was stopped by a pause is none.
 func (s *lifecycle) runOutcomeAnswers(outcome admission.Outcome) bool {
-	return outcome != admission.Stopped || !s.isPaused()
+	return outcome != admission.Stopped || !s.isToldToStop()
 }
--- a/internal/node/server/lifecycle_test.go
+++ b/internal/node/server/lifecycle_test.go
@@ -43,7 +43,7 @@
 	}
 	s = lifecycle{}
 	s.setRun(runRunning)
-	s.pause()
+	s.stop()
 	s.endRun()
 	if s.run != runStopped || !s.mayStart() || wrongTransition(func() { s.setRun(runRunning) }) {
 		t.Errorf("a run that was stopped by a pause: %+v", s)
@@ -71,9 +71,9 @@
 func TestARequestIsOverOnceNothingIsLeftToCome(t *testing.T) {
 	for response := range responseStates {
 		for run := range runStates {
-			for shared := range sharedStates {
-				s := lifecycle{response: response, run: run, shared: shared}
-				want := response != responsePending && run != runRunning && run != runPausing && shared != sharedAwaited
+			for awaits := range awaitStates {
+				s := lifecycle{response: response, run: run, awaits: awaits}
+				want := response != responsePending && run != runRunning && run != runStopping && awaits != awaitsOriginal
 				if s.isOver() != want {
 					t.Errorf("%+v: over %v", s, s.isOver())
 				}
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -16,7 +16,7 @@
 // loop is what the one goroutine owns, by concern. All else reaches it by events alone, but for what is shared. What
 // needs one concern only is a method of that; what ties several together, such as the end of a call, is the loop's.
 type loop struct {
-	shared
+	crossGoroutine
 	configuration
 	loopTime
 	logLimit
@@ -30,13 +30,14 @@
 	readiness
 	drainState
 
-	refusals retryafter.Spreader // of responses that the loop rejects by itself
-	fleet    *fleetAgent         // nil: the node serves alone
-	results  *resultKeeper       // nil: results are kept in memory alone
+	retryTimes retryafter.Spreader // of responses that the loop rejects by itself
+	fleet      *fleetAgent         // nil: the node serves alone
+	results    *resultKeeper       // nil: results are kept in memory alone
 }
 
-// shared is what callbacks of connections, dials and other goroutines use too; each field is safe for any of them.
-type shared struct {
+// crossGoroutine is what callbacks of connections, dials and other goroutines use too; each field is safe for any of
+// them.
+type crossGoroutine struct {
 	limits  Limits // never change
 	log     *logrus.Logger
 	events  chan event
@@ -98,7 +99,7 @@
 }
 
 // post hands an event over; it waits while the queue is full.
-func (s *shared) post(e event) { s.events <- e }
+func (s *crossGoroutine) post(e event) { s.events <- e }
 
 // nextRound is the round that is being filled.
 func (d *decisions) nextRound() *admission.Round { return &d.rounds[d.filling] }
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -83,7 +83,7 @@
 		}
 		ok = false
 	}
-	wait := l.idempotency.runEnded(r.key, uint32(h), ok, result)
+	waiters := l.idempotency.runEnded(r.key, uint32(h), ok, result)
 	switch {
 	case ok:
 		l.answer(h, r, wire.Response{Status: wire.StatusOK, Body: result})
@@ -92,7 +92,7 @@
 	case r.runOutcomeAnswers(how):
 		l.answer(h, r, wire.Response{Status: wire.StatusInternalServerError})
 	}
-	for _, k := range wait {
+	for _, k := range waiters {
 		l.sharedResultReady(k, ok, result)
 	}
 }
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -28,7 +28,7 @@
 	handlerRetired
 	rejectedByZone
 	idempotencyTableFull
-	mayHaveRunBefore
+	sameIDInHand
 	requestTableFull
 	rejections
 )
@@ -49,7 +49,7 @@
 	handlerRetired:       {"handler retired", wire.StatusServiceUnavailable},
 	rejectedByZone:       {"over zone quota", wire.StatusServiceUnavailable},
 	idempotencyTableFull: {"idempotency table full", wire.StatusServiceUnavailable},
-	mayHaveRunBefore:     {"may have run before", wire.StatusInternalServerError},
+	sameIDInHand:         {"may have run before", wire.StatusInternalServerError},
 	requestTableFull:     {"request table full", wire.StatusServiceUnavailable},
 }
 
@@ -77,7 +77,7 @@
 func (l *loop) receiveRequest(c *connection, e *requestRead, handlerName string, response *wire.Response) (status int) {
 	a := l.identify(&e.request, handlerName)
 	if why := l.checkRequest(&a, response); why != notRejected {
-		l.logRejection(&a, why)
+		l.noteRejection(&a, why)
 		return why.status()
 	}
 	l.forgetAbandoned(a.ID)
@@ -131,8 +131,8 @@
 	case l.hasIdempotencyKey(a.handler) && l.idempotency.full(l.limits.EventsPerRound) &&
 		l.idempotency.find(a.key) == nil:
 		return idempotencyTableFull // it could not be told from its repeats
-	case l.mayHaveRun(a.ID):
-		return mayHaveRunBefore
+	case l.idInHand(a.ID):
+		return sameIDInHand
 	case l.requests.full():
 		return requestTableFull
 	}
@@ -148,8 +148,8 @@
 	return c.settings.Deployment.Handlers[handler].RetrySafety == admission.IdempotencyKeyed
 }
 
-// mayHaveRun tells whether a request with this id is in hand: the same attempt comes again, and the first may have run.
-func (in *requestsInHand) mayHaveRun(id []byte) bool {
+// idInHand tells whether a request with this id is in hand: the same attempt comes again, and the first may have run.
+func (in *requestsInHand) idInHand(id []byte) bool {
 	_, old := in.findRequest(id)
 	return old != nil && !(old.isAbandoned() && old.run == runNotStarted)
 }
@@ -163,16 +163,16 @@
 	}
 }
 
-// logRejection counts and logs a request that is its client's mistake, and traces each that does not reach the
+// noteRejection counts and logs a request that is its client's mistake, and traces each that does not reach the
 // controller.
-func (l *loop) logRejection(a *arrivingRequest, why rejection) {
+func (l *loop) noteRejection(a *arrivingRequest, why rejection) {
 	if l.debug {
 		l.traceWith(string(a.ID), traceRejected, logrus.Fields{logging.Reason: why.String()})
 	}
 	if why.status() != wire.StatusBadRequest {
 		return
 	}
-	log := l.badRequest()
+	log := l.countBadRequest()
 	if log == nil {
 		return
 	}
@@ -262,9 +262,9 @@
 	l.fleet.requestSubmitted(l.now, q)
 }
 
-// badRequest counts what is no request for this server, and is answered 400; the controller never hears of it. It gives
-// the log line for that, nil past the bound on lines.
-func (l *loop) badRequest() *logrus.Entry {
+// countBadRequest counts what is no request for this server, and is answered 400; the controller never hears of it. It
+// gives the log line for that, nil past the bound on lines.
+func (l *loop) countBadRequest() *logrus.Entry {
 	l.counters.BadRequests++
 	return l.limitLog()
 }
--- a/internal/node/server/request_arrival_test.go
+++ b/internal/node/server/request_arrival_test.go
@@ -38,8 +38,8 @@
 		HandlerIndex: map[string]int{"put": 0}, TenantIndex: map[string]int{"home": 0}}},
 		requestsInHand: requestsInHand{idempotency: newIdempotencyTable(2000, 1000, 6*admission.Second),
 			requests: newTable[request](1), byRequestID: map[string]handle{}},
-		shared:    shared{log: log, limits: NewLimits(1, 64, 256)},
-		decisions: decisions{controller: admission.New(d)}}
+		crossGoroutine: crossGoroutine{log: log, limits: NewLimits(1, 64, 256)},
+		decisions:      decisions{controller: admission.New(d)}}
 	l.startClock(12 * admission.Second)
 	return l
 }
@@ -59,7 +59,7 @@
 		spoil func(l *loop, q *wire.Request)
 	}{
 		{requestTableFull, func(l *loop, _ *wire.Request) { l.requests.take() }},
-		{mayHaveRunBefore, func(l *loop, q *wire.Request) { l.byRequestID[string(q.ID)], _ = l.requests.next(0) }},
+		{sameIDInHand, func(l *loop, q *wire.Request) { l.byRequestID[string(q.ID)], _ = l.requests.next(0) }},
 		{idempotencyTableFull, func(l *loop, _ *wire.Request) { l.idempotency.entries.capacity = 0 }},
 		{kernelNotUp, func(l *loop, _ *wire.Request) { l.controller = nil }},
 		{unknownTenant, func(_ *loop, q *wire.Request) { q.Tenant = []byte("nobody") }},
--- a/internal/node/server/response.go
+++ b/internal/node/server/response.go
@@ -46,7 +46,7 @@
 	if r == nil || !r.awaitsResponse() {
 		return
 	}
-	r.setShared(sharedNotAwaited)
+	r.setAwaits(awaitsNothing)
 	end := admission.RunEnd{ID: uint32(h), Outcome: admission.Failed}
 	a := wire.Response{Status: wire.StatusInternalServerError}
 	if ok {
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -52,7 +52,7 @@
 func loopWithStore(t *testing.T, d *heldDisk) *loop {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &loop{shared: shared{log: log, events: make(chan event, 64), limits: NewLimits(1, 64, 256)},
+	l := &loop{crossGoroutine: crossGoroutine{log: log, events: make(chan event, 64), limits: NewLimits(1, 64, 256)},
 		requestsInHand: requestsInHand{requests: newTable[request](8),
 			idempotency: newIdempotencyTable(10, 1000, 50)},
 		clients: clients{connections: newTable[connection](2)},
--- a/internal/node/server/run.go
+++ b/internal/node/server/run.go
@@ -82,7 +82,7 @@
 		longest = max(longest, h.Timeout)
 	}
 	l := &loop{
-		shared: shared{limits: limits, log: log, events: make(chan event, limits.EventQueue),
+		crossGoroutine: crossGoroutine{limits: limits, log: log, events: make(chan event, limits.EventQueue),
 			pool: bufferPool{capacity: limits.Buffers}, workers: workers},
 		configuration: configuration{startup: c, settings: c.settings,
 			names: make([]string, len(deployment.Handlers))},
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -219,8 +219,8 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &loop{loopTime: loopTime{now: 1000},
-		shared:    shared{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)},
-		upstreams: upstreams{dialTo: dialTCP}}
+		crossGoroutine: crossGoroutine{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)},
+		upstreams:      upstreams{dialTo: dialTCP}}
 	k := &l.discovery.link
 	k.peer, k.addr, k.delay, k.notBefore = peerDiscovery, "127.0.0.1:1", 900, 2000
 	l.moveLink(k, "127.0.0.1:2")
@@ -244,7 +244,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &loop{loopTime: loopTime{now: 1000},
-		shared:         shared{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)},
+		crossGoroutine: crossGoroutine{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)},
 		upstreams:      upstreams{dialTo: dialTCP, store: store1("127.0.0.1:1", NewLimits(1, 64, 256))},
 		requestsInHand: requestsInHand{requests: newTable[request](2)}}
 	h, r, _ := l.requests.take()
@@ -262,7 +262,7 @@
 
 // An answer proves that commands were read only once it is older than what a break may take with it.
 func TestProofIsLate(t *testing.T) {
-	l := &loop{loopTime: loopTime{now: 10000}, shared: shared{limits: NewLimits(1, 64, 256)}}
+	l := &loop{loopTime: loopTime{now: 10000}, crossGoroutine: crossGoroutine{limits: NewLimits(1, 64, 256)}}
 	k := &l.kernel
 	k.state, k.sent = kernelLive, 7
 	for _, step := range []struct {
@@ -270,8 +270,8 @@
 		acked uint64
 	}{{10000, 0}, {10500, 0}, {11000, 7}} {
 		l.now = step.at
-		if l.gaugesReceived(&wire.KernelEvent{Nonce: []byte("7")}); k.acked != step.acked {
-			t.Errorf("at %d commands to %d count as read, expected %d", l.now, k.acked, step.acked)
+		if l.gaugesReceived(&wire.KernelEvent{Nonce: []byte("7")}); k.provenRead != step.acked {
+			t.Errorf("at %d commands to %d count as read, expected %d", l.now, k.provenRead, step.acked)
 		}
 	}
 }
@@ -335,7 +335,7 @@
 		stop, before admission.Time
 	}{{1, 24_000, 380}, {0.1, 24_000, 1100}, {0.1, 4000, 500}} {
 		l := &loop{loopTime: loopTime{now: 5000}, drainState: drainState{stopAfter: c.stop},
-			shared: shared{limits: NewLimits(c.cores, 64, 256)}}
+			crossGoroutine: crossGoroutine{limits: NewLimits(c.cores, 64, 256)}}
 		l.startDrain()
 		if r := l.nextRound(); !r.Drain || r.KillAt != 5000+c.stop-c.before {
 			t.Errorf("%.1f cores, notice of %d: the module hears of a kill at %d, expected %d before %d", c.cores,
@@ -371,7 +371,7 @@
 // TestCallsGivenUp: a call that nobody waited for to the end counts with the time that it had, or a service that
 // answers nothing would look like one that nobody calls.
 func TestCallsGivenUp(t *testing.T) {
-	l := &loop{loopTime: loopTime{now: 5000}, shared: shared{limits: NewLimits(1, 64, 256)},
+	l := &loop{loopTime: loopTime{now: 5000}, crossGoroutine: crossGoroutine{limits: NewLimits(1, 64, 256)},
 		requestsInHand: requestsInHand{requests: newTable[request](8)},
 		fleet:          &fleetAgent{clock: bootTime, meter: zonegate.NewMeter(bootTime(), []float64{1})}}
 	r := &request{lifecycle: lifecycle{call: callSent}, storeCall: storeCall{callStarted: 2000}}
@@ -401,7 +401,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			l := &loop{loopTime: loopTime{now: deadline + test.after}, shared: shared{limits: limits},
+			l := &loop{loopTime: loopTime{now: deadline + test.after}, crossGoroutine: crossGoroutine{limits: limits},
 				requestsInHand: requestsInHand{requests: newTable[request](8)}}
 			h, r, _ := l.requests.take()
 			*r = request{lifecycle: lifecycle{run: runRunning, call: test.call},
@@ -431,7 +431,7 @@
 		settings: &settings.Startup{Deployment: d, HandlerIndex: map[string]int{"put": 0}}},
 		requestsInHand: requestsInHand{idempotency: newIdempotencyTable(2000, 1000, 6*admission.Second),
 			requests: newTable[request](8), byRequestID: map[string]handle{}},
-		shared: shared{limits: NewLimits(1, 64, 256)}, decisions: decisions{controller: admission.New(d)},
+		crossGoroutine: crossGoroutine{limits: NewLimits(1, 64, 256)}, decisions: decisions{controller: admission.New(d)},
 		loopTime: loopTime{stamps: clock.NewStamps(read, 12*time.Second)}}
 	stamp := wall
 	at, wall = at+2500*time.Millisecond, wall+2500*time.Millisecond
--- a/internal/node/server/writer.go
+++ b/internal/node/server/writer.go
@@ -31,7 +31,7 @@
 }
 
 // newWriter gives the sending side of a connection that the server opened itself.
-func (s *shared) newWriter(conn netpoll.Connection) *writer {
+func (s *crossGoroutine) newWriter(conn netpoll.Connection) *writer {
 	return &writer{conn: conn, pool: &s.pool, workers: s.workers, busy: &s.busy}
 }
 
