--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -80,8 +80,9 @@
 	return c, nil
 }
 
-// errUnknown says that a request may or may not have had its effect.
-var errUnknown = errors.New("no answer from any instance: what was asked for may or may not have been done")
+// errUnknown says that a request may or may not have had its effect. It stands also where each instance answered 503:
+// some of those, as after a timeout or a change of leaders, leave open whether the request took effect.
+var errUnknown = errors.New("no result from any instance: what was asked for may or may not have been done")
 
 // refusal is a response that is not 200.
 type refusal struct {
--- a/internal/cli/faulttest.go
+++ b/internal/cli/faulttest.go
@@ -58,7 +58,8 @@
 	f.IntVar(size, "size", 0, "nodes of the fleet of processes; 0 for 9")
 }
 
-// guardsFlag is --without. What a guard's absence breaks is in the pages on design.
+// guardsFlag is --without. What breaks without a guard stands at its constant, in guard.go of consensus and policy and
+// guards.go of zones.
 func guardsFlag(f *pflag.FlagSet, words *string, names []string) {
 	f.StringVar(words, "without", "", "guards to disable, separated by commas: "+strings.Join(names, ", "))
 }
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -86,7 +86,7 @@
 	if err = r.Validate(); err != nil {
 		return usage(err)
 	}
-	res, err := c.policyOp(ctx, policy.Op{Kind: "propose", Proposal: &r.Proposal})
+	res, err := c.policyOp(ctx, policy.Op{Kind: policy.OpPropose, Proposal: &r.Proposal})
 	switch {
 	case err != nil:
 		return err
@@ -261,7 +261,7 @@
 			if v.Current == nil {
 				return coded{errors.New("no change is under way"), exitRefused}
 			}
-			if _, err = c.policyOp(ctx, policy.Op{Kind: "off", ChangeNumber: v.Current.Number, Author: whoami(),
+			if _, err = c.policyOp(ctx, policy.Op{Kind: policy.OpAbort, ChangeNumber: v.Current.Number, Author: whoami(),
 				Reason: why}); err != nil {
 				return err
 			}
@@ -333,10 +333,21 @@
 			fmt.Fprintf(w, "change %d: version %d to %d, %s\n", ch.Number, ch.PreviousVersion, ch.Version, ch.Step)
 			printEvents(w, ch, 0)
 			if v.Current == ch {
-				for _, b := range append(v.RefusedBy, v.WaitingFor...) {
-					fmt.Fprintf(w, "             waits for %s of %s: it %s\n", b.Node, b.Zone, b.Reason)
-				}
+				printBlockers(w, "refused by", v.RefusedBy)
+				printBlockers(w, "waits for", v.WaitingFor)
 			}
 			return nil
 		})}
 }
+
+// printBlockers prints nodes that refuse the change under way or that it waits for. Nodes of a generation before have
+// no zone.
+func printBlockers(w io.Writer, verb string, blockers []policy.Blocker) {
+	for _, b := range blockers {
+		node := b.Node
+		if b.Zone != "" {
+			node += " (zone " + b.Zone + ")"
+		}
+		fmt.Fprintf(w, "             %s %s: %s\n", verb, node, b.Reason)
+	}
+}
--- a/internal/cli/tables_test.go
+++ b/internal/cli/tables_test.go
@@ -57,3 +57,18 @@
 		})
 	}
 }
+
+// TestBlockersOfChange: policy explain says who refuses a change apart from who is waited for. Nodes of the generation
+// before a restored group have no zone.
+func TestBlockersOfChange(t *testing.T) {
+	var out strings.Builder
+	printBlockers(&out, "refused by", []policy.Blocker{{Node: "n9", Zone: "z3", Reason: "class fill: not found"}})
+	printBlockers(&out, "waits for", []policy.Blocker{{Node: "n2", Zone: "z2", Reason: "has not prepared it"},
+		{Node: membership.UnknownNodes, Reason: "may act on their leases for 9 ms at most"}})
+	const want = "             refused by n9 (zone z3): class fill: not found\n" +
+		"             waits for n2 (zone z2): has not prepared it\n" +
+		"             waits for nodes of the generation before: may act on their leases for 9 ms at most\n"
+	if out.String() != want {
+		t.Errorf("found\n%s, expected\n%s", out.String(), want)
+	}
+}
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -229,8 +229,8 @@
 func newZonesReturn(a *access) *cobra.Command {
 	share := defaultReturnShare
 	return (&zoneStep{use: "return", short: "Begin a zone's recovery ramp",
-		long: `Begins with a share of traffic and raises it by what the dependencies show. Without --share it is
-a sixteenth.`,
+		long: `Sets the share of traffic, higher or lower than now, and raises it from there by what the dependencies
+show. Without --share it is 0.0625, also where the zone takes more already.`,
 		flags: func(c *cobra.Command) {
 			c.Flags().Float64Var(&share, "share", defaultReturnShare, "of traffic, to begin with")
 		},
--- a/internal/control/consensus/errors.go
+++ b/internal/control/consensus/errors.go
@@ -174,13 +174,16 @@
 // LogEntryError is for an entry of the log that is sound and not raft's, or not the one that belongs there. The folder
 // can't be used.
 type LogEntryError struct {
-	Index, Found uint64
-	Err          error // of its decoding; nil: the index is wrong
+	Index, Found uint64 // Found counts only where Err is nil
+	Err          error  // of its decoding; nil: the index is wrong
 }
 
 // Error says which entry it is and what was found there.
 func (e *LogEntryError) Error() string {
-	return fmt.Sprintf("entry %d of the log is not raft's: index %d, %v", e.Index, e.Found, e.Err)
+	if e.Err == nil {
+		return fmt.Sprintf("entry %d of the log: found index %d there", e.Index, e.Found)
+	}
+	return fmt.Sprintf("entry %d of the log can't be decoded: %v", e.Index, e.Err)
 }
 
 // Unwrap gives the error of its decoding.
