--- a/internal/control/consensus/api_answers.go
+++ b/internal/control/consensus/api_answers.go
@@ -77,6 +77,10 @@
 
 // statusOf decides what a client does about an error: 503 ask again, 507 tell the operator, 409 the state is against
 // the operation, 401 get the token, 404 and 410 ask for another version, 413 send less, 400 mend the request.
+//
+// 400 is also the status of every error that is not listed: an unknown node, and faults of this instance such as a
+// failed read of its disk. A client that gets 400 for a sound request looks at the error's text and at this instance's
+// log.
 func statusOf(err error) int {
 	for _, t := range temporary {
 		if errors.Is(err, t) {
--- a/internal/control/consensus/fleet_requests.go
+++ b/internal/control/consensus/fleet_requests.go
@@ -9,8 +9,8 @@
 	"umberwinch/internal/control/zones"
 )
 
-// submit has a request put to the leader's duties on the replica's goroutine and waits for its result. The error is
-// that of the request, ErrBusy, ErrStopped, or ErrTimeout once ctx is done; the request may take effect after an
+// submit calls a method of coordinator.Leader on the replica's goroutine and waits for its result. The error is that of
+// the request, ErrBusy, ErrStopped, or ErrTimeout once ctx is done; the request may take effect after an
 // ErrTimeout.
 func submit[T any](ctx context.Context, g *Group, request func(done func(T, error))) (result T, err error) {
 	type ended struct {
--- a/internal/control/consensus/leader.go
+++ b/internal/control/consensus/leader.go
@@ -15,7 +15,7 @@
 // still: nodes were not heard in a standstill, so their leases must not be held to it.
 const maxTicksPerStep = 4
 
-// tickLeader passes time, in ms, on to the leader's duties and proposes the entries that they have for the log.
+// tickLeader passes time, in ms, on to the coordinator.Leader and proposes the entries that it gives for the log.
 func (g *Group) tickLeader(ms uint64) {
 	r := g.replica
 	fleet := r.stateMachine.fleet
@@ -56,8 +56,8 @@
 	return uint64(min(ms, (maxTicksPerStep * g.control.Tick).Milliseconds()))
 }
 
-// operationsApplied logs what an operator should know of applied fleet entries and gives their outcomes to the leader's
-// duties, where callers may wait for them.
+// operationsApplied logs what an operator should know of applied fleet entries and gives their outcomes to the
+// coordinator.Leader, where callers may wait for them.
 func (g *Group) operationsApplied(outcomes []coordinator.Outcome) {
 	fleet := g.replica.stateMachine.fleet
 	for _, outcome := range outcomes {
--- a/internal/control/consensus/replica_propose.go
+++ b/internal/control/consensus/replica_propose.go
@@ -36,7 +36,8 @@
 	return r.node.Propose(raw)
 }
 
-// entry is what the log holds but puts, whose entries have no kind.
+// entry is the stored form of every entry of the log but a put. A put, which is a new version of the document, is
+// stored as a Put and is known by having no kind.
 type entry struct {
 	Kind string          `json:"kind"`
 	Body json.RawMessage `json:"body"`
@@ -44,7 +45,8 @@
 
 const kindLevel = "level"
 
-// ProposeEntry proposes an entry of a kind that came with a later level. That it was applied shows in its result.
+// ProposeEntry proposes an entry that is no put: of a kind that LevelVersions does not have. It checks for LevelFleet
+// alone; what came with later levels is the caller's to hold back. That it was applied shows in its result.
 // Errors are ErrBarred, ErrFeatureLevel, ErrLogNearLimit and raft.ErrProposalDropped.
 func (r *Replica) ProposeEntry(kind string, body []byte) error {
 	switch {
--- a/internal/control/coordinator/entry.go
+++ b/internal/control/coordinator/entry.go
@@ -46,7 +46,8 @@
 	apply(s *State, term uint64, v Versions) Outcome
 }
 
-// decodeEntry reads an entry. Its error is an *EntryError, an *UnknownKindError or policy.ErrEmptyProposal.
+// decodeEntry reads an entry. Errors call a batch of heartbeats a beat and an operation a step: their texts are part of
+// recorded decisions and stay. Its error is an *EntryError, an *UnknownKindError or policy.ErrEmptyProposal.
 func decodeEntry(kind string, body []byte) (command, error) {
 	switch kind {
 	case KindHeartbeats:
--- a/internal/control/coordinator/heartbeat.go
+++ b/internal/control/coordinator/heartbeat.go
@@ -21,8 +21,8 @@
 	}
 	l.listening.note(r.Name)
 	if last := r.LastSeen; last != nil && last.Group != "" && last.Group != l.cluster {
-		// A lease of another generation has a number that means another lease here. The node is told whose this is, and
-		// begins anew if it is the later one.
+		// The number of a lease of another generation may be that of another node's lease here. The response names this
+		// group, its generation and its predecessors; a node that followed a predecessor joins this group.
 		response := l.respond(s, api.HeartbeatResponse{EndedReason: endedGeneration})
 		response.Predecessors = s.Predecessors
 		done(response, nil)
--- a/internal/control/coordinator/leader.go
+++ b/internal/control/coordinator/leader.go
@@ -130,8 +130,8 @@
 		}
 		l.zoneOps.applied(o, func(op *zones.Op) bool { return op.IdempotencyKey == o.IdempotencyKey })
 	case policy.Result:
-		// Also for an operator's operation: if the rules' own is still on its way, the rules may append it a second
-		// time, and what comes twice is refused when it is applied.
+		// An operator's operation stops the timer too, though the leader's own may still be in flight. The leader may
+		// then append its own a second time; State.Apply rejects the second.
 		l.policyAppend.stop()
 		l.policyOps.applied(o, func(op *policy.Operation) bool { return o.IsOutcomeOf(*op) })
 	}
--- a/internal/control/policy/change.go
+++ b/internal/control/policy/change.go
@@ -8,7 +8,7 @@
 // Steps of a change, as stored and shown.
 const (
 	Preparing Step = "preparing" // nodes check it, try it and report
-	Decided   Step = "held"      // an exclusive change waits until nobody serves under an older version
+	Decided   Step = "held"      // decided, not committed: exclusive changes alone; others are committed at once
 	Committed Step = "in force"  // it may be served under; some nodes may not have heard
 	Settled   Step = "settled"   // nobody can serve under an older version any more
 	Aborted   Step = "called off"
--- a/internal/control/policy/errors.go
+++ b/internal/control/policy/errors.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// ErrSnapshot is what all errors of Restore wrap: the snapshot is torn, spoilt or not of a policy. Nothing of it is
-// used.
+// ErrSnapshot is what all errors of Restore wrap: the policy's part of a snapshot can't be read, as it is torn, spoilt
+// or of something else. Nothing of it is used.
 var ErrSnapshot = errors.New("a saved policy")
 
 // ErrEmptyProposal is for an operation that proposes a change without saying which.
--- a/internal/control/policy/guard.go
+++ b/internal/control/policy/guard.go
@@ -35,15 +35,16 @@
 	ArrivalOrder
 )
 
-// guardNames are what operators and tests type, in the order of the guards.
+// guardNames are what operators and tests type. The name at position i is that of the guard 1<<i, so a new guard is
+// added to both lists at the same place; TestGuardNames compares them.
 var guardNames = []string{"lease", "fence", "prepare-all", "decide-once", "incarnation", "no-way-back", "shadow",
 	"generation", "proof", "listen-first", "arrival-order"}
 
 // changeGuards is how many of guardNames, the first ones, are about a change of policy. The others are about
-// restoring a group and about a cold start.
+// restoring a group and about a cold start. A new guard of a change goes before those, and this number grows with it.
 const changeGuards = 7
 
-// Has tells whether a guard is disabled.
+// Has tells whether a guard is disabled: true means that a fault test took it out.
 func (g Guard) Has(one Guard) bool { return g&one != 0 }
 
 // GuardNamed gives a guard by its name, or an *UnknownGuardError.
--- a/internal/control/policy/op.go
+++ b/internal/control/policy/op.go
@@ -45,7 +45,8 @@
 }
 
 // Operation reads the stored form. Its error is ErrEmptyProposal. A kind that this program does not know is an
-// operation that every state rejects.
+// operation that this program's state rejects and a newer program's applies: their states would part. So the leader
+// may append a new kind only at a level of the group that came with it, as then each member knows the kind.
 func (op *Op) Operation() (Operation, error) {
 	switch op.Kind {
 	case OpPropose:
--- a/internal/control/policy/operation.go
+++ b/internal/control/policy/operation.go
@@ -29,7 +29,7 @@
 	Author       string // the operator; empty: the leader
 }
 
-// unknownOperation is one that this program does not know. It changes nothing.
+// unknownOperation is one that this program does not know. It changes nothing here; see Op.Operation.
 type unknownOperation struct {
 	Kind         OpKind
 	ChangeNumber uint64
--- a/internal/control/policy/policy_test.go
+++ b/internal/control/policy/policy_test.go
@@ -244,3 +244,22 @@
 		t.Errorf("found %v, %v", g, err)
 	}
 }
+
+// TestGuardNames: a fault test takes guards out by name. If names and constants were in different orders, it would take
+// out another guard than the one that it names, and the check that should find that would be another one too.
+func TestGuardNames(t *testing.T) {
+	named := map[string]Guard{"lease": LeaseGuard, "fence": Fence, "prepare-all": PrepareAll, "decide-once": DecideOnce,
+		"incarnation": Incarnation, "no-way-back": NoDowngrade, "shadow": Shadow, "generation": Generation,
+		"proof": Proof, "listen-first": ListenFirst, "arrival-order": ArrivalOrder}
+	if len(named) != len(guardNames) || ArrivalOrder != 1<<(len(guardNames)-1) {
+		t.Errorf("found %d names, expected one for each of %d guards", len(guardNames), len(named))
+	}
+	for name, want := range named {
+		if g, err := GuardNamed(name); err != nil || g != want {
+			t.Errorf("%s: found guard %b (%v), expected %b", name, g, err, want)
+		}
+	}
+	if names := GuardNames(); names[len(names)-1] != "shadow" {
+		t.Errorf("the last guard of a change is %s, expected shadow", names[len(names)-1])
+	}
+}
--- a/internal/control/zones/codec.go
+++ b/internal/control/zones/codec.go
@@ -1,6 +1,8 @@
 package zones
 
-// decode reads the stored form of an operation, with the fields that its kind has.
+// decode reads the stored form of an operation, with the fields that its kind has. A kind that this program does not
+// know is rejected here and applied by a newer program: their states would part. So the leader may append a new kind
+// only at a level of the group that came with it.
 func (op *Op) decode() operation {
 	on := target{op.Zone, op.Epoch}
 	budget := retryBudget{op.RetryBudget, op.NoCapacityElsewhere}
--- a/internal/control/zones/errors.go
+++ b/internal/control/zones/errors.go
@@ -32,7 +32,8 @@
 	return &RejectedError{Reason: reason, Text: fmt.Sprintf(format, args...)}
 }
 
-// ErrSnapshot is what all errors of Restore wrap: the snapshot is torn, spoilt or not of zones. Nothing of it is used.
+// ErrSnapshot is what all errors of Restore wrap: the zones' part of a snapshot can't be read, as it is torn, spoilt or
+// of something else. Nothing of it is used.
 var ErrSnapshot = errors.New("saved zones")
 
 // UnknownGuardError is given for a guard's name that there is not.
--- a/internal/control/zones/errors_test.go
+++ b/internal/control/zones/errors_test.go
@@ -64,3 +64,22 @@
 		t.Errorf("found %v, %v, expected %v", guard, err, SpareCapacity)
 	}
 }
+
+// TestGuardNames: a fault test takes guards out by name. If names and constants were in different orders, it would take
+// out another guard than the one that it names.
+func TestGuardNames(t *testing.T) {
+	named := map[string]Guard{"common-cause": CommonCause, "room": SpareCapacity, "one-epoch": OneEpoch,
+		"paced": PacedRamp, "step-back": StepBack, "retry-budget": RetryBudget, "lease-tokens": LeaseQuotas,
+		"small-start": ColdStart, "spread": RetryAfterSpread}
+	if len(named) != len(guardNames) || RetryAfterSpread != 1<<(len(guardNames)-1) {
+		t.Errorf("found %d names, expected one for each of %d guards", len(guardNames), len(named))
+	}
+	for name, want := range named {
+		if g, err := GuardNamed(name); err != nil || g != want {
+			t.Errorf("%s: found guard %b (%v), expected %b", name, g, err, want)
+		}
+	}
+	if names := GuardNames(); names[len(names)-1] != "lease-tokens" {
+		t.Errorf("the last guard of zones is %s, expected lease-tokens", names[len(names)-1])
+	}
+}
--- a/internal/control/zones/guards.go
+++ b/internal/control/zones/guards.go
@@ -26,14 +26,16 @@
 	RetryAfterSpread
 )
 
-// guardNames are what commands take, in the order of the constants; scripts have these spellings.
+// guardNames are what commands take; scripts have these spellings. The name at position i is that of the guard 1<<i, so
+// a new guard is added to both lists at the same place; TestGuardNames compares them.
 var guardNames = []string{"common-cause", "room", "one-epoch", "paced", "step-back", "retry-budget", "lease-tokens",
 	"small-start", "spread"}
 
-// zoneGuards is how many of them concern zones; the others concern the start of a fleet.
+// zoneGuards is how many of guardNames, the first ones, concern zones; the others concern the start of a fleet. A new
+// guard of zones goes before those, and this number grows with it.
 const zoneGuards = 7
 
-// Has reports whether a guard is taken out.
+// Has reports whether a guard is disabled: true means that a fault test took it out.
 func (g Guard) Has(one Guard) bool { return g&one != 0 }
 
 // GuardNamed returns a guard by its name, or an *UnknownGuardError.
--- a/internal/control/zones/ramp.go
+++ b/internal/control/zones/ramp.go
@@ -39,6 +39,9 @@
 // The reason: only what was seen at the present share tells what services that may be cold bear; no clock does, but
 // for the end of a ramp (finishRamp). It acts while a zone, or the fleet as a whole, ramps. A step that is too large
 // may overload the services below; one that is too small prolongs the ramp.
+//
+// Three waits set no note in the view: for the epoch to settle, for the least time at a share, and for the end of an
+// operator's hold (decideFor).
 func (d *decider) continueRamp(zone *Zone, view *View) operation {
 	if view.silent() {
 		if view.FailureScore >= evacuateScore {
--- a/internal/node/agent/response.go
+++ b/internal/node/agent/response.go
@@ -69,7 +69,9 @@
 		h.hasten(a.lease.renewAt)
 	}
 	if h.renews && !granted {
-		a.lease.renewAt = now // its promise came too late for time: the next one is newer
+		// The leader did not extend the lease, as the heartbeat promised an older version or zone epoch than is decided
+		// now. This response brought the newer one, so the node asks again at once.
+		a.lease.renewAt = now
 	}
 	if promises || a.lease.renewAt <= now {
 		h.nextAt = now + minHeartbeatInterval
