--- a/internal/cli/faulttest.go
+++ b/internal/cli/faulttest.go
@@ -309,10 +309,10 @@
 			return err
 		}
 		if g, err := zones.GuardNamed(name); err == nil {
-			r.Without |= g
+			r.WithoutZoneGuards |= g
 		}
 		if g, err := policy.GuardNamed(name); err == nil {
-			r.Lead |= g
+			r.WithoutPolicyGuards |= g
 		}
 	}
 	return nil
--- a/internal/harness/fleet_control.go
+++ b/internal/harness/fleet_control.go
@@ -60,8 +60,8 @@
 	return out, nil
 }
 
-// AllServe waits until every node that is up serves under a version, and is ready by the platform's list.
-func (r *FleetProcesses) AllServe(version uint64, within time.Duration) error {
+// AwaitAllServing waits until every node that is up serves under a version, and is ready by the platform's list.
+func (r *FleetProcesses) AwaitAllServing(version uint64, within time.Duration) error {
 	return r.await(within, func() error {
 		all, err := r.Nodes()
 		if err != nil {
@@ -124,7 +124,7 @@
 			policy.Result
 			Error string `json:"error"`
 		}
-		code, err := r.ask(http.MethodPost, "/v1/policy", policy.Op{Kind: "propose", Proposal: &p}, &res)
+		code, err := r.ask(http.MethodPost, "/v1/policy", policy.Op{Kind: policy.OpPropose, Proposal: &p}, &res)
 		if err == nil && code != http.StatusOK {
 			err = errors.New(res.Error)
 		}
@@ -134,8 +134,8 @@
 	return number, version, err
 }
 
-// Step waits until a change is at one of some steps.
-func (r *FleetProcesses) Step(number uint64, within time.Duration, steps ...policy.Step) (*policy.Change, error) {
+// AwaitStep waits until a change is at one of some steps.
+func (r *FleetProcesses) AwaitStep(number uint64, within time.Duration, steps ...policy.Step) (*policy.Change, error) {
 	var c *policy.Change
 	err := r.await(within, func() error {
 		v, err := r.Policy()
@@ -162,8 +162,8 @@
 	return c, err
 }
 
-// Prepared waits until the leader heard from a node that it prepared a version.
-func (r *FleetProcesses) Prepared(node string, version uint64) error {
+// AwaitPrepared waits until the leader heard from a node that it prepared a version.
+func (r *FleetProcesses) AwaitPrepared(node string, version uint64) error {
 	return r.await(10*time.Second, func() error {
 		all, err := r.Nodes()
 		if err == nil && all[node].PreparedVersion != version {
--- a/internal/harness/fleet_history.go
+++ b/internal/harness/fleet_history.go
@@ -185,9 +185,9 @@
 	return events, err
 }
 
-// settle is within which a process that goes on has said that its first round fenced it, in tenths of a ms: a busy
+// fenceLogGrace, in tenths of a ms, is within which a resumed process has logged that its first round fenced it: a busy
 // machine may let it wait for a core.
-const settle = 10_000
+const fenceLogGrace = 10_000
 
 // nodeHistory makes spans of service of what a node's log and the scenario say: a process that stands still serves
 // nothing, and one that goes on serves what it did unless its first round fenced it.
@@ -222,7 +222,7 @@
 			}
 			fenced := false
 			for _, o := range told { // logs have whole ms: a line may seem to come before what brought it about
-				fenced = fenced || o.Kind == "stops" && o.At > e.At-10 && o.At <= e.At+settle
+				fenced = fenced || o.Kind == "stops" && o.At > e.At-10 && o.At <= e.At+fenceLogGrace
 			}
 			if !fenced {
 				serves = true
--- a/internal/harness/fleet_load.go
+++ b/internal/harness/fleet_load.go
@@ -165,7 +165,7 @@
 
 // pause waits before an attempt after the first ones, unless that would be for nobody: then it gives false.
 func (q *clientCall) pause() bool {
-	if q.attempts < atOnce || q.r.RetryAtOnce {
+	if q.attempts < triesWithoutPause || q.r.RetryAtOnce {
 		return true
 	}
 	if q.backoff > time.Until(q.deadline) {
--- a/internal/harness/fleet_processes.go
+++ b/internal/harness/fleet_processes.go
@@ -120,7 +120,7 @@
 			r.background.Go(func() { n.proc.restartWhenEnded(r.ctx, n.Start) })
 		}
 	}
-	return r.AllServe(0, time.Minute)
+	return r.AwaitAllServing(0, time.Minute)
 }
 
 // WithoutEnv names guards that processes of a fleet leave out.
@@ -190,11 +190,11 @@
 	return p, nil
 }
 
-// A caller asks three nodes at once, one after the other, then waits before each further try, twice as long each time
-// from 30 ms: nine attempts in the 3 s that most requests have. Without a pace callers take the cores that a fleet
-// which is down needs to come up, where machines are short of them.
+// A caller tries three nodes one after the other without a pause, then waits before each further try, twice as long
+// each time from 30 ms: nine attempts in the 3 s that most requests have. Without a pace callers take the cores that a
+// fleet which is down needs to come up, where machines are short of them.
 const (
-	maxTries = 20 // of those that are Eager; the others' time is over before
-	atOnce   = 3
-	firstGap = 30 * time.Millisecond
+	maxTries          = 20 // of those that are Eager; the others' time is over before
+	triesWithoutPause = 3
+	firstGap          = 30 * time.Millisecond
 )
--- a/internal/harness/fleet_processes_test.go
+++ b/internal/harness/fleet_processes_test.go
@@ -157,7 +157,7 @@
 	}))
 	number, _, err := b.Propose(b.text(""), policyProposal(2000))
 	fail("a change", err)
-	c, err := b.Step(number, 20*time.Second, "called off", "settled")
+	c, err := b.AwaitStep(number, 20*time.Second, "called off", "settled")
 	fail("its end", err)
 	if c.Step != "called off" || !strings.Contains(c.AbortReason, "n1 (is silent and may serve alone") {
 		t.Fatalf("change %+v, expected it called off for n1", c)
@@ -201,7 +201,7 @@
 		fail("the group's start", b.group.start(p, ""))
 	}
 	b.heal()
-	fail("the fleet with the group", b.AllServe(version, 30*time.Second))
+	fail("the fleet with the group", b.AwaitAllServing(version, 30*time.Second))
 	if _, err = b.Check(simulation.FleetPromises{}); err != nil {
 		t.Error(err)
 	}
--- a/internal/harness/local_fleet.go
+++ b/internal/harness/local_fleet.go
@@ -39,10 +39,10 @@
 	defer r.Close()
 	number, version, err := r.Propose(policyText(5*time.Second, "fence", 1, ""), policy.Proposal{Reason: "the first"})
 	if err == nil {
-		_, err = r.Step(number, 30*time.Second, policy.Settled)
+		_, err = r.AwaitStep(number, 30*time.Second, policy.Settled)
 	}
 	if err == nil {
-		err = r.AllServe(version, 20*time.Second)
+		err = r.AwaitAllServing(version, 20*time.Second)
 	}
 	if err != nil {
 		return err
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -219,7 +219,7 @@
 	err := runCase(func() { c.run(b) })
 	b.heal()
 	if err == nil {
-		err = b.AllServe(b.committedVersion, 60*time.Second)
+		err = b.AwaitAllServing(b.committedVersion, 60*time.Second)
 	}
 	if err == nil {
 		_, err = b.Check(b.promises())
@@ -246,7 +246,7 @@
 		rep.Add(what+"_ms_99th", "%.0f", calls.quantile(0.99))
 	}
 	b.heal()
-	return b.AllServe(b.committedVersion, 20*time.Second)
+	return b.AwaitAllServing(b.committedVersion, 20*time.Second)
 }
 
 // many makes changes one after the other under load, none of which a caller may notice.
--- a/internal/harness/policy_cases.go
+++ b/internal/harness/policy_cases.go
@@ -36,7 +36,7 @@
 	// the node serves under the new version.
 	{name: "killed before it prepared", run: func(b *policyFixture) {
 		n := b.nodes[0]
-		c := b.proposeHeld(n, policy.Proposal{})
+		c := b.proposeBlockedBy(n, policy.Proposal{})
 		n.Kill()
 		b.heal()
 		b.mustSettle(c)
@@ -47,7 +47,7 @@
 	// the node serves under the new version.
 	{name: "killed after it prepared", run: func(b *policyFixture) {
 		slow, n := b.nodes[1], b.nodes[0]
-		c := b.proposeHeld(slow, policy.Proposal{}, n)
+		c := b.proposeBlockedBy(slow, policy.Proposal{}, n)
 		n.Kill()
 		b.heal()
 		b.mustSettle(c)
@@ -58,11 +58,11 @@
 	// fenced as its lease ends. The change settles; both serve under it once they are told.
 	{name: "killed between the decision and being told", run: func(b *policyFixture) {
 		slow, n, cut := b.nodes[1], b.nodes[0], b.nodes[2]
-		c := b.proposeHeld(slow, policy.Proposal{}, n, cut)
+		c := b.proposeBlockedBy(slow, policy.Proposal{}, n, cut)
 		b.setLinkFault(linkFault{dropReplies: true}, n, cut) // neither hears any more, and the slow one goes on
 		b.release(slow, c, policy.Committed, policy.Settled)
 		n.Kill() // the other one is fenced instead
-		mustGet(b.Step(c.number, 20*time.Second, policy.Settled))
+		mustGet(b.AwaitStep(c.number, 20*time.Second, policy.Settled))
 		b.heal()
 		must(n.Start())
 		b.settleWhenHealed(c)
@@ -96,13 +96,13 @@
 	}},
 	// The leader is killed while a node has yet to prepare a change. The next leader settles it.
 	{name: "the leader killed while nodes prepare", run: func(b *policyFixture) {
-		b.loseLeader(b.proposeHeld(b.nodes[4%len(b.nodes)], policy.Proposal{}, b.nodes[0]))
+		b.loseLeader(b.proposeBlockedBy(b.nodes[4%len(b.nodes)], policy.Proposal{}, b.nodes[0]))
 	}},
-	// An exclusive change is decided, but waits for a node that prepared it and hears nothing. The leader is killed
-	// then; the next one settles the change.
+	// An exclusive change is decided (held, policy.Decided), but waits for a node that prepared it and hears nothing.
+	// The leader is killed then; the next one settles the change.
 	{name: "the leader killed while it is held, without overlap", run: func(b *policyFixture) {
 		cut, slow := b.nodes[5%len(b.nodes)], b.nodes[1]
-		c := b.proposeHeld(slow, policy.Proposal{Exclusive: true}, cut)
+		c := b.proposeBlockedBy(slow, policy.Proposal{Exclusive: true}, cut)
 		b.setLinkFault(linkFault{dropReplies: true}, cut)
 		b.release(slow, c, policy.Decided, policy.Committed, policy.Settled)
 		b.loseLeader(c)
@@ -110,7 +110,7 @@
 	// Two of three instances are killed in the middle of a change, for longer than any lease. The nodes are fenced;
 	// with the majority back the change settles.
 	{name: "no majority in the middle, and back", run: func(b *policyFixture) {
-		c := b.proposeHeld(b.nodes[1], policy.Proposal{PrepareWithinMS: 30_000})
+		c := b.proposeBlockedBy(b.nodes[1], policy.Proposal{PrepareWithinMS: 30_000})
 		b.eachButFirst(b.group.kill)
 		time.Sleep(b.lease + b.lease/2) // past every lease
 		b.heal()
@@ -140,18 +140,19 @@
 	// A node never gets the new version. The change is called off when its time to prepare is over, and all serve on
 	// under the old one.
 	{name: "a node never answers", run: func(b *policyFixture) {
-		mustGet(b.awaitAborted(b.proposeHeld(b.nodes[0], policy.Proposal{PrepareWithinMS: 3000}).number))
+		mustGet(b.awaitAborted(b.proposeBlockedBy(b.nodes[0], policy.Proposal{PrepareWithinMS: 3000}).number))
 	}},
 	// A node never gets the new version, but the change may leave one node behind. It settles without the node, which
 	// follows once it can.
 	{name: "it is left behind, and comes after", run: func(b *policyFixture) {
-		b.settleWhenHealed(b.proposeHeld(b.nodes[0], policy.Proposal{PrepareWithinMS: 3000, MaxLeftBehind: 1}))
+		b.settleWhenHealed(b.proposeBlockedBy(b.nodes[0], policy.Proposal{PrepareWithinMS: 3000, MaxLeftBehind: 1}))
 	}},
 	// A node that said it prepared a version is killed and started again while another holds the change up. The change
-	// counts on what its new incarnation says, and settles.
+	// counts on what its new incarnation says, and settles. The node keeps its folder, so it has the version; "its next
+	// incarnation hears nothing" has one that forgets.
 	{name: "says prepared and forgets it", run: func(b *policyFixture) {
 		slow, n := b.nodes[1], b.nodes[0]
-		c := b.proposeHeld(slow, policy.Proposal{}, n)
+		c := b.proposeBlockedBy(slow, policy.Proposal{}, n)
 		n.Kill()
 		must(n.Start())
 		b.setLinkFault(linkFault{}, slow)
@@ -180,7 +181,7 @@
 		c := proposedChange{}
 		err := runCase(func() {
 			c = b.propose("", policy.Proposal{PrepareWithinMS: 20_000})
-			mustGet(b.Step(c.number, 30*time.Second, policy.Settled))
+			mustGet(b.AwaitStep(c.number, 30*time.Second, policy.Settled))
 		})
 		close(stop)
 		must(errors.Join(err, <-done))
@@ -191,9 +192,9 @@
 	{name: "joins in the middle", run: func(b *policyFixture) {
 		n, slow := b.nodes[0], b.nodes[1]
 		n.Kill()
-		c := b.proposeHeld(slow, policy.Proposal{})
+		c := b.proposeBlockedBy(slow, policy.Proposal{})
 		must(n.Start())
-		must(b.Prepared(n.name, c.version))
+		must(b.AwaitPrepared(n.name, c.version))
 		b.heal()
 		b.mustSettle(c)
 	}},
@@ -201,7 +202,7 @@
 	// started again it serves under the new version.
 	{name: "drains in the middle", run: func(b *policyFixture) {
 		n, slow := b.nodes[0], b.nodes[1]
-		c := b.proposeHeld(slow, policy.Proposal{})
+		c := b.proposeBlockedBy(slow, policy.Proposal{})
 		n.Drain()
 		must(b.await(10*time.Second, func() error {
 			all, err := b.Nodes()
@@ -234,16 +235,16 @@
 	// decided first, and can't be called off any more.
 	{name: "called off before it is decided, and not after", run: func(b *policyFixture) {
 		slow := b.nodes[1]
-		c := b.proposeHeld(slow, policy.Proposal{})
+		c := b.proposeBlockedBy(slow, policy.Proposal{})
 		if no := mustGet(b.abort(c.number)); no != "" {
 			must(fmt.Errorf("before it is decided: %s, expected it called off", no))
 		}
 		mustGet(b.awaitAborted(c.number))
 		b.heal()
-		c = b.proposeHeld(slow, policy.Proposal{}, b.nodes[0])
+		c = b.proposeBlockedBy(slow, policy.Proposal{}, b.nodes[0])
 		b.setLinkFault(linkFault{}, slow)
-		must(b.Prepared(slow.name, c.version))
-		mustGet(b.Step(c.number, 20*time.Second, policy.Committed, policy.Settled))
+		must(b.AwaitPrepared(slow.name, c.version))
+		mustGet(b.AwaitStep(c.number, 20*time.Second, policy.Committed, policy.Settled))
 		if mustGet(b.abort(c.number)) == "" {
 			must(errors.New("after it was decided: called off, expected a no"))
 		}
@@ -258,7 +259,7 @@
 		mustGet(b.change(policy.Proposal{}))
 		b.lease = realLease // of the next one
 		slow, n := b.nodes[1], b.nodes[0]
-		c := b.proposeHeld(slow, policy.Proposal{PrepareWithinMS: 30_000}, n)
+		c := b.proposeBlockedBy(slow, policy.Proposal{PrepareWithinMS: 30_000}, n)
 		n.Kill()
 		must(os.Remove(filepath.Join(n.folder, "policy.json"))) // it forgets what it prepared
 		b.setLinkFault(linkFault{dropReplies: true}, n)         // it joins, and no answer reaches it
@@ -319,7 +320,7 @@
 	// settled; the next one settles it.
 	{name: "the leader killed before it has settled", run: func(b *policyFixture) {
 		cut, slow := b.nodes[5%len(b.nodes)], b.nodes[1]
-		c := b.proposeHeld(slow, policy.Proposal{}, cut)
+		c := b.proposeBlockedBy(slow, policy.Proposal{}, cut)
 		b.setLinkFault(linkFault{dropReplies: true}, cut)
 		b.release(slow, c, policy.Committed, policy.Settled)
 		b.loseLeader(c)
@@ -333,7 +334,7 @@
 				must(b.group.start(p, point))
 				b.mustAllServe(b.committedVersion)
 			}
-			c := b.proposeHeld(b.nodes[2], policy.Proposal{Exclusive: true})
+			c := b.proposeBlockedBy(b.nodes[2], policy.Proposal{Exclusive: true})
 			p := mustGet(b.killLeader()) // by the step it is armed for
 			b.heal()
 			b.mustStart(p)
--- a/internal/harness/policy_fixture.go
+++ b/internal/harness/policy_fixture.go
@@ -48,7 +48,7 @@
 }
 
 func (b *policyFixture) awaitSettled(number, version uint64) (*policy.Change, error) {
-	c, err := b.Step(number, 30*time.Second, policy.Settled, policy.Aborted)
+	c, err := b.AwaitStep(number, 30*time.Second, policy.Settled, policy.Aborted)
 	if err != nil {
 		return c, err
 	}
@@ -56,19 +56,19 @@
 		return c, fmt.Errorf("change %d was called off: %s", number, c.AbortReason)
 	}
 	b.committedVersion = version
-	return c, b.AllServe(version, 20*time.Second)
+	return c, b.AwaitAllServing(version, 20*time.Second)
 }
 
 // awaitAborted waits until a change is called off, and holds the fleet to serving on under the older version.
 func (b *policyFixture) awaitAborted(number uint64) (*policy.Change, error) {
-	c, err := b.Step(number, 40*time.Second, policy.Settled, policy.Aborted)
+	c, err := b.AwaitStep(number, 40*time.Second, policy.Settled, policy.Aborted)
 	if err != nil {
 		return c, err
 	}
 	if c.Step != policy.Aborted {
 		return c, fmt.Errorf("change %d is settled, expected it called off", number)
 	}
-	return c, b.AllServe(b.committedVersion, 20*time.Second)
+	return c, b.AwaitAllServing(b.committedVersion, 20*time.Second)
 }
 
 // abort has an operator call a change off, and gives why it was not.
@@ -76,7 +76,7 @@
 	var res struct {
 		Error string `json:"error"`
 	}
-	_, err = b.ask(http.MethodPost, "/v1/policy", policy.Op{Kind: "off", ChangeNumber: number, Author: "lab",
+	_, err = b.ask(http.MethodPost, "/v1/policy", policy.Op{Kind: policy.OpAbort, ChangeNumber: number, Author: "lab",
 		Reason: "on second thoughts"},
 		&res)
 	return res.Error, err
@@ -148,13 +148,13 @@
 	return proposedChange{number, version}
 }
 
-// proposeHeld begins a change that one node does not get to prepare, so that it stays at the first step; others have
+// proposeBlockedBy begins a change that stays at the step preparing, as one node does not get its text; others have
 // prepared it.
-func (b *policyFixture) proposeHeld(slow *nodeProcess, p policy.Proposal, others ...*nodeProcess) proposedChange {
+func (b *policyFixture) proposeBlockedBy(slow *nodeProcess, p policy.Proposal, others ...*nodeProcess) proposedChange {
 	b.setLinkFault(linkFault{swallowPrefix: "GET /v1/config"}, slow)
 	c := b.propose("", p)
 	for _, n := range others {
-		must(b.Prepared(n.name, c.version))
+		must(b.AwaitPrepared(n.name, c.version))
 	}
 	return c
 }
@@ -162,7 +162,7 @@
 // release lets a node that was held take part again, and waits until the change stands at one of some steps.
 func (b *policyFixture) release(slow *nodeProcess, c proposedChange, steps ...policy.Step) *policy.Change {
 	b.setLinkFault(linkFault{}, slow)
-	return mustGet(b.Step(c.number, 30*time.Second, steps...))
+	return mustGet(b.AwaitStep(c.number, 30*time.Second, steps...))
 }
 
 // mustSettle waits until a change has settled and all that are up serve under it.
@@ -173,13 +173,15 @@
 // settleWhenHealed waits until a change that not all nodes could take part in has settled, ends all link faults, and
 // waits until all serve under it.
 func (b *policyFixture) settleWhenHealed(c proposedChange) {
-	mustGet(b.Step(c.number, 30*time.Second, policy.Settled))
+	mustGet(b.AwaitStep(c.number, 30*time.Second, policy.Settled))
 	b.heal()
 	b.committedVersion = c.version
 	b.mustAllServe(c.version)
 }
 
-func (b *policyFixture) mustAllServe(version uint64) { must(b.AllServe(version, 60*time.Second)) }
+func (b *policyFixture) mustAllServe(version uint64) {
+	must(b.AwaitAllServing(version, 60*time.Second))
+}
 
 // loseLeader kills the leader, has the others settle a change, and starts it again.
 func (b *policyFixture) loseLeader(c proposedChange) {
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -24,13 +24,14 @@
 	Size          int
 	Out           string
 	ProcessGuards string
-	Without       zones.Guard
-	Lead          policy.Guard // taken out of the leader, in virtual time
-	Mode          string
-	Program       string
-	Only          string
-	Part          int
-	Parts         int
+	// WithoutZoneGuards and WithoutPolicyGuards are taken out in virtual time, the latter of the leader.
+	WithoutZoneGuards   zones.Guard
+	WithoutPolicyGuards policy.Guard
+	Mode                string
+	Program             string
+	Only                string
+	Part                int
+	Parts               int
 }
 
 // Run plays restarts in virtual time beside baselines and the lower bound, then the hard cases on processes.
@@ -40,7 +41,7 @@
 			"TRIES A REQ"}}
 	rep.Add("seed", "%d", r.Seed)
 	if r.Mode != "real" {
-		entries, largest, worst, broken := joinAll(r.Seed, 5000, r.Lead)
+		entries, largest, worst, broken := joinAll(r.Seed, 5000, r.WithoutPolicyGuards)
 		rep.Add("crowd_entries", "%d", entries)
 		rep.Add("crowd_largest", "%d", largest)
 		rep.Add("crowd_worst_ms", "%d", worst)
@@ -94,7 +95,7 @@
 func (r *RecoveryTest) playRestart(rep *report.Report, n int, load float64) {
 	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n,
 		Kinds: []string{simulation.ZoneRestart, simulation.ZoneRestart, simulation.ZoneRestart},
-		Fails: 15_000, Heals: 17_000, Ends: 300_000, Load: load, Without: r.Without}
+		Fails: 15_000, Heals: 17_000, Ends: 300_000, Load: load, Without: r.WithoutZoneGuards}
 	if n > 1000 {
 		base.Ends = 200_000
 	}
--- a/internal/harness/recovery_cases.go
+++ b/internal/harness/recovery_cases.go
@@ -269,7 +269,7 @@
 			time.Sleep(time.Second)
 			b.startNodes(0, b.nodes...)
 			// In force by then or called off: either way all serve under one version.
-			if mustGet(b.Step(c.number, 40*time.Second, policy.Settled, policy.Aborted)).Step == policy.Settled {
+			if mustGet(b.AwaitStep(c.number, 40*time.Second, policy.Settled, policy.Aborted)).Step == policy.Settled {
 				b.committedVersion = c.version
 			}
 			b.mustAllServe(b.committedVersion)
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -30,7 +30,7 @@
 	Part          int
 	Parts         int
 
-	cases []zoneCase // those of another direction, in place of zoneCases
+	cases []zoneCase // the cases to play; nil: zoneCases. RecoveryTest sets recoveryCases
 }
 
 // Run plays schedules and large fleets in virtual time, then processes, and reports.
@@ -271,7 +271,7 @@
 	err := runCase(func() { c.run(b) })
 	b.heal()
 	if err == nil {
-		err = b.AllServe(b.committedVersion, 40*time.Second)
+		err = b.AwaitAllServing(b.committedVersion, 40*time.Second)
 	}
 	if err == nil {
 		err = b.checkHistory(began)
--- a/internal/harness/zones_fixture.go
+++ b/internal/harness/zones_fixture.go
@@ -86,7 +86,7 @@
 		}
 		return err
 	}
-	return b.AllServe(b.committedVersion, 60*time.Second)
+	return b.AwaitAllServing(b.committedVersion, 60*time.Second)
 }
 
 // checkNoEvacuation holds the fleet to leaving no zone for a while.
--- a/internal/simulation/fleet_history.go
+++ b/internal/simulation/fleet_history.go
@@ -8,8 +8,10 @@
 
 // FleetEvent is one thing that a run of a fleet recorded. Times are tenths of a ms by one clock that sees all.
 type FleetEvent struct {
-	At      int64
-	Kind    string // serves, stops: a node's; decided, forced, settled, off: the group's
+	At int64
+	// Kind is serves or stops of a node; decided, forced (policy.Committed), settled or off (policy.Aborted) of the group.
+	// The harness has takes, pause and resume of a process too, and makes them serves and stops before the check.
+	Kind    string
 	Node    string
 	Version uint64
 	From    uint64 // decided, off: the version before it
@@ -62,9 +64,9 @@
 	events := append([]FleetEvent(nil), all...)
 	sort.SliceStable(events, func(i, k int) bool { return events[i].At < events[k].At })
 	c := &historyCheck{
-		open:   map[string]int{},
-		served: map[string]uint64{},
-		ends:   map[uint64]*versionEnd{},
+		open:     map[string]int{},
+		served:   map[string]uint64{},
+		outcomes: map[uint64]*changeOutcome{},
 	}
 	for _, e := range events {
 		if broken = c.take(e); broken != "" {
@@ -94,9 +96,9 @@
 	from, to int64
 }
 
-// versionEnd is what became of the change to a version, and when. A version that isn't decided or settled has
+// changeOutcome is what became of the change to a version, and when. A version that isn't decided or settled has
 // notYet as that time; one that has no step of its own in which it is committed is committed from the beginning.
-type versionEnd struct {
+type changeOutcome struct {
 	outcome   string // decided, or called off
 	decided   int64
 	forced    int64
@@ -107,19 +109,19 @@
 
 // historyCheck is what a history tells, by node and by version.
 type historyCheck struct {
-	spans   []serviceSpan
-	open    map[string]int    // a node's span that has not ended
-	served  map[string]uint64 // the newest version a node served under
-	ends    map[uint64]*versionEnd
-	order   []uint64 // versions as they were decided
-	overlap int64
+	spans    []serviceSpan
+	open     map[string]int    // a node's span that has not ended
+	served   map[string]uint64 // the newest version a node served under
+	outcomes map[uint64]*changeOutcome
+	order    []uint64 // versions as they were decided
+	overlap  int64
 }
 
-func (c *historyCheck) end(version uint64) *versionEnd {
-	if c.ends[version] == nil {
-		c.ends[version] = &versionEnd{decided: notYet, forced: math.MinInt64, settled: notYet}
+func (c *historyCheck) outcome(version uint64) *changeOutcome {
+	if c.outcomes[version] == nil {
+		c.outcomes[version] = &changeOutcome{decided: notYet, forced: math.MinInt64, settled: notYet}
 	}
-	return c.ends[version]
+	return c.outcomes[version]
 }
 
 // take notes one event. A version ends once, and no node goes back to an older one.
@@ -133,22 +135,22 @@
 			delete(c.open, e.Node)
 		}
 	case "decided":
-		v := c.end(e.Version)
+		v := c.outcome(e.Version)
 		if v.outcome != "" {
 			return fmt.Sprintf("version %d was decided and %s before", e.Version, v.outcome)
 		}
 		v.outcome, v.decided, v.exclusive, v.first = "decided", e.At, e.Excl, e.From == 0
 		c.order = append(c.order, e.Version)
 	case "forced":
-		c.end(e.Version).forced = e.At
+		c.outcome(e.Version).forced = e.At
 	case "settled":
-		v := c.end(e.Version)
+		v := c.outcome(e.Version)
 		if v.outcome != "decided" {
 			return fmt.Sprintf("version %d was settled and never decided", e.Version)
 		}
 		v.settled = e.At
 	case "off":
-		v := c.end(e.Version)
+		v := c.outcome(e.Version)
 		if v.outcome != "" {
 			return fmt.Sprintf("version %d was called off and %s before", e.Version, v.outcome)
 		}
@@ -177,7 +179,7 @@
 	if s.version == 0 {
 		return ""
 	}
-	v := c.end(s.version)
+	v := c.outcome(s.version)
 	switch {
 	case v.outcome == "called off":
 		return fmt.Sprintf("%s served under version %d, which was called off", s.node, s.version)
@@ -193,7 +195,7 @@
 
 // checkChange: after a change has settled nobody serves under an older version, and until then the overlap is bounded.
 func (c *historyCheck) checkChange(version uint64, p FleetPromises) (broken string) {
-	v := c.end(version)
+	v := c.outcome(version)
 	begin, last, who := notYet, int64(-1), ""
 	for _, s := range c.spans {
 		if s.version >= version {
--- a/internal/simulation/fleet_operator.go
+++ b/internal/simulation/fleet_operator.go
@@ -14,7 +14,7 @@
 	}
 	v := w.addVersion()
 	w.failsTrial[w.hashes[v-1]] = v > 2 && !w.Calm && w.random.Intn(12) == 0
-	w.submitPolicy(policy.Op{Kind: "propose", Proposal: &policy.Proposal{Version: v, Exclusive: excl,
+	w.submitPolicy(policy.Op{Kind: policy.OpPropose, Proposal: &policy.Proposal{Version: v, Exclusive: excl,
 		PrepareWithinMS: 2*uint64(w.Lease) + 4000, MaxLeftBehind: spare, Author: "lab",
 		IdempotencyKey: fmt.Sprintf("change-%08d", v)}})
 }
@@ -48,7 +48,7 @@
 
 func (w *Fleet) abortChange(number uint64) {
 	if w.leader >= 0 && w.instances[w.leader].up {
-		op := policy.Op{Kind: "off", ChangeNumber: number, Author: "lab", Reason: "it is called off"}
+		op := policy.Op{Kind: policy.OpAbort, ChangeNumber: number, Author: "lab", Reason: "it is called off"}
 		w.instances[w.leader].coordinator.SubmitPolicy(op, func(policy.Result, error) {})
 	}
 }
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -26,7 +26,7 @@
 	ZoneNoise        = "noise"    // half of the reports are missing, the others vary
 )
 
-// classFractions and flowValue are the classes of the flows: shares and values.
+// classFractions are the three classes' parts of what arrives, classWeights their priority weights.
 var classFractions, classWeights = [3]float64{0.7, 0.2, 0.1}, [3]float64{1, 2, 20}
 
 // maxAttempts is how often a caller sends one request at most.
