--- a/internal/harness/fleet_processes_test.go
+++ b/internal/harness/fleet_processes_test.go
@@ -12,6 +12,7 @@
 	"os/exec"
 	"path/filepath"
 	"runtime"
+	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -93,15 +94,22 @@
 	}
 }
 
-// TestPolicyGuardsOnProcesses takes out each guard: the case that needs it breaks.
+// TestPolicyGuardsOnProcesses takes out each guard: the case that needs it breaks. Each guard that a command takes has
+// to have a case here.
 func TestPolicyGuardsOnProcesses(t *testing.T) {
 	t.Parallel()
-	for guard, only := range map[string]string{"fence": "stopped past its lease and continued",
+	cases := map[string]string{"fence": "stopped past its lease and continued",
 		"shadow": "a version that would shed everything", "prepare-all": "a node never answers",
 		"lease":       "killed between the decision and being told",
 		"decide-once": "called off before it is decided, and not after",
 		"incarnation": "its next incarnation hears nothing",
-		"no-way-back": "an instance that is behind speaks to a node that starts"} {
+		"no-way-back": "an instance that is behind speaks to a node that starts"}
+	for _, guard := range policy.GuardNames() {
+		if !slices.Contains(PolicyCases(), cases[guard]) {
+			t.Errorf("guard %s: no case shows what breaks without it, found %q", guard, cases[guard])
+		}
+	}
+	for guard, only := range cases {
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
 			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
