--- a/admission/admission_queue.go
+++ b/admission/admission_queue.go
@@ -39,7 +39,7 @@
 		// While work stands still one retryable request at a time is admitted, to see whether it finishes again.
 		c.shed(i, ReasonStalled)
 	case r.repeats.original == none && c.memory.exceededBy(r.sizeKB, entryKB):
-		// The failure: a queue that fills the memory which its runs need, and a process that is killed for it.
+		// Guards against a queue that fills the memory which its runs need, and a process that is killed for it.
 		// Runs are counted at their full size, so what is queued can run.
 		c.shed(i, ReasonMemory)
 	default:
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -111,16 +111,18 @@
 
 // abandon counts a call that stays in flight at the dependency for its cancellation delay.
 func (p *callPace) abandon(now Time) {
+	// In the mean it counts as one call for the whole of its delay.
 	p.inFlight.add(now, float64(p.cancellationDelay), 0)
 	p.abandoned.add(now, 1, 0)
 }
 
-// deadline decides when a call is given up: while the response can still be within its objective without it; and at
-// lastUseful, the latest moment that leaves time to answer. One that must not be repeated lasts until then.
+// deadline decides when a call is given up: at the end of the latency objective, but not before it has had
+// patienceFactor usual times and patienceExtra; and at lastUseful at the latest, which leaves time to answer. One that
+// must not be repeated lasts until lastUseful.
 func (p *callPace) deadline(now, lastUseful, objectiveEnd Time, runsOnce bool) Time {
 	last := lastUseful
 	if p.hasAllowance && p.maxInFlight < 1 {
-		// The failure: a stalled dependency held by one call of each of hundreds of servers. One call is more than
+		// Guards against a stalled dependency held by one call of each of hundreds of servers. One call is more than
 		// the allowance, so it lasts at most for what the mean has left. Could harm where just this one is slow.
 		left := (p.maxInFlight - p.inFlight.average(now)) * float64(p.inFlight.span())
 		last = min(last, now+Time(left)-p.cancellationDelay)
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -19,7 +19,7 @@
 type concurrencyLimit struct {
 	cores          float64
 	runnable       float64 // runs that want a core, by the gauge
-	slotsTaken     int     // runs in progress, those at calls too
+	slotsTaken     int     // by runs in progress, those at calls too; taken in startRun, freed in runEnded
 	current        int     // the limit that follows the gauge
 	maxRunsPerCore float64
 	warmUp         warmUp
--- a/admission/deadlines.go
+++ b/admission/deadlines.go
@@ -24,7 +24,7 @@
 		end = min(end, c.drain.killAt-c.answerMargin())
 	}
 	if r.state == awaitingCall && !class.canSkipCall && !class.lateEarns {
-		// The failure: slots held for calls that can't be made; a slow dependency would fill them all with requests
+		// Guards against slots held for calls that can't be made; a slow dependency would fill them all with requests
 		// that are past use. Could harm where a response that earns nothing is still wanted.
 		end = min(end, r.arrivedAt+class.objective)
 	}
@@ -61,8 +61,8 @@
 	c.timers.schedule(&c.requests, i, next)
 }
 
-// reviewQueued sheds a request that has waited for as long as it may. The bound moves with the queue, so it is looked
-// at a few times on the way.
+// reviewQueued sheds a request that has waited for as long as it may. The timeout moves with the queue, so it is
+// looked at a few times on the way.
 func (c *Controller) reviewQueued(i index, end Time) {
 	r := &c.requests.at[i]
 	objective := c.classes[r.class].objective
--- a/admission/end_of_run.go
+++ b/admission/end_of_run.go
@@ -57,6 +57,8 @@
 		c.finish(i)
 		return
 	case awaitingCall:
+		// The run is told nothing, and neither is one whose call is in flight (it has no case here): it keeps its slot
+		// until the kernel, which ends a run that stands at a call for too long, reports that.
 		c.dequeueCall(i)
 	case running:
 		if stopRun && c.terms.cancellation != CancelNever && !r.resultShared {
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -42,7 +42,7 @@
 func (c *Controller) settleRepeat(i, original index) (settled bool) {
 	runsOnce := c.classes[c.requests.at[i].class].runsOnce
 	if c.memory.full() {
-		// The failure: repeats of a hot key that fill the memory. They need no slot, but each waits in memory, and a
+		// Guards against repeats of a hot key that fill the memory. They need no slot, but each waits in memory, and a
 		// few large ones are a good part of a small server's. Could harm where one is about to end.
 		if runsOnce && (original == none || c.requests.at[original].executed) {
 			c.fail(i, ReasonMemory)
--- a/admission/interface.go
+++ b/admission/interface.go
@@ -182,21 +182,25 @@
 
 // Writer takes the decisions, in the order they are made.
 type Writer interface {
-	Run(id uint32)
-	Stop(id uint32) // a run whose result nobody waits for
-	// Shed rejects a request that never ran. A final one is not to be tried elsewhere; retryAfter is how long its
+	Run(id uint32)  // gives a queued request its run slot; once for each id
+	Stop(id uint32) // stops a run whose result nobody waits for; it is not run again
+	// Shed rejects a request that never ran. One with noRetry is not to be tried elsewhere; retryAfter is how long its
 	// caller should stay away.
-	Shed(id uint32, why Reason, final bool, retryAfter Time)
+	Shed(id uint32, why Reason, noRetry bool, retryAfter Time)
 	// Fail answers a request that ran, or waits for another's run, with an error.
 	Fail(id uint32, why Reason)
+	// Call makes the call that the run stands at. A CallEnd tells its end, soon after the deadline at the latest.
 	Call(id uint32, deadline Time)
 	SkipCall(id uint32) // the run goes on without its call
+	// Remember has a later request with the same key told as its repeat, by PreviousID, for so long.
 	Remember(id uint32, span Time)
-	Forget(id uint32)
+	Forget(id uint32) // ends that
+	// ReuseResult answers a request with its original's result, now or when that is there. A RunEnd of the request
+	// tells whether there was one.
 	ReuseResult(id uint32)
-	Health(ready bool)
-	SignalOverload(value float64)
-	SetIdleTimeout(after Time)
-	WakeUp(at Time)
+	Health(ready bool)            // what health checks and service discovery are told
+	SignalOverload(value float64) // goes with every response from now on
+	SetIdleTimeout(after Time)    // of clients' connections
+	WakeUp(at Time)               // a round with TimerFired is due then
 	Log(line string)
 }
--- a/admission/queue_timeout.go
+++ b/admission/queue_timeout.go
@@ -140,7 +140,7 @@
 	class.served.add(now, 0, 1)
 }
 
-// queuedRequest is what the bound of one request depends on.
+// queuedRequest is what the queue timeout of one request depends on.
 type queuedRequest struct {
 	objective       Time
 	expectedRunTime float64 // in Time; 0: not known
@@ -148,10 +148,11 @@
 	isRetry         bool
 }
 
-// timeout decides how long a request may wait for a run slot, from its arrival: for half its objective, or what its own
-// run will leave of it. Past the first tier only that tier's part of the objective can be used. While the queue is
-// long, what earns least for its work waits least, so that the queue delay settles where the least of what the cores
-// can do still gets its turn. It may harm a brief burst that the cores would have caught up with.
+// timeout decides how long a request may wait for a run slot, from its arrival: what its objective leaves beside
+// runTimeReserve expected runs, but at least an eighth of it and at most half. In tier n, the first being 0, the
+// objective is divided by n+1, as the tiers before have used their part. While the queue is long, timeouts shrink with
+// the square of the rank, down to a tenth for what earns least for its work, so that the cores go to what earns most;
+// those of retries are a third. It may harm a brief burst that the cores would have caught up with.
 func (b *queueTimeouts) timeout(r queuedRequest, queue *admissionQueue, cores float64) Time {
 	objective := float64(r.objective) / (1 + b.tier)
 	shortest, longest := objective/shortestTimeoutDivisor, objective/longestTimeoutDivisor
@@ -221,7 +222,7 @@
 }
 
 // rankCells gives each cell the share of work that earns clearly less, of all the work that earns less than the best.
-// Cells that earn alike rank alike; where nothing earns less, all are at the top and no bound is shortened.
+// Cells that earn alike rank alike; where nothing earns less, all are at the top and no timeout is shortened.
 func (b *queueTimeouts) rankCells(now Time) {
 	work, less, utility := 0.0, 0.0, 0.0
 	for _, k := range b.byUtility {
--- a/admission/readiness.go
+++ b/admission/readiness.go
@@ -48,8 +48,8 @@
 }
 
 // isStalling decides whether started work has come to a standstill: there are as many runs as cores, and none has
-// moved for far longer than runs take. The failure is a kernel or a disk that hangs; it shows as waiters that each
-// spend their bound on a server that does nothing. It may harm where every slot has a very heavy request at once.
+// moved for far longer than runs take. Guards against a kernel or a disk that hangs, at which waiters each spend their
+// queue timeout on a server that does nothing. It may harm where every slot has a very heavy request at once.
 func (r *readiness) isStalling(running int, cores float64, classes []class) bool {
 	longest := float64(stalledAfter)
 	for k := range classes {
--- a/admission/request_table.go
+++ b/admission/request_table.go
@@ -15,7 +15,7 @@
 	class, tenant int32
 	state         state
 	isRetry       bool
-	answered      bool // the response is out; what still runs is only waited for
+	answered      bool // its client is owed nothing any more: answered, or gone; what still runs is only waited for
 	executed      bool // a run of it was started, so its effect may stand
 	failed        bool // it ended without a good response
 	resultShared  bool // others take its response
--- a/admission/start_runs.go
+++ b/admission/start_runs.go
@@ -13,14 +13,16 @@
 // Guards against a retry that comes through a caller with a slot while its original's caller has none: it would pass
 // its original, and the key would run twice. Without pools the original is always ahead of it.
 func (c *Controller) startRuns() {
-	ceiling := c.limit.ceiling(c.now)
-	for i := c.queue.head; i != none && c.limit.slotsTaken < min(c.limit.current, ceiling); {
+	slots := c.limit.slots(c.now)
+	for i := c.queue.head; i != none && c.limit.slotsTaken < slots; {
 		r := &c.requests.at[i]
 		if c.pools != nil && (r.repeats.original != none || !c.pools.CanStart(r.id)) {
 			i = r.queueLink.next
 			continue
 		}
-		if c.memory.exceededBy(r.sizeKB, 0) || c.readiness.stalled && c.limit.slotsTaken > 0 {
+		if c.memory.exceededBy(r.sizeKB, 0) || (c.readiness.stalled && c.limit.slotsTaken > 0) {
+			// No younger one passes: what has waited longest gets the memory that is freed. While work is stalled one
+			// trial run at a time is started.
 			return
 		}
 		if c.drain.active && !c.drain.canFinish(c.now, c.expectedRunTime(r)) {
--- a/internal/logging/fields.go
+++ b/internal/logging/fields.go
@@ -71,7 +71,8 @@
 	MaxStoreConnections = "max_store_connections" // at one time
 	Reserve             = "reserve"               // whether pools share a reserve of run slots
 	Enabled             = "enabled"               // whether what the message names is on
-	Calls               = "calls"                 // to the store, that are out
+	Calls               = "calls"                 // to the store, that are out or wait for their connection
+	CallsMayHaveRun     = "may_have_run"          // of them, sent, so that nobody knows whether they ran
 	ClockStepMS         = "clock_step_ms"         // by which the wall clock was stepped, in milliseconds
 	KernelState         = "kernel_state"          // of the kernel as it came up: WARM or COLD
 	UptimeMS            = "uptime_ms"             // of the kernel, in milliseconds
--- a/internal/node/server/admission_writer.go
+++ b/internal/node/server/admission_writer.go
@@ -8,7 +8,8 @@
 // The loop is the controller's admission.Writer: each decision of a round is carried out at once, in the order in which
 // the controller makes them. A decision on a request that is no longer in hand, or that has moved on, does nothing.
 
-// Run starts a run, or resumes a paused one.
+// Run starts a run. The controller names each run once, and never one that it stopped: nothing reaches the cases of a
+// run that was told to stop, see Stop.
 func (l *loop) Run(id uint32) {
 	r := l.requests.get(handle(id))
 	switch {
@@ -30,7 +31,9 @@
 	}
 }
 
-// Stop pauses a run, which the kernel carries on or starts anew when Run names it again.
+// Stop has the kernel stop a run whose result nobody waits for any more. The controller never starts it again, so the
+// way back (sendResume, runStopped to runRunning) is not used today. It stands because the kernel can resume what it
+// stopped (admission.CancelPause), and the table of transitions and its test have it.
 func (l *loop) Stop(id uint32) {
 	if r := l.requests.get(handle(id)); r != nil && r.isRunning() {
 		l.trace(r, traceStopped)
--- a/internal/node/server/counters.go
+++ b/internal/node/server/counters.go
@@ -3,12 +3,13 @@
 import "github.com/sirupsen/logrus"
 
 // Counters are what the node took in, sent and answered since its start, logged at the end and on SIGUSR1. Only the
-// loop counts, so they need no lock, and nothing is decided by them. Beside them stands what is held at that moment:
-// all requests that were taken in hand (Requests) succeeded, were rejected, failed, were abandoned or are in hand, and
-// all runs have ended or are running, so that a gap shows. What is rejected before it is taken in hand is in Requests
-// nowhere: of that, Rejected counts requests for which no buffer was free, RejectedFenced and RejectedByZone those of
-// fencing and of the zone's quota. Operators know the counters by the names that counterFields gives, which stay as
-// they were.
+// loop counts, so they need no lock, and nothing is decided by them. Beside them stands what is held at that moment,
+// so that a gap shows: each request taken in hand (Requests) is at least one of succeeded, rejected, failed, abandoned
+// or in hand, and one whose run outlasts its answer is two of them; each run has ended or is running. Requests rejected
+// before they are taken in hand are not in Requests: of those, Rejected counts the ones for which no buffer was free,
+// RejectedFenced those of fencing, RejectedByZone those of the zone's quota, BadRequests those answered 400; the other reasons have no
+// counter.
+// Operators know the counters by the names that counterFields gives, which stay as they were.
 type Counters struct {
 	// Taken in.
 	Connections, Requests, HealthChecks, BadRequests, Retries uint64
@@ -17,12 +18,13 @@
 	// Abandoned by their client; answered after their deadline.
 	Abandoned, AnsweredLate uint64
 
-	Runs, RunEnds, Pauses                                uint64
+	Runs, RunEnds                                        uint64
+	Pauses                                               uint64 // runs told to stop
 	Calls, CallsSucceeded, CallsNotExecuted, CallsFailed uint64 // failed: or it is unknown whether they were executed
 	CallsSkipped, CallsCancelled                         uint64
 
 	KernelLinks, StoreLinks, DiscoveryLinks uint64 // opened
-	StoreConnectionsLost                    uint64 // with calls out
+	StoreConnectionsLost                    uint64 // with calls out, or waiting for it to open
 	StrayReplies                            uint64 // to no call
 	CommandsResent, CommandsRefused         uint64 // of the kernel's
 	Reports, ReportsLost                    uint64 // to service discovery
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -59,15 +59,6 @@
 	return n
 }
 
-// mayDial tells whether a connection to the store may be opened now.
-func (l *loop) mayDial() bool {
-	if l.fleet.admitsConnection() {
-		return true
-	}
-	l.deferredDials++
-	return false
-}
-
 // rejectQueued rejects the requests in hand that never ran, with a time to retry after. Those that wait for the
 // result of a run that goes on are answered by it.
 func (l *loop) rejectQueued() {
--- a/internal/node/server/http_front_end.go
+++ b/internal/node/server/http_front_end.go
@@ -16,8 +16,8 @@
 
 // Reasons of bad requests that stand in no field of one; the others are rejections.
 const (
-	messageIncomplete = "a message does not get to its end"
-	notReadable       = "no request"
+	messageIncomplete = "a message was not complete in time"
+	notReadable       = "can't be parsed as a request"
 	notServed         = "unknown method or path"
 )
 
--- a/internal/node/server/kernel_link.go
+++ b/internal/node/server/kernel_link.go
@@ -32,8 +32,8 @@
 	state         kernelState
 	lastSequence  uint64 // of the last event handled
 	sent          uint64 // number of the last command
-	provenRead    uint64 // commands to this one are known to have been read
-	provenNext    uint64 // so are these, but a break may still take with it what was on its way
+	provenRead    uint64 // commands up to this one were surely read: they are not sent again
+	provenNext    uint64 // up to the last answer that was kept; becomes provenRead once it is AckSafetyMargin old
 	provenNextAt  admission.Time
 	gaugesRequest uint64 // number of the request for gauges that a wake-up waits for
 	gaugesBy      admission.Time
@@ -162,16 +162,17 @@
 func (l *loop) commandRefused(n *wire.KernelEvent) {
 	l.counters.CommandsRefused++
 	if log := l.limitLog(); log != nil {
-		log.WithFields(logrus.Fields{logging.Command: string(n.Outcome), logging.RequestID: string(n.RunID)}).
+		log.WithFields(logrus.Fields{logging.Command: string(n.RefusedCommand()), logging.RequestID: string(n.RunID)}).
 			Info(logCommandRefused)
 	}
-	if h, r := l.findRequest(n.RunID); r != nil && string(n.Outcome) == wire.KernelRun && r.isRunning() {
+	if h, r := l.findRequest(n.RunID); r != nil && string(n.RefusedCommand()) == wire.KernelRun && r.isRunning() {
 		r.closeAfter = true
 		l.runEnded(h, r, admission.NotExecuted, 0, nil)
 	}
 }
 
-// numberedEvent takes an event about a run. Those have numbers, by which each counts once and in order.
+// numberedEvent takes an event about a run. Those have numbers, by which each counts once and in order. A kind that is
+// not known, as a newer kernel may send, is passed over without a line in the log.
 func (l *loop) numberedEvent(n *wire.KernelEvent) {
 	if !l.takeSequence(n) {
 		return
@@ -192,8 +193,8 @@
 	}
 }
 
-// takeSequence tells whether an event is to be handled, and notes its number. Guards against ends of runs that count
-// twice or never after a link broke. One that was handled before comes again over a new link, and is passed over. A
+// takeSequence takes the number of an event and tells whether it is to be handled. Guards against ends of runs that
+// count twice or never after a link broke. One that was handled before comes again over a new link, and is passed over. A
 // gap amid a link has it opened anew, which has the missing events sent again; a gap at the begin of a link says that
 // the kernel no longer has them. See row "kernel link broken or moved" in docs/design/shutdown.md.
 func (l *loop) takeSequence(n *wire.KernelEvent) bool {
@@ -247,7 +248,7 @@
 	}
 	if l.controller == nil {
 		d := l.settings.Deployment
-		d.Start, d.ColdStart = l.now-admission.Time(n.RunMS*10), string(n.Outcome) == wire.KernelCold
+		d.Start, d.ColdStart = l.now-admission.Time(n.RunMS*10), n.IsColdStart()
 		l.log.WithFields(logrus.Fields{logging.KernelState: string(n.Outcome), logging.UptimeMS: n.RunMS}).
 			Info(logKernelUp)
 		l.makePools()
@@ -283,6 +284,7 @@
 		return
 	}
 	if l.now >= k.provenNextAt+l.limits.AckSafetyMargin {
+		// The last proof is old enough to be relied on, and this answer takes its place.
 		k.provenRead, k.provenNext, k.provenNextAt = k.provenNext, no, l.now
 	}
 	if l.wakePending && (no == k.gaugesRequest || no == k.replayRequest) {
--- a/internal/node/server/lifecycle.go
+++ b/internal/node/server/lifecycle.go
@@ -43,8 +43,8 @@
 const (
 	runNotStarted runState = iota
 	runRunning
-	runStopping // told to stop so that it runs on later; the kernel has not said yet that it did
-	runStopped  // ended while pausing: the controller may run it again
+	runStopping // told to stop; the kernel has not said yet that it did
+	runStopped  // ended after it was told to stop; Run could start it again, which the controller never does
 	runFinished // ended for good
 	runStates
 )
@@ -75,8 +75,8 @@
 	nothingPending diskState = iota
 	openingPending           // the folder is not read yet: the controller has not heard of the request
 	readPending              // its result is being read: the controller does not hear of it
-	intentPending            // it has its slot, and its intent record is on the way to the disk
-	resultPending            // it ran, its slot is free, and its result is on the way to the disk
+	intentPending            // it has its run slot, and its intent record is on the way to the disk
+	resultPending            // it ran, its run slot is free, and its result is on the way to the disk
 	diskStates
 )
 
@@ -175,17 +175,18 @@
 // isRunning tells whether the kernel carries the run out, or is to be told so.
 func (s *lifecycle) isRunning() bool { return s.run == runRunning || s.run == runStopping }
 
-// isToldToStop tells whether the run was told to stop and not to go on yet.
+// isToldToStop tells whether the run was told to stop, and not to go on since.
 func (s *lifecycle) isToldToStop() bool { return s.run == runStopping || s.run == runStopped }
 
 // isHeldBack tells whether the kernel has not been told of the run yet, as its intent is not on disk: a stop is told
 // with it.
 func (s *lifecycle) isHeldBack() bool { return s.disk == intentPending }
 
-// mayStart tells whether the controller may have the request run, for the first time or again.
+// mayStart tells whether Run may start the request, or start it again after a stop.
 func (s *lifecycle) mayStart() bool { return s.run == runNotStarted || s.isToldToStop() }
 
-// isOver tells whether nothing of the request is left to come, so that its slot can be used again.
+// isOver tells whether nothing of the request is left to come, so that its place in the request table can be used
+// again. Its run slot is another thing: the controller frees that at the end of the run.
 func (s *lifecycle) isOver() bool {
 	return s.response != responsePending && !s.isRunning() && s.awaits == awaitsNothing
 }
@@ -206,10 +207,10 @@
 	s.setAwaits(awaitsNothing)
 }
 
-// stop notes that the run is told to stop so that it can go on later.
+// stop notes that the run is told to stop.
 func (s *lifecycle) stop() { s.setRun(runStopping) }
 
-// endRun notes the end of the run. One that was pausing may be run again.
+// endRun notes the end of the run. One that was told to stop is kept apart: Run could start it again.
 func (s *lifecycle) endRun() {
 	if s.isToldToStop() {
 		s.setRun(runStopped)
@@ -218,7 +219,8 @@
 	s.setRun(runFinished)
 }
 
-// runOutcomeAnswers tells whether the end of a run is a response: that it was stopped by a pause is none.
+// runOutcomeAnswers tells whether the end of a run is a response: that it stopped when it was
+// told to is none.
 func (s *lifecycle) runOutcomeAnswers(outcome admission.Outcome) bool {
 	return outcome != admission.Stopped || !s.isToldToStop()
 }
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -23,7 +23,7 @@
 	errNoAnswer = errors.New("no answer in time")
 	errStuck    = errors.New("the other side takes nothing")
 	errClosed   = errors.New("closed by the other side")
-	errGap      = errors.New("a notice is missing") // the kernel's next event is not the one after the last
+	errGap      = errors.New("an event of the kernel is missing") // the kernel's next event is not the one after the last
 )
 
 // Other sides of links.
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -30,7 +30,7 @@
 	readiness
 	drainState
 
-	retryTimes retryafter.Spreader // of responses that the loop rejects by itself
+	retryTimes retryafter.Spreader // spreads Retry-After of requests that the loop rejects without the controller
 	fleet      *fleetAgent         // nil: the node serves alone
 	results    *resultKeeper       // nil: results are kept in memory alone
 }
@@ -86,7 +86,6 @@
 	kernel          kernelLink
 	reconnectKernel bool // once the round is decided
 	store           storeConnections
-	deferredDials   uint64 // connections to the store that the zone's quota put off
 	discovery       discoveryLink
 }
 
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -9,7 +9,7 @@
 )
 
 // request is one request in hand: from the end of its checks until its response is given, its run has ended and no
-// result is awaited. It has a slot in the loop's table and belongs to the loop alone.
+// result is awaited. It has a place in the loop's request table and belongs to the loop alone.
 type request struct {
 	lifecycle
 
@@ -34,7 +34,7 @@
 	// Numbers of the last ones; 0: none that may have been lost.
 	runCommand, callResultCommand, stopCommand uint64
 
-	resumed    bool       // the last start command was to resume
+	resumed    bool       // the last start command was to resume; never so by the controller, see loop.Stop
 	callResult callResult // what the last end of a call was told with
 	reply      []byte     // the store's, as the kernel is told it
 }
@@ -81,13 +81,15 @@
 		if l.results.end(h, r, how, result) {
 			return
 		}
-		ok = false
+		ok = false // there is no durable result: an error is all that may be told
 	}
 	waiters := l.idempotency.runEnded(r.key, uint32(h), ok, result)
 	switch {
 	case ok:
 		l.answer(h, r, wire.Response{Status: wire.StatusOK, Body: result})
 	case how == admission.NotExecuted:
+		// The kernel refused the run: what it names is the client's mistake, see commandRefused. Where the result keeper
+		// ended a run before its start the client has its answer already.
 		l.answer(h, r, wire.Response{Status: wire.StatusBadRequest})
 	case r.runOutcomeAnswers(how):
 		l.answer(h, r, wire.Response{Status: wire.StatusInternalServerError})
@@ -97,7 +99,7 @@
 	}
 }
 
-// releaseFinished frees the slots of requests of which nothing is left to come.
+// releaseFinished frees the places of requests of which nothing is left to come.
 func (l *loop) releaseFinished() {
 	for _, h := range l.maybeFinished {
 		r := l.requests.get(h)
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -49,7 +49,7 @@
 	handlerRetired:       {"handler retired", wire.StatusServiceUnavailable},
 	rejectedByZone:       {"over zone quota", wire.StatusServiceUnavailable},
 	idempotencyTableFull: {"idempotency table full", wire.StatusServiceUnavailable},
-	sameIDInHand:         {"may have run before", wire.StatusInternalServerError},
+	sameIDInHand:         {"same id in hand", wire.StatusInternalServerError},
 	requestTableFull:     {"request table full", wire.StatusServiceUnavailable},
 }
 
@@ -148,7 +148,8 @@
 	return c.settings.Deployment.Handlers[handler].RetrySafety == admission.IdempotencyKeyed
 }
 
-// idInHand tells whether a request with this id is in hand: the same attempt comes again, and the first may have run.
+// idInHand tells whether an unfinished request has this id. The second is answered 500 also while the first is queued,
+// as that may run yet. One that never ran and whose client is gone makes room, see forgetAbandoned.
 func (in *requestsInHand) idInHand(id []byte) bool {
 	_, old := in.findRequest(id)
 	return old != nil && !(old.isAbandoned() && old.run == runNotStarted)
@@ -164,7 +165,8 @@
 }
 
 // noteRejection counts and logs a request that is its client's mistake, and traces each that does not reach the
-// controller.
+// controller. A 503 or 500 has its reason in the trace alone, at debug level; of these just fencing and the zone's
+// quota have counters.
 func (l *loop) noteRejection(a *arrivingRequest, why rejection) {
 	if l.debug {
 		l.traceWith(string(a.ID), traceRejected, logrus.Fields{logging.Reason: why.String()})
@@ -262,8 +264,8 @@
 	l.fleet.requestSubmitted(l.now, q)
 }
 
-// countBadRequest counts what is no request for this server, and is answered 400; the controller never hears of it. It
-// gives the log line for that, nil past the bound on lines.
+// countBadRequest counts a request that is answered 400 and that the controller never hears of. It gives the entry to
+// log it with, nil past the bound on lines.
 func (l *loop) countBadRequest() *logrus.Entry {
 	l.counters.BadRequests++
 	return l.limitLog()
--- a/internal/node/server/store_connections.go
+++ b/internal/node/server/store_connections.go
@@ -51,11 +51,12 @@
 	if l.debug {
 		l.traceWith(r.id, traceCallStarted, logrus.Fields{logging.WithinMS: milliseconds(until - l.now)})
 	}
-	held := l.deferredDials
-	at, w := l.pickStoreConnection(r)
+	at, w, deferred := l.pickStoreConnection(r)
 	if w == nil {
-		if l.deferredDials != held {
-			r.setCall(callNone) // by the zone's quota: it says nothing about the store
+		if deferred {
+			// That the zone's quota put a dial off says nothing about the store: the load report is not told of a call
+			// that is none by now, see callEnded.
+			r.setCall(callNone)
 		}
 		l.callEnded(h, r, admission.NotExecuted)
 		return
@@ -73,8 +74,8 @@
 // pickStoreConnection finds the connection for a call: the idle one used last, as it is the least likely to be closed
 // by the other side; else a new one, unless the bound, the backoff after a failed dial or the zone's quota forbids it;
 // else the one with the fewest calls, which shares their fate if it breaks. None: the call ends as not executed, which
-// harms only that request.
-func (l *loop) pickStoreConnection(r *request) (best handle, _ *storeConnection) {
+// harms only that request. deferred tells that the zone's quota put a new one off.
+func (l *loop) pickStoreConnection(r *request) (best handle, _ *storeConnection, deferred bool) {
 	s := &l.store
 	l.closeIdleStoreConnections()
 	for h, i := s.connections.next(0); h != 0; h, i = s.connections.next(i) {
@@ -87,17 +88,21 @@
 			best = h
 		}
 	}
-	if b := s.connections.get(best); b != nil && b.idle() || s.addr == "" || l.now < s.notBefore || !l.mayDial() {
-		return best, b
+	b := s.connections.get(best)
+	if b != nil && b.idle() || s.addr == "" || l.now < s.notBefore {
+		return best, b, false
+	}
+	if !l.fleet.admitsConnection() {
+		return best, b, true
 	}
 	h, w, ok := s.connections.take()
 	if !ok {
-		return best, s.connections.get(best)
+		return best, b, false
 	}
 	*w = storeConnection{dialed: &dialed{peer: peerStore, storeConn: h, parser: s.parser}, lastUsed: l.now}
 	l.open(w.dialed, s.addr)
 	l.fleet.connectionOpened()
-	return h, w
+	return h, w, false
 }
 
 // closeIdleStoreConnections closes connections that were idle for too long to be trusted with a call.
@@ -188,6 +193,7 @@
 		w.retired = true
 	}
 	if r.call != callNone {
+		// A call that was given up counts by its time alone, not as failed: see zonegate.Meter.CallEnded.
 		l.fleet.callEnded(milliseconds(l.now-r.callStarted), false)
 	}
 	l.endCall(h, r)
@@ -246,8 +252,9 @@
 	}
 }
 
-// storeConnectionLost ends every call on a connection: those that had gone out may have run. See row "store connection
-// broken, spoilt, idle" in docs/design/shutdown.md.
+// storeConnectionLost ends every call on a connection that ended or could not be opened: those that had gone out may
+// have run, those that waited for it to open did not. StoreConnectionsLost counts both kinds of connection. See row
+// "store connection broken, spoilt, idle" in docs/design/shutdown.md.
 func (l *loop) storeConnectionLost(at handle, w *storeConnection, err error) {
 	if w == nil {
 		return
@@ -258,10 +265,11 @@
 	if len(w.calls) > 0 {
 		l.counters.StoreConnectionsLost++
 		if log := l.limitLog(); log != nil {
-			log.WithFields(logrus.Fields{logging.Error: err, logging.Calls: len(w.calls)}).Info(logStoreConnectionLost)
+			log.WithFields(logrus.Fields{logging.Error: err, logging.Calls: len(w.calls),
+				logging.CallsMayHaveRun: l.callsSent(w)}).Info(logStoreConnectionLost)
 		}
 	}
-	w.retired = false // or the last of its calls would end it again
+	w.retired = false // endCall drops a retired connection with its last call; this one is dropped below, once
 	for _, h := range slices.Clone(w.calls) {
 		how := admission.NotExecuted
 		if r := l.requests.get(h); r != nil {
@@ -274,6 +282,16 @@
 	l.dropStoreConnection(at, w)
 }
 
+// callsSent counts the calls on a connection that went out, and so may have run.
+func (l *loop) callsSent(w *storeConnection) (n int) {
+	for _, h := range w.calls {
+		if r := l.requests.get(h); r != nil && r.call == callSent {
+			n++
+		}
+	}
+	return n
+}
+
 // moveStore has new calls go to another address; those that are out stay where they are.
 func (l *loop) moveStore(addr string) {
 	s := &l.store
--- a/internal/node/wire/http_request.go
+++ b/internal/node/wire/http_request.go
@@ -1,6 +1,10 @@
 package wire
 
-import "bytes"
+import (
+	"bytes"
+	"errors"
+	"fmt"
+)
 
 // Request is an HTTP request with the fields that a server reads; absent ones are zero. Its slices are views into what
 // was parsed.
@@ -19,7 +23,7 @@
 	HasTimeout     bool
 	ExpectedWorkMS float64 // 0 where it isn't stated
 	FootprintKB    float64 // memory held for the request
-	Priority       float64 // 0 to 1
+	Priority       float64 // from 0 up to, not including, 1
 	Close          bool    // the connection isn't to be used again
 
 	length    int
@@ -57,7 +61,9 @@
 		if name, value, fields, err = nextField(fields); err != nil {
 			return q, 0, err
 		}
-		if err = q.setField(name, value, bounds.BodyBytes); err != nil {
+		if err = q.setField(name, value, bounds.BodyBytes); errors.Is(err, ErrField) {
+			return q, 0, fmt.Errorf("%w: %s", err, name) // for the log: one of a dozen
+		} else if err != nil {
 			return q, 0, err
 		}
 	}
@@ -137,6 +143,7 @@
 	case equalFold(name, "attempt-again"):
 		q.IsRetry = string(value) == "1"
 	case equalFold(name, "footprint-kb"):
+		// The protocol's ranges leave out their upper end, which parseDecimal lets pass; a footprint of 0 is none.
 		q.FootprintKB, err = parseDecimal(value, maxFootprintKB)
 		if q.FootprintKB == 0 || q.FootprintKB == maxFootprintKB {
 			err = ErrField
--- a/internal/node/wire/json_scanner.go
+++ b/internal/node/wire/json_scanner.go
@@ -115,6 +115,7 @@
 		s.text()
 	case '{', '[':
 		s.at++
+		// In ASCII a closing brace or bracket comes two after its opening one.
 		for k := 0; s.err == nil && !s.has(c+2); k++ {
 			if k > 0 {
 				s.want(',')
--- a/internal/node/wire/kernel_event.go
+++ b/internal/node/wire/kernel_event.go
@@ -30,14 +30,21 @@
 
 // KernelEvent is one line from the kernel; absent fields are zero.
 type KernelEvent struct {
-	Kind, RunID, Outcome, Nonce []byte
-	Body                        []byte // decoded from base64
-	Sequence                    uint64 // of this event on the link
-	RunMS                       float64
-	Gauges                      [maxGauges]float64
-	GaugeCount                  int // how many of Gauges were given
+	Kind, RunID, Nonce []byte
+	Outcome            []byte // of a run that ended; for other kinds see RefusedCommand and IsColdStart
+	Body               []byte // decoded from base64
+	Sequence           uint64 // of this event on the link
+	RunMS              float64
+	Gauges             [maxGauges]float64
+	GaugeCount         int // how many of Gauges were given
 }
 
+// RefusedCommand is the command that a KernelInvalid says was not carried out: it stands in the key of outcomes.
+func (e *KernelEvent) RefusedCommand() []byte { return e.Outcome }
+
+// IsColdStart tells whether a KernelBooted is of a cold start, which stands in the key of outcomes too.
+func (e *KernelEvent) IsColdStart() bool { return string(e.Outcome) == KernelCold }
+
 // NextLine cuts the line at the start of b, without its end; n is 0 while it is incomplete.
 func NextLine(b []byte, limit int) (line []byte, n int, err error) {
 	i := bytes.IndexByte(b, '\n')
