--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -108,8 +108,8 @@
 	portsPerPID = 20
 )
 
-// givenPorts counts the groups of ports that freePort gave, or found taken. What is given is not listened on at once, so
-// none is given twice.
+// givenPorts counts the groups of ports that freePort gave, or found taken. What is given is not listened on at once,
+// so none is given twice.
 var givenPorts atomic.Int32
 
 // freePort gives a port from which a few on, and those a hundred below, are free.
@@ -118,7 +118,8 @@
 	for {
 		n := int(givenPorts.Add(1)) - 1
 		perBlock := peersBelow / groupPorts
-		port := firstPort + os.Getpid()%pidSpread*portsPerPID + n/perBlock*portBlock + n%perBlock*groupPorts + peersBelow
+		block := firstPort + os.Getpid()%pidSpread*portsPerPID + n/perBlock*portBlock
+		port := block + peersBelow + n%perBlock*groupPorts
 		if port+groupPorts > lastPort {
 			t.Fatal("no free ports")
 		}
@@ -142,8 +143,8 @@
 	return true
 }
 
-// Ports of groups that tests start side by side: none is given twice, neither for clients nor for peers. A port that was
-// given twice had one of two groups fail to listen.
+// Ports of groups that tests start side by side: none is given twice, neither for clients nor for peers. A port that
+// was given twice had one of two groups fail to listen.
 func TestFreePortsAreGivenOnce(t *testing.T) {
 	t.Parallel()
 	given := map[int]bool{}
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -261,7 +261,8 @@
 			if v.Current == nil {
 				return coded{errors.New("no change is under way"), exitRefused}
 			}
-			if _, err = c.policyOp(ctx, policy.Op{Kind: policy.OpAbort, ChangeNumber: v.Current.Number, Author: whoami(),
+			if _, err = c.policyOp(ctx, policy.Op{Kind: policy.OpAbort, ChangeNumber: v.Current.Number,
+				Author: whoami(),
 				Reason: why}); err != nil {
 				return err
 			}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// Pools of run slots stand in a node's file, each for a handler that the platform's settings have. A wrong one says its line.
+// Pools of run slots stand in a node's file, each for a handler that the platform's settings have. A wrong one says
+// its line.
 func TestNodeFileHasPoolsOfHandlers(t *testing.T) {
 	read := func(raw string) (*Node, string) {
 		n, err := readNode(Parse("f", []byte(raw)))
@@ -127,7 +128,8 @@
 	}
 }
 
-// The [kept] section of a node's file names a folder for stored results; all else has defaults. A wrong one says its line.
+// The [kept] section of a node's file names a folder for stored results; all else has defaults. A wrong one says its
+// line.
 func TestNodeFileNamesResultStore(t *testing.T) {
 	dir := t.TempDir()
 	n, err := readNode(Parse("node.ini", []byte("[kept]\nfolder = "+dir+"\n")))
--- a/internal/control/api/zones.go
+++ b/internal/control/api/zones.go
@@ -83,7 +83,7 @@
 	RunsEnded       int             `json:"runs"`
 	MeanRunMS       float64         `json:"run_ms"`
 	Calls           int             `json:"calls,omitempty"` // to services below
-	FailedCalls     int             `json:"bad,omitempty"`   // of them failed or not taken; those given up are not among them
+	FailedCalls     int             `json:"bad,omitempty"`   // failed or not taken, not given up
 	MeanCallMS      float64         `json:"call_ms,omitempty"`
 	// ConnectionsOpened counts those to services below.
 	ConnectionsOpened int `json:"opened,omitempty"`
--- a/internal/node/pools/retry_order_test.go
+++ b/internal/node/pools/retry_order_test.go
@@ -27,9 +27,9 @@
 func (s *keyedServer) WakeUp(Time)                               {}
 func (s *keyedServer) Log(string)                                {}
 
-// A request with a key waits because its caller has its part of the class's slots; its retry comes through another caller,
-// which has room. If the retry were started ahead of the original, the key would run twice and a slot be lost: the
-// key must run once.
+// A request with a key waits because its caller has its part of the class's slots; its retry comes through another
+// caller, which has room. If the retry were started ahead of the original, the key would run twice and a slot be
+// lost: the key must run once.
 func TestRetryThroughAnotherCaller(t *testing.T) {
 	p := New(Plan{Classes: []Class{{Name: "save", MaxFraction: 1, FixedLimit: true}}, Tenants: 1})
 	d := &admission.Deployment{Start: Second, FleetSize: 1, Callers: 2, RoundInterval: 10, Cores: 2, MaxRunsPerCore: 5,
@@ -37,7 +37,8 @@
 		Handlers: []admission.Handler{{LatencyObjective: 4 * Second, Timeout: 8 * Second, Value: 1,
 			RetrySafety: admission.IdempotencyKeyed, IdempotencyWindow: 10 * Second}}}
 	c, s := admission.New(d), &keyedServer{}
-	c.Decide(&admission.Round{Now: Second, TimerFired: true}, s) // the limit is two slots, of which a caller may have one
+	// The limit is two slots, of which a caller may have one.
+	c.Decide(&admission.Round{Now: Second, TimerFired: true}, s)
 	at := func(by Time, r admission.Round) {
 		r.Now = Second + by
 		c.Decide(&r, s)
--- a/internal/node/server/counters.go
+++ b/internal/node/server/counters.go
@@ -7,9 +7,9 @@
 // so that a gap shows: each request taken in hand (Requests) is at least one of succeeded, rejected, failed, abandoned
 // or in hand, and one whose run outlasts its answer is two of them; each run has ended or is running. Requests rejected
 // before they are taken in hand are not in Requests: of those, Rejected counts the ones for which no buffer was free,
-// RejectedFenced those of fencing, RejectedByZone those of the zone's quota, BadRequests those answered 400; the other reasons have no
-// counter.
-// Operators know the counters by the names that counterFields gives, which stay as they were.
+// RejectedFenced those of fencing, RejectedByZone those of the zone's quota, BadRequests those answered 400; the
+// other reasons have no counter. Operators know the counters by the names that counterFields gives, which stay as
+// they were.
 type Counters struct {
 	// Taken in.
 	Connections, Requests, HealthChecks, BadRequests, Retries uint64
--- a/internal/node/server/kernel_link.go
+++ b/internal/node/server/kernel_link.go
@@ -194,9 +194,9 @@
 }
 
 // takeSequence takes the number of an event and tells whether it is to be handled. Guards against ends of runs that
-// count twice or never after a link broke. One that was handled before comes again over a new link, and is passed over. A
-// gap amid a link has it opened anew, which has the missing events sent again; a gap at the begin of a link says that
-// the kernel no longer has them. See row "kernel link broken or moved" in docs/design/shutdown.md.
+// count twice or never after a link broke. One that was handled before comes again over a new link, and is passed
+// over. A gap amid a link has it opened anew, which has the missing events sent again; a gap at the begin of a link
+// says that the kernel no longer has them. See row "kernel link broken or moved" in docs/design/shutdown.md.
 func (l *loop) takeSequence(n *wire.KernelEvent) bool {
 	k := &l.kernel
 	switch {
--- a/internal/node/server/lifecycle_test.go
+++ b/internal/node/server/lifecycle_test.go
@@ -73,7 +73,8 @@
 		for run := range runStates {
 			for awaits := range awaitStates {
 				s := lifecycle{response: response, run: run, awaits: awaits}
-				want := response != responsePending && run != runRunning && run != runStopping && awaits != awaitsOriginal
+				runs := run == runRunning || run == runStopping
+				want := response != responsePending && !runs && awaits != awaitsOriginal
 				if s.isOver() != want {
 					t.Errorf("%+v: over %v", s, s.isOver())
 				}
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -23,7 +23,8 @@
 	errNoAnswer = errors.New("no answer in time")
 	errStuck    = errors.New("the other side takes nothing")
 	errClosed   = errors.New("closed by the other side")
-	errGap      = errors.New("an event of the kernel is missing") // the kernel's next event is not the one after the last
+	// errGap: the kernel's next event is not the one after the last.
+	errGap = errors.New("an event of the kernel is missing")
 )
 
 // Other sides of links.
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -88,8 +88,8 @@
 	case ok:
 		l.answer(h, r, wire.Response{Status: wire.StatusOK, Body: result})
 	case how == admission.NotExecuted:
-		// The kernel refused the run: what it names is the client's mistake, see commandRefused. Where the result keeper
-		// ended a run before its start the client has its answer already.
+		// The kernel refused the run: what it names is the client's mistake, see commandRefused. Where the result
+		// keeper ended a run before its start the client has its answer already.
 		l.answer(h, r, wire.Response{Status: wire.StatusBadRequest})
 	case r.runOutcomeAnswers(how):
 		l.answer(h, r, wire.Response{Status: wire.StatusInternalServerError})
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -431,8 +431,9 @@
 		settings: &settings.Startup{Deployment: d, HandlerIndex: map[string]int{"put": 0}}},
 		requestsInHand: requestsInHand{idempotency: newIdempotencyTable(2000, 1000, 6*admission.Second),
 			requests: newTable[request](8), byRequestID: map[string]handle{}},
-		crossGoroutine: crossGoroutine{limits: NewLimits(1, 64, 256)}, decisions: decisions{controller: admission.New(d)},
-		loopTime: loopTime{stamps: clock.NewStamps(read, 12*time.Second)}}
+		crossGoroutine: crossGoroutine{limits: NewLimits(1, 64, 256)},
+		decisions:      decisions{controller: admission.New(d)},
+		loopTime:       loopTime{stamps: clock.NewStamps(read, 12*time.Second)}}
 	stamp := wall
 	at, wall = at+2500*time.Millisecond, wall+2500*time.Millisecond
 	l.stamps.Observe(read)
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -6,11 +6,12 @@
 	"testing"
 )
 
-// TestSaveWritesResult: other tools read result.json by its keys. A report is saved, and the file is what they expect, byte
-// for byte.
+// TestSaveWritesResult: other tools read result.json by its keys. A report is saved, and the file is what they
+// expect, byte for byte.
 func TestSaveWritesResult(t *testing.T) {
 	dir := t.TempDir()
-	r := &Report{Name: "pools", Title: "Pools", Head: []string{"CLASS"}, Rows: [][]string{{"search"}}, Notes: []string{"1 s"}}
+	r := &Report{Name: "pools", Title: "Pools", Head: []string{"CLASS"}, Rows: [][]string{{"search"}},
+		Notes: []string{"1 s"}}
 	r.Add("seed", "%d", 1)
 	r.Break("%s lost", "search")
 	if err := r.Save(dir); err != nil {
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Callers that are told one moment come back together and are rejected together. What they are told is spread, over one to
-// two seconds or over when the share will have grown, and never past what the settings allow.
+// Callers that are told one moment come back together and are rejected together. What they are told is spread, over
+// one to two seconds or over when the share will have grown, and never past what the settings allow.
 func TestTimesToComeBackAreSpread(t *testing.T) {
 	for _, c := range []struct {
 		name                    string
@@ -24,7 +24,8 @@
 				low, high = min(low, ms), max(high, ms)
 			}
 			if low < c.least || high > c.max || high-low < (c.max-c.least)*8/10 {
-				t.Errorf("within %d, after %d ms: %d to %d, expected %d to %d", c.most, c.after, low, high, c.least, c.max)
+				t.Errorf("within %d, after %d ms: %d to %d, expected %d to %d",
+					c.most, c.after, low, high, c.least, c.max)
 			}
 		})
 	}
--- a/internal/simulation/fleet_history.go
+++ b/internal/simulation/fleet_history.go
@@ -9,8 +9,9 @@
 // FleetEvent is one thing that a run of a fleet recorded. Times are tenths of a ms by one clock that sees all.
 type FleetEvent struct {
 	At int64
-	// Kind is serves or stops of a node; decided, forced (policy.Committed), settled or off (policy.Aborted) of the group.
-	// The harness has takes, pause and resume of a process too, and makes them serves and stops before the check.
+	// Kind is serves or stops of a node; decided, forced (policy.Committed), settled or off (policy.Aborted) of the
+	// group. The harness has takes, pause and resume of a process too, and makes them serves and stops before the
+	// check.
 	Kind    string
 	Node    string
 	Version uint64
