--- a/internal/control/zones/aggregate.go
+++ b/internal/control/zones/aggregate.go
@@ -15,7 +15,7 @@
 	if len(reports) == 0 {
 		return
 	}
-	pools := pool(reports)
+	pools := poolReports(reports)
 	v.aggregateRates(pools)
 	v.RunMS = medianOf(pools, func(r *api.LoadReport) float64 { return r.MeanRunMS })
 	v.CallMS = medianOf(pools, func(r *api.LoadReport) float64 { return r.MeanCallMS })
@@ -30,7 +30,7 @@
 	}
 	v.KernelsUp = 2*withKernel >= len(reports)
 	v.countUnhealthy(pools)
-	v.mix = arrivedByWeight(reports)
+	v.arrivedByWeight = sumArrivedByWeight(reports)
 }
 
 // aggregateRates returns what the zone does a second: the median pool's rate for a node, times the nodes that are in.
@@ -72,8 +72,8 @@
 	return median(figures)
 }
 
-// arrivedByWeight adds up what arrived by priority weight, the least first.
-func arrivedByWeight(reports []*api.LoadReport) (mix []api.PriorityCount) {
+// sumArrivedByWeight adds up what arrived by priority weight, the least first.
+func sumArrivedByWeight(reports []*api.LoadReport) (mix []api.PriorityCount) {
 	byWeight := map[float64]int{}
 	for _, report := range reports {
 		for _, count := range report.ArrivedByWeight {
--- a/internal/control/zones/apply.go
+++ b/internal/control/zones/apply.go
@@ -34,24 +34,24 @@
 	case *settlement:
 		return nil, s.settle(o, fleet, without)
 	}
-	on := o.about()
+	on := o.appliesTo()
 	zone := s.findOrAdd(on.zone, fleet)
-	if zone == nil || zone.Name == WholeFleet && evacuatesWholly(o) {
-		return nil, rejected(ErrUnknownZone, "found no zone %.50q, expected one that nodes are of", on.zone)
+	if zone == nil || zone.Name == WholeFleet && evacuates(o) {
+		return nil, rejectf(ErrUnknownZone, "found no zone %.50q, expected one that nodes are of", on.zone)
 	}
 	if o, is := o.(*hold); is {
-		zone.HeldUntilMS = fleet.ClockMS + o.forMS
-		zone.addEvent(fleet.ClockMS, s.Epoch, nil, "%s: nothing is decided by rules for %d ms", o.operator, o.forMS)
+		zone.HeldUntilMS = fleet.ClockMS + o.durationMS
+		zone.addEvent(fleet.ClockMS, s.Epoch, nil, "%s: nothing is decided by rules for %d ms", o.operator, o.durationMS)
 		return zone, nil
 	}
 	if on.epoch != s.Epoch {
-		return nil, rejected(ErrStaleEpoch, "decided in epoch %d, expected %d", on.epoch, s.Epoch)
+		return nil, rejectf(ErrStaleEpoch, "decided in epoch %d, expected %d", on.epoch, s.Epoch)
 	}
 	// Guards against two epochs being acted on at once: nodes of the older one would take their load beside what the
 	// newer returns to others, and the rate limit would be exceeded. Nothing is raised before all have promised the
 	// newest.
 	if raisesLoad(o) && !s.settled() && !without.Has(OneEpoch) {
-		return nil, rejected(ErrUnsettled, "epoch %d is not settled: some node may act on an older one", s.Epoch)
+		return nil, rejectf(ErrUnsettled, "epoch %d is not settled: some node may act on an older one", s.Epoch)
 	}
 	return zone, s.transition(zone, o, fleet)
 }
@@ -64,13 +64,13 @@
 	case *rampStep:
 		return s.ramp(zone, o, fleet)
 	case *quotaSplit:
-		return s.splitAnew(zone, o, fleet)
+		return s.resplitQuotas(zone, o, fleet)
 	case *stepBack:
 		return s.stepBack(zone, o, fleet)
 	case *rampEnd:
 		return s.endRamp(zone, o, fleet)
 	}
-	return rejected(ErrUnknownOp, "op %.20q, expected leave, settle, step, split, in, back, bore or hold",
+	return rejectf(ErrUnknownOp, "op %.20q, expected leave, settle, step, split, in, back, bore or hold",
 		o.encode().Kind)
 }
 
@@ -86,10 +86,10 @@
 // settle ends the time in which nodes may act on an older epoch: evacuations are complete, quotas that grew count.
 func (s *State) settle(o *settlement, fleet *membership.State, without Guard) error {
 	if o.epoch != s.Epoch || s.settled() {
-		return rejected(ErrStaleEpoch, "epoch %d is settled or past", o.epoch)
+		return rejectf(ErrStaleEpoch, "epoch %d is settled or past", o.epoch)
 	}
 	if older := fleet.NodesOnOlderZoneEpoch(s.Epoch); len(older) > 0 && !without.Has(OneEpoch) {
-		return rejected(ErrUnsettled, "%d nodes may act on an older epoch", len(older))
+		return rejectf(ErrUnsettled, "%d nodes may act on an older epoch", len(older))
 	}
 	for _, zone := range s.Zones {
 		zone.PreviousQuotas = nil
@@ -107,10 +107,10 @@
 
 func (s *State) evacuate(zone *Zone, o *evacuation, fleet *membership.State) error {
 	if zone.Phase == Evacuated && zone.Share <= o.share || zone.Phase == Evacuating {
-		return rejected(ErrWrongPhase, "zone %s is %s already", zone.Name, zone.Phase)
+		return rejectf(ErrWrongPhase, "zone %s is %s already", zone.Name, zone.Phase)
 	}
 	if !s.anotherInService(zone.Name, fleet) {
-		return rejected(ErrLastZone, "zone %s is the last that is in", zone.Name)
+		return rejectf(ErrLastZone, "zone %s is the last that is in", zone.Name)
 	}
 	zone.FlapCount++
 	if fleet.ClockMS-zone.InServiceSinceMS > flapWindowMS {
@@ -130,7 +130,7 @@
 	if o.share > 0 {
 		what = fmt.Sprintf("left in part, keeps %d of %d by value", o.share, api.FullShare)
 	}
-	zone.addEvent(fleet.ClockMS, s.Epoch, &o.grounds, "%s: %s", what, o.grounds.text())
+	zone.addEvent(fleet.ClockMS, s.Epoch, &o.rationale, "%s: %s", what, o.rationale.text())
 	return nil
 }
 
@@ -147,21 +147,21 @@
 
 func (s *State) ramp(zone *Zone, o *rampStep, fleet *membership.State) error {
 	if zone.Phase != Evacuated && zone.Phase != Ramping {
-		return rejected(ErrWrongPhase, "zone %s is %s, expected it out or returning", zone.Name, zone.Phase)
+		return rejectf(ErrWrongPhase, "zone %s is %s, expected it out or returning", zone.Name, zone.Phase)
 	}
 	takes := o.limits
 	if takes.rateLimit == 0 { // an operator's has none
-		takes.rateLimit, takes.connectRateLimit = zone.rateLimits(takes.share, zone.nodesIn(fleet))
+		takes.rateLimit, takes.connectRateLimit = zone.rateLimits(takes.share, zone.countNodesIn(fleet))
 	}
 	s.beginEpoch(zone, Ramping, &takes, fleet)
 	zone.Operator = o.operator
-	zone.addEvent(fleet.ClockMS, s.Epoch, &o.grounds, "returns at %d of %d, %.0f runs a second at most: %s", zone.Share,
-		api.FullShare, zone.RateLimit, o.grounds.text())
+	zone.addEvent(fleet.ClockMS, s.Epoch, &o.rationale, "returns at %d of %d, %.0f runs a second at most: %s", zone.Share,
+		api.FullShare, zone.RateLimit, o.rationale.text())
 	return nil
 }
 
-// splitAnew leaves all as it is but for the quotas.
-func (s *State) splitAnew(zone *Zone, o *quotaSplit, fleet *membership.State) error {
+// resplitQuotas leaves all as it is but for the quotas.
+func (s *State) resplitQuotas(zone *Zone, o *quotaSplit, fleet *membership.State) error {
 	if err := zone.expectRamping(); err != nil {
 		return err
 	}
@@ -184,8 +184,8 @@
 	}
 	s.beginEpoch(zone, next, &o.limits, fleet)
 	zone.Cause, zone.Operator = o.cause, o.operator
-	zone.addEvent(fleet.ClockMS, s.Epoch, &o.grounds, "back to %d of %d: %s", zone.Share, api.FullShare,
-		o.grounds.text())
+	zone.addEvent(fleet.ClockMS, s.Epoch, &o.rationale, "back to %d of %d: %s", zone.Share, api.FullShare,
+		o.rationale.text())
 	return nil
 }
 
@@ -197,13 +197,13 @@
 	zone.Cause, zone.Operator = "", ""
 	zone.Quotas, zone.DrillUntilMS = nil, 0
 	zone.InServiceSinceMS = fleet.ClockMS
-	zone.addEvent(fleet.ClockMS, s.Epoch, &o.grounds, "in again: %s", o.grounds.text())
+	zone.addEvent(fleet.ClockMS, s.Epoch, &o.rationale, "in again: %s", o.rationale.text())
 	return nil
 }
 
 func (z *Zone) expectRamping() error {
 	if z.Phase != Ramping {
-		return rejected(ErrWrongPhase, "zone %s is %s, expected it returning", z.Name, z.Phase)
+		return rejectf(ErrWrongPhase, "zone %s is %s, expected it returning", z.Name, z.Phase)
 	}
 	return nil
 }
--- a/internal/control/zones/codec.go
+++ b/internal/control/zones/codec.go
@@ -7,7 +7,7 @@
 	on := target{op.Zone, op.Epoch}
 	budget := retryBudget{op.RetryBudget, op.NoCapacityElsewhere}
 	takes := limits{op.Share, op.PriorityCutoff, op.RateLimit, op.ConnectRateLimit, budget}
-	why := grounds{op.Operator, op.Reason, op.ValueOfStaying, op.ValueOfEvacuating}
+	why := rationale{op.Operator, op.Reason, op.ValueOfStaying, op.ValueOfEvacuating}
 	switch op.Kind {
 	case OpEvacuate:
 		return &evacuation{on, takes, why, op.Cause, op.WaitMS, op.DrillMS, op.Capacities}
@@ -42,7 +42,7 @@
 	op.RetryBudget, op.NoCapacityElsewhere = b.retries, b.noCapacityElsewhere
 }
 
-func (g *grounds) write(op *Op) {
+func (g *rationale) write(op *Op) {
 	op.Operator, op.Reason = g.operator, g.reason
 	op.ValueOfStaying, op.ValueOfEvacuating = g.valueOfStaying, g.valueOfEvacuating
 }
@@ -50,7 +50,7 @@
 func (o *evacuation) encode() *Op {
 	op := o.op(OpEvacuate)
 	o.limits.write(op)
-	o.grounds.write(op)
+	o.rationale.write(op)
 	op.Cause, op.WaitMS, op.DrillMS, op.Capacities = o.cause, o.waitMS, o.drillMS, o.capacities
 	return op
 }
@@ -60,7 +60,7 @@
 func (o *rampStep) encode() *Op {
 	op := o.op(OpRamp)
 	o.limits.write(op)
-	o.grounds.write(op)
+	o.rationale.write(op)
 	return op
 }
 
@@ -72,7 +72,7 @@
 
 func (o *rampEnd) encode() *Op {
 	op := o.op(OpEndRamp)
-	o.grounds.write(op)
+	o.rationale.write(op)
 	o.budget.write(op)
 	return op
 }
@@ -80,7 +80,7 @@
 func (o *stepBack) encode() *Op {
 	op := o.op(OpStepBack)
 	o.limits.write(op)
-	o.grounds.write(op)
+	o.rationale.write(op)
 	op.Cause, op.WaitMS = o.cause, o.waitMS
 	return op
 }
@@ -93,7 +93,7 @@
 
 func (o *hold) encode() *Op {
 	op := o.op(OpHold)
-	op.Operator, op.WaitMS = o.operator, o.forMS
+	op.Operator, op.WaitMS = o.operator, o.durationMS
 	return op
 }
 
--- a/internal/control/zones/cold_start.go
+++ b/internal/control/zones/cold_start.go
@@ -22,7 +22,7 @@
 	if whole != nil && whole.Phase != InService {
 		return false
 	}
-	young, in := s.youngNodes(fleet, whole)
+	young, in := s.countRecentStarts(fleet, whole)
 	if !recovery.IsColdStart(young, in) {
 		return false
 	}
@@ -46,9 +46,9 @@
 	return true
 }
 
-// youngNodes counts the nodes that are in, and those of them whose processes began lately and after the last cold
+// countRecentStarts counts the nodes that are in, and those of them whose processes began lately and after the last cold
 // start ended.
-func (s *State) youngNodes(fleet *membership.State, whole *Zone) (young, in int) {
+func (s *State) countRecentStarts(fleet *membership.State, whole *Zone) (young, in int) {
 	lastStartEnded := uint64(0)
 	if whole != nil {
 		lastStartEnded = whole.InServiceSinceMS
@@ -117,6 +117,6 @@
 	order.Share = max(1, rules.InitialShare)
 	runs, connections := zone.rateLimits(order.Share, 0)
 	nodes := float64(max(1, node.NodesIn))
-	tighten(order, runs/nodes, connections/nodes)
+	capRates(order, runs/nodes, connections/nodes)
 	return true
 }
--- a/internal/control/zones/decide.go
+++ b/internal/control/zones/decide.go
@@ -7,12 +7,12 @@
 
 // decider is what the rules go by at one evaluation: plain inputs, and the evidence as of now.
 type decider struct {
-	monitor *Monitor
-	now     uint64 // ms of the leader's clock
-	state   *State
-	fleet   *membership.State
-	rules   *api.ZoneRules
-	without Guard
+	monitor  *Monitor
+	now      uint64 // ms of the leader's clock
+	state    *State
+	fleet    *membership.State
+	rules    *api.ZoneRules
+	disabled Guard
 }
 
 // Decide returns the operation that the leader should add to the log, nil if there is none. now is in ms of the
@@ -33,28 +33,28 @@
 	if !rules.Enabled() {
 		return nil
 	}
-	if m.since == 0 || now-m.evaluatedAt >= evaluateEveryMS {
+	if m.startedAt == 0 || now-m.evaluatedAt >= evaluationIntervalMS {
 		m.evaluate(now, state, fleet, without)
 	}
-	d := &decider{monitor: m, now: now, state: state, fleet: fleet, rules: rules, without: without}
+	d := &decider{monitor: m, now: now, state: state, fleet: fleet, rules: rules, disabled: without}
 	if !state.settled() && (len(fleet.NodesOnOlderZoneEpoch(state.Epoch)) == 0 || without.Has(OneEpoch)) {
 		return &settlement{target{epoch: state.Epoch}}
 	}
 	if whole := state.Find(WholeFleet); whole != nil && whole.Phase == Ramping {
-		if o := d.decideFor(whole, m.fleet); o != nil {
+		if o := d.decideZone(whole, m.fleetView); o != nil {
 			return o
 		}
 	}
 	for _, view := range m.views {
-		if o := d.decideFor(state.Find(view.Zone), view); o != nil {
+		if o := d.decideZone(state.Find(view.Zone), view); o != nil {
 			return o
 		}
 	}
 	return m.capacitiesToStore(now)
 }
 
-// decideFor returns the next operation about a zone; zone is nil if nothing was ever decided about it.
-func (d *decider) decideFor(zone *Zone, view *View) operation {
+// decideZone returns the next operation about a zone; zone is nil if nothing was ever decided about it.
+func (d *decider) decideZone(zone *Zone, view *View) operation {
 	if zone != nil && d.fleet.ClockMS < zone.HeldUntilMS {
 		return nil
 	}
@@ -71,7 +71,7 @@
 		if zone.Share > 0 && view.FailureScore >= evacuateScore && view.silent() {
 			return d.evacuate(view)
 		}
-		if automatic && zone.Operator == "" || d.drillEnds(zone) {
+		if automatic && zone.Operator == "" || d.shouldEndDrill(zone) {
 			return d.beginRamp(zone, view)
 		}
 	case Ramping:
@@ -89,5 +89,5 @@
 	return retryBudget{retries, noCapacity}
 }
 
-// mayRaise reports whether load may be raised: nobody acts on an older epoch.
-func (d *decider) mayRaise() bool { return d.state.settled() || d.without.Has(OneEpoch) }
+// mayRaiseLoad reports whether load may be raised: nobody acts on an older epoch.
+func (d *decider) mayRaiseLoad() bool { return d.state.settled() || d.disabled.Has(OneEpoch) }
--- a/internal/control/zones/doc.go
+++ b/internal/control/zones/doc.go
@@ -14,7 +14,7 @@
 // Invariants: the quotas of all leases that may still be acted on never add up to more than the larger of a zone's
 // present and previous rate limit; load is raised only once no lease acts on an older epoch; one zone is always in
 // service; no zone is evacuated for what ails half or more of the others too. The package never raises load by the
-// clock alone, with one exception: a zone that takes all of its load at one rate limit for maxEndMS is in service, and
+// clock alone, with one exception: a zone that takes all of its load at one rate limit for maxFinalStepMS is in service, and
 // its limit ends, though many requests are still rejected (finishRamp).
 //
 // A newcomer reads operation.go, apply.go (transitions), monitor.go and evaluate.go (evidence), then decide.go, which
--- a/internal/control/zones/drill_test.go
+++ b/internal/control/zones/drill_test.go
@@ -24,11 +24,11 @@
 	} {
 		other := c.other
 		other.Zone, other.NodesIn, other.NodesReporting = "b", 10, 10
-		d, _ := zonesOf(&other)
+		d, _ := newTestDecider(&other)
 		d.monitor.views = d.monitor.views[1:]
 		d.fleet = membership.New()
 		d.fleet.ClockMS = 1000
-		if got := d.drillEnds(&Zone{Name: "a", DrillUntilMS: c.until}); got != c.ends {
+		if got := d.shouldEndDrill(&Zone{Name: "a", DrillUntilMS: c.until}); got != c.ends {
 			t.Errorf("%s: %v, expected %v", c.name, got, c.ends)
 		}
 	}
--- a/internal/control/zones/errors.go
+++ b/internal/control/zones/errors.go
@@ -28,7 +28,7 @@
 // Unwrap returns the reason.
 func (e *RejectedError) Unwrap() error { return e.Reason }
 
-func rejected(reason error, format string, args ...any) error {
+func rejectf(reason error, format string, args ...any) error {
 	return &RejectedError{Reason: reason, Text: fmt.Sprintf(format, args...)}
 }
 
--- a/internal/control/zones/evacuate.go
+++ b/internal/control/zones/evacuate.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// fillLimit: other zones are not filled past this part of what they could do; what is left is for load that comes
+	// maxUtilization: other zones are not filled past this part of what they could do; what is left is for load that comes
 	// unevenly. Higher, an evacuation could overload the zones that are left; lower, it could not be done at half
 	// load.
-	fillLimit = 0.85
-	// minGain: an evacuation has to win a tenth of the value that the zone is asked for. Less is within what reports
+	maxUtilization = 0.85
+	// minEvacuationGain: an evacuation has to win a tenth of the value that the zone is asked for. Less is within what reports
 	// can tell, and each evacuation costs callers a retry.
-	minGain = 0.1
-	// minPartShare, of api.FullShare: less than an eighth of a zone is not worth an epoch that every node has to
+	minEvacuationGain = 0.1
+	// minMovedShare, of api.FullShare: less than an eighth of a zone is not worth an epoch that every node has to
 	// promise.
-	minPartShare = api.FullShare / 8
-	// maxDoublings of a wait: beyond it MaxRampDelayMS is the limit in any case, and the shift must not overflow.
-	maxDoublings = 20
+	minMovedShare = api.FullShare / 8
+	// maxDelayDoublings of a wait: beyond it MaxRampDelayMS is the limit in any case, and the shift must not overflow.
+	maxDelayDoublings = 20
 	// flapWindowMS: a zone that fails again so soon after its return has flapped, and waits twice as long before the
 	// next ramp. Ten minutes are several ramps; shorter would let a zone that fails at each return bring its callers
 	// down every time.
@@ -59,84 +59,84 @@
 		return o
 	}
 	others, ok := d.spareCapacity(view)
-	if !ok || view.unhealthy() < unhealthyShare { // it is healthy again, and the score has not fallen yet
+	if !ok || view.unhealthyRatio() < unhealthyShare { // it is healthy again, and the score has not fallen yet
 		return nil
 	}
-	if !d.weigh(o, view, others) {
+	if !d.chooseEvacuation(o, view, others) {
 		return nil
 	}
 	o.reason = fmt.Sprintf("%d of %d nodes heard are sick (%s); %.0f runs a second here, room for %.0f elsewhere",
-		view.NodesUnhealthy, view.NodesReporting, view.Cause, view.RunRate, others.runs)
+		view.NodesUnhealthy, view.NodesReporting, view.Cause, view.RunRate, others.runRate)
 	o.budget = d.retryBudget(view, Evacuated, o.share > 0)
 	return o
 }
 
-// weigh decides between staying, a whole evacuation and one in part, and sets the operation's values, share and
+// chooseEvacuation decides between staying, a whole evacuation and one in part, and sets the operation's values, share and
 // cutoff. It reports whether the zone is evacuated.
 //
 // What the zone does not do is asked for elsewhere already, as callers retry. So what the others would take besides
 // is what runs here. The requests of most value move; those of least value stay and take their chances.
-func (d *decider) weigh(o *evacuation, view *View, others spare) bool {
+func (d *decider) chooseEvacuation(o *evacuation, view *View, others spareCapacity) bool {
 	runs := max(view.RunRate, minRate)
 	admitted := max(view.AdmittedRate, minRate)
-	moved := min(runs, others.runs)
-	if d.without.Has(SpareCapacity) {
+	moved := min(runs, others.runRate)
+	if d.disabled.Has(SpareCapacity) {
 		moved = runs
 	}
 	part := moved / runs
 	asked := view.OfferedWeight * min(1, runs/admitted) // the value of as many first attempts as run
-	whole := asked * others.completed * valueOfPart(view.mix, part)
+	whole := asked * others.completionRatio * valueFraction(view.arrivedByWeight, part)
 	o.valueOfStaying = view.CompletedWeight
 	o.valueOfEvacuating = whole + view.CompletedWeight*(1-part)
 	switch {
-	case view.CompletedWeight <= minGain*view.OfferedWeight && whole >= view.CompletedWeight:
+	case view.CompletedWeight <= minEvacuationGain*view.OfferedWeight && whole >= view.CompletedWeight:
 		o.valueOfEvacuating = whole // it does hardly anything: to evacuate it wholly takes nothing from anybody
-	case o.valueOfEvacuating-o.valueOfStaying < minGain*view.OfferedWeight:
+	case o.valueOfEvacuating-o.valueOfStaying < minEvacuationGain*view.OfferedWeight:
 		view.Note = fmt.Sprintf("sick (%s), but leaving would do %.0f of value a second, staying %.0f", view.Symptom,
 			o.valueOfEvacuating, o.valueOfStaying)
 		return false
-	case part < 1 && int(part*api.FullShare) < minPartShare:
+	case part < 1 && int(part*api.FullShare) < minMovedShare:
 		view.Note = fmt.Sprintf("sick (%s), and the others have room for %.0f runs a second of %.0f", view.Symptom,
-			others.runs, runs)
+			others.runRate, runs)
 		return false
 	case part < 1:
-		o.share, o.priorityCutoff = whatStays(view.mix, min(1, (runs-moved)/admitted))
+		o.share, o.priorityCutoff = remainingLimits(view.arrivedByWeight, min(1, (runs-moved)/admitted))
 	}
 	return true
 }
 
-// spare is what the other zones could do besides what they do.
-type spare struct {
-	runs      float64 // runs a second
-	completed float64 // part of the value that they are asked for which they complete in time, 0 to 1
+// spareCapacity is what the other zones could do besides what they do.
+type spareCapacity struct {
+	runRate         float64 // runs a second
+	completionRatio float64 // part of the value that they are asked for which they complete in time, 0 to 1
 }
 
 // spareCapacity decides how much load the zones in service could take, beside what they do, without that of one. ok
 // is false where none of them is healthy and heard. A limit that is too high overloads them, one that is too low
 // leaves callers with a zone that fails.
-func (d *decider) spareCapacity(without *View) (others spare, ok bool) {
+func (d *decider) spareCapacity(without *View) (others spareCapacity, ok bool) {
 	completed, offered := 0.0, 0.0
 	for _, other := range d.monitor.views {
 		usable := d.state.inService(other.Zone) && !other.silent() && other.hasQuorum()
-		healthy := other.unhealthy() <= healthyShare || d.without.Has(CommonCause)
+		healthy := other.unhealthyRatio() <= healthyShare || d.disabled.Has(CommonCause)
 		if other == without || !usable || !healthy {
 			continue
 		}
 		ok = true
-		others.runs += max(0, fillLimit*other.RunCapacity-other.RunRate)
+		others.runRate += max(0, maxUtilization*other.RunCapacity-other.RunRate)
 		completed += other.CompletedWeight
 		offered += other.OfferedWeight
 	}
-	others.completed = 1
+	others.completionRatio = 1
 	if offered > 0 {
-		others.completed = min(1, completed/offered)
+		others.completionRatio = min(1, completed/offered)
 	}
 	return others, ok
 }
 
-// valueOfPart returns the part of all value that the requests of most value have, if they are a part of all requests.
+// valueFraction returns the part of all value that the requests of most value have, if they are a part of all requests.
 // mix is by weight, the least first.
-func valueOfPart(mix []api.PriorityCount, part float64) float64 {
+func valueFraction(mix []api.PriorityCount, part float64) float64 {
 	arrived, value, whole := 0, 0.0, 0.0
 	for _, count := range mix {
 		arrived += count.Arrived
@@ -154,9 +154,9 @@
 	return value / whole
 }
 
-// whatStays returns what stays in a zone where a part of its requests does: all of less weight than the cutoff, and a
+// remainingLimits returns what stays in a zone where a part of its requests does: all of less weight than the cutoff, and a
 // share of those at it.
-func whatStays(mix []api.PriorityCount, part float64) (share int, cutoff float64) {
+func remainingLimits(mix []api.PriorityCount, part float64) (share int, cutoff float64) {
 	arrived := 0
 	for _, count := range mix {
 		arrived += count.Arrived
@@ -184,5 +184,5 @@
 // rampDelayMS decides how long a zone stays evacuated at least, in ms: twice as long with each time that it failed
 // again soon, up to the policy's limit. A zone that fails at each return must not take its callers along each time.
 func rampDelayMS(rules *api.ZoneRules, flaps int) uint64 {
-	return min(rules.MinStepMS<<min(flaps, maxDoublings), rules.MaxRampDelayMS)
+	return min(rules.MinStepMS<<min(flaps, maxDelayDoublings), rules.MaxRampDelayMS)
 }
--- a/internal/control/zones/evacuate_test.go
+++ b/internal/control/zones/evacuate_test.go
@@ -41,7 +41,7 @@
 		s, w, now := &State{}, NewMonitor(), uint64(0)
 		var op *Op
 		for look := 0; look < 60; look++ {
-			now += evaluateEveryMS
+			now += evaluationIntervalMS
 			f.ClockMS = now
 			for _, n := range f.Nodes() {
 				l := well
--- a/internal/control/zones/evaluate.go
+++ b/internal/control/zones/evaluate.go
@@ -7,40 +7,40 @@
 	"umberwinch/internal/control/membership"
 )
 
-// evaluateEveryMS is the time between two evaluations of the reports. Each node reports once a second at most: more
+// evaluationIntervalMS is the time between two evaluations of the reports. Each node reports once a second at most: more
 // often would see the same reports again, less often would cost seconds of a failing zone's service.
-const evaluateEveryMS = 500
+const evaluationIntervalMS = 500
 
 // evaluate works out the views of all zones from the reports.
 func (m *Monitor) evaluate(now uint64, state *State, fleet *membership.State, without Guard) {
-	if m.since == 0 {
-		m.since = now
+	if m.startedAt == 0 {
+		m.startedAt = now
 	}
 	m.heartbeatMS = HeartbeatIntervalMS(len(fleet.Nodes()))
 	m.evaluatedAt = now
-	m.forgetUnknown(fleet)
+	m.dropUnknownNodes(fleet)
 
 	views, loads := m.groupReports(now, fleet)
 	m.views = m.views[:0]
 	for _, name := range sortedKeys(views) {
 		view := views[name]
-		if before := m.byZone[name]; before != nil {
+		if before := m.viewsByZone[name]; before != nil {
 			view.inherit(before)
 		} else if zone := state.Find(name); zone != nil { // what the leader before had learned
-			view.observed, view.logged, view.loggedAt = zone.Capacity, zone.Capacity, now
+			view.observed, view.stored, view.storedAt = zone.Capacity, zone.Capacity, now
 		}
 		view.aggregate(loads[name])
 		m.views = append(m.views, view)
 	}
-	m.byZone = views
-	m.fleet = sumOfZones(m.views, m.fleet)
+	m.viewsByZone = views
+	m.fleetView = sumViews(m.views, m.fleetView)
 	m.chooseProbes(now, fleet)
 	for _, view := range m.views {
 		m.score(now, state, view, without)
 	}
 }
 
-func (m *Monitor) forgetUnknown(fleet *membership.State) {
+func (m *Monitor) dropUnknownNodes(fleet *membership.State) {
 	for name := range m.reports { // each is judged alone, whatever the order
 		if fleet.Lookup(name) == nil {
 			delete(m.reports, name)
@@ -64,14 +64,14 @@
 			continue
 		}
 		view.NodesIn++
-		report, heard := m.reportOf(node), m.since
+		report, heard := m.reportOf(node), m.startedAt
 		if report != nil {
-			heard = max(heard, report.at)
+			heard = max(heard, report.receivedAt)
 		}
-		if now-heard > m.quietAfterMS() {
+		if now-heard > m.silentAfterMS() {
 			view.NodesSilent++
 		}
-		if m.isFresh(now, report) && report.hasReport {
+		if m.isFresh(now, report) && report.hasLoad {
 			view.NodesReporting++
 			loads[node.Zone] = append(loads[node.Zone], &report.load)
 		}
@@ -84,12 +84,12 @@
 // would hold retries back for a demand that has ended.
 const demandDecay = 0.97
 
-// sumOfZones adds up the zones to a view of the fleet. Times are weighted by runs.
-func sumOfZones(views []*View, before *View) *View {
+// sumViews adds up the zones to a view of the fleet. Times are weighted by runs.
+func sumViews(views []*View, before *View) *View {
 	all := &View{Zone: WholeFleet}
 	if before != nil {
 		all.demand = before.demand * demandDecay
-		all.overloaded, all.loads = before.overloaded, shifted(before.loads)
+		all.overloadedEvaluations, all.loads = before.overloadedEvaluations, shiftLoads(before.loads)
 	}
 	nodesWithKernel, runMS, callMS := 0, 0.0, 0.0
 	for _, view := range views {
--- a/internal/control/zones/generation.go
+++ b/internal/control/zones/generation.go
@@ -24,7 +24,7 @@
 		}
 	}
 	for _, zone := range s.Zones {
-		zone.dropStale(evacuated[zone.Name] != 0)
+		zone.reconcileRestored(evacuated[zone.Name] != 0)
 	}
 	if !s.anyNodeInService(fleet) { // one zone is always in service, and nothing tells which: all are
 		for _, zone := range s.Zones {
@@ -37,27 +37,27 @@
 	z.Phase, z.Share, z.PriorityCutoff = Evacuated, 0, 0
 	z.Epoch, z.SinceMS = epoch, clock
 	z.Cause, z.Operator = causeRestored, ""
-	z.dropLimits()
+	z.clearLimits()
 	z.DrillUntilMS, z.RampNotBeforeMS = 0, clock
 	z.addEvent(clock, epoch, nil, "the group was restored; its nodes took %d of %d: out, and returns", share,
 		api.FullShare)
 }
 
-// dropStale corrects what the state of a group says that was restored from an older one. What an operator evacuated
+// reconcileRestored corrects what the state of a group says that was restored from an older one. What an operator evacuated
 // stays so until he takes it back; what else is not in service was not told to any node any more.
-func (z *Zone) dropStale(told bool) {
+func (z *Zone) reconcileRestored(told bool) {
 	operators := (z.Phase == Evacuated || z.Phase == Evacuating) && z.Operator != ""
 	switch {
 	case operators:
 		z.Phase, z.Share, z.DrillUntilMS = Evacuated, 0, 0
-		z.dropLimits()
+		z.clearLimits()
 	case z.Phase != InService && !told && z.Cause != causeRestored:
 		z.Phase, z.Share = InService, api.FullShare
-		z.dropLimits()
+		z.clearLimits()
 	}
 }
 
-func (z *Zone) dropLimits() {
+func (z *Zone) clearLimits() {
 	z.RateLimit, z.ConnectRateLimit, z.Quotas, z.PreviousQuotas = 0, 0, nil, nil
 }
 
--- a/internal/control/zones/helper_test.go
+++ b/internal/control/zones/helper_test.go
@@ -5,11 +5,11 @@
 	"umberwinch/internal/control/membership"
 )
 
-// evaluated has the monitor hear the same report of each node before each of some evaluations, and returns the time
+// evaluateRepeatedly has the monitor hear the same report of each node before each of some evaluations, and returns the time
 // after them.
-func evaluated(w *Monitor, f *membership.State, s *State, from uint64, looks int, l api.LoadReport) uint64 {
+func evaluateRepeatedly(w *Monitor, f *membership.State, s *State, from uint64, looks int, l api.LoadReport) uint64 {
 	for i := 0; i < looks; i++ {
-		from += evaluateEveryMS
+		from += evaluationIntervalMS
 		for _, n := range f.Nodes() {
 			one := l
 			w.Record(from, n, &one, nil)
--- a/internal/control/zones/monitor.go
+++ b/internal/control/zones/monitor.go
@@ -9,21 +9,21 @@
 // nothing against anybody for the time in which it did not listen. Times are in ms of the leader's monotonic clock.
 type Monitor struct {
 	heartbeatMS uint64 // how often a node reports
-	since       uint64 // it listens since then
+	startedAt   uint64 // it listens since then
 	evaluatedAt uint64
 	reports     map[string]*nodeReport // by node
 	probes      probes
 	views       []*View // by zone
-	byZone      map[string]*View
-	fleet       *View
+	viewsByZone map[string]*View
+	fleetView   *View
 }
 
 // nodeReport is the newest report of a node's present incarnation.
 type nodeReport struct {
-	lease     uint32
-	at        uint64
-	load      api.LoadReport
-	hasReport bool
+	lease      uint32
+	receivedAt uint64
+	load       api.LoadReport
+	hasLoad    bool
 }
 
 const (
@@ -33,22 +33,22 @@
 	// alone.
 	maxHeartbeatRate = 2500
 
-	// quietHeartbeats and quietMarginMS: a node is quiet once one heartbeat was lost, with the time of the next one's
+	// silentHeartbeats and silentMarginMS: a node is quiet once one heartbeat was lost, with the time of the next one's
 	// answer. Sooner, a lost packet would look like a dead node.
-	quietHeartbeats = 1.5
-	quietMarginMS   = 800
+	silentHeartbeats = 1.5
+	silentMarginMS   = 800
 
-	// freshHeartbeats and freshMarginMS: a report counts until two more should have come. Longer, a zone would be
+	// reportTTLHeartbeats and reportTTLMarginMS: a report counts until two more should have come. Longer, a zone would be
 	// judged by what it was; shorter, a lost heartbeat would take a node out of the picture.
-	freshHeartbeats = 2
-	freshMarginMS   = 500
+	reportTTLHeartbeats = 2
+	reportTTLMarginMS   = 500
 
 	millisPerSecond = 1000
 )
 
 // NewMonitor makes a monitor that has heard nothing.
 func NewMonitor() *Monitor {
-	return &Monitor{reports: map[string]*nodeReport{}, probes: newProbes(), byZone: map[string]*View{}}
+	return &Monitor{reports: map[string]*nodeReport{}, probes: newProbes(), viewsByZone: map[string]*View{}}
 }
 
 // HeartbeatIntervalMS decides how often a node of a fleet of so many should report while zones are monitored, in ms.
@@ -64,9 +64,9 @@
 		report = &nodeReport{lease: node.Lease.ID}
 		m.reports[node.Name] = report
 	}
-	report.at = now
+	report.receivedAt = now
 	if load != nil && load.Plausible() {
-		report.load, report.hasReport = *load, true
+		report.load, report.hasLoad = *load, true
 	}
 	m.probes.record(now, node.Name, peers)
 }
@@ -83,29 +83,29 @@
 // LastHeard returns when a node's present incarnation was heard last, in ms; 0: not by this leader.
 func (m *Monitor) LastHeard(node *membership.Node) uint64 {
 	if report := m.reportOf(node); report != nil {
-		return report.at
+		return report.receivedAt
 	}
 	return 0
 }
 
 // ProbesFor returns the nodes whose health a node should check, for the next answer to it.
-func (m *Monitor) ProbesFor(node string) []api.ProbeTarget { return m.probes.byNode[node] }
+func (m *Monitor) ProbesFor(node string) []api.ProbeTarget { return m.probes.targetsByProber[node] }
 
 // Views returns all zones as of the last evaluation, by name. They belong to the monitor.
 func (m *Monitor) Views() []*View { return m.views }
 
 // FleetView returns the whole fleet as of the last evaluation, nil before the first.
-func (m *Monitor) FleetView() *View { return m.fleet }
+func (m *Monitor) FleetView() *View { return m.fleetView }
 
-// quietAfterMS is for how long a node may be silent before it counts as quiet.
-func (m *Monitor) quietAfterMS() uint64 {
-	return uint64(quietHeartbeats*float64(m.heartbeatMS)) + quietMarginMS
+// silentAfterMS is for how long a node may be silent before it counts as quiet.
+func (m *Monitor) silentAfterMS() uint64 {
+	return uint64(silentHeartbeats*float64(m.heartbeatMS)) + silentMarginMS
 }
 
-// freshForMS is for how long a report counts.
-func (m *Monitor) freshForMS() uint64 { return freshHeartbeats*m.heartbeatMS + freshMarginMS }
+// reportTTLMS is for how long a report counts.
+func (m *Monitor) reportTTLMS() uint64 { return reportTTLHeartbeats*m.heartbeatMS + reportTTLMarginMS }
 
 // isFresh reports whether a report counts still.
 func (m *Monitor) isFresh(now uint64, report *nodeReport) bool {
-	return report != nil && now-report.at <= m.freshForMS()
+	return report != nil && now-report.receivedAt <= m.reportTTLMS()
 }
--- a/internal/control/zones/observe_test.go
+++ b/internal/control/zones/observe_test.go
@@ -17,7 +17,7 @@
 	s, w := &State{}, NewMonitor()
 	well := api.LoadReport{WindowMS: 2000, Arrived: 200, Completed: 200, RunsEnded: 200, MeanRunMS: 20, Calls: 200,
 		MeanCallMS: 10, KernelConnected: true, Cores: 4, CoresUsed: 1}
-	at := evaluated(w, f, s, 0, 30, well)
+	at := evaluateRepeatedly(w, f, s, 0, 30, well)
 	bore := w.Views()[0].observed
 	if bore.RunRate < 190 || bore.Concurrency < 3.5 || bore.Concurrency > 4.5 {
 		t.Fatalf("bore %+v, expected 200 runs a second and 4 under way", bore)
@@ -25,16 +25,16 @@
 	stands := well
 	stands.RunsEnded, stands.MeanRunMS, stands.Calls, stands.MeanCallMS, stands.Completed, stands.RunsInFlight,
 		stands.WindowMS = 0, 0, 0, 0, 0, 3, 800
-	at = evaluated(w, f, s, at, 12, stands)
+	at = evaluateRepeatedly(w, f, s, at, 12, stands)
 	if b := w.Views()[0].observed; b.Concurrency > 1.2*bore.Concurrency {
 		t.Errorf("%.1f runs that stood count as borne, expected %.1f at most", b.Concurrency, 1.2*bore.Concurrency)
 	}
-	at = evaluated(w, f, s, at, 12, well)
+	at = evaluateRepeatedly(w, f, s, at, 12, well)
 	usual := w.Views()[0].observed
 	s.Zones = []*Zone{{Name: WholeFleet, Phase: Ramping, Share: 32}}
 	slow := well
 	slow.MeanRunMS, slow.MeanCallMS = 25, 15
-	evaluated(w, f, s, at, 40, slow)
+	evaluateRepeatedly(w, f, s, at, 40, slow)
 	if b := w.Views()[0].observed; b.CallMS != usual.CallMS || b.RunMS != usual.RunMS {
 		t.Errorf("a fleet on its way back has %.1f ms a call for usual, expected %.1f as before", b.CallMS,
 			usual.CallMS)
--- a/internal/control/zones/op.go
+++ b/internal/control/zones/op.go
@@ -23,11 +23,11 @@
 
 // Bounds of what an operator sends. They keep an entry of the log small.
 const (
-	maxOperatorBytes = 200
-	maxReasonBytes   = 2000
-	minKeyBytes      = 8 // fewer could be the same by chance for two operations
-	maxKeyBytes      = 80
-	maxOperatorMS    = 24 * 3600_000 // a day: a zone that is held or drilled for longer was forgotten
+	maxOperatorBytes      = 200
+	maxReasonBytes        = 2000
+	minKeyBytes           = 8 // fewer could be the same by chance for two operations
+	maxKeyBytes           = 80
+	maxOperatorDurationMS = 24 * 3600_000 // a day: a zone that is held or drilled for longer was forgotten
 )
 
 // Op is the stored and sent form of an operation: one JSON object with the fields that its kind has. decode reads it,
@@ -94,21 +94,21 @@
 	}
 	switch {
 	case op.Operator == "" || len(op.Operator) > maxOperatorBytes:
-		return bytesError("by", op.Operator, fmt.Sprintf("1 to %d", maxOperatorBytes))
+		return lengthError("by", op.Operator, fmt.Sprintf("1 to %d", maxOperatorBytes))
 	case len(op.Reason) > maxReasonBytes:
-		return bytesError("why", op.Reason, fmt.Sprintf("at most %d", maxReasonBytes))
+		return lengthError("why", op.Reason, fmt.Sprintf("at most %d", maxReasonBytes))
 	case op.Share < 0 || op.Share > api.FullShare:
 		return &api.FieldError{Field: "share", Found: fmt.Sprint(op.Share), Expected: fmt.Sprintf("0 to %d",
 			api.FullShare)}
 	case len(op.IdempotencyKey) < minKeyBytes || len(op.IdempotencyKey) > maxKeyBytes:
-		return bytesError("key", op.IdempotencyKey, fmt.Sprintf("%d to %d", minKeyBytes, maxKeyBytes))
-	case op.WaitMS > maxOperatorMS || op.DrillMS > maxOperatorMS:
+		return lengthError("key", op.IdempotencyKey, fmt.Sprintf("%d to %d", minKeyBytes, maxKeyBytes))
+	case op.WaitMS > maxOperatorDurationMS || op.DrillMS > maxOperatorDurationMS:
 		return &api.FieldsError{Fields: fmt.Sprintf("wait_ms %d, drill_ms %d", op.WaitMS, op.DrillMS),
 			Expected: "a day at most"}
 	}
 	return nil
 }
 
-func bytesError(field, text, expected string) error {
+func lengthError(field, text, expected string) error {
 	return &api.FieldError{Field: field, Found: fmt.Sprintf("%d bytes", len(text)), Expected: expected}
 }
--- a/internal/control/zones/operation.go
+++ b/internal/control/zones/operation.go
@@ -3,8 +3,8 @@
 // operation is one operation on zones, with the fields that it has: an evacuation, settlement, rampStep, quotaSplit,
 // rampEnd, stepBack, observation or hold. Op is how it is stored and sent.
 type operation interface {
-	// about returns the zone and the epoch that it was decided for; zero where it is about several zones.
-	about() target
+	// appliesTo returns the zone and the epoch that it was decided for; zero where it is about several zones.
+	appliesTo() target
 	encode() *Op
 }
 
@@ -14,7 +14,7 @@
 	epoch uint64
 }
 
-func (t target) about() target { return t }
+func (t target) appliesTo() target { return t }
 
 // limits are what a zone takes from an operation's epoch on, and what the others may admit of its callers' retries.
 type limits struct {
@@ -31,8 +31,8 @@
 	noCapacityElsewhere bool
 }
 
-// grounds are who decided an operation and why.
-type grounds struct {
+// rationale are who decided an operation and why.
+type rationale struct {
 	operator          string // empty: the rules
 	reason            string
 	valueOfStaying    float64 // expected, in priority weight completed a second
@@ -40,7 +40,7 @@
 }
 
 // text returns the grounds as an event has them.
-func (g grounds) text() string {
+func (g rationale) text() string {
 	reason := g.reason
 	if len(reason) > maxEventBytes {
 		reason = reason[:maxEventBytes] + "..."
@@ -55,7 +55,7 @@
 type evacuation struct {
 	target
 	limits
-	grounds
+	rationale
 	cause      Cause
 	waitMS     uint64 // the least time until the zone ramps
 	drillMS    uint64 // 0: no drill
@@ -69,7 +69,7 @@
 type rampStep struct {
 	target
 	limits
-	grounds
+	rationale
 }
 
 // quotaSplit divides a ramp's rate limit among the leases anew.
@@ -81,7 +81,7 @@
 // rampEnd puts a zone in service.
 type rampEnd struct {
 	target
-	grounds
+	rationale
 	budget retryBudget
 }
 
@@ -89,7 +89,7 @@
 type stepBack struct {
 	target
 	limits
-	grounds
+	rationale
 	cause  Cause
 	waitMS uint64 // the least time until an evacuated zone ramps
 }
@@ -103,8 +103,8 @@
 // hold lets the rules decide nothing about a zone for a time.
 type hold struct {
 	target
-	operator string
-	forMS    uint64
+	operator   string
+	durationMS uint64
 }
 
 // unknownOperation is one that this program does not know. It is rejected.
@@ -113,9 +113,9 @@
 	kind OpKind
 }
 
-// evacuatesWholly reports whether an operation leaves nothing to the zone. The fleet as a whole has nowhere else to
+// evacuates reports whether an operation leaves nothing to the zone. The fleet as a whole has nowhere else to
 // send its load.
-func evacuatesWholly(o operation) bool {
+func evacuates(o operation) bool {
 	switch o := o.(type) {
 	case *evacuation:
 		return true
--- a/internal/control/zones/operation_test.go
+++ b/internal/control/zones/operation_test.go
@@ -15,7 +15,7 @@
 func TestStoredOperations(t *testing.T) {
 	on, budget := target{"a", 4}, retryBudget{9, true}
 	takes := limits{16, 2.5, 100, 50, budget}
-	why := grounds{"an operator", "enough", 7.5, 8.5}
+	why := rationale{"an operator", "enough", 7.5, 8.5}
 	capacities := map[string]ObservedCapacity{"a": {RunRate: 100, Concurrency: 3}}
 	const grounded = `"why":"enough","by":"an operator","stay":7.5,"go":8.5`
 	const limited = `"share":16,"worth":2.5,"ceiling":100,"dials":50,"retry":9,"full":true`
@@ -98,7 +98,7 @@
 		}
 	}
 	op := valid
-	op.DrillMS = maxOperatorMS + 1
+	op.DrillMS = maxOperatorDurationMS + 1
 	var fields *api.FieldsError
 	const want = "wait_ms 0, drill_ms 86400001: expected a day at most"
 	if err := op.Validate(); !errors.As(err, &fields) || err.Error() != want {
--- a/internal/control/zones/order.go
+++ b/internal/control/zones/order.go
@@ -20,7 +20,7 @@
 		order.RetryBudget = 0 // its share bounds what it takes
 	}
 	if zone.Phase != Ramping {
-		return s.withColdStart(order, lease)
+		return s.withFleetLimits(order, lease)
 	}
 	order.RateLimited = true
 	if without.Has(LeaseQuotas) { // a part for whoever asks, as if nobody else had any
@@ -32,23 +32,23 @@
 	if n := len(zone.Quotas); n > 0 {
 		order.ConnectRateLimit = zone.ConnectRateLimit / float64(n)
 	}
-	return s.withColdStart(order, lease)
+	return s.withFleetLimits(order, lease)
 }
 
-// withColdStart lays the limits of a fleet that starts cold over those of a node's zone: the smaller of the two.
-func (s *State) withColdStart(order api.ZoneOrder, lease uint32) api.ZoneOrder {
+// withFleetLimits lays the limits of a fleet that starts cold over those of a node's zone: the smaller of the two.
+func (s *State) withFleetLimits(order api.ZoneOrder, lease uint32) api.ZoneOrder {
 	fleet := s.Find(WholeFleet)
 	if fleet == nil || fleet.Phase != Ramping {
 		return order
 	}
 	order.Share = min(order.Share, fleet.Share)
 	order.RetryBudget = 0
-	tighten(&order, s.effectiveQuota(fleet, lease), fleet.ConnectRateLimit/float64(max(1, len(fleet.Quotas))))
+	capRates(&order, s.effectiveQuota(fleet, lease), fleet.ConnectRateLimit/float64(max(1, len(fleet.Quotas))))
 	return order
 }
 
-// tighten limits an order's rates, in runs and connections a second, to the smaller of what it has and what is given.
-func tighten(order *api.ZoneOrder, runs, connections float64) {
+// capRates limits an order's rates, in runs and connections a second, to the smaller of what it has and what is given.
+func capRates(order *api.ZoneOrder, runs, connections float64) {
 	if order.RateLimited {
 		runs, connections = min(runs, order.RateLimit), min(connections, order.ConnectRateLimit)
 	}
--- a/internal/control/zones/pin_state_test.go
+++ b/internal/control/zones/pin_state_test.go
@@ -13,24 +13,24 @@
 	"umberwinch/internal/control/api"
 )
 
-// fill sets every field to a value of its own, in the order of the fields.
-func fill(v reflect.Value, next *int) {
+// fillValue sets every field to a value of its own, in the order of the fields.
+func fillValue(v reflect.Value, next *int) {
 	*next++
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), next)
+		fillValue(v.Elem(), next)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i), next)
+			fillValue(v.Field(i), next)
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		fill(v.Index(0), next)
-		fill(v.Index(1), next)
+		fillValue(v.Index(0), next)
+		fillValue(v.Index(1), next)
 	case reflect.Map:
 		value := reflect.New(v.Type().Elem()).Elem()
-		fill(value, next)
+		fillValue(value, next)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(reflect.ValueOf("key").Convert(v.Type().Key()), value)
 	case reflect.String:
@@ -60,7 +60,7 @@
 		full := reflect.ValueOf(value).Elem()
 		for i := range full.NumField() {
 			if full.Type().Field(i).IsExported() {
-				fill(full.Field(i), &next)
+				fillValue(full.Field(i), &next)
 			}
 		}
 		got, err := json.Marshal(value)
--- a/internal/control/zones/pin_stream_test.go
+++ b/internal/control/zones/pin_stream_test.go
@@ -24,13 +24,13 @@
 	rng     *rand.Rand
 	fleet   *membership.State
 	state   *State
-	watch   *Monitor
+	monitor *Monitor
 	rules   api.ZoneRules
 	without Guard
-	sum     hash.Hash
+	digest  hash.Hash
 	now     uint64
-	beats   uint64
-	kinds   map[string]int
+	batches uint64
+	counts  map[string]int
 	joins   int
 }
 
@@ -43,9 +43,9 @@
 	came  int // a node's report
 }{{"a", 5, 200}, {"b", 5, 200}, {"c", 4, 160}, {"d", 24, 6}}
 
-func (s *stream) say(format string, args ...any) { fmt.Fprintf(s.sum, format+"\n", args...) }
+func (s *stream) writeLine(format string, args ...any) { fmt.Fprintf(s.digest, format+"\n", args...) }
 
-func (s *stream) join(zone string, i int, up uint64) api.JoinRequest {
+func (s *stream) joinRequest(zone string, i int, up uint64) api.JoinRequest {
 	s.joins++
 	return api.JoinRequest{Name: fmt.Sprintf("%s%d", zone, i), Zone: zone, Addr: fmt.Sprintf("10.0.0.%d:1", i),
 		Nonce: fmt.Sprintf("process-%s-%d-%d", zone, i, s.joins), UptimeMS: up}
@@ -56,10 +56,10 @@
 	return i
 }
 
-func (s *stream) beat(b *membership.HeartbeatBatch) {
-	b.Term, b.Sequence, b.BatchesBefore, b.ElapsedMS, b.MinZoneEpoch = 1, s.beats, s.beats, streamTick, s.state.Epoch
+func (s *stream) applyBatch(b *membership.HeartbeatBatch) {
+	b.Term, b.Sequence, b.BatchesBefore, b.ElapsedMS, b.MinZoneEpoch = 1, s.batches, s.batches, streamTick, s.state.Epoch
 	s.fleet.Apply(b, 1, membership.LeaseTerms{LeaseMS: 3000, ZoneEpoch: s.state.Epoch})
-	s.beats++
+	s.batches++
 }
 
 // fault returns what ails a zone at a time of the run.
@@ -149,7 +149,7 @@
 	}[s.now%400_000]
 	if at != nil {
 		at.Operator, at.IdempotencyKey, at.Epoch = "op", key, s.state.Epoch
-		s.say("valid %v", at.Validate())
+		s.writeLine("valid %v", at.Validate())
 		s.apply(at)
 	}
 }
@@ -157,10 +157,10 @@
 func (s *stream) apply(op *Op) {
 	raw, _ := json.Marshal(op)
 	r := s.state.Apply(op, s.fleet, s.without)
-	s.say("%s: %s %s %s %d %s %d %s", raw, r.Kind, r.Zone, r.IdempotencyKey, r.Epoch, r.Phase, r.Share, r.Err)
-	s.kinds[string(op.Kind)]++
+	s.writeLine("%s: %s %s %s %d %s %d %s", raw, r.Kind, r.Zone, r.IdempotencyKey, r.Epoch, r.Phase, r.Share, r.Err)
+	s.counts[string(op.Kind)]++
 	if r.Err != "" {
-		s.kinds["refused"]++
+		s.counts["refused"]++
 	}
 }
 
@@ -168,12 +168,12 @@
 	b := &membership.HeartbeatBatch{}
 	for _, z := range streamZones {
 		for i := range z.nodes {
-			b.Joins = append(b.Joins, s.join(z.name, i, 0))
+			b.Joins = append(b.Joins, s.joinRequest(z.name, i, 0))
 		}
 	}
-	s.beat(b)
+	s.applyBatch(b)
 	if s.state.BeginColdStart(s.fleet, &s.rules, s.without) {
-		s.kinds["began"]++
+		s.counts["began"]++
 	}
 }
 
@@ -183,17 +183,17 @@
 	for _, n := range s.fleet.Nodes() {
 		switch {
 		case n.OutReason != "" && s.fault(n.Zone) == "":
-			b.Joins = append(b.Joins, s.join(n.Zone, numberOf(n.Name), 60_000))
+			b.Joins = append(b.Joins, s.joinRequest(n.Zone, numberOf(n.Name), 60_000))
 		case n.OutReason == "" && s.fault(n.Zone) != "silent" && s.rng.IntN(40) != 0:
 			b.Renewals = append(b.Renewals, n.Lease.ID)
 		}
 	}
 	if s.now%15_000 == 4000 { // a node begins anew, its old lease may still be acted on
-		b.Joins = append(b.Joins, s.join("a", 0, 60_000), s.join("d", 3, 60_000))
+		b.Joins = append(b.Joins, s.joinRequest("a", 0, 60_000), s.joinRequest("d", 3, 60_000))
 	}
-	s.beat(b)
+	s.applyBatch(b)
 	if s.state.BeginColdStart(s.fleet, &s.rules, s.without) {
-		s.kinds["began"]++
+		s.counts["began"]++
 	}
 	for _, z := range streamZones {
 		for i := range z.nodes {
@@ -202,34 +202,34 @@
 				continue
 			}
 			var seen []api.PeerHealth
-			for _, l := range s.watch.ProbesFor(n.Name) {
+			for _, l := range s.monitor.ProbesFor(n.Name) {
 				is := []api.Health{api.PeerServing, api.PeerShedding, api.PeerSilent, api.PeerSilent}[s.rng.IntN(4)]
 				seen = append(seen, api.PeerHealth{Name: l.Name, Health: is})
 			}
-			s.watch.Record(s.now, n, s.report(z.name, z.came), seen)
-			s.say("heard %d", s.watch.LastHeard(n))
+			s.monitor.Record(s.now, n, s.report(z.name, z.came), seen)
+			s.writeLine("heard %d", s.monitor.LastHeard(n))
 		}
 	}
 	s.operator()
-	if op := s.watch.Decide(s.now, s.state, s.fleet, &s.rules, s.without); op != nil {
+	if op := s.monitor.Decide(s.now, s.state, s.fleet, &s.rules, s.without); op != nil {
 		s.apply(op)
 	}
-	s.record()
+	s.writeState()
 }
 
-// record adds all that can be seen of the state, of the views and of what nodes are told.
-func (s *stream) record() {
+// writeState adds all that can be seen of the state, of the views and of what nodes are told.
+func (s *stream) writeState() {
 	saved, _ := s.state.Snapshot()
-	views, _ := json.Marshal(s.watch.Views())
-	all, _ := json.Marshal(s.watch.FleetView())
-	s.say("%s\n%s\n%s", saved, views, all)
+	views, _ := json.Marshal(s.monitor.Views())
+	all, _ := json.Marshal(s.monitor.FleetView())
+	s.writeLine("%s\n%s\n%s", saved, views, all)
 	for _, n := range s.fleet.Nodes() {
 		order := s.state.Order(n.Zone, n.Lease.ID, &s.rules, s.without)
 		began := s.state.LimitNewNode(&order,
 			NewNode{Zone: n.Zone, UptimeMS: n.UptimeMS(s.fleet.ClockMS), ClockMS: s.fleet.ClockMS, NodesIn: 5},
 			&s.rules, s.without)
 		raw, _ := json.Marshal(order)
-		s.say("%s %s %v", n.Name, raw, began)
+		s.writeLine("%s %s %v", n.Name, raw, began)
 	}
 }
 
@@ -238,7 +238,7 @@
 	for s.now < seconds*1000 {
 		switch s.now {
 		case 135_000, 205_000: // another leader
-			s.watch = NewMonitor()
+			s.monitor = NewMonitor()
 		case 325_000:
 			s.restart()
 		case 390_000:
@@ -248,13 +248,13 @@
 		}
 		s.tick()
 	}
-	return hex.EncodeToString(s.sum.Sum(nil))
+	return hex.EncodeToString(s.digest.Sum(nil))
 }
 
 func newStream(seed uint64, without Guard) *stream {
 	return &stream{rng: rand.New(rand.NewPCG(seed, 1)), fleet: membership.New(), state: &State{},
-		watch: NewMonitor(), without: without,
-		sum: sha256.New(), kinds: map[string]int{}, rules: api.ZoneRules{Mode: api.ZoneModeAuto, InitialShare: 16,
+		monitor: NewMonitor(), without: without,
+		digest: sha256.New(), counts: map[string]int{}, rules: api.ZoneRules{Mode: api.ZoneModeAuto, InitialShare: 16,
 			MinStepMS:  2000,
 			OrderTTLMS: 60_000, MaxRampDelayMS: 20_000, ColdStart: true}}
 }
@@ -276,8 +276,8 @@
 		for seed := uint64(1); seed == 1 || guard < 0 && seed <= 3; seed++ {
 			s := newStream(seed, without)
 			fmt.Fprintf(&got, "%s, seed %d: %s", name, seed, s.run(420))
-			for _, kind := range sortedKeys(s.kinds) {
-				fmt.Fprintf(&got, " %s=%d", kind, s.kinds[kind])
+			for _, kind := range sortedKeys(s.counts) {
+				fmt.Fprintf(&got, " %s=%d", kind, s.counts[kind])
 			}
 			got.WriteString("\n")
 		}
--- a/internal/control/zones/pool.go
+++ b/internal/control/zones/pool.go
@@ -3,13 +3,13 @@
 import "umberwinch/internal/control/api"
 
 const (
-	// poolRuns is how many runs a pool should see in a report's time: fewer tell neither a rate nor a share of
+	// targetPoolRuns is how many runs a pool should see in a report's time: fewer tell neither a rate nor a share of
 	// failures.
-	poolRuns = 8
+	targetPoolRuns = 8
 	// minPools of a zone: with fewer, some nodes that report nonsense could reach half of them.
 	minPools = 9
-	// enoughRuns a node, on the average, need no pooling.
-	enoughRuns = poolRuns / 2
+	// minUnpooledRuns a node, on the average, need no pooling.
+	minUnpooledRuns = targetPoolRuns / 2
 )
 
 // pooledReport is some nodes' reports as one: counts are sums, times are weighted by what they are of, WindowMS is
@@ -19,13 +19,13 @@
 	nodes []*api.LoadReport
 }
 
-// pool puts nodes' reports together until each pool sees poolRuns runs, in minPools at least; where nodes see enough
+// poolReports puts nodes' reports together until each pool sees targetPoolRuns runs, in minPools at least; where nodes see enough
 // each is a pool.
 //
 // Where a node sees a few requests in a report's time, as each of thousands does, or all do at a small share, most
 // reports have no run in them, and so has their median. A zone of fewer than twice minPools nodes is not pooled: two
 // in five that report nonsense must not reach every pool.
-func pool(reports []*api.LoadReport) []pooledReport {
+func poolReports(reports []*api.LoadReport) []pooledReport {
 	pools := make([]pooledReport, poolCount(reports))
 	for i, report := range reports {
 		pool := &pools[i%len(pools)]
@@ -45,12 +45,12 @@
 	runsPerNode := 0.0
 	// none counts for more than is enough: a few that report nonsense don't decide what is
 	for _, report := range reports {
-		runsPerNode += min(poolRuns, float64(report.RunsEnded)) / float64(nodes)
+		runsPerNode += min(targetPoolRuns, float64(report.RunsEnded)) / float64(nodes)
 	}
-	if runsPerNode >= enoughRuns {
+	if runsPerNode >= minUnpooledRuns {
 		return nodes
 	}
-	return max(minPools, int(float64(nodes)*runsPerNode/poolRuns))
+	return max(minPools, int(float64(nodes)*runsPerNode/targetPoolRuns))
 }
 
 func (p *pooledReport) combine() {
--- a/internal/control/zones/pool_test.go
+++ b/internal/control/zones/pool_test.go
@@ -48,7 +48,7 @@
 				before, v.RunRate)
 		}
 	}
-	if got := len(pool(idleReports(17))); got != 17 {
+	if got := len(poolReports(idleReports(17))); got != 17 {
 		t.Errorf("17 nodes in %d pools, expected each alone", got)
 	}
 }
--- a/internal/control/zones/probe.go
+++ b/internal/control/zones/probe.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// probedNodes of a silent zone are checked, by probersPerZone nodes of each other zone: some of either may be
+	// probeTargetsPerZone of a silent zone are checked, by probersPerZone nodes of each other zone: some of either may be
 	// bad. More would only cost health checks.
-	probedNodes    = 3
-	probersPerZone = 2
+	probeTargetsPerZone = 3
+	probersPerZone      = 2
 	// A check counts for probeTTLHeartbeats and probeTTLMarginMS: it is as old as the report that carried it.
 	probeTTLHeartbeats = 3
 	probeTTLMarginMS   = 1000
@@ -17,24 +17,24 @@
 
 // probes are the health checks of silent zones' nodes by nodes of other zones.
 type probes struct {
-	zoneOf map[string]string            // of the nodes that are checked
-	byNode map[string][]api.ProbeTarget // by the node that checks
-	found  map[probeKey]probeResult
+	zoneOf          map[string]string            // of the nodes that are checked
+	targetsByProber map[string][]api.ProbeTarget // by the node that checks
+	resultsByPair   map[probeKey]probeResult
 }
 
-type probeKey struct{ node, by string }
+type probeKey struct{ node, prober string }
 
 type probeResult struct {
-	at     uint64 // ms
-	health api.Health
+	receivedAt uint64 // ms
+	health     api.Health
 }
 
 // probeCounts are the results about one zone.
 type probeCounts struct{ serving, shedding, silent int }
 
 func newProbes() probes {
-	return probes{zoneOf: map[string]string{}, byNode: map[string][]api.ProbeTarget{},
-		found: map[probeKey]probeResult{}}
+	return probes{zoneOf: map[string]string{}, targetsByProber: map[string][]api.ProbeTarget{},
+		resultsByPair: map[probeKey]probeResult{}}
 }
 
 // record keeps what a node found, of the nodes that are checked.
@@ -44,15 +44,15 @@
 	}
 	for _, peer := range peers {
 		if p.zoneOf[peer.Name] != "" {
-			p.found[probeKey{peer.Name, by}] = probeResult{now, peer.Health}
+			p.resultsByPair[probeKey{peer.Name, by}] = probeResult{now, peer.Health}
 		}
 	}
 }
 
-// results counts what others lately found of a zone's nodes.
-func (p *probes) results(now uint64, zone string, ttlMS uint64) (counts probeCounts) {
-	for key, result := range p.found { // order does not matter to sums
-		if p.zoneOf[key.node] != zone || now-result.at > ttlMS {
+// countResults counts what others lately found of a zone's nodes.
+func (p *probes) countResults(now uint64, zone string, ttlMS uint64) (counts probeCounts) {
+	for key, result := range p.resultsByPair { // order does not matter to sums
+		if p.zoneOf[key.node] != zone || now-result.receivedAt > ttlMS {
 			continue
 		}
 		switch result.health {
@@ -67,10 +67,10 @@
 	return counts
 }
 
-func (p *probes) forgetOld(now, ttlMS uint64) {
-	for key, result := range p.found {
-		if p.zoneOf[key.node] == "" || now-result.at > ttlMS {
-			delete(p.found, key)
+func (p *probes) dropExpired(now, ttlMS uint64) {
+	for key, result := range p.resultsByPair {
+		if p.zoneOf[key.node] == "" || now-result.receivedAt > ttlMS {
+			delete(p.resultsByPair, key)
 		}
 	}
 }
@@ -79,13 +79,13 @@
 
 // chooseProbes decides who checks the nodes of silent zones.
 func (m *Monitor) chooseProbes(now uint64, fleet *membership.State) {
-	m.probes.zoneOf, m.probes.byNode = map[string]string{}, map[string][]api.ProbeTarget{}
+	m.probes.zoneOf, m.probes.targetsByProber = map[string]string{}, map[string][]api.ProbeTarget{}
 	for _, view := range m.views {
 		if view.silent() {
 			m.chooseProbesOf(now, view.Zone, fleet)
 		}
 	}
-	m.probes.forgetOld(now, m.probeTTLMS())
+	m.probes.dropExpired(now, m.probeTTLMS())
 }
 
 func (m *Monitor) chooseProbesOf(now uint64, zone string, fleet *membership.State) {
@@ -93,19 +93,19 @@
 	probers := map[string]int{} // by zone
 	for _, node := range fleet.Nodes() {
 		report := m.reportOf(node)
-		if node.Zone == zone || m.byZone[node.Zone].silent() || probers[node.Zone] >= probersPerZone ||
+		if node.Zone == zone || m.viewsByZone[node.Zone].silent() || probers[node.Zone] >= probersPerZone ||
 			!m.isFresh(now, report) ||
-			len(m.probes.byNode[node.Name])+len(targets) > api.MaxPeers {
+			len(m.probes.targetsByProber[node.Name])+len(targets) > api.MaxPeers {
 			continue
 		}
 		probers[node.Zone]++
-		m.probes.byNode[node.Name] = append(m.probes.byNode[node.Name], targets...)
+		m.probes.targetsByProber[node.Name] = append(m.probes.targetsByProber[node.Name], targets...)
 	}
 }
 
 func (m *Monitor) probeTargets(zone string, fleet *membership.State) (targets []api.ProbeTarget) {
 	for _, node := range fleet.Nodes() {
-		if len(targets) == probedNodes {
+		if len(targets) == probeTargetsPerZone {
 			return targets
 		}
 		if node.Zone == zone && node.OutReason != membership.OutLeft && node.Addr != "" {
--- a/internal/control/zones/quota.go
+++ b/internal/control/zones/quota.go
@@ -34,8 +34,8 @@
 	return runs, max(z.Capacity.ConnectionRate*part, runs)
 }
 
-// quotaOf returns a lease's quota.
-func quotaOf(quotas []LeaseQuota, lease uint32) (rate float64, has bool) {
+// findQuota returns a lease's quota.
+func findQuota(quotas []LeaseQuota, lease uint32) (rate float64, has bool) {
 	i := sort.Search(len(quotas), func(i int) bool { return quotas[i].Lease >= lease })
 	if i < len(quotas) && quotas[i].Lease == lease {
 		return quotas[i].Rate, true
@@ -77,14 +77,14 @@
 	}
 	spent := 0.0
 	keep := func(lease *membership.Lease) {
-		if rate, had := quotaOf(zone.PreviousQuotas, lease.ID); had && lease.Live(fleet.ClockMS) {
+		if rate, had := findQuota(zone.PreviousQuotas, lease.ID); had && lease.Live(fleet.ClockMS) {
 			quotas = append(quotas, LeaseQuota{lease.ID, rate})
 			spent += rate
 		}
 	}
 	var in []*membership.Node
 	for _, node := range fleet.Nodes() {
-		if !zone.has(node) {
+		if !zone.contains(node) {
 			continue
 		}
 		for i := range node.EarlierLeases {
@@ -108,9 +108,9 @@
 // Guards against the limit being exceeded while an epoch settles: others may still act on their previous quotas, so
 // one that grew, or is new, counts only once nobody acts on an older epoch.
 func (s *State) effectiveQuota(zone *Zone, lease uint32) float64 {
-	rate, _ := quotaOf(zone.Quotas, lease)
+	rate, _ := findQuota(zone.Quotas, lease)
 	if zone.Epoch > s.SettledEpoch {
-		previous, _ := quotaOf(zone.PreviousQuotas, lease)
+		previous, _ := findQuota(zone.PreviousQuotas, lease)
 		rate = min(rate, previous)
 	}
 	return rate
--- a/internal/control/zones/ramp.go
+++ b/internal/control/zones/ramp.go
@@ -13,23 +13,23 @@
 	targetLoad = 0.85
 	// stepBackLoad: past it a ramp steps back. Nearer to one, uneven reports would cost steps.
 	stepBackLoad = 1.1
-	// stepBackTarget: a step back is proportional, to below targetLoad, so that the next evaluation does not ask for
+	// stepBackTargetLoad: a step back is proportional, to below targetLoad, so that the next evaluation does not ask for
 	// another.
-	stepBackTarget = 0.75
-	// evenFactor: a service that is slower than usual by less shows nothing, as reports differ by a tenth.
-	evenFactor = 1.15
+	stepBackTargetLoad = 0.75
+	// slowdownTolerance: a service that is slower than usual by less shows nothing, as reports differ by a tenth.
+	slowdownTolerance = 1.15
 	// overloadEvaluations in a row, a second and a half: one uneven report does not cost a step.
 	overloadEvaluations = 3
-	// minShownRuns have to have ended at a step before it counts as shown: fewer tell nothing about the services below.
-	minShownRuns = 10
-	// afterStepMarginMS: reports that are older than a step describe the share before it; wait this much beyond one
+	// minStepRuns have to have ended at a step before it counts as shown: fewer tell nothing about the services below.
+	minStepRuns = 10
+	// stepReportMarginMS: reports that are older than a step describe the share before it; wait this much beyond one
 	// heartbeat before the step is judged.
-	afterStepMarginMS = 1000
+	stepReportMarginMS = 1000
 	// minShareDivisor: a step back ends at a quarter of the policy's initial share; below it the zone is evacuated
 	// again.
 	minShareDivisor = 4
-	// warmGrowth: a warm service's share at least doubles, whatever is in flight: its rate alone limits it.
-	warmGrowth = api.MaxRampFactor / 2
+	// warmRampFactor: a warm service's share at least doubles, whatever is in flight: its rate alone limits it.
+	warmRampFactor = api.MaxRampFactor / 2
 )
 
 // continueRamp decides the next step of a ramp by what the services below show at this one: a step back, a new split
@@ -41,7 +41,7 @@
 // may overload the services below; one that is too small prolongs the ramp.
 //
 // Three waits set no note in the view: for the epoch to settle, for the least time at a share, and for the end of an
-// operator's hold (decideFor).
+// operator's hold (decideZone).
 func (d *decider) continueRamp(zone *Zone, view *View) operation {
 	if view.silent() {
 		if view.FailureScore >= evacuateScore {
@@ -54,13 +54,13 @@
 	if share, reason := d.needsStepBack(zone, view, shownMS); reason != "" {
 		return d.stepBack(zone, view, share, reason)
 	}
-	if !d.mayRaise() {
+	if !d.mayRaiseLoad() {
 		return nil
 	}
 	if d.needsSplit(zone) {
 		return &quotaSplit{d.target(view), retryBudget{d.state.RetryBudget, d.state.NoCapacityElsewhere}}
 	}
-	if !d.stepShown(zone, view, shownMS) {
+	if !d.stepComplete(zone, view, shownMS) {
 		return nil
 	}
 	if zone.Share >= api.FullShare {
@@ -80,9 +80,9 @@
 	tooMuch := shownMS >= d.monitor.heartbeatMS && load > stepBackLoad && view.Concurrency >= 1 &&
 		!isWarm(view, &zone.Capacity) && view.hasQuorum()
 	if tooMuch {
-		view.overloaded++
+		view.overloadedEvaluations++
 	} else {
-		view.overloaded = 0
+		view.overloadedEvaluations = 0
 	}
 }
 
@@ -92,20 +92,20 @@
 //
 // Guards against a step being judged by reports of the one before: they have to be of this share.
 func (d *decider) needsStepBack(zone *Zone, view *View, shownMS uint64) (share int, reason string) {
-	reportsAreOfThisStep := shownMS >= max(d.rules.MinStepMS/2, d.monitor.heartbeatMS+afterStepMarginMS)
-	if d.without.Has(StepBack) || !reportsAreOfThisStep || !view.hasQuorum() {
+	reportsAreOfThisStep := shownMS >= max(d.rules.MinStepMS/2, d.monitor.heartbeatMS+stepReportMarginMS)
+	if d.disabled.Has(StepBack) || !reportsAreOfThisStep || !view.hasQuorum() {
 		return 0, ""
 	}
 	// Of a zone that is merely slow, as one that is cold, runs in flight tell.
-	if view.FailureScore >= evacuateScore/2 && view.unhealthy() >= unhealthyShare && !view.Symptom.isSlowness() {
+	if view.FailureScore >= evacuateScore/2 && view.unhealthyRatio() >= unhealthyShare && !view.Symptom.isSlowness() {
 		return 0, fmt.Sprintf("%d of %d nodes heard are sick (%s)", view.NodesUnhealthy, view.NodesReporting,
 			view.Symptom)
 	}
-	if view.overloaded < overloadEvaluations {
+	if view.overloadedEvaluations < overloadEvaluations {
 		return 0, ""
 	}
-	view.overloaded = 0
-	if share = int(float64(zone.Share) * stepBackTarget / view.currentLoad()); share < max(1,
+	view.overloadedEvaluations = 0
+	if share = int(float64(zone.Share) * stepBackTargetLoad / view.currentLoad()); share < max(1,
 		d.rules.InitialShare/minShareDivisor) {
 		share = 0
 	}
@@ -121,7 +121,7 @@
 			return nil
 		}
 	}
-	o := &stepBack{target: d.target(view), grounds: grounds{reason: reason}, cause: Cause(view.Symptom),
+	o := &stepBack{target: d.target(view), rationale: rationale{reason: reason}, cause: Cause(view.Symptom),
 		waitMS: rampDelayMS(d.rules, zone.FlapCount+1)}
 	o.share, o.budget = share, d.retryBudget(view, Ramping, share > 0)
 	if share > 0 {
@@ -130,20 +130,20 @@
 	return o
 }
 
-// stepShown decides whether the present share has shown what it can: for the policy's least time, by reports of this
+// stepComplete decides whether the present share has shown what it can: for the policy's least time, by reports of this
 // share alone, with some runs, and by nodes that are healthy.
-func (d *decider) stepShown(zone *Zone, view *View, shownMS uint64) bool {
+func (d *decider) stepComplete(zone *Zone, view *View, shownMS uint64) bool {
 	least := d.rules.MinStepMS + d.monitor.heartbeatMS
-	if shownMS < least || d.now-d.monitor.since < least || !view.hasQuorum() {
+	if shownMS < least || d.now-d.monitor.startedAt < least || !view.hasQuorum() {
 		return false
 	}
-	if view.RunRate*float64(shownMS)/millisPerSecond < minShownRuns {
+	if view.RunRate*float64(shownMS)/millisPerSecond < minStepRuns {
 		view.Note = fmt.Sprintf("at %d of %d: waits for reqs, %.1f runs a second came", zone.Share, api.FullShare,
 			view.RunRate)
 		return false
 	}
 	coldOnly := view.Symptom.isSlowness() && view.Symptom != symptomRunsLate
-	if view.unhealthy() > healthyShare && !coldOnly {
+	if view.unhealthyRatio() > healthyShare && !coldOnly {
 		view.Note = fmt.Sprintf("at %d of %d: held, %d of %d sick (%s)", zone.Share, api.FullShare, view.NodesUnhealthy,
 			view.NodesReporting, view.Symptom)
 		return false
@@ -159,7 +159,7 @@
 		factor = min(factor, targetLoad/load)
 	}
 	if isWarm(view, &zone.Capacity) {
-		factor = max(factor, warmGrowth)
+		factor = max(factor, warmRampFactor)
 	}
 	if factor < api.MinRampFactor {
 		view.Note = fmt.Sprintf("at %d of %d: held, %.0f runs under way of %.0f it bore", zone.Share, api.FullShare,
@@ -169,25 +169,25 @@
 	}
 	// What is a little slower than usual bears so much less of the rate that it bore at its peak.
 	most := float64(api.FullShare)
-	if slower := slowness(view, &zone.Capacity); slower > evenFactor {
-		most *= evenFactor / slower
+	if slower := slowdown(view, &zone.Capacity); slower > slowdownTolerance {
+		most *= slowdownTolerance / slower
 	}
 	share := max(zone.Share+1, int(min(most, float64(zone.Share)*factor)))
-	why := grounds{operator: zone.Operator, reason: fmt.Sprintf("%.1f runs under way of %.1f it bore, %.0f ms a run",
+	why := rationale{operator: zone.Operator, reason: fmt.Sprintf("%.1f runs under way of %.1f it bore, %.0f ms a run",
 		view.Concurrency, zone.Capacity.Concurrency, view.RunMS)}
 	return d.rampStep(zone, view, min(api.FullShare, share), why)
 }
 
 // isWarm reports whether the services below take the time that they usually do.
 func isWarm(view *View, capacity *ObservedCapacity) bool {
-	slower := slowness(view, capacity)
-	return slower > 0 && slower <= warmFactor
+	slower := slowdown(view, capacity)
+	return slower > 0 && slower <= maxWarmSlowdown
 }
 
-// slowness returns how many times as long as usual the services below take, 0 where nothing tells. Their own time tells
+// slowdown returns how many times as long as usual the services below take, 0 where nothing tells. Their own time tells
 // where there are calls: a run has the node's own work in it, so a call that takes three times as long may not show
 // there.
-func slowness(view *View, capacity *ObservedCapacity) float64 {
+func slowdown(view *View, capacity *ObservedCapacity) float64 {
 	switch {
 	case capacity.CallMS > 0 && view.CallMS > 0:
 		return view.CallMS / capacity.CallMS
--- a/internal/control/zones/ramp_begin.go
+++ b/internal/control/zones/ramp_begin.go
@@ -6,9 +6,9 @@
 	"umberwinch/internal/control/api"
 )
 
-// partialRampShare, of api.FullShare: a zone that was evacuated in part goes on from at most half, as what it still
+// maxPartialRampShare, of api.FullShare: a zone that was evacuated in part goes on from at most half, as what it still
 // takes was its least valued load.
-const partialRampShare = api.FullShare / 2
+const maxPartialRampShare = api.FullShare / 2
 
 // beginRamp decides whether load returns to an evacuated zone, with the smallest share.
 //
@@ -24,17 +24,17 @@
 		view.Note = fmt.Sprintf("out, well, and waits for %d ms more", zone.RampNotBeforeMS-d.fleet.ClockMS)
 		return nil
 	}
-	if !d.mayRaise() {
+	if !d.mayRaiseLoad() {
 		return nil
 	}
 	share := max(1, d.rules.InitialShare)
 	if zone.Share > 0 && view.FirstAttemptRate > 0 {
-		if !mayGoOnFromPart(zone, view) {
+		if !mayRampFromPartial(zone, view) {
 			return nil
 		}
-		share = max(share, int(partialRampShare*min(1, view.AdmittedRate/view.FirstAttemptRate)))
+		share = max(share, int(maxPartialRampShare*min(1, view.AdmittedRate/view.FirstAttemptRate)))
 	}
-	return d.rampStep(zone, view, share, grounds{reason: "its nodes and kernels are there"})
+	return d.rampStep(zone, view, share, rationale{reason: "its nodes and kernels are there"})
 }
 
 // readyToRamp decides whether an evacuated zone could take load again, and returns what it lacks, empty if nothing.
@@ -51,14 +51,14 @@
 		return view.Note
 	case !view.KernelsUp:
 		return "most of its nodes have no kernel"
-	case zone.Share > 0 && view.unhealthy() > healthyShare:
+	case zone.Share > 0 && view.unhealthyRatio() > healthyShare:
 		return fmt.Sprintf("%d of %d nodes heard are sick (%s)", view.NodesUnhealthy, view.NodesReporting, view.Symptom)
 	}
 	return ""
 }
 
-// mayGoOnFromPart reports whether a zone that was evacuated in part may go on from what it takes.
-func mayGoOnFromPart(zone *Zone, view *View) bool {
+// mayRampFromPartial reports whether a zone that was evacuated in part may go on from what it takes.
+func mayRampFromPartial(zone *Zone, view *View) bool {
 	observed := zone.Capacity.Concurrency
 	view.recordLoad(view.Concurrency / max(observed, minRate))
 	if view.highestLoad() > targetLoad && !isWarm(view, &zone.Capacity) {
@@ -70,8 +70,8 @@
 }
 
 // rampStep returns a step of a ramp to a share, with the rate limits of that share.
-func (d *decider) rampStep(zone *Zone, view *View, share int, why grounds) operation {
-	if d.without.Has(PacedRamp) {
+func (d *decider) rampStep(zone *Zone, view *View, share int, why rationale) operation {
+	if d.disabled.Has(PacedRamp) {
 		share = api.FullShare
 	}
 	takes := limits{share: share, budget: d.retryBudget(view, Ramping, true)}
--- a/internal/control/zones/ramp_end.go
+++ b/internal/control/zones/ramp_end.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// rejectedAtEnd, of first attempts: a ramp does not end while more is rejected. What comes again beside the first
-	// attempts then fits into what fillLimit leaves.
-	rejectedAtEnd = 0.1
+	// maxRejectedRatio, of first attempts: a ramp does not end while more is rejected. What comes again beside the first
+	// attempts then fits into what maxUtilization leaves.
+	maxRejectedRatio = 0.1
 	// maxLimitFactor a step: a larger one asks the services for more than they were seen to bear before that shows.
 	maxLimitFactor = 1.15
 	// minLimitFactor: a smaller step is not worth an epoch. A demand of nine tenths leaves a tenth for those who
 	// wait, so small steps drain them.
 	minLimitFactor = 1.02
-	// maxLimit, times the observed rate: by then the limit bounds nothing that matters.
-	maxLimit = 1.5
-	// maxEndMS at one rate limit: the zone is asked for more than it bears then, and its nodes shed that themselves.
+	// maxLimitRatio, times the observed rate: by then the limit bounds nothing that matters.
+	maxLimitRatio = 1.5
+	// maxFinalStepMS at one rate limit: the zone is asked for more than it bears then, and its nodes shed that themselves.
 	// Sooner, callers that were told to wait would all come at once.
-	maxEndMS = 30_000
+	maxFinalStepMS = 30_000
 )
 
 // finishRamp decides how the ramp of a zone that takes all of its load ends.
 //
 // Inputs: the rates of attempts and of rejections, the rate limit and the observed rate in runs a second, the time at
 // this limit in ms. While many attempts are rejected the rate limit grows in place of ending: who was rejected comes
-// again, and all would come at once if the limit just ended. It may prolong the ramp by maxEndMS at each limit.
+// again, and all would come at once if the limit just ended. It may prolong the ramp by maxFinalStepMS at each limit.
 func (d *decider) finishRamp(zone *Zone, view *View, shownMS uint64) operation {
-	manyRejected := view.RejectedRate > rejectedAtEnd*view.FirstAttemptRate
-	if manyRejected && zone.RateLimit < maxLimit*zone.Capacity.RunRate && shownMS < maxEndMS {
+	manyRejected := view.RejectedRate > maxRejectedRatio*view.FirstAttemptRate
+	if manyRejected && zone.RateLimit < maxLimitRatio*zone.Capacity.RunRate && shownMS < maxFinalStepMS {
 		return d.raiseLimit(zone, view)
 	}
 	reason := fmt.Sprintf("%.0f runs under way of %.0f it bore", view.Concurrency, zone.Capacity.Concurrency)
-	return &rampEnd{d.target(view), grounds{reason: reason}, d.retryBudget(view, InService, true)}
+	return &rampEnd{d.target(view), rationale{reason: reason}, d.retryBudget(view, InService, true)}
 }
 
 // raiseLimit raises the rate limit of a zone that takes all of its load, nil if all that it bore is in flight.
@@ -54,7 +54,7 @@
 		connectRateLimit: zone.ConnectRateLimit * factor,
 		budget:           d.retryBudget(view, Ramping, true),
 	}
-	why := grounds{operator: zone.Operator,
+	why := rationale{operator: zone.Operator,
 		reason: fmt.Sprintf("takes all, and still turns %.0f a second away", view.RejectedRate)}
 	return &rampStep{d.target(view), takes, why}
 }
--- a/internal/control/zones/ramp_end_test.go
+++ b/internal/control/zones/ramp_end_test.go
@@ -22,8 +22,8 @@
 		{"more is, and a little more may be asked for", 10.1, 100, 5000, 1.07, OpRamp},
 		{"more is, and all that was observed is in flight", 10.1, 100, 5000, 1.08, ""},
 	} {
-		d, _ := zonesOf()
-		d.monitor.fleet = &View{}
+		d, _ := newTestDecider()
+		d.monitor.fleetView = &View{}
 		view := &View{Zone: "a", FirstAttemptRate: 100, RejectedRate: c.rejected,
 			history: history{loads: [loadHistory]float64{c.load}}}
 		zone := &Zone{Name: "a", Phase: Ramping, RateLimit: c.limit, ConnectRateLimit: c.limit,
--- a/internal/control/zones/ramp_step_test.go
+++ b/internal/control/zones/ramp_step_test.go
@@ -32,10 +32,10 @@
 		}, true},
 	} {
 		d := &decider{monitor: NewMonitor(), now: 100_000, rules: &api.ZoneRules{MinStepMS: 2000}}
-		d.monitor.heartbeatMS, d.monitor.since = 1000, 100_000-c.listening
+		d.monitor.heartbeatMS, d.monitor.startedAt = 1000, 100_000-c.listening
 		view := &View{NodesIn: 10, NodesReporting: 10, RunRate: 100}
 		c.change(view)
-		if got := d.stepShown(&Zone{Share: 16}, view, c.shownMS); got != c.shown {
+		if got := d.stepComplete(&Zone{Share: 16}, view, c.shownMS); got != c.shown {
 			t.Errorf("%s: %v, expected %v (%s)", c.name, got, c.shown, view.Note)
 		}
 	}
--- a/internal/control/zones/ramp_test.go
+++ b/internal/control/zones/ramp_test.go
@@ -60,7 +60,7 @@
 		after  uint64 // ms at the share
 	}{{"little is turned away", 10, 20, "in", 5000}, {"much is", 200, 20, "step", 5000},
 		{"much is, and all it bore is under way", 200, 24, "", 5000},
-		{"the same for long", 200, 24, "in", maxEndMS + 1000}} {
+		{"the same for long", 200, 24, "in", maxFinalStepMS + 1000}} {
 		s := &State{Epoch: 7, SettledEpoch: 7, Zones: []*Zone{{Name: "z", Phase: Ramping, Share: api.FullShare,
 			RateLimit: 100, ConnectRateLimit: 100, Capacity: bore, NodesBefore: 2,
 			SinceMS: 100_000}}}
@@ -71,7 +71,7 @@
 			MeanCallMS: c.runMS / 2, KernelConnected: true, Cores: 4, CoresUsed: 1, OfferedWeight: 100,
 			CompletedWeight: 100}
 		f.ClockMS = 100_000
-		at := evaluated(w, f, s, 100_000, int(c.after/evaluateEveryMS), l)
+		at := evaluateRepeatedly(w, f, s, 100_000, int(c.after/evaluationIntervalMS), l)
 		f.ClockMS = at
 		op := w.Decide(at, s, f, &rules, 0)
 		kind := OpKind("")
--- a/internal/control/zones/retry_budget.go
+++ b/internal/control/zones/retry_budget.go
@@ -23,7 +23,7 @@
 // twice of what they bear. It may harm callers whose retry is rejected though there would have been capacity: reports
 // lag by a second or two.
 func (m *Monitor) retryBudget(state *State, view *View, next Phase, listed bool) (budget int, noCapacity bool) {
-	demand, capacity, nodesIn, nodesListed := m.fleet.demand, 0.0, 0, 0
+	demand, capacity, nodesIn, nodesListed := m.fleetView.demand, 0.0, 0, 0
 	for _, other := range m.views {
 		phase, share := state.PhaseOf(other.Zone)
 		isListed := phase != InService && share > 0 && !other.silent()
@@ -36,7 +36,7 @@
 		case phase == InService && other.hasQuorum():
 			nodesListed += other.NodesIn
 			nodesIn += other.NodesIn
-			capacity += fillLimit * other.RunCapacity
+			capacity += maxUtilization * other.RunCapacity
 		}
 	}
 	if nodesIn == 0 || demand <= 0 {
--- a/internal/control/zones/retry_budget_test.go
+++ b/internal/control/zones/retry_budget_test.go
@@ -25,13 +25,13 @@
 		r, _ := w.retryBudget(s, w.views[0], InService, true)
 		return r
 	}
-	at := evaluated(w, f, s, 100_000, 6, load(500))
+	at := evaluateRepeatedly(w, f, s, 100_000, 6, load(500))
 	asked := budget()
-	at = evaluated(w, f, s, at, 3, load(400))
+	at = evaluateRepeatedly(w, f, s, at, 3, load(400))
 	if less := budget(); less > asked+api.FullShare/8 {
 		t.Errorf("%d of %d further tries where callers move, %d before", less, api.FullShare, asked)
 	}
-	evaluated(w, f, s, at, 60, load(250))
+	evaluateRepeatedly(w, f, s, at, 60, load(250))
 	if fell := budget(); fell < 2*asked {
 		t.Errorf("%d of %d further tries where half of the demand is gone, %d before", fell, api.FullShare, asked)
 	}
--- a/internal/control/zones/score.go
+++ b/internal/control/zones/score.go
@@ -16,16 +16,16 @@
 	uncertainPoints = healthyPoints / 4
 	// silentPoints: silence and health checks took their time already, so two evaluations are enough.
 	silentPoints = evacuateScore / 2
-	// What ailed all zones may end a little sooner in some: for commonCauseMS after that it takes twice as long to be
+	// What ailed all zones may end a little sooner in some: for commonCauseWindowMS after that it takes twice as long to be
 	// sure of one.
-	commonCauseMS     = 10_000
-	afterCommonPoints = unhealthyPoints / 2
+	commonCauseWindowMS    = 10_000
+	reducedUnhealthyPoints = unhealthyPoints / 2
 	// minProbeResults: one node's word alone does not tell that a zone is dead.
 	minProbeResults = 2
-	// A zone that fewer than one in fewCallers of its usual first attempts reach is cut off from its callers. With
-	// usualAttempts a second or fewer that tells nothing.
-	fewCallers    = 20
-	usualAttempts = 1
+	// A zone that fewer than one in unreachableDivisor of its usual first attempts reach is cut off from its callers. With
+	// minUsualAttemptRate a second or fewer that tells nothing.
+	unreachableDivisor  = 20
+	minUsualAttemptRate = 1
 )
 
 // score keeps the failure score of a zone: how long and how surely it fails, over several evaluations. Reports that
@@ -38,21 +38,21 @@
 	case !view.hasQuorum():
 		view.Note = fmt.Sprintf("%d of %d nodes heard: nothing can be told", view.NodesReporting, view.NodesIn)
 		return
-	case view.unhealthy() >= unhealthyShare:
+	case view.unhealthyRatio() >= unhealthyShare:
 		m.scoreUnhealthy(now, state, view, without)
-	case view.unhealthy() <= healthyShare:
+	case view.unhealthyRatio() <= healthyShare:
 		view.addScore(healthyPoints)
 	default:
 		view.addScore(uncertainPoints)
 	}
 	inService := state.inService(view.Zone)
-	if view.NodesUnhealthy > 0 && view.unhealthy() < unhealthyShare {
+	if view.NodesUnhealthy > 0 && view.unhealthyRatio() < unhealthyShare {
 		view.Note = fmt.Sprintf("%d of %d nodes heard are sick (%s): not the zone", view.NodesUnhealthy,
 			view.NodesReporting,
 			view.Symptom)
 	}
 	usual := view.observed.FirstAttemptRate
-	if usual > usualAttempts && view.FirstAttemptRate < usual/fewCallers && inService {
+	if usual > minUsualAttemptRate && view.FirstAttemptRate < usual/unreachableDivisor && inService {
 		view.Note = "hardly any callers reach it: nothing is won by leaving it"
 	}
 	// Guards against taking what a fleet shows while it ramps, cold and limited, for what is usual.
@@ -82,8 +82,8 @@
 		return
 	}
 	view.Cause = Cause(view.Symptom)
-	if view.commonCauseAt != 0 && now-view.commonCauseAt < commonCauseMS {
-		view.addScore(afterCommonPoints)
+	if view.commonCauseAt != 0 && now-view.commonCauseAt < commonCauseWindowMS {
+		view.addScore(reducedUnhealthyPoints)
 	} else {
 		view.addScore(unhealthyPoints)
 	}
@@ -99,7 +99,7 @@
 		}
 		inService++
 		slow := view.Symptom.isSlowness()
-		well := other.unhealthy() <= healthyShare && !(other.busy && slow)
+		well := other.unhealthyRatio() <= healthyShare && !(other.atCapacity && slow)
 		if other.hasQuorum() && (well || other.Symptom.isSlowness() && !slow) {
 			healthy++
 		}
@@ -111,7 +111,7 @@
 //
 // Guards against evacuating a zone that serves and is cut off from the group alone.
 func (m *Monitor) scoreSilent(now uint64, view *View) {
-	found := m.probes.results(now, view.Zone, m.probeTTLMS())
+	found := m.probes.countResults(now, view.Zone, m.probeTTLMS())
 	total := found.serving + found.shedding + found.silent
 	switch {
 	case total > 0 && 2*found.serving >= total:
--- a/internal/control/zones/spare_capacity_test.go
+++ b/internal/control/zones/spare_capacity_test.go
@@ -6,8 +6,8 @@
 	"umberwinch/internal/control/api"
 )
 
-// zonesOf makes a decider of a zone a, which fails, and of others.
-func zonesOf(others ...*View) (*decider, *View) {
+// newTestDecider makes a decider of a zone a, which fails, and of others.
+func newTestDecider(others ...*View) (*decider, *View) {
 	failing := &View{Zone: "a", NodesIn: 5, NodesReporting: 5, NodesUnhealthy: 5, RunRate: 50}
 	monitor := NewMonitor()
 	monitor.views = append([]*View{failing}, others...)
@@ -37,13 +37,13 @@
 		{"few report", func(v *View) { v.NodesReporting = 1 }, 0, false},
 		{"silent", func(v *View) { v.NodesSilent = 5 }, 0, false},
 	} {
-		d, failing := zonesOf(zone(c.change))
+		d, failing := newTestDecider(zone(c.change))
 		others, ok := d.spareCapacity(failing)
-		if ok != c.ok || others.runs != c.runs || ok && others.completed != 0.8 {
+		if ok != c.ok || others.runRate != c.runs || ok && others.completionRatio != 0.8 {
 			t.Errorf("%s: %+v, %v; expected %.0f runs a second, %v", c.name, others, ok, c.runs, c.ok)
 		}
 	}
-	d, failing := zonesOf(zone(func(*View) {}))
+	d, failing := newTestDecider(zone(func(*View) {}))
 	d.state.Zones = []*Zone{{Name: "b", Phase: Ramping}}
 	if _, ok := d.spareCapacity(failing); ok {
 		t.Error("a ramping zone counts as one that could take load")
@@ -55,7 +55,7 @@
 func TestEvacuatedInPart(t *testing.T) {
 	mix := []api.PriorityCount{{Weight: 1, Arrived: 50}, {Weight: 5, Arrived: 30}, {Weight: 20, Arrived: 20}}
 	for _, c := range []struct{ part, value float64 }{{1, 1}, {0.2, 400.0 / 600}, {0.35, 475.0 / 600}, {0, 0}} {
-		if got := valueOfPart(mix, c.part); got < c.value-1e-9 || got > c.value+1e-9 {
+		if got := valueFraction(mix, c.part); got < c.value-1e-9 || got > c.value+1e-9 {
 			t.Errorf("%.2f of the requests: %.3f of the value, expected %.3f", c.part, got, c.value)
 		}
 	}
@@ -64,11 +64,11 @@
 		share  int
 		cutoff float64
 	}{{0.25, 128, 1}, {0.65, 128, 5}, {0.9, 128, 20}, {0, 1, 1}} {
-		if share, cutoff := whatStays(mix, c.part); share != c.share || cutoff != c.cutoff {
+		if share, cutoff := remainingLimits(mix, c.part); share != c.share || cutoff != c.cutoff {
 			t.Errorf("%.2f stays: %d of 256 at %.0f, expected %d at %.0f", c.part, share, cutoff, c.share, c.cutoff)
 		}
 	}
-	if got := valueOfPart(nil, 0.3); got != 0.3 {
+	if got := valueFraction(nil, 0.3); got != 0.3 {
 		t.Errorf("nothing is known of the requests: %.2f of the value, expected as much as of the requests", got)
 	}
 }
@@ -89,11 +89,11 @@
 		{"completes half, capacity for half", 20, 25, true, 128},
 		{"completes half, capacity for a tenth", 20, 5, false, 0},
 	} {
-		d, view := zonesOf()
+		d, view := newTestDecider()
 		view.AdmittedRate, view.OfferedWeight, view.CompletedWeight = 50, 100, c.completed
-		view.mix = []api.PriorityCount{{Weight: 2, Arrived: 100}}
+		view.arrivedByWeight = []api.PriorityCount{{Weight: 2, Arrived: 100}}
 		o := &evacuation{}
-		if got := d.weigh(o, view, spare{runs: c.spare, completed: 1}); got != c.evacuated || got &&
+		if got := d.chooseEvacuation(o, view, spareCapacity{runRate: c.spare, completionRatio: 1}); got != c.evacuated || got &&
 			o.share != c.share {
 			t.Errorf("%s: %v, keeps %d; expected %v, %d (%s)", c.name, got, o.share, c.evacuated, c.share, view.Note)
 		}
--- a/internal/control/zones/state.go
+++ b/internal/control/zones/state.go
@@ -92,7 +92,7 @@
 	}
 	zone := &Zone{Name: name, Phase: InService, Share: api.FullShare}
 	for _, node := range fleet.Nodes() {
-		if zone.has(node) {
+		if zone.contains(node) {
 			s.Zones = append(s.Zones, zone)
 			sort.Slice(s.Zones, func(i, k int) bool { return s.Zones[i].Name < s.Zones[k].Name })
 			return zone
@@ -137,13 +137,15 @@
 // settled reports whether no lease acts on an epoch before the newest.
 func (s *State) settled() bool { return s.SettledEpoch == s.Epoch }
 
-// has reports whether a node is of the zone.
-func (z *Zone) has(node *membership.Node) bool { return z.Name == WholeFleet || node.Zone == z.Name }
+// contains reports whether a node is of the zone.
+func (z *Zone) contains(node *membership.Node) bool {
+	return z.Name == WholeFleet || node.Zone == z.Name
+}
 
-// nodesIn counts the zone's nodes that are in.
-func (z *Zone) nodesIn(fleet *membership.State) (n int) {
+// countNodesIn counts the zone's nodes that are in.
+func (z *Zone) countNodesIn(fleet *membership.State) (n int) {
 	for _, node := range fleet.Nodes() {
-		if z.has(node) && !node.IsOut() {
+		if z.contains(node) && !node.IsOut() {
 			n++
 		}
 	}
@@ -151,7 +153,7 @@
 }
 
 // addEvent keeps what was decided, with the values that it was decided by where why is not nil.
-func (z *Zone) addEvent(clock, epoch uint64, why *grounds, format string, args ...any) {
+func (z *Zone) addEvent(clock, epoch uint64, why *rationale, format string, args ...any) {
 	event := Event{ClockMS: clock, Epoch: epoch, Text: fmt.Sprintf(format, args...)}
 	if why != nil {
 		event.ValueOfStaying, event.ValueOfEvacuating = why.valueOfStaying, why.valueOfEvacuating
--- a/internal/control/zones/symptom.go
+++ b/internal/control/zones/symptom.go
@@ -34,18 +34,18 @@
 	slowFactor = 3.0
 	// slowMarginMS: what usually takes a millisecond is not slow at four.
 	slowMarginMS = 5
-	// failedShare: three in ten is past what chance shows in ten samples.
-	failedShare = 0.3
-	// minRuns and minEnded: fewer runs or calls, and fewer answers, tell nothing of a node.
-	minRuns  = 3
-	minEnded = 5
+	// minFailedShare: three in ten is past what chance shows in ten samples.
+	minFailedShare = 0.3
+	// minSamples and minOutcomes: fewer runs or calls, and fewer answers, tell nothing of a node.
+	minSamples  = 3
+	minOutcomes = 5
 	// Runs stall if none ended in stallWindowMS, nor in stallFactor times what one usually takes, while all cores
 	// hold one. A shorter time would take a slow run for a stalled kernel.
 	stallWindowMS = 900
 	stallFactor   = 4
-	// busyShare: a zone that is slow and does so much of what it bore is overloaded, not failing: to evacuate it
+	// atCapacityFraction: a zone that is slow and does so much of what it bore is overloaded, not failing: to evacuate it
 	// would lose that.
-	busyShare = 0.7
+	atCapacityFraction = 0.7
 )
 
 // symptomOf decides what ails a node, by one report.
@@ -58,17 +58,17 @@
 	switch {
 	case !report.KernelConnected:
 		return symptomKernel
-	case report.Calls >= minRuns && float64(report.FailedCalls) >= failedShare*float64(report.Calls):
+	case report.Calls >= minSamples && float64(report.FailedCalls) >= minFailedShare*float64(report.Calls):
 		return symptomCallsFail
 	case v.isStalled(report):
 		return symptomKernel
-	case report.Calls >= minRuns && isSlow(report.MeanCallMS, v.observed.CallMS):
+	case report.Calls >= minSamples && isSlow(report.MeanCallMS, v.observed.CallMS):
 		return symptomCallsSlow // runs fail for want of them, in one zone sooner than in another
-	case ended >= minEnded && float64(report.Failed) >= failedShare*float64(ended):
+	case ended >= minOutcomes && float64(report.Failed) >= minFailedShare*float64(ended):
 		return symptomRunsFail
-	case ended >= minEnded && float64(report.Late+report.Failed) >= failedShare*float64(ended):
+	case ended >= minOutcomes && float64(report.Late+report.Failed) >= minFailedShare*float64(ended):
 		return symptomRunsLate
-	case report.RunsEnded >= minRuns && isSlow(report.MeanRunMS, v.observed.RunMS):
+	case report.RunsEnded >= minSamples && isSlow(report.MeanRunMS, v.observed.RunMS):
 		return symptomRunsSlow
 	}
 	return symptomNone
@@ -112,18 +112,18 @@
 			v.Symptom = symptom
 		}
 	}
-	v.excuseOverload(median(failed))
+	v.discountOverload(median(failed))
 }
 
-// excuseOverload takes a zone that is slow but does nearly what it bore for healthy: it is asked for more than it
+// discountOverload takes a zone that is slow but does nearly what it bore for healthy: it is asked for more than it
 // bears, and to evacuate it would lose what it does. failed is the share of runs that fail: those are not done.
-func (v *View) excuseOverload(failed float64) {
+func (v *View) discountOverload(failed float64) {
 	done := v.RunRate * (1 - failed)
-	if !v.Symptom.isSlowness() || v.observed.RunRate <= 0 || done < busyShare*v.observed.RunRate {
+	if !v.Symptom.isSlowness() || v.observed.RunRate <= 0 || done < atCapacityFraction*v.observed.RunRate {
 		return
 	}
 	v.Note = fmt.Sprintf("%d of %d nodes heard are slow (%s), but it does %.0f runs a second "+
 		"and bore %.0f: busy, not sick",
 		v.NodesUnhealthy, v.NodesReporting, v.Symptom, v.RunRate, v.observed.RunRate)
-	v.NodesUnhealthy, v.Symptom, v.busy = 0, symptomNone, true
+	v.NodesUnhealthy, v.Symptom, v.atCapacity = 0, symptomNone, true
 }
--- a/internal/control/zones/symptom_test.go
+++ b/internal/control/zones/symptom_test.go
@@ -67,9 +67,9 @@
 	} {
 		view := &View{NodesReporting: 5, NodesUnhealthy: 5, Symptom: c.symptom, RunRate: c.rate,
 			history: history{observed: ObservedCapacity{RunRate: 100}}}
-		view.excuseOverload(c.failed)
-		if view.NodesUnhealthy != c.unhealthy || view.busy != (c.unhealthy == 0) {
-			t.Errorf("%s: %d unhealthy, busy %v; expected %d", c.name, view.NodesUnhealthy, view.busy, c.unhealthy)
+		view.discountOverload(c.failed)
+		if view.NodesUnhealthy != c.unhealthy || view.atCapacity != (c.unhealthy == 0) {
+			t.Errorf("%s: %d unhealthy, busy %v; expected %d", c.name, view.NodesUnhealthy, view.atCapacity, c.unhealthy)
 		}
 	}
 }
--- a/internal/control/zones/view.go
+++ b/internal/control/zones/view.go
@@ -29,12 +29,12 @@
 	ConnectionRate   float64 `json:"opened"`
 	KernelsUp        bool    `json:"kernel"` // half of its nodes or more have one
 
-	// mix is what arrived by priority weight, the least first.
-	mix []api.PriorityCount
+	// arrivedByWeight is what arrived by priority weight, the least first.
+	arrivedByWeight []api.PriorityCount
 	// demand, of the fleet's view: the most first attempts a second that arrived lately.
 	demand float64
-	// busy: slow, but it does nearly what it sustained at most.
-	busy bool
+	// atCapacity: slow, but it does nearly what it sustained at most.
+	atCapacity bool
 
 	history
 }
@@ -43,11 +43,11 @@
 type history struct {
 	observed       ObservedCapacity
 	healthyHistory []ObservedCapacity // of the last evaluations, while it was healthy
-	logged         ObservedCapacity   // what the group's log has
-	loggedAt       uint64             // ms
+	stored         ObservedCapacity   // what the group's log has
+	storedAt       uint64             // ms
 
-	commonCauseAt uint64 // ms, when it was last unhealthy together with the others
-	overloaded    int    // evaluations in a row at which more was in flight than it sustained
+	commonCauseAt         uint64 // ms, when it was last unhealthy together with the others
+	overloadedEvaluations int    // evaluations in a row at which more was in flight than it sustained
 	// loads are runs in flight over those observed, at the last evaluations, the newest first.
 	loads [loadHistory]float64
 }
@@ -64,9 +64,9 @@
 	// quorumDivisor: a third of the nodes that are in have to report for anything to be told of a zone; so with half
 	// of the reports lost there is a quorum still.
 	quorumDivisor = 3
-	// A zone is silent if silentOf in allOf of its nodes are: one that answers still may be a straggler of a dead zone.
-	silentOf = 9
-	allOf    = 10
+	// A zone is silent if silentShareNumerator in silentShareDenominator of its nodes are: one that answers still may be a straggler of a dead zone.
+	silentShareNumerator   = 9
+	silentShareDenominator = 10
 )
 
 // hasQuorum reports whether enough of a zone's nodes report to tell anything of it.
@@ -74,14 +74,14 @@
 	return v.NodesReporting > 0 && quorumDivisor*v.NodesReporting >= v.NodesIn
 }
 
-// unhealthy is the share of the reporting nodes that are unhealthy, 0 to 1.
-func (v *View) unhealthy() float64 {
+// unhealthyRatio is the share of the reporting nodes that are unhealthy, 0 to 1.
+func (v *View) unhealthyRatio() float64 {
 	return float64(v.NodesUnhealthy) / float64(max(1, v.NodesReporting))
 }
 
 // silent reports that nobody of a zone is heard.
 func (v *View) silent() bool {
-	return v.NodesSilent > 0 && v.NodesSilent*allOf >= silentOf*max(v.NodesIn, v.NodesSilent)
+	return v.NodesSilent > 0 && v.NodesSilent*silentShareDenominator >= silentShareNumerator*max(v.NodesIn, v.NodesSilent)
 }
 
 // recordLoad sets the load of this evaluation: runs in flight over those observed.
@@ -102,11 +102,11 @@
 // inherit takes over from the view of the evaluation before what is learned over several.
 func (v *View) inherit(before *View) {
 	v.FailureScore, v.history = before.FailureScore, before.history
-	v.loads = shifted(before.loads)
+	v.loads = shiftLoads(before.loads)
 }
 
-// shifted makes place for the load of a new evaluation.
-func shifted(loads [loadHistory]float64) (next [loadHistory]float64) {
+// shiftLoads makes place for the load of a new evaluation.
+func shiftLoads(loads [loadHistory]float64) (next [loadHistory]float64) {
 	copy(next[1:], loads[:])
 	return next
 }
