--- a/internal/control/zones/aggregate.go
+++ b/internal/control/zones/aggregate.go
@@ -6,11 +6,11 @@
 	"umberwinch/internal/control/api"
 )
 
-// minUtilization: a core never quite idles. Under a twentieth a node is taken to be able to do twenty times what it
-// does; less would let a node that is hardly used promise any capacity.
+// minUtilization is the lowest core utilization that the capacity estimate assumes: a nearly idle node counts as able
+// to do at most twenty times its present rate.
 const minUtilization = 0.05
 
-// aggregate makes a view of the reports of a zone's nodes.
+// aggregate sets the view's rates, times, symptom and arrivals from the load reports of the zone's nodes.
 func (v *View) aggregate(reports []*api.LoadReport) {
 	if len(reports) == 0 {
 		return
@@ -22,26 +22,27 @@
 	v.CallFailureRatio = medianOf(pools, func(r *api.LoadReport) float64 {
 		return float64(r.FailedCalls) / max(1, float64(r.Calls))
 	})
-	withKernel := 0
+	kernelsConnected := 0
 	for _, report := range reports {
 		if report.KernelConnected {
-			withKernel++
+			kernelsConnected++
 		}
 	}
-	v.KernelsUp = 2*withKernel >= len(reports)
+	v.KernelsUp = 2*kernelsConnected >= len(reports)
 	v.countUnhealthy(pools)
 	v.arrivedByWeight = sumArrivedByWeight(reports)
 }
 
-// aggregateRates returns what the zone does a second: the median pool's rate for a node, times the nodes that are in.
+// aggregateRates sets the zone's rates per second: the median per-node rate of the pools, times the number of nodes
+// in.
 func (v *View) aggregateRates(pools []pooledReport) {
-	rate := func(amount func(r *api.LoadReport) float64) float64 {
-		figures := make([]float64, 0, len(pools))
+	rate := func(count func(r *api.LoadReport) float64) float64 {
+		perNode := make([]float64, 0, len(pools))
 		for i := range pools {
-			perSecond := amount(&pools[i].LoadReport) * millisPerSecond / float64(pools[i].WindowMS)
-			figures = append(figures, perSecond/float64(len(pools[i].nodes)))
+			perSecond := count(&pools[i].LoadReport) * millisPerSecond / float64(pools[i].WindowMS)
+			perNode = append(perNode, perSecond/float64(len(pools[i].nodes)))
 		}
-		return float64(v.NodesIn) * median(figures)
+		return float64(v.NodesIn) * median(perNode)
 	}
 	v.FirstAttemptRate = rate(func(r *api.LoadReport) float64 { return float64(r.Arrived - r.Retries) })
 	v.AdmittedRate = rate(func(r *api.LoadReport) float64 {
@@ -57,23 +58,23 @@
 		return float64(r.RunsEnded) / min(1, max(minUtilization, r.CoresUsed/r.Cores))
 	})
 	v.Concurrency = rate(func(r *api.LoadReport) float64 {
-		if r.RunsEnded == 0 { // what is in flight is no rate: undo the division by the window
+		if r.RunsEnded == 0 { // a gauge, not a count: cancels rate's division by the window
 			return float64(r.RunsInFlight) * float64(r.WindowMS) / millisPerSecond
 		}
 		return float64(r.RunsEnded) * r.MeanRunMS / millisPerSecond // Little's law
 	})
 }
 
-func medianOf(pools []pooledReport, figure func(r *api.LoadReport) float64) float64 {
-	figures := make([]float64, 0, len(pools))
+func medianOf(pools []pooledReport, value func(r *api.LoadReport) float64) float64 {
+	values := make([]float64, 0, len(pools))
 	for i := range pools {
-		figures = append(figures, figure(&pools[i].LoadReport))
+		values = append(values, value(&pools[i].LoadReport))
 	}
-	return median(figures)
+	return median(values)
 }
 
-// sumArrivedByWeight adds up what arrived by priority weight, the least first.
-func sumArrivedByWeight(reports []*api.LoadReport) (mix []api.PriorityCount) {
+// sumArrivedByWeight sums the nodes' arrivals by priority weight, in ascending order of weight.
+func sumArrivedByWeight(reports []*api.LoadReport) (arrivals []api.PriorityCount) {
 	byWeight := map[float64]int{}
 	for _, report := range reports {
 		for _, count := range report.ArrivedByWeight {
@@ -83,8 +84,8 @@
 		}
 	}
 	for weight, arrived := range byWeight {
-		mix = append(mix, api.PriorityCount{Weight: weight, Arrived: arrived})
+		arrivals = append(arrivals, api.PriorityCount{Weight: weight, Arrived: arrived})
 	}
-	sort.Slice(mix, func(i, k int) bool { return mix[i].Weight < mix[k].Weight })
-	return mix
+	sort.Slice(arrivals, func(i, k int) bool { return arrivals[i].Weight < arrivals[k].Weight })
+	return arrivals
 }
--- a/internal/control/zones/apply.go
+++ b/internal/control/zones/apply.go
@@ -7,15 +7,15 @@
 	"umberwinch/internal/control/membership"
 )
 
-// recentlyOutMS: a node that was counted out for silence so lately counts as one that the zone had. A zone that dies
-// has most of its nodes counted out while its evacuation is decided.
+// recentlyOutMS is how long a node that went out without leaving still counts as one of its zone's nodes. Most nodes
+// of a zone that dies are counted out before its evacuation is applied.
 const recentlyOutMS = 60_000
 
-// Apply plays one operation of the log. One that no longer holds is rejected: it names the epoch that it was decided
-// in, so of two leaders' decisions about one picture one counts.
-func (s *State) Apply(op *Op, fleet *membership.State, without Guard) Result {
+// Apply applies one operation from the log. A change of a zone is rejected if its epoch is not the current one, so of
+// two leaders' decisions on the same state only one takes effect.
+func (s *State) Apply(op *Op, fleet *membership.State, disabled Guard) Result {
 	result := Result{Kind: op.Kind, Zone: op.Zone, IdempotencyKey: op.IdempotencyKey, Epoch: s.Epoch}
-	zone, err := s.apply(op.decode(), fleet, without)
+	zone, err := s.apply(op.decode(), fleet, disabled)
 	switch {
 	case err != nil:
 		result.Err = err.Error()
@@ -25,38 +25,37 @@
 	return result
 }
 
-// apply returns the zone that the operation is about, nil if it is about several.
-func (s *State) apply(o operation, fleet *membership.State, without Guard) (*Zone, error) {
+// apply returns the zone that the operation changes, nil if it concerns several.
+func (s *State) apply(o operation, fleet *membership.State, disabled Guard) (*Zone, error) {
 	switch o := o.(type) {
 	case *observation:
 		s.storeCapacities(o, fleet)
 		return nil, nil
 	case *settlement:
-		return nil, s.settle(o, fleet, without)
+		return nil, s.settle(o, fleet, disabled)
 	}
-	on := o.appliesTo()
-	zone := s.findOrAdd(on.zone, fleet)
+	dest := o.appliesTo()
+	zone := s.findOrAdd(dest.zone, fleet)
 	if zone == nil || zone.Name == WholeFleet && evacuates(o) {
-		return nil, rejectf(ErrUnknownZone, "found no zone %.50q, expected one that nodes are of", on.zone)
+		return nil, rejectf(ErrUnknownZone, "found no zone %.50q, expected one that nodes are of", dest.zone)
 	}
 	if o, is := o.(*hold); is {
 		zone.HeldUntilMS = fleet.ClockMS + o.durationMS
 		zone.addEvent(fleet.ClockMS, s.Epoch, nil, "%s: nothing is decided by rules for %d ms", o.operator, o.durationMS)
 		return zone, nil
 	}
-	if on.epoch != s.Epoch {
-		return nil, rejectf(ErrStaleEpoch, "decided in epoch %d, expected %d", on.epoch, s.Epoch)
+	if dest.epoch != s.Epoch {
+		return nil, rejectf(ErrStaleEpoch, "decided in epoch %d, expected %d", dest.epoch, s.Epoch)
 	}
-	// Guards against two epochs being acted on at once: nodes of the older one would take their load beside what the
-	// newer returns to others, and the rate limit would be exceeded. Nothing is raised before all have promised the
-	// newest.
-	if raisesLoad(o) && !s.settled() && !without.Has(OneEpoch) {
+	// Guards against exceeding the rate limit: nodes on an older epoch would keep their load while the newer epoch
+	// gives it to others. Load is raised only once all nodes have promised the newest epoch.
+	if raisesLoad(o) && !s.settled() && !disabled.Has(OneEpoch) {
 		return nil, rejectf(ErrUnsettled, "epoch %d is not settled: some node may act on an older one", s.Epoch)
 	}
 	return zone, s.transition(zone, o, fleet)
 }
 
-// transition moves a zone to its next phase, share or rate limit.
+// transition changes a zone's phase, share or rate limits.
 func (s *State) transition(zone *Zone, o operation, fleet *membership.State) error {
 	switch o := o.(type) {
 	case *evacuation:
@@ -74,7 +73,7 @@
 		o.encode().Kind)
 }
 
-// storeCapacities keeps what the leader observed, so that it outlives the leader.
+// storeCapacities keeps the leader's observed capacities, so that a new leader has them.
 func (s *State) storeCapacities(o *observation, fleet *membership.State) {
 	for _, name := range sortedKeys(o.capacities) {
 		if zone := s.findOrAdd(name, fleet); zone != nil {
@@ -83,13 +82,14 @@
 	}
 }
 
-// settle ends the time in which nodes may act on an older epoch: evacuations are complete, quotas that grew count.
-func (s *State) settle(o *settlement, fleet *membership.State, without Guard) error {
+// settle marks the current epoch as settled: no node acts on an older one. Evacuations are complete, and leases may
+// use their full new quotas.
+func (s *State) settle(o *settlement, fleet *membership.State, disabled Guard) error {
 	if o.epoch != s.Epoch || s.settled() {
 		return rejectf(ErrStaleEpoch, "epoch %d is settled or past", o.epoch)
 	}
-	if older := fleet.NodesOnOlderZoneEpoch(s.Epoch); len(older) > 0 && !without.Has(OneEpoch) {
-		return rejectf(ErrUnsettled, "%d nodes may act on an older epoch", len(older))
+	if nodesBehind := fleet.NodesOnOlderZoneEpoch(s.Epoch); len(nodesBehind) > 0 && !disabled.Has(OneEpoch) {
+		return rejectf(ErrUnsettled, "%d nodes may act on an older epoch", len(nodesBehind))
 	}
 	for _, zone := range s.Zones {
 		zone.PreviousQuotas = nil
@@ -116,7 +116,7 @@
 	if fleet.ClockMS-zone.InServiceSinceMS > flapWindowMS {
 		zone.FlapCount = 0
 	}
-	if capacity, known := o.capacities[zone.Name]; known {
+	if capacity, observed := o.capacities[zone.Name]; observed {
 		zone.Capacity = capacity
 	}
 	zone.NodesBefore = zone.recentNodes(fleet)
@@ -126,19 +126,19 @@
 	if o.drillMS > 0 {
 		zone.DrillUntilMS = fleet.ClockMS + o.drillMS
 	}
-	what := "left"
+	summary := "left"
 	if o.share > 0 {
-		what = fmt.Sprintf("left in part, keeps %d of %d by value", o.share, api.FullShare)
+		summary = fmt.Sprintf("left in part, keeps %d of %d by value", o.share, api.FullShare)
 	}
-	zone.addEvent(fleet.ClockMS, s.Epoch, &o.rationale, "%s: %s", what, o.rationale.text())
+	zone.addEvent(fleet.ClockMS, s.Epoch, &o.rationale, "%s: %s", summary, o.rationale.text())
 	return nil
 }
 
-// recentNodes counts the nodes that the zone has, or had until lately.
+// recentNodes counts the zone's nodes that are in, or went out as silent within recentlyOutMS.
 func (z *Zone) recentNodes(fleet *membership.State) (n int) {
 	for _, node := range fleet.Nodes() {
-		lately := node.OutReason == membership.OutSilent && fleet.ClockMS-node.OutAtMS < recentlyOutMS
-		if node.Zone == z.Name && (!node.IsOut() || lately) {
+		recentlySilent := node.OutReason == membership.OutSilent && fleet.ClockMS-node.OutAtMS < recentlyOutMS
+		if node.Zone == z.Name && (!node.IsOut() || recentlySilent) {
 			n++
 		}
 	}
@@ -149,26 +149,27 @@
 	if zone.Phase != Evacuated && zone.Phase != Ramping {
 		return rejectf(ErrWrongPhase, "zone %s is %s, expected it out or returning", zone.Name, zone.Phase)
 	}
-	takes := o.limits
-	if takes.rateLimit == 0 { // an operator's has none
-		takes.rateLimit, takes.connectRateLimit = zone.rateLimits(takes.share, zone.countNodesIn(fleet))
+	stepLimits := o.limits
+	if stepLimits.rateLimit == 0 { // operators don't set rate limits
+		stepLimits.rateLimit, stepLimits.connectRateLimit = zone.rateLimits(stepLimits.share, zone.countNodesIn(fleet))
 	}
-	s.beginEpoch(zone, Ramping, &takes, fleet)
+	s.beginEpoch(zone, Ramping, &stepLimits, fleet)
 	zone.Operator = o.operator
 	zone.addEvent(fleet.ClockMS, s.Epoch, &o.rationale, "returns at %d of %d, %.0f runs a second at most: %s", zone.Share,
 		api.FullShare, zone.RateLimit, o.rationale.text())
 	return nil
 }
 
-// resplitQuotas leaves all as it is but for the quotas.
+// resplitQuotas begins an epoch that splits the rate limit again and keeps share, limits and the time of the last
+// step.
 func (s *State) resplitQuotas(zone *Zone, o *quotaSplit, fleet *membership.State) error {
 	if err := zone.expectRamping(); err != nil {
 		return err
 	}
-	same := limits{zone.Share, zone.PriorityCutoff, zone.RateLimit, zone.ConnectRateLimit, o.budget}
-	since := zone.SinceMS
-	s.beginEpoch(zone, Ramping, &same, fleet)
-	zone.SinceMS = since
+	unchanged := limits{zone.Share, zone.PriorityCutoff, zone.RateLimit, zone.ConnectRateLimit, o.budget}
+	stepStart := zone.SinceMS
+	s.beginEpoch(zone, Ramping, &unchanged, fleet)
+	zone.SinceMS = stepStart
 	return nil
 }
 
@@ -176,13 +177,13 @@
 	if err := zone.expectRamping(); err != nil {
 		return err
 	}
-	next := Ramping
+	nextPhase := Ramping
 	if o.share == 0 {
-		next = Evacuating
+		nextPhase = Evacuating
 		zone.FlapCount++
 		zone.RampNotBeforeMS = fleet.ClockMS + o.waitMS
 	}
-	s.beginEpoch(zone, next, &o.limits, fleet)
+	s.beginEpoch(zone, nextPhase, &o.limits, fleet)
 	zone.Cause, zone.Operator = o.cause, o.operator
 	zone.addEvent(fleet.ClockMS, s.Epoch, &o.rationale, "back to %d of %d: %s", zone.Share, api.FullShare,
 		o.rationale.text())
@@ -208,21 +209,20 @@
 	return nil
 }
 
-// beginEpoch has a zone go on in a new epoch with what it takes from then on, and splits its rate limit among the
-// leases.
-func (s *State) beginEpoch(zone *Zone, next Phase, takes *limits, fleet *membership.State) {
+// beginEpoch increments the epoch, sets the zone's phase and limits, and splits its rate limit among the leases.
+func (s *State) beginEpoch(zone *Zone, nextPhase Phase, newLimits *limits, fleet *membership.State) {
 	s.Epoch++
-	previous := zone.Phase
-	zone.Phase, zone.Share, zone.PriorityCutoff = next, takes.share, takes.priorityCutoff
+	previousPhase := zone.Phase
+	zone.Phase, zone.Share, zone.PriorityCutoff = nextPhase, newLimits.share, newLimits.priorityCutoff
 	zone.Epoch, zone.SinceMS = s.Epoch, fleet.ClockMS
-	zone.RateLimit, zone.ConnectRateLimit = takes.rateLimit, takes.connectRateLimit
-	s.RetryBudget, s.NoCapacityElsewhere = takes.budget.retries, takes.budget.noCapacityElsewhere
+	zone.RateLimit, zone.ConnectRateLimit = newLimits.rateLimit, newLimits.connectRateLimit
+	s.RetryBudget, s.NoCapacityElsewhere = newLimits.budget.retries, newLimits.budget.noCapacityElsewhere
 	if s.allInService() {
 		s.RetryBudget, s.NoCapacityElsewhere = 0, false
 	}
 	zone.PreviousQuotas = mergeQuotas(zone.PreviousQuotas, zone.Quotas)
 	zone.Quotas = splitQuotas(zone, fleet)
-	if previous == InService { // there was no limit before that nodes could exceed
+	if previousPhase == InService { // was unlimited, so the new quotas may be used at once
 		zone.PreviousQuotas = append([]LeaseQuota{}, zone.Quotas...)
 	}
 }
--- a/internal/control/zones/codec.go
+++ b/internal/control/zones/codec.go
@@ -1,35 +1,36 @@
 package zones
 
-// decode reads the stored form of an operation, with the fields that its kind has. A kind that this program does not
-// know is rejected here and applied by a newer program: their states would part. So the leader may append a new kind
-// only at a level of the group that came with it.
+// decode converts the stored form to the operation of its kind.
+//
+// A kind that this version does not know is rejected, but a newer version would apply it and the instances' states
+// would diverge. So the leader may append a new kind only at the feature level that introduced it.
 func (op *Op) decode() operation {
-	on := target{op.Zone, op.Epoch}
+	dest := target{op.Zone, op.Epoch}
 	budget := retryBudget{op.RetryBudget, op.NoCapacityElsewhere}
-	takes := limits{op.Share, op.PriorityCutoff, op.RateLimit, op.ConnectRateLimit, budget}
-	why := rationale{op.Operator, op.Reason, op.ValueOfStaying, op.ValueOfEvacuating}
+	newLimits := limits{op.Share, op.PriorityCutoff, op.RateLimit, op.ConnectRateLimit, budget}
+	basis := rationale{op.Operator, op.Reason, op.ValueOfStaying, op.ValueOfEvacuating}
 	switch op.Kind {
 	case OpEvacuate:
-		return &evacuation{on, takes, why, op.Cause, op.WaitMS, op.DrillMS, op.Capacities}
+		return &evacuation{dest, newLimits, basis, op.Cause, op.WaitMS, op.DrillMS, op.Capacities}
 	case OpSettle:
-		return &settlement{on}
+		return &settlement{dest}
 	case OpRamp:
-		return &rampStep{on, takes, why}
+		return &rampStep{dest, newLimits, basis}
 	case OpSplit:
-		return &quotaSplit{on, budget}
+		return &quotaSplit{dest, budget}
 	case OpEndRamp:
-		return &rampEnd{on, why, budget}
+		return &rampEnd{dest, basis, budget}
 	case OpStepBack:
-		return &stepBack{on, takes, why, op.Cause, op.WaitMS}
+		return &stepBack{dest, newLimits, basis, op.Cause, op.WaitMS}
 	case OpObserve:
-		return &observation{on, op.Capacities}
+		return &observation{dest, op.Capacities}
 	case OpHold:
-		return &hold{on, op.Operator, op.WaitMS}
+		return &hold{dest, op.Operator, op.WaitMS}
 	}
-	return &unknownOperation{on, op.Kind}
+	return &unknownOperation{dest, op.Kind}
 }
 
-// op begins the stored form of an operation.
+// op returns a stored form with the target's zone and epoch.
 func (t target) op(kind OpKind) *Op { return &Op{Kind: kind, Zone: t.zone, Epoch: t.epoch} }
 
 func (l *limits) write(op *Op) {
@@ -42,9 +43,9 @@
 	op.RetryBudget, op.NoCapacityElsewhere = b.retries, b.noCapacityElsewhere
 }
 
-func (g *rationale) write(op *Op) {
-	op.Operator, op.Reason = g.operator, g.reason
-	op.ValueOfStaying, op.ValueOfEvacuating = g.valueOfStaying, g.valueOfEvacuating
+func (r *rationale) write(op *Op) {
+	op.Operator, op.Reason = r.operator, r.reason
+	op.ValueOfStaying, op.ValueOfEvacuating = r.valueOfStaying, r.valueOfEvacuating
 }
 
 func (o *evacuation) encode() *Op {
--- a/internal/control/zones/cold_start.go
+++ b/internal/control/zones/cold_start.go
@@ -6,67 +6,64 @@
 	"umberwinch/internal/control/recovery"
 )
 
-// BeginColdStart decides, after a batch of heartbeats was applied, whether most of the fleet has just restarted, and
-// begins the ramp of the whole fleet. It reports whether it did.
+// BeginColdStart begins a ramp of the whole fleet if most of its nodes have just restarted, and reports whether it
+// did. After a restart the services below are cold and without connections, and sustain only a part of their former
+// load.
 //
-// Inputs: the nodes that are in with the time that their processes have been up, in ms; the policy's rules; the
-// capacity observed for each zone. The reason: connections are gone and services below are cold, so they bear a part
-// of the load they bore a minute ago. It is called while the log is applied, so that the answers to the joins of that
-// batch have the share already and no node serves a moment without it. It acts only where the policy has small_start
-// and something was observed. It may harm a fleet whose services are warm: that returns later than it could.
-func (s *State) BeginColdStart(fleet *membership.State, rules *api.ZoneRules, without Guard) (began bool) {
-	if rules.Mode != api.ZoneModeAuto || !rules.ColdStart || without.Has(ColdStart) {
+// It is called while a batch of heartbeats is applied, so that the responses to that batch's joins already carry the
+// limited share. It does nothing unless the policy enables small_start and a capacity was observed.
+func (s *State) BeginColdStart(fleet *membership.State, rules *api.ZoneRules, disabled Guard) (started bool) {
+	if rules.Mode != api.ZoneModeAuto || !rules.ColdStart || disabled.Has(ColdStart) {
 		return false
 	}
-	whole := s.Find(WholeFleet)
-	if whole != nil && whole.Phase != InService {
+	fleetZone := s.Find(WholeFleet)
+	if fleetZone != nil && fleetZone.Phase != InService {
 		return false
 	}
-	young, in := s.countRecentStarts(fleet, whole)
-	if !recovery.IsColdStart(young, in) {
+	restarted, nodesIn := s.countRecentStarts(fleet, fleetZone)
+	if !recovery.IsColdStart(restarted, nodesIn) {
 		return false
 	}
 	capacity := s.fleetCapacity()
 	if capacity.RunRate == 0 {
 		return false
 	}
-	if whole = s.findOrAdd(WholeFleet, fleet); whole == nil {
+	if fleetZone = s.findOrAdd(WholeFleet, fleet); fleetZone == nil {
 		return false
 	}
-	whole.Capacity, whole.NodesBefore = capacity, in
-	takes := limits{share: max(1, rules.InitialShare)}
-	takes.rateLimit, takes.connectRateLimit = whole.rateLimits(takes.share, in)
-	s.beginEpoch(whole, Ramping, &takes, fleet)
-	whole.Cause = causeRestart
-	whole.addEvent(fleet.ClockMS, s.Epoch, nil,
+	fleetZone.Capacity, fleetZone.NodesBefore = capacity, nodesIn
+	initialLimits := limits{share: max(1, rules.InitialShare)}
+	initialLimits.rateLimit, initialLimits.connectRateLimit = fleetZone.rateLimits(initialLimits.share, nodesIn)
+	s.beginEpoch(fleetZone, Ramping, &initialLimits, fleet)
+	fleetZone.Cause = causeRestart
+	fleetZone.addEvent(fleet.ClockMS, s.Epoch, nil,
 		"%d of %d nodes began within %d s: returns at %d of %d, %.0f runs a second at most; "+
-			"its services bore %.0f, %.1f under way, %.0f ms a call", young, in, recovery.ColdStartWindowMS/1000,
-		whole.Share,
-		api.FullShare, whole.RateLimit, capacity.RunRate, capacity.Concurrency, capacity.CallMS)
+			"its services bore %.0f, %.1f under way, %.0f ms a call", restarted, nodesIn,
+		recovery.ColdStartWindowMS/1000, fleetZone.Share, api.FullShare, fleetZone.RateLimit, capacity.RunRate, capacity.Concurrency, capacity.CallMS)
 	return true
 }
 
-// countRecentStarts counts the nodes that are in, and those of them whose processes began lately and after the last cold
-// start ended.
-func (s *State) countRecentStarts(fleet *membership.State, whole *Zone) (young, in int) {
-	lastStartEnded := uint64(0)
-	if whole != nil {
-		lastStartEnded = whole.InServiceSinceMS
+// countRecentStarts counts the nodes that are in, and those of them that started within the cold start window and
+// after the last cold start's ramp ended.
+func (s *State) countRecentStarts(fleet *membership.State, fleetZone *Zone) (restarted, nodesIn int) {
+	lastRampEndMS := uint64(0)
+	if fleetZone != nil {
+		lastRampEndMS = fleetZone.InServiceSinceMS
 	}
 	for _, node := range fleet.Nodes() {
 		if node.IsOut() {
 			continue
 		}
-		in++
+		nodesIn++
 		uptime := node.UptimeMS(fleet.ClockMS)
-		if uptime <= recovery.ColdStartWindowMS && (lastStartEnded == 0 || uptime < fleet.ClockMS-lastStartEnded) {
-			young++
+		if uptime <= recovery.ColdStartWindowMS && (lastRampEndMS == 0 || uptime < fleet.ClockMS-lastRampEndMS) {
+			restarted++
 		}
 	}
-	return young, in
+	return restarted, nodesIn
 }
 
-// fleetCapacity adds up the zones' observed capacities; times are weighted by runs, as in the view of the fleet.
+// fleetCapacity sums the zones' observed capacities; times are weighted by run rate.
 func (s *State) fleetCapacity() (sum ObservedCapacity) {
 	for _, zone := range s.Zones {
 		if zone.Name == WholeFleet {
@@ -90,28 +87,26 @@
 type NewNode struct {
 	Zone     string
 	UptimeMS uint64 // of its process
-	ClockMS  uint64 // the group's time
-	NodesIn  int    // of its zone
+	ClockMS  uint64 // the group's clock
+	NodesIn  int    // number of nodes of its zone that are in
 }
 
-// LimitNewNode decides whether a node that has just begun is limited while nobody can tell yet whether most of the
-// fleet has begun with it, and lays that limit over its order: the initial share, and its part of that share of its
-// zone's observed capacity. It reports whether it did.
+// LimitNewNode limits the order of a node that has just started to the initial share and its part of the zone's
+// observed capacity at that share. It reports whether it did.
 //
-// Guards against the first nodes of a restart taking all load for the second in which the others join. It acts only
-// where the policy has small_start; a lone restart pays with a second at the initial share. A zone of which nothing
-// was observed is not limited.
-func (s *State) LimitNewNode(order *api.ZoneOrder, node NewNode, rules *api.ZoneRules, without Guard) bool {
-	zone, whole := s.Find(node.Zone), s.Find(WholeFleet)
+// Guards against the first nodes of a cold start taking all load before the others have joined and the start is
+// detected. It does nothing unless the policy enables small_start and the zone's capacity was observed.
+func (s *State) LimitNewNode(order *api.ZoneOrder, node NewNode, rules *api.ZoneRules, disabled Guard) bool {
+	zone, fleetZone := s.Find(node.Zone), s.Find(WholeFleet)
 	switch {
-	case rules.Mode != api.ZoneModeAuto || !rules.ColdStart || without.Has(ColdStart):
+	case rules.Mode != api.ZoneModeAuto || !rules.ColdStart || disabled.Has(ColdStart):
 		return false
 	case zone == nil || zone.Capacity.RunRate == 0 || order.Share <= rules.InitialShare:
 		return false
-	case whole != nil && whole.Phase == Ramping: // the fleet's own ramp limits it
+	case fleetZone != nil && fleetZone.Phase == Ramping: // limited by the fleet's ramp
 		return false
-	// and has ended since
-	case whole != nil && whole.InServiceSinceMS > 0 && node.UptimeMS >= node.ClockMS-whole.InServiceSinceMS:
+	// it was already up when the fleet's ramp ended
+	case fleetZone != nil && fleetZone.InServiceSinceMS > 0 && node.UptimeMS >= node.ClockMS-fleetZone.InServiceSinceMS:
 		return false
 	}
 	order.Share = max(1, rules.InitialShare)
--- a/internal/control/zones/drill.go
+++ b/internal/control/zones/drill.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// shouldEndDrill decides whether a drill is over: its time is, or a zone in service turns unhealthy or loses more value
-// than a drill may cost. A drill that goes on then would be an outage.
+// shouldEndDrill reports whether a drill's time is over, or whether it harms a zone in service: the zone is unhealthy
+// or loses a larger part of its offered weight than a drill may cost.
 func (d *decider) shouldEndDrill(zone *Zone) bool {
 	if zone.DrillUntilMS == 0 {
 		return false
@@ -12,11 +12,11 @@
 		return true
 	}
 	for _, other := range d.monitor.views {
-		loses := other.OfferedWeight > 0 && other.CompletedWeight < (1-2*minEvacuationGain)*other.OfferedWeight
-		if d.state.inService(other.Zone) && other.hasQuorum() && (other.unhealthyRatio() >= unhealthyShare || loses) {
+		unhealthy := other.unhealthyRatio() >= unhealthyShare
+		losesValue := other.OfferedWeight > 0 && other.CompletedWeight < (1-2*minEvacuationGain)*other.OfferedWeight
+		if d.state.inService(other.Zone) && other.hasQuorum() && (unhealthy || losesValue) {
 			other.Note = fmt.Sprintf("harmed by the drill of %s: %.0f of %.0f of value a second", zone.Name,
-				other.CompletedWeight,
-				other.OfferedWeight)
+				other.CompletedWeight, other.OfferedWeight)
 			return true
 		}
 	}
--- a/internal/control/zones/errors.go
+++ b/internal/control/zones/errors.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// Why an operation is rejected. A rejected operation changes nothing; Result.Err has its text.
+// Reasons for rejecting an operation. A rejected operation changes nothing; Result.Err has its text.
 var (
-	ErrUnknownZone = errors.New("no node is of the zone")
+	ErrUnknownZone = errors.New("unknown zone")
 	ErrUnknownOp   = errors.New("unknown operation")
-	ErrStaleEpoch  = errors.New("decided in another epoch")
-	ErrUnsettled   = errors.New("some node may act on an older epoch")
-	ErrWrongPhase  = errors.New("not possible in the zone's phase")
+	ErrStaleEpoch  = errors.New("operation is of another epoch")
+	ErrUnsettled   = errors.New("epoch is not settled")
+	ErrWrongPhase  = errors.New("not allowed in the zone's phase")
 	ErrLastZone    = errors.New("no other zone is in service")
 )
 
-// RejectedError says why an operation was rejected, and what was found and expected.
+// RejectedError is a rejected operation's reason and its text for operators, with what was found and expected.
 type RejectedError struct {
 	Reason error // one of the errors above
 	Text   string
 }
 
-// Error returns the text that operators are shown.
+// Error returns the text shown to operators.
 func (e *RejectedError) Error() string { return e.Text }
 
 // Unwrap returns the reason.
@@ -32,14 +32,14 @@
 	return &RejectedError{Reason: reason, Text: fmt.Sprintf(format, args...)}
 }
 
-// ErrSnapshot is what all errors of Restore wrap: the zones' part of a snapshot can't be read, as it is torn, spoilt or
-// of something else. Nothing of it is used.
+// ErrSnapshot is wrapped by all errors of Restore: the zones' part of a snapshot is malformed or too large, and none
+// of it is used.
 var ErrSnapshot = errors.New("saved zones")
 
-// UnknownGuardError is given for a guard's name that there is not.
+// UnknownGuardError is returned for a name that is not a guard's.
 type UnknownGuardError struct{ Name string }
 
-// Error names the guards that there are.
+// Error lists the valid names.
 func (e *UnknownGuardError) Error() string {
-	return fmt.Sprintf("guard %q, expected one of %s", e.Name, strings.Join(guardNames, ", "))
+	return fmt.Sprintf("unknown guard %q, expected one of %s", e.Name, strings.Join(guardNames, ", "))
 }
--- a/internal/control/zones/evacuate.go
+++ b/internal/control/zones/evacuate.go
@@ -8,35 +8,29 @@
 )
 
 const (
-	// maxUtilization: other zones are not filled past this part of what they could do; what is left is for load that comes
-	// unevenly. Higher, an evacuation could overload the zones that are left; lower, it could not be done at half
-	// load.
+	// maxUtilization is the part of the run capacity up to which load is moved to other zones; the rest absorbs
+	// uneven load.
 	maxUtilization = 0.85
-	// minEvacuationGain: an evacuation has to win a tenth of the value that the zone is asked for. Less is within what reports
-	// can tell, and each evacuation costs callers a retry.
+	// minEvacuationGain is the least gain in completed weight that justifies an evacuation, as a part of the zone's
+	// offered weight. Smaller differences are within the error of the reports.
 	minEvacuationGain = 0.1
-	// minMovedShare, of api.FullShare: less than an eighth of a zone is not worth an epoch that every node has to
-	// promise.
+	// minMovedShare, of api.FullShare, is the least part of a zone's load that is worth an epoch.
 	minMovedShare = api.FullShare / 8
-	// maxDelayDoublings of a wait: beyond it MaxRampDelayMS is the limit in any case, and the shift must not overflow.
+	// maxDelayDoublings bounds the shift in rampDelayMS, which must not overflow; MaxRampDelayMS applies earlier.
 	maxDelayDoublings = 20
-	// flapWindowMS: a zone that fails again so soon after its return has flapped, and waits twice as long before the
-	// next ramp. Ten minutes are several ramps; shorter would let a zone that fails at each return bring its callers
-	// down every time.
+	// flapWindowMS: a zone that fails within this time after its ramp ended has flapped, and its next ramp delay
+	// doubles.
 	flapWindowMS = 600_000
-	// minRate stands for no rate where one is divided by.
+	// minRate replaces a rate of 0 as a divisor.
 	minRate = 1e-9
 )
 
-// evacuate decides whether a zone should be evacuated, and how much of it.
+// evacuate decides whether a zone is evacuated, and how much of it. A silent zone is evacuated so that its return is
+// paced; another one if that completes more weight in time than staying, as far as the other zones have spare
+// capacity.
 //
-// Inputs: the zone's view (rates a second, value in priority weight a second), its failure score, and the views of
-// the zones in service. A zone that serves nobody is evacuated so that its return is paced. Another is evacuated if
-// that completes more value in time than staying does, as far as the others have capacity. It may harm the callers of
-// the other zones, whose load grows, and those of what stays in a zone that is evacuated in part.
-//
-// One zone is always in service, and while the fleet ramps after a cold start a zone that is merely slow is not warm
-// yet.
+// One zone always stays in service. While the fleet ramps after a cold start, a slow zone is not evacuated, as its
+// services are still cold.
 func (d *decider) evacuate(view *View) operation {
 	if view.FailureScore < evacuateScore || !d.state.anotherInService(view.Zone, d.fleet) {
 		return nil
@@ -51,15 +45,15 @@
 func (d *decider) evacuateFailing(view *View) operation {
 	o := &evacuation{target: d.target(view), cause: view.Cause,
 		waitMS: rampDelayMS(d.rules, d.flapsAtNextFailure(view))}
-	if view.observed.RunRate > 0 { // the ramp goes by it
+	if view.observed.RunRate > 0 { // sizes the later ramp
 		o.capacities = map[string]ObservedCapacity{view.Zone: view.observed}
 	}
-	if view.silent() { // it serves nobody: this takes nothing from anybody
+	if view.silent() { // it serves no callers, so none lose by it
 		o.reason, o.budget = view.Note, d.retryBudget(view, Evacuated, false)
 		return o
 	}
 	others, ok := d.spareCapacity(view)
-	if !ok || view.unhealthyRatio() < unhealthyShare { // it is healthy again, and the score has not fallen yet
+	if !ok || view.unhealthyRatio() < unhealthyShare { // the score lags behind a zone that is healthy again
 		return nil
 	}
 	if !d.chooseEvacuation(o, view, others) {
@@ -71,55 +65,54 @@
 	return o
 }
 
-// chooseEvacuation decides between staying, a whole evacuation and one in part, and sets the operation's values, share and
-// cutoff. It reports whether the zone is evacuated.
+// chooseEvacuation decides between staying, a full and a partial evacuation by the weight that each completes, and
+// sets the operation's expected values, share and cutoff. It reports whether the zone is evacuated.
 //
-// What the zone does not do is asked for elsewhere already, as callers retry. So what the others would take besides
-// is what runs here. The requests of most value move; those of least value stay and take their chances.
+// Callers already retry elsewhere what the zone does not run, so an evacuation adds only its present run rate to the
+// other zones. Requests of the most weight move, those of the least stay.
 func (d *decider) chooseEvacuation(o *evacuation, view *View, others spareCapacity) bool {
-	runs := max(view.RunRate, minRate)
-	admitted := max(view.AdmittedRate, minRate)
-	moved := min(runs, others.runRate)
+	runRate := max(view.RunRate, minRate)
+	admittedRate := max(view.AdmittedRate, minRate)
+	movedRate := min(runRate, others.runRate)
 	if d.disabled.Has(SpareCapacity) {
-		moved = runs
+		movedRate = runRate
 	}
-	part := moved / runs
-	asked := view.OfferedWeight * min(1, runs/admitted) // the value of as many first attempts as run
-	whole := asked * others.completionRatio * valueFraction(view.arrivedByWeight, part)
+	movedFraction := movedRate / runRate
+	offeredWeight := view.OfferedWeight * min(1, runRate/admittedRate) // weight of as many first attempts as run
+	movedWeight := offeredWeight * others.completionRatio * valueFraction(view.arrivedByWeight, movedFraction)
 	o.valueOfStaying = view.CompletedWeight
-	o.valueOfEvacuating = whole + view.CompletedWeight*(1-part)
+	o.valueOfEvacuating = movedWeight + view.CompletedWeight*(1-movedFraction)
 	switch {
-	case view.CompletedWeight <= minEvacuationGain*view.OfferedWeight && whole >= view.CompletedWeight:
-		o.valueOfEvacuating = whole // it does hardly anything: to evacuate it wholly takes nothing from anybody
+	case view.CompletedWeight <= minEvacuationGain*view.OfferedWeight && movedWeight >= view.CompletedWeight:
+		o.valueOfEvacuating = movedWeight // it completes almost nothing, so a full evacuation loses nothing
 	case o.valueOfEvacuating-o.valueOfStaying < minEvacuationGain*view.OfferedWeight:
 		view.Note = fmt.Sprintf("sick (%s), but leaving would do %.0f of value a second, staying %.0f", view.Symptom,
 			o.valueOfEvacuating, o.valueOfStaying)
 		return false
-	case part < 1 && int(part*api.FullShare) < minMovedShare:
+	case movedFraction < 1 && int(movedFraction*api.FullShare) < minMovedShare:
 		view.Note = fmt.Sprintf("sick (%s), and the others have room for %.0f runs a second of %.0f", view.Symptom,
-			others.runRate, runs)
+			others.runRate, runRate)
 		return false
-	case part < 1:
-		o.share, o.priorityCutoff = remainingLimits(view.arrivedByWeight, min(1, (runs-moved)/admitted))
+	case movedFraction < 1:
+		o.share, o.priorityCutoff = remainingLimits(view.arrivedByWeight, min(1, (runRate-movedRate)/admittedRate))
 	}
 	return true
 }
 
-// spareCapacity is what the other zones could do besides what they do.
+// spareCapacity is the capacity of the other zones beyond their present load.
 type spareCapacity struct {
 	runRate         float64 // runs a second
-	completionRatio float64 // part of the value that they are asked for which they complete in time, 0 to 1
+	completionRatio float64 // completed by offered weight, 0 to 1
 }
 
-// spareCapacity decides how much load the zones in service could take, beside what they do, without that of one. ok
-// is false where none of them is healthy and heard. A limit that is too high overloads them, one that is too low
-// leaves callers with a zone that fails.
-func (d *decider) spareCapacity(without *View) (others spareCapacity, ok bool) {
+// spareCapacity sums the spare capacity of the zones in service except one. Zones that are silent, unhealthy or
+// without a quorum of reports don't count; ok is false if no zone counts.
+func (d *decider) spareCapacity(excluded *View) (others spareCapacity, ok bool) {
 	completed, offered := 0.0, 0.0
 	for _, other := range d.monitor.views {
 		usable := d.state.inService(other.Zone) && !other.silent() && other.hasQuorum()
 		healthy := other.unhealthyRatio() <= healthyShare || d.disabled.Has(CommonCause)
-		if other == without || !usable || !healthy {
+		if other == excluded || !usable || !healthy {
 			continue
 		}
 		ok = true
@@ -134,45 +127,45 @@
 	return others, ok
 }
 
-// valueFraction returns the part of all value that the requests of most value have, if they are a part of all requests.
-// mix is by weight, the least first.
-func valueFraction(mix []api.PriorityCount, part float64) float64 {
-	arrived, value, whole := 0, 0.0, 0.0
-	for _, count := range mix {
-		arrived += count.Arrived
-		whole += count.Weight * float64(count.Arrived)
-	}
-	if arrived == 0 || whole == 0 {
-		return part
-	}
-	left := part * float64(arrived)
-	for i := len(mix) - 1; i >= 0 && left > 0; i-- {
-		n := min(left, float64(mix[i].Arrived))
-		value += n * mix[i].Weight
-		left -= n
-	}
-	return value / whole
+// valueFraction returns the part of the total weight that a part of all requests has, taken in descending order of
+// weight. arrivals is in ascending order of weight.
+func valueFraction(arrivals []api.PriorityCount, requestFraction float64) float64 {
+	totalArrived, weight, totalWeight := 0, 0.0, 0.0
+	for _, count := range arrivals {
+		totalArrived += count.Arrived
+		totalWeight += count.Weight * float64(count.Arrived)
+	}
+	if totalArrived == 0 || totalWeight == 0 {
+		return requestFraction
+	}
+	remaining := requestFraction * float64(totalArrived)
+	for i := len(arrivals) - 1; i >= 0 && remaining > 0; i-- {
+		n := min(remaining, float64(arrivals[i].Arrived))
+		weight += n * arrivals[i].Weight
+		remaining -= n
+	}
+	return weight / totalWeight
 }
 
-// remainingLimits returns what stays in a zone where a part of its requests does: all of less weight than the cutoff, and a
-// share of those at it.
-func remainingLimits(mix []api.PriorityCount, part float64) (share int, cutoff float64) {
-	arrived := 0
-	for _, count := range mix {
-		arrived += count.Arrived
-	}
-	left := part * float64(arrived)
-	for _, count := range mix {
+// remainingLimits returns the limits that keep a part of a zone's requests, in ascending order of weight: all
+// requests below the cutoff, and share of those at it.
+func remainingLimits(arrivals []api.PriorityCount, requestFraction float64) (share int, cutoff float64) {
+	totalArrived := 0
+	for _, count := range arrivals {
+		totalArrived += count.Arrived
+	}
+	remaining := requestFraction * float64(totalArrived)
+	for _, count := range arrivals {
 		n := float64(count.Arrived)
-		if left < n {
-			return max(1, int(api.FullShare*left/n)), count.Weight
+		if remaining < n {
+			return max(1, int(api.FullShare*remaining/n)), count.Weight
 		}
-		left -= n
+		remaining -= n
 	}
 	return api.FullShare, math.MaxFloat64
 }
 
-// flapsAtNextFailure returns the flap count that a zone has if it is evacuated now.
+// flapsAtNextFailure returns the flap count of a zone if it is evacuated now.
 func (d *decider) flapsAtNextFailure(view *View) int {
 	zone := d.state.Find(view.Zone)
 	if zone == nil || zone.Phase == InService && d.fleet.ClockMS-zone.InServiceSinceMS > flapWindowMS {
@@ -181,8 +174,8 @@
 	return zone.FlapCount + 1
 }
 
-// rampDelayMS decides how long a zone stays evacuated at least, in ms: twice as long with each time that it failed
-// again soon, up to the policy's limit. A zone that fails at each return must not take its callers along each time.
+// rampDelayMS returns the least time between an evacuation and the next ramp, in ms. It doubles with each flap, up to
+// the policy's limit, so that a zone that fails at each return affects its callers less often.
 func rampDelayMS(rules *api.ZoneRules, flaps int) uint64 {
 	return min(rules.MinStepMS<<min(flaps, maxDelayDoublings), rules.MaxRampDelayMS)
 }
--- a/internal/control/zones/evaluate.go
+++ b/internal/control/zones/evaluate.go
@@ -7,12 +7,11 @@
 	"umberwinch/internal/control/membership"
 )
 
-// evaluationIntervalMS is the time between two evaluations of the reports. Each node reports once a second at most: more
-// often would see the same reports again, less often would cost seconds of a failing zone's service.
+// evaluationIntervalMS is the time between two evaluations of the reports: twice per report of a node.
 const evaluationIntervalMS = 500
 
-// evaluate works out the views of all zones from the reports.
-func (m *Monitor) evaluate(now uint64, state *State, fleet *membership.State, without Guard) {
+// evaluate updates the views of all zones from the reports.
+func (m *Monitor) evaluate(now uint64, state *State, fleet *membership.State, disabled Guard) {
 	if m.startedAt == 0 {
 		m.startedAt = now
 	}
@@ -20,37 +19,37 @@
 	m.evaluatedAt = now
 	m.dropUnknownNodes(fleet)
 
-	views, loads := m.groupReports(now, fleet)
+	views, reports := m.groupReports(now, fleet)
 	m.views = m.views[:0]
 	for _, name := range sortedKeys(views) {
 		view := views[name]
-		if before := m.viewsByZone[name]; before != nil {
-			view.inherit(before)
-		} else if zone := state.Find(name); zone != nil { // what the leader before had learned
+		if previous := m.viewsByZone[name]; previous != nil {
+			view.inherit(previous)
+		} else if zone := state.Find(name); zone != nil { // stored by an earlier leader
 			view.observed, view.stored, view.storedAt = zone.Capacity, zone.Capacity, now
 		}
-		view.aggregate(loads[name])
+		view.aggregate(reports[name])
 		m.views = append(m.views, view)
 	}
 	m.viewsByZone = views
 	m.fleetView = sumViews(m.views, m.fleetView)
 	m.chooseProbes(now, fleet)
 	for _, view := range m.views {
-		m.score(now, state, view, without)
+		m.score(now, state, view, disabled)
 	}
 }
 
 func (m *Monitor) dropUnknownNodes(fleet *membership.State) {
-	for name := range m.reports { // each is judged alone, whatever the order
+	for name := range m.reports { // the order of iteration does not matter
 		if fleet.Lookup(name) == nil {
 			delete(m.reports, name)
 		}
 	}
 }
 
-// groupReports counts each zone's nodes, and gathers the reports that count.
+// groupReports counts the nodes of each zone and collects their load reports that have not expired.
 func (m *Monitor) groupReports(now uint64, fleet *membership.State) (map[string]*View, map[string][]*api.LoadReport) {
-	views, loads := map[string]*View{}, map[string][]*api.LoadReport{}
+	views, reports := map[string]*View{}, map[string][]*api.LoadReport{}
 	for _, node := range fleet.Nodes() {
 		view := views[node.Zone]
 		if view == nil {
@@ -64,51 +63,50 @@
 			continue
 		}
 		view.NodesIn++
-		report, heard := m.reportOf(node), m.startedAt
+		report, lastHeartbeat := m.reportOf(node), m.startedAt
 		if report != nil {
-			heard = max(heard, report.receivedAt)
+			lastHeartbeat = max(lastHeartbeat, report.receivedAt)
 		}
-		if now-heard > m.silentAfterMS() {
+		if now-lastHeartbeat > m.silentAfterMS() {
 			view.NodesSilent++
 		}
 		if m.isFresh(now, report) && report.hasLoad {
 			view.NodesReporting++
-			loads[node.Zone] = append(loads[node.Zone], &report.load)
+			reports[node.Zone] = append(reports[node.Zone], &report.load)
 		}
 	}
-	return views, loads
+	return views, reports
 }
 
-// demandDecay is what is left, after an evaluation, of the highest demand seen. While callers move from one zone to
-// another reports miss some of them on both sides, so a lower demand is believed only after some ten seconds; slower
-// would hold retries back for a demand that has ended.
+// demandDecay is the factor by which the peak of demand decays at an evaluation, so that a lower demand counts only
+// after about ten seconds. While callers move between zones, reports miss some of them on both sides.
 const demandDecay = 0.97
 
-// sumViews adds up the zones to a view of the fleet. Times are weighted by runs.
-func sumViews(views []*View, before *View) *View {
-	all := &View{Zone: WholeFleet}
-	if before != nil {
-		all.demand = before.demand * demandDecay
-		all.overloadedEvaluations, all.loads = before.overloadedEvaluations, shiftLoads(before.loads)
+// sumViews sums the zones' views to the fleet's. Times are weighted by run rate.
+func sumViews(views []*View, previous *View) *View {
+	fleet := &View{Zone: WholeFleet}
+	if previous != nil {
+		fleet.demand = previous.demand * demandDecay
+		fleet.overloadedEvaluations, fleet.loads = previous.overloadedEvaluations, shiftLoads(previous.loads)
 	}
 	nodesWithKernel, runMS, callMS := 0, 0.0, 0.0
 	for _, view := range views {
-		all.add(view)
+		fleet.add(view)
 		runMS += view.RunRate * view.RunMS
 		callMS += view.RunRate * view.CallMS
 		if view.KernelsUp {
 			nodesWithKernel += view.NodesIn
 		}
 	}
-	all.demand = max(all.demand, all.FirstAttemptRate)
-	if all.RunRate > 0 {
-		all.RunMS, all.CallMS = runMS/all.RunRate, callMS/all.RunRate
+	fleet.demand = max(fleet.demand, fleet.FirstAttemptRate)
+	if fleet.RunRate > 0 {
+		fleet.RunMS, fleet.CallMS = runMS/fleet.RunRate, callMS/fleet.RunRate
 	}
-	all.KernelsUp = 2*nodesWithKernel >= all.NodesIn
-	return all
+	fleet.KernelsUp = 2*nodesWithKernel >= fleet.NodesIn
+	return fleet
 }
 
-// add sums counts and rates.
+// add adds a zone's counts and rates.
 func (v *View) add(zone *View) {
 	v.NodesIn += zone.NodesIn
 	v.NodesSilent += zone.NodesSilent
@@ -127,15 +125,15 @@
 	}
 }
 
-// median returns the middle of some figures, and sorts them.
-func median(figures []float64) float64 {
-	n := len(figures)
+// median sorts the values and returns their median, 0 if there are none.
+func median(values []float64) float64 {
+	n := len(values)
 	if n == 0 {
 		return 0
 	}
-	sort.Float64s(figures)
+	sort.Float64s(values)
 	if n%2 == 0 {
-		return (figures[n/2-1] + figures[n/2]) / 2
+		return (values[n/2-1] + values[n/2]) / 2
 	}
-	return figures[n/2]
+	return values[n/2]
 }
--- a/internal/control/zones/generation.go
+++ b/internal/control/zones/generation.go
@@ -5,17 +5,17 @@
 	"umberwinch/internal/control/membership"
 )
 
-// BeginGeneration makes the state that of a restored group. epoch is the newest that any node was told; evacuated has
-// the zones of which nodes were told to take a share only, with that share.
+// BeginGeneration adapts a restored group's state to the nodes' records. epoch is the newest that any node has
+// received; evacuated has the zones that nodes had a limited share of, with that share.
 //
-// Guards against an epoch of the lost generation being taken for one of this: epochs go on after the newest. Until
-// the leases of the lost generation have run out none settles here, so its rate limits are not exceeded. Zones that
-// nodes take a share of only are evacuated until they show that they are healthy.
+// Guards against an epoch of the lost generation being taken for one of this: epochs continue after the newest. The
+// new epoch does not settle before the leases of the lost generation have expired, so rate limits are not exceeded.
+// Zones with a limited share are evacuated until they are healthy.
 func (s *State) BeginGeneration(epoch uint64, evacuated map[string]int, fleet *membership.State) {
 	s.Epoch = max(s.Epoch, epoch) + 1
 	s.SettledEpoch = s.Epoch - 1
 	if s.Epoch == 1 {
-		s.SettledEpoch = 1 // nobody was told anything about zones
+		s.SettledEpoch = 1 // no node has received an epoch
 	}
 	s.RetryBudget, s.NoCapacityElsewhere = 0, false
 	for _, name := range sortedKeys(evacuated) {
@@ -26,13 +26,14 @@
 	for _, zone := range s.Zones {
 		zone.reconcileRestored(evacuated[zone.Name] != 0)
 	}
-	if !s.anyNodeInService(fleet) { // one zone is always in service, and nothing tells which: all are
+	if !s.anyNodeInService(fleet) { // one zone must be in service; which one is unknown, so all are
 		for _, zone := range s.Zones {
 			zone.Phase, zone.Share = InService, api.FullShare
 		}
 	}
 }
 
+// evacuateRestored marks the zone as evacuated by the restoration, so that it ramps once it is healthy.
 func (z *Zone) evacuateRestored(epoch uint64, share int, clock uint64) {
 	z.Phase, z.Share, z.PriorityCutoff = Evacuated, 0, 0
 	z.Epoch, z.SinceMS = epoch, clock
@@ -43,15 +44,15 @@
 		api.FullShare)
 }
 
-// reconcileRestored corrects what the state of a group says that was restored from an older one. What an operator evacuated
-// stays so until he takes it back; what else is not in service was not told to any node any more.
-func (z *Zone) reconcileRestored(told bool) {
-	operators := (z.Phase == Evacuated || z.Phase == Evacuating) && z.Operator != ""
+// reconcileRestored corrects a zone's restored state, which may be older than the nodes' orders. A zone evacuated by
+// an operator stays evacuated; another zone out of service returns to service unless nodes had a limited share of it.
+func (z *Zone) reconcileRestored(limited bool) {
+	byOperator := (z.Phase == Evacuated || z.Phase == Evacuating) && z.Operator != ""
 	switch {
-	case operators:
+	case byOperator:
 		z.Phase, z.Share, z.DrillUntilMS = Evacuated, 0, 0
 		z.clearLimits()
-	case z.Phase != InService && !told && z.Cause != causeRestored:
+	case z.Phase != InService && !limited && z.Cause != causeRestored:
 		z.Phase, z.Share = InService, api.FullShare
 		z.clearLimits()
 	}
--- a/internal/control/zones/guards.go
+++ b/internal/control/zones/guards.go
@@ -1,44 +1,43 @@
 package zones
 
-// Guard is a set of guards that are taken out, for fault tests alone: without one of them a promise has to break,
-// which shows that the test finds what the guard is for.
+// Guard is a set of guards that are disabled, in fault tests only: a test that disables one must fail, which shows
+// that it detects the failure.
 type Guard uint
 
-// The guards, and what goes wrong without each.
+// The guards, and the failure that each prevents.
 const (
-	// CommonCause: a zone is evacuated for what ails all zones, and the others get its load on top.
+	// CommonCause: a zone is evacuated for a failure common to all zones, and its load overloads the others.
 	CommonCause Guard = 1 << iota
-	// SpareCapacity: more load is moved than the other zones can take.
+	// SpareCapacity: more load is moved than the other zones have capacity for.
 	SpareCapacity
-	// OneEpoch: nodes act on different epochs at the same time, so a zone's rate limit is exceeded.
+	// OneEpoch: nodes act on different epochs at the same time and exceed a zone's rate limit.
 	OneEpoch
-	// PacedRamp: a zone gets all of its load at once, and its cold services fail again.
+	// PacedRamp: a zone gets its full load at once, and its cold services fail again.
 	PacedRamp
-	// StepBack: a ramp that does harm goes on.
+	// StepBack: a ramp that overloads the zone continues.
 	StepBack
 	// RetryBudget: retries of an evacuated zone's callers overload the zones in service.
 	RetryBudget
-	// LeaseQuotas: what an earlier lease may still spend of a rate limit is given out a second time.
+	// LeaseQuotas: the quota of an earlier lease is assigned again while that lease may still use it.
 	LeaseQuotas
-	// ColdStart: a fleet that restarts as a whole takes all of its load at once.
+	// ColdStart: a restarted fleet takes its full load at once.
 	ColdStart
-	// RetryAfterSpread: callers that were rejected together come back together.
+	// RetryAfterSpread: callers that were rejected together retry together.
 	RetryAfterSpread
 )
 
-// guardNames are what commands take; scripts have these spellings. The name at position i is that of the guard 1<<i, so
-// a new guard is added to both lists at the same place; TestGuardNames compares them.
+// guardNames are the names in commands and scripts. The name at index i is that of the guard 1<<i, so a new guard is
+// added to both lists at the same position; TestGuardNames compares them.
 var guardNames = []string{"common-cause", "room", "one-epoch", "paced", "step-back", "retry-budget", "lease-tokens",
 	"small-start", "spread"}
 
-// zoneGuards is how many of guardNames, the first ones, concern zones; the others concern the start of a fleet. A new
-// guard of zones goes before those, and this number grows with it.
+// zoneGuards is the number of leading guardNames that concern zones; the others concern a cold start of the fleet.
 const zoneGuards = 7
 
-// Has reports whether a guard is disabled: true means that a fault test took it out.
-func (g Guard) Has(one Guard) bool { return g&one != 0 }
+// Has reports whether a guard is disabled.
+func (g Guard) Has(guard Guard) bool { return g&guard != 0 }
 
-// GuardNamed returns a guard by its name, or an *UnknownGuardError.
+// GuardNamed returns a guard by its name. Its error is an *UnknownGuardError.
 func GuardNamed(name string) (Guard, error) {
 	for i, known := range guardNames {
 		if known == name {
@@ -48,5 +47,5 @@
 	return 0, &UnknownGuardError{name}
 }
 
-// GuardNames lists the guards of evacuations and ramps.
+// GuardNames returns the names of the guards of evacuations and ramps.
 func GuardNames() []string { return guardNames[:zoneGuards] }
--- a/internal/control/zones/op.go
+++ b/internal/control/zones/op.go
@@ -6,36 +6,36 @@
 	"umberwinch/internal/control/api"
 )
 
-// OpKind says what an operation does. The values are stored and sent: their spelling stays.
+// OpKind is the kind of an operation. The values are stored and sent, so their spelling must not change.
 type OpKind string
 
-// Kinds of operations. Operators may ask for OpEvacuate, OpRamp, OpStepBack and OpHold; the others are the rules' own.
+// Kinds of operations. Operators may request OpEvacuate, OpRamp, OpStepBack and OpHold; the rules decide the others.
 const (
-	OpEvacuate OpKind = "leave"  // evacuate a zone, wholly or but for a share
-	OpSettle   OpKind = "settle" // no lease acts on an older epoch any more
+	OpEvacuate OpKind = "leave"  // evacuate a zone, fully or partially
+	OpSettle   OpKind = "settle" // mark the epoch as settled: no lease acts on an older one
 	OpRamp     OpKind = "step"   // begin a ramp, or raise its share or rate limit
-	OpSplit    OpKind = "split"  // divide a rate limit among the leases anew
+	OpSplit    OpKind = "split"  // split a rate limit among the current leases
 	OpEndRamp  OpKind = "in"     // end a ramp: the zone is in service
-	OpStepBack OpKind = "back"   // lower a ramp's share; to 0: evacuate
-	OpObserve  OpKind = "bore"   // keep observed capacities
-	OpHold     OpKind = "hold"   // let the rules decide nothing for a time
+	OpStepBack OpKind = "back"   // lower a ramp's share; evacuate at 0
+	OpObserve  OpKind = "bore"   // store observed capacities
+	OpHold     OpKind = "hold"   // suspend the rules for a zone for a time
 )
 
-// Bounds of what an operator sends. They keep an entry of the log small.
+// Limits of an operator's operation, which keep log entries small.
 const (
 	maxOperatorBytes      = 200
 	maxReasonBytes        = 2000
-	minKeyBytes           = 8 // fewer could be the same by chance for two operations
+	minKeyBytes           = 8 // shorter keys could collide
 	maxKeyBytes           = 80
-	maxOperatorDurationMS = 24 * 3600_000 // a day: a zone that is held or drilled for longer was forgotten
+	maxOperatorDurationMS = 24 * 3600_000 // a day; a longer hold or drill is likely forgotten
 )
 
-// Op is the stored and sent form of an operation: one JSON object with the fields that its kind has. decode reads it,
-// and nothing else goes by its fields but what an operator may set.
+// Op is the stored and sent form of an operation: a JSON object with the fields of its kind. decode converts it; only
+// code that handles operators' requests reads its fields directly.
 type Op struct {
 	Kind                OpKind  `json:"op"`
 	Zone                string  `json:"zone,omitempty"`
-	Epoch               uint64  `json:"epoch"` // that it was decided in
+	Epoch               uint64  `json:"epoch"` // in which it was decided
 	Share               int     `json:"share,omitempty"`
 	PriorityCutoff      float64 `json:"worth,omitempty"`
 	RateLimit           float64 `json:"ceiling,omitempty"` // runs a second
@@ -45,16 +45,16 @@
 	Cause               Cause   `json:"cause,omitempty"`
 	Reason              string  `json:"why,omitempty"`
 	Operator            string  `json:"by,omitempty"`
-	ValueOfStaying      float64 `json:"stay,omitempty"` // priority weight completed a second
+	ValueOfStaying      float64 `json:"stay,omitempty"` // expected weight completed a second
 	ValueOfEvacuating   float64 `json:"go,omitempty"`
-	// WaitMS is the least time until the zone ramps (evacuate, step back), or for which it is held.
+	// WaitMS is the least time until the zone ramps (evacuate, step back), or the duration of a hold.
 	WaitMS         uint64                      `json:"wait_ms,omitempty"`
 	DrillMS        uint64                      `json:"drill_ms,omitempty"`
 	Capacities     map[string]ObservedCapacity `json:"bores,omitempty"`
 	IdempotencyKey string                      `json:"key,omitempty"` // of an operator's request
 }
 
-// Result is what came of an operation.
+// Result is the outcome of an operation.
 type Result struct {
 	Kind           OpKind `json:"Kind"`
 	Zone           string `json:"Zone"`
@@ -62,14 +62,14 @@
 	Epoch          uint64 `json:"Epoch"`
 	Phase          Phase  `json:"Step"`
 	Share          int    `json:"Share"`
-	Err            string `json:"Err"` // why it was rejected; empty: it was applied
+	Err            string `json:"Err"` // reason of the rejection; empty if it was applied
 }
 
-// Rejected reports whether the operation changed nothing, for the reason in Err.
+// Rejected reports whether the operation was rejected and changed nothing; Err has the reason.
 func (r Result) Rejected() bool { return r.Err != "" }
 
-// ClearRulesFields clears what an operator sent and only the rules may set: rate limits of a zone that an operator
-// returns come from the capacity that was observed in it.
+// ClearRulesFields clears the fields of an operator's operation that only the rules set: the rate limits of a zone
+// come from its observed capacity.
 func (op *Op) ClearRulesFields() {
 	op.RateLimit, op.ConnectRateLimit = 0, 0
 	op.PriorityCutoff, op.Capacities = 0, nil
@@ -84,7 +84,7 @@
 	}
 }
 
-// Validate says what is wrong with an operator's operation before it is proposed: an *api.FieldError or an
+// Validate checks an operator's operation before it is proposed. Its error is an *api.FieldError or an
 // *api.FieldsError.
 func (op *Op) Validate() error {
 	switch op.Kind {
@@ -109,6 +109,6 @@
 	return nil
 }
 
-func lengthError(field, text, expected string) error {
-	return &api.FieldError{Field: field, Found: fmt.Sprintf("%d bytes", len(text)), Expected: expected}
+func lengthError(field, value, expected string) error {
+	return &api.FieldError{Field: field, Found: fmt.Sprintf("%d bytes", len(value)), Expected: expected}
 }
--- a/internal/control/zones/operation.go
+++ b/internal/control/zones/operation.go
@@ -1,14 +1,13 @@
 package zones
 
-// operation is one operation on zones, with the fields that it has: an evacuation, settlement, rampStep, quotaSplit,
-// rampEnd, stepBack, observation or hold. Op is how it is stored and sent.
+// operation is the typed form of an operation on zones, with the fields of its kind. Op is its stored and sent form.
 type operation interface {
-	// appliesTo returns the zone and the epoch that it was decided for; zero where it is about several zones.
+	// appliesTo returns the zone and epoch; zero for an operation on several zones.
 	appliesTo() target
 	encode() *Op
 }
 
-// target is the zone that an operation is about, and the epoch that it was decided in.
+// target is the zone that an operation changes, and the epoch in which it was decided.
 type target struct {
 	zone  string
 	epoch uint64
@@ -16,7 +15,7 @@
 
 func (t target) appliesTo() target { return t }
 
-// limits are what a zone takes from an operation's epoch on, and what the others may admit of its callers' retries.
+// limits apply to a zone from the operation's epoch on, and the budget to the zones in service.
 type limits struct {
 	share            int     // of api.FullShare
 	priorityCutoff   float64 // see api.ZoneOrder
@@ -25,44 +24,44 @@
 	budget           retryBudget
 }
 
-// retryBudget is what the zones in service may admit of retries; see State.
+// retryBudget limits the retries that the zones in service admit; see State.
 type retryBudget struct {
 	retries             int
 	noCapacityElsewhere bool
 }
 
-// rationale are who decided an operation and why.
+// rationale is who decided an operation and why.
 type rationale struct {
 	operator          string // empty: the rules
 	reason            string
-	valueOfStaying    float64 // expected, in priority weight completed a second
+	valueOfStaying    float64 // expected weight completed a second
 	valueOfEvacuating float64
 }
 
-// text returns the grounds as an event has them.
-func (g rationale) text() string {
-	reason := g.reason
+// text returns the operator and the reason, shortened for an event.
+func (r rationale) text() string {
+	reason := r.reason
 	if len(reason) > maxEventBytes {
 		reason = reason[:maxEventBytes] + "..."
 	}
-	if g.operator == "" {
+	if r.operator == "" {
 		return reason
 	}
-	return g.operator + ": " + reason
+	return r.operator + ": " + reason
 }
 
-// evacuation takes a zone out of service, wholly or but for a share.
+// evacuation takes a zone out of service, fully or partially.
 type evacuation struct {
 	target
 	limits
 	rationale
 	cause      Cause
-	waitMS     uint64 // the least time until the zone ramps
+	waitMS     uint64 // least time until the zone ramps
 	drillMS    uint64 // 0: no drill
 	capacities map[string]ObservedCapacity
 }
 
-// settlement ends the time in which nodes may act on an epoch before the newest.
+// settlement marks the epoch as settled: no node acts on an older one.
 type settlement struct{ target }
 
 // rampStep begins a ramp, or raises its share or rate limit.
@@ -72,49 +71,49 @@
 	rationale
 }
 
-// quotaSplit divides a ramp's rate limit among the leases anew.
+// quotaSplit splits a ramp's rate limit among the current leases.
 type quotaSplit struct {
 	target
 	budget retryBudget
 }
 
-// rampEnd puts a zone in service.
+// rampEnd returns a zone to service without limits.
 type rampEnd struct {
 	target
 	rationale
 	budget retryBudget
 }
 
-// stepBack lowers a ramp's share, to 0 to evacuate the zone again.
+// stepBack lowers a ramp's share; at 0 the zone is evacuated.
 type stepBack struct {
 	target
 	limits
 	rationale
 	cause  Cause
-	waitMS uint64 // the least time until an evacuated zone ramps
+	waitMS uint64 // least time until the zone ramps, if it is evacuated
 }
 
-// observation keeps observed capacities, by zone.
+// observation stores observed capacities, by zone.
 type observation struct {
 	target
 	capacities map[string]ObservedCapacity
 }
 
-// hold lets the rules decide nothing about a zone for a time.
+// hold suspends the rules for a zone for a time.
 type hold struct {
 	target
 	operator   string
 	durationMS uint64
 }
 
-// unknownOperation is one that this program does not know. It is rejected.
+// unknownOperation is one of a kind that this version does not know. It is rejected.
 type unknownOperation struct {
 	target
 	kind OpKind
 }
 
-// evacuates reports whether an operation leaves nothing to the zone. The fleet as a whole has nowhere else to
-// send its load.
+// evacuates reports whether an operation evacuates its zone, fully or partially. The whole fleet can't be evacuated,
+// as no other zone could take its load.
 func evacuates(o operation) bool {
 	switch o := o.(type) {
 	case *evacuation:
@@ -125,7 +124,7 @@
 	return false
 }
 
-// raisesLoad reports whether an operation may give a node more than it has.
+// raisesLoad reports whether an operation may raise a node's load.
 func raisesLoad(o operation) bool {
 	switch o.(type) {
 	case *rampStep, *quotaSplit, *rampEnd:
--- a/internal/control/zones/order.go
+++ b/internal/control/zones/order.go
@@ -4,11 +4,11 @@
 	"umberwinch/internal/control/api"
 )
 
-// Order returns what a zone's state means to a node that holds a lease.
-func (s *State) Order(name string, lease uint32, rules *api.ZoneRules, without Guard) api.ZoneOrder {
+// Order returns the order for a node of the named zone that holds the lease: share, rate limits and retry budget.
+func (s *State) Order(name string, lease uint32, rules *api.ZoneRules, disabled Guard) api.ZoneOrder {
 	order := api.ZoneOrder{Epoch: s.Epoch, Share: api.FullShare, TTLMS: rules.OrderTTLMS,
 		NoCapacityElsewhere: s.NoCapacityElsewhere}
-	if !without.Has(RetryBudget) {
+	if !disabled.Has(RetryBudget) {
 		order.RetryBudget = s.RetryBudget
 	}
 	zone := s.Find(name)
@@ -17,13 +17,13 @@
 	}
 	order.Share, order.PriorityCutoff = zone.Share, zone.PriorityCutoff
 	if zone.Phase != InService {
-		order.RetryBudget = 0 // its share bounds what it takes
+		order.RetryBudget = 0 // limited by its share instead
 	}
 	if zone.Phase != Ramping {
 		return s.withFleetLimits(order, lease)
 	}
 	order.RateLimited = true
-	if without.Has(LeaseQuotas) { // a part for whoever asks, as if nobody else had any
+	if disabled.Has(LeaseQuotas) { // an equal part for each node, regardless of other leases' quotas
 		nodes := float64(max(1, zone.NodesBefore))
 		order.RateLimit, order.ConnectRateLimit = zone.RateLimit/nodes, zone.ConnectRateLimit/nodes
 		return order
@@ -35,7 +35,8 @@
 	return s.withFleetLimits(order, lease)
 }
 
-// withFleetLimits lays the limits of a fleet that starts cold over those of a node's zone: the smaller of the two.
+// withFleetLimits applies the limits of a ramp of the whole fleet to a node's order, in addition to those of its
+// zone.
 func (s *State) withFleetLimits(order api.ZoneOrder, lease uint32) api.ZoneOrder {
 	fleet := s.Find(WholeFleet)
 	if fleet == nil || fleet.Phase != Ramping {
@@ -47,7 +48,7 @@
 	return order
 }
 
-// capRates limits an order's rates, in runs and connections a second, to the smaller of what it has and what is given.
+// capRates lowers an order's rate limits, in runs and connections a second, to the given ones.
 func capRates(order *api.ZoneOrder, runs, connections float64) {
 	if order.RateLimited {
 		runs, connections = min(runs, order.RateLimit), min(connections, order.ConnectRateLimit)
--- a/internal/control/zones/phase.go
+++ b/internal/control/zones/phase.go
@@ -1,16 +1,16 @@
 package zones
 
-// Phase is where a zone stands. The values are stored and sent: their spelling stays.
+// Phase is a zone's phase. The values are stored and sent, so their spelling must not change.
 type Phase string
 
-// Phases of a zone. InService -> Evacuating -> Evacuated -> Ramping -> InService; a ramp that steps back to nothing
+// Phases of a zone: InService -> Evacuating -> Evacuated -> Ramping -> InService. A ramp that steps back to a share of 0
 // is Evacuating.
 const (
 	InService  Phase = "in"
-	Evacuating Phase = "leaving"   // decided; some node may act on the epoch before
-	Evacuated  Phase = "out"       // wholly or in part: nobody acts on an older epoch
-	Ramping    Phase = "returning" // at a share, under a rate limit
+	Evacuating Phase = "leaving"   // some node may still act on the previous epoch
+	Evacuated  Phase = "out"       // fully or partially; no node acts on an older epoch
+	Ramping    Phase = "returning" // at a share, with rate limits
 )
 
-// WholeFleet names the fleet as a whole where it starts cold: it ramps like a zone. No zone of nodes can have the name.
+// WholeFleet names the whole fleet, which ramps like a zone after a cold start. No zone of nodes can have this name.
 const WholeFleet = "*"
--- a/internal/control/zones/pool.go
+++ b/internal/control/zones/pool.go
@@ -3,28 +3,28 @@
 import "umberwinch/internal/control/api"
 
 const (
-	// targetPoolRuns is how many runs a pool should see in a report's time: fewer tell neither a rate nor a share of
-	// failures.
+	// targetPoolRuns is the number of ended runs that a pool should have in a report's window, to give a rate and a
+	// ratio of failures.
 	targetPoolRuns = 8
-	// minPools of a zone: with fewer, some nodes that report nonsense could reach half of them.
+	// minPools is the least number of pools of a zone, so that a few nodes with wrong reports don't reach half of the
+	// pools.
 	minPools = 9
-	// minUnpooledRuns a node, on the average, need no pooling.
+	// minUnpooledRuns is the average number of runs per node from which reports are not pooled.
 	minUnpooledRuns = targetPoolRuns / 2
 )
 
-// pooledReport is some nodes' reports as one: counts are sums, times are weighted by what they are of, WindowMS is
-// the mean.
+// pooledReport combines the reports of some nodes: counts are sums, times are weighted by the runs or calls that they
+// describe, WindowMS is the mean.
 type pooledReport struct {
 	api.LoadReport
 	nodes []*api.LoadReport
 }
 
-// poolReports puts nodes' reports together until each pool sees targetPoolRuns runs, in minPools at least; where nodes see enough
-// each is a pool.
+// poolReports combines reports until each pool has about targetPoolRuns runs, in at least minPools pools.
 //
-// Where a node sees a few requests in a report's time, as each of thousands does, or all do at a small share, most
-// reports have no run in them, and so has their median. A zone of fewer than twice minPools nodes is not pooled: two
-// in five that report nonsense must not reach every pool.
+// Where a node handles few requests in a window, as in a large fleet or at a small share, most reports have no run in
+// them, and neither has their median. A zone of fewer than twice minPools nodes is not pooled, as two in five wrong
+// reports must not reach every pool.
 func poolReports(reports []*api.LoadReport) []pooledReport {
 	pools := make([]pooledReport, poolCount(reports))
 	for i, report := range reports {
@@ -43,7 +43,7 @@
 		return nodes
 	}
 	runsPerNode := 0.0
-	// none counts for more than is enough: a few that report nonsense don't decide what is
+	// capped per node, so that a few wrong reports don't decide the average
 	for _, report := range reports {
 		runsPerNode += min(targetPoolRuns, float64(report.RunsEnded)) / float64(nodes)
 	}
@@ -58,20 +58,20 @@
 		p.LoadReport = *p.nodes[0]
 		return
 	}
-	withKernel := 0
+	kernelsConnected := 0
 	for _, report := range p.nodes {
 		p.add(report)
 		if report.KernelConnected {
-			withKernel++
+			kernelsConnected++
 		}
 	}
 	p.WindowMS /= len(p.nodes)
 	p.MeanRunMS /= float64(max(1, p.RunsEnded))
 	p.MeanCallMS /= float64(max(1, p.Calls))
-	p.KernelConnected = 2*withKernel >= len(p.nodes)
+	p.KernelConnected = 2*kernelsConnected >= len(p.nodes)
 }
 
-// add sums a report up; the means are sums of times until combine divides them.
+// add adds a report's values; until combine divides them, the means are sums of times.
 func (p *pooledReport) add(report *api.LoadReport) {
 	p.WindowMS += report.WindowMS
 	p.Arrived += report.Arrived
--- a/internal/control/zones/probe.go
+++ b/internal/control/zones/probe.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// probeTargetsPerZone of a silent zone are checked, by probersPerZone nodes of each other zone: some of either may be
-	// bad. More would only cost health checks.
+	// probeTargetsPerZone nodes of a silent zone are probed, each by probersPerZone nodes of every other zone, as
+	// some of either may be faulty.
 	probeTargetsPerZone = 3
 	probersPerZone      = 2
-	// A check counts for probeTTLHeartbeats and probeTTLMarginMS: it is as old as the report that carried it.
+	// A result expires after probeTTLHeartbeats heartbeat intervals and probeTTLMarginMS.
 	probeTTLHeartbeats = 3
 	probeTTLMarginMS   = 1000
 )
 
-// probes are the health checks of silent zones' nodes by nodes of other zones.
+// probes holds the health checks of silent zones' nodes by nodes of other zones.
 type probes struct {
-	zoneOf          map[string]string            // of the nodes that are checked
-	targetsByProber map[string][]api.ProbeTarget // by the node that checks
+	zoneOf          map[string]string            // zone of each probed node
+	targetsByProber map[string][]api.ProbeTarget // by name of the probing node
 	resultsByPair   map[probeKey]probeResult
 }
 
@@ -29,7 +29,7 @@
 	health     api.Health
 }
 
-// probeCounts are the results about one zone.
+// probeCounts counts the results for one zone, by health.
 type probeCounts struct{ serving, shedding, silent int }
 
 func newProbes() probes {
@@ -37,21 +37,21 @@
 		resultsByPair: map[probeKey]probeResult{}}
 }
 
-// record keeps what a node found, of the nodes that are checked.
-func (p *probes) record(now uint64, by string, peers []api.PeerHealth) {
+// record keeps a prober's results for the nodes that are probed.
+func (p *probes) record(now uint64, prober string, peers []api.PeerHealth) {
 	if len(peers) > api.MaxPeers {
 		peers = peers[:api.MaxPeers]
 	}
 	for _, peer := range peers {
 		if p.zoneOf[peer.Name] != "" {
-			p.resultsByPair[probeKey{peer.Name, by}] = probeResult{now, peer.Health}
+			p.resultsByPair[probeKey{peer.Name, prober}] = probeResult{now, peer.Health}
 		}
 	}
 }
 
-// countResults counts what others lately found of a zone's nodes.
+// countResults counts the unexpired results for a zone's nodes.
 func (p *probes) countResults(now uint64, zone string, ttlMS uint64) (counts probeCounts) {
-	for key, result := range p.resultsByPair { // order does not matter to sums
+	for key, result := range p.resultsByPair { // the order of iteration does not matter
 		if p.zoneOf[key.node] != zone || now-result.receivedAt > ttlMS {
 			continue
 		}
@@ -77,7 +77,7 @@
 
 func (m *Monitor) probeTTLMS() uint64 { return probeTTLHeartbeats*m.heartbeatMS + probeTTLMarginMS }
 
-// chooseProbes decides who checks the nodes of silent zones.
+// chooseProbes assigns the nodes of silent zones to probers in other zones.
 func (m *Monitor) chooseProbes(now uint64, fleet *membership.State) {
 	m.probes.zoneOf, m.probes.targetsByProber = map[string]string{}, map[string][]api.ProbeTarget{}
 	for _, view := range m.views {
--- a/internal/control/zones/ramp.go
+++ b/internal/control/zones/ramp.go
@@ -7,38 +7,33 @@
 )
 
 const (
-	// targetLoad: a ramp asks for no more runs in flight than this part of those observed. By Little's law runs in
-	// flight are the rate times the time of a run, so a cold service that takes five times as long is asked for a
-	// fifth of the rate. Higher leaves nothing for load that comes unevenly, lower prolongs the ramp.
+	// targetLoad is the load that a step aims for: runs in flight as a part of those observed. By Little's law runs
+	// in flight are the run rate times the run time, so a service that is five times as slow gets a fifth of the
+	// rate.
 	targetLoad = 0.85
-	// stepBackLoad: past it a ramp steps back. Nearer to one, uneven reports would cost steps.
+	// stepBackLoad is the load above which a ramp steps back.
 	stepBackLoad = 1.1
-	// stepBackTargetLoad: a step back is proportional, to below targetLoad, so that the next evaluation does not ask for
-	// another.
+	// stepBackTargetLoad is the load that a step back aims for. It is below targetLoad, so that the next evaluation
+	// does not step back again.
 	stepBackTargetLoad = 0.75
-	// slowdownTolerance: a service that is slower than usual by less shows nothing, as reports differ by a tenth.
+	// slowdownTolerance is the highest slowdown, see slowdown, that counts as noise of the reports.
 	slowdownTolerance = 1.15
-	// overloadEvaluations in a row, a second and a half: one uneven report does not cost a step.
+	// overloadEvaluations in a row have to show overload before a ramp steps back.
 	overloadEvaluations = 3
-	// minStepRuns have to have ended at a step before it counts as shown: fewer tell nothing about the services below.
+	// minStepRuns is the number of runs that have to end at a step before it is complete.
 	minStepRuns = 10
-	// stepReportMarginMS: reports that are older than a step describe the share before it; wait this much beyond one
-	// heartbeat before the step is judged.
+	// stepReportMarginMS, beyond a heartbeat interval, is the time after a step in which reports may describe the
+	// share before it.
 	stepReportMarginMS = 1000
-	// minShareDivisor: a step back ends at a quarter of the policy's initial share; below it the zone is evacuated
-	// again.
+	// minShareDivisor: a step back below the policy's initial share divided by this evacuates the zone.
 	minShareDivisor = 4
-	// warmRampFactor: a warm service's share at least doubles, whatever is in flight: its rate alone limits it.
+	// warmRampFactor is the least factor by which a warm service's share grows, regardless of its load.
 	warmRampFactor = api.MaxRampFactor / 2
 )
 
-// continueRamp decides the next step of a ramp by what the services below show at this one: a step back, a new split
-// of the rate limit, a larger share, the end of the ramp, or to wait.
-//
-// Inputs: the zone's state (share, rate limit, observed capacity), its view, the time since the share settled in ms.
-// The reason: only what was seen at the present share tells what services that may be cold bear; no clock does, but
-// for the end of a ramp (finishRamp). It acts while a zone, or the fleet as a whole, ramps. A step that is too large
-// may overload the services below; one that is too small prolongs the ramp.
+// continueRamp decides the next operation of a ramp by the reports at the present share: a step back, a new split of
+// the rate limit, a larger share, the end of the ramp, or none. Load is never raised by the clock alone, except by
+// finishRamp.
 //
 // Three waits set no note in the view: for the epoch to settle, for the least time at a share, and for the end of an
 // operator's hold (decideZone).
@@ -49,9 +44,9 @@
 		}
 		return nil
 	}
-	shownMS := d.fleet.ClockMS - zone.SinceMS
-	d.recordLoad(zone, view, shownMS)
-	if share, reason := d.needsStepBack(zone, view, shownMS); reason != "" {
+	stepAgeMS := d.fleet.ClockMS - zone.SinceMS
+	d.recordLoad(zone, view, stepAgeMS)
+	if share, reason := d.needsStepBack(zone, view, stepAgeMS); reason != "" {
 		return d.stepBack(zone, view, share, reason)
 	}
 	if !d.mayRaiseLoad() {
@@ -60,43 +55,43 @@
 	if d.needsSplit(zone) {
 		return &quotaSplit{d.target(view), retryBudget{d.state.RetryBudget, d.state.NoCapacityElsewhere}}
 	}
-	if !d.stepComplete(zone, view, shownMS) {
+	if !d.stepComplete(zone, view, stepAgeMS) {
 		return nil
 	}
 	if zone.Share >= api.FullShare {
-		return d.finishRamp(zone, view, shownMS)
+		return d.finishRamp(zone, view, stepAgeMS)
 	}
 	return d.raiseShare(zone, view)
 }
 
-// recordLoad notes in the view how much is in flight over what was observed, and for how many evaluations it has been
-// too much.
-func (d *decider) recordLoad(zone *Zone, view *View, shownMS uint64) {
+// recordLoad records in the view the load (runs in flight divided by those observed) and the number of evaluations in
+// a row at which it was too high.
+func (d *decider) recordLoad(zone *Zone, view *View, stepAgeMS uint64) {
 	load := 0.0
 	if zone.Capacity.Concurrency > 0 {
 		load = view.Concurrency / zone.Capacity.Concurrency
 	}
 	view.recordLoad(load)
-	tooMuch := shownMS >= d.monitor.heartbeatMS && load > stepBackLoad && view.Concurrency >= 1 &&
+	overloaded := stepAgeMS >= d.monitor.heartbeatMS && load > stepBackLoad && view.Concurrency >= 1 &&
 		!isWarm(view, &zone.Capacity) && view.hasQuorum()
-	if tooMuch {
+	if overloaded {
 		view.overloadedEvaluations++
 	} else {
 		view.overloadedEvaluations = 0
 	}
 }
 
-// needsStepBack decides whether a ramp has to step back, and to which share; the reason is empty if it need not. Where
-// nodes fail the zone is evacuated; where more was in flight than the services sustained, the share goes down in
-// proportion, and the evaluations with too much are counted anew.
+// needsStepBack decides whether a ramp steps back, and to which share; the reason is empty if it does not. If nodes
+// fail, the zone is evacuated; if it is overloaded, the share is lowered in proportion and the overloaded evaluations
+// start from 0.
 //
-// Guards against a step being judged by reports of the one before: they have to be of this share.
-func (d *decider) needsStepBack(zone *Zone, view *View, shownMS uint64) (share int, reason string) {
-	reportsAreOfThisStep := shownMS >= max(d.rules.MinStepMS/2, d.monitor.heartbeatMS+stepReportMarginMS)
-	if d.disabled.Has(StepBack) || !reportsAreOfThisStep || !view.hasQuorum() {
+// Guards against judging a step by reports from before it.
+func (d *decider) needsStepBack(zone *Zone, view *View, stepAgeMS uint64) (share int, reason string) {
+	reportsCoverStep := stepAgeMS >= max(d.rules.MinStepMS/2, d.monitor.heartbeatMS+stepReportMarginMS)
+	if d.disabled.Has(StepBack) || !reportsCoverStep || !view.hasQuorum() {
 		return 0, ""
 	}
-	// Of a zone that is merely slow, as one that is cold, runs in flight tell.
+	// A zone that is only slow may be cold; its load decides below.
 	if view.FailureScore >= evacuateScore/2 && view.unhealthyRatio() >= unhealthyShare && !view.Symptom.isSlowness() {
 		return 0, fmt.Sprintf("%d of %d nodes heard are sick (%s)", view.NodesUnhealthy, view.NodesReporting,
 			view.Symptom)
@@ -112,8 +107,8 @@
 	return share, fmt.Sprintf("%.1f runs under way, and it bore %.1f", view.Concurrency, zone.Capacity.Concurrency)
 }
 
-// stepBack returns the operation that lowers a ramp's share, to 0 to evacuate the zone again. The fleet as a whole has
-// nowhere else to send its load: it keeps a least share.
+// stepBack returns the operation that lowers a ramp's share, at 0 to evacuate the zone. The whole fleet keeps a
+// minimum share, as no other zone could take its load.
 func (d *decider) stepBack(zone *Zone, view *View, share int, reason string) operation {
 	if zone.Name == WholeFleet {
 		share = max(share, 1, d.rules.InitialShare/minShareDivisor)
@@ -130,14 +125,14 @@
 	return o
 }
 
-// stepComplete decides whether the present share has shown what it can: for the policy's least time, by reports of this
-// share alone, with some runs, and by nodes that are healthy.
-func (d *decider) stepComplete(zone *Zone, view *View, shownMS uint64) bool {
-	least := d.rules.MinStepMS + d.monitor.heartbeatMS
-	if shownMS < least || d.now-d.monitor.startedAt < least || !view.hasQuorum() {
+// stepComplete reports whether the present share can be judged: it has lasted the policy's least time, was seen by
+// this leader for as long, served enough runs, and its nodes are healthy.
+func (d *decider) stepComplete(zone *Zone, view *View, stepAgeMS uint64) bool {
+	minAgeMS := d.rules.MinStepMS + d.monitor.heartbeatMS
+	if stepAgeMS < minAgeMS || d.now-d.monitor.startedAt < minAgeMS || !view.hasQuorum() {
 		return false
 	}
-	if view.RunRate*float64(shownMS)/millisPerSecond < minStepRuns {
+	if view.RunRate*float64(stepAgeMS)/millisPerSecond < minStepRuns {
 		view.Note = fmt.Sprintf("at %d of %d: waits for reqs, %.1f runs a second came", zone.Share, api.FullShare,
 			view.RunRate)
 		return false
@@ -151,8 +146,8 @@
 	return true
 }
 
-// raiseShare decides by how much a ramp's share grows: as far as the runs in flight then expected are targetLoad of
-// those observed.
+// raiseShare returns the operation that raises a ramp's share so far that the expected load is targetLoad, nil if
+// there is no capacity for that.
 func (d *decider) raiseShare(zone *Zone, view *View) operation {
 	factor := float64(api.MaxRampFactor)
 	if load := view.highestLoad(); load > 0 {
@@ -167,26 +162,25 @@
 			zone.Capacity.Concurrency)
 		return nil
 	}
-	// What is a little slower than usual bears so much less of the rate that it bore at its peak.
-	most := float64(api.FullShare)
-	if slower := slowdown(view, &zone.Capacity); slower > slowdownTolerance {
-		most *= slowdownTolerance / slower
+	// A service that is slower than usual sustains a lower rate than its observed peak.
+	maxShare := float64(api.FullShare)
+	if slowdownRatio := slowdown(view, &zone.Capacity); slowdownRatio > slowdownTolerance {
+		maxShare *= slowdownTolerance / slowdownRatio
 	}
-	share := max(zone.Share+1, int(min(most, float64(zone.Share)*factor)))
-	why := rationale{operator: zone.Operator, reason: fmt.Sprintf("%.1f runs under way of %.1f it bore, %.0f ms a run",
+	share := max(zone.Share+1, int(min(maxShare, float64(zone.Share)*factor)))
+	basis := rationale{operator: zone.Operator, reason: fmt.Sprintf("%.1f runs under way of %.1f it bore, %.0f ms a run",
 		view.Concurrency, zone.Capacity.Concurrency, view.RunMS)}
-	return d.rampStep(zone, view, min(api.FullShare, share), why)
+	return d.rampStep(zone, view, min(api.FullShare, share), basis)
 }
 
-// isWarm reports whether the services below take the time that they usually do.
+// isWarm reports whether the services below are about as fast as usual.
 func isWarm(view *View, capacity *ObservedCapacity) bool {
-	slower := slowdown(view, capacity)
-	return slower > 0 && slower <= maxWarmSlowdown
+	slowdownRatio := slowdown(view, capacity)
+	return slowdownRatio > 0 && slowdownRatio <= maxWarmSlowdown
 }
 
-// slowdown returns how many times as long as usual the services below take, 0 where nothing tells. Their own time tells
-// where there are calls: a run has the node's own work in it, so a call that takes three times as long may not show
-// there.
+// slowdown returns the time of the services below as a multiple of the usual, 0 if unknown. Call times are preferred:
+// a run includes the node's own work, which hides a slow call.
 func slowdown(view *View, capacity *ObservedCapacity) float64 {
 	switch {
 	case capacity.CallMS > 0 && view.CallMS > 0:
--- a/internal/control/zones/ramp_begin.go
+++ b/internal/control/zones/ramp_begin.go
@@ -6,18 +6,16 @@
 	"umberwinch/internal/control/api"
 )
 
-// maxPartialRampShare, of api.FullShare: a zone that was evacuated in part goes on from at most half, as what it still
-// takes was its least valued load.
+// maxPartialRampShare, of api.FullShare, is the highest share from which the ramp of a partially evacuated zone
+// starts: what it still takes was its load of least weight.
 const maxPartialRampShare = api.FullShare / 2
 
-// beginRamp decides whether load returns to an evacuated zone, with the smallest share.
-//
-// Inputs: the zone's state, its view, the policy's initial share. The zone has to be ready (readyToRamp), its wait
-// has to be over, and no lease may act on an older epoch. It may harm the callers whose requests are in the share,
-// should the zone fail again.
+// beginRamp decides whether an evacuated zone starts to ramp, at the policy's initial share. The zone has to be
+// ready, its delay over, and no lease may act on an older epoch. A partially evacuated zone continues from the load
+// that it takes.
 func (d *decider) beginRamp(zone *Zone, view *View) operation {
-	if obstacle := readyToRamp(zone, view); obstacle != "" {
-		view.Note = "out: " + obstacle
+	if missing := readyToRamp(zone, view); missing != "" {
+		view.Note = "out: " + missing
 		return nil
 	}
 	if d.fleet.ClockMS < zone.RampNotBeforeMS {
@@ -37,10 +35,10 @@
 	return d.rampStep(zone, view, share, rationale{reason: "its nodes and kernels are there"})
 }
 
-// readyToRamp decides whether an evacuated zone could take load again, and returns what it lacks, empty if nothing.
-// Half of the nodes that it had have to be heard, and their kernels there; of a zone evacuated in part what it takes
-// must not show failures.
-func readyToRamp(zone *Zone, view *View) (obstacle string) {
+// readyToRamp returns what an evacuated zone lacks to take load, empty if nothing. At least half of its former nodes
+// have to be present and most kernels connected; the load that a partially evacuated zone takes must not show
+// failures.
+func readyToRamp(zone *Zone, view *View) (missing string) {
 	present := view.NodesIn - min(view.NodesIn, view.NodesSilent)
 	switch {
 	case view.silent() || view.NodesIn == 0:
@@ -57,7 +55,7 @@
 	return ""
 }
 
-// mayRampFromPartial reports whether a zone that was evacuated in part may go on from what it takes.
+// mayRampFromPartial reports whether a partially evacuated zone has capacity for more than it takes.
 func mayRampFromPartial(zone *Zone, view *View) bool {
 	observed := zone.Capacity.Concurrency
 	view.recordLoad(view.Concurrency / max(observed, minRate))
@@ -69,12 +67,12 @@
 	return true
 }
 
-// rampStep returns a step of a ramp to a share, with the rate limits of that share.
-func (d *decider) rampStep(zone *Zone, view *View, share int, why rationale) operation {
+// rampStep returns a step of a ramp to a share, with that share's rate limits.
+func (d *decider) rampStep(zone *Zone, view *View, share int, basis rationale) operation {
 	if d.disabled.Has(PacedRamp) {
 		share = api.FullShare
 	}
-	takes := limits{share: share, budget: d.retryBudget(view, Ramping, true)}
-	takes.rateLimit, takes.connectRateLimit = zone.rateLimits(share, view.NodesIn)
-	return &rampStep{d.target(view), takes, why}
+	stepLimits := limits{share: share, budget: d.retryBudget(view, Ramping, true)}
+	stepLimits.rateLimit, stepLimits.connectRateLimit = zone.rateLimits(share, view.NodesIn)
+	return &rampStep{d.target(view), stepLimits, basis}
 }
--- a/internal/control/zones/retry_budget.go
+++ b/internal/control/zones/retry_budget.go
@@ -3,25 +3,21 @@
 import "umberwinch/internal/control/api"
 
 const (
-	// maxRetryRatio, of first attempts: more retries than this never come, and a report of little demand must not
-	// allow any number.
+	// maxRetryRatio is the highest ratio of retries to first attempts, for a demand that is reported too low.
 	maxRetryRatio = 4
-	// minRetryRatio: where there is no capacity, one in sixteen retries is admitted, so that it is found once there is.
+	// minRetryRatio is the least ratio of retries that are admitted even without capacity, so that capacity is found
+	// once there is some.
 	minRetryRatio = 1.0 / 16
-	// noCapacityRatio: under a twentieth of capacity left, callers are told not to retry.
+	// noCapacityRatio of the first attempts' rate: with less spare capacity callers are not asked to retry.
 	noCapacityRatio = 0.05
 )
 
-// retryBudget decides how many retries of requests that another zone rejected the zones in service may admit for
-// api.FullShare first attempts, and whether there is no capacity anywhere, so that a rejection is final.
+// retryBudget returns how many retries of requests rejected by another zone each zone in service may admit per
+// api.FullShare first attempts, and whether no zone has capacity, so that a rejection is final.
 //
-// Inputs: the demand of the whole fleet in first attempts a second, the run capacity of the zones in service, and the
-// zones on the callers' list: the first attempts are spread over all of those. view is the zone that the operation is
-// about, next the phase it is about to have, listed whether callers go on sending it first attempts.
-//
-// Guards against an evacuated zone's callers overloading the others: without the budget those were asked for nearly
-// twice of what they bear. It may harm callers whose retry is rejected though there would have been capacity: reports
-// lag by a second or two.
+// The fleet's demand is spread over all zones that callers send first attempts to. view is the zone that the
+// operation changes, next its phase after it, and listed whether callers then still send it first attempts. Guards
+// against an evacuated zone's callers overloading the other zones.
 func (m *Monitor) retryBudget(state *State, view *View, next Phase, listed bool) (budget int, noCapacity bool) {
 	demand, capacity, nodesIn, nodesListed := m.fleetView.demand, 0.0, 0, 0
 	for _, other := range m.views {
--- a/internal/control/zones/score.go
+++ b/internal/control/zones/score.go
@@ -3,34 +3,32 @@
 import "fmt"
 
 const (
-	// evacuateScore: a zone is evacuated after four evaluations at which it is unhealthy, two seconds, which are some
-	// reports of each node. Fewer would let noise evacuate it, more would cost a second of service each.
+	// evacuateScore is the failure score at which a zone is evacuated: four unhealthy evaluations, two seconds.
 	evacuateScore = 4.0
-	// maxScore: a zone that was unhealthy for long is healthy after three evaluations.
+	// maxScore bounds the score, so that a zone that was unhealthy for long is healthy after three evaluations.
 	maxScore = 6.0
-	// unhealthyPoints and healthyPoints a zone gets at an evaluation. What has ended is forgotten sooner than it was
-	// believed.
+	// unhealthyPoints and healthyPoints are added to the score at an evaluation; it falls faster than it rises.
 	unhealthyPoints = 1.0
 	healthyPoints   = -2.0
-	// uncertainPoints, where some nodes are unhealthy but not enough.
+	// uncertainPoints are added if some nodes are unhealthy, but too few.
 	uncertainPoints = healthyPoints / 4
-	// silentPoints: silence and health checks took their time already, so two evaluations are enough.
+	// silentPoints are added for a silent zone. Silence and probes already took time, so two evaluations suffice.
 	silentPoints = evacuateScore / 2
-	// What ailed all zones may end a little sooner in some: for commonCauseWindowMS after that it takes twice as long to be
-	// sure of one.
+	// A common cause may end in some zones earlier than in others, so for commonCauseWindowMS after it an unhealthy
+	// zone gets only reducedUnhealthyPoints.
 	commonCauseWindowMS    = 10_000
 	reducedUnhealthyPoints = unhealthyPoints / 2
-	// minProbeResults: one node's word alone does not tell that a zone is dead.
+	// minProbeResults is the least number of probe results by which a zone counts as dead.
 	minProbeResults = 2
-	// A zone that fewer than one in unreachableDivisor of its usual first attempts reach is cut off from its callers. With
-	// minUsualAttemptRate a second or fewer that tells nothing.
+	// A zone that gets fewer than its usual first attempts divided by unreachableDivisor is cut off from its callers,
+	// if the usual rate is above minUsualAttemptRate a second.
 	unreachableDivisor  = 20
 	minUsualAttemptRate = 1
 )
 
-// score keeps the failure score of a zone: how long and how surely it fails, over several evaluations. Reports that
-// are missing add nothing to it.
-func (m *Monitor) score(now uint64, state *State, view *View, without Guard) {
+// score updates a zone's failure score, which grows with the time and certainty of a failure. An evaluation without
+// enough reports does not change it.
+func (m *Monitor) score(now uint64, state *State, view *View, disabled Guard) {
 	switch {
 	case view.silent():
 		m.scoreSilent(now, view)
@@ -39,7 +37,7 @@
 		view.Note = fmt.Sprintf("%d of %d nodes heard: nothing can be told", view.NodesReporting, view.NodesIn)
 		return
 	case view.unhealthyRatio() >= unhealthyShare:
-		m.scoreUnhealthy(now, state, view, without)
+		m.scoreUnhealthy(now, state, view, disabled)
 	case view.unhealthyRatio() <= healthyShare:
 		view.addScore(healthyPoints)
 	default:
@@ -51,11 +49,11 @@
 			view.NodesReporting,
 			view.Symptom)
 	}
-	usual := view.observed.FirstAttemptRate
-	if usual > minUsualAttemptRate && view.FirstAttemptRate < usual/unreachableDivisor && inService {
+	usualRate := view.observed.FirstAttemptRate
+	if usualRate > minUsualAttemptRate && view.FirstAttemptRate < usualRate/unreachableDivisor && inService {
 		view.Note = "hardly any callers reach it: nothing is won by leaving it"
 	}
-	// Guards against taking what a fleet shows while it ramps, cold and limited, for what is usual.
+	// Guards against averaging in the reports of a fleet that ramps, whose services are cold and whose rate is limited.
 	healthy := view.FailureScore == 0 && view.NodesUnhealthy == 0 && 2*view.NodesReporting >= view.NodesIn
 	if inService && state.inService(WholeFleet) && healthy {
 		view.observe()
@@ -68,12 +66,12 @@
 	v.FailureScore = min(maxScore, max(0, v.FailureScore+points))
 }
 
-// scoreUnhealthy scores a zone of which most nodes are unhealthy.
+// scoreUnhealthy scores a zone with mostly unhealthy nodes.
 //
-// Guards against evacuating one zone for what ails all: where the other zones are unhealthy too the cause is common,
-// and moving load only adds to it.
-func (m *Monitor) scoreUnhealthy(now uint64, state *State, view *View, without Guard) {
-	if !m.othersHealthy(state, view) && !without.Has(CommonCause) {
+// Guards against evacuating a zone for a common cause: if the other zones are unhealthy too, moving load makes it
+// worse.
+func (m *Monitor) scoreUnhealthy(now uint64, state *State, view *View, disabled Guard) {
+	if !m.othersHealthy(state, view) && !disabled.Has(CommonCause) {
 		view.addScore(-unhealthyPoints)
 		view.commonCauseAt = now
 		view.Note = fmt.Sprintf("%d of %d sick (%s), and no other zone is well: a common cause, nobody leaves",
@@ -89,8 +87,8 @@
 	}
 }
 
-// othersHealthy reports whether half or more of the other zones in service, and one at least, are heard and healthy.
-// What is slow may be slow for the same cause as others that are busy or slow; what fails, only as others that fail.
+// othersHealthy reports whether at least half of the other zones in service, and at least one, report and are
+// healthy. Slowness may share a cause with zones at capacity or slow; failures only with zones that fail.
 func (m *Monitor) othersHealthy(state *State, view *View) bool {
 	healthy, inService := 0, 0
 	for _, other := range m.views {
@@ -98,31 +96,31 @@
 			continue
 		}
 		inService++
-		slow := view.Symptom.isSlowness()
-		well := other.unhealthyRatio() <= healthyShare && !(other.atCapacity && slow)
-		if other.hasQuorum() && (well || other.Symptom.isSlowness() && !slow) {
+		isSlow := view.Symptom.isSlowness()
+		isHealthy := other.unhealthyRatio() <= healthyShare && !(other.atCapacity && isSlow)
+		if other.hasQuorum() && (isHealthy || other.Symptom.isSlowness() && !isSlow) {
 			healthy++
 		}
 	}
 	return healthy > 0 && 2*healthy >= inService
 }
 
-// scoreSilent scores a zone of which no node is heard, by what nodes of other zones found of its health.
+// scoreSilent scores a silent zone by the probes of its nodes by nodes of other zones.
 //
-// Guards against evacuating a zone that serves and is cut off from the group alone.
+// Guards against evacuating a zone that serves and has lost contact with the group only.
 func (m *Monitor) scoreSilent(now uint64, view *View) {
-	found := m.probes.countResults(now, view.Zone, m.probeTTLMS())
-	total := found.serving + found.shedding + found.silent
+	counts := m.probes.countResults(now, view.Zone, m.probeTTLMS())
+	total := counts.serving + counts.shedding + counts.silent
 	switch {
-	case total > 0 && 2*found.serving >= total:
+	case total > 0 && 2*counts.serving >= total:
 		view.addScore(healthyPoints)
 		view.Note = fmt.Sprintf("not heard, but %d of %d looks at its nodes found them serving: "+
 			"cut off from the group alone",
-			found.serving, total)
+			counts.serving, total)
 	case total >= minProbeResults:
 		view.Cause = causeDead
-		view.Note = fmt.Sprintf("not heard, and %d of %d looks at its nodes had no answer", found.silent, total)
-		if found.shedding > found.silent {
+		view.Note = fmt.Sprintf("not heard, and %d of %d looks at its nodes had no answer", counts.silent, total)
+		if counts.shedding > counts.silent {
 			view.Cause, view.Note = causeCutOff, "not heard, and its nodes take nothing as others see them"
 		}
 		view.addScore(silentPoints)
--- a/internal/control/zones/snapshot.go
+++ b/internal/control/zones/snapshot.go
@@ -9,8 +9,8 @@
 // Snapshot returns the state in the form that Restore reads.
 func (s *State) Snapshot() ([]byte, error) { return json.Marshal(s) }
 
-// Restore reads what Snapshot gave; nothing stands for a group that has decided nothing about zones. Its errors wrap
-// ErrSnapshot: what is not JSON of a state, or has more than MaxZones zones.
+// Restore reads what Snapshot returned; empty input gives the empty state. Its errors wrap ErrSnapshot: malformed
+// JSON, or more than MaxZones zones.
 func Restore(raw []byte) (*State, error) {
 	state := &State{}
 	if len(raw) == 0 {
--- a/internal/control/zones/store_capacity.go
+++ b/internal/control/zones/store_capacity.go
@@ -3,16 +3,16 @@
 import "math"
 
 const (
-	// storeIntervalMS: an observed capacity goes to the log this often at most, as it changes slowly.
+	// storeIntervalMS is the least time between two log entries with a zone's observed capacity.
 	storeIntervalMS = 30_000
-	// storeGrowthIntervalMS, while it grows: it is being learned, and a leader that fails would take it along.
+	// storeGrowthIntervalMS is the least time while the capacity grows, so that a new leader has a recent one.
 	storeGrowthIntervalMS = 3000
-	// minStoredChange: a smaller change than a fifth makes no difference to a ramp.
+	// minStoredChange is the relative change from which a capacity is stored again.
 	minStoredChange = 0.2
 )
 
-// capacitiesToStore decides which observed capacities go to the log, so that they outlive the leader: seldom, and
-// where they moved.
+// capacitiesToStore returns the operation that stores the observed capacities that have changed, nil if none has. A
+// new leader starts with the stored ones.
 func (m *Monitor) capacitiesToStore(now uint64) operation {
 	capacities := map[string]ObservedCapacity{}
 	for _, view := range m.views {
@@ -29,18 +29,18 @@
 }
 
 func (v *View) shouldStoreCapacity(now uint64) bool {
-	observed, logged := &v.observed, &v.stored
+	observed, stored := &v.observed, &v.stored
 	interval := uint64(storeIntervalMS)
-	if observed.RunRate > (1+minStoredChange)*logged.RunRate {
+	if observed.RunRate > (1+minStoredChange)*stored.RunRate {
 		interval = storeGrowthIntervalMS
 	}
-	if observed.RunRate == 0 || now-v.storedAt < interval && logged.RunRate != 0 {
+	if observed.RunRate == 0 || now-v.storedAt < interval && stored.RunRate != 0 {
 		return false
 	}
-	return changedNotably(observed.RunRate, logged.RunRate) || changedNotably(observed.RunMS, logged.RunMS) ||
-		changedNotably(observed.Concurrency, logged.Concurrency)
+	return changedNotably(observed.RunRate, stored.RunRate) || changedNotably(observed.RunMS, stored.RunMS) ||
+		changedNotably(observed.Concurrency, stored.Concurrency)
 }
 
-func changedNotably(observed, logged float64) bool {
-	return math.Abs(observed-logged) > minStoredChange*logged
+func changedNotably(observed, stored float64) bool {
+	return math.Abs(observed-stored) > minStoredChange*stored
 }
--- a/internal/control/zones/symptom.go
+++ b/internal/control/zones/symptom.go
@@ -6,55 +6,52 @@
 	"umberwinch/internal/control/api"
 )
 
-// Symptom is what ails a node, as its report shows it. The values are stored and shown: their spelling stays.
+// Symptom is a node's main failure, as its report shows it. The values are stored and shown, so their spelling must
+// not change.
 type Symptom string
 
-// Symptoms; symptomNone: healthy.
+// Symptoms. symptomNone is a healthy node.
 const (
 	symptomNone      Symptom = ""
-	symptomKernel    Symptom = "kernels" // no link, or runs that stall
+	symptomKernel    Symptom = "kernels" // no connection to a kernel, or stalled runs
 	symptomCallsFail Symptom = "calls below that fail"
 	symptomCallsSlow Symptom = "calls below that crawl"
 	symptomRunsFail  Symptom = "runs that fail"
 	symptomRunsLate  Symptom = "lateness"
-	symptomRunsSlow  Symptom = "slowness" // far longer than usual
+	symptomRunsSlow  Symptom = "slowness" // much longer than usual
 )
 
-// symptoms in the order in which one of two that are as frequent is named.
+// symptoms in order of precedence among equally frequent ones.
 var symptoms = []Symptom{symptomKernel, symptomCallsFail, symptomRunsFail, symptomCallsSlow, symptomRunsLate,
 	symptomRunsSlow}
 
-// isSlowness reports whether this is what a service shows that has just come back: slow, and nothing else.
+// isSlowness reports whether the symptom is slowness or lateness only, as of services that are cold.
 func (s Symptom) isSlowness() bool {
 	return s == symptomCallsSlow || s == symptomRunsSlow || s == symptomRunsLate
 }
 
 const (
-	// slowFactor: three times the usual is past what load alone does to a run while its run slots are bounded.
-	slowFactor = 3.0
-	// slowMarginMS: what usually takes a millisecond is not slow at four.
+	// A time is slow above slowFactor times the usual and slowMarginMS. Load alone does not slow a run that much, as
+	// run slots are bounded; the margin keeps times of about a millisecond from counting.
+	slowFactor   = 3.0
 	slowMarginMS = 5
-	// minFailedShare: three in ten is past what chance shows in ten samples.
+	// minFailedShare is the part of calls or outcomes from which failures are a symptom.
 	minFailedShare = 0.3
-	// minSamples and minOutcomes: fewer runs or calls, and fewer answers, tell nothing of a node.
+	// minSamples is the least number of runs or calls, minOutcomes that of responses, to judge a node by.
 	minSamples  = 3
 	minOutcomes = 5
-	// Runs stall if none ended in stallWindowMS, nor in stallFactor times what one usually takes, while all cores
-	// hold one. A shorter time would take a slow run for a stalled kernel.
+	// Runs are stalled if they hold all cores and none ended in a window of stallWindowMS or more, which is also
+	// longer than stallFactor times the usual run time.
 	stallWindowMS = 900
 	stallFactor   = 4
-	// atCapacityFraction: a zone that is slow and does so much of what it bore is overloaded, not failing: to evacuate it
-	// would lose that.
+	// atCapacityFraction of the observed run rate: a slow zone that completes this much is overloaded, not failing.
 	atCapacityFraction = 0.7
 )
 
-// symptomOf decides what ails a node, by one report.
-//
-// Inputs: the report (counts over WindowMS, times in ms), and what a run and a call of the zone usually take.
-// Symptoms nearer to the cause come first: runs fail or are late for want of calls below. Where nothing usual is
-// known yet nothing is slow.
+// symptomOf returns a node's symptom by its report and the zone's usual times. Symptoms closer to the cause come
+// first: failed calls make runs fail or late. Without a usual time nothing is slow.
 func (v *View) symptomOf(report *api.LoadReport) Symptom {
-	ended := report.Completed + report.Late + report.Failed
+	outcomes := report.Completed + report.Late + report.Failed
 	switch {
 	case !report.KernelConnected:
 		return symptomKernel
@@ -63,10 +60,10 @@
 	case v.isStalled(report):
 		return symptomKernel
 	case report.Calls >= minSamples && isSlow(report.MeanCallMS, v.observed.CallMS):
-		return symptomCallsSlow // runs fail for want of them, in one zone sooner than in another
-	case ended >= minOutcomes && float64(report.Failed) >= minFailedShare*float64(ended):
+		return symptomCallsSlow // before failed runs, which slow calls may cause
+	case outcomes >= minOutcomes && float64(report.Failed) >= minFailedShare*float64(outcomes):
 		return symptomRunsFail
-	case ended >= minOutcomes && float64(report.Late+report.Failed) >= minFailedShare*float64(ended):
+	case outcomes >= minOutcomes && float64(report.Late+report.Failed) >= minFailedShare*float64(outcomes):
 		return symptomRunsLate
 	case report.RunsEnded >= minSamples && isSlow(report.MeanRunMS, v.observed.RunMS):
 		return symptomRunsSlow
@@ -74,32 +71,32 @@
 	return symptomNone
 }
 
-// isStalled reports whether runs hold all cores and none ends. A stalled kernel keeps its connection, so its link shows
-// nothing.
+// isStalled reports whether runs hold all cores and none ends. A stalled kernel keeps its connection, so
+// KernelConnected does not show it.
 func (v *View) isStalled(report *api.LoadReport) bool {
-	usual := v.observed.RunMS
+	usualRunMS := v.observed.RunMS
 	return float64(report.RunsInFlight) >= report.Cores && report.RunsEnded == 0 && report.WindowMS >= stallWindowMS &&
-		usual > 0 && float64(report.WindowMS) > stallFactor*usual
+		usualRunMS > 0 && float64(report.WindowMS) > stallFactor*usualRunMS
 }
 
-func isSlow(ms, usual float64) bool { return usual > 0 && ms > slowFactor*usual+slowMarginMS }
+func isSlow(ms, usualMS float64) bool { return usualMS > 0 && ms > slowFactor*usualMS+slowMarginMS }
 
-// countUnhealthy counts the nodes that are unhealthy: each by its own report, and all of a pool that shows it where
-// their reports alone say too little.
+// countUnhealthy counts the unhealthy nodes: each by its own report, and all nodes of a pool whose combined report
+// shows a symptom that their own reports are too small to show.
 func (v *View) countUnhealthy(pools []pooledReport) {
 	counts := map[Symptom]int{}
-	var failed []float64
+	var failedRatios []float64
 	for i := range pools {
 		pool := &pools[i]
-		failed = append(failed, float64(pool.Failed)/float64(max(1, pool.Completed+pool.Late+pool.Failed)))
-		together := symptomNone
+		failedRatios = append(failedRatios, float64(pool.Failed)/float64(max(1, pool.Completed+pool.Late+pool.Failed)))
+		pooledSymptom := symptomNone
 		if len(pool.nodes) > 1 && pool.KernelConnected {
-			together = v.symptomOf(&pool.LoadReport)
+			pooledSymptom = v.symptomOf(&pool.LoadReport)
 		}
 		for _, report := range pool.nodes {
 			symptom := v.symptomOf(report)
 			if symptom == symptomNone {
-				symptom = together
+				symptom = pooledSymptom
 			}
 			if symptom != symptomNone {
 				v.NodesUnhealthy++
@@ -112,14 +109,14 @@
 			v.Symptom = symptom
 		}
 	}
-	v.discountOverload(median(failed))
+	v.discountOverload(median(failedRatios))
 }
 
-// discountOverload takes a zone that is slow but does nearly what it bore for healthy: it is asked for more than it
-// bears, and to evacuate it would lose what it does. failed is the share of runs that fail: those are not done.
-func (v *View) discountOverload(failed float64) {
-	done := v.RunRate * (1 - failed)
-	if !v.Symptom.isSlowness() || v.observed.RunRate <= 0 || done < atCapacityFraction*v.observed.RunRate {
+// discountOverload counts a slow zone as healthy if it completes nearly its observed run rate: it is overloaded, and
+// an evacuation would lose that work. failedRatio is the ratio of runs that fail.
+func (v *View) discountOverload(failedRatio float64) {
+	completedRate := v.RunRate * (1 - failedRatio)
+	if !v.Symptom.isSlowness() || v.observed.RunRate <= 0 || completedRate < atCapacityFraction*v.observed.RunRate {
 		return
 	}
 	v.Note = fmt.Sprintf("%d of %d nodes heard are slow (%s), but it does %.0f runs a second "+
