--- a/internal/control/zones/apply.go
+++ b/internal/control/zones/apply.go
@@ -41,7 +41,8 @@
 	}
 	if o, is := o.(*hold); is {
 		zone.HeldUntilMS = fleet.ClockMS + o.durationMS
-		zone.addEvent(fleet.ClockMS, s.Epoch, nil, "%s: nothing is decided by rules for %d ms", o.operator, o.durationMS)
+		zone.addEvent(fleet.ClockMS, s.Epoch, nil, "%s: nothing is decided by rules for %d ms", o.operator,
+			o.durationMS)
 		return zone, nil
 	}
 	if dest.epoch != s.Epoch {
@@ -155,8 +156,8 @@
 	}
 	s.beginEpoch(zone, Ramping, &stepLimits, fleet)
 	zone.Operator = o.operator
-	zone.addEvent(fleet.ClockMS, s.Epoch, &o.rationale, "returns at %d of %d, %.0f runs a second at most: %s", zone.Share,
-		api.FullShare, zone.RateLimit, o.rationale.text())
+	zone.addEvent(fleet.ClockMS, s.Epoch, &o.rationale, "returns at %d of %d, %.0f runs a second at most: %s",
+		zone.Share, api.FullShare, zone.RateLimit, o.rationale.text())
 	return nil
 }
 
--- a/internal/control/zones/cold_start.go
+++ b/internal/control/zones/cold_start.go
@@ -39,7 +39,8 @@
 	fleetZone.addEvent(fleet.ClockMS, s.Epoch, nil,
 		"%d of %d nodes began within %d s: returns at %d of %d, %.0f runs a second at most; "+
 			"its services bore %.0f, %.1f under way, %.0f ms a call", restarted, nodesIn,
-		recovery.ColdStartWindowMS/1000, fleetZone.Share, api.FullShare, fleetZone.RateLimit, capacity.RunRate, capacity.Concurrency, capacity.CallMS)
+		recovery.ColdStartWindowMS/1000, fleetZone.Share, api.FullShare, fleetZone.RateLimit, capacity.RunRate,
+		capacity.Concurrency, capacity.CallMS)
 	return true
 }
 
--- a/internal/control/zones/drill_test.go
+++ b/internal/control/zones/drill_test.go
@@ -6,9 +6,9 @@
 	"umberwinch/internal/control/membership"
 )
 
-// TestDrillEnds: a drill is an outage of a healthy zone. It ends with its time, or as soon as a zone in service turns
-// unhealthy or loses more value than a drill may cost.
-func TestDrillEnds(t *testing.T) {
+// TestDrillEndsOnTimeOrOnHarm checks that a drill, an outage of a healthy zone, ends with its time or as soon as a
+// zone in service is unhealthy or loses more weight than a drill may cost.
+func TestDrillEndsOnTimeOrOnHarm(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		until uint64
@@ -16,11 +16,11 @@
 		ends  bool
 	}{
 		{"no drill", 0, View{NodesUnhealthy: 9}, false},
-		{"its time is over", 1000, View{}, true},
-		{"goes well", 1001, View{OfferedWeight: 100, CompletedWeight: 80}, false},
-		{"a zone loses value", 1001, View{OfferedWeight: 100, CompletedWeight: 79}, true},
-		{"a zone is unhealthy", 1001, View{NodesUnhealthy: 6}, true},
-		{"a few of its nodes are", 1001, View{NodesUnhealthy: 5}, false},
+		{"time is over", 1000, View{}, true},
+		{"no harm", 1001, View{OfferedWeight: 100, CompletedWeight: 80}, false},
+		{"another zone loses weight", 1001, View{OfferedWeight: 100, CompletedWeight: 79}, true},
+		{"another zone is unhealthy", 1001, View{NodesUnhealthy: 6}, true},
+		{"some nodes of another zone are unhealthy", 1001, View{NodesUnhealthy: 5}, false},
 	} {
 		other := c.other
 		other.Zone, other.NodesIn, other.NodesReporting = "b", 10, 10
@@ -29,7 +29,7 @@
 		d.fleet = membership.New()
 		d.fleet.ClockMS = 1000
 		if got := d.shouldEndDrill(&Zone{Name: "a", DrillUntilMS: c.until}); got != c.ends {
-			t.Errorf("%s: %v, expected %v", c.name, got, c.ends)
+			t.Errorf("%s: shouldEndDrill() = %v, want %v", c.name, got, c.ends)
 		}
 	}
 }
--- a/internal/control/zones/helper_test.go
+++ b/internal/control/zones/helper_test.go
@@ -5,16 +5,18 @@
 	"umberwinch/internal/control/membership"
 )
 
-// evaluateRepeatedly has the monitor hear the same report of each node before each of some evaluations, and returns the time
-// after them.
-func evaluateRepeatedly(w *Monitor, f *membership.State, s *State, from uint64, looks int, l api.LoadReport) uint64 {
-	for i := 0; i < looks; i++ {
-		from += evaluationIntervalMS
-		for _, n := range f.Nodes() {
-			one := l
-			w.Record(from, n, &one, nil)
+// evaluateRepeatedly records the same load report of each node before each of some evaluations, and returns the time
+// of the last one in ms.
+func evaluateRepeatedly(monitor *Monitor, fleet *membership.State, state *State, now uint64, evaluations int,
+	load api.LoadReport,
+) uint64 {
+	for i := 0; i < evaluations; i++ {
+		now += evaluationIntervalMS
+		for _, node := range fleet.Nodes() {
+			report := load
+			monitor.Record(now, node, &report, nil)
 		}
-		w.evaluate(from, s, f, 0)
+		monitor.evaluate(now, state, fleet, 0)
 	}
-	return from
+	return now
 }
--- a/internal/control/zones/monitor.go
+++ b/internal/control/zones/monitor.go
@@ -32,8 +32,8 @@
 	// maxHeartbeatRate is the highest rate of heartbeats of a fleet, per second; larger fleets report less often.
 	maxHeartbeatRate = 2500
 
-	// A node is silent after silentHeartbeats intervals and silentMarginMS: one lost heartbeat and the time of the
-	// next one's response don't make it silent.
+	// A node is silent after silentHeartbeats intervals and silentMarginMS. At the shortest interval a single lost
+	// heartbeat does not make it silent.
 	silentHeartbeats = 1.5
 	silentMarginMS   = 800
 
--- a/internal/control/zones/phase.go
+++ b/internal/control/zones/phase.go
@@ -3,8 +3,8 @@
 // Phase is a zone's phase. The values are stored and sent, so their spelling must not change.
 type Phase string
 
-// Phases of a zone: InService -> Evacuating -> Evacuated -> Ramping -> InService. A ramp that steps back to a share of 0
-// is Evacuating.
+// Phases of a zone: InService -> Evacuating -> Evacuated -> Ramping -> InService. A ramp that steps back to a share
+// of 0 is Evacuating.
 const (
 	InService  Phase = "in"
 	Evacuating Phase = "leaving"   // some node may still act on the previous epoch
--- a/internal/control/zones/pin_state_test.go
+++ b/internal/control/zones/pin_state_test.go
@@ -13,7 +13,7 @@
 	"umberwinch/internal/control/api"
 )
 
-// fillValue sets every field to a value of its own, in the order of the fields.
+// fillValue sets every field to a different value, in the order of the fields.
 func fillValue(v reflect.Value, next *int) {
 	*next++
 	switch v.Kind() {
@@ -44,23 +44,23 @@
 	case reflect.Int, reflect.Int64:
 		v.SetInt(int64(*next))
 	default:
-		panic("no value for a " + v.Type().String())
+		panic("fillValue: unsupported type " + v.Type().String())
 	}
 }
 
-// TestPinnedForms: what version 2a0a97e stored and sent of zones, with every field set, is written to the same bytes
-// and read back to the same value.
-func TestPinnedForms(t *testing.T) {
+// TestStoredFormsAreStable checks that the stored and sent forms of version 2a0a97e, with every field set, are
+// written to the same bytes and read back to the same value.
+func TestStoredFormsAreStable(t *testing.T) {
 	for name, value := range map[string]any{
 		"state": &State{}, "op": &Op{}, "view": &View{}, "result": &Result{},
 		"rules": &api.ZoneRules{}, "order": &api.ZoneOrder{}, "tally": &api.LoadReport{},
 		"seen": &api.PeerHealth{}, "look": &api.ProbeTarget{},
 	} {
 		next := 0
-		full := reflect.ValueOf(value).Elem()
-		for i := range full.NumField() {
-			if full.Type().Field(i).IsExported() {
-				fillValue(full.Field(i), &next)
+		filled := reflect.ValueOf(value).Elem()
+		for i := range filled.NumField() {
+			if filled.Type().Field(i).IsExported() {
+				fillValue(filled.Field(i), &next)
 			}
 		}
 		got, err := json.Marshal(value)
@@ -69,19 +69,19 @@
 		}
 		want, err := os.ReadFile(filepath.Join("testdata", "pin_"+name+".json"))
 		if err != nil || !bytes.Equal(got, bytes.TrimSpace(want)) {
-			t.Errorf("%s: %v, wrote\n%s\nexpected\n%s", name, err, got, want)
+			t.Errorf("%s: %v, wrote\n%s\nwant\n%s", name, err, got, want)
 			continue
 		}
-		read := reflect.New(full.Type())
+		read := reflect.New(filled.Type())
 		if err = json.Unmarshal(want, read.Interface()); err != nil || !reflect.DeepEqual(read.Interface(), value) {
-			t.Errorf("%s: %v, read %+v, expected %+v", name, err, read.Interface(), value)
+			t.Errorf("%s: %v, read %+v, want %+v", name, err, read.Interface(), value)
 		}
 	}
 }
 
-// TestPinnedSnapshot: a snapshot that version 2a0a97e stored is loaded to the state it was saved from, and saved to
-// the same bytes; a torn one gives the error it gave.
-func TestPinnedSnapshot(t *testing.T) {
+// TestStoredSnapshotIsStable checks that a snapshot of version 2a0a97e is restored and written to the same bytes, and
+// that a truncated or too large one gives an error.
+func TestStoredSnapshotIsStable(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "pin_state.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -89,30 +89,30 @@
 	raw = bytes.TrimSpace(raw)
 	s, err := Restore(raw)
 	if err != nil || len(s.Zones) != 2 {
-		t.Fatalf("%v, %+v", err, s)
+		t.Fatalf("Restore() = %+v, %v, want 2 zones", s, err)
 	}
 	if again, err := s.Snapshot(); err != nil || !bytes.Equal(again, raw) {
-		t.Errorf("%v, saved\n%s\nexpected\n%s", err, again, raw)
+		t.Errorf("Snapshot() = %v\n%s\nwant\n%s", err, again, raw)
 	}
 	if _, err = Restore(raw[:len(raw)-9]); err == nil || err.Error() != "saved zones: unexpected end of JSON input" {
-		t.Errorf("a torn copy: %v", err)
+		t.Errorf("Restore() of a truncated snapshot = %v", err)
 	}
 	zones := strings.Repeat(`{"name":"z"},`, MaxZones)
 	if _, err = Restore([]byte(`{"zones":[` + zones + `{"name":"z"}]}`)); err == nil ||
 		err.Error() != "65 saved zones, expected at most 64" {
-		t.Errorf("too many zones: %v", err)
+		t.Errorf("Restore() of %d zones = %v", MaxZones+1, err)
 	}
 	if s, err = Restore(nil); err != nil || !reflect.DeepEqual(s, &State{}) {
-		t.Errorf("no copy: %v, %+v", err, s)
+		t.Errorf("Restore(nil) = %+v, %v, want the empty state", s, err)
 	}
 }
 
-// TestPinnedNames: what is stored, sent and typed as a word keeps its spelling.
-func TestPinnedNames(t *testing.T) {
+// TestNamesAreStable checks the spelling of names that are stored, sent or used in commands.
+func TestNamesAreStable(t *testing.T) {
 	got := fmt.Sprint(InService, " ", Evacuating, " ", Evacuated, " ", Ramping, " ", WholeFleet, " ",
 		strings.Join(guardNames, ","))
 	if want := "in leaving out returning * common-cause,room,one-epoch,paced,step-back,retry-budget,lease-tokens," +
 		"small-start,spread"; got != want {
-		t.Errorf("found %s, expected %s", got, want)
+		t.Errorf("names = %s, want %s", got, want)
 	}
 }
--- a/internal/control/zones/pool_test.go
+++ b/internal/control/zones/pool_test.go
@@ -7,12 +7,11 @@
 	"umberwinch/internal/control/api"
 )
 
-// TestPooledReports: in a fleet of thousands each node sees next to nothing, so the median report has no run in it,
-// and a zone would look idle. Pooled reports tell what the nodes see together, a few nodes that report nonsense move
-// them little, and the nodes of a small zone stand for themselves.
-func TestPooledReports(t *testing.T) {
+// TestPooledReportsOfIdleNodes checks that pooled reports show the rate of a large zone in which most nodes report no
+// run, that a few wrong reports change it little, and that a small zone is not pooled.
+func TestPooledReportsOfIdleNodes(t *testing.T) {
 	report := func(i int, perNode float64) *api.LoadReport {
-		runs := int(perNode) // and one more for some
+		runs := int(perNode) // plus one for a part of the nodes
 		if float64(crc32.ChecksumIEEE([]byte{byte(i), byte(i >> 8)}))/(1<<32) < perNode-float64(runs) {
 			runs++
 		}
@@ -21,42 +20,41 @@
 			Calls: runs, MeanCallMS: 20 * min(1, float64(runs))}
 	}
 	for _, c := range []struct {
-		n    int
-		each float64
+		nodes       int
+		runsPerNode float64
 	}{{5000, 0.07}, {1667, 0.5}, {300, 3}, {300, 40}, {5, 12}} {
-		var all []*api.LoadReport
-		for i := range c.n {
-			all = append(all, report(i, c.each))
+		var reports []*api.LoadReport
+		for i := range c.nodes {
+			reports = append(reports, report(i, c.runsPerNode))
 		}
-		v := &View{NodesIn: c.n}
-		v.aggregate(all)
-		want := float64(c.n) * c.each / 2
-		if v.RunRate < 0.7*want || v.RunRate > 1.35*want || v.RunMS < 45 || v.RunMS > 55 || v.CallMS < 18 ||
-			v.Concurrency < 0.75*want*0.05 ||
-			v.Concurrency > 1.35*want*0.05 {
-			t.Errorf("%d nodes with %.2f runs each: %.1f runs a second, %.1f ms, %.2f under way; "+
-				"expected %.1f, 50, %.2f", c.n, c.each, v.RunRate,
-				v.RunMS, v.Concurrency, want, want*0.05)
+		view := &View{NodesIn: c.nodes}
+		view.aggregate(reports)
+		wantRate := float64(c.nodes) * c.runsPerNode / 2
+		if view.RunRate < 0.7*wantRate || view.RunRate > 1.35*wantRate || view.RunMS < 45 || view.RunMS > 55 ||
+			view.CallMS < 18 || view.Concurrency < 0.75*wantRate*0.05 || view.Concurrency > 1.35*wantRate*0.05 {
+			t.Errorf("%d nodes with %.2f runs each: %.1f runs a second, %.1f ms, %.2f in flight; "+
+				"want %.1f, 50, %.2f", c.nodes, c.runsPerNode, view.RunRate, view.RunMS, view.Concurrency,
+				wantRate, wantRate*0.05)
 		}
-		before := v.RunRate
-		for i := range c.n / 200 { // one in two hundred lies
-			all[i*200].RunsEnded, all[i*200].MeanRunMS = 10_000, 1
+		rateBefore := view.RunRate
+		for i := range c.nodes / 200 { // one wrong report in two hundred
+			reports[i*200].RunsEnded, reports[i*200].MeanRunMS = 10_000, 1
 		}
-		v.aggregate(all)
-		if c.n >= 300 && (v.RunRate > 3*before+1 || v.RunRate < before/3) {
-			t.Errorf("%d nodes with %.2f runs each: %.1f runs a second, and %.1f once a few lie", c.n, c.each,
-				before, v.RunRate)
+		view.aggregate(reports)
+		if c.nodes >= 300 && (view.RunRate > 3*rateBefore+1 || view.RunRate < rateBefore/3) {
+			t.Errorf("%d nodes with %.2f runs each: %.1f runs a second, %.1f with a few wrong reports", c.nodes,
+				c.runsPerNode, rateBefore, view.RunRate)
 		}
 	}
 	if got := len(poolReports(idleReports(17))); got != 17 {
-		t.Errorf("17 nodes in %d pools, expected each alone", got)
+		t.Errorf("17 nodes in %d pools, want 17", got)
 	}
 }
 
-// idleReports are those of nodes that saw nothing.
-func idleReports(n int) (all []*api.LoadReport) {
+// idleReports returns reports of nodes without requests.
+func idleReports(n int) (reports []*api.LoadReport) {
 	for range n {
-		all = append(all, &api.LoadReport{WindowMS: 2000})
+		reports = append(reports, &api.LoadReport{WindowMS: 2000})
 	}
-	return all
+	return reports
 }
--- a/internal/control/zones/ramp.go
+++ b/internal/control/zones/ramp.go
@@ -27,7 +27,7 @@
 	stepReportMarginMS = 1000
 	// minShareDivisor: a step back below the policy's initial share divided by this evacuates the zone.
 	minShareDivisor = 4
-	// warmRampFactor is the least factor by which a warm service's share grows, regardless of its load.
+	// warmRampFactor is the least factor by which a warm service's share grows, whatever its load.
 	warmRampFactor = api.MaxRampFactor / 2
 )
 
@@ -146,8 +146,8 @@
 	return true
 }
 
-// raiseShare returns the operation that raises a ramp's share so far that the expected load is targetLoad, nil if
-// there is no capacity for that.
+// raiseShare returns the operation that raises a ramp's share so far that the expected load is targetLoad, or by
+// warmRampFactor if the services are warm; nil if the load leaves no room for a step.
 func (d *decider) raiseShare(zone *Zone, view *View) operation {
 	factor := float64(api.MaxRampFactor)
 	if load := view.highestLoad(); load > 0 {
@@ -158,8 +158,7 @@
 	}
 	if factor < api.MinRampFactor {
 		view.Note = fmt.Sprintf("at %d of %d: held, %.0f runs under way of %.0f it bore", zone.Share, api.FullShare,
-			view.Concurrency,
-			zone.Capacity.Concurrency)
+			view.Concurrency, zone.Capacity.Concurrency)
 		return nil
 	}
 	// A service that is slower than usual sustains a lower rate than its observed peak.
@@ -168,8 +167,9 @@
 		maxShare *= slowdownTolerance / slowdownRatio
 	}
 	share := max(zone.Share+1, int(min(maxShare, float64(zone.Share)*factor)))
-	basis := rationale{operator: zone.Operator, reason: fmt.Sprintf("%.1f runs under way of %.1f it bore, %.0f ms a run",
-		view.Concurrency, zone.Capacity.Concurrency, view.RunMS)}
+	reason := fmt.Sprintf("%.1f runs under way of %.1f it bore, %.0f ms a run", view.Concurrency,
+		zone.Capacity.Concurrency, view.RunMS)
+	basis := rationale{operator: zone.Operator, reason: reason}
 	return d.rampStep(zone, view, min(api.FullShare, share), basis)
 }
 
--- a/internal/control/zones/ramp_end.go
+++ b/internal/control/zones/ramp_end.go
@@ -14,7 +14,7 @@
 	maxLimitFactor = 1.15
 	// minLimitFactor is the smallest factor that is worth an epoch.
 	minLimitFactor = 1.02
-	// maxLimitRatio is the highest rate limit at which a ramp continues, as a multiple of the observed run rate.
+	// maxLimitRatio is the rate limit from which it is no longer raised, as a multiple of the observed run rate.
 	maxLimitRatio = 1.5
 	// maxFinalStepMS is the longest time at full share and one rate limit. The ramp then ends, and the nodes shed the
 	// excess themselves.
@@ -22,8 +22,8 @@
 )
 
 // finishRamp decides how the ramp of a zone at full share ends. While many attempts are rejected the rate limit is
-// raised instead, as all of those callers would retry at once if the limit were removed. shownMS is the time at this
-// limit.
+// raised instead, as all of those callers would retry at once if the limit were removed. stepAgeMS is the time at
+// this limit.
 func (d *decider) finishRamp(zone *Zone, view *View, stepAgeMS uint64) operation {
 	manyRejected := view.RejectedRate > maxRejectedRatio*view.FirstAttemptRate
 	if manyRejected && zone.RateLimit < maxLimitRatio*zone.Capacity.RunRate && stepAgeMS < maxFinalStepMS {
@@ -37,12 +37,11 @@
 func (d *decider) raiseLimit(zone *Zone, view *View) operation {
 	factor := maxLimitFactor
 	if load := view.highestLoad(); load > 0 {
-		factor = min(factor, stepBackLoad/load) // may exceed the observed load a little, to lower the number of rejections
+		factor = min(factor, stepBackLoad/load) // a little above the observed load, to reject less
 	}
 	if factor < minLimitFactor {
 		view.Note = fmt.Sprintf("takes all, and still turns %.0f a second away: held, "+
-			"%.0f runs under way of %.0f it bore",
-			view.RejectedRate, view.Concurrency, zone.Capacity.Concurrency)
+			"%.0f runs under way of %.0f it bore", view.RejectedRate, view.Concurrency, zone.Capacity.Concurrency)
 		return nil
 	}
 	stepLimits := limits{
--- a/internal/control/zones/score.go
+++ b/internal/control/zones/score.go
@@ -46,8 +46,7 @@
 	inService := state.inService(view.Zone)
 	if view.NodesUnhealthy > 0 && view.unhealthyRatio() < unhealthyShare {
 		view.Note = fmt.Sprintf("%d of %d nodes heard are sick (%s): not the zone", view.NodesUnhealthy,
-			view.NodesReporting,
-			view.Symptom)
+			view.NodesReporting, view.Symptom)
 	}
 	usualRate := view.observed.FirstAttemptRate
 	if usualRate > minUsualAttemptRate && view.FirstAttemptRate < usualRate/unreachableDivisor && inService {
@@ -75,8 +74,7 @@
 		view.addScore(-unhealthyPoints)
 		view.commonCauseAt = now
 		view.Note = fmt.Sprintf("%d of %d sick (%s), and no other zone is well: a common cause, nobody leaves",
-			view.NodesUnhealthy,
-			view.NodesReporting, view.Symptom)
+			view.NodesUnhealthy, view.NodesReporting, view.Symptom)
 		return
 	}
 	view.Cause = Cause(view.Symptom)
@@ -115,8 +113,7 @@
 	case total > 0 && 2*counts.serving >= total:
 		view.addScore(healthyPoints)
 		view.Note = fmt.Sprintf("not heard, but %d of %d looks at its nodes found them serving: "+
-			"cut off from the group alone",
-			counts.serving, total)
+			"cut off from the group alone", counts.serving, total)
 	case total >= minProbeResults:
 		view.Cause = causeDead
 		view.Note = fmt.Sprintf("not heard, and %d of %d looks at its nodes had no answer", counts.silent, total)
--- a/internal/control/zones/view.go
+++ b/internal/control/zones/view.go
@@ -63,8 +63,8 @@
 	healthyShare = 0.25
 	// quorumDivisor: at least the nodes in divided by this have to report for a zone to be judged.
 	quorumDivisor = 3
-	// A zone is silent if at least silentShareNumerator in silentShareDenominator of its nodes are, as single nodes of a
-	// dead zone may still respond.
+	// A zone is silent if at least silentShareNumerator in silentShareDenominator of its nodes are: single nodes of
+	// a dead zone may still respond.
 	silentShareNumerator   = 9
 	silentShareDenominator = 10
 )
@@ -81,7 +81,8 @@
 
 // silent reports whether nearly all nodes of the zone are silent.
 func (v *View) silent() bool {
-	return v.NodesSilent > 0 && v.NodesSilent*silentShareDenominator >= silentShareNumerator*max(v.NodesIn, v.NodesSilent)
+	return v.NodesSilent > 0 &&
+		v.NodesSilent*silentShareDenominator >= silentShareNumerator*max(v.NodesIn, v.NodesSilent)
 }
 
 // recordLoad sets the load of this evaluation: runs in flight divided by those observed.
