--- a/internal/control/zones/aggregate.go
+++ b/internal/control/zones/aggregate.go
@@ -34,7 +34,7 @@
 }
 
 // aggregateRates sets the zone's rates per second: the median per-node rate of the pools, times the number of nodes
-// in.
+// that are in.
 func (v *View) aggregateRates(pools []pooledReport) {
 	rate := func(count func(r *api.LoadReport) float64) float64 {
 		perNode := make([]float64, 0, len(pools))
@@ -46,8 +46,7 @@
 	}
 	v.FirstAttemptRate = rate(func(r *api.LoadReport) float64 { return float64(r.Arrived - r.Retries) })
 	v.AdmittedRate = rate(func(r *api.LoadReport) float64 {
-		return float64(max(0,
-			r.Arrived-r.Retries-r.RejectedByZone))
+		return float64(max(0, r.Arrived-r.Retries-r.RejectedByZone))
 	})
 	v.RejectedRate = rate(func(r *api.LoadReport) float64 { return float64(r.RejectedByZone) })
 	v.RunRate = rate(func(r *api.LoadReport) float64 { return float64(r.RunsEnded) })
--- a/internal/control/zones/apply.go
+++ b/internal/control/zones/apply.go
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// resplitQuotas begins an epoch that splits the rate limit again and keeps share, limits and the time of the last
-// step.
+// resplitQuotas begins an epoch that splits the rate limit again, without a change of the share, the limits or the
+// time of the last step.
 func (s *State) resplitQuotas(zone *Zone, o *quotaSplit, fleet *membership.State) error {
 	if err := zone.expectRamping(); err != nil {
 		return err
--- a/internal/control/zones/decide.go
+++ b/internal/control/zones/decide.go
@@ -53,8 +53,8 @@
 	return m.capacitiesToStore(now)
 }
 
-// decideZone returns the next operation on a zone, nil if there is none. zone is nil if no operation has changed it
-// yet.
+// decideZone returns the next operation on a zone, nil if there is none. zone is nil if the state has no entry for
+// it.
 func (d *decider) decideZone(zone *Zone, view *View) operation {
 	if zone != nil && d.fleet.ClockMS < zone.HeldUntilMS {
 		return nil
--- a/internal/control/zones/errors.go
+++ b/internal/control/zones/errors.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Reasons for rejecting an operation. A rejected operation changes nothing; Result.Err has its text.
+// Reasons for rejecting an operation. A rejected operation changes no zone; Result.Err has its text.
 var (
 	ErrUnknownZone = errors.New("unknown zone")
 	ErrUnknownOp   = errors.New("unknown operation")
--- a/internal/control/zones/evaluate.go
+++ b/internal/control/zones/evaluate.go
@@ -7,7 +7,7 @@
 	"umberwinch/internal/control/membership"
 )
 
-// evaluationIntervalMS is the time between two evaluations of the reports: twice per report of a node.
+// evaluationIntervalMS is the time between two evaluations of the reports: half of the shortest heartbeat interval.
 const evaluationIntervalMS = 500
 
 // evaluate updates the views of all zones from the reports.
--- a/internal/control/zones/op.go
+++ b/internal/control/zones/op.go
@@ -65,7 +65,7 @@
 	Err            string `json:"Err"` // reason of the rejection; empty if it was applied
 }
 
-// Rejected reports whether the operation was rejected and changed nothing; Err has the reason.
+// Rejected reports whether the operation was rejected and changed no zone; Err has the reason.
 func (r Result) Rejected() bool { return r.Err != "" }
 
 // ClearRulesFields clears the fields of an operator's operation that only the rules set: the rate limits of a zone
--- a/internal/control/zones/ramp_test.go
+++ b/internal/control/zones/ramp_test.go
@@ -67,8 +67,7 @@
 		state.Zones[0].Quotas = []LeaseQuota{{fleet.Nodes()[0].Lease.ID, 50}, {fleet.Nodes()[1].Lease.ID, 50}}
 		monitor := NewMonitor()
 		load := api.LoadReport{WindowMS: 2000, Arrived: 100 + c.rejected, Retries: c.rejected,
-			RejectedByZone: c.rejected,
-			Completed:      100, RunsEnded: 100, MeanRunMS: c.runMS, Calls: 100,
+			RejectedByZone: c.rejected, Completed: 100, RunsEnded: 100, MeanRunMS: c.runMS, Calls: 100,
 			MeanCallMS: c.runMS / 2, KernelConnected: true, Cores: 4, CoresUsed: 1, OfferedWeight: 100,
 			CompletedWeight: 100}
 		fleet.ClockMS = 100_000
--- a/internal/control/zones/state.go
+++ b/internal/control/zones/state.go
@@ -72,7 +72,7 @@
 	Zones               []*Zone `json:"zones,omitempty"` // by name
 }
 
-// Find returns a zone, nil if no operation has changed it.
+// Find returns a zone, nil if the state has no entry for it; such a zone is in service.
 func (s *State) Find(name string) *Zone {
 	i := sort.Search(len(s.Zones), func(i int) bool { return s.Zones[i].Name >= name })
 	if i < len(s.Zones) && s.Zones[i].Name == name {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// PhaseOf returns a zone's phase and share. A zone that no operation has changed is in service.
+// PhaseOf returns a zone's phase and share. A zone without an entry is in service.
 func (s *State) PhaseOf(name string) (Phase, int) {
 	if zone := s.Find(name); zone != nil {
 		return zone.Phase, zone.Share
