--- a/internal/control/api/pin_messages_test.go
+++ b/internal/control/api/pin_messages_test.go
@@ -10,22 +10,22 @@
 	"testing"
 )
 
-var write = flag.Bool("write-pins", false, "write the fixtures of the messages anew")
+var writePins = flag.Bool("write-pins", false, "write the fixtures of the messages anew")
 
-// fill sets every field that the value has, each to another value, by the order in which they are encoded.
-func fill(v reflect.Value, next *int) {
+// setAllFields sets every field that the value has, each to another value, by the order in which they are encoded.
+func setAllFields(v reflect.Value, next *int) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), next)
+		setAllFields(v.Elem(), next)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i), next)
+			setAllFields(v.Field(i), next)
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			fill(v.Index(i), next)
+			setAllFields(v.Index(i), next)
 		}
 	case reflect.String:
 		*next++
@@ -46,19 +46,19 @@
 	}
 }
 
-// bare gives the value all its parts, and each of them no field that is set.
-func bare(v reflect.Value) {
+// allocateParts gives the value all its parts, and each of them no field that is set.
+func allocateParts(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		bare(v.Elem())
+		allocateParts(v.Elem())
 	case reflect.Struct:
 		for i := range v.NumField() {
-			bare(v.Field(i))
+			allocateParts(v.Field(i))
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		bare(v.Index(0))
+		allocateParts(v.Index(0))
 	}
 }
 
@@ -75,20 +75,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		bare(reflect.ValueOf(message).Elem())
+		allocateParts(reflect.ValueOf(message).Elem())
 		parts, err := json.Marshal(message)
 		if err != nil {
 			t.Fatal(err)
 		}
 		n := 0
-		fill(reflect.ValueOf(message).Elem(), &n)
+		setAllFields(reflect.ValueOf(message).Elem(), &n)
 		full, err := json.Marshal(message)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := string(empty) + "\n" + string(parts) + "\n" + string(full) + "\n"
 		file := filepath.Join("testdata", "messages", name+".txt")
-		if *write {
+		if *writePins {
 			if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/control/api/record.go
+++ b/internal/control/api/record.go
@@ -6,11 +6,11 @@
 	"umberwinch/internal/control/document"
 )
 
-// maxNameBytes of a group's name or of a hash.
-const maxNameBytes = 80
+// maxGroupOrHashBytes of a group's name or of a hash.
+const maxGroupOrHashBytes = 80
 
-// anyNonce stands for the nonce of a join that is checked for its names alone.
-const anyNonce = "unused--"
+// placeholderNonce stands for the nonce of a join that is checked for its names alone.
+const placeholderNonce = "unused--"
 
 // NodeRecord is what a node remembers of its fleet, as it tells whoever restores the group.
 type NodeRecord struct {
@@ -40,13 +40,13 @@
 
 // Validate says what is wrong with a record: a *FieldError or a *FieldsError.
 func (r *NodeRecord) Validate() error {
-	names := JoinRequest{Name: r.Name, Zone: r.Zone, Addr: r.Addr, Nonce: anyNonce}
+	names := JoinRequest{Name: r.Name, Zone: r.Zone, Addr: r.Addr, Nonce: placeholderNonce}
 	if err := names.Validate(); err != nil {
 		return err
 	}
 	switch {
-	case max(len(r.Group), len(r.ActiveHash), len(r.PreparedHash)) > maxNameBytes:
-		return &FieldsError{"group, hash, next_hash", fmt.Sprintf("at most %d bytes each", maxNameBytes)}
+	case max(len(r.Group), len(r.ActiveHash), len(r.PreparedHash)) > maxGroupOrHashBytes:
+		return &FieldsError{"group, hash, next_hash", fmt.Sprintf("at most %d bytes each", maxGroupOrHashBytes)}
 	case max(len(r.ActiveText), len(r.PreparedText)) > document.MaxBytes:
 		return &FieldError{Field: "text", Found: fmt.Sprintf("%d and %d bytes", len(r.ActiveText), len(r.PreparedText)),
 			Expected: fmt.Sprintf("at most %d", document.MaxBytes)}
--- a/internal/control/document/canonical.go
+++ b/internal/control/document/canonical.go
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-func number(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
+func formatNumber(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
 	return "no"
 }
 
-func whenAlone(autonomous bool) string {
+func whenAloneValue(autonomous bool) string {
 	if autonomous {
-		return goOn
+		return whenAloneGoOn
 	}
-	return fence
+	return whenAloneFence
 }
 
 // Line is one key of the canonical form.
@@ -35,28 +35,28 @@
 	for _, c := range d.Classes {
 		s := "class " + c.Name
 		add(s, "kind", string(c.Kind))
-		add(s, "value", number(c.Weight))
+		add(s, "value", formatNumber(c.Weight))
 		add(s, "response_target", c.LatencyObjective.String())
 		add(s, "client_timeout", c.Timeout.String())
 		add(s, "window", c.IdempotencyWindow.String())
 		add(s, "pool", c.Pool)
-		add(s, "retired", yes(c.Retired))
+		add(s, "retired", yesNo(c.Retired))
 	}
 	for _, n := range d.Tenants {
 		s := "tenant " + n.Name
-		add(s, "share", number(n.Share))
-		add(s, "rate", number(n.Rate))
+		add(s, "share", formatNumber(n.Share))
+		add(s, "rate", formatNumber(n.Rate))
 	}
 	for _, p := range d.Pools {
 		s := "pool " + p.Name
-		add(s, "floor", number(p.MinShare))
-		add(s, "cap", number(p.MaxShare))
-		add(s, "reserve", yes(p.Lendable))
+		add(s, "floor", formatNumber(p.MinShare))
+		add(s, "cap", formatNumber(p.MaxShare))
+		add(s, "reserve", yesNo(p.Lendable))
 	}
 	for _, l := range d.Levels {
 		s := "level " + strconv.Itoa(l.Number)
-		add(s, "enter", number(l.EnterLoad))
-		add(s, "leave", number(l.LeaveLoad))
+		add(s, "enter", formatNumber(l.EnterLoad))
+		add(s, "leave", formatNumber(l.LeaveLoad))
 		add(s, "hold", l.MinTime.String())
 		add(s, "sheds", strings.Join(l.Sheds, ", "))
 	}
@@ -66,19 +66,19 @@
 	}
 	add("rollout", "stages", strings.Join(stages, ", "))
 	add("rollout", "hold", d.Rollout.StageTime.String())
-	add("rollout", "max_shed", number(d.Rollout.MaxShedIncrease))
-	add("rollout", "max_late", number(d.Rollout.MaxLateIncrease))
+	add("rollout", "max_shed", formatNumber(d.Rollout.MaxShedIncrease))
+	add("rollout", "max_late", formatNumber(d.Rollout.MaxLateIncrease))
 	if d.Fleet.Present { // a document without it has the canonical text that it had before there was one
 		add("fleet", "lease", d.Fleet.Lease.String())
-		add("fleet", "when_alone", whenAlone(d.Fleet.Autonomous))
+		add("fleet", "when_alone", whenAloneValue(d.Fleet.Autonomous))
 	}
 	if z := d.Zones; z.Present {
 		add("zones", "decide", string(z.Mode))
-		add("zones", "first", number(z.FirstShare))
+		add("zones", "first", formatNumber(z.FirstShare))
 		add("zones", "hold", z.StepTime.String())
 		add("zones", "keep", z.OrderTime.String())
 		add("zones", "max_wait", z.MaxBackoff.String())
-		add("zones", "small_start", yes(z.SmallStart))
+		add("zones", "small_start", yesNo(z.SmallStart))
 	}
 	return out
 }
--- a/internal/control/document/document.go
+++ b/internal/control/document/document.go
@@ -116,7 +116,7 @@
 	return Class{}, false
 }
 
-func (d *Document) pool(name string) bool {
+func (d *Document) hasPool(name string) bool {
 	for _, p := range d.Pools {
 		if p.Name == name {
 			return true
--- a/internal/control/document/document_test.go
+++ b/internal/control/document/document_test.go
@@ -13,7 +13,7 @@
 	"umberwinch/internal/config"
 )
 
-const filing = `
+const exampleDocument = `
 [class view]
 kind = replayable
 value = 1
@@ -56,13 +56,13 @@
 // TestCanonicalFormIsAFixedPoint: a version is read, written canonically and read again, and another operator writes
 // the same content otherwise. All of them must have one hash: nodes would take equal versions for different ones.
 func TestCanonicalFormIsAFixedPoint(t *testing.T) {
-	d := parse(t, filing)
+	d := parse(t, exampleDocument)
 	text := d.Canonical()
 	again := parse(t, string(text))
 	if !bytes.Equal(text, again.Canonical()) {
 		t.Fatalf("canonical form moves:\n%s\n%s", text, again.Canonical())
 	}
-	other := parse(t, "# the same, told otherwise\n"+strings.ReplaceAll(filing, "400ms", "0.4s"))
+	other := parse(t, "# the same, told otherwise\n"+strings.ReplaceAll(exampleDocument, "400ms", "0.4s"))
 	if Hash(other.Canonical()) != Hash(text) {
 		t.Fatal("the same content has two hashes")
 	}
@@ -91,8 +91,8 @@
 		{"[pool heavy]", "[tenant a b]\n[pool heavy]", `found "a b"`},
 		{"response_target = 400ms", "response_target = 20s", "no less than response_target, 20s"},
 	} {
-		raw := strings.Replace(filing, c.was, c.is, 1)
-		if raw == filing {
+		raw := strings.Replace(exampleDocument, c.was, c.is, 1)
+		if raw == exampleDocument {
 			t.Fatalf("%q is not in the document", c.was)
 		}
 		var faults config.Faults
@@ -108,26 +108,26 @@
 // TestWhatMayNotChangeInFlight: a version takes away what requests in flight were promised under the one before. A
 // retry could run a second time, so the version may not follow; with the class retired in between it may.
 func TestWhatMayNotChangeInFlight(t *testing.T) {
-	before := parse(t, filing)
-	retired := parse(t, strings.Replace(filing, "window = 20s", "window = 20s\nretired = yes", 1))
-	less := strings.Replace(filing, "[class submit]\nkind = uniqued\nvalue = 40\nwindow = 20s\n", "", 1)
+	before := parse(t, exampleDocument)
+	retired := parse(t, strings.Replace(exampleDocument, "window = 20s", "window = 20s\nretired = yes", 1))
+	less := strings.Replace(exampleDocument, "[class submit]\nkind = uniqued\nvalue = 40\nwindow = 20s\n", "", 1)
 	for _, c := range []struct {
 		name string
 		from *Document
 		to   string
 		want string
 	}{
-		{"the same", before, filing, ""},
+		{"the same", before, exampleDocument, ""},
 		{"a class goes", before, less, "class submit: found no such section"},
 		{"a retired class goes", retired, less, ""},
-		{"a kind changes", before, strings.Replace(filing, "kind = non-replayable", "kind = replayable", 1),
+		{"a kind changes", before, strings.Replace(exampleDocument, "kind = non-replayable", "kind = replayable", 1),
 			"class save.kind: found replayable"},
-		{"a window shrinks", before, strings.Replace(filing, "20s", "19s", 1), "class submit.window: found 19s"},
-		{"a window grows", before, strings.Replace(filing, "20s", "30s", 1), ""},
-		{"the first version", nil, filing, ""},
+		{"a window shrinks", before, strings.Replace(exampleDocument, "20s", "19s", 1), "class submit.window: found 19s"},
+		{"a window grows", before, strings.Replace(exampleDocument, "20s", "30s", 1), ""},
+		{"the first version", nil, exampleDocument, ""},
 	} {
 		err := parse(t, c.to).Follows(c.from)
-		var reasons FollowErrors
+		var reasons UpdateErrors
 		refused := errors.As(err, &reasons) && strings.Contains(err.Error(), c.want)
 		if c.want == "" && err != nil || c.want != "" && !refused {
 			t.Errorf("%s: got %v, expected %q", c.name, err, c.want)
@@ -138,10 +138,10 @@
 // TestDiffReads: an operator looks at what a new version changes. Each key that differs has to be one line, and nothing
 // else may show.
 func TestDiffReads(t *testing.T) {
-	is := strings.Replace(strings.Replace(filing, "cap = 0.5", "cap = 0.6", 1), "[pool heavy]",
+	is := strings.Replace(strings.Replace(exampleDocument, "cap = 0.5", "cap = 0.6", 1), "[pool heavy]",
 		"[tenant t]\nshare = 0.1\n[pool heavy]", 1)
 	var got []string
-	for _, c := range Diff(parse(t, filing), parse(t, is)) {
+	for _, c := range Diff(parse(t, exampleDocument), parse(t, is)) {
 		got = append(got, c.String())
 	}
 	want := []string{"+ [tenant t] share = 0.1", "+ [tenant t] rate = 0", "~ [pool heavy] cap = 0.6 (was 0.5)"}
@@ -156,7 +156,7 @@
 // TestAnyTextHasOneAnswer feeds lines put together by chance: never a panic, the same answer twice, and what
 // is taken has a canonical form that is taken as the same document.
 func TestAnyTextHasOneAnswer(t *testing.T) {
-	pieces := strings.Split(filing, "\n")
+	pieces := strings.Split(exampleDocument, "\n")
 	pieces = append(pieces, "[", "=", "x", "[class]", "[class \x00]", "value = 1e9", "`", "a = \"", "sheds = ,",
 		"window = -1s", "[rollout]", "stages = 100", "\\", "kind = replayable ; c", "value = NaN")
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/control/document/follow.go
+++ b/internal/control/document/follow.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Follows returns why d may not come after the version before it, all reasons at once as FollowErrors, and nil if it
+// Follows returns why d may not come after the version before it, all reasons at once as UpdateErrors, and nil if it
 // may. It protects what requests in flight were promised under the version before: a class that is not retired stays,
 // with its kind, as whether an open request may be run again depends on it; and the window of an idempotency-keyed
 // class never shrinks, as a retry within the window that its request came under would be run a second time.
@@ -10,7 +10,7 @@
 	if before == nil {
 		return nil
 	}
-	var reasons FollowErrors
+	var reasons UpdateErrors
 	for _, previous := range before.Classes {
 		if previous.Retired {
 			continue
--- a/internal/control/document/parse.go
+++ b/internal/control/document/parse.go
@@ -27,7 +27,7 @@
 	maxWeight     = 1e6
 	maxRate       = 1e9 // requests a second
 	maxLoad       = 10  // times capacity
-	maxPeriod     = 24 * time.Hour
+	maxDuration   = 24 * time.Hour
 	maxStages     = 20
 	minFirstShare = 0.004 // a 256th, the least share that a zone can have
 )
@@ -58,8 +58,8 @@
 
 // Values of when_alone.
 const (
-	goOn  = "go-on"
-	fence = "fence"
+	whenAloneGoOn  = "go-on"
+	whenAloneFence = "fence"
 )
 
 // Parse reads a document under the latest rules. name is the document's in errors. The error is config.Faults, all
@@ -80,7 +80,7 @@
 		Zones:   parseZones(t, rules >= rulesWithZones),
 	}
 	d.sort()
-	d.check(t)
+	d.checkSections(t)
 	if err := t.Done(); err != nil {
 		return nil, err
 	}
@@ -88,15 +88,15 @@
 }
 
 func parseClasses(t *config.Text) (classes []Class) {
-	for _, name := range names(t, "class", MaxClasses) {
+	for _, name := range sectionNames(t, "class", MaxClasses) {
 		s := "class " + name
 		c := Class{
 			Name:              name,
-			Kind:              choice(t, s, "kind", "", Idempotent, IdempotencyKeyed, NotIdempotent),
+			Kind:              readChoice(t, s, "kind", "", Idempotent, IdempotencyKeyed, NotIdempotent),
 			Weight:            t.Number(s, "value", defaultWeight, 0, maxWeight),
 			LatencyObjective:  t.Time(s, "response_target", defaultLatencyObjective, time.Millisecond, time.Hour),
 			Timeout:           t.Time(s, "client_timeout", defaultClientTimeout, time.Millisecond, time.Hour),
-			IdempotencyWindow: t.Time(s, "window", 0, 0, maxPeriod),
+			IdempotencyWindow: t.Time(s, "window", 0, 0, maxDuration),
 			Pool:              t.String(s, "pool", ""),
 			Retired:           t.Flag(s, "retired", false),
 		}
@@ -116,7 +116,7 @@
 }
 
 func parseTenants(t *config.Text) (tenants []Tenant) {
-	for _, name := range names(t, "tenant", MaxTenants) {
+	for _, name := range sectionNames(t, "tenant", MaxTenants) {
 		s := "tenant " + name
 		tenants = append(tenants, Tenant{name, t.Number(s, "share", 0, 0, 1), t.Number(s, "rate", 0, 0, maxRate)})
 	}
@@ -124,11 +124,11 @@
 }
 
 func parsePools(t *config.Text) (pools []Pool) {
-	for _, name := range names(t, "pool", MaxPools) {
+	for _, name := range sectionNames(t, "pool", MaxPools) {
 		s := "pool " + name
 		p := Pool{name, t.Number(s, "floor", 0, 0, 1), t.Number(s, "cap", 1, 0, 1), t.Flag(s, "reserve", false)}
 		if p.MaxShare < p.MinShare || p.MaxShare == 0 {
-			t.Note(s, "cap", number(p.MaxShare), "above 0 and no less than floor, "+number(p.MinShare))
+			t.Note(s, "cap", formatNumber(p.MaxShare), "above 0 and no less than floor, "+formatNumber(p.MinShare))
 		}
 		pools = append(pools, p)
 	}
@@ -136,7 +136,7 @@
 }
 
 func parseLevels(t *config.Text) (levels []Level) {
-	for _, name := range names(t, "level", MaxLevels) {
+	for _, name := range sectionNames(t, "level", MaxLevels) {
 		s := "level " + name
 		l := Level{
 			EnterLoad: t.Number(s, "enter", 0, 0, maxLoad),
@@ -149,7 +149,7 @@
 			t.Note(s, "", strconv.Quote(name), "a number from 1 on")
 		}
 		if !(l.EnterLoad > l.LeaveLoad && l.LeaveLoad > 0) {
-			t.Note(s, "enter", number(l.EnterLoad)+" and leave "+number(l.LeaveLoad), "enter above leave above 0")
+			t.Note(s, "enter", formatNumber(l.EnterLoad)+" and leave "+formatNumber(l.LeaveLoad), "enter above leave above 0")
 		}
 		sort.Strings(l.Sheds)
 		levels = append(levels, l)
@@ -163,7 +163,7 @@
 		return f
 	}
 	f.Lease = t.Time("fleet", "lease", defaultLease, time.Second, 10*time.Minute)
-	f.Autonomous = t.Choice("fleet", "when_alone", goOn, fence, goOn) == goOn
+	f.Autonomous = t.Choice("fleet", "when_alone", whenAloneGoOn, whenAloneFence, whenAloneGoOn) == whenAloneGoOn
 	f.Present = true
 	return f
 }
@@ -179,11 +179,11 @@
 	if !known || !t.Has("zones") {
 		return z
 	}
-	z.Mode = choice(t, "zones", "decide", ZonesOff, ZonesOff, ZonesAsk, ZonesAuto)
+	z.Mode = readChoice(t, "zones", "decide", ZonesOff, ZonesOff, ZonesAsk, ZonesAuto)
 	z.FirstShare = t.Number("zones", "first", defaultFirstShare, minFirstShare, 1)
 	z.StepTime = t.Time("zones", "hold", defaultStepTime, 500*time.Millisecond, time.Hour)
-	z.OrderTime = t.Time("zones", "keep", defaultOrderTime, time.Second, maxPeriod)
-	z.MaxBackoff = t.Time("zones", "max_wait", defaultMaxBackoff, time.Second, maxPeriod)
+	z.OrderTime = t.Time("zones", "keep", defaultOrderTime, time.Second, maxDuration)
+	z.MaxBackoff = t.Time("zones", "max_wait", defaultMaxBackoff, time.Second, maxDuration)
 	z.SmallStart = t.Flag("zones", "small_start", false)
 	z.Present = true
 	if z.MaxBackoff < z.StepTime {
@@ -192,8 +192,8 @@
 	return z
 }
 
-// choice reads a key that has one of some values.
-func choice[T ~string](t *config.Text, section, key string, def T, values ...T) T {
+// readChoice reads a key that has one of some values.
+func readChoice[T ~string](t *config.Text, section, key string, def T, values ...T) T {
 	words := make([]string, len(values))
 	for i, v := range values {
 		words[i] = string(v)
@@ -201,8 +201,8 @@
 	return T(t.Choice(section, key, string(def), words...))
 }
 
-// names gives the names of a kind of section, with faults for those that can't be one.
-func names(t *config.Text, prefix string, most int) []string {
+// sectionNames gives the names of a kind of section, with faults for those that can't be one.
+func sectionNames(t *config.Text, prefix string, most int) []string {
 	all := t.Names(prefix)
 	if len(all) > most {
 		t.Note(prefix+" "+all[most], "", fmt.Sprintf("%d sections", len(all)), fmt.Sprintf("%d at most", most))
@@ -218,7 +218,7 @@
 
 // parseRollout reads how a version reaches the nodes.
 func parseRollout(t *config.Text) Rollout {
-	r := Rollout{StageTime: t.Time("rollout", "hold", defaultStageTime, time.Second, maxPeriod),
+	r := Rollout{StageTime: t.Time("rollout", "hold", defaultStageTime, time.Second, maxDuration),
 		MaxShedIncrease: t.Number("rollout", "max_shed", defaultMaxIncrease, 0, 1),
 		MaxLateIncrease: t.Number("rollout", "max_late", defaultMaxIncrease, 0, 1)}
 	words := t.List("rollout", "stages")
--- a/internal/control/document/pin_test.go
+++ b/internal/control/document/pin_test.go
@@ -14,7 +14,7 @@
 // that version alone.
 var writePins = flag.Bool("write-pins", false, "write the fixtures of pinned forms anew")
 
-func pinned(t *testing.T, name string, got []byte) {
+func checkFixture(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "pin", name)
 	if *writePins {
@@ -108,7 +108,7 @@
 			} else {
 				fmt.Fprintf(&out, "%s\n%s\n", Hash(d.Canonical()), d.Canonical())
 			}
-			pinned(t, fmt.Sprintf("%s.%d.txt", name, rules), []byte(out.String()))
+			checkFixture(t, fmt.Sprintf("%s.%d.txt", name, rules), []byte(out.String()))
 		}
 	}
 }
@@ -172,5 +172,5 @@
 			fmt.Fprintln(&out, " ", change.String())
 		}
 	}
-	pinned(t, "findings.txt", []byte(out.String()))
+	checkFixture(t, "findings.txt", []byte(out.String()))
 }
--- a/internal/control/document/validate.go
+++ b/internal/control/document/validate.go
@@ -7,8 +7,8 @@
 	"umberwinch/internal/config"
 )
 
-// check finds what sections say wrongly of each other.
-func (d *Document) check(t *config.Text) {
+// checkSections finds what sections say wrongly of each other.
+func (d *Document) checkSections(t *config.Text) {
 	floors, shares, reserves := 0.0, 0.0, 0
 	for _, p := range d.Pools {
 		floors += p.MinShare
@@ -18,18 +18,18 @@
 			}
 		}
 		if floors > 1+1e-9 {
-			t.Note("pool "+p.Name, "floor", "floors of "+number(floors)+" up to here", "1 at most, all of capacity")
+			t.Note("pool "+p.Name, "floor", "floors of "+formatNumber(floors)+" up to here", "1 at most, all of capacity")
 			break
 		}
 	}
 	for _, n := range d.Tenants {
 		if shares += n.Share; shares > 1+1e-9 {
-			t.Note("tenant "+n.Name, "share", "shares of "+number(shares)+" up to here", "1 at most")
+			t.Note("tenant "+n.Name, "share", "shares of "+formatNumber(shares)+" up to here", "1 at most")
 			break
 		}
 	}
 	for _, c := range d.Classes {
-		if c.Pool != "" && !d.pool(c.Pool) {
+		if c.Pool != "" && !d.hasPool(c.Pool) {
 			t.Note("class "+c.Name, "pool", strconv.Quote(c.Pool), "the name of a [pool NAME]")
 		}
 	}
@@ -40,7 +40,7 @@
 			return
 		}
 		if i > 0 && (l.EnterLoad <= d.Levels[i-1].EnterLoad || l.LeaveLoad <= d.Levels[i-1].LeaveLoad) {
-			t.Note(s, "enter", number(l.EnterLoad)+" and leave "+number(l.LeaveLoad),
+			t.Note(s, "enter", formatNumber(l.EnterLoad)+" and leave "+formatNumber(l.LeaveLoad),
 				"both above those of the level before")
 		}
 		d.checkSheds(t, i)
@@ -68,8 +68,8 @@
 	}
 	for _, c := range d.Classes {
 		if !sheds[c.Name] && !c.Retired && c.Weight < top {
-			t.Note(s, "sheds", fmt.Sprintf("a class of value %s while %q of %s is served", number(top), c.Name,
-				number(c.Weight)), "all of less value too")
+			t.Note(s, "sheds", fmt.Sprintf("a class of value %s while %q of %s is served", formatNumber(top), c.Name,
+				formatNumber(c.Weight)), "all of less value too")
 			return
 		}
 	}
--- a/internal/control/recovery/cold_start.go
+++ b/internal/control/recovery/cold_start.go
@@ -12,4 +12,6 @@
 // Inputs: how many nodes have been up for less than ColdStartWindowMS, and how many are in. The reason: services
 // below a fleet that restarts together are cold and bear a part of what they bore. It acts where half or more of the
 // nodes are young. It may harm a fleet that is released in halves: that ramps though its services are warm.
-func IsColdStart(young, in int) bool { return young >= minColdStartNodes && 2*young >= in }
+func IsColdStart(restarted, total int) bool {
+	return restarted >= minColdStartNodes && 2*restarted >= total
+}
--- a/internal/control/recovery/lost_state.go
+++ b/internal/control/recovery/lost_state.go
@@ -35,7 +35,7 @@
 	if node.Group != g.Group || node.Generation != g.Generation {
 		return "" // of another generation: whoever is behind is told so
 	}
-	if later := g.knowsLater(node); later != "" {
+	if later := g.behindNode(node); later != "" {
 		return later
 	}
 	if node.EntryChecksum != 0 && g.ChecksumAt != nil {
@@ -51,8 +51,8 @@
 	return ""
 }
 
-// knowsLater returns what a node was told that is later than all that the group has.
-func (g *GroupState) knowsLater(node *api.NodeRecord) string {
+// behindNode returns what a node was told that is later than all that the group has.
+func (g *GroupState) behindNode(node *api.NodeRecord) string {
 	switch {
 	case node.Index > g.Index:
 		return fmt.Sprintf("entry %d of the log, and the group is at %d", node.Index, g.Index)
--- a/internal/control/recovery/lost_state_test.go
+++ b/internal/control/recovery/lost_state_test.go
@@ -35,7 +35,7 @@
 		"of another group":         {func(k *api.NodeRecord) { k.Group, k.Index = "g7", 900 }, false},
 		"a node that has no texts": {func(k *api.NodeRecord) { k.ActiveVersion, k.ActiveHash = 0, "" }, false},
 	} {
-		k := kept("a", 6, "t6", 6)
+		k := newNodeRecord("a", 6, "t6", 6)
 		if c.change(&k); c.lacks != (have.LostState(&k) != "") {
 			t.Errorf("%s: %q", what, have.LostState(&k))
 		}
--- a/internal/control/recovery/pin_plan_test.go
+++ b/internal/control/recovery/pin_plan_test.go
@@ -18,15 +18,15 @@
 	"umberwinch/internal/retryafter"
 )
 
-// pick returns one of some values.
-func pick[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
+// oneOf returns one of some values.
+func oneOf[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
 
-// randomNode makes what a node holds, with faults: spoilt texts, another group, another generation, a text of its own.
-func randomNode(rng *rand.Rand, i int) api.NodeRecord {
+// randomNodeRecord makes what a node holds, with faults: spoilt texts, another group, another generation, a text of its own.
+func randomNodeRecord(rng *rand.Rand, i int) api.NodeRecord {
 	version := uint64(rng.IntN(6))
-	text := pick(rng, fmt.Sprint("t", version), fmt.Sprint("t", version), fmt.Sprint("t", version),
+	text := oneOf(rng, fmt.Sprint("t", version), fmt.Sprint("t", version), fmt.Sprint("t", version),
 		fmt.Sprint("other t", version))
-	k := kept(fmt.Sprint("n", i), version, text, version+uint64(rng.IntN(8)/7))
+	k := newNodeRecord(fmt.Sprint("n", i), version, text, version+uint64(rng.IntN(8)/7))
 	k.Index, k.Term, k.ZoneEpoch, k.LeaseMS = 90+uint64(rng.IntN(30)), uint64(rng.IntN(5)), uint64(rng.IntN(9)),
 		uint64(rng.IntN(9000))
 	k.ZoneShare, k.EntryChecksum = rng.IntN(300), uint64(rng.IntN(3))
@@ -59,12 +59,12 @@
 	for range 4000 {
 		var all []api.NodeRecord
 		for i := range rng.IntN(14) {
-			all = append(all, randomNode(rng, i))
+			all = append(all, randomNodeRecord(rng, i))
 		}
 		var base *StoredGroup
 		if rng.IntN(2) == 0 {
 			last := uint64(rng.IntN(7))
-			base = folder(last, min(last, uint64(rng.IntN(7))), min(last, uint64(rng.IntN(7))))
+			base = newStoredGroup(last, min(last, uint64(rng.IntN(7))), min(last, uint64(rng.IntN(7))))
 			base.Autonomous, base.UncommittedEntries = rng.IntN(2) == 0, uint64(rng.IntN(3))
 			if rng.IntN(4) == 0 {
 				base.TextOf = nil
@@ -73,7 +73,7 @@
 				base.GroupIdentity = base.NextGeneration("g2")
 			}
 		}
-		take := pick(rng, "", "", document.Hash([]byte("t3"))[:10], document.Hash([]byte("other t4")))
+		take := oneOf(rng, "", "", document.Hash([]byte("t3"))[:10], document.Hash([]byte("other t4")))
 		f := PlanRestore(all, base, take)
 		raw, _ := json.Marshal(f)
 		counted, _ := json.Marshal(f.Records)
@@ -83,7 +83,7 @@
 		} else if f.SourceVersion > 0 {
 			restored++
 		}
-		have := GroupState{Group: pick(rng, "g1", "g1", "g2"), Generation: pick(rng, uint64(1), 1, 2), Term: 3,
+		have := GroupState{Group: oneOf(rng, "g1", "g1", "g2"), Generation: oneOf(rng, uint64(1), 1, 2), Term: 3,
 			Index: 110, DecidedVersion: 4, ZoneEpoch: 6,
 			HashOf:     func(v uint64) string { return document.Hash([]byte(fmt.Sprint("t", v))) },
 			ChecksumAt: func(index uint64) (uint64, bool) { return index % 3, index >= 100 }}
@@ -140,7 +140,7 @@
 			t.Errorf("%s: %v, read %+v, expected %+v", name, err, read, value)
 		}
 	}
-	long := kept("n1", 1, strings.Repeat("x", document.MaxBytes+1), 1)
+	long := newNodeRecord("n1", 1, strings.Repeat("x", document.MaxBytes+1), 1)
 	if err := long.Validate(); err == nil || !strings.HasPrefix(err.Error(), "text: found ") {
 		t.Errorf("a text that is too long: %v", err)
 	}
--- a/internal/control/recovery/plan.go
+++ b/internal/control/recovery/plan.go
@@ -79,8 +79,8 @@
 	if p.plan.Conflict != "" {
 		return p.plan
 	}
-	p.collect()
-	p.listUnheard()
+	p.collectEvidence()
+	p.addUnknowns()
 	p.chooseVersion()
 	return p.plan
 }
@@ -115,13 +115,13 @@
 				record.Name, record.Group, plan.Lost.Group, record.Generation)
 			return
 		default:
-			p.leaveOut(record)
+			p.excludeRecord(record)
 		}
 	}
 }
 
-// leaveOut names a record of an earlier generation.
-func (p *planner) leaveOut(record *api.NodeRecord) {
+// excludeRecord names a record of an earlier generation.
+func (p *planner) excludeRecord(record *api.NodeRecord) {
 	lost := &p.plan.Lost
 	p.plan.NotCounted = append(p.plan.NotCounted, fmt.Sprintf("%s is of generation %d, the newest heard of is %d",
 		record.Name, record.Generation, lost.Generation))
@@ -130,17 +130,17 @@
 	}
 }
 
-// collect takes what the records and the folder prove.
-func (p *planner) collect() {
+// collectEvidence takes what the records and the folder prove.
+func (p *planner) collectEvidence() {
 	plan := p.plan
 	if p.stored != nil {
-		p.noteDecided(p.stored.DecidedVersion, storedName)
+		p.recordDecided(p.stored.DecidedVersion, storedGroupHolder)
 		plan.ZoneEpoch, plan.LeaseMS = p.stored.ZoneEpoch, p.stored.LeaseMS
 	}
 	for i := range plan.Records {
 		record := &plan.Records[i]
 		plan.Nodes = append(plan.Nodes, record.Name)
-		p.noteDecided(record.MinVersion, record.Name)
+		p.recordDecided(record.MinVersion, record.Name)
 		plan.ZoneEpoch = max(plan.ZoneEpoch, record.ZoneEpoch)
 		plan.LeaseMS = max(plan.LeaseMS, record.LeaseMS)
 		p.addText(record.ActiveVersion, record.ActiveHash, record.ActiveText, record.Name, true)
@@ -154,11 +154,11 @@
 		if !ok {
 			return
 		}
-		p.addText(version, hash, text, storedName, version <= p.stored.CommittedVersion)
+		p.addText(version, hash, text, storedGroupHolder, version <= p.stored.CommittedVersion)
 	}
 }
 
-func (p *planner) noteDecided(version uint64, by string) {
+func (p *planner) recordDecided(version uint64, by string) {
 	if version > p.decided {
 		p.decided, p.decidedBy = version, by
 	}
--- a/internal/control/recovery/unheard.go
+++ b/internal/control/recovery/unheard.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// maxListed names stand in a message; of a large fleet the others are counted.
-const maxListed = 8
+// maxNamesInMessage names stand in a message; of a large fleet the others are counted.
+const maxNamesInMessage = 8
 
-// listUnheard names what can't be known: what is with nodes that were not heard, and what the old folder may lack.
-func (p *planner) listUnheard() {
+// addUnknowns names what can't be known: what is with nodes that were not heard, and what the old folder may lack.
+func (p *planner) addUnknowns() {
 	if p.stored == nil {
 		p.addUnknown("nodes that were not heard: what they were told, and whether there are any; versions that were " +
 			"put and not decided")
@@ -20,7 +20,7 @@
 		p.addUnknown("whether the last %d entries of the folder were committed: they are left out",
 			p.stored.UncommittedEntries)
 	}
-	p.listUnheardNodes()
+	p.addMissingNodes()
 	for i := range p.plan.Records {
 		if record := &p.plan.Records[i]; record.Index > p.stored.Index {
 			p.addUnknown("what was agreed on after entry %d of the folder but is with no node: %s was told of entry %d",
@@ -30,7 +30,7 @@
 	}
 }
 
-func (p *planner) listUnheardNodes() {
+func (p *planner) addMissingNodes() {
 	var unheard []string
 	for _, name := range p.stored.Nodes {
 		if !slices.Contains(p.plan.Nodes, name) {
@@ -44,16 +44,16 @@
 	if p.stored.Autonomous {
 		until = "for as long as they are not heard, as when_alone = go-on was in force"
 	}
-	p.addUnknown("%s: not heard; may serve under what they were told %s", listed(unheard), until)
+	p.addUnknown("%s: not heard; may serve under what they were told %s", joinNames(unheard), until)
 }
 
 func (p *planner) addUnknown(format string, args ...any) {
 	p.plan.Unknown = append(p.plan.Unknown, fmt.Sprintf(format, args...))
 }
 
-func listed(names []string) string {
-	if len(names) > maxListed {
-		return fmt.Sprintf("%s and %d more", strings.Join(names[:maxListed], ", "), len(names)-maxListed)
+func joinNames(names []string) string {
+	if len(names) > maxNamesInMessage {
+		return fmt.Sprintf("%s and %d more", strings.Join(names[:maxNamesInMessage], ", "), len(names)-maxNamesInMessage)
 	}
 	return strings.Join(names, ", ")
 }
--- a/internal/control/recovery/version.go
+++ b/internal/control/recovery/version.go
@@ -8,8 +8,8 @@
 	"umberwinch/internal/control/document"
 )
 
-// storedName stands for the old folder among the names of nodes.
-const storedName = "the folder"
+// storedGroupHolder stands for the old folder among the names of nodes.
+const storedGroupHolder = "the folder"
 
 // versionText is a text that somebody holds by a version's number.
 type versionText struct {
@@ -55,7 +55,7 @@
 		plan.Proof = "nobody served under a version"
 		return
 	}
-	best := p.newestProved()
+	best := p.newestProvenText()
 	switch {
 	case plan.Conflict != "":
 		return
@@ -67,9 +67,9 @@
 		return
 	}
 	plan.Text, plan.Hash, plan.SourceVersion, plan.Version = best.text, best.hash, best.version, best.version
-	plan.Proof = fmt.Sprintf("decided as %s was told, prepared by %s", p.decidedBy, listed(best.prepared))
+	plan.Proof = fmt.Sprintf("decided as %s was told, prepared by %s", p.decidedBy, joinNames(best.prepared))
 	if len(best.active) > 0 {
-		plan.Proof = "served under by " + listed(best.active)
+		plan.Proof = "served under by " + joinNames(best.active)
 	}
 	// nodes that promised the lost version take nothing older: going back is a change forward
 	if best.version < p.decided {
@@ -78,21 +78,21 @@
 			fmt.Sprintf("version %d was decided (%s), and nobody holds its text: version %d "+
 				"has that of %d", p.decided, p.decidedBy, plan.Version, best.version))
 	}
-	p.avoidStoredNumber()
+	p.avoidNumberReuse()
 }
 
-// newestProved returns the newest decided version of which a text is proved, nil if there is none. Where two are proved
+// newestProvenText returns the newest decided version of which a text is proved, nil if there is none. Where two are proved
 // by one number it is the one that an operator chose, and a conflict if he has not.
-func (p *planner) newestProved() *versionText {
+func (p *planner) newestProvenText() *versionText {
 	for version := p.decided; version > 0; version-- {
-		proved := p.proved(version)
+		proved := p.provenTexts(version)
 		switch {
 		case len(proved) == 1:
 			return proved[0]
 		case len(proved) > 1:
-			chosen := p.chosen(proved)
+			chosen := p.chosenText(proved)
 			if chosen == nil {
-				p.plan.Conflict = fmt.Sprintf("version %d goes by %s: name one with --take", version, describe(proved))
+				p.plan.Conflict = fmt.Sprintf("version %d goes by %s: name one with --take", version, describeTexts(proved))
 			}
 			return chosen
 		}
@@ -100,10 +100,10 @@
 	return nil
 }
 
-// proved returns the texts that a version had in force: those that somebody served under. The newest decided version
+// provenTexts returns the texts that a version had in force: those that somebody served under. The newest decided version
 // may have been served under by nobody who was heard: a node's promise proves that it was decided, so a prepared text
 // counts.
-func (p *planner) proved(version uint64) (proved []*versionText) {
+func (p *planner) provenTexts(version uint64) (proved []*versionText) {
 	for _, text := range p.texts[version] {
 		if len(text.active) > 0 {
 			proved = append(proved, text)
@@ -115,7 +115,7 @@
 	return proved
 }
 
-func (p *planner) chosen(texts []*versionText) *versionText {
+func (p *planner) chosenText(texts []*versionText) *versionText {
 	if p.choice == "" {
 		return nil
 	}
@@ -127,11 +127,11 @@
 	return nil
 }
 
-// avoidStoredNumber takes another number where the old folder has another text by it, or has dropped it.
+// avoidNumberReuse takes another number where the old folder has another text by it, or has dropped it.
 //
 // It guards against one number standing for two texts: the folder may have gone on another way after it was copied, and
 // a node that knows that text would take it for the one in force.
-func (p *planner) avoidStoredNumber() {
+func (p *planner) avoidNumberReuse() {
 	if p.stored == nil {
 		return
 	}
@@ -141,11 +141,11 @@
 	}
 }
 
-func describe(texts []*versionText) string {
+func describeTexts(texts []*versionText) string {
 	var descriptions []string
 	for _, text := range texts {
 		holders := slices.Concat(text.active, text.prepared)
-		descriptions = append(descriptions, fmt.Sprintf("%.16s (%s)", text.hash, listed(holders)))
+		descriptions = append(descriptions, fmt.Sprintf("%.16s (%s)", text.hash, joinNames(holders)))
 	}
 	return strings.Join(descriptions, " and ")
 }
--- a/internal/node/overlay/overlay.go
+++ b/internal/node/overlay/overlay.go
@@ -19,14 +19,14 @@
 	RetiredHandlers []bool        // by handler: no new request is taken
 }
 
-// repeatOfKind maps the document's kinds of classes to the rule on repeats.
-var repeatOfKind = map[document.ClassKind]admission.RetrySafety{document.Idempotent: admission.Retryable,
+// retrySafetyOfKind maps the document's kinds of classes to the rule on repeats.
+var retrySafetyOfKind = map[document.ClassKind]admission.RetrySafety{document.Idempotent: admission.Retryable,
 	document.IdempotencyKeyed: admission.IdempotencyKeyed, document.NotIdempotent: admission.NonRetryable}
 
 // admissionTick is the unit of admission.Time.
 const admissionTick = 100 * time.Microsecond
 
-func toAdmission(d time.Duration) admission.Time { return admission.Time(d / admissionTick) }
+func toAdmissionTime(d time.Duration) admission.Time { return admission.Time(d / admissionTick) }
 
 func toDuration(t admission.Time) time.Duration { return time.Duration(t) * admissionTick }
 
@@ -59,7 +59,7 @@
 	return b.settings, nil
 }
 
-func (b *builder) conflict(format string, args ...any) {
+func (b *builder) addConflict(format string, args ...any) {
 	b.conflicts = append(b.conflicts, fmt.Sprintf(format, args...))
 }
 
@@ -68,15 +68,15 @@
 func (b *builder) applyClass(class *document.Class) {
 	index, known := b.base.HandlerIndex[class.Name]
 	if !known {
-		b.conflict("class %s: found it in the policy, expected only handlers that the platform has here", class.Name)
+		b.addConflict("class %s: found it in the policy, expected only handlers that the platform has here", class.Name)
 		return
 	}
 	handler := &b.settings.Deployment.Handlers[index]
-	if repeatOfKind[class.Kind] != handler.RetrySafety {
-		b.conflict("class %s.kind: found %s, expected the platform's", class.Name, class.Kind)
+	if retrySafetyOfKind[class.Kind] != handler.RetrySafety {
+		b.addConflict("class %s.kind: found %s, expected the platform's", class.Name, class.Kind)
 	}
-	if timeout := toAdmission(class.Timeout); timeout > handler.Timeout {
-		b.conflict("class %s.client_timeout: found %s, expected at most the platform's %s", class.Name, class.Timeout,
+	if timeout := toAdmissionTime(class.Timeout); timeout > handler.Timeout {
+		b.addConflict("class %s.client_timeout: found %s, expected at most the platform's %s", class.Name, class.Timeout,
 			toDuration(handler.Timeout))
 	} else if timeout > 0 {
 		handler.Timeout = timeout
@@ -85,16 +85,16 @@
 		b.applyWindow(class, handler)
 	}
 	handler.Value = class.Weight
-	handler.LatencyObjective = min(max(toAdmission(class.LatencyObjective), 1), handler.Timeout)
+	handler.LatencyObjective = min(max(toAdmissionTime(class.LatencyObjective), 1), handler.Timeout)
 	b.settings.RetiredHandlers[index] = class.Retired
 	b.assignPool(class)
 }
 
 // applyWindow takes the idempotency window of a class.
 func (b *builder) applyWindow(class *document.Class, handler *admission.Handler) {
-	window := toAdmission(class.IdempotencyWindow)
+	window := toAdmissionTime(class.IdempotencyWindow)
 	if window < handler.IdempotencyWindow {
-		b.conflict("class %s.window: found %s, expected at least the platform's %s", class.Name,
+		b.addConflict("class %s.window: found %s, expected at least the platform's %s", class.Name,
 			class.IdempotencyWindow, toDuration(handler.IdempotencyWindow))
 		return
 	}
@@ -107,7 +107,7 @@
 		return
 	}
 	if other, taken := b.classOfPool[class.Pool]; taken {
-		b.conflict("pool %s: found classes %s and %s in it, expected one here, as run slots are set apart by handler",
+		b.addConflict("pool %s: found classes %s and %s in it, expected one here, as run slots are set apart by handler",
 			class.Pool, other, class.Name)
 	}
 	b.classOfPool[class.Pool] = class.Name
@@ -128,7 +128,7 @@
 			continue
 		}
 		if !enabled {
-			b.conflict("pool %s: found it in the policy, "+
+			b.addConflict("pool %s: found it in the policy, "+
 				"expected none while this node's own file has no [pool HANDLER]", pool.Name)
 			return
 		}
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -46,8 +46,8 @@
 // ticksUp converts microseconds, rounded up.
 func ticksUp(us float64) admission.Time { return ticks(us + microsecondsPerTick - 1) }
 
-// pick finds what a word of the settings stands for.
-func pick[T any](words map[string]T, word, key string) (T, error) {
+// lookup finds what a word of the settings stands for.
+func lookup[T any](words map[string]T, word, key string) (T, error) {
 	v, ok := words[word]
 	if !ok {
 		return v, &InvalidError{key, fmt.Sprintf("is %q, which is not known", word)}
@@ -57,11 +57,11 @@
 
 // Parse reads the start-up settings. Its errors are ErrNoClasses, an *InvalidError, or wrap one of encoding/json.
 func Parse(raw []byte) (*Startup, error) {
-	var text startupText
+	var text startupJSON
 	if err := json.Unmarshal(raw, &text); err != nil {
 		return nil, fmt.Errorf("settings are not JSON as expected: %w", err)
 	}
-	if err := text.check(); err != nil {
+	if err := text.validate(); err != nil {
 		return nil, err
 	}
 	d, err := text.deployment()
@@ -88,8 +88,8 @@
 	return s, nil
 }
 
-// check refuses what no server can be run by.
-func (t *startupText) check() error {
+// validate refuses what no server can be run by.
+func (t *startupJSON) validate() error {
 	f := &t.Family
 	switch {
 	case len(t.Classes) == 0:
@@ -105,7 +105,7 @@
 }
 
 // deployment maps all but classes and customers.
-func (t *startupText) deployment() (*admission.Deployment, error) {
+func (t *startupJSON) deployment() (*admission.Deployment, error) {
 	f := &t.Family
 	d := &admission.Deployment{
 		FleetSize:         max(t.Fleet, 1),
@@ -136,20 +136,20 @@
 		d.MaxRetryAfter = ticks(t.Limits.MaxRetryAfter)
 	}
 	var err error
-	if d.Dependency, err = pick(dependencyOf, f.Below, "family_info.below"); err != nil {
+	if d.Dependency, err = lookup(dependencyOf, f.Below, "family_info.below"); err != nil {
 		return nil, err
 	}
-	if d.Cancellation, err = pick(cancellationOf, f.Preemption, "family_info.preemption"); err != nil {
+	if d.Cancellation, err = lookup(cancellationOf, f.Preemption, "family_info.preemption"); err != nil {
 		return nil, err
 	}
-	if d.OverloadSignal, err = pick(overloadSignalOf, f.Say, "family_info.say"); err != nil {
+	if d.OverloadSignal, err = lookup(overloadSignalOf, f.Say, "family_info.say"); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
 // handler maps the class at an index. An objective that isn't stated, or is past the timeout, is the timeout.
-func (c *classText) handler(index int) (h admission.Handler, err error) {
+func (c *classJSON) handler(index int) (h admission.Handler, err error) {
 	h = admission.Handler{
 		LatencyObjective:  ticks(c.Promise),
 		Timeout:           ticks(c.GiveUp),
@@ -164,7 +164,7 @@
 	if h.LatencyObjective <= 0 || h.LatencyObjective > h.Timeout {
 		h.LatencyObjective = h.Timeout
 	}
-	h.RetrySafety, err = pick(retrySafetyOf, c.Semantics, "classes[].semantics")
+	h.RetrySafety, err = lookup(retrySafetyOf, c.Semantics, "classes[].semantics")
 	return h, err
 }
 
--- a/internal/node/settings/startup_text.go
+++ b/internal/node/settings/startup_text.go
@@ -1,8 +1,8 @@
 package settings
 
-// startupText is the start-up text as it comes; unknown keys are passed over.
-type startupText struct {
-	Classes   []classText `json:"classes"`
+// startupJSON is the start-up text as it comes; unknown keys are passed over.
+type startupJSON struct {
+	Classes   []classJSON `json:"classes"`
 	Customers []struct {
 		Name  string  `json:"name"`
 		Quota float64 `json:"quota_per_s"`
@@ -46,8 +46,8 @@
 	WorthBy   string  `json:"worth_by"`
 }
 
-// classText is one class of requests as it comes; spans are microseconds.
-type classText struct {
+// classJSON is one class of requests as it comes; spans are microseconds.
+type classJSON struct {
 	Name      string  `json:"name"`
 	Gain      float64 `json:"gain"`
 	GiveUp    float64 `json:"give_up"`
--- a/internal/node/shadow/recording.go
+++ b/internal/node/shadow/recording.go
@@ -21,7 +21,7 @@
 	handler      uint16
 	tenant       uint16
 	isRetry      bool
-	isProbing    bool // it is no recorded request, but one of a probe
+	isProbe      bool // it is no recorded request, but one of a probe
 }
 
 // Recording is the latest requests of a server, in a ring.
@@ -43,8 +43,8 @@
 	m.mean += (float64(runTime) - m.mean) / m.samples
 }
 
-// time gives the mean, and the least time that there is where no run was seen.
-func (m *meanRunTime) time() admission.Time { return admission.Time(max(1, m.mean)) }
+// value gives the mean, and the least time that there is where no run was seen.
+func (m *meanRunTime) value() admission.Time { return admission.Time(max(1, m.mean)) }
 
 // NewRecording gives an empty one for so many handlers.
 func NewRecording(handlers int) *Recording {
--- a/internal/node/shadow/replay.go
+++ b/internal/node/shadow/replay.go
@@ -10,11 +10,11 @@
 	// probesPerHandler are requests that come one at a time, whatever was recorded. Enough that half of them is no
 	// chance.
 	probesPerHandler = 20
-	// restAfterReplay is waited before the probes, beyond the longest timeout: past what the controller remembers of
+	// probeDelay is waited before the probes, beyond the longest timeout: past what the controller remembers of
 	// load, so that probes find it at rest.
-	restAfterReplay = 10 * admission.Second
-	// probeSpacing is how many latency objectives lie between two probes of a handler: the last one has ended by then.
-	probeSpacing = 4
+	probeDelay = 10 * admission.Second
+	// probeSpacingObjectives is how many latency objectives lie between two probes of a handler: the last one has ended by then.
+	probeSpacingObjectives = 4
 	// minProbeSpacing is the same for handlers with the shortest objectives.
 	minProbeSpacing = admission.Second / 100
 	// maxTimeout bounds for how long a replay waits for a request.
@@ -35,10 +35,10 @@
 		runTimes: rec.runTimes, outcome: Outcome{ProbesCompleted: make([]int, len(plan.Handlers))}}
 	s.controller = admission.New(&plan)
 	s.replayArrivals(rec)
-	s.advanceTo(s.now + s.longestTimeout() + restAfterReplay)
+	s.advanceTo(s.now + s.longestTimeout() + probeDelay)
 	s.probe()
 	s.advanceTo(s.now + s.longestTimeout())
-	s.outcome.Unanswered += len(s.inHand)
+	s.outcome.Unanswered += len(s.open)
 	return s.outcome
 }
 
@@ -59,11 +59,11 @@
 func (s *server) probe() {
 	id := uint32(MaxRequests)
 	for handler := range s.deployment.Handlers {
-		spacing := probeSpacing * max(s.deployment.Handlers[handler].LatencyObjective, minProbeSpacing)
+		spacing := probeSpacingObjectives * max(s.deployment.Handlers[handler].LatencyObjective, minProbeSpacing)
 		for n := 0; n < probesPerHandler && s.outcome.Rounds < 2*maxRounds; n++ {
 			id++
-			s.arrive(&arrival{handler: uint16(handler), kb: probeKB, runTime: s.runTimes[handler].time(),
-				isProbing: true}, id)
+			s.arrive(&arrival{handler: uint16(handler), kb: probeKB, runTime: s.runTimes[handler].value(),
+				isProbe: true}, id)
 			s.advanceTo(s.now + spacing)
 		}
 	}
--- a/internal/node/shadow/server.go
+++ b/internal/node/shadow/server.go
@@ -13,7 +13,7 @@
 	now      admission.Time
 	wakeAt   admission.Time // 0: the controller wants no wake-up
 	requests map[uint32]*request
-	inHand   []uint32 // ids, in the order in which they came
+	open     []uint32 // ids, in the order in which they came
 	round    admission.Round
 	memoryKB float64
 	outcome  Outcome
@@ -34,7 +34,7 @@
 func (s *server) arrive(a *arrival, id uint32) {
 	handler := &s.deployment.Handlers[a.handler]
 	if int(a.handler) < len(s.retired) && s.retired[a.handler] {
-		if !a.isProbing {
+		if !a.isProbe {
 			s.outcome.Offered++
 			s.outcome.Shed++
 		}
@@ -45,12 +45,12 @@
 		r.deadline = s.now + a.timeLeft
 	}
 	if r.remaining == 0 {
-		r.remaining = s.runTimes[a.handler].time()
+		r.remaining = s.runTimes[a.handler].value()
 	}
 	s.requests[id] = r
-	s.inHand = append(s.inHand, id)
+	s.open = append(s.open, id)
 	s.allocate(a.kb)
-	if !a.isProbing {
+	if !a.isProbe {
 		s.outcome.Offered++
 	}
 	s.round.Arrived = append(s.round.Arrived, s.admissionRequest(a, id, r.deadline))
@@ -80,10 +80,10 @@
 func (s *server) advanceTo(end admission.Time) {
 	for {
 		s.now = max(s.now, s.nextEvent(end))
-		s.endRuns()
+		s.endRunsAndTimeouts()
 		if s.wakeAt > 0 && s.wakeAt <= s.now {
 			s.wakeAt, s.round.TimerFired = 0, true
-			s.round.HasGauges, s.round.Gauges.Runnable = true, float64(s.running())
+			s.round.HasGauges, s.round.Gauges.Runnable = true, float64(s.runningCount())
 		}
 		if n := &s.round; len(n.Arrived)+len(n.RunEnds)+len(n.Disconnected) > 0 || n.TimerFired {
 			s.decide()
@@ -102,7 +102,7 @@
 	if s.wakeAt > 0 {
 		at = min(at, max(s.wakeAt, s.now))
 	}
-	for _, id := range s.inHand {
+	for _, id := range s.open {
 		r := s.requests[id]
 		if r.endsAt > 0 {
 			at = min(at, r.endsAt)
@@ -114,11 +114,11 @@
 	return at
 }
 
-// endRuns ends the runs whose time is over and the requests that are due, and lets go of those of which nothing is
+// endRunsAndTimeouts ends the runs whose time is over and the requests that are due, and lets go of those of which nothing is
 // left.
-func (s *server) endRuns() {
-	still := s.inHand[:0]
-	for _, id := range s.inHand {
+func (s *server) endRunsAndTimeouts() {
+	still := s.open[:0]
+	for _, id := range s.open {
 		r := s.requests[id]
 		switch {
 		case r.endsAt > 0 && r.endsAt <= s.now:
@@ -139,7 +139,7 @@
 			delete(s.requests, id)
 		}
 	}
-	s.inHand = still
+	s.open = still
 }
 
 // decide has the controller decide on what has happened.
@@ -154,8 +154,8 @@
 // runKB is what a run holds in memory beside its request.
 func (s *server) runKB(r *request) float64 { return r.arrival.kb * (s.deployment.RunMemoryFactor - 1) }
 
-func (s *server) running() (n int) {
-	for _, id := range s.inHand {
+func (s *server) runningCount() (n int) {
+	for _, id := range s.open {
 		if r := s.requests[id]; r != nil && r.endsAt > 0 {
 			n++
 		}
@@ -171,7 +171,7 @@
 	s.memoryKB -= r.arrival.kb
 	switch handler := &s.deployment.Handlers[r.arrival.handler]; {
 	case !completed:
-	case r.arrival.isProbing:
+	case r.arrival.isProbe:
 		s.outcome.ProbesCompleted[r.arrival.handler]++
 	default:
 		s.outcome.Completed++
@@ -217,7 +217,7 @@
 	if r == nil || r.answered {
 		return
 	}
-	if !r.arrival.isProbing {
+	if !r.arrival.isProbe {
 		*count++
 	}
 	s.answer(r, false)
