--- a/internal/control/recovery/cold_start.go
+++ b/internal/control/recovery/cold_start.go
@@ -1,17 +1,15 @@
 package recovery
 
-// ColdStartWindowMS is within which starts of nodes belong together, in ms. Most platforms start nodes that were killed
-// together within some seconds of each other; a longer window would take a rolling release for a restart.
+// ColdStartWindowMS is the uptime in ms below which a node counts as restarted. Platforms start nodes that were killed
+// together within some seconds of each other; a rolling release takes longer.
 const ColdStartWindowMS = 10_000
 
-// minColdStartNodes: one node alone that restarts, as in a fleet of two, is a lone restart among warm nodes.
+// minColdStartNodes keeps a lone restart, as in a fleet of two, from counting as a cold start.
 const minColdStartNodes = 2
 
-// IsColdStart decides whether most of a fleet has just restarted.
-//
-// Inputs: how many nodes have been up for less than ColdStartWindowMS, and how many are in. The reason: services
-// below a fleet that restarts together are cold and bear a part of what they bore. It acts where half or more of the
-// nodes are young. It may harm a fleet that is released in halves: that ramps though its services are warm.
+// IsColdStart decides whether a fleet has just restarted: at least half of its nodes, and at least minColdStartNodes,
+// have been up for less than ColdStartWindowMS. Services below such a fleet are cold and have a fraction of their
+// usual capacity.
 func IsColdStart(restarted, total int) bool {
 	return restarted >= minColdStartNodes && 2*restarted >= total
 }
--- a/internal/control/recovery/cold_start_test.go
+++ b/internal/control/recovery/cold_start_test.go
@@ -4,16 +4,18 @@
 	"testing"
 )
 
-// TestIsColdStart: a lone restart among warm nodes must cost nothing, and a restart of most of the fleet must be
-// found. It is one if half or more of the nodes are young, and two at least.
+// TestIsColdStart guards against ramping a warm fleet because one node restarted, and against missing a restart of
+// half the fleet or more.
 func TestIsColdStart(t *testing.T) {
 	for _, c := range []struct {
-		young, in int
-		common    bool
-	}{{1, 100, false}, {1, 1, false}, {1, 2, false}, {2, 2, true}, {49, 100, false}, {50, 100, true}, {88, 100,
-		true}, {0, 0, false}} {
-		if got := IsColdStart(c.young, c.in); got != c.common {
-			t.Errorf("%d of %d: %v, expected %v", c.young, c.in, got, c.common)
+		restarted, total int
+		want             bool
+	}{
+		{1, 100, false}, {1, 1, false}, {1, 2, false}, {2, 2, true}, {49, 100, false}, {50, 100, true}, {88, 100, true},
+		{0, 0, false},
+	} {
+		if got := IsColdStart(c.restarted, c.total); got != c.want {
+			t.Errorf("IsColdStart(%d, %d) = %v, want %v", c.restarted, c.total, got, c.want)
 		}
 	}
 }
--- a/internal/control/recovery/doc.go
+++ b/internal/control/recovery/doc.go
@@ -1,16 +1,17 @@
-// Package recovery decides about two rare starts: a fleet of which most nodes restart at once, and a group of control
-// instances that lost its state, in whole or in part.
+// Package recovery decides whether most nodes of a fleet have just restarted (IsColdStart), whether a group of control
+// instances has lost state (GroupState.LostState), and what a lost group is restored from (PlanRestore).
 //
-// It owns no state. Its inputs are plain values: how many nodes began lately, what nodes remember of their fleet
-// (api.NodeRecord), what an old folder of the group holds (StoredGroup), and where a group's own state stands
-// (GroupState). Times are in milliseconds. It reads no clock, no file and no socket, and uses no random source.
+// It owns no state and reads no clock, file, socket or random source. Its inputs are plain values: counts of nodes, the
+// records that nodes keep of their fleet (api.NodeRecord), the content of an old data folder of the group (StoredGroup)
+// and the group's current state (GroupState). Times are in milliseconds.
 //
-// Invariants: nothing is restored by guess. A text counts by its hash, a version as committed by a node that served
-// under it, as decided by a node that promised it; what is at odds is a conflict for an operator, what nobody holds is
-// named. The package never decides that a group has lost state by anything but what the group itself told a node.
+// Invariants: nothing is restored by guess. A text counts only if it has its recorded hash. A version counts as
+// committed if a node served under it, and as decided if a node promised to serve under nothing older. Contradicting
+// records are a conflict that an operator resolves, and a text that is missing is listed as unknown. A group counts as
+// having lost state only by what that same group sent to a node.
 //
-// Recovery here is of a group; "umberctl control recover" is its command, a ramp that returns load to a zone is in
-// package zones, and what an opened store found on disk is resultstore.Recovery. What holds a restarted fleet back is
-// spread: zones (BeginColdStart, the ramp), coordinator (limits of new nodes, the time that a new leader listens),
-// membership (the wait after many joins) and zonegate (nodes without the group).
+// The command "umberctl control recover" applies the plan. Other recoveries are elsewhere: the ramp that returns load
+// to a zone is in package zones, and resultstore.Recovery is what opening a result store found on disk. The protection
+// of a restarted fleet is spread over zones (BeginColdStart, the ramp), coordinator (limit of new nodes, listen phase
+// of a new leader), membership (join backoff) and zonegate (nodes without the group).
 package recovery
--- a/internal/control/recovery/lost_state.go
+++ b/internal/control/recovery/lost_state.go
@@ -6,37 +6,33 @@
 	"umberwinch/internal/control/api"
 )
 
-// GroupState is where a group's own state stands.
+// GroupState is the group's current position and its lookups of earlier entries and versions.
 type GroupState struct {
 	Group          string
 	Generation     uint64
 	Term           uint64
-	Index          uint64 // of its log
+	Index          uint64 // last entry of its log
 	DecidedVersion uint64
 	ZoneEpoch      uint64
-	// HashOf returns the hash of a version's text, empty if the group keeps it no more.
+	// HashOf returns the hash of a version's text, empty if the group no longer stores it.
 	HashOf func(version uint64) string
-	// ChecksumAt returns the checksum of an entry of the log, 0 for an entry that has none; known is false where the
-	// group keeps it no more. Nil: none is kept.
+	// ChecksumAt returns the checksum of a log entry, 0 for an entry that has none; known is false if the
+	// group no longer stores it. Nil means that no checksums are stored.
 	ChecksumAt func(index uint64) (checksum uint64, known bool)
 }
 
-// LostState decides whether a node was told something by this very generation of the group that the group does not
-// know, and returns what; empty if there is nothing.
+// LostState returns the first contradiction between a node's record of this generation of the group and the group's
+// state, empty if there is none. Responses to nodes carry only committed state, so a group that lost nothing has it.
 //
-// Inputs: where the group's own state stands, and what the node remembers. What a node was told was committed before,
-// so a group that lost nothing knows it.
-//
-// It guards against a group that was put back to an older copy of its state, or lost the newest of it: it would grant
-// leases and decide versions that contradict what nodes act on. It shows as a node that knows a later entry, term,
-// decision or epoch, or another text or entry by the same number. The last two hold also once the group's log has
-// outgrown what was lost. The caller must not act on one node's word alone, which may be wrong.
+// It guards against a group that was reset to an older copy of its state or lost the end of its log, and would grant
+// leases and decide versions that contradict the earlier ones. Differing texts and checksums show this even after the
+// log has grown past the lost entries. A single record may be wrong: the caller needs evidence from several nodes.
 func (g *GroupState) LostState(node *api.NodeRecord) string {
 	if node.Group != g.Group || node.Generation != g.Generation {
-		return "" // of another generation: whoever is behind is told so
+		return "" // not comparable
 	}
-	if later := g.behindNode(node); later != "" {
-		return later
+	if contradiction := g.behindNode(node); contradiction != "" {
+		return contradiction
 	}
 	if node.EntryChecksum != 0 && g.ChecksumAt != nil {
 		if checksum, known := g.ChecksumAt(node.Index); known && checksum != node.EntryChecksum {
@@ -51,7 +47,7 @@
 	return ""
 }
 
-// behindNode returns what a node was told that is later than all that the group has.
+// behindNode returns the first position in a node's record that is later than the group's, empty if there is none.
 func (g *GroupState) behindNode(node *api.NodeRecord) string {
 	switch {
 	case node.Index > g.Index:
--- a/internal/control/recovery/plan.go
+++ b/internal/control/recovery/plan.go
@@ -9,26 +9,25 @@
 	"umberwinch/internal/control/membership"
 )
 
-// MaxRecords are collected: one of each node that a fleet may have.
+// MaxRecords is the maximum number of records collected, one for each node of a fleet.
 const MaxRecords = membership.MaxNodes
 
-// StoredGroup is what an old folder of the group holds: proof of its own, as of some time ago.
+// StoredGroup is the state in an old data folder or snapshot of the group, which may be out of date.
 type StoredGroup struct {
 	api.GroupIdentity
-	LastVersion        uint64 // the newest, committed or not
+	LastVersion        uint64 // newest version, committed or not
 	DecidedVersion     uint64
 	CommittedVersion   uint64
-	Index              uint64 // of its log
+	Index              uint64 // last entry of its log
 	ZoneEpoch          uint64
-	Nodes              []string // that were in
-	Autonomous         bool     // the policy in force lets nodes serve without a lease
-	LeaseMS            uint64   // of the policy in force
-	UncommittedEntries uint64   // of its log, that are not known to be committed
-	// TextOf returns a version's text and hash; ok is false for one that is not kept. Nil: no text is.
+	Nodes              []string // nodes of the fleet that were not out
+	Autonomous         bool     // the committed policy lets nodes serve without a lease
+	LeaseMS            uint64   // of the committed policy
+	UncommittedEntries uint64   // entries of its log that are not known to be committed
+	// TextOf returns a version's text and hash; ok is false if it is not stored. Nil means that no text is stored.
 	TextOf func(version uint64) (text, hash string, ok bool)
 }
 
-// text returns a version's text and hash.
 func (s *StoredGroup) text(version uint64) (text, hash string, ok bool) {
 	if s.TextOf == nil {
 		return "", "", false
@@ -36,41 +35,40 @@
 	return s.TextOf(version)
 }
 
-// RestorePlan is what would be restored, and on what grounds.
+// RestorePlan is the state that a restored group begins with and its evidence.
 type RestorePlan struct {
-	Lost          api.GroupIdentity `json:"of"`      // the group that is gone
-	Version       uint64            `json:"version"` // committed at the start; 0: nobody served under any
+	Lost          api.GroupIdentity `json:"of"`      // the group that lost its state
+	Version       uint64            `json:"version"` // committed at the start; 0: no version was decided
 	Text          string            `json:"-"`
 	Hash          string            `json:"hash,omitempty"`
-	SourceVersion uint64            `json:"was"`   // the number that the text had
-	Proof         string            `json:"proof"` // how it is known
-	ZoneEpoch     uint64            `json:"epoch"` // epochs of zones go on after it
+	SourceVersion uint64            `json:"was"`   // the version that Text is taken from
+	Proof         string            `json:"proof"` // evidence that the version was decided or committed
+	ZoneEpoch     uint64            `json:"epoch"` // newest zone epoch seen; new epochs are higher
 	LeaseMS       uint64            `json:"lease_ms"`
-	Records       []api.NodeRecord  `json:"-"` // that count
+	Records       []api.NodeRecord  `json:"-"` // of the lost generation
 	Nodes         []string          `json:"nodes"`
-	NotCounted    []string          `json:"not_counted,omitempty"` // nodes whose records do not count, and why
-	Unknown       []string          `json:"unknown,omitempty"`     // what can't be known
-	Conflict      string            `json:"conflict,omitempty"`    // nothing is restored before an operator has chosen
+	NotCounted    []string          `json:"not_counted,omitempty"` // nodes whose records are ignored, and why
+	Unknown       []string          `json:"unknown,omitempty"`     // state that no record and no folder proves
+	Conflict      string            `json:"conflict,omitempty"`    // nothing is restored until it is resolved
 }
 
-// planner works a plan out.
+// planner holds the inputs and intermediate results of PlanRestore.
 type planner struct {
 	plan   *RestorePlan
-	stored *StoredGroup // nil without an old folder
-	choice string       // beginning of a hash, empty without an operator's choice
-	texts  map[uint64][]*versionText
+	stored *StoredGroup              // nil without an old folder
+	choice string                    // hash chosen by an operator, or its prefix; may be empty
+	texts  map[uint64][]*versionText // by version
 
-	decided   uint64 // the newest version that somebody knows as decided
-	decidedBy string
+	decided   uint64 // newest version known to be decided
+	decidedBy string // name of the node or storedGroupHolder
 }
 
-// PlanRestore decides what a lost group is restored from.
+// PlanRestore plans the restoration of a lost group from node records and an old folder (nil if there is none).
 //
-// Inputs: what nodes remember, what an old folder holds (nil without one), and the hash that an operator chose, in
-// whole or its beginning, where two texts have one number. The newest decided version is restored of which a text is
-// proved; an older one, under a new number, where nobody holds that text. The plan has a conflict, and restores
-// nothing, where records contradict each other. It never guesses: what nobody holds is in Unknown. An operator reads
-// the plan before it is carried out; nodes that were not heard may have been told more.
+// It restores the newest decided version with a proven text, under a new number if a newer version was decided whose
+// text is missing. choice is a hash or its prefix, by which an operator picks one of two texts of the same version.
+// Contradicting records give a plan with a Conflict, which restores nothing. An operator reviews the plan before it is
+// applied, since nodes without a record may have had newer state.
 func PlanRestore(records []api.NodeRecord, stored *StoredGroup, choice string) *RestorePlan {
 	p := &planner{plan: &RestorePlan{}, stored: stored, choice: choice, texts: map[uint64][]*versionText{}}
 	records = slices.Clone(records)
@@ -85,8 +83,8 @@
 	return p.plan
 }
 
-// findGroup finds the newest generation among all, and whose records are of it. Two groups of one generation are a
-// conflict: somebody restored twice.
+// findGroup finds the newest generation and the records that belong to it. Two groups of the same generation are a
+// conflict: the group was restored twice.
 func (p *planner) findGroup(records []api.NodeRecord) {
 	plan := p.plan
 	if p.stored != nil {
@@ -120,7 +118,7 @@
 	}
 }
 
-// excludeRecord names a record of an earlier generation.
+// excludeRecord ignores a record of an earlier generation and adds its group to the predecessors.
 func (p *planner) excludeRecord(record *api.NodeRecord) {
 	lost := &p.plan.Lost
 	p.plan.NotCounted = append(p.plan.NotCounted, fmt.Sprintf("%s is of generation %d, the newest heard of is %d",
@@ -130,7 +128,7 @@
 	}
 }
 
-// collectEvidence takes what the records and the folder prove.
+// collectEvidence gathers the decided version, zone epoch, lease and texts from the records and the folder.
 func (p *planner) collectEvidence() {
 	plan := p.plan
 	if p.stored != nil {
@@ -158,8 +156,8 @@
 	}
 }
 
-func (p *planner) recordDecided(version uint64, by string) {
+func (p *planner) recordDecided(version uint64, holder string) {
 	if version > p.decided {
-		p.decided, p.decidedBy = version, by
+		p.decided, p.decidedBy = version, holder
 	}
 }
--- a/internal/control/recovery/plan_test.go
+++ b/internal/control/recovery/plan_test.go
@@ -9,99 +9,152 @@
 	"umberwinch/internal/control/document"
 )
 
-// newNodeRecord makes what a node remembers: it serves under a version of a text, and was told of another as decided.
-func newNodeRecord(name string, version uint64, text string, floor uint64) api.NodeRecord {
+// newNodeRecord returns the record of a node that serves under a version and promised minVersion.
+func newNodeRecord(name string, version uint64, text string, minVersion uint64) api.NodeRecord {
 	return api.NodeRecord{Name: name, Zone: "z", Group: "g1", Generation: 1, Term: 3, Index: 100,
-		ActiveVersion: version,
-		ActiveText:    text,
-		ActiveHash:    document.Hash([]byte(text)), MinVersion: floor, ZoneEpoch: 4, ZoneShare: 256, LeaseMS: 5000}
+		ActiveVersion: version, ActiveText: text, ActiveHash: document.Hash([]byte(text)), MinVersion: minVersion,
+		ZoneEpoch: 4, ZoneShare: 256, LeaseMS: 5000}
 }
 
-// newStoredGroup makes what an old folder holds: versions with texts t1, t2, ...
-func newStoredGroup(last, need, force uint64) *StoredGroup {
+// newStoredGroup returns the content of an old folder with the versions 1 to last, whose texts are t1, t2, ...
+func newStoredGroup(last, decided, committed uint64) *StoredGroup {
 	return &StoredGroup{GroupIdentity: api.GroupIdentity{Group: "g1", Generation: 1}, LastVersion: last,
-		DecidedVersion: need, CommittedVersion: force, Index: 90, Nodes: []string{"a", "b", "x"},
-		LeaseMS: 2000, TextOf: func(n uint64) (string, string, bool) {
-			text := fmt.Sprint("t", n)
-			return text, document.Hash([]byte(text)), n > 0 && n <= last
+		DecidedVersion: decided, CommittedVersion: committed, Index: 90, Nodes: []string{"a", "b", "x"},
+		LeaseMS: 2000, TextOf: func(version uint64) (string, string, bool) {
+			text := fmt.Sprint("t", version)
+			return text, document.Hash([]byte(text)), version > 0 && version <= last
 		}}
 }
 
-// TestPlanRestore: a group lost its state, and nodes and an old folder remember parts of it. If a text were restored
-// that nobody served under, or an older one by its old number, nodes would serve under different policies by one
-// number. Only what proves itself is restored; what is at odds is a conflict, and what nobody holds is named.
+// TestPlanRestore guards against restoring a text that no node served under, or an older text under its old number:
+// nodes would serve under different policies of the same version.
 func TestPlanRestore(t *testing.T) {
-	next := newNodeRecord("b", 6, "t6", 7) // prepared 7, which is decided
-	next.PreparedVersion, next.PreparedText, next.PreparedHash = 7, "t7", document.Hash([]byte("t7"))
-	undecided := next
+	decided := newNodeRecord("b", 6, "t6", 7) // prepared version 7, which is decided
+	decided.PreparedVersion, decided.PreparedText, decided.PreparedHash = 7, "t7", document.Hash([]byte("t7"))
+	undecided := decided
 	undecided.MinVersion = 6
-	spoilt := newNodeRecord("a", 9, "t9", 9)
-	spoilt.ActiveText = "t9 with a bit flipped"
-	later := newNodeRecord("c", 3, "t3", 3)
-	later.Group, later.Generation = "g2", 2
-	sibling := newNodeRecord("d", 3, "t3", 3)
-	sibling.Group = "g9"
-	other := newNodeRecord("a", 7, "another t7", 7)
+	corrupt := newNodeRecord("a", 9, "t9", 9)
+	corrupt.ActiveText = "t9 with a bit flipped"
+	nextGeneration := newNodeRecord("c", 3, "t3", 3)
+	nextGeneration.Group, nextGeneration.Generation = "g2", 2
+	otherGroup := newNodeRecord("d", 3, "t3", 3)
+	otherGroup.Group = "g9"
 	for _, c := range []struct {
-		what     string
-		kept     []api.NodeRecord
-		base     *StoredGroup
-		take     string
-		version  uint64
-		was      uint64
-		gen      uint64
-		proof    string // part of it, or of the conflict
-		unknown  string // part of one of them
-		conflict bool
+		name           string
+		records        []api.NodeRecord
+		stored         *StoredGroup
+		choice         string
+		wantVersion    uint64
+		wantSource     uint64
+		wantGeneration uint64
+		wantProof      string // substring of the proof or of the conflict
+		wantUnknown    string // substring of the unknowns
+		wantConflict   bool   // versions and generation are not compared
 	}{
-		{"nobody and nothing", nil, nil, "", 0, 0, 0, "nobody served", "nodes that were not heard", false},
-		{"nodes alone", []api.NodeRecord{newNodeRecord("a", 5, "t5", 5), newNodeRecord("b", 6, "t6", 6)}, nil, "", 6, 6, 1,
-			"served under by b", "not heard", false},
-		{"decided, prepared by one, taken over by nobody", []api.NodeRecord{newNodeRecord("a", 6, "t6", 6), next}, nil, "", 7, 7,
-			1, "prepared by b", "", false},
-		{"prepared, and not decided as anybody knows", []api.NodeRecord{newNodeRecord("a", 6, "t6", 6), undecided}, nil, "",
-			6, 6,
-			1, "served under by a, b", "",
-			false},
-		{"decided, and nobody has the text", []api.NodeRecord{newNodeRecord("a", 6, "t6", 8)}, nil, "", 9, 6, 1,
-			"served under by a", "nobody holds its text",
-			false},
-		{"a text that its hash does not fit", []api.NodeRecord{spoilt, newNodeRecord("b", 6, "t6", 6)}, nil, "", 10, 6, 1,
-			"served under by b",
-			"nobody holds its text", false},
-		{"a folder alone", nil, newStoredGroup(6, 5, 5), "", 5, 5, 1, "the folder", "a, b, x: not heard", false},
-		{"an older folder", []api.NodeRecord{newNodeRecord("a", 8, "t8", 8)}, newStoredGroup(6, 5, 5), "", 8, 8, 1, "served under by a",
-			"entry 90", false},
-		{"a folder that went on another way", []api.NodeRecord{newNodeRecord("a", 6, "another t6", 6)}, newStoredGroup(6, 5, 5), "",
-			7, 6,
-			1, "served under by a", "",
-			false},
-		{"the same, and an operator chose", []api.NodeRecord{newNodeRecord("a", 6, "another t6", 6)}, newStoredGroup(6, 6, 6),
-			document.Hash([]byte("another t6"))[:12], 7, 6, 1,
-			"served under by a", "", false},
-		{"two texts by one number", []api.NodeRecord{other, newNodeRecord("b", 7, "t7", 7)}, nil, "", 0, 0, 1,
-			"name one with --take", "", true},
-		{"a newer generation", []api.NodeRecord{newNodeRecord("a", 9, "t9", 9), later}, nil, "", 3, 3, 2, "served under by c",
-			"",
-			false},
-		{"two groups of one generation", []api.NodeRecord{newNodeRecord("a", 3, "t3", 3), sibling}, nil, "", 0, 0, 1,
-			"go on apart", "", true},
+		{
+			name:      "no records and no folder",
+			wantProof: "nobody served", wantUnknown: "nodes that were not heard",
+		},
+		{
+			name:        "records only",
+			records:     []api.NodeRecord{newNodeRecord("a", 5, "t5", 5), newNodeRecord("b", 6, "t6", 6)},
+			wantVersion: 6, wantSource: 6, wantGeneration: 1,
+			wantProof: "served under by b", wantUnknown: "not heard",
+		},
+		{
+			name:        "decided version prepared by one node and active on none",
+			records:     []api.NodeRecord{newNodeRecord("a", 6, "t6", 6), decided},
+			wantVersion: 7, wantSource: 7, wantGeneration: 1,
+			wantProof: "prepared by b",
+		},
+		{
+			name:        "prepared version not known to be decided",
+			records:     []api.NodeRecord{newNodeRecord("a", 6, "t6", 6), undecided},
+			wantVersion: 6, wantSource: 6, wantGeneration: 1,
+			wantProof: "served under by a, b",
+		},
+		{
+			name:        "text of the decided version is missing",
+			records:     []api.NodeRecord{newNodeRecord("a", 6, "t6", 8)},
+			wantVersion: 9, wantSource: 6, wantGeneration: 1,
+			wantProof: "served under by a", wantUnknown: "nobody holds its text",
+		},
+		{
+			name:        "text does not match its hash",
+			records:     []api.NodeRecord{corrupt, newNodeRecord("b", 6, "t6", 6)},
+			wantVersion: 10, wantSource: 6, wantGeneration: 1,
+			wantProof: "served under by b", wantUnknown: "nobody holds its text",
+		},
+		{
+			name:        "folder only",
+			stored:      newStoredGroup(6, 5, 5),
+			wantVersion: 5, wantSource: 5, wantGeneration: 1,
+			wantProof: "the folder", wantUnknown: "a, b, x: not heard",
+		},
+		{
+			name:        "folder older than a record",
+			records:     []api.NodeRecord{newNodeRecord("a", 8, "t8", 8)},
+			stored:      newStoredGroup(6, 5, 5),
+			wantVersion: 8, wantSource: 8, wantGeneration: 1,
+			wantProof: "served under by a", wantUnknown: "entry 90",
+		},
+		{
+			name:        "folder has diverged",
+			records:     []api.NodeRecord{newNodeRecord("a", 6, "another t6", 6)},
+			stored:      newStoredGroup(6, 5, 5),
+			wantVersion: 7, wantSource: 6, wantGeneration: 1,
+			wantProof: "served under by a",
+		},
+		{
+			name:        "folder has diverged, with an operator's choice",
+			records:     []api.NodeRecord{newNodeRecord("a", 6, "another t6", 6)},
+			stored:      newStoredGroup(6, 6, 6),
+			choice:      document.Hash([]byte("another t6"))[:12],
+			wantVersion: 7, wantSource: 6, wantGeneration: 1,
+			wantProof: "served under by a",
+		},
+		{
+			name:         "two texts of one version",
+			records:      []api.NodeRecord{newNodeRecord("a", 7, "another t7", 7), newNodeRecord("b", 7, "t7", 7)},
+			wantProof:    "name one with --take",
+			wantConflict: true,
+		},
+		{
+			name:        "newer generation",
+			records:     []api.NodeRecord{newNodeRecord("a", 9, "t9", 9), nextGeneration},
+			wantVersion: 3, wantSource: 3, wantGeneration: 2,
+			wantProof: "served under by c",
+		},
+		{
+			name:         "two groups of one generation",
+			records:      []api.NodeRecord{newNodeRecord("a", 3, "t3", 3), otherGroup},
+			wantProof:    "go on apart",
+			wantConflict: true,
+		},
 	} {
-		f := PlanRestore(c.kept, c.base, c.take)
-		said := f.Proof + f.Conflict
-		if c.conflict != (f.Conflict != "") || !c.conflict && (f.Version != c.version ||
-			f.SourceVersion != c.was || f.Lost.Generation != c.gen) || !strings.Contains(said, c.proof) ||
-			!strings.Contains(strings.Join(f.Unknown, "; "),
-				c.unknown) {
-			t.Errorf("%s: %+v, expected version %d of %d, generation %d, %q, %q", c.what, f, c.version, c.was, c.gen,
-				c.proof, c.unknown)
+		plan := PlanRestore(c.records, c.stored, c.choice)
+		if got := plan.Conflict != ""; got != c.wantConflict {
+			t.Errorf("%s: conflict %q, want one: %v", c.name, plan.Conflict, c.wantConflict)
 		}
-		if f.Conflict == "" && f.Hash != "" && document.Hash([]byte(f.Text)) != f.Hash {
-			t.Errorf("%s: a text of another hash", c.what)
+		if !c.wantConflict && (plan.Version != c.wantVersion || plan.SourceVersion != c.wantSource ||
+			plan.Lost.Generation != c.wantGeneration) {
+			t.Errorf("%s: version %d with the text of %d, generation %d; want version %d with the text of %d, generation %d",
+				c.name, plan.Version, plan.SourceVersion, plan.Lost.Generation,
+				c.wantVersion, c.wantSource, c.wantGeneration)
+		}
+		if got := plan.Proof + plan.Conflict; !strings.Contains(got, c.wantProof) {
+			t.Errorf("%s: proof or conflict %q, want %q in it", c.name, got, c.wantProof)
+		}
+		if got := strings.Join(plan.Unknown, "; "); !strings.Contains(got, c.wantUnknown) {
+			t.Errorf("%s: unknown %q, want %q in it", c.name, got, c.wantUnknown)
+		}
+		if plan.Conflict == "" && plan.Hash != "" && document.Hash([]byte(plan.Text)) != plan.Hash {
+			t.Errorf("%s: hash %s does not match text %q", c.name, plan.Hash, plan.Text)
 		}
 	}
-	if f := PlanRestore([]api.NodeRecord{newNodeRecord("a", 6, "t6", 6)}, newStoredGroup(4, 4, 4), ""); f.ZoneEpoch != 4 ||
-		f.LeaseMS != 5000 {
-		t.Errorf("epoch %d, lease %d: expected the newest and the longest of all", f.ZoneEpoch, f.LeaseMS)
+	plan := PlanRestore([]api.NodeRecord{newNodeRecord("a", 6, "t6", 6)}, newStoredGroup(4, 4, 4), "")
+	if plan.ZoneEpoch != 4 || plan.LeaseMS != 5000 {
+		t.Errorf("zone epoch %d, lease %d ms; want the newest epoch 4 and the longest lease 5000 ms",
+			plan.ZoneEpoch, plan.LeaseMS)
 	}
 }
--- a/internal/control/recovery/unheard.go
+++ b/internal/control/recovery/unheard.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// maxNamesInMessage names stand in a message; of a large fleet the others are counted.
+// maxNamesInMessage is the maximum number of names listed in a message; the others are counted.
 const maxNamesInMessage = 8
 
-// addUnknowns names what can't be known: what is with nodes that were not heard, and what the old folder may lack.
+// addUnknowns lists the state that can't be proven: that of nodes without a record, and what the old folder may lack.
 func (p *planner) addUnknowns() {
 	if p.stored == nil {
 		p.addUnknown("nodes that were not heard: what they were told, and whether there are any; versions that were " +
@@ -30,27 +30,29 @@
 	}
 }
 
+// addMissingNodes lists the nodes of the old folder that have no record, and until when they may serve.
 func (p *planner) addMissingNodes() {
-	var unheard []string
+	var missing []string
 	for _, name := range p.stored.Nodes {
 		if !slices.Contains(p.plan.Nodes, name) {
-			unheard = append(unheard, name)
+			missing = append(missing, name)
 		}
 	}
-	if len(unheard) == 0 {
+	if len(missing) == 0 {
 		return
 	}
 	until := "for the rest of its lease"
 	if p.stored.Autonomous {
 		until = "for as long as they are not heard, as when_alone = go-on was in force"
 	}
-	p.addUnknown("%s: not heard; may serve under what they were told %s", joinNames(unheard), until)
+	p.addUnknown("%s: not heard; may serve under what they were told %s", joinNames(missing), until)
 }
 
 func (p *planner) addUnknown(format string, args ...any) {
 	p.plan.Unknown = append(p.plan.Unknown, fmt.Sprintf(format, args...))
 }
 
+// joinNames lists at most maxNamesInMessage names and counts the others.
 func joinNames(names []string) string {
 	if len(names) > maxNamesInMessage {
 		return fmt.Sprintf("%s and %d more", strings.Join(names[:maxNamesInMessage], ", "), len(names)-maxNamesInMessage)
--- a/internal/control/recovery/version.go
+++ b/internal/control/recovery/version.go
@@ -8,47 +8,46 @@
 	"umberwinch/internal/control/document"
 )
 
-// storedGroupHolder stands for the old folder among the names of nodes.
+// storedGroupHolder names the old folder among the holders of a text.
 const storedGroupHolder = "the folder"
 
-// versionText is a text that somebody holds by a version's number.
+// versionText is a text found for a version and the nodes that hold it.
 type versionText struct {
 	version  uint64
 	hash     string
 	text     string
-	active   []string // who served under it
-	prepared []string // who only prepared it
+	active   []string // holders that served under it
+	prepared []string // holders that only prepared it
 }
 
-// addText notes who holds a version's text.
-//
-// It guards against a spoilt text being restored: one that does not have its hash counts for nothing.
+// addText adds a holder of a version's text. It ignores a text that does not match its hash, so that a corrupt text is
+// never restored.
 func (p *planner) addText(version uint64, hash, text, holder string, active bool) {
 	if version == 0 || hash == "" || document.Hash([]byte(text)) != hash {
 		return
 	}
-	known := p.textByHash(version, hash)
-	if known == nil {
-		known = &versionText{version: version, hash: hash, text: text}
-		p.texts[version] = append(p.texts[version], known)
+	entry := p.textByHash(version, hash)
+	if entry == nil {
+		entry = &versionText{version: version, hash: hash, text: text}
+		p.texts[version] = append(p.texts[version], entry)
 	}
 	if active {
-		known.active = append(known.active, holder)
+		entry.active = append(entry.active, holder)
 	} else {
-		known.prepared = append(known.prepared, holder)
+		entry.prepared = append(entry.prepared, holder)
 	}
 }
 
 func (p *planner) textByHash(version uint64, hash string) *versionText {
-	for _, known := range p.texts[version] {
-		if known.hash == hash {
-			return known
+	for _, candidate := range p.texts[version] {
+		if candidate.hash == hash {
+			return candidate
 		}
 	}
 	return nil
 }
 
-// chooseVersion decides which version the restored group begins with.
+// chooseVersion picks the version and text that the restored group begins with.
 func (p *planner) chooseVersion() {
 	plan := p.plan
 	if p.decided == 0 {
@@ -71,7 +70,7 @@
 	if len(best.active) > 0 {
 		plan.Proof = "served under by " + joinNames(best.active)
 	}
-	// nodes that promised the lost version take nothing older: going back is a change forward
+	// Nodes that promised the decided version accept no lower number, so the older text gets a higher one.
 	if best.version < p.decided {
 		plan.Version = p.decided + 1
 		plan.Unknown = append(plan.Unknown,
@@ -81,18 +80,18 @@
 	p.avoidNumberReuse()
 }
 
-// newestProvenText returns the newest decided version of which a text is proved, nil if there is none. Where two are proved
-// by one number it is the one that an operator chose, and a conflict if he has not.
+// newestProvenText returns the proven text of the newest decided version that has one, nil if there is none. Of two
+// proven texts of a version it returns the operator's choice, and sets a conflict without one.
 func (p *planner) newestProvenText() *versionText {
 	for version := p.decided; version > 0; version-- {
-		proved := p.provenTexts(version)
+		proven := p.provenTexts(version)
 		switch {
-		case len(proved) == 1:
-			return proved[0]
-		case len(proved) > 1:
-			chosen := p.chosenText(proved)
+		case len(proven) == 1:
+			return proven[0]
+		case len(proven) > 1:
+			chosen := p.chosenText(proven)
 			if chosen == nil {
-				p.plan.Conflict = fmt.Sprintf("version %d goes by %s: name one with --take", version, describeTexts(proved))
+				p.plan.Conflict = fmt.Sprintf("version %d goes by %s: name one with --take", version, describeTexts(proven))
 			}
 			return chosen
 		}
@@ -100,21 +99,21 @@
 	return nil
 }
 
-// provenTexts returns the texts that a version had in force: those that somebody served under. The newest decided version
-// may have been served under by nobody who was heard: a node's promise proves that it was decided, so a prepared text
-// counts.
-func (p *planner) provenTexts(version uint64) (proved []*versionText) {
+// provenTexts returns the texts of a version that nodes served under. If there is none for the newest decided version,
+// a prepared text counts, since a node's promise proves that the version was decided.
+func (p *planner) provenTexts(version uint64) (proven []*versionText) {
 	for _, text := range p.texts[version] {
 		if len(text.active) > 0 {
-			proved = append(proved, text)
+			proven = append(proven, text)
 		}
 	}
-	if version == p.decided && len(proved) == 0 {
+	if version == p.decided && len(proven) == 0 {
 		return p.texts[version]
 	}
-	return proved
+	return proven
 }
 
+// chosenText returns the first text whose hash begins with the operator's choice, nil without one.
 func (p *planner) chosenText(texts []*versionText) *versionText {
 	if p.choice == "" {
 		return nil
@@ -127,10 +126,9 @@
 	return nil
 }
 
-// avoidNumberReuse takes another number where the old folder has another text by it, or has dropped it.
-//
-// It guards against one number standing for two texts: the folder may have gone on another way after it was copied, and
-// a node that knows that text would take it for the one in force.
+// avoidNumberReuse assigns a new version number if the old folder has another text under the planned one, or no longer
+// stores its text. It guards against nodes serving under two texts of the same version: the folder may have diverged
+// after it was copied.
 func (p *planner) avoidNumberReuse() {
 	if p.stored == nil {
 		return
