--- a/internal/control/api/errors.go
+++ b/internal/control/api/errors.go
@@ -2,24 +2,24 @@
 
 import "fmt"
 
-// FieldError says what was found in a field of a message and what was expected. It is told to the sender, who has to
-// change the message: sent again as it is, it is refused again.
+// FieldError is an invalid field of a message. It is returned to the sender and is permanent: the same message is
+// rejected again.
 type FieldError struct {
 	Field    string // its JSON key
 	Found    string
 	Expected string
 }
 
-// Error has the form of all errors of input: the field, what was found, what was expected.
+// Error returns the field, the value found and the values expected, in the format of all input errors.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s: found %s, expected %s", e.Field, e.Found, e.Expected)
 }
 
-// FieldsError is a FieldError for several fields together.
+// FieldsError is a FieldError for a group of fields.
 type FieldsError struct {
-	Fields   string // their JSON keys, with what was found where that is short
+	Fields   string // their JSON keys, with the value found if it is short
 	Expected string
 }
 
-// Error says what was expected of the fields.
+// Error returns the fields and the values expected.
 func (e *FieldsError) Error() string { return e.Fields + ": expected " + e.Expected }
--- a/internal/control/api/heartbeat.go
+++ b/internal/control/api/heartbeat.go
@@ -1,72 +1,72 @@
 package api
 
-// HeartbeatRequest is what a node sends. Without a LeaseID it asks to join; with Renew it asks for a longer lease,
-// which goes through the group's log; otherwise it reports, and learns what holds now.
+// HeartbeatRequest is a node's periodic request. Without a LeaseID it asks to join; with Renew it asks to extend the
+// lease, which goes through the group's log; otherwise it only reports and reads the current state.
 type HeartbeatRequest struct {
 	JoinRequest
-	LeaseID uint32 `json:"lease,omitempty"` // of the node's incarnation; 0: it has none
+	LeaseID uint32 `json:"lease,omitempty"` // of the node's incarnation; 0: none
 	Renew   bool   `json:"renew,omitempty"`
-	Leave   bool   `json:"bye,omitempty"` // it has drained and serves no more
-	// LastClockMS is the group's time in the last response that the node got. It shows the leader that responses
-	// arrive.
+	Leave   bool   `json:"bye,omitempty"` // the node has drained and stopped serving
+	// LastClockMS is the ClockMS of the last response received. It shows the leader that responses arrive.
 	LastClockMS uint64 `json:"echo"`
-	// MinVersion is the node's promise: from the sending of this on it serves under no older version.
+	// MinVersion is a promise: once this request is sent, the node serves under no older version.
 	MinVersion      uint64 `json:"floor"`
-	ActiveVersion   uint64 `json:"serves"`             // that it serves under
-	Fenced          string `json:"fenced,omitempty"`   // why it takes no requests; empty: it takes them
-	PreparedVersion uint64 `json:"prepared,omitempty"` // checked, tried and stored: it can be activated at once
-	RefusedVersion  uint64 `json:"refused,omitempty"`  // that it can't serve under
+	ActiveVersion   uint64 `json:"serves"`             // the version that it serves under
+	Fenced          string `json:"fenced,omitempty"`   // why it rejects all requests; empty: it does not
+	PreparedVersion uint64 `json:"prepared,omitempty"` // checked, evaluated and stored: ready to be activated
+	RefusedVersion  uint64 `json:"refused,omitempty"`  // the version that it rejects
 	RefusedReason   string `json:"why,omitempty"`
-	// MinZoneEpoch is a promise as well: the node acts on no older order about its zone.
+	// MinZoneEpoch is a promise too: the node applies no older zone order.
 	MinZoneEpoch uint64         `json:"zones,omitempty"`
 	Load         *LoadReport    `json:"load,omitempty"`
 	Peers        []PeerHealth   `json:"seen,omitempty"`  // at most MaxPeers
-	LastSeen     *GroupPosition `json:"heard,omitempty"` // of the last response, by whichever group
+	LastSeen     *GroupPosition `json:"heard,omitempty"` // of the last response, of any group
 }
 
-// GroupPosition is where a group stood at its last response to a node, and what the node serves under because of it.
-// What a response has was committed, so a group that does not know it has lost state.
+// GroupPosition is the position of a group in its last response to a node, and the hash of the node's active version.
+// Responses carry only committed state, so a group that is behind it has lost state.
 type GroupPosition struct {
 	Group         string `json:"group"`
 	Generation    uint64 `json:"generation"`
 	Term          uint64 `json:"term"`
-	Index         uint64 `json:"index"`          // of the group's log
-	EntryChecksum uint64 `json:"sum,omitempty"`  // of the entry at Index; 0: not told
+	Index         uint64 `json:"index"`          // last applied log entry
+	EntryChecksum uint64 `json:"sum,omitempty"`  // of the entry at Index; 0: unknown
 	ActiveHash    string `json:"hash,omitempty"` // of the text of the node's active version
 }
 
-// VersionHash is a version of the policy and the hash of its text. Version 0: none.
+// VersionHash is a policy version and the hash of its text. Version 0 means none.
 type VersionHash struct {
 	Version uint64 `json:"version"`
 	Hash    string `json:"hash,omitempty"`
 }
 
-// HeartbeatResponse is the answer to a HeartbeatRequest. All of it is as of entry Index of the log of Cluster.
+// HeartbeatResponse answers a HeartbeatRequest with the state as of entry Index of the log of group Cluster.
 type HeartbeatResponse struct {
 	Cluster       string `json:"cluster"`
 	Term          uint64 `json:"term"`
 	Index         uint64 `json:"index"`
-	EntryChecksum uint64 `json:"sum,omitempty"` // of the entry at Index; 0: not known
+	EntryChecksum uint64 `json:"sum,omitempty"` // of the entry at Index; 0: unknown
 	ClockMS       uint64 `json:"clock_ms"`      // the group's time
 	LeaseID       uint32 `json:"lease,omitempty"`
-	// LeaseMS above 0 extends the lease: it lasts so long from the sending of the request on.
+	// LeaseMS above 0 extends the lease until this time after the request was sent.
 	LeaseMS    uint64 `json:"lease_ms,omitempty"`
-	Autonomous bool   `json:"alone,omitempty"` // the node may go on serving when its lease has run out
-	// EndedReason says why the incarnation has ended or may not begin: the node has to begin another one.
+	Autonomous bool   `json:"alone,omitempty"` // the node may serve after its lease has expired
+	// EndedReason is why the incarnation has ended or was rejected; the node has to join with a new one.
 	EndedReason      string      `json:"gone,omitempty"`
-	RetryAfterMS     uint64      `json:"wait_ms,omitempty"` // it may not join sooner
-	DecidedVersion   uint64      `json:"need"`              // nothing older may be served under
-	CommittedVersion VersionHash `json:"force"`             // in force: it may be served under
-	PrepareVersion   VersionHash `json:"prepare"`           // to check, try and store; version 0: none
-	NextHeartbeatMS  uint64      `json:"again_ms"`          // after which to send the next request
+	RetryAfterMS     uint64      `json:"wait_ms,omitempty"` // minimum delay of the next join
+	DecidedVersion   uint64      `json:"need"`              // no older version may be served under
+	CommittedVersion VersionHash `json:"force"`             // may be served under
+	PrepareVersion   VersionHash `json:"prepare"`           // to check, evaluate and store; version 0: none
+	NextHeartbeatMS  uint64      `json:"again_ms"`          // delay of the next request
 
-	Zone         *ZoneOrder    `json:"zone,omitempty"` // nil: the policy decides nothing about zones
-	ProbeTargets []ProbeTarget `json:"look,omitempty"` // whose health the next request should have in Peers
+	Zone         *ZoneOrder    `json:"zone,omitempty"` // nil: the policy does not manage zones
+	ProbeTargets []ProbeTarget `json:"look,omitempty"` // peers whose health the next request reports
 
-	// Generation counts how often the group was restored; leases of an earlier generation have no meaning in this one.
-	// Predecessors are the groups of those, for a node that names one of them as seen last.
+	// Generation counts the restorations of the group; leases of an earlier generation are invalid. Predecessors are
+	// the groups of earlier generations, for a node that saw one of them last.
 	Generation   uint64   `json:"generation,omitempty"`
 	Predecessors []string `json:"before,omitempty"`
-	// CollectRecord is sent by an operator's recovery tool in place of a group: it asks the node for its stored record.
+	// CollectRecord asks the node for its NodeRecord. It is set only by the recovery tool, which responds in place of a
+	// group.
 	CollectRecord bool `json:"gather,omitempty"`
 }
--- a/internal/control/api/identity_test.go
+++ b/internal/control/api/identity_test.go
@@ -5,22 +5,34 @@
 	"testing"
 )
 
-// TestSucceeds: a node must follow a restored group, and neither an earlier generation whose paused instances go on
-// nor a group that has nothing to do with its own. It follows a later generation that names the node's group among
-// its predecessors, of which only so many are remembered.
+// TestSucceeds guards against a node following an earlier generation of its group or an unrelated group, and against an
+// unbounded list of predecessors.
 func TestSucceeds(t *testing.T) {
 	first := GroupIdentity{Group: "g1", Generation: 1}
 	second := first.NextGeneration("g2")
 	third := second.NextGeneration("g3")
-	if !second.Succeeds("g1", 1) || !third.Succeeds("g1", 1) || !third.Succeeds("g2", 2) || first.Succeeds("g2",
-		2) || second.Succeeds("g9", 1) ||
-		second.Succeeds("g2", 2) || first.Succeeds("g1", 1) {
-		t.Errorf("%+v, %+v", second, third)
+	for _, c := range []struct {
+		identity   GroupIdentity
+		group      string
+		generation uint64
+		want       bool
+	}{
+		{second, "g1", 1, true},
+		{third, "g1", 1, true},
+		{third, "g2", 2, true},
+		{first, "g2", 2, false},
+		{second, "g9", 1, false},
+		{second, "g2", 2, false},
+		{first, "g1", 1, false},
+	} {
+		if got := c.identity.Succeeds(c.group, c.generation); got != c.want {
+			t.Errorf("%+v.Succeeds(%q, %d) = %v, want %v", c.identity, c.group, c.generation, got, c.want)
+		}
 	}
 	for i := 0; i < 100; i++ {
 		third = third.NextGeneration(fmt.Sprint("g", i))
 	}
 	if len(third.Predecessors) > maxPredecessors {
-		t.Errorf("%d groups are remembered", len(third.Predecessors))
+		t.Errorf("%d predecessors, want at most %d", len(third.Predecessors), maxPredecessors)
 	}
 }
--- a/internal/control/api/join.go
+++ b/internal/control/api/join.go
@@ -6,27 +6,27 @@
 	"umberwinch/internal/config"
 )
 
-// Bounds of the strings of a JoinRequest, in bytes: the group keeps them for each of its nodes.
+// Limits of the strings of a JoinRequest in bytes. The group stores them for each node.
 const (
 	maxAddrBytes  = 80
 	minNonceBytes = 8
 	maxNonceBytes = 80
 )
 
-// JoinRequest asks for a new incarnation of a node. It stands in the group's log as well.
+// JoinRequest asks for a new incarnation of a node. It is also stored in the group's log.
 type JoinRequest struct {
 	Name  string `json:"name"`
 	Zone  string `json:"zone"`
 	Addr  string `json:"addr"`
-	Nonce string `json:"nonce"` // names the incarnation: a request that is sent again has the same
-	// UptimeMS is for how long the node's process has run; 0 where it does not say.
+	Nonce string `json:"nonce"` // identifies the incarnation; the same in a repeated request
+	// UptimeMS is the uptime of the node's process; 0: not stated.
 	UptimeMS uint64 `json:"up_ms,omitempty"`
-	// SameProcess is set by the leader, whatever a node sends: the process had the name's last lease as well, so this
-	// is no restart.
+	// SameProcess is set by the leader, which ignores a node's value: the process also had the node's last lease, so
+	// it has not restarted.
 	SameProcess bool `json:"same,omitempty"`
 }
 
-// Validate gives a *FieldError for the first field that the group would not store.
+// Validate returns a *FieldError for the first invalid field.
 func (j *JoinRequest) Validate() error {
 	const nameForm = "up to 40 letters, digits, '-', '_' and '.'"
 	switch {
--- a/internal/control/api/join_test.go
+++ b/internal/control/api/join_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestJoinRequestValidate: a field that the group would not store is named, with what was found and expected.
+// TestJoinRequestValidate checks that each invalid field gives an error that names it, the value found and those
+// expected.
 func TestJoinRequestValidate(t *testing.T) {
 	valid := JoinRequest{Name: "n1", Zone: "east", Addr: "127.0.0.1:1", Nonce: "process-1"}
 	if err := valid.Validate(); err != nil {
@@ -28,15 +29,15 @@
 		j := valid
 		c.change(&j)
 		err := j.Validate()
-		var field *FieldError
-		if !errors.As(err, &field) || err.Error() != c.want {
-			t.Errorf("found %v, expected %s", err, c.want)
+		var fieldErr *FieldError
+		if !errors.As(err, &fieldErr) || err.Error() != c.want {
+			t.Errorf("Validate() = %v, want *FieldError %s", err, c.want)
 		}
 	}
 }
 
-// TestNodeRecordValidate: a record that a recovery can't go by is refused, with the fields, what was found and what was
-// expected: a spoilt one could bring a version in force that no node served under.
+// TestNodeRecordValidate guards against a corrupt record in a restoration, which could activate a version that no node
+// served under.
 func TestNodeRecordValidate(t *testing.T) {
 	valid := NodeRecord{Name: "n1", Zone: "east", Group: "g", Generation: 1}
 	if err := valid.Validate(); err != nil {
@@ -55,16 +56,16 @@
 	} {
 		r := valid
 		c.change(&r)
-		var field *FieldError
-		if err := r.Validate(); !errors.As(err, &field) || err.Error() != c.want {
-			t.Errorf("found %v, expected %s", err, c.want)
+		var fieldErr *FieldError
+		if err := r.Validate(); !errors.As(err, &fieldErr) || err.Error() != c.want {
+			t.Errorf("Validate() = %v, want *FieldError %s", err, c.want)
 		}
 	}
 	r := valid
 	r.Group = strings.Repeat("x", 81)
-	var fields *FieldsError
+	var fieldsErr *FieldsError
 	const want = "group, hash, next_hash: expected at most 80 bytes each"
-	if err := r.Validate(); !errors.As(err, &fields) || err.Error() != want {
-		t.Errorf("found %v, expected %s", err, want)
+	if err := r.Validate(); !errors.As(err, &fieldsErr) || err.Error() != want {
+		t.Errorf("Validate() = %v, want *FieldsError %s", err, want)
 	}
 }
--- a/internal/control/api/load_report.go
+++ b/internal/control/api/load_report.go
@@ -2,17 +2,16 @@
 
 import "math"
 
-// Bounds of a report that can be true. A node reports every second or few; one that counts more than a machine can do
-// lies.
+// Bounds of a plausible report. Nodes report every few seconds; the upper bounds are beyond what one machine can do.
 const (
-	minReportWindowMS = 200    // ms: a shorter window holds too few requests to tell a rate
-	maxReportWindowMS = 60_000 // ms: an older one says nothing of now
-	maxReportAmount   = 1e9    // of a time in ms, a number of cores or a sum of priority weights
-	maxReportCount    = 1e7    // requests, runs, calls or connections in one window
+	minReportWindowMS = 200    // a shorter window has too few requests for a rate
+	maxReportWindowMS = 60_000 // a longer window does not show the current load
+	maxReportAmount   = 1e9    // of a time in ms, a number of cores or a sum of weights
+	maxReportCount    = 1e7    // of requests, runs, calls or connections in a window, or its length in ms
 )
 
-// Plausible reports whether a report can be true. One that can't is ignored, as if none had come: a node with a broken
-// clock or counter must not decide about its zone.
+// Plausible reports whether all values are possible. An implausible report is ignored, so that a node with a broken
+// clock or counter can't cause a decision about its zone.
 func (l *LoadReport) Plausible() bool {
 	amounts := []float64{l.OfferedWeight, l.CompletedWeight, l.Cores, l.CoresUsed, l.MeanRunMS, l.MeanCallMS}
 	for _, amount := range amounts {
--- a/internal/control/api/pin_messages_test.go
+++ b/internal/control/api/pin_messages_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-var writePins = flag.Bool("write-pins", false, "write the fixtures of the messages anew")
+var writePins = flag.Bool("write-pins", false, "rewrite the fixtures of the messages")
 
-// setAllFields sets every field that the value has, each to another value, by the order in which they are encoded.
+// setAllFields sets every field of a value, recursively, each to a distinct value in order of encoding.
 func setAllFields(v reflect.Value, next *int) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -46,7 +46,7 @@
 	}
 }
 
-// allocateParts gives the value all its parts, and each of them no field that is set.
+// allocateParts sets every pointer and slice of a value, recursively, and leaves all other fields zero.
 func allocateParts(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -62,10 +62,10 @@
 	}
 }
 
-// TestMessagesAsSent: every message between a node and the control service has the bytes that version 2a0a97e sent,
-// with all fields set, with all parts and no field set, and with nothing, and is read back whole. A build of that
-// version on the other side would misread any other form.
-func TestMessagesAsSent(t *testing.T) {
+// TestRecordedMessages checks that each message is encoded to the bytes of version 2a0a97e, with all fields set, with
+// only pointers and slices set, and empty, and that it is decoded without loss. A peer of that version would misread
+// any other form.
+func TestRecordedMessages(t *testing.T) {
 	for name, message := range map[string]any{
 		"request":  &HeartbeatRequest{},
 		"response": &HeartbeatResponse{},
@@ -98,11 +98,11 @@
 			t.Fatal(err)
 		}
 		if got != string(want) {
-			t.Errorf("%s: sent\n%s\nexpected\n%s", name, got, want)
+			t.Errorf("%s: encoded\n%s\nwant\n%s", name, got, want)
 		}
-		back := reflect.New(reflect.TypeOf(message).Elem()).Interface()
-		if err := json.Unmarshal(full, back); err != nil || !reflect.DeepEqual(back, message) {
-			t.Errorf("%s: read back %+v (%v), expected %+v", name, back, err, message)
+		decoded := reflect.New(reflect.TypeOf(message).Elem()).Interface()
+		if err := json.Unmarshal(full, decoded); err != nil || !reflect.DeepEqual(decoded, message) {
+			t.Errorf("%s: decoded %+v (%v), want %+v", name, decoded, err, message)
 		}
 	}
 }
--- a/internal/control/api/record.go
+++ b/internal/control/api/record.go
@@ -6,39 +6,39 @@
 	"umberwinch/internal/control/document"
 )
 
-// maxGroupOrHashBytes of a group's name or of a hash.
+// maxGroupOrHashBytes is the maximum length of a group's name or of a hash.
 const maxGroupOrHashBytes = 80
 
-// placeholderNonce stands for the nonce of a join that is checked for its names alone.
+// placeholderNonce is a valid nonce for a JoinRequest that is used only to validate names.
 const placeholderNonce = "unused--"
 
-// NodeRecord is what a node remembers of its fleet, as it tells whoever restores the group.
+// NodeRecord is the fleet state stored by a node, sent to the recovery tool that restores the group.
 type NodeRecord struct {
 	Name          string `json:"name"`
 	Zone          string `json:"zone"`
 	Addr          string `json:"addr,omitempty"`
-	Group         string `json:"group"` // that it heard last
+	Group         string `json:"group"` // of the last response
 	Generation    uint64 `json:"generation"`
 	Term          uint64 `json:"term"`
-	Index         uint64 `json:"index"` // of the group's log, in the last answer
-	EntryChecksum uint64 `json:"-"`     // of that entry; 0: not told
-	// ActiveVersion is one that the node served under, so it was committed. ActiveText counts only if it has
-	// ActiveHash.
+	Index         uint64 `json:"index"` // log entry of the last response
+	EntryChecksum uint64 `json:"-"`     // of the entry at Index; 0: unknown
+	// ActiveVersion is the version that the node serves under, so it was committed. ActiveText is valid only if its
+	// hash is ActiveHash.
 	ActiveVersion uint64 `json:"version"`
 	ActiveHash    string `json:"hash,omitempty"`
 	ActiveText    string `json:"text,omitempty"`
-	MinVersion    uint64 `json:"floor"` // decided, as the node was told: it serves under nothing older
-	// PreparedVersion is one that the node prepared and has not served under yet.
+	MinVersion    uint64 `json:"floor"` // decided version: the node serves under no older one
+	// PreparedVersion is prepared by the node but not active yet.
 	PreparedVersion uint64 `json:"next,omitempty"`
 	PreparedHash    string `json:"next_hash,omitempty"`
 	PreparedText    string `json:"next_text,omitempty"`
 	Autonomous      bool   `json:"alone,omitempty"` // it may serve without a lease
-	ZoneEpoch       uint64 `json:"epoch,omitempty"` // of its zone's order; 0: it has none
-	ZoneShare       int    `json:"share,omitempty"` // that the order has it take, of FullShare
+	ZoneEpoch       uint64 `json:"epoch,omitempty"` // of its zone order; 0: none
+	ZoneShare       int    `json:"share,omitempty"` // of its zone order, in parts of FullShare
 	LeaseMS         uint64 `json:"lease_ms,omitempty"`
 }
 
-// Validate says what is wrong with a record: a *FieldError or a *FieldsError.
+// Validate returns a *FieldError or a *FieldsError for the first invalid field.
 func (r *NodeRecord) Validate() error {
 	names := JoinRequest{Name: r.Name, Zone: r.Zone, Addr: r.Addr, Nonce: placeholderNonce}
 	if err := names.Validate(); err != nil {
