--- a/internal/control/document/canonical.go
+++ b/internal/control/document/canonical.go
@@ -8,6 +8,7 @@
 	"strings"
 )
 
+// formatNumber returns the shortest decimal form that parses to the same number.
 func formatNumber(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
 func yesNo(b bool) string {
@@ -24,14 +25,14 @@
 	return whenAloneFence
 }
 
-// Line is one key of the canonical form.
+// Line is a key and its value in the canonical form.
 type Line struct{ Section, Key, Value string }
 
-// Lines returns the canonical form: every key of every section, defaults too, in a fixed order. [fleet] and [zones]
-// are left out where the document has none, so that a document from before there were any has the hash that it had.
+// Lines returns the canonical form: every key of every section in a fixed order, including defaults. [fleet] and
+// [zones] are omitted if the document has none, so that documents older than these sections keep their hash.
 func (d *Document) Lines() []Line {
-	var out []Line
-	add := func(section, key, value string) { out = append(out, Line{section, key, value}) }
+	var lines []Line
+	add := func(section, key, value string) { lines = append(lines, Line{section, key, value}) }
 	for _, c := range d.Classes {
 		s := "class " + c.Name
 		add(s, "kind", string(c.Kind))
@@ -42,10 +43,10 @@
 		add(s, "pool", c.Pool)
 		add(s, "retired", yesNo(c.Retired))
 	}
-	for _, n := range d.Tenants {
-		s := "tenant " + n.Name
-		add(s, "share", formatNumber(n.Share))
-		add(s, "rate", formatNumber(n.Rate))
+	for _, tenant := range d.Tenants {
+		s := "tenant " + tenant.Name
+		add(s, "share", formatNumber(tenant.Share))
+		add(s, "rate", formatNumber(tenant.Rate))
 	}
 	for _, p := range d.Pools {
 		s := "pool " + p.Name
@@ -61,14 +62,14 @@
 		add(s, "sheds", strings.Join(l.Sheds, ", "))
 	}
 	stages := make([]string, len(d.Rollout.Stages))
-	for i, n := range d.Rollout.Stages {
-		stages[i] = strconv.Itoa(n)
+	for i, percent := range d.Rollout.Stages {
+		stages[i] = strconv.Itoa(percent)
 	}
 	add("rollout", "stages", strings.Join(stages, ", "))
 	add("rollout", "hold", d.Rollout.StageTime.String())
 	add("rollout", "max_shed", formatNumber(d.Rollout.MaxShedIncrease))
 	add("rollout", "max_late", formatNumber(d.Rollout.MaxLateIncrease))
-	if d.Fleet.Present { // a document without it has the canonical text that it had before there was one
+	if d.Fleet.Present {
 		add("fleet", "lease", d.Fleet.Lease.String())
 		add("fleet", "when_alone", whenAloneValue(d.Fleet.Autonomous))
 	}
@@ -80,10 +81,10 @@
 		add("zones", "max_wait", z.MaxBackoff.String())
 		add("zones", "small_start", yesNo(z.SmallStart))
 	}
-	return out
+	return lines
 }
 
-// Canonical returns the document's one text.
+// Canonical returns the canonical text, which is the same for all texts with the same content.
 func (d *Document) Canonical() []byte {
 	var b strings.Builder
 	section := ""
@@ -100,7 +101,7 @@
 	return []byte(b.String())
 }
 
-// Hash names a canonical text: its SHA-256, in hexadecimal.
+// Hash returns the SHA-256 of a canonical text in hexadecimal.
 func Hash(canonical []byte) string {
 	sum := sha256.Sum256(canonical)
 	return hex.EncodeToString(sum[:])
--- a/internal/control/document/doc.go
+++ b/internal/control/document/doc.go
@@ -1,10 +1,9 @@
-// Package document is the configuration document of an installation: what it says, its canonical form and hash, what is
-// wrong with it alone or after the version before, and how two differ. It owns the document's schema.
+// Package document defines the policy document of a fleet: its schema and defaults, its canonical form and hash, the
+// validation of a document by itself and as an update of another, and the differences between two documents.
 //
-// Inputs are bytes; durations in the types are time.Duration, shares are of capacity from 0 to 1, rates are requests a
-// second.
+// Its input is the document's text. In its types, durations are time.Duration, shares are fractions of capacity from 0
+// to 1, and rates are requests per second.
 //
-// Invariant: the same bytes under the same numbering of the rules give the same answer, as the instances of the
-// control service each check a proposal for themselves and must come to one result. So the package reads no clock,
-// random source, disk or socket.
+// Invariant: the same text under the same rules gives the same result, since each instance of the control service
+// validates a proposal on its own and all must agree. So the package reads no clock, random source, disk or socket.
 package document
--- a/internal/control/document/document.go
+++ b/internal/control/document/document.go
@@ -5,98 +5,98 @@
 	"time"
 )
 
-// Bounds of a document. They bound the time of a check and what each version, node and instance holds.
+// Limits of a document. They bound the time of its validation and the memory of nodes and control instances.
 const (
-	MaxBytes   = 1 << 20 // in canonical form too
+	MaxBytes   = 1 << 20 // of the text, also in canonical form
 	MaxClasses = 256
 	MaxTenants = 10000
 	MaxPools   = 64
 	MaxLevels  = 16
 )
 
-// ClassKind says whether a request may be run a second time, in the words of documents.
+// ClassKind is whether a request of a class may be executed again, as spelled in documents.
 type ClassKind string
 
 // Kinds of classes.
 const (
 	Idempotent       ClassKind = "replayable"
-	IdempotencyKeyed ClassKind = "uniqued" // a retry gets the first run's result
-	NotIdempotent    ClassKind = "non-replayable"
+	IdempotencyKeyed ClassKind = "uniqued"        // a retry gets the result of the first run
+	NotIdempotent    ClassKind = "non-replayable" // never executed again
 )
 
-// Class is what requests of one handler are worth and how they may be run.
+// Class is the policy for the requests of one handler.
 type Class struct {
 	Name              string
 	Kind              ClassKind
 	Weight            float64
-	LatencyObjective  time.Duration // response_target
+	LatencyObjective  time.Duration
 	Timeout           time.Duration // of the client
 	IdempotencyWindow time.Duration // how long a request may be retried
-	Pool              string
-	Retired           bool // sheds all its requests; may be removed or changed in the next version
+	Pool              string        // empty: none
+	Retired           bool          // sheds all its requests; may be removed or changed in the next version
 }
 
-// Tenant is what one tenant may use.
+// Tenant is the quota of one tenant.
 type Tenant struct {
 	Name  string
-	Share float64 // of capacity, 0 for none of its own
-	Rate  float64 // requests a second, 0 for no limit
+	Share float64 // of capacity; 0: none reserved
+	Rate  float64 // requests per second; 0: no limit
 }
 
-// Pool is work that is kept apart from other work, in shares of capacity.
+// Pool isolates work from other work by shares of capacity.
 type Pool struct {
 	Name     string
-	MinShare float64 // of capacity
+	MinShare float64
 	MaxShare float64
-	Lendable bool // lent out while not needed
+	Lendable bool // unused capacity is lent to other pools
 }
 
-// Level is a step of reduced service.
+// Level is a degradation level, at which requests of some classes are shed.
 type Level struct {
 	Number    int
-	EnterLoad float64       // times capacity; at it or above the level begins
-	LeaveLoad float64       // below it the level ends
-	MinTime   time.Duration // at the level
+	EnterLoad float64       // multiple of capacity at which the level is entered
+	LeaveLoad float64       // multiple of capacity below which the level is left
+	MinTime   time.Duration // at the level, before it is left
 	Sheds     []string      // names of classes
 }
 
-// Rollout is how a version reaches the nodes.
+// Rollout is the staged activation of a version on the nodes.
 type Rollout struct {
-	Stages          []int // percent of nodes
-	StageTime       time.Duration
-	MaxShedIncrease float64 // share of requests shed beyond those before, that stops it
-	MaxLateIncrease float64 // of requests late
+	Stages          []int         // percentages of nodes, ascending to 100
+	StageTime       time.Duration // duration of a stage
+	MaxShedIncrease float64       // maximum increase of the fraction of requests shed
+	MaxLateIncrease float64       // the same of requests completed late
 }
 
-// Fleet is how long nodes serve under a version without word of the group, and what they do then.
+// Fleet is how long nodes serve under a version without contact to the group, and what they do afterwards.
 type Fleet struct {
 	Lease      time.Duration
-	Autonomous bool // past the lease it serves on: when_alone = go-on
-	Present    bool // the document has the section
+	Autonomous bool // nodes serve after their lease has expired: when_alone = go-on
+	Present    bool // the document has a [fleet] section
 }
 
-// ZonesMode says who evacuates zones and returns load to them, in the words of documents.
+// ZonesMode is who decides to evacuate a zone or to return load to it, as spelled in documents.
 type ZonesMode string
 
-// Modes of Zones.
+// Values of Zones.Mode.
 const (
 	ZonesOff  ZonesMode = "off"
 	ZonesAsk  ZonesMode = "ask"  // an operator decides
-	ZonesAuto ZonesMode = "auto" // the rules decide
+	ZonesAuto ZonesMode = "auto" // the control service decides
 )
 
-// Zones is whether the fleet evacuates zones that fail and returns to them, and how.
+// Zones is the policy for the evacuation of failing zones and the recovery ramp that returns load to them.
 type Zones struct {
-	Mode       ZonesMode     // ZonesOff without the section
-	FirstShare float64       // of its traffic, that a return begins with
-	StepTime   time.Duration // least time at each quota of a return
-	OrderTime  time.Duration // how long a node follows its last order without the group
-	MaxBackoff time.Duration // longest wait of a zone that fails again and again
-	SmallStart bool          // a fleet of which most nodes restart at once begins with FirstShare
-	Present    bool
+	Mode       ZonesMode     // ZonesOff without a [zones] section
+	FirstShare float64       // share of a zone's load that a recovery ramp begins with
+	StepTime   time.Duration // minimum time at each share of a ramp
+	OrderTime  time.Duration // how long a zone order is valid without contact to the group
+	MaxBackoff time.Duration // maximum delay of the ramp of a zone that fails repeatedly
+	SmallStart bool          // a fleet most of whose nodes restart at once begins with FirstShare
+	Present    bool          // the document has a [zones] section
 }
 
-// Document is the content of one version.
+// Document is the content of one version. Its classes, tenants and pools are sorted by name, its levels by number.
 type Document struct {
 	Classes []Class
 	Tenants []Tenant
@@ -107,7 +107,7 @@
 	Zones   Zones
 }
 
-// Class returns a class by name; ok is false if there is none.
+// Class returns the class with a name, false if there is none.
 func (d *Document) Class(name string) (Class, bool) {
 	i := sort.Search(len(d.Classes), func(i int) bool { return d.Classes[i].Name >= name })
 	if i < len(d.Classes) && d.Classes[i].Name == name {
--- a/internal/control/document/document_test.go
+++ b/internal/control/document/document_test.go
@@ -53,28 +53,28 @@
 	return d
 }
 
-// TestCanonicalFormIsAFixedPoint: a version is read, written canonically and read again, and another operator writes
-// the same content otherwise. All of them must have one hash: nodes would take equal versions for different ones.
-func TestCanonicalFormIsAFixedPoint(t *testing.T) {
+// TestCanonicalForm checks that a parsed canonical text has the same canonical text, and that documents with the same
+// content have the same hash. Otherwise nodes would treat equal versions as different.
+func TestCanonicalForm(t *testing.T) {
 	d := parse(t, exampleDocument)
 	text := d.Canonical()
-	again := parse(t, string(text))
-	if !bytes.Equal(text, again.Canonical()) {
-		t.Fatalf("canonical form moves:\n%s\n%s", text, again.Canonical())
+	reparsed := parse(t, string(text))
+	if !bytes.Equal(text, reparsed.Canonical()) {
+		t.Fatalf("canonical form of the canonical text:\ngot\n%s\nwant\n%s", reparsed.Canonical(), text)
 	}
-	other := parse(t, "# the same, told otherwise\n"+strings.ReplaceAll(exampleDocument, "400ms", "0.4s"))
+	other := parse(t, "# the same content in another form\n"+strings.ReplaceAll(exampleDocument, "400ms", "0.4s"))
 	if Hash(other.Canonical()) != Hash(text) {
-		t.Fatal("the same content has two hashes")
+		t.Fatalf("hash of the same content = %s, want %s", Hash(other.Canonical()), Hash(text))
 	}
 	if got := Diff(d, other); got != nil {
-		t.Fatalf("differences %v, expected none", got)
+		t.Fatalf("Diff() of the same content = %v, want none", got)
 	}
 }
 
-// TestFaultsOfADocument: an operator's document has a slip. It must be refused before nodes serve under it, with the
-// section, the key, what was found and what was expected.
-func TestFaultsOfADocument(t *testing.T) {
-	for _, c := range []struct{ was, is, want string }{
+// TestParseErrors guards against accepting an operator's mistake, and checks that the error names the section, the key,
+// the value found and the values expected.
+func TestParseErrors(t *testing.T) {
+	for _, c := range []struct{ old, new, want string }{
 		{"kind = uniqued", "", "class submit.kind: found none of them"},
 		{"window = 20s", "", "class submit.window: found 0s, expected above 0 for uniqued"},
 		{"pool = heavy", "pool = light", `class save.pool: found "light"`},
@@ -91,71 +91,70 @@
 		{"[pool heavy]", "[tenant a b]\n[pool heavy]", `found "a b"`},
 		{"response_target = 400ms", "response_target = 20s", "no less than response_target, 20s"},
 	} {
-		raw := strings.Replace(exampleDocument, c.was, c.is, 1)
+		raw := strings.Replace(exampleDocument, c.old, c.new, 1)
 		if raw == exampleDocument {
-			t.Fatalf("%q is not in the document", c.was)
+			t.Fatalf("%q is not in the document", c.old)
 		}
 		var faults config.Faults
 		if _, err := Parse("f", []byte(raw)); !errors.As(err, &faults) || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q for %q: got %v, expected %q", c.is, c.was, err, c.want)
+			t.Errorf("%q replaced by %q: Parse() error = %v, want %q in it", c.old, c.new, err, c.want)
 		}
 	}
 	if _, err := Parse("f", make([]byte, MaxBytes+1)); err == nil {
-		t.Error("a document past its bound was taken")
+		t.Error("Parse() of a document above MaxBytes gave no error")
 	}
 }
 
-// TestWhatMayNotChangeInFlight: a version takes away what requests in flight were promised under the one before. A
-// retry could run a second time, so the version may not follow; with the class retired in between it may.
-func TestWhatMayNotChangeInFlight(t *testing.T) {
+// TestFollows guards against a version under which a retry of a request in flight is executed a second time. The change
+// is allowed if the class was retired before.
+func TestFollows(t *testing.T) {
 	before := parse(t, exampleDocument)
 	retired := parse(t, strings.Replace(exampleDocument, "window = 20s", "window = 20s\nretired = yes", 1))
-	less := strings.Replace(exampleDocument, "[class submit]\nkind = uniqued\nvalue = 40\nwindow = 20s\n", "", 1)
+	withoutClass := strings.Replace(exampleDocument, "[class submit]\nkind = uniqued\nvalue = 40\nwindow = 20s\n", "", 1)
 	for _, c := range []struct {
 		name string
 		from *Document
 		to   string
 		want string
 	}{
-		{"the same", before, exampleDocument, ""},
-		{"a class goes", before, less, "class submit: found no such section"},
-		{"a retired class goes", retired, less, ""},
-		{"a kind changes", before, strings.Replace(exampleDocument, "kind = non-replayable", "kind = replayable", 1),
+		{"no change", before, exampleDocument, ""},
+		{"class removed", before, withoutClass, "class submit: found no such section"},
+		{"retired class removed", retired, withoutClass, ""},
+		{"kind changed", before, strings.Replace(exampleDocument, "kind = non-replayable", "kind = replayable", 1),
 			"class save.kind: found replayable"},
-		{"a window shrinks", before, strings.Replace(exampleDocument, "20s", "19s", 1), "class submit.window: found 19s"},
-		{"a window grows", before, strings.Replace(exampleDocument, "20s", "30s", 1), ""},
-		{"the first version", nil, exampleDocument, ""},
+		{"window shortened", before, strings.Replace(exampleDocument, "20s", "19s", 1), "class submit.window: found 19s"},
+		{"window extended", before, strings.Replace(exampleDocument, "20s", "30s", 1), ""},
+		{"first version", nil, exampleDocument, ""},
 	} {
 		err := parse(t, c.to).Follows(c.from)
 		var reasons UpdateErrors
-		refused := errors.As(err, &reasons) && strings.Contains(err.Error(), c.want)
-		if c.want == "" && err != nil || c.want != "" && !refused {
-			t.Errorf("%s: got %v, expected %q", c.name, err, c.want)
+		matches := errors.As(err, &reasons) && strings.Contains(err.Error(), c.want)
+		if c.want == "" && err != nil || c.want != "" && !matches {
+			t.Errorf("%s: Follows() = %v, want %q", c.name, err, c.want)
 		}
 	}
 }
 
-// TestDiffReads: an operator looks at what a new version changes. Each key that differs has to be one line, and nothing
-// else may show.
-func TestDiffReads(t *testing.T) {
-	is := strings.Replace(strings.Replace(exampleDocument, "cap = 0.5", "cap = 0.6", 1), "[pool heavy]",
+// TestDiff checks that each key that differs gives one line, and that no other key does.
+func TestDiff(t *testing.T) {
+	changed := strings.Replace(strings.Replace(exampleDocument, "cap = 0.5", "cap = 0.6", 1), "[pool heavy]",
 		"[tenant t]\nshare = 0.1\n[pool heavy]", 1)
 	var got []string
-	for _, c := range Diff(parse(t, exampleDocument), parse(t, is)) {
+	for _, c := range Diff(parse(t, exampleDocument), parse(t, changed)) {
 		got = append(got, c.String())
 	}
 	want := []string{"+ [tenant t] share = 0.1", "+ [tenant t] rate = 0", "~ [pool heavy] cap = 0.6 (was 0.5)"}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Fatalf("got %q, expected %q", got, want)
+		t.Fatalf("Diff() = %q, want %q", got, want)
 	}
 }
 
-// The same draws each time, so that a run has the same verdict as the one before.
+// A fixed seed makes the property test reproducible.
 func init() { flag.Set("rapid.seed", "7") }
 
-// TestAnyTextHasOneAnswer feeds lines put together by chance: never a panic, the same answer twice, and what
-// is taken has a canonical form that is taken as the same document.
-func TestAnyTextHasOneAnswer(t *testing.T) {
+// TestParseRandomText checks that random combinations of lines never cause a panic, give the same result twice and, if
+// they are valid, have a canonical form that parses to the same document.
+func TestParseRandomText(t *testing.T) {
 	pieces := strings.Split(exampleDocument, "\n")
 	pieces = append(pieces, "[", "=", "x", "[class]", "[class \x00]", "value = 1e9", "`", "a = \"", "sheds = ,",
 		"window = -1s", "[rollout]", "stages = 100", "\\", "kind = replayable ; c", "value = NaN")
@@ -164,17 +163,17 @@
 		d, err := Parse("f", raw)
 		d2, err2 := Parse("f", raw)
 		if fmt.Sprint(err) != fmt.Sprint(err2) {
-			t.Fatalf("two answers: %v and %v", err, err2)
+			t.Fatalf("second Parse() error = %v, want %v", err2, err)
 		}
 		if err != nil {
 			return
 		}
 		if !bytes.Equal(d.Canonical(), d2.Canonical()) {
-			t.Fatal("two documents from one text")
+			t.Fatalf("second Parse() gave\n%s\nwant\n%s", d2.Canonical(), d.Canonical())
 		}
-		again, err := Parse("f", d.Canonical())
-		if err != nil || !bytes.Equal(again.Canonical(), d.Canonical()) {
-			t.Fatalf("canonical form not taken: %v\n%s", err, d.Canonical())
+		reparsed, err := Parse("f", d.Canonical())
+		if err != nil || !bytes.Equal(reparsed.Canonical(), d.Canonical()) {
+			t.Fatalf("canonical form does not parse to the same document: %v\n%s", err, d.Canonical())
 		}
 	})
 }
--- a/internal/control/document/errors.go
+++ b/internal/control/document/errors.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// UpdateErrors are why a version may not follow another. What is wrong with a document alone is config.Faults.
+// UpdateErrors are the reasons why a document may not replace another. Errors in a single document are config.Faults.
 type UpdateErrors []string
 
-// Error gives a line for each reason.
-func (r UpdateErrors) Error() string { return strings.Join(r, "\n") }
+// Error returns one line for each reason.
+func (e UpdateErrors) Error() string { return strings.Join(e, "\n") }
--- a/internal/control/document/follow.go
+++ b/internal/control/document/follow.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// Follows returns why d may not come after the version before it, all reasons at once as UpdateErrors, and nil if it
-// may. It protects what requests in flight were promised under the version before: a class that is not retired stays,
-// with its kind, as whether an open request may be run again depends on it; and the window of an idempotency-keyed
-// class never shrinks, as a retry within the window that its request came under would be run a second time.
+// Follows returns all reasons why d may not replace the previous version, as UpdateErrors, nil if it may.
+//
+// It guards against executing a request in flight twice: a class keeps its kind, which decides on retries, until it is
+// retired, and the window of an idempotency-keyed class never shrinks, so that retries within the old window still
+// match.
 func (d *Document) Follows(before *Document) error {
 	if before == nil {
 		return nil
--- a/internal/control/document/parse.go
+++ b/internal/control/document/parse.go
@@ -9,8 +9,9 @@
 	"umberwinch/internal/config"
 )
 
-// LatestRules numbers what Parse and Follows find. It rises with each change of a finding, and a proposal carries the
-// number that it was made under: an instance that does not know it must not judge it.
+// LatestRules is the version of the rules by which documents are parsed and validated. It is incremented whenever a
+// result may change. A proposal carries the version that it was made under, and an instance that does not support it
+// must not validate it.
 //
 //	1: classes, tenants, pools, levels, rollout
 //	2: [fleet]
@@ -22,38 +23,36 @@
 	rulesWithZones = 3
 )
 
-// Limits of keys. They only keep slips, as a time in the wrong unit, out of a version.
+// Upper limits of values, and a lower one. They catch mistakes, such as a time in the wrong unit.
 const (
-	maxWeight     = 1e6
-	maxRate       = 1e9 // requests a second
-	maxLoad       = 10  // times capacity
-	maxDuration   = 24 * time.Hour
-	maxStages     = 20
-	minFirstShare = 0.004 // a 256th, the least share that a zone can have
+	maxWeight       = 1e6
+	maxRate         = 1e9 // requests per second
+	maxLoad         = 10  // multiple of capacity
+	maxDuration     = 24 * time.Hour
+	maxStages       = 20
+	minInitialShare = 0.004 // rounds to 1/256, the smallest share of a zone
 )
 
-// Defaults of keys that an operator leaves out.
+// Defaults of optional keys.
 const (
 	defaultWeight           = 1
 	defaultLatencyObjective = time.Second
 	defaultClientTimeout    = 10 * time.Second
-	defaultLevelTime        = 30 * time.Second // shorter ones would have levels alternate under a load that varies
+	defaultLevelTime        = 30 * time.Second // keeps levels from alternating under a varying load
 	defaultStageTime        = time.Minute
-	defaultMaxIncrease      = 0.05 // share of requests shed, or late, beyond those before
+	defaultMaxIncrease      = 0.05 // of the fraction of requests shed or late
 
-	// defaultLease outlasts an election of the control service several times, so that one fences no node. A longer
-	// lease has a change wait longer for nodes that are gone. Without the group nodes go on by default: a fleet must
-	// not stop because its control service did, unless an operator chose that.
+	// defaultLease is several times as long as an election of the control service, so that an election fences no node.
+	// A change waits this long for nodes that are gone.
 	defaultLease = 10 * time.Second
 
-	// defaultFirstShare is what a service bears that is slower by a factor of ten while cold, with room to spare.
-	defaultFirstShare = 0.0625
-	// defaultStepTime is some load reports of each node, so that a step is judged before the next.
-	defaultStepTime = 2 * time.Second
-	// defaultOrderTime outlasts an election of the control service many times, so that one reverts no order.
-	defaultOrderTime = time.Minute
-	// defaultMaxBackoff is how long a zone that fails again and again is out at most before it is tried.
-	defaultMaxBackoff = 5 * time.Minute
+	// defaultInitialShare is below the capacity of a cold service that is slower by a factor of ten.
+	defaultInitialShare = 0.0625
+	// defaultMinStepTime covers several load reports of each node, which show the effect of a step.
+	defaultMinStepTime = 2 * time.Second
+	// defaultOrderTTL is many times as long as an election of the control service, so that no order expires in one.
+	defaultOrderTTL     = time.Minute
+	defaultMaxRampDelay = 5 * time.Minute
 )
 
 // Values of when_alone.
@@ -62,12 +61,12 @@
 	whenAloneFence = "fence"
 )
 
-// Parse reads a document under the latest rules. name is the document's in errors. The error is config.Faults, all
-// that is wrong.
+// Parse parses a document under the latest rules. name identifies the document in errors. The error is config.Faults
+// with all errors found.
 func Parse(name string, raw []byte) (*Document, error) { return ParseUnder(LatestRules, name, raw) }
 
-// ParseUnder reads a document as an older numbering of the rules does, so that all instances of a group on two builds
-// find the same. name is the document's in errors. The error is config.Faults, all that is wrong.
+// ParseUnder parses a document as Parse does, but under a given version of the rules, so that instances of different
+// builds agree on the result.
 func ParseUnder(rules int, name string, raw []byte) (*Document, error) {
 	t := config.Parse(name, raw)
 	d := &Document{
@@ -157,9 +156,11 @@
 	return levels
 }
 
-func parseFleet(t *config.Text, known bool) Fleet {
+// parseFleet returns the defaults if the rules do not support [fleet] or the document has none. By default nodes serve
+// on without the group: an outage of the control service must not stop the fleet.
+func parseFleet(t *config.Text, supported bool) Fleet {
 	f := Fleet{Lease: defaultLease, Autonomous: true}
-	if !known || !t.Has("fleet") {
+	if !supported || !t.Has("fleet") {
 		return f
 	}
 	f.Lease = t.Time("fleet", "lease", defaultLease, time.Second, 10*time.Minute)
@@ -168,22 +169,23 @@
 	return f
 }
 
-func parseZones(t *config.Text, known bool) Zones {
+// parseZones returns the defaults if the rules do not support [zones] or the document has none.
+func parseZones(t *config.Text, supported bool) Zones {
 	z := Zones{
 		Mode:       ZonesOff,
-		FirstShare: defaultFirstShare,
-		StepTime:   defaultStepTime,
-		OrderTime:  defaultOrderTime,
-		MaxBackoff: defaultMaxBackoff,
+		FirstShare: defaultInitialShare,
+		StepTime:   defaultMinStepTime,
+		OrderTime:  defaultOrderTTL,
+		MaxBackoff: defaultMaxRampDelay,
 	}
-	if !known || !t.Has("zones") {
+	if !supported || !t.Has("zones") {
 		return z
 	}
 	z.Mode = readChoice(t, "zones", "decide", ZonesOff, ZonesOff, ZonesAsk, ZonesAuto)
-	z.FirstShare = t.Number("zones", "first", defaultFirstShare, minFirstShare, 1)
-	z.StepTime = t.Time("zones", "hold", defaultStepTime, 500*time.Millisecond, time.Hour)
-	z.OrderTime = t.Time("zones", "keep", defaultOrderTime, time.Second, maxDuration)
-	z.MaxBackoff = t.Time("zones", "max_wait", defaultMaxBackoff, time.Second, maxDuration)
+	z.FirstShare = t.Number("zones", "first", defaultInitialShare, minInitialShare, 1)
+	z.StepTime = t.Time("zones", "hold", defaultMinStepTime, 500*time.Millisecond, time.Hour)
+	z.OrderTime = t.Time("zones", "keep", defaultOrderTTL, time.Second, maxDuration)
+	z.MaxBackoff = t.Time("zones", "max_wait", defaultMaxRampDelay, time.Second, maxDuration)
 	z.SmallStart = t.Flag("zones", "small_start", false)
 	z.Present = true
 	if z.MaxBackoff < z.StepTime {
@@ -192,7 +194,7 @@
 	return z
 }
 
-// readChoice reads a key that has one of some values.
+// readChoice reads a key whose value is one of the given values.
 func readChoice[T ~string](t *config.Text, section, key string, def T, values ...T) T {
 	words := make([]string, len(values))
 	for i, v := range values {
@@ -201,22 +203,21 @@
 	return T(t.Choice(section, key, string(def), words...))
 }
 
-// sectionNames gives the names of a kind of section, with faults for those that can't be one.
-func sectionNames(t *config.Text, prefix string, most int) []string {
-	all := t.Names(prefix)
-	if len(all) > most {
-		t.Note(prefix+" "+all[most], "", fmt.Sprintf("%d sections", len(all)), fmt.Sprintf("%d at most", most))
-		all = all[:most]
+// sectionNames returns the names of the sections with a prefix, at most limit, and notes invalid names.
+func sectionNames(t *config.Text, prefix string, limit int) []string {
+	names := t.Names(prefix)
+	if len(names) > limit {
+		t.Note(prefix+" "+names[limit], "", fmt.Sprintf("%d sections", len(names)), fmt.Sprintf("%d at most", limit))
+		names = names[:limit]
 	}
-	for _, n := range all {
-		if !config.IsName(n) {
-			t.Note(prefix+" "+n, "", strconv.Quote(n), "up to 40 letters, digits, '-', '_' and '.'")
+	for _, name := range names {
+		if !config.IsName(name) {
+			t.Note(prefix+" "+name, "", strconv.Quote(name), "up to 40 letters, digits, '-', '_' and '.'")
 		}
 	}
-	return all
+	return names
 }
 
-// parseRollout reads how a version reaches the nodes.
 func parseRollout(t *config.Text) Rollout {
 	r := Rollout{StageTime: t.Time("rollout", "hold", defaultStageTime, time.Second, maxDuration),
 		MaxShedIncrease: t.Number("rollout", "max_shed", defaultMaxIncrease, 0, 1),
@@ -226,14 +227,14 @@
 		words = []string{"1", "10", "50", "100"}
 	}
 	last := 0
-	for _, w := range words {
-		n, err := strconv.Atoi(w)
-		if err != nil || n <= last || n > 100 || len(words) > maxStages {
-			t.Note("rollout", "stages", strconv.Quote(w), "up to 20 rising percentages that end at 100")
+	for _, word := range words {
+		percent, err := strconv.Atoi(word)
+		if err != nil || percent <= last || percent > 100 || len(words) > maxStages {
+			t.Note("rollout", "stages", strconv.Quote(word), "up to 20 rising percentages that end at 100")
 			return r
 		}
-		r.Stages = append(r.Stages, n)
-		last = n
+		r.Stages = append(r.Stages, percent)
+		last = percent
 	}
 	if last != 100 {
 		t.Note("rollout", "stages", strconv.Itoa(last)+" at the end", "100 at the end")
@@ -241,7 +242,7 @@
 	return r
 }
 
-// sort puts sections in the order of the canonical form.
+// sort sorts the sections in the order of the canonical form.
 func (d *Document) sort() {
 	sort.Slice(d.Classes, func(i, k int) bool { return d.Classes[i].Name < d.Classes[k].Name })
 	sort.Slice(d.Tenants, func(i, k int) bool { return d.Tenants[i].Name < d.Tenants[k].Name })
--- a/internal/control/document/pin_test.go
+++ b/internal/control/document/pin_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// The fixtures under testdata/pin are what version 2a0a97e made of these texts; they are written with -write-pins at
-// that version alone.
-var writePins = flag.Bool("write-pins", false, "write the fixtures of pinned forms anew")
+// The fixtures in testdata/pin are the results of version 2a0a97e; -write-pins is for use at that version only.
+var writePins = flag.Bool("write-pins", false, "rewrite the fixtures in testdata/pin")
 
+// checkFixture compares got with a file of testdata/pin.
 func checkFixture(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "pin", name)
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: found\n%s\nexpected\n%s", path, got, want)
+		t.Errorf("%s: got\n%s\nwant\n%s", path, got, want)
 	}
 }
 
@@ -94,9 +94,9 @@
 small_start = yes
 `
 
-// TestPinDocument: a document with every key has the canonical form and hash of version 2a0a97e under each numbering
-// of the rules, and so has one that leaves all to the defaults.
-func TestPinDocument(t *testing.T) {
+// TestRecordedCanonicalForms compares the canonical forms and hashes of three documents under each version of the rules
+// with those of version 2a0a97e. Instances and nodes of both builds compare the hashes.
+func TestRecordedCanonicalForms(t *testing.T) {
 	for name, text := range map[string]string{"every-key": everyKey,
 		"defaults": "[class a]\nkind = replayable\n[tenant b]\n[pool c]\n[level 1]\nenter = 2\nleave = 1\n[rollout]\n[fleet]\n[zones]\n",
 		"empty":    ""} {
@@ -113,8 +113,9 @@
 	}
 }
 
-// TestPinFindings: what is wrong with a text, in it or after the one before, is told in the words of version 2a0a97e.
-func TestPinFindings(t *testing.T) {
+// TestRecordedErrors compares the errors of Parse and Follows and the output of Diff with those of version 2a0a97e.
+// All instances of a group, of either build, must give the same result for a proposal.
+func TestRecordedErrors(t *testing.T) {
 	var out strings.Builder
 	for _, c := range [][2]string{{"kind = uniqued", "kind = x"}, {"kind = uniqued", ""}, {"window = 20s", ""},
 		{"window = 20s", "window = 25h"},
@@ -147,11 +148,11 @@
 	}
 	_, err := Parse("f", make([]byte, 1<<20+1))
 	fmt.Fprintf(&out, "too long: %v\n", err)
-	var many strings.Builder
+	var manyClasses strings.Builder
 	for i := range 300 {
-		fmt.Fprintf(&many, "[class c%d]\nkind = replayable\n", i)
+		fmt.Fprintf(&manyClasses, "[class c%d]\nkind = replayable\n", i)
 	}
-	_, err = Parse("f", []byte(many.String()))
+	_, err = Parse("f", []byte(manyClasses.String()))
 	fmt.Fprintf(&out, "many classes: %v\n", err)
 	before, err := Parse("f", []byte(everyKey))
 	if err != nil {
--- a/internal/control/document/validate.go
+++ b/internal/control/document/validate.go
@@ -7,24 +7,27 @@
 	"umberwinch/internal/config"
 )
 
-// checkSections finds what sections say wrongly of each other.
+// shareRounding is the rounding error allowed in a sum of shares.
+const shareRounding = 1e-9
+
+// checkSections notes inconsistencies between sections: sums of shares, names of pools and the order of levels.
 func (d *Document) checkSections(t *config.Text) {
-	floors, shares, reserves := 0.0, 0.0, 0
+	minShares, tenantShares, lendable := 0.0, 0.0, 0
 	for _, p := range d.Pools {
-		floors += p.MinShare
+		minShares += p.MinShare
 		if p.Lendable {
-			if reserves++; reserves > 1 {
+			if lendable++; lendable > 1 {
 				t.Note("pool "+p.Name, "reserve", "a second reserve", "one at most")
 			}
 		}
-		if floors > 1+1e-9 {
-			t.Note("pool "+p.Name, "floor", "floors of "+formatNumber(floors)+" up to here", "1 at most, all of capacity")
+		if minShares > 1+shareRounding {
+			t.Note("pool "+p.Name, "floor", "floors of "+formatNumber(minShares)+" up to here", "1 at most, all of capacity")
 			break
 		}
 	}
-	for _, n := range d.Tenants {
-		if shares += n.Share; shares > 1+1e-9 {
-			t.Note("tenant "+n.Name, "share", "shares of "+formatNumber(shares)+" up to here", "1 at most")
+	for _, tenant := range d.Tenants {
+		if tenantShares += tenant.Share; tenantShares > 1+shareRounding {
+			t.Note("tenant "+tenant.Name, "share", "shares of "+formatNumber(tenantShares)+" up to here", "1 at most")
 			break
 		}
 	}
@@ -47,36 +50,36 @@
 	}
 }
 
-// checkSheds holds a level to two rules: nothing is shed while a class of less weight is served, and all that the
-// level before sheds is shed.
+// checkSheds checks that level i of d.Levels sheds all classes of less weight than any class that it sheds, and all
+// classes that the previous level sheds.
 func (d *Document) checkSheds(t *config.Text, i int) {
 	l := d.Levels[i]
 	s := "level " + strconv.Itoa(l.Number)
 	sheds := map[string]bool{}
-	top := -1.0
-	for _, n := range l.Sheds {
-		c, ok := d.Class(n)
+	maxWeightShed := -1.0
+	for _, name := range l.Sheds {
+		c, ok := d.Class(name)
 		if !ok {
-			t.Note(s, "sheds", strconv.Quote(n), "names of classes")
+			t.Note(s, "sheds", strconv.Quote(name), "names of classes")
 			return
 		}
-		if sheds[n] {
-			t.Note(s, "sheds", strconv.Quote(n)+" twice", "each class once")
+		if sheds[name] {
+			t.Note(s, "sheds", strconv.Quote(name)+" twice", "each class once")
 		}
-		sheds[n] = true
-		top = max(top, c.Weight)
+		sheds[name] = true
+		maxWeightShed = max(maxWeightShed, c.Weight)
 	}
 	for _, c := range d.Classes {
-		if !sheds[c.Name] && !c.Retired && c.Weight < top {
-			t.Note(s, "sheds", fmt.Sprintf("a class of value %s while %q of %s is served", formatNumber(top), c.Name,
+		if !sheds[c.Name] && !c.Retired && c.Weight < maxWeightShed {
+			t.Note(s, "sheds", fmt.Sprintf("a class of value %s while %q of %s is served", formatNumber(maxWeightShed), c.Name,
 				formatNumber(c.Weight)), "all of less value too")
 			return
 		}
 	}
 	if i > 0 {
-		for _, n := range d.Levels[i-1].Sheds {
-			if !sheds[n] {
-				t.Note(s, "sheds", "no "+strconv.Quote(n), "all that the level before sheds")
+		for _, name := range d.Levels[i-1].Sheds {
+			if !sheds[name] {
+				t.Note(s, "sheds", "no "+strconv.Quote(name), "all that the level before sheds")
 				return
 			}
 		}
