--- a/internal/node/overlay/doc.go
+++ b/internal/node/overlay/doc.go
@@ -1,10 +1,11 @@
-// Package overlay lays a policy version over the platform's settings and gives what a node would serve under it.
+// Package overlay applies a policy version to the platform's settings. The result is the settings that a node serves
+// under with that version.
 //
-// The platform's settings come with the node's start; a version of the policy document, which the fleet has agreed
-// on, may change weights, latency objectives, timeouts, quotas and run slots within what callers were promised. Apply
-// checks a document against the settings and either gives complete Settings or a ConflictError with all conflicts.
+// The platform's settings are fixed when the node starts. A version of the policy document, decided by the fleet, may
+// change weights, latency objectives, timeouts, quotas and run slots within the platform's promises to callers. Apply
+// validates a document against the settings and returns complete Settings or a ConflictError with all conflicts.
 //
-// Times of the document are time.Duration, those of a deployment admission.Time.
+// Durations in a document are time.Duration, those in a deployment admission.Time.
 //
-// It owns no state, reads no file or clock, and never changes the settings that it is given.
+// The package owns no state, reads no file or clock, and never modifies its inputs.
 package overlay
--- a/internal/node/overlay/errors.go
+++ b/internal/node/overlay/errors.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// ConflictError is a document that does not fit the platform's settings.
+// ConflictError is returned for a document that contradicts the platform's settings.
 type ConflictError struct {
-	Conflicts []string // each names the key, what was found and what was expected
+	Conflicts []string // each with the key, the value found and those expected
 }
 
-// Error gives all conflicts in one line.
+// Error returns all conflicts on one line.
 func (e *ConflictError) Error() string { return strings.Join(e.Conflicts, "; ") }
--- a/internal/node/overlay/overlay.go
+++ b/internal/node/overlay/overlay.go
@@ -10,16 +10,16 @@
 	"umberwinch/internal/node/settings"
 )
 
-// Settings are what a node serves under with one version.
+// Settings are the settings that a node serves under with one policy version.
 type Settings struct {
 	Version         uint64
 	Document        *document.Document
 	Deployment      *admission.Deployment
-	PoolClasses     []pools.Class // run slots by handler; nil: the document says nothing of them
-	RetiredHandlers []bool        // by handler: no new request is taken
+	PoolClasses     []pools.Class // run slots by handler; nil: the document has no pools
+	RetiredHandlers []bool        // by handler: new requests are rejected
 }
 
-// retrySafetyOfKind maps the document's kinds of classes to the rule on repeats.
+// retrySafetyOfKind maps the kinds of classes in documents to the platform's retry safety.
 var retrySafetyOfKind = map[document.ClassKind]admission.RetrySafety{document.Idempotent: admission.Retryable,
 	document.IdempotencyKeyed: admission.IdempotencyKeyed, document.NotIdempotent: admission.NonRetryable}
 
@@ -30,16 +30,16 @@
 
 func toDuration(t admission.Time) time.Duration { return time.Duration(t) * admissionTick }
 
-// builder collects the settings and the conflicts on the way.
+// builder accumulates the settings and the conflicts of one Apply.
 type builder struct {
 	base        *settings.Startup
 	settings    *Settings
-	classOfPool map[string]string
+	classOfPool map[string]string // class name by pool name
 	conflicts   []string
 }
 
-// Apply checks a version's document against the platform's settings and lays it over them. poolsEnabled tells whether
-// the node sets run slots apart by handler, which can't be begun while it serves. The error is a *ConflictError.
+// Apply applies a version's document to the platform's settings. poolsEnabled reports whether the node reserves run
+// slots by handler, which can't be enabled while it serves. The error is a *ConflictError.
 func Apply(version uint64, base *settings.Startup, doc *document.Document, poolsEnabled bool) (*Settings, error) {
 	deployment := *base.Deployment
 	deployment.Handlers = append([]admission.Handler(nil), deployment.Handlers...)
@@ -63,8 +63,8 @@
 	b.conflicts = append(b.conflicts, fmt.Sprintf(format, args...))
 }
 
-// applyClass takes a class's weight, objective, timeout and window. Callers were promised the platform's kind,
-// timeout and window: a version may give up sooner and remember longer, never the other way.
+// applyClass applies a class's weight, latency objective, timeout and window. Callers rely on the platform's kind,
+// timeout and window, so a version may only shorten the timeout and extend the window.
 func (b *builder) applyClass(class *document.Class) {
 	index, known := b.base.HandlerIndex[class.Name]
 	if !known {
@@ -90,7 +90,7 @@
 	b.assignPool(class)
 }
 
-// applyWindow takes the idempotency window of a class.
+// applyWindow applies a class's idempotency window, which must not be shorter than the platform's.
 func (b *builder) applyWindow(class *document.Class, handler *admission.Handler) {
 	window := toAdmissionTime(class.IdempotencyWindow)
 	if window < handler.IdempotencyWindow {
@@ -101,7 +101,7 @@
 	handler.IdempotencyWindow = window
 }
 
-// assignPool notes which class uses a pool.
+// assignPool assigns a class to its pool. A pool has at most one class, since run slots are reserved by handler.
 func (b *builder) assignPool(class *document.Class) {
 	if class.Pool == "" {
 		return
@@ -113,16 +113,16 @@
 	b.classOfPool[class.Pool] = class.Name
 }
 
-// applyTenant takes a tenant's quota; one that the platform does not have here has none.
+// applyTenant applies a tenant's quota. Tenants that the platform does not have here are ignored.
 func (b *builder) applyTenant(tenant *document.Tenant) {
 	if index, known := b.base.TenantIndex[tenant.Name]; known && tenant.Rate > 0 {
 		b.settings.Deployment.Tenants[index].Quota = tenant.Rate
 	}
 }
 
-// applyPools takes the run slots of the pools that a class of this node uses.
-func (b *builder) applyPools(all []document.Pool, enabled bool) {
-	for _, pool := range all {
+// applyPools applies the run slots of the pools that have a class.
+func (b *builder) applyPools(docPools []document.Pool, enabled bool) {
+	for _, pool := range docPools {
 		class, used := b.classOfPool[pool.Name]
 		if !used {
 			continue
@@ -144,7 +144,7 @@
 	}
 }
 
-// unlimitedPools gives each handler a pool that sets nothing apart and may use all run slots.
+// unlimitedPools returns a pool for each handler that reserves no run slot and may use all of them.
 func (b *builder) unlimitedPools() []pools.Class {
 	classes := make([]pools.Class, len(b.settings.Deployment.Handlers))
 	for name, index := range b.base.HandlerIndex {
