--- a/internal/node/shadow/doc.go
+++ b/internal/node/shadow/doc.go
@@ -1,10 +1,9 @@
-// Package shadow evaluates a policy version before a node serves under it: the requests that the server read lately
-// are replayed against two emulated servers, one with the deployment that is active and one with the candidate, and
-// what became of the requests is compared.
+// Package shadow evaluates a policy version before a node serves under it. It replays the server's most recent requests
+// on two emulated servers, one with the active deployment and one with the candidate, and compares the outcomes.
 //
-// It owns the bounded recording of requests and the comparison. Times are admission.Time. A recording is used by the
-// goroutine that owns it; a Snapshot of it may be evaluated by another. The same recording and deployments give the
-// same verdict: there is no clock, socket or chance in it, and an evaluation costs a bounded number of rounds.
+// It owns the bounded recording of requests and the comparison, and decides only about versions, never about a request.
+// Times are admission.Time. A Recording belongs to one goroutine; a Snapshot of it may be evaluated by another.
 //
-// It decides about versions, never about a request.
+// Invariants: the same recording and deployments give the same verdict, since no clock, socket or random source is
+// used, and an evaluation takes a bounded number of controller rounds.
 package shadow
--- a/internal/node/shadow/evaluation.go
+++ b/internal/node/shadow/evaluation.go
@@ -6,72 +6,69 @@
 	"umberwinch/admission"
 )
 
-// Outcome is what became of the requests of one replay. Probes are counted apart.
+// Outcome counts the results of the requests of one replay. Offered, Completed, OnTime, Shed and Failed exclude probes.
 type Outcome struct {
-	Offered    int // requests that came
+	Offered    int // requests that arrived
 	Completed  int
-	OnTime     int // of the completed ones, within the latency objective
+	OnTime     int // of Completed, within the latency objective
 	Shed       int
 	Failed     int
-	Unanswered int     // without an answer when they were due
-	PeakKB     float64 // memory held by requests in hand, at most
-	Rounds     int     // decisions of the controller
+	Unanswered int     // no response by the deadline or the end of the replay
+	PeakKB     float64 // peak memory of open requests and runs
+	Rounds     int     // of the controller
 
 	ProbesCompleted []int // by handler
 }
 
-// Verdict compares two replays.
+// Verdict is the result of an evaluation.
 type Verdict struct {
 	Current, Candidate Outcome
 	Requests           int    // in the recording
-	Reason             string // why the candidate is refused; empty: it may be activated
+	Reason             string // why the candidate is rejected; empty: it may be activated
 }
 
-// Limits are how much worse a candidate may do, as shares of all requests.
+// Limits bound the regressions allowed to a candidate, as fractions of all requests.
 type Limits struct {
-	MaxShed float64 // more requests shed
-	MaxLate float64 // fewer completed on time
+	MaxShed float64 // increase of requests shed
+	MaxLate float64 // decrease of requests completed on time, in addition to MaxShed
 }
 
-// Evaluate replays a recording under the current deployment and under the candidate, and refuses a candidate that does
-// worse than the limits allow. retired tells by handler whether the candidate takes no new request of it.
+// Evaluate replays a recording under the current deployment and under the candidate, and rejects a candidate whose
+// regressions exceed the limits. retired reports by handler whether the candidate rejects all its requests.
 func Evaluate(current, candidate *admission.Deployment, retired []bool, rec *Recording, limits Limits) Verdict {
 	v := Verdict{Requests: rec.Len(), Current: replay(current, nil, rec), Candidate: replay(candidate, retired, rec)}
-	v.Reason = v.refusal(candidate.MemoryKB, retired, limits)
+	v.Reason = v.rejectReason(candidate.MemoryKB, retired, limits)
 	return v
 }
 
-// refusal decides whether the candidate may be activated; empty: it may.
+// rejectReason returns why the candidate must not be activated, empty if it may be.
 //
-// It refuses a candidate that leaves more requests without an answer, holds more memory than the node has, sheds more
-// or completes fewer on time than the limits allow, or fails the probes of a handler that the current one passes: the
-// probes find a version that sheds everything on a node that is idle. Reason: a version that fits its syntax can
-// still take a fleet down, and one node's refusal calls the change off before any node serves under it. A recording
-// of an unusual time can refuse a good version; `[rollout]` of the document widens the limits, and a decided version
-// is activated all the same.
-func (v *Verdict) refusal(memoryKB float64, retired []bool, limits Limits) string {
-	is, was := &v.Candidate, &v.Current
-	offered := float64(max(1, is.Offered))
+// It guards against a valid document that would take the fleet down: more unanswered requests, more memory than the
+// node has, or more requests shed or late than allowed. Probes show it on an idle node. The limits are set in [rollout]
+// of the document; a version that is already decided is activated regardless.
+func (v *Verdict) rejectReason(memoryKB float64, retired []bool, limits Limits) string {
+	candidate, current := &v.Candidate, &v.Current
+	offered := float64(max(1, candidate.Offered))
 	switch {
-	case is.Unanswered > was.Unanswered:
+	case candidate.Unanswered > current.Unanswered:
 		return fmt.Sprintf("%d of %d requests of the trial had no answer when they were due, %d under the one in force",
-			is.Unanswered, is.Offered, was.Unanswered)
-	case is.PeakKB > memoryKB && is.PeakKB > was.PeakKB:
-		return fmt.Sprintf("requests of the trial held %.0f KB at most, expected %.0f", is.PeakKB, memoryKB)
-	case float64(is.Shed-was.Shed)/offered > limits.MaxShed:
+			candidate.Unanswered, candidate.Offered, current.Unanswered)
+	case candidate.PeakKB > memoryKB && candidate.PeakKB > current.PeakKB:
+		return fmt.Sprintf("requests of the trial held %.0f KB at most, expected %.0f", candidate.PeakKB, memoryKB)
+	case float64(candidate.Shed-current.Shed)/offered > limits.MaxShed:
 		return fmt.Sprintf("%d of %d requests of the trial were shed, %d under the one in force: "+
 			"expected at most %.3f more",
-			is.Shed, is.Offered, was.Shed, limits.MaxShed)
-	case float64(was.OnTime-is.OnTime)/offered > limits.MaxLate+limits.MaxShed:
+			candidate.Shed, candidate.Offered, current.Shed, limits.MaxShed)
+	case float64(current.OnTime-candidate.OnTime)/offered > limits.MaxLate+limits.MaxShed:
 		return fmt.Sprintf("%d of %d requests of the trial were done in time, %d under the one in force: "+
-			"expected at most %.3f fewer", is.OnTime, is.Offered, was.OnTime, limits.MaxLate+limits.MaxShed)
+			"expected at most %.3f fewer", candidate.OnTime, candidate.Offered, current.OnTime, limits.MaxLate+limits.MaxShed)
 	}
-	return v.probeRefusal(retired)
+	return v.probeRejectReason(retired)
 }
 
-// probeRefusal names the first handler of which the candidate completes less than half of the probes that the current
-// deployment does; one that the candidate retires is passed over.
-func (v *Verdict) probeRefusal(retired []bool) string {
+// probeRejectReason returns the failure of the first handler for which the candidate completes less than half of the
+// probes that the current deployment completes. Retired handlers are skipped.
+func (v *Verdict) probeRejectReason(retired []bool) string {
 	for handler, completed := range v.Candidate.ProbesCompleted {
 		if handler < len(retired) && retired[handler] {
 			continue
--- a/internal/node/shadow/replay.go
+++ b/internal/node/shadow/replay.go
@@ -2,38 +2,38 @@
 
 import "umberwinch/admission"
 
-// Bounds and times of a replay.
+// Limits and times of a replay.
 const (
-	// maxRounds bounds the replay of a recording, and twice as many that with its probes: a candidate that makes its
-	// controller busy without end costs the node a bounded time.
+	// maxRounds is the maximum number of controller rounds for the recorded requests; the limit with probes is twice as
+	// high. It bounds the time of an evaluation whose candidate keeps the controller busy forever.
 	maxRounds = 40 * MaxRequests
-	// probesPerHandler are requests that come one at a time, whatever was recorded. Enough that half of them is no
-	// chance.
+	// probesPerHandler is the number of probes of each handler, sent one at a time.
 	probesPerHandler = 20
-	// probeDelay is waited before the probes, beyond the longest timeout: past what the controller remembers of
-	// load, so that probes find it at rest.
+	// probeDelay is the idle time before the probes, beyond the longest timeout, so that the controller's load state
+	// has decayed.
 	probeDelay = 10 * admission.Second
-	// probeSpacingObjectives is how many latency objectives lie between two probes of a handler: the last one has ended by then.
+	// probeSpacingObjectives is the interval between probes of a handler in latency objectives. The previous probe has
+	// ended by then.
 	probeSpacingObjectives = 4
-	// minProbeSpacing is the same for handlers with the shortest objectives.
+	// minProbeSpacing is the minimum latency objective that the interval is computed from.
 	minProbeSpacing = admission.Second / 100
-	// maxTimeout bounds for how long a replay waits for a request.
+	// maxTimeout bounds how long a replay waits for open requests.
 	maxTimeout = 60 * admission.Second
-	// probeKB is what a probe holds in memory: little, so that memory never is why one is shed.
+	// probeKB is the memory of a probe, small enough that memory is never the reason for shedding it.
 	probeKB = 1
-	// replayStart is the time at which a replay begins: 0 means "never" in a deployment.
+	// replayStart is the time at which a replay begins. It is not 0, which means "never" in a deployment.
 	replayStart = admission.Second
 )
 
-// replay feeds a controller with the recording, then with probes one at a time. retired tells by handler whether its
-// requests are shed before the controller hears of them.
+// replay replays the recorded requests on an emulated server, then sends probes one at a time. retired reports by
+// handler whether its requests are shed before they reach the controller.
 func replay(deployment *admission.Deployment, retired []bool, rec *Recording) Outcome {
-	plan := *deployment
-	plan.Pools = nil // their state is the server's own
-	plan.ColdStart, plan.Start = false, replayStart
-	s := &server{deployment: &plan, now: replayStart, requests: map[uint32]*request{}, retired: retired,
-		runTimes: rec.runTimes, outcome: Outcome{ProbesCompleted: make([]int, len(plan.Handlers))}}
-	s.controller = admission.New(&plan)
+	copied := *deployment
+	copied.Pools = nil // they hold state of the real server
+	copied.ColdStart, copied.Start = false, replayStart
+	s := &server{deployment: &copied, now: replayStart, requests: map[uint32]*request{}, retired: retired,
+		runTimes: rec.runTimes, outcome: Outcome{ProbesCompleted: make([]int, len(copied.Handlers))}}
+	s.controller = admission.New(&copied)
 	s.replayArrivals(rec)
 	s.advanceTo(s.now + s.longestTimeout() + probeDelay)
 	s.probe()
@@ -42,12 +42,12 @@
 	return s.outcome
 }
 
-// replayArrivals lets the recorded requests come at their distances.
+// replayArrivals sends the recorded requests at their recorded intervals.
 func (s *server) replayArrivals(rec *Recording) {
-	begin := s.now
+	start := s.now
 	for i := range rec.arrivals {
 		a := &rec.arrivals[i]
-		s.advanceTo(begin + max(0, a.at-rec.arrivals[0].at))
+		s.advanceTo(start + max(0, a.arrivedAt-rec.arrivals[0].arrivedAt))
 		s.arrive(a, uint32(i+1))
 		if s.outcome.Rounds > maxRounds {
 			return
@@ -55,21 +55,21 @@
 	}
 }
 
-// probe lets requests of each handler come one at a time.
+// probe sends probes of each handler one at a time. They show a deployment that sheds everything on an idle server.
 func (s *server) probe() {
 	id := uint32(MaxRequests)
 	for handler := range s.deployment.Handlers {
 		spacing := probeSpacingObjectives * max(s.deployment.Handlers[handler].LatencyObjective, minProbeSpacing)
 		for n := 0; n < probesPerHandler && s.outcome.Rounds < 2*maxRounds; n++ {
 			id++
-			s.arrive(&arrival{handler: uint16(handler), kb: probeKB, runTime: s.runTimes[handler].value(),
+			s.arrive(&arrival{handler: uint16(handler), sizeKB: probeKB, runTime: s.runTimes[handler].value(),
 				isProbe: true}, id)
 			s.advanceTo(s.now + spacing)
 		}
 	}
 }
 
-// longestTimeout is how long a request can be in hand.
+// longestTimeout returns the longest timeout of the handlers, at most maxTimeout.
 func (s *server) longestTimeout() (longest admission.Time) {
 	for i := range s.deployment.Handlers {
 		longest = max(longest, s.deployment.Handlers[i].Timeout)
--- a/internal/node/shadow/server.go
+++ b/internal/node/shadow/server.go
@@ -2,35 +2,35 @@
 
 import "umberwinch/admission"
 
-// server emulates a server round a controller. A run has a core to itself: its recorded time holds what it waited for
-// cores. Its own methods let time go on; those of admission.Writer are what the controller decides.
+// server emulates a server with a real controller. Each run has its own core, since recorded run times include the wait
+// for one. It implements admission.Writer for the decisions of the controller.
 type server struct {
 	deployment *admission.Deployment
 	controller *admission.Controller
-	retired    []bool // by handler: requests are shed before the controller hears of them
-	runTimes   []meanRunTime
+	retired    []bool        // by handler: its requests are shed before they reach the controller
+	runTimes   []meanRunTime // by handler, for requests without a recorded run time
 
 	now      admission.Time
-	wakeAt   admission.Time // 0: the controller wants no wake-up
+	wakeAt   admission.Time // next wake-up of the controller; 0: none
 	requests map[uint32]*request
-	open     []uint32 // ids, in the order in which they came
-	round    admission.Round
+	open     []uint32        // ids of open requests in order of arrival
+	round    admission.Round // input of the next round
 	memoryKB float64
 	outcome  Outcome
 }
 
-// request is one in hand during a replay.
+// request is an open request of a replay.
 type request struct {
 	arrival   *arrival
 	arrivedAt admission.Time
 	deadline  admission.Time
-	remaining admission.Time // of its run
-	endsAt    admission.Time // of its run; 0: it does not run
+	remaining admission.Time // run time
+	endsAt    admission.Time // end of its run; 0: not running
 	answered  bool
-	holdsSlot bool
+	holdsSlot bool // running or paused
 }
 
-// arrive lets a request come.
+// arrive adds a request to the next round, or sheds it if its handler is retired.
 func (s *server) arrive(a *arrival, id uint32) {
 	handler := &s.deployment.Handlers[a.handler]
 	if int(a.handler) < len(s.retired) && s.retired[a.handler] {
@@ -49,26 +49,26 @@
 	}
 	s.requests[id] = r
 	s.open = append(s.open, id)
-	s.allocate(a.kb)
+	s.allocate(a.sizeKB)
 	if !a.isProbe {
 		s.outcome.Offered++
 	}
 	s.round.Arrived = append(s.round.Arrived, s.admissionRequest(a, id, r.deadline))
 }
 
-// admissionRequest is what the controller hears of a request.
+// admissionRequest returns the request as the controller sees it.
 func (s *server) admissionRequest(a *arrival, id uint32, deadline admission.Time) admission.Request {
 	tenant := int(a.tenant)
 	if tenant >= max(1, len(s.deployment.Tenants)) {
 		tenant = 0
 	}
-	q := admission.Request{ID: id, Handler: int(a.handler), Tenant: tenant, ArrivedAt: s.now,
-		ExpectedWork: a.expectedWork, SizeKB: a.kb,
+	req := admission.Request{ID: id, Handler: int(a.handler), Tenant: tenant, ArrivedAt: s.now,
+		ExpectedWork: a.expectedWork, SizeKB: a.sizeKB,
 		IsRetry: a.isRetry, Caller: a.caller}
 	if a.timeLeft > 0 {
-		q.Deadline = deadline
+		req.Deadline = deadline
 	}
-	return q
+	return req
 }
 
 func (s *server) allocate(kb float64) {
@@ -76,7 +76,7 @@
 	s.outcome.PeakKB = max(s.outcome.PeakKB, s.memoryKB)
 }
 
-// advanceTo lets time go on to end, from one thing that happens to the next.
+// advanceTo advances the time to end, event by event, with a controller round for each that has input.
 func (s *server) advanceTo(end admission.Time) {
 	for {
 		s.now = max(s.now, s.nextEvent(end))
@@ -85,7 +85,7 @@
 			s.wakeAt, s.round.TimerFired = 0, true
 			s.round.HasGauges, s.round.Gauges.Runnable = true, float64(s.runningCount())
 		}
-		if n := &s.round; len(n.Arrived)+len(n.RunEnds)+len(n.Disconnected) > 0 || n.TimerFired {
+		if r := &s.round; len(r.Arrived)+len(r.RunEnds)+len(r.Disconnected) > 0 || r.TimerFired {
 			s.decide()
 		} else if s.now >= end {
 			return
@@ -96,7 +96,7 @@
 	}
 }
 
-// nextEvent is when something happens next, end at the latest.
+// nextEvent returns the time of the next wake-up, end of a run or deadline, at most end.
 func (s *server) nextEvent(end admission.Time) admission.Time {
 	at := end
 	if s.wakeAt > 0 {
@@ -114,10 +114,10 @@
 	return at
 }
 
-// endRunsAndTimeouts ends the runs whose time is over and the requests that are due, and lets go of those of which nothing is
-// left.
+// endRunsAndTimeouts ends the runs and times out the requests that are due by now, and removes requests that are
+// answered and neither running nor paused.
 func (s *server) endRunsAndTimeouts() {
-	still := s.open[:0]
+	stillOpen := s.open[:0]
 	for _, id := range s.open {
 		r := s.requests[id]
 		switch {
@@ -130,19 +130,19 @@
 		case !r.answered && s.now >= r.deadline:
 			r.answered = true
 			s.outcome.Unanswered++
-			s.memoryKB -= r.arrival.kb
+			s.memoryKB -= r.arrival.sizeKB
 			s.round.Disconnected = append(s.round.Disconnected, id)
 		}
 		if !r.answered || r.holdsSlot || r.remaining > 0 && r.endsAt > 0 {
-			still = append(still, id)
+			stillOpen = append(stillOpen, id)
 		} else {
 			delete(s.requests, id)
 		}
 	}
-	s.open = still
+	s.open = stillOpen
 }
 
-// decide has the controller decide on what has happened.
+// decide runs a controller round on the events since the last one.
 func (s *server) decide() {
 	round := s.round
 	round.Now = s.now
@@ -151,9 +151,12 @@
 	s.controller.Decide(&round, s)
 }
 
-// runKB is what a run holds in memory beside its request.
-func (s *server) runKB(r *request) float64 { return r.arrival.kb * (s.deployment.RunMemoryFactor - 1) }
+// runKB returns the memory of a run, without that of its request.
+func (s *server) runKB(r *request) float64 {
+	return r.arrival.sizeKB * (s.deployment.RunMemoryFactor - 1)
+}
 
+// runningCount returns the number of running requests.
 func (s *server) runningCount() (n int) {
 	for _, id := range s.open {
 		if r := s.requests[id]; r != nil && r.endsAt > 0 {
@@ -163,12 +166,13 @@
 	return n
 }
 
+// answer marks a request as answered, releases its memory and counts it if it was completed.
 func (s *server) answer(r *request, completed bool) {
 	if r.answered {
 		return
 	}
 	r.answered = true
-	s.memoryKB -= r.arrival.kb
+	s.memoryKB -= r.arrival.sizeKB
 	switch handler := &s.deployment.Handlers[r.arrival.handler]; {
 	case !completed:
 	case r.arrival.isProbe:
@@ -181,7 +185,7 @@
 	}
 }
 
-// Run starts a run, or goes on with a paused one.
+// Run starts a run or resumes a paused one.
 func (s *server) Run(id uint32) {
 	if r := s.requests[id]; r != nil && r.endsAt == 0 && !r.answered {
 		r.endsAt, r.holdsSlot = s.now+max(r.remaining, 1), true
@@ -189,7 +193,7 @@
 	}
 }
 
-// Stop stops a run, or ends it where the platform can't go on with one.
+// Stop stops a run, which keeps its slot with CancelPause and ends with CancelDrop.
 func (s *server) Stop(id uint32) {
 	r := s.requests[id]
 	if r == nil || r.endsAt == 0 {
@@ -211,7 +215,7 @@
 // Fail answers a request with an error.
 func (s *server) Fail(id uint32, _ admission.Reason) { s.reject(id, &s.outcome.Failed) }
 
-// reject answers a request without a result and counts it, but for a probe.
+// reject answers a request without a result and counts it, unless it is a probe.
 func (s *server) reject(id uint32, count *int) {
 	r := s.requests[id]
 	if r == nil || r.answered {
@@ -223,18 +227,18 @@
 	s.answer(r, false)
 }
 
-// WakeUp sets the next wake-up of the controller.
+// WakeUp sets the time of the controller's next wake-up.
 func (s *server) WakeUp(at admission.Time) { s.wakeAt = at }
 
-// What a replay has no use for: calls to services below, repeats, health and what a server tells its callers.
+// The methods below do nothing: a replay has no calls, idempotency keys, health checks or connections.
 
-// Call does nothing: a recorded run time holds its calls.
+// Call does nothing: recorded run times include the calls.
 func (s *server) Call(uint32, admission.Time) {}
 
 // SkipCall does nothing.
 func (s *server) SkipCall(uint32) {}
 
-// Remember does nothing: a replay has no keys.
+// Remember does nothing: a replay has no idempotency keys.
 func (s *server) Remember(uint32, admission.Time) {}
 
 // Forget does nothing.
@@ -246,10 +250,10 @@
 // Health does nothing: a replay has no health checks.
 func (s *server) Health(bool) {}
 
-// SignalOverload does nothing: nobody reads the overload signal.
+// SignalOverload does nothing: a replay has no callers that read the signal.
 func (s *server) SignalOverload(float64) {}
 
-// SetIdleTimeout does nothing: there are no connections.
+// SetIdleTimeout does nothing: a replay has no connections.
 func (s *server) SetIdleTimeout(admission.Time) {}
 
 // Log does nothing.
