--- a/internal/node/settings/doc.go
+++ b/internal/node/settings/doc.go
@@ -1,11 +1,11 @@
-// Package settings reads the platform's start-up settings, the same for a server on sockets and for an instance of the
-// simulator's adapter. It maps them to the decision module's terms and decides nothing.
+// Package settings parses the platform's start-up settings, for servers and for instances of the simulator's adapter,
+// and maps them to an admission.Deployment. It decides nothing, and the platform's names are used only in this package.
 //
-// The platform's own names stop at this package. Spans come in microseconds and become tenths of a millisecond
-// (admission.Time), rounded down where they are promises of ours and up where they bound how often something happens
-// or how long a key is remembered. Unknown keys are passed over: a newer platform may send more.
+// Durations in the settings are microseconds. They become admission.Time, in units of 100 microseconds, rounded down
+// except for the round interval and the idempotency window, which are rounded up. Unknown keys are ignored, since a
+// newer platform may add some.
 //
-//	key                              term in admission.Deployment
+//	key                              field of admission.Deployment
 //	classes[].gain, late_share       Handler.Value, LateValue
 //	classes[].promise, give_up       Handler.LatencyObjective, Timeout
 //	classes[].semantics              Handler.RetrySafety: idempotent = Retryable, deduplicated = IdempotencyKeyed,
@@ -19,7 +19,7 @@
 //	family_info.degraded_worth[]     Handler.DegradedValue
 //	family_info.fresh, idle          ResponseReuseTime, IdleTimeout
 //	family_info.memory_kb, key_kb    MemoryKB, TableEntryKB
-//	family_info.meters[]             names of the gauges, in order: on_cores, links
+//	family_info.meters[]             names of the gauges in order; on_cores and links are used
 //	family_info.preemption           Cancellation: drop, pause
 //	family_info.run_factor           RunMemoryFactor
 //	family_info.say                  OverloadSignal: level, credit, weight
@@ -29,7 +29,7 @@
 //	invariants.fall_multiple         MaxRunsPerCore
 //	invariants.start_capacity        ColdSpeed
 //	invariants.warm_after            WarmUpTime
-//	limits.retry_after               whether max_retry_after counts
+//	limits.retry_after               whether max_retry_after applies
 //	limits.max_retry_after           MaxRetryAfter
 //	goal.worst_class over goal.whole WorstClassWeight
 //	over_share_worth, worth_by       OverQuotaWeight, ValuePerWork
--- a/internal/node/settings/errors.go
+++ b/internal/node/settings/errors.go
@@ -2,14 +2,14 @@
 
 import "errors"
 
-// ErrNoClasses says that the settings name no class of requests: nothing could be served.
+// ErrNoClasses is returned for settings without classes, under which no request could be served.
 var ErrNoClasses = errors.New("settings: no classes, expected at least one")
 
-// InvalidError is a key whose value can't be used.
+// InvalidError is returned for a key with an invalid value.
 type InvalidError struct {
-	Key     string // as in the settings, such as family_info.cores; several where only together they are wrong
-	Problem string // what was found, and what was expected
+	Key     string // path of the key, such as family_info.cores, or of several keys
+	Problem string // the value found and those expected
 }
 
-// Error names the key, what was found and what was expected.
+// Error returns the key, the value found and those expected.
 func (e *InvalidError) Error() string { return "settings: " + e.Key + " " + e.Problem }
--- a/internal/node/settings/pin_settings_test.go
+++ b/internal/node/settings/pin_settings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// everyKey has each key of the start-up settings that is read, and one that is not.
+// everyKey has every key of the start-up settings that is used, and an unknown one.
 const everyKey = `{"classes": [
  {"name": "view", "gain": 1, "give_up": 6e6, "late_share": 0.25, "promise": 2e6, "semantics": "idempotent", "window": 0},
  {"name": "pay", "gain": 4, "give_up": 4e6, "late_share": 0.5, "promise": 1e6, "semantics": "deduplicated", "window": 9e6},
@@ -20,26 +20,29 @@
  "limits": {"max_retry_after": 3e6, "retry_after": true}, "goal": {"whole": 2, "worst_class": 0.3},
  "over_share_worth": 0.2, "stage": 1, "worth_by": "work"}`
 
-// What each key of the start-up settings comes to is that of version 2a0a97e.
-func TestEveryKeyIsRead(t *testing.T) {
-	p, err := Parse([]byte(everyKey))
+// TestParseEveryKey compares the value that each key is mapped to with that of version 2a0a97e.
+func TestParseEveryKey(t *testing.T) {
+	startup, err := Parse([]byte(everyKey))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := p.Deployment
+	d := startup.Deployment
 	var got strings.Builder
-	fmt.Fprintln(&got, d.FleetSize, d.Callers, d.Tier, d.RoundInterval, d.ValuePerWork, d.OverQuotaWeight, d.Cores, d.ColdStart, d.ColdSpeed)
-	fmt.Fprintln(&got, d.WarmUpTime, d.MaxRunsPerCore, d.MemoryKB, d.RunMemoryFactor, d.TableEntryKB, d.CallAllowance, d.CallAveragingTime, d.CancellationDelay, d.ResponseReuseTime)
-	fmt.Fprintln(&got, d.DrainGrace, d.IdleTimeout, d.WorstClassWeight, d.MaxRetryAfter, int(d.Dependency), int(d.Cancellation),
-		int(d.OverloadSignal), d.Start)
+	fmt.Fprintln(&got, d.FleetSize, d.Callers, d.Tier, d.RoundInterval, d.ValuePerWork, d.OverQuotaWeight,
+		d.Cores, d.ColdStart, d.ColdSpeed)
+	fmt.Fprintln(&got, d.WarmUpTime, d.MaxRunsPerCore, d.MemoryKB, d.RunMemoryFactor, d.TableEntryKB,
+		d.CallAllowance, d.CallAveragingTime, d.CancellationDelay, d.ResponseReuseTime)
+	fmt.Fprintln(&got, d.DrainGrace, d.IdleTimeout, d.WorstClassWeight, d.MaxRetryAfter, int(d.Dependency),
+		int(d.Cancellation), int(d.OverloadSignal), d.Start)
 	for _, h := range d.Handlers {
-		fmt.Fprintln(&got, h.LatencyObjective, h.Timeout, h.Value, h.LateValue, h.DegradedValue, h.IdempotencyWindow, int(h.RetrySafety))
+		fmt.Fprintln(&got, h.LatencyObjective, h.Timeout, h.Value, h.LateValue, h.DegradedValue,
+			h.IdempotencyWindow, int(h.RetrySafety))
 	}
 	for _, tenant := range d.Tenants {
 		fmt.Fprintln(&got, tenant.Quota)
 	}
-	fmt.Fprintln(&got, p.HandlerIndex, p.TenantIndex, p.GaugeNames)
-	g := p.Gauges([]float64{1.5, 2, 3})
+	fmt.Fprintln(&got, startup.HandlerIndex, startup.TenantIndex, startup.GaugeNames)
+	g := startup.Gauges([]float64{1.5, 2, 3})
 	fmt.Fprintln(&got, g.Runnable, g.OpenConnections)
 	const want = `5 4 1 21 true 0.2 2 true 0.4
 20000 3.5 9000 3 0.5 6 10000 3000 2000
@@ -53,6 +56,6 @@
 1.5 3
 `
 	if got.String() != want {
-		t.Errorf("read as\n%sexpected\n%s", got.String(), want)
+		t.Errorf("Parse() gave\n%swant\n%s", got.String(), want)
 	}
 }
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -8,36 +8,36 @@
 	"umberwinch/admission"
 )
 
-// Startup is what the start-up settings say: the decision module's deployment, and the names that go with its indices.
+// Startup is the parsed start-up settings: a deployment and the names of its indices.
 type Startup struct {
 	*admission.Deployment
-	GaugeNames   []string       // in the order in which gauges are read
-	HandlerIndex map[string]int // of a class in Deployment.Handlers, by name
-	TenantIndex  map[string]int // of a tenant in Deployment.Tenants, by name
+	GaugeNames   []string       // in the order of the values passed to Gauges
+	HandlerIndex map[string]int // index in Deployment.Handlers by class name
+	TenantIndex  map[string]int // index in Deployment.Tenants by customer name
 }
 
-// Words of the settings and what they stand for.
+// Values of enumerated keys. An absent key has the value "".
 var (
-	retrySafetyOf = map[string]admission.RetrySafety{"idempotent": admission.Retryable,
+	retrySafetyByName = map[string]admission.RetrySafety{"idempotent": admission.Retryable,
 		"deduplicated": admission.IdempotencyKeyed, "at_most_once": admission.NonRetryable}
-	dependencyOf = map[string]admission.Dependency{"": admission.DependencyNone, "off": admission.DependencyNone,
+	dependencyByName = map[string]admission.Dependency{"": admission.DependencyNone, "off": admission.DependencyNone,
 		"shared": admission.DependencyShared, "tier": admission.DependencyNextTier}
-	cancellationOf = map[string]admission.Cancellation{"": admission.CancelNever, "off": admission.CancelNever,
+	cancellationByName = map[string]admission.Cancellation{"": admission.CancelNever, "off": admission.CancelNever,
 		"drop": admission.CancelDrop, "pause": admission.CancelPause}
-	overloadSignalOf = map[string]admission.OverloadSignal{"": admission.SignalNone, "off": admission.SignalNone,
+	overloadSignalByName = map[string]admission.OverloadSignal{"": admission.SignalNone, "off": admission.SignalNone,
 		"level": admission.SignalLevel, "credit": admission.SignalCredit, "weight": admission.SignalWeight}
 )
 
-// Names of gauges that are used; others are passed over.
+// Names of the gauges that are used. Others are ignored.
 const (
 	gaugeRunnable        = "on_cores"
 	gaugeOpenConnections = "links"
 )
 
-// maxCores bounds what tables are sized by; no machine has so many.
+// maxCores bounds the tables that are sized by the number of cores.
 const maxCores = 1 << 16
 
-// microsecondsPerTick are the microseconds of a unit of admission.Time.
+// microsecondsPerTick is the number of microseconds in a unit of admission.Time.
 const microsecondsPerTick = 100
 
 // ticks converts microseconds, rounded down.
@@ -46,65 +46,67 @@
 // ticksUp converts microseconds, rounded up.
 func ticksUp(us float64) admission.Time { return ticks(us + microsecondsPerTick - 1) }
 
-// lookup finds what a word of the settings stands for.
-func lookup[T any](words map[string]T, word, key string) (T, error) {
-	v, ok := words[word]
+// lookup returns the value that a name stands for, or an *InvalidError for the key.
+func lookup[T any](values map[string]T, name, key string) (T, error) {
+	v, ok := values[name]
 	if !ok {
-		return v, &InvalidError{key, fmt.Sprintf("is %q, which is not known", word)}
+		return v, &InvalidError{key, fmt.Sprintf("is %q, which is not known", name)}
 	}
 	return v, nil
 }
 
-// Parse reads the start-up settings. Its errors are ErrNoClasses, an *InvalidError, or wrap one of encoding/json.
+// Parse parses the start-up settings. The error is ErrNoClasses, an *InvalidError, or wraps an error of encoding/json.
 func Parse(raw []byte) (*Startup, error) {
-	var text startupJSON
-	if err := json.Unmarshal(raw, &text); err != nil {
+	var parsed startupJSON
+	if err := json.Unmarshal(raw, &parsed); err != nil {
 		return nil, fmt.Errorf("settings are not JSON as expected: %w", err)
 	}
-	if err := text.validate(); err != nil {
+	if err := parsed.validate(); err != nil {
 		return nil, err
 	}
-	d, err := text.deployment()
+	d, err := parsed.deployment()
 	if err != nil {
 		return nil, err
 	}
-	s := &Startup{Deployment: d, GaugeNames: text.Family.Meters, HandlerIndex: map[string]int{},
+	s := &Startup{Deployment: d, GaugeNames: parsed.Family.Meters, HandlerIndex: map[string]int{},
 		TenantIndex: map[string]int{}}
-	for i, class := range text.Classes {
+	for i, class := range parsed.Classes {
 		h, err := class.handler(i)
 		if err != nil {
 			return nil, err
 		}
-		if i < len(text.Family.Degraded) {
-			h.DegradedValue = text.Family.Degraded[i]
+		if i < len(parsed.Family.Degraded) {
+			h.DegradedValue = parsed.Family.Degraded[i]
 		}
 		s.HandlerIndex[class.Name] = i
 		d.Handlers = append(d.Handlers, h)
 	}
-	for i, customer := range text.Customers {
+	for i, customer := range parsed.Customers {
 		s.TenantIndex[customer.Name] = i
 		d.Tenants = append(d.Tenants, admission.Tenant{Quota: customer.Quota})
 	}
 	return s, nil
 }
 
-// validate refuses what no server can be run by.
+// validate returns an error for settings that no server can run with.
 func (t *startupJSON) validate() error {
 	f := &t.Family
 	switch {
 	case len(t.Classes) == 0:
 		return ErrNoClasses
 	case f.Cores < 1 || f.Cores > maxCores:
-		return &InvalidError{"family_info.cores", fmt.Sprintf("is %d, expected 1 or more", f.Cores)}
+		return &InvalidError{"family_info.cores", fmt.Sprintf("is %d, expected 1 to %d", f.Cores, maxCores)}
 	case !(f.MemoryKB > 0) || f.RunFactor < 0 || f.KeyKB < 0:
-		return &InvalidError{"family_info.memory_kb, run_factor or key_kb", "is out of range"}
+		return &InvalidError{"family_info.memory_kb, run_factor, key_kb", fmt.Sprintf(
+			"are %g, %g, %g, expected memory_kb above 0 and the others at least 0", f.MemoryKB, f.RunFactor, f.KeyKB)}
 	case t.Invariants.FallMultiple < 0 || t.Granularity < 0 || t.Invariants.DrainGrace < 0:
-		return &InvalidError{"invariants or granularity", "are below zero"}
+		return &InvalidError{"invariants.fall_multiple, granularity, invariants.drain_grace", fmt.Sprintf(
+			"are %g, %g, %g, expected at least 0 each", t.Invariants.FallMultiple, t.Granularity, t.Invariants.DrainGrace)}
 	}
 	return nil
 }
 
-// deployment maps all but classes and customers.
+// deployment returns the deployment without its handlers and tenants.
 func (t *startupJSON) deployment() (*admission.Deployment, error) {
 	f := &t.Family
 	d := &admission.Deployment{
@@ -136,19 +138,20 @@
 		d.MaxRetryAfter = ticks(t.Limits.MaxRetryAfter)
 	}
 	var err error
-	if d.Dependency, err = lookup(dependencyOf, f.Below, "family_info.below"); err != nil {
+	if d.Dependency, err = lookup(dependencyByName, f.Below, "family_info.below"); err != nil {
 		return nil, err
 	}
-	if d.Cancellation, err = lookup(cancellationOf, f.Preemption, "family_info.preemption"); err != nil {
+	if d.Cancellation, err = lookup(cancellationByName, f.Preemption, "family_info.preemption"); err != nil {
 		return nil, err
 	}
-	if d.OverloadSignal, err = lookup(overloadSignalOf, f.Say, "family_info.say"); err != nil {
+	if d.OverloadSignal, err = lookup(overloadSignalByName, f.Say, "family_info.say"); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
-// handler maps the class at an index. An objective that isn't stated, or is past the timeout, is the timeout.
+// handler returns the handler of the class at an index. The latency objective is at most the timeout, which is also its
+// default.
 func (c *classJSON) handler(index int) (h admission.Handler, err error) {
 	h = admission.Handler{
 		LatencyObjective:  ticks(c.Promise),
@@ -164,18 +167,18 @@
 	if h.LatencyObjective <= 0 || h.LatencyObjective > h.Timeout {
 		h.LatencyObjective = h.Timeout
 	}
-	h.RetrySafety, err = lookup(retrySafetyOf, c.Semantics, "classes[].semantics")
+	h.RetrySafety, err = lookup(retrySafetyByName, c.Semantics, "classes[].semantics")
 	return h, err
 }
 
-// Gauges names what the server's gauges read, in the order of GaugeNames.
-func (s *Startup) Gauges(read []float64) (g admission.Gauges) {
-	for k := range min(len(read), len(s.GaugeNames)) {
-		switch s.GaugeNames[k] {
+// Gauges returns the gauges with the given values, in the order of GaugeNames.
+func (s *Startup) Gauges(values []float64) (g admission.Gauges) {
+	for i := range min(len(values), len(s.GaugeNames)) {
+		switch s.GaugeNames[i] {
 		case gaugeRunnable:
-			g.Runnable = read[k]
+			g.Runnable = values[i]
 		case gaugeOpenConnections:
-			g.OpenConnections = read[k]
+			g.OpenConnections = values[i]
 		}
 	}
 	return g
--- a/internal/node/settings/startup_text.go
+++ b/internal/node/settings/startup_text.go
@@ -1,6 +1,6 @@
 package settings
 
-// startupJSON is the start-up text as it comes; unknown keys are passed over.
+// startupJSON is the JSON form of the start-up settings. Durations are in microseconds.
 type startupJSON struct {
 	Classes   []classJSON `json:"classes"`
 	Customers []struct {
@@ -46,7 +46,7 @@
 	WorthBy   string  `json:"worth_by"`
 }
 
-// classJSON is one class of requests as it comes; spans are microseconds.
+// classJSON is the JSON form of a class of requests. Durations are in microseconds.
 type classJSON struct {
 	Name      string  `json:"name"`
 	Gain      float64 `json:"gain"`
