--- a/internal/control/document/validate.go
+++ b/internal/control/document/validate.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// checkSheds checks that level i of d.Levels sheds all classes of less weight than any class that it sheds, and all
-// classes that the previous level sheds.
+// checkSheds checks that level i of d.Levels sheds all classes of less weight than any class that it sheds, except
+// retired ones, and all classes that the previous level sheds.
 func (d *Document) checkSheds(t *config.Text, i int) {
 	l := d.Levels[i]
 	s := "level " + strconv.Itoa(l.Number)
--- a/internal/control/recovery/plan.go
+++ b/internal/control/recovery/plan.go
@@ -38,7 +38,7 @@
 // RestorePlan is the state that a restored group begins with and its evidence.
 type RestorePlan struct {
 	Lost          api.GroupIdentity `json:"of"`      // the group that lost its state
-	Version       uint64            `json:"version"` // committed at the start; 0: no version was decided
+	Version       uint64            `json:"version"` // first version of the restored group; 0: none was decided
 	Text          string            `json:"-"`
 	Hash          string            `json:"hash,omitempty"`
 	SourceVersion uint64            `json:"was"`   // the version that Text is taken from
