--- a/internal/node/overlay/overlay.go
+++ b/internal/node/overlay/overlay.go
@@ -106,7 +106,7 @@
 	if class.Pool == "" {
 		return
 	}
-	if other, taken := b.classOfPool[class.Pool]; taken {
+	if other, assigned := b.classOfPool[class.Pool]; assigned {
 		b.addConflict("pool %s: found classes %s and %s in it, expected one here, as run slots are set apart by handler",
 			class.Pool, other, class.Name)
 	}
