--- a/internal/control/api/pin_messages_test.go
+++ b/internal/control/api/pin_messages_test.go
@@ -10,22 +10,22 @@
 	"testing"
 )
 
-var write = flag.Bool("write-pins", false, "write the fixtures of the messages anew")
+var writePins = flag.Bool("write-pins", false, "rewrite the fixtures of the messages")
 
-// fill sets every field that the value has, each to another value, by the order in which they are encoded.
-func fill(v reflect.Value, next *int) {
+// setAllFields sets every field of a value, recursively, each to a distinct value in order of encoding.
+func setAllFields(v reflect.Value, next *int) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), next)
+		setAllFields(v.Elem(), next)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i), next)
+			setAllFields(v.Field(i), next)
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			fill(v.Index(i), next)
+			setAllFields(v.Index(i), next)
 		}
 	case reflect.String:
 		*next++
@@ -46,26 +46,26 @@
 	}
 }
 
-// bare gives the value all its parts, and each of them no field that is set.
-func bare(v reflect.Value) {
+// allocateParts sets every pointer and slice of a value, recursively, and leaves all other fields zero.
+func allocateParts(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		bare(v.Elem())
+		allocateParts(v.Elem())
 	case reflect.Struct:
 		for i := range v.NumField() {
-			bare(v.Field(i))
+			allocateParts(v.Field(i))
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		bare(v.Index(0))
+		allocateParts(v.Index(0))
 	}
 }
 
-// TestMessagesAsSent: every message between a node and the control service has the bytes that version 2a0a97e sent,
-// with all fields set, with all parts and no field set, and with nothing, and is read back whole. A build of that
-// version on the other side would misread any other form.
-func TestMessagesAsSent(t *testing.T) {
+// TestRecordedMessages checks that each message is encoded to the bytes of version 2a0a97e, with all fields set, with
+// only pointers and slices set, and empty, and that it is decoded without loss. A peer of that version would misread
+// any other form.
+func TestRecordedMessages(t *testing.T) {
 	for name, message := range map[string]any{
 		"request":  &HeartbeatRequest{},
 		"response": &HeartbeatResponse{},
@@ -75,20 +75,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		bare(reflect.ValueOf(message).Elem())
+		allocateParts(reflect.ValueOf(message).Elem())
 		parts, err := json.Marshal(message)
 		if err != nil {
 			t.Fatal(err)
 		}
 		n := 0
-		fill(reflect.ValueOf(message).Elem(), &n)
+		setAllFields(reflect.ValueOf(message).Elem(), &n)
 		full, err := json.Marshal(message)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := string(empty) + "\n" + string(parts) + "\n" + string(full) + "\n"
 		file := filepath.Join("testdata", "messages", name+".txt")
-		if *write {
+		if *writePins {
 			if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
 				t.Fatal(err)
 			}
@@ -98,11 +98,11 @@
 			t.Fatal(err)
 		}
 		if got != string(want) {
-			t.Errorf("%s: sent\n%s\nexpected\n%s", name, got, want)
+			t.Errorf("%s: encoded\n%s\nwant\n%s", name, got, want)
 		}
-		back := reflect.New(reflect.TypeOf(message).Elem()).Interface()
-		if err := json.Unmarshal(full, back); err != nil || !reflect.DeepEqual(back, message) {
-			t.Errorf("%s: read back %+v (%v), expected %+v", name, back, err, message)
+		decoded := reflect.New(reflect.TypeOf(message).Elem()).Interface()
+		if err := json.Unmarshal(full, decoded); err != nil || !reflect.DeepEqual(decoded, message) {
+			t.Errorf("%s: decoded %+v (%v), want %+v", name, decoded, err, message)
 		}
 	}
 }
--- a/internal/control/document/canonical.go
+++ b/internal/control/document/canonical.go
@@ -8,82 +8,83 @@
 	"strings"
 )
 
-func number(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
+// formatNumber returns the shortest decimal form that parses to the same number.
+func formatNumber(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
 	return "no"
 }
 
-func whenAlone(autonomous bool) string {
+func whenAloneValue(autonomous bool) string {
 	if autonomous {
-		return goOn
+		return whenAloneGoOn
 	}
-	return fence
+	return whenAloneFence
 }
 
-// Line is one key of the canonical form.
+// Line is a key and its value in the canonical form.
 type Line struct{ Section, Key, Value string }
 
-// Lines returns the canonical form: every key of every section, defaults too, in a fixed order. [fleet] and [zones]
-// are left out where the document has none, so that a document from before there were any has the hash that it had.
+// Lines returns the canonical form: every key of every section in a fixed order, including defaults. [fleet] and
+// [zones] are omitted if the document has none, so that documents older than these sections keep their hash.
 func (d *Document) Lines() []Line {
-	var out []Line
-	add := func(section, key, value string) { out = append(out, Line{section, key, value}) }
+	var lines []Line
+	add := func(section, key, value string) { lines = append(lines, Line{section, key, value}) }
 	for _, c := range d.Classes {
 		s := "class " + c.Name
 		add(s, "kind", string(c.Kind))
-		add(s, "value", number(c.Weight))
+		add(s, "value", formatNumber(c.Weight))
 		add(s, "response_target", c.LatencyObjective.String())
 		add(s, "client_timeout", c.Timeout.String())
 		add(s, "window", c.IdempotencyWindow.String())
 		add(s, "pool", c.Pool)
-		add(s, "retired", yes(c.Retired))
+		add(s, "retired", yesNo(c.Retired))
 	}
-	for _, n := range d.Tenants {
-		s := "tenant " + n.Name
-		add(s, "share", number(n.Share))
-		add(s, "rate", number(n.Rate))
+	for _, tenant := range d.Tenants {
+		s := "tenant " + tenant.Name
+		add(s, "share", formatNumber(tenant.Share))
+		add(s, "rate", formatNumber(tenant.Rate))
 	}
 	for _, p := range d.Pools {
 		s := "pool " + p.Name
-		add(s, "floor", number(p.MinShare))
-		add(s, "cap", number(p.MaxShare))
-		add(s, "reserve", yes(p.Lendable))
+		add(s, "floor", formatNumber(p.MinShare))
+		add(s, "cap", formatNumber(p.MaxShare))
+		add(s, "reserve", yesNo(p.Lendable))
 	}
 	for _, l := range d.Levels {
 		s := "level " + strconv.Itoa(l.Number)
-		add(s, "enter", number(l.EnterLoad))
-		add(s, "leave", number(l.LeaveLoad))
+		add(s, "enter", formatNumber(l.EnterLoad))
+		add(s, "leave", formatNumber(l.LeaveLoad))
 		add(s, "hold", l.MinTime.String())
 		add(s, "sheds", strings.Join(l.Sheds, ", "))
 	}
 	stages := make([]string, len(d.Rollout.Stages))
-	for i, n := range d.Rollout.Stages {
-		stages[i] = strconv.Itoa(n)
+	for i, percent := range d.Rollout.Stages {
+		stages[i] = strconv.Itoa(percent)
 	}
 	add("rollout", "stages", strings.Join(stages, ", "))
 	add("rollout", "hold", d.Rollout.StageTime.String())
-	add("rollout", "max_shed", number(d.Rollout.MaxShedIncrease))
-	add("rollout", "max_late", number(d.Rollout.MaxLateIncrease))
-	if d.Fleet.Present { // a document without it has the canonical text that it had before there was one
+	add("rollout", "max_shed", formatNumber(d.Rollout.MaxShedIncrease))
+	add("rollout", "max_late", formatNumber(d.Rollout.MaxLateIncrease))
+	if d.Fleet.Present {
 		add("fleet", "lease", d.Fleet.Lease.String())
-		add("fleet", "when_alone", whenAlone(d.Fleet.Autonomous))
+		add("fleet", "when_alone", whenAloneValue(d.Fleet.Autonomous))
 	}
 	if z := d.Zones; z.Present {
 		add("zones", "decide", string(z.Mode))
-		add("zones", "first", number(z.FirstShare))
+		add("zones", "first", formatNumber(z.FirstShare))
 		add("zones", "hold", z.StepTime.String())
 		add("zones", "keep", z.OrderTime.String())
 		add("zones", "max_wait", z.MaxBackoff.String())
-		add("zones", "small_start", yes(z.SmallStart))
+		add("zones", "small_start", yesNo(z.SmallStart))
 	}
-	return out
+	return lines
 }
 
-// Canonical returns the document's one text.
+// Canonical returns the canonical text, which is the same for all texts with the same content.
 func (d *Document) Canonical() []byte {
 	var b strings.Builder
 	section := ""
@@ -100,7 +101,7 @@
 	return []byte(b.String())
 }
 
-// Hash names a canonical text: its SHA-256, in hexadecimal.
+// Hash returns the SHA-256 of a canonical text in hexadecimal.
 func Hash(canonical []byte) string {
 	sum := sha256.Sum256(canonical)
 	return hex.EncodeToString(sum[:])
