--- a/internal/control/coordinator/apply.go
+++ b/internal/control/coordinator/apply.go
@@ -20,7 +20,7 @@
 }
 
 // Rejected tells whether the batch changed nothing, as another one was applied since it was made.
-func (b BatchApplied) Rejected() bool { return !b.Counted }
+func (b BatchApplied) Rejected() bool { return !b.Applied }
 
 // Apply applies one committed entry and gives its outcome. An error (*EntryError, *UnknownKindError or
 // policy.ErrEmptyProposal) means that the entry can't be read, and that the instance can't go on: others may have read
@@ -28,11 +28,11 @@
 func (s *State) Apply(kind string, body []byte, index, term uint64, v Versions) (Outcome, error) {
 	s.Index = index
 	s.recordChecksum(kind, body, index, term)
-	c, err := decodeEntry(kind, body)
+	cmd, err := decodeEntry(kind, body)
 	if err != nil {
 		return nil, err
 	}
-	return c.apply(s, term, v), nil
+	return cmd.apply(s, term, v), nil
 }
 
 // heartbeatsCommand tells the table of nodes of heartbeats and of the time that went by.
--- a/internal/control/coordinator/batch.go
+++ b/internal/control/coordinator/batch.go
@@ -25,13 +25,13 @@
 
 // heartbeatBatcher gathers heartbeats into batches, of which one at a time is appended.
 type heartbeatBatcher struct {
-	appliedMS uint64 // when the last batch was applied here, or leadership began
-	sequence  uint64 // of the last batch that was made
-	appended  appendTimer
-	waiting   []pendingHeartbeat
-	inFlight  []pendingHeartbeat // of the batch that is appended
-	joinsLeft bool               // joins did not fit into it
-	forget    []string           // names to take off with the next batch
+	lastAppliedMS uint64 // when the last batch was applied here, or leadership began
+	sequence      uint64 // of the last batch that was made
+	appendTimer   appendTimer
+	waiting       []pendingHeartbeat
+	inFlight      []pendingHeartbeat // of the batch that is appended
+	joinsDeferred bool               // joins did not fit into it
+	forgetNames   []string           // names to take off with the next batch
 }
 
 func (b *heartbeatBatcher) add(r api.HeartbeatRequest, done func(api.HeartbeatResponse, error)) error {
@@ -44,7 +44,7 @@
 
 // retryIfLost lets the heartbeats of a batch that counts as lost wait for the next one.
 func (b *heartbeatBatcher) retryIfLost(nowMS uint64) {
-	if b.appended.stopIfLost(nowMS) {
+	if b.appendTimer.stopIfLost(nowMS) {
 		b.requeue(b.inFlight)
 		b.inFlight = nil
 	}
@@ -59,9 +59,9 @@
 func (b *heartbeatBatcher) fill(batch *membership.HeartbeatBatch, nowMS uint64, disabled policy.Guard,
 ) *membership.HeartbeatBatch {
 	b.sequence++
-	batch.Sequence, batch.Forget = b.sequence, b.forget
-	b.forget = nil
-	b.takeWaiting(disabled)
+	batch.Sequence, batch.Forget = b.sequence, b.forgetNames
+	b.forgetNames = nil
+	b.selectWaiting(disabled)
 	for i := range b.inFlight {
 		switch r := &b.inFlight[i].request; {
 		case r.Leave:
@@ -74,33 +74,33 @@
 			batch.Outdated = append(batch.Outdated, r.LeaseID)
 		}
 	}
-	b.appended.start(nowMS)
+	b.appendTimer.start(nowMS)
 	return batch
 }
 
-// takeWaiting decides which waiting heartbeats go into the next batch: all renewals and leaves, and the joins that came
+// selectWaiting decides which waiting heartbeats go into the next batch: all renewals and leaves, and the joins that came
 // first, up to their bound.
 //
 // The order of arrival guards against starvation: in a fleet that restarts as a whole, a node that is passed over sends
 // again, and if later joins came first it could wait for ever.
-func (b *heartbeatBatcher) takeWaiting(disabled policy.Guard) {
+func (b *heartbeatBatcher) selectWaiting(disabled policy.Guard) {
 	skip := 0
 	if disabled.Has(policy.ArrivalOrder) {
 		skip = max(0, b.waitingJoins()-maxJoinsPerBatch)
 	}
-	var left []pendingHeartbeat
+	var deferred []pendingHeartbeat
 	joins := 0
 	for _, h := range b.waiting {
 		if h.request.LeaseID == 0 {
 			joins++
 			if joins <= skip || joins > skip+maxJoinsPerBatch {
-				left = append(left, h)
+				deferred = append(deferred, h)
 				continue
 			}
 		}
 		b.inFlight = append(b.inFlight, h)
 	}
-	b.waiting, b.joinsLeft = left, len(left) > 0
+	b.waiting, b.joinsDeferred = deferred, len(deferred) > 0
 }
 
 func (b *heartbeatBatcher) waitingJoins() (joins int) {
@@ -114,23 +114,23 @@
 
 // fail answers all heartbeats with an error.
 func (b *heartbeatBatcher) fail(err error) {
-	for _, list := range [][]pendingHeartbeat{b.waiting, b.inFlight} {
-		for _, h := range list {
+	for _, heartbeats := range [][]pendingHeartbeat{b.waiting, b.inFlight} {
+		for _, h := range heartbeats {
 			h.done(api.HeartbeatResponse{}, err)
 		}
 	}
 	b.waiting, b.inFlight = nil, nil
 }
 
-// batchHeader gives what a batch made now says beside heartbeats.
-func (l *Leader) batchHeader(s *State, lost string) *membership.HeartbeatBatch {
+// newBatch gives what a batch made now says beside heartbeats.
+func (l *Leader) newBatch(s *State, lossProof string) *membership.HeartbeatBatch {
 	return &membership.HeartbeatBatch{
 		Term:          l.term,
 		BatchesBefore: s.Fleet.Batches,
-		ElapsedMS:     l.nowMS - l.heartbeats.appliedMS,
+		ElapsedMS:     l.nowMS - l.heartbeats.lastAppliedMS,
 		MinVersion:    s.Policy.DecidedVersion,
 		MinZoneEpoch:  s.leaseTerms().ZoneEpoch,
-		LostState:     lost,
+		LostState:     lossProof,
 	}
 }
 
@@ -141,17 +141,17 @@
 // and this one's batch will change nothing.
 func (l *Leader) batchApplied(s *State, applied *BatchApplied) {
 	b := &l.heartbeats
-	if applied.Counted {
-		b.appliedMS = l.nowMS
+	if applied.Applied {
+		b.lastAppliedMS = l.nowMS
 	}
 	own := applied.Term == l.term && applied.Sequence == b.sequence
-	if !b.appended.running() || !own && !applied.Counted {
+	if !b.appendTimer.running() || !own && !applied.Applied {
 		return
 	}
 	heartbeats := b.inFlight
-	b.appended.stop()
+	b.appendTimer.stop()
 	b.inFlight = nil
-	if !own || !applied.Counted {
+	if !own || !applied.Applied {
 		b.requeue(heartbeats)
 		return
 	}
@@ -165,18 +165,18 @@
 		joins[applied.Joins[i].Nonce] = &applied.Joins[i]
 	}
 	for _, h := range heartbeats {
-		h.done(l.answer(s, &h.request, applied, joins[h.request.Nonce]))
+		h.done(l.batchResponse(s, &h.request, applied, joins[h.request.Nonce]))
 	}
 	l.coldStart.dropEnded(s.Fleet)
 	l.dropReportsOfEnded(s)
 }
 
-// answer gives a heartbeat's response after its batch. join is the result of its request to join.
-func (l *Leader) answer(s *State, r *api.HeartbeatRequest, applied *BatchApplied, join *membership.JoinResult) (
+// batchResponse gives a heartbeat's response after its batch. join is the result of its request to join.
+func (l *Leader) batchResponse(s *State, r *api.HeartbeatRequest, applied *BatchApplied, join *membership.JoinResult) (
 	api.HeartbeatResponse, error) {
 	response := api.HeartbeatResponse{LeaseID: r.LeaseID}
 	if r.Leave {
-		return l.respond(s, response), nil
+		return l.completeResponse(s, response), nil
 	}
 	if r.LeaseID == 0 {
 		if join == nil {
@@ -184,19 +184,19 @@
 		}
 		if join.RefusedReason != "" {
 			response.EndedReason, response.RetryAfterMS = join.RefusedReason, join.RetryAfterMS
-			return l.respond(s, response), nil
+			return l.completeResponse(s, response), nil
 		}
 		response.LeaseID = join.LeaseID
 		if s.Policy.ActiveRules().Zones.ColdStart {
 			l.coldStart.limit(join.LeaseID, l.nowMS)
 		}
 	}
-	extended, heard := applied.Granted[response.LeaseID]
+	extended, found := applied.Granted[response.LeaseID]
 	switch {
-	case !heard:
+	case !found:
 		response.EndedReason = endedLease
 	case extended:
 		response.LeaseMS = applied.LeaseMS
 	}
-	return l.respond(s, response), nil
+	return l.completeResponse(s, response), nil
 }
--- a/internal/control/coordinator/batch_timing.go
+++ b/internal/control/coordinator/batch_timing.go
@@ -12,21 +12,21 @@
 	batchesPerLease = 8
 )
 
-// shouldSendBatch decides whether a batch of heartbeats is appended now.
+// shouldAppendBatch decides whether a batch of heartbeats is appended now.
 //
 // It decides by the ms since the last batch was applied, the lease, what waits and whether a change is under way. One
 // batch at a time is appended, so that no ms is counted twice. Proof of lost state goes out at once: each decision
 // until then may do harm. Otherwise a batch goes out once a second, sooner if something waits under a short lease,
 // and soonest while a change waits for promises or more joins wait than fit into a batch.
-func (l *Leader) shouldSendBatch(s *State, lossProven bool) bool {
+func (l *Leader) shouldAppendBatch(s *State, lossProven bool) bool {
 	b := &l.heartbeats
-	if b.appended.running() {
+	if b.appendTimer.running() {
 		return false
 	}
-	sinceMS := l.nowMS - b.appliedMS
+	elapsedMS := l.nowMS - b.lastAppliedMS
 	intervalMS := min(maxBatchIntervalMS, max(minBatchIntervalMS, s.leaseTerms().LeaseMS/batchesPerLease))
-	urgent := s.Policy.Current != nil || b.joinsLeft
-	return lossProven || sinceMS >= maxBatchIntervalMS ||
-		sinceMS >= intervalMS && len(b.waiting)+len(b.forget) > 0 ||
-		urgent && sinceMS >= minBatchIntervalMS && len(b.waiting) > 0
+	urgent := s.Policy.Current != nil || b.joinsDeferred
+	return lossProven || elapsedMS >= maxBatchIntervalMS ||
+		elapsedMS >= intervalMS && len(b.waiting)+len(b.forgetNames) > 0 ||
+		urgent && elapsedMS >= minBatchIntervalMS && len(b.waiting) > 0
 }
--- a/internal/control/coordinator/generation.go
+++ b/internal/control/coordinator/generation.go
@@ -11,26 +11,26 @@
 //
 // A change under way has no outcome there: it ends. Zones stand as the newest orders of their nodes say; one of which a
 // node had less than the full share ramps up as any that was evacuated.
-func (s *State) BeginGeneration(found *recovery.RestorePlan, v Versions) error {
+func (s *State) BeginGeneration(plan *recovery.RestorePlan, v Versions) error {
 	rules := policy.DefaultRules
-	if found.Hash != "" {
+	if plan.Hash != "" {
 		var err error
-		if rules, _, err = (versionCatalog{v}).Check(found.Version, 0); err != nil {
+		if rules, _, err = (versionCatalog{v}).Check(plan.Version, 0); err != nil {
 			return err
 		}
 	}
-	next := found.Lost.NextGeneration("")
+	next := plan.Lost.NextGeneration("")
 	s.Generation, s.Predecessors = next.Generation, next.Predecessors
-	var known []api.JoinRequest
-	for _, r := range found.Records {
-		known = append(known, api.JoinRequest{Name: r.Name, Zone: r.Zone, Addr: r.Addr})
+	var recordedNodes []api.JoinRequest
+	for _, r := range plan.Records {
+		recordedNodes = append(recordedNodes, api.JoinRequest{Name: r.Name, Zone: r.Zone, Addr: r.Addr})
 	}
-	s.Fleet.BeginGeneration(max(found.LeaseMS, rules.LeaseMS), rules.Autonomous, known)
-	if found.Version > 0 || s.Policy.Current != nil {
-		restored := policy.Restored{Version: found.Version, Hash: found.Hash, Rules: rules, Proof: found.Proof}
+	s.Fleet.BeginGeneration(max(plan.LeaseMS, rules.LeaseMS), rules.Autonomous, recordedNodes)
+	if plan.Version > 0 || s.Policy.Current != nil {
+		restored := policy.Restored{Version: plan.Version, Hash: plan.Hash, Rules: rules, Proof: plan.Proof}
 		s.Policy.BeginGeneration(restored, s.Fleet.ClockMS)
 	}
-	s.Zones.BeginGeneration(found.ZoneEpoch, reducedShares(found.Records), s.Fleet)
+	s.Zones.BeginGeneration(plan.ZoneEpoch, reducedShares(plan.Records), s.Fleet)
 	return nil
 }
 
@@ -38,7 +38,7 @@
 func reducedShares(records []api.NodeRecord) map[string]int {
 	newest := map[string]api.NodeRecord{}
 	for _, r := range records {
-		if known, ok := newest[r.Zone]; r.ZoneEpoch > 0 && (!ok || r.ZoneEpoch > known.ZoneEpoch) {
+		if current, ok := newest[r.Zone]; r.ZoneEpoch > 0 && (!ok || r.ZoneEpoch > current.ZoneEpoch) {
 			newest[r.Zone] = r
 		}
 	}
--- a/internal/control/coordinator/heartbeat.go
+++ b/internal/control/coordinator/heartbeat.go
@@ -19,16 +19,16 @@
 		done(api.HeartbeatResponse{}, err)
 		return
 	}
-	l.listening.note(r.Name)
+	l.listening.recordHeartbeat(r.Name)
 	if last := r.LastSeen; last != nil && last.Group != "" && last.Group != l.cluster {
 		// The number of a lease of another generation may be that of another node's lease here. The response names this
 		// group, its generation and its predecessors; a node that followed a predecessor joins this group.
-		response := l.respond(s, api.HeartbeatResponse{EndedReason: endedGeneration})
+		response := l.completeResponse(s, api.HeartbeatResponse{EndedReason: endedGeneration})
 		response.Predecessors = s.Predecessors
 		done(response, nil)
 		return
 	}
-	l.compareState(s, &r)
+	l.recordLossEvidence(s, &r)
 	if l.Level < LevelGenerations {
 		r.UptimeMS = 0
 	}
@@ -39,7 +39,7 @@
 		l.enqueue(r, done)
 		return
 	}
-	l.heartbeatOfLease(s, r, done)
+	l.handleLeaseHeartbeat(s, r, done)
 }
 
 // checkHeartbeat gives the error that a heartbeat is answered with before anything of it counts.
@@ -58,11 +58,11 @@
 	return nil
 }
 
-// heartbeatOfLease takes the heartbeat of a node that names a lease.
-func (l *Leader) heartbeatOfLease(s *State, r api.HeartbeatRequest, done func(api.HeartbeatResponse, error)) {
+// handleLeaseHeartbeat takes the heartbeat of a node that names a lease.
+func (l *Leader) handleLeaseHeartbeat(s *State, r api.HeartbeatRequest, done func(api.HeartbeatResponse, error)) {
 	n := s.Fleet.LeaseHolder(r.LeaseID)
 	if n == nil && !r.Leave {
-		done(l.respond(s, api.HeartbeatResponse{EndedReason: endedLease}), nil)
+		done(l.completeResponse(s, api.HeartbeatResponse{EndedReason: endedLease}), nil)
 		return
 	}
 	if n != nil {
@@ -75,7 +75,7 @@
 		l.enqueue(r, done)
 		return
 	}
-	done(l.respond(s, api.HeartbeatResponse{LeaseID: r.LeaseID}), nil)
+	done(l.completeResponse(s, api.HeartbeatResponse{LeaseID: r.LeaseID}), nil)
 }
 
 // needsEntry decides whether a heartbeat goes into the log or is answered at once from the leader's state.
--- a/internal/control/coordinator/heartbeat_pace.go
+++ b/internal/control/coordinator/heartbeat_pace.go
@@ -14,17 +14,17 @@
 	// newNodeHeartbeatMS is the least time for a node that has just begun, so that a lone restart is released
 	// within a second.
 	newNodeHeartbeatMS = 250
-	// newNodeSpeedup bounds what a fleet that restarts as a whole sends: twice as many heartbeats as ever at most.
-	newNodeSpeedup = 2
+	// newNodeIntervalDivisor bounds what a fleet that restarts as a whole sends: twice as many heartbeats as ever at most.
+	newNodeIntervalDivisor = 2
 )
 
-// heartbeatPace is what the time to a node's next heartbeat is decided by.
-type heartbeatPace struct {
+// heartbeatSchedule is what the time to a node's next heartbeat is decided by.
+type heartbeatSchedule struct {
 	leaseMS        uint64
 	nodes          int  // of the fleet
-	zones          bool // zones are decided about, by load reports
+	zonesEnabled   bool // zones are decided about, by load reports
 	newNodeLimited bool // the node waits to be released to full load
-	change         bool // a change of policy is under way
+	changeActive   bool // a change of policy is under way
 }
 
 // nextMS decides after how many ms a node sends its next heartbeat.
@@ -33,16 +33,16 @@
 // shortest holds: a quarter of a lease, the interval of load reports, half of that for a new node that is limited, and
 // soon while a change is under way. In larger fleets the times are longer, which bounds the requests that the leader
 // gets and slows a change.
-func (p heartbeatPace) nextMS() uint64 {
-	next := p.leaseMS / heartbeatsPerLease
-	if p.zones {
-		next = min(next, zones.HeartbeatIntervalMS(p.nodes))
+func (h heartbeatSchedule) nextMS() uint64 {
+	intervalMS := h.leaseMS / heartbeatsPerLease
+	if h.zonesEnabled {
+		intervalMS = min(intervalMS, zones.HeartbeatIntervalMS(h.nodes))
 	}
-	if p.newNodeLimited {
-		next = min(next, max(newNodeHeartbeatMS, zones.HeartbeatIntervalMS(p.nodes)/newNodeSpeedup))
+	if h.newNodeLimited {
+		intervalMS = min(intervalMS, max(newNodeHeartbeatMS, zones.HeartbeatIntervalMS(h.nodes)/newNodeIntervalDivisor))
 	}
-	if p.change {
-		next = min(next, max(changeHeartbeatMS, uint64(p.nodes)/maxHeartbeatsPerMS))
+	if h.changeActive {
+		intervalMS = min(intervalMS, max(changeHeartbeatMS, uint64(h.nodes)/maxHeartbeatsPerMS))
 	}
-	return next
+	return intervalMS
 }
--- a/internal/control/coordinator/leader.go
+++ b/internal/control/coordinator/leader.go
@@ -22,16 +22,16 @@
 	nowMS     uint64
 	stateLost bool // as of the last tick
 
-	heartbeats   heartbeatBatcher
-	reports      nodeReports
-	listening    listenPhase
-	evidence     lossEvidence
-	coldStart    coldStartLimits
-	policyAppend appendTimer // of an operation that the rules of policy decided
-	policyOps    submissions[policy.Operation, policy.Result]
-	zoneAppend   appendTimer // of an operation that the rules of zones decided
-	zoneOps      submissions[zones.Op, zones.Result]
-	zoneMonitor  *zones.Monitor
+	heartbeats        heartbeatBatcher
+	reports           nodeReports
+	listening         listenPhase
+	evidence          lossEvidence
+	coldStart         coldStartLimits
+	policyAppendTimer appendTimer // of an operation that the rules of policy decided
+	policyOps         submissions[policy.Operation, policy.Result]
+	zoneAppendTimer   appendTimer // of an operation that the rules of zones decided
+	zoneOps           submissions[zones.Op, zones.Result]
+	zoneMonitor       *zones.Monitor
 }
 
 // NewLeader gives a leader that does not lead yet.
@@ -50,12 +50,12 @@
 	}
 	l.failPending(ErrNotLeader)
 	l.cluster, l.leading, l.term = cluster, leads, term
-	l.heartbeats = heartbeatBatcher{appliedMS: l.nowMS}
+	l.heartbeats = heartbeatBatcher{lastAppliedMS: l.nowMS}
 	l.reports = nodeReports{}
-	l.listening = listenPhase{sinceMS: l.nowMS, seenNames: map[string]bool{}}
+	l.listening = listenPhase{startedAtMS: l.nowMS, seenNames: map[string]bool{}}
 	l.evidence = lossEvidence{}
 	l.coldStart = coldStartLimits{limitedSinceMS: map[uint32]uint64{}}
-	l.policyAppend, l.zoneAppend = appendTimer{}, appendTimer{}
+	l.policyAppendTimer, l.zoneAppendTimer = appendTimer{}, appendTimer{}
 	l.zoneMonitor = zones.NewMonitor()
 }
 
@@ -79,33 +79,33 @@
 	if l.stateLost = s.Fleet.LostState != ""; l.stateLost {
 		return nil
 	}
-	lost := l.provenLoss(s)
-	if lost == "" && l.stillListening(s) {
+	lossProof := l.provenLoss(s)
+	if lossProof == "" && l.stillListening(s) {
 		return nil
 	}
 	var entries []Entry
-	if l.shouldSendBatch(s, lost != "") {
-		entry := heartbeatsEntry(l.heartbeats.fill(l.batchHeader(s, lost), l.nowMS, l.DisabledGuards))
+	if l.shouldAppendBatch(s, lossProof != "") {
+		entry := heartbeatsEntry(l.heartbeats.fill(l.newBatch(s, lossProof), l.nowMS, l.DisabledGuards))
 		entries = append(entries, entry)
 		l.BatchesSent++
 		l.BatchBytes += uint64(len(entry.Body))
 	}
-	return append(entries, l.operations(s)...)
+	return append(entries, l.operationEntries(s)...)
 }
 
-// operations gives the entries of what the rules decide and of what operators submitted.
-func (l *Leader) operations(s *State) (entries []Entry) {
-	l.policyAppend.stopIfLost(l.nowMS)
-	if !l.policyAppend.running() {
+// operationEntries gives the entries of what the rules decide and of what operators submitted.
+func (l *Leader) operationEntries(s *State) (entries []Entry) {
+	l.policyAppendTimer.stopIfLost(l.nowMS)
+	if !l.policyAppendTimer.running() {
 		if operation := s.Policy.Next(s.Fleet, l.report, l.DisabledGuards); operation != nil {
-			l.policyAppend.start(l.nowMS)
+			l.policyAppendTimer.start(l.nowMS)
 			entries = append(entries, policyEntry(operation))
 		}
 	}
-	l.zoneAppend.stopIfLost(l.nowMS)
-	if rules := s.Policy.ActiveRules().Zones; !l.zoneAppend.running() && rules.Enabled() {
+	l.zoneAppendTimer.stopIfLost(l.nowMS)
+	if rules := s.Policy.ActiveRules().Zones; !l.zoneAppendTimer.running() && rules.Enabled() {
 		if op := l.zoneMonitor.Decide(l.nowMS, s.Zones, s.Fleet, &rules, l.DisabledZoneGuards); op != nil {
-			l.zoneAppend.start(l.nowMS)
+			l.zoneAppendTimer.start(l.nowMS)
 			entries = append(entries, zonesEntry(op))
 		}
 	}
@@ -126,19 +126,19 @@
 		l.batchApplied(s, &o)
 	case zones.Result:
 		if o.IdempotencyKey == "" {
-			l.zoneAppend.stop()
+			l.zoneAppendTimer.stop()
 		}
 		l.zoneOps.applied(o, func(op *zones.Op) bool { return op.IdempotencyKey == o.IdempotencyKey })
 	case policy.Result:
 		// An operator's operation stops the timer too, though the leader's own may still be in flight. The leader may
 		// then append its own a second time; State.Apply rejects the second.
-		l.policyAppend.stop()
+		l.policyAppendTimer.stop()
 		l.policyOps.applied(o, func(op *policy.Operation) bool { return o.IsOutcomeOf(*op) })
 	}
 }
 
-// accepting gives the error that an operator is told who submits something now, nil if it is taken.
-func (l *Leader) accepting() error {
+// checkAccepting gives the error that an operator is told who submits something now, nil if it is taken.
+func (l *Leader) checkAccepting() error {
 	switch {
 	case !l.leading:
 		return ErrNotLeader
@@ -150,7 +150,7 @@
 
 // SubmitPolicy takes an operator's operation. done is called once, when it is applied here or can't be.
 func (l *Leader) SubmitPolicy(op policy.Op, done func(policy.Result, error)) {
-	err := l.accepting()
+	err := l.checkAccepting()
 	if err == nil {
 		err = l.submitPolicy(&op, done)
 	}
@@ -169,7 +169,7 @@
 
 // SubmitZone takes an operator's operation on a zone. done is called once, when it is applied here or can't be.
 func (l *Leader) SubmitZone(s *State, op zones.Op, done func(zones.Result, error)) {
-	err := l.accepting()
+	err := l.checkAccepting()
 	if err == nil {
 		err = l.submitZone(s, op, done)
 	}
@@ -192,13 +192,13 @@
 
 // Forget takes names off the table of nodes with the next batch. It gives ErrNotLeader, ErrStateLost or ErrBusy.
 func (l *Leader) Forget(names ...string) error {
-	if err := l.accepting(); err != nil {
+	if err := l.checkAccepting(); err != nil {
 		return err
 	}
-	if len(l.heartbeats.forget)+len(names) > maxPendingOps {
+	if len(l.heartbeats.forgetNames)+len(names) > maxPendingOps {
 		return ErrBusy
 	}
-	l.heartbeats.forget = append(l.heartbeats.forget, names...)
+	l.heartbeats.forgetNames = append(l.heartbeats.forgetNames, names...)
 	return nil
 }
 
--- a/internal/control/coordinator/listen.go
+++ b/internal/control/coordinator/listen.go
@@ -9,17 +9,17 @@
 	// maxListenMS bounds for how long a new leader listens before it grants and decides, in ms: all nodes whose group
 	// has gone on send a heartbeat in that time. Longer would leave renewals unanswered after each failover.
 	maxListenMS = 1500
-	// listenLeaseFraction bounds it to a quarter of a lease, after which nodes renew.
-	listenLeaseFraction = 4
+	// listenLeaseDivisor bounds it to a quarter of a lease, after which nodes renew.
+	listenLeaseDivisor = 4
 )
 
 // listenPhase is the time at the beginning of a leadership in which nodes are heard and nothing is granted.
 type listenPhase struct {
-	sinceMS   uint64          // when leadership began
-	seenNames map[string]bool // names; nil: the phase is over
+	startedAtMS uint64          // when leadership began
+	seenNames   map[string]bool // names; nil: the phase is over
 }
 
-func (p *listenPhase) note(name string) {
+func (p *listenPhase) recordHeartbeat(name string) {
 	if p.seenNames != nil && len(p.seenNames) < membership.MaxNodes {
 		p.seenNames[name] = true
 	}
@@ -37,7 +37,7 @@
 		return false
 	}
 	guarded := l.Level >= LevelGenerations && !l.DisabledGuards.Has(policy.ListenFirst)
-	if guarded && l.nowMS-p.sinceMS < min(maxListenMS, s.leaseTerms().LeaseMS/listenLeaseFraction) {
+	if guarded && l.nowMS-p.startedAtMS < min(maxListenMS, s.leaseTerms().LeaseMS/listenLeaseDivisor) {
 		for _, n := range s.Fleet.Nodes() {
 			if !n.IsOut() && !p.seenNames[n.Name] {
 				return true
--- a/internal/control/coordinator/loss_evidence.go
+++ b/internal/control/coordinator/loss_evidence.go
@@ -23,12 +23,12 @@
 type lossEvidence map[string]missingState
 
 type missingState struct {
-	what string
-	atMS uint64
+	description  string
+	reportedAtMS uint64
 }
 
-// compareState compares what a node was told last with what the state has, and keeps what the state lacks.
-func (l *Leader) compareState(s *State, r *api.HeartbeatRequest) {
+// recordLossEvidence compares what a node was told last with what the state has, and keeps what the state lacks.
+func (l *Leader) recordLossEvidence(s *State, r *api.HeartbeatRequest) {
 	last := r.LastSeen
 	if last == nil || l.DisabledGuards.Has(policy.Proof) {
 		return
@@ -40,10 +40,10 @@
 		Index:          s.Index,
 		DecidedVersion: s.Policy.DecidedVersion,
 		ZoneEpoch:      s.Zones.Epoch,
-		HashOf:         s.hashOf,
+		HashOf:         s.versionHash,
 		ChecksumAt:     s.checksumAt,
 	}
-	node := api.NodeRecord{
+	record := api.NodeRecord{
 		Group:         last.Group,
 		Generation:    max(1, last.Generation),
 		Term:          last.Term,
@@ -54,11 +54,11 @@
 		MinVersion:    r.MinVersion,
 		ZoneEpoch:     r.MinZoneEpoch,
 	}
-	what := group.LostState(&node)
-	if what == "" {
+	missing := group.LostState(&record)
+	if missing == "" {
 		delete(l.evidence, r.Name)
 	} else if len(l.evidence) < membership.MaxNodes {
-		l.evidence[r.Name] = missingState{what, l.nowMS}
+		l.evidence[r.Name] = missingState{missing, l.nowMS}
 	}
 }
 
@@ -74,7 +74,7 @@
 	}
 	var names []string
 	for name, e := range l.evidence {
-		if l.nowMS-e.atMS <= evidenceSpanMS {
+		if l.nowMS-e.reportedAtMS <= evidenceSpanMS {
 			names = append(names, name)
 		} else {
 			delete(l.evidence, name)
@@ -84,5 +84,5 @@
 		return ""
 	}
 	sort.Strings(names)
-	return fmt.Sprintf("%s was told of %s; %d nodes say so", names[0], l.evidence[names[0]].what, len(names))
+	return fmt.Sprintf("%s was told of %s; %d nodes say so", names[0], l.evidence[names[0]].description, len(names))
 }
--- a/internal/control/coordinator/response.go
+++ b/internal/control/coordinator/response.go
@@ -6,27 +6,27 @@
 	"umberwinch/internal/control/zones"
 )
 
-// respond fills in what holds now.
-func (l *Leader) respond(s *State, r api.HeartbeatResponse) api.HeartbeatResponse {
-	r.Cluster, r.Generation, r.Term = l.cluster, s.Generation, l.term
-	r.Index, r.EntryChecksum, r.ClockMS = s.Index, s.lastChecksum(), s.Fleet.ClockMS
-	r.DecidedVersion = s.Policy.DecidedVersion
-	r.CommittedVersion = api.VersionHash{Version: s.Policy.CommittedVersion, Hash: s.Policy.CommittedHash}
+// completeResponse fills in what holds now.
+func (l *Leader) completeResponse(s *State, response api.HeartbeatResponse) api.HeartbeatResponse {
+	response.Cluster, response.Generation, response.Term = l.cluster, s.Generation, l.term
+	response.Index, response.EntryChecksum, response.ClockMS = s.Index, s.lastChecksum(), s.Fleet.ClockMS
+	response.DecidedVersion = s.Policy.DecidedVersion
+	response.CommittedVersion = api.VersionHash{Version: s.Policy.CommittedVersion, Hash: s.Policy.CommittedHash}
 	terms := s.leaseTerms()
-	r.Autonomous = terms.Autonomous
-	pace := heartbeatPace{leaseMS: terms.LeaseMS, nodes: len(s.Fleet.Nodes())}
+	response.Autonomous = terms.Autonomous
+	schedule := heartbeatSchedule{leaseMS: terms.LeaseMS, nodes: len(s.Fleet.Nodes())}
 	if rules := s.Policy.ActiveRules().Zones; rules.Enabled() {
-		pace.zones = true
-		pace.newNodeLimited = l.addZoneOrder(s, &rules, &r)
+		schedule.zonesEnabled = true
+		schedule.newNodeLimited = l.addZoneOrder(s, &rules, &response)
 	}
 	if c := s.Policy.Current; c != nil {
-		pace.change = true
+		schedule.changeActive = true
 		if c.Step == policy.Preparing {
-			r.PrepareVersion = api.VersionHash{Version: c.Version, Hash: c.Hash}
+			response.PrepareVersion = api.VersionHash{Version: c.Version, Hash: c.Hash}
 		}
 	}
-	r.NextHeartbeatMS = pace.nextMS()
-	return r
+	response.NextHeartbeatMS = schedule.nextMS()
+	return response
 }
 
 // addZoneOrder adds the order of the node's zone and whom to check. newNodeLimited tells whether the node has
@@ -37,9 +37,9 @@
 		return false
 	}
 	order := s.Zones.Order(n.Zone, r.LeaseID, rules, l.DisabledZoneGuards)
-	if rules.ColdStart && l.mayBeFirstOfMany(s, n) {
+	if rules.ColdStart && l.mayBeFleetRestart(s, n) {
 		node := zones.NewNode{Zone: n.Zone, UptimeMS: n.UptimeMS(s.Fleet.ClockMS), ClockMS: s.Fleet.ClockMS,
-			NodesIn: l.coldStart.census.byZone[n.Zone]}
+			NodesIn: l.coldStart.fleetCount.byZone[n.Zone]}
 		newNodeLimited = s.Zones.LimitNewNode(&order, node, rules, l.DisabledZoneGuards)
 	}
 	if !newNodeLimited {
--- a/internal/control/coordinator/rules_test.go
+++ b/internal/control/coordinator/rules_test.go
@@ -15,16 +15,16 @@
 // TestHeartbeatPace: the shortest of the times that apply holds, and larger fleets send more slowly.
 func TestHeartbeatPace(t *testing.T) {
 	for _, c := range []struct {
-		pace heartbeatPace
+		pace heartbeatSchedule
 		want uint64
 	}{
-		{heartbeatPace{leaseMS: 10_000, nodes: 12}, 2500},
-		{heartbeatPace{leaseMS: 10_000, nodes: 12, zones: true}, 1000},
-		{heartbeatPace{leaseMS: 10_000, nodes: 12, zones: true, newNodeLimited: true}, 500},
-		{heartbeatPace{leaseMS: 1000, nodes: 12, zones: true, newNodeLimited: true}, 250},
-		{heartbeatPace{leaseMS: 10_000, nodes: 12, change: true}, 200},
-		{heartbeatPace{leaseMS: 10_000, nodes: 5000, change: true}, 1000},
-		{heartbeatPace{leaseMS: 10_000, nodes: 5000, zones: true}, 2000},
+		{heartbeatSchedule{leaseMS: 10_000, nodes: 12}, 2500},
+		{heartbeatSchedule{leaseMS: 10_000, nodes: 12, zonesEnabled: true}, 1000},
+		{heartbeatSchedule{leaseMS: 10_000, nodes: 12, zonesEnabled: true, newNodeLimited: true}, 500},
+		{heartbeatSchedule{leaseMS: 1000, nodes: 12, zonesEnabled: true, newNodeLimited: true}, 250},
+		{heartbeatSchedule{leaseMS: 10_000, nodes: 12, changeActive: true}, 200},
+		{heartbeatSchedule{leaseMS: 10_000, nodes: 5000, changeActive: true}, 1000},
+		{heartbeatSchedule{leaseMS: 10_000, nodes: 5000, zonesEnabled: true}, 2000},
 	} {
 		if got := c.pace.nextMS(); got != c.want {
 			t.Errorf("%+v: found %d ms, expected %d", c.pace, got, c.want)
@@ -107,7 +107,7 @@
 		}
 		b.inFlight = nil
 	}
-	if !slices.Equal(got, want) || b.joinsLeft || len(b.waiting) > 0 {
+	if !slices.Equal(got, want) || b.joinsDeferred || len(b.waiting) > 0 {
 		t.Errorf("%d joins in two batches, the last %s; %d wait", len(got), got[len(got)-1], len(b.waiting))
 	}
 }
--- a/internal/control/coordinator/snapshot.go
+++ b/internal/control/coordinator/snapshot.go
@@ -27,48 +27,48 @@
 	if err != nil {
 		return nil, err
 	}
-	changes, err := s.Policy.Snapshot()
+	policyState, err := s.Policy.Snapshot()
 	if err != nil {
 		return nil, err
 	}
-	p := snapshot{
+	stored := snapshot{
 		Index:        s.Index,
 		Fleet:        fleet,
-		Policy:       changes,
+		Policy:       policyState,
 		Predecessors: s.Predecessors,
 		Checksums:    s.Checksums[max(0, len(s.Checksums)-maxChecksums):],
 	}
 	if s.Generation > 1 {
-		p.Generation = s.Generation
+		stored.Generation = s.Generation
 	}
 	if s.Zones.Epoch > 0 || len(s.Zones.Zones) > 0 {
-		if p.Zones, err = s.Zones.Snapshot(); err != nil {
+		if stored.Zones, err = s.Zones.Snapshot(); err != nil {
 			return nil, err
 		}
 	}
-	return json.Marshal(p)
+	return json.Marshal(stored)
 }
 
 // Restore reads what Snapshot gave, in place of what the state held. Its errors wrap ErrSnapshot or that of the
 // subsystem whose part is spoilt; the state is then as it was.
 func (s *State) Restore(raw []byte) error {
-	var p snapshot
-	if err := json.Unmarshal(raw, &p); err != nil {
+	var stored snapshot
+	if err := json.Unmarshal(raw, &stored); err != nil {
 		return fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
-	fleet, err := membership.Restore(p.Fleet)
+	fleet, err := membership.Restore(stored.Fleet)
 	if err != nil {
 		return err
 	}
-	changes, err := policy.Restore(p.Policy)
+	policyState, err := policy.Restore(stored.Policy)
 	if err != nil {
 		return err
 	}
-	zoneStates, err := zones.Restore(p.Zones)
+	zoneStates, err := zones.Restore(stored.Zones)
 	if err != nil {
 		return err
 	}
-	s.Index, s.Fleet, s.Policy, s.Zones = p.Index, fleet, changes, zoneStates
-	s.Generation, s.Predecessors, s.Checksums = max(1, p.Generation), p.Predecessors, p.Checksums
+	s.Index, s.Fleet, s.Policy, s.Zones = stored.Index, fleet, policyState, zoneStates
+	s.Generation, s.Predecessors, s.Checksums = max(1, stored.Generation), stored.Predecessors, stored.Checksums
 	return nil
 }
--- a/internal/control/coordinator/state.go
+++ b/internal/control/coordinator/state.go
@@ -45,8 +45,8 @@
 	return terms
 }
 
-// hashOf gives the hash of a version that is or was in force, empty where it is not known any more.
-func (s *State) hashOf(version uint64) string {
+// versionHash gives the hash of a version that is or was in force, empty where it is not known any more.
+func (s *State) versionHash(version uint64) string {
 	if version == s.Policy.CommittedVersion {
 		return s.Policy.CommittedHash
 	}
--- a/internal/control/coordinator/submissions.go
+++ b/internal/control/coordinator/submissions.go
@@ -9,10 +9,10 @@
 }
 
 type submission[Op, Result any] struct {
-	op     Op
-	sent   bool
-	sentMS uint64 // when it was appended last
-	done   func(Result, error)
+	op           Op
+	appended     bool
+	appendedAtMS uint64 // when it was appended last
+	done         func(Result, error)
 }
 
 // add takes an operation; done is called once. It gives ErrBusy at the bound.
@@ -27,8 +27,8 @@
 // toAppend gives the operations to append now: new ones, and those that count as lost.
 func (q *submissions[Op, Result]) toAppend(nowMS uint64) (ops []*Op) {
 	for _, p := range q.pending {
-		if !p.sent || nowMS-p.sentMS > appendTimeoutMS {
-			p.sent, p.sentMS = true, nowMS
+		if !p.appended || nowMS-p.appendedAtMS > appendTimeoutMS {
+			p.appended, p.appendedAtMS = true, nowMS
 			ops = append(ops, &p.op)
 		}
 	}
@@ -37,22 +37,22 @@
 
 // applied answers all appended operations that a result is the outcome of.
 func (q *submissions[Op, Result]) applied(result Result, isOutcomeOf func(*Op) bool) {
-	still := q.pending[:0]
+	remaining := q.pending[:0]
 	for _, p := range q.pending {
-		if p.sent && isOutcomeOf(&p.op) {
+		if p.appended && isOutcomeOf(&p.op) {
 			p.done(result, nil)
 		} else {
-			still = append(still, p)
+			remaining = append(remaining, p)
 		}
 	}
-	q.pending = still
+	q.pending = remaining
 }
 
 // fail answers all operations with an error.
 func (q *submissions[Op, Result]) fail(err error) {
-	var none Result
+	var zero Result
 	for _, p := range q.pending {
-		p.done(none, err)
+		p.done(zero, err)
 	}
 	q.pending = nil
 }
--- a/internal/control/membership/apply.go
+++ b/internal/control/membership/apply.go
@@ -9,7 +9,7 @@
 	if b.BatchesBefore != s.Batches {
 		return result
 	}
-	result.Counted = true
+	result.Applied = true
 	s.advance(b, term)
 	for _, name := range b.Forget {
 		s.forget(name)
--- a/internal/control/membership/batch.go
+++ b/internal/control/membership/batch.go
@@ -29,7 +29,7 @@
 
 // BatchResult is the outcome of a batch.
 type BatchResult struct {
-	Counted    bool            // false: another batch came between, and this one changed nothing
+	Applied    bool            // false: another batch came between, and this one changed nothing
 	LeaseMS    uint64          // of the leases that were granted
 	Granted    map[uint32]bool // by lease that was heard: whether it was extended
 	Joins      []JoinResult
--- a/internal/control/membership/expiry.go
+++ b/internal/control/membership/expiry.go
@@ -7,10 +7,10 @@
 // for it for ever. It acts with each batch. It never counts out a node whose lease is live by its time, and never
 // holds the time of a leader's absence against a node: after a failover all nodes would be counted out at once.
 func (s *State) expire(result *BatchResult, terms LeaseTerms) {
-	span := LeaseSpanMS(terms.LeaseMS)
+	spanMS := LeaseSpanMS(terms.LeaseMS)
 	for _, n := range s.nodes {
-		silentSince := max(n.LastHeartbeatMS, s.ListeningSinceMS)
-		if !n.IsOut() && s.ClockMS > silentSince+span && s.ClockMS >= n.Lease.ExpiresAtMS {
+		silentSinceMS := max(n.LastHeartbeatMS, s.ListeningSinceMS)
+		if !n.IsOut() && s.ClockMS > silentSinceMS+spanMS && s.ClockMS >= n.Lease.ExpiresAtMS {
 			s.markOut(n, OutSilent)
 			result.CountedOut = append(result.CountedOut, n.Name)
 		}
@@ -27,15 +27,15 @@
 // evictLongestOut frees a place of the table: of the nodes that are out and hold no live lease, the one that has been
 // out for longest goes. It gives false where there is none: a node that may still serve is never forgotten.
 func (s *State) evictLongestOut() bool {
-	var longest *Node
+	var oldest *Node
 	for _, n := range s.nodes {
-		gone := n.IsOut() && len(n.EarlierLeases) == 0 && !n.Lease.Live(s.ClockMS)
-		if gone && (longest == nil || n.OutAtMS < longest.OutAtMS) {
-			longest = n
+		evictable := n.IsOut() && len(n.EarlierLeases) == 0 && !n.Lease.Live(s.ClockMS)
+		if evictable && (oldest == nil || n.OutAtMS < oldest.OutAtMS) {
+			oldest = n
 		}
 	}
-	if longest != nil {
-		s.forget(longest.Name)
+	if oldest != nil {
+		s.forget(oldest.Name)
 	}
-	return longest != nil
+	return oldest != nil
 }
--- a/internal/control/membership/generation.go
+++ b/internal/control/membership/generation.go
@@ -16,12 +16,12 @@
 //
 // It guards against a change that takes hold while a node still acts on a lease that the lost state had: every lease
 // of an earlier generation, known here or not, is taken to be live for its whole length and to promise nothing.
-func (s *State) BeginGeneration(longestLeaseMS uint64, autonomous bool, known []api.JoinRequest) {
+func (s *State) BeginGeneration(longestLeaseMS uint64, autonomous bool, recorded []api.JoinRequest) {
 	s.LostState, s.Term, s.ListeningSinceMS = "", 0, s.ClockMS
 	s.UnknownLeasesExpireMS = s.ClockMS + LeaseSpanMS(longestLeaseMS)
 	s.lastLeaseID += leaseIDGap
-	for i := range known {
-		j := &known[i]
+	for i := range recorded {
+		j := &recorded[i]
 		if s.byName[j.Name] == nil && len(s.nodes) < MaxNodes {
 			s.insert(&Node{Name: j.Name, Zone: j.Zone, Addr: j.Addr})
 		}
--- a/internal/control/membership/join.go
+++ b/internal/control/membership/join.go
@@ -26,9 +26,9 @@
 		n = &Node{Name: j.Name}
 		s.insert(n)
 	}
-	if wait := s.joinBackoffMS(n); wait > 0 {
+	if waitMS := s.joinBackoffMS(n); waitMS > 0 {
 		reason := fmt.Sprintf("%q began %d times within %d s", j.Name, len(n.JoinTimesMS), joinWindowMS/1000)
-		return JoinResult{Nonce: j.Nonce, RefusedReason: reason, RetryAfterMS: wait}
+		return JoinResult{Nonce: j.Nonce, RefusedReason: reason, RetryAfterMS: waitMS}
 	}
 	s.retireLease(n, terms)
 	s.beginIncarnation(n, j, terms)
--- a/internal/control/membership/join_backoff.go
+++ b/internal/control/membership/join_backoff.go
@@ -29,13 +29,13 @@
 	for len(n.JoinTimesMS) > 0 && s.ClockMS-n.JoinTimesMS[0] > joinWindowMS {
 		n.JoinTimesMS = n.JoinTimesMS[1:]
 	}
-	mayJoinAt := uint64(0)
+	mayJoinAtMS := uint64(0)
 	if doublings := len(n.JoinTimesMS) - freeJoins; doublings >= 0 {
-		lastJoin := n.JoinTimesMS[len(n.JoinTimesMS)-1]
-		mayJoinAt = lastJoin + min(uint64(initialJoinBackoffMS)<<doublings, maxJoinBackoffMS)
+		lastJoinMS := n.JoinTimesMS[len(n.JoinTimesMS)-1]
+		mayJoinAtMS = lastJoinMS + min(uint64(initialJoinBackoffMS)<<doublings, maxJoinBackoffMS)
 	}
 	if len(n.EarlierLeases) >= maxEarlierLeases {
-		mayJoinAt = max(mayJoinAt, n.EarlierLeases[0].ExpiresAtMS)
+		mayJoinAtMS = max(mayJoinAtMS, n.EarlierLeases[0].ExpiresAtMS)
 	}
-	return mayJoinAt - min(mayJoinAt, s.ClockMS)
+	return mayJoinAtMS - min(mayJoinAtMS, s.ClockMS)
 }
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -184,7 +184,7 @@
 	old := &HeartbeatBatch{BatchesBefore: w.s.Batches, ElapsedMS: 3000, Renewals: []uint32{j.LeaseID}}
 	w.apply(4000, terms, nil)
 	w.term = 2
-	if r := w.s.Apply(old, 1, terms); r.Counted || len(r.Granted) > 0 {
+	if r := w.s.Apply(old, 1, terms); r.Applied || len(r.Granted) > 0 {
 		t.Fatalf("a batch made before another counts: %+v", r)
 	}
 	if r := w.apply(3000, terms, nil); len(r.CountedOut) != 0 {
--- a/internal/control/membership/node.go
+++ b/internal/control/membership/node.go
@@ -32,13 +32,13 @@
 	return clockMS - min(clockMS, n.JoinedAtMS) + n.UptimeAtJoinMS
 }
 
-// anyLease tells whether the node's lease or one of its earlier ones is as asked.
-func (n *Node) anyLease(is func(*Lease) bool) bool {
-	if is(&n.Lease) {
+// hasLease tells whether the node's lease or one of its earlier ones is as asked.
+func (n *Node) hasLease(match func(*Lease) bool) bool {
+	if match(&n.Lease) {
 		return true
 	}
 	for i := range n.EarlierLeases {
-		if is(&n.EarlierLeases[i]) {
+		if match(&n.EarlierLeases[i]) {
 			return true
 		}
 	}
--- a/internal/control/membership/promises.go
+++ b/internal/control/membership/promises.go
@@ -10,7 +10,7 @@
 // policy waits until no node may. It may hold a change up for the span of a lease, or, for a holder that may serve on
 // without the group, until the node is heard, begins anew or is forgotten.
 func (s *State) MayServeOlder(n *Node, version uint64) bool {
-	return n.anyLease(func(l *Lease) bool { return l.Live(s.ClockMS) && l.MinVersion < version })
+	return n.hasLease(func(l *Lease) bool { return l.Live(s.ClockMS) && l.MinVersion < version })
 }
 
 // NodesServingOlder names the nodes that may serve under a version older than the one given.
@@ -28,7 +28,7 @@
 // limit counts as spent instead.
 func (s *State) NodesOnOlderZoneEpoch(epoch uint64) (names []string) {
 	for _, n := range s.nodes {
-		if n.anyLease(func(l *Lease) bool { return l.ID != 0 && s.ClockMS < l.ExpiresAtMS && l.MinZoneEpoch < epoch }) {
+		if n.hasLease(func(l *Lease) bool { return l.ID != 0 && s.ClockMS < l.ExpiresAtMS && l.MinZoneEpoch < epoch }) {
 			names = append(names, n.Name)
 		}
 	}
--- a/internal/control/membership/snapshot.go
+++ b/internal/control/membership/snapshot.go
@@ -35,20 +35,20 @@
 
 // Restore reads what Snapshot gave. Its errors wrap ErrSnapshot.
 func Restore(raw []byte) (*State, error) {
-	var p snapshot
-	if err := json.Unmarshal(raw, &p); err != nil {
+	var stored snapshot
+	if err := json.Unmarshal(raw, &stored); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
-	if len(p.Nodes) > MaxNodes {
-		return nil, fmt.Errorf("%w of %d nodes, expected at most %d", ErrSnapshot, len(p.Nodes), MaxNodes)
+	if len(stored.Nodes) > MaxNodes {
+		return nil, fmt.Errorf("%w of %d nodes, expected at most %d", ErrSnapshot, len(stored.Nodes), MaxNodes)
 	}
 	s := New()
-	s.ClockMS, s.Batches, s.Epoch, s.Term = p.ClockMS, p.Batches, p.Epoch, p.Term
-	s.ListeningSinceMS, s.UnknownLeasesExpireMS = p.ListeningSinceMS, p.UnknownLeasesExpireMS
-	s.LostState, s.lastLeaseID = p.LostState, p.LastLeaseID
-	for i, n := range p.Nodes {
-		if i > 0 && p.Nodes[i-1].Name >= n.Name {
-			return nil, fmt.Errorf("%w has %q after %q, expected them in order", ErrSnapshot, n.Name, p.Nodes[i-1].Name)
+	s.ClockMS, s.Batches, s.Epoch, s.Term = stored.ClockMS, stored.Batches, stored.Epoch, stored.Term
+	s.ListeningSinceMS, s.UnknownLeasesExpireMS = stored.ListeningSinceMS, stored.UnknownLeasesExpireMS
+	s.LostState, s.lastLeaseID = stored.LostState, stored.LastLeaseID
+	for i, n := range stored.Nodes {
+		if i > 0 && stored.Nodes[i-1].Name >= n.Name {
+			return nil, fmt.Errorf("%w has %q after %q, expected them in order", ErrSnapshot, n.Name, stored.Nodes[i-1].Name)
 		}
 		s.nodes = append(s.nodes, n)
 		s.byName[n.Name] = n
--- a/internal/control/membership/state.go
+++ b/internal/control/membership/state.go
@@ -41,14 +41,14 @@
 	return n
 }
 
-// position gives where a name stands or would stand among the nodes.
-func (s *State) position(name string) int {
+// insertIndex gives where a name stands or would stand among the nodes.
+func (s *State) insertIndex(name string) int {
 	return sort.Search(len(s.nodes), func(i int) bool { return s.nodes[i].Name >= name })
 }
 
 // insert adds a node whose name is not known.
 func (s *State) insert(n *Node) {
-	at := s.position(n.Name)
+	at := s.insertIndex(n.Name)
 	s.nodes = append(s.nodes, nil)
 	copy(s.nodes[at+1:], s.nodes[at:])
 	s.nodes[at] = n
@@ -63,7 +63,7 @@
 	}
 	delete(s.byLease, n.Lease.ID)
 	delete(s.byName, name)
-	at := s.position(name)
+	at := s.insertIndex(name)
 	s.nodes = append(s.nodes[:at], s.nodes[at+1:]...)
 }
 
--- a/internal/control/policy/apply.go
+++ b/internal/control/policy/apply.go
@@ -12,7 +12,7 @@
 // operations that two leaders appended, or that come late: one that no longer holds changes nothing, and its Result
 // says why.
 func (s *State) Apply(operation Operation, f *membership.State, v Versions, disabled Guard) Result {
-	if o, is := operation.(Propose); is {
+	if o, ok := operation.(Propose); ok {
 		return s.propose(&o.Proposal, f, v)
 	}
 	r := Result{Kind: operation.kind(), ChangeNumber: operation.changeNumber()}
@@ -35,8 +35,8 @@
 	return r
 }
 
-// wrongStep is the rejection of an operation that the change's step does not allow.
-func (c *Change) wrongStep(expected Step) string {
+// wrongStepRejection is the rejection of an operation that the change's step does not allow.
+func (c *Change) wrongStepRejection(expected Step) string {
 	return fmt.Sprintf("change %d is %s, expected %s", c.Number, c.Step, expected)
 }
 
@@ -44,9 +44,9 @@
 // sender may not have heard the answer.
 func (s *State) propose(p *Proposal, f *membership.State, v Versions) Result {
 	r := Result{Kind: OpPropose, IdempotencyKey: p.IdempotencyKey}
-	begun := s.find(func(c *Change) bool { return c.Proposal.IdempotencyKey == p.IdempotencyKey })
-	if begun != nil {
-		r.ChangeNumber = begun.Number
+	existing := s.find(func(c *Change) bool { return c.Proposal.IdempotencyKey == p.IdempotencyKey })
+	if existing != nil {
+		r.ChangeNumber = existing.Number
 		return r
 	}
 	if r.Rejection = s.rejectProposal(p, v); r.Rejection != "" {
@@ -54,7 +54,7 @@
 	}
 	rules, hash, err := v.Check(p.Version, s.CommittedVersion)
 	if err != nil {
-		r.Rejection = clip(err.Error())
+		r.Rejection = truncate(err.Error())
 		return r
 	}
 	s.LastNumber++
@@ -69,7 +69,7 @@
 		DecideByMS:      f.ClockMS + p.PrepareWithinMS,
 		ProposedAtMS:    f.ClockMS,
 	}
-	s.Current.event(f.ClockMS, "proposed by %s: %s", p.Author, p.Reason)
+	s.Current.addEvent(f.ClockMS, "proposed by %s: %s", p.Author, p.Reason)
 	r.ChangeNumber = s.LastNumber
 	return r
 }
@@ -103,15 +103,15 @@
 func (s *State) decide(o *Decide, f *membership.State, disabled Guard) (rejection string) {
 	c := s.Current
 	if c.Step != Preparing {
-		return c.wrongStep(Preparing)
+		return c.wrongStepRejection(Preparing)
 	}
 	if o.FleetEpoch != f.Epoch && !disabled.Has(PrepareAll) {
 		return fmt.Sprintf("decided for the fleet of epoch %d, and it is in %d: a node joined", o.FleetEpoch, f.Epoch)
 	}
 	s.DecidedVersion, c.DecidedAtMS = c.Version, f.ClockMS
-	c.event(f.ClockMS, "decided")
+	c.addEvent(f.ClockMS, "decided")
 	if len(o.LeftBehind) > 0 {
-		c.event(f.ClockMS, "left behind, out of service: %s", Summarize(o.LeftBehind))
+		c.addEvent(f.ClockMS, "left behind, out of service: %s", Summarize(o.LeftBehind))
 	}
 	c.Step = Decided
 	if !c.Proposal.Exclusive {
@@ -125,7 +125,7 @@
 func (s *State) commit(f *membership.State, disabled Guard) (rejection string) {
 	c := s.Current
 	if c.Step != Decided {
-		return c.wrongStep(Decided)
+		return c.wrongStepRejection(Decided)
 	}
 	if older := f.NodesServingOlder(c.Version); len(older) > 0 && !disabled.Has(LeaseGuard) {
 		return "still under an older one: " + Summarize(older)
@@ -139,14 +139,14 @@
 func (s *State) settle(f *membership.State, disabled Guard) (rejection string) {
 	c := s.Current
 	if c.Step != Committed {
-		return c.wrongStep(Committed)
+		return c.wrongStepRejection(Committed)
 	}
 	if older := f.NodesServingOlder(c.Version); len(older) > 0 && !disabled.Has(LeaseGuard) {
 		return "maybe still under an older one: " + Summarize(older)
 	}
 	c.Step, c.EndedAtMS = Settled, f.ClockMS
-	c.event(f.ClockMS, "settled: nobody can serve under an older one")
-	s.end(c)
+	c.addEvent(f.ClockMS, "settled: nobody can serve under an older one")
+	s.endCurrent(c)
 	return ""
 }
 
@@ -156,18 +156,18 @@
 	c := s.Current
 	if c.Step != Preparing {
 		if !disabled.Has(DecideOnce) || c.Step == Settled {
-			return c.wrongStep(Preparing +
+			return c.wrongStepRejection(Preparing +
 				", as what is decided is not taken back; go back by a change to the older text")
 		}
 		s.DecidedVersion, s.CommittedVersion = c.PreviousVersion, c.PreviousVersion
 	}
 	c.Step, c.EndedAtMS, c.AbortReason = Aborted, f.ClockMS, o.Reason
 	if o.Author != "" {
-		c.event(f.ClockMS, "called off by %s: %s", o.Author, o.Reason)
+		c.addEvent(f.ClockMS, "called off by %s: %s", o.Author, o.Reason)
 	} else {
-		c.event(f.ClockMS, "called off: %s", o.Reason)
+		c.addEvent(f.ClockMS, "called off: %s", o.Reason)
 	}
-	s.end(c)
+	s.endCurrent(c)
 	return ""
 }
 
@@ -176,5 +176,5 @@
 	c := s.Current
 	s.CommittedVersion, s.CommittedHash, s.Rules = c.Version, c.Hash, c.Rules
 	c.Step, c.CommittedAtMS = Committed, f.ClockMS
-	c.event(f.ClockMS, "in force")
+	c.addEvent(f.ClockMS, "in force")
 }
--- a/internal/control/policy/blockers.go
+++ b/internal/control/policy/blockers.go
@@ -55,7 +55,7 @@
 				blockers = append(blockers, Blocker{n.Name, n.Zone, reason})
 			}
 		default:
-			reason, refused := preparing(c, reports(n))
+			reason, refused := preparationBlocker(c, reports(n))
 			if refused {
 				refusals = append(refusals, Blocker{n.Name, n.Zone, reason})
 			} else if reason != "" {
@@ -66,14 +66,14 @@
 	return blockers, refusals
 }
 
-// preparing says by a node's report why a change that is prepared waits for it, or that and why the node refuses it;
+// preparationBlocker says by a node's report why a change that is prepared waits for it, or that and why the node refuses it;
 // empty: it has prepared.
-func preparing(c *Change, r *NodeReport) (reason string, refused bool) {
+func preparationBlocker(c *Change, r *NodeReport) (reason string, refused bool) {
 	switch {
 	case r == nil:
 		return "has not told this leader anything yet", false
 	case r.RefusedVersion == c.Version:
-		return clip(r.RefusedReason), true
+		return truncate(r.RefusedReason), true
 	case r.PreparedVersion != c.Version:
 		return "has not prepared it", false
 	}
@@ -82,18 +82,18 @@
 
 // olderLeaseBound says for how long a node may serve under a version older than the one given.
 func olderLeaseBound(f *membership.State, n *membership.Node, version uint64) string {
-	last, unbounded := uint64(0), false
-	note := func(l *membership.Lease) {
+	expiresAtMS, unbounded := uint64(0), false
+	include := func(l *membership.Lease) {
 		if l.Live(f.ClockMS) && l.MinVersion < version {
-			last, unbounded = max(last, l.ExpiresAtMS), unbounded || l.Autonomous
+			expiresAtMS, unbounded = max(expiresAtMS, l.ExpiresAtMS), unbounded || l.Autonomous
 		}
 	}
-	note(&n.Lease)
+	include(&n.Lease)
 	for i := range n.EarlierLeases {
-		note(&n.EarlierLeases[i])
+		include(&n.EarlierLeases[i])
 	}
 	if unbounded {
 		return "until it is heard or forgotten"
 	}
-	return fmt.Sprintf("for %d ms at most", last-f.ClockMS)
+	return fmt.Sprintf("for %d ms at most", expiresAtMS-f.ClockMS)
 }
--- a/internal/control/policy/change.go
+++ b/internal/control/policy/change.go
@@ -44,8 +44,8 @@
 	Events          []Event  `json:"events"`
 }
 
-// event notes what happened to the change. Past maxEvents nothing more is noted.
-func (c *Change) event(clockMS uint64, format string, args ...any) {
+// addEvent notes what happened to the change. Past maxEvents nothing more is noted.
+func (c *Change) addEvent(clockMS uint64, format string, args ...any) {
 	if len(c.Events) < maxEvents {
 		c.Events = append(c.Events, Event{clockMS, fmt.Sprintf(format, args...)})
 	}
--- a/internal/control/policy/guard.go
+++ b/internal/control/policy/guard.go
@@ -40,12 +40,12 @@
 var guardNames = []string{"lease", "fence", "prepare-all", "decide-once", "incarnation", "no-way-back", "shadow",
 	"generation", "proof", "listen-first", "arrival-order"}
 
-// changeGuards is how many of guardNames, the first ones, are about a change of policy. The others are about
+// changeGuardCount is how many of guardNames, the first ones, are about a change of policy. The others are about
 // restoring a group and about a cold start. A new guard of a change goes before those, and this number grows with it.
-const changeGuards = 7
+const changeGuardCount = 7
 
 // Has tells whether a guard is disabled: true means that a fault test took it out.
-func (g Guard) Has(one Guard) bool { return g&one != 0 }
+func (g Guard) Has(guard Guard) bool { return g&guard != 0 }
 
 // GuardNamed gives a guard by its name, or an *UnknownGuardError.
 func GuardNamed(name string) (Guard, error) {
@@ -58,4 +58,4 @@
 }
 
 // GuardNames lists the guards of a change of policy.
-func GuardNames() []string { return guardNames[:changeGuards] }
+func GuardNames() []string { return guardNames[:changeGuardCount] }
--- a/internal/control/policy/next.go
+++ b/internal/control/policy/next.go
@@ -17,31 +17,31 @@
 		return nil
 	}
 	blockers, refusals := s.Blockers(f, reports)
-	free := len(blockers) == 0 || disabled.Has(LeaseGuard)
+	unblocked := len(blockers) == 0 || disabled.Has(LeaseGuard)
 	switch {
 	case c.Step == Preparing:
-		return nextOfPreparing(c, f, blockers, refusals, disabled)
-	case c.Step == Decided && free:
+		return nextWhilePreparing(c, f, blockers, refusals, disabled)
+	case c.Step == Decided && unblocked:
 		return Commit{c.Number}
-	case c.Step == Committed && free:
+	case c.Step == Committed && unblocked:
 		return Settle{c.Number}
 	}
 	return nil
 }
 
-// nextOfPreparing decides whether a change that is prepared is decided, aborted or waits.
+// nextWhilePreparing decides whether a change that is prepared is decided, aborted or waits.
 //
 // It decides by the nodes that block or refuse it, the proposal's bound of nodes that may be left behind, and the
 // group's time against the proposal's. More refusals than may be left behind abort it at once; at the end of its time
 // it goes on without those that may be left behind, and is aborted if there are more. So nobody is waited for for
 // ever, and a node is put out of service only as far as the operator allowed. In a restored group's first moments
 // nobody is left behind: nodes that are on their way to it would be.
-func nextOfPreparing(c *Change, f *membership.State, blockers, refusals []Blocker, disabled Guard) Operation {
-	missing := len(blockers) + len(refusals)
-	late := f.ClockMS >= c.DecideByMS
-	mayLeaveBehind := late && missing <= c.Proposal.MaxLeftBehind && f.ClockMS >= f.UnknownLeasesExpireMS
+func nextWhilePreparing(c *Change, f *membership.State, blockers, refusals []Blocker, disabled Guard) Operation {
+	unprepared := len(blockers) + len(refusals)
+	timedOut := f.ClockMS >= c.DecideByMS
+	mayLeaveBehind := timedOut && unprepared <= c.Proposal.MaxLeftBehind && f.ClockMS >= f.UnknownLeasesExpireMS
 	switch {
-	case disabled.Has(PrepareAll) && 2*missing < len(f.Nodes()):
+	case disabled.Has(PrepareAll) && 2*unprepared < len(f.Nodes()):
 		return Decide{ChangeNumber: c.Number, FleetEpoch: f.Epoch}
 	case len(refusals) > c.Proposal.MaxLeftBehind:
 		return Abort{ChangeNumber: c.Number, Reason: "refused by " + summarizeBlockers(refusals)}
@@ -51,7 +51,7 @@
 			decide.LeftBehind = append(decide.LeftBehind, b.Node)
 		}
 		return decide
-	case late:
+	case timedOut:
 		reason := fmt.Sprintf("not prepared within %d ms: %s", c.Proposal.PrepareWithinMS, summarizeBlockers(blockers))
 		return Abort{ChangeNumber: c.Number, Reason: reason}
 	}
--- a/internal/control/policy/op.go
+++ b/internal/control/policy/op.go
@@ -93,8 +93,8 @@
 // change.
 func (r Result) IsOutcomeOf(operation Operation) bool {
 	if r.IdempotencyKey != "" {
-		proposal, is := operation.(Propose)
-		return is && proposal.Proposal.IdempotencyKey == r.IdempotencyKey
+		proposal, ok := operation.(Propose)
+		return ok && proposal.Proposal.IdempotencyKey == r.IdempotencyKey
 	}
 	return operation.kind() == r.Kind && operation.changeNumber() == r.ChangeNumber
 }
--- a/internal/control/policy/policy_test.go
+++ b/internal/control/policy/policy_test.go
@@ -34,7 +34,7 @@
 	for _, name := range names {
 		batch.Joins = append(batch.Joins, api.JoinRequest{Name: name, Zone: "z", Nonce: name + "-process-1"})
 	}
-	if r := f.Apply(batch, 1, terms); !r.Counted || len(r.Granted) != len(names) {
+	if r := f.Apply(batch, 1, terms); !r.Applied || len(r.Granted) != len(names) {
 		t.Fatalf("joining: %+v", r)
 	}
 	return f
--- a/internal/control/policy/proposal.go
+++ b/internal/control/policy/proposal.go
@@ -36,7 +36,7 @@
 
 // Validate gives an *api.FieldError for the first field that can't be as it is.
 func (p *Proposal) Validate() error {
-	bytes := func(s string) string { return fmt.Sprintf("%d bytes", len(s)) }
+	byteCount := func(s string) string { return fmt.Sprintf("%d bytes", len(s)) }
 	switch {
 	case p.Version == 0:
 		return &api.FieldError{Field: "version", Found: "0", Expected: "one of the group's"}
@@ -47,13 +47,13 @@
 		return &api.FieldError{Field: "spare", Found: strconv.Itoa(p.MaxLeftBehind),
 			Expected: fmt.Sprintf("0 to %d", membership.MaxNodes)}
 	case p.Author == "" || len(p.Author) > maxAuthorBytes:
-		return &api.FieldError{Field: "author", Found: bytes(p.Author),
+		return &api.FieldError{Field: "author", Found: byteCount(p.Author),
 			Expected: fmt.Sprintf("1 to %d", maxAuthorBytes)}
 	case len(p.Reason) > maxReasonBytes:
-		return &api.FieldError{Field: "reason", Found: bytes(p.Reason),
+		return &api.FieldError{Field: "reason", Found: byteCount(p.Reason),
 			Expected: fmt.Sprintf("at most %d", maxReasonBytes)}
 	case len(p.IdempotencyKey) < minKeyBytes || len(p.IdempotencyKey) > maxKeyBytes:
-		return &api.FieldError{Field: "key", Found: bytes(p.IdempotencyKey),
+		return &api.FieldError{Field: "key", Found: byteCount(p.IdempotencyKey),
 			Expected: fmt.Sprintf("%d to %d", minKeyBytes, maxKeyBytes)}
 	}
 	return nil
--- a/internal/control/policy/state.go
+++ b/internal/control/policy/state.go
@@ -25,20 +25,20 @@
 	return s.find(func(c *Change) bool { return c.Number == number })
 }
 
-func (s *State) find(is func(*Change) bool) *Change {
-	if s.Current != nil && is(s.Current) {
+func (s *State) find(match func(*Change) bool) *Change {
+	if s.Current != nil && match(s.Current) {
 		return s.Current
 	}
 	for _, c := range s.History {
-		if is(c) {
+		if match(c) {
 			return c
 		}
 	}
 	return nil
 }
 
-// end moves a change to the history, which drops the oldest one past its bound.
-func (s *State) end(c *Change) {
+// endCurrent moves a change to the history, which drops the oldest one past its bound.
+func (s *State) endCurrent(c *Change) {
 	s.History = append(s.History, c)
 	if len(s.History) > maxHistory {
 		s.History = s.History[1:]
--- a/internal/control/policy/text.go
+++ b/internal/control/policy/text.go
@@ -11,12 +11,12 @@
 	maxNodeReasonBytes = 300 // of one node's reason
 )
 
-// clip cuts a text of a node or of a check at its bound.
-func clip(s string) string {
-	if len(s) > maxNodeReasonBytes {
-		return s[:maxNodeReasonBytes] + "..."
+// truncate cuts a text of a node or of a check at its bound.
+func truncate(text string) string {
+	if len(text) > maxNodeReasonBytes {
+		return text[:maxNodeReasonBytes] + "..."
 	}
-	return s
+	return text
 }
 
 // Summarize lists the first names, and says how many more there are.
@@ -27,9 +27,9 @@
 	return strings.Join(names, ", ")
 }
 
-func summarizeBlockers(list []Blocker) string {
+func summarizeBlockers(blockers []Blocker) string {
 	var reasons []string
-	for _, b := range list {
+	for _, b := range blockers {
 		reasons = append(reasons, b.Node+" ("+b.Reason+")")
 	}
 	return Summarize(reasons)
