--- a/internal/control/coordinator/helper_test.go
+++ b/internal/control/coordinator/helper_test.go
@@ -23,7 +23,7 @@
 	return text, fmt.Sprint("h", n), n > 0 && n <= 3
 }
 
-func startGroup(t *testing.T) *testGroup {
+func newTestGroup(t *testing.T) *testGroup {
 	g := &testGroup{T: t, state: NewState(0), leaders: [2]*Leader{NewLeader(0), NewLeader(0)}}
 	g.lead(0)
 	return g
@@ -31,8 +31,8 @@
 
 func (g *testGroup) lead(i int) {
 	g.term++
-	for k, s := range g.leaders {
-		s.SetRole("g", k == i, g.term)
+	for j, l := range g.leaders {
+		l.SetRole("g", j == i, g.term)
 	}
 }
 
@@ -40,12 +40,12 @@
 func (g *testGroup) apply(e Entry, term uint64) {
 	g.Helper()
 	g.index++
-	end, err := g.state.Apply(e.Kind, e.Body, g.index, term, g)
+	outcome, err := g.state.Apply(e.Kind, e.Body, g.index, term, g)
 	if err != nil {
 		g.Fatal(err)
 	}
-	for _, s := range g.leaders {
-		s.EntryApplied(g.state, end)
+	for _, l := range g.leaders {
+		l.EntryApplied(g.state, outcome)
 	}
 }
 
@@ -56,12 +56,12 @@
 	}
 }
 
-// answers gathers responses.
-type answers []api.HeartbeatResponse
+// responses gathers responses.
+type responses []api.HeartbeatResponse
 
-func (a *answers) take(t api.HeartbeatResponse, err error) {
+func (a *responses) add(response api.HeartbeatResponse, err error) {
 	if err == nil {
-		*a = append(*a, t)
+		*a = append(*a, response)
 	}
 }
 
--- a/internal/control/coordinator/leader_test.go
+++ b/internal/control/coordinator/leader_test.go
@@ -11,13 +11,13 @@
 	"umberwinch/internal/control/policy"
 )
 
-// TestOneEntryForAll: a thousand nodes join and renew. An entry for each would fill the log and slow the group, so all
+// TestHeartbeatsShareOneEntry: a thousand nodes join and renew. An entry for each would fill the log and slow the group, so all
 // heartbeats of a second have to be one entry, and a report that changes nothing has to cost none.
-func TestOneEntryForAll(t *testing.T) {
-	g := startGroup(t)
-	var got answers
+func TestHeartbeatsShareOneEntry(t *testing.T) {
+	g := newTestGroup(t)
+	var got responses
 	for i := 0; i < 1000; i++ {
-		g.leaders[0].Heartbeat(g.state, request(fmt.Sprint("n", i)), got.take)
+		g.leaders[0].Heartbeat(g.state, request(fmt.Sprint("n", i)), got.add)
 	}
 	g.run(0, 1000)
 	if len(got) != 1000 || g.state.Fleet.Batches != 1 {
@@ -35,36 +35,36 @@
 		t.Errorf("%d entries for 10,000 renewals in 10 s", g.state.Fleet.Batches)
 	}
 	// Reports that change nothing are answered without an entry.
-	was, answered := g.state.Fleet.Batches, 0
+	batchesBefore, answered := g.state.Fleet.Batches, 0
 	r := request("n1")
 	r.LeaseID, r.LastClockMS = got[1].LeaseID, g.state.Fleet.ClockMS
 	g.leaders[0].Heartbeat(g.state, r, func(_ api.HeartbeatResponse, _ error) { answered++ })
-	if answered != 1 || g.state.Fleet.Batches != was {
-		t.Errorf("a report was answered %d times by %d entries", answered, g.state.Fleet.Batches-was)
+	if answered != 1 || g.state.Fleet.Batches != batchesBefore {
+		t.Errorf("a report was answered %d times by %d entries", answered, g.state.Fleet.Batches-batchesBefore)
 	}
 }
 
-// TestLeaseLostIsNoRestart: a process loses its lease over and over, as on a machine that is paused now and then.
+// TestLostLeaseIsNotCountedAsRestart: a process loses its lease over and over, as on a machine that is paused now and then.
 // Counted as restarts, its joins would be delayed like a crash loop's. The leader tells the two apart, not the node,
 // and only where all instances can read such entries.
-func TestLeaseLostIsNoRestart(t *testing.T) {
-	for level, starts := range map[int]int{LevelGenerations: 4, LevelSameProcess: 1} {
-		g := startGroup(t)
+func TestLostLeaseIsNotCountedAsRestart(t *testing.T) {
+	for level, wantStarts := range map[int]int{LevelGenerations: 4, LevelSameProcess: 1} {
+		g := newTestGroup(t)
 		g.leaders[0].Level = level
-		join := func(nonce string) (told api.HeartbeatResponse) {
+		join := func(nonce string) (response api.HeartbeatResponse) {
 			r := request("n1")
 			r.Nonce, r.SameProcess = nonce, true // what it claims counts for nothing
-			g.leaders[0].Heartbeat(g.state, r, func(t api.HeartbeatResponse, _ error) { told = t })
+			g.leaders[0].Heartbeat(g.state, r, func(t api.HeartbeatResponse, _ error) { response = t })
 			g.run(0, 1000)
-			return told
+			return response
 		}
 		for i := range 4 {
-			if told := join(fmt.Sprint("process-one-", i)); told.LeaseID == 0 || told.EndedReason != "" {
-				t.Fatalf("level %d, time %d: %+v", level, i, told)
+			if response := join(fmt.Sprint("process-one-", i)); response.LeaseID == 0 || response.EndedReason != "" {
+				t.Fatalf("level %d, time %d: %+v", level, i, response)
 			}
 		}
-		if n := len(g.state.Fleet.Lookup("n1").JoinTimesMS); n != starts {
-			t.Errorf("level %d: %d starts, expected %d", level, n, starts)
+		if n := len(g.state.Fleet.Lookup("n1").JoinTimesMS); n != wantStarts {
+			t.Errorf("level %d: %d starts, expected %d", level, n, wantStarts)
 		}
 		if join("process-two-0"); level == LevelSameProcess && len(g.state.Fleet.Lookup("n1").JoinTimesMS) != 2 {
 			t.Error("another process is no start")
@@ -72,27 +72,27 @@
 	}
 }
 
-// TestBatchOfEarlierLeader: a batch of the earlier leader is applied while the new one's is appended. What it grants
+// TestBatchOfEarlierLeaderAnswersNoHeartbeat: a batch of the earlier leader is applied while the new one's is appended. What it grants
 // was asked of the other, so it must answer nobody here; the new leader's own batch changes nothing then, and its
 // heartbeats have to be answered by a later one.
-func TestBatchOfEarlierLeader(t *testing.T) {
-	g := startGroup(t)
-	var got answers
-	g.leaders[0].Heartbeat(g.state, request("a"), got.take)
+func TestBatchOfEarlierLeaderAnswersNoHeartbeat(t *testing.T) {
+	g := newTestGroup(t)
+	var got responses
+	g.leaders[0].Heartbeat(g.state, request("a"), got.add)
 	g.run(0, 1000)
 	lease := got[0].LeaseID
-	late := g.leaders[0].Tick(g.state, 1000) // made, and on its way when the lead goes over
+	delayed := g.leaders[0].Tick(g.state, 1000) // made, and on its way when the lead goes over
 	g.lead(1)
 	r := request("a")
 	r.LeaseID, r.Renew, r.LastClockMS = lease, true, g.state.Fleet.ClockMS
 	got = nil
-	g.leaders[1].Heartbeat(g.state, r, got.take)
-	mine := g.leaders[1].Tick(g.state, 1000)
-	g.apply(late[0], 1)
+	g.leaders[1].Heartbeat(g.state, r, got.add)
+	own := g.leaders[1].Tick(g.state, 1000)
+	g.apply(delayed[0], 1)
 	if len(got) != 0 {
 		t.Fatalf("answered %+v by a batch that did not have it", got)
 	}
-	g.apply(mine[0], 2)
+	g.apply(own[0], 2)
 	if len(got) != 0 || g.state.Fleet.Batches != 2 {
 		t.Fatalf("answered %+v by a batch that came second, %d batches", got, g.state.Fleet.Batches)
 	}
@@ -102,12 +102,12 @@
 	}
 }
 
-// TestLostBatch: an appended batch is lost with a leader on the way. Its heartbeats have to go into a later batch, and
+// TestLostBatchIsRetried: an appended batch is lost with a leader on the way. Its heartbeats have to go into a later batch, and
 // all that wait have to be answered when leadership is lost: their callers would hang otherwise.
-func TestLostBatch(t *testing.T) {
-	g := startGroup(t)
-	var got answers
-	g.leaders[0].Heartbeat(g.state, request("a"), got.take)
+func TestLostBatchIsRetried(t *testing.T) {
+	g := newTestGroup(t)
+	var got responses
+	g.leaders[0].Heartbeat(g.state, request("a"), got.add)
 	if n := len(g.leaders[0].Tick(g.state, 1000)); n != 1 { // and it is lost
 		t.Fatal(n)
 	}
@@ -117,15 +117,15 @@
 	if len(got) != 1 || got[0].LeaseID == 0 {
 		t.Fatalf("answers %+v, expected one", got)
 	}
-	let := 0
+	released := 0
 	g.leaders[0].Heartbeat(g.state, request("b"), func(_ api.HeartbeatResponse, err error) {
 		if errors.Is(err, ErrNotLeader) {
-			let++
+			released++
 		}
 	})
 	g.lead(1)
-	if let != 1 {
-		t.Errorf("let go %d times by the lost lead, expected once", let)
+	if released != 1 {
+		t.Errorf("let go %d times by the lost lead, expected once", released)
 	}
 	g.leaders[0].Heartbeat(g.state, request("b"), func(_ api.HeartbeatResponse, err error) {
 		if !errors.Is(err, ErrNotLeader) {
@@ -134,16 +134,16 @@
 	})
 }
 
-// TestNodesWithoutResponses: nodes' requests arrive and all responses are lost. Such a node serves nothing, and if its
+// TestNodeWithoutResponsesIsMarkedOut: nodes' requests arrive and all responses are lost. Such a node serves nothing, and if its
 // renewals kept it in, every change would wait for it.
-func TestNodesWithoutResponses(t *testing.T) {
-	g := startGroup(t)
-	var got answers
-	g.leaders[0].Heartbeat(g.state, request("a"), got.take)
+func TestNodeWithoutResponsesIsMarkedOut(t *testing.T) {
+	g := newTestGroup(t)
+	var got responses
+	g.leaders[0].Heartbeat(g.state, request("a"), got.add)
 	g.run(0, 1000)
 	r := request("a")
 	r.LeaseID, r.Renew, r.LastClockMS = got[0].LeaseID, true, got[0].ClockMS
-	for at := 0; at < 30; at++ {
+	for i := 0; i < 30; i++ {
 		g.leaders[0].Heartbeat(g.state, r, func(api.HeartbeatResponse, error) {})
 		g.leaders[0].Heartbeat(g.state, request("b"), func(api.HeartbeatResponse, error) {})
 		g.run(0, 1000)
@@ -155,14 +155,14 @@
 	}
 }
 
-// TestNewLeaderListens: an instance that was put back to an older state becomes leader. If it granted at once, a node
+// TestNewLeaderListensBeforeGranting: an instance that was put back to an older state becomes leader. If it granted at once, a node
 // that knows more would be heard too late: it has to hear all nodes that are in first, or listen for its whole time.
-func TestNewLeaderListens(t *testing.T) {
-	for _, all := range []bool{true, false} {
-		g := startGroup(t)
-		var got answers
+func TestNewLeaderListensBeforeGranting(t *testing.T) {
+	for _, allHeard := range []bool{true, false} {
+		g := newTestGroup(t)
+		var got responses
 		for _, n := range []string{"a", "b"} {
-			g.leaders[0].Heartbeat(g.state, request(n), got.take)
+			g.leaders[0].Heartbeat(g.state, request(n), got.add)
 		}
 		g.run(0, 1000)
 		g.leaders[1].Level = LevelGenerations
@@ -178,42 +178,42 @@
 		if granted {
 			t.Fatal("it grants, and b was not heard")
 		}
-		if all {
+		if allHeard {
 			renew(1, "b", func(api.HeartbeatResponse, error) {})
 			g.run(1, 500)
 		} else {
 			g.run(1, maxListenMS)
 		}
 		if !granted {
-			t.Errorf("all heard %v: it grants nothing after that", all)
+			t.Errorf("all heard %v: it grants nothing after that", allHeard)
 		}
 	}
 }
 
-// TestStepsOfChange: an operator repeats a proposal, and a node joins between the decision's append and its
+// TestChangeWaitsForJoinedNode: an operator repeats a proposal, and a node joins between the decision's append and its
 // application. There has to be one change, and it must not be decided without the node that joined.
-func TestStepsOfChange(t *testing.T) {
-	g := startGroup(t)
-	var got answers
-	g.leaders[0].Heartbeat(g.state, request("a"), got.take)
+func TestChangeWaitsForJoinedNode(t *testing.T) {
+	g := newTestGroup(t)
+	var got responses
+	g.leaders[0].Heartbeat(g.state, request("a"), got.add)
 	g.run(0, 1000)
 	propose := policy.Op{Kind: policy.OpPropose,
 		Proposal: &policy.Proposal{Version: 2, PrepareWithinMS: 5000, Author: "t", IdempotencyKey: "key-0001"}}
-	ends := 0
+	outcomes := 0
 	done := func(r policy.Result, err error) {
 		if err == nil && r.Rejection == "" && r.ChangeNumber == 1 {
-			ends++
+			outcomes++
 		}
 	}
 	g.leaders[0].SubmitPolicy(propose, done)
 	g.leaders[0].SubmitPolicy(propose, done) // sent again
 	g.run(0, 1)
-	if ends != 2 || g.state.Policy.LastNumber != 1 {
-		t.Fatalf("%d ends, %d changes; expected both ends of one change", ends, g.state.Policy.LastNumber)
+	if outcomes != 2 || g.state.Policy.LastNumber != 1 {
+		t.Fatalf("%d ends, %d changes; expected both ends of one change", outcomes, g.state.Policy.LastNumber)
 	}
 	r := request("a")
 	r.LeaseID, r.PreparedVersion, r.LastClockMS = got[0].LeaseID, 2, got[0].ClockMS
-	g.leaders[0].Heartbeat(g.state, r, got.take)
+	g.leaders[0].Heartbeat(g.state, r, got.add)
 	decide := g.leaders[0].Tick(g.state, 0)
 	if len(decide) != 1 {
 		t.Fatalf("%d entries once all have prepared, expected the decision", len(decide))
@@ -237,13 +237,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := NewState(0)
-	err = o.Restore(raw)
-	if c := o.Policy.Current; err != nil || c == nil || c.Step != policy.Preparing || o.Fleet.Epoch != 2 {
+	restored := NewState(0)
+	err = restored.Restore(raw)
+	if c := restored.Policy.Current; err != nil || c == nil || c.Step != policy.Preparing || restored.Fleet.Epoch != 2 {
 		t.Errorf("loaded %+v (%v)", c, err)
 	}
-	off := policy.Op{Kind: policy.OpAbort, ChangeNumber: 1, Author: "t", Reason: "enough"}
-	g.leaders[0].SubmitPolicy(off, func(policy.Result, error) {})
+	abort := policy.Op{Kind: policy.OpAbort, ChangeNumber: 1, Author: "t", Reason: "enough"}
+	g.leaders[0].SubmitPolicy(abort, func(policy.Result, error) {})
 	g.run(0, 1)
 	c, changes := g.state.Policy.Find(1), g.state.Policy
 	if c.Step != policy.Aborted || changes.Current != nil || changes.DecidedVersion != 0 {
--- a/internal/control/coordinator/rules_test.go
+++ b/internal/control/coordinator/rules_test.go
@@ -12,8 +12,8 @@
 	"umberwinch/internal/control/zones"
 )
 
-// TestHeartbeatPace: the shortest of the times that apply holds, and larger fleets send more slowly.
-func TestHeartbeatPace(t *testing.T) {
+// TestHeartbeatSchedule: the shortest of the times that apply holds, and larger fleets send more slowly.
+func TestHeartbeatSchedule(t *testing.T) {
 	for _, c := range []struct {
 		pace heartbeatSchedule
 		want uint64
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestSubmissions: an operation that is lost is appended again, all that have its outcome are answered, and past the
+// TestSubmissionsRetryAndBound: an operation that is lost is appended again, all that have its outcome are answered, and past the
 // bound the caller is told so.
-func TestSubmissions(t *testing.T) {
+func TestSubmissionsRetryAndBound(t *testing.T) {
 	var q submissions[int, string]
 	var answers []string
 	answer := func(r string, err error) { answers = append(answers, fmt.Sprint(r, " ", err)) }
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestJoinsInOrderOfArrival: a fleet of thousands restarts as a whole. The joins that came first go first, so that no
+// TestJoinsBatchedInOrderOfArrival: a fleet of thousands restarts as a whole. The joins that came first go first, so that no
 // node waits for ever, and renewals wait for nobody's join.
-func TestJoinsInOrderOfArrival(t *testing.T) {
+func TestJoinsBatchedInOrderOfArrival(t *testing.T) {
 	var b heartbeatBatcher
 	ignore := func(api.HeartbeatResponse, error) {}
 	var want []string
@@ -115,17 +115,17 @@
 // TestNeedsEntry: what a change or an operator waits for goes into the log, anything else is answered at once, and a
 // node whose responses are lost gets nothing extended.
 func TestNeedsEntry(t *testing.T) {
-	g := startGroup(t)
+	g := newTestGroup(t)
 	g.leaders[0].Heartbeat(g.state, request("a"), func(api.HeartbeatResponse, error) {})
 	g.run(0, 1000)
 	n := g.state.Fleet.Lookup("a")
 	now := g.state.Fleet.ClockMS
-	heard := api.HeartbeatRequest{LeaseID: n.Lease.ID, LastClockMS: now, MinVersion: 2}
-	if needsEntry(g.state, n, &heard) {
+	promise := api.HeartbeatRequest{LeaseID: n.Lease.ID, LastClockMS: now, MinVersion: 2}
+	if needsEntry(g.state, n, &promise) {
 		t.Error("a promise that nothing waits for costs an entry")
 	}
 	g.state.Policy.Current = &policy.Change{Version: 2, Step: policy.Committed}
-	if !needsEntry(g.state, n, &heard) {
+	if !needsEntry(g.state, n, &promise) {
 		t.Error("a promise that a change waits for does not go into the log")
 	}
 	g.state.Policy.Current = nil
@@ -166,7 +166,7 @@
 			t.Errorf("%s: found %v, expected one that wraps %v", raw, err, want)
 		}
 	}
-	g := startGroup(t)
+	g := newTestGroup(t)
 	var missing *VersionMissingError
 	if _, _, err := (versionCatalog{g}).Check(9, 0); !errors.As(err, &missing) || missing.Version != 9 {
 		t.Errorf("found %v, expected a VersionMissingError of 9", err)
--- a/internal/control/policy/policy_test.go
+++ b/internal/control/policy/policy_test.go
@@ -12,22 +12,22 @@
 	"umberwinch/internal/control/membership"
 )
 
-// versions is a group that keeps versions 1 to 9, of which 7 can't follow another.
-type versions struct{}
+// testVersions is a group that keeps versions 1 to 9, of which 7 can't follow another.
+type testVersions struct{}
 
 var errCannotFollow = errors.New("tenants: it takes away a tenant")
 
-func (versions) Last() uint64 { return 9 }
+func (testVersions) Last() uint64 { return 9 }
 
-func (versions) Check(version, _ uint64) (Rules, string, error) {
+func (testVersions) Check(version, _ uint64) (Rules, string, error) {
 	if version == 7 {
 		return Rules{}, "", errCannotFollow
 	}
 	return Rules{LeaseMS: 4000}, fmt.Sprint("hash-", version), nil
 }
 
-// fleetOf gives a fleet that the named nodes have joined.
-func fleetOf(t *testing.T, terms membership.LeaseTerms, names ...string) *membership.State {
+// newFleet gives a fleet that the named nodes have joined.
+func newFleet(t *testing.T, terms membership.LeaseTerms, names ...string) *membership.State {
 	t.Helper()
 	f := membership.New()
 	batch := &membership.HeartbeatBatch{ElapsedMS: 1}
@@ -49,19 +49,19 @@
 	f.Apply(batch, 1, terms)
 }
 
-func proposal(version uint64) Proposal {
+func testProposal(version uint64) Proposal {
 	return Proposal{Version: version, PrepareWithinMS: 5000, MaxLeftBehind: 1, Author: "an operator",
 		IdempotencyKey: fmt.Sprint("key-00000", version)}
 }
 
-func reportsOf(reports map[string]*NodeReport) Reports {
+func reportsFrom(reports map[string]*NodeReport) Reports {
 	return func(n *membership.Node) *NodeReport { return reports[n.Name] }
 }
 
-// TestNextOfPreparing: nodes prepare, refuse or say nothing. Whoever is up is waited for until the change's time is
+// TestNextWhilePreparing: nodes prepare, refuse or say nothing. Whoever is up is waited for until the change's time is
 // over, more refusals than may be left behind end it at once, and no more nodes are left behind than the operator
 // allowed.
-func TestNextOfPreparing(t *testing.T) {
+func TestNextWhilePreparing(t *testing.T) {
 	type reports = map[string]*NodeReport
 	prepared := &NodeReport{PreparedVersion: 1}
 	refused := &NodeReport{RefusedVersion: 1, RefusedReason: "it sheds too much"}
@@ -87,8 +87,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			terms := membership.LeaseTerms{LeaseMS: 4000}
-			f, s := fleetOf(t, terms, "a", "b", "c"), &State{}
-			if r := s.Apply(Propose{proposal(1)}, f, versions{}, 0); r.Rejection != "" {
+			f, s := newFleet(t, terms, "a", "b", "c"), &State{}
+			if r := s.Apply(Propose{testProposal(1)}, f, testVersions{}, 0); r.Rejection != "" {
 				t.Fatal(r.Rejection)
 			}
 			if c.late {
@@ -96,7 +96,7 @@
 				advance(f, terms, 2500, "a", "b", "c")
 			}
 			var op Op
-			if operation := s.Next(f, reportsOf(c.reports), 0); operation != nil {
+			if operation := s.Next(f, reportsFrom(c.reports), 0); operation != nil {
 				op = Encode(operation)
 			}
 			if op.Kind != c.kind || op.Reason != c.reason || strings.Join(op.LeftBehind, " ") != c.left {
@@ -106,35 +106,35 @@
 	}
 }
 
-// TestOneOutcome: a decided change can't be aborted, an operation that no longer holds changes nothing, and the change
+// TestChangeHasOneOutcome: a decided change can't be aborted, an operation that no longer holds changes nothing, and the change
 // settles only once the lease of a node that was cut off has run out.
-func TestOneOutcome(t *testing.T) {
+func TestChangeHasOneOutcome(t *testing.T) {
 	terms := membership.LeaseTerms{LeaseMS: 4000}
-	f, s := fleetOf(t, terms, "a", "b"), &State{}
-	s.Apply(Propose{proposal(1)}, f, versions{}, 0)
-	early := Decide{ChangeNumber: 1, FleetEpoch: f.Epoch - 1}
-	if r := s.Apply(early, f, versions{}, 0); r.Rejection == "" {
+	f, s := newFleet(t, terms, "a", "b"), &State{}
+	s.Apply(Propose{testProposal(1)}, f, testVersions{}, 0)
+	staleDecide := Decide{ChangeNumber: 1, FleetEpoch: f.Epoch - 1}
+	if r := s.Apply(staleDecide, f, testVersions{}, 0); r.Rejection == "" {
 		t.Fatal("it is decided by a leader that did not hear a node which joined")
 	}
-	if r := s.Apply(Decide{ChangeNumber: 1, FleetEpoch: f.Epoch}, f, versions{}, 0); r.Rejection != "" {
+	if r := s.Apply(Decide{ChangeNumber: 1, FleetEpoch: f.Epoch}, f, testVersions{}, 0); r.Rejection != "" {
 		t.Fatal(r.Rejection)
 	}
 	for _, o := range []Operation{Abort{ChangeNumber: 1}, Decide{ChangeNumber: 1}, Settle{1}} {
-		if r := s.Apply(o, f, versions{}, 0); r.Rejection == "" {
+		if r := s.Apply(o, f, testVersions{}, 0); r.Rejection == "" {
 			t.Errorf("%s counts while a node may serve under an older version", r.Kind)
 		}
 	}
 	terms.DecidedVersion = s.DecidedVersion
 	advance(f, terms, 4000, "a")
-	if op := s.Next(f, reportsOf(nil), 0); op != nil {
+	if op := s.Next(f, reportsFrom(nil), 0); op != nil {
 		t.Errorf("found %+v while the lease of a node that was cut off may be live", op)
 	}
 	advance(f, terms, membership.LeaseSpanMS(4000)-4000+1, "a")
-	op := s.Next(f, reportsOf(nil), 0)
+	op := s.Next(f, reportsFrom(nil), 0)
 	if op != (Settle{1}) {
 		t.Fatalf("found %#v, expected %#v", op, Settle{1})
 	}
-	if r := s.Apply(op, f, versions{}, 0); r.Rejection != "" || s.Find(1).Step != Settled || s.Current != nil {
+	if r := s.Apply(op, f, testVersions{}, 0); r.Rejection != "" || s.Find(1).Step != Settled || s.Current != nil {
 		t.Errorf("%s: change %+v", r.Rejection, s.Find(1))
 	}
 }
@@ -142,21 +142,21 @@
 // TestRejectedProposals: a proposal that can't begin a change is rejected, and one that is repeated under its key gives
 // the change that it began.
 func TestRejectedProposals(t *testing.T) {
-	f, s := fleetOf(t, membership.LeaseTerms{LeaseMS: 4000}, "a"), &State{DecidedVersion: 2}
-	exclusive := proposal(3)
+	f, s := newFleet(t, membership.LeaseTerms{LeaseMS: 4000}, "a"), &State{DecidedVersion: 2}
+	exclusive := testProposal(3)
 	exclusive.Exclusive = true
-	for _, p := range []Proposal{proposal(2), proposal(10), proposal(7), exclusive} {
-		if r := s.Apply(Propose{p}, f, versions{}, 0); r.Rejection == "" || s.Current != nil {
+	for _, p := range []Proposal{testProposal(2), testProposal(10), testProposal(7), exclusive} {
+		if r := s.Apply(Propose{p}, f, testVersions{}, 0); r.Rejection == "" || s.Current != nil {
 			t.Errorf("%+v begins %+v", p, s.Current)
 		}
 	}
 	for range 2 {
-		r := s.Apply(Propose{proposal(3)}, f, versions{}, 0)
+		r := s.Apply(Propose{testProposal(3)}, f, testVersions{}, 0)
 		if r.Rejection != "" || r.ChangeNumber != 1 {
 			t.Errorf("found %+v, expected change 1", r)
 		}
 	}
-	if r := s.Apply(Propose{proposal(4)}, f, versions{}, 0); r.Rejection == "" {
+	if r := s.Apply(Propose{testProposal(4)}, f, testVersions{}, 0); r.Rejection == "" {
 		t.Error("a second change begins beside the first")
 	}
 }
@@ -167,7 +167,7 @@
 func TestStoredOperations(t *testing.T) {
 	for stored, want := range map[string]Operation{
 		`{"op":"propose","propose":{"version":1,"within_ms":5000,"spare":1,"author":"an operator","reason":"",` +
-			`"key":"key-000001"}}`: Propose{proposal(1)},
+			`"key":"key-000001"}}`: Propose{testProposal(1)},
 		`{"op":"decide","number":3,"epoch":7,"left":["a","b"]}`: Decide{3, 7, []string{"a", "b"}},
 		`{"op":"force","number":3}`:                             Commit{3},
 		`{"op":"settle","number":3}`:                            Settle{3},
@@ -195,16 +195,16 @@
 		t.Errorf("found %v, expected %v", err, ErrEmptyProposal)
 	}
 	s := &State{Current: &Change{Number: 3}}
-	r := s.Apply(unknownOperation{"fly", 3}, membership.New(), versions{}, 0)
+	r := s.Apply(unknownOperation{"fly", 3}, membership.New(), testVersions{}, 0)
 	if want := `op "fly", expected propose, decide, force, settle or off`; r.Rejection != want {
 		t.Errorf("found %q, expected %q", r.Rejection, want)
 	}
 }
 
-// TestOperatorsOperations: an operator may propose and abort; what the leader alone decides is refused before it
+// TestValidateOperatorOperations: an operator may propose and abort; what the leader alone decides is refused before it
 // reaches the log, by an error that says what was found and expected.
-func TestOperatorsOperations(t *testing.T) {
-	p := proposal(1)
+func TestValidateOperatorOperations(t *testing.T) {
+	p := testProposal(1)
 	const expected = "propose with a proposal, or off with by and why"
 	for _, c := range []struct {
 		op   Op
@@ -225,9 +225,9 @@
 	}
 }
 
-// TestErrors: callers can tell errors of input, of snapshots and of guards' names from others.
-func TestErrors(t *testing.T) {
-	p := proposal(1)
+// TestErrorTypes: callers can tell errors of input, of snapshots and of guards' names from others.
+func TestErrorTypes(t *testing.T) {
+	p := testProposal(1)
 	p.PrepareWithinMS = 1
 	var field *api.FieldError
 	if err := p.Validate(); !errors.As(err, &field) || err.Error() != "within_ms: found 1, expected 1000 to 86400000" {
