--- a/internal/control/membership/apply.go
+++ b/internal/control/membership/apply.go
@@ -1,9 +1,9 @@
 package membership
 
-// Apply applies one committed batch that came under a leader's term, with the terms that leases are granted under now.
+// Apply applies one committed batch of the leader of the given term and grants leases under the given terms.
 //
-// A batch that was made before another one was applied changes nothing: its time has been counted by the other. This
-// guards against a change of leaders in which both count the same milliseconds, which would let leases run out early.
+// A batch that was built before the previous one was applied is ignored. Otherwise two leaders could both count the
+// same milliseconds, and leases would expire early.
 func (s *State) Apply(b *HeartbeatBatch, term uint64, terms LeaseTerms) BatchResult {
 	result := BatchResult{LeaseMS: terms.LeaseMS, Granted: map[uint32]bool{}}
 	if b.BatchesBefore != s.Batches {
@@ -18,7 +18,7 @@
 		s.LostState = b.LostState
 	}
 	if s.LostState != "" {
-		// Whatever would be granted or counted out rests on a state that is not the fleet's.
+		// The table is out of date, so no lease is granted and no node is marked out.
 		refuseJoins(b, s.LostState, &result)
 		return result
 	}
@@ -35,7 +35,7 @@
 	return result
 }
 
-// advance counts the batch and its time. A new leader has heard nobody yet, so no silence from before it counts.
+// advance counts the batch and advances the clock. Silence is measured only from the first batch of a leader's term.
 func (s *State) advance(b *HeartbeatBatch, term uint64) {
 	s.Batches++
 	s.ClockMS += b.ElapsedMS
@@ -44,8 +44,8 @@
 	}
 }
 
-// renew notes who was heard and extends the leases of those that promise what was decided. The promise is checked here
-// and not by the leader alone: a decision may have been applied after the leader made the batch.
+// renew records heartbeats and extends the leases of nodes that promise the decided version and zone epoch. The leader
+// has checked the promises, but a decision may have been applied after it built the batch.
 func (s *State) renew(b *HeartbeatBatch, terms LeaseTerms, result *BatchResult) {
 	promised := terms.PromisedBy(b.MinVersion, b.MinZoneEpoch)
 	for _, id := range b.Renewals {
@@ -69,7 +69,7 @@
 	}
 }
 
-// leave counts out the nodes that drained. They serve no more, so nothing of their leases is left to wait for.
+// leave marks drained nodes out. They no longer serve, so their leases end at once.
 func (s *State) leave(leases []uint32) {
 	for _, id := range leases {
 		if n := s.byLease[id]; n != nil {
--- a/internal/control/membership/errors.go
+++ b/internal/control/membership/errors.go
@@ -2,6 +2,6 @@
 
 import "errors"
 
-// ErrSnapshot is what all errors of Restore wrap: the part of a snapshot that has the table of nodes can't be read, as
-// it is torn, spoilt or of something else. Nothing of it is used.
+// ErrSnapshot is wrapped by all errors of Restore: the node table of a snapshot is truncated, corrupt or of another
+// format. None of it is used.
 var ErrSnapshot = errors.New("a saved fleet")
--- a/internal/control/membership/expiry.go
+++ b/internal/control/membership/expiry.go
@@ -1,11 +1,9 @@
 package membership
 
-// expire decides who is counted out for silence, and drops earlier leases that have run out.
+// expire marks nodes out that have been silent for the span of a lease, and drops expired earlier leases.
 //
-// It decides by the group's time of each node's last heartbeat, the time since the leader listens and the terms of
-// leases, all in ms. A node that was silent for the span of a lease may be gone, and a change of policy must not wait
-// for it for ever. It acts with each batch. It never counts out a node whose lease is live by its time, and never
-// holds the time of a leader's absence against a node: after a failover all nodes would be counted out at once.
+// A node stays in while its lease is live. Silence counts only from the first batch of the leader's term;
+// otherwise a failover would mark all nodes out at once.
 func (s *State) expire(result *BatchResult, terms LeaseTerms) {
 	spanMS := LeaseSpanMS(terms.LeaseMS)
 	for _, n := range s.nodes {
@@ -24,8 +22,8 @@
 	}
 }
 
-// evictLongestOut frees a place of the table: of the nodes that are out and hold no live lease, the one that has been
-// out for longest goes. It gives false where there is none: a node that may still serve is never forgotten.
+// evictLongestOut removes the node that has been out longest, among those without a live lease. It returns false if
+// there is none: a node that may still serve is never removed.
 func (s *State) evictLongestOut() bool {
 	var oldest *Node
 	for _, n := range s.nodes {
--- a/internal/control/membership/generation.go
+++ b/internal/control/membership/generation.go
@@ -3,19 +3,19 @@
 import "umberwinch/internal/control/api"
 
 const (
-	// leaseIDGap is added to the last lease number of a generation: the group may have granted so many more since the
-	// state was saved that the next one begins with. None of those numbers may mean another lease in this generation.
+	// leaseIDGap is the number of lease IDs skipped at the start of a generation. The earlier group may have granted
+	// leases after the restored state was saved, and their IDs must not be reused.
 	leaseIDGap = 1 << 20
-	// earlierGenerationNonce is the nonce of leases that stand for an earlier generation's; no node sends it.
+	// earlierGenerationNonce is the nonce of placeholder leases for an earlier generation; no node sends it.
 	earlierGenerationNonce = "before"
 )
 
-// BeginGeneration makes the state the first one of a restored group's next generation, with the nodes that are known
-// and those in known that are not yet. longestLeaseMS is the longest lease that any node may hold, autonomous whether
-// the policy lets nodes serve on without the group.
+// BeginGeneration turns the state into the initial state of a restored group's next generation, and adds the recorded
+// nodes that it lacks. longestLeaseMS is the longest lease that any node may hold; autonomous is whether the policy
+// lets nodes serve without the group.
 //
-// It guards against a change that takes hold while a node still acts on a lease that the lost state had: every lease
-// of an earlier generation, known here or not, is taken to be live for its whole length and to promise nothing.
+// Every lease of an earlier generation, known here or not, is assumed live for its full span and without promises.
+// Otherwise a change could commit while a node still acts on a lease that the restored state lacks.
 func (s *State) BeginGeneration(longestLeaseMS uint64, autonomous bool, recorded []api.JoinRequest) {
 	s.LostState, s.Term, s.ListeningSinceMS = "", 0, s.ClockMS
 	s.UnknownLeasesExpireMS = s.ClockMS + LeaseSpanMS(longestLeaseMS)
--- a/internal/control/membership/join.go
+++ b/internal/control/membership/join.go
@@ -7,12 +7,10 @@
 	"umberwinch/internal/control/api"
 )
 
-// join decides whether an incarnation may join.
+// join decides whether an incarnation may join. It is refused if the table is full or the name joins too often.
 //
-// It decides by the name's newest incarnation, the time in ms since the name's last joins and the number of known
-// names. The newest incarnation stands for a name; what an earlier one may still do is kept until its lease has run
-// out, so that a change of policy waits for both. It acts on each request without a lease. It may keep a node out
-// that restarts over and over, or one more than MaxNodes.
+// The newest incarnation replaces the earlier one of its name, whose lease is kept until it expires, so that a policy
+// change waits for both.
 func (s *State) join(j *api.JoinRequest, terms LeaseTerms) JoinResult {
 	n := s.byName[j.Name]
 	if n != nil && n.Lease.Nonce == j.Nonce {
@@ -35,10 +33,10 @@
 	return JoinResult{Nonce: j.Nonce, LeaseID: s.lastLeaseID, extended: true}
 }
 
-// repeatJoin answers a request to join that was sent again because its answer was lost.
+// repeatJoin handles a join request that is repeated under the same nonce because its response was lost.
 //
-// It guards against a node whose requests arrive and that hears no answer: it serves nothing, and must not stay in by
-// sending on. Past the span of a lease the request extends nothing, so the node is counted out for silence.
+// After the span of a lease it extends nothing. Otherwise a node that receives no responses, and so serves nothing,
+// would stay in by repeating its request.
 func (s *State) repeatJoin(n *Node, nonce string, terms LeaseTerms) JoinResult {
 	if n.IsOut() {
 		return JoinResult{Nonce: nonce, RefusedReason: "this incarnation was counted out; begin another"}
@@ -54,7 +52,7 @@
 	return JoinResult{Nonce: nonce, LeaseID: n.Lease.ID, extended: promised}
 }
 
-// retireLease puts the lease of the incarnation that is replaced among the earlier ones, while it is live.
+// retireLease moves the lease of the replaced incarnation to EarlierLeases if it is still live.
 func (s *State) retireLease(n *Node, terms LeaseTerms) {
 	if n.Lease.ID != 0 {
 		replaced := n.Lease
@@ -69,7 +67,8 @@
 	}
 }
 
-// beginIncarnation gives the node a new lease. A join begins with what was decided, so it promises that.
+// beginIncarnation grants the node a new lease. A joining node starts under the decided version and zone epoch, so its
+// lease promises them.
 func (s *State) beginIncarnation(n *Node, j *api.JoinRequest, terms LeaseTerms) {
 	s.lastLeaseID++
 	s.Epoch++
@@ -87,7 +86,7 @@
 	s.byLease[s.lastLeaseID] = n
 }
 
-// refuseJoins refuses all requests to join of a batch, as the group has lost state.
+// refuseJoins refuses all join requests of a batch because the group has lost state.
 func refuseJoins(b *HeartbeatBatch, lost string, result *BatchResult) {
 	for i := range b.Joins {
 		result.Joins = append(result.Joins, JoinResult{
@@ -98,8 +97,8 @@
 	}
 }
 
-// IsSameProcess tells by two incarnations' nonces whether one process began both: a nonce is the process's own word, a
-// dash and a count.
+// IsSameProcess reports whether two nonces are of the same process. A nonce is a process identifier, a dash and a
+// counter.
 func IsSameProcess(earlier, later string) bool {
 	i := strings.LastIndexByte(earlier, '-')
 	return i > 0 && strings.HasPrefix(later, earlier[:i+1])
--- a/internal/control/membership/join_backoff.go
+++ b/internal/control/membership/join_backoff.go
@@ -1,30 +1,28 @@
 package membership
 
-// Backoff of names that join again and again. Each join is an entry of the log and raises the fleet's epoch, which
-// makes a decision that is under way wait for the new incarnation.
+// Join backoff. Each join adds to the log and increments the fleet epoch, which delays a pending decision until the new
+// incarnation has prepared.
 const (
-	// freeJoins is how often a name may join within joinWindowMS without a wait: four cover a deploy and its rollback.
-	// More would let a crash loop delay every change of policy.
+	// freeJoins is the number of joins of a name within joinWindowMS without backoff, enough for a deploy and its
+	// rollback.
 	freeJoins = 4
-	// joinWindowMS is how long a join counts, in ms.
+	// joinWindowMS is the time for which a join counts towards the backoff, in ms.
 	joinWindowMS = 60_000
-	// initialJoinBackoffMS is the first wait, in ms; each join after it doubles the wait.
+	// initialJoinBackoffMS is the first backoff, in ms; each further join doubles it.
 	initialJoinBackoffMS = 1000
-	// maxJoinBackoffMS bounds the wait, in ms: a crash loop costs the group two entries a minute, and a node that is
-	// mended is back within half a minute.
+	// maxJoinBackoffMS is the maximum backoff, in ms. It limits a crash loop to two log entries per minute.
 	maxJoinBackoffMS = 30_000
-	// maxJoinTimes bounds the joins that are remembered for a name; a name within its backoff has fewer.
+	// maxJoinTimes is the maximum number of join times kept per name; the backoff keeps a name below it.
 	maxJoinTimes = 16
-	// maxEarlierLeases bounds the live leases of replaced incarnations of a name.
+	// maxEarlierLeases is the maximum number of live leases of replaced incarnations per name.
 	maxEarlierLeases = 8
 )
 
-// joinBackoffMS decides how long a name has to wait before it may join again, in ms; 0: not at all.
+// joinBackoffMS returns the time until a name may join again, in ms; 0: it may join now. The backoff protects the log
+// and policy changes from a node in a crash loop.
 //
-// It decides by the group's times of the name's last joins and the leases of its earlier incarnations that are live.
-// It protects the group's log and changes of policy from a node that restarts in a loop. It acts from the fifth join
-// within a minute on, and may keep a healthy node out for half a minute that was restarted so often by hand. With
-// maxEarlierLeases live ones it waits for the oldest of them: none is dropped, as its holder may act on it.
+// With maxEarlierLeases live earlier leases the name waits for the oldest to expire. A live lease is never dropped, as
+// its holder may still act on it.
 func (s *State) joinBackoffMS(n *Node) uint64 {
 	for len(n.JoinTimesMS) > 0 && s.ClockMS-n.JoinTimesMS[0] > joinWindowMS {
 		n.JoinTimesMS = n.JoinTimesMS[1:]
--- a/internal/control/membership/snapshot.go
+++ b/internal/control/membership/snapshot.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// snapshot is the stored form of the state. Builds of different versions read each other's, so keys and order stay.
+// snapshot is the stored form of State. Builds of different versions exchange snapshots, so keys and their order must
+// not change.
 type snapshot struct {
 	ClockMS               uint64  `json:"clock"`
 	Batches               uint64  `json:"beats"`
@@ -18,7 +19,7 @@
 	Nodes                 []*Node `json:"nodes"`
 }
 
-// Snapshot gives the state as JSON.
+// Snapshot returns the state as JSON.
 func (s *State) Snapshot() ([]byte, error) {
 	return json.Marshal(snapshot{
 		ClockMS:               s.ClockMS,
@@ -33,7 +34,7 @@
 	})
 }
 
-// Restore reads what Snapshot gave. Its errors wrap ErrSnapshot.
+// Restore decodes the output of Snapshot. Its errors wrap ErrSnapshot.
 func Restore(raw []byte) (*State, error) {
 	var stored snapshot
 	if err := json.Unmarshal(raw, &stored); err != nil {
--- a/internal/control/policy/apply.go
+++ b/internal/control/policy/apply.go
@@ -6,11 +6,10 @@
 	"umberwinch/internal/control/membership"
 )
 
-// Apply applies one committed operation at the time and with the nodes of f.
+// Apply applies one committed operation, at the clock and with the nodes of f.
 //
-// Each operation is checked against the state that it meets, not the one that its leader saw. This guards against
-// operations that two leaders appended, or that come late: one that no longer holds changes nothing, and its Result
-// says why.
+// Each operation is checked against the current state, as it may be a duplicate from another leader or out of date. An
+// operation that is no longer valid changes nothing, and its Result carries the rejection.
 func (s *State) Apply(operation Operation, f *membership.State, v Versions, disabled Guard) Result {
 	if o, ok := operation.(Propose); ok {
 		return s.propose(&o.Proposal, f, v)
@@ -35,13 +34,13 @@
 	return r
 }
 
-// wrongStepRejection is the rejection of an operation that the change's step does not allow.
+// wrongStepRejection returns the rejection of an operation that is not valid in the change's step.
 func (c *Change) wrongStepRejection(expected Step) string {
 	return fmt.Sprintf("change %d is %s, expected %s", c.Number, c.Step, expected)
 }
 
-// propose begins a change. A proposal that is repeated under its key gives the change that it began the first time: its
-// sender may not have heard the answer.
+// propose begins a change. A proposal that is repeated under its idempotency key returns the change that it began the
+// first time, as the response may have been lost.
 func (s *State) propose(p *Proposal, f *membership.State, v Versions) Result {
 	r := Result{Kind: OpPropose, IdempotencyKey: p.IdempotencyKey}
 	existing := s.find(func(c *Change) bool { return c.Proposal.IdempotencyKey == p.IdempotencyKey })
@@ -74,11 +73,10 @@
 	return r
 }
 
-// rejectProposal decides why a proposal can't begin a change; empty: it can.
+// rejectProposal returns why a proposal can't begin a change; empty: it can.
 //
-// It decides by the change under way, the versions that are decided and kept, and the rules in force. One change at a
-// time keeps its outcome clear; a version before the decided one would need nodes to break their promise. An exclusive
-// change is rejected where nodes serve on without the group: one that is cut off would hold up all others for ever.
+// Only one change runs at a time, and a version older than the decided one would break the nodes' promises. An exclusive
+// change is rejected while nodes are autonomous: one unreachable node would block it indefinitely.
 func (s *State) rejectProposal(p *Proposal, v Versions) string {
 	switch {
 	case s.Current != nil:
@@ -95,11 +93,11 @@
 	return ""
 }
 
-// decide makes the change's version the decided one. From here on the outcome is fixed: no lease is extended that
-// does not promise the version.
+// decide makes the change's version the decided one. From then on no lease is extended without a promise of that
+// version, and the change can't be aborted.
 //
-// It counts only for the epoch of the fleet that its leader saw. This guards against a node that joined meanwhile and
-// has not prepared: it would be out of service with a version that it can't serve under.
+// It is rejected if the fleet epoch has changed since the leader decided: a node that joined since then has not prepared
+// the version and might be unable to serve under it.
 func (s *State) decide(o *Decide, f *membership.State, disabled Guard) (rejection string) {
 	c := s.Current
 	if c.Step != Preparing {
@@ -120,8 +118,8 @@
 	return ""
 }
 
-// commit puts an exclusive change in force. It counts only once no live lease allows an older version, which guards
-// against two versions at one moment.
+// commit makes an exclusive change's version the committed one. It is rejected while a live lease allows an older
+// version, so that no two versions are served at the same time.
 func (s *State) commit(f *membership.State, disabled Guard) (rejection string) {
 	c := s.Current
 	if c.Step != Decided {
@@ -134,8 +132,8 @@
 	return ""
 }
 
-// settle ends a change. It counts only once no live lease allows an older version, which guards against a change that
-// is reported as done while a node that was cut off still serves under the version before.
+// settle ends a committed change. It is rejected while a live lease allows an older version: an unreachable node might
+// still serve under it after the change was reported as settled.
 func (s *State) settle(f *membership.State, disabled Guard) (rejection string) {
 	c := s.Current
 	if c.Step != Committed {
@@ -150,8 +148,8 @@
 	return ""
 }
 
-// abort ends a change that is not decided. What is decided is never taken back: nodes may serve under it already, and
-// others would not learn in time that they must not.
+// abort ends a change that is not decided. A decided change is never aborted: nodes may already serve under its version
+// and would not learn of the abort in time.
 func (s *State) abort(o *Abort, f *membership.State, disabled Guard) (rejection string) {
 	c := s.Current
 	if c.Step != Preparing {
--- a/internal/control/policy/blockers.go
+++ b/internal/control/policy/blockers.go
@@ -6,39 +6,37 @@
 	"umberwinch/internal/control/membership"
 )
 
-// NodeReport is what a node's present incarnation told the present leader.
+// NodeReport is the latest report of a node's current incarnation to the current leader.
 type NodeReport struct {
 	PreparedVersion uint64 // 0: none
 	RefusedVersion  uint64 // 0: none
 	RefusedReason   string
 	ActiveVersion   uint64
-	Fenced          string // why it takes no requests; empty: it takes them
+	Fenced          string // why the node serves no requests; empty: it serves
 }
 
-// Reports gives a node's report, nil for a node that has not told this leader anything.
+// Reports returns a node's report, or nil if the node has not reported to this leader.
 type Reports func(*membership.Node) *NodeReport
 
-// Blocker is a node that a change waits for, and why.
+// Blocker is a node that blocks a change, with the reason.
 type Blocker struct {
 	Node   string `json:"node"`
 	Zone   string `json:"zone"`
 	Reason string `json:"why"`
 }
 
-// Blockers decides whom the change under way waits for, and who refuses it.
+// Blockers returns the nodes that the current change waits for and the nodes that refuse it.
 //
-// It decides by the table of nodes at the group's time and by what nodes reported to this leader. While the change is
-// prepared, all nodes that are in have to report the version prepared, and a silent one that may serve on without the
-// group is waited for as well: it would serve under the older version for ever. Once it is decided, all live leases
-// that allow an older version are waited for. It holds a change up for the span of a lease at most where nodes fence,
-// without bound where they serve on.
+// During preparation, each node that is in must report the version as prepared, and a silent autonomous node blocks the
+// change as well: it would serve under the older version indefinitely. After the decision, each live lease that allows
+// an older version blocks it, for at most the span of a lease unless the lease is autonomous.
 func (s *State) Blockers(f *membership.State, reports Reports) (blockers, refusals []Blocker) {
 	c := s.Current
 	if c == nil {
 		return nil, nil
 	}
 	if f.ClockMS < f.UnknownLeasesExpireMS {
-		// In a restored group's first moments nobody is in, and all nodes may be on their way.
+		// After a restoration nodes may still act on leases that this state does not know.
 		reason := fmt.Sprintf("may act on their leases for %d ms at most", f.UnknownLeasesExpireMS-f.ClockMS)
 		blockers = append(blockers, Blocker{membership.UnknownNodes, "", reason})
 	}
@@ -66,8 +64,8 @@
 	return blockers, refusals
 }
 
-// preparationBlocker says by a node's report why a change that is prepared waits for it, or that and why the node refuses it;
-// empty: it has prepared.
+// preparationBlocker returns why a node, by its report, blocks or refuses a change in preparation; empty: the node has
+// prepared the version.
 func preparationBlocker(c *Change, r *NodeReport) (reason string, refused bool) {
 	switch {
 	case r == nil:
@@ -80,7 +78,7 @@
 	return "", false
 }
 
-// olderLeaseBound says for how long a node may serve under a version older than the one given.
+// olderLeaseBound describes for how long a node may serve under a version older than the given one.
 func olderLeaseBound(f *membership.State, n *membership.Node, version uint64) string {
 	expiresAtMS, unbounded := uint64(0), false
 	include := func(l *membership.Lease) {
--- a/internal/control/policy/change.go
+++ b/internal/control/policy/change.go
@@ -2,31 +2,31 @@
 
 import "fmt"
 
-// Step is how far a change has come.
+// Step is the stage that a change has reached.
 type Step string
 
-// Steps of a change, as stored and shown.
+// Steps of a change. The values are stored and displayed.
 const (
-	Preparing Step = "preparing" // nodes check it, try it and report
-	Decided   Step = "held"      // decided, not committed: exclusive changes alone; others are committed at once
-	Committed Step = "in force"  // it may be served under; some nodes may not have heard
-	Settled   Step = "settled"   // nobody can serve under an older version any more
+	Preparing Step = "preparing" // nodes validate the version, evaluate it and report
+	Decided   Step = "held"      // decided, not yet committed; exclusive changes only
+	Committed Step = "in force"  // nodes may serve under it; some may not have received it yet
+	Settled   Step = "settled"   // no node can serve under an older version
 	Aborted   Step = "called off"
 )
 
-// Bounds of what is kept, the same at every instance as it is part of the replicated state.
+// Limits of the replicated history, equal at every instance.
 const (
-	maxHistory = 64 // changes that ended
-	maxEvents  = 64 // of one change
+	maxHistory = 64 // ended changes
+	maxEvents  = 64 // events per change
 )
 
-// Event is one thing that happened to a change.
+// Event is an entry in the history of a change.
 type Event struct {
-	ClockMS uint64 `json:"clock_ms"` // the group's time
+	ClockMS uint64 `json:"clock_ms"` // the group's clock
 	Text    string `json:"text"`
 }
 
-// Change is a change of the policy version. Times are the group's, in ms; 0: not yet.
+// Change is a change of the policy version. Times are of the group's clock, in ms; 0: not yet.
 type Change struct {
 	Number          uint64   `json:"number"`
 	Version         uint64   `json:"version"`
@@ -35,7 +35,7 @@
 	Rules           Rules    `json:"rules"`
 	Step            Step     `json:"step"`
 	Proposal        Proposal `json:"propose"`
-	DecideByMS      uint64   `json:"until"` // it is aborted if it is not decided by then
+	DecideByMS      uint64   `json:"until"` // aborted if not decided by then
 	ProposedAtMS    uint64   `json:"begun"`
 	DecidedAtMS     uint64   `json:"decided"`
 	CommittedAtMS   uint64   `json:"in_force"`
@@ -44,7 +44,7 @@
 	Events          []Event  `json:"events"`
 }
 
-// addEvent notes what happened to the change. Past maxEvents nothing more is noted.
+// addEvent appends an event to the change's history. Beyond maxEvents, events are dropped.
 func (c *Change) addEvent(clockMS uint64, format string, args ...any) {
 	if len(c.Events) < maxEvents {
 		c.Events = append(c.Events, Event{clockMS, fmt.Sprintf(format, args...)})
--- a/internal/control/policy/errors.go
+++ b/internal/control/policy/errors.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// ErrSnapshot is what all errors of Restore wrap: the policy's part of a snapshot can't be read, as it is torn, spoilt
-// or of something else. Nothing of it is used.
+// ErrSnapshot is wrapped by all errors of Restore: the policy part of a snapshot is truncated, corrupt or of another
+// format. None of it is used.
 var ErrSnapshot = errors.New("a saved policy")
 
-// ErrEmptyProposal is for an operation that proposes a change without saying which.
+// ErrEmptyProposal is returned for a propose operation without a proposal.
 var ErrEmptyProposal = errors.New("a proposal of nothing")
 
-// UnknownGuardError is given for a guard's name that there is not.
+// UnknownGuardError is returned for a name that is not of a guard.
 type UnknownGuardError struct{ Name string }
 
-// Error names the guards that there are.
+// Error lists the valid names.
 func (e *UnknownGuardError) Error() string {
 	return fmt.Sprintf("guard %q, expected one of %s", e.Name, strings.Join(GuardNames(), ", "))
 }
--- a/internal/control/policy/generation.go
+++ b/internal/control/policy/generation.go
@@ -1,25 +1,25 @@
 package policy
 
-// Restored is the version that a restored group begins its next generation with.
+// Restored is the policy version with which a restored group begins its next generation.
 type Restored struct {
-	Version uint64 // 0: no node served under any
-	Hash    string // of its text; empty: nobody has the text
+	Version uint64 // 0: no node served under a version
+	Hash    string // of its text; empty: the text is lost
 	Rules   Rules
-	Proof   string // how it is known
+	Proof   string // evidence for the version
 }
 
-// restoreAuthor is the author of the change that stands for a restored version.
+// restoreAuthor is the author of the change recorded for a restored version.
 const restoreAuthor = "recover"
 
-// BeginGeneration makes a restored version the committed one, without a change that led to it, at a group's time in
-// ms. A change under way ends: whoever knew its outcome is gone.
+// BeginGeneration makes the restored version the committed one, at the given group clock in ms, and ends the current
+// change.
 func (s *State) BeginGeneration(restored Restored, clockMS uint64) {
 	s.endByRestore(restored, clockMS)
 	if restored.Version == 0 {
 		return
 	}
 	if restored.Hash == "" {
-		// Whatever is proposed next is newer than what was promised, and nothing is in force until then.
+		// Without the text no version is active. Any proposal from the restored version on is allowed.
 		s.DecidedVersion, s.CommittedVersion, s.CommittedHash, s.Rules = restored.Version-1, 0, "", Rules{}
 		return
 	}
@@ -43,7 +43,7 @@
 	s.endCurrent(c)
 }
 
-// endByRestore ends the change under way: as settled if it was decided and nodes have its version, as aborted
+// endByRestore ends the current change: as settled if it was decided and its version is the restored one, as aborted
 // otherwise.
 func (s *State) endByRestore(restored Restored, clockMS uint64) {
 	c := s.Current
--- a/internal/control/policy/guard.go
+++ b/internal/control/policy/guard.go
@@ -1,53 +1,54 @@
 package policy
 
-// Guard is a set of guards that are disabled, by fault tests alone: with one of them out a promise has to break.
+// Guard is a set of disabled guards. Only fault tests disable a guard, to check that they detect the violation.
 type Guard uint
 
-// The guards: what each holds to, and what goes wrong without it.
+// Each guard is described by its rule and by the failure without it.
 const (
-	// LeaseGuard: commit and settle wait for the leases of older versions. A change is reported settled, and a node
-	// that was cut off still serves under the version before.
+	// LeaseGuard: commit and settle wait for the leases of older versions. Without it, a change is reported as settled
+	// while an unreachable node still serves under the previous version.
 	LeaseGuard Guard = 1 << iota
-	// Fence: a node whose lease ran out serves nothing. It serves on under a version that the fleet has left.
+	// Fence: a node stops serving when its lease expires. Without it, the node serves under an outdated version.
 	Fence
-	// PrepareAll: all who may serve have prepared, not a majority. A version is decided that some node can't serve
-	// under.
+	// PrepareAll: all nodes that may serve must prepare, not just a majority. Without it, a version is decided under
+	// which some node can't serve.
 	PrepareAll
-	// DecideOnce: what is decided is not taken back. Nodes that were told activate it, and the others never do.
+	// DecideOnce: a decided change is never aborted. Without it, only the nodes that received the decision activate it.
 	DecideOnce
-	// Incarnation: a replaced incarnation gets no longer lease, and its report counts for nothing. A change goes by
-	// what a process prepared that is gone.
+	// Incarnation: a replaced incarnation's lease is not extended and its report is ignored. Without it, a change is
+	// decided by the report of a process that has ended.
 	Incarnation
-	// NoDowngrade: a node never activates an older version. It goes back as it hears an instance that is behind.
+	// NoDowngrade: a node never activates an older version. Without it, a response of a stale instance downgrades it.
 	NoDowngrade
-	// Shadow: a version is tried before a node reports it prepared. One that sheds everything is decided.
+	// Shadow: a node evaluates a version before it reports it prepared. Without it, a version that sheds everything is
+	// decided.
 	Shadow
-	// Generation: a restored group is a new generation, and nodes follow the newest that they know. Paused instances of
-	// the old group take nodes back, and two groups decide.
+	// Generation: a restored group is a new generation, and nodes follow the newest that they know. Without it, paused
+	// instances of the old group regain nodes, and two groups decide.
 	Generation
-	// Proof: a group that lacks what its nodes know grants nothing. One that was put back to an older state decides a
-	// second time what was decided.
+	// Proof: a group that lacks state known to its nodes grants nothing. Without it, a group that was reset to an older
+	// state decides the same change twice.
 	Proof
-	// ListenFirst: a new leader hears the nodes before it grants. It grants before a node that knows more is heard.
+	// ListenFirst: a new leader waits for heartbeats before it grants. Without it, it grants before a node can prove
+	// that the group has lost state.
 	ListenFirst
-	// ArrivalOrder: joins are taken in the order in which they arrived. Some nodes of a fleet that restarts as a whole
-	// wait without end.
+	// ArrivalOrder: joins are processed in order of arrival. Without it, nodes starve when the whole fleet restarts.
 	ArrivalOrder
 )
 
-// guardNames are what operators and tests type. The name at position i is that of the guard 1<<i, so a new guard is
-// added to both lists at the same place; TestGuardNames compares them.
+// guardNames are the guards' names for operators and tests. The name at index i is of the guard 1<<i; TestGuardNames
+// compares the two lists.
 var guardNames = []string{"lease", "fence", "prepare-all", "decide-once", "incarnation", "no-way-back", "shadow",
 	"generation", "proof", "listen-first", "arrival-order"}
 
-// changeGuardCount is how many of guardNames, the first ones, are about a change of policy. The others are about
-// restoring a group and about a cold start. A new guard of a change goes before those, and this number grows with it.
+// changeGuardCount is the number of leading guardNames that concern policy changes. The others concern restoration and
+// cold starts.
 const changeGuardCount = 7
 
-// Has tells whether a guard is disabled: true means that a fault test took it out.
+// Has reports whether a guard is in the set of disabled guards.
 func (g Guard) Has(guard Guard) bool { return g&guard != 0 }
 
-// GuardNamed gives a guard by its name, or an *UnknownGuardError.
+// GuardNamed returns the guard of a name, or an *UnknownGuardError.
 func GuardNamed(name string) (Guard, error) {
 	for i, n := range guardNames {
 		if n == name {
@@ -57,5 +58,5 @@
 	return 0, &UnknownGuardError{name}
 }
 
-// GuardNames lists the guards of a change of policy.
+// GuardNames returns the names of the guards of policy changes.
 func GuardNames() []string { return guardNames[:changeGuardCount] }
--- a/internal/control/policy/next.go
+++ b/internal/control/policy/next.go
@@ -6,11 +6,10 @@
 	"umberwinch/internal/control/membership"
 )
 
-// Next decides which operation the leader appends for the change under way, nil while the change has to wait.
+// Next returns the operation that the leader appends for the current change, or nil while the change has to wait.
 //
-// It decides by the step of the change, the table of nodes and the nodes' reports since the leader leads. It acts at
-// each tick of the leader. A change ends once: it is decided when all nodes that are in have prepared it, or aborted;
-// after the decision it only goes on, to in force and to settled, as leases run out.
+// A change in preparation is decided or aborted. A decided change is committed and then settled, each once no blocker is
+// left.
 func (s *State) Next(f *membership.State, reports Reports, disabled Guard) Operation {
 	c := s.Current
 	if c == nil {
@@ -29,13 +28,11 @@
 	return nil
 }
 
-// nextWhilePreparing decides whether a change that is prepared is decided, aborted or waits.
+// nextWhilePreparing decides whether a change in preparation is decided, aborted or keeps waiting.
 //
-// It decides by the nodes that block or refuse it, the proposal's bound of nodes that may be left behind, and the
-// group's time against the proposal's. More refusals than may be left behind abort it at once; at the end of its time
-// it goes on without those that may be left behind, and is aborted if there are more. So nobody is waited for for
-// ever, and a node is put out of service only as far as the operator allowed. In a restored group's first moments
-// nobody is left behind: nodes that are on their way to it would be.
+// More refusals than MaxLeftBehind abort it at once. At its timeout it is decided without the remaining nodes if they
+// are at most MaxLeftBehind, and aborted otherwise. No blocker is left behind before the unknown leases of an earlier
+// generation expire, as nodes may still be rejoining.
 func nextWhilePreparing(c *Change, f *membership.State, blockers, refusals []Blocker, disabled Guard) Operation {
 	unprepared := len(blockers) + len(refusals)
 	timedOut := f.ClockMS >= c.DecideByMS
--- a/internal/control/policy/op.go
+++ b/internal/control/policy/op.go
@@ -6,10 +6,10 @@
 	"umberwinch/internal/control/api"
 )
 
-// OpKind names an operation on a change, as it stands in the log.
+// OpKind is the stored kind of an operation on a change.
 type OpKind string
 
-// The operations. Decide, commit and settle are appended by the leader; propose by an operator; abort by either.
+// Kinds of operations. The leader appends decide, commit and settle; an operator submits propose; either may abort.
 const (
 	OpPropose OpKind = "propose"
 	OpDecide  OpKind = "decide"
@@ -18,11 +18,10 @@
 	OpAbort   OpKind = "off"
 )
 
-// Op is the stored and sent form of an Operation: one JSON object with the fields that its kind has. Encode writes it,
-// and Operation reads it; nothing else goes by its fields.
+// Op is the stored and sent form of an Operation: a JSON object with the fields of its kind.
 type Op struct {
 	Kind         OpKind    `json:"op"`
-	ChangeNumber uint64    `json:"number,omitempty"`  // all but propose
+	ChangeNumber uint64    `json:"number,omitempty"`  // all kinds but propose
 	Proposal     *Proposal `json:"propose,omitempty"` // propose
 	FleetEpoch   uint64    `json:"epoch,omitempty"`   // decide
 	LeftBehind   []string  `json:"left,omitempty"`    // decide
@@ -30,7 +29,7 @@
 	Author       string    `json:"by,omitempty"`      // abort
 }
 
-// Encode gives the form of an operation that is stored and sent.
+// Encode converts an operation to its stored and sent form.
 func Encode(operation Operation) Op {
 	op := Op{Kind: operation.kind(), ChangeNumber: operation.changeNumber()}
 	switch o := operation.(type) {
@@ -44,9 +43,9 @@
 	return op
 }
 
-// Operation reads the stored form. Its error is ErrEmptyProposal. A kind that this program does not know is an
-// operation that this program's state rejects and a newer program's applies: their states would part. So the leader
-// may append a new kind only at a level of the group that came with it, as then each member knows the kind.
+// Operation decodes the stored form. Its error is ErrEmptyProposal. State.Apply rejects an operation of an unknown kind;
+// a newer build would apply it, and the two states would diverge. A new kind therefore needs a new feature level of the
+// group.
 func (op *Op) Operation() (Operation, error) {
 	switch op.Kind {
 	case OpPropose:
@@ -66,7 +65,7 @@
 	return unknownOperation{op.Kind, op.ChangeNumber}, nil
 }
 
-// Validate gives an *api.FieldError for an operation that an operator may not submit as it is.
+// Validate returns an *api.FieldError if an operator may not submit the operation.
 func (op *Op) Validate() error {
 	switch {
 	case op.Kind == OpPropose && op.Proposal != nil:
@@ -78,19 +77,19 @@
 		Expected: "propose with a proposal, or off with by and why"}
 }
 
-// Result is the outcome of an operation. The API sends it.
+// Result is the outcome of an operation, as sent by the API.
 type Result struct {
 	Kind           OpKind `json:"Kind"`
 	ChangeNumber   uint64 `json:"Number"`
 	IdempotencyKey string `json:"Key"` // of a proposal
-	Rejection      string `json:"Err"` // why it changed nothing; empty: it did
+	Rejection      string `json:"Err"` // why it changed nothing; empty: it was applied
 }
 
-// Rejected tells whether the operation changed nothing, for the reason in Rejection.
+// Rejected reports whether the operation was rejected and changed nothing.
 func (r Result) Rejected() bool { return r.Rejection != "" }
 
-// IsOutcomeOf tells whether the result is an operation's: a proposal is known by its key, the others by their kind and
-// change.
+// IsOutcomeOf reports whether the result is the outcome of an operation. Proposals are matched by their idempotency key,
+// other operations by kind and change.
 func (r Result) IsOutcomeOf(operation Operation) bool {
 	if r.IdempotencyKey != "" {
 		proposal, ok := operation.(Propose)
--- a/internal/control/policy/operation.go
+++ b/internal/control/policy/operation.go
@@ -1,9 +1,9 @@
 package policy
 
-// Operation is one operation on a change: Propose, Decide, Commit, Settle or Abort. Op is how it is stored and sent.
+// Operation is an operation on a change: Propose, Decide, Commit, Settle or Abort. Op is its stored and sent form.
 type Operation interface {
 	kind() OpKind
-	changeNumber() uint64 // 0: a change that the operation begins
+	changeNumber() uint64 // 0: the operation begins a new change
 }
 
 // Propose begins a change. An operator submits it.
@@ -12,14 +12,14 @@
 // Decide makes a change's version the decided one. The leader appends it.
 type Decide struct {
 	ChangeNumber uint64
-	FleetEpoch   uint64   // all nodes of this epoch of the fleet have prepared, but for those in LeftBehind
+	FleetEpoch   uint64   // all nodes of this epoch except LeftBehind have prepared
 	LeftBehind   []string // names of nodes that are out of service from then on
 }
 
-// Commit puts an exclusive change in force. The leader appends it.
+// Commit makes an exclusive change's version the committed one. The leader appends it.
 type Commit struct{ ChangeNumber uint64 }
 
-// Settle ends a change that is in force. The leader appends it.
+// Settle ends a committed change. The leader appends it.
 type Settle struct{ ChangeNumber uint64 }
 
 // Abort ends a change that is not decided. The leader appends it, or an operator submits it.
@@ -29,7 +29,7 @@
 	Author       string // the operator; empty: the leader
 }
 
-// unknownOperation is one that this program does not know. It changes nothing here; see Op.Operation.
+// unknownOperation is an operation of a kind that this build does not know. State.Apply rejects it; see Op.Operation.
 type unknownOperation struct {
 	Kind         OpKind
 	ChangeNumber uint64
--- a/internal/control/policy/proposal.go
+++ b/internal/control/policy/proposal.go
@@ -8,14 +8,14 @@
 	"umberwinch/internal/control/membership"
 )
 
-// Bounds of how long nodes may take to prepare a version, in ms. Below a second not all of them would have sent a
-// heartbeat; a change that is open for more than a day keeps all others from being proposed.
+// Limits of a proposal's prepare timeout, in ms. Within the minimum each node sends a heartbeat; the maximum limits how
+// long a change blocks other proposals.
 const (
 	MinPrepareMS = 1000
 	MaxPrepareMS = 24 * 3600_000
 )
 
-// Bounds of a proposal's strings, in bytes: they are kept with the change.
+// Limits of a proposal's strings, in bytes; they are stored with the change.
 const (
 	maxAuthorBytes = 200
 	maxReasonBytes = 2000
@@ -23,18 +23,18 @@
 	maxKeyBytes    = 80
 )
 
-// Proposal asks for a change to a version that the group keeps.
+// Proposal requests a change to a version that the group stores.
 type Proposal struct {
 	Version         uint64 `json:"version"`
-	Exclusive       bool   `json:"exclusive,omitempty"` // two versions are never served under at one moment
+	Exclusive       bool   `json:"exclusive,omitempty"` // no two versions may be served at the same time
 	PrepareWithinMS uint64 `json:"within_ms"`
-	MaxLeftBehind   int    `json:"spare,omitempty"` // nodes that may stay behind, out of service
+	MaxLeftBehind   int    `json:"spare,omitempty"` // maximum number of nodes left out of service
 	Author          string `json:"author"`
 	Reason          string `json:"reason"`
-	IdempotencyKey  string `json:"key"` // a proposal that is repeated under it counts once
+	IdempotencyKey  string `json:"key"` // a proposal repeated under it takes effect once
 }
 
-// Validate gives an *api.FieldError for the first field that can't be as it is.
+// Validate returns an *api.FieldError for the first invalid field.
 func (p *Proposal) Validate() error {
 	byteCount := func(s string) string { return fmt.Sprintf("%d bytes", len(s)) }
 	switch {
--- a/internal/control/policy/rules.go
+++ b/internal/control/policy/rules.go
@@ -2,21 +2,20 @@
 
 import "umberwinch/internal/control/api"
 
-// Rules are what a version's document says about leases and about the absence of the group.
+// Rules are a version's settings for leases, autonomous mode and zones.
 type Rules struct {
 	LeaseMS    uint64        `json:"lease_ms"`
-	Autonomous bool          `json:"alone"` // when_alone = go-on: nodes serve on when their lease has run out
+	Autonomous bool          `json:"alone"` // when_alone = go-on: nodes keep serving after their lease expires
 	Zones      api.ZoneRules `json:"zones,omitzero"`
 }
 
-// defaultLeaseMS is the lease before any version is in force, in ms: several failovers of the group long, so that
-// none of them fences a node. A longer one would make the first change wait longer for nodes that are gone.
+// defaultLeaseMS is the lease before any version is committed, in ms. It outlasts several failovers of the group.
 const defaultLeaseMS = 10_000
 
-// DefaultRules hold until a version is in force. A fleet that nobody has given a policy serves on without the group.
+// DefaultRules apply until a version is committed. Without a policy, nodes are autonomous.
 var DefaultRules = Rules{LeaseMS: defaultLeaseMS, Autonomous: true}
 
-// ActiveRules gives the rules that leases are granted under now.
+// ActiveRules returns the rules under which leases are granted.
 func (s *State) ActiveRules() Rules {
 	if s.CommittedVersion == 0 {
 		return DefaultRules
--- a/internal/control/policy/snapshot.go
+++ b/internal/control/policy/snapshot.go
@@ -5,10 +5,11 @@
 	"fmt"
 )
 
-// Snapshot gives the state as JSON. Builds of different versions read each other's, so keys and order stay.
+// Snapshot returns the state as JSON. Builds of different versions exchange snapshots, so keys and their order must not
+// change.
 func (s *State) Snapshot() ([]byte, error) { return json.Marshal(s) }
 
-// Restore reads what Snapshot gave. Its errors wrap ErrSnapshot.
+// Restore decodes the output of Snapshot. Its errors wrap ErrSnapshot.
 func Restore(raw []byte) (*State, error) {
 	s := &State{}
 	if err := json.Unmarshal(raw, s); err != nil {
--- a/internal/control/policy/state.go
+++ b/internal/control/policy/state.go
@@ -1,26 +1,25 @@
 package policy
 
-// State is what all instances know of changes of the policy. The zero value is one without a policy.
+// State is the replicated state of policy changes. The zero value has no policy.
 type State struct {
 	LastNumber       uint64    `json:"number"` // of the newest change
-	DecidedVersion   uint64    `json:"need"`   // no lease is extended that promises an older version
-	CommittedVersion uint64    `json:"force"`  // the newest that may be served under
+	DecidedVersion   uint64    `json:"need"`   // a lease is extended only with a promise of this version
+	CommittedVersion uint64    `json:"force"`  // newest version that nodes may serve under
 	CommittedHash    string    `json:"hash"`   // of its text
 	Rules            Rules     `json:"rules"`  // of the committed version
 	Current          *Change   `json:"now,omitempty"`
-	History          []*Change `json:"past,omitempty"` // ended changes, the oldest first
+	History          []*Change `json:"past,omitempty"` // ended changes, oldest first
 }
 
-// Versions is what a proposal is checked against: the versions that the group keeps.
+// Versions gives access to the stored versions, for checking a proposal.
 type Versions interface {
-	// Last is the newest version's number, 0 before the first.
+	// Last returns the newest version's number, 0 if there is none.
 	Last() uint64
-	// Check gives a version's rules and the hash of its text, or an error that says why it may not come after version
-	// from.
+	// Check returns a version's rules and the hash of its text, or why the version may not follow version from.
 	Check(version, from uint64) (Rules, string, error)
 }
 
-// Find gives a change by its number, nil if it is not known or not kept any more.
+// Find returns the change with a number, or nil if it is unknown or no longer kept.
 func (s *State) Find(number uint64) *Change {
 	return s.find(func(c *Change) bool { return c.Number == number })
 }
@@ -37,7 +36,7 @@
 	return nil
 }
 
-// endCurrent moves a change to the history, which drops the oldest one past its bound.
+// endCurrent moves the current change to the history, which drops its oldest entry beyond maxHistory.
 func (s *State) endCurrent(c *Change) {
 	s.History = append(s.History, c)
 	if len(s.History) > maxHistory {
--- a/internal/control/policy/text.go
+++ b/internal/control/policy/text.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// Bounds of texts that go into the log and into answers.
+// Limits of texts in log entries and responses.
 const (
-	maxListedNames     = 8   // names in one text
-	maxNodeReasonBytes = 300 // of one node's reason
+	maxListedNames     = 8   // names listed in a text
+	maxNodeReasonBytes = 300 // bytes of a node's reason
 )
 
-// truncate cuts a text of a node or of a check at its bound.
+// truncate limits a text to maxNodeReasonBytes and marks a cut by an ellipsis.
 func truncate(text string) string {
 	if len(text) > maxNodeReasonBytes {
 		return text[:maxNodeReasonBytes] + "..."
@@ -19,7 +19,7 @@
 	return text
 }
 
-// Summarize lists the first names, and says how many more there are.
+// Summarize lists the first names and the number of the others.
 func Summarize(names []string) string {
 	if len(names) > maxListedNames {
 		return fmt.Sprintf("%s and %d more", strings.Join(names[:maxListedNames], ", "), len(names)-maxListedNames)
