--- a/internal/control/coordinator/apply.go
+++ b/internal/control/coordinator/apply.go
@@ -6,24 +6,24 @@
 	"umberwinch/internal/control/zones"
 )
 
-// Outcome is what came of an applied entry: a BatchApplied, a policy.Result or a zones.Result.
+// Outcome is the outcome of an applied entry: a BatchApplied, a policy.Result or a zones.Result.
 type Outcome interface {
-	// Rejected tells whether the entry changed nothing, as it no longer held when it was applied.
+	// Rejected reports whether the entry changed nothing because it was no longer valid when it was applied.
 	Rejected() bool
 }
 
-// BatchApplied is the outcome of a batch of heartbeats. Term and Sequence name the batch.
+// BatchApplied is the outcome of the heartbeat batch with a Term and a Sequence.
 type BatchApplied struct {
 	Term, Sequence uint64
 	membership.BatchResult
-	FleetRestarted bool // most of the fleet has just restarted: it begins with a share
+	FleetRestarted bool // a cold start of the whole fleet was begun
 }
 
-// Rejected tells whether the batch changed nothing, as another one was applied since it was made.
+// Rejected reports whether the batch was ignored because another one was applied after it was built.
 func (b BatchApplied) Rejected() bool { return !b.Applied }
 
-// Apply applies one committed entry and gives its outcome. An error (*EntryError, *UnknownKindError or
-// policy.ErrEmptyProposal) means that the entry can't be read, and that the instance can't go on: others may have read
+// Apply applies a committed entry and returns its outcome. On an error (*EntryError, *UnknownKindError or
+// policy.ErrEmptyProposal) the entry can't be decoded and the instance must stop, as other instances may have applied
 // it.
 func (s *State) Apply(kind string, body []byte, index, term uint64, v Versions) (Outcome, error) {
 	s.Index = index
@@ -35,7 +35,7 @@
 	return cmd.apply(s, term, v), nil
 }
 
-// heartbeatsCommand tells the table of nodes of heartbeats and of the time that went by.
+// heartbeatsCommand applies a heartbeat batch to the node table, and begins a cold start if most of the fleet restarted.
 type heartbeatsCommand membership.HeartbeatBatch
 
 func (c *heartbeatsCommand) apply(s *State, term uint64, _ Versions) Outcome {
@@ -51,14 +51,14 @@
 	return applied
 }
 
-// policyCommand takes a change of the policy one step on.
+// policyCommand applies an operation on a policy change.
 type policyCommand struct{ operation policy.Operation }
 
 func (c policyCommand) apply(s *State, _ uint64, v Versions) Outcome {
 	return s.Policy.Apply(c.operation, s.Fleet, versionCatalog{v}, s.DisabledGuards)
 }
 
-// zonesCommand takes zones one step on.
+// zonesCommand applies an operation on a zone.
 type zonesCommand zones.Op
 
 func (c *zonesCommand) apply(s *State, _ uint64, _ Versions) Outcome {
--- a/internal/control/coordinator/batch.go
+++ b/internal/control/coordinator/batch.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// maxPendingHeartbeats bounds heartbeats that wait for a batch: two of each node that a fleet may have. Past it a
-	// node is told ErrBusy and sends again; without a bound, a leader that can't commit would run out of memory.
+	// maxPendingHeartbeats is the maximum number of heartbeats that wait for a batch, two per node. Beyond it, heartbeats
+	// fail with ErrBusy, so that a leader that can't commit does not run out of memory.
 	maxPendingHeartbeats = 2 * membership.MaxNodes
-	// maxJoinsPerBatch bounds the joins of one batch, of some 150 bytes each: a fleet that restarts as a whole makes
-	// entries of an eighth of a megabyte, one after the other, and none that followers take long over.
+	// maxJoinsPerBatch is the maximum number of joins per batch. At about 150 bytes per join it limits the size of
+	// entries when the whole fleet restarts.
 	maxJoinsPerBatch = 1000
 )
 
-// pendingHeartbeat is a heartbeat that is answered when its batch is applied.
+// pendingHeartbeat is a heartbeat whose response is sent when its batch is applied.
 type pendingHeartbeat struct {
 	request api.HeartbeatRequest
 	done    func(api.HeartbeatResponse, error)
 }
 
-// heartbeatBatcher gathers heartbeats into batches, of which one at a time is appended.
+// heartbeatBatcher collects heartbeats into batches. At most one batch is in flight.
 type heartbeatBatcher struct {
-	lastAppliedMS uint64 // when the last batch was applied here, or leadership began
-	sequence      uint64 // of the last batch that was made
+	lastAppliedMS uint64 // when the last batch was applied, or leadership began
+	sequence      uint64 // of the last batch built
 	appendTimer   appendTimer
 	waiting       []pendingHeartbeat
-	inFlight      []pendingHeartbeat // of the batch that is appended
-	joinsDeferred bool               // joins did not fit into it
-	forgetNames   []string           // names to take off with the next batch
+	inFlight      []pendingHeartbeat // heartbeats of the batch in flight
+	joinsDeferred bool               // some joins did not fit into the batch
+	forgetNames   []string           // node names to forget with the next batch
 }
 
 func (b *heartbeatBatcher) add(r api.HeartbeatRequest, done func(api.HeartbeatResponse, error)) error {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// retryIfLost lets the heartbeats of a batch that counts as lost wait for the next one.
+// retryIfLost requeues the heartbeats of the batch in flight if it is considered lost.
 func (b *heartbeatBatcher) retryIfLost(nowMS uint64) {
 	if b.appendTimer.stopIfLost(nowMS) {
 		b.requeue(b.inFlight)
@@ -50,12 +50,12 @@
 	}
 }
 
-// requeue lets heartbeats wait again, before those that came later.
+// requeue puts heartbeats back at the front of the queue.
 func (b *heartbeatBatcher) requeue(heartbeats []pendingHeartbeat) {
 	b.waiting = append(heartbeats, b.waiting...)
 }
 
-// fill takes the waiting heartbeats into a batch that has its header, and starts to wait until it is applied.
+// fill adds the waiting heartbeats to a new batch and starts its append timer.
 func (b *heartbeatBatcher) fill(batch *membership.HeartbeatBatch, nowMS uint64, disabled policy.Guard,
 ) *membership.HeartbeatBatch {
 	b.sequence++
@@ -78,11 +78,8 @@
 	return batch
 }
 
-// selectWaiting decides which waiting heartbeats go into the next batch: all renewals and leaves, and the joins that came
-// first, up to their bound.
-//
-// The order of arrival guards against starvation: in a fleet that restarts as a whole, a node that is passed over sends
-// again, and if later joins came first it could wait for ever.
+// selectWaiting moves waiting heartbeats into the next batch: all renewals and leaves, and up to maxJoinsPerBatch joins
+// in order of arrival, which prevents starvation when the whole fleet restarts.
 func (b *heartbeatBatcher) selectWaiting(disabled policy.Guard) {
 	skip := 0
 	if disabled.Has(policy.ArrivalOrder) {
@@ -112,7 +109,7 @@
 	return joins
 }
 
-// fail answers all heartbeats with an error.
+// fail completes all waiting and in-flight heartbeats with an error.
 func (b *heartbeatBatcher) fail(err error) {
 	for _, heartbeats := range [][]pendingHeartbeat{b.waiting, b.inFlight} {
 		for _, h := range heartbeats {
@@ -122,7 +119,7 @@
 	b.waiting, b.inFlight = nil, nil
 }
 
-// newBatch gives what a batch made now says beside heartbeats.
+// newBatch returns a batch without heartbeats. lossProof is the proof of lost state, or empty.
 func (l *Leader) newBatch(s *State, lossProof string) *membership.HeartbeatBatch {
 	return &membership.HeartbeatBatch{
 		Term:          l.term,
@@ -134,11 +131,11 @@
 	}
 }
 
-// batchApplied answers the heartbeats of a batch that was applied.
+// batchApplied sends the responses to the heartbeats of an applied batch.
 //
-// Time counts from the application on, whoever made the batch, so no ms is counted twice. A batch of an earlier
-// leader that is applied while this one's is appended answers nobody: what it grants was asked of the other leader,
-// and this one's batch will change nothing.
+// The next batch's elapsed time starts at this application, even of another leader's batch, so that no ms is counted
+// twice. If an earlier leader's batch is applied first, this leader's batch will be ignored and its heartbeats are
+// requeued.
 func (l *Leader) batchApplied(s *State, applied *BatchApplied) {
 	b := &l.heartbeats
 	if applied.Applied {
@@ -171,7 +168,7 @@
 	l.dropReportsOfEnded(s)
 }
 
-// batchResponse gives a heartbeat's response after its batch. join is the result of its request to join.
+// batchResponse returns the response to a heartbeat of an applied batch. join is the result of its join request, if any.
 func (l *Leader) batchResponse(s *State, r *api.HeartbeatRequest, applied *BatchApplied, join *membership.JoinResult) (
 	api.HeartbeatResponse, error) {
 	response := api.HeartbeatResponse{LeaseID: r.LeaseID}
--- a/internal/control/coordinator/batch_timing.go
+++ b/internal/control/coordinator/batch_timing.go
@@ -1,23 +1,20 @@
 package coordinator
 
-// Times between batches, in ms.
+// Intervals between heartbeat batches, in ms.
 const (
-	// maxBatchIntervalMS is the longest, so that the group's time goes on and silence is noticed within a second. All
-	// renewals that come meanwhile are one entry.
+	// maxBatchIntervalMS is the maximum interval. It bounds the delay of the group's clock and of detecting silent nodes.
 	maxBatchIntervalMS = 1000
-	// minBatchIntervalMS is the shortest: while a change is under way a promise or a join waits for a tenth of a
-	// second at most. Shorter would cost more entries than a change gains by it.
+	// minBatchIntervalMS is the minimum interval. It bounds the delay of promises and joins during a policy change.
 	minBatchIntervalMS = 100
-	// batchesPerLease bounds the interval under leases so short that a second is much of them.
+	// batchesPerLease limits the interval to a fraction of the lease when heartbeats are waiting.
 	batchesPerLease = 8
 )
 
-// shouldAppendBatch decides whether a batch of heartbeats is appended now.
+// shouldAppendBatch decides whether a heartbeat batch is appended now.
 //
-// It decides by the ms since the last batch was applied, the lease, what waits and whether a change is under way. One
-// batch at a time is appended, so that no ms is counted twice. Proof of lost state goes out at once: each decision
-// until then may do harm. Otherwise a batch goes out once a second, sooner if something waits under a short lease,
-// and soonest while a change waits for promises or more joins wait than fit into a batch.
+// At most one batch is in flight, so that no ms is counted twice. Proof of lost state is appended at once. Otherwise a
+// batch follows after maxBatchIntervalMS, earlier if heartbeats wait under a short lease, and after minBatchIntervalMS
+// if they wait during a policy change or after joins were deferred.
 func (l *Leader) shouldAppendBatch(s *State, lossProven bool) bool {
 	b := &l.heartbeats
 	if b.appendTimer.running() {
--- a/internal/control/coordinator/checksums.go
+++ b/internal/control/coordinator/checksums.go
@@ -7,18 +7,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// EntryChecksum names an applied entry by its index and a checksum of what it says, as nodes are told it.
+// EntryChecksum is the index and the checksum of an applied entry, as sent to nodes in responses.
 type EntryChecksum struct {
 	Index    uint64 `json:"index"`
 	Checksum uint64 `json:"sum"` // never 0
 }
 
-// maxChecksums is how many entries can be compared with what nodes were told, the newest ones: some minutes of them. A
-// group that was put back to an older state is at the same indexes again within seconds. More would lengthen snapshots.
+// maxChecksums is the number of newest entries whose checksums are kept for comparison with the positions that nodes
+// report, some minutes' worth.
 const maxChecksums = 512
 
-// recordChecksum keeps an entry's checksum. Each stands alone, so that instances which began to keep them at different
-// entries agree.
+// recordChecksum stores an entry's checksum. Checksums are not chained, so that instances agree even if they began to
+// store them at different entries.
 func (s *State) recordChecksum(kind string, body []byte, index, term uint64) {
 	prefix := []byte(kind)
 	prefix = binary.LittleEndian.AppendUint64(prefix, index)
@@ -27,12 +27,12 @@
 	digest.Write(prefix)
 	digest.Write(body)
 	s.Checksums = append(s.Checksums, EntryChecksum{index, max(1, digest.Sum64())})
-	if len(s.Checksums) > 2*maxChecksums { // seldom, so that it costs an entry nothing
+	if len(s.Checksums) > 2*maxChecksums { // trims in bulk
 		s.Checksums = append(s.Checksums[:0], s.Checksums[len(s.Checksums)-maxChecksums:]...)
 	}
 }
 
-// lastChecksum is that of the entry at Index, 0 if it is not known.
+// lastChecksum returns the checksum of the entry at Index, 0 if unknown.
 func (s *State) lastChecksum() uint64 {
 	if n := len(s.Checksums); n > 0 && s.Checksums[n-1].Index == s.Index {
 		return s.Checksums[n-1].Checksum
@@ -40,8 +40,8 @@
 	return 0
 }
 
-// checksumAt gives the checksum of the entry at an index of the log, 0 where the entry there is not of this state.
-// known is false before the first that is kept and after the last.
+// checksumAt returns the checksum of the entry at a log index, 0 if that index holds no entry applied to this state.
+// known is false before the first checksum kept and after the last.
 func (s *State) checksumAt(index uint64) (checksum uint64, known bool) {
 	i := sort.Search(len(s.Checksums), func(i int) bool { return s.Checksums[i].Index >= index })
 	switch {
--- a/internal/control/coordinator/coldstart.go
+++ b/internal/control/coordinator/coldstart.go
@@ -7,24 +7,24 @@
 	"umberwinch/internal/control/recovery"
 )
 
-// fleetCountIntervalMS is how often nodes are counted while some have just begun, in ms. Each response would go through all
-// nodes otherwise, and in a fleet of thousands that restarts the leader would do nothing else.
+// fleetCountIntervalMS is the minimum interval between counts of the fleet's nodes, in ms. Counting all nodes for each
+// response would overload the leader when a fleet of thousands restarts.
 const fleetCountIntervalMS = 100
 
-// coldStartLimits is what is known of nodes that have just begun and may be the first of a fleet that restarts as a
-// whole.
+// coldStartLimits tracks new nodes that may be the first of a restart of the whole fleet and are not released to full
+// load yet.
 type coldStartLimits struct {
-	limitedSinceMS map[uint32]uint64 // by lease: when it was granted to a node that was not released to full load yet
+	limitedSinceMS map[uint32]uint64 // grant time by lease ID of each node that is not released
 	fleetCount     fleetCount
 }
 
-// fleetCount is a count of the nodes that are in.
+// fleetCount is a cached count of the nodes that are in.
 type fleetCount struct {
 	countedAtMS uint64
 	valid       bool
 	nodesIn     int
 	byZone      map[string]int
-	// warmHeartbeatsMS is when nodes that have been up for long were heard last, the earliest first.
+	// warmHeartbeatsMS are the times of the last heartbeats of nodes up longer than the cold-start window, sorted.
 	warmHeartbeatsMS []uint64
 }
 
@@ -34,10 +34,10 @@
 	}
 }
 
-// release lets a node take its full load; it is not held again.
+// release ends a node's limit for good.
 func (c *coldStartLimits) release(lease uint32) { delete(c.limitedSinceMS, lease) }
 
-// dropEnded forgets leases whose incarnations are not in any more.
+// dropEnded removes leases whose incarnations are no longer in.
 func (c *coldStartLimits) dropEnded(f *membership.State) {
 	for lease := range c.limitedSinceMS {
 		if f.LeaseHolder(lease) == nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// countFleet counts the nodes that are in, at most every fleetCountIntervalMS.
+// countFleet returns the count of the nodes that are in, at most fleetCountIntervalMS old.
 func (l *Leader) countFleet(s *State) *fleetCount {
 	c := &l.coldStart.fleetCount
 	if c.valid && l.nowMS-c.countedAtMS < fleetCountIntervalMS {
@@ -68,11 +68,11 @@
 	return c
 }
 
-// mayBeFleetRestart decides whether a node that has just begun may be the first of a fleet that restarts as a whole.
+// mayBeFleetRestart decides whether a new node may be among the first of a restart of the whole fleet, so that its
+// share is limited: the first nodes would otherwise get the full load cold.
 //
-// It decides by the node's uptime in ms and by how many other nodes that have been up for long were heard since its
-// lease was granted. Until half of them were, the node takes a share alone: the first nodes of a fleet that restarts
-// would get all of its load, cold. A lone restart is held until the others' next heartbeats, about a second.
+// It holds until half of the other nodes, each up longer than the cold-start window, have sent a heartbeat since the
+// node's lease was granted. For a single restart that takes about a second.
 func (l *Leader) mayBeFleetRestart(s *State, n *membership.Node) bool {
 	limitedSinceMS, limited := l.coldStart.limitedSinceMS[n.Lease.ID]
 	if !limited || n.UptimeMS(s.Fleet.ClockMS) > recovery.ColdStartWindowMS {
--- a/internal/control/coordinator/entry.go
+++ b/internal/control/coordinator/entry.go
@@ -9,14 +9,14 @@
 	"umberwinch/internal/control/zones"
 )
 
-// Kinds of entries of the log that are applied to State, as stored.
+// Stored kinds of the log entries that are applied to State.
 const (
 	KindHeartbeats = "beat"
 	KindPolicy     = "policy"
 	KindZones      = "zones"
 )
 
-// Entry is an entry to append to the log, as it is stored: its kind says what the body is.
+// Entry is a log entry in its stored form.
 type Entry struct {
 	Kind string
 	Body []byte // JSON
@@ -32,22 +32,22 @@
 
 func zonesEntry(op *zones.Op) Entry { return encodeEntry(KindZones, op) }
 
-// encodeEntry encodes an entry's body, which is one of our own structs and can always be encoded.
+// encodeEntry encodes an entry. It panics if the body can't be encoded, which no entry type allows.
 func encodeEntry(kind string, body any) Entry {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		panic(fmt.Sprintf("encoding an entry of kind %s: %v", kind, err))
+		panic(fmt.Sprintf("encode entry of kind %s: %v", kind, err))
 	}
 	return Entry{kind, raw}
 }
 
-// command is a decoded entry: what one of the subsystems is told.
+// command is a decoded entry, which applies to one subsystem of State.
 type command interface {
 	apply(s *State, term uint64, v Versions) Outcome
 }
 
-// decodeEntry reads an entry. Errors call a batch of heartbeats a beat and an operation a step: their texts are part of
-// recorded decisions and stay. Its error is an *EntryError, an *UnknownKindError or policy.ErrEmptyProposal.
+// decodeEntry decodes an entry. Its error is an *EntryError, an *UnknownKindError or policy.ErrEmptyProposal. Recorded
+// fixtures contain the error texts, in which a beat is a heartbeat batch and a step is an operation.
 func decodeEntry(kind string, body []byte) (command, error) {
 	switch kind {
 	case KindHeartbeats:
--- a/internal/control/coordinator/generation.go
+++ b/internal/control/coordinator/generation.go
@@ -6,11 +6,11 @@
 	"umberwinch/internal/control/recovery"
 )
 
-// BeginGeneration makes the state the first one of a group's next generation, by what was found of the one before. It
-// gives an error if the text of the version found can't be read.
+// BeginGeneration turns the state into the initial state of the group's next generation, by a restore plan. It returns
+// an error if the text of the plan's version can't be parsed.
 //
-// A change under way has no outcome there: it ends. Zones stand as the newest orders of their nodes say; one of which a
-// node had less than the full share ramps up as any that was evacuated.
+// The current policy change ends. A zone whose newest recorded share is less than the full share starts as
+// evacuated and ramps up like any evacuated zone.
 func (s *State) BeginGeneration(plan *recovery.RestorePlan, v Versions) error {
 	rules := policy.DefaultRules
 	if plan.Hash != "" {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// reducedShares gives the zones that had less than the full share, by each zone's record of the newest epoch.
+// reducedShares returns the share of each zone with less than the full share in its record of the newest zone epoch.
 func reducedShares(records []api.NodeRecord) map[string]int {
 	newest := map[string]api.NodeRecord{}
 	for _, r := range records {
--- a/internal/control/coordinator/heartbeat.go
+++ b/internal/control/coordinator/heartbeat.go
@@ -6,14 +6,15 @@
 	"umberwinch/internal/control/policy"
 )
 
-// Reasons for which a node's incarnation has ended, as it is told.
+// Ended reasons of a node's incarnation, as sent in responses.
 const (
 	endedLease      = "its lease ran out or its name began anew"
 	endedGeneration = "it heard another generation of the group last"
 )
 
-// Heartbeat takes what a node sends. done is called once: at once, or when the batch that the heartbeat goes into is
-// applied. Its error is ErrNotLeader, ErrStateLost, ErrBusy or an *api.FieldError of a request to join.
+// Heartbeat handles a node's heartbeat request. done is called exactly once: immediately, or when the heartbeat's batch
+// is applied. Its error is ErrNotLeader, ErrStateLost, ErrBusy, an *api.FieldError of a join request or an internal
+// error.
 func (l *Leader) Heartbeat(s *State, r api.HeartbeatRequest, done func(api.HeartbeatResponse, error)) {
 	if err := l.checkHeartbeat(s, &r); err != nil {
 		done(api.HeartbeatResponse{}, err)
@@ -21,8 +22,8 @@
 	}
 	l.listening.recordHeartbeat(r.Name)
 	if last := r.LastSeen; last != nil && last.Group != "" && last.Group != l.cluster {
-		// The number of a lease of another generation may be that of another node's lease here. The response names this
-		// group, its generation and its predecessors; a node that followed a predecessor joins this group.
+		// A lease ID of another generation may belong to another node here. The response carries this group, its
+		// generation and its predecessors; a node of a predecessor then joins this group.
 		response := l.completeResponse(s, api.HeartbeatResponse{EndedReason: endedGeneration})
 		response.Predecessors = s.Predecessors
 		done(response, nil)
@@ -42,7 +43,7 @@
 	l.handleLeaseHeartbeat(s, r, done)
 }
 
-// checkHeartbeat gives the error that a heartbeat is answered with before anything of it counts.
+// checkHeartbeat returns the error for which a heartbeat is rejected without any effect.
 func (l *Leader) checkHeartbeat(s *State, r *api.HeartbeatRequest) error {
 	if !l.leading {
 		return ErrNotLeader
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// handleLeaseHeartbeat takes the heartbeat of a node that names a lease.
+// handleLeaseHeartbeat handles a heartbeat that names a lease.
 func (l *Leader) handleLeaseHeartbeat(s *State, r api.HeartbeatRequest, done func(api.HeartbeatResponse, error)) {
 	n := s.Fleet.LeaseHolder(r.LeaseID)
 	if n == nil && !r.Leave {
@@ -78,15 +79,11 @@
 	done(l.completeResponse(s, api.HeartbeatResponse{LeaseID: r.LeaseID}), nil)
 }
 
-// needsEntry decides whether a heartbeat goes into the log or is answered at once from the leader's state.
+// needsEntry decides whether a heartbeat is written to the log or answered immediately. Renewals, leaves and promises
+// that a policy change or a zone epoch waits for need an entry. n may be nil for a leave.
 //
-// It decides by what the heartbeat asks and promises against what the state has of the node, which is nil for one
-// that leaves and is not in. Renewals and leaves go into the log, and promises that a change of policy or a step of
-// zones waits for. Anything else costs no entry.
-//
-// A node that has not had a response for the span of a lease is answered at once, and nothing of it is extended. This
-// guards against a node whose requests arrive while the answers are lost: it serves nothing, and renewals would keep
-// it in for ever, with every change waiting for it.
+// A node that has received no response for the span of a lease is not renewed. Otherwise a node whose responses are lost,
+// and so serves nothing, would stay in and block every change.
 func needsEntry(s *State, n *membership.Node, r *api.HeartbeatRequest) bool {
 	if r.Leave {
 		return true
@@ -99,12 +96,12 @@
 		n.Lease.MinZoneEpoch < r.MinZoneEpoch && s.Zones.SettledEpoch < s.Zones.Epoch
 }
 
-// blocksChange tells whether a change that is decided waits for a node's promise.
+// blocksChange reports whether a decided change waits for a node's promise.
 func blocksChange(c *policy.Change, n *membership.Node) bool {
 	return c != nil && c.Step != policy.Preparing && n.Lease.MinVersion < c.Version
 }
 
-// enqueue lets a heartbeat wait for the next batch.
+// enqueue adds a heartbeat to the next batch.
 func (l *Leader) enqueue(r api.HeartbeatRequest, done func(api.HeartbeatResponse, error)) {
 	if err := l.heartbeats.add(r, done); err != nil {
 		done(api.HeartbeatResponse{}, err)
--- a/internal/control/coordinator/heartbeat_pace.go
+++ b/internal/control/coordinator/heartbeat_pace.go
@@ -3,36 +3,30 @@
 import "umberwinch/internal/control/zones"
 
 const (
-	// heartbeatsPerLease is how many heartbeats a node sends within a lease, so that some may be lost without the lease
-	// running out. More cost the leader requests, fewer fence nodes over a lost packet.
+	// heartbeatsPerLease is the number of heartbeats per lease. Some may be lost without the lease expiring.
 	heartbeatsPerLease = 4
-	// changeHeartbeatMS is the least time between heartbeats while a change is under way: those that it waits for are
-	// heard soon.
+	// changeHeartbeatMS is the minimum heartbeat interval during a policy change, in ms.
 	changeHeartbeatMS = 200
-	// maxHeartbeatsPerMS bounds what a large fleet sends during a change, in heartbeats a ms.
+	// maxHeartbeatsPerMS limits the heartbeats of a large fleet during a policy change, per ms.
 	maxHeartbeatsPerMS = 5
-	// newNodeHeartbeatMS is the least time for a node that has just begun, so that a lone restart is released
-	// within a second.
+	// newNodeHeartbeatMS is the minimum heartbeat interval of a limited new node, in ms, so that a single restart is
+	// released within a second.
 	newNodeHeartbeatMS = 250
-	// newNodeIntervalDivisor bounds what a fleet that restarts as a whole sends: twice as many heartbeats as ever at most.
+	// newNodeIntervalDivisor divides the load report interval for a limited new node.
 	newNodeIntervalDivisor = 2
 )
 
-// heartbeatSchedule is what the time to a node's next heartbeat is decided by.
+// heartbeatSchedule holds the inputs for a node's next heartbeat.
 type heartbeatSchedule struct {
 	leaseMS        uint64
-	nodes          int  // of the fleet
-	zonesEnabled   bool // zones are decided about, by load reports
-	newNodeLimited bool // the node waits to be released to full load
-	changeActive   bool // a change of policy is under way
+	nodes          int  // number in the fleet
+	zonesEnabled   bool // zones need load reports
+	newNodeLimited bool // the node is not released to full load yet
+	changeActive   bool // a policy change is in progress
 }
 
-// nextMS decides after how many ms a node sends its next heartbeat.
-//
-// It decides by the lease, the number of nodes and what waits for reports. Each reason bounds the time, and the
-// shortest holds: a quarter of a lease, the interval of load reports, half of that for a new node that is limited, and
-// soon while a change is under way. In larger fleets the times are longer, which bounds the requests that the leader
-// gets and slows a change.
+// nextMS returns the time in ms until a node's next heartbeat, the shortest interval that applies. Intervals grow with
+// the fleet to limit the leader's request rate.
 func (h heartbeatSchedule) nextMS() uint64 {
 	intervalMS := h.leaseMS / heartbeatsPerLease
 	if h.zonesEnabled {
--- a/internal/control/coordinator/leader.go
+++ b/internal/control/coordinator/leader.go
@@ -7,43 +7,43 @@
 	"umberwinch/internal/control/zones"
 )
 
-// Leader is what the leading instance does about nodes. All of it is in memory. One goroutine calls it; times are ms
-// that went by at this instance, the sum of what Tick was told.
+// Leader handles heartbeats and operations on the leading instance. Its state is in memory only. It is not safe for
+// concurrent use. Times are in ms elapsed at this instance, the sum of the arguments of Tick.
 type Leader struct {
-	DisabledGuards     policy.Guard // for fault tests alone
-	DisabledZoneGuards zones.Guard  // for fault tests alone
-	Level              int          // of the group: what entries may carry
-	BatchesSent        uint64       // of heartbeats, by this instance
-	BatchBytes         uint64       // of those entries
+	DisabledGuards     policy.Guard // for fault tests only
+	DisabledZoneGuards zones.Guard  // for fault tests only
+	Level              int          // feature level of the group
+	BatchesSent        uint64       // heartbeat batches appended by this instance
+	BatchBytes         uint64       // total size of their bodies
 
 	cluster   string
 	leading   bool
 	term      uint64
 	nowMS     uint64
-	stateLost bool // as of the last tick
+	stateLost bool // as of the last Tick
 
 	heartbeats        heartbeatBatcher
 	reports           nodeReports
 	listening         listenPhase
 	evidence          lossEvidence
 	coldStart         coldStartLimits
-	policyAppendTimer appendTimer // of an operation that the rules of policy decided
+	policyAppendTimer appendTimer // of an operation decided by the policy rules
 	policyOps         submissions[policy.Operation, policy.Result]
-	zoneAppendTimer   appendTimer // of an operation that the rules of zones decided
+	zoneAppendTimer   appendTimer // of an operation decided by the zone rules
 	zoneOps           submissions[zones.Op, zones.Result]
 	zoneMonitor       *zones.Monitor
 }
 
-// NewLeader gives a leader that does not lead yet.
+// NewLeader returns a Leader that is not leading.
 func NewLeader(disabled policy.Guard) *Leader {
 	return &Leader{DisabledGuards: disabled, reports: nodeReports{}, zoneMonitor: zones.NewMonitor()}
 }
 
-// Leading tells whether this instance leads.
+// Leading reports whether this instance is the leader.
 func (l *Leader) Leading() bool { return l.leading }
 
-// SetRole tells whether this instance leads, and in which term. All callers that wait are told ErrNotLeader when the
-// role, the term or the group changes, and all nodes are heard anew.
+// SetRole sets the group, whether this instance leads, and the term. If any of them changes, all pending callers fail
+// with ErrNotLeader and the leader's state is reset.
 func (l *Leader) SetRole(cluster string, leads bool, term uint64) {
 	if leads == l.leading && term == l.term && cluster == l.cluster {
 		return
@@ -59,17 +59,17 @@
 	l.zoneMonitor = zones.NewMonitor()
 }
 
-// failPending answers all callers that wait with an error.
+// failPending completes all pending heartbeats and operations with an error.
 func (l *Leader) failPending(err error) {
 	l.heartbeats.fail(err)
 	l.policyOps.fail(err)
 	l.zoneOps.fail(err)
 }
 
-// Tick tells that ms went by, and gives the entries to append, in order.
+// Tick advances the time by ms and returns the entries to append, in order.
 //
-// A group that lost state appends nothing, as every decision would rest on what is not the fleet's. A new leader first
-// listens; proof of lost state goes out all the same.
+// A group that has lost state appends nothing, as its decisions could contradict committed ones. A new leader first
+// listens, but appends proof of lost state at once.
 func (l *Leader) Tick(s *State, ms uint64) []Entry {
 	l.nowMS += ms
 	if !l.leading {
@@ -93,7 +93,7 @@
 	return append(entries, l.operationEntries(s)...)
 }
 
-// operationEntries gives the entries of what the rules decide and of what operators submitted.
+// operationEntries returns the entries of operations that the rules decide and that operators submitted.
 func (l *Leader) operationEntries(s *State) (entries []Entry) {
 	l.policyAppendTimer.stopIfLost(l.nowMS)
 	if !l.policyAppendTimer.running() {
@@ -119,7 +119,7 @@
 	return entries
 }
 
-// EntryApplied tells the outcome of an entry that was applied to the state, whoever appended it.
+// EntryApplied handles the outcome of an applied entry, whichever instance appended it.
 func (l *Leader) EntryApplied(s *State, outcome Outcome) {
 	switch o := outcome.(type) {
 	case BatchApplied:
@@ -130,14 +130,14 @@
 		}
 		l.zoneOps.applied(o, func(op *zones.Op) bool { return op.IdempotencyKey == o.IdempotencyKey })
 	case policy.Result:
-		// An operator's operation stops the timer too, though the leader's own may still be in flight. The leader may
-		// then append its own a second time; State.Apply rejects the second.
+		// An operator's operation stops the timer too, though the leader's own may still be in flight. The leader may then
+		// append its own twice; State.Apply rejects the second.
 		l.policyAppendTimer.stop()
 		l.policyOps.applied(o, func(op *policy.Operation) bool { return o.IsOutcomeOf(*op) })
 	}
 }
 
-// checkAccepting gives the error that an operator is told who submits something now, nil if it is taken.
+// checkAccepting returns the error for which operators' submissions are currently rejected, or nil.
 func (l *Leader) checkAccepting() error {
 	switch {
 	case !l.leading:
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// SubmitPolicy takes an operator's operation. done is called once, when it is applied here or can't be.
+// SubmitPolicy submits an operator's policy operation. done is called exactly once, when it is applied or fails.
 func (l *Leader) SubmitPolicy(op policy.Op, done func(policy.Result, error)) {
 	err := l.checkAccepting()
 	if err == nil {
@@ -167,7 +167,7 @@
 	return l.policyOps.add(operation, done)
 }
 
-// SubmitZone takes an operator's operation on a zone. done is called once, when it is applied here or can't be.
+// SubmitZone submits an operator's zone operation. done is called exactly once, when it is applied or fails.
 func (l *Leader) SubmitZone(s *State, op zones.Op, done func(zones.Result, error)) {
 	err := l.checkAccepting()
 	if err == nil {
@@ -178,7 +178,7 @@
 	}
 }
 
-// submitZone answers at once what can't hold, and takes anything else. A bound of pending operations comes first.
+// submitZone queues a zone operation. ErrBusy comes before the check of the zone's phase.
 func (l *Leader) submitZone(s *State, op zones.Op, done func(zones.Result, error)) error {
 	if len(l.zoneOps.pending) >= maxPendingOps {
 		return ErrBusy
@@ -190,7 +190,7 @@
 	return l.zoneOps.add(op, done)
 }
 
-// Forget takes names off the table of nodes with the next batch. It gives ErrNotLeader, ErrStateLost or ErrBusy.
+// Forget removes names from the node table with the next batch. Its error is ErrNotLeader, ErrStateLost or ErrBusy.
 func (l *Leader) Forget(names ...string) error {
 	if err := l.checkAccepting(); err != nil {
 		return err
@@ -202,11 +202,11 @@
 	return nil
 }
 
-// ZoneViews gives zones as the leader sees them.
+// ZoneViews returns the leader's current view of each zone.
 func (l *Leader) ZoneViews() []*zones.View { return l.zoneMonitor.Views() }
 
-// FleetView gives the whole fleet as the leader sees it, nil before the first tick that looked.
+// FleetView returns the leader's current view of the fleet, or nil before the first evaluation.
 func (l *Leader) FleetView() *zones.View { return l.zoneMonitor.FleetView() }
 
-// Reports gives what nodes told this leader.
+// Reports returns the nodes' reports to this leader.
 func (l *Leader) Reports() policy.Reports { return l.report }
--- a/internal/control/coordinator/levels.go
+++ b/internal/control/coordinator/levels.go
@@ -1,9 +1,9 @@
 package coordinator
 
-// Levels of a group. The leader appends nothing that an instance below the group's level can't read.
+// Feature levels of a group. The leader appends only entries that instances at the group's level can read.
 const (
-	// LevelGenerations is the first level whose entries tell of lost state and of nodes' uptime.
+	// LevelGenerations is the first level whose entries carry proof of lost state and nodes' uptimes.
 	LevelGenerations = 4
-	// LevelSameProcess is the first level whose entries tell a process that lost its lease from a restart.
+	// LevelSameProcess is the first level whose entries distinguish a lost lease from a restarted process.
 	LevelSameProcess = 5
 )
--- a/internal/control/coordinator/listen.go
+++ b/internal/control/coordinator/listen.go
@@ -6,17 +6,16 @@
 )
 
 const (
-	// maxListenMS bounds for how long a new leader listens before it grants and decides, in ms: all nodes whose group
-	// has gone on send a heartbeat in that time. Longer would leave renewals unanswered after each failover.
+	// maxListenMS is the maximum duration of the listen phase, in ms. Reachable nodes send a heartbeat within it.
 	maxListenMS = 1500
-	// listenLeaseDivisor bounds it to a quarter of a lease, after which nodes renew.
+	// listenLeaseDivisor limits the listen phase to a quarter of a lease, after which nodes renew.
 	listenLeaseDivisor = 4
 )
 
-// listenPhase is the time at the beginning of a leadership in which nodes are heard and nothing is granted.
+// listenPhase is the time at the start of a leader's term in which it receives heartbeats but grants no lease.
 type listenPhase struct {
-	startedAtMS uint64          // when leadership began
-	seenNames   map[string]bool // names; nil: the phase is over
+	startedAtMS uint64          // when the term began at this instance
+	seenNames   map[string]bool // names with a heartbeat; nil: the phase is over
 }
 
 func (p *listenPhase) recordHeartbeat(name string) {
@@ -25,12 +24,11 @@
 	}
 }
 
-// stillListening decides whether a new leader waits before it grants and decides.
+// stillListening reports whether a new leader must still wait before it grants leases or decides: until each node that
+// is in has sent a heartbeat, for at most a quarter of a lease.
 //
-// It decides by the ms since it leads, the lease, and which nodes that are in have been heard. It guards against a
-// group that was put back to an older state and goes on as if nothing were lost: some node may know what the state
-// lacks, and nothing may be granted that rests on it until all were heard. It acts once in each leadership, for a
-// quarter of a lease at most.
+// In a group that was reset to an older state, a node may have evidence of the lost state. The leader must not act on
+// the older state before it receives that evidence.
 func (l *Leader) stillListening(s *State) bool {
 	p := &l.listening
 	if p.seenNames == nil {
--- a/internal/control/coordinator/loss_evidence.go
+++ b/internal/control/coordinator/loss_evidence.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// nodesToProveLoss is how many nodes have to know of something that the group lacks before the group stops: one
-	// alone may be wrong.
+	// nodesToProveLoss is the number of nodes with evidence of lost state that stops the group. A single node may be
+	// wrong.
 	nodesToProveLoss = 2
-	// evidenceSpanMS is for how long a node's evidence counts, in ms: some heartbeats with their backoff. Longer, one
-	// node that is wrong under two names would stop the group.
+	// evidenceSpanMS is the time for which a node's evidence counts, in ms, long enough for some heartbeats with backoff.
+	// A single faulty node that reports under two names must not stop the group.
 	evidenceSpanMS = 10_000
 )
 
-// lossEvidence is what nodes were told and the state lacks, by the node's name.
+// lossEvidence holds evidence of lost state by node name.
 type lossEvidence map[string]missingState
 
 type missingState struct {
@@ -27,7 +27,7 @@
 	reportedAtMS uint64
 }
 
-// recordLossEvidence compares what a node was told last with what the state has, and keeps what the state lacks.
+// recordLossEvidence compares a node's last seen position with the state, and records whether the state lacks it.
 func (l *Leader) recordLossEvidence(s *State, r *api.HeartbeatRequest) {
 	last := r.LastSeen
 	if last == nil || l.DisabledGuards.Has(policy.Proof) {
@@ -62,12 +62,11 @@
 	}
 }
 
-// provenLoss decides whether the group has lost state, and gives the proof; empty: it has not, as far as nodes say.
+// provenLoss returns the proof that the group has lost state; empty: there is none.
 //
-// It decides by the evidence of the last evidenceSpanMS and the number of nodes. What a node was told was committed,
-// so a group that does not know it was put back to an older state, and two outcomes of one decision would be
-// possible: it has to stop until an operator restores it. It acts at each tick. Nodes that are wrong together would
-// stop a healthy group.
+// Responses carry committed state only, so a group that lacks a position reported by its nodes was reset to an older
+// state. It could decide the same change twice, and must stop until an operator restores it. Evidence from
+// nodesToProveLoss nodes within evidenceSpanMS is required, or from all nodes of a smaller fleet.
 func (l *Leader) provenLoss(s *State) string {
 	if l.Level < LevelGenerations || len(l.evidence) == 0 {
 		return ""
--- a/internal/control/coordinator/reports.go
+++ b/internal/control/coordinator/reports.go
@@ -6,16 +6,16 @@
 	"umberwinch/internal/control/policy"
 )
 
-// nodeReports are what nodes told this leader, by name.
+// nodeReports holds the nodes' latest reports to this leader, by node name.
 type nodeReports map[string]*leaseReport
 
-// leaseReport is a report and the lease of the incarnation that it is of.
+// leaseReport is a report with the lease ID of the incarnation that sent it.
 type leaseReport struct {
 	leaseID uint32
 	policy.NodeReport
 }
 
-// record keeps what a node's heartbeat says about versions.
+// record stores the report that a node's heartbeat carries.
 func (r nodeReports) record(name string, h *api.HeartbeatRequest) {
 	r[name] = &leaseReport{h.LeaseID, policy.NodeReport{
 		PreparedVersion: h.PreparedVersion,
@@ -26,10 +26,9 @@
 	}}
 }
 
-// report gives a node's report, nil where its present incarnation has told this leader none.
+// report returns a node's report, or nil if its current incarnation has not reported to this leader.
 //
-// It guards against a node that reported a version prepared and restarted without it: the report of a replaced
-// incarnation would let the change be decided, and the node could not serve under it.
+// The report of a replaced incarnation is ignored: the node may have restarted without the version it had prepared.
 func (l *Leader) report(n *membership.Node) *policy.NodeReport {
 	r := l.reports[n.Name]
 	if r == nil || r.leaseID != n.Lease.ID && !l.DisabledGuards.Has(policy.Incarnation) {
@@ -38,7 +37,7 @@
 	return &r.NodeReport
 }
 
-// dropReportsOfEnded forgets the reports of incarnations that are not in any more.
+// dropReportsOfEnded removes the reports of incarnations that are no longer in.
 func (l *Leader) dropReportsOfEnded(s *State) {
 	if l.DisabledGuards.Has(policy.Incarnation) {
 		return
--- a/internal/control/coordinator/response.go
+++ b/internal/control/coordinator/response.go
@@ -6,7 +6,8 @@
 	"umberwinch/internal/control/zones"
 )
 
-// completeResponse fills in what holds now.
+// completeResponse fills in the current state of the group: its position, versions, lease terms, zone order and the next
+// heartbeat.
 func (l *Leader) completeResponse(s *State, response api.HeartbeatResponse) api.HeartbeatResponse {
 	response.Cluster, response.Generation, response.Term = l.cluster, s.Generation, l.term
 	response.Index, response.EntryChecksum, response.ClockMS = s.Index, s.lastChecksum(), s.Fleet.ClockMS
@@ -29,8 +30,8 @@
 	return response
 }
 
-// addZoneOrder adds the order of the node's zone and whom to check. newNodeLimited tells whether the node has
-// just begun and is limited to a share, as the whole fleet may be restarting.
+// addZoneOrder adds the order for the node's zone and the node's probe targets. newNodeLimited reports whether the node
+// is new and limited to a share because the whole fleet may be restarting.
 func (l *Leader) addZoneOrder(s *State, rules *api.ZoneRules, r *api.HeartbeatResponse) (newNodeLimited bool) {
 	n := s.Fleet.LeaseHolder(r.LeaseID)
 	if n == nil {
--- a/internal/control/coordinator/snapshot.go
+++ b/internal/control/coordinator/snapshot.go
@@ -9,19 +9,19 @@
 	"umberwinch/internal/control/zones"
 )
 
-// snapshot is the stored form of State. Builds of different versions read each other's, so keys and order stay. What a
-// fleet does not use is left out, so that an older build reads what it knows.
+// snapshot is the stored form of State. Builds of different versions exchange snapshots, so keys and their order must
+// not change. Unused features are omitted, so that older builds can read the snapshot.
 type snapshot struct {
 	Index        uint64          `json:"index"`
 	Fleet        json.RawMessage `json:"fleet"`
 	Policy       json.RawMessage `json:"policy"`
 	Zones        json.RawMessage `json:"zones,omitempty"`
-	Generation   uint64          `json:"generation,omitempty"` // 0: the first
+	Generation   uint64          `json:"generation,omitempty"` // 0: first generation
 	Predecessors []string        `json:"before,omitempty"`
 	Checksums    []EntryChecksum `json:"sums,omitempty"`
 }
 
-// Snapshot gives the state as one line of JSON.
+// Snapshot returns the state as one line of JSON.
 func (s *State) Snapshot() ([]byte, error) {
 	fleet, err := s.Fleet.Snapshot()
 	if err != nil {
@@ -49,8 +49,8 @@
 	return json.Marshal(stored)
 }
 
-// Restore reads what Snapshot gave, in place of what the state held. Its errors wrap ErrSnapshot or that of the
-// subsystem whose part is spoilt; the state is then as it was.
+// Restore replaces the state by a decoded snapshot. Its errors wrap ErrSnapshot or the ErrSnapshot of a subsystem; on an
+// error the state is unchanged.
 func (s *State) Restore(raw []byte) error {
 	var stored snapshot
 	if err := json.Unmarshal(raw, &stored); err != nil {
--- a/internal/control/coordinator/state.go
+++ b/internal/control/coordinator/state.go
@@ -6,21 +6,21 @@
 	"umberwinch/internal/control/zones"
 )
 
-// State is the replicated state about nodes.
+// State is the replicated state of the fleet: its nodes, policy changes and zones.
 type State struct {
 	Fleet        *membership.State
 	Policy       *policy.State
 	Zones        *zones.State
-	Index        uint64          // of the last entry that was applied to it
-	Generation   uint64          // how often the group was restored, from 1 on
-	Predecessors []string        // groups of earlier generations, the oldest first
-	Checksums    []EntryChecksum // of the newest entries that were applied to it
+	Index        uint64          // of the last applied entry
+	Generation   uint64          // 1 for a new group; each restoration increments it
+	Predecessors []string        // groups of earlier generations, oldest first
+	Checksums    []EntryChecksum // of the newest applied entries
 
-	DisabledGuards     policy.Guard // for fault tests alone
-	DisabledZoneGuards zones.Guard  // for fault tests alone
+	DisabledGuards     policy.Guard // for fault tests only
+	DisabledZoneGuards zones.Guard  // for fault tests only
 }
 
-// NewState gives the empty state of a group's first generation.
+// NewState returns the empty state of a group's first generation.
 func NewState(disabled policy.Guard) *State {
 	return &State{
 		Fleet:          membership.New(),
@@ -31,7 +31,7 @@
 	}
 }
 
-// leaseTerms gives the terms that leases are granted under now.
+// leaseTerms returns the terms under which leases are granted.
 func (s *State) leaseTerms() membership.LeaseTerms {
 	rules := s.Policy.ActiveRules()
 	terms := membership.LeaseTerms{
@@ -45,7 +45,7 @@
 	return terms
 }
 
-// versionHash gives the hash of a version that is or was in force, empty where it is not known any more.
+// versionHash returns the hash of the committed or an earlier settled version, empty if unknown.
 func (s *State) versionHash(version uint64) string {
 	if version == s.Policy.CommittedVersion {
 		return s.Policy.CommittedHash
--- a/internal/control/coordinator/submissions.go
+++ b/internal/control/coordinator/submissions.go
@@ -1,9 +1,9 @@
 package coordinator
 
-// maxPendingOps bounds operators' operations that are pending, of each kind: more is a runaway script.
+// maxPendingOps is the maximum number of pending operators' operations of each kind.
 const maxPendingOps = 64
 
-// submissions are the operations of one kind that operators submitted and that are not applied yet.
+// submissions is the queue of operators' operations of one kind that are not applied yet.
 type submissions[Op, Result any] struct {
 	pending []*submission[Op, Result]
 }
@@ -11,11 +11,11 @@
 type submission[Op, Result any] struct {
 	op           Op
 	appended     bool
-	appendedAtMS uint64 // when it was appended last
+	appendedAtMS uint64 // time of the last append
 	done         func(Result, error)
 }
 
-// add takes an operation; done is called once. It gives ErrBusy at the bound.
+// add queues an operation, or returns ErrBusy if maxPendingOps are pending. done is called once.
 func (q *submissions[Op, Result]) add(op Op, done func(Result, error)) error {
 	if len(q.pending) >= maxPendingOps {
 		return ErrBusy
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// toAppend gives the operations to append now: new ones, and those that count as lost.
+// toAppend returns the operations to append now: new ones and those considered lost.
 func (q *submissions[Op, Result]) toAppend(nowMS uint64) (ops []*Op) {
 	for _, p := range q.pending {
 		if !p.appended || nowMS-p.appendedAtMS > appendTimeoutMS {
@@ -35,7 +35,7 @@
 	return ops
 }
 
-// applied answers all appended operations that a result is the outcome of.
+// applied completes all appended operations that the result is the outcome of.
 func (q *submissions[Op, Result]) applied(result Result, isOutcomeOf func(*Op) bool) {
 	remaining := q.pending[:0]
 	for _, p := range q.pending {
@@ -48,7 +48,7 @@
 	q.pending = remaining
 }
 
-// fail answers all operations with an error.
+// fail completes all operations with an error.
 func (q *submissions[Op, Result]) fail(err error) {
 	var zero Result
 	for _, p := range q.pending {
--- a/internal/control/coordinator/versions.go
+++ b/internal/control/coordinator/versions.go
@@ -8,15 +8,15 @@
 	"umberwinch/internal/control/policy"
 )
 
-// Versions is the group's configuration, as far as it is kept.
+// Versions gives access to the stored versions of the group's configuration.
 type Versions interface {
-	// Last is the newest version's number, 0 before the first.
+	// Last returns the newest version's number, 0 if there is none.
 	Last() uint64
-	// Text gives a version's text with its hash; ok is false where it is not kept.
+	// Text returns a version's text and its hash; ok is false if the version is not stored.
 	Text(number uint64) (text, hash string, ok bool)
 }
 
-// versionCatalog reads versions as policy.Versions.
+// versionCatalog implements policy.Versions by parsing the stored versions.
 type versionCatalog struct{ Versions }
 
 func (c versionCatalog) document(version uint64) (*document.Document, string, error) {
@@ -28,7 +28,8 @@
 	return d, hash, err
 }
 
-// Check gives the rules and the hash of a version, or why it may not come after version from; 0: after none.
+// Check returns the rules and the hash of a version, or why it may not follow version from; from = 0: no version
+// precedes it.
 func (c versionCatalog) Check(version, from uint64) (policy.Rules, string, error) {
 	next, hash, err := c.document(version)
 	if err != nil {
@@ -46,10 +47,10 @@
 	return rulesOf(next), hash, nil
 }
 
-// roundHalfUp rounds a share to the nearest of the parts that shares are counted in.
+// roundHalfUp is added before a share is truncated to a whole number of 1/FullShare.
 const roundHalfUp = 0.5
 
-// rulesOf gives what a document says about leases and zones.
+// rulesOf returns a document's lease and zone rules.
 func rulesOf(d *document.Document) policy.Rules {
 	rules := policy.Rules{LeaseMS: uint64(d.Fleet.Lease.Milliseconds()), Autonomous: d.Fleet.Autonomous}
 	if z := &d.Zones; z.Present {
--- a/internal/control/policy/proposal.go
+++ b/internal/control/policy/proposal.go
@@ -8,7 +8,7 @@
 	"umberwinch/internal/control/membership"
 )
 
-// Limits of a proposal's prepare timeout, in ms. Within the minimum each node sends a heartbeat; the maximum limits how
+// Limits of a proposal's prepare timeout, in ms. The minimum leaves nodes time for a heartbeat; the maximum limits how
 // long a change blocks other proposals.
 const (
 	MinPrepareMS = 1000
