--- a/internal/control/coordinator/apply.go
+++ b/internal/control/coordinator/apply.go
@@ -35,7 +35,8 @@
 	return cmd.apply(s, term, v), nil
 }
 
-// heartbeatsCommand applies a heartbeat batch to the node table, and begins a cold start if most of the fleet restarted.
+// heartbeatsCommand applies a heartbeat batch to the node table, and begins a cold start if most of the fleet
+// restarted.
 type heartbeatsCommand membership.HeartbeatBatch
 
 func (c *heartbeatsCommand) apply(s *State, term uint64, _ Versions) Outcome {
--- a/internal/control/coordinator/batch.go
+++ b/internal/control/coordinator/batch.go
@@ -168,7 +168,8 @@
 	l.dropReportsOfEnded(s)
 }
 
-// batchResponse returns the response to a heartbeat of an applied batch. join is the result of its join request, if any.
+// batchResponse returns the response to a heartbeat of an applied batch. join is the result of its join request, if
+// any.
 func (l *Leader) batchResponse(s *State, r *api.HeartbeatRequest, applied *BatchApplied, join *membership.JoinResult) (
 	api.HeartbeatResponse, error) {
 	response := api.HeartbeatResponse{LeaseID: r.LeaseID}
--- a/internal/control/coordinator/coldstart_test.go
+++ b/internal/control/coordinator/coldstart_test.go
@@ -8,8 +8,8 @@
 	"umberwinch/internal/control/zones"
 )
 
-// TestFleetRestartLimitsNewNodes: a fleet restarts as a whole. Its first nodes come before that can be told from a lone restart, and
-// would get all of its load, cold. They have to take a share until the others are heard, or have begun as well.
+// TestFleetRestartLimitsNewNodes: the first nodes of a restart of the whole fleet would get its full load cold. A new
+// node must be limited to a share until the others have sent a heartbeat or restarted as well.
 func TestFleetRestartLimitsNewNodes(t *testing.T) {
 	g := newTestGroup(t)
 	g.leaders[0].Level = LevelGenerations
@@ -39,25 +39,27 @@
 		{Name: "z", Phase: zones.InService, Share: api.FullShare, Capacity: capacity},
 	}
 	heartbeats("abcdef", "-first-life", 61_000)
-	// One restarts: it takes a share until the others were heard after it, and all at once then.
+	// A single node restarts: it is limited until the others have sent a heartbeat, and then released.
 	response := heartbeats("a", "-second-life", 0)["a"]
-	if response.Zone == nil || response.Zone.Share != 16 || response.Zone.RateLimit != 1 || response.NextHeartbeatMS > 500 {
-		t.Fatalf("%+v: the first one of maybe many begins whole", response.Zone)
+	if z := response.Zone; z == nil || z.Share != 16 || z.RateLimit != 1 || response.NextHeartbeatMS > 500 {
+		t.Fatalf("zone order %+v of a restarted node, next heartbeat in %d ms; want share 16, rate limit 1, at most 500 ms",
+			z, response.NextHeartbeatMS)
 	}
 	heartbeats("bcdef", "-first-life", 63_000)
-	if response := heartbeats("a", "-second-life", 2000)["a"]; response.Zone.Share != api.FullShare || response.Zone.RateLimited {
-		t.Fatalf("%+v: a lone restart is held", response.Zone)
+	if z := heartbeats("a", "-second-life", 2000)["a"].Zone; z.Share != api.FullShare || z.RateLimited {
+		t.Fatalf("zone order %+v after a single restart, want share %d without a rate limit", z, api.FullShare)
 	}
-	// All restart, the first two before the others.
+	// All nodes restart, the first two before the others.
 	g.run(0, 20_000)
 	heartbeats("abcdef", "-third-life", 90_000)
 	heartbeats("abcdef", "-third-life", 91_000)
 	early := heartbeats("ab", "-fourth-life", 0)
 	if early["a"].Zone.Share != 16 || early["b"].Zone.Share != 16 || g.state.Zones.Find(zones.WholeFleet) != nil {
-		t.Fatalf("%+v and %+v: the first two of six begin whole", early["a"].Zone, early["b"].Zone)
+		t.Fatalf("zone orders %+v and %+v of the first two of six, want share 16 and no cold start of the fleet",
+			early["a"].Zone, early["b"].Zone)
 	}
 	late := heartbeats("cdef", "-fourth-life", 0)
 	if z := g.state.Zones.Find(zones.WholeFleet); z == nil || z.Phase != zones.Ramping || late["c"].Zone.Share != 16 {
-		t.Fatalf("%+v, %+v: six of six began, and the fleet does not come back", z, late["c"].Zone)
+		t.Fatalf("fleet %+v, zone order %+v after all six restarted; want the fleet ramping and share 16", z, late["c"].Zone)
 	}
 }
--- a/internal/control/coordinator/doc.go
+++ b/internal/control/coordinator/doc.go
@@ -2,9 +2,9 @@
 // implements the leader that proposes its entries.
 //
 // State is the replicated part. It owns membership.State, policy.State, zones.State and the checksums of the newest
-// entries, by which nodes prove that a group has lost state. Its inputs are committed entries in log order, so it is the
-// same at every instance of the group. Apply decodes an entry of kind KindHeartbeats, KindPolicy or KindZones, applies
-// it to the subsystem and returns its Outcome.
+// entries, by which nodes prove that a group has lost state. Its inputs are committed entries in log order, so it is
+// the same at every instance of the group. Apply decodes an entry of kind KindHeartbeats, KindPolicy or KindZones,
+// applies it to the subsystem and returns its Outcome.
 //
 // Leader is the leading instance's volatile part. It batches heartbeats into entries, keeps the nodes' reports, and
 // proposes the operations that the policy and zone rules decide. Its inputs are heartbeats, operators' operations, the
--- a/internal/control/coordinator/errors.go
+++ b/internal/control/coordinator/errors.go
@@ -30,7 +30,8 @@
 	return fmt.Sprintf("version %d is not kept any more", e.Version)
 }
 
-// EntryError is returned for an entry that can't be decoded. The instance must stop, as others may have applied the entry.
+// EntryError is returned for an entry that can't be decoded. The instance must stop, as others may have applied the
+// entry.
 type EntryError struct {
 	Expected string // description of the entry's kind
 	Err      error
--- a/internal/control/coordinator/heartbeat.go
+++ b/internal/control/coordinator/heartbeat.go
@@ -82,8 +82,8 @@
 // needsEntry decides whether a heartbeat is written to the log or answered immediately. Renewals, leaves and promises
 // that a policy change or a zone epoch waits for need an entry. n may be nil for a leave.
 //
-// A node that has received no response for the span of a lease is not renewed. Otherwise a node whose responses are lost,
-// and so serves nothing, would stay in and block every change.
+// A node that has received no response for the span of a lease is not renewed. Otherwise a node whose responses are
+// lost, and so serves nothing, would stay in and block every change.
 func needsEntry(s *State, n *membership.Node, r *api.HeartbeatRequest) bool {
 	if r.Leave {
 		return true
--- a/internal/control/coordinator/helper_test.go
+++ b/internal/control/coordinator/helper_test.go
@@ -7,7 +7,7 @@
 	"umberwinch/internal/control/api"
 )
 
-// testGroup is a state and two instances, of which one leads at a time. The log is the test's.
+// testGroup is a replicated state and two instances, one of which leads at a time. The test commits the entries.
 type testGroup struct {
 	*testing.T
 	state   *State
@@ -36,7 +36,7 @@
 	}
 }
 
-// apply commits an entry, and both instances hear its outcome.
+// apply commits an entry and passes its outcome to both instances.
 func (g *testGroup) apply(e Entry, term uint64) {
 	g.Helper()
 	g.index++
@@ -56,7 +56,7 @@
 	}
 }
 
-// responses gathers responses.
+// responses collects successful heartbeat responses.
 type responses []api.HeartbeatResponse
 
 func (a *responses) add(response api.HeartbeatResponse, err error) {
--- a/internal/control/coordinator/loss_test.go
+++ b/internal/control/coordinator/loss_test.go
@@ -10,9 +10,9 @@
 	"umberwinch/internal/control/zones"
 )
 
-// TestTwoNodesProveLostState: a group was put back to an older state, and nodes were told what it does not know. If it went on, one
-// decision could have two outcomes. One node may be wrong, so two have to say so at about the same time. A lease of
-// another generation means nothing, whatever its number.
+// TestTwoNodesProveLostState: a group that was reset to an older state could decide the same change twice. Evidence
+// from two nodes within evidenceSpanMS must stop it, evidence from one must not. A lease of another group is never
+// valid.
 func TestTwoNodesProveLostState(t *testing.T) {
 	g := newTestGroup(t)
 	for _, l := range g.leaders {
@@ -33,38 +33,39 @@
 		return t, err
 	}
 	if response, err := renew(0, "a", func(*api.GroupPosition) {}); err != nil || response.LeaseMS == 0 {
-		t.Fatalf("%+v, %v: expected a longer lease", response, err)
+		t.Fatalf("response %+v (error %v), want an extended lease", response, err)
 	}
 	otherGroup := func(last *api.GroupPosition) { last.Group, last.Generation = "g0", 1 }
 	if response, err := renew(1, "b", otherGroup); err != nil || response.EndedReason == "" || response.LeaseMS != 0 {
-		t.Fatalf("%+v, %v: a lease of another group counts", response, err)
+		t.Fatalf("response %+v (error %v) to a lease of another group, want an ended reason and no lease", response, err)
 	}
 	ahead := func(last *api.GroupPosition) { last.Index += 100 }
 	if _, err := renew(0, "a", ahead); err != nil || g.state.Fleet.LostState != "" {
-		t.Fatalf("%v, %q: one node stops the group", err, g.state.Fleet.LostState)
+		t.Fatalf("evidence from one node: error %v, LostState %q; want none", err, g.state.Fleet.LostState)
 	}
 	g.run(0, evidenceSpanMS)
 	renew(1, "b", ahead)
 	if g.state.Fleet.LostState != "" {
-		t.Fatal("what two nodes told long apart stops the group")
+		t.Fatalf("LostState = %q by evidence of two nodes further apart than evidenceSpanMS, want none",
+			g.state.Fleet.LostState)
 	}
 	renew(0, "a", ahead)
 	if g.state.Fleet.LostState == "" {
-		t.Fatal("two nodes know of later entries, and the group goes on")
+		t.Fatal("LostState is empty after evidence from two nodes")
 	}
 	if _, err := renew(2, "c", func(*api.GroupPosition) {}); !errors.Is(err, ErrStateLost) {
-		t.Fatalf("%v, expected %v", err, ErrStateLost)
+		t.Fatalf("Heartbeat() = %v, want %v", err, ErrStateLost)
 	}
 	if err := g.leaders[0].Forget("a"); !errors.Is(err, ErrStateLost) {
-		t.Errorf("%v, expected %v", err, ErrStateLost)
+		t.Errorf("Forget() = %v, want %v", err, ErrStateLost)
 	}
 	g.leaders[0].SubmitPolicy(policy.Op{Kind: policy.OpAbort}, func(_ policy.Result, err error) {
 		if !errors.Is(err, ErrStateLost) {
-			t.Errorf("%v, expected %v", err, ErrStateLost)
+			t.Errorf("SubmitPolicy() = %v, want %v", err, ErrStateLost)
 		}
 	})
 	if entries := g.leaders[0].Tick(g.state, 5000); len(entries) > 0 {
-		t.Fatalf("it adds %v to the log", entries)
+		t.Fatalf("Tick() = %v after lost state, want no entries", entries)
 	}
 	raw, err := g.state.Snapshot()
 	if err != nil {
@@ -72,13 +73,13 @@
 	}
 	restored := NewState(0)
 	if err = restored.Restore(raw); err != nil || restored.Fleet.LostState == "" {
-		t.Fatalf("%v: a snapshot forgets that state was lost", err)
+		t.Fatalf("restored LostState = %q (error %v), want it kept", restored.Fleet.LostState, err)
 	}
 	restoreLostGroup(t, g, restored)
 }
 
-// restoreLostGroup restores a group that lost state. Its next generation has to grant again, to go on after all
-// epochs that nodes know, and to end what was under way.
+// restoreLostGroup restores a group that lost state. Its next generation must grant leases again, continue after all
+// zone epochs that nodes know, and end the current change.
 func restoreLostGroup(t *testing.T, g *testGroup, state *State) {
 	lost := api.GroupIdentity{Group: "g", Generation: 1}
 	err := state.BeginGeneration(&recovery.RestorePlan{Lost: lost, Version: 2, Hash: "h2", ZoneEpoch: 7, LeaseMS: 4000,
@@ -89,9 +90,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if state.Generation != 2 || state.Fleet.LostState != "" || state.Policy.CommittedVersion != 2 || state.Zones.Epoch != 8 ||
+	if state.Generation != 2 || state.Fleet.LostState != "" || state.Policy.CommittedVersion != 2 ||
+		state.Zones.Epoch != 8 ||
 		state.Zones.SettledEpoch != 7 || state.Fleet.Lookup("k") == nil {
-		t.Fatalf("generation %d, lost %q, version %d, epoch %d of %d", state.Generation, state.Fleet.LostState,
+		t.Fatalf("generation %d, LostState %q, committed version %d, zone epochs %d settled of %d; want 2, none, 2, 7 of 8",
+			state.Generation, state.Fleet.LostState,
 			state.Policy.CommittedVersion, state.Zones.SettledEpoch, state.Zones.Epoch)
 	}
 	preparing := NewState(0)
@@ -99,23 +102,23 @@
 	err = preparing.BeginGeneration(&recovery.RestorePlan{Lost: lost}, g)
 	if err != nil || preparing.Policy.Current != nil || preparing.Policy.History[0].Step != policy.Aborted ||
 		preparing.Policy.DecidedVersion != 0 {
-		t.Errorf("%v: a first change that was under way is %+v", err, preparing.Policy.Current)
+		t.Errorf("current change %+v (error %v) after a restoration, want it aborted", preparing.Policy.Current, err)
 	}
 	if phase, share := state.Zones.PhaseOf("y"); phase != zones.Evacuated || share != 0 {
-		t.Errorf("a zone whose nodes took a sixteenth is %s at %d, expected it out", phase, share)
+		t.Errorf("zone y with a recorded share of 16 is %s at share %d, want %s at 0", phase, share, zones.Evacuated)
 	}
 	if phase, _ := state.Zones.PhaseOf("z"); phase != zones.InService {
-		t.Errorf("a zone whose nodes took all is %s", phase)
+		t.Errorf("zone z with a recorded full share is %s, want %s", phase, zones.InService)
 	}
 }
 
-// lastSeenOf is where the group stood at a response.
+// lastSeenOf returns the group position that a response carries.
 func lastSeenOf(r api.HeartbeatResponse) *api.GroupPosition {
 	return &api.GroupPosition{Group: "g", Generation: 1, Term: r.Term, Index: r.Index, EntryChecksum: r.EntryChecksum}
 }
 
-// TestChecksumsProveLossOfOverwrittenEntries: a group was put back to an older state, and its log has grown past what nodes were told before. Neither
-// index nor term shows the loss any more; the checksums of entries have to.
+// TestChecksumsProveLossOfOverwrittenEntries: after a reset to an older state the log has grown past the positions that
+// nodes have seen, so that index and term no longer show the loss. The checksums of entries must.
 func TestChecksumsProveLossOfOverwrittenEntries(t *testing.T) {
 	g := newTestGroup(t)
 	var got responses
@@ -128,7 +131,7 @@
 		t.Fatal(err)
 	}
 	responses := map[uint32]api.HeartbeatResponse{}
-	for range 3 { // what is lost afterwards
+	for range 3 { // entries that are lost afterwards
 		for _, response := range got[:2] {
 			renewal := api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: "x"}, LeaseID: response.LeaseID,
 				LastClockMS: response.ClockMS, Renew: true}
@@ -137,10 +140,10 @@
 		g.run(0, 1000)
 	}
 	if len(responses) != 2 || responses[got[0].LeaseID].Index != 4 {
-		t.Fatalf("%+v, expected two nodes told of entry 4", responses)
+		t.Fatalf("responses %+v, want two nodes that have seen entry 4", responses)
 	}
 	if err = g.state.Restore(raw); err != nil || len(g.state.Checksums) != 1 {
-		t.Fatalf("%v, sums %v", err, g.state.Checksums)
+		t.Fatalf("restored checksums %v (error %v), want one", g.state.Checksums, err)
 	}
 	g.index, g.leaders[1].Level = g.state.Index, LevelGenerations
 	g.lead(1)
@@ -148,7 +151,7 @@
 		g.run(1, 1000)
 	}
 	if g.state.Index <= 4 || g.state.Fleet.LostState != "" {
-		t.Fatalf("entry %d, lost %q: expected it to have grown past what was lost", g.state.Index,
+		t.Fatalf("index %d, LostState %q; want an index past the lost entries and no proof yet", g.state.Index,
 			g.state.Fleet.LostState)
 	}
 	for i, n := range []string{"a", "b"} {
@@ -159,12 +162,12 @@
 		g.leaders[1].Heartbeat(g.state, r, func(api.HeartbeatResponse, error) {})
 	}
 	if g.run(1, 1000); g.state.Fleet.LostState == "" {
-		t.Error("two nodes were told of entries that it lacks, and the group goes on")
+		t.Error("LostState is empty, though two nodes have seen entries that the state lacks")
 	}
 }
 
-// TestLaggingNodesProveNoLoss: nodes that are behind by a batch or two renew with a group that lost nothing, of which an instance
-// began to keep checksums later than the others. It must not be stopped, and what it keeps has to stay bounded.
+// TestLaggingNodesProveNoLoss: nodes that lag by a batch or two must not stop a group that lost nothing, also if an
+// instance began to store checksums late. The number of stored checksums must be bounded.
 func TestLaggingNodesProveNoLoss(t *testing.T) {
 	g := newTestGroup(t)
 	var got responses
@@ -172,7 +175,7 @@
 		g.leaders[0].Heartbeat(g.state, request(n), got.add)
 	}
 	g.run(0, 1000)
-	g.state.Checksums = nil // as an older program's snapshot has none
+	g.state.Checksums = nil // as in a snapshot of an older build
 	g.lead(1)
 	g.leaders[1].Level = LevelGenerations
 	for i := range 2000 {
@@ -181,15 +184,15 @@
 			r.LeaseID, r.LastClockMS, r.Renew = response.LeaseID, response.ClockMS, true
 			r.LastSeen = lastSeenOf(response)
 			g.leaders[1].Heartbeat(g.state, r, func(t api.HeartbeatResponse, _ error) { got[j] = t })
-			if i%3 == 0 { // the other is behind by a batch or two
+			if i%3 == 0 { // the other node lags
 				break
 			}
 		}
 		if g.run(1, 1000); g.state.Fleet.LostState != "" {
-			t.Fatalf("after %d batches: %s", i, g.state.Fleet.LostState)
+			t.Fatalf("LostState = %q after %d batches, want none", g.state.Fleet.LostState, i)
 		}
 	}
 	if n := len(g.state.Checksums); n < maxChecksums || n > 2*maxChecksums {
-		t.Errorf("%d sums are kept, expected %d to %d", n, maxChecksums, 2*maxChecksums)
+		t.Errorf("%d checksums kept, want %d to %d", n, maxChecksums, 2*maxChecksums)
 	}
 }
--- a/internal/control/coordinator/pin_stream_test.go
+++ b/internal/control/coordinator/pin_stream_test.go
@@ -20,13 +20,14 @@
 	"umberwinch/internal/control/zones"
 )
 
+// goType matches the Go type in an error of encoding/json. It is not part of the recorded error texts.
 var goType = regexp.MustCompile(`Go (struct field|value) .*`)
 
-var updateFixtures = flag.Bool("write-pins", false, "write the fixtures of the recorded streams anew")
+var updateFixtures = flag.Bool("write-pins", false, "rewrite the fixtures of the recorded streams")
 
-// streamTest drives two instances, of which one leads at a time, and some nodes with faults: requests and answers that
-// are lost, nodes that pause, restart, drain, refuse or lie, entries that are lost or come late, leaders that change.
-// All that is decided goes into a hash; the entries are kept.
+// streamTest drives two instances, one of which leads at a time, and test nodes under random faults: lost requests and
+// responses, nodes that pause, restart, drain, refuse versions or report false positions, lost and delayed entries, and
+// changes of leader. Entries are recorded; a digest covers entries, responses and results.
 type streamTest struct {
 	*testing.T
 	rng       *rand.Rand
@@ -44,6 +45,7 @@
 	responses int
 }
 
+// testNode simulates a node's heartbeats. Times are in ms of the test's clock.
 type testNode struct {
 	name, zone      string
 	incarnation     int
@@ -56,8 +58,8 @@
 	refusedVersion  uint64
 	zoneEpoch       uint64
 	lastSeen        api.GroupPosition
-	nextHeartbeatMS uint64 // when it asks
-	pausedUntilMS   uint64 // until then
+	nextHeartbeatMS uint64
+	pausedUntilMS   uint64
 	leaving         bool
 }
 
@@ -115,7 +117,7 @@
 	}
 }
 
-// loadReport is a load report of which the parts hang together well enough for zones to be judged by it.
+// loadReport returns a load report that is consistent enough for the zone rules to evaluate.
 func (r *streamTest) loadReport(overloaded bool) *api.LoadReport {
 	raw := fmt.Sprintf(`{"ms":1000,"came":%d,"done":%d,"late":1,"shed":%d,"worth":50,"got":%d,
 		"mix":[{"value":1,"came":30},{"value":5,"came":4}],
@@ -133,7 +135,7 @@
 	return report
 }
 
-// request is what the node says, as JSON: its tags outlive names.
+// request builds a node's heartbeat from JSON, so that it depends on the names on the wire only.
 func (r *streamTest) request(n *testNode) (request api.HeartbeatRequest) {
 	fields := map[string]any{"name": n.name, "zone": n.zone, "addr": "127.0.0.1:1",
 		"nonce": fmt.Sprintf("%s-process-%d", n.name, n.incarnation), "up_ms": r.nowMS,
@@ -153,7 +155,7 @@
 		if n.lastSeen.Group != "" {
 			lastSeen := n.lastSeen
 			if r.rng.Intn(300) == 0 {
-				lastSeen.Index += 50 // it lies, alone
+				lastSeen.Index += 50 // a false position of a single node
 			}
 			fields["heard"] = lastSeen
 		}
@@ -185,7 +187,7 @@
 	})
 }
 
-// responseFields are the fields of an answer that a simulated node goes by.
+// responseFields are the response fields that a testNode uses, decoded by their names on the wire.
 type responseFields struct {
 	Term  uint64
 	Index uint64
@@ -245,8 +247,8 @@
 	if fields.Zone != nil {
 		n.zoneEpoch = max(n.zoneEpoch, fields.Zone.Epoch)
 	}
-	position := map[string]any{"group": "group", "generation": max(1, fields.Gen), "term": fields.Term, "index": fields.Index,
-		"sum": fields.Sum, "hash": n.activeHash}
+	position := map[string]any{"group": "group", "generation": max(1, fields.Gen), "term": fields.Term,
+		"index": fields.Index, "sum": fields.Sum, "hash": n.activeHash}
 	if raw, err = json.Marshal(position); err == nil {
 		n.lastSeen = api.GroupPosition{}
 		err = json.Unmarshal(raw, &n.lastSeen)
@@ -257,7 +259,7 @@
 	n.nextHeartbeatMS = r.nowMS + max(50, fields.Again)
 }
 
-// submitPolicy and submitZone are what an operator sends, as JSON.
+// submitPolicy and submitZone submit an operator's operation, built from JSON.
 func (r *streamTest) submitPolicy(fields map[string]any) {
 	raw, _ := json.Marshal(fields)
 	var op policy.Op
@@ -307,14 +309,14 @@
 func (r *streamTest) step() {
 	ms := uint64(20 + r.rng.Intn(180))
 	if r.rng.Intn(400) == 0 {
-		ms = 6000 // the leader stood still
+		ms = 6000 // the leader was paused
 	}
 	r.nowMS += ms
 	for _, n := range r.nodes {
 		if r.rng.Intn(600) == 0 {
 			n.pausedUntilMS = r.nowMS + uint64(r.rng.Intn(9000))
 		}
-		if r.rng.Intn(900) == 0 { // it restarts, and has kept what it serves under
+		if r.rng.Intn(900) == 0 { // restarts with its active version
 			n.incarnation, n.leaseID, n.preparedVersion = n.incarnation+1, 0, 0
 		}
 		if r.rng.Intn(1500) == 0 {
@@ -335,7 +337,7 @@
 	for _, l := range r.leaders {
 		for _, e := range l.Tick(r.state, ms) {
 			switch {
-			case r.rng.Intn(40) == 0: // it is lost
+			case r.rng.Intn(40) == 0: // the entry is lost
 			case r.rng.Intn(10) == 0:
 				r.delayed = append(r.delayed, e)
 			default:
@@ -356,7 +358,8 @@
 	return string(raw) + "\n"
 }
 
-func runStream(t *testing.T, seed int64, level int, disabled policy.Guard, disabledZones zones.Guard, steps int) *streamTest {
+func runStream(t *testing.T, seed int64, level int, disabled policy.Guard, disabledZones zones.Guard, steps int,
+) *streamTest {
 	r := &streamTest{T: t, rng: rand.New(rand.NewSource(seed)), level: level, digest: sha256.New()}
 	r.state = NewState(disabled)
 	r.state.DisabledZoneGuards = disabledZones
@@ -375,6 +378,7 @@
 	return r
 }
 
+// compareFixture compares got with a fixture and returns the fixture's content.
 func compareFixture(t *testing.T, name, got string) string {
 	t.Helper()
 	file := filepath.Join("testdata", "stream", name)
@@ -393,23 +397,23 @@
 			at++
 		}
 		from := max(0, at-100)
-		t.Errorf("%s: at byte %d found\n%.300s\nexpected\n%.300s", name, at, got[from:], want[from:])
+		t.Errorf("%s: at byte %d got\n%.300s\nwant\n%.300s", name, at, got[from:], want[from:])
 	}
 	return string(want)
 }
 
-// TestRecordedStream: nodes, operators and leaders with faults get the answers and make the entries that version
-// 2a0a97e gave and made, byte for byte, at each level of the group; the entries lead to the same state, and a
-// snapshot of it is the same.
+// TestRecordedStream: at each feature level, entries, responses and snapshots must equal those recorded by version
+// 2a0a97e, byte for byte, and its entries and snapshots must restore the same state.
 func TestRecordedStream(t *testing.T) {
 	for level := 2; level <= 5; level++ {
 		r := runStream(t, int64(level), level, 0, 0, 1200)
 		kinds := map[string]int{}
 		entries := compareFixture(t, fmt.Sprintf("entries-%d.txt", level), r.entries.String())
 		snapshot := compareFixture(t, fmt.Sprintf("snapshot-%d.json", level), r.snapshot())
-		compareFixture(t, fmt.Sprintf("hash-%d.txt", level), fmt.Sprintf("%x %d answers\n", r.digest.Sum(nil), r.responses))
+		digest := fmt.Sprintf("%x %d answers\n", r.digest.Sum(nil), r.responses)
+		compareFixture(t, fmt.Sprintf("hash-%d.txt", level), digest)
 
-		// What that version stored gives the same state, from the log as well as from the snapshot.
+		// The recorded entries and the recorded snapshot restore the same state.
 		replayed := NewState(0)
 		for _, line := range strings.Split(strings.TrimSuffix(entries, "\n"), "\n") {
 			fields := strings.SplitN(line, " ", 4)
@@ -422,22 +426,22 @@
 			}
 		}
 		if raw, err := replayed.Snapshot(); err != nil || string(raw)+"\n" != snapshot {
-			t.Errorf("level %d: the entries lead to %s (%v)", level, raw, err)
+			t.Errorf("level %d: snapshot after replaying the entries = %s (error %v), want the recorded one", level, raw, err)
 		}
 		restored := NewState(0)
 		if err := restored.Restore([]byte(snapshot)); err != nil {
 			t.Fatal(err)
 		}
 		if raw, err := restored.Snapshot(); err != nil || string(raw)+"\n" != snapshot {
-			t.Errorf("level %d: loaded and saved again it is %s (%v)", level, raw, err)
+			t.Errorf("level %d: snapshot of the restored state = %s (error %v), want the recorded one", level, raw, err)
 		}
 		if kinds[KindHeartbeats] == 0 || kinds[KindPolicy] == 0 || level >= 3 && kinds[KindZones] == 0 {
-			t.Errorf("level %d: entries %v, expected some of each kind", level, kinds)
+			t.Errorf("level %d: entries by kind = %v, want some of each", level, kinds)
 		}
 	}
 }
 
-// TestRecordedGuards: with each guard taken out what is decided is what it was, so that a promise breaks as it did.
+// TestRecordedGuards: with each guard disabled in turn, the digest must equal the recorded one.
 func TestRecordedGuards(t *testing.T) {
 	var out strings.Builder
 	for i := range 11 {
@@ -451,8 +455,8 @@
 	compareFixture(t, "guards.txt", out.String())
 }
 
-// TestRecordedLostState: a group that two nodes prove to be behind stores so, and the generation after it begins with
-// the bytes it began with in version 2a0a97e.
+// TestRecordedLostState: the snapshots of a group with lost state, and of its next generation, must equal those
+// recorded by version 2a0a97e.
 func TestRecordedLostState(t *testing.T) {
 	r := runStream(t, 7, 5, 0, 0, 600)
 	for range 40 {
@@ -465,7 +469,7 @@
 	}
 	lost := r.snapshot()
 	if r.state.Fleet.LostState == "" {
-		t.Error("the state was not found lost")
+		t.Error("LostState is empty, want a proof")
 	}
 	compareFixture(t, "snapshot-lost.json", lost)
 	plan := &recovery.RestorePlan{}
@@ -485,7 +489,7 @@
 	compareFixture(t, "snapshot-next.json", r.snapshot())
 }
 
-// TestRecordedSnapshotErrors: a torn or spoilt copy is refused with the words that version 2a0a97e had for it.
+// TestRecordedSnapshotErrors: errors of corrupt snapshots and entries must have the texts recorded by version 2a0a97e.
 func TestRecordedSnapshotErrors(t *testing.T) {
 	snapshot := runStream(t, 5, 5, 0, 0, 300).snapshot()
 	var out strings.Builder
@@ -507,6 +511,5 @@
 		_, err := NewState(0).Apply(e.Kind, e.Body, 1, 1, nil)
 		fmt.Fprintln(&out, err)
 	}
-	// encoding/json names the Go type that a value was meant for: not part of the error as an operator knows it.
 	compareFixture(t, "errors.txt", goType.ReplaceAllString(out.String(), "Go value"))
 }
--- a/internal/control/coordinator/rules_test.go
+++ b/internal/control/coordinator/rules_test.go
@@ -12,11 +12,11 @@
 	"umberwinch/internal/control/zones"
 )
 
-// TestHeartbeatSchedule: the shortest of the times that apply holds, and larger fleets send more slowly.
+// TestHeartbeatSchedule: the shortest interval that applies is used, and intervals grow with the fleet.
 func TestHeartbeatSchedule(t *testing.T) {
 	for _, c := range []struct {
-		pace heartbeatSchedule
-		want uint64
+		schedule heartbeatSchedule
+		want     uint64
 	}{
 		{heartbeatSchedule{leaseMS: 10_000, nodes: 12}, 2500},
 		{heartbeatSchedule{leaseMS: 10_000, nodes: 12, zonesEnabled: true}, 1000},
@@ -26,29 +26,29 @@
 		{heartbeatSchedule{leaseMS: 10_000, nodes: 5000, changeActive: true}, 1000},
 		{heartbeatSchedule{leaseMS: 10_000, nodes: 5000, zonesEnabled: true}, 2000},
 	} {
-		if got := c.pace.nextMS(); got != c.want {
-			t.Errorf("%+v: found %d ms, expected %d", c.pace, got, c.want)
+		if got := c.schedule.nextMS(); got != c.want {
+			t.Errorf("%+v: nextMS() = %d, want %d", c.schedule, got, c.want)
 		}
 	}
 }
 
-// TestAppendTimer: an entry counts as lost once its time is over, and only then.
+// TestAppendTimer: an entry is considered lost after appendTimeoutMS and no earlier.
 func TestAppendTimer(t *testing.T) {
 	var timer appendTimer
 	timer.start(1000)
 	if timer.stopIfLost(1000+appendTimeoutMS) || !timer.running() {
-		t.Error("an entry counts as lost within its time")
+		t.Error("stopIfLost() = true or the timer stopped at appendTimeoutMS, want it running")
 	}
 	if !timer.stopIfLost(1001+appendTimeoutMS) || timer.running() {
-		t.Error("an entry does not count as lost past its time")
+		t.Error("stopIfLost() = false or the timer running after appendTimeoutMS, want it stopped")
 	}
 	if timer.stopIfLost(1 << 40) {
-		t.Error("an entry is lost that was not appended")
+		t.Error("stopIfLost() = true of a stopped timer, want false")
 	}
 }
 
-// TestSubmissionsRetryAndBound: an operation that is lost is appended again, all that have its outcome are answered, and past the
-// bound the caller is told so.
+// TestSubmissionsRetryAndBound: a lost operation is appended again, a result completes all operations that it is the
+// outcome of, and beyond maxPendingOps operations fail with ErrBusy.
 func TestSubmissionsRetryAndBound(t *testing.T) {
 	var q submissions[int, string]
 	var answers []string
@@ -59,29 +59,30 @@
 		}
 	}
 	if err := q.add(8, answer); !errors.Is(err, ErrBusy) {
-		t.Errorf("found %v, expected %v", err, ErrBusy)
+		t.Errorf("add() beyond maxPendingOps = %v, want %v", err, ErrBusy)
 	}
 	if first, again := len(q.toAppend(1)), len(q.toAppend(1+appendTimeoutMS)); first != maxPendingOps || again != 0 {
-		t.Errorf("appended %d and again %d within their time, expected %d and 0", first, again, maxPendingOps)
+		t.Errorf("appended %d, and %d again within appendTimeoutMS; want %d and 0", first, again, maxPendingOps)
 	}
 	if n := len(q.toAppend(2 + appendTimeoutMS)); n != maxPendingOps {
-		t.Errorf("appended %d again past their time, expected %d", n, maxPendingOps)
+		t.Errorf("appended %d again after appendTimeoutMS, want %d", n, maxPendingOps)
 	}
 	q.applied("done", func(op *int) bool { return *op == 7 })
 	if len(answers) != maxPendingOps || answers[0] != "done <nil>" || len(q.pending) != 0 {
-		t.Errorf("%d answers, %d pending", len(answers), len(q.pending))
+		t.Errorf("%d answers, %d pending; want %d answers of \"done\" and none pending", len(answers), len(q.pending),
+			maxPendingOps)
 	}
 	if err := q.add(9, answer); err != nil {
 		t.Fatal(err)
 	}
 	q.fail(ErrNotLeader)
 	if got, want := answers[len(answers)-1], " "+ErrNotLeader.Error(); got != want {
-		t.Errorf("found answer %q, expected %q", got, want)
+		t.Errorf("last answer = %q, want %q", got, want)
 	}
 }
 
-// TestJoinsBatchedInOrderOfArrival: a fleet of thousands restarts as a whole. The joins that came first go first, so that no
-// node waits for ever, and renewals wait for nobody's join.
+// TestJoinsBatchedInOrderOfArrival: when the whole fleet restarts, joins are batched in order of arrival, so that no
+// node starves, and renewals do not wait for joins.
 func TestJoinsBatchedInOrderOfArrival(t *testing.T) {
 	var b heartbeatBatcher
 	ignore := func(api.HeartbeatResponse, error) {}
@@ -103,17 +104,18 @@
 			got = append(got, j.Name)
 		}
 		if renewals := len(batch.Renewals); renewals != 1-batches {
-			t.Errorf("batch %d has %d renewals", batches, renewals)
+			t.Errorf("batch %d has %d renewals, want %d", batches, renewals, 1-batches)
 		}
 		b.inFlight = nil
 	}
 	if !slices.Equal(got, want) || b.joinsDeferred || len(b.waiting) > 0 {
-		t.Errorf("%d joins in two batches, the last %s; %d wait", len(got), got[len(got)-1], len(b.waiting))
+		t.Errorf("%d joins in two batches, the last %s, %d waiting; want %d in order of arrival, none waiting", len(got),
+			got[len(got)-1], len(b.waiting), len(want))
 	}
 }
 
-// TestNeedsEntry: what a change or an operator waits for goes into the log, anything else is answered at once, and a
-// node whose responses are lost gets nothing extended.
+// TestNeedsEntry: renewals, leaves and awaited promises need an entry, other heartbeats none. A node whose responses
+// are lost is not renewed.
 func TestNeedsEntry(t *testing.T) {
 	g := newTestGroup(t)
 	g.leaders[0].Heartbeat(g.state, request("a"), func(api.HeartbeatResponse, error) {})
@@ -122,39 +124,39 @@
 	now := g.state.Fleet.ClockMS
 	promise := api.HeartbeatRequest{LeaseID: n.Lease.ID, LastClockMS: now, MinVersion: 2}
 	if needsEntry(g.state, n, &promise) {
-		t.Error("a promise that nothing waits for costs an entry")
+		t.Error("needsEntry() = true of a promise that nothing waits for, want false")
 	}
 	g.state.Policy.Current = &policy.Change{Version: 2, Step: policy.Committed}
 	if !needsEntry(g.state, n, &promise) {
-		t.Error("a promise that a change waits for does not go into the log")
+		t.Error("needsEntry() = false of a promise that a change waits for, want true")
 	}
 	g.state.Policy.Current = nil
 	renewal := api.HeartbeatRequest{LeaseID: n.Lease.ID, LastClockMS: now, Renew: true}
 	if !needsEntry(g.state, n, &renewal) {
-		t.Error("a renewal does not go into the log")
+		t.Error("needsEntry() = false of a renewal, want true")
 	}
 	g.state.Fleet.ClockMS += membership.LeaseSpanMS(g.state.leaseTerms().LeaseMS) + 1
 	if needsEntry(g.state, n, &renewal) {
-		t.Error("a node that gets no responses is renewed")
+		t.Error("needsEntry() = true of a renewal by a node without responses, want false")
 	}
 	if leave := (api.HeartbeatRequest{LeaseID: n.Lease.ID, Leave: true}); !needsEntry(g.state, nil, &leave) {
-		t.Error("a leave does not go into the log")
+		t.Error("needsEntry() = false of a leave, want true")
 	}
 }
 
-// TestErrorTypes: callers can tell entries that can't be read, and spoilt snapshots, from other errors.
+// TestErrorTypes: errors of entries, snapshots and versions have types that callers can match.
 func TestErrorTypes(t *testing.T) {
 	var entry *EntryError
 	if _, err := NewState(0).Apply(KindZones, []byte("{"), 1, 1, nil); !errors.As(err, &entry) {
-		t.Errorf("found %v, expected an EntryError", err)
+		t.Errorf("Apply() error = %v, want an EntryError", err)
 	}
 	var kind *UnknownKindError
 	if _, err := NewState(0).Apply("other", nil, 1, 1, nil); !errors.As(err, &kind) || kind.Kind != "other" {
-		t.Errorf("found %v, expected an UnknownKindError", err)
+		t.Errorf("Apply() error = %v, want an UnknownKindError of kind other", err)
 	}
 	_, err := NewState(0).Apply(KindPolicy, []byte(`{"op":"propose"}`), 1, 1, nil)
 	if !errors.Is(err, policy.ErrEmptyProposal) {
-		t.Errorf("found %v, expected %v", err, policy.ErrEmptyProposal)
+		t.Errorf("Apply() error = %v, want %v", err, policy.ErrEmptyProposal)
 	}
 	for raw, want := range map[string]error{
 		"{":                                  ErrSnapshot,
@@ -163,12 +165,12 @@
 		`{"fleet":{},"policy":{},"zones":1}`: zones.ErrSnapshot,
 	} {
 		if err := NewState(0).Restore([]byte(raw)); !errors.Is(err, want) {
-			t.Errorf("%s: found %v, expected one that wraps %v", raw, err, want)
+			t.Errorf("Restore(%s) = %v, want an error that wraps %v", raw, err, want)
 		}
 	}
 	g := newTestGroup(t)
 	var missing *VersionMissingError
 	if _, _, err := (versionCatalog{g}).Check(9, 0); !errors.As(err, &missing) || missing.Version != 9 {
-		t.Errorf("found %v, expected a VersionMissingError of 9", err)
+		t.Errorf("Check(9, 0) error = %v, want a VersionMissingError of 9", err)
 	}
 }
--- a/internal/control/coordinator/snapshot.go
+++ b/internal/control/coordinator/snapshot.go
@@ -49,8 +49,8 @@
 	return json.Marshal(stored)
 }
 
-// Restore replaces the state by a decoded snapshot. Its errors wrap ErrSnapshot or the ErrSnapshot of a subsystem; on an
-// error the state is unchanged.
+// Restore replaces the state by a decoded snapshot. Its errors wrap ErrSnapshot or the ErrSnapshot of a subsystem; on
+// an error the state is unchanged.
 func (s *State) Restore(raw []byte) error {
 	var stored snapshot
 	if err := json.Unmarshal(raw, &stored); err != nil {
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -36,8 +36,8 @@
 
 func newFleetTest(t *testing.T) *fleetTest { return &fleetTest{t, New(), 1} }
 
-// TestSilentNodeKeepsLeaseUntilExpiry guards against a lease that expires while its holder may still act on it: a change
-// could settle while the holder serves under the older version. A node that was marked out must not return.
+// TestSilentNodeKeepsLeaseUntilExpiry guards against a lease that expires while its holder may still act on it: a
+// change could settle while the holder serves under the older version. A node that was marked out must not return.
 func TestSilentNodeKeepsLeaseUntilExpiry(t *testing.T) {
 	f := newFleetTest(t)
 	j := f.join("a", "x", terms)
@@ -59,7 +59,8 @@
 	}
 }
 
-// TestLeaseSpan checks the margin for a node's clock that is one percent slow and for the ticks until a renewal commits.
+// TestLeaseSpan checks the margin for a node's clock that is one percent slow and for the ticks until a renewal
+// commits.
 func TestLeaseSpan(t *testing.T) {
 	for leaseMS, want := range map[uint64]uint64{1000: 1110, 4000: 4140, 10_000: 10_200} {
 		if got := LeaseSpanMS(leaseMS); got != want {
@@ -106,8 +107,8 @@
 	}
 }
 
-// TestReplacedIncarnationKeepsLease: a node restarts within its lease, or two nodes use one name. The newest incarnation
-// holds the name, and a change must still wait for the earlier incarnation's lease.
+// TestReplacedIncarnationKeepsLease: a node restarts within its lease, or two nodes use one name. The newest
+// incarnation holds the name, and a change must still wait for the earlier incarnation's lease.
 func TestReplacedIncarnationKeepsLease(t *testing.T) {
 	f := newFleetTest(t)
 	a := f.join("a", "x", terms)
@@ -125,8 +126,8 @@
 	}
 }
 
-// TestCrashLoopBacksOff: each join of a node in a crash loop adds to the log and delays decisions. Its joins must back off
-// up to the maximum, and the state kept for it must be bounded.
+// TestCrashLoopBacksOff: each join of a node in a crash loop adds to the log and delays decisions. Its joins must back
+// off up to the maximum, and the state kept for it must be bounded.
 func TestCrashLoopBacksOff(t *testing.T) {
 	f := newFleetTest(t)
 	accepted, longestWaitMS := 0, uint64(0)
@@ -149,8 +150,8 @@
 	}
 }
 
-// TestLostLeaseIsNotCountedAsRestart: a process that repeatedly loses its lease, as on a machine that is paused, is not in
-// a crash loop, so its joins must not back off.
+// TestLostLeaseIsNotCountedAsRestart: a process that repeatedly loses its lease, as on a machine that is paused, is not
+// in a crash loop, so its joins must not back off.
 func TestLostLeaseIsNotCountedAsRestart(t *testing.T) {
 	f := newFleetTest(t)
 	j := JoinResult{}
@@ -175,8 +176,8 @@
 	}
 }
 
-// TestNewLeaderListensBeforeMarkingOut: a new leader has no heartbeats yet, and marking nodes out at once would stop the
-// whole fleet. It must wait for the span of a lease, and the old leader's late batch must change nothing.
+// TestNewLeaderListensBeforeMarkingOut: a new leader has no heartbeats yet, and marking nodes out at once would stop
+// the whole fleet. It must wait for the span of a lease, and the old leader's late batch must change nothing.
 func TestNewLeaderListensBeforeMarkingOut(t *testing.T) {
 	f := newFleetTest(t)
 	j := f.join("a", "x", terms)
--- a/internal/control/membership/node.go
+++ b/internal/control/membership/node.go
@@ -27,8 +27,8 @@
 // IsOut reports whether the node is out.
 func (n *Node) IsOut() bool { return n.OutReason != "" }
 
-// UptimeMS returns the uptime of the node's process at the given group clock, in ms, from the uptime it reported when it
-// joined.
+// UptimeMS returns the uptime of the node's process at the given group clock, in ms, from the uptime it reported when
+// it joined.
 func (n *Node) UptimeMS(clockMS uint64) uint64 {
 	return clockMS - min(clockMS, n.JoinedAtMS) + n.UptimeAtJoinMS
 }
--- a/internal/control/policy/apply.go
+++ b/internal/control/policy/apply.go
@@ -75,8 +75,8 @@
 
 // rejectProposal returns why a proposal can't begin a change; empty: it can.
 //
-// Only one change runs at a time, and a version older than the decided one would break the nodes' promises. An exclusive
-// change is rejected while nodes are autonomous: one unreachable node would block it indefinitely.
+// Only one change runs at a time, and a version older than the decided one would break the nodes' promises. An
+// exclusive change is rejected while nodes are autonomous: one unreachable node would block it indefinitely.
 func (s *State) rejectProposal(p *Proposal, v Versions) string {
 	switch {
 	case s.Current != nil:
@@ -96,8 +96,8 @@
 // decide makes the change's version the decided one. From then on no lease is extended without a promise of that
 // version, and the change can't be aborted.
 //
-// It is rejected if the fleet epoch has changed since the leader decided: a node that joined since then has not prepared
-// the version and might be unable to serve under it.
+// It is rejected if the fleet epoch has changed since the leader decided: a node that joined since then has not
+// prepared the version and might be unable to serve under it.
 func (s *State) decide(o *Decide, f *membership.State, disabled Guard) (rejection string) {
 	c := s.Current
 	if c.Step != Preparing {
--- a/internal/control/policy/next.go
+++ b/internal/control/policy/next.go
@@ -8,8 +8,8 @@
 
 // Next returns the operation that the leader appends for the current change, or nil while the change has to wait.
 //
-// A change in preparation is decided or aborted. A decided change is committed and then settled, each once no blocker is
-// left.
+// A change in preparation is decided or aborted. A decided change is committed and then settled, each once no blocker
+// is left.
 func (s *State) Next(f *membership.State, reports Reports, disabled Guard) Operation {
 	c := s.Current
 	if c == nil {
--- a/internal/control/policy/op.go
+++ b/internal/control/policy/op.go
@@ -43,9 +43,9 @@
 	return op
 }
 
-// Operation decodes the stored form. Its error is ErrEmptyProposal. State.Apply rejects an operation of an unknown kind;
-// a newer build would apply it, and the two states would diverge. A new kind therefore needs a new feature level of the
-// group.
+// Operation decodes the stored form. Its error is ErrEmptyProposal. State.Apply rejects an operation of an unknown
+// kind; a newer build would apply it, and the two states would diverge. A new kind therefore needs a new feature level
+// of the group.
 func (op *Op) Operation() (Operation, error) {
 	switch op.Kind {
 	case OpPropose:
@@ -88,8 +88,8 @@
 // Rejected reports whether the operation was rejected and changed nothing.
 func (r Result) Rejected() bool { return r.Rejection != "" }
 
-// IsOutcomeOf reports whether the result is the outcome of an operation. Proposals are matched by their idempotency key,
-// other operations by kind and change.
+// IsOutcomeOf reports whether the result is the outcome of an operation. Proposals are matched by their idempotency
+// key, other operations by kind and change.
 func (r Result) IsOutcomeOf(operation Operation) bool {
 	if r.IdempotencyKey != "" {
 		proposal, ok := operation.(Propose)
--- a/internal/control/policy/policy_test.go
+++ b/internal/control/policy/policy_test.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestRejectedProposals: an invalid proposal is rejected, and a proposal repeated under its key returns the change that it
-// began.
+// TestRejectedProposals: an invalid proposal is rejected, and a proposal repeated under its key returns the change that
+// it began.
 func TestRejectedProposals(t *testing.T) {
 	f, s := newFleet(t, membership.LeaseTerms{LeaseMS: 4000}, "a"), &State{DecidedVersion: 2}
 	exclusive := testProposal(3)
