--- a/internal/control/coordinator/apply.go
+++ b/internal/control/coordinator/apply.go
@@ -41,15 +41,15 @@
 
 func (c *heartbeatsCommand) apply(s *State, term uint64, _ Versions) Outcome {
 	batch := (*membership.HeartbeatBatch)(c)
-	applied := BatchApplied{
+	result := BatchApplied{
 		Term:        batch.Term,
 		Sequence:    batch.Sequence,
 		BatchResult: s.Fleet.Apply(batch, term, s.leaseTerms()),
 	}
-	if rules := s.Policy.ActiveRules().Zones; len(applied.Joins) > 0 {
-		applied.FleetRestarted = s.Zones.BeginColdStart(s.Fleet, &rules, s.DisabledZoneGuards)
+	if rules := s.Policy.ActiveRules().Zones; len(result.Joins) > 0 {
+		result.FleetRestarted = s.Zones.BeginColdStart(s.Fleet, &rules, s.DisabledZoneGuards)
 	}
-	return applied
+	return result
 }
 
 // policyCommand applies an operation on a policy change.
--- a/internal/control/coordinator/batch.go
+++ b/internal/control/coordinator/batch.go
@@ -136,19 +136,19 @@
 // The next batch's elapsed time starts at this application, even of another leader's batch, so that no ms is counted
 // twice. If an earlier leader's batch is applied first, this leader's batch will be ignored and its heartbeats are
 // requeued.
-func (l *Leader) batchApplied(s *State, applied *BatchApplied) {
+func (l *Leader) batchApplied(s *State, result *BatchApplied) {
 	b := &l.heartbeats
-	if applied.Applied {
+	if result.Applied {
 		b.lastAppliedMS = l.nowMS
 	}
-	own := applied.Term == l.term && applied.Sequence == b.sequence
-	if !b.appendTimer.running() || !own && !applied.Applied {
+	own := result.Term == l.term && result.Sequence == b.sequence
+	if !b.appendTimer.running() || !own && !result.Applied {
 		return
 	}
 	heartbeats := b.inFlight
 	b.appendTimer.stop()
 	b.inFlight = nil
-	if !own || !applied.Applied {
+	if !own || !result.Applied {
 		b.requeue(heartbeats)
 		return
 	}
@@ -158,11 +158,11 @@
 		return
 	}
 	joins := map[string]*membership.JoinResult{}
-	for i := range applied.Joins {
-		joins[applied.Joins[i].Nonce] = &applied.Joins[i]
+	for i := range result.Joins {
+		joins[result.Joins[i].Nonce] = &result.Joins[i]
 	}
 	for _, h := range heartbeats {
-		h.done(l.batchResponse(s, &h.request, applied, joins[h.request.Nonce]))
+		h.done(l.batchResponse(s, &h.request, result, joins[h.request.Nonce]))
 	}
 	l.coldStart.dropEnded(s.Fleet)
 	l.dropReportsOfEnded(s)
@@ -170,7 +170,7 @@
 
 // batchResponse returns the response to a heartbeat of an applied batch. join is the result of its join request, if
 // any.
-func (l *Leader) batchResponse(s *State, r *api.HeartbeatRequest, applied *BatchApplied, join *membership.JoinResult) (
+func (l *Leader) batchResponse(s *State, r *api.HeartbeatRequest, result *BatchApplied, join *membership.JoinResult) (
 	api.HeartbeatResponse, error) {
 	response := api.HeartbeatResponse{LeaseID: r.LeaseID}
 	if r.Leave {
@@ -189,12 +189,12 @@
 			l.coldStart.limit(join.LeaseID, l.nowMS)
 		}
 	}
-	extended, found := applied.Granted[response.LeaseID]
+	extended, found := result.Granted[response.LeaseID]
 	switch {
 	case !found:
 		response.EndedReason = endedLease
 	case extended:
-		response.LeaseMS = applied.LeaseMS
+		response.LeaseMS = result.LeaseMS
 	}
 	return l.completeResponse(s, response), nil
 }
--- a/internal/control/coordinator/coldstart.go
+++ b/internal/control/coordinator/coldstart.go
@@ -79,7 +79,7 @@
 		return false
 	}
 	c := l.countFleet(s)
-	first, _ := slices.BinarySearch(c.warmHeartbeatsMS, limitedSinceMS)
-	warm, others := len(c.warmHeartbeatsMS)-first, c.nodesIn-1
+	firstSince, _ := slices.BinarySearch(c.warmHeartbeatsMS, limitedSinceMS)
+	warm, others := len(c.warmHeartbeatsMS)-firstSince, c.nodesIn-1
 	return others > 0 && 2*warm < others
 }
--- a/internal/control/coordinator/heartbeat.go
+++ b/internal/control/coordinator/heartbeat.go
@@ -21,7 +21,7 @@
 		return
 	}
 	l.listening.recordHeartbeat(r.Name)
-	if last := r.LastSeen; last != nil && last.Group != "" && last.Group != l.cluster {
+	if last := r.LastSeen; last != nil && last.Group != "" && last.Group != l.group {
 		// A lease ID of another generation may belong to another node here. The response carries this group, its
 		// generation and its predecessors; a node of a predecessor then joins this group.
 		response := l.completeResponse(s, api.HeartbeatResponse{EndedReason: endedGeneration})
--- a/internal/control/coordinator/leader.go
+++ b/internal/control/coordinator/leader.go
@@ -16,7 +16,7 @@
 	BatchesSent        uint64       // heartbeat batches appended by this instance
 	BatchBytes         uint64       // total size of their bodies
 
-	cluster   string
+	group     string
 	leading   bool
 	term      uint64
 	nowMS     uint64
@@ -44,12 +44,12 @@
 
 // SetRole sets the group, whether this instance leads, and the term. If any of them changes, all pending callers fail
 // with ErrNotLeader and the leader's state is reset.
-func (l *Leader) SetRole(cluster string, leads bool, term uint64) {
-	if leads == l.leading && term == l.term && cluster == l.cluster {
+func (l *Leader) SetRole(group string, leads bool, term uint64) {
+	if leads == l.leading && term == l.term && group == l.group {
 		return
 	}
 	l.failPending(ErrNotLeader)
-	l.cluster, l.leading, l.term = cluster, leads, term
+	l.group, l.leading, l.term = group, leads, term
 	l.heartbeats = heartbeatBatcher{lastAppliedMS: l.nowMS}
 	l.reports = nodeReports{}
 	l.listening = listenPhase{startedAtMS: l.nowMS, seenNames: map[string]bool{}}
--- a/internal/control/coordinator/loss_evidence.go
+++ b/internal/control/coordinator/loss_evidence.go
@@ -34,7 +34,7 @@
 		return
 	}
 	group := recovery.GroupState{
-		Group:          l.cluster,
+		Group:          l.group,
 		Generation:     s.Generation,
 		Term:           l.term,
 		Index:          s.Index,
--- a/internal/control/coordinator/response.go
+++ b/internal/control/coordinator/response.go
@@ -9,7 +9,7 @@
 // completeResponse fills in the current state of the group: its position, versions, lease terms, zone order and the
 // next heartbeat.
 func (l *Leader) completeResponse(s *State, response api.HeartbeatResponse) api.HeartbeatResponse {
-	response.Cluster, response.Generation, response.Term = l.cluster, s.Generation, l.term
+	response.Cluster, response.Generation, response.Term = l.group, s.Generation, l.term
 	response.Index, response.EntryChecksum, response.ClockMS = s.Index, s.lastChecksum(), s.Fleet.ClockMS
 	response.DecidedVersion = s.Policy.DecidedVersion
 	response.CommittedVersion = api.VersionHash{Version: s.Policy.CommittedVersion, Hash: s.Policy.CommittedHash}
--- a/internal/control/membership/apply.go
+++ b/internal/control/membership/apply.go
@@ -25,11 +25,11 @@
 	s.renew(b, terms, &result)
 	s.leave(b.Leaves)
 	for i := range b.Joins {
-		joined := s.join(&b.Joins[i], terms)
-		if joined.RefusedReason == "" {
-			result.Granted[joined.LeaseID] = joined.extended
+		join := s.join(&b.Joins[i], terms)
+		if join.RefusedReason == "" {
+			result.Granted[join.LeaseID] = join.extended
 		}
-		result.Joins = append(result.Joins, joined)
+		result.Joins = append(result.Joins, join)
 	}
 	s.expire(&result, terms)
 	return result
--- a/internal/control/membership/join.go
+++ b/internal/control/membership/join.go
@@ -87,11 +87,11 @@
 }
 
 // refuseJoins refuses all join requests of a batch because the group has lost state.
-func refuseJoins(b *HeartbeatBatch, lost string, result *BatchResult) {
+func refuseJoins(b *HeartbeatBatch, lossProof string, result *BatchResult) {
 	for i := range b.Joins {
 		result.Joins = append(result.Joins, JoinResult{
 			Nonce:         b.Joins[i].Nonce,
-			RefusedReason: "the group has lost state: " + lost,
+			RefusedReason: "the group has lost state: " + lossProof,
 			RetryAfterMS:  maxJoinBackoffMS,
 		})
 	}
