--- a/internal/control/coordinator/batch_timing.go
+++ b/internal/control/coordinator/batch_timing.go
@@ -6,7 +6,7 @@
 	maxBatchIntervalMS = 1000
 	// minBatchIntervalMS is the minimum interval. It bounds the delay of promises and joins during a policy change.
 	minBatchIntervalMS = 100
-	// batchesPerLease limits the interval to a fraction of the lease when heartbeats are waiting.
+	// batchesPerLease divides the lease into intervals that apply while heartbeats wait, within the limits above.
 	batchesPerLease = 8
 )
 
--- a/internal/control/coordinator/coldstart.go
+++ b/internal/control/coordinator/coldstart.go
@@ -71,8 +71,8 @@
 // mayBeFleetRestart decides whether a new node may be among the first of a restart of the whole fleet, so that its
 // share is limited: the first nodes would otherwise get the full load cold.
 //
-// It holds until half of the other nodes, each up longer than the cold-start window, have sent a heartbeat since the
-// node's lease was granted. For a single restart that takes about a second.
+// The limit applies until half of the other nodes, each up longer than the cold-start window, have sent a heartbeat
+// since the node's lease was granted. For a single restart that takes about a second.
 func (l *Leader) mayBeFleetRestart(s *State, n *membership.Node) bool {
 	limitedSinceMS, limited := l.coldStart.limitedSinceMS[n.Lease.ID]
 	if !limited || n.UptimeMS(s.Fleet.ClockMS) > recovery.ColdStartWindowMS {
--- a/internal/control/coordinator/leader.go
+++ b/internal/control/coordinator/leader.go
@@ -14,7 +14,7 @@
 	DisabledZoneGuards zones.Guard  // for fault tests only
 	Level              int          // feature level of the group
 	BatchesSent        uint64       // heartbeat batches appended by this instance
-	BatchBytes         uint64       // total size of their bodies
+	BatchBytes         uint64       // total size of their bodies, in bytes
 
 	group     string
 	leading   bool
@@ -43,7 +43,7 @@
 func (l *Leader) Leading() bool { return l.leading }
 
 // SetRole sets the group, whether this instance leads, and the term. If any of them changes, all pending callers fail
-// with ErrNotLeader and the leader's state is reset.
+// with ErrNotLeader and the state collected as leader is reset.
 func (l *Leader) SetRole(group string, leads bool, term uint64) {
 	if leads == l.leading && term == l.term && group == l.group {
 		return
@@ -178,7 +178,7 @@
 	}
 }
 
-// submitZone queues a zone operation. ErrBusy comes before the check of the zone's phase.
+// submitZone queues a zone operation. A step back of a zone that is not ramping up is rejected at once.
 func (l *Leader) submitZone(s *State, op zones.Op, done func(zones.Result, error)) error {
 	if len(l.zoneOps.pending) >= maxPendingOps {
 		return ErrBusy
--- a/internal/control/policy/generation.go
+++ b/internal/control/policy/generation.go
@@ -19,7 +19,7 @@
 		return
 	}
 	if restored.Hash == "" {
-		// Without the text no version is active. Any proposal from the restored version on is allowed.
+		// The text is lost, so no version is committed. Any proposal from the restored version on is accepted.
 		s.DecidedVersion, s.CommittedVersion, s.CommittedHash, s.Rules = restored.Version-1, 0, "", Rules{}
 		return
 	}
