--- a/internal/control/coordinator/leader_test.go
+++ b/internal/control/coordinator/leader_test.go
@@ -115,15 +115,15 @@
 	if len(got) != 1 || got[0].LeaseID == 0 {
 		t.Fatalf("responses %+v, want one with a lease", got)
 	}
-	released := 0
+	failures := 0
 	g.leaders[0].Heartbeat(g.state, request("b"), func(_ api.HeartbeatResponse, err error) {
 		if errors.Is(err, ErrNotLeader) {
-			released++
+			failures++
 		}
 	})
 	g.lead(1)
-	if released != 1 {
-		t.Errorf("pending heartbeat failed with ErrNotLeader %d times, want 1", released)
+	if failures != 1 {
+		t.Errorf("pending heartbeat failed with ErrNotLeader %d times, want 1", failures)
 	}
 	g.leaders[0].Heartbeat(g.state, request("b"), func(_ api.HeartbeatResponse, err error) {
 		if !errors.Is(err, ErrNotLeader) {
@@ -156,7 +156,7 @@
 // TestNewLeaderListensBeforeGranting: a new leader may have been reset to an older state. It must wait for heartbeats
 // of all nodes that are in, or for the whole listen phase, before it grants a lease.
 func TestNewLeaderListensBeforeGranting(t *testing.T) {
-	for _, allHeard := range []bool{true, false} {
+	for _, allSend := range []bool{true, false} {
 		g := newTestGroup(t)
 		var got responses
 		for _, n := range []string{"a", "b"} {
@@ -176,14 +176,14 @@
 		if granted {
 			t.Fatal("lease granted before b sent a heartbeat")
 		}
-		if allHeard {
+		if allSend {
 			renew(1, "b", func(api.HeartbeatResponse, error) {})
 			g.run(1, 500)
 		} else {
 			g.run(1, maxListenMS)
 		}
 		if !granted {
-			t.Errorf("all nodes sent a heartbeat: %v; no lease granted after the listen phase", allHeard)
+			t.Errorf("all nodes sent a heartbeat: %v; no lease granted after the listen phase", allSend)
 		}
 	}
 }
--- a/internal/control/coordinator/loss_test.go
+++ b/internal/control/coordinator/loss_test.go
@@ -39,17 +39,17 @@
 	if response, err := renew(1, "b", otherGroup); err != nil || response.EndedReason == "" || response.LeaseMS != 0 {
 		t.Fatalf("response %+v (error %v) to a lease of another group, want an ended reason and no lease", response, err)
 	}
-	ahead := func(last *api.GroupPosition) { last.Index += 100 }
-	if _, err := renew(0, "a", ahead); err != nil || g.state.Fleet.LostState != "" {
+	aheadOfGroup := func(last *api.GroupPosition) { last.Index += 100 }
+	if _, err := renew(0, "a", aheadOfGroup); err != nil || g.state.Fleet.LostState != "" {
 		t.Fatalf("evidence from one node: error %v, LostState %q; want none", err, g.state.Fleet.LostState)
 	}
 	g.run(0, evidenceSpanMS)
-	renew(1, "b", ahead)
+	renew(1, "b", aheadOfGroup)
 	if g.state.Fleet.LostState != "" {
 		t.Fatalf("LostState = %q by evidence of two nodes further apart than evidenceSpanMS, want none",
 			g.state.Fleet.LostState)
 	}
-	renew(0, "a", ahead)
+	renew(0, "a", aheadOfGroup)
 	if g.state.Fleet.LostState == "" {
 		t.Fatal("LostState is empty after evidence from two nodes")
 	}
--- a/internal/control/coordinator/rules_test.go
+++ b/internal/control/coordinator/rules_test.go
@@ -52,13 +52,13 @@
 func TestSubmissionsRetryAndBound(t *testing.T) {
 	var q submissions[int, string]
 	var answers []string
-	answer := func(r string, err error) { answers = append(answers, fmt.Sprint(r, " ", err)) }
+	done := func(r string, err error) { answers = append(answers, fmt.Sprint(r, " ", err)) }
 	for range maxPendingOps {
-		if err := q.add(7, answer); err != nil {
+		if err := q.add(7, done); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := q.add(8, answer); !errors.Is(err, ErrBusy) {
+	if err := q.add(8, done); !errors.Is(err, ErrBusy) {
 		t.Errorf("add() beyond maxPendingOps = %v, want %v", err, ErrBusy)
 	}
 	if first, again := len(q.toAppend(1)), len(q.toAppend(1+appendTimeoutMS)); first != maxPendingOps || again != 0 {
@@ -72,7 +72,7 @@
 		t.Errorf("%d answers, %d pending; want %d answers of \"done\" and none pending", len(answers), len(q.pending),
 			maxPendingOps)
 	}
-	if err := q.add(9, answer); err != nil {
+	if err := q.add(9, done); err != nil {
 		t.Fatal(err)
 	}
 	q.fail(ErrNotLeader)
