--- a/internal/control/coordinator/coldstart.go
+++ b/internal/control/coordinator/coldstart.go
@@ -7,24 +7,24 @@
 	"umberwinch/internal/control/recovery"
 )
 
-// censusIntervalMS is how often nodes are counted while some have just begun, in ms. Each response would go through all
-// nodes otherwise, and in a fleet of thousands that restarts the leader would do nothing else.
-const censusIntervalMS = 100
+// fleetCountIntervalMS is the minimum interval between counts of the fleet's nodes, in ms. Counting all nodes for each
+// response would overload the leader when a fleet of thousands restarts.
+const fleetCountIntervalMS = 100
 
-// coldStartLimits is what is known of nodes that have just begun and may be the first of a fleet that restarts as a
-// whole.
+// coldStartLimits tracks new nodes that may be the first of a restart of the whole fleet and are not released to full
+// load yet.
 type coldStartLimits struct {
-	limitedSinceMS map[uint32]uint64 // by lease: when it was granted to a node that was not released to full load yet
-	census         fleetCensus
+	limitedSinceMS map[uint32]uint64 // grant time by lease ID of each node that is not released
+	fleetCount     fleetCount
 }
 
-// fleetCensus is a count of the nodes that are in.
-type fleetCensus struct {
-	atMS   uint64
-	taken  bool
-	in     int
-	byZone map[string]int
-	// warmHeartbeatsMS is when nodes that have been up for long were heard last, the earliest first.
+// fleetCount is a cached count of the nodes that are in.
+type fleetCount struct {
+	countedAtMS uint64
+	valid       bool
+	nodesIn     int
+	byZone      map[string]int
+	// warmHeartbeatsMS are the times of the last heartbeats of nodes up longer than the cold-start window, sorted.
 	warmHeartbeatsMS []uint64
 }
 
@@ -34,10 +34,10 @@
 	}
 }
 
-// release lets a node take its full load; it is not held again.
+// release ends a node's limit for good.
 func (c *coldStartLimits) release(lease uint32) { delete(c.limitedSinceMS, lease) }
 
-// dropEnded forgets leases whose incarnations are not in any more.
+// dropEnded removes leases whose incarnations are no longer in.
 func (c *coldStartLimits) dropEnded(f *membership.State) {
 	for lease := range c.limitedSinceMS {
 		if f.LeaseHolder(lease) == nil {
@@ -46,40 +46,40 @@
 	}
 }
 
-// census counts the nodes that are in, at most every censusIntervalMS.
-func (l *Leader) census(s *State) *fleetCensus {
-	c := &l.coldStart.census
-	if c.taken && l.nowMS-c.atMS < censusIntervalMS {
+// countFleet returns the count of the nodes that are in, at most fleetCountIntervalMS old.
+func (l *Leader) countFleet(s *State) *fleetCount {
+	c := &l.coldStart.fleetCount
+	if c.valid && l.nowMS-c.countedAtMS < fleetCountIntervalMS {
 		return c
 	}
-	*c = fleetCensus{atMS: l.nowMS, taken: true, byZone: map[string]int{}, warmHeartbeatsMS: c.warmHeartbeatsMS[:0]}
+	*c = fleetCount{countedAtMS: l.nowMS, valid: true, byZone: map[string]int{}, warmHeartbeatsMS: c.warmHeartbeatsMS[:0]}
 	for _, n := range s.Fleet.Nodes() {
 		if n.IsOut() {
 			continue
 		}
-		c.in++
+		c.nodesIn++
 		c.byZone[n.Zone]++
-		heardMS := l.zoneMonitor.LastHeard(n)
-		if heardMS > 0 && n.UptimeMS(s.Fleet.ClockMS) > recovery.ColdStartWindowMS {
-			c.warmHeartbeatsMS = append(c.warmHeartbeatsMS, heardMS)
+		lastHeartbeatMS := l.zoneMonitor.LastHeard(n)
+		if lastHeartbeatMS > 0 && n.UptimeMS(s.Fleet.ClockMS) > recovery.ColdStartWindowMS {
+			c.warmHeartbeatsMS = append(c.warmHeartbeatsMS, lastHeartbeatMS)
 		}
 	}
 	slices.Sort(c.warmHeartbeatsMS)
 	return c
 }
 
-// mayBeFirstOfMany decides whether a node that has just begun may be the first of a fleet that restarts as a whole.
+// mayBeFleetRestart decides whether a new node may be among the first of a restart of the whole fleet, so that its
+// share is limited: the first nodes would otherwise get the full load cold.
 //
-// It decides by the node's uptime in ms and by how many other nodes that have been up for long were heard since its
-// lease was granted. Until half of them were, the node takes a share alone: the first nodes of a fleet that restarts
-// would get all of its load, cold. A lone restart is held until the others' next heartbeats, about a second.
-func (l *Leader) mayBeFirstOfMany(s *State, n *membership.Node) bool {
-	since, held := l.coldStart.limitedSinceMS[n.Lease.ID]
-	if !held || n.UptimeMS(s.Fleet.ClockMS) > recovery.ColdStartWindowMS {
+// The limit applies until half of the other nodes, each up longer than the cold-start window, have sent a heartbeat
+// since the node's lease was granted. For a single restart that takes about a second.
+func (l *Leader) mayBeFleetRestart(s *State, n *membership.Node) bool {
+	limitedSinceMS, limited := l.coldStart.limitedSinceMS[n.Lease.ID]
+	if !limited || n.UptimeMS(s.Fleet.ClockMS) > recovery.ColdStartWindowMS {
 		return false
 	}
-	c := l.census(s)
-	first, _ := slices.BinarySearch(c.warmHeartbeatsMS, since)
-	warm, others := len(c.warmHeartbeatsMS)-first, c.in-1
+	c := l.countFleet(s)
+	firstSince, _ := slices.BinarySearch(c.warmHeartbeatsMS, limitedSinceMS)
+	warm, others := len(c.warmHeartbeatsMS)-firstSince, c.nodesIn-1
 	return others > 0 && 2*warm < others
 }
--- a/internal/control/coordinator/generation.go
+++ b/internal/control/coordinator/generation.go
@@ -6,39 +6,39 @@
 	"umberwinch/internal/control/recovery"
 )
 
-// BeginGeneration makes the state the first one of a group's next generation, by what was found of the one before. It
-// gives an error if the text of the version found can't be read.
+// BeginGeneration turns the state into the initial state of the group's next generation, by a restore plan. It returns
+// an error if the text of the plan's version can't be parsed.
 //
-// A change under way has no outcome there: it ends. Zones stand as the newest orders of their nodes say; one of which a
-// node had less than the full share ramps up as any that was evacuated.
-func (s *State) BeginGeneration(found *recovery.RestorePlan, v Versions) error {
+// The current policy change ends. A zone whose newest recorded share is less than the full share starts as
+// evacuated and ramps up like any evacuated zone.
+func (s *State) BeginGeneration(plan *recovery.RestorePlan, v Versions) error {
 	rules := policy.DefaultRules
-	if found.Hash != "" {
+	if plan.Hash != "" {
 		var err error
-		if rules, _, err = (versionCatalog{v}).Check(found.Version, 0); err != nil {
+		if rules, _, err = (versionCatalog{v}).Check(plan.Version, 0); err != nil {
 			return err
 		}
 	}
-	next := found.Lost.NextGeneration("")
+	next := plan.Lost.NextGeneration("")
 	s.Generation, s.Predecessors = next.Generation, next.Predecessors
-	var known []api.JoinRequest
-	for _, r := range found.Records {
-		known = append(known, api.JoinRequest{Name: r.Name, Zone: r.Zone, Addr: r.Addr})
+	var recordedNodes []api.JoinRequest
+	for _, r := range plan.Records {
+		recordedNodes = append(recordedNodes, api.JoinRequest{Name: r.Name, Zone: r.Zone, Addr: r.Addr})
 	}
-	s.Fleet.BeginGeneration(max(found.LeaseMS, rules.LeaseMS), rules.Autonomous, known)
-	if found.Version > 0 || s.Policy.Current != nil {
-		restored := policy.Restored{Version: found.Version, Hash: found.Hash, Rules: rules, Proof: found.Proof}
+	s.Fleet.BeginGeneration(max(plan.LeaseMS, rules.LeaseMS), rules.Autonomous, recordedNodes)
+	if plan.Version > 0 || s.Policy.Current != nil {
+		restored := policy.Restored{Version: plan.Version, Hash: plan.Hash, Rules: rules, Proof: plan.Proof}
 		s.Policy.BeginGeneration(restored, s.Fleet.ClockMS)
 	}
-	s.Zones.BeginGeneration(found.ZoneEpoch, reducedShares(found.Records), s.Fleet)
+	s.Zones.BeginGeneration(plan.ZoneEpoch, reducedShares(plan.Records), s.Fleet)
 	return nil
 }
 
-// reducedShares gives the zones that had less than the full share, by each zone's record of the newest epoch.
+// reducedShares returns the share of each zone with less than the full share in its record of the newest zone epoch.
 func reducedShares(records []api.NodeRecord) map[string]int {
 	newest := map[string]api.NodeRecord{}
 	for _, r := range records {
-		if known, ok := newest[r.Zone]; r.ZoneEpoch > 0 && (!ok || r.ZoneEpoch > known.ZoneEpoch) {
+		if current, ok := newest[r.Zone]; r.ZoneEpoch > 0 && (!ok || r.ZoneEpoch > current.ZoneEpoch) {
 			newest[r.Zone] = r
 		}
 	}
--- a/internal/control/coordinator/helper_test.go
+++ b/internal/control/coordinator/helper_test.go
@@ -7,7 +7,7 @@
 	"umberwinch/internal/control/api"
 )
 
-// testGroup is a state and two instances, of which one leads at a time. The log is the test's.
+// testGroup is a replicated state and two instances, one of which leads at a time. The test commits the entries.
 type testGroup struct {
 	*testing.T
 	state   *State
@@ -23,7 +23,7 @@
 	return text, fmt.Sprint("h", n), n > 0 && n <= 3
 }
 
-func startGroup(t *testing.T) *testGroup {
+func newTestGroup(t *testing.T) *testGroup {
 	g := &testGroup{T: t, state: NewState(0), leaders: [2]*Leader{NewLeader(0), NewLeader(0)}}
 	g.lead(0)
 	return g
@@ -31,21 +31,21 @@
 
 func (g *testGroup) lead(i int) {
 	g.term++
-	for k, s := range g.leaders {
-		s.SetRole("g", k == i, g.term)
+	for j, l := range g.leaders {
+		l.SetRole("g", j == i, g.term)
 	}
 }
 
-// apply commits an entry, and both instances hear its outcome.
+// apply commits an entry and passes its outcome to both instances.
 func (g *testGroup) apply(e Entry, term uint64) {
 	g.Helper()
 	g.index++
-	end, err := g.state.Apply(e.Kind, e.Body, g.index, term, g)
+	outcome, err := g.state.Apply(e.Kind, e.Body, g.index, term, g)
 	if err != nil {
 		g.Fatal(err)
 	}
-	for _, s := range g.leaders {
-		s.EntryApplied(g.state, end)
+	for _, l := range g.leaders {
+		l.EntryApplied(g.state, outcome)
 	}
 }
 
@@ -56,12 +56,12 @@
 	}
 }
 
-// answers gathers responses.
-type answers []api.HeartbeatResponse
+// responses collects successful heartbeat responses.
+type responses []api.HeartbeatResponse
 
-func (a *answers) take(t api.HeartbeatResponse, err error) {
+func (a *responses) add(response api.HeartbeatResponse, err error) {
 	if err == nil {
-		*a = append(*a, t)
+		*a = append(*a, response)
 	}
 }
 
--- a/internal/control/coordinator/loss_evidence.go
+++ b/internal/control/coordinator/loss_evidence.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// nodesToProveLoss is how many nodes have to know of something that the group lacks before the group stops: one
-	// alone may be wrong.
+	// nodesToProveLoss is the number of nodes with evidence of lost state that stops the group. A single node may be
+	// wrong.
 	nodesToProveLoss = 2
-	// evidenceSpanMS is for how long a node's evidence counts, in ms: some heartbeats with their backoff. Longer, one
-	// node that is wrong under two names would stop the group.
+	// evidenceSpanMS is the time for which a node's evidence counts, in ms, long enough for some heartbeats with backoff.
+	// A single faulty node that reports under two names must not stop the group.
 	evidenceSpanMS = 10_000
 )
 
-// lossEvidence is what nodes were told and the state lacks, by the node's name.
+// lossEvidence holds evidence of lost state by node name.
 type lossEvidence map[string]missingState
 
 type missingState struct {
-	what string
-	atMS uint64
+	description  string
+	reportedAtMS uint64
 }
 
-// compareState compares what a node was told last with what the state has, and keeps what the state lacks.
-func (l *Leader) compareState(s *State, r *api.HeartbeatRequest) {
+// recordLossEvidence compares a node's last seen position with the state, and records whether the state lacks it.
+func (l *Leader) recordLossEvidence(s *State, r *api.HeartbeatRequest) {
 	last := r.LastSeen
 	if last == nil || l.DisabledGuards.Has(policy.Proof) {
 		return
 	}
 	group := recovery.GroupState{
-		Group:          l.cluster,
+		Group:          l.group,
 		Generation:     s.Generation,
 		Term:           l.term,
 		Index:          s.Index,
 		DecidedVersion: s.Policy.DecidedVersion,
 		ZoneEpoch:      s.Zones.Epoch,
-		HashOf:         s.hashOf,
+		HashOf:         s.versionHash,
 		ChecksumAt:     s.checksumAt,
 	}
-	node := api.NodeRecord{
+	record := api.NodeRecord{
 		Group:         last.Group,
 		Generation:    max(1, last.Generation),
 		Term:          last.Term,
@@ -54,27 +54,26 @@
 		MinVersion:    r.MinVersion,
 		ZoneEpoch:     r.MinZoneEpoch,
 	}
-	what := group.LostState(&node)
-	if what == "" {
+	missing := group.LostState(&record)
+	if missing == "" {
 		delete(l.evidence, r.Name)
 	} else if len(l.evidence) < membership.MaxNodes {
-		l.evidence[r.Name] = missingState{what, l.nowMS}
+		l.evidence[r.Name] = missingState{missing, l.nowMS}
 	}
 }
 
-// provenLoss decides whether the group has lost state, and gives the proof; empty: it has not, as far as nodes say.
+// provenLoss returns the proof that the group has lost state; empty: there is none.
 //
-// It decides by the evidence of the last evidenceSpanMS and the number of nodes. What a node was told was committed,
-// so a group that does not know it was put back to an older state, and two outcomes of one decision would be
-// possible: it has to stop until an operator restores it. It acts at each tick. Nodes that are wrong together would
-// stop a healthy group.
+// Responses carry committed state only, so a group that lacks a position reported by its nodes was reset to an older
+// state. It could decide the same change twice, and must stop until an operator restores it. Evidence from
+// nodesToProveLoss nodes within evidenceSpanMS is required, or from all nodes of a smaller fleet.
 func (l *Leader) provenLoss(s *State) string {
 	if l.Level < LevelGenerations || len(l.evidence) == 0 {
 		return ""
 	}
 	var names []string
 	for name, e := range l.evidence {
-		if l.nowMS-e.atMS <= evidenceSpanMS {
+		if l.nowMS-e.reportedAtMS <= evidenceSpanMS {
 			names = append(names, name)
 		} else {
 			delete(l.evidence, name)
@@ -84,5 +83,5 @@
 		return ""
 	}
 	sort.Strings(names)
-	return fmt.Sprintf("%s was told of %s; %d nodes say so", names[0], l.evidence[names[0]].what, len(names))
+	return fmt.Sprintf("%s was told of %s; %d nodes say so", names[0], l.evidence[names[0]].description, len(names))
 }
--- a/internal/control/coordinator/submissions.go
+++ b/internal/control/coordinator/submissions.go
@@ -1,21 +1,21 @@
 package coordinator
 
-// maxPendingOps bounds operators' operations that are pending, of each kind: more is a runaway script.
+// maxPendingOps is the maximum number of pending operators' operations of each kind.
 const maxPendingOps = 64
 
-// submissions are the operations of one kind that operators submitted and that are not applied yet.
+// submissions is the queue of operators' operations of one kind that are not applied yet.
 type submissions[Op, Result any] struct {
 	pending []*submission[Op, Result]
 }
 
 type submission[Op, Result any] struct {
-	op     Op
-	sent   bool
-	sentMS uint64 // when it was appended last
-	done   func(Result, error)
+	op           Op
+	appended     bool
+	appendedAtMS uint64 // time of the last append
+	done         func(Result, error)
 }
 
-// add takes an operation; done is called once. It gives ErrBusy at the bound.
+// add queues an operation, or returns ErrBusy if maxPendingOps are pending. done is called once.
 func (q *submissions[Op, Result]) add(op Op, done func(Result, error)) error {
 	if len(q.pending) >= maxPendingOps {
 		return ErrBusy
@@ -24,35 +24,35 @@
 	return nil
 }
 
-// toAppend gives the operations to append now: new ones, and those that count as lost.
+// toAppend returns the operations to append now: new ones and those considered lost.
 func (q *submissions[Op, Result]) toAppend(nowMS uint64) (ops []*Op) {
 	for _, p := range q.pending {
-		if !p.sent || nowMS-p.sentMS > appendTimeoutMS {
-			p.sent, p.sentMS = true, nowMS
+		if !p.appended || nowMS-p.appendedAtMS > appendTimeoutMS {
+			p.appended, p.appendedAtMS = true, nowMS
 			ops = append(ops, &p.op)
 		}
 	}
 	return ops
 }
 
-// applied answers all appended operations that a result is the outcome of.
+// applied completes all appended operations that the result is the outcome of.
 func (q *submissions[Op, Result]) applied(result Result, isOutcomeOf func(*Op) bool) {
-	still := q.pending[:0]
+	remaining := q.pending[:0]
 	for _, p := range q.pending {
-		if p.sent && isOutcomeOf(&p.op) {
+		if p.appended && isOutcomeOf(&p.op) {
 			p.done(result, nil)
 		} else {
-			still = append(still, p)
+			remaining = append(remaining, p)
 		}
 	}
-	q.pending = still
+	q.pending = remaining
 }
 
-// fail answers all operations with an error.
+// fail completes all operations with an error.
 func (q *submissions[Op, Result]) fail(err error) {
-	var none Result
+	var zero Result
 	for _, p := range q.pending {
-		p.done(none, err)
+		p.done(zero, err)
 	}
 	q.pending = nil
 }
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -11,254 +11,254 @@
 
 var terms = LeaseTerms{LeaseMS: 4000}
 
-// fleetTest applies batches to a state.
+// fleetTest applies batches to a node table.
 type fleetTest struct {
 	*testing.T
-	s    *State
-	term uint64
+	state *State
+	term  uint64
 }
 
-func (w *fleetTest) apply(ms uint64, g LeaseTerms, change func(*HeartbeatBatch)) BatchResult {
-	w.Helper()
-	b := &HeartbeatBatch{BatchesBefore: w.s.Batches, ElapsedMS: ms, MinVersion: g.DecidedVersion}
+func (f *fleetTest) apply(ms uint64, terms LeaseTerms, change func(*HeartbeatBatch)) BatchResult {
+	f.Helper()
+	b := &HeartbeatBatch{BatchesBefore: f.state.Batches, ElapsedMS: ms, MinVersion: terms.DecidedVersion}
 	if change != nil {
 		change(b)
 	}
-	return w.s.Apply(b, w.term, g)
+	return f.state.Apply(b, f.term, terms)
 }
 
-func (w *fleetTest) join(name, nonce string, g LeaseTerms) JoinResult {
-	w.Helper()
-	return w.apply(1, g, func(b *HeartbeatBatch) {
+func (f *fleetTest) join(name, nonce string, terms LeaseTerms) JoinResult {
+	f.Helper()
+	return f.apply(1, terms, func(b *HeartbeatBatch) {
 		b.Joins = []api.JoinRequest{{Name: name, Zone: "z", Nonce: nonce + "-00000000"}}
 	}).Joins[0]
 }
 
 func newFleetTest(t *testing.T) *fleetTest { return &fleetTest{t, New(), 1} }
 
-// TestLeases: a node falls silent. If the group counted its lease as run out while the node still acts on it, a change
-// could settle beside a node that serves under the older version. The lease has to outlast its holder's own count, the
-// holder has to be counted out after that, and what was counted out never comes back.
-func TestLeases(t *testing.T) {
-	w := newFleetTest(t)
-	j := w.join("a", "x", terms)
-	if r := w.apply(4000, terms, nil); len(r.CountedOut) > 0 || !w.s.MayServeOlder(w.s.Lookup("a"), 1) {
-		t.Fatalf("counted out with its lease: %+v", r)
+// TestSilentNodeKeepsLeaseUntilExpiry guards against a lease that expires while its holder may still act on it: a
+// change could settle while the holder serves under the older version. A node that was marked out must not return.
+func TestSilentNodeKeepsLeaseUntilExpiry(t *testing.T) {
+	f := newFleetTest(t)
+	j := f.join("a", "x", terms)
+	if r := f.apply(4000, terms, nil); len(r.CountedOut) > 0 || !f.state.MayServeOlder(f.state.Lookup("a"), 1) {
+		t.Fatalf("result %+v while the lease is live, want the node in and able to serve an older version", r)
 	}
-	r := w.apply(LeaseSpanMS(4000)-4000+1, terms, nil)
-	if len(r.CountedOut) != 1 || w.s.LeaseHolder(j.LeaseID) != nil || w.s.MayServeOlder(w.s.Lookup("a"), 1) {
-		t.Fatalf("not counted out after it: %+v", r)
+	r := f.apply(LeaseSpanMS(4000)-4000+1, terms, nil)
+	if len(r.CountedOut) != 1 || f.state.LeaseHolder(j.LeaseID) != nil || f.state.MayServeOlder(f.state.Lookup("a"), 1) {
+		t.Fatalf("result %+v after the lease span, want the node marked out and unable to serve", r)
 	}
-	if r := w.apply(1, terms, func(b *HeartbeatBatch) { b.Renewals = []uint32{j.LeaseID} }); len(r.Granted) != 0 {
-		t.Errorf("what was counted out is renewed: %+v", r)
+	if r := f.apply(1, terms, func(b *HeartbeatBatch) { b.Renewals = []uint32{j.LeaseID} }); len(r.Granted) != 0 {
+		t.Errorf("Granted = %v after a renewal of a node that is out, want none", r.Granted)
 	}
-	if again := w.join("a", "x", terms); again.RefusedReason == "" {
-		t.Error("the incarnation that was counted out joins again")
+	if repeated := f.join("a", "x", terms); repeated.RefusedReason == "" {
+		t.Error("join of an incarnation that was marked out was accepted, want refused")
 	}
-	if next := w.join("a", "y", terms); next.RefusedReason != "" || next.LeaseID == j.LeaseID {
-		t.Errorf("another incarnation: %+v", next)
+	if replacement := f.join("a", "y", terms); replacement.RefusedReason != "" || replacement.LeaseID == j.LeaseID {
+		t.Errorf("join of another incarnation = %+v, want accepted under a new lease", replacement)
 	}
 }
 
-// TestLeaseSpan: a node's clock may run a hundredth slower than the leader's, and a renewal is committed some ticks
-// after it was asked for. The group's count of a lease has to be longer by both.
+// TestLeaseSpan checks the margin for a node's clock that is one percent slow and for the ticks until a renewal
+// commits.
 func TestLeaseSpan(t *testing.T) {
 	for leaseMS, want := range map[uint64]uint64{1000: 1110, 4000: 4140, 10_000: 10_200} {
 		if got := LeaseSpanMS(leaseMS); got != want {
-			t.Errorf("a lease of %d ms is counted for %d ms, expected %d", leaseMS, got, want)
+			t.Errorf("LeaseSpanMS(%d) = %d, want %d", leaseMS, got, want)
 		}
 	}
 }
 
-// TestShorterLease: a policy with a shorter lease comes into force while a node is cut off. The node has not heard of
-// it and acts on its longer lease, so the group has to count that one to its end.
-func TestShorterLease(t *testing.T) {
-	w := newFleetTest(t)
-	j := w.join("a", "x", LeaseTerms{LeaseMS: 10_000})
-	w.apply(100, LeaseTerms{LeaseMS: 1000}, func(b *HeartbeatBatch) { b.Renewals = []uint32{j.LeaseID} })
-	w.apply(9000, LeaseTerms{LeaseMS: 1000}, nil)
-	if !w.s.MayServeOlder(w.s.Lookup("a"), 1) {
-		t.Error("a lease of 10 s is taken as run out after 9.1 s")
+// TestShorterLeaseTermsKeepLongerLease: an unreachable node acts on its longer lease after the policy shortened leases,
+// so that lease must run to its end.
+func TestShorterLeaseTermsKeepLongerLease(t *testing.T) {
+	f := newFleetTest(t)
+	j := f.join("a", "x", LeaseTerms{LeaseMS: 10_000})
+	f.apply(100, LeaseTerms{LeaseMS: 1000}, func(b *HeartbeatBatch) { b.Renewals = []uint32{j.LeaseID} })
+	f.apply(9000, LeaseTerms{LeaseMS: 1000}, nil)
+	if !f.state.MayServeOlder(f.state.Lookup("a"), 1) {
+		t.Error("MayServeOlder = false 9.1 s into a lease of 10 s, want true")
 	}
 }
 
-// TestPromises: a version is decided, and one of two nodes has not heard so. If its lease were extended, it could serve
-// under the older version for ever. Only the node that promises the decided version may get a longer lease.
-func TestPromises(t *testing.T) {
-	w := newFleetTest(t)
-	a, b := w.join("a", "x", terms), w.join("b", "y", terms)
+// TestOnlyPromisingNodesAreRenewed: a node that has not received a decision could serve under the older version
+// indefinitely if its lease were extended. Only a node that promises the decided version may be renewed.
+func TestOnlyPromisingNodesAreRenewed(t *testing.T) {
+	f := newFleetTest(t)
+	a, b := f.join("a", "x", terms), f.join("b", "y", terms)
 	decided := LeaseTerms{LeaseMS: 4000, DecidedVersion: 2}
-	r := w.apply(100, decided, func(x *HeartbeatBatch) {
+	r := f.apply(100, decided, func(x *HeartbeatBatch) {
 		x.Renewals, x.Outdated = []uint32{a.LeaseID}, []uint32{b.LeaseID}
 	})
 	if !r.Granted[a.LeaseID] || r.Granted[b.LeaseID] {
-		t.Fatalf("granted %v", r.Granted)
+		t.Fatalf("Granted = %v, want lease %d extended and lease %d not", r.Granted, a.LeaseID, b.LeaseID)
 	}
-	if got := w.s.NodesServingOlder(2); len(got) != 1 || got[0] != "b" {
-		t.Errorf("may serve under an older one: %v, expected b", got)
+	if got := f.state.NodesServingOlder(2); len(got) != 1 || got[0] != "b" {
+		t.Errorf("NodesServingOlder(2) = %v, want [b]", got)
 	}
-	// A batch made before the decision extends no lease after it.
-	r = w.apply(100, decided, func(x *HeartbeatBatch) { x.MinVersion, x.Renewals = 1, []uint32{b.LeaseID} })
+	// A batch that was built before the decision extends no lease after it.
+	r = f.apply(100, decided, func(x *HeartbeatBatch) { x.MinVersion, x.Renewals = 1, []uint32{b.LeaseID} })
 	if r.Granted[b.LeaseID] {
-		t.Error("a renewal without the promise was granted")
+		t.Error("a renewal without the promise was granted, want no extension")
 	}
-	w.apply(LeaseSpanMS(4000), decided, func(x *HeartbeatBatch) { x.Renewals = []uint32{a.LeaseID} })
-	if got := w.s.NodesServingOlder(2); len(got) != 0 {
-		t.Errorf("after a lease %v may still serve under an older one", got)
+	f.apply(LeaseSpanMS(4000), decided, func(x *HeartbeatBatch) { x.Renewals = []uint32{a.LeaseID} })
+	if got := f.state.NodesServingOlder(2); len(got) != 0 {
+		t.Errorf("NodesServingOlder(2) = %v after the lease span, want none", got)
 	}
 }
 
-// TestNamesUsedTwice: a node restarts within its lease, or two nodes have one name. The newest incarnation stands for
-// the name, and a change still has to wait for the lease of the earlier one.
-func TestNamesUsedTwice(t *testing.T) {
-	w := newFleetTest(t)
-	a := w.join("a", "x", terms)
+// TestReplacedIncarnationKeepsLease: a node restarts within its lease, or two nodes use one name. The newest
+// incarnation holds the name, and a change must still wait for the earlier incarnation's lease.
+func TestReplacedIncarnationKeepsLease(t *testing.T) {
+	f := newFleetTest(t)
+	a := f.join("a", "x", terms)
 	decided := LeaseTerms{LeaseMS: 4000, DecidedVersion: 2}
-	b := w.join("a", "y", decided)
-	if w.s.LeaseHolder(a.LeaseID) != nil || w.s.LeaseHolder(b.LeaseID) == nil {
-		t.Fatal("the first incarnation still counts, or the second does not")
+	b := f.join("a", "y", decided)
+	if f.state.LeaseHolder(a.LeaseID) != nil || f.state.LeaseHolder(b.LeaseID) == nil {
+		t.Fatal("LeaseHolder: want none for the first incarnation, and the node for the second")
 	}
-	if got := w.s.NodesServingOlder(2); len(got) != 1 {
-		t.Errorf("the earlier incarnation is forgotten: %v", got)
+	if got := f.state.NodesServingOlder(2); len(got) != 1 {
+		t.Errorf("NodesServingOlder(2) = %v, want one for the earlier incarnation", got)
 	}
-	w.apply(LeaseSpanMS(4000)+1, decided, func(x *HeartbeatBatch) { x.Renewals = []uint32{b.LeaseID} })
-	if got := w.s.NodesServingOlder(2); len(got) != 0 {
-		t.Errorf("after its lease it is still waited for: %v", got)
+	f.apply(LeaseSpanMS(4000)+1, decided, func(x *HeartbeatBatch) { x.Renewals = []uint32{b.LeaseID} })
+	if got := f.state.NodesServingOlder(2); len(got) != 0 {
+		t.Errorf("NodesServingOlder(2) = %v after the earlier lease expired, want none", got)
 	}
 }
 
-// TestFlapping: a node crashes and restarts in a loop. Each join is an entry of the log and delays decisions, so it has
-// to wait longer each time, within the bound, and what is kept of it has to be bounded.
-func TestFlapping(t *testing.T) {
-	w := newFleetTest(t)
-	taken, longest := 0, uint64(0)
-	for at := 0; at < 600; at++ { // a start each 200 ms for two minutes
-		w.apply(200, terms, nil)
-		j := w.join("a", fmt.Sprint("n", at), terms)
+// TestCrashLoopBacksOff: each join of a node in a crash loop adds to the log and delays decisions. Its joins must back
+// off up to the maximum, and the state kept for it must be bounded.
+func TestCrashLoopBacksOff(t *testing.T) {
+	f := newFleetTest(t)
+	accepted, longestWaitMS := 0, uint64(0)
+	for i := 0; i < 600; i++ { // one start per 200 ms for two minutes
+		f.apply(200, terms, nil)
+		j := f.join("a", fmt.Sprint("n", i), terms)
 		if j.RefusedReason == "" {
-			taken++
-		} else if longest = max(longest, j.RetryAfterMS); j.RetryAfterMS == 0 {
-			t.Fatalf("refused without a time to come back: %+v", j)
+			accepted++
+		} else if longestWaitMS = max(longestWaitMS, j.RetryAfterMS); j.RetryAfterMS == 0 {
+			t.Fatalf("join refused without a retry time: %+v", j)
 		}
-		if n := w.s.Lookup("a"); len(n.EarlierLeases) > maxEarlierLeases || len(n.JoinTimesMS) > maxJoinTimes {
-			t.Fatalf("%d earlier leases, %d starts", len(n.EarlierLeases), len(n.JoinTimesMS))
+		if n := f.state.Lookup("a"); len(n.EarlierLeases) > maxEarlierLeases || len(n.JoinTimesMS) > maxJoinTimes {
+			t.Fatalf("%d earlier leases and %d join times kept, want at most %d and %d", len(n.EarlierLeases),
+				len(n.JoinTimesMS), maxEarlierLeases, maxJoinTimes)
 		}
 	}
-	if taken < 8 || taken > 24 || longest < 8000 || longest > maxJoinBackoffMS {
-		t.Errorf("%d starts taken of 600, longest wait %d ms; expected 8 to 24, 8 to 30 s", taken, longest)
+	if accepted < 8 || accepted > 24 || longestWaitMS < 8000 || longestWaitMS > maxJoinBackoffMS {
+		t.Errorf("%d of 600 joins accepted, longest backoff %d ms; want 8 to 24, and 8000 to %d ms", accepted, longestWaitMS,
+			maxJoinBackoffMS)
 	}
 }
 
-// TestLeaseLost: a process loses its lease over and over, as on a machine that is paused now and then. That is no crash
-// loop: neither its joins nor a restart after them may wait.
-func TestLeaseLost(t *testing.T) {
-	w := newFleetTest(t)
+// TestLostLeaseIsNotCountedAsRestart: a process that repeatedly loses its lease, as on a machine that is paused, is not
+// in a crash loop, so its joins must not back off.
+func TestLostLeaseIsNotCountedAsRestart(t *testing.T) {
+	f := newFleetTest(t)
 	j := JoinResult{}
 	for i := range 20 {
-		if j = w.apply(LeaseSpanMS(terms.LeaseMS), terms, func(b *HeartbeatBatch) {
+		if j = f.apply(LeaseSpanMS(terms.LeaseMS), terms, func(b *HeartbeatBatch) {
 			nonce := fmt.Sprintf("proc-1-%d", i)
 			b.Joins = []api.JoinRequest{{Name: "a", Zone: "z", Addr: "x", Nonce: nonce, SameProcess: i > 0}}
 		}).Joins[0]; j.RefusedReason != "" {
-			t.Fatalf("time %d: %s, %d ms", i, j.RefusedReason, j.RetryAfterMS)
+			t.Fatalf("join %d refused: %s, retry after %d ms; want accepted", i, j.RefusedReason, j.RetryAfterMS)
 		}
 	}
-	if n := w.s.Lookup("a"); len(n.JoinTimesMS) > 1 {
-		t.Errorf("%d starts", len(n.JoinTimesMS))
+	if n := f.state.Lookup("a"); len(n.JoinTimesMS) > 1 {
+		t.Errorf("%d join times, want at most 1", len(n.JoinTimesMS))
 	}
-	for was, c := range map[string]struct {
-		is   string
-		same bool
+	for earlier, c := range map[string]struct {
+		later string
+		same  bool
 	}{"proc-1-3": {"proc-1-4", true}, "proc-2-1": {"proc-1-1", false}, "x": {"x", false}, "": {"y-1", false}} {
-		if IsSameProcess(was, c.is) != c.same {
-			t.Errorf("%q and %q: expected %v", was, c.is, c.same)
+		if IsSameProcess(earlier, c.later) != c.same {
+			t.Errorf("IsSameProcess(%q, %q) = %v, want %v", earlier, c.later, !c.same, c.same)
 		}
 	}
 }
 
-// TestNewLeader: the leader changes while nodes renew with the old one. The new one has heard nobody, and counting them
-// out would stop the whole fleet: it has to listen for the span of a lease first, and the old leader's late batch must
-// change nothing.
-func TestNewLeader(t *testing.T) {
-	w := newFleetTest(t)
-	j := w.join("a", "x", terms)
-	old := &HeartbeatBatch{BatchesBefore: w.s.Batches, ElapsedMS: 3000, Renewals: []uint32{j.LeaseID}}
-	w.apply(4000, terms, nil)
-	w.term = 2
-	if r := w.s.Apply(old, 1, terms); r.Counted || len(r.Granted) > 0 {
-		t.Fatalf("a batch made before another counts: %+v", r)
-	}
-	if r := w.apply(3000, terms, nil); len(r.CountedOut) != 0 {
-		t.Errorf("the new leader's first batch counts out %v", r.CountedOut)
-	}
-	if r := w.apply(LeaseSpanMS(4000)+1, terms, nil); len(r.CountedOut) != 1 {
-		t.Error("who was silent for a lease since it leads is not counted out")
+// TestNewLeaderListensBeforeMarkingOut: a new leader has no heartbeats yet, and marking nodes out at once would stop
+// the whole fleet. It must wait for the span of a lease, and the old leader's late batch must change nothing.
+func TestNewLeaderListensBeforeMarkingOut(t *testing.T) {
+	f := newFleetTest(t)
+	j := f.join("a", "x", terms)
+	old := &HeartbeatBatch{BatchesBefore: f.state.Batches, ElapsedMS: 3000, Renewals: []uint32{j.LeaseID}}
+	f.apply(4000, terms, nil)
+	f.term = 2
+	if r := f.state.Apply(old, 1, terms); r.Applied || len(r.Granted) > 0 {
+		t.Fatalf("result %+v of a batch that was built before another was applied, want it ignored", r)
+	}
+	if r := f.apply(3000, terms, nil); len(r.CountedOut) != 0 {
+		t.Errorf("the new leader's first batch marks out %v, want none", r.CountedOut)
+	}
+	if r := f.apply(LeaseSpanMS(4000)+1, terms, nil); len(r.CountedOut) != 1 {
+		t.Errorf("marked out %v after a silent lease span under the new leader, want [a]", r.CountedOut)
 	}
 }
 
-// TestAutonomousNode: a node that may serve on without the group falls silent. No time bounds what it serves under,
-// so a change has to wait until it is heard, begins anew or is forgotten by an operator.
+// TestAutonomousNode: a silent autonomous node may serve under the older version indefinitely, so a change must wait
+// until it sends a heartbeat, rejoins or is forgotten by an operator.
 func TestAutonomousNode(t *testing.T) {
-	alone := LeaseTerms{LeaseMS: 4000, Autonomous: true}
-	w := newFleetTest(t)
-	w.join("a", "x", alone)
-	w.apply(100_000, alone, nil)
-	if n := w.s.Lookup("a"); n.OutReason != OutSilent || !w.s.MayServeOlder(n, 1) {
-		t.Fatalf("%+v", n)
-	}
-	w.join("a", "y", LeaseTerms{LeaseMS: 4000, Autonomous: true, DecidedVersion: 1})
-	w.apply(LeaseSpanMS(4000)+1, alone, nil)
-	if n := w.s.Lookup("a"); len(n.EarlierLeases) != 0 {
-		t.Errorf("the earlier incarnation is waited for after a lease: %+v", n.EarlierLeases)
-	}
-	w.apply(1, alone, func(b *HeartbeatBatch) { b.Forget = []string{"a"} })
-	if w.s.Lookup("a") != nil || len(w.s.NodesServingOlder(9)) != 0 {
-		t.Error("it is not forgotten")
+	autonomous := LeaseTerms{LeaseMS: 4000, Autonomous: true}
+	f := newFleetTest(t)
+	f.join("a", "x", autonomous)
+	f.apply(100_000, autonomous, nil)
+	if n := f.state.Lookup("a"); n.OutReason != OutSilent || !f.state.MayServeOlder(n, 1) {
+		t.Fatalf("node %+v, want it out as silent and able to serve an older version", n)
+	}
+	f.join("a", "y", LeaseTerms{LeaseMS: 4000, Autonomous: true, DecidedVersion: 1})
+	f.apply(LeaseSpanMS(4000)+1, autonomous, nil)
+	if n := f.state.Lookup("a"); len(n.EarlierLeases) != 0 {
+		t.Errorf("earlier leases %+v after the lease span, want none", n.EarlierLeases)
+	}
+	f.apply(1, autonomous, func(b *HeartbeatBatch) { b.Forget = []string{"a"} })
+	if f.state.Lookup("a") != nil || len(f.state.NodesServingOlder(9)) != 0 {
+		t.Error("the node is still known or blocks a change after it was forgotten")
 	}
 }
 
-// TestTableIsBounded: more names come than the table holds. A name that may still serve must not be dropped for
-// another; of those that are gone the longest gone goes. A snapshot of the full table restores to the same state.
-func TestTableIsBounded(t *testing.T) {
-	w := newFleetTest(t)
+// TestNodeTableIsBounded: a full table must not evict a node that may still serve. A snapshot of the full table must
+// restore to the same state.
+func TestNodeTableIsBounded(t *testing.T) {
+	f := newFleetTest(t)
 	var names []api.JoinRequest
 	for i := 0; i < MaxNodes; i++ {
 		name, nonce := fmt.Sprintf("n%05d", i), fmt.Sprintf("nonce-%05d", i)
 		names = append(names, api.JoinRequest{Name: name, Zone: "z", Nonce: nonce})
 	}
-	w.apply(1, terms, func(b *HeartbeatBatch) { b.Joins = names })
-	if j := w.join("one-more", "x", terms); j.RefusedReason == "" {
-		t.Fatal("one more than the bound joined while all may serve")
+	f.apply(1, terms, func(b *HeartbeatBatch) { b.Joins = names })
+	if j := f.join("one-more", "x", terms); j.RefusedReason == "" {
+		t.Fatal("join accepted by a full table of live nodes, want refused")
 	}
-	w.apply(LeaseSpanMS(4000)+2, terms, nil)
-	if j := w.join("one-more", "x", terms); j.RefusedReason != "" {
-		t.Errorf("after all were counted out: %+v", j)
+	f.apply(LeaseSpanMS(4000)+2, terms, nil)
+	if j := f.join("one-more", "x", terms); j.RefusedReason != "" {
+		t.Errorf("join = %+v after all nodes were marked out, want accepted", j)
 	}
-	raw, err := w.s.Snapshot()
+	raw, err := f.state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	o, err := Restore(raw)
+	restored, err := Restore(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := o.Snapshot()
+	again, err := restored.Snapshot()
 	if err != nil || !bytes.Equal(raw, again) {
-		t.Errorf("loaded and saved it differs (%v)", err)
+		t.Errorf("the snapshot of the restored state differs (error %v)", err)
 	}
-	b := &HeartbeatBatch{BatchesBefore: o.Batches, ElapsedMS: 5,
+	b := &HeartbeatBatch{BatchesBefore: restored.Batches, ElapsedMS: 5,
 		Joins: []api.JoinRequest{{Name: "last", Zone: "z", Nonce: "nonce-last"}}}
-	if x, y := w.s.Apply(b, 1, terms), o.Apply(b, 1, terms); fmt.Sprint(x) != fmt.Sprint(y) {
-		t.Errorf("the same batch does %v and %v", x, y)
+	if x, y := f.state.Apply(b, 1, terms), restored.Apply(b, 1, terms); fmt.Sprint(x) != fmt.Sprint(y) {
+		t.Errorf("result of the batch: original state %v, restored state %v, want equal", x, y)
 	}
 }
 
-// TestBeginGeneration: a group is restored from an old state. Nodes hold leases that this state does not know, so it
-// has to wait for all leases that an earlier generation may have granted, known here or not.
+// TestBeginGeneration: nodes hold leases that a restored state does not know, so it must wait for all leases that an
+// earlier generation may have granted.
 func TestBeginGeneration(t *testing.T) {
-	w := newFleetTest(t)
-	a := w.join("a", "x", terms)
-	w.join("b", "y", LeaseTerms{LeaseMS: 4000, Autonomous: true})
-	raw, err := w.s.Snapshot()
+	f := newFleetTest(t)
+	a := f.join("a", "x", terms)
+	f.join("b", "y", LeaseTerms{LeaseMS: 4000, Autonomous: true})
+	raw, err := f.state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,38 +268,38 @@
 	}
 	known := []api.JoinRequest{{Name: "a", Zone: "z"}, {Name: "c", Zone: "y", Addr: "127.0.0.1:1"}}
 	s.BeginGeneration(6000, false, known)
-	w.s, w.term = s, 9
+	f.state, f.term = s, 9
 	if s.LeaseHolder(a.LeaseID) != nil {
-		t.Fatal("a lease of the old generation is one of the new")
+		t.Fatal("LeaseHolder accepts a lease of the old generation, want none")
 	}
-	if under := fmt.Sprint(s.NodesServingOlder(1)); under != fmt.Sprint([]string{"a", "b", "c", UnknownNodes}) {
-		t.Fatalf("%s may serve under an older version, expected all that are known and those that are not", under)
+	if older := fmt.Sprint(s.NodesServingOlder(1)); older != fmt.Sprint([]string{"a", "b", "c", UnknownNodes}) {
+		t.Fatalf("NodesServingOlder(1) = %s, want all known nodes and the unknown ones", older)
 	}
-	j := w.join("a", "again", LeaseTerms{LeaseMS: 4000, DecidedVersion: 5})
+	j := f.join("a", "again", LeaseTerms{LeaseMS: 4000, DecidedVersion: 5})
 	if j.RefusedReason != "" || j.LeaseID <= a.LeaseID+1000 {
-		t.Fatalf("%+v, expected a number that no earlier generation gave", j)
+		t.Fatalf("join = %+v, want a lease ID that no earlier generation granted", j)
 	}
-	w.apply(LeaseSpanMS(6000)-10, terms, nil)
+	f.apply(LeaseSpanMS(6000)-10, terms, nil)
 	if len(s.NodesServingOlder(1)) == 0 || len(s.NodesOnOlderZoneEpoch(1)) == 0 {
-		t.Fatal("a lease of the old generation was counted as run out before its time")
+		t.Fatal("leases of the old generation expired within their span")
 	}
-	w.apply(10, terms, nil)
-	if under := fmt.Sprint(s.NodesServingOlder(1)); under != "[b]" { // it may go on alone for ever
-		t.Fatalf("%s, expected b alone", under)
+	f.apply(10, terms, nil)
+	if older := fmt.Sprint(s.NodesServingOlder(1)); older != "[b]" { // b is autonomous
+		t.Fatalf("NodesServingOlder(1) = %s, want [b]", older)
 	}
 	if raw, err = s.Snapshot(); err != nil {
 		t.Fatal(err)
 	}
 	if s, err = Restore(raw); err != nil || s.UnknownLeasesExpireMS == 0 {
-		t.Fatalf("%v, hush %d: expected it kept", err, s.UnknownLeasesExpireMS)
+		t.Fatalf("restored UnknownLeasesExpireMS = %d (error %v), want it kept", s.UnknownLeasesExpireMS, err)
 	}
 }
 
-// TestRestoreErrors: a torn or spoilt snapshot is refused by an error that callers can tell from others.
+// TestRestoreErrors: a truncated or corrupt snapshot is rejected with an error that wraps ErrSnapshot.
 func TestRestoreErrors(t *testing.T) {
 	for _, raw := range []string{"", `{"clock":-1}`, `{"nodes":[{"name":"b"},{"name":"a"}]}`} {
 		if _, err := Restore([]byte(raw)); !errors.Is(err, ErrSnapshot) {
-			t.Errorf("%q: found %v, expected one that wraps %v", raw, err, ErrSnapshot)
+			t.Errorf("Restore(%q) = %v, want an error that wraps %v", raw, err, ErrSnapshot)
 		}
 	}
 }
--- a/internal/control/policy/apply.go
+++ b/internal/control/policy/apply.go
@@ -6,13 +6,12 @@
 	"umberwinch/internal/control/membership"
 )
 
-// Apply applies one committed operation at the time and with the nodes of f.
+// Apply applies one committed operation, at the clock and with the nodes of f.
 //
-// Each operation is checked against the state that it meets, not the one that its leader saw. This guards against
-// operations that two leaders appended, or that come late: one that no longer holds changes nothing, and its Result
-// says why.
+// Each operation is checked against the current state, as it may be a duplicate from another leader or out of date. An
+// operation that is no longer valid changes nothing, and its Result carries the rejection.
 func (s *State) Apply(operation Operation, f *membership.State, v Versions, disabled Guard) Result {
-	if o, is := operation.(Propose); is {
+	if o, ok := operation.(Propose); ok {
 		return s.propose(&o.Proposal, f, v)
 	}
 	r := Result{Kind: operation.kind(), ChangeNumber: operation.changeNumber()}
@@ -35,18 +34,18 @@
 	return r
 }
 
-// wrongStep is the rejection of an operation that the change's step does not allow.
-func (c *Change) wrongStep(expected Step) string {
+// wrongStepRejection returns the rejection of an operation that is not valid in the change's step.
+func (c *Change) wrongStepRejection(expected Step) string {
 	return fmt.Sprintf("change %d is %s, expected %s", c.Number, c.Step, expected)
 }
 
-// propose begins a change. A proposal that is repeated under its key gives the change that it began the first time: its
-// sender may not have heard the answer.
+// propose begins a change. A proposal that is repeated under its idempotency key returns the change that it began the
+// first time, as the response may have been lost.
 func (s *State) propose(p *Proposal, f *membership.State, v Versions) Result {
 	r := Result{Kind: OpPropose, IdempotencyKey: p.IdempotencyKey}
-	begun := s.find(func(c *Change) bool { return c.Proposal.IdempotencyKey == p.IdempotencyKey })
-	if begun != nil {
-		r.ChangeNumber = begun.Number
+	existing := s.find(func(c *Change) bool { return c.Proposal.IdempotencyKey == p.IdempotencyKey })
+	if existing != nil {
+		r.ChangeNumber = existing.Number
 		return r
 	}
 	if r.Rejection = s.rejectProposal(p, v); r.Rejection != "" {
@@ -54,7 +53,7 @@
 	}
 	rules, hash, err := v.Check(p.Version, s.CommittedVersion)
 	if err != nil {
-		r.Rejection = clip(err.Error())
+		r.Rejection = truncate(err.Error())
 		return r
 	}
 	s.LastNumber++
@@ -69,16 +68,15 @@
 		DecideByMS:      f.ClockMS + p.PrepareWithinMS,
 		ProposedAtMS:    f.ClockMS,
 	}
-	s.Current.event(f.ClockMS, "proposed by %s: %s", p.Author, p.Reason)
+	s.Current.addEvent(f.ClockMS, "proposed by %s: %s", p.Author, p.Reason)
 	r.ChangeNumber = s.LastNumber
 	return r
 }
 
-// rejectProposal decides why a proposal can't begin a change; empty: it can.
+// rejectProposal returns why a proposal can't begin a change; empty: it can.
 //
-// It decides by the change under way, the versions that are decided and kept, and the rules in force. One change at a
-// time keeps its outcome clear; a version before the decided one would need nodes to break their promise. An exclusive
-// change is rejected where nodes serve on without the group: one that is cut off would hold up all others for ever.
+// Only one change runs at a time, and a version older than the decided one would break the nodes' promises. An
+// exclusive change is rejected while nodes are autonomous: one unreachable node would block it indefinitely.
 func (s *State) rejectProposal(p *Proposal, v Versions) string {
 	switch {
 	case s.Current != nil:
@@ -95,23 +93,23 @@
 	return ""
 }
 
-// decide makes the change's version the decided one. From here on the outcome is fixed: no lease is extended that
-// does not promise the version.
+// decide makes the change's version the decided one. From then on no lease is extended without a promise of that
+// version, and the change can't be aborted.
 //
-// It counts only for the epoch of the fleet that its leader saw. This guards against a node that joined meanwhile and
-// has not prepared: it would be out of service with a version that it can't serve under.
+// It is rejected if the fleet epoch has changed since the leader decided: a node that joined since then has not
+// prepared the version and might be unable to serve under it.
 func (s *State) decide(o *Decide, f *membership.State, disabled Guard) (rejection string) {
 	c := s.Current
 	if c.Step != Preparing {
-		return c.wrongStep(Preparing)
+		return c.wrongStepRejection(Preparing)
 	}
 	if o.FleetEpoch != f.Epoch && !disabled.Has(PrepareAll) {
 		return fmt.Sprintf("decided for the fleet of epoch %d, and it is in %d: a node joined", o.FleetEpoch, f.Epoch)
 	}
 	s.DecidedVersion, c.DecidedAtMS = c.Version, f.ClockMS
-	c.event(f.ClockMS, "decided")
+	c.addEvent(f.ClockMS, "decided")
 	if len(o.LeftBehind) > 0 {
-		c.event(f.ClockMS, "left behind, out of service: %s", Summarize(o.LeftBehind))
+		c.addEvent(f.ClockMS, "left behind, out of service: %s", Summarize(o.LeftBehind))
 	}
 	c.Step = Decided
 	if !c.Proposal.Exclusive {
@@ -120,12 +118,12 @@
 	return ""
 }
 
-// commit puts an exclusive change in force. It counts only once no live lease allows an older version, which guards
-// against two versions at one moment.
+// commit makes an exclusive change's version the committed one. It is rejected while a live lease allows an older
+// version, so that no two versions are served at the same time.
 func (s *State) commit(f *membership.State, disabled Guard) (rejection string) {
 	c := s.Current
 	if c.Step != Decided {
-		return c.wrongStep(Decided)
+		return c.wrongStepRejection(Decided)
 	}
 	if older := f.NodesServingOlder(c.Version); len(older) > 0 && !disabled.Has(LeaseGuard) {
 		return "still under an older one: " + Summarize(older)
@@ -134,40 +132,40 @@
 	return ""
 }
 
-// settle ends a change. It counts only once no live lease allows an older version, which guards against a change that
-// is reported as done while a node that was cut off still serves under the version before.
+// settle ends a committed change. It is rejected while a live lease allows an older version: an unreachable node might
+// still serve under it after the change was reported as settled.
 func (s *State) settle(f *membership.State, disabled Guard) (rejection string) {
 	c := s.Current
 	if c.Step != Committed {
-		return c.wrongStep(Committed)
+		return c.wrongStepRejection(Committed)
 	}
 	if older := f.NodesServingOlder(c.Version); len(older) > 0 && !disabled.Has(LeaseGuard) {
 		return "maybe still under an older one: " + Summarize(older)
 	}
 	c.Step, c.EndedAtMS = Settled, f.ClockMS
-	c.event(f.ClockMS, "settled: nobody can serve under an older one")
-	s.end(c)
+	c.addEvent(f.ClockMS, "settled: nobody can serve under an older one")
+	s.endCurrent(c)
 	return ""
 }
 
-// abort ends a change that is not decided. What is decided is never taken back: nodes may serve under it already, and
-// others would not learn in time that they must not.
+// abort ends a change that is not decided. A decided change is never aborted: nodes may already serve under its version
+// and would not learn of the abort in time.
 func (s *State) abort(o *Abort, f *membership.State, disabled Guard) (rejection string) {
 	c := s.Current
 	if c.Step != Preparing {
 		if !disabled.Has(DecideOnce) || c.Step == Settled {
-			return c.wrongStep(Preparing +
+			return c.wrongStepRejection(Preparing +
 				", as what is decided is not taken back; go back by a change to the older text")
 		}
 		s.DecidedVersion, s.CommittedVersion = c.PreviousVersion, c.PreviousVersion
 	}
 	c.Step, c.EndedAtMS, c.AbortReason = Aborted, f.ClockMS, o.Reason
 	if o.Author != "" {
-		c.event(f.ClockMS, "called off by %s: %s", o.Author, o.Reason)
+		c.addEvent(f.ClockMS, "called off by %s: %s", o.Author, o.Reason)
 	} else {
-		c.event(f.ClockMS, "called off: %s", o.Reason)
+		c.addEvent(f.ClockMS, "called off: %s", o.Reason)
 	}
-	s.end(c)
+	s.endCurrent(c)
 	return ""
 }
 
@@ -176,5 +174,5 @@
 	c := s.Current
 	s.CommittedVersion, s.CommittedHash, s.Rules = c.Version, c.Hash, c.Rules
 	c.Step, c.CommittedAtMS = Committed, f.ClockMS
-	c.event(f.ClockMS, "in force")
+	c.addEvent(f.ClockMS, "in force")
 }
--- a/internal/control/policy/text.go
+++ b/internal/control/policy/text.go
@@ -5,21 +5,21 @@
 	"strings"
 )
 
-// Bounds of texts that go into the log and into answers.
+// Limits of texts in log entries and responses.
 const (
-	maxListedNames     = 8   // names in one text
-	maxNodeReasonBytes = 300 // of one node's reason
+	maxListedNames     = 8   // names listed in a text
+	maxNodeReasonBytes = 300 // bytes of a node's reason
 )
 
-// clip cuts a text of a node or of a check at its bound.
-func clip(s string) string {
-	if len(s) > maxNodeReasonBytes {
-		return s[:maxNodeReasonBytes] + "..."
+// truncate limits a text to maxNodeReasonBytes and marks a cut by an ellipsis.
+func truncate(text string) string {
+	if len(text) > maxNodeReasonBytes {
+		return text[:maxNodeReasonBytes] + "..."
 	}
-	return s
+	return text
 }
 
-// Summarize lists the first names, and says how many more there are.
+// Summarize lists the first names and the number of the others.
 func Summarize(names []string) string {
 	if len(names) > maxListedNames {
 		return fmt.Sprintf("%s and %d more", strings.Join(names[:maxListedNames], ", "), len(names)-maxListedNames)
@@ -27,9 +27,9 @@
 	return strings.Join(names, ", ")
 }
 
-func summarizeBlockers(list []Blocker) string {
+func summarizeBlockers(blockers []Blocker) string {
 	var reasons []string
-	for _, b := range list {
+	for _, b := range blockers {
 		reasons = append(reasons, b.Node+" ("+b.Reason+")")
 	}
 	return Summarize(reasons)
