--- a/admission/pin_stream_test.go
+++ b/admission/pin_stream_test.go
@@ -1,8 +1,6 @@
 package admission
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
 	"math/rand/v2"
 	"testing"
 )
@@ -92,15 +90,21 @@
 // it. It changes with any decision, like recordedDecisions.
 const recordedFaults = "9546d1ae92efaff68a5a963060a22acbae8de2dde5778745e44cb1b297cc1474"
 
+// recordedFaultDecisions and recordedFaultLogLines split it like the hashes of the other stream.
+const (
+	recordedFaultDecisions = "b930af416327b99b31398d759ca33aed57bd2ee3a15e3e2d2bf4b5950f65d291"
+	recordedFaultLogLines  = "7b499205a5805d25616d06de3ff35b1764a6c107243df65c8d58b56bf8f655d9"
+)
+
 // TestRecordedFaults plays what the other stream has not: work that stands still and goes on, backlogs that were read
 // too late, silences, memory that is short, pools with fixed slots, callers by the thousand, a dependency that
 // bears less than one call of this server, wakes that come late, and a second notice to drain. Every branch of
 // every decision is taken by one of the two streams.
 func TestRecordedFaults(t *testing.T) {
-	sum, count := sha256.New(), 0
+	to := newRecording()
 	for seed := range uint64(24) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
-		r := &recorder{sum: sum, rand: rnd, now: 50 * Second, entries: map[uint32]uint32{},
+		r := &recorder{to: to, rand: rnd, now: 50 * Second, entries: map[uint32]uint32{},
 			holders: map[uint32]uint32{}}
 		d := faultDeployment(rnd, r.now)
 		if seed%2 == 0 {
@@ -130,11 +134,8 @@
 			}
 			c.Decide(in, &endingServer{r})
 		}
-		count += r.count
-	}
-	if got := hex.EncodeToString(sum.Sum(nil)); got != recordedFaults {
-		t.Errorf("%d decisions, hash %s, expected %s", count, got, recordedFaults)
 	}
+	to.check(t, recordedFaults, recordedFaultDecisions, recordedFaultLogLines)
 }
 
 // adopted is a deployment under another policy version.
--- a/admission/recorded_test.go
+++ b/admission/recorded_test.go
@@ -9,9 +9,49 @@
 	"testing"
 )
 
-// recorder writes every decision into a hash and plays the server that carries them out.
+// recording hashes the decisions and the log lines of a stream. In the hash of decisions each log line is replaced by
+// a fixed marker, so that the number and the order of the lines still count; the texts are hashed apart.
+type recording struct {
+	joined, decisions, texts hash.Hash
+	noted                    int // decisions and log lines
+	lines                    int // log lines
+}
+
+func newRecording() *recording {
+	return &recording{joined: sha256.New(), decisions: sha256.New(), texts: sha256.New()}
+}
+
+func (r *recording) note(format string, args ...any) {
+	r.noted++
+	fmt.Fprintf(r.joined, format+"\n", args...)
+	fmt.Fprintf(r.decisions, format+"\n", args...)
+}
+
+func (r *recording) log(line string) {
+	r.noted++
+	r.lines++
+	fmt.Fprintf(r.joined, "log %s\n", line)
+	fmt.Fprintln(r.decisions, "log")
+	fmt.Fprintf(r.texts, "%s\n", line)
+}
+
+// check compares the hashes with the recorded ones.
+func (r *recording) check(t *testing.T, joined, decisions, texts string) {
+	t.Helper()
+	if got := hex.EncodeToString(r.joined.Sum(nil)); got != joined {
+		t.Errorf("hash of %d decisions and texts = %s, want %s", r.noted, got, joined)
+	}
+	if got := hex.EncodeToString(r.decisions.Sum(nil)); got != decisions {
+		t.Errorf("hash of %d decisions = %s, want %s", r.noted, got, decisions)
+	}
+	if got := hex.EncodeToString(r.texts.Sum(nil)); got != texts {
+		t.Errorf("hash of %d log lines = %s, want %s", r.lines, got, texts)
+	}
+}
+
+// recorder records every decision and plays the server that carries them out.
 type recorder struct {
-	sum     hash.Hash
+	to      *recording
 	rand    *rand.Rand
 	now     Time
 	wake    Time
@@ -24,7 +64,7 @@
 
 func (r *recorder) note(format string, args ...any) {
 	r.count++
-	fmt.Fprintf(r.sum, format+"\n", args...)
+	r.to.note(format, args...)
 }
 
 func (r *recorder) Run(id uint32)  { r.note("run %d", id); r.running = append(r.running, id) }
@@ -48,7 +88,7 @@
 func (r *recorder) SignalOverload(value float64) { r.note("say %.9f", value) }
 func (r *recorder) SetIdleTimeout(after Time)    { r.note("idle %d", after) }
 func (r *recorder) WakeUp(at Time)               { r.note("wake %d", at); r.wake = at }
-func (r *recorder) Log(line string)              { r.note("log %s", line) }
+func (r *recorder) Log(line string)              { r.count++; r.to.log(line) }
 
 // take takes one out of a list, by chance.
 func (r *recorder) take(list *[]uint32) uint32 {
@@ -104,11 +144,17 @@
 // changes one on purpose puts the new hash here and says why in the commit. Moving code about must not change it.
 const recordedDecisions = "86a6c3cd7e0cbc05c7927ef3f24707f3b6cf7c88b3266bbb08040796f61a566b"
 
+// recordedDecisionsAlone and recordedLogLines split it: the decisions without the texts of log lines, and these texts.
+const (
+	recordedDecisionsAlone = "eb95ce7c57d89c2ebc0df7ffa2f3aa9a58e52e0f586120746805d2ba2f6004d2"
+	recordedLogLines       = "8e522f484ba8b57e7875baf965f00edab1ca22b8a3725bcda0a3aa70c22d7486"
+)
+
 func TestRecordedDecisions(t *testing.T) {
-	sum, count := sha256.New(), 0
+	to := newRecording()
 	for seed := range uint64(24) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		r := &recorder{sum: sum, rand: rnd, now: 50 * Second, entries: map[uint32]uint32{},
+		r := &recorder{to: to, rand: rnd, now: 50 * Second, entries: map[uint32]uint32{},
 			holders: map[uint32]uint32{}}
 		d := &Deployment{Start: r.now, FleetSize: 1 + rnd.IntN(9), Callers: 1 + rnd.IntN(200), Tier: rnd.IntN(2),
 			RoundInterval: 20,
@@ -135,9 +181,6 @@
 			}
 			c.Decide(in, r)
 		}
-		count += r.count
-	}
-	if got := hex.EncodeToString(sum.Sum(nil)); got != recordedDecisions {
-		t.Errorf("%d decisions, hash %s, expected %s", count, got, recordedDecisions)
 	}
+	to.check(t, recordedDecisions, recordedDecisionsAlone, recordedLogLines)
 }
