--- a/admission/admission_queue.go
+++ b/admission/admission_queue.go
@@ -15,8 +15,8 @@
 	return now - t.at[q.head].arrivedAt
 }
 
-// outnumbers says whether as many requests as cores wait: a whole run then passes before the last of them gets a core.
-func (q *admissionQueue) outnumbers(cores float64) bool { return float64(q.length) >= cores }
+// hasOnePerCore says whether as many requests as cores wait: a whole run then passes before the last of them gets a core.
+func (q *admissionQueue) hasOnePerCore(cores float64) bool { return float64(q.length) >= cores }
 
 // admit decides whether a request that was just read joins the tail of the queue, takes another's response, or is
 // shed. It sheds what the process can't finish before it is killed, what would only wait for work that stands still,
@@ -25,7 +25,7 @@
 func (c *Controller) admit(i index, q *Request) {
 	r := &c.requests.at[i]
 	class := &c.classes[r.class]
-	if q.PreviousID != 0 && c.settleRepeat(i, c.requests.find(q.PreviousID)) {
+	if q.PreviousID != 0 && c.resolveRepeat(i, c.requests.find(q.PreviousID)) {
 		return
 	}
 	entryKB := 0.0
@@ -35,7 +35,7 @@
 	switch {
 	case c.drain.active && r.arrivedAt > c.drain.admitBefore:
 		c.shed(i, ReasonDraining)
-	case c.readiness.stalled && (c.limit.slotsTaken > 0 || c.queue.length > 0 || class.runsOnce):
+	case c.readiness.stalled && (c.limit.slotsInUse > 0 || c.queue.length > 0 || class.atMostOnce):
 		// While work stands still one retryable request at a time is admitted, to see whether it finishes again.
 		c.shed(i, ReasonStalled)
 	case r.repeats.original == none && c.memory.exceededBy(r.sizeKB, entryKB):
@@ -55,7 +55,7 @@
 		c.pools.Enqueued(c.now, q)
 	}
 	if r.repeats.original == none {
-		c.rememberArrival(i)
+		c.addEntry(i)
 	}
 	c.review(i)
 }
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -1,31 +1,31 @@
 package admission
 
 const (
-	// aimedAllowanceDivisor: the pace aims at the allowance over it in flight, half. Calls come in bursts and some take
+	// targetAllowanceFraction: the pace aims at the allowance over it in flight, half. Calls come in bursts and some take
 	// longer: closer to the whole the mean may exceed the allowance, further from it the dependency idles.
-	aimedAllowanceDivisor = 2
+	targetAllowanceFraction = 0.5
 	// peakAllowanceFraction is the part of the allowance that is in flight at the most, at any moment, so that no mean
 	// over time can come to the whole of it.
 	peakAllowanceFraction = 0.9
-	// meanAllowanceDivisor: under an allowance of one, a call is made only while the mean in flight is under the peak
+	// meanAllowanceFraction: under an allowance of one, a call is made only while the mean in flight is under the peak
 	// over it, half, so that the call has time to end before the mean is used up.
-	meanAllowanceDivisor = 2
-	// savedCalls is the unused turns of the pace that are saved up, in calls: calls that come in a burst need not wait.
+	meanAllowanceFraction = 0.5
+	// maxBurstCalls is the unused turns of the pace that are saved up, in calls: calls that come in a burst need not wait.
 	// More would let a burst of them reach a dependency that has just recovered.
-	savedCalls = 4
-	// probeFactor is the pace to a next tier that rejects, over what it lets through. Over one, so that the pace finds
+	maxBurstCalls = 4
+	// probeRateFactor is the pace to a next tier that rejects, over what it lets through. Over one, so that the pace finds
 	// its way back; far over one, the tier spends itself on rejections.
-	probeFactor = 1.25
-	// probeExtra is the calls in the window of two seconds that are made in any case: two a second still show when a
+	probeRateFactor = 1.25
+	// minProbeCalls is the calls in the window of two seconds that are made in any case: two a second still show when a
 	// tier that let nothing through has recovered.
-	probeExtra = 4
-	// patienceFactor and patienceExtra: a call is given up no sooner than after so many usual times of one and so long
+	minProbeCalls = 4
+	// minCallTimeoutFactor and minCallTimeoutExtra: a call is given up no sooner than after so many usual times of one and so long
 	// beside, since slow is not lost. More holds slots at a dependency that has stopped.
-	patienceFactor = 2
-	patienceExtra  = Second / 5
-	// maxRejectedCalls is the rejected attempts after which a request that can do without its call does. More holds its
+	minCallTimeoutFactor = 2
+	minCallTimeoutExtra  = Second / 5
+	// maxRejectedAttempts is the rejected attempts after which a request that can do without its call does. More holds its
 	// slot, fewer gives up what a short rejection would have left.
-	maxRejectedCalls = 2
+	maxRejectedAttempts = 2
 	// maxCallAttempts is the attempts after which a request fails whose calls were executed without a result.
 	maxCallAttempts = 3
 	// maxBackoffDoublings: the backoff between attempts doubles from two timer periods to 32, so that rejections don't
@@ -45,34 +45,34 @@
 	abandonedBuckets = abandonedSteps + 1
 )
 
-// callPace decides when calls to the services below are made and how long each may last.
-type callPace struct {
+// callPacer decides when calls to the services below are made and how long each may last.
+type callPacer struct {
 	hasAllowance      bool    // a dependency that states an allowance
-	aimedInFlight     float64 // calls meant to be in flight in the mean
+	targetInFlight    float64 // calls meant to be in flight in the mean
 	maxInFlight       float64
 	cancellationDelay Time
 
-	queue     list // runs that wait for their call, in the order in which the requests arrived
-	next      Time // when the next call may be made
-	inFlight  countAverage
-	abandoned window
-	times     window
-	time      float64 // the last known mean time of a call
-	rejected  window
-	succeeded window
+	queue        list // runs that wait for their call, in the order in which the requests arrived
+	nextCallAt   Time // when the next call may be made
+	inFlight     countAverage
+	abandoned    window
+	callTimes    window
+	meanCallTime float64 // the last known mean time of a call
+	rejected     window
+	succeeded    window
 }
 
-func newCallPace(d *Deployment) callPace {
-	return callPace{
+func newCallPacer(d *Deployment) callPacer {
+	return callPacer{
 		hasAllowance:      d.Dependency == DependencyShared && d.CallAllowance > 0,
-		aimedInFlight:     d.CallAllowance / aimedAllowanceDivisor,
+		targetInFlight:    d.CallAllowance * targetAllowanceFraction,
 		maxInFlight:       d.CallAllowance * peakAllowanceFraction,
 		cancellationDelay: d.CancellationDelay,
 		queue:             newList(),
 		inFlight: countAverage{window: newWindow(inFlightBuckets, max(d.CallAveragingTime, Second)/inFlightBuckets),
 			changedAt: d.Start},
 		abandoned: newWindow(abandonedBuckets, max(d.CancellationDelay, abandonedSteps)/abandonedSteps),
-		times:     newWindow(callBuckets, callStep),
+		callTimes: newWindow(callBuckets, callStep),
 		rejected:  newWindow(callBuckets, callStep),
 		succeeded: newWindow(callBuckets, callStep),
 	}
@@ -81,45 +81,45 @@
 // allows decides whether one more call to a shared dependency may be in flight; abandoned ones count for their
 // cancellation delay. Where the allowance is under one call, calls are made one at a time and only while their mean
 // leaves room.
-func (p *callPace) allows(now Time) bool {
+func (p *callPacer) allows(now Time) bool {
 	abandoned, _ := p.abandoned.sums(now)
 	if n := float64(p.inFlight.count) + abandoned; n > 0 {
 		return n+1 <= p.maxInFlight
 	}
-	return p.maxInFlight >= 1 || p.inFlight.average(now) < p.maxInFlight/meanAllowanceDivisor
+	return p.maxInFlight >= 1 || p.inFlight.average(now) < p.maxInFlight*meanAllowanceFraction
 }
 
-// gap decides the time between calls. To a shared dependency it is the recent time of a call over the number meant to
+// interval decides the time between calls. To a shared dependency it is the recent time of a call over the number meant to
 // be in flight. A next tier states no allowance: while it rejects, the pace follows what it lets through.
-func (p *callPace) gap(now Time) Time {
-	p.time = p.times.mean(now, p.time)
+func (p *callPacer) interval(now Time) Time {
+	p.meanCallTime = p.callTimes.mean(now, p.meanCallTime)
 	if p.hasAllowance {
-		return Time(p.time / p.aimedInFlight)
+		return Time(p.meanCallTime / p.targetInFlight)
 	}
 	if rejected, _ := p.rejected.sums(now); rejected > 0 {
 		succeeded, _ := p.succeeded.sums(now)
-		return Time(float64(p.succeeded.span()) / (probeFactor*succeeded + probeExtra))
+		return Time(float64(p.succeeded.span()) / (probeRateFactor*succeeded + minProbeCalls))
 	}
 	return 0
 }
 
-// made counts a call that was just made.
-func (p *callPace) made(now, gap Time) {
+// recordCall counts a call that was just made.
+func (p *callPacer) recordCall(now, interval Time) {
 	p.inFlight.change(now, 1)
-	p.next = max(p.next, now-savedCalls*gap) + gap
+	p.nextCallAt = max(p.nextCallAt, now-maxBurstCalls*interval) + interval
 }
 
-// abandon counts a call that stays in flight at the dependency for its cancellation delay.
-func (p *callPace) abandon(now Time) {
+// recordAbandoned counts a call that stays in flight at the dependency for its cancellation delay.
+func (p *callPacer) recordAbandoned(now Time) {
 	// In the mean it counts as one call for the whole of its delay.
 	p.inFlight.add(now, float64(p.cancellationDelay), 0)
 	p.abandoned.add(now, 1, 0)
 }
 
 // deadline decides when a call is given up: at the end of the latency objective, but not before it has had
-// patienceFactor usual times and patienceExtra; and at lastUseful at the latest, which leaves time to answer. One that
+// minCallTimeoutFactor usual times and minCallTimeoutExtra; and at lastUseful at the latest, which leaves time to answer. One that
 // must not be repeated lasts until lastUseful.
-func (p *callPace) deadline(now, lastUseful, objectiveEnd Time, runsOnce bool) Time {
+func (p *callPacer) deadline(now, lastUseful, objectiveEnd Time, atMostOnce bool) Time {
 	last := lastUseful
 	if p.hasAllowance && p.maxInFlight < 1 {
 		// Guards against a stalled dependency held by one call of each of hundreds of servers. One call is more than
@@ -127,22 +127,22 @@
 		left := (p.maxInFlight - p.inFlight.average(now)) * float64(p.inFlight.span())
 		last = min(last, now+Time(left)-p.cancellationDelay)
 	}
-	if runsOnce {
+	if atMostOnce {
 		return max(last, now+1)
 	}
-	patience := Time(patienceFactor*p.time) + patienceExtra
-	return max(min(max(objectiveEnd, now+patience), last), now+1)
+	minTimeout := Time(minCallTimeoutFactor*p.meanCallTime) + minCallTimeoutExtra
+	return max(min(max(objectiveEnd, now+minTimeout), last), now+1)
 }
 
-// callRequested takes a run that came to a call.
-func (c *Controller) callRequested(i index) {
+// handleCallRequest takes a run that came to a call.
+func (c *Controller) handleCallRequest(i index) {
 	if i == none || c.requests.at[i].state != running {
 		return
 	}
 	r := &c.requests.at[i]
 	r.enter(awaitingCall)
-	c.tellPoolsAtCall(r, true)
-	c.noteProgress()
+	c.setPoolsAtCall(r, true)
+	c.recordProgress()
 	if !r.answered {
 		c.enqueueCall(i)
 	}
@@ -170,8 +170,8 @@
 
 // makeCalls makes the calls that the pace and the allowance admit.
 func (c *Controller) makeCalls() {
-	gap := c.calls.gap(c.now)
-	for c.calls.queue.head != none && c.calls.next <= c.now {
+	interval := c.calls.interval(c.now)
+	for c.calls.queue.head != none && c.calls.nextCallAt <= c.now {
 		if c.calls.hasAllowance && !c.calls.allows(c.now) {
 			return
 		}
@@ -179,16 +179,16 @@
 		r := &c.requests.at[i]
 		class := &c.classes[r.class]
 		c.dequeueCall(i)
-		c.calls.made(c.now, gap)
+		c.calls.recordCall(c.now, interval)
 		r.enter(inCall)
 		lastUseful, objectiveEnd := r.deadline-c.answerMargin(), r.arrivedAt+class.objective
-		c.writer.Call(r.id, c.calls.deadline(c.now, lastUseful, objectiveEnd, class.runsOnce))
+		c.writer.Call(r.id, c.calls.deadline(c.now, lastUseful, objectiveEnd, class.atMostOnce))
 	}
 }
 
-// callEnded takes the end of a call. A call that was executed with an unknown or bad result stays in flight at the
+// handleCallEnd takes the end of a call. A call that was executed with an unknown or bad result stays in flight at the
 // dependency for its cancellation delay.
-func (c *Controller) callEnded(e CallEnd) {
+func (c *Controller) handleCallEnd(e CallEnd) {
 	i := c.requests.find(e.ID)
 	if i == none || c.requests.at[i].state != inCall {
 		return
@@ -198,17 +198,17 @@
 	r.call.elapsed += e.Elapsed
 	switch e.Outcome {
 	case Succeeded:
-		c.calls.times.add(c.now, float64(e.Elapsed), 1)
+		c.calls.callTimes.add(c.now, float64(e.Elapsed), 1)
 		c.calls.succeeded.add(c.now, 1, 0)
 		r.enter(running)
-		c.tellPoolsAtCall(r, false)
-		c.noteProgress()
+		c.setPoolsAtCall(r, false)
+		c.recordProgress()
 		return
 	case NotExecuted:
 		c.calls.rejected.add(c.now, 1, 0)
 	default:
-		c.calls.times.add(c.now, float64(e.Elapsed), 1)
-		c.calls.abandon(c.now)
+		c.calls.callTimes.add(c.now, float64(e.Elapsed), 1)
+		c.calls.recordAbandoned(c.now)
 	}
 	r.enter(awaitingCall)
 	if !r.answered {
@@ -224,9 +224,9 @@
 	class := &c.classes[r.class]
 	r.call.attempts++
 	switch {
-	case class.canSkipCall && (!rejected || r.call.attempts > maxRejectedCalls):
+	case class.canSkipCall && (!rejected || r.call.attempts > maxRejectedAttempts):
 		c.skipCall(i)
-	case !rejected && (class.runsOnce || r.call.attempts > maxCallAttempts):
+	case !rejected && (class.atMostOnce || r.call.attempts > maxCallAttempts):
 		c.fail(i, ReasonCallFailed)
 	default:
 		backoff := timerPeriod << min(r.call.attempts, maxBackoffDoublings)
@@ -238,13 +238,13 @@
 func (c *Controller) skipCall(i index) {
 	r := &c.requests.at[i]
 	r.enter(running)
-	c.tellPoolsAtCall(r, false)
+	c.setPoolsAtCall(r, false)
 	c.writer.SkipCall(r.id)
 	c.review(i)
 }
 
-// tellPoolsAtCall tells pools that a run stands at a call, which is no work, or goes on.
-func (c *Controller) tellPoolsAtCall(r *record, atCall bool) {
+// setPoolsAtCall tells pools that a run stands at a call, which is no work, or goes on.
+func (c *Controller) setPoolsAtCall(r *record, atCall bool) {
 	if c.pools != nil {
 		c.pools.SetAtCall(c.now, r.id, atCall)
 	}
--- a/admission/class.go
+++ b/admission/class.go
@@ -10,12 +10,12 @@
 type class struct {
 	objective, timeout, idempotencyWindow Time
 
-	lateEarns   bool // a response past the objective still earns
-	canSkipCall bool
-	keyed       bool // repeats are known by their key
-	runsOnce    bool // it must not run twice
+	hasLateValue bool // a response past the objective still earns
+	canSkipCall  bool
+	keyed        bool // repeats are known by their key
+	atMostOnce   bool // it must not run twice
 
-	usualWork       float64 // stands in where a request states none
+	defaultWork     float64 // stands in where a request states none
 	callWeight      float64 // what its call earns, as a share of the most that any class's does
 	runTimes        window  // time of runs, calls included, over their work
 	runTimePerWork  float64 // the last known mean of them; 0 while no run has been seen
@@ -29,26 +29,26 @@
 
 func newClass(h *Handler) class {
 	return class{
-		lateEarns:       h.LateValue > 0,
+		hasLateValue:    h.LateValue > 0,
 		canSkipCall:     h.DegradedValue > 0,
 		keyed:           h.RetrySafety == IdempotencyKeyed,
-		runsOnce:        h.RetrySafety != Retryable,
-		usualWork:       1,
+		atMostOnce:      h.RetrySafety != Retryable,
+		defaultWork:     1,
 		runTimes:        newWindow(runWindowBuckets, runWindowStep),
 		initialWorkTime: float64(h.LatencyObjective) / initialWorkDivisor,
 	}
 }
 
-// adopt takes the terms that a policy version may change.
-func (c *class) adopt(h *Handler, mostCallValue float64) {
+// reconfigure takes the terms that a policy version may change.
+func (c *class) reconfigure(h *Handler, maxCallValue float64) {
 	c.objective, c.timeout, c.idempotencyWindow = h.LatencyObjective, h.Timeout, h.IdempotencyWindow
-	c.callWeight = callValue(h) / mostCallValue
+	c.callWeight = callValue(h) / maxCallValue
 }
 
 // callValue is what is lost when a request of a class goes on without its call.
 func callValue(h *Handler) float64 { return h.Value * (1 - h.DegradedValue) }
 
-// expectedRunTime is how long a run of some work should take, calls included; 0 while no run has been seen.
+// expectedRunTimeOf is how long a run of some work should take, calls included; 0 while no run has been seen.
 func (c *class) expectedRunTime(now Time, work float64) float64 {
 	c.runTimePerWork = c.runTimes.mean(now, c.runTimePerWork)
 	return c.runTimePerWork * work
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -7,19 +7,19 @@
 	// past what it survives a server doesn't recover by itself. More margin idles cores only where nearly all runs
 	// are at calls.
 	ceilingFraction = 0.8
-	// idleDivisor: half of the idle cores are given out at each look, so that two looks at one reading don't give out
+	// idleCoresFraction: half of the idle cores are given out at each look, so that two looks at one reading don't give out
 	// more than there is.
-	idleDivisor = 2
-	// crowdedDivisor: the limit falls while the runs that want cores exceed them by the cores over it, half as many
+	idleCoresFraction = 0.5
+	// overcommitFraction: the limit falls while the runs that want cores exceed them by the cores over it, half as many
 	// again. Runs that begin and end together swing by that much.
-	crowdedDivisor = 2
+	overcommitFraction = 0.5
 )
 
 // concurrencyLimit decides how many runs may be in progress.
 type concurrencyLimit struct {
 	cores          float64
 	runnable       float64 // runs that want a core, by the gauge
-	slotsTaken     int     // by runs in progress, those at calls too; taken in startRun, freed in runEnded
+	slotsInUse     int     // by runs in progress, those at calls too; taken in startRun, freed in handleRunEnd
 	current        int     // the limit that follows the gauge
 	maxRunsPerCore float64
 	warmUp         warmUp
@@ -46,11 +46,11 @@
 
 // adjust decides the limit from the gauge of runnable runs: up while cores idle, requests wait and the limit binds;
 // down by one while clearly more runs want the cores than there are. It is never under the number of cores.
-func (l *concurrencyLimit) adjust(now Time, waiting int) {
+func (l *concurrencyLimit) adjust(now Time, queued int) {
 	switch idle := l.cores - l.runnable; {
-	case waiting > 0 && l.slotsTaken >= l.current && idle > 0:
-		l.current = min(l.slotsTaken+int(math.Ceil(idle/idleDivisor)), l.ceiling(now))
-	case idle < -l.cores/crowdedDivisor:
+	case queued > 0 && l.slotsInUse >= l.current && idle > 0:
+		l.current = min(l.slotsInUse+int(math.Ceil(idle*idleCoresFraction)), l.ceiling(now))
+	case idle < -l.cores*overcommitFraction:
 		l.current--
 	}
 	l.current = max(l.current, int(l.cores))
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -8,8 +8,8 @@
 	idlePeriod = 5 * timerPeriod
 	// wheelBuckets of a timer period reach 80 s, past every client's timeout.
 	wheelBuckets = 4096
-	// maxElapsed bounds the time between two timers that counts: a process that stood still saw nothing.
-	maxElapsed = 2 * idlePeriod
+	// maxTimerInterval bounds the time between two timers that counts: a process that stood still saw nothing.
+	maxTimerInterval = 2 * idlePeriod
 )
 
 // Controller decides for one server. It is for one goroutine.
@@ -26,19 +26,19 @@
 	queueTimeouts queueTimeouts
 	limit         concurrencyLimit
 	memory        memoryAccount
-	calls         callPace
+	calls         callPacer
 	readiness     readiness
 	signal        overloadSignal
 	idle          idleTimeout
 	drain         drain
 	pools         Pools
 
-	terms terms
-	timer timerState
+	settings settings
+	timer    timerState
 }
 
-// terms are the deployment's that several rules go by.
-type terms struct {
+// settings are the deployment's that several rules go by.
+type settings struct {
 	roundInterval     Time
 	cancellation      Cancellation
 	responseReuseTime Time
@@ -47,9 +47,9 @@
 
 // timerState is of the one timer.
 type timerState struct {
-	pending        bool
-	last           Time
-	lastIdlePeriod Time // when the rules that go by idlePeriod were looked at last
+	pending          bool
+	lastFiredAt      Time
+	lastIdlePeriodAt Time // when the rules that go by idlePeriod were looked at last
 }
 
 // New readies a controller for a server that starts now.
@@ -61,21 +61,21 @@
 		arrivals:  newArrivalStats(),
 		limit:     newConcurrencyLimit(d),
 		memory:    newMemoryAccount(d),
-		calls:     newCallPace(d),
+		calls:     newCallPacer(d),
 		readiness: newReadiness(),
 		signal:    overloadSignal{kind: d.OverloadSignal, callers: float64(d.Callers)},
 		idle:      idleTimeout{configured: d.IdleTimeout, announced: d.IdleTimeout, callers: float64(d.Callers)},
 		drain:     drain{grace: d.DrainGrace},
 		pools:     d.Pools,
-		terms: terms{roundInterval: d.RoundInterval, cancellation: d.Cancellation,
+		settings: settings{roundInterval: d.RoundInterval, cancellation: d.Cancellation,
 			responseReuseTime: d.ResponseReuseTime, maxRetryAfter: d.MaxRetryAfter},
-		timer: timerState{last: d.Start, lastIdlePeriod: d.Start},
+		timer: timerState{lastFiredAt: d.Start, lastIdlePeriodAt: d.Start},
 	}
 	for k := range d.Handlers {
 		c.classes = append(c.classes, newClass(&d.Handlers[k]))
 	}
 	c.queueTimeouts = newQueueTimeouts(d, c.classes)
-	c.adoptClasses(d)
+	c.reconfigureClasses(d)
 	return c
 }
 
@@ -83,17 +83,17 @@
 // tenants. What is queued, runs or is known by key stays, with the deadlines under which it came, and so does what
 // was measured.
 func (c *Controller) Adopt(d *Deployment) {
-	c.adoptClasses(d)
-	c.queueTimeouts.adopt(d)
+	c.reconfigureClasses(d)
+	c.queueTimeouts.reconfigure(d)
 }
 
-func (c *Controller) adoptClasses(d *Deployment) {
-	most := nearZero
+func (c *Controller) reconfigureClasses(d *Deployment) {
+	maxValue := nearZero
 	for k := range d.Handlers {
-		most = max(most, callValue(&d.Handlers[k]))
+		maxValue = max(maxValue, callValue(&d.Handlers[k]))
 	}
 	for k := range d.Handlers {
-		c.classes[k].adopt(&d.Handlers[k], most)
+		c.classes[k].reconfigure(&d.Handlers[k], maxValue)
 	}
 }
 
@@ -107,14 +107,14 @@
 	if r.Drain {
 		c.startDrain(r.KillAt)
 	}
-	c.takeEnds(r)
-	c.takeArrivals(r.Arrived)
+	c.handleEnds(r)
+	c.handleArrivals(r.Arrived)
 	for _, id := range r.Disconnected {
-		c.disconnected(c.requests.find(id))
+		c.handleDisconnect(c.requests.find(id))
 	}
 	if r.TimerFired {
 		c.timer.pending = false
-		c.timerFired(r)
+		c.handleTimer(r)
 	}
 	for i := c.timers.expired(&c.requests, c.now); i != none; i = c.timers.expired(&c.requests, c.now) {
 		c.review(i)
@@ -124,20 +124,20 @@
 	c.setTimer()
 }
 
-func (c *Controller) takeEnds(r *Round) {
+func (c *Controller) handleEnds(r *Round) {
 	for _, e := range r.CallEnds {
-		c.callEnded(e)
+		c.handleCallEnd(e)
 	}
 	for _, id := range r.CallRequests {
-		c.callRequested(c.requests.find(id))
+		c.handleCallRequest(c.requests.find(id))
 	}
 	for _, e := range r.RunEnds {
-		c.runEnded(e)
+		c.handleRunEnd(e)
 	}
 }
 
-// takeArrivals registers all requests before it admits the first: what one round brings in is counted as a whole.
-func (c *Controller) takeArrivals(arrived []Request) {
+// handleArrivals registers all requests before it admits the first: what one round brings in is counted as a whole.
+func (c *Controller) handleArrivals(arrived []Request) {
 	for k := range arrived {
 		c.register(&arrived[k])
 	}
@@ -159,30 +159,30 @@
 	}
 }
 
-// timerFired reads the gauges and looks at the rules that go by the clock.
-func (c *Controller) timerFired(r *Round) {
-	elapsed := min(c.now-c.timer.last, maxElapsed)
-	c.timer.last = c.now
+// handleTimer reads the gauges and looks at the rules that go by the clock.
+func (c *Controller) handleTimer(r *Round) {
+	elapsed := min(c.now-c.timer.lastFiredAt, maxTimerInterval)
+	c.timer.lastFiredAt = c.now
 	if r.HasGauges {
 		c.limit.runnable = r.Gauges.Runnable
 		c.limit.adjust(c.now, c.queue.length)
 	}
 	c.tickPools()
-	c.queue.long = c.queue.outnumbers(c.limit.cores) || c.arrivals.queuedUnread(c.now)
+	c.queue.long = c.queue.hasOnePerCore(c.limit.cores) || c.arrivals.readDelayLong(c.now)
 	c.detectStall(elapsed)
-	if line := c.readiness.judgeOverload(c.now, c.limit.cores); line != "" {
+	if line := c.readiness.updateOverload(c.now, c.limit.cores); line != "" {
 		c.writer.Log(line)
 	}
 	c.updateHealth()
-	if c.now-c.timer.lastIdlePeriod < idlePeriod {
+	if c.now-c.timer.lastIdlePeriodAt < idlePeriod {
 		return
 	}
 	c.queueTimeouts.rank(c.now)
 	if r.HasGauges {
 		c.adjustIdleTimeout(r.Gauges.OpenConnections)
 	}
-	c.signalOverload(float64(c.now-c.timer.lastIdlePeriod) / float64(Second))
-	c.timer.lastIdlePeriod = c.now
+	c.signalOverload(float64(c.now-c.timer.lastIdlePeriodAt) / float64(Second))
+	c.timer.lastIdlePeriodAt = c.now
 }
 
 func (c *Controller) tickPools() {
--- a/admission/deadlines.go
+++ b/admission/deadlines.go
@@ -7,13 +7,13 @@
 	// longCallQueueDivisor: calls that earn little are skipped early while the queue of calls takes longer than the
 	// objective over it, an eighth, at their pace.
 	longCallQueueDivisor = 8
-	// recordReview is how often a record is looked at that is kept without an entry.
-	recordReview = Second
+	// recordReviewInterval is how often a record is looked at that is kept without an entry.
+	recordReviewInterval = Second
 )
 
 // answerMargin is how long before its deadline a request is answered: the timer's period, the wheel's step and a round,
 // twice, lest the response reach the client too late.
-func (c *Controller) answerMargin() Time { return 2*timerPeriod + 2*c.terms.roundInterval }
+func (c *Controller) answerMargin() Time { return 2*timerPeriod + 2*c.settings.roundInterval }
 
 // review decides whether the time of a request has come, and when it is to be looked at next.
 func (c *Controller) review(i index) {
@@ -23,7 +23,7 @@
 	if c.drain.active {
 		end = min(end, c.drain.killAt-c.answerMargin())
 	}
-	if r.state == awaitingCall && !class.canSkipCall && !class.lateEarns {
+	if r.state == awaitingCall && !class.canSkipCall && !class.hasLateValue {
 		// Guards against slots held for calls that can't be made; a slow dependency would fill them all with requests
 		// that are past use. Could harm where a response that earns nothing is still wanted.
 		end = min(end, r.arrivedAt+class.objective)
@@ -56,7 +56,7 @@
 	}
 	next := r.entry.expires
 	if next == 0 {
-		next = max(r.entry.recordExpires, c.now+recordReview)
+		next = max(r.entry.recordExpires, c.now+recordReviewInterval)
 	}
 	c.timers.schedule(&c.requests, i, next)
 }
@@ -66,7 +66,7 @@
 func (c *Controller) reviewQueued(i index, end Time) {
 	r := &c.requests.at[i]
 	objective := c.classes[r.class].objective
-	timeout := c.queueTimeouts.timeout(queuedRequest{objective: objective, expectedRunTime: c.expectedRunTime(r),
+	timeout := c.queueTimeouts.timeout(queuedRequest{objective: objective, expectedRunTime: c.expectedRunTimeOf(r),
 		rank: c.queueTimeouts.cell(r).rank, isRetry: r.isRetry}, &c.queue, c.limit.cores)
 	timeoutAt := r.arrivedAt + timeout
 	if c.now >= end {
@@ -90,8 +90,8 @@
 		c.enqueueCall(i)
 		return
 	}
-	skipAt := r.arrivedAt + class.objective - Time(c.calls.time)
-	if Time(c.calls.queue.length)*c.calls.gap(c.now) > class.objective/longCallQueueDivisor {
+	skipAt := r.arrivedAt + class.objective - Time(c.calls.meanCallTime)
+	if Time(c.calls.queue.length)*c.calls.interval(c.now) > class.objective/longCallQueueDivisor {
 		skipAt = min(skipAt, r.call.queuedAt+Time(float64(skipAt-r.call.queuedAt)*class.callWeight*class.callWeight))
 	}
 	if class.canSkipCall && c.now >= skipAt {
--- a/admission/end_of_run.go
+++ b/admission/end_of_run.go
@@ -1,16 +1,16 @@
 package admission
 
-// leaveUnrun takes out a request that never ran. The first of those that wait for it takes its place in the idempotency
+// removeUnrun takes out a request that never ran. The first of those that wait for it takes its place in the idempotency
 // table.
-func (c *Controller) leaveUnrun(i index, shed bool) {
+func (c *Controller) removeUnrun(i index, shed bool) {
 	r := &c.requests.at[i]
 	if r.state == queued {
 		c.dequeue(i, shed)
 	}
 	c.requests.detachRepeat(i)
-	c.forget(r)
+	c.removeEntry(r)
 	if oldest := c.requests.promoteRepeat(i); oldest != none {
-		c.rememberArrival(oldest)
+		c.addEntry(oldest)
 	}
 	c.finish(i)
 }
@@ -28,29 +28,29 @@
 }
 
 // fail answers a request that ran, or waits for a run, with an error, and stops its work where that can be.
-func (c *Controller) fail(i index, why Reason) {
+func (c *Controller) fail(i index, reason Reason) {
 	c.requests.at[i].failed = true
-	c.writer.Fail(c.requests.at[i].id, why)
-	c.stopWaiting(i, true)
+	c.writer.Fail(c.requests.at[i].id, reason)
+	c.detachClient(i, true)
 }
 
-// disconnected takes a request whose client is known to have left. One that must run once runs on: a repeat may want
+// handleDisconnect takes a request whose client is known to have left. One that must run once runs on: a repeat may want
 // its response.
-func (c *Controller) disconnected(i index) {
+func (c *Controller) handleDisconnect(i index) {
 	if i != none && !c.requests.at[i].answered {
-		c.stopWaiting(i, !c.classes[c.requests.at[i].class].runsOnce)
+		c.detachClient(i, !c.classes[c.requests.at[i].class].atMostOnce)
 	}
 }
 
-// stopWaiting ends the wait of a request that is owed no response any more. What runs keeps its slot until its end is
+// detachClient ends the wait of a request that is owed no response any more. What runs keeps its slot until its end is
 // reported.
-func (c *Controller) stopWaiting(i index, stopRun bool) {
+func (c *Controller) detachClient(i index, stopRun bool) {
 	r := &c.requests.at[i]
 	r.answered = true
 	switch r.state {
 	case queued:
 		r.failed = true
-		c.leaveUnrun(i, false)
+		c.removeUnrun(i, false)
 		return
 	case received, awaitingResult:
 		r.failed = true
@@ -61,15 +61,15 @@
 		// until the kernel, which ends a run that stands at a call for too long, reports that.
 		c.dequeueCall(i)
 	case running:
-		if stopRun && c.terms.cancellation != CancelNever && !r.resultShared {
+		if stopRun && c.settings.cancellation != CancelNever && !r.resultShared {
 			c.writer.Stop(r.id)
 		}
 	}
 	c.review(i)
 }
 
-// runEnded takes the end of a run.
-func (c *Controller) runEnded(e RunEnd) {
+// handleRunEnd takes the end of a run.
+func (c *Controller) handleRunEnd(e RunEnd) {
 	i := c.requests.find(e.ID)
 	if i == none {
 		return
@@ -81,29 +81,29 @@
 		return
 	case awaitingResult:
 		r.failed, r.answered = !succeeded, true
-		c.queueTimeouts.classes[r.class].served.add(c.now, indicator(succeeded && inTime), 0)
+		c.queueTimeouts.classes[r.class].served.add(c.now, boolToFloat(succeeded && inTime), 0)
 		c.finish(i)
 		return
 	case awaitingCall:
 		c.dequeueCall(i)
 	case inCall:
 		c.calls.inFlight.change(c.now, -1)
-		c.calls.abandon(c.now)
+		c.calls.recordAbandoned(c.now)
 	}
-	c.limit.slotsTaken--
+	c.limit.slotsInUse--
 	if c.pools != nil {
 		c.pools.Ended(c.now, r.id, succeeded, succeeded && inTime)
 	}
 	c.memory.used -= c.memory.runKB(r.sizeKB)
 	r.failed = r.failed || !succeeded
-	c.measureRun(r, e, inTime)
-	c.rememberResult(r, e.Outcome)
+	c.recordRun(r, e, inTime)
+	c.updateEntry(r, e.Outcome)
 	r.answered = true
 	c.finish(i)
 }
 
-// measureRun takes into account what a run shows of its class.
-func (c *Controller) measureRun(r *record, e RunEnd, inTime bool) {
+// recordRun takes into account what a run shows of its class.
+func (c *Controller) recordRun(r *record, e RunEnd, inTime bool) {
 	demand := &c.queueTimeouts.classes[r.class]
 	if e.Outcome == NotExecuted {
 		demand.served.add(c.now, 0, -1) // no request that any client meant: it doesn't count as read
@@ -111,9 +111,9 @@
 	if e.Outcome != Succeeded {
 		return
 	}
-	c.noteProgress()
+	c.recordProgress()
 	c.readiness.countLate(c.now, !inTime)
-	demand.served.add(c.now, indicator(inTime), 0)
+	demand.served.add(c.now, boolToFloat(inTime), 0)
 	c.classes[r.class].runTimes.add(c.now, float64(e.Elapsed), r.work)
 	demand.work.add(c.now, float64(max(e.Elapsed-r.call.elapsed, 0)), 1)
 }
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -1,11 +1,11 @@
 package admission
 
 const (
-	// entryRounding makes good what rounding to tenths of a millisecond took off an idempotency window, at both ends.
-	entryRounding = 2
-	// sharedReadMemory is the share of memory up to which retryable requests get entries: sharing their responses is a
+	// entryRoundingMargin makes good what rounding to tenths of a millisecond took off an idempotency window, at both ends.
+	entryRoundingMargin = 2
+	// sharedResponseMemoryFraction is the share of memory up to which retryable requests get entries: sharing their responses is a
 	// saving, not a duty, and the rest is left to runs and idempotency windows.
-	sharedReadMemory = 0.8
+	sharedResponseMemoryFraction = 0.8
 )
 
 // repeatAction is what becomes of a request that repeats a known one.
@@ -18,9 +18,9 @@
 	failRepeat                              // the first one ran and failed: its effect may stand
 )
 
-// repeatOf decides what becomes of a request that repeats another of the same key. A request that must run once never
+// repeatActionFor decides what becomes of a request that repeats another of the same key. A request that must run once never
 // runs while an attempt that ran is known. It harms the repeats of a run that fails: they fail with it.
-func repeatOf(repeat index, original *record, originalIndex index, runsOnce bool) repeatAction {
+func repeatActionFor(repeat index, original *record, originalIndex index, atMostOnce bool) repeatAction {
 	switch {
 	case originalIndex == repeat || original.state == received:
 		return treatAsNew // the later of two in one round takes the earlier one's response
@@ -28,23 +28,23 @@
 		return treatAsNew // the first attempt was shed after this one reached the machine
 	case original.state == queued:
 		return queueBehindOriginal
-	case !runsOnce && (original.failed || original.answered && original.state != finished):
+	case !atMostOnce && (original.failed || original.answered && original.state != finished):
 		return treatAsNew
-	case runsOnce && original.failed:
+	case atMostOnce && original.failed:
 		return failRepeat
 	default:
 		return reuseOriginal
 	}
 }
 
-// settleRepeat settles a request that repeats another, or says that it is to be admitted like a new one. The first
+// resolveRepeat settles a request that repeats another, or says that it is to be admitted like a new one. The first
 // one may be known to the server's table alone.
-func (c *Controller) settleRepeat(i, original index) (settled bool) {
-	runsOnce := c.classes[c.requests.at[i].class].runsOnce
+func (c *Controller) resolveRepeat(i, original index) (resolved bool) {
+	atMostOnce := c.classes[c.requests.at[i].class].atMostOnce
 	if c.memory.full() {
 		// Guards against repeats of a hot key that fill the memory. They need no slot, but each waits in memory, and a
 		// few large ones are a good part of a small server's. Could harm where one is about to end.
-		if runsOnce && (original == none || c.requests.at[original].executed) {
+		if atMostOnce && (original == none || c.requests.at[original].executed) {
 			c.fail(i, ReasonMemory)
 		} else {
 			c.shed(i, ReasonMemory)
@@ -55,15 +55,15 @@
 		c.reuseResult(i)
 		return true
 	}
-	first := &c.requests.at[original]
-	switch repeatOf(i, first, original, runsOnce) {
+	originalRecord := &c.requests.at[original]
+	switch repeatActionFor(i, originalRecord, original, atMostOnce) {
 	case queueBehindOriginal:
 		c.requests.attachRepeat(i, original)
 		return false
 	case failRepeat:
 		c.fail(i, ReasonOriginalFailed)
 	case reuseOriginal:
-		first.resultShared = true
+		originalRecord.resultShared = true
 		c.reuseResult(i)
 	default:
 		return false
@@ -82,18 +82,18 @@
 	c.review(i)
 }
 
-// rememberArrival decides whether the idempotency table gets an entry for a request, and for how long: one with a key
+// addEntry decides whether the idempotency table gets an entry for a request, and for how long: one with a key
 // for what is left of its window; a retryable one, whose response others may share, for as long as it may take and be
 // reused.
-func (c *Controller) rememberArrival(i index) {
+func (c *Controller) addEntry(i index) {
 	r := &c.requests.at[i]
 	class := &c.classes[r.class]
 	switch {
 	case class.keyed:
-		r.entry.expires = r.arrivedAt + class.idempotencyWindow + entryRounding
-	case !class.runsOnce && c.terms.responseReuseTime > 0 &&
-		c.memory.used+c.memory.entryKB < c.memory.limit*sharedReadMemory:
-		r.entry.expires = r.arrivedAt + class.objective + c.terms.responseReuseTime
+		r.entry.expires = r.arrivedAt + class.idempotencyWindow + entryRoundingMargin
+	case !class.atMostOnce && c.settings.responseReuseTime > 0 &&
+		c.memory.used+c.memory.entryKB < c.memory.limit*sharedResponseMemoryFraction:
+		r.entry.expires = r.arrivedAt + class.objective + c.settings.responseReuseTime
 	default:
 		return
 	}
@@ -102,21 +102,21 @@
 	c.writer.Remember(r.id, r.entry.expires-c.now)
 }
 
-// rememberResult decides what becomes of the entry of a request whose run has ended. One that must run once keeps it
+// updateEntry decides what becomes of the entry of a request whose run has ended. One that must run once keeps it
 // for its window, unless it was proven not to have run; the response of another is reused while it is fresh.
-func (c *Controller) rememberResult(r *record, outcome Outcome) {
+func (c *Controller) updateEntry(r *record, outcome Outcome) {
 	switch {
-	case c.classes[r.class].runsOnce && outcome != NotExecuted || r.entry.expires == 0:
+	case c.classes[r.class].atMostOnce && outcome != NotExecuted || r.entry.expires == 0:
 	case r.failed:
-		c.forget(r)
+		c.removeEntry(r)
 	default:
-		r.entry.expires = c.now + c.terms.responseReuseTime
-		c.writer.Remember(r.id, c.terms.responseReuseTime)
+		r.entry.expires = c.now + c.settings.responseReuseTime
+		c.writer.Remember(r.id, c.settings.responseReuseTime)
 	}
 }
 
-// forget takes a request's entry out of the table ahead of its time.
-func (c *Controller) forget(r *record) {
+// removeEntry takes a request's entry out of the table ahead of its time.
+func (c *Controller) removeEntry(r *record) {
 	if r.entry.expires > 0 {
 		r.entry.expires, r.entry.recordExpires = 0, c.now
 		c.memory.used -= c.memory.entryKB
--- a/admission/interface.go
+++ b/admission/interface.go
@@ -186,9 +186,9 @@
 	Stop(id uint32) // stops a run whose result nobody waits for; it is not run again
 	// Shed rejects a request that never ran. One with noRetry is not to be tried elsewhere; retryAfter is how long its
 	// caller should stay away.
-	Shed(id uint32, why Reason, noRetry bool, retryAfter Time)
+	Shed(id uint32, reason Reason, noRetry bool, retryAfter Time)
 	// Fail answers a request that ran, or waits for another's run, with an error.
-	Fail(id uint32, why Reason)
+	Fail(id uint32, reason Reason)
 	// Call makes the call that the run stands at. A CallEnd tells its end, soon after the deadline at the latest.
 	Call(id uint32, deadline Time)
 	SkipCall(id uint32) // the run goes on without its call
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -1,8 +1,8 @@
 package admission
 
-// usableMemory is the share of memory that may be planned with. The rest is for what one round brings in: it is counted
+// usableMemoryFraction is the share of memory that may be planned with. The rest is for what one round brings in: it is counted
 // only after it was read. More wastes memory, less lets one burst of large requests overrun it.
-const usableMemory = 0.95
+const usableMemoryFraction = 0.95
 
 // memoryAccount counts the memory of requests, runs and entries of the idempotency table, in KB.
 type memoryAccount struct {
@@ -12,7 +12,7 @@
 }
 
 func newMemoryAccount(d *Deployment) memoryAccount {
-	return memoryAccount{limit: d.MemoryKB * usableMemory, runFactor: d.RunMemoryFactor, entryKB: d.TableEntryKB}
+	return memoryAccount{limit: d.MemoryKB * usableMemoryFraction, runFactor: d.RunMemoryFactor, entryKB: d.TableEntryKB}
 }
 
 // runKB is what a run takes beyond its waiting request.
--- a/admission/queue_timeout.go
+++ b/admission/queue_timeout.go
@@ -11,27 +11,27 @@
 	// than one, since half of all runs take longer than usual. More sheds what would have been in time, less admits
 	// what will be late.
 	runTimeReserve = 1.3
-	// longestTimeoutDivisor: a request waits for its objective over it at the most, half, so that what starts has time
+	// maxTimeoutFraction: a request waits for its objective over it at the most, half, so that what starts has time
 	// to run and to make its calls.
-	longestTimeoutDivisor = 2
-	// shortestTimeoutDivisor: it may wait for its objective over it at the least, an eighth, also if runs take longer
+	maxTimeoutFraction = 0.5
+	// minTimeoutFraction: it may wait for its objective over it at the least, an eighth, also if runs take longer
 	// than the objective: what shows recovery must be admitted.
-	shortestTimeoutDivisor = 8
-	// minValueFactor is the part of its timeout that is left to what earns least while the queue is long. Not 0: a
+	minTimeoutFraction = 0.125
+	// minRankFactor is the part of its timeout that is left to what earns least while the queue is long. Not 0: a
 	// lull of a few runs is still used, and its class is still measured.
-	minValueFactor = 0.1
-	// minQueuedToReorder is the requests that have to be queued before timeouts are shortened by value; half the cores'
+	minRankFactor = 0.1
+	// minQueuedToShorten is the requests that have to be queued before timeouts are shortened by value; half the cores'
 	// number where that is more. With fewer, a request shed for another's sake could leave a core idle.
-	minQueuedToReorder = 2.0
+	minQueuedToShorten = 2.0
 	// retryTimeoutDivisor shortens the wait of retries and hedged requests. Their objective runs from the first
 	// attempt, so part of it is gone, and they take places from requests with more time.
 	retryTimeoutDivisor = 3.0
-	// worstClassFade: the extra weight of the worst class is gone at a lead of one over it in the share served, a
+	// worstClassSlope: the extra weight of the worst class is gone at a lead of one over it in the share served, a
 	// tenth. A step there would let two classes swap places at each look.
-	worstClassFade = 10.0
-	// clearlyMore is the factor by which a utility has to exceed another to rank above it: measured work differs by a
+	worstClassSlope = 10.0
+	// minUtilityRatio is the factor by which a utility has to exceed another to rank above it: measured work differs by a
 	// few per cent from look to look.
-	clearlyMore = 1.05
+	minUtilityRatio = 1.05
 
 	// demandBuckets and demandStep: arrivals are counted over five seconds, some dozens at a server's rate, and shorter
 	// than a surge lasts.
@@ -80,63 +80,63 @@
 }
 
 func newQueueTimeouts(d *Deployment, classes []class) queueTimeouts {
-	b := queueTimeouts{
+	q := queueTimeouts{
 		tier:            float64(d.Tier),
 		valuePerWork:    d.ValuePerWork,
 		overQuotaWeight: d.OverQuotaWeight,
 		// A level keeps the lowest classes away unread: what is read here doesn't show which class is worst.
-		worstClassWeight: d.WorstClassWeight * indicator(d.OverloadSignal != SignalLevel),
+		worstClassWeight: d.WorstClassWeight * boolToFloat(d.OverloadSignal != SignalLevel),
 	}
 	for k := range classes {
-		b.classes = append(b.classes, classDemand{work: newWindow(runWindowBuckets, runWindowStep),
+		q.classes = append(q.classes, classDemand{work: newWindow(runWindowBuckets, runWindowStep),
 			workTime: classes[k].initialWorkTime, served: newWindow(servedBuckets, servedStep)})
 	}
 	for range d.Tenants {
-		b.tenants = append(b.tenants, tenantDemand{arrivals: newWindow(demandBuckets, demandStep), weight: 1})
+		q.tenants = append(q.tenants, tenantDemand{arrivals: newWindow(demandBuckets, demandStep), weight: 1})
 	}
-	b.adopt(d)
-	if len(b.tenants) == 0 {
-		b.tenants = append(b.tenants, tenantDemand{arrivals: newWindow(1, Second), weight: 1, fair: math.Inf(1)})
+	q.reconfigure(d)
+	if len(q.tenants) == 0 {
+		q.tenants = append(q.tenants, tenantDemand{arrivals: newWindow(1, Second), weight: 1, fair: math.Inf(1)})
 	}
-	b.cells = make([]demandCell, len(b.classes)*len(b.tenants))
-	for k := range b.cells {
-		b.cells[k].work, b.cells[k].rank = newWindow(demandBuckets, demandStep), 1
-		b.byUtility = append(b.byUtility, k)
+	q.cells = make([]demandCell, len(q.classes)*len(q.tenants))
+	for k := range q.cells {
+		q.cells[k].work, q.cells[k].rank = newWindow(demandBuckets, demandStep), 1
+		q.byUtility = append(q.byUtility, k)
 	}
-	return b
+	return q
 }
 
-// adopt takes the values and quotas that a policy version may change.
-func (b *queueTimeouts) adopt(d *Deployment) {
+// reconfigure takes the values and quotas that a policy version may change.
+func (q *queueTimeouts) reconfigure(d *Deployment) {
 	for k := range d.Handlers {
-		b.classes[k].value = d.Handlers[k].Value
+		q.classes[k].value = d.Handlers[k].Value
 	}
 	for k, tenant := range d.Tenants {
-		t := &b.tenants[k]
+		t := &q.tenants[k]
 		t.fair = tenant.Quota / float64(d.FleetSize) * float64(t.arrivals.span()) / float64(Second)
 	}
 }
 
 // tenantOf gives the tenant of a request; one that isn't known counts as the first.
-func (b *queueTimeouts) tenantOf(tenant int) int32 {
-	if tenant > 0 && tenant < len(b.tenants) {
+func (q *queueTimeouts) tenantOf(tenant int) int32 {
+	if tenant > 0 && tenant < len(q.tenants) {
 		return int32(tenant)
 	}
 	return 0
 }
 
-func (b *queueTimeouts) cell(r *record) *demandCell {
-	return &b.cells[int(r.class)*len(b.tenants)+int(r.tenant)]
+func (q *queueTimeouts) cell(r *record) *demandCell {
+	return &q.cells[int(r.class)*len(q.tenants)+int(r.tenant)]
 }
 
 // requestRead counts a request as demand.
-func (b *queueTimeouts) requestRead(now Time, r *record) {
+func (q *queueTimeouts) requestRead(now Time, r *record) {
 	if !r.isRetry {
 		// Retries of what was shed would make a tenant look beyond its quota.
-		b.tenants[r.tenant].arrivals.add(now, 1, 0)
+		q.tenants[r.tenant].arrivals.add(now, 1, 0)
 	}
-	class := &b.classes[r.class]
-	b.cell(r).work.add(now, class.workTime, 1)
+	class := &q.classes[r.class]
+	q.cell(r).work.add(now, class.workTime, 1)
 	class.served.add(now, 0, 1)
 }
 
@@ -153,13 +153,13 @@
 // objective is divided by n+1, as the tiers before have used their part. While the queue is long, timeouts shrink with
 // the square of the rank, down to a tenth for what earns least for its work, so that the cores go to what earns most;
 // those of retries are a third. It may harm a brief burst that the cores would have caught up with.
-func (b *queueTimeouts) timeout(r queuedRequest, queue *admissionQueue, cores float64) Time {
-	objective := float64(r.objective) / (1 + b.tier)
-	shortest, longest := objective/shortestTimeoutDivisor, objective/longestTimeoutDivisor
-	timeout := min(max(objective-runTimeReserve*r.expectedRunTime, shortest), longest)
+func (q *queueTimeouts) timeout(r queuedRequest, queue *admissionQueue, cores float64) Time {
+	objective := float64(r.objective) / (1 + q.tier)
+	minTimeout, maxTimeout := objective*minTimeoutFraction, objective*maxTimeoutFraction
+	timeout := min(max(objective-runTimeReserve*r.expectedRunTime, minTimeout), maxTimeout)
 	if queue.long {
-		if float64(queue.length) > max(cores/2, minQueuedToReorder) {
-			timeout *= minValueFactor + (1-minValueFactor)*r.rank*r.rank
+		if float64(queue.length) > max(cores/2, minQueuedToShorten) {
+			timeout *= minRankFactor + (1-minRankFactor)*r.rank*r.rank
 		}
 		if r.isRetry {
 			timeout /= retryTimeoutDivisor
@@ -169,37 +169,37 @@
 }
 
 // rank finds what each class of each tenant earns for its work, and how much of the recent work earns less.
-func (b *queueTimeouts) rank(now Time) {
-	b.weighTenants(now)
-	b.weighCells(b.measureClasses(now))
-	slices.SortStableFunc(b.byUtility, func(i, j int) int {
-		return cmp.Compare(b.cells[i].utility, b.cells[j].utility)
+func (q *queueTimeouts) rank(now Time) {
+	q.weighTenants(now)
+	q.weighCells(q.measureClasses(now))
+	slices.SortStableFunc(q.byUtility, func(i, j int) int {
+		return cmp.Compare(q.cells[i].utility, q.cells[j].utility)
 	})
-	b.rankCells(now)
+	q.rankCells(now)
 }
 
 // weighTenants decides what a request of each tenant counts for: in full up to its fair arrivals, and what is beyond
 // them as the deployment says.
-func (b *queueTimeouts) weighTenants(now Time) {
-	for k := range b.tenants {
-		t := &b.tenants[k]
+func (q *queueTimeouts) weighTenants(now Time) {
+	for k := range q.tenants {
+		t := &q.tenants[k]
 		arrivals, _ := t.arrivals.sums(now)
 		t.weight = 1
 		if arrivals > t.fair {
-			t.weight = b.overQuotaWeight + (1-b.overQuotaWeight)*t.fair/arrivals
+			t.weight = q.overQuotaWeight + (1-q.overQuotaWeight)*t.fair/arrivals
 		}
 	}
 }
 
 // measureClasses gives the share served of the worst class, and the value asked for by all.
-func (b *queueTimeouts) measureClasses(now Time) (worstFraction, valueDemanded float64) {
+func (q *queueTimeouts) measureClasses(now Time) (worstFraction, valueDemanded float64) {
 	worstFraction = 1.0
-	for k := range b.classes {
-		c := &b.classes[k]
+	for k := range q.classes {
+		c := &q.classes[k]
 		c.workTime = c.work.mean(now, c.workTime)
 		_, requests := c.served.sums(now)
 		c.servedFraction, c.valueDemanded = c.served.mean(now, 1), requests*c.value
-		if b.valuePerWork {
+		if q.valuePerWork {
 			c.valueDemanded *= c.workTime
 		}
 		worstFraction, valueDemanded = min(worstFraction, c.servedFraction), valueDemanded+c.valueDemanded
@@ -209,13 +209,13 @@
 
 // weighCells decides what each class of each tenant earns for its work. If the worst class counts apart, a request of
 // it adds to that as well, by its part of the value asked for. It may harm the others where a class fails by itself.
-func (b *queueTimeouts) weighCells(worstFraction, valueDemanded float64) {
-	for k := range b.cells {
-		cell, c := &b.cells[k], &b.classes[k/len(b.tenants)]
-		closeness := max(0, 1-worstClassFade*(c.servedFraction-worstFraction))
-		extra := b.worstClassWeight * closeness * valueDemanded / max(c.valueDemanded, nearZero)
-		cell.utility = c.value * b.tenants[k%len(b.tenants)].weight * (1 + extra)
-		if !b.valuePerWork {
+func (q *queueTimeouts) weighCells(worstFraction, valueDemanded float64) {
+	for k := range q.cells {
+		cell, c := &q.cells[k], &q.classes[k/len(q.tenants)]
+		closeness := max(0, 1-worstClassSlope*(c.servedFraction-worstFraction))
+		extra := q.worstClassWeight * closeness * valueDemanded / max(c.valueDemanded, nearZero)
+		cell.utility = c.value * q.tenants[k%len(q.tenants)].weight * (1 + extra)
+		if !q.valuePerWork {
 			cell.utility /= max(c.workTime, 1)
 		}
 	}
@@ -223,20 +223,20 @@
 
 // rankCells gives each cell the share of work that earns clearly less, of all the work that earns less than the best.
 // Cells that earn alike rank alike; where nothing earns less, all are at the top and no timeout is shortened.
-func (b *queueTimeouts) rankCells(now Time) {
-	work, less, utility := 0.0, 0.0, 0.0
-	for _, k := range b.byUtility {
-		cell := &b.cells[k]
-		if cell.utility > clearlyMore*utility {
-			less, utility = work, cell.utility
+func (q *queueTimeouts) rankCells(now Time) {
+	work, lowerWork, utility := 0.0, 0.0, 0.0
+	for _, k := range q.byUtility {
+		cell := &q.cells[k]
+		if cell.utility > minUtilityRatio*utility {
+			lowerWork, utility = work, cell.utility
 		}
-		cell.rank = less
+		cell.rank = lowerWork
 		cellWork, _ := cell.work.sums(now)
 		work += cellWork
 	}
-	for k := range b.cells {
-		cell := &b.cells[k]
-		if cell.rank /= max(less, 1); less == 0 {
+	for k := range q.cells {
+		cell := &q.cells[k]
+		if cell.rank /= max(lowerWork, 1); lowerWork == 0 {
 			cell.rank = 1
 		}
 	}
--- a/admission/request_table.go
+++ b/admission/request_table.go
@@ -47,9 +47,9 @@
 
 // repeatState ties those together that wait for the same run.
 type repeatState struct {
-	original index // whose run it waits for
-	newest   index // the newest of those that wait for its run
-	link     link  // among those that wait for the same run
+	original     index // whose run it waits for
+	newestRepeat index // the newest of those that wait for its run
+	link         link  // among those that wait for the same run
 }
 
 // requestTable keeps the records of all known requests and finds them by their ids.
@@ -79,7 +79,7 @@
 		i = index(len(t.at))
 		t.at = append(t.at, record{})
 	}
-	t.at[i] = record{id: id, bucket: unscheduled, repeats: repeatState{original: none, newest: none}}
+	t.at[i] = record{id: id, bucket: unscheduled, repeats: repeatState{original: none, newestRepeat: none}}
 	t.ids[id] = i
 	return i
 }
@@ -95,11 +95,11 @@
 		p = t.at[p].repeats.original
 	}
 	repeat, original := &t.at[i], &t.at[p]
-	repeat.repeats.original, repeat.repeats.link = p, link{none, original.repeats.newest}
-	if original.repeats.newest != none {
-		t.at[original.repeats.newest].repeats.link.prev = i
+	repeat.repeats.original, repeat.repeats.link = p, link{none, original.repeats.newestRepeat}
+	if original.repeats.newestRepeat != none {
+		t.at[original.repeats.newestRepeat].repeats.link.prev = i
 	}
-	original.repeats.newest = i
+	original.repeats.newestRepeat = i
 }
 
 // detachRepeat takes i from those that wait for the same run.
@@ -110,7 +110,7 @@
 	}
 	place := repeat.repeats.link
 	if place.prev == none {
-		t.at[repeat.repeats.original].repeats.newest = place.next
+		t.at[repeat.repeats.original].repeats.newestRepeat = place.next
 	} else {
 		t.at[place.prev].repeats.link.next = place.next
 	}
@@ -123,15 +123,15 @@
 // promoteRepeat makes the oldest of those that wait for i the one that the others wait for, and gives it, or none.
 func (t *requestTable) promoteRepeat(i index) index {
 	oldest := none
-	for k := t.at[i].repeats.newest; k != none; k = t.at[k].repeats.link.next {
+	for k := t.at[i].repeats.newestRepeat; k != none; k = t.at[k].repeats.link.next {
 		oldest = k
 	}
 	if oldest == none {
 		return none
 	}
 	t.detachRepeat(oldest)
-	t.at[oldest].repeats.newest, t.at[i].repeats.newest = t.at[i].repeats.newest, none
-	for k := t.at[oldest].repeats.newest; k != none; k = t.at[k].repeats.link.next {
+	t.at[oldest].repeats.newestRepeat, t.at[i].repeats.newestRepeat = t.at[i].repeats.newestRepeat, none
+	for k := t.at[oldest].repeats.newestRepeat; k != none; k = t.at[k].repeats.link.next {
 		t.at[k].repeats.original = oldest
 	}
 	return oldest
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -56,7 +56,7 @@
 		{100, 3, 0, 16},   // never over the ceiling
 		{100, 0, 3.5, 16}, // kept while nothing presses
 	} {
-		l.slotsTaken, l.runnable = step.running, step.runnable
+		l.slotsInUse, l.runnable = step.running, step.runnable
 		if l.adjust(0, step.waiting); l.current != step.want {
 			t.Errorf("step %d: limit %d, expected %d", k, l.current, step.want)
 		}
@@ -65,19 +65,19 @@
 
 // TestCallAllowance: what is in flight, abandoned calls included, stays under nine tenths of the allowance.
 func TestCallAllowance(t *testing.T) {
-	p := newCallPace(&Deployment{Dependency: DependencyShared, CallAllowance: 4, CancellationDelay: Second})
+	p := newCallPacer(&Deployment{Dependency: DependencyShared, CallAllowance: 4, CancellationDelay: Second})
 	now := 10 * Second
 	for range 3 {
 		if !p.allows(now) {
 			t.Fatalf("%d in flight, no other allowed; expected three", p.inFlight.count)
 		}
-		p.made(now, 0)
+		p.recordCall(now, 0)
 	}
 	if p.allows(now) {
 		t.Error("a fourth call is allowed, expected three of an allowance of four")
 	}
 	p.inFlight.change(now, -1)
-	p.abandon(now)
+	p.recordAbandoned(now)
 	if p.allows(now) {
 		t.Error("a call is allowed for one that was abandoned and is still in flight")
 	}
@@ -90,12 +90,12 @@
 // request's deadline; under an allowance of one it lasts at most for what the mean has left.
 func TestCallDeadline(t *testing.T) {
 	d := &Deployment{Dependency: DependencyShared, CallAllowance: 4}
-	p, now := newCallPace(d), 10*Second
+	p, now := newCallPacer(d), 10*Second
 	if got := p.deadline(now, now+3*Second, now+Second, false); got != now+Second {
 		t.Errorf("repeatable: %d, expected a second", got-now)
 	}
-	if got := p.deadline(now, now+3*Second, now-Second, false); got != now+patienceExtra {
-		t.Errorf("repeatable past its objective: %d, expected %d", got-now, patienceExtra)
+	if got := p.deadline(now, now+3*Second, now-Second, false); got != now+minCallTimeoutExtra {
+		t.Errorf("repeatable past its objective: %d, expected %d", got-now, minCallTimeoutExtra)
 	}
 	if got := p.deadline(now, now+3*Second, now+Second, true); got != now+3*Second {
 		t.Errorf("once: %d, expected three seconds", got-now)
@@ -104,7 +104,7 @@
 		t.Errorf("once, past its deadline: %d, expected the next moment", got-now)
 	}
 	d.CallAllowance, d.CallAveragingTime, d.CancellationDelay = 0.1, 10*Second, Second/5
-	p = newCallPace(d)
+	p = newCallPacer(d)
 	if got, want := p.deadline(now, now+9*Second, now+9*Second, true),
 		now+Time(0.09*float64(10*Second))-Second/5; got != want {
 		t.Errorf("under an allowance of one: %d, expected %d", got-now, want-now)
@@ -133,7 +133,7 @@
 			reuseOriginal},
 		"first waits for another's run": {record{state: awaitingResult}, true, reuseOriginal},
 	} {
-		if got := repeatOf(1, &c.original, 0, c.runsOnce); got != c.want {
+		if got := repeatActionFor(1, &c.original, 0, c.runsOnce); got != c.want {
 			t.Errorf("%s: %d, expected %d", name, got, c.want)
 		}
 	}
@@ -141,7 +141,7 @@
 
 // TestStall: no progress for as long as four usual runs, and longer with fewer runs on the cores.
 func TestStall(t *testing.T) {
-	classes := []class{{objective: 2 * Second, runTimePerWork: 1, usualWork: float64(Second / 2)}}
+	classes := []class{{objective: 2 * Second, runTimePerWork: 1, defaultWork: float64(Second / 2)}}
 	for _, c := range []struct {
 		onCores int
 		elapsed Time
@@ -155,8 +155,8 @@
 		{0, 99 * Second, false},
 	} {
 		s := newReadiness()
-		s.watchRuns(c.elapsed, c.onCores)
-		if got := s.isStalling(8, 4, classes); got != c.want {
+		s.addStallTime(c.elapsed, c.onCores)
+		if got := s.detectsStall(8, 4, classes); got != c.want {
 			t.Errorf("%d on the cores for %d: stalling %v", c.onCores, c.elapsed, got)
 		}
 	}
@@ -171,8 +171,8 @@
 	}{
 		{false, false, false, false, 0, true},
 		{true, false, false, false, 9 * Second, false},
-		{true, false, false, true, probeAfter, false},
-		{true, false, false, true, probeAfter + 1, true},
+		{true, false, false, true, probeDelay, false},
+		{true, false, false, true, probeDelay + 1, true},
 		{true, true, false, true, 9 * Second, false},
 		{false, true, false, true, 9 * Second, false},
 		{false, false, true, true, 9 * Second, false},
@@ -195,7 +195,7 @@
 	}
 	s.adjust(1, 100, 0)
 	near("after a second of a long queue", s.pressure, 1.0/3)
-	s.adjust(1, settledQueue, 0)
+	s.adjust(1, targetQueuePerCore, 0)
 	near("settled", s.pressure, 1.0/3)
 	s.adjust(1, 0, 0.25)
 	near("settled by what waits unread", s.pressure, 1.0/3)
@@ -226,7 +226,7 @@
 		{65, 0, 0.5, 0, Second},
 		{65, 0, 0.5, 1, minIdleTimeout},
 	} {
-		if got := i.choose(c.connections, 4, c.returning, c.shed, c.retries); got != c.want {
+		if got := i.target(c.connections, 4, c.returning, c.shed, c.retries); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
 	}
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -249,16 +249,16 @@
 	s.c.Decide(&r, s)
 	if s.pools != nil {
 		if held, running := len(s.pools.holds), len(s.pools.runs); held != s.c.queue.length ||
-			running != s.c.limit.slotsTaken {
+			running != s.c.limit.slotsInUse {
 			s.fatal("pools know of %d held and %d running, expected %d and %d", held, running, s.c.queue.length,
-				s.c.limit.slotsTaken)
+				s.c.limit.slotsInUse)
 		}
 	}
 	if s.c.memory.used < -0.01 || s.c.memory.used > s.d.MemoryKB {
 		s.fatal("memory in use is %.1f of %.1f", s.c.memory.used, s.d.MemoryKB)
 	}
-	if s.c.limit.slotsTaken < 0 || s.c.calls.inFlight.count < 0 || s.c.queue.length < 0 || s.c.calls.queue.length < 0 {
-		s.fatal("runs %d, calls in hand %d, held %d", s.c.limit.slotsTaken, s.c.calls.inFlight.count, s.c.queue.length)
+	if s.c.limit.slotsInUse < 0 || s.c.calls.inFlight.count < 0 || s.c.queue.length < 0 || s.c.calls.queue.length < 0 {
+		s.fatal("runs %d, calls in hand %d, held %d", s.c.limit.slotsInUse, s.c.calls.inFlight.count, s.c.queue.length)
 	}
 }
 
--- a/admission/start_runs.go
+++ b/admission/start_runs.go
@@ -14,18 +14,18 @@
 // its original, and the key would run twice. Without pools the original is always ahead of it.
 func (c *Controller) startRuns() {
 	slots := c.limit.slots(c.now)
-	for i := c.queue.head; i != none && c.limit.slotsTaken < slots; {
+	for i := c.queue.head; i != none && c.limit.slotsInUse < slots; {
 		r := &c.requests.at[i]
 		if c.pools != nil && (r.repeats.original != none || !c.pools.CanStart(r.id)) {
 			i = r.queueLink.next
 			continue
 		}
-		if c.memory.exceededBy(r.sizeKB, 0) || (c.readiness.stalled && c.limit.slotsTaken > 0) {
+		if c.memory.exceededBy(r.sizeKB, 0) || (c.readiness.stalled && c.limit.slotsInUse > 0) {
 			// No younger one passes: what has waited longest gets the memory that is freed. While work is stalled one
 			// trial run at a time is started.
 			return
 		}
-		if c.drain.active && !c.drain.canFinish(c.now, c.expectedRunTime(r)) {
+		if c.drain.active && !c.drain.canFinish(c.now, c.expectedRunTimeOf(r)) {
 			c.shed(i, ReasonDraining)
 		} else {
 			c.startRun(i)
@@ -43,10 +43,10 @@
 	c.queue.remove(&c.requests, i)
 	r.enter(running)
 	r.executed = true
-	c.limit.slotsTaken++
+	c.limit.slotsInUse++
 	c.memory.used += c.memory.runKB(r.sizeKB)
 	c.writer.Run(r.id)
-	for k := r.repeats.newest; k != none; k = r.repeats.newest {
+	for k := r.repeats.newestRepeat; k != none; k = r.repeats.newestRepeat {
 		r.resultShared = true
 		c.requests.detachRepeat(k)
 		c.reuseResult(k)
@@ -54,6 +54,6 @@
 	c.review(i)
 }
 
-func (c *Controller) expectedRunTime(r *record) float64 {
+func (c *Controller) expectedRunTimeOf(r *record) float64 {
 	return c.classes[r.class].expectedRunTime(c.now, r.work)
 }
--- a/admission/warmup.go
+++ b/admission/warmup.go
@@ -26,11 +26,11 @@
 
 // Terms of the platform's budget for servers that warm up ("slow start"): with few runs the noise is larger.
 const (
-	smallBudget       = 30 // runs
-	smallBudgetRoots  = 3
-	smallBudgetExtra  = 3
-	normalBudgetRoots = 2
-	normalBudgetExtra = 2
+	smallBudget            = 30 // runs
+	smallBudgetSqrtFactor  = 3
+	smallBudgetExtra       = 3
+	normalBudgetSqrtFactor = 2
+	normalBudgetExtra      = 2
 )
 
 // warmUpBudget is how many runs a server that warms up may have in progress where its speed allows n: n + 2 roots of
@@ -39,7 +39,7 @@
 // has grown, so the looser one is cut there.
 func warmUpBudget(n float64) float64 {
 	if n < smallBudget {
-		return min(n+smallBudgetRoots*math.Sqrt(n)+smallBudgetExtra, warmUpBudget(smallBudget))
+		return min(n+smallBudgetSqrtFactor*math.Sqrt(n)+smallBudgetExtra, warmUpBudget(smallBudget))
 	}
-	return n + normalBudgetRoots*math.Sqrt(n) + normalBudgetExtra
+	return n + normalBudgetSqrtFactor*math.Sqrt(n) + normalBudgetExtra
 }
--- a/admission/window.go
+++ b/admission/window.go
@@ -12,8 +12,8 @@
 	return window{step: step, slot: -1, values: make([]float64, buckets), weights: make([]float64, buckets)}
 }
 
-// roll drops what has become old and gives the bucket of now.
-func (w *window) roll(now Time) int {
+// advance drops what has become old and gives the bucket of now.
+func (w *window) advance(now Time) int {
 	slot, n := int64(now/w.step), int64(len(w.values))
 	if w.slot < 0 || slot-w.slot >= n {
 		clear(w.values)
@@ -31,7 +31,7 @@
 }
 
 func (w *window) add(now Time, value, weight float64) {
-	k := w.roll(now)
+	k := w.advance(now)
 	w.values[k] += value
 	w.weights[k] += weight
 	w.value += value
@@ -40,16 +40,16 @@
 
 // sums gives both sums over the span of the window.
 func (w *window) sums(now Time) (value, weight float64) {
-	w.roll(now)
+	w.advance(now)
 	return w.value, w.weight
 }
 
 // mean is the sum of values over that of weights, or otherwise where nothing was seen lately.
-func (w *window) mean(now Time, otherwise float64) float64 {
-	if w.roll(now); w.weight > nearZero {
+func (w *window) mean(now Time, fallback float64) float64 {
+	if w.advance(now); w.weight > nearZero {
 		return w.value / w.weight
 	}
-	return otherwise
+	return fallback
 }
 
 func (w *window) span() Time { return w.step * Time(len(w.values)) }
@@ -75,9 +75,9 @@
 	return c.value / float64(c.span())
 }
 
-// indicator is 1 for true and 0 for false, to be counted.
-func indicator(yes bool) float64 {
-	if yes {
+// boolToFloat is 1 for true and 0 for false, to be counted.
+func boolToFloat(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
