--- a/admission/admission_queue.go
+++ b/admission/admission_queue.go
@@ -3,11 +3,11 @@
 // admissionQueue holds the requests that wait for a run slot, in the order in which they were read.
 type admissionQueue struct {
 	list
-	long      bool // waits are shortened for what earns least
-	lastDelay Time // that the last request to start had waited
+	long      bool // queue timeouts are shortened by rank and for retries
+	lastDelay Time // queue delay of the request started last
 }
 
-// headDelay is how long the oldest request has waited.
+// headDelay returns the queue delay of the oldest request.
 func (q *admissionQueue) headDelay(t *requestTable, now Time) Time {
 	if q.head == none {
 		return 0
@@ -15,13 +15,11 @@
 	return now - t.at[q.head].arrivedAt
 }
 
-// hasOnePerCore says whether as many requests as cores wait: a whole run then passes before the last of them gets a core.
+// hasOnePerCore reports whether at least one request per core is queued.
 func (q *admissionQueue) hasOnePerCore(cores float64) bool { return float64(q.length) >= cores }
 
-// admit decides whether a request that was just read joins the tail of the queue, takes another's response, or is
-// shed. It sheds what the process can't finish before it is killed, what would only wait for work that stands still,
-// and what it has no memory to run. It acts on each request once. It may harm a request that a freed slot or freed
-// memory would have served a moment later.
+// admit queues a request that was just read, resolves it as a repeat of a known request, or sheds it: while draining,
+// while runs are stalled, or if its run would not fit into memory.
 func (c *Controller) admit(i index, q *Request) {
 	r := &c.requests.at[i]
 	class := &c.classes[r.class]
@@ -36,17 +34,19 @@
 	case c.drain.active && r.arrivedAt > c.drain.admitBefore:
 		c.shed(i, ReasonDraining)
 	case c.readiness.stalled && (c.limit.slotsInUse > 0 || c.queue.length > 0 || class.atMostOnce):
-		// While work stands still one retryable request at a time is admitted, to see whether it finishes again.
+		// While stalled, one retryable request at a time is admitted as a probe for progress.
 		c.shed(i, ReasonStalled)
 	case r.repeats.original == none && c.memory.exceededBy(r.sizeKB, entryKB):
-		// Guards against a queue that fills the memory which its runs need, and a process that is killed for it.
-		// Runs are counted at their full size, so what is queued can run.
+		// Guards against a queue that leaves no memory for the runs of its requests, and against the process being
+		// killed for exceeding its memory.
 		c.shed(i, ReasonMemory)
 	default:
 		c.enqueue(i, q)
 	}
 }
 
+// enqueue appends a request to the queue. A request that waits for the run of its original gets no entry in the
+// idempotency table.
 func (c *Controller) enqueue(i index, q *Request) {
 	r := &c.requests.at[i]
 	c.queue.insertAfter(&c.requests, i, c.queue.tail)
@@ -60,7 +60,7 @@
 	c.review(i)
 }
 
-// dequeue takes a request out of the queue that gets no run.
+// dequeue removes a request that gets no run from the queue.
 func (c *Controller) dequeue(i index, shed bool) {
 	c.queue.remove(&c.requests, i)
 	if c.pools != nil {
--- a/admission/arrivals.go
+++ b/admission/arrivals.go
@@ -1,38 +1,35 @@
 package admission
 
 const (
-	// readDelayBuckets and readDelayStep: the wait before the read is judged over one second, long enough for a mean and
-	// short beside every latency objective.
+	// Window of the read delay: one second.
 	readDelayBuckets = 4
 	readDelayStep    = Second / 4
-	// retryBuckets and retryStep: sheds and retries are judged over four seconds, dozens of requests at a server's
-	// rate, and shorter than a retry storm.
+	// Window of the fractions of shed requests and of retries: four seconds, shorter than a retry storm.
 	retryBuckets = 8
 	retryStep    = Second / 2
-	// maxReturnInterval is how recently a caller must have come to count as returning: past the pause between the requests of
-	// a busy caller, short of the idle time that it is weighed against.
+	// maxReturnInterval is the longest time between two requests of a caller for which it counts as returning.
 	maxReturnInterval = 8 * Second
 	returningBuckets  = 8
 	returningStep     = Second
-	// maxCallers bounds the memory of callers. It is several times the callers of a large fleet; past it they are
-	// forgotten and the share of returning ones is too low for a moment.
+	// maxCallers bounds the number of callers that are tracked. Above it the map is cleared, and the fraction of
+	// returning callers is too low for a moment.
 	maxCallers = 4096
-	// longReadDelay is the time that requests wait unread, in objectives, from which the queue counts as long, since it is
-	// then in the sockets: well past what reading takes, and early enough to act before the objective is lost.
+	// longReadDelay is the mean read delay, as a fraction of the latency objective, above which requests queue in the
+	// sockets and the admission queue counts as long.
 	longReadDelay = 0.125
-	// lateReadDelay is the part of its objective that a request may have waited unread: past half of it there is no time
-	// left to queue and run it.
+	// lateReadDelay is the read delay, as a fraction of the latency objective, above which a request counts as read
+	// too late.
 	lateReadDelay = 0.5
 )
 
-// arrivalStats is what was measured of the requests read lately.
+// arrivalStats are measurements of recently read requests.
 type arrivalStats struct {
-	readDelay  window // time that requests had waited unread, in objectives
-	shed       window // requests shed, over requests read
-	retries    window // retries and hedged requests, over requests read
-	returning  window // requests of callers that came shortly before, over requests read
-	callers    map[uint32]Time
-	lastReadAt Time // when a request was read last
+	readDelay  window          // time between arrival and read, as a fraction of the latency objective
+	shed       window          // requests shed, per request read
+	retries    window          // retries and hedged requests, per request read
+	returning  window          // requests of returning callers, per request read
+	callers    map[uint32]Time // time of the last request of each caller
+	lastReadAt Time            // when the last request was read
 }
 
 func newArrivalStats() arrivalStats {
@@ -45,8 +42,8 @@
 	}
 }
 
-// add counts a request and gives the time that it had waited unread, in objectives.
-func (a *arrivalStats) add(now Time, q *Request, arrivedAt, objective Time) (unread float64) {
+// add counts a request and returns its read delay as a fraction of the latency objective.
+func (a *arrivalStats) add(now Time, q *Request, arrivedAt, objective Time) (readDelay float64) {
 	a.lastReadAt = now
 	a.shed.add(now, 0, 1)
 	a.retries.add(now, boolToFloat(q.IsRetry), 1)
@@ -56,15 +53,15 @@
 	lastSeen, known := a.callers[q.Caller]
 	a.callers[q.Caller] = now
 	a.returning.add(now, boolToFloat(known && now-lastSeen < maxReturnInterval), 1)
-	unread = float64(now-arrivedAt) / float64(objective)
-	a.readDelay.add(now, unread, 1)
-	return unread
+	readDelay = float64(now-arrivedAt) / float64(objective)
+	a.readDelay.add(now, readDelay, 1)
+	return readDelay
 }
 
-// readDelayLong says whether requests wait in the sockets before they are read.
+// readDelayLong reports whether requests queue in the sockets before they are read.
 func (a *arrivalStats) readDelayLong(now Time) bool { return a.readDelay.mean(now, 0) > longReadDelay }
 
-// register makes a record of a request and counts it as arrived.
+// register creates the record of a request and counts its arrival.
 func (c *Controller) register(q *Request) {
 	i := c.requests.add(q.ID)
 	r, class := &c.requests.at[i], &c.classes[q.Handler]
@@ -80,6 +77,6 @@
 	r.work = class.defaultWork
 	c.memory.used += r.sizeKB
 	c.queueTimeouts.requestRead(c.now, r)
-	unread := c.arrivals.add(c.now, q, r.arrivedAt, class.objective)
-	c.readiness.countLate(c.now, unread > lateReadDelay)
+	readDelay := c.arrivals.add(c.now, q, r.arrivedAt, class.objective)
+	c.readiness.countLate(c.now, readDelay > lateReadDelay)
 }
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -1,63 +1,58 @@
 package admission
 
 const (
-	// targetAllowanceFraction: the pace aims at the allowance over it in flight, half. Calls come in bursts and some take
-	// longer: closer to the whole the mean may exceed the allowance, further from it the dependency idles.
+	// targetAllowanceFraction is the fraction of the call allowance that the pacer aims to have in flight. The rest
+	// absorbs bursts and slow calls.
 	targetAllowanceFraction = 0.5
-	// peakAllowanceFraction is the part of the allowance that is in flight at the most, at any moment, so that no mean
-	// over time can come to the whole of it.
+	// peakAllowanceFraction is the maximum fraction of the call allowance in flight at any moment, so that no average
+	// reaches the allowance.
 	peakAllowanceFraction = 0.9
-	// meanAllowanceFraction: under an allowance of one, a call is made only while the mean in flight is under the peak
-	// over it, half, so that the call has time to end before the mean is used up.
+	// meanAllowanceFraction applies to an allowance below one call: a call starts only while the average in flight is
+	// below this fraction of the peak, so that it can end before the allowance is used up.
 	meanAllowanceFraction = 0.5
-	// maxBurstCalls is the unused turns of the pace that are saved up, in calls: calls that come in a burst need not wait.
-	// More would let a burst of them reach a dependency that has just recovered.
+	// maxBurstCalls bounds a burst: unused pace intervals are saved for at most this many calls.
 	maxBurstCalls = 4
-	// probeRateFactor is the pace to a next tier that rejects, over what it lets through. Over one, so that the pace finds
-	// its way back; far over one, the tier spends itself on rejections.
+	// probeRateFactor is the call rate to a next tier that rejects calls, as a multiple of the rate of successful
+	// calls. Above 1 so that the rate recovers.
 	probeRateFactor = 1.25
-	// minProbeCalls is the calls in the window of two seconds that are made in any case: two a second still show when a
-	// tier that let nothing through has recovered.
+	// minProbeCalls is the number of calls per window that a next tier gets even if none succeed, to detect its
+	// recovery.
 	minProbeCalls = 4
-	// minCallTimeoutFactor and minCallTimeoutExtra: a call is given up no sooner than after so many usual times of one and so long
-	// beside, since slow is not lost. More holds slots at a dependency that has stopped.
+	// A call gets at least minCallTimeoutFactor mean call times plus minCallTimeoutExtra.
 	minCallTimeoutFactor = 2
 	minCallTimeoutExtra  = Second / 5
-	// maxRejectedAttempts is the rejected attempts after which a request that can do without its call does. More holds its
-	// slot, fewer gives up what a short rejection would have left.
+	// A rejected call that can be skipped is skipped after more than maxRejectedAttempts attempts.
 	maxRejectedAttempts = 2
-	// maxCallAttempts is the attempts after which a request fails whose calls were executed without a result.
+	// A request whose call was executed without a result fails after more than maxCallAttempts attempts.
 	maxCallAttempts = 3
-	// maxBackoffDoublings: the backoff between attempts doubles from two timer periods to 32, so that rejections don't
-	// become a storm; longer would outlast the latency objective.
+	// maxBackoffDoublings bounds the backoff between call attempts to 32 timer periods.
 	maxBackoffDoublings = 5
 
-	// callBuckets and callStep: calls are measured over two seconds, long enough for a mean at a few calls a second, in
-	// steps that are short beside a fault of the dependency.
+	// Window of call times and outcomes: two seconds.
 	callBuckets = 8
 	callStep    = Second / 4
-	// inFlightBuckets: the mean of calls in flight is taken in tenths of the deployment's averaging time. Fewer lets it
-	// run behind by more than a tenth.
+	// inFlightBuckets is the number of buckets of the average of calls in flight, over the deployment's averaging
+	// time.
 	inFlightBuckets = 10
-	// abandonedSteps: abandoned calls are counted in quarters of their cancellation delay, and abandonedBuckets, one
-	// more, count each for the whole of it at the least.
+	// Abandoned calls are counted in quarters of the cancellation delay. The extra bucket makes each count for at
+	// least the whole delay.
 	abandonedSteps   = 4
 	abandonedBuckets = abandonedSteps + 1
 )
 
-// callPacer decides when calls to the services below are made and how long each may last.
+// callPacer paces the calls to a dependency and sets their deadlines.
 type callPacer struct {
-	hasAllowance      bool    // a dependency that states an allowance
-	targetInFlight    float64 // calls meant to be in flight in the mean
-	maxInFlight       float64
+	hasAllowance      bool    // the dependency is shared and states a call allowance
+	targetInFlight    float64 // targeted average number of calls in flight
+	maxInFlight       float64 // maximum number of calls in flight
 	cancellationDelay Time
 
-	queue        list // runs that wait for their call, in the order in which the requests arrived
-	nextCallAt   Time // when the next call may be made
+	queue        list // runs that await a call, in arrival order of their requests
+	nextCallAt   Time // when the next call may start
 	inFlight     countAverage
-	abandoned    window
+	abandoned    window // abandoned calls that still run at the dependency
 	callTimes    window
-	meanCallTime float64 // the last known mean time of a call
+	meanCallTime float64 // last known mean call time, in units of Time
 	rejected     window
 	succeeded    window
 }
@@ -78,8 +73,8 @@
 	}
 }
 
-// allows decides whether one more call to a shared dependency may be in flight; abandoned ones count for their
-// cancellation delay. Where the allowance is under one call, calls are made one at a time and only while their mean
+// allows reports whether another call to a shared dependency fits into the allowance. Abandoned calls count for their
+// cancellation delay. With an allowance below one call, calls are made one at a time and only while their average
 // leaves room.
 func (p *callPacer) allows(now Time) bool {
 	abandoned, _ := p.abandoned.sums(now)
@@ -89,8 +84,8 @@
 	return p.maxInFlight >= 1 || p.inFlight.average(now) < p.maxInFlight*meanAllowanceFraction
 }
 
-// interval decides the time between calls. To a shared dependency it is the recent time of a call over the number meant to
-// be in flight. A next tier states no allowance: while it rejects, the pace follows what it lets through.
+// interval returns the time between calls. For a shared dependency it is the mean call time over the targeted number
+// in flight. A next tier states no allowance: while it rejects calls, the rate follows that of the successful ones.
 func (p *callPacer) interval(now Time) Time {
 	p.meanCallTime = p.callTimes.mean(now, p.meanCallTime)
 	if p.hasAllowance {
@@ -103,7 +98,7 @@
 	return 0
 }
 
-// recordCall counts a call that was just made.
+// recordCall counts a call that was just started.
 func (p *callPacer) recordCall(now, interval Time) {
 	p.inFlight.change(now, 1)
 	p.nextCallAt = max(p.nextCallAt, now-maxBurstCalls*interval) + interval
@@ -111,19 +106,19 @@
 
 // recordAbandoned counts a call that stays in flight at the dependency for its cancellation delay.
 func (p *callPacer) recordAbandoned(now Time) {
-	// In the mean it counts as one call for the whole of its delay.
+	// The average includes the whole cancellation delay at once.
 	p.inFlight.add(now, float64(p.cancellationDelay), 0)
 	p.abandoned.add(now, 1, 0)
 }
 
-// deadline decides when a call is given up: at the end of the latency objective, but not before it has had
-// minCallTimeoutFactor usual times and minCallTimeoutExtra; and at lastUseful at the latest, which leaves time to answer. One that
-// must not be repeated lasts until lastUseful.
+// deadline returns when a call times out: at the end of the latency objective or after the minimum call timeout,
+// whichever is later, but not after lastUseful, the last time at which its result can be answered. A call of an
+// at-most-once request gets until lastUseful.
 func (p *callPacer) deadline(now, lastUseful, objectiveEnd Time, atMostOnce bool) Time {
 	last := lastUseful
 	if p.hasAllowance && p.maxInFlight < 1 {
-		// Guards against a stalled dependency held by one call of each of hundreds of servers. One call is more than
-		// the allowance, so it lasts at most for what the mean has left. Could harm where just this one is slow.
+		// Guards against hundreds of servers that each hold one call at a stalled dependency: a single call is more
+		// than the allowance, so it may last only for the remaining average.
 		left := (p.maxInFlight - p.inFlight.average(now)) * float64(p.inFlight.span())
 		last = min(last, now+Time(left)-p.cancellationDelay)
 	}
@@ -134,7 +129,7 @@
 	return max(min(max(objectiveEnd, now+minTimeout), last), now+1)
 }
 
-// handleCallRequest takes a run that came to a call.
+// handleCallRequest handles a run that awaits a call.
 func (c *Controller) handleCallRequest(i index) {
 	if i == none || c.requests.at[i].state != running {
 		return
@@ -148,7 +143,7 @@
 	}
 }
 
-// enqueueCall queues a call in the arrival order of the requests.
+// enqueueCall queues a call by the arrival time of its request.
 func (c *Controller) enqueueCall(i index) {
 	r := &c.requests.at[i]
 	p := c.calls.queue.tail
@@ -160,7 +155,7 @@
 	c.review(i)
 }
 
-// dequeueCall takes a call out of the queue, if it is in it.
+// dequeueCall removes a call from the queue, if it is queued.
 func (c *Controller) dequeueCall(i index) {
 	if r := &c.requests.at[i]; r.call.queued {
 		r.call.queued = false
@@ -168,7 +163,7 @@
 	}
 }
 
-// makeCalls makes the calls that the pace and the allowance admit.
+// makeCalls starts queued calls while pace and allowance permit.
 func (c *Controller) makeCalls() {
 	interval := c.calls.interval(c.now)
 	for c.calls.queue.head != none && c.calls.nextCallAt <= c.now {
@@ -186,8 +181,8 @@
 	}
 }
 
-// handleCallEnd takes the end of a call. A call that was executed with an unknown or bad result stays in flight at the
-// dependency for its cancellation delay.
+// handleCallEnd handles the end of a call. An executed call without a good result stays in flight at the dependency
+// for its cancellation delay.
 func (c *Controller) handleCallEnd(e CallEnd) {
 	i := c.requests.find(e.ID)
 	if i == none || c.requests.at[i].state != inCall {
@@ -216,9 +211,9 @@
 	}
 }
 
-// retryCall decides what follows a call that brought no result: the run goes on without it where that still earns; the
-// request fails if the call may have been executed and must not be repeated, or was tried often enough; else the
-// call is made again after a backoff. It may harm a request whose next attempt would have succeeded.
+// retryCall handles a call without a result: it is skipped if the response still has value, the request fails if the
+// call may have been executed and must not be repeated or has run out of attempts, and otherwise the call is retried
+// after a backoff.
 func (c *Controller) retryCall(i index, rejected bool) {
 	r := &c.requests.at[i]
 	class := &c.classes[r.class]
@@ -234,7 +229,7 @@
 	}
 }
 
-// skipCall lets a run go on without its call.
+// skipCall resumes a run without its call.
 func (c *Controller) skipCall(i index) {
 	r := &c.requests.at[i]
 	r.enter(running)
@@ -243,7 +238,7 @@
 	c.review(i)
 }
 
-// setPoolsAtCall tells pools that a run stands at a call, which is no work, or goes on.
+// setPoolsAtCall notifies the pools that a run is at a call, where it does no work, or has resumed.
 func (c *Controller) setPoolsAtCall(r *record, atCall bool) {
 	if c.pools != nil {
 		c.pools.SetAtCall(c.now, r.id, atCall)
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -3,25 +3,24 @@
 import "math"
 
 const (
-	// ceilingFraction is the part of the runs that the server survives that may be in progress. The rest is margin:
-	// past what it survives a server doesn't recover by itself. More margin idles cores only where nearly all runs
-	// are at calls.
+	// ceilingFraction is the maximum number of runs in progress as a fraction of the runs that the server survives.
+	// Above that number a server does not recover by itself.
 	ceilingFraction = 0.8
-	// idleCoresFraction: half of the idle cores are given out at each look, so that two looks at one reading don't give out
-	// more than there is.
+	// idleCoresFraction is the fraction of the idle cores by which the limit rises per adjustment, so that two
+	// adjustments on one gauge reading do not overshoot.
 	idleCoresFraction = 0.5
-	// overcommitFraction: the limit falls while the runs that want cores exceed them by the cores over it, half as many
-	// again. Runs that begin and end together swing by that much.
+	// overcommitFraction is the number of runnable runs in excess of the cores, as a fraction of the cores, above
+	// which the limit falls.
 	overcommitFraction = 0.5
 )
 
-// concurrencyLimit decides how many runs may be in progress.
+// concurrencyLimit bounds the number of runs in progress.
 type concurrencyLimit struct {
 	cores          float64
 	runnable       float64 // runs that want a core, by the gauge
-	slotsInUse     int     // by runs in progress, those at calls too; taken in startRun, freed in handleRunEnd
-	current        int     // the limit that follows the gauge
-	maxRunsPerCore float64
+	slotsInUse     int     // runs in progress, including those at calls; taken in startRun, freed in handleRunEnd
+	current        int     // limit that follows the gauge
+	maxRunsPerCore float64 // runs that a core survives
 	warmUp         warmUp
 }
 
@@ -30,8 +29,7 @@
 		warmUp: newWarmUp(d)}
 }
 
-// ceiling decides how many runs this server survives on its cores. Runs at calls count, since all may come back at
-// once.
+// ceiling returns the maximum number of runs for this server. Runs at calls count, since all may return at once.
 func (l *concurrencyLimit) ceiling(now Time) int {
 	speed := l.warmUp.speed(now)
 	ceiling := ceilingFraction * l.cores * (1 + (l.maxRunsPerCore-1)*speed)
@@ -41,11 +39,11 @@
 	return max(1, int(ceiling))
 }
 
-// slots is how many runs there may be now.
+// slots returns the number of runs allowed at present.
 func (l *concurrencyLimit) slots(now Time) int { return min(l.current, l.ceiling(now)) }
 
-// adjust decides the limit from the gauge of runnable runs: up while cores idle, requests wait and the limit binds;
-// down by one while clearly more runs want the cores than there are. It is never under the number of cores.
+// adjust follows the gauge of runnable runs: the limit rises while cores idle, requests are queued and the limit
+// binds, and falls by one while runnable runs clearly exceed the cores. It is never below the number of cores.
 func (l *concurrencyLimit) adjust(now Time, queued int) {
 	switch idle := l.cores - l.runnable; {
 	case queued > 0 && l.slotsInUse >= l.current && idle > 0:
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -1,20 +1,19 @@
 package admission
 
 const (
-	// timerPeriod is the period of the one timer while any request is known: short beside every latency objective and
-	// the half second of the gauges, long beside a round.
+	// timerPeriod is the timer's period while any request is known.
 	timerPeriod = 20 * millisecond
-	// idlePeriod is its period while none is, and that of the rules that need not be looked at each time.
+	// idlePeriod is the timer's period while no request is known, and the period of the less urgent rules.
 	idlePeriod = 5 * timerPeriod
-	// wheelBuckets of a timer period reach 80 s, past every client's timeout.
+	// wheelBuckets of one timerPeriod each span 80 s, longer than client timeouts.
 	wheelBuckets = 4096
-	// maxTimerInterval bounds the time between two timers that counts: a process that stood still saw nothing.
+	// maxTimerInterval bounds the elapsed time that a timer counts, since a suspended process observes nothing.
 	maxTimerInterval = 2 * idlePeriod
 )
 
-// Controller decides for one server. It is for one goroutine.
+// Controller decides on the requests of one server. It is not safe for concurrent use.
 type Controller struct {
-	writer Writer // of the round that is being decided
+	writer Writer // of the current round
 	now    Time
 
 	requests requestTable
@@ -37,7 +36,7 @@
 	timer    timerState
 }
 
-// settings are the deployment's that several rules go by.
+// settings are the terms of the deployment that several rules use.
 type settings struct {
 	roundInterval     Time
 	cancellation      Cancellation
@@ -45,14 +44,14 @@
 	maxRetryAfter     Time
 }
 
-// timerState is of the one timer.
+// timerState is the state of the controller's only timer.
 type timerState struct {
 	pending          bool
 	lastFiredAt      Time
-	lastIdlePeriodAt Time // when the rules that go by idlePeriod were looked at last
+	lastIdlePeriodAt Time // when the rules with idlePeriod last ran
 }
 
-// New readies a controller for a server that starts now.
+// New returns a controller for a server that starts at d.Start.
 func New(d *Deployment) *Controller {
 	c := &Controller{
 		requests:  newRequestTable(),
@@ -79,9 +78,8 @@
 	return c
 }
 
-// Adopt goes on under other values, objectives, timeouts, idempotency windows and quotas of the same classes and
-// tenants. What is queued, runs or is known by key stays, with the deadlines under which it came, and so does what
-// was measured.
+// Adopt applies changed values, latency objectives, timeouts, idempotency windows and quotas of the same classes and
+// tenants. Known requests keep their deadlines, and measurements are kept.
 func (c *Controller) Adopt(d *Deployment) {
 	c.reconfigureClasses(d)
 	c.queueTimeouts.reconfigure(d)
@@ -97,10 +95,10 @@
 	}
 }
 
-// Handlers is the number of classes known.
+// Handlers returns the number of classes.
 func (c *Controller) Handlers() int { return len(c.classes) }
 
-// Decide takes a round and writes what is decided.
+// Decide processes a round and writes its decisions.
 func (c *Controller) Decide(r *Round, w Writer) {
 	c.now, c.writer = max(r.Now, c.now), w
 	c.updateHealth()
@@ -136,7 +134,8 @@
 	}
 }
 
-// handleArrivals registers all requests before it admits the first: what one round brings in is counted as a whole.
+// handleArrivals registers all requests of the round before it admits the first, so that measurements cover the
+// round.
 func (c *Controller) handleArrivals(arrived []Request) {
 	for k := range arrived {
 		c.register(&arrived[k])
@@ -146,7 +145,7 @@
 	}
 }
 
-// setTimer asks for the next timer; only one is pending.
+// setTimer requests the next timer unless one is pending.
 func (c *Controller) setTimer() {
 	if c.timer.pending {
 		return
@@ -159,7 +158,7 @@
 	}
 }
 
-// handleTimer reads the gauges and looks at the rules that go by the clock.
+// handleTimer reads the gauges and runs the periodic rules.
 func (c *Controller) handleTimer(r *Round) {
 	elapsed := min(c.now-c.timer.lastFiredAt, maxTimerInterval)
 	c.timer.lastFiredAt = c.now
--- a/admission/deadlines.go
+++ b/admission/deadlines.go
@@ -1,21 +1,20 @@
 package admission
 
 const (
-	// reviewsPerObjective is how often a moving timeout is looked at in a latency objective: a wait then exceeds its
-	// timeout by a small part of the objective, and the timers stay few.
+	// reviewsPerObjective is the number of times per latency objective at which a changing timeout is checked.
 	reviewsPerObjective = 16
-	// longCallQueueDivisor: calls that earn little are skipped early while the queue of calls takes longer than the
-	// objective over it, an eighth, at their pace.
+	// longCallQueueDivisor divides the latency objective to give the length of the call queue, in time at the current
+	// pace, above which calls of low value are skipped early.
 	longCallQueueDivisor = 8
-	// recordReviewInterval is how often a record is looked at that is kept without an entry.
+	// recordReviewInterval is the minimum time between reviews of a record without an entry in the idempotency table.
 	recordReviewInterval = Second
 )
 
-// answerMargin is how long before its deadline a request is answered: the timer's period, the wheel's step and a round,
-// twice, lest the response reach the client too late.
+// answerMargin returns how long before its deadline a request is answered: two timer periods and two rounds, so that
+// the response reaches the client in time.
 func (c *Controller) answerMargin() Time { return 2*timerPeriod + 2*c.settings.roundInterval }
 
-// review decides whether the time of a request has come, and when it is to be looked at next.
+// review acts on a request whose time has come and schedules its next review.
 func (c *Controller) review(i index) {
 	r := &c.requests.at[i]
 	class := &c.classes[r.class]
@@ -24,8 +23,7 @@
 		end = min(end, c.drain.killAt-c.answerMargin())
 	}
 	if r.state == awaitingCall && !class.canSkipCall && !class.hasLateValue {
-		// Guards against slots held for calls that can't be made; a slow dependency would fill them all with requests
-		// that are past use. Could harm where a response that earns nothing is still wanted.
+		// Guards against a slow dependency that fills all slots with requests whose responses have no value left.
 		end = min(end, r.arrivedAt+class.objective)
 	}
 	switch {
@@ -42,7 +40,7 @@
 	}
 }
 
-// reviewRecord ends an entry whose time is over, and forgets a request of which nothing is left.
+// reviewRecord removes an expired entry from the idempotency table and an expired record from the request table.
 func (c *Controller) reviewRecord(i index) {
 	r := &c.requests.at[i]
 	if r.entry.expires > 0 && c.now >= r.entry.expires {
@@ -61,8 +59,8 @@
 	c.timers.schedule(&c.requests, i, next)
 }
 
-// reviewQueued sheds a request that has waited for as long as it may. The timeout moves with the queue, so it is
-// looked at a few times on the way.
+// reviewQueued sheds a request that has reached its deadline or its queue timeout. The timeout changes with the
+// queue, so it is checked repeatedly.
 func (c *Controller) reviewQueued(i index, end Time) {
 	r := &c.requests.at[i]
 	objective := c.classes[r.class].objective
@@ -80,9 +78,9 @@
 	c.timers.schedule(&c.requests, i, min(end, timeoutAt, c.now+objective/reviewsPerObjective))
 }
 
-// reviewCall decides how long a run waits for its call: one that can't be back within the objective is skipped where
-// that still earns. While the queue of calls is long, those that earn least by their call wait least for it: their
-// slots are free sooner and the calls go to the rest. It may harm a full response if the queue is about to clear.
+// reviewCall skips a call that cannot return within the latency objective, if the response still has value without
+// it. While the call queue is long, calls of low value are skipped earlier, which frees their slots and leaves the
+// pace to the others.
 func (c *Controller) reviewCall(i index, end Time) {
 	r := &c.requests.at[i]
 	class := &c.classes[r.class]
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,22 +1,23 @@
-// Package admission decides what one server does with its requests: which it admits, how long each may wait, when it
-// runs and calls the services below, which it rejects or fails, and what callers and health checks are told.
+// Package admission implements the admission control of one server: which requests are admitted, how long each may
+// queue, when runs and calls start, which requests are shed or failed, and the health and overload state that is
+// reported.
 //
-// A [Controller] owns all of this state for one server: the admission queue, the runs and calls in flight, the
-// idempotency table, and what it has measured of its traffic. [New] takes a [Deployment]; [Controller.Decide] takes a
-// [Round], which is all that came in at one moment, and writes its decisions, in order, into a [Writer].
+// A [Controller] owns this state: the admission queue, the runs and calls in progress, the idempotency table and the
+// traffic measurements. [New] takes a [Deployment]. [Controller.Decide] takes a [Round], the input of one moment, and
+// passes its decisions, in order, to a [Writer].
 //
-// Times and spans are of type [Time], in tenths of a millisecond, by the caller's clock. Memory is in KB, work in the
+// Times and durations have the type [Time], in units of 0.1 ms of the caller's clock. Memory is in KB. Work is the
 // time of a run on an idle core.
 //
-// Requests get run slots in arrival order. A slot is taken when a run starts, kept through the calls that it makes, and
-// freed when its end is reported. These hold after every round:
-//   - no more runs are in progress than the server survives, also if all of them leave their calls at once;
-//   - the account of memory stays within the deployment's;
-//   - the calls in flight to a shared dependency stay within this server's allowance, in the mean and at any moment;
-//   - a request that must run once never runs while an earlier attempt with its key that ran is known.
+// Requests get run slots in arrival order. A slot is taken when a run starts, kept during its calls, and freed when the
+// end of the run is reported. These invariants hold after every round:
+//   - there are no more runs in progress than the server survives, even if all return from their calls at once;
+//   - accounted memory stays within the deployment's limit;
+//   - calls in flight to a shared dependency stay within this server's call allowance, as an average and at any moment;
+//   - a request that is not idempotent never runs while an earlier executed attempt with its key is known.
 //
-// The package never reads a clock, a socket or a file, starts no goroutine, has no source of chance and keeps no
-// reference to a Writer after Decide has returned. A Controller is for one goroutine.
+// The package reads no clock, socket or file, starts no goroutine, uses no randomness and keeps no reference to a
+// Writer after Decide has returned. A Controller is not safe for concurrent use.
 //
-// Each rule stands in the file of its name. docs/decisions.md lists them by the question that each answers.
+// Each rule is in the file named after it. docs/decisions.md lists the rules by the question that each answers.
 package admission
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// drain is a graceful shutdown: from the notice until the process is killed.
+// drain is the state of a graceful shutdown, from the notice to drain until the process is killed.
 type drain struct {
 	active      bool
 	grace       Time
-	admitBefore Time // what arrived until then is still admitted
+	admitBefore Time // last arrival time of requests that are still admitted
 	killAt      Time
 }
 
-// canFinish decides whether a run can end before the process is killed.
+// canFinish reports whether a run can end before the process is killed. expectedRunTime is in units of Time.
 func (d *drain) canFinish(now Time, expectedRunTime float64) bool {
 	return now+Time(expectedRunTime*drainRunTimeReserve)+2*timerPeriod <= d.killAt
 }
 
-// startDrain takes the notice to drain: health checks are told at once, and all requests are answered before the kill.
+// startDrain handles the notice to drain: health checks fail at once, and all requests are answered before the kill.
 func (c *Controller) startDrain(killAt Time) {
 	if c.drain.active {
 		return
--- a/admission/end_of_run.go
+++ b/admission/end_of_run.go
@@ -1,7 +1,7 @@
 package admission
 
-// removeUnrun takes out a request that never ran. The first of those that wait for it takes its place in the idempotency
-// table.
+// removeUnrun ends a request that never ran. The oldest request that waits for its run takes its place in the
+// idempotency table.
 func (c *Controller) removeUnrun(i index, shed bool) {
 	r := &c.requests.at[i]
 	if r.state == queued {
@@ -15,35 +15,35 @@
 	c.finish(i)
 }
 
-// finish ends what a request holds; only its entry in the idempotency table may be left.
+// finish releases the memory of a request. Its entry in the idempotency table, if any, stays until it expires.
 func (c *Controller) finish(i index) {
 	r := &c.requests.at[i]
 	c.memory.used -= r.sizeKB
 	r.enter(finished)
 	if r.entry.expires > 0 || r.entry.recordExpires > 0 {
-		// A repeat that reached the machine by now may be read as late as its own client's timeout.
+		// A repeat that arrived by now may be read as late as its own client's timeout.
 		r.entry.recordExpires = max(r.entry.expires, c.now) + c.classes[r.class].timeout
 	}
 	c.review(i)
 }
 
-// fail answers a request that ran, or waits for a run, with an error, and stops its work where that can be.
+// fail answers a request that ran, or awaits a run's result, with an error and stops its run if possible.
 func (c *Controller) fail(i index, reason Reason) {
 	c.requests.at[i].failed = true
 	c.writer.Fail(c.requests.at[i].id, reason)
 	c.detachClient(i, true)
 }
 
-// handleDisconnect takes a request whose client is known to have left. One that must run once runs on: a repeat may want
-// its response.
+// handleDisconnect handles a request whose client has disconnected. The run of an at-most-once request continues,
+// since a repeat may need its response.
 func (c *Controller) handleDisconnect(i index) {
 	if i != none && !c.requests.at[i].answered {
 		c.detachClient(i, !c.classes[c.requests.at[i].class].atMostOnce)
 	}
 }
 
-// detachClient ends the wait of a request that is owed no response any more. What runs keeps its slot until its end is
-// reported.
+// detachClient marks a request as no longer waited for by its client. A run in progress keeps its slot until its end
+// is reported.
 func (c *Controller) detachClient(i index, stopRun bool) {
 	r := &c.requests.at[i]
 	r.answered = true
@@ -57,8 +57,8 @@
 		c.finish(i)
 		return
 	case awaitingCall:
-		// The run is told nothing, and neither is one whose call is in flight (it has no case here): it keeps its slot
-		// until the kernel, which ends a run that stands at a call for too long, reports that.
+		// The run is not stopped, and neither is one whose call is in flight. Both keep their slots until the kernel,
+		// which ends runs that stay at a call for too long, reports their ends.
 		c.dequeueCall(i)
 	case running:
 		if stopRun && c.settings.cancellation != CancelNever && !r.resultShared {
@@ -68,7 +68,7 @@
 	c.review(i)
 }
 
-// handleRunEnd takes the end of a run.
+// handleRunEnd handles the end of a run, or of a request that awaits the result of another's run.
 func (c *Controller) handleRunEnd(e RunEnd) {
 	i := c.requests.find(e.ID)
 	if i == none {
@@ -102,11 +102,11 @@
 	c.finish(i)
 }
 
-// recordRun takes into account what a run shows of its class.
+// recordRun adds a run to the measurements of its class.
 func (c *Controller) recordRun(r *record, e RunEnd, inTime bool) {
 	demand := &c.queueTimeouts.classes[r.class]
 	if e.Outcome == NotExecuted {
-		demand.served.add(c.now, 0, -1) // no request that any client meant: it doesn't count as read
+		demand.served.add(c.now, 0, -1) // superseded, not a client's request: not counted as read
 	}
 	if e.Outcome != Succeeded {
 		return
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -1,31 +1,31 @@
 package admission
 
 const (
-	// entryRoundingMargin makes good what rounding to tenths of a millisecond took off an idempotency window, at both ends.
+	// entryRoundingMargin compensates for rounding an idempotency window to units of Time at both ends.
 	entryRoundingMargin = 2
-	// sharedResponseMemoryFraction is the share of memory up to which retryable requests get entries: sharing their responses is a
-	// saving, not a duty, and the rest is left to runs and idempotency windows.
+	// sharedResponseMemoryFraction is the fraction of the memory limit in use up to which retryable requests get
+	// entries to share responses. The rest is kept for runs and idempotency windows.
 	sharedResponseMemoryFraction = 0.8
 )
 
-// repeatAction is what becomes of a request that repeats a known one.
+// repeatAction is the handling of a request that repeats a known request, its original.
 type repeatAction uint8
 
 const (
-	treatAsNew          repeatAction = iota // the first attempt never ran, or a second run does no harm
-	queueBehindOriginal                     // queue in its own place until the first one runs or leaves
-	reuseOriginal                           // take the first one's response
-	failRepeat                              // the first one ran and failed: its effect may stand
+	treatAsNew          repeatAction = iota // the original never ran, or a second run is safe
+	queueBehindOriginal                     // wait in the queue until the original runs or is removed
+	reuseOriginal                           // answer with the response of the original
+	failRepeat                              // the original ran and failed; its effects may persist
 )
 
-// repeatActionFor decides what becomes of a request that repeats another of the same key. A request that must run once never
-// runs while an attempt that ran is known. It harms the repeats of a run that fails: they fail with it.
+// repeatActionFor decides how a repeat is handled. An at-most-once request never runs while an earlier executed
+// attempt is known: the repeats of a failed run fail as well.
 func repeatActionFor(repeat index, original *record, originalIndex index, atMostOnce bool) repeatAction {
 	switch {
 	case originalIndex == repeat || original.state == received:
-		return treatAsNew // the later of two in one round takes the earlier one's response
+		return treatAsNew // of two in one round, the later reuses the result of the earlier
 	case !original.executed && original.state == finished:
-		return treatAsNew // the first attempt was shed after this one reached the machine
+		return treatAsNew // the original was shed after the repeat had arrived
 	case original.state == queued:
 		return queueBehindOriginal
 	case !atMostOnce && (original.failed || original.answered && original.state != finished):
@@ -37,13 +37,12 @@
 	}
 }
 
-// resolveRepeat settles a request that repeats another, or says that it is to be admitted like a new one. The first
-// one may be known to the server's table alone.
+// resolveRepeat handles a request that repeats another. It returns false if the request is to be admitted like a new
+// one. original is none if only the server's table knows the original.
 func (c *Controller) resolveRepeat(i, original index) (resolved bool) {
 	atMostOnce := c.classes[c.requests.at[i].class].atMostOnce
 	if c.memory.full() {
-		// Guards against repeats of a hot key that fill the memory. They need no slot, but each waits in memory, and a
-		// few large ones are a good part of a small server's. Could harm where one is about to end.
+		// Guards against repeats of a hot key that fill the memory while they wait, although they need no slot.
 		if atMostOnce && (original == none || c.requests.at[original].executed) {
 			c.fail(i, ReasonMemory)
 		} else {
@@ -71,7 +70,7 @@
 	return true
 }
 
-// reuseResult lets a request take the response of the one it repeats; it needs no slot.
+// reuseResult answers a request with the result of its original, which takes no slot.
 func (c *Controller) reuseResult(i index) {
 	r := &c.requests.at[i]
 	if r.state == queued {
@@ -82,9 +81,9 @@
 	c.review(i)
 }
 
-// addEntry decides whether the idempotency table gets an entry for a request, and for how long: one with a key
-// for what is left of its window; a retryable one, whose response others may share, for as long as it may take and be
-// reused.
+// addEntry adds an entry to the idempotency table: for a keyed request until the end of its idempotency window, and
+// for a retryable one, whose response may be shared, until its latency objective and the response reuse time are
+// over.
 func (c *Controller) addEntry(i index) {
 	r := &c.requests.at[i]
 	class := &c.classes[r.class]
@@ -102,8 +101,8 @@
 	c.writer.Remember(r.id, r.entry.expires-c.now)
 }
 
-// updateEntry decides what becomes of the entry of a request whose run has ended. One that must run once keeps it
-// for its window, unless it was proven not to have run; the response of another is reused while it is fresh.
+// updateEntry sets the lifetime of an entry after its run has ended. An at-most-once request keeps its entry unless
+// it was proven not executed. A retryable one keeps a good response for the response reuse time.
 func (c *Controller) updateEntry(r *record, outcome Outcome) {
 	switch {
 	case c.classes[r.class].atMostOnce && outcome != NotExecuted || r.entry.expires == 0:
@@ -115,7 +114,7 @@
 	}
 }
 
-// removeEntry takes a request's entry out of the table ahead of its time.
+// removeEntry removes the entry of a request from the idempotency table before it expires.
 func (c *Controller) removeEntry(r *record) {
 	if r.entry.expires > 0 {
 		r.entry.expires, r.entry.recordExpires = 0, c.now
--- a/admission/idle_timeout.go
+++ b/admission/idle_timeout.go
@@ -1,26 +1,27 @@
 package admission
 
 const (
-	// connectionsPerCoreThreshold is the number of callers for each core from which idle connections cost more than new ones:
-	// each open one takes its part of the cores, and a connection table is some times this.
+	// connectionsPerCoreThreshold is the number of connections or callers per core above which idle connections cost
+	// more than new ones, and the idle timeout is shortened.
 	connectionsPerCoreThreshold = 16
-	// minIdleTimeout passes over the pauses within a caller's own bunch of requests.
+	// minIdleTimeout exceeds the pauses within a caller's burst of requests.
 	minIdleTimeout = Second * 3 / 5
-	// A change is announced from a rise by a quarter or a fall by a fifth on: less isn't worth a word to the listener.
-	minRiseDivisor = 4 // the time over it
+	// A changed idle timeout is set if it is longer than the last by more than a quarter, or shorter by more than a
+	// fifth.
+	minRiseDivisor = 4
 	minFallDivisor = 5
 )
 
-// idleTimeout decides after how long an idle connection is closed.
+// idleTimeout decides after how long idle client connections are closed.
 type idleTimeout struct {
 	configured, announced Time
 	callers               float64
 }
 
-// target shortens the idle time where callers are many for the cores. A new connection costs work too, so the time
-// goes by the cube of the share of requests whose caller was here shortly before: it falls fast when most callers
-// won't come back. If more, it goes by the share shed where few retries come: then this server alone is hot, and what
-// finds its connection table full goes where there is room. It may harm callers that come every ten seconds.
+// target shortens the idle timeout when connections are many for the cores. It falls with the cube of the fraction of
+// requests from returning callers, as new connections cost work too. If the fraction shed times that of non-retries
+// is larger, it is used instead: then this server alone is overloaded, and callers that find its connection table
+// full go elsewhere.
 func (t *idleTimeout) target(connections, cores, returning, shed, retries float64) Time {
 	if max(connections, t.callers) <= connectionsPerCoreThreshold*cores {
 		return t.configured
@@ -29,7 +30,7 @@
 	return max(Time(float64(t.configured)*retained*retained*retained), min(minIdleTimeout, t.configured))
 }
 
-// adjustIdleTimeout has idle connections closed sooner or later where the choice has changed.
+// adjustIdleTimeout sets the idle timeout if the target has changed enough.
 func (c *Controller) adjustIdleTimeout(connections float64) {
 	a := &c.arrivals
 	idle := c.idle.target(connections, c.limit.cores, a.returning.mean(c.now, 0), a.shed.mean(c.now, 0),
--- a/admission/interface.go
+++ b/admission/interface.go
@@ -1,206 +1,207 @@
 package admission
 
-// Time is a clock reading or a span, in tenths of a millisecond.
+// Time is a clock reading or a duration, in units of 0.1 ms.
 type Time int64
 
-// Second is one second of Time.
+// Second is one second.
 const Second Time = 10000
 
 const millisecond = Second / 1000
 
-// RetrySafety says what a second run of a request may do.
+// RetrySafety states whether a request may run more than once.
 type RetrySafety uint8
 
 // Values of RetrySafety.
 const (
-	Retryable        RetrySafety = iota // a second run does no harm
-	IdempotencyKeyed                    // a second run would do harm; its key shows that it is one
-	NonRetryable                        // a second run would do harm and can't be told
+	Retryable        RetrySafety = iota // may run more than once
+	IdempotencyKeyed                    // must run at most once; retries are detected by their key
+	NonRetryable                        // must run at most once; retries cannot be detected
 )
 
-// Dependency says what the requests of a server call while they run.
+// Dependency is the kind of service that the requests of a server call while they run.
 type Dependency uint8
 
 // Values of Dependency.
 const (
 	DependencyNone     Dependency = iota
-	DependencyShared              // a service that the whole fleet shares, within an allowance
-	DependencyNextTier            // the next tier of servers, which rejects by itself
+	DependencyShared              // shared by the whole fleet, with a call allowance
+	DependencyNextTier            // the next tier of servers, which rejects calls under load
 )
 
-// Cancellation says how running work can be stopped.
+// Cancellation states how running work can be stopped.
 type Cancellation uint8
 
 // Values of Cancellation.
 const (
 	CancelNever Cancellation = iota
-	CancelDrop               // its result is dropped
-	CancelPause              // it leaves the cores
+	CancelDrop               // the result is dropped
+	CancelPause              // the run releases its core
 )
 
-// OverloadSignal says what the callers make of the value that goes with every response.
+// OverloadSignal states how callers interpret the overload value that is sent with every response.
 type OverloadSignal uint8
 
 // Values of OverloadSignal.
 const (
 	SignalNone   OverloadSignal = iota
-	SignalLevel                 // the share of traffic to keep away, 0 to 1
-	SignalCredit                // how many requests each caller may have in flight
-	SignalWeight                // this server's weight in load balancing, 0 to 1
+	SignalLevel                 // fraction of traffic to keep away, 0 to 1
+	SignalCredit                // number of requests that each caller may have in flight
+	SignalWeight                // load balancing weight of this server, 0 to 1
 )
 
-// Outcome is how a run or a call ended.
+// Outcome is the way in which a run or a call ended.
 type Outcome uint8
 
 // Values of Outcome.
 const (
 	Succeeded   Outcome = iota
-	Failed              // it was executed, without a good result
+	Failed              // executed without a good result
 	NotExecuted         // proven not to have been executed
-	Unknown             // nobody knows whether it was executed
-	Stopped             // it was stopped on the controller's word
-	Superseded          // another attempt made it needless
+	Unknown             // not known whether executed
+	Stopped             // stopped by the controller
+	Superseded          // made unnecessary by another attempt
 )
 
-// Handler is one class of requests.
+// Handler describes one class of requests.
 type Handler struct {
-	LatencyObjective  Time    // responses within it earn the full value
-	Timeout           Time    // the client's, over all attempts
-	Value             float64 // of one response, or of one unit of work, in units of the deployment
-	LateValue         float64 // share of Value earned past the objective
-	DegradedValue     float64 // share of Value earned when a call is skipped; 0 if it can't be
+	LatencyObjective  Time    // responses within it have the full value
+	Timeout           Time    // of the client, over all attempts
+	Value             float64 // of a response, or of a unit of work if ValuePerWork
+	LateValue         float64 // value of a response past the objective, as a fraction of Value
+	DegradedValue     float64 // value of a response without its call, as a fraction of Value; 0 if the call is required
 	RetrySafety       RetrySafety
-	IdempotencyWindow Time // a key may come again for so long
+	IdempotencyWindow Time // time for which a key may be repeated
 }
 
-// Tenant is one of those who share the fleet.
+// Tenant is a customer that shares the fleet.
 type Tenant struct {
-	Quota float64 // requests a second over the whole fleet
+	Quota float64 // requests per second over the whole fleet
 }
 
-// Deployment is what a server is told at its start.
+// Deployment is the configuration of a server.
 type Deployment struct {
 	Start         Time
 	Handlers      []Handler
 	Tenants       []Tenant
 	FleetSize     int  // servers
-	Callers       int  // senders of requests that keep connections
-	Tier          int  // place among the tiers, the first being 0
-	RoundInterval Time // rounds come no more often
+	Callers       int  // clients that keep connections open
+	Tier          int  // position among the tiers, starting at 0
+	RoundInterval Time // minimum time between rounds
 
-	ValuePerWork     bool    // value is earned by each unit of work, not by each response
-	OverQuotaWeight  float64 // worth of what a tenant sends beyond its quota, as a share
-	WorstClassWeight float64 // what the share served of the worst class counts for, over that of all
+	ValuePerWork     bool    // value counts per unit of work instead of per response
+	OverQuotaWeight  float64 // weight of requests beyond a tenant's quota, 0 to 1
+	WorstClassWeight float64 // weight of the fraction served of the worst class, relative to that of all
 
 	Cores           int
 	ColdStart       bool
-	ColdSpeed       float64 // share of its speed at which a cold server starts
-	WarmUpTime      Time    // from the start until full speed
-	MaxRunsPerCore  float64 // runs on the cores for each core that a warm server survives
+	ColdSpeed       float64 // initial speed of a cold server as a fraction of full speed
+	WarmUpTime      Time    // from the start to full speed
+	MaxRunsPerCore  float64 // runs that a core of a warm server survives
 	MemoryKB        float64
-	RunMemoryFactor float64 // memory of a running request over that of a waiting one
+	RunMemoryFactor float64 // memory of a running request relative to a waiting one
 	TableEntryKB    float64 // memory of an entry of the idempotency table
 
 	Dependency        Dependency
-	CallAllowance     float64 // allowed mean number of calls in flight to a shared dependency
-	CallAveragingTime Time    // over which that mean is taken
-	CancellationDelay Time    // an abandoned call stays in flight for so long
+	CallAllowance     float64 // maximum average number of calls in flight to a shared dependency
+	CallAveragingTime Time    // time over which that average is taken
+	CancellationDelay Time    // time for which an abandoned call stays in flight
 
 	Cancellation      Cancellation
-	ResponseReuseTime Time // the response of a retryable request may serve others for so long
-	DrainGrace        Time // what arrived within it after the notice to drain is still admitted
+	ResponseReuseTime Time // time for which the response of a retryable request may be reused
+	DrainGrace        Time // requests that arrive this soon after the notice to drain are admitted
 	OverloadSignal    OverloadSignal
-	MaxRetryAfter     Time // longest Retry-After that is passed on; 0: none is
-	IdleTimeout       Time // of connections, while nothing shortens it
+	MaxRetryAfter     Time // maximum Retry-After; 0: none is sent
+	IdleTimeout       Time // of client connections, unless shortened
 
-	Pools Pools // nil: run slots go to whoever has waited longest
+	Pools Pools // nil: run slots are given in arrival order
 }
 
-// Pools sets run slots apart by class. It is told all that touches a slot and asked before one is given. Its calls come
-// from within Decide.
+// Pools divides run slots among classes. It is notified of each change to queue and slots, and consulted before a
+// slot is given. Its methods are called from within Decide.
 type Pools interface {
 	Enqueued(now Time, q *Request)           // joined the admission queue
-	Dequeued(now Time, id uint32, shed bool) // left it without a run
-	Rejected(now Time, handler int)          // was shed before it joined
-	CanStart(id uint32) bool                 // whether a queued request may take a slot now
+	Dequeued(now Time, id uint32, shed bool) // left the queue without a run
+	Rejected(now Time, handler int)          // was shed without being queued
+	CanStart(id uint32) bool                 // reports whether a queued request may take a slot now
 	Started(now Time, id uint32, waited Time)
-	SetAtCall(now Time, id uint32, atCall bool) // the run came to a call, or went on after it
+	SetAtCall(now Time, id uint32, atCall bool) // the run is at a call, or has resumed after it
 	Ended(now Time, id uint32, done, inTime bool)
-	Tick(now Time, slots int)    // slots: how many runs there may be now
-	QueueDelay(handler int) Time // how long the last one of a class to start had waited; 0 while it has no limit
+	Tick(now Time, slots int)    // slots: number of runs allowed at present
+	QueueDelay(handler int) Time // queue delay of the request of a class that started last; 0 while the class is not limited
 	TakeChanges() []string       // changes since the last call, for the log
 }
 
-// Request is one attempt of a client's request, just read.
+// Request is one attempt of a client's request that was just read.
 type Request struct {
 	ID           uint32
 	Handler      int
 	Tenant       int
 	ArrivedAt    Time // when it reached the machine
-	Deadline     Time // when the client gives up; 0: not stated
+	Deadline     Time // when the client's timeout ends; 0: not stated
 	ExpectedWork Time // 0: not stated
 	SizeKB       float64
 	IsRetry      bool   // a retry or a hedged request
-	Caller       uint32 // who sent it, of those that keep connections
-	PreviousID   uint32 // the known request with the same key; 0: none
+	Caller       uint32 // sender, among those that keep connections open
+	PreviousID   uint32 // known request with the same key; 0: none
 }
 
 // RunEnd is the end of a run.
 type RunEnd struct {
 	ID      uint32
 	Outcome Outcome
-	Elapsed Time // since its start, calls included
+	Elapsed Time // since its start, including calls
 }
 
-// CallEnd is the end of a call to a service below.
+// CallEnd is the end of a call to a dependency.
 type CallEnd struct {
 	ID      uint32 // of the request that made it
 	Outcome Outcome
 	Elapsed Time
 }
 
-// Gauges are the server's own readings, which come with a timer.
+// Gauges are measurements of the server that come with a timer.
 type Gauges struct {
-	Runnable        float64 // runs that want a core, whether they have one or not
+	Runnable        float64 // runs that want a core, including those on one
 	OpenConnections float64
 }
 
-// Round is all that came in for one server at one moment.
+// Round is the input for a server at one moment.
 type Round struct {
 	Now          Time
 	Arrived      []Request
 	CallEnds     []CallEnd
-	CallRequests []uint32 // runs that came to a call
+	CallRequests []uint32 // runs that await a call
 	RunEnds      []RunEnd
-	Disconnected []uint32 // requests whose client is known to have left
+	Disconnected []uint32 // requests whose client has disconnected
 	TimerFired   bool
 	HasGauges    bool
 	Gauges       Gauges
-	Drain        bool // the notice to drain
-	KillAt       Time // when the process is killed after it
+	Drain        bool // notice to drain
+	KillAt       Time // when the process will be killed, if Drain
 }
 
-// Writer takes the decisions, in the order they are made.
+// Writer receives the decisions in the order in which they are made.
 type Writer interface {
-	Run(id uint32)  // gives a queued request its run slot; once for each id
-	Stop(id uint32) // stops a run whose result nobody waits for; it is not run again
-	// Shed rejects a request that never ran. One with noRetry is not to be tried elsewhere; retryAfter is how long its
-	// caller should stay away.
+	Run(id uint32)  // starts the run of a queued request; once per id
+	Stop(id uint32) // stops a run whose result is no longer needed; it is not started again
+	// Shed rejects a request that never ran. noRetry: it should not be retried at another server. retryAfter: how
+	// long its caller should wait before a retry.
 	Shed(id uint32, reason Reason, noRetry bool, retryAfter Time)
-	// Fail answers a request that ran, or waits for another's run, with an error.
+	// Fail answers a request that ran, or awaits the result of another's run, with an error.
 	Fail(id uint32, reason Reason)
-	// Call makes the call that the run stands at. A CallEnd tells its end, soon after the deadline at the latest.
+	// Call starts the call that a run awaits. A CallEnd must report its end, at the latest soon after the deadline.
 	Call(id uint32, deadline Time)
-	SkipCall(id uint32) // the run goes on without its call
-	// Remember has a later request with the same key told as its repeat, by PreviousID, for so long.
+	SkipCall(id uint32) // resumes a run without its call
+	// Remember adds an entry to the idempotency table or changes its lifetime. Later requests with the same key get
+	// the id as their PreviousID.
 	Remember(id uint32, span Time)
-	Forget(id uint32) // ends that
-	// ReuseResult answers a request with its original's result, now or when that is there. A RunEnd of the request
-	// tells whether there was one.
+	Forget(id uint32) // removes the entry
+	// ReuseResult answers a request with the result of its original once that is available. A RunEnd of the request
+	// must report whether there was a result.
 	ReuseResult(id uint32)
-	Health(ready bool)            // what health checks and service discovery are told
-	SignalOverload(value float64) // goes with every response from now on
-	SetIdleTimeout(after Time)    // of clients' connections
-	WakeUp(at Time)               // a round with TimerFired is due then
+	Health(ready bool)            // state for health checks and service discovery
+	SignalOverload(value float64) // value sent with every response from now on
+	SetIdleTimeout(after Time)    // of client connections
+	WakeUp(at Time)               // requests a round with TimerFired at this time
 	Log(line string)
 }
--- a/admission/lifecycle.go
+++ b/admission/lifecycle.go
@@ -1,21 +1,21 @@
 package admission
 
-// state is where a request stands in its life cycle.
+// state is the state of a request in its life cycle.
 type state uint8
 
 const (
 	received       state = iota // read, not yet admitted
 	queued                      // in the admission queue
-	running                     // on the cores
-	awaitingCall                // its run came to a call that is not made yet
+	running                     // its run is on the cores
+	awaitingCall                // its run awaits a call that has not started
 	inCall                      // its call is in flight
-	awaitingResult              // takes the response of another request
-	finished                    // only its entry of the idempotency table, or its record, is left
+	awaitingResult              // awaits the response of another request
+	finished                    // only its entry in the idempotency table or its record remains
 	states
 )
 
-// transitions lists the states that may follow each state. A run that ends or fails in any of its three states is
-// finished once its end is reported: until then it keeps its slot.
+// transitions lists the possible next states of each state. A request that fails during its run stays in its state,
+// and keeps its slot, until the end of the run is reported.
 var transitions = [states][]state{
 	received:       {queued, awaitingResult, finished}, // admitted; a repeat; shed
 	queued:         {running, awaitingResult, finished},
@@ -34,5 +34,5 @@
 	r.state = next
 }
 
-// onTransition is set by tests that hold the life cycle to transitions.
+// onTransition is a test hook.
 var onTransition func(from, to state)
--- a/admission/list.go
+++ b/admission/list.go
@@ -1,9 +1,9 @@
 package admission
 
-// link is a place in one of the lists that run through the request table.
+// link connects a request with its neighbors in a list.
 type link struct{ prev, next index }
 
-// list is a doubly linked list of requests, by their queue links.
+// list is a doubly linked list of requests, through their queueLink fields.
 type list struct {
 	head, tail index
 	length     int
@@ -11,7 +11,7 @@
 
 func newList() list { return list{head: none, tail: none} }
 
-// insertAfter puts i behind p, or at the head if p is none.
+// insertAfter inserts i after p, or at the head if p is none.
 func (l *list) insertAfter(t *requestTable, i, p index) {
 	place := &t.at[i].queueLink
 	place.prev = p
