--- a/admission/end_of_run.go
+++ b/admission/end_of_run.go
@@ -106,7 +106,7 @@
 func (c *Controller) recordRun(r *record, e RunEnd, inTime bool) {
 	demand := &c.queueTimeouts.classes[r.class]
 	if e.Outcome == NotExecuted {
-		demand.served.add(c.now, 0, -1) // superseded, not a client's request: not counted as read
+		demand.served.add(c.now, 0, -1) // not executed: not counted as read
 	}
 	if e.Outcome != Succeeded {
 		return
--- a/admission/interface.go
+++ b/admission/interface.go
@@ -123,11 +123,11 @@
 	Dequeued(now Time, id uint32, shed bool) // left the queue without a run
 	Rejected(now Time, handler int)          // was shed without being queued
 	CanStart(id uint32) bool                 // reports whether a queued request may take a slot now
-	Started(now Time, id uint32, waited Time)
+	Started(now Time, id uint32, queueDelay Time)
 	SetAtCall(now Time, id uint32, atCall bool) // the run is at a call, or has resumed after it
-	Ended(now Time, id uint32, done, inTime bool)
+	Ended(now Time, id uint32, succeeded, inTime bool)
 	Tick(now Time, slots int)    // slots: number of runs allowed at present
-	QueueDelay(handler int) Time // queue delay of the request of a class that started last; 0 while the class is not limited
+	QueueDelay(handler int) Time // queue delay of the class's last request to start; 0 while it is not limited
 	TakeChanges() []string       // changes since the last call, for the log
 }
 
@@ -194,7 +194,7 @@
 	SkipCall(id uint32) // resumes a run without its call
 	// Remember adds an entry to the idempotency table or changes its lifetime. Later requests with the same key get
 	// the id as their PreviousID.
-	Remember(id uint32, span Time)
+	Remember(id uint32, lifetime Time)
 	Forget(id uint32) // removes the entry
 	// ReuseResult answers a request with the result of its original once that is available. A RunEnd of the request
 	// must report whether there was a result.
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -12,7 +12,8 @@
 }
 
 func newMemoryAccount(d *Deployment) memoryAccount {
-	return memoryAccount{limit: d.MemoryKB * usableMemoryFraction, runFactor: d.RunMemoryFactor, entryKB: d.TableEntryKB}
+	return memoryAccount{limit: d.MemoryKB * usableMemoryFraction, runFactor: d.RunMemoryFactor,
+		entryKB: d.TableEntryKB}
 }
 
 // runKB returns the memory that a run needs in addition to its waiting request.
--- a/admission/overload_signal.go
+++ b/admission/overload_signal.go
@@ -3,43 +3,41 @@
 import "math"
 
 const (
-	// targetQueuePerCore is the queued requests for each core at which the pressure settles: cores stay busy and waits short.
+	// targetQueuePerCore is the number of queued requests per core at which the pressure is constant.
 	targetQueuePerCore = 0.5
-	// readDelayWeight weighs the time that requests wait unread, in objectives, as queued requests for each core: a
-	// quarter of an objective counts as a queue at which the pressure settles.
+	// readDelayWeight converts the read delay, as a fraction of the latency objective, to queued requests per core.
 	readDelayWeight = 2
-	// secondsToFullPressure is the seconds from no pressure to all at the fastest. Callers hear a value late and bear it for a
-	// second, so a faster pace has them come and go in waves, with idle cores between.
+	// secondsToFullPressure is the time from no pressure to all at the maximum rise. Callers react to a value with a
+	// delay, and a faster rise makes the load oscillate.
 	secondsToFullPressure = 3.0
-	// maxRise and maxFall bound the excess that the pressure follows. It falls slower than it rises, lest what was kept
-	// away come back at once.
+	// maxRise and maxFall bound the excess of queued requests per core that the pressure follows. It falls slower
+	// than it rises, so that the load that was kept away does not return at once.
 	maxRise = 1.0
 	maxFall = 0.25
-	// maxPressure leaves a tenth of the traffic, by which the server sees that it has room again.
+	// maxPressure leaves a tenth of the traffic, which shows when the server has capacity again.
 	maxPressure = 0.9
-	// inFlightPerRun is the requests in flight for each run of the limit that credits add up to: as many queued as
-	// running is a short queue and no idle slot.
+	// inFlightPerRun is the sum of all credits relative to the concurrency limit: one request queued per run.
 	inFlightPerRun = 2
-	// minSignalChange is the smallest change of the value that callers are told.
+	// minSignalChange is the smallest change of the value that is signalled.
 	minSignalChange = 0.01
 )
 
-// overloadSignal decides the value that goes with every response, by which callers send less.
+// overloadSignal computes the overload value that is sent with every response.
 type overloadSignal struct {
 	kind     OverloadSignal
 	callers  float64
-	pressure float64 // share of traffic to keep away
-	lastSent float64 // the value that callers were told
+	pressure float64 // fraction of traffic to keep away, 0 to 1
+	lastSent float64 // value sent last
 }
 
-// adjust moves the pressure; elapsed is in seconds, queued is requests in the queue for each core, unread the time that
-// requests wait unread in objectives.
+// adjust moves the pressure. elapsed is in seconds, queuedPerCore in requests, and readDelay is a fraction of the
+// latency objective.
 func (s *overloadSignal) adjust(elapsed, queuedPerCore, readDelay float64) {
 	excess := min(max(queuedPerCore+readDelayWeight*readDelay-targetQueuePerCore, -maxFall), maxRise)
 	s.pressure = min(max(s.pressure+elapsed*excess/secondsToFullPressure, 0), maxPressure)
 }
 
-// value turns the pressure into what callers understand; runs is the concurrency limit.
+// value converts the pressure to the kind of signal that the callers use. runs is the concurrency limit.
 func (s *overloadSignal) value(runs int, ready bool) float64 {
 	switch {
 	case !ready:
@@ -52,7 +50,7 @@
 	return s.pressure
 }
 
-// signalOverload tells callers a value that has changed; elapsed is in seconds.
+// signalOverload sends the value if it has changed. elapsed is in seconds.
 func (c *Controller) signalOverload(elapsed float64) {
 	if c.signal.kind == SignalNone {
 		return
--- a/admission/queue_timeout.go
+++ b/admission/queue_timeout.go
@@ -7,67 +7,63 @@
 )
 
 const (
-	// runTimeReserve is the expected runs of a request that its objective has to leave for its own run: somewhat more
-	// than one, since half of all runs take longer than usual. More sheds what would have been in time, less admits
-	// what will be late.
+	// runTimeReserve is the multiple of the expected run time that the queue timeout leaves of the latency objective,
+	// as about half of all runs take longer than expected.
 	runTimeReserve = 1.3
-	// maxTimeoutFraction: a request waits for its objective over it at the most, half, so that what starts has time
-	// to run and to make its calls.
+	// maxTimeoutFraction is the maximum queue timeout as a fraction of the latency objective.
 	maxTimeoutFraction = 0.5
-	// minTimeoutFraction: it may wait for its objective over it at the least, an eighth, also if runs take longer
-	// than the objective: what shows recovery must be admitted.
+	// minTimeoutFraction is the minimum queue timeout as a fraction of the latency objective, even if runs take
+	// longer than the objective: recovery can be observed only on admitted requests.
 	minTimeoutFraction = 0.125
-	// minRankFactor is the part of its timeout that is left to what earns least while the queue is long. Not 0: a
-	// lull of a few runs is still used, and its class is still measured.
+	// minRankFactor is the fraction of its queue timeout that a request of rank 0 keeps while the queue is long, so
+	// that short gaps are used and its class is still measured.
 	minRankFactor = 0.1
-	// minQueuedToShorten is the requests that have to be queued before timeouts are shortened by value; half the cores'
-	// number where that is more. With fewer, a request shed for another's sake could leave a core idle.
+	// minQueuedToShorten is the number of queued requests that must be exceeded before queue timeouts are shortened
+	// by rank; half the number of cores if that is more. With fewer, shedding could leave a core idle.
 	minQueuedToShorten = 2.0
-	// retryTimeoutDivisor shortens the wait of retries and hedged requests. Their objective runs from the first
-	// attempt, so part of it is gone, and they take places from requests with more time.
+	// retryTimeoutDivisor shortens the queue timeout of retries and hedged requests, whose client has used part of
+	// its time on the first attempt.
 	retryTimeoutDivisor = 3.0
-	// worstClassSlope: the extra weight of the worst class is gone at a lead of one over it in the share served, a
-	// tenth. A step there would let two classes swap places at each look.
+	// worstClassSlope is the slope at which the extra weight of the worst class falls with the lead of another class
+	// in the fraction served: it is 0 at a lead of a tenth. Guards against classes that swap places at each ranking.
 	worstClassSlope = 10.0
-	// minUtilityRatio is the factor by which a utility has to exceed another to rank above it: measured work differs by a
-	// few per cent from look to look.
+	// minUtilityRatio is the ratio of utilities above which one ranks above another; smaller differences are noise of
+	// the measured work.
 	minUtilityRatio = 1.05
 
-	// demandBuckets and demandStep: arrivals are counted over five seconds, some dozens at a server's rate, and shorter
-	// than a surge lasts.
+	// Window of arrivals: five seconds.
 	demandBuckets = 10
 	demandStep    = Second / 2
-	// servedBuckets and servedStep: the share served is taken over eight seconds, since that of a rare class is read
-	// from few responses.
+	// Window of the fraction served: eight seconds, since rare classes have few responses.
 	servedBuckets = 8
 	servedStep    = Second
 )
 
-// classDemand is what one class asks for and gets.
+// classDemand measures the requests of one class and the fraction that is served.
 type classDemand struct {
-	value          float64
-	work           window  // time of runs less their calls, over runs
-	workTime       float64 // the mean of it
-	served         window  // requests served within the objective, over those read
+	value          float64 // of a response, or of a unit of work
+	work           window  // run times without calls, per run
+	workTime       float64 // mean of work, in units of Time
+	served         window  // requests served within the latency objective, per request read
 	servedFraction float64
-	valueDemanded  float64 // of the requests read lately
+	valueDemanded  float64 // value of the recently read requests
 }
 
-// tenantDemand is one tenant's fair number of arrivals on this server, and what arrived.
+// tenantDemand measures the arrivals of one tenant against its quota.
 type tenantDemand struct {
-	fair     float64 // requests over the span of arrivals
+	fair     float64 // arrivals within the quota, over the span of the window
 	arrivals window
-	weight   float64 // mean worth of its requests, as a share of their class's, by what it sends beyond its quota
+	weight   float64 // mean weight of its requests, 0 to 1, reduced for arrivals beyond the quota
 }
 
-// demandCell is one class of one tenant.
+// demandCell is the demand of one class of one tenant.
 type demandCell struct {
-	work    window  // of the requests read lately
-	utility float64 // value for the work
-	rank    float64 // share of recent work that earns clearly less, 0 to 1
+	work    window  // expected work of the recently read requests
+	utility float64 // value per work
+	rank    float64 // fraction of recent work with clearly lower utility, 0 to 1
 }
 
-// queueTimeouts decides how long a request may wait for a run slot, by what its class and tenant earn for their work.
+// queueTimeouts computes how long a request may wait for a run slot, by the value per work of its class and tenant.
 type queueTimeouts struct {
 	tier             float64
 	valuePerWork     bool
@@ -76,7 +72,7 @@
 	classes          []classDemand
 	tenants          []tenantDemand
 	cells            []demandCell // by class, then tenant
-	byUtility        []int        // cells
+	byUtility        []int        // indexes of cells
 }
 
 func newQueueTimeouts(d *Deployment, classes []class) queueTimeouts {
@@ -84,7 +80,8 @@
 		tier:            float64(d.Tier),
 		valuePerWork:    d.ValuePerWork,
 		overQuotaWeight: d.OverQuotaWeight,
-		// A level keeps the lowest classes away unread: what is read here doesn't show which class is worst.
+		// With a level signal the lowest classes are kept away by the callers, and the requests read here do not show
+		// which class is worst.
 		worstClassWeight: d.WorstClassWeight * boolToFloat(d.OverloadSignal != SignalLevel),
 	}
 	for k := range classes {
@@ -106,7 +103,7 @@
 	return q
 }
 
-// reconfigure takes the values and quotas that a policy version may change.
+// reconfigure applies the values and quotas that a policy version may change.
 func (q *queueTimeouts) reconfigure(d *Deployment) {
 	for k := range d.Handlers {
 		q.classes[k].value = d.Handlers[k].Value
@@ -117,7 +114,7 @@
 	}
 }
 
-// tenantOf gives the tenant of a request; one that isn't known counts as the first.
+// tenantOf returns the index of a tenant. Unknown tenants count as the first.
 func (q *queueTimeouts) tenantOf(tenant int) int32 {
 	if tenant > 0 && tenant < len(q.tenants) {
 		return int32(tenant)
@@ -129,10 +126,10 @@
 	return &q.cells[int(r.class)*len(q.tenants)+int(r.tenant)]
 }
 
-// requestRead counts a request as demand.
+// requestRead adds a request to the demand of its class and tenant.
 func (q *queueTimeouts) requestRead(now Time, r *record) {
 	if !r.isRetry {
-		// Retries of what was shed would make a tenant look beyond its quota.
+		// Retries of shed requests would make a tenant appear to exceed its quota.
 		q.tenants[r.tenant].arrivals.add(now, 1, 0)
 	}
 	class := &q.classes[r.class]
@@ -140,19 +137,18 @@
 	class.served.add(now, 0, 1)
 }
 
-// queuedRequest is what the queue timeout of one request depends on.
+// queuedRequest is the input of the queue timeout of one request.
 type queuedRequest struct {
 	objective       Time
-	expectedRunTime float64 // in Time; 0: not known
+	expectedRunTime float64 // in units of Time; 0: not known
 	rank            float64 // of its class and tenant, 0 to 1
 	isRetry         bool
 }
 
-// timeout decides how long a request may wait for a run slot, from its arrival: what its objective leaves beside
-// runTimeReserve expected runs, but at least an eighth of it and at most half. In tier n, the first being 0, the
-// objective is divided by n+1, as the tiers before have used their part. While the queue is long, timeouts shrink with
-// the square of the rank, down to a tenth for what earns least for its work, so that the cores go to what earns most;
-// those of retries are a third. It may harm a brief burst that the cores would have caught up with.
+// timeout returns the queue timeout of a request, counted from its arrival: the latency objective less the reserve
+// for its run, between minTimeoutFraction and maxTimeoutFraction of the objective. In tier n, counted from 0, the
+// objective is divided by n+1, since the previous tiers have used their parts. While the queue is long, timeouts
+// shrink with the square of the rank, and those of retries to a third.
 func (q *queueTimeouts) timeout(r queuedRequest, queue *admissionQueue, cores float64) Time {
 	objective := float64(r.objective) / (1 + q.tier)
 	minTimeout, maxTimeout := objective*minTimeoutFraction, objective*maxTimeoutFraction
@@ -168,7 +164,7 @@
 	return Time(timeout)
 }
 
-// rank finds what each class of each tenant earns for its work, and how much of the recent work earns less.
+// rank computes the utility and the rank of each class of each tenant.
 func (q *queueTimeouts) rank(now Time) {
 	q.weighTenants(now)
 	q.weighCells(q.measureClasses(now))
@@ -178,8 +174,7 @@
 	q.rankCells(now)
 }
 
-// weighTenants decides what a request of each tenant counts for: in full up to its fair arrivals, and what is beyond
-// them as the deployment says.
+// weighTenants sets the weight of each tenant: 1 up to its quota, and the over-quota weight for the arrivals beyond.
 func (q *queueTimeouts) weighTenants(now Time) {
 	for k := range q.tenants {
 		t := &q.tenants[k]
@@ -191,7 +186,7 @@
 	}
 }
 
-// measureClasses gives the share served of the worst class, and the value asked for by all.
+// measureClasses returns the fraction served of the worst class and the value demanded of all classes.
 func (q *queueTimeouts) measureClasses(now Time) (worstFraction, valueDemanded float64) {
 	worstFraction = 1.0
 	for k := range q.classes {
@@ -207,8 +202,8 @@
 	return worstFraction, valueDemanded
 }
 
-// weighCells decides what each class of each tenant earns for its work. If the worst class counts apart, a request of
-// it adds to that as well, by its part of the value asked for. It may harm the others where a class fails by itself.
+// weighCells computes the utility of each cell. If the worst class has extra weight, its requests gain by the part
+// that each has in the value demanded of the class.
 func (q *queueTimeouts) weighCells(worstFraction, valueDemanded float64) {
 	for k := range q.cells {
 		cell, c := &q.cells[k], &q.classes[k/len(q.tenants)]
@@ -221,8 +216,8 @@
 	}
 }
 
-// rankCells gives each cell the share of work that earns clearly less, of all the work that earns less than the best.
-// Cells that earn alike rank alike; where nothing earns less, all are at the top and no timeout is shortened.
+// rankCells sets the rank of each cell: the recent work of cells with clearly lower utility, relative to that of the
+// best cell. Cells of similar utility rank alike. If none is lower, all rank 1 and no timeout is shortened.
 func (q *queueTimeouts) rankCells(now Time) {
 	work, lowerWork, utility := 0.0, 0.0, 0.0
 	for _, k := range q.byUtility {
--- a/admission/readiness.go
+++ b/admission/readiness.go
@@ -1,44 +1,43 @@
 package admission
 
 const (
-	// minStallTime is the shortest standstill of started work that counts as a stall. Shorter takes a pause of the disk
-	// for one, longer keeps callers waiting on a server that does nothing.
+	// minStallTime is the shortest time without progress that counts as a stall.
 	minStallTime = Second
-	// stallRunTimes is the standstill in usual runs, lest a class of long runs pass for a stall.
+	// stallRunTimes is the time without progress that counts as a stall, in expected run times of the slowest class.
 	stallRunTimes = 4
-	// stallObjectiveFraction: the standstill is a latency objective over it at the least, half of one. One heavy run
-	// on a core or two may take that long without anything being wrong.
+	// stallObjectiveFraction is the minimum of that time as a fraction of the longest latency objective, since a
+	// single heavy run may take that long.
 	stallObjectiveFraction = 0.5
-	// stallFullRateRuns is the runs on the cores from which the standstill counts in full. Fewer may well all be heavy:
-	// what shows with four at once takes longer to tell with fewer.
+	// stallFullRateRuns is the number of runs on the cores from which time without progress counts in full. With
+	// fewer, which may all be heavy, it counts in proportion.
 	stallFullRateRuns = 4
-	// overloadedAbove is the share of what is read or done too late, of all, from which a server is overloaded: most of
-	// what it does is of no use. Lower has a burst take it out of service.
+	// overloadedAbove is the fraction of reads and run ends that are too late above which the server is overloaded.
 	overloadedAbove = 0.8
-	// overloadClearedAt is the share down to which it stays so. The distance keeps it from changing with each burst.
+	// overloadClearedAt is the fraction at or below which the overload ends; lower than overloadedAbove, so that the
+	// state does not flap.
 	overloadClearedAt = 0.2
-	// lateBuckets and lateStep: lateness is judged over one second. Longer acts late, shorter on single requests.
+	// Window of the fraction that is too late: one second.
 	lateBuckets = 4
 	lateStep    = Second / 4
-	// probeDelay is how long nothing has to have come to a stalled server that is empty before it calls itself ready
-	// again: a few health checks' time, so that all callers have heard that it wasn't.
+	// probeDelay is the time without arrivals after which a stalled, empty server reports ready to get a probe
+	// request; several health check periods, so that all callers have seen it as not ready.
 	probeDelay = 2 * Second
 )
 
-// readiness decides whether started work is stalled, whether the server is overloaded, and what health checks are told.
+// readiness detects stalls and overload and determines the reported health.
 type readiness struct {
 	stalled, overloaded bool
-	ready               bool   // what health checks are told
-	stalledFor          Time   // how long started work has not moved
-	late                window // requests read or runs ended too late to be of use, of all
+	ready               bool   // reported to health checks
+	stalledFor          Time   // time without progress of the runs on the cores
+	late                window // requests read, or runs ended, too late to be useful, per read or end
 }
 
 func newReadiness() readiness { return readiness{late: newWindow(lateBuckets, lateStep)} }
 
-// countLate counts a request that was read, or a run that ended, as too late to be of use or not.
+// countLate counts a request that was read, or a run that ended.
 func (r *readiness) countLate(now Time, late bool) { r.late.add(now, boolToFloat(late), 1) }
 
-// addStallTime adds the time that runs on the cores have not moved; runsOnCores is how many they are.
+// addStallTime adds elapsed time without progress of the runs on the cores.
 func (r *readiness) addStallTime(elapsed Time, runsOnCores int) {
 	if runsOnCores <= 0 || r.stalled {
 		r.stalledFor = 0
@@ -47,9 +46,9 @@
 	}
 }
 
-// detectsStall decides whether started work has come to a standstill: there are as many runs as cores, and none has
-// moved for far longer than runs take. Guards against a kernel or a disk that hangs, at which waiters each spend their
-// queue timeout on a server that does nothing. It may harm where every slot has a very heavy request at once.
+// detectsStall reports whether there are at least as many runs as cores and none has made progress for much longer
+// than runs take. Guards against a stalled kernel or disk, at which each queued request would wait until its queue
+// timeout.
 func (r *readiness) detectsStall(running int, cores float64, classes []class) bool {
 	limit := float64(minStallTime)
 	for k := range classes {
@@ -59,10 +58,9 @@
 	return !r.stalled && r.stalledFor > Time(limit) && float64(running) >= cores
 }
 
-// updateOverload decides whether the server is overloaded by what it has not read yet: nearly all that it reads has
-// waited unread for half its objective, or its runs end past it, so that no client gets what it does in time. Once
-// checks are told, arrivals stop, and it recovers when what it reads is fresh or nothing is left. It gives the
-// line for the log if that changed. It may harm where a whole fleet goes off at once.
+// updateOverload updates the overloaded state and returns a log line if it has changed. A server is overloaded if
+// most requests are read, or most runs end, too late for their clients. Its health check then fails until its reads
+// are recent again or no request is left.
 func (r *readiness) updateOverload(now Time, cores float64) (line string) {
 	late, all := r.late.sums(now)
 	switch {
@@ -76,15 +74,14 @@
 	return ""
 }
 
-// isReady decides what health checks are told: whether to send anything here. A server whose work was stalled, that is
-// empty and that nothing has come to for a while, says yes until something comes: else no caller that obeys checks
-// would ever send what shows that work goes on again. That costs one request each two seconds while it does not.
+// isReady returns the reported health. A stalled server that is empty reports ready after probeDelay without
+// arrivals: otherwise callers that follow health checks would never send the request that shows its recovery.
 func (r *readiness) isReady(empty bool, sinceArrival Time, draining bool) bool {
 	probing := empty && sinceArrival > probeDelay
 	return (!r.stalled || probing) && !r.overloaded && !draining
 }
 
-// detectStall sheds what is queued when started work has come to a standstill.
+// detectStall sheds the queued requests when the runs in progress stall.
 func (c *Controller) detectStall(elapsed Time) {
 	c.readiness.addStallTime(elapsed, c.limit.slotsInUse-c.calls.inFlight.count-c.calls.queue.length)
 	if c.readiness.detectsStall(c.limit.slotsInUse, c.limit.cores, c.classes) {
@@ -96,7 +93,7 @@
 	}
 }
 
-// recordProgress sees started work go on, which is how a standstill ends, whether it is old work or a trial run.
+// recordProgress records progress of a run, which ends a stall.
 func (c *Controller) recordProgress() {
 	c.readiness.stalledFor = 0
 	if c.readiness.stalled {
@@ -106,7 +103,7 @@
 	}
 }
 
-// updateHealth tells health checks what has changed.
+// updateHealth reports a changed health.
 func (c *Controller) updateHealth() {
 	empty := c.limit.slotsInUse == 0 && c.queue.length == 0
 	if ready := c.readiness.isReady(empty, c.now-c.arrivals.lastReadAt, c.drain.active); ready != c.readiness.ready {
--- a/admission/reason.go
+++ b/admission/reason.go
@@ -1,26 +1,27 @@
 package admission
 
-// Reason is why a request got no result.
+// Reason states why a request got no result.
 type Reason uint8
 
-// Values of Reason. A request that never ran is shed (503) and may be tried elsewhere unless that is final: for
-// ReasonQueueTimeout, ReasonMemory, ReasonStalled, ReasonDraining or ReasonDeadline. One that may have run fails (500):
-// for ReasonDeadline, ReasonCallFailed, ReasonOriginalFailed, or ReasonMemory as a repeat of one that ran.
+// Values of Reason. A request that never ran is shed (503), and may be retried at another server unless the rejection
+// is final: for ReasonQueueTimeout, ReasonMemory, ReasonStalled, ReasonDraining or ReasonDeadline. A request that may
+// have run fails (500): for ReasonDeadline, ReasonCallFailed, ReasonOriginalFailed, or ReasonMemory if it repeats one
+// that may have run.
 const (
-	ReasonQueueTimeout   Reason = iota // it waited in the admission queue for as long as it may
-	ReasonMemory                       // no memory for its run, or for its wait
-	ReasonStalled                      // started work stands still
-	ReasonDraining                     // the process can't finish it before it is killed
-	ReasonDeadline                     // its deadline, or the kill, is near
-	ReasonCallFailed                   // a call that it needs brought no result
-	ReasonOriginalFailed               // the run of the request that it repeats failed
+	ReasonQueueTimeout   Reason = iota // waited in the admission queue until its queue timeout
+	ReasonMemory                       // no memory for its run or its wait
+	ReasonStalled                      // runs in progress make no progress
+	ReasonDraining                     // would not finish before the process is killed
+	ReasonDeadline                     // its deadline, or the kill of the process, is near
+	ReasonCallFailed                   // a required call had no result
+	ReasonOriginalFailed               // the run of its original failed
 	reasons
 )
 
 var reasonNames = [reasons]string{"queue_timeout", "memory", "stalled", "draining", "deadline", "call_failed",
 	"original_failed"}
 
-// String gives the name of a reason as the log and docs/decisions.md have it.
+// String returns the name of a reason used in the log and in docs/decisions.md.
 func (r Reason) String() string {
 	if r < reasons {
 		return reasonNames[r]
--- a/admission/rejection.go
+++ b/admission/rejection.go
@@ -1,31 +1,29 @@
 package admission
 
 const (
-	// longDelayDivisor: a shed request is not to be tried elsewhere once it has waited for its objective over it, a
-	// third: another queue would take the rest.
+	// longDelayDivisor divides the latency objective to give the delay above which a shed request should not be
+	// retried at another server, where it would queue again.
 	longDelayDivisor = 3
-	// fullFleetPressure is the share of traffic that callers are told to keep away from which the fleet is likely full: all
-	// servers hear the same demand.
+	// fullFleetPressure is the pressure above which the whole fleet is assumed full, as all servers see the same
+	// demand.
 	fullFleetPressure = 0.5
-	// fullFleetFraction is the share shed here and that of retries, together, from which it is: what is read has then mostly
-	// been shed elsewhere. Lower takes the way out from callers while other servers have room, higher has a full
-	// fleet read requests that it can't serve.
+	// fullFleetFraction is the sum of the fractions shed and of retries above which the fleet is assumed full: most
+	// requests read were then shed elsewhere.
 	fullFleetFraction = 0.8
 )
 
-// isFinal decides whether a shed request is not to be tried at another server: if it waited for its turn and is a
-// retry, which two servers have now rejected, or waited long, or if the fleet is likely full. It may harm where just
-// one of a few servers is slow.
+// isFinal decides whether a shed request should not be retried at another server: it reached its queue timeout or
+// deadline, and it is a retry, was delayed long, or the fleet is full.
 func isFinal(reason Reason, isRetry, delayedLong, fleetFull bool) bool {
 	return (reason == ReasonQueueTimeout || reason == ReasonDeadline) && (isRetry || delayedLong || fleetFull)
 }
 
-// fleetFull says whether what is shed here would likely be shed elsewhere.
+// fleetFull reports whether a request that is shed here would probably be shed by other servers too.
 func fleetFull(now Time, pressure float64, arrivals *arrivalStats) bool {
 	return pressure > fullFleetPressure || arrivals.shed.mean(now, 0)+arrivals.retries.mean(now, 0) > fullFleetFraction
 }
 
-// shed answers a request that never ran with a rejection.
+// shed rejects a request that never ran.
 func (c *Controller) shed(i index, reason Reason) {
 	r := &c.requests.at[i]
 	delayedLong := c.now-r.arrivedAt > c.classes[r.class].objective/longDelayDivisor
@@ -39,8 +37,9 @@
 	c.removeUnrun(i, true)
 }
 
-// retryAfter decides how long a shed request's caller should stay away: until the queue has moved on, by the delay of
-// the last start, of the queue's head, and with pools of the class; the longest that is passed on while not ready.
+// retryAfter returns how long the caller of a shed request should wait before a retry: the longest of the last queue
+// delay, the delay of the queue's head and the class's delay in its pool, up to the maximum Retry-After; the maximum
+// while not ready.
 func (c *Controller) retryAfter(handler int) Time {
 	if !c.readiness.ready {
 		return c.settings.maxRetryAfter
--- a/admission/request_table.go
+++ b/admission/request_table.go
@@ -1,58 +1,58 @@
 package admission
 
-// index is the place of a request in the request table.
+// index is the position of a record in the request table.
 type index int32
 
-// none is no request.
+// none is the index of no record.
 const none index = -1
 
-// unscheduled is the wheel's bucket of a request that is in none.
+// unscheduled is the bucket of a record that is not in the timer wheel.
 const unscheduled int32 = -1
 
-// record is what is known of one request, from its arrival until nothing of it is left.
+// record is the state of one request, from its arrival until the record expires.
 type record struct {
 	id            uint32
 	class, tenant int32
 	state         state
 	isRetry       bool
-	answered      bool // its client is owed nothing any more: answered, or gone; what still runs is only waited for
-	executed      bool // a run of it was started, so its effect may stand
-	failed        bool // it ended without a good response
-	resultShared  bool // others take its response
+	answered      bool // no response is due any more: it was answered, or its client has disconnected
+	executed      bool // a run was started, so it may have had effects
+	failed        bool // ended without a good response
+	resultShared  bool // other requests take its response
 	sizeKB        float64
-	work          float64 // stated, or its class's usual
+	work          float64 // expected work, in units of Time; stated, or the default of its class
 	arrivedAt     Time
 	deadline      Time
 	call          callState
 	entry         entryState
 	repeats       repeatState
-	bucket        int32 // of the timer wheel
-	queueLink     link  // in the admission queue or the queue of calls
+	bucket        int32 // in the timer wheel
+	queueLink     link  // in the admission queue or the call queue
 	timerLink     link  // in the timer wheel
 }
 
-// callState is what is known of a request's calls to the services below.
+// callState is the state of a request's calls.
 type callState struct {
-	queued   bool // it is in the queue of calls
+	queued   bool // in the call queue
 	attempts uint8
 	queuedAt Time
-	elapsed  Time // in calls so far
+	elapsed  Time // total time in calls
 }
 
-// entryState is until when a request is known.
+// entryState holds the expiry times of a request's entry and record.
 type entryState struct {
-	expires       Time // when the idempotency table's entry does; 0: there is none
-	recordExpires Time // until then at least the record is kept
+	expires       Time // when the entry in the idempotency table expires; 0: no entry
+	recordExpires Time // the record is kept at least until then
 }
 
-// repeatState ties those together that wait for the same run.
+// repeatState links the requests that wait for the same run.
 type repeatState struct {
-	original     index // whose run it waits for
-	newestRepeat index // the newest of those that wait for its run
-	link         link  // among those that wait for the same run
+	original     index // request whose run it waits for, or none
+	newestRepeat index // newest of the requests that wait for its run, or none
+	link         link  // among the requests that wait for the same run
 }
 
-// requestTable keeps the records of all known requests and finds them by their ids.
+// requestTable holds the records of all known requests, by index and by id.
 type requestTable struct {
 	at   []record
 	free []index
@@ -61,7 +61,7 @@
 
 func newRequestTable() requestTable { return requestTable{ids: make(map[uint32]index)} }
 
-// find gives the index of a request, or none.
+// find returns the index of a request, or none.
 func (t *requestTable) find(id uint32) index {
 	if i, ok := t.ids[id]; ok {
 		return i
@@ -69,7 +69,7 @@
 	return none
 }
 
-// add makes an empty record for a request.
+// add creates an empty record for a request.
 func (t *requestTable) add(id uint32) index {
 	var i index
 	if n := len(t.free); n > 0 {
@@ -89,7 +89,7 @@
 	t.free = append(t.free, i)
 }
 
-// attachRepeat has i wait for the run of p, or of the one that p waits for.
+// attachRepeat makes i wait for the run of p, or for the run that p waits for.
 func (t *requestTable) attachRepeat(i, p index) {
 	if t.at[p].repeats.original != none {
 		p = t.at[p].repeats.original
@@ -102,7 +102,7 @@
 	original.repeats.newestRepeat = i
 }
 
-// detachRepeat takes i from those that wait for the same run.
+// detachRepeat removes i from the requests that wait for the same run.
 func (t *requestTable) detachRepeat(i index) {
 	repeat := &t.at[i]
 	if repeat.repeats.original == none {
@@ -120,7 +120,7 @@
 	repeat.repeats.original = none
 }
 
-// promoteRepeat makes the oldest of those that wait for i the one that the others wait for, and gives it, or none.
+// promoteRepeat makes the oldest of the requests that wait for i the original of the others, and returns it, or none.
 func (t *requestTable) promoteRepeat(i index) index {
 	oldest := none
 	for k := t.at[i].repeats.newestRepeat; k != none; k = t.at[k].repeats.link.next {
--- a/admission/start_runs.go
+++ b/admission/start_runs.go
@@ -1,17 +1,15 @@
 package admission
 
-// drainRunTimeReserve is how many expected runs must fit in before the kill for a run still to be started: more than
-// one, as a run cut off has cost its work and fails its request, while one not started can be tried elsewhere.
+// drainRunTimeReserve is the multiple of the expected run time that must be left before the kill for a run to start.
+// A run that is killed wastes its work and fails its request, while an unstarted request can be retried at another
+// server.
 const drainRunTimeReserve = 1.5
 
-// startRuns decides which queued requests get the free run slots: those that have waited longest, in strict arrival
-// order. With pools, a request whose class has no slot is passed by younger ones whose class has one. That guards
-// against costly work that holds all slots; it harms what is passed, by the slots of its pool at most. Each start may
-// change what the pools allow, so the next one begins at the head again.
+// startRuns gives free run slots to queued requests in strict arrival order. With pools, a request whose class has no
+// slot is passed by later ones; the scan restarts at the head after each start, which may change the pools' limits.
 //
-// A request that waits for the run of the one it repeats is never started by itself, as it takes that run's result.
-// Guards against a retry that comes through a caller with a slot while its original's caller has none: it would pass
-// its original, and the key would run twice. Without pools the original is always ahead of it.
+// A request that waits for its original's run is not started itself. Guards against a retry that has a slot in its
+// pool while its original has none: both would run. Without pools the original is always ahead.
 func (c *Controller) startRuns() {
 	slots := c.limit.slots(c.now)
 	for i := c.queue.head; i != none && c.limit.slotsInUse < slots; {
@@ -21,8 +19,8 @@
 			continue
 		}
 		if c.memory.exceededBy(r.sizeKB, 0) || (c.readiness.stalled && c.limit.slotsInUse > 0) {
-			// No younger one passes: what has waited longest gets the memory that is freed. While work is stalled one
-			// trial run at a time is started.
+			// No later request passes: the oldest one gets the memory that is freed. While stalled, one probe run at
+			// a time is started.
 			return
 		}
 		if c.drain.active && !c.drain.canFinish(c.now, c.expectedRunTimeOf(r)) {
--- a/admission/timer_wheel.go
+++ b/admission/timer_wheel.go
@@ -1,11 +1,11 @@
 package admission
 
-// timerWheel files requests by the time at which they are to be reviewed, in buckets of a step. What lies further
-// ahead than the wheel reaches is filed in its last bucket, and again when that has come.
+// timerWheel holds requests by the time of their next review, in buckets of one step. A time beyond the range of the
+// wheel goes into its last bucket and is rescheduled from there.
 type timerWheel struct {
 	step  Time
-	slot  int64
-	heads []index
+	slot  int64   // bucket number since time 0 that expires next
+	heads []index // first request of each bucket
 }
 
 func newTimerWheel(buckets int, step, now Time) timerWheel {
@@ -16,7 +16,7 @@
 	return w
 }
 
-// schedule files i to be reviewed once at has come; it leaves the place it had.
+// schedule sets the time of the next review of i, in place of an earlier one.
 func (w *timerWheel) schedule(t *requestTable, i index, at Time) {
 	w.cancel(t, i)
 	slot := max(int64((at+w.step-1)/w.step), w.slot+1)
@@ -46,7 +46,7 @@
 	r.bucket = unscheduled
 }
 
-// expired takes out one request whose time has come, or gives none.
+// expired removes and returns one request whose time has come, or none.
 func (w *timerWheel) expired(t *requestTable, now Time) index {
 	for w.slot <= int64(now/w.step) {
 		k := w.slot % int64(len(w.heads))
--- a/admission/warmup.go
+++ b/admission/warmup.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// warmUp is the way of a cold server to its full speed.
+// warmUp models the rise of a cold server to its full speed.
 type warmUp struct {
-	coldSpeed float64 // share of full speed at the start
+	coldSpeed float64 // initial speed as a fraction of full speed
 	startedAt Time
 	warmAt    Time
 }
@@ -16,7 +16,7 @@
 	return warmUp{coldSpeed: 1, startedAt: d.Start, warmAt: d.Start}
 }
 
-// speed is the least share of full speed that a server which warms up as promised has by now.
+// speed returns the minimum speed at a time as a fraction of full speed.
 func (w *warmUp) speed(now Time) float64 {
 	if now >= w.warmAt {
 		return 1
@@ -24,7 +24,7 @@
 	return w.coldSpeed + (1-w.coldSpeed)*float64(now-w.startedAt)/float64(w.warmAt-w.startedAt)
 }
 
-// Terms of the platform's budget for servers that warm up ("slow start"): with few runs the noise is larger.
+// Parameters of the platform's limit on runs during warm-up (slow start).
 const (
 	smallBudget            = 30 // runs
 	smallBudgetSqrtFactor  = 3
@@ -33,10 +33,9 @@
 	normalBudgetExtra      = 2
 )
 
-// warmUpBudget is how many runs a server that warms up may have in progress where its speed allows n: n + 2 roots of
-// n + 2, and for small n, n + 3 roots of n + 3. It binds on servers of many cores; with few cores it lies over the
-// ceiling's margin. What is started under the looser bound of a small n must still be within the tighter one when n
-// has grown, so the looser one is cut there.
+// warmUpBudget returns the maximum number of runs in progress during warm-up at a speed that allows n: n + 2 sqrt(n)
+// + 2, and n + 3 sqrt(n) + 3 for small n. The looser limit is capped at the tighter one, since runs started under it
+// must still be within the limit when n has grown.
 func warmUpBudget(n float64) float64 {
 	if n < smallBudget {
 		return min(n+smallBudgetSqrtFactor*math.Sqrt(n)+smallBudgetExtra, warmUpBudget(smallBudget))
--- a/admission/window.go
+++ b/admission/window.go
@@ -1,18 +1,18 @@
 package admission
 
-// window keeps two sums over recent time, in buckets that are used again.
+// window keeps two sums over a sliding time window, in a ring of buckets.
 type window struct {
 	step            Time
-	slot            int64 // of the newest bucket; -1 before the first
+	slot            int64 // number of the newest bucket; -1 before the first
 	values, weights []float64
-	value, weight   float64 // the sums
+	value, weight   float64 // sums over all buckets
 }
 
 func newWindow(buckets int, step Time) window {
 	return window{step: step, slot: -1, values: make([]float64, buckets), weights: make([]float64, buckets)}
 }
 
-// advance drops what has become old and gives the bucket of now.
+// advance drops expired buckets and returns the index of the current one.
 func (w *window) advance(now Time) int {
 	slot, n := int64(now/w.step), int64(len(w.values))
 	if w.slot < 0 || slot-w.slot >= n {
@@ -38,13 +38,13 @@
 	w.weight += weight
 }
 
-// sums gives both sums over the span of the window.
+// sums returns both sums over the window.
 func (w *window) sums(now Time) (value, weight float64) {
 	w.advance(now)
 	return w.value, w.weight
 }
 
-// mean is the sum of values over that of weights, or otherwise where nothing was seen lately.
+// mean returns the sum of values over the sum of weights, or fallback if the weights are near zero.
 func (w *window) mean(now Time, fallback float64) float64 {
 	if w.advance(now); w.weight > nearZero {
 		return w.value / w.weight
@@ -54,10 +54,10 @@
 
 func (w *window) span() Time { return w.step * Time(len(w.values)) }
 
-// nearZero is what is left of a sum after rounding: nothing counts for less.
+// nearZero is the bound below which a sum is treated as zero, because of rounding.
 const nearZero = 1e-9
 
-// countAverage is a count whose mean over recent time is kept.
+// countAverage is a count with its time average over a window.
 type countAverage struct {
 	window
 	count     int
@@ -69,13 +69,13 @@
 	c.changedAt, c.count = now, c.count+by
 }
 
-// average is the mean of the count over the span of the window.
+// average returns the mean of the count over the window.
 func (c *countAverage) average(now Time) float64 {
 	c.change(now, 0)
 	return c.value / float64(c.span())
 }
 
-// boolToFloat is 1 for true and 0 for false, to be counted.
+// boolToFloat returns 1 for true and 0 for false.
 func boolToFloat(condition bool) float64 {
 	if condition {
 		return 1
