--- a/admission/lifecycle_test.go
+++ b/admission/lifecycle_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// TestLifecycle plays the recorded streams and all scenarios and holds each change of a request's state to the table of
-// transitions; and no transition stands there that never happens.
-func TestLifecycle(t *testing.T) {
+// TestLifecycleTransitions checks that the recorded streams and all scenarios make only the state changes in
+// transitions, and each of them at least once.
+func TestLifecycleTransitions(t *testing.T) {
 	seen := map[string]bool{}
 	onTransition = func(from, to state) {
 		if !slices.Contains(transitions[from], to) {
-			t.Fatalf("a request went from state %d to %d", from, to)
+			t.Fatalf("transition from state %d to %d, want one of %v", from, to, transitions[from])
 		}
 		seen[fmt.Sprint(from, to)] = true
 	}
@@ -23,7 +23,7 @@
 	for from, next := range transitions {
 		for _, to := range next {
 			if !seen[fmt.Sprint(state(from), to)] {
-				t.Errorf("no request went from state %d to %d", from, to)
+				t.Errorf("no transition from state %d to %d, want at least one", from, to)
 			}
 		}
 	}
--- a/admission/pin_stream_test.go
+++ b/admission/pin_stream_test.go
@@ -5,129 +5,129 @@
 	"testing"
 )
 
-// recordedPools is a tally whose calls go into the hash too.
+// recordedPools is fixedPools that also records the calls of the controller.
 type recordedPools struct {
-	tally
-	to *recorder
+	fixedPools
+	recorder *recorder
 }
 
 func (p *recordedPools) Enqueued(now Time, q *Request) {
-	p.to.note("pools arrived %d %d", now, q.ID)
-	p.tally.Enqueued(now, q)
+	p.recorder.record("pools arrived %d %d", now, q.ID)
+	p.fixedPools.Enqueued(now, q)
 }
 
 func (p *recordedPools) Dequeued(now Time, id uint32, shed bool) {
-	p.to.note("pools left %d %d %v", now, id, shed)
-	p.tally.Dequeued(now, id, shed)
+	p.recorder.record("pools left %d %d %v", now, id, shed)
+	p.fixedPools.Dequeued(now, id, shed)
 }
 
 func (p *recordedPools) Rejected(now Time, handler int) {
-	p.to.note("pools refused %d %d", now, handler)
+	p.recorder.record("pools refused %d %d", now, handler)
 }
 
-func (p *recordedPools) Started(now Time, id uint32, waited Time) {
-	p.to.note("pools started %d %d %d", now, id, waited)
-	p.tally.Started(now, id, waited)
+func (p *recordedPools) Started(now Time, id uint32, queueDelay Time) {
+	p.recorder.record("pools started %d %d %d", now, id, queueDelay)
+	p.fixedPools.Started(now, id, queueDelay)
 }
 
-func (p *recordedPools) SetAtCall(now Time, id uint32, away bool) {
-	p.to.note("pools away %d %d %v", now, id, away)
-	p.tally.SetAtCall(now, id, away)
+func (p *recordedPools) SetAtCall(now Time, id uint32, atCall bool) {
+	p.recorder.record("pools away %d %d %v", now, id, atCall)
+	p.fixedPools.SetAtCall(now, id, atCall)
 }
 
-func (p *recordedPools) Ended(now Time, id uint32, done, inTime bool) {
-	p.to.note("pools ended %d %d %v %v", now, id, done, inTime)
-	p.tally.Ended(now, id, done, inTime)
+func (p *recordedPools) Ended(now Time, id uint32, succeeded, inTime bool) {
+	p.recorder.record("pools ended %d %d %v %v", now, id, succeeded, inTime)
+	p.fixedPools.Ended(now, id, succeeded, inTime)
 }
 
-// QueueDelay is what a limited handler's requests wait, and Told says now and then that something changed.
+// QueueDelay returns a delay for each limited handler, and TakeChanges now and then reports a change.
 func (p *recordedPools) QueueDelay(handler int) Time { return Time(handler) * Second / 2 }
-func (p *recordedPools) TakeChanges() []string       { return []string{"pools changed"}[:p.to.count%2] }
+func (p *recordedPools) TakeChanges() []string       { return []string{"pools changed"}[:p.recorder.count%2] }
 
-func (p *recordedPools) Tick(now Time, slots int) { p.to.note("pools tick %d %d", now, slots) }
+func (p *recordedPools) Tick(now Time, slots int) { p.recorder.record("pools tick %d %d", now, slots) }
 
-// endingServer ends what failed: a run that stood at a call must not hold its slot for good.
+// endingServer reports the end of each failed run, so that a run at a call does not hold its slot forever.
 type endingServer struct{ *recorder }
 
-func (s *endingServer) Fail(id uint32, why Reason) {
-	s.recorder.Fail(id, why)
+func (s *endingServer) Fail(id uint32, reason Reason) {
+	s.recorder.Fail(id, reason)
 	s.running = append(s.running, id)
 }
 
-// faulted turns the made-up round of a step into one of the faults of the stream: work that stands still, a backlog
-// that was read far too late, a silence, and repeats of requests that came in the same round or are long gone.
-func faulted(r *recorder, in *Round, step int) {
+// addFaults changes the round of a step to one of the stream's faults: stalled runs, a backlog that is read too late,
+// a period without arrivals, and repeats of requests of the same round or of unknown ones.
+func addFaults(r *recorder, in *Round, step int) {
 	switch step % 1000 / 100 {
-	case 1, 2, 3, 4: // started work stands still
+	case 1, 2, 3, 4: // runs stall
 		for _, e := range in.RunEnds {
 			r.running = append(r.running, e.ID)
 		}
 		r.running = append(r.running, in.CallRequests...)
 		in.RunEnds, in.CallRequests = nil, nil
-	case 5: // what is read had waited unread for seconds
+	case 5: // requests are read seconds after their arrival
 		for k := range in.Arrived {
 			in.Arrived[k].ArrivedAt -= 2 * Second
 		}
-	case 7: // nothing comes
+	case 7: // no arrivals
 		for _, q := range in.Arrived {
-			delete(r.holders, q.ID)
+			delete(r.keyOfRequest, q.ID)
 		}
 		in.Arrived = nil
 	}
 	if n := len(in.Arrived); n > 1 && r.rand.IntN(4) == 0 {
 		// A key belongs to one handler.
-		one, other := &in.Arrived[n-1], &in.Arrived[n-2]
+		repeat, original := &in.Arrived[n-1], &in.Arrived[n-2]
 		if r.rand.IntN(4) == 0 {
-			one, other = other, one
+			repeat, original = original, repeat
 		}
-		one.Handler, one.PreviousID = other.Handler, other.ID
+		repeat.Handler, repeat.PreviousID = original.Handler, original.ID
 	} else if n > 0 && r.rand.IntN(16) == 0 {
-		in.Arrived[0].PreviousID = 1 << 30 // known to the table alone
+		in.Arrived[0].PreviousID = 1 << 30 // known only to the server's table
 	}
 }
 
-// recordedFaults is the hash of all decisions on the stream of faults, made with the package as version 2a0a97e has
-// it. It changes with any decision, like recordedDecisions.
+// recordedFaults is the hash of all decisions and log lines of the stream of faults, as of version 2a0a97e. It is
+// replaced like recordedDecisions.
 const recordedFaults = "9546d1ae92efaff68a5a963060a22acbae8de2dde5778745e44cb1b297cc1474"
 
-// recordedFaultDecisions and recordedFaultLogLines split it like the hashes of the other stream.
+// recordedFaultDecisions is the hash of the decisions without the texts of log lines, recordedFaultLogLines that of
+// the texts.
 const (
 	recordedFaultDecisions = "b930af416327b99b31398d759ca33aed57bd2ee3a15e3e2d2bf4b5950f65d291"
 	recordedFaultLogLines  = "7b499205a5805d25616d06de3ff35b1764a6c107243df65c8d58b56bf8f655d9"
 )
 
-// TestRecordedFaults plays what the other stream has not: work that stands still and goes on, backlogs that were read
-// too late, silences, memory that is short, pools with fixed slots, callers by the thousand, a dependency that
-// bears less than one call of this server, wakes that come late, and a second notice to drain. Every branch of
-// every decision is taken by one of the two streams.
+// TestRecordedFaults checks the decisions that TestRecordedDecisions does not reach: stalls and their ends, late
+// reads, missing arrivals, low memory, pools with fixed slots, thousands of callers, an allowance below one call,
+// late timers and a second notice to drain. Together the two streams cover every branch of every decision.
 func TestRecordedFaults(t *testing.T) {
 	to := newRecording()
 	for seed := range uint64(24) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
-		r := &recorder{to: to, rand: rnd, now: 50 * Second, entries: map[uint32]uint32{},
-			holders: map[uint32]uint32{}}
+		r := &recorder{recording: to, rand: rnd, now: 50 * Second, requestOfKey: map[uint32]uint32{},
+			keyOfRequest: map[uint32]uint32{}}
 		d := faultDeployment(rnd, r.now)
 		if seed%2 == 0 {
-			d.Pools = &recordedPools{to: r, tally: tally{t: t, slots: []int{1, 2}, running: map[int]int{},
-				holds: map[uint32]int{}, runs: map[uint32]int{}, away: map[uint32]bool{}}}
+			d.Pools = &recordedPools{recorder: r, fixedPools: fixedPools{t: t, slots: []int{1, 2}, slotsInUse: map[int]int{},
+				queued: map[uint32]int{}, running: map[uint32]int{}, atCall: map[uint32]bool{}}}
 		}
 		c, next := New(d), uint32(0)
-		drawn := *d
-		drawn.Tenants = []Tenant{{}, {}} // a server that knows of no tenants is sent requests of some all the same
+		requestDeployment := *d
+		requestDeployment.Tenants = []Tenant{{}, {}} // a server without tenants still gets requests of some
 		for step := range 3170 {
 			r.now += Time(rnd.IntN(300))
 			if rnd.IntN(200) == 0 {
-				r.now += Second // the process stood still
+				r.now += Second // the process was suspended
 			}
-			in := r.round(&drawn, &next)
-			faulted(r, in, step)
+			in := r.round(&requestDeployment, &next)
+			addFaults(r, in, step)
 			if seed%3 == 0 {
 				for k := range in.Arrived {
 					in.Arrived[k].Caller = next - uint32(k)
 				}
 			}
 			if step == 1500 {
-				c.Adopt(adopted(d))
+				c.Adopt(changedPolicy(d))
 			}
 			if step == 3050+int(seed) || step == 3080 {
 				in.Drain, in.KillAt = true, r.now+Time(600+rnd.IntN(4000))
@@ -138,8 +138,8 @@
 	to.check(t, recordedFaults, recordedFaultDecisions, recordedFaultLogLines)
 }
 
-// adopted is a deployment under another policy version.
-func adopted(d *Deployment) *Deployment {
+// changedPolicy returns the deployment under another policy version.
+func changedPolicy(d *Deployment) *Deployment {
 	next := *d
 	next.Handlers = append([]Handler(nil), d.Handlers...)
 	for k := range next.Handlers {
@@ -149,6 +149,7 @@
 	return &next
 }
 
+// faultDeployment generates a deployment for the stream of faults.
 func faultDeployment(rnd *rand.Rand, start Time) *Deployment {
 	d := &Deployment{Start: start, FleetSize: 1 + rnd.IntN(9), Callers: 1 + rnd.IntN(20), Tier: rnd.IntN(3),
 		RoundInterval: 20,
@@ -170,7 +171,7 @@
 	if rnd.IntN(4) == 0 {
 		d.Tenants = nil
 	}
-	if rnd.IntN(4) == 0 { // nothing earns less than another
+	if rnd.IntN(4) == 0 { // all requests have equal value
 		d.WorstClassWeight, d.ValuePerWork, d.Tenants = 0, true, nil
 		for k := range d.Handlers {
 			d.Handlers[k].Value = 1
@@ -182,20 +183,20 @@
 	return d
 }
 
-// BenchmarkRound is what a round costs: four requests read, some runs ended, called or failed, at full queues.
+// BenchmarkRound measures a round with full queues: four requests are read, and runs end or make calls.
 func BenchmarkRound(b *testing.B) {
 	for _, bench := range []struct {
-		name  string
-		below Dependency
+		name       string
+		dependency Dependency
 	}{{"plain", DependencyNone}, {"calls", DependencyShared}} {
-		b.Run(bench.name, func(b *testing.B) { benchmarkRounds(b, bench.below) })
+		b.Run(bench.name, func(b *testing.B) { benchmarkRounds(b, bench.dependency) })
 	}
 }
 
-func benchmarkRounds(b *testing.B, below Dependency) {
+func benchmarkRounds(b *testing.B, dependency Dependency) {
 	rnd := rand.New(rand.NewPCG(7, 7))
 	d := faultDeployment(rnd, 50*Second)
-	d.Dependency, d.MemoryKB, d.Cores, d.ColdStart, d.CallAllowance, d.Tenants = below, 1e6, 8, false, 6,
+	d.Dependency, d.MemoryKB, d.Cores, d.ColdStart, d.CallAllowance, d.Tenants = dependency, 1e6, 8, false, 6,
 		[]Tenant{{Quota: 50}, {Quota: 100}}
 	c, w, now, id := New(d), &benchWriter{}, d.Start, uint32(0)
 	in := Round{HasGauges: true}
@@ -203,7 +204,7 @@
 	b.ResetTimer()
 	for range b.N {
 		now += 20
-		in.Now, in.TimerFired, in.Gauges.Runnable = now, now >= w.wake, 8
+		in.Now, in.TimerFired, in.Gauges.Runnable = now, now >= w.timerAt, 8
 		in.Arrived, in.RunEnds, in.CallRequests, in.CallEnds = in.Arrived[:0], in.RunEnds[:0], in.CallRequests[:0],
 			in.CallEnds[:0]
 		for k := range 4 {
@@ -212,7 +213,7 @@
 				SizeKB: 2, Caller: id % 64})
 		}
 		for _, run := range w.running {
-			if run%4 == 0 && below != DependencyNone {
+			if run%4 == 0 && dependency != DependencyNone {
 				in.CallRequests = append(in.CallRequests, run)
 				continue
 			}
@@ -227,10 +228,10 @@
 	}
 }
 
-// benchWriter is a server whose runs end by the next round.
+// benchWriter simulates a server whose runs end by the next round.
 type benchWriter struct {
 	running, calling []uint32
-	wake             Time
+	timerAt          Time
 }
 
 func (w *benchWriter) Run(id uint32)                   { w.running = append(w.running, id) }
@@ -245,5 +246,5 @@
 func (w *benchWriter) Health(bool)                     {}
 func (w *benchWriter) SignalOverload(float64)          {}
 func (w *benchWriter) SetIdleTimeout(Time)             {}
-func (w *benchWriter) WakeUp(at Time)                  { w.wake = at }
+func (w *benchWriter) WakeUp(at Time)                  { w.timerAt = at }
 func (w *benchWriter) Log(string)                      {}
--- a/admission/recorded_test.go
+++ b/admission/recorded_test.go
@@ -10,10 +10,10 @@
 )
 
 // recording hashes the decisions and the log lines of a stream. In the hash of decisions each log line is replaced by
-// a fixed marker, so that the number and the order of the lines still count; the texts are hashed apart.
+// a fixed marker, so that the number and order of lines still count; their texts are hashed separately.
 type recording struct {
 	joined, decisions, texts hash.Hash
-	noted                    int // decisions and log lines
+	records                  int // decisions and log lines
 	lines                    int // log lines
 }
 
@@ -21,14 +21,14 @@
 	return &recording{joined: sha256.New(), decisions: sha256.New(), texts: sha256.New()}
 }
 
-func (r *recording) note(format string, args ...any) {
-	r.noted++
+func (r *recording) record(format string, args ...any) {
+	r.records++
 	fmt.Fprintf(r.joined, format+"\n", args...)
 	fmt.Fprintf(r.decisions, format+"\n", args...)
 }
 
-func (r *recording) log(line string) {
-	r.noted++
+func (r *recording) recordLog(line string) {
+	r.records++
 	r.lines++
 	fmt.Fprintf(r.joined, "log %s\n", line)
 	fmt.Fprintln(r.decisions, "log")
@@ -39,68 +39,74 @@
 func (r *recording) check(t *testing.T, joined, decisions, texts string) {
 	t.Helper()
 	if got := hex.EncodeToString(r.joined.Sum(nil)); got != joined {
-		t.Errorf("hash of %d decisions and texts = %s, want %s", r.noted, got, joined)
+		t.Errorf("hash of %d decisions and texts = %s, want %s", r.records, got, joined)
 	}
 	if got := hex.EncodeToString(r.decisions.Sum(nil)); got != decisions {
-		t.Errorf("hash of %d decisions = %s, want %s", r.noted, got, decisions)
+		t.Errorf("hash of %d decisions = %s, want %s", r.records, got, decisions)
 	}
 	if got := hex.EncodeToString(r.texts.Sum(nil)); got != texts {
 		t.Errorf("hash of %d log lines = %s, want %s", r.lines, got, texts)
 	}
 }
 
-// recorder records every decision and plays the server that carries them out.
+// recorder is a Writer that records every decision and simulates the server that carries them out.
 type recorder struct {
-	to      *recording
-	rand    *rand.Rand
-	now     Time
-	wake    Time
-	running []uint32
-	calling []uint32
-	entries map[uint32]uint32 // which request holds a key, by key
-	holders map[uint32]uint32 // and the key that a request holds
-	count   int
+	recording    *recording
+	rand         *rand.Rand
+	now          Time
+	timerAt      Time
+	running      []uint32
+	calling      []uint32
+	requestOfKey map[uint32]uint32 // request that holds each key
+	keyOfRequest map[uint32]uint32 // key that each request holds
+	count        int
 }
 
-func (r *recorder) note(format string, args ...any) {
+func (r *recorder) record(format string, args ...any) {
 	r.count++
-	r.to.note(format, args...)
+	r.recording.record(format, args...)
 }
 
-func (r *recorder) Run(id uint32)  { r.note("run %d", id); r.running = append(r.running, id) }
-func (r *recorder) Stop(id uint32) { r.note("pause %d", id) }
-func (r *recorder) Shed(id uint32, _ Reason, last bool, comeBack Time) {
-	r.note("shed %d %v %d", id, last, comeBack)
+func (r *recorder) Run(id uint32)  { r.record("run %d", id); r.running = append(r.running, id) }
+func (r *recorder) Stop(id uint32) { r.record("pause %d", id) }
+func (r *recorder) Shed(id uint32, _ Reason, noRetry bool, retryAfter Time) {
+	r.record("shed %d %v %d", id, noRetry, retryAfter)
 }
-func (r *recorder) Fail(id uint32, _ Reason) { r.note("fail %d", id) }
-func (r *recorder) Call(id uint32, until Time) {
-	r.note("call %d %d", id, until)
+func (r *recorder) Fail(id uint32, _ Reason) { r.record("fail %d", id) }
+func (r *recorder) Call(id uint32, deadline Time) {
+	r.record("call %d %d", id, deadline)
 	r.calling = append(r.calling, id)
 }
-func (r *recorder) SkipCall(id uint32) { r.note("skip %d", id); r.running = append(r.running, id) }
-func (r *recorder) Remember(id uint32, span Time) {
-	r.note("remember %d %d", id, span)
-	r.entries[r.holders[id]] = id
+func (r *recorder) SkipCall(id uint32) { r.record("skip %d", id); r.running = append(r.running, id) }
+func (r *recorder) Remember(id uint32, lifetime Time) {
+	r.record("remember %d %d", id, lifetime)
+	r.requestOfKey[r.keyOfRequest[id]] = id
 }
-func (r *recorder) Forget(id uint32)             { r.note("forget %d", id); delete(r.entries, r.holders[id]) }
-func (r *recorder) ReuseResult(id uint32)        { r.note("reuse %d", id); r.running = append(r.running, id) }
-func (r *recorder) Health(good bool)             { r.note("health %v", good) }
-func (r *recorder) SignalOverload(value float64) { r.note("say %.9f", value) }
-func (r *recorder) SetIdleTimeout(after Time)    { r.note("idle %d", after) }
-func (r *recorder) WakeUp(at Time)               { r.note("wake %d", at); r.wake = at }
-func (r *recorder) Log(line string)              { r.count++; r.to.log(line) }
+func (r *recorder) Forget(id uint32) {
+	r.record("forget %d", id)
+	delete(r.requestOfKey, r.keyOfRequest[id])
+}
+func (r *recorder) ReuseResult(id uint32) {
+	r.record("reuse %d", id)
+	r.running = append(r.running, id)
+}
+func (r *recorder) Health(ready bool)            { r.record("health %v", ready) }
+func (r *recorder) SignalOverload(value float64) { r.record("say %.9f", value) }
+func (r *recorder) SetIdleTimeout(after Time)    { r.record("idle %d", after) }
+func (r *recorder) WakeUp(at Time)               { r.record("wake %d", at); r.timerAt = at }
+func (r *recorder) Log(line string)              { r.count++; r.recording.recordLog(line) }
 
-// take takes one out of a list, by chance.
-func (r *recorder) take(list *[]uint32) uint32 {
+// takeRandom removes a random element from a list and returns it.
+func (r *recorder) takeRandom(list *[]uint32) uint32 {
 	i := r.rand.IntN(len(*list))
 	id := (*list)[i]
 	*list = append((*list)[:i], (*list)[i+1:]...)
 	return id
 }
 
-// round makes up what comes in at one moment.
+// round generates the input of one moment.
 func (r *recorder) round(d *Deployment, next *uint32) *Round {
-	in := &Round{Now: r.now, TimerFired: r.now >= r.wake, HasGauges: r.rand.IntN(4) > 0,
+	in := &Round{Now: r.now, TimerFired: r.now >= r.timerAt, HasGauges: r.rand.IntN(4) > 0,
 		Gauges: Gauges{Runnable: float64(len(r.running)) * r.rand.Float64() * 1.5,
 			OpenConnections: float64(r.rand.IntN(300))}}
 	for n := r.rand.IntN(4); n > 0; n-- {
@@ -116,12 +122,12 @@
 		}
 		if d.Handlers[q.Handler].RetrySafety != NonRetryable {
 			key := uint32(q.Handler*1000 + r.rand.IntN(40))
-			q.PreviousID, r.holders[q.ID] = r.entries[key], key
+			q.PreviousID, r.keyOfRequest[q.ID] = r.requestOfKey[key], key
 		}
 		in.Arrived = append(in.Arrived, q)
 	}
 	for n := r.rand.IntN(4); n > 0 && len(r.running) > 0; n-- {
-		id := r.take(&r.running)
+		id := r.takeRandom(&r.running)
 		if r.rand.IntN(3) == 0 {
 			in.CallRequests = append(in.CallRequests, id)
 		} else {
@@ -130,8 +136,8 @@
 		}
 	}
 	for n := r.rand.IntN(2); n > 0 && len(r.calling) > 0; n-- {
-		id, how := r.take(&r.calling), Outcome(r.rand.IntN(4))
-		in.CallEnds = append(in.CallEnds, CallEnd{ID: id, Outcome: how, Elapsed: Time(r.rand.IntN(3000))})
+		id, outcome := r.takeRandom(&r.calling), Outcome(r.rand.IntN(4))
+		in.CallEnds = append(in.CallEnds, CallEnd{ID: id, Outcome: outcome, Elapsed: Time(r.rand.IntN(3000))})
 		r.running = append(r.running, id)
 	}
 	if r.rand.IntN(20) == 0 && *next > 10 {
@@ -140,22 +146,24 @@
 	return in
 }
 
-// recordedDecisions is the hash of all decisions on the recorded rounds. It changes with any decision: whoever
-// changes one on purpose puts the new hash here and says why in the commit. Moving code about must not change it.
+// recordedDecisions is the hash of all decisions and log lines of the recorded rounds. A commit that changes a
+// decision on purpose replaces the hash and gives the reason. A refactoring must not change it.
 const recordedDecisions = "86a6c3cd7e0cbc05c7927ef3f24707f3b6cf7c88b3266bbb08040796f61a566b"
 
-// recordedDecisionsAlone and recordedLogLines split it: the decisions without the texts of log lines, and these texts.
+// recordedDecisionsAlone is the hash of the decisions without the texts of log lines, recordedLogLines that of the
+// texts.
 const (
 	recordedDecisionsAlone = "eb95ce7c57d89c2ebc0df7ffa2f3aa9a58e52e0f586120746805d2ba2f6004d2"
 	recordedLogLines       = "8e522f484ba8b57e7875baf965f00edab1ca22b8a3725bcda0a3aa70c22d7486"
 )
 
+// TestRecordedDecisions checks all decisions on generated rounds against the recorded hashes.
 func TestRecordedDecisions(t *testing.T) {
 	to := newRecording()
 	for seed := range uint64(24) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		r := &recorder{to: to, rand: rnd, now: 50 * Second, entries: map[uint32]uint32{},
-			holders: map[uint32]uint32{}}
+		r := &recorder{recording: to, rand: rnd, now: 50 * Second, requestOfKey: map[uint32]uint32{},
+			keyOfRequest: map[uint32]uint32{}}
 		d := &Deployment{Start: r.now, FleetSize: 1 + rnd.IntN(9), Callers: 1 + rnd.IntN(200), Tier: rnd.IntN(2),
 			RoundInterval: 20,
 			ValuePerWork:  rnd.IntN(2) == 0, OverQuotaWeight: 0.1, WorstClassWeight: rnd.Float64(),
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -26,82 +26,82 @@
 //
 // Events: arrive ID [h=N t=N came=MS due=MS hint=MS kb=N caller=N prior=ID again], end ID OUTCOME [MS],
 // need ID, back ID OUTCOME [MS], gone ID, drain MS (the kill).
-type scene struct {
-	t     *testing.T
-	file  string
-	line  int
-	d     Deployment
-	c     *Controller
-	now   Time
-	wake  Time
-	on    float64
-	auto  bool
-	links float64
-	busy  map[uint32]bool
-	log   []string
-	all   []string
-	pools *tally
+type scenario struct {
+	t                *testing.T
+	file             string
+	line             int
+	d                Deployment
+	c                *Controller
+	now              Time
+	timerAt          Time
+	runnable         float64
+	runnableFromRuns bool
+	connections      float64
+	onCores          map[uint32]bool
+	decided          []string
+	allDecided       []string
+	pools            *fixedPools
 }
 
-// tally is pools with fixed slots; it holds the controller to telling it of all that touches a slot.
-type tally struct {
-	t           *testing.T
-	slots       []int
-	running     map[int]int
-	holds, runs map[uint32]int // id to handler
-	away        map[uint32]bool
+// fixedPools is pools with fixed slots; it holds the controller to telling it of all that touches a slot.
+type fixedPools struct {
+	t               *testing.T
+	slots           []int
+	slotsInUse      map[int]int
+	queued, running map[uint32]int // id to handler
+	atCall          map[uint32]bool
 }
 
-func (p *tally) Enqueued(_ Time, q *Request) {
-	if _, twice := p.holds[q.ID]; twice {
+func (p *fixedPools) Enqueued(_ Time, q *Request) {
+	if _, twice := p.queued[q.ID]; twice {
 		p.t.Errorf("%d joined the hold twice", q.ID)
 	}
-	p.holds[q.ID] = q.Handler
+	p.queued[q.ID] = q.Handler
 }
-func (p *tally) Rejected(Time, int) {}
-func (p *tally) Dequeued(_ Time, id uint32, _ bool) {
-	if _, held := p.holds[id]; !held {
+func (p *fixedPools) Rejected(Time, int) {}
+func (p *fixedPools) Dequeued(_ Time, id uint32, _ bool) {
+	if _, held := p.queued[id]; !held {
 		p.t.Errorf("%d left the hold without being in it", id)
 	}
-	delete(p.holds, id)
+	delete(p.queued, id)
 }
-func (p *tally) CanStart(id uint32) bool {
-	h := p.holds[id]
-	return h >= len(p.slots) || p.running[h] < p.slots[h]
+func (p *fixedPools) CanStart(id uint32) bool {
+	h := p.queued[id]
+	return h >= len(p.slots) || p.slotsInUse[h] < p.slots[h]
 }
-func (p *tally) Started(_ Time, id uint32, _ Time) {
+func (p *fixedPools) Started(_ Time, id uint32, _ Time) {
 	if !p.CanStart(id) {
-		p.t.Errorf("%d was started past the slots of handler %d", id, p.holds[id])
+		p.t.Errorf("%d was started past the slots of handler %d", id, p.queued[id])
 	}
-	p.runs[id] = p.holds[id]
-	p.running[p.holds[id]]++
-	delete(p.holds, id)
+	p.running[id] = p.queued[id]
+	p.slotsInUse[p.queued[id]]++
+	delete(p.queued, id)
 }
-func (p *tally) SetAtCall(_ Time, id uint32, away bool) {
-	if _, runs := p.runs[id]; !runs || p.away[id] == away {
+func (p *fixedPools) SetAtCall(_ Time, id uint32, away bool) {
+	if _, runs := p.running[id]; !runs || p.atCall[id] == away {
 		p.t.Errorf("%d away %v again, or without a run", id, away)
 	}
-	p.away[id] = away
+	p.atCall[id] = away
 }
-func (p *tally) Ended(_ Time, id uint32, _, _ bool) {
-	h, runs := p.runs[id]
+func (p *fixedPools) Ended(_ Time, id uint32, _, _ bool) {
+	h, runs := p.running[id]
 	if !runs {
 		p.t.Errorf("%d ended without a run", id)
 	}
-	delete(p.runs, id)
-	delete(p.away, id)
-	p.running[h]--
+	delete(p.running, id)
+	delete(p.atCall, id)
+	p.slotsInUse[h]--
 }
-func (p *tally) Tick(Time, int)        {}
-func (p *tally) QueueDelay(int) Time   { return 0 }
-func (p *tally) TakeChanges() []string { return nil }
+func (p *fixedPools) Tick(Time, int)        {}
+func (p *fixedPools) QueueDelay(int) Time   { return 0 }
+func (p *fixedPools) TakeChanges() []string { return nil }
 
-func (s *scene) note(f string, a ...any) { s.log = append(s.log, fmt.Sprintf(f, a...)) }
+func (s *scenario) record(f string, a ...any) { s.decided = append(s.decided, fmt.Sprintf(f, a...)) }
 
-func (s *scene) Run(id uint32)            { s.busy[id] = true; s.note("run %d", id) }
-func (s *scene) Stop(id uint32)           { s.note("pause %d", id) }
-func (s *scene) Fail(id uint32, _ Reason) { s.note("fail %d", id) }
-func (s *scene) Shed(id uint32, _ Reason, last bool, comeBack Time) {
+func (s *scenario) Run(id uint32)            { s.onCores[id] = true; s.record("run %d", id) }
+func (s *scenario) Stop(id uint32)           { s.record("pause %d", id) }
+func (s *scenario) Fail(id uint32, _ Reason) { s.record("fail %d", id) }
+func (s *scenario) Shed(id uint32, _ Reason, last bool, comeBack Time) {
 	line := fmt.Sprintf("shed %d", id)
 	if last {
 		line += " last"
@@ -109,11 +109,11 @@
 	if comeBack > 0 {
 		line += " back"
 	}
-	s.note("%s", line)
+	s.record("%s", line)
 }
-func (s *scene) Call(id uint32, until Time) {
-	delete(s.busy, id)
-	s.note("call %d", id)
+func (s *scenario) Call(id uint32, until Time) {
+	delete(s.onCores, id)
+	s.record("call %d", id)
 	if until <= s.now {
 		s.t.Errorf("%s:%d: call %d until %d, not past now %d", s.file, s.line, id, until, s.now)
 	}
@@ -124,40 +124,40 @@
 		s.t.Errorf("%s:%d: call %d may last past the allowance", s.file, s.line, id)
 	}
 }
-func (s *scene) SkipCall(id uint32) { s.busy[id] = true; s.note("skip %d", id) }
+func (s *scenario) SkipCall(id uint32) { s.onCores[id] = true; s.record("skip %d", id) }
 
 // An entry lasts past the window of an idempotency-keyed request, by what rounding to tenths of a ms may have taken
 // off.
-func (s *scene) Remember(id uint32, span Time) {
+func (s *scenario) Remember(id uint32, span Time) {
 	it := &s.c.requests.at[s.c.requests.find(id)]
 	if h := &s.c.classes[it.class]; h.keyed && s.now+span < it.arrivedAt+h.idempotencyWindow+2 {
 		s.t.Errorf("%s:%d: the entry of %d is short of its window", s.file, s.line, id)
 	}
-	s.note("remember %d", id)
+	s.record("remember %d", id)
 }
 
-func (s *scene) Forget(id uint32)         { s.note("forget %d", id) }
-func (s *scene) ReuseResult(id uint32)    { s.note("reuse %d", id) }
-func (s *scene) Health(good bool)         { s.note("health %v", good) }
-func (s *scene) SignalOverload(v float64) { s.note("say %.1f", v) }
-func (s *scene) SetIdleTimeout(t Time)    { s.note("idle %d", t/10) }
-func (s *scene) Log(string)               {}
-func (s *scene) WakeUp(at Time) {
-	if s.wake > 0 {
+func (s *scenario) Forget(id uint32)         { s.record("forget %d", id) }
+func (s *scenario) ReuseResult(id uint32)    { s.record("reuse %d", id) }
+func (s *scenario) Health(good bool)         { s.record("health %v", good) }
+func (s *scenario) SignalOverload(v float64) { s.record("say %.1f", v) }
+func (s *scenario) SetIdleTimeout(t Time)    { s.record("idle %d", t/10) }
+func (s *scenario) Log(string)               {}
+func (s *scenario) WakeUp(at Time) {
+	if s.timerAt > 0 {
 		s.t.Errorf("%s:%d: a second timer", s.file, s.line)
 	}
 	if at <= s.now {
 		s.t.Errorf("%s:%d: wake-up at %d, not past now %d", s.file, s.line, at, s.now)
 	}
-	s.wake = at
+	s.timerAt = at
 }
 
-func (s *scene) fatal(f string, a ...any) {
+func (s *scenario) fatal(f string, a ...any) {
 	s.t.Helper()
 	s.t.Fatalf("%s:%d: %s", s.file, s.line, fmt.Sprintf(f, a...))
 }
 
-func (s *scene) num(text string) float64 {
+func (s *scenario) number(text string) float64 {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		s.fatal("%q is not a number", text)
@@ -165,10 +165,10 @@
 	return v
 }
 
-func (s *scene) ms(text string) Time { return Time(s.num(text) * 10) }
+func (s *scenario) milliseconds(text string) Time { return Time(s.number(text) * 10) }
 
-// pairs calls f with each KEY=VALUE; a word alone has no value.
-func (s *scene) pairs(words []string, f func(k, v string) bool) {
+// forEachPair calls f with each KEY=VALUE; a word alone has no value.
+func (s *scenario) forEachPair(words []string, f func(k, v string) bool) {
 	for _, w := range words {
 		k, v, _ := strings.Cut(w, "=")
 		if !f(k, v) {
@@ -177,8 +177,8 @@
 	}
 }
 
-// set calls the setter of a key, if there is one.
-func set(k string, to map[string]func()) bool {
+// callSetter calls the setter of a key, if there is one.
+func callSetter(k string, to map[string]func()) bool {
 	f := to[k]
 	if f != nil {
 		f()
@@ -186,26 +186,26 @@
 	return f != nil
 }
 
-func (s *scene) server(k, v string) bool {
+func (s *scenario) setServer(k, v string) bool {
 	d := &s.d
-	return set(k, map[string]func(){
-		"idle":   func() { d.IdleTimeout = s.ms(v) },
-		"cores":  func() { d.Cores = int(s.num(v)) },
-		"mem":    func() { d.MemoryKB = s.num(v) },
-		"factor": func() { d.RunMemoryFactor = s.num(v) },
-		"key":    func() { d.TableEntryKB = s.num(v) },
-		"cold":   func() { d.ColdStart, d.ColdSpeed, d.WarmUpTime = true, s.num(v), 10*Second },
+	return callSetter(k, map[string]func(){
+		"idle":   func() { d.IdleTimeout = s.milliseconds(v) },
+		"cores":  func() { d.Cores = int(s.number(v)) },
+		"mem":    func() { d.MemoryKB = s.number(v) },
+		"factor": func() { d.RunMemoryFactor = s.number(v) },
+		"key":    func() { d.TableEntryKB = s.number(v) },
+		"cold":   func() { d.ColdStart, d.ColdSpeed, d.WarmUpTime = true, s.number(v), 10*Second },
 		"stop": func() {
 			d.Cancellation = map[string]Cancellation{"never": CancelNever, "drop": CancelDrop, "pause": CancelPause}[v]
 		},
-		"fresh": func() { d.ResponseReuseTime = s.ms(v) },
+		"fresh": func() { d.ResponseReuseTime = s.milliseconds(v) },
 		"calls": func() {
-			d.Dependency, d.CallAllowance, d.CallAveragingTime, d.CancellationDelay = DependencyShared, s.num(v),
+			d.Dependency, d.CallAllowance, d.CallAveragingTime, d.CancellationDelay = DependencyShared, s.number(v),
 				5*Second, Second/5
 		},
 		"tier":  func() { d.Dependency = DependencyNextTier },
-		"worst": func() { d.WorstClassWeight = s.num(v) },
-		"fleet": func() { d.FleetSize = int(s.num(v)) },
+		"worst": func() { d.WorstClassWeight = s.number(v) },
+		"fleet": func() { d.FleetSize = int(s.number(v)) },
 		"say": func() {
 			d.OverloadSignal = map[string]OverloadSignal{"level": SignalLevel, "credit": SignalCredit,
 				"weight": SignalWeight}[v]
@@ -214,15 +214,15 @@
 	})
 }
 
-func (s *scene) handler(words []string) {
+func (s *scenario) addHandler(words []string) {
 	h := Handler{LatencyObjective: 2 * Second, Timeout: 6 * Second, Value: 1}
-	s.pairs(words, func(k, v string) bool {
-		return set(k, map[string]func(){
-			"target":        func() { h.LatencyObjective = s.ms(v) },
-			"timeout":       func() { h.Timeout = s.ms(v) },
-			"value":         func() { h.Value = s.num(v) },
-			"late":          func() { h.LateValue = s.num(v) },
-			"lean":          func() { h.DegradedValue = s.num(v) },
+	s.forEachPair(words, func(k, v string) bool {
+		return callSetter(k, map[string]func(){
+			"target":        func() { h.LatencyObjective = s.milliseconds(v) },
+			"timeout":       func() { h.Timeout = s.milliseconds(v) },
+			"value":         func() { h.Value = s.number(v) },
+			"late":          func() { h.LateValue = s.number(v) },
+			"lean":          func() { h.DegradedValue = s.number(v) },
 			"uniqued":       func() { h.RetrySafety, h.IdempotencyWindow = IdempotencyKeyed, 10*Second },
 			"nonreplayable": func() { h.RetrySafety = NonRetryable },
 		})
@@ -230,25 +230,25 @@
 	s.d.Handlers = append(s.d.Handlers, h)
 }
 
-// round plays one round and checks what holds after every one.
-func (s *scene) round(r Round) {
+// runRound plays one round and checks what holds after every one.
+func (s *scenario) runRound(r Round) {
 	if s.c == nil {
 		if len(s.d.Handlers) == 0 {
-			s.handler(nil)
+			s.addHandler(nil)
 		}
 		s.c = New(&s.d)
 	}
 	r.Now = s.now
 	if r.TimerFired {
-		s.wake = 0
-		r.HasGauges, r.Gauges.OpenConnections = true, s.links
-		if r.Gauges.Runnable = s.on; s.auto {
-			r.Gauges.Runnable = float64(len(s.busy))
+		s.timerAt = 0
+		r.HasGauges, r.Gauges.OpenConnections = true, s.connections
+		if r.Gauges.Runnable = s.runnable; s.runnableFromRuns {
+			r.Gauges.Runnable = float64(len(s.onCores))
 		}
 	}
 	s.c.Decide(&r, s)
 	if s.pools != nil {
-		if held, running := len(s.pools.holds), len(s.pools.runs); held != s.c.queue.length ||
+		if held, running := len(s.pools.queued), len(s.pools.running); held != s.c.queue.length ||
 			running != s.c.limit.slotsInUse {
 			s.fatal("pools know of %d held and %d running, expected %d and %d", held, running, s.c.queue.length,
 				s.c.limit.slotsInUse)
@@ -262,14 +262,14 @@
 	}
 }
 
-func (s *scene) at(when Time, events string) {
-	for s.wake > 0 && s.wake < when {
-		s.now = s.wake
-		s.round(Round{TimerFired: true})
+func (s *scenario) runUntil(when Time, events string) {
+	for s.timerAt > 0 && s.timerAt < when {
+		s.now = s.timerAt
+		s.runRound(Round{TimerFired: true})
 	}
 	s.now = when
 	var r Round
-	r.TimerFired = s.wake == when
+	r.TimerFired = s.timerAt == when
 	how := map[string]Outcome{"ok": Succeeded, "error": Failed, "unrun": NotExecuted, "unclear": Unknown,
 		"stopped": Stopped}
 	for _, ev := range strings.Split(events, ";") {
@@ -277,51 +277,51 @@
 		if len(w) < 2 {
 			continue
 		}
-		id := uint32(s.num(w[1]))
+		id := uint32(s.number(w[1]))
 		took := Time(0)
 		if len(w) > 3 && w[0] != "arrive" {
-			took = s.ms(w[3])
+			took = s.milliseconds(w[3])
 		}
 		switch w[0] {
 		case "arrive":
 			q := Request{ID: id, ArrivedAt: when, SizeKB: 1}
-			s.pairs(w[2:], func(k, v string) bool {
-				return set(k, map[string]func(){
-					"h":      func() { q.Handler = int(s.num(v)) },
-					"t":      func() { q.Tenant = int(s.num(v)) },
-					"came":   func() { q.ArrivedAt = s.ms(v) },
-					"due":    func() { q.Deadline = s.ms(v) },
-					"hint":   func() { q.ExpectedWork = s.ms(v) },
-					"kb":     func() { q.SizeKB = s.num(v) },
-					"caller": func() { q.Caller = uint32(s.num(v)) },
-					"prior":  func() { q.PreviousID = uint32(s.num(v)) },
+			s.forEachPair(w[2:], func(k, v string) bool {
+				return callSetter(k, map[string]func(){
+					"h":      func() { q.Handler = int(s.number(v)) },
+					"t":      func() { q.Tenant = int(s.number(v)) },
+					"came":   func() { q.ArrivedAt = s.milliseconds(v) },
+					"due":    func() { q.Deadline = s.milliseconds(v) },
+					"hint":   func() { q.ExpectedWork = s.milliseconds(v) },
+					"kb":     func() { q.SizeKB = s.number(v) },
+					"caller": func() { q.Caller = uint32(s.number(v)) },
+					"prior":  func() { q.PreviousID = uint32(s.number(v)) },
 					"again":  func() { q.IsRetry = true },
 				})
 			})
 			r.Arrived = append(r.Arrived, q)
 		case "end":
-			delete(s.busy, id)
+			delete(s.onCores, id)
 			r.RunEnds = append(r.RunEnds, RunEnd{ID: id, Outcome: how[w[2]], Elapsed: took})
 		case "need":
-			delete(s.busy, id)
+			delete(s.onCores, id)
 			r.CallRequests = append(r.CallRequests, id)
 		case "back":
 			if how[w[2]] == Succeeded {
-				s.busy[id] = true
+				s.onCores[id] = true
 			}
 			r.CallEnds = append(r.CallEnds, CallEnd{ID: id, Outcome: how[w[2]], Elapsed: took})
 		case "gone":
 			r.Disconnected = append(r.Disconnected, id)
 		case "drain":
-			r.Drain, r.KillAt = true, s.ms(w[1])
+			r.Drain, r.KillAt = true, s.milliseconds(w[1])
 		default:
 			s.fatal("event %q is not known", ev)
 		}
 	}
-	s.round(r)
+	s.runRound(r)
 }
 
-func decisions(text string) (out []string) {
+func splitDecisions(text string) (out []string) {
 	for _, part := range strings.Split(text, ";") {
 		if part = strings.TrimSpace(part); part != "" && part != "nothing" {
 			out = append(out, part)
@@ -330,49 +330,49 @@
 	return out
 }
 
-func (s *scene) play(line string) {
+func (s *scenario) runLine(line string) {
 	word, rest, _ := strings.Cut(line, " ")
 	switch word {
 	case "server":
-		s.pairs(strings.Fields(rest), s.server)
+		s.forEachPair(strings.Fields(rest), s.setServer)
 	case "handler":
-		s.handler(strings.Fields(rest))
+		s.addHandler(strings.Fields(rest))
 	case "tenant":
-		s.d.Tenants = append(s.d.Tenants, Tenant{Quota: s.num(rest)})
+		s.d.Tenants = append(s.d.Tenants, Tenant{Quota: s.number(rest)})
 	case "gauges":
-		s.auto = rest == "auto"
-		if !s.auto {
-			s.on = s.num(strings.TrimPrefix(rest, "on="))
+		s.runnableFromRuns = rest == "auto"
+		if !s.runnableFromRuns {
+			s.runnable = s.number(strings.TrimPrefix(rest, "on="))
 		}
 	case "links":
-		s.links = s.num(rest)
+		s.connections = s.number(rest)
 	case "pools":
 		for _, w := range strings.Fields(rest) {
-			s.pools.slots = append(s.pools.slots, int(s.num(w)))
+			s.pools.slots = append(s.pools.slots, int(s.number(w)))
 		}
 	case "at":
-		s.log = s.log[:0]
+		s.decided = s.decided[:0]
 		when, events, ok := strings.Cut(rest, ":")
 		if !ok {
 			s.fatal("no colon after the time")
 		}
-		s.at(s.ms(when), events)
-		s.all = append(s.all, s.log...)
+		s.runUntil(s.milliseconds(when), events)
+		s.allDecided = append(s.allDecided, s.decided...)
 	case "still":
-		s.wake += s.ms(rest)
-		s.now += s.ms(rest)
+		s.timerAt += s.milliseconds(rest)
+		s.now += s.milliseconds(rest)
 	case "does":
-		if want := decisions(rest); !slices.Equal(want, s.log) {
-			s.t.Errorf("%s:%d: got %q, want %q", s.file, s.line, s.log, want)
+		if want := splitDecisions(rest); !slices.Equal(want, s.decided) {
+			s.t.Errorf("%s:%d: got %q, want %q", s.file, s.line, s.decided, want)
 		}
 	case "among":
-		for _, want := range decisions(rest) {
-			if !slices.Contains(s.log, want) {
-				s.t.Errorf("%s:%d: %q is not in %q", s.file, s.line, want, s.log)
+		for _, want := range splitDecisions(rest) {
+			if !slices.Contains(s.decided, want) {
+				s.t.Errorf("%s:%d: %q is not in %q", s.file, s.line, want, s.decided)
 			}
 		}
 	case "never":
-		for _, got := range s.all {
+		for _, got := range s.allDecided {
 			if strings.HasPrefix(got+" ", rest+" ") {
 				s.t.Errorf("%s:%d: %q was decided", s.file, s.line, got)
 			}
@@ -401,21 +401,21 @@
 				continue
 			}
 			t.Run(name, func(t *testing.T) {
-				s := &scene{t: t, file: file, auto: true, busy: map[uint32]bool{}}
+				s := &scenario{t: t, file: file, runnableFromRuns: true, onCores: map[uint32]bool{}}
 				s.d = Deployment{Cores: 1, MemoryKB: 1000, RunMemoryFactor: 4, TableEntryKB: 5, MaxRunsPerCore: 5,
 					FleetSize: 1, Callers: 1,
 					RoundInterval: 10, Cancellation: CancelPause, DrainGrace: Second, MaxRetryAfter: Second,
 					OverQuotaWeight: 0.05}
 				if with {
-					s.pools = &tally{t: t, running: map[int]int{}, holds: map[uint32]int{}, runs: map[uint32]int{},
-						away: map[uint32]bool{}}
+					s.pools = &fixedPools{t: t, slotsInUse: map[int]int{}, queued: map[uint32]int{}, running: map[uint32]int{},
+						atCall: map[uint32]bool{}}
 					s.d.Pools = s.pools
 				}
 				for k, line := range strings.Split(string(text), "\n") {
 					s.line = k + 1
 					line, _, _ = strings.Cut(line, "#")
 					if line = strings.TrimSpace(line); line != "" {
-						s.play(line)
+						s.runLine(line)
 					}
 				}
 			})
--- a/admission/timer_wheel.go
+++ b/admission/timer_wheel.go
@@ -4,7 +4,7 @@
 // wheel goes into its last bucket and is rescheduled from there.
 type timerWheel struct {
 	step  Time
-	slot  int64   // bucket number since time 0 that expires next
+	slot  int64   // number of the current bucket, counted from time 0
 	heads []index // first request of each bucket
 }
 
