--- a/admission/adopt_test.go
+++ b/admission/adopt_test.go
@@ -44,7 +44,7 @@
 	c.Adopt(&next)
 	if c.queueTimeouts.classes[0].value != 7 || c.classes[0].callWeight != 1 || c.classes[1].callWeight != 0.5 ||
 		c.queueTimeouts.tenants[0].fair != 10*float64(c.queueTimeouts.tenants[0].arrivals.span())/float64(Second) {
-		t.Errorf("after Adopt: classes = %+v, %+v, arrivals within the quota = %v; want the values and quota of the new deployment",
+		t.Errorf("after Adopt: classes = %+v, %+v, arrivals within the quota = %v; want those of the new one",
 			c.classes[0], c.classes[1], c.queueTimeouts.tenants[0].fair)
 	}
 	if i := c.requests.find(2); c.requests.at[i].deadline != at+10*Second {
--- a/admission/pin_stream_test.go
+++ b/admission/pin_stream_test.go
@@ -108,8 +108,9 @@
 			keyOfRequest: map[uint32]uint32{}}
 		d := faultDeployment(rnd, r.now)
 		if seed%2 == 0 {
-			d.Pools = &recordedPools{recorder: r, fixedPools: fixedPools{t: t, slots: []int{1, 2}, slotsInUse: map[int]int{},
-				queued: map[uint32]int{}, running: map[uint32]int{}, atCall: map[uint32]bool{}}}
+			d.Pools = &recordedPools{recorder: r, fixedPools: fixedPools{t: t, slots: []int{1, 2},
+				slotsInUse: map[int]int{},
+				queued:     map[uint32]int{}, running: map[uint32]int{}, atCall: map[uint32]bool{}}}
 		}
 		c, next := New(d), uint32(0)
 		requestDeployment := *d
--- a/admission/reason_test.go
+++ b/admission/reason_test.go
@@ -30,8 +30,8 @@
 		for mask := range 8 {
 			isRetry, delayedLong, full := mask&1 > 0, mask&2 > 0, mask&4 > 0
 			if got, want := isFinal(reason, isRetry, delayedLong, full), canBeFinal && mask > 0; got != want {
-				t.Errorf("isFinal(%s, retry %v, delayed long %v, fleet full %v) = %v, want %v", reason, isRetry, delayedLong,
-					full, got, want)
+				t.Errorf("isFinal(%s, retry %v, delayed long %v, fleet full %v) = %v, want %v", reason, isRetry,
+					delayedLong, full, got, want)
 			}
 		}
 	}
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -118,17 +118,19 @@
 		atMostOnce bool
 		want       repeatAction
 	}{
-		"original of the same round":       {record{state: received}, true, treatAsNew},
-		"original shed":                    {record{state: finished, failed: true}, true, treatAsNew},
-		"original queued":                  {record{state: queued}, true, queueBehindOriginal},
-		"original running":                 {record{state: running, executed: true}, true, reuseOriginal},
-		"original in a call":               {record{state: inCall, executed: true}, true, reuseOriginal},
-		"original answered, still running": {record{state: running, executed: true, answered: true}, true, reuseOriginal},
-		"original failed":                  {record{state: finished, executed: true, failed: true}, true, failRepeat},
-		"original succeeded":               {record{state: finished, executed: true, answered: true}, true, reuseOriginal},
-		"retryable, original running":      {record{state: running, executed: true}, false, reuseOriginal},
-		"retryable, original failed":       {record{state: finished, executed: true, failed: true}, false, treatAsNew},
-		"retryable, original abandoned":    {record{state: running, executed: true, answered: true}, false, treatAsNew},
+		"original of the same round": {record{state: received}, true, treatAsNew},
+		"original shed":              {record{state: finished, failed: true}, true, treatAsNew},
+		"original queued":            {record{state: queued}, true, queueBehindOriginal},
+		"original running":           {record{state: running, executed: true}, true, reuseOriginal},
+		"original in a call":         {record{state: inCall, executed: true}, true, reuseOriginal},
+		"original answered, still running": {record{state: running, executed: true, answered: true}, true,
+			reuseOriginal},
+		"original failed": {record{state: finished, executed: true, failed: true}, true, failRepeat},
+		"original succeeded": {record{state: finished, executed: true, answered: true}, true,
+			reuseOriginal},
+		"retryable, original running":   {record{state: running, executed: true}, false, reuseOriginal},
+		"retryable, original failed":    {record{state: finished, executed: true, failed: true}, false, treatAsNew},
+		"retryable, original abandoned": {record{state: running, executed: true, answered: true}, false, treatAsNew},
 		"retryable, original succeeded": {record{state: finished, executed: true, answered: true}, false,
 			reuseOriginal},
 		"original awaits a result": {record{state: awaitingResult}, true, reuseOriginal},
@@ -158,7 +160,8 @@
 		s := newReadiness()
 		s.addStallTime(c.elapsed, c.runsOnCores)
 		if got := s.detectsStall(8, 4, classes); got != c.want {
-			t.Errorf("detectsStall() = %v with %d runs on the cores after %d, want %v", got, c.runsOnCores, c.elapsed, c.want)
+			t.Errorf("detectsStall() = %v with %d runs on the cores after %d, want %v", got, c.runsOnCores, c.elapsed,
+				c.want)
 		}
 	}
 }
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -10,40 +10,43 @@
 	"testing"
 )
 
-// Scenarios are the text files in testdata. A line is one of:
+// scenario runs one of the text files in testdata. A line is one of:
 //
-//	server KEY=VALUE ...         settings that differ from the default server below; times in ms
-//	handler KEY=VALUE ...        a handler, numbered from 0 in order; the first line replaces the default one
+//	server KEY=VALUE ...         settings that differ from those of the default server; times in ms
+//	handler KEY=VALUE ...        a handler, numbered from 0 in order; without one there is a default handler
 //	tenant QUOTA                 a tenant, numbered from 0 in order
-//	gauges on=N                  what wants the cores, from the next wake-up on; auto: the runs not at calls
-//	links N                      open connections
-//	at MS: EVENT; EVENT          plays the wake-ups asked for until MS, then one round with the events
-//	does DECISION; ...           exactly these, in order, since the line before; nothing: none
-//	among DECISION; ...          these are among them
-//	pools N N ...                run slots of each handler, in order; without the line each has room
-//	still MS                     the process stands still so long: wake-ups come late
-//	never DECISION               not since the scenario began, whatever else is said with it
+//	gauges on=N                  the gauge of runnable runs from the next timer on; auto: the runs not at calls
+//	links N                      the gauge of open connections
+//	at MS: EVENT; EVENT          runs the pending timers before MS, then one round with the events
+//	does DECISION; ...           exactly these decisions, in order, since the last "at"; nothing: none
+//	among DECISION; ...          these are among the decisions since the last "at"
+//	pools N N ...                run slots of each handler, in order; without this line they are not limited
+//	still MS                     the process is suspended: timers are late
+//	never DECISION               not decided since the scenario began, whatever follows in the decision
 //
 // Events: arrive ID [h=N t=N came=MS due=MS hint=MS kb=N caller=N prior=ID again], end ID OUTCOME [MS],
-// need ID, back ID OUTCOME [MS], gone ID, drain MS (the kill).
+// need ID (awaits a call), back ID OUTCOME [MS] (end of a call), gone ID (client disconnected), drain MS (of the kill).
+//
+// A part of a line after # is a comment.
 type scenario struct {
 	t                *testing.T
 	file             string
 	line             int
-	d                Deployment
-	c                *Controller
+	d                Deployment  // deployment of the server
+	c                *Controller // nil until the first round
 	now              Time
-	timerAt          Time
-	runnable         float64
-	runnableFromRuns bool
-	connections      float64
-	onCores          map[uint32]bool
-	decided          []string
-	allDecided       []string
-	pools            *fixedPools
+	timerAt          Time            // 0: no timer is pending
+	runnable         float64         // gauge of runnable runs, unless runnableFromRuns
+	runnableFromRuns bool            // the gauge is the number of runs on the cores
+	connections      float64         // gauge of open connections
+	onCores          map[uint32]bool // ids of runs not at calls
+	decided          []string        // decisions since the last "at"
+	allDecided       []string        // decisions since the scenario began
+	pools            *fixedPools     // nil without pools
 }
 
-// fixedPools is pools with fixed slots; it holds the controller to telling it of all that touches a slot.
+// fixedPools is Pools with fixed numbers of slots. It checks that the controller reports each change to queue and
+// slots exactly once.
 type fixedPools struct {
 	t               *testing.T
 	slots           []int
@@ -53,15 +56,15 @@
 }
 
 func (p *fixedPools) Enqueued(_ Time, q *Request) {
-	if _, twice := p.queued[q.ID]; twice {
-		p.t.Errorf("%d joined the hold twice", q.ID)
+	if _, queued := p.queued[q.ID]; queued {
+		p.t.Errorf("Enqueued(%d): request is already queued", q.ID)
 	}
 	p.queued[q.ID] = q.Handler
 }
 func (p *fixedPools) Rejected(Time, int) {}
 func (p *fixedPools) Dequeued(_ Time, id uint32, _ bool) {
-	if _, held := p.queued[id]; !held {
-		p.t.Errorf("%d left the hold without being in it", id)
+	if _, queued := p.queued[id]; !queued {
+		p.t.Errorf("Dequeued(%d): request is not queued", id)
 	}
 	delete(p.queued, id)
 }
@@ -71,22 +74,22 @@
 }
 func (p *fixedPools) Started(_ Time, id uint32, _ Time) {
 	if !p.CanStart(id) {
-		p.t.Errorf("%d was started past the slots of handler %d", id, p.queued[id])
+		p.t.Errorf("Started(%d): handler %d has no free slot", id, p.queued[id])
 	}
 	p.running[id] = p.queued[id]
 	p.slotsInUse[p.queued[id]]++
 	delete(p.queued, id)
 }
-func (p *fixedPools) SetAtCall(_ Time, id uint32, away bool) {
-	if _, runs := p.running[id]; !runs || p.atCall[id] == away {
-		p.t.Errorf("%d away %v again, or without a run", id, away)
+func (p *fixedPools) SetAtCall(_ Time, id uint32, atCall bool) {
+	if _, running := p.running[id]; !running || p.atCall[id] == atCall {
+		p.t.Errorf("SetAtCall(%d, %v): not running, or no change", id, atCall)
 	}
-	p.atCall[id] = away
+	p.atCall[id] = atCall
 }
 func (p *fixedPools) Ended(_ Time, id uint32, _, _ bool) {
-	h, runs := p.running[id]
-	if !runs {
-		p.t.Errorf("%d ended without a run", id)
+	h, running := p.running[id]
+	if !running {
+		p.t.Errorf("Ended(%d): not running", id)
 	}
 	delete(p.running, id)
 	delete(p.atCall, id)
@@ -101,53 +104,54 @@
 func (s *scenario) Run(id uint32)            { s.onCores[id] = true; s.record("run %d", id) }
 func (s *scenario) Stop(id uint32)           { s.record("pause %d", id) }
 func (s *scenario) Fail(id uint32, _ Reason) { s.record("fail %d", id) }
-func (s *scenario) Shed(id uint32, _ Reason, last bool, comeBack Time) {
+func (s *scenario) Shed(id uint32, _ Reason, noRetry bool, retryAfter Time) {
 	line := fmt.Sprintf("shed %d", id)
-	if last {
+	if noRetry {
 		line += " last"
 	}
-	if comeBack > 0 {
+	if retryAfter > 0 {
 		line += " back"
 	}
 	s.record("%s", line)
 }
-func (s *scenario) Call(id uint32, until Time) {
+func (s *scenario) Call(id uint32, deadline Time) {
 	delete(s.onCores, id)
 	s.record("call %d", id)
-	if until <= s.now {
-		s.t.Errorf("%s:%d: call %d until %d, not past now %d", s.file, s.line, id, until, s.now)
+	if deadline <= s.now {
+		s.t.Errorf("%s:%d: deadline of call %d = %d, want later than now, %d", s.file, s.line, id, deadline, s.now)
 	}
-	// Where one call is over the allowance, it must not last so long that the mean over time is.
-	if most := Time(s.d.CallAllowance * float64(s.d.CallAveragingTime)); s.d.CallAllowance < 1 &&
+	// Under an allowance below one call, a single call must not raise the average above the allowance.
+	if limit := Time(s.d.CallAllowance * float64(s.d.CallAveragingTime)); s.d.CallAllowance < 1 &&
 		s.d.Dependency == DependencyShared &&
-		until-s.now+s.d.CancellationDelay > most {
-		s.t.Errorf("%s:%d: call %d may last past the allowance", s.file, s.line, id)
+		deadline-s.now+s.d.CancellationDelay > limit {
+		s.t.Errorf("%s:%d: call %d may last %d, want at most %d, the allowance", s.file, s.line, id,
+			deadline-s.now+s.d.CancellationDelay, limit)
 	}
 }
 func (s *scenario) SkipCall(id uint32) { s.onCores[id] = true; s.record("skip %d", id) }
 
-// An entry lasts past the window of an idempotency-keyed request, by what rounding to tenths of a ms may have taken
-// off.
-func (s *scenario) Remember(id uint32, span Time) {
-	it := &s.c.requests.at[s.c.requests.find(id)]
-	if h := &s.c.classes[it.class]; h.keyed && s.now+span < it.arrivedAt+h.idempotencyWindow+2 {
-		s.t.Errorf("%s:%d: the entry of %d is short of its window", s.file, s.line, id)
+// Remember checks that the entry of a keyed request outlasts its idempotency window by the rounding to units of Time.
+func (s *scenario) Remember(id uint32, lifetime Time) {
+	r := &s.c.requests.at[s.c.requests.find(id)]
+	if h := &s.c.classes[r.class]; h.keyed && s.now+lifetime < r.arrivedAt+h.idempotencyWindow+2 {
+		s.t.Errorf("%s:%d: entry of %d expires at %d, want at least %d", s.file, s.line, id, s.now+lifetime,
+			r.arrivedAt+h.idempotencyWindow+2)
 	}
 	s.record("remember %d", id)
 }
 
 func (s *scenario) Forget(id uint32)         { s.record("forget %d", id) }
 func (s *scenario) ReuseResult(id uint32)    { s.record("reuse %d", id) }
-func (s *scenario) Health(good bool)         { s.record("health %v", good) }
+func (s *scenario) Health(ready bool)        { s.record("health %v", ready) }
 func (s *scenario) SignalOverload(v float64) { s.record("say %.1f", v) }
 func (s *scenario) SetIdleTimeout(t Time)    { s.record("idle %d", t/10) }
 func (s *scenario) Log(string)               {}
 func (s *scenario) WakeUp(at Time) {
 	if s.timerAt > 0 {
-		s.t.Errorf("%s:%d: a second timer", s.file, s.line)
+		s.t.Errorf("%s:%d: timer at %d requested while one is pending at %d", s.file, s.line, at, s.timerAt)
 	}
 	if at <= s.now {
-		s.t.Errorf("%s:%d: wake-up at %d, not past now %d", s.file, s.line, at, s.now)
+		s.t.Errorf("%s:%d: timer at %d, want later than now, %d", s.file, s.line, at, s.now)
 	}
 	s.timerAt = at
 }
@@ -160,26 +164,27 @@
 func (s *scenario) number(text string) float64 {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		s.fatal("%q is not a number", text)
+		s.fatal("got %q, want a number", text)
 	}
 	return v
 }
 
+// milliseconds parses a number of milliseconds.
 func (s *scenario) milliseconds(text string) Time { return Time(s.number(text) * 10) }
 
-// forEachPair calls f with each KEY=VALUE; a word alone has no value.
+// forEachPair calls f with each KEY=VALUE; the value of a word alone is empty.
 func (s *scenario) forEachPair(words []string, f func(k, v string) bool) {
 	for _, w := range words {
 		k, v, _ := strings.Cut(w, "=")
 		if !f(k, v) {
-			s.fatal("%q is not known", w)
+			s.fatal("unknown key %q", w)
 		}
 	}
 }
 
-// callSetter calls the setter of a key, if there is one.
-func callSetter(k string, to map[string]func()) bool {
-	f := to[k]
+// callSetter calls the setter of a key, and returns false if there is none.
+func callSetter(k string, setters map[string]func()) bool {
+	f := setters[k]
 	if f != nil {
 		f()
 	}
@@ -230,7 +235,7 @@
 	s.d.Handlers = append(s.d.Handlers, h)
 }
 
-// runRound plays one round and checks what holds after every one.
+// runRound runs one round and checks the invariants of every round.
 func (s *scenario) runRound(r Round) {
 	if s.c == nil {
 		if len(s.d.Handlers) == 0 {
@@ -248,20 +253,22 @@
 	}
 	s.c.Decide(&r, s)
 	if s.pools != nil {
-		if held, running := len(s.pools.queued), len(s.pools.running); held != s.c.queue.length ||
+		if queued, running := len(s.pools.queued), len(s.pools.running); queued != s.c.queue.length ||
 			running != s.c.limit.slotsInUse {
-			s.fatal("pools know of %d held and %d running, expected %d and %d", held, running, s.c.queue.length,
+			s.fatal("pools have %d queued and %d running, want %d and %d", queued, running, s.c.queue.length,
 				s.c.limit.slotsInUse)
 		}
 	}
 	if s.c.memory.used < -0.01 || s.c.memory.used > s.d.MemoryKB {
-		s.fatal("memory in use is %.1f of %.1f", s.c.memory.used, s.d.MemoryKB)
+		s.fatal("memory in use = %.1f KB, want 0 to %.1f", s.c.memory.used, s.d.MemoryKB)
 	}
 	if s.c.limit.slotsInUse < 0 || s.c.calls.inFlight.count < 0 || s.c.queue.length < 0 || s.c.calls.queue.length < 0 {
-		s.fatal("runs %d, calls in hand %d, held %d", s.c.limit.slotsInUse, s.c.calls.inFlight.count, s.c.queue.length)
+		s.fatal("runs = %d, calls in flight = %d, queued = %d, queued calls = %d; want none negative",
+			s.c.limit.slotsInUse, s.c.calls.inFlight.count, s.c.queue.length, s.c.calls.queue.length)
 	}
 }
 
+// runUntil runs the pending timers before a time, and then one round with the events.
 func (s *scenario) runUntil(when Time, events string) {
 	for s.timerAt > 0 && s.timerAt < when {
 		s.now = s.timerAt
@@ -270,7 +277,7 @@
 	s.now = when
 	var r Round
 	r.TimerFired = s.timerAt == when
-	how := map[string]Outcome{"ok": Succeeded, "error": Failed, "unrun": NotExecuted, "unclear": Unknown,
+	outcomes := map[string]Outcome{"ok": Succeeded, "error": Failed, "unrun": NotExecuted, "unclear": Unknown,
 		"stopped": Stopped}
 	for _, ev := range strings.Split(events, ";") {
 		w := strings.Fields(ev)
@@ -278,9 +285,9 @@
 			continue
 		}
 		id := uint32(s.number(w[1]))
-		took := Time(0)
+		elapsed := Time(0)
 		if len(w) > 3 && w[0] != "arrive" {
-			took = s.milliseconds(w[3])
+			elapsed = s.milliseconds(w[3])
 		}
 		switch w[0] {
 		case "arrive":
@@ -301,26 +308,27 @@
 			r.Arrived = append(r.Arrived, q)
 		case "end":
 			delete(s.onCores, id)
-			r.RunEnds = append(r.RunEnds, RunEnd{ID: id, Outcome: how[w[2]], Elapsed: took})
+			r.RunEnds = append(r.RunEnds, RunEnd{ID: id, Outcome: outcomes[w[2]], Elapsed: elapsed})
 		case "need":
 			delete(s.onCores, id)
 			r.CallRequests = append(r.CallRequests, id)
 		case "back":
-			if how[w[2]] == Succeeded {
+			if outcomes[w[2]] == Succeeded {
 				s.onCores[id] = true
 			}
-			r.CallEnds = append(r.CallEnds, CallEnd{ID: id, Outcome: how[w[2]], Elapsed: took})
+			r.CallEnds = append(r.CallEnds, CallEnd{ID: id, Outcome: outcomes[w[2]], Elapsed: elapsed})
 		case "gone":
 			r.Disconnected = append(r.Disconnected, id)
 		case "drain":
 			r.Drain, r.KillAt = true, s.milliseconds(w[1])
 		default:
-			s.fatal("event %q is not known", ev)
+			s.fatal("unknown event %q", ev)
 		}
 	}
 	s.runRound(r)
 }
 
+// splitDecisions splits a list of decisions at semicolons.
 func splitDecisions(text string) (out []string) {
 	for _, part := range strings.Split(text, ";") {
 		if part = strings.TrimSpace(part); part != "" && part != "nothing" {
@@ -330,6 +338,7 @@
 	return out
 }
 
+// runLine runs one line of the file.
 func (s *scenario) runLine(line string) {
 	word, rest, _ := strings.Cut(line, " ")
 	switch word {
@@ -354,7 +363,7 @@
 		s.decided = s.decided[:0]
 		when, events, ok := strings.Cut(rest, ":")
 		if !ok {
-			s.fatal("no colon after the time")
+			s.fatal("got %q, want a colon after the time", rest)
 		}
 		s.runUntil(s.milliseconds(when), events)
 		s.allDecided = append(s.allDecided, s.decided...)
@@ -363,39 +372,40 @@
 		s.now += s.milliseconds(rest)
 	case "does":
 		if want := splitDecisions(rest); !slices.Equal(want, s.decided) {
-			s.t.Errorf("%s:%d: got %q, want %q", s.file, s.line, s.decided, want)
+			s.t.Errorf("%s:%d: decisions = %q, want %q", s.file, s.line, s.decided, want)
 		}
 	case "among":
 		for _, want := range splitDecisions(rest) {
 			if !slices.Contains(s.decided, want) {
-				s.t.Errorf("%s:%d: %q is not in %q", s.file, s.line, want, s.decided)
+				s.t.Errorf("%s:%d: decisions = %q, want %q among them", s.file, s.line, s.decided, want)
 			}
 		}
 	case "never":
 		for _, got := range s.allDecided {
 			if strings.HasPrefix(got+" ", rest+" ") {
-				s.t.Errorf("%s:%d: %q was decided", s.file, s.line, got)
+				s.t.Errorf("%s:%d: got decision %q, want none that begins with %q", s.file, s.line, got, rest)
 			}
 		}
 	default:
-		s.fatal("%q is not known", word)
+		s.fatal("unknown line type %q", word)
 	}
 }
 
+// TestScenarios runs the files in testdata: each with pools, and those that do not limit the pools also without, with
+// the same expected decisions.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no scenarios: %v", err)
+		t.Fatalf("found %d scenarios in testdata, want at least one; error: %v", len(files), err)
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		// Each is played without pools and with pools that have room: what it says has to hold for both.
-		for _, with := range []bool{false, true} {
+		for _, withPools := range []bool{false, true} {
 			name := strings.TrimSuffix(filepath.Base(file), ".txt")
-			if with {
+			if withPools {
 				name += "/pools"
 			} else if strings.Contains(string(text), "\npools ") {
 				continue
@@ -406,9 +416,9 @@
 					FleetSize: 1, Callers: 1,
 					RoundInterval: 10, Cancellation: CancelPause, DrainGrace: Second, MaxRetryAfter: Second,
 					OverQuotaWeight: 0.05}
-				if with {
-					s.pools = &fixedPools{t: t, slotsInUse: map[int]int{}, queued: map[uint32]int{}, running: map[uint32]int{},
-						atCall: map[uint32]bool{}}
+				if withPools {
+					s.pools = &fixedPools{t: t, slotsInUse: map[int]int{}, queued: map[uint32]int{},
+						running: map[uint32]int{}, atCall: map[uint32]bool{}}
 					s.d.Pools = s.pools
 				}
 				for k, line := range strings.Split(string(text), "\n") {
--- a/admission/warmup_test.go
+++ b/admission/warmup_test.go
@@ -44,7 +44,8 @@
 			for _, coldSpeed := range []float64{0.2, 0.5, 0.9} {
 				for _, fleet := range []int{1, 3, 300} {
 					t.Run(fmt.Sprint(cores, maxRunsPerCore, coldSpeed, fleet), func(t *testing.T) {
-						d := &Deployment{Start: 100 * Second, Cores: cores, MaxRunsPerCore: maxRunsPerCore, ColdStart: true,
+						d := &Deployment{Start: 100 * Second, Cores: cores, MaxRunsPerCore: maxRunsPerCore,
+							ColdStart:  true,
 							ColdSpeed:  coldSpeed,
 							WarmUpTime: 10 * Second, MemoryKB: 1e9, RunMemoryFactor: 1, FleetSize: fleet,
 							Callers: 2, RoundInterval: 20,
