--- a/admission/calls.go
+++ b/admission/calls.go
@@ -7,10 +7,11 @@
 	// peakAllowanceFraction is the maximum fraction of the call allowance in flight at any moment, so that no average
 	// reaches the allowance.
 	peakAllowanceFraction = 0.9
-	// meanAllowanceFraction applies to an allowance below one call: a call starts only while the average in flight is
-	// below this fraction of the peak, so that it can end before the allowance is used up.
+	// meanAllowanceFraction applies while the peak is below one call: a call starts only while the average in flight
+	// is below this fraction of the peak, so that it can end before the allowance is used up.
 	meanAllowanceFraction = 0.5
-	// maxBurstCalls bounds a burst: unused pace intervals are saved for at most this many calls.
+	// maxBurstCalls bounds a burst: unused pace intervals are saved for at most this many calls. Guards against a
+	// burst to a dependency that has just recovered.
 	maxBurstCalls = 4
 	// probeRateFactor is the call rate to a next tier that rejects calls, as a multiple of the rate of successful
 	// calls. Above 1 so that the rate recovers.
@@ -47,14 +48,14 @@
 	maxInFlight       float64 // maximum number of calls in flight
 	cancellationDelay Time
 
-	queue        list // runs that await a call, in arrival order of their requests
-	nextCallAt   Time // when the next call may start
-	inFlight     countAverage
-	abandoned    window // abandoned calls that still run at the dependency
-	callTimes    window
-	meanCallTime float64 // last known mean call time, in units of Time
-	rejected     window
-	succeeded    window
+	queue        list         // runs that await a call, in arrival order of their requests
+	nextCallAt   Time         // when the next call may start
+	inFlight     countAverage // calls in flight, and their average over the averaging time
+	abandoned    window       // abandoned calls that still run at the dependency
+	callTimes    window       // times of executed calls
+	meanCallTime float64      // last known mean call time, in units of Time
+	rejected     window       // calls that were not executed
+	succeeded    window       // successful calls
 }
 
 func newCallPacer(d *Deployment) callPacer {
@@ -129,7 +130,7 @@
 	return max(min(max(objectiveEnd, now+minTimeout), last), now+1)
 }
 
-// handleCallRequest handles a run that awaits a call.
+// handleCallRequest handles a run that has reached a call.
 func (c *Controller) handleCallRequest(i index) {
 	if i == none || c.requests.at[i].state != running {
 		return
--- a/admission/class.go
+++ b/admission/class.go
@@ -15,7 +15,7 @@
 	keyed        bool // repeats are detected by idempotency key
 	atMostOnce   bool // must not run twice
 
-	defaultWork     float64 // expected work, in units of Time, of requests that state none
+	defaultWork     float64 // expected work of requests that state none: the one stated last, or 1
 	callWeight      float64 // value of its call as a fraction of the highest of all classes
 	runTimes        window  // run times, calls included, per unit of work
 	runTimePerWork  float64 // last known mean of runTimes; 0 until a run has ended
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// ceilingFraction is the maximum number of runs in progress as a fraction of the runs that the server survives.
-	// Above that number a server does not recover by itself.
+	// ceilingFraction is the maximum number of runs in progress as a fraction of the runs that the server survives. A
+	// server with more runs than that does not recover by itself.
 	ceilingFraction = 0.8
 	// idleCoresFraction is the fraction of the idle cores by which the limit rises per adjustment, so that two
 	// adjustments on one gauge reading do not overshoot.
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -63,7 +63,7 @@
 		calls:     newCallPacer(d),
 		readiness: newReadiness(),
 		signal:    overloadSignal{kind: d.OverloadSignal, callers: float64(d.Callers)},
-		idle:      idleTimeout{configured: d.IdleTimeout, announced: d.IdleTimeout, callers: float64(d.Callers)},
+		idle:      idleTimeout{configured: d.IdleTimeout, lastSet: d.IdleTimeout, callers: float64(d.Callers)},
 		drain:     drain{grace: d.DrainGrace},
 		pools:     d.Pools,
 		settings: settings{roundInterval: d.RoundInterval, cancellation: d.Cancellation,
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -1,7 +1,7 @@
 package admission
 
 const (
-	// entryRoundingMargin compensates for rounding an idempotency window to units of Time at both ends.
+	// entryRoundingMargin, in units of Time, compensates for rounding both ends of an idempotency window.
 	entryRoundingMargin = 2
 	// sharedResponseMemoryFraction is the fraction of the memory limit in use up to which retryable requests get
 	// entries to share responses. The rest is kept for runs and idempotency windows.
--- a/admission/idle_timeout.go
+++ b/admission/idle_timeout.go
@@ -14,8 +14,8 @@
 
 // idleTimeout decides after how long idle client connections are closed.
 type idleTimeout struct {
-	configured, announced Time
-	callers               float64
+	configured, lastSet Time
+	callers             float64
 }
 
 // target shortens the idle timeout when connections are many for the cores. It falls with the cube of the fraction of
@@ -35,10 +35,10 @@
 	a := &c.arrivals
 	idle := c.idle.target(connections, c.limit.cores, a.returning.mean(c.now, 0), a.shed.mean(c.now, 0),
 		a.retries.mean(c.now, 0))
-	longer := c.idle.announced + c.idle.announced/minRiseDivisor
-	shorter := c.idle.announced * (minFallDivisor - 1) / minFallDivisor
+	longer := c.idle.lastSet + c.idle.lastSet/minRiseDivisor
+	shorter := c.idle.lastSet * (minFallDivisor - 1) / minFallDivisor
 	if idle > longer || idle < shorter {
-		c.idle.announced = idle
+		c.idle.lastSet = idle
 		c.writer.SetIdleTimeout(idle)
 	}
 }
--- a/admission/lifecycle.go
+++ b/admission/lifecycle.go
@@ -34,5 +34,5 @@
 	r.state = next
 }
 
-// onTransition is a test hook.
+// onTransition, if set by a test, is called before each transition.
 var onTransition func(from, to state)
--- a/admission/list.go
+++ b/admission/list.go
@@ -13,34 +13,34 @@
 
 // insertAfter inserts i after p, or at the head if p is none.
 func (l *list) insertAfter(t *requestTable, i, p index) {
-	place := &t.at[i].queueLink
-	place.prev = p
+	links := &t.at[i].queueLink
+	links.prev = p
 	if p == none {
-		place.next = l.head
+		links.next = l.head
 		l.head = i
 	} else {
-		place.next = t.at[p].queueLink.next
+		links.next = t.at[p].queueLink.next
 		t.at[p].queueLink.next = i
 	}
-	if place.next == none {
+	if links.next == none {
 		l.tail = i
 	} else {
-		t.at[place.next].queueLink.prev = i
+		t.at[links.next].queueLink.prev = i
 	}
 	l.length++
 }
 
 func (l *list) remove(t *requestTable, i index) {
-	place := t.at[i].queueLink
-	if place.prev == none {
-		l.head = place.next
+	links := t.at[i].queueLink
+	if links.prev == none {
+		l.head = links.next
 	} else {
-		t.at[place.prev].queueLink.next = place.next
+		t.at[links.prev].queueLink.next = links.next
 	}
-	if place.next == none {
-		l.tail = place.prev
+	if links.next == none {
+		l.tail = links.prev
 	} else {
-		t.at[place.next].queueLink.prev = place.prev
+		t.at[links.next].queueLink.prev = links.prev
 	}
 	l.length--
 }
--- a/admission/queue_timeout.go
+++ b/admission/queue_timeout.go
@@ -51,9 +51,9 @@
 
 // tenantDemand measures the arrivals of one tenant against its quota.
 type tenantDemand struct {
-	fair     float64 // arrivals within the quota, over the span of the window
-	arrivals window
-	weight   float64 // mean weight of its requests, 0 to 1, reduced for arrivals beyond the quota
+	quotaArrivals float64 // arrivals within the quota, over the span of the window
+	arrivals      window
+	weight        float64 // mean weight of its requests, 0 to 1, reduced for arrivals beyond the quota
 }
 
 // demandCell is the demand of one class of one tenant.
@@ -93,7 +93,8 @@
 	}
 	q.reconfigure(d)
 	if len(q.tenants) == 0 {
-		q.tenants = append(q.tenants, tenantDemand{arrivals: newWindow(1, Second), weight: 1, fair: math.Inf(1)})
+		q.tenants = append(q.tenants, tenantDemand{arrivals: newWindow(1, Second), weight: 1,
+			quotaArrivals: math.Inf(1)})
 	}
 	q.cells = make([]demandCell, len(q.classes)*len(q.tenants))
 	for k := range q.cells {
@@ -110,7 +111,7 @@
 	}
 	for k, tenant := range d.Tenants {
 		t := &q.tenants[k]
-		t.fair = tenant.Quota / float64(d.FleetSize) * float64(t.arrivals.span()) / float64(Second)
+		t.quotaArrivals = tenant.Quota / float64(d.FleetSize) * float64(t.arrivals.span()) / float64(Second)
 	}
 }
 
@@ -180,8 +181,8 @@
 		t := &q.tenants[k]
 		arrivals, _ := t.arrivals.sums(now)
 		t.weight = 1
-		if arrivals > t.fair {
-			t.weight = q.overQuotaWeight + (1-q.overQuotaWeight)*t.fair/arrivals
+		if arrivals > t.quotaArrivals {
+			t.weight = q.overQuotaWeight + (1-q.overQuotaWeight)*t.quotaArrivals/arrivals
 		}
 	}
 }
@@ -202,8 +203,8 @@
 	return worstFraction, valueDemanded
 }
 
-// weighCells computes the utility of each cell. If the worst class has extra weight, its requests gain by the part
-// that each has in the value demanded of the class.
+// weighCells computes the utility of each cell. Classes close to the worst fraction served gain extra utility, in
+// inverse proportion to their share of the value demanded.
 func (q *queueTimeouts) weighCells(worstFraction, valueDemanded float64) {
 	for k := range q.cells {
 		cell, c := &q.cells[k], &q.classes[k/len(q.tenants)]
--- a/admission/readiness.go
+++ b/admission/readiness.go
@@ -46,10 +46,10 @@
 	}
 }
 
-// detectsStall reports whether there are at least as many runs as cores and none has made progress for much longer
+// hasStalled reports whether there are at least as many runs as cores and none has made progress for much longer
 // than runs take. Guards against a stalled kernel or disk, at which each queued request would wait until its queue
 // timeout.
-func (r *readiness) detectsStall(running int, cores float64, classes []class) bool {
+func (r *readiness) hasStalled(running int, cores float64, classes []class) bool {
 	limit := float64(minStallTime)
 	for k := range classes {
 		expected := stallRunTimes * classes[k].runTimePerWork * classes[k].defaultWork
@@ -59,8 +59,8 @@
 }
 
 // updateOverload updates the overloaded state and returns a log line if it has changed. A server is overloaded if
-// most requests are read, or most runs end, too late for their clients. Its health check then fails until its reads
-// are recent again or no request is left.
+// most requests are read, or most runs end, too late for their clients. Its health check then fails until few of them
+// are late, or there are none.
 func (r *readiness) updateOverload(now Time, cores float64) (line string) {
 	late, all := r.late.sums(now)
 	switch {
@@ -84,7 +84,7 @@
 // detectStall sheds the queued requests when the runs in progress stall.
 func (c *Controller) detectStall(elapsed Time) {
 	c.readiness.addStallTime(elapsed, c.limit.slotsInUse-c.calls.inFlight.count-c.calls.queue.length)
-	if c.readiness.detectsStall(c.limit.slotsInUse, c.limit.cores, c.classes) {
+	if c.readiness.hasStalled(c.limit.slotsInUse, c.limit.cores, c.classes) {
 		c.readiness.stalled = true
 		c.writer.Log("hung: started work does not finish")
 		for c.queue.head != none {
--- a/admission/request_table.go
+++ b/admission/request_table.go
@@ -15,12 +15,12 @@
 	class, tenant int32
 	state         state
 	isRetry       bool
-	answered      bool // no response is due any more: it was answered, or its client has disconnected
+	answered      bool // no response is due: answered, or client disconnected; a run may still be in progress
 	executed      bool // a run was started, so it may have had effects
 	failed        bool // ended without a good response
 	resultShared  bool // other requests take its response
 	sizeKB        float64
-	work          float64 // expected work, in units of Time; stated, or the default of its class
+	work          float64 // expected work, stated or the default of its class
 	arrivedAt     Time
 	deadline      Time
 	call          callState
@@ -108,14 +108,14 @@
 	if repeat.repeats.original == none {
 		return
 	}
-	place := repeat.repeats.link
-	if place.prev == none {
-		t.at[repeat.repeats.original].repeats.newestRepeat = place.next
+	links := repeat.repeats.link
+	if links.prev == none {
+		t.at[repeat.repeats.original].repeats.newestRepeat = links.next
 	} else {
-		t.at[place.prev].repeats.link.next = place.next
+		t.at[links.prev].repeats.link.next = links.next
 	}
-	if place.next != none {
-		t.at[place.next].repeats.link.prev = place.prev
+	if links.next != none {
+		t.at[links.next].repeats.link.prev = links.prev
 	}
 	repeat.repeats.original = none
 }
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -159,8 +159,8 @@
 	} {
 		s := newReadiness()
 		s.addStallTime(c.elapsed, c.runsOnCores)
-		if got := s.detectsStall(8, 4, classes); got != c.want {
-			t.Errorf("detectsStall() = %v with %d runs on the cores after %d, want %v", got, c.runsOnCores, c.elapsed,
+		if got := s.hasStalled(8, 4, classes); got != c.want {
+			t.Errorf("hasStalled() = %v with %d runs on the cores after %d, want %v", got, c.runsOnCores, c.elapsed,
 				c.want)
 		}
 	}
