--- a/admission/adopt_test.go
+++ b/admission/adopt_test.go
@@ -45,8 +45,9 @@
 	if c.queueTimeouts.classes[0].value != 7 || c.classes[0].callWeight != 1 || c.classes[1].callWeight != 0.5 ||
 		c.queueTimeouts.tenants[0].quotaArrivals !=
 			10*float64(c.queueTimeouts.tenants[0].arrivals.span())/float64(Second) {
-		t.Errorf("after Adopt: classes = %+v, %+v, arrivals within the quota = %v; want those of the new one",
-			c.classes[0], c.classes[1], c.queueTimeouts.tenants[0].quotaArrivals)
+		t.Errorf("after Adopt: value = %v, call weights = %v, %v, arrivals within the quota = %v; want 7, 1, 0.5, "+
+			"those of a quota of 10 per second", c.queueTimeouts.classes[0].value, c.classes[0].callWeight,
+			c.classes[1].callWeight, c.queueTimeouts.tenants[0].quotaArrivals)
 	}
 	if i := c.requests.find(2); c.requests.at[i].deadline != at+10*Second {
 		t.Errorf("deadline of a known request = %d, want %d, unchanged", c.requests.at[i].deadline, at+10*Second)
--- a/admission/pin_stream_test.go
+++ b/admission/pin_stream_test.go
@@ -101,16 +101,16 @@
 // reads, missing arrivals, low memory, pools with fixed slots, thousands of callers, an allowance below one call,
 // late timers and a second notice to drain. Together the two streams cover every branch of every decision.
 func TestRecordedFaults(t *testing.T) {
-	to := newRecording()
+	all := newRecording()
 	for seed := range uint64(24) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
-		r := &recorder{recording: to, rand: rnd, now: 50 * Second, requestOfKey: map[uint32]uint32{},
+		r := &recorder{recording: all, rand: rnd, now: 50 * Second, requestOfKey: map[uint32]uint32{},
 			keyOfRequest: map[uint32]uint32{}}
 		d := faultDeployment(rnd, r.now)
 		if seed%2 == 0 {
 			d.Pools = &recordedPools{recorder: r, fixedPools: fixedPools{t: t, slots: []int{1, 2},
-				slotsInUse: map[int]int{},
-				queued:     map[uint32]int{}, running: map[uint32]int{}, atCall: map[uint32]bool{}}}
+				slotsInUse: map[int]int{}, queued: map[uint32]int{}, running: map[uint32]int{},
+				atCall: map[uint32]bool{}}}
 		}
 		c, next := New(d), uint32(0)
 		requestDeployment := *d
@@ -136,7 +136,7 @@
 			c.Decide(in, &endingServer{r})
 		}
 	}
-	to.check(t, recordedFaults, recordedFaultDecisions, recordedFaultLogLines)
+	all.check(t, recordedFaults, recordedFaultDecisions, recordedFaultLogLines)
 }
 
 // changedPolicy returns the deployment under another policy version.
--- a/admission/recorded_test.go
+++ b/admission/recorded_test.go
@@ -159,10 +159,10 @@
 
 // TestRecordedDecisions checks all decisions on generated rounds against the recorded hashes.
 func TestRecordedDecisions(t *testing.T) {
-	to := newRecording()
+	all := newRecording()
 	for seed := range uint64(24) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		r := &recorder{recording: to, rand: rnd, now: 50 * Second, requestOfKey: map[uint32]uint32{},
+		r := &recorder{recording: all, rand: rnd, now: 50 * Second, requestOfKey: map[uint32]uint32{},
 			keyOfRequest: map[uint32]uint32{}}
 		d := &Deployment{Start: r.now, FleetSize: 1 + rnd.IntN(9), Callers: 1 + rnd.IntN(200), Tier: rnd.IntN(2),
 			RoundInterval: 20,
@@ -190,5 +190,5 @@
 			c.Decide(in, r)
 		}
 	}
-	to.check(t, recordedDecisions, recordedDecisionsAlone, recordedLogLines)
+	all.check(t, recordedDecisions, recordedDecisionsAlone, recordedLogLines)
 }
