--- a/admission/list.go
+++ b/admission/list.go
@@ -1,9 +1,9 @@
 package admission
 
-// link is a place in one of the lists that run through the request table.
+// link connects a request with its neighbors in a list.
 type link struct{ prev, next index }
 
-// list is a doubly linked list of requests, by their queue links.
+// list is a doubly linked list of requests, through their queueLink fields.
 type list struct {
 	head, tail index
 	length     int
@@ -11,36 +11,36 @@
 
 func newList() list { return list{head: none, tail: none} }
 
-// insertAfter puts i behind p, or at the head if p is none.
+// insertAfter inserts i after p, or at the head if p is none.
 func (l *list) insertAfter(t *requestTable, i, p index) {
-	place := &t.at[i].queueLink
-	place.prev = p
+	links := &t.at[i].queueLink
+	links.prev = p
 	if p == none {
-		place.next = l.head
+		links.next = l.head
 		l.head = i
 	} else {
-		place.next = t.at[p].queueLink.next
+		links.next = t.at[p].queueLink.next
 		t.at[p].queueLink.next = i
 	}
-	if place.next == none {
+	if links.next == none {
 		l.tail = i
 	} else {
-		t.at[place.next].queueLink.prev = i
+		t.at[links.next].queueLink.prev = i
 	}
 	l.length++
 }
 
 func (l *list) remove(t *requestTable, i index) {
-	place := t.at[i].queueLink
-	if place.prev == none {
-		l.head = place.next
+	links := t.at[i].queueLink
+	if links.prev == none {
+		l.head = links.next
 	} else {
-		t.at[place.prev].queueLink.next = place.next
+		t.at[links.prev].queueLink.next = links.next
 	}
-	if place.next == none {
-		l.tail = place.prev
+	if links.next == none {
+		l.tail = links.prev
 	} else {
-		t.at[place.next].queueLink.prev = place.prev
+		t.at[links.next].queueLink.prev = links.prev
 	}
 	l.length--
 }
