--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -113,14 +113,14 @@
 // simulation can be repeated.
 type jitter struct {
 	seed  uint32
-	drawn uint32
+	draws uint32
 }
 
 // draw gives the next number.
 func (j *jitter) draw() uint32 {
-	j.drawn++
+	j.draws++
 	raw := binary.LittleEndian.AppendUint32(nil, j.seed)
-	raw = binary.LittleEndian.AppendUint32(raw, j.drawn)
+	raw = binary.LittleEndian.AppendUint32(raw, j.draws)
 	return crc32.ChecksumIEEE(raw)
 }
 
--- a/internal/node/agent/heartbeat.go
+++ b/internal/node/agent/heartbeat.go
@@ -17,11 +17,11 @@
 	minHeartbeatTimeout Milliseconds = 800
 )
 
-// jitterFraction of the interval is left to chance: nodes that started together don't send together for good.
-const jitterFraction = 8
+// jitterDivisor of the interval is left to chance: nodes that started together don't send together for good.
+const jitterDivisor = 8
 
-// timeoutFraction has a response awaited for a quarter of a lease.
-const timeoutFraction = 4
+// leaseTimeoutDivisor has a response awaited for a quarter of a lease.
+const leaseTimeoutDivisor = 4
 
 // heartbeat is the exchange with the control service: at most one request is in flight.
 type heartbeat struct {
@@ -43,7 +43,7 @@
 	if a.lease.duration == 0 {
 		return heartbeatTimeout
 	}
-	return min(max(a.lease.duration/timeoutFraction, minHeartbeatTimeout), heartbeatTimeout)
+	return min(max(a.lease.duration/leaseTimeoutDivisor, minHeartbeatTimeout), heartbeatTimeout)
 }
 
 // NextHeartbeat is when Heartbeat has something to send, or the request in flight times out.
@@ -79,7 +79,7 @@
 		JoinRequest: api.JoinRequest{Name: a.config.Name, Zone: a.config.Zone, Addr: a.config.Address, Nonce: a.nonce(),
 			UptimeMS: max(1, now-a.startedAt)},
 		LeaseID: a.lease.id, LastClockMS: a.group.clock, MinVersion: v.min, ActiveVersion: v.active.Version,
-		RefusedVersion: v.refused.version, RefusedReason: v.refused.reason, MinZoneEpoch: a.zone.epoch()}
+		RefusedVersion: v.rejected.version, RefusedReason: v.rejected.reason, MinZoneEpoch: a.zone.epoch()}
 	if a.group.lastSeen.Group != "" {
 		seen := a.group.lastSeen
 		seen.ActiveHash = v.active.Hash
@@ -120,5 +120,5 @@
 	a.heartbeat.nextAt = now
 }
 
-// hasten sends the next heartbeat at now at the latest.
-func (h *heartbeat) hasten(now Milliseconds) { h.nextAt = min(h.nextAt, now) }
+// bringForward sends the next heartbeat at now at the latest.
+func (h *heartbeat) bringForward(now Milliseconds) { h.nextAt = min(h.nextAt, now) }
--- a/internal/node/agent/instances.go
+++ b/internal/node/agent/instances.go
@@ -54,8 +54,8 @@
 	return s.list[s.current].notBefore
 }
 
-// succeeded ends the waits of the current instance.
-func (s *instances) succeeded() {
+// resetBackoff ends the waits of the current instance.
+func (s *instances) resetBackoff() {
 	s.list[s.current].backoff, s.list[s.current].notBefore = 0, 0
 }
 
--- a/internal/node/agent/instances_test.go
+++ b/internal/node/agent/instances_test.go
@@ -37,7 +37,7 @@
 		}
 		expected = min(2*expected, maxBackoff)
 	}
-	if s.succeeded(); s.list[0].backoff != 0 || s.notBefore() != 0 {
+	if s.resetBackoff(); s.list[0].backoff != 0 || s.notBefore() != 0 {
 		t.Errorf("after a success it still waits: %+v", s.list[0])
 	}
 }
--- a/internal/node/agent/lease.go
+++ b/internal/node/agent/lease.go
@@ -2,10 +2,10 @@
 
 import "umberwinch/internal/control/api"
 
-// renewalFraction has a lease renewed once a quarter of it is over: three more heartbeats may be lost before it
+// leaseRenewalDivisor has a lease renewed once a quarter of it is over: three more heartbeats may be lost before it
 // expires. A later renewal would make one lost heartbeat cost the lease; an earlier one costs the group entries of
 // its log.
-const renewalFraction = 4
+const leaseRenewalDivisor = 4
 
 // lease is the node's permission to serve, as the group granted it.
 type lease struct {
@@ -27,7 +27,7 @@
 func (l *lease) grant(id uint32, duration, sentAt Milliseconds) {
 	l.id, l.duration = id, duration
 	l.expiry = sentAt + duration
-	l.renewAt = sentAt + duration/renewalFraction
+	l.renewAt = sentAt + duration/leaseRenewalDivisor
 }
 
 // updateLease takes what an accepted response says of the lease.
--- a/internal/node/agent/response.go
+++ b/internal/node/agent/response.go
@@ -32,12 +32,12 @@
 		a.followNewGeneration()
 	}
 	previousMin, previousEpoch := a.versions.min, a.zone.epoch()
-	a.instances.succeeded()
+	a.instances.resetBackoff()
 	a.group.advance(&r)
 	a.versions.update(&r, a.config.DisabledGuards)
 	a.zone.update(&r)
 	a.heartbeat.nextAt = now + max(minHeartbeatInterval, r.NextHeartbeatMS) +
-		a.jitter.below(max(1, r.NextHeartbeatMS/jitterFraction))
+		a.jitter.below(max(1, r.NextHeartbeatMS/jitterDivisor))
 	a.updateLease(now, &r, newGeneration)
 	promises := a.versions.min > previousMin || a.zone.epoch() > previousEpoch
 	a.scheduleHeartbeat(now, r.LeaseMS > 0, promises)
@@ -49,9 +49,9 @@
 // new one. The expiry of the lease stays: see servesBetweenGenerations.
 func (a *Agent) followNewGeneration() {
 	a.lease.id = 0
-	a.zone.foreign = true
+	a.zone.fromEarlierGeneration = true
 	a.versions.preparing, a.versions.committed = api.VersionHash{}, api.VersionHash{}
-	a.versions.refused = refusal{}
+	a.versions.rejected = rejection{}
 	a.incarnation++
 }
 
@@ -60,13 +60,13 @@
 func (a *Agent) scheduleHeartbeat(now Milliseconds, granted, promises bool) {
 	h := &a.heartbeat
 	if a.leaving {
-		h.hasten(now + minHeartbeatInterval)
+		h.bringForward(now + minHeartbeatInterval)
 	}
 	if a.lease.id == 0 {
 		return
 	}
 	if a.lease.renewAt > now {
-		h.hasten(a.lease.renewAt)
+		h.bringForward(a.lease.renewAt)
 	}
 	if h.renews && !granted {
 		// The leader did not extend the lease, as the heartbeat promised an older version or zone epoch than is decided
--- a/internal/node/agent/versions.go
+++ b/internal/node/agent/versions.go
@@ -13,15 +13,15 @@
 	active           api.VersionHash // served under; version 0: none
 	activeAutonomous bool            // the active version lets nodes serve without a lease
 	prepared         map[uint64]string
-	refused          refusal
+	rejected         rejection
 
 	// Of the record that a start found.
 	stored          api.VersionHash
 	startAutonomous bool // it may be activated without the group
 }
 
-// refusal is the node's vote against one version, which it can't or won't serve under.
-type refusal struct {
+// rejection is the node's vote against one version, which it can't or won't serve under.
+type rejection struct {
 	version   uint64 // 0: none
 	reason    string
 	permanent bool // its document does not fit the platform's settings: not activated even if it is committed
@@ -59,8 +59,8 @@
 	}
 	if v.preparing != r.PrepareVersion {
 		v.preparing = r.PrepareVersion
-		if v.refused.version != r.PrepareVersion.Version {
-			v.refused = refusal{}
+		if v.rejected.version != r.PrepareVersion.Version {
+			v.rejected = rejection{}
 		}
 	}
 	if v.active.Version == v.committed.Version {
@@ -80,11 +80,11 @@
 // all the same.
 func (a *Agent) VersionToFetch() (version api.VersionHash, committed, ok bool) {
 	v := &a.versions
-	refused := v.refused.permanent && v.refused.version == v.committed.Version
+	refused := v.rejected.permanent && v.rejected.version == v.committed.Version
 	if v.committed.Version > v.active.Version && !v.has(v.committed) && !refused {
 		return v.committed, true, true
 	}
-	if v.preparing.Version > v.active.Version && !v.has(v.preparing) && v.refused.version != v.preparing.Version {
+	if v.preparing.Version > v.active.Version && !v.has(v.preparing) && v.rejected.version != v.preparing.Version {
 		return v.preparing, false, true
 	}
 	return api.VersionHash{}, false, false
@@ -110,15 +110,15 @@
 // MarkPrepared tells that a version was checked, tried and, where there is a disk, stored.
 func (a *Agent) MarkPrepared(now Milliseconds, version api.VersionHash) {
 	a.versions.prepared[version.Version] = version.Hash
-	a.heartbeat.hasten(now)
+	a.heartbeat.bringForward(now)
 	a.prune()
 }
 
 // Reject tells that the node votes against a version. permanent: it can't serve under it at all; a version that only
 // failed its trial is activated if it is committed all the same.
 func (a *Agent) Reject(now Milliseconds, version uint64, reason string, permanent bool) {
-	a.versions.refused = refusal{version: version, reason: reason, permanent: permanent}
-	a.heartbeat.hasten(now)
+	a.versions.rejected = rejection{version: version, reason: reason, permanent: permanent}
+	a.heartbeat.bringForward(now)
 }
 
 // MarkActive tells that the node serves under a version from now on. autonomous is what that version says of serving
@@ -127,7 +127,7 @@
 	v := &a.versions
 	v.active, v.activeAutonomous = version, autonomous
 	v.min = max(v.min, version.Version)
-	a.heartbeat.hasten(now)
+	a.heartbeat.bringForward(now)
 	a.prune()
 }
 
--- a/internal/node/pools/canstart.go
+++ b/internal/node/pools/canstart.go
@@ -1,8 +1,8 @@
 package pools
 
-// crowdedFraction: one tenant or one caller may hold half of a limited class's slots while others of the class wait.
+// ownerLimitDivisor: one tenant or one caller may hold half of a limited class's slots while others of the class wait.
 // Less would hold back the one caller that a class may well have.
-const crowdedFraction = 2 // the limit over it
+const ownerLimitDivisor = 2 // the limit over it
 
 // CanStart decides whether a queued request may take a slot now. It may while its class has room; past that only
 // where nobody with room waits, so no slot idles for a limit that wasn't fixed. The class that has the reserve goes
@@ -10,11 +10,11 @@
 // and harms the requests of a limited class, which are passed by younger ones of others.
 func (p *Pools) CanStart(id uint32) bool {
 	o, ok := p.queued[id]
-	if p.plan.Disabled || !ok {
+	if p.config.Disabled || !ok {
 		return true
 	}
 	c := &p.classes[o.class]
-	if p.reservedForAnother(o.class) || c.crowdedOut(o) {
+	if p.reservedForAnother(o.class) || c.ownerOverShare(o) {
 		return false
 	}
 	if c.hasFreeSlot(p.slots) {
@@ -44,13 +44,13 @@
 	return false
 }
 
-// crowdedOut decides whether a tenant, or a caller, has so much of a limited class's slots that others of the class
+// ownerOverShare decides whether a tenant, or a caller, has so much of a limited class's slots that others of the class
 // who wait go first: what is beyond its part goes last.
-func (s *classState) crowdedOut(o owner) bool {
+func (s *classState) ownerOverShare(o owner) bool {
 	if !s.limited() {
 		return false
 	}
-	most := max(1, int(s.limit/crowdedFraction))
+	most := max(1, int(s.limit/ownerLimitDivisor))
 	return s.byTenant.running[o.tenant] >= most && s.queued > s.byTenant.queued[o.tenant] ||
 		s.byCaller.running[o.caller] >= most && s.queued > s.byCaller.queued[o.caller]
 }
--- a/internal/node/pools/class.go
+++ b/internal/node/pools/class.go
@@ -30,7 +30,7 @@
 
 	fairSlots float64 // slots that are its by value and need
 	usedSlots float64 // slots that its work held lately
-	wantsMore bool    // it needs more than its fair slots: it alone is limited
+	needsMore bool    // it needs more than its fair slots: it alone is limited
 
 	lastDelay        Time // that its last request to start had waited
 	shed             uint64
--- a/internal/node/pools/cost.go
+++ b/internal/node/pools/cost.go
@@ -18,17 +18,17 @@
 	mean    float64
 }
 
-// measure reads the quantiles of recent runs.
-func (c *classCost) measure(now Time) {
+// updateQuantiles reads the quantiles of recent runs.
+func (c *classCost) updateQuantiles(now Time) {
 	recent := c.history.merged(now)
 	if recent.count >= minSamples || c.median == 0 && recent.count > 0 {
 		c.median, c.p95 = recent.quantile(medianQuantile), recent.quantile(highQuantile)
 	}
 }
 
-// measureMean takes the mean work of the runs that ended lately; it is no less than the median, which the few costly
+// updateMean takes the mean work of the runs that ended lately; it is no less than the median, which the few costly
 // runs that have not ended yet can't hide.
-func (c *classCost) measureMean(now Time, workDone float64) {
+func (c *classCost) updateMean(now Time, workDone float64) {
 	c.mean = c.median
 	if recent := c.history.merged(now); recent.count > 0 {
 		c.mean = max(c.mean, workDone/float64(recent.count))
@@ -37,26 +37,26 @@
 
 // workHistory is a sketch of recent work: a ring of sketches, the oldest of which is dropped as time goes on.
 type workHistory struct {
-	slot    int64
+	step    int64
 	buckets [historySteps]sketch
 }
 
-func (h *workHistory) roll(now Time) *sketch {
+func (h *workHistory) advance(now Time) *sketch {
 	slot := int64(now / historyStep)
-	if h.slot == 0 || slot-h.slot >= historySteps {
-		h.buckets, h.slot = [historySteps]sketch{}, slot
+	if h.step == 0 || slot-h.step >= historySteps {
+		h.buckets, h.step = [historySteps]sketch{}, slot
 	}
-	for h.slot < slot {
-		h.slot++
-		h.buckets[h.slot%historySteps] = sketch{}
+	for h.step < slot {
+		h.step++
+		h.buckets[h.step%historySteps] = sketch{}
 	}
-	return &h.buckets[h.slot%historySteps]
+	return &h.buckets[h.step%historySteps]
 }
 
-func (h *workHistory) add(now Time, work float64) { h.roll(now).add(work) }
+func (h *workHistory) add(now Time, work float64) { h.advance(now).add(work) }
 
 func (h *workHistory) merged(now Time) sketch {
-	h.roll(now)
+	h.advance(now)
 	var s sketch
 	for k := range h.buckets {
 		s.merge(&h.buckets[k])
--- a/internal/node/pools/fairslots.go
+++ b/internal/node/pools/fairslots.go
@@ -16,17 +16,17 @@
 	needs := make([]float64, len(p.classes))
 	for k := range p.classes {
 		c := &p.classes[k]
-		c.cost.measureMean(now, c.workDone.roll(now))
-		c.fairSlots, c.wantsMore = 0, false
+		c.cost.updateMean(now, c.workDone.total(now))
+		c.fairSlots, c.needsMore = 0, false
 		needs[k] = c.need(now)
 	}
 	left, open := float64(p.slots), len(p.classes)
 	satisfied := make([]bool, len(p.classes))
 	for open > 0 && left > roundingMargin {
-		density := p.openDensity(satisfied)
-		k := p.nextSatisfied(needs, satisfied, left, density)
+		density := p.unsatisfiedDensity(satisfied)
+		k := p.nextSatisfiable(needs, satisfied, left, density)
 		if k == noClass {
-			p.divideRest(satisfied, left, density)
+			p.divideRemaining(satisfied, left, density)
 			return
 		}
 		p.classes[k].fairSlots, satisfied[k] = needs[k], true
@@ -35,8 +35,8 @@
 	}
 }
 
-// openDensity sums the value for work of the classes that are not satisfied.
-func (p *Pools) openDensity(satisfied []bool) float64 {
+// unsatisfiedDensity sums the value for work of the classes that are not satisfied.
+func (p *Pools) unsatisfiedDensity(satisfied []bool) float64 {
 	sum := 0.0
 	for k := range p.classes {
 		if !satisfied[k] {
@@ -46,8 +46,8 @@
 	return sum
 }
 
-// nextSatisfied gives the first class that needs no more than its part of what is left, or noClass.
-func (p *Pools) nextSatisfied(needs []float64, satisfied []bool, left, density float64) int {
+// nextSatisfiable gives the first class that needs no more than its part of what is left, or noClass.
+func (p *Pools) nextSatisfiable(needs []float64, satisfied []bool, left, density float64) int {
 	for k := range p.classes {
 		part := left * p.classes[k].valueDensity() / density
 		if !satisfied[k] && needs[k] <= part {
@@ -57,10 +57,10 @@
 	return noClass
 }
 
-func (p *Pools) divideRest(satisfied []bool, left, density float64) {
+func (p *Pools) divideRemaining(satisfied []bool, left, density float64) {
 	for k := range p.classes {
 		if c := &p.classes[k]; !satisfied[k] {
-			c.fairSlots, c.wantsMore = left*c.valueDensity()/density, true
+			c.fairSlots, c.needsMore = left*c.valueDensity()/density, true
 		}
 	}
 }
--- a/internal/node/pools/heavy.go
+++ b/internal/node/pools/heavy.go
@@ -1,9 +1,9 @@
 package pools
 
 const (
-	// heavyFactor is how often its class's usual work a run has used when it counts as heavy: past what a class with an
+	// heavyWorkFactor is how often its class's usual work a run has used when it counts as heavy: past what a class with an
 	// even spread shows (an exponential one has under one in thirty), and short of the tenfold that hurts.
-	heavyFactor = 5
+	heavyWorkFactor = 5
 	// heavyFraction of the slots are for heavy runs, of whatever class. More takes room from usual work, with less a
 	// few heavy runs fill their own class.
 	heavyFraction = 0.2
@@ -17,7 +17,7 @@
 	byTenant []int
 }
 
-func (h *heavySlots) take(tenant int) {
+func (h *heavySlots) acquire(tenant int) {
 	h.running++
 	h.byTenant[tenant]++
 }
@@ -27,10 +27,10 @@
 	h.byTenant[tenant]--
 }
 
-// separateHeavy decides which runs count as heavy: those that have used several times their class's usual work, as
+// markHeavyRuns decides which runs count as heavy: those that have used several times their class's usual work, as
 // far as the heavy slots have room. So a few costly requests of a class take no room from the others of it; what has
 // no room stays its class's own. It may harm all classes, by the heavy slots at most.
-func (p *Pools) separateHeavy(now Time) {
+func (p *Pools) markHeavyRuns(now Time) {
 	room := max(1, int(heavyFraction*float64(p.slots)))
 	perTenant := room
 	if len(p.heavy.byTenant) > 1 {
@@ -42,12 +42,12 @@
 		if r.heavy || c.cost.median == 0 || p.heavy.running >= room || p.heavy.byTenant[r.tenant] >= perTenant {
 			continue
 		}
-		if float64(r.workSoFar(now)) < heavyFactor*c.cost.median {
+		if float64(r.workSoFar(now)) < heavyWorkFactor*c.cost.median {
 			continue
 		}
 		r.heavy = true
 		c.heavy++
 		c.running--
-		p.heavy.take(r.tenant)
+		p.heavy.acquire(r.tenant)
 	}
 }
--- a/internal/node/pools/limits.go
+++ b/internal/node/pools/limits.go
@@ -10,12 +10,12 @@
 	// not over it. Growth by a tenth has a class back at twice its limit within four seconds.
 	cutFactor    = 0.85
 	growthFactor = 0.1
-	// sufferingFraction is the part of a class's recent requests that were shed or late from which it suffers: one in
+	// starvedMissFraction is the part of a class's recent requests that were shed or late from which it suffers: one in
 	// twenty, the rate that the reserve is to keep the cheapest class under.
-	sufferingFraction = 0.05
-	// sufferingShortfall is how far a class has to be under its fair slots for that: one that has them suffers by its
+	starvedMissFraction = 0.05
+	// starvedShortfall is how far a class has to be under its fair slots for that: one that has them suffers by its
 	// own excess.
-	sufferingShortfall = 0.1
+	starvedShortfall = 0.1
 	// minArrivals is the recent requests of a class from which it can suffer: of fewer, one shed is no sign.
 	minArrivals = 4
 	// minExcess is the slots over its fair ones from which a class is cut: by the mean of four seconds, since what
@@ -27,10 +27,10 @@
 
 // Reasons of a limit, as operators read them.
 const (
-	reasonUnlimited = "room"
-	reasonFixed     = "fixed"
-	reasonGrows     = "grows"
-	reasonFair      = "its due, while all want more than there is"
+	reasonUnlimited   = "room"
+	reasonFixed       = "fixed"
+	reasonGrowing     = "grows"
+	reasonAtFairSlots = "its due, while all want more than there is"
 )
 
 // noClass is the index of no class.
@@ -40,28 +40,28 @@
 // suffers that has less than its own; else limits grow. A class that needs no more than its fair slots is never
 // limited. It harms the class that is cut: its requests wait while younger ones of others start.
 func (p *Pools) adjustLimits(now Time) {
-	suffering, excessive := p.findPressure(now)
+	suffering, excessive := p.findStarvation(now)
 	for k := range p.classes {
 		limit, why := p.nextLimit(k, suffering, excessive)
 		p.setLimit(&p.classes[k], limit, why)
 	}
 }
 
-// findPressure gives the class that suffers most while it has less than its fair slots, and the one that is furthest
+// findStarvation gives the class that suffers most while it has less than its fair slots, and the one that is furthest
 // over its own; noClass for none.
-func (p *Pools) findPressure(now Time) (suffering, excessive int) {
+func (p *Pools) findStarvation(now Time) (suffering, excessive int) {
 	suffering, excessive = noClass, noClass
 	least, most := math.Inf(1), minExcess
 	for k := range p.classes {
 		c := &p.classes[k]
-		arrivals, missed := c.arrivals.roll(now), c.missed.roll(now)
+		arrivals, missed := c.arrivals.total(now), c.missed.total(now)
 		c.usedSlots = c.workDone.rate(now) / float64(Second)
 		excess := c.usedSlots - max(c.fairSlots, c.minSlots(p.slots))
-		suffers := arrivals >= minArrivals && missed > sufferingFraction*arrivals
-		if suffers && excess < min(least, -sufferingShortfall*c.fairSlots) {
+		suffers := arrivals >= minArrivals && missed > starvedMissFraction*arrivals
+		if suffers && excess < min(least, -starvedShortfall*c.fairSlots) {
 			suffering, least = k, excess
 		}
-		if !c.FixedLimit && c.wantsMore && excess > most {
+		if !c.FixedLimit && c.needsMore && excess > most {
 			excessive, most = k, excess
 		}
 	}
@@ -87,10 +87,10 @@
 		return c.limit, c.reason
 	case c.limit >= most:
 		return math.Inf(1), reasonUnlimited
-	case c.wantsMore && c.limit >= c.fairSlots && pressed && class != suffering:
-		return c.limit, reasonFair
-	case !pressed || !c.wantsMore || class == suffering:
-		return c.limit + max(1, growthFactor*c.limit), reasonGrows
+	case c.needsMore && c.limit >= c.fairSlots && pressed && class != suffering:
+		return c.limit, reasonAtFairSlots
+	case !pressed || !c.needsMore || class == suffering:
+		return c.limit + max(1, growthFactor*c.limit), reasonGrowing
 	}
 	return c.limit, c.reason
 }
--- a/internal/node/pools/pools.go
+++ b/internal/node/pools/pools.go
@@ -18,17 +18,17 @@
 
 // Pools decide for one server. They implement admission.Pools.
 type Pools struct {
-	plan     Plan
-	classes  []classState
-	queued   map[uint32]owner // by request
-	runs     map[uint32]*run  // by request
-	freeRuns []*run
-	runOrder []uint32 // requests in the order of their starts: the map is never ranged over
-	slots    int      // runs that the concurrency limit admits
-	heavy    heavySlots
-	reserve  reserve
-	adjusted Time     // when limits were looked at last
-	changes  []string // for the log
+	config     Plan
+	classes    []classState
+	queued     map[uint32]owner // by request
+	runs       map[uint32]*run  // by request
+	freeRuns   []*run
+	runOrder   []uint32 // requests in the order of their starts: the map is never ranged over
+	slots      int      // runs that the concurrency limit admits
+	heavy      heavySlots
+	reserve    reserve
+	adjustedAt Time     // when limits were looked at last
+	changes    []string // for the log
 }
 
 var _ admission.Pools = (*Pools)(nil)
@@ -57,7 +57,7 @@
 func New(plan Plan) *Pools {
 	tenants := max(1, plan.Tenants)
 	p := &Pools{
-		plan:    plan,
+		config:  plan,
 		queued:  map[uint32]owner{},
 		runs:    map[uint32]*run{},
 		slots:   1,
@@ -73,15 +73,15 @@
 // Reconfigure takes what the operator now says: limits change, and what runs goes on. Classes have to be the same in
 // number and order; the number of tenants stays.
 func (p *Pools) Reconfigure(plan Plan) {
-	plan.Tenants = p.plan.Tenants
-	p.plan = plan
+	plan.Tenants = p.config.Tenants
+	p.config = plan
 	for k := range plan.Classes {
 		p.classes[k].reconfigure(plan.Classes[k])
 	}
 	if !plan.Reserve {
 		p.reserve = noReserve
 	}
-	p.adjusted = 0
+	p.adjustedAt = 0
 }
 
 // Enqueued takes a request that joins the admission queue.
@@ -194,10 +194,10 @@
 	}
 	c.byTenant.running[r.tenant]--
 	c.byCaller.running[r.caller]--
-	p.forgetRun(id, r)
+	p.removeRun(id, r)
 }
 
-func (p *Pools) forgetRun(id uint32, r *run) {
+func (p *Pools) removeRun(id uint32, r *run) {
 	delete(p.runs, id)
 	for k, other := range p.runOrder {
 		if other == id {
@@ -216,13 +216,13 @@
 // many runs the concurrency limit admits.
 func (p *Pools) Tick(now Time, slots int) {
 	p.slots = max(1, slots)
-	p.separateHeavy(now)
-	if now-p.adjusted < adjustInterval {
+	p.markHeavyRuns(now)
+	if now-p.adjustedAt < adjustInterval {
 		return
 	}
-	p.adjusted = now
+	p.adjustedAt = now
 	for k := range p.classes {
-		p.classes[k].cost.measure(now)
+		p.classes[k].cost.updateQuantiles(now)
 	}
 	p.divideSlots(now)
 	p.adjustLimits(now)
--- a/internal/node/pools/pools_test.go
+++ b/internal/node/pools/pools_test.go
@@ -183,7 +183,7 @@
 	for _, with := range []bool{true, false} {
 		b := newBed(t, 12, cheapAndDear)
 		if !with {
-			b.pools.plan.Reserve = false
+			b.pools.config.Reserve = false
 			for k := range b.pools.classes {
 				b.pools.classes[k].FixedLimit = true
 				b.pools.classes[k].limit = math.Inf(1)
@@ -321,7 +321,7 @@
 	if b.good(1) < 0.9 {
 		t.Errorf("submit: %.2f in time while view surges, expected 0.9", b.good(1))
 	}
-	if most := part(reserveFraction, 12); b.pools.reserve.slots > most {
+	if most := part(maxReserveFraction, 12); b.pools.reserve.slots > most {
 		t.Errorf("reserve of %d, expected %d at most", b.pools.reserve.slots, most)
 	}
 }
--- a/internal/node/pools/recentsum.go
+++ b/internal/node/pools/recentsum.go
@@ -9,27 +9,27 @@
 
 // recentSum sums over recent history.
 type recentSum struct {
-	slot    int64
+	step    int64
 	buckets [historySteps]float64
 	sum     float64
 }
 
 func (c *recentSum) add(now Time, v float64) {
-	c.roll(now)
-	c.buckets[c.slot%historySteps] += v
+	c.total(now)
+	c.buckets[c.step%historySteps] += v
 	c.sum += v
 }
 
-// roll drops what has become old and gives the sum.
-func (c *recentSum) roll(now Time) float64 {
+// total drops what has become old and gives the sum.
+func (c *recentSum) total(now Time) float64 {
 	slot := int64(now / historyStep)
-	if c.slot == 0 || slot-c.slot >= historySteps {
-		*c = recentSum{slot: slot}
+	if c.step == 0 || slot-c.step >= historySteps {
+		*c = recentSum{step: slot}
 	}
-	for c.slot < slot {
-		c.slot++
-		c.sum -= c.buckets[c.slot%historySteps]
-		c.buckets[c.slot%historySteps] = 0
+	for c.step < slot {
+		c.step++
+		c.sum -= c.buckets[c.step%historySteps]
+		c.buckets[c.step%historySteps] = 0
 	}
 	return c.sum
 }
@@ -37,5 +37,5 @@
 // rate is the sum a second, over the steps that are complete and what the newest one has so far.
 func (c *recentSum) rate(now Time) float64 {
 	span := (historySteps-1)*historyStep + now%historyStep
-	return c.roll(now) * float64(Second) / float64(span)
+	return c.total(now) * float64(Second) / float64(span)
 }
--- a/internal/node/pools/sketch.go
+++ b/internal/node/pools/sketch.go
@@ -14,8 +14,8 @@
 	// sketchBuckets reach from a tenth of a millisecond to 165 s, past any client's timeout; what is longer counts as
 	// that.
 	sketchBuckets = 152
-	// middle of a bucket, where its quantiles are read.
-	middle = 0.5
+	// bucketMidpoint of a bucket, where its quantiles are read.
+	bucketMidpoint = 0.5
 )
 
 var bucketsPerLog = 1 / math.Log(bucketGrowth)
@@ -50,7 +50,7 @@
 	left := int64(math.Ceil(share * float64(s.count)))
 	for k, n := range s.buckets {
 		if left -= int64(n); left <= 0 && n > 0 {
-			return math.Exp((float64(k) + middle) / bucketsPerLog)
+			return math.Exp((float64(k) + bucketMidpoint) / bucketsPerLog)
 		}
 	}
 	return math.Exp(sketchBuckets / bucketsPerLog)
--- a/internal/node/pools/status.go
+++ b/internal/node/pools/status.go
@@ -33,7 +33,7 @@
 
 // QueueDelay is how long the last request of a limited class to start had waited; 0 while the class has no limit.
 func (p *Pools) QueueDelay(class int) Time {
-	if c := &p.classes[class]; !p.plan.Disabled && c.limited() {
+	if c := &p.classes[class]; !p.config.Disabled && c.limited() {
 		return c.lastDelay
 	}
 	return 0
--- a/internal/node/zonegate/admit.go
+++ b/internal/node/zonegate/admit.go
@@ -25,9 +25,9 @@
 	return crc32.Update(crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(nil, caller)), crc32.IEEETable, tenant)
 }
 
-// place is where a request stands among all, from 0 to under api.FullShare. The upper half of the hash is used, as
+// bucket is where a request stands among all, from 0 to under api.FullShare. The upper half of the hash is used, as
 // the lower one chooses among nodes elsewhere.
-func (r *Request) place() int { return int(r.Hash >> 16 & (api.FullShare - 1)) }
+func (r *Request) bucket() int { return int(r.Hash >> 16 & (api.FullShare - 1)) }
 
 // Reason says which rule rejected a request.
 type Reason string
@@ -69,7 +69,7 @@
 	if g.order.RateLimited && !g.runs.take(now, g.order.RateLimit) {
 		return g.reject(ReasonRateLimit, request.IsRetry)
 	}
-	if g.order.RetryBudget > 0 && !g.retries[request.Handler].admit(request.IsRetry, g.order.RetryBudget) {
+	if g.order.RetryBudget > 0 && !g.retryBudgets[request.Handler].admit(request.IsRetry, g.order.RetryBudget) {
 		return g.reject(ReasonRetryBudget, true)
 	}
 	return Decision{Admitted: true}
@@ -84,7 +84,7 @@
 // share grows. In a zone that is evacuated in part, requests below the cutoff stay, those above go elsewhere, those
 // at it go by their place.
 func (g *Gate) inShare(request *Request) bool {
-	placed := request.place() < g.order.Share
+	placed := request.bucket() < g.order.Share
 	if cutoff := g.order.PriorityCutoff; cutoff > 0 {
 		return request.Weight < cutoff || request.Weight == cutoff && placed
 	}
@@ -97,5 +97,5 @@
 	if !g.hasOrder || !g.order.RateLimited {
 		return true
 	}
-	return g.connects.take(now, g.order.ConnectRateLimit)
+	return g.connections.take(now, g.order.ConnectRateLimit)
 }
--- a/internal/node/zonegate/gate.go
+++ b/internal/node/zonegate/gate.go
@@ -12,13 +12,13 @@
 	// Rejected counts the requests that were not admitted, for whatever reason.
 	Rejected uint64
 
-	seed     uint32
-	order    api.ZoneOrder
-	hasOrder bool
-	runs     tokenBucket
-	connects tokenBucket
-	retries  []retryBudget // by handler
-	growth   shareGrowth
+	seed         uint32
+	order        api.ZoneOrder
+	hasOrder     bool
+	runs         tokenBucket
+	connections  tokenBucket
+	retryBudgets []retryBudget // by handler
+	growth       shareGrowth
 
 	autonomousSince uint64 // without the control service since then; 0: it is heard
 	adjustedAt      uint64 // when the node last changed its share by itself
@@ -27,7 +27,7 @@
 // NewGate makes a gate that admits everything until it has an order. The seed is the node's own: it spreads the nodes
 // of a fleet over the time in which each has its first token.
 func NewGate(handlers int, seed uint32) *Gate {
-	return &Gate{seed: seed, retries: make([]retryBudget, handlers)}
+	return &Gate{seed: seed, retryBudgets: make([]retryBudget, handlers)}
 }
 
 // SetOrder takes the order that the control service sent, nil if the policy decides nothing about zones. It reports
@@ -45,17 +45,17 @@
 		g.growth.record(now, previous, order.Share)
 	}
 	if changed {
-		g.runs = tokenBucket{filledAt: now, tokens: g.firstToken(order.Epoch)}
-		g.connects = tokenBucket{filledAt: now, tokens: 1} // the first run needs a connection
+		g.runs = tokenBucket{filledAt: now, tokens: g.initialTokens(order.Epoch)}
+		g.connections = tokenBucket{filledAt: now, tokens: 1} // the first run needs a connection
 	}
 	g.order, g.hasOrder, g.autonomousSince = *order, true, 0
 	return changed
 }
 
-// firstToken is the part of a token, from 0 to under 1, with which this node begins an epoch. In a large fleet a
+// initialTokens is the part of a token, from 0 to under 1, with which this node begins an epoch. In a large fleet a
 // node's quota may be one run in many seconds: with a different part each, the nodes together use the whole limit
 // from the first second on, and not all at the end of the same interval.
-func (g *Gate) firstToken(epoch uint64) float64 {
+func (g *Gate) initialTokens(epoch uint64) float64 {
 	raw := binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint32(nil, g.seed), epoch)
 	return float64(crc32.ChecksumIEEE(raw)) / (1 << 32)
 }
--- a/internal/node/zonegate/limits.go
+++ b/internal/node/zonegate/limits.go
@@ -3,9 +3,9 @@
 import "umberwinch/internal/control/api"
 
 const (
-	// burstPerSecond: a fifth of a second's tokens may be spent at once. The node's rounds are shorter than that, and
+	// burstDivisor: a fifth of a second's tokens may be spent at once. The node's rounds are shorter than that, and
 	// a service below bears that much unevenness; a larger burst would ask a cold service for more than its rate.
-	burstPerSecond = 5
+	burstDivisor = 5
 
 	// minBurst, in tokens: a bucket that holds less than one never admits anything.
 	minBurst = 1.0
@@ -28,7 +28,7 @@
 	if b.filledAt == 0 {
 		b.filledAt = now
 	}
-	burst := max(minBurst, rate/burstPerSecond)
+	burst := max(minBurst, rate/burstDivisor)
 	b.tokens = min(burst, b.tokens+rate*float64(now-b.filledAt)/millisPerSecond)
 	b.filledAt = now
 	if b.tokens < 1 {
--- a/internal/node/zonegate/meter.go
+++ b/internal/node/zonegate/meter.go
@@ -5,8 +5,8 @@
 type Meter struct {
 	weights     []float64 // priority weights, by handler
 	slots       [meterSlots]meterSlot
-	current     uint64 // number of the slot in use, counted from time 0
-	startedAtMS uint64 // ms
+	currentSlot uint64 // number of the slot in use, counted from time 0
+	startedAt   uint64 // ms
 }
 
 // A report covers two seconds, which are some heartbeats: each has most of what the one before had, and a change
@@ -16,9 +16,9 @@
 	slotMS     = 250
 	statusOK   = 200
 	statusShed = 503
-	// Healthy: at least minHealthyInSample in healthySample requests, which one bad request among ten does not break
-	healthySample      = 10
-	minHealthyInSample = 9
+	// Healthy: at least healthyNumerator in healthyDenominator requests, which one bad request among ten does not break
+	healthyDenominator = 10
+	healthyNumerator   = 9
 )
 
 // meterSlot counts what happened in slotMS.
@@ -34,7 +34,7 @@
 
 // NewMeter makes a meter for handlers of these priority weights.
 func NewMeter(now uint64, weights []float64) *Meter {
-	m := &Meter{current: now / slotMS, startedAtMS: now}
+	m := &Meter{currentSlot: now / slotMS, startedAt: now}
 	m.SetWeights(weights)
 	return m
 }
@@ -52,32 +52,32 @@
 // slot returns the slot of a time, and clears those that time has passed over.
 func (m *Meter) slot(now uint64) *meterSlot {
 	number := now / slotMS
-	if number > m.current+meterSlots {
-		m.current = number - meterSlots
+	if number > m.currentSlot+meterSlots {
+		m.currentSlot = number - meterSlots
 	}
-	for m.current < number {
-		m.current++
-		slot := &m.slots[m.current%meterSlots]
+	for m.currentSlot < number {
+		m.currentSlot++
+		slot := &m.slots[m.currentSlot%meterSlots]
 		firstAttempts := slot.firstAttempts
 		clear(firstAttempts)
 		*slot = meterSlot{firstAttempts: firstAttempts}
 	}
-	return &m.slots[m.current%meterSlots]
+	return &m.slots[m.currentSlot%meterSlots]
 }
 
 // RequestAdmitted counts a request that the gate admitted.
 func (m *Meter) RequestAdmitted(now uint64, handler int, isRetry bool) {
-	m.slot(now).arrive(handler, isRetry, m.weights)
+	m.slot(now).addArrival(handler, isRetry, m.weights)
 }
 
 // RequestRejected counts a request that the gate rejected.
 func (m *Meter) RequestRejected(now uint64, handler int, isRetry bool) {
 	slot := m.slot(now)
 	slot.rejected++
-	slot.arrive(handler, isRetry, m.weights)
+	slot.addArrival(handler, isRetry, m.weights)
 }
 
-func (s *meterSlot) arrive(handler int, isRetry bool, weights []float64) {
+func (s *meterSlot) addArrival(handler int, isRetry bool, weights []float64) {
 	s.arrived++
 	if isRetry {
 		s.retries++
@@ -143,5 +143,5 @@
 	if ended == 0 {
 		return inFlight == 0
 	}
-	return healthySample*report.Completed >= minHealthyInSample*ended
+	return healthyDenominator*report.Completed >= healthyNumerator*ended
 }
--- a/internal/node/zonegate/report.go
+++ b/internal/node/zonegate/report.go
@@ -13,12 +13,12 @@
 	report := &api.LoadReport{KernelConnected: kernelConnected, Cores: cores, RunsInFlight: inFlight}
 	// The slot in use is not over yet: the window is what lies before it, and as much of it as there is.
 	window := (meterSlots-1)*slotMS + now%slotMS
-	report.WindowMS = int(min(window, max(now-m.startedAtMS, 1)))
+	report.WindowMS = int(min(window, max(now-m.startedAt, 1)))
 	var total meterSlot
 	for i := range m.slots {
 		total.add(&m.slots[i])
 	}
-	total.fill(report)
+	total.fillReport(report)
 	report.ArrivedByWeight = m.arrivedByWeight()
 	return report
 }
@@ -43,7 +43,7 @@
 	s.coresUsed += other.coresUsed
 }
 
-func (s *meterSlot) fill(report *api.LoadReport) {
+func (s *meterSlot) fillReport(report *api.LoadReport) {
 	report.Arrived, report.Retries, report.RejectedByZone = s.arrived, s.retries, s.rejected
 	report.Completed, report.Late, report.Shed, report.Failed = s.completed, s.late, s.shed, s.failed
 	report.RunsEnded, report.Calls, report.FailedCalls = s.runs, s.calls, s.failedCalls
--- a/internal/node/zonegate/retry_after.go
+++ b/internal/node/zonegate/retry_after.go
@@ -35,7 +35,7 @@
 // as many steps like the last one as it takes. It acts while a share grows; it harms nobody but a caller that waits
 // longer than the share would have taken.
 func (g *Gate) RetryAfter(now uint64, request Request) uint64 {
-	place, growth := request.place(), &g.growth
+	place, growth := request.bucket(), &g.growth
 	known := g.hasOrder && g.order.Share > 0 && g.order.PriorityCutoff <= 0 && growth.interval != 0 &&
 		growth.factor >= api.MinRampFactor
 	if !known || place < g.order.Share {
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -5,10 +5,10 @@
 	// minWindowMS: a caller that is rejected comes back after one to two seconds, some lease renewals: by then the node
 	// serves, or its health has told that it does not.
 	minWindowMS = 2000
-	// maxAfterMS bounds the time that a share is expected to need, so that arithmetic on it can't overflow.
-	maxAfterMS = 1e9
-	// windowQuarter: the window begins at three quarters of its end at the latest, so that it never closes.
-	windowQuarter = 4
+	// maxEarliestMS bounds the time that a share is expected to need, so that arithmetic on it can't overflow.
+	maxEarliestMS = 1e9
+	// windowDivisor: the window begins at three quarters of its end at the latest, so that it never closes.
+	windowDivisor = 4
 	// spreadSteps divide the window: as many callers in a row are told different times.
 	spreadSteps = 1024
 	// spreadMultiplier, 2^32 divided by the golden ratio: consecutive callers land far apart in the window.
@@ -24,9 +24,9 @@
 	if bound <= 0 {
 		return 0, 0
 	}
-	after = min(after, maxAfterMS)
+	after = min(after, maxEarliestMS)
 	to = min(bound, max(minWindowMS, after+after/2))
-	return min(max(to/2, after), to/2+to/windowQuarter), to
+	return min(max(to/2, after), to/2+to/windowDivisor), to
 }
 
 // Spreader counts the times that callers were told, so that each is told another one.
