--- a/internal/node/pools/pin_stream_test.go
+++ b/internal/node/pools/pin_stream_test.go
@@ -4,67 +4,105 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
+	"hash"
 	"math/rand/v2"
 	"testing"
 
 	"umberwinch/admission"
 )
 
-// recordedPools is the hash of all that pools decide on the recorded stream, made with the code as version 2a0a97e has
-// it. It changes with any decision: whoever changes one on purpose puts the new hash here and says why in the commit.
-const recordedPools = "caa51a6ccfb2b2c02ed4bec9bbcc8cc43cda91ae4ad0fea50a2027d0958fdaac"
+// Hashes over the decisions and the texts of pools on the recorded stream, made with the code as version 2a0a97e has it.
+// A change of recordedDecisions is a change of behaviour: the commit that makes it says why.
+const (
+	recordedJoined    = "caa51a6ccfb2b2c02ed4bec9bbcc8cc43cda91ae4ad0fea50a2027d0958fdaac"
+	recordedDecisions = "6f6b8c50cef23ea72565eedd300e0b1cc3bc1e1e8ee7995729e2508c6af57cf0"
+	recordedTexts     = "eae4074924a720a843cc0c5146687a8b2c20ca15e38dc31d0f66e9b18b47ba90"
+)
+
+// textMarker stands for a text in the decisions, so that order and number of texts count there.
+const textMarker = "TEXT"
+
+// recording hashes decisions and texts, apart and joined.
+type recording struct {
+	joined, decisions, texts hash.Hash
+	count                    int
+}
 
-// stream plays a server that asks pools and tells them, with all that goes wrong on one.
+func newRecording() *recording {
+	return &recording{joined: sha256.New(), decisions: sha256.New(), texts: sha256.New()}
+}
+
+// note adds a line without a text.
+func (r *recording) note(format string, args ...any) {
+	r.count++
+	line := fmt.Sprintf(format, args...)
+	fmt.Fprintln(r.joined, line)
+	fmt.Fprintln(r.decisions, line)
+}
+
+// noteText adds a line that line makes of a text.
+func (r *recording) noteText(text string, line func(text string) string) {
+	r.count++
+	fmt.Fprintln(r.joined, line(text))
+	fmt.Fprintln(r.decisions, line(textMarker))
+	fmt.Fprintln(r.texts, text)
+}
+
+func hexSum(h hash.Hash) string { return hex.EncodeToString(h.Sum(nil)) }
+
+// stream drives pools as a server with faults does.
 type stream struct {
-	pools   *Pools
-	rand    *rand.Rand
-	now     Time
-	next    uint32
-	scale   int // how much larger than the smallest server this one is
-	waiting []waitingRequest
-	running []runningRequest
-	note    func(format string, args ...any)
+	pools     *Pools
+	rand      *rand.Rand
+	now       Time
+	lastID    uint32
+	scale     int // size of the server: 1 for the smallest
+	waiting   []waitingRequest
+	running   []runningRequest
+	recording *recording
 }
 
 type waitingRequest struct {
-	id      uint32
-	arrived Time
+	id        uint32
+	arrivedAt Time
 }
 
 type runningRequest struct {
-	id   uint32
-	ends Time
-	away bool
+	id     uint32
+	endsAt Time
+	atCall bool
 }
 
-// TestRecordedPools plays classes at moving rates and works, with heavy runs, calls that crawl, runs that stop
-// without a result or hang, sheds before and in the queue, a process that stands still, slots that come and go,
-// surges of one tenant and of one sender, and operators that change floors, caps, the reserve and all of it. Each
-// answer of CanStart, each view and each line for the log goes into one hash.
+// TestRecordedPools guards against an unintended change of any decision, status value or log line. The stream has
+// heavy runs, slow calls, runs that stop without a result or hang, requests shed before and in the queue, a stalled
+// process, changing numbers of slots, surges of one tenant and of one caller, and reconfiguration.
 func TestRecordedPools(t *testing.T) {
-	sum, count := sha256.New(), 0
-	note := func(format string, args ...any) {
-		count++
-		fmt.Fprintf(sum, format+"\n", args...)
-	}
+	recording := newRecording()
 	for seed := range uint64(24) {
-		s := &stream{rand: rand.New(rand.NewPCG(seed, 3)), now: 30 * Second, scale: 1 + 4*int(seed%2), note: note}
-		plan := s.plan()
-		s.pools = New(plan)
+		s := &stream{rand: rand.New(rand.NewPCG(seed, 3)), now: 30 * Second, scale: 1 + 4*int(seed%2),
+			recording: recording}
+		config := s.drawConfig()
+		s.pools = New(config)
 		for step := range 6000 {
-			s.step(step, len(plan.Classes))
+			s.step(step, len(config.Classes))
 			if step%1500 == 1499 {
-				plan = s.change(plan)
-				s.pools.Reconfigure(plan)
+				config = s.changedConfig(config)
+				s.pools.Reconfigure(config)
 			}
 		}
 	}
-	if got := hex.EncodeToString(sum.Sum(nil)); got != recordedPools {
-		t.Errorf("%d decisions, hash %s, expected %s", count, got, recordedPools)
+	for _, c := range []struct{ name, got, want string }{
+		{"decisions and texts joined", hexSum(recording.joined), recordedJoined},
+		{"decisions", hexSum(recording.decisions), recordedDecisions},
+		{"texts", hexSum(recording.texts), recordedTexts},
+	} {
+		if c.got != c.want {
+			t.Errorf("hash of %s over %d lines = %s, want %s", c.name, recording.count, c.got, c.want)
+		}
 	}
 }
 
-func (s *stream) plan() Plan {
+func (s *stream) drawConfig() Plan {
 	p := Plan{Reserve: s.rand.IntN(2) == 0, Tenants: s.rand.IntN(4)}
 	for k := range 2 + s.rand.IntN(3) {
 		p.Classes = append(p.Classes, Class{Name: fmt.Sprint("class", k), Value: float64(s.rand.IntN(5))})
@@ -72,8 +110,8 @@
 	return p
 }
 
-// change is an operator's new file: same classes, other limits.
-func (s *stream) change(p Plan) Plan {
+// changedConfig draws other limits for the same classes.
+func (s *stream) changedConfig(p Plan) Plan {
 	p.Disabled, p.Reserve = s.rand.IntN(8) == 0, s.rand.IntN(2) == 0
 	p.Classes = append([]Class(nil), p.Classes...)
 	for k := range p.Classes {
@@ -94,32 +132,35 @@
 func (s *stream) step(step, classes int) {
 	s.now += Time(s.rand.IntN(200))
 	if s.rand.IntN(1000) == 0 {
-		s.now += 5 * Second // the process stood still
+		s.now += 5 * Second // the process was stalled
 	}
 	slots := 6*s.scale + s.rand.IntN(3)
 	if step/700%4 == 3 {
 		slots = 2 * s.scale
 	}
 	s.arrive(step, classes)
-	s.leave()
-	s.move()
+	s.dequeue()
+	s.advanceRuns()
 	s.pools.Tick(s.now, slots)
 	s.start(slots, step)
 	for _, line := range s.pools.TakeChanges() {
-		s.note("told %s", line)
+		s.recording.noteText(line, func(text string) string { return "told " + text })
 	}
 	if step%20 == 0 {
-		for class, view := range s.pools.Status() {
-			s.note("%d view %v lap %d", s.now, view, s.pools.QueueDelay(class))
+		for class, status := range s.pools.Status() {
+			s.recording.noteText(status.Reason, func(text string) string {
+				status.Reason = text
+				return fmt.Sprintf("%d view %v lap %d", s.now, status, s.pools.QueueDelay(class))
+			})
 		}
 	}
 }
 
-// arrive has requests join the queue, more of them in a surge, and some refused at once.
+// arrive enqueues requests, more of them in a surge, and has some shed before the queue.
 func (s *stream) arrive(step, classes int) {
 	for n := s.scale * s.rand.IntN(2+3*(step/400%3)/2); n > 0; n-- {
-		s.next++
-		q := &admission.Request{ID: s.next, Handler: s.rand.IntN(classes), Tenant: s.rand.IntN(4),
+		s.lastID++
+		q := &admission.Request{ID: s.lastID, Handler: s.rand.IntN(classes), Tenant: s.rand.IntN(4),
 			Caller: uint32(s.rand.IntN(30))}
 		if step/500%3 == 1 {
 			q.Tenant, q.Caller = 1, 9
@@ -133,66 +174,66 @@
 	}
 }
 
-// leave has requests shed that waited too long, and some whose caller went; and tells of one that nobody knows.
-func (s *stream) leave() {
-	left := s.waiting[:0]
+// dequeue sheds requests that waited too long, removes some whose caller disconnected, and reports an unknown request.
+func (s *stream) dequeue() {
+	remaining := s.waiting[:0]
 	for _, w := range s.waiting {
 		switch {
-		case s.now-w.arrived > Second/2:
+		case s.now-w.arrivedAt > Second/2:
 			s.pools.Dequeued(s.now, w.id, true)
 		case s.rand.IntN(200) == 0:
 			s.pools.Dequeued(s.now, w.id, false)
 		default:
-			left = append(left, w)
+			remaining = append(remaining, w)
 		}
 	}
-	s.waiting = left
+	s.waiting = remaining
 	if s.rand.IntN(100) == 0 {
 		s.pools.Dequeued(s.now, 1<<30, true)
 		s.pools.Started(s.now, 1<<30, 0)
 		s.pools.Ended(s.now, 1<<30, true, true)
-		s.note("may %v", s.pools.CanStart(1<<30))
+		s.recording.note("may %v", s.pools.CanStart(1<<30))
 	}
 }
 
-// move has runs come to calls, go on and end; the same is told twice now and then.
-func (s *stream) move() {
-	left := s.running[:0]
+// advanceRuns has runs begin calls, resume and end, and repeats some reports.
+func (s *stream) advanceRuns() {
+	remaining := s.running[:0]
 	for _, r := range s.running {
 		switch {
-		case s.now >= r.ends && !r.away:
+		case s.now >= r.endsAt && !r.atCall:
 			s.pools.Ended(s.now, r.id, s.rand.IntN(12) > 0, s.rand.IntN(6) > 0)
 			continue
 		case s.rand.IntN(40) == 0:
-			r.away = !r.away
-			s.pools.SetAtCall(s.now, r.id, r.away)
+			r.atCall = !r.atCall
+			s.pools.SetAtCall(s.now, r.id, r.atCall)
 		case s.rand.IntN(200) == 0:
-			s.pools.SetAtCall(s.now, r.id, r.away)
+			s.pools.SetAtCall(s.now, r.id, r.atCall)
 		}
-		left = append(left, r)
+		remaining = append(remaining, r)
 	}
-	s.running = left
+	s.running = remaining
 }
 
-// start gives free slots in arrival order to those that may have one, as admission does.
+// start starts queued requests in arrival order as far as slots and CanStart allow, as package admission does.
 func (s *stream) start(slots, step int) {
 	for k := 0; k < len(s.waiting) && len(s.running) < slots; {
 		w := s.waiting[k]
-		may := s.pools.CanStart(w.id)
-		s.note("%d may %d %v", s.now, w.id, may)
-		if !may {
+		canStart := s.pools.CanStart(w.id)
+		s.recording.note("%d may %d %v", s.now, w.id, canStart)
+		if !canStart {
 			k++
 			continue
 		}
-		s.pools.Started(s.now, w.id, s.now-w.arrived)
+		s.pools.Started(s.now, w.id, s.now-w.arrivedAt)
 		work := Time(200 + 1500*int(w.id%3) + s.rand.IntN(500))
 		switch s.rand.IntN(20) {
 		case 0:
 			work *= 10
 		case 1:
-			work += Time(step/1000) * Second / 10 // costs change in time
+			work += Time(step/1000) * Second / 10 // work grows over the recording
 		}
-		s.running = append(s.running, runningRequest{id: w.id, ends: s.now + work})
+		s.running = append(s.running, runningRequest{id: w.id, endsAt: s.now + work})
 		s.waiting = append(s.waiting[:k], s.waiting[k+1:]...)
 		k = 0
 	}
