--- a/internal/node/pools/canstart.go
+++ b/internal/node/pools/canstart.go
@@ -1,13 +1,12 @@
 package pools
 
-// ownerLimitDivisor: one tenant or one caller may hold half of a limited class's slots while others of the class wait.
-// Less would hold back the one caller that a class may well have.
-const ownerLimitDivisor = 2 // the limit over it
+// ownerLimitDivisor of a limited class's limit gives the slots that one tenant, or one bucket of callers, may hold
+// while others of the class wait.
+const ownerLimitDivisor = 2
 
-// CanStart decides whether a queued request may take a slot now. It may while its class has room; past that only
-// where nobody with room waits, so no slot idles for a limit that wasn't fixed. The class that has the reserve goes
-// before all others while it waits and has less than the reserve. It guards against costly work that holds all slots,
-// and harms the requests of a limited class, which are passed by younger ones of others.
+// CanStart reports whether a queued request may take a run slot now. A class over its limit may start requests while
+// no class under its limit is waiting, so that no slot idles; a configured cap always holds. The class with the
+// reserve starts before all others while it waits and runs fewer requests than the reserve.
 func (p *Pools) CanStart(id uint32) bool {
 	o, ok := p.queued[id]
 	if p.config.Disabled || !ok {
@@ -21,12 +20,12 @@
 		return true
 	}
 	if c.MaxFraction > 0 && float64(c.running) >= c.MaxFraction*float64(p.slots) {
-		return false // a cap is the operator's word, also where a slot would idle
+		return false
 	}
 	return !p.otherCanUseSlot(c)
 }
 
-// reservedForAnother says whether the next slot is kept for the class that has the reserve.
+// reservedForAnother reports whether the next free slot is reserved for another class.
 func (p *Pools) reservedForAnother(class int) bool {
 	if p.reserve.class == noClass || class == p.reserve.class {
 		return false
@@ -35,6 +34,7 @@
 	return c.queued > 0 && c.running < p.reserve.slots
 }
 
+// otherCanUseSlot reports whether another class has requests queued and a free slot under its limit.
 func (p *Pools) otherCanUseSlot(c *classState) bool {
 	for k := range p.classes {
 		if other := &p.classes[k]; other != c && other.queued > 0 && other.hasFreeSlot(p.slots) {
@@ -44,13 +44,13 @@
 	return false
 }
 
-// ownerOverShare decides whether a tenant, or a caller, has so much of a limited class's slots that others of the class
-// who wait go first: what is beyond its part goes last.
+// ownerOverShare reports whether the request's tenant, or its bucket of callers, holds its share of a limited class's
+// slots while others of the class wait.
 func (s *classState) ownerOverShare(o owner) bool {
 	if !s.limited() {
 		return false
 	}
-	most := max(1, int(s.limit/ownerLimitDivisor))
-	return s.byTenant.running[o.tenant] >= most && s.queued > s.byTenant.queued[o.tenant] ||
-		s.byCaller.running[o.caller] >= most && s.queued > s.byCaller.queued[o.caller]
+	ownerLimit := max(1, int(s.limit/ownerLimitDivisor))
+	return s.byTenant.running[o.tenant] >= ownerLimit && s.queued > s.byTenant.queued[o.tenant] ||
+		s.byCaller.running[o.caller] >= ownerLimit && s.queued > s.byCaller.queued[o.caller]
 }
--- a/internal/node/pools/class.go
+++ b/internal/node/pools/class.go
@@ -6,35 +6,35 @@
 	"math"
 )
 
-// Class is what the operator says of one class, in shares of the run slots. The zero value has no floor and no cap.
+// Class is the configuration of one class. Its fractions are of the run slots. The zero value has no floor and no cap.
 type Class struct {
 	Name        string
-	MinFraction float64 // it is never limited under it
-	MaxFraction float64 // nor let over it; 0 for none
-	FixedLimit  bool    // its limit is its cap and does not move
-	Value       float64 // of one request: slots are divided by value for work
+	MinFraction float64 // floor of its limit
+	MaxFraction float64 // cap of its limit; 0: none
+	FixedLimit  bool    // the limit stays at the cap
+	Value       float64 // of one request; slots are divided by value per work
 }
 
-// classState is what is known of one class.
+// classState is the state of one class.
 type classState struct {
 	Class
 	cost     classCost
-	limit    float64 // slots; infinite while nothing presses
-	reason   string  // what set the limit
-	running  int     // in its own slots; its heavy runs have slots of their own
+	limit    float64 // in slots; infinite: none
+	reason   string  // why the limit has its value
+	running  int     // runs in the class's own slots, heavy ones excluded
 	queued   int
 	heavy    int // heavy runs
 	arrivals recentSum
-	missed   recentSum // of the arrivals, those shed or late
-	workDone recentSum // of runs that ended, in Time, less that of heavy ones
+	missed   recentSum // arrivals that were shed or late
+	workDone recentSum // work of ended runs, in Time, heavy ones excluded
 
-	fairSlots float64 // slots that are its by value and need
-	usedSlots float64 // slots that its work held lately
-	needsMore bool    // it needs more than its fair slots: it alone is limited
+	fairSlots float64 // its fair share of the slots, by need and value per work
+	usedSlots float64 // mean slots in use over recent history
+	needsMore bool    // it needs more than its fair slots; limits of other classes are not cut
 
-	lastDelay        Time // that its last request to start had waited
+	lastDelay        Time // queue delay of the last request to start
 	shed             uint64
-	startedOverLimit int // runs started past its limit, as nobody else wanted the slot
+	startedOverLimit int
 	byTenant         usage
 	byCaller         usage
 }
@@ -48,7 +48,7 @@
 	return s
 }
 
-// reconfigure takes what the operator now says. A limit that isn't fixed starts anew.
+// reconfigure applies a new configuration. A limit that isn't fixed is reset; a value that isn't given stays.
 func (s *classState) reconfigure(c Class) {
 	value := s.Value
 	s.Class = c
@@ -60,16 +60,15 @@
 	}
 }
 
-// limited says whether the class has a limit at the moment.
 func (s *classState) limited() bool { return !math.IsInf(s.limit, 1) }
 
-// valueDensity is what the class earns for its work: by it the slots are divided where they don't do for all.
+// valueDensity is the class's value per work.
 func (s *classState) valueDensity() float64 { return s.Value / max(s.cost.mean, 1) }
 
-// minSlots is the least that the class is limited to: one slot always, so that it is still served and measured.
+// minSlots is the lowest limit of the class: at least one slot, so that it is still served and measured.
 func (s *classState) minSlots(slots int) float64 { return max(1, s.MinFraction*float64(slots)) }
 
-// maxSlots is the most that the operator allows; infinite without a cap.
+// maxSlots is the class's cap in slots; infinite without one.
 func (s *classState) maxSlots(slots int) float64 {
 	if s.MaxFraction > 0 {
 		return s.MaxFraction * float64(slots)
@@ -77,24 +76,24 @@
 	return math.Inf(1)
 }
 
-// hasFreeSlot says whether the class has a slot of its own left.
+// hasFreeSlot reports whether the class runs fewer requests than its limit.
 func (s *classState) hasFreeSlot(slots int) bool {
 	return float64(s.running) < max(1, math.Floor(min(s.limit, s.maxSlots(slots))+roundingMargin))
 }
 
-// roundingMargin lets a limit that is a whole number but for rounding count as that number.
+// roundingMargin absorbs floating-point rounding errors in numbers of slots.
 const roundingMargin = 1e-9
 
-// usage counts what each tenant, or each bucket of callers, has running and queued in a class.
+// usage counts the running and queued requests of a class by tenant, or by bucket of callers.
 type usage struct{ running, queued []int }
 
 func newUsage(n int) usage { return usage{make([]int, n), make([]int, n)} }
 
-// callerBuckets: callers are told apart by a checksum of their number, since they are many and come and go. Two that
-// share a bucket share its part; more buckets cost memory in each class.
+// callerBuckets is the number of buckets that callers are hashed into, which bounds the memory of a class. Callers in
+// one bucket share its slots.
 const callerBuckets = 64
 
-// callerBytes is the size of a caller's number.
+// callerBytes is the size of a caller's ID.
 const callerBytes = 4
 
 func callerBucket(caller uint32) int {
--- a/internal/node/pools/doc.go
+++ b/internal/node/pools/doc.go
@@ -1,15 +1,15 @@
-// Package pools sets run slots apart by class, so that costly work does not starve cheap requests: it decides whether a
-// queued request may take a run slot now.
+// Package pools isolates the classes of requests from each other, so that costly work does not starve cheap requests:
+// it decides whether a queued request may take a run slot now.
 //
-// [Pools] owns what each class of requests costs, has queued and running, and how many slots it may have. It implements
-// admission.Pools: it is told the time, arrivals, starts, calls and ends, and answers. Times and work are in tenths of
-// a millisecond, limits in run slots.
+// [Pools] owns each class's measured work, its counts of running and queued requests and its limit. It implements
+// admission.Pools: package admission reports arrivals, starts, calls, ends and the time, and asks before each start.
+// Times and work are in tenths of a millisecond, limits in run slots.
 //
-// Limits bind only while some class wants more than its fair part of the slots and another suffers by it, or where
-// the operator fixed them. No slot idles for a limit that wasn't fixed: a class may go over its limit while nobody
-// with room waits.
+// Limits bind only while some class wants more than its fair share of the slots and another is starved, or where
+// the operator fixed them. A class may exceed a limit that isn't fixed while no class under its limit is waiting, so
+// that no slot idles.
 //
-// The package does no I/O, has no clock and no source of chance. It never frees a slot or sheds a request, and the
-// concurrency limit of package admission stands above all pools. A Pools is for one goroutine, the controller's.
-// docs/design/pools.md says why the rules are as they are.
+// The package does no I/O, reads no clock and uses no randomness. It never frees a slot or sheds a request, and the
+// concurrency limit of package admission bounds all pools together. A Pools is used by one goroutine, the controller's.
+// See docs/design/pools.md for the reasons behind the rules.
 package pools
--- a/internal/node/pools/fairslots.go
+++ b/internal/node/pools/fairslots.go
@@ -1,17 +1,16 @@
 package pools
 
-// burstFactor is what a class needs over its mean, since arrivals come in bursts: at three quarters of its slots in
-// use few of its requests wait long.
+// burstFactor is a class's need over its mean use: with three quarters of its slots in use few requests queue for long.
 const burstFactor = 1.3
 
-// need is the slots that a class's recent arrivals would hold: their number a second times the mean work of one.
+// need is the number of slots that a class needs for its recent arrivals: arrival rate times mean work, with headroom
+// for bursts.
 func (s *classState) need(now Time) float64 {
 	return burstFactor * s.arrivals.rate(now) * s.cost.mean / float64(Second)
 }
 
-// divideSlots decides which slots are each class's by right: what its recent work needs, and where that is more than
-// there is, the classes that need least for what they earn are filled first, none past its need. What is left is
-// divided by value for work among those that want more.
+// divideSlots computes each class's fair slots. Classes that need no more than their part, by value per work, of the
+// remaining slots get what they need; the rest is divided by value per work among the classes that need more.
 func (p *Pools) divideSlots(now Time) {
 	needs := make([]float64, len(p.classes))
 	for k := range p.classes {
@@ -20,22 +19,22 @@
 		c.fairSlots, c.needsMore = 0, false
 		needs[k] = c.need(now)
 	}
-	left, open := float64(p.slots), len(p.classes)
+	remaining, unsatisfied := float64(p.slots), len(p.classes)
 	satisfied := make([]bool, len(p.classes))
-	for open > 0 && left > roundingMargin {
+	for unsatisfied > 0 && remaining > roundingMargin {
 		density := p.unsatisfiedDensity(satisfied)
-		k := p.nextSatisfiable(needs, satisfied, left, density)
+		k := p.nextSatisfiable(needs, satisfied, remaining, density)
 		if k == noClass {
-			p.divideRemaining(satisfied, left, density)
+			p.divideRemaining(satisfied, remaining, density)
 			return
 		}
 		p.classes[k].fairSlots, satisfied[k] = needs[k], true
-		left -= needs[k]
-		open--
+		remaining -= needs[k]
+		unsatisfied--
 	}
 }
 
-// unsatisfiedDensity sums the value for work of the classes that are not satisfied.
+// unsatisfiedDensity sums the value per work of the classes that are not satisfied.
 func (p *Pools) unsatisfiedDensity(satisfied []bool) float64 {
 	sum := 0.0
 	for k := range p.classes {
@@ -46,10 +45,10 @@
 	return sum
 }
 
-// nextSatisfiable gives the first class that needs no more than its part of what is left, or noClass.
-func (p *Pools) nextSatisfiable(needs []float64, satisfied []bool, left, density float64) int {
+// nextSatisfiable returns the first class that needs no more than its part of the remaining slots, or noClass.
+func (p *Pools) nextSatisfiable(needs []float64, satisfied []bool, remaining, density float64) int {
 	for k := range p.classes {
-		part := left * p.classes[k].valueDensity() / density
+		part := remaining * p.classes[k].valueDensity() / density
 		if !satisfied[k] && needs[k] <= part {
 			return k
 		}
@@ -57,10 +56,10 @@
 	return noClass
 }
 
-func (p *Pools) divideRemaining(satisfied []bool, left, density float64) {
+func (p *Pools) divideRemaining(satisfied []bool, remaining, density float64) {
 	for k := range p.classes {
 		if c := &p.classes[k]; !satisfied[k] {
-			c.fairSlots, c.needsMore = left*c.valueDensity()/density, true
+			c.fairSlots, c.needsMore = remaining*c.valueDensity()/density, true
 		}
 	}
 }
--- a/internal/node/pools/limits.go
+++ b/internal/node/pools/limits.go
@@ -6,26 +6,25 @@
 )
 
 const (
-	// A cut is larger than a growth, so that two classes that press each other come to rest under what both want and
-	// not over it. Growth by a tenth has a class back at twice its limit within four seconds.
+	// A limit is cut to cutFactor of itself, and grows by growthFactor of itself. A cut is larger than a growth, so that
+	// two classes that both exceed their fair slots converge below them.
 	cutFactor    = 0.85
 	growthFactor = 0.1
-	// starvedMissFraction is the part of a class's recent requests that were shed or late from which it suffers: one in
-	// twenty, the rate that the reserve is to keep the cheapest class under.
+	// starvedMissFraction is the fraction of a class's recent arrivals that were shed or late from which it may be
+	// starved.
 	starvedMissFraction = 0.05
-	// starvedShortfall is how far a class has to be under its fair slots for that: one that has them suffers by its
-	// own excess.
+	// starvedShortfall is how far below its fair slots a class has to be to be starved, as a fraction of them: one that
+	// uses them misses arrivals by its own excess.
 	starvedShortfall = 0.1
-	// minArrivals is the recent requests of a class from which it can suffer: of fewer, one shed is no sign.
+	// minArrivals is the number of recent arrivals below which a class is never starved.
 	minArrivals = 4
-	// minExcess is the slots over its fair ones from which a class is cut: by the mean of four seconds, since what
-	// runs at a moment swings by several.
+	// minExcess is the mean number of slots over its fair slots from which a class's limit may be cut.
 	minExcess = 0.5
-	// maxChanges bounds what is kept for the log between two ticks.
+	// maxChanges is the maximum number of log lines kept between two calls of TakeChanges.
 	maxChanges = 16
 )
 
-// Reasons of a limit, as operators read them.
+// Reasons for a limit, in logs.
 const (
 	reasonUnlimited   = "room"
 	reasonFixed       = "fixed"
@@ -36,71 +35,70 @@
 // noClass is the index of no class.
 const noClass = -1
 
-// adjustLimits decides the limit of each class: the one that is furthest over its fair slots is cut while another
-// suffers that has less than its own; else limits grow. A class that needs no more than its fair slots is never
-// limited. It harms the class that is cut: its requests wait while younger ones of others start.
+// adjustLimits updates the limit of each class. While a class is starved, the class that exceeds its fair slots most is
+// cut; otherwise limits grow until they are removed.
 func (p *Pools) adjustLimits(now Time) {
-	suffering, excessive := p.findStarvation(now)
+	starved, exceeding := p.findStarvation(now)
 	for k := range p.classes {
-		limit, why := p.nextLimit(k, suffering, excessive)
-		p.setLimit(&p.classes[k], limit, why)
+		limit, reason := p.nextLimit(k, starved, exceeding)
+		p.setLimit(&p.classes[k], limit, reason)
 	}
 }
 
-// findStarvation gives the class that suffers most while it has less than its fair slots, and the one that is furthest
-// over its own; noClass for none.
-func (p *Pools) findStarvation(now Time) (suffering, excessive int) {
-	suffering, excessive = noClass, noClass
-	least, most := math.Inf(1), minExcess
+// findStarvation returns the starved class that is furthest below its fair slots, and the class that exceeds its own
+// most and may be cut; noClass for none.
+func (p *Pools) findStarvation(now Time) (starved, exceeding int) {
+	starved, exceeding = noClass, noClass
+	lowestExcess, highestExcess := math.Inf(1), minExcess
 	for k := range p.classes {
 		c := &p.classes[k]
 		arrivals, missed := c.arrivals.total(now), c.missed.total(now)
 		c.usedSlots = c.workDone.rate(now) / float64(Second)
 		excess := c.usedSlots - max(c.fairSlots, c.minSlots(p.slots))
-		suffers := arrivals >= minArrivals && missed > starvedMissFraction*arrivals
-		if suffers && excess < min(least, -starvedShortfall*c.fairSlots) {
-			suffering, least = k, excess
+		misses := arrivals >= minArrivals && missed > starvedMissFraction*arrivals
+		if misses && excess < min(lowestExcess, -starvedShortfall*c.fairSlots) {
+			starved, lowestExcess = k, excess
 		}
-		if !c.FixedLimit && c.needsMore && excess > most {
-			excessive, most = k, excess
+		if !c.FixedLimit && c.needsMore && excess > highestExcess {
+			exceeding, highestExcess = k, excess
 		}
 	}
-	if suffering == excessive {
-		excessive = noClass
+	if starved == exceeding {
+		exceeding = noClass
 	}
-	return suffering, excessive
+	return starved, exceeding
 }
 
-// nextLimit decides the limit of one class. Growth ends at the fair slots while another suffers and all want more
-// than there is: to grow past them and be cut again would have the others suffer each time.
-func (p *Pools) nextLimit(class, suffering, excessive int) (limit float64, why string) {
+// nextLimit decides the limit of one class. While another class is starved, the limit of a class that needs more than
+// its fair slots doesn't grow beyond them: otherwise the other would be starved again until the next cut.
+func (p *Pools) nextLimit(class, starved, exceeding int) (limit float64, reason string) {
 	c := &p.classes[class]
-	most := min(float64(p.slots), c.maxSlots(p.slots))
-	pressed := suffering != noClass
+	maxLimit := min(float64(p.slots), c.maxSlots(p.slots))
+	anyStarved := starved != noClass
 	switch {
 	case c.FixedLimit:
-		return most, reasonFixed
-	case pressed && class == excessive:
+		return maxLimit, reasonFixed
+	case anyStarved && class == exceeding:
 		cut := min(c.limit, c.usedSlots) * cutFactor
-		return max(c.minSlots(p.slots), cut, c.fairSlots), "cut: " + p.classes[suffering].Name + " suffers"
+		return max(c.minSlots(p.slots), cut, c.fairSlots), "cut: " + p.classes[starved].Name + " suffers"
 	case !c.limited():
 		return c.limit, c.reason
-	case c.limit >= most:
+	case c.limit >= maxLimit:
 		return math.Inf(1), reasonUnlimited
-	case c.needsMore && c.limit >= c.fairSlots && pressed && class != suffering:
+	case c.needsMore && c.limit >= c.fairSlots && anyStarved && class != starved:
 		return c.limit, reasonAtFairSlots
-	case !pressed || !c.needsMore || class == suffering:
+	case !anyStarved || !c.needsMore || class == starved:
 		return c.limit + max(1, growthFactor*c.limit), reasonGrowing
 	}
 	return c.limit, c.reason
 }
 
-// setLimit moves a limit; a change by a whole slot, for another reason than the last, is told.
-func (p *Pools) setLimit(c *classState, limit float64, why string) {
-	if math.Floor(limit) != math.Floor(c.limit) && why != c.reason {
-		p.logChange(fmt.Sprintf("pool %s: limit %.0f of %d, was %.0f: %s", c.Name, limit, p.slots, c.limit, why))
+// setLimit sets a limit. A change by a whole slot for another reason than the last one is logged.
+func (p *Pools) setLimit(c *classState, limit float64, reason string) {
+	if math.Floor(limit) != math.Floor(c.limit) && reason != c.reason {
+		p.logChange(fmt.Sprintf("pool %s: limit %.0f of %d, was %.0f: %s", c.Name, limit, p.slots, c.limit, reason))
 	}
-	c.limit, c.reason = limit, why
+	c.limit, c.reason = limit, reason
 }
 
 func (p *Pools) logChange(line string) {
--- a/internal/node/pools/pools.go
+++ b/internal/node/pools/pools.go
@@ -8,44 +8,44 @@
 // Second is one second of Time.
 const Second = admission.Second
 
-// Plan is what the pools are made for.
+// Plan is the configuration of pools.
 type Plan struct {
-	Disabled bool // all classes have room
+	Disabled bool // every request may start
 	Classes  []Class
-	Reserve  bool // the class with the least work takes a slot first while it waits
+	Reserve  bool // the class with the lowest median work has reserved slots
 	Tenants  int
 }
 
-// Pools decide for one server. They implement admission.Pools.
+// Pools is the state of one server's pools. It implements admission.Pools.
 type Pools struct {
 	config     Plan
 	classes    []classState
-	queued     map[uint32]owner // by request
-	runs       map[uint32]*run  // by request
+	queued     map[uint32]owner // by request ID
+	runs       map[uint32]*run  // by request ID
 	freeRuns   []*run
 	runOrder   []uint32 // requests in the order of their starts: the map is never ranged over
 	slots      int      // runs that the concurrency limit admits
 	heavy      heavySlots
 	reserve    reserve
-	adjustedAt Time     // when limits were looked at last
-	changes    []string // for the log
+	adjustedAt Time     // when limits were last adjusted
+	changes    []string // lines for the log
 }
 
 var _ admission.Pools = (*Pools)(nil)
 
-// owner says whose a request is.
+// owner is a request's class, tenant and bucket of callers.
 type owner struct{ class, tenant, caller int }
 
-// run is one run slot in use.
+// run is a run in progress.
 type run struct {
 	owner
-	resumedAt Time // when it started, or went on after a call
-	work      Time // before that, less its calls
+	resumedAt Time // when it started or its last call ended
+	work      Time // done before resumedAt, without calls
 	atCall    bool
-	heavy     bool // it counts as one of the heavy slots
+	heavy     bool // it occupies a heavy slot
 }
 
-// workSoFar is the time of a run less its calls.
+// workSoFar is the elapsed time of a run without its calls.
 func (r *run) workSoFar(now Time) Time {
 	if r.atCall {
 		return r.work
@@ -53,38 +53,38 @@
 	return r.work + now - r.resumedAt
 }
 
-// New readies pools.
-func New(plan Plan) *Pools {
-	tenants := max(1, plan.Tenants)
+// New returns pools without requests.
+func New(config Plan) *Pools {
+	tenants := max(1, config.Tenants)
 	p := &Pools{
-		config:  plan,
+		config:  config,
 		queued:  map[uint32]owner{},
 		runs:    map[uint32]*run{},
 		slots:   1,
 		heavy:   heavySlots{byTenant: make([]int, tenants)},
 		reserve: noReserve,
 	}
-	for _, c := range plan.Classes {
+	for _, c := range config.Classes {
 		p.classes = append(p.classes, newClassState(c, tenants))
 	}
 	return p
 }
 
-// Reconfigure takes what the operator now says: limits change, and what runs goes on. Classes have to be the same in
-// number and order; the number of tenants stays.
-func (p *Pools) Reconfigure(plan Plan) {
-	plan.Tenants = p.config.Tenants
-	p.config = plan
-	for k := range plan.Classes {
-		p.classes[k].reconfigure(plan.Classes[k])
+// Reconfigure applies a new configuration; runs in progress are not affected. Classes must be the same in number and
+// order. The number of tenants can't change.
+func (p *Pools) Reconfigure(config Plan) {
+	config.Tenants = p.config.Tenants
+	p.config = config
+	for k := range config.Classes {
+		p.classes[k].reconfigure(config.Classes[k])
 	}
-	if !plan.Reserve {
+	if !config.Reserve {
 		p.reserve = noReserve
 	}
 	p.adjustedAt = 0
 }
 
-// Enqueued takes a request that joins the admission queue.
+// Enqueued reports a request that joined the admission queue.
 func (p *Pools) Enqueued(now Time, q *admission.Request) {
 	o := owner{class: q.Handler, caller: callerBucket(q.Caller)}
 	c := &p.classes[o.class]
@@ -98,7 +98,8 @@
 	c.arrivals.add(now, 1)
 }
 
-// Dequeued takes a request that leaves the queue without a run: shed, gone, or answered by another's result.
+// Dequeued reports a request that left the queue without a run: it was shed, its caller disconnected, or it is answered
+// by the result of another request.
 func (p *Pools) Dequeued(now Time, id uint32, shed bool) {
 	c := p.unqueue(id)
 	if c != nil && shed {
@@ -107,7 +108,7 @@
 	}
 }
 
-// unqueue takes a request out of what is queued and gives its class; nil if it isn't queued.
+// unqueue removes a queued request and returns its class; nil if it isn't queued.
 func (p *Pools) unqueue(id uint32) *classState {
 	o, ok := p.queued[id]
 	if !ok {
@@ -121,7 +122,7 @@
 	return c
 }
 
-// Rejected takes a request of a class that was shed before it joined the queue.
+// Rejected reports a request of a class that was shed before it joined the queue.
 func (p *Pools) Rejected(now Time, class int) {
 	c := &p.classes[class]
 	c.arrivals.add(now, 1)
@@ -129,7 +130,7 @@
 	c.shed++
 }
 
-// Started takes a queued request that got a slot after a wait.
+// Started reports that a queued request got a run slot; waited is its queue delay.
 func (p *Pools) Started(now Time, id uint32, waited Time) {
 	o := p.queued[id]
 	c := p.unqueue(id)
@@ -158,7 +159,7 @@
 	return new(run)
 }
 
-// SetAtCall takes a run that stands at a call, or goes on after one: its time there is no work.
+// SetAtCall reports that a run awaits a call, or resumed after one. Time at a call doesn't count as work.
 func (p *Pools) SetAtCall(now Time, id uint32, atCall bool) {
 	r := p.runs[id]
 	if r == nil || r.atCall == atCall {
@@ -170,8 +171,8 @@
 	r.resumedAt, r.atCall = now, atCall
 }
 
-// Ended takes a run's end: its slot is free. done tells whether it came to a result, inTime whether within the latency
-// objective.
+// Ended reports the end of a run, which frees its slot: done if it had a result, inTime if it met the latency objective.
+// Runs without a result, stopped or hung, don't count in their class's cost.
 func (p *Pools) Ended(now Time, id uint32, done, inTime bool) {
 	r := p.runs[id]
 	if r == nil {
@@ -179,7 +180,7 @@
 	}
 	c := &p.classes[r.class]
 	work := float64(r.workSoFar(now))
-	if done { // a run that was stopped or hung tells nothing of what its class costs
+	if done {
 		c.cost.history.add(now, work)
 	}
 	if !inTime {
@@ -208,12 +209,10 @@
 	p.freeRuns = append(p.freeRuns, r)
 }
 
-// adjustInterval: limits are looked at twice a second. A few dozen runs end between two looks at a server's rate; a
-// longer one leaves a class to suffer for that long.
+// adjustInterval is the time between two adjustments of limits.
 const adjustInterval = Second / 2
 
-// Tick looks at the time that has gone by: heavy runs are set apart at each, limits move twice a second. slots is how
-// many runs the concurrency limit admits.
+// Tick marks heavy runs, and adjusts limits and reserve every adjustInterval. slots is the concurrency limit, in runs.
 func (p *Pools) Tick(now Time, slots int) {
 	p.slots = max(1, slots)
 	p.markHeavyRuns(now)
--- a/internal/node/pools/recentsum.go
+++ b/internal/node/pools/recentsum.go
@@ -1,41 +1,40 @@
 package pools
 
-// History is kept in eight steps of half a second: four seconds hold dozens of runs of a common class, and a change of
-// cost has moved the median once half of them are new.
+// Recent history is 4 s, in steps of half a second.
 const (
 	historySteps = 8
 	historyStep  = Second / 2
 )
 
-// recentSum sums over recent history.
+// recentSum is a sum over recent history: a ring of one sum per step.
 type recentSum struct {
-	step    int64
+	step    int64 // number of the newest step, counted from time 0
 	buckets [historySteps]float64
 	sum     float64
 }
 
-func (c *recentSum) add(now Time, v float64) {
-	c.total(now)
-	c.buckets[c.step%historySteps] += v
-	c.sum += v
+func (s *recentSum) add(now Time, v float64) {
+	s.total(now)
+	s.buckets[s.step%historySteps] += v
+	s.sum += v
 }
 
-// total drops what has become old and gives the sum.
-func (c *recentSum) total(now Time) float64 {
-	slot := int64(now / historyStep)
-	if c.step == 0 || slot-c.step >= historySteps {
-		*c = recentSum{step: slot}
+// total drops expired steps and returns the sum.
+func (s *recentSum) total(now Time) float64 {
+	step := int64(now / historyStep)
+	if s.step == 0 || step-s.step >= historySteps {
+		*s = recentSum{step: step}
 	}
-	for c.step < slot {
-		c.step++
-		c.sum -= c.buckets[c.step%historySteps]
-		c.buckets[c.step%historySteps] = 0
+	for s.step < step {
+		s.step++
+		s.sum -= s.buckets[s.step%historySteps]
+		s.buckets[s.step%historySteps] = 0
 	}
-	return c.sum
+	return s.sum
 }
 
-// rate is the sum a second, over the steps that are complete and what the newest one has so far.
-func (c *recentSum) rate(now Time) float64 {
+// rate is the sum per second, over the complete steps and the elapsed part of the newest one.
+func (s *recentSum) rate(now Time) float64 {
 	span := (historySteps-1)*historyStep + now%historyStep
-	return c.total(now) * float64(Second) / float64(span)
+	return s.total(now) * float64(Second) / float64(span)
 }
--- a/internal/node/pools/reserve.go
+++ b/internal/node/pools/reserve.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// maxReserveFraction is the most of the slots that the reserve may have, so that a surge of the cheapest class can't
-	// take what is worth more.
+	// maxReserveFraction is the maximum reserve as a fraction of the run slots, so that a surge of the cheapest class
+	// doesn't displace more valuable ones.
 	maxReserveFraction = 0.25
-	// reserveBurstFactor is the reserve over the mean need of the class, since arrivals come in bursts.
+	// reserveBurstFactor multiplies the slots that the class would use at its p95 work, as headroom for bursts.
 	reserveBurstFactor = 2
-	// A class gets the reserve with less than this part of the work of the next one, and loses it over the other:
-	// measured work differs by a few per cent from look to look. Among classes alike there is none.
+	// A class gets the reserve if its median work is at most reserveGainRatio of the next class's, and loses it above
+	// reserveLossRatio: measured medians vary, and the reserve must not move back and forth between similar classes.
 	reserveGainRatio = 0.7
 	reserveLossRatio = 0.85
-	// timePerMillisecond is the Time in a millisecond, for the log.
+	// timePerMillisecond is the number of units of Time in a millisecond.
 	timePerMillisecond = float64(Second / 1000)
 )
 
-// reserve is the slots that one class takes first while it waits.
+// reserve is the number of slots up to which one class starts before all others while it waits.
 type reserve struct {
 	class int // noClass for none
 	slots int
@@ -27,19 +27,18 @@
 
 var noReserve = reserve{class: noClass}
 
-// chooseReserve decides which class has the reserve, and how large it is: the one with clearly the least usual work
-// gets twice the slots of its mean need. Nothing idles for it; it harms the first cheap request after a pause, which
-// waits for a run's end, and the others, by the reserve at most.
+// chooseReserve gives the reserve to the class whose median work is clearly the lowest, and sizes it by the class's
+// arrival rate and p95 work. Reserved slots don't idle: others use them while no request of the class is queued.
 func (p *Pools) chooseReserve(now Time) {
 	if !p.config.Reserve {
 		return
 	}
-	cheapest, least, second := p.cheapest()
-	ratio := reserveGainRatio
+	cheapest, lowest, next := p.cheapest()
+	maxRatio := reserveGainRatio
 	if cheapest == p.reserve.class {
-		ratio = reserveLossRatio
+		maxRatio = reserveLossRatio
 	}
-	if cheapest == noClass || least > ratio*second {
+	if cheapest == noClass || lowest > maxRatio*next {
 		p.reserve = noReserve
 		return
 	}
@@ -51,17 +50,18 @@
 	p.reserve = reserve{cheapest, max(1, min(need, int(maxReserveFraction*float64(p.slots))))}
 }
 
-// cheapest gives the class with the least usual work, that work, and the next one's.
-func (p *Pools) cheapest() (class int, least, second float64) {
-	class, least, second = noClass, math.Inf(1), math.Inf(1)
+// cheapest returns the class with the lowest median work, that median, and the next lowest one; noClass and infinity
+// where no work is known.
+func (p *Pools) cheapest() (class int, lowest, next float64) {
+	class, lowest, next = noClass, math.Inf(1), math.Inf(1)
 	for k := range p.classes {
 		switch median := p.classes[k].cost.median; {
 		case median == 0:
-		case median < least:
-			class, least, second = k, median, least
+		case median < lowest:
+			class, lowest, next = k, median, lowest
 		default:
-			second = min(second, median)
+			next = min(next, median)
 		}
 	}
-	return class, least, second
+	return class, lowest, next
 }
--- a/internal/node/pools/sketch.go
+++ b/internal/node/pools/sketch.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// sketch is a distribution of work in buckets whose bounds grow by a fixed factor, so that a quantile read from it is
-// off by at most half of that: 5 %. Two are merged by adding. It takes 0.3 KB, whatever comes in.
+// sketch is a histogram of work in buckets whose bounds grow exponentially: quantiles have a relative error of at most
+// 5 %. Its size is fixed at 0.3 KB.
 type sketch struct {
 	count   uint32
 	buckets [sketchBuckets]uint16
@@ -11,13 +11,13 @@
 
 const (
 	bucketGrowth = 1.1
-	// sketchBuckets reach from a tenth of a millisecond to 165 s, past any client's timeout; what is longer counts as
-	// that.
+	// sketchBuckets cover work from a tenth of a millisecond to about 195 s; longer work is counted in the last one.
 	sketchBuckets = 152
-	// bucketMidpoint of a bucket, where its quantiles are read.
+	// bucketMidpoint is where in a bucket a quantile is read.
 	bucketMidpoint = 0.5
 )
 
+// bucketsPerLog is the number of buckets per unit of the natural logarithm of work.
 var bucketsPerLog = 1 / math.Log(bucketGrowth)
 
 func (s *sketch) add(work float64) {
@@ -42,14 +42,14 @@
 	}
 }
 
-// quantile gives the work that a share of all is at or under, 0 where nothing came.
-func (s *sketch) quantile(share float64) float64 {
+// quantile returns the work at quantile q, from 0 to 1; 0 if the sketch is empty.
+func (s *sketch) quantile(q float64) float64 {
 	if s.count == 0 {
 		return 0
 	}
-	left := int64(math.Ceil(share * float64(s.count)))
+	remaining := int64(math.Ceil(q * float64(s.count)))
 	for k, n := range s.buckets {
-		if left -= int64(n); left <= 0 && n > 0 {
+		if remaining -= int64(n); remaining <= 0 && n > 0 {
 			return math.Exp((float64(k) + bucketMidpoint) / bucketsPerLog)
 		}
 	}
