--- a/internal/node/pools/pin_stream_test.go
+++ b/internal/node/pools/pin_stream_test.go
@@ -11,7 +11,7 @@
 	"umberwinch/admission"
 )
 
-// Hashes over the decisions and the texts of pools on the recorded stream, made with the code as version 2a0a97e has it.
+// Hashes over the decisions and the texts of pools on the recorded stream, as of version 2a0a97e.
 // A change of recordedDecisions is a change of behaviour: the commit that makes it says why.
 const (
 	recordedJoined    = "caa51a6ccfb2b2c02ed4bec9bbcc8cc43cda91ae4ad0fea50a2027d0958fdaac"
--- a/internal/node/pools/pools.go
+++ b/internal/node/pools/pools.go
@@ -23,8 +23,8 @@
 	queued     map[uint32]owner // by request ID
 	runs       map[uint32]*run  // by request ID
 	freeRuns   []*run
-	runOrder   []uint32 // requests in the order of their starts: the map is never ranged over
-	slots      int      // runs that the concurrency limit admits
+	runOrder   []uint32 // keys of runs in start order, for deterministic iteration
+	slots      int      // the concurrency limit, in runs
 	heavy      heavySlots
 	reserve    reserve
 	adjustedAt Time     // when limits were last adjusted
@@ -99,7 +99,7 @@
 }
 
 // Dequeued reports a request that left the queue without a run: it was shed, its caller disconnected, or it is answered
-// by the result of another request.
+// with the result of another request.
 func (p *Pools) Dequeued(now Time, id uint32, shed bool) {
 	c := p.unqueue(id)
 	if c != nil && shed {
@@ -171,7 +171,7 @@
 	r.resumedAt, r.atCall = now, atCall
 }
 
-// Ended reports the end of a run, which frees its slot: done if it had a result, inTime if it met the latency objective.
+// Ended reports the end of a run, which frees its slot. done: it had a result; inTime: it met the latency objective.
 // Runs without a result, stopped or hung, don't count in their class's cost.
 func (p *Pools) Ended(now Time, id uint32, done, inTime bool) {
 	r := p.runs[id]
--- a/internal/node/pools/status.go
+++ b/internal/node/pools/status.go
@@ -8,8 +8,8 @@
 	Running          int     // in the class's own slots
 	Heavy            int     // in the heavy slots
 	Queued           int
-	Shed             uint64  // since the process started
-	StartedOverLimit int     // runs started over the limit since the process started
+	Shed             uint64  // since New
+	StartedOverLimit int     // runs started over the limit since New
 	MedianWork       float64 // of a run without its calls, in Time
 	P95Work          float64 // in Time
 	FairSlots        float64 // the class's fair share, in slots
