--- a/internal/node/pools/limits.go
+++ b/internal/node/pools/limits.go
@@ -26,10 +26,10 @@
 
 // Reasons for a limit, in logs.
 const (
-	reasonUnlimited   = "room"
+	reasonUnlimited   = "unlimited"
 	reasonFixed       = "fixed"
-	reasonGrowing     = "grows"
-	reasonAtFairSlots = "its due, while all want more than there is"
+	reasonGrowing     = "growing"
+	reasonAtFairSlots = "at its fair slots while demand exceeds capacity"
 )
 
 // noClass is the index of no class.
@@ -80,7 +80,7 @@
 		return maxLimit, reasonFixed
 	case anyStarved && class == exceeding:
 		cut := min(c.limit, c.usedSlots) * cutFactor
-		return max(c.minSlots(p.slots), cut, c.fairSlots), "cut: " + p.classes[starved].Name + " suffers"
+		return max(c.minSlots(p.slots), cut, c.fairSlots), "cut: " + p.classes[starved].Name + " is starved"
 	case !c.limited():
 		return c.limit, c.reason
 	case c.limit >= maxLimit:
