--- a/internal/node/pools/retry_order_test.go
+++ b/internal/node/pools/retry_order_test.go
@@ -6,38 +6,37 @@
 	"umberwinch/admission"
 )
 
-// keyedServer carries out what a controller decides and notes which requests ran.
-type keyedServer struct {
+// recordingServer records which requests a controller runs and which it answers with a reused result.
+type recordingServer struct {
 	ran    []uint32
 	reused []uint32
 }
 
-func (s *keyedServer) Run(id uint32)                             { s.ran = append(s.ran, id) }
-func (s *keyedServer) Stop(uint32)                               {}
-func (s *keyedServer) Shed(uint32, admission.Reason, bool, Time) {}
-func (s *keyedServer) Fail(uint32, admission.Reason)             {}
-func (s *keyedServer) Call(uint32, Time)                         {}
-func (s *keyedServer) SkipCall(uint32)                           {}
-func (s *keyedServer) Remember(uint32, Time)                     {}
-func (s *keyedServer) Forget(uint32)                             {}
-func (s *keyedServer) ReuseResult(id uint32)                     { s.reused = append(s.reused, id) }
-func (s *keyedServer) Health(bool)                               {}
-func (s *keyedServer) SignalOverload(float64)                    {}
-func (s *keyedServer) SetIdleTimeout(Time)                       {}
-func (s *keyedServer) WakeUp(Time)                               {}
-func (s *keyedServer) Log(string)                                {}
+func (s *recordingServer) Run(id uint32)                             { s.ran = append(s.ran, id) }
+func (s *recordingServer) Stop(uint32)                               {}
+func (s *recordingServer) Shed(uint32, admission.Reason, bool, Time) {}
+func (s *recordingServer) Fail(uint32, admission.Reason)             {}
+func (s *recordingServer) Call(uint32, Time)                         {}
+func (s *recordingServer) SkipCall(uint32)                           {}
+func (s *recordingServer) Remember(uint32, Time)                     {}
+func (s *recordingServer) Forget(uint32)                             {}
+func (s *recordingServer) ReuseResult(id uint32)                     { s.reused = append(s.reused, id) }
+func (s *recordingServer) Health(bool)                               {}
+func (s *recordingServer) SignalOverload(float64)                    {}
+func (s *recordingServer) SetIdleTimeout(Time)                       {}
+func (s *recordingServer) WakeUp(Time)                               {}
+func (s *recordingServer) Log(string)                                {}
 
-// A request with a key waits because its caller has its part of the class's slots; its retry comes through another
-// caller, which has room. If the retry were started ahead of the original, the key would run twice and a slot be
-// lost: the key must run once.
+// TestRetryThroughAnotherCaller guards against an idempotency key that runs twice: the original is queued, as its caller
+// holds its share of the class's slots, and its retry arrives through another caller.
 func TestRetryThroughAnotherCaller(t *testing.T) {
 	p := New(Plan{Classes: []Class{{Name: "save", MaxFraction: 1, FixedLimit: true}}, Tenants: 1})
 	d := &admission.Deployment{Start: Second, FleetSize: 1, Callers: 2, RoundInterval: 10, Cores: 2, MaxRunsPerCore: 5,
 		MemoryKB: 1e6, RunMemoryFactor: 1, TableEntryKB: 1, Pools: p,
 		Handlers: []admission.Handler{{LatencyObjective: 4 * Second, Timeout: 8 * Second, Value: 1,
 			RetrySafety: admission.IdempotencyKeyed, IdempotencyWindow: 10 * Second}}}
-	c, s := admission.New(d), &keyedServer{}
-	// The limit is two slots, of which a caller may have one.
+	c, s := admission.New(d), &recordingServer{}
+	// The limit is two slots, of which a caller may hold one while others wait.
 	c.Decide(&admission.Round{Now: Second, TimerFired: true}, s)
 	at := func(by Time, r admission.Round) {
 		r.Now = Second + by
@@ -51,8 +50,8 @@
 	at(3, admission.Round{RunEnds: []admission.RunEnd{{ID: 1, Elapsed: 100}}})
 	at(4, admission.Round{RunEnds: []admission.RunEnd{{ID: 2, Elapsed: 100}}})
 	at(5, admission.Round{})
-	t.Logf("ran %v, took another's result %v", s.ran, s.reused)
+	t.Logf("ran %v, reused results for %v", s.ran, s.reused)
 	if len(s.ran) != 3 || s.ran[2] != 3 {
-		t.Errorf("ran %v: the key of 3 and 4 must run once, by the original", s.ran)
+		t.Errorf("ran %v, want three runs, the last of request 3: its key runs once, by the original", s.ran)
 	}
 }
