--- a/internal/node/pools/pools_test.go
+++ b/internal/node/pools/pools_test.go
@@ -181,26 +181,26 @@
 func TestCheapClassKeepsLatencyUnderOverload(t *testing.T) {
 	work := constantWork(20, 400)
 	for _, withPools := range []bool{true, false} {
-		b := newTestServer(t, 12, cheapAndCostly)
+		s := newTestServer(t, 12, cheapAndCostly)
 		if !withPools {
-			b.pools.config.Reserve = false
-			for k := range b.pools.classes {
-				b.pools.classes[k].FixedLimit = true
-				b.pools.classes[k].limit = math.Inf(1)
+			s.pools.config.Reserve = false
+			for k := range s.pools.classes {
+				s.pools.classes[k].FixedLimit = true
+				s.pools.classes[k].limit = math.Inf(1)
 			}
 		}
-		b.load(10, []float64{60, 36}, work)
-		b.load(30, []float64{60, 36}, work)
-		longestWait := slices.Max(b.waits[0])
-		if !withPools && b.inTimeFraction(0) > 0.85 {
+		s.load(10, []float64{60, 36}, work)
+		s.load(30, []float64{60, 36}, work)
+		longestWait := slices.Max(s.waits[0])
+		if !withPools && s.inTimeFraction(0) > 0.85 {
 			t.Errorf("view without pools: %.3f in time, want at most 0.85, else the load shows nothing",
-				b.inTimeFraction(0))
+				s.inTimeFraction(0))
 		}
-		if withPools && (b.inTimeFraction(0) < 0.95 || longestWait > 450*10) {
+		if withPools && (s.inTimeFraction(0) < 0.95 || longestWait > 450*10) {
 			t.Errorf("view: %.3f in time, longest wait %d ms, want at least 0.95 and at most 450 ms",
-				b.inTimeFraction(0), longestWait/10)
+				s.inTimeFraction(0), longestWait/10)
 		}
-		if rate := float64(b.done[1]) / 30; withPools && rate < 22 {
+		if rate := float64(s.done[1]) / 30; withPools && rate < 22 {
 			t.Errorf("load: %.1f runs per second, want at least 22 of the possible 27", rate)
 		}
 	}
@@ -209,32 +209,32 @@
 // TestCostlyClassIsCutForStarvedClass guards against a costly class that keeps more than its fair slots, without a
 // reserve, while another is starved, and against a limit that outlasts the overload.
 func TestCostlyClassIsCutForStarvedClass(t *testing.T) {
-	b := newTestServer(t, 12, Plan{Classes: []Class{{Name: "medium"}, {Name: "costly"}}, Tenants: 1})
+	s := newTestServer(t, 12, Plan{Classes: []Class{{Name: "medium"}, {Name: "costly"}}, Tenants: 1})
 	work := constantWork(100, 400)
-	b.load(10, []float64{40, 36}, work)
-	b.load(30, []float64{40, 36}, work)
-	if b.inTimeFraction(0) < 0.93 || b.pools.classes[1].limit > 9 {
-		t.Errorf("medium: %.3f in time, costly limited to %.1f, want at least 0.93 and at most 9", b.inTimeFraction(0),
-			b.pools.classes[1].limit)
+	s.load(10, []float64{40, 36}, work)
+	s.load(30, []float64{40, 36}, work)
+	if s.inTimeFraction(0) < 0.93 || s.pools.classes[1].limit > 9 {
+		t.Errorf("medium: %.3f in time, costly limited to %.1f, want at least 0.93 and at most 9", s.inTimeFraction(0),
+			s.pools.classes[1].limit)
 	}
-	if v := b.pools.Status()[1]; v.Reason != "cut: medium is starved" && v.Reason != reasonAtFairSlots {
+	if v := s.pools.Status()[1]; v.Reason != "cut: medium is starved" && v.Reason != reasonAtFairSlots {
 		t.Errorf("reason = %q, want a cut or the fair slots", v.Reason)
 	}
-	b.load(20, []float64{40, 10}, work) // the overload ends
-	if !math.IsInf(b.pools.classes[1].limit, 1) || b.pools.QueueDelay(1) != 0 {
+	s.load(20, []float64{40, 10}, work) // the overload ends
+	if !math.IsInf(s.pools.classes[1].limit, 1) || s.pools.QueueDelay(1) != 0 {
 		t.Errorf("after the overload: costly has limit %.1f and queue delay %d, want no limit and 0",
-			b.pools.classes[1].limit, b.pools.QueueDelay(1))
+			s.pools.classes[1].limit, s.pools.QueueDelay(1))
 	}
 }
 
 // TestNoLimitsUnderCapacity guards against limits, and starts out of arrival order, while there is capacity for all.
 func TestNoLimitsUnderCapacity(t *testing.T) {
-	b := newTestServer(t, 12, Plan{Classes: []Class{{Name: "a"}, {Name: "b"}, {Name: "c"}}, Tenants: 1})
-	b.load(20, []float64{40, 10, 5}, constantWork(20, 200, 400))
-	for k := range b.pools.classes {
-		if !math.IsInf(b.pools.classes[k].limit, 1) || b.pools.classes[k].startedOverLimit > 0 || b.shed[k] > 0 {
-			t.Errorf("class %d: %+v with %d shed, want no limit, no start over it and none shed", k, b.pools.Status()[k],
-				b.shed[k])
+	s := newTestServer(t, 12, Plan{Classes: []Class{{Name: "a"}, {Name: "b"}, {Name: "c"}}, Tenants: 1})
+	s.load(20, []float64{40, 10, 5}, constantWork(20, 200, 400))
+	for k := range s.pools.classes {
+		if !math.IsInf(s.pools.classes[k].limit, 1) || s.pools.classes[k].startedOverLimit > 0 || s.shed[k] > 0 {
+			t.Errorf("class %d: %+v with %d shed, want no limit, no start over it and none shed", k, s.pools.Status()[k],
+				s.shed[k])
 		}
 	}
 }
@@ -250,20 +250,20 @@
 		}
 		return []Time{20, 100}[class] * 10
 	}
-	b := newTestServer(t, 12, Plan{Classes: []Class{{Name: "view"}, {Name: "save", MaxFraction: 0.5, FixedLimit: true}},
+	s := newTestServer(t, 12, Plan{Classes: []Class{{Name: "view"}, {Name: "save", MaxFraction: 0.5, FixedLimit: true}},
 		Tenants: 1})
-	b.load(6, []float64{40, 30}, work)
+	s.load(6, []float64{40, 30}, work)
 	someHeavy = true
 	heavy := 0
 	for i := 0; i < 20; i++ {
-		b.load(1, []float64{40, 30}, work)
-		heavy = max(heavy, b.pools.heavy.running)
+		s.load(1, []float64{40, 30}, work)
+		heavy = max(heavy, s.pools.heavy.running)
 	}
 	if heavy == 0 || heavy > max(1, fractionOf(heavyFraction, 12)) {
 		t.Errorf("%d heavy runs at once, want 1 to %d", heavy, fractionOf(heavyFraction, 12))
 	}
-	if s := b.pools.classes[1]; s.cost.median > 130*10 {
-		t.Errorf("median work of save = %.0f ms, want at most 130", s.cost.median/10)
+	if c := s.pools.classes[1]; c.cost.median > 130*10 {
+		t.Errorf("median work of save = %.0f ms, want at most 130", c.cost.median/10)
 	}
 }
 
@@ -301,42 +301,42 @@
 func TestCostChangeOfWholeClass(t *testing.T) {
 	factor := Time(1)
 	work := func(class int) Time { return []Time{20, 40 * factor}[class] * 10 }
-	b := newTestServer(t, 12, cheapAndCostly)
-	b.load(8, []float64{40, 20}, work)
+	s := newTestServer(t, 12, cheapAndCostly)
+	s.load(8, []float64{40, 20}, work)
 	factor = 10
-	b.load(6, []float64{40, 20}, work)
-	if s := b.pools.classes[1]; s.cost.median < 350*10 {
-		t.Fatalf("median work of load = %.0f ms six seconds after it became 400, want at least 350", s.cost.median/10)
+	s.load(6, []float64{40, 20}, work)
+	if c := s.pools.classes[1]; c.cost.median < 350*10 {
+		t.Fatalf("median work of load = %.0f ms six seconds after it became 400, want at least 350", c.cost.median/10)
 	}
-	b.load(5, []float64{40, 20}, work)
-	if b.pools.heavy.running > 0 {
-		t.Fatalf("%d heavy runs, want none", b.pools.heavy.running)
+	s.load(5, []float64{40, 20}, work)
+	if s.pools.heavy.running > 0 {
+		t.Fatalf("%d heavy runs, want none", s.pools.heavy.running)
 	}
 }
 
 // TestReserveIsBounded guards against a surge of the cheapest class that displaces a more valuable one.
 func TestReserveIsBounded(t *testing.T) {
-	b := newTestServer(t, 12, Plan{Classes: []Class{{Name: "view"}, {Name: "submit", Value: 40}}, Reserve: true,
+	s := newTestServer(t, 12, Plan{Classes: []Class{{Name: "view"}, {Name: "submit", Value: 40}}, Reserve: true,
 		Tenants: 1})
 	work := constantWork(20, 200)
-	b.load(6, []float64{60, 25}, work)
-	b.load(20, []float64{1200, 25}, work)
-	if b.inTimeFraction(1) < 0.9 {
-		t.Errorf("submit: %.2f in time while view surges, want at least 0.9", b.inTimeFraction(1))
+	s.load(6, []float64{60, 25}, work)
+	s.load(20, []float64{1200, 25}, work)
+	if s.inTimeFraction(1) < 0.9 {
+		t.Errorf("submit: %.2f in time while view surges, want at least 0.9", s.inTimeFraction(1))
 	}
-	if bound := fractionOf(maxReserveFraction, 12); b.pools.reserve.slots > bound {
-		t.Errorf("reserve = %d slots, want at most %d", b.pools.reserve.slots, bound)
+	if bound := fractionOf(maxReserveFraction, 12); s.pools.reserve.slots > bound {
+		t.Errorf("reserve = %d slots, want at most %d", s.pools.reserve.slots, bound)
 	}
 }
 
 // TestReserveIsStableForSimilarClasses guards against a reserve that moves back and forth between classes of similar
 // work.
 func TestReserveIsStableForSimilarClasses(t *testing.T) {
-	b := newTestServer(t, 12, Plan{Classes: []Class{{Name: "a"}, {Name: "b"}}, Reserve: true, Tenants: 1})
+	s := newTestServer(t, 12, Plan{Classes: []Class{{Name: "a"}, {Name: "b"}}, Reserve: true, Tenants: 1})
 	changes := 0
 	for i := 0; i < 30; i++ {
-		b.load(1, []float64{30, 30}, func(class int) Time { return Time(400 + 80*((i+class)%2)) })
-		for _, line := range b.pools.TakeChanges() {
+		s.load(1, []float64{30, 30}, func(class int) Time { return Time(400 + 80*((i+class)%2)) })
+		for _, line := range s.pools.TakeChanges() {
 			if strings.HasPrefix(line, "reserve:") {
 				changes++
 			}
@@ -350,15 +350,15 @@
 // TestLimitsAreStableUnderOscillatingLoad guards against limits that change direction at each adjustment while the load
 // exceeds capacity every few seconds.
 func TestLimitsAreStableUnderOscillatingLoad(t *testing.T) {
-	b := newTestServer(t, 12, cheapAndCostly)
+	s := newTestServer(t, 12, cheapAndCostly)
 	turns, previous, rising := 0, 0.0, false
 	for i := 0; i < 240; i++ {
 		rate := []float64{60, 18}
 		if i/12%2 == 0 {
 			rate = []float64{60, 40}
 		}
-		b.load(0.5, rate, constantWork(20, 400))
-		limit := min(b.pools.classes[1].limit, 12)
+		s.load(0.5, rate, constantWork(20, 400))
+		limit := min(s.pools.classes[1].limit, 12)
 		if limit != previous && previous > 0 {
 			if rises := limit > previous; rises != rising {
 				turns++
@@ -376,47 +376,47 @@
 // limited class.
 func TestOneOwnerDoesNotFillLimitedClass(t *testing.T) {
 	for _, by := range []string{"tenant", "caller"} {
-		b := newTestServer(t, 8, Plan{Classes: []Class{{Name: "a", MaxFraction: 0.5, FixedLimit: true}}, Tenants: 2})
-		b.pools.Tick(Second, 8)
-		b.now = Second
+		s := newTestServer(t, 8, Plan{Classes: []Class{{Name: "a", MaxFraction: 0.5, FixedLimit: true}}, Tenants: 2})
+		s.pools.Tick(Second, 8)
+		s.now = Second
 		for i := 0; i < 20; i++ {
 			if by == "tenant" {
-				b.arrive(0, 0)
+				s.arrive(0, 0)
 			} else {
-				b.arriveFrom(0, 0, 7)
+				s.arriveFrom(0, 0, 7)
 			}
 		}
 		if by == "tenant" {
-			b.arrive(0, 1)
+			s.arrive(0, 1)
 		} else {
-			b.arriveFrom(0, 0, 8)
+			s.arriveFrom(0, 0, 8)
 		}
-		b.step(1, constantWork(1000))
+		s.step(1, constantWork(1000))
 		// Half of the slots for the surge, then the other owner's request, then the rest.
-		if want := []uint32{1, 2, 21, 3}; !slices.Equal(b.runOrder, want) {
-			t.Errorf("%s: started requests %v, want %v", by, b.runOrder, want)
+		if want := []uint32{1, 2, 21, 3}; !slices.Equal(s.runOrder, want) {
+			t.Errorf("%s: started requests %v, want %v", by, s.runOrder, want)
 		}
 	}
 }
 
 // TestHungRunsDoNotChangeCost guards against hung runs that count in the measured work of their class.
 func TestHungRunsDoNotChangeCost(t *testing.T) {
-	b := newTestServer(t, 12, cheapAndCostly)
-	b.load(6, []float64{40, 10}, constantWork(20, 200))
-	before := b.pools.classes[1].cost.median
+	s := newTestServer(t, 12, cheapAndCostly)
+	s.load(6, []float64{40, 10}, constantWork(20, 200))
+	before := s.pools.classes[1].cost.median
 	for id := uint32(1 << 20); id < 1<<20+2*minSamples; id++ {
-		b.pools.Enqueued(b.now, &admission.Request{ID: id, Handler: 1})
-		b.pools.Started(b.now, id, 0)
+		s.pools.Enqueued(s.now, &admission.Request{ID: id, Handler: 1})
+		s.pools.Started(s.now, id, 0)
 	}
 	for i := 0; i < 40; i++ {
-		b.now += adjustInterval
-		b.pools.Tick(b.now, 12)
+		s.now += adjustInterval
+		s.pools.Tick(s.now, 12)
 	}
 	for id := uint32(1 << 20); id < 1<<20+2*minSamples; id++ {
-		b.pools.Ended(b.now, id, false, false)
+		s.pools.Ended(s.now, id, false, false)
 	}
-	b.pools.Tick(b.now+adjustInterval, 12)
-	if got := b.pools.classes[1].cost.median; got != before {
+	s.pools.Tick(s.now+adjustInterval, 12)
+	if got := s.pools.classes[1].cost.median; got != before {
 		t.Errorf("median work after hung runs = %.0f, want %.0f", got, before)
 	}
 }
--- a/internal/node/pools/retry_order_test.go
+++ b/internal/node/pools/retry_order_test.go
@@ -27,8 +27,8 @@
 func (s *recordingServer) WakeUp(Time)                               {}
 func (s *recordingServer) Log(string)                                {}
 
-// TestRetryThroughAnotherCaller guards against an idempotency key that runs twice: the original is queued, as its caller
-// holds its share of the class's slots, and its retry arrives through another caller.
+// TestRetryThroughAnotherCaller guards against an idempotency key that runs twice: the original is queued, as its
+// caller holds its share of the class's slots, and its retry arrives through another caller.
 func TestRetryThroughAnotherCaller(t *testing.T) {
 	p := New(Plan{Classes: []Class{{Name: "save", MaxFraction: 1, FixedLimit: true}}, Tenants: 1})
 	d := &admission.Deployment{Start: Second, FleetSize: 1, Callers: 2, RoundInterval: 10, Cores: 2, MaxRunsPerCore: 5,
