--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -4,28 +4,28 @@
 	"testing"
 )
 
-// Callers that are told one moment come back together and are rejected together. What they are told is spread, over
-// one to two seconds or over when the share will have grown, and never past what the settings allow.
-func TestTimesToComeBackAreSpread(t *testing.T) {
+// TestNextIsSpreadWithinWindow guards against callers that are rejected together and retry together: their times have to
+// cover most of the window, and never exceed the longest allowed time.
+func TestNextIsSpreadWithinWindow(t *testing.T) {
 	for _, c := range []struct {
-		name                    string
-		most, after, least, max int64 // ms
+		name                            string
+		maxMS, earliestMS, fromMS, toMS int64
 	}{
-		{"settings allow none", 0, 0, 0, 0},
-		{"share does not grow", 30_000, 0, 1000, 2000},
-		{"share grows later", 30_000, 10_000, 10_000, 15_000},
-		{"share grows after what settings allow", 5000, 10_000, 3750, 5000},
-		{"settings allow a second", 1000, 0, 500, 1000},
+		{"no time is allowed", 0, 0, 0, 0},
+		{"earliest time is unknown", 30_000, 0, 1000, 2000},
+		{"earliest time is later", 30_000, 10_000, 10_000, 15_000},
+		{"earliest time exceeds the longest allowed", 5000, 10_000, 3750, 5000},
+		{"longest allowed time is one second", 1000, 0, 500, 1000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f, low, high := new(Spreader), int64(1)<<40, int64(0)
+			s, lowest, highest := new(Spreader), int64(1)<<40, int64(0)
 			for range 500 {
-				ms := f.Next(c.most, c.after)
-				low, high = min(low, ms), max(high, ms)
+				ms := s.Next(c.maxMS, c.earliestMS)
+				lowest, highest = min(lowest, ms), max(highest, ms)
 			}
-			if low < c.least || high > c.max || high-low < (c.max-c.least)*8/10 {
-				t.Errorf("within %d, after %d ms: %d to %d, expected %d to %d",
-					c.most, c.after, low, high, c.least, c.max)
+			if lowest < c.fromMS || highest > c.toMS || highest-lowest < (c.toMS-c.fromMS)*8/10 {
+				t.Errorf("Next(%d, %d) = %d to %d ms, want %d to %d and at least 8/10 of that covered",
+					c.maxMS, c.earliestMS, lowest, highest, c.fromMS, c.toMS)
 			}
 		})
 	}
