--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -15,9 +15,9 @@
 	spreadMultiplier = 2654435761
 )
 
-// Window returns the window in which a rejected caller may retry, in ms from now; 0, 0 if maxMS, the longest allowed
-// time, isn't positive. Retries before earliestMS are known to fail: the window begins there and is half as long again,
-// within maxMS. With earliestMS 0 it is from one to two seconds.
+// Window returns the window in which a rejected caller may retry, in ms from now; 0, 0 if none is allowed (maxMS <= 0).
+// Retries before earliestMS are known to fail: the window is from earliestMS to 1.5 times that, and at least one to two
+// seconds. maxMS bounds its end; it begins at three quarters of its end at the latest.
 func Window(maxMS, earliestMS int64) (from, to int64) {
 	if maxMS <= 0 {
 		return 0, 0
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// TestNextIsSpreadWithinWindow guards against callers that are rejected together and retry together: their times have to
-// cover most of the window, and never exceed the longest allowed time.
+// TestNextIsSpreadWithinWindow guards against callers that are rejected together and retry together: their times have
+// to cover most of the window, and never exceed the longest allowed time.
 func TestNextIsSpreadWithinWindow(t *testing.T) {
 	for _, c := range []struct {
 		name                            string
