--- a/internal/node/zonegate/admit_test.go
+++ b/internal/node/zonegate/admit_test.go
@@ -17,28 +17,28 @@
 		reason  Reason
 		final   bool
 	}{
-		{"all is taken", api.ZoneOrder{Share: api.FullShare}, Request{}, ReasonNone, false},
+		{"full share", api.ZoneOrder{Share: api.FullShare}, Request{}, ReasonNone, false},
 		{"seen before", api.ZoneOrder{Share: 0}, Request{SeenBefore: true}, ReasonNone, false},
-		{"beyond the share", api.ZoneOrder{Share: 16}, Request{Hash: 16 << 16}, ReasonShare, false},
-		{"the same, no capacity, a first attempt", api.ZoneOrder{NoCapacityElsewhere: true}, Request{}, ReasonShare,
-			false},
-		{"the same, a retry", api.ZoneOrder{NoCapacityElsewhere: true}, Request{IsRetry: true}, ReasonShare, true},
+		{"outside the share", api.ZoneOrder{Share: 16}, Request{Hash: 16 << 16}, ReasonShare, false},
+		{"outside the share, no capacity elsewhere, first attempt", api.ZoneOrder{NoCapacityElsewhere: true}, Request{},
+			ReasonShare, false},
+		{"outside the share, no capacity elsewhere, retry", api.ZoneOrder{NoCapacityElsewhere: true}, Request{IsRetry: true},
+			ReasonShare, true},
 		{"above the cutoff", api.ZoneOrder{Share: api.FullShare, PriorityCutoff: 2}, Request{Weight: 3}, ReasonShare,
 			false},
 		{"no token", api.ZoneOrder{Share: api.FullShare, RateLimited: true}, Request{}, ReasonRateLimit, false},
-		{"no retry is paid for", api.ZoneOrder{Share: api.FullShare, RetryBudget: 64}, Request{IsRetry: true},
-			ReasonRetryBudget,
-			false},
+		{"no retry budget left", api.ZoneOrder{Share: api.FullShare, RetryBudget: 64}, Request{IsRetry: true},
+			ReasonRetryBudget, false},
 	} {
 		gate := NewGate(1, 7)
 		gate.SetOrder(1000, &c.order)
 		got := gate.Admit(1000, c.request)
 		want := Decision{Admitted: c.reason == ReasonNone, Final: c.final, Reason: c.reason}
 		if got != want {
-			t.Errorf("%s: %+v, expected %+v", c.name, got, want)
+			t.Errorf("%s: Admit() = %+v, want %+v", c.name, got, want)
 		}
 		if counted := gate.Rejected == 1; counted == got.Admitted {
-			t.Errorf("%s: %d rejections counted", c.name, gate.Rejected)
+			t.Errorf("%s: Rejected = %d after Admitted = %v", c.name, gate.Rejected, got.Admitted)
 		}
 	}
 }
--- a/internal/node/zonegate/autonomous.go
+++ b/internal/node/zonegate/autonomous.go
@@ -3,27 +3,20 @@
 import "umberwinch/internal/control/api"
 
 const (
-	// minAutonomousStepMS, in ms: an order without a time to live, or with a tiny one, must not change the share at
-	// every call.
+	// minAutonomousStepMS is the shortest time between two changes of the share, for orders with a short time to live or
+	// none.
 	minAutonomousStepMS = 1000
 
-	// autonomousFactor: the share doubles or halves a step. What it grows by at once is at most what it took and bore
-	// before.
+	// autonomousFactor is the factor by which the share grows or shrinks in one step.
 	autonomousFactor = 2
 
-	// minAutonomousShare, of api.FullShare: a share that begins from nothing takes enough to show whether its
-	// requests go well.
+	// minAutonomousShare, of api.FullShare, is the share after the first growth: enough requests to judge by.
 	minAutonomousShare = api.FullShare / 16
 )
 
-// ContinueAutonomously decides the share of a node without the control service. It reports whether the share has
-// changed.
-//
-// Inputs: the time in ms, and whether the node's own requests go well (Meter.Healthy). The last order holds for its
-// time to live. After that the share doubles each time that this time has passed while requests go well, and halves
-// where they do not: a control service that is away for long must not keep a zone evacuated for ever, and its
-// services below had that time to warm up. It may harm services below that are still cold: the share falls again
-// then.
+// ContinueAutonomously adjusts the share of a node without the control service and reports whether it changed. The last
+// order holds for its time to live; after each further such time the share doubles if healthy, the state of the node's
+// own requests, and halves otherwise. Guards against a zone that stays evacuated while the control service is down.
 func (g *Gate) ContinueAutonomously(now uint64, healthy bool) (changed bool) {
 	if !g.hasOrder || g.order.Share >= api.FullShare && g.order.PriorityCutoff == 0 && !g.order.RateLimited {
 		return false
@@ -64,9 +57,9 @@
 	}
 }
 
-// BeginAutonomousColdStart has the node begin with a share, of api.FullShare, by itself: it starts while the control
-// service is away, and can't tell whether most of the fleet does so with it. From there ContinueAutonomously decides,
-// each stepMS.
+// BeginAutonomousColdStart sets the first share, of api.FullShare, of a node that starts without the control service.
+// ContinueAutonomously adjusts it every stepMS. Guards against a fleet that restarts as a whole and overloads
+// dependencies that are warming up.
 func (g *Gate) BeginAutonomousColdStart(now uint64, share int, stepMS uint64) {
 	if !g.hasOrder {
 		g.order = api.ZoneOrder{Share: api.FullShare}
--- a/internal/node/zonegate/autonomous_test.go
+++ b/internal/node/zonegate/autonomous_test.go
@@ -6,17 +6,17 @@
 	"umberwinch/internal/control/api"
 )
 
-// TestAutonomousShare: the control service is away, and a zone would stay evacuated for ever. The order holds for its
-// time to live, then the share doubles while requests go well and halves where they do not; the next order ends that.
+// TestAutonomousShare guards against a zone that stays evacuated while the control service is down: after the order's
+// time to live the share doubles while the node is healthy and halves otherwise, until the next order.
 func TestAutonomousShare(t *testing.T) {
 	g := NewGate(1, 7)
-	o := &api.ZoneOrder{Epoch: 4, Share: 0, TTLMS: 60_000}
-	g.SetOrder(0, o)
+	order := &api.ZoneOrder{Epoch: 4, Share: 0, TTLMS: 60_000}
+	g.SetOrder(0, order)
 	now := uint64(1000)
-	step := func(well bool, share int) {
+	step := func(healthy bool, want int) {
 		t.Helper()
-		if g.ContinueAutonomously(now, well); g.Share() != share {
-			t.Errorf("after %d ms alone: %d of 256, expected %d", now, g.Share(), share)
+		if g.ContinueAutonomously(now, healthy); g.Share() != want {
+			t.Errorf("Share() at %d ms = %d of 256, want %d", now, g.Share(), want)
 		}
 	}
 	step(true, 0)
@@ -30,7 +30,7 @@
 	}
 	now += 60_000
 	step(false, 32)
-	g.SetOrder(now, o)
+	g.SetOrder(now, order)
 	step(true, 0)
 }
 
@@ -40,7 +40,7 @@
 func TestSlowStartWithoutControl(t *testing.T) {
 	g := NewGate(1, 7)
 	g.BeginAutonomousColdStart(1000, 16, 2000)
-	took := func(now uint64) (n int) {
+	admitted := func(now uint64) (n int) {
 		for i := uint32(0); i < 256; i++ {
 			if g.Admit(now, Request{Hash: i << 16}).Admitted {
 				n++
@@ -48,27 +48,27 @@
 		}
 		return n
 	}
-	if n := took(1000); n != 16 {
-		t.Fatalf("takes %d of 256, expected 16", n)
+	if n := admitted(1000); n != 16 {
+		t.Fatalf("admitted %d of 256, want 16", n)
 	}
 	if g.ContinueAutonomously(2900, true) || !g.ContinueAutonomously(3000, true) || g.Share() != 32 {
-		t.Fatalf("share %d, expected 32 after a hold that went well", g.Share())
+		t.Fatalf("Share() = %d, want 32 after a healthy step of 2 s and not before", g.Share())
 	}
 	if !g.ContinueAutonomously(5000, false) || g.Share() != 16 {
-		t.Fatalf("share %d, expected 16 after one that did not", g.Share())
+		t.Fatalf("Share() = %d, want 16 after an unhealthy step", g.Share())
 	}
 	for now := uint64(7000); now <= 15_000; now += 2000 {
 		g.ContinueAutonomously(now, true)
 	}
-	if n := took(15_000); n != 256 {
-		t.Fatalf("takes %d of 256 after four holds that went well", n)
+	if n := admitted(15_000); n != 256 {
+		t.Fatalf("admitted %d of 256 after the ramp, want all", n)
 	}
 	g.BeginAutonomousColdStart(20_000, 16, 2000)
 	if g.SetOrder(20_100, nil); g.Share() != api.FullShare {
-		t.Fatalf("share %d, though the group has said nothing of zones", g.Share())
+		t.Fatalf("Share() = %d after the order was removed, want %d", g.Share(), api.FullShare)
 	}
 	g.SetOrder(1, &api.ZoneOrder{Epoch: 3, Share: 0, TTLMS: 1000})
 	if g.BeginAutonomousColdStart(2, 16, 2000); g.Share() != 0 {
-		t.Fatalf("share %d of a zone that was out", g.Share())
+		t.Fatalf("Share() = %d after a cold start in an evacuated zone, want 0", g.Share())
 	}
 }
--- a/internal/node/zonegate/gate.go
+++ b/internal/node/zonegate/gate.go
@@ -9,7 +9,7 @@
 
 // Gate applies a zone's order at one node. All times are in milliseconds of a monotonic clock.
 type Gate struct {
-	// Rejected counts the requests that were not admitted, for whatever reason.
+	// Rejected counts the requests that were rejected, for any reason.
 	Rejected uint64
 
 	seed         uint32
@@ -20,20 +20,19 @@
 	retryBudgets []retryBudget // by handler
 	growth       shareGrowth
 
-	autonomousSince uint64 // without the control service since then; 0: it is heard
-	adjustedAt      uint64 // when the node last changed its share by itself
+	autonomousSince uint64 // when the node began to adjust its share by itself; 0: it follows the control service
+	adjustedAt      uint64 // when it last did so
 }
 
-// NewGate makes a gate that admits everything until it has an order. The seed is the node's own: it spreads the nodes
-// of a fleet over the time in which each has its first token.
+// NewGate returns a gate that admits everything until it has an order. The seed differs between nodes and spreads the
+// times of their first tokens.
 func NewGate(handlers int, seed uint32) *Gate {
 	return &Gate{seed: seed, retryBudgets: make([]retryBudget, handlers)}
 }
 
-// SetOrder takes the order that the control service sent, nil if the policy decides nothing about zones. It reports
-// whether the order differs from the one before.
-//
-// Guards against several epochs' saved tokens being spent at once: under a new epoch the buckets begin anew.
+// SetOrder applies the order that the control service sent, nil if the policy has no rules for zones, and reports
+// whether the epoch or the share changed. The token buckets are reset then: tokens saved under several epochs must not
+// be spent at once.
 func (g *Gate) SetOrder(now uint64, order *api.ZoneOrder) (changed bool) {
 	if order == nil {
 		changed = g.hasOrder
@@ -52,21 +51,20 @@
 	return changed
 }
 
-// initialTokens is the part of a token, from 0 to under 1, with which this node begins an epoch. In a large fleet a
-// node's quota may be one run in many seconds: with a different part each, the nodes together use the whole limit
-// from the first second on, and not all at the end of the same interval.
+// initialTokens returns the fraction of a token, from 0 to below 1, with which this node begins an epoch. In a large
+// fleet a node's quota may be one run in many seconds: different fractions spread the nodes' first runs over that time.
 func (g *Gate) initialTokens(epoch uint64) float64 {
 	raw := binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint32(nil, g.seed), epoch)
 	return float64(crc32.ChecksumIEEE(raw)) / (1 << 32)
 }
 
-// Evacuated reports that the node admits nothing.
+// Evacuated reports whether the share is 0.
 func (g *Gate) Evacuated() bool { return g.hasOrder && g.order.Share == 0 }
 
-// Epoch is that of the order in force, 0 without one.
+// Epoch is the zone epoch of the order in force, 0 without one.
 func (g *Gate) Epoch() uint64 { return g.order.Epoch }
 
-// Share is how much of what arrives the node admits, of api.FullShare.
+// Share is the share of requests that the node admits, of api.FullShare.
 func (g *Gate) Share() int {
 	if !g.hasOrder {
 		return api.FullShare
--- a/internal/node/zonegate/limits.go
+++ b/internal/node/zonegate/limits.go
@@ -3,27 +3,27 @@
 import "umberwinch/internal/control/api"
 
 const (
-	// burstDivisor: a fifth of a second's tokens may be spent at once. The node's rounds are shorter than that, and
-	// a service below bears that much unevenness; a larger burst would ask a cold service for more than its rate.
+	// burstDivisor of a second's tokens gives the burst: larger than the interval between a node's rounds, and a rate
+	// that is uneven by that much doesn't overload a dependency that is warming up.
 	burstDivisor = 5
 
-	// minBurst, in tokens: a bucket that holds less than one never admits anything.
+	// minBurst is the smallest burst, in tokens: a bucket that holds less than one never admits anything.
 	minBurst = 1.0
 
-	// maxSavedRetries, in requests of one handler: a quiet second must not pay for a storm of retries; fewer would
-	// reject retries that come in small groups.
+	// maxSavedRetries is the largest balance of a retry budget, in retries of one handler, so that a quiet period
+	// doesn't pay for a retry storm.
 	maxSavedRetries = 20
 
 	millisPerSecond = 1000
 )
 
-// tokenBucket admits at a rate, with a burst of a fifth of a second.
+// tokenBucket limits a rate, with a burst of a fifth of a second's tokens.
 type tokenBucket struct {
 	tokens   float64
 	filledAt uint64 // ms
 }
 
-// take spends a token if there is one; rate is in tokens a second.
+// take spends a token if there is one; rate is in tokens per second.
 func (b *tokenBucket) take(now uint64, rate float64) bool {
 	if b.filledAt == 0 {
 		b.filledAt = now
@@ -38,15 +38,15 @@
 	return true
 }
 
-// retryBudget bounds retries of requests that were rejected elsewhere, for one handler: first attempts fill it,
-// retries take from it. Guards against the retries of an evacuated zone's callers overloading the zones that are in
-// service.
+// retryBudget limits the retries of one handler to a fraction of its first attempts. Guards against the retries of
+// an evacuated zone's callers overloading the zones in service.
 type retryBudget struct{ saved float64 }
 
-// admit decides about one request; perFullShare is how many retries are admitted for api.FullShare first attempts.
-func (b *retryBudget) admit(isRetry bool, perFullShare int) bool {
+// admit decides on one request. A first attempt adds to the budget, a retry spends 1 of it; retriesPerFullShare is the
+// number of retries admitted per api.FullShare first attempts.
+func (b *retryBudget) admit(isRetry bool, retriesPerFullShare int) bool {
 	if !isRetry {
-		b.saved = min(maxSavedRetries, b.saved+float64(perFullShare)/api.FullShare)
+		b.saved = min(maxSavedRetries, b.saved+float64(retriesPerFullShare)/api.FullShare)
 		return true
 	}
 	if b.saved < 1 {
--- a/internal/node/zonegate/meter.go
+++ b/internal/node/zonegate/meter.go
@@ -1,27 +1,29 @@
 package zonegate
 
-// Meter counts what a node reports of itself: fixed slots in a ring that hold the last two seconds. All times are in
-// milliseconds of a monotonic clock.
+// Meter measures a node's load over the last two seconds, in a ring of slots. All times are in milliseconds of a
+// monotonic clock.
 type Meter struct {
 	weights     []float64 // priority weights, by handler
 	slots       [meterSlots]meterSlot
-	currentSlot uint64 // number of the slot in use, counted from time 0
-	startedAt   uint64 // ms
+	currentSlot uint64 // number of the newest slot, counted from time 0
+	startedAt   uint64
 }
 
-// A report covers two seconds, which are some heartbeats: each has most of what the one before had, and a change
-// shows within a second. A longer window would hide a failure, a shorter one hold too few requests to tell anything.
 const (
+	// A report covers two seconds, several heartbeats, so that consecutive reports overlap.
 	meterSlots = 8
 	slotMS     = 250
+
+	// HTTP status codes.
 	statusOK   = 200
 	statusShed = 503
-	// Healthy: at least healthyNumerator in healthyDenominator requests, which one bad request among ten does not break
-	healthyDenominator = 10
+
+	// Fraction of requests completed in time from which a node is healthy.
 	healthyNumerator   = 9
+	healthyDenominator = 10
 )
 
-// meterSlot counts what happened in slotMS.
+// meterSlot holds the counts of slotMS.
 type meterSlot struct {
 	arrived, retries, rejected     int
 	completed, late, shed, failed  int
@@ -32,14 +34,14 @@
 	firstAttempts                  []int // by handler
 }
 
-// NewMeter makes a meter for handlers of these priority weights.
+// NewMeter returns a meter for handlers with these priority weights.
 func NewMeter(now uint64, weights []float64) *Meter {
 	m := &Meter{currentSlot: now / slotMS, startedAt: now}
 	m.SetWeights(weights)
 	return m
 }
 
-// SetWeights takes other priority weights of the same handlers, as after a change of the policy.
+// SetWeights replaces the priority weights of the handlers after a change of the policy.
 func (m *Meter) SetWeights(weights []float64) {
 	m.weights = weights
 	for i := range m.slots {
@@ -49,7 +51,7 @@
 	}
 }
 
-// slot returns the slot of a time, and clears those that time has passed over.
+// slot returns the slot of a time and clears those that have expired.
 func (m *Meter) slot(now uint64) *meterSlot {
 	number := now / slotMS
 	if number > m.currentSlot+meterSlots {
@@ -87,8 +89,8 @@
 	s.firstAttempts[handler]++
 }
 
-// RequestAnswered counts an answer by its HTTP status. One that was given up past its deadline is late, whatever its
-// status: a service that is slow ends as errors too, and must not look like one that fails.
+// RequestAnswered counts a response by its HTTP status. An error past the deadline counts as late, not failed: a slow
+// dependency must not look like a failing one.
 func (m *Meter) RequestAnswered(now uint64, handler, status int, inTime bool) {
 	slot := m.slot(now)
 	switch {
@@ -104,16 +106,15 @@
 	}
 }
 
-// RunEnded counts a run that ended after so many ms.
+// RunEnded counts a run that took ms.
 func (m *Meter) RunEnded(now uint64, ms float64) {
 	slot := m.slot(now)
 	slot.runs++
 	slot.runMS += ms
 }
 
-// CallEnded counts a call to a service below that was answered or given up after so many ms. It failed if it was
-// answered with an error or not taken; one that was given up did not: nobody knows how it would have ended, and its
-// time tells enough.
+// CallEnded counts a call to a dependency that took ms. It failed if it was answered with an error or rejected. One
+// that was given up did not, as its outcome is unknown; its time is counted.
 func (m *Meter) CallEnded(now uint64, ms float64, failed bool) {
 	slot := m.slot(now)
 	slot.calls++
@@ -123,20 +124,19 @@
 	}
 }
 
-// ConnectionOpened counts a connection to a service below.
+// ConnectionOpened counts a connection opened to a dependency.
 func (m *Meter) ConnectionOpened(now uint64) { m.slot(now).connections++ }
 
-// CoresSampled takes a sample of how many cores are in use.
+// CoresSampled adds a sample of the number of cores in use.
 func (m *Meter) CoresSampled(now uint64, coresUsed float64) {
 	slot := m.slot(now)
 	slot.coreSamples++
 	slot.coresUsed += coresUsed
 }
 
-// Healthy decides whether the node's own requests go well, for a share that grows without the control service: nine
-// in ten of those that ended in the last two seconds were completed in time. Where none ended and none is in flight
-// nothing shows harm: a node that is hardly asked for anything must not wait for ever for a sign. inFlight is the
-// number of runs.
+// Healthy reports whether nine in ten of the requests that ended in the last two seconds, except shed ones, completed
+// in time, for ContinueAutonomously. If none ended it is healthy while no run is in flight, so that the share of an
+// idle node can grow. inFlight is the number of runs.
 func (m *Meter) Healthy(now uint64, inFlight int) bool {
 	report := m.Report(now, true, 1, inFlight)
 	ended := report.Completed + report.Late + report.Failed
--- a/internal/node/zonegate/pin_gate_test.go
+++ b/internal/node/zonegate/pin_gate_test.go
@@ -14,15 +14,15 @@
 	"umberwinch/internal/control/api"
 )
 
-// TestPinnedGate: a recorded run of requests, orders and time without the group, with faults in it (a clock that
-// stands, a share that falls, an order that ends), gives the decisions of a gate and the reports of a meter of
-// version 2a0a97e, byte for byte.
-func TestPinnedGate(t *testing.T) {
+// TestRecordedGate guards against an unintended change of any decision of a gate or report of a meter. The recording
+// has orders, times without the control service, a clock that stands still, falling shares and a removed order; the
+// hash in testdata is that of version 2a0a97e.
+func TestRecordedGate(t *testing.T) {
 	sum, rng := sha256.New(), rand.New(rand.NewPCG(5, 9))
-	say := func(format string, args ...any) { fmt.Fprintf(sum, format+"\n", args...) }
+	note := func(format string, args ...any) { fmt.Fprintf(sum, format+"\n", args...) }
 	values := []float64{1, 5, 20}
 	gate, meter := NewGate(len(values), 7), NewMeter(1000, values)
-	taken, refused, finals, dialled, changes := 0, 0, 0, 0, 0
+	admitted, rejected, finals, connections, changes := 0, 0, 0, 0, 0
 	order, now := api.ZoneOrder{Share: api.FullShare}, uint64(1000)
 	for step := range 20_000 {
 		if step%7 != 0 {
@@ -45,7 +45,7 @@
 				changes++
 			}
 		case 850:
-			say("none %v", gate.SetOrder(now, nil))
+			note("none %v", gate.SetOrder(now, nil))
 		case 890:
 			gate.BeginAutonomousColdStart(now, 16, 1000)
 		}
@@ -55,61 +55,59 @@
 			}
 		}
 		if step%5 == 0 && gate.AdmitConnection(now) {
-			dialled++
+			connections++
 		}
 		handler := rng.IntN(len(values))
-		q := Request{Handler: handler, Weight: values[handler], IsRetry: rng.IntN(5) == 0,
+		request := Request{Handler: handler, Weight: values[handler], IsRetry: rng.IntN(5) == 0,
 			SeenBefore: rng.IntN(30) == 0,
 			Hash:       RequestHash([]byte(fmt.Sprint("key", rng.IntN(2000))), nil, 0)}
 		if rng.IntN(2) == 0 {
-			q.Hash = RequestHash(nil, []byte("tenant"), uint32(rng.IntN(500)))
+			request.Hash = RequestHash(nil, []byte("tenant"), uint32(rng.IntN(500)))
 		}
-		decision := gate.Admit(now, q)
-		ok, last := decision.Admitted, decision.Final
-		if ok {
-			meter.RequestAdmitted(now, handler, q.IsRetry)
+		decision := gate.Admit(now, request)
+		if decision.Admitted {
+			meter.RequestAdmitted(now, handler, request.IsRetry)
 		} else {
-			meter.RequestRejected(now, handler, q.IsRetry)
+			meter.RequestRejected(now, handler, request.IsRetry)
 		}
 		switch {
-		case ok:
-			taken++
+		case decision.Admitted:
+			admitted++
 			meter.RunEnded(now, 20*rng.Float64())
 			meter.CallEnded(now, 9*rng.Float64(), rng.IntN(9) == 0)
 			meter.RequestAnswered(now, handler, []int{200, 200, 200, 503, 500}[rng.IntN(5)], rng.IntN(8) != 0)
-		case last:
+		case decision.Final:
 			finals++
 		default:
-			refused++
+			rejected++
 		}
 		if step%11 == 0 {
 			meter.ConnectionOpened(now)
 			meter.CoresSampled(now, 4*rng.Float64())
 		}
-		say("%d %v %v %d %d %d %v %d", now, ok, last, gate.RetryAfter(now, q), gate.Epoch(), gate.Share(),
-			gate.Evacuated(), gate.Rejected)
+		note("%d %v %v %d %d %d %v %d", now, decision.Admitted, decision.Final, gate.RetryAfter(now, request),
+			gate.Epoch(), gate.Share(), gate.Evacuated(), gate.Rejected)
 		if step%250 == 0 {
 			raw, _ := json.Marshal(meter.Report(now, step%500 == 0, 4, step%3))
-			say("%s %v", raw, meter.Healthy(now, step%3))
+			note("%s %v", raw, meter.Healthy(now, step%3))
 		}
 		if step == 15_000 {
-			now += 60_000 // nothing came for a minute
+			now += 60_000 // no requests for a minute
 			values = []float64{2, 5, 20}
 			meter.SetWeights(values)
 		}
 	}
 	got := fmt.Sprintf("%s taken=%d refused=%d final=%d dialled=%d changes=%d\n", hex.EncodeToString(sum.Sum(nil)),
-		taken, refused,
-		finals, dialled, changes)
+		admitted, rejected, finals, connections, changes)
 	want, err := os.ReadFile(filepath.Join("testdata", "pin_gate.txt"))
 	if err != nil || got != string(want) {
-		t.Errorf("%v, found\n%s\nexpected\n%s", err, got, want)
+		t.Errorf("recording: got\n%s\nwant (error %v)\n%s", got, err, want)
 	}
 }
 
-// TestPinnedReport: a meter's report with every field set is sent in the bytes of version 2a0a97e.
-func TestPinnedReport(t *testing.T) {
-	values := make([]float64, 20) // more than a report has room for
+// TestRecordedReport guards against a change of the JSON that a report with every field set is sent as.
+func TestRecordedReport(t *testing.T) {
+	values := make([]float64, 20) // more than a report holds
 	for i := range values {
 		values[i] = float64(i + 1)
 	}
@@ -128,8 +126,8 @@
 		m.CoresSampled(now, 1.5)
 	}
 	got, err := json.Marshal(m.Report(14_000, true, 4, 3))
-	want, missing := os.ReadFile(filepath.Join("testdata", "pin_report.json"))
-	if err != nil || missing != nil || !bytes.Equal(got, bytes.TrimSpace(want)) {
-		t.Errorf("%v, %v, wrote\n%s\nexpected\n%s", err, missing, got, want)
+	want, readErr := os.ReadFile(filepath.Join("testdata", "pin_report.json"))
+	if err != nil || readErr != nil || !bytes.Equal(got, bytes.TrimSpace(want)) {
+		t.Errorf("report: got (error %v)\n%s\nwant (error %v)\n%s", err, got, readErr, want)
 	}
 }
--- a/internal/node/zonegate/report.go
+++ b/internal/node/zonegate/report.go
@@ -6,12 +6,12 @@
 	"umberwinch/internal/control/api"
 )
 
-// Report returns what the node saw in the last two seconds, for a heartbeat. cores are those that the node may use;
-// inFlight is the number of runs.
+// Report returns the load of the last two seconds, for a heartbeat. cores is the number of cores that the node may use,
+// inFlight the number of runs.
 func (m *Meter) Report(now uint64, kernelConnected bool, cores float64, inFlight int) *api.LoadReport {
 	m.slot(now)
 	report := &api.LoadReport{KernelConnected: kernelConnected, Cores: cores, RunsInFlight: inFlight}
-	// The slot in use is not over yet: the window is what lies before it, and as much of it as there is.
+	// The window is the complete slots and the elapsed part of the newest one.
 	window := (meterSlots-1)*slotMS + now%slotMS
 	report.WindowMS = int(min(window, max(now-m.startedAt, 1)))
 	var total meterSlot
@@ -61,8 +61,8 @@
 	return sum / float64(n)
 }
 
-// arrivedByWeight adds up first attempts by priority weight, the least first. A report has room for
-// api.MaxPriorityCounts weights: those of least weight beyond it count as the least of the rest.
+// arrivedByWeight sums first attempts by priority weight, in ascending order. A report holds at most
+// api.MaxPriorityCounts weights: the lowest ones beyond that are added to the lowest weight reported.
 func (m *Meter) arrivedByWeight() (counts []api.PriorityCount) {
 	byWeight := map[float64]int{}
 	for i := range m.slots {
@@ -76,12 +76,12 @@
 		counts = append(counts, api.PriorityCount{Weight: weight, Arrived: arrived})
 	}
 	sort.Slice(counts, func(i, k int) bool { return counts[i].Weight < counts[k].Weight })
-	drop := len(counts) - api.MaxPriorityCounts
-	if drop <= 0 {
+	excess := len(counts) - api.MaxPriorityCounts
+	if excess <= 0 {
 		return counts
 	}
-	for _, least := range counts[:drop] {
-		counts[drop].Arrived += least.Arrived
+	for _, lowest := range counts[:excess] {
+		counts[excess].Arrived += lowest.Arrived
 	}
-	return counts[drop:]
+	return counts[excess:]
 }
--- a/internal/node/zonegate/retry_after.go
+++ b/internal/node/zonegate/retry_after.go
@@ -6,14 +6,15 @@
 	"umberwinch/internal/control/api"
 )
 
-// shareGrowth is how the share has grown lately: by which factor at the last step, and how long after the step before.
+// shareGrowth is the last growth of the share: its factor, and the time since the step before.
 type shareGrowth struct {
 	steppedAt uint64 // ms
 	interval  uint64 // ms between the last two steps, 0: not known
 	factor    float64
 }
 
-// record takes a change of the share. One that does not raise it says nothing of when the next one will.
+// record records a change of the share. One that doesn't raise it resets the growth: the next step can't be predicted
+// from it.
 func (g *shareGrowth) record(now uint64, from, to int) {
 	if from <= 0 || to <= from {
 		*g = shareGrowth{steppedAt: now}
@@ -25,23 +26,21 @@
 	g.steppedAt, g.factor = now, min(float64(to)/float64(from), api.MaxRampFactor)
 }
 
-// roundingSlack keeps a place that the share reaches exactly at a step from being counted one step later.
-const roundingSlack = 1e-9
+// roundingMargin absorbs rounding errors where the share reaches a bucket exactly at a step: it would be counted one
+// step later.
+const roundingMargin = 1e-9
 
-// RetryAfter decides after how many ms a request that the share leaves out may be admitted, 0 where nothing tells.
-//
-// Inputs: the request's place, the share, how the share grew at its last step and how long that took. The share
-// admits by place, so every attempt before the share has reached this one is in vain: the time until then is that of
-// as many steps like the last one as it takes. It acts while a share grows; it harms nobody but a caller that waits
-// longer than the share would have taken.
+// RetryAfter estimates after how many ms the share will admit a request that it rejects now, from the factor and
+// interval of the share's last growth; 0 if it can't be estimated. As the share admits by bucket, every earlier attempt
+// would be rejected too.
 func (g *Gate) RetryAfter(now uint64, request Request) uint64 {
-	place, growth := request.bucket(), &g.growth
+	bucket, growth := request.bucket(), &g.growth
 	known := g.hasOrder && g.order.Share > 0 && g.order.PriorityCutoff <= 0 && growth.interval != 0 &&
 		growth.factor >= api.MinRampFactor
-	if !known || place < g.order.Share {
+	if !known || bucket < g.order.Share {
 		return 0
 	}
-	steps := math.Ceil(math.Log(float64(place+1)/float64(g.order.Share))/math.Log(growth.factor) - roundingSlack)
+	steps := math.Ceil(math.Log(float64(bucket+1)/float64(g.order.Share))/math.Log(growth.factor) - roundingMargin)
 	reached := uint64(max(steps, 1) * float64(growth.interval))
 	elapsed := now - min(now, growth.steppedAt)
 	return reached - min(reached, elapsed)
