--- a/internal/node/zonegate/admit_test.go
+++ b/internal/node/zonegate/admit_test.go
@@ -6,10 +6,9 @@
 	"umberwinch/internal/control/api"
 )
 
-// TestReasons: a caller that is rejected wants to know why, and so does whoever is on call. Each rule that rejects
-// gives its own reason, and a rejection is final only where the order says that no zone has capacity, and only to a
-// retry.
-func TestReasons(t *testing.T) {
+// TestRejectionReasons guards against a rejection with the wrong reason, and against one that is final for a first
+// attempt or while other zones have capacity.
+func TestRejectionReasons(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		order   api.ZoneOrder
--- a/internal/node/zonegate/autonomous_test.go
+++ b/internal/node/zonegate/autonomous_test.go
@@ -34,10 +34,9 @@
 	step(true, 0)
 }
 
-// TestSlowStartWithoutControl: a whole fleet restarts while the control service is away: each node sees itself alone,
-// and all of them would ask cold services for everything. Such a node begins with a share, more of it after each step
-// that goes well, and takes all at once when the group says so.
-func TestSlowStartWithoutControl(t *testing.T) {
+// TestAutonomousColdStart guards against a fleet that restarts without the control service and overloads dependencies
+// that are warming up: a node begins with a small share that grows while it is healthy, until the next order.
+func TestAutonomousColdStart(t *testing.T) {
 	g := NewGate(1, 7)
 	g.BeginAutonomousColdStart(1000, 16, 2000)
 	admitted := func(now uint64) (n int) {
--- a/internal/node/zonegate/limits_test.go
+++ b/internal/node/zonegate/limits_test.go
@@ -43,10 +43,9 @@
 	}
 }
 
-// TestQuotasUnderOneToken: in a fleet of thousands a node's quota is one run in many seconds. If each node saved up
-// for its first token from nothing, all would spend it in the same second, or lose it at each new epoch. Together
-// they take what they may from the first second on and over epochs that come quickly, and no more.
-func TestQuotasUnderOneToken(t *testing.T) {
+// TestQuotasBelowOneRunPerEpoch guards against nodes of a large fleet, with a quota of one run in many seconds, that get
+// their first token all at once or lose it at each new epoch: together they have to use the whole limit, and no more.
+func TestQuotasBelowOneRunPerEpoch(t *testing.T) {
 	const nodes, nodeLimit = 4000, 0.02
 	runs := 0
 	for n := uint32(0); n < nodes; n++ {
