--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -8,27 +8,27 @@
 	"umberwinch/internal/control/policy"
 )
 
-// Milliseconds is a time of the node's steady clock, or a duration.
+// Milliseconds is a time of the node's monotonic clock, or a duration.
 type Milliseconds = uint64
 
 // farFuture is later than any time that occurs.
 const farFuture Milliseconds = 1 << 60
 
-// Config is what a node's start gives the agent.
+// Config is the configuration of a node's agent.
 type Config struct {
 	Name, Zone, Address string
 	ControlAddresses    []string // HOST:PORT of the control service's instances
-	Nonce               string   // drawn anew at each start of the process
+	Nonce               string   // random, new at each start of the process
 	JitterSeed          uint32
-	DisabledGuards      policy.Guard // for fault tests alone
+	DisabledGuards      policy.Guard // for fault tests only
 }
 
-// Agent is a node's view of its fleet and what it decides by it. Its zero value is of no use: see New.
+// Agent is a node's view of its fleet. Use New to create one.
 type Agent struct {
 	config      Config
 	jitter      jitter
 	startedAt   Milliseconds
-	incarnation int // counts from 0 in each start of the process
+	incarnation int // number of the incarnation since the process started, from 0
 
 	instances instances
 	group     groupPosition
@@ -37,12 +37,12 @@
 	zone      zone
 	heartbeat heartbeat
 
-	leaving         bool // the node shuts down and wants its lease ended
-	left            bool // the group has heard that: nothing more is sent
-	recordRequested bool // an operator restores the group and wants this node's record
+	leaving         bool // the node shuts down: the next heartbeat ends the lease
+	left            bool // the group has ended the lease: no more heartbeats are sent
+	recordRequested bool // a tool that restores the group requested this node's record
 }
 
-// New begins the view of a node that starts at now. stored is the record that its disk had, nil without one.
+// New returns the agent of a node that starts at now. stored is the record on its disk, nil without one.
 func New(config Config, stored *Record, now Milliseconds) *Agent {
 	a := &Agent{config: config, startedAt: now, jitter: jitter{seed: config.JitterSeed}}
 	a.heartbeat.nextAt = now
@@ -57,7 +57,7 @@
 	return a
 }
 
-// Config gives what New was given.
+// Config returns the configuration given to New.
 func (a *Agent) Config() *Config { return &a.config }
 
 // ActiveVersion is the policy version that the node serves under, 0 without one.
@@ -66,42 +66,42 @@
 // MinVersion is the oldest version that the node may serve under. If it is newer than ActiveVersion the node is fenced.
 func (a *Agent) MinVersion() uint64 { return a.versions.min }
 
-// CommittedVersion is the version that the group has committed, as far as this node was told; 0: none.
+// CommittedVersion is the latest committed version that this node knows of, 0 without one.
 func (a *Agent) CommittedVersion() uint64 { return a.versions.committed.Version }
 
-// LeaseID names the lease, 0 without one.
+// LeaseID is the ID of the lease, 0 without one.
 func (a *Agent) LeaseID() uint32 { return a.lease.id }
 
-// LeaseExpiry is when the lease ends, or has ended.
+// LeaseExpiry is when the lease expires or has expired.
 func (a *Agent) LeaseExpiry() Milliseconds { return a.lease.expiry }
 
-// LeaseDuration is how long a lease lasts, 0 before the first one.
+// LeaseDuration is the duration of the last granted lease, 0 before the first one.
 func (a *Agent) LeaseDuration() Milliseconds { return a.lease.duration }
 
-// Cluster names the group, as seen last; empty before.
+// Cluster is the name of the last seen group, empty before the first response.
 func (a *Agent) Cluster() string { return a.group.cluster }
 
-// GroupContacted tells whether a response of the group was accepted since the process started.
+// GroupContacted reports whether a response of the group was accepted since the process started.
 func (a *Agent) GroupContacted() bool { return a.group.contacted }
 
-// LastSeen gives the position of the group as seen last, before a restart too.
+// LastSeen is the last seen position of the group, from the stored record after a restart.
 func (a *Agent) LastSeen() api.GroupPosition { return a.group.lastSeen }
 
-// ControlAddress is the instance that the next heartbeat goes to, empty where none is configured.
+// ControlAddress is the address of the instance that the next heartbeat goes to, empty if none is configured.
 func (a *Agent) ControlAddress() string { return a.instances.address() }
 
-// LastContacted is the instance that the last heartbeat went to.
+// LastContacted is the address of the instance that the last heartbeat went to.
 func (a *Agent) LastContacted() string { return a.heartbeat.sentTo }
 
-// TakeRecordRequest tells once that whoever answered the last heartbeat restores the group and wants this node's
-// record.
+// TakeRecordRequest reports whether a tool that restores the group requested this node's record, and clears the
+// request.
 func (a *Agent) TakeRecordRequest() bool {
 	requested := a.recordRequested
 	a.recordRequested = false
 	return requested
 }
 
-// Leave has the next heartbeat end the lease, so that the group need not wait for it to expire.
+// Leave has the next heartbeat end the lease, so that the group doesn't have to wait for its expiry.
 func (a *Agent) Leave(now Milliseconds) {
 	if a.lease.id != 0 && !a.leaving {
 		a.leaving = true
@@ -109,14 +109,12 @@
 	}
 }
 
-// jitter spreads the heartbeats and retries of a fleet. It gives the same numbers for the same seed, so that a
-// simulation can be repeated.
+// jitter spreads the heartbeats and retries of a fleet. The same seed gives the same sequence, for simulations.
 type jitter struct {
 	seed  uint32
 	draws uint32
 }
 
-// draw gives the next number.
 func (j *jitter) draw() uint32 {
 	j.draws++
 	raw := binary.LittleEndian.AppendUint32(nil, j.seed)
@@ -124,5 +122,5 @@
 	return crc32.ChecksumIEEE(raw)
 }
 
-// below gives a number from 0 up to a bound above 0, which is left out.
+// below returns a number in [0, bound); bound must be positive.
 func (j *jitter) below(bound Milliseconds) Milliseconds { return uint64(j.draw()) % bound }
--- a/internal/node/agent/doc.go
+++ b/internal/node/agent/doc.go
@@ -1,22 +1,21 @@
 // Package agent decides for one node of a fleet whether it may serve, under which policy version, and when it sends a
 // heartbeat to the control service.
 //
-// It owns the node's view of the fleet: the lease that the node holds, the position of the control group that it has
-// seen last, the policy versions at hand, and the order of its zone. The driver (internal/node/server, or a
-// simulation) owns the clock, the sockets and the disk: it sends what Heartbeat gives, hands responses and failures
-// back, fetches and tries the versions that are asked for, and stores a Record where the node has a disk.
+// It owns the node's view of the fleet: its lease, the last seen position of the control group, the policy versions
+// that it knows, and the order of its zone. The driver (internal/node/server or a simulation) owns the clock, the
+// sockets and the disk: it sends the heartbeats, reports responses and failures, fetches and tries versions, and stores
+// a Record if the node has a disk.
 //
-// Times are Milliseconds of a clock that runs on while the process is stopped and that nobody sets (CLOCK_BOOTTIME).
+// Times are Milliseconds of a monotonic clock that includes the time for which the process is stopped (CLOCK_BOOTTIME).
 //
 // Invariants:
-//   - A lease runs from the sending of the heartbeat that brought it, so a response that took long brings less time
-//     and a late one brings none.
-//   - Once the lease has expired the node serves nothing (it is fenced), unless the committed version lets nodes
-//     serve autonomously.
-//   - The node never serves under a version older than one that it was told is decided, and activates none that it
-//     was not told is committed. One exception: a node that starts may take the version it had prepared for
-//     committed, where it was told that it is decided and a change does not wait between the two (versions.restore).
-//   - A response of an earlier generation of the group, or of an earlier position of its log, changes nothing.
+//   - A lease runs from the sending of the heartbeat that it answers, so that a slow response grants less time and a
+//     response after the timeout none.
+//   - A node whose lease has expired is fenced, unless the committed version allows it to serve autonomously.
+//   - The node never serves under a version older than the latest decided one that it knows of, and activates only
+//     committed versions. One exception: a starting node may take its prepared version for committed if that version
+//     is decided and its change doesn't wait between the two (versions.restore).
+//   - A response from an earlier generation of the group, or an earlier position of its log, changes nothing.
 //
-// It never reads a clock, opens a connection or file, or starts a goroutine, and is used by one goroutine alone.
+// It reads no clock, opens no connection or file and starts no goroutine. One goroutine uses it.
 package agent
--- a/internal/node/agent/group.go
+++ b/internal/node/agent/group.go
@@ -2,23 +2,23 @@
 
 import "umberwinch/internal/control/api"
 
-// firstGeneration is that of a group which was never restored.
+// firstGeneration is the generation of a group that was never restored.
 const firstGeneration = 1
 
-// groupPosition is which group the node follows, and how far its log was when the node was told last.
+// groupPosition is the group that the node follows and the last seen position of its log.
 type groupPosition struct {
-	cluster    string // names the group; a restored one has another name
-	generation uint64 // counts how often the group was restored
+	cluster    string // name of the group; a restored group has a new one
+	generation uint64 // increases with each restoration of the group
 	contacted  bool   // since the process started
 
-	// Of the last accepted response since the process started. They are apart from lastSeen, which a record brings
-	// over a restart: a node that restarts accepts an instance that is behind its record.
+	// term and index of the last accepted response since the process started. Unlike lastSeen they don't survive a
+	// restart: a restarted node accepts an instance that is behind its record.
 	term, index uint64
-	clock       Milliseconds // the group's own time, sent back with the next heartbeat
+	clock       Milliseconds // the group's clock, returned in the next heartbeat
 	lastSeen    api.GroupPosition
 }
 
-// restore goes on from a stored record.
+// restore sets the position from a stored record.
 func (g *groupPosition) restore(stored *Record) {
 	g.cluster = stored.Cluster
 	g.generation = max(firstGeneration, stored.Generation)
@@ -26,9 +26,9 @@
 		EntryChecksum: stored.EntryChecksum}
 }
 
-// advance takes the position of an accepted response.
+// advance sets the position from an accepted response.
 func (g *groupPosition) advance(r *api.HeartbeatResponse) {
-	if g.cluster != r.Cluster { // the first one, or a later generation of it
+	if g.cluster != r.Cluster { // the first group, or a later generation
 		g.generation = max(firstGeneration, r.Generation)
 	}
 	g.cluster, g.term, g.index, g.clock, g.contacted = r.Cluster, r.Term, r.Index, r.ClockMS, true
@@ -36,7 +36,8 @@
 		EntryChecksum: r.EntryChecksum}
 }
 
-// isNewGeneration tells whether an accepted response comes of a later generation of the group that is followed.
+// isNewGeneration reports whether a response is from a group of another name than the one that is followed. If it is
+// accepted, that group is a later generation.
 func (g *groupPosition) isNewGeneration(r *api.HeartbeatResponse) bool {
 	return g.cluster != "" && r.Cluster != g.cluster
 }
--- a/internal/node/agent/heartbeat.go
+++ b/internal/node/agent/heartbeat.go
@@ -7,38 +7,36 @@
 )
 
 const (
-	// minHeartbeatInterval is between two heartbeats: what has to be told at once goes out fast enough for a person who
-	// watches a change, and a confused instance can't make a node flood it.
+	// minHeartbeatInterval is the shortest interval between two heartbeats, so that a faulty instance can't cause a flood.
 	minHeartbeatInterval Milliseconds = 50
-	// heartbeatTimeout is how long a response may take. The leader appends a batch of renewals each second, and a
-	// commit takes some ms: shorter would give up renewals that are about to be granted.
+	// heartbeatTimeout is the longest response time. The leader commits a batch of renewals each second.
 	heartbeatTimeout Milliseconds = 1500
-	// minHeartbeatTimeout is the same under a short lease, of which a lost heartbeat may cost a quarter.
+	// minHeartbeatTimeout is the timeout under short leases.
 	minHeartbeatTimeout Milliseconds = 800
 )
 
-// jitterDivisor of the interval is left to chance: nodes that started together don't send together for good.
+// jitterDivisor of the heartbeat interval is the bound of its jitter, so that nodes that start together spread out.
 const jitterDivisor = 8
 
-// leaseTimeoutDivisor has a response awaited for a quarter of a lease.
+// leaseTimeoutDivisor of the lease gives the heartbeat timeout, within its bounds.
 const leaseTimeoutDivisor = 4
 
-// heartbeat is the exchange with the control service: at most one request is in flight.
+// heartbeat is the state of the heartbeats to the control service: at most one request is in flight.
 type heartbeat struct {
 	nextAt   Milliseconds
 	inFlight bool
-	sequence uint64 // of the last request: a response names the one that it answers
+	sequence uint64 // of the last request
 	sentAt   Milliseconds
 	sentTo   string
-	renews   bool // it asks for time
+	renews   bool // it requests or renews a lease
 	leaves   bool // it ends the lease
 }
 
-// answers tells whether the request in flight has the number.
-func (h *heartbeat) answers(sequence uint64) bool { return h.inFlight && sequence == h.sequence }
+// isInFlight reports whether the request with this number is in flight.
+func (h *heartbeat) isInFlight(sequence uint64) bool { return h.inFlight && sequence == h.sequence }
 
-// HeartbeatTimeout is how long a response may take, in ms: a quarter of the lease within its bounds, so that a lost
-// heartbeat leaves time for others.
+// HeartbeatTimeout is the longest response time: a quarter of the lease within bounds, so that the lease outlasts a
+// lost heartbeat.
 func (a *Agent) HeartbeatTimeout() Milliseconds {
 	if a.lease.duration == 0 {
 		return heartbeatTimeout
@@ -46,7 +44,7 @@
 	return min(max(a.lease.duration/leaseTimeoutDivisor, minHeartbeatTimeout), heartbeatTimeout)
 }
 
-// NextHeartbeat is when Heartbeat has something to send, or the request in flight times out.
+// NextHeartbeat is when the next heartbeat is due, or the request in flight times out.
 func (a *Agent) NextHeartbeat() Milliseconds {
 	if a.left {
 		return farFuture
@@ -57,8 +55,8 @@
 	return max(a.heartbeat.nextAt, a.instances.notBefore())
 }
 
-// Heartbeat gives the request to send now to ControlAddress with its number, if one is due. The driver hands what
-// comes of it to HandleResponse or HandleFailure, within HeartbeatTimeout.
+// Heartbeat returns the request to send now to ControlAddress and its sequence number, if one is due. The driver calls
+// HandleResponse or HandleFailure within HeartbeatTimeout.
 func (a *Agent) Heartbeat(now Milliseconds) (request api.HeartbeatRequest, sequence uint64, due bool) {
 	if a.heartbeat.inFlight || a.left || a.instances.empty() || now < a.NextHeartbeat() {
 		return request, 0, false
@@ -71,8 +69,8 @@
 	return request, h.sequence, true
 }
 
-// heartbeatRequest is what the node tells the group. From its sending on the node holds to the versions and the zone
-// epoch that it names.
+// heartbeatRequest returns the request to send. It promises that the node serves under no version older than MinVersion
+// and no zone epoch older than MinZoneEpoch.
 func (a *Agent) heartbeatRequest(now Milliseconds) api.HeartbeatRequest {
 	v := &a.versions
 	request := api.HeartbeatRequest{
@@ -96,29 +94,30 @@
 	return request
 }
 
-// nonce names the incarnation.
+// nonce identifies the incarnation.
 func (a *Agent) nonce() string { return fmt.Sprintf("%s-%d", a.config.Nonce, a.incarnation) }
 
-// HandleFailure tells that a heartbeat had no response that could be read.
+// HandleFailure reports that a heartbeat failed or its response could not be read.
 func (a *Agent) HandleFailure(now Milliseconds, sequence uint64) {
-	if a.heartbeat.answers(sequence) {
+	if a.heartbeat.isInFlight(sequence) {
 		a.heartbeat.inFlight = false
 		a.failOver(now, 0)
 	}
 }
 
-// ExpireHeartbeat gives up a heartbeat whose time is over, for a driver without a deadline of its own.
+// ExpireHeartbeat times out the heartbeat in flight, for a driver without timeouts of its own.
 func (a *Agent) ExpireHeartbeat(now Milliseconds) {
 	if a.heartbeat.inFlight && now >= a.heartbeat.sentAt+a.HeartbeatTimeout() {
 		a.HandleFailure(now, a.heartbeat.sequence)
 	}
 }
 
-// failOver goes on at another instance, at once if it may be contacted; the current one waits atLeast ms.
-func (a *Agent) failOver(now, atLeast Milliseconds) {
-	a.instances.failOver(now, atLeast, &a.jitter)
+// failOver switches to another instance and schedules the next heartbeat for as soon as that one may be contacted. The
+// current one isn't contacted for about minBackoff.
+func (a *Agent) failOver(now, minBackoff Milliseconds) {
+	a.instances.failOver(now, minBackoff, &a.jitter)
 	a.heartbeat.nextAt = now
 }
 
-// bringForward sends the next heartbeat at now at the latest.
-func (h *heartbeat) bringForward(now Milliseconds) { h.nextAt = min(h.nextAt, now) }
+// bringForward schedules the next heartbeat for at or before a time.
+func (h *heartbeat) bringForward(at Milliseconds) { h.nextAt = min(h.nextAt, at) }
--- a/internal/node/agent/versions.go
+++ b/internal/node/agent/versions.go
@@ -5,29 +5,29 @@
 	"umberwinch/internal/control/policy"
 )
 
-// versions are the policy versions that the node knows of.
+// versions holds the policy versions that the node knows of.
 type versions struct {
-	min              uint64          // decided: nothing older may be served under
-	committed        api.VersionHash // may be served under
-	preparing        api.VersionHash // proposed: to be fetched, checked and tried
-	active           api.VersionHash // served under; version 0: none
-	activeAutonomous bool            // the active version lets nodes serve without a lease
-	prepared         map[uint64]string
+	min              uint64            // the latest decided one: the node serves under no older one
+	committed        api.VersionHash   // the latest one that may be activated
+	preparing        api.VersionHash   // the proposed one, to be fetched, checked and tried
+	active           api.VersionHash   // the node serves under it; version 0: none
+	activeAutonomous bool              // the active version allows nodes to serve without a lease
+	prepared         map[uint64]string // hash by version
 	rejected         rejection
 
-	// Of the record that a start found.
+	// From the stored record.
 	stored          api.VersionHash
-	startAutonomous bool // it may be activated without the group
+	startAutonomous bool // the stored version may be activated without the group
 }
 
-// rejection is the node's vote against one version, which it can't or won't serve under.
+// rejection is the node's vote against one version.
 type rejection struct {
 	version   uint64 // 0: none
 	reason    string
-	permanent bool // its document does not fit the platform's settings: not activated even if it is committed
+	permanent bool // the version doesn't fit the platform's settings and is not activated even if committed
 }
 
-// restore goes on from a stored record.
+// restore sets the versions from a stored record.
 func (v *versions) restore(stored *Record) {
 	v.min = stored.MinVersion
 	if stored.ActiveVersion > 0 {
@@ -39,16 +39,16 @@
 		return
 	}
 	v.prepared[stored.PreparedVersion] = stored.PreparedHash
-	// Guards against a node that died after a version was decided and before it stored that it had activated it: it
-	// would start fenced, as its active version is older than the decided one. The prepared version counts as
-	// committed, since a change under a policy that lets nodes serve autonomously never waits between the two.
+	// Guards against a node that stays fenced because it was stopped after a version was decided and before it stored
+	// that version as active. The prepared version counts as committed, since a change under a policy that allows
+	// autonomous serving doesn't wait between the two.
 	if stored.PreparedVersion == stored.MinVersion && (stored.ActiveAutonomous || stored.ActiveVersion == 0) {
 		v.stored = api.VersionHash{Version: stored.PreparedVersion, Hash: stored.PreparedHash}
 		v.startAutonomous = stored.PreparedAutonomous
 	}
 }
 
-// update takes the versions of an accepted response. Neither the decided nor the committed one ever goes back.
+// update sets the versions from an accepted response. Neither the decided nor the committed one ever decreases.
 func (v *versions) update(r *api.HeartbeatResponse, disabled policy.Guard) {
 	downgradeAllowed := disabled.Has(policy.NoDowngrade)
 	if !downgradeAllowed {
@@ -68,16 +68,15 @@
 	}
 }
 
-// has tells whether a version is prepared. Its hash counts, not its number alone: a group that lost state may give
-// the number to another document.
+// has reports whether a version is prepared. The hash has to match too: a group that lost state may reuse the number
+// for another document.
 func (v *versions) has(version api.VersionHash) bool {
 	return version.Hash != "" && v.prepared[version.Version] == version.Hash
 }
 
 // VersionToFetch decides which version's document the driver has to fetch, check and try next. A committed one comes
-// first; committed tells that its trial does not count any more, as the fleet has decided to go on without this
-// node's consent. A version that was rejected is not fetched again, unless only its trial failed and it was committed
-// all the same.
+// first; committed reports that its trial no longer counts, as it was committed without this node's vote. A rejected
+// version is not fetched again, unless the rejection isn't permanent and the version is committed.
 func (a *Agent) VersionToFetch() (version api.VersionHash, committed, ok bool) {
 	v := &a.versions
 	refused := v.rejected.permanent && v.rejected.version == v.committed.Version
@@ -90,8 +89,8 @@
 	return api.VersionHash{}, false, false
 }
 
-// VersionToActivate decides which version the node takes over at now: one that is committed, prepared here, and newer
-// than the active one; or after a start without the group the stored one, see startsAutonomously.
+// VersionToActivate decides which version the node activates at now: one that is committed, prepared and newer than the
+// active one, or the stored one after a start without the group (see startsAutonomously).
 func (a *Agent) VersionToActivate(now Milliseconds) (version api.VersionHash, ok bool) {
 	v := &a.versions
 	if a.startsAutonomously(now) {
@@ -107,22 +106,21 @@
 	return api.VersionHash{}, false
 }
 
-// MarkPrepared tells that a version was checked, tried and, where there is a disk, stored.
+// MarkPrepared reports that a version was checked, tried and, if the node has a disk, stored.
 func (a *Agent) MarkPrepared(now Milliseconds, version api.VersionHash) {
 	a.versions.prepared[version.Version] = version.Hash
 	a.heartbeat.bringForward(now)
 	a.prune()
 }
 
-// Reject tells that the node votes against a version. permanent: it can't serve under it at all; a version that only
-// failed its trial is activated if it is committed all the same.
+// Reject records the node's vote against a version. permanent: the node can't serve under it at all; otherwise it only
+// failed its trial and is still activated if committed.
 func (a *Agent) Reject(now Milliseconds, version uint64, reason string, permanent bool) {
 	a.versions.rejected = rejection{version: version, reason: reason, permanent: permanent}
 	a.heartbeat.bringForward(now)
 }
 
-// MarkActive tells that the node serves under a version from now on. autonomous is what that version says of serving
-// without a lease.
+// MarkActive reports that the node serves under a version. autonomous: the version allows serving without a lease.
 func (a *Agent) MarkActive(now Milliseconds, version api.VersionHash, autonomous bool) {
 	v := &a.versions
 	v.active, v.activeAutonomous = version, autonomous
@@ -131,7 +129,7 @@
 	a.prune()
 }
 
-// DropPrepared tells that a version's document is not at hand after all: it is fetched again.
+// DropPrepared reports that a version's document is lost and has to be fetched again.
 func (a *Agent) DropPrepared(version uint64) {
 	delete(a.versions.prepared, version)
 	if a.versions.stored.Version == version {
@@ -139,14 +137,13 @@
 	}
 }
 
-// IsPrepared tells whether a version can be activated.
+// IsPrepared reports whether a version is prepared.
 func (a *Agent) IsPrepared(version uint64) bool {
 	_, ok := a.versions.prepared[version]
 	return ok
 }
 
-// prune forgets prepared versions that can't be needed any more. Before the group was contacted nobody knows which
-// those are.
+// prune drops prepared versions that are no longer needed. Which ones is known only once the group was contacted.
 func (a *Agent) prune() {
 	if !a.group.contacted {
 		return
--- a/internal/node/agent/zone.go
+++ b/internal/node/agent/zone.go
@@ -2,15 +2,15 @@
 
 import "umberwinch/internal/control/api"
 
-// zone is the order of the node's zone: what share of the traffic it takes.
+// zone holds the order of the node's zone: the share of requests that the node admits.
 type zone struct {
-	order *api.ZoneOrder // nil: nothing is decided about zones
-	// fromEarlierGeneration: an earlier generation of the group gave the order. It is acted on until the new one gives its own, but
-	// its epoch means nothing to that one.
+	order *api.ZoneOrder // nil: the policy has no rules for zones
+	// fromEarlierGeneration: the order is from an earlier generation of the group. It applies until the new generation
+	// sends its own, but its epoch can't be compared with that generation's epochs.
 	fromEarlierGeneration bool
 }
 
-// epoch is that of the order, 0 where the group that is followed knows none.
+// epoch is the epoch of the order, 0 without an order of the followed generation.
 func (z *zone) epoch() uint64 {
 	if z.order == nil || z.fromEarlierGeneration {
 		return 0
@@ -18,17 +18,17 @@
 	return z.order.Epoch
 }
 
-// update takes the order of an accepted response. One without a lease and without an order says nothing of zones.
+// update sets the order from an accepted response. A response with neither a lease nor an order changes nothing.
 func (z *zone) update(r *api.HeartbeatResponse) {
 	if r.Zone != nil || r.LeaseID != 0 {
 		z.order, z.fromEarlierGeneration = r.Zone, false
 	}
 }
 
-// ZoneOrder gives the last order of the node's zone, nil where nothing is decided about zones.
+// ZoneOrder returns the last order of the node's zone, nil if the policy has no rules for zones.
 func (a *Agent) ZoneOrder() *api.ZoneOrder { return a.zone.order }
 
-// StoredZoneOrder gives the order as it is to be stored: that of an earlier generation without its epoch.
+// StoredZoneOrder returns the order to store in the record: without its epoch if it is from an earlier generation.
 func (a *Agent) StoredZoneOrder() *api.ZoneOrder {
 	if a.zone.order == nil || !a.zone.fromEarlierGeneration {
 		return a.zone.order
--- a/internal/node/zonegate/limits_test.go
+++ b/internal/node/zonegate/limits_test.go
@@ -43,8 +43,9 @@
 	}
 }
 
-// TestQuotasBelowOneRunPerEpoch guards against nodes of a large fleet, with a quota of one run in many seconds, that get
-// their first token all at once or lose it at each new epoch: together they have to use the whole limit, and no more.
+// TestQuotasBelowOneRunPerEpoch guards against nodes of a large fleet, with a quota of one run in many seconds, that
+// get their first token all at once or lose it at each new epoch: together they have to use the whole limit, and no
+// more.
 func TestQuotasBelowOneRunPerEpoch(t *testing.T) {
 	const nodes, nodeLimit = 4000, 0.02
 	runs := 0
