--- a/internal/node/agent/agent_test.go
+++ b/internal/node/agent/agent_test.go
@@ -10,8 +10,8 @@
 	"umberwinch/internal/control/policy"
 )
 
-// driver is an agent with a clock, which the test answers.
-type driver struct {
+// testDriver is an agent with a clock, which the test answers.
+type testDriver struct {
 	*testing.T
 	agent    *Agent
 	now      uint64
@@ -19,8 +19,8 @@
 	sequence uint64
 }
 
-func startAgent(t *testing.T, stored *Record, without policy.Guard) *driver {
-	d := &driver{T: t, now: 1000}
+func startAgent(t *testing.T, stored *Record, without policy.Guard) *testDriver {
+	d := &testDriver{T: t, now: 1000}
 	d.agent = New(Config{Name: "n", Zone: "z", ControlAddresses: []string{"a", "b", "c"}, Nonce: "nonce-00000000",
 		JitterSeed:     7,
 		DisabledGuards: without}, stored, d.now)
@@ -28,7 +28,7 @@
 }
 
 // nextHeartbeat lets time go on to the next heartbeat.
-func (d *driver) nextHeartbeat() {
+func (d *testDriver) nextHeartbeat() {
 	d.Helper()
 	for end := d.now + 70_000; d.now <= end; d.now += 5 {
 		var due bool
@@ -39,7 +39,7 @@
 	d.Fatal("nothing was asked within 70 s")
 }
 
-func (d *driver) respond(t api.HeartbeatResponse) error {
+func (d *testDriver) handleResponse(t api.HeartbeatResponse) error {
 	d.Helper()
 	if t.Cluster == "" {
 		t.Cluster = "g"
@@ -49,11 +49,11 @@
 }
 
 // join takes a lease under a version in force.
-func (d *driver) join(version uint64, alone bool) {
+func (d *testDriver) join(version uint64, alone bool) {
 	d.Helper()
 	d.nextHeartbeat()
 	v := api.VersionHash{Version: version, Hash: fmt.Sprint("h", version)}
-	if err := d.respond(api.HeartbeatResponse{LeaseID: 5, LeaseMS: 4000, DecidedVersion: version, CommittedVersion: v,
+	if err := d.handleResponse(api.HeartbeatResponse{LeaseID: 5, LeaseMS: 4000, DecidedVersion: version, CommittedVersion: v,
 		Autonomous: alone, Index: 10,
 		NextHeartbeatMS: 1000}); err != nil {
 		d.Fatal(err)
@@ -63,7 +63,7 @@
 	}
 }
 
-func (d *driver) activate(version uint64, alone bool) {
+func (d *testDriver) activate(version uint64, alone bool) {
 	d.Helper()
 	v := api.VersionHash{Version: version, Hash: fmt.Sprint("h", version)}
 	if w, _, ok := d.agent.VersionToFetch(); !ok || w != v {
@@ -76,7 +76,7 @@
 	d.agent.MarkActive(d.now, v, alone)
 }
 
-func (d *driver) expectServing(want bool, why string) {
+func (d *testDriver) checkServing(want bool, why string) {
 	d.Helper()
 	if ok, got := d.agent.MayServe(d.now); ok != want || !strings.Contains(got, why) {
 		d.Errorf("at %d: serves %v (%s), expected %v (%s)", d.now, ok, got, want, why)
@@ -88,16 +88,16 @@
 // response brings less time, and one to a heartbeat that was given up brings none.
 func TestLeaseRunsFromSendingOfHeartbeat(t *testing.T) {
 	d := startAgent(t, nil, 0)
-	d.expectServing(false, "not heard")
+	d.checkServing(false, "not heard")
 	d.nextHeartbeat()
 	sent := d.now
 	d.now += 700
-	d.respond(api.HeartbeatResponse{LeaseID: 5, LeaseMS: 4000, Index: 1, NextHeartbeatMS: 1000})
-	d.expectServing(true, "")
+	d.handleResponse(api.HeartbeatResponse{LeaseID: 5, LeaseMS: 4000, Index: 1, NextHeartbeatMS: 1000})
+	d.checkServing(true, "")
 	d.now = sent + 3999
-	d.expectServing(true, "")
+	d.checkServing(true, "")
 	d.now = sent + 4000
-	d.expectServing(false, "run out")
+	d.checkServing(false, "run out")
 	d.nextHeartbeat()
 	d.now += d.agent.HeartbeatTimeout()
 	d.agent.HandleFailure(d.now, d.sequence)
@@ -107,30 +107,30 @@
 		LeaseMS: 4000}); err != nil {
 		t.Fatal(err)
 	}
-	d.expectServing(false, "run out") // the response to a heartbeat that was given up
+	d.checkServing(false, "run out") // the response to a heartbeat that was given up
 }
 
-// TestDecidedFencesAtOnce: the group has decided on a version that the node has not prepared. If the node served on,
+// TestDecidedVersionFencesNode: the group has decided on a version that the node has not prepared. If the node served on,
 // it would serve under the older version after the change was settled. So from that moment on it serves under nothing
 // older, promises so with its next heartbeat, and serves again once it has activated the committed version.
-func TestDecidedFencesAtOnce(t *testing.T) {
+func TestDecidedVersionFencesNode(t *testing.T) {
 	d := startAgent(t, nil, 0)
 	d.join(1, false)
-	d.expectServing(true, "")
+	d.checkServing(true, "")
 	d.nextHeartbeat()
-	d.respond(api.HeartbeatResponse{LeaseID: 5, DecidedVersion: 2,
+	d.handleResponse(api.HeartbeatResponse{LeaseID: 5, DecidedVersion: 2,
 		CommittedVersion: api.VersionHash{Version: 1, Hash: "h1"}, Index: 11,
 		NextHeartbeatMS: 1000}) // held
-	d.expectServing(false, "version 2 is decided")
+	d.checkServing(false, "version 2 is decided")
 	d.nextHeartbeat()
 	if d.request.MinVersion != 2 || !strings.Contains(d.request.Fenced, "decided") {
 		t.Errorf("it asks with %+v, expected the promise of version 2", d.request)
 	}
-	d.respond(api.HeartbeatResponse{LeaseID: 5, LeaseMS: 4000, DecidedVersion: 2,
+	d.handleResponse(api.HeartbeatResponse{LeaseID: 5, LeaseMS: 4000, DecidedVersion: 2,
 		CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"},
 		Index:            12, NextHeartbeatMS: 1000})
 	d.activate(2, false)
-	d.expectServing(true, "")
+	d.checkServing(true, "")
 }
 
 // TestRejectedResponses: an instance is behind, belongs to another group, or contradicts itself. A node that believed
@@ -162,7 +162,7 @@
 			if err := d.agent.HandleResponse(d.now, d.sequence, c.t); !errors.Is(err, c.kind) {
 				t.Errorf("%s: found %v, expected %v", what, err, c.kind)
 			}
-		} else if err := d.respond(c.t); !errors.Is(err, c.kind) {
+		} else if err := d.handleResponse(c.t); !errors.Is(err, c.kind) {
 			t.Errorf("%s: found %v, expected %v", what, err, c.kind)
 		}
 		if d.agent.ControlAddress() == at {
@@ -181,9 +181,9 @@
 	}
 }
 
-// TestInstancesBackOff: no instance answers. Each is contacted less and less often, within the bound, and none is
+// TestBackoffWithoutInstances: no instance answers. Each is contacted less and less often, within the bound, and none is
 // forgotten, so that the first that comes back is found.
-func TestInstancesBackOff(t *testing.T) {
+func TestBackoffWithoutInstances(t *testing.T) {
 	d := startAgent(t, nil, 0)
 	asked, times := map[string]int{}, 0
 	for end := d.now + 30_000; d.now < end; times++ {
@@ -242,10 +242,10 @@
 			t.Errorf("%s: it does not say that it is alone", what)
 		}
 		d.nextHeartbeat()
-		d.respond(api.HeartbeatResponse{LeaseID: 5, LeaseMS: 4000, DecidedVersion: 4,
+		d.handleResponse(api.HeartbeatResponse{LeaseID: 5, LeaseMS: 4000, DecidedVersion: 4,
 			CommittedVersion: api.VersionHash{Version: 4, Hash: "h4"},
 			Index:            1})
-		d.expectServing(false, "version 4 is decided")
+		d.checkServing(false, "version 4 is decided")
 	}
 }
 
@@ -256,7 +256,7 @@
 	d.join(1, false)
 	d.nextHeartbeat()
 	d.agent.Leave(d.now)
-	d.respond(api.HeartbeatResponse{LeaseID: 5, LeaseMS: 4000, DecidedVersion: 1,
+	d.handleResponse(api.HeartbeatResponse{LeaseID: 5, LeaseMS: 4000, DecidedVersion: 1,
 		CommittedVersion: api.VersionHash{Version: 1, Hash: "h1"},
 		Index:            11, NextHeartbeatMS: 1000})
 	before := d.now
@@ -264,7 +264,7 @@
 	if !d.request.Leave || d.now-before > 200 {
 		t.Fatalf("after %d ms it sends %+v, expected that it leaves", d.now-before, d.request)
 	}
-	d.respond(api.HeartbeatResponse{LeaseID: 5, DecidedVersion: 1,
+	d.handleResponse(api.HeartbeatResponse{LeaseID: 5, DecidedVersion: 1,
 		CommittedVersion: api.VersionHash{Version: 1, Hash: "h1"}, Index: 12,
 		NextHeartbeatMS: 1000})
 	for end := d.now + 20_000; d.now < end; d.now += 50 {
@@ -274,10 +274,10 @@
 	}
 }
 
-// TestGenerations: the group has lost its state and was restored, and an instance of the old generation is still up.
+// TestRestoredGroup: the group has lost its state and was restored, and an instance of the old generation is still up.
 // The node follows the newest generation that it knows, serves on under what is left of its lease until that takes it
 // in, and never follows an older generation, nor goes back to an older version with a newer one.
-func TestGenerations(t *testing.T) {
+func TestRestoredGroup(t *testing.T) {
 	second := func(need uint64) api.HeartbeatResponse {
 		v := api.VersionHash{Version: need, Hash: fmt.Sprint("h", need)}
 		return api.HeartbeatResponse{Cluster: "g2", Generation: 2, Predecessors: []string{"g"}, DecidedVersion: need,
@@ -292,7 +292,7 @@
 		t.Fatalf("it asks with %+v, expected where the group stood", h)
 	}
 	// One that was restored from before version 2 is not followed, and may catch up.
-	if err := d.respond(second(1)); err == nil || !strings.Contains(err.Error(), "restored without") {
+	if err := d.handleResponse(second(1)); err == nil || !strings.Contains(err.Error(), "restored without") {
 		t.Fatalf("%v", err)
 	}
 	if ok, _ := d.agent.MayServe(d.now); !ok {
@@ -302,7 +302,7 @@
 	d.agent.zone.order = &api.ZoneOrder{Epoch: 90, Share: 32}
 	one := second(2)
 	one.EndedReason = "its lease is of another generation"
-	if err := d.respond(one); err != nil {
+	if err := d.handleResponse(one); err != nil {
 		t.Fatal(err)
 	}
 	if ok, why := d.agent.MayServe(d.now); !ok || d.agent.LeaseID() != 0 || d.agent.Autonomous(d.now) {
@@ -325,7 +325,7 @@
 	}
 	one = second(2)
 	one.LeaseID, one.LeaseMS, one.Zone = 9, 4000, &api.ZoneOrder{Epoch: 3, Share: 256}
-	if err := d.respond(one); err != nil {
+	if err := d.handleResponse(one); err != nil {
 		t.Fatal(err)
 	}
 	if ok, _ := d.agent.MayServe(d.now + 3000); !ok || d.agent.ActiveVersion() != 2 {
@@ -340,7 +340,7 @@
 		"a stranger": {Cluster: "g8", Generation: 3, Predecessors: []string{"g7"}, DecidedVersion: 2,
 			CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}}} {
 		d.nextHeartbeat()
-		if err := d.respond(told); err == nil {
+		if err := d.handleResponse(told); err == nil {
 			t.Errorf("it follows %s", what)
 		}
 	}
@@ -351,14 +351,14 @@
 	if h := d.request.LastSeen; h == nil || h.Generation != 2 || h.Index != 77 {
 		t.Fatalf("after a restart it asks with %+v", h)
 	}
-	if err := d.respond(api.HeartbeatResponse{Cluster: "g", Generation: 1, Index: 9000, DecidedVersion: 2,
+	if err := d.handleResponse(api.HeartbeatResponse{Cluster: "g", Generation: 1, Index: 9000, DecidedVersion: 2,
 		CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}}); err == nil {
 		t.Error("after a restart it follows the old generation")
 	}
 	without := startAgent(t, &Record{Cluster: "g2", Generation: 2, ActiveVersion: 2, ActiveHash: "h2", MinVersion: 2},
 		policy.Generation)
 	without.nextHeartbeat()
-	if err := without.respond(api.HeartbeatResponse{Cluster: "g", Generation: 1, Index: 9000, DecidedVersion: 2,
+	if err := without.handleResponse(api.HeartbeatResponse{Cluster: "g", Generation: 1, Index: 9000, DecidedVersion: 2,
 		CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}}); err != nil {
 		t.Errorf("without the guard the old generation is not followed either: %v", err)
 	}
@@ -370,7 +370,7 @@
 	d := startAgent(t, nil, 0)
 	d.join(2, false)
 	d.nextHeartbeat()
-	if err := d.respond(api.HeartbeatResponse{CollectRecord: true}); err != nil || !d.agent.TakeRecordRequest() ||
+	if err := d.handleResponse(api.HeartbeatResponse{CollectRecord: true}); err != nil || !d.agent.TakeRecordRequest() ||
 		d.agent.TakeRecordRequest() {
 		t.Fatalf("%v: expected to be asked for what it holds, once", err)
 	}
@@ -389,7 +389,7 @@
 func TestFirstGeneration(t *testing.T) {
 	d := startAgent(t, nil, 0)
 	d.nextHeartbeat()
-	if err := d.respond(api.HeartbeatResponse{Cluster: "g3", Generation: 3, Predecessors: []string{"g", "g2"},
+	if err := d.handleResponse(api.HeartbeatResponse{Cluster: "g3", Generation: 3, Predecessors: []string{"g", "g2"},
 		Term: 1, Index: 5, EntryChecksum: 77,
 		LeaseID: 4, LeaseMS: 4000}); err != nil {
 		t.Fatal(err)
@@ -398,23 +398,23 @@
 	if h := d.request.LastSeen; h == nil || h.Generation != 3 || h.EntryChecksum != 77 {
 		t.Fatalf("it asks with %+v, expected generation 3 and what the entry was", h)
 	}
-	if err := d.respond(api.HeartbeatResponse{Cluster: "g4", Generation: 3, Predecessors: []string{"g", "g2", "g3"},
+	if err := d.handleResponse(api.HeartbeatResponse{Cluster: "g4", Generation: 3, Predecessors: []string{"g", "g2", "g3"},
 		Term:  1,
 		Index: 9}); err == nil {
 		t.Error("it follows another group of its own generation")
 	}
 }
 
-// TestPreparedByHash: a group that lost state gives the number of a version to another document. A version counts as
+// TestPreparedVersionMatchesHash: a group that lost state gives the number of a version to another document. A version counts as
 // prepared by its hash, not by its number; else the node would vote for, and activate, a document that the group does
 // not mean.
-func TestPreparedByHash(t *testing.T) {
+func TestPreparedVersionMatchesHash(t *testing.T) {
 	d := startAgent(t, nil, 0)
 	d.join(2, false)
 	told := func(hash string) {
 		t.Helper()
 		d.nextHeartbeat()
-		if err := d.respond(api.HeartbeatResponse{Cluster: "g", Term: 1, Index: 10, DecidedVersion: 2,
+		if err := d.handleResponse(api.HeartbeatResponse{Cluster: "g", Term: 1, Index: 10, DecidedVersion: 2,
 			CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"},
 			PrepareVersion:   api.VersionHash{Version: 3, Hash: hash}, LeaseID: 1, LeaseMS: 4000}); err != nil {
 			t.Fatal(err)
--- a/internal/node/agent/heartbeat.go
+++ b/internal/node/agent/heartbeat.go
@@ -83,8 +83,8 @@
 		seen.ActiveHash = v.active.Hash
 		request.LastSeen = &seen
 	}
-	if v.preparing.Version != 0 && v.has(v.preparing) {
-		request.PreparedVersion = v.preparing.Version
+	if v.proposed.Version != 0 && v.has(v.proposed) {
+		request.PreparedVersion = v.proposed.Version
 	}
 	if ok, reason := a.MayServe(now); !ok {
 		request.Fenced = reason
--- a/internal/node/agent/instances_test.go
+++ b/internal/node/agent/instances_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestFailOverTakesTheSoonest: an instance fails while another one was told apart as untrusted. The next request goes
+// TestFailOverPrefersEarliestContact: an instance fails while another one was told apart as untrusted. The next request goes
 // to the one that may be contacted soonest, and among equals to the next in the list.
-func TestFailOverTakesTheSoonest(t *testing.T) {
+func TestFailOverPrefersEarliestContact(t *testing.T) {
 	random := &jitter{seed: 1}
 	s := newInstances([]string{"a", "b", "c"}, random)
 	s.current = 0
@@ -22,9 +22,9 @@
 	}
 }
 
-// TestBackoffDoublesWithinItsBound: an instance goes on failing. Each wait is half its backoff at least and the whole
+// TestBackoffDoublesUpToMaximum: an instance goes on failing. Each wait is half its backoff at least and the whole
 // at most, the backoff doubles up to its bound, and a success ends it.
-func TestBackoffDoublesWithinItsBound(t *testing.T) {
+func TestBackoffDoublesUpToMaximum(t *testing.T) {
 	random := &jitter{seed: 3}
 	s, expected := newInstances([]string{"a"}, random), firstBackoff
 	for range 10 {
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestNoInstances: a node without a control service has nothing to send, and nothing breaks.
-func TestNoInstances(t *testing.T) {
+// TestNoControlAddresses: a node without a control service has nothing to send, and nothing breaks.
+func TestNoControlAddresses(t *testing.T) {
 	a := New(Config{Name: "n", JitterSeed: 1}, nil, 1000)
 	if _, _, due := a.Heartbeat(1000); due || a.ControlAddress() != "" {
 		t.Errorf("sends a heartbeat to %q", a.ControlAddress())
--- a/internal/node/agent/response.go
+++ b/internal/node/agent/response.go
@@ -49,7 +49,7 @@
 func (a *Agent) followNewGeneration() {
 	a.lease.id = 0
 	a.zone.fromEarlierGeneration = true
-	a.versions.preparing, a.versions.committed = api.VersionHash{}, api.VersionHash{}
+	a.versions.proposed, a.versions.committed = api.VersionHash{}, api.VersionHash{}
 	a.versions.rejected = rejection{}
 	a.incarnation++
 }
--- a/internal/node/agent/versions.go
+++ b/internal/node/agent/versions.go
@@ -9,7 +9,7 @@
 type versions struct {
 	min              uint64            // the latest decided one: the node serves under no older one
 	committed        api.VersionHash   // the latest one that may be activated
-	preparing        api.VersionHash   // the proposed one, to be fetched, checked and tried
+	proposed         api.VersionHash   // the proposed one, to be fetched, checked and tried
 	active           api.VersionHash   // the node serves under it; version 0: none
 	activeAutonomous bool              // the active version allows nodes to serve without a lease
 	prepared         map[uint64]string // hash by version
@@ -57,8 +57,8 @@
 	if r.CommittedVersion.Version >= v.committed.Version || downgradeAllowed {
 		v.committed = r.CommittedVersion
 	}
-	if v.preparing != r.PrepareVersion {
-		v.preparing = r.PrepareVersion
+	if v.proposed != r.PrepareVersion {
+		v.proposed = r.PrepareVersion
 		if v.rejected.version != r.PrepareVersion.Version {
 			v.rejected = rejection{}
 		}
@@ -83,8 +83,8 @@
 	if v.committed.Version > v.active.Version && !v.has(v.committed) && !refused {
 		return v.committed, true, true
 	}
-	if v.preparing.Version > v.active.Version && !v.has(v.preparing) && v.rejected.version != v.preparing.Version {
-		return v.preparing, false, true
+	if v.proposed.Version > v.active.Version && !v.has(v.proposed) && v.rejected.version != v.proposed.Version {
+		return v.proposed, false, true
 	}
 	return api.VersionHash{}, false, false
 }
@@ -150,7 +150,7 @@
 	}
 	v := &a.versions
 	for n := range v.prepared {
-		if n != v.active.Version && n != v.committed.Version && n != v.preparing.Version {
+		if n != v.active.Version && n != v.committed.Version && n != v.proposed.Version {
 			delete(v.prepared, n)
 		}
 	}
