--- a/internal/node/agent/instances_test.go
+++ b/internal/node/agent/instances_test.go
@@ -2,65 +2,64 @@
 
 import "testing"
 
-// TestFailOverPrefersEarliestContact: an instance fails while another one was told apart as untrusted. The next request goes
-// to the one that may be contacted soonest, and among equals to the next in the list.
+// TestFailOverPrefersEarliestContact guards against a fail-over to an instance that is backing off, such as one whose
+// response was untrusted, while another may be contacted.
 func TestFailOverPrefersEarliestContact(t *testing.T) {
 	random := &jitter{seed: 1}
 	s := newInstances([]string{"a", "b", "c"}, random)
 	s.current = 0
 	s.failOver(1000, untrustedBackoff, random)
 	if s.address() != "b" {
-		t.Fatalf("goes on at %s, expected the next in the list", s.address())
+		t.Fatalf("address() = %s, want b, the next in the list", s.address())
 	}
 	s.failOver(1000, 0, random)
 	if s.address() != "c" {
-		t.Fatalf("goes on at %s, expected the one that never failed", s.address())
+		t.Fatalf("address() = %s, want c, which never failed", s.address())
 	}
 	s.failOver(1000, 0, random)
 	if s.address() == "a" {
-		t.Error("goes on at the one that is to be left alone for longest")
+		t.Error("address() = a, want another than the one with the longest backoff")
 	}
 }
 
-// TestBackoffDoublesUpToMaximum: an instance goes on failing. Each wait is half its backoff at least and the whole
-// at most, the backoff doubles up to its bound, and a success ends it.
+// TestBackoffDoublesUpToMaximum guards against a backoff that doesn't double up to its maximum, isn't jittered from
+// half of it, or isn't reset by a success.
 func TestBackoffDoublesUpToMaximum(t *testing.T) {
 	random := &jitter{seed: 3}
-	s, expected := newInstances([]string{"a"}, random), firstBackoff
+	s, want := newInstances([]string{"a"}, random), firstBackoff
 	for range 10 {
 		s.failOver(0, 0, random)
-		if s.list[0].backoff != expected {
-			t.Fatalf("backoff of %d ms, expected %d", s.list[0].backoff, expected)
+		if s.list[0].backoff != want {
+			t.Fatalf("backoff = %d ms, want %d", s.list[0].backoff, want)
 		}
-		if wait := s.notBefore(); wait < expected/2 || wait > expected {
-			t.Errorf("waits %d ms, expected %d to %d", wait, expected/2, expected)
+		if wait := s.notBefore(); wait < want/2 || wait > want {
+			t.Errorf("notBefore() = %d ms, want %d to %d", wait, want/2, want)
 		}
-		expected = min(2*expected, maxBackoff)
+		want = min(2*want, maxBackoff)
 	}
 	if s.resetBackoff(); s.list[0].backoff != 0 || s.notBefore() != 0 {
-		t.Errorf("after a success it still waits: %+v", s.list[0])
+		t.Errorf("after a success: %+v, want no backoff", s.list[0])
 	}
 }
 
-// TestNoControlAddresses: a node without a control service has nothing to send, and nothing breaks.
+// TestNoControlAddresses guards against heartbeats, or a panic, of a node without a control service.
 func TestNoControlAddresses(t *testing.T) {
 	a := New(Config{Name: "n", JitterSeed: 1}, nil, 1000)
 	if _, _, due := a.Heartbeat(1000); due || a.ControlAddress() != "" {
-		t.Errorf("sends a heartbeat to %q", a.ControlAddress())
+		t.Errorf("heartbeat due = %v, ControlAddress() = %q, want none", due, a.ControlAddress())
 	}
 	if at := a.NextHeartbeat(); at != 1000 {
-		t.Errorf("next heartbeat at %d, expected its start", at)
+		t.Errorf("NextHeartbeat() = %d, want 1000, the start", at)
 	}
 }
 
-// TestHeartbeatTimeout: a quarter of the lease within its bounds, so that a lost heartbeat never costs the lease by
-// itself.
+// TestHeartbeatTimeout guards against a timeout outside its bounds, or so long that a lost heartbeat costs the lease.
 func TestHeartbeatTimeout(t *testing.T) {
-	for _, c := range []struct{ lease, timeout Milliseconds }{{0, heartbeatTimeout}, {1000, minHeartbeatTimeout},
+	for _, c := range []struct{ lease, want Milliseconds }{{0, heartbeatTimeout}, {1000, minHeartbeatTimeout},
 		{4000, 1000}, {60_000, heartbeatTimeout}} {
 		a := New(Config{JitterSeed: 1}, nil, 0)
-		if a.lease.duration = c.lease; a.HeartbeatTimeout() != c.timeout {
-			t.Errorf("lease of %d ms: timeout of %d, expected %d", c.lease, a.HeartbeatTimeout(), c.timeout)
+		if a.lease.duration = c.lease; a.HeartbeatTimeout() != c.want {
+			t.Errorf("HeartbeatTimeout() for a lease of %d ms = %d, want %d", c.lease, a.HeartbeatTimeout(), c.want)
 		}
 	}
 }
