--- a/internal/node/agent/heartbeat.go
+++ b/internal/node/agent/heartbeat.go
@@ -15,10 +15,10 @@
 	minHeartbeatTimeout Milliseconds = 800
 )
 
-// jitterDivisor of the heartbeat interval is the bound of its jitter, so that nodes that start together spread out.
+// The maximum jitter is the heartbeat interval divided by jitterDivisor. It spreads nodes that start together.
 const jitterDivisor = 8
 
-// leaseTimeoutDivisor of the lease gives the heartbeat timeout, within its bounds.
+// The heartbeat timeout is the lease duration divided by leaseTimeoutDivisor, within its bounds.
 const leaseTimeoutDivisor = 4
 
 // heartbeat is the state of the heartbeats to the control service: at most one request is in flight.
@@ -112,8 +112,8 @@
 	}
 }
 
-// failOver switches to another instance and schedules the next heartbeat for as soon as that one may be contacted. The
-// current one isn't contacted for about minBackoff.
+// failOver backs off from the current instance (see instances.failOver) and schedules the next heartbeat to another one
+// for as soon as that may be contacted.
 func (a *Agent) failOver(now, minBackoff Milliseconds) {
 	a.instances.failOver(now, minBackoff, &a.jitter)
 	a.heartbeat.nextAt = now
--- a/internal/node/agent/instances.go
+++ b/internal/node/agent/instances.go
@@ -57,7 +57,7 @@
 
 // failOver backs off from the current instance, which failed or whose response was rejected, and switches to the one
 // that may be contacted soonest, the next in the list among equals. The backoff doubles with each failure and is at
-// least minBackoff; half of it is random, so that nodes don't contact a recovered control service all at once.
+// least minBackoff. Half of it is random, so that nodes don't contact a recovered control service all at once.
 func (s *instances) failOver(now, minBackoff Milliseconds, random *jitter) {
 	failed := &s.list[s.current]
 	failed.backoff = min(max(2*failed.backoff, firstBackoff), maxBackoff)
--- a/internal/node/agent/lease.go
+++ b/internal/node/agent/lease.go
@@ -2,8 +2,8 @@
 
 import "umberwinch/internal/control/api"
 
-// leaseRenewalDivisor of the lease's duration gives the time after which it is renewed, so that the lease outlasts a
-// few lost heartbeats. Each renewal costs the group an entry of its log.
+// A lease is renewed after its duration divided by leaseRenewalDivisor, so that it outlasts a few lost heartbeats. Each
+// renewal costs the group an entry of its log.
 const leaseRenewalDivisor = 4
 
 // lease is the node's lease from the group. The node may serve while it runs.
--- a/internal/node/pools/canstart.go
+++ b/internal/node/pools/canstart.go
@@ -1,7 +1,7 @@
 package pools
 
-// ownerLimitDivisor of a limited class's limit gives the slots that one tenant, or one bucket of callers, may hold
-// while others of the class wait.
+// One tenant, or one bucket of callers, may hold the limit of its class divided by ownerLimitDivisor while others of
+// the class wait.
 const ownerLimitDivisor = 2
 
 // CanStart reports whether a queued request may take a run slot now. A class over its limit may start requests while
--- a/internal/node/pools/doc.go
+++ b/internal/node/pools/doc.go
@@ -5,7 +5,7 @@
 // admission.Pools: package admission reports arrivals, starts, calls, ends and the time, and asks before each start.
 // Times and work are in tenths of a millisecond, limits in run slots.
 //
-// Limits bind only while some class wants more than its fair share of the slots and another is starved, or where
+// Limits bind only while some class needs more than its fair share of the slots and another is starved, or where
 // the operator fixed them. A class may exceed a limit that isn't fixed while no class under its limit is waiting, so
 // that no slot idles.
 //
--- a/internal/node/pools/heavy.go
+++ b/internal/node/pools/heavy.go
@@ -4,9 +4,9 @@
 	// heavyWorkFactor is the multiple of its class's median work from which a run is heavy. With exponentially
 	// distributed work fewer than one run in thirty is.
 	heavyWorkFactor = 5
-	// heavyFraction of the run slots is for heavy runs of all classes.
+	// heavyFraction is the heavy slots, shared by all classes, as a fraction of the run slots.
 	heavyFraction = 0.2
-	// heavyTenantDivisor of the heavy slots gives one tenant's maximum, if there are several tenants.
+	// One tenant may hold the heavy slots divided by heavyTenantDivisor, if there are several tenants.
 	heavyTenantDivisor = 2
 )
 
--- a/internal/node/zonegate/gate.go
+++ b/internal/node/zonegate/gate.go
@@ -20,8 +20,8 @@
 	retryBudgets []retryBudget // by handler
 	growth       shareGrowth
 
-	autonomousSince uint64 // when the node began to adjust its share by itself; 0: it follows the control service
-	adjustedAt      uint64 // when it last did so
+	autonomousSince uint64 // when the node began to adjust its share without the control service; 0: it follows orders
+	adjustedAt      uint64 // when it last adjusted its share
 }
 
 // NewGate returns a gate that admits everything until it has an order. The seed differs between nodes and spreads the
--- a/internal/node/zonegate/limits.go
+++ b/internal/node/zonegate/limits.go
@@ -3,8 +3,8 @@
 import "umberwinch/internal/control/api"
 
 const (
-	// burstDivisor of a second's tokens gives the burst: larger than the interval between a node's rounds, and a rate
-	// that is uneven by that much doesn't overload a dependency that is warming up.
+	// The burst is a second's tokens divided by burstDivisor: longer than the interval between a node's rounds, and
+	// small enough for a dependency that is warming up.
 	burstDivisor = 5
 
 	// minBurst is the smallest burst, in tokens: a bucket that holds less than one never admits anything.
