--- a/internal/node/resultstore/bench_test.go
+++ b/internal/node/resultstore/bench_test.go
@@ -12,7 +12,7 @@
 // benchKeys is the size at which the index is measured.
 const benchKeys = 1_000_000
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -22,61 +22,61 @@
 // BenchmarkIndex: bytes a key and a look-up's time, of the table and of Go's map with the same entries.
 func BenchmarkIndex(b *testing.B) {
 	b.Run("table", func(b *testing.B) {
-		before := heap()
+		before := heapBytes()
 		t := newTable(benchKeys)
 		for i := range benchKeys {
-			*t.insert(key(i)) = entry{key: key(i), state: Completed}
+			*t.insert(testKey(i)) = entry{key: testKey(i), state: Completed}
 		}
-		each := float64(heap()-before) / benchKeys
+		bytesPerKey := float64(heapBytes()-before) / benchKeys
 		b.ResetTimer()
 		for i := 0; i < b.N; i++ {
-			if t.find(key(i%benchKeys)) == nil {
+			if t.find(testKey(i%benchKeys)) == nil {
 				b.Fatal("not there")
 			}
 		}
-		b.ReportMetric(each, "bytes/key")
+		b.ReportMetric(bytesPerKey, "bytes/key")
 	})
 	b.Run("map", func(b *testing.B) {
-		before := heap()
+		before := heapBytes()
 		m := map[Key]entry{}
 		for i := range benchKeys {
-			m[key(i)] = entry{state: Completed}
+			m[testKey(i)] = entry{state: Completed}
 		}
-		each := float64(heap()-before) / benchKeys
+		bytesPerKey := float64(heapBytes()-before) / benchKeys
 		b.ResetTimer()
 		for i := 0; i < b.N; i++ {
-			if m[key(i%benchKeys)].state != Completed {
+			if m[testKey(i%benchKeys)].state != Completed {
 				b.Fatal("not there")
 			}
 		}
-		b.ReportMetric(each, "bytes/key")
+		b.ReportMetric(bytesPerKey, "bytes/key")
 	})
 }
 
 // BenchmarkExpire is the longest that one step of letting go takes, with all keys going: of a pass over the slots,
 // and of a wheel of buckets by the end of the window, which needs the keys once more.
 func BenchmarkExpire(b *testing.B) {
-	full := func() *Index {
-		book := NewIndex(Limits{Keys: benchKeys, Bytes: 1 << 40, ResultBytes: 0})
+	filledIndex := func() *Index {
+		index := NewIndex(Limits{Keys: benchKeys, Bytes: 1 << 40, ResultBytes: 0})
 		for k := range benchKeys {
-			r := book.Begin(0, key(k), 1, 10)
-			book.MarkDurable(&r, uint64(k+1))
-			book.MarkExecuted(0, key(k), false, nil)
-			book.MarkDurable(&Record{Kind: Failure, Key: key(k)}, uint64(k+1))
+			r := index.Begin(0, testKey(k), 1, 10)
+			index.MarkDurable(&r, uint64(k+1))
+			index.MarkExecuted(0, testKey(k), false, nil)
+			index.MarkDurable(&Record{Kind: Failure, Key: testKey(k)}, uint64(k+1))
 		}
 		runtime.GC()
-		return book
+		return index
 	}
 	b.Run("pass", func(b *testing.B) {
 		for i := 0; i < b.N; i++ {
 			b.StopTimer()
-			book := full()
+			index := filledIndex()
 			b.StartTimer()
 			worst := time.Duration(0)
-			for book.Len() > 0 {
-				began := time.Now()
-				book.Expire(100, benchKeys+1)
-				worst = max(worst, time.Since(began))
+			for index.Len() > 0 {
+				start := time.Now()
+				index.Expire(100, benchKeys+1)
+				worst = max(worst, time.Since(start))
 			}
 			b.ReportMetric(float64(worst.Microseconds()), "us-worst")
 		}
@@ -84,26 +84,26 @@
 	b.Run("wheel", func(b *testing.B) {
 		for i := 0; i < b.N; i++ {
 			b.StopTimer()
-			book, before := full(), heap()
+			index, before := filledIndex(), heapBytes()
 			wheel := make([][]Key, 256) // a window's 256th each
 			for k := range benchKeys {
 				at := k * len(wheel) / benchKeys
-				wheel[at] = append(wheel[at], key(k))
+				wheel[at] = append(wheel[at], testKey(k))
 			}
-			each := float64(heap()-before) / benchKeys
+			bytesPerKey := float64(heapBytes()-before) / benchKeys
 			b.StartTimer()
 			worst := time.Duration(0)
 			for _, keys := range wheel {
-				began := time.Now()
+				start := time.Now()
 				for _, k := range keys {
-					if e := book.table.find(k); e != nil && !book.isLive(100, e) {
-						book.remove(e)
+					if e := index.table.find(k); e != nil && !index.isLive(100, e) {
+						index.remove(e)
 					}
 				}
-				worst = max(worst, time.Since(began))
+				worst = max(worst, time.Since(start))
 			}
 			b.ReportMetric(float64(worst.Microseconds()), "us-worst")
-			b.ReportMetric(each, "more-bytes/key")
+			b.ReportMetric(bytesPerKey, "more-bytes/key")
 		}
 	})
 }
@@ -116,39 +116,39 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			sizes, room := wal.Sizes{SegmentBytes: 64 << 20, MaxBytes: 1 << 40},
+			sizes, limits := wal.Sizes{SegmentBytes: 64 << 20, MaxBytes: 1 << 40},
 				Limits{Keys: benchKeys, Bytes: 1 << 40, ResultBytes: 256}
-			s, _, _, err := Open(dir, sizes, room, 0, "boot")
+			s, _, _, err := Open(dir, sizes, limits, 0, "boot")
 			if err != nil {
 				b.Fatal(err)
 			}
 			done := make(chan error, maxQueue)
-			for i, out := 0, 0; i < 2*n || out > 0; { // an intent and a result each
-				r := Record{Kind: Intent, Key: key(i / 2), BodyDigest: 1, Window: 1000}
+			for i, inFlight := 0, 0; i < 2*n || inFlight > 0; { // an intent and a result each
+				r := Record{Kind: Intent, Key: testKey(i / 2), BodyDigest: 1, Window: 1000}
 				if i%2 == 1 {
 					r.Kind, r.Result = Result, make([]byte, 100)
 				}
-				if i < 2*n && out < maxQueue/2 && s.Append(r, func(_ uint64, err error) { done <- err }) {
-					i, out = i+1, out+1
+				if i < 2*n && inFlight < maxQueue/2 && s.Append(r, func(_ uint64, err error) { done <- err }) {
+					i, inFlight = i+1, inFlight+1
 					continue
 				}
 				if err := <-done; err != nil {
 					b.Fatal(err)
 				}
-				out--
+				inFlight--
 			}
 			s.Close()
-			before := heap()
+			before := heapBytes()
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
-				s, book, o, err := Open(dir, sizes, room, 0, "boot")
-				if err != nil || book.Len() != n {
-					b.Fatal(err, book.Len())
+				s, index, recovery, err := Open(dir, sizes, limits, 0, "boot")
+				if err != nil || index.Len() != n {
+					b.Fatal(err, index.Len())
 				}
-				b.ReportMetric(float64(o.Duration.Milliseconds()), "ms")
+				b.ReportMetric(float64(recovery.Duration.Milliseconds()), "ms")
 				b.StopTimer()
-				b.ReportMetric(float64(heap()-before)/float64(n), "bytes/key")
-				runtime.KeepAlive(book)
+				b.ReportMetric(float64(heapBytes()-before)/float64(n), "bytes/key")
+				runtime.KeepAlive(index)
 				s.Close()
 				b.StartTimer()
 			}
--- a/internal/node/resultstore/decide.go
+++ b/internal/node/resultstore/decide.go
@@ -8,10 +8,10 @@
 // there is none. Another body under the same key is rejected: for good once one of the two has run, to be retried
 // while that is open. Reason: callers retry what they got no answer for, and a repeat that ran would do its work
 // twice. An Indeterminate key costs its caller the rest of the window; the alternative is a second run.
-func (b *Index) Decide(now Milliseconds, k Key, bodyDigest uint64) (v Verdict, position uint64) {
-	e := b.table.find(k)
-	if e == nil || !b.isLive(now, e) {
-		if !b.hasCapacity(e != nil) {
+func (x *Index) Decide(now Milliseconds, k Key, bodyDigest uint64) (v Verdict, position uint64) {
+	e := x.table.find(k)
+	if e == nil || !x.isLive(now, e) {
+		if !x.hasCapacity(e != nil) {
 			return RejectFull, 0
 		}
 		return Execute, 0
@@ -24,7 +24,7 @@
 	case e.state == Completed:
 		return ReturnResult, e.position
 	case e.state == Failed, e.state == Indeterminate:
-		b.ErrorsReturned++
+		x.ErrorsReturned++
 		return ReturnError, 0
 	}
 	return WaitForResult, 0
@@ -33,6 +33,6 @@
 // hasCapacity decides whether one more run fits, whatever it leaves: a slot in the index, unless the key has one, and
 // the bytes of its intent and the largest result. Guards against a run that is let in and whose result can't be
 // stored, which would make its key Indeterminate.
-func (b *Index) hasCapacity(known bool) bool {
-	return (known || b.table.count < b.limits.Keys) && b.BytesUsed()+b.limits.runBytes() <= b.limits.Bytes
+func (x *Index) hasCapacity(known bool) bool {
+	return (known || x.table.count < x.limits.Keys) && x.BytesUsed()+x.limits.runBytes() <= x.limits.Bytes
 }
--- a/internal/node/resultstore/expire.go
+++ b/internal/node/resultstore/expire.go
@@ -12,41 +12,41 @@
 }
 
 // ExpireSteps is how many calls of Expire go through all keys once.
-func (b *Index) ExpireSteps() int { return (len(b.table.slots) + slotsPerExpire - 1) / slotsPerExpire }
+func (x *Index) ExpireSteps() int { return (len(x.table.slots) + slotsPerExpire - 1) / slotsPerExpire }
 
 // Expire removes some keys whose window is over. Once it has gone through all keys it gives the first position of the
 // log that is still needed, else 0. next is the position that the log's next record gets. It is called often and does
 // little.
-func (b *Index) Expire(now Milliseconds, next uint64) (removed int, firstNeeded uint64) {
-	p := &b.pass
-	if p.slot == 0 || p.slots != len(b.table.slots) { // a table that grew has its keys elsewhere: the pass begins anew
-		*p = expiryPass{slots: len(b.table.slots), firstNeeded: next} // records from here on stand behind that
-		b.table.minMovedPosition = notInLog
+func (x *Index) Expire(now Milliseconds, next uint64) (removed int, firstNeeded uint64) {
+	p := &x.pass
+	if p.slot == 0 || p.slots != len(x.table.slots) { // a table that grew has its keys elsewhere: the pass begins anew
+		*p = expiryPass{slots: len(x.table.slots), firstNeeded: next} // records from here on stand behind that
+		x.table.minMovedPosition = notInLog
 	}
 	for end := min(p.slot+slotsPerExpire, p.slots); p.slot < end; p.slot++ {
-		removed += b.expireSlot(now)
+		removed += x.expireSlot(now)
 	}
 	if p.slot < p.slots {
 		return removed, 0
 	}
 	p.slot = 0
-	if now < b.lossSuspicionEnd {
-		p.firstNeeded = min(p.firstNeeded, b.lossPosition)
+	if now < x.lossSuspicionEnd {
+		p.firstNeeded = min(p.firstNeeded, x.lossPosition)
 	}
 	// Guards against a key that moved behind the pass as others were removed, and that the pass has not seen: its
 	// result would be deleted inside its window. The table keeps the least position of those that moved.
-	return removed, min(p.firstNeeded, b.table.minMovedPosition)
+	return removed, min(p.firstNeeded, x.table.minMovedPosition)
 }
 
 // expireSlot removes what is over at the slot of the pass, and notes the position that a key there needs.
-func (b *Index) expireSlot(now Milliseconds) (removed int) {
-	e := &b.table.slots[b.pass.slot]
+func (x *Index) expireSlot(now Milliseconds) (removed int) {
+	e := &x.table.slots[x.pass.slot]
 	for e.state != Unknown {
-		if b.isLive(now, e) {
-			b.pass.firstNeeded = min(b.pass.firstNeeded, e.position)
+		if x.isLive(now, e) {
+			x.pass.firstNeeded = min(x.pass.firstNeeded, e.position)
 			return removed
 		}
-		b.remove(e) // another key may move into the slot
+		x.remove(e) // another key may move into the slot
 		removed++
 	}
 	return removed
--- a/internal/node/resultstore/index.go
+++ b/internal/node/resultstore/index.go
@@ -31,14 +31,14 @@
 }
 
 // Len gives the number of keys.
-func (b *Index) Len() int { return b.table.count }
+func (x *Index) Len() int { return x.table.count }
 
 // BytesUsed gives the bytes that the records of known keys have on disk, and what is reserved for runs in flight.
-func (b *Index) BytesUsed() int64 { return b.usedBytes + b.reservedBytes }
+func (x *Index) BytesUsed() int64 { return x.usedBytes + x.reservedBytes }
 
 // Lookup tells what is known of a key at now.
-func (b *Index) Lookup(now Milliseconds, k Key) State {
-	if e := b.table.find(k); e != nil && b.isLive(now, e) {
+func (x *Index) Lookup(now Milliseconds, k Key) State {
+	if e := x.table.find(k); e != nil && x.isLive(now, e) {
 		return e.state
 	}
 	return Unknown
@@ -46,21 +46,21 @@
 
 // ForEach goes through all keys that count, in no particular order; left is what is left of their windows, 0 while
 // one is in flight past its window.
-func (b *Index) ForEach(now Milliseconds, f func(k Key, s State, left Milliseconds)) {
-	for i := range b.table.slots {
-		if e := &b.table.slots[i]; e.state != Unknown && b.isLive(now, e) {
+func (x *Index) ForEach(now Milliseconds, f func(k Key, s State, remaining Milliseconds)) {
+	for i := range x.table.slots {
+		if e := &x.table.slots[i]; e.state != Unknown && x.isLive(now, e) {
 			f(e.key, e.state, e.expiresAt-min(e.expiresAt, now))
 		}
 	}
 }
 
 // isLive tells whether a key counts: its window is not over, or it is in flight.
-func (b *Index) isLive(now Milliseconds, e *entry) bool {
+func (x *Index) isLive(now Milliseconds, e *entry) bool {
 	return now < e.expiresAt || e.state.inFlight()
 }
 
 // remove forgets a key.
-func (b *Index) remove(e *entry) {
-	b.usedBytes -= e.onDisk()
-	b.table.remove(e.key)
+func (x *Index) remove(e *entry) {
+	x.usedBytes -= e.recordBytes()
+	x.table.remove(e.key)
 }
--- a/internal/node/resultstore/offline.go
+++ b/internal/node/resultstore/offline.go
@@ -10,24 +10,24 @@
 // bytes on disk. It changes nothing but a tail that was never synced, which is cut off.
 func Inspect(fs wal.FS, sizes wal.Sizes, limits Limits, now Milliseconds, bootID string) (*Index, Recovery, int64,
 	error) {
-	log, index, found, err := load(fs, sizes, limits, now, bootID)
+	log, index, recovery, err := load(fs, sizes, limits, now, bootID)
 	if err != nil {
-		return nil, found, 0, err
+		return nil, recovery, 0, err
 	}
 	usage := log.DiskBytes()
-	return index, found, usage, log.Close()
+	return index, recovery, usage, log.Close()
 }
 
 // Compact deletes what is over in a folder that no node uses, as a node does while it serves: whole segments, from the
 // front. It gives the bytes on disk before and after.
 func Compact(fs wal.FS, sizes wal.Sizes, limits Limits, now Milliseconds, bootID string) (before, after int64,
 	err error) {
-	log, index, found, err := load(fs, sizes, limits, now, bootID)
+	log, index, recovery, err := load(fs, sizes, limits, now, bootID)
 	if err != nil {
 		return 0, 0, err
 	}
 	before = log.DiskBytes()
-	if found.SameBoot { // in another boot each window has only just begun
+	if recovery.SameBoot { // in another boot each window has only just begun
 		firstNeeded := uint64(0)
 		for firstNeeded == 0 {
 			_, firstNeeded = index.Expire(now, log.Next())
--- a/internal/node/resultstore/open.go
+++ b/internal/node/resultstore/open.go
@@ -26,57 +26,57 @@
 // where the folder has another, the times in it mean nothing here. A damaged log is salvaged. It waits for the disk.
 func Open(fs wal.FS, sizes wal.Sizes, limits Limits, now Milliseconds, bootID string) (*Store, *Index, Recovery,
 	error) {
-	log, index, found, err := openOrSalvage(fs, sizes, limits, now, bootID)
+	log, index, recovery, err := openOrSalvage(fs, sizes, limits, now, bootID)
 	if err != nil {
-		return nil, nil, found, err
+		return nil, nil, recovery, err
 	}
-	if !found.SameBoot {
-		first := Record{Kind: ClockChange, At: now}
-		if _, err = log.Commit(wal.Batch{Entries: [][]byte{first.Append(nil)},
+	if !recovery.SameBoot {
+		clockChange := Record{Kind: ClockChange, At: now}
+		if _, err = log.Commit(wal.Batch{Entries: [][]byte{clockChange.Append(nil)},
 			Marks: []wal.Mark{{Kind: bootMark, Data: []byte(bootID)}}}); err != nil {
-			return nil, nil, found, errors.Join(err, log.Close())
+			return nil, nil, recovery, errors.Join(err, log.Close())
 		}
 	}
-	return newStore(fs, sizes, bootID, log), index, found, nil
+	return newStore(fs, sizes, bootID, log), index, recovery, nil
 }
 
 // load reads a folder's log into an index.
 func load(fs wal.FS, sizes wal.Sizes, limits Limits, now Milliseconds, bootID string) (*wal.Log, *Index, Recovery,
 	error) {
-	var found Recovery
+	var recovery Recovery
 	if err := limits.Validate(); err != nil {
-		return nil, nil, found, err
+		return nil, nil, recovery, err
 	}
-	began := time.Now()
+	start := time.Now()
 	if unfinished, err := wal.SalvageStarted(fs); err != nil || unfinished {
-		return nil, nil, found, errors.Join(err, ErrSalvageUnfinished)
+		return nil, nil, recovery, errors.Join(err, ErrSalvageUnfinished)
 	}
-	log, opened, err := wal.Open(fs, sizes)
+	log, repair, err := wal.Open(fs, sizes)
 	if err != nil {
-		return nil, nil, found, err
+		return nil, nil, recovery, err
 	}
-	found.SameBoot, found.TornTail = string(log.Mark(bootMark)) == bootID, opened.TornAt
+	recovery.SameBoot, recovery.TornTail = string(log.Mark(bootMark)) == bootID, repair.TornAt
 	index := NewIndex(limits)
-	if found.Records, err = index.replayLog(log); err != nil {
-		return nil, nil, found, errors.Join(err, log.Close())
+	if recovery.Records, err = index.replayLog(log); err != nil {
+		return nil, nil, recovery, errors.Join(err, log.Close())
 	}
-	index.FinishReplay(now, found.SameBoot)
+	index.FinishReplay(now, recovery.SameBoot)
 	index.ForEach(now, func(_ Key, state State, _ Milliseconds) {
-		if found.Keys++; state == Indeterminate {
-			found.Indeterminate++
+		if recovery.Keys++; state == Indeterminate {
+			recovery.Indeterminate++
 		}
 	})
-	found.Duration = time.Since(began)
-	return log, index, found, nil
+	recovery.Duration = time.Since(start)
+	return log, index, recovery, nil
 }
 
 // replayLog takes all records of a log, and counts them.
-func (b *Index) replayLog(log *wal.Log) (records int, err error) {
+func (x *Index) replayLog(log *wal.Log) (records int, err error) {
 	err = log.ForEach(func(position uint64, data []byte) error {
 		r, err := ParseRecord(data)
 		if err == nil {
 			records++
-			err = b.Replay(&r, position)
+			err = x.Replay(&r, position)
 		}
 		if err != nil {
 			return fmt.Errorf("entry %d: %w", position, err)
--- a/internal/node/resultstore/pin_stored_test.go
+++ b/internal/node/resultstore/pin_stored_test.go
@@ -15,29 +15,29 @@
 
 // A folder as version 2a0a97e wrote it lies in testdata/folder: results, an error, a key that did not run after all,
 // and intents of runs that a kill ended. It stays byte for byte.
-const pinnedFolder = "testdata/folder"
+const fixtureFolder = "testdata/folder"
 
 var (
-	pinnedSizes  = wal.Sizes{SegmentBytes: 1024, MaxBytes: 1 << 20}
-	pinnedBounds = Limits{Keys: 64, Bytes: 1 << 18, ResultBytes: 128, LongestWindow: 60_000}
+	fixtureSizes  = wal.Sizes{SegmentBytes: 1024, MaxBytes: 1 << 20}
+	fixtureLimits = Limits{Keys: 64, Bytes: 1 << 18, ResultBytes: 128, LongestWindow: 60_000}
 )
 
 const (
-	pinnedBoot = "pinned boot"
-	pinnedNow  = uint64(10_000)
+	fixtureBootID = "pinned boot"
+	fixtureNow    = uint64(10_000)
 )
 
-// pinnedWrites writes the fixed state, one record a sync.
-func pinnedWrites(t *testing.T, folder string) {
+// writeFixture writes the fixed state, one record a sync.
+func writeFixture(t *testing.T, folder string) {
 	t.Helper()
-	s, b, _, err := Open(wal.Dir(folder), pinnedSizes, pinnedBounds, pinnedNow, pinnedBoot)
+	s, index, _, err := Open(wal.Dir(folder), fixtureSizes, fixtureLimits, fixtureNow, fixtureBootID)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.SyncEachRecord = true
-	put := func(r Record) {
+	appendRecord := func(r Record) {
 		done := make(chan error, 1)
-		if !s.Append(r, func(place uint64, err error) { b.MarkDurable(&r, place); done <- err }) {
+		if !s.Append(r, func(position uint64, err error) { index.MarkDurable(&r, position); done <- err }) {
 			t.Fatal("the queue is full")
 		}
 		if err := <-done; err != nil {
@@ -45,19 +45,19 @@
 		}
 	}
 	for k := range 24 {
-		now := pinnedNow + uint64(k)*100
-		put(b.Begin(now, key(k), uint64(1000+k), 60_000+uint64(k)))
+		now := fixtureNow + uint64(k)*100
+		appendRecord(index.Begin(now, testKey(k), uint64(1000+k), 60_000+uint64(k)))
 		switch k % 6 {
 		case 3: // killed while it ran
 		case 4:
-			r, _ := b.MarkExecuted(now+10, key(k), false, nil)
-			put(r)
+			r, _ := index.MarkExecuted(now+10, testKey(k), false, nil)
+			appendRecord(r)
 		case 5:
-			r, _ := b.MarkNotExecuted(now+10, key(k))
-			put(r)
+			r, _ := index.MarkNotExecuted(now+10, testKey(k))
+			appendRecord(r)
 		default:
-			r, _ := b.MarkExecuted(now+10, key(k), true, bytes.Repeat([]byte(fmt.Sprint("result ", k, " ")), 1+k%4))
-			put(r)
+			r, _ := index.MarkExecuted(now+10, testKey(k), true, bytes.Repeat([]byte(fmt.Sprint("result ", k, " ")), 1+k%4))
+			appendRecord(r)
 		}
 	}
 	if err := s.Close(); err != nil {
@@ -65,8 +65,8 @@
 	}
 }
 
-// pinnedFiles gives a folder's files but for the lock, which is empty.
-func pinnedFiles(t *testing.T, folder string) map[string][]byte {
+// folderFiles gives a folder's files but for the lock, which is empty.
+func folderFiles(t *testing.T, folder string) map[string][]byte {
 	t.Helper()
 	names, err := os.ReadDir(folder)
 	if err != nil {
@@ -85,11 +85,11 @@
 	return out
 }
 
-// pinnedCopy gives a copy of the folder, with one file changed if change is not nil.
-func pinnedCopy(t *testing.T, change func(name string, raw []byte) []byte) string {
+// copyFixture gives a copy of the folder, with one file changed if change is not nil.
+func copyFixture(t *testing.T, change func(name string, raw []byte) []byte) string {
 	t.Helper()
 	to := t.TempDir()
-	for name, raw := range pinnedFiles(t, pinnedFolder) {
+	for name, raw := range folderFiles(t, fixtureFolder) {
 		if change != nil {
 			raw = change(name, raw)
 		}
@@ -100,27 +100,29 @@
 	return to
 }
 
-// pinnedState is what is known of each key, a line a key.
-func pinnedState(b *Index, now uint64) string {
+// describeIndex is what is known of each key, a line a key.
+func describeIndex(index *Index, now uint64) string {
 	var lines []string
-	b.ForEach(now, func(k Key, s State, left uint64) { lines = append(lines, fmt.Sprintf("%x %d %d\n", k, s, left)) })
+	index.ForEach(now, func(k Key, s State, remaining uint64) {
+		lines = append(lines, fmt.Sprintf("%x %d %d\n", k, s, remaining))
+	})
 	slices.Sort(lines)
 	return strings.Join(lines, "")
 }
 
-// TestPinnedWrites: the fixed state is written to the same bytes. With PIN_WRITE set it writes the folder, for
+// TestStoredFilesAreStable: the fixed state is written to the same bytes. With PIN_WRITE set it writes the folder, for
 // version 2a0a97e.
-func TestPinnedWrites(t *testing.T) {
+func TestStoredFilesAreStable(t *testing.T) {
 	if os.Getenv("PIN_WRITE") != "" {
-		if err := os.MkdirAll(pinnedFolder, 0o755); err != nil {
+		if err := os.MkdirAll(fixtureFolder, 0o755); err != nil {
 			t.Fatal(err)
 		}
-		pinnedWrites(t, pinnedFolder)
+		writeFixture(t, fixtureFolder)
 		return
 	}
 	folder := t.TempDir()
-	pinnedWrites(t, folder)
-	got, want := pinnedFiles(t, folder), pinnedFiles(t, pinnedFolder)
+	writeFixture(t, folder)
+	got, want := folderFiles(t, folder), folderFiles(t, fixtureFolder)
 	if len(got) != len(want) || len(want) < 3 {
 		t.Fatalf("%d files, expected %d, and three at least", len(got), len(want))
 	}
@@ -131,55 +133,55 @@
 	}
 }
 
-// TestPinnedReads: the folder is read to the state that it had, in the same boot and in another.
-func TestPinnedReads(t *testing.T) {
-	for _, boot := range []string{pinnedBoot, "another boot"} {
-		now := pinnedNow + 3000
-		if boot != pinnedBoot {
+// TestStoredFilesReadBack: the folder is read to the state that it had, in the same boot and in another.
+func TestStoredFilesReadBack(t *testing.T) {
+	for _, boot := range []string{fixtureBootID, "another boot"} {
+		now := fixtureNow + 3000
+		if boot != fixtureBootID {
 			now = 40
 		}
-		folder := pinnedCopy(t, nil)
-		s, b, found, err := Open(wal.Dir(folder), pinnedSizes, pinnedBounds, now, boot)
+		folder := copyFixture(t, nil)
+		s, index, recovery, err := Open(wal.Dir(folder), fixtureSizes, fixtureLimits, now, boot)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if found.Records != 45 || found.Keys != 20 || found.Indeterminate != 4 ||
-			found.SameBoot != (boot == pinnedBoot) || found.TornTail != "" || found.Gaps != 0 {
-			t.Errorf("%s: found %+v", boot, found)
+		if recovery.Records != 45 || recovery.Keys != 20 || recovery.Indeterminate != 4 ||
+			recovery.SameBoot != (boot == fixtureBootID) || recovery.TornTail != "" || recovery.Gaps != 0 {
+			t.Errorf("%s: found %+v", boot, recovery)
 		}
 		var want []string
-		last := pinnedNow + 23*100 + 10
+		lastRecordAt := fixtureNow + 23*100 + 10
 		for k := range 24 {
-			began := pinnedNow + uint64(k)*100
-			until, state := began+10+60_000+uint64(k), Completed
+			intentAt := fixtureNow + uint64(k)*100
+			expiresAt, state := intentAt+10+60_000+uint64(k), Completed
 			switch k % 6 {
 			case 3:
-				until, state = began+60_000+uint64(k), Indeterminate
+				expiresAt, state = intentAt+60_000+uint64(k), Indeterminate
 			case 4:
 				state = Failed
 			case 5:
 				continue
 			}
-			left := until - now
-			if boot != pinnedBoot {
-				left = until - last
+			remaining := expiresAt - now
+			if boot != fixtureBootID {
+				remaining = expiresAt - lastRecordAt
 			}
-			want = append(want, fmt.Sprintf("%x %d %d\n", key(k), state, left))
-			v, place := b.Decide(now, key(k), uint64(1000+k))
+			want = append(want, fmt.Sprintf("%x %d %d\n", testKey(k), state, remaining))
+			v, position := index.Decide(now, testKey(k), uint64(1000+k))
 			if state == Completed {
-				if got, err := s.ReadResult(place); v != ReturnResult || err != nil ||
+				if got, err := s.ReadResult(position); v != ReturnResult || err != nil ||
 					!bytes.Equal(got, bytes.Repeat([]byte(fmt.Sprint("result ", k, " ")), 1+k%4)) {
 					t.Errorf("%s: key %d gets %d, %q, %v", boot, k, v, got, err)
 				}
 			} else if v != ReturnError {
 				t.Errorf("%s: key %d gets %d, expected an error", boot, k, v)
 			}
-			if v, _ = b.Decide(now, key(k), 7); v != RejectMismatch {
+			if v, _ = index.Decide(now, testKey(k), 7); v != RejectMismatch {
 				t.Errorf("%s: key %d with another body gets %d, expected that it is refused", boot, k, v)
 			}
 		}
 		slices.Sort(want)
-		if got := pinnedState(b, now); got != strings.Join(want, "") {
+		if got := describeIndex(index, now); got != strings.Join(want, "") {
 			t.Errorf("%s: read as\n%sexpected\n%s", boot, got, strings.Join(want, ""))
 		}
 		if err := s.Close(); err != nil {
@@ -188,10 +190,10 @@
 	}
 }
 
-// pinnedSegments are the names of the folder's segments, in order.
-func pinnedSegments(t *testing.T) (names []string) {
+// fixtureSegments are the names of the folder's segments, in order.
+func fixtureSegments(t *testing.T) (names []string) {
 	t.Helper()
-	for name := range pinnedFiles(t, pinnedFolder) {
+	for name := range folderFiles(t, fixtureFolder) {
 		if strings.HasSuffix(name, ".seg") {
 			names = append(names, name)
 		}
@@ -200,47 +202,47 @@
 	return names
 }
 
-// TestPinnedTornAndSpoilt: a tail that was never synced is cut off, and the keys before it are there; a byte that
+// TestTornAndDamagedFixture: a tail that was never synced is cut off, and the keys before it are there; a byte that
 // turned over before the tail is an error offline, and a start writes anew what can be read.
-func TestPinnedTornAndSpoilt(t *testing.T) {
-	segments := pinnedSegments(t)
+func TestTornAndDamagedFixture(t *testing.T) {
+	segments := fixtureSegments(t)
 	last, first := segments[len(segments)-1], segments[0]
-	torn := pinnedCopy(t, func(name string, raw []byte) []byte {
+	tornFolder := copyFixture(t, func(name string, raw []byte) []byte {
 		if name == last {
 			return append(raw, []byte("half of a record that was not syn")...)
 		}
 		return raw
 	})
-	b, found, _, err := Inspect(wal.Dir(torn), pinnedSizes, pinnedBounds, pinnedNow+3000, pinnedBoot)
-	if err != nil || found.TornTail == "" || found.Keys != 20 || b.Len() != 20 {
-		t.Errorf("torn: %+v, %v", found, err)
+	index, recovery, _, err := Inspect(wal.Dir(tornFolder), fixtureSizes, fixtureLimits, fixtureNow+3000, fixtureBootID)
+	if err != nil || recovery.TornTail == "" || recovery.Keys != 20 || index.Len() != 20 {
+		t.Errorf("torn: %+v, %v", recovery, err)
 	}
-	spoil := func(name string, raw []byte) []byte {
+	flipBit := func(name string, raw []byte) []byte {
 		if name == first {
 			raw[len(raw)/2] ^= 4
 		}
 		return raw
 	}
-	_, _, _, err = Inspect(wal.Dir(pinnedCopy(t, spoil)), pinnedSizes, pinnedBounds, pinnedNow+3000, pinnedBoot)
-	if damage := (*wal.Damage)(nil); !errors.As(err, &damage) || !strings.HasPrefix(err.Error(), pinnedSpoilt) {
-		t.Errorf("spoilt: found %v, expected %s", err, pinnedSpoilt)
+	_, _, _, err = Inspect(wal.Dir(copyFixture(t, flipBit)), fixtureSizes, fixtureLimits, fixtureNow+3000, fixtureBootID)
+	if damage := (*wal.Damage)(nil); !errors.As(err, &damage) || !strings.HasPrefix(err.Error(), fixtureDamageText) {
+		t.Errorf("spoilt: found %v, expected %s", err, fixtureDamageText)
 	}
-	s, b, found, err := Open(wal.Dir(pinnedCopy(t, spoil)), pinnedSizes, pinnedBounds, pinnedNow+3000, pinnedBoot)
+	s, index, recovery, err := Open(wal.Dir(copyFixture(t, flipBit)), fixtureSizes, fixtureLimits, fixtureNow+3000, fixtureBootID)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if found.Gaps != 1 || found.Keys != 20 || !b.KeysMayBeLost(pinnedNow+3000+59_999) ||
-		b.KeysMayBeLost(pinnedNow+3000+60_000) {
-		t.Errorf("spoilt, and written anew: %+v", found)
+	if recovery.Gaps != 1 || recovery.Keys != 20 || !index.KeysMayBeLost(fixtureNow+3000+59_999) ||
+		index.KeysMayBeLost(fixtureNow+3000+60_000) {
+		t.Errorf("spoilt, and written anew: %+v", recovery)
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestPinnedRecordErrors: records that are none give the errors that they gave.
-func TestPinnedRecordErrors(t *testing.T) {
-	intent := Record{Kind: Intent, Key: key(1), BodyDigest: 2, At: 3, Window: 4}
+// TestRecordErrorTextsAreStable: records that are none give the errors that they gave.
+func TestRecordErrorTextsAreStable(t *testing.T) {
+	intent := Record{Kind: Intent, Key: testKey(1), BodyDigest: 2, At: 3, Window: 4}
 	raw := intent.Append(nil)
 	for _, c := range []struct {
 		raw  []byte
@@ -254,17 +256,17 @@
 			t.Errorf("found %v, expected %s", err, c.text)
 		}
 	}
-	b := NewIndex(pinnedBounds)
-	if err := b.Replay(&intent, 1); err != nil {
+	index := NewIndex(fixtureLimits)
+	if err := index.Replay(&intent, 1); err != nil {
 		t.Fatal(err)
 	}
-	other := Record{Kind: Result, Key: key(1), BodyDigest: 3}
-	if err := b.Replay(&other, 2); err == nil || !strings.HasSuffix(err.Error(),
+	other := Record{Kind: Result, Key: testKey(1), BodyDigest: 3}
+	if err := index.Replay(&other, 2); err == nil || !strings.HasSuffix(err.Error(),
 		"a result of another body than its intent") {
 		t.Errorf("found %v", err)
 	}
 }
 
-// pinnedSpoilt is what the log says of the first segment with a byte turned over, before what to do about it.
-const pinnedSpoilt = "0000000000000001.seg at byte 439, the record of entry 7 or a mark before it: " +
+// fixtureDamageText is what the log says of the first segment with a byte turned over, before what to do about it.
+const fixtureDamageText = "0000000000000001.seg at byte 439, the record of entry 7 or a mark before it: " +
 	"its sum does not fit. "
--- a/internal/node/resultstore/reopen.go
+++ b/internal/node/resultstore/reopen.go
@@ -21,21 +21,21 @@
 // that failed stays open for readers until something else could be written, so that known keys get their results. No
 // lock that Append needs is held while the disk works.
 func (s *Store) reopen(failed *wal.Log) {
-	defer s.background.Done()
+	defer s.reopenTask.Done()
 	for {
 		select {
 		case <-s.writerDone:
 			return
 		case <-time.After(reopenInterval):
 		}
-		if s.probeDisk() == nil && s.replace(failed) {
+		if s.probeDisk() == nil && s.replaceLog(failed) {
 			return
 		}
 	}
 }
 
-// replace opens the log anew, and tells whether that worked.
-func (s *Store) replace(failed *wal.Log) bool {
+// replaceLog opens the log anew, and tells whether that worked.
+func (s *Store) replaceLog(failed *wal.Log) bool {
 	s.reopening.Lock()
 	defer s.reopening.Unlock()
 	log := s.reopenLog(failed)
--- a/internal/node/resultstore/replay.go
+++ b/internal/node/resultstore/replay.go
@@ -7,49 +7,49 @@
 const purgeFactor = 2
 
 // Replay takes a record of the log, in order; FinishReplay comes after the last. An error wraps ErrBodyMismatch.
-func (b *Index) Replay(r *Record, position uint64) error {
+func (x *Index) Replay(r *Record, position uint64) error {
 	if r.Kind == ClockChange {
-		b.rebaseClock(r.At)
+		x.rebaseClock(r.At)
 		return nil
 	}
-	b.lastRecordAt = max(b.lastRecordAt, r.At)
+	x.lastRecordAt = max(x.lastRecordAt, r.At)
 	if r.Kind == Damage {
-		b.lossSuspicionEnd, b.lossPosition = r.At+r.Window, position
+		x.lossSuspicionEnd, x.lossPosition = r.At+r.Window, position
 		return nil
 	}
-	e := b.table.find(r.Key)
+	e := x.table.find(r.Key)
 	if e != nil && e.bodyDigest != r.BodyDigest && r.Kind != Intent {
 		return fmt.Errorf("%w: a %s of another body than its intent", ErrBodyMismatch, r.Kind)
 	}
 	if r.Kind == NotExecuted {
 		if e != nil {
-			b.remove(e)
+			x.remove(e)
 		}
 		return nil
 	}
 	if e == nil {
-		e = b.insertReplayed(r.Key, position)
+		e = x.insertReplayed(r.Key, position)
 	}
-	b.replayInto(e, r, position)
+	x.replayInto(e, r, position)
 	return nil
 }
 
 // insertReplayed takes in a key of the log, and purges expired ones where there are many.
-func (b *Index) insertReplayed(k Key, position uint64) *entry {
-	if b.table.count >= purgeFactor*b.limits.Keys+b.keysAfterPurge {
-		b.purgeExpired()
-		b.keysAfterPurge = b.table.count
+func (x *Index) insertReplayed(k Key, position uint64) *entry {
+	if x.table.count >= purgeFactor*x.limits.Keys+x.keysAfterPurge {
+		x.purgeExpired()
+		x.keysAfterPurge = x.table.count
 	}
-	e := b.table.insert(k)
+	e := x.table.insert(k)
 	*e = entry{key: k, position: position}
 	return e
 }
 
 // replayInto brings a key up to a record of it.
-func (b *Index) replayInto(e *entry, r *Record, position uint64) {
+func (x *Index) replayInto(e *entry, r *Record, position uint64) {
 	size := r.sizeOnDisk()
-	b.usedBytes += size
-	e.addOnDisk(size)
+	x.usedBytes += size
+	e.addRecordBytes(size)
 	e.bodyDigest, e.window, e.expiresAt = r.BodyDigest, uint32(min(r.Window, maxWindow)), r.At+r.Window
 	switch r.Kind {
 	case Intent:
@@ -64,35 +64,35 @@
 // FinishReplay ends the replay. sameBoot tells that the clock goes on from the last record's. Else nobody knows for
 // how long the node was down, and windows go on from that record on, as if it had been no time: none is over too
 // early, and each is over one window after the restart at most.
-func (b *Index) FinishReplay(now Milliseconds, sameBoot bool) {
+func (x *Index) FinishReplay(now Milliseconds, sameBoot bool) {
 	if sameBoot {
-		b.lastRecordAt = max(b.lastRecordAt, now)
-		b.purgeExpired()
+		x.lastRecordAt = max(x.lastRecordAt, now)
+		x.purgeExpired()
 	} else {
-		b.rebaseClock(now)
+		x.rebaseClock(now)
 	}
 }
 
 // rebaseClock moves all windows from the clock of one boot to that of the next, which reads now.
-func (b *Index) rebaseClock(now Milliseconds) {
-	b.purgeExpired()
-	for i := range b.table.slots {
-		if e := &b.table.slots[i]; e.state != Unknown {
-			e.expiresAt = now + (e.expiresAt - b.lastRecordAt)
+func (x *Index) rebaseClock(now Milliseconds) {
+	x.purgeExpired()
+	for i := range x.table.slots {
+		if e := &x.table.slots[i]; e.state != Unknown {
+			e.expiresAt = now + (e.expiresAt - x.lastRecordAt)
 		}
 	}
-	if b.lossSuspicionEnd > 0 {
-		b.lossSuspicionEnd = now + max(b.lossSuspicionEnd, b.lastRecordAt) - b.lastRecordAt
+	if x.lossSuspicionEnd > 0 {
+		x.lossSuspicionEnd = now + max(x.lossSuspicionEnd, x.lastRecordAt) - x.lastRecordAt
 	}
-	b.lastRecordAt = now
+	x.lastRecordAt = now
 }
 
 // purgeExpired removes keys whose window is over as of the last record.
-func (b *Index) purgeExpired() {
-	for i := range b.table.slots {
-		e := &b.table.slots[i]
-		for e.state != Unknown && e.expiresAt <= b.lastRecordAt {
-			b.remove(e) // another key may move into the slot
+func (x *Index) purgeExpired() {
+	for i := range x.table.slots {
+		e := &x.table.slots[i]
+		for e.state != Unknown && e.expiresAt <= x.lastRecordAt {
+			x.remove(e) // another key may move into the slot
 		}
 	}
 }
@@ -100,4 +100,4 @@
 // KeysMayBeLost decides whether a retry of a key that is not known gets an error: after damage the intent of its
 // first attempt may be what can't be read, and running it could do its work twice. It acts for the longest window
 // from the damage on, and costs such retries their run; first attempts run, as no earlier one can have been read.
-func (b *Index) KeysMayBeLost(now Milliseconds) bool { return now < b.lossSuspicionEnd }
+func (x *Index) KeysMayBeLost(now Milliseconds) bool { return now < x.lossSuspicionEnd }
--- a/internal/node/resultstore/salvage.go
+++ b/internal/node/resultstore/salvage.go
@@ -21,12 +21,12 @@
 		return nil, nil, Recovery{}, err
 	}
 	if !interrupted {
-		log, index, found, err := load(fs, sizes, limits, now, bootID)
+		log, index, recovery, err := load(fs, sizes, limits, now, bootID)
 		if damage := (*wal.Damage)(nil); !errors.As(err, &damage) {
-			return log, index, found, err
+			return log, index, recovery, err
 		}
 		if _, err = wal.SetAside(fs, true); err != nil {
-			return nil, nil, found, err
+			return nil, nil, recovery, err
 		}
 	}
 	gaps, err := salvage(fs, sizes, limits, now, bootID)
@@ -34,9 +34,9 @@
 		return nil, nil, Recovery{Gaps: gaps}, fmt.Errorf("what is left of a damaged log can't be written anew: %w",
 			err)
 	}
-	log, index, found, err := load(fs, sizes, limits, now, bootID)
-	found.Gaps = gaps
-	return log, index, found, err
+	log, index, recovery, err := load(fs, sizes, limits, now, bootID)
+	recovery.Gaps = gaps
+	return log, index, recovery, err
 }
 
 // salvage writes anew what can be read of a damaged log, and behind it that something is missing. Guards against a
@@ -48,11 +48,11 @@
 		return 0, err
 	}
 	s := &salvager{log: log}
-	gaps, err = wal.Salvage(fs, s.take)
+	gaps, err = wal.Salvage(fs, s.addSalvaged)
 	gaps += s.malformed
 	if err == nil {
-		s.add(&Record{Kind: ClockChange, At: now})
-		s.add(&Record{Kind: Damage, At: now, Window: limits.LongestWindow})
+		s.addRecord(&Record{Kind: ClockChange, At: now})
+		s.addRecord(&Record{Kind: Damage, At: now, Window: limits.LongestWindow})
 		err = s.flush(wal.Mark{Kind: bootMark, Data: []byte(bootID)})
 	}
 	if err = errors.Join(err, log.Close()); err != nil {
@@ -65,38 +65,38 @@
 type salvager struct {
 	log       *wal.Log
 	batch     [][]byte
-	behindGap bool
+	afterGap  bool
 	malformed int // records that the log could read and that are none
 }
 
-// take takes the next thing that could be read, or a gap. A gap may have been the record of another boot's clock:
+// addSalvaged takes the next thing that could be read, or a gap. A gap may have been the record of another boot's clock:
 // windows go on from the record before it at the one behind, which is never too early.
-func (s *salvager) take(found wal.SalvagedRecord) error {
-	if found.Gap {
-		s.behindGap = true
+func (s *salvager) addSalvaged(salvaged wal.SalvagedRecord) error {
+	if salvaged.Gap {
+		s.afterGap = true
 		return nil
 	}
-	if found.Mark {
+	if salvaged.Mark {
 		return nil
 	}
-	r, err := ParseRecord(found.Data)
+	r, err := ParseRecord(salvaged.Data)
 	if err != nil {
-		s.behindGap = true
+		s.afterGap = true
 		s.malformed++
 		return nil
 	}
-	if s.behindGap {
-		s.behindGap = false
-		s.add(&Record{Kind: ClockChange, At: r.At})
+	if s.afterGap {
+		s.afterGap = false
+		s.addRecord(&Record{Kind: ClockChange, At: r.At})
 	}
-	s.batch = append(s.batch, bytes.Clone(found.Data))
+	s.batch = append(s.batch, bytes.Clone(salvaged.Data))
 	if len(s.batch) < maxBatch {
 		return nil
 	}
 	return s.flush()
 }
 
-func (s *salvager) add(r *Record) { s.batch = append(s.batch, r.Append(nil)) }
+func (s *salvager) addRecord(r *Record) { s.batch = append(s.batch, r.Append(nil)) }
 
 func (s *salvager) flush(marks ...wal.Mark) error {
 	_, err := s.log.Commit(wal.Batch{Entries: s.batch, Marks: marks})
--- a/internal/node/resultstore/store.go
+++ b/internal/node/resultstore/store.go
@@ -41,7 +41,7 @@
 	reopening  sync.RWMutex
 	queue      chan pendingWrite
 	writerDone chan struct{}
-	background sync.WaitGroup // a reopening
+	reopenTask sync.WaitGroup // a reopening
 }
 
 // pendingWrite is a record that waits for the disk.
@@ -125,7 +125,7 @@
 		s.mu.Lock()
 		s.writeError = err
 		s.mu.Unlock()
-		s.background.Add(1)
+		s.reopenTask.Add(1)
 		go s.reopen(log)
 	}
 	return first, err
@@ -195,6 +195,6 @@
 	close(s.queue)
 	s.mu.Unlock()
 	<-s.writerDone
-	s.background.Wait()
+	s.reopenTask.Wait()
 	return s.log.Close()
 }
--- a/internal/node/resultstore/table.go
+++ b/internal/node/resultstore/table.go
@@ -34,27 +34,27 @@
 
 // entry is what is known of one key, in 48 bytes.
 type entry struct {
-	key        Key
-	bodyDigest uint64
-	expiresAt  Milliseconds // its window is over then
-	position   uint64       // in the log: of its result, or of its intent
-	window     uint32       // ms
-	diskBytes  [3]byte      // of its records, little-endian
-	state      State
+	key           Key
+	bodyDigest    uint64
+	expiresAt     Milliseconds // its window is over then
+	position      uint64       // in the log: of its result, or of its intent
+	window        uint32       // ms
+	recordBytes24 [3]byte      // of its records, little-endian
+	state         State
 }
 
-// onDisk gives the bytes of the key's records.
-func (e *entry) onDisk() int64 {
+// recordBytes gives the bytes of the key's records.
+func (e *entry) recordBytes() int64 {
 	var number [uint32Bytes]byte
-	copy(number[:], e.diskBytes[:])
+	copy(number[:], e.recordBytes24[:])
 	return int64(binary.LittleEndian.Uint32(number[:]))
 }
 
-func (e *entry) addOnDisk(n int64) {
-	n = min(e.onDisk()+n, maxDiskBytes)
+func (e *entry) addRecordBytes(n int64) {
+	n = min(e.recordBytes()+n, maxDiskBytes)
 	var number [uint32Bytes]byte
 	binary.LittleEndian.PutUint32(number[:], uint32(n))
-	copy(e.diskBytes[:], number[:])
+	copy(e.recordBytes24[:], number[:])
 }
 
 // newTable makes a table for so many keys.
--- a/internal/wal/bench_test.go
+++ b/internal/wal/bench_test.go
@@ -9,9 +9,9 @@
 	"go.etcd.io/bbolt"
 )
 
-// BenchmarkBeside puts the log beside a plain file and beside bbolt: the same 200-byte records, each durable
+// BenchmarkLogFileAndBbolt puts the log beside a plain file and beside bbolt: the same 200-byte records, each durable
 // before the next, and sixteen at once.
-func BenchmarkBeside(b *testing.B) {
+func BenchmarkLogFileAndBbolt(b *testing.B) {
 	record := make([]byte, 200)
 	for _, batch := range []int{1, 16} {
 		name := map[int]string{1: "/one", 16: "/sixteen"}[batch]
--- a/internal/wal/commit.go
+++ b/internal/wal/commit.go
@@ -4,11 +4,11 @@
 	"fmt"
 )
 
-type waiter struct {
+type pendingCommit struct {
 	batch Batch
 	first uint64
 	err   error
-	wake  chan bool // true: done; false: flush what waits yourself
+	done  chan bool // true: done; false: flush what waits yourself
 }
 
 // Commit writes a batch and returns once it is durable, with the number of its first entry. Callers that come while
@@ -25,30 +25,30 @@
 			return 0, &InvalidMarkError{m.Kind, len(m.Data)}
 		}
 	}
-	w := &waiter{batch: b}
+	w := &pendingCommit{batch: b}
 	l.mu.Lock()
 	l.queue = append(l.queue, w)
 	if l.writing {
-		w.wake = make(chan bool, 1)
+		w.done = make(chan bool, 1)
 		l.mu.Unlock()
-		if <-w.wake {
+		if <-w.done {
 			return w.first, w.err
 		}
 		l.mu.Lock()
 	}
 	l.writing = true
-	took := l.queue
+	callers := l.queue
 	l.queue = nil
-	l.flush(took)
+	l.flush(callers)
 	if len(l.queue) > 0 {
-		l.queue[0].wake <- false // it flushes for those behind it, so no caller waits for others without end
+		l.queue[0].done <- false // it flushes for those behind it, so no caller waits for others without end
 	} else {
 		l.writing = false
 	}
 	l.mu.Unlock()
-	for _, o := range took {
+	for _, o := range callers {
 		if o != w {
-			o.wake <- true
+			o.done <- true
 		}
 	}
 	return w.first, w.err
@@ -56,7 +56,7 @@
 
 // flush writes the batches of some callers with one write and one sync. It is entered and left with the lock held and
 // releases it while the disk works; writing keeps every other writer out meanwhile.
-func (l *Log) flush(callers []*waiter) {
+func (l *Log) flush(callers []*pendingCommit) {
 	if err := l.write(callers); err != nil {
 		for _, w := range callers {
 			w.first, w.err = 0, err
@@ -64,7 +64,7 @@
 	}
 }
 
-func (l *Log) write(callers []*waiter) error {
+func (l *Log) write(callers []*pendingCommit) error {
 	if l.fault != nil {
 		return l.fault
 	}
@@ -84,12 +84,12 @@
 		w.appendMarks(l.marks[:])
 	}
 	for _, c := range callers {
-		c.first, c.err = w.batch(c.batch), nil
+		c.first, c.err = w.appendBatch(c.batch), nil
 	}
 	if w.lastRecord < 0 {
 		return nil // empty batches
 	}
-	w.close()
+	w.finishFlush()
 	if err = l.writeRecords(segment, w); err != nil {
 		return err
 	}
--- a/internal/wal/entry_index.go
+++ b/internal/wal/entry_index.go
@@ -10,105 +10,105 @@
 // follow the one before it on disk. Others are found by the lengths in the headers of records between. An entry costs
 // a byte of memory so: a log of many small records, as of stored results, is mostly entries.
 type entryIndex struct {
-	first       uint64 // number of the first entry held
-	count       int    // entries held
-	sampledFrom uint64 // number of the entry that every[0] is of, a multiple of stride; it may have been let go of
-	samples     []uint32
-	runs        []run // by number; the first is of base or before it, where there are entries
-	afterCut    bool  // the next entry does not stand behind the last one: a cut lies between
+	first        uint64 // number of the first entry held
+	count        int    // entries held
+	sampledFrom  uint64 // number of the entry that every[0] is of, a multiple of stride; it may have been let go of
+	samples      []uint32
+	extentStarts []entryPosition // by number; the first is of base or before it, where there are entries
+	afterCut     bool            // the next entry does not stand behind the last one: a cut lies between
 }
 
-func (p *entryIndex) next() uint64 { return p.first + uint64(p.count) }
+func (x *entryIndex) next() uint64 { return x.first + uint64(x.count) }
 
 // add notes where the next entry stands. Segments are read whole, so an offset has 32 bits.
-func (p *entryIndex) add(seg uint64, off int64) {
-	number := p.next()
-	if p.afterCut || len(p.runs) == 0 || p.runs[len(p.runs)-1].seg != seg {
-		p.runs = append(p.runs, run{number, seg, uint32(off)})
-		p.afterCut = false
+func (x *entryIndex) add(seg uint64, off int64) {
+	number := x.next()
+	if x.afterCut || len(x.extentStarts) == 0 || x.extentStarts[len(x.extentStarts)-1].seg != seg {
+		x.extentStarts = append(x.extentStarts, entryPosition{number, seg, uint32(off)})
+		x.afterCut = false
 	}
 	if number%sampleInterval == 0 {
-		if len(p.samples) == 0 {
-			p.sampledFrom = number
+		if len(x.samples) == 0 {
+			x.sampledFrom = number
 		}
-		p.samples = append(p.samples, uint32(off))
+		x.samples = append(x.samples, uint32(off))
 	}
-	p.count++
+	x.count++
 }
 
 // cut drops entries from a number on; all of them where that leaves a gap.
-func (p *entryIndex) cut(next uint64) {
-	if next <= p.first || next > p.next() {
-		*p = entryIndex{first: next}
+func (x *entryIndex) cut(next uint64) {
+	if next <= x.first || next > x.next() {
+		*x = entryIndex{first: next}
 		return
 	}
-	p.count, p.afterCut = int(next-p.first), true
-	for len(p.samples) > 0 && p.sampledFrom+sampleInterval*uint64(len(p.samples)-1) >= next {
-		p.samples = p.samples[:len(p.samples)-1]
+	x.count, x.afterCut = int(next-x.first), true
+	for len(x.samples) > 0 && x.sampledFrom+sampleInterval*uint64(len(x.samples)-1) >= next {
+		x.samples = x.samples[:len(x.samples)-1]
 	}
-	for len(p.runs) > 0 && p.runs[len(p.runs)-1].number >= next {
-		p.runs = p.runs[:len(p.runs)-1]
+	for len(x.extentStarts) > 0 && x.extentStarts[len(x.extentStarts)-1].number >= next {
+		x.extentStarts = x.extentStarts[:len(x.extentStarts)-1]
 	}
 }
 
-// release drops n entries from the front. What is needed to find the others stays.
-func (p *entryIndex) release(n int) {
-	p.first, p.count = p.first+uint64(n), p.count-n
-	if p.count == 0 {
-		*p = entryIndex{first: p.first}
+// truncateFront drops n entries from the front. What is needed to find the others stays.
+func (x *entryIndex) truncateFront(n int) {
+	x.first, x.count = x.first+uint64(n), x.count-n
+	if x.count == 0 {
+		*x = entryIndex{first: x.first}
 		return
 	}
-	gone := 0
-	for gone+1 < len(p.samples) && p.sampledFrom+sampleInterval*uint64(gone+1) <= p.first {
-		gone++
+	dropped := 0
+	for dropped+1 < len(x.samples) && x.sampledFrom+sampleInterval*uint64(dropped+1) <= x.first {
+		dropped++
 	}
-	p.sampledFrom += sampleInterval * uint64(gone)
-	p.samples = append(make([]uint32, 0, len(p.samples)-gone+16), p.samples[gone:]...)
-	gone = 0
-	for gone+1 < len(p.runs) && p.runs[gone+1].number <= p.first {
-		gone++
+	x.sampledFrom += sampleInterval * uint64(dropped)
+	x.samples = append(make([]uint32, 0, len(x.samples)-dropped+16), x.samples[dropped:]...)
+	dropped = 0
+	for dropped+1 < len(x.extentStarts) && x.extentStarts[dropped+1].number <= x.first {
+		dropped++
 	}
-	p.runs = append([]run{}, p.runs[gone:]...)
+	x.extentStarts = append([]entryPosition{}, x.extentStarts[dropped:]...)
 }
 
 // find returns the nearest known place at an entry or before it in its segment.
-func (p *entryIndex) find(number uint64) run {
-	j := p.runs[sort.Search(len(p.runs), func(i int) bool { return p.runs[i].number > number })-1]
-	if len(p.samples) > 0 && number >= p.sampledFrom {
-		i := min(int((number-p.sampledFrom)/sampleInterval), len(p.samples)-1)
-		if sampled := p.sampledFrom + sampleInterval*uint64(i); sampled >= j.number {
-			return run{sampled, j.seg, p.samples[i]}
+func (x *entryIndex) find(number uint64) entryPosition {
+	start := x.extentStarts[sort.Search(len(x.extentStarts), func(i int) bool { return x.extentStarts[i].number > number })-1]
+	if len(x.samples) > 0 && number >= x.sampledFrom {
+		i := min(int((number-x.sampledFrom)/sampleInterval), len(x.samples)-1)
+		if sampled := x.sampledFrom + sampleInterval*uint64(i); sampled >= start.number {
+			return entryPosition{sampled, start.seg, x.samples[i]}
 		}
 	}
-	return j
+	return start
 }
 
 // seek goes on from a known place to an entry's record by the headers before it, which read gives. Where a length is
 // damaged it may end at no record of that entry, which the caller finds by its checksum.
-func seek(read func(head []byte, off int64) error, from run, number uint64) (off int64, length int, err error) {
+func seek(read func(head []byte, off int64) error, start entryPosition, number uint64) (off int64, length int, err error) {
 	var head [recordHeaderBytes]byte
-	for off = int64(from.off); ; off += recordHeaderBytes + int64(length) + checksumBytes {
+	for off = int64(start.off); ; off += recordHeaderBytes + int64(length) + checksumBytes {
 		if err = read(head[:], off); err != nil {
 			return off, 0, err
 		}
-		n, at := binary.LittleEndian.Uint32(head[:]), binary.LittleEndian.Uint64(head[5:])
+		n, entry := binary.LittleEndian.Uint32(head[:]), binary.LittleEndian.Uint64(head[5:])
 		if n > MaxRecordBytes {
 			return off, 0, fmt.Errorf("a record of %d bytes, expected at most %d", n, MaxRecordBytes)
 		}
 		length = int(n)
 		switch kind := head[4] & kindMask; {
-		case kind == kindEntry && at == number:
+		case kind == kindEntry && entry == number:
 			return off, length, nil
 		case kind == kindMark:
-		case kind != kindEntry || at < from.number || at > number:
-			return off, 0, fmt.Errorf("a record of kind %d numbered %d, expected entry %d at most", kind, at, number)
+		case kind != kindEntry || entry < start.number || entry > number:
+			return off, 0, fmt.Errorf("a record of kind %d numbered %d, expected entry %d at most", kind, entry, number)
 		}
 	}
 }
 
-// run is an entry that is the first of a segment, or the first after a cut; entries after it stand one behind the
+// entryPosition is an entry that is the first of a segment, or the first after a cut; entries after it stand one behind the
 // other.
-type run struct {
+type entryPosition struct {
 	number, seg uint64
 	off         uint32 // of its record's head
 }
--- a/internal/wal/entry_index_test.go
+++ b/internal/wal/entry_index_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// TestEntryIndex writes, cuts, truncates and opens again by chance, and holds each entry that is held to a plain list,
+// TestEntryIndexMatchesModel writes, cuts, truncates and opens again by chance, and holds each entry that is held to a plain list,
 // read one by one and all in order.
-func TestEntryIndex(t *testing.T) {
+func TestEntryIndexMatchesModel(t *testing.T) {
 	for seed := int64(1); seed <= 30; seed++ {
 		r, fs, m := rand.New(rand.NewSource(seed)), NewMemFS(), newModel()
-		l := open(t, fs, small)
+		l := open(t, fs, smallSizes)
 		for step := range 120 {
 			switch k := r.Intn(12); {
 			case k == 0 && len(m.entries) > 0:
@@ -26,33 +26,33 @@
 				if err := l.Close(); err != nil {
 					t.Fatal(err)
 				}
-				l = open(t, fs, small)
+				l = open(t, fs, smallSizes)
 			default:
-				b := m.draw(r)
+				b := m.randomBatch(r)
 				commit(t, l, b)
 				m.apply(b)
 			}
-			what := m.differs(l)
-			at := l.First()
+			problem := m.diff(l)
+			want := l.First()
 			if err := l.ForEach(func(number uint64, data []byte) error {
-				if at != number || number >= m.base && string(data) != m.entries[number-m.base] {
-					return fmt.Errorf("entry %d is %.40q, expected %d", number, data, at)
+				if want != number || number >= m.base && string(data) != m.entries[number-m.base] {
+					return fmt.Errorf("entry %d is %.40q, expected %d", number, data, want)
 				}
-				at++
+				want++
 				return nil
-			}); err != nil || at != m.next() {
-				what = fmt.Sprintf("all in order end at %d: %v", at, err)
+			}); err != nil || want != m.next() {
+				problem = fmt.Sprintf("all in order end at %d: %v", want, err)
 			}
-			if what != "" {
-				t.Fatalf("seed %d, step %d: %s", seed, step, what)
+			if problem != "" {
+				t.Fatalf("seed %d, step %d: %s", seed, step, problem)
 			}
 		}
 	}
 }
 
-// TestReadPastDamage: an entry that is found by the heads of others is never another one, whichever bit of its
+// TestReadDetectsBitFlips: an entry that is found by the heads of others is never another one, whichever bit of its
 // segment turned over since the log was opened.
-func TestReadPastDamage(t *testing.T) {
+func TestReadDetectsBitFlips(t *testing.T) {
 	fs := NewMemFS()
 	l := open(t, fs, Sizes{SegmentBytes: 1 << 20, MaxBytes: 1 << 20})
 	var want []string
@@ -65,45 +65,45 @@
 		t.Fatal(err)
 	}
 	size, _ := f.Size()
-	told := 0
-	var one [1]byte
-	for at := int64(segmentHeaderBytes); at < size; at++ {
+	detected := 0
+	var buf [1]byte
+	for off := int64(segmentHeaderBytes); off < size; off++ {
 		for bit := range 8 {
-			f.ReadAt(one[:], at)
-			was := one[0]
-			one[0] ^= 1 << bit
-			f.WriteAt(one[:], at)
+			f.ReadAt(buf[:], off)
+			original := buf[0]
+			buf[0] ^= 1 << bit
+			f.WriteAt(buf[:], off)
 			for i := range want {
 				got, err := l.Read(uint64(i + 1))
 				var damage *Damage
 				if err == nil && string(got) != want[i] || err != nil && !errors.As(err, &damage) {
-					t.Fatalf("byte %d, bit %d: entry %d is %q, %v", at, bit, i+1, got, err)
+					t.Fatalf("byte %d, bit %d: entry %d is %q, %v", off, bit, i+1, got, err)
 				}
 				if err != nil {
-					told++
+					detected++
 				}
 			}
-			one[0] = was
-			f.WriteAt(one[:], at)
+			buf[0] = original
+			f.WriteAt(buf[:], off)
 		}
 	}
-	if told == 0 {
+	if detected == 0 {
 		t.Error("no damage was told")
 	}
 }
 
-// TestEntryIndexIsSmall: what a log keeps in memory of many small entries is a byte each, about.
-func TestEntryIndexIsSmall(t *testing.T) {
-	p := entryIndex{first: 1}
+// TestEntryIndexMemory: what a log keeps in memory of many small entries is a byte each, about.
+func TestEntryIndexMemory(t *testing.T) {
+	x := entryIndex{first: 1}
 	const n = 1 << 16
 	for i := range n {
-		p.add(uint64(i/1000), int64(i%1000)*80)
+		x.add(uint64(i/1000), int64(i%1000)*80)
 	}
-	if bytes := 4*len(p.samples) + 24*len(p.runs); bytes > n*11/10 {
+	if bytes := 4*len(x.samples) + 24*len(x.extentStarts); bytes > n*11/10 {
 		t.Errorf("%d bytes for %d entries, expected 1.1 each at most", bytes, n)
 	}
-	p.release(n - 10)
-	if len(p.samples) > 4 || len(p.runs) != 1 || p.find(p.first).number > p.first {
-		t.Errorf("%d offsets and %d jumps are kept for 10 entries", len(p.samples), len(p.runs))
+	x.truncateFront(n - 10)
+	if len(x.samples) > 4 || len(x.extentStarts) != 1 || x.find(x.first).number > x.first {
+		t.Errorf("%d offsets and %d jumps are kept for 10 entries", len(x.samples), len(x.extentStarts))
 	}
 }
--- a/internal/wal/errors_test.go
+++ b/internal/wal/errors_test.go
@@ -6,38 +6,38 @@
 	"testing"
 )
 
-// countedFS counts the files that are open, and can make closes fail.
-type countedFS struct {
+// countingFS counts the files that are open, and can make closes fail.
+type countingFS struct {
 	FS
 	open     int
 	closeErr error
 }
 
-type countedFile struct {
+type countingFile struct {
 	File
-	fs *countedFS
+	fs *countingFS
 }
 
-func (c *countedFS) Create(name string) (File, error) { return c.count(c.FS.Create(name)) }
+func (c *countingFS) Create(name string) (File, error) { return c.count(c.FS.Create(name)) }
 
-func (c *countedFS) Open(name string) (File, error) { return c.count(c.FS.Open(name)) }
+func (c *countingFS) Open(name string) (File, error) { return c.count(c.FS.Open(name)) }
 
-func (c *countedFS) count(f File, err error) (File, error) {
+func (c *countingFS) count(f File, err error) (File, error) {
 	if err != nil {
 		return nil, err
 	}
 	c.open++
-	return countedFile{f, c}, nil
+	return countingFile{f, c}, nil
 }
 
-func (f countedFile) Close() error {
+func (f countingFile) Close() error {
 	f.fs.open--
 	return errors.Join(f.File.Close(), f.fs.closeErr)
 }
 
-// TestFilesAreClosed: a log can't be opened or gets no new segment, again and again, as when a node tries to reach its
+// TestFailedOpenClosesFiles: a log can't be opened or gets no new segment, again and again, as when a node tries to reach its
 // disk anew. No file may stay open each time, or the process runs out of descriptors and stops serving.
-func TestFilesAreClosed(t *testing.T) {
+func TestFailedOpenClosesFiles(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*MemFS)
 		step   string // fails
@@ -49,7 +49,7 @@
 		"no sync of names either": {func(*MemFS) {}, "names"},
 	} {
 		disk := NewMemFS()
-		l := open(t, disk, small)
+		l := open(t, disk, smallSizes)
 		for range 40 {
 			commit(t, l, Batch{Entries: [][]byte{make([]byte, 60)}})
 		}
@@ -63,16 +63,16 @@
 			}
 			return 0, nil
 		}
-		fs := &countedFS{FS: disk}
-		if _, _, err := Open(fs, small); err == nil || fs.open != 0 {
+		fs := &countingFS{FS: disk}
+		if _, _, err := Open(fs, smallSizes); err == nil || fs.open != 0 {
 			t.Errorf("%s: %v, %d files are open, expected an error and none", name, err, fs.open)
 		}
 	}
 
 	disk := NewMemFS()
-	fs := &countedFS{FS: disk}
-	l := open(t, fs, small)
-	commit(t, l, Batch{Entries: [][]byte{make([]byte, small.SegmentBytes)}})
+	fs := &countingFS{FS: disk}
+	l := open(t, fs, smallSizes)
+	commit(t, l, Batch{Entries: [][]byte{make([]byte, smallSizes.SegmentBytes)}})
 	before := fs.open
 	disk.OnStep = func(step, name string) (int, error) {
 		if step == "sync" && name == segmentName(2) {
@@ -86,11 +86,11 @@
 	}
 }
 
-// TestCloseErrors: a file's close fails. That is told, all others are closed, and the folder is unlocked all the same:
+// TestCloseErrorStillUnlocks: a file's close fails. That is told, all others are closed, and the folder is unlocked all the same:
 // the next process would find it in use otherwise.
-func TestCloseErrors(t *testing.T) {
-	fs := &countedFS{FS: NewMemFS(), closeErr: syscall.EIO}
-	l := open(t, fs, small)
+func TestCloseErrorStillUnlocks(t *testing.T) {
+	fs := &countingFS{FS: NewMemFS(), closeErr: syscall.EIO}
+	l := open(t, fs, smallSizes)
 	for range 40 {
 		commit(t, l, Batch{Entries: [][]byte{make([]byte, 60)}})
 	}
@@ -101,14 +101,14 @@
 		t.Errorf("a second close: %v", err)
 	}
 	fs.closeErr = nil
-	if err := open(t, fs, small).Close(); err != nil {
+	if err := open(t, fs, smallSizes).Close(); err != nil {
 		t.Errorf("the folder is not free: %v", err)
 	}
 }
 
 // TestErrorTypes: callers can tell what a log does not take or hold from what ends the process.
 func TestErrorTypes(t *testing.T) {
-	l := open(t, NewMemFS(), small)
+	l := open(t, NewMemFS(), smallSizes)
 	var entry *EntryTooLargeError
 	_, err := l.Commit(Batch{Entries: [][]byte{make([]byte, MaxRecordBytes+1)}})
 	if !errors.As(err, &entry) || err.Error() != "an entry of 8388609 bytes, expected at most 8388608" {
--- a/internal/wal/helper_test.go
+++ b/internal/wal/helper_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-var small = Sizes{SegmentBytes: 700, MaxBytes: 1 << 20}
+var smallSizes = Sizes{SegmentBytes: 700, MaxBytes: 1 << 20}
 
 func open(t testing.TB, fs FS, sizes Sizes) *Log {
 	t.Helper()
@@ -52,13 +52,13 @@
 	for _, e := range b.Entries {
 		m.entries = append(m.entries, string(e))
 	}
-	for _, k := range b.Marks {
-		m.marks[k.Kind] = string(k.Data)
+	for _, mark := range b.Marks {
+		m.marks[mark.Kind] = string(mark.Data)
 	}
 }
 
-// draw makes a batch by chance.
-func (m *model) draw(r *rand.Rand) Batch {
+// randomBatch makes a batch by chance.
+func (m *model) randomBatch(r *rand.Rand) Batch {
 	var b Batch
 	if r.Intn(5) == 0 && len(m.entries) > 0 {
 		b.Cut = m.next() - uint64(r.Intn(min(4, len(m.entries)+1)))
@@ -74,8 +74,8 @@
 	return b
 }
 
-// differs says where a log and what it should hold part; the log may still hold entries that were let go of.
-func (m *model) differs(l *Log) string {
+// diff says where a log and what it should hold part; the log may still hold entries that were let go of.
+func (m *model) diff(l *Log) string {
 	if l.Next() != m.next() || l.First() > m.base {
 		return fmt.Sprintf("entries %d to %d, expected %d to %d", l.First(), l.Next()-1, m.base, m.next()-1)
 	}
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -49,8 +49,8 @@
 	fault     error
 	buf       []byte
 
-	queue   []*waiter // callers of Commit that wait for the next flush
-	writing bool      // a caller is flushing
+	queue   []*pendingCommit // callers of Commit that wait for the next flush
+	writing bool             // a caller is flushing
 	flushes uint64
 }
 
@@ -104,31 +104,31 @@
 
 // TruncateFront drops entries up to a number. Whole segments leave the disk; entries that share a segment with later
 // ones stay on it until those go. The caller holds a snapshot of what it drops.
-func (l *Log) TruncateFront(upto uint64) error {
+func (l *Log) TruncateFront(last uint64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.fault != nil {
 		return l.fault
 	}
-	if upto+1 > l.index.first {
-		l.index.release(int(min(upto+1-l.index.first, uint64(l.index.count))))
+	if last+1 > l.index.first {
+		l.index.truncateFront(int(min(last+1-l.index.first, uint64(l.index.count))))
 	}
-	keep := l.segments[len(l.segments)-1].sequence
+	firstNeeded := l.segments[len(l.segments)-1].sequence
 	if l.index.count > 0 {
-		keep = l.index.find(l.index.first).seg
+		firstNeeded = l.index.find(l.index.first).seg
 	}
-	gone := 0
-	for l.segments[gone].sequence < keep {
-		if err := l.fs.Remove(l.segments[gone].name); err != nil {
+	removed := 0
+	for l.segments[removed].sequence < firstNeeded {
+		if err := l.fs.Remove(l.segments[removed].name); err != nil {
 			return l.failLocked(err)
 		}
-		l.segments[gone].file.Close() // all of it was synced, and it is gone
-		gone++
+		l.segments[removed].file.Close() // all of it was synced, and it is gone
+		removed++
 	}
-	if gone == 0 {
+	if removed == 0 {
 		return nil
 	}
-	l.segments = append([]*segment{}, l.segments[gone:]...)
+	l.segments = append([]*segment{}, l.segments[removed:]...)
 	if err := l.fs.Sync(); err != nil {
 		return l.failLocked(err)
 	}
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -10,70 +10,70 @@
 	"testing"
 )
 
-var errPower = errors.New("power lost")
+var errPowerLoss = errors.New("power lost")
 
-// TestCrashAnywhere loses power at a step drawn by chance, or kills the process there, opens what a disk
+// TestCrashAtAnyStep loses power at a step drawn by chance, or kills the process there, opens what a disk
 // may hold then, and goes on: what was acknowledged is there, what was not is there whole or not at all.
-func TestCrashAnywhere(t *testing.T) {
+func TestCrashAtAnyStep(t *testing.T) {
 	torn := 0
 	for seed := int64(0); seed < 400; seed++ {
 		r := rand.New(rand.NewSource(seed))
 		disk, m := NewMemFS(), newModel()
-		for life := 0; life < 6; life++ {
-			left := r.Intn(120)
+		for restart := 0; restart < 6; restart++ {
+			stepsLeft := r.Intn(120)
 			disk.OnStep = func(string, string) (int, error) {
-				if left--; left < 0 {
-					return r.Intn(400), errPower
+				if stepsLeft--; stepsLeft < 0 {
+					return r.Intn(400), errPowerLoss
 				}
 				return 0, nil
 			}
-			var tried *model
-			l, found, err := Open(disk, small)
+			var pending *model
+			l, repair, err := Open(disk, smallSizes)
 			if err == nil {
-				if found.TornAt != "" {
+				if repair.TornAt != "" {
 					torn++
 				}
-				if d := m.differs(l); d != "" {
-					t.Fatalf("seed %d life %d: %s", seed, life, d)
+				if diff := m.diff(l); diff != "" {
+					t.Fatalf("seed %d life %d: %s", seed, restart, diff)
 				}
 				for n := 0; n < 40; n++ {
-					b := m.draw(r)
-					tried = m.clone()
-					tried.apply(b)
+					b := m.randomBatch(r)
+					pending = m.clone()
+					pending.apply(b)
 					if _, err = l.Commit(b); err != nil {
 						break
 					}
-					m, tried = tried, nil
+					m, pending = pending, nil
 					if r.Intn(6) == 0 && len(m.entries) > 3 {
-						gone := r.Intn(3) + 1
-						m.entries, m.base = m.entries[gone:], m.base+uint64(gone)
+						dropped := r.Intn(3) + 1
+						m.entries, m.base = m.entries[dropped:], m.base+uint64(dropped)
 						if err = l.TruncateFront(m.base - 1); err != nil {
 							break
 						}
 					}
 				}
-			} else if !errors.Is(err, errPower) {
-				t.Fatalf("seed %d life %d: open: %v", seed, life, err)
+			} else if !errors.Is(err, errPowerLoss) {
+				t.Fatalf("seed %d life %d: open: %v", seed, restart, err)
 			}
 			if r.Intn(4) == 0 {
 				disk = disk.Kill()
 			} else {
 				disk = disk.PowerLoss(r.Intn)
 			}
-			if tried != nil { // settled by what is found, once
-				l, found, err := Open(disk, small)
-				if found.TornAt != "" {
+			if pending != nil { // settled by what is found, once
+				l, repair, err := Open(disk, smallSizes)
+				if repair.TornAt != "" {
 					torn++
 				}
 				if err != nil {
-					t.Fatalf("seed %d life %d: open after a crash: %v", seed, life, err)
+					t.Fatalf("seed %d life %d: open after a crash: %v", seed, restart, err)
 				}
-				if m.differs(l) != "" {
-					if d := tried.differs(l); d != "" {
-						t.Fatalf("seed %d life %d: neither before nor after the batch: %s; %s", seed, life,
-							m.differs(l), d)
+				if m.diff(l) != "" {
+					if pendingDiff := pending.diff(l); pendingDiff != "" {
+						t.Fatalf("seed %d life %d: neither before nor after the batch: %s; %s", seed, restart,
+							m.diff(l), pendingDiff)
 					}
-					m = tried
+					m = pending
 				}
 				l.Close()
 			}
@@ -84,19 +84,19 @@
 	}
 }
 
-// TestDamageInTheMiddle flips each byte in turn. Before the last flush that is damage, told with its place,
+// TestBitFlipIsDamageOrTornTail flips each byte in turn. Before the last flush that is damage, told with its place,
 // and the folder is left as it was; within the last flush it can't be told from a torn tail.
-func TestDamageInTheMiddle(t *testing.T) {
+func TestBitFlipIsDamageOrTornTail(t *testing.T) {
 	fill := func(flushes int) (*MemFS, int64) {
 		disk := NewMemFS()
 		l := open(t, disk, Sizes{SegmentBytes: 300, MaxBytes: 1 << 20})
 		last := int64(0)
 		for i := 0; i < flushes; i++ {
-			was := len(l.segments)
-			last = l.segments[was-1].size
+			segments := len(l.segments)
+			last = l.segments[segments-1].size
 			commit(t, l, Batch{Entries: [][]byte{[]byte(fmt.Sprint("entry ", i))},
 				Marks: []Mark{{1, []byte(fmt.Sprint(i))}}})
-			if len(l.segments) > was {
+			if len(l.segments) > segments {
 				last = segmentHeaderBytes
 			}
 		}
@@ -115,10 +115,10 @@
 			for off := int64(0); off < size; off++ {
 				disk, _ := fill(flushes)
 				disk.FlipBits(name, off, 0x10)
-				l, found, err := Open(disk, small)
+				l, repair, err := Open(disk, smallSizes)
 				var damage *Damage
 				if i == len(names)-1 && off >= lastFlush {
-					if err != nil || found.TornAt == "" || l.Next() != uint64(flushes) {
+					if err != nil || repair.TornAt == "" || l.Next() != uint64(flushes) {
 						t.Fatalf("%s byte %d: %v, expected the last flush cut off", name, off, err)
 					}
 					continue
@@ -145,16 +145,16 @@
 	l.Close()
 	names, _ := disk.List()
 	disk.Remove(names[1])
-	if _, _, err := Open(disk, small); err == nil || !strings.Contains(err.Error(), "one is missing") {
+	if _, _, err := Open(disk, smallSizes); err == nil || !strings.Contains(err.Error(), "one is missing") {
 		t.Fatalf("got %v, expected a missing segment", err)
 	}
 }
 
 // The disk fails a sync. What is on it is not known then: a second sync may succeed although the data is lost. The log
 // must refuse everything from then on.
-func TestFailedSyncEndsTheLog(t *testing.T) {
+func TestFailedSyncBreaksLog(t *testing.T) {
 	disk := NewMemFS()
-	l := open(t, disk, small)
+	l := open(t, disk, smallSizes)
 	commit(t, l, Batch{Entries: [][]byte{[]byte("a")}})
 	fail := true
 	disk.OnStep = func(step, _ string) (int, error) {
@@ -176,10 +176,10 @@
 
 // The disk has no space for a write. What was durable before must be there when the log is opened again, and nothing of
 // the failed write may count.
-func TestFullDisk(t *testing.T) {
+func TestFullDiskKeepsDurableEntries(t *testing.T) {
 	disk := NewMemFS()
 	disk.Capacity = 3000
-	l := open(t, disk, small)
+	l := open(t, disk, smallSizes)
 	m := newModel()
 	for n := 0; ; n++ {
 		b := Batch{Entries: [][]byte{[]byte(strings.Repeat("x", 200))}}
@@ -194,17 +194,17 @@
 	l.Close()
 	disk = disk.Kill()
 	disk.Capacity = 0
-	l, found, err := Open(disk, small)
-	if err != nil || found.TornAt == "" {
-		t.Fatalf("open after a full disk: %v, torn %q", err, found.TornAt)
+	l, repair, err := Open(disk, smallSizes)
+	if err != nil || repair.TornAt == "" {
+		t.Fatalf("open after a full disk: %v, torn %q", err, repair.TornAt)
 	}
-	if d := m.differs(l); d != "" {
-		t.Fatal(d)
+	if diff := m.diff(l); diff != "" {
+		t.Fatal(diff)
 	}
 }
 
 // A batch would take the log past its limit. It must be refused as a whole, and the log must go on with smaller ones.
-func TestBoundRefusesAndHarmsNothing(t *testing.T) {
+func TestFullLogRejectsBatch(t *testing.T) {
 	l := open(t, NewMemFS(), Sizes{SegmentBytes: 400, MaxBytes: 2000})
 	m := newModel()
 	for {
@@ -220,8 +220,8 @@
 	if l.DiskBytes() > 2000 {
 		t.Fatalf("%d bytes, expected at most 2000", l.DiskBytes())
 	}
-	if d := m.differs(l); d != "" {
-		t.Fatal(d)
+	if diff := m.diff(l); diff != "" {
+		t.Fatal(diff)
 	}
 	if err := l.TruncateFront(m.next() - 2); err != nil {
 		t.Fatal(err)
@@ -233,19 +233,19 @@
 func TestGroupCommit(t *testing.T) {
 	disk := NewMemFS()
 	l := open(t, disk, Sizes{SegmentBytes: 1 << 20, MaxBytes: 1 << 20})
-	entered, gate := make(chan struct{}), make(chan struct{})
+	entered, release := make(chan struct{}), make(chan struct{})
 	first := true
 	disk.OnStep = func(step, _ string) (int, error) {
 		if step == "sync" && first {
 			first = false
 			close(entered)
-			<-gate
+			<-release
 		}
 		return 0, nil
 	}
 	var wg sync.WaitGroup
 	numbers := make([]uint64, 20)
-	put := func(i int) {
+	commitOne := func(i int) {
 		defer wg.Done()
 		n, err := l.Commit(Batch{Entries: [][]byte{[]byte(fmt.Sprint(i))}})
 		if err != nil {
@@ -254,18 +254,18 @@
 		numbers[i] = n
 	}
 	wg.Add(1)
-	go put(0)
+	go commitOne(0)
 	<-entered
 	wg.Add(19)
 	for i := 1; i < 20; i++ {
-		go put(i)
+		go commitOne(i)
 	}
 	for waiting := 0; waiting < 19; {
 		l.mu.Lock()
 		waiting = len(l.queue)
 		l.mu.Unlock()
 	}
-	close(gate)
+	close(release)
 	wg.Wait()
 	if l.SyncCount() != 2 {
 		t.Fatalf("%d syncs for 20 commits, expected 2", l.SyncCount())
@@ -278,58 +278,58 @@
 }
 
 // Entries are dropped from the front for a long time. Segments must leave the disk, and marks in them must not be lost.
-func TestReleaseKeepsMarksAndBoundsTheDisk(t *testing.T) {
+func TestTruncateFrontKeepsMarksAndFreesDisk(t *testing.T) {
 	disk := NewMemFS()
-	l := open(t, disk, small)
+	l := open(t, disk, smallSizes)
 	commit(t, l, Batch{Marks: []Mark{{3, []byte("kept")}}})
-	most := int64(0)
+	maxBytes := int64(0)
 	for i := uint64(1); i <= 500; i++ {
 		commit(t, l, Batch{Entries: [][]byte{make([]byte, 100)}})
 		if err := l.TruncateFront(i - min(i, 5)); err != nil {
 			t.Fatal(err)
 		}
-		most = max(most, l.DiskBytes())
+		maxBytes = max(maxBytes, l.DiskBytes())
 	}
-	if most > 4*small.SegmentBytes {
-		t.Fatalf("%d bytes at most, expected under %d", most, 4*small.SegmentBytes)
+	if maxBytes > 4*smallSizes.SegmentBytes {
+		t.Fatalf("%d bytes at most, expected under %d", maxBytes, 4*smallSizes.SegmentBytes)
 	}
 	l.Close()
-	if l = open(t, disk, small); string(l.Mark(3)) != "kept" || l.Next() != 501 {
+	if l = open(t, disk, smallSizes); string(l.Mark(3)) != "kept" || l.Next() != 501 {
 		t.Fatalf("mark %q, next %d", l.Mark(3), l.Next())
 	}
 }
 
-// TestSnapshotAtAnyStep crashes at each step of a save: the old ones are there, or the new one whole.
-func TestSnapshotAtAnyStep(t *testing.T) {
-	for at := 0; ; at++ {
+// TestCrashDuringSaveSnapshot crashes at each step of a save: the old ones are there, or the new one whole.
+func TestCrashDuringSaveSnapshot(t *testing.T) {
+	for failAt := 0; ; failAt++ {
 		disk := NewMemFS()
-		l := open(t, disk, small)
+		l := open(t, disk, smallSizes)
 		for i := uint64(1); i <= 3; i++ {
 			commit(t, l, Batch{Entries: [][]byte{{byte(i)}}})
 			if err := l.SaveSnapshot(i, []byte("state "), []byte{'0' + byte(i)}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		left, failed := at, false
+		stepsLeft, failed := failAt, false
 		disk.OnStep = func(string, string) (int, error) {
-			if left--; left < 0 {
+			if stepsLeft--; stepsLeft < 0 {
 				failed = true
-				return 7, errPower
+				return 7, errPowerLoss
 			}
 			return 0, nil
 		}
 		l.SaveSnapshot(4, []byte("state "), []byte("4"))
-		r := rand.New(rand.NewSource(int64(at)))
+		r := rand.New(rand.NewSource(int64(failAt)))
 		disk.OnStep = nil
-		after := disk.PowerLoss(r.Intn)
-		l = open(t, after, small)
+		restarted := disk.PowerLoss(r.Intn)
+		l = open(t, restarted, smallSizes)
 		snaps := l.Snapshots()
 		if len(snaps) < 2 || snaps[0] < 3 {
-			t.Fatalf("step %d: snapshots %v, expected two, 3 or 4 the newest", at, snaps)
+			t.Fatalf("step %d: snapshots %v, expected two, 3 or 4 the newest", failAt, snaps)
 		}
 		for _, n := range snaps {
 			if got, err := l.LoadSnapshot(n); err != nil || string(got) != fmt.Sprint("state ", n) {
-				t.Fatalf("step %d: snapshot %d is %q (%v)", at, n, got, err)
+				t.Fatalf("step %d: snapshot %d is %q (%v)", failAt, n, got, err)
 			}
 		}
 		if !failed {
@@ -339,9 +339,9 @@
 }
 
 // A bit of a snapshot flips. It must not be loaded as if it was sound.
-func TestDamagedSnapshotIsTold(t *testing.T) {
+func TestDamagedSnapshotIsReported(t *testing.T) {
 	disk := NewMemFS()
-	l := open(t, disk, small)
+	l := open(t, disk, smallSizes)
 	if err := l.SaveSnapshot(1, []byte("state")); err != nil {
 		t.Fatal(err)
 	}
@@ -354,13 +354,13 @@
 
 // Two processes are started on one folder, as by an operator's mistake. Both writing would destroy the log: the second
 // must be refused.
-func TestOneProcessAtATime(t *testing.T) {
+func TestSecondOpenIsLocked(t *testing.T) {
 	dir, err := MakeDir(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := open(t, dir, small)
-	if _, _, err = Open(dir, small); !errors.Is(err, ErrLocked) {
+	l := open(t, dir, smallSizes)
+	if _, _, err = Open(dir, smallSizes); !errors.Is(err, ErrLocked) {
 		t.Fatalf("second open: %v, expected %v", err, ErrLocked)
 	}
 	commit(t, l, Batch{Entries: [][]byte{[]byte("on disk")}, Marks: []Mark{{0, []byte("m")}}})
@@ -368,7 +368,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	l = open(t, dir, small)
+	l = open(t, dir, smallSizes)
 	if got, err := l.Read(1); err != nil || string(got) != "on disk" || string(l.Mark(0)) != "m" {
 		t.Fatalf("entry %q, mark %q, %v", got, l.Mark(0), err)
 	}
@@ -403,25 +403,25 @@
 	}
 }
 
-// TestKilledThenPowerLost: what a killed process had written but not synced counts once it was read, so it
+// TestRecoveredTailSurvivesPowerLoss: what a killed process had written but not synced counts once it was read, so it
 // has to outlast the next loss of power too.
-func TestKilledThenPowerLost(t *testing.T) {
+func TestRecoveredTailSurvivesPowerLoss(t *testing.T) {
 	for seed := int64(0); seed < 40; seed++ {
 		disk := NewMemFS()
-		l := open(t, disk, small)
+		l := open(t, disk, smallSizes)
 		disk.OnStep = func(step, _ string) (int, error) {
 			if step == "sync" {
-				return 0, errPower
+				return 0, errPowerLoss
 			}
 			return 0, nil
 		}
 		l.Commit(Batch{Entries: [][]byte{[]byte("written")}})
 		disk = disk.Kill()
-		if l = open(t, disk, small); l.Next() != 2 {
+		if l = open(t, disk, smallSizes); l.Next() != 2 {
 			t.Fatalf("next %d, expected what was written to be read", l.Next())
 		}
 		disk = disk.PowerLoss(rand.New(rand.NewSource(seed)).Intn)
-		if l = open(t, disk, small); l.Next() != 2 {
+		if l = open(t, disk, smallSizes); l.Next() != 2 {
 			t.Fatalf("seed %d: next %d, expected what was read before to be there", seed, l.Next())
 		}
 	}
--- a/internal/wal/memfs.go
+++ b/internal/wal/memfs.go
@@ -37,8 +37,8 @@
 	data []byte // nil for a truncation to off
 }
 
-// sector is what a disk writes completely or not at all, in bytes: the least of those in use.
-const sector = 512
+// sectorBytes is what a disk writes completely or not at all, in bytes: the least of those in use.
+const sectorBytes = 512
 
 // NewMemFS gives an empty folder.
 func NewMemFS() *MemFS {
@@ -178,17 +178,17 @@
 	if err == nil {
 		n = len(p)
 		grown := max(0, off+int64(n)-int64(len(f.data)))
-		if room := f.dir.Capacity; room > 0 && f.dir.used()+grown > room {
-			n, err = int(max(0, int64(n)-(f.dir.used()+grown-room))), syscall.ENOSPC
+		if capacity := f.dir.Capacity; capacity > 0 && f.dir.used()+grown > capacity {
+			n, err = int(max(0, int64(n)-(f.dir.used()+grown-capacity))), syscall.ENOSPC
 		}
 	}
 	n = min(n, len(p))
-	f.data = put(f.data, p[:n], off)
+	f.data = writeInto(f.data, p[:n], off)
 	f.pending = append(f.pending, memWrite{off, append(make([]byte, 0, n), p[:n]...)})
 	return n, err
 }
 
-func put(data, p []byte, off int64) []byte {
+func writeInto(data, p []byte, off int64) []byte {
 	if end := off + int64(len(p)); end > int64(len(data)) {
 		data = append(data, make([]byte, end-int64(len(data)))...)
 	}
@@ -214,17 +214,17 @@
 		return err
 	}
 	for _, w := range f.pending {
-		f.synced = apply(f.synced, w)
+		f.synced = applyWrite(f.synced, w)
 	}
 	f.pending = f.pending[:0]
 	return nil
 }
 
-func apply(data []byte, w memWrite) []byte {
+func applyWrite(data []byte, w memWrite) []byte {
 	if w.data == nil {
 		return data[:min(w.off, int64(len(data)))]
 	}
-	return put(data, w.data, w.off)
+	return writeInto(data, w.data, w.off)
 }
 
 func (f *memFile) Size() (int64, error) {
@@ -263,38 +263,38 @@
 
 // PowerLoss returns the folder as it may be found after power was lost: what was synced, and of the rest, by chance,
 // all, nothing, a part from its start or any sectors of it. chance returns a number from 0 to n-1.
-func (m *MemFS) PowerLoss(chance func(n int) int) *MemFS {
+func (m *MemFS) PowerLoss(intn func(n int) int) *MemFS {
 	m.mu.Lock()
 	names := map[string]*memFile{}
 	for name, f := range m.syncedNames {
 		names[name] = f
 	}
-	for k := chance(len(m.pendingNames) + 1); k > 0; k-- {
+	for k := intn(len(m.pendingNames) + 1); k > 0; k-- {
 		m.pendingNames[0](names)
 		m.pendingNames = m.pendingNames[1:]
 	}
 	m.mu.Unlock()
 	return m.copy(func(f *memFile) []byte {
 		data := append([]byte(nil), f.synced...)
-		way := chance(4)
-		left := 1 << 30
-		if way == 2 {
-			left = chance(16)
+		mode := intn(4)
+		sectorsLeft := 1 << 30
+		if mode == 2 {
+			sectorsLeft = intn(16)
 		}
 		for _, w := range f.pending {
 			if w.data == nil {
-				if way != 0 && left > 0 {
-					data = apply(data, w)
+				if mode != 0 && sectorsLeft > 0 {
+					data = applyWrite(data, w)
 				}
 				continue
 			}
-			for lo := 0; lo < len(w.data); {
-				hi := min(len(w.data), lo+sector-int((w.off+int64(lo))%sector))
-				if left > 0 && (way == 1 || way == 2 || way == 3 && chance(2) == 0) {
-					data = put(data, w.data[lo:hi], w.off+int64(lo))
+			for from := 0; from < len(w.data); {
+				end := min(len(w.data), from+sectorBytes-int((w.off+int64(from))%sectorBytes))
+				if sectorsLeft > 0 && (mode == 1 || mode == 2 || mode == 3 && intn(2) == 0) {
+					data = writeInto(data, w.data[from:end], w.off+int64(from))
 				}
-				left--
-				lo = hi
+				sectorsLeft--
+				from = end
 			}
 		}
 		return data
@@ -306,12 +306,12 @@
 	defer m.mu.Unlock()
 	out := NewMemFS()
 	out.Capacity = m.Capacity
-	var order []string
+	var sorted []string
 	for name := range names {
-		order = append(order, name)
+		sorted = append(sorted, name)
 	}
-	sort.Strings(order) // chance is drawn in a fixed order
-	for _, name := range order {
+	sort.Strings(sorted) // chance is drawn in a fixed order
+	for _, name := range sorted {
 		data := append([]byte(nil), content(names[name])...)
 		f := &memFile{dir: out, name: name, data: data, synced: append([]byte(nil), data...)}
 		out.names[name], out.syncedNames[name] = f, f
--- a/internal/wal/open.go
+++ b/internal/wal/open.go
@@ -25,20 +25,20 @@
 		return nil, Repair{}, err
 	}
 	l := &Log{fs: fs, sizes: sizes, unlock: unlock, index: entryIndex{first: 1}}
-	found, err := l.recover()
+	repair, err := l.recover()
 	if err != nil {
 		err = errors.Join(err, l.closeSegments())
 		unlock()
-		return nil, found, err
+		return nil, repair, err
 	}
-	return l, found, nil
+	return l, repair, nil
 }
 
 func (l *Log) recover() (Repair, error) {
-	var found Repair
+	var repair Repair
 	names, err := l.fs.List()
 	if err != nil {
-		return found, err
+		return repair, err
 	}
 	var seqs []uint64
 	for _, name := range names {
@@ -46,28 +46,28 @@
 			seqs = append(seqs, n)
 		} else if strings.HasSuffix(name, temporarySuffix) {
 			if err := l.fs.Remove(name); err != nil {
-				return found, err
+				return repair, err
 			}
-			found.RemovedFiles = append(found.RemovedFiles, name)
+			repair.RemovedFiles = append(repair.RemovedFiles, name)
 		}
 	}
 	if err := l.findSnapshots(names); err != nil {
-		return found, err
+		return repair, err
 	}
 	sort.Slice(seqs, func(i, k int) bool { return seqs[i] < seqs[k] })
 	for i, seq := range seqs {
-		if err := l.loadSegment(seq, i == 0, i == len(seqs)-1, &found); err != nil {
-			return found, err
+		if err := l.loadSegment(seq, i == 0, i == len(seqs)-1, &repair); err != nil {
+			return repair, err
 		}
 	}
 	if len(l.segments) == 0 {
 		s, err := createSegment(l.fs, max(1, l.lastSequence(seqs)), l.index.first, l.checksum)
 		if err != nil {
-			return found, err
+			return repair, err
 		}
 		l.segments = append(l.segments, s)
 	}
-	return found, nil
+	return repair, nil
 }
 
 func (l *Log) lastSequence(seqs []uint64) uint64 {
@@ -78,7 +78,7 @@
 }
 
 // loadSegment reads one segment: its header has to go on from the segment before, and its records from each other.
-func (l *Log) loadSegment(seq uint64, oldest, newest bool, found *Repair) error {
+func (l *Log) loadSegment(seq uint64, oldest, newest bool, repair *Repair) error {
 	f, err := l.fs.Open(segmentName(seq))
 	if err != nil {
 		return err
@@ -88,22 +88,22 @@
 	if err != nil {
 		return errors.Join(err, f.Close())
 	}
-	if bad := l.checkHeader(raw, seq, oldest); bad != "" {
+	if problem := l.checkHeader(raw, seq, oldest); problem != "" {
 		if err = f.Close(); err != nil {
 			return err
 		}
 		if newest && !flushStartsAfter(raw, min(segmentHeaderBytes, len(raw))-1) && len(raw) <= segmentHeaderBytes {
 			// It was being made: its header is synced before a record follows it.
-			found.TornAt, found.TornBytes = s.name+" at byte 0", s.size
+			repair.TornAt, repair.TornBytes = s.name+" at byte 0", s.size
 			if err = l.fs.Remove(s.name); err != nil {
 				return err
 			}
 			return l.fs.Sync()
 		}
-		return &Damage{s.name, 0, "the header", bad}
+		return &Damage{s.name, 0, "the header", problem}
 	}
 	l.segments = append(l.segments, s) // from here on Open or Close closes it
-	return l.readRecords(s, raw, newest, found)
+	return l.readRecords(s, raw, newest, repair)
 }
 
 // readWhole reads a segment's file and notes its size.
@@ -127,24 +127,24 @@
 
 func (l *Log) checkHeader(raw []byte, seq uint64, oldest bool) string {
 	switch {
-	case len(raw) < segmentHeaderBytes || string(raw[:8]) != magic:
+	case len(raw) < segmentHeaderBytes || string(raw[:8]) != segmentMagic:
 		return "no header of a log"
 	case binary.LittleEndian.Uint32(raw[8:]) != crc32.Checksum(raw[12:segmentHeaderBytes], castagnoli):
 		return "its sum does not fit"
-	case binary.LittleEndian.Uint32(raw[12:]) != format:
-		return fmt.Sprintf("format %d, expected %d", binary.LittleEndian.Uint32(raw[12:]), format)
+	case binary.LittleEndian.Uint32(raw[12:]) != segmentFormat:
+		return fmt.Sprintf("format %d, expected %d", binary.LittleEndian.Uint32(raw[12:]), segmentFormat)
 	case binary.LittleEndian.Uint64(raw[16:]) != seq:
 		return fmt.Sprintf("segment %d, expected %d", binary.LittleEndian.Uint64(raw[16:]), seq)
 	}
-	next, sum := binary.LittleEndian.Uint64(raw[24:]), binary.LittleEndian.Uint32(raw[32:])
+	next, checksum := binary.LittleEndian.Uint64(raw[24:]), binary.LittleEndian.Uint32(raw[32:])
 	if oldest {
-		l.index.first, l.checksum = next, sum
+		l.index.first, l.checksum = next, checksum
 		return ""
 	}
 	if before := l.segments[len(l.segments)-1].sequence; before+1 != seq {
 		return fmt.Sprintf("it follows segment %d, expected %d: one is missing", before, seq-1)
 	}
-	if sum != l.checksum || next != l.index.next() {
+	if checksum != l.checksum || next != l.index.next() {
 		return "it does not go on from the segment before"
 	}
 	return ""
@@ -162,7 +162,7 @@
 type segmentScan struct {
 	raw      []byte
 	offset   int             // of the next record
-	complete int             // end of the last complete flush
+	flushEnd int             // end of the last complete flush
 	checksum uint32          // before the next record
 	next     uint64          // number of the next entry
 	flush    []scannedRecord // records of the flush that is being read
@@ -172,47 +172,47 @@
 // end of the newest segment was never synced, and is cut off. Anywhere else what can't be read was durable once:
 // damage.
 func (l *Log) readRecords(s *segment, raw []byte, newest bool, repair *Repair) error {
-	scan := &segmentScan{raw: raw, offset: segmentHeaderBytes, complete: segmentHeaderBytes, checksum: l.checksum,
+	scan := &segmentScan{raw: raw, offset: segmentHeaderBytes, flushEnd: segmentHeaderBytes, checksum: l.checksum,
 		next: l.index.next()}
-	fault := ""
-	for scan.offset < len(raw) && fault == "" {
-		var ended bool
-		if ended, fault = scan.record(); ended {
+	problem := ""
+	for scan.offset < len(raw) && problem == "" {
+		var last bool
+		if last, problem = scan.scanRecord(); last {
 			l.applyFlush(s, scan.flush)
-			l.checksum, scan.complete, scan.flush = scan.checksum, scan.offset, scan.flush[:0]
+			l.checksum, scan.flushEnd, scan.flush = scan.checksum, scan.offset, scan.flush[:0]
 		}
 	}
-	if scan.complete == len(raw) {
-		return l.settle(s, newest)
+	if scan.flushEnd == len(raw) {
+		return l.syncRecovered(s, newest)
 	}
 	if !newest || scan.wasDurable() {
-		if fault == "" {
-			fault = "the flush it belongs to has no end"
+		if problem == "" {
+			problem = "the flush it belongs to has no end"
 		}
 		record := fmt.Sprintf("the record of entry %d or a mark before it", scan.next)
-		return &Damage{s.name, int64(scan.offset), record, fault}
+		return &Damage{s.name, int64(scan.offset), record, problem}
 	}
-	repair.TornAt = fmt.Sprintf("%s at byte %d", s.name, scan.complete)
-	repair.TornBytes = int64(len(raw) - scan.complete)
-	if err := s.file.Truncate(int64(scan.complete)); err != nil {
+	repair.TornAt = fmt.Sprintf("%s at byte %d", s.name, scan.flushEnd)
+	repair.TornBytes = int64(len(raw) - scan.flushEnd)
+	if err := s.file.Truncate(int64(scan.flushEnd)); err != nil {
 		return err
 	}
-	s.size = int64(scan.complete)
-	return l.settle(s, newest)
+	s.size = int64(scan.flushEnd)
+	return l.syncRecovered(s, newest)
 }
 
-// record reads the next record. ended tells that it is the last of its flush; fault is why it can't be read, empty if
+// scanRecord reads the next record. ended tells that it is the last of its flush; fault is why it can't be read, empty if
 // it can.
-func (c *segmentScan) record() (ended bool, fault string) {
-	flags, number, data, ok := readRecord(c.raw[c.offset:], c.checksum)
+func (s *segmentScan) scanRecord() (last bool, problem string) {
+	flags, number, data, ok := readRecord(s.raw[s.offset:], s.checksum)
 	kind := flags & kindMask
 	switch {
 	case !ok:
 		return false, "its sum does not fit"
-	case (flags&firstOfFlush != 0) != (len(c.flush) == 0):
+	case (flags&firstOfFlush != 0) != (len(s.flush) == 0):
 		return false, "it is out of its flush"
-	case kind == kindEntry && number != c.next:
-		return false, fmt.Sprintf("entry %d, expected %d", number, c.next)
+	case kind == kindEntry && number != s.next:
+		return false, fmt.Sprintf("entry %d, expected %d", number, s.next)
 	case kind == kindMark && number >= MaxMarkKinds:
 		return false, fmt.Sprintf("mark %d, expected one below %d", number, MaxMarkKinds)
 	case kind == kindCut && number == 0:
@@ -220,23 +220,23 @@
 	}
 	switch kind {
 	case kindEntry:
-		c.next++
+		s.next++
 	case kindCut:
-		c.next = number
+		s.next = number
 	}
-	c.flush = append(c.flush, scannedRecord{kind, number, data, c.offset})
-	c.offset += recordHeaderBytes + len(data) + checksumBytes
-	c.checksum = binary.LittleEndian.Uint32(c.raw[c.offset-checksumBytes:])
+	s.flush = append(s.flush, scannedRecord{kind, number, data, s.offset})
+	s.offset += recordHeaderBytes + len(data) + checksumBytes
+	s.checksum = binary.LittleEndian.Uint32(s.raw[s.offset-checksumBytes:])
 	return flags&lastOfFlush != 0, ""
 }
 
 // wasDurable tells whether what stands at the scan's offset was synced once: a flush begins after it, and each flush is
 // synced before the next is written.
-func (c *segmentScan) wasDurable() bool {
-	if flushStartsAfter(c.raw, c.offset) {
+func (s *segmentScan) wasDurable() bool {
+	if flushStartsAfter(s.raw, s.offset) {
 		return true
 	}
-	_, _, _, next, ok := readRecordByNext(c.raw[c.offset:], c.checksum)
+	_, _, _, next, ok := readRecordWithBadChecksum(s.raw[s.offset:], s.checksum)
 	return ok && next&firstOfFlush != 0
 }
 
@@ -254,8 +254,8 @@
 	}
 }
 
-// settle syncs what was read, names too: a process that was killed may have left it written but not synced.
-func (l *Log) settle(s *segment, newest bool) error {
+// syncRecovered syncs what was read, names too: a process that was killed may have left it written but not synced.
+func (l *Log) syncRecovered(s *segment, newest bool) error {
 	if !newest {
 		return nil
 	}
--- a/internal/wal/pin_test.go
+++ b/internal/wal/pin_test.go
@@ -14,7 +14,7 @@
 // alone.
 var writePins = flag.Bool("write-pins", false, "write the fixtures of pinned forms anew")
 
-func pinned(t *testing.T, name string, got []byte) {
+func compareFixture(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "pin", name)
 	if *writePins {
@@ -35,8 +35,8 @@
 	}
 }
 
-// pinLog writes entries, marks, cuts and snapshots over several segments.
-func pinLog(t *testing.T, fs FS) {
+// writeSampleLog writes entries, marks, cuts and snapshots over several segments.
+func writeSampleLog(t *testing.T, fs FS) {
 	t.Helper()
 	l, _, err := Open(fs, Sizes{SegmentBytes: 400, MaxBytes: 1 << 20})
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-func pinContent(t *testing.T, l *Log) string {
+func describeContent(t *testing.T, l *Log) string {
 	t.Helper()
 	var out strings.Builder
 	fmt.Fprintf(&out, "entries %d to %d, snapshots %v, %d bytes\n", l.First(), l.Next()-1, l.Snapshots(), l.DiskBytes())
@@ -92,7 +92,7 @@
 	return out.String()
 }
 
-func pinRead(t *testing.T, fs FS, name string) []byte {
+func readFixtureFile(t *testing.T, fs FS, name string) []byte {
 	t.Helper()
 	f, err := fs.Open(name)
 	if err != nil {
@@ -109,16 +109,16 @@
 	return raw
 }
 
-// TestPinLogIsWritten: the same steps give the same files as version 2a0a97e.
-func TestPinLogIsWritten(t *testing.T) {
+// TestLogFilesAreStable: the same steps give the same files as version 2a0a97e.
+func TestLogFilesAreStable(t *testing.T) {
 	fs := NewMemFS()
-	pinLog(t, fs)
+	writeSampleLog(t, fs)
 	names, err := fs.List()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range names {
-		pinned(t, "log/"+name, pinRead(t, fs, name))
+		compareFixture(t, "log/"+name, readFixtureFile(t, fs, name))
 	}
 	stored, err := filepath.Glob("testdata/pin/log/*")
 	if err != nil || len(stored) != len(names) {
@@ -152,31 +152,31 @@
 	return fs
 }
 
-// TestPinLogIsRead: the stored files give what was written.
-func TestPinLogIsRead(t *testing.T) {
-	l, found, err := Open(storedLog(t), Sizes{SegmentBytes: 400, MaxBytes: 1 << 20})
-	if err != nil || found.TornAt != "" || found.TornBytes != 0 || found.RemovedFiles != nil {
-		t.Fatalf("%+v, %v", found, err)
+// TestStoredLogReadsBack: the stored files give what was written.
+func TestStoredLogReadsBack(t *testing.T) {
+	l, repair, err := Open(storedLog(t), Sizes{SegmentBytes: 400, MaxBytes: 1 << 20})
+	if err != nil || repair.TornAt != "" || repair.TornBytes != 0 || repair.RemovedFiles != nil {
+		t.Fatalf("%+v, %v", repair, err)
 	}
 	defer l.Close()
-	pinned(t, "content.txt", []byte(pinContent(t, l)))
+	compareFixture(t, "content.txt", []byte(describeContent(t, l)))
 }
 
-// TestPinSpoiltLog: a copy with one byte spoilt, or torn, at any place gives the end that it gave.
-func TestPinSpoiltLog(t *testing.T) {
+// TestDamagedStoredLogOutcomes: a copy with one byte spoilt, or torn, at any place gives the end that it gave.
+func TestDamagedStoredLogOutcomes(t *testing.T) {
 	names, err := storedLog(t).List()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	end := func(fs *MemFS) {
-		l, found, err := Open(fs, Sizes{SegmentBytes: 400, MaxBytes: 1 << 20})
+	describeOpen := func(fs *MemFS) {
+		l, repair, err := Open(fs, Sizes{SegmentBytes: 400, MaxBytes: 1 << 20})
 		if err != nil {
 			fmt.Fprintln(&out, err)
 			return
 		}
 		defer l.Close()
-		fmt.Fprintf(&out, "%d bytes cut off %q, entries %d to %d", found.TornBytes, found.TornAt, l.First(), l.Next()-1)
+		fmt.Fprintf(&out, "%d bytes cut off %q, entries %d to %d", repair.TornBytes, repair.TornAt, l.First(), l.Next()-1)
 		for _, n := range l.Snapshots() {
 			_, err := l.LoadSnapshot(n)
 			fmt.Fprintf(&out, "; snapshot %d: %v", n, err)
@@ -184,55 +184,55 @@
 		fmt.Fprintln(&out)
 	}
 	for _, name := range names {
-		size := len(pinRead(t, storedLog(t), name))
-		for at := 0; at < size; at += 1 + size/40 {
+		size := len(readFixtureFile(t, storedLog(t), name))
+		for off := 0; off < size; off += 1 + size/40 {
 			fs := storedLog(t)
-			fs.FlipBits(name, int64(at), 1<<(at%8))
-			fmt.Fprintf(&out, "%s flipped at %d: ", name, at)
-			end(fs)
+			fs.FlipBits(name, int64(off), 1<<(off%8))
+			fmt.Fprintf(&out, "%s flipped at %d: ", name, off)
+			describeOpen(fs)
 			fs = storedLog(t)
 			f, err := fs.Open(name)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err = f.Truncate(int64(at)); err != nil {
+			if err = f.Truncate(int64(off)); err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(&out, "%s cut at %d: ", name, at)
-			end(fs)
+			fmt.Fprintf(&out, "%s cut at %d: ", name, off)
+			describeOpen(fs)
 		}
 		fs := storedLog(t)
 		if err := fs.Remove(name); err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&out, "%s missing: ", name)
-		end(fs)
+		describeOpen(fs)
 	}
-	pinned(t, "spoilt.txt", []byte(out.String()))
+	compareFixture(t, "spoilt.txt", []byte(out.String()))
 }
 
-// TestPinErrors: the log's errors at a call are those of version 2a0a97e.
-func TestPinErrors(t *testing.T) {
+// TestErrorTextsAreStable: the log's errors at a call are those of version 2a0a97e.
+func TestErrorTextsAreStable(t *testing.T) {
 	var out strings.Builder
 	fs := NewMemFS()
 	l, _, err := Open(fs, Sizes{SegmentBytes: 100, MaxBytes: 300})
 	if err != nil {
 		t.Fatal(err)
 	}
-	say := func(what string, err error) { fmt.Fprintf(&out, "%s: %v\n", what, err) }
+	add := func(call string, err error) { fmt.Fprintf(&out, "%s: %v\n", call, err) }
 	_, err = l.Commit(Batch{Entries: [][]byte{make([]byte, MaxRecordBytes+1)}})
-	say("a large entry", err)
+	add("a large entry", err)
 	_, err = l.Commit(Batch{Marks: []Mark{{Kind: 16}}})
-	say("a mark of no kind", err)
+	add("a mark of no kind", err)
 	_, err = l.Commit(Batch{Entries: [][]byte{make([]byte, 400)}})
-	say("past the bound", err)
-	say("a snapshot past the bound", l.SaveSnapshot(1, make([]byte, 400)))
+	add("past the bound", err)
+	add("a snapshot past the bound", l.SaveSnapshot(1, make([]byte, 400)))
 	_, err = l.Read(1)
-	say("an entry that is not there", err)
+	add("an entry that is not there", err)
 	_, err = l.LoadSnapshot(7)
-	say("a snapshot that is not there", err)
+	add("a snapshot that is not there", err)
 	_, _, err = Open(fs, Sizes{SegmentBytes: 100, MaxBytes: 300})
-	say("in use", err)
+	add("in use", err)
 	fs.OnStep = func(step, _ string) (int, error) {
 		if step == "sync" {
 			return 0, fmt.Errorf("no sync")
@@ -240,11 +240,11 @@
 		return 0, nil
 	}
 	_, err = l.Commit(Batch{Entries: [][]byte{{1}}})
-	say("a failed sync", err)
+	add("a failed sync", err)
 	fs.OnStep = nil
 	_, err = l.Commit(Batch{Entries: [][]byte{{1}}})
-	say("after it", err)
-	say("a release after it", l.TruncateFront(1))
+	add("after it", err)
+	add("a release after it", l.TruncateFront(1))
 	if err = l.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -256,6 +256,6 @@
 		t.Fatal(err)
 	}
 	_, err = l.Commit(Batch{Entries: [][]byte{{1}}})
-	say("closed", err)
-	pinned(t, "errors.txt", []byte(out.String()))
+	add("closed", err)
+	compareFixture(t, "errors.txt", []byte(out.String()))
 }
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -13,25 +13,25 @@
 	if number < l.index.first || number >= l.index.next() {
 		return nil, &EntryNotFoundError{number, l.index.first, l.index.next() - 1}
 	}
-	from := l.index.find(number)
-	s := l.segment(from.seg)
-	bad := func(off int64, what string) error {
-		return &Damage{s.name, off, fmt.Sprintf("entry %d", number), what}
+	start := l.index.find(number)
+	s := l.segment(start.seg)
+	damageAt := func(off int64, problem string) error {
+		return &Damage{s.name, off, fmt.Sprintf("entry %d", number), problem}
 	}
-	off, length, err := seek(func(head []byte, off int64) error {
-		_, err := s.file.ReadAt(head, off)
+	off, length, err := seek(func(header []byte, off int64) error {
+		_, err := s.file.ReadAt(header, off)
 		return err
-	}, from, number)
+	}, start, number)
 	if err != nil {
-		return nil, bad(off, err.Error())
+		return nil, damageAt(off, err.Error())
 	}
 	raw := make([]byte, checksumBytes+recordHeaderBytes+length+checksumBytes)
 	if _, err := s.file.ReadAt(raw, off-checksumBytes); err != nil {
-		return nil, bad(off, err.Error())
+		return nil, damageAt(off, err.Error())
 	}
 	kind, n, data, ok := readRecord(raw[checksumBytes:], binary.LittleEndian.Uint32(raw))
 	if !ok || kind&kindMask != kindEntry || n != number {
-		return nil, bad(off, "its sum does not fit")
+		return nil, damageAt(off, "its sum does not fit")
 	}
 	return data, nil
 }
@@ -43,27 +43,27 @@
 	defer l.mu.Unlock()
 	var s *segment
 	var raw []byte
-	read := func(head []byte, off int64) error {
+	read := func(header []byte, off int64) error {
 		if off+recordHeaderBytes > s.size {
 			return io.ErrUnexpectedEOF
 		}
-		copy(head, raw[off:])
+		copy(header, raw[off:])
 		return nil
 	}
-	for i, j := range l.index.runs { // from each of these on, entries stand one behind the other
-		if s == nil || s.sequence != j.seg {
-			s = l.segment(j.seg)
+	for i, extent := range l.index.extentStarts { // from each of these on, entries stand one behind the other
+		if s == nil || s.sequence != extent.seg {
+			s = l.segment(extent.seg)
 			raw = make([]byte, s.size)
 			if _, err := s.file.ReadAt(raw, 0); err != nil {
 				return &Damage{s.name, 0, "its records", err.Error()}
 			}
 		}
-		number, end := max(j.number, l.index.first), l.index.next()
-		if i+1 < len(l.index.runs) {
-			end = l.index.runs[i+1].number
+		number, end := max(extent.number, l.index.first), l.index.next()
+		if i+1 < len(l.index.extentStarts) {
+			end = l.index.extentStarts[i+1].number
 		}
-		for from := l.index.find(number); number < end; number++ {
-			off, length, err := seek(read, from, number)
+		for start := l.index.find(number); number < end; number++ {
+			off, length, err := seek(read, start, number)
 			if off += recordHeaderBytes; err == nil && off+int64(length) > s.size {
 				err = io.ErrUnexpectedEOF
 			}
@@ -73,7 +73,7 @@
 			if err = f(number, raw[off:off+int64(length)]); err != nil {
 				return err
 			}
-			from = run{number + 1, j.seg, uint32(off + int64(length) + checksumBytes)}
+			start = entryPosition{number + 1, extent.seg, uint32(off + int64(length) + checksumBytes)}
 		}
 	}
 	return nil
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func (w *recordWriter) batch(b Batch) uint64 {
+func (w *recordWriter) appendBatch(b Batch) uint64 {
 	if b.Cut > 0 {
 		w.append(kindCut, b.Cut, nil)
 		w.next = b.Cut
@@ -82,8 +82,8 @@
 	return first
 }
 
-// close marks the last record as such and sums it again.
-func (w *recordWriter) close() {
+// finishFlush marks the last record as such and sums it again.
+func (w *recordWriter) finishFlush() {
 	w.buf[w.lastRecord+4] |= lastOfFlush
 	end := len(w.buf) - checksumBytes
 	w.checksum = crc32.Update(w.previousChecksum, castagnoli, w.buf[w.lastRecord:end])
@@ -105,7 +105,7 @@
 }
 
 // readRecord reads the record at the start of raw, given the checksum before it; ok is false if there is none.
-func readRecord(raw []byte, before uint32) (kind byte, number uint64, data []byte, ok bool) {
+func readRecord(raw []byte, previousChecksum uint32) (kind byte, number uint64, data []byte, ok bool) {
 	if len(raw) < recordHeaderBytes+checksumBytes {
 		return 0, 0, nil, false
 	}
@@ -116,7 +116,7 @@
 		return 0, 0, nil, false
 	}
 	end := recordHeaderBytes + int(n)
-	if crc32.Update(before, castagnoli, raw[:end]) != binary.LittleEndian.Uint32(raw[end:]) {
+	if crc32.Update(previousChecksum, castagnoli, raw[:end]) != binary.LittleEndian.Uint32(raw[end:]) {
 		return 0, 0, nil, false
 	}
 	return kind, binary.LittleEndian.Uint64(raw[5:]), raw[recordHeaderBytes:end], true
@@ -125,29 +125,29 @@
 // flushStartsAfter looks for the start of a flush anywhere after an offset. It tells damage from a torn tail: each
 // flush is synced before the next is written, so whatever stands before one was durable.
 func flushStartsAfter(raw []byte, from int) bool {
-	for q := from + 1; q+recordHeaderBytes+checksumBytes <= len(raw); q++ {
-		if raw[q+4]&firstOfFlush == 0 {
+	for off := from + 1; off+recordHeaderBytes+checksumBytes <= len(raw); off++ {
+		if raw[off+4]&firstOfFlush == 0 {
 			continue
 		}
-		if _, _, _, ok := readRecord(raw[q:], binary.LittleEndian.Uint32(raw[q-checksumBytes:])); ok {
+		if _, _, _, ok := readRecord(raw[off:], binary.LittleEndian.Uint32(raw[off-checksumBytes:])); ok {
 			return true
 		}
 	}
 	return false
 }
 
-// readRecordByNext reads the record at the start of raw where its stored checksum alone is wrong: the record after it
+// readRecordWithBadChecksum reads the record at the start of raw where its stored checksum alone is wrong: the record after it
 // takes in the checksum that it should have. next is that record's kind and flags.
-func readRecordByNext(raw []byte, before uint32) (kind byte, number uint64, data []byte, next byte, ok bool) {
+func readRecordWithBadChecksum(raw []byte, previousChecksum uint32) (kind byte, number uint64, data []byte, nextKind byte, ok bool) {
 	if len(raw) < recordHeaderBytes+checksumBytes {
 		return 0, 0, nil, 0, false
 	}
 	n := binary.LittleEndian.Uint32(raw)
-	room := len(raw) - recordHeaderBytes - checksumBytes
-	if k := raw[4] & kindMask; n > MaxRecordBytes || k < kindEntry || k > kindCut || int(n) > room {
+	maxData := len(raw) - recordHeaderBytes - checksumBytes
+	if k := raw[4] & kindMask; n > MaxRecordBytes || k < kindEntry || k > kindCut || int(n) > maxData {
 		return 0, 0, nil, 0, false
 	}
 	end := recordHeaderBytes + int(n)
-	next, _, _, ok = readRecord(raw[end+checksumBytes:], crc32.Update(before, castagnoli, raw[:end]))
-	return raw[4], binary.LittleEndian.Uint64(raw[5:]), raw[recordHeaderBytes:end], next, ok
+	nextKind, _, _, ok = readRecord(raw[end+checksumBytes:], crc32.Update(previousChecksum, castagnoli, raw[:end]))
+	return raw[4], binary.LittleEndian.Uint64(raw[5:]), raw[recordHeaderBytes:end], nextKind, ok
 }
--- a/internal/wal/salvage.go
+++ b/internal/wal/salvage.go
@@ -44,12 +44,12 @@
 	if err != nil {
 		return false, err
 	}
-	has := map[string]bool{}
+	exists := map[string]bool{}
 	for _, n := range names {
-		has[n] = true
+		exists[n] = true
 	}
 	switch {
-	case has[rewritingFile]: // all segments are copies of what was put aside
+	case exists[rewritingFile]: // all segments are copies of what was put aside
 		for _, n := range names {
 			if _, ok := parseFileName(n, segmentSuffix); ok {
 				if err = fs.Remove(n); err != nil {
@@ -58,7 +58,7 @@
 			}
 		}
 		return true, fs.Sync()
-	case has[settingAsideFile]:
+	case exists[settingAsideFile]:
 	case !damaged:
 		return false, nil
 	default:
@@ -105,7 +105,7 @@
 
 // Salvage reads what was set aside, in order, and calls take for each record and gap. Data is valid until the next
 // call.
-func Salvage(fs FS, take func(SalvagedRecord) error) (gaps int, err error) {
+func Salvage(fs FS, emit func(SalvagedRecord) error) (gaps int, err error) {
 	names, err := fs.List()
 	if err != nil {
 		return 0, err
@@ -119,17 +119,17 @@
 	sort.Strings(setAside) // sixteen digits each
 	gap := func() error {
 		gaps++
-		return take(SalvagedRecord{Gap: true})
+		return emit(SalvagedRecord{Gap: true})
 	}
-	before := uint64(0)
+	previous := uint64(0)
 	for _, n := range setAside {
 		seq, _ := parseFileName(n, segmentSuffix+setAsideSuffix)
-		if before > 0 && seq != before+1 {
+		if previous > 0 && seq != previous+1 {
 			if err = gap(); err != nil {
 				return gaps, err
 			}
 		}
-		before = seq
+		previous = seq
 		raw, err := readFile(fs, n)
 		if err != nil { // a segment that can't be read at all is a gap of many
 			if err = gap(); err != nil {
@@ -137,7 +137,7 @@
 			}
 			continue
 		}
-		if err = salvageSegment(raw, take, gap); err != nil {
+		if err = salvageSegment(raw, emit, gap); err != nil {
 			return gaps, err
 		}
 	}
@@ -166,45 +166,45 @@
 
 // salvageSegment reads one segment. Each record's checksum takes in the one before it, which stands right before it,
 // so a record can be told from anything else wherever it begins.
-func salvageSegment(raw []byte, take func(SalvagedRecord) error, gap func() error) error {
+func salvageSegment(raw []byte, emit func(SalvagedRecord) error, gap func() error) error {
 	if len(raw) < segmentHeaderBytes {
 		return gap()
 	}
-	lost, sum := false, binary.LittleEndian.Uint32(raw[segmentHeaderBytes-checksumBytes:])
+	inGap, checksum := false, binary.LittleEndian.Uint32(raw[segmentHeaderBytes-checksumBytes:])
 	for off := segmentHeaderBytes; off < len(raw); {
-		if lost {
-			sum = binary.LittleEndian.Uint32(raw[off-checksumBytes:])
+		if inGap {
+			checksum = binary.LittleEndian.Uint32(raw[off-checksumBytes:])
 		}
-		kind, number, data, ok := readRecord(raw[off:], sum)
-		whole := ok
+		kind, number, data, ok := readRecord(raw[off:], checksum)
+		checksumOK := ok
 		if !ok {
-			kind, number, data, _, ok = readRecordByNext(raw[off:], sum)
+			kind, number, data, _, ok = readRecordWithBadChecksum(raw[off:], checksum)
 		}
 		if !ok {
-			lost = true
+			inGap = true
 			off++
 			continue
 		}
-		if lost {
-			lost = false
+		if inGap {
+			inGap = false
 			if err := gap(); err != nil {
 				return err
 			}
 		}
 		end := off + recordHeaderBytes + len(data)
-		if whole {
-			sum = binary.LittleEndian.Uint32(raw[end:])
+		if checksumOK {
+			checksum = binary.LittleEndian.Uint32(raw[end:])
 		} else {
-			sum = crc32.Update(sum, castagnoli, raw[off:end])
+			checksum = crc32.Update(checksum, castagnoli, raw[off:end])
 		}
 		off = end + checksumBytes
 		if k := kind & kindMask; k != kindCut {
-			if err := take(SalvagedRecord{Mark: k == kindMark, Kind: int(number), Data: data}); err != nil {
+			if err := emit(SalvagedRecord{Mark: k == kindMark, Kind: int(number), Data: data}); err != nil {
 				return err
 			}
 		}
 	}
-	if lost {
+	if inGap {
 		return gap()
 	}
 	return nil
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -12,8 +12,8 @@
 //	"umberwal" | sum of what follows u32 | format u32 | sequence u64 | next entry u64 | sum before u32
 const (
 	segmentHeaderBytes = 36
-	magic              = "umberwal"
-	format             = 1
+	segmentMagic       = "umberwal"
+	segmentFormat      = 1
 	segmentSuffix      = ".seg"
 	temporarySuffix    = ".tmp"
 	maxSegmentBytes    = 1 << 30 // a segment read whole at a start: past this it is not ours
@@ -28,13 +28,13 @@
 
 func segmentName(seq uint64) string { return fmt.Sprintf("%016x", seq) + segmentSuffix }
 
-func createSegment(fs FS, seq, next uint64, sum uint32) (*segment, error) {
+func createSegment(fs FS, seq, next uint64, checksum uint32) (*segment, error) {
 	raw := make([]byte, segmentHeaderBytes)
-	copy(raw, magic)
-	binary.LittleEndian.PutUint32(raw[12:], format)
+	copy(raw, segmentMagic)
+	binary.LittleEndian.PutUint32(raw[12:], segmentFormat)
 	binary.LittleEndian.PutUint64(raw[16:], seq)
 	binary.LittleEndian.PutUint64(raw[24:], next)
-	binary.LittleEndian.PutUint32(raw[32:], sum)
+	binary.LittleEndian.PutUint32(raw[32:], checksum)
 	binary.LittleEndian.PutUint32(raw[8:], crc32.Checksum(raw[12:], castagnoli))
 	s := &segment{sequence: seq, name: segmentName(seq), size: segmentHeaderBytes}
 	var err error
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -49,20 +49,20 @@
 // the two newest are held. One call at a time; commits go on meanwhile. Errors are ErrFull and ErrBroken.
 func (l *Log) SaveSnapshot(number uint64, parts ...[]byte) error {
 	size := int64(snapshotHeaderBytes)
-	head := make([]byte, snapshotHeaderBytes)
-	copy(head, snapshotMagic)
-	binary.LittleEndian.PutUint64(head[16:], number)
-	sum := xxhash.New()
-	sum.Write(head[16:])
+	header := make([]byte, snapshotHeaderBytes)
+	copy(header, snapshotMagic)
+	binary.LittleEndian.PutUint64(header[16:], number)
+	hash := xxhash.New()
+	hash.Write(header[16:])
 	for _, p := range parts {
-		sum.Write(p)
+		hash.Write(p)
 		size += int64(len(p))
 	}
-	binary.LittleEndian.PutUint64(head[8:], sum.Sum64())
+	binary.LittleEndian.PutUint64(header[8:], hash.Sum64())
 	if err := l.checkSpace(size); err != nil {
 		return err
 	}
-	if err := l.writeSnapshot(snapshotName(number), head, parts); err != nil {
+	if err := l.writeSnapshot(snapshotName(number), header, parts); err != nil {
 		return l.fail(err)
 	}
 	for _, old := range l.addSnapshot(snapshot{number, size}) {
@@ -90,31 +90,31 @@
 }
 
 // addSnapshot adds a snapshot to the list and returns the numbers of those that go for it.
-func (l *Log) addSnapshot(s snapshot) (gone []uint64) {
+func (l *Log) addSnapshot(s snapshot) (removed []uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	kept := l.snapshots[:0]
-	for _, o := range l.snapshots {
-		if o.number != s.number {
-			kept = append(kept, o)
+	others := l.snapshots[:0]
+	for _, other := range l.snapshots {
+		if other.number != s.number {
+			others = append(others, other)
 		}
 	}
-	l.snapshots = append(kept, s)
+	l.snapshots = append(others, s)
 	sort.Slice(l.snapshots, func(i, k int) bool { return l.snapshots[i].number < l.snapshots[k].number })
 	for len(l.snapshots) > maxSnapshots {
-		gone = append(gone, l.snapshots[0].number)
+		removed = append(removed, l.snapshots[0].number)
 		l.snapshots = append(l.snapshots[:0], l.snapshots[1:]...)
 	}
-	return gone
+	return removed
 }
 
-func (l *Log) writeSnapshot(name string, head []byte, parts [][]byte) error {
+func (l *Log) writeSnapshot(name string, header []byte, parts [][]byte) error {
 	f, err := l.fs.Create(name + temporarySuffix)
 	if err != nil {
 		return err
 	}
 	off := int64(0)
-	for _, p := range append([][]byte{head}, parts...) {
+	for _, p := range append([][]byte{header}, parts...) {
 		if len(p) == 0 {
 			continue
 		}
@@ -166,8 +166,8 @@
 			return nil, &Damage{name, 0, "a snapshot", err.Error()}
 		}
 	}
-	body, of, ok := Unwrap(raw)
-	if !ok || of != number {
+	body, stored, ok := Unwrap(raw)
+	if !ok || stored != number {
 		return nil, &Damage{name, 0, "a snapshot", "its sum does not fit"}
 	}
 	return body, nil
