--- a/internal/wal/commit.go
+++ b/internal/wal/commit.go
@@ -1,19 +1,17 @@
 package wal
 
-import (
-	"fmt"
-)
+import "fmt"
 
+// pendingCommit is a call of Commit that waits for its flush.
 type pendingCommit struct {
 	batch Batch
-	first uint64
-	err   error
-	done  chan bool // true: done; false: flush what waits yourself
+	first uint64    // result: number of the first entry
+	err   error     // result
+	done  chan bool // true: the results are set; false: this call has to flush the queue
 }
 
-// Commit writes a batch and returns once it is durable, with the number of its first entry. Callers that come while
-// another's sync is under way share the next one. Errors are ErrFull, ErrBroken, *EntryTooLargeError and
-// *InvalidMarkError.
+// Commit writes a batch and returns the number of its first entry once the batch is durable. Calls that arrive during a
+// sync share the next one. Errors are ErrFull, ErrBroken, *EntryTooLargeError and *InvalidMarkError.
 func (l *Log) Commit(b Batch) (uint64, error) {
 	for _, e := range b.Entries {
 		if len(e) > MaxRecordBytes {
@@ -41,7 +39,7 @@
 	l.queue = nil
 	l.flush(callers)
 	if len(l.queue) > 0 {
-		l.queue[0].done <- false // it flushes for those behind it, so no caller waits for others without end
+		l.queue[0].done <- false // passes the flushing on, so that no call serves others without end
 	} else {
 		l.writing = false
 	}
@@ -54,8 +52,8 @@
 	return w.first, w.err
 }
 
-// flush writes the batches of some callers with one write and one sync. It is entered and left with the lock held and
-// releases it while the disk works; writing keeps every other writer out meanwhile.
+// flush writes the batches of several calls with one write and one sync, and sets their results. The caller holds mu,
+// which is released during disk access; l.writing excludes other writers.
 func (l *Log) flush(callers []*pendingCommit) {
 	if err := l.write(callers); err != nil {
 		for _, w := range callers {
@@ -64,6 +62,7 @@
 	}
 }
 
+// write is flush without setting the results on an error.
 func (l *Log) write(callers []*pendingCommit) error {
 	if l.fault != nil {
 		return l.fault
@@ -80,14 +79,14 @@
 		return err
 	}
 	w := l.newRecordWriter(segment)
-	if isNew { // each segment has all marks, so that older segments can go
+	if isNew { // each segment repeats all marks, so that older segments can be removed
 		w.appendMarks(l.marks[:])
 	}
 	for _, c := range callers {
 		c.first, c.err = w.appendBatch(c.batch), nil
 	}
 	if w.lastRecord < 0 {
-		return nil // empty batches
+		return nil // all batches are empty
 	}
 	w.finishFlush()
 	if err = l.writeRecords(segment, w); err != nil {
@@ -99,7 +98,7 @@
 	return nil
 }
 
-// segmentFor gives the segment to write to: a new one where the newest would pass the size of a segment.
+// segmentFor returns the segment to write to: the newest, or a new one if the newest would exceed the segment size.
 func (l *Log) segmentFor(need int64) (s *segment, isNew bool, err error) {
 	newest := l.segments[len(l.segments)-1]
 	if newest.size <= segmentHeaderBytes || newest.size+need <= l.sizes.SegmentBytes {
@@ -110,15 +109,15 @@
 	created, err := createSegment(l.fs, newest.sequence+1, next, checksum)
 	l.mu.Lock()
 	if err != nil {
-		l.fault = fmt.Errorf("%w: a new segment: %w", ErrBroken, err)
+		l.fault = fmt.Errorf("%w: create segment %d: %w", ErrBroken, newest.sequence+1, err)
 		return nil, false, l.fault
 	}
 	l.segments = append(l.segments, created)
 	return created, true, nil
 }
 
-// maxSpareBuffer is how much of a write's buffer is held for the next, in bytes: enough for many small batches, while
-// one large document must not occupy memory for good.
+// maxSpareBuffer is the maximum size of the write buffer that is kept for the next flush, in bytes, so that one large
+// document does not occupy memory for good.
 const maxSpareBuffer = 1 << 20
 
 func (l *Log) newRecordWriter(s *segment) *recordWriter {
@@ -132,7 +131,7 @@
 	}
 }
 
-// writeRecords makes records durable, without the lock while the disk works.
+// writeRecords writes and syncs records. It releases mu during disk access.
 func (l *Log) writeRecords(s *segment, w *recordWriter) error {
 	l.mu.Unlock()
 	_, err := s.file.WriteAt(w.buf, s.size)
@@ -153,7 +152,7 @@
 	return nil
 }
 
-// applyBatch takes over what a batch says once it is durable.
+// applyBatch applies a durable batch to the index and the marks.
 func (l *Log) applyBatch(b Batch, w *recordWriter) {
 	if b.Cut > 0 {
 		l.index.cut(b.Cut)
--- a/internal/wal/doc.go
+++ b/internal/wal/doc.go
@@ -1,10 +1,13 @@
-// Package wal is a durable log: entries numbered without gaps, marks of which the last of each kind counts, and
-// snapshots that allow the front of the log to go. It owns the files of one folder.
+// Package wal is a durable write-ahead log in one folder. It stores entries, numbered without gaps; marks, small values
+// of which the last one of each kind counts; and snapshots, which allow the front of the log to be truncated.
 //
-// Sizes are bytes. Invariants: what Commit returned without an error is there after any crash, and what it did not is
-// there completely or not at all; a snapshot likewise. One goroutine's sync serves all that wait meanwhile.
+// All sizes are in bytes. A batch that Commit returned without an error survives any crash; any other batch is
+// recovered completely or not at all. The same holds for snapshots. Concurrent commits share an fsync (group commit).
 //
-// The package never repairs damage by guessing, never writes over what was synced, and never goes on after a write or
-// sync that failed: ErrBroken then ends the process, as what is on disk is not known. Salvage (salvage.go) is for logs
-// whose records stand for themselves, never for a group's.
+// Open truncates a torn tail, which was never durable, and reports any other damage as *Damage. Synced data is never
+// overwritten. After a failed write or fsync the content of the disk is unknown, so every
+// call returns ErrBroken until the folder is opened again.
+//
+// Salvage (salvage.go) recovers the readable records of a damaged log. It is only for logs whose records are
+// independent of each other, never for the log of a raft group.
 package wal
--- a/internal/wal/entry_index.go
+++ b/internal/wal/entry_index.go
@@ -6,21 +6,21 @@
 	"sort"
 )
 
-// entryIndex knows where the entries held stand: the offset of one in sampleInterval, and of each that does not
-// follow the one before it on disk. Others are found by the lengths in the headers of records between. An entry costs
-// a byte of memory so: a log of many small records, as of stored results, is mostly entries.
+// entryIndex is a sparse index of the entries' offsets on disk. It stores one in sampleInterval, and the start of each
+// extent: a sequence of entries that are consecutive on disk in one segment. Entries between are found by the lengths
+// in the record headers. That takes about one byte of memory per entry.
 type entryIndex struct {
-	first        uint64 // number of the first entry held
-	count        int    // entries held
-	sampledFrom  uint64 // number of the entry that every[0] is of, a multiple of stride; it may have been let go of
-	samples      []uint32
-	extentStarts []entryPosition // by number; the first is of base or before it, where there are entries
-	afterCut     bool            // the next entry does not stand behind the last one: a cut lies between
+	first        uint64          // number of the first entry held
+	count        int             // entries held
+	sampledFrom  uint64          // number of the entry at samples[0], a multiple of sampleInterval; may be below first
+	samples      []uint32        // offsets in the segment
+	extentStarts []entryPosition // by number; the first one is at or below first, unless there are no entries
+	afterCut     bool            // a cut separates the next entry from the last one, so it starts an extent
 }
 
 func (x *entryIndex) next() uint64 { return x.first + uint64(x.count) }
 
-// add notes where the next entry stands. Segments are read whole, so an offset has 32 bits.
+// add appends the next entry. Its offset fits 32 bits, as segments are limited to maxSegmentBytes.
 func (x *entryIndex) add(seg uint64, off int64) {
 	number := x.next()
 	if x.afterCut || len(x.extentStarts) == 0 || x.extentStarts[len(x.extentStarts)-1].seg != seg {
@@ -36,7 +36,7 @@
 	x.count++
 }
 
-// cut drops entries from a number on; all of them where that leaves a gap.
+// cut drops the entries from next on, and all of them if next is outside the range held.
 func (x *entryIndex) cut(next uint64) {
 	if next <= x.first || next > x.next() {
 		*x = entryIndex{first: next}
@@ -51,7 +51,7 @@
 	}
 }
 
-// truncateFront drops n entries from the front. What is needed to find the others stays.
+// truncateFront drops the first n entries. It keeps the sample and extent start that precede the remaining ones.
 func (x *entryIndex) truncateFront(n int) {
 	x.first, x.count = x.first+uint64(n), x.count-n
 	if x.count == 0 {
@@ -71,9 +71,10 @@
 	x.extentStarts = append([]entryPosition{}, x.extentStarts[dropped:]...)
 }
 
-// find returns the nearest known place at an entry or before it in its segment.
+// find returns the nearest indexed position at or before an entry in its extent.
 func (x *entryIndex) find(number uint64) entryPosition {
-	start := x.extentStarts[sort.Search(len(x.extentStarts), func(i int) bool { return x.extentStarts[i].number > number })-1]
+	after := sort.Search(len(x.extentStarts), func(i int) bool { return x.extentStarts[i].number > number })
+	start := x.extentStarts[after-1]
 	if len(x.samples) > 0 && number >= x.sampledFrom {
 		i := min(int((number-x.sampledFrom)/sampleInterval), len(x.samples)-1)
 		if sampled := x.sampledFrom + sampleInterval*uint64(i); sampled >= start.number {
@@ -83,36 +84,37 @@
 	return start
 }
 
-// seek goes on from a known place to an entry's record by the headers before it, which read gives. Where a length is
-// damaged it may end at no record of that entry, which the caller finds by its checksum.
-func seek(read func(head []byte, off int64) error, start entryPosition, number uint64) (off int64, length int, err error) {
-	var head [recordHeaderBytes]byte
+// seek returns the offset and data length of an entry's record. It walks the record headers from start, which read
+// copies to header. After damage the offset may be wrong; the caller detects that by the record's checksum.
+func seek(read func(header []byte, off int64) error, start entryPosition, number uint64) (off int64, length int,
+	err error) {
+	var header [recordHeaderBytes]byte
 	for off = int64(start.off); ; off += recordHeaderBytes + int64(length) + checksumBytes {
-		if err = read(head[:], off); err != nil {
+		if err = read(header[:], off); err != nil {
 			return off, 0, err
 		}
-		n, entry := binary.LittleEndian.Uint32(head[:]), binary.LittleEndian.Uint64(head[5:])
+		n, entry := binary.LittleEndian.Uint32(header[:]), binary.LittleEndian.Uint64(header[5:])
 		if n > MaxRecordBytes {
 			return off, 0, fmt.Errorf("a record of %d bytes, expected at most %d", n, MaxRecordBytes)
 		}
 		length = int(n)
-		switch kind := head[4] & kindMask; {
+		switch kind := header[4] & kindMask; {
 		case kind == kindEntry && entry == number:
 			return off, length, nil
 		case kind == kindMark:
 		case kind != kindEntry || entry < start.number || entry > number:
-			return off, 0, fmt.Errorf("a record of kind %d numbered %d, expected entry %d at most", kind, entry, number)
+			return off, 0, fmt.Errorf("a record of kind %d numbered %d, expected at most entry %d", kind, entry, number)
 		}
 	}
 }
 
-// entryPosition is an entry that is the first of a segment, or the first after a cut; entries after it stand one behind the
-// other.
+// entryPosition is the place of an entry's record on disk.
 type entryPosition struct {
-	number, seg uint64
-	off         uint32 // of its record's head
+	number uint64 // of the entry
+	seg    uint64 // sequence number of the segment
+	off    uint32 // of the record's header in the segment, in bytes
 }
 
-// sampleInterval is a power of two. A larger one costs more header reads for each Read, a smaller one more memory for
-// each entry.
+// sampleInterval is the number of entries per sample: the memory of the index against the headers that Read has to
+// walk.
 const sampleInterval = 4
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -10,17 +10,17 @@
 	"syscall"
 )
 
-// FS is one folder, the only way by which a log reaches a disk. Nothing is durable before a sync: a file's content by
-// the file's, names by the folder's.
+// FS is one folder of files, through which a log accesses the disk. File.Sync makes the content of a file durable,
+// FS.Sync the names of files; nothing is durable before.
 type FS interface {
-	// List returns the names of the files, in order.
+	// List returns the names of the files, sorted.
 	List() ([]string, error)
-	// Create makes an empty file, also where the name exists.
+	// Create creates an empty file, or truncates an existing one.
 	Create(name string) (File, error)
 	Open(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// Sync makes names durable.
+	// Sync makes creations, renames and removals durable.
 	Sync() error
 	// Lock returns an error that wraps ErrLocked while another process holds the folder.
 	Lock() (release func(), err error)
@@ -39,7 +39,7 @@
 // Dir is a folder on disk.
 type Dir string
 
-// MakeDir returns a folder, made if it is missing.
+// MakeDir returns a folder and creates it if it is missing.
 func MakeDir(path string) (Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return "", err
@@ -47,7 +47,7 @@
 	return Dir(path), nil
 }
 
-// List is part of FS.
+// List implements FS.
 func (d Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -71,21 +71,21 @@
 	return diskFile{f}, nil
 }
 
-// Create is part of FS.
+// Create implements FS.
 func (d Dir) Create(name string) (File, error) { return d.open(name, os.O_CREATE|os.O_TRUNC) }
 
-// Open is part of FS.
+// Open implements FS.
 func (d Dir) Open(name string) (File, error) { return d.open(name, 0) }
 
-// Rename is part of FS.
+// Rename implements FS.
 func (d Dir) Rename(from, to string) error {
 	return os.Rename(filepath.Join(string(d), from), filepath.Join(string(d), to))
 }
 
-// Remove is part of FS.
+// Remove implements FS.
 func (d Dir) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
-// Sync is part of FS.
+// Sync implements FS.
 func (d Dir) Sync() error {
 	f, err := os.Open(string(d))
 	if err != nil {
@@ -95,7 +95,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// Lock is part of FS.
+// Lock implements FS.
 func (d Dir) Lock() (func(), error) {
 	f, err := os.OpenFile(filepath.Join(string(d), "lock"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -6,83 +6,83 @@
 	"sync"
 )
 
-// Bounds that hold for every log.
+// Limits of every log.
 const (
-	// MaxRecordBytes bounds one entry or mark. It holds the largest document with room to spare; a larger one would
-	// let a damaged length have more read.
+	// MaxRecordBytes is the maximum size of an entry or mark. It is above the largest document and limits the bytes
+	// read for a damaged length field.
 	MaxRecordBytes = 8 << 20
-	// MaxMarkKinds bounds the kinds of marks, all of which each segment has.
+	// MaxMarkKinds is the number of mark kinds. Each segment starts with the current mark of every kind.
 	MaxMarkKinds = 16
 )
 
-// Sizes are a log's limits, in bytes.
+// Sizes are the size limits of a log, in bytes.
 type Sizes struct {
-	SegmentBytes int64 // after which a new segment is begun
-	MaxBytes     int64 // of all files together
+	SegmentBytes int64 // size at which a new segment is started
+	MaxBytes     int64 // total size of all files
 }
 
-// Mark is a small value that counts until the next of its kind.
+// Mark is a small value that replaces the previous mark of its kind.
 type Mark struct {
 	Kind int // 0 to MaxMarkKinds-1
 	Data []byte
 }
 
-// Batch is written completely or not at all, in the order cut, entries, marks.
+// Batch is written atomically, in the order cut, entries, marks.
 type Batch struct {
-	Cut     uint64 // 0, or the number that the next entry gets; entries from it on are dropped
+	Cut     uint64 // 0, or the number of the next entry; entries from this number on are dropped
 	Entries [][]byte
 	Marks   []Mark
 }
 
-// Log is an open log. Any number of goroutines may use it.
+// Log is an open log. It is safe for concurrent use.
 type Log struct {
 	fs     FS
 	sizes  Sizes
 	unlock func()
 
-	mu        sync.Mutex // guards what follows
-	segments  []*segment // oldest first; the last one is written to
+	mu        sync.Mutex // guards the fields below
+	segments  []*segment // oldest first; the last one is appended to
 	index     entryIndex
 	marks     [MaxMarkKinds][]byte
 	checksum  uint32
 	snapshots []snapshot // oldest first, two at most
-	fault     error
-	buf       []byte
+	fault     error      // returned by every later call: ErrBroken, or that the log is closed
+	buf       []byte     // reused for the next flush
 
-	queue   []*pendingCommit // callers of Commit that wait for the next flush
-	writing bool             // a caller is flushing
-	flushes uint64
+	queue   []*pendingCommit // commits that wait for the next flush
+	writing bool             // a caller of Commit is flushing
+	flushes uint64           // flushes that were synced
 }
 
-// First returns the number of the first entry held, and Next where there is none.
+// First returns the number of the first entry held, or Next if the log holds none.
 func (l *Log) First() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.index.first
 }
 
-// Next returns the number that the next entry gets.
+// Next returns the number of the next entry to be appended.
 func (l *Log) Next() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.index.next()
 }
 
-// Mark returns the last mark of a kind, nil if there is none.
+// Mark returns the current mark of a kind, or nil if there is none.
 func (l *Log) Mark(kind int) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.marks[kind]
 }
 
-// SyncCount counts the syncs that callers waited for.
+// SyncCount returns the number of fsyncs of records since the log was opened.
 func (l *Log) SyncCount() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.flushes
 }
 
-// DiskBytes returns the size of all files.
+// DiskBytes returns the total size of the segments and snapshots.
 func (l *Log) DiskBytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,8 +102,8 @@
 
 func (l *Log) segment(seq uint64) *segment { return l.segments[seq-l.segments[0].sequence] }
 
-// TruncateFront drops entries up to a number. Whole segments leave the disk; entries that share a segment with later
-// ones stay on it until those go. The caller holds a snapshot of what it drops.
+// TruncateFront drops the entries up to and including last. Only whole segments are removed from disk: entries that
+// share a segment with later ones stay on disk until those are dropped too.
 func (l *Log) TruncateFront(last uint64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,7 +122,7 @@
 		if err := l.fs.Remove(l.segments[removed].name); err != nil {
 			return l.failLocked(err)
 		}
-		l.segments[removed].file.Close() // all of it was synced, and it is gone
+		l.segments[removed].file.Close() // it was synced and is removed: an error has no effect
 		removed++
 	}
 	if removed == 0 {
@@ -135,21 +135,21 @@
 	return nil
 }
 
-// fail makes the log unusable: every later call gets the error. It takes mu.
+// fail makes the log unusable: every later call returns the error. It locks mu.
 func (l *Log) fail(err error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.failLocked(err)
 }
 
-// failLocked is fail for a caller that holds mu.
+// failLocked is fail for callers that hold mu.
 func (l *Log) failLocked(err error) error {
 	l.fault = fmt.Errorf("%w: %w", ErrBroken, err)
 	return l.fault
 }
 
-// Close closes the files and unlocks the folder, also where a file's close fails, which is the error. Nothing has to be
-// written by it: what Commit returned is synced.
+// Close closes the files and unlocks the folder, even if closing a file fails; that error is returned. There is nothing
+// to flush: committed batches are synced.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/wal/memfs.go
+++ b/internal/wal/memfs.go
@@ -8,39 +8,41 @@
 	"syscall"
 )
 
-// MemFS is a folder in memory that knows what was synced, so that a test or a simulation can lose power at any moment
-// and see what a disk may hold then. No program stores anything in it.
+// MemFS is a folder in memory that tracks which writes and names were synced, so that tests and simulations can cut
+// power or kill the process at any step and continue with a possible content of the disk.
 type MemFS struct {
 	mu           sync.Mutex
 	names        map[string]*memFile
-	syncedNames  map[string]*memFile // names as of the last Sync of the folder
-	pendingNames []func(map[string]*memFile)
+	syncedNames  map[string]*memFile         // names as of the last Sync of the folder
+	pendingNames []func(map[string]*memFile) // unsynced changes of names, in order
 	locked       bool
 
-	Capacity int64 // bytes the folder takes, 0 for no end
-	// OnStep hears of each step before it is done and can make it fail: create, open, rename, remove, write,
-	// truncate, sync, names (the folder's sync). What a failed write had put down already is for the hook to
-	// say, in bytes.
+	Capacity int64 // maximum total size of the files, in bytes; 0 means unlimited
+	// OnStep is called before each step and may make it fail. The steps are create, open, rename, remove, write,
+	// truncate, sync and names (the sync of the folder). For a failed write, done is the number of bytes that were
+	// written before the failure.
 	OnStep func(step, name string) (done int, err error)
 }
 
+// memFile is a file of a MemFS.
 type memFile struct {
 	dir     *MemFS
 	name    string
-	data    []byte
-	synced  []byte
-	pending []memWrite
+	data    []byte     // as the process reads it
+	synced  []byte     // as of the last Sync
+	pending []memWrite // since the last Sync, in order
 }
 
+// memWrite is a write or a truncation.
 type memWrite struct {
 	off  int64
 	data []byte // nil for a truncation to off
 }
 
-// sectorBytes is what a disk writes completely or not at all, in bytes: the least of those in use.
+// sectorBytes is the unit that a disk writes atomically: the smallest sector size in use.
 const sectorBytes = 512
 
-// NewMemFS gives an empty folder.
+// NewMemFS returns an empty folder.
 func NewMemFS() *MemFS {
 	return &MemFS{names: map[string]*memFile{}, syncedNames: map[string]*memFile{}}
 }
@@ -52,7 +54,7 @@
 	return m.OnStep(step, name)
 }
 
-// List is part of FS.
+// List implements FS.
 func (m *MemFS) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,7 +71,7 @@
 	m.pendingNames = append(m.pendingNames, f)
 }
 
-// Create is part of FS.
+// Create implements FS.
 func (m *MemFS) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,7 +83,7 @@
 	return f, nil
 }
 
-// Open is part of FS.
+// Open implements FS.
 func (m *MemFS) Open(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,7 +97,7 @@
 	return f, nil
 }
 
-// Rename is part of FS.
+// Rename implements FS.
 func (m *MemFS) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// Remove is part of FS.
+// Remove implements FS.
 func (m *MemFS) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -125,7 +127,7 @@
 	return nil
 }
 
-// Sync is part of FS.
+// Sync implements FS.
 func (m *MemFS) Sync() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -139,7 +141,7 @@
 	return nil
 }
 
-// Lock is part of FS.
+// Lock implements FS.
 func (m *MemFS) Lock() (func(), error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -188,6 +190,7 @@
 	return n, err
 }
 
+// writeInto copies p to an offset of data, which grows as needed.
 func writeInto(data, p []byte, off int64) []byte {
 	if end := off + int64(len(p)); end > int64(len(data)) {
 		data = append(data, make([]byte, end-int64(len(data)))...)
@@ -246,8 +249,8 @@
 	}
 }
 
-// Kill returns the folder as the next process finds it after this one was killed: all that was written is there, and
-// what was not synced still is not.
+// Kill returns the folder as the next process finds it after this process was killed: all writes are there, and
+// unsynced ones can still be lost by a power loss.
 func (m *MemFS) Kill() *MemFS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -258,11 +261,21 @@
 	return m
 }
 
-// Copy returns what a copy of the folder would hold, to be put back later.
+// Copy returns a copy of the folder, as a backup would hold it.
 func (m *MemFS) Copy() *MemFS { return m.copy(func(f *memFile) []byte { return f.data }, m.names) }
 
-// PowerLoss returns the folder as it may be found after power was lost: what was synced, and of the rest, by chance,
-// all, nothing, a part from its start or any sectors of it. chance returns a number from 0 to n-1.
+// The possible fates of a file's unsynced writes when power is lost.
+const (
+	loseAll = iota
+	keepAll
+	keepFirstSectors
+	keepRandomSectors
+	unsyncedFates
+)
+
+// PowerLoss returns a possible content of the folder after a power loss: everything that was synced, the first of the
+// unsynced changes of names, and for each file all, none, the first or random sectors of its unsynced writes. intn
+// returns a random number from 0 to n-1.
 func (m *MemFS) PowerLoss(intn func(n int) int) *MemFS {
 	m.mu.Lock()
 	names := map[string]*memFile{}
@@ -276,21 +289,22 @@
 	m.mu.Unlock()
 	return m.copy(func(f *memFile) []byte {
 		data := append([]byte(nil), f.synced...)
-		mode := intn(4)
+		fate := intn(unsyncedFates)
 		sectorsLeft := 1 << 30
-		if mode == 2 {
+		if fate == keepFirstSectors {
 			sectorsLeft = intn(16)
 		}
 		for _, w := range f.pending {
 			if w.data == nil {
-				if mode != 0 && sectorsLeft > 0 {
+				if fate != loseAll && sectorsLeft > 0 {
 					data = applyWrite(data, w)
 				}
 				continue
 			}
 			for from := 0; from < len(w.data); {
 				end := min(len(w.data), from+sectorBytes-int((w.off+int64(from))%sectorBytes))
-				if sectorsLeft > 0 && (mode == 1 || mode == 2 || mode == 3 && intn(2) == 0) {
+				if sectorsLeft > 0 && (fate == keepAll || fate == keepFirstSectors ||
+					fate == keepRandomSectors && intn(2) == 0) {
 					data = writeInto(data, w.data[from:end], w.off+int64(from))
 				}
 				sectorsLeft--
@@ -301,6 +315,7 @@
 	}, names)
 }
 
+// copy returns a folder with the given names, all of whose content is synced.
 func (m *MemFS) copy(content func(*memFile) []byte, names map[string]*memFile) *MemFS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -310,7 +325,7 @@
 	for name := range names {
 		sorted = append(sorted, name)
 	}
-	sort.Strings(sorted) // chance is drawn in a fixed order
+	sort.Strings(sorted) // content draws random numbers, so the order has to be fixed
 	for _, name := range sorted {
 		data := append([]byte(nil), content(names[name])...)
 		f := &memFile{dir: out, name: name, data: data, synced: append([]byte(nil), data...)}
--- a/internal/wal/open.go
+++ b/internal/wal/open.go
@@ -10,15 +10,15 @@
 	"strings"
 )
 
-// Repair tells what Open had to remove: what a crash left behind.
+// Repair reports the remains of a crash that Open removed.
 type Repair struct {
-	TornAt       string   // file and byte from which a torn tail was cut off, empty if there was none
-	TornBytes    int64    // cut off there
-	RemovedFiles []string // files that were being made
+	TornAt       string   // file and byte offset where a torn tail began; empty if there was none
+	TornBytes    int64    // size of the torn tail
+	RemovedFiles []string // temporary files
 }
 
-// Open reads a folder's log, or begins one in an empty folder. A torn tail, which was never durable, is cut off and
-// told in Repair. Errors are *Damage, which leaves the folder as it is, ErrLocked, and of the disk.
+// Open opens the log of a folder, or creates one in an empty folder. A torn tail, which was never durable, is truncated
+// and reported in Repair. Errors are *Damage, ErrLocked and those of the disk.
 func Open(fs FS, sizes Sizes) (*Log, Repair, error) {
 	unlock, err := fs.Lock()
 	if err != nil {
@@ -77,7 +77,9 @@
 	return seqs[len(seqs)-1]
 }
 
-// loadSegment reads one segment: its header has to go on from the segment before, and its records from each other.
+// loadSegment reads one segment and checks that its header continues the previous segment and that its records are
+// consecutive. A newest segment without a valid header and without records is removed: a crash interrupted its
+// creation.
 func (l *Log) loadSegment(seq uint64, oldest, newest bool, repair *Repair) error {
 	f, err := l.fs.Open(segmentName(seq))
 	if err != nil {
@@ -93,7 +95,7 @@
 			return err
 		}
 		if newest && !flushStartsAfter(raw, min(segmentHeaderBytes, len(raw))-1) && len(raw) <= segmentHeaderBytes {
-			// It was being made: its header is synced before a record follows it.
+			// The header is synced before the first record is written, so the segment never held any.
 			repair.TornAt, repair.TornBytes = s.name+" at byte 0", s.size
 			if err = l.fs.Remove(s.name); err != nil {
 				return err
@@ -102,11 +104,11 @@
 		}
 		return &Damage{s.name, 0, "the header", problem}
 	}
-	l.segments = append(l.segments, s) // from here on Open or Close closes it
+	l.segments = append(l.segments, s) // Open or Close closes it from here on
 	return l.readRecords(s, raw, newest, repair)
 }
 
-// readWhole reads a segment's file and notes its size.
+// readWhole reads the file of a segment and sets its size.
 func (s *segment) readWhole() ([]byte, error) {
 	var err error
 	if s.size, err = s.file.Size(); err != nil {
@@ -114,7 +116,7 @@
 	}
 	if s.size > maxSegmentBytes {
 		return nil, &Damage{s.name, 0, "the header",
-			fmt.Sprintf("%d bytes, expected less than %d", s.size, maxSegmentBytes)}
+			fmt.Sprintf("%d bytes, expected at most %d", s.size, maxSegmentBytes)}
 	}
 	raw := make([]byte, s.size)
 	if s.size > 0 {
@@ -125,6 +127,8 @@
 	return raw, nil
 }
 
+// checkHeader returns the problem of a segment's header, or an empty text. The oldest segment's header sets the first
+// entry number and the checksum that precedes its first record.
 func (l *Log) checkHeader(raw []byte, seq uint64, oldest bool) string {
 	switch {
 	case len(raw) < segmentHeaderBytes || string(raw[:8]) != segmentMagic:
@@ -150,27 +154,27 @@
 	return ""
 }
 
-// scannedRecord is a record of a flush that is not complete yet.
+// scannedRecord is a record of a flush whose end was not read yet.
 type scannedRecord struct {
-	kind   byte // without the flags of a flush
+	kind   byte // without flags
 	number uint64
 	data   []byte
 	offset int
 }
 
-// segmentScan reads a segment's records in order.
+// segmentScan reads the records of a segment in order.
 type segmentScan struct {
 	raw      []byte
-	offset   int             // of the next record
-	flushEnd int             // end of the last complete flush
-	checksum uint32          // before the next record
+	offset   int             // of the next record in raw
+	flushEnd int             // offset behind the last complete flush
+	checksum uint32          // of the record before the next one
 	next     uint64          // number of the next entry
-	flush    []scannedRecord // records of the flush that is being read
+	flush    []scannedRecord // records of the current flush
 }
 
-// readRecords reads a segment's records flush by flush; a flush counts once it is complete. An incomplete one at the
-// end of the newest segment was never synced, and is cut off. Anywhere else what can't be read was durable once:
-// damage.
+// readRecords applies the records of a segment flush by flush, each only once it is complete. An incomplete flush at
+// the end of the newest segment was never synced and is truncated; unreadable data anywhere else was durable and is
+// reported as *Damage.
 func (l *Log) readRecords(s *segment, raw []byte, newest bool, repair *Repair) error {
 	scan := &segmentScan{raw: raw, offset: segmentHeaderBytes, flushEnd: segmentHeaderBytes, checksum: l.checksum,
 		next: l.index.next()}
@@ -201,8 +205,8 @@
 	return l.syncRecovered(s, newest)
 }
 
-// scanRecord reads the next record. ended tells that it is the last of its flush; fault is why it can't be read, empty if
-// it can.
+// scanRecord reads the next record. last is true for the last one of a flush; problem says why the record can't be read
+// and is empty if it can.
 func (s *segmentScan) scanRecord() (last bool, problem string) {
 	flags, number, data, ok := readRecord(s.raw[s.offset:], s.checksum)
 	kind := flags & kindMask
@@ -210,13 +214,13 @@
 	case !ok:
 		return false, "its sum does not fit"
 	case (flags&firstOfFlush != 0) != (len(s.flush) == 0):
-		return false, "it is out of its flush"
+		return false, "its flush flags do not fit the record before"
 	case kind == kindEntry && number != s.next:
 		return false, fmt.Sprintf("entry %d, expected %d", number, s.next)
 	case kind == kindMark && number >= MaxMarkKinds:
-		return false, fmt.Sprintf("mark %d, expected one below %d", number, MaxMarkKinds)
+		return false, fmt.Sprintf("a mark of kind %d, expected kinds below %d", number, MaxMarkKinds)
 	case kind == kindCut && number == 0:
-		return false, "a cut to entry 0"
+		return false, "a cut to entry 0, expected at least 1"
 	}
 	switch kind {
 	case kindEntry:
@@ -230,8 +234,8 @@
 	return flags&lastOfFlush != 0, ""
 }
 
-// wasDurable tells whether what stands at the scan's offset was synced once: a flush begins after it, and each flush is
-// synced before the next is written.
+// wasDurable reports whether the unreadable data at the scan's offset had been synced: that is so if a later flush
+// follows it, because each flush is synced before the next is written.
 func (s *segmentScan) wasDurable() bool {
 	if flushStartsAfter(s.raw, s.offset) {
 		return true
@@ -240,7 +244,7 @@
 	return ok && next&firstOfFlush != 0
 }
 
-// applyFlush takes over what a complete flush says.
+// applyFlush applies the records of a complete flush to the index and the marks.
 func (l *Log) applyFlush(s *segment, flush []scannedRecord) {
 	for _, r := range flush {
 		switch r.kind {
@@ -254,7 +258,8 @@
 	}
 }
 
-// syncRecovered syncs what was read, names too: a process that was killed may have left it written but not synced.
+// syncRecovered syncs the newest segment and the file names: a killed process may have left records written but not
+// synced, and they count as durable once they were read.
 func (l *Log) syncRecovered(s *segment, newest bool) error {
 	if !newest {
 		return nil
@@ -265,6 +270,7 @@
 	return l.fs.Sync()
 }
 
+// parseFileName returns the number in a file name of sixteen hexadecimal digits and a suffix.
 func parseFileName(name, suffix string) (uint64, bool) {
 	if len(name) != 16+len(suffix) || !strings.HasSuffix(name, suffix) {
 		return 0, false
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// Read returns an entry, checked against its checksum. The error is *Damage or *EntryNotFoundError.
+// Read reads an entry from disk and verifies its checksum. Errors are *Damage and *EntryNotFoundError.
 func (l *Log) Read(number uint64) ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,8 +36,8 @@
 	return data, nil
 }
 
-// ForEach calls f for all entries in order, segment by segment, as Open has checked them. It is for a start: nothing
-// else may use the log meanwhile.
+// ForEach calls f for all entries in order. It reads whole segments and relies on the checksums that Open verified, so
+// it is for a start, before anything is appended; f must not use the log.
 func (l *Log) ForEach(f func(number uint64, data []byte) error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +50,7 @@
 		copy(header, raw[off:])
 		return nil
 	}
-	for i, extent := range l.index.extentStarts { // from each of these on, entries stand one behind the other
+	for i, extent := range l.index.extentStarts { // the entries of an extent are consecutive on disk
 		if s == nil || s.sequence != extent.seg {
 			s = l.segment(extent.seg)
 			raw = make([]byte, s.size)
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -5,42 +5,42 @@
 	"hash/crc32"
 )
 
-// On disk a record is a header, its data, and a checksum at its end that takes in the checksum before it:
+// On disk a record is a header, its data and a checksum (CRC-32C) that continues the checksum of the previous record:
 //
-//	length u32 | kind u8 | number u64 | bytes | sum u32
+//	length u32 | kind and flags u8 | number u64 | data | checksum u32
 //
-// As the checksum stands last, a reader can check a record from anywhere, with the four bytes before it as the checksum
-// before. That tells a torn tail, which was never durable, from damage with sound records after it, which was.
+// The four bytes before a record are the previous checksum, so a record can be verified at any offset. That
+// distinguishes a torn tail, which was never durable, from damage, which is followed by valid records.
 const (
 	recordHeaderBytes = 13
 	checksumBytes     = 4
 
 	kindEntry    byte = 1
 	kindMark     byte = 2
-	kindCut      byte = 3 // the next entry has this number; entries from it on are dropped
+	kindCut      byte = 3 // the number is that of the next entry; entries from it on are dropped
 	kindMask     byte = 0x0f
-	firstOfFlush byte = 0x80 // a flush is synced before the next is written
+	firstOfFlush byte = 0x80 // a flush is the records of one write; it is synced before the next one is written
 	lastOfFlush  byte = 0x40
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// position is where a record that was just written stands.
+// position is the place of a written record.
 type position struct {
 	seg uint64 // sequence number of the segment
-	off int64  // of the record's head
+	off int64  // of the record's header, in bytes
 }
 
-// recordWriter puts records together for one flush.
+// recordWriter encodes the records of one flush.
 type recordWriter struct {
 	buf              []byte
-	checksum         uint32
-	segment          uint64
-	offset           int64
-	next             uint64
-	lastRecord       int // where the last record's head stands in buf
-	previousChecksum uint32
-	positions        []position
+	checksum         uint32     // of the last record
+	segment          uint64     // sequence number
+	offset           int64      // of buf in the segment's file
+	next             uint64     // number of the next entry
+	lastRecord       int        // offset of the last record in buf, -1 if there is none
+	previousChecksum uint32     // of the record before the last one
+	positions        []position // of the entries
 }
 
 func (w *recordWriter) append(kind byte, number uint64, data []byte) {
@@ -56,7 +56,7 @@
 	w.buf = binary.LittleEndian.AppendUint32(w.buf, w.checksum)
 }
 
-// appendMarks adds the marks that there are.
+// appendMarks adds the marks that are set; the index in marks is the kind.
 func (w *recordWriter) appendMarks(marks [][]byte) {
 	for kind, data := range marks {
 		if data != nil {
@@ -65,6 +65,7 @@
 	}
 }
 
+// appendBatch adds the records of a batch and returns the number of its first entry.
 func (w *recordWriter) appendBatch(b Batch) uint64 {
 	if b.Cut > 0 {
 		w.append(kindCut, b.Cut, nil)
@@ -82,7 +83,7 @@
 	return first
 }
 
-// finishFlush marks the last record as such and sums it again.
+// finishFlush sets lastOfFlush in the last record and recomputes its checksum.
 func (w *recordWriter) finishFlush() {
 	w.buf[w.lastRecord+4] |= lastOfFlush
 	end := len(w.buf) - checksumBytes
@@ -90,6 +91,7 @@
 	binary.LittleEndian.PutUint32(w.buf[end:], w.checksum)
 }
 
+// batchBytes returns the size of a batch on disk.
 func batchBytes(b Batch) int64 {
 	n := int64(0)
 	if b.Cut > 0 {
@@ -104,7 +106,8 @@
 	return n
 }
 
-// readRecord reads the record at the start of raw, given the checksum before it; ok is false if there is none.
+// readRecord decodes the record at the start of raw. ok is false if it is incomplete, invalid or does not match its
+// checksum. kind includes the flags.
 func readRecord(raw []byte, previousChecksum uint32) (kind byte, number uint64, data []byte, ok bool) {
 	if len(raw) < recordHeaderBytes+checksumBytes {
 		return 0, 0, nil, false
@@ -122,8 +125,8 @@
 	return kind, binary.LittleEndian.Uint64(raw[5:]), raw[recordHeaderBytes:end], true
 }
 
-// flushStartsAfter looks for the start of a flush anywhere after an offset. It tells damage from a torn tail: each
-// flush is synced before the next is written, so whatever stands before one was durable.
+// flushStartsAfter reports whether a flush starts anywhere after an offset. That distinguishes damage from a torn tail:
+// each flush is synced before the next is written, so all data before a flush was durable.
 func flushStartsAfter(raw []byte, from int) bool {
 	for off := from + 1; off+recordHeaderBytes+checksumBytes <= len(raw); off++ {
 		if raw[off+4]&firstOfFlush == 0 {
@@ -136,9 +139,10 @@
 	return false
 }
 
-// readRecordWithBadChecksum reads the record at the start of raw where its stored checksum alone is wrong: the record after it
-// takes in the checksum that it should have. next is that record's kind and flags.
-func readRecordWithBadChecksum(raw []byte, previousChecksum uint32) (kind byte, number uint64, data []byte, nextKind byte, ok bool) {
+// readRecordWithBadChecksum decodes the record at the start of raw if only its stored checksum is damaged: the checksum
+// computed for it is confirmed by the next record, which continues it. nextKind is the next record's kind with flags.
+func readRecordWithBadChecksum(raw []byte, previousChecksum uint32) (kind byte, number uint64, data []byte,
+	nextKind byte, ok bool) {
 	if len(raw) < recordHeaderBytes+checksumBytes {
 		return 0, 0, nil, 0, false
 	}
--- a/internal/wal/salvage.go
+++ b/internal/wal/salvage.go
@@ -10,30 +10,31 @@
 	"strings"
 )
 
-// Salvage is for logs whose records stand for themselves, as those of stored results: what can still be read of a
-// damaged log is read, with a gap told where something can't. A group's log must never be read so: raft needs all of
-// it.
+// Salvage reads the records of a damaged log that are still readable and reports a gap where some are not. It is only
+// for logs whose records are independent of each other, such as stored results: raft needs every entry of its log.
+//
+// SetAside renames the segments, Salvage reads them while the caller writes a new log, and FinishSalvage ends it.
 
-// setAsideSuffix marks segments that were set aside. They are held until the next salvage.
+// setAsideSuffix is the suffix of segments that were set aside. They are kept until the next salvage.
 const setAsideSuffix = ".bad"
 
-// These files mark a salvage under way, so that a start after a crash goes on with it: the first while segments are
-// renamed, the second while what was read of them is written anew.
+// Marker files of an unfinished salvage, which is continued after a crash: the first exists while segments are renamed,
+// the second while the salvaged records are written to a new log.
 const (
 	settingAsideFile = "salvage-aside"
 	rewritingFile    = "salvage-anew"
 )
 
-// SalvagedRecord is a record that was read, or a gap where something can't be.
+// SalvagedRecord is a readable record, or a gap of unreadable data.
 type SalvagedRecord struct {
 	Gap  bool
-	Mark bool // else an entry
+	Mark bool // a mark; false means an entry
 	Kind int  // of a mark
 	Data []byte
 }
 
-// SetAside sets the segments of a damaged log aside, so that a new log can be begun in their place. It tells whether
-// there is anything to salvage: if damaged, or if an earlier salvage was interrupted.
+// SetAside renames the segments of a damaged log, so that a new log can be created in their place, and continues an
+// interrupted salvage. It reports whether there is anything to salvage.
 func SetAside(fs FS, damaged bool) (bool, error) {
 	unlock, err := fs.Lock()
 	if err != nil {
@@ -49,7 +50,7 @@
 		exists[n] = true
 	}
 	switch {
-	case exists[rewritingFile]: // all segments are copies of what was put aside
+	case exists[rewritingFile]: // all segments belong to the unfinished new log
 		for _, n := range names {
 			if _, ok := parseFileName(n, segmentSuffix); ok {
 				if err = fs.Remove(n); err != nil {
@@ -86,6 +87,7 @@
 	return true, errors.Join(err, fs.Sync())
 }
 
+// createMarker creates an empty file durably.
 func createMarker(fs FS, name string) error {
 	f, err := fs.Create(name)
 	if err != nil {
@@ -94,17 +96,17 @@
 	return errors.Join(f.Sync(), f.Close(), fs.Sync())
 }
 
-// SalvageStarted tells whether a salvage was begun and not finished.
+// SalvageStarted reports whether a salvage was started and not finished.
 func SalvageStarted(fs FS) (bool, error) {
 	names, err := fs.List()
 	return slices.Contains(names, settingAsideFile) || slices.Contains(names, rewritingFile), err
 }
 
-// FinishSalvage ends a salvage: all was written anew.
+// FinishSalvage ends a salvage, once the new log is durable.
 func FinishSalvage(fs FS) error { return errors.Join(fs.Remove(rewritingFile), fs.Sync()) }
 
-// Salvage reads what was set aside, in order, and calls take for each record and gap. Data is valid until the next
-// call.
+// Salvage reads the segments that were set aside, in order, and calls emit for each record and gap. The data of a
+// record is valid until the next call of emit.
 func Salvage(fs FS, emit func(SalvagedRecord) error) (gaps int, err error) {
 	names, err := fs.List()
 	if err != nil {
@@ -116,7 +118,7 @@
 			setAside = append(setAside, n)
 		}
 	}
-	sort.Strings(setAside) // sixteen digits each
+	sort.Strings(setAside) // names have sixteen digits each
 	gap := func() error {
 		gaps++
 		return emit(SalvagedRecord{Gap: true})
@@ -131,7 +133,7 @@
 		}
 		previous = seq
 		raw, err := readFile(fs, n)
-		if err != nil { // a segment that can't be read at all is a gap of many
+		if err != nil { // the whole segment is one gap
 			if err = gap(); err != nil {
 				return gaps, err
 			}
@@ -144,6 +146,7 @@
 	return gaps, nil
 }
 
+// readFile reads a file of at most maxSegmentBytes.
 func readFile(fs FS, name string) ([]byte, error) {
 	f, err := fs.Open(name)
 	if err != nil {
@@ -155,7 +158,7 @@
 		return nil, err
 	}
 	if size > maxSegmentBytes {
-		return nil, fmt.Errorf("%s: %d bytes, expected less than %d", name, size, maxSegmentBytes)
+		return nil, fmt.Errorf("%s: %d bytes, expected at most %d", name, size, maxSegmentBytes)
 	}
 	raw := make([]byte, size)
 	if size > 0 {
@@ -164,8 +167,8 @@
 	return raw, err
 }
 
-// salvageSegment reads one segment. Each record's checksum takes in the one before it, which stands right before it,
-// so a record can be told from anything else wherever it begins.
+// salvageSegment reads one segment. Behind unreadable data it looks for a record at each offset: the four bytes before
+// a record are the previous checksum, so its own checksum can be verified anywhere.
 func salvageSegment(raw []byte, emit func(SalvagedRecord) error, gap func() error) error {
 	if len(raw) < segmentHeaderBytes {
 		return gap()
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -7,20 +7,22 @@
 	"hash/crc32"
 )
 
-// A segment's file opens with a header whose last four bytes are the sum that its first record takes in:
+// A segment file starts with a header. Its last four bytes are the checksum of the last record of the previous segment,
+// which the checksum of the first record continues. Numbers are little-endian:
 //
-//	"umberwal" | sum of what follows u32 | format u32 | sequence u64 | next entry u64 | sum before u32
+//	"umberwal" | checksum of the rest u32 | format u32 | sequence u64 | next entry u64 | previous checksum u32
 const (
 	segmentHeaderBytes = 36
 	segmentMagic       = "umberwal"
 	segmentFormat      = 1
 	segmentSuffix      = ".seg"
 	temporarySuffix    = ".tmp"
-	maxSegmentBytes    = 1 << 30 // a segment read whole at a start: past this it is not ours
+	maxSegmentBytes    = 1 << 30 // larger files are rejected, as segments are read into memory whole
 )
 
+// segment is an open segment file.
 type segment struct {
-	sequence uint64
+	sequence uint64 // consecutive within a log
 	name     string
 	size     int64
 	file     File
@@ -28,6 +30,7 @@
 
 func segmentName(seq uint64) string { return fmt.Sprintf("%016x", seq) + segmentSuffix }
 
+// createSegment creates a segment whose first entry will be next, and syncs its header and name.
 func createSegment(fs FS, seq, next uint64, checksum uint32) (*segment, error) {
 	raw := make([]byte, segmentHeaderBytes)
 	copy(raw, segmentMagic)
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -8,22 +8,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A snapshot's file: "umbersnp" | sum u64 | number u64 | bytes. The checksum, xxhash, takes in all that follows it.
+// A snapshot file, with little-endian numbers. The checksum is the xxhash64 of everything behind it:
+//
+//	"umbersnp" | checksum u64 | number u64 | data
 const (
 	snapshotSuffix      = ".snap"
 	snapshotMagic       = "umbersnp"
 	snapshotHeaderBytes = 24
-	// maxSnapshots is two: with the log from the older one on, a newest one that can't be read loses nothing.
+	// maxSnapshots is two, so that the older one and the log behind it replace a damaged newest one.
 	maxSnapshots = 2
 )
 
+// snapshot is a stored snapshot.
 type snapshot struct {
-	number uint64
-	bytes  int64
+	number uint64 // of the last entry that it covers
+	bytes  int64  // size of its file
 }
 
 func snapshotName(number uint64) string { return fmt.Sprintf("%016x", number) + snapshotSuffix }
 
+// findSnapshots lists the stored snapshots without reading them.
 func (l *Log) findSnapshots(names []string) error {
 	for _, name := range names {
 		n, ok := parseFileName(name, snapshotSuffix)
@@ -45,8 +49,9 @@
 	return nil
 }
 
-// SaveSnapshot writes a snapshot that stands for all entries up to a number. It is there completely or not at all;
-// the two newest are held. One call at a time; commits go on meanwhile. Errors are ErrFull and ErrBroken.
+// SaveSnapshot atomically writes a snapshot, the concatenation of parts, that replaces all entries up to number, and
+// removes all but the two newest snapshots. Only one call at a time is allowed; Commit may run concurrently. Errors are
+// ErrFull and ErrBroken.
 func (l *Log) SaveSnapshot(number uint64, parts ...[]byte) error {
 	size := int64(snapshotHeaderBytes)
 	header := make([]byte, snapshotHeaderBytes)
@@ -76,6 +81,7 @@
 	return nil
 }
 
+// checkSpace returns ErrFull if another file of this size would take the log past Sizes.MaxBytes.
 func (l *Log) checkSpace(size int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +95,7 @@
 	return nil
 }
 
-// addSnapshot adds a snapshot to the list and returns the numbers of those that go for it.
+// addSnapshot adds a snapshot to the list and returns the numbers of the ones that it displaced.
 func (l *Log) addSnapshot(s snapshot) (removed []uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,6 +114,7 @@
 	return removed
 }
 
+// writeSnapshot writes and syncs a temporary file before it renames it, so that a crash leaves no partial snapshot.
 func (l *Log) writeSnapshot(name string, header []byte, parts [][]byte) error {
 	f, err := l.fs.Create(name + temporarySuffix)
 	if err != nil {
@@ -137,7 +144,7 @@
 	return l.fs.Sync()
 }
 
-// Snapshots returns the numbers of the snapshots held, the newest first.
+// Snapshots returns the numbers of the stored snapshots, newest first.
 func (l *Log) Snapshots() []uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,7 +155,7 @@
 	return out
 }
 
-// LoadSnapshot reads a snapshot, checked against its checksum. The error is *Damage or of the disk.
+// LoadSnapshot reads a snapshot and verifies its checksum. Errors are *Damage and those of the disk.
 func (l *Log) LoadSnapshot(number uint64) ([]byte, error) {
 	name := snapshotName(number)
 	f, err := l.fs.Open(name)
@@ -173,7 +180,7 @@
 	return body, nil
 }
 
-// Unwrap returns what a snapshot's file holds and its number; ok is false if it is none.
+// Unwrap decodes the content of a snapshot file into its data and number. ok is false if raw is not a valid snapshot.
 func Unwrap(raw []byte) (body []byte, number uint64, ok bool) {
 	if len(raw) < snapshotHeaderBytes || string(raw[:8]) != snapshotMagic ||
 		binary.LittleEndian.Uint64(raw[8:]) != xxhash.Sum64(raw[16:]) {
