--- a/internal/wal/bench_test.go
+++ b/internal/wal/bench_test.go
@@ -9,8 +9,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// BenchmarkLogFileAndBbolt puts the log beside a plain file and beside bbolt: the same 200-byte records, each durable
-// before the next, and sixteen at once.
+// BenchmarkLogFileAndBbolt compares the log with a plain file and with bbolt: 200-byte records, synced one by one and
+// in batches of sixteen.
 func BenchmarkLogFileAndBbolt(b *testing.B) {
 	record := make([]byte, 200)
 	for _, batch := range []int{1, 16} {
@@ -59,8 +59,7 @@
 			defer db.Close()
 			bucket := []byte("log")
 			if err := db.Update(func(tx *bbolt.Tx) error {
-				_,
-					err := tx.CreateBucket(bucket)
+				_, err := tx.CreateBucket(bucket)
 				return err
 			}); err != nil {
 				b.Fatal(err)
--- a/internal/wal/entry_index_test.go
+++ b/internal/wal/entry_index_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestEntryIndexMatchesModel writes, cuts, truncates and opens again by chance, and holds each entry that is held to a plain list,
-// read one by one and all in order.
+// TestEntryIndexMatchesModel appends, cuts, truncates and reopens at random, and compares Read and ForEach with a plain
+// list.
 func TestEntryIndexMatchesModel(t *testing.T) {
 	for seed := int64(1); seed <= 30; seed++ {
 		r, fs, m := rand.New(rand.NewSource(seed)), NewMemFS(), newModel()
@@ -36,12 +36,12 @@
 			want := l.First()
 			if err := l.ForEach(func(number uint64, data []byte) error {
 				if want != number || number >= m.base && string(data) != m.entries[number-m.base] {
-					return fmt.Errorf("entry %d is %.40q, expected %d", number, data, want)
+					return fmt.Errorf("ForEach: entry %d = %.40q, want entry %d", number, data, want)
 				}
 				want++
 				return nil
 			}); err != nil || want != m.next() {
-				problem = fmt.Sprintf("all in order end at %d: %v", want, err)
+				problem = fmt.Sprintf("ForEach() = %v, next entry %d, want %d", err, want, m.next())
 			}
 			if problem != "" {
 				t.Fatalf("seed %d, step %d: %s", seed, step, problem)
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestReadDetectsBitFlips: an entry that is found by the heads of others is never another one, whichever bit of its
-// segment turned over since the log was opened.
+// TestReadDetectsBitFlips: whichever bit of a segment flips after Open, Read must return the right entry or *Damage,
+// even if it walks over a damaged header.
 func TestReadDetectsBitFlips(t *testing.T) {
 	fs := NewMemFS()
 	l := open(t, fs, Sizes{SegmentBytes: 1 << 20, MaxBytes: 1 << 20})
@@ -77,7 +77,7 @@
 				got, err := l.Read(uint64(i + 1))
 				var damage *Damage
 				if err == nil && string(got) != want[i] || err != nil && !errors.As(err, &damage) {
-					t.Fatalf("byte %d, bit %d: entry %d is %q, %v", off, bit, i+1, got, err)
+					t.Fatalf("byte %d, bit %d: Read(%d) = %q, %v, want %q or *Damage", off, bit, i+1, got, err, want[i])
 				}
 				if err != nil {
 					detected++
@@ -88,11 +88,11 @@
 		}
 	}
 	if detected == 0 {
-		t.Error("no damage was told")
+		t.Error("no bit flip was detected, want some")
 	}
 }
 
-// TestEntryIndexMemory: what a log keeps in memory of many small entries is a byte each, about.
+// TestEntryIndexMemory: many small entries must cost about one byte of memory each.
 func TestEntryIndexMemory(t *testing.T) {
 	x := entryIndex{first: 1}
 	const n = 1 << 16
@@ -100,10 +100,10 @@
 		x.add(uint64(i/1000), int64(i%1000)*80)
 	}
 	if bytes := 4*len(x.samples) + 24*len(x.extentStarts); bytes > n*11/10 {
-		t.Errorf("%d bytes for %d entries, expected 1.1 each at most", bytes, n)
+		t.Errorf("index = %d bytes for %d entries, want at most 1.1 each", bytes, n)
 	}
 	x.truncateFront(n - 10)
 	if len(x.samples) > 4 || len(x.extentStarts) != 1 || x.find(x.first).number > x.first {
-		t.Errorf("%d offsets and %d jumps are kept for 10 entries", len(x.samples), len(x.extentStarts))
+		t.Errorf("index of 10 entries = %d samples, %d extents, want at most 4, 1", len(x.samples), len(x.extentStarts))
 	}
 }
--- a/internal/wal/errors_test.go
+++ b/internal/wal/errors_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// countingFS counts the files that are open, and can make closes fail.
+// countingFS counts the open files and can make Close fail.
 type countingFS struct {
 	FS
 	open     int
@@ -35,18 +35,18 @@
 	return errors.Join(f.File.Close(), f.fs.closeErr)
 }
 
-// TestFailedOpenClosesFiles: a log can't be opened or gets no new segment, again and again, as when a node tries to reach its
-// disk anew. No file may stay open each time, or the process runs out of descriptors and stops serving.
+// TestFailedOpenClosesFiles: a failed Open or a failed new segment must leave no file open, or a node that retries runs
+// out of file descriptors.
 func TestFailedOpenClosesFiles(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*MemFS)
-		step   string // fails
+		step   string // step that fails
 	}{
-		"a damaged header":        {func(m *MemFS) { m.FlipBits(segmentName(1), 12, 1) }, ""},
-		"a damaged record":        {func(m *MemFS) { m.FlipBits(segmentName(1), segmentHeaderBytes+6, 1) }, ""},
-		"a segment that is gone":  {func(m *MemFS) { delete(m.names, segmentName(2)) }, ""},
-		"a sync that fails":       {func(*MemFS) {}, "sync"},
-		"no sync of names either": {func(*MemFS) {}, "names"},
+		"a damaged header":       {func(m *MemFS) { m.FlipBits(segmentName(1), 12, 1) }, ""},
+		"a damaged record":       {func(m *MemFS) { m.FlipBits(segmentName(1), segmentHeaderBytes+6, 1) }, ""},
+		"a missing segment":      {func(m *MemFS) { delete(m.names, segmentName(2)) }, ""},
+		"a failed fsync":         {func(*MemFS) {}, "sync"},
+		"a failed sync of names": {func(*MemFS) {}, "names"},
 	} {
 		disk := NewMemFS()
 		l := open(t, disk, smallSizes)
@@ -65,7 +65,7 @@
 		}
 		fs := &countingFS{FS: disk}
 		if _, _, err := Open(fs, smallSizes); err == nil || fs.open != 0 {
-			t.Errorf("%s: %v, %d files are open, expected an error and none", name, err, fs.open)
+			t.Errorf("%s: Open() = %v, open files = %d, want an error and 0", name, err, fs.open)
 		}
 	}
 
@@ -82,12 +82,12 @@
 	}
 	_, err := l.Commit(Batch{Entries: [][]byte{make([]byte, 60)}})
 	if !errors.Is(err, ErrBroken) || fs.open != before {
-		t.Errorf("a new segment: %v, %d files are open, expected %v and %d", err, fs.open, ErrBroken, before)
+		t.Errorf("a failed new segment: Commit() = %v, open files = %d, want %v, %d", err, fs.open, ErrBroken, before)
 	}
 }
 
-// TestCloseErrorStillUnlocks: a file's close fails. That is told, all others are closed, and the folder is unlocked all the same:
-// the next process would find it in use otherwise.
+// TestCloseErrorStillUnlocks: if closing a file fails, Close must return the error, close the other files and unlock
+// the folder, or the next process could not open it.
 func TestCloseErrorStillUnlocks(t *testing.T) {
 	fs := &countingFS{FS: NewMemFS(), closeErr: syscall.EIO}
 	l := open(t, fs, smallSizes)
@@ -95,36 +95,36 @@
 		commit(t, l, Batch{Entries: [][]byte{make([]byte, 60)}})
 	}
 	if err := l.Close(); !errors.Is(err, syscall.EIO) || fs.open != 0 {
-		t.Errorf("%v, %d files are open, expected %v and none", err, fs.open, syscall.EIO)
+		t.Errorf("Close() = %v, open files = %d, want %v, 0", err, fs.open, syscall.EIO)
 	}
 	if err := l.Close(); err != nil {
-		t.Errorf("a second close: %v", err)
+		t.Errorf("second Close() = %v, want nil", err)
 	}
 	fs.closeErr = nil
 	if err := open(t, fs, smallSizes).Close(); err != nil {
-		t.Errorf("the folder is not free: %v", err)
+		t.Errorf("Open() and Close() = %v, want an unlocked folder", err)
 	}
 }
 
-// TestErrorTypes: callers can tell what a log does not take or hold from what ends the process.
+// TestErrorTypes: callers must be able to distinguish invalid arguments from a broken log.
 func TestErrorTypes(t *testing.T) {
 	l := open(t, NewMemFS(), smallSizes)
 	var entry *EntryTooLargeError
 	_, err := l.Commit(Batch{Entries: [][]byte{make([]byte, MaxRecordBytes+1)}})
 	if !errors.As(err, &entry) || err.Error() != "an entry of 8388609 bytes, expected at most 8388608" {
-		t.Errorf("found %v, expected an EntryTooLargeError", err)
+		t.Errorf("Commit() = %v, want *EntryTooLargeError with its text", err)
 	}
 	var mark *InvalidMarkError
 	if _, err = l.Commit(Batch{Marks: []Mark{{Kind: MaxMarkKinds}}}); !errors.As(err, &mark) ||
 		mark.Kind != MaxMarkKinds {
-		t.Errorf("found %v, expected an InvalidMarkError", err)
+		t.Errorf("Commit() = %v, want *InvalidMarkError of kind 16", err)
 	}
 	var missing *EntryNotFoundError
 	if _, err = l.Read(1); !errors.As(err, &missing) || err.Error() != "entry 1, expected one from 1 to 0" {
-		t.Errorf("found %v, expected a EntryNotFoundError", err)
+		t.Errorf("Read(1) = %v, want *EntryNotFoundError with its text", err)
 	}
 	commit(t, l, Batch{Entries: [][]byte{{1}}})
 	if _, err = l.Read(1); err != nil {
-		t.Errorf("after what was refused: %v", err)
+		t.Errorf("Read(1) after rejected batches: %v", err)
 	}
 }
--- a/internal/wal/helper_test.go
+++ b/internal/wal/helper_test.go
@@ -6,13 +6,14 @@
 	"testing"
 )
 
+// smallSizes makes a few records fill a segment.
 var smallSizes = Sizes{SegmentBytes: 700, MaxBytes: 1 << 20}
 
 func open(t testing.TB, fs FS, sizes Sizes) *Log {
 	t.Helper()
 	l, _, err := Open(fs, sizes)
 	if err != nil {
-		t.Fatalf("open: %v", err)
+		t.Fatalf("Open(): %v", err)
 	}
 	return l
 }
@@ -20,13 +21,13 @@
 func commit(t testing.TB, l *Log, b Batch) {
 	t.Helper()
 	if _, err := l.Commit(b); err != nil {
-		t.Fatalf("commit: %v", err)
+		t.Fatalf("Commit(): %v", err)
 	}
 }
 
-// model is what a log should hold.
+// model is the expected content of a log.
 type model struct {
-	base    uint64
+	base    uint64 // number of the first entry
 	entries []string
 	marks   [MaxMarkKinds]string
 }
@@ -57,7 +58,7 @@
 	}
 }
 
-// randomBatch makes a batch by chance.
+// randomBatch returns a batch, sometimes with a cut into or beyond the entries held.
 func (m *model) randomBatch(r *rand.Rand) Batch {
 	var b Batch
 	if r.Intn(5) == 0 && len(m.entries) > 0 {
@@ -74,20 +75,21 @@
 	return b
 }
 
-// diff says where a log and what it should hold part; the log may still hold entries that were let go of.
+// diff describes the first difference between a log and the model, empty if there is none. The log may still hold
+// entries that were truncated from the front.
 func (m *model) diff(l *Log) string {
 	if l.Next() != m.next() || l.First() > m.base {
-		return fmt.Sprintf("entries %d to %d, expected %d to %d", l.First(), l.Next()-1, m.base, m.next()-1)
+		return fmt.Sprintf("entries are %d to %d, want %d to %d", l.First(), l.Next()-1, m.base, m.next()-1)
 	}
 	for i, want := range m.entries {
 		got, err := l.Read(m.base + uint64(i))
 		if err != nil || string(got) != want {
-			return fmt.Sprintf("entry %d is %.40q (%v), expected %.40q", m.base+uint64(i), got, err, want)
+			return fmt.Sprintf("Read(%d) = %.40q, %v, want %.40q", m.base+uint64(i), got, err, want)
 		}
 	}
 	for k, want := range m.marks {
 		if got := string(l.Mark(k)); got != want {
-			return fmt.Sprintf("mark %d is %q, expected %q", k, got, want)
+			return fmt.Sprintf("Mark(%d) = %q, want %q", k, got, want)
 		}
 	}
 	return ""
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -12,8 +12,8 @@
 
 var errPowerLoss = errors.New("power lost")
 
-// TestCrashAtAnyStep loses power at a step drawn by chance, or kills the process there, opens what a disk
-// may hold then, and goes on: what was acknowledged is there, what was not is there whole or not at all.
+// TestCrashAtAnyStep cuts power or kills the process at a random step and reopens the log: acknowledged batches must be
+// there, and an unacknowledged one completely or not at all.
 func TestCrashAtAnyStep(t *testing.T) {
 	torn := 0
 	for seed := int64(0); seed < 400; seed++ {
@@ -34,7 +34,7 @@
 					torn++
 				}
 				if diff := m.diff(l); diff != "" {
-					t.Fatalf("seed %d life %d: %s", seed, restart, diff)
+					t.Fatalf("seed %d, restart %d: %s", seed, restart, diff)
 				}
 				for n := 0; n < 40; n++ {
 					b := m.randomBatch(r)
@@ -53,24 +53,24 @@
 					}
 				}
 			} else if !errors.Is(err, errPowerLoss) {
-				t.Fatalf("seed %d life %d: open: %v", seed, restart, err)
+				t.Fatalf("seed %d, restart %d: open: %v, want %v", seed, restart, err, errPowerLoss)
 			}
 			if r.Intn(4) == 0 {
 				disk = disk.Kill()
 			} else {
 				disk = disk.PowerLoss(r.Intn)
 			}
-			if pending != nil { // settled by what is found, once
+			if pending != nil { // the reopened log decides whether the unacknowledged batch counts
 				l, repair, err := Open(disk, smallSizes)
 				if repair.TornAt != "" {
 					torn++
 				}
 				if err != nil {
-					t.Fatalf("seed %d life %d: open after a crash: %v", seed, restart, err)
+					t.Fatalf("seed %d, restart %d: open after a crash: %v, want no error", seed, restart, err)
 				}
 				if m.diff(l) != "" {
 					if pendingDiff := pending.diff(l); pendingDiff != "" {
-						t.Fatalf("seed %d life %d: neither before nor after the batch: %s; %s", seed, restart,
+						t.Fatalf("seed %d, restart %d: log is neither as before nor as after the batch: %s; %s", seed, restart,
 							m.diff(l), pendingDiff)
 					}
 					m = pending
@@ -80,12 +80,12 @@
 		}
 	}
 	if torn < 50 {
-		t.Fatalf("%d torn tails, expected at least 50: the crashes don't reach the cases", torn)
+		t.Fatalf("torn tails = %d, want at least 50: too few crashes hit a write", torn)
 	}
 }
 
-// TestBitFlipIsDamageOrTornTail flips each byte in turn. Before the last flush that is damage, told with its place,
-// and the folder is left as it was; within the last flush it can't be told from a torn tail.
+// TestBitFlipIsDamageOrTornTail flips a bit of each byte in turn. Before the last flush, Open must report damage with
+// its place and remove no file; within the last flush, it can't be distinguished from a torn tail.
 func TestBitFlipIsDamageOrTornTail(t *testing.T) {
 	fill := func(flushes int) (*MemFS, int64) {
 		disk := NewMemFS()
@@ -103,11 +103,11 @@
 		l.Close()
 		return disk, last
 	}
-	for flushes := 12; flushes <= 14; flushes++ { // the last segment has one flush, or some
+	for flushes := 12; flushes <= 14; flushes++ { // so that the last segment holds one or more flushes
 		disk, lastFlush := fill(flushes)
 		names, _ := disk.List()
 		if len(names) < 3 {
-			t.Fatalf("%d segments, expected some", len(names))
+			t.Fatalf("segments = %d, want at least 3", len(names))
 		}
 		for i, name := range names {
 			f, _ := disk.Open(name)
@@ -119,23 +119,23 @@
 				var damage *Damage
 				if i == len(names)-1 && off >= lastFlush {
 					if err != nil || repair.TornAt == "" || l.Next() != uint64(flushes) {
-						t.Fatalf("%s byte %d: %v, expected the last flush cut off", name, off, err)
+						t.Fatalf("%s byte %d: Open() = %v, torn at %q, want the last flush truncated", name, off, err, repair.TornAt)
 					}
 					continue
 				}
 				if !errors.As(err, &damage) || damage.File == "" || !strings.Contains(err.Error(), "at byte") {
-					t.Fatalf("%s byte %d: %v, expected damage told with its place", name, off, err)
+					t.Fatalf("%s byte %d: Open() = %v, want *Damage with its place", name, off, err)
 				}
 				if after, _ := disk.List(); len(after) != len(names) {
-					t.Fatalf("%s byte %d: %d files left of %d", name, off, len(after), len(names))
+					t.Fatalf("%s byte %d: files = %d, want %d", name, off, len(after), len(names))
 				}
 			}
 		}
 	}
 }
 
-// A segment in the middle was deleted by hand. Entries in it were acknowledged; a log that opened without them would
-// let an instance forget what it voted for. It must not open, and must say where.
+// A segment in the middle was deleted. Its entries were acknowledged, and an instance that forgot them could vote
+// twice, so the log must not open.
 func TestMissingSegmentIsDamage(t *testing.T) {
 	disk := NewMemFS()
 	l := open(t, disk, Sizes{SegmentBytes: 100, MaxBytes: 1 << 20})
@@ -146,12 +146,11 @@
 	names, _ := disk.List()
 	disk.Remove(names[1])
 	if _, _, err := Open(disk, smallSizes); err == nil || !strings.Contains(err.Error(), "one is missing") {
-		t.Fatalf("got %v, expected a missing segment", err)
+		t.Fatalf("Open() = %v, want a missing segment", err)
 	}
 }
 
-// The disk fails a sync. What is on it is not known then: a second sync may succeed although the data is lost. The log
-// must refuse everything from then on.
+// After a failed fsync a second one may succeed although data was lost, so the log must reject every later call.
 func TestFailedSyncBreaksLog(t *testing.T) {
 	disk := NewMemFS()
 	l := open(t, disk, smallSizes)
@@ -159,23 +158,22 @@
 	fail := true
 	disk.OnStep = func(step, _ string) (int, error) {
 		if step == "sync" && fail {
-			fail = false // a second sync would succeed and say nothing of what was lost
+			fail = false // only the first sync fails
 			return 0, syscall.EIO
 		}
 		return 0, nil
 	}
 	for i := 0; i < 2; i++ {
 		if _, err := l.Commit(Batch{Entries: [][]byte{[]byte("b")}}); !errors.Is(err, ErrBroken) {
-			t.Fatalf("commit %d: %v, expected %v", i, err, ErrBroken)
+			t.Fatalf("Commit() %d = %v, want %v", i, err, ErrBroken)
 		}
 	}
 	if err := l.SaveSnapshot(1, []byte("x")); !errors.Is(err, ErrBroken) {
-		t.Fatalf("snapshot: %v, expected %v", err, ErrBroken)
+		t.Fatalf("SaveSnapshot() = %v, want %v", err, ErrBroken)
 	}
 }
 
-// The disk has no space for a write. What was durable before must be there when the log is opened again, and nothing of
-// the failed write may count.
+// The disk is full during a write. After reopening, the log must hold all durable entries and none of the failed write.
 func TestFullDiskKeepsDurableEntries(t *testing.T) {
 	disk := NewMemFS()
 	disk.Capacity = 3000
@@ -185,7 +183,7 @@
 		b := Batch{Entries: [][]byte{[]byte(strings.Repeat("x", 200))}}
 		if _, err := l.Commit(b); err != nil {
 			if !errors.Is(err, ErrBroken) || !errors.Is(err, syscall.ENOSPC) || n < 5 {
-				t.Fatalf("commit %d: %v", n, err)
+				t.Fatalf("Commit() %d = %v, want %v wrapping %v after at least 5 commits", n, err, ErrBroken, syscall.ENOSPC)
 			}
 			break
 		}
@@ -196,14 +194,14 @@
 	disk.Capacity = 0
 	l, repair, err := Open(disk, smallSizes)
 	if err != nil || repair.TornAt == "" {
-		t.Fatalf("open after a full disk: %v, torn %q", err, repair.TornAt)
+		t.Fatalf("Open() = %v, torn at %q, want a torn tail", err, repair.TornAt)
 	}
 	if diff := m.diff(l); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// A batch would take the log past its limit. It must be refused as a whole, and the log must go on with smaller ones.
+// A batch that would exceed the size limit must be rejected as a whole, and the log must stay usable.
 func TestFullLogRejectsBatch(t *testing.T) {
 	l := open(t, NewMemFS(), Sizes{SegmentBytes: 400, MaxBytes: 2000})
 	m := newModel()
@@ -218,7 +216,7 @@
 		m.apply(b)
 	}
 	if l.DiskBytes() > 2000 {
-		t.Fatalf("%d bytes, expected at most 2000", l.DiskBytes())
+		t.Fatalf("DiskBytes() = %d, want at most 2000", l.DiskBytes())
 	}
 	if diff := m.diff(l); diff != "" {
 		t.Fatal(diff)
@@ -229,7 +227,7 @@
 	commit(t, l, Batch{Entries: [][]byte{make([]byte, 150)}})
 }
 
-// TestGroupCommit holds the first sync until all others wait: they share the second.
+// TestGroupCommit blocks the first sync until all other commits wait: those must share the second sync.
 func TestGroupCommit(t *testing.T) {
 	disk := NewMemFS()
 	l := open(t, disk, Sizes{SegmentBytes: 1 << 20, MaxBytes: 1 << 20})
@@ -268,16 +266,16 @@
 	close(release)
 	wg.Wait()
 	if l.SyncCount() != 2 {
-		t.Fatalf("%d syncs for 20 commits, expected 2", l.SyncCount())
+		t.Fatalf("SyncCount() = %d after 20 commits, want 2", l.SyncCount())
 	}
 	for i, n := range numbers {
 		if got, err := l.Read(n); err != nil || string(got) != fmt.Sprint(i) {
-			t.Fatalf("entry %d is %q (%v), expected %d", n, got, err, i)
+			t.Fatalf("Read(%d) = %q, %v, want %q", n, got, err, fmt.Sprint(i))
 		}
 	}
 }
 
-// Entries are dropped from the front for a long time. Segments must leave the disk, and marks in them must not be lost.
+// Repeated truncation of the front must remove segments from disk without losing the marks that they hold.
 func TestTruncateFrontKeepsMarksAndFreesDisk(t *testing.T) {
 	disk := NewMemFS()
 	l := open(t, disk, smallSizes)
@@ -291,15 +289,16 @@
 		maxBytes = max(maxBytes, l.DiskBytes())
 	}
 	if maxBytes > 4*smallSizes.SegmentBytes {
-		t.Fatalf("%d bytes at most, expected under %d", maxBytes, 4*smallSizes.SegmentBytes)
+		t.Fatalf("max DiskBytes() = %d, want at most %d", maxBytes, 4*smallSizes.SegmentBytes)
 	}
 	l.Close()
 	if l = open(t, disk, smallSizes); string(l.Mark(3)) != "kept" || l.Next() != 501 {
-		t.Fatalf("mark %q, next %d", l.Mark(3), l.Next())
+		t.Fatalf("Mark(3) = %q, Next() = %d, want %q, 501", l.Mark(3), l.Next(), "kept")
 	}
 }
 
-// TestCrashDuringSaveSnapshot crashes at each step of a save: the old ones are there, or the new one whole.
+// TestCrashDuringSaveSnapshot loses power at each step of SaveSnapshot: the old snapshots or the complete new one must
+// be there.
 func TestCrashDuringSaveSnapshot(t *testing.T) {
 	for failAt := 0; ; failAt++ {
 		disk := NewMemFS()
@@ -325,11 +324,11 @@
 		l = open(t, restarted, smallSizes)
 		snaps := l.Snapshots()
 		if len(snaps) < 2 || snaps[0] < 3 {
-			t.Fatalf("step %d: snapshots %v, expected two, 3 or 4 the newest", failAt, snaps)
+			t.Fatalf("step %d: Snapshots() = %v, want two of which the newest is 3 or 4", failAt, snaps)
 		}
 		for _, n := range snaps {
 			if got, err := l.LoadSnapshot(n); err != nil || string(got) != fmt.Sprint("state ", n) {
-				t.Fatalf("step %d: snapshot %d is %q (%v)", failAt, n, got, err)
+				t.Fatalf("step %d: LoadSnapshot(%d) = %q, %v, want %q", failAt, n, got, err, fmt.Sprint("state ", n))
 			}
 		}
 		if !failed {
@@ -338,7 +337,7 @@
 	}
 }
 
-// A bit of a snapshot flips. It must not be loaded as if it was sound.
+// A snapshot with a flipped bit must not be loaded.
 func TestDamagedSnapshotIsReported(t *testing.T) {
 	disk := NewMemFS()
 	l := open(t, disk, smallSizes)
@@ -348,12 +347,12 @@
 	disk.FlipBits(snapshotName(1), 26, 1)
 	var damage *Damage
 	if _, err := l.LoadSnapshot(1); !errors.As(err, &damage) {
-		t.Fatalf("got %v, expected damage", err)
+		t.Fatalf("LoadSnapshot(1) = %v, want *Damage", err)
 	}
 }
 
-// Two processes are started on one folder, as by an operator's mistake. Both writing would destroy the log: the second
-// must be refused.
+// Two processes are started on one folder by mistake. Both writing would destroy the log, so the second must be
+// rejected.
 func TestSecondOpenIsLocked(t *testing.T) {
 	dir, err := MakeDir(t.TempDir())
 	if err != nil {
@@ -361,7 +360,7 @@
 	}
 	l := open(t, dir, smallSizes)
 	if _, _, err = Open(dir, smallSizes); !errors.Is(err, ErrLocked) {
-		t.Fatalf("second open: %v, expected %v", err, ErrLocked)
+		t.Fatalf("second Open() = %v, want %v", err, ErrLocked)
 	}
 	commit(t, l, Batch{Entries: [][]byte{[]byte("on disk")}, Marks: []Mark{{0, []byte("m")}}})
 	if err = l.SaveSnapshot(1, []byte("s")); err != nil {
@@ -370,7 +369,7 @@
 	l.Close()
 	l = open(t, dir, smallSizes)
 	if got, err := l.Read(1); err != nil || string(got) != "on disk" || string(l.Mark(0)) != "m" {
-		t.Fatalf("entry %q, mark %q, %v", got, l.Mark(0), err)
+		t.Fatalf("Read(1) = %q, %v, Mark(0) = %q, want %q, %q", got, err, l.Mark(0), "on disk", "m")
 	}
 	l.Close()
 }
@@ -403,8 +402,8 @@
 	}
 }
 
-// TestRecoveredTailSurvivesPowerLoss: what a killed process had written but not synced counts once it was read, so it
-// has to outlast the next loss of power too.
+// TestRecoveredTailSurvivesPowerLoss: a record that a killed process wrote but did not sync counts once Open has read
+// it, so it must survive the next power loss.
 func TestRecoveredTailSurvivesPowerLoss(t *testing.T) {
 	for seed := int64(0); seed < 40; seed++ {
 		disk := NewMemFS()
@@ -418,11 +417,11 @@
 		l.Commit(Batch{Entries: [][]byte{[]byte("written")}})
 		disk = disk.Kill()
 		if l = open(t, disk, smallSizes); l.Next() != 2 {
-			t.Fatalf("next %d, expected what was written to be read", l.Next())
+			t.Fatalf("seed %d: Next() = %d after the kill, want 2", seed, l.Next())
 		}
 		disk = disk.PowerLoss(rand.New(rand.NewSource(seed)).Intn)
 		if l = open(t, disk, smallSizes); l.Next() != 2 {
-			t.Fatalf("seed %d: next %d, expected what was read before to be there", seed, l.Next())
+			t.Fatalf("seed %d: Next() = %d after the power loss, want 2", seed, l.Next())
 		}
 	}
 }
--- a/internal/wal/pin_test.go
+++ b/internal/wal/pin_test.go
@@ -10,10 +10,11 @@
 	"testing"
 )
 
-// The fixtures under testdata/pin are what version 2a0a97e stored; they are written with -write-pins at that version
-// alone.
-var writePins = flag.Bool("write-pins", false, "write the fixtures of pinned forms anew")
+// The fixtures under testdata/pin were written by version 2a0a97e. Stored forms are stable, so later versions never
+// rewrite them.
+var writePins = flag.Bool("write-pins", false, "rewrite the fixtures of stored forms")
 
+// compareFixture compares got with a fixture, or writes the fixture with -write-pins.
 func compareFixture(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "pin", name)
@@ -31,11 +32,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: found %d bytes, expected %d\n%.2000q\n%.2000q", path, len(got), len(want), got, want)
+		t.Errorf("%s: got %d bytes, want %d\ngot  %.2000q\nwant %.2000q", path, len(got), len(want), got, want)
 	}
 }
 
-// writeSampleLog writes entries, marks, cuts and snapshots over several segments.
+// writeSampleLog writes entries, marks, cuts and snapshots to several segments.
 func writeSampleLog(t *testing.T, fs FS) {
 	t.Helper()
 	l, _, err := Open(fs, Sizes{SegmentBytes: 400, MaxBytes: 1 << 20})
@@ -66,6 +67,7 @@
 	}
 }
 
+// describeContent lists the entries, marks and snapshots of a log.
 func describeContent(t *testing.T, l *Log) string {
 	t.Helper()
 	var out strings.Builder
@@ -109,7 +111,7 @@
 	return raw
 }
 
-// TestLogFilesAreStable: the same steps give the same files as version 2a0a97e.
+// TestLogFilesAreStable: the same calls must write the same bytes as version 2a0a97e.
 func TestLogFilesAreStable(t *testing.T) {
 	fs := NewMemFS()
 	writeSampleLog(t, fs)
@@ -122,10 +124,11 @@
 	}
 	stored, err := filepath.Glob("testdata/pin/log/*")
 	if err != nil || len(stored) != len(names) {
-		t.Errorf("wrote %v, expected %v (%v)", names, stored, err)
+		t.Errorf("files = %v, want %v (%v)", names, stored, err)
 	}
 }
 
+// storedLog returns the log files of version 2a0a97e.
 func storedLog(t *testing.T) *MemFS {
 	t.Helper()
 	stored, err := filepath.Glob("testdata/pin/log/*")
@@ -152,17 +155,18 @@
 	return fs
 }
 
-// TestStoredLogReadsBack: the stored files give what was written.
+// TestStoredLogReadsBack: the files of version 2a0a97e must read back as written.
 func TestStoredLogReadsBack(t *testing.T) {
 	l, repair, err := Open(storedLog(t), Sizes{SegmentBytes: 400, MaxBytes: 1 << 20})
 	if err != nil || repair.TornAt != "" || repair.TornBytes != 0 || repair.RemovedFiles != nil {
-		t.Fatalf("%+v, %v", repair, err)
+		t.Fatalf("Open() = %+v, %v, want no repair and no error", repair, err)
 	}
 	defer l.Close()
 	compareFixture(t, "content.txt", []byte(describeContent(t, l)))
 }
 
-// TestDamagedStoredLogOutcomes: a copy with one byte spoilt, or torn, at any place gives the end that it gave.
+// TestDamagedStoredLogOutcomes: a log with a flipped bit, a truncated file or a missing file must open or fail as in
+// version 2a0a97e.
 func TestDamagedStoredLogOutcomes(t *testing.T) {
 	names, err := storedLog(t).List()
 	if err != nil {
@@ -211,7 +215,7 @@
 	compareFixture(t, "spoilt.txt", []byte(out.String()))
 }
 
-// TestErrorTextsAreStable: the log's errors at a call are those of version 2a0a97e.
+// TestErrorTextsAreStable: the error texts must be those of version 2a0a97e, as operators match them.
 func TestErrorTextsAreStable(t *testing.T) {
 	var out strings.Builder
 	fs := NewMemFS()
