--- a/internal/node/resultstore/clock.go
+++ b/internal/node/resultstore/clock.go
@@ -9,10 +9,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDFile names the boot of the machine, by Linux's word.
+// bootIDFile holds an identifier of the current boot of the machine, on Linux.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// BootClock gives the time of the clock that windows run by, and names the boot that it counts from.
+// BootClock returns the time of CLOCK_BOOTTIME and the identifier of the boot in which it counts.
 func BootClock() (now Milliseconds, bootID string, err error) {
 	var t unix.Timespec
 	if err = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/internal/node/resultstore/errors.go
+++ b/internal/node/resultstore/errors.go
@@ -2,17 +2,17 @@
 
 import "errors"
 
-// What is wrong with limits, a record or a log. Errors wrap one of them and say what was found and expected; those of
-// the log itself are internal/wal's.
+// Errors of this package wrap one of these and give the found and expected values. Errors of the log itself are those
+// of internal/wal.
 var (
-	// ErrInvalidLimits is limits that no index can keep to.
+	// ErrInvalidLimits is returned for limits that are out of range.
 	ErrInvalidLimits = errors.New("invalid limits")
-	// ErrMalformedRecord is bytes that are no record.
+	// ErrMalformedRecord is returned for bytes that are not a valid record.
 	ErrMalformedRecord = errors.New("malformed record")
-	// ErrBodyMismatch is a record of a key with another body digest than its intent's.
+	// ErrBodyMismatch is returned for a record whose body digest differs from that of its key's intent.
 	ErrBodyMismatch = errors.New("body mismatch")
-	// ErrNotResult is a log position that has no result record.
+	// ErrNotResult is returned for a log position without a result record.
 	ErrNotResult = errors.New("not a result")
-	// ErrSalvageUnfinished is a damaged log that a start was rewriting when it was interrupted.
-	ErrSalvageUnfinished = errors.New("a damaged log is being written anew: a node's start ends that")
+	// ErrSalvageUnfinished is returned by Inspect and Compact if the salvage of a damaged log was interrupted.
+	ErrSalvageUnfinished = errors.New("the salvage of a damaged log is unfinished: start the node to complete it")
 )
--- a/internal/node/resultstore/expire.go
+++ b/internal/node/resultstore/expire.go
@@ -1,26 +1,25 @@
 package resultstore
 
-// slotsPerExpire is how many slots of the table one Expire looks at: some microseconds, so that the loop that serves
-// requests is never held up by a large index.
+// slotsPerExpire is the number of slots that one Expire visits, so that a large index does not block the loop that
+// serves requests.
 const slotsPerExpire = 512
 
-// expiryPass is where a pass over the table stands.
+// expiryPass is the progress of a pass of Expire over the table.
 type expiryPass struct {
-	slot        int
-	slots       int    // of the table as the pass began
-	firstNeeded uint64 // the first position that a key needs, as far as the pass has come
+	slot        int    // next slot to visit
+	slots       int    // size of the table at the start of the pass
+	firstNeeded uint64 // lowest position that the visited keys need
 }
 
-// ExpireSteps is how many calls of Expire go through all keys once.
+// ExpireSteps returns the number of calls of Expire that make up one pass over all keys.
 func (x *Index) ExpireSteps() int { return (len(x.table.slots) + slotsPerExpire - 1) / slotsPerExpire }
 
-// Expire removes some keys whose window is over. Once it has gone through all keys it gives the first position of the
-// log that is still needed, else 0. next is the position that the log's next record gets. It is called often and does
-// little.
+// Expire visits the next slotsPerExpire slots and removes keys whose window is over. At the end of a pass over all keys
+// it returns the first log position that is still needed, otherwise 0. next is the position of the log's next record.
 func (x *Index) Expire(now Milliseconds, next uint64) (removed int, firstNeeded uint64) {
 	p := &x.pass
-	if p.slot == 0 || p.slots != len(x.table.slots) { // a table that grew has its keys elsewhere: the pass begins anew
-		*p = expiryPass{slots: len(x.table.slots), firstNeeded: next} // records from here on stand behind that
+	if p.slot == 0 || p.slots != len(x.table.slots) { // growing moves all keys: restart the pass
+		*p = expiryPass{slots: len(x.table.slots), firstNeeded: next} // later records have higher positions
 		x.table.minMovedPosition = notInLog
 	}
 	for end := min(p.slot+slotsPerExpire, p.slots); p.slot < end; p.slot++ {
@@ -33,12 +32,12 @@
 	if now < x.lossSuspicionEnd {
 		p.firstNeeded = min(p.firstNeeded, x.lossPosition)
 	}
-	// Guards against a key that moved behind the pass as others were removed, and that the pass has not seen: its
-	// result would be deleted inside its window. The table keeps the least position of those that moved.
+	// A removal may shift a key to a slot that the pass has visited already. Without minMovedPosition, its result would
+	// be deleted inside its window.
 	return removed, min(p.firstNeeded, x.table.minMovedPosition)
 }
 
-// expireSlot removes what is over at the slot of the pass, and notes the position that a key there needs.
+// expireSlot removes expired keys from the current slot and updates firstNeeded for a live one.
 func (x *Index) expireSlot(now Milliseconds) (removed int) {
 	e := &x.table.slots[x.pass.slot]
 	for e.state != Unknown {
@@ -46,7 +45,7 @@
 			x.pass.firstNeeded = min(x.pass.firstNeeded, e.position)
 			return removed
 		}
-		x.remove(e) // another key may move into the slot
+		x.remove(e) // may shift another key into the slot
 		removed++
 	}
 	return removed
--- a/internal/node/resultstore/lifecycle.go
+++ b/internal/node/resultstore/lifecycle.go
@@ -1,9 +1,8 @@
 package resultstore
 
-// Begin takes in a key that Decide let execute, and gives its intent record, which has to be durable before it runs.
-// The key's window is that of its handler.
+// Begin adds a key with the verdict Execute and returns its intent record, which must be durable before the key runs.
 func (x *Index) Begin(now Milliseconds, k Key, bodyDigest uint64, window Milliseconds) Record {
-	if e := x.table.find(k); e != nil { // its window was over
+	if e := x.table.find(k); e != nil { // its window is over
 		x.remove(e)
 	}
 	window = min(window, maxWindow)
@@ -13,7 +12,7 @@
 	return Record{Kind: Intent, Key: k, BodyDigest: bodyDigest, At: now, Window: window}
 }
 
-// MarkDurable tells that a record is on disk, at a position. One that did not get there is told by MarkLost.
+// MarkDurable updates the index after a record became durable at a position. For a failed write see MarkLost.
 func (x *Index) MarkDurable(r *Record, position uint64) {
 	e := x.table.find(r.Key)
 	if r.Kind == NotExecuted {
@@ -37,8 +36,8 @@
 	}
 }
 
-// MarkLost tells that a record did not reach the disk. Without its intent a key never runs, and is as if it had not
-// come. A key that ran and whose end is not durable is Indeterminate, as it would be after a restart.
+// MarkLost updates the index after the write of a record failed. A key without a durable intent is removed, as it did
+// not run. A key that ran without a durable end is Indeterminate, as it would be after a restart.
 func (x *Index) MarkLost(r *Record) {
 	e := x.table.find(r.Key)
 	if e == nil && r.Kind != NotExecuted {
@@ -55,9 +54,9 @@
 	}
 }
 
-// MarkExecuted tells how the run of a key ended, and gives the record that has to be durable before its answer goes
-// out; false: no such run is known. A result over the limit is recorded as a failure. The window begins anew, as a
-// repeat may come for so long after the answer.
+// MarkExecuted ends the run of a key and returns the record that must be durable before the response is sent, or false
+// if the key is not running. A result over the limit is recorded as a failure. The window restarts, as it counts from
+// the response.
 func (x *Index) MarkExecuted(now Milliseconds, k Key, succeeded bool, result []byte) (Record, bool) {
 	e := x.table.find(k)
 	if e == nil || e.state != Running {
@@ -71,15 +70,15 @@
 	return r, true
 }
 
-// MarkNotExecuted tells that a key was proved not to have run after its intent was durable, and gives the record that
-// closes the intent; false: nothing is to be closed. A repeat may run at once: its intent stands behind this record
-// in the log, and where this record is lost the key is Indeterminate, which is the safe side.
+// MarkNotExecuted removes a key that is proved not to have run and returns the record that closes its intent, or false
+// if the key has no open intent. A retry may run at once: its intent follows this record in the log, and if this record
+// is lost, the key is Indeterminate after a restart, which is safe.
 func (x *Index) MarkNotExecuted(now Milliseconds, k Key) (Record, bool) {
 	e := x.table.find(k)
 	if e == nil || e.state != Running && e.state != Indeterminate {
 		return Record{}, false
 	}
-	if e.state == Indeterminate { // nothing is reserved for it
+	if e.state == Indeterminate { // it has no reservation
 		x.reservedBytes += x.limits.recordBytes()
 	}
 	r := Record{Kind: NotExecuted, Key: k, BodyDigest: e.bodyDigest, At: now, Window: uint64(e.window)}
--- a/internal/node/resultstore/limits.go
+++ b/internal/node/resultstore/limits.go
@@ -2,28 +2,28 @@
 
 import "fmt"
 
-// Milliseconds is a time of the boot clock, or a duration.
+// Milliseconds is a time of CLOCK_BOOTTIME or a duration.
 type Milliseconds = uint64
 
-// Bounds of what limits may ask for.
+// Ranges of the limits.
 const (
-	// maxKeys bounds the index: 3.2 GB of memory, past what a node has.
+	// maxKeys limits the memory of the index to 3.2 GB.
 	maxKeys = 1 << 26
-	// maxResultBytes bounds one result: so much room is reserved for each run in flight.
+	// maxResultBytes is the maximum size of one result, which is reserved for each run in flight.
 	maxResultBytes = 1 << 20
-	// recordsPerRun is how many records a run leaves at most: its intent and its end.
+	// recordsPerRun is the maximum number of records of a run: its intent and its end.
 	recordsPerRun = 2
 )
 
-// Limits of an index.
+// Limits are the limits of an index.
 type Limits struct {
-	Keys          int          // that may be known at one time
-	Bytes         int64        // of records on disk
-	ResultBytes   int          // of one result
-	LongestWindow Milliseconds // of all keys: for so long keys may be missing after damage
+	Keys          int          // maximum number of keys at one time
+	Bytes         int64        // maximum size of all records on disk
+	ResultBytes   int          // maximum size of one result
+	LongestWindow Milliseconds // longest idempotency window of any key: how long keys may be missing after damage
 }
 
-// Validate says what is wrong with them; the error wraps ErrInvalidLimits.
+// Validate returns an error that wraps ErrInvalidLimits if a limit is out of range.
 func (l *Limits) Validate() error {
 	switch {
 	case l.Keys < 1 || l.Keys > maxKeys:
@@ -32,14 +32,14 @@
 		return fmt.Errorf("%w: result: found %d bytes, expected 0 to %d", ErrInvalidLimits, l.ResultBytes,
 			maxResultBytes)
 	case l.Bytes < l.runBytes():
-		return fmt.Errorf("%w: bytes: found %d, expected %d at least, for one run", ErrInvalidLimits, l.Bytes,
+		return fmt.Errorf("%w: bytes: found %d, expected at least %d, the records of one run", ErrInvalidLimits, l.Bytes,
 			l.runBytes())
 	}
 	return nil
 }
 
-// recordBytes is what the largest record takes on disk.
+// recordBytes returns the size of the largest record on disk.
 func (l *Limits) recordBytes() int64 { return maxRecordBytes(l.ResultBytes) }
 
-// runBytes is what one run may leave on disk.
+// runBytes returns the maximum size of the records of one run on disk.
 func (l *Limits) runBytes() int64 { return recordsPerRun * l.recordBytes() }
--- a/internal/node/resultstore/offline.go
+++ b/internal/node/resultstore/offline.go
@@ -6,8 +6,8 @@
 	"umberwinch/internal/wal"
 )
 
-// Inspect reads a folder that no node uses, as a start would, and closes it: what each key's state would be, and the
-// bytes on disk. It changes nothing but a tail that was never synced, which is cut off.
+// Inspect opens a folder that no node uses, as a start would, and closes it. It returns the index and the size on disk
+// in bytes. It changes the folder only as wal.Open does.
 func Inspect(fs wal.FS, sizes wal.Sizes, limits Limits, now Milliseconds, bootID string) (*Index, Recovery, int64,
 	error) {
 	log, index, recovery, err := load(fs, sizes, limits, now, bootID)
@@ -18,8 +18,8 @@
 	return index, recovery, usage, log.Close()
 }
 
-// Compact deletes what is over in a folder that no node uses, as a node does while it serves: whole segments, from the
-// front. It gives the bytes on disk before and after.
+// Compact deletes expired records, in whole segments from the front, from a folder that no node uses. It returns the
+// size on disk before and after, in bytes.
 func Compact(fs wal.FS, sizes wal.Sizes, limits Limits, now Milliseconds, bootID string) (before, after int64,
 	err error) {
 	log, index, recovery, err := load(fs, sizes, limits, now, bootID)
@@ -27,7 +27,7 @@
 		return 0, 0, err
 	}
 	before = log.DiskBytes()
-	if recovery.SameBoot { // in another boot each window has only just begun
+	if recovery.SameBoot { // otherwise the time since the last record is unknown, and no window is over
 		firstNeeded := uint64(0)
 		for firstNeeded == 0 {
 			_, firstNeeded = index.Expire(now, log.Next())
--- a/internal/node/resultstore/open.go
+++ b/internal/node/resultstore/open.go
@@ -8,22 +8,22 @@
 	"umberwinch/internal/wal"
 )
 
-// bootMark is the log's mark that names the boot whose clock the records' times are of.
+// bootMark is the kind of the mark that holds the identifier of the boot whose clock the records use.
 const bootMark = 0
 
-// Recovery tells what a start found.
+// Recovery is the outcome of opening a folder.
 type Recovery struct {
 	Records       int
 	Keys          int
 	Indeterminate int           // keys that may have run
-	SameBoot      bool          // the clock goes on from the records' one
-	TornTail      string        // what was cut off the end, as it was never synced; empty: nothing
-	Duration      time.Duration // that reading took
-	Gaps          int           // places of a damaged log that can't be read; the rest was written anew
+	SameBoot      bool          // the records have times of the current boot's clock
+	TornTail      string        // file and offset of a torn tail that was truncated; empty if there was none
+	Duration      time.Duration // of opening and replaying the log
+	Gaps          int           // unreadable places of a damaged log that was salvaged
 }
 
-// Open reads a folder, or begins one, and starts its store. now is a time of the boot clock, bootID names the boot:
-// where the folder has another, the times in it mean nothing here. A damaged log is salvaged. It waits for the disk.
+// Open opens or creates the store of a folder and replays its log. now and bootID are those of BootClock; times of a
+// folder with another bootID are moved to the current clock. A damaged log is salvaged.
 func Open(fs wal.FS, sizes wal.Sizes, limits Limits, now Milliseconds, bootID string) (*Store, *Index, Recovery,
 	error) {
 	log, index, recovery, err := openOrSalvage(fs, sizes, limits, now, bootID)
@@ -40,7 +40,7 @@
 	return newStore(fs, sizes, bootID, log), index, recovery, nil
 }
 
-// load reads a folder's log into an index.
+// load opens the log of a folder and replays it into an index.
 func load(fs wal.FS, sizes wal.Sizes, limits Limits, now Milliseconds, bootID string) (*wal.Log, *Index, Recovery,
 	error) {
 	var recovery Recovery
@@ -70,7 +70,7 @@
 	return log, index, recovery, nil
 }
 
-// replayLog takes all records of a log, and counts them.
+// replayLog replays all records of a log and returns their number.
 func (x *Index) replayLog(log *wal.Log) (records int, err error) {
 	err = log.ForEach(func(position uint64, data []byte) error {
 		r, err := ParseRecord(data)
--- a/internal/node/resultstore/record.go
+++ b/internal/node/resultstore/record.go
@@ -5,23 +5,23 @@
 	"fmt"
 )
 
-// RecordKind is what a record says. Its numbers stand in logs on disk.
+// RecordKind is the kind of a record. Its values are stored in logs.
 type RecordKind uint8
 
-// The kinds of records. The first four are of a key.
+// The kinds of records. The first four belong to a key.
 const (
-	Intent      RecordKind = 1 + iota // the key will run
-	Result                            // it ran, with this result
-	Failure                           // it ran to an error
-	NotExecuted                       // it did not run after all
-	ClockChange                       // records behind it have times of another boot's clock, whose first one is At
-	Damage                            // something before it can't be read: any key whose window was open at At
+	Intent      RecordKind = 1 + iota // the key is going to run
+	Result                            // the key ran and has this result
+	Failure                           // the key ran and has no result
+	NotExecuted                       // the key did not run
+	ClockChange                       // later records have times of another boot's clock, which read At at the change
+	Damage                            // records of any key whose window was open at At may be lost
 )
 
 var kindNames = [...]string{Intent: "intent", Result: "result", Failure: "failure", NotExecuted: "not-executed record",
 	ClockChange: "clock change", Damage: "damage"}
 
-// String names the kind, for errors.
+// String returns the name of the kind for errors.
 func (k RecordKind) String() string {
 	if k >= Intent && k <= Damage {
 		return kindNames[k]
@@ -33,14 +33,14 @@
 type Record struct {
 	Kind       RecordKind
 	Key        Key
-	BodyDigest uint64 // of the request's body
-	At         Milliseconds
-	Window     Milliseconds
-	Result     []byte
+	BodyDigest uint64       // of the request's body
+	At         Milliseconds // when the record was made
+	Window     Milliseconds // idempotency window of the key; of Damage, how long keys may be missing
+	Result     []byte       // only of the kind Result
 }
 
-// Places of a record's fields on disk: kind, key, body digest, time, window, each number little-endian; then the
-// result.
+// Offsets of the fields of a record on disk: kind, key, body digest, time, window and result. Numbers are
+// little-endian.
 const (
 	keyOffset         = 1
 	bodyOffset        = keyOffset + len(Key{})
@@ -49,15 +49,15 @@
 	recordHeaderBytes = windowOffset + 8
 )
 
-// frameBytes is what the log adds to a record, and the record's part of a segment's head.
+// frameBytes is the overhead per record of the log's framing and of the segment headers.
 const frameBytes = 24
 
 func (r *Record) sizeOnDisk() int64 { return maxRecordBytes(len(r.Result)) }
 
-// maxRecordBytes is what a record with a result of so many bytes takes on disk.
+// maxRecordBytes returns the size on disk of a record with a result of the given size.
 func maxRecordBytes(result int) int64 { return int64(recordHeaderBytes + frameBytes + result) }
 
-// Append writes the record behind out.
+// Append appends the encoded record to out.
 func (r *Record) Append(out []byte) []byte {
 	out = append(append(out, byte(r.Kind)), r.Key[:]...)
 	for _, n := range [...]uint64{r.BodyDigest, r.At, r.Window} {
@@ -66,7 +66,7 @@
 	return append(out, r.Result...)
 }
 
-// ParseRecord reads what Append wrote; the result belongs to raw. An error wraps ErrMalformedRecord.
+// ParseRecord decodes a record. Its result aliases raw. Errors wrap ErrMalformedRecord.
 func ParseRecord(raw []byte) (Record, error) {
 	if len(raw) < recordHeaderBytes {
 		return Record{}, fmt.Errorf("%w: a record of %d bytes, expected %d at least", ErrMalformedRecord, len(raw),
--- a/internal/node/resultstore/reopen.go
+++ b/internal/node/resultstore/reopen.go
@@ -7,19 +7,17 @@
 	"umberwinch/internal/wal"
 )
 
-// reopenInterval is how often a disk that failed is tried: soon enough that a node serves keyed requests again within a
-// caller's retries, seldom enough to be no load on a disk in trouble.
+// reopenInterval is the interval between attempts to reopen a failed log.
 const reopenInterval = time.Second
 
-// probeFile is written and removed to see whether the disk works. A log's start removes files with such an end.
+// probeFile is written and removed to test the disk. wal.Open removes files with its suffix.
 const probeFile = "probe.tmp"
 
-// probeBytes is as much as a small batch has.
+// probeBytes is the size of probeFile.
 const probeBytes = 4096
 
-// reopen tries until the disk works again or the store is closed. What was handed over meanwhile has failed. The log
-// that failed stays open for readers until something else could be written, so that known keys get their results. No
-// lock that Append needs is held while the disk works.
+// reopen retries until the log is open again or the store is closed; appends fail meanwhile. The failed log stays open
+// for reads until the disk accepts a write, so that completed keys still get their results. Append is never blocked.
 func (s *Store) reopen(failed *wal.Log) {
 	defer s.reopenTask.Done()
 	for {
@@ -34,7 +32,7 @@
 	}
 }
 
-// replaceLog opens the log anew, and tells whether that worked.
+// replaceLog reopens the log and reports whether that succeeded.
 func (s *Store) replaceLog(failed *wal.Log) bool {
 	s.reopening.Lock()
 	defer s.reopening.Unlock()
@@ -48,15 +46,15 @@
 	return true
 }
 
-// reopenLog closes a log and opens it again; nil: that did not work.
+// reopenLog closes a failed log and opens its folder again; nil means that it failed.
 func (s *Store) reopenLog(failed *wal.Log) *wal.Log {
-	failed.Close() // its disk has failed: what was durable is read anew
+	failed.Close() // the error does not matter: all durable records are read again
 	log, _, err := wal.Open(s.fs, s.sizes)
 	if err != nil {
 		return nil
 	}
 	if _, err = log.Commit(wal.Batch{Marks: []wal.Mark{{Kind: bootMark, Data: s.bootID}}}); err != nil {
-		log.Close() // nothing was written that counts
+		log.Close() // the write failed: no record can be lost
 		return nil
 	}
 	return log
--- a/internal/node/resultstore/replay.go
+++ b/internal/node/resultstore/replay.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// purgeFactor bounds the index while a log is replayed to so many times its keys: more keys may stand in a log than
-// were ever known at one time. Each purge then removes at least as many keys as come before the next.
+// purgeFactor is how many times Limits.Keys keys are added between two purges of expired keys during replay: a log may
+// hold more keys than were ever live at one time.
 const purgeFactor = 2
 
-// Replay takes a record of the log, in order; FinishReplay comes after the last. An error wraps ErrBodyMismatch.
+// Replay applies the next record of the log; FinishReplay must follow the last one. Errors wrap ErrBodyMismatch.
 func (x *Index) Replay(r *Record, position uint64) error {
 	if r.Kind == ClockChange {
 		x.rebaseClock(r.At)
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// insertReplayed takes in a key of the log, and purges expired ones where there are many.
+// insertReplayed adds a key, after a purge of expired keys if there are many.
 func (x *Index) insertReplayed(k Key, position uint64) *entry {
 	if x.table.count >= purgeFactor*x.limits.Keys+x.keysAfterPurge {
 		x.purgeExpired()
@@ -45,7 +45,7 @@
 	return e
 }
 
-// replayInto brings a key up to a record of it.
+// replayInto applies a record to its key.
 func (x *Index) replayInto(e *entry, r *Record, position uint64) {
 	size := r.sizeOnDisk()
 	x.usedBytes += size
@@ -61,9 +61,8 @@
 	}
 }
 
-// FinishReplay ends the replay. sameBoot tells that the clock goes on from the last record's. Else nobody knows for
-// how long the node was down, and windows go on from that record on, as if it had been no time: none is over too
-// early, and each is over one window after the restart at most.
+// FinishReplay ends the replay. If the records are of another boot's clock, the downtime is unknown and counts as zero:
+// no window ends too early, and each ends at most one window after the restart.
 func (x *Index) FinishReplay(now Milliseconds, sameBoot bool) {
 	if sameBoot {
 		x.lastRecordAt = max(x.lastRecordAt, now)
@@ -73,7 +72,7 @@
 	}
 }
 
-// rebaseClock moves all windows from the clock of one boot to that of the next, which reads now.
+// rebaseClock moves all windows from the clock of one boot to that of the next, which starts at now.
 func (x *Index) rebaseClock(now Milliseconds) {
 	x.purgeExpired()
 	for i := range x.table.slots {
@@ -87,17 +86,16 @@
 	x.lastRecordAt = now
 }
 
-// purgeExpired removes keys whose window is over as of the last record.
+// purgeExpired removes the keys whose window was over at lastRecordAt.
 func (x *Index) purgeExpired() {
 	for i := range x.table.slots {
 		e := &x.table.slots[i]
 		for e.state != Unknown && e.expiresAt <= x.lastRecordAt {
-			x.remove(e) // another key may move into the slot
+			x.remove(e) // may shift another key into the slot
 		}
 	}
 }
 
-// KeysMayBeLost decides whether a retry of a key that is not known gets an error: after damage the intent of its
-// first attempt may be what can't be read, and running it could do its work twice. It acts for the longest window
-// from the damage on, and costs such retries their run; first attempts run, as no earlier one can have been read.
+// KeysMayBeLost reports whether the records of an unknown key may be lost to damage, for the longest window after a
+// salvage. Retries of unknown keys must then get an error, as their first attempt may have run.
 func (x *Index) KeysMayBeLost(now Milliseconds) bool { return now < x.lossSuspicionEnd }
--- a/internal/node/resultstore/resultstore_test.go
+++ b/internal/node/resultstore/resultstore_test.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestDecideInEachState: a node dies after any of a key's records. What an attempt of the key gets in each state, before the
-// restart and after it, by a clock that goes on and by one that began anew; wrong, a repeat would run a second time
-// or get another's result.
+// TestDecideInEachState: a node dies after any of a key's records. What an attempt of the key gets in each state,
+// before the restart and after it, by a clock that goes on and by one that began anew; wrong, a repeat would run a
+// second time or get another's result.
 func TestDecideInEachState(t *testing.T) {
 	const window = 1000
 	index := NewIndex(testLimits)
@@ -167,9 +167,9 @@
 	}
 }
 
-// TestFullIndexRejectsNewKeys: more keys come than there is room for. New keys are rejected and known ones answered, nothing inside
-// its window is deleted, and a run that was let in has room for its result; wrong, a burst of new keys would make
-// repeats run again.
+// TestFullIndexRejectsNewKeys: more keys come than there is room for. New keys are rejected and known ones answered,
+// nothing inside its window is deleted, and a run that was let in has room for its result; wrong, a burst of new keys
+// would make repeats run again.
 func TestFullIndexRejectsNewKeys(t *testing.T) {
 	smallLimits := Limits{Keys: 8, Bytes: 12 * maxRecordBytes(32), ResultBytes: 32}
 	if err := smallLimits.Validate(); err != nil {
@@ -266,8 +266,8 @@
 	}
 }
 
-// TestExpireKeepsPositionOfMovedKey: a key moves behind a pass while the pass goes on, so that the pass does not see it. Its
-// position is not released.
+// TestExpireKeepsPositionOfMovedKey: a key moves behind a pass while the pass goes on, so that the pass does not see
+// it. Its position is not released.
 func TestExpireKeepsPositionOfMovedKey(t *testing.T) {
 	index := NewIndex(Limits{Keys: 4000, Bytes: 1 << 30, ResultBytes: 8})
 	colliding := func(n byte) (k Key) { // all at home two slots before the first step of a pass ends
--- a/internal/node/resultstore/salvage.go
+++ b/internal/node/resultstore/salvage.go
@@ -8,11 +8,9 @@
 	"umberwinch/internal/wal"
 )
 
-// openOrSalvage reads a folder, and salvages what can be read of one that is damaged, or that a start was salvaging
-// when it was interrupted.
+// openOrSalvage loads a folder. If its log is damaged or an earlier salvage was interrupted, it salvages the log first.
 func openOrSalvage(fs wal.FS, sizes wal.Sizes, limits Limits, now Milliseconds, bootID string) (*wal.Log, *Index,
-	Recovery,
-	error) {
+	Recovery, error) {
 	if err := limits.Validate(); err != nil {
 		return nil, nil, Recovery{}, err
 	}
@@ -31,17 +29,15 @@
 	}
 	gaps, err := salvage(fs, sizes, limits, now, bootID)
 	if err != nil {
-		return nil, nil, Recovery{Gaps: gaps}, fmt.Errorf("what is left of a damaged log can't be written anew: %w",
-			err)
+		return nil, nil, Recovery{Gaps: gaps}, fmt.Errorf("salvage of a damaged log: %w", err)
 	}
 	log, index, recovery, err := load(fs, sizes, limits, now, bootID)
 	recovery.Gaps = gaps
 	return log, index, recovery, err
 }
 
-// salvage writes anew what can be read of a damaged log, and behind it that something is missing. Guards against a
-// key whose intent is in a gap: its repeat would run a second time. KeysMayBeLost has such repeats answered with an
-// error for the longest window that there is.
+// salvage writes the readable records of a damaged log to a new log, followed by a damage record: a key whose intent is
+// in a gap would otherwise run a second time. KeysMayBeLost reports that for the longest window.
 func salvage(fs wal.FS, sizes wal.Sizes, limits Limits, now Milliseconds, bootID string) (gaps int, err error) {
 	log, _, err := wal.Open(fs, sizes)
 	if err != nil {
@@ -61,16 +57,16 @@
 	return gaps, wal.FinishSalvage(fs)
 }
 
-// salvager writes records of a damaged log to a new one.
+// salvager copies records of a damaged log to a new one.
 type salvager struct {
 	log       *wal.Log
 	batch     [][]byte
-	afterGap  bool
-	malformed int // records that the log could read and that are none
+	afterGap  bool // the last thing read was a gap or a malformed record
+	malformed int  // entries of the log that are not valid records
 }
 
-// addSalvaged takes the next thing that could be read, or a gap. A gap may have been the record of another boot's clock:
-// windows go on from the record before it at the one behind, which is never too early.
+// addSalvaged adds a salvaged record. A gap may have held a clock change, so one is added behind each gap: time then
+// continues from the last record before the gap, and no window ends too early.
 func (s *salvager) addSalvaged(salvaged wal.SalvagedRecord) error {
 	if salvaged.Gap {
 		s.afterGap = true
--- a/internal/node/resultstore/salvage_test.go
+++ b/internal/node/resultstore/salvage_test.go
@@ -11,9 +11,9 @@
 	"umberwinch/internal/wal"
 )
 
-// TestSalvageNeverRunsKeyTwice: bits of a log on disk turn over, and the start that writes it anew is interrupted at any step. What
-// can be read is known as before, a key's result is its own or none, and no retry of any key runs for a window, as
-// its first attempt may be what is missing.
+// TestSalvageNeverRunsKeyTwice: bits of a log on disk turn over, and the start that writes it anew is interrupted at
+// any step. What can be read is known as before, a key's result is its own or none, and no retry of any key runs for a
+// window, as its first attempt may be what is missing.
 func TestSalvageNeverRunsKeyTwice(t *testing.T) {
 	const window, keys = 5000, 120
 	sizes := wal.Sizes{SegmentBytes: 2048, MaxBytes: 1 << 20}
--- a/internal/node/resultstore/state.go
+++ b/internal/node/resultstore/state.go
@@ -2,28 +2,27 @@
 
 import "fmt"
 
-// Key names a request with an idempotency key: a digest of handler, tenant and the caller's own key.
+// Key identifies a request by a digest of its handler, its tenant and the caller's idempotency key.
 type Key [16]byte
 
-// State is what is known of a key.
+// State is the state of a key.
 type State uint8
 
-// The states. Between IntentPending and the next one the node may die at any instruction: what is durable then is the
-// intent record.
+// The states of a key. From Running to ResultPending only the intent record is durable.
 const (
 	Unknown       State = iota // never seen, or its window is over
-	IntentPending              // its intent is on the way to the disk: it has not run
-	Running                    // its intent is durable, and it was let run since the process started
-	Indeterminate              // its intent is durable, from before a restart: it may have run
-	ResultPending              // it ran, and its result is on the way to the disk
+	IntentPending              // its intent is being written; it has not run
+	Running                    // its intent is durable and it may run
+	Indeterminate              // its intent is durable and its end is not: it may have run
+	ResultPending              // it ran, and its end is being written
 	Completed                  // it ran, and its result is durable
-	Failed                     // it ran to an error, durable: repeats get an error, as what it did is not undone
+	Failed                     // it ran and failed, durably: retries get an error, as its effects are not undone
 )
 
-// stateNames are what operators see: `umberctl results` prints them.
+// stateNames are printed by `umberctl results` and part of its JSON output.
 var stateNames = [...]string{"unknown", "intended", "started", "may have run", "ended", "done", "failed"}
 
-// String names the state, for operators.
+// String returns the name of the state for operators.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -31,27 +30,27 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// inFlight tells whether the key is on its way since the process started.
+// inFlight reports whether the key waits for the disk or runs in this process.
 func (s State) inFlight() bool { return s == IntentPending || s == Running || s == ResultPending }
 
-// Verdict is what an attempt of a key gets.
+// Verdict is the decision on an attempt of a key.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Execute        Verdict = iota // nothing is known of the key: it may run once its intent is durable
-	WaitForResult                 // it is in flight: its result answers this attempt too
-	ReturnResult                  // its stored result is the answer
-	ReturnError                   // it ran or may have run, and there is no result
-	RejectMismatch                // the key ran with another body: nothing runs, and the result stays the first one's
-	RejectFull                    // there is no room for what a run may leave: to be retried later
-	RejectConflict                // the key is in flight with another body: to be retried later
+	Execute        Verdict = iota // the key is unknown: it may run once its intent is durable
+	WaitForResult                 // the key is in flight: this attempt gets the same result
+	ReturnResult                  // return the stored result
+	ReturnError                   // the key ran or may have run, and there is no result
+	RejectMismatch                // the key ran or may have run with another body: rejected for good
+	RejectFull                    // no room for the records of another run: retry later
+	RejectConflict                // the key is in flight with another body: retry later
 )
 
 var verdictNames = [...]string{"execute", "wait for result", "return result", "return error", "reject mismatch",
 	"reject full", "reject conflict"}
 
-// String names the verdict, for logs.
+// String returns the name of the verdict for logs.
 func (v Verdict) String() string {
 	if int(v) < len(verdictNames) {
 		return verdictNames[v]
--- a/internal/node/resultstore/store.go
+++ b/internal/node/resultstore/store.go
@@ -8,23 +8,21 @@
 	"umberwinch/internal/wal"
 )
 
-// Bounds of what waits for the disk.
+// Limits of the write queue.
 const (
-	// maxQueue is how many records may wait. Past it Append refuses, and the request is rejected: more would wait for
-	// longer than callers do, and hold memory for it.
+	// maxQueue is the maximum number of records that wait for the disk. Beyond it Append fails and the request is
+	// rejected, instead of waiting longer than its caller does.
 	maxQueue = 4096
-	// maxBatch is how many records go out with one sync: enough that a sync costs each little, few enough that the
-	// first does not wait for long.
+	// maxBatch is the maximum number of records per sync.
 	maxBatch = 1024
 )
 
-// Store carries records to a log and back. Records that wait go out with one sync. Append never waits for the disk;
-// its done hears once the record is durable, or that nobody knows whether it is. The writer's goroutine ends with
-// Close.
+// Store appends records to a log and reads results from it. Waiting records share a sync. The writer goroutine ends
+// with Close.
 type Store struct {
-	// SyncEachRecord gives each record a sync of its own, for measurements. To be set before the first Append.
+	// SyncEachRecord disables the sharing of syncs, for measurements. It must be set before the first Append.
 	SyncEachRecord bool
-	// BeforeWrite is called before each write, for fault tests; nil: nothing is. To be set before the first Append.
+	// BeforeWrite is called before each write, for fault tests; may be nil. It must be set before the first Append.
 	BeforeWrite func()
 
 	fs     wal.FS
@@ -32,16 +30,15 @@
 	bootID []byte
 
 	mu         sync.Mutex // guards log, writeError and closed
-	log        *wal.Log   // replaced by a reopening
-	writeError error      // why nothing can be written at present
+	log        *wal.Log   // replaced by reopen
+	writeError error      // of the failed log, nil once it was reopened
 	closed     bool
 
-	// reopening is held while one log is closed and the next opened; readers of the log and those who release positions
-	// wait for that.
+	// reopening is held while the log is closed and opened again; ReadResult and ReleaseBefore wait for it.
 	reopening  sync.RWMutex
 	queue      chan pendingWrite
 	writerDone chan struct{}
-	reopenTask sync.WaitGroup // a reopening
+	reopenTask sync.WaitGroup // counts running calls of reopen
 }
 
 // pendingWrite is a record that waits for the disk.
@@ -50,7 +47,7 @@
 	done   func(position uint64, err error)
 }
 
-// newStore starts the writer of an open log.
+// newStore returns the store of an open log and starts its writer.
 func newStore(fs wal.FS, sizes wal.Sizes, bootID string, log *wal.Log) *Store {
 	s := &Store{fs: fs, sizes: sizes, bootID: []byte(bootID), log: log, queue: make(chan pendingWrite, maxQueue),
 		writerDone: make(chan struct{})}
@@ -58,8 +55,9 @@
 	return s
 }
 
-// Append hands a record over; false: maxQueue records wait already, or the store is closed. done is called once, on
-// the store's goroutine, with the record's position once it is durable; with an error it may be on disk or not.
+// Append queues a record without waiting for the disk. It returns false if maxQueue records wait already or the store
+// is closed. Otherwise done is called once, on the writer goroutine: with the position of the durable record, or with
+// an error, after which the record may or may not be on disk.
 func (s *Store) Append(r Record, done func(position uint64, err error)) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +72,7 @@
 	}
 }
 
-// writeLoop writes what is handed over, until the queue is closed.
+// writeLoop writes the queued records until the queue is closed.
 func (s *Store) writeLoop() {
 	defer close(s.writerDone)
 	var batch []pendingWrite
@@ -94,7 +92,7 @@
 	}
 }
 
-// fillBatch adds the records that wait already, up to maxBatch.
+// fillBatch adds the records that are already queued, up to maxBatch.
 func (s *Store) fillBatch(batch []pendingWrite) []pendingWrite {
 	for len(batch) < maxBatch && !s.SyncEachRecord {
 		select {
@@ -110,9 +108,8 @@
 	return batch
 }
 
-// commit writes a batch and gives the position of its first record. After an error nothing more is written until the
-// log was opened anew: what is in it is not known before. A full log is no such error, as what is there can be read
-// on.
+// commit writes a batch and returns the position of its first record. After an error other than wal.ErrFull, nothing is
+// written until reopen has opened the log again, as the content of the disk is unknown.
 func (s *Store) commit(b wal.Batch) (uint64, error) {
 	s.mu.Lock()
 	log, writeError := s.log, s.writeError
@@ -131,15 +128,15 @@
 	return first, err
 }
 
-// Err tells why nothing can be written at present; nil: it can.
+// Err returns why the store can't write at present, or nil if it can.
 func (s *Store) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writeError
 }
 
-// ReadResult reads the result at a position; it waits for the disk. An error is the log's, or wraps
-// ErrMalformedRecord or ErrNotResult.
+// ReadResult reads the result at a position from disk. Errors are those of the log or wrap ErrMalformedRecord or
+// ErrNotResult.
 func (s *Store) ReadResult(position uint64) ([]byte, error) {
 	s.reopening.RLock()
 	defer s.reopening.RUnlock()
@@ -152,12 +149,12 @@
 		return nil, err
 	}
 	if r.Kind != Result {
-		return nil, fmt.Errorf("%w: entry %d is an %s, expected a result", ErrNotResult, position, r.Kind)
+		return nil, fmt.Errorf("%w: entry %d: found kind %s, expected result", ErrNotResult, position, r.Kind)
 	}
 	return r.Result, nil
 }
 
-// ReleaseBefore deletes what comes before a position, whole segments at a time; it waits for the disk.
+// ReleaseBefore deletes the records before a position, in whole segments. It waits for the disk.
 func (s *Store) ReleaseBefore(position uint64) error {
 	s.reopening.RLock()
 	defer s.reopening.RUnlock()
@@ -171,20 +168,20 @@
 	return log.TruncateFront(min(position, log.Next()) - 1)
 }
 
-// NextPosition gives the position that the next record gets, at least.
+// NextPosition returns the lowest possible position of the next record.
 func (s *Store) NextPosition() uint64 { return s.current().Next() }
 
-// DiskUsage gives the bytes on disk.
+// DiskUsage returns the size of the log on disk, in bytes.
 func (s *Store) DiskUsage() int64 { return s.current().DiskBytes() }
 
-// current is the open log, or the one that failed.
+// current returns the open log, or the failed one until it is reopened.
 func (s *Store) current() *wal.Log {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.log
 }
 
-// Close waits for what was handed over and closes the log; it waits for the disk.
+// Close writes the queued records and closes the log.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
--- a/internal/node/resultstore/table.go
+++ b/internal/node/resultstore/table.go
@@ -7,49 +7,48 @@
 
 // Size of a table.
 const (
-	// minTableKeys and maxTableKeys bound for how many keys a table is made: offline reading allows millions, and
-	// grows.
+	// minTableKeys and maxTableKeys are the smallest and largest initial capacity. A table that needs more grows.
 	minTableKeys, maxTableKeys = 48, 4_000_000
-	// At most maxLoadNumerator in maxLoadDenominator slots are used: fuller, a look-up takes long; emptier, memory is
-	// wasted.
+	// maxLoadNumerator / maxLoadDenominator is the maximum load factor.
 	maxLoadNumerator, maxLoadDenominator = 4, 5
-	// uint32Bytes is the size of the number that an entry has three bytes of.
+	// uint32Bytes is the size of a uint32.
 	uint32Bytes = 4
-	// hashBytes of a key are its hash.
+	// hashBytes is the length of the prefix of a key that is its hash.
 	hashBytes = 8
-	// maxDiskBytes is what an entry can count of its key's records.
+	// maxDiskBytes is the maximum of entry.recordBytes24.
 	maxDiskBytes = 1<<24 - 1
 )
 
-// table is an open-addressed hash table: keys are digests already, so eight of their bytes are their hash. A removed
-// key leaves no mark: those behind it move up. It is made as large as it may get, so that it does not grow while a
-// node serves; what was never used of it is no memory yet.
+// table is a hash table with open addressing and linear probing. Keys are digests, so a prefix is their hash. Removal
+// shifts later keys back instead of leaving tombstones. The table is allocated at the size of its limit, so that it
+// does not grow while a node serves; unused pages take no memory.
 type table struct {
 	slots []entry
-	count int
-	// minMovedPosition is the least log position of the keys that moved up since it was reset: a pass over the slots
-	// may have missed them.
+	count int // used slots
+	// minMovedPosition is the lowest log position of the keys that were shifted since it was reset, which a pass over
+	// the slots may have missed.
 	minMovedPosition uint64
 }
 
-// entry is what is known of one key, in 48 bytes.
+// entry is the state of one key, in 48 bytes.
 type entry struct {
 	key           Key
 	bodyDigest    uint64
-	expiresAt     Milliseconds // its window is over then
-	position      uint64       // in the log: of its result, or of its intent
+	expiresAt     Milliseconds // end of its window
+	position      uint64       // in the log, of its result or else its intent
 	window        uint32       // ms
-	recordBytes24 [3]byte      // of its records, little-endian
+	recordBytes24 [3]byte      // size of its records on disk, little-endian
 	state         State
 }
 
-// recordBytes gives the bytes of the key's records.
+// recordBytes returns the size of the key's records on disk.
 func (e *entry) recordBytes() int64 {
 	var number [uint32Bytes]byte
 	copy(number[:], e.recordBytes24[:])
 	return int64(binary.LittleEndian.Uint32(number[:]))
 }
 
+// addRecordBytes adds n bytes; the sum saturates at maxDiskBytes.
 func (e *entry) addRecordBytes(n int64) {
 	n = min(e.recordBytes()+n, maxDiskBytes)
 	var number [uint32Bytes]byte
@@ -57,13 +56,13 @@
 	copy(e.recordBytes24[:], number[:])
 }
 
-// newTable makes a table for so many keys.
+// newTable returns a table with an initial capacity, within minTableKeys and maxTableKeys.
 func newTable(keys int) table {
 	keys = min(max(keys, minTableKeys), maxTableKeys)
 	return table{slots: make([]entry, keys+keys/maxLoadNumerator+1)}
 }
 
-// homeSlot is where a key's search begins.
+// homeSlot returns the slot at which the search for a key starts.
 func (t *table) homeSlot(k *Key) int {
 	slot, _ := bits.Mul64(binary.BigEndian.Uint64(k[:hashBytes]), uint64(len(t.slots)))
 	return int(slot)
@@ -76,7 +75,7 @@
 	return i
 }
 
-// find gives a key's entry, nil where there is none. It is good until the next insert or remove.
+// find returns the entry of a key, or nil if there is none. The entry is valid until the next insert or remove.
 func (t *table) find(k Key) *entry {
 	for i := t.homeSlot(&k); ; i = t.nextSlot(i) {
 		e := &t.slots[i]
@@ -89,7 +88,8 @@
 	}
 }
 
-// insert gives the entry of a key that is not there, to be filled. A table that is too full grows by half.
+// insert returns a free entry for a key that is not in the table, for the caller to fill. A table at its maximum load
+// factor grows by half.
 func (t *table) insert(k Key) *entry {
 	if maxLoadDenominator*(t.count+1) > maxLoadNumerator*len(t.slots) {
 		t.grow()
@@ -108,7 +108,7 @@
 	}
 }
 
-// freeSlot is the first free one for a key.
+// freeSlot returns the first free slot for a key.
 func (t *table) freeSlot(k *Key) *entry {
 	i := t.homeSlot(k)
 	for t.slots[i].state != Unknown {
@@ -117,7 +117,7 @@
 	return &t.slots[i]
 }
 
-// remove takes a key out, if it is there, and moves up what a search would not find past the gap.
+// remove removes a key, if present, and shifts later keys that a search would not find behind the gap.
 func (t *table) remove(k Key) {
 	gap := t.homeSlot(&k)
 	for t.slots[gap].state == Unknown || t.slots[gap].key != k {
@@ -137,7 +137,7 @@
 	t.slots[gap] = entry{}
 }
 
-// distance is how many steps lie between two slots.
+// distance returns the number of steps from one slot to another, in the direction of probing.
 func (t *table) distance(from, to int) int {
 	if to < from {
 		return to - from + len(t.slots)
