--- a/internal/node/resultstore/bench_test.go
+++ b/internal/node/resultstore/bench_test.go
@@ -9,9 +9,10 @@
 	"umberwinch/internal/wal"
 )
 
-// benchKeys is the size at which the index is measured.
+// benchKeys is the number of keys in the index.
 const benchKeys = 1_000_000
 
+// heapBytes returns the size of the live heap.
 func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -19,7 +20,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkIndex: bytes a key and a look-up's time, of the table and of Go's map with the same entries.
+// BenchmarkIndex compares the table with a Go map: memory per key and time of a lookup.
 func BenchmarkIndex(b *testing.B) {
 	b.Run("table", func(b *testing.B) {
 		before := heapBytes()
@@ -31,7 +32,7 @@
 		b.ResetTimer()
 		for i := 0; i < b.N; i++ {
 			if t.find(testKey(i%benchKeys)) == nil {
-				b.Fatal("not there")
+				b.Fatal("key not found")
 			}
 		}
 		b.ReportMetric(bytesPerKey, "bytes/key")
@@ -46,15 +47,15 @@
 		b.ResetTimer()
 		for i := 0; i < b.N; i++ {
 			if m[testKey(i%benchKeys)].state != Completed {
-				b.Fatal("not there")
+				b.Fatal("key not found")
 			}
 		}
 		b.ReportMetric(bytesPerKey, "bytes/key")
 	})
 }
 
-// BenchmarkExpire is the longest that one step of letting go takes, with all keys going: of a pass over the slots,
-// and of a wheel of buckets by the end of the window, which needs the keys once more.
+// BenchmarkExpire compares the longest step of expiring all keys: of a pass over the slots, and of a timing wheel,
+// which stores the keys a second time.
 func BenchmarkExpire(b *testing.B) {
 	filledIndex := func() *Index {
 		index := NewIndex(Limits{Keys: benchKeys, Bytes: 1 << 40, ResultBytes: 0})
@@ -85,7 +86,7 @@
 		for i := 0; i < b.N; i++ {
 			b.StopTimer()
 			index, before := filledIndex(), heapBytes()
-			wheel := make([][]Key, 256) // a window's 256th each
+			wheel := make([][]Key, 256) // each bucket is 1/256 of the window
 			for k := range benchKeys {
 				at := k * len(wheel) / benchKeys
 				wheel[at] = append(wheel[at], testKey(k))
@@ -108,7 +109,7 @@
 	})
 }
 
-// BenchmarkOpen is a start with so many keys.
+// BenchmarkOpen measures the time of a start and its memory per key.
 func BenchmarkOpen(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, benchKeys} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -123,7 +124,7 @@
 				b.Fatal(err)
 			}
 			done := make(chan error, maxQueue)
-			for i, inFlight := 0, 0; i < 2*n || inFlight > 0; { // an intent and a result each
+			for i, inFlight := 0, 0; i < 2*n || inFlight > 0; { // an intent and a result per key
 				r := Record{Kind: Intent, Key: testKey(i / 2), BodyDigest: 1, Window: 1000}
 				if i%2 == 1 {
 					r.Kind, r.Result = Result, make([]byte, 100)
@@ -143,7 +144,7 @@
 			for i := 0; i < b.N; i++ {
 				s, index, recovery, err := Open(dir, sizes, limits, 0, "boot")
 				if err != nil || index.Len() != n {
-					b.Fatal(err, index.Len())
+					b.Fatalf("Open() = %v, Len() = %d, want %d", err, index.Len(), n)
 				}
 				b.ReportMetric(float64(recovery.Duration.Milliseconds()), "ms")
 				b.StopTimer()
--- a/internal/node/resultstore/pin_stored_test.go
+++ b/internal/node/resultstore/pin_stored_test.go
@@ -13,8 +13,8 @@
 	"umberwinch/internal/wal"
 )
 
-// A folder as version 2a0a97e wrote it lies in testdata/folder: results, an error, a key that did not run after all,
-// and intents of runs that a kill ended. It stays byte for byte.
+// fixtureFolder is a folder written by version 2a0a97e, with results, failures, keys that did not run, and intents
+// without an end. Stored forms are stable, so it never changes.
 const fixtureFolder = "testdata/folder"
 
 var (
@@ -27,7 +27,7 @@
 	fixtureNow    = uint64(10_000)
 )
 
-// writeFixture writes the fixed state, one record a sync.
+// writeFixture writes the records of the fixture, each with its own sync.
 func writeFixture(t *testing.T, folder string) {
 	t.Helper()
 	s, index, _, err := Open(wal.Dir(folder), fixtureSizes, fixtureLimits, fixtureNow, fixtureBootID)
@@ -38,7 +38,7 @@
 	appendRecord := func(r Record) {
 		done := make(chan error, 1)
 		if !s.Append(r, func(position uint64, err error) { index.MarkDurable(&r, position); done <- err }) {
-			t.Fatal("the queue is full")
+			t.Fatal("Append() = false, want true")
 		}
 		if err := <-done; err != nil {
 			t.Fatal(err)
@@ -48,7 +48,7 @@
 		now := fixtureNow + uint64(k)*100
 		appendRecord(index.Begin(now, testKey(k), uint64(1000+k), 60_000+uint64(k)))
 		switch k % 6 {
-		case 3: // killed while it ran
+		case 3: // no end record, as after a kill
 		case 4:
 			r, _ := index.MarkExecuted(now+10, testKey(k), false, nil)
 			appendRecord(r)
@@ -65,7 +65,7 @@
 	}
 }
 
-// folderFiles gives a folder's files but for the lock, which is empty.
+// folderFiles returns the files of a folder except empty ones, such as the lock.
 func folderFiles(t *testing.T, folder string) map[string][]byte {
 	t.Helper()
 	names, err := os.ReadDir(folder)
@@ -85,7 +85,7 @@
 	return out
 }
 
-// copyFixture gives a copy of the folder, with one file changed if change is not nil.
+// copyFixture returns the path of a copy of the fixture; change, if not nil, is applied to each file.
 func copyFixture(t *testing.T, change func(name string, raw []byte) []byte) string {
 	t.Helper()
 	to := t.TempDir()
@@ -100,7 +100,7 @@
 	return to
 }
 
-// describeIndex is what is known of each key, a line a key.
+// describeIndex returns a sorted list of the keys with state and remaining window.
 func describeIndex(index *Index, now uint64) string {
 	var lines []string
 	index.ForEach(now, func(k Key, s State, remaining uint64) {
@@ -110,8 +110,8 @@
 	return strings.Join(lines, "")
 }
 
-// TestStoredFilesAreStable: the fixed state is written to the same bytes. With PIN_WRITE set it writes the folder, for
-// version 2a0a97e.
+// TestStoredFilesAreStable: the same calls must write the same bytes as version 2a0a97e. With PIN_WRITE set, it
+// rewrites the fixture.
 func TestStoredFilesAreStable(t *testing.T) {
 	if os.Getenv("PIN_WRITE") != "" {
 		if err := os.MkdirAll(fixtureFolder, 0o755); err != nil {
@@ -124,16 +124,16 @@
 	writeFixture(t, folder)
 	got, want := folderFiles(t, folder), folderFiles(t, fixtureFolder)
 	if len(got) != len(want) || len(want) < 3 {
-		t.Fatalf("%d files, expected %d, and three at least", len(got), len(want))
+		t.Fatalf("files = %d, want %d and at least 3", len(got), len(want))
 	}
 	for name, raw := range want {
 		if !bytes.Equal(got[name], raw) {
-			t.Errorf("%s is written as\n%x, expected\n%x", name, got[name], raw)
+			t.Errorf("%s: got\n%x\nwant\n%x", name, got[name], raw)
 		}
 	}
 }
 
-// TestStoredFilesReadBack: the folder is read to the state that it had, in the same boot and in another.
+// TestStoredFilesReadBack: the fixture must be read as it was written, in the same boot and in another.
 func TestStoredFilesReadBack(t *testing.T) {
 	for _, boot := range []string{fixtureBootID, "another boot"} {
 		now := fixtureNow + 3000
@@ -147,7 +147,7 @@
 		}
 		if recovery.Records != 45 || recovery.Keys != 20 || recovery.Indeterminate != 4 ||
 			recovery.SameBoot != (boot == fixtureBootID) || recovery.TornTail != "" || recovery.Gaps != 0 {
-			t.Errorf("%s: found %+v", boot, recovery)
+			t.Errorf("%s: Open() = %+v, want 45 records, 20 keys, 4 indeterminate", boot, recovery)
 		}
 		var want []string
 		lastRecordAt := fixtureNow + 23*100 + 10
@@ -171,18 +171,18 @@
 			if state == Completed {
 				if got, err := s.ReadResult(position); v != ReturnResult || err != nil ||
 					!bytes.Equal(got, bytes.Repeat([]byte(fmt.Sprint("result ", k, " ")), 1+k%4)) {
-					t.Errorf("%s: key %d gets %d, %q, %v", boot, k, v, got, err)
+					t.Errorf("%s: key %d: Decide() = %s, ReadResult() = %q, %v, want its result", boot, k, v, got, err)
 				}
 			} else if v != ReturnError {
-				t.Errorf("%s: key %d gets %d, expected an error", boot, k, v)
+				t.Errorf("%s: key %d: Decide() = %s, want %s", boot, k, v, ReturnError)
 			}
 			if v, _ = index.Decide(now, testKey(k), 7); v != RejectMismatch {
-				t.Errorf("%s: key %d with another body gets %d, expected that it is refused", boot, k, v)
+				t.Errorf("%s: key %d with another body: Decide() = %s, want %s", boot, k, v, RejectMismatch)
 			}
 		}
 		slices.Sort(want)
 		if got := describeIndex(index, now); got != strings.Join(want, "") {
-			t.Errorf("%s: read as\n%sexpected\n%s", boot, got, strings.Join(want, ""))
+			t.Errorf("%s: got\n%swant\n%s", boot, got, strings.Join(want, ""))
 		}
 		if err := s.Close(); err != nil {
 			t.Error(err)
@@ -190,7 +190,7 @@
 	}
 }
 
-// fixtureSegments are the names of the folder's segments, in order.
+// fixtureSegments returns the names of the fixture's segments, in order.
 func fixtureSegments(t *testing.T) (names []string) {
 	t.Helper()
 	for name := range folderFiles(t, fixtureFolder) {
@@ -202,8 +202,8 @@
 	return names
 }
 
-// TestTornAndDamagedFixture: a tail that was never synced is cut off, and the keys before it are there; a byte that
-// turned over before the tail is an error offline, and a start writes anew what can be read.
+// TestTornAndDamagedFixture: a torn tail must be truncated without losing keys. Damage before it must be an error of
+// Inspect, and Open must salvage the readable records.
 func TestTornAndDamagedFixture(t *testing.T) {
 	segments := fixtureSegments(t)
 	last, first := segments[len(segments)-1], segments[0]
@@ -215,7 +215,7 @@
 	})
 	index, recovery, _, err := Inspect(wal.Dir(tornFolder), fixtureSizes, fixtureLimits, fixtureNow+3000, fixtureBootID)
 	if err != nil || recovery.TornTail == "" || recovery.Keys != 20 || index.Len() != 20 {
-		t.Errorf("torn: %+v, %v", recovery, err)
+		t.Errorf("torn tail: Inspect() = %+v, %v, want a torn tail and 20 keys", recovery, err)
 	}
 	flipBit := func(name string, raw []byte) []byte {
 		if name == first {
@@ -225,22 +225,23 @@
 	}
 	_, _, _, err = Inspect(wal.Dir(copyFixture(t, flipBit)), fixtureSizes, fixtureLimits, fixtureNow+3000, fixtureBootID)
 	if damage := (*wal.Damage)(nil); !errors.As(err, &damage) || !strings.HasPrefix(err.Error(), fixtureDamageText) {
-		t.Errorf("spoilt: found %v, expected %s", err, fixtureDamageText)
+		t.Errorf("flipped bit: Inspect() = %v, want %s", err, fixtureDamageText)
 	}
-	s, index, recovery, err := Open(wal.Dir(copyFixture(t, flipBit)), fixtureSizes, fixtureLimits, fixtureNow+3000, fixtureBootID)
+	s, index, recovery, err := Open(wal.Dir(copyFixture(t, flipBit)), fixtureSizes, fixtureLimits, fixtureNow+3000,
+		fixtureBootID)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if recovery.Gaps != 1 || recovery.Keys != 20 || !index.KeysMayBeLost(fixtureNow+3000+59_999) ||
 		index.KeysMayBeLost(fixtureNow+3000+60_000) {
-		t.Errorf("spoilt, and written anew: %+v", recovery)
+		t.Errorf("flipped bit: Open() = %+v, want 1 gap, 20 keys, and lost keys suspected for a window", recovery)
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestRecordErrorTextsAreStable: records that are none give the errors that they gave.
+// TestRecordErrorTextsAreStable: malformed records must give the error texts of version 2a0a97e.
 func TestRecordErrorTextsAreStable(t *testing.T) {
 	intent := Record{Kind: Intent, Key: testKey(1), BodyDigest: 2, At: 3, Window: 4}
 	raw := intent.Append(nil)
@@ -253,7 +254,7 @@
 		{append(bytes.Clone(raw), 1), "a record of an intent with 1 bytes behind it, expected none"},
 	} {
 		if _, err := ParseRecord(c.raw); err == nil || !strings.HasSuffix(err.Error(), c.text) {
-			t.Errorf("found %v, expected %s", err, c.text)
+			t.Errorf("ParseRecord() = %v, want %s", err, c.text)
 		}
 	}
 	index := NewIndex(fixtureLimits)
@@ -263,10 +264,10 @@
 	other := Record{Kind: Result, Key: testKey(1), BodyDigest: 3}
 	if err := index.Replay(&other, 2); err == nil || !strings.HasSuffix(err.Error(),
 		"a result of another body than its intent") {
-		t.Errorf("found %v", err)
+		t.Errorf("Replay() = %v, want a body mismatch", err)
 	}
 }
 
-// fixtureDamageText is what the log says of the first segment with a byte turned over, before what to do about it.
+// fixtureDamageText is the beginning of the log's error for the first segment with a flipped bit.
 const fixtureDamageText = "0000000000000001.seg at byte 439, the record of entry 7 or a mark before it: " +
 	"its sum does not fit. "
--- a/internal/node/resultstore/resultstore_test.go
+++ b/internal/node/resultstore/resultstore_test.go
@@ -18,13 +18,14 @@
 
 var testLimits = Limits{Keys: 64, Bytes: 1 << 20, ResultBytes: 64}
 
+// testKey returns the nth key; its hash spreads over the table.
 func testKey(n int) (k Key) {
 	binary.LittleEndian.PutUint64(k[:], uint64(n)*0x9e3779b97f4a7c15)
 	k[15] = byte(n)
 	return k
 }
 
-// TestTableMatchesMap: the table does what a map does, also for keys that begin their search at the same slot.
+// TestTableMatchesMap: the table must behave like a map, also for keys with the same home slot.
 func TestTableMatchesMap(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		tbl, want := newTable(8), map[Key]uint64{}
@@ -34,24 +35,24 @@
 				tbl.remove(k)
 				delete(want, k)
 			} else if !known {
-				position := uint64(rapid.IntRange(1, 1000).Draw(r, "place"))
+				position := uint64(rapid.IntRange(1, 1000).Draw(r, "position"))
 				*tbl.insert(k) = entry{key: k, state: Completed, position: position}
 				want[k] = position
 			}
-			tbl.remove(Key{14: 1}) // that is not there
+			tbl.remove(Key{14: 1}) // not in the table
 			if tbl.count != len(want) {
-				r.Fatalf("%d keys, expected %d", tbl.count, len(want))
+				r.Fatalf("count = %d, want %d", tbl.count, len(want))
 			}
 			for k, position := range want {
 				if e := tbl.find(k); e == nil || e.position != position {
-					r.Fatalf("key %x is %+v, expected it at %d", k, e, position)
+					r.Fatalf("find(%x) = %+v, want position %d", k, e, position)
 				}
 			}
 		}
 	})
 }
 
-// TestRecordRoundTrip: what is written is read again; bytes that are no record give an error.
+// TestRecordRoundTrip: encoded records must decode to the same records, and malformed bytes must give an error.
 func TestRecordRoundTrip(t *testing.T) {
 	all := make([]byte, 256)
 	for i := range all {
@@ -64,51 +65,50 @@
 		if err != nil || got.Kind != r.Kind || got.Key != r.Key || got.BodyDigest != r.BodyDigest || got.At != r.At ||
 			got.Window != r.Window ||
 			!bytes.Equal(got.Result, r.Result) {
-			t.Errorf("%+v became %+v, %v", r, got, err)
+			t.Errorf("ParseRecord() = %+v, %v, want %+v", got, err, r)
 		}
 	}
 	for _, raw := range [][]byte{nil, make([]byte, recordHeaderBytes-1), make([]byte, recordHeaderBytes),
 		append((&Record{Kind: Intent}).Append(nil), 1)} {
 		if _, err := ParseRecord(raw); !errors.Is(err, ErrMalformedRecord) {
-			t.Errorf("%d bytes are read as a record: %v", len(raw), err)
+			t.Errorf("ParseRecord(%d bytes) = %v, want %v", len(raw), err, ErrMalformedRecord)
 		}
 	}
 }
 
-// TestDecideInEachState: a node dies after any of a key's records. What an attempt of the key gets in each state,
-// before the restart and after it, by a clock that goes on and by one that began anew; wrong, a repeat would run a
-// second time or get another's result.
+// TestDecideInEachState checks the verdict in each state of a key, before and after a restart, in the same boot and in
+// another. A wrong one would run a retry a second time or return another request's result.
 func TestDecideInEachState(t *testing.T) {
 	const window = 1000
 	index := NewIndex(testLimits)
 	check := func(index *Index, now uint64, want Verdict) {
 		t.Helper()
 		if v, _ := index.Decide(now, testKey(1), 5); v != want {
-			t.Fatalf("at %d, %s: %s, expected %s", now, index.Lookup(now, testKey(1)), v, want)
+			t.Fatalf("at %d, state %s: Decide() = %s, want %s", now, index.Lookup(now, testKey(1)), v, want)
 		}
 		if v, _ := index.Decide(now, testKey(1), 6); want == WaitForResult && v != RejectConflict || want != WaitForResult &&
 			want != Execute && v != RejectMismatch {
-			t.Fatalf("another body gets %s where the same gets %s", v, want)
+			t.Fatalf("at %d: Decide() with another body = %s, want a rejection beside %s", now, v, want)
 		}
 	}
 	check(index, 0, Execute)
 	intent := index.Begin(0, testKey(1), 5, window)
 	check(index, 10, WaitForResult)
 	if _, ok := index.MarkExecuted(10, testKey(1), true, nil); ok {
-		t.Fatal("it ran before its intent was durable")
+		t.Fatal("MarkExecuted() = true before the intent is durable, want false")
 	}
 	index.MarkDurable(&intent, 1)
 	check(index, 20, WaitForResult)
-	check(index, 5000, WaitForResult) // under way, whatever its window says
+	check(index, 5000, WaitForResult) // in flight past its window
 	result, ok := index.MarkExecuted(5000, testKey(1), true, []byte("done"))
 	if !ok || result.Kind != Result {
-		t.Fatalf("%+v %v", result, ok)
+		t.Fatalf("MarkExecuted() = %+v, %v, want a result", result, ok)
 	}
-	check(index, 5000, WaitForResult) // its answer goes out once that is durable
+	check(index, 5000, WaitForResult) // until the result is durable
 	index.MarkDurable(&result, 2)
 	check(index, 5999, ReturnResult)
 	check(index, 6000, Execute)
-	// The next life, after each record, by a clock that goes on and by one that does not.
+	// After a restart behind each record, in the same boot and in another.
 	for _, c := range []struct {
 		records []Record
 		state   State
@@ -130,7 +130,7 @@
 			}
 			restarted.FinishReplay(now, sameBoot)
 			if s := restarted.Lookup(now, testKey(1)); s != c.state {
-				t.Fatalf("%v, same clock %v: %s, expected %s", c.records, sameBoot, s, c.state)
+				t.Fatalf("%v, same boot %v: Lookup() = %s, want %s", c.records, sameBoot, s, c.state)
 			}
 			if c.state == Unknown {
 				continue
@@ -140,7 +140,7 @@
 			if c.state == Indeterminate { // proved not to have run
 				r, ok := restarted.MarkNotExecuted(now, testKey(1))
 				if !ok {
-					t.Fatal("it can't be proved not to have run")
+					t.Fatal("MarkNotExecuted() = false, want true")
 				}
 				restarted.MarkDurable(&r, 9)
 				check(restarted, now, Execute)
@@ -149,27 +149,26 @@
 	}
 }
 
-// TestMarkLost: the disk does not take a record. Without its intent the key is as if the request
-// had not come and may run; without its result it may have run, and its repeats get an error.
+// TestMarkLost: a failed write of the intent must allow the key to run, and a failed write of the result must give its
+// retries an error.
 func TestMarkLost(t *testing.T) {
 	index := NewIndex(testLimits)
 	r := index.Begin(0, testKey(1), 5, 1000)
 	index.MarkLost(&r)
 	if v, _ := index.Decide(0, testKey(1), 5); v != Execute || index.BytesUsed() != 0 {
-		t.Fatalf("%s, %d bytes set aside", v, index.BytesUsed())
+		t.Fatalf("Decide() = %s, BytesUsed() = %d, want %s, 0", v, index.BytesUsed(), Execute)
 	}
 	r = index.Begin(0, testKey(1), 5, 1000)
 	index.MarkDurable(&r, 1)
 	r, _ = index.MarkExecuted(10, testKey(1), true, []byte("x"))
 	index.MarkLost(&r)
 	if v, _ := index.Decide(20, testKey(1), 5); v != ReturnError || index.ErrorsReturned != 1 {
-		t.Fatalf("%s, expected that it may have run", v)
+		t.Fatalf("Decide() = %s, ErrorsReturned = %d, want %s, 1", v, index.ErrorsReturned, ReturnError)
 	}
 }
 
-// TestFullIndexRejectsNewKeys: more keys come than there is room for. New keys are rejected and known ones answered,
-// nothing inside its window is deleted, and a run that was let in has room for its result; wrong, a burst of new keys
-// would make repeats run again.
+// TestFullIndexRejectsNewKeys: a full index must reject new keys, keep known ones for their window and have room for
+// the result of every admitted run. Otherwise a burst of new keys would make retries run again.
 func TestFullIndexRejectsNewKeys(t *testing.T) {
 	smallLimits := Limits{Keys: 8, Bytes: 12 * maxRecordBytes(32), ResultBytes: 32}
 	if err := smallLimits.Validate(); err != nil {
@@ -180,7 +179,7 @@
 	for i := 0; ; i++ {
 		if v, _ := index.Decide(0, testKey(i), 1); v != Execute {
 			if v != RejectFull {
-				t.Fatal(v)
+				t.Fatalf("Decide() = %s, want %s", v, RejectFull)
 			}
 			break
 		}
@@ -190,17 +189,18 @@
 		admitted++
 	}
 	if admitted == 0 || index.BytesUsed() > smallLimits.Bytes {
-		t.Fatalf("%d let run, %d bytes of %d", admitted, index.BytesUsed(), smallLimits.Bytes)
+		t.Fatalf("admitted = %d, BytesUsed() = %d, want at least 1, at most %d", admitted, index.BytesUsed(),
+			smallLimits.Bytes)
 	}
 	for i := range admitted {
 		r, ok := index.MarkExecuted(10, testKey(i), true, make([]byte, 32))
 		if !ok || r.Kind != Result {
-			t.Fatalf("%+v", r)
+			t.Fatalf("MarkExecuted() = %+v, %v, want a result", r, ok)
 		}
 		position++
 		index.MarkDurable(&r, position)
 		if index.BytesUsed() > smallLimits.Bytes {
-			t.Fatalf("%d bytes of %d", index.BytesUsed(), smallLimits.Bytes)
+			t.Fatalf("BytesUsed() = %d, want at most %d", index.BytesUsed(), smallLimits.Bytes)
 		}
 	}
 	for now := uint64(0); now < 1010; now += 101 {
@@ -208,24 +208,24 @@
 	}
 	for i := range admitted {
 		if v, _ := index.Decide(1009, testKey(i), 1); v != ReturnResult {
-			t.Fatalf("key %d gets %s inside its window", i, v)
+			t.Fatalf("Decide() of key %d = %s inside its window, want %s", i, v, ReturnResult)
 		}
 	}
 	for range 10 {
 		index.Expire(1010, position+1)
 	}
 	if index.Len() != 0 || index.BytesUsed() != 0 {
-		t.Fatalf("%d keys and %d bytes once all windows are over", index.Len(), index.BytesUsed())
+		t.Fatalf("Len() = %d, BytesUsed() = %d after all windows, want 0, 0", index.Len(), index.BytesUsed())
 	}
 	for _, invalid := range []Limits{{}, {Keys: 1, Bytes: 10}, {Keys: 1, Bytes: 1 << 20, ResultBytes: -1}} {
 		if err := invalid.Validate(); !errors.Is(err, ErrInvalidLimits) {
-			t.Errorf("%+v gives %v", invalid, err)
+			t.Errorf("Validate(%+v) = %v, want %v", invalid, err, ErrInvalidLimits)
 		}
 	}
 }
 
-// TestExpireKeepsNeededPositions: keys move in the table while others expire. No position of the log is released that
-// a key inside its window needs; its result would be gone.
+// TestExpireKeepsNeededPositions: keys are shifted in the table while others expire. Expire must not release the
+// position of a key inside its window, whose result would be deleted.
 func TestExpireKeepsNeededPositions(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		r := rand.New(rand.NewSource(seed))
@@ -238,7 +238,7 @@
 					index.MarkDurable(&rec, next)
 					next, running = next+1, append(running, k)
 				}
-			} else if len(running) > 0 { // runs end in the order in which they began, some sooner and some later
+			} else if len(running) > 0 { // runs end in the order of their starts
 				if rec, ok := index.MarkExecuted(now, running[0], true, nil); ok {
 					index.MarkDurable(&rec, next)
 					next++
@@ -255,22 +255,22 @@
 			}
 			for i := range index.table.slots {
 				if e := &index.table.slots[i]; e.state != Unknown && index.isLive(now, e) && e.position < released {
-					t.Fatalf("seed %d, at %d: place %d of a key that is %s was given free up to %d", seed, now,
-						e.position, e.state, released)
+					t.Fatalf("seed %d, at %d: released positions below %d, want at most %d, of a key that is %s", seed, now,
+						released, e.position, e.state)
 				}
 			}
 		}
 		if released < next/4 {
-			t.Errorf("seed %d: %d of %d places were given free", seed, released, next)
+			t.Errorf("seed %d: released %d of %d positions, want at least a quarter", seed, released, next)
 		}
 	}
 }
 
-// TestExpireKeepsPositionOfMovedKey: a key moves behind a pass while the pass goes on, so that the pass does not see
-// it. Its position is not released.
+// TestExpireKeepsPositionOfMovedKey: a key is shifted to a slot that the current pass has visited already. Its position
+// must not be released.
 func TestExpireKeepsPositionOfMovedKey(t *testing.T) {
 	index := NewIndex(Limits{Keys: 4000, Bytes: 1 << 30, ResultBytes: 8})
-	colliding := func(n byte) (k Key) { // all at home two slots before the first step of a pass ends
+	colliding := func(n byte) (k Key) { // home slot is two slots before the end of the first step
 		homeSlot, _ := bits.Div64(slotsPerExpire-2, 0, uint64(len(index.table.slots)))
 		binary.BigEndian.PutUint64(k[:], homeSlot+1)
 		k[15] = n
@@ -283,39 +283,39 @@
 		index.MarkDurable(&r, c.position)
 	}
 	if index.table.slots[slotsPerExpire].position != 1 {
-		t.Fatal("the third key is not behind the first step")
+		t.Fatalf("position at slot %d = %d, want 1, of the third key", slotsPerExpire,
+			index.table.slots[slotsPerExpire].position)
 	}
 	index.Expire(0, 10)
-	index.Begin(20, colliding(0), 1, 1000) // its window was over: those behind it move up
+	index.Begin(20, colliding(0), 1, 1000) // its window is over: the keys behind it are shifted back
 	for range 100 {
 		if _, first := index.Expire(20, 10); first > 0 {
 			if first > 1 {
-				t.Errorf("places are free up to %d, and a key needs 1", first)
+				t.Errorf("Expire() = %d, want at most 1, which a key needs", first)
 			}
 			return
 		}
 	}
-	t.Error("no pass ended")
+	t.Error("no pass ended in 100 steps, want one")
 }
 
-// TestNoSecondRunAfterCrash: a node is killed at any moment, on a disk that keeps or loses what was not synced, and
-// callers repeat their keys over that. No key runs twice inside its window, no result changes, and what was answered
-// stays answered.
+// TestNoSecondRunAfterCrash kills a node at random steps, with or without the loss of unsynced writes, while callers
+// retry their keys. No key may run twice inside its window, and no result may change or be lost.
 func TestNoSecondRunAfterCrash(t *testing.T) {
 	kills, resultsReturned, errorsReturned := 0, 0, 0
 	for seed := int64(1); seed <= 150; seed++ {
 		r := rand.New(rand.NewSource(seed))
 		disk, now := wal.NewMemFS(), uint64(1000)
 		const window = 4000
-		ranAt, results := map[int]uint64{}, map[int][]byte{} // when it ran last, and what was answered for it
+		ranAt, results := map[int]uint64{}, map[int][]byte{} // time of a key's last run, and its result
 		for restart := 0; restart < 6; restart++ {
-			boot := fmt.Sprint("boot ", restart/2) // every second restart is one of the machine
+			boot := fmt.Sprint("boot ", restart/2) // every second restart is a reboot
 			s, index, _, err := Open(disk, wal.Sizes{SegmentBytes: 4096, MaxBytes: 1 << 20},
 				Limits{Keys: 500, Bytes: 1 << 19, ResultBytes: 64}, now, boot)
 			if err != nil {
-				t.Fatalf("seed %d, life %d: %v", seed, restart, err)
+				t.Fatalf("seed %d, restart %d: %v", seed, restart, err)
 			}
-			// The test is the loop; it waits where a node would go on with other requests.
+			// Appends a record and waits, where a node would serve other requests.
 			appendAndWait := func(rec Record) error {
 				done := make(chan error, 1)
 				if !s.Append(rec, func(position uint64, err error) {
@@ -326,7 +326,7 @@
 					}
 					done <- err
 				}) {
-					t.Fatal("the queue is full")
+					t.Fatal("Append() = false, want true")
 				}
 				return <-done
 			}
@@ -336,25 +336,26 @@
 				n := r.Intn(12)
 				v, position := index.Decide(now, testKey(n), 1)
 				if at, before := ranAt[n]; before && v != Execute && now-at > window && now > openedAt+window {
-					t.Fatalf("seed %d, life %d: key %d is known %d after it ran, and %d after the start", seed, restart,
-						n, now-at, now-openedAt)
+					t.Fatalf("seed %d, restart %d: key %d is known %d ms after its run and %d ms after the start, want at most %d",
+						seed, restart, n, now-at, now-openedAt, window)
 				}
 				switch v {
 				case ReturnResult:
 					got, err := s.ReadResult(position)
 					if err != nil || !bytes.Equal(got, results[n]) {
-						t.Fatalf("seed %d: key %d is answered %q (%v), expected %q", seed, n, got, err, results[n])
+						t.Fatalf("seed %d: ReadResult() of key %d = %q, %v, want %q", seed, n, got, err, results[n])
 					}
 					resultsReturned++
 				case ReturnError:
 					errorsReturned++
 				case Execute:
 					if at, before := ranAt[n]; before && now-at < window {
-						t.Fatalf("seed %d, life %d: key %d runs at %d, and ran at %d", seed, restart, n, now, at)
+						t.Fatalf("seed %d, restart %d: key %d runs at %d and ran at %d, want no run inside the window", seed,
+							restart, n, now, at)
 					}
 					rec := index.Begin(now, testKey(n), 1, window)
 					if step == steps-1 && r.Intn(3) == 0 {
-						step = steps // killed before its intent is on the way
+						step = steps // killed before its intent is appended
 						break
 					}
 					if err := appendAndWait(rec); err != nil {
@@ -368,7 +369,7 @@
 					ranAt[n] = now
 					out := []byte(fmt.Sprintf("result %d of %d at %d", seed, n, now))
 					if rec, ok := index.MarkExecuted(now, testKey(n), true, out); !ok {
-						t.Fatal("its run counts for nothing")
+						t.Fatal("MarkExecuted() = false, want true")
 					} else if err := appendAndWait(rec); err != nil {
 						t.Fatal(err)
 					}
@@ -384,27 +385,27 @@
 			disk = disk.PowerLoss(r.Intn)
 			s.Close()
 			now += uint64(r.Intn(2000))
-			if restart%2 == 1 { // another boot: its clock begins anew, but what ran stays as long ago as it is
+			if restart%2 == 1 { // a reboot: the clock changes, but the age of each run stays
 				next := []uint64{500, 1e9}[restart/2%2]
-				for n := range ranAt { // a time before the clock's zero wraps, as differences do
+				for n := range ranAt { // times before the clock's zero wrap around, and so do differences
 					ranAt[n] += next - now
 				}
 				now = next
 			}
 		}
 	}
-	t.Logf("%d kills, %d repeats answered, %d errored", kills, resultsReturned, errorsReturned)
+	t.Logf("%d kills, %d results returned, %d errors returned", kills, resultsReturned, errorsReturned)
 	if resultsReturned < 1000 || errorsReturned == 0 {
-		t.Error("too few repeats to hold anything to")
+		t.Errorf("results returned = %d, errors returned = %d, want at least 1000, 1", resultsReturned, errorsReturned)
 	}
 }
 
-// faultyFS fails or delays syncs on demand.
+// faultyFS is a folder whose file syncs can be delayed or made to fail.
 type faultyFS struct {
 	wal.FS
 	failSyncs atomic.Bool
 	syncDelay atomic.Int64
-	onLock    atomic.Pointer[func()] // called as the folder is opened
+	onLock    atomic.Pointer[func()] // called before the folder is locked
 }
 
 func (d *faultyFS) Lock() (func(), error) {
@@ -432,14 +433,14 @@
 func (f *faultyFile) Sync() error {
 	time.Sleep(time.Duration(f.d.syncDelay.Load()))
 	if f.d.failSyncs.Load() {
-		return errors.New("the disk fails")
+		return errors.New("sync failed")
 	}
 	return f.File.Sync()
 }
 
-// TestStoreRecoversFromDiskFailure: the disk is slow, fails for a while, and is full. Records that wait share a sync; a
-// failed sync is told to all that wait, known results stay readable, and writing goes on by itself once the disk
-// works. Nobody who hands a record over waits meanwhile.
+// TestStoreRecoversFromDiskFailure: the disk is slow, then fails, then is full. Waiting records must share a sync, a
+// failed sync must fail all of them, and stored results must stay readable. The store must reopen the log by itself
+// once the disk works, and Append must never wait.
 func TestStoreRecoversFromDiskFailure(t *testing.T) {
 	d := &faultyFS{FS: wal.NewMemFS()}
 	s, _, _, err := Open(d, wal.Sizes{SegmentBytes: 1 << 16, MaxBytes: 1 << 20}, testLimits, 0, "boot")
@@ -451,7 +452,7 @@
 	syncsBefore, done := s.log.SyncCount(), make(chan error, 300)
 	for i := range 300 {
 		if !s.Append(Record{Kind: Intent, Key: testKey(i)}, func(_ uint64, err error) { done <- err }) {
-			t.Fatal("not taken")
+			t.Fatal("Append() = false, want true")
 		}
 	}
 	for range 300 {
@@ -460,7 +461,7 @@
 		}
 	}
 	if n := s.log.SyncCount() - syncsBefore; n > 5 {
-		t.Errorf("%d syncs for 300 records that waited together", n)
+		t.Errorf("syncs = %d for 300 waiting records, want at most 5", n)
 	}
 	d.syncDelay.Store(0)
 	appendOne := func() error {
@@ -474,41 +475,41 @@
 	knownPosition := s.NextPosition() - 1
 	d.failSyncs.Store(true)
 	if appendOne() == nil || s.Err() == nil || appendOne() == nil {
-		t.Fatal("a sync fails, and records are taken for durable")
+		t.Fatalf("with failing syncs: Err() = %v, want errors from it and each append", s.Err())
 	}
-	// While the log is opened again, and the disk takes its time, nobody who hands a record over waits.
+	// Append must not wait while the reopening of the log blocks.
 	locking, unblock := make(chan bool), make(chan bool)
 	block := func() { locking <- true; <-unblock }
 	d.onLock.Store(&block)
-	time.Sleep(reopenInterval * 3 / 2) // it is looked at once at least
+	time.Sleep(reopenInterval * 3 / 2) // at least one attempt to reopen
 	read := make(chan error, 1)
 	go func() {
 		raw, err := s.ReadResult(knownPosition)
 		if err == nil && string(raw) != "known" {
-			err = fmt.Errorf("%q", raw)
+			err = fmt.Errorf("got %q, want %q", raw, "known")
 		}
 		read <- err
 	}()
 	select {
 	case err := <-read:
 		if err != nil {
-			t.Fatalf("while nothing can be written what is known can't be read: %v", err)
+			t.Fatalf("ReadResult() while writes fail: %v", err)
 		}
 	case <-locking:
 		d.onLock.Store(nil)
 		close(unblock)
-		t.Fatal("the log is closed before the disk works")
+		t.Fatal("the log is reopened before the disk works")
 	}
 	d.failSyncs.Store(false)
 	<-locking
 	if appendOne() == nil {
-		t.Fatal("a record is durable, and the log is not open")
+		t.Fatal("a record is durable while the log is not open, want an error")
 	}
 	d.onLock.Store(nil)
 	close(unblock)
 	for deadline := time.Now().Add(10 * time.Second); s.Err() != nil; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("the disk is well, and the store is not: %v", s.Err())
+			t.Fatalf("Err() = %v 10 s after the disk works, want nil", s.Err())
 		}
 	}
 	if err := appendOne(); err != nil {
@@ -521,15 +522,15 @@
 		appendErr = <-done
 	}
 	if !errors.Is(appendErr, wal.ErrFull) || s.Err() != nil {
-		t.Fatalf("%v, %v: expected a full log, and no fault", appendErr, s.Err())
+		t.Fatalf("append error = %v, Err() = %v, want %v, nil", appendErr, s.Err(), wal.ErrFull)
 	}
 	if raw, err := s.ReadResult(s.NextPosition() - 1); err != nil || len(raw) != 300_000 {
-		t.Errorf("what is there can't be read: %v", err)
+		t.Errorf("ReadResult() of a full log = %d bytes, %v, want 300000", len(raw), err)
 	}
 }
 
-// TestReplayPurgesExpiredKeys: a log holds more keys than may be known at one time. Those whose windows are over go as
-// it is read, so that a restart needs no more memory than serving does.
+// TestReplayPurgesExpiredKeys: a log may hold more keys than were live at one time. Replay must purge expired ones, so
+// that a restart needs no more memory than serving.
 func TestReplayPurgesExpiredKeys(t *testing.T) {
 	index := NewIndex(Limits{Keys: 16, Bytes: 1 << 20, ResultBytes: 64})
 	for i := range 1000 {
@@ -538,11 +539,11 @@
 			t.Fatal(err)
 		}
 		if index.Len() > 64 {
-			t.Fatalf("%d keys in memory after %d, expected a few times 16 at most", index.Len(), i+1)
+			t.Fatalf("Len() = %d after %d records, want at most 64", index.Len(), i+1)
 		}
 	}
 	index.FinishReplay(1000, true)
 	if index.Len() != 9 {
-		t.Errorf("%d keys, expected the last nine", index.Len())
+		t.Errorf("Len() = %d, want 9", index.Len())
 	}
 }
--- a/internal/node/resultstore/salvage_test.go
+++ b/internal/node/resultstore/salvage_test.go
@@ -11,9 +11,9 @@
 	"umberwinch/internal/wal"
 )
 
-// TestSalvageNeverRunsKeyTwice: bits of a log on disk turn over, and the start that writes it anew is interrupted at
-// any step. What can be read is known as before, a key's result is its own or none, and no retry of any key runs for a
-// window, as its first attempt may be what is missing.
+// TestSalvageNeverRunsKeyTwice flips bits of a stored log and interrupts the salvage at random steps. Readable records
+// must be recovered, a key must get its own result or none, and retries of unknown keys must get an error for a window,
+// as their first attempt may be lost.
 func TestSalvageNeverRunsKeyTwice(t *testing.T) {
 	const window, keys = 5000, 120
 	sizes := wal.Sizes{SegmentBytes: 2048, MaxBytes: 1 << 20}
@@ -37,7 +37,7 @@
 			now += uint64(r.Intn(10))
 			appendRecord(index.Begin(now, testKey(k), 1, window))
 			if k%10 == 0 {
-				continue // it may have run
+				continue // without an end record
 			}
 			rec, _ := index.MarkExecuted(now, testKey(k), k%10 != 1, []byte(fmt.Sprint("result ", k)))
 			appendRecord(rec)
@@ -50,10 +50,10 @@
 				segs = append(segs, n)
 			}
 		}
-		for range 1 + r.Intn(3) { // not in the last one: what stands there may be a torn tail
+		for range 1 + r.Intn(3) { // not in the last segment, where damage may be a torn tail
 			disk.FlipBits(segs[r.Intn(len(segs)-1)], int64(r.Intn(1500)), byte(1<<r.Intn(8)))
 		}
-		for interruption := 0; r.Intn(3) > 0; interruption++ { // its start dies at some step
+		for interruption := 0; r.Intn(3) > 0; interruption++ { // the start is interrupted at a random step
 			stepsLeft := r.Intn(60)
 			disk.OnStep = func(string, string) (int, error) {
 				if stepsLeft--; stepsLeft < 0 {
@@ -70,41 +70,42 @@
 			interrupted++
 			disk = disk.PowerLoss(r.Intn)
 		}
-		bootIDs := [2]string{"boot", fmt.Sprint("boot ", seed%2)} // the machine may have been restarted, too
+		bootIDs := [2]string{"boot", fmt.Sprint("boot ", seed%2)} // the second start is after a reboot
 		for restart, boot := range bootIDs {
 			if boot != "boot" {
 				now = 10
 			}
 			s, index, _, err = Open(disk, sizes, limits, now, boot)
 			if err != nil {
-				t.Fatalf("seed %d, life %d: %v", seed, restart, err)
+				t.Fatalf("seed %d, restart %d: Open(): %v", seed, restart, err)
 			}
 			if !index.KeysMayBeLost(now) || !index.KeysMayBeLost(now+window-1) && boot == "boot" ||
 				index.KeysMayBeLost(now+window) {
-				t.Fatalf("seed %d, life %d: retries of unknown keys get no error for a window: %d at %d", seed, restart,
-					index.lossSuspicionEnd, now)
+				t.Fatalf("seed %d, restart %d: keys may be lost until %d, want %d after %d", seed, restart,
+					index.lossSuspicionEnd, window, now)
 			}
 			for k := range keys {
 				v, position := index.Decide(now, testKey(k), 1)
 				switch {
 				case v == Execute:
-					lost++ // no first try comes of what was one before
+					lost++ // a retry, which KeysMayBeLost keeps from running
 				case v == ReturnResult:
 					got, err := s.ReadResult(position)
 					if err != nil || !bytes.Equal(got, []byte(fmt.Sprint("result ", k))) {
-						t.Fatalf("seed %d: key %d has %q, %v", seed, k, got, err)
+						t.Fatalf("seed %d: ReadResult() of key %d = %q, %v, want %q", seed, k, got, err,
+							fmt.Sprint("result ", k))
 					}
 					intact++
 				case v != ReturnError:
-					t.Fatalf("seed %d: key %d gets %s", seed, k, v)
+					t.Fatalf("seed %d: Decide() of key %d = %s, want an execution, a result or an error", seed, k, v)
 				}
 			}
 			s.Close()
 		}
 	}
-	t.Logf("%d results complete, %d keys lost, %d starts interrupted", intact, lost, interrupted)
+	t.Logf("results intact = %d, keys lost = %d, starts interrupted = %d", intact, lost, interrupted)
 	if lost == 0 || lost > intact/20 || interrupted < 50 {
-		t.Errorf("%d results complete, %d keys lost, %d starts interrupted: too little was damaged, or too much lost",
+		t.Errorf("results intact = %d, keys lost = %d, starts interrupted = %d, want some, at most 5%% lost, at least 50",
 			intact, lost, interrupted)
 	}
 }
