--- a/internal/node/resultstore/reopen.go
+++ b/internal/node/resultstore/reopen.go
@@ -54,7 +54,7 @@
 		return nil
 	}
 	if _, err = log.Commit(wal.Batch{Marks: []wal.Mark{{Kind: bootMark, Data: s.bootID}}}); err != nil {
-		log.Close() // the write failed: no record can be lost
+		log.Close() // the error does not matter: nothing was written
 		return nil
 	}
 	return log
--- a/internal/node/resultstore/resultstore_test.go
+++ b/internal/node/resultstore/resultstore_test.go
@@ -88,7 +88,7 @@
 		}
 		if v, _ := index.Decide(now, testKey(1), 6); want == WaitForResult && v != RejectConflict || want != WaitForResult &&
 			want != Execute && v != RejectMismatch {
-			t.Fatalf("at %d: Decide() with another body = %s, want a rejection beside %s", now, v, want)
+			t.Fatalf("at %d: Decide() with another body = %s, want a rejection where the same body gets %s", now, v, want)
 		}
 	}
 	check(index, 0, Execute)
@@ -108,7 +108,7 @@
 	index.MarkDurable(&result, 2)
 	check(index, 5999, ReturnResult)
 	check(index, 6000, Execute)
-	// After a restart behind each record, in the same boot and in another.
+	// After a restart following each record, in the same boot and in another.
 	for _, c := range []struct {
 		records []Record
 		state   State
@@ -287,7 +287,7 @@
 			index.table.slots[slotsPerExpire].position)
 	}
 	index.Expire(0, 10)
-	index.Begin(20, colliding(0), 1, 1000) // its window is over: the keys behind it are shifted back
+	index.Begin(20, colliding(0), 1, 1000) // its window is over: the keys after it are shifted back
 	for range 100 {
 		if _, first := index.Expire(20, 10); first > 0 {
 			if first > 1 {
--- a/internal/node/resultstore/salvage.go
+++ b/internal/node/resultstore/salvage.go
@@ -65,7 +65,7 @@
 	malformed int  // entries of the log that are not valid records
 }
 
-// addSalvaged adds a salvaged record. A gap may have held a clock change, so one is added behind each gap: time then
+// addSalvaged adds a salvaged record. A gap may have held a clock change, so one is added after each gap: time then
 // continues from the last record before the gap, and no window ends too early.
 func (s *salvager) addSalvaged(salvaged wal.SalvagedRecord) error {
 	if salvaged.Gap {
--- a/internal/node/resultstore/table.go
+++ b/internal/node/resultstore/table.go
@@ -15,8 +15,8 @@
 	uint32Bytes = 4
 	// hashBytes is the length of the prefix of a key that is its hash.
 	hashBytes = 8
-	// maxDiskBytes is the maximum of entry.recordBytes24.
-	maxDiskBytes = 1<<24 - 1
+	// maxKeyRecordBytes is the maximum of entry.recordBytes24.
+	maxKeyRecordBytes = 1<<24 - 1
 )
 
 // table is a hash table with open addressing and linear probing. Keys are digests, so a prefix is their hash. Removal
@@ -48,9 +48,9 @@
 	return int64(binary.LittleEndian.Uint32(number[:]))
 }
 
-// addRecordBytes adds n bytes; the sum saturates at maxDiskBytes.
+// addRecordBytes adds n bytes; the sum saturates at maxKeyRecordBytes.
 func (e *entry) addRecordBytes(n int64) {
-	n = min(e.recordBytes()+n, maxDiskBytes)
+	n = min(e.recordBytes()+n, maxKeyRecordBytes)
 	var number [uint32Bytes]byte
 	binary.LittleEndian.PutUint32(number[:], uint32(n))
 	copy(e.recordBytes24[:], number[:])
@@ -117,7 +117,7 @@
 	return &t.slots[i]
 }
 
-// remove removes a key, if present, and shifts later keys that a search would not find behind the gap.
+// remove removes a key, if present, and shifts later keys that a search would not find past the gap.
 func (t *table) remove(k Key) {
 	gap := t.homeSlot(&k)
 	for t.slots[gap].state == Unknown || t.slots[gap].key != k {
--- a/internal/wal/commit.go
+++ b/internal/wal/commit.go
@@ -23,53 +23,53 @@
 			return 0, &InvalidMarkError{m.Kind, len(m.Data)}
 		}
 	}
-	w := &pendingCommit{batch: b}
+	c := &pendingCommit{batch: b}
 	l.mu.Lock()
-	l.queue = append(l.queue, w)
+	l.queue = append(l.queue, c)
 	if l.writing {
-		w.done = make(chan bool, 1)
+		c.done = make(chan bool, 1)
 		l.mu.Unlock()
-		if <-w.done {
-			return w.first, w.err
+		if <-c.done {
+			return c.first, c.err
 		}
 		l.mu.Lock()
 	}
 	l.writing = true
-	callers := l.queue
+	commits := l.queue
 	l.queue = nil
-	l.flush(callers)
+	l.flush(commits)
 	if len(l.queue) > 0 {
 		l.queue[0].done <- false // passes the flushing on, so that no call serves others without end
 	} else {
 		l.writing = false
 	}
 	l.mu.Unlock()
-	for _, o := range callers {
-		if o != w {
-			o.done <- true
+	for _, other := range commits {
+		if other != c {
+			other.done <- true
 		}
 	}
-	return w.first, w.err
+	return c.first, c.err
 }
 
 // flush writes the batches of several calls with one write and one sync, and sets their results. The caller holds mu,
 // which is released during disk access; l.writing excludes other writers.
-func (l *Log) flush(callers []*pendingCommit) {
-	if err := l.write(callers); err != nil {
-		for _, w := range callers {
-			w.first, w.err = 0, err
+func (l *Log) flush(commits []*pendingCommit) {
+	if err := l.writeBatches(commits); err != nil {
+		for _, c := range commits {
+			c.first, c.err = 0, err
 		}
 	}
 }
 
-// write is flush without setting the results on an error.
-func (l *Log) write(callers []*pendingCommit) error {
+// writeBatches is flush without setting the results on an error.
+func (l *Log) writeBatches(commits []*pendingCommit) error {
 	if l.fault != nil {
 		return l.fault
 	}
 	need := int64(0)
-	for _, w := range callers {
-		need += batchBytes(w.batch)
+	for _, c := range commits {
+		need += batchBytes(c.batch)
 	}
 	if used := l.diskBytes(); used+need > l.sizes.MaxBytes {
 		return fmt.Errorf("%w: %d bytes and %d more, expected at most %d", ErrFull, used, need, l.sizes.MaxBytes)
@@ -82,7 +82,7 @@
 	if isNew { // each segment repeats all marks, so that older segments can be removed
 		w.appendMarks(l.marks[:])
 	}
-	for _, c := range callers {
+	for _, c := range commits {
 		c.first, c.err = w.appendBatch(c.batch), nil
 	}
 	if w.lastRecord < 0 {
@@ -92,7 +92,7 @@
 	if err = l.writeRecords(segment, w); err != nil {
 		return err
 	}
-	for _, c := range callers {
+	for _, c := range commits {
 		l.applyBatch(c.batch, w)
 	}
 	return nil
--- a/internal/wal/entry_index.go
+++ b/internal/wal/entry_index.go
@@ -115,6 +115,6 @@
 	off    uint32 // of the record's header in the segment, in bytes
 }
 
-// sampleInterval is the number of entries per sample: the memory of the index against the headers that Read has to
-// walk.
+// sampleInterval is the number of entries per sample. Read walks at most that many entries' headers, and those of the
+// marks between.
 const sampleInterval = 4
--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -9,7 +9,7 @@
 // log stays usable.
 var ErrFull = errors.New("the log is at its bound")
 
-// ErrBroken is returned for a failed write or fsync and for every later call: the content of the disk is unknown until
+// ErrBroken is returned for a failed write or fsync and for every later write: the content of the disk is unknown until
 // the log is opened again.
 var ErrBroken = errors.New("the log can't be relied on any more")
 
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("entry %d, expected one from %d to %d", e.Number, e.First, e.Last)
 }
 
-// errClosed is returned by calls after Close.
+// errClosed is returned by writes after Close.
 var errClosed = errors.New("the log is closed")
 
 // Damage is the error for synced data that can't be read. Open then leaves segments and snapshots unchanged.
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -44,9 +44,9 @@
 	segments  []*segment // oldest first; the last one is appended to
 	index     entryIndex
 	marks     [MaxMarkKinds][]byte
-	checksum  uint32
+	checksum  uint32     // of the last record
 	snapshots []snapshot // oldest first, two at most
-	fault     error      // returned by every later call: ErrBroken, or that the log is closed
+	fault     error      // returned by every later write: ErrBroken or errClosed
 	buf       []byte     // reused for the next flush
 
 	queue   []*pendingCommit // commits that wait for the next flush
@@ -89,6 +89,7 @@
 	return l.diskBytes()
 }
 
+// diskBytes is DiskBytes for callers that hold mu.
 func (l *Log) diskBytes() int64 {
 	n := int64(0)
 	for _, s := range l.segments {
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// fail makes the log unusable: every later call returns the error. It locks mu.
+// fail makes the log read-only: every later write returns the error. It locks mu.
 func (l *Log) fail(err error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/wal/open.go
+++ b/internal/wal/open.go
@@ -166,7 +166,7 @@
 type segmentScan struct {
 	raw      []byte
 	offset   int             // of the next record in raw
-	flushEnd int             // offset behind the last complete flush
+	flushEnd int             // end of the last complete flush
 	checksum uint32          // of the record before the next one
 	next     uint64          // number of the next entry
 	flush    []scannedRecord // records of the current flush
--- a/internal/wal/salvage.go
+++ b/internal/wal/salvage.go
@@ -167,7 +167,7 @@
 	return raw, err
 }
 
-// salvageSegment reads one segment. Behind unreadable data it looks for a record at each offset: the four bytes before
+// salvageSegment reads one segment. After unreadable data it looks for a record at each offset: the four bytes before
 // a record are the previous checksum, so its own checksum can be verified anywhere.
 func salvageSegment(raw []byte, emit func(SalvagedRecord) error, gap func() error) error {
 	if len(raw) < segmentHeaderBytes {
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -8,14 +8,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A snapshot file, with little-endian numbers. The checksum is the xxhash64 of everything behind it:
+// A snapshot file, with little-endian numbers. The checksum is the xxhash64 of everything after it:
 //
 //	"umbersnp" | checksum u64 | number u64 | data
 const (
 	snapshotSuffix      = ".snap"
 	snapshotMagic       = "umbersnp"
 	snapshotHeaderBytes = 24
-	// maxSnapshots is two, so that the older one and the log behind it replace a damaged newest one.
+	// maxSnapshots is two, so that the older one and the entries after it replace a damaged newest one.
 	maxSnapshots = 2
 )
 
