--- a/internal/node/resultstore/resultstore_test.go
+++ b/internal/node/resultstore/resultstore_test.go
@@ -313,7 +313,7 @@
 			s, index, _, err := Open(disk, wal.Sizes{SegmentBytes: 4096, MaxBytes: 1 << 20},
 				Limits{Keys: 500, Bytes: 1 << 19, ResultBytes: 64}, now, boot)
 			if err != nil {
-				t.Fatalf("seed %d, restart %d: %v", seed, restart, err)
+				t.Fatalf("seed %d, restart %d: Open(): %v", seed, restart, err)
 			}
 			// Appends a record and waits, where a node would serve other requests.
 			appendAndWait := func(rec Record) error {
@@ -404,7 +404,7 @@
 type faultyFS struct {
 	wal.FS
 	failSyncs atomic.Bool
-	syncDelay atomic.Int64
+	syncDelay atomic.Int64 // nanoseconds
 	onLock    atomic.Pointer[func()] // called before the folder is locked
 }
 
