--- a/internal/node/resultstore/resultstore_test.go
+++ b/internal/node/resultstore/resultstore_test.go
@@ -404,7 +404,7 @@
 type faultyFS struct {
 	wal.FS
 	failSyncs atomic.Bool
-	syncDelay atomic.Int64 // nanoseconds
+	syncDelay atomic.Int64           // nanoseconds
 	onLock    atomic.Pointer[func()] // called before the folder is locked
 }
 
