--- a/internal/wal/bench_test.go
+++ b/internal/wal/bench_test.go
@@ -9,9 +9,9 @@
 	"go.etcd.io/bbolt"
 )
 
-// BenchmarkBeside puts the log beside a plain file and beside bbolt: the same 200-byte records, each durable
-// before the next, and sixteen at once.
-func BenchmarkBeside(b *testing.B) {
+// BenchmarkLogFileAndBbolt compares the log with a plain file and with bbolt: 200-byte records, synced one by one and
+// in batches of sixteen.
+func BenchmarkLogFileAndBbolt(b *testing.B) {
 	record := make([]byte, 200)
 	for _, batch := range []int{1, 16} {
 		name := map[int]string{1: "/one", 16: "/sixteen"}[batch]
@@ -59,8 +59,7 @@
 			defer db.Close()
 			bucket := []byte("log")
 			if err := db.Update(func(tx *bbolt.Tx) error {
-				_,
-					err := tx.CreateBucket(bucket)
+				_, err := tx.CreateBucket(bucket)
 				return err
 			}); err != nil {
 				b.Fatal(err)
--- a/internal/wal/open.go
+++ b/internal/wal/open.go
@@ -10,35 +10,35 @@
 	"strings"
 )
 
-// Repair tells what Open had to remove: what a crash left behind.
+// Repair reports the remains of a crash that Open removed.
 type Repair struct {
-	TornAt       string   // file and byte from which a torn tail was cut off, empty if there was none
-	TornBytes    int64    // cut off there
-	RemovedFiles []string // files that were being made
+	TornAt       string   // file and byte offset where a torn tail began; empty if there was none
+	TornBytes    int64    // size of the torn tail
+	RemovedFiles []string // temporary files
 }
 
-// Open reads a folder's log, or begins one in an empty folder. A torn tail, which was never durable, is cut off and
-// told in Repair. Errors are *Damage, which leaves the folder as it is, ErrLocked, and of the disk.
+// Open opens the log of a folder, or creates one in an empty folder. A torn tail, which was never durable, is truncated
+// and reported in Repair. Errors are *Damage, ErrLocked and those of the disk.
 func Open(fs FS, sizes Sizes) (*Log, Repair, error) {
 	unlock, err := fs.Lock()
 	if err != nil {
 		return nil, Repair{}, err
 	}
 	l := &Log{fs: fs, sizes: sizes, unlock: unlock, index: entryIndex{first: 1}}
-	found, err := l.recover()
+	repair, err := l.recover()
 	if err != nil {
 		err = errors.Join(err, l.closeSegments())
 		unlock()
-		return nil, found, err
+		return nil, repair, err
 	}
-	return l, found, nil
+	return l, repair, nil
 }
 
 func (l *Log) recover() (Repair, error) {
-	var found Repair
+	var repair Repair
 	names, err := l.fs.List()
 	if err != nil {
-		return found, err
+		return repair, err
 	}
 	var seqs []uint64
 	for _, name := range names {
@@ -46,28 +46,28 @@
 			seqs = append(seqs, n)
 		} else if strings.HasSuffix(name, temporarySuffix) {
 			if err := l.fs.Remove(name); err != nil {
-				return found, err
+				return repair, err
 			}
-			found.RemovedFiles = append(found.RemovedFiles, name)
+			repair.RemovedFiles = append(repair.RemovedFiles, name)
 		}
 	}
 	if err := l.findSnapshots(names); err != nil {
-		return found, err
+		return repair, err
 	}
 	sort.Slice(seqs, func(i, k int) bool { return seqs[i] < seqs[k] })
 	for i, seq := range seqs {
-		if err := l.loadSegment(seq, i == 0, i == len(seqs)-1, &found); err != nil {
-			return found, err
+		if err := l.loadSegment(seq, i == 0, i == len(seqs)-1, &repair); err != nil {
+			return repair, err
 		}
 	}
 	if len(l.segments) == 0 {
 		s, err := createSegment(l.fs, max(1, l.lastSequence(seqs)), l.index.first, l.checksum)
 		if err != nil {
-			return found, err
+			return repair, err
 		}
 		l.segments = append(l.segments, s)
 	}
-	return found, nil
+	return repair, nil
 }
 
 func (l *Log) lastSequence(seqs []uint64) uint64 {
@@ -77,8 +77,10 @@
 	return seqs[len(seqs)-1]
 }
 
-// loadSegment reads one segment: its header has to go on from the segment before, and its records from each other.
-func (l *Log) loadSegment(seq uint64, oldest, newest bool, found *Repair) error {
+// loadSegment reads one segment and checks that its header continues the previous segment and that its records are
+// consecutive. A newest segment without a valid header and without records is removed: a crash interrupted its
+// creation.
+func (l *Log) loadSegment(seq uint64, oldest, newest bool, repair *Repair) error {
 	f, err := l.fs.Open(segmentName(seq))
 	if err != nil {
 		return err
@@ -88,25 +90,25 @@
 	if err != nil {
 		return errors.Join(err, f.Close())
 	}
-	if bad := l.checkHeader(raw, seq, oldest); bad != "" {
+	if problem := l.checkHeader(raw, seq, oldest); problem != "" {
 		if err = f.Close(); err != nil {
 			return err
 		}
 		if newest && !flushStartsAfter(raw, min(segmentHeaderBytes, len(raw))-1) && len(raw) <= segmentHeaderBytes {
-			// It was being made: its header is synced before a record follows it.
-			found.TornAt, found.TornBytes = s.name+" at byte 0", s.size
+			// The header is synced before the first record is written, so the segment never held any.
+			repair.TornAt, repair.TornBytes = s.name+" at byte 0", s.size
 			if err = l.fs.Remove(s.name); err != nil {
 				return err
 			}
 			return l.fs.Sync()
 		}
-		return &Damage{s.name, 0, "the header", bad}
+		return &Damage{s.name, 0, "the header", problem}
 	}
-	l.segments = append(l.segments, s) // from here on Open or Close closes it
-	return l.readRecords(s, raw, newest, found)
+	l.segments = append(l.segments, s) // Open or Close closes it from here on
+	return l.readRecords(s, raw, newest, repair)
 }
 
-// readWhole reads a segment's file and notes its size.
+// readWhole reads the file of a segment and sets its size.
 func (s *segment) readWhole() ([]byte, error) {
 	var err error
 	if s.size, err = s.file.Size(); err != nil {
@@ -114,7 +116,7 @@
 	}
 	if s.size > maxSegmentBytes {
 		return nil, &Damage{s.name, 0, "the header",
-			fmt.Sprintf("%d bytes, expected less than %d", s.size, maxSegmentBytes)}
+			fmt.Sprintf("%d bytes, expected at most %d", s.size, maxSegmentBytes)}
 	}
 	raw := make([]byte, s.size)
 	if s.size > 0 {
@@ -125,122 +127,124 @@
 	return raw, nil
 }
 
+// checkHeader returns the problem of a segment's header, or an empty text. The oldest segment's header sets the first
+// entry number and the checksum that precedes its first record.
 func (l *Log) checkHeader(raw []byte, seq uint64, oldest bool) string {
 	switch {
-	case len(raw) < segmentHeaderBytes || string(raw[:8]) != magic:
+	case len(raw) < segmentHeaderBytes || string(raw[:8]) != segmentMagic:
 		return "no header of a log"
 	case binary.LittleEndian.Uint32(raw[8:]) != crc32.Checksum(raw[12:segmentHeaderBytes], castagnoli):
 		return "its sum does not fit"
-	case binary.LittleEndian.Uint32(raw[12:]) != format:
-		return fmt.Sprintf("format %d, expected %d", binary.LittleEndian.Uint32(raw[12:]), format)
+	case binary.LittleEndian.Uint32(raw[12:]) != segmentFormat:
+		return fmt.Sprintf("format %d, expected %d", binary.LittleEndian.Uint32(raw[12:]), segmentFormat)
 	case binary.LittleEndian.Uint64(raw[16:]) != seq:
 		return fmt.Sprintf("segment %d, expected %d", binary.LittleEndian.Uint64(raw[16:]), seq)
 	}
-	next, sum := binary.LittleEndian.Uint64(raw[24:]), binary.LittleEndian.Uint32(raw[32:])
+	next, checksum := binary.LittleEndian.Uint64(raw[24:]), binary.LittleEndian.Uint32(raw[32:])
 	if oldest {
-		l.index.first, l.checksum = next, sum
+		l.index.first, l.checksum = next, checksum
 		return ""
 	}
 	if before := l.segments[len(l.segments)-1].sequence; before+1 != seq {
 		return fmt.Sprintf("it follows segment %d, expected %d: one is missing", before, seq-1)
 	}
-	if sum != l.checksum || next != l.index.next() {
+	if checksum != l.checksum || next != l.index.next() {
 		return "it does not go on from the segment before"
 	}
 	return ""
 }
 
-// scannedRecord is a record of a flush that is not complete yet.
+// scannedRecord is a record of a flush whose end was not read yet.
 type scannedRecord struct {
-	kind   byte // without the flags of a flush
+	kind   byte // without flags
 	number uint64
 	data   []byte
 	offset int
 }
 
-// segmentScan reads a segment's records in order.
+// segmentScan reads the records of a segment in order.
 type segmentScan struct {
 	raw      []byte
-	offset   int             // of the next record
-	complete int             // end of the last complete flush
-	checksum uint32          // before the next record
+	offset   int             // of the next record in raw
+	flushEnd int             // end of the last complete flush
+	checksum uint32          // of the record before the next one
 	next     uint64          // number of the next entry
-	flush    []scannedRecord // records of the flush that is being read
+	flush    []scannedRecord // records of the current flush
 }
 
-// readRecords reads a segment's records flush by flush; a flush counts once it is complete. An incomplete one at the
-// end of the newest segment was never synced, and is cut off. Anywhere else what can't be read was durable once:
-// damage.
+// readRecords applies the records of a segment flush by flush, each only once it is complete. An incomplete flush at
+// the end of the newest segment was never synced and is truncated; unreadable data anywhere else was durable and is
+// reported as *Damage.
 func (l *Log) readRecords(s *segment, raw []byte, newest bool, repair *Repair) error {
-	scan := &segmentScan{raw: raw, offset: segmentHeaderBytes, complete: segmentHeaderBytes, checksum: l.checksum,
+	scan := &segmentScan{raw: raw, offset: segmentHeaderBytes, flushEnd: segmentHeaderBytes, checksum: l.checksum,
 		next: l.index.next()}
-	fault := ""
-	for scan.offset < len(raw) && fault == "" {
-		var ended bool
-		if ended, fault = scan.record(); ended {
+	problem := ""
+	for scan.offset < len(raw) && problem == "" {
+		var last bool
+		if last, problem = scan.scanRecord(); last {
 			l.applyFlush(s, scan.flush)
-			l.checksum, scan.complete, scan.flush = scan.checksum, scan.offset, scan.flush[:0]
+			l.checksum, scan.flushEnd, scan.flush = scan.checksum, scan.offset, scan.flush[:0]
 		}
 	}
-	if scan.complete == len(raw) {
-		return l.settle(s, newest)
+	if scan.flushEnd == len(raw) {
+		return l.syncRecovered(s, newest)
 	}
 	if !newest || scan.wasDurable() {
-		if fault == "" {
-			fault = "the flush it belongs to has no end"
+		if problem == "" {
+			problem = "the flush it belongs to has no end"
 		}
 		record := fmt.Sprintf("the record of entry %d or a mark before it", scan.next)
-		return &Damage{s.name, int64(scan.offset), record, fault}
+		return &Damage{s.name, int64(scan.offset), record, problem}
 	}
-	repair.TornAt = fmt.Sprintf("%s at byte %d", s.name, scan.complete)
-	repair.TornBytes = int64(len(raw) - scan.complete)
-	if err := s.file.Truncate(int64(scan.complete)); err != nil {
+	repair.TornAt = fmt.Sprintf("%s at byte %d", s.name, scan.flushEnd)
+	repair.TornBytes = int64(len(raw) - scan.flushEnd)
+	if err := s.file.Truncate(int64(scan.flushEnd)); err != nil {
 		return err
 	}
-	s.size = int64(scan.complete)
-	return l.settle(s, newest)
+	s.size = int64(scan.flushEnd)
+	return l.syncRecovered(s, newest)
 }
 
-// record reads the next record. ended tells that it is the last of its flush; fault is why it can't be read, empty if
-// it can.
-func (c *segmentScan) record() (ended bool, fault string) {
-	flags, number, data, ok := readRecord(c.raw[c.offset:], c.checksum)
+// scanRecord reads the next record. last is true for the last one of a flush; problem says why the record can't be read
+// and is empty if it can.
+func (s *segmentScan) scanRecord() (last bool, problem string) {
+	flags, number, data, ok := readRecord(s.raw[s.offset:], s.checksum)
 	kind := flags & kindMask
 	switch {
 	case !ok:
 		return false, "its sum does not fit"
-	case (flags&firstOfFlush != 0) != (len(c.flush) == 0):
-		return false, "it is out of its flush"
-	case kind == kindEntry && number != c.next:
-		return false, fmt.Sprintf("entry %d, expected %d", number, c.next)
+	case (flags&firstOfFlush != 0) != (len(s.flush) == 0):
+		return false, "its flush flags do not fit the record before"
+	case kind == kindEntry && number != s.next:
+		return false, fmt.Sprintf("entry %d, expected %d", number, s.next)
 	case kind == kindMark && number >= MaxMarkKinds:
-		return false, fmt.Sprintf("mark %d, expected one below %d", number, MaxMarkKinds)
+		return false, fmt.Sprintf("a mark of kind %d, expected kinds below %d", number, MaxMarkKinds)
 	case kind == kindCut && number == 0:
-		return false, "a cut to entry 0"
+		return false, "a cut to entry 0, expected at least 1"
 	}
 	switch kind {
 	case kindEntry:
-		c.next++
+		s.next++
 	case kindCut:
-		c.next = number
+		s.next = number
 	}
-	c.flush = append(c.flush, scannedRecord{kind, number, data, c.offset})
-	c.offset += recordHeaderBytes + len(data) + checksumBytes
-	c.checksum = binary.LittleEndian.Uint32(c.raw[c.offset-checksumBytes:])
+	s.flush = append(s.flush, scannedRecord{kind, number, data, s.offset})
+	s.offset += recordHeaderBytes + len(data) + checksumBytes
+	s.checksum = binary.LittleEndian.Uint32(s.raw[s.offset-checksumBytes:])
 	return flags&lastOfFlush != 0, ""
 }
 
-// wasDurable tells whether what stands at the scan's offset was synced once: a flush begins after it, and each flush is
-// synced before the next is written.
-func (c *segmentScan) wasDurable() bool {
-	if flushStartsAfter(c.raw, c.offset) {
+// wasDurable reports whether the unreadable data at the scan's offset had been synced: that is so if a later flush
+// follows it, because each flush is synced before the next is written.
+func (s *segmentScan) wasDurable() bool {
+	if flushStartsAfter(s.raw, s.offset) {
 		return true
 	}
-	_, _, _, next, ok := readRecordByNext(c.raw[c.offset:], c.checksum)
+	_, _, _, next, ok := readRecordWithBadChecksum(s.raw[s.offset:], s.checksum)
 	return ok && next&firstOfFlush != 0
 }
 
-// applyFlush takes over what a complete flush says.
+// applyFlush applies the records of a complete flush to the index and the marks.
 func (l *Log) applyFlush(s *segment, flush []scannedRecord) {
 	for _, r := range flush {
 		switch r.kind {
@@ -254,8 +258,9 @@
 	}
 }
 
-// settle syncs what was read, names too: a process that was killed may have left it written but not synced.
-func (l *Log) settle(s *segment, newest bool) error {
+// syncRecovered syncs the newest segment and the file names: a killed process may have left records written but not
+// synced, and they count as durable once they were read.
+func (l *Log) syncRecovered(s *segment, newest bool) error {
 	if !newest {
 		return nil
 	}
@@ -265,6 +270,7 @@
 	return l.fs.Sync()
 }
 
+// parseFileName returns the number in a file name of sixteen hexadecimal digits and a suffix.
 func parseFileName(name, suffix string) (uint64, bool) {
 	if len(name) != 16+len(suffix) || !strings.HasSuffix(name, suffix) {
 		return 0, false
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -7,20 +7,22 @@
 	"hash/crc32"
 )
 
-// A segment's file opens with a header whose last four bytes are the sum that its first record takes in:
+// A segment file starts with a header. Its last four bytes are the checksum of the last record of the previous segment,
+// which the checksum of the first record continues. Numbers are little-endian:
 //
-//	"umberwal" | sum of what follows u32 | format u32 | sequence u64 | next entry u64 | sum before u32
+//	"umberwal" | checksum of the rest u32 | format u32 | sequence u64 | next entry u64 | previous checksum u32
 const (
 	segmentHeaderBytes = 36
-	magic              = "umberwal"
-	format             = 1
+	segmentMagic       = "umberwal"
+	segmentFormat      = 1
 	segmentSuffix      = ".seg"
 	temporarySuffix    = ".tmp"
-	maxSegmentBytes    = 1 << 30 // a segment read whole at a start: past this it is not ours
+	maxSegmentBytes    = 1 << 30 // larger files are rejected, as segments are read into memory whole
 )
 
+// segment is an open segment file.
 type segment struct {
-	sequence uint64
+	sequence uint64 // consecutive within a log
 	name     string
 	size     int64
 	file     File
@@ -28,13 +30,14 @@
 
 func segmentName(seq uint64) string { return fmt.Sprintf("%016x", seq) + segmentSuffix }
 
-func createSegment(fs FS, seq, next uint64, sum uint32) (*segment, error) {
+// createSegment creates a segment whose first entry will be next, and syncs its header and name.
+func createSegment(fs FS, seq, next uint64, checksum uint32) (*segment, error) {
 	raw := make([]byte, segmentHeaderBytes)
-	copy(raw, magic)
-	binary.LittleEndian.PutUint32(raw[12:], format)
+	copy(raw, segmentMagic)
+	binary.LittleEndian.PutUint32(raw[12:], segmentFormat)
 	binary.LittleEndian.PutUint64(raw[16:], seq)
 	binary.LittleEndian.PutUint64(raw[24:], next)
-	binary.LittleEndian.PutUint32(raw[32:], sum)
+	binary.LittleEndian.PutUint32(raw[32:], checksum)
 	binary.LittleEndian.PutUint32(raw[8:], crc32.Checksum(raw[12:], castagnoli))
 	s := &segment{sequence: seq, name: segmentName(seq), size: segmentHeaderBytes}
 	var err error
