--- a/internal/node/server/fleet_agent.go
+++ b/internal/node/server/fleet_agent.go
@@ -23,27 +23,27 @@
 
 // Messages of the fleet agent. Log readers, fault tests among them, know the lines by them.
 const (
-	logFleetJoining       = "node joins its fleet"
-	logNodeServes         = "node serves"
-	logNodeFenced         = "node is fenced: all requests are rejected"
-	logVersionActivated   = "policy version is active"
-	logZoneOrder          = "zone order is in effect"
-	logAutonomous         = "node serves autonomously, without the group"
-	logAutonomousShare    = "autonomous for long: quota by the node's own rule"
-	logColdStartShare     = "cold start without the group: serving begins with a quota"
-	logHeartbeatFailed    = "heartbeat failed"
-	logResponseRejected   = "heartbeat response rejected"
-	logGenerationFollowed = "a restored generation of the group is followed"
-	logIncarnationEnded   = "the group ended this incarnation: the node joins anew"
-	logRecordRequested    = "the group is being restored: the node's record is sent"
-	logRecordNotSent      = "the node's record did not arrive"
-	logRecordNotStored    = "the node's record can't be stored"
-	logLeftoversStay      = "unfinished records of an earlier process stay"
-	logStoredUnusable     = "a stored policy version can't be used"
-	logFetchFailed        = "a policy version can't be fetched"
-	logVersionUnusable    = "a policy version does not fit this node"
-	logTrialFailed        = "a policy version failed its trial"
-	logTrialPassed        = "a policy version passed its trial"
+	logFleetJoining          = "node joins its fleet"
+	logNodeServes            = "node serves"
+	logNodeFenced            = "node is fenced: all requests are rejected"
+	logVersionActivated      = "policy version is active"
+	logZoneOrder             = "zone order is in effect"
+	logAutonomous            = "node serves autonomously, without the group"
+	logAutonomousQuota       = "autonomous for long: quota by the node's own rule"
+	logColdStartQuota        = "cold start without the group: serving begins with a quota"
+	logHeartbeatFailed       = "heartbeat failed"
+	logResponseRejected      = "heartbeat response rejected"
+	logGenerationRestored    = "a restored generation of the group is followed"
+	logIncarnationEnded      = "the group ended this incarnation: the node joins anew"
+	logRecordRequested       = "the group is being restored: the node's record is sent"
+	logRecordNotSent         = "the node's record did not arrive"
+	logRecordNotStored       = "the node's record can't be stored"
+	logTempFilesNotRemoved   = "unfinished records of an earlier process stay"
+	logStoredVersionUnusable = "a stored policy version can't be used"
+	logFetchFailed           = "a policy version can't be fetched"
+	logVersionUnusable       = "a policy version does not fit this node"
+	logTrialFailed           = "a policy version failed its trial"
+	logTrialPassed           = "a policy version passed its trial"
 )
 
 // fleetHost is what the fleet agent needs of the server around it. runOnLoop may be called by any goroutine, the rest
@@ -86,11 +86,11 @@
 	versions   versionFetcher
 	record     recordStore
 
-	fenced     bool
-	autonomous bool
-	retired    []bool             // by handler: the active version takes no new request of it
-	timerAt    agent.Milliseconds // the timer is set for then
-	spread     retryafter.Spreader
+	fenced      bool
+	autonomous  bool
+	retired     []bool             // by handler: the active version takes no new request of it
+	timerSetFor agent.Milliseconds // the timer is set for then
+	retryTimes  retryafter.Spreader
 }
 
 // steadyClock gives the present time of a clock that nobody sets: bootTime, or a test's own.
@@ -141,10 +141,10 @@
 func newFleetAgent(host fleetHost, log *logrus.Logger, c *config.Fleet, startup *Node) (*fleetAgent, error) {
 	handlers := len(host.platform().Deployment.Handlers)
 	f := &fleetAgent{host: host, clock: bootTime, log: log, config: c, fenced: true, retired: make([]bool, handlers),
-		recording: shadow.NewRecording(handlers), meter: zonegate.NewMeter(bootTime(), handlerValues(host.platform())),
+		recording: shadow.NewRecording(handlers), meter: zonegate.NewMeter(bootTime(), handlerWeights(host.platform())),
 		heartbeats: newControlClient(), probes: prober{client: newControlClient()},
 		versions: versionFetcher{client: newControlClient(), timeout: minFetchTimeout,
-			atHand: map[uint64]versionAtHand{}}}
+			available: map[uint64]fetchedVersion{}}}
 	about, err := agentConfig(c, startup)
 	if err != nil {
 		return nil, err
@@ -180,7 +180,7 @@
 	f.updateAutonomous(now, ok)
 	f.storePending(now)
 	f.sendHeartbeat(now)
-	f.fetchIfWanted(now)
+	f.fetchPending(now)
 	f.setTimer(now)
 }
 
@@ -196,8 +196,8 @@
 		}
 	}
 	at = min(max(at, now+1), now+maxTickInterval)
-	if f.timerAt <= now || at < f.timerAt {
-		f.timerAt = at
+	if f.timerSetFor <= now || at < f.timerSetFor {
+		f.timerSetFor = at
 		f.host.setFleetTimer(at - now)
 	}
 }
@@ -213,8 +213,8 @@
 	return logrus.Fields{logging.Epoch: f.gate.Epoch(), logging.Share: f.gate.Share()}
 }
 
-// handlerValues gives the priority weight of each handler.
-func handlerValues(p *settings.Startup) []float64 {
+// handlerWeights gives the priority weight of each handler.
+func handlerWeights(p *settings.Startup) []float64 {
 	out := make([]float64, len(p.Deployment.Handlers))
 	for i := range p.Deployment.Handlers {
 		out[i] = p.Deployment.Handlers[i].Value
--- a/internal/node/server/fleet_agent_test.go
+++ b/internal/node/server/fleet_agent_test.go
@@ -74,8 +74,8 @@
 	_ = json.NewEncoder(w).Encode(&c.response)
 }
 
-// answers changes what the instance says.
-func (c *testControl) answers(change func(*api.HeartbeatResponse)) {
+// setResponse changes what the instance says.
+func (c *testControl) setResponse(change func(*api.HeartbeatResponse)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.response.Index++
@@ -145,12 +145,12 @@
 		!strings.Contains(string(raw), `"version":1`) {
 		t.Errorf("record %s, %v", raw, err)
 	}
-	control.answers(func(r *api.HeartbeatResponse) { r.Zone = &api.ZoneOrder{Epoch: 4, Share: 0, TTLMS: 60_000} })
+	control.setResponse(func(r *api.HeartbeatResponse) { r.Zone = &api.ZoneOrder{Epoch: 4, Share: 0, TTLMS: 60_000} })
 	ticksUntil("the zone's order", func() bool { return f.gate.Epoch() == 4 })
 	if why := f.rejection(0, request, "", &response); why != rejectedByZone || host.rejected != 1 || f.takesTraffic() {
 		t.Errorf("evacuated: %v, queue rejected %d times", why, host.rejected)
 	}
-	control.answers(func(r *api.HeartbeatResponse) {
+	control.setResponse(func(r *api.HeartbeatResponse) {
 		r.Zone = &api.ZoneOrder{Epoch: 5, Share: api.FullShare,
 			TTLMS: 60_000}
 	})
@@ -176,9 +176,9 @@
 	}
 }
 
-// TestVersionThatDoesNotFit: the group prepares a version that contradicts what the platform has promised callers.
+// TestVersionConflictsWithSettings: the group prepares a version that contradicts what the platform has promised callers.
 // The node votes against it with its reason and goes on under the version it has.
-func TestVersionThatDoesNotFit(t *testing.T) {
+func TestVersionConflictsWithSettings(t *testing.T) {
 	log, lines := logtest.NewNullLogger()
 	host := &testHost{callbacks: make(chan func(), 16), log: log,
 		settings: &settings.Startup{HandlerIndex: map[string]int{"get": 0},
--- a/internal/node/server/fleet_heartbeat.go
+++ b/internal/node/server/fleet_heartbeat.go
@@ -67,17 +67,17 @@
 	f.heartbeats.requests <- &controlRequest{address: address, method: methodPost, path: pathHeartbeat, body: body,
 		timeout: time.Duration(f.agent.HeartbeatTimeout()) * time.Millisecond,
 		done: func(r controlResponse) {
-			f.host.runOnLoop(func() { f.heartbeatAnswered(address, sequence, r) })
+			f.host.runOnLoop(func() { f.heartbeatDone(address, sequence, r) })
 		}}
 }
 
-// heartbeatAnswered takes what came of a heartbeat.
-func (f *fleetAgent) heartbeatAnswered(address string, sequence uint64, r controlResponse) {
+// heartbeatDone takes what came of a heartbeat.
+func (f *fleetAgent) heartbeatDone(address string, sequence uint64, r controlResponse) {
 	now := f.clock()
 	var response api.HeartbeatResponse
 	if err := r.decode(&response); err != nil {
 		f.host.counts().HeartbeatsLost++
-		f.limitedLog(logrus.Fields{logging.Address: address, logging.Error: err}, logHeartbeatFailed)
+		f.logLimited(logrus.Fields{logging.Address: address, logging.Error: err}, logHeartbeatFailed)
 		f.agent.HandleFailure(now, sequence)
 		return
 	}
@@ -88,27 +88,27 @@
 		return
 	}
 	if f.agent.TakeRecordRequest() {
-		f.limitedLog(logrus.Fields{logging.Address: address}, logRecordRequested)
+		f.logLimited(logrus.Fields{logging.Address: address}, logRecordRequested)
 		f.sendRecord()
 		return
 	}
 	if is := f.agent.LastSeen().Generation; is != generation && generation != 0 {
-		f.log.WithField(logging.Generation, is).Warn(logGenerationFollowed)
+		f.log.WithField(logging.Generation, is).Warn(logGenerationRestored)
 		f.storeRecord()
 	}
 	if response.EndedReason != "" {
-		f.limitedLog(logrus.Fields{logging.Reason: response.EndedReason}, logIncarnationEnded)
+		f.logLimited(logrus.Fields{logging.Reason: response.EndedReason}, logIncarnationEnded)
 	}
 	epoch := f.gate.Epoch()
 	f.setZoneOrder(now, f.agent.ZoneOrder()) // the agent's: of a response that came too late it has taken nothing
 	if f.agent.MinVersion() > minVersion || f.gate.Epoch() != epoch {
 		f.storeRecord()
 	}
-	f.probes.begin(response.ProbeTargets, f.host)
+	f.probes.start(response.ProbeTargets, f.host)
 }
 
-// limitedLog writes a line that may come often.
-func (f *fleetAgent) limitedLog(fields logrus.Fields, message string) {
+// logLimited writes a line that may come often.
+func (f *fleetAgent) logLimited(fields logrus.Fields, message string) {
 	if log := f.host.limitLog(); log != nil {
 		log.WithFields(fields).Info(message)
 	}
@@ -126,8 +126,8 @@
 	probing bool
 }
 
-// begin takes new targets, unless a probe of earlier ones is in flight.
-func (p *prober) begin(targets []api.ProbeTarget, host fleetHost) {
+// start takes new targets, unless a probe of earlier ones is in flight.
+func (p *prober) start(targets []api.ProbeTarget, host fleetHost) {
 	if !p.probing {
 		p.targets = targets
 		p.next(host)
@@ -144,12 +144,12 @@
 	p.client.requests <- &controlRequest{address: target.Addr, method: methodGet, path: pathHealth,
 		timeout: probeTimeout,
 		done: func(r controlResponse) {
-			host.runOnLoop(func() { p.answered(target.Name, r, host) })
+			host.runOnLoop(func() { p.probeDone(target.Name, r, host) })
 		}}
 }
 
-// answered takes what came of a probe.
-func (p *prober) answered(name string, r controlResponse, host fleetHost) {
+// probeDone takes what came of a probe.
+func (p *prober) probeDone(name string, r controlResponse, host fleetHost) {
 	p.probing = false
 	health := api.PeerHealth{Name: name, Health: api.PeerSilent}
 	switch {
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -74,7 +74,7 @@
 		// The controller is told that nobody waits for it any more, which is so once it is answered here.
 		l.nextRound().Disconnected = append(l.nextRound().Disconnected, uint32(h))
 		l.answer(h, r, wire.Response{Status: wire.StatusServiceUnavailable,
-			RetryAfterMS: l.retryAfter(&l.fleet.spread, 0)})
+			RetryAfterMS: l.retryAfter(&l.fleet.retryTimes, 0)})
 	}
 }
 
@@ -89,7 +89,7 @@
 
 // activate has the controller and the run slots go on under another version.
 func (l *loop) activate(version *overlay.Settings) {
-	l.settings.Deployment = activated(version, l.settings.Deployment)
+	l.settings.Deployment = overlayDeployment(version, l.settings.Deployment)
 	if l.controller != nil {
 		l.controller.Adopt(l.settings.Deployment)
 	}
--- a/internal/node/server/fleet_record.go
+++ b/internal/node/server/fleet_record.go
@@ -43,7 +43,7 @@
 		return nil, nil
 	}
 	if err := removeUnfinished(f.config.Folder); err != nil { // the folder serves with them
-		f.log.WithError(err).Warn(logLeftoversStay)
+		f.log.WithError(err).Warn(logTempFilesNotRemoved)
 	}
 	found, err := loadRecord(f.config.Folder, &f.record.record)
 	if err != nil || !found {
@@ -55,7 +55,7 @@
 // loadStoredVersions takes the versions of the record that still fit the platform's settings.
 func (f *fleetAgent) loadStoredVersions() {
 	r := &f.record.record
-	for _, stored := range []versionAtHand{
+	for _, stored := range []fetchedVersion{
 		{version: api.VersionHash{Version: r.ActiveVersion, Hash: r.ActiveHash}, text: r.ActiveText},
 		{version: api.VersionHash{Version: r.PreparedVersion, Hash: r.PreparedHash}, text: r.PreparedText}} {
 		if stored.version.Version == 0 || stored.text == "" {
@@ -64,12 +64,12 @@
 		settings, err := f.checkVersion(stored.version, stored.text)
 		if err != nil {
 			f.log.WithFields(logrus.Fields{logging.PolicyVersion: stored.version.Version, logging.Error: err}).
-				Warn(logStoredUnusable)
+				Warn(logStoredVersionUnusable)
 			f.agent.DropPrepared(stored.version.Version)
 			continue
 		}
 		stored.settings = settings
-		f.versions.atHand[stored.version.Version] = stored
+		f.versions.available[stored.version.Version] = stored
 	}
 }
 
@@ -105,7 +105,7 @@
 	if active == r.ActiveVersion {
 		return
 	}
-	if v, atHand := f.versions.atHand[active]; atHand {
+	if v, atHand := f.versions.available[active]; atHand {
 		r.ActiveVersion, r.ActiveText, r.ActiveAutonomous = active, v.text, v.settings.Document.Fleet.Autonomous
 		r.ActiveHash = document.Hash([]byte(v.text))
 	}
@@ -163,7 +163,7 @@
 		r.err = &statusError{r.status, r.body}
 	}
 	if r.err != nil {
-		f.limitedLog(logrus.Fields{logging.Address: address, logging.Error: r.err}, logRecordNotSent)
+		f.logLimited(logrus.Fields{logging.Address: address, logging.Error: r.err}, logRecordNotSent)
 	}
 }
 
@@ -178,7 +178,7 @@
 	if r.PreparedVersion > r.ActiveVersion {
 		out.PreparedVersion, out.PreparedHash, out.PreparedText = r.PreparedVersion, r.PreparedHash, r.PreparedText
 	}
-	for n, v := range f.versions.atHand { // beside the active one there is one at most
+	for n, v := range f.versions.available { // beside the active one there is one at most
 		if n > r.ActiveVersion && out.PreparedVersion == 0 {
 			out.PreparedVersion, out.PreparedText, out.PreparedHash = n, v.text, document.Hash([]byte(v.text))
 		}
--- a/internal/node/server/fleet_serving.go
+++ b/internal/node/server/fleet_serving.go
@@ -33,7 +33,7 @@
 // own rule; one that starts so begins with the quota of a cold start, where its version has one.
 func (f *fleetAgent) updateAutonomous(now agent.Milliseconds, mayServe bool) {
 	if f.autonomous && f.gate.ContinueAutonomously(now, f.meter.Healthy(now, f.host.runsInFlight())) {
-		f.log.WithFields(f.shareFields()).Warn(logAutonomousShare)
+		f.log.WithFields(f.shareFields()).Warn(logAutonomousQuota)
 		f.host.refreshReadiness()
 	}
 	autonomous := mayServe && f.agent.Autonomous(now)
@@ -45,7 +45,7 @@
 		return
 	}
 	f.log.WithFields(f.leaseFields()).Warn(logAutonomous)
-	version, atHand := f.versions.atHand[f.agent.ActiveVersion()]
+	version, atHand := f.versions.available[f.agent.ActiveVersion()]
 	if !atHand || f.agent.GroupContacted() {
 		return
 	}
@@ -53,20 +53,20 @@
 	if zones.SmallStart && api.ZoneMode(zones.Mode) == api.ZoneModeAuto {
 		share := int(math.Round(zones.FirstShare * api.FullShare))
 		f.gate.BeginAutonomousColdStart(now, share, uint64(zones.StepTime.Milliseconds()))
-		f.log.WithFields(f.shareFields()).Info(logColdStartShare)
+		f.log.WithFields(f.shareFields()).Info(logColdStartQuota)
 	}
 }
 
 // activate has the controller go on under another version. The loop is between two rounds here.
 func (f *fleetAgent) activate(now agent.Milliseconds, version api.VersionHash) {
-	v, atHand := f.versions.atHand[version.Version]
+	v, atHand := f.versions.available[version.Version]
 	if !atHand {
 		f.agent.DropPrepared(version.Version) // it is fetched again
 		return
 	}
 	f.host.activate(v.settings)
 	f.retired = v.settings.RetiredHandlers
-	f.meter.SetWeights(handlerValues(f.host.platform()))
+	f.meter.SetWeights(handlerWeights(f.host.platform()))
 	f.agent.MarkActive(now, version, v.settings.Document.Fleet.Autonomous)
 	f.host.counts().VersionsAdopted++
 	f.log.WithField(logging.PolicyVersion, version.Version).Info(logVersionActivated)
@@ -87,7 +87,7 @@
 		return notRejected
 	case f.fenced:
 		f.host.counts().RejectedFenced++
-		response.RetryAfterMS = f.host.retryAfter(&f.spread, 0)
+		response.RetryAfterMS = f.host.retryAfter(&f.retryTimes, 0)
 		return nodeFenced
 	case f.retired[handler]:
 		response.NoRetry = true
@@ -100,7 +100,7 @@
 	}
 	f.host.counts().RejectedByZone++
 	f.meter.RequestRejected(now, handler, q.IsRetry)
-	response.NoRetry, response.RetryAfterMS = decision.Final, f.host.retryAfter(&f.spread,
+	response.NoRetry, response.RetryAfterMS = decision.Final, f.host.retryAfter(&f.retryTimes,
 		f.gate.RetryAfter(now, asked))
 	return rejectedByZone
 }
@@ -120,8 +120,8 @@
 // takesTraffic tells whether health checks and discovery may say that this node is ready.
 func (f *fleetAgent) takesTraffic() bool { return f == nil || !f.fenced && !f.gate.Evacuated() }
 
-// admitsConnection tells whether a connection to the store may be opened now, by the zone's connection rate limit.
-func (f *fleetAgent) admitsConnection() bool { return f == nil || f.gate.AdmitConnection(f.clock()) }
+// admitConnection tells whether a connection to the store may be opened now, by the zone's connection rate limit.
+func (f *fleetAgent) admitConnection() bool { return f == nil || f.gate.AdmitConnection(f.clock()) }
 
 // What the load report and the recording for trials are made of. On a nil agent they do nothing.
 
@@ -180,8 +180,8 @@
 	}
 }
 
-// activated lays a version over the platform's deployment, which keeps what only the platform knows.
-func activated(version *overlay.Settings, platform *admission.Deployment) *admission.Deployment {
+// overlayDeployment lays a version over the platform's deployment, which keeps what only the platform knows.
+func overlayDeployment(version *overlay.Settings, platform *admission.Deployment) *admission.Deployment {
 	d := *version.Deployment
 	d.Pools, d.Start, d.ColdStart = platform.Pools, platform.Start, platform.ColdStart
 	return &d
--- a/internal/node/server/fleet_version.go
+++ b/internal/node/server/fleet_version.go
@@ -32,8 +32,8 @@
 	errWrongVersion = errors.New("found another version than was asked for")
 )
 
-// versionAtHand is a version that was fetched, checked against the platform's settings, and tried or committed.
-type versionAtHand struct {
+// fetchedVersion is a version that was fetched, checked against the platform's settings, and tried or committed.
+type fetchedVersion struct {
 	version  api.VersionHash
 	text     string
 	settings *overlay.Settings
@@ -46,23 +46,23 @@
 	committed bool            // it is activated whatever its trial would say
 	timeout   time.Duration
 	retryAt   agent.Milliseconds
-	atHand    map[uint64]versionAtHand // two or three
+	available map[uint64]fetchedVersion // two or three
 }
 
 // dropOlder forgets versions before one.
 func (v *versionFetcher) dropOlder(version uint64) {
-	for n := range v.atHand {
+	for n := range v.available {
 		if n < version {
-			delete(v.atHand, n)
+			delete(v.available, n)
 		}
 	}
 }
 
-// done ends the work on the current version.
-func (v *versionFetcher) done() { v.current = api.VersionHash{} }
+// finish ends the work on the current version.
+func (v *versionFetcher) finish() { v.current = api.VersionHash{} }
 
-// fetchIfWanted fetches the version that the agent wants, if none is on its way.
-func (f *fleetAgent) fetchIfWanted(now agent.Milliseconds) {
+// fetchPending fetches the version that the agent wants, if none is on its way.
+func (f *fleetAgent) fetchPending(now agent.Milliseconds) {
 	v := &f.versions
 	version, committed, wanted := f.agent.VersionToFetch()
 	if !wanted || v.current.Version != 0 || now < v.retryAt {
@@ -94,10 +94,10 @@
 		err = fmt.Errorf("%w: %d", errWrongVersion, response.Version)
 	}
 	if err != nil {
-		f.limitedLog(logrus.Fields{logging.PolicyVersion: version.Version, logging.Address: address,
+		f.logLimited(logrus.Fields{logging.PolicyVersion: version.Version, logging.Address: address,
 			logging.Error: err},
 			logFetchFailed)
-		v.done()
+		v.finish()
 		v.retryAt = now + fetchRetryDelay
 		v.timeout = min(2*v.timeout, maxFetchTimeout)
 		return
@@ -108,7 +108,7 @@
 		return
 	}
 	v.timeout = minFetchTimeout
-	f.tryVersion(versionAtHand{version: version, text: response.Text, settings: settings})
+	f.evaluateVersion(fetchedVersion{version: version, text: response.Text, settings: settings})
 }
 
 // checkVersion reads a document and lays it over the platform's settings.
@@ -129,14 +129,14 @@
 	permanent bool) {
 	f.log.WithFields(logrus.Fields{logging.PolicyVersion: version.Version, logging.Error: why}).Warn(message)
 	f.agent.Reject(now, version.Version, why.Error(), permanent)
-	f.versions.done()
+	f.versions.finish()
 }
 
-// tryVersion evaluates a version on the requests that came lately, off the loop: by a goroutine that ends with the
+// evaluateVersion evaluates a version on the requests that came lately, off the loop: by a goroutine that ends with the
 // trial, of which there is one at a time. One that is committed needs no trial.
-func (f *fleetAgent) tryVersion(v versionAtHand) {
+func (f *fleetAgent) evaluateVersion(v fetchedVersion) {
 	if f.versions.committed || f.config.NoTrialRun {
-		go f.host.runOnLoop(func() { f.versionTried(v, shadow.Verdict{}, 0) })
+		go f.host.runOnLoop(func() { f.versionEvaluated(v, shadow.Verdict{}, 0) })
 		return
 	}
 	current, recording := *f.host.platform().Deployment, f.recording.Snapshot()
@@ -146,12 +146,12 @@
 		started := time.Now()
 		verdict := shadow.Evaluate(&current, v.settings.Deployment, v.settings.RetiredHandlers, recording, limits)
 		took := time.Since(started)
-		f.host.runOnLoop(func() { f.versionTried(v, verdict, took) })
+		f.host.runOnLoop(func() { f.versionEvaluated(v, verdict, took) })
 	}()
 }
 
-// versionTried takes the verdict of a trial: a version that passed is stored, and then counts as prepared.
-func (f *fleetAgent) versionTried(v versionAtHand, verdict shadow.Verdict, took time.Duration) {
+// versionEvaluated takes the verdict of a trial: a version that passed is stored, and then counts as prepared.
+func (f *fleetAgent) versionEvaluated(v fetchedVersion, verdict shadow.Verdict, took time.Duration) {
 	now := f.clock()
 	if verdict.Reason != "" {
 		f.rejectVersion(now, v.version, errors.New(verdict.Reason), logTrialFailed, false)
@@ -159,7 +159,7 @@
 	}
 	f.log.WithFields(logrus.Fields{logging.PolicyVersion: v.version.Version, logging.Count: verdict.Requests,
 		logging.ElapsedMS: took.Milliseconds()}).Info(logTrialPassed)
-	f.versions.atHand[v.version.Version] = v
+	f.versions.available[v.version.Version] = v
 	if f.config.Folder == "" {
 		f.versionPrepared(now)
 		return
@@ -173,5 +173,5 @@
 // versionPrepared tells the agent that the current version can be activated at any time.
 func (f *fleetAgent) versionPrepared(now agent.Milliseconds) {
 	f.agent.MarkPrepared(now, f.versions.current)
-	f.versions.done()
+	f.versions.finish()
 }
--- a/internal/node/server/imports_test.go
+++ b/internal/node/server/imports_test.go
@@ -8,7 +8,7 @@
 
 // A node has a few MB for all it holds: with net/http linked in, its tables and goroutines would take a good part of
 // it.
-func TestNetHTTPIsNotLinkedIn(t *testing.T) {
+func TestNetHTTPNotLinked(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/server/kernel_link.go
+++ b/internal/node/server/kernel_link.go
@@ -14,14 +14,14 @@
 type kernelState uint8
 
 const (
-	kernelOff kernelState = iota
+	kernelDisconnected kernelState = iota
 	kernelOpened
-	kernelReplays // the kernel is up, and sends the events that were missed
+	kernelReplaying // the kernel is up, and sends the events that were missed
 	kernelLive
 )
 
-// unsent is the number of a command that no link has taken yet.
-const unsent = ^uint64(0)
+// unsentCommand is the number of a command that no link has taken yet.
+const unsentCommand = ^uint64(0)
 
 // kernelLink is the link to the process that carries out runs. It owns the order of commands and events: each event is
 // handled once and in its order, and a command that may have been lost with a link is sent again, but only after what
@@ -29,30 +29,30 @@
 // the next number; answered gauges prove that all before them on the same link were read. It ends with the process.
 type kernelLink struct {
 	link
-	state         kernelState
-	lastSequence  uint64 // of the last event handled
-	sent          uint64 // number of the last command
-	provenRead    uint64 // commands up to this one were surely read: they are not sent again
-	provenNext    uint64 // up to the last answer that was kept; becomes provenRead once it is AckSafetyMargin old
-	provenNextAt  admission.Time
-	gaugesRequest uint64 // number of the request for gauges that a wake-up waits for
-	gaugesBy      admission.Time
-	replayRequest uint64 // number of the request whose answer ends the replay
-	noEventYet    bool   // over this link
+	state              kernelState
+	lastSequence       uint64 // of the last event handled
+	sent               uint64 // number of the last command
+	provenRead         uint64 // commands up to this one were surely read: they are not sent again
+	nextAcknowledged   uint64 // up to the last answer that was kept; becomes provenRead once it is AckSafetyMargin old
+	nextAcknowledgedAt admission.Time
+	gaugesRequest      uint64 // number of the request for gauges that a wake-up waits for
+	gaugesDeadline     admission.Time
+	replayRequest      uint64 // number of the request whose answer ends the replay
+	awaitsFirstEvent   bool   // over this link
 }
 
 // kernelUp begins on a link that was opened: the kernel hears which event was the last that was handled, and sends
 // those after it again. See row "kernel link broken or moved" in docs/design/shutdown.md.
 func (l *loop) kernelUp() {
 	k := &l.kernel
-	k.state, k.noEventYet = kernelOpened, true
+	k.state, k.awaitsFirstEvent = kernelOpened, true
 	k.dialed.writer.send(wire.AppendKernelOpen(l.scratch[:0], k.lastSequence), l.limits.LinkQueue)
 }
 
 // kernelDown takes the end of the link: nobody answers with gauges.
 func (l *loop) kernelDown() {
 	k := &l.kernel
-	k.state, k.gaugesRequest = kernelOff, 0
+	k.state, k.gaugesRequest = kernelDisconnected, 0
 	l.wakeWithoutGauges()
 }
 
@@ -60,13 +60,13 @@
 func (l *loop) sendToKernel() uint64 {
 	k := &l.kernel
 	if k.state != kernelLive {
-		return unsent
+		return unsentCommand
 	}
 	if !k.dialed.writer.send(l.scratch, l.limits.LinkQueue) {
 		// Not from within a round: what is lost is sent again on the next link. See row "link that takes nothing" in
 		// docs/design/shutdown.md.
 		l.reconnectKernel = true
-		return unsent
+		return unsentCommand
 	}
 	k.sent++
 	return k.sent
@@ -116,9 +116,9 @@
 		return
 	}
 	l.scratch = wire.AppendKernelGaugesRequest(l.scratch[:0], k.sent+1)
-	if no := l.sendToKernel(); no != unsent {
-		k.gaugesRequest, k.gaugesBy = no, l.now+l.limits.GaugesTimeout
-		l.timers.set(k.gaugesBy, timerGauges, 0)
+	if no := l.sendToKernel(); no != unsentCommand {
+		k.gaugesRequest, k.gaugesDeadline = no, l.now+l.limits.GaugesTimeout
+		l.timers.set(k.gaugesDeadline, timerGauges, 0)
 		return
 	}
 	l.wakeWithoutGauges()
@@ -128,7 +128,7 @@
 // does not answer, by which the controller would not wake: see row "kernel that does not answer" in
 // docs/design/shutdown.md.
 func (l *loop) gaugesTimedOut() {
-	if l.now >= l.kernel.gaugesBy {
+	if l.now >= l.kernel.gaugesDeadline {
 		l.wakeWithoutGauges()
 	}
 }
@@ -152,7 +152,7 @@
 	case wire.KernelInvalid:
 		l.commandRefused(n)
 	default:
-		l.numberedEvent(n)
+		l.runEvent(n)
 	}
 }
 
@@ -162,19 +162,19 @@
 func (l *loop) commandRefused(n *wire.KernelEvent) {
 	l.counters.CommandsRefused++
 	if log := l.limitLog(); log != nil {
-		log.WithFields(logrus.Fields{logging.Command: string(n.RefusedCommand()), logging.RequestID: string(n.RunID)}).
-			Info(logCommandRefused)
+		log.WithFields(logrus.Fields{logging.Command: string(n.InvalidCommand()), logging.RequestID: string(n.RunID)}).
+			Info(logCommandRejected)
 	}
-	if h, r := l.findRequest(n.RunID); r != nil && string(n.RefusedCommand()) == wire.KernelRun && r.isRunning() {
+	if h, r := l.findRequest(n.RunID); r != nil && string(n.InvalidCommand()) == wire.KernelRun && r.isRunning() {
 		r.closeAfter = true
 		l.runEnded(h, r, admission.NotExecuted, 0, nil)
 	}
 }
 
-// numberedEvent takes an event about a run. Those have numbers, by which each counts once and in order. A kind that is
+// runEvent takes an event about a run. Those have numbers, by which each counts once and in order. A kind that is
 // not known, as a newer kernel may send, is passed over without a line in the log.
-func (l *loop) numberedEvent(n *wire.KernelEvent) {
-	if !l.takeSequence(n) {
+func (l *loop) runEvent(n *wire.KernelEvent) {
+	if !l.acceptSequence(n) {
 		return
 	}
 	h, r := l.findRequest(n.RunID)
@@ -193,11 +193,11 @@
 	}
 }
 
-// takeSequence takes the number of an event and tells whether it is to be handled. Guards against ends of runs that
+// acceptSequence takes the number of an event and tells whether it is to be handled. Guards against ends of runs that
 // count twice or never after a link broke. One that was handled before comes again over a new link, and is passed
 // over. A gap amid a link has it opened anew, which has the missing events sent again; a gap at the begin of a link
 // says that the kernel no longer has them. See row "kernel link broken or moved" in docs/design/shutdown.md.
-func (l *loop) takeSequence(n *wire.KernelEvent) bool {
+func (l *loop) acceptSequence(n *wire.KernelEvent) bool {
 	k := &l.kernel
 	switch {
 	case n.Sequence == 0:
@@ -207,15 +207,15 @@
 		return false
 	case n.Sequence <= k.lastSequence:
 		return false
-	case n.Sequence > k.lastSequence+1 && !k.noEventYet:
+	case n.Sequence > k.lastSequence+1 && !k.awaitsFirstEvent:
 		l.logEventGap(logKernelEventMissing, n.Sequence)
-		l.closeLink(&k.link, errGap)
+		l.closeLink(&k.link, errEventGap)
 		return false
 	}
 	if n.Sequence > k.lastSequence+1 {
 		l.logEventGap(logKernelEventsLost, n.Sequence)
 	}
-	k.lastSequence, k.noEventYet = n.Sequence, false
+	k.lastSequence, k.awaitsFirstEvent = n.Sequence, false
 	return true
 }
 
@@ -258,7 +258,7 @@
 			l.nextRound().Drain, l.nextRound().KillAt = true, l.answerBy
 		}
 	}
-	k.state, k.delay = kernelReplays, 0
+	k.state, k.delay = kernelReplaying, 0
 	k.sent++
 	k.replayRequest = k.sent
 	if !k.dialed.writer.send(wire.AppendKernelGaugesRequest(l.scratch[:0], k.replayRequest), l.limits.LinkQueue) {
@@ -277,15 +277,15 @@
 	if err != nil {
 		return
 	}
-	if k.state == kernelReplays && no == k.replayRequest {
+	if k.state == kernelReplaying && no == k.replayRequest {
 		l.replayComplete()
 	}
 	if k.state != kernelLive || no > k.sent {
 		return
 	}
-	if l.now >= k.provenNextAt+l.limits.AckSafetyMargin {
+	if l.now >= k.nextAcknowledgedAt+l.limits.AckSafetyMargin {
 		// The last proof is old enough to be relied on, and this answer takes its place.
-		k.provenRead, k.provenNext, k.provenNextAt = k.provenNext, no, l.now
+		k.provenRead, k.nextAcknowledged, k.nextAcknowledgedAt = k.nextAcknowledged, no, l.now
 	}
 	if l.wakePending && (no == k.gaugesRequest || no == k.replayRequest) {
 		k.gaugesRequest, l.wakePending = 0, false
@@ -300,7 +300,7 @@
 // twice: to send commands again before all events are known could start what has ended meanwhile. See row "kernel that
 // does not answer" in docs/design/shutdown.md.
 func (l *loop) replayTimedOut(request handle) {
-	if k := &l.kernel; k.state == kernelReplays && handle(k.replayRequest) == request {
+	if k := &l.kernel; k.state == kernelReplaying && handle(k.replayRequest) == request {
 		l.closeLink(&k.link, errNoAnswer)
 	}
 }
@@ -308,7 +308,7 @@
 // replayComplete makes a link live: what may have been lost with the last one goes out again.
 func (l *loop) replayComplete() {
 	k := &l.kernel
-	if k.state != kernelReplays {
+	if k.state != kernelReplaying {
 		return
 	}
 	k.state = kernelLive
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -23,8 +23,8 @@
 	errNoAnswer = errors.New("no answer in time")
 	errStuck    = errors.New("the other side takes nothing")
 	errClosed   = errors.New("closed by the other side")
-	// errGap: the kernel's next event is not the one after the last.
-	errGap = errors.New("an event of the kernel is missing")
+	// errEventGap: the kernel's next event is not the one after the last.
+	errEventGap = errors.New("an event of the kernel is missing")
 )
 
 // Other sides of links.
@@ -70,13 +70,13 @@
 // link is the one connection to kernel or service discovery, replaced when it ends.
 type link struct {
 	backoff
-	peer     int
-	name     string
-	addr     string
-	dialed   *dialed        // open, or being dialled; nil while down
-	armedFor admission.Time // the last time for which a timer was set
-	retry    timerKind
-	parser   linkParser
+	peer        int
+	name        string
+	addr        string
+	dialed      *dialed        // open, or being dialled; nil while down
+	timerSetFor admission.Time // the last time for which a timer was set
+	retry       timerKind
+	parser      linkParser
 }
 
 func (k *link) up() bool { return k.dialed != nil && k.dialed.writer != nil }
@@ -88,8 +88,8 @@
 	}
 	if l.now < k.notBefore {
 		// Guards against a timer more for each report that finds the link down: one is enough.
-		if k.armedFor != k.notBefore {
-			k.armedFor = k.notBefore
+		if k.timerSetFor != k.notBefore {
+			k.timerSetFor = k.notBefore
 			l.timers.set(k.notBefore, k.retry, 0)
 		}
 		return
--- a/internal/node/server/loop_log.go
+++ b/internal/node/server/loop_log.go
@@ -10,29 +10,29 @@
 // logLimit bounds the lines that clients or other servers can bring about. Guards against a peer that misbehaves at
 // each request: its lines would fill the disk and take the loop's time.
 type logLimit struct {
-	debug   bool // the log's level asks for what happens to each request
-	logged  int  // lines since logFrom
-	logFrom admission.Time
+	debug         bool // the log's level asks for what happens to each request
+	lines         int  // lines since intervalStart
+	intervalStart admission.Time
 }
 
-// maxLogLines of one interval are written, more are counted: enough to see what goes wrong.
-const maxLogLines = 20
+// maxLinesPerInterval of one interval are written, more are counted: enough to see what goes wrong.
+const maxLinesPerInterval = 20
 
-// mayLog counts a line, and tells whether it is to be written: only a few are in each interval.
-func (l *loop) mayLog() bool {
-	if l.now-l.logFrom >= l.limits.LogInterval {
-		if l.logged > maxLogLines {
-			l.log.WithField(logging.Count, l.logged-maxLogLines).Warn(logLinesLeftOut)
+// allowLogLine counts a line, and tells whether it is to be written: only a few are in each interval.
+func (l *loop) allowLogLine() bool {
+	if l.now-l.intervalStart >= l.limits.LogInterval {
+		if l.lines > maxLinesPerInterval {
+			l.log.WithField(logging.Count, l.lines-maxLinesPerInterval).Warn(logLinesDropped)
 		}
-		l.logFrom, l.logged = l.now, 0
+		l.intervalStart, l.lines = l.now, 0
 	}
-	l.logged++
-	return l.logged <= maxLogLines
+	l.lines++
+	return l.lines <= maxLinesPerInterval
 }
 
 // limitLog gives a log line that counts against the bound on lines, nil past it.
 func (l *loop) limitLog() *logrus.Entry {
-	if !l.mayLog() {
+	if !l.allowLogLine() {
 		return nil
 	}
 	return logrus.NewEntry(l.log)
--- a/internal/node/server/netpoll_log.go
+++ b/internal/node/server/netpoll_log.go
@@ -16,18 +16,18 @@
 // netpollLog carries netpoll's own log lines into the log, a few at a time. It never waits: see row "log reader stands
 // still, or is gone" in docs/design/shutdown.md.
 type netpollLog struct {
-	log   *logrus.Logger
-	clock *clock.Clock
-	n     atomic.Int64
-	sec   atomic.Int64
+	log    *logrus.Logger
+	clock  *clock.Clock
+	lines  atomic.Int64
+	second atomic.Int64
 }
 
 // Write takes one line. It never fails.
 func (w *netpollLog) Write(b []byte) (int, error) {
-	if s := int64(w.clock.Now() / time.Second); w.sec.Swap(s) != s {
-		w.n.Store(0)
+	if s := int64(w.clock.Now() / time.Second); w.second.Swap(s) != s {
+		w.lines.Store(0)
 	}
-	if w.n.Add(1) <= netpollLinesPerSecond {
+	if w.lines.Add(1) <= netpollLinesPerSecond {
 		w.log.Debug(string(b))
 	}
 	return len(b), nil
--- a/internal/node/server/pin_record_test.go
+++ b/internal/node/server/pin_record_test.go
@@ -14,7 +14,7 @@
 
 // Records of a node as version 2a0a97e wrote them lie in testdata/record: one with a version prepared beside the one
 // that is served under, and one that was decided as the node died. They stay byte for byte.
-var pinnedRecords = []struct {
+var recordedRecords = []struct {
 	name   string
 	record agent.Record
 	asks   string // the first request to the control service after a start with it, as far as it comes of the record
@@ -38,10 +38,10 @@
 			`"heard":{"group":"0123456789abcdef","generation":1,"term":7,"index":4711}}`},
 }
 
-// TestPinnedRecords: each record is read to the state that it had, is written to the same bytes, and a node that
+// TestRecordedNodeRecords: each record is read to the state that it had, is written to the same bytes, and a node that
 // starts with it asks as it did. With PIN_WRITE set it writes them, for version 2a0a97e.
-func TestPinnedRecords(t *testing.T) {
-	for _, c := range pinnedRecords {
+func TestRecordedNodeRecords(t *testing.T) {
+	for _, c := range recordedRecords {
 		fixture := filepath.Join("testdata", "record", c.name)
 		if os.Getenv("PIN_WRITE") != "" {
 			if err := os.MkdirAll(fixture, 0o755); err != nil {
@@ -84,9 +84,9 @@
 	}
 }
 
-// TestPinnedRecordErrors: a record that is torn or spoilt gives the error that it gave; a folder without one is a new
+// TestLoadRecordErrors: a record that is torn or spoilt gives the error that it gave; a folder without one is a new
 // node's.
-func TestPinnedRecordErrors(t *testing.T) {
+func TestLoadRecordErrors(t *testing.T) {
 	whole, err := os.ReadFile(filepath.Join("testdata", "record", "prepared", "policy.json"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/server/pools_test.go
+++ b/internal/node/server/pools_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestPoolsOnTheNode: pools show themselves and move with a new file; pools.txt has what they do to requests.
-func TestPoolsOnTheNode(t *testing.T) {
+// TestPoolsFollowOperatorFile: pools show themselves and move with a new file; pools.txt has what they do to requests.
+func TestPoolsFollowOperatorFile(t *testing.T) {
 	n := start(t, map[string]string{"own": "[pools]\nreserve = no\n[pool act]\ncap = 0.5\nlimit = fixed\n"})
 	if !n.logged(`msg="pools are on" count=1 reserve=false `) {
 		t.Fatal("no pools at the start")
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestWrongOperatorFile: a handler that the platform does not name starts nothing.
-func TestWrongOperatorFile(t *testing.T) {
+// TestUnknownHandlerInOperatorFile: a handler that the platform does not name starts nothing.
+func TestUnknownHandlerInOperatorFile(t *testing.T) {
 	n := start(t, nil)
 	own := filepath.Join(t.TempDir(), "node.ini")
 	if err := os.WriteFile(own, []byte("[log]\nform = json\n\n[pool fly]\n"), 0o600); err != nil {
--- a/internal/node/server/result_attempt.go
+++ b/internal/node/server/result_attempt.go
@@ -56,7 +56,7 @@
 // request. It acts on handlers with an idempotency key alone; see resultstore.Index.Decide for the reasons.
 func (k *resultKeeper) attempt(h handle, r *request, response *wire.Response) (status int) {
 	if k.index == nil {
-		return k.attemptBeforeOpening(h, r, response)
+		return k.attemptWhileOpening(h, r, response)
 	}
 	verdict, position := k.decide(r.keyed)
 	switch verdict {
@@ -93,26 +93,26 @@
 	if verdict == resultstore.Execute && q.submission.IsRetry && k.index.KeysMayBeLost(now) {
 		verdict = resultstore.ReturnError
 	}
-	if verdict == resultstore.ReturnError && k.without(guardProof) {
+	if verdict == resultstore.ReturnError && k.guardDisabled(guardProof) {
 		verdict = resultstore.Execute
 	}
 	return verdict, position
 }
 
-// attemptBeforeOpening has a request wait for the folder to be read, within bounds, unless that failed before.
-func (k *resultKeeper) attemptBeforeOpening(h handle, r *request, response *wire.Response) (status int) {
-	if k.openError != nil || len(k.waiting) >= k.host.requestCapacity()/waitingFraction {
-		return k.answerBlind(r.keyed, response)
+// attemptWhileOpening has a request wait for the folder to be read, within bounds, unless that failed before.
+func (k *resultKeeper) attemptWhileOpening(h handle, r *request, response *wire.Response) (status int) {
+	if k.openError != nil || len(k.waiting) >= k.host.requestCapacity()/openingWaitDivisor {
+		return k.answerWithoutIndex(r.keyed, response)
 	}
 	r.setDisk(openingPending)
 	k.waiting = append(k.waiting, h)
-	k.host.setResultTimer(min(k.host.currentTime()+openingPatience, k.answerBy(r)), h)
+	k.host.setResultTimer(min(k.host.currentTime()+maxOpeningWait, k.responseDeadline(r)), h)
 	return 0
 }
 
-// answerBlind decides on a request while the folder can't be read: a retry's first attempt may have run, so it gets
+// answerWithoutIndex decides on a request while the folder can't be read: a retry's first attempt may have run, so it gets
 // an error; a first attempt is rejected, as it has not.
-func (k *resultKeeper) answerBlind(q *keyedRequest, response *wire.Response) (status int) {
+func (k *resultKeeper) answerWithoutIndex(q *keyedRequest, response *wire.Response) (status int) {
 	if q.submission.IsRetry {
 		return k.fail()
 	}
@@ -122,7 +122,7 @@
 // reject is for a key that has not run and can't be taken in at present.
 func (k *resultKeeper) reject(response *wire.Response) (status int) {
 	k.counts.rejected++
-	response.RetryAfterMS = k.host.retryAfter(&k.spread, 0)
+	response.RetryAfterMS = k.host.retryAfter(&k.retryTimes, 0)
 	return wire.StatusServiceUnavailable
 }
 
@@ -132,13 +132,13 @@
 	return wire.StatusInternalServerError
 }
 
-// answerBy is when a request that waits for the disk gets its answer at the latest.
-func (k *resultKeeper) answerBy(r *request) admission.Time {
+// responseDeadline is when a request that waits for the disk gets its answer at the latest.
+func (k *resultKeeper) responseDeadline(r *request) admission.Time {
 	at := r.deadline
 	if answerBy, draining := k.host.drainDeadline(); draining {
 		at = min(at, answerBy)
 	}
-	return at - answerMargin
+	return at - responseMargin
 }
 
 // readResult has a result read, off the loop, to answer the attempt of a key that ran.
@@ -154,7 +154,7 @@
 		return k.fail()
 	}
 	r.setDisk(readPending)
-	k.host.setResultTimer(k.answerBy(r), h)
+	k.host.setResultTimer(k.responseDeadline(r), h)
 	return 0
 }
 
@@ -192,7 +192,7 @@
 	case openingPending:
 		r.setDisk(nothingPending)
 		response := wire.Response{}
-		response.Status = k.answerBlind(r.keyed, &response)
+		response.Status = k.answerWithoutIndex(r.keyed, &response)
 		k.host.answer(h, r, response)
 	case readPending, resultPending: // it ran
 		k.host.answer(h, r, wire.Response{Status: k.fail()})
@@ -206,7 +206,7 @@
 	}
 	k.host.forEachRequest(func(h handle, r *request) {
 		if r.disk != nothingPending && !r.isAnswered() {
-			k.host.setResultTimer(k.answerBy(r), h)
+			k.host.setResultTimer(k.responseDeadline(r), h)
 		}
 	})
 }
--- a/internal/node/server/result_fault.go
+++ b/internal/node/server/result_fault.go
@@ -29,41 +29,43 @@
 )
 
 const (
-	// diskHang is long beside what a loaded machine takes for some requests.
-	diskHang = 3500 * time.Millisecond
-	// answersOut is waited before a kill at faultBeforeSync: what goes out without waiting for the disk is out by then.
-	answersOut = 20 * time.Millisecond
+	// diskHangDuration is long beside what a loaded machine takes for some requests.
+	diskHangDuration = 3500 * time.Millisecond
+	// responseFlushDelay is waited before a kill at faultBeforeSync: what goes out without waiting for the disk is out by then.
+	responseFlushDelay = 20 * time.Millisecond
 )
 
-// without tells whether a fault test took a guard out.
-func (k *resultKeeper) without(guard string) bool {
+// guardDisabled tells whether a fault test took a guard out.
+func (k *resultKeeper) guardDisabled(guard string) bool {
 	return slices.Contains(k.config.DisabledGuards, guard)
 }
 
 // faultPoint is where a fault test wants the node to die, the n-th time that it gets there.
 type faultPoint struct {
-	at      string // empty: nowhere
-	on      int
+	name    string // empty: nowhere
+	count   int
 	reached int
 }
 
-// isOfDisk tells whether the point is reached on the store's goroutine.
-func (p *faultPoint) isOfDisk() bool { return p.at == faultBeforeSync || p.at == faultDiskHangs }
+// onStoreGoroutine tells whether the point is reached on the store's goroutine.
+func (p *faultPoint) onStoreGoroutine() bool {
+	return p.name == faultBeforeSync || p.name == faultDiskHangs
+}
 
 // reach is called at each point.
 func (p *faultPoint) reach(point string) {
-	if p.at != point {
+	if p.name != point {
 		return
 	}
-	if p.reached++; p.reached != p.on {
+	if p.reached++; p.reached != p.count {
 		return
 	}
 	switch point {
 	case faultDiskHangs:
-		time.Sleep(diskHang)
+		time.Sleep(diskHangDuration)
 		return
 	case faultBeforeSync:
-		time.Sleep(answersOut)
+		time.Sleep(responseFlushDelay)
 	}
 	_ = unix.Kill(unix.Getpid(), unix.SIGKILL) // can't fail for the own process
 	select {}
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -18,15 +18,15 @@
 
 // Messages of the result keeper.
 const (
-	logResultsOpened      = "result store opened"
-	logResultsDamaged     = "result store was damaged: retries of keys that are not known get an error for a window"
-	logResultsUnopened    = "result store can't be opened: keyed requests are rejected, and it is tried again"
-	logResultsMode        = "result store mode changed"
-	logResultUnreadable   = "a stored result can't be read"
-	logResultTooLarge     = "a result is too large to be stored: its repeats get an error"
-	logResultsNotReleased = "expired results can't be deleted"
-	logResultsNotClosed   = "result store closed with an error"
-	logResultsCutShort    = "the disk did not take all records in time: keys without one may have run"
+	logResultsOpened        = "result store opened"
+	logResultsDamaged       = "result store was damaged: retries of keys that are not known get an error for a window"
+	logResultsNotOpened     = "result store can't be opened: keyed requests are rejected, and it is tried again"
+	logResultsMode          = "result store mode changed"
+	logResultUnreadable     = "a stored result can't be read"
+	logResultTooLarge       = "a result is too large to be stored: its repeats get an error"
+	logResultsNotReleased   = "expired results can't be deleted"
+	logResultsNotClosed     = "result store closed with an error"
+	logResultsCloseTimedOut = "the disk did not take all records in time: keys without one may have run"
 )
 
 // storeMode is what the result store can do at present. Logs, counters and the body of health checks show it.
@@ -47,21 +47,21 @@
 	// disk, and a queue behind a few of them is still well under this; longer, requests would time out that could be
 	// retried elsewhere.
 	stallLimit = 400 * admission.Second / 1000
-	// fullPause is for how long new keys are rejected after an attempt found no room or a record was lost: a disk
+	// fullBackoff is for how long new keys are rejected after an attempt found no room or a record was lost: a disk
 	// that is full is not tried with each request.
-	fullPause = admission.Second
-	// openingPatience is how long attempts wait for the folder to be read; a million keys are read in less.
-	openingPatience = admission.Second
-	// waitingFraction of the requests in hand may wait for that, so that other handlers have room.
-	waitingFraction = 4
-	// answerMargin is how long before its deadline a request that waits for the disk gets its answer: it has to reach
+	fullBackoff = admission.Second
+	// maxOpeningWait is how long attempts wait for the folder to be read; a million keys are read in less.
+	maxOpeningWait = admission.Second
+	// openingWaitDivisor of the requests in hand may wait for that, so that other handlers have room.
+	openingWaitDivisor = 4
+	// responseMargin is how long before its deadline a request that waits for the disk gets its answer: it has to reach
 	// the caller in time.
-	answerMargin = admission.Second / 50
-	// reopenFolderDelay is waited before a folder that can't be opened is tried again.
-	reopenFolderDelay = time.Second
-	// maxReads is how many results wait to be read; past it a known key's attempt gets an error, as it would wait for
+	responseMargin = admission.Second / 50
+	// reopenDelay is waited before a folder that can't be opened is tried again.
+	reopenDelay = time.Second
+	// maxPendingReads is how many results wait to be read; past it a known key's attempt gets an error, as it would wait for
 	// longer than its caller does.
-	maxReads = 256
+	maxPendingReads = 256
 	// segmentBytes is the size of the log's files. Expired records are deleted by whole ones.
 	segmentBytes = 8 << 20
 	// minSegmentBytes is that of a small store, which has segmentsPerStore of them at least.
@@ -132,7 +132,7 @@
 	fullSince    admission.Time   // 0: there is room
 	openError    error            // why the folder can't be opened
 	mode         storeMode
-	spread       retryafter.Spreader
+	retryTimes   retryafter.Spreader
 	faults       faultPoint
 
 	counts resultCounts
@@ -148,8 +148,8 @@
 // newResultKeeper starts to read the folder.
 func newResultKeeper(host resultHost, log *logrus.Logger, c *config.ResultStore) *resultKeeper {
 	k := &resultKeeper{host: host, clock: bootTime, log: log, config: c, mode: modeOpening,
-		reads:  make(chan func(), maxReads),
-		faults: faultPoint{at: c.KillAt, on: c.KillCount}}
+		reads:  make(chan func(), maxPendingReads),
+		faults: faultPoint{name: c.KillAt, count: c.KillCount}}
 	go func() { // ends with the process
 		for read := range k.reads {
 			read()
@@ -180,23 +180,23 @@
 		if err == nil {
 			store, index, found, err = resultstore.Open(folder, sizes, limits, now, boot)
 		}
-		k.host.runOnLoop(func() { k.opened(store, index, found, err) })
+		k.host.runOnLoop(func() { k.folderOpened(store, index, found, err) })
 	}()
 }
 
-// opened takes the folder over, and lets the requests in that came meanwhile. Guards against a folder that can't be
-// read, of whose keys nothing is known: it is tried again after reopenFolderDelay, and meanwhile no key runs that may
+// folderOpened takes the folder over, and lets the requests in that came meanwhile. Guards against a folder that can't be
+// read, of whose keys nothing is known: it is tried again after reopenDelay, and meanwhile no key runs that may
 // have run. See row "open, read of kept results: any" in docs/design/failures.md.
-func (k *resultKeeper) opened(store *resultstore.Store, index *resultstore.Index, found resultstore.Recovery,
+func (k *resultKeeper) folderOpened(store *resultstore.Store, index *resultstore.Index, found resultstore.Recovery,
 	err error) {
 	if err != nil {
 		if k.openError == nil || k.openError.Error() != err.Error() {
-			k.log.WithFields(logrus.Fields{logging.File: k.config.Folder, logging.Error: err}).Error(logResultsUnopened)
+			k.log.WithFields(logrus.Fields{logging.File: k.config.Folder, logging.Error: err}).Error(logResultsNotOpened)
 		}
 		k.openError = err
-		k.open(reopenFolderDelay)
+		k.open(reopenDelay)
 	} else {
-		k.takeOver(store, index, found)
+		k.useStore(store, index, found)
 	}
 	k.updateMode()
 	waiting := k.waiting
@@ -213,12 +213,12 @@
 	}
 }
 
-// takeOver begins to use an open store.
-func (k *resultKeeper) takeOver(store *resultstore.Store, index *resultstore.Index, found resultstore.Recovery) {
+// useStore begins to use an open store.
+func (k *resultKeeper) useStore(store *resultstore.Store, index *resultstore.Index, found resultstore.Recovery) {
 	k.store, k.index, k.nextPosition, k.openError = store, index, store.NextPosition(), nil
-	store.SyncEachRecord = k.without(guardGroupSync)
-	if k.faults.isOfDisk() {
-		store.BeforeWrite = func() { k.faults.reach(k.faults.at) }
+	store.SyncEachRecord = k.guardDisabled(guardGroupSync)
+	if k.faults.onStoreGoroutine() {
+		store.BeforeWrite = func() { k.faults.reach(k.faults.name) }
 	}
 	if found.Gaps > 0 {
 		k.log.WithFields(logrus.Fields{logging.File: k.config.Folder,
@@ -263,7 +263,7 @@
 }
 
 func (k *resultKeeper) isFull(now admission.Time) bool {
-	return k.fullSince > 0 && now-k.fullSince < fullPause
+	return k.fullSince > 0 && now-k.fullSince < fullBackoff
 }
 
 // addCounters adds what operators see of the store.
@@ -304,6 +304,6 @@
 	select {
 	case <-done:
 	case <-time.After(patience):
-		k.log.Warn(logResultsCutShort)
+		k.log.Warn(logResultsCloseTimedOut)
 	}
 }
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -16,40 +16,40 @@
 	"umberwinch/internal/wal"
 )
 
-// heldDisk holds each sync until the test lets it go on, or fails it.
-type heldDisk struct {
+// blockingDisk holds each sync until the test lets it go on, or fails it.
+type blockingDisk struct {
 	wal.FS
-	gate  chan struct{} // nil: nothing is held
-	fails atomic.Bool
+	syncGate  chan struct{} // nil: nothing is held
+	failSyncs atomic.Bool
 }
 
-func (d *heldDisk) Create(name string) (wal.File, error) {
+func (d *blockingDisk) Create(name string) (wal.File, error) {
 	f, err := d.FS.Create(name)
-	return heldFile{f, d}, err
+	return blockingFile{f, d}, err
 }
 
-func (d *heldDisk) Open(name string) (wal.File, error) {
+func (d *blockingDisk) Open(name string) (wal.File, error) {
 	f, err := d.FS.Open(name)
-	return heldFile{f, d}, err
+	return blockingFile{f, d}, err
 }
 
-type heldFile struct {
+type blockingFile struct {
 	wal.File
-	d *heldDisk
+	disk *blockingDisk
 }
 
-func (f heldFile) Sync() error {
-	if f.d.gate != nil {
-		<-f.d.gate
+func (f blockingFile) Sync() error {
+	if f.disk.syncGate != nil {
+		<-f.disk.syncGate
 	}
-	if f.d.fails.Load() {
+	if f.disk.failSyncs.Load() {
 		return errors.New("input/output error")
 	}
 	return f.File.Sync()
 }
 
 // loopWithStore is a loop without sockets over a store on such a disk, as far as this part needs one.
-func loopWithStore(t *testing.T, d *heldDisk) *loop {
+func loopWithStore(t *testing.T, d *blockingDisk) *loop {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &loop{crossGoroutine: crossGoroutine{log: log, events: make(chan event, 64), limits: NewLimits(1, 64, 256)},
@@ -69,12 +69,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.results.opened(store, book, found, nil)
+	l.results.folderOpened(store, book, found, nil)
 	return l
 }
 
-// takes is a try that has its slot.
-func (l *loop) takes(key string) (handle, *request) {
+// newKeyedRun is a try that has its slot.
+func (l *loop) newKeyedRun(key string) (handle, *request) {
 	h, r, _ := l.requests.take()
 	*r = request{keyed: newKeyedRequest("put", nil, []byte(key), []byte("body")), arrival: l.now,
 		lifecycle: lifecycle{run: runRunning},
@@ -82,8 +82,8 @@
 	return h, r
 }
 
-// hears has the loop take the next word of the disk.
-func (l *loop) hears(t *testing.T) {
+// awaitDisk has the loop take the next word of the disk.
+func (l *loop) awaitDisk(t *testing.T) {
 	t.Helper()
 	select {
 	case e := <-l.events:
@@ -97,30 +97,30 @@
 // until its deadline; so new keys are rejected meanwhile, what is durable only after its request was answered does
 // not run, and then all is well again.
 func TestDiskStalls(t *testing.T) {
-	d := &heldDisk{FS: wal.NewMemFS()}
+	d := &blockingDisk{FS: wal.NewMemFS()}
 	l := loopWithStore(t, d)
-	d.gate = make(chan struct{})
-	h, r := l.takes("a")
+	d.syncGate = make(chan struct{})
+	h, r := l.newKeyedRun("a")
 	l.results.begin(h, r)
 	if r.runCommand != 0 || r.disk != intentPending {
 		t.Fatal("it went to the kernel before its intent was durable")
 	}
 	l.now += stallLimit + 1
 	l.results.updateMode()
-	h2, other := l.takes("b")
+	h2, other := l.newKeyedRun("b")
 	l.results.intercept(h2, other)
 	if l.results.mode != modeStalled || !other.isAnswered() || l.counters.Rejected != 1 {
 		t.Errorf("%s, and a new key is not shed", l.results.mode)
 	}
 	l.Fail(uint32(h), admission.ReasonDeadline) // the module: its time is over
-	close(d.gate)
-	l.hears(t)
+	close(d.syncGate)
+	l.awaitDisk(t)
 	r = l.requests.get(h) // the table may have grown
 	if r.runCommand != 0 || r.run != runFinished || len(l.nextRound().RunEnds) != 1 ||
 		l.nextRound().RunEnds[0].Outcome != admission.NotExecuted {
 		t.Errorf("what was answered meanwhile ran: %+v, ends %v", r, l.nextRound().RunEnds)
 	}
-	l.hears(t) // its intent is closed
+	l.awaitDisk(t) // its intent is closed
 	if s := l.results.index.Lookup(bootTime(), r.keyed.key); s != resultstore.Unknown || l.results.mode != modeReady {
 		t.Errorf("%s, %s afterwards, expected it unknown and well", s, l.results.mode)
 	}
@@ -129,35 +129,35 @@
 // TestDiskFails: a write fails. A run that waits for it is rejected and does not run, a result that is lost is
 // answered with an error, and new keys are rejected until the disk works again, by itself.
 func TestDiskFails(t *testing.T) {
-	d := &heldDisk{FS: wal.NewMemFS()}
+	d := &blockingDisk{FS: wal.NewMemFS()}
 	l := loopWithStore(t, d)
-	h, r := l.takes("ran")
+	h, r := l.newKeyedRun("ran")
 	l.results.begin(h, r)
-	l.hears(t)
+	l.awaitDisk(t)
 	if r.runCommand == 0 {
 		t.Fatal("its intent is durable, and it did not go out")
 	}
-	d.fails.Store(true)
+	d.failSyncs.Store(true)
 	l.runEnded(h, r, admission.Succeeded, 1, []byte("result"))
 	if r.isAnswered() {
 		t.Fatal("answered before its result was durable")
 	}
-	l.hears(t)
+	l.awaitDisk(t)
 	if l.counters.Failed != 1 || l.counters.Succeeded != 0 || l.results.index.Lookup(bootTime(),
 		r.keyed.key) != resultstore.Indeterminate {
 		t.Errorf("%d errored, %d done, key %s", l.counters.Failed, l.counters.Succeeded,
 			l.results.index.Lookup(bootTime(), r.keyed.key))
 	}
-	h2, other := l.takes("new")
+	h2, other := l.newKeyedRun("new")
 	if l.results.intercept(h2, other); l.results.mode != modeFailed || l.counters.Rejected != 1 {
 		t.Errorf("%s, and a new key is not shed", l.results.mode)
 	}
-	h3, held := l.takes("held") // it passed the door before
+	h3, held := l.newKeyedRun("held") // it passed the door before
 	l.results.begin(h3, held)
 	if held.runCommand != 0 || held.run != runFinished || l.counters.Rejected != 2 {
 		t.Error("it ran on a disk that fails")
 	}
-	d.fails.Store(false)
+	d.failSyncs.Store(false)
 	if !waitUntil(func() bool {
 		l.now = timeOf(l.clock.Now())
 		l.results.updateMode()
@@ -165,35 +165,35 @@
 	}) {
 		t.Fatalf("still %s, and the disk is well", l.results.mode)
 	}
-	h4, again := l.takes("new")
+	h4, again := l.newKeyedRun("new")
 	if l.results.begin(h4, again); again.disk != intentPending {
 		t.Fatal("not let in")
 	}
-	l.hears(t)
+	l.awaitDisk(t)
 	if again.runCommand == 0 {
 		t.Error("it does not run, and the disk is well")
 	}
 }
 
-// TestLateResultIsAnsweredInTime: a result is not durable when its request is due, or when the process has to end. The
+// TestResponseBeforeResultIsDurable: a result is not durable when its request is due, or when the process has to end. The
 // caller gets an error in time, once, and the result that gets there later is known.
-func TestLateResultIsAnsweredInTime(t *testing.T) {
-	d := &heldDisk{FS: wal.NewMemFS()}
+func TestResponseBeforeResultIsDurable(t *testing.T) {
+	d := &blockingDisk{FS: wal.NewMemFS()}
 	l := loopWithStore(t, d)
-	h, r := l.takes("a")
+	h, r := l.newKeyedRun("a")
 	l.results.begin(h, r)
-	l.hears(t)
-	d.gate = make(chan struct{})
+	l.awaitDisk(t)
+	d.syncGate = make(chan struct{})
 	l.runEnded(h, r, admission.Succeeded, 1, []byte("result"))
 	l.draining, l.answerBy = true, l.now+admission.Second/10
 	l.results.drain()
-	l.now = l.answerBy - answerMargin
+	l.now = l.answerBy - responseMargin
 	l.fireTimers()
 	if !r.isAnswered() || l.counters.Failed != 1 {
 		t.Fatal("not answered before the kill")
 	}
-	close(d.gate)
-	l.hears(t)
+	close(d.syncGate)
+	l.awaitDisk(t)
 	if l.counters.Succeeded+l.counters.Failed != 1 {
 		t.Errorf("%d answers", l.counters.Succeeded+l.counters.Failed)
 	}
@@ -206,58 +206,58 @@
 // then rejected, or let in as it is read; a retry that nobody can know of gets an error, as its first attempt may have
 // run.
 func TestRequestsBeforeTheFolderIsRead(t *testing.T) {
-	l := loopWithStore(t, &heldDisk{FS: wal.NewMemFS()})
+	l := loopWithStore(t, &blockingDisk{FS: wal.NewMemFS()})
 	k := l.results
 	book := k.index
 	k.index = nil
 	at := l.now
-	h, r := l.takes("a")
+	h, r := l.newKeyedRun("a")
 	if !l.results.intercept(h, r) || r.disk != openingPending || r.isAnswered() {
 		t.Fatal("it does not wait")
 	}
-	l.now = at + openingPatience - 1
+	l.now = at + maxOpeningWait - 1
 	l.fireTimers()
 	if r.isAnswered() {
 		t.Fatal("answered too soon")
 	}
-	l.now = at + openingPatience
+	l.now = at + maxOpeningWait
 	if l.fireTimers(); !r.isAnswered() || l.counters.Rejected != 1 {
 		t.Fatal("it waits for too long")
 	}
-	h, r = l.takes("b")
+	h, r = l.newKeyedRun("b")
 	r.keyed.submission.ID = uint32(h)
 	l.results.intercept(h, r)
-	l.results.opened(k.store, book, resultstore.Recovery{}, nil)
+	l.results.folderOpened(k.store, book, resultstore.Recovery{}, nil)
 	if in := l.nextRound().Arrived; len(in) != 1 || in[0].ID != uint32(h) || l.requests.get(h).isAnswered() {
 		t.Errorf("%v came to the module, expected the one that waited", in)
 	}
 	k.index = nil
-	h, r = l.takes("c")
+	h, r = l.newKeyedRun("c")
 	l.results.intercept(h, r)
-	l.results.opened(nil, nil, resultstore.Recovery{}, wal.ErrLocked)
+	l.results.folderOpened(nil, nil, resultstore.Recovery{}, wal.ErrLocked)
 	if !l.requests.get(h).isAnswered() || l.counters.Rejected != 2 || k.mode != modeFailed {
 		t.Errorf("%s, and it still waits for a folder that can't be opened", k.mode)
 	}
-	h, r = l.takes("d")
+	h, r = l.newKeyedRun("d")
 	r.keyed.submission.IsRetry = true // nobody knows whether its first try ran: shed, it would be tried elsewhere
 	if l.results.intercept(h, r); !r.isAnswered() || l.counters.Failed != 1 || l.counters.Rejected != 2 {
 		t.Error("a retry of a key that nobody can know of is shed")
 	}
 }
 
-// TestKeyIsCheckedAgainAtItsSlot: two attempts of a key pass as they come, and one has run by the time that the other
+// TestKeyCheckedAgainAtRunSlot: two attempts of a key pass as they come, and one has run by the time that the other
 // gets its slot. That one does not run, with the same body or another, and harms nothing of the first.
-func TestKeyIsCheckedAgainAtItsSlot(t *testing.T) {
-	l := loopWithStore(t, &heldDisk{FS: wal.NewMemFS()})
-	h, r := l.takes("a")
+func TestKeyCheckedAgainAtRunSlot(t *testing.T) {
+	l := loopWithStore(t, &blockingDisk{FS: wal.NewMemFS()})
+	h, r := l.newKeyedRun("a")
 	l.results.begin(h, r)
-	l.hears(t)
+	l.awaitDisk(t)
 	first := l.results.index.Lookup(bootTime(), r.keyed.key)
 	for _, c := range []struct {
 		body         string
 		shed, failed uint64
 	}{{"body", 0, 1}, {"another", 1, 1}} {
-		h, r := l.takes("a")
+		h, r := l.newKeyedRun("a")
 		r.keyed = newKeyedRequest("put", nil, []byte("a"), []byte(c.body))
 		l.results.begin(h, r)
 		if r.runCommand != 0 || r.run != runFinished || l.counters.Rejected != c.shed || l.counters.Failed != c.failed {
@@ -269,15 +269,15 @@
 		}
 	}
 	l.runEnded(h, l.requests.get(h), admission.Succeeded, 1, []byte("result"))
-	if l.hears(t); l.counters.Succeeded != 1 {
+	if l.awaitDisk(t); l.counters.Succeeded != 1 {
 		t.Errorf("%d done, expected the first", l.counters.Succeeded)
 	}
 }
 
-// TestTenantsKeysAreApart: two tenants use the same key. What one left behind says nothing of the other's request; a
+// TestKeysAreSeparateByTenant: two tenants use the same key. What one left behind says nothing of the other's request; a
 // key of a version that did not tell tenants apart binds all of them for its window.
-func TestTenantsKeysAreApart(t *testing.T) {
-	l := loopWithStore(t, &heldDisk{FS: wal.NewMemFS()})
+func TestKeysAreSeparateByTenant(t *testing.T) {
+	l := loopWithStore(t, &blockingDisk{FS: wal.NewMemFS()})
 	leave := func(q *keyedRequest) {
 		l.results.index.Begin(bootTime(), q.key, q.bodyDigest, 60_000)
 	}
--- a/internal/node/server/result_run.go
+++ b/internal/node/server/result_run.go
@@ -51,7 +51,7 @@
 		return false
 	}
 	k.host.trace(r, traceIntent)
-	if k.without(guardIntent) {
+	if k.guardDisabled(guardIntent) {
 		k.intentWritten(h, nil)
 	}
 	return true
@@ -136,10 +136,10 @@
 	}) {
 		return false
 	}
-	if r.setDisk(resultPending); k.without(guardResult) {
+	if r.setDisk(resultPending); k.guardDisabled(guardResult) {
 		k.resultWritten(h, sharedKey, true, record.Result)
 	}
-	k.host.setResultTimer(k.answerBy(r), h)
+	k.host.setResultTimer(k.responseDeadline(r), h)
 	return true
 }
 
--- a/internal/node/server/store_connections.go
+++ b/internal/node/server/store_connections.go
@@ -92,7 +92,7 @@
 	if b != nil && b.idle() || s.addr == "" || l.now < s.notBefore {
 		return best, b, false
 	}
-	if !l.fleet.admitsConnection() {
+	if !l.fleet.admitConnection() {
 		return best, b, true
 	}
 	h, w, ok := s.connections.take()
@@ -149,7 +149,7 @@
 // callEnded has the controller hear of the end of a call in the next round.
 func (l *loop) callEnded(h handle, r *request, how admission.Outcome) {
 	made := r.call != callNone
-	l.endCall(h, r)
+	l.detachCall(h, r)
 	if l.debug {
 		l.traceWith(r.id, traceCallEnded, logrus.Fields{logging.Outcome: outcomeNames[how],
 			logging.ElapsedMS: milliseconds(l.now - r.callStarted)})
@@ -169,8 +169,8 @@
 		admission.CallEnd{ID: uint32(h), Outcome: how, Elapsed: l.now - r.callStarted})
 }
 
-// endCall takes a call off its connection.
-func (l *loop) endCall(h handle, r *request) {
+// detachCall takes a call off its connection.
+func (l *loop) detachCall(h handle, r *request) {
 	if w := l.store.connections.get(r.storeConn); w != nil {
 		if i := slices.Index(w.calls, h); i >= 0 {
 			w.calls = slices.Delete(w.calls, i, i+1)
@@ -196,7 +196,7 @@
 		// A call that was given up counts by its time alone, not as failed: see zonegate.Meter.CallEnded.
 		l.fleet.callEnded(milliseconds(l.now-r.callStarted), false)
 	}
-	l.endCall(h, r)
+	l.detachCall(h, r)
 }
 
 // callReplied takes a reply of the store: it counts only for a call that is out on the connection that brought it.
@@ -269,7 +269,7 @@
 				logging.CallsMayHaveRun: l.callsSent(w)}).Info(logStoreConnectionLost)
 		}
 	}
-	w.retired = false // endCall drops a retired connection with its last call; this one is dropped below, once
+	w.retired = false // detachCall drops a retired connection with its last call; this one is dropped below, once
 	for _, h := range slices.Clone(w.calls) {
 		how := admission.NotExecuted
 		if r := l.requests.get(h); r != nil {
--- a/internal/node/wire/http_head.go
+++ b/internal/node/wire/http_head.go
@@ -20,7 +20,7 @@
 	minStatus        = 100
 )
 
-const idBytes = 16 // hex digits of a request's id
+const idDigits = 16 // hex digits of a request's id
 
 var (
 	crlf    = []byte("\r\n")
@@ -122,7 +122,7 @@
 			return false
 		}
 	}
-	return len(b) == idBytes
+	return len(b) == idDigits
 }
 
 // containsToken says whether a comma-separated list holds word.
@@ -137,8 +137,8 @@
 	return false
 }
 
-// endsConnection says what a Connection field makes of whether the connection is to be closed.
-func endsConnection(already bool, value []byte) bool {
+// closesConnection says what a Connection field makes of whether the connection is to be closed.
+func closesConnection(already bool, value []byte) bool {
 	return already && !containsToken(value, "keep-alive") || containsToken(value, "close")
 }
 
--- a/internal/node/wire/http_request.go
+++ b/internal/node/wire/http_request.go
@@ -101,7 +101,7 @@
 	case equalFold(name, "transfer-encoding"):
 		return ErrLength
 	case equalFold(name, "connection"):
-		q.Close = endsConnection(q.Close, value)
+		q.Close = closesConnection(q.Close, value)
 		return nil
 	}
 	return q.setPlatformField(name, value)
@@ -158,15 +158,15 @@
 	case equalFold(name, "work-estimate"):
 		q.ExpectedWorkMS, err = parseDecimal(value, maxMilliseconds)
 	case equalFold(name, "once-key"):
-		err = setKey(&q.IdempotencyKey, value)
+		err = setKeyOnce(&q.IdempotencyKey, value)
 	case equalFold(name, "resource-key"):
-		err = setKey(&q.ResourceKey, value)
+		err = setKeyOnce(&q.ResourceKey, value)
 	}
 	return err
 }
 
-// setKey takes a key that may stand once in a request.
-func setKey(key *[]byte, value []byte) error {
+// setKeyOnce takes a key that may stand once in a request.
+func setKeyOnce(key *[]byte, value []byte) error {
 	if *key != nil || len(value) > maxKeyBytes {
 		return ErrField
 	}
--- a/internal/node/wire/http_response.go
+++ b/internal/node/wire/http_response.go
@@ -76,7 +76,7 @@
 		case equalFold(name, "transfer-encoding"):
 			return 0, ErrLength
 		case equalFold(name, "connection"):
-			p.Close = endsConnection(p.Close, value)
+			p.Close = closesConnection(p.Close, value)
 		}
 	}
 	if p.Status < StatusOK || p.Status == StatusNoContent || p.Status == statusNotModified {
--- a/internal/node/wire/json_scanner.go
+++ b/internal/node/wire/json_scanner.go
@@ -13,128 +13,128 @@
 
 // jsonScanner walks over JSON text in place; after an error it only stands still.
 type jsonScanner struct {
-	b   []byte
-	at  int
-	err error
+	input    []byte
+	position int
+	err      error
 }
 
-func (s *jsonScanner) space() {
-	for s.at < len(s.b) && (s.b[s.at] == ' ' || s.b[s.at] == '\t' || s.b[s.at] == '\r') {
-		s.at++
+func (s *jsonScanner) skipSpace() {
+	for s.position < len(s.input) && (s.input[s.position] == ' ' || s.input[s.position] == '\t' || s.input[s.position] == '\r') {
+		s.position++
 	}
 }
 
-func (s *jsonScanner) has(c byte) bool {
-	s.space()
-	if s.err != nil || s.at >= len(s.b) || s.b[s.at] != c {
+func (s *jsonScanner) accept(c byte) bool {
+	s.skipSpace()
+	if s.err != nil || s.position >= len(s.input) || s.input[s.position] != c {
 		return false
 	}
-	s.at++
+	s.position++
 	return true
 }
 
-func (s *jsonScanner) want(c byte) {
-	if s.err == nil && !s.has(c) {
+func (s *jsonScanner) expect(c byte) {
+	if s.err == nil && !s.accept(c) {
 		s.err = ErrLine
 	}
 }
 
-// text reads a string in place: escapes only ever make it shorter.
-func (s *jsonScanner) text() []byte {
-	s.want('"')
-	from, to := s.at, s.at
-	for s.err == nil && s.at < len(s.b) {
-		c := s.b[s.at]
-		s.at++
+// readString reads a string in place: escapes only ever make it shorter.
+func (s *jsonScanner) readString() []byte {
+	s.expect('"')
+	from, to := s.position, s.position
+	for s.err == nil && s.position < len(s.input) {
+		c := s.input[s.position]
+		s.position++
 		switch {
 		case c == '"':
-			return s.b[from:to]
+			return s.input[from:to]
 		case c < ' ':
 			s.err = ErrLine
 			return nil
 		case c != '\\':
-			s.b[to] = c
+			s.input[to] = c
 			to++
 			continue
 		}
-		to += s.escape(to)
+		to += s.readEscape(to)
 	}
 	s.err = ErrLine
 	return nil
 }
 
-// escape writes what stands after a backslash at to, and says how long that is.
-func (s *jsonScanner) escape(to int) int {
-	if s.at >= len(s.b) {
+// readEscape writes what stands after a backslash at to, and says how long that is.
+func (s *jsonScanner) readEscape(to int) int {
+	if s.position >= len(s.input) {
 		s.err = ErrLine
 		return 0
 	}
-	c := s.b[s.at]
-	s.at++
+	c := s.input[s.position]
+	s.position++
 	switch i := bytes.IndexByte([]byte(`"\/bfnrt`), c); {
 	case i >= 0:
-		s.b[to] = "\"\\/\b\f\n\r\t"[i]
+		s.input[to] = "\"\\/\b\f\n\r\t"[i]
 		return 1
-	case c == 'u' && s.at+4 <= len(s.b):
-		v, err := strconv.ParseUint(string(s.b[s.at:s.at+4]), 16, 16)
-		s.at += 4
+	case c == 'u' && s.position+4 <= len(s.input):
+		v, err := strconv.ParseUint(string(s.input[s.position:s.position+4]), 16, 16)
+		s.position += 4
 		if err == nil {
-			return copy(s.b[to:], string(rune(v)))
+			return copy(s.input[to:], string(rune(v)))
 		}
 	}
 	s.err = ErrLine
 	return 0
 }
 
-func (s *jsonScanner) number() float64 {
-	s.space()
-	from := s.at
-	for s.at < len(s.b) && bytes.IndexByte([]byte("+-.0123456789eE"), s.b[s.at]) >= 0 {
-		s.at++
+func (s *jsonScanner) readNumber() float64 {
+	s.skipSpace()
+	from := s.position
+	for s.position < len(s.input) && bytes.IndexByte([]byte("+-.0123456789eE"), s.input[s.position]) >= 0 {
+		s.position++
 	}
-	if s.err != nil || s.at-from > maxNumberBytes {
+	if s.err != nil || s.position-from > maxNumberBytes {
 		s.err = ErrLine
 		return 0
 	}
-	v, err := strconv.ParseFloat(string(s.b[from:s.at]), 64)
+	v, err := strconv.ParseFloat(string(s.input[from:s.position]), 64)
 	if err != nil {
 		s.err = ErrLine
 	}
 	return v
 }
 
-// pass goes over a value that isn't known.
-func (s *jsonScanner) pass(depth int) {
-	s.space()
-	if s.err != nil || s.at >= len(s.b) || depth > maxNestingDepth {
+// skipValue goes over a value that isn't known.
+func (s *jsonScanner) skipValue(depth int) {
+	s.skipSpace()
+	if s.err != nil || s.position >= len(s.input) || depth > maxNestingDepth {
 		s.err = ErrLine
 		return
 	}
-	switch c := s.b[s.at]; c {
+	switch c := s.input[s.position]; c {
 	case '"':
-		s.text()
+		s.readString()
 	case '{', '[':
-		s.at++
+		s.position++
 		// In ASCII a closing brace or bracket comes two after its opening one.
-		for k := 0; s.err == nil && !s.has(c+2); k++ {
+		for k := 0; s.err == nil && !s.accept(c+2); k++ {
 			if k > 0 {
-				s.want(',')
+				s.expect(',')
 			}
 			if c == '{' {
-				s.text()
-				s.want(':')
+				s.readString()
+				s.expect(':')
 			}
-			s.pass(depth + 1)
+			s.skipValue(depth + 1)
 		}
 	case 't', 'f', 'n':
 		for _, w := range []string{"true", "false", "null"} {
-			if bytes.HasPrefix(s.b[s.at:], []byte(w)) {
-				s.at += len(w)
+			if bytes.HasPrefix(s.input[s.position:], []byte(w)) {
+				s.position += len(w)
 				return
 			}
 		}
 		s.err = ErrLine
 	default:
-		s.number()
+		s.readNumber()
 	}
 }
--- a/internal/node/wire/kernel_event.go
+++ b/internal/node/wire/kernel_event.go
@@ -31,7 +31,7 @@
 // KernelEvent is one line from the kernel; absent fields are zero.
 type KernelEvent struct {
 	Kind, RunID, Nonce []byte
-	Outcome            []byte // of a run that ended; for other kinds see RefusedCommand and IsColdStart
+	Outcome            []byte // of a run that ended; for other kinds see InvalidCommand and IsColdStart
 	Body               []byte // decoded from base64
 	Sequence           uint64 // of this event on the link
 	RunMS              float64
@@ -39,8 +39,8 @@
 	GaugeCount         int // how many of Gauges were given
 }
 
-// RefusedCommand is the command that a KernelInvalid says was not carried out: it stands in the key of outcomes.
-func (e *KernelEvent) RefusedCommand() []byte { return e.Outcome }
+// InvalidCommand is the command that a KernelInvalid says was not carried out: it stands in the key of outcomes.
+func (e *KernelEvent) InvalidCommand() []byte { return e.Outcome }
 
 // IsColdStart tells whether a KernelBooted is of a cold start, which stands in the key of outcomes too.
 func (e *KernelEvent) IsColdStart() bool { return string(e.Outcome) == KernelCold }
@@ -60,75 +60,75 @@
 // ParseKernelEvent reads one line. It decodes into the line's own bytes, so a line can't be read twice. Unknown keys
 // are passed over: a newer kernel may send more.
 func ParseKernelEvent(line []byte) (e KernelEvent, err error) {
-	s := jsonScanner{b: line}
-	s.want('{')
+	s := jsonScanner{input: line}
+	s.expect('{')
 	for first := true; s.err == nil; first = false {
-		s.space()
-		if first && s.has('}') {
+		s.skipSpace()
+		if first && s.accept('}') {
 			break
 		}
-		key := s.text()
-		s.want(':')
-		if err = e.setKey(&s, key); err != nil {
+		key := s.readString()
+		s.expect(':')
+		if err = e.setField(&s, key); err != nil {
 			return e, err
 		}
-		if s.has('}') {
+		if s.accept('}') {
 			break
 		}
-		s.want(',')
+		s.expect(',')
 	}
-	s.space()
-	if s.err == nil && s.at < len(s.b) || len(e.Kind) == 0 {
+	s.skipSpace()
+	if s.err == nil && s.position < len(s.input) || len(e.Kind) == 0 {
 		s.err = ErrLine
 	}
 	return e, s.err
 }
 
-// setKey reads the value of a key. An error of the scanner's own is found in it.
-func (e *KernelEvent) setKey(s *jsonScanner, key []byte) error {
+// setField reads the value of a key. An error of the scanner's own is found in it.
+func (e *KernelEvent) setField(s *jsonScanner, key []byte) error {
 	switch string(key) {
 	case "verb":
-		e.Kind = s.text()
+		e.Kind = s.readString()
 	case "task":
-		e.RunID = s.text()
+		e.RunID = s.readString()
 	case "outcome":
-		e.Outcome = s.text()
+		e.Outcome = s.readString()
 	case "nonce":
-		e.Nonce = s.text()
+		e.Nonce = s.readString()
 	case "bytes":
-		raw := s.text()
+		raw := s.readString()
 		n, err := base64.StdEncoding.Decode(raw, raw)
 		if err != nil {
 			return ErrLine
 		}
 		e.Body = raw[:n]
 	case "index":
-		v := s.number()
+		v := s.readNumber()
 		if !(v >= 0 && v < maxSequence) {
 			return ErrLine
 		}
 		e.Sequence = uint64(v)
 	case "spent":
-		e.RunMS = s.number()
+		e.RunMS = s.readNumber()
 	case "readings":
 		return e.setGauges(s)
 	default:
-		s.pass(0)
+		s.skipValue(0)
 	}
 	return nil
 }
 
 // setGauges reads the list of gauges.
 func (e *KernelEvent) setGauges(s *jsonScanner) error {
-	s.want('[')
-	for s.err == nil && !s.has(']') {
+	s.expect('[')
+	for s.err == nil && !s.accept(']') {
 		if e.GaugeCount > 0 {
-			s.want(',')
+			s.expect(',')
 		}
 		if e.GaugeCount == len(e.Gauges) {
 			return ErrLine
 		}
-		e.Gauges[e.GaugeCount] = s.number()
+		e.Gauges[e.GaugeCount] = s.readNumber()
 		e.GaugeCount++
 	}
 	return nil
--- a/internal/node/wire/pin_messages_test.go
+++ b/internal/node/wire/pin_messages_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Messages that the other tests leave out, with all their fields set, byte for byte as version 2a0a97e writes them.
-func TestWrittenMessages(t *testing.T) {
+func TestRecordedMessages(t *testing.T) {
 	for name, c := range map[string]struct{ got, want string }{
 		"report, ready": {string(AppendReadinessReport(nil, "127.0.0.1:7946", "n3", true)), "PUT /v2/endpoints/n3 HTTP/1.1\r\n" +
 			"Host: 127.0.0.1:7946\r\nContent-Type: application/json\r\nContent-Length: 21\r\n\r\n{\"condition\":\"Ready\"}"},
@@ -22,7 +22,7 @@
 }
 
 // Every field of a request that the platform sends is read, whatever the case of its name.
-func TestEveryRequestField(t *testing.T) {
+func TestParseRequestAllFields(t *testing.T) {
 	q, n, err := ParseRequest([]byte("POST /rpc/pay?x=1 HTTP/1.1\r\nREQUEST-ID: 9b1f03aa5c7e2d41\r\n"+
 		"Received-At: 1764576000123\r\nSent-By: 4\r\nAccount: acme\r\nAttempt-Again: 1\r\nFootprint-Kb: 24.5\r\n"+
 		"Priority-Rank: 0.625\r\nOnce-Key: k\r\nResource-Key: r\r\nBudget-Ms: 12.5\r\nWork-Estimate: 3.25\r\n"+
--- a/internal/node/wire/wire_test.go
+++ b/internal/node/wire/wire_test.go
@@ -63,18 +63,18 @@
 		event.Sequence, event.RunMS, event.Gauges[:event.GaugeCount]), n, err
 }
 
-type reader = func(b []byte) (string, int, error)
+type readFunc = func(b []byte) (string, int, error)
 
-var readers = map[string]reader{"request": readRequest, "response": readResponse, "reply": readReply,
+var readers = map[string]readFunc{"request": readRequest, "response": readResponse, "reply": readReply,
 	"kernel event": readKernelEvent}
 
-const full = "POST /rpc/pay?x=1 HTTP/1.1\r\nHost: s\r\nRequest-Id: 9b1f03aa5c7e2d41\r\n" +
+const fullRequest = "POST /rpc/pay?x=1 HTTP/1.1\r\nHost: s\r\nRequest-Id: 9b1f03aa5c7e2d41\r\n" +
 	"received-at:1764576000123\r\nSent-By: 4\r\nAccount: acme\r\nAttempt-Again: 1\r\n" +
 	"Footprint-Kb: 24.5\r\nPriority-Rank: 0.625\r\n" +
 	"Once-Key: k\r\nResource-Key: r\r\nBudget-Ms: 12\r\nContent-Length: 3\r\n\r\na\r\n"
 
-var cases = []struct{ kind, in, out string }{
-	{"request", full + "GET /h HTTP/1.0\r\n\r\n",
+var streamCases = []struct{ kind, in, out string }{
+	{"request", fullRequest + "GET /h HTTP/1.0\r\n\r\n",
 		`POST /rpc/pay "a\r\n" id=9b1f03aa5c7e2d41 at=1764576000123 by=4 ` +
 			"true 24.5 0.625 \"acme\" \"k\" \"r\" false 12 0\n" +
 			"GET /h \"\" id= at=0 by=0 false 0 0 \"\" \"\" \"\" true 0 0\n0 left"},
@@ -122,8 +122,8 @@
 
 // A message comes in pieces of any size. A parser that took a piece for the whole, or forgot what came before, would
 // read something that nobody sent.
-func TestAnySplitReadsTheSame(t *testing.T) {
-	for _, c := range cases {
+func TestParsersIndependentOfSplit(t *testing.T) {
+	for _, c := range streamCases {
 		want := c.out
 		if want == "1 short" {
 			want = fmt.Sprint(len(c.in), " left")
@@ -136,9 +136,9 @@
 	}
 }
 
-// FuzzReaders: whatever comes, no parser fails but by its error, nor reads it differently when cut.
-func FuzzReaders(f *testing.F) {
-	for _, c := range cases {
+// FuzzParsers: whatever comes, no parser fails but by its error, nor reads it differently when cut.
+func FuzzParsers(f *testing.F) {
+	for _, c := range streamCases {
 		f.Add([]byte(c.in), 3)
 	}
 	f.Fuzz(func(t *testing.T, in []byte, piece int) {
@@ -153,7 +153,7 @@
 
 // What is written is read by programs of others, which know the bytes as they are here; a body with quotes, line ends
 // or zero bytes must not break out of its message.
-func TestMessagesAsWritten(t *testing.T) {
+func TestAppendedMessages(t *testing.T) {
 	body := []byte("a\x00\"\r\n")
 	refusal := Response{Status: 503, RetryAfterMS: 20, NoRetry: true, Close: true, HasOverloadSignal: true,
 		OverloadSignal: 0.5}
--- a/internal/simulator/adapter.go
+++ b/internal/simulator/adapter.go
@@ -11,16 +11,16 @@
 	"umberwinch/internal/simulator/wire"
 )
 
-// microsecondsPerTick converts the simulator's microseconds to the module's tenths of a millisecond.
-const microsecondsPerTick = 100
+// usPerTick converts the simulator's microseconds to the module's tenths of a millisecond.
+const usPerTick = 100
 
-// writeBuffer is the size of the output's buffer in bytes; a frame is flushed whole.
-const writeBuffer = 1 << 16
+// writeBufferBytes is the size of the output's buffer in bytes; a frame is flushed whole.
+const writeBufferBytes = 1 << 16
 
 // Adapter carries the instances of one process.
 type Adapter struct {
 	instances map[uint32]*instance
-	undecided []*instance // those with a round to decide, in the order in which the batch named them
+	pending   []*instance // those with a round to decide, in the order in which the batch named them
 	reply     wire.Reply
 	decisions decisionWriter
 }
@@ -34,7 +34,7 @@
 
 // Serve answers every frame of in on out until the input ends. Input that isn't as the protocol says is an error.
 func (a *Adapter) Serve(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), bufio.NewWriterSize(out, writeBuffer)
+	r, w := wire.NewReader(in), bufio.NewWriterSize(out, writeBufferBytes)
 	var b wire.Batch
 	for frame := 1; ; frame++ {
 		err := r.Read(&b)
@@ -42,7 +42,7 @@
 			return nil
 		}
 		if err == nil {
-			err = a.answer(&b)
+			err = a.handleBatch(&b)
 		}
 		if err != nil {
 			return fmt.Errorf("frame %d: %w", frame, err)
@@ -56,19 +56,19 @@
 	}
 }
 
-// answer turns one batch into rounds, and their decisions into the reply.
-func (a *Adapter) answer(b *wire.Batch) error {
+// handleBatch turns one batch into rounds, and their decisions into the reply.
+func (a *Adapter) handleBatch(b *wire.Batch) error {
 	a.reply.Reset()
-	a.undecided = a.undecided[:0]
-	now := admission.Time(b.NowUS / microsecondsPerTick)
-	about := subject{}
+	a.pending = a.pending[:0]
+	now := admission.Time(b.NowUS / usPerTick)
+	about := selection{}
 	for i := range b.Count {
-		if err := a.take(b, b.Event(i), &about, now); err != nil {
+		if err := a.handleEvent(b, b.Event(i), &about, now); err != nil {
 			return fmt.Errorf("record %d: %w", i, err)
 		}
 	}
-	for _, in := range a.undecided {
-		in.listed = false
+	for _, in := range a.pending {
+		in.pending = false
 		in.round.Now = now
 		in.decide(&a.reply, &a.decisions)
 		in.clearRound()
@@ -76,15 +76,15 @@
 	return nil
 }
 
-// subject is the instance that the events of a batch are about at the moment.
-type subject struct {
+// selection is the instance that the events of a batch are about at the moment.
+type selection struct {
 	number   uint32
 	named    bool
 	instance *instance // nil while none of that number is running
 }
 
-// take handles one event of a batch.
-func (a *Adapter) take(b *wire.Batch, e wire.Event, about *subject, now admission.Time) error {
+// handleEvent handles one event of a batch.
+func (a *Adapter) handleEvent(b *wire.Batch, e wire.Event, about *selection, now admission.Time) error {
 	switch e.Kind() {
 	case wire.InstanceSelected:
 		about.number, about.named = e.Instance(), true
@@ -110,22 +110,22 @@
 		if about.instance == nil {
 			return fmt.Errorf("event %d for instance %d, expected one that was started", e.Kind(), about.number)
 		}
-		if err := about.instance.gather(e, b.NowUS); err != nil {
+		if err := about.instance.addEvent(e, b.NowUS); err != nil {
 			return err
 		}
 	}
-	if !about.instance.listed {
-		about.instance.listed = true
-		a.undecided = append(a.undecided, about.instance)
+	if !about.instance.pending {
+		about.instance.pending = true
+		a.pending = append(a.pending, about.instance)
 	}
 	return nil
 }
 
 // remove forgets an instance that crashed, with the round that was gathered for it.
 func (a *Adapter) remove(in *instance) {
-	in.listed = false
+	in.pending = false
 	delete(a.instances, in.number)
-	if k := slices.Index(a.undecided, in); k >= 0 {
-		a.undecided = slices.Delete(a.undecided, k, k+1)
+	if k := slices.Index(a.pending, in); k >= 0 {
+		a.pending = slices.Delete(a.pending, k, k+1)
 	}
 }
--- a/internal/simulator/adapter_test.go
+++ b/internal/simulator/adapter_test.go
@@ -11,8 +11,8 @@
 const settingsJSON = `{"classes": [{"gain": 1, "give_up": 6e6, "promise": 2e6, "semantics": "idempotent"}],
  "family_info": {"cores": 1, "memory_kb": 1000, "meters": ["core_use"], "new_key": 1}, "granularity": 2000}`
 
-// rec is an event record: a code, then fields of the width of their type.
-func rec(code byte, fields ...any) []byte {
+// eventRecord is an event record: a code, then fields of the width of their type.
+func eventRecord(code byte, fields ...any) []byte {
 	var b bytes.Buffer
 	b.WriteByte(code)
 	for _, f := range fields {
@@ -34,15 +34,17 @@
 	return append(b, tail...)
 }
 
-func start(text string) []byte {
-	return frame(text, rec(100, uint32(3)), rec(10, uint64(7), uint32(0), uint32(len(text))))
+func startFrame(text string) []byte {
+	return frame(text, eventRecord(100, uint32(3)), eventRecord(10, uint64(7), uint32(0), uint32(len(text))))
 }
 
-func spawned(seed uint64) []byte { return rec(10, seed, uint32(0), uint32(len(settingsJSON))) }
+func instanceStarted(seed uint64) []byte {
+	return eventRecord(10, seed, uint32(0), uint32(len(settingsJSON)))
+}
 
-func order(id uint32) []byte { return rec(20, id) }
+func requestRead(id uint32) []byte { return eventRecord(20, id) }
 
-func serve(in ...[]byte) (codes string, err error) {
+func serveFrames(in ...[]byte) (codes string, err error) {
 	var out bytes.Buffer
 	err = New().Serve(bytes.NewReader(bytes.Join(in, nil)), &out)
 	for b := out.Bytes(); len(b) >= 8; {
@@ -59,13 +61,13 @@
 // The simulator sends frames that are whole, cut short, or at odds with themselves. The adapter replies to each whole
 // one and ends at the first bad one, saying which and why; an instance may start again in the same frame in which it
 // ended.
-func TestRepliesToFrames(t *testing.T) {
-	about := rec(100, uint32(3))
-	long := frame("", order(1))
+func TestServeFrames(t *testing.T) {
+	about := eventRecord(100, uint32(3))
+	long := frame("", requestRead(1))
 	binary.BigEndian.PutUint32(long, uint32(len(long)+9))
-	short := frame("", order(1))
+	short := frame("", requestRead(1))
 	binary.BigEndian.PutUint32(short, 12)
-	many := frame("", order(1))
+	many := frame("", requestRead(1))
 	binary.BigEndian.PutUint32(many[12:], 2)
 	for _, c := range []struct {
 		name, codes, err string
@@ -73,33 +75,33 @@
 	}{
 		{"empty batch, then the end", "| ", "", [][]byte{frame("")}},
 		{"start, order, halt and a new start in one batch", "70 50 130 | 70 150 | 70 50 130 | ", "",
-			[][]byte{start(settingsJSON), frame("", about, order(1)),
-				frame(settingsJSON, about, rec(90), spawned(8))}},
+			[][]byte{startFrame(settingsJSON), frame("", about, requestRead(1)),
+				frame(settingsJSON, about, eventRecord(90), instanceStarted(8))}},
 		{"truncated header", "| ", "frame 2: truncated in the header", [][]byte{frame(""), {0, 0, 1}}},
-		{"truncated body", "", "frame 1: truncated, got 66 bytes, expected 72", [][]byte{frame("", order(1))[:66]}},
+		{"truncated body", "", "frame 1: truncated, got 66 bytes, expected 72", [][]byte{frame("", requestRead(1))[:66]}},
 		{"longer than it says", "", "frame 1: truncated, got 72 bytes, expected 81", [][]byte{long}},
 		{"shorter than it says", "", "frame 1: size 12, expected", [][]byte{short}},
 		{"count does not fit", "", "frame 1: 2 records do not fit, expected at most 1", [][]byte{many}},
-		{"unknown code", "70 50 130 | ", "frame 2: record 1: event code 77", [][]byte{start(settingsJSON),
-			frame("", about, rec(77))}},
+		{"unknown code", "70 50 130 | ", "frame 2: record 1: event code 77", [][]byte{startFrame(settingsJSON),
+			frame("", about, eventRecord(77))}},
 		{"tail out of range", "", "frame 1: record 1: instance 3: tail reference 4+900 out of range",
-			[][]byte{frame("abc", about, rec(10, uint64(7), uint32(4), uint32(900)))}},
-		{"never started", "", "frame 1: record 1: event 20 for instance 3", [][]byte{frame("", about, order(1))}},
-		{"unknown class", "70 50 130 | ", "frame 2: record 1: class 9, expected below 1", [][]byte{start(settingsJSON),
-			frame("", about, rec(20, uint32(1), uint16(9)))}},
-		{"unknown status", "70 50 130 | ", "frame 2: record 1: status 99", [][]byte{start(settingsJSON),
-			frame("", about, rec(30, uint32(1), uint32(0), uint16(99)))}},
-		{"settings not JSON", "", "frame 1: record 1: instance 3: settings are not JSON", [][]byte{start("no")}},
+			[][]byte{frame("abc", about, eventRecord(10, uint64(7), uint32(4), uint32(900)))}},
+		{"never started", "", "frame 1: record 1: event 20 for instance 3", [][]byte{frame("", about, requestRead(1))}},
+		{"unknown class", "70 50 130 | ", "frame 2: record 1: class 9, expected below 1", [][]byte{startFrame(settingsJSON),
+			frame("", about, eventRecord(20, uint32(1), uint16(9)))}},
+		{"unknown status", "70 50 130 | ", "frame 2: record 1: status 99", [][]byte{startFrame(settingsJSON),
+			frame("", about, eventRecord(30, uint32(1), uint32(0), uint16(99)))}},
+		{"settings not JSON", "", "frame 1: record 1: instance 3: settings are not JSON", [][]byte{startFrame("no")}},
 		{"no handlers", "", "settings: no classes",
-			[][]byte{start(`{"family_info": {"cores": 1, "memory_kb": 9}}`)}},
+			[][]byte{startFrame(`{"family_info": {"cores": 1, "memory_kb": 9}}`)}},
 		{"no cores", "", "family_info.cores is 0",
-			[][]byte{start(strings.Replace(settingsJSON, `"cores": 1`, `"cores": 0`, 1))}},
-		{"no client timeout", "", "classes[0].give_up", [][]byte{start(strings.Replace(settingsJSON, "6e6", "0", 1))}},
+			[][]byte{startFrame(strings.Replace(settingsJSON, `"cores": 1`, `"cores": 0`, 1))}},
+		{"no client timeout", "", "classes[0].give_up", [][]byte{startFrame(strings.Replace(settingsJSON, "6e6", "0", 1))}},
 		{"unknown semantics", "", `"magic", which is not known`,
-			[][]byte{start(strings.Replace(settingsJSON, "idempotent", "magic", 1))}},
+			[][]byte{startFrame(strings.Replace(settingsJSON, "idempotent", "magic", 1))}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			codes, err := serve(c.in...)
+			codes, err := serveFrames(c.in...)
 			if c.err == "" && err != nil || c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)) {
 				t.Errorf("error %v, expected %q", err, c.err)
 			}
@@ -112,15 +114,15 @@
 
 // Hundreds of instances: one that appears late may see an id that another saw, and what is malformed for one
 // of them is said with its record.
-func TestManyInstances(t *testing.T) {
+func TestServeManyInstances(t *testing.T) {
 	var fleet [][]byte
 	for i := range uint32(400) {
-		fleet = append(fleet, rec(100, i), spawned(uint64(i)))
+		fleet = append(fleet, eventRecord(100, i), instanceStarted(uint64(i)))
 	}
-	late := frame(settingsJSON, rec(100, uint32(7)), order(1), rec(100, uint32(400)), spawned(9), order(1))
-	bad := frame("", rec(100, uint32(399)), order(2), rec(100, uint32(8)),
-		rec(30, uint32(1), uint32(0), uint16(99)))
-	codes, err := serve(frame(settingsJSON, fleet...), late, bad)
+	late := frame(settingsJSON, eventRecord(100, uint32(7)), requestRead(1), eventRecord(100, uint32(400)), instanceStarted(9), requestRead(1))
+	bad := frame("", eventRecord(100, uint32(399)), requestRead(2), eventRecord(100, uint32(8)),
+		eventRecord(30, uint32(1), uint32(0), uint16(99)))
+	codes, err := serveFrames(frame(settingsJSON, fleet...), late, bad)
 	if err == nil || !strings.Contains(err.Error(), "frame 3: record 3: status 99") {
 		t.Errorf("error %v", err)
 	}
@@ -133,7 +135,7 @@
 func TestPanicFailsOneInstance(t *testing.T) {
 	h := New()
 	var out bytes.Buffer
-	if err := h.Serve(bytes.NewReader(start(settingsJSON)), &out); err != nil {
+	if err := h.Serve(bytes.NewReader(startFrame(settingsJSON)), &out); err != nil {
 		t.Fatal(err)
 	}
 	h.instances[3].controller = nil
--- a/internal/simulator/decisions.go
+++ b/internal/simulator/decisions.go
@@ -8,12 +8,12 @@
 // decisionWriter encodes the module's decisions straight into the reply.
 type decisionWriter struct{ reply *wire.Reply }
 
-// maxSpan bounds a span on the wire: 55 minutes, far beyond any deadline.
-const maxSpan admission.Time = 1 << 25
+// maxDuration bounds a span on the wire: 55 minutes, far beyond any deadline.
+const maxDuration admission.Time = 1 << 25
 
 // microseconds of a span, which has 32 bits on the wire.
 func microseconds(t admission.Time) uint32 {
-	return uint32(min(max(t, 0), maxSpan) * microsecondsPerTick)
+	return uint32(min(max(t, 0), maxDuration) * usPerTick)
 }
 
 func (w *decisionWriter) Run(id uint32)                      { w.reply.Run(id) }
@@ -28,7 +28,7 @@
 }
 
 func (w *decisionWriter) Call(id uint32, until admission.Time) {
-	w.reply.Call(id, uint64(until)*microsecondsPerTick)
+	w.reply.Call(id, uint64(until)*usPerTick)
 }
 
 func (w *decisionWriter) Remember(id uint32, span admission.Time) {
@@ -40,5 +40,5 @@
 func (w *decisionWriter) SetIdleTimeout(after admission.Time) {
 	w.reply.IdleTimeout(microseconds(after))
 }
-func (w *decisionWriter) WakeUp(at admission.Time) { w.reply.WakeUp(uint64(at)*microsecondsPerTick, 1) }
+func (w *decisionWriter) WakeUp(at admission.Time) { w.reply.WakeUp(uint64(at)*usPerTick, 1) }
 func (w *decisionWriter) Log(line string)          { w.reply.Log(line) }
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -14,7 +14,7 @@
 	controller *admission.Controller
 	round      admission.Round
 	settings   *settings.Startup
-	listed     bool // among the adapter's undecided
+	pending    bool // among the adapter's undecided
 	failed     bool // its module panicked: it decides nothing more
 }
 
@@ -55,7 +55,7 @@
 	statusSuperseded:        admission.Superseded,
 }
 
-func outcome(status int) (admission.Outcome, error) {
+func outcomeOf(status int) (admission.Outcome, error) {
 	how, ok := outcomeOfStatus[status]
 	if !ok {
 		return how, fmt.Errorf("status %d, expected one of the listed endings", status)
@@ -64,40 +64,40 @@
 }
 
 // ticks converts a span or time of the simulator.
-func ticks[T uint32 | uint64](us T) admission.Time { return admission.Time(us / microsecondsPerTick) }
+func ticks[T uint32 | uint64](us T) admission.Time { return admission.Time(us / usPerTick) }
 
-// gather adds one event to the instance's round.
-func (in *instance) gather(e wire.Event, nowUS uint64) error {
+// addEvent adds one event to the instance's round.
+func (in *instance) addEvent(e wire.Event, nowUS uint64) error {
 	r := &in.round
 	switch e.Kind() {
 	case wire.RequestRead:
-		return in.gatherRequest(e.Request(), nowUS)
+		return in.addRequest(e.Request(), nowUS)
 	case wire.RunEnded:
 		result := e.RunResult()
-		how, err := outcome(result.Status)
-		r.RunEnds = append(r.RunEnds, admission.RunEnd{ID: result.ID, Elapsed: ticks(result.TookUS), Outcome: how})
+		how, err := outcomeOf(result.Status)
+		r.RunEnds = append(r.RunEnds, admission.RunEnd{ID: result.ID, Elapsed: ticks(result.ElapsedUS), Outcome: how})
 		return err
 	case wire.CallNeeded:
 		r.CallRequests = append(r.CallRequests, e.RequestID())
 	case wire.CallEnded:
 		result := e.CallResult()
-		how, err := outcome(result.Status)
-		r.CallEnds = append(r.CallEnds, admission.CallEnd{ID: result.ID, Elapsed: ticks(result.TookUS), Outcome: how})
+		how, err := outcomeOf(result.Status)
+		r.CallEnds = append(r.CallEnds, admission.CallEnd{ID: result.ID, Elapsed: ticks(result.ElapsedUS), Outcome: how})
 		return err
 	case wire.CallerGone:
 		r.Disconnected = append(r.Disconnected, e.RequestID())
 	case wire.DrainNotice:
 		r.Drain, r.KillAt = true, ticks(e.KillAtUS())
 	case wire.WakeUp:
-		in.gatherGauges(e)
+		in.addWakeUp(e)
 	default:
 		return fmt.Errorf("event code %d, expected a known one", e.Kind())
 	}
 	return nil
 }
 
-// gatherRequest adds a request that was read. It came when it reached the machine, which is a while before it was read.
-func (in *instance) gatherRequest(q wire.Request, nowUS uint64) error {
+// addRequest adds a request that was read. It came when it reached the machine, which is a while before it was read.
+func (in *instance) addRequest(q wire.Request, nowUS uint64) error {
 	if q.Class >= in.controller.Handlers() {
 		return fmt.Errorf("class %d, expected below %d", q.Class, in.controller.Handlers())
 	}
@@ -112,15 +112,15 @@
 		Caller:     q.Caller,
 		PreviousID: q.Previous,
 	}
-	if q.HasWork {
-		request.ExpectedWork = ticks(q.WorkUS)
+	if q.HasExpectedWork {
+		request.ExpectedWork = ticks(q.ExpectedWorkUS)
 	}
 	in.round.Arrived = append(in.round.Arrived, request)
 	return nil
 }
 
-// gatherGauges notes a wake-up, with the gauges where it has them.
-func (in *instance) gatherGauges(e wire.Event) {
+// addWakeUp notes a wake-up, with the gauges where it has them.
+func (in *instance) addWakeUp(e wire.Event) {
 	in.round.TimerFired = true
 	var space [4]float64
 	read := e.Gauges(space[:0])
--- a/internal/simulator/pin_frames_test.go
+++ b/internal/simulator/pin_frames_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// pinnedSettings has every key of the start-up settings that the programs read.
-const pinnedSettings = `{"classes": [
+// recordedSettings has every key of the start-up settings that the programs read.
+const recordedSettings = `{"classes": [
  {"name": "view", "gain": 1, "give_up": 6e6, "late_share": 0.25, "promise": 2e6, "semantics": "idempotent", "window": 0},
  {"name": "pay", "gain": 4, "give_up": 4e6, "late_share": 0.5, "promise": 1e6, "semantics": "deduplicated", "window": 9e6},
  {"name": "once", "gain": 2, "give_up": 5e6, "late_share": 0, "promise": 0, "semantics": "at_most_once", "window": 0}],
@@ -34,10 +34,10 @@
 		{"tier", "off", "weight", "d502a21e132288bf"},
 	} {
 		t.Run(c.below, func(t *testing.T) {
-			p := &frameSource{t: t, h: New(), r: rand.New(rand.NewSource(7)), codes: map[byte]int{}}
-			p.play(fmt.Sprintf(pinnedSettings, c.below, c.preemption, c.say))
-			if got := hex.EncodeToString(p.sum()[:8]); got != c.want {
-				t.Errorf("replies have the hash %s, expected %s; actions: %v", got, c.want, p.codes)
+			p := &frameSource{t: t, adapter: New(), random: rand.New(rand.NewSource(7)), actionCounts: map[byte]int{}}
+			p.play(fmt.Sprintf(recordedSettings, c.below, c.preemption, c.say))
+			if got := hex.EncodeToString(p.repliesSum()[:8]); got != c.want {
+				t.Errorf("replies have the hash %s, expected %s; actions: %v", got, c.want, p.actionCounts)
 			}
 		})
 	}
@@ -45,85 +45,85 @@
 
 // frameSource plays the simulator's side: it makes frames from what was answered to those before.
 type frameSource struct {
-	t       *testing.T
-	h       *Adapter
-	r       *rand.Rand
-	nowUS   uint64
-	next    uint32
-	waiting []uint32 // read and not run yet
-	running []uint32
-	calling []uint32
-	codes   map[byte]int
-	hash    bytes.Buffer
+	t            *testing.T
+	adapter      *Adapter
+	random       *rand.Rand
+	nowUS        uint64
+	nextID       uint32
+	waiting      []uint32 // read and not run yet
+	running      []uint32
+	calling      []uint32
+	actionCounts map[byte]int
+	replies      bytes.Buffer
 }
 
-func (p *frameSource) sum() []byte {
-	s := sha256.Sum256(p.hash.Bytes())
+func (p *frameSource) repliesSum() []byte {
+	s := sha256.Sum256(p.replies.Bytes())
 	return s[:]
 }
 
 func (p *frameSource) play(settings string) {
-	p.nowUS, p.next = 5_000_000, 1
-	about := rec(100, uint32(3))
-	p.send(settings, about, rec(10, uint64(7), uint32(0), uint32(len(settings))))
+	p.nowUS, p.nextID = 5_000_000, 1
+	about := eventRecord(100, uint32(3))
+	p.send(settings, about, eventRecord(10, uint64(7), uint32(0), uint32(len(settings))))
 	for step := range 1500 {
-		p.nowUS += uint64(p.r.Intn(4000))
+		p.nowUS += uint64(p.random.Intn(4000))
 		events := [][]byte{about}
-		for range p.r.Intn(4) {
-			events = append(events, p.order())
+		for range p.random.Intn(4) {
+			events = append(events, p.requestRead())
 		}
 		events = append(events, p.progress()...)
-		if p.r.Intn(5) == 0 {
-			events = append(events, rec(80, uint64(1), byte(2), p.r.Float32()*2, p.r.Float32()*9))
+		if p.random.Intn(5) == 0 {
+			events = append(events, eventRecord(80, uint64(1), byte(2), p.random.Float32()*2, p.random.Float32()*9))
 		}
 		if step == 1300 {
-			events = append(events, rec(60, p.nowUS+3_000_000))
+			events = append(events, eventRecord(60, p.nowUS+3_000_000))
 		}
 		p.send("", events...)
 	}
 }
 
-// order is the event of a request that was read.
-func (p *frameSource) order() []byte {
-	id := p.next
-	p.next++
+// requestRead is the event of a request that was read.
+func (p *frameSource) requestRead() []byte {
+	id := p.nextID
+	p.nextID++
 	p.waiting = append(p.waiting, id)
 	prior := uint32(0)
-	flags := byte(p.r.Intn(4))
+	flags := byte(p.random.Intn(4))
 	if flags&2 != 0 && id > 9 {
-		prior = id - uint32(p.r.Intn(9))
+		prior = id - uint32(p.random.Intn(9))
 	}
-	deadline := p.nowUS + uint64(p.r.Intn(6_000_000))
-	return rec(20, id, uint16(p.r.Intn(3)), uint32(p.r.Intn(2)), uint64(11), deadline,
-		uint32(p.r.Intn(40_000)), float32(p.r.Intn(40)), float32(p.r.Float32()), flags, uint32(p.r.Intn(6)),
-		uint32(p.r.Intn(9000)), prior)
+	deadline := p.nowUS + uint64(p.random.Intn(6_000_000))
+	return eventRecord(20, id, uint16(p.random.Intn(3)), uint32(p.random.Intn(2)), uint64(11), deadline,
+		uint32(p.random.Intn(40_000)), float32(p.random.Intn(40)), float32(p.random.Float32()), flags, uint32(p.random.Intn(6)),
+		uint32(p.random.Intn(9000)), prior)
 }
 
 // progress is what runs and calls came to.
 func (p *frameSource) progress() (events [][]byte) {
 	take := func(list *[]uint32) uint32 {
-		i := p.r.Intn(len(*list))
+		i := p.random.Intn(len(*list))
 		id := (*list)[i]
 		*list = slices.Delete(*list, i, i+1)
 		return id
 	}
-	if len(p.calling) > 0 && p.r.Intn(3) > 0 {
+	if len(p.calling) > 0 && p.random.Intn(3) > 0 {
 		id := take(&p.calling)
-		status := []uint16{0, 13, 8, 14, 4, 10, 9}[p.r.Intn(7)]
-		events = append(events, rec(50, id, status, uint32(p.r.Intn(30_000))))
+		status := []uint16{0, 13, 8, 14, 4, 10, 9}[p.random.Intn(7)]
+		events = append(events, eventRecord(50, id, status, uint32(p.random.Intn(30_000))))
 		p.running = append(p.running, id)
 	}
-	if len(p.running) > 0 && p.r.Intn(2) > 0 {
-		if id := take(&p.running); p.r.Intn(3) == 0 {
-			events = append(events, rec(40, id))
+	if len(p.running) > 0 && p.random.Intn(2) > 0 {
+		if id := take(&p.running); p.random.Intn(3) == 0 {
+			events = append(events, eventRecord(40, id))
 			p.calling = append(p.calling, id)
 		} else {
-			status := []uint16{0, 0, 0, 13, 8, 1, 9}[p.r.Intn(7)]
-			events = append(events, rec(30, id, uint32(p.r.Intn(50_000)), status))
+			status := []uint16{0, 0, 0, 13, 8, 1, 9}[p.random.Intn(7)]
+			events = append(events, eventRecord(30, id, uint32(p.random.Intn(50_000)), status))
 		}
 	}
-	if len(p.waiting) > 20 && p.r.Intn(9) == 0 {
-		events = append(events, rec(70, take(&p.waiting)))
+	if len(p.waiting) > 20 && p.random.Intn(9) == 0 {
+		events = append(events, eventRecord(70, take(&p.waiting)))
 	}
 	return events
 }
@@ -134,28 +134,28 @@
 	f := frame(tail, events...)
 	binary.BigEndian.PutUint64(f[4:], p.nowUS)
 	var out bytes.Buffer
-	if err := p.h.Serve(bytes.NewReader(f), &out); err != nil {
+	if err := p.adapter.Serve(bytes.NewReader(f), &out); err != nil {
 		p.t.Fatal(err)
 	}
-	p.hash.Write(out.Bytes())
+	p.replies.Write(out.Bytes())
 	b := out.Bytes()
 	for k := range int(binary.BigEndian.Uint32(b[4:])) {
 		action := b[8+24*k : 8+24*k+24]
-		p.codes[action[0]]++
+		p.actionCounts[action[0]]++
 		id := binary.BigEndian.Uint32(action[1:])
 		switch action[0] {
 		case 30:
 			p.t.Fatalf("the module failed: %s", b[len(b)-int(binary.BigEndian.Uint32(action[5:])):])
 		case 150:
 			p.running = append(p.running, id)
-			p.drop(&p.waiting, id)
+			p.removeID(&p.waiting, id)
 		case 160, 10, 40, 50:
-			p.drop(&p.waiting, id)
+			p.removeID(&p.waiting, id)
 		}
 	}
 }
 
-func (p *frameSource) drop(list *[]uint32, id uint32) {
+func (p *frameSource) removeID(list *[]uint32, id uint32) {
 	if i := slices.Index(*list, id); i >= 0 {
 		*list = slices.Delete(*list, i, i+1)
 	}
--- a/internal/simulator/wire/event.go
+++ b/internal/simulator/wire/event.go
@@ -25,38 +25,38 @@
 
 // Where an event's fields begin.
 const (
-	atID = 1 // of a request, or of an instance
+	offsetID = 1 // of a request, or of an instance
 
-	atSettings = 9
+	offsetSettings = 9
 
-	atRequestClass    = 5
-	atRequestTenant   = 7
-	atRequestDeadline = 19
-	atRequestWork     = 27
-	atRequestKB       = 31
-	atRequestFlags    = 39
-	atRequestCaller   = 40
-	atRequestBacklog  = 44
-	atRequestPrevious = 48
+	offsetRequestClass     = 5
+	offsetRequestTenant    = 7
+	offsetRequestDeadline  = 19
+	offsetRequestWork      = 27
+	offsetRequestFootprint = 31
+	offsetRequestFlags     = 39
+	offsetRequestCaller    = 40
+	offsetRequestBacklog   = 44
+	offsetRequestPrevious  = 48
 
-	atRunTook   = 5
-	atRunStatus = 9
+	offsetRunElapsed = 5
+	offsetRunStatus  = 9
 
-	atCallStatus = 5
-	atCallTook   = 7
+	offsetCallStatus  = 5
+	offsetCallElapsed = 7
 
-	atKillTime = 1
+	offsetKillTime = 1
 
-	atGaugeCount = 9
-	atGauges     = 10
-	gaugeBytes   = 4
-	maxGauges    = 4
+	offsetGaugeCount = 9
+	offsetGauges     = 10
+	gaugeBytes       = 4
+	maxGauges        = 4
 )
 
 // Bits of a request's flags.
 const (
-	flagHasWork = 1
-	flagIsRetry = 2
+	flagHasExpectedWork = 1
+	flagIsRetry         = 2
 )
 
 // Event is one record of a batch. Its methods read the fields of its kind; what a method of another kind's gives has no
@@ -67,75 +67,75 @@
 func (e Event) Kind() Kind { return Kind(e[0]) }
 
 // Instance is the number of the instance that the next events are about, of InstanceSelected.
-func (e Event) Instance() uint32 { return e.uint32(atID) }
+func (e Event) Instance() uint32 { return e.uint32(offsetID) }
 
 // RequestID is the request that the event is about.
-func (e Event) RequestID() uint32 { return e.uint32(atID) }
+func (e Event) RequestID() uint32 { return e.uint32(offsetID) }
 
 // Request is what a RequestRead event tells.
 type Request struct {
-	ID          uint32
-	Class       int
-	Tenant      int
-	DeadlineUS  uint64  // by the simulator's clock; 0 where it isn't stated
-	WorkUS      uint32  // expected, on a standard core; valid with HasWork
-	HasWork     bool    //
-	FootprintKB float64 // memory occupied while it is held
-	IsRetry     bool
-	Caller      uint32
-	BacklogUS   uint32 // since it reached the machine
-	Previous    uint32 // the remembered request that it repeats, or 0
+	ID              uint32
+	Class           int
+	Tenant          int
+	DeadlineUS      uint64  // by the simulator's clock; 0 where it isn't stated
+	ExpectedWorkUS  uint32  // expected, on a standard core; valid with HasExpectedWork
+	HasExpectedWork bool    //
+	FootprintKB     float64 // memory occupied while it is held
+	IsRetry         bool
+	Caller          uint32
+	BacklogUS       uint32 // since it reached the machine
+	Previous        uint32 // the remembered request that it repeats, or 0
 }
 
 // Request decodes a RequestRead event.
 func (e Event) Request() Request {
-	flags := e[atRequestFlags]
+	flags := e[offsetRequestFlags]
 	return Request{
-		ID:          e.uint32(atID),
-		Class:       e.uint16(atRequestClass),
-		Tenant:      int(e.uint32(atRequestTenant)),
-		DeadlineUS:  e.uint64(atRequestDeadline),
-		WorkUS:      e.uint32(atRequestWork),
-		HasWork:     flags&flagHasWork != 0,
-		FootprintKB: e.float32(atRequestKB),
-		IsRetry:     flags&flagIsRetry != 0,
-		Caller:      e.uint32(atRequestCaller),
-		BacklogUS:   e.uint32(atRequestBacklog),
-		Previous:    e.uint32(atRequestPrevious),
+		ID:              e.uint32(offsetID),
+		Class:           e.uint16(offsetRequestClass),
+		Tenant:          int(e.uint32(offsetRequestTenant)),
+		DeadlineUS:      e.uint64(offsetRequestDeadline),
+		ExpectedWorkUS:  e.uint32(offsetRequestWork),
+		HasExpectedWork: flags&flagHasExpectedWork != 0,
+		FootprintKB:     e.float32(offsetRequestFootprint),
+		IsRetry:         flags&flagIsRetry != 0,
+		Caller:          e.uint32(offsetRequestCaller),
+		BacklogUS:       e.uint32(offsetRequestBacklog),
+		Previous:        e.uint32(offsetRequestPrevious),
 	}
 }
 
 // Result is how a run or a call ended.
 type Result struct {
-	ID     uint32 // of its request
-	Status int
-	TookUS uint32
+	ID        uint32 // of its request
+	Status    int
+	ElapsedUS uint32
 }
 
 // RunResult decodes a RunEnded event.
 func (e Event) RunResult() Result {
-	return Result{ID: e.uint32(atID), Status: e.uint16(atRunStatus), TookUS: e.uint32(atRunTook)}
+	return Result{ID: e.uint32(offsetID), Status: e.uint16(offsetRunStatus), ElapsedUS: e.uint32(offsetRunElapsed)}
 }
 
 // CallResult decodes a CallEnded event.
 func (e Event) CallResult() Result {
-	return Result{ID: e.uint32(atID), Status: e.uint16(atCallStatus), TookUS: e.uint32(atCallTook)}
+	return Result{ID: e.uint32(offsetID), Status: e.uint16(offsetCallStatus), ElapsedUS: e.uint32(offsetCallElapsed)}
 }
 
 // KillAtUS is when the instance is stopped, by the simulator's clock, of DrainNotice.
-func (e Event) KillAtUS() uint64 { return e.uint64(atKillTime) }
+func (e Event) KillAtUS() uint64 { return e.uint64(offsetKillTime) }
 
 // Gauges appends what the gauges read to read, in the order in which the settings name them; none in most WakeUp
 // events.
 func (e Event) Gauges(read []float64) []float64 {
-	for k := range min(int(e[atGaugeCount]), maxGauges) {
-		read = append(read, e.float32(atGauges+gaugeBytes*k))
+	for k := range min(int(e[offsetGaugeCount]), maxGauges) {
+		read = append(read, e.float32(offsetGauges+gaugeBytes*k))
 	}
 	return read
 }
 
 // Settings is the start-up text of an InstanceStarted event, a view into the batch.
-func (b *Batch) Settings(e Event) ([]byte, error) { return b.text(e, atSettings) }
+func (b *Batch) Settings(e Event) ([]byte, error) { return b.text(e, offsetSettings) }
 
 // text is the part of the tail that the event names at an offset.
 func (b *Batch) text(e Event, at int) ([]byte, error) {
--- a/internal/simulator/wire/reply.go
+++ b/internal/simulator/wire/reply.go
@@ -28,64 +28,64 @@
 
 // Reply gathers the actions of one frame. Those after Instance are of that instance.
 type Reply struct {
-	recs  []byte
-	tail  []byte
-	count int
+	actions []byte
+	tail    []byte
+	count   int
 }
 
 // Reset empties the reply.
-func (p *Reply) Reset() { p.recs, p.tail, p.count = p.recs[:0], p.tail[:0], 0 }
+func (p *Reply) Reset() { p.actions, p.tail, p.count = p.actions[:0], p.tail[:0], 0 }
 
 // action adds an empty action and gives its bytes.
 func (p *Reply) action(code byte) []byte {
-	n := len(p.recs)
-	p.recs = append(p.recs, make([]byte, actionSize)...)
-	p.recs[n] = code
+	n := len(p.actions)
+	p.actions = append(p.actions, make([]byte, actionBytes)...)
+	p.actions[n] = code
 	p.count++
-	return p.recs[n : n+actionSize]
+	return p.actions[n : n+actionBytes]
 }
 
-// actionOn adds an action that names a request or an instance.
-func (p *Reply) actionOn(code byte, id uint32) []byte {
+// actionFor adds an action that names a request or an instance.
+func (p *Reply) actionFor(code byte, id uint32) []byte {
 	r := p.action(code)
 	binary.BigEndian.PutUint32(r[1:], id)
 	return r
 }
 
 // Instance says whose the next actions are.
-func (p *Reply) Instance(number uint32) { p.actionOn(actionInstance, number) }
+func (p *Reply) Instance(number uint32) { p.actionFor(actionInstance, number) }
 
 // Run starts or resumes a request.
-func (p *Reply) Run(id uint32) { p.actionOn(actionRun, id) }
+func (p *Reply) Run(id uint32) { p.actionFor(actionRun, id) }
 
 // Stop stops a request that runs.
-func (p *Reply) Stop(id uint32) { p.actionOn(actionStop, id) }
+func (p *Reply) Stop(id uint32) { p.actionFor(actionStop, id) }
 
 // Fail answers a request with an error, of which nothing is promised.
-func (p *Reply) Fail(id uint32) { p.actionOn(actionFail, id) }
+func (p *Reply) Fail(id uint32) { p.actionFor(actionFail, id) }
 
 // SkipCall has a run go on without its call.
-func (p *Reply) SkipCall(id uint32) { p.actionOn(actionSkipCall, id) }
+func (p *Reply) SkipCall(id uint32) { p.actionFor(actionSkipCall, id) }
 
 // Forget removes a request's idempotency entry.
-func (p *Reply) Forget(id uint32) { p.actionOn(actionForget, id) }
+func (p *Reply) Forget(id uint32) { p.actionFor(actionForget, id) }
 
 // ReuseResult answers a request from the result of the one that it repeats.
-func (p *Reply) ReuseResult(id uint32) { p.actionOn(actionReuseResult, id) }
+func (p *Reply) ReuseResult(id uint32) { p.actionFor(actionReuseResult, id) }
 
 // Remember holds a request's idempotency entry for a span.
 func (p *Reply) Remember(id, spanUS uint32) {
-	binary.BigEndian.PutUint32(p.actionOn(actionRemember, id)[5:], spanUS)
+	binary.BigEndian.PutUint32(p.actionFor(actionRemember, id)[5:], spanUS)
 }
 
 // Call makes the call that a run waits for, until a time.
 func (p *Reply) Call(id uint32, untilUS uint64) {
-	binary.BigEndian.PutUint64(p.actionOn(actionCall, id)[5:], untilUS)
+	binary.BigEndian.PutUint64(p.actionFor(actionCall, id)[5:], untilUS)
 }
 
 // Reject answers a request that it never ran; noRetry asks the caller to try no other server either.
 func (p *Reply) Reject(id uint32, noRetry bool, retryAfterUS uint32) {
-	r := p.actionOn(actionReject, id)
+	r := p.actionFor(actionReject, id)
 	if noRetry {
 		r[5] = 1
 	}
@@ -136,15 +136,15 @@
 func (p *Reply) Mark() int { return p.count }
 
 // Cut takes back what was added since a mark; text stays in the tail, unreferenced.
-func (p *Reply) Cut(mark int) { p.recs, p.count = p.recs[:mark*actionSize], mark }
+func (p *Reply) Cut(mark int) { p.actions, p.count = p.actions[:mark*actionBytes], mark }
 
 // WriteTo writes the frame.
 func (p *Reply) WriteTo(w io.Writer) (int64, error) {
-	var head [replyHead]byte
-	size := replyHead + len(p.recs) + len(p.tail)
+	var head [replyHeadBytes]byte
+	size := replyHeadBytes + len(p.actions) + len(p.tail)
 	binary.BigEndian.PutUint32(head[0:], uint32(size))
 	binary.BigEndian.PutUint32(head[4:], uint32(p.count))
-	for _, part := range [][]byte{head[:], p.recs, p.tail} {
+	for _, part := range [][]byte{head[:], p.actions, p.tail} {
 		if _, err := w.Write(part); err != nil {
 			return 0, err
 		}
