--- a/internal/node/server/control_client.go
+++ b/internal/node/server/control_client.go
@@ -12,9 +12,10 @@
 )
 
 const (
-	// controlBufferBytes is what the buffer of a response begins with; it doubles as the response grows.
+	// controlBufferBytes is the initial size of the response buffer, which doubles as needed.
 	controlBufferBytes = 4 << 10
-	// controlHeadBytes and controlBodyBytes bound a response: a policy document of 1 MiB as JSON escapes it at worst.
+	// controlHeadBytes and controlBodyBytes bound a response. The body bound fits a policy document of 1 MiB with the
+	// longest JSON escapes.
 	controlHeadBytes = 4 << 10
 	controlBodyBytes = 7 << 20
 )
@@ -37,23 +38,23 @@
 	done    func(controlResponse) // called once, on the client's goroutine
 }
 
-// controlResponse is what came of a controlRequest.
+// controlResponse is the outcome of a controlRequest: a status and body, or an error.
 type controlResponse struct {
 	status int
 	body   []byte
-	err    error // no response that can be read
+	err    error // no readable response
 }
 
-// controlClient sends one request after the other over a connection that it keeps open and owns: it is closed after an
-// error, for another address, or with the process. Its goroutine goes on as long as the process. It never looks at
-// what a response says.
+// controlClient sends requests one at a time over a keep-alive connection that it owns. The connection is closed after
+// an error, for a request to another address, or with the process. The client's goroutine runs until the process ends;
+// only that goroutine, or the caller of do on a client without one, touches the fields.
 type controlClient struct {
 	requests   chan *controlRequest
 	connection net.Conn
 	address    string
 }
 
-// newControlClient starts a client. One request may wait beside the one that is in flight.
+// newControlClient starts a client. One request may be queued while another is in flight.
 func newControlClient() *controlClient {
 	c := &controlClient{requests: make(chan *controlRequest, 1)}
 	go func() {
@@ -64,7 +65,7 @@
 	return c
 }
 
-// close ends the connection. An error of that means nothing: all that counts was answered.
+// close closes the connection. A close error is ignored, as no response is outstanding.
 func (c *controlClient) close() {
 	if c.connection != nil {
 		_ = c.connection.Close()
@@ -72,9 +73,9 @@
 	}
 }
 
-// do sends one request and closes the connection after an error. Guards against a kept connection that the other side
-// closed meanwhile, which would count as a heartbeat lost: it is opened anew, once, as all requests are safe to be sent
-// twice. See row "read, write to the control service: any" in docs/design/failures.md.
+// do sends one request and closes the connection after an error. Guards against a keep-alive connection that the peer
+// closed meanwhile, which would count as a lost heartbeat: the request is retried once on a new connection, as all
+// requests are safe to repeat. See row "read, write to the control service: any" in docs/design/failures.md.
 func (c *controlClient) do(r *controlRequest) controlResponse {
 	deadline := time.Now().Add(r.timeout)
 	if c.address != r.address {
@@ -92,7 +93,7 @@
 	return response
 }
 
-// attempt sends a request once, over the open connection or a new one.
+// attempt sends a request once, dialing if no connection is open.
 func (c *controlClient) attempt(r *controlRequest, deadline time.Time) controlResponse {
 	if c.connection == nil {
 		connection, err := net.DialTimeout("tcp", r.address, time.Until(deadline))
@@ -112,7 +113,7 @@
 	return c.readResponse()
 }
 
-// readResponse reads one response, and closes the connection where the other side does or sends more than that.
+// readResponse reads one response. It closes the connection if the peer asks for that or sends more than the response.
 func (c *controlClient) readResponse() controlResponse {
 	buffer := make([]byte, 0, controlBufferBytes)
 	for {
--- a/internal/node/server/discovery_link.go
+++ b/internal/node/server/discovery_link.go
@@ -8,26 +8,25 @@
 	"umberwinch/internal/node/wire"
 )
 
-// discoveryLink is the link to service discovery, by whose list clients find this server. It owns the reports of what
-// the controller and the fleet agent say of readiness; that service discovery is away shows nowhere else. A report
-// without an answer may count all the same, and never holds up another. It ends with the process.
+// discoveryLink is the link to service discovery, through which clients find this server. It owns the readiness reports
+// and is used by the loop's goroutine alone, until the process ends. An unanswered report may have taken effect, and
+// never delays the next one. An outage of service discovery affects nothing else.
 type discoveryLink struct {
 	link
 	name              string
-	ready             bool           // what the next report says
-	reportOutstanding bool           // a report is out and not answered
-	lastReport        admission.Time // when the last one went out
-	reportPending     bool           // a report is to go out as soon as the link is up
+	ready             bool           // readiness in the next report
+	reportOutstanding bool           // a report was sent and is unanswered
+	lastReport        admission.Time // when the last report was sent
+	reportPending     bool           // a report is to be sent as soon as the link is up
 }
 
-// sendReport sends the state now, or as soon as the link is up.
+// sendReport sends a readiness report now, or as soon as the link is up.
 func (l *loop) sendReport() {
 	c := &l.discovery
 	c.reportPending = true
 	if c.reportOutstanding {
-		// Guards against a late answer that passes for this report's: the next report goes out on a link of its own.
-		// It is dialled at once: this happens no more often than reports are due and readiness changes. See row
-		// "discovery: report unanswered, half answered, refused, link cut" in docs/design/shutdown.md.
+		// Guards against matching a late response to the wrong report: the next report is sent on a new link, without
+		// backoff. See row "discovery: report unanswered, half answered, refused, link cut" in docs/design/shutdown.md.
 		l.closeLink(&c.link, nil)
 		return
 	}
@@ -44,14 +43,14 @@
 	l.counters.Reports++
 }
 
-// nextReport is when the next report is due. An eighth of the time between two is left to chance: servers that were
-// started together would report together for good. See row "many servers lose one peer, or start together" in
-// docs/design/shutdown.md.
+// nextReport returns the time of the next report: up to an eighth of the interval is subtracted at random. Guards
+// against servers that were started together and then report in step. See row "many servers lose one peer, or start
+// together" in docs/design/shutdown.md.
 func (l *loop) nextReport() admission.Time {
 	return l.now + l.limits.ReportInterval - admission.Time(rand.Int64N(int64(l.limits.ReportInterval/8)))
 }
 
-// reportAnswered takes the answer to a report.
+// reportAnswered handles the response to a report.
 func (l *loop) reportAnswered(p wire.ResponseHead) {
 	c := &l.discovery
 	if !c.reportOutstanding {
@@ -69,15 +68,15 @@
 	}
 }
 
-// discoveryUp sends the report that waited for the link.
+// discoveryUp sends a report that was pending while the link was down.
 func (l *loop) discoveryUp() {
 	if l.discovery.reportPending {
 		l.sendReport()
 	}
 }
 
-// discoveryDown takes the end of the link: a report that was out is to go out again, as it may not have been read. See
-// row "drain during a discovery outage, new addresses during a drain" in docs/design/shutdown.md.
+// discoveryDown handles the loss of the link: an unanswered report is sent again, as it may not have been read. See row
+// "drain during a discovery outage, new addresses during a drain" in docs/design/shutdown.md.
 func (l *loop) discoveryDown() {
 	if c := &l.discovery; c.reportOutstanding {
 		l.counters.ReportsLost++
@@ -85,7 +84,7 @@
 	}
 }
 
-// discoveryParser reads the answers to reports.
+// discoveryParser returns the parser of responses to reports.
 func discoveryParser(bounds wire.Bounds) linkParser {
 	return func(from *dialed, b *buffer) (event, int, error) {
 		e := &b.report
--- a/internal/node/server/fleet_agent.go
+++ b/internal/node/server/fleet_agent.go
@@ -21,7 +21,7 @@
 	"umberwinch/internal/retryafter"
 )
 
-// Messages of the fleet agent. Log readers, fault tests among them, know the lines by them.
+// Log messages of the fleet agent. Log readers and fault tests match them.
 const (
 	logFleetJoining          = "node joins its fleet"
 	logNodeServes            = "node serves"
@@ -29,48 +29,48 @@
 	logVersionActivated      = "policy version is active"
 	logZoneOrder             = "zone order is in effect"
 	logAutonomous            = "node serves autonomously, without the group"
-	logAutonomousQuota       = "autonomous for long: quota by the node's own rule"
+	logAutonomousQuota       = "autonomous mode continues: the node changes its own quota"
 	logColdStartQuota        = "cold start without the group: serving begins with a quota"
 	logHeartbeatFailed       = "heartbeat failed"
 	logResponseRejected      = "heartbeat response rejected"
 	logGenerationRestored    = "a restored generation of the group is followed"
-	logIncarnationEnded      = "the group ended this incarnation: the node joins anew"
-	logRecordRequested       = "the group is being restored: the node's record is sent"
-	logRecordNotSent         = "the node's record did not arrive"
-	logRecordNotStored       = "the node's record can't be stored"
-	logTempFilesNotRemoved   = "unfinished records of an earlier process stay"
-	logStoredVersionUnusable = "a stored policy version can't be used"
-	logFetchFailed           = "a policy version can't be fetched"
-	logVersionUnusable       = "a policy version does not fit this node"
+	logIncarnationEnded      = "the group ended this incarnation: the node joins again"
+	logRecordRequested       = "the group is being restored: sending the node's record"
+	logRecordNotSent         = "sending the node's record failed"
+	logRecordNotStored       = "storing the node's record failed"
+	logTempFilesNotRemoved   = "removing temporary record files failed"
+	logStoredVersionUnusable = "a stored policy version is unusable"
+	logFetchFailed           = "fetching a policy version failed"
+	logVersionUnusable       = "a policy version conflicts with this node's settings"
 	logTrialFailed           = "a policy version failed its trial"
 	logTrialPassed           = "a policy version passed its trial"
 )
 
-// fleetHost is what the fleet agent needs of the server around it. runOnLoop may be called by any goroutine, the rest
-// by the loop's alone.
+// fleetHost is the fleet agent's view of the server, implemented by the loop. runOnLoop may be called by any goroutine,
+// the other methods by the loop's goroutine alone.
 type fleetHost interface {
-	runOnLoop(f func())                  // f is called by the loop's goroutine, soon
-	setFleetTimer(in agent.Milliseconds) // tick is called by then at the latest
-	refreshReadiness()                   // health checks and discovery are told anew
-	rejectQueued()                       // requests in hand that never ran are rejected
-	activate(version *overlay.Settings)  // the controller decides under another version from now on
-	runsInFlight() int                   // that the kernel carries out
-	kernelConnected() bool               // and answers
-	poolsEnabled() bool                  // run slots are set apart by handler
-	isDraining() bool                    // the process is about to end
-	limitLog() *logrus.Entry             // for lines that may come often: nil where too many came
-	counts() *Counters                   // of the server
+	runOnLoop(f func())                  // queues f to be called by the loop's goroutine
+	setFleetTimer(in agent.Milliseconds) // has tick called after this time at the latest
+	refreshReadiness()                   // updates health checks and service discovery
+	rejectQueued()                       // rejects the requests that never ran
+	activate(version *overlay.Settings)  // switches the controller to a policy version
+	runsInFlight() int                   // runs that the kernel executes
+	kernelConnected() bool               // the kernel link is live
+	poolsEnabled() bool                  // run slots are divided among handlers
+	isDraining() bool                    // the process is shutting down
+	limitLog() *logrus.Entry             // a rate-limited log entry, nil past the limit
+	counts() *Counters                   // the server's counters
 	platform() *settings.Startup         // start-up settings, with the active deployment
-	isKnownKey(key string) bool          // the idempotency table has it
+	isKnownKey(key string) bool          // the idempotency table has an entry for the key
+	// retryAfter returns a Retry-After time of at least the given one, both in ms.
 	retryAfter(*retryafter.Spreader, agent.Milliseconds) int64
 }
 
-// fleetAgent is the node's part in a fleet: it carries heartbeats to the control service, fetches, tries and
-// activates policy versions, stores the node's record, and rejects requests while the node is fenced or over its
-// zone's quota. What is decided about lease and versions is internal/node/agent's, about quotas
-// internal/node/zonegate's. It is used by the loop's goroutine; network, disk and trials are on others, which hand
-// their results back by runOnLoop. Without [fleet] in the operator's file the loop has none: the methods that the
-// loop calls on the way of a request do nothing on a nil agent.
+// fleetAgent connects the node to its fleet: it sends heartbeats to the control service, fetches, evaluates and
+// activates policy versions, stores the node's record, and rejects requests while the node is fenced or over its zone's
+// quota. internal/node/agent decides on lease and versions, internal/node/zonegate on quotas. Only the loop's goroutine
+// uses it; goroutines for network, disk and trials return their results through runOnLoop. Without [fleet] in the
+// operator's file it is nil, and the methods called for each request do nothing.
 type fleetAgent struct {
 	host   fleetHost
 	clock  steadyClock
@@ -88,56 +88,58 @@
 
 	fenced      bool
 	autonomous  bool
-	retired     []bool             // by handler: the active version takes no new request of it
-	timerSetFor agent.Milliseconds // the timer is set for then
+	retired     []bool             // by handler: the active version rejects its requests
+	timerSetFor agent.Milliseconds // time for which the fleet timer is set
 	retryTimes  retryafter.Spreader
 }
 
-// steadyClock gives the present time of a clock that nobody sets: bootTime, or a test's own.
+// steadyClock returns the time of a clock that is never stepped: bootTime, or a test's clock.
 type steadyClock func() agent.Milliseconds
 
-// bootTime is a time of the clock that nobody sets and that runs on while the process is stopped or the machine sleeps.
-// Guards against a lease that counts on over a time that this process did not see. Where the system refuses that clock
-// the other stands in: see row "clock_gettime of CLOCK_BOOTTIME: any" in docs/design/failures.md.
+// bootTime returns CLOCK_BOOTTIME in milliseconds, which is never stepped and includes the time that the machine is
+// suspended. Guards against a lease that outlives its term across a suspend. If the system refuses that clock,
+// CLOCK_MONOTONIC is read: see row "clock_gettime of CLOCK_BOOTTIME: any" in docs/design/failures.md.
 func bootTime() agent.Milliseconds {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
-		_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // always there
+		_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // can't fail
 	}
 	return uint64(t.Nano() / nanosecondsPerMillisecond)
 }
 
 const nanosecondsPerMillisecond = 1_000_000
 
-// nonceBytes make an incarnation's name unlike any other.
+// nonceBytes is the size of the random nonce that makes an incarnation's name unique.
 const nonceBytes = 12
 
-// agentConfig is what the agent is told of this node.
+// agentConfig builds the agent's configuration from the operator's file and the start-up file. Name and address default
+// to those of the start-up file.
 func agentConfig(c *config.Fleet, startup *Node) (agent.Config, error) {
 	var nonce [nonceBytes]byte
 	_, _ = rand.Read(nonce[:]) // never fails
-	out := agent.Config{Name: c.Name, Zone: c.Zone, Address: startup.Listen, ControlAddresses: c.Control,
+	cfg := agent.Config{Name: c.Name, Zone: c.Zone, Address: startup.Listen, ControlAddresses: c.Control,
 		Nonce: hex.EncodeToString(nonce[:]), JitterSeed: crc32.ChecksumIEEE(append(nonce[:], c.Name...))}
 	if c.At != "" {
-		out.Address = c.At
+		cfg.Address = c.At
 	}
-	if out.Name == "" {
-		out.Name = startup.Name
+	if cfg.Name == "" {
+		cfg.Name = startup.Name
 	}
-	if !config.IsName(out.Name) {
-		return out, fmt.Errorf("fleet.name: found %.50q, expected up to 40 letters, digits, '-', '_' and '.'", out.Name)
+	if !config.IsName(cfg.Name) {
+		return cfg, fmt.Errorf("fleet.name: found %.50q, expected up to 40 letters, digits, '-', '_' and '.'", cfg.Name)
 	}
 	for _, name := range c.DisabledGuards {
 		guard, err := policy.GuardNamed(name)
 		if err != nil {
-			return out, err
+			return cfg, err
 		}
-		out.DisabledGuards |= guard
+		cfg.DisabledGuards |= guard
 	}
-	return out, nil
+	return cfg, nil
 }
 
-// newFleetAgent readies the node's part in a fleet with what its folder has. It is fenced until the first tick.
+// newFleetAgent creates the fleet agent and loads the record in the node's folder. The node is fenced until the first
+// tick.
 func newFleetAgent(host fleetHost, log *logrus.Logger, c *config.Fleet, startup *Node) (*fleetAgent, error) {
 	handlers := len(host.platform().Deployment.Handlers)
 	f := &fleetAgent{host: host, clock: bootTime, log: log, config: c, fenced: true, retired: make([]bool, handlers),
@@ -145,7 +147,7 @@
 		heartbeats: newControlClient(), probes: prober{client: newControlClient()},
 		versions: versionFetcher{client: newControlClient(), timeout: minFetchTimeout,
 			available: map[uint64]fetchedVersion{}}}
-	about, err := agentConfig(c, startup)
+	agentConf, err := agentConfig(c, startup)
 	if err != nil {
 		return nil, err
 	}
@@ -153,17 +155,18 @@
 	if err != nil {
 		return nil, err
 	}
-	f.agent = agent.New(about, stored, f.clock())
+	f.agent = agent.New(agentConf, stored, f.clock())
 	f.loadStoredVersions()
-	f.gate = zonegate.NewGate(handlers, about.JitterSeed)
+	f.gate = zonegate.NewGate(handlers, agentConf.JitterSeed)
 	f.gate.SetOrder(f.clock(), f.agent.ZoneOrder())
-	log.WithFields(logrus.Fields{logging.Node: about.Name, logging.Zone: about.Zone, logging.Address: c.Control}).
+	log.WithFields(logrus.Fields{logging.Node: agentConf.Name, logging.Zone: agentConf.Zone, logging.Address: c.Control}).
 		Info(logFleetJoining)
 	return f, nil
 }
 
-// tick looks at the time and at what came. The loop calls it as a round begins and before its decisions, so that
-// nothing is decided on a lease that has expired.
+// tick activates a committed version, updates fencing, and starts heartbeats, fetches and writes that are due. The loop
+// calls it at the begin of each round and before the round's decisions. Guards against decisions under an expired
+// lease.
 func (f *fleetAgent) tick() {
 	if f == nil {
 		return
@@ -184,10 +187,10 @@
 	f.setTimer(now)
 }
 
-// maxTickInterval is how long at most passes until the next tick: a clock that does not run evenly costs no more.
+// maxTickInterval bounds the time between ticks, as the loop's clock may run slower than the fleet agent's.
 const maxTickInterval agent.Milliseconds = 1000
 
-// setTimer has the loop call tick again when something is due.
+// setTimer sets the fleet timer to the next heartbeat, lease expiry, fetch or write that is due.
 func (f *fleetAgent) setTimer(now agent.Milliseconds) {
 	at := f.agent.NextHeartbeat()
 	for _, due := range []agent.Milliseconds{f.agent.LeaseExpiry(), f.versions.retryAt, f.record.nextRetry()} {
@@ -202,35 +205,35 @@
 	}
 }
 
-// leaseFields are those of a line about whether the node serves.
+// leaseFields returns the log fields of the lease: its id, the active version and the group's generation.
 func (f *fleetAgent) leaseFields() logrus.Fields {
 	return logrus.Fields{logging.LeaseID: f.agent.LeaseID(), logging.PolicyVersion: f.agent.ActiveVersion(),
 		logging.Generation: f.agent.LastSeen().Generation}
 }
 
-// shareFields are those of a line about the zone's quota.
+// shareFields returns the log fields of the zone's quota: the zone epoch and the share.
 func (f *fleetAgent) shareFields() logrus.Fields {
 	return logrus.Fields{logging.Epoch: f.gate.Epoch(), logging.Share: f.gate.Share()}
 }
 
-// handlerWeights gives the priority weight of each handler.
+// handlerWeights returns the priority weight of each handler.
 func handlerWeights(p *settings.Startup) []float64 {
-	out := make([]float64, len(p.Deployment.Handlers))
+	weights := make([]float64, len(p.Deployment.Handlers))
 	for i := range p.Deployment.Handlers {
-		out[i] = p.Deployment.Handlers[i].Value
+		weights[i] = p.Deployment.Handlers[i].Value
 	}
-	return out
+	return weights
 }
 
-// setZoneOrder takes the order of the node's zone. A node whose zone is evacuated rejects what it has queued, and its
-// health says so.
+// setZoneOrder applies the order for the node's zone. If the order evacuates the zone, the queued requests are rejected
+// and the node reports itself as not ready.
 func (f *fleetAgent) setZoneOrder(now agent.Milliseconds, order *api.ZoneOrder) {
-	was := f.gate.Evacuated()
+	wasEvacuated := f.gate.Evacuated()
 	if !f.gate.SetOrder(now, order) {
 		return
 	}
 	f.log.WithFields(f.shareFields()).Info(logZoneOrder)
-	if evacuated := f.gate.Evacuated(); evacuated != was {
+	if evacuated := f.gate.Evacuated(); evacuated != wasEvacuated {
 		f.host.refreshReadiness()
 		if evacuated {
 			f.host.rejectQueued()
--- a/internal/node/server/fleet_heartbeat.go
+++ b/internal/node/server/fleet_heartbeat.go
@@ -17,37 +17,37 @@
 const (
 	pathHeartbeat  = "/v1/nodes"
 	pathDocument   = "/v1/config?version=%d&read=stale"
-	pathNodeRecord = "/v1/kept" // takes the node's record; "kept" on the wire is no stored result
+	pathNodeRecord = "/v1/kept" // accepts a node record; unrelated to the result store
 	pathHealth     = "/health"
 )
 
-// maxLoggedResponse is how many bytes of a response that can't be used go into the log.
+// maxLoggedResponse is the maximum number of bytes of an unusable response in a log line.
 const maxLoggedResponse = 200
 
-// statusError is a response with another status than 200.
+// statusError is a response with a status other than 200.
 type statusError struct {
 	status int
 	body   []byte
 }
 
-// Error gives the status and the begin of the body.
+// Error returns the status and the first bytes of the body.
 func (e *statusError) Error() string {
 	return fmt.Sprintf("%d: %s", e.status, e.body[:min(len(e.body), maxLoggedResponse)])
 }
 
-// decode reads the JSON of a response with status 200.
-func (r *controlResponse) decode(into any) error {
+// decode unmarshals the JSON body of a response with status 200.
+func (r *controlResponse) decode(target any) error {
 	switch {
 	case r.err != nil:
 		return r.err
 	case r.status != wire.StatusOK:
 		return &statusError{r.status, r.body}
 	}
-	return json.Unmarshal(r.body, into)
+	return json.Unmarshal(r.body, target)
 }
 
-// sendHeartbeat sends one if it is due, with the load report where the group decides about zones. The agent has one
-// in flight at a time, so its client has room.
+// sendHeartbeat sends a heartbeat if one is due, with a load report if the node has a zone order. It never blocks on
+// the client's queue, as the agent has at most one heartbeat in flight.
 func (f *fleetAgent) sendHeartbeat(now agent.Milliseconds) {
 	request, sequence, due := f.agent.Heartbeat(now)
 	if !due {
@@ -59,7 +59,7 @@
 		request.Peers = f.probes.takeResults()
 	}
 	body, err := json.Marshal(&request)
-	if err != nil { // a number that JSON has no form for
+	if err != nil { // NaN or infinity, which JSON can't represent
 		f.agent.HandleFailure(now, sequence)
 		return
 	}
@@ -71,7 +71,7 @@
 		}}
 }
 
-// heartbeatDone takes what came of a heartbeat.
+// heartbeatDone handles the response to a heartbeat, or its failure.
 func (f *fleetAgent) heartbeatDone(address string, sequence uint64, r controlResponse) {
 	now := f.clock()
 	var response api.HeartbeatResponse
@@ -92,41 +92,41 @@
 		f.sendRecord()
 		return
 	}
-	if is := f.agent.LastSeen().Generation; is != generation && generation != 0 {
-		f.log.WithField(logging.Generation, is).Warn(logGenerationRestored)
+	if current := f.agent.LastSeen().Generation; current != generation && generation != 0 {
+		f.log.WithField(logging.Generation, current).Warn(logGenerationRestored)
 		f.storeRecord()
 	}
 	if response.EndedReason != "" {
 		f.logLimited(logrus.Fields{logging.Reason: response.EndedReason}, logIncarnationEnded)
 	}
 	epoch := f.gate.Epoch()
-	f.setZoneOrder(now, f.agent.ZoneOrder()) // the agent's: of a response that came too late it has taken nothing
+	f.setZoneOrder(now, f.agent.ZoneOrder()) // the agent's order, as it ignores a stale response
 	if f.agent.MinVersion() > minVersion || f.gate.Epoch() != epoch {
 		f.storeRecord()
 	}
 	f.probes.start(response.ProbeTargets, f.host)
 }
 
-// logLimited writes a line that may come often.
+// logLimited writes a rate-limited log line.
 func (f *fleetAgent) logLimited(fields logrus.Fields, message string) {
 	if log := f.host.limitLog(); log != nil {
 		log.WithFields(fields).Info(message)
 	}
 }
 
-// probeTimeout is for the health of another node: far more than one that is there takes, and short beside the time
-// within which the group wants to know of it.
+// probeTimeout bounds a health probe of another node.
 const probeTimeout = 400 * time.Millisecond
 
-// prober asks other nodes for their health where the group wants to know how this node sees them, one after the other.
+// prober probes the health of the nodes that the group asks for, one at a time, and collects the results for the next
+// heartbeat. It is used by the loop's goroutine alone, until the process ends.
 type prober struct {
 	client  *controlClient
-	targets []api.ProbeTarget // still to be probed
+	targets []api.ProbeTarget // not probed yet
 	results []api.PeerHealth  // for the next heartbeat
 	probing bool
 }
 
-// start takes new targets, unless a probe of earlier ones is in flight.
+// start probes new targets, which are ignored while a probe is in flight.
 func (p *prober) start(targets []api.ProbeTarget, host fleetHost) {
 	if !p.probing {
 		p.targets = targets
@@ -148,7 +148,7 @@
 		}}
 }
 
-// probeDone takes what came of a probe.
+// probeDone records the result of a probe and probes the next target.
 func (p *prober) probeDone(name string, r controlResponse, host fleetHost) {
 	p.probing = false
 	health := api.PeerHealth{Name: name, Health: api.PeerSilent}
@@ -164,7 +164,7 @@
 	p.next(host)
 }
 
-// takeResults gives what was seen since it was asked last.
+// takeResults returns the results since the last call.
 func (p *prober) takeResults() []api.PeerHealth {
 	results := p.results
 	p.results = nil
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -9,10 +9,10 @@
 	"umberwinch/internal/retryafter"
 )
 
-// What the loop does for the fleet agent, see fleetHost.
+// The loop's implementation of fleetHost.
 
-// joinFleet readies the fleet agent, if the operator's file has one. The node is not ready until its first tick lets
-// it serve.
+// joinFleet creates the fleet agent if the operator's file has a fleet section. The node is not ready until a tick of
+// the agent lets it serve.
 func (l *loop) joinFleet() error {
 	if l.startup.own == nil || l.startup.own.Fleet == nil {
 		return nil
@@ -32,7 +32,7 @@
 	t.timers.set(t.now+admissionTime(in), timerFleet, 0)
 }
 
-// admissionTime gives ms in the unit of the loop's times.
+// admissionTime converts milliseconds to admission.Time.
 func admissionTime(ms agent.Milliseconds) admission.Time {
 	return admission.Time(ms) * (admission.Second / 1000)
 }
@@ -49,7 +49,7 @@
 
 func (in *requestsInHand) isKnownKey(key string) bool { return in.idempotency.find(key) != nil }
 
-// runsInFlight counts the runs that the kernel carries out.
+// runsInFlight counts the runs that the kernel executes.
 func (in *requestsInHand) runsInFlight() (n int) {
 	for h, i := in.requests.next(0); h != 0; h, i = in.requests.next(i) {
 		if in.requests.get(h).isRunning() {
@@ -59,8 +59,8 @@
 	return n
 }
 
-// rejectQueued rejects the requests in hand that never ran, with a time to retry after. Those that wait for the
-// result of a run that goes on are answered by it.
+// rejectQueued rejects the requests that never ran, with a Retry-After time. A request that waits for the result of a
+// run in progress is left to be answered with that result.
 func (l *loop) rejectQueued() {
 	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
 		r := l.requests.get(h)
@@ -71,23 +71,23 @@
 			continue
 		}
 		r.setAwaits(awaitsNothing)
-		// The controller is told that nobody waits for it any more, which is so once it is answered here.
+		// The controller sees an answered request as one whose caller disconnected.
 		l.nextRound().Disconnected = append(l.nextRound().Disconnected, uint32(h))
 		l.answer(h, r, wire.Response{Status: wire.StatusServiceUnavailable,
 			RetryAfterMS: l.retryAfter(&l.fleet.retryTimes, 0)})
 	}
 }
 
-// maxRetryAfterMS bounds what a rule may ask for, some days: past it the numbers could overflow.
+// maxRetryAfterMS bounds Retry-After, in ms (about 11 days). Guards against overflow.
 const maxRetryAfterMS = 1e9
 
-// retryAfter gives the next caller a time to retry after within the bound of the settings, in ms; after is when it
-// would be in vain before.
-func (l *loop) retryAfter(spread *retryafter.Spreader, after agent.Milliseconds) int64 {
-	return spread.Next(int64(milliseconds(l.settings.MaxRetryAfter)), int64(min(after, maxRetryAfterMS)))
+// retryAfter returns the next Retry-After time in ms, spread up to the maximum of the settings. Before atLeast a retry
+// would be rejected again.
+func (l *loop) retryAfter(spreader *retryafter.Spreader, atLeast agent.Milliseconds) int64 {
+	return spreader.Next(int64(milliseconds(l.settings.MaxRetryAfter)), int64(min(atLeast, maxRetryAfterMS)))
 }
 
-// activate has the controller and the run slots go on under another version.
+// activate switches the controller and the pools to a policy version.
 func (l *loop) activate(version *overlay.Settings) {
 	l.settings.Deployment = overlayDeployment(version, l.settings.Deployment)
 	if l.controller != nil {
@@ -100,5 +100,5 @@
 	}
 }
 
-// refreshReadiness has health checks and discovery told anew.
+// refreshReadiness updates health checks and service discovery.
 func (l *loop) refreshReadiness() { l.Health(l.controllerReady) }
--- a/internal/node/server/fleet_record.go
+++ b/internal/node/server/fleet_record.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	// recordRetryDelay is waited after a write of the record that failed: a full disk is not written to without end.
+	// recordRetryDelay is the wait after a failed write of the record, in ms. Guards against a write loop on a full disk.
 	recordRetryDelay agent.Milliseconds = 1000
-	// sendRecordTimeout is for a record of the largest size over a poor line.
+	// sendRecordTimeout fits a record of the maximum size on a slow network.
 	sendRecordTimeout = 20 * time.Second
 )
 
-// recordStore is where the node's record on disk stands.
+// recordStore is the state of the node's record on disk. The loop's goroutine uses it; a write works on a copy of the
+// record.
 type recordStore struct {
 	record  agent.Record
-	writing bool               // off the loop
-	pending bool               // it has to be written again
-	retryAt agent.Milliseconds // but not before then
-	sending bool               // it is on its way to whoever restores the group
+	writing bool               // a write is in progress
+	pending bool               // another write is due
+	retryAt agent.Milliseconds // earliest time of the next write
+	sending bool               // the record is being sent to the instance that collects records
 }
 
-// nextRetry is when the record is to be written again, 0 where nothing is pending.
+// nextRetry returns the earliest time of the pending write, 0 if none is pending.
 func (r *recordStore) nextRetry() agent.Milliseconds {
 	if !r.pending {
 		return 0
@@ -37,12 +38,12 @@
 	return r.retryAt
 }
 
-// loadStored reads the record of the node's folder, nil where there is none.
+// loadStored reads the record from the node's folder; nil without a folder or a record.
 func (f *fleetAgent) loadStored() (*agent.Record, error) {
 	if f.config.Folder == "" {
 		return nil, nil
 	}
-	if err := removeUnfinished(f.config.Folder); err != nil { // the folder serves with them
+	if err := removeUnfinished(f.config.Folder); err != nil { // not fatal: the folder is usable with them
 		f.log.WithError(err).Warn(logTempFilesNotRemoved)
 	}
 	found, err := loadRecord(f.config.Folder, &f.record.record)
@@ -52,7 +53,8 @@
 	return &f.record.record, nil
 }
 
-// loadStoredVersions takes the versions of the record that still fit the platform's settings.
+// loadStoredVersions makes the versions in the record available, except those that conflict with the platform's
+// settings.
 func (f *fleetAgent) loadStoredVersions() {
 	r := &f.record.record
 	for _, stored := range []fetchedVersion{
@@ -73,8 +75,8 @@
 	}
 }
 
-// storeRecord has the record written, if there is a folder, off the loop: by a goroutine that ends with the write, of
-// which there is one at a time.
+// storeRecord writes the record, if there is a folder, in a goroutine that ends with the write. While one write is in
+// progress the next is left pending.
 func (f *fleetAgent) storeRecord() {
 	r := &f.record
 	if f.config.Folder == "" {
@@ -96,7 +98,7 @@
 	}()
 }
 
-// updateRecord brings the record up to what the agent knows.
+// updateRecord copies the agent's state into the record.
 func (f *fleetAgent) updateRecord() {
 	r, seen := &f.record.record, f.agent.LastSeen()
 	r.Cluster, r.MinVersion, r.ZoneOrder = f.agent.Cluster(), f.agent.MinVersion(), f.agent.StoredZoneOrder()
@@ -105,16 +107,16 @@
 	if active == r.ActiveVersion {
 		return
 	}
-	if v, atHand := f.versions.available[active]; atHand {
+	if v, ok := f.versions.available[active]; ok {
 		r.ActiveVersion, r.ActiveText, r.ActiveAutonomous = active, v.text, v.settings.Document.Fleet.Autonomous
 		r.ActiveHash = document.Hash([]byte(v.text))
 	}
 }
 
-// recordStored takes what came of a write with that prepared version. The current version counts as prepared once it
-// is on disk: a node that said so and forgot would start without it after it was decided. After an error it is written
-// to a new file, as the first may be there or not: see row "write or sync of the policy's record: any" in
-// docs/design/failures.md.
+// recordStored handles the end of a write of a record with this prepared version. The current version is reported as
+// prepared only once it is on disk. Guards against a node that restarts without a version that it had reported. After
+// an error the record is written to a new file, as the state of the first is unknown: see row "write or sync of the
+// policy's record: any" in docs/design/failures.md.
 func (f *fleetAgent) recordStored(now agent.Milliseconds, prepared uint64, err error) {
 	r := &f.record
 	r.writing = false
@@ -127,15 +129,15 @@
 	f.storePending(now)
 }
 
-// storePending writes the record again that could not be written, or that changed meanwhile.
+// storePending writes the record if a write is pending and due, after a failure or a change during a write.
 func (f *fleetAgent) storePending(now agent.Milliseconds) {
 	if r := &f.record; r.pending && !r.writing && now >= r.retryAt {
 		f.storeRecord()
 	}
 }
 
-// sendRecord tells whoever restores the group what this node holds, off the loop: by a goroutine that ends with the
-// response, of which there is one at a time, over a connection of its own that is closed then.
+// sendRecord sends the node record to the instance that collects records for a restoration, at most one at a time. Its
+// goroutine and connection end with the response.
 func (f *fleetAgent) sendRecord() {
 	if f.record.sending {
 		return
@@ -156,7 +158,7 @@
 	}()
 }
 
-// recordSent takes what came of that.
+// recordSent handles the response to a node record.
 func (f *fleetAgent) recordSent(address string, r controlResponse) {
 	f.record.sending = false
 	if r.err == nil && r.status != wire.StatusOK {
@@ -167,10 +169,10 @@
 	}
 }
 
-// nodeRecord is what this node holds of its fleet.
+// nodeRecord builds the message with the node's record: group position, active and prepared version, and zone quota.
 func (f *fleetAgent) nodeRecord() api.NodeRecord {
-	r, about := &f.record.record, f.agent.Config()
-	out := api.NodeRecord{Name: about.Name, Zone: about.Zone, Addr: about.Address, Group: r.Cluster,
+	r, conf := &f.record.record, f.agent.Config()
+	out := api.NodeRecord{Name: conf.Name, Zone: conf.Zone, Addr: conf.Address, Group: r.Cluster,
 		Generation: max(1, r.Generation), Term: r.Term, Index: r.Index, ActiveVersion: r.ActiveVersion,
 		ActiveHash: r.ActiveHash,
 		ActiveText: r.ActiveText, MinVersion: r.MinVersion, Autonomous: r.ActiveAutonomous,
@@ -178,7 +180,7 @@
 	if r.PreparedVersion > r.ActiveVersion {
 		out.PreparedVersion, out.PreparedHash, out.PreparedText = r.PreparedVersion, r.PreparedHash, r.PreparedText
 	}
-	for n, v := range f.versions.available { // beside the active one there is one at most
+	for n, v := range f.versions.available { // at most one beside the active version
 		if n > r.ActiveVersion && out.PreparedVersion == 0 {
 			out.PreparedVersion, out.PreparedText, out.PreparedHash = n, v.text, document.Hash([]byte(v.text))
 		}
--- a/internal/node/server/fleet_serving.go
+++ b/internal/node/server/fleet_serving.go
@@ -12,8 +12,8 @@
 	"umberwinch/internal/node/zonegate"
 )
 
-// updateFencing fences the node or ends that. A fenced node rejects what comes and what it has queued, lets runs end,
-// and its health says so.
+// updateFencing fences or unfences the node. A fenced node rejects new and queued requests, lets runs end, and reports
+// itself as not ready.
 func (f *fleetAgent) updateFencing(mayServe bool, reason string) {
 	switch {
 	case !mayServe && !f.fenced:
@@ -29,8 +29,9 @@
 	}
 }
 
-// updateAutonomous follows whether the node serves without the group. One that does for long widens its quota by its
-// own rule; one that starts so begins with the quota of a cold start, where its version has one.
+// updateAutonomous tracks whether the node serves without the group. In autonomous mode the gate changes its quota by
+// the node's own rule. A node that starts without the group begins with the quota of a cold start, if its version sets
+// one.
 func (f *fleetAgent) updateAutonomous(now agent.Milliseconds, mayServe bool) {
 	if f.autonomous && f.gate.ContinueAutonomously(now, f.meter.Healthy(now, f.host.runsInFlight())) {
 		f.log.WithFields(f.shareFields()).Warn(logAutonomousQuota)
@@ -45,8 +46,8 @@
 		return
 	}
 	f.log.WithFields(f.leaseFields()).Warn(logAutonomous)
-	version, atHand := f.versions.available[f.agent.ActiveVersion()]
-	if !atHand || f.agent.GroupContacted() {
+	version, ok := f.versions.available[f.agent.ActiveVersion()]
+	if !ok || f.agent.GroupContacted() {
 		return
 	}
 	zones := &version.settings.Document.Zones
@@ -57,11 +58,11 @@
 	}
 }
 
-// activate has the controller go on under another version. The loop is between two rounds here.
+// activate switches the controller to a version. The loop calls it between two rounds.
 func (f *fleetAgent) activate(now agent.Milliseconds, version api.VersionHash) {
-	v, atHand := f.versions.available[version.Version]
-	if !atHand {
-		f.agent.DropPrepared(version.Version) // it is fetched again
+	v, ok := f.versions.available[version.Version]
+	if !ok {
+		f.agent.DropPrepared(version.Version) // fetched again
 		return
 	}
 	f.host.activate(v.settings)
@@ -74,13 +75,9 @@
 	f.storeRecord()
 }
 
-// rejection decides whether a request is rejected before the controller hears of it, and why; response then has what
-// goes with it.
-//
-// A fenced node rejects everything with a time to retry after, a handler that the active version retires is rejected
-// for good, and the zone's gate rejects what is over the node's quota of a zone that is evacuated, ramps or is rate
-// limited. Reason: see agent.MayServe and zonegate. It harms only requests that another zone or a later time can
-// serve; those that no node has capacity for are told not to retry.
+// rejection decides whether a request is rejected before it is submitted to the controller, and sets Retry-After or no
+// retry in response. A fenced node rejects every request, a retired handler's requests are rejected with no retry, and
+// the zone's gate rejects requests over the node's quota while the zone is evacuated, ramping or rate limited.
 func (f *fleetAgent) rejection(handler int, q *wire.Request, key string, response *wire.Response) rejection {
 	switch {
 	case f == nil:
@@ -93,19 +90,19 @@
 		response.NoRetry = true
 		return handlerRetired
 	}
-	now, asked := f.clock(), f.gateRequest(handler, q, key)
-	decision := f.gate.Admit(now, asked)
+	now, request := f.clock(), f.gateRequest(handler, q, key)
+	decision := f.gate.Admit(now, request)
 	if decision.Admitted {
 		return notRejected
 	}
 	f.host.counts().RejectedByZone++
 	f.meter.RequestRejected(now, handler, q.IsRetry)
 	response.NoRetry, response.RetryAfterMS = decision.Final, f.host.retryAfter(&f.retryTimes,
-		f.gate.RetryAfter(now, asked))
+		f.gate.RetryAfter(now, request))
 	return rejectedByZone
 }
 
-// gateRequest is what the zone's gate hears of a request.
+// gateRequest builds the zone gate's view of a request.
 func (f *fleetAgent) gateRequest(handler int, q *wire.Request, key string) zonegate.Request {
 	h := &f.host.platform().Deployment.Handlers[handler]
 	var idempotencyKey []byte
@@ -117,70 +114,70 @@
 		IsRetry: q.IsRetry, SeenBefore: key != "" && f.host.isKnownKey(key)}
 }
 
-// takesTraffic tells whether health checks and discovery may say that this node is ready.
+// takesTraffic reports whether the fleet agent lets the node report itself as ready.
 func (f *fleetAgent) takesTraffic() bool { return f == nil || !f.fenced && !f.gate.Evacuated() }
 
-// admitConnection tells whether a connection to the store may be opened now, by the zone's connection rate limit.
+// admitConnection reports whether the zone's connection rate limit admits a new connection to the store.
 func (f *fleetAgent) admitConnection() bool { return f == nil || f.gate.AdmitConnection(f.clock()) }
 
-// What the load report and the recording for trials are made of. On a nil agent they do nothing.
+// The methods below feed the load report and the recording for shadow evaluation. They do nothing on a nil agent.
 
-// requestAdmitted counts a request that the gate let pass.
+// requestAdmitted counts a request that the gate admitted.
 func (f *fleetAgent) requestAdmitted(handler int, isRetry bool) {
 	if f != nil {
 		f.meter.RequestAdmitted(f.clock(), handler, isRetry)
 	}
 }
 
-// requestSubmitted records a request that the controller hears of.
+// requestSubmitted records a request that is submitted to the controller.
 func (f *fleetAgent) requestSubmitted(now admission.Time, q *admission.Request) {
 	if f != nil {
 		f.recording.RecordArrival(now, q)
 	}
 }
 
-// requestAnswered counts an answer.
+// requestAnswered counts a response.
 func (f *fleetAgent) requestAnswered(handler, status int, onTime bool) {
 	if f != nil {
 		f.meter.RequestAnswered(f.clock(), handler, status, onTime)
 	}
 }
 
-// runEnded counts a run that took so many ms, and records one that succeeded.
-func (f *fleetAgent) runEnded(id uint32, outcome admission.Outcome, tookMS float64, took admission.Time) {
+// runEnded counts a run that succeeded or failed, and records one that succeeded.
+func (f *fleetAgent) runEnded(id uint32, outcome admission.Outcome, elapsedMS float64, elapsed admission.Time) {
 	if f == nil {
 		return
 	}
 	if outcome == admission.Succeeded || outcome == admission.Failed {
-		f.meter.RunEnded(f.clock(), tookMS)
+		f.meter.RunEnded(f.clock(), elapsedMS)
 	}
 	if outcome == admission.Succeeded {
-		f.recording.RecordRun(id, took)
+		f.recording.RecordRun(id, elapsed)
 	}
 }
 
-// callEnded counts a call to the store that took so many ms.
-func (f *fleetAgent) callEnded(tookMS float64, failed bool) {
+// callEnded counts a call to the store.
+func (f *fleetAgent) callEnded(elapsedMS float64, failed bool) {
 	if f != nil {
-		f.meter.CallEnded(f.clock(), tookMS, failed)
+		f.meter.CallEnded(f.clock(), elapsedMS, failed)
 	}
 }
 
-// connectionOpened counts a connection to the store.
+// connectionOpened counts a new connection to the store.
 func (f *fleetAgent) connectionOpened() {
 	if f != nil {
 		f.meter.ConnectionOpened(f.clock())
 	}
 }
 
-// coresSampled takes a reading of how many cores runs use.
+// coresSampled records a sample of the number of runs that need a core.
 func (f *fleetAgent) coresSampled(runnable float64) {
 	if f != nil {
 		f.meter.CoresSampled(f.clock(), runnable)
 	}
 }
 
-// overlayDeployment lays a version over the platform's deployment, which keeps what only the platform knows.
+// overlayDeployment returns the version's deployment with the pools and start times of the platform's.
 func overlayDeployment(version *overlay.Settings, platform *admission.Deployment) *admission.Deployment {
 	d := *version.Deployment
 	d.Pools, d.Start, d.ColdStart = platform.Pools, platform.Start, platform.ColdStart
--- a/internal/node/server/fleet_version.go
+++ b/internal/node/server/fleet_version.go
@@ -18,38 +18,41 @@
 )
 
 const (
-	// minFetchTimeout is enough for a document of some KB; each fetch that failed doubles it.
+	// minFetchTimeout is the initial timeout of a fetch; each failed fetch doubles it.
 	minFetchTimeout = 2 * time.Second
-	// maxFetchTimeout is for the largest document over a poor line.
+	// maxFetchTimeout fits the largest document on a slow network.
 	maxFetchTimeout = 20 * time.Second
-	// fetchRetryDelay is waited after a fetch that failed: another instance may be asked by then.
+	// fetchRetryDelay is the wait after a failed fetch, in ms.
 	fetchRetryDelay agent.Milliseconds = 250
 )
 
-// What is wrong with a fetched version.
+// Errors of a fetched version.
 var (
+	// errWrongHash is part of the reason for rejection that is sent to the group, where its text must not change.
 	errWrongHash    = errors.New("found a text of another hash than was told")
-	errWrongVersion = errors.New("found another version than was asked for")
+	errWrongVersion = errors.New("response has a version other than the requested one")
 )
 
-// fetchedVersion is a version that was fetched, checked against the platform's settings, and tried or committed.
+// fetchedVersion is a policy version that was fetched or loaded from the record and checked against the platform's
+// settings. Those in versionFetcher.available have passed their trial or need none.
 type fetchedVersion struct {
 	version  api.VersionHash
 	text     string
 	settings *overlay.Settings
 }
 
-// versionFetcher is where the fetch of a version stands; one is on its way at a time.
+// versionFetcher is the state of fetching policy versions, one at a time. It is used by the loop's goroutine alone,
+// until the process ends.
 type versionFetcher struct {
 	client    *controlClient
-	current   api.VersionHash // being fetched, tried or stored; version 0: none
-	committed bool            // it is activated whatever its trial would say
+	current   api.VersionHash // being fetched, evaluated or stored; version 0: none
+	committed bool            // current is committed and needs no trial
 	timeout   time.Duration
 	retryAt   agent.Milliseconds
-	available map[uint64]fetchedVersion // two or three
+	available map[uint64]fetchedVersion // by version
 }
 
-// dropOlder forgets versions before one.
+// dropOlder removes the versions below the given one.
 func (v *versionFetcher) dropOlder(version uint64) {
 	for n := range v.available {
 		if n < version {
@@ -58,10 +61,10 @@
 	}
 }
 
-// finish ends the work on the current version.
+// finish makes way for the next version to be fetched.
 func (v *versionFetcher) finish() { v.current = api.VersionHash{} }
 
-// fetchPending fetches the version that the agent wants, if none is on its way.
+// fetchPending fetches the version that the agent asks for, unless one is in progress.
 func (f *fleetAgent) fetchPending(now agent.Milliseconds) {
 	v := &f.versions
 	version, committed, wanted := f.agent.VersionToFetch()
@@ -77,15 +80,15 @@
 		}}
 }
 
-// documentResponse is what the control service answers for a version.
+// documentResponse is the control service's response to the request for a version's document.
 type documentResponse struct {
 	Version uint64 `json:"version"`
 	Text    string `json:"text"`
 }
 
-// versionFetched takes a version's document, and has it tried if it fits the platform's settings. A document that came
-// torn or from a wrong folder has another hash than was told, and is not used. A fetch that failed is tried again after
-// fetchRetryDelay: see row "read, write to the control service: any" in docs/design/failures.md.
+// versionFetched handles a fetched document: one that is valid for the platform's settings is evaluated, others are
+// rejected. A hash mismatch guards against a truncated document or one of another group. A failed fetch is retried
+// after fetchRetryDelay: see row "read, write to the control service: any" in docs/design/failures.md.
 func (f *fleetAgent) versionFetched(address string, version api.VersionHash, r controlResponse) {
 	now, v := f.clock(), &f.versions
 	var response documentResponse
@@ -111,7 +114,7 @@
 	f.evaluateVersion(fetchedVersion{version: version, text: response.Text, settings: settings})
 }
 
-// checkVersion reads a document and lays it over the platform's settings.
+// checkVersion parses a document with the expected hash and applies it to the platform's settings.
 func (f *fleetAgent) checkVersion(version api.VersionHash, text string) (*overlay.Settings, error) {
 	sum := sha256.Sum256([]byte(text))
 	if hex.EncodeToString(sum[:]) != version.Hash {
@@ -124,16 +127,16 @@
 	return overlay.Apply(version.Version, f.host.platform(), doc, f.host.poolsEnabled())
 }
 
-// rejectVersion has the group hear that this node can't or won't serve under the current version.
-func (f *fleetAgent) rejectVersion(now agent.Milliseconds, version api.VersionHash, why error, message string,
+// rejectVersion logs message and reports to the group that this node rejects a version, and why.
+func (f *fleetAgent) rejectVersion(now agent.Milliseconds, version api.VersionHash, reason error, message string,
 	permanent bool) {
-	f.log.WithFields(logrus.Fields{logging.PolicyVersion: version.Version, logging.Error: why}).Warn(message)
-	f.agent.Reject(now, version.Version, why.Error(), permanent)
+	f.log.WithFields(logrus.Fields{logging.PolicyVersion: version.Version, logging.Error: reason}).Warn(message)
+	f.agent.Reject(now, version.Version, reason.Error(), permanent)
 	f.versions.finish()
 }
 
-// evaluateVersion evaluates a version on the requests that came lately, off the loop: by a goroutine that ends with the
-// trial, of which there is one at a time. One that is committed needs no trial.
+// evaluateVersion starts the trial of a version: a shadow evaluation on recent requests, in a goroutine that ends with
+// it. A committed version needs no trial.
 func (f *fleetAgent) evaluateVersion(v fetchedVersion) {
 	if f.versions.committed || f.config.NoTrialRun {
 		go f.host.runOnLoop(func() { f.versionEvaluated(v, shadow.Verdict{}, 0) })
@@ -145,20 +148,20 @@
 	go func() {
 		started := time.Now()
 		verdict := shadow.Evaluate(&current, v.settings.Deployment, v.settings.RetiredHandlers, recording, limits)
-		took := time.Since(started)
-		f.host.runOnLoop(func() { f.versionEvaluated(v, verdict, took) })
+		elapsed := time.Since(started)
+		f.host.runOnLoop(func() { f.versionEvaluated(v, verdict, elapsed) })
 	}()
 }
 
-// versionEvaluated takes the verdict of a trial: a version that passed is stored, and then counts as prepared.
-func (f *fleetAgent) versionEvaluated(v fetchedVersion, verdict shadow.Verdict, took time.Duration) {
+// versionEvaluated handles the verdict of a trial. A version that passed is stored, after which it is prepared.
+func (f *fleetAgent) versionEvaluated(v fetchedVersion, verdict shadow.Verdict, elapsed time.Duration) {
 	now := f.clock()
 	if verdict.Reason != "" {
 		f.rejectVersion(now, v.version, errors.New(verdict.Reason), logTrialFailed, false)
 		return
 	}
 	f.log.WithFields(logrus.Fields{logging.PolicyVersion: v.version.Version, logging.Count: verdict.Requests,
-		logging.ElapsedMS: took.Milliseconds()}).Info(logTrialPassed)
+		logging.ElapsedMS: elapsed.Milliseconds()}).Info(logTrialPassed)
 	f.versions.available[v.version.Version] = v
 	if f.config.Folder == "" {
 		f.versionPrepared(now)
@@ -170,7 +173,7 @@
 	f.storeRecord()
 }
 
-// versionPrepared tells the agent that the current version can be activated at any time.
+// versionPrepared marks the current version as prepared: it can be activated at any time.
 func (f *fleetAgent) versionPrepared(now agent.Milliseconds) {
 	f.agent.MarkPrepared(now, f.versions.current)
 	f.versions.finish()
--- a/internal/node/server/imports_test.go
+++ b/internal/node/server/imports_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// A node has a few MB for all it holds: with net/http linked in, its tables and goroutines would take a good part of
-// it.
+// Guards the node's memory of a few MB: net/http would take a good part of it.
 func TestNetHTTPNotLinked(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
@@ -15,7 +14,7 @@
 	}
 	for _, name := range strings.Fields(string(out)) {
 		if name == "net/http" {
-			t.Fatal("the package or one that it imports imports net/http")
+			t.Fatal("net/http is among the package's dependencies, want it not linked")
 		}
 	}
 }
--- a/internal/node/server/kernel_link.go
+++ b/internal/node/server/kernel_link.go
@@ -10,61 +10,62 @@
 	"umberwinch/internal/node/wire"
 )
 
-// kernelState is how far the link to the kernel has come.
+// kernelState is the state of the kernel link: it goes through these in order, and back to the first when the link
+// ends.
 type kernelState uint8
 
 const (
 	kernelDisconnected kernelState = iota
-	kernelOpened
-	kernelReplaying // the kernel is up, and sends the events that were missed
-	kernelLive
+	kernelOpened                   // connected; waits for the kernel's booted event
+	kernelReplaying                // the kernel replays the events that were missed
+	kernelLive                     // commands can be sent
 )
 
-// unsentCommand is the number of a command that no link has taken yet.
+// unsentCommand is the number of a command that was not sent on any link yet.
 const unsentCommand = ^uint64(0)
 
-// kernelLink is the link to the process that carries out runs. It owns the order of commands and events: each event is
-// handled once and in its order, and a command that may have been lost with a link is sent again, but only after what
-// the kernel said meanwhile is known, and never for a run that ended. Every command and every request for gauges takes
-// the next number; answered gauges prove that all before them on the same link were read. It ends with the process.
+// kernelLink is the link to the process that executes runs. It is used by the loop's goroutine alone, until the process
+// ends. It handles each event once and in order. A command that may have been lost with a link is resent, but only
+// after the replay of missed events, and never for a run that ended. Commands and gauges requests share one numbering:
+// a response with gauges acknowledges all commands before it on the same link.
 type kernelLink struct {
 	link
 	state              kernelState
-	lastSequence       uint64 // of the last event handled
-	sent               uint64 // number of the last command
-	provenRead         uint64 // commands up to this one were surely read: they are not sent again
-	nextAcknowledged   uint64 // up to the last answer that was kept; becomes provenRead once it is AckSafetyMargin old
+	lastSequence       uint64 // of the last event that was handled
+	sent               uint64 // number of the last command or gauges request
+	provenRead         uint64 // commands up to this number were read by the kernel and are not resent
+	nextAcknowledged   uint64 // replaces provenRead once it is AckSafetyMargin old
 	nextAcknowledgedAt admission.Time
-	gaugesRequest      uint64 // number of the request for gauges that a wake-up waits for
+	gaugesRequest      uint64 // number of the gauges request that a wake-up waits for
 	gaugesDeadline     admission.Time
-	replayRequest      uint64 // number of the request whose answer ends the replay
-	awaitsFirstEvent   bool   // over this link
+	replayRequest      uint64 // number of the gauges request whose response ends the replay
+	awaitsFirstEvent   bool   // no event was handled on this link yet
 }
 
-// kernelUp begins on a link that was opened: the kernel hears which event was the last that was handled, and sends
-// those after it again. See row "kernel link broken or moved" in docs/design/shutdown.md.
+// kernelUp opens the protocol on a new link: it sends the sequence of the last handled event, after which the kernel
+// replays the later ones. See row "kernel link broken or moved" in docs/design/shutdown.md.
 func (l *loop) kernelUp() {
 	k := &l.kernel
 	k.state, k.awaitsFirstEvent = kernelOpened, true
 	k.dialed.writer.send(wire.AppendKernelOpen(l.scratch[:0], k.lastSequence), l.limits.LinkQueue)
 }
 
-// kernelDown takes the end of the link: nobody answers with gauges.
+// kernelDown handles the loss of the link: a wake-up that waits for gauges proceeds without them.
 func (l *loop) kernelDown() {
 	k := &l.kernel
 	k.state, k.gaugesRequest = kernelDisconnected, 0
 	l.wakeWithoutGauges()
 }
 
-// sendToKernel sends the command that stands in l.scratch, and gives its number.
+// sendToKernel sends the command in l.scratch and returns its number, unsentCommand if the link can't take it.
 func (l *loop) sendToKernel() uint64 {
 	k := &l.kernel
 	if k.state != kernelLive {
 		return unsentCommand
 	}
 	if !k.dialed.writer.send(l.scratch, l.limits.LinkQueue) {
-		// Not from within a round: what is lost is sent again on the next link. See row "link that takes nothing" in
-		// docs/design/shutdown.md.
+		// The link is closed after the round, and lost commands are resent on the next link. See row "link that takes
+		// nothing" in docs/design/shutdown.md.
 		l.reconnectKernel = true
 		return unsentCommand
 	}
@@ -108,7 +109,7 @@
 	r.callResultCommand = l.sendToKernel()
 }
 
-// requestGauges asks for the gauges that the controller's wake-up comes with.
+// requestGauges requests the gauges for a wake-up of the controller.
 func (l *loop) requestGauges() {
 	k := &l.kernel
 	if k.state != kernelLive {
@@ -116,16 +117,16 @@
 		return
 	}
 	l.scratch = wire.AppendKernelGaugesRequest(l.scratch[:0], k.sent+1)
-	if no := l.sendToKernel(); no != unsentCommand {
-		k.gaugesRequest, k.gaugesDeadline = no, l.now+l.limits.GaugesTimeout
+	if number := l.sendToKernel(); number != unsentCommand {
+		k.gaugesRequest, k.gaugesDeadline = number, l.now+l.limits.GaugesTimeout
 		l.timers.set(k.gaugesDeadline, timerGauges, 0)
 		return
 	}
 	l.wakeWithoutGauges()
 }
 
-// gaugesTimedOut lets a wake-up do without its gauges, unless it waits for others by now. Guards against a kernel that
-// does not answer, by which the controller would not wake: see row "kernel that does not answer" in
+// gaugesTimedOut lets a wake-up proceed without gauges, unless a later request is outstanding. Guards against a kernel
+// that does not respond, which would keep the controller from waking up: see row "kernel that does not answer" in
 // docs/design/shutdown.md.
 func (l *loop) gaugesTimedOut() {
 	if l.now >= l.kernel.gaugesDeadline {
@@ -133,7 +134,7 @@
 	}
 }
 
-// wakeWithoutGauges lets a wake-up that is due come without gauges.
+// wakeWithoutGauges delivers a pending wake-up without gauges.
 func (l *loop) wakeWithoutGauges() {
 	if l.wakePending {
 		l.wakePending = false
@@ -142,86 +143,86 @@
 	}
 }
 
-// kernelEvent takes one event of the kernel.
-func (l *loop) kernelEvent(n *wire.KernelEvent) {
-	switch string(n.Kind) {
+// kernelEvent handles one event of the kernel.
+func (l *loop) kernelEvent(e *wire.KernelEvent) {
+	switch string(e.Kind) {
 	case wire.KernelBooted:
-		l.kernelBooted(n)
+		l.kernelBooted(e)
 	case wire.KernelGauges:
-		l.gaugesReceived(n)
+		l.gaugesReceived(e)
 	case wire.KernelInvalid:
-		l.commandRefused(n)
+		l.commandRefused(e)
 	default:
-		l.runEvent(n)
+		l.runEvent(e)
 	}
 }
 
-// commandRefused takes that a command was not carried out. A run that the kernel does not know never ran and never
-// will, and nobody else can answer its request; its client's connection is used no more. See row "run that the kernel
+// commandRefused handles an invalid command. If it was to start a run, the run ends as not executed, and the client's
+// connection is closed after the response. Guards against a request that gets no response. See row "run that the kernel
 // does not know" in docs/design/shutdown.md.
-func (l *loop) commandRefused(n *wire.KernelEvent) {
+func (l *loop) commandRefused(e *wire.KernelEvent) {
 	l.counters.CommandsRefused++
 	if log := l.limitLog(); log != nil {
-		log.WithFields(logrus.Fields{logging.Command: string(n.InvalidCommand()), logging.RequestID: string(n.RunID)}).
+		log.WithFields(logrus.Fields{logging.Command: string(e.InvalidCommand()), logging.RequestID: string(e.RunID)}).
 			Info(logCommandRejected)
 	}
-	if h, r := l.findRequest(n.RunID); r != nil && string(n.InvalidCommand()) == wire.KernelRun && r.isRunning() {
+	if h, r := l.findRequest(e.RunID); r != nil && string(e.InvalidCommand()) == wire.KernelRun && r.isRunning() {
 		r.closeAfter = true
 		l.runEnded(h, r, admission.NotExecuted, 0, nil)
 	}
 }
 
-// runEvent takes an event about a run. Those have numbers, by which each counts once and in order. A kind that is
-// not known, as a newer kernel may send, is passed over without a line in the log.
-func (l *loop) runEvent(n *wire.KernelEvent) {
-	if !l.acceptSequence(n) {
+// runEvent handles an event about a run. Its sequence number makes it count once and in order. An unknown kind, as a
+// newer kernel may send, is ignored without a log line.
+func (l *loop) runEvent(e *wire.KernelEvent) {
+	if !l.acceptSequence(e) {
 		return
 	}
-	h, r := l.findRequest(n.RunID)
+	h, r := l.findRequest(e.RunID)
 	if r == nil || !r.isRunning() {
 		return
 	}
-	r.runCommand, r.callResultCommand, r.stopCommand = 0, 0, 0 // it was read, or what it asked for is past
+	r.runCommand, r.callResultCommand, r.stopCommand = 0, 0, 0 // read by the kernel, or no longer needed
 	r.callResult = noCallResult
-	switch string(n.Kind) {
+	switch string(e.Kind) {
 	case wire.KernelRunEnded:
-		l.runEnded(h, r, runOutcome(n), n.RunMS, n.Body)
+		l.runEnded(h, r, runOutcome(e), e.RunMS, e.Body)
 	case wire.KernelCallAsked:
 		l.trace(r, traceCallAsked)
-		r.callBody, r.callSequence = append(r.callBody[:0], n.Body...), n.Sequence
+		r.callBody, r.callSequence = append(r.callBody[:0], e.Body...), e.Sequence
 		l.nextRound().CallRequests = append(l.nextRound().CallRequests, uint32(h))
 	}
 }
 
-// acceptSequence takes the number of an event and tells whether it is to be handled. Guards against ends of runs that
-// count twice or never after a link broke. One that was handled before comes again over a new link, and is passed
-// over. A gap amid a link has it opened anew, which has the missing events sent again; a gap at the begin of a link
-// says that the kernel no longer has them. See row "kernel link broken or moved" in docs/design/shutdown.md.
-func (l *loop) acceptSequence(n *wire.KernelEvent) bool {
+// acceptSequence records the sequence number of an event and reports whether the event is to be handled. Guards against
+// ends of runs that count twice or never after a link broke: an event that was already handled is ignored, and a gap
+// closes the link, after which the missing events are replayed. A gap before the first event of a link means that the
+// kernel no longer has those events. See row "kernel link broken or moved" in docs/design/shutdown.md.
+func (l *loop) acceptSequence(e *wire.KernelEvent) bool {
 	k := &l.kernel
 	switch {
-	case n.Sequence == 0:
+	case e.Sequence == 0:
 		if log := l.limitLog(); log != nil {
-			log.WithField(logging.Event, string(n.Kind)).Info(logKernelEventUnnumbered)
+			log.WithField(logging.Event, string(e.Kind)).Info(logKernelEventUnnumbered)
 		}
 		return false
-	case n.Sequence <= k.lastSequence:
+	case e.Sequence <= k.lastSequence:
 		return false
-	case n.Sequence > k.lastSequence+1 && !k.awaitsFirstEvent:
-		l.logEventGap(logKernelEventMissing, n.Sequence)
+	case e.Sequence > k.lastSequence+1 && !k.awaitsFirstEvent:
+		l.logEventGap(logKernelEventMissing, e.Sequence)
 		l.closeLink(&k.link, errEventGap)
 		return false
 	}
-	if n.Sequence > k.lastSequence+1 {
-		l.logEventGap(logKernelEventsLost, n.Sequence)
+	if e.Sequence > k.lastSequence+1 {
+		l.logEventGap(logKernelEventsLost, e.Sequence)
 	}
-	k.lastSequence, k.awaitsFirstEvent = n.Sequence, false
+	k.lastSequence, k.awaitsFirstEvent = e.Sequence, false
 	return true
 }
 
-// runOutcome is how a run ended.
-func runOutcome(n *wire.KernelEvent) admission.Outcome {
-	switch string(n.Outcome) {
+// runOutcome returns the outcome of a run-ended event; an unknown one is a failure.
+func runOutcome(e *wire.KernelEvent) admission.Outcome {
+	switch string(e.Outcome) {
 	case wire.RunSucceeded:
 		return admission.Succeeded
 	case wire.RunStopped:
@@ -232,7 +233,7 @@
 	return admission.Failed
 }
 
-// logEventGap logs that events are missing between the last one and this.
+// logEventGap logs a gap between the last handled event and the given sequence.
 func (l *loop) logEventGap(message string, sequence uint64) {
 	if log := l.limitLog(); log != nil {
 		log.WithFields(logrus.Fields{logging.Sequence: sequence, logging.LastSequence: l.kernel.lastSequence}).
@@ -240,16 +241,17 @@
 	}
 }
 
-// kernelBooted takes the start of the kernel. The first has the controller begin, whose times count from there.
-func (l *loop) kernelBooted(n *wire.KernelEvent) {
+// kernelBooted handles the booted event, which begins the replay. The first one creates the controller, with the
+// kernel's boot as its start time.
+func (l *loop) kernelBooted(e *wire.KernelEvent) {
 	k := &l.kernel
 	if k.state != kernelOpened {
 		return
 	}
 	if l.controller == nil {
 		d := l.settings.Deployment
-		d.Start, d.ColdStart = l.now-admission.Time(n.RunMS*10), n.IsColdStart()
-		l.log.WithFields(logrus.Fields{logging.KernelState: string(n.Outcome), logging.UptimeMS: n.RunMS}).
+		d.Start, d.ColdStart = l.now-admission.Time(e.RunMS*10), e.IsColdStart()
+		l.log.WithFields(logrus.Fields{logging.KernelState: string(e.Outcome), logging.UptimeMS: e.RunMS}).
 			Info(logKernelUp)
 		l.makePools()
 		l.controller = admission.New(d)
@@ -268,36 +270,37 @@
 	l.timers.set(l.now+l.limits.ReplayTimeout, timerReplay, handle(k.replayRequest))
 }
 
-// gaugesReceived takes gauges; the first on a link say that all events that were missed have come. Guards against
-// commands that were read by the system and lost with the link: an answer proves them only once it is AckSafetyMargin
-// old. See row "kernel link broken or moved" in docs/design/shutdown.md.
-func (l *loop) gaugesReceived(n *wire.KernelEvent) {
+// gaugesReceived handles a response with gauges, which acknowledges the commands before its request; the first on a
+// link ends the replay. Guards against commands that are lost with the link although a later request was answered: an
+// acknowledgement counts only once it is AckSafetyMargin old. See row "kernel link broken or moved" in
+// docs/design/shutdown.md.
+func (l *loop) gaugesReceived(e *wire.KernelEvent) {
 	k := &l.kernel
-	no, err := strconv.ParseUint(string(n.Nonce), 10, 64)
+	number, err := strconv.ParseUint(string(e.Nonce), 10, 64)
 	if err != nil {
 		return
 	}
-	if k.state == kernelReplaying && no == k.replayRequest {
+	if k.state == kernelReplaying && number == k.replayRequest {
 		l.replayComplete()
 	}
-	if k.state != kernelLive || no > k.sent {
+	if k.state != kernelLive || number > k.sent {
 		return
 	}
 	if l.now >= k.nextAcknowledgedAt+l.limits.AckSafetyMargin {
-		// The last proof is old enough to be relied on, and this answer takes its place.
-		k.provenRead, k.nextAcknowledged, k.nextAcknowledgedAt = k.nextAcknowledged, no, l.now
+		// The pending acknowledgement is old enough to count; this one becomes the pending one.
+		k.provenRead, k.nextAcknowledged, k.nextAcknowledgedAt = k.nextAcknowledged, number, l.now
 	}
-	if l.wakePending && (no == k.gaugesRequest || no == k.replayRequest) {
+	if l.wakePending && (number == k.gaugesRequest || number == k.replayRequest) {
 		k.gaugesRequest, l.wakePending = 0, false
 		r := l.nextRound()
 		r.TimerFired, r.HasGauges = true, true
-		r.Gauges = l.settings.Gauges(n.Gauges[:n.GaugeCount])
+		r.Gauges = l.settings.Gauges(e.Gauges[:e.GaugeCount])
 		l.fleet.coresSampled(r.Gauges.Runnable)
 	}
 }
 
-// replayTimedOut opens the link anew where the end of the replay does not come. Guards against a run that is started
-// twice: to send commands again before all events are known could start what has ended meanwhile. See row "kernel that
+// replayTimedOut closes the link if the replay does not end in time; it is then dialed again. Guards against starting a
+// run twice: resending commands before all events are known could restart a run that has ended. See row "kernel that
 // does not answer" in docs/design/shutdown.md.
 func (l *loop) replayTimedOut(request handle) {
 	if k := &l.kernel; k.state == kernelReplaying && handle(k.replayRequest) == request {
@@ -305,7 +308,7 @@
 	}
 }
 
-// replayComplete makes a link live: what may have been lost with the last one goes out again.
+// replayComplete makes the link live and resends the commands that may have been lost with the previous link.
 func (l *loop) replayComplete() {
 	k := &l.kernel
 	if k.state != kernelReplaying {
@@ -321,7 +324,7 @@
 	}
 }
 
-// resendCommands sends those commands of a run again that are not known to have been read, in their first order.
+// resendCommands resends a run's commands that are not acknowledged, in their original order.
 func (l *loop) resendCommands(r *request) {
 	provenRead := l.kernel.provenRead
 	runLost, stopLost := r.runCommand > provenRead, r.stopCommand > provenRead
@@ -344,7 +347,7 @@
 	}
 }
 
-// kernelParser reads events of the kernel.
+// kernelParser returns the parser of kernel events.
 func kernelParser(bounds wire.Bounds) linkParser {
 	return func(from *dialed, b *buffer) (event, int, error) {
 		line, n, err := wire.NextLine(b.bytes(), bounds.HeadBytes)
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -13,81 +13,82 @@
 	"umberwinch/internal/logging"
 )
 
-// Links are the connections that the server opens itself, to kernel, store and service discovery. This owns how one is
-// dialled, which dial an event is of, and how long after a failure the next dial waits. An event belongs to the dial
-// that brought it, and a dial that was replaced is not listened to. It never looks at what goes over a link. A link is
-// dialled again for as long as the process serves.
+// Links are the connections that the server opens, to kernel, store and service discovery. This file dials them, with
+// backoff after a failure, for as long as the process serves. Each event names the dial that it belongs to, and events
+// of a dial that was replaced are ignored.
 
 // Why a link is closed.
 var (
-	errNoAnswer = errors.New("no answer in time")
-	errStuck    = errors.New("the other side takes nothing")
-	errClosed   = errors.New("closed by the other side")
+	errNoAnswer = errors.New("no response in time")
+	errStuck    = errors.New("send queue is full: the peer does not read")
+	errClosed   = errors.New("closed by the peer")
 	// errEventGap: the kernel's next event is not the one after the last.
 	errEventGap = errors.New("an event of the kernel is missing")
 )
 
-// Other sides of links.
+// Peers of links.
 const (
 	peerKernel = iota
 	peerStore
 	peerDiscovery
 )
 
-// dialed is one dial and the connection that came of it.
+// dialed is one dial and its connection. The loop's goroutine owns it, except for parser, which the connection's own
+// goroutine calls. It ends when the connection closes or the dial is replaced.
 type dialed struct {
-	peer      int
-	storeConn handle  // the store's, where it is one of those
-	writer    *writer // nil until it is open
-	err       error   // it ended, maybe before the loop has handled its linkDialed
+	peer      int     // peerKernel, peerStore or peerDiscovery
+	storeConn handle  // the store connection, for peerStore
+	writer    *writer // nil until the connection is open
+	err       error   // why the connection ended, maybe before the loop has handled its linkDialed
 	parser    linkParser
 }
 
 // backoff is the wait before the next dial to one address.
 type backoff struct {
 	delay     admission.Time
-	notBefore admission.Time // not before then
+	notBefore admission.Time // earliest time of the next dial
 }
 
-// failed doubles the wait, within MinBackoff and MaxBackoff. Half of it is left to chance, so that servers which lost
-// the same peer at the same moment don't come back to it together. It harms only what needs the peer meanwhile. See row
-// "socket, connect: any" in docs/design/failures.md.
+// failed doubles the delay, within MinBackoff and MaxBackoff, and draws half of the wait at random. Guards against
+// servers that lost the same peer at the same time and reconnect to it together. See row "socket, connect: any" in
+// docs/design/failures.md.
 func (b *backoff) failed(now admission.Time, limits *Limits) {
 	b.delay = min(max(2*b.delay, limits.MinBackoff), limits.MaxBackoff)
 	b.notBefore = now + b.delay/2 + admission.Time(rand.Int64N(int64(b.delay/2)+1))
 }
 
-// linkParser reads the first message of what came over a dial; n is 0 while it is incomplete.
+// linkParser parses the first message in b and returns its size in bytes, 0 while the message is incomplete.
 type linkParser func(from *dialed, b *buffer) (e event, n int, err error)
 
-// dialer opens a connection; a seam for tests.
-type dialer func(address string, within time.Duration) (netpoll.Connection, error)
+// dialer opens a connection; tests replace it.
+type dialer func(address string, timeout time.Duration) (netpoll.Connection, error)
 
-func dialTCP(address string, within time.Duration) (netpoll.Connection, error) {
-	return netpoll.NewDialer().DialConnection("tcp", address, within)
+func dialTCP(address string, timeout time.Duration) (netpoll.Connection, error) {
+	return netpoll.NewDialer().DialConnection("tcp", address, timeout)
 }
 
-// link is the one connection to kernel or service discovery, replaced when it ends.
+// link is the connection to kernel or service discovery, dialed again when it ends. It is used by the loop's goroutine
+// alone, until the process ends.
 type link struct {
 	backoff
 	peer        int
 	name        string
 	addr        string
-	dialed      *dialed        // open, or being dialled; nil while down
-	timerSetFor admission.Time // the last time for which a timer was set
+	dialed      *dialed        // open or being dialed; nil while down
+	timerSetFor admission.Time // time for which the redial timer was last set
 	retry       timerKind
 	parser      linkParser
 }
 
 func (k *link) up() bool { return k.dialed != nil && k.dialed.writer != nil }
 
-// dial opens a link unless that goes on already or its wait is not over.
+// dial opens a link unless it is open, being dialed, or in its backoff.
 func (l *loop) dial(k *link) {
 	if k.dialed != nil || k.addr == "" {
 		return
 	}
 	if l.now < k.notBefore {
-		// Guards against a timer more for each report that finds the link down: one is enough.
+		// Guards against one more timer for each report that finds the link down.
 		if k.timerSetFor != k.notBefore {
 			k.timerSetFor = k.notBefore
 			l.timers.set(k.notBefore, k.retry, 0)
@@ -98,9 +99,8 @@
 	l.open(k.dialed, k.addr)
 }
 
-// open dials in a goroutine of its own, which ends with the dial; each event of the connection names the dial. The
-// connection belongs to the dial's writer from linkDialed on, and is closed there where the dial was replaced; its
-// intake ends with its close callback.
+// open dials in a goroutine that ends with the dial. From linkDialed on the connection belongs to the dial's writer, or
+// is closed there if the dial was replaced. Its intake ends with the close callback.
 func (l *loop) open(n *dialed, addr string) {
 	go func() {
 		c, err := l.dialTo(addr, l.limits.DialTimeout)
@@ -121,29 +121,28 @@
 			err := in.read(c.Reader(), parse, l.post)
 			if err != nil {
 				l.post(&linkClosed{dialed: n, err: err})
-				_ = c.Close() // it can't be read: its end is all that counts
+				_ = c.Close() // the parse error is reported, a close error is not
 			}
 			return err
 		})
 		if !c.IsActive() {
-			// It ended before its close callback was set, which runs now. See row "connection that ends as it is set
-			// up" in docs/design/shutdown.md.
+			// The connection ended before its close callback was set: Close runs it now. See row "connection that ends as
+			// it is set up" in docs/design/shutdown.md.
 			_ = c.Close()
 		}
 	}()
 }
 
-// linkOf gives the link to kernel or service discovery.
-func (u *upstreams) linkOf(which int) *link {
-	if which == peerKernel {
+// linkOf returns the link to kernel or service discovery.
+func (u *upstreams) linkOf(peer int) *link {
+	if peer == peerKernel {
 		return &u.kernel.link
 	}
 	return &u.discovery.link
 }
 
-// isCurrent says whether a dial is still the one that its owner goes by. Guards against late events of a dial that was
-// given up, such as one to an address that was replaced meanwhile: its replies would count for calls that go out anew.
-// It holds as each event names its dial. See row "dial that was replaced" in docs/design/shutdown.md.
+// isCurrent reports whether a dial was not replaced. Guards against late events of a replaced dial, whose replies would
+// be taken for replies to calls that were made again. See row "dial that was replaced" in docs/design/shutdown.md.
 func (u *upstreams) isCurrent(n *dialed) bool {
 	if n.peer == peerStore {
 		c := u.store.connections.get(n.storeConn)
@@ -152,7 +151,7 @@
 	return u.linkOf(n.peer).dialed == n
 }
 
-// linkDialed takes what came of a dial. The connection may have ended before this event was handled.
+// linkDialed handles the outcome of a dial. The connection may have ended before this event is handled.
 func (l *loop) linkDialed(e *linkDialed) {
 	n, err := e.dialed, e.err
 	if err == nil {
@@ -165,15 +164,16 @@
 		return
 	}
 	if e.conn != nil {
-		_ = e.conn.Close() // nothing was sent on it
+		_ = e.conn.Close() // nothing was sent
 	}
 	if current {
 		l.linkLost(n, err)
 	}
 }
 
-// linkClosed takes the end of a connection. Where that is handled before its beginning it is kept for linkDialed, or
-// the link would count as open for good. See row "connection that ends as it is set up" in docs/design/shutdown.md.
+// linkClosed handles the end of a connection. If it is handled before linkDialed, the error is stored for linkDialed.
+// Guards against a closed link that counts as open for good. See row "connection that ends as it is set up" in
+// docs/design/shutdown.md.
 func (l *loop) linkClosed(e *linkClosed) {
 	n := e.dialed
 	if n.err == nil {
@@ -184,7 +184,7 @@
 	}
 }
 
-// linkOpened tells whoever uses a link that it is up.
+// linkOpened notifies the owner of a link that it is up.
 func (l *loop) linkOpened(n *dialed) {
 	switch n.peer {
 	case peerKernel:
@@ -199,7 +199,7 @@
 	}
 }
 
-// linkLost tells whoever uses a link that it is down.
+// linkLost notifies the owner of a link that it is down.
 func (l *loop) linkLost(n *dialed, err error) {
 	if n.peer == peerStore {
 		l.storeConnectionLost(n.storeConn, l.store.connections.get(n.storeConn), err)
@@ -208,7 +208,7 @@
 	l.closeLink(l.linkOf(n.peer), err)
 }
 
-// closeLink gives up a link, sets the wait before the next dial and tells whoever uses it.
+// closeLink closes a link, with backoff if err is not nil, notifies its owner and dials again.
 func (l *loop) closeLink(k *link, err error) {
 	if k.dialed == nil {
 		return
@@ -216,9 +216,9 @@
 	if k.dialed.writer != nil {
 		k.dialed.writer.close()
 	}
-	k.dialed = nil // events of it that are still to come are passed over
+	k.dialed = nil // its late events are ignored
 	if err == nil {
-		k.backoff = backoff{} // closed in good order
+		k.backoff = backoff{} // closed without a failure
 	} else {
 		k.failed(l.now, &l.limits)
 		if log := l.limitLog(); log != nil {
@@ -233,7 +233,7 @@
 	l.dial(k)
 }
 
-// moveLink has a link go to another address, at once.
+// moveLink changes the address of a link and dials it at once.
 func (l *loop) moveLink(k *link, addr string) {
 	if k.addr == addr {
 		return
--- a/internal/node/server/log_messages.go
+++ b/internal/node/server/log_messages.go
@@ -2,7 +2,7 @@
 
 import "umberwinch/admission"
 
-// Messages of the loop's log lines; their values are fields.
+// Log messages of the loop. Values are in the fields of a line.
 const (
 	logCounters              = "counters"
 	logKernelUp              = "kernel is up"
@@ -14,26 +14,26 @@
 	logStartupKeysKept       = "start-up file: some keys can't change while the program serves and stay as they were"
 	logPoolStatus            = "pool status"
 	logNodeStarts            = "node starts"
-	logListenFailed          = "the address can't be listened on, and is tried again"
-	logAcceptFailed          = "a connection can't be accepted"
-	logConnectionUnreadable  = "a connection can't be read"
-	logConnectionTableFull   = "no room in the table for a connection"
+	logListenFailed          = "listening failed, will retry"
+	logAcceptFailed          = "accepting a connection failed"
+	logConnectionUnreadable  = "reading a connection failed"
+	logConnectionTableFull   = "connection table is full"
 	logReportRejected        = "service discovery rejected a report"
-	logCommandRejected       = "kernel refused a command"
-	logKernelEventUnnumbered = "kernel sent an event without a number: it is passed over"
-	logKernelEventMissing    = "an event of the kernel is missing: the link is opened anew"
-	logKernelEventsLost      = "kernel no longer has events that were missed"
-	logLinkMoved             = "a link goes to another address"
-	logLinesDropped          = "more lines were left out"
+	logCommandRejected       = "kernel rejected a command as invalid"
+	logKernelEventUnnumbered = "kernel sent an event without a sequence number: ignored"
+	logKernelEventMissing    = "kernel events are missing: the link is reopened"
+	logKernelEventsLost      = "kernel no longer has the missed events"
+	logLinkMoved             = "the address of a link changed"
+	logLinesDropped          = "log lines dropped by the rate limit"
 	logStartupFileTaken      = "start-up file taken"
-	logFleetSectionKept      = "operator's file: [fleet] can't change while the program serves and stays as it was"
-	logResultSectionKept     = "operator's file: [kept] can't change while the program serves and stays as it was"
+	logFleetSectionKept      = "operator's file: a change of [fleet] needs a restart and is ignored"
+	logResultSectionKept     = "operator's file: a change of [kept] needs a restart and is ignored"
 	logPoolsMade             = "pools are on"
 	logPoolsChanged          = "operator's file taken"
-	logPoolsNeedRestart      = "operator's file: pools can't be begun while the program serves; restart it"
+	logPoolsNeedRestart      = "operator's file: enabling pools needs a restart"
 )
 
-// outcomeNames are how ends of runs and calls are logged.
+// outcomeNames are the names of outcomes of runs and calls in log lines.
 var outcomeNames = map[admission.Outcome]string{
 	admission.Succeeded:   "succeeded",
 	admission.Failed:      "failed",
@@ -43,16 +43,16 @@
 	admission.Superseded:  "superseded",
 }
 
-// traceStep is the message of a debug line about one request: the step that it has come to.
+// traceStep is the message of a debug line about one request: its current step.
 type traceStep string
 
 const (
 	traceArrived      traceStep = "arrived"
 	traceRejected     traceStep = "rejected on arrival"
-	traceIntent       traceStep = "intent on its way"
+	traceIntent       traceStep = "intent record sent to the disk"
 	traceRun          traceStep = "run"
 	traceStopped      traceStep = "stop"
-	traceCallAsked    traceStep = "asks for a call"
+	traceCallAsked    traceStep = "call asked"
 	traceCallStarted  traceStep = "call started"
 	traceCallEnded    traceStep = "call ended"
 	traceRunEnded     traceStep = "run ended"
--- a/internal/node/server/loop_log.go
+++ b/internal/node/server/loop_log.go
@@ -7,18 +7,18 @@
 	"umberwinch/internal/logging"
 )
 
-// logLimit bounds the lines that clients or other servers can bring about. Guards against a peer that misbehaves at
-// each request: its lines would fill the disk and take the loop's time.
+// logLimit bounds the rate of log lines that clients or other servers can cause, by interval. It is used by the loop's
+// goroutine alone. Guards against a misbehaving peer whose log lines fill the disk and take the loop's time.
 type logLimit struct {
-	debug         bool // the log's level asks for what happens to each request
+	debug         bool // the log's level includes debug lines of each request
 	lines         int  // lines since intervalStart
 	intervalStart admission.Time
 }
 
-// maxLinesPerInterval of one interval are written, more are counted: enough to see what goes wrong.
+// maxLinesPerInterval is the maximum number of lines per interval; further ones are only counted.
 const maxLinesPerInterval = 20
 
-// allowLogLine counts a line, and tells whether it is to be written: only a few are in each interval.
+// allowLogLine counts a line and reports whether it is within the limit.
 func (l *loop) allowLogLine() bool {
 	if l.now-l.intervalStart >= l.limits.LogInterval {
 		if l.lines > maxLinesPerInterval {
@@ -30,7 +30,7 @@
 	return l.lines <= maxLinesPerInterval
 }
 
-// limitLog gives a log line that counts against the bound on lines, nil past it.
+// limitLog returns an entry for a line that counts against the limit, nil past the limit.
 func (l *loop) limitLog() *logrus.Entry {
 	if !l.allowLogLine() {
 		return nil
@@ -38,22 +38,22 @@
 	return logrus.NewEntry(l.log)
 }
 
-// trace writes the step that a request has come to, when asked to by the log's level. A step with values is written
-// by traceWith behind a look at debug, so that without it nothing is allocated for them.
+// trace logs a request's step at debug level. A step with values is logged by traceWith after a check of debug, so that
+// nothing is allocated at other levels.
 func (l *loop) trace(r *request, step traceStep) {
 	if l.debug {
 		l.traceWith(r.id, step, nil)
 	}
 }
 
-// traceWith writes a step with its values.
+// traceWith logs a step with its values.
 func (l *loop) traceWith(id string, step traceStep, values logrus.Fields) {
 	l.log.WithField(logging.RequestID, id).WithFields(values).Debug(string(step))
 }
 
-// traceReason writes why a request gets no result.
-func (l *loop) traceReason(r *request, step traceStep, why admission.Reason) {
+// traceReason logs why a request gets no result.
+func (l *loop) traceReason(r *request, step traceStep, reason admission.Reason) {
 	if l.debug {
-		l.traceWith(r.id, step, logrus.Fields{logging.Reason: why.String()})
+		l.traceWith(r.id, step, logrus.Fields{logging.Reason: reason.String()})
 	}
 }
--- a/internal/node/server/loop_time.go
+++ b/internal/node/server/loop_time.go
@@ -11,32 +11,32 @@
 // timeUnit is one unit of admission.Time.
 const timeUnit = time.Second / time.Duration(admission.Second)
 
-// timeOf gives a time in the unit of the controller's.
+// timeOf converts a duration to admission.Time.
 func timeOf(d time.Duration) admission.Time { return admission.Time(d / timeUnit) }
 
 // durationOf is the reverse of timeOf.
 func durationOf(t admission.Time) time.Duration { return time.Duration(t) * timeUnit }
 
-// loopTime is the loop's time and what is to happen at which: it stands still while events are handled, and never goes
-// back.
+// loopTime is the loop's clock and timers, used by the loop's goroutine alone. Its time is constant while events are
+// handled and never goes back.
 type loopTime struct {
 	clock  *clock.Clock
-	stamps *clock.Stamps // of requests, by the wall clock
+	stamps *clock.Stamps // arrival timestamps of requests, by the wall clock
 	now    admission.Time
 	timers timers
-	timer  *time.Timer // wakes the loop for the first of them
+	timer  *time.Timer // fires for the earliest of timers
 }
 
-// startClock begins to measure time; requests are taken that reached the machine up to oldest ago.
-func (t *loopTime) startClock(oldest admission.Time) {
+// startClock starts the clock. Timestamps of requests are accepted up to maxAge in the past.
+func (t *loopTime) startClock(maxAge admission.Time) {
 	t.clock = clock.New()
-	t.stamps = clock.NewStamps(t.clock.Read, durationOf(oldest))
+	t.stamps = clock.NewStamps(t.clock.Read, durationOf(maxAge))
 	t.now = timeOf(t.clock.Now())
 }
 
-// lookAtClock brings the loop's time up to now, by the monotonic clock, and notices a step of the wall clock. Guards
-// against a step that would put requests past their deadlines or have windows end early: no span is measured by the
-// wall clock. See row "wall clock stepped" in docs/design/shutdown.md.
+// lookAtClock advances the loop's time by the monotonic clock and logs steps of the wall clock. Guards against a step
+// that makes requests miss their deadlines or windows end early: no duration is measured by the wall clock. See row
+// "wall clock stepped" in docs/design/shutdown.md.
 func (l *loop) lookAtClock() {
 	now, step := l.stamps.Observe(l.clock.Read)
 	if l.now = max(l.now, timeOf(now)); step != 0 {
@@ -47,11 +47,11 @@
 	}
 }
 
-// placeStamp gives the time at which a request reached the machine, by the Unix time that it states. Where the wall
-// clock was stepped there may be two; the true one is not before earliest and not after latest, and each rule goes by
-// the one that is safe for it. See row "wall clock stepped" in docs/design/shutdown.md.
+// placeStamp converts the Unix time in a request to the loop's time of its arrival. After a step of the wall clock the
+// result is ambiguous: the arrival is between earliest and latest, and each use takes the bound that is safe for it.
+// See row "wall clock stepped" in docs/design/shutdown.md.
 func (l *loop) placeStamp(unixMilliseconds int64) (earliest, latest admission.Time, ok bool) {
-	const latestStamp = int64(1<<62) / int64(time.Millisecond) // past the year 2100; the product could overflow beyond
+	const latestStamp = int64(1<<62) / int64(time.Millisecond) // past the year 2100; guards against overflow
 	if unixMilliseconds > latestStamp {
 		return 0, 0, false
 	}
--- a/internal/node/server/netpoll_log.go
+++ b/internal/node/server/netpoll_log.go
@@ -9,12 +9,12 @@
 	"umberwinch/internal/clock"
 )
 
-// netpollLinesPerSecond of netpoll's own log are kept, at the level that is off in service: it writes one for each
-// connection that fails, which the loop logs or counts by itself.
+// netpollLinesPerSecond bounds netpoll's log lines, which are written at debug level: netpoll logs each failed
+// connection, which the loop logs or counts already.
 const netpollLinesPerSecond = 5
 
-// netpollLog carries netpoll's own log lines into the log, a few at a time. It never waits: see row "log reader stands
-// still, or is gone" in docs/design/shutdown.md.
+// netpollLog writes netpoll's log lines to the log, rate limited. Any goroutine may use it, until the process ends. It
+// never blocks: see row "log reader stands still, or is gone" in docs/design/shutdown.md.
 type netpollLog struct {
 	log    *logrus.Logger
 	clock  *clock.Clock
@@ -22,7 +22,7 @@
 	second atomic.Int64
 }
 
-// Write takes one line. It never fails.
+// Write writes one line. It never fails.
 func (w *netpollLog) Write(b []byte) (int, error) {
 	if s := int64(w.clock.Now() / time.Second); w.second.Swap(s) != s {
 		w.lines.Store(0)
--- a/internal/node/server/record_file.go
+++ b/internal/node/server/record_file.go
@@ -10,16 +10,15 @@
 	"umberwinch/internal/node/agent"
 )
 
-// recordFile has the record of a node with a folder.
+// recordFile is the name of the record's file in the node's folder.
 const recordFile = "policy.json"
 
-// errUnreadableRecord is a record that this program can't have written.
+// errUnreadableRecord is the error of a record that is not valid JSON of its type.
 var errUnreadableRecord = errors.New("expected what this program wrote; remove it to begin without")
 
-// storeRecord writes the record to a file beside and renames it. Guards against a crash in the middle of the write:
-// the node would start without knowing which version it served under. The older or the newer record is there as a
-// whole, since a rename is atomic and the file was synced before it, and the folder after it. See row "process killed
-// amid its record" in docs/design/shutdown.md.
+// storeRecord writes the record to a temporary file, syncs it, renames it and syncs the folder. Guards against a crash
+// during the write, after which the node would not know its active version: either the old or the new record is
+// complete. See row "process killed amid its record" in docs/design/shutdown.md.
 func storeRecord(folder string, record *agent.Record) error {
 	raw, err := json.Marshal(record)
 	if err != nil {
@@ -29,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name()) // gone already after the rename
+	defer os.Remove(f.Name()) // fails after the rename, which is fine
 	_, err = f.Write(raw)
 	if err == nil {
 		err = f.Sync()
@@ -47,9 +46,9 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// removeUnfinished removes what a kill left of records that were being written. Guards against a folder that fills with
-// them, one for each such kill. No other process writes there, so none of them is in use. See row "process killed amid
-// its record" in docs/design/shutdown.md.
+// removeUnfinished removes the temporary files of writes that a kill interrupted. Guards against a folder that fills
+// with them. None is in use, as no other process writes to the folder. See row "process killed amid its record" in
+// docs/design/shutdown.md.
 func removeUnfinished(folder string) error {
 	unfinished, err := filepath.Glob(filepath.Join(folder, recordFile+".*"))
 	for _, file := range unfinished {
@@ -58,9 +57,8 @@
 	return err
 }
 
-// loadRecord reads what storeRecord wrote; found is false for a new node's folder. An error of a record that is torn
-// or altered wraps errUnreadableRecord: this program renames whole records alone, so what can't be read was not its own
-// doing, and the node does not begin.
+// loadRecord reads the record; found is false if the folder has none. The error of a truncated or altered record wraps
+// errUnreadableRecord, and the node does not start: storeRecord leaves only complete records.
 func loadRecord(folder string, record *agent.Record) (found bool, err error) {
 	file := filepath.Join(folder, recordFile)
 	raw, err := os.ReadFile(file)
--- a/internal/node/server/result_attempt.go
+++ b/internal/node/server/result_attempt.go
@@ -12,9 +12,9 @@
 	"umberwinch/internal/node/wire"
 )
 
-// newKeyedRequest names a request by its handler, its tenant and its caller's key, and digests what it asks for.
-// Lengths stand before the texts. Guards against two requests of different handlers or tenants whose texts run into
-// the same name, so that one's result would be the other's answer.
+// newKeyedRequest digests a request's handler, tenant and idempotency key into its key, and its body into bodyDigest.
+// Length prefixes guard against two requests of different handlers or tenants that concatenate to the same key, and
+// would get each other's result.
 func newKeyedRequest(handler string, tenant, key, body []byte) *keyedRequest {
 	q := &keyedRequest{}
 	q.key = digestKey(fmt.Appendf(nil, "tenant/%d/%s/%d/%s/%s", len(handler), handler, len(tenant), tenant, key))
@@ -30,12 +30,13 @@
 	return k
 }
 
-// windowOf is a handler's idempotency window, rounded up.
+// windowOf returns a handler's idempotency window in ms, rounded up.
 func windowOf(h *admission.Handler) agent.Milliseconds {
 	return uint64(h.IdempotencyWindow)/uint64(admission.Second/1000) + 1
 }
 
-// intercept decides on a keyed request before the controller hears of it; true: it was answered, or waits for the disk.
+// intercept handles a keyed request before it is submitted to the controller. It returns true if the request was answered
+// or waits for the disk.
 func (k *resultKeeper) intercept(h handle, r *request) bool {
 	response := wire.Response{}
 	response.Status = k.attempt(h, r, &response)
@@ -47,13 +48,12 @@
 	return r.disk != nothingPending
 }
 
-// attempt decides what an attempt of a key gets as it comes: a status other than 0 answers it, with what goes with it
-// in response; else it waits for what lifecycle.disk says, or the controller hears of it as of any other.
+// attempt decides on an arriving attempt of a key. A status other than 0 answers it; otherwise it waits as lifecycle.disk
+// says, or is submitted to the controller.
 //
-// A key that is not known is passed on, unless the disk could not take its intent: then it is rejected with a time to
-// retry after, as it has not run. A stored result is read, unless it is in memory too. What ran or may have run
-// without a result gets an error for the rest of its window, and another body under the key of a run is a bad
-// request. It acts on handlers with an idempotency key alone; see resultstore.Index.Decide for the reasons.
+// An unknown key is submitted, or rejected with Retry-After if its intent could not be stored. A stored result is read
+// unless it is in memory. A key that ran or may have run without a result gets an error for the rest of its window, and
+// another body under the same key is a bad request. See resultstore.Index.Decide.
 func (k *resultKeeper) attempt(h handle, r *request, response *wire.Response) (status int) {
 	if k.index == nil {
 		return k.attemptWhileOpening(h, r, response)
@@ -83,7 +83,8 @@
 	return 0
 }
 
-// decide asks the index what an attempt gets, also under its legacy key, and answers a retry of a key that may be lost.
+// decide looks up the verdict for an attempt, also under its legacy key. A retry of a key whose record may be lost gets an
+// error, as its first attempt may have run.
 func (k *resultKeeper) decide(q *keyedRequest) (verdict resultstore.Verdict, position uint64) {
 	now := k.clock()
 	verdict, position = k.index.Decide(now, q.key, q.bodyDigest)
@@ -99,7 +100,8 @@
 	return verdict, position
 }
 
-// attemptWhileOpening has a request wait for the folder to be read, within bounds, unless that failed before.
+// attemptWhileOpening lets a request wait until the folder is read, within bounds of time and number. It is answered at
+// once if opening the folder has failed.
 func (k *resultKeeper) attemptWhileOpening(h handle, r *request, response *wire.Response) (status int) {
 	if k.openError != nil || len(k.waiting) >= k.host.requestCapacity()/openingWaitDivisor {
 		return k.answerWithoutIndex(r.keyed, response)
@@ -110,8 +112,8 @@
 	return 0
 }
 
-// answerWithoutIndex decides on a request while the folder can't be read: a retry's first attempt may have run, so it gets
-// an error; a first attempt is rejected, as it has not.
+// answerWithoutIndex decides on a request while the folder is not read: a retry gets an error, as an earlier attempt may
+// have run; a first attempt is rejected.
 func (k *resultKeeper) answerWithoutIndex(q *keyedRequest, response *wire.Response) (status int) {
 	if q.submission.IsRetry {
 		return k.fail()
@@ -119,20 +121,21 @@
 	return k.reject(response)
 }
 
-// reject is for a key that has not run and can't be taken in at present.
+// reject answers an attempt of a key that has not run: 503 with Retry-After.
 func (k *resultKeeper) reject(response *wire.Response) (status int) {
 	k.counts.rejected++
 	response.RetryAfterMS = k.host.retryAfter(&k.retryTimes, 0)
 	return wire.StatusServiceUnavailable
 }
 
-// fail is for a key that ran or may have run, and of which there is no result to tell.
+// fail answers an attempt of a key that ran or may have run and has no stored result: 500.
 func (k *resultKeeper) fail() (status int) {
 	k.counts.failed++
 	return wire.StatusInternalServerError
 }
 
-// responseDeadline is when a request that waits for the disk gets its answer at the latest.
+// responseDeadline returns the latest time to answer a request that waits for the disk: responseMargin before its
+// deadline, or before the end of a drain.
 func (k *resultKeeper) responseDeadline(r *request) admission.Time {
 	at := r.deadline
 	if answerBy, draining := k.host.drainDeadline(); draining {
@@ -141,7 +144,8 @@
 	return at - responseMargin
 }
 
-// readResult has a result read, off the loop, to answer the attempt of a key that ran.
+// readResult queues the read of a stored result for the reading goroutine. The attempt fails if too many reads are
+// queued.
 func (k *resultKeeper) readResult(h handle, r *request, position uint64) (status int) {
 	store := k.store
 	read := func() {
@@ -158,8 +162,8 @@
 	return 0
 }
 
-// resultRead answers with a result that was read, or an error where it can't be: the key ran. See row "open, read of
-// kept results: any" in docs/design/failures.md.
+// resultRead answers a request with the result that was read, or with 500 if the read failed, as the key ran. See row
+// "open, read of kept results: any" in docs/design/failures.md.
 func (k *resultKeeper) resultRead(h handle, result []byte, err error) {
 	r := k.host.requestByHandle(h)
 	if r == nil || r.disk != readPending {
@@ -180,9 +184,9 @@
 	k.host.answer(h, r, wire.Response{Status: wire.StatusOK, Body: result})
 }
 
-// answerLate answers a request that waits for the disk at its last moment. Guards against a disk that stands still, by
-// which a client would get no answer. One that waits for its intent is the controller's to answer: it has its slot. See
-// row "request out of time" in docs/design/shutdown.md.
+// answerLate answers a request that still waits for the disk at its response deadline. Guards against a hung disk that
+// would leave a client without a response. A request that waits for its intent holds a run slot and is answered by the
+// controller. See row "request out of time" in docs/design/shutdown.md.
 func (k *resultKeeper) answerLate(h handle) {
 	r := k.host.requestByHandle(h)
 	if r == nil || !r.awaitsResponse() {
@@ -194,12 +198,12 @@
 		response := wire.Response{}
 		response.Status = k.answerWithoutIndex(r.keyed, &response)
 		k.host.answer(h, r, response)
-	case readPending, resultPending: // it ran
+	case readPending, resultPending: // the key ran
 		k.host.answer(h, r, wire.Response{Status: k.fail()})
 	}
 }
 
-// drain has all that waits for the disk answered before the process ends.
+// drain sets response deadlines before the end of the drain for all requests that wait for the disk.
 func (k *resultKeeper) drain() {
 	if k == nil {
 		return
--- a/internal/node/server/result_disk.go
+++ b/internal/node/server/result_disk.go
@@ -6,16 +6,15 @@
 )
 
 const (
-	// sweepsPerPass has all keys looked at over so many sweeps of the loop, some seconds: expired results leave the
-	// disk soon, and no sweep takes long.
+	// sweepsPerPass is the number of sweeps over which all keys are checked for expiry, to keep each sweep short.
 	sweepsPerPass = 40
-	// maxExpireSteps bounds the steps of one sweep, of some microseconds each.
+	// maxExpireSteps bounds the steps of one sweep; a step takes some microseconds.
 	maxExpireSteps = 128
 )
 
-// write hands a record over, after which done hears whether it is durable; false: as many wait as may. A record that
-// is lost has new keys rejected for a moment, whatever the cause. See row "write or sync of kept results: any" in
-// docs/design/failures.md.
+// write queues a record for the disk, and calls done on the loop once the record is durable or lost. It returns false if
+// the queue is full. After a lost record new keys are rejected for fullBackoff, whatever the cause. See row "write or
+// sync of kept results: any" in docs/design/failures.md.
 func (k *resultKeeper) write(record resultstore.Record, done func(err error)) bool {
 	ok := k.store.Append(record, func(position uint64, err error) {
 		k.host.runOnLoop(func() {
@@ -41,8 +40,7 @@
 	return ok
 }
 
-// sweep removes expired keys, a few at a time, and deletes their records once a pass is through. It looks after the
-// mode too.
+// sweep updates the mode and removes some expired keys. At the end of a pass it deletes their records.
 func (k *resultKeeper) sweep() {
 	if k == nil {
 		return
@@ -59,7 +57,8 @@
 	}
 }
 
-// release deletes the records before a position, off the loop, unless that goes on: its goroutine ends with that.
+// release deletes the records before a position in a goroutine that ends with the deletion. It does nothing while another
+// deletion is in progress.
 func (k *resultKeeper) release(firstNeeded uint64) {
 	if k.releasing {
 		return
--- a/internal/node/server/result_fault.go
+++ b/internal/node/server/result_fault.go
@@ -7,52 +7,53 @@
 	"golang.org/x/sys/unix"
 )
 
-// Guards of the result keeper that a fault test may take out, by their names in the operator's file: a promise then
-// breaks.
+// Guards of the result keeper that a fault test may disable, by their names in UMBERWINCH_WITHOUT.
 const (
-	guardGroupSync = "group"  // records that wait share a sync
-	guardProof     = "proof"  // what may have run does not run again
-	guardIntent    = "intent" // a run waits for its intent
-	guardResult    = "result" // an answer waits for its result
+	guardGroupSync = "group"  // queued records share one sync
+	guardProof     = "proof"  // a key that may have run does not run again
+	guardIntent    = "intent" // a run waits until its intent is durable
+	guardResult    = "result" // a response waits until its result is durable
 )
 
-// Points at which a fault test may kill the node, by their names in the operator's file.
+// Points at which a fault test may kill the node, by their names in UMBERWINCH_DIE_AT.
 const (
-	faultBeforeIntent  = "intent"  // the intent is not handed over yet
-	faultIntentDurable = "durable" // it is durable, and the kernel has not heard of the run
-	faultRunSent       = "sched"   // the kernel has
-	faultRunEnded      = "reap"    // the run ended, and its result is not handed over
-	faultResultDurable = "result"  // the result is durable, and nobody was answered
-	faultAnswered      = "answer"  // the caller was answered
+	faultBeforeIntent  = "intent"  // before the intent is queued for the disk
+	faultIntentDurable = "durable" // the intent is durable, the run is not sent to the kernel
+	faultRunSent       = "sched"   // the run was sent to the kernel
+	faultRunEnded      = "reap"    // the run ended, the result is not queued for the disk
+	faultResultDurable = "result"  // the result is durable, the request is not answered
+	faultAnswered      = "answer"  // the request was answered
 	faultBeforeSync    = "sync"    // on the store's goroutine, before a write
-	faultDiskHangs     = "hangs"   // the same; the disk takes its time once
+	faultDiskHangs     = "hangs"   // likewise, but the write is delayed and the node survives
 )
 
 const (
-	// diskHangDuration is long beside what a loaded machine takes for some requests.
+	// diskHangDuration exceeds the time that a loaded machine needs for some requests.
 	diskHangDuration = 3500 * time.Millisecond
-	// responseFlushDelay is waited before a kill at faultBeforeSync: what goes out without waiting for the disk is out by then.
+	// responseFlushDelay is the wait before a kill at faultBeforeSync, in which responses that don't wait for the disk are
+	// sent.
 	responseFlushDelay = 20 * time.Millisecond
 )
 
-// guardDisabled tells whether a fault test took a guard out.
+// guardDisabled reports whether a fault test disabled a guard.
 func (k *resultKeeper) guardDisabled(guard string) bool {
 	return slices.Contains(k.config.DisabledGuards, guard)
 }
 
-// faultPoint is where a fault test wants the node to die, the n-th time that it gets there.
+// faultPoint is the point at which a fault test kills the node, when it is reached for the count-th time. It is used by
+// the loop's goroutine, or by the store's for the points on that one.
 type faultPoint struct {
-	name    string // empty: nowhere
+	name    string // empty: none
 	count   int
 	reached int
 }
 
-// onStoreGoroutine tells whether the point is reached on the store's goroutine.
+// onStoreGoroutine reports whether the point is reached on the store's goroutine.
 func (p *faultPoint) onStoreGoroutine() bool {
 	return p.name == faultBeforeSync || p.name == faultDiskHangs
 }
 
-// reach is called at each point.
+// reach kills the process, or delays it, if point is the configured one and its count is reached.
 func (p *faultPoint) reach(point string) {
 	if p.name != point {
 		return
@@ -67,6 +68,6 @@
 	case faultBeforeSync:
 		time.Sleep(responseFlushDelay)
 	}
-	_ = unix.Kill(unix.Getpid(), unix.SIGKILL) // can't fail for the own process
+	_ = unix.Kill(unix.Getpid(), unix.SIGKILL) // can't fail for its own process
 	select {}
 }
--- a/internal/node/server/result_host.go
+++ b/internal/node/server/result_host.go
@@ -4,18 +4,18 @@
 	"umberwinch/admission"
 )
 
-// What the loop does for the result keeper, see resultHost.
+// The loop's implementation of resultHost.
 
-// startResultKeeper readies the result keeper, if the operator's file has one.
+// startResultKeeper creates the result keeper if the operator's file has a section for it.
 func (l *loop) startResultKeeper() {
 	if l.startup.own != nil && l.startup.own.ResultStore != nil {
 		l.results = newResultKeeper(l, l.log, l.startup.own.ResultStore)
 	}
 }
 
-// closeResults closes the result store, within what is left before the process is killed. Callbacks that nobody takes
-// any more are let through, as the store's goroutine waits for them; the goroutine that does so ends with the process.
-// See row "kill near" in docs/design/shutdown.md.
+// closeResults closes the result store, within the time left before the process is killed. A goroutine discards events
+// until the process ends, as the store's goroutine would block on posting its callbacks. See row "kill near" in
+// docs/design/shutdown.md.
 func (l *loop) closeResults() {
 	if l.results == nil {
 		return
@@ -53,8 +53,8 @@
 
 func (l *loop) endUnstarted(h handle, r *request) { l.runEnded(h, r, admission.NotExecuted, 0, nil) }
 
-// hasSharedResult tells whether the result of a request's key is in memory or will be: the controller then has it
-// answered.
+// hasSharedResult reports whether the result of a request's key is in memory or will be, so that the controller can
+// answer the request from it.
 func (in *requestsInHand) hasSharedResult(r *request) bool {
 	e := in.idempotency.find(r.key)
 	return e != nil && r.earliestArrival < e.until && (e.hasResult || e.state < entryDone)
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -16,120 +16,116 @@
 	"umberwinch/internal/wal"
 )
 
-// Messages of the result keeper.
+// Log messages of the result keeper.
 const (
 	logResultsOpened        = "result store opened"
-	logResultsDamaged       = "result store was damaged: retries of keys that are not known get an error for a window"
-	logResultsNotOpened     = "result store can't be opened: keyed requests are rejected, and it is tried again"
+	logResultsDamaged       = "result store was damaged: retries of unknown keys get an error for one idempotency window"
+	logResultsNotOpened     = "result store can't be opened: keyed requests are rejected, will retry"
 	logResultsMode          = "result store mode changed"
-	logResultUnreadable     = "a stored result can't be read"
-	logResultTooLarge       = "a result is too large to be stored: its repeats get an error"
-	logResultsNotReleased   = "expired results can't be deleted"
+	logResultUnreadable     = "reading a stored result failed"
+	logResultTooLarge       = "a result is too large to store: retries get an error"
+	logResultsNotReleased   = "deleting expired results failed"
 	logResultsNotClosed     = "result store closed with an error"
-	logResultsCloseTimedOut = "the disk did not take all records in time: keys without one may have run"
+	logResultsCloseTimedOut = "result store close timed out: records may be lost, keys without one may have run"
 )
 
-// storeMode is what the result store can do at present. Logs, counters and the body of health checks show it.
+// storeMode is the state of the result store, shown in logs, counters and the body of health checks.
 type storeMode string
 
-// The modes. While opening, attempts of keys wait for the folder, for a time. In all others but modeReady new keys are
-// rejected; known ones get what is known.
+// Store modes. In modeFailed, modeStalled and modeFull new keys are rejected; attempts of known keys are answered.
 const (
-	modeOpening storeMode = "opening" // the folder is not read yet: attempts of keyed requests wait
+	modeOpening storeMode = "opening" // the folder is being read: attempts of keyed requests wait
 	modeReady   storeMode = "well"
 	modeFailed  storeMode = "failed"  // the disk fails, or the folder can't be opened
-	modeStalled storeMode = "stalled" // a record waits for too long
-	modeFull    storeMode = "full"    // there is no room
+	modeStalled storeMode = "stalled" // a record has waited for the disk longer than stallLimit
+	modeFull    storeMode = "full"    // no room, or a record was lost
 )
 
 const (
-	// stallLimit is how long a record may wait for the disk before new keys are rejected. A sync takes some ms on any
-	// disk, and a queue behind a few of them is still well under this; longer, requests would time out that could be
-	// retried elsewhere.
+	// stallLimit is the maximum time that a record waits for the disk before new keys are rejected.
 	stallLimit = 400 * admission.Second / 1000
-	// fullBackoff is for how long new keys are rejected after an attempt found no room or a record was lost: a disk
-	// that is full is not tried with each request.
+	// fullBackoff is the time for which new keys are rejected after an attempt found no room or a record was lost, so that
+	// a full disk is not tried with each request.
 	fullBackoff = admission.Second
-	// maxOpeningWait is how long attempts wait for the folder to be read; a million keys are read in less.
+	// maxOpeningWait is the maximum time that an attempt waits for the folder to be read.
 	maxOpeningWait = admission.Second
-	// openingWaitDivisor of the requests in hand may wait for that, so that other handlers have room.
+	// openingWaitDivisor: at most the request capacity divided by this waits for the folder, to leave room for others.
 	openingWaitDivisor = 4
-	// responseMargin is how long before its deadline a request that waits for the disk gets its answer: it has to reach
-	// the caller in time.
+	// responseMargin is the time before its deadline at which a request that waits for the disk is answered.
 	responseMargin = admission.Second / 50
-	// reopenDelay is waited before a folder that can't be opened is tried again.
+	// reopenDelay is the wait before another attempt to open the folder.
 	reopenDelay = time.Second
-	// maxPendingReads is how many results wait to be read; past it a known key's attempt gets an error, as it would wait for
-	// longer than its caller does.
+	// maxPendingReads is the maximum number of queued reads of results; past it an attempt of a known key gets an error.
 	maxPendingReads = 256
-	// segmentBytes is the size of the log's files. Expired records are deleted by whole ones.
+	// segmentBytes is the size of the log's files; expired records are deleted by whole files.
 	segmentBytes = 8 << 20
-	// minSegmentBytes is that of a small store, which has segmentsPerStore of them at least.
+	// minSegmentBytes is the minimum file size of a small store, which is divided into segmentsPerStore files.
 	minSegmentBytes  = 64 << 10
 	segmentsPerStore = 4
 	bytesPerMB       = 1 << 20
 )
 
-// keyedRequest is what a request with an idempotency key has beside, where results are stored.
+// keyedRequest is the result keeper's part of a request with an idempotency key. It belongs to the request and is used by
+// the loop's goroutine alone.
 type keyedRequest struct {
 	key resultstore.Key
-	// legacyKey is the name under which versions before tenants were told apart wrote the key. Guards against a
-	// second run of what such a version let run, within its window.
+	// legacyKey is the key as written by versions that did not include the tenant. Guards against a second run of a key
+	// that such a version ran, within its window.
 	legacyKey     resultstore.Key
-	bodyDigest    uint64
-	intentDurable bool              // its own: what becomes of the key is for it to say
-	submission    admission.Request // what the controller hears once the folder is read
+	bodyDigest    uint64            // never 0
+	intentDurable bool              // the intent of this attempt is durable, so its run decides the key's state
+	submission    admission.Request // submitted to the controller once the folder is read
 }
 
-// resultHost is what the result keeper needs of the server around it. runOnLoop may be called by any goroutine, the
-// rest by the loop's alone.
+// resultHost is the result keeper's view of the server, implemented by the loop. runOnLoop may be called by any
+// goroutine, the other methods by the loop's goroutine alone.
 type resultHost interface {
-	runOnLoop(f func())
+	runOnLoop(f func()) // queues f to be called by the loop's goroutine
 	currentTime() admission.Time
 	drainDeadline() (answerBy admission.Time, draining bool)
-	setResultTimer(at admission.Time, h handle) // answerLate is called then
+	setResultTimer(at admission.Time, h handle) // has answerLate called at that time
 	platform() *settings.Startup
 	requestByHandle(h handle) *request
 	forEachRequest(f func(h handle, r *request))
 	requestCapacity() int
-	submit(q *admission.Request) // the controller hears of a request
+	submit(q *admission.Request) // submits a request to the controller
 	answer(h handle, r *request, response wire.Response)
-	countShared()
-	startRun(r *request) // the kernel is told to run it
-	stopRun(r *request)  // or to stop
-	// endUnstarted ends a run that has its slot and that the kernel never heard of.
+	countShared()        // counts a request answered from a shared result
+	startRun(r *request) // sends the command that starts the run
+	stopRun(r *request)  // sends the command that stops the run
+	// endUnstarted ends a run that has its run slot but was not sent to the kernel.
 	endUnstarted(h handle, r *request)
-	hasSharedResult(r *request) bool // the result of its key is in memory, or a run of it goes on
-	// completeWaiters gives those who wait for a run's result that, or an error.
+	hasSharedResult(r *request) bool // the result of its key is in memory, or a run of it is in progress
+	// completeWaiters answers the requests that wait for a run's result with it, or with an error.
 	completeWaiters(h handle, key string, ok bool, result []byte)
 	trace(r *request, step traceStep)
 	limitLog() *logrus.Entry
 	retryAfter(*retryafter.Spreader, agent.Milliseconds) int64
 }
 
-// resultKeeper keeps the results of requests with an idempotency key over restarts of the node. What an attempt gets
-// and what may be deleted is internal/node/resultstore's word; the keeper asks it as a request comes and once more as
-// its run begins, holds the run back until the intent record is durable and the answer until the result is, and
-// decides what is done while the disk does not work. It is used by the loop's goroutine and never waits for the disk
-// there: records go to the store's goroutine, results are read by another, and what came of it comes back by
-// runOnLoop. Without [kept] in the operator's file the loop has none.
+// resultKeeper keeps the results of requests with an idempotency key across restarts of the node. It asks
+// internal/node/resultstore for the verdict on an attempt at its arrival and again at the begin of its run, delays the
+// run until the intent record is durable and the response until the result is, and decides what happens while the disk
+// fails. No key runs without a durable intent, or if it may have run before.
 //
-// It never lets a key run whose intent is not durable, or that may have run.
+// It is used by the loop's goroutine alone, until the process ends, and never blocks on the disk: the store's goroutine
+// writes records, another reads results, and both return through runOnLoop. Without [kept] in the operator's file it is
+// nil.
 type resultKeeper struct {
 	host   resultHost
 	clock  steadyClock
 	log    *logrus.Logger
 	config *config.ResultStore
 
-	index *resultstore.Index // nil: the folder is not read yet
+	index *resultstore.Index // nil until the folder is read
 	store *resultstore.Store
 	reads chan func()
 
-	waiting      []handle         // for the folder to be read
-	pendingSince []admission.Time // of the records that wait for the disk, the oldest first
-	nextPosition uint64           // the log's next record has this position at least
+	waiting      []handle         // requests that wait for the folder to be read
+	pendingSince []admission.Time // when each record that waits for the disk was queued, oldest first
+	nextPosition uint64           // lower bound of the position of the log's next record
 	releasing    bool             // expired records are being deleted
-	fullSince    admission.Time   // 0: there is room
+	fullSince    admission.Time   // time of the last rejection for lack of room or of the last lost record; 0: none
 	openError    error            // why the folder can't be opened
 	mode         storeMode
 	retryTimes   retryafter.Spreader
@@ -138,14 +134,14 @@
 	counts resultCounts
 }
 
-// resultCounts are sums since the start.
+// resultCounts are counters since the start of the process.
 type resultCounts struct {
 	rejected, failed, mismatched uint64 // attempts answered 503, 500, 400
 	replayed                     uint64 // attempts answered by a stored result
 	lost                         uint64 // records that did not reach the disk
 }
 
-// newResultKeeper starts to read the folder.
+// newResultKeeper creates a result keeper and starts reading its folder.
 func newResultKeeper(host resultHost, log *logrus.Logger, c *config.ResultStore) *resultKeeper {
 	k := &resultKeeper{host: host, clock: bootTime, log: log, config: c, mode: modeOpening,
 		reads:  make(chan func(), maxPendingReads),
@@ -159,9 +155,9 @@
 	return k
 }
 
-// open reads the folder, off the loop, by a goroutine that ends with that. The store that it opens belongs to the
-// keeper from opened on, and ends with close.
-func (k *resultKeeper) open(after time.Duration) {
+// open reads the folder after a delay, in a goroutine that ends with it. The keeper owns the opened store from
+// folderOpened until close.
+func (k *resultKeeper) open(delay time.Duration) {
 	limits := resultstore.Limits{Keys: k.config.MaxKeys, Bytes: int64(k.config.MaxMB) * bytesPerMB,
 		ResultBytes: k.config.MaxResultBytes}
 	handlers := k.host.platform().Deployment.Handlers
@@ -172,7 +168,7 @@
 		MaxBytes: 2 * (limits.Bytes + segmentBytes)}
 	folder := wal.Dir(k.config.Folder)
 	go func() {
-		time.Sleep(after)
+		time.Sleep(delay)
 		var store *resultstore.Store
 		var index *resultstore.Index
 		var found resultstore.Recovery
@@ -184,9 +180,9 @@
 	}()
 }
 
-// folderOpened takes the folder over, and lets the requests in that came meanwhile. Guards against a folder that can't be
-// read, of whose keys nothing is known: it is tried again after reopenDelay, and meanwhile no key runs that may
-// have run. See row "open, read of kept results: any" in docs/design/failures.md.
+// folderOpened handles the outcome of open, and decides on the requests that waited for it. If the folder can't be read,
+// opening is retried after reopenDelay, and until then no key runs, as any may have run before. See row "open, read of
+// kept results: any" in docs/design/failures.md.
 func (k *resultKeeper) folderOpened(store *resultstore.Store, index *resultstore.Index, found resultstore.Recovery,
 	err error) {
 	if err != nil {
@@ -213,7 +209,7 @@
 	}
 }
 
-// useStore begins to use an open store.
+// useStore takes an opened store into use and logs what was recovered.
 func (k *resultKeeper) useStore(store *resultstore.Store, index *resultstore.Index, found resultstore.Recovery) {
 	k.store, k.index, k.nextPosition, k.openError = store, index, store.NextPosition(), nil
 	store.SyncEachRecord = k.guardDisabled(guardGroupSync)
@@ -230,7 +226,7 @@
 		logging.TornTail: found.TornTail != ""}).Info(logResultsOpened)
 }
 
-// updateMode says when the mode changes.
+// updateMode computes the mode and logs a change of it.
 func (k *resultKeeper) updateMode() {
 	mode, now := modeReady, k.host.currentTime()
 	switch {
@@ -250,10 +246,9 @@
 	}
 }
 
-// rejectsNewKeys decides whether no new key may be let in, since its intent could not be made durable soon: the
-// folder is not read, the disk fails or takes too long, or there is no room. Guards against runs that hold a slot
-// until their deadline for a record that never gets there. See row "write or sync of kept results: any" in
-// docs/design/failures.md.
+// rejectsNewKeys decides whether new keys are rejected because their intent would not become durable soon: the folder is
+// not read, the disk fails or stalls, or there is no room. Guards against runs that hold a run slot until their deadline
+// for a record that is never written. See row "write or sync of kept results: any" in docs/design/failures.md.
 func (k *resultKeeper) rejectsNewKeys(now admission.Time) bool {
 	return k.index == nil || k.store.Err() != nil || k.isStalled(now) || k.isFull(now)
 }
@@ -266,22 +261,20 @@
 	return k.fullSince > 0 && now-k.fullSince < fullBackoff
 }
 
-// addCounters adds what operators see of the store.
+// addCounters adds the store's mode and counters to the fields of a counters line.
 func (k *resultKeeper) addCounters(out logrus.Fields) {
 	if k == nil {
 		return
 	}
 	out["kept_mode"], out["kept_waits"], out["kept_lost"] = string(k.mode), len(k.pendingSince), k.counts.lost
-	out["kept_shed"], out["kept_errored"], out["kept_refused"], out["kept_answers"] = k.counts.rejected,
-		k.counts.failed,
-		k.counts.mismatched,
-		k.counts.replayed
+	out["kept_shed"], out["kept_errored"] = k.counts.rejected, k.counts.failed
+	out["kept_refused"], out["kept_answers"] = k.counts.mismatched, k.counts.replayed
 	if k.index != nil {
 		out["kept_keys"], out["kept_bytes"] = k.index.Len(), k.index.BytesUsed()
 	}
 }
 
-// healthBody is what answers to health checks say while the store is not well; empty: nothing.
+// healthBody returns the body of health check responses: the mode unless it is modeReady, else nothing.
 func (k *resultKeeper) healthBody() []byte {
 	if k == nil || k.mode == modeReady {
 		return nil
@@ -289,8 +282,8 @@
 	return []byte("kept results: " + string(k.mode) + "\n")
 }
 
-// close gives the disk what was handed over and closes the store, within what is left until patience.
-func (k *resultKeeper) close(patience time.Duration) {
+// close writes the queued records and closes the store. It gives up after timeout.
+func (k *resultKeeper) close(timeout time.Duration) {
 	if k == nil || k.store == nil {
 		return
 	}
@@ -303,7 +296,7 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		k.log.Warn(logResultsCloseTimedOut)
 	}
 }
--- a/internal/node/server/result_run.go
+++ b/internal/node/server/result_run.go
@@ -11,10 +11,10 @@
 	"umberwinch/internal/node/wire"
 )
 
-// begin has the intent of a run that was given its slot made durable; the kernel is told of the run after that, and
-// the run keeps its slot and place meanwhile. The key is decided on once more, as another attempt of it may have run
-// since the request came. Guards against a kill after which the key runs again: what may have run has its intent on
-// disk. See row "process killed with results kept" in docs/design/shutdown.md.
+// begin writes the intent of a run that has its run slot; the run is sent to the kernel once the intent is durable. The
+// verdict on the key is looked up again, as another attempt may have run since this one arrived. Guards against a key
+// that runs again after a kill: whatever may have run has its intent on disk. See row "process killed with results kept"
+// in docs/design/shutdown.md.
 func (k *resultKeeper) begin(h handle, r *request) {
 	q, verdict := r.keyed, resultstore.RejectFull
 	if !k.rejectsNewKeys(k.host.currentTime()) {
@@ -33,13 +33,13 @@
 	case resultstore.RejectMismatch:
 		k.counts.mismatched++
 		response.Status = wire.StatusBadRequest
-	default: // it runs, ran or may have run by another attempt that the controller no longer knows of
+	default: // another attempt runs, ran or may have run, and the controller no longer knows it
 		response.Status = k.fail()
 	}
 	k.endUnstarted(h, r, response)
 }
 
-// writeIntent hands the intent record over; false: as many records wait for the disk as may.
+// writeIntent queues the intent record for the disk. It returns false if the queue is full.
 func (k *resultKeeper) writeIntent(h handle, r *request) bool {
 	q := r.keyed
 	k.faults.reach(faultBeforeIntent)
@@ -57,14 +57,14 @@
 	return true
 }
 
-// endUnstarted ends a run that the kernel never heard of.
+// endUnstarted answers a request and ends its run, which was not sent to the kernel.
 func (k *resultKeeper) endUnstarted(h handle, r *request, response wire.Response) {
 	k.host.answer(h, r, response)
 	k.host.endUnstarted(h, r)
 }
 
-// intentWritten goes on with a run whose intent is durable, or never will be. A request that was answered while the
-// disk took its time does not run: nobody waits for it, and its key is free for its repeat.
+// intentWritten starts a run whose intent is durable, and rejects it if the write failed. A request that was answered
+// meanwhile does not run, which frees its key for a retry.
 func (k *resultKeeper) intentWritten(h handle, err error) {
 	r := k.host.requestByHandle(h)
 	if r == nil || r.disk != intentPending {
@@ -90,15 +90,15 @@
 	}
 }
 
-// end takes the end of a run. deferred tells that its answer waits until its result is durable; else there is no
-// result to answer with.
+// end records the end of a run. deferred reports that the response waits until the result is durable; otherwise there is
+// no result to respond with.
 func (k *resultKeeper) end(h handle, r *request, outcome admission.Outcome, result []byte) (deferred bool) {
-	if !r.keyed.intentDurable { // it never ran, and another attempt of its key may run, or have run
+	if !r.keyed.intentDurable { // this attempt did not run, but another of its key may
 		return false
 	}
 	now, key := k.clock(), r.keyed.key
 	switch outcome {
-	case admission.NotExecuted, admission.Superseded: // nothing was started
+	case admission.NotExecuted, admission.Superseded: // did not run
 		if record, ok := k.index.MarkNotExecuted(now, key); ok {
 			k.write(record, func(error) {})
 		}
@@ -106,16 +106,15 @@
 	case admission.Succeeded:
 		return k.storeResult(h, r, bytes.Clone(result))
 	}
-	// That it failed need not be durable before it is told: without that record it may have run, which gets an error
-	// too.
+	// The response need not wait for this record: without it the key may have run, and a retry gets an error too.
 	if record, ok := k.index.MarkExecuted(now, key, false, nil); ok {
 		k.write(record, func(error) {})
 	}
 	return false
 }
 
-// storeResult hands the result record over; false: it can't be, or the index knows of no such run, and nothing may be
-// told that a repeat would not get too.
+// storeResult queues the result record for the disk. It returns false if the queue is full or the index has no such run:
+// the response then must not carry a result, which a retry would not get.
 func (k *resultKeeper) storeResult(h handle, r *request, result []byte) bool {
 	k.faults.reach(faultRunEnded)
 	record, ok := k.index.MarkExecuted(k.clock(), r.keyed.key, true, result)
@@ -143,7 +142,7 @@
 	return true
 }
 
-// resultWritten tells a result that is durable now, or an error where it is not.
+// resultWritten answers a request, and those that wait for its result, with the durable result or an error.
 func (k *resultKeeper) resultWritten(h handle, sharedKey string, durable bool, result []byte) {
 	if r := k.host.requestByHandle(h); r != nil && r.disk == resultPending {
 		r.setDisk(nothingPending)
