--- a/internal/node/server/result_attempt.go
+++ b/internal/node/server/result_attempt.go
@@ -35,8 +35,8 @@
 	return uint64(h.IdempotencyWindow)/uint64(admission.Second/1000) + 1
 }
 
-// intercept handles a keyed request before it is submitted to the controller. It returns true if the request was answered
-// or waits for the disk.
+// intercept handles a keyed request before it is submitted to the controller. It returns true if the request was
+// answered or waits for the disk.
 func (k *resultKeeper) intercept(h handle, r *request) bool {
 	response := wire.Response{}
 	response.Status = k.attempt(h, r, &response)
@@ -48,8 +48,8 @@
 	return r.disk != nothingPending
 }
 
-// attempt decides on an arriving attempt of a key. A status other than 0 answers it; otherwise it waits as lifecycle.disk
-// says, or is submitted to the controller.
+// attempt decides on an arriving attempt of a key. A status other than 0 answers it; otherwise it waits as
+// lifecycle.disk says, or is submitted to the controller.
 //
 // An unknown key is submitted, or rejected with Retry-After if its intent could not be stored. A stored result is read
 // unless it is in memory. A key that ran or may have run without a result gets an error for the rest of its window, and
@@ -83,8 +83,8 @@
 	return 0
 }
 
-// decide looks up the verdict for an attempt, also under its legacy key. A retry of a key whose record may be lost gets an
-// error, as its first attempt may have run.
+// decide looks up the verdict for an attempt, also under its legacy key. A retry of a key whose record may be lost gets
+// an error, as its first attempt may have run.
 func (k *resultKeeper) decide(q *keyedRequest) (verdict resultstore.Verdict, position uint64) {
 	now := k.clock()
 	verdict, position = k.index.Decide(now, q.key, q.bodyDigest)
@@ -112,8 +112,8 @@
 	return 0
 }
 
-// answerWithoutIndex decides on a request while the folder is not read: a retry gets an error, as an earlier attempt may
-// have run; a first attempt is rejected.
+// answerWithoutIndex decides on a request while the folder is not read: a retry gets an error, as an earlier attempt
+// may have run; a first attempt is rejected.
 func (k *resultKeeper) answerWithoutIndex(q *keyedRequest, response *wire.Response) (status int) {
 	if q.submission.IsRetry {
 		return k.fail()
--- a/internal/node/server/result_disk.go
+++ b/internal/node/server/result_disk.go
@@ -12,9 +12,9 @@
 	maxExpireSteps = 128
 )
 
-// write queues a record for the disk, and calls done on the loop once the record is durable or lost. It returns false if
-// the queue is full. After a lost record new keys are rejected for fullBackoff, whatever the cause. See row "write or
-// sync of kept results: any" in docs/design/failures.md.
+// write queues a record for the disk, and calls done on the loop once the record is durable or lost. It returns false
+// if the queue is full. After a lost record new keys are rejected for fullBackoff, whatever the cause. See row "write
+// or sync of kept results: any" in docs/design/failures.md.
 func (k *resultKeeper) write(record resultstore.Record, done func(err error)) bool {
 	ok := k.store.Append(record, func(position uint64, err error) {
 		k.host.runOnLoop(func() {
@@ -57,8 +57,8 @@
 	}
 }
 
-// release deletes the records before a position in a goroutine that ends with the deletion. It does nothing while another
-// deletion is in progress.
+// release deletes the records before a position in a goroutine that ends with the deletion. It does nothing while
+// another deletion is in progress.
 func (k *resultKeeper) release(firstNeeded uint64) {
 	if k.releasing {
 		return
--- a/internal/node/server/result_fault.go
+++ b/internal/node/server/result_fault.go
@@ -7,7 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Guards of the result keeper that a fault test may disable, by their names in UMBERWINCH_WITHOUT.
+// Guards of the result keeper that a fault test may disable, by their names in UMBERWINCH_WITHOUT after the prefix
+// "kept-".
 const (
 	guardGroupSync = "group"  // queued records share one sync
 	guardProof     = "proof"  // a key that may have run does not run again
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -65,8 +65,8 @@
 	bytesPerMB       = 1 << 20
 )
 
-// keyedRequest is the result keeper's part of a request with an idempotency key. It belongs to the request and is used by
-// the loop's goroutine alone.
+// keyedRequest is the result keeper's part of a request with an idempotency key. It belongs to the request and is used
+// by the loop's goroutine alone.
 type keyedRequest struct {
 	key resultstore.Key
 	// legacyKey is the key as written by versions that did not include the tenant. Guards against a second run of a key
@@ -180,9 +180,9 @@
 	}()
 }
 
-// folderOpened handles the outcome of open, and decides on the requests that waited for it. If the folder can't be read,
-// opening is retried after reopenDelay, and until then no key runs, as any may have run before. See row "open, read of
-// kept results: any" in docs/design/failures.md.
+// folderOpened handles the outcome of open, and decides on the requests that waited for it. If the folder can't be
+// read, opening is retried after reopenDelay, and until then no key runs, as any may have run before. See row "open,
+// read of kept results: any" in docs/design/failures.md.
 func (k *resultKeeper) folderOpened(store *resultstore.Store, index *resultstore.Index, found resultstore.Recovery,
 	err error) {
 	if err != nil {
@@ -246,9 +246,9 @@
 	}
 }
 
-// rejectsNewKeys decides whether new keys are rejected because their intent would not become durable soon: the folder is
-// not read, the disk fails or stalls, or there is no room. Guards against runs that hold a run slot until their deadline
-// for a record that is never written. See row "write or sync of kept results: any" in docs/design/failures.md.
+// rejectsNewKeys decides whether new keys are rejected because their intent would not become durable soon: the folder
+// is not read, the disk fails or stalls, or there is no room. Guards against runs that hold a run slot until their
+// deadline for a record that is never written. See row "write or sync of kept results: any" in docs/design/failures.md.
 func (k *resultKeeper) rejectsNewKeys(now admission.Time) bool {
 	return k.index == nil || k.store.Err() != nil || k.isStalled(now) || k.isFull(now)
 }
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestResponseBeforeResultIsDurable: a result is not durable when its request is due, or when the process has to end. The
-// caller gets an error in time, once, and the result that gets there later is known.
+// TestResponseBeforeResultIsDurable: a result is not durable when its request is due, or when the process has to end.
+// The caller gets an error in time, once, and the result that gets there later is known.
 func TestResponseBeforeResultIsDurable(t *testing.T) {
 	d := &blockingDisk{FS: wal.NewMemFS()}
 	l := loopWithStore(t, d)
@@ -274,8 +274,8 @@
 	}
 }
 
-// TestKeysAreSeparateByTenant: two tenants use the same key. What one left behind says nothing of the other's request; a
-// key of a version that did not tell tenants apart binds all of them for its window.
+// TestKeysAreSeparateByTenant: two tenants use the same key. What one left behind says nothing of the other's request;
+// a key of a version that did not tell tenants apart binds all of them for its window.
 func TestKeysAreSeparateByTenant(t *testing.T) {
 	l := loopWithStore(t, &blockingDisk{FS: wal.NewMemFS()})
 	leave := func(q *keyedRequest) {
--- a/internal/node/server/result_run.go
+++ b/internal/node/server/result_run.go
@@ -13,8 +13,8 @@
 
 // begin writes the intent of a run that has its run slot; the run is sent to the kernel once the intent is durable. The
 // verdict on the key is looked up again, as another attempt may have run since this one arrived. Guards against a key
-// that runs again after a kill: whatever may have run has its intent on disk. See row "process killed with results kept"
-// in docs/design/shutdown.md.
+// that runs again after a kill: whatever may have run has its intent on disk. See row "process killed with results
+// kept" in docs/design/shutdown.md.
 func (k *resultKeeper) begin(h handle, r *request) {
 	q, verdict := r.keyed, resultstore.RejectFull
 	if !k.rejectsNewKeys(k.host.currentTime()) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// end records the end of a run. deferred reports that the response waits until the result is durable; otherwise there is
-// no result to respond with.
+// end records the end of a run. deferred reports that the response waits until the result is durable; otherwise there
+// is no result to respond with.
 func (k *resultKeeper) end(h handle, r *request, outcome admission.Outcome, result []byte) (deferred bool) {
 	if !r.keyed.intentDurable { // this attempt did not run, but another of its key may
 		return false
@@ -113,8 +113,8 @@
 	return false
 }
 
-// storeResult queues the result record for the disk. It returns false if the queue is full or the index has no such run:
-// the response then must not carry a result, which a retry would not get.
+// storeResult queues the result record for the disk. It returns false if the queue is full or the index has no such
+// run: the response then must not carry a result, which a retry would not get.
 func (k *resultKeeper) storeResult(h handle, r *request, result []byte) bool {
 	k.faults.reach(faultRunEnded)
 	record, ok := k.index.MarkExecuted(k.clock(), r.keyed.key, true, result)
--- a/internal/node/server/store_connections.go
+++ b/internal/node/server/store_connections.go
@@ -10,21 +10,16 @@
 	"umberwinch/internal/node/wire"
 )
 
-// storeConnections are the connections to the store, over which runs make their calls. It owns a bounded set of them,
-// which of them each call is out on, and how each call ended: not executed, unknown, failed, or succeeded. It never
-// says that a call was not executed unless that is proven, never takes a reply for another call than the one it was
-// made for, and never makes a call by itself: each is the controller's decision. A connection ends once it was idle
-// for StoreIdleTimeout, or with its last call once it is retired.
+// storeConnections is the bounded set of connections to the store, over which runs make calls. It is used by the loop's
+// goroutine alone. Each call ends as succeeded, failed, not executed (only if that is proven) or unknown. A connection
+// ends after StoreIdleTimeout without calls, or, once retired, with its last call.
 //
-// Guards of one call against another's reply:
-//   - A connection carries one call at a time while the bound on connections allows, as whatever spoils one reply
-//     spoils all that are out on its connection.
-//   - No request calls twice over one connection, so that a second copy of a reply can't pass for the reply to its
-//     next call.
-//   - A connection is retired once it brought a reply that nobody waits for, a call on it was given up or got no reply
-//     in its time, or the store has moved.
-//   - A reset at a call after an idle time proves nothing: it looks the same where the call ran and its reply was
-//     lost. So idle connections are closed early instead.
+// Guards against taking a reply for that of another call:
+//   - A connection carries one call at a time while the bound on connections allows.
+//   - No request makes two calls over one connection, as a duplicate of the first reply would match the second call.
+//   - A connection is retired after a reply that matches no call, after a call on it is cancelled or times out, and
+//     when the store's address changes.
+//   - Idle connections are closed early: a reset of a call on one would not show whether the call was executed.
 type storeConnections struct {
 	backoff
 	addr        string
@@ -32,59 +27,57 @@
 	parser      linkParser
 }
 
-// storeConnection is one connection to the store.
+// storeConnection is one connection to the store, open or being dialed.
 type storeConnection struct {
 	dialed   *dialed
-	calls    []handle       // requests whose calls are out on it, or wait for it to open
-	lastUsed admission.Time // when it last carried anything
-	retired  bool           // gets no further call
+	calls    []handle       // requests whose calls are sent on it or wait for it to open
+	lastUsed admission.Time // when it last sent or received
+	retired  bool           // gets no further calls
 }
 
-func (w *storeConnection) idle() bool { return len(w.calls) == 0 }
+func (c *storeConnection) idle() bool { return len(c.calls) == 0 }
 
-// startCall makes the call that a run waits for. One that gets no connection ends as not executed, which is proven as
-// not a byte of it was sent: see row "socket, connect: any" in docs/design/failures.md.
-func (l *loop) startCall(h handle, r *request, until admission.Time) {
+// startCall makes the call that a run waits for. A call that gets no connection ends as not executed, as nothing was
+// sent: see row "socket, connect: any" in docs/design/failures.md.
+func (l *loop) startCall(h handle, r *request, deadline admission.Time) {
 	r.setCall(callQueued)
-	r.callStarted, r.callDeadline = l.now, until
+	r.callStarted, r.callDeadline = l.now, deadline
 	l.counters.Calls++
 	if l.debug {
-		l.traceWith(r.id, traceCallStarted, logrus.Fields{logging.WithinMS: milliseconds(until - l.now)})
+		l.traceWith(r.id, traceCallStarted, logrus.Fields{logging.WithinMS: milliseconds(deadline - l.now)})
 	}
-	at, w, deferred := l.pickStoreConnection(r)
-	if w == nil {
-		if deferred {
-			// That the zone's quota put a dial off says nothing about the store: the load report is not told of a call
-			// that is none by now, see callEnded.
+	conn, c, overQuota := l.pickStoreConnection(r)
+	if c == nil {
+		if overQuota {
+			// Keeps the call out of the load report, see callEnded: the zone's quota says nothing about the store.
 			r.setCall(callNone)
 		}
 		l.callEnded(h, r, admission.NotExecuted)
 		return
 	}
-	// Only connections that are still there matter, so this stays as short as their table.
-	gone := func(h handle) bool { return l.store.connections.get(h) == nil }
-	r.storeConn, r.usedStoreConns = at, append(slices.DeleteFunc(r.usedStoreConns, gone), at)
-	w.calls = append(w.calls, h)
-	l.timers.set(until+l.limits.CallGrace, timerCall, h)
-	if w.dialed.writer != nil {
-		l.sendCall(h, r, w)
+	// Closed connections are removed, which bounds the list.
+	closed := func(h handle) bool { return l.store.connections.get(h) == nil }
+	r.storeConn, r.usedStoreConns = conn, append(slices.DeleteFunc(r.usedStoreConns, closed), conn)
+	c.calls = append(c.calls, h)
+	l.timers.set(deadline+l.limits.CallGrace, timerCall, h)
+	if c.dialed.writer != nil {
+		l.sendCall(h, r, c)
 	}
 }
 
-// pickStoreConnection finds the connection for a call: the idle one used last, as it is the least likely to be closed
-// by the other side; else a new one, unless the bound, the backoff after a failed dial or the zone's quota forbids it;
-// else the one with the fewest calls, which shares their fate if it breaks. None: the call ends as not executed, which
-// harms only that request. deferred tells that the zone's quota put a new one off.
-func (l *loop) pickStoreConnection(r *request) (best handle, _ *storeConnection, deferred bool) {
+// pickStoreConnection picks the connection for a call: the most recently used idle one, as it is the least likely to be
+// closed by the peer; else a new one, unless the bound, the backoff or the zone's connection rate limit forbids it;
+// else the one with the fewest calls; else none. overQuota reports that the zone's limit forbade a new one.
+func (l *loop) pickStoreConnection(r *request) (best handle, _ *storeConnection, overQuota bool) {
 	s := &l.store
 	l.closeIdleStoreConnections()
 	for h, i := s.connections.next(0); h != 0; h, i = s.connections.next(i) {
-		w := s.connections.get(h)
-		if w.retired || slices.Contains(r.usedStoreConns, h) {
+		c := s.connections.get(h)
+		if c.retired || slices.Contains(r.usedStoreConns, h) {
 			continue
 		}
 		b := s.connections.get(best)
-		if b == nil || len(w.calls) < len(b.calls) || w.idle() && b.idle() && w.lastUsed > b.lastUsed {
+		if b == nil || len(c.calls) < len(b.calls) || c.idle() && b.idle() && c.lastUsed > b.lastUsed {
 			best = h
 		}
 	}
@@ -95,69 +88,69 @@
 	if !l.fleet.admitConnection() {
 		return best, b, true
 	}
-	h, w, ok := s.connections.take()
+	h, c, ok := s.connections.take()
 	if !ok {
 		return best, b, false
 	}
-	*w = storeConnection{dialed: &dialed{peer: peerStore, storeConn: h, parser: s.parser}, lastUsed: l.now}
-	l.open(w.dialed, s.addr)
+	*c = storeConnection{dialed: &dialed{peer: peerStore, storeConn: h, parser: s.parser}, lastUsed: l.now}
+	l.open(c.dialed, s.addr)
 	l.fleet.connectionOpened()
-	return h, w, false
+	return h, c, false
 }
 
-// closeIdleStoreConnections closes connections that were idle for too long to be trusted with a call.
+// closeIdleStoreConnections closes connections that were idle for longer than StoreIdleTimeout.
 func (l *loop) closeIdleStoreConnections() {
 	for h, i := l.store.connections.next(0); h != 0; h, i = l.store.connections.next(i) {
-		if w := l.store.connections.get(h); w.idle() && l.now-w.lastUsed > l.limits.StoreIdleTimeout {
-			l.dropStoreConnection(h, w)
+		if c := l.store.connections.get(h); c.idle() && l.now-c.lastUsed > l.limits.StoreIdleTimeout {
+			l.dropStoreConnection(h, c)
 		}
 	}
 }
 
-// dropStoreConnection ends a connection, after what waits to go out on it.
-func (l *loop) dropStoreConnection(h handle, w *storeConnection) {
-	if w.dialed.writer != nil {
-		w.dialed.writer.close()
+// dropStoreConnection removes a connection and closes it through its writer.
+func (l *loop) dropStoreConnection(h handle, c *storeConnection) {
+	if c.dialed.writer != nil {
+		c.dialed.writer.close()
 	}
 	l.store.connections.drop(h)
 }
 
-// retireStoreConnection has a connection used for no further call; it ends with its last.
-func (l *loop) retireStoreConnection(h handle, w *storeConnection) {
-	w.retired = true
-	if w.idle() {
-		l.dropStoreConnection(h, w)
+// retireStoreConnection bars a connection from further calls; it ends with its last call.
+func (l *loop) retireStoreConnection(h handle, c *storeConnection) {
+	c.retired = true
+	if c.idle() {
+		l.dropStoreConnection(h, c)
 	}
 }
 
 // sendCall sends a call on its connection.
-func (l *loop) sendCall(h handle, r *request, w *storeConnection) {
+func (l *loop) sendCall(h handle, r *request, c *storeConnection) {
 	wait := max(wholeMilliseconds(r.callDeadline-l.now), 1)
 	l.scratch = wire.AppendCall(l.scratch[:0], r.id, wait, r.callBody)
-	if !w.dialed.writer.send(l.scratch, l.limits.LinkQueue) {
-		// The queue is full because the store takes nothing: this call never left, the others may have. See row "link
+	if !c.dialed.writer.send(l.scratch, l.limits.LinkQueue) {
+		// The queue is full as the store does not read: this call was not sent, the others may have been. See row "link
 		// that takes nothing" in docs/design/shutdown.md.
-		at := r.storeConn
+		conn := r.storeConn
 		l.callEnded(h, r, admission.NotExecuted)
-		l.storeConnectionLost(at, l.store.connections.get(at), errStuck)
+		l.storeConnectionLost(conn, l.store.connections.get(conn), errStuck)
 		return
 	}
 	r.setCall(callSent)
-	w.lastUsed = l.now
+	c.lastUsed = l.now
 }
 
-// callEnded has the controller hear of the end of a call in the next round.
-func (l *loop) callEnded(h handle, r *request, how admission.Outcome) {
-	made := r.call != callNone
+// callEnded adds the end of a call to the next round.
+func (l *loop) callEnded(h handle, r *request, outcome admission.Outcome) {
+	counted := r.call != callNone
 	l.detachCall(h, r)
 	if l.debug {
-		l.traceWith(r.id, traceCallEnded, logrus.Fields{logging.Outcome: outcomeNames[how],
+		l.traceWith(r.id, traceCallEnded, logrus.Fields{logging.Outcome: outcomeNames[outcome],
 			logging.ElapsedMS: milliseconds(l.now - r.callStarted)})
 	}
-	if made {
-		l.fleet.callEnded(milliseconds(l.now-r.callStarted), how != admission.Succeeded)
+	if counted {
+		l.fleet.callEnded(milliseconds(l.now-r.callStarted), outcome != admission.Succeeded)
 	}
-	switch how {
+	switch outcome {
 	case admission.Succeeded:
 		l.counters.CallsSucceeded++
 	case admission.NotExecuted:
@@ -166,125 +159,124 @@
 		l.counters.CallsFailed++
 	}
 	l.nextRound().CallEnds = append(l.nextRound().CallEnds,
-		admission.CallEnd{ID: uint32(h), Outcome: how, Elapsed: l.now - r.callStarted})
+		admission.CallEnd{ID: uint32(h), Outcome: outcome, Elapsed: l.now - r.callStarted})
 }
 
-// detachCall takes a call off its connection.
+// detachCall removes a call from its connection.
 func (l *loop) detachCall(h handle, r *request) {
-	if w := l.store.connections.get(r.storeConn); w != nil {
-		if i := slices.Index(w.calls, h); i >= 0 {
-			w.calls = slices.Delete(w.calls, i, i+1)
+	if c := l.store.connections.get(r.storeConn); c != nil {
+		if i := slices.Index(c.calls, h); i >= 0 {
+			c.calls = slices.Delete(c.calls, i, i+1)
 		}
-		if w.retired && w.idle() {
-			l.dropStoreConnection(r.storeConn, w)
+		if c.retired && c.idle() {
+			l.dropStoreConnection(r.storeConn, c)
 		}
 	}
 	r.setCall(callNone)
 	r.storeConn = 0
 }
 
-// cancelCall gives up a call that nobody waits for any more. Its connection may still bring the reply, so it is
-// retired.
+// cancelCall cancels a call whose result is no longer needed. Its connection is retired, as the reply may still arrive.
 func (l *loop) cancelCall(h handle, r *request) {
-	if w := l.store.connections.get(r.storeConn); w != nil && r.call == callSent {
+	if c := l.store.connections.get(r.storeConn); c != nil && r.call == callSent {
 		l.scratch = wire.AppendCallCancel(l.scratch[:0], r.id)
-		w.dialed.writer.send(l.scratch, l.limits.LinkQueue)
+		c.dialed.writer.send(l.scratch, l.limits.LinkQueue)
 		l.counters.CallsCancelled++
-		w.retired = true
+		c.retired = true
 	}
 	if r.call != callNone {
-		// A call that was given up counts by its time alone, not as failed: see zonegate.Meter.CallEnded.
+		// The load report counts the time of a cancelled call, not a failure: see zonegate.Meter.CallEnded.
 		l.fleet.callEnded(milliseconds(l.now-r.callStarted), false)
 	}
 	l.detachCall(h, r)
 }
 
-// callReplied takes a reply of the store: it counts only for a call that is out on the connection that brought it.
-func (l *loop) callReplied(at handle, p wire.CallReply) {
-	w := l.store.connections.get(at)
-	w.lastUsed = l.now
+// callReplied handles a reply of the store. It ends a call only if that was sent on the connection of the reply.
+func (l *loop) callReplied(conn handle, p wire.CallReply) {
+	c := l.store.connections.get(conn)
+	c.lastUsed = l.now
 	h, r := l.findRequest(p.ID)
-	if r == nil || r.call != callSent || r.storeConn != at {
+	if r == nil || r.call != callSent || r.storeConn != conn {
 		l.counters.StrayReplies++
-		l.retireStoreConnection(at, w)
+		l.retireStoreConnection(conn, c)
 		return
 	}
-	how := admission.Unknown
+	outcome := admission.Unknown
 	switch p.Outcome {
 	case wire.CallSucceeded:
-		how = admission.Succeeded
+		outcome = admission.Succeeded
 		l.sendCallReply(r, p.Body)
 	case wire.CallRejected, wire.CallNotExecuted:
-		how = admission.NotExecuted
+		outcome = admission.NotExecuted
 	case wire.CallFailed:
-		how = admission.Failed
+		outcome = admission.Failed
 	}
-	l.callEnded(h, r, how)
+	l.callEnded(h, r, outcome)
 }
 
-// callTimedOut gives up a call that the store did not end by CallGrace after its deadline. Guards against a store that
-// forgets a call: its run would wait, and hold its slot, until its request's deadline. See row "call that the store
-// forgets" in docs/design/shutdown.md.
+// callTimedOut ends a call without a reply at CallGrace after its deadline. Guards against a store that forgets a call:
+// the run would wait, and hold its run slot, until its request's deadline. See row "call that the store forgets" in
+// docs/design/shutdown.md.
 func (l *loop) callTimedOut(h handle) {
 	r := l.requests.get(h)
 	if r == nil || r.call == callNone {
 		return
 	}
 	if end := r.callDeadline + l.limits.CallGrace; l.now < end {
-		return // an earlier call's time; the present one has its own
+		return // the timer of an earlier call
 	}
-	how := admission.Unknown
+	outcome := admission.Unknown
 	if r.call == callQueued {
-		how = admission.NotExecuted
+		outcome = admission.NotExecuted
 	}
 	l.cancelCall(h, r)
-	l.callEnded(h, r, how)
+	l.callEnded(h, r, outcome)
 }
 
 // storeConnected sends the calls that waited for a connection to open.
-func (l *loop) storeConnected(at handle, w *storeConnection) {
+func (l *loop) storeConnected(conn handle, c *storeConnection) {
 	l.store.backoff = backoff{}
-	w.lastUsed = l.now
-	for _, h := range slices.Clone(w.calls) {
-		if r := l.requests.get(h); r != nil && r.call == callQueued && l.store.connections.get(at) != nil {
-			l.sendCall(h, r, w)
+	c.lastUsed = l.now
+	for _, h := range slices.Clone(c.calls) {
+		if r := l.requests.get(h); r != nil && r.call == callQueued && l.store.connections.get(conn) != nil {
+			l.sendCall(h, r, c)
 		}
 	}
 }
 
-// storeConnectionLost ends every call on a connection that ended or could not be opened: those that had gone out may
-// have run, those that waited for it to open did not. StoreConnectionsLost counts both kinds of connection. See row
-// "store connection broken, spoilt, idle" in docs/design/shutdown.md.
-func (l *loop) storeConnectionLost(at handle, w *storeConnection, err error) {
-	if w == nil {
+// storeConnectionLost ends every call on a connection that ended or could not be opened: calls that were sent as
+// unknown, those that waited for it to open as not executed. StoreConnectionsLost counts both kinds of connection. See
+// row "store connection broken, spoilt, idle" in docs/design/shutdown.md.
+func (l *loop) storeConnectionLost(conn handle, c *storeConnection, err error) {
+	if c == nil {
 		return
 	}
-	if w.dialed.writer == nil {
-		l.store.failed(l.now, &l.limits) // it could not be opened
+	if c.dialed.writer == nil {
+		l.store.failed(l.now, &l.limits) // the dial failed
 	}
-	if len(w.calls) > 0 {
+	if len(c.calls) > 0 {
 		l.counters.StoreConnectionsLost++
 		if log := l.limitLog(); log != nil {
-			log.WithFields(logrus.Fields{logging.Error: err, logging.Calls: len(w.calls),
-				logging.CallsMayHaveRun: l.callsSent(w)}).Info(logStoreConnectionLost)
+			log.WithFields(logrus.Fields{logging.Error: err, logging.Calls: len(c.calls),
+				logging.CallsMayHaveRun: l.callsSent(c)}).Info(logStoreConnectionLost)
 		}
 	}
-	w.retired = false // detachCall drops a retired connection with its last call; this one is dropped below, once
-	for _, h := range slices.Clone(w.calls) {
-		how := admission.NotExecuted
+	c.retired = false // keeps detachCall from dropping the connection, which is dropped below
+	for _, h := range slices.Clone(c.calls) {
+		outcome := admission.NotExecuted
 		if r := l.requests.get(h); r != nil {
 			if r.call == callSent {
-				how = admission.Unknown
+				outcome = admission.Unknown
 			}
-			l.callEnded(h, r, how)
+			l.callEnded(h, r, outcome)
 		}
 	}
-	l.dropStoreConnection(at, w)
+	l.dropStoreConnection(conn, c)
 }
 
-// callsSent counts the calls on a connection that went out, and so may have run.
-func (l *loop) callsSent(w *storeConnection) (n int) {
-	for _, h := range w.calls {
+// callsSent counts the calls on a connection that were sent, and so may have been executed.
+func (l *loop) callsSent(c *storeConnection) (n int) {
+	for _, h := range c.calls {
 		if r := l.requests.get(h); r != nil && r.call == callSent {
 			n++
 		}
@@ -292,7 +284,7 @@
 	return n
 }
 
-// moveStore has new calls go to another address; those that are out stay where they are.
+// moveStore changes the store's address. Calls that were sent stay on their connections, which are retired.
 func (l *loop) moveStore(addr string) {
 	s := &l.store
 	if s.addr == addr {
@@ -300,18 +292,18 @@
 	}
 	s.addr, s.backoff = addr, backoff{}
 	for h, i := s.connections.next(0); h != 0; h, i = s.connections.next(i) {
-		w := s.connections.get(h)
-		if w.dialed.writer != nil {
-			l.retireStoreConnection(h, w)
+		c := s.connections.get(h)
+		if c.dialed.writer != nil {
+			l.retireStoreConnection(h, c)
 			continue
 		}
-		// Not open yet, so nothing went out: what waits for it goes to the new address.
-		w.dialed = &dialed{peer: peerStore, storeConn: h, parser: s.parser}
-		l.open(w.dialed, addr)
+		// Not open yet, so nothing was sent: the waiting calls go to the new address.
+		c.dialed = &dialed{peer: peerStore, storeConn: h, parser: s.parser}
+		l.open(c.dialed, addr)
 	}
 }
 
-// storeParser reads replies of the store.
+// storeParser returns the parser of the store's replies.
 func storeParser(bounds wire.Bounds) linkParser {
 	return func(from *dialed, b *buffer) (event, int, error) {
 		e := &b.reply
