--- a/internal/node/server/fleet_agent_test.go
+++ b/internal/node/server/fleet_agent_test.go
@@ -26,14 +26,14 @@
 	"umberwinch/internal/retryafter"
 )
 
-// testHost stands in for the loop: callbacks wait until the test takes them.
+// testHost is a fleetHost whose callbacks wait in a channel until the test calls them.
 type testHost struct {
 	callbacks chan func()
 	log       *logrus.Logger
 	counters  Counters
 	settings  *settings.Startup
 	activated []uint64
-	rejected  int // times that the queue was
+	rejected  int // number of calls of rejectQueued
 }
 
 func (h *testHost) runOnLoop(f func())               { h.callbacks <- f }
@@ -53,7 +53,7 @@
 	return 1500
 }
 
-// testControl is an instance of the control service that answers what the test says.
+// testControl is an instance of the control service that responds as the test sets it.
 type testControl struct {
 	mu       sync.Mutex
 	response api.HeartbeatResponse
@@ -74,7 +74,7 @@
 	_ = json.NewEncoder(w).Encode(&c.response)
 }
 
-// setResponse changes what the instance says.
+// setResponse changes the instance's response to heartbeats, at the next group index.
 func (c *testControl) setResponse(change func(*api.HeartbeatResponse)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,9 +82,9 @@
 	change(&c.response)
 }
 
-// TestFleetAgent: a node joins its fleet, gets a lease and a committed version, has its zone evacuated, and loses the
-// control service. If it served before it had activated the version, went on after its lease had expired, or took
-// what its zone's quota leaves out, the group's decisions would not hold at it.
+// TestFleetAgent checks a node that joins its fleet, gets a lease and a committed version, has its zone evacuated and
+// loses the control service. Guards against serving before the version is active, after the lease has expired, or over
+// the zone's quota.
 func TestFleetAgent(t *testing.T) {
 	control := &testControl{text: "[class get]\nkind = replayable\nclient_timeout = 2s\nvalue = 3\n" +
 		"[fleet]\nwhen_alone = fence\n"}
@@ -107,9 +107,9 @@
 	}
 	now := bootTime()
 	f.clock = func() agent.Milliseconds { return now }
-	ticksUntil := func(what string, holds func() bool) {
+	tickUntil := func(what string, met func() bool) {
 		t.Helper()
-		for end := time.Now().Add(patience); !holds(); {
+		for end := time.Now().Add(patience); !met(); {
 			f.tick()
 			select {
 			case callback := <-host.callbacks:
@@ -118,66 +118,70 @@
 				now += 20
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%s: not within %v; log: %v", what, patience, messages(lines))
+				t.Fatalf("%s: condition not met within %v; log messages: %v", what, patience, logMessages(lines))
 			}
 		}
 	}
 	request := &wire.Request{Caller: 1}
 	response := wire.Response{}
-	if why := f.rejection(0, request, "", &response); why != nodeFenced || response.RetryAfterMS != 1500 ||
+	if got := f.rejection(0, request, "", &response); got != nodeFenced || response.RetryAfterMS != 1500 ||
 		f.takesTraffic() {
-		t.Errorf("before it has a lease: %v, %+v", why, response)
+		t.Errorf("without a lease: rejection() = %v, response %+v, takesTraffic() = %v, want %v, Retry-After 1500 ms, false",
+			got, response, f.takesTraffic(), nodeFenced)
 	}
-	ticksUntil("serving", func() bool { return !f.fenced })
+	tickUntil("serving", func() bool { return !f.fenced })
 	if len(host.activated) != 1 || host.activated[0] != 1 || f.agent.ActiveVersion() != 1 {
-		t.Fatalf("serves under %d, activated %v, expected version 1", f.agent.ActiveVersion(), host.activated)
+		t.Fatalf("active version %d, activated %v, want 1, [1]", f.agent.ActiveVersion(), host.activated)
 	}
-	serves := lines.LastEntry()
-	if serves.Message != logNodeServes || serves.Data[logging.PolicyVersion] != uint64(1) ||
-		serves.Data[logging.LeaseID] != uint32(7) {
-		t.Errorf("logs %q, %v", serves.Message, serves.Data)
+	last := lines.LastEntry()
+	if last.Message != logNodeServes || last.Data[logging.PolicyVersion] != uint64(1) ||
+		last.Data[logging.LeaseID] != uint32(7) {
+		t.Errorf("last log line %q, %v, want %q with version 1 and lease 7", last.Message, last.Data, logNodeServes)
 	}
-	if why := f.rejection(0, request, "", &response); why != notRejected || !f.takesTraffic() {
-		t.Errorf("with a lease: %v", why)
+	if got := f.rejection(0, request, "", &response); got != notRejected || !f.takesTraffic() {
+		t.Errorf("with a lease: rejection() = %v, takesTraffic() = %v, want %v, true", got, f.takesTraffic(),
+			notRejected)
 	}
-	ticksUntil("the record", func() bool { return !f.record.writing && !f.record.pending })
+	tickUntil("record stored", func() bool { return !f.record.writing && !f.record.pending })
 	if raw, err := os.ReadFile(filepath.Join(folder, recordFile)); err != nil ||
 		!strings.Contains(string(raw), `"version":1`) {
-		t.Errorf("record %s, %v", raw, err)
+		t.Errorf("record file %s, error %v, want version 1 in it", raw, err)
 	}
 	control.setResponse(func(r *api.HeartbeatResponse) { r.Zone = &api.ZoneOrder{Epoch: 4, Share: 0, TTLMS: 60_000} })
-	ticksUntil("the zone's order", func() bool { return f.gate.Epoch() == 4 })
-	if why := f.rejection(0, request, "", &response); why != rejectedByZone || host.rejected != 1 || f.takesTraffic() {
-		t.Errorf("evacuated: %v, queue rejected %d times", why, host.rejected)
+	tickUntil("zone evacuated", func() bool { return f.gate.Epoch() == 4 })
+	if got := f.rejection(0, request, "", &response); got != rejectedByZone || host.rejected != 1 || f.takesTraffic() {
+		t.Errorf("evacuated: rejection() = %v, queue rejected %d times, takesTraffic() = %v, want %v, 1, false", got,
+			host.rejected, f.takesTraffic(), rejectedByZone)
 	}
 	control.setResponse(func(r *api.HeartbeatResponse) {
 		r.Zone = &api.ZoneOrder{Epoch: 5, Share: api.FullShare,
 			TTLMS: 60_000}
 	})
-	ticksUntil("its return", func() bool { return f.gate.Epoch() == 5 })
+	tickUntil("zone returned", func() bool { return f.gate.Epoch() == 5 })
 	service.Close()
-	ticksUntil("the end of its lease", func() bool { return f.fenced })
+	tickUntil("lease expired", func() bool { return f.fenced })
 	if now < f.agent.LeaseExpiry() || host.counters.TimesFenced != 1 || host.rejected != 2 {
-		t.Errorf("fenced at %d, %d times, queue rejected %d times; its lease ends at %d", now,
+		t.Errorf("fenced at %d ms, %d times, queue rejected %d times, want at %d ms or later, 1, 2", now,
 			host.counters.TimesFenced, host.rejected, f.agent.LeaseExpiry())
 	}
-	if last := lines.LastEntry(); !logged(lines, logNodeFenced, logging.Reason, "its lease has run out") {
-		t.Errorf("logs %q, %v", last.Message, last.Data)
+	if last := lines.LastEntry(); !hasLogLine(lines, logNodeFenced, logging.Reason, "its lease has run out") {
+		t.Errorf("last log line %q, %v, want an earlier %q as the lease has run out", last.Message, last.Data,
+			logNodeFenced)
 	}
 	control.mu.Lock()
 	defer control.mu.Unlock()
 	if first := control.requests[0]; first.Name != "n1" || first.Zone != "z1" || first.LeaseID != 0 ||
 		first.Fenced == "" {
-		t.Errorf("joins with %+v", first)
+		t.Errorf("first heartbeat %+v, want n1 in z1, fenced and without a lease", first)
 	}
 	if last := control.requests[len(control.requests)-1]; last.ActiveVersion != 1 || last.MinVersion != 1 ||
 		last.LeaseID != 7 {
-		t.Errorf("goes on with %+v", last)
+		t.Errorf("last heartbeat %+v, want active and minimum version 1 and lease 7", last)
 	}
 }
 
-// TestVersionConflictsWithSettings: the group prepares a version that contradicts what the platform has promised callers.
-// The node votes against it with its reason and goes on under the version it has.
+// TestVersionConflictsWithSettings checks that a node rejects a version that conflicts with the platform's settings,
+// with the reason in its next heartbeat. It also checks a hash mismatch and a failed fetch.
 func TestVersionConflictsWithSettings(t *testing.T) {
 	log, lines := logtest.NewNullLogger()
 	host := &testHost{callbacks: make(chan func(), 16), log: log,
@@ -196,27 +200,29 @@
 	version := api.VersionHash{Version: 2, Hash: document.Hash([]byte(text))}
 	f.versions.current = version
 	f.versionFetched("127.0.0.1:1", version, controlResponse{status: wire.StatusOK, body: body})
-	if !logged(lines, logVersionUnusable, logging.PolicyVersion, uint64(2)) || f.versions.current.Version != 0 {
-		t.Errorf("logs %v, current %+v", messages(lines), f.versions.current)
+	if !hasLogLine(lines, logVersionUnusable, logging.PolicyVersion, uint64(2)) || f.versions.current.Version != 0 {
+		t.Errorf("log messages %v, current version %+v, want %q for version 2, none", logMessages(lines),
+			f.versions.current, logVersionUnusable)
 	}
 	request, _, due := f.agent.Heartbeat(bootTime())
 	if !due || request.RefusedVersion != 2 || !strings.Contains(request.RefusedReason, "client_timeout: found 2s") {
-		t.Errorf("tells the group %+v", request)
+		t.Errorf("heartbeat due %v: %+v, want version 2 refused for its client_timeout", due, request)
 	}
 	version.Hash = "another"
 	f.versionFetched("127.0.0.1:1", version, controlResponse{status: wire.StatusOK, body: body})
 	if last := lines.LastEntry(); !strings.Contains(last.Data[logging.Error].(error).Error(), errWrongHash.Error()) {
-		t.Errorf("a text of another hash: logs %v", last.Data)
+		t.Errorf("hash mismatch: log fields %v, want error %q", last.Data, errWrongHash)
 	}
 	f.versionFetched("127.0.0.1:1", version, controlResponse{status: wire.StatusServiceUnavailable,
 		body: []byte("busy")})
 	if f.versions.timeout != 2*minFetchTimeout || f.versions.retryAt == 0 {
-		t.Errorf("after a fetch that failed: timeout %v, next at %d", f.versions.timeout, f.versions.retryAt)
+		t.Errorf("failed fetch: timeout %v, retry at %d, want %v, a time", f.versions.timeout, f.versions.retryAt,
+			2*minFetchTimeout)
 	}
 }
 
-// logged tells whether a line with that message has the field.
-func logged(lines *logtest.Hook, message, field string, value any) bool {
+// hasLogLine reports whether a line with the message has the field.
+func hasLogLine(lines *logtest.Hook, message, field string, value any) bool {
 	for _, e := range lines.AllEntries() {
 		if e.Message == message && e.Data[field] == value {
 			return true
@@ -225,9 +231,9 @@
 	return false
 }
 
-func messages(lines *logtest.Hook) (out []string) {
+func logMessages(lines *logtest.Hook) (messages []string) {
 	for _, e := range lines.AllEntries() {
-		out = append(out, e.Message)
+		messages = append(messages, e.Message)
 	}
-	return out
+	return messages
 }
--- a/internal/node/server/pin_record_test.go
+++ b/internal/node/server/pin_record_test.go
@@ -12,12 +12,13 @@
 	"umberwinch/internal/node/agent"
 )
 
-// Records of a node as version 2a0a97e wrote them lie in testdata/record: one with a version prepared beside the one
-// that is served under, and one that was decided as the node died. They stay byte for byte.
+// recordedRecords are the node records in testdata/record, as version 2a0a97e wrote them: one with a prepared version
+// beside the active one, and one of a node that died after the prepared version was decided. The files never change.
 var recordedRecords = []struct {
 	name   string
 	record agent.Record
-	asks   string // the first request to the control service after a start with it, as far as it comes of the record
+	// heartbeat is the end of the first heartbeat after a start with the record: the part that depends on it.
+	heartbeat string
 }{
 	{"prepared", agent.Record{Cluster: "0123456789abcdef", Generation: 2, Term: 7, Index: 4711,
 		EntryChecksum: 18446744073709551615, ActiveVersion: 3,
@@ -38,8 +39,8 @@
 			`"heard":{"group":"0123456789abcdef","generation":1,"term":7,"index":4711}}`},
 }
 
-// TestRecordedNodeRecords: each record is read to the state that it had, is written to the same bytes, and a node that
-// starts with it asks as it did. With PIN_WRITE set it writes them, for version 2a0a97e.
+// TestRecordedNodeRecords checks that each recorded record loads to its state, is stored as the same bytes, and leads
+// to the same first heartbeat. With PIN_WRITE set it writes the files, as was done for version 2a0a97e.
 func TestRecordedNodeRecords(t *testing.T) {
 	for _, c := range recordedRecords {
 		fixture := filepath.Join("testdata", "record", c.name)
@@ -51,52 +52,52 @@
 				t.Fatal(err)
 			}
 		}
-		var read agent.Record
-		if there, err := loadRecord(fixture, &read); !there || err != nil {
-			t.Fatalf("%s: %v, %v", c.name, there, err)
+		var loaded agent.Record
+		if found, err := loadRecord(fixture, &loaded); !found || err != nil {
+			t.Fatalf("%s: loadRecord() = %v, %v, want true and no error", c.name, found, err)
 		}
-		got, _ := json.Marshal(&read)
+		got, _ := json.Marshal(&loaded)
 		want, _ := json.Marshal(&c.record)
 		if !bytes.Equal(got, want) {
-			t.Errorf("%s: read as\n%s, expected\n%s", c.name, got, want)
+			t.Errorf("%s: loaded\n%s\nwant\n%s", c.name, got, want)
 		}
 		folder := t.TempDir()
 		if err := storeRecord(folder, &c.record); err != nil {
 			t.Fatal(err)
 		}
-		was, err := os.ReadFile(filepath.Join(fixture, "policy.json"))
+		want, err := os.ReadFile(filepath.Join(fixture, "policy.json"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if is, _ := os.ReadFile(filepath.Join(folder, "policy.json")); !bytes.Equal(is, was) {
-			t.Errorf("%s: written as\n%s, expected\n%s", c.name, is, was)
+		if got, _ := os.ReadFile(filepath.Join(folder, "policy.json")); !bytes.Equal(got, want) {
+			t.Errorf("%s: stored\n%s\nwant\n%s", c.name, got, want)
 		}
-		m := agent.New(agent.Config{Name: "n", Zone: "z", ControlAddresses: []string{"a"}, Nonce: "nonce-00000000",
-			JitterSeed: 7}, &read, 1000)
-		ask, _, due := m.Heartbeat(1000)
-		raw, _ := json.Marshal(&ask)
-		if !due || !strings.HasSuffix(string(raw), c.asks) {
-			t.Errorf("%s: a node that starts with it asks\n%s, expected the end\n%s", c.name, raw, c.asks)
+		a := agent.New(agent.Config{Name: "n", Zone: "z", ControlAddresses: []string{"a"}, Nonce: "nonce-00000000",
+			JitterSeed: 7}, &loaded, 1000)
+		heartbeat, _, due := a.Heartbeat(1000)
+		raw, _ := json.Marshal(&heartbeat)
+		if !due || !strings.HasSuffix(string(raw), c.heartbeat) {
+			t.Errorf("%s: first heartbeat, due %v:\n%s\nwant the end\n%s", c.name, due, raw, c.heartbeat)
 		}
-		if !m.IsPrepared(3) || !m.IsPrepared(4) || m.IsPrepared(2) {
-			t.Errorf("%s: versions 3 and 4 are not both at hand", c.name)
+		if !a.IsPrepared(3) || !a.IsPrepared(4) || a.IsPrepared(2) {
+			t.Errorf("%s: IsPrepared of versions 2, 3, 4 = %v, %v, %v, want false, true, true", c.name, a.IsPrepared(2),
+				a.IsPrepared(3), a.IsPrepared(4))
 		}
 	}
 }
 
-// TestLoadRecordErrors: a record that is torn or spoilt gives the error that it gave; a folder without one is a new
-// node's.
+// TestLoadRecordErrors checks the errors of truncated and altered records; a folder without a record is no error.
 func TestLoadRecordErrors(t *testing.T) {
-	whole, err := os.ReadFile(filepath.Join("testdata", "record", "prepared", "policy.json"))
+	complete, err := os.ReadFile(filepath.Join("testdata", "record", "prepared", "policy.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for text, raw := range map[string][]byte{
-		"unexpected end of JSON input": whole[:len(whole)/2],
-		"json: cannot unmarshal string into Go struct field Record.term of type uint64": bytes.Replace(whole,
+		"unexpected end of JSON input": complete[:len(complete)/2],
+		"json: cannot unmarshal string into Go struct field Record.term of type uint64": bytes.Replace(complete,
 			[]byte(`"term":7`),
 			[]byte(`"term":"7"`), 1),
-		"invalid character '\\x00' in string literal": bytes.Replace(whole, []byte("lease"), []byte("\x00ease"), 1),
+		"invalid character '\\x00' in string literal": bytes.Replace(complete, []byte("lease"), []byte("\x00ease"), 1),
 	} {
 		folder := t.TempDir()
 		file := filepath.Join(folder, "policy.json")
@@ -106,10 +107,10 @@
 		_, err := loadRecord(folder, &agent.Record{})
 		want := file + ": " + text + ", expected what this program wrote; remove it to begin without"
 		if err == nil || err.Error() != want {
-			t.Errorf("found %v, expected %s", err, want)
+			t.Errorf("loadRecord() error = %v, want %s", err, want)
 		}
 	}
-	if there, err := loadRecord(t.TempDir(), &agent.Record{}); there || err != nil {
-		t.Errorf("without a record: %v, %v", there, err)
+	if found, err := loadRecord(t.TempDir(), &agent.Record{}); found || err != nil {
+		t.Errorf("empty folder: loadRecord() = %v, %v, want false and no error", found, err)
 	}
 }
--- a/internal/node/server/pools_test.go
+++ b/internal/node/server/pools_test.go
@@ -9,33 +9,35 @@
 	"testing"
 )
 
-// TestPoolsFollowOperatorFile: pools show themselves and move with a new file; pools.txt has what they do to requests.
+// TestPoolsFollowOperatorFile checks the log lines of pools at start, on SIGUSR1 and after reloads of the operator's
+// file. testdata/pools.txt checks their effect on requests.
 func TestPoolsFollowOperatorFile(t *testing.T) {
 	n := start(t, map[string]string{"own": "[pools]\nreserve = no\n[pool act]\ncap = 0.5\nlimit = fixed\n"})
 	if !n.logged(`msg="pools are on" count=1 reserve=false `) {
-		t.Fatal("no pools at the start")
+		t.Fatal("log has no line for the pools at start")
 	}
 	if !n.logged("pool act: limit 1 of 2, was +Inf: fixed") {
-		t.Fatal("the fixed limit is not told")
+		t.Fatal("log has no line for the fixed limit")
 	}
 	n.cmd.Process.Signal(syscall.SIGUSR1)
 	if !n.logged(`msg="pool status" class=act fair_slots=0 heavy=0 limit=1.0 `, " queued=0 reason=fixed ",
 		" running=0 ") {
-		t.Fatal("the pools are not shown")
+		t.Fatal("log has no pool status after SIGUSR1")
 	}
 	n.writeOwn("[pool act]\ncap = 2\n")
 	n.cmd.Process.Signal(syscall.SIGHUP)
 	if !n.logged(`msg="start-up file not taken, the old one stays" error="` + n.own + ":2: pool act.cap: found ") {
-		t.Fatal("a bad file is not told")
+		t.Fatal("log has no error for an invalid operator's file")
 	}
 	n.writeOwn("[log]\nform = text\n")
 	n.cmd.Process.Signal(syscall.SIGHUP)
 	if !n.logged(`msg="operator's file taken" enabled=false `) {
-		t.Fatal("a file without pools is not taken")
+		t.Fatal("log has no line for the reload without pools")
 	}
 }
 
-// TestUnknownHandlerInOperatorFile: a handler that the platform does not name starts nothing.
+// TestUnknownHandlerInOperatorFile checks that the program does not start if the operator's file names a handler that
+// the start-up settings lack.
 func TestUnknownHandlerInOperatorFile(t *testing.T) {
 	n := start(t, nil)
 	own := filepath.Join(t.TempDir(), "node.ini")
@@ -47,6 +49,6 @@
 	out, err := cmd.CombinedOutput()
 	if err == nil || cmd.ProcessState.ExitCode() != 2 || !strings.Contains(string(out),
 		own+":4: pool fly: found a handler that is not known, expected one of get, put, act") {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("error %v, output %s, want exit code 2 and the unknown handler fly", err, out)
 	}
 }
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -16,10 +16,10 @@
 	"umberwinch/internal/wal"
 )
 
-// blockingDisk holds each sync until the test lets it go on, or fails it.
+// blockingDisk is an in-memory disk whose syncs the test can block or fail.
 type blockingDisk struct {
 	wal.FS
-	syncGate  chan struct{} // nil: nothing is held
+	syncGate  chan struct{} // syncs block until it is closed; nil: none blocks
 	failSyncs atomic.Bool
 }
 
@@ -48,7 +48,7 @@
 	return f.File.Sync()
 }
 
-// loopWithStore is a loop without sockets over a store on such a disk, as far as this part needs one.
+// loopWithStore returns a loop without sockets, with a result keeper on the disk.
 func loopWithStore(t *testing.T, d *blockingDisk) *loop {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -63,17 +63,17 @@
 	l.results = &resultKeeper{host: l, clock: bootTime, log: log,
 		config: &config.ResultStore{MaxKeys: 100, MaxMB: 1, MaxResultBytes: 100},
 		reads:  make(chan func(), 1)}
-	store, book, found, err := resultstore.Open(d, wal.Sizes{SegmentBytes: 1 << 16, MaxBytes: 1 << 20},
+	store, index, found, err := resultstore.Open(d, wal.Sizes{SegmentBytes: 1 << 16, MaxBytes: 1 << 20},
 		resultstore.Limits{Keys: 100, Bytes: 1 << 18, ResultBytes: 100},
 		bootTime(), "boot")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.results.folderOpened(store, book, found, nil)
+	l.results.folderOpened(store, index, found, nil)
 	return l
 }
 
-// newKeyedRun is a try that has its slot.
+// newKeyedRun adds an attempt of a key that has its run slot.
 func (l *loop) newKeyedRun(key string) (handle, *request) {
 	h, r, _ := l.requests.take()
 	*r = request{keyed: newKeyedRequest("put", nil, []byte(key), []byte("body")), arrival: l.now,
@@ -82,20 +82,20 @@
 	return h, r
 }
 
-// awaitDisk has the loop take the next word of the disk.
+// awaitDisk handles the next event, which a callback of the disk has queued.
 func (l *loop) awaitDisk(t *testing.T) {
 	t.Helper()
 	select {
 	case e := <-l.events:
 		l.handle(e)
 	case <-time.After(patience):
-		t.Fatal("the disk says nothing")
+		t.Fatalf("no callback of the disk within %v", patience)
 	}
 }
 
-// TestDiskStalls: the disk takes a record and does not finish. A run that waited for its intent would hold its slot
-// until its deadline; so new keys are rejected meanwhile, what is durable only after its request was answered does
-// not run, and then all is well again.
+// TestDiskStalls checks a sync that blocks: new keys are rejected, a run whose intent becomes durable only after its
+// request was answered does not start, and afterwards the store is ready. Guards against runs that hold a run slot
+// until their deadline.
 func TestDiskStalls(t *testing.T) {
 	d := &blockingDisk{FS: wal.NewMemFS()}
 	l := loopWithStore(t, d)
@@ -103,31 +103,33 @@
 	h, r := l.newKeyedRun("a")
 	l.results.begin(h, r)
 	if r.runCommand != 0 || r.disk != intentPending {
-		t.Fatal("it went to the kernel before its intent was durable")
+		t.Fatalf("run command %d, disk state %v before the intent is durable, want 0, %v", r.runCommand, r.disk,
+			intentPending)
 	}
 	l.now += stallLimit + 1
 	l.results.updateMode()
 	h2, other := l.newKeyedRun("b")
 	l.results.intercept(h2, other)
 	if l.results.mode != modeStalled || !other.isAnswered() || l.counters.Rejected != 1 {
-		t.Errorf("%s, and a new key is not shed", l.results.mode)
+		t.Errorf("mode %s, new key answered %v, rejected %d, want %s, true, 1", l.results.mode, other.isAnswered(),
+			l.counters.Rejected, modeStalled)
 	}
-	l.Fail(uint32(h), admission.ReasonDeadline) // the module: its time is over
+	l.Fail(uint32(h), admission.ReasonDeadline) // as the controller does at the deadline
 	close(d.syncGate)
 	l.awaitDisk(t)
 	r = l.requests.get(h) // the table may have grown
 	if r.runCommand != 0 || r.run != runFinished || len(l.nextRound().RunEnds) != 1 ||
 		l.nextRound().RunEnds[0].Outcome != admission.NotExecuted {
-		t.Errorf("what was answered meanwhile ran: %+v, ends %v", r, l.nextRound().RunEnds)
+		t.Errorf("request %+v, run ends %v, want it finished and not executed", r, l.nextRound().RunEnds)
 	}
-	l.awaitDisk(t) // its intent is closed
+	l.awaitDisk(t) // the record that closes the intent
 	if s := l.results.index.Lookup(bootTime(), r.keyed.key); s != resultstore.Unknown || l.results.mode != modeReady {
-		t.Errorf("%s, %s afterwards, expected it unknown and well", s, l.results.mode)
+		t.Errorf("key %s, mode %s afterwards, want %s, %s", s, l.results.mode, resultstore.Unknown, modeReady)
 	}
 }
 
-// TestDiskFails: a write fails. A run that waits for it is rejected and does not run, a result that is lost is
-// answered with an error, and new keys are rejected until the disk works again, by itself.
+// TestDiskFails checks failing syncs: a run that waits for its intent is rejected, a lost result is answered with an
+// error, and new keys are rejected until the disk works again.
 func TestDiskFails(t *testing.T) {
 	d := &blockingDisk{FS: wal.NewMemFS()}
 	l := loopWithStore(t, d)
@@ -135,27 +137,28 @@
 	l.results.begin(h, r)
 	l.awaitDisk(t)
 	if r.runCommand == 0 {
-		t.Fatal("its intent is durable, and it did not go out")
+		t.Fatal("run not sent to the kernel although its intent is durable")
 	}
 	d.failSyncs.Store(true)
 	l.runEnded(h, r, admission.Succeeded, 1, []byte("result"))
 	if r.isAnswered() {
-		t.Fatal("answered before its result was durable")
+		t.Fatal("request answered before its result is durable")
 	}
 	l.awaitDisk(t)
 	if l.counters.Failed != 1 || l.counters.Succeeded != 0 || l.results.index.Lookup(bootTime(),
 		r.keyed.key) != resultstore.Indeterminate {
-		t.Errorf("%d errored, %d done, key %s", l.counters.Failed, l.counters.Succeeded,
-			l.results.index.Lookup(bootTime(), r.keyed.key))
+		t.Errorf("failed %d, succeeded %d, key %s, want 1, 0, %s", l.counters.Failed, l.counters.Succeeded,
+			l.results.index.Lookup(bootTime(), r.keyed.key), resultstore.Indeterminate)
 	}
 	h2, other := l.newKeyedRun("new")
 	if l.results.intercept(h2, other); l.results.mode != modeFailed || l.counters.Rejected != 1 {
-		t.Errorf("%s, and a new key is not shed", l.results.mode)
+		t.Errorf("mode %s, rejected %d, want %s, 1", l.results.mode, l.counters.Rejected, modeFailed)
 	}
-	h3, held := l.newKeyedRun("held") // it passed the door before
-	l.results.begin(h3, held)
-	if held.runCommand != 0 || held.run != runFinished || l.counters.Rejected != 2 {
-		t.Error("it ran on a disk that fails")
+	h3, queued := l.newKeyedRun("held") // submitted before the disk failed
+	l.results.begin(h3, queued)
+	if queued.runCommand != 0 || queued.run != runFinished || l.counters.Rejected != 2 {
+		t.Errorf("queued key: run command %d, run state %v, rejected %d, want 0, %v, 2", queued.runCommand, queued.run,
+			l.counters.Rejected, runFinished)
 	}
 	d.failSyncs.Store(false)
 	if !waitUntil(func() bool {
@@ -163,20 +166,20 @@
 		l.results.updateMode()
 		return l.results.mode == modeReady
 	}) {
-		t.Fatalf("still %s, and the disk is well", l.results.mode)
+		t.Fatalf("mode %s after the disk works again, want %s", l.results.mode, modeReady)
 	}
-	h4, again := l.newKeyedRun("new")
-	if l.results.begin(h4, again); again.disk != intentPending {
-		t.Fatal("not let in")
+	h4, retry := l.newKeyedRun("new")
+	if l.results.begin(h4, retry); retry.disk != intentPending {
+		t.Fatalf("disk state %v after the disk works again, want %v", retry.disk, intentPending)
 	}
 	l.awaitDisk(t)
-	if again.runCommand == 0 {
-		t.Error("it does not run, and the disk is well")
+	if retry.runCommand == 0 {
+		t.Error("run not sent to the kernel after the disk works again")
 	}
 }
 
-// TestResponseBeforeResultIsDurable: a result is not durable when its request is due, or when the process has to end.
-// The caller gets an error in time, once, and the result that gets there later is known.
+// TestResponseBeforeResultIsDurable checks a result that is not durable before the end of a drain: the caller gets one
+// response, an error in time, and the result is known once it is durable.
 func TestResponseBeforeResultIsDurable(t *testing.T) {
 	d := &blockingDisk{FS: wal.NewMemFS()}
 	l := loopWithStore(t, d)
@@ -190,63 +193,66 @@
 	l.now = l.answerBy - responseMargin
 	l.fireTimers()
 	if !r.isAnswered() || l.counters.Failed != 1 {
-		t.Fatal("not answered before the kill")
+		t.Fatalf("answered %v, failed %d before the end of the drain, want true, 1", r.isAnswered(), l.counters.Failed)
 	}
 	close(d.syncGate)
 	l.awaitDisk(t)
 	if l.counters.Succeeded+l.counters.Failed != 1 {
-		t.Errorf("%d answers", l.counters.Succeeded+l.counters.Failed)
+		t.Errorf("%d responses, want 1", l.counters.Succeeded+l.counters.Failed)
 	}
 	if l.results.index.Lookup(bootTime(), r.keyed.key) != resultstore.Completed {
-		t.Error("its result is durable, and not known")
+		t.Errorf("key %s although its result is durable, want %s", l.results.index.Lookup(bootTime(), r.keyed.key),
+			resultstore.Completed)
 	}
 }
 
-// TestRequestsBeforeTheFolderIsRead: requests come before the folder is read. They wait for a second at most and are
-// then rejected, or let in as it is read; a retry that nobody can know of gets an error, as its first attempt may have
-// run.
+// TestRequestsBeforeTheFolderIsRead checks requests that arrive before the folder is read: they wait for maxOpeningWait
+// at most and are then rejected, or are submitted once it is read. A retry gets an error if the folder can't be read,
+// as its first attempt may have run.
 func TestRequestsBeforeTheFolderIsRead(t *testing.T) {
 	l := loopWithStore(t, &blockingDisk{FS: wal.NewMemFS()})
 	k := l.results
-	book := k.index
+	index := k.index
 	k.index = nil
-	at := l.now
+	arrival := l.now
 	h, r := l.newKeyedRun("a")
 	if !l.results.intercept(h, r) || r.disk != openingPending || r.isAnswered() {
-		t.Fatal("it does not wait")
+		t.Fatalf("disk state %v, answered %v, want %v, false", r.disk, r.isAnswered(), openingPending)
 	}
-	l.now = at + maxOpeningWait - 1
+	l.now = arrival + maxOpeningWait - 1
 	l.fireTimers()
 	if r.isAnswered() {
-		t.Fatal("answered too soon")
+		t.Fatal("request answered before maxOpeningWait")
 	}
-	l.now = at + maxOpeningWait
+	l.now = arrival + maxOpeningWait
 	if l.fireTimers(); !r.isAnswered() || l.counters.Rejected != 1 {
-		t.Fatal("it waits for too long")
+		t.Fatalf("answered %v, rejected %d after maxOpeningWait, want true, 1", r.isAnswered(), l.counters.Rejected)
 	}
 	h, r = l.newKeyedRun("b")
 	r.keyed.submission.ID = uint32(h)
 	l.results.intercept(h, r)
-	l.results.folderOpened(k.store, book, resultstore.Recovery{}, nil)
-	if in := l.nextRound().Arrived; len(in) != 1 || in[0].ID != uint32(h) || l.requests.get(h).isAnswered() {
-		t.Errorf("%v came to the module, expected the one that waited", in)
+	l.results.folderOpened(k.store, index, resultstore.Recovery{}, nil)
+	if got := l.nextRound().Arrived; len(got) != 1 || got[0].ID != uint32(h) || l.requests.get(h).isAnswered() {
+		t.Errorf("submitted requests %v, want the one that waited, id %d", got, h)
 	}
 	k.index = nil
 	h, r = l.newKeyedRun("c")
 	l.results.intercept(h, r)
 	l.results.folderOpened(nil, nil, resultstore.Recovery{}, wal.ErrLocked)
 	if !l.requests.get(h).isAnswered() || l.counters.Rejected != 2 || k.mode != modeFailed {
-		t.Errorf("%s, and it still waits for a folder that can't be opened", k.mode)
+		t.Errorf("folder can't be opened: answered %v, rejected %d, mode %s, want true, 2, %s",
+			l.requests.get(h).isAnswered(), l.counters.Rejected, k.mode, modeFailed)
 	}
 	h, r = l.newKeyedRun("d")
-	r.keyed.submission.IsRetry = true // nobody knows whether its first try ran: shed, it would be tried elsewhere
+	r.keyed.submission.IsRetry = true // its first attempt may have run
 	if l.results.intercept(h, r); !r.isAnswered() || l.counters.Failed != 1 || l.counters.Rejected != 2 {
-		t.Error("a retry of a key that nobody can know of is shed")
+		t.Errorf("retry without an index: answered %v, failed %d, rejected %d, want true, 1, 2", r.isAnswered(),
+			l.counters.Failed, l.counters.Rejected)
 	}
 }
 
-// TestKeyCheckedAgainAtRunSlot: two attempts of a key pass as they come, and one has run by the time that the other
-// gets its slot. That one does not run, with the same body or another, and harms nothing of the first.
+// TestKeyCheckedAgainAtRunSlot checks two attempts of a key that are both submitted: once the first runs, the second
+// does not run when it gets its run slot, with the same body or another, and the state of the first is unchanged.
 func TestKeyCheckedAgainAtRunSlot(t *testing.T) {
 	l := loopWithStore(t, &blockingDisk{FS: wal.NewMemFS()})
 	h, r := l.newKeyedRun("a")
@@ -254,51 +260,51 @@
 	l.awaitDisk(t)
 	first := l.results.index.Lookup(bootTime(), r.keyed.key)
 	for _, c := range []struct {
-		body         string
-		shed, failed uint64
+		body             string
+		rejected, failed uint64
 	}{{"body", 0, 1}, {"another", 1, 1}} {
 		h, r := l.newKeyedRun("a")
 		r.keyed = newKeyedRequest("put", nil, []byte("a"), []byte(c.body))
 		l.results.begin(h, r)
-		if r.runCommand != 0 || r.run != runFinished || l.counters.Rejected != c.shed || l.counters.Failed != c.failed {
-			t.Errorf("%s: sent as %d, %d shed, %d errored, expected %d, %d", c.body, r.runCommand, l.counters.Rejected,
-				l.counters.Failed, c.shed, c.failed)
+		if r.runCommand != 0 || r.run != runFinished || l.counters.Rejected != c.rejected || l.counters.Failed != c.failed {
+			t.Errorf("body %q: run command %d, run state %v, rejected %d, failed %d, want 0, %v, %d, %d", c.body,
+				r.runCommand, r.run, l.counters.Rejected, l.counters.Failed, runFinished, c.rejected, c.failed)
 		}
-		if is := l.results.index.Lookup(bootTime(), r.keyed.key); is != first || is != resultstore.Running {
-			t.Errorf("%s: the one that runs is %s, expected it %s", c.body, is, first)
+		if got := l.results.index.Lookup(bootTime(), r.keyed.key); got != first || got != resultstore.Running {
+			t.Errorf("body %q: key of the first attempt is %s, was %s, want %s", c.body, got, first, resultstore.Running)
 		}
 	}
 	l.runEnded(h, l.requests.get(h), admission.Succeeded, 1, []byte("result"))
 	if l.awaitDisk(t); l.counters.Succeeded != 1 {
-		t.Errorf("%d done, expected the first", l.counters.Succeeded)
+		t.Errorf("succeeded %d, want 1", l.counters.Succeeded)
 	}
 }
 
-// TestKeysAreSeparateByTenant: two tenants use the same key. What one left behind says nothing of the other's request;
-// a key of a version that did not tell tenants apart binds all of them for its window.
+// TestKeysAreSeparateByTenant checks that a key of one tenant does not affect the same key of another. A legacy key,
+// stored without a tenant, affects all tenants for its window.
 func TestKeysAreSeparateByTenant(t *testing.T) {
 	l := loopWithStore(t, &blockingDisk{FS: wal.NewMemFS()})
-	leave := func(q *keyedRequest) {
+	begin := func(q *keyedRequest) {
 		l.results.index.Begin(bootTime(), q.key, q.bodyDigest, 60_000)
 	}
-	try := func(tenant, key string) resultstore.Verdict {
+	verdict := func(tenant, key string) resultstore.Verdict {
 		v, _ := l.results.decide(newKeyedRequest("put", []byte(tenant), []byte(key), []byte("body")))
 		return v
 	}
-	leave(newKeyedRequest("put", []byte("home"), []byte("a"), []byte("body")))
-	if v := try("home", "a"); v != resultstore.WaitForResult {
-		t.Errorf("the same tenant's try gets %s, expected %s", v, resultstore.WaitForResult)
+	begin(newKeyedRequest("put", []byte("home"), []byte("a"), []byte("body")))
+	if got := verdict("home", "a"); got != resultstore.WaitForResult {
+		t.Errorf("same tenant: verdict %s, want %s", got, resultstore.WaitForResult)
 	}
-	if v := try("acme", "a"); v != resultstore.Execute {
-		t.Errorf("another tenant's try gets %s, expected %s", v, resultstore.Execute)
+	if got := verdict("acme", "a"); got != resultstore.Execute {
+		t.Errorf("another tenant: verdict %s, want %s", got, resultstore.Execute)
 	}
-	if v := try("", "home/a"); v != resultstore.Execute {
-		t.Errorf("a try with no tenant gets %s, expected %s", v, resultstore.Execute)
+	if got := verdict("", "home/a"); got != resultstore.Execute {
+		t.Errorf("no tenant: verdict %s, want %s", got, resultstore.Execute)
 	}
-	old := newKeyedRequest("put", nil, []byte("b"), []byte("body"))
-	old.key = digestKey([]byte("3/put/b")) // as it stands in folders of such a version
-	leave(old)
-	if v := try("home", "b"); v != resultstore.WaitForResult {
-		t.Errorf("a try of a key of an earlier version gets %s, expected %s", v, resultstore.WaitForResult)
+	legacy := newKeyedRequest("put", nil, []byte("b"), []byte("body"))
+	legacy.key = digestKey([]byte("3/put/b")) // the form of a legacy key
+	begin(legacy)
+	if got := verdict("home", "b"); got != resultstore.WaitForResult {
+		t.Errorf("legacy key: verdict %s, want %s", got, resultstore.WaitForResult)
 	}
 }
