--- a/internal/node/wire/doc.go
+++ b/internal/node/wire/doc.go
@@ -1,21 +1,21 @@
 // Package wire parses and writes the platform's protocol: HTTP/1.1 with callers, lines of JSON with the kernel that
 // runs requests, lines with the store that serves calls, and readiness reports to service discovery.
 //
-// It has no socket, no clock and no state between calls. A parser takes all the bytes at hand and says how many a
-// complete message took, 0 while it is incomplete, so that the messages are the same however the bytes were split.
-// What it returns are views into those bytes. A message past its Bounds is an error at once, so that nobody can make a
-// reader buffer without end.
+// It has no sockets, no clock and no state between calls. A parser gets all buffered bytes of a stream and returns the
+// size of the first complete message, 0 while it is incomplete, so the result does not depend on how the stream is
+// split. The fields that it returns are views into those bytes. A message larger than its Bounds is an error at once,
+// which bounds the reader's buffer.
 //
-// The protocol's own names stop at this package. They are mapped to the terms that the program uses here, once:
+// Names of the protocol are used in this package only. They map to the program's terms as follows:
 //
-//	request field     Request                     what it is
+//	request field     Request                     meaning
 //	Request-Id        ID                          16 hex digits
 //	Account           Tenant
 //	Once-Key          IdempotencyKey
-//	Resource-Key      ResourceKey                 reads with the same one may share a result
+//	Resource-Key      ResourceKey                 reads with the same key may share a result
 //	Received-At       ReceivedAtMS                Unix time at the caller's proxy, ms
-//	Budget-Ms         TimeoutMS, HasTimeout       how long the caller waits from then on, ms
-//	Work-Estimate     ExpectedWorkMS              ms; 0 where it isn't stated
+//	Budget-Ms         TimeoutMS, HasTimeout       the caller's timeout, from Received-At on, ms
+//	Work-Estimate     ExpectedWorkMS              ms; 0 if absent
 //	Sent-By           Caller, HasCaller
 //	Attempt-Again     IsRetry
 //	Footprint-Kb      FootprintKB                 memory held for the request, KiB
@@ -23,7 +23,7 @@
 //
 //	response field    Response
 //	Back-Off-Ms       RetryAfterMS                ms
-//	Final-Refusal     NoRetry                     no other server is to be tried
+//	Final-Refusal     NoRetry                     the caller must not try another server
 //	Server-Hint       OverloadSignal, HasOverloadSignal
 //
 //	kernel's key      KernelEvent
@@ -33,10 +33,10 @@
 //	spent             RunMS                       ms
 //	readings          Gauges, GaugeCount
 //
-//	store's word      CallOutcome
+//	store's keyword   CallOutcome
 //	OK, BUSY, ERR     CallSucceeded, CallRejected, CallFailed
 //	LATE, VOID        CallTimedOut, CallNotExecuted
 //
-//	discovery's word  AppendReadinessReport
+//	condition         AppendReadinessReport
 //	Ready, NotReady   ready
 package wire
--- a/internal/node/wire/http_head.go
+++ b/internal/node/wire/http_head.go
@@ -5,29 +5,29 @@
 	"strconv"
 )
 
-// Bounds are the sizes past which a message is an error rather than incomplete.
+// Bounds are the maximum sizes of a message in bytes; a larger one is an error rather than incomplete.
 type Bounds struct {
 	HeadBytes int // of an HTTP head, or of a line
 	BodyBytes int
 }
 
-// Bounds of numbers in fields. Values past them are errors: no sender that follows the protocol comes near them.
+// Bounds of numbers in fields, far above the values of the protocol. Larger numbers are errors.
 const (
-	maxDigits        = 18 // digits of a whole number; fits an int64
-	maxDecimalBytes  = 24 // text of a decimal number
+	maxDigits        = 18 // digits of an integer; fits an int64
+	maxDecimalBytes  = 24 // bytes of a decimal number
 	maxContentLength = 1 << 40
 	maxStatus        = 999
 	minStatus        = 100
 )
 
-const idDigits = 16 // hex digits of a request's id
+const idDigits = 16 // hex digits of a request id
 
 var (
 	crlf    = []byte("\r\n")
 	headEnd = []byte("\r\n\r\n")
 )
 
-// isTokenByte says which bytes may stand in a field's name or a method.
+// isTokenByte is true for the bytes allowed in field names and methods.
 var isTokenByte = func() (t [256]bool) {
 	for c := '0'; c <= '9'; c++ {
 		t[c] = true
@@ -50,7 +50,8 @@
 	return len(b) > 0
 }
 
-// splitHead cuts the head off b: its first line, its fields, and how many bytes it took, 0 while it is incomplete.
+// splitHead returns the first line and the fields of the head at the start of b, and its size n in bytes, 0 while it is
+// incomplete.
 func splitHead(b []byte, limit int) (line, fields []byte, n int, err error) {
 	i := bytes.Index(b, headEnd)
 	if i < 0 {
@@ -70,7 +71,7 @@
 	return line, fields, n, nil
 }
 
-// nextField cuts the next field off fields.
+// nextField returns the name and value of the first field, and the remaining fields.
 func nextField(fields []byte) (name, value, rest []byte, err error) {
 	line, rest, _ := bytes.Cut(fields, crlf)
 	name, value, ok := bytes.Cut(line, []byte(":"))
@@ -85,7 +86,7 @@
 	return name, bytes.Trim(value, " \t"), rest, nil
 }
 
-// parseDigits reads a whole number without a sign, up to limit.
+// parseDigits parses an unsigned integer up to limit.
 func parseDigits(b []byte, limit int64) (int64, error) {
 	if len(b) == 0 || len(b) > maxDigits {
 		return 0, ErrField
@@ -103,7 +104,7 @@
 	return n, nil
 }
 
-// parseDecimal reads a decimal number from 0 to limit.
+// parseDecimal parses a decimal number from 0 to limit.
 func parseDecimal(b []byte, limit float64) (float64, error) {
 	if len(b) > maxDecimalBytes {
 		return 0, ErrField
@@ -115,7 +116,7 @@
 	return v, nil
 }
 
-// IsID says whether b is a request id: 16 hex digits.
+// IsID reports whether b is a request id: 16 hex digits.
 func IsID(b []byte) bool {
 	for _, c := range b {
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F') {
@@ -125,11 +126,11 @@
 	return len(b) == idDigits
 }
 
-// containsToken says whether a comma-separated list holds word.
-func containsToken(value []byte, word string) bool {
+// containsToken reports whether a comma-separated list contains token, in any case.
+func containsToken(value []byte, token string) bool {
 	for len(value) > 0 {
 		part, rest, _ := bytes.Cut(value, []byte(","))
-		if bytes.EqualFold(bytes.Trim(part, " \t"), []byte(word)) {
+		if bytes.EqualFold(bytes.Trim(part, " \t"), []byte(token)) {
 			return true
 		}
 		value = rest
@@ -137,9 +138,10 @@
 	return false
 }
 
-// closesConnection says what a Connection field makes of whether the connection is to be closed.
-func closesConnection(already bool, value []byte) bool {
-	return already && !containsToken(value, "keep-alive") || containsToken(value, "close")
+// closesConnection reports whether the connection is to be closed after a Connection field with this value; before is
+// the result without the field.
+func closesConnection(before bool, value []byte) bool {
+	return before && !containsToken(value, "keep-alive") || containsToken(value, "close")
 }
 
-func equalFold(name []byte, word string) bool { return bytes.EqualFold(name, []byte(word)) }
+func equalFold(name []byte, s string) bool { return bytes.EqualFold(name, []byte(s)) }
--- a/internal/node/wire/http_request.go
+++ b/internal/node/wire/http_request.go
@@ -6,44 +6,44 @@
 	"fmt"
 )
 
-// Request is an HTTP request with the fields that a server reads; absent ones are zero. Its slices are views into what
-// was parsed.
+// Request is an HTTP request with the fields that a server reads; absent fields are zero. Its slices are views into the
+// parsed bytes.
 type Request struct {
 	Method, Path   []byte
 	Body           []byte
 	ID             []byte // 16 hex digits
 	Tenant         []byte
 	IdempotencyKey []byte
-	ResourceKey    []byte // reads with the same one may share a result
+	ResourceKey    []byte // reads with the same key may share a result
 	ReceivedAtMS   int64  // Unix time at the caller's proxy
 	Caller         uint32
 	HasCaller      bool
 	IsRetry        bool
-	TimeoutMS      float64 // how long the caller waits, from ReceivedAtMS on
+	TimeoutMS      float64 // the caller's timeout, from ReceivedAtMS on
 	HasTimeout     bool
-	ExpectedWorkMS float64 // 0 where it isn't stated
-	FootprintKB    float64 // memory held for the request
-	Priority       float64 // from 0 up to, not including, 1
-	Close          bool    // the connection isn't to be used again
+	ExpectedWorkMS float64 // 0 if absent
+	FootprintKB    float64 // memory held for the request, KiB
+	Priority       float64 // in [0, 1)
+	Close          bool    // the connection is closed after the response
 
 	length    int
 	hasLength bool
 }
 
-// Bounds of the platform's fields; the protocol's own values are far below them.
+// Bounds of the platform's fields.
 const (
-	maxReceivedAtMS = 1 << 50 // some 35,000 years
+	maxReceivedAtMS = 1 << 50 // about 35,000 years
 	maxCaller       = 1<<32 - 1
 	maxFootprintKB  = 2000
 	maxPriority     = 1
-	maxMilliseconds = 1e9 // of a timeout or of expected work: eleven days
-	// maxKeyBytes is twice the length of the longest key that the protocol shows; keys are remembered for long.
+	maxMilliseconds = 1e9 // of a timeout or of expected work; about 11 days
+	// maxKeyBytes bounds the memory of stored keys.
 	maxKeyBytes = 64
-	// maxEmptyLineBytes of line ends before a request are passed over, as RFC 9112 advises; more are an error.
+	// maxEmptyLineBytes is the maximum number of line end bytes ignored before a request, as RFC 9112 advises.
 	maxEmptyLineBytes = 4
 )
 
-// ParseRequest reads the request at the start of b; n is 0 while it is incomplete.
+// ParseRequest parses the request at the start of b; n is its size in bytes, 0 while it is incomplete.
 func ParseRequest(b []byte, bounds Bounds) (q Request, n int, err error) {
 	for len(b) > n && (b[n] == '\r' || b[n] == '\n') && n < maxEmptyLineBytes {
 		n++
@@ -62,7 +62,7 @@
 			return q, 0, err
 		}
 		if err = q.setField(name, value, bounds.BodyBytes); errors.Is(err, ErrField) {
-			return q, 0, fmt.Errorf("%w: %s", err, name) // for the log: one of a dozen
+			return q, 0, fmt.Errorf("%w: %s", err, name) // names the field in the log
 		} else if err != nil {
 			return q, 0, err
 		}
@@ -75,7 +75,7 @@
 	return q, n + q.length, nil
 }
 
-// setRequestLine reads method, path without its query, and version.
+// setRequestLine parses the method, the path without its query, and the version.
 func (q *Request) setRequestLine(line []byte) error {
 	q.Method, line, _ = bytes.Cut(line, []byte(" "))
 	target, version, _ := bytes.Cut(line, []byte(" "))
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// setField takes one field; those that neither HTTP's framing nor the platform needs are passed over.
+// setField sets the value of one field. Fields that neither HTTP framing nor the platform uses are ignored.
 func (q *Request) setField(name, value []byte, maxBody int) error {
 	switch {
 	case equalFold(name, "content-length"):
@@ -107,8 +107,8 @@
 	return q.setPlatformField(name, value)
 }
 
-// setLength takes the body's length. It may be repeated with the same value alone: two readers of the stream that chose
-// different ones would disagree about where the next request begins.
+// setLength sets the body's length. A repeated field must have the same value. Guards against request smuggling, where
+// two readers of a stream disagree about the begin of the next request.
 func (q *Request) setLength(value []byte, maxBody int) error {
 	v, err := parseDigits(value, maxContentLength)
 	if err != nil || q.hasLength && int(v) != q.length {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// setPlatformField maps one of the platform's fields to its term; the package comment has the table.
+// setPlatformField sets the value of one of the platform's fields, see the table in the package comment.
 func (q *Request) setPlatformField(name, value []byte) (err error) {
 	switch {
 	case equalFold(name, "request-id"):
@@ -143,7 +143,7 @@
 	case equalFold(name, "attempt-again"):
 		q.IsRetry = string(value) == "1"
 	case equalFold(name, "footprint-kb"):
-		// The protocol's ranges leave out their upper end, which parseDecimal lets pass; a footprint of 0 is none.
+		// The range is (0, maxFootprintKB), while parseDecimal accepts both ends.
 		q.FootprintKB, err = parseDecimal(value, maxFootprintKB)
 		if q.FootprintKB == 0 || q.FootprintKB == maxFootprintKB {
 			err = ErrField
@@ -165,7 +165,7 @@
 	return err
 }
 
-// setKeyOnce takes a key that may stand once in a request.
+// setKeyOnce sets a key; a repeated or too long one is an error.
 func setKeyOnce(key *[]byte, value []byte) error {
 	if *key != nil || len(value) > maxKeyBytes {
 		return ErrField
--- a/internal/node/wire/http_response.go
+++ b/internal/node/wire/http_response.go
@@ -5,14 +5,14 @@
 	"strconv"
 )
 
-// ResponseHead is the head of an HTTP response that was received; its body is passed over.
+// ResponseHead is the head of a received HTTP response, without its body.
 type ResponseHead struct {
 	Status int
-	Close  bool // the connection isn't to be used again
+	Close  bool // the connection can't be reused
 }
 
-// Statuses that a server answers with, and StatusNoContent, with which service discovery takes a report. They stand
-// here as net/http would cost a node more memory than all else that it links.
+// Statuses of the server's responses, and StatusNoContent, with which service discovery accepts a report. They are
+// declared here as importing net/http would cost the node too much memory.
 const (
 	StatusOK                  = 200
 	StatusNoContent           = 204
@@ -20,10 +20,11 @@
 	StatusInternalServerError = 500
 	StatusServiceUnavailable  = 503
 
-	statusNotModified = 304 // has no body, as StatusNoContent and all below StatusOK
+	statusNotModified = 304 // has no body, like StatusNoContent and statuses below StatusOK
 )
 
-// ParseResponseHead reads the response at the start of b and passes over its body; n is 0 while it is incomplete.
+// ParseResponseHead parses the response at the start of b and skips its body; n is its size in bytes with the body, 0
+// while it is incomplete.
 func ParseResponseHead(b []byte, bounds Bounds) (p ResponseHead, n int, err error) {
 	line, fields, n, err := splitHead(b, bounds.HeadBytes)
 	if n == 0 || err != nil {
@@ -42,7 +43,7 @@
 	return p, n + int(length), nil
 }
 
-// setStatusLine reads version and status.
+// setStatusLine parses the version and the status.
 func (p *ResponseHead) setStatusLine(line []byte) error {
 	version, rest, _ := bytes.Cut(line, []byte(" "))
 	code, _, _ := bytes.Cut(rest, []byte(" "))
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// setFields reads what frames the body, and gives the body's length.
+// setFields parses the fields that frame the body and returns the body's length.
 func (p *ResponseHead) setFields(fields []byte, maxBody int64) (length int64, err error) {
 	hasLength := false
 	for len(fields) > 0 {
@@ -67,9 +68,9 @@
 		}
 		switch {
 		case equalFold(name, "content-length"):
-			before := length
+			previous := length
 			length, err = parseDigits(value, maxBody)
-			if err != nil || hasLength && before != length {
+			if err != nil || hasLength && previous != length {
 				return 0, ErrLength
 			}
 			hasLength = true
@@ -83,21 +84,21 @@
 		return 0, nil
 	}
 	if !hasLength {
-		p.Close = true // its body ends with the connection
+		p.Close = true // the body ends with the connection
 	}
 	return length, nil
 }
 
-// reasonPhrases of the statuses that a server answers with.
+// reasonPhrases are the reason phrases of the server's statuses.
 var reasonPhrases = map[int]string{StatusOK: "OK", StatusBadRequest: "Bad Request",
 	StatusInternalServerError: "Internal Server Error", StatusServiceUnavailable: "Service Unavailable"}
 
-// Response is what goes out for a request.
+// Response is the response to a request.
 type Response struct {
 	Status            int
-	RetryAfterMS      int64 // how long the caller is to keep away; 0 where it isn't said
-	NoRetry           bool  // no other server is to be tried
-	Close             bool  // the connection ends after it
+	RetryAfterMS      int64 // when the caller may retry; not sent if 0
+	NoRetry           bool  // the caller must not try another server
+	Close             bool  // the connection is closed after the response
 	OverloadSignal    float64
 	HasOverloadSignal bool
 	Body              []byte
@@ -129,13 +130,13 @@
 	return append(b, r.Body...)
 }
 
-// AppendReadinessReport appends the request that tells service discovery whether this server is ready.
+// AppendReadinessReport appends the request that reports this server's readiness to service discovery.
 func AppendReadinessReport(b []byte, host, name string, ready bool) []byte {
-	word := "NotReady"
+	condition := "NotReady"
 	if ready {
-		word = "Ready"
+		condition = "Ready"
 	}
-	body := `{"condition":"` + word + `"}`
+	body := `{"condition":"` + condition + `"}`
 	b = append(b, "PUT /v2/endpoints/"+name+" HTTP/1.1\r\nHost: "+host+
 		"\r\nContent-Type: application/json\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
--- a/internal/node/wire/kernel_command.go
+++ b/internal/node/wire/kernel_command.go
@@ -5,34 +5,32 @@
 	"strconv"
 )
 
-// Commands to the kernel that name a run alone.
+// Commands to the kernel about one run.
 const (
-	KernelStop   = "PREEMPT" // take the run off its core, or end it, as the settings say
-	KernelResume = "RESCHED" // have a run that was stopped go on
-	// KernelRun starts a run; it has a writer of its own, as it carries a body. An event of kind KernelInvalid names
-	// it.
-	KernelRun = "SCHED"
+	KernelStop   = "PREEMPT" // pauses or ends the run, depending on the start-up settings
+	KernelResume = "RESCHED" // resumes a stopped run
+	KernelRun    = "SCHED"   // starts a run, see AppendKernelRun
 )
 
-// AppendKernelOpen appends the first line of a link: every event after sequence is wanted.
+// AppendKernelOpen appends the first line of a link, which requests every event after sequence.
 func AppendKernelOpen(b []byte, sequence uint64) []byte {
 	b = append(b, `{"verb":"OPEN","index":`...)
 	return append(strconv.AppendUint(b, sequence, 10), "}\n"...)
 }
 
-// AppendKernelRun appends the command that starts a run of a request, its body in base64.
+// AppendKernelRun appends the command that starts a run of a request, with the request's body.
 func AppendKernelRun(b []byte, runID, handler string, body []byte) []byte {
 	b = append(b, `{"verb":"`+KernelRun+`","task":"`+runID+`","handler":`...)
 	b = appendJSONString(b, handler)
 	return appendBody(b, body)
 }
 
-// AppendKernelCallDone appends the reply to a call that a run waits for, its body in base64.
+// AppendKernelCallDone appends the command that resumes a run with the reply to its call.
 func AppendKernelCallDone(b []byte, runID string, body []byte) []byte {
 	return appendBody(append(b, `{"verb":"IODONE","task":"`+runID+`"`...), body)
 }
 
-// appendBody ends a command with its body in base64.
+// appendBody appends the body in base64 and the end of the command.
 func appendBody(b, body []byte) []byte {
 	b = append(b, `,"bytes":"`...)
 	return append(base64.StdEncoding.AppendEncode(b, body), "\"}\n"...)
@@ -56,19 +54,19 @@
 	return append(b, '"')
 }
 
-// AppendKernelCommand appends a command that names a run alone: KernelStop or KernelResume.
+// AppendKernelCommand appends a command without further fields: KernelStop or KernelResume.
 func AppendKernelCommand(b []byte, command, runID string) []byte {
 	return append(b, `{"verb":"`+command+`","task":"`+runID+"\"}\n"...)
 }
 
-// AppendKernelCallSkipped appends the command that has a run go on without the call that it asked for in the event with
-// this sequence.
+// AppendKernelCallSkipped appends the command that resumes a run without its call; sequence is that of the event that
+// asked for the call.
 func AppendKernelCallSkipped(b []byte, runID string, sequence uint64) []byte {
 	b = append(b, `{"verb":"NOIO","task":"`+runID+`","index":`...)
 	return append(strconv.AppendUint(b, sequence, 10), "}\n"...)
 }
 
-// AppendKernelGaugesRequest appends the request for the gauges; the event that answers it carries the same nonce.
+// AppendKernelGaugesRequest appends a gauges request; the event that answers it has the same nonce.
 func AppendKernelGaugesRequest(b []byte, nonce uint64) []byte {
 	b = append(b, `{"verb":"SYSINFO","nonce":"`...)
 	return append(strconv.AppendUint(b, nonce, 10), "\"}\n"...)
--- a/internal/node/wire/kernel_event.go
+++ b/internal/node/wire/kernel_event.go
@@ -5,47 +5,48 @@
 	"encoding/base64"
 )
 
-// Kinds of events.
+// Kinds of kernel events.
 const (
-	KernelBooted    = "BOOTED" // the kernel's start; RunMS ago, with KernelCold in Outcome for a cold one
+	KernelBooted    = "BOOTED" // the kernel booted RunMS ago; Outcome is KernelCold after a cold start
 	KernelGauges    = "INFO"   // the gauges; answers the request with the same Nonce
-	KernelInvalid   = "EINVAL" // the command in Outcome for RunID wasn't carried out
-	KernelRunEnded  = "REAP"   // a run ended, with an outcome below
-	KernelCallAsked = "IOREQ"  // a run waits for the call in Body
+	KernelInvalid   = "EINVAL" // the command in Outcome for the run RunID is invalid and was not executed
+	KernelRunEnded  = "REAP"   // a run ended with one of the outcomes below
+	KernelCallAsked = "IOREQ"  // a run asks for the call in Body and waits for it
 )
 
-// Outcomes of a run that ended; any other is a failure.
+// Outcomes of a run; any other is a failure.
 const (
 	RunSucceeded  = "OK"
 	RunStopped    = "STOPPED" // by KernelStop
-	RunSuperseded = "MOOT"    // another run of the same key took its place
-	KernelCold    = "COLD"    // of KernelBooted alone: the start was a cold one
+	RunSuperseded = "MOOT"    // replaced by another run of the same key
+	KernelCold    = "COLD"    // not of a run but of KernelBooted: a cold start
 )
 
-// maxGauges is how many gauges an event may have.
+// maxGauges is the maximum number of gauges in an event.
 const maxGauges = 8
 
-// maxSequence is the first number that a JSON number doesn't hold exactly.
+// maxSequence is the exclusive bound of sequence numbers: a JSON number is exact below it.
 const maxSequence = 1 << 53
 
-// KernelEvent is one line from the kernel; absent fields are zero.
+// KernelEvent is one line from the kernel; absent fields are zero. Its slices are views into the line.
 type KernelEvent struct {
 	Kind, RunID, Nonce []byte
-	Outcome            []byte // of a run that ended; for other kinds see InvalidCommand and IsColdStart
-	Body               []byte // decoded from base64
-	Sequence           uint64 // of this event on the link
-	RunMS              float64
+	Outcome            []byte  // of a run that ended; for other kinds see InvalidCommand and IsColdStart
+	Body               []byte  // decoded from base64
+	Sequence           uint64  // number of the event on the link; 0 if it has none
+	RunMS              float64 // duration of the run, or time since the boot, ms
 	Gauges             [maxGauges]float64
-	GaugeCount         int // how many of Gauges were given
+	GaugeCount         int // number of Gauges in the event
 }
 
-// InvalidCommand is the command that a KernelInvalid says was not carried out: it stands in the key of outcomes.
+// InvalidCommand returns the command that a KernelInvalid event rejects, which is in the outcome key.
 func (e *KernelEvent) InvalidCommand() []byte { return e.Outcome }
 
-// IsColdStart tells whether a KernelBooted is of a cold start, which stands in the key of outcomes too.
+// IsColdStart reports whether a KernelBooted event is of a cold start, which is in the outcome key.
 func (e *KernelEvent) IsColdStart() bool { return string(e.Outcome) == KernelCold }
 
-// NextLine cuts the line at the start of b, without its end; n is 0 while it is incomplete.
+// NextLine returns the line at the start of b without its line end; n is its size in bytes with the line end, 0 while
+// the line is incomplete.
 func NextLine(b []byte, limit int) (line []byte, n int, err error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 && len(b) > limit || i > limit {
@@ -57,8 +58,8 @@
 	return bytes.TrimSuffix(b[:i], []byte("\r")), i + 1, nil
 }
 
-// ParseKernelEvent reads one line. It decodes into the line's own bytes, so a line can't be read twice. Unknown keys
-// are passed over: a newer kernel may send more.
+// ParseKernelEvent parses one line. It decodes in place, so a line can't be parsed twice. Unknown keys, which a newer
+// kernel may send, are ignored.
 func ParseKernelEvent(line []byte) (e KernelEvent, err error) {
 	s := jsonScanner{input: line}
 	s.expect('{')
@@ -78,13 +79,13 @@
 		s.expect(',')
 	}
 	s.skipSpace()
-	if s.err == nil && s.position < len(s.input) || len(e.Kind) == 0 {
+	if s.err == nil && s.pos < len(s.input) || len(e.Kind) == 0 {
 		s.err = ErrLine
 	}
 	return e, s.err
 }
 
-// setField reads the value of a key. An error of the scanner's own is found in it.
+// setField reads the value of a key. Errors of the scanner are left in s.err.
 func (e *KernelEvent) setField(s *jsonScanner, key []byte) error {
 	switch string(key) {
 	case "verb":
--- a/internal/node/wire/wire_test.go
+++ b/internal/node/wire/wire_test.go
@@ -11,49 +11,50 @@
 
 var smallBounds = Bounds{HeadBytes: 300, BodyBytes: 64}
 
-// readAll reads b to its end as a stream that comes in the pieces given, and says all that was read.
-func readAll(b []byte, piece int, read func(b []byte) (string, int, error)) (out string) {
-	var have []byte
+// parseAll parses b as a stream that arrives in chunks of the given size. It returns the messages as lines, and the
+// number of bytes left or "bad" after an error.
+func parseAll(b []byte, chunk int, parse parseFunc) (out string) {
+	var buffered []byte
 	for len(b) > 0 {
-		n := min(piece, len(b))
-		have, b = append(have, b[:n]...), b[n:]
+		n := min(chunk, len(b))
+		buffered, b = append(buffered, b[:n]...), b[n:]
 		for {
-			s, n, err := read(have)
+			s, n, err := parse(buffered)
 			if err != nil {
 				return out + "bad"
 			}
 			if n == 0 {
 				break
 			}
-			if n < 0 || n > len(have) {
-				panic(fmt.Sprintf("took %d of %d bytes", n, len(have)))
+			if n < 0 || n > len(buffered) {
+				panic(fmt.Sprintf("message size %d, want 0 to %d", n, len(buffered)))
 			}
 			out += s + "\n"
-			have = append([]byte(nil), have[n:]...)
+			buffered = append([]byte(nil), buffered[n:]...)
 		}
 	}
-	return out + fmt.Sprint(len(have), " left")
+	return out + fmt.Sprint(len(buffered), " left")
 }
 
-func readRequest(b []byte) (string, int, error) {
+func parseRequest(b []byte) (string, int, error) {
 	q, n, err := ParseRequest(b, smallBounds)
 	return fmt.Sprintf("%s %s %q id=%s at=%d by=%d %v %g %g %q %q %q %v %g %g", q.Method, q.Path, q.Body, q.ID,
 		q.ReceivedAtMS, q.Caller, q.IsRetry, q.FootprintKB, q.Priority, q.Tenant, q.IdempotencyKey, q.ResourceKey,
 		q.Close, q.TimeoutMS, q.ExpectedWorkMS), n, err
 }
 
-func readResponse(b []byte) (string, int, error) {
+func parseResponse(b []byte) (string, int, error) {
 	p, n, err := ParseResponseHead(b, smallBounds)
 	return fmt.Sprint(p), n, err
 }
 
-func readReply(b []byte) (string, int, error) {
+func parseReply(b []byte) (string, int, error) {
 	r, n, err := ParseCallReply(b, smallBounds)
 	return fmt.Sprintf("%s %d %q", r.ID, r.Outcome, r.Body), n, err
 }
 
-// readKernelEvent copies the line first, as reading uses it up.
-func readKernelEvent(b []byte) (string, int, error) {
+// parseKernelEvent copies the line first, as ParseKernelEvent decodes in place.
+func parseKernelEvent(b []byte) (string, int, error) {
 	line, n, err := NextLine(bytes.Clone(b), smallBounds.HeadBytes)
 	if n == 0 || err != nil {
 		return "", 0, err
@@ -63,10 +64,11 @@
 		event.Sequence, event.RunMS, event.Gauges[:event.GaugeCount]), n, err
 }
 
-type readFunc = func(b []byte) (string, int, error)
+// parseFunc parses the first message in b; it returns the message as text and its size in bytes.
+type parseFunc = func(b []byte) (string, int, error)
 
-var readers = map[string]readFunc{"request": readRequest, "response": readResponse, "reply": readReply,
-	"kernel event": readKernelEvent}
+var parsers = map[string]parseFunc{"request": parseRequest, "response": parseResponse, "reply": parseReply,
+	"kernel event": parseKernelEvent}
 
 const fullRequest = "POST /rpc/pay?x=1 HTTP/1.1\r\nHost: s\r\nRequest-Id: 9b1f03aa5c7e2d41\r\n" +
 	"received-at:1764576000123\r\nSent-By: 4\r\nAccount: acme\r\nAttempt-Again: 1\r\n" +
@@ -120,42 +122,42 @@
 	{"kernel event", strings.Repeat(" ", 301), "bad"},
 }
 
-// A message comes in pieces of any size. A parser that took a piece for the whole, or forgot what came before, would
-// read something that nobody sent.
+// TestParsersIndependentOfSplit checks that a stream parses to the same messages in chunks of any size. Guards against
+// a parser that takes an incomplete message for a complete one.
 func TestParsersIndependentOfSplit(t *testing.T) {
 	for _, c := range streamCases {
 		want := c.out
 		if want == "1 short" {
 			want = fmt.Sprint(len(c.in), " left")
 		}
-		for _, piece := range []int{len(c.in), 1, 2, 3, 7, 64} {
-			if got := readAll([]byte(c.in), piece, readers[c.kind]); got != want {
-				t.Errorf("%s %q in pieces of %d:\n%s\nexpected\n%s", c.kind, c.in, piece, got, want)
+		for _, chunk := range []int{len(c.in), 1, 2, 3, 7, 64} {
+			if got := parseAll([]byte(c.in), chunk, parsers[c.kind]); got != want {
+				t.Errorf("%s %q in chunks of %d bytes:\n%s\nwant\n%s", c.kind, c.in, chunk, got, want)
 			}
 		}
 	}
 }
 
-// FuzzParsers: whatever comes, no parser fails but by its error, nor reads it differently when cut.
+// FuzzParsers checks that no parser panics on any input, and that the result does not depend on the chunk size.
 func FuzzParsers(f *testing.F) {
 	for _, c := range streamCases {
 		f.Add([]byte(c.in), 3)
 	}
-	f.Fuzz(func(t *testing.T, in []byte, piece int) {
-		for kind, read := range readers {
-			at := min(max(piece, 1), 100)
-			if one, cut := readAll(in, max(len(in), 1), read), readAll(in, at, read); one != cut {
-				t.Errorf("%s %q in pieces of %d:\n%s\nas one\n%s", kind, in, at, cut, one)
+	f.Fuzz(func(t *testing.T, in []byte, size int) {
+		for kind, parse := range parsers {
+			chunk := min(max(size, 1), 100)
+			if want, got := parseAll(in, max(len(in), 1), parse), parseAll(in, chunk, parse); want != got {
+				t.Errorf("%s %q in chunks of %d bytes:\n%s\nin one chunk:\n%s", kind, in, chunk, got, want)
 			}
 		}
 	})
 }
 
-// What is written is read by programs of others, which know the bytes as they are here; a body with quotes, line ends
-// or zero bytes must not break out of its message.
+// TestAppendedMessages checks the bytes of written messages, which other programs parse. Guards against a body with
+// quotes, line ends or zero bytes that breaks the framing of its message.
 func TestAppendedMessages(t *testing.T) {
 	body := []byte("a\x00\"\r\n")
-	refusal := Response{Status: 503, RetryAfterMS: 20, NoRetry: true, Close: true, HasOverloadSignal: true,
+	rejection := Response{Status: 503, RetryAfterMS: 20, NoRetry: true, Close: true, HasOverloadSignal: true,
 		OverloadSignal: 0.5}
 	b64 := base64.StdEncoding.EncodeToString(body)
 	for got, want := range map[string]string{
@@ -170,14 +172,14 @@
 		string(AppendCall(nil, "9b", 250, body)):          "CALL 9b 250 5\r\n" + string(body) + "\r",
 		string(AppendResponse(nil, Response{Status: 200, Body: body})) + "\n": "" +
 			"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n" + string(body),
-		string(AppendResponse(nil, refusal)): "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n" +
+		string(AppendResponse(nil, rejection)): "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n" +
 			"Back-Off-Ms: 20\r\nFinal-Refusal: 1\r\nServer-Hint: 0.5000\r\nConnection: close\r\n\r",
 	} {
 		if got != want+"\n" {
-			t.Errorf("%q, expected %q", got, want)
+			t.Errorf("got %q, want %q", got, want)
 		}
 		if strings.HasPrefix(got, "{") && !json.Valid([]byte(got)) {
-			t.Errorf("%q is not JSON", got)
+			t.Errorf("got %q, want valid JSON", got)
 		}
 	}
 }
