--- a/internal/simulator/adapter.go
+++ b/internal/simulator/adapter.go
@@ -11,28 +11,29 @@
 	"umberwinch/internal/simulator/wire"
 )
 
-// usPerTick converts the simulator's microseconds to the module's tenths of a millisecond.
+// usPerTick is the number of the simulator's microseconds in one unit of admission.Time.
 const usPerTick = 100
 
-// writeBufferBytes is the size of the output's buffer in bytes; a frame is flushed whole.
+// writeBufferBytes is the size of the output buffer, which is flushed after each frame.
 const writeBufferBytes = 1 << 16
 
-// Adapter carries the instances of one process.
+// Adapter holds the instances of one adapter process. Its methods are called from one goroutine.
 type Adapter struct {
 	instances map[uint32]*instance
-	pending   []*instance // those with a round to decide, in the order in which the batch named them
+	pending   []*instance // instances with a round to decide, in the order of their first event in the batch
 	reply     wire.Reply
 	decisions decisionWriter
 }
 
-// New is an adapter without instances.
+// New returns an adapter without instances.
 func New() *Adapter {
 	a := &Adapter{instances: make(map[uint32]*instance)}
 	a.decisions.reply = &a.reply
 	return a
 }
 
-// Serve answers every frame of in on out until the input ends. Input that isn't as the protocol says is an error.
+// Serve reads frames from in and writes a reply to each to out, until the input ends. It returns an error, with the
+// number of the frame, if the input is invalid.
 func (a *Adapter) Serve(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), bufio.NewWriterSize(out, writeBufferBytes)
 	var b wire.Batch
@@ -56,14 +57,14 @@
 	}
 }
 
-// handleBatch turns one batch into rounds, and their decisions into the reply.
+// handleBatch collects the events of a batch into rounds and writes the decisions of these rounds to the reply.
 func (a *Adapter) handleBatch(b *wire.Batch) error {
 	a.reply.Reset()
 	a.pending = a.pending[:0]
 	now := admission.Time(b.NowUS / usPerTick)
-	about := selection{}
+	selected := selection{}
 	for i := range b.Count {
-		if err := a.handleEvent(b, b.Event(i), &about, now); err != nil {
+		if err := a.handleEvent(b, b.Event(i), &selected, now); err != nil {
 			return fmt.Errorf("record %d: %w", i, err)
 		}
 	}
@@ -76,56 +77,56 @@
 	return nil
 }
 
-// selection is the instance that the events of a batch are about at the moment.
+// selection is the instance selected by the last InstanceSelected event of a batch, to which the next events belong.
 type selection struct {
 	number   uint32
-	named    bool
-	instance *instance // nil while none of that number is running
+	selected bool      // an instance was selected in this batch
+	instance *instance // nil if no instance has that number
 }
 
 // handleEvent handles one event of a batch.
-func (a *Adapter) handleEvent(b *wire.Batch, e wire.Event, about *selection, now admission.Time) error {
+func (a *Adapter) handleEvent(b *wire.Batch, e wire.Event, s *selection, now admission.Time) error {
 	switch e.Kind() {
 	case wire.InstanceSelected:
-		about.number, about.named = e.Instance(), true
-		about.instance = a.instances[about.number]
+		s.number, s.selected = e.Instance(), true
+		s.instance = a.instances[s.number]
 		return nil
 	case wire.InstanceStarted:
-		if !about.named {
+		if !s.selected {
 			return errors.New("found Spawn, expected About before it")
 		}
-		started, err := startInstance(b, e, about.number, now)
+		started, err := startInstance(b, e, s.number, now)
 		if err != nil {
-			return fmt.Errorf("instance %d: %w", about.number, err)
+			return fmt.Errorf("instance %d: %w", s.number, err)
 		}
-		a.instances[about.number], about.instance = started, started
+		a.instances[s.number], s.instance = started, started
 	case wire.InstanceCrashed:
-		if about.instance == nil {
-			return fmt.Errorf("found Halt for instance %d, expected one that was started", about.number)
+		if s.instance == nil {
+			return fmt.Errorf("found Halt for instance %d, expected a running instance", s.number)
 		}
-		a.remove(about.instance)
-		about.instance = nil
+		a.remove(s.instance)
+		s.instance = nil
 		return nil
 	default:
-		if about.instance == nil {
-			return fmt.Errorf("event %d for instance %d, expected one that was started", e.Kind(), about.number)
+		if s.instance == nil {
+			return fmt.Errorf("event %d for instance %d, expected a running instance", e.Kind(), s.number)
 		}
-		if err := about.instance.addEvent(e, b.NowUS); err != nil {
+		if err := s.instance.addEvent(e, b.NowUS); err != nil {
 			return err
 		}
 	}
-	if !about.instance.pending {
-		about.instance.pending = true
-		a.pending = append(a.pending, about.instance)
+	if !s.instance.pending {
+		s.instance.pending = true
+		a.pending = append(a.pending, s.instance)
 	}
 	return nil
 }
 
-// remove forgets an instance that crashed, with the round that was gathered for it.
+// remove removes a crashed instance and its pending round.
 func (a *Adapter) remove(in *instance) {
 	in.pending = false
 	delete(a.instances, in.number)
-	if k := slices.Index(a.pending, in); k >= 0 {
-		a.pending = slices.Delete(a.pending, k, k+1)
+	if i := slices.Index(a.pending, in); i >= 0 {
+		a.pending = slices.Delete(a.pending, i, i+1)
 	}
 }
--- a/internal/simulator/doc.go
+++ b/internal/simulator/doc.go
@@ -1,6 +1,7 @@
-// Package simulator hosts the instances of one adapter process: events of the simulator's wire become rounds of the
-// decision module, one a frame and instance, and its decisions become the actions of the reply.
+// Package simulator is the adapter between a simulator of servers and package admission. Each simulated server is an
+// instance with a controller of its own. The events of a frame become one round for each instance that they are about,
+// and the decisions of these rounds become the actions of the reply.
 //
-// An instance knows nothing of another. Nothing about a request is decided here. Times of the simulator are
-// microseconds; the module's are tenths of a millisecond (admission.Time), rounded down.
+// Instances share no state, and the adapter decides nothing about requests. The simulator's times are in microseconds,
+// the controller's in tenths of a millisecond (admission.Time), rounded down.
 package simulator
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -8,17 +8,18 @@
 	"umberwinch/internal/simulator/wire"
 )
 
-// instance is one server's decision module with the round that is gathered for it.
+// instance is one simulated server: its controller and the round that is being filled. It exists from InstanceStarted
+// to InstanceCrashed, or until an instance with the same number is started.
 type instance struct {
 	number     uint32
 	controller *admission.Controller
 	round      admission.Round
 	settings   *settings.Startup
-	pending    bool // among the adapter's undecided
-	failed     bool // its module panicked: it decides nothing more
+	pending    bool // in Adapter.pending
+	failed     bool // its controller panicked and decides nothing more
 }
 
-// startInstance reads an instance's settings.
+// startInstance creates an instance with the start-up settings in the event.
 func startInstance(b *wire.Batch, e wire.Event, number uint32, now admission.Time) (*instance, error) {
 	text, err := b.Settings(e)
 	if err != nil {
@@ -56,14 +57,14 @@
 }
 
 func outcomeOf(status int) (admission.Outcome, error) {
-	how, ok := outcomeOfStatus[status]
+	outcome, ok := outcomeOfStatus[status]
 	if !ok {
-		return how, fmt.Errorf("status %d, expected one of the listed endings", status)
+		return outcome, fmt.Errorf("status %d, expected a known status of a run or call", status)
 	}
-	return how, nil
+	return outcome, nil
 }
 
-// ticks converts a span or time of the simulator.
+// ticks converts the simulator's microseconds to admission.Time, rounded down.
 func ticks[T uint32 | uint64](us T) admission.Time { return admission.Time(us / usPerTick) }
 
 // addEvent adds one event to the instance's round.
@@ -74,15 +75,15 @@
 		return in.addRequest(e.Request(), nowUS)
 	case wire.RunEnded:
 		result := e.RunResult()
-		how, err := outcomeOf(result.Status)
-		r.RunEnds = append(r.RunEnds, admission.RunEnd{ID: result.ID, Elapsed: ticks(result.ElapsedUS), Outcome: how})
+		outcome, err := outcomeOf(result.Status)
+		r.RunEnds = append(r.RunEnds, admission.RunEnd{ID: result.ID, Elapsed: ticks(result.ElapsedUS), Outcome: outcome})
 		return err
 	case wire.CallNeeded:
 		r.CallRequests = append(r.CallRequests, e.RequestID())
 	case wire.CallEnded:
 		result := e.CallResult()
-		how, err := outcomeOf(result.Status)
-		r.CallEnds = append(r.CallEnds, admission.CallEnd{ID: result.ID, Elapsed: ticks(result.ElapsedUS), Outcome: how})
+		outcome, err := outcomeOf(result.Status)
+		r.CallEnds = append(r.CallEnds, admission.CallEnd{ID: result.ID, Elapsed: ticks(result.ElapsedUS), Outcome: outcome})
 		return err
 	case wire.CallerGone:
 		r.Disconnected = append(r.Disconnected, e.RequestID())
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// addRequest adds a request that was read. It came when it reached the machine, which is a while before it was read.
+// addRequest adds a request to the round. It arrived when it reached the machine, BacklogUS before it was read.
 func (in *instance) addRequest(q wire.Request, nowUS uint64) error {
 	if q.Class >= in.controller.Handlers() {
 		return fmt.Errorf("class %d, expected below %d", q.Class, in.controller.Handlers())
@@ -119,20 +120,20 @@
 	return nil
 }
 
-// addWakeUp notes a wake-up, with the gauges where it has them.
+// addWakeUp adds a wake-up to the round, with the gauges if the event has any.
 func (in *instance) addWakeUp(e wire.Event) {
 	in.round.TimerFired = true
-	var space [4]float64
-	read := e.Gauges(space[:0])
-	if len(read) == 0 {
+	var buffer [4]float64
+	gauges := e.Gauges(buffer[:0])
+	if len(gauges) == 0 {
 		return
 	}
 	in.round.HasGauges = true
-	in.round.Gauges = in.settings.Gauges(read)
+	in.round.Gauges = in.settings.Gauges(gauges)
 }
 
-// decide plays the round. A panic in the module is declared as the failure of this instance, and of no other: what it
-// had decided in this round is taken back, and it decides nothing more.
+// decide has the controller decide the round. A panic of the controller fails this instance alone: its actions of the
+// round are replaced by a crash action, and it decides nothing more.
 func (in *instance) decide(reply *wire.Reply, decisions *decisionWriter) {
 	mark := reply.Mark()
 	defer func() {
@@ -149,11 +150,11 @@
 	reply.Instance(in.number)
 	in.controller.Decide(&in.round, decisions)
 	if reply.Mark() == mark+1 {
-		reply.Cut(mark) // it decided nothing
+		reply.Cut(mark) // no decisions
 	}
 }
 
-// clearRound empties the round and keeps its space.
+// clearRound empties the round and keeps the capacity of its slices.
 func (in *instance) clearRound() {
 	r := &in.round
 	*r = admission.Round{Arrived: r.Arrived[:0], CallEnds: r.CallEnds[:0], CallRequests: r.CallRequests[:0],
--- a/internal/simulator/wire/doc.go
+++ b/internal/simulator/wire/doc.go
@@ -1,21 +1,21 @@
-// Package wire reads and writes the frames of the simulator's wire: batches of events from it, replies of actions to
-// it. It has no state but buffers, and decides nothing.
+// Package wire reads and writes the frames of the simulator's protocol: batches of events from the simulator, and
+// replies with actions to it. Its only state are buffers.
 //
-// The protocol's own names stop at this package. They are mapped to the terms that the program uses here, once:
+// Names of the protocol are used in this package only. They map to the program's terms as follows:
 //
-//	event                Event's kind        decoded by
+//	event and code       Kind                decoded by
 //	About 100            InstanceSelected    Instance
 //	Spawn 10             InstanceStarted     Settings
 //	Halt 90              InstanceCrashed
-//	Order 20             RequestRead         RequestRead
-//	Ended 30             RunEnded            RunEnded
+//	Order 20             RequestRead         Request
+//	Ended 30             RunEnded            RunResult
 //	ReadyToCall 40       CallNeeded          RequestID
-//	Called 50            CallEnded           CallEnded
-//	Sigterm 60           DrainNotice         KillAt
+//	Called 50            CallEnded           CallResult
+//	Sigterm 60           DrainNotice         KillAtUS
 //	Hangup 70            CallerGone          RequestID
 //	TimeoutFired 80      WakeUp              Gauges
 //
-//	action               Reply's method
+//	action and code      Reply's method
 //	Source 70            Instance
 //	Launch 150           Run
 //	Preempt 140          Stop
@@ -32,5 +32,5 @@
 //	WakeAt 130           WakeUp
 //	Emit 120, Die 30     Log, Crash
 //
-// Times are microseconds of the simulator's clock, spans microseconds.
+// Times are in microseconds by the simulator's clock, durations in microseconds. Numbers are big-endian.
 package wire
--- a/internal/simulator/wire/event.go
+++ b/internal/simulator/wire/event.go
@@ -6,10 +6,10 @@
 	"math"
 )
 
-// Kind says what an event tells.
+// Kind is the kind of an event: its code on the wire.
 type Kind uint8
 
-// Kinds of events, by their codes on the wire.
+// Kinds of events.
 const (
 	InstanceStarted  Kind = 10
 	RequestRead      Kind = 20
@@ -23,7 +23,7 @@
 	InstanceSelected Kind = 100
 )
 
-// Where an event's fields begin.
+// Offsets of an event's fields, in bytes. The first byte is the kind.
 const (
 	offsetID = 1 // of a request, or of an instance
 
@@ -59,32 +59,32 @@
 	flagIsRetry         = 2
 )
 
-// Event is one record of a batch. Its methods read the fields of its kind; what a method of another kind's gives has no
-// meaning.
+// Event is one record of a batch. Each method decodes a field of certain kinds of events; for other kinds its result
+// has no meaning.
 type Event []byte
 
-// Kind says what the event tells.
+// Kind returns the event's kind.
 func (e Event) Kind() Kind { return Kind(e[0]) }
 
-// Instance is the number of the instance that the next events are about, of InstanceSelected.
+// Instance returns the number of the instance to which the next events belong, of an InstanceSelected event.
 func (e Event) Instance() uint32 { return e.uint32(offsetID) }
 
-// RequestID is the request that the event is about.
+// RequestID returns the id of the event's request.
 func (e Event) RequestID() uint32 { return e.uint32(offsetID) }
 
-// Request is what a RequestRead event tells.
+// Request is the content of a RequestRead event.
 type Request struct {
 	ID              uint32
 	Class           int
 	Tenant          int
-	DeadlineUS      uint64  // by the simulator's clock; 0 where it isn't stated
-	ExpectedWorkUS  uint32  // expected, on a standard core; valid with HasExpectedWork
-	HasExpectedWork bool    //
-	FootprintKB     float64 // memory occupied while it is held
+	DeadlineUS      uint64 // by the simulator's clock; 0 if absent
+	ExpectedWorkUS  uint32 // on a standard core; valid if HasExpectedWork
+	HasExpectedWork bool
+	FootprintKB     float64 // memory held for the request, KiB
 	IsRetry         bool
 	Caller          uint32
-	BacklogUS       uint32 // since it reached the machine
-	Previous        uint32 // the remembered request that it repeats, or 0
+	BacklogUS       uint32 // time since the request reached the machine
+	Previous        uint32 // the earlier request that this one retries, or 0
 }
 
 // Request decodes a RequestRead event.
@@ -105,9 +105,9 @@
 	}
 }
 
-// Result is how a run or a call ended.
+// Result is the end of a run or a call.
 type Result struct {
-	ID        uint32 // of its request
+	ID        uint32 // of the request
 	Status    int
 	ElapsedUS uint32
 }
@@ -122,34 +122,34 @@
 	return Result{ID: e.uint32(offsetID), Status: e.uint16(offsetCallStatus), ElapsedUS: e.uint32(offsetCallElapsed)}
 }
 
-// KillAtUS is when the instance is stopped, by the simulator's clock, of DrainNotice.
+// KillAtUS returns the time at which the instance is killed, by the simulator's clock, of a DrainNotice event.
 func (e Event) KillAtUS() uint64 { return e.uint64(offsetKillTime) }
 
-// Gauges appends what the gauges read to read, in the order in which the settings name them; none in most WakeUp
-// events.
-func (e Event) Gauges(read []float64) []float64 {
-	for k := range min(int(e[offsetGaugeCount]), maxGauges) {
-		read = append(read, e.float32(offsetGauges+gaugeBytes*k))
+// Gauges appends the gauges of a WakeUp event to values, in the order of their names in the settings. Most WakeUp
+// events have none.
+func (e Event) Gauges(values []float64) []float64 {
+	for i := range min(int(e[offsetGaugeCount]), maxGauges) {
+		values = append(values, e.float32(offsetGauges+gaugeBytes*i))
 	}
-	return read
+	return values
 }
 
-// Settings is the start-up text of an InstanceStarted event, a view into the batch.
+// Settings returns the start-up settings of an InstanceStarted event, a view into the batch.
 func (b *Batch) Settings(e Event) ([]byte, error) { return b.text(e, offsetSettings) }
 
-// text is the part of the tail that the event names at an offset.
-func (b *Batch) text(e Event, at int) ([]byte, error) {
-	offset, n := uint64(e.uint32(at)), uint64(e.uint32(at+4))
-	if offset+n > uint64(len(b.tail)) {
-		return nil, fmt.Errorf("tail reference %d+%d out of range, expected at most %d", offset, n, len(b.tail))
+// text returns the part of the tail whose start and length are in the event at offset.
+func (b *Batch) text(e Event, offset int) ([]byte, error) {
+	start, n := uint64(e.uint32(offset)), uint64(e.uint32(offset+4))
+	if start+n > uint64(len(b.tail)) {
+		return nil, fmt.Errorf("tail reference %d+%d out of range, expected at most %d", start, n, len(b.tail))
 	}
-	return b.tail[offset : offset+n], nil
+	return b.tail[start : start+n], nil
 }
 
-func (e Event) uint16(at int) int    { return int(binary.BigEndian.Uint16(e[at:])) }
-func (e Event) uint32(at int) uint32 { return binary.BigEndian.Uint32(e[at:]) }
-func (e Event) uint64(at int) uint64 { return binary.BigEndian.Uint64(e[at:]) }
+func (e Event) uint16(offset int) int    { return int(binary.BigEndian.Uint16(e[offset:])) }
+func (e Event) uint32(offset int) uint32 { return binary.BigEndian.Uint32(e[offset:]) }
+func (e Event) uint64(offset int) uint64 { return binary.BigEndian.Uint64(e[offset:]) }
 
-func (e Event) float32(at int) float64 {
-	return float64(math.Float32frombits(binary.BigEndian.Uint32(e[at:])))
+func (e Event) float32(offset int) float64 {
+	return float64(math.Float32frombits(binary.BigEndian.Uint32(e[offset:])))
 }
--- a/internal/simulator/wire/frame.go
+++ b/internal/simulator/wire/frame.go
@@ -8,7 +8,7 @@
 	"io"
 )
 
-// Sizes of a frame's parts in bytes.
+// Sizes of a frame, its parts and the read buffer, in bytes.
 const (
 	eventBytes      = 56
 	actionBytes     = 24
@@ -18,7 +18,7 @@
 	readBufferBytes = 1 << 16
 )
 
-// Batch is one frame read; its events and tail last until the next Read.
+// Batch is one frame of events. Its events and tail are valid until the next Read.
 type Batch struct {
 	NowUS  uint64 // by the simulator's clock
 	Count  int    // of events
@@ -26,19 +26,19 @@
 	tail   []byte
 }
 
-// Event is the i-th event, from 0 on.
+// Event returns the event with index i, from 0 to Count-1.
 func (b *Batch) Event(i int) Event { return Event(b.events[i*eventBytes : (i+1)*eventBytes]) }
 
-// Reader takes frames off a stream.
+// Reader reads frames from a stream. It reuses its buffer for each frame.
 type Reader struct {
 	r   *bufio.Reader
 	buf []byte
 }
 
-// NewReader reads frames from r.
+// NewReader returns a Reader of the frames in r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReaderSize(r, readBufferBytes)} }
 
-// Read fills b with the next frame; io.EOF says that the input ended between frames.
+// Read fills b with the next frame. It returns io.EOF if the input ends between frames.
 func (r *Reader) Read(b *Batch) error {
 	var head [batchHeadBytes]byte
 	n, err := io.ReadFull(r.r, head[:])
@@ -58,7 +58,7 @@
 			count, (size-batchHeadBytes)/eventBytes, size)
 	}
 	if n := size - batchHeadBytes; cap(r.buf) < n {
-		r.buf = make([]byte, n+n/2) // room for larger frames to come
+		r.buf = make([]byte, n+n/2) // spare capacity for larger frames
 	}
 	body := r.buf[:size-batchHeadBytes]
 	if n, err := io.ReadFull(r.r, body); err != nil {
--- a/internal/simulator/wire/reply.go
+++ b/internal/simulator/wire/reply.go
@@ -26,7 +26,7 @@
 	actionReject         = 160
 )
 
-// Reply gathers the actions of one frame. Those after Instance are of that instance.
+// Reply collects the actions of one frame. Each action is of the instance named by the last call of Instance.
 type Reply struct {
 	actions []byte
 	tail    []byte
@@ -36,7 +36,7 @@
 // Reset empties the reply.
 func (p *Reply) Reset() { p.actions, p.tail, p.count = p.actions[:0], p.tail[:0], 0 }
 
-// action adds an empty action and gives its bytes.
+// action appends an action with zero fields and returns its bytes.
 func (p *Reply) action(code byte) []byte {
 	n := len(p.actions)
 	p.actions = append(p.actions, make([]byte, actionBytes)...)
@@ -45,45 +45,45 @@
 	return p.actions[n : n+actionBytes]
 }
 
-// actionFor adds an action that names a request or an instance.
+// actionFor appends an action with the id of a request or an instance.
 func (p *Reply) actionFor(code byte, id uint32) []byte {
 	r := p.action(code)
 	binary.BigEndian.PutUint32(r[1:], id)
 	return r
 }
 
-// Instance says whose the next actions are.
+// Instance selects the instance of the next actions.
 func (p *Reply) Instance(number uint32) { p.actionFor(actionInstance, number) }
 
 // Run starts or resumes a request.
 func (p *Reply) Run(id uint32) { p.actionFor(actionRun, id) }
 
-// Stop stops a request that runs.
+// Stop stops the run of a request.
 func (p *Reply) Stop(id uint32) { p.actionFor(actionStop, id) }
 
-// Fail answers a request with an error, of which nothing is promised.
+// Fail answers a request with an error; whether it ran is left open.
 func (p *Reply) Fail(id uint32) { p.actionFor(actionFail, id) }
 
-// SkipCall has a run go on without its call.
+// SkipCall resumes a run without its call.
 func (p *Reply) SkipCall(id uint32) { p.actionFor(actionSkipCall, id) }
 
 // Forget removes a request's idempotency entry.
 func (p *Reply) Forget(id uint32) { p.actionFor(actionForget, id) }
 
-// ReuseResult answers a request from the result of the one that it repeats.
+// ReuseResult answers a request with the result of the previous request that it retries.
 func (p *Reply) ReuseResult(id uint32) { p.actionFor(actionReuseResult, id) }
 
-// Remember holds a request's idempotency entry for a span.
-func (p *Reply) Remember(id, spanUS uint32) {
-	binary.BigEndian.PutUint32(p.actionFor(actionRemember, id)[5:], spanUS)
+// Remember keeps a request's idempotency entry for a window.
+func (p *Reply) Remember(id, windowUS uint32) {
+	binary.BigEndian.PutUint32(p.actionFor(actionRemember, id)[5:], windowUS)
 }
 
-// Call makes the call that a run waits for, until a time.
-func (p *Reply) Call(id uint32, untilUS uint64) {
-	binary.BigEndian.PutUint64(p.actionFor(actionCall, id)[5:], untilUS)
+// Call makes the call that a run waits for, with a deadline by the simulator's clock.
+func (p *Reply) Call(id uint32, deadlineUS uint64) {
+	binary.BigEndian.PutUint64(p.actionFor(actionCall, id)[5:], deadlineUS)
 }
 
-// Reject answers a request that it never ran; noRetry asks the caller to try no other server either.
+// Reject rejects a request that never ran. With noRetry the caller must not try another server either.
 func (p *Reply) Reject(id uint32, noRetry bool, retryAfterUS uint32) {
 	r := p.actionFor(actionReject, id)
 	if noRetry {
@@ -92,7 +92,7 @@
 	binary.BigEndian.PutUint32(r[6:], retryAfterUS)
 }
 
-// Health answers health checks from now on.
+// Health sets the response to health checks.
 func (p *Reply) Health(ready bool) {
 	r := p.action(actionHealth)
 	r[1] = 1
@@ -101,30 +101,30 @@
 	}
 }
 
-// OverloadSignal goes with every answer from now on.
-func (p *Reply) OverloadSignal(v float64) {
-	binary.BigEndian.PutUint32(p.action(actionOverloadSignal)[1:], math.Float32bits(float32(v)))
+// OverloadSignal sets the overload signal in responses.
+func (p *Reply) OverloadSignal(value float64) {
+	binary.BigEndian.PutUint32(p.action(actionOverloadSignal)[1:], math.Float32bits(float32(value)))
 }
 
-// IdleTimeout closes connections that were idle for a span.
-func (p *Reply) IdleTimeout(spanUS uint32) {
-	binary.BigEndian.PutUint32(p.action(actionIdleTimeout)[1:], spanUS)
+// IdleTimeout sets the time after which idle connections are closed.
+func (p *Reply) IdleTimeout(timeoutUS uint32) {
+	binary.BigEndian.PutUint32(p.action(actionIdleTimeout)[1:], timeoutUS)
 }
 
-// WakeUp asks for a WakeUp event at a time.
+// WakeUp requests a WakeUp event at a time; the handle identifies the timer.
 func (p *Reply) WakeUp(atUS, handle uint64) {
 	r := p.action(actionWakeUp)
 	binary.BigEndian.PutUint64(r[1:], atUS)
 	binary.BigEndian.PutUint64(r[9:], handle)
 }
 
-// Log adds a line to the simulator's report.
+// Log appends a line to the simulator's report.
 func (p *Reply) Log(line string) { p.text(actionLog, line) }
 
-// Crash declares that the decisions of the instance have failed.
+// Crash reports that the instance's controller failed.
 func (p *Reply) Crash(line string) { p.text(actionCrash, line) }
 
-// text adds an action that carries a line.
+// text appends an action with a line, which is stored in the tail.
 func (p *Reply) text(code byte, line string) {
 	r := p.action(code)
 	binary.BigEndian.PutUint32(r[1:], uint32(len(p.tail)))
@@ -132,13 +132,13 @@
 	p.tail = append(p.tail, line...)
 }
 
-// Mark is a place to which Cut can go back.
+// Mark returns a position for Cut.
 func (p *Reply) Mark() int { return p.count }
 
-// Cut takes back what was added since a mark; text stays in the tail, unreferenced.
+// Cut removes the actions since a mark. Their texts stay in the tail, unreferenced.
 func (p *Reply) Cut(mark int) { p.actions, p.count = p.actions[:mark*actionBytes], mark }
 
-// WriteTo writes the frame.
+// WriteTo writes the frame to w.
 func (p *Reply) WriteTo(w io.Writer) (int64, error) {
 	var head [replyHeadBytes]byte
 	size := replyHeadBytes + len(p.actions) + len(p.tail)
