--- a/internal/node/server/fleet_record.go
+++ b/internal/node/server/fleet_record.go
@@ -172,21 +172,22 @@
 // nodeRecord builds the message with the node's record: group position, active and prepared version, and zone quota.
 func (f *fleetAgent) nodeRecord() api.NodeRecord {
 	r, conf := &f.record.record, f.agent.Config()
-	out := api.NodeRecord{Name: conf.Name, Zone: conf.Zone, Addr: conf.Address, Group: r.Cluster,
+	record := api.NodeRecord{Name: conf.Name, Zone: conf.Zone, Addr: conf.Address, Group: r.Cluster,
 		Generation: max(1, r.Generation), Term: r.Term, Index: r.Index, ActiveVersion: r.ActiveVersion,
 		ActiveHash: r.ActiveHash,
 		ActiveText: r.ActiveText, MinVersion: r.MinVersion, Autonomous: r.ActiveAutonomous,
 		LeaseMS: f.agent.LeaseDuration()}
 	if r.PreparedVersion > r.ActiveVersion {
-		out.PreparedVersion, out.PreparedHash, out.PreparedText = r.PreparedVersion, r.PreparedHash, r.PreparedText
+		record.PreparedVersion, record.PreparedHash, record.PreparedText = r.PreparedVersion, r.PreparedHash, r.PreparedText
 	}
 	for n, v := range f.versions.available { // at most one beside the active version
-		if n > r.ActiveVersion && out.PreparedVersion == 0 {
-			out.PreparedVersion, out.PreparedText, out.PreparedHash = n, v.text, document.Hash([]byte(v.text))
+		if n > r.ActiveVersion && record.PreparedVersion == 0 {
+			record.PreparedVersion, record.PreparedText = n, v.text
+			record.PreparedHash = document.Hash([]byte(v.text))
 		}
 	}
 	if r.ZoneOrder != nil {
-		out.ZoneEpoch, out.ZoneShare = r.ZoneOrder.Epoch, r.ZoneOrder.Share
+		record.ZoneEpoch, record.ZoneShare = r.ZoneOrder.Epoch, r.ZoneOrder.Share
 	}
-	return out
+	return record
 }
--- a/internal/node/server/kernel_link.go
+++ b/internal/node/server/kernel_link.go
@@ -10,8 +10,7 @@
 	"umberwinch/internal/node/wire"
 )
 
-// kernelState is the state of the kernel link: it goes through these in order, and back to the first when the link
-// ends.
+// kernelState is the state of the kernel link. It advances in this order, and returns to the first when the link ends.
 type kernelState uint8
 
 const (
--- a/internal/node/server/pin_record_test.go
+++ b/internal/node/server/pin_record_test.go
@@ -105,7 +105,7 @@
 			t.Fatal(err)
 		}
 		_, err := loadRecord(folder, &agent.Record{})
-		want := file + ": " + text + ", expected what this program wrote; remove it to begin without"
+		want := file + ": " + text + ", expected a record written by this program; remove the file to start without one"
 		if err == nil || err.Error() != want {
 			t.Errorf("loadRecord() error = %v, want %s", err, want)
 		}
--- a/internal/node/server/record_file.go
+++ b/internal/node/server/record_file.go
@@ -14,7 +14,7 @@
 const recordFile = "policy.json"
 
 // errUnreadableRecord is the error of a record that is not valid JSON of its type.
-var errUnreadableRecord = errors.New("expected what this program wrote; remove it to begin without")
+var errUnreadableRecord = errors.New("expected a record written by this program; remove the file to start without one")
 
 // storeRecord writes the record to a temporary file, syncs it, renames it and syncs the folder. Guards against a crash
 // during the write, after which the node would not know its active version: either the old or the new record is
--- a/internal/node/server/result_attempt.go
+++ b/internal/node/server/result_attempt.go
@@ -49,7 +49,7 @@
 }
 
 // attempt decides on an arriving attempt of a key. A status other than 0 answers it; otherwise it waits as
-// lifecycle.disk says, or is submitted to the controller.
+// lifecycle.disk shows, or is submitted to the controller.
 //
 // An unknown key is submitted, or rejected with Retry-After if its intent could not be stored. A stored result is read
 // unless it is in memory. A key that ran or may have run without a result gets an error for the rest of its window, and
--- a/internal/node/wire/pin_messages_test.go
+++ b/internal/node/wire/pin_messages_test.go
@@ -10,10 +10,10 @@
 			"Host: 127.0.0.1:7946\r\nContent-Type: application/json\r\nContent-Length: 21\r\n\r\n{\"condition\":\"Ready\"}"},
 		"report, not ready": {string(AppendReadinessReport(nil, "h", "n", false)), "PUT /v2/endpoints/n HTTP/1.1\r\nHost: h\r\n" +
 			"Content-Type: application/json\r\nContent-Length: 24\r\n\r\n{\"condition\":\"NotReady\"}"},
-		"answer, all fields": {string(AppendResponse(nil, Response{Status: 500, RetryAfterMS: 1200, NoRetry: true, Close: true,
+		"response, all fields": {string(AppendResponse(nil, Response{Status: 500, RetryAfterMS: 1200, NoRetry: true, Close: true,
 			HasOverloadSignal: true, OverloadSignal: 0.12345, Body: []byte("b")})), "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 1\r\n" +
 			"Back-Off-Ms: 1200\r\nFinal-Refusal: 1\r\nServer-Hint: 0.1235\r\nConnection: close\r\n\r\nb"},
-		"answer, no body": {string(AppendResponse(nil, Response{Status: 400})),
+		"response, no body": {string(AppendResponse(nil, Response{Status: 400})),
 			"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"},
 	} {
 		if c.got != c.want {
@@ -34,7 +34,8 @@
 	if string(q.Method) != "POST" || string(q.Path) != "/rpc/pay" || string(q.ID) != "9b1f03aa5c7e2d41" ||
 		string(q.Tenant) != "acme" || string(q.IdempotencyKey) != "k" || string(q.ResourceKey) != "r" ||
 		string(q.Body) != "abc" || q.ReceivedAtMS != 1764576000123 || q.Caller != 4 || !q.HasCaller || !q.IsRetry ||
-		q.TimeoutMS != 12.5 || !q.HasTimeout || q.ExpectedWorkMS != 3.25 || q.FootprintKB != 24.5 || q.Priority != 0.625 || !q.Close {
+		q.TimeoutMS != 12.5 || !q.HasTimeout || q.ExpectedWorkMS != 3.25 || q.FootprintKB != 24.5 ||
+		q.Priority != 0.625 || !q.Close {
 		t.Errorf("ParseRequest() = %+v, want the fields as sent", q)
 	}
 }
--- a/internal/simulator/adapter_test.go
+++ b/internal/simulator/adapter_test.go
@@ -88,7 +88,8 @@
 			frame("", selected, eventRecord(77))}},
 		{"tail out of range", "", "frame 1: record 1: instance 3: tail reference 4+900 out of range",
 			[][]byte{frame("abc", selected, eventRecord(10, uint64(7), uint32(4), uint32(900)))}},
-		{"instance never started", "", "frame 1: record 1: event 20 for instance 3", [][]byte{frame("", selected, requestRead(1))}},
+		{"instance never started", "", "frame 1: record 1: event 20 for instance 3",
+			[][]byte{frame("", selected, requestRead(1))}},
 		{"unknown class", "70 50 130 | ", "frame 2: record 1: class 9, expected below 1", [][]byte{startFrame(settingsJSON),
 			frame("", selected, eventRecord(20, uint32(1), uint16(9)))}},
 		{"unknown status", "70 50 130 | ", "frame 2: record 1: status 99", [][]byte{startFrame(settingsJSON),
@@ -121,7 +122,8 @@
 	for i := range uint32(400) {
 		starts = append(starts, eventRecord(100, i), instanceStarted(uint64(i)))
 	}
-	late := frame(settingsJSON, eventRecord(100, uint32(7)), requestRead(1), eventRecord(100, uint32(400)), instanceStarted(9), requestRead(1))
+	late := frame(settingsJSON, eventRecord(100, uint32(7)), requestRead(1), eventRecord(100, uint32(400)),
+		instanceStarted(9), requestRead(1))
 	bad := frame("", eventRecord(100, uint32(399)), requestRead(2), eventRecord(100, uint32(8)),
 		eventRecord(30, uint32(1), uint32(0), uint16(99)))
 	codes, err := serveFrames(frame(settingsJSON, starts...), late, bad)
