--- a/internal/node/server/fleet_agent.go
+++ b/internal/node/server/fleet_agent.go
@@ -62,7 +62,7 @@
 	counts() *Counters                   // the server's counters
 	platform() *settings.Startup         // start-up settings, with the active deployment
 	isKnownKey(key string) bool          // the idempotency table has an entry for the key
-	// retryAfter returns a Retry-After time of at least the given one, both in ms.
+	// retryAfter returns the next Retry-After time; retries are known to be rejected for the given time, both in ms.
 	retryAfter(*retryafter.Spreader, agent.Milliseconds) int64
 }
 
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -78,13 +78,13 @@
 	}
 }
 
-// maxRetryAfterMS bounds Retry-After, in ms (about 11 days). Guards against overflow.
+// maxRetryAfterMS bounds the argument of retryAfter, in ms (about 11 days). Guards against overflow.
 const maxRetryAfterMS = 1e9
 
-// retryAfter returns the next Retry-After time in ms, spread up to the maximum of the settings. Before atLeast a retry
-// would be rejected again.
-func (l *loop) retryAfter(spreader *retryafter.Spreader, atLeast agent.Milliseconds) int64 {
-	return spreader.Next(int64(milliseconds(l.settings.MaxRetryAfter)), int64(min(atLeast, maxRetryAfterMS)))
+// retryAfter returns the next Retry-After time in ms, spread over callers and within the maximum of the settings.
+// Retries are known to be rejected for rejectedFor, in ms; 0 if that is unknown.
+func (l *loop) retryAfter(spreader *retryafter.Spreader, rejectedFor agent.Milliseconds) int64 {
+	return spreader.Next(int64(milliseconds(l.settings.MaxRetryAfter)), int64(min(rejectedFor, maxRetryAfterMS)))
 }
 
 // activate switches the controller and the pools to a policy version.
--- a/internal/node/server/result_disk.go
+++ b/internal/node/server/result_disk.go
@@ -13,7 +13,7 @@
 )
 
 // write queues a record for the disk, and calls done on the loop once the record is durable or lost. It returns false
-// if the queue is full. After a lost record new keys are rejected for fullBackoff, whatever the cause. See row "write
+// if the queue is full. After a failed write new keys are rejected for fullBackoff, whatever the cause. See row "write
 // or sync of kept results: any" in docs/design/failures.md.
 func (k *resultKeeper) write(record resultstore.Record, done func(err error)) bool {
 	ok := k.store.Append(record, func(position uint64, err error) {
