--- a/internal/node/wire/kernel_event.go
+++ b/internal/node/wire/kernel_event.go
@@ -5,47 +5,48 @@
 	"encoding/base64"
 )
 
-// Kinds of events.
+// Kinds of kernel events.
 const (
-	KernelBooted    = "BOOTED" // the kernel's start; RunMS ago, with KernelCold in Outcome for a cold one
+	KernelBooted    = "BOOTED" // the kernel booted RunMS ago; Outcome is KernelCold after a cold start
 	KernelGauges    = "INFO"   // the gauges; answers the request with the same Nonce
-	KernelInvalid   = "EINVAL" // the command in Outcome for RunID wasn't carried out
-	KernelRunEnded  = "REAP"   // a run ended, with an outcome below
-	KernelCallAsked = "IOREQ"  // a run waits for the call in Body
+	KernelInvalid   = "EINVAL" // the command in Outcome for the run RunID is invalid and was not executed
+	KernelRunEnded  = "REAP"   // a run ended with one of the outcomes below
+	KernelCallAsked = "IOREQ"  // a run asks for the call in Body and waits for it
 )
 
-// Outcomes of a run that ended; any other is a failure.
+// Outcomes of a run; any other is a failure.
 const (
 	RunSucceeded  = "OK"
 	RunStopped    = "STOPPED" // by KernelStop
-	RunSuperseded = "MOOT"    // another run of the same key took its place
-	KernelCold    = "COLD"    // of KernelBooted alone: the start was a cold one
+	RunSuperseded = "MOOT"    // replaced by another run of the same key
+	KernelCold    = "COLD"    // not of a run but of KernelBooted: a cold start
 )
 
-// maxGauges is how many gauges an event may have.
+// maxGauges is the maximum number of gauges in an event.
 const maxGauges = 8
 
-// maxSequence is the first number that a JSON number doesn't hold exactly.
+// maxSequence is the exclusive bound of sequence numbers: a JSON number is exact below it.
 const maxSequence = 1 << 53
 
-// KernelEvent is one line from the kernel; absent fields are zero.
+// KernelEvent is one line from the kernel; absent fields are zero. Its slices are views into the line.
 type KernelEvent struct {
 	Kind, RunID, Nonce []byte
-	Outcome            []byte // of a run that ended; for other kinds see RefusedCommand and IsColdStart
-	Body               []byte // decoded from base64
-	Sequence           uint64 // of this event on the link
-	RunMS              float64
+	Outcome            []byte  // of a run that ended; for other kinds see InvalidCommand and IsColdStart
+	Body               []byte  // decoded from base64
+	Sequence           uint64  // number of the event on the link; 0 if it has none
+	RunMS              float64 // duration of the run, or time since the boot, ms
 	Gauges             [maxGauges]float64
-	GaugeCount         int // how many of Gauges were given
+	GaugeCount         int // number of Gauges in the event
 }
 
-// RefusedCommand is the command that a KernelInvalid says was not carried out: it stands in the key of outcomes.
-func (e *KernelEvent) RefusedCommand() []byte { return e.Outcome }
+// InvalidCommand returns the command that a KernelInvalid event rejects, which is in the outcome key.
+func (e *KernelEvent) InvalidCommand() []byte { return e.Outcome }
 
-// IsColdStart tells whether a KernelBooted is of a cold start, which stands in the key of outcomes too.
+// IsColdStart reports whether a KernelBooted event is of a cold start, which is in the outcome key.
 func (e *KernelEvent) IsColdStart() bool { return string(e.Outcome) == KernelCold }
 
-// NextLine cuts the line at the start of b, without its end; n is 0 while it is incomplete.
+// NextLine returns the line at the start of b without its line end; n is its size in bytes with the line end, 0 while
+// the line is incomplete.
 func NextLine(b []byte, limit int) (line []byte, n int, err error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 && len(b) > limit || i > limit {
@@ -57,78 +58,78 @@
 	return bytes.TrimSuffix(b[:i], []byte("\r")), i + 1, nil
 }
 
-// ParseKernelEvent reads one line. It decodes into the line's own bytes, so a line can't be read twice. Unknown keys
-// are passed over: a newer kernel may send more.
+// ParseKernelEvent parses one line. It decodes in place, so a line can't be parsed twice. Unknown keys, which a newer
+// kernel may send, are ignored.
 func ParseKernelEvent(line []byte) (e KernelEvent, err error) {
-	s := jsonScanner{b: line}
-	s.want('{')
+	s := jsonScanner{input: line}
+	s.expect('{')
 	for first := true; s.err == nil; first = false {
-		s.space()
-		if first && s.has('}') {
+		s.skipSpace()
+		if first && s.accept('}') {
 			break
 		}
-		key := s.text()
-		s.want(':')
-		if err = e.setKey(&s, key); err != nil {
+		key := s.readString()
+		s.expect(':')
+		if err = e.setField(&s, key); err != nil {
 			return e, err
 		}
-		if s.has('}') {
+		if s.accept('}') {
 			break
 		}
-		s.want(',')
+		s.expect(',')
 	}
-	s.space()
-	if s.err == nil && s.at < len(s.b) || len(e.Kind) == 0 {
+	s.skipSpace()
+	if s.err == nil && s.pos < len(s.input) || len(e.Kind) == 0 {
 		s.err = ErrLine
 	}
 	return e, s.err
 }
 
-// setKey reads the value of a key. An error of the scanner's own is found in it.
-func (e *KernelEvent) setKey(s *jsonScanner, key []byte) error {
+// setField reads the value of a key. Errors of the scanner are left in s.err.
+func (e *KernelEvent) setField(s *jsonScanner, key []byte) error {
 	switch string(key) {
 	case "verb":
-		e.Kind = s.text()
+		e.Kind = s.readString()
 	case "task":
-		e.RunID = s.text()
+		e.RunID = s.readString()
 	case "outcome":
-		e.Outcome = s.text()
+		e.Outcome = s.readString()
 	case "nonce":
-		e.Nonce = s.text()
+		e.Nonce = s.readString()
 	case "bytes":
-		raw := s.text()
+		raw := s.readString()
 		n, err := base64.StdEncoding.Decode(raw, raw)
 		if err != nil {
 			return ErrLine
 		}
 		e.Body = raw[:n]
 	case "index":
-		v := s.number()
+		v := s.readNumber()
 		if !(v >= 0 && v < maxSequence) {
 			return ErrLine
 		}
 		e.Sequence = uint64(v)
 	case "spent":
-		e.RunMS = s.number()
+		e.RunMS = s.readNumber()
 	case "readings":
 		return e.setGauges(s)
 	default:
-		s.pass(0)
+		s.skipValue(0)
 	}
 	return nil
 }
 
 // setGauges reads the list of gauges.
 func (e *KernelEvent) setGauges(s *jsonScanner) error {
-	s.want('[')
-	for s.err == nil && !s.has(']') {
+	s.expect('[')
+	for s.err == nil && !s.accept(']') {
 		if e.GaugeCount > 0 {
-			s.want(',')
+			s.expect(',')
 		}
 		if e.GaugeCount == len(e.Gauges) {
 			return ErrLine
 		}
-		e.Gauges[e.GaugeCount] = s.number()
+		e.Gauges[e.GaugeCount] = s.readNumber()
 		e.GaugeCount++
 	}
 	return nil
