--- a/internal/node/server/admission_writer.go
+++ b/internal/node/server/admission_writer.go
@@ -14,7 +14,7 @@
 	r := l.requests.get(handle(id))
 	switch {
 	case r == nil || !r.mayStart():
-	case r.isToldToStop() && r.isHeldBack(): // the kernel has been told neither of the run nor of the pause
+	case r.isToldToStop() && r.awaitsIntent(): // the kernel has been told neither of the run nor of the pause
 		r.setRun(runRunning)
 	case r.isToldToStop() && l.settings.Cancellation == admission.CancelPause:
 		l.sendResume(r)
@@ -38,7 +38,7 @@
 	if r := l.requests.get(handle(id)); r != nil && r.isRunning() {
 		l.trace(r, traceStopped)
 		l.counters.Pauses++
-		if r.stop(); !r.isHeldBack() { // else the stop is sent with the run
+		if r.stop(); !r.awaitsIntent() { // else the stop is sent with the run
 			l.sendStop(r)
 		}
 	}
@@ -125,7 +125,7 @@
 func (l *loop) SignalOverload(value float64) { l.overloadSignal, l.hasOverloadSignal = value, true }
 
 // SetIdleTimeout has connections of clients closed that were idle for so long.
-func (l *loop) SetIdleTimeout(after admission.Time) { l.idleClose = after }
+func (l *loop) SetIdleTimeout(after admission.Time) { l.idleTimeout = after }
 
 // WakeUp has a round come at a time, with the kernel's gauges.
 func (l *loop) WakeUp(at admission.Time) { l.timers.set(at, timerWake, 0) }
--- a/internal/node/server/buffers.go
+++ b/internal/node/server/buffers.go
@@ -26,7 +26,7 @@
 type bufferPool struct {
 	mu       sync.Mutex
 	free     []*buffer
-	out      int
+	inUse    int
 	capacity int
 }
 
@@ -34,10 +34,10 @@
 func (p *bufferPool) get() *buffer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.out >= p.capacity {
+	if p.inUse >= p.capacity {
 		return nil
 	}
-	p.out++
+	p.inUse++
 	if n := len(p.free); n > 0 {
 		b := p.free[n-1]
 		p.free = p.free[:n-1]
@@ -56,7 +56,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.out++
+	p.inUse++
 	return new(buffer)
 }
 
@@ -66,7 +66,7 @@
 		return
 	}
 	p.mu.Lock()
-	p.out--
+	p.inUse--
 	p.free = append(p.free, b)
 	p.mu.Unlock()
 }
--- a/internal/node/server/client_connections.go
+++ b/internal/node/server/client_connections.go
@@ -23,7 +23,7 @@
 	pending          []clientMessage
 	openedAt         admission.Time // when it was opened
 	lastActive       admission.Time // when it last carried anything
-	usage            connectionUse
+	usage            connectionUsage
 	ending           bool           // it is to be closed once each request read on it is answered
 	closing          bool           // its sending side is shut down, or will be once its last response is out
 	lingerUntil      admission.Time // while closing: the other side has so long to close it
@@ -31,18 +31,18 @@
 	evictionFailedAt admission.Time // when it could not be closed to make room
 }
 
-// connectionUse is what a connection has brought so far, of what was complete.
-type connectionUse uint8
+// connectionUsage is what a connection has brought so far, of what was complete.
+type connectionUsage uint8
 
 const (
-	usedForNothing connectionUse = iota
-	usedForChecks
-	usedForRequests
+	usageNone connectionUsage = iota
+	usageHealthChecks
+	usageRequests
 )
 
 // serve starts to accept connections, in a goroutine that ends when the listener is stopped.
 func (l *loop) serve(ln *listener) {
-	l.listener, l.accepts = ln, true
+	l.listener, l.accepting = ln, true
 	go func() {
 		ln.run(l.acceptConnection, func(err error) { l.log.WithField(logging.Error, err).Warn(logAcceptFailed) })
 		l.post(listenerClosed{})
@@ -60,7 +60,7 @@
 		// descriptor, whose number may be another connection's by now, so only the place is given back. See row
 		// "epoll_ctl on an accepted connection: any" in docs/design/failures.md.
 		l.log.WithField(logging.Error, err).Warn(logConnectionUnreadable)
-		l.listener.release()
+		l.listener.releaseSlot()
 		return
 	}
 	p := newPeer(nc, fd, &l.crossGoroutine)
@@ -97,15 +97,15 @@
 	l.evict()
 }
 
-// evict closes the connections that are of least use while more than EvictAbove are open: of those that have brought
+// evict closes the connections that are of least use while more than EvictionThreshold are open: of those that have brought
 // nothing complete the oldest, then of those that brought health checks alone the one idle for longest, then of all.
 // Guards against clients that open connections and send nothing, and against those that keep what they no longer use:
 // all places would be taken, and further clients would wait to be accepted. It holds as the listener's bound is above
-// EvictAbove. A request that crosses such a close is sent again by its client. See row "eviction for room" in
+// EvictionThreshold. A request that crosses such a close is sent again by its client. See row "eviction for room" in
 // docs/design/shutdown.md.
 func (l *loop) evict() {
 	l.endLingering()
-	for l.connections.used > l.limits.EvictAbove && l.usable() > l.limits.EvictAbove {
+	for l.connections.used > l.limits.EvictionThreshold && l.usable() > l.limits.EvictionThreshold {
 		c := l.leastUsed()
 		if c == nil {
 			return
@@ -120,14 +120,14 @@
 
 // endLingering closes connections whose client has had the time to close them, while all places are taken. Guards
 // against clients that never close: who waits to be accepted would wait for LingerTimeout. What could cross the end has
-// come by CrossingGrace. See row "many connections that linger" in docs/design/shutdown.md.
+// come by InFlightGrace. See row "many connections that linger" in docs/design/shutdown.md.
 func (l *loop) endLingering() {
 	if l.connections.used < l.limits.Connections {
 		return
 	}
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
 		c := l.connections.get(h)
-		if c.closing && !c.closed && l.now >= c.lingerUntil-l.limits.LingerTimeout+l.limits.CrossingGrace {
+		if c.closing && !c.closed && l.now >= c.lingerUntil-l.limits.LingerTimeout+l.limits.InFlightGrace {
 			l.abort(c)
 		}
 	}
@@ -150,7 +150,7 @@
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
 		c := l.connections.get(h)
 		least := l.limits.EvictionMinIdle
-		if c.usage == usedForNothing {
+		if c.usage == usageNone {
 			least = l.limits.EvictionMinAge
 		}
 		if c.closing || c.evictionFailedAt == l.now || c.hasUnanswered() || l.now-c.lastActive < least {
@@ -203,13 +203,13 @@
 	}
 	l.evict()
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
-		l.sweepConn(l.connections.get(h))
+		l.sweepConnection(l.connections.get(h))
 	}
 }
 
-// sweepConn looks over one connection, see sweep. One that does not get to the end of its first message is closed,
+// sweepConnection looks over one connection, see sweep. One that does not get to the end of its first message is closed,
 // after a 400 where some of it came: see row "first message late" in docs/design/shutdown.md.
-func (l *loop) sweepConn(c *connection) {
+func (l *loop) sweepConnection(c *connection) {
 	half := admission.Time(c.peer.incompleteSince.Load())
 	switch {
 	case c.closing:
@@ -223,12 +223,12 @@
 		}
 		l.counters.ClosedSilent++
 		if log := l.countBadRequest(); log != nil {
-			log.WithField(logging.Reason, messageIncomplete).Info(logBadRequest)
+			log.WithField(logging.Reason, reasonIncomplete).Info(logBadRequest)
 		}
 		l.sendResponse(c, wire.Response{Status: wire.StatusBadRequest, Close: true})
 	case c.ending:
 		l.closeIdle(c, l.now-c.lastActive >= l.limits.LingerTimeout)
-	case c.usage == usedForNothing && l.now-c.openedAt >= l.limits.MessageTimeout:
+	case c.usage == usageNone && l.now-c.openedAt >= l.limits.MessageTimeout:
 		if l.closeIdle(c, false) {
 			l.counters.ClosedSilent++
 		}
@@ -239,13 +239,13 @@
 
 // maxIdle is how long a connection may be idle.
 func (l *loop) maxIdle(c *connection) admission.Time {
-	if c.usage == usedForChecks {
-		return min(l.idleClose, l.limits.HealthCheckIdleTimeout)
+	if c.usage == usageHealthChecks {
+		return min(l.idleTimeout, l.limits.HealthCheckIdleTimeout)
 	}
-	return l.idleClose
+	return l.idleTimeout
 }
 
-// connectionFlooded closes a connection on which more comes after its end than is passed over. Guards against clients
+// discardLimitExceeded closes a connection on which more comes after its end than is passed over. Guards against clients
 // that send on and on: reading it takes a core. All that was read before is answered by then, as it is closing. See
 // row "endless input" in docs/design/shutdown.md.
 func (l *loop) connectionFlooded(p *peer) {
@@ -259,7 +259,7 @@
 // EPIPE, end" in docs/design/failures.md.
 func (l *loop) connectionClosed(p *peer) {
 	if l.listener != nil {
-		l.listener.release() // not before the table's slot is free, which it is by the next event
+		l.listener.releaseSlot() // not before the table's slot is free, which it is by the next event
 	}
 	c := l.connections.get(p.handle)
 	if c == nil {
--- a/internal/node/server/client_peer.go
+++ b/internal/node/server/client_peer.go
@@ -31,12 +31,12 @@
 
 	// intake is held while input is read, never while it is handed over: the loop takes it too, and a callback that
 	// hands over may be waiting for the loop.
-	intake    sync.Mutex
-	in        intake
-	sealed    bool // what comes is discarded
-	closed    bool // the descriptor is about to be closed and may soon be another's
-	discarded int  // bytes that came after the seal
-	flooded   bool // they were more than is passed over
+	intake              sync.Mutex
+	in                  intake
+	sealed              bool // what comes is discarded
+	closed              bool // the descriptor is about to be closed and may soon be another's
+	discarded           int  // bytes that came after the seal
+	discardLimitReached bool // they were more than is passed over
 }
 
 func newPeer(nc netpoll.Connection, fd int, s *crossGoroutine) *peer {
@@ -48,17 +48,17 @@
 
 // readConnection reads what a connection has brought and hands it over; it runs in a callback, never twice at once.
 func (s *crossGoroutine) readConnection(p *peer, nc netpoll.Connection, now admission.Time) error {
-	events, err := p.take(nc.Reader(), &s.limits, now)
+	events, err := p.readInput(nc.Reader(), &s.limits, now)
 	for _, e := range events {
 		s.post(e)
 	}
 	return err
 }
 
-// take reads all that has come. Guards against a seal between the reading of a request and its handing over, which
+// readInput reads all that has come. Guards against a seal between the reading of a request and its handing over, which
 // would leave it without a response: each event is counted in pipelined before the lock is released. See row "idle
 // close" in docs/design/shutdown.md.
-func (p *peer) take(r netpoll.Reader, limits *Limits, now admission.Time) (events []event, err error) {
+func (p *peer) readInput(r netpoll.Reader, limits *Limits, now admission.Time) (events []event, err error) {
 	p.intake.Lock()
 	defer p.intake.Unlock()
 	if !p.sealed {
@@ -68,14 +68,14 @@
 		}
 		err = p.in.read(r, func(b *buffer) (event, int, error) { return p.parse(b, limits) }, collect)
 		if err == nil {
-			p.noteUnfinished(now)
+			p.updateIncompleteSince(now)
 			return events, nil
 		}
 		p.stopReading()
 		collect(&requestUnreadable{peer: p, err: err})
 	}
 	if p.discard(r, limits.DiscardBytes) {
-		events = append(events, connectionFlooded{peer: p})
+		events = append(events, discardLimitExceeded{peer: p})
 	}
 	return events, r.Release()
 }
@@ -102,8 +102,8 @@
 	return e, n, err
 }
 
-// noteUnfinished keeps since when a message is incomplete. Empty lines between requests are no message.
-func (p *peer) noteUnfinished(now admission.Time) {
+// updateIncompleteSince keeps since when a message is incomplete. Empty lines between requests are no message.
+func (p *peer) updateIncompleteSince(now admission.Time) {
 	if p.in.buf != nil && onlyLineEnds(p.in.buf.bytes()) {
 		p.in.drop()
 	}
@@ -131,10 +131,10 @@
 	n := r.Len()
 	_ = r.Skip(n) // n bytes are there
 	p.discarded += n
-	if p.discarded <= limit || p.flooded {
+	if p.discarded <= limit || p.discardLimitReached {
 		return false
 	}
-	p.flooded = true
+	p.discardLimitReached = true
 	return true
 }
 
--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -24,21 +24,21 @@
 	"umberwinch/internal/node/settings"
 )
 
-// handLoop is a loop with a listener on loopback whose events the test handles by hand.
-type handLoop struct {
+// manualLoop is a loop with a listener on loopback whose events the test handles by hand.
+type manualLoop struct {
 	*loop
 	t    *testing.T
 	addr string
 }
 
-func newHandLoop(t *testing.T, conns int) *handLoop {
+func newManualLoop(t *testing.T, conns int) *manualLoop {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	lim := NewLimits(1, 64, 256)
-	lim.Connections, lim.EvictAbove = conns, conns
+	lim.Connections, lim.EvictionThreshold = conns, conns
 	l := &loop{crossGoroutine: crossGoroutine{log: log, limits: lim, events: make(chan event, 256),
 		pool: bufferPool{capacity: lim.Buffers}, workers: newWorkers(1)},
-		clients:        clients{connections: newTable[connection](conns), idleClose: admission.Second},
+		clients:        clients{connections: newTable[connection](conns), idleTimeout: admission.Second},
 		requestsInHand: requestsInHand{requests: newTable[request](8)}, readiness: readiness{ready: true},
 		configuration: configuration{settings: &settings.Startup{Deployment: &admission.Deployment{}}}}
 	l.startClock(admission.Second)
@@ -55,10 +55,10 @@
 	})
 	l.serve(ln)
 	t.Cleanup(ln.stop)
-	return &handLoop{loop: l, t: t, addr: address}
+	return &manualLoop{loop: l, t: t, addr: address}
 }
 
-func (l *handLoop) dial() net.Conn {
+func (l *manualLoop) dial() net.Conn {
 	c, err := net.Dial("tcp", l.addr)
 	if err != nil {
 		l.t.Fatal(err)
@@ -68,39 +68,39 @@
 	return c
 }
 
-// waits until so many events are handed over, and takes none.
-func (l *handLoop) waits(events int) {
+// waitForEvents until so many events are handed over, and takes none.
+func (l *manualLoop) waitForEvents(events int) {
 	l.t.Helper()
 	if !waitUntil(func() bool { return len(l.events) >= events }) {
 		l.t.Fatalf("%d events are handed over, expected %d", len(l.events), events)
 	}
 }
 
-func (l *handLoop) takes(events int) {
+func (l *manualLoop) handleEvents(events int) {
 	l.t.Helper()
 	for range events {
-		l.waits(1)
+		l.waitForEvents(1)
 		l.handle(<-l.events)
 	}
 }
 
-// later has the time go on and the connections looked over.
-func (l *handLoop) later(span admission.Time) {
+// advance has the time go on and the connections looked over.
+func (l *manualLoop) advance(span admission.Time) {
 	l.now += span
 	l.sweep(l.now)
 }
 
-func (l *handLoop) first() *connection {
+func (l *manualLoop) firstConnection() *connection {
 	h, _ := l.connections.next(0)
 	return l.connections.get(h)
 }
 
 const healthCheck = "GET /health HTTP/1.1\r\n\r\n"
 
-func check(c net.Conn) { io.WriteString(c, healthCheck) }
+func sendHealthCheck(c net.Conn) { io.WriteString(c, healthCheck) }
 
-// gets reads an answer and tells whether it says that the connection closes.
-func gets(t *testing.T, r *bufio.Reader, status int) (closes bool) {
+// expectResponse reads an answer and tells whether it says that the connection closes.
+func expectResponse(t *testing.T, r *bufio.Reader, status int) (closes bool) {
 	t.Helper()
 	a, err := http.ReadResponse(r, nil)
 	if err != nil || a.StatusCode != status {
@@ -111,21 +111,21 @@
 
 // A request that is handed over and not taken keeps its connection open, whatever would close it.
 func TestHandedOverRequestKeepsItsConnection(t *testing.T) {
-	for name, closes := range map[string]func(l *handLoop){
-		"idle":     func(l *handLoop) { l.later(10 * admission.Second) },
-		"silent":   func(l *handLoop) { l.later(l.limits.MessageTimeout) },
-		"eviction": func(l *handLoop) { l.limits.EvictAbove = 0; l.now += l.limits.EvictionMinIdle; l.evict() },
-		"drain":    func(l *handLoop) { l.closeAllIdle(true) },
+	for name, closes := range map[string]func(l *manualLoop){
+		"idle":     func(l *manualLoop) { l.advance(10 * admission.Second) },
+		"silent":   func(l *manualLoop) { l.advance(l.limits.MessageTimeout) },
+		"eviction": func(l *manualLoop) { l.limits.EvictionThreshold = 0; l.now += l.limits.EvictionMinIdle; l.evict() },
+		"drain":    func(l *manualLoop) { l.closeAllIdle(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := newHandLoop(t, 4)
+			l := newManualLoop(t, 4)
 			c := l.dial()
-			l.takes(1)
-			check(c)
-			l.waits(1)
+			l.handleEvents(1)
+			sendHealthCheck(c)
+			l.waitForEvents(1)
 			closes(l)
-			l.takes(1)
-			if gets(t, bufio.NewReader(c), 200) {
+			l.handleEvents(1)
+			if expectResponse(t, bufio.NewReader(c), 200) {
 				t.Error("the answer says that the connection closes")
 			}
 		})
@@ -158,54 +158,54 @@
 // A message that is read whole and waits for room in the queue, and one that is not whole yet, keep their connection
 // open.
 func TestReadingKeepsAConnection(t *testing.T) {
-	l := newHandLoop(t, 4)
+	l := newManualLoop(t, 4)
 	c := l.dial()
-	l.takes(1)
-	p := l.first().peer
+	l.handleEvents(1)
+	p := l.firstConnection().peer
 	for len(l.events) < cap(l.events) {
 		l.events <- callback{func() {}}
 	}
-	check(c)
+	sendHealthCheck(c)
 	if !waitUntil(func() bool { return p.pipelined.Load() > 0 }) {
 		t.Fatal("never read")
 	}
-	l.later(10 * admission.Second)
-	if l.first().closing {
+	l.advance(10 * admission.Second)
+	if l.firstConnection().closing {
 		t.Error("closed while a request waits for room in the queue")
 	}
-	l.takes(cap(l.events) + 1)
-	gets(t, bufio.NewReader(c), 200)
+	l.handleEvents(cap(l.events) + 1)
+	expectResponse(t, bufio.NewReader(c), 200)
 	io.WriteString(c, "GET /hea")
 	if !waitUntil(func() bool { return p.incompleteSince.Load() != 0 }) {
 		t.Fatal("half a message is never read")
 	}
-	l.first().lastActive = l.now + admission.Second // it goes on slowly
+	l.firstConnection().lastActive = l.now + admission.Second // it goes on slowly
 	l.closeAllIdle(false)
-	if l.first().closing {
+	if l.firstConnection().closing {
 		t.Error("closed amid a message")
 	}
 	io.WriteString(c, "lth HTTP/1.1\r\n\r\n")
-	l.takes(1)
-	gets(t, bufio.NewReader(c), 200)
+	l.handleEvents(1)
+	expectResponse(t, bufio.NewReader(c), 200)
 }
 
 // An idle connection ends by its sending side: the client reads the end of the stream, and what it has sent meanwhile
 // is discarded and answered by nothing.
 func TestIdleConnectionEndsInOrder(t *testing.T) {
-	l := newHandLoop(t, 4)
+	l := newManualLoop(t, 4)
 	c := l.dial()
-	l.takes(1)
-	check(c)
-	l.takes(1)
+	l.handleEvents(1)
+	sendHealthCheck(c)
+	l.handleEvents(1)
 	r := bufio.NewReader(c)
-	gets(t, r, 200)
-	l.later(2 * admission.Second)
+	expectResponse(t, r, 200)
+	l.advance(2 * admission.Second)
 	if b, err := io.ReadAll(r); err != nil || len(b) > 0 {
 		t.Errorf("reads %q, %v, expected the end of the stream", b, err)
 	}
-	check(c)
-	check(c)
-	p := l.first().peer
+	sendHealthCheck(c)
+	sendHealthCheck(c)
+	p := l.firstConnection().peer
 	discarded := func() int {
 		p.intake.Lock()
 		defer p.intake.Unlock()
@@ -218,7 +218,7 @@
 		t.Error("a request is handed over that came after the end")
 	}
 	c.Close()
-	l.takes(1)
+	l.handleEvents(1)
 	if l.connections.used != 0 {
 		t.Error("the connection is still known")
 	}
@@ -226,18 +226,18 @@
 
 // A client that never closes its side is closed after a bound, and one that sends without end at once.
 func TestEndedConnectionIsNotKept(t *testing.T) {
-	l := newHandLoop(t, 4)
+	l := newManualLoop(t, 4)
 	l.dial()
-	l.takes(1)
-	l.later(2 * admission.Second)
-	l.later(l.limits.LingerTimeout)
-	l.takes(1)
+	l.handleEvents(1)
+	l.advance(2 * admission.Second)
+	l.advance(l.limits.LingerTimeout)
+	l.handleEvents(1)
 	flood := l.dial()
-	l.takes(1)
-	l.later(2 * admission.Second)
+	l.handleEvents(1)
+	l.advance(2 * admission.Second)
 	flood.Write(make([]byte, l.limits.DiscardBytes+1))
-	l.takes(1) // word of the flood
-	l.takes(1) // its end
+	l.handleEvents(1) // word of the flood
+	l.handleEvents(1) // its end
 	if l.connections.used != 0 {
 		t.Errorf("%d connections are kept", l.connections.used)
 	}
@@ -246,52 +246,52 @@
 // A new connection always finds a slot in the table: however many are closed and opened before the loop hears of
 // either, no more are accepted than it has slots.
 func TestNewConnectionFindsASlot(t *testing.T) {
-	l := newHandLoop(t, 2)
+	l := newManualLoop(t, 2)
 	for range 2 {
 		l.dial()
 	}
-	l.takes(2)
+	l.handleEvents(2)
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
 		l.abort(l.connections.get(h))
 	}
-	l.waits(2) // both are gone, and the loop has not heard of it
+	l.waitForEvents(2) // both are gone, and the loop has not heard of it
 	var asks []net.Conn
 	for range 3 {
 		asks = append(asks, l.dial())
-		check(asks[len(asks)-1])
+		sendHealthCheck(asks[len(asks)-1])
 	}
 	time.Sleep(50 * time.Millisecond) // nothing is to happen, so there is no event to wait for
 	if len(l.events) != 2 {
 		t.Fatalf("%d events: connections are accepted that have no slot", len(l.events))
 	}
-	l.takes(2)
-	l.takes(4)
+	l.handleEvents(2)
+	l.handleEvents(4)
 	for _, c := range asks[:2] {
-		gets(t, bufio.NewReader(c), 200)
+		expectResponse(t, bufio.NewReader(c), 200)
 		c.Close()
 	}
-	l.takes(2)
-	l.takes(2)
-	gets(t, bufio.NewReader(asks[2]), 200)
+	l.handleEvents(2)
+	l.handleEvents(2)
+	expectResponse(t, bufio.NewReader(asks[2]), 200)
 }
 
 // While all places are taken, connections whose end is over for long enough make room.
 func TestLingeringConnectionsMakeRoom(t *testing.T) {
-	l := newHandLoop(t, 2)
+	l := newManualLoop(t, 2)
 	l.dial()
 	l.dial()
-	l.takes(2)
+	l.handleEvents(2)
 	waits := l.dial()
-	check(waits)
-	l.later(l.limits.MessageTimeout)
-	l.later(l.limits.CrossingGrace - 1)
+	sendHealthCheck(waits)
+	l.advance(l.limits.MessageTimeout)
+	l.advance(l.limits.InFlightGrace - 1)
 	if l.connections.used != 2 || len(l.events) > 0 {
 		t.Fatal("closed before what crosses the end could have come")
 	}
-	l.later(1)
-	l.takes(2)
-	l.takes(2)
-	gets(t, bufio.NewReader(waits), 200)
+	l.advance(1)
+	l.handleEvents(2)
+	l.handleEvents(2)
+	expectResponse(t, bufio.NewReader(waits), 200)
 }
 
 // Who is accepted by the system as the listener stops is served; who comes after is refused.
@@ -305,7 +305,7 @@
 		name, _ := syscall.Getsockname(int(fd))
 		address = fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 	})
-	ln.reserve() // the one place is taken, so all that come wait in the backlog
+	ln.acquireSlot() // the one place is taken, so all that come wait in the backlog
 	var clients []net.Conn
 	for range 5 {
 		c, err := net.Dial("tcp", address)
@@ -323,7 +323,7 @@
 	}()
 	ln.stop()
 	for range clients {
-		ln.release()
+		ln.releaseSlot()
 		select {
 		case fd := <-entered:
 			syscall.Write(fd, []byte("y"))
@@ -332,7 +332,7 @@
 			t.Fatal("not accepted")
 		}
 	}
-	ln.release()
+	ln.releaseSlot()
 	<-ended
 	for i, c := range clients {
 		var b [1]byte
@@ -391,26 +391,26 @@
 	}
 	ln.stop()
 	<-ended
-	if ln.open != 1 {
-		t.Errorf("%d places are taken, expected the one of the connection", ln.open)
+	if ln.openConnections != 1 {
+		t.Errorf("%d places are taken, expected the one of the connection", ln.openConnections)
 	}
 }
 
 // Clients that hold all buffers take no answer from others: what is owed goes out all the same, and a request that
 // could not be read is shed.
 func TestAnswersNeedNoFreeBuffer(t *testing.T) {
-	l := newHandLoop(t, 4)
+	l := newManualLoop(t, 4)
 	a, b := l.dial(), l.dial()
-	l.takes(2)
-	check(a)
-	l.waits(1)
+	l.handleEvents(2)
+	sendHealthCheck(a)
+	l.waitForEvents(1)
 	l.pool.mu.Lock()
 	l.pool.capacity = 0
 	l.pool.mu.Unlock()
-	check(b)
-	l.takes(2)
-	gets(t, bufio.NewReader(a), 200)
-	if !gets(t, bufio.NewReader(b), 503) {
+	sendHealthCheck(b)
+	l.handleEvents(2)
+	expectResponse(t, bufio.NewReader(a), 200)
+	if !expectResponse(t, bufio.NewReader(b), 503) {
 		t.Error("what is not read whole goes on")
 	}
 	if l.counters.BadRequests != 0 {
@@ -447,7 +447,7 @@
 	<-n.ended
 
 	n.kernel.mu.Lock() // now one that hears SIGHUP before it has read its file for the first time
-	n.kernel.kept, n.kernel.late = nil, true
+	n.kernel.events, n.kernel.bootDelayed = nil, true
 	n.kernel.mu.Unlock()
 	n.launch()                                         // which does not wait for a kernel that is late
 	writer, err := os.OpenFile(n.file, os.O_WRONLY, 0) // waits until the program reads
@@ -456,7 +456,7 @@
 	}
 	n.signal(syscall.SIGHUP)
 	writer.Write(text)
-	n.write("") // in place of the pipe, for the second reading
+	n.writeStartupFile("") // in place of the pipe, for the second reading
 	writer.Close()
 	if !n.logged(`msg="start-up file taken" `) {
 		t.Error("a SIGHUP that came early is lost")
@@ -465,20 +465,20 @@
 
 // A closing answer is not written where more is on its way, and says so as soon as that is answered.
 func TestClosingAnswerWaitsForWhatWasRead(t *testing.T) {
-	l := newHandLoop(t, 4)
+	l := newManualLoop(t, 4)
 	c := l.dial()
-	l.takes(1)
-	check(c)
-	check(c)
-	l.waits(2)
+	l.handleEvents(1)
+	sendHealthCheck(c)
+	sendHealthCheck(c)
+	l.waitForEvents(2)
 	l.draining = true
 	r := bufio.NewReader(c)
-	l.takes(1)
-	if gets(t, r, 200) {
+	l.handleEvents(1)
+	if expectResponse(t, r, 200) {
 		t.Error("the first answer closes over a request that was read")
 	}
-	l.takes(1)
-	if !gets(t, r, 200) {
+	l.handleEvents(1)
+	if !expectResponse(t, r, 200) {
 		t.Error("the last answer does not say that it closes")
 	}
 	if b, err := io.ReadAll(r); err != nil || len(b) > 0 {
@@ -488,18 +488,20 @@
 
 // A connection whose client asked for its end and then stays, with half a message, is ended after a bound.
 func TestEndingConnectionIsBounded(t *testing.T) {
-	l := newHandLoop(t, 4)
+	l := newManualLoop(t, 4)
 	c := l.dial()
-	l.takes(1)
+	l.handleEvents(1)
 	io.WriteString(c, "GET /health HTTP/1.1\r\nConnection: close\r\n\r\nGET /hea")
-	l.takes(1)
+	l.handleEvents(1)
 	r := bufio.NewReader(c)
-	gets(t, r, 200)
-	if !waitUntil(func() bool { return l.first().closing || l.first().peer.incompleteSince.Load() != 0 }) {
+	expectResponse(t, r, 200)
+	if !waitUntil(func() bool {
+		return l.firstConnection().closing || l.firstConnection().peer.incompleteSince.Load() != 0
+	}) {
 		t.Error("half a message is never read")
 	}
-	if !l.first().closing {
-		l.later(l.limits.LingerTimeout)
+	if !l.firstConnection().closing {
+		l.advance(l.limits.LingerTimeout)
 	}
 	if b, err := io.ReadAll(r); err != nil || strings.Contains(string(b), "200") {
 		t.Errorf("reads %q, %v, expected the end", b, err)
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -7,23 +7,23 @@
 // and closes, and connections end in order. It never closes a connection with a request unanswered; while there is one
 // only the kill ends the process.
 type drainState struct {
-	draining     bool
-	stopAfter    admission.Time // the kill comes so long after the notice
-	answerBy     admission.Time // all has to be answered by then
-	killMargin   admission.Time // the kill comes so long after that
-	drainSince   admission.Time // when the notice came
-	closingSince admission.Time // since when idle connections are ended; 0: not yet
+	draining       bool
+	killDelay      admission.Time // the kill comes so long after the notice
+	answerBy       admission.Time // all has to be answered by then
+	killMargin     admission.Time // the kill comes so long after that
+	drainStartedAt admission.Time // when the notice came
+	closingSince   admission.Time // since when idle connections are ended; 0: not yet
 }
 
 const (
-	// minServing is how long the listener stays open after the notice at least: service discovery takes that long to
+	// minListenTime is how long the listener stays open after the notice at least: service discovery takes that long to
 	// have clients learn of it.
-	minServing = 2 * admission.Second
-	// lastAnswers is how long before answerBy connections are closed whatever else is on them: the controller's last
+	minListenTime = 2 * admission.Second
+	// finalCloseMargin is how long before answerBy connections are closed whatever else is on them: the controller's last
 	// decisions come after.
-	lastAnswers = admission.Second / 20
-	// drainInterval is the time between two looks at whether the drain is over.
-	drainInterval = admission.Second / 100
+	finalCloseMargin = admission.Second / 20
+	// drainCheckInterval is the time between two looks at whether the drain is over.
+	drainCheckInterval = admission.Second / 100
 )
 
 // startDrain takes the notice to leave, whatever is in hand: see rows "notice: half a request, a held one, a repeat
@@ -32,8 +32,8 @@
 	if l.draining {
 		return
 	}
-	l.killMargin = min(l.limits.KillMargin, l.stopAfter/8)
-	l.draining, l.drainSince, l.answerBy = true, l.now, l.now+l.stopAfter-l.killMargin
+	l.killMargin = min(l.limits.KillMargin, l.killDelay/8)
+	l.draining, l.drainStartedAt, l.answerBy = true, l.now, l.now+l.killDelay-l.killMargin
 	l.nextRound().Drain, l.nextRound().KillAt = true, l.answerBy
 	l.Health(false)
 	l.timers.set(l.now, timerDrain, 0)
@@ -45,9 +45,9 @@
 // until then, as clients learn late that this server leaves. See rows "drain's end" and "kill near" in
 // docs/design/shutdown.md.
 func (l *loop) drainTick() {
-	closeBy := l.answerBy - lastAnswers
-	quiet := l.now-max(l.lastRequest, l.drainSince) >= l.limits.DrainQuiet && l.now-l.drainSince >= minServing
-	if l.closingSince == 0 && (l.now >= closeBy-l.limits.CrossingGrace || quiet && l.unansweredConnections() == 0) {
+	closeBy := l.answerBy - finalCloseMargin
+	quiet := l.now-max(l.lastRequest, l.drainStartedAt) >= l.limits.DrainQuietPeriod && l.now-l.drainStartedAt >= minListenTime
+	if l.closingSince == 0 && (l.now >= closeBy-l.limits.InFlightGrace || quiet && l.unansweredConnections() == 0) {
 		l.closingSince = l.now
 		if l.listener != nil {
 			l.listener.stop()
@@ -56,14 +56,14 @@
 	if l.closingSince != 0 {
 		l.closeAllIdle(l.now >= closeBy)
 	}
-	l.timers.set(l.now+drainInterval, timerDrain, 0)
+	l.timers.set(l.now+drainCheckInterval, timerDrain, 0)
 }
 
 // closeAllIdle closes connections with no request unanswered. A new one may be about to bring its first.
 func (l *loop) closeAllIdle(force bool) {
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
 		c := l.connections.get(h)
-		if force || c.usage != usedForNothing || l.now-c.openedAt >= l.limits.CrossingGrace {
+		if force || c.usage != usageNone || l.now-c.openedAt >= l.limits.InFlightGrace {
 			l.closeIdle(c, force)
 		}
 	}
@@ -83,7 +83,7 @@
 func (l *loop) hasLingering() bool {
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
 		c := l.connections.get(h)
-		if !c.closing || l.now < c.lingerUntil-l.limits.LingerTimeout+l.limits.CrossingGrace {
+		if !c.closing || l.now < c.lingerUntil-l.limits.LingerTimeout+l.limits.InFlightGrace {
 			return true
 		}
 	}
@@ -98,5 +98,5 @@
 	if l.now >= l.answerBy+l.killMargin/2 {
 		return true
 	}
-	return !l.accepts && !l.hasLingering() && l.now >= max(l.closingSince, l.lastConnection)+l.limits.CrossingGrace
+	return !l.accepting && !l.hasLingering() && l.now >= max(l.closingSince, l.lastConnection)+l.limits.InFlightGrace
 }
--- a/internal/node/server/events.go
+++ b/internal/node/server/events.go
@@ -25,8 +25,8 @@
 	connectionOpened struct{ peer *peer }
 	// connectionClosed says that a connection ended, whoever ended it.
 	connectionClosed struct{ peer *peer }
-	// connectionFlooded says that more comes on a sealed connection than is passed over.
-	connectionFlooded struct{ peer *peer }
+	// discardLimitExceeded says that more comes on a sealed connection than is passed over.
+	discardLimitExceeded struct{ peer *peer }
 	// requestRead is a complete request.
 	requestRead struct {
 		peer    *peer
@@ -82,8 +82,8 @@
 	drainRequested struct{}
 	// countersRequested asks for the counters to be logged.
 	countersRequested struct{}
-	// startupFileRead is the start-up file read anew, or why it can't be.
-	startupFileRead struct {
+	// startupFileReloaded is the start-up file read anew, or why it can't be.
+	startupFileReloaded struct {
 		node *Node
 		err  error
 	}
@@ -93,21 +93,21 @@
 // see fleetHost and resultHost.
 type callback struct{ then func() }
 
-func (connectionOpened) isEvent()   {}
-func (connectionClosed) isEvent()   {}
-func (connectionFlooded) isEvent()  {}
-func (*requestRead) isEvent()       {}
-func (*requestUnreadable) isEvent() {}
-func (listenerClosed) isEvent()     {}
-func (*linkDialed) isEvent()        {}
-func (*linkClosed) isEvent()        {}
-func (*kernelEventRead) isEvent()   {}
-func (*callReplyRead) isEvent()     {}
-func (*reportAnswerRead) isEvent()  {}
-func (drainRequested) isEvent()     {}
-func (countersRequested) isEvent()  {}
-func (*startupFileRead) isEvent()   {}
-func (callback) isEvent()           {}
+func (connectionOpened) isEvent()     {}
+func (connectionClosed) isEvent()     {}
+func (discardLimitExceeded) isEvent() {}
+func (*requestRead) isEvent()         {}
+func (*requestUnreadable) isEvent()   {}
+func (listenerClosed) isEvent()       {}
+func (*linkDialed) isEvent()          {}
+func (*linkClosed) isEvent()          {}
+func (*kernelEventRead) isEvent()     {}
+func (*callReplyRead) isEvent()       {}
+func (*reportAnswerRead) isEvent()    {}
+func (drainRequested) isEvent()       {}
+func (countersRequested) isEvent()    {}
+func (*startupFileReloaded) isEvent() {}
+func (callback) isEvent()             {}
 
 func (e *requestRead) sender() *peer       { return e.peer }
 func (e *requestUnreadable) sender() *peer { return e.peer }
@@ -122,7 +122,7 @@
 		l.connectionOpened(e.peer)
 	case connectionClosed:
 		l.connectionClosed(e.peer)
-	case connectionFlooded:
+	case discardLimitExceeded:
 		l.connectionFlooded(e.peer)
 	case *requestRead:
 		l.lastRequest = l.now
@@ -130,7 +130,7 @@
 	case *requestUnreadable:
 		l.messageReceived(e)
 	case listenerClosed:
-		l.accepts = false
+		l.accepting = false
 	case *linkDialed:
 		l.linkDialed(e)
 	case *linkClosed:
@@ -155,7 +155,7 @@
 	case countersRequested:
 		l.log.WithFields(l.counterFields()).Info(logCounters)
 		l.logPools()
-	case *startupFileRead:
+	case *startupFileReloaded:
 		l.reload(e.node, e.err)
 	case callback:
 		e.then()
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -26,40 +26,40 @@
 	"umberwinch/internal/node/agent"
 )
 
-// failing is a connection whose writes fail so often before they go out.
-type failing struct {
+// failingConn is a connection whose writes fail so often before they go out.
+type failingConn struct {
 	netpoll.Connection
 	netpoll.Writer
 	errs   []error
-	held   []byte
-	got    bytes.Buffer
+	unsent []byte
+	sent   bytes.Buffer
 	closed chan bool
 }
 
-func (f *failing) Write(b []byte) (int, error) {
-	f.held = append(f.held, b...)
+func (f *failingConn) Write(b []byte) (int, error) {
+	f.unsent = append(f.unsent, b...)
 	return len(b), f.Flush()
 }
 
-func (f *failing) Flush() error {
+func (f *failingConn) Flush() error {
 	if len(f.errs) > 0 {
 		err := f.errs[0]
 		f.errs = f.errs[1:]
 		return netpoll.Exception(err, "when flush")
 	}
-	f.got.Write(f.held)
-	f.held = nil
+	f.sent.Write(f.unsent)
+	f.unsent = nil
 	return nil
 }
 
-func (f *failing) Close() error { close(f.closed); return nil }
+func (f *failingConn) Close() error { close(f.closed); return nil }
 
-// outgoing gives the connection as what it sends by.
-type outgoing struct{ *failing }
+// failingWriter gives the connection as what it sends by.
+type failingWriter struct{ *failingConn }
 
-func (o outgoing) Writer() netpoll.Writer { return o.failing }
+func (o failingWriter) Writer() netpoll.Writer { return o.failingConn }
 
-func (f *failing) Release() error { return nil }
+func (f *failingConn) Release() error { return nil }
 
 // A write that fails for a moment goes out whole, once; one that fails for good is not taken as sent, and ends its
 // connection.
@@ -75,18 +75,18 @@
 		"timed out":        {[]error{syscall.ETIMEDOUT}, false},
 		"no route":         {[]error{syscall.EHOSTUNREACH}, false},
 		"broken":           {[]error{syscall.EPIPE}, false},
-		"a moment too far": {bytesOf(syscall.ENOBUFS, 20), false},
+		"a moment too far": {repeatError(syscall.ENOBUFS, 20), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := &failing{errs: c.errs, closed: make(chan bool)}
+			f := &failingConn{errs: c.errs, closed: make(chan bool)}
 			p, busy := bufferPool{capacity: 8}, atomic.Int64{}
-			w := &writer{conn: outgoing{f}, pool: &p, busy: &busy}
+			w := &writer{conn: failingWriter{f}, pool: &p, busy: &busy}
 			w.send([]byte("answer"), 4)
 			if !waitUntil(func() bool { return busy.Load() == 0 }) {
 				t.Error("it is still being sent")
 			}
-			if got := f.got.String(); c.sent != (got == "answer") {
+			if got := f.sent.String(); c.sent != (got == "answer") {
 				t.Errorf("%q went out, expected that it does: %v", got, c.sent)
 			}
 			select {
@@ -99,14 +99,14 @@
 					t.Error("not closed")
 				}
 			}
-			if p.out != 0 {
-				t.Errorf("%d buffers are still out", p.out)
+			if p.inUse != 0 {
+				t.Errorf("%d buffers are still out", p.inUse)
 			}
 		})
 	}
 }
 
-func bytesOf(err error, n int) (out []error) {
+func repeatError(err error, n int) (out []error) {
 	for range n {
 		out = append(out, err)
 	}
@@ -119,8 +119,8 @@
 		syscall.ECONNREFUSED,
 		syscall.ETIMEDOUT, syscall.ENOBUFS, syscall.EMFILE, syscall.ENFILE, syscall.EINTR, syscall.ECONNABORTED} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			l := newHandLoop(t, 4)
-			store := newStore(t)
+			l := newManualLoop(t, 4)
+			store := newFakeStore(t)
 			fails := errno
 			l.dialTo = func(address string, within time.Duration) (netpoll.Connection, error) {
 				if fails != 0 {
@@ -128,19 +128,19 @@
 				}
 				return dialTCP(address, within)
 			}
-			l.store = store1(store.addr, l.limits)
+			l.store = newTestStoreConnections(store.addr, l.limits)
 			h, r, _ := l.requests.take()
-			*r = request{id: long("1"), lifecycle: lifecycle{run: runRunning},
+			*r = request{id: wireID("1"), lifecycle: lifecycle{run: runRunning},
 				storeCall: storeCall{callBody: []byte("q")}}
 			l.startCall(h, r, l.now+admission.Second)
-			l.takes(1)
+			l.handleEvents(1)
 			if got := l.nextRound().CallEnds; len(got) != 1 || got[0].Outcome != admission.NotExecuted {
 				t.Fatalf("the module hears %v, expected that the call never ran", got)
 			}
 			fails = 0
 			l.now += l.limits.MaxBackoff
 			l.startCall(h, r, l.now+admission.Second)
-			l.takes(1)
+			l.handleEvents(1)
 			if line, ok := store.next(""); !ok || line != "CALL 1 q" {
 				t.Errorf("the store hears %q", line)
 			}
@@ -148,7 +148,7 @@
 	}
 }
 
-func store1(address string, lim Limits) storeConnections {
+func newTestStoreConnections(address string, lim Limits) storeConnections {
 	return storeConnections{addr: address, connections: newTable[storeConnection](2),
 		parser: storeParser(lim.LinkBounds)}
 }
@@ -203,16 +203,16 @@
 		}
 		holder.Close()
 	}()
-	ln, err := listenPatiently(address, lim, func(err error) { waits <- err })
+	ln, err := listenWithRetry(address, lim, func(err error) { waits <- err })
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln.file.Close()
 	began := time.Now()
-	if _, err = listenPatiently("203.0.113.1:1", Limits{ListenTimeout: 0}, func(error) {}); err == nil {
+	if _, err = listenWithRetry("203.0.113.1:1", Limits{ListenTimeout: 0}, func(error) {}); err == nil {
 		t.Error("listens on another machine's address")
 	}
-	if _, err = listenPatiently("127.0.0.1:none", lim, func(error) {}); err == nil ||
+	if _, err = listenWithRetry("127.0.0.1:none", lim, func(error) {}); err == nil ||
 		time.Since(began) > lim.ListenTimeout/2 {
 		t.Errorf("%v after %v, expected an error at once", err, time.Since(began))
 	}
@@ -223,7 +223,7 @@
 	for _, reader := range []string{"stands still", "is gone"} {
 		t.Run(reader, func(t *testing.T) {
 			t.Parallel()
-			n := &node{t: t, set: map[string]string{}, kernel: newKernel(t), store: newStore(t), ctl: newControl(t)}
+			n := &node{t: t, overrides: map[string]string{}, kernel: newFakeKernel(t), store: newFakeStore(t), discovery: newFakeDiscovery(t)}
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -231,7 +231,7 @@
 			n.addr = ln.Addr().String()
 			ln.Close()
 			n.file = filepath.Join(t.TempDir(), "config.json")
-			n.write("")
+			n.writeStartupFile("")
 			read, write, err := os.Pipe()
 			if err != nil {
 				t.Fatal(err)
@@ -261,10 +261,10 @@
 			for i := range 600 { // each leaves some 200 bytes in the log; a pipe takes 64 KB
 				fmt.Fprintf(c, "POST /rpc/get HTTP/1.1\r\nRequest-Id: %016x\r\nReceived-At: %d\r\nSent-By: 1\r\n"+
 					"Footprint-Kb: 1\r\nBudget-Ms: 1\r\n\r\n", i+1, time.Now().UnixMilli())
-				gets(t, r, 503)
+				expectResponse(t, r, 503)
 			}
 			fmt.Fprintf(c, "GET /health HTTP/1.1\r\n\r\n")
-			gets(t, r, 200)
+			expectResponse(t, r, 200)
 		})
 	}
 }
--- a/internal/node/server/helper_test.go
+++ b/internal/node/server/helper_test.go
@@ -27,10 +27,10 @@
 const patience = 5 * time.Second
 
 var (
-	program    string
-	buildDir   string
-	steppedOne sync.Once
-	steppedErr error
+	program     string
+	buildDir    string
+	steppedOnce sync.Once
+	steppedErr  error
 )
 
 func TestMain(m *testing.M) {
@@ -61,36 +61,36 @@
 // steppedProgram is a build whose wall clock the test steps.
 func steppedProgram(t testing.TB) string {
 	file := filepath.Join(buildDir, "umberwinch-stepped")
-	steppedOne.Do(func() { steppedErr = buildProgram(file, "-tags", "steppedclock") })
+	steppedOnce.Do(func() { steppedErr = buildProgram(file, "-tags", "steppedclock") })
 	if steppedErr != nil {
 		t.Fatal(steppedErr)
 	}
 	return file
 }
 
-// feed is what one side has heard, in order.
-type feed struct {
-	mu   sync.Mutex
-	cond *sync.Cond
-	all  []string
-	at   int
+// lineRecorder is what one side has heard, in order.
+type lineRecorder struct {
+	mu       sync.Mutex
+	cond     *sync.Cond
+	lines    []string
+	nextLine int
 }
 
-func newFeed() *feed {
-	f := &feed{}
+func newLineRecorder() *lineRecorder {
+	f := &lineRecorder{}
 	f.cond = sync.NewCond(&f.mu)
 	return f
 }
 
-func (f *feed) add(line string) {
+func (f *lineRecorder) add(line string) {
 	f.mu.Lock()
-	f.all = append(f.all, line)
+	f.lines = append(f.lines, line)
 	f.cond.Broadcast()
 	f.mu.Unlock()
 }
 
-// until waits for ok to hold of what was heard.
-func (f *feed) until(ok func() bool) bool {
+// waitFor waits for ok to hold of what was heard.
+func (f *lineRecorder) waitFor(ok func() bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	end := time.Now().Add(patience)
@@ -106,12 +106,12 @@
 }
 
 // next is what is heard next and not to be passed over.
-func (f *feed) next(pass string) (line string, ok bool) {
-	ok = f.until(func() bool {
-		for ; f.at < len(f.all); f.at++ {
-			if f.all[f.at] != pass {
-				line = f.all[f.at]
-				f.at++
+func (f *lineRecorder) next(pass string) (line string, ok bool) {
+	ok = f.waitFor(func() bool {
+		for ; f.nextLine < len(f.lines); f.nextLine++ {
+			if f.lines[f.nextLine] != pass {
+				line = f.lines[f.nextLine]
+				f.nextLine++
 				return true
 			}
 		}
@@ -120,15 +120,15 @@
 	return line, ok
 }
 
-func (f *feed) count(prefix string) (n int) {
+func (f *lineRecorder) count(prefix string) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.tally(prefix)
+	return f.countLocked(prefix)
 }
 
-// tally is count for those that hold the lock already, as in until.
-func (f *feed) tally(prefix string) (n int) {
-	for _, l := range f.all {
+// countLocked is count for those that hold the lock already, as in until.
+func (f *lineRecorder) countLocked(prefix string) (n int) {
+	for _, l := range f.lines {
 		if strings.HasPrefix(l, prefix) {
 			n++
 		}
@@ -136,32 +136,32 @@
 	return n
 }
 
-// side is a stand-in that listens.
-type side struct {
-	*feed
-	t    testing.TB
-	ln   net.Listener
-	addr string
-	mu   sync.Mutex
-	c    net.Conn // the newest
-	open []net.Conn
-	on   map[string]net.Conn // the store's: which one a request's call came on; with ', the one before
-	talk func(net.Conn, *bufio.Reader)
-	mute bool // what it hears gets no answer
+// fakeServer is a stand-in that listens.
+type fakeServer struct {
+	*lineRecorder
+	t             testing.TB
+	ln            net.Listener
+	addr          string
+	mu            sync.Mutex
+	newest        net.Conn // the newest
+	conns         []net.Conn
+	connByRequest map[string]net.Conn // the store's: which one a request's call came on; with ', the one before
+	serveConn     func(net.Conn, *bufio.Reader)
+	unresponsive  bool // what it hears gets no answer
 }
 
-func newSide(t testing.TB, talk func(net.Conn, *bufio.Reader)) *side {
-	s := &side{feed: newFeed(), t: t, talk: talk, on: map[string]net.Conn{}}
+func newFakeServer(t testing.TB, talk func(net.Conn, *bufio.Reader)) *fakeServer {
+	s := &fakeServer{lineRecorder: newLineRecorder(), t: t, serveConn: talk, connByRequest: map[string]net.Conn{}}
 	return s
 }
 
-// listens starts it; what its talk refers to has to be there before.
-func (s *side) listens() {
-	s.up("127.0.0.1:0")
-	s.t.Cleanup(s.down)
+// start starts it; what its talk refers to has to be there before.
+func (s *fakeServer) start() {
+	s.listen("127.0.0.1:0")
+	s.t.Cleanup(s.stop)
 }
 
-func (s *side) up(addr string) {
+func (s *fakeServer) listen(addr string) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		s.t.Fatal(err)
@@ -174,38 +174,38 @@
 				return
 			}
 			s.mu.Lock()
-			s.c, s.open = c, append(s.open, c)
+			s.newest, s.conns = c, append(s.conns, c)
 			s.mu.Unlock()
-			go s.talk(c, bufio.NewReader(c))
+			go s.serveConn(c, bufio.NewReader(c))
 		}
 	}()
 }
 
-func (s *side) cut() {
+func (s *fakeServer) closeConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.open {
+	for _, c := range s.conns {
 		c.Close()
 	}
-	s.open = nil
+	s.conns = nil
 }
 
 // move has it listen elsewhere; what is open stays so.
-func (s *side) move() {
+func (s *fakeServer) move() {
 	s.ln.Close()
-	s.up("127.0.0.1:0")
+	s.listen("127.0.0.1:0")
 }
 
-func (s *side) down() {
+func (s *fakeServer) stop() {
 	s.ln.Close()
-	s.cut()
+	s.closeConns()
 }
 
 // writeTo writes on the connection that a request's last call came on; nothing to write resets it.
-func (s *side) writeTo(id, text string) {
+func (s *fakeServer) writeTo(id, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.on[id]
+	c := s.connByRequest[id]
 	if c == nil {
 		s.t.Fatalf("no call came for %s", id)
 	}
@@ -217,27 +217,27 @@
 	io.WriteString(c, text)
 }
 
-func (s *side) write(b []byte) {
+func (s *fakeServer) write(b []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.c != nil {
-		s.c.Write(b)
+	if s.newest != nil {
+		s.newest.Write(b)
 	}
 }
 
 // kernel is the stand-in for the kernel: it tells notices only as the test says, keeps them for new links,
 // and answers OPEN and SYSINFO by itself.
-type kernelSide struct {
-	*side
-	kept      [][]byte
-	on, links string // as the gauges read
-	late      bool   // BOOTED waits
-	silent    bool   // what is told is only kept, as if the link broke before it
+type fakeKernel struct {
+	*fakeServer
+	events                   [][]byte
+	coresWanted, connections string // as the gauges read
+	bootDelayed              bool   // BOOTED waits
+	unsentEvents             bool   // what is told is only kept, as if the link broke before it
 }
 
-func newKernel(t testing.TB) *kernelSide {
-	k := &kernelSide{on: "1", links: "3"}
-	k.side = newSide(t, func(c net.Conn, r *bufio.Reader) {
+func newFakeKernel(t testing.TB) *fakeKernel {
+	k := &fakeKernel{coresWanted: "1", connections: "3"}
+	k.fakeServer = newFakeServer(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			line, err := r.ReadBytes('\n')
 			if err != nil {
@@ -257,23 +257,23 @@
 			case "OPEN":
 				k.add(fmt.Sprintf("OPEN %d", m.Index))
 				k.mu.Lock()
-				if !k.late {
+				if !k.bootDelayed {
 					fmt.Fprintf(c, "{\"verb\":\"BOOTED\",\"outcome\":\"WARM\",\"spent\":1000}\n")
-					for _, n := range k.kept[min(m.Index, len(k.kept)):] {
+					for _, n := range k.events[min(m.Index, len(k.events)):] {
 						c.Write(n)
 					}
 				}
 				k.mu.Unlock()
 			case "SYSINFO":
 				k.mu.Lock()
-				if !k.mute {
+				if !k.unresponsive {
 					fmt.Fprintf(c, "{\"verb\":\"INFO\",\"nonce\":%q,\"readings\":[0.5,%s,0.1,%s]}\n",
-						m.Nonce, k.on, k.links)
+						m.Nonce, k.coresWanted, k.connections)
 				}
 				k.mu.Unlock()
 				k.add("SYSINFO")
 			default:
-				line := m.Verb + " " + short(m.Task)
+				line := m.Verb + " " + testID(m.Task)
 				if m.Handler != "" {
 					line += " " + m.Handler
 				}
@@ -287,26 +287,26 @@
 			}
 		}
 	})
-	k.listens()
+	k.start()
 	return k
 }
 
-// tell numbers, keeps and sends a notice.
-func (k *kernelSide) tell(verb, task, outcome, body string) {
+// sendEvent numbers, keeps and sends a notice.
+func (k *fakeKernel) sendEvent(verb, task, outcome, body string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := fmt.Sprintf("{\"verb\":%q,\"index\":%d,\"task\":%q,\"outcome\":%q,\"spent\":12.5,\"bytes\":%q}\n", verb,
-		len(k.kept)+1, long(task), outcome, base64.StdEncoding.EncodeToString([]byte(body)))
-	k.kept = append(k.kept, []byte(n))
-	if k.c != nil && !k.silent {
-		k.c.Write([]byte(n))
+		len(k.events)+1, wireID(task), outcome, base64.StdEncoding.EncodeToString([]byte(body)))
+	k.events = append(k.events, []byte(n))
+	if k.newest != nil && !k.unsentEvents {
+		k.newest.Write([]byte(n))
 	}
 }
 
-// newStore is the stand-in for the store.
-func newStore(t testing.TB) *side {
-	var s *side
-	s = newSide(t, func(c net.Conn, r *bufio.Reader) {
+// newFakeStore is the stand-in for the store.
+func newFakeStore(t testing.TB) *fakeServer {
+	var s *fakeServer
+	s = newFakeServer(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			line, err := r.ReadString('\n')
 			if err != nil {
@@ -323,25 +323,25 @@
 					t.Errorf("store reads %q %q: %v", line, body, err)
 				}
 				s.mu.Lock()
-				s.on[short(w[1])+"'"] = s.on[short(w[1])]
-				s.on[short(w[1])] = c
+				s.connByRequest[testID(w[1])+"'"] = s.connByRequest[testID(w[1])]
+				s.connByRequest[testID(w[1])] = c
 				s.mu.Unlock()
-				s.add("CALL " + short(w[1]) + " " + string(body[:n]))
+				s.add("CALL " + testID(w[1]) + " " + string(body[:n]))
 			case len(w) == 2 && w[0] == "DROP":
-				s.add("DROP " + short(w[1]))
+				s.add("DROP " + testID(w[1]))
 			default:
 				t.Errorf("store reads %q", line)
 			}
 		}
 	})
-	s.listens()
+	s.start()
 	return s
 }
 
-// newControl is the stand-in for service discovery.
-func newControl(t testing.TB) *side {
-	var s *side
-	s = newSide(t, func(c net.Conn, r *bufio.Reader) {
+// newFakeDiscovery is the stand-in for service discovery.
+func newFakeDiscovery(t testing.TB) *fakeServer {
+	var s *fakeServer
+	s = newFakeServer(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			q, err := http.ReadRequest(r)
 			if err != nil {
@@ -352,21 +352,21 @@
 				t.Errorf("control reads %s: %v", q.Method, err)
 			}
 			s.mu.Lock()
-			if !s.mute {
+			if !s.unresponsive {
 				io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n")
 			}
 			s.mu.Unlock()
 			s.add(q.URL.Path + " " + m.Condition)
 		}
 	})
-	s.listens()
+	s.start()
 	return s
 }
 
 // A test's ids are short numbers; on the wire they are 16 hex digits.
-func long(id string) string { return strings.Repeat("0", 16-len(id)) + id }
+func wireID(id string) string { return strings.Repeat("0", 16-len(id)) + id }
 
-func short(id string) string {
+func testID(id string) string {
 	if s := strings.TrimLeft(id, "0"); s != "" {
 		return s
 	}
@@ -375,18 +375,18 @@
 
 // node is the program with its stand-ins.
 type node struct {
-	t      testing.TB
-	addr   string
-	kernel *kernelSide
-	store  *side
-	ctl    *side
-	cmd    *exec.Cmd
-	log    *feed
-	ended  chan struct{}
-	err    error
-	file   string
-	own    string
-	set    map[string]string
+	t         testing.TB
+	addr      string
+	kernel    *fakeKernel
+	store     *fakeServer
+	discovery *fakeServer
+	cmd       *exec.Cmd
+	log       *lineRecorder
+	ended     chan struct{}
+	err       error
+	file      string
+	own       string
+	overrides map[string]string
 }
 
 func (n *node) writeOwn(text string) {
@@ -395,7 +395,7 @@
 	}
 }
 
-const family = `"family_info":{"below":"tier","cancel_seen":true,"cores":2,"degraded_worth":[0.5,0,0],
+const familyInfo = `"family_info":{"below":"tier","cancel_seen":true,"cores":2,"degraded_worth":[0.5,0,0],
  "fresh":%s,"idle":30000000,"key_kb":10,"memory_kb":50000,
  "meters":["core_use","on_cores","heap_share","links"],
  "preemption":"pause","run_factor":2,"say":"%s","senders":2}`
@@ -407,8 +407,8 @@
 
 // start starts the program; set has what differs from the usual: stop_ms, sockets, store=none and the like.
 func start(t testing.TB, set map[string]string) *node {
-	n := &node{t: t, set: set, kernel: newKernel(t), store: newStore(t), ctl: newControl(t)}
-	n.kernel.late = set["kernel"] == "late"
+	n := &node{t: t, overrides: set, kernel: newFakeKernel(t), store: newFakeStore(t), discovery: newFakeDiscovery(t)}
+	n.kernel.bootDelayed = set["kernel"] == "late"
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -416,7 +416,7 @@
 	n.addr = ln.Addr().String()
 	ln.Close()
 	n.file = filepath.Join(t.TempDir(), "config.json")
-	n.write("")
+	n.writeStartupFile("")
 	if own := set["own"]; own != "" { // the operator's file
 		n.own = filepath.Join(filepath.Dir(n.file), "node.ini")
 		n.writeOwn(strings.ReplaceAll(own, "DIR", filepath.Dir(n.file)))
@@ -429,11 +429,11 @@
 func (n *node) launch() {
 	t := n.t
 	file := program
-	if n.set["clock"] == "stepped" {
+	if n.overrides["clock"] == "stepped" {
 		file = steppedProgram(t)
 	}
-	n.cmd, n.log, n.ended = exec.Command(file), newFeed(), make(chan struct{})
-	n.cmd.Env = append(os.Environ(), "NODE_CONFIG="+n.file, "UMBERWINCH_LOG=debug", "UMBERWINCH_DIE_AT="+n.set["die"],
+	n.cmd, n.log, n.ended = exec.Command(file), newLineRecorder(), make(chan struct{})
+	n.cmd.Env = append(os.Environ(), "NODE_CONFIG="+n.file, "UMBERWINCH_LOG=debug", "UMBERWINCH_DIE_AT="+n.overrides["die"],
 		"UMBERWINCH_WALL_STEP="+n.stepFile())
 	if n.own != "" {
 		n.cmd.Env = append(n.cmd.Env, "UMBERWINCH_FILE="+n.own)
@@ -457,10 +457,10 @@
 		cmd.Process.Kill()
 		<-ended
 		if t.Failed() {
-			t.Logf("log:\n%s", strings.Join(log.all, "\n"))
+			t.Logf("log:\n%s", strings.Join(log.lines, "\n"))
 		}
 	})
-	if !n.kernel.late && !n.logged(`msg="kernel is up" `) {
+	if !n.kernel.bootDelayed && !n.logged(`msg="kernel is up" `) {
 		t.Fatal("the kernel is never up")
 	}
 }
@@ -468,10 +468,10 @@
 // stepFile holds how far the wall clock is from the true one.
 func (n *node) stepFile() string { return filepath.Join(filepath.Dir(n.file), "step") }
 
-// write writes the start-up file; what is not empty stands there instead of all that is right.
-func (n *node) write(instead string) {
+// writeStartupFile writes the start-up file; what is not empty stands there instead of all that is right.
+func (n *node) writeStartupFile(instead string) {
 	get := func(key, usual string) string {
-		if v, ok := n.set[key]; ok {
+		if v, ok := n.overrides[key]; ok {
 			return v
 		}
 		return usual
@@ -483,10 +483,10 @@
 	text := fmt.Sprintf(`{"name":"n3","listen":%q,"kernel":%q,"control":%q,"store":%q,"seed":"1","stop_ms":%s,
  "limits":{"cores":%s,"memory_mb":%s,"sockets":%s},"settings":{`+
 		strings.NewReplacer("GIVEUP", get("give_up", "6000000"), "WINDOW", get("window", "8000000"), "PROMISE",
-			get("promise", "2000000")).Replace(classes)+`,`+family+`,
+			get("promise", "2000000")).Replace(classes)+`,`+familyInfo+`,
  "customers":[{"name":"home","quota_per_s":5},{"name":"acme","quota_per_s":5}],
  "fleet_size":2,"granularity":2000,"invariants":{"drain_grace":500000,"fall_multiple":5},
- "limits":{"max_retry_after":1000000,"retry_after":true}}}`, n.addr, n.kernel.addr, n.ctl.addr, store,
+ "limits":{"max_retry_after":1000000,"retry_after":true}}}`, n.addr, n.kernel.addr, n.discovery.addr, store,
 		get("stop_ms", "3000"), get("cores", "1"), get("memory_mb", "64"), get("sockets", "256"), get("fresh", "0"),
 		get("say", "off"))
 	if instead != "" {
@@ -503,8 +503,8 @@
 
 // logged waits for a line of the program's log that has each of these texts.
 func (n *node) logged(texts ...string) bool {
-	return n.log.until(func() bool {
-		return slices.ContainsFunc(n.log.all, func(line string) bool {
+	return n.log.waitFor(func() bool {
+		return slices.ContainsFunc(n.log.lines, func(line string) bool {
 			return !slices.ContainsFunc(texts, func(text string) bool { return !strings.Contains(line+" ", text) })
 		})
 	})
@@ -530,10 +530,10 @@
 	}
 }
 
-// settled waits until the loop has run twice more, so that all it was to say on the kernel's link is said.
-func (n *node) settled() bool {
+// waitForKernelSync waits until the loop has run twice more, so that all it was to say on the kernel's link is said.
+func (n *node) waitForKernelSync() bool {
 	was := n.kernel.count("SYSINFO")
-	return n.kernel.until(func() bool { return n.kernel.tally("SYSINFO") >= was+3 })
+	return n.kernel.waitFor(func() bool { return n.kernel.countLocked("SYSINFO") >= was+3 })
 }
 
 // signal sends the program a signal and waits until the system has delivered it: two of a kind that wait are one.
--- a/internal/node/server/http_front_end.go
+++ b/internal/node/server/http_front_end.go
@@ -16,9 +16,9 @@
 
 // Reasons of bad requests that stand in no field of one; the others are rejections.
 const (
-	messageIncomplete = "a message was not complete in time"
-	notReadable       = "can't be parsed as a request"
-	notServed         = "unknown method or path"
+	reasonIncomplete = "a message was not complete in time"
+	reasonUnparsable = "can't be parsed as a request"
+	reasonNotServed  = "unknown method or path"
 )
 
 // messageReceived takes a message of a connection, or that what came is none. It waits while another is served.
@@ -62,7 +62,7 @@
 		l.checkHealth(c, &a)
 	case len(path) > len(handlerPrefix) && strings.HasPrefix(path, handlerPrefix) && method == methodPost:
 		if a.Status = l.receiveRequest(c, m, path[len(handlerPrefix):], &a); a.Status != wire.StatusBadRequest {
-			c.usage = usedForRequests
+			c.usage = usageRequests
 		}
 		if a.Status == 0 {
 			return
@@ -71,7 +71,7 @@
 	default:
 		a.Status = wire.StatusBadRequest
 		if log := l.countBadRequest(); log != nil {
-			log.WithFields(logrus.Fields{logging.Reason: notServed, logging.Method: method, logging.Path: path}).
+			log.WithFields(logrus.Fields{logging.Reason: reasonNotServed, logging.Method: method, logging.Path: path}).
 				Info(logBadRequest)
 		}
 	}
@@ -83,7 +83,7 @@
 // checkHealth answers a health check.
 func (l *loop) checkHealth(c *connection, a *wire.Response) {
 	l.counters.HealthChecks++
-	c.usage = max(c.usage, usedForChecks)
+	c.usage = max(c.usage, usageHealthChecks)
 	if a.Status = wire.StatusOK; !l.ready {
 		a.Status = wire.StatusServiceUnavailable
 	}
@@ -99,7 +99,7 @@
 		return a
 	}
 	if log := l.countBadRequest(); log != nil {
-		log.WithFields(logrus.Fields{logging.Reason: notReadable, logging.Error: err}).Info(logBadRequest)
+		log.WithFields(logrus.Fields{logging.Reason: reasonUnparsable, logging.Error: err}).Info(logBadRequest)
 	}
 	return wire.Response{Status: wire.StatusBadRequest, Close: true}
 }
--- a/internal/node/server/idempotency_table.go
+++ b/internal/node/server/idempotency_table.go
@@ -29,16 +29,16 @@
 // A result may be dropped early, when results come to more than their share of memory, but the key of a request that
 // ran never is: a repeat then gets an error, as it must not run.
 type idempotencyTable struct {
-	entries     table[idempotencyEntry]
-	byKey       map[string]handle
-	resultOrder []handle // entries with results, the oldest first
-	bytes       int
-	maxBytes    int
-	maxLateness admission.Time // a repeat may be read so long after it reached the machine
+	entries        table[idempotencyEntry]
+	byKey          map[string]handle
+	resultOrder    []handle // entries with results, the oldest first
+	resultBytes    int
+	maxResultBytes int
+	maxLateness    admission.Time // a repeat may be read so long after it reached the machine
 }
 
 func newIdempotencyTable(entries, bytes int, late admission.Time) idempotencyTable {
-	return idempotencyTable{entries: newTable[idempotencyEntry](entries), byKey: map[string]handle{}, maxBytes: bytes,
+	return idempotencyTable{entries: newTable[idempotencyEntry](entries), byKey: map[string]handle{}, maxResultBytes: bytes,
 		maxLateness: late}
 }
 
@@ -58,8 +58,8 @@
 	return k.entries.get(k.byKey[key])
 }
 
-// full tells whether the table might not hold the keys of one further round.
-func (k *idempotencyTable) full(round int) bool { return k.entries.used+round > k.entries.capacity }
+// isFull tells whether the table might not hold the keys of one further round.
+func (k *idempotencyTable) isFull(round int) bool { return k.entries.used+round > k.entries.capacity }
 
 // remember makes or renews the entry of a key, which passes to the request named.
 func (k *idempotencyTable) remember(key string, id uint32, until admission.Time, timers *timers) {
@@ -134,20 +134,20 @@
 	if e.state = entryFailed; ok {
 		e.state = entryDone
 		e.result, e.hasResult = append([]byte(nil), result...), true
-		k.bytes += len(result)
+		k.resultBytes += len(result)
 		k.resultOrder = append(k.resultOrder, k.byKey[key])
 	}
-	k.dropOldResults()
+	k.dropOldestResults()
 	return wait
 }
 
-// maxStaleResults bounds resultOrder, in entries of the table: what was dropped out of turn stays in it.
-const maxStaleResults = 4
+// maxResultOrderFactor bounds resultOrder, in entries of the table: what was dropped out of turn stays in it.
+const maxResultOrderFactor = 4
 
-// dropOldResults drops the oldest results while they take more than their share of memory. The keys stay: see row "kept
+// dropOldestResults drops the oldest results while they take more than their share of memory. The keys stay: see row "kept
 // result let go of for room" in docs/design/shutdown.md.
-func (k *idempotencyTable) dropOldResults() {
-	for k.bytes > k.maxBytes || len(k.resultOrder) > maxStaleResults*k.entries.capacity {
+func (k *idempotencyTable) dropOldestResults() {
+	for k.resultBytes > k.maxResultBytes || len(k.resultOrder) > maxResultOrderFactor*k.entries.capacity {
 		old := k.entries.get(k.resultOrder[0])
 		k.resultOrder = k.resultOrder[1:]
 		if old != nil {
@@ -159,7 +159,7 @@
 // dropResult drops the result of an entry, which stays.
 func (k *idempotencyTable) dropResult(e *idempotencyEntry) {
 	if e.hasResult {
-		k.bytes -= len(e.result)
+		k.resultBytes -= len(e.result)
 		e.result, e.hasResult = nil, false
 	}
 }
--- a/internal/node/server/lifecycle.go
+++ b/internal/node/server/lifecycle.go
@@ -178,9 +178,9 @@
 // isToldToStop tells whether the run was told to stop, and not to go on since.
 func (s *lifecycle) isToldToStop() bool { return s.run == runStopping || s.run == runStopped }
 
-// isHeldBack tells whether the kernel has not been told of the run yet, as its intent is not on disk: a stop is told
+// awaitsIntent tells whether the kernel has not been told of the run yet, as its intent is not on disk: a stop is told
 // with it.
-func (s *lifecycle) isHeldBack() bool { return s.disk == intentPending }
+func (s *lifecycle) awaitsIntent() bool { return s.disk == intentPending }
 
 // mayStart tells whether Run may start the request, or start it again after a stop.
 func (s *lifecycle) mayStart() bool { return s.run == runNotStarted || s.isToldToStop() }
@@ -219,8 +219,8 @@
 	s.setRun(runFinished)
 }
 
-// runOutcomeAnswers tells whether the end of a run is a response: that it stopped when it was
+// outcomeIsResponse tells whether the end of a run is a response: that it stopped when it was
 // told to is none.
-func (s *lifecycle) runOutcomeAnswers(outcome admission.Outcome) bool {
+func (s *lifecycle) outcomeIsResponse(outcome admission.Outcome) bool {
 	return outcome != admission.Stopped || !s.isToldToStop()
 }
--- a/internal/node/server/lifecycle_test.go
+++ b/internal/node/server/lifecycle_test.go
@@ -60,8 +60,8 @@
 			if wrongTransition(func() { s.setDisk(to) }) == allowed {
 				t.Errorf("from %d to %d: expected that it is allowed: %v", from, to, allowed)
 			}
-			if s := (lifecycle{disk: from}); s.isHeldBack() != (from == intentPending) {
-				t.Errorf("%d: held back %v", from, s.isHeldBack())
+			if s := (lifecycle{disk: from}); s.awaitsIntent() != (from == intentPending) {
+				t.Errorf("%d: held back %v", from, s.awaitsIntent())
 			}
 		}
 	}
--- a/internal/node/server/limits.go
+++ b/internal/node/server/limits.go
@@ -15,18 +15,18 @@
 	MemoryMB int // MiB
 
 	// Counts. Each bounds what clients or other servers can make this one hold.
-	Connections      int // connections of clients at one time
-	EvictAbove       int // connections from which on those of least use are closed for further ones
-	StoreConnections int // connections to the store
-	Pipelined        int // requests read from one connection and not begun yet
-	Requests         int // requests in hand
-	IdempotencyKeys  int // keys known
-	Buffers          int // buffers in use for what is read
-	Workers          int // goroutines kept for work on connections
-	EventQueue       int // events handed over and not taken yet
-	EventsPerRound   int // events taken into one round
-	LinkQueue        int // buffers waiting to go out on a link
-	ConnectionQueue  int // buffers waiting to go out on a client's connection
+	Connections       int // connections of clients at one time
+	EvictionThreshold int // connections from which on those of least use are closed for further ones
+	StoreConnections  int // connections to the store
+	Pipelined         int // requests read from one connection and not begun yet
+	Requests          int // requests in hand
+	IdempotencyKeys   int // keys known
+	Buffers           int // buffers in use for what is read
+	Workers           int // goroutines kept for work on connections
+	EventQueue        int // events handed over and not taken yet
+	EventsPerRound    int // events taken into one round
+	LinkQueue         int // buffers waiting to go out on a link
+	ConnectionQueue   int // buffers waiting to go out on a client's connection
 
 	// Sizes in bytes.
 	DiscardBytes  int         // passed over after a bad message, for its sender to read the response
@@ -35,10 +35,10 @@
 	LinkBounds    wire.Bounds // of a message of the kernel, the store or service discovery
 
 	// Times outside the loop.
-	DialTimeout   time.Duration // a dial takes no longer
-	ListenTimeout time.Duration // an address that can't be had yet is tried for so long
-	AcceptPause   time.Duration // accepting waits so long when the system has no descriptor left
-	WriteTimeout  time.Duration // a peer that takes nothing for so long is given up
+	DialTimeout      time.Duration // a dial takes no longer
+	ListenTimeout    time.Duration // an address that can't be had yet is tried for so long
+	AcceptRetryDelay time.Duration // accepting waits so long when the system has no descriptor left
+	WriteTimeout     time.Duration // a peer that takes nothing for so long is given up
 
 	// Times of the loop.
 	GaugesTimeout          admission.Time // a wake-up waits at most so long for its gauges
@@ -57,8 +57,8 @@
 	MinBackoff             admission.Time // first wait before a link is dialled again, which doubles
 	MaxBackoff             admission.Time // longest such wait
 	KillMargin             admission.Time // the controller is told of a kill so much earlier
-	DrainQuiet             admission.Time // without a request for so long, no client sends here any more
-	CrossingGrace          admission.Time // what crosses the close of a connection may come so late
+	DrainQuietPeriod       admission.Time // without a request for so long, no client sends here any more
+	InFlightGrace          admission.Time // what crosses the close of a connection may come so late
 	LogInterval            admission.Time // of lines beyond a few, their number is written so often
 }
 
@@ -69,35 +69,35 @@
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 
-	// keyBytes is what an idempotency key takes in memory.
-	keyBytes = 256
-	// keysMemory and resultsMemory are the parts of the memory for keys and for results: one twelfth each, so that
+	// idempotencyKeyBytes is what an idempotency key takes in memory.
+	idempotencyKeyBytes = 256
+	// keysMemoryDivisor and resultsMemoryDivisor are the parts of the memory for keys and for results: one twelfth each, so that
 	// connections and buffers have the rest.
-	keysMemory, resultsMemory = 12, 12
-	// buffersMemory is the part for messages: a quarter has one for each connection and its request several times over.
-	buffersMemory = 4
-	// connectionsMemory is the part that connections may take at most, with buffersPerConnection: two of netpoll's and
+	keysMemoryDivisor, resultsMemoryDivisor = 12, 12
+	// buffersMemoryDivisor is the part for messages: a quarter has one for each connection and its request several times over.
+	buffersMemoryDivisor = 4
+	// connectionsMemoryDivisor is the part that connections may take at most, with buffersPerConnection: two of netpoll's and
 	// one of this package's.
-	connectionsMemory, buffersPerConnection = 2, 3
+	connectionsMemoryDivisor, buffersPerConnection = 2, 3
 
 	// minConnections are held however little the machine allows: clients, health checks and an operator.
 	minConnections = 8
-	// ownDescriptors are kept back for the links, each twice while it is opened again, listener, pollers and standard
+	// reservedDescriptors are kept back for the links, each twice while it is opened again, listener, pollers and standard
 	// streams.
-	ownDescriptors = 24
-	// storeDescriptors is the part of all descriptors for connections to the store.
-	storeDescriptors = 8
+	reservedDescriptors = 24
+	// storeDescriptorsDivisor is the part of all descriptors for connections to the store.
+	storeDescriptorsDivisor = 8
 	// minStoreConnections let one call go on beside another that hangs; maxStoreConnections are more than a node runs
 	// at one time, so that each call has a connection to itself.
 	minStoreConnections, maxStoreConnections = 2, 64
-	// evictionReserve is the part of all connections that stays free for new ones: an eighth takes a burst of clients
+	// evictionReserveDivisor is the part of all connections that stays free for new ones: an eighth takes a burst of clients
 	// in while the idle ones are closed.
-	evictionReserve = 8
+	evictionReserveDivisor = 8
 
-	// killMarginBase and killMarginWork are how long the last responses take to go out: a base, and the work of one
+	// killMarginBase and killMarginCoreTime are how long the last responses take to go out: a base, and the work of one
 	// collection, which takes so much longer the less of a core there is, but not for less than minCoreShare.
-	killMarginBase, killMarginWork = 30 * ms, 8 * ms
-	minCoreShare                   = 0.02
+	killMarginBase, killMarginCoreTime = 30 * ms, 8 * ms
+	minCoreShare                       = 0.02
 )
 
 // NewLimits derives the bounds from what the machine allows: cores, memory in MiB and descriptors; 0 stands for what is
@@ -114,19 +114,19 @@
 	l.setFixedCounts()
 	l.setFixedTimes()
 	// Clients use up to half of all descriptors, so no more than that is kept back.
-	keptBack := min(ownDescriptors+sockets/storeDescriptors, sockets/2)
-	inMemory := memory / connectionsMemory / (buffersPerConnection * bufferBytes)
+	keptBack := min(reservedDescriptors+sockets/storeDescriptorsDivisor, sockets/2)
+	inMemory := memory / connectionsMemoryDivisor / (buffersPerConnection * bufferBytes)
 	l.Connections = max(min(sockets-keptBack, inMemory), minConnections)
-	l.EvictAbove = l.Connections - max(l.Connections/evictionReserve, 1)
-	l.StoreConnections = min(max(sockets/storeDescriptors, minStoreConnections), maxStoreConnections)
+	l.EvictionThreshold = l.Connections - max(l.Connections/evictionReserveDivisor, 1)
+	l.StoreConnections = min(max(sockets/storeDescriptorsDivisor, minStoreConnections), maxStoreConnections)
 	// A request outlives its connection while it still runs: twice the connections, within what handles can name.
 	l.Requests = min(2*l.Connections, maxSlots)
-	l.IdempotencyKeys = memory / keysMemory / keyBytes
-	l.ResultBytes = memory / resultsMemory
-	l.Buffers = memory / buffersMemory / bufferBytes
+	l.IdempotencyKeys = memory / keysMemoryDivisor / idempotencyKeyBytes
+	l.ResultBytes = memory / resultsMemoryDivisor
+	l.Buffers = memory / buffersMemoryDivisor / bufferBytes
 	// Guards against a kill with a response unsent, see row "kill near" in docs/design/shutdown.md. Longer takes from
 	// the drain, in which little runs by then.
-	l.KillMargin = killMarginBase + admission.Time(float64(killMarginWork)/min(max(cores, minCoreShare), 1))
+	l.KillMargin = killMarginBase + admission.Time(float64(killMarginCoreTime)/min(max(cores, minCoreShare), 1))
 	return l
 }
 
@@ -159,7 +159,7 @@
 	// A node has to be ready within 30 s of its start; the rest is for the kernel.
 	l.ListenTimeout = 10 * time.Second
 	// Descriptors come free in milliseconds, with the next connection that closes.
-	l.AcceptPause = 10 * time.Millisecond
+	l.AcceptRetryDelay = 10 * time.Millisecond
 	// Past a client's patience for its response; shorter would cut off one whose machine stands still for a while.
 	l.WriteTimeout = 3 * time.Second
 
@@ -192,9 +192,9 @@
 	// A process that restarts is back within some of these; a longer wait would be time without its service.
 	l.MinBackoff, l.MaxBackoff = 20*ms, 500*ms
 	// Clients that know this server send within this time, or have learned that it leaves.
-	l.DrainQuiet = 1500 * ms
+	l.DrainQuietPeriod = 1500 * ms
 	// A request that was on its way when the connection was closed is here by then.
-	l.CrossingGrace = 120 * ms
+	l.InFlightGrace = 120 * ms
 	// One line a second on what was left out is enough to see that something was.
 	l.LogInterval = admission.Second
 }
--- a/internal/node/server/listener.go
+++ b/internal/node/server/listener.go
@@ -15,16 +15,16 @@
 // that stops all reading: netpoll's own server accepts on its poller, and whatever waits there keeps every other
 // connection and the links waiting too. See row "full table" in docs/design/shutdown.md.
 type listener struct {
-	file   *os.File // a non-blocking duplicate of the socket; its Fd method would make it block
-	raw    syscall.RawConn
-	accept func(fd int) (int, error) // accept4, or what a test has in its place
-	pause  time.Duration             // between tries while the system has no descriptor or memory left
+	file       *os.File // a non-blocking duplicate of the socket; its Fd method would make it block
+	raw        syscall.RawConn
+	accept     func(fd int) (int, error) // accept4, or what a test has in its place
+	retryDelay time.Duration             // between tries while the system has no descriptor or memory left
 
-	mu       sync.Mutex
-	room     *sync.Cond
-	open     int
-	limit    int
-	stopping bool
+	mu              sync.Mutex
+	slotFreed       *sync.Cond
+	openConnections int
+	maxConnections  int
+	stopping        bool
 }
 
 // newListener opens a socket that listens on an address.
@@ -42,31 +42,31 @@
 	if err != nil {
 		return nil, errors.Join(err, file.Close())
 	}
-	ln := &listener{file: file, raw: raw, accept: acceptNonblocking, pause: pause, limit: limit}
-	ln.room = sync.NewCond(&ln.mu)
+	ln := &listener{file: file, raw: raw, accept: acceptNonblocking, retryDelay: pause, maxConnections: limit}
+	ln.slotFreed = sync.NewCond(&ln.mu)
 	return ln, nil
 }
 
-// listenPatiently tries again for ListenTimeout where the system can't open the socket at the moment. Guards against a
+// listenWithRetry tries again for ListenTimeout where the system can't open the socket at the moment. Guards against a
 // restart that fails while the process before still holds the address, or no descriptor or memory is left. It holds for
 // as long as a process may take to end. warn hears of the first error. See row "socket, bind, listen: EADDRINUSE,
 // EADDRNOTAVAIL, EMFILE, ENFILE, ENOBUFS, ENOMEM" in docs/design/failures.md.
-func listenPatiently(address string, lim Limits, warn func(error)) (*listener, error) {
+func listenWithRetry(address string, lim Limits, warn func(error)) (*listener, error) {
 	started := time.Now()
 	for try := 0; ; try++ {
-		ln, err := newListener(address, lim.Connections, lim.AcceptPause)
-		if err == nil || !mayListenLater(err) || time.Since(started) >= lim.ListenTimeout {
+		ln, err := newListener(address, lim.Connections, lim.AcceptRetryDelay)
+		if err == nil || !isRetryableListenError(err) || time.Since(started) >= lim.ListenTimeout {
 			return ln, err
 		}
 		if try == 0 {
 			warn(err)
 		}
-		time.Sleep(lim.AcceptPause)
+		time.Sleep(lim.AcceptRetryDelay)
 	}
 }
 
-// mayListenLater tells errors of opening a listening socket that may pass.
-func mayListenLater(err error) bool {
+// isRetryableListenError tells errors of opening a listening socket that may pass.
+func isRetryableListenError(err error) bool {
 	for _, passing := range []error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE,
 		syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN} {
 		if errors.Is(err, passing) {
@@ -88,14 +88,14 @@
 func (ln *listener) run(enter func(fd int), warn func(error)) {
 	var last error
 	for {
-		ln.reserve()
-		fd, err := ln.next()
+		ln.acquireSlot()
+		fd, err := ln.acceptNext()
 		if err == nil {
 			last = nil
 			enter(fd)
 			continue
 		}
-		ln.release()
+		ln.releaseSlot()
 		if errors.Is(err, errBacklogEmpty) {
 			_ = ln.file.Close() // nothing is read or written by it
 			return
@@ -107,7 +107,7 @@
 			warn(err)
 		}
 		last = err
-		time.Sleep(ln.pause)
+		time.Sleep(ln.retryDelay)
 	}
 }
 
@@ -119,8 +119,8 @@
 	return errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ECONNABORTED)
 }
 
-// next waits for a connection; once the listener is stopping it only takes those that are complete.
-func (ln *listener) next() (fd int, err error) {
+// acceptNext waits for a connection; once the listener is stopping it only takes those that are complete.
+func (ln *listener) acceptNext() (fd int, err error) {
 	waitErr := ln.raw.Read(func(listening uintptr) bool {
 		fd, err = ln.accept(int(listening))
 		return err != syscall.EAGAIN
@@ -153,20 +153,20 @@
 	_ = ln.file.SetReadDeadline(time.Now().Add(-time.Second)) // it is past, so that run wakes
 }
 
-// reserve takes a place, and waits while none is free.
-func (ln *listener) reserve() {
+// acquireSlot takes a place, and waits while none is free.
+func (ln *listener) acquireSlot() {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
-	for ln.open >= ln.limit {
-		ln.room.Wait()
+	for ln.openConnections >= ln.maxConnections {
+		ln.slotFreed.Wait()
 	}
-	ln.open++
+	ln.openConnections++
 }
 
-// release gives a place back.
-func (ln *listener) release() {
+// releaseSlot gives a place back.
+func (ln *listener) releaseSlot() {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
-	ln.open--
-	ln.room.Signal()
+	ln.openConnections--
+	ln.slotFreed.Signal()
 }
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -65,9 +65,9 @@
 // clients is what is known of clients' connections.
 type clients struct {
 	listener       *listener
-	accepts        bool // the listener is open
+	accepting      bool // the listener is open
 	connections    table[connection]
-	idleClose      admission.Time // connections idle for so long are closed
+	idleTimeout    admission.Time // connections idle for so long are closed
 	lastRequest    admission.Time // when the last one was read
 	lastConnection admission.Time // when the last one was opened: its first request may be on its way
 }
@@ -118,8 +118,8 @@
 	l.timers.set(l.now, timerReport, 0)
 	l.timers.set(l.now+l.limits.SweepInterval, timerSweep, 0)
 	for !l.finished() {
-		l.awaitEvent()
-		l.takeWaitingEvents()
+		l.waitForEvent()
+		l.handleQueuedEvents()
 		l.fireTimers()
 		l.fleet.tick()
 		l.decide()
@@ -130,8 +130,8 @@
 	l.logPools()
 }
 
-// awaitEvent waits for the next event, which it handles, or the next timer.
-func (l *loop) awaitEvent() {
+// waitForEvent waits for the next event, which it handles, or the next timer.
+func (l *loop) waitForEvent() {
 	wait := time.Hour
 	if at, ok := l.timers.first(); ok {
 		wait = durationOf(at) - l.clock.Now()
@@ -147,9 +147,9 @@
 	}
 }
 
-// takeWaitingEvents handles what waits already, so that one round decides on all of it. The bound keeps a round short
+// handleQueuedEvents handles what waits already, so that one round decides on all of it. The bound keeps a round short
 // while events come faster than they are handled.
-func (l *loop) takeWaitingEvents() {
+func (l *loop) handleQueuedEvents() {
 	for n := 1; n < l.limits.EventsPerRound && len(l.events) > 0; n++ {
 		l.handle(<-l.events)
 	}
--- a/internal/node/server/pools.go
+++ b/internal/node/server/pools.go
@@ -69,8 +69,8 @@
 	l.startup.own = next.own
 }
 
-// noLimit is from where a pool's limit is none.
-const noLimit = 1 << 20
+// unlimitedSlots is from where a pool's limit is none.
+const unlimitedSlots = 1 << 20
 
 // logPools logs each pool.
 func (l *loop) logPools() {
@@ -79,7 +79,7 @@
 	}
 	for _, v := range l.pools.Status() {
 		limit := "none"
-		if v.Limit < noLimit {
+		if v.Limit < unlimitedSlots {
 			limit = fmt.Sprintf("%.1f", v.Limit)
 		}
 		l.log.WithFields(logrus.Fields{logging.Class: v.Name, logging.Limit: limit, logging.Reason: v.Reason,
--- a/internal/node/server/reload.go
+++ b/internal/node/server/reload.go
@@ -16,7 +16,7 @@
 		return
 	}
 	l.counters.Reloads++
-	if keys := l.startup.fixed(c); keys != "" {
+	if keys := l.startup.changedFixedKeys(c); keys != "" {
 		l.log.WithField(logging.FileKeys, keys).Warn(logStartupKeysKept)
 	}
 	l.log.WithFields(logrus.Fields{logging.KernelAddress: c.Kernel, logging.StoreAddress: c.Store,
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -91,7 +91,7 @@
 		// The kernel refused the run: what it names is the client's mistake, see commandRefused. Where the result
 		// keeper ended a run before its start the client has its answer already.
 		l.answer(h, r, wire.Response{Status: wire.StatusBadRequest})
-	case r.runOutcomeAnswers(how):
+	case r.outcomeIsResponse(how):
 		l.answer(h, r, wire.Response{Status: wire.StatusInternalServerError})
 	}
 	for _, k := range waiters {
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -21,35 +21,35 @@
 	notRejected rejection = iota
 	unknownHandler
 	fieldMissing
-	stampTooFarOff
+	timestampOutOfRange
 	unknownTenant
 	kernelNotUp
 	nodeFenced
 	handlerRetired
 	rejectedByZone
 	idempotencyTableFull
-	sameIDInHand
+	duplicateRequestID
 	requestTableFull
-	rejections
+	numRejections
 )
 
 // rejectionTable has the name of each rejection, for logs, and the status that it is answered with. 400 is the client's
 // mistake; after 503 another server may have the request, as nothing of it ran; after 500 none may.
-var rejectionTable = [rejections]struct {
+var rejectionTable = [numRejections]struct {
 	name   string
 	status int
 }{
 	notRejected:          {"not rejected", 0},
 	unknownHandler:       {"unknown handler", wire.StatusBadRequest},
 	fieldMissing:         {"field missing", wire.StatusBadRequest},
-	stampTooFarOff:       {"stamp too far off", wire.StatusBadRequest},
+	timestampOutOfRange:  {"stamp too far off", wire.StatusBadRequest},
 	unknownTenant:        {"unknown tenant", wire.StatusBadRequest},
 	kernelNotUp:          {"kernel not up", wire.StatusServiceUnavailable},
 	nodeFenced:           {"node fenced", wire.StatusServiceUnavailable},
 	handlerRetired:       {"handler retired", wire.StatusServiceUnavailable},
 	rejectedByZone:       {"over zone quota", wire.StatusServiceUnavailable},
 	idempotencyTableFull: {"idempotency table full", wire.StatusServiceUnavailable},
-	sameIDInHand:         {"same id in hand", wire.StatusInternalServerError},
+	duplicateRequestID:   {"same id in hand", wire.StatusInternalServerError},
 	requestTableFull:     {"request table full", wire.StatusServiceUnavailable},
 }
 
@@ -68,7 +68,7 @@
 	knownTenant  bool
 	// The times between which it reached the machine; they differ where the wall clock was stepped.
 	earliest, latest admission.Time
-	knownTime        bool
+	validTimestamp   bool
 	key              string // shared with its repeats
 }
 
@@ -77,10 +77,10 @@
 func (l *loop) receiveRequest(c *connection, e *requestRead, handlerName string, response *wire.Response) (status int) {
 	a := l.identify(&e.request, handlerName)
 	if why := l.checkRequest(&a, response); why != notRejected {
-		l.noteRejection(&a, why)
+		l.recordRejection(&a, why)
 		return why.status()
 	}
-	l.forgetAbandoned(a.ID)
+	l.replaceAbandoned(a.ID)
 	h, r, _ := l.requests.take() // checkRequest found a free slot
 	l.fillRequest(r, e, &a)
 	c.current = h
@@ -103,7 +103,7 @@
 	a := arrivingRequest{Request: q, handlerName: handlerName}
 	a.handler, a.knownHandler = l.handlerNamed(handlerName)
 	a.tenant, a.knownTenant = l.settings.TenantIndex[string(q.Tenant)]
-	a.earliest, a.latest, a.knownTime = l.placeStamp(q.ReceivedAtMS)
+	a.earliest, a.latest, a.validTimestamp = l.placeStamp(q.ReceivedAtMS)
 	return a
 }
 
@@ -116,8 +116,8 @@
 		return unknownHandler
 	case l.missesField(a):
 		return fieldMissing
-	case !a.knownTime:
-		return stampTooFarOff
+	case !a.validTimestamp:
+		return timestampOutOfRange
 	case len(a.Tenant) > 0 && !a.knownTenant && len(l.settings.TenantIndex) > 0:
 		return unknownTenant
 	case l.controller == nil:
@@ -128,11 +128,11 @@
 		return why
 	}
 	switch {
-	case l.hasIdempotencyKey(a.handler) && l.idempotency.full(l.limits.EventsPerRound) &&
+	case l.hasIdempotencyKey(a.handler) && l.idempotency.isFull(l.limits.EventsPerRound) &&
 		l.idempotency.find(a.key) == nil:
 		return idempotencyTableFull // it could not be told from its repeats
-	case l.idInHand(a.ID):
-		return sameIDInHand
+	case l.isRequestIDInFlight(a.ID):
+		return duplicateRequestID
 	case l.requests.full():
 		return requestTableFull
 	}
@@ -148,26 +148,26 @@
 	return c.settings.Deployment.Handlers[handler].RetrySafety == admission.IdempotencyKeyed
 }
 
-// idInHand tells whether an unfinished request has this id. The second is answered 500 also while the first is queued,
-// as that may run yet. One that never ran and whose client is gone makes room, see forgetAbandoned.
-func (in *requestsInHand) idInHand(id []byte) bool {
+// isRequestIDInFlight tells whether an unfinished request has this id. The second is answered 500 also while the first is queued,
+// as that may run yet. One that never ran and whose client is gone makes room, see replaceAbandoned.
+func (in *requestsInHand) isRequestIDInFlight(id []byte) bool {
 	_, old := in.findRequest(id)
 	return old != nil && !(old.isAbandoned() && old.run == runNotStarted)
 }
 
-// forgetAbandoned lets a request of the same id, whose client is gone and which never ran, make room for the one that
+// replaceAbandoned lets a request of the same id, whose client is gone and which never ran, make room for the one that
 // comes now.
-func (in *requestsInHand) forgetAbandoned(id []byte) {
+func (in *requestsInHand) replaceAbandoned(id []byte) {
 	if h, old := in.findRequest(id); old != nil {
 		delete(in.byRequestID, old.id)
 		in.maybeFinished = append(in.maybeFinished, h)
 	}
 }
 
-// noteRejection counts and logs a request that is its client's mistake, and traces each that does not reach the
+// recordRejection counts and logs a request that is its client's mistake, and traces each that does not reach the
 // controller. A 503 or 500 has its reason in the trace alone, at debug level; of these just fencing and the zone's
 // quota have counters.
-func (l *loop) noteRejection(a *arrivingRequest, why rejection) {
+func (l *loop) recordRejection(a *arrivingRequest, why rejection) {
 	if l.debug {
 		l.traceWith(string(a.ID), traceRejected, logrus.Fields{logging.Reason: why.String()})
 	}
@@ -182,7 +182,7 @@
 	switch why {
 	case unknownHandler:
 		fields[logging.Class] = a.handlerName
-	case stampTooFarOff:
+	case timestampOutOfRange:
 		fields[logging.ReceivedAtMS] = a.ReceivedAtMS
 	case unknownTenant:
 		fields[logging.Tenant] = string(a.Tenant)
@@ -192,7 +192,7 @@
 
 func (l *loop) fillRequest(r *request, e *requestRead, a *arrivingRequest) {
 	*r = request{id: string(a.ID), connection: e.peer.handle, closeAfter: a.Close, handler: a.handler, buf: e.buffer,
-		body: a.Body, key: a.key, earliestArrival: a.earliest, arrival: a.latest, deadline: l.statedDeadline(a)}
+		body: a.Body, key: a.key, earliestArrival: a.earliest, arrival: a.latest, deadline: l.explicitDeadline(a)}
 	if r.deadline == 0 {
 		r.deadline = a.latest + l.settings.Deployment.Handlers[a.handler].Timeout
 	}
@@ -201,10 +201,10 @@
 	}
 }
 
-// statedDeadline is the deadline that the controller is told; 0 leaves it to the handler's timeout. Where the wall
+// explicitDeadline is the deadline that the controller is told; 0 leaves it to the handler's timeout. Where the wall
 // clock was stepped and two times of arrival are possible, the earlier one counts for the deadline and for whom the
 // request repeats, the later one for how long its key is kept and for the grace of a drain.
-func (l *loop) statedDeadline(a *arrivingRequest) admission.Time {
+func (l *loop) explicitDeadline(a *arrivingRequest) admission.Time {
 	switch {
 	case a.HasTimeout:
 		return a.earliest + admission.Time(a.TimeoutMS*unitsPerMS)
@@ -217,7 +217,7 @@
 // submitOrIntercept has the controller hear of a request, unless the result keeper answers it or holds it back.
 func (l *loop) submitOrIntercept(h handle, r *request, a *arrivingRequest) {
 	submission := admission.Request{ID: uint32(h), Handler: a.handler, Tenant: a.tenant, ArrivedAt: a.latest,
-		Deadline: l.statedDeadline(a), ExpectedWork: admission.Time(a.ExpectedWorkMS * unitsPerMS),
+		Deadline: l.explicitDeadline(a), ExpectedWork: admission.Time(a.ExpectedWorkMS * unitsPerMS),
 		SizeKB: a.FootprintKB, IsRetry: a.IsRetry, Caller: a.Caller}
 	if r.keyed != nil {
 		r.keyed.submission = submission
--- a/internal/node/server/request_arrival_test.go
+++ b/internal/node/server/request_arrival_test.go
@@ -16,7 +16,7 @@
 // without a name could not be told from others in the log.
 func TestEachRejectionHasAStatus(t *testing.T) {
 	names := map[string]bool{}
-	for why := notRejected + 1; why < rejections; why++ {
+	for why := notRejected + 1; why < numRejections; why++ {
 		if why.status() == 0 {
 			t.Errorf("rejection %d has no status", why)
 		}
@@ -46,7 +46,7 @@
 
 // newArrival is a request that passes every check of that loop.
 func newArrival() wire.Request {
-	return wire.Request{ID: []byte(long("1")), Tenant: []byte("home"), ReceivedAtMS: time.Now().UnixMilli(),
+	return wire.Request{ID: []byte(wireID("1")), Tenant: []byte("home"), ReceivedAtMS: time.Now().UnixMilli(),
 		HasCaller: true, FootprintKB: 1, IdempotencyKey: []byte("k")}
 }
 
@@ -59,11 +59,11 @@
 		spoil func(l *loop, q *wire.Request)
 	}{
 		{requestTableFull, func(l *loop, _ *wire.Request) { l.requests.take() }},
-		{sameIDInHand, func(l *loop, q *wire.Request) { l.byRequestID[string(q.ID)], _ = l.requests.next(0) }},
+		{duplicateRequestID, func(l *loop, q *wire.Request) { l.byRequestID[string(q.ID)], _ = l.requests.next(0) }},
 		{idempotencyTableFull, func(l *loop, _ *wire.Request) { l.idempotency.entries.capacity = 0 }},
 		{kernelNotUp, func(l *loop, _ *wire.Request) { l.controller = nil }},
 		{unknownTenant, func(_ *loop, q *wire.Request) { q.Tenant = []byte("nobody") }},
-		{stampTooFarOff, func(_ *loop, q *wire.Request) { q.ReceivedAtMS += time.Hour.Milliseconds() }},
+		{timestampOutOfRange, func(_ *loop, q *wire.Request) { q.ReceivedAtMS += time.Hour.Milliseconds() }},
 		{fieldMissing, func(_ *loop, q *wire.Request) { q.IdempotencyKey = nil }},
 		{unknownHandler, func(l *loop, _ *wire.Request) { l.settings.HandlerIndex = nil }},
 	}
--- a/internal/node/server/request_bench_test.go
+++ b/internal/node/server/request_bench_test.go
@@ -16,11 +16,11 @@
 	"umberwinch/internal/node/wire"
 )
 
-// swallowing is a connection whose other side takes everything at once.
-type swallowing struct{ netpoll.Connection }
+// discardingConn is a connection whose other side takes everything at once.
+type discardingConn struct{ netpoll.Connection }
 
-func (swallowing) Write(b []byte) (int, error) { return len(b), nil }
-func (swallowing) Close() error                { return nil }
+func (discardingConn) Write(b []byte) (int, error) { return len(b), nil }
+func (discardingConn) Close() error                { return nil }
 
 // newBenchLoop is a loop whose kernel is up, with one client's connection and no sockets.
 func newBenchLoop(b *testing.B) (*loop, *peer) {
@@ -37,12 +37,12 @@
 	limits := NewLimits(2, 64, 256)
 	l := newLoop(&Node{Name: "n1", StopMS: 3000, settings: startup}, limits, log, newWorkers(limits.Workers))
 	d := &dialed{peer: peerKernel}
-	d.writer = &writer{conn: swallowing{}, pool: &l.pool, workers: l.workers, busy: &l.busy}
+	d.writer = &writer{conn: discardingConn{}, pool: &l.pool, workers: l.workers, busy: &l.busy}
 	l.kernel.dialed, l.kernel.state = d, kernelLive
 	l.controller = admission.New(l.settings.Deployment)
 	h, c, _ := l.connections.take()
 	p := &peer{handle: h}
-	p.writer = writer{conn: swallowing{}, pool: &l.pool, workers: l.workers, busy: &l.busy, sendsResponses: true}
+	p.writer = writer{conn: discardingConn{}, pool: &l.pool, workers: l.workers, busy: &l.busy, sendsResponses: true}
 	c.peer, c.openedAt, c.lastActive = p, l.now, l.now
 	return l, p
 }
--- a/internal/node/server/run.go
+++ b/internal/node/server/run.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// heapTenths of the memory that the process may use are given to Go's heap: the rest is for stacks, what the system
+	// heapShareTenths of the memory that the process may use are given to Go's heap: the rest is for stacks, what the system
 	// counts to the process, and peaks between collections.
-	heapTenths = 6
+	heapShareTenths = 6
 	// gcPercent has the collector run at half the usual growth. What lives is a few MB, so that it costs little time
 	// and the memory in use stays level from early on.
 	gcPercent = 50
-	// minIdleClose is the least that stands for the settings' idle timeout until the controller gives one.
-	minIdleClose = 30 * admission.Second
+	// minIdleTimeout is the least that stands for the settings' idle timeout until the controller gives one.
+	minIdleTimeout = 30 * admission.Second
 	// spareConnections of the table stay free: a connection is counted out of the listener before its slot is.
 	spareConnections = 8
 )
@@ -47,7 +47,7 @@
 	warn := func(err error) {
 		log.WithFields(logrus.Fields{logging.Address: c.Listen, logging.Error: err}).Warn(logListenFailed)
 	}
-	ln, err := listenPatiently(c.Listen, limits, warn)
+	ln, err := listenWithRetry(c.Listen, limits, warn)
 	if err != nil {
 		return fmt.Errorf("listen on %s: %w", c.Listen, err)
 	}
@@ -60,7 +60,7 @@
 }
 
 func boundMemory(limits Limits) {
-	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * heapTenths / 10)
+	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * heapShareTenths / 10)
 	debug.SetGCPercent(gcPercent)
 }
 
@@ -92,7 +92,7 @@
 		requestsInHand: newRequestsInHand(limits, longest),
 		clients:        newClients(limits, c.settings.IdleTimeout),
 		upstreams:      newUpstreams(c, limits),
-		drainState:     drainState{stopAfter: admission.Time(c.StopMS) * (admission.Second / 1000)},
+		drainState:     drainState{killDelay: admission.Time(c.StopMS) * (admission.Second / 1000)},
 	}
 	l.startClock(2 * longest)
 	for name, i := range c.settings.HandlerIndex {
@@ -110,7 +110,7 @@
 // idle timeout, this server's only ends dead ones.
 func newClients(limits Limits, idleTimeout admission.Time) clients {
 	return clients{connections: newTable[connection](limits.Connections + spareConnections),
-		idleClose: 2 * max(idleTimeout, minIdleClose)}
+		idleTimeout: 2 * max(idleTimeout, minIdleTimeout)}
 }
 
 func newUpstreams(c *Node, limits Limits) upstreams {
--- a/internal/node/server/scenario_test.go
+++ b/internal/node/server/scenario_test.go
@@ -61,12 +61,12 @@
 //	again [KEY=VALUE ...]            it is started once more, with what its folder has; connections are new
 //	signal TERM | USR1 | STOP | CONT | KILL, exits, log TEXT ..., counts KEY=N ...
 //	logged TEXT ...                  one line of the log has all of these
-type play struct {
+type scenario struct {
 	*node
-	file  string
-	line  int
-	conns map[string]net.Conn
-	reads map[string]*bufio.Reader
+	file    string
+	line    int
+	conns   map[string]net.Conn
+	readers map[string]*bufio.Reader
 
 	wallStep time.Duration
 }
@@ -88,11 +88,11 @@
 			if story, _, _ := strings.Cut(string(text), "\n"); !strings.HasPrefix(story, "# ") {
 				t.Errorf("%s begins with %q, expected its story in plain sentences", f, story)
 			}
-			p := &play{file: f, conns: map[string]net.Conn{}, reads: map[string]*bufio.Reader{}}
+			p := &scenario{file: f, conns: map[string]net.Conn{}, readers: map[string]*bufio.Reader{}}
 			for i, line := range strings.Split(string(text), "\n") {
 				line, _, _ = strings.Cut(line, " #")
 				p.line = i + 1
-				if w := words(t, line); len(w) > 0 && w[0][0] != '#' {
+				if w := splitWords(t, line); len(w) > 0 && w[0][0] != '#' {
 					p.step(t, w)
 				}
 			}
@@ -100,8 +100,8 @@
 	}
 }
 
-// words splits a line at spaces outside quotes; what is quoted is unquoted.
-func words(t *testing.T, line string) (out []string) {
+// splitWords splits a line at spaces outside quotes; what is quoted is unquoted.
+func splitWords(t *testing.T, line string) (out []string) {
 	for line = strings.TrimSpace(line); line != ""; line = strings.TrimSpace(line) {
 		i := strings.IndexAny(line, " \"")
 		switch {
@@ -121,7 +121,7 @@
 	return out
 }
 
-func pairs(w []string) map[string]string {
+func parsePairs(w []string) map[string]string {
 	m := map[string]string{}
 	for _, s := range w {
 		k, v, _ := strings.Cut(s, "=")
@@ -130,16 +130,16 @@
 	return m
 }
 
-func (p *play) fatal(format string, a ...any) {
+func (p *scenario) fatalf(format string, a ...any) {
 	p.t.Helper()
 	p.t.Fatalf("%s:%d: %s", p.file, p.line, fmt.Sprintf(format, a...))
 }
 
-func (p *play) step(t *testing.T, w []string) {
+func (p *scenario) step(t *testing.T, w []string) {
 	if p.node == nil {
 		set := map[string]string{}
 		if w[0] == "node" {
-			set = pairs(w[1:])
+			set = parsePairs(w[1:])
 		}
 		p.node = start(t, set)
 		if w[0] == "node" {
@@ -152,25 +152,25 @@
 	rest := strings.Join(w[2:], " ")
 	switch w[0] {
 	case "kernel":
-		p.toKernel(w[1], w[2:], rest)
+		p.kernelStep(w[1], w[2:], rest)
 	case "reload":
 		text := ""
 		for _, s := range w[1:] {
 			if k, v, ok := strings.Cut(s, "="); ok {
-				p.set[k] = v
+				p.overrides[k] = v
 			} else {
 				text = s
 			}
 		}
-		p.write(text)
+		p.writeStartupFile(text)
 		p.cmd.Process.Signal(syscall.SIGHUP)
 	case "store":
 		if w[1] == "writes" || w[1] == "resets" {
 			p.store.writeTo(w[2], strings.Join(w[3:], " "))
 			return
 		}
-		p.toSide(p.store, w[1], rest, func() {
-			out := long(w[2]) + " " + w[3]
+		p.serverStep(p.store, w[1], rest, func() {
+			out := wireID(w[2]) + " " + w[3]
 			if w = append(w, ""); w[3] == "OK" {
 				out += fmt.Sprintf(" %d\r\n%s", len(w[4]), w[4])
 			}
@@ -180,16 +180,16 @@
 		if w[1] == "gets" {
 			want := "/v2/endpoints/n3 " + rest
 			other := "/v2/endpoints/n3 " + map[string]string{"Ready": "NotReady", "NotReady": "Ready"}[rest]
-			if line, ok := p.ctl.next(other); !ok || line != want {
-				p.fatal("control hears %q, expected %q", line, want)
+			if line, ok := p.discovery.next(other); !ok || line != want {
+				p.fatalf("control hears %q, expected %q", line, want)
 			}
 			return
 		}
 		if w[1] == "writes" {
-			p.ctl.write([]byte(w[2]))
+			p.discovery.write([]byte(w[2]))
 			return
 		}
-		p.toSide(p.ctl, w[1], rest, nil)
+		p.serverStep(p.discovery, w[1], rest, nil)
 	case "signal":
 		p.cmd.Process.Signal(map[string]os.Signal{"TERM": syscall.SIGTERM, "USR1": syscall.SIGUSR1,
 			"STOP": syscall.SIGSTOP, "CONT": syscall.SIGCONT, "KILL": syscall.SIGKILL}[w[1]])
@@ -197,7 +197,7 @@
 		select {
 		case <-p.ended:
 		case <-time.After(patience):
-			p.fatal("the program goes on")
+			p.fatalf("the program goes on")
 		}
 	case "disk":
 		var lim unix.Rlimit
@@ -206,31 +206,31 @@
 			lim.Cur = lim.Max
 		}
 		if err = errors.Join(err, unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &lim, nil)); err != nil {
-			p.fatal("%v", err)
+			p.fatalf("%v", err)
 		}
 	case "rots":
 		segs, _ := filepath.Glob(filepath.Join(filepath.Dir(p.node.file), "*.seg"))
 		n, _ := strconv.Atoi(w[1])
 		raw, err := os.ReadFile(segs[0])
 		if err != nil {
-			p.fatal("%v", err)
+			p.fatalf("%v", err)
 		}
 		raw[n] ^= 4
 		if err = os.WriteFile(segs[0], raw, 0o600); err != nil {
-			p.fatal("%v", err)
+			p.fatalf("%v", err)
 		}
 	case "again":
-		delete(p.set, "die")
+		delete(p.overrides, "die")
 		for _, s := range w[1:] {
 			if k, v, ok := strings.Cut(s, "="); ok {
-				p.set[k] = v
+				p.overrides[k] = v
 			}
 		}
-		p.conns, p.reads = map[string]net.Conn{}, map[string]*bufio.Reader{}
+		p.conns, p.readers = map[string]net.Conn{}, map[string]*bufio.Reader{}
 		p.kernel.mu.Lock()
-		p.kernel.kept = nil // its numbering begins anew
+		p.kernel.events = nil // its numbering begins anew
 		p.kernel.mu.Unlock()
-		p.write("")
+		p.writeStartupFile("")
 		p.launch()
 	case "wall":
 		p.stepWall(w[1])
@@ -241,14 +241,14 @@
 		select {
 		case <-p.ended:
 			if p.err != nil {
-				p.fatal("the program ended with %v", p.err)
+				p.fatalf("the program ended with %v", p.err)
 			}
 		case <-time.After(patience):
-			p.fatal("the program does not end")
+			p.fatalf("the program does not end")
 		}
 	case "logged":
 		if !p.logged(w[1:]...) {
-			p.fatal("never logged in one line: %q", w[1:])
+			p.fatalf("never logged in one line: %q", w[1:])
 		}
 	case "log", "counts":
 		for _, want := range w[1:] {
@@ -256,40 +256,40 @@
 				want = " " + want + " "
 			}
 			if !p.logged(want) {
-				p.fatal("never logged: %s", want)
+				p.fatalf("never logged: %s", want)
 			}
 		}
 	default:
-		p.front(w[0], w[1], w[2:])
+		p.clientStep(w[0], w[1], w[2:])
 	}
 }
 
-func (p *play) toSide(s *side, verb, rest string, says func()) {
+func (p *scenario) serverStep(s *fakeServer, verb, rest string, says func()) {
 	switch verb {
 	case "gets":
 		if line, ok := s.next(""); !ok || line != rest {
-			p.fatal("heard %q, expected %q", line, rest)
+			p.fatalf("heard %q, expected %q", line, rest)
 		}
 	case "says":
 		says()
 	case "cut":
-		s.cut()
+		s.closeConns()
 	case "down":
-		s.down()
+		s.stop()
 	case "up":
-		s.up(s.addr)
+		s.listen(s.addr)
 	case "moves":
 		s.move()
 	case "mute", "talks":
 		s.mu.Lock()
-		s.mute = verb == "mute"
+		s.unresponsive = verb == "mute"
 		s.mu.Unlock()
 	default:
-		p.fatal("%q is not known", verb)
+		p.fatalf("%q is not known", verb)
 	}
 }
 
-func (p *play) toKernel(verb string, w []string, rest string) {
+func (p *scenario) kernelStep(verb string, w []string, rest string) {
 	k := p.kernel
 	set := func(f func()) { k.mu.Lock(); f(); k.mu.Unlock() }
 	text := ""
@@ -299,39 +299,39 @@
 	switch verb {
 	case "gets":
 		if line, ok := k.next("SYSINFO"); !ok || line != rest {
-			p.fatal("kernel hears %q, expected %q", line, rest)
+			p.fatalf("kernel hears %q, expected %q", line, rest)
 		}
 	case "heard":
-		if !p.settled() {
-			p.fatal("the program does not ask for the gauges any more")
+		if !p.waitForKernelSync() {
+			p.fatalf("the program does not ask for the gauges any more")
 		}
 		if n := k.count(strings.Join(w[1:], " ")); fmt.Sprint(n) != w[0] {
-			p.fatal("kernel heard %d times %q: %q", n, w[1:], k.all)
+			p.fatalf("kernel heard %d times %q: %q", n, w[1:], k.lines)
 		}
 	case "says":
-		k.tell("REAP", w[0], w[1], text)
+		k.sendEvent("REAP", w[0], w[1], text)
 	case "asks":
-		k.tell("IOREQ", w[0], "", w[1])
+		k.sendEvent("IOREQ", w[0], "", w[1])
 	case "invalid":
-		k.write([]byte(fmt.Sprintf("{\"verb\":\"EINVAL\",\"outcome\":%q,\"task\":%q}\n", w[1], long(w[0]))))
+		k.write([]byte(fmt.Sprintf("{\"verb\":\"EINVAL\",\"outcome\":%q,\"task\":%q}\n", w[1], wireID(w[0]))))
 	case "writes":
 		k.write([]byte(w[0]))
 	case "gauges":
-		set(func() { k.on, k.links = w[0], w[1] })
+		set(func() { k.coresWanted, k.connections = w[0], w[1] })
 	case "talks":
-		set(func() { k.mute, k.silent = false, false })
+		set(func() { k.unresponsive, k.unsentEvents = false, false })
 	case "silent":
-		set(func() { k.silent = true })
+		set(func() { k.unsentEvents = true })
 	case "boots":
-		set(func() { k.late = false })
+		set(func() { k.bootDelayed = false })
 		k.write([]byte("{\"verb\":\"BOOTED\",\"outcome\":\"COLD\",\"spent\":0}\n"))
 	default:
-		p.toSide(k.side, verb, rest, nil)
+		p.serverStep(k.fakeServer, verb, rest, nil)
 	}
 }
 
 // stepWall steps the wall clock of the program and of its clients to so far from the true one.
-func (p *play) stepWall(step string) {
+func (p *scenario) stepWall(step string) {
 	d, err := time.ParseDuration(step)
 	if err == nil {
 		err = os.WriteFile(p.stepFile()+".new", []byte(step), 0o600)
@@ -340,18 +340,18 @@
 		err = os.Rename(p.stepFile()+".new", p.stepFile())
 	}
 	if err != nil {
-		p.fatal("%v", err)
+		p.fatalf("%v", err)
 	}
 	p.wallStep = d
 }
 
 // unixMilliseconds is what a client's wall clock reads, or one that is stepped otherwise.
-func (p *play) unixMilliseconds(otherStep string) int64 {
+func (p *scenario) unixMilliseconds(otherStep string) int64 {
 	step := p.wallStep
 	if otherStep != "" {
 		var err error
 		if step, err = time.ParseDuration(otherStep); err != nil {
-			p.fatal("%v", err)
+			p.fatalf("%v", err)
 		}
 	}
 	return time.Now().Add(step).UnixMilli()
@@ -362,7 +362,7 @@
 	if i := slices.Index(words, "|"); i >= 0 {
 		return isExpected(a, body, words[:i]) || isExpected(a, body, words[i+1:])
 	}
-	m := pairs(words)
+	m := parsePairs(words)
 	_, closes := m["close"]
 	_, back := m["back"]
 	_, final := m["final"]
@@ -372,13 +372,13 @@
 		(m["hint"] == "any") == (a.Header.Get("Server-Hint") != "")
 }
 
-// front plays one client's connection.
-func (p *play) front(name, verb string, w []string) {
+// clientStep plays one client's connection.
+func (p *scenario) clientStep(name, verb string, w []string) {
 	if p.conns[name] == nil {
 		p.conns[name] = p.dial()
-		p.reads[name] = bufio.NewReader(p.conns[name])
+		p.readers[name] = bufio.NewReader(p.conns[name])
 	}
-	c, r, m := p.conns[name], p.reads[name], pairs(w)
+	c, r, m := p.conns[name], p.readers[name], parsePairs(w)
 	_, again := m["again"]
 	_, bye := m["close"]
 	switch verb {
@@ -386,7 +386,7 @@
 		age, _ := strconv.Atoi(m["age"])
 		text := fmt.Sprintf("POST /rpc/%s HTTP/1.1\r\nHost: service.internal\r\nrequest-id: %s\r\n"+
 			"Received-At: %d\r\nSent-By: 4\r\nFootprint-Kb: 24.5\r\n"+
-			"Priority-Rank: 0.6250\r\nContent-Length: %d\r\n", w[0], long(w[1]),
+			"Priority-Rank: 0.6250\r\nContent-Length: %d\r\n", w[0], wireID(w[1]),
 			p.unixMilliseconds(m["wall"])-int64(age), len(m["body"]))
 		for field, on := range map[string]string{"Once-Key: " + m["key"]: m["key"],
 			"Resource-Key: " + m["about"]: m["about"],
@@ -404,7 +404,7 @@
 		}
 		for ; text != ""; text = text[min(n, len(text)):] {
 			if _, err := io.WriteString(c, text[:min(n, len(text))]); err != nil {
-				p.fatal("%v", err)
+				p.fatalf("%v", err)
 			}
 		}
 	case "raw":
@@ -415,18 +415,18 @@
 	case "gets":
 		a, err := http.ReadResponse(r, nil)
 		if err != nil {
-			p.fatal("%v", err)
+			p.fatalf("%v", err)
 		}
 		body, err := io.ReadAll(a.Body)
 		if err != nil || !isExpected(a, string(body), w) {
-			p.fatal("%s gets %v %v %q, %v", name, a.Status, a.Header, body, err)
+			p.fatalf("%s gets %v %v %q, %v", name, a.Status, a.Header, body, err)
 		}
 	case "checks":
 		io.WriteString(c, "GET /health HTTP/1.1\r\nHost: service.internal\r\n\r\n")
-		p.front(name, "gets", w)
+		p.clientStep(name, "gets", w)
 	case "ends":
 		if b, err := io.ReadAll(r); err != nil || len(b) > 0 {
-			p.fatal("%s reads %q, %v, expected the end", name, b, err)
+			p.fatalf("%s reads %q, %v, expected the end", name, b, err)
 		}
 	case "closes":
 		c.Close()
@@ -436,6 +436,6 @@
 	case "halves":
 		c.(*net.TCPConn).CloseWrite()
 	default:
-		p.fatal("%q is not known", verb)
+		p.fatalf("%q is not known", verb)
 	}
 }
--- a/internal/node/server/signals.go
+++ b/internal/node/server/signals.go
@@ -37,6 +37,6 @@
 	go events(signals.Count, func() event { return countersRequested{} })
 	go events(signals.Reload, func() event {
 		next, err := signals.Read()
-		return &startupFileRead{node: next, err: err}
+		return &startupFileReloaded{node: next, err: err}
 	})
 }
--- a/internal/node/server/startup_file.go
+++ b/internal/node/server/startup_file.go
@@ -27,7 +27,7 @@
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Profile json.RawMessage `json:"settings"`
+	Settings json.RawMessage `json:"settings"`
 
 	settings *settings.Startup
 	own      *config.Node // nil: the operator has no file of its own
@@ -55,7 +55,7 @@
 	if err := c.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if c.settings, err = settings.Parse(c.Profile); err != nil {
+	if c.settings, err = settings.Parse(c.Settings); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return &c, nil
@@ -75,7 +75,7 @@
 		{"store", c.Store, false},
 		{"control", c.Control, false},
 	} {
-		if (a.needed || a.found != "") && !address(a.found) {
+		if (a.needed || a.found != "") && !isHostPort(a.found) {
 			return fmt.Errorf("%s: found %.80q, expected HOST:PORT", a.key, a.found)
 		}
 	}
@@ -104,20 +104,20 @@
 // Logs gives the form and level of the log.
 func (c *Node) Logs() (form, from string) { return c.own.LogForm, c.own.LogFrom }
 
-// address tells whether a text is HOST:PORT.
-func address(s string) bool {
+// isHostPort tells whether a text is HOST:PORT.
+func isHostPort(s string) bool {
 	_, port, err := net.SplitHostPort(s)
 	return err == nil && port != ""
 }
 
-// fixed names what another file says otherwise and a program that serves can't change any more.
-func (c *Node) fixed(next *Node) string {
+// changedFixedKeys names what another file says otherwise and a program that serves can't change any more.
+func (c *Node) changedFixedKeys(next *Node) string {
 	var out []string
 	for _, f := range []struct {
 		name string
 		same bool
 	}{{"name", c.Name == next.Name}, {"listen", c.Listen == next.Listen}, {"stop_ms", c.StopMS == next.StopMS},
-		{"limits", c.Limits == next.Limits}, {"settings", bytes.Equal(c.Profile, next.Profile)}} {
+		{"limits", c.Limits == next.Limits}, {"settings", bytes.Equal(c.Settings, next.Settings)}} {
 		if !f.same {
 			out = append(out, f.name)
 		}
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -27,24 +27,24 @@
 	"umberwinch/internal/node/zonegate"
 )
 
-// slow is a connection whose other side takes nothing until it is let.
-type slow struct {
+// blockedConn is a connection whose other side takes nothing until it is let.
+type blockedConn struct {
 	netpoll.Connection
-	let    chan bool
-	got    bytes.Buffer
-	closed chan bool
+	unblock  chan bool
+	received bytes.Buffer
+	closed   chan bool
 }
 
-func (s *slow) Write(b []byte) (int, error) {
-	<-s.let
-	return s.got.Write(b)
+func (s *blockedConn) Write(b []byte) (int, error) {
+	<-s.unblock
+	return s.received.Write(b)
 }
 
-func (s *slow) Close() error { close(s.closed); return nil }
+func (s *blockedConn) Close() error { close(s.closed); return nil }
 
 // A peer that takes nothing makes nobody wait: what it is sent is bounded, and goes out whole and in order.
 func TestSendingNeverWaits(t *testing.T) {
-	s := &slow{let: make(chan bool), closed: make(chan bool)}
+	s := &blockedConn{unblock: make(chan bool), closed: make(chan bool)}
 	p, busy := bufferPool{capacity: 8}, atomic.Int64{}
 	w := &writer{conn: s, pool: &p, busy: &busy}
 	part, sent := bytes.Repeat([]byte("0123456789abcdef"), bufferBytes/32), 0
@@ -58,17 +58,17 @@
 	if w.send(part, 100) {
 		t.Error("taken after the close")
 	}
-	close(s.let)
+	close(s.unblock)
 	select {
 	case <-s.closed:
 	case <-time.After(patience):
 		t.Fatal("never closed")
 	}
-	if want := bytes.Repeat(part, sent); !bytes.Equal(s.got.Bytes(), want) {
-		t.Errorf("%d bytes went out, expected %d", s.got.Len(), len(want))
+	if want := bytes.Repeat(part, sent); !bytes.Equal(s.received.Bytes(), want) {
+		t.Errorf("%d bytes went out, expected %d", s.received.Len(), len(want))
 	}
-	if p.out != 0 {
-		t.Errorf("%d buffers are still out", p.out)
+	if p.inUse != 0 {
+		t.Errorf("%d buffers are still out", p.inUse)
 	}
 }
 
@@ -133,8 +133,8 @@
 	run("a", 1, true)
 	run("b", 2, true)
 	if a, b := k.find("a"), k.find("b"); a == nil || a.hasResult || a.state != entryDone || !b.hasResult ||
-		k.bytes != 60 {
-		t.Errorf("a %+v, b %+v, %d bytes", a, b, k.bytes)
+		k.resultBytes != 60 {
+		t.Errorf("a %+v, b %+v, %d bytes", a, b, k.resultBytes)
 	}
 	if k.previous("a", 999) != 1 || k.previous("a", 1000) != 0 {
 		t.Error("the entry of a is for those that came before its end")
@@ -150,8 +150,8 @@
 	for d, ok := due.next(1050); ok; d, ok = due.next(1050) {
 		k.expire(d.subject, 1050, &due)
 	}
-	if len(k.byKey) != 0 || k.bytes != 0 || k.entries.used != 0 {
-		t.Errorf("left: %v, %d bytes", k.byKey, k.bytes)
+	if len(k.byKey) != 0 || k.resultBytes != 0 || k.entries.used != 0 {
+		t.Errorf("left: %v, %d bytes", k.byKey, k.resultBytes)
 	}
 }
 
@@ -245,7 +245,7 @@
 	log.SetOutput(io.Discard)
 	l := &loop{loopTime: loopTime{now: 1000},
 		crossGoroutine: crossGoroutine{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)},
-		upstreams:      upstreams{dialTo: dialTCP, store: store1("127.0.0.1:1", NewLimits(1, 64, 256))},
+		upstreams:      upstreams{dialTo: dialTCP, store: newTestStoreConnections("127.0.0.1:1", NewLimits(1, 64, 256))},
 		requestsInHand: requestsInHand{requests: newTable[request](2)}}
 	h, r, _ := l.requests.take()
 	at, c, _ := l.store.connections.take()
@@ -283,7 +283,7 @@
 	go func() { // the kernel serves whatever comes with the largest result
 		for line, ok := n.kernel.next("SYSINFO"); ok; line, ok = n.kernel.next("SYSINFO") {
 			if w := strings.Fields(line); w[0] == "SCHED" {
-				n.kernel.tell("REAP", w[1], "OK", strings.Repeat("r", 4096))
+				n.kernel.sendEvent("REAP", w[1], "OK", strings.Repeat("r", 4096))
 			}
 		}
 	}()
@@ -334,7 +334,7 @@
 		cores        float64
 		stop, before admission.Time
 	}{{1, 24_000, 380}, {0.1, 24_000, 1100}, {0.1, 4000, 500}} {
-		l := &loop{loopTime: loopTime{now: 5000}, drainState: drainState{stopAfter: c.stop},
+		l := &loop{loopTime: loopTime{now: 5000}, drainState: drainState{killDelay: c.stop},
 			crossGoroutine: crossGoroutine{limits: NewLimits(c.cores, 64, 256)}}
 		l.startDrain()
 		if r := l.nextRound(); !r.Drain || r.KillAt != 5000+c.stop-c.before {
--- a/internal/node/server/writer.go
+++ b/internal/node/server/writer.go
@@ -41,7 +41,7 @@
 const (
 	keepOpen         writerEnding = iota
 	shutDownWhenSent              // its sending side is shut down
-	endClose
+	closeWhenSent
 )
 
 // send queues b; false if it would make more than limit buffers wait, or nothing is taken any more.
@@ -54,10 +54,10 @@
 	for len(b) > 0 {
 		n := len(w.queue)
 		if n == 0 || w.queue[n-1].n == bufferBytes {
-			t := w.buffer()
+			t := w.newBuffer()
 			if t == nil {
-				w.closed, w.ending = true, endClose // or half a message would stand before the next one
-				w.kick()
+				w.closed, w.ending = true, closeWhenSent // or half a message would stand before the next one
+				w.startFlush()
 				return false
 			}
 			w.queue = append(w.queue, t)
@@ -68,12 +68,12 @@
 		t.n += k
 		b = b[k:]
 	}
-	w.kick()
+	w.startFlush()
 	return true
 }
 
-// buffer gives an empty buffer; nil if there is none.
-func (w *writer) buffer() *buffer {
+// newBuffer gives an empty buffer; nil if there is none.
+func (w *writer) newBuffer() *buffer {
 	if w.sendsResponses {
 		return w.pool.getForResponse()
 	}
@@ -85,19 +85,19 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closed, w.ending = true, max(w.ending, shutDownWhenSent)
-	w.kick()
+	w.startFlush()
 }
 
 // close ends the connection once what is queued has gone out.
 func (w *writer) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.closed, w.ending = true, endClose
-	w.kick()
+	w.closed, w.ending = true, closeWhenSent
+	w.startFlush()
 }
 
-// kick starts a flush unless one goes on.
-func (w *writer) kick() {
+// startFlush starts a flush unless one goes on.
+func (w *writer) startFlush() {
 	if !w.flushing {
 		w.flushing = true
 		w.busy.Add(1)
@@ -113,7 +113,7 @@
 	for {
 		w.mu.Lock()
 		if failed != nil {
-			w.closed, w.ending = true, endClose
+			w.closed, w.ending = true, closeWhenSent
 		}
 		out, w.queue = w.queue, out[:0]
 		last := w.ending
@@ -122,7 +122,7 @@
 			switch last {
 			case shutDownWhenSent:
 				w.shutDown()
-			case endClose:
+			case closeWhenSent:
 				_ = w.conn.Close() // all that was to be sent has been
 			}
 			return
@@ -139,8 +139,8 @@
 
 // A write that fails for a moment is tried so often, after a pause that doubles: 63 ms in all.
 const (
-	writeRetries = 6
-	writePause   = time.Millisecond
+	writeRetries    = 6
+	writeRetryDelay = time.Millisecond
 )
 
 // write has netpoll send b. What it could not send for a moment stays in its buffer and is sent again. Guards against
@@ -149,14 +149,14 @@
 func (w *writer) write(b []byte) error {
 	// Write holds netpoll's own lock against a close from the other side; its Writer does not.
 	_, err := w.conn.Write(b)
-	for try := 0; try < writeRetries && isMomentary(err); try++ {
-		time.Sleep(writePause << try)
+	for try := 0; try < writeRetries && isTransientWriteError(err); try++ {
+		time.Sleep(writeRetryDelay << try)
 		err = w.conn.Writer().Flush()
 	}
 	return err
 }
 
-// isMomentary tells errors of a system call that say nothing about what it was to act on.
-func isMomentary(err error) bool {
+// isTransientWriteError tells errors of a system call that say nothing about what it was to act on.
+func isTransientWriteError(err error) bool {
 	return errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
