--- a/internal/node/server/admission_writer.go
+++ b/internal/node/server/admission_writer.go
@@ -5,16 +5,17 @@
 	"umberwinch/internal/node/wire"
 )
 
-// The loop is the controller's admission.Writer: each decision of a round is carried out at once, in the order in which
-// the controller makes them. A decision on a request that is no longer in hand, or that has moved on, does nothing.
+// The loop implements admission.Writer: each decision of a round is carried out at once, in the order in which the
+// controller makes them. A decision on a request that has been released or has changed state in the meantime is
+// ignored.
 
-// Run starts a run. The controller names each run once, and never one that it stopped: nothing reaches the cases of a
-// run that was told to stop, see Stop.
+// Run starts the run of a request. The controller starts each request once and never one that it stopped, so the cases
+// for stopped runs are not reached (see Stop).
 func (l *loop) Run(id uint32) {
 	r := l.requests.get(handle(id))
 	switch {
 	case r == nil || !r.mayStart():
-	case r.isToldToStop() && r.awaitsIntent(): // the kernel has been told neither of the run nor of the pause
+	case r.isToldToStop() && r.awaitsIntent(): // neither the run nor the stop has been sent to the kernel
 		r.setRun(runRunning)
 	case r.isToldToStop() && l.settings.Cancellation == admission.CancelPause:
 		l.sendResume(r)
@@ -31,47 +32,46 @@
 	}
 }
 
-// Stop has the kernel stop a run whose result nobody waits for any more. The controller never starts it again, so the
-// way back (sendResume, runStopped to runRunning) is not used today. It stands because the kernel can resume what it
-// stopped (admission.CancelPause), and the table of transitions and its test have it.
+// Stop stops a run whose result is no longer needed. The controller never restarts a stopped run. sendResume and the
+// transition from runStopped to runRunning exist because the kernel can resume a stopped run (admission.CancelPause).
 func (l *loop) Stop(id uint32) {
 	if r := l.requests.get(handle(id)); r != nil && r.isRunning() {
 		l.trace(r, traceStopped)
 		l.counters.Pauses++
-		if r.stop(); !r.awaitsIntent() { // else the stop is sent with the run
+		if r.stop(); !r.awaitsIntent() { // otherwise the stop is sent together with the run
 			l.sendStop(r)
 		}
 	}
 }
 
-// Shed rejects a request that has not run: noRetry says that no other server is to be tried, retryAfter how long the
-// client is to wait.
-func (l *loop) Shed(id uint32, why admission.Reason, noRetry bool, retryAfter admission.Time) {
+// Shed rejects a request that has not run. noRetry tells the client not to try another server; retryAfter is the time
+// to wait before a retry.
+func (l *loop) Shed(id uint32, reason admission.Reason, noRetry bool, retryAfter admission.Time) {
 	if r := l.requests.get(handle(id)); r != nil {
-		l.traceReason(r, traceShed, why)
+		l.traceReason(r, traceShed, reason)
 		l.answer(handle(id), r, wire.Response{Status: wire.StatusServiceUnavailable, NoRetry: noRetry,
 			RetryAfterMS: wholeMilliseconds(retryAfter)})
 	}
 }
 
-// Fail answers a request that ran, or may have run, without a result.
-func (l *loop) Fail(id uint32, why admission.Reason) {
+// Fail responds with an error to a request that ran, or may have run, without a result.
+func (l *loop) Fail(id uint32, reason admission.Reason) {
 	if r := l.requests.get(handle(id)); r != nil {
-		l.traceReason(r, traceFailed, why)
+		l.traceReason(r, traceFailed, reason)
 		l.cancelCall(handle(id), r)
 		r.setAwaits(awaitsNothing)
 		l.answer(handle(id), r, wire.Response{Status: wire.StatusInternalServerError})
 	}
 }
 
-// Call sends the call to the store that a run waits for, to be answered until then.
-func (l *loop) Call(id uint32, until admission.Time) {
+// Call sends the store call that a run is waiting for; the store has to reply by the deadline.
+func (l *loop) Call(id uint32, deadline admission.Time) {
 	if r := l.requests.get(handle(id)); r != nil && r.isRunning() {
-		l.startCall(handle(id), r, until)
+		l.startCall(handle(id), r, deadline)
 	}
 }
 
-// SkipCall has a run go on without the call that it waits for.
+// SkipCall resumes a run without the result of the call that it is waiting for.
 func (l *loop) SkipCall(id uint32) {
 	if r := l.requests.get(handle(id)); r != nil && r.isRunning() {
 		l.counters.CallsSkipped++
@@ -79,14 +79,14 @@
 	}
 }
 
-// Remember keeps the key of a request for a span, so that repeats within it are known.
+// Remember keeps the key of a request for the given time, in which repeats of the request are recognized.
 func (l *loop) Remember(id uint32, span admission.Time) {
 	if r := l.requests.get(handle(id)); r != nil && r.key != "" {
 		l.idempotency.remember(r.key, id, l.now+span, &l.timers)
 	}
 }
 
-// Forget ends that; those that wait for the result get an error.
+// Forget removes the key of a request. Requests that wait for its result get an error.
 func (l *loop) Forget(id uint32) {
 	if r := l.requests.get(handle(id)); r != nil && r.key != "" {
 		for _, h := range l.idempotency.forget(r.key, id) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// ReuseResult answers a request with the result of the one it repeats, now or when that is there.
+// ReuseResult responds to a request with the result of the one that it repeats, now or once that result is available.
 func (l *loop) ReuseResult(id uint32) {
 	h := handle(id)
 	r := l.requests.get(h)
@@ -113,7 +113,7 @@
 	}
 }
 
-// Health has health checks and service discovery learn whether the node is ready.
+// Health sets whether health checks and service discovery report the node as ready.
 func (l *loop) Health(good bool) {
 	l.controllerReady = good
 	l.ready = good && l.fleet.takesTraffic()
@@ -121,16 +121,16 @@
 	l.sendReport()
 }
 
-// SignalOverload has every response carry the value from now on.
+// SignalOverload sets the overload signal that every further response carries.
 func (l *loop) SignalOverload(value float64) { l.overloadSignal, l.hasOverloadSignal = value, true }
 
-// SetIdleTimeout has connections of clients closed that were idle for so long.
+// SetIdleTimeout sets the idle time after which client connections are closed.
 func (l *loop) SetIdleTimeout(after admission.Time) { l.idleTimeout = after }
 
-// WakeUp has a round come at a time, with the kernel's gauges.
+// WakeUp schedules a round, for which the kernel's gauges are requested.
 func (l *loop) WakeUp(at admission.Time) { l.timers.set(at, timerWake, 0) }
 
-// Log writes a line of the controller's.
+// Log writes a log line of the controller, within the limit on log lines.
 func (l *loop) Log(line string) {
 	if log := l.limitLog(); log != nil {
 		log.Info(line)
--- a/internal/node/server/buffers.go
+++ b/internal/node/server/buffers.go
@@ -2,12 +2,13 @@
 
 import "sync"
 
-// bufferBytes holds a 4 KiB result in base64 with its line, and a 2 KiB body with its head twice over.
+// bufferBytes is the size of a buffer in bytes. It fits a 4 KiB result in base64 with its line, and twice a 2 KiB body
+// with its head.
 const bufferBytes = 8 << 10
 
-// buffer is a piece of memory of the one size, with the event that hands over the message in it: one of the four is in
-// use. It belongs to whoever took it out of the pool, until put gives it back: an intake while it reads, the event that
-// hands a message over, the loop, a request in hand, or a writer's queue.
+// buffer is a fixed-size piece of memory and the event for the message in it; only one of the four events is in use. It
+// has one owner at a time, from get to put: an intake while it reads, the event, the loop, a request, or a writer's
+// queue.
 type buffer struct {
 	n int // bytes in use
 	b [bufferBytes]byte
@@ -20,9 +21,9 @@
 
 func (b *buffer) bytes() []byte { return b.b[:b.n] }
 
-// bufferPool keeps buffers that are out of use, for callbacks and the loop alike. Guards against clients that fill the
-// memory, by which the process would be killed: no more than capacity are out for what is read, and who gets none gives
-// up what it reads. See row "no buffer free" in docs/design/shutdown.md.
+// bufferPool recycles buffers between the callbacks and the loop; it is safe for concurrent use. At most capacity
+// buffers are in use for input, so that clients can't exhaust the memory and have the process killed: a reader that
+// gets no buffer gives up its message. See row "no buffer free" in docs/design/shutdown.md.
 type bufferPool struct {
 	mu       sync.Mutex
 	free     []*buffer
@@ -30,7 +31,7 @@
 	capacity int
 }
 
-// get gives an empty buffer, or nil while too many are out: the caller then gives up what it was to hold.
+// get returns an empty buffer, or nil if capacity buffers are in use.
 func (p *bufferPool) get() *buffer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,9 +48,9 @@
 	return new(buffer)
 }
 
-// getForResponse gives an empty buffer however many are out, for a response. Guards against clients that hold all
-// buffers, by which others would get no response. It holds as there are few such buffers: a connection has one response
-// at a time. See row "no buffer free" in docs/design/shutdown.md.
+// getForResponse returns an empty buffer for a response, even beyond capacity, so that clients that hold all buffers
+// don't keep others from their responses. The excess is bounded: a connection has one response at a time. See row "no
+// buffer free" in docs/design/shutdown.md.
 func (p *bufferPool) getForResponse() *buffer {
 	if b := p.get(); b != nil {
 		return b
@@ -60,7 +61,7 @@
 	return new(buffer)
 }
 
-// put gives a buffer back; nil is passed over.
+// put returns a buffer to the pool; nil is ignored.
 func (p *bufferPool) put(b *buffer) {
 	if b == nil {
 		return
--- a/internal/node/server/client_peer.go
+++ b/internal/node/server/client_peer.go
@@ -12,31 +12,32 @@
 	"umberwinch/internal/node/wire"
 )
 
-// errTooManyPipelined is what a client gets that sends more requests on one connection than are taken ahead of their
-// responses.
-var errTooManyPipelined = errors.New("too many requests ahead of their answers")
-
-// peer is one connection of a client as its callbacks know it, which share it with the loop: what has been read of it,
-// and the end of each of its two directions. A connection is ended in order: reading is sealed once nothing is on its
-// way, the last response goes out, the sending side is shut down, what still comes is discarded until the client
-// closes or a bound is reached, then the descriptor is closed. Whatever was read before the seal is answered first,
-// and nothing that comes after it ever reaches the controller. It owns the descriptor, which netpoll closes once for
-// it, and the buffer of what is incomplete, until release.
+// errTooManyPipelined ends a connection whose client sends more requests ahead of their responses than Limits.Pipelined
+// allows.
+var errTooManyPipelined = errors.New("too many pipelined requests")
+
+// peer is the state of a client connection that its callbacks and the loop share. It owns the descriptor, which netpoll
+// closes once, and the buffer of an incomplete message, until release.
+//
+// A connection ends in this order: the input is sealed once no request is pending, the last response is sent, the
+// sending side is shut down, further input is discarded until the client closes or a limit is reached, then the
+// descriptor is closed. Requests read before the seal get their responses; nothing read after it reaches the
+// controller.
 type peer struct {
 	writer
 	fd              int
-	handle          handle       // the loop's
-	pipelined       atomic.Int32 // messages handed over and not begun
-	incompleteSince atomic.Int64 // since when a message is incomplete; 0: none is
+	handle          handle       // in the loop's table
+	pipelined       atomic.Int32 // messages posted to the loop and not handled yet
+	incompleteSince atomic.Int64 // when the incomplete message began, as admission.Time; 0: none
 
-	// intake is held while input is read, never while it is handed over: the loop takes it too, and a callback that
-	// hands over may be waiting for the loop.
+	// intake guards the fields below. It is never held while events are posted: the loop takes it too, and a callback
+	// that posts may wait for the loop.
 	intake              sync.Mutex
 	in                  intake
-	sealed              bool // what comes is discarded
-	closed              bool // the descriptor is about to be closed and may soon be another's
-	discarded           int  // bytes that came after the seal
-	discardLimitReached bool // they were more than is passed over
+	sealed              bool // further input is discarded
+	closed              bool // the descriptor is about to be closed and its number may be reused
+	discarded           int  // bytes received after the seal
+	discardLimitReached bool // discarded has exceeded the limit
 }
 
 func newPeer(nc netpoll.Connection, fd int, s *crossGoroutine) *peer {
@@ -46,7 +47,7 @@
 	return p
 }
 
-// readConnection reads what a connection has brought and hands it over; it runs in a callback, never twice at once.
+// readConnection reads the input of a connection and posts its events; it runs in a callback, never twice at once.
 func (s *crossGoroutine) readConnection(p *peer, nc netpoll.Connection, now admission.Time) error {
 	events, err := p.readInput(nc.Reader(), &s.limits, now)
 	for _, e := range events {
@@ -55,9 +56,9 @@
 	return err
 }
 
-// readInput reads all that has come. Guards against a seal between the reading of a request and its handing over, which
-// would leave it without a response: each event is counted in pipelined before the lock is released. See row "idle
-// close" in docs/design/shutdown.md.
+// readInput reads all available input. Each event is counted in pipelined before the lock is released: a seal between
+// the reading of a request and its posting would leave it without a response. See row "idle close" in
+// docs/design/shutdown.md.
 func (p *peer) readInput(r netpoll.Reader, limits *Limits, now admission.Time) (events []event, err error) {
 	p.intake.Lock()
 	defer p.intake.Unlock()
@@ -80,16 +81,15 @@
 	return events, r.Release()
 }
 
-// stopReading has all that comes discarded from here on.
+// stopReading seals the input: everything read from now on is discarded.
 func (p *peer) stopReading() {
 	p.sealed = true
 	p.in.drop()
 	p.incompleteSince.Store(0)
 }
 
-// parse reads one request. Guards against clients that send requests without end and read no response, which would
-// fill the queue: netpoll reads on whatever is done here, so the only bound that holds is to end the connection. See
-// row "bad input" in docs/design/shutdown.md.
+// parse reads one request. A client that pipelines without reading responses would fill the queue; as netpoll keeps
+// reading, the only effective limit is to end the connection. See row "bad input" in docs/design/shutdown.md.
 func (p *peer) parse(b *buffer, limits *Limits) (event, int, error) {
 	e := &b.request
 	e.peer, e.buffer = p, b
@@ -102,7 +102,7 @@
 	return e, n, err
 }
 
-// updateIncompleteSince keeps since when a message is incomplete. Empty lines between requests are no message.
+// updateIncompleteSince records when the message in progress began. Empty lines between requests don't count.
 func (p *peer) updateIncompleteSince(now admission.Time) {
 	if p.in.buf != nil && onlyLineEnds(p.in.buf.bytes()) {
 		p.in.drop()
@@ -124,12 +124,12 @@
 	return true
 }
 
-// discard passes over what comes after the seal, and tells once when it has become more than a bound. Guards against
-// endless bodies, which take a core for as long as they are read: the loop closes the connection then. See rows "the
-// same, and the client goes on" and "endless input" in docs/design/shutdown.md.
-func (p *peer) discard(r netpoll.Reader, limit int) (tooMuch bool) {
+// discard skips input after the seal and reports once that it has exceeded the limit, so that the loop closes the
+// connection; an endless body would occupy a core. See rows "the same, and the client goes on" and "endless input" in
+// docs/design/shutdown.md.
+func (p *peer) discard(r netpoll.Reader, limit int) (exceeded bool) {
 	n := r.Len()
-	_ = r.Skip(n) // n bytes are there
+	_ = r.Skip(n) // n bytes are available
 	p.discarded += n
 	if p.discarded <= limit || p.discardLimitReached {
 		return false
@@ -138,10 +138,10 @@
 	return true
 }
 
-// seal ends the reading of requests, unless one is on its way: handed over and not begun, begun to be read, or in a
-// buffer of this process or of the system. With force only complete requests count. Guards against a close that
-// crosses a request: the client could not tell whether it ran. It holds as reading and the seal exclude each other by
-// intake. See row "idle close" and the order in which a connection ends in docs/design/shutdown.md.
+// seal stops the reading of requests and reports whether it has; it refuses while a request is pending: posted and not
+// handled, partly read, or unread in a buffer of this process or of the system. With force only complete requests
+// count. A close that crosses a request would leave the client unsure whether it ran. See row "idle close" in
+// docs/design/shutdown.md.
 func (p *peer) seal(force bool) bool {
 	p.intake.Lock()
 	defer p.intake.Unlock()
@@ -158,18 +158,18 @@
 	return true
 }
 
-// hasUnread tells whether bytes wait in a socket's receive buffer; the end of the stream is none. A look that was
-// interrupted says nothing, and counts as bytes: the end of the connection is tried again later. See row "recv with
-// MSG_PEEK: EINTR" in docs/design/failures.md.
+// hasUnread reports whether bytes wait in a socket's receive buffer; the end of the stream does not count. An
+// interrupted call counts as bytes, so that the close is tried again later. See row "recv with MSG_PEEK: EINTR" in
+// docs/design/failures.md.
 func hasUnread(fd int) bool {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n > 0 || err == syscall.EINTR
 }
 
-// shutDownWrite ends the sending side: the client reads the end of the stream after the last response. Guards against a
-// reset: a close with bytes unread would send one, and it could take that response with it. See row "answer that closes
-// (client's wish, bad input, a run that the kernel does not take up)" in docs/design/shutdown.md.
+// shutDownWrite shuts down the sending side: the client reads the end of the stream after the last response. A plain
+// close with unread bytes would send a reset, which could discard that response. See row "answer that closes (client's
+// wish, bad input, a run that the kernel does not take up)" in docs/design/shutdown.md.
 func (p *peer) shutDownWrite() {
 	p.intake.Lock()
 	defer p.intake.Unlock()
@@ -178,9 +178,9 @@
 	}
 }
 
-// release gives back what the peer holds, as its descriptor is about to be closed. Guards against a shutdown of
-// another connection that gets the descriptor's number: closed is set under the lock that shutDownWrite takes. See row
-// "shutdown: any" in docs/design/failures.md.
+// release frees the buffer as the descriptor is about to be closed. It sets closed under the lock that shutDownWrite
+// takes, so that no other connection with the same descriptor number is shut down. See row "shutdown: any" in
+// docs/design/failures.md.
 func (p *peer) release() {
 	p.intake.Lock()
 	defer p.intake.Unlock()
--- a/internal/node/server/counters.go
+++ b/internal/node/server/counters.go
@@ -2,44 +2,44 @@
 
 import "github.com/sirupsen/logrus"
 
-// Counters are what the node took in, sent and answered since its start, logged at the end and on SIGUSR1. Only the
-// loop counts, so they need no lock, and nothing is decided by them. Beside them stands what is held at that moment,
-// so that a gap shows: each request taken in hand (Requests) is at least one of succeeded, rejected, failed, abandoned
-// or in hand, and one whose run outlasts its answer is two of them; each run has ended or is running. Requests rejected
-// before they are taken in hand are not in Requests: of those, Rejected counts the ones for which no buffer was free,
-// RejectedFenced those of fencing, RejectedByZone those of the zone's quota, BadRequests those answered 400; the
-// other reasons have no counter. Operators know the counters by the names that counterFields gives, which stay as
-// they were.
+// Counters count what the node received, sent and answered since its start; they are logged at exit and on SIGUSR1.
+// Only the loop touches them, and no decision depends on them. Each request in Requests is succeeded, rejected, failed,
+// abandoned or in progress; one whose run outlasts its response counts as two of them. Each run has ended or is in
+// progress.
+//
+// Requests rejected before they enter the request table are not in Requests. Of those, Rejected counts the ones that
+// got no buffer, RejectedFenced those rejected by fencing, RejectedByZone those over the zone's quota, and BadRequests
+// those answered 400; other reasons have no counter. Operators and scripts use the names that counterFields gives.
 type Counters struct {
-	// Taken in.
+	// Received.
 	Connections, Requests, HealthChecks, BadRequests, Retries uint64
-	// Answered; those with another's result are a part of the succeeded.
+	// Answered. SharedResults, a part of Succeeded, got the result of the request that they repeat.
 	Succeeded, Rejected, Failed, SharedResults uint64
 	// Abandoned by their client; answered after their deadline.
 	Abandoned, AnsweredLate uint64
 
 	Runs, RunEnds                                        uint64
-	Pauses                                               uint64 // runs told to stop
-	Calls, CallsSucceeded, CallsNotExecuted, CallsFailed uint64 // failed: or it is unknown whether they were executed
+	Pauses                                               uint64 // runs that the controller stopped
+	Calls, CallsSucceeded, CallsNotExecuted, CallsFailed uint64 // CallsFailed: also those that may have been executed
 	CallsSkipped, CallsCancelled                         uint64
 
 	KernelLinks, StoreLinks, DiscoveryLinks uint64 // opened
-	StoreConnectionsLost                    uint64 // with calls out, or waiting for it to open
-	StrayReplies                            uint64 // to no call
-	CommandsResent, CommandsRefused         uint64 // of the kernel's
+	StoreConnectionsLost                    uint64 // while calls were sent on them or queued for them
+	StrayReplies                            uint64 // replies that match no call
+	CommandsResent, CommandsRefused         uint64 // to the kernel
 	Reports, ReportsLost                    uint64 // to service discovery
 
-	ClosedSilent, ClosedForRoom uint64 // connections: nothing complete in time; to make room
+	ClosedSilent, ClosedForRoom uint64 // connections: without a complete message in time; evicted
 	Reloads                     uint64
 
 	VersionsAdopted, HeartbeatsLost             uint64
 	TimesFenced, RejectedFenced, RejectedByZone uint64
 
 	ClockSteps                                         uint64 // of the wall clock
-	Rounds, WakeUps, WakeUpsWithoutGauges, LateWakeUps uint64 // late: over 10 ms after their time
+	Rounds, WakeUps, WakeUpsWithoutGauges, LateWakeUps uint64 // LateWakeUps: more than lateWakeUp after they were due
 }
 
-// counterFields are the counters and what is held, under the names by which operators know them.
+// counterFields returns the counters and the current sizes of tables, under the names known to operators.
 func (l *loop) counterFields() logrus.Fields {
 	c := &l.counters
 	runs, calls := 0, 0
@@ -52,7 +52,7 @@
 			calls++
 		}
 	}
-	out := logrus.Fields{"in_hand": l.requests.used, "running": runs, "calls_out": calls,
+	fields := logrus.Fields{"in_hand": l.requests.used, "running": runs, "calls_out": calls,
 		"conns_open": l.connections.used, "wires_open": l.store.connections.used, "keys": l.idempotency.entries.used,
 		"report_age_ms": milliseconds(l.now - l.discovery.lastReport), "conns": c.Connections, "reqs": c.Requests,
 		"checks": c.HealthChecks, "bad": c.BadRequests, "again": c.Retries, "done": c.Succeeded, "shed": c.Rejected,
@@ -66,11 +66,11 @@
 		"clock_steps": c.ClockSteps, "rounds": c.Rounds, "wakes": c.WakeUps, "ungauged": c.WakeUpsWithoutGauges,
 		"slow": c.LateWakeUps}
 	if f := l.fleet; f != nil {
-		out["version"], out["fenced"], out["alone"] = f.agent.ActiveVersion(), f.fenced, f.autonomous
-		out["versions"], out["times_fenced"], out["fence_shed"] = c.VersionsAdopted, c.TimesFenced, c.RejectedFenced
-		out["fleet_lost"] = c.HeartbeatsLost
-		out["zone_epoch"], out["zone_share"], out["zone_turned"] = f.gate.Epoch(), f.gate.Share(), c.RejectedByZone
+		fields["version"], fields["fenced"], fields["alone"] = f.agent.ActiveVersion(), f.fenced, f.autonomous
+		fields["versions"], fields["times_fenced"], fields["fence_shed"] = c.VersionsAdopted, c.TimesFenced, c.RejectedFenced
+		fields["fleet_lost"] = c.HeartbeatsLost
+		fields["zone_epoch"], fields["zone_share"], fields["zone_turned"] = f.gate.Epoch(), f.gate.Share(), c.RejectedByZone
 	}
-	l.results.addCounters(out)
-	return out
+	l.results.addCounters(fields)
+	return fields
 }
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -2,32 +2,32 @@
 
 import "umberwinch/admission"
 
-// drainState is where the drain of this process stands: from the notice to its end. Health checks and service
-// discovery say that the node is not ready, what was read is answered, the listener takes what the system has accepted
-// and closes, and connections end in order. It never closes a connection with a request unanswered; while there is one
-// only the kill ends the process.
+// drainState is the progress of the drain, from SIGTERM to the exit; it belongs to the loop. While draining, the node
+// is reported as not ready, requests are still served, the listener accepts its backlog and closes, and connections are
+// closed in order. A connection with an unanswered request is never closed; while there is one, only the kill ends the
+// process.
 type drainState struct {
 	draining       bool
-	killDelay      admission.Time // the kill comes so long after the notice
-	answerBy       admission.Time // all has to be answered by then
-	killMargin     admission.Time // the kill comes so long after that
-	drainStartedAt admission.Time // when the notice came
-	closingSince   admission.Time // since when idle connections are ended; 0: not yet
+	killDelay      admission.Time // from the start of the drain to the kill
+	answerBy       admission.Time // deadline for all responses
+	killMargin     admission.Time // from answerBy to the kill
+	drainStartedAt admission.Time // when the drain started
+	closingSince   admission.Time // when the closing of idle connections started; 0: not yet
 }
 
 const (
-	// minListenTime is how long the listener stays open after the notice at least: service discovery takes that long to
-	// have clients learn of it.
+	// minListenTime is the minimum time from the start of the drain to the close of the listener: clients learn from
+	// service discovery that the node leaves.
 	minListenTime = 2 * admission.Second
-	// finalCloseMargin is how long before answerBy connections are closed whatever else is on them: the controller's last
-	// decisions come after.
+	// finalCloseMargin is the time before answerBy at which idle connections are closed even with incomplete input; the
+	// controller's last decisions come after it.
 	finalCloseMargin = admission.Second / 20
-	// drainCheckInterval is the time between two looks at whether the drain is over.
+	// drainCheckInterval is the interval between checks whether the drain is over.
 	drainCheckInterval = admission.Second / 100
 )
 
-// startDrain takes the notice to leave, whatever is in hand: see rows "notice: half a request, a held one, a repeat
-// that waits, one on a resting connection" and "notice while the process is stopped" in docs/design/shutdown.md.
+// startDrain starts the drain, whatever is in progress: see rows "notice: half a request, a held one, a repeat that
+// waits, one on a resting connection" and "notice while the process is stopped" in docs/design/shutdown.md.
 func (l *loop) startDrain() {
 	if l.draining {
 		return
@@ -40,10 +40,9 @@
 	l.results.drain()
 }
 
-// drainTick sees whether nobody sends here any more, or the kill is near: then the listener takes what is complete and
-// closes, idle connections are closed, what crosses that is still answered, and the loop ends. The listener stays open
-// until then, as clients learn late that this server leaves. See rows "drain's end" and "kill near" in
-// docs/design/shutdown.md.
+// drainTick checks whether clients have stopped sending or the kill is near. If so, it stops the listener and closes
+// idle connections; requests that cross the close are still answered. The listener stays open until then, as clients
+// learn late that this node leaves. See rows "drain's end" and "kill near" in docs/design/shutdown.md.
 func (l *loop) drainTick() {
 	closeBy := l.answerBy - finalCloseMargin
 	quiet := l.now-max(l.lastRequest, l.drainStartedAt) >= l.limits.DrainQuietPeriod && l.now-l.drainStartedAt >= minListenTime
@@ -59,7 +58,8 @@
 	l.timers.set(l.now+drainCheckInterval, timerDrain, 0)
 }
 
-// closeAllIdle closes connections with no request unanswered. A new one may be about to bring its first.
+// closeAllIdle closes connections without unanswered requests. Without force, an unused connection opened recently is
+// kept, as its first request may be on its way.
 func (l *loop) closeAllIdle(force bool) {
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
 		c := l.connections.get(h)
@@ -69,7 +69,7 @@
 	}
 }
 
-// unansweredConnections counts the connections with a request unanswered.
+// unansweredConnections counts the connections with an unanswered request.
 func (c *clients) unansweredConnections() (n int) {
 	for h, i := c.connections.next(0); h != 0; h, i = c.connections.next(i) {
 		if c.connections.get(h).hasUnanswered() {
@@ -79,7 +79,8 @@
 	return n
 }
 
-// hasLingering tells whether a client may still be reading, or sending what crosses the end of its connection.
+// hasLingering reports whether a connection is open or was shut down so recently that its client may still read, or
+// send input that crosses the shutdown.
 func (l *loop) hasLingering() bool {
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
 		c := l.connections.get(h)
@@ -90,7 +91,7 @@
 	return false
 }
 
-// finished tells whether all is answered and sent, so that the process can end.
+// finished reports whether everything is answered and sent, so that the process can exit.
 func (l *loop) finished() bool {
 	if !l.draining || l.closingSince == 0 || l.unansweredConnections() > 0 || l.busy.Load() > 0 {
 		return false
--- a/internal/node/server/events.go
+++ b/internal/node/server/events.go
@@ -6,69 +6,69 @@
 	"umberwinch/internal/node/wire"
 )
 
-// event is one thing that a callback or another goroutine hands over to the loop: one of the types of this file.
-// Those that come with each message lie in the buffer of their message, so that handing one over allocates nothing.
+// event is the interface of the event types in this file, which callbacks and other goroutines post to the loop. Events
+// for messages lie in the message's buffer, so that posting one allocates nothing.
 type event interface{ isEvent() }
 
-// clientMessage is an event about what a client sent: a request, or what is none. Those of one connection wait in
-// order.
+// clientMessage is an event for client input: a request, or input that is not one. The events of one connection are
+// handled in order.
 type clientMessage interface {
 	event
 	sender() *peer
-	// release gives back the buffer that the message lies in, if it has one.
+	// release returns the message's buffer to the pool, if it has one.
 	release(pool *bufferPool)
 }
 
-// Events of clients' connections.
+// Events of client connections.
 type (
-	// connectionOpened says that a connection was accepted.
+	// connectionOpened: a connection was accepted.
 	connectionOpened struct{ peer *peer }
-	// connectionClosed says that a connection ended, whoever ended it.
+	// connectionClosed: a connection ended, for any reason.
 	connectionClosed struct{ peer *peer }
-	// discardLimitExceeded says that more comes on a sealed connection than is passed over.
+	// discardLimitExceeded: a client sent more than DiscardBytes after the seal.
 	discardLimitExceeded struct{ peer *peer }
-	// requestRead is a complete request.
+	// requestRead: a complete request was read.
 	requestRead struct {
 		peer    *peer
-		buffer  *buffer // in which the request's slices lie
+		buffer  *buffer // holds the request's slices
 		request wire.Request
 	}
-	// requestUnreadable says that what came is no request, or could not be taken in. Nothing more is read on the
+	// requestUnreadable: the input is not a request, or no buffer was free for it. Nothing more is read on the
 	// connection.
 	requestUnreadable struct {
 		peer *peer
 		err  error
 	}
-	// listenerClosed says that nothing more is accepted; each connection accepted before came with connectionOpened.
+	// listenerClosed: the listener accepts no more connections; connectionOpened was posted for each accepted one.
 	listenerClosed struct{}
 )
 
-// Events of the connections that the server opens itself. Each belongs to the dial that brought it.
+// Events of outgoing connections. Each belongs to the dial that opened the connection.
 type (
-	// linkDialed says what came of a dial: a connection, or an error.
+	// linkDialed: a dial ended with a connection or an error.
 	linkDialed struct {
 		dialed *dialed
 		conn   netpoll.Connection
 		err    error
 	}
-	// linkClosed says that a connection ended, or that what came on it can't be read.
+	// linkClosed: a connection ended, or its input can't be parsed.
 	linkClosed struct {
 		dialed *dialed
 		err    error
 	}
-	// kernelEventRead is an event of the kernel.
+	// kernelEventRead: an event of the kernel was read.
 	kernelEventRead struct {
 		dialed *dialed
-		buffer *buffer // in which the event's slices lie
+		buffer *buffer // holds the event's slices
 		event  wire.KernelEvent
 	}
-	// callReplyRead is a reply of the store.
+	// callReplyRead: a reply of the store was read.
 	callReplyRead struct {
 		dialed *dialed
-		buffer *buffer // in which the reply's slices lie
+		buffer *buffer // holds the reply's slices
 		reply  wire.CallReply
 	}
-	// reportAnswerRead is service discovery's answer to a report.
+	// reportAnswerRead: service discovery responded to a report.
 	reportAnswerRead struct {
 		dialed *dialed
 		buffer *buffer
@@ -78,19 +78,19 @@
 
 // Events of signals.
 type (
-	// drainRequested is the notice to leave.
+	// drainRequested: SIGTERM, the node has to drain.
 	drainRequested struct{}
-	// countersRequested asks for the counters to be logged.
+	// countersRequested: SIGUSR1, the counters have to be logged.
 	countersRequested struct{}
-	// startupFileReloaded is the start-up file read anew, or why it can't be.
+	// startupFileReloaded: the start-up file was read again, or could not be.
 	startupFileReloaded struct {
 		node *Node
 		err  error
 	}
 )
 
-// callback is what the loop is to do now that the fleet agent or the result keeper is done with its network or disk:
-// see fleetHost and resultHost.
+// callback runs a function on the loop, once the fleet agent or the result keeper has finished work on its network or
+// disk: see fleetHost and resultHost.
 type callback struct{ then func() }
 
 func (connectionOpened) isEvent()     {}
@@ -115,7 +115,7 @@
 func (e *requestRead) release(pool *bufferPool)  { pool.put(e.buffer) }
 func (e *requestUnreadable) release(*bufferPool) {}
 
-// handle takes one event.
+// handle handles one event.
 func (l *loop) handle(e event) {
 	switch e := e.(type) {
 	case connectionOpened:
--- a/internal/node/server/handle_table.go
+++ b/internal/node/server/handle_table.go
@@ -1,9 +1,10 @@
 package server
 
-// handle is a slot's number with its generation above; 0 names nothing.
+// handle identifies a slot and its generation: the low slotBits bits are the slot, the rest the generation. 0 is no
+// handle.
 type handle uint32
 
-// slotBits is how many bits of a handle are the slot's number, which bounds each table.
+// slotBits is the number of bits of a handle for the slot. It limits each table to maxSlots.
 const (
 	slotBits = 14
 	maxSlots = 1 << slotBits
@@ -11,26 +12,26 @@
 
 func (h handle) slot() int { return int(h & (maxSlots - 1)) }
 
-// slot is one place of a table.
+// slot is an entry of a table.
 type slot[T any] struct {
 	generation uint32
 	used       bool
 	value      T
 }
 
-// table is a set of numbered slots that are used again: for connections, requests and keys. A handle names a slot and
-// the generation it was taken in, so that a late event of what had the slot before finds nothing. A table belongs to
-// the loop alone; it is only ranged over in slot order, so that what the loop does is the same for the same events.
+// table is a pool of reusable slots, for connections, requests and keys. A handle from an earlier generation of a slot
+// finds nothing, so that late events don't reach the slot's next user. Tables belong to the loop. Iteration is in slot
+// order, so that the loop's decisions are deterministic.
 type table[T any] struct {
 	slots    []slot[T]
 	free     []int
-	used     int // in use
+	used     int // number of slots in use
 	capacity int
 }
 
 func newTable[T any](capacity int) table[T] { return table[T]{capacity: min(capacity, maxSlots)} }
 
-// take gives an empty slot; ok is false while all are in use.
+// take allocates an empty slot; ok is false if all are in use.
 func (t *table[T]) take() (h handle, v *T, ok bool) {
 	var i int
 	switch n := len(t.free); {
@@ -52,10 +53,10 @@
 	return handle(s.generation<<slotBits | uint32(i)), &s.value, true
 }
 
-// full tells whether all slots are in use.
+// full reports whether all slots are in use.
 func (t *table[T]) full() bool { return len(t.free) == 0 && len(t.slots) >= t.capacity }
 
-// get finds what a handle names; nil if it is no longer there. It lasts until the next take.
+// get returns the value of a handle, or nil if its slot was freed. The pointer is valid until the next take.
 func (t *table[T]) get(h handle) *T {
 	i := h.slot()
 	if h == 0 || i >= len(t.slots) || !t.slots[i].used || t.slots[i].generation != uint32(h>>slotBits) {
@@ -64,19 +65,19 @@
 	return &t.slots[i].value
 }
 
-// drop frees a slot; a handle that names none is passed over.
+// drop frees a slot; a stale handle is ignored.
 func (t *table[T]) drop(h handle) {
 	if t.get(h) == nil {
 		return
 	}
 	s := &t.slots[h.slot()]
-	var none T
-	s.value, s.used = none, false
+	var zero T
+	s.value, s.used = zero, false
 	t.free = append(t.free, h.slot())
 	t.used--
 }
 
-// next is the first handle in use at slot i or after, with the slot to go on from; 0 at the end.
+// next returns the first handle in use at slot i or above and the slot to continue at; the handle is 0 at the end.
 func (t *table[T]) next(i int) (handle, int) {
 	for ; i < len(t.slots); i++ {
 		if t.slots[i].used {
--- a/internal/node/server/http_front_end.go
+++ b/internal/node/server/http_front_end.go
@@ -10,18 +10,18 @@
 	"umberwinch/internal/node/wire"
 )
 
-// The HTTP front end: it owns the order of what a connection brings, of which one message is served at a time, and
-// answers health checks and what is no request. Each request read gets exactly one response, and no response goes out
-// before those to what came earlier on its connection.
+// The HTTP front end serves the messages of each connection one at a time and in order, and answers health checks and
+// invalid requests itself. Each request read gets exactly one response, sent after the responses to the earlier
+// requests on its connection. It runs on the loop.
 
-// Reasons of bad requests that stand in no field of one; the others are rejections.
+// Logged reasons of bad requests other than rejections.
 const (
 	reasonIncomplete = "a message was not complete in time"
 	reasonUnparsable = "can't be parsed as a request"
 	reasonNotServed  = "unknown method or path"
 )
 
-// messageReceived takes a message of a connection, or that what came is none. It waits while another is served.
+// messageReceived serves a message of a connection, or queues it while an earlier one is in progress.
 func (l *loop) messageReceived(m clientMessage) {
 	c := l.connections.get(m.sender().handle)
 	if c == nil || c.closing {
@@ -36,7 +36,7 @@
 	l.serveMessage(c, m)
 }
 
-// serveMessage starts on the next message of a connection.
+// serveMessage serves the next message of a connection.
 func (l *loop) serveMessage(c *connection, m clientMessage) {
 	p := m.sender()
 	p.pipelined.Add(-1)
@@ -48,55 +48,57 @@
 	}
 }
 
-// Paths that are served.
+// The served paths.
 const (
 	healthPath    = "/health"
 	handlerPrefix = "/rpc/"
 )
 
-// serveRequest answers a health check or what is no request, and has the controller hear of any other.
+// serveRequest answers health checks and invalid requests, and passes other requests on to the controller.
 func (l *loop) serveRequest(c *connection, m *requestRead) {
-	a := wire.Response{Close: m.request.Close}
+	response := wire.Response{Close: m.request.Close}
 	switch method, path := string(m.request.Method), string(m.request.Path); {
 	case path == healthPath && method == methodGet:
-		l.checkHealth(c, &a)
+		l.checkHealth(c, &response)
 	case len(path) > len(handlerPrefix) && strings.HasPrefix(path, handlerPrefix) && method == methodPost:
-		if a.Status = l.receiveRequest(c, m, path[len(handlerPrefix):], &a); a.Status != wire.StatusBadRequest {
+		response.Status = l.receiveRequest(c, m, path[len(handlerPrefix):], &response)
+		if response.Status != wire.StatusBadRequest {
 			c.usage = usageRequests
 		}
-		if a.Status == 0 {
+		if response.Status == 0 {
 			return
 		}
-		l.addRetryAfter(&a)
+		l.addRetryAfter(&response)
 	default:
-		a.Status = wire.StatusBadRequest
+		response.Status = wire.StatusBadRequest
 		if log := l.countBadRequest(); log != nil {
 			log.WithFields(logrus.Fields{logging.Reason: reasonNotServed, logging.Method: method, logging.Path: path}).
 				Info(logBadRequest)
 		}
 	}
-	a.Close = a.Close || a.Status == wire.StatusBadRequest
+	response.Close = response.Close || response.Status == wire.StatusBadRequest
 	m.release(&l.pool)
-	l.sendResponse(c, a)
+	l.sendResponse(c, response)
 }
 
 // checkHealth answers a health check.
-func (l *loop) checkHealth(c *connection, a *wire.Response) {
+func (l *loop) checkHealth(c *connection, response *wire.Response) {
 	l.counters.HealthChecks++
 	c.usage = max(c.usage, usageHealthChecks)
-	if a.Status = wire.StatusOK; !l.ready {
-		a.Status = wire.StatusServiceUnavailable
+	if response.Status = wire.StatusOK; !l.ready {
+		response.Status = wire.StatusServiceUnavailable
 	}
-	a.Body = l.results.healthBody()
+	response.Body = l.results.healthBody()
 }
 
-// unreadableResponse answers what could not be read. A lack of buffers is no fault of the client.
+// unreadableResponse returns the response to input that could not be read. A lack of buffers is answered 503, as it is
+// not the client's fault.
 func (l *loop) unreadableResponse(err error) wire.Response {
 	if errors.Is(err, errNoBuffer) {
 		l.counters.Rejected++
-		a := wire.Response{Status: wire.StatusServiceUnavailable, Close: true}
-		l.addRetryAfter(&a)
-		return a
+		response := wire.Response{Status: wire.StatusServiceUnavailable, Close: true}
+		l.addRetryAfter(&response)
+		return response
 	}
 	if log := l.countBadRequest(); log != nil {
 		log.WithFields(logrus.Fields{logging.Reason: reasonUnparsable, logging.Error: err}).Info(logBadRequest)
@@ -104,27 +106,26 @@
 	return wire.Response{Status: wire.StatusBadRequest, Close: true}
 }
 
-// addRetryAfter gives a rejection that the controller was not asked about a time to retry after, where the settings
-// allow one.
-func (l *loop) addRetryAfter(a *wire.Response) {
-	if a.Status == wire.StatusServiceUnavailable && a.RetryAfterMS == 0 {
-		a.RetryAfterMS = l.retryAfter(&l.retryTimes, 0)
+// addRetryAfter sets the Retry-After of a rejection that the controller did not decide on, if the settings allow one.
+func (l *loop) addRetryAfter(response *wire.Response) {
+	if response.Status == wire.StatusServiceUnavailable && response.RetryAfterMS == 0 {
+		response.RetryAfterMS = l.retryAfter(&l.retryTimes, 0)
 	}
 }
 
-// sendResponse sends a response and goes on to what else the connection has brought. What was read before a connection
-// is to be closed is still answered on it: only the last response says that it closes.
-func (l *loop) sendResponse(c *connection, a wire.Response) {
+// sendResponse sends a response and continues with the connection's pending messages. Requests read before a connection
+// ends still get their responses; only the last response announces the close.
+func (l *loop) sendResponse(c *connection, response wire.Response) {
 	c.current, c.lastActive = 0, l.now
-	c.ending = c.ending || a.Close || l.draining
-	a.Close = c.ending && !c.hasUnanswered() && c.peer.seal(false)
-	a.OverloadSignal, a.HasOverloadSignal = l.overloadSignal, l.hasOverloadSignal
-	l.scratch = wire.AppendResponse(l.scratch[:0], a)
+	c.ending = c.ending || response.Close || l.draining
+	response.Close = c.ending && !c.hasUnanswered() && c.peer.seal(false)
+	response.OverloadSignal, response.HasOverloadSignal = l.overloadSignal, l.hasOverloadSignal
+	l.scratch = wire.AppendResponse(l.scratch[:0], response)
 	if !c.peer.send(l.scratch, l.limits.ConnectionQueue) {
-		l.abort(c) // its client takes nothing
+		l.abort(c) // its client reads nothing
 		return
 	}
-	if a.Close {
+	if response.Close {
 		l.finish(c)
 		return
 	}
--- a/internal/node/server/intake.go
+++ b/internal/node/server/intake.go
@@ -2,28 +2,29 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"github.com/cloudwego/netpoll"
 )
 
 var (
-	errNoBuffer = errors.New("no buffer is free")
-	errTooLong  = errors.New("message is longer than a buffer")
+	errNoBuffer = errors.New("no buffer is free for a message")
+	errTooLong  = fmt.Errorf("message exceeds a buffer of %d bytes", bufferBytes)
 )
 
-// intake gathers what a connection brings until a message is complete. It belongs to the connection's callback, which
-// netpoll never runs twice at once, and ends with drop; until then it owns the one buffer of what is incomplete. It
-// gives up with errNoBuffer while none is free: see row "no buffer free" in docs/design/shutdown.md.
+// intake collects the input of a connection into messages. It belongs to the connection's callback, which netpoll never
+// runs twice at once, and ends with drop; it owns the buffer of an incomplete message. Without a free buffer it fails
+// with errNoBuffer: see row "no buffer free" in docs/design/shutdown.md.
 type intake struct {
 	pool *bufferPool
 	buf  *buffer
 }
 
-// parser reads the message at the start of b into the event that b holds for it; n is 0 while the message is
-// incomplete.
+// parser parses the message at the start of b into the event that b holds for it; n is its length in bytes, 0 while it
+// is incomplete.
 type parser func(b *buffer) (e event, n int, err error)
 
-// read takes all that has come. Each complete message goes to put together with the buffer it lies in.
+// read reads all available input. Each complete message is passed to put with its buffer.
 func (in *intake) read(r netpoll.Reader, parse parser, put func(event)) error {
 	for r.Len() > 0 {
 		if in.buf == nil {
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// parse hands over each message that is complete, and keeps what is left in a buffer of its own.
+// parse passes each complete message to put and moves the remaining bytes to a new buffer.
 func (in *intake) parse(parse parser, put func(event)) error {
 	for in.buf != nil {
 		e, n, err := parse(in.buf)
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// drop gives up what is incomplete.
+// drop discards the incomplete message.
 func (in *intake) drop() {
 	in.pool.put(in.buf)
 	in.buf = nil
--- a/internal/node/server/limits.go
+++ b/internal/node/server/limits.go
@@ -7,101 +7,102 @@
 	"umberwinch/internal/node/wire"
 )
 
-// Limits are the sizes, counts and times by which the program bounds itself. They are derived once, at the start, from
-// what the machine allows, and never change. None of them decides about a request that the controller hears of: those
-// figures are the controller's.
+// Limits are the sizes, counts and times that bound the program's resources. They are derived once, at the start, from
+// the machine's resources, and never change. None of them affects a request that reaches the controller; its limits are
+// the settings'.
 type Limits struct {
-	Cores    int // whole ones, at least 1
+	Cores    int // whole cores, at least 1
 	MemoryMB int // MiB
 
-	// Counts. Each bounds what clients or other servers can make this one hold.
-	Connections       int // connections of clients at one time
-	EvictionThreshold int // connections from which on those of least use are closed for further ones
+	// Counts. They limit what clients and other servers can make the node hold.
+	Connections       int // open client connections
+	EvictionThreshold int // client connections above which idle ones are closed
 	StoreConnections  int // connections to the store
-	Pipelined         int // requests read from one connection and not begun yet
-	Requests          int // requests in hand
-	IdempotencyKeys   int // keys known
-	Buffers           int // buffers in use for what is read
-	Workers           int // goroutines kept for work on connections
-	EventQueue        int // events handed over and not taken yet
-	EventsPerRound    int // events taken into one round
-	LinkQueue         int // buffers waiting to go out on a link
-	ConnectionQueue   int // buffers waiting to go out on a client's connection
+	Pipelined         int // requests read on a connection and not handled yet
+	Requests          int // requests in progress
+	IdempotencyKeys   int // entries of the idempotency table
+	Buffers           int // buffers in use for input
+	Workers           int // reused goroutines for work on connections
+	EventQueue        int // events posted and not handled yet
+	EventsPerRound    int // events handled in one round
+	LinkQueue         int // buffers queued for sending on a link
+	ConnectionQueue   int // buffers queued for sending on a client connection
 
 	// Sizes in bytes.
-	DiscardBytes  int         // passed over after a bad message, for its sender to read the response
-	ResultBytes   int         // of results kept in memory
-	RequestBounds wire.Bounds // of a request
-	LinkBounds    wire.Bounds // of a message of the kernel, the store or service discovery
+	DiscardBytes  int         // discarded after a connection's input is sealed
+	ResultBytes   int         // results kept in memory
+	RequestBounds wire.Bounds // requests
+	LinkBounds    wire.Bounds // messages of the kernel, the store and service discovery
 
 	// Times outside the loop.
-	DialTimeout      time.Duration // a dial takes no longer
-	ListenTimeout    time.Duration // an address that can't be had yet is tried for so long
-	AcceptRetryDelay time.Duration // accepting waits so long when the system has no descriptor left
-	WriteTimeout     time.Duration // a peer that takes nothing for so long is given up
+	DialTimeout      time.Duration // maximum time of a dial
+	ListenTimeout    time.Duration // how long a failing listen is retried
+	AcceptRetryDelay time.Duration // pause before a failed accept or listen is retried
+	WriteTimeout     time.Duration // maximum time of a write to a peer that does not read
 
 	// Times of the loop.
-	GaugesTimeout          admission.Time // a wake-up waits at most so long for its gauges
-	ReplayTimeout          admission.Time // a link that doesn't say that its replay is over is opened anew
-	AckSafetyMargin        admission.Time // commands answered for less long ago may still be lost with their link
-	CallGrace              admission.Time // a call that the store does not end is given up so long after its deadline
-	StoreIdleTimeout       admission.Time // a store connection unused for so long is not trusted with a call
-	MaxClockAhead          admission.Time // a request that is stamped later than now by more has a wrong time
-	SweepInterval          admission.Time // connections are looked over so often
-	MessageTimeout         admission.Time // a message that is incomplete for so long ends its connection
-	HealthCheckIdleTimeout admission.Time // a connection that has brought health checks alone may be idle so long
-	EvictionMinIdle        admission.Time // a connection used less long ago is not closed to make room
-	EvictionMinAge         admission.Time // nor one opened less long ago
-	LingerTimeout          admission.Time // a closing connection waits so long for its client to close
-	ReportInterval         admission.Time // time between reports to service discovery
-	MinBackoff             admission.Time // first wait before a link is dialled again, which doubles
+	GaugesTimeout          admission.Time // maximum wait of a wake-up for its gauges
+	ReplayTimeout          admission.Time // maximum time of a replay; then the link is reopened
+	AckSafetyMargin        admission.Time // commands acknowledged more recently may still be lost with their link
+	CallGrace              admission.Time // how long after its deadline a call without a reply is given up
+	StoreIdleTimeout       admission.Time // a store connection idle for longer gets no call
+	MaxClockAhead          admission.Time // a receive timestamp further in the future is invalid
+	SweepInterval          admission.Time // interval of sweeps over the connections
+	MessageTimeout         admission.Time // a message incomplete for longer ends its connection
+	HealthCheckIdleTimeout admission.Time // idle timeout of connections with health checks only
+	EvictionMinIdle        admission.Time // a connection used more recently is not evicted
+	EvictionMinAge         admission.Time // an unused connection opened more recently is not evicted
+	LingerTimeout          admission.Time // how long a closing connection waits for its client to close
+	ReportInterval         admission.Time // maximum interval between reports to service discovery
+	MinBackoff             admission.Time // first wait before a link is dialled again; it doubles
 	MaxBackoff             admission.Time // longest such wait
-	KillMargin             admission.Time // the controller is told of a kill so much earlier
-	DrainQuietPeriod       admission.Time // without a request for so long, no client sends here any more
-	InFlightGrace          admission.Time // what crosses the close of a connection may come so late
-	LogInterval            admission.Time // of lines beyond a few, their number is written so often
+	KillMargin             admission.Time // the controller's kill time is this much before the kill
+	DrainQuietPeriod       admission.Time // a draining node without requests for this long is out of use
+	InFlightGrace          admission.Time // how long after a connection's close input that crossed it may arrive
+	LogInterval            admission.Time // how often the number of dropped log lines is logged
 }
 
 const (
 	ms = admission.Second / 1000
 
-	// defaultMemoryMB and defaultSockets stand for what the start-up file does not say: a small container's.
+	// defaultMemoryMB and defaultSockets apply where the start-up file gives no limits.
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 
-	// idempotencyKeyBytes is what an idempotency key takes in memory.
+	// idempotencyKeyBytes is the memory of an idempotency key, in bytes.
 	idempotencyKeyBytes = 256
-	// keysMemoryDivisor and resultsMemoryDivisor are the parts of the memory for keys and for results: one twelfth each, so that
-	// connections and buffers have the rest.
+	// keysMemoryDivisor and resultsMemoryDivisor give the parts of the memory for idempotency keys and for results: a
+	// twelfth each.
 	keysMemoryDivisor, resultsMemoryDivisor = 12, 12
-	// buffersMemoryDivisor is the part for messages: a quarter has one for each connection and its request several times over.
+	// buffersMemoryDivisor gives the part of the memory for messages: a quarter fits several buffers per connection and
+	// request.
 	buffersMemoryDivisor = 4
-	// connectionsMemoryDivisor is the part that connections may take at most, with buffersPerConnection: two of netpoll's and
-	// one of this package's.
+	// connectionsMemoryDivisor gives the maximum part of the memory for connections, which take buffersPerConnection
+	// buffers each: two of netpoll's and one of this package's.
 	connectionsMemoryDivisor, buffersPerConnection = 2, 3
 
-	// minConnections are held however little the machine allows: clients, health checks and an operator.
+	// minConnections is the minimum number of connections on any machine, for clients, health checks and an operator.
 	minConnections = 8
-	// reservedDescriptors are kept back for the links, each twice while it is opened again, listener, pollers and standard
+	// reservedDescriptors are for the links, each twice while it is reopened, the listener, pollers and standard
 	// streams.
 	reservedDescriptors = 24
-	// storeDescriptorsDivisor is the part of all descriptors for connections to the store.
+	// storeDescriptorsDivisor gives the part of all descriptors for store connections.
 	storeDescriptorsDivisor = 8
-	// minStoreConnections let one call go on beside another that hangs; maxStoreConnections are more than a node runs
-	// at one time, so that each call has a connection to itself.
+	// minStoreConnections allow a call beside one that hangs; maxStoreConnections exceed the runs of a node, so that
+	// each call has a connection of its own.
 	minStoreConnections, maxStoreConnections = 2, 64
-	// evictionReserveDivisor is the part of all connections that stays free for new ones: an eighth takes a burst of clients
-	// in while the idle ones are closed.
+	// evictionReserveDivisor gives the part of all connections kept free for new ones, which absorbs a burst of clients
+	// while idle connections are closed.
 	evictionReserveDivisor = 8
 
-	// killMarginBase and killMarginCoreTime are how long the last responses take to go out: a base, and the work of one
-	// collection, which takes so much longer the less of a core there is, but not for less than minCoreShare.
+	// killMarginBase and killMarginCoreTime bound how long the last responses take to go out: a fixed time, plus the
+	// work of one garbage collection in core time, which takes longer with less than a core. minCoreShare limits that,
+	// in cores.
 	killMarginBase, killMarginCoreTime = 30 * ms, 8 * ms
 	minCoreShare                       = 0.02
 )
 
-// NewLimits derives the bounds from what the machine allows: cores, memory in MiB and descriptors; 0 stands for what is
-// not known.
+// NewLimits derives the limits from cores, memory in MiB and descriptors; 0 means unknown.
 func NewLimits(cores float64, memoryMB, sockets int) Limits {
 	if memoryMB <= 0 {
 		memoryMB = defaultMemoryMB
@@ -113,88 +114,88 @@
 	l := Limits{Cores: max(int(cores), 1), MemoryMB: memoryMB}
 	l.setFixedCounts()
 	l.setFixedTimes()
-	// Clients use up to half of all descriptors, so no more than that is kept back.
-	keptBack := min(reservedDescriptors+sockets/storeDescriptorsDivisor, sockets/2)
-	inMemory := memory / connectionsMemoryDivisor / (buffersPerConnection * bufferBytes)
-	l.Connections = max(min(sockets-keptBack, inMemory), minConnections)
+	// At least half of all descriptors is left to clients.
+	reserved := min(reservedDescriptors+sockets/storeDescriptorsDivisor, sockets/2)
+	connectionsInMemory := memory / connectionsMemoryDivisor / (buffersPerConnection * bufferBytes)
+	l.Connections = max(min(sockets-reserved, connectionsInMemory), minConnections)
 	l.EvictionThreshold = l.Connections - max(l.Connections/evictionReserveDivisor, 1)
 	l.StoreConnections = min(max(sockets/storeDescriptorsDivisor, minStoreConnections), maxStoreConnections)
-	// A request outlives its connection while it still runs: twice the connections, within what handles can name.
+	// A request may outlive its connection while its run ends: twice the connections, at most the slots of a table.
 	l.Requests = min(2*l.Connections, maxSlots)
 	l.IdempotencyKeys = memory / keysMemoryDivisor / idempotencyKeyBytes
 	l.ResultBytes = memory / resultsMemoryDivisor
 	l.Buffers = memory / buffersMemoryDivisor / bufferBytes
-	// Guards against a kill with a response unsent, see row "kill near" in docs/design/shutdown.md. Longer takes from
-	// the drain, in which little runs by then.
+	// Prevents a kill with responses unsent, see row "kill near" in docs/design/shutdown.md.
 	l.KillMargin = killMarginBase + admission.Time(float64(killMarginCoreTime)/min(max(cores, minCoreShare), 1))
 	return l
 }
 
-// setFixedCounts sets the counts and sizes that are the same on each machine.
+// setFixedCounts sets the counts and sizes that don't depend on the machine.
 func (l *Limits) setFixedCounts() {
-	// A client sends one request at a time; two more let one that pipelines go on without a gap.
+	// Clients send one request at a time; two more keep a pipelining client going.
 	l.Pipelined = 2
-	// A usual round writes to no more connections than this; more get a goroutine of their own.
+	// Covers the connections that a usual round writes to; beyond that each write starts a goroutine.
 	l.Workers = 16
-	// A round of all connections at once, several times over: callbacks wait only while the loop is far behind.
+	// Several rounds of all connections: callbacks wait only while the loop is far behind.
 	l.EventQueue = 4096
-	// More would have the first request of a round wait long for the last to be read.
+	// Bounds the time from the reading of a round's first event to its decision.
 	l.EventsPerRound = 1024
-	// The kernel or the store takes nothing for this long a queue only when it hangs.
+	// The queue reaches this length only if the kernel or the store hangs.
 	l.LinkQueue = 128
 	// A connection has one response at a time, of at most two buffers.
 	l.ConnectionQueue = 4
-	// A client that sends a body too long has sent it by then, and reads the response in place of a reset.
+	// The client of an oversized body has sent it by then and reads the response instead of a reset.
 	l.DiscardBytes = 256 << 10
-	// What the platform's requests come to, and a head twice as long.
+	// The platform's requests, with a head twice as long.
 	l.RequestBounds = wire.Bounds{HeadBytes: 4 << 10, BodyBytes: 2 << 10}
-	// What fits into a buffer with the line or the head around it.
+	// Fits into a buffer with the line or the head around it.
 	l.LinkBounds = wire.Bounds{HeadBytes: bufferBytes - 64, BodyBytes: bufferBytes - 512}
 }
 
-// setFixedTimes sets the times that are the same on each machine, but for KillMargin.
+// setFixedTimes sets the times that don't depend on the machine; KillMargin does.
 func (l *Limits) setFixedTimes() {
-	// Both ends are in one data centre: longer than this is a host that is down.
+	// Both ends are in one data centre, so a longer dial means a host that is down.
 	l.DialTimeout = time.Second
-	// A node has to be ready within 30 s of its start; the rest is for the kernel.
+	// A node has to be ready within 30 s of its start; the kernel needs the rest.
 	l.ListenTimeout = 10 * time.Second
-	// Descriptors come free in milliseconds, with the next connection that closes.
+	// A descriptor is free with the next connection that closes, within milliseconds.
 	l.AcceptRetryDelay = 10 * time.Millisecond
-	// Past a client's patience for its response; shorter would cut off one whose machine stands still for a while.
+	// Longer than a client's timeout, so that a client on a machine at a standstill keeps its connection.
 	l.WriteTimeout = 3 * time.Second
 
-	// The kernel is on this machine and answers in under a millisecond; later the controller decides without gauges.
+	// The kernel is on this machine and answers in under a millisecond; after the timeout the controller decides
+	// without gauges.
 	l.GaugesTimeout = 8 * ms
-	// A kernel that hangs over a replay is dialled anew; requests wait for it meanwhile.
+	// Requests wait for the replay, so a kernel that hangs is dialled again.
 	l.ReplayTimeout = 500 * ms
-	// A break shows within this time after what it took with it; longer sends more commands twice, which does no harm.
+	// A broken link is noticed within this time; commands sent twice do no harm.
 	l.AckSafetyMargin = 100 * ms
-	// The store ends calls by itself; this is for one that forgets.
+	// The store ends calls at their deadline; this covers one that does not.
 	l.CallGrace = 200 * ms
-	// The other side may close an idle connection, and a call that crosses that may have run.
+	// The store may close an idle connection, and a call that crosses the close may have run.
 	l.StoreIdleTimeout = 500 * ms
-	// Clocks on one machine agree, but for what a standstill of one process hides.
+	// Clocks on one machine agree, except across a standstill of a process.
 	l.MaxClockAhead = admission.Second
-	// Several times within each of the idle times that are looked after.
+	// A fraction of the idle timeouts that a sweep enforces.
 	l.SweepInterval = 100 * ms
-	// A message takes a few ms to come; its client is to have an end within 3 s.
+	// A message takes a few ms to arrive; its client needs a response within 3 s.
 	l.MessageTimeout = 1500 * ms
-	// Checks come each second or so: one that has stopped is noticed after some.
+	// Checks come about once a second.
 	l.HealthCheckIdleTimeout = 3 * admission.Second
-	// A client that has its response sends its next request within this time, if it has one.
+	// A client with another request sends it within this time of its response.
 	l.EvictionMinIdle = 100 * ms
-	// The first request of a connection comes within this time, unless its client only means to hold a place.
+	// The first request of a connection arrives within this time.
 	l.EvictionMinAge = 20 * ms
-	// Clients close at once when told to; one that does not is given up, as it holds a place.
+	// Clients close at once when told to; one that does not holds a connection slot.
 	l.LingerTimeout = 500 * ms
-	// Three reports can be lost before the 3 s after which service discovery takes a server off its list.
+	// Three reports can be lost within the 3 s after which service discovery removes a node.
 	l.ReportInterval = 700 * ms
-	// A process that restarts is back within some of these; a longer wait would be time without its service.
+	// A process that restarts is back after a few of these.
 	l.MinBackoff, l.MaxBackoff = 20*ms, 500*ms
-	// Clients that know this server send within this time, or have learned that it leaves.
+	// Clients that use this node send a request within this time.
 	l.DrainQuietPeriod = 1500 * ms
-	// A request that was on its way when the connection was closed is here by then.
+	// A request in transit as the connection is closed arrives within this time.
 	l.InFlightGrace = 120 * ms
-	// One line a second on what was left out is enough to see that something was.
+	// One line a second reports the dropped lines.
 	l.LogInterval = admission.Second
 }
--- a/internal/node/server/listener.go
+++ b/internal/node/server/listener.go
@@ -9,16 +9,15 @@
 	"time"
 )
 
-// listener owns the listening socket and its bound on open connections. It accepts in a goroutine of its own, which
-// alone waits while every place is taken; each accepted connection holds a place until release is called for it. It
-// ends with stop, once what the system has completed is accepted; run closes the socket. Guards against a full table
-// that stops all reading: netpoll's own server accepts on its poller, and whatever waits there keeps every other
-// connection and the links waiting too. See row "full table" in docs/design/shutdown.md.
+// listener owns the listening socket and the limit on open connections. It accepts in a goroutine of its own, as
+// netpoll's server would accept on its poller, where waiting for a free slot blocks all other connections. Each
+// accepted connection holds a slot until releaseSlot. It ends with stop, after the backlog is accepted; run closes the
+// socket. See row "full table" in docs/design/shutdown.md.
 type listener struct {
-	file       *os.File // a non-blocking duplicate of the socket; its Fd method would make it block
+	file       *os.File // non-blocking duplicate of the socket; its Fd method would make it blocking
 	raw        syscall.RawConn
-	accept     func(fd int) (int, error) // accept4, or what a test has in its place
-	retryDelay time.Duration             // between tries while the system has no descriptor or memory left
+	accept     func(fd int) (int, error) // accept4, replaced in tests
+	retryDelay time.Duration             // pause after an accept error that may last
 
 	mu              sync.Mutex
 	slotFreed       *sync.Cond
@@ -27,13 +26,13 @@
 	stopping        bool
 }
 
-// newListener opens a socket that listens on an address.
+// newListener listens on an address.
 func newListener(address string, limit int, pause time.Duration) (*listener, error) {
 	tcp, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = tcp.Close() }() // the duplicate stands for the same socket
+	defer func() { _ = tcp.Close() }() // the duplicate keeps the socket open
 	file, err := tcp.(*net.TCPListener).File()
 	if err != nil {
 		return nil, err
@@ -47,29 +46,28 @@
 	return ln, nil
 }
 
-// listenWithRetry tries again for ListenTimeout where the system can't open the socket at the moment. Guards against a
-// restart that fails while the process before still holds the address, or no descriptor or memory is left. It holds for
-// as long as a process may take to end. warn hears of the first error. See row "socket, bind, listen: EADDRINUSE,
-// EADDRNOTAVAIL, EMFILE, ENFILE, ENOBUFS, ENOMEM" in docs/design/failures.md.
-func listenWithRetry(address string, lim Limits, warn func(error)) (*listener, error) {
-	started := time.Now()
+// listenWithRetry retries a failing listen for ListenTimeout: on a restart the previous process may still hold the
+// address, or descriptors or memory may be short for a moment. warn gets the first error. See row "socket, bind,
+// listen: EADDRINUSE, EADDRNOTAVAIL, EMFILE, ENFILE, ENOBUFS, ENOMEM" in docs/design/failures.md.
+func listenWithRetry(address string, limits Limits, warn func(error)) (*listener, error) {
+	startedAt := time.Now()
 	for try := 0; ; try++ {
-		ln, err := newListener(address, lim.Connections, lim.AcceptRetryDelay)
-		if err == nil || !isRetryableListenError(err) || time.Since(started) >= lim.ListenTimeout {
+		ln, err := newListener(address, limits.Connections, limits.AcceptRetryDelay)
+		if err == nil || !isRetryableListenError(err) || time.Since(startedAt) >= limits.ListenTimeout {
 			return ln, err
 		}
 		if try == 0 {
 			warn(err)
 		}
-		time.Sleep(lim.AcceptRetryDelay)
+		time.Sleep(limits.AcceptRetryDelay)
 	}
 }
 
-// isRetryableListenError tells errors of opening a listening socket that may pass.
+// isRetryableListenError reports whether a listen error may pass by itself.
 func isRetryableListenError(err error) bool {
-	for _, passing := range []error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE,
+	for _, transient := range []error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE,
 		syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN} {
-		if errors.Is(err, passing) {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
@@ -81,45 +79,45 @@
 	return accepted, err
 }
 
-// run hands each accepted descriptor to enter until stop is called. What fails is tried again: see rows "accept:
-// ECONNABORTED, EINTR" and "accept: any other" in docs/design/failures.md. Before it returns it accepts whatever the
-// system had completed by then and closes the socket: who connects after that is refused, which proves that nothing
-// ran. See row "drain's end" in docs/design/shutdown.md. warn hears of an error once for as long as it lasts.
-func (ln *listener) run(enter func(fd int), warn func(error)) {
-	var last error
+// run passes each accepted descriptor to onAccept until stop is called. Errors are retried: see rows "accept:
+// ECONNABORTED, EINTR" and "accept: any other" in docs/design/failures.md. Before it returns it accepts the connections
+// completed by then and closes the socket: a later connect is refused, which proves that nothing ran. See row "drain's
+// end" in docs/design/shutdown.md. warn gets the first of a series of errors.
+func (ln *listener) run(onAccept func(fd int), warn func(error)) {
+	var lastErr error
 	for {
 		ln.acquireSlot()
 		fd, err := ln.acceptNext()
 		if err == nil {
-			last = nil
-			enter(fd)
+			lastErr = nil
+			onAccept(fd)
 			continue
 		}
 		ln.releaseSlot()
 		if errors.Is(err, errBacklogEmpty) {
-			_ = ln.file.Close() // nothing is read or written by it
+			_ = ln.file.Close() // no data can be lost by the close
 			return
 		}
 		if isTransient(err) {
 			continue
 		}
-		if last == nil {
+		if lastErr == nil {
 			warn(err)
 		}
-		last = err
+		lastErr = err
 		time.Sleep(ln.retryDelay)
 	}
 }
 
-// errBacklogEmpty ends a stopped listener: no completed connection waits to be accepted.
-var errBacklogEmpty = errors.New("no connection waits to be accepted")
+// errBacklogEmpty ends the run of a stopped listener.
+var errBacklogEmpty = errors.New("no connection in the listen backlog")
 
-// isTransient tells errors that concern one connection, or no connection at all, and need no pause.
+// isTransient reports whether an accept error concerns a single connection or none, and needs no pause.
 func isTransient(err error) bool {
 	return errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ECONNABORTED)
 }
 
-// acceptNext waits for a connection; once the listener is stopping it only takes those that are complete.
+// acceptNext waits for a connection; a stopping listener only accepts those in the backlog.
 func (ln *listener) acceptNext() (fd int, err error) {
 	waitErr := ln.raw.Read(func(listening uintptr) bool {
 		fd, err = ln.accept(int(listening))
@@ -131,7 +129,7 @@
 	if !errors.Is(waitErr, os.ErrDeadlineExceeded) {
 		return 0, waitErr
 	}
-	// The deadline that stop set may have come before the first try: what is complete is taken without waiting.
+	// The deadline set by stop may have passed before the first try, so the backlog is tried without waiting.
 	controlErr := ln.raw.Control(func(listening uintptr) { fd, err = ln.accept(int(listening)) })
 	if controlErr != nil {
 		return 0, controlErr
@@ -142,7 +140,7 @@
 	return fd, err
 }
 
-// stop has run accept what is complete, close the socket and return.
+// stop makes run accept the backlog, close the socket and return.
 func (ln *listener) stop() {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
@@ -150,10 +148,10 @@
 		return
 	}
 	ln.stopping = true
-	_ = ln.file.SetReadDeadline(time.Now().Add(-time.Second)) // it is past, so that run wakes
+	_ = ln.file.SetReadDeadline(time.Now().Add(-time.Second)) // a past deadline wakes run
 }
 
-// acquireSlot takes a place, and waits while none is free.
+// acquireSlot takes a connection slot and waits while none is free.
 func (ln *listener) acquireSlot() {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
@@ -163,7 +161,7 @@
 	ln.openConnections++
 }
 
-// releaseSlot gives a place back.
+// releaseSlot returns a connection slot.
 func (ln *listener) releaseSlot() {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
