--- a/internal/node/server/http_front_end.go
+++ b/internal/node/server/http_front_end.go
@@ -16,8 +16,8 @@
 
 // Logged reasons of bad requests other than rejections.
 const (
-	reasonIncomplete = "a message was not complete in time"
-	reasonUnparsable = "can't be parsed as a request"
+	reasonIncomplete = "message not complete in time"
+	reasonUnparsable = "malformed request"
 	reasonNotServed  = "unknown method or path"
 )
 
--- a/internal/node/server/lifecycle.go
+++ b/internal/node/server/lifecycle.go
@@ -6,8 +6,8 @@
 	"umberwinch/admission"
 )
 
-// lifecycle says how far a request has come. It is five state machines side by side, as a run and its calls go on after
-// the client has its response or is gone:
+// lifecycle is the state of a request. It belongs to the loop and consists of five independent state machines, as a run
+// and its calls may outlast the response or the client:
 //
 //	response  pending -> sent | clientGone -> discarded
 //	run       notStarted -> running <-> stopping -> stopped -> running; running -> finished
@@ -15,9 +15,9 @@
 //	awaits    nothing -> original -> nothing
 //	disk      nothing -> opening | read | intent | result -> nothing
 //
-// Where they have to agree is said once, in isOver. Each state changes by the methods of this file alone, and each
-// change is looked up in a table of those that are allowed. One that isn't is carried out all the same, as a request
-// must get its response, and reported to onWrongTransition: tests fail by it.
+// Constraints between them are only in isOver. States are changed only by the methods of this file, which check each
+// transition against a table. A transition that is not allowed is still made, as the request must get its response, and
+// is reported to onWrongTransition, which fails tests.
 type lifecycle struct {
 	response responseState
 	run      runState
@@ -26,40 +26,40 @@
 	disk     diskState
 }
 
-// responseState is what has become of the one response that a request gets.
+// responseState is the state of the request's response.
 type responseState uint8
 
 const (
 	responsePending   responseState = iota
-	responseSent                    // handed to the connection
-	clientGone                      // the connection ended before
-	responseDiscarded               // the client was gone when the response was there
+	responseSent                    // passed to the connection
+	clientGone                      // the connection ended before the response
+	responseDiscarded               // the response came after the client was gone
 	responseStates
 )
 
-// runState is where the run stands that the kernel carries out, as far as the loop knows.
+// runState is the state of the run in the kernel, as far as the loop knows.
 type runState uint8
 
 const (
 	runNotStarted runState = iota
 	runRunning
-	runStopping // told to stop; the kernel has not said yet that it did
-	runStopped  // ended after it was told to stop; Run could start it again, which the controller never does
+	runStopping // stop requested; the kernel has not confirmed it
+	runStopped  // ended after a stop request; may be resumed, which the controller never does
 	runFinished // ended for good
 	runStates
 )
 
-// callState is where the call to the store stands that a run waits for.
+// callState is the state of the store call that a run is waiting for.
 type callState uint8
 
 const (
 	callNone   callState = iota
-	callQueued           // waits for its connection to open
+	callQueued           // its connection is not open yet
 	callSent
 	callStates
 )
 
-// awaitState tells whether a request waits for the result of the one that it repeats.
+// awaitState tells whether a request waits for the result of the request that it repeats.
 type awaitState uint8
 
 const (
@@ -68,19 +68,19 @@
 	awaitStates
 )
 
-// diskState is what a request with an idempotency key waits for, where results are stored.
+// diskState is the disk operation that a request with an idempotency key waits for, if results are stored.
 type diskState uint8
 
 const (
 	nothingPending diskState = iota
-	openingPending           // the folder is not read yet: the controller has not heard of the request
-	readPending              // its result is being read: the controller does not hear of it
-	intentPending            // it has its run slot, and its intent record is on the way to the disk
-	resultPending            // it ran, its run slot is free, and its result is on the way to the disk
+	openingPending           // the folder is not read yet; the request is not submitted to the controller
+	readPending              // its stored result is being read; the request is not submitted to the controller
+	intentPending            // it holds its run slot, and its intent record is being written
+	resultPending            // it ran, its run slot is free, and its result is being written
 	diskStates
 )
 
-// The allowed transitions: from the first index to the second.
+// The allowed transitions, from the first index to the second.
 var (
 	responseTransitions = [responseStates][responseStates]bool{
 		responsePending: {responseSent: true, clientGone: true},
@@ -88,13 +88,13 @@
 	}
 	runTransitions = [runStates][runStates]bool{
 		runNotStarted: {runRunning: true},
-		// To itself: resumed anew over another link.
+		// To itself: resumed again over another link.
 		runRunning:  {runRunning: true, runStopping: true, runFinished: true},
 		runStopping: {runRunning: true, runStopping: true, runStopped: true},
 		runStopped:  {runRunning: true},
 	}
 	callTransitions = [callStates][callStates]bool{
-		// To itself: a call is given up that there is none of.
+		// To itself: a cancellation without a call.
 		callNone:   {callNone: true, callQueued: true},
 		callQueued: {callNone: true, callSent: true},
 		callSent:   {callNone: true},
@@ -112,17 +112,18 @@
 	}
 )
 
-// wrongTransitionEndsProgram is set by the linker in the builds that scenarios play against, and by tests.
+// wrongTransitionEndsProgram, if not empty, turns a wrong transition into a panic. Tests set it, and so does the linker
+// in the builds that scenarios run.
 var wrongTransitionEndsProgram string
 
-// onWrongTransition hears of each change of state that is not allowed. In service nothing is done about it.
+// onWrongTransition handles a transition that is not allowed; in production it is ignored.
 func onWrongTransition(machine string, from, to uint8) {
 	if wrongTransitionEndsProgram != "" {
-		panic(fmt.Sprintf("%s state goes from %d to %d, which is not allowed", machine, from, to))
+		panic(fmt.Sprintf("%s state: transition from %d to %d is not allowed", machine, from, to))
 	}
 }
 
-// The setters carry a change out and report one that is not allowed.
+// The setters make a transition and report one that is not allowed.
 
 func (s *lifecycle) setResponse(to responseState) {
 	if !responseTransitions[s.response][to] {
@@ -159,39 +160,39 @@
 	s.disk = to
 }
 
-// isAnswered tells whether the request had its response, which nobody may have read.
+// isAnswered reports whether the response was sent or discarded.
 func (s *lifecycle) isAnswered() bool {
 	return s.response == responseSent || s.response == responseDiscarded
 }
 
-// isAbandoned tells whether the client was gone before the response.
+// isAbandoned reports whether the client was gone before the response.
 func (s *lifecycle) isAbandoned() bool {
 	return s.response == clientGone || s.response == responseDiscarded
 }
 
-// awaitsResponse tells whether a client waits for the response.
+// awaitsResponse reports whether the client waits for the response.
 func (s *lifecycle) awaitsResponse() bool { return s.response == responsePending }
 
-// isRunning tells whether the kernel carries the run out, or is to be told so.
+// isRunning reports whether the run has started and not ended; the kernel may not have it yet.
 func (s *lifecycle) isRunning() bool { return s.run == runRunning || s.run == runStopping }
 
-// isToldToStop tells whether the run was told to stop, and not to go on since.
+// isToldToStop reports whether the run was told to stop, and not resumed since.
 func (s *lifecycle) isToldToStop() bool { return s.run == runStopping || s.run == runStopped }
 
-// awaitsIntent tells whether the kernel has not been told of the run yet, as its intent is not on disk: a stop is told
-// with it.
+// awaitsIntent reports whether the run is held back from the kernel until its intent record is on disk; a stop is then
+// sent with the run.
 func (s *lifecycle) awaitsIntent() bool { return s.disk == intentPending }
 
-// mayStart tells whether Run may start the request, or start it again after a stop.
+// mayStart reports whether Run may start the request, or resume it after a stop.
 func (s *lifecycle) mayStart() bool { return s.run == runNotStarted || s.isToldToStop() }
 
-// isOver tells whether nothing of the request is left to come, so that its place in the request table can be used
-// again. Its run slot is another thing: the controller frees that at the end of the run.
+// isOver reports whether nothing more can happen to the request, so that its slot in the request table can be reused.
+// Its run slot is freed by the controller at the end of the run.
 func (s *lifecycle) isOver() bool {
 	return s.response != responsePending && !s.isRunning() && s.awaits == awaitsNothing
 }
 
-// respond notes that the response is there; it tells whether the client is there to have it.
+// respond records the response and reports whether the client is there to get it.
 func (s *lifecycle) respond() (hasClient bool) {
 	if s.isAbandoned() {
 		s.setResponse(responseDiscarded)
@@ -201,16 +202,16 @@
 	return true
 }
 
-// abandon notes that the client is gone; it takes no other request's result any more.
+// abandon records that the client is gone; the request no longer waits for another's result.
 func (s *lifecycle) abandon() {
 	s.setResponse(clientGone)
 	s.setAwaits(awaitsNothing)
 }
 
-// stop notes that the run is told to stop.
+// stop records that the run was told to stop.
 func (s *lifecycle) stop() { s.setRun(runStopping) }
 
-// endRun notes the end of the run. One that was told to stop is kept apart: Run could start it again.
+// endRun records the end of the run. A run that was told to stop becomes stopped, as it could be resumed.
 func (s *lifecycle) endRun() {
 	if s.isToldToStop() {
 		s.setRun(runStopped)
@@ -219,8 +220,7 @@
 	s.setRun(runFinished)
 }
 
-// outcomeIsResponse tells whether the end of a run is a response: that it stopped when it was
-// told to is none.
+// outcomeIsResponse reports whether the end of a run produces a response: a stop that was requested does not.
 func (s *lifecycle) outcomeIsResponse(outcome admission.Outcome) bool {
 	return outcome != admission.Stopped || !s.isToldToStop()
 }
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -13,15 +13,16 @@
 	"umberwinch/internal/retryafter"
 )
 
-// loop is what the one goroutine owns, by concern. All else reaches it by events alone, but for what is shared. What
-// needs one concern only is a method of that; what ties several together, such as the end of a call, is the loop's.
+// loop is the state owned by the loop's goroutine, by concern; it lives as long as the process. Other goroutines
+// communicate with it by events, and share only crossGoroutine. A method that needs one concern belongs to its type,
+// others to the loop.
 type loop struct {
 	crossGoroutine
 	configuration
 	loopTime
 	logLimit
 	counters Counters
-	scratch  []byte // the message that is being written
+	scratch  []byte // encoding buffer for the message being written
 
 	decisions
 	clients
@@ -30,80 +31,80 @@
 	readiness
 	drainState
 
-	retryTimes retryafter.Spreader // spreads Retry-After of requests that the loop rejects without the controller
-	fleet      *fleetAgent         // nil: the node serves alone
-	results    *resultKeeper       // nil: results are kept in memory alone
+	retryTimes retryafter.Spreader // spreads the Retry-After of rejections without the controller
+	fleet      *fleetAgent         // nil: the node is not part of a fleet
+	results    *resultKeeper       // nil: results are kept in memory only
 }
 
-// crossGoroutine is what callbacks of connections, dials and other goroutines use too; each field is safe for any of
-// them.
+// crossGoroutine is shared with callbacks and other goroutines; each field is safe for concurrent use.
 type crossGoroutine struct {
-	limits  Limits // never change
+	limits  Limits // immutable
 	log     *logrus.Logger
 	events  chan event
 	pool    bufferPool
 	workers workers
-	busy    atomic.Int64 // writers that still have something to send
+	busy    atomic.Int64 // writers that are sending
 }
 
-// configuration is what the node was told: at its start, and anew while it serves.
+// configuration is the node's configuration; reloads and policy versions change parts of it between rounds.
 type configuration struct {
 	startup  *Node // the start-up file
 	settings *settings.Startup
-	names    []string // of handlers, by their index
+	names    []string // names of handlers by index
 }
 
-// decisions is the controller and the rounds that it is given.
+// decisions is the controller and its rounds.
 type decisions struct {
 	controller  *admission.Controller // nil until the kernel is up
-	pools       *pools.Pools          // nil: none
-	rounds      [2]admission.Round    // one is filled while the other is decided on
-	filling     int
-	wakePending bool // a wake-up is due and waits for its gauges
+	pools       *pools.Pools          // nil: no pools
+	rounds      [2]admission.Round    // one is filled while the controller decides on the other
+	filling     int                   // index of the round being filled
+	wakePending bool                  // a wake-up waits for its gauges
 }
 
-// clients is what is known of clients' connections.
+// clients is the state of client connections.
 type clients struct {
 	listener       *listener
-	accepting      bool // the listener is open
+	accepting      bool // the listener accepts connections
 	connections    table[connection]
-	idleTimeout    admission.Time // connections idle for so long are closed
-	lastRequest    admission.Time // when the last one was read
-	lastConnection admission.Time // when the last one was opened: its first request may be on its way
+	idleTimeout    admission.Time // connections idle for longer are closed
+	lastRequest    admission.Time // when the last request was read
+	lastConnection admission.Time // when the last connection was opened; its first request may be on its way
 }
 
-// requestsInHand is what is known of requests, and of keys that their repeats share.
+// requestsInHand is the state of requests in progress and of idempotency keys.
 type requestsInHand struct {
 	requests      table[request]
 	byRequestID   map[string]handle
-	maybeFinished []handle // looked at once the round is decided
+	maybeFinished []handle // to be released after the round if they are over
 	idempotency   idempotencyTable
 }
 
-// upstreams are the connections that the server opens itself.
+// upstreams are the outgoing connections.
 type upstreams struct {
 	dialTo          dialer
 	kernel          kernelLink
-	reconnectKernel bool // once the round is decided
+	reconnectKernel bool // reopen the kernel's link after the round
 	store           storeConnections
 	discovery       discoveryLink
 }
 
-// readiness is what clients and service discovery learn of the node's state.
+// readiness is the node's state as reported to clients and service discovery.
 type readiness struct {
-	ready             bool // as health checks say
-	controllerReady   bool // by the controller alone, whatever the fleet agent says
+	ready             bool // as reported
+	controllerReady   bool // according to the controller, without the fleet agent
 	overloadSignal    float64
-	hasOverloadSignal bool // the controller has given a signal, which each response carries
+	hasOverloadSignal bool // overloadSignal is set and goes into each response
 }
 
-// post hands an event over; it waits while the queue is full.
+// post queues an event for the loop; it blocks while the queue is full.
 func (s *crossGoroutine) post(e event) { s.events <- e }
 
-// nextRound is the round that is being filled.
+// nextRound returns the round that is being filled.
 func (d *decisions) nextRound() *admission.Round { return &d.rounds[d.filling] }
 
-// finishRound lets go of what is over, now that the controller names it no more.
+// finishRound releases requests that are over, after the controller's last use of them, and reopens the kernel's link
+// if requested.
 func (l *loop) finishRound() {
 	l.releaseFinished()
 	if l.reconnectKernel {
@@ -112,7 +113,7 @@
 	}
 }
 
-// run takes events and timers until all is answered and the drain is over.
+// run handles events and timers until the drain is finished.
 func (l *loop) run() {
 	l.dial(&l.kernel.link)
 	l.timers.set(l.now, timerReport, 0)
@@ -147,15 +148,15 @@
 	}
 }
 
-// handleQueuedEvents handles what waits already, so that one round decides on all of it. The bound keeps a round short
-// while events come faster than they are handled.
+// handleQueuedEvents handles the queued events, so that one round decides on them together. The limit keeps rounds
+// short while events arrive faster than they are handled.
 func (l *loop) handleQueuedEvents() {
 	for n := 1; n < l.limits.EventsPerRound && len(l.events) > 0; n++ {
 		l.handle(<-l.events)
 	}
 }
 
-// fireTimers deals with every timer that is due.
+// fireTimers handles all timers that are due.
 func (l *loop) fireTimers() {
 	for {
 		t, ok := l.timers.next(l.now)
@@ -166,7 +167,7 @@
 	}
 }
 
-// fire deals with one timer.
+// fire handles one timer.
 func (l *loop) fire(t timer) {
 	switch t.kind {
 	case timerWake:
@@ -195,14 +196,14 @@
 		l.drainTick()
 	case timerResultStore:
 		l.results.answerLate(t.subject)
-	case timerFleet: // whatever is due is seen by tick
+	case timerFleet: // the fleet agent's tick handles what is due
 	}
 }
 
-// lateWakeUp is how late a wake-up may be before it is counted as slow.
+// lateWakeUp is the delay from which a wake-up counts as late.
 const lateWakeUp = admission.Second / 100
 
-// wakeUp asks for the gauges that a wake-up of the controller comes with.
+// wakeUp requests the gauges for a wake-up of the controller.
 func (l *loop) wakeUp(due admission.Time) {
 	if l.now-due > lateWakeUp {
 		l.counters.LateWakeUps++
@@ -212,14 +213,14 @@
 	l.requestGauges()
 }
 
-// keyExpired ends what is known of an idempotency key.
+// keyExpired expires an idempotency key. Requests that wait for its result get an error.
 func (l *loop) keyExpired(h handle) {
 	for _, waiter := range l.idempotency.expire(h, l.now, &l.timers) {
 		l.sharedResultReady(waiter, false, nil)
 	}
 }
 
-// decide has the controller decide round after round, until its decisions bring about nothing more to decide on.
+// decide lets the controller decide on rounds until its decisions produce no further events.
 func (l *loop) decide() {
 	for {
 		r := l.nextRound()
--- a/internal/node/server/pools.go
+++ b/internal/node/server/pools.go
@@ -11,10 +11,10 @@
 	"umberwinch/internal/node/pools"
 )
 
-// Pools give classes their shares of the run slots: what the operator's file says of them becomes a plan for package
-// pools, and a new file changes it. Without pools in the file nothing here runs.
+// Pools give classes shares of the run slots. The operator's file is turned into a plan for package pools, and a reload
+// reconfigures them. They are off unless the file has pools.
 
-// Own takes the operator's file along with the start-up file, checked against the handlers that this one names.
+// Own sets the operator's file, after a check against the handlers of the start-up file.
 func (c *Node) Own(own *config.Node) error {
 	names := make([]string, len(c.settings.Deployment.Handlers))
 	for name, i := range c.settings.HandlerIndex {
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// poolPlan gives what the operator's file says for each handler; without a pool for any it is off.
+// poolPlan returns the operator's pools for each handler; the plan is disabled if there are none.
 func (c *Node) poolPlan() pools.Plan {
 	d := c.settings.Deployment
 	p := pools.Plan{Disabled: c.own == nil || len(c.own.Pools) == 0, Tenants: max(1, len(d.Tenants))}
@@ -40,13 +40,13 @@
 	}
 	p.Reserve = c.own.Reserve
 	for _, o := range c.own.Pools {
-		k := &p.Classes[c.settings.HandlerIndex[o.Handler]]
-		k.MinFraction, k.MaxFraction, k.FixedLimit = o.MinShare, o.Cap, o.Fixed
+		class := &p.Classes[c.settings.HandlerIndex[o.Handler]]
+		class.MinFraction, class.MaxFraction, class.FixedLimit = o.MinShare, o.Cap, o.Fixed
 	}
 	return p
 }
 
-// makePools readies pools for a controller that starts, if the operator wants them.
+// makePools creates the pools of a new controller, if the operator's file has any.
 func (l *loop) makePools() {
 	if p := l.startup.poolPlan(); !p.Disabled {
 		l.pools = pools.New(p)
@@ -56,7 +56,7 @@
 	}
 }
 
-// reconfigurePools takes the pools of another file.
+// reconfigurePools applies the pools of a reloaded file.
 func (l *loop) reconfigurePools(next *Node) {
 	p := next.poolPlan()
 	switch {
@@ -69,10 +69,10 @@
 	l.startup.own = next.own
 }
 
-// unlimitedSlots is from where a pool's limit is none.
+// unlimitedSlots is the limit of run slots from which a pool counts as unlimited.
 const unlimitedSlots = 1 << 20
 
-// logPools logs each pool.
+// logPools logs the status of each pool.
 func (l *loop) logPools() {
 	if l.pools == nil {
 		return
@@ -90,5 +90,5 @@
 	}
 }
 
-// roundToTenth is for figures of log lines.
+// roundToTenth rounds a value for log lines.
 func roundToTenth(x float64) float64 { return math.Round(10*x) / 10 }
--- a/internal/node/server/reload.go
+++ b/internal/node/server/reload.go
@@ -7,30 +7,30 @@
 	"umberwinch/internal/logging"
 )
 
-// reload takes the addresses and pools of a start-up file that was read anew. Where it can't be read the old one
-// stays, and what can't change while the program serves stays as it was. Calls and runs under the old addresses end
-// where they are: see row "new start-up file, one or many in a row" in docs/design/shutdown.md.
-func (l *loop) reload(c *Node, err error) {
+// reload applies the addresses and pools of a start-up file that was read again. An invalid file is rejected as a
+// whole; settings that can't change at run time are kept, with a warning. Calls and runs in progress end at their old
+// addresses: see row "new start-up file, one or many in a row" in docs/design/shutdown.md.
+func (l *loop) reload(next *Node, err error) {
 	if err != nil {
 		l.log.WithField(logging.Error, err).Error(logStartupFileRejected)
 		return
 	}
 	l.counters.Reloads++
-	if keys := l.startup.changedFixedKeys(c); keys != "" {
+	if keys := l.startup.changedFixedKeys(next); keys != "" {
 		l.log.WithField(logging.FileKeys, keys).Warn(logStartupKeysKept)
 	}
-	l.log.WithFields(logrus.Fields{logging.KernelAddress: c.Kernel, logging.StoreAddress: c.Store,
-		logging.DiscoveryAddress: c.Control}).Info(logStartupFileTaken)
-	l.moveLink(&l.kernel.link, c.Kernel)
-	l.moveLink(&l.discovery.link, c.Control)
-	l.moveStore(c.Store)
-	if !c.own.Fleet.Same(l.startup.own.Fleet) {
+	l.log.WithFields(logrus.Fields{logging.KernelAddress: next.Kernel, logging.StoreAddress: next.Store,
+		logging.DiscoveryAddress: next.Control}).Info(logStartupFileTaken)
+	l.moveLink(&l.kernel.link, next.Kernel)
+	l.moveLink(&l.discovery.link, next.Control)
+	l.moveStore(next.Store)
+	if !next.own.Fleet.Same(l.startup.own.Fleet) {
 		l.log.Warn(logFleetSectionKept)
-		c.own.Fleet = l.startup.own.Fleet
+		next.own.Fleet = l.startup.own.Fleet
 	}
-	if !config.SameResultStore(c.own.ResultStore, l.startup.own.ResultStore) {
+	if !config.SameResultStore(next.own.ResultStore, l.startup.own.ResultStore) {
 		l.log.Warn(logResultSectionKept)
-		c.own.ResultStore = l.startup.own.ResultStore
+		next.own.ResultStore = l.startup.own.ResultStore
 	}
-	l.reconfigurePools(c)
+	l.reconfigurePools(next)
 }
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -8,20 +8,20 @@
 	"umberwinch/internal/node/wire"
 )
 
-// request is one request in hand: from the end of its checks until its response is given, its run has ended and no
-// result is awaited. It has a place in the loop's request table and belongs to the loop alone.
+// request is a request in progress: from the end of its checks until its response is sent, its run has ended and it
+// waits for no result. It has a slot in the request table and belongs to the loop.
 type request struct {
 	lifecycle
 
-	id              string // as the kernel and the store know it
+	id              string // Request-Id, also used towards the kernel and the store
 	connection      handle
-	closeAfter      bool // its connection is not to be used again
+	closeAfter      bool // its connection closes after the response
 	handler         int
 	keyed           *keyedRequest // nil: its result is not stored
-	buf             *buffer       // the message, of which body is a part
+	buf             *buffer       // holds the message with body
 	body            []byte
-	key             string         // shared with its repeats in this process (repeatKey); empty if there can be none
-	earliestArrival admission.Time // it may have come as early as this, where the wall clock was stepped
+	key             string         // shared with its repeats (repeatKey); empty if it can't have any
+	earliestArrival admission.Time // earliest possible arrival; before arrival if the wall clock was stepped
 	arrival         admission.Time
 	deadline        admission.Time
 
@@ -31,24 +31,24 @@
 
 // kernelCommands are the commands about a run that may have to be sent to the kernel again.
 type kernelCommands struct {
-	// Numbers of the last ones; 0: none that may have been lost.
+	// Sequence numbers of the last commands; 0: none that may have been lost.
 	runCommand, callResultCommand, stopCommand uint64
 
-	resumed    bool       // the last start command was to resume; never so by the controller, see loop.Stop
-	callResult callResult // what the last end of a call was told with
-	reply      []byte     // the store's, as the kernel is told it
+	resumed    bool       // the last start command was a resume; the controller sends none, see loop.Stop
+	callResult callResult // how the kernel was told of the call's end
+	reply      []byte     // the store's reply, as sent to the kernel
 }
 
-// storeCall is the call to the store that a run waits for, or the one before.
+// storeCall is the store call that a run is waiting for, or its last one.
 type storeCall struct {
 	callBody                  []byte
-	callSequence              uint64 // of the kernel's event that asked for it
+	callSequence              uint64 // sequence number of the kernel event that asked for it
 	callStarted, callDeadline admission.Time
-	storeConn                 handle   // that the call is out on, or waits for
-	usedStoreConns            []handle // that carried a call of the request
+	storeConn                 handle   // that the call was sent on or is queued for
+	usedStoreConns            []handle // that carried a call of this request
 }
 
-// callResult is what a run that waits for a call goes on with.
+// callResult is what a run resumes with after a call.
 type callResult uint8
 
 const (
@@ -57,49 +57,49 @@
 	callResultSkipped
 )
 
-// findRequest finds a request in hand by its id; nil if there is none.
+// findRequest returns the request in progress with an id; nil if there is none.
 func (in *requestsInHand) findRequest(id []byte) (handle, *request) {
 	h := in.byRequestID[string(id)]
 	return h, in.requests.get(h)
 }
 
-// runEnded takes the end of a run: its result is the response, and that of those who wait for it. Where the client is
-// gone the result of a keyed run is still its repeats': see row "client gone" in docs/design/shutdown.md.
-func (l *loop) runEnded(h handle, r *request, how admission.Outcome, ms float64, result []byte) {
+// runEnded handles the end of a run: its result is the response to the request and to its waiting repeats. The result
+// of a keyed run is kept for repeats even if the client is gone: see row "client gone" in docs/design/shutdown.md.
+func (l *loop) runEnded(h handle, r *request, outcome admission.Outcome, elapsedMS float64, result []byte) {
 	if l.debug {
-		l.traceWith(r.id, traceRunEnded, logrus.Fields{logging.Outcome: outcomeNames[how], logging.ElapsedMS: ms})
+		l.traceWith(r.id, traceRunEnded, logrus.Fields{logging.Outcome: outcomeNames[outcome], logging.ElapsedMS: elapsedMS})
 	}
 	r.endRun()
 	l.counters.RunEnds++
 	l.cancelCall(h, r)
 	l.maybeFinished = append(l.maybeFinished, h)
 	l.nextRound().RunEnds = append(l.nextRound().RunEnds,
-		admission.RunEnd{ID: uint32(h), Outcome: how, Elapsed: admission.Time(ms * unitsPerMS)})
-	l.fleet.runEnded(uint32(h), how, ms, admission.Time(ms*unitsPerMS))
-	ok := how == admission.Succeeded
+		admission.RunEnd{ID: uint32(h), Outcome: outcome, Elapsed: admission.Time(elapsedMS * unitsPerMS)})
+	l.fleet.runEnded(uint32(h), outcome, elapsedMS, admission.Time(elapsedMS*unitsPerMS))
+	ok := outcome == admission.Succeeded
 	if r.keyed != nil {
-		if l.results.end(h, r, how, result) {
+		if l.results.end(h, r, outcome, result) {
 			return
 		}
-		ok = false // there is no durable result: an error is all that may be told
+		ok = false // without a durable result only an error may be sent
 	}
 	waiters := l.idempotency.runEnded(r.key, uint32(h), ok, result)
 	switch {
 	case ok:
 		l.answer(h, r, wire.Response{Status: wire.StatusOK, Body: result})
-	case how == admission.NotExecuted:
-		// The kernel refused the run: what it names is the client's mistake, see commandRefused. Where the result
-		// keeper ended a run before its start the client has its answer already.
+	case outcome == admission.NotExecuted:
+		// The kernel refused the run because of the client's request, see commandRefused. If the result keeper ended
+		// the run before its start, the request is already answered.
 		l.answer(h, r, wire.Response{Status: wire.StatusBadRequest})
-	case r.outcomeIsResponse(how):
+	case r.outcomeIsResponse(outcome):
 		l.answer(h, r, wire.Response{Status: wire.StatusInternalServerError})
 	}
-	for _, k := range waiters {
-		l.sharedResultReady(k, ok, result)
+	for _, waiter := range waiters {
+		l.sharedResultReady(waiter, ok, result)
 	}
 }
 
-// releaseFinished frees the places of requests of which nothing is left to come.
+// releaseFinished frees the slots of requests that are over.
 func (l *loop) releaseFinished() {
 	for _, h := range l.maybeFinished {
 		r := l.requests.get(h)
@@ -115,11 +115,11 @@
 	l.maybeFinished = l.maybeFinished[:0]
 }
 
-// unitsPerMS is how many units of admission.Time make a millisecond.
+// unitsPerMS is the number of units of admission.Time in a millisecond.
 const unitsPerMS = float64(admission.Second) / 1000
 
-// milliseconds gives a time in ms, for logs.
+// milliseconds converts a time to milliseconds, for logs.
 func milliseconds(t admission.Time) float64 { return float64(t) / unitsPerMS }
 
-// wholeMilliseconds rounds up, as a client that comes back early comes in vain.
+// wholeMilliseconds converts a time to milliseconds, rounded up so that clients don't retry too early.
 func wholeMilliseconds(t admission.Time) int64 { return int64(t+9) / 10 }
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -14,7 +14,7 @@
 	"umberwinch/internal/node/wire"
 )
 
-// rejection is why a request never reaches the controller.
+// rejection is the reason why a request is answered without the controller.
 type rejection uint8
 
 const (
@@ -33,8 +33,8 @@
 	numRejections
 )
 
-// rejectionTable has the name of each rejection, for logs, and the status that it is answered with. 400 is the client's
-// mistake; after 503 another server may have the request, as nothing of it ran; after 500 none may.
+// rejectionTable holds the name of each rejection, for logs, and its response status. 400: the request is invalid; 503:
+// nothing ran and another server may take it; 500: an earlier run may have happened, so no other server may.
 var rejectionTable = [numRejections]struct {
 	name   string
 	status int
@@ -42,20 +42,20 @@
 	notRejected:          {"not rejected", 0},
 	unknownHandler:       {"unknown handler", wire.StatusBadRequest},
 	fieldMissing:         {"field missing", wire.StatusBadRequest},
-	timestampOutOfRange:  {"stamp too far off", wire.StatusBadRequest},
+	timestampOutOfRange:  {"timestamp out of range", wire.StatusBadRequest},
 	unknownTenant:        {"unknown tenant", wire.StatusBadRequest},
 	kernelNotUp:          {"kernel not up", wire.StatusServiceUnavailable},
 	nodeFenced:           {"node fenced", wire.StatusServiceUnavailable},
 	handlerRetired:       {"handler retired", wire.StatusServiceUnavailable},
 	rejectedByZone:       {"over zone quota", wire.StatusServiceUnavailable},
 	idempotencyTableFull: {"idempotency table full", wire.StatusServiceUnavailable},
-	duplicateRequestID:   {"same id in hand", wire.StatusInternalServerError},
+	duplicateRequestID:   {"request id in use", wire.StatusInternalServerError},
 	requestTableFull:     {"request table full", wire.StatusServiceUnavailable},
 }
 
 func (r rejection) String() string { return rejectionTable[r].name }
 
-// status is what a rejection is answered with.
+// status returns the response status of a rejection.
 func (r rejection) status() int { return rejectionTable[r].status }
 
 // arrivingRequest is a request that was read and is being checked.
@@ -66,19 +66,19 @@
 	knownHandler bool
 	tenant       int // index in the settings
 	knownTenant  bool
-	// The times between which it reached the machine; they differ where the wall clock was stepped.
+	// Bounds of its arrival at the machine; they differ if the wall clock was stepped.
 	earliest, latest admission.Time
 	validTimestamp   bool
-	key              string // shared with its repeats
+	key              string // shared with its repeats (repeatKey)
 }
 
-// receiveRequest has the controller hear of a request that was read. A status other than 0 says that it is answered
-// without: response then has what goes with it.
+// receiveRequest checks a request and submits it to the controller. A status other than 0 is the response status of a
+// rejected request; response then holds what the rejection adds to it.
 func (l *loop) receiveRequest(c *connection, e *requestRead, handlerName string, response *wire.Response) (status int) {
 	a := l.identify(&e.request, handlerName)
-	if why := l.checkRequest(&a, response); why != notRejected {
-		l.recordRejection(&a, why)
-		return why.status()
+	if reason := l.checkRequest(&a, response); reason != notRejected {
+		l.recordRejection(&a, reason)
+		return reason.status()
 	}
 	l.replaceAbandoned(a.ID)
 	h, r, _ := l.requests.take() // checkRequest found a free slot
@@ -98,7 +98,7 @@
 	return 0
 }
 
-// identify looks up what a request names.
+// identify looks up the handler, tenant and arrival of a request.
 func (l *loop) identify(q *wire.Request, handlerName string) arrivingRequest {
 	a := arrivingRequest{Request: q, handlerName: handlerName}
 	a.handler, a.knownHandler = l.handlerNamed(handlerName)
@@ -107,9 +107,8 @@
 	return a
 }
 
-// checkRequest tells why a request does not reach the controller, by the first check that it fails: first what is
-// wrong with the request itself, then what this server can't take at present. It harms only that request. The checks
-// that count what they reject, and those that look at other requests, come last.
+// checkRequest returns why a request is rejected, by the first check that fails: first errors of the request itself,
+// then conditions of this node. Checks that count rejections, and those that look at other requests, come last.
 func (l *loop) checkRequest(a *arrivingRequest, response *wire.Response) rejection {
 	switch {
 	case !a.knownHandler:
@@ -121,16 +120,16 @@
 	case len(a.Tenant) > 0 && !a.knownTenant && len(l.settings.TenantIndex) > 0:
 		return unknownTenant
 	case l.controller == nil:
-		return kernelNotUp // nothing can run
+		return kernelNotUp // no run is possible
 	}
 	a.key = l.repeatKey(a.handler, a.Request)
-	if why := l.fleet.rejection(a.handler, a.Request, a.key, response); why != notRejected {
-		return why
+	if reason := l.fleet.rejection(a.handler, a.Request, a.key, response); reason != notRejected {
+		return reason
 	}
 	switch {
 	case l.hasIdempotencyKey(a.handler) && l.idempotency.isFull(l.limits.EventsPerRound) &&
 		l.idempotency.find(a.key) == nil:
-		return idempotencyTableFull // it could not be told from its repeats
+		return idempotencyTableFull // its repeats could not be recognized
 	case l.isRequestIDInFlight(a.ID):
 		return duplicateRequestID
 	case l.requests.full():
@@ -148,38 +147,37 @@
 	return c.settings.Deployment.Handlers[handler].RetrySafety == admission.IdempotencyKeyed
 }
 
-// isRequestIDInFlight tells whether an unfinished request has this id. The second is answered 500 also while the first is queued,
-// as that may run yet. One that never ran and whose client is gone makes room, see replaceAbandoned.
+// isRequestIDInFlight reports whether an unfinished request has this id. The second one is answered 500 even while the
+// first is queued, as the first may still run. An abandoned request that never ran does not count, see
+// replaceAbandoned.
 func (in *requestsInHand) isRequestIDInFlight(id []byte) bool {
-	_, old := in.findRequest(id)
-	return old != nil && !(old.isAbandoned() && old.run == runNotStarted)
+	_, existing := in.findRequest(id)
+	return existing != nil && !(existing.isAbandoned() && existing.run == runNotStarted)
 }
 
-// replaceAbandoned lets a request of the same id, whose client is gone and which never ran, make room for the one that
-// comes now.
+// replaceAbandoned removes an abandoned request that never ran, in favor of a new one with the same id.
 func (in *requestsInHand) replaceAbandoned(id []byte) {
-	if h, old := in.findRequest(id); old != nil {
-		delete(in.byRequestID, old.id)
+	if h, abandoned := in.findRequest(id); abandoned != nil {
+		delete(in.byRequestID, abandoned.id)
 		in.maybeFinished = append(in.maybeFinished, h)
 	}
 }
 
-// recordRejection counts and logs a request that is its client's mistake, and traces each that does not reach the
-// controller. A 503 or 500 has its reason in the trace alone, at debug level; of these just fencing and the zone's
-// quota have counters.
-func (l *loop) recordRejection(a *arrivingRequest, why rejection) {
+// recordRejection traces a rejected request, and counts and logs it if it is answered 400. The reason of a 503 or 500
+// is only in the trace, at debug level; of these, fencing and the zone's quota have counters.
+func (l *loop) recordRejection(a *arrivingRequest, reason rejection) {
 	if l.debug {
-		l.traceWith(string(a.ID), traceRejected, logrus.Fields{logging.Reason: why.String()})
+		l.traceWith(string(a.ID), traceRejected, logrus.Fields{logging.Reason: reason.String()})
 	}
-	if why.status() != wire.StatusBadRequest {
+	if reason.status() != wire.StatusBadRequest {
 		return
 	}
 	log := l.countBadRequest()
 	if log == nil {
 		return
 	}
-	fields := logrus.Fields{logging.Reason: why.String()}
-	switch why {
+	fields := logrus.Fields{logging.Reason: reason.String()}
+	switch reason {
 	case unknownHandler:
 		fields[logging.Class] = a.handlerName
 	case timestampOutOfRange:
@@ -201,9 +199,9 @@
 	}
 }
 
-// explicitDeadline is the deadline that the controller is told; 0 leaves it to the handler's timeout. Where the wall
-// clock was stepped and two times of arrival are possible, the earlier one counts for the deadline and for whom the
-// request repeats, the later one for how long its key is kept and for the grace of a drain.
+// explicitDeadline returns the deadline to submit to the controller; 0 leaves it to the handler's timeout. If a stepped
+// wall clock allows two arrival times, the earlier one counts for the deadline and for the request that is repeated,
+// the later one for the idempotency window and for the drain grace.
 func (l *loop) explicitDeadline(a *arrivingRequest) admission.Time {
 	switch {
 	case a.HasTimeout:
@@ -214,7 +212,7 @@
 	return 0
 }
 
-// submitOrIntercept has the controller hear of a request, unless the result keeper answers it or holds it back.
+// submitOrIntercept submits a request to the controller, unless the result keeper answers it or holds it back.
 func (l *loop) submitOrIntercept(h handle, r *request, a *arrivingRequest) {
 	submission := admission.Request{ID: uint32(h), Handler: a.handler, Tenant: a.tenant, ArrivedAt: a.latest,
 		Deadline: l.explicitDeadline(a), ExpectedWork: admission.Time(a.ExpectedWorkMS * unitsPerMS),
@@ -228,7 +226,7 @@
 	l.submit(&submission)
 }
 
-// handlerNamed finds the handler that a path names, which may be percent-encoded.
+// handlerNamed returns the index of the handler named by a path, which may be percent-encoded.
 func (c *configuration) handlerNamed(name string) (index int, known bool) {
 	if index, known = c.settings.HandlerIndex[name]; known {
 		return index, true
@@ -239,54 +237,54 @@
 	return index, known
 }
 
-// repeatKey names what one request shares with its repeats; empty if it has none. The handler's number and the
-// length of the tenant's name stand before the texts. Guards against two requests of different handlers or
-// tenants whose texts run into the same name, so that one's result would be the other's answer.
+// repeatKey returns the key that a request shares with its repeats; empty if it can't have any. The handler's index and
+// the length of the tenant's name come first, so that keys of different handlers and tenants never collide, which would
+// give one request the result of the other.
 func (c *configuration) repeatKey(handler int, q *wire.Request) string {
 	d := c.settings.Deployment
-	name := fmt.Appendf(nil, "%d/%d/%s/", handler, len(q.Tenant), q.Tenant)
+	key := fmt.Appendf(nil, "%d/%d/%s/", handler, len(q.Tenant), q.Tenant)
 	switch {
 	case d.Handlers[handler].RetrySafety == admission.IdempotencyKeyed:
-		// Guards against a key that comes with another body: it is another request, whose run the kernel refuses,
-		// and must neither be answered with the true one's result nor stand in its way, whichever comes first.
+		// The same key with another body is another request, whose run the kernel refuses: it must neither get the
+		// first one's result nor block it, in either order.
 		sum := sha256.Sum256(q.Body)
-		name = append(name, q.IdempotencyKey...)
-		return string(append(name, sum[:16]...))
+		key = append(key, q.IdempotencyKey...)
+		return string(append(key, sum[:16]...))
 	case d.Handlers[handler].RetrySafety == admission.Retryable && d.ResponseReuseTime > 0 && len(q.ResourceKey) > 0:
-		return string(append(name, q.ResourceKey...))
+		return string(append(key, q.ResourceKey...))
 	}
 	return ""
 }
 
-// submit has the controller hear of a request in the next round.
+// submit adds a request to the next round of the controller.
 func (l *loop) submit(q *admission.Request) {
 	l.nextRound().Arrived = append(l.nextRound().Arrived, *q)
 	l.fleet.requestSubmitted(l.now, q)
 }
 
-// countBadRequest counts a request that is answered 400 and that the controller never hears of. It gives the entry to
-// log it with, nil past the bound on lines.
+// countBadRequest counts a request answered 400 without the controller. It returns the entry to log it with, or nil
+// beyond the limit on log lines.
 func (l *loop) countBadRequest() *logrus.Entry {
 	l.counters.BadRequests++
 	return l.limitLog()
 }
 
-// orderArrivals puts the requests of a round in the order in which they reached the machine, as callbacks hand over in
-// any order what came at once, and says whom each repeats. Guards against two attempts of one key that are read in one
-// round, as after the machine stood still: neither is in the idempotency table yet, and both would run. See row
-// "standstill of this process" in docs/design/shutdown.md.
-func (in *requestsInHand) orderArrivals(all []admission.Request) {
-	slices.SortStableFunc(all, func(a, b admission.Request) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
-	for i := range all {
-		q := &all[i]
+// orderArrivals sorts the requests of a round by arrival, as callbacks post in any order, and links repeats to the
+// requests that they repeat. Attempts with one key that are read in one round, as after a standstill of the machine,
+// are not in the idempotency table yet; both would run. See row "standstill of this process" in
+// docs/design/shutdown.md.
+func (in *requestsInHand) orderArrivals(arrived []admission.Request) {
+	slices.SortStableFunc(arrived, func(a, b admission.Request) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
+	for i := range arrived {
+		q := &arrived[i]
 		key := in.requests.get(handle(q.ID)).key
 		if key == "" {
 			continue
 		}
 		q.PreviousID = in.idempotency.previous(key, in.requests.get(handle(q.ID)).earliestArrival)
 		for k := 0; k < i && q.PreviousID == 0; k++ {
-			if in.requests.get(handle(all[k].ID)).key == key {
-				q.PreviousID = all[k].ID
+			if in.requests.get(handle(arrived[k].ID)).key == key {
+				q.PreviousID = arrived[k].ID
 			}
 		}
 	}
--- a/internal/node/server/response.go
+++ b/internal/node/server/response.go
@@ -8,25 +8,25 @@
 	"umberwinch/internal/node/wire"
 )
 
-// answer gives a request its response, unless it has had one. Nothing goes out where the client is gone.
-func (l *loop) answer(h handle, r *request, a wire.Response) {
+// answer sends the response to a request, unless it has one. If the client is gone, the response is discarded.
+func (l *loop) answer(h handle, r *request, response wire.Response) {
 	l.maybeFinished = append(l.maybeFinished, h)
 	if r.isAnswered() {
 		return
 	}
 	hasClient := r.respond()
 	if l.debug {
-		l.traceWith(r.id, traceAnswered, logrus.Fields{logging.Status: a.Status, logging.Client: hasClient})
+		l.traceWith(r.id, traceAnswered, logrus.Fields{logging.Status: response.Status, logging.Client: hasClient})
 	}
 	if !hasClient {
 		return
 	}
-	l.fleet.requestAnswered(r.handler, a.Status,
+	l.fleet.requestAnswered(r.handler, response.Status,
 		l.now-r.arrival <= l.settings.Deployment.Handlers[r.handler].LatencyObjective)
 	if l.now > r.deadline {
 		l.counters.AnsweredLate++
 	}
-	switch a.Status {
+	switch response.Status {
 	case wire.StatusOK:
 		l.counters.Succeeded++
 	case wire.StatusServiceUnavailable:
@@ -35,12 +35,12 @@
 		l.counters.Failed++
 	}
 	if c := l.connections.get(r.connection); c != nil && c.current == h {
-		a.Close = a.Close || r.closeAfter
-		l.sendResponse(c, a)
+		response.Close = response.Close || r.closeAfter
+		l.sendResponse(c, response)
 	}
 }
 
-// sharedResultReady ends a request that takes the result of the one that it repeats.
+// sharedResultReady answers a request with the result, or the error, of the request that it repeats.
 func (l *loop) sharedResultReady(h handle, ok bool, result []byte) {
 	r := l.requests.get(h)
 	if r == nil || !r.awaitsResponse() {
@@ -48,11 +48,11 @@
 	}
 	r.setAwaits(awaitsNothing)
 	end := admission.RunEnd{ID: uint32(h), Outcome: admission.Failed}
-	a := wire.Response{Status: wire.StatusInternalServerError}
+	response := wire.Response{Status: wire.StatusInternalServerError}
 	if ok {
-		end.Outcome, a = admission.Succeeded, wire.Response{Status: wire.StatusOK, Body: result}
+		end.Outcome, response = admission.Succeeded, wire.Response{Status: wire.StatusOK, Body: result}
 		l.counters.SharedResults++
 	}
 	l.nextRound().RunEnds = append(l.nextRound().RunEnds, end)
-	l.answer(h, r, a)
+	l.answer(h, r, response)
 }
--- a/internal/node/server/run.go
+++ b/internal/node/server/run.go
@@ -15,20 +15,21 @@
 )
 
 const (
-	// heapShareTenths of the memory that the process may use are given to Go's heap: the rest is for stacks, what the system
-	// counts to the process, and peaks between collections.
+	// heapShareTenths is the Go heap's share of the memory limit, in tenths: the rest is for stacks, kernel memory of
+	// the process, and peaks between collections.
 	heapShareTenths = 6
-	// gcPercent has the collector run at half the usual growth. What lives is a few MB, so that it costs little time
-	// and the memory in use stays level from early on.
+	// gcPercent halves the usual heap growth between collections, which keeps the memory in use level; the live heap is
+	// a few MB, so that collections are cheap.
 	gcPercent = 50
-	// minIdleTimeout is the least that stands for the settings' idle timeout until the controller gives one.
+	// minIdleTimeout is the minimum idle timeout of connections until the controller sets one.
 	minIdleTimeout = 30 * admission.Second
-	// spareConnections of the table stay free: a connection is counted out of the listener before its slot is.
+	// spareConnections are table slots beyond the listener's limit: a connection releases its listener slot before its
+	// table slot.
 	spareConnections = 8
 )
 
-// Run serves until the program is told to leave and all that was read is answered. An error says that it could not
-// begin to.
+// Run serves until the program is told to stop and all requests read are answered. It returns an error if it can't
+// start.
 func Run(c *Node, log *logrus.Logger, signals Signals) error {
 	limits := NewLimits(c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets)
 	boundMemory(limits)
@@ -64,7 +65,7 @@
 	debug.SetGCPercent(gcPercent)
 }
 
-// configureNetpoll has one poller a core, and callbacks run by the workers.
+// configureNetpoll starts one poller per core and runs callbacks on the workers.
 func configureNetpoll(limits Limits, log *logrus.Logger, workers workers) error {
 	return netpoll.Configure(netpoll.Config{
 		PollerNum:    limits.Cores,
@@ -74,12 +75,12 @@
 	})
 }
 
-// newLoop gives a loop with empty tables, its clock running and nothing dialled.
+// newLoop returns a loop with empty tables and a running clock; nothing is dialled yet.
 func newLoop(c *Node, limits Limits, log *logrus.Logger, workers workers) *loop {
 	deployment := c.settings.Deployment
-	longest := admission.Time(0)
+	longestTimeout := admission.Time(0)
 	for _, h := range deployment.Handlers {
-		longest = max(longest, h.Timeout)
+		longestTimeout = max(longestTimeout, h.Timeout)
 	}
 	l := &loop{
 		crossGoroutine: crossGoroutine{limits: limits, log: log, events: make(chan event, limits.EventQueue),
@@ -89,12 +90,12 @@
 		loopTime:       loopTime{timer: time.NewTimer(time.Hour)},
 		logLimit:       logLimit{debug: log.IsLevelEnabled(logrus.DebugLevel)},
 		readiness:      readiness{ready: true, controllerReady: true},
-		requestsInHand: newRequestsInHand(limits, longest),
+		requestsInHand: newRequestsInHand(limits, longestTimeout),
 		clients:        newClients(limits, c.settings.IdleTimeout),
 		upstreams:      newUpstreams(c, limits),
 		drainState:     drainState{killDelay: admission.Time(c.StopMS) * (admission.Second / 1000)},
 	}
-	l.startClock(2 * longest)
+	l.startClock(2 * longestTimeout)
 	for name, i := range c.settings.HandlerIndex {
 		l.names[i] = name
 	}
@@ -106,8 +107,8 @@
 		idempotency: newIdempotencyTable(limits.IdempotencyKeys, limits.ResultBytes, longestTimeout)}
 }
 
-// newClients gives an empty table of connections. Clients close idle ones by themselves; until the controller gives an
-// idle timeout, this server's only ends dead ones.
+// newClients returns an empty connection table. Clients close idle connections themselves; until the controller sets an
+// idle timeout, the server's only ends dead connections.
 func newClients(limits Limits, idleTimeout admission.Time) clients {
 	return clients{connections: newTable[connection](limits.Connections + spareConnections),
 		idleTimeout: 2 * max(idleTimeout, minIdleTimeout)}
--- a/internal/node/server/signals.go
+++ b/internal/node/server/signals.go
@@ -5,18 +5,16 @@
 	"os/signal"
 )
 
-// Signals are what the operator tells the program while it serves, each by a channel of its own, so that no number of
-// one kind takes the place of another. Read reads the start-up file anew. See row "signals at once" in
-// docs/design/shutdown.md.
+// Signals are the operator's signals to the serving program, each kind on a channel of its own, so that one kind can't
+// displace another. Read reads the start-up file again. See row "signals at once" in docs/design/shutdown.md.
 type Signals struct {
 	Drain, Count, Reload <-chan os.Signal
 	Read                 func() (*Node, error)
 }
 
-// NotifySignals subscribes to the signals. It is called before anything else, as a signal that comes before it
-// ends the program.
+// NotifySignals subscribes to the signals. It has to be called first, as an earlier signal ends the program.
 func NotifySignals(drain, count, reload os.Signal) Signals {
-	// One signal that waits stands for all that come meanwhile.
+	// A pending signal stands for all of its kind that follow.
 	subscribe := func(s os.Signal) <-chan os.Signal {
 		c := make(chan os.Signal, 1)
 		signal.Notify(c, s)
@@ -25,17 +23,17 @@
 	return Signals{Drain: subscribe(drain), Count: subscribe(count), Reload: subscribe(reload)}
 }
 
-// forward hands the signals over, each kind in a goroutine that ends with the process: a start-up file that is slow to
-// read holds up no other signal.
+// forward posts the signals to the loop, each kind from a goroutine that ends with the process, so that reading a slow
+// start-up file delays no other signal.
 func (l *loop) forward(signals Signals) {
-	events := func(c <-chan os.Signal, newEvent func() event) {
+	post := func(c <-chan os.Signal, newEvent func() event) {
 		for range c {
 			l.post(newEvent())
 		}
 	}
-	go events(signals.Drain, func() event { return drainRequested{} })
-	go events(signals.Count, func() event { return countersRequested{} })
-	go events(signals.Reload, func() event {
+	go post(signals.Drain, func() event { return drainRequested{} })
+	go post(signals.Count, func() event { return countersRequested{} })
+	go post(signals.Reload, func() event {
 		next, err := signals.Read()
 		return &startupFileReloaded{node: next, err: err}
 	})
--- a/internal/node/server/startup_file.go
+++ b/internal/node/server/startup_file.go
@@ -13,8 +13,8 @@
 	"umberwinch/internal/node/settings"
 )
 
-// Node is the start-up file: what the program is told at its start, and anew while it serves. A file is checked whole
-// before anything of it counts.
+// Node is the start-up file: the node's configuration, read at start and on a reload. It is validated as a whole before
+// any of it applies.
 type Node struct {
 	Name    string  `json:"name"`
 	Listen  string  `json:"listen"`
@@ -30,10 +30,10 @@
 	Settings json.RawMessage `json:"settings"`
 
 	settings *settings.Startup
-	own      *config.Node // nil: the operator has no file of its own
+	own      *config.Node // the operator's file; nil: there is none
 }
 
-// ReadNode reads the start-up file; name and address of the environment come before the file's.
+// ReadNode reads the start-up file. name and listen, from the environment, override the file's values.
 func ReadNode(path, name, listen string) (*Node, error) {
 	if path == "" {
 		return nil, errors.New("NODE_CONFIG is not set, expected the path of the start-up file")
@@ -61,22 +61,22 @@
 	return &c, nil
 }
 
-// check says which key of the file is wrong, what was found and what was expected.
+// check returns an error that names the invalid key, the value found and the value expected.
 func (c *Node) check() error {
 	if c.Name == "" {
 		return errors.New("name: found none, expected the server's name")
 	}
-	for _, a := range []struct {
+	for _, field := range []struct {
 		key, found string
-		needed     bool
+		required   bool
 	}{
 		{"listen", c.Listen, true},
 		{"kernel", c.Kernel, true},
 		{"store", c.Store, false},
 		{"control", c.Control, false},
 	} {
-		if (a.needed || a.found != "") && !isHostPort(a.found) {
-			return fmt.Errorf("%s: found %.80q, expected HOST:PORT", a.key, a.found)
+		if (field.required || field.found != "") && !isHostPort(field.found) {
+			return fmt.Errorf("%s: found %.80q, expected HOST:PORT", field.key, field.found)
 		}
 	}
 	if !(c.StopMS > 0) {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// ReadBoth reads the start-up file and the operator's, if the environment names one, and checks them together.
+// ReadBoth reads the start-up file and the operator's file, if UMBERWINCH_FILE names one, and validates them together.
 func ReadBoth(getenv func(string) string) (*Node, error) {
 	own := &config.Node{LogForm: "text", LogFrom: "info"}
 	var err error
@@ -101,26 +101,26 @@
 	return c, c.Own(own)
 }
 
-// Logs gives the form and level of the log.
-func (c *Node) Logs() (form, from string) { return c.own.LogForm, c.own.LogFrom }
+// Logs returns the format and the minimum level of the log.
+func (c *Node) Logs() (format, level string) { return c.own.LogForm, c.own.LogFrom }
 
-// isHostPort tells whether a text is HOST:PORT.
+// isHostPort reports whether a string has the form HOST:PORT.
 func isHostPort(s string) bool {
 	_, port, err := net.SplitHostPort(s)
 	return err == nil && port != ""
 }
 
-// changedFixedKeys names what another file says otherwise and a program that serves can't change any more.
+// changedFixedKeys lists the keys that differ in another file but can't change while the program serves.
 func (c *Node) changedFixedKeys(next *Node) string {
-	var out []string
+	var changed []string
 	for _, f := range []struct {
 		name string
 		same bool
 	}{{"name", c.Name == next.Name}, {"listen", c.Listen == next.Listen}, {"stop_ms", c.StopMS == next.StopMS},
 		{"limits", c.Limits == next.Limits}, {"settings", bytes.Equal(c.Settings, next.Settings)}} {
 		if !f.same {
-			out = append(out, f.name)
+			changed = append(changed, f.name)
 		}
 	}
-	return strings.Join(out, ", ")
+	return strings.Join(changed, ", ")
 }
--- a/internal/node/server/workers.go
+++ b/internal/node/server/workers.go
@@ -1,10 +1,10 @@
 package server
 
-// workers are goroutines that wait for work, so that a piece of it need not start one and grow its stack. What comes
-// while all are at work gets one of its own, so nothing waits for another. They end with the process.
+// workers is a pool of goroutines, which saves starting one and growing its stack for each function. A function that
+// finds all of them busy gets a goroutine of its own, so that none waits. The workers end with the process.
 type workers chan func()
 
-// newWorkers starts n of them.
+// newWorkers starts n workers.
 func newWorkers(n int) workers {
 	c := make(workers)
 	for range n {
@@ -17,7 +17,7 @@
 	return c
 }
 
-// run has f run, and does not wait for it.
+// run runs f asynchronously.
 func (c workers) run(f func()) {
 	select {
 	case c <- f:
--- a/internal/node/server/writer.go
+++ b/internal/node/server/writer.go
@@ -10,41 +10,41 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// writer is the sending side of one connection. It never makes its caller wait for a socket: bytes are queued, and
-// flushed by a goroutine that ends once the queue is empty. What is queued belongs to the writer, and so does the
-// connection's close where the loop asks for it. It ends with finish, close, or an error. Guards against a peer that
-// takes nothing, for which all others would wait: the queue is bounded and a flush takes WriteTimeout at most. See row
-// "client that takes nothing" in docs/design/shutdown.md and row "write: EAGAIN, short" in docs/design/failures.md.
+// writer is the sending side of a connection. It never blocks its caller: bytes are queued, and flushed by a goroutine
+// that ends once the queue is empty. The writer owns the queued buffers, and the close of the connection if the loop
+// asks for it; it ends with finish, close or an error. The queue and the time of a flush are limited, so that a peer
+// that reads nothing holds up no others. See row "client that takes nothing" in docs/design/shutdown.md and row "write:
+// EAGAIN, short" in docs/design/failures.md.
 type writer struct {
 	conn     netpoll.Connection
 	pool     *bufferPool
 	workers  workers
-	busy     *atomic.Int64 // writers that still have something to send
+	busy     *atomic.Int64 // number of writers that are sending
 	mu       sync.Mutex
-	queue    []*buffer // not taken by flush yet
+	queue    []*buffer // buffers that flush has not taken yet
 	flushing bool
-	closed   bool         // nothing more is taken
-	ending   writerEnding // once the queue is empty
+	closed   bool         // send fails
+	ending   writerEnding // what to do once the queue is empty
 
-	sendsResponses bool   // what is sent are responses, which never lack a buffer
-	shutDown       func() // ends the sending side
+	sendsResponses bool   // responses, which get a buffer beyond the pool's capacity
+	shutDown       func() // shuts down the sending side
 }
 
-// newWriter gives the sending side of a connection that the server opened itself.
+// newWriter returns the writer of an outgoing connection.
 func (s *crossGoroutine) newWriter(conn netpoll.Connection) *writer {
 	return &writer{conn: conn, pool: &s.pool, workers: s.workers, busy: &s.busy}
 }
 
-// writerEnding is what becomes of a connection once all that was queued has gone out.
+// writerEnding is what happens to a connection once its queue is empty.
 type writerEnding uint8
 
 const (
 	keepOpen         writerEnding = iota
-	shutDownWhenSent              // its sending side is shut down
+	shutDownWhenSent              // shuts down the sending side
 	closeWhenSent
 )
 
-// send queues b; false if it would make more than limit buffers wait, or nothing is taken any more.
+// send queues b. It returns false if the queue would exceed limit buffers, or the writer is closed.
 func (w *writer) send(b []byte, limit int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -56,7 +56,7 @@
 		if n == 0 || w.queue[n-1].n == bufferBytes {
 			t := w.newBuffer()
 			if t == nil {
-				w.closed, w.ending = true, closeWhenSent // or half a message would stand before the next one
+				w.closed, w.ending = true, closeWhenSent // the message is incomplete, so nothing may follow it
 				w.startFlush()
 				return false
 			}
@@ -72,7 +72,7 @@
 	return true
 }
 
-// newBuffer gives an empty buffer; nil if there is none.
+// newBuffer returns an empty buffer; nil if none is free.
 func (w *writer) newBuffer() *buffer {
 	if w.sendsResponses {
 		return w.pool.getForResponse()
@@ -80,7 +80,7 @@
 	return w.pool.get()
 }
 
-// finish shuts the sending side down once what is queued has gone out.
+// finish shuts down the sending side once the queue is empty.
 func (w *writer) finish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,7 +88,7 @@
 	w.startFlush()
 }
 
-// close ends the connection once what is queued has gone out.
+// close closes the connection once the queue is empty.
 func (w *writer) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -96,7 +96,7 @@
 	w.startFlush()
 }
 
-// startFlush starts a flush unless one goes on.
+// startFlush starts a flush unless one is in progress.
 func (w *writer) startFlush() {
 	if !w.flushing {
 		w.flushing = true
@@ -105,58 +105,58 @@
 	}
 }
 
-// flush sends what is queued until the queue is empty, and then ends the connection as it was told to.
+// flush sends the queue until it is empty, and then ends the connection as requested.
 func (w *writer) flush() {
 	defer w.busy.Add(-1)
 	var out []*buffer
-	var failed error
+	var writeErr error
 	for {
 		w.mu.Lock()
-		if failed != nil {
+		if writeErr != nil {
 			w.closed, w.ending = true, closeWhenSent
 		}
 		out, w.queue = w.queue, out[:0]
-		last := w.ending
+		ending := w.ending
 		if w.flushing = len(out) > 0; !w.flushing {
 			w.mu.Unlock()
-			switch last {
+			switch ending {
 			case shutDownWhenSent:
 				w.shutDown()
 			case closeWhenSent:
-				_ = w.conn.Close() // all that was to be sent has been
+				_ = w.conn.Close() // everything queued has been sent
 			}
 			return
 		}
 		w.mu.Unlock()
 		for _, b := range out {
-			if failed == nil {
-				failed = w.write(b.bytes())
+			if writeErr == nil {
+				writeErr = w.write(b.bytes())
 			}
 			w.pool.put(b)
 		}
 	}
 }
 
-// A write that fails for a moment is tried so often, after a pause that doubles: 63 ms in all.
+// Retries of a write with a transient error; the delay doubles, 63 ms in all.
 const (
 	writeRetries    = 6
 	writeRetryDelay = time.Millisecond
 )
 
-// write has netpoll send b. What it could not send for a moment stays in its buffer and is sent again. Guards against
-// a response that is lost with its connection over a lack of memory that passes. It holds as netpoll keeps what it
-// could not send. See rows "write: EINTR, ENOBUFS, ENOMEM" and "write: any other" in docs/design/failures.md.
+// write sends b with netpoll, which keeps unsent data in its buffer for a retry: a short lack of memory must not lose a
+// response and its connection. See rows "write: EINTR, ENOBUFS, ENOMEM" and "write: any other" in
+// docs/design/failures.md.
 func (w *writer) write(b []byte) error {
-	// Write holds netpoll's own lock against a close from the other side; its Writer does not.
+	// Write is safe against a concurrent close by the peer; netpoll's Writer is not.
 	_, err := w.conn.Write(b)
-	for try := 0; try < writeRetries && isTransientWriteError(err); try++ {
-		time.Sleep(writeRetryDelay << try)
+	for attempt := 0; attempt < writeRetries && isTransientWriteError(err); attempt++ {
+		time.Sleep(writeRetryDelay << attempt)
 		err = w.conn.Writer().Flush()
 	}
 	return err
 }
 
-// isTransientWriteError tells errors of a system call that say nothing about what it was to act on.
+// isTransientWriteError reports whether a system call failed for a reason unrelated to its connection.
 func isTransientWriteError(err error) bool {
 	return errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
