--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -1,7 +1,7 @@
 package server
 
-// The instants at which a connection ends, each forced by its order: the test is the loop, takes events when it wants
-// to, and so decides what is still on its way as something ends.
+// Tests of how connections end. Each test is the loop: it decides when events are handled, and so what is in transit
+// while a connection ends.
 
 import (
 	"bufio"
@@ -24,7 +24,7 @@
 	"umberwinch/internal/node/settings"
 )
 
-// manualLoop is a loop with a listener on loopback whose events the test handles by hand.
+// manualLoop is a loop with a listener on loopback whose events the test handles itself.
 type manualLoop struct {
 	*loop
 	t    *testing.T
@@ -68,23 +68,23 @@
 	return c
 }
 
-// waitForEvents until so many events are handed over, and takes none.
-func (l *manualLoop) waitForEvents(events int) {
+// waitForEvents waits until at least this many events are queued, and handles none.
+func (l *manualLoop) waitForEvents(n int) {
 	l.t.Helper()
-	if !waitUntil(func() bool { return len(l.events) >= events }) {
-		l.t.Fatalf("%d events are handed over, expected %d", len(l.events), events)
+	if !waitUntil(func() bool { return len(l.events) >= n }) {
+		l.t.Fatalf("queued events = %d, want %d", len(l.events), n)
 	}
 }
 
-func (l *manualLoop) handleEvents(events int) {
+func (l *manualLoop) handleEvents(n int) {
 	l.t.Helper()
-	for range events {
+	for range n {
 		l.waitForEvents(1)
 		l.handle(<-l.events)
 	}
 }
 
-// advance has the time go on and the connections looked over.
+// advance moves the clock and sweeps the connections.
 func (l *manualLoop) advance(span admission.Time) {
 	l.now += span
 	l.sweep(l.now)
@@ -99,23 +99,28 @@
 
 func sendHealthCheck(c net.Conn) { io.WriteString(c, healthCheck) }
 
-// expectResponse reads an answer and tells whether it says that the connection closes.
+// expectResponse reads a response and returns whether it announces the close of the connection.
 func expectResponse(t *testing.T, r *bufio.Reader, status int) (closes bool) {
 	t.Helper()
 	a, err := http.ReadResponse(r, nil)
 	if err != nil || a.StatusCode != status {
-		t.Fatalf("gets %+v, %v, expected %d", a, err, status)
+		t.Fatalf("response = %+v, %v, want status %d", a, err, status)
 	}
 	return a.Close
 }
 
-// A request that is handed over and not taken keeps its connection open, whatever would close it.
-func TestHandedOverRequestKeepsItsConnection(t *testing.T) {
-	for name, closes := range map[string]func(l *manualLoop){
-		"idle":     func(l *manualLoop) { l.advance(10 * admission.Second) },
-		"silent":   func(l *manualLoop) { l.advance(l.limits.MessageTimeout) },
-		"eviction": func(l *manualLoop) { l.limits.EvictionThreshold = 0; l.now += l.limits.EvictionMinIdle; l.evict() },
-		"drain":    func(l *manualLoop) { l.closeAllIdle(true) },
+// A posted request that is not handled yet keeps its connection open; closing it would leave the request without a
+// response.
+func TestPostedRequestKeepsConnectionOpen(t *testing.T) {
+	for name, closeIdle := range map[string]func(l *manualLoop){
+		"idle":   func(l *manualLoop) { l.advance(10 * admission.Second) },
+		"silent": func(l *manualLoop) { l.advance(l.limits.MessageTimeout) },
+		"eviction": func(l *manualLoop) {
+			l.limits.EvictionThreshold = 0
+			l.now += l.limits.EvictionMinIdle
+			l.evict()
+		},
+		"drain": func(l *manualLoop) { l.closeAllIdle(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newManualLoop(t, 4)
@@ -123,41 +128,39 @@
 			l.handleEvents(1)
 			sendHealthCheck(c)
 			l.waitForEvents(1)
-			closes(l)
+			closeIdle(l)
 			l.handleEvents(1)
 			if expectResponse(t, bufio.NewReader(c), 200) {
-				t.Error("the answer says that the connection closes")
+				t.Error("response announces the close of the connection, want it kept open")
 			}
 		})
 	}
 }
 
-// Bytes that this process has not read yet keep a connection open as well; with force they do not, and nothing that
-// comes after is forwarded.
-func TestUnreadBytesKeepAConnection(t *testing.T) {
+// Bytes unread in the socket keep a connection open; the end of the stream does not.
+func TestHasUnread(t *testing.T) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unix.Close(pair[0])
 	if hasUnread(pair[0]) {
-		t.Error("an empty socket has unread bytes")
+		t.Error("hasUnread() = true for an empty socket, want false")
 	}
 	unix.Write(pair[1], []byte("G"))
 	if !hasUnread(pair[0]) {
-		t.Error("a byte is not seen")
+		t.Error("hasUnread() = false with one byte in the socket, want true")
 	}
 	var b [1]byte
 	unix.Read(pair[0], b[:])
 	unix.Close(pair[1])
 	if hasUnread(pair[0]) {
-		t.Error("the end of the stream counts as bytes")
+		t.Error("hasUnread() = true at the end of the stream, want false")
 	}
 }
 
-// A message that is read whole and waits for room in the queue, and one that is not whole yet, keep their connection
-// open.
-func TestReadingKeepsAConnection(t *testing.T) {
+// A complete message that waits for room in the event queue, and an incomplete one, keep their connection open.
+func TestMessageInProgressKeepsConnectionOpen(t *testing.T) {
 	l := newManualLoop(t, 4)
 	c := l.dial()
 	l.handleEvents(1)
@@ -167,31 +170,31 @@
 	}
 	sendHealthCheck(c)
 	if !waitUntil(func() bool { return p.pipelined.Load() > 0 }) {
-		t.Fatal("never read")
+		t.Fatal("the request is not read")
 	}
 	l.advance(10 * admission.Second)
 	if l.firstConnection().closing {
-		t.Error("closed while a request waits for room in the queue")
+		t.Error("connection is closing while a request waits for room in the event queue")
 	}
 	l.handleEvents(cap(l.events) + 1)
 	expectResponse(t, bufio.NewReader(c), 200)
 	io.WriteString(c, "GET /hea")
 	if !waitUntil(func() bool { return p.incompleteSince.Load() != 0 }) {
-		t.Fatal("half a message is never read")
+		t.Fatal("the incomplete message is not read")
 	}
-	l.firstConnection().lastActive = l.now + admission.Second // it goes on slowly
+	l.firstConnection().lastActive = l.now + admission.Second // active, but slow
 	l.closeAllIdle(false)
 	if l.firstConnection().closing {
-		t.Error("closed amid a message")
+		t.Error("connection is closing in the middle of a message")
 	}
 	io.WriteString(c, "lth HTTP/1.1\r\n\r\n")
 	l.handleEvents(1)
 	expectResponse(t, bufio.NewReader(c), 200)
 }
 
-// An idle connection ends by its sending side: the client reads the end of the stream, and what it has sent meanwhile
-// is discarded and answered by nothing.
-func TestIdleConnectionEndsInOrder(t *testing.T) {
+// An idle connection ends by a shutdown of its sending side: the client reads the end of the stream, and its later
+// input is discarded without a response.
+func TestIdleConnectionIsShutDown(t *testing.T) {
 	l := newManualLoop(t, 4)
 	c := l.dial()
 	l.handleEvents(1)
@@ -201,7 +204,7 @@
 	expectResponse(t, r, 200)
 	l.advance(2 * admission.Second)
 	if b, err := io.ReadAll(r); err != nil || len(b) > 0 {
-		t.Errorf("reads %q, %v, expected the end of the stream", b, err)
+		t.Errorf("read %q, %v, want the end of the stream", b, err)
 	}
 	sendHealthCheck(c)
 	sendHealthCheck(c)
@@ -212,20 +215,21 @@
 		return p.discarded
 	}
 	if !waitUntil(func() bool { return discarded() == 2*len(healthCheck) }) {
-		t.Errorf("%d bytes are discarded, expected both requests", discarded())
+		t.Errorf("discarded bytes = %d, want %d (both requests)", discarded(), 2*len(healthCheck))
 	}
 	if len(l.events) > 0 {
-		t.Error("a request is handed over that came after the end")
+		t.Error("a request was posted that came after the shutdown")
 	}
 	c.Close()
 	l.handleEvents(1)
 	if l.connections.used != 0 {
-		t.Error("the connection is still known")
+		t.Error("the closed connection is still in the table")
 	}
 }
 
-// A client that never closes its side is closed after a bound, and one that sends without end at once.
-func TestEndedConnectionIsNotKept(t *testing.T) {
+// A client that never closes its side is disconnected after LingerTimeout, and one that sends without end once it
+// exceeds DiscardBytes.
+func TestLingeringConnectionIsBounded(t *testing.T) {
 	l := newManualLoop(t, 4)
 	l.dial()
 	l.handleEvents(1)
@@ -236,16 +240,16 @@
 	l.handleEvents(1)
 	l.advance(2 * admission.Second)
 	flood.Write(make([]byte, l.limits.DiscardBytes+1))
-	l.handleEvents(1) // word of the flood
-	l.handleEvents(1) // its end
+	l.handleEvents(1) // discardLimitExceeded
+	l.handleEvents(1) // connectionClosed
 	if l.connections.used != 0 {
-		t.Errorf("%d connections are kept", l.connections.used)
+		t.Errorf("open connections = %d, want 0", l.connections.used)
 	}
 }
 
-// A new connection always finds a slot in the table: however many are closed and opened before the loop hears of
-// either, no more are accepted than it has slots.
-func TestNewConnectionFindsASlot(t *testing.T) {
+// An accepted connection always finds a free table slot, however many connections open and close before the loop
+// handles the events.
+func TestAcceptedConnectionFindsFreeSlot(t *testing.T) {
 	l := newManualLoop(t, 2)
 	for range 2 {
 		l.dial()
@@ -254,48 +258,48 @@
 	for h, i := l.connections.next(0); h != 0; h, i = l.connections.next(i) {
 		l.abort(l.connections.get(h))
 	}
-	l.waitForEvents(2) // both are gone, and the loop has not heard of it
-	var asks []net.Conn
+	l.waitForEvents(2) // both are closed, and the loop has not handled that yet
+	var waiting []net.Conn
 	for range 3 {
-		asks = append(asks, l.dial())
-		sendHealthCheck(asks[len(asks)-1])
+		waiting = append(waiting, l.dial())
+		sendHealthCheck(waiting[len(waiting)-1])
 	}
-	time.Sleep(50 * time.Millisecond) // nothing is to happen, so there is no event to wait for
+	time.Sleep(50 * time.Millisecond) // nothing must happen, so there is no event to wait for
 	if len(l.events) != 2 {
-		t.Fatalf("%d events: connections are accepted that have no slot", len(l.events))
+		t.Fatalf("queued events = %d, want 2: a connection without a free slot was accepted", len(l.events))
 	}
 	l.handleEvents(2)
 	l.handleEvents(4)
-	for _, c := range asks[:2] {
+	for _, c := range waiting[:2] {
 		expectResponse(t, bufio.NewReader(c), 200)
 		c.Close()
 	}
 	l.handleEvents(2)
 	l.handleEvents(2)
-	expectResponse(t, bufio.NewReader(asks[2]), 200)
+	expectResponse(t, bufio.NewReader(waiting[2]), 200)
 }
 
-// While all places are taken, connections whose end is over for long enough make room.
-func TestLingeringConnectionsMakeRoom(t *testing.T) {
+// While all slots are taken, lingering connections are closed after InFlightGrace, and not before.
+func TestLingeringConnectionsAreEvicted(t *testing.T) {
 	l := newManualLoop(t, 2)
 	l.dial()
 	l.dial()
 	l.handleEvents(2)
-	waits := l.dial()
-	sendHealthCheck(waits)
+	waiting := l.dial()
+	sendHealthCheck(waiting)
 	l.advance(l.limits.MessageTimeout)
 	l.advance(l.limits.InFlightGrace - 1)
 	if l.connections.used != 2 || len(l.events) > 0 {
-		t.Fatal("closed before what crosses the end could have come")
+		t.Fatal("connection closed before input that crossed the shutdown could arrive")
 	}
 	l.advance(1)
 	l.handleEvents(2)
 	l.handleEvents(2)
-	expectResponse(t, bufio.NewReader(waits), 200)
+	expectResponse(t, bufio.NewReader(waiting), 200)
 }
 
-// Who is accepted by the system as the listener stops is served; who comes after is refused.
-func TestStoppedListenerTakesItsBacklog(t *testing.T) {
+// Connections in the backlog of a stopped listener are served; later ones are refused.
+func TestStoppedListenerAcceptsBacklog(t *testing.T) {
 	ln, err := newListener("127.0.0.1:0", 1, time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
@@ -305,7 +309,7 @@
 		name, _ := syscall.Getsockname(int(fd))
 		address = fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 	})
-	ln.acquireSlot() // the one place is taken, so all that come wait in the backlog
+	ln.acquireSlot() // takes the only slot, so that all connections wait in the backlog
 	var clients []net.Conn
 	for range 5 {
 		c, err := net.Dial("tcp", address)
@@ -316,20 +320,20 @@
 		io.WriteString(c, "x")
 		clients = append(clients, c)
 	}
-	entered, ended := make(chan int, 8), make(chan bool)
+	accepted, ended := make(chan int, 8), make(chan bool)
 	go func() {
-		ln.run(func(fd int) { entered <- fd }, func(err error) { t.Error(err) })
+		ln.run(func(fd int) { accepted <- fd }, func(err error) { t.Error(err) })
 		close(ended)
 	}()
 	ln.stop()
 	for range clients {
 		ln.releaseSlot()
 		select {
-		case fd := <-entered:
+		case fd := <-accepted:
 			syscall.Write(fd, []byte("y"))
 			syscall.Close(fd)
 		case <-time.After(patience):
-			t.Fatal("not accepted")
+			t.Fatal("connection is not accepted")
 		}
 	}
 	ln.releaseSlot()
@@ -342,12 +346,12 @@
 	}
 	if c, err := net.Dial("tcp", address); err == nil {
 		c.Close()
-		t.Error("a stopped listener takes connections")
+		t.Error("a stopped listener accepts a connection")
 	}
 }
 
-// Whatever accept fails with, the listener goes on, and says so once for as long as it lasts.
-func TestListenerOutlivesFailures(t *testing.T) {
+// The listener survives any accept error and warns once per series of errors.
+func TestListenerRetriesAcceptErrors(t *testing.T) {
 	ln, err := newListener("127.0.0.1:0", 4, time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
@@ -368,9 +372,9 @@
 		name, _ := syscall.Getsockname(int(fd))
 		address = fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 	})
-	entered, ended := make(chan int, 1), make(chan bool)
+	accepted, ended := make(chan int, 1), make(chan bool)
 	go func() {
-		ln.run(func(fd int) { entered <- fd }, func(err error) { warnings <- err })
+		ln.run(func(fd int) { accepted <- fd }, func(err error) { warnings <- err })
 		close(ended)
 	}()
 	c, err := net.Dial("tcp", address)
@@ -379,26 +383,27 @@
 	}
 	defer c.Close()
 	select {
-	case fd := <-entered:
+	case fd := <-accepted:
 		syscall.Close(fd)
 	case <-time.After(patience):
-		t.Fatalf("not accepted after %d tries", tries.Load())
+		t.Fatalf("connection is not accepted after %d calls of accept", tries.Load())
 	}
 	if n := len(warnings); n != 1 {
-		t.Errorf("%d warnings, expected one", n)
+		t.Errorf("warnings = %d, want 1", n)
 	} else if err := <-warnings; err != syscall.EMFILE {
-		t.Errorf("warns of %v, expected the first that is not about one connection alone", err)
+		t.Errorf("warning = %v, want %v, the first error that does not concern a single connection", err,
+			syscall.EMFILE)
 	}
 	ln.stop()
 	<-ended
 	if ln.openConnections != 1 {
-		t.Errorf("%d places are taken, expected the one of the connection", ln.openConnections)
+		t.Errorf("open connections = %d, want 1", ln.openConnections)
 	}
 }
 
-// Clients that hold all buffers take no answer from others: what is owed goes out all the same, and a request that
-// could not be read is shed.
-func TestAnswersNeedNoFreeBuffer(t *testing.T) {
+// Responses are sent although clients hold all buffers, and a request that can't be read for lack of a buffer is
+// rejected with 503.
+func TestResponsesNeedNoFreeBuffer(t *testing.T) {
 	l := newManualLoop(t, 4)
 	a, b := l.dial(), l.dial()
 	l.handleEvents(2)
@@ -411,60 +416,59 @@
 	l.handleEvents(2)
 	expectResponse(t, bufio.NewReader(a), 200)
 	if !expectResponse(t, bufio.NewReader(b), 503) {
-		t.Error("what is not read whole goes on")
+		t.Error("response to an unreadable request does not announce the close of the connection")
 	}
 	if l.counters.BadRequests != 0 {
-		t.Error("its sender did nothing wrong")
+		t.Errorf("BadRequests = %d, want 0", l.counters.BadRequests)
 	}
 }
 
-// What the listener and its connections did before SIGHUP after SIGHUP is not lost: one kind of signal takes no other's
-// place, and none that comes early ends the program.
-func TestSignalsTakeNoOthersPlace(t *testing.T) {
+// A signal of one kind never displaces one of another kind, and an early SIGHUP does not end the program.
+func TestSignalKindsAreIndependent(t *testing.T) {
 	n := start(t, map[string]string{"stop_ms": "2500"})
 	text, err := os.ReadFile(n.file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	pipe := func() {
+	replaceWithPipe := func() {
 		if err := errors.Join(os.Remove(n.file), syscall.Mkfifo(n.file, 0o600)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	pipe() // the file is read until the test writes it
+	replaceWithPipe() // reading the file blocks until the test writes it
 	for range 20 {
 		n.signal(syscall.SIGHUP)
 	}
 	n.cmd.Process.Signal(syscall.SIGTERM)
 	if !n.logged("drain: ") {
-		t.Fatal("SIGTERM is lost behind SIGHUP")
+		t.Fatal("SIGTERM is lost after SIGHUP")
 	}
 	n.cmd.Process.Signal(syscall.SIGUSR1)
 	if !n.logged("msg=counters ") {
-		t.Error("SIGUSR1 is lost behind SIGHUP")
+		t.Error("SIGUSR1 is lost after SIGHUP")
 	}
 	n.cmd.Process.Kill()
 	<-n.ended
 
-	n.kernel.mu.Lock() // now one that hears SIGHUP before it has read its file for the first time
+	n.kernel.mu.Lock() // next, a SIGHUP before the first reading of the file
 	n.kernel.events, n.kernel.bootDelayed = nil, true
 	n.kernel.mu.Unlock()
-	n.launch()                                         // which does not wait for a kernel that is late
-	writer, err := os.OpenFile(n.file, os.O_WRONLY, 0) // waits until the program reads
+	n.launch()                                         // does not wait for the kernel, whose boot is delayed
+	writer, err := os.OpenFile(n.file, os.O_WRONLY, 0) // blocks until the program reads
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.signal(syscall.SIGHUP)
 	writer.Write(text)
-	n.writeStartupFile("") // in place of the pipe, for the second reading
+	n.writeStartupFile("") // replaces the pipe for the second reading
 	writer.Close()
 	if !n.logged(`msg="start-up file taken" `) {
-		t.Error("a SIGHUP that came early is lost")
+		t.Error("an early SIGHUP is lost")
 	}
 }
 
-// A closing answer is not written where more is on its way, and says so as soon as that is answered.
-func TestClosingAnswerWaitsForWhatWasRead(t *testing.T) {
+// A response announces the close of the connection only if no request read before is unanswered.
+func TestCloseIsAnnouncedByLastResponse(t *testing.T) {
 	l := newManualLoop(t, 4)
 	c := l.dial()
 	l.handleEvents(1)
@@ -475,19 +479,19 @@
 	r := bufio.NewReader(c)
 	l.handleEvents(1)
 	if expectResponse(t, r, 200) {
-		t.Error("the first answer closes over a request that was read")
+		t.Error("first of two responses announces the close of the connection")
 	}
 	l.handleEvents(1)
 	if !expectResponse(t, r, 200) {
-		t.Error("the last answer does not say that it closes")
+		t.Error("last response does not announce the close of the connection")
 	}
 	if b, err := io.ReadAll(r); err != nil || len(b) > 0 {
-		t.Errorf("reads %q, %v, expected the end", b, err)
+		t.Errorf("read %q, %v, want the end of the stream", b, err)
 	}
 }
 
-// A connection whose client asked for its end and then stays, with half a message, is ended after a bound.
-func TestEndingConnectionIsBounded(t *testing.T) {
+// A connection whose client asked for the close, then stays with an incomplete message, is closed after LingerTimeout.
+func TestClosingConnectionWithIncompleteMessageIsBounded(t *testing.T) {
 	l := newManualLoop(t, 4)
 	c := l.dial()
 	l.handleEvents(1)
@@ -498,12 +502,12 @@
 	if !waitUntil(func() bool {
 		return l.firstConnection().closing || l.firstConnection().peer.incompleteSince.Load() != 0
 	}) {
-		t.Error("half a message is never read")
+		t.Error("the incomplete message is not read")
 	}
 	if !l.firstConnection().closing {
 		l.advance(l.limits.LingerTimeout)
 	}
 	if b, err := io.ReadAll(r); err != nil || strings.Contains(string(b), "200") {
-		t.Errorf("reads %q, %v, expected the end", b, err)
+		t.Errorf("read %q, %v, want the end of the stream", b, err)
 	}
 }
--- a/internal/node/server/counters.go
+++ b/internal/node/server/counters.go
@@ -67,9 +67,11 @@
 		"slow": c.LateWakeUps}
 	if f := l.fleet; f != nil {
 		fields["version"], fields["fenced"], fields["alone"] = f.agent.ActiveVersion(), f.fenced, f.autonomous
-		fields["versions"], fields["times_fenced"], fields["fence_shed"] = c.VersionsAdopted, c.TimesFenced, c.RejectedFenced
+		fields["versions"], fields["times_fenced"], fields["fence_shed"] = c.VersionsAdopted, c.TimesFenced,
+			c.RejectedFenced
 		fields["fleet_lost"] = c.HeartbeatsLost
-		fields["zone_epoch"], fields["zone_share"], fields["zone_turned"] = f.gate.Epoch(), f.gate.Share(), c.RejectedByZone
+		fields["zone_epoch"], fields["zone_share"], fields["zone_turned"] = f.gate.Epoch(), f.gate.Share(),
+			c.RejectedByZone
 	}
 	l.results.addCounters(fields)
 	return fields
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -45,7 +45,8 @@
 // learn late that this node leaves. See rows "drain's end" and "kill near" in docs/design/shutdown.md.
 func (l *loop) drainTick() {
 	closeBy := l.answerBy - finalCloseMargin
-	quiet := l.now-max(l.lastRequest, l.drainStartedAt) >= l.limits.DrainQuietPeriod && l.now-l.drainStartedAt >= minListenTime
+	quiet := l.now-max(l.lastRequest, l.drainStartedAt) >= l.limits.DrainQuietPeriod &&
+		l.now-l.drainStartedAt >= minListenTime
 	if l.closingSince == 0 && (l.now >= closeBy-l.limits.InFlightGrace || quiet && l.unansweredConnections() == 0) {
 		l.closingSince = l.now
 		if l.listener != nil {
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -1,6 +1,6 @@
 package server
 
-// System calls that fail for a moment, each forced by a seam or by a resource that the test holds.
+// Tests of failing system calls, forced through a seam or a resource that the test holds.
 
 import (
 	"bufio"
@@ -26,7 +26,7 @@
 	"umberwinch/internal/node/agent"
 )
 
-// failingConn is a connection whose writes fail so often before they go out.
+// failingConn is a connection whose flushes fail with errs, one after the other, before they succeed.
 type failingConn struct {
 	netpoll.Connection
 	netpoll.Writer
@@ -54,16 +54,15 @@
 
 func (f *failingConn) Close() error { close(f.closed); return nil }
 
-// failingWriter gives the connection as what it sends by.
+// failingWriter is a failingConn as netpoll's Writer.
 type failingWriter struct{ *failingConn }
 
 func (o failingWriter) Writer() netpoll.Writer { return o.failingConn }
 
 func (f *failingConn) Release() error { return nil }
 
-// A write that fails for a moment goes out whole, once; one that fails for good is not taken as sent, and ends its
-// connection.
-func TestWritesOutliveMoments(t *testing.T) {
+// A write with a transient error is sent completely and once; after a permanent error the connection is closed.
+func TestWriteRetriesTransientErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		errs []error
 		sent bool
@@ -75,7 +74,7 @@
 		"timed out":        {[]error{syscall.ETIMEDOUT}, false},
 		"no route":         {[]error{syscall.EHOSTUNREACH}, false},
 		"broken":           {[]error{syscall.EPIPE}, false},
-		"a moment too far": {repeatError(syscall.ENOBUFS, 20), false},
+		"too many retries": {repeatError(syscall.ENOBUFS, 20), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -84,23 +83,23 @@
 			w := &writer{conn: failingWriter{f}, pool: &p, busy: &busy}
 			w.send([]byte("answer"), 4)
 			if !waitUntil(func() bool { return busy.Load() == 0 }) {
-				t.Error("it is still being sent")
+				t.Error("the writer is still busy")
 			}
 			if got := f.sent.String(); c.sent != (got == "answer") {
-				t.Errorf("%q went out, expected that it does: %v", got, c.sent)
+				t.Errorf("sent = %q, want all sent: %v", got, c.sent)
 			}
 			select {
 			case <-f.closed:
 				if c.sent {
-					t.Error("closed")
+					t.Error("connection is closed, want open")
 				}
 			default:
 				if !c.sent {
-					t.Error("not closed")
+					t.Error("connection is open, want closed")
 				}
 			}
 			if p.inUse != 0 {
-				t.Errorf("%d buffers are still out", p.inUse)
+				t.Errorf("buffers in use = %d, want 0", p.inUse)
 			}
 		})
 	}
@@ -113,8 +112,8 @@
 	return out
 }
 
-// Whatever a connect fails with before a byte was sent, the call never ran, and it is made again once that has passed.
-func TestConnectFailuresProveNoCall(t *testing.T) {
+// A failed connect proves that its call was not executed, whatever the error, and the next call dials again.
+func TestConnectErrorMeansCallNotExecuted(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
 		syscall.ECONNREFUSED,
 		syscall.ETIMEDOUT, syscall.ENOBUFS, syscall.EMFILE, syscall.ENFILE, syscall.EINTR, syscall.ECONNABORTED} {
@@ -135,14 +134,14 @@
 			l.startCall(h, r, l.now+admission.Second)
 			l.handleEvents(1)
 			if got := l.nextRound().CallEnds; len(got) != 1 || got[0].Outcome != admission.NotExecuted {
-				t.Fatalf("the module hears %v, expected that the call never ran", got)
+				t.Fatalf("call ends = %v, want one with outcome NotExecuted", got)
 			}
 			fails = 0
 			l.now += l.limits.MaxBackoff
 			l.startCall(h, r, l.now+admission.Second)
 			l.handleEvents(1)
 			if line, ok := store.next(""); !ok || line != "CALL 1 q" {
-				t.Errorf("the store hears %q", line)
+				t.Errorf("store received %q, want %q", line, "CALL 1 q")
 			}
 		})
 	}
@@ -153,7 +152,7 @@
 		parser: storeParser(lim.LinkBounds)}
 }
 
-// The waits between dials double up to a bound, and two servers that lose one peer together do not come back together.
+// Backoff doubles up to a limit and is jittered, so that nodes that lose a peer together don't reconnect together.
 func TestBackoffHasJitter(t *testing.T) {
 	l := &loop{loopTime: loopTime{now: 1000}, crossGoroutine: crossGoroutine{limits: NewLimits(1, 64, 256)}}
 	seen := map[admission.Time]bool{}
@@ -162,68 +161,69 @@
 		for range 10 {
 			b.failed(l.now, &l.limits)
 			if wait := b.notBefore - l.now; wait < b.delay/2 || wait > b.delay || b.delay > l.limits.MaxBackoff {
-				t.Fatalf("waits %d of %d", wait, b.delay)
+				t.Fatalf("wait = %d, want between %d and %d, at most %d", wait, b.delay/2, b.delay, l.limits.MaxBackoff)
 			}
 		}
 		seen[b.notBefore] = true
 	}
 	if len(seen) < 10 {
-		t.Errorf("%d different waits of 20", len(seen))
+		t.Errorf("distinct waits = %d of 20, want at least 10", len(seen))
 	}
 }
 
-// Servers that were started together do not report together; none reports later than it has to.
+// Nodes started together don't report together, and none later than ReportInterval.
 func TestReportsAreSpread(t *testing.T) {
 	l := &loop{loopTime: loopTime{now: 1000}, crossGoroutine: crossGoroutine{limits: NewLimits(1, 64, 256)}}
 	seen := map[admission.Time]bool{}
 	for range 50 {
 		wait := l.nextReport() - l.now
 		if wait > l.limits.ReportInterval || wait < l.limits.ReportInterval*7/8 {
-			t.Fatalf("the next report comes after %d, expected %d at most and seven eighths at least", wait,
+			t.Fatalf("next report after %d, want between %d and %d", wait, l.limits.ReportInterval*7/8,
 				l.limits.ReportInterval)
 		}
 		seen[wait] = true
 	}
 	if len(seen) < 25 {
-		t.Errorf("%d different times of 50", len(seen))
+		t.Errorf("distinct report times = %d of 50, want at least 25", len(seen))
 	}
 }
 
-// An address that the process before still holds is waited for; one that can't be had is told.
-func TestListensOnceTheAddressIsFree(t *testing.T) {
+// An address still held by the previous process is waited for; one that can't be listened on is an error.
+func TestListenRetriesAddressInUse(t *testing.T) {
 	holder, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	lim := NewLimits(1, 64, 256)
-	address, waits := holder.Addr().String(), make(chan error, 1)
+	address, warnings := holder.Addr().String(), make(chan error, 1)
 	go func() {
-		if err := <-waits; !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("warns of %v", err)
+		if err := <-warnings; !errors.Is(err, syscall.EADDRINUSE) {
+			t.Errorf("warning = %v, want %v", err, syscall.EADDRINUSE)
 		}
 		holder.Close()
 	}()
-	ln, err := listenWithRetry(address, lim, func(err error) { waits <- err })
+	ln, err := listenWithRetry(address, lim, func(err error) { warnings <- err })
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln.file.Close()
-	began := time.Now()
+	startedAt := time.Now()
 	if _, err = listenWithRetry("203.0.113.1:1", Limits{ListenTimeout: 0}, func(error) {}); err == nil {
-		t.Error("listens on another machine's address")
+		t.Error("listen on another machine's address succeeded, want an error")
 	}
 	if _, err = listenWithRetry("127.0.0.1:none", lim, func(error) {}); err == nil ||
-		time.Since(began) > lim.ListenTimeout/2 {
-		t.Errorf("%v after %v, expected an error at once", err, time.Since(began))
+		time.Since(startedAt) > lim.ListenTimeout/2 {
+		t.Errorf("err = %v after %v, want an error at once", err, time.Since(startedAt))
 	}
 }
 
-// A log reader that stands still, or is gone, keeps no request waiting and does not end the program.
-func TestLogReaderIsNotWaitedFor(t *testing.T) {
-	for _, reader := range []string{"stands still", "is gone"} {
+// A reader of the log that stops reading, or exits, neither delays requests nor ends the program.
+func TestServesWithoutLogReader(t *testing.T) {
+	for _, reader := range []string{"stops reading", "exits"} {
 		t.Run(reader, func(t *testing.T) {
 			t.Parallel()
-			n := &node{t: t, overrides: map[string]string{}, kernel: newFakeKernel(t), store: newFakeStore(t), discovery: newFakeDiscovery(t)}
+			n := &node{t: t, overrides: map[string]string{}, kernel: newFakeKernel(t), store: newFakeStore(t),
+				discovery: newFakeDiscovery(t)}
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -243,7 +243,7 @@
 				t.Fatal(err)
 			}
 			write.Close()
-			if reader == "is gone" {
+			if reader == "exits" {
 				read.Close()
 			} else {
 				defer read.Close()
@@ -258,7 +258,7 @@
 			})
 			c := n.dial()
 			r := bufio.NewReader(c)
-			for i := range 600 { // each leaves some 200 bytes in the log; a pipe takes 64 KB
+			for i := range 600 { // each logs some 200 bytes; a pipe holds 64 KB
 				fmt.Fprintf(c, "POST /rpc/get HTTP/1.1\r\nRequest-Id: %016x\r\nReceived-At: %d\r\nSent-By: 1\r\n"+
 					"Footprint-Kb: 1\r\nBudget-Ms: 1\r\n\r\n", i+1, time.Now().UnixMilli())
 				expectResponse(t, r, 503)
@@ -269,9 +269,8 @@
 	}
 }
 
-// TestKillAmidRecord: a node is killed while it writes its record. The record before is there as a whole, and
-// unfinished files don't pile up.
-func TestKillAmidRecord(t *testing.T) {
+// A node killed while it writes its record keeps the previous record, and unfinished files are removed.
+func TestKillDuringRecordWriteKeepsPreviousRecord(t *testing.T) {
 	folder := t.TempDir()
 	if err := storeRecord(folder, &agent.Record{ActiveVersion: 7, ActiveText: "seven"}); err != nil {
 		t.Fatal(err)
@@ -280,7 +279,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := range next { // so much was written, and it was not renamed
+	for n := range next { // n bytes were written, and the file was not renamed
 		name := filepath.Join(folder, fmt.Sprintf("%s.%d", recordFile, n))
 		if err := os.WriteFile(name, next[:n], 0o600); err != nil {
 			t.Fatal(err)
@@ -291,15 +290,15 @@
 	}
 	var r agent.Record
 	if there, err := loadRecord(folder, &r); !there || err != nil || r.ActiveVersion != 7 || r.ActiveText != "seven" {
-		t.Errorf("%v, %v, %+v, expected the record before", there, err, r)
+		t.Errorf("loadRecord() = %v, %v with record %+v, want the previous record", there, err, r)
 	}
 	if left, _ := os.ReadDir(folder); len(left) != 1 {
-		t.Errorf("%d files are left, expected the record alone", len(left))
+		t.Errorf("files in the folder = %d, want 1", len(left))
 	}
 }
 
-// TestRecordWaitsForItsDisk: the disk is full. The record is written again after a pause, not at once and without end.
-func TestRecordWaitsForItsDisk(t *testing.T) {
+// On a full disk the record is written again after a pause, not at once.
+func TestRecordWriteRetriesAfterPause(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &loop{crossGoroutine: crossGoroutine{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)}}
@@ -310,16 +309,16 @@
 	f.recordStored(bootTime(), 0, syscall.ENOSPC)
 	r := &f.record
 	if r.writing || !r.pending {
-		t.Fatalf("writing %v, pending %v, expected that it waits and is still pending", r.writing, r.pending)
+		t.Fatalf("writing = %v, pending = %v, want false and true", r.writing, r.pending)
 	}
 	if f.storePending(r.retryAt - 1); r.writing {
-		t.Error("written again before its pause is over")
+		t.Error("record is written before its pause is over")
 	}
 	if f.storePending(r.retryAt); !r.writing || r.pending {
-		t.Error("not written again after its pause")
+		t.Error("record is not written after its pause")
 	}
 	e := (<-l.events).(callback)
 	if e.then(); r.writing || !r.pending {
-		t.Error("a folder that is gone takes a record")
+		t.Error("write of the record to a missing folder succeeded")
 	}
 }
--- a/internal/node/server/guards_test.go
+++ b/internal/node/server/guards_test.go
@@ -14,15 +14,15 @@
 )
 
 var (
-	// namedRows is `row "X" in PAGE`, or several rows with "and" or a comma between.
+	// namedRows matches `row "X" in PAGE`, or several rows separated by "and" or commas.
 	namedRows = regexp.MustCompile(`rows? ((?:"[^"]+"(?:, | and )?)+) in (docs/design/[a-z]+\.md)`)
 	quoted    = regexp.MustCompile(`"([^"]+)"`)
-	// commentBreak is the end of a comment's line and the begin of its next.
+	// commentBreak matches a line break within a comment.
 	commentBreak = regexp.MustCompile(`\n\s*// `)
 )
 
-// tableRows gives the names of a page's rows: the first cell, with the second behind a colon in the table of system
-// calls.
+// tableRows returns the names of a page's table rows: the first cell, in the table of system calls with the second cell
+// after a colon.
 func tableRows(t *testing.T, page string) map[string]bool {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("../../..", page))
@@ -41,17 +41,17 @@
 		}
 		rows[name] = true
 	}
-	delete(rows, "call: error") // the heads of the tables
+	delete(rows, "call: error") // the table headings
 	delete(rows, "end")
 	if len(rows) == 0 {
-		t.Fatalf("%s has no rows", page)
+		t.Fatalf("%s has no table rows", page)
 	}
 	return rows
 }
 
-// Comments on guards name rows of the pages that say what fails and what is done then. Whoever is on call follows them
-// from the code to the page and back: a row that isn't there, or one that no code stands behind, would lead nowhere.
-func TestGuardsNameRowsOfPages(t *testing.T) {
+// Comments on guards refer to rows of the design pages about failures. Each row referred to has to exist, and each row
+// needs a comment that refers to it, so that an operator finds the code of a row and the row of a guard.
+func TestGuardCommentsMatchDesignPages(t *testing.T) {
 	rows := map[string]map[string]bool{}
 	for _, page := range []string{failuresPage, shutdownPage} {
 		rows[page] = tableRows(t, page)
@@ -74,13 +74,13 @@
 				for _, name := range quoted.FindAllStringSubmatch(m[1], -1) {
 					named[m[2]+" "+name[1]] = true
 					if !rows[m[2]][name[1]] {
-						t.Errorf("%s names row %q of %s, which has none", file, name[1], m[2])
+						t.Errorf("%s refers to row %q of %s, which does not exist", file, name[1], m[2])
 					}
 				}
 			}
 		}
 	}
-	// What netpoll does by itself, and what package admission guards.
+	// Rows handled by netpoll itself or by package admission.
 	elsewhere := map[string]bool{
 		failuresPage + " read: EINTR, EAGAIN":                        true,
 		failuresPage + " epoll_wait: EINTR":                          true,
@@ -90,7 +90,7 @@
 	for page := range rows {
 		for name := range rows[page] {
 			if key := page + " " + name; !named[key] && !elsewhere[key] {
-				t.Errorf("no comment names row %q of %s", name, page)
+				t.Errorf("no comment refers to row %q of %s", name, page)
 			}
 		}
 	}
--- a/internal/node/server/helper_test.go
+++ b/internal/node/server/helper_test.go
@@ -1,8 +1,7 @@
 package server
 
-// What the tests share: the program itself, built once and started on free ports, and small stand-ins for
-// the kernel, the store and service discovery, written from the protocol alone. Every wait is bounded by
-// patience.
+// Test helpers: the program, built once and started on free ports, and fakes of the kernel, the store and service
+// discovery that implement the protocol independently of the code under test. Every wait is bounded by patience.
 
 import (
 	"bufio"
@@ -58,7 +57,7 @@
 	return nil
 }
 
-// steppedProgram is a build whose wall clock the test steps.
+// steppedProgram returns a build of the program whose wall clock tests can step.
 func steppedProgram(t testing.TB) string {
 	file := filepath.Join(buildDir, "umberwinch-stepped")
 	steppedOnce.Do(func() { steppedErr = buildProgram(file, "-tags", "steppedclock") })
@@ -68,7 +67,7 @@
 	return file
 }
 
-// lineRecorder is what one side has heard, in order.
+// lineRecorder records the lines that a fake or the log receives, in order.
 type lineRecorder struct {
 	mu       sync.Mutex
 	cond     *sync.Cond
@@ -89,7 +88,7 @@
 	f.mu.Unlock()
 }
 
-// waitFor waits for ok to hold of what was heard.
+// waitFor waits until ok returns true, at most patience; ok is called with mu held.
 func (f *lineRecorder) waitFor(ok func() bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,11 +104,11 @@
 	return true
 }
 
-// next is what is heard next and not to be passed over.
-func (f *lineRecorder) next(pass string) (line string, ok bool) {
+// next returns the next line other than skipped; ok is false if none comes within patience.
+func (f *lineRecorder) next(skipped string) (line string, ok bool) {
 	ok = f.waitFor(func() bool {
 		for ; f.nextLine < len(f.lines); f.nextLine++ {
-			if f.lines[f.nextLine] != pass {
+			if f.lines[f.nextLine] != skipped {
 				line = f.lines[f.nextLine]
 				f.nextLine++
 				return true
@@ -126,7 +125,7 @@
 	return f.countLocked(prefix)
 }
 
-// countLocked is count for those that hold the lock already, as in until.
+// countLocked is count for callers that hold mu, as in waitFor.
 func (f *lineRecorder) countLocked(prefix string) (n int) {
 	for _, l := range f.lines {
 		if strings.HasPrefix(l, prefix) {
@@ -136,26 +135,26 @@
 	return n
 }
 
-// fakeServer is a stand-in that listens.
+// fakeServer is a fake peer that the node connects to.
 type fakeServer struct {
 	*lineRecorder
 	t             testing.TB
 	ln            net.Listener
 	addr          string
 	mu            sync.Mutex
-	newest        net.Conn // the newest
+	newest        net.Conn // the newest connection
 	conns         []net.Conn
-	connByRequest map[string]net.Conn // the store's: which one a request's call came on; with ', the one before
+	connByRequest map[string]net.Conn // store: connection of the last call by request id; id' is the one before
 	serveConn     func(net.Conn, *bufio.Reader)
-	unresponsive  bool // what it hears gets no answer
+	unresponsive  bool // requests are recorded but not answered
 }
 
-func newFakeServer(t testing.TB, talk func(net.Conn, *bufio.Reader)) *fakeServer {
-	s := &fakeServer{lineRecorder: newLineRecorder(), t: t, serveConn: talk, connByRequest: map[string]net.Conn{}}
+func newFakeServer(t testing.TB, serveConn func(net.Conn, *bufio.Reader)) *fakeServer {
+	s := &fakeServer{lineRecorder: newLineRecorder(), t: t, serveConn: serveConn, connByRequest: map[string]net.Conn{}}
 	return s
 }
 
-// start starts it; what its talk refers to has to be there before.
+// start listens; state used by serveConn has to be set before.
 func (s *fakeServer) start() {
 	s.listen("127.0.0.1:0")
 	s.t.Cleanup(s.stop)
@@ -190,7 +189,7 @@
 	s.conns = nil
 }
 
-// move has it listen elsewhere; what is open stays so.
+// move listens at another address; open connections stay open.
 func (s *fakeServer) move() {
 	s.ln.Close()
 	s.listen("127.0.0.1:0")
@@ -201,13 +200,13 @@
 	s.closeConns()
 }
 
-// writeTo writes on the connection that a request's last call came on; nothing to write resets it.
+// writeTo writes to the connection of a request's last call; empty text resets it.
 func (s *fakeServer) writeTo(id, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.connByRequest[id]
 	if c == nil {
-		s.t.Fatalf("no call came for %s", id)
+		s.t.Fatalf("no call received for request %s", id)
 	}
 	if text == "" {
 		c.(*net.TCPConn).SetLinger(0)
@@ -225,14 +224,14 @@
 	}
 }
 
-// kernel is the stand-in for the kernel: it tells notices only as the test says, keeps them for new links,
-// and answers OPEN and SYSINFO by itself.
+// fakeKernel is the fake kernel. It sends events only as the test asks, keeps them for replay on new links, and answers
+// OPEN and SYSINFO by itself.
 type fakeKernel struct {
 	*fakeServer
 	events                   [][]byte
-	coresWanted, connections string // as the gauges read
-	bootDelayed              bool   // BOOTED waits
-	unsentEvents             bool   // what is told is only kept, as if the link broke before it
+	coresWanted, connections string // values of the gauges
+	bootDelayed              bool   // BOOTED is delayed until the test sends it
+	unsentEvents             bool   // events are kept but not sent, as if the link broke first
 }
 
 func newFakeKernel(t testing.TB) *fakeKernel {
@@ -249,7 +248,7 @@
 				Index                      int
 			}
 			if err := json.Unmarshal(line, &m); err != nil {
-				t.Errorf("kernel reads %q: %v", line, err)
+				t.Errorf("kernel: invalid command %q: %v", line, err)
 				c.Close()
 				return
 			}
@@ -291,7 +290,7 @@
 	return k
 }
 
-// sendEvent numbers, keeps and sends a notice.
+// sendEvent numbers, keeps and sends a kernel event.
 func (k *fakeKernel) sendEvent(verb, task, outcome, body string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -303,7 +302,7 @@
 	}
 }
 
-// newFakeStore is the stand-in for the store.
+// newFakeStore returns a fake store.
 func newFakeStore(t testing.TB) *fakeServer {
 	var s *fakeServer
 	s = newFakeServer(t, func(c net.Conn, r *bufio.Reader) {
@@ -320,7 +319,7 @@
 				fmt.Sscan(w[3], &n)
 				body := make([]byte, n+2)
 				if _, err := io.ReadFull(r, body); err != nil || !bytes.HasSuffix(body, []byte("\r\n")) || wait < 1 {
-					t.Errorf("store reads %q %q: %v", line, body, err)
+					t.Errorf("store: invalid call %q with body %q: %v", line, body, err)
 				}
 				s.mu.Lock()
 				s.connByRequest[testID(w[1])+"'"] = s.connByRequest[testID(w[1])]
@@ -330,7 +329,7 @@
 			case len(w) == 2 && w[0] == "DROP":
 				s.add("DROP " + testID(w[1]))
 			default:
-				t.Errorf("store reads %q", line)
+				t.Errorf("store: unknown command %q", line)
 			}
 		}
 	})
@@ -338,7 +337,7 @@
 	return s
 }
 
-// newFakeDiscovery is the stand-in for service discovery.
+// newFakeDiscovery returns a fake service discovery.
 func newFakeDiscovery(t testing.TB) *fakeServer {
 	var s *fakeServer
 	s = newFakeServer(t, func(c net.Conn, r *bufio.Reader) {
@@ -349,7 +348,7 @@
 			}
 			var m struct{ Condition string }
 			if err := json.NewDecoder(q.Body).Decode(&m); err != nil || q.Method != "PUT" {
-				t.Errorf("control reads %s: %v", q.Method, err)
+				t.Errorf("service discovery: invalid report by %s: %v", q.Method, err)
 			}
 			s.mu.Lock()
 			if !s.unresponsive {
@@ -363,9 +362,10 @@
 	return s
 }
 
-// A test's ids are short numbers; on the wire they are 16 hex digits.
+// wireID pads the short id of a test to 16 hex digits, as on the wire.
 func wireID(id string) string { return strings.Repeat("0", 16-len(id)) + id }
 
+// testID is the inverse of wireID.
 func testID(id string) string {
 	if s := strings.TrimLeft(id, "0"); s != "" {
 		return s
@@ -373,7 +373,7 @@
 	return "0"
 }
 
-// node is the program with its stand-ins.
+// node is the program under test and its fakes.
 type node struct {
 	t         testing.TB
 	addr      string
@@ -385,7 +385,7 @@
 	ended     chan struct{}
 	err       error
 	file      string
-	own       string
+	own       string // path of the operator's file; empty: none
 	overrides map[string]string
 }
 
@@ -405,7 +405,8 @@
  {"name":"put","gain":2,"give_up":GIVEUP,"promise":PROMISE,"semantics":"deduplicated","window":WINDOW},
  {"name":"act","gain":2,"give_up":GIVEUP,"promise":PROMISE,"semantics":"at_most_once"}]`
 
-// start starts the program; set has what differs from the usual: stop_ms, sockets, store=none and the like.
+// start starts the program; set overrides defaults of the start-up file and environment (stop_ms, sockets, store=none
+// and so on).
 func start(t testing.TB, set map[string]string) *node {
 	n := &node{t: t, overrides: set, kernel: newFakeKernel(t), store: newFakeStore(t), discovery: newFakeDiscovery(t)}
 	n.kernel.bootDelayed = set["kernel"] == "late"
@@ -425,7 +426,7 @@
 	return n
 }
 
-// launch starts the program as its files have it: for the first time, or again after it ended.
+// launch starts the program with its current files, also again after it ended.
 func (n *node) launch() {
 	t := n.t
 	file := program
@@ -433,8 +434,8 @@
 		file = steppedProgram(t)
 	}
 	n.cmd, n.log, n.ended = exec.Command(file), newLineRecorder(), make(chan struct{})
-	n.cmd.Env = append(os.Environ(), "NODE_CONFIG="+n.file, "UMBERWINCH_LOG=debug", "UMBERWINCH_DIE_AT="+n.overrides["die"],
-		"UMBERWINCH_WALL_STEP="+n.stepFile())
+	n.cmd.Env = append(os.Environ(), "NODE_CONFIG="+n.file, "UMBERWINCH_LOG=debug",
+		"UMBERWINCH_DIE_AT="+n.overrides["die"], "UMBERWINCH_WALL_STEP="+n.stepFile())
 	if n.own != "" {
 		n.cmd.Env = append(n.cmd.Env, "UMBERWINCH_FILE="+n.own)
 	}
@@ -461,20 +462,20 @@
 		}
 	})
 	if !n.kernel.bootDelayed && !n.logged(`msg="kernel is up" `) {
-		t.Fatal("the kernel is never up")
+		t.Fatal("not logged: kernel is up")
 	}
 }
 
-// stepFile holds how far the wall clock is from the true one.
+// stepFile is the path of the file with the wall clock's offset from the true time.
 func (n *node) stepFile() string { return filepath.Join(filepath.Dir(n.file), "step") }
 
-// writeStartupFile writes the start-up file; what is not empty stands there instead of all that is right.
-func (n *node) writeStartupFile(instead string) {
-	get := func(key, usual string) string {
+// writeStartupFile writes the start-up file; text that is not empty replaces its whole content.
+func (n *node) writeStartupFile(content string) {
+	get := func(key, defaultValue string) string {
 		if v, ok := n.overrides[key]; ok {
 			return v
 		}
-		return usual
+		return defaultValue
 	}
 	store := n.store.addr
 	if get("store", "") == "none" {
@@ -489,11 +490,11 @@
  "limits":{"max_retry_after":1000000,"retry_after":true}}}`, n.addr, n.kernel.addr, n.discovery.addr, store,
 		get("stop_ms", "3000"), get("cores", "1"), get("memory_mb", "64"), get("sockets", "256"), get("fresh", "0"),
 		get("say", "off"))
-	if instead != "" {
-		text = instead
+	if content != "" {
+		text = content
 	}
 	err := os.WriteFile(n.file+".new", []byte(text), 0o600)
-	if err == nil { // at once, as the program may be reading it
+	if err == nil { // atomically, as the program may be reading it
 		err = os.Rename(n.file+".new", n.file)
 	}
 	if err != nil {
@@ -501,7 +502,7 @@
 	}
 }
 
-// logged waits for a line of the program's log that has each of these texts.
+// logged waits for a log line that contains each of texts.
 func (n *node) logged(texts ...string) bool {
 	return n.log.waitFor(func() bool {
 		return slices.ContainsFunc(n.log.lines, func(line string) bool {
@@ -510,7 +511,7 @@
 	})
 }
 
-// dial opens a connection as a client would; the program may only just be starting.
+// dial opens a client connection, and retries while the program is starting.
 func (n *node) dial() net.Conn {
 	for end := time.Now().Add(patience); ; {
 		c, err := net.Dial("tcp", n.addr)
@@ -530,13 +531,14 @@
 	}
 }
 
-// waitForKernelSync waits until the loop has run twice more, so that all it was to say on the kernel's link is said.
+// waitForKernelSync waits for further gauges requests, by which the loop has sent all its pending commands to the
+// kernel.
 func (n *node) waitForKernelSync() bool {
-	was := n.kernel.count("SYSINFO")
-	return n.kernel.waitFor(func() bool { return n.kernel.countLocked("SYSINFO") >= was+3 })
+	before := n.kernel.count("SYSINFO")
+	return n.kernel.waitFor(func() bool { return n.kernel.countLocked("SYSINFO") >= before+3 })
 }
 
-// signal sends the program a signal and waits until the system has delivered it: two of a kind that wait are one.
+// signal sends a signal and waits for its delivery, as two pending signals of a kind are merged.
 func (n *node) signal(s syscall.Signal) {
 	n.t.Helper()
 	n.cmd.Process.Signal(s)
@@ -548,18 +550,18 @@
 		_, rest, _ := strings.Cut(string(status), "ShdPnd:")
 		var set uint64
 		if _, err := fmt.Sscanf(rest, "%x", &set); err != nil {
-			n.t.Fatalf("found no pending signals in the status: %v", err)
+			n.t.Fatalf("ShdPnd in /proc/PID/status: %v, want a hexadecimal signal set", err)
 		}
 		return set&(1<<(s-1)) != 0
 	}
 	if !waitUntil(func() bool { return !pending() }) {
-		n.t.Fatalf("%v is not delivered", s)
+		n.t.Fatalf("signal %v is not delivered", s)
 	}
 }
 
-// waitUntil waits for a condition that no event tells of, for as long as patience, and tells whether it came.
-func waitUntil(met func() bool) bool {
-	for end := time.Now().Add(patience); !met(); time.Sleep(time.Millisecond) {
+// waitUntil polls a condition for up to patience and reports whether it became true.
+func waitUntil(condition func() bool) bool {
+	for end := time.Now().Add(patience); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			return false
 		}
--- a/internal/node/server/history_test.go
+++ b/internal/node/server/history_test.go
@@ -1,6 +1,6 @@
 package server
 
-// A recorded history of requests, runs and notices, and what has to hold of any.
+// A recorded history of requests, runs and drains, and the rules that every history has to satisfy.
 
 import (
 	"fmt"
@@ -12,28 +12,28 @@
 type recordKind uint8
 
 const (
-	recordSent      recordKind = iota // a request's last byte was written
-	recordAnswered                    // its answer was read whole
-	recordEnded                       // its connection ended with no answer
+	recordSent      recordKind = iota // a request was sent
+	recordAnswered                    // its response was read
+	recordEnded                       // its connection ended without a response
 	recordAbandoned                   // its client closed the connection
-	recordRun                         // a server's kernel was told to run it
-	recordDrain                       // a server was told to drain
-	recordExit                        // it ended
+	recordRun                         // a server's kernel got its run command
+	recordDrain                       // a server got SIGTERM
+	recordExit                        // a server exited
 )
 
-// record is one entry of a history.
+// record is an entry of a history.
 type record struct {
 	kind     recordKind
 	at       time.Duration
-	server   int // a process; one that is started anew is another
+	server   int // a process; a restart counts as another server
 	id       string
-	key      string // with the tenant; empty: it has none
+	key      string // idempotency key; empty: none
 	deadline time.Duration
 	status   int
 	body     string
 }
 
-// history gathers records from all sides.
+// history collects records from concurrent clients and servers.
 type history struct {
 	mu        sync.Mutex
 	startedAt time.Time
@@ -47,16 +47,16 @@
 	h.records = append(h.records, r)
 }
 
-// rules are the figures that a history is held to.
+// rules are the limits that a history has to satisfy.
 type rules struct {
-	maxLateness       time.Duration // answers may come so much after they were due
-	crossingGrace     time.Duration // a request that crosses its connection's end so closely is sent again by its client
-	idempotencyWindow time.Duration // no key runs twice within it
-	drainGrace        time.Duration // nothing that came so long after the notice runs
-	killDelay         time.Duration // the kill comes so long after the notice
+	maxLateness       time.Duration // a response may come this much after its deadline
+	crossingGrace     time.Duration // a request sent this shortly before its connection ended may be lost
+	idempotencyWindow time.Duration // a key runs at most once within it
+	drainGrace        time.Duration // a request sent this long after SIGTERM may not run
+	killDelay         time.Duration // from SIGTERM to the kill
 }
 
-// requestHistory is what a history says of one id.
+// requestHistory is the history of one request.
 type requestHistory struct {
 	sent, ended                record
 	answers                    []record
@@ -64,9 +64,9 @@
 	runs                       int
 }
 
-// violations gives what in a history breaks a rule.
+// violations returns a text for each violation of the rules.
 func (h *history) violations(r rules) (out []string) {
-	say := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
+	report := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	requests, order := map[string]*requestHistory{}, []string{}
 	notices, exits := map[int]record{}, map[int]record{}
 	ran := map[string]record{} // the last run of a key at a server
@@ -88,65 +88,66 @@
 			exits[e.server] = e
 		case recordRun:
 			if q == nil {
-				say("%s runs, which nobody sent", e.id)
+				report("request %s runs but was never sent", e.id)
 				continue
 			}
 			if q.runs++; q.runs > 1 {
-				say("%s runs %d times", e.id, q.runs)
+				report("request %s runs %d times, want at most 1", e.id, q.runs)
 			}
 			if n, ok := notices[e.server]; ok && q.sent.at > n.at+r.drainGrace {
-				say("%s came %v after the notice and runs", e.id, q.sent.at-n.at)
+				report("request %s was sent %v after SIGTERM and runs", e.id, q.sent.at-n.at)
 			}
 			if q.sent.key == "" {
 				continue
 			}
 			name := fmt.Sprint(e.server, "/", q.sent.key)
 			if last, ok := ran[name]; ok && q.sent.at < last.at+r.idempotencyWindow {
-				say("key %s runs by %s and again by %s, which came %v later",
+				report("key %s runs by request %s and again by request %s, sent %v later",
 					q.sent.key, last.id, e.id, q.sent.at-last.at)
 			}
 			ran[name] = record{id: e.id, at: q.sent.at}
 		}
 	}
 	for _, id := range order {
-		requests[id].check(r, say)
+		requests[id].check(r, report)
 	}
 	for server, n := range notices {
 		if x, ok := exits[server]; !ok || x.at > n.at+r.killDelay {
-			say("server %d did not end within %v of its notice", server, r.killDelay)
+			report("server %d did not exit within %v of SIGTERM", server, r.killDelay)
 		}
 	}
 	return out
 }
 
-// check holds one request to its one answer in time.
-func (q *requestHistory) check(r rules, say func(string, ...any)) {
+// check applies the rules to one request: one response, in time.
+func (q *requestHistory) check(r rules, report func(string, ...any)) {
 	id := q.sent.id
 	switch {
 	case len(q.answers) > 1:
-		say("%s has %d answers", id, len(q.answers))
+		report("request %s has %d responses, want 1", id, len(q.answers))
 	case len(q.answers) == 1:
 		a := q.answers[0]
 		if a.at > q.sent.deadline+r.maxLateness {
-			say("%s is answered %v after it was due", id, a.at-q.sent.deadline)
+			report("request %s is answered %v after its deadline", id, a.at-q.sent.deadline)
 		}
 		if (a.status == 429 || a.status == 503) && q.runs > 0 {
-			say("%s is refused, and ran", id)
+			report("request %s is rejected, but ran", id)
 		}
 		if a.status == 200 && a.body != resultOf(q.sent) {
-			say("%s is served with %q, expected %q", id, a.body, resultOf(q.sent))
+			report("request %s has the result %q, want %q", id, a.body, resultOf(q.sent))
 		}
 	case q.abandoned:
 	case !q.connectionEnded:
-		say("%s has no answer", id)
+		report("request %s has no response", id)
 	case q.runs > 0:
-		say("%s ran and its connection ended with no answer", id)
+		report("request %s ran, and its connection ended without a response", id)
 	case q.ended.at-q.sent.at > r.crossingGrace:
-		say("%s is lost: its connection ended %v after it was sent, with no answer", id, q.ended.at-q.sent.at)
+		report("request %s is lost: its connection ended %v after it was sent, without a response", id,
+			q.ended.at-q.sent.at)
 	}
 }
 
-// resultOf is what a run of a request gives: the same for all tries of a key.
+// resultOf returns the result of a request's run, the same for all attempts of a key.
 func resultOf(sent record) string {
 	if sent.key != "" {
 		return "result of " + sent.key
@@ -154,10 +155,11 @@
 	return "result of " + sent.id
 }
 
-// The checker finds each kind of wrong history, and passes a right one.
-func TestHistoryChecker(t *testing.T) {
+// The checker finds each kind of violation and accepts correct histories.
+func TestHistoryViolations(t *testing.T) {
 	const ms = time.Millisecond
-	r := rules{maxLateness: 50 * ms, crossingGrace: 50 * ms, idempotencyWindow: 800 * ms, drainGrace: 100 * ms, killDelay: 500 * ms}
+	r := rules{maxLateness: 50 * ms, crossingGrace: 50 * ms, idempotencyWindow: 800 * ms,
+		drainGrace: 100 * ms, killDelay: 500 * ms}
 	sent := func(id, key string, at time.Duration) record {
 		return record{kind: recordSent, id: id, key: key, at: at, deadline: at + 100*ms}
 	}
@@ -200,7 +202,7 @@
 	} {
 		h := &history{records: c.records}
 		if found := h.violations(r); len(found) != c.wrong {
-			t.Errorf("%s: found %q, expected %d", name, found, c.wrong)
+			t.Errorf("%s: violations = %q, want %d", name, found, c.wrong)
 		}
 	}
 }
--- a/internal/node/server/lifecycle_test.go
+++ b/internal/node/server/lifecycle_test.go
@@ -2,81 +2,80 @@
 
 import "testing"
 
-// A transition that is not in the tables means that the loop has lost track of a request: in service it is carried
-// out; in tests, and in the program that scenarios play against, it ends the program, whatever it comes up in.
+// A wrong transition panics in tests and in the program that scenarios run; in production it is made.
 func init() { wrongTransitionEndsProgram = "yes" }
 
+// wrongTransition reports whether a change makes a wrong transition.
 func wrongTransition(change func()) (wrong bool) {
 	defer func() { wrong = recover() != nil }()
 	change()
 	return false
 }
 
-// A request that gets two responses would have a client take the second for that of its next request.
-func TestASecondResponseIsAWrongTransition(t *testing.T) {
+// A second response would be read by the client as the response to its next request.
+func TestSecondResponseIsWrongTransition(t *testing.T) {
 	s := lifecycle{}
 	if !s.respond() || !s.isAnswered() || !wrongTransition(func() { s.respond() }) {
-		t.Errorf("a second response passes: %+v", s)
+		t.Errorf("second response: lifecycle = %+v, want a wrong transition", s)
 	}
 	s = lifecycle{}
 	s.abandon()
 	if s.isAnswered() || s.respond() || !s.isAnswered() || !s.isAbandoned() {
-		t.Errorf("a response without a client: %+v", s)
+		t.Errorf("response after the client is gone: lifecycle = %+v, want it discarded", s)
 	}
 	if !wrongTransition(func() { s.respond() }) || !wrongTransition(func() { s.abandon() }) {
-		t.Errorf("a discarded response is given again: %+v", s)
+		t.Errorf("change after a discarded response: lifecycle = %+v, want a wrong transition", s)
 	}
 }
 
-// A run that has ended and goes on again would run what its client was told the end of. Only one that was stopped by
-// a pause may.
-func TestOnlyAPausedRunStartsAgain(t *testing.T) {
+// A finished run must not start again, as its client has the result; only a stopped one may.
+func TestOnlyStoppedRunMayRestart(t *testing.T) {
 	s := lifecycle{}
 	if !wrongTransition(s.endRun) {
-		t.Error("a run ends before it begins")
+		t.Error("end of a run before its start is not a wrong transition")
 	}
 	s = lifecycle{}
 	s.setRun(runRunning)
 	s.endRun()
 	if s.run != runFinished || s.mayStart() || !wrongTransition(func() { s.setRun(runRunning) }) {
-		t.Errorf("a finished run starts again: %+v", s)
+		t.Errorf("finished run: lifecycle = %+v, want a restart to be a wrong transition", s)
 	}
 	s = lifecycle{}
 	s.setRun(runRunning)
 	s.stop()
 	s.endRun()
 	if s.run != runStopped || !s.mayStart() || wrongTransition(func() { s.setRun(runRunning) }) {
-		t.Errorf("a run that was stopped by a pause: %+v", s)
+		t.Errorf("stopped run: lifecycle = %+v, want a restart to be allowed", s)
 	}
 }
 
-// A request that waits for the disk waits for one thing: a word of the disk about another would be taken for the one
-// that it waits for, and have it run, or answered, before its record is durable.
-func TestARequestWaitsForOneThingOfTheDisk(t *testing.T) {
+// A request waits for one disk operation at a time: the end of another would have it run, or answered, before its
+// record is durable.
+func TestRequestWaitsForOneDiskOperation(t *testing.T) {
 	for from := range diskStates {
 		for to := range diskStates {
 			s := lifecycle{disk: from}
 			allowed := (from == nothingPending) != (to == nothingPending)
 			if wrongTransition(func() { s.setDisk(to) }) == allowed {
-				t.Errorf("from %d to %d: expected that it is allowed: %v", from, to, allowed)
+				t.Errorf("disk state from %d to %d: allowed = %v, want %v", from, to, !allowed, allowed)
 			}
 			if s := (lifecycle{disk: from}); s.awaitsIntent() != (from == intentPending) {
-				t.Errorf("%d: held back %v", from, s.awaitsIntent())
+				t.Errorf("disk state %d: awaitsIntent() = %v, want %v", from, s.awaitsIntent(), from == intentPending)
 			}
 		}
 	}
 }
 
-// The slot of a request must not be used again while its run or a result that it waits for is still to come.
-func TestARequestIsOverOnceNothingIsLeftToCome(t *testing.T) {
+// A request's slot must not be reused while its run, or a result that it waits for, is outstanding.
+func TestRequestIsOver(t *testing.T) {
 	for response := range responseStates {
 		for run := range runStates {
 			for awaits := range awaitStates {
 				s := lifecycle{response: response, run: run, awaits: awaits}
-				runs := run == runRunning || run == runStopping
-				want := response != responsePending && !runs && awaits != awaitsOriginal
+				running := run == runRunning || run == runStopping
+				want := response != responsePending && !running && awaits != awaitsOriginal
 				if s.isOver() != want {
-					t.Errorf("%+v: over %v", s, s.isOver())
+					t.Errorf("%+v: isOver() = %v, want %v", s, s.isOver(), want)
 				}
 			}
 		}
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -67,7 +67,8 @@
 // of a keyed run is kept for repeats even if the client is gone: see row "client gone" in docs/design/shutdown.md.
 func (l *loop) runEnded(h handle, r *request, outcome admission.Outcome, elapsedMS float64, result []byte) {
 	if l.debug {
-		l.traceWith(r.id, traceRunEnded, logrus.Fields{logging.Outcome: outcomeNames[outcome], logging.ElapsedMS: elapsedMS})
+		l.traceWith(r.id, traceRunEnded, logrus.Fields{logging.Outcome: outcomeNames[outcome],
+			logging.ElapsedMS: elapsedMS})
 	}
 	r.endRun()
 	l.counters.RunEnds++
--- a/internal/node/server/request_arrival_test.go
+++ b/internal/node/server/request_arrival_test.go
@@ -12,22 +12,22 @@
 	"umberwinch/internal/node/wire"
 )
 
-// A rejection without a status would be taken for a request that the controller heard of, and never be answered; one
-// without a name could not be told from others in the log.
-func TestEachRejectionHasAStatus(t *testing.T) {
+// A rejection without a status would pass for an accepted request and never be answered; one without a name of its own
+// could not be told apart in logs.
+func TestEachRejectionHasStatusAndName(t *testing.T) {
 	names := map[string]bool{}
-	for why := notRejected + 1; why < numRejections; why++ {
-		if why.status() == 0 {
-			t.Errorf("rejection %d has no status", why)
+	for rejected := notRejected + 1; rejected < numRejections; rejected++ {
+		if rejected.status() == 0 {
+			t.Errorf("status() of rejection %d = 0, want an HTTP status", rejected)
 		}
-		if name := why.String(); name == "" || names[name] {
-			t.Errorf("rejection %d has the name %q, expected one of its own", why, name)
+		if name := rejected.String(); name == "" || names[name] {
+			t.Errorf("String() of rejection %d = %q, want a unique name", rejected, name)
 		}
-		names[why.String()] = true
+		names[rejected.String()] = true
 	}
 }
 
-// newArrivalLoop is a loop of one handler with idempotency keys and one slot for requests, whose kernel is up.
+// newArrivalLoop returns a loop with one handler with idempotency keys, one request slot and a running kernel.
 func newArrivalLoop() *loop {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -44,18 +44,18 @@
 	return l
 }
 
-// newArrival is a request that passes every check of that loop.
+// newArrival returns a request that passes every check of that loop.
 func newArrival() wire.Request {
 	return wire.Request{ID: []byte(wireID("1")), Tenant: []byte("home"), ReceivedAtMS: time.Now().UnixMilli(),
 		HasCaller: true, FootprintKB: 1, IdempotencyKey: []byte("k")}
 }
 
-// A new request passes the checks in one order, and the first that it fails answers it: a client's mistake is told as
-// such whatever else is wrong, and what this server can't take is told only of requests that it could serve. Each case
-// fails its own check and, but for the last ones, all that come after it.
-func TestChecksOfANewRequest(t *testing.T) {
+// The first failing check determines the rejection, and errors of the request come before conditions of the node. Each
+// case breaks one more check, from the last to the first, so that (except for the last checks) its request fails all
+// later ones too.
+func TestCheckRequestOrder(t *testing.T) {
 	tests := []struct {
-		fails rejection
+		want  rejection
 		spoil func(l *loop, q *wire.Request)
 	}{
 		{requestTableFull, func(l *loop, _ *wire.Request) { l.requests.take() }},
@@ -70,26 +70,26 @@
 	l, q := newArrivalLoop(), newArrival()
 	for _, test := range tests {
 		test.spoil(l, &q)
-		in, bad := l.requests.used, l.counters.BadRequests
+		requests, badRequests := l.requests.used, l.counters.BadRequests
 		e := &requestRead{peer: &peer{}, request: q}
 		a := l.identify(&e.request, "put")
-		if why := l.checkRequest(&a, &wire.Response{}); why != test.fails {
-			t.Errorf("rejected as %q, expected %q", why, test.fails)
+		if got := l.checkRequest(&a, &wire.Response{}); got != test.want {
+			t.Errorf("checkRequest() = %q, want %q", got, test.want)
 		}
 		status := l.receiveRequest(&connection{}, e, "put", &wire.Response{})
-		if status != test.fails.status() || l.requests.used != in || len(l.nextRound().Arrived) > 0 {
-			t.Errorf("%s: answered %d, %d in hand and %d told to the controller, expected %d, %d and none", test.fails,
-				status, l.requests.used, len(l.nextRound().Arrived), test.fails.status(), in)
+		if status != test.want.status() || l.requests.used != requests || len(l.nextRound().Arrived) > 0 {
+			t.Errorf("%s: status = %d, requests = %d, submitted = %d, want %d, %d and 0", test.want,
+				status, l.requests.used, len(l.nextRound().Arrived), test.want.status(), requests)
 		}
-		if isBad := l.counters.BadRequests > bad; isBad != (status == wire.StatusBadRequest) {
-			t.Errorf("%s: counted as bad: %v", test.fails, isBad)
+		if isBad := l.counters.BadRequests > badRequests; isBad != (status == wire.StatusBadRequest) {
+			t.Errorf("%s: counted as a bad request: %v, want %v", test.want, isBad, !isBad)
 		}
 	}
 	l, q = newArrivalLoop(), newArrival()
 	e := &requestRead{peer: &peer{}, request: q}
 	if status := l.receiveRequest(&connection{}, e, "put", &wire.Response{}); status != 0 || l.requests.used != 1 ||
 		len(l.nextRound().Arrived) != 1 {
-		t.Errorf("one that passes all: answered %d, %d in hand, %d told to the controller", status, l.requests.used,
+		t.Errorf("valid request: status = %d, requests = %d, submitted = %d, want 0, 1 and 1", status, l.requests.used,
 			len(l.nextRound().Arrived))
 	}
 }
--- a/internal/node/server/request_bench_test.go
+++ b/internal/node/server/request_bench_test.go
@@ -16,13 +16,13 @@
 	"umberwinch/internal/node/wire"
 )
 
-// discardingConn is a connection whose other side takes everything at once.
+// discardingConn is a connection whose peer reads everything at once.
 type discardingConn struct{ netpoll.Connection }
 
 func (discardingConn) Write(b []byte) (int, error) { return len(b), nil }
 func (discardingConn) Close() error                { return nil }
 
-// newBenchLoop is a loop whose kernel is up, with one client's connection and no sockets.
+// newBenchLoop returns a loop with a running kernel and one client connection, without sockets.
 func newBenchLoop(b *testing.B) (*loop, *peer) {
 	b.Helper()
 	const text = `{"classes":[{"name":"get","gain":1,"give_up":6000000,"promise":2000000,"semantics":"idempotent"}],
@@ -47,14 +47,14 @@
 	return l, p
 }
 
-// awaitWriters lets what was sent go out, as the loop is faster than writers and their queues are bounded.
+// awaitWriters waits for the writers, whose queues are limited and which are slower than the loop.
 func awaitWriters(l *loop) {
 	for l.busy.Load() > 0 {
 		runtime.Gosched()
 	}
 }
 
-// BenchmarkLoopRequest is what one request costs the loop: read, checked, decided on, run, ended and answered.
+// BenchmarkLoopRequest measures the loop's cost of a request: read, check, decision, run, run end and response.
 func BenchmarkLoopRequest(b *testing.B) {
 	l, p := newBenchLoop(b)
 	var text, event []byte
@@ -67,7 +67,7 @@
 		buffer.n = copy(buffer.b[:], text)
 		read, size, err := p.parse(buffer, &l.limits)
 		if err != nil || size != len(text) {
-			b.Fatalf("%d bytes are read, %v", size, err)
+			b.Fatalf("parsed %d bytes, %v, want %d", size, err, len(text))
 		}
 		p.pipelined.Add(1)
 		l.handle(read)
@@ -88,11 +88,12 @@
 		awaitWriters(l)
 	}
 	if l.requests.used != 0 || l.counters.Succeeded != l.counters.Requests || l.counters.Succeeded == 0 {
-		b.Fatalf("%d in hand, %d done of %d", l.requests.used, l.counters.Succeeded, l.counters.Requests)
+		b.Fatalf("requests in progress = %d, succeeded = %d of %d, want 0 and all", l.requests.used,
+			l.counters.Succeeded, l.counters.Requests)
 	}
 }
 
-// BenchmarkLoopRejection is what one request costs that is rejected before the controller hears of it.
+// BenchmarkLoopRejection measures the loop's cost of a request rejected before the controller.
 func BenchmarkLoopRejection(b *testing.B) {
 	l, p := newBenchLoop(b)
 	l.controller = nil
@@ -115,6 +116,6 @@
 		awaitWriters(l)
 	}
 	if l.requests.used != 0 || l.counters.Requests != 0 {
-		b.Fatalf("%d in hand of %d", l.requests.used, l.counters.Requests)
+		b.Fatalf("requests in progress = %d, accepted = %d, want 0 and 0", l.requests.used, l.counters.Requests)
 	}
 }
--- a/internal/node/server/scenario_test.go
+++ b/internal/node/server/scenario_test.go
@@ -21,46 +21,45 @@
 	"golang.org/x/sys/unix"
 )
 
-// Scenarios are the text files in testdata: the program is started with its stand-ins and spoken to. A line
-// is one of the following; a text with spaces or escapes is quoted as in Go.
+// scenario runs a file of testdata: the program is started with its fakes, and each line is a step. A text with spaces
+// or escapes is quoted as in Go.
 //
-//	node KEY=VALUE ...               what differs from the usual start; the first line, if at all
+//	node KEY=VALUE ...               overrides of the default start; only as the first line
 //	NAME sends CLASS ID [key=K] [about=K] [body=T] [age=MS] [budget=MS] [account=N] [again] [close]
-//	                                 [split=N] [wall=STEP]   stamped by a wall clock that is stepped otherwise
-//	NAME raw TEXT                    bytes as they are
-//	NAME floods N                    so many bytes that are no message, as far as the other side takes them
+//	                                 [split=N] [wall=STEP]   client NAME sends a request; wall: its clock's offset
+//	NAME raw TEXT                    it sends raw bytes
+//	NAME floods N                    it sends N bytes that are no message, as far as the node reads them
 //	NAME gets STATUS [body=T] [close] [back] [final[=any]] [hint=any] [| STATUS ...]
-//	                                 the second, where there is one, is as good as the first
-//	NAME checks STATUS               a health check on a connection of its own
-//	NAME ends                        the other side closes it, with nothing more said
-//	NAME closes | resets | halves    this side does: wholly, with a reset, for sending only
-//	kernel gets COMMAND ...          the next command but for SYSINFO
+//	                                 it reads a response; | separates alternatives
+//	NAME checks STATUS               a health check
+//	NAME ends                        the node closes the connection and sends nothing more
+//	NAME closes | resets | halves    the client closes it, resets it, or shuts down its sending side
+//	kernel gets COMMAND ...          the next command other than SYSINFO
 //	kernel says ID OUTCOME [TEXT]    a run ends: OK, ERROR, STOPPED, MOOT
-//	kernel asks ID TEXT              a run stands at a call
-//	kernel invalid ID COMMAND        a command was not carried out
-//	kernel writes TEXT               bytes as they are
-//	SIDE mute | talks                SYSINFO or reports get no answer, or do again
-//	kernel cut | silent | boots
-//	kernel gauges N N                what wants the cores and open connections, as they read from now on
-//	kernel heard N COMMAND ...       so many commands begin like this, once all is said
+//	kernel asks ID TEXT              a run asks for a call
+//	kernel invalid ID COMMAND        a command was not executed
+//	kernel writes TEXT               raw bytes
+//	SIDE mute | talks                SYSINFO or reports are not answered, or are again
+//	kernel cut | silent | boots      closes its connections; keeps events unsent; sends a delayed BOOTED
+//	kernel gauges N N                runs that want the cores and open connections, in the gauges from now on
+//	kernel heard N COMMAND ...       N commands begin like this, once the loop has sent all
 //	store gets LINE ..., store says ID WORD [TEXT], store cut | down | up
-//	store writes ID TEXT             bytes as they are, on the connection of that req's last call;
-//	                                 ID' names the one before
-//	store resets ID                  that connection
-//	SIDE moves                       it listens elsewhere; what is open stays so
-//	control writes TEXT              bytes as they are, on its newest connection
-//	reload [KEY=VALUE ...] | reload TEXT   a new start-up file, or one that holds just the text, and SIGHUP
-//	control gets CONDITION           skipping others, control down | up | cut
-//	wall STEP                        the wall clock is so far from the true one from now on, where node has
-//	                                 clock=stepped
-//	after MS                         the clock goes on by so much, where what is tested goes by it
-//	dies                             the program is killed by now, by itself where node or again has die=POINT:N;
-//	                                 with die=hangs:N its disk stands for a while at its Nth write
-//	disk full | well                 the program can write to no file, or can again
-//	rots N                           a bit of byte N of its folder's first segment turns over
-//	again [KEY=VALUE ...]            it is started once more, with what its folder has; connections are new
+//	store writes ID TEXT             raw bytes on the connection of that request's last call;
+//	                                 ID' is the call before
+//	store resets ID                  resets that connection
+//	SIDE moves                       it listens elsewhere; open connections stay open
+//	control writes TEXT              raw bytes on its newest connection
+//	reload [KEY=VALUE ...] | reload TEXT   writes a new start-up file, or one with just the text, and sends SIGHUP
+//	control gets CONDITION           the next report with it, skipping others; control down | up | cut
+//	wall STEP                        sets the wall clock's offset from the true time; needs node clock=stepped
+//	after MS                         sleeps, for behavior that depends on elapsed time
+//	dies                             waits for the program's end, as by node or again with die=POINT:N;
+//	                                 with die=hangs:N the disk hangs for a while at its Nth write
+//	disk full | well                 the program can't write to files, or can again
+//	rots N                           flips a bit of byte N of the first segment in its folder
+//	again [KEY=VALUE ...]            starts the program again with the same folder and new connections
 //	signal TERM | USR1 | STOP | CONT | KILL, exits, log TEXT ..., counts KEY=N ...
-//	logged TEXT ...                  one line of the log has all of these
+//	logged TEXT ...                  one log line contains all of these
 type scenario struct {
 	*node
 	file    string
@@ -71,8 +70,8 @@
 	wallStep time.Duration
 }
 
-// Each scenario starts the program between stand-ins for clients, kernel, store and service discovery, and plays what
-// happens to it step by step. It ends at the first step that does not come out as it says, or that is never seen.
+// Each scenario runs the program against fake clients, kernel, store and service discovery, step by step. It fails at
+// the first step whose expectation is not met within patience.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -85,8 +84,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if story, _, _ := strings.Cut(string(text), "\n"); !strings.HasPrefix(story, "# ") {
-				t.Errorf("%s begins with %q, expected its story in plain sentences", f, story)
+			if first, _, _ := strings.Cut(string(text), "\n"); !strings.HasPrefix(first, "# ") {
+				t.Errorf("%s: first line = %q, want a comment that describes the scenario", f, first)
 			}
 			p := &scenario{file: f, conns: map[string]net.Conn{}, readers: map[string]*bufio.Reader{}}
 			for i, line := range strings.Split(string(text), "\n") {
@@ -100,7 +99,7 @@
 	}
 }
 
-// splitWords splits a line at spaces outside quotes; what is quoted is unquoted.
+// splitWords splits a line at spaces outside quotes and unquotes quoted parts.
 func splitWords(t *testing.T, line string) (out []string) {
 	for line = strings.TrimSpace(line); line != ""; line = strings.TrimSpace(line) {
 		i := strings.IndexAny(line, " \"")
@@ -121,6 +120,7 @@
 	return out
 }
 
+// parsePairs parses words of the form KEY=VALUE.
 func parsePairs(w []string) map[string]string {
 	m := map[string]string{}
 	for _, s := range w {
@@ -130,9 +130,9 @@
 	return m
 }
 
-func (p *scenario) fatalf(format string, a ...any) {
+func (p *scenario) fatalf(format string, args ...any) {
 	p.t.Helper()
-	p.t.Fatalf("%s:%d: %s", p.file, p.line, fmt.Sprintf(format, a...))
+	p.t.Fatalf("%s:%d: %s", p.file, p.line, fmt.Sprintf(format, args...))
 }
 
 func (p *scenario) step(t *testing.T, w []string) {
@@ -181,7 +181,7 @@
 			want := "/v2/endpoints/n3 " + rest
 			other := "/v2/endpoints/n3 " + map[string]string{"Ready": "NotReady", "NotReady": "Ready"}[rest]
 			if line, ok := p.discovery.next(other); !ok || line != want {
-				p.fatalf("control hears %q, expected %q", line, want)
+				p.fatalf("service discovery received %q, want %q", line, want)
 			}
 			return
 		}
@@ -197,7 +197,7 @@
 		select {
 		case <-p.ended:
 		case <-time.After(patience):
-			p.fatalf("the program goes on")
+			p.fatalf("program still running after %v", patience)
 		}
 	case "disk":
 		var lim unix.Rlimit
@@ -228,7 +228,7 @@
 		}
 		p.conns, p.readers = map[string]net.Conn{}, map[string]*bufio.Reader{}
 		p.kernel.mu.Lock()
-		p.kernel.events = nil // its numbering begins anew
+		p.kernel.events = nil // event numbers start again
 		p.kernel.mu.Unlock()
 		p.writeStartupFile("")
 		p.launch()
@@ -241,14 +241,14 @@
 		select {
 		case <-p.ended:
 			if p.err != nil {
-				p.fatalf("the program ended with %v", p.err)
+				p.fatalf("program exited with %v, want success", p.err)
 			}
 		case <-time.After(patience):
-			p.fatalf("the program does not end")
+			p.fatalf("program still running after %v", patience)
 		}
 	case "logged":
 		if !p.logged(w[1:]...) {
-			p.fatalf("never logged in one line: %q", w[1:])
+			p.fatalf("no log line contains all of %q", w[1:])
 		}
 	case "log", "counts":
 		for _, want := range w[1:] {
@@ -256,7 +256,7 @@
 				want = " " + want + " "
 			}
 			if !p.logged(want) {
-				p.fatalf("never logged: %s", want)
+				p.fatalf("not logged: %s", want)
 			}
 		}
 	default:
@@ -268,7 +268,7 @@
 	switch verb {
 	case "gets":
 		if line, ok := s.next(""); !ok || line != rest {
-			p.fatalf("heard %q, expected %q", line, rest)
+			p.fatalf("received %q, want %q", line, rest)
 		}
 	case "says":
 		says()
@@ -285,13 +285,13 @@
 		s.unresponsive = verb == "mute"
 		s.mu.Unlock()
 	default:
-		p.fatalf("%q is not known", verb)
+		p.fatalf("unknown step %q", verb)
 	}
 }
 
 func (p *scenario) kernelStep(verb string, w []string, rest string) {
 	k := p.kernel
-	set := func(f func()) { k.mu.Lock(); f(); k.mu.Unlock() }
+	locked := func(f func()) { k.mu.Lock(); f(); k.mu.Unlock() }
 	text := ""
 	if len(w) > 2 {
 		text = w[2]
@@ -299,14 +299,14 @@
 	switch verb {
 	case "gets":
 		if line, ok := k.next("SYSINFO"); !ok || line != rest {
-			p.fatalf("kernel hears %q, expected %q", line, rest)
+			p.fatalf("kernel received %q, want %q", line, rest)
 		}
 	case "heard":
 		if !p.waitForKernelSync() {
-			p.fatalf("the program does not ask for the gauges any more")
+			p.fatalf("program no longer requests the gauges")
 		}
 		if n := k.count(strings.Join(w[1:], " ")); fmt.Sprint(n) != w[0] {
-			p.fatalf("kernel heard %d times %q: %q", n, w[1:], k.lines)
+			p.fatalf("kernel received %q %d times, want %s: %q", w[1:], n, w[0], k.lines)
 		}
 	case "says":
 		k.sendEvent("REAP", w[0], w[1], text)
@@ -317,26 +317,26 @@
 	case "writes":
 		k.write([]byte(w[0]))
 	case "gauges":
-		set(func() { k.coresWanted, k.connections = w[0], w[1] })
+		locked(func() { k.coresWanted, k.connections = w[0], w[1] })
 	case "talks":
-		set(func() { k.unresponsive, k.unsentEvents = false, false })
+		locked(func() { k.unresponsive, k.unsentEvents = false, false })
 	case "silent":
-		set(func() { k.unsentEvents = true })
+		locked(func() { k.unsentEvents = true })
 	case "boots":
-		set(func() { k.bootDelayed = false })
+		locked(func() { k.bootDelayed = false })
 		k.write([]byte("{\"verb\":\"BOOTED\",\"outcome\":\"COLD\",\"spent\":0}\n"))
 	default:
 		p.serverStep(k.fakeServer, verb, rest, nil)
 	}
 }
 
-// stepWall steps the wall clock of the program and of its clients to so far from the true one.
+// stepWall sets the offset of the wall clock of the program and its clients.
 func (p *scenario) stepWall(step string) {
 	d, err := time.ParseDuration(step)
 	if err == nil {
 		err = os.WriteFile(p.stepFile()+".new", []byte(step), 0o600)
 	}
-	if err == nil { // at once, as the program may be reading it
+	if err == nil { // atomically, as the program may be reading it
 		err = os.Rename(p.stepFile()+".new", p.stepFile())
 	}
 	if err != nil {
@@ -345,19 +345,19 @@
 	p.wallStep = d
 }
 
-// unixMilliseconds is what a client's wall clock reads, or one that is stepped otherwise.
-func (p *scenario) unixMilliseconds(otherStep string) int64 {
+// unixMilliseconds returns a client's wall clock, with the scenario's offset or its own.
+func (p *scenario) unixMilliseconds(ownStep string) int64 {
 	step := p.wallStep
-	if otherStep != "" {
+	if ownStep != "" {
 		var err error
-		if step, err = time.ParseDuration(otherStep); err != nil {
+		if step, err = time.ParseDuration(ownStep); err != nil {
 			p.fatalf("%v", err)
 		}
 	}
 	return time.Now().Add(step).UnixMilli()
 }
 
-// isExpected says whether a response is what a scenario says, or one of two where it has two with | between them.
+// isExpected reports whether a response matches the words of a step, or one of the alternatives separated by |.
 func isExpected(a *http.Response, body string, words []string) bool {
 	if i := slices.Index(words, "|"); i >= 0 {
 		return isExpected(a, body, words[:i]) || isExpected(a, body, words[i+1:])
@@ -372,7 +372,7 @@
 		(m["hint"] == "any") == (a.Header.Get("Server-Hint") != "")
 }
 
-// clientStep plays one client's connection.
+// clientStep runs a step of one client's connection.
 func (p *scenario) clientStep(name, verb string, w []string) {
 	if p.conns[name] == nil {
 		p.conns[name] = p.dial()
@@ -380,7 +380,7 @@
 	}
 	c, r, m := p.conns[name], p.readers[name], parsePairs(w)
 	_, again := m["again"]
-	_, bye := m["close"]
+	_, closes := m["close"]
 	switch verb {
 	case "sends":
 		age, _ := strconv.Atoi(m["age"])
@@ -392,7 +392,7 @@
 			"Resource-Key: " + m["about"]: m["about"],
 			"Account: " + m["account"]:    m["account"], "Budget-Ms: " + m["budget"]: m["budget"],
 			"Attempt-Again: 1":  fmt.Sprint(map[bool]string{true: "1"}[again]),
-			"Connection: close": fmt.Sprint(map[bool]string{true: "1"}[bye])} {
+			"Connection: close": fmt.Sprint(map[bool]string{true: "1"}[closes])} {
 			if on != "" {
 				text += field + "\r\n"
 			}
@@ -419,14 +419,14 @@
 		}
 		body, err := io.ReadAll(a.Body)
 		if err != nil || !isExpected(a, string(body), w) {
-			p.fatalf("%s gets %v %v %q, %v", name, a.Status, a.Header, body, err)
+			p.fatalf("client %s: response %v %v %q, %v, want %q", name, a.Status, a.Header, body, err, w)
 		}
 	case "checks":
 		io.WriteString(c, "GET /health HTTP/1.1\r\nHost: service.internal\r\n\r\n")
 		p.clientStep(name, "gets", w)
 	case "ends":
 		if b, err := io.ReadAll(r); err != nil || len(b) > 0 {
-			p.fatalf("%s reads %q, %v, expected the end", name, b, err)
+			p.fatalf("client %s read %q, %v, want the end of the stream", name, b, err)
 		}
 	case "closes":
 		c.Close()
@@ -436,6 +436,6 @@
 	case "halves":
 		c.(*net.TCPConn).CloseWrite()
 	default:
-		p.fatalf("%q is not known", verb)
+		p.fatalf("unknown step %q", verb)
 	}
 }
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -27,7 +27,7 @@
 	"umberwinch/internal/node/zonegate"
 )
 
-// blockedConn is a connection whose other side takes nothing until it is let.
+// blockedConn is a connection whose writes block until unblock is closed.
 type blockedConn struct {
 	netpoll.Connection
 	unblock  chan bool
@@ -42,63 +42,64 @@
 
 func (s *blockedConn) Close() error { close(s.closed); return nil }
 
-// A peer that takes nothing makes nobody wait: what it is sent is bounded, and goes out whole and in order.
-func TestSendingNeverWaits(t *testing.T) {
+// send never blocks for a peer that reads nothing: its queue is limited, and is sent completely and in order.
+func TestSendDoesNotBlock(t *testing.T) {
 	s := &blockedConn{unblock: make(chan bool), closed: make(chan bool)}
 	p, busy := bufferPool{capacity: 8}, atomic.Int64{}
 	w := &writer{conn: s, pool: &p, busy: &busy}
-	part, sent := bytes.Repeat([]byte("0123456789abcdef"), bufferBytes/32), 0
-	for w.send(part, 4) {
-		sent++
+	chunk, accepted := bytes.Repeat([]byte("0123456789abcdef"), bufferBytes/32), 0
+	for w.send(chunk, 4) {
+		accepted++
 	}
-	if sent < 4 || sent > 16 || busy.Load() != 1 {
-		t.Errorf("%d halves of a buffer were taken, %d busy", sent, busy.Load())
+	if accepted < 4 || accepted > 16 || busy.Load() != 1 {
+		t.Errorf("accepted chunks = %d, busy = %d, want 4 to 16 and 1", accepted, busy.Load())
 	}
 	w.close()
-	if w.send(part, 100) {
-		t.Error("taken after the close")
+	if w.send(chunk, 100) {
+		t.Error("send() = true after close, want false")
 	}
 	close(s.unblock)
 	select {
 	case <-s.closed:
 	case <-time.After(patience):
-		t.Fatal("never closed")
+		t.Fatal("connection is not closed")
 	}
-	if want := bytes.Repeat(part, sent); !bytes.Equal(s.received.Bytes(), want) {
-		t.Errorf("%d bytes went out, expected %d", s.received.Len(), len(want))
+	if want := bytes.Repeat(chunk, accepted); !bytes.Equal(s.received.Bytes(), want) {
+		t.Errorf("received %d bytes, want %d", s.received.Len(), len(want))
 	}
 	if p.inUse != 0 {
-		t.Errorf("%d buffers are still out", p.inUse)
+		t.Errorf("buffers in use = %d, want 0", p.inUse)
 	}
 }
 
-// A late event names a slot that another connection has by now. It must find nothing, and a full table must say so.
-func TestLateEventFindsNoSlot(t *testing.T) {
+// A stale handle finds nothing after its slot is reused, and a full table refuses to allocate.
+func TestStaleHandleFindsNothing(t *testing.T) {
 	tab := newTable[int](2)
 	a, v, _ := tab.take()
 	*v = 7
 	b, _, ok := tab.take()
 	if _, _, more := tab.take(); !ok || more {
-		t.Fatal("a table for two takes two")
+		t.Fatal("take() in a table of two slots: want two successes, then a failure")
 	}
 	tab.drop(a)
 	tab.drop(a)
 	c, v, ok := tab.take()
 	if !ok || c == a || c.slot() != a.slot() || *v != 0 || tab.get(a) != nil || tab.get(c) != v ||
 		tab.get(0) != nil {
-		t.Errorf("slot of %d was taken again as %d: %v, %d", a, c, ok, *v)
+		t.Errorf("reuse of the slot of handle %d: handle %d, ok %v, value %d, want a new handle and an empty slot",
+			a, c, ok, *v)
 	}
 	if h, i := tab.next(0); h != c {
-		t.Errorf("first in use is %d, expected %d", h, c)
+		t.Errorf("first handle = %d, want %d", h, c)
 	} else if h, i = tab.next(i); h != b {
-		t.Errorf("second in use is %d, expected %d", h, b)
+		t.Errorf("second handle = %d, want %d", h, b)
 	} else if h, _ = tab.next(i); h != 0 {
-		t.Errorf("third in use is %d, expected none", h)
+		t.Errorf("third handle = %d, want 0", h)
 	}
 }
 
-// Timers are set in any order, many for the same time. They fire by time, those of one time in the order in which they
-// were set, and none before its time: else what a later one undoes would be done again.
+// Timers fire by time, those of one time in the order of setting, and none early; otherwise a later action could be
+// overridden by an earlier one.
 func TestTimersFireInOrder(t *testing.T) {
 	var d timers
 	for i := range 200 {
@@ -108,20 +109,20 @@
 	for n := 0; n < 200; n++ {
 		e, ok := d.next(49)
 		if !ok || e.at < last.at || n > 0 && e.at == last.at && e.order < last.order {
-			t.Fatalf("%v after %v, %v", e, last, ok)
+			t.Fatalf("next() = %v, %v after %v, want a later timer", e, ok, last)
 		}
 		last = e
 	}
 	if _, ok := d.first(); ok {
-		t.Error("some are left")
+		t.Error("first() finds a timer, want none left")
 	}
 	d.set(60, timerWake, 0)
 	if _, ok := d.next(59); ok {
-		t.Error("one came before its time")
+		t.Error("timer fired before its time")
 	}
 }
 
-// A key that ran outlives its result: when results are over their bound the oldest goes, the key stays.
+// A key outlives its result: beyond the limit the oldest result is dropped, but its key stays.
 func TestKeysOutliveResults(t *testing.T) {
 	var due timers
 	k := newIdempotencyTable(10, 100, 50)
@@ -134,31 +135,33 @@
 	run("b", 2, true)
 	if a, b := k.find("a"), k.find("b"); a == nil || a.hasResult || a.state != entryDone || !b.hasResult ||
 		k.resultBytes != 60 {
-		t.Errorf("a %+v, b %+v, %d bytes", a, b, k.resultBytes)
+		t.Errorf("entry a = %+v, entry b = %+v, result bytes = %d, want a without and b with a result, 60 bytes", a, b,
+			k.resultBytes)
 	}
 	if k.previous("a", 999) != 1 || k.previous("a", 1000) != 0 {
-		t.Error("the entry of a is for those that came before its end")
+		t.Errorf("previous() = %d before the end of the entry and %d at it, want 1 and 0", k.previous("a", 999),
+			k.previous("a", 1000))
 	}
 	k.remember("c", 3, 1000, &due)
 	k.find("c").waiters = []handle{9}
 	if got := k.forget("c", 4); got != nil || k.find("c") == nil {
-		t.Error("forgotten by one that doesn't hold it")
+		t.Error("forget() by a request that is not the holder removed the entry")
 	}
 	if got := k.forget("c", 3); !slices.Equal(got, []handle{9}) || k.find("c") != nil {
-		t.Errorf("those that waited: %v", got)
+		t.Errorf("forget() = %v, want [9] and no entry", got)
 	}
 	for d, ok := due.next(1050); ok; d, ok = due.next(1050) {
 		k.expire(d.subject, 1050, &due)
 	}
 	if len(k.byKey) != 0 || k.resultBytes != 0 || k.entries.used != 0 {
-		t.Errorf("left: %v, %d bytes", k.byKey, k.resultBytes)
+		t.Errorf("after expiry: keys = %v, result bytes = %d, want none", k.byKey, k.resultBytes)
 	}
 }
 
-// What is wrong with the start-up file is told in one line, and the program ends with status 2.
-func TestWrongStartupFile(t *testing.T) {
+// An error in the start-up file is reported in one line, with exit status 2.
+func TestInvalidStartupFile(t *testing.T) {
 	const addresses = `{"name":"n","listen":"127.0.0.1:0","kernel":"127.0.0.1:1",`
-	for text, says := range map[string]string{"": "not JSON", "{": "not JSON",
+	for text, want := range map[string]string{"": "not JSON", "{": "not JSON",
 		`{"listen":"127.0.0.1:0"}`: "name: found none",
 		`{"name":"n"}`:             `listen: found "", expected HOST:PORT`,
 		`{"name":"n","listen":"127.0.0.1:0","kernel":"x"}`: `kernel: found "x", expected HOST:PORT`,
@@ -174,48 +177,50 @@
 		cmd.Env = append(os.Environ(), "NODE_CONFIG="+file)
 		out, _ := cmd.CombinedOutput()
 		if cmd.ProcessState.ExitCode() != 2 || bytes.Count(out, []byte("\n")) != 1 ||
-			!strings.Contains(string(out), says) {
-			t.Errorf("%s: status %d, %s, expected %q", text, cmd.ProcessState.ExitCode(), out, says)
+			!strings.Contains(string(out), want) {
+			t.Errorf("start-up file %s: exit status %d, output %s, want 2 and one line with %q", text,
+				cmd.ProcessState.ExitCode(), out, want)
 		}
 	}
 }
 
-// A round is decided in the order in which its requests came, and a key's later try repeats the earlier one.
-func TestRoundIsInOrderOfArrival(t *testing.T) {
+// Requests of a round are sorted by arrival, and a later attempt of a key is linked to the earlier one.
+func TestOrderArrivals(t *testing.T) {
 	l := &loop{requestsInHand: requestsInHand{requests: newTable[request](8),
 		idempotency: newIdempotencyTable(10, 100, 50)}}
-	var all []admission.Request
-	for i, came := range []admission.Time{30, 10, 20, 10, 15} {
+	var arrived []admission.Request
+	for i, arrival := range []admission.Time{30, 10, 20, 10, 15} {
 		h, r, _ := l.requests.take()
 		r.key = []string{"a", "", "a", "b", "b"}[i]
-		all = append(all, admission.Request{ID: uint32(h), ArrivedAt: came})
+		arrived = append(arrived, admission.Request{ID: uint32(h), ArrivedAt: arrival})
 	}
-	ids := []uint32{all[1].ID, all[3].ID, all[4].ID, all[2].ID, all[0].ID}
-	priors := []uint32{0, 77, 77, 0, all[2].ID}
+	ids := []uint32{arrived[1].ID, arrived[3].ID, arrived[4].ID, arrived[2].ID, arrived[0].ID}
+	previous := []uint32{0, 77, 77, 0, arrived[2].ID}
 	var due timers
 	l.idempotency.remember("b", 77, 1000, &due)
-	l.orderArrivals(all)
-	for i, q := range all {
-		if q.ID != ids[i] || q.PreviousID != priors[i] {
-			t.Errorf("at %d is %d repeating %d, expected %d, %d", i, q.ID, q.PreviousID, ids[i], priors[i])
+	l.orderArrivals(arrived)
+	for i, q := range arrived {
+		if q.ID != ids[i] || q.PreviousID != previous[i] {
+			t.Errorf("request %d of the round: id %d repeats %d, want %d and %d", i, q.ID, q.PreviousID,
+				ids[i], previous[i])
 		}
 	}
 }
 
-// However often a report asks for a link that is down, one deadline has it dialled again.
-func TestTimersDoNotPileUp(t *testing.T) {
+// Repeated reports on a link that is down set a single timer to dial it.
+func TestReportsSetOneDialTimer(t *testing.T) {
 	l := &loop{loopTime: loopTime{now: 1000}}
 	l.discovery.link = link{addr: "127.0.0.1:1", backoff: backoff{notBefore: 2000}, retry: timerDiscoveryDial}
 	for range 50 {
 		l.sendReport()
 	}
 	if len(l.timers.heap) != 1 {
-		t.Errorf("%d deadlines are set, expected 1", len(l.timers.heap))
+		t.Errorf("timers = %d, want 1", len(l.timers.heap))
 	}
 }
 
-// A link that moves is dialled at once, whatever wait its old address had earned.
-func TestMoveDoesNotWait(t *testing.T) {
+// A moved link is dialled at once, without the backoff of its old address.
+func TestMovedLinkSkipsBackoff(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &loop{loopTime: loopTime{now: 1000},
@@ -225,27 +230,27 @@
 	k.peer, k.addr, k.delay, k.notBefore = peerDiscovery, "127.0.0.1:1", 900, 2000
 	l.moveLink(k, "127.0.0.1:2")
 	if k.dialed == nil || k.delay != 0 {
-		t.Errorf("not dialled, its wait is %d", k.delay)
+		t.Errorf("moved link: dialled = %v, backoff delay = %d, want true and 0", k.dialed != nil, k.delay)
 	}
 	first := k.dialed
 	if l.moveLink(k, "127.0.0.1:3"); k.dialed == first || k.dialed == nil {
-		t.Error("a dial to the old address holds up the new one")
+		t.Error("a dial in progress to the old address delays the dial to the new one")
 	}
 	e := &linkDialed{dialed: first, err: errClosed}
 	if l.linkDialed(e); k.dialed == nil || k.delay != 0 {
-		t.Error("the end of the old dial counts against the new one")
+		t.Error("the failure of the old dial affects the new one")
 	}
 }
 
-// The store moves to another address while a connection to the old one is being opened, and the old dial succeeds
-// after that. Its connection must not be taken for the new one, over which the call that waits would be sent before
-// it is open.
-func TestOldDialOfMovedStore(t *testing.T) {
+// The old dial succeeds after the store moved. Its connection must not replace the new one, on which the waiting call
+// would then be sent before it is open.
+func TestDialToOldStoreAddressIsIgnored(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &loop{loopTime: loopTime{now: 1000},
 		crossGoroutine: crossGoroutine{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)},
-		upstreams:      upstreams{dialTo: dialTCP, store: newTestStoreConnections("127.0.0.1:1", NewLimits(1, 64, 256))},
+		upstreams: upstreams{dialTo: dialTCP,
+			store: newTestStoreConnections("127.0.0.1:1", NewLimits(1, 64, 256))},
 		requestsInHand: requestsInHand{requests: newTable[request](2)}}
 	h, r, _ := l.requests.take()
 	at, c, _ := l.store.connections.take()
@@ -256,12 +261,13 @@
 	l.moveStore("127.0.0.1:2")
 	l.linkDialed(&linkDialed{dialed: old})
 	if r.call != callQueued || old.writer != nil || c.dialed == old {
-		t.Errorf("the old dial counts: call state %d", r.call)
+		t.Errorf("the old dial was used: call state = %d, want %d", r.call, callQueued)
 	}
 }
 
-// An answer proves that commands were read only once it is older than what a break may take with it.
-func TestProofIsLate(t *testing.T) {
+// A gauges response acknowledges commands only once it is older than AckSafetyMargin, as newer ones may be lost with
+// their link.
+func TestAcknowledgementIsDelayed(t *testing.T) {
 	l := &loop{loopTime: loopTime{now: 10000}, crossGoroutine: crossGoroutine{limits: NewLimits(1, 64, 256)}}
 	k := &l.kernel
 	k.state, k.sent = kernelLive, 7
@@ -271,16 +277,15 @@
 	}{{10000, 0}, {10500, 0}, {11000, 7}} {
 		l.now = step.at
 		if l.gaugesReceived(&wire.KernelEvent{Nonce: []byte("7")}); k.provenRead != step.acked {
-			t.Errorf("at %d commands to %d count as read, expected %d", l.now, k.provenRead, step.acked)
+			t.Errorf("at %d: commands acknowledged up to %d, want %d", l.now, k.provenRead, step.acked)
 		}
 	}
 }
 
-// With as many connections as clients may open and as many results as are kept, the program stays well
-// inside the memory and descriptors it is told of.
-func TestFullTables(t *testing.T) {
+// With the maximum number of connections and kept results, the program stays within its memory and descriptors.
+func TestResourcesWithFullTables(t *testing.T) {
 	n := start(t, map[string]string{"memory_mb": "64", "sockets": "1024", "window": "60000000"})
-	go func() { // the kernel serves whatever comes with the largest result
+	go func() { // the kernel answers every run with the largest result
 		for line, ok := n.kernel.next("SYSINFO"); ok; line, ok = n.kernel.next("SYSINFO") {
 			if w := strings.Fields(line); w[0] == "SCHED" {
 				n.kernel.sendEvent("REAP", w[1], "OK", strings.Repeat("r", 4096))
@@ -291,7 +296,7 @@
 	for range 512 {
 		conns = append(conns, n.dial())
 	}
-	done := 0
+	succeeded := 0
 	for pass := range 4 {
 		for i, c := range conns {
 			fmt.Fprintf(c, "POST /rpc/put HTTP/1.1\r\nRequest-Id: %016x\r\nReceived-At: %d\r\nSent-By: 1\r\n"+
@@ -308,28 +313,29 @@
 				t.Fatalf("%d bytes, %v", len(body), err)
 			}
 			if a.StatusCode == 200 {
-				done++
+				succeeded++
 			}
 		}
 	}
 	proc := fmt.Sprintf("/proc/%d/", n.cmd.Process.Pid)
 	status, err := os.ReadFile(proc + "status")
 	if err != nil {
-		t.Skip("no /proc here to read the memory from")
+		t.Skip("/proc is not available")
 	}
 	files, _ := os.ReadDir(proc + "fd")
 	_, peak, _ := strings.Cut(string(status), "VmHWM:")
 	kb := 0
 	fmt.Sscan(peak, &kb)
-	t.Logf("%d done, %d KB at the peak, %d descriptors", done, kb, len(files))
-	if done < 1024 || kb == 0 || kb > 56<<10 || len(files) < 512 || len(files) > 560 {
-		t.Errorf("%d done, %d KB at the peak, %d descriptors", done, kb, len(files))
+	t.Logf("succeeded = %d, peak memory = %d KB, descriptors = %d", succeeded, kb, len(files))
+	if succeeded < 1024 || kb == 0 || kb > 56<<10 || len(files) < 512 || len(files) > 560 {
+		t.Errorf("succeeded = %d, peak memory = %d KB, descriptors = %d, want at least 1024, 1 to %d, 512 to 560",
+			succeeded, kb, len(files), 56<<10)
 	}
 }
 
-// With a tenth of a core the last answers of a drain go out further ahead of the kill: a standstill of some ms of work
-// takes ten times as long there. A short notice bounds it.
-func TestDrainOnLittleCore(t *testing.T) {
+// With a tenth of a core the kill margin is larger, as the same work takes ten times as long; a short time to the kill
+// limits it.
+func TestKillMarginScalesWithCores(t *testing.T) {
 	for _, c := range []struct {
 		cores        float64
 		stop, before admission.Time
@@ -338,66 +344,66 @@
 			crossGoroutine: crossGoroutine{limits: NewLimits(c.cores, 64, 256)}}
 		l.startDrain()
 		if r := l.nextRound(); !r.Drain || r.KillAt != 5000+c.stop-c.before {
-			t.Errorf("%.1f cores, notice of %d: the module hears of a kill at %d, expected %d before %d", c.cores,
+			t.Errorf("%.1f cores, kill after %d: KillAt = %d, want %d before %d", c.cores,
 				c.stop, r.KillAt,
 				c.before, 5000+c.stop)
 		}
 	}
 }
 
-// A run that does not end is answered before the kill of its program.
-func TestDrainAnswers(t *testing.T) {
+// A run that does not end is answered before the kill.
+func TestDrainAnswersUnfinishedRun(t *testing.T) {
 	n := start(t, map[string]string{"cores": "0.1", "stop_ms": "2400"})
 	c := n.dial()
 	fmt.Fprintf(c, "POST /rpc/act HTTP/1.1\r\nRequest-Id: %016x\r\nReceived-At: %d\r\nSent-By: 1\r\n"+
 		"Footprint-Kb: 1\r\nContent-Length: 0\r\n\r\n", 1, time.Now().UnixMilli())
 	if line, ok := n.kernel.next("SYSINFO"); !ok || !strings.HasPrefix(line, "OPEN") {
-		t.Fatalf("the kernel hears %q", line)
+		t.Fatalf("kernel received %q, want OPEN", line)
 	}
 	if line, ok := n.kernel.next("SYSINFO"); !ok || !strings.HasPrefix(line, "SCHED") {
-		t.Fatalf("the kernel hears %q, expected a run", line)
+		t.Fatalf("kernel received %q, want SCHED", line)
 	}
 	n.cmd.Process.Signal(syscall.SIGTERM)
-	told := time.Now()
+	signalledAt := time.Now()
 	a, err := http.ReadResponse(bufio.NewReader(c), nil)
-	left := 2400*time.Millisecond - time.Since(told)
+	left := 2400*time.Millisecond - time.Since(signalledAt)
 	if err != nil || a.StatusCode != 500 || left < 0 {
-		t.Errorf("%v, %v, %v before the kill, expected 500 before it", a, err, left)
+		t.Errorf("response = %v, %v, %v before the kill, want status 500 before it", a, err, left)
 	}
 	c.Close()
 	<-n.ended
 }
 
-// TestCallsGivenUp: a call that nobody waited for to the end counts with the time that it had, or a service that
-// answers nothing would look like one that nobody calls.
-func TestCallsGivenUp(t *testing.T) {
+// A cancelled call counts in the load report with its elapsed time; otherwise a store that never answers would look
+// unused.
+func TestCancelledCallIsReported(t *testing.T) {
 	l := &loop{loopTime: loopTime{now: 5000}, crossGoroutine: crossGoroutine{limits: NewLimits(1, 64, 256)},
 		requestsInHand: requestsInHand{requests: newTable[request](8)},
 		fleet:          &fleetAgent{clock: bootTime, meter: zonegate.NewMeter(bootTime(), []float64{1})}}
 	r := &request{lifecycle: lifecycle{call: callSent}, storeCall: storeCall{callStarted: 2000}}
 	l.cancelCall(1, r)
-	l.cancelCall(1, r) // there is none any more
+	l.cancelCall(1, r) // no call is left
 	if got := l.fleet.meter.Report(bootTime(), true, 1, 0); got.Calls != 1 || got.MeanCallMS != 300 ||
 		got.FailedCalls != 0 {
-		t.Errorf("%d calls, %.0f ms, %d bad, expected one of 300 ms that is not known to be bad", got.Calls,
+		t.Errorf("calls = %d, mean = %.0f ms, failed = %d, want 1, 300 ms and 0", got.Calls,
 			got.MeanCallMS, got.FailedCalls)
 	}
 }
 
-// The store forgets a call. Its run would hold its slot until the request's deadline, so the call is given up by its
-// own; one that never left is proven not to have run, one that did may have.
-func TestCallThatTheStoreForgets(t *testing.T) {
+// A call without a reply is given up at its own deadline, so that its run does not hold a slot until the request's. A
+// call that was not sent was not executed; one that was sent may have been.
+func TestCallTimeout(t *testing.T) {
 	const deadline = 5000
 	limits := NewLimits(1, 64, 256)
 	tests := map[string]struct {
 		call  callState
-		after admission.Time // the deadline of the call
-		ends  []admission.Outcome
+		after admission.Time // the call's deadline
+		want  []admission.Outcome
 	}{
-		"a timer of the call before": {callSent, 0, nil},
-		"it never left":              {callQueued, limits.CallGrace, []admission.Outcome{admission.NotExecuted}},
-		"it left":                    {callSent, limits.CallGrace, []admission.Outcome{admission.Unknown}},
-		"there is none any more":     {callNone, limits.CallGrace, nil},
+		"timer of the previous call": {callSent, 0, nil},
+		"not sent":                   {callQueued, limits.CallGrace, []admission.Outcome{admission.NotExecuted}},
+		"sent":                       {callSent, limits.CallGrace, []admission.Outcome{admission.Unknown}},
+		"no call":                    {callNone, limits.CallGrace, nil},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -407,20 +413,20 @@
 			*r = request{lifecycle: lifecycle{run: runRunning, call: test.call},
 				storeCall: storeCall{callDeadline: deadline}}
 			l.callTimedOut(h)
-			var ends []admission.Outcome
+			var got []admission.Outcome
 			for _, end := range l.nextRound().CallEnds {
-				ends = append(ends, end.Outcome)
+				got = append(got, end.Outcome)
 			}
-			if !slices.Equal(ends, test.ends) {
-				t.Errorf("the controller hears of %v, expected %v", ends, test.ends)
+			if !slices.Equal(got, test.want) {
+				t.Errorf("outcomes of calls = %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// Where two times are possible for a stamp, each rule goes by the one that is safe for it: the deadline and whom a
-// request repeats by the earlier, the window of its key and the grace of a drain by the later.
-func TestStampWithTwoPlaces(t *testing.T) {
+// If a timestamp allows two arrival times, the deadline and the previous request are determined by the earlier one, the
+// idempotency window and the drain grace by the later one.
+func TestAmbiguousTimestamp(t *testing.T) {
 	at, wall := time.Hour, 100*time.Hour
 	read := func() clock.Reading { return clock.Reading{Monotonic: at, Wall: wall} }
 	d := &admission.Deployment{Cores: 1, MemoryKB: 1e6,
@@ -440,7 +446,7 @@
 	wall -= 3 * time.Second
 	now, step := l.stamps.Observe(read)
 	if l.now = timeOf(now); step != -3*time.Second {
-		t.Fatalf("a step of %v is seen", step)
+		t.Fatalf("Observe() = step of %v, want -3s", step)
 	}
 	l.idempotency.remember(l.repeatKey(0, &wire.Request{IdempotencyKey: []byte("k")}), 77, l.now-admission.Second,
 		&l.timers)
@@ -449,13 +455,13 @@
 		ReceivedAtMS: stamp.Milliseconds(),
 		HasCaller:    true, FootprintKB: 1, IdempotencyKey: []byte("k")}}
 	if status := l.receiveRequest(c, e, "put", &wire.Response{}); status != 0 || len(l.nextRound().Arrived) != 1 {
-		t.Fatalf("status %d, %d are told to the module", status, len(l.nextRound().Arrived))
+		t.Fatalf("status = %d, submitted = %d, want 0 and 1", status, len(l.nextRound().Arrived))
 	}
 	l.orderArrivals(l.nextRound().Arrived)
 	q := l.nextRound().Arrived[0]
 	earliest := timeOf(time.Hour)
 	if q.Deadline != earliest+6*admission.Second || q.ArrivedAt != l.now || q.PreviousID != 77 {
-		t.Errorf("due %d, came %d, repeats %d; expected %d, %d and 77", q.Deadline, q.ArrivedAt, q.PreviousID,
-			earliest+6*admission.Second, l.now)
+		t.Errorf("deadline = %d, arrival = %d, previous = %d, want %d, %d and 77", q.Deadline, q.ArrivedAt,
+			q.PreviousID, earliest+6*admission.Second, l.now)
 	}
 }
--- a/internal/node/server/trouble_test.go
+++ b/internal/node/server/trouble_test.go
@@ -1,7 +1,7 @@
 package server
 
-// Long quiet, then several troubles at once, on one server and on many: the built program between stand-ins, under
-// clients that keep connections, rest and repeat keys. What happened is recorded and held to the rules.
+// Fault injection on one server and on many: the built program runs between fakes, with clients that keep connections,
+// pause and repeat keys. The history is recorded and checked against the rules.
 
 import (
 	"bufio"
@@ -20,20 +20,21 @@
 )
 
 const (
-	faultTimeout     = 1500 * time.Millisecond // of a request
-	faultWindow      = 800 * time.Millisecond  // of a key
-	faultQuietPeriod = 2200 * time.Millisecond // longer than both
+	faultTimeout     = 1500 * time.Millisecond // timeout of a request
+	faultWindow      = 800 * time.Millisecond  // idempotency window
+	faultQuietPeriod = 2200 * time.Millisecond // longer than timeout and window
 	faultKillDelay   = 3500 * time.Millisecond
-	faultRunTime     = 4 * time.Millisecond // of a run
-	faultClients     = 4                    // of a server
-	faultBurst       = 12                   // requests of a client
+	faultRunTime     = 4 * time.Millisecond // duration of a run
+	faultClients     = 4                    // per server
+	faultBurst       = 12                   // requests per client and burst
 )
 
-// The slack is wider than the protocol's, for machines that run other tests at the same time.
-var faultRules = rules{maxLateness: 300 * time.Millisecond, crossingGrace: 250 * time.Millisecond, idempotencyWindow: faultWindow,
-	drainGrace: 500*time.Millisecond + 100*time.Millisecond, killDelay: faultKillDelay}
+// The times are longer than the protocol's, for machines that run other tests at the same time.
+var faultRules = rules{maxLateness: 300 * time.Millisecond, crossingGrace: 250 * time.Millisecond,
+	idempotencyWindow: faultWindow,
+	drainGrace:        500*time.Millisecond + 100*time.Millisecond, killDelay: faultKillDelay}
 
-// faultServer is one address behind which one process follows another.
+// faultServer is a server address and its process, which is replaced once.
 type faultServer struct {
 	t       *testing.T
 	history *history
@@ -43,7 +44,7 @@
 	ids     *atomic.Int64
 }
 
-// faultClient is a client's connection: it rests between bursts until the server ends it.
+// faultClient is a client with one connection, which it keeps between bursts until the server closes it.
 type faultClient struct {
 	server *faultServer
 	rand   *rand.Rand
@@ -61,7 +62,7 @@
 	return s
 }
 
-// serveRuns has a kernel run what it is told to, once, and end it with the result of its body.
+// serveRuns executes each run of a kernel once and ends it with the result of its body.
 func (s *faultServer) serveRuns(n *node, process int) {
 	seen := map[string]bool{}
 	kernel, ended := n.kernel, n.ended
@@ -85,7 +86,7 @@
 	}()
 }
 
-// burst has all clients send at once.
+// burst has all clients send faultBurst requests each and waits for their ends.
 func (s *faultServer) burst() {
 	var wg sync.WaitGroup
 	for _, c := range s.clients {
@@ -98,8 +99,7 @@
 	wg.Wait()
 }
 
-// sendRequest sends a request and waits for its end. One that crosses the end of its connection is sent again, once, as a new
-// try.
+// sendRequest sends a random request and waits for its end. If it fails, it is sent once more as a new attempt.
 func (c *faultClient) sendRequest() {
 	class, key := "get", ""
 	switch c.rand.IntN(3) {
@@ -108,54 +108,56 @@
 	case 1:
 		class = "act"
 	}
-	if !c.try(class, key) {
-		c.try(class, key)
+	if !c.attempt(class, key) {
+		c.attempt(class, key)
 	}
 }
 
-// try is false where the connection ended with no answer, or none could be had.
-func (c *faultClient) try(class, key string) bool {
+// attempt sends one request. It returns false if the connection ended without a response or can't be opened.
+func (c *faultClient) attempt(class, key string) bool {
 	if c.conn == nil && !c.connect() {
 		return false
 	}
 	id := fmt.Sprintf("%x", c.server.ids.Add(1)+0x1000)
-	body, once := id, ""
+	body, keyField := id, ""
 	if key != "" {
-		body, once = key, "Once-Key: "+key+"\r\n"
+		body, keyField = key, "Once-Key: "+key+"\r\n"
 	}
 	text := fmt.Sprintf("POST /rpc/%s HTTP/1.1\r\nRequest-Id: %s\r\nReceived-At: %d\r\nSent-By: 1\r\n"+
-		"Footprint-Kb: 1\r\n%sContent-Length: %d\r\n\r\n%s", class, wireID(id), time.Now().UnixMilli(), once,
+		"Footprint-Kb: 1\r\n%sContent-Length: %d\r\n\r\n%s", class, wireID(id), time.Now().UnixMilli(), keyField,
 		len(body), body)
-	// Recorded first: a run may be seen before the write returns.
-	c.server.history.add(record{kind: recordSent, id: id, key: key, deadline: time.Since(c.server.history.startedAt) + faultTimeout})
+	// Recorded first, as the run may start before the write returns.
+	c.server.history.add(record{kind: recordSent, id: id, key: key,
+		deadline: time.Since(c.server.history.startedAt) + faultTimeout})
 	c.conn.SetDeadline(time.Now().Add(patience))
 	_, err := io.WriteString(c.conn, text)
-	var answer *http.Response
+	var response *http.Response
 	if err == nil {
-		answer, err = http.ReadResponse(c.read, nil)
+		response, err = http.ReadResponse(c.read, nil)
 	}
 	var result []byte
 	if err == nil {
-		result, err = io.ReadAll(answer.Body)
+		result, err = io.ReadAll(response.Body)
 	}
 	if err != nil {
 		c.server.history.add(record{kind: recordEnded, id: id})
-		c.drop()
+		c.disconnect()
 		return false
 	}
-	c.server.history.add(record{kind: recordAnswered, id: id, status: answer.StatusCode, body: string(result)})
-	if answer.Close {
-		c.drop()
+	c.server.history.add(record{kind: recordAnswered, id: id, status: response.StatusCode, body: string(result)})
+	if response.Close {
+		c.disconnect()
 	}
 	return true
 }
 
-func (c *faultClient) drop() {
+func (c *faultClient) disconnect() {
 	c.conn.Close()
 	c.conn = nil
 }
 
-// connect waits while the address is refused, as between two processes; a refusal proves that nothing ran.
+// connect retries while the address refuses connections, as between two processes; a refused connect proves that
+// nothing ran.
 func (c *faultClient) connect() bool {
 	accepted := waitUntil(func() bool {
 		conn, err := net.Dial("tcp", c.server.node.addr)
@@ -165,12 +167,12 @@
 		return err == nil
 	})
 	if !accepted {
-		c.server.t.Errorf("server %d: never accepts", c.server.number)
+		c.server.t.Errorf("server %d: connection is not accepted within %v", c.server.number, patience)
 	}
 	return accepted
 }
 
-// drain tells the process to leave and gives a channel that is closed once it has ended.
+// drain sends SIGTERM to the process and returns a channel that is closed once it has exited.
 func (s *faultServer) drain(process int) <-chan struct{} {
 	n := s.node
 	s.history.add(record{kind: recordDrain, server: process})
@@ -187,33 +189,34 @@
 	return done
 }
 
-// replace starts the next process at the same address, while the one before still drains.
+// replace starts the next process at the same address while the previous one drains.
 func (s *faultServer) replace(process int) {
 	old := s.node
-	next := &node{t: s.t, overrides: old.overrides, addr: old.addr, kernel: newFakeKernel(s.t), store: old.store, discovery: old.discovery,
-		file: filepath.Join(s.t.TempDir(), "config.json")}
+	next := &node{t: s.t, overrides: old.overrides, addr: old.addr, kernel: newFakeKernel(s.t), store: old.store,
+		discovery: old.discovery, file: filepath.Join(s.t.TempDir(), "config.json")}
 	next.writeStartupFile("")
-	next.launch() // returns once its kernel is up, which is after it could listen
+	next.launch() // returns once its kernel is up, which is after the node listens
 	s.node = next
 	s.serveRuns(next, process)
 }
 
-// injectFaults is what one server goes through.
+// injectFaults runs the faults of one server: idle time, discovery down, broken kernel links, reloads with new
+// addresses, and a replacement of the process.
 func (s *faultServer) injectFaults() {
 	s.burst()
-	time.Sleep(faultQuietPeriod) // what is tested is that time passes with nothing to do
-	s.node.discovery.stop()      // longer than discovery keeps a silent server
+	time.Sleep(faultQuietPeriod) // the server has to be idle
+	s.node.discovery.stop()      // longer than service discovery keeps a server without reports
 	runDuring(s.burst, func() {
 		kernel := s.node.kernel
-		links := kernel.count("OPEN")
+		opened := kernel.count("OPEN")
 		kernel.closeConns()
-		if !waitUntil(func() bool { return kernel.count("OPEN") > links }) {
-			s.t.Errorf("server %d: the kernel's link is not opened anew", s.number)
+		if !waitUntil(func() bool { return kernel.count("OPEN") > opened }) {
+			s.t.Errorf("server %d: the kernel link is not reopened", s.number)
 		}
 		kernel.closeConns()
 	})
 	runDuring(s.burst, func() {
-		for range 3 { // new addresses in a row
+		for range 3 { // consecutive reloads with new addresses
 			s.node.kernel.move()
 			s.node.store.move()
 			s.node.writeStartupFile("")
@@ -221,16 +224,16 @@
 		}
 	})
 	first, second := 2*s.number, 2*s.number+1
-	gone := s.drain(first)
+	exited := s.drain(first)
 	runDuring(s.burst, func() { s.replace(second) })
-	<-gone
+	<-exited
 	s.node.discovery.listen(s.node.discovery.addr)
 	s.burst()
-	gone = s.drain(second)
-	<-gone
+	exited = s.drain(second)
+	<-exited
 }
 
-// runDuring does one thing while another goes on, and waits for both.
+// runDuring runs short while long runs, and waits for both.
 func runDuring(long, short func()) {
 	var wg sync.WaitGroup
 	wg.Go(long)
@@ -238,9 +241,9 @@
 	wg.Wait()
 }
 
-// After a long quiet, links break, addresses change, the control service is away and processes are replaced, at one
-// server and at many together, while clients go on. Each request gets one response in time and no key runs twice.
-func TestQuietThenTrouble(t *testing.T) {
+// After idle time, links break, addresses change, service discovery is down and processes are replaced, on one server
+// and on several at once, while clients send. Each request gets one response in time and no key runs twice.
+func TestFaultsAfterIdleTime(t *testing.T) {
 	for _, servers := range []int{1, 3, 12} {
 		t.Run(fmt.Sprint(servers), func(t *testing.T) {
 			t.Parallel()
@@ -254,15 +257,15 @@
 				wg.Go(s.injectFaults)
 			}
 			wg.Wait()
-			for _, wrong := range h.violations(faultRules) {
-				t.Error(wrong)
+			for _, violation := range h.violations(faultRules) {
+				t.Error(violation)
 			}
 			h.logSummary(t, servers)
 		})
 	}
 }
 
-// logSummary logs what a history holds, and fails where it holds too little to show anything.
+// logSummary logs the totals of a history and fails if they are too small for the test to be meaningful.
 func (h *history) logSummary(t *testing.T, servers int) {
 	sent, statuses, ended, runs := 0, map[int]int{}, 0, 0
 	for _, e := range h.records {
@@ -277,8 +280,9 @@
 			runs++
 		}
 	}
-	t.Logf("%d sent, answers %v, %d ended with none, %d runs", sent, statuses, ended, runs)
+	t.Logf("sent = %d, responses by status = %v, without a response = %d, runs = %d", sent, statuses, ended, runs)
 	if least := servers * faultClients * faultBurst; sent < 4*least || statuses[200] < sent/3 || runs < least {
-		t.Errorf("%d sent, %d served, %d runs: too few to show anything", sent, statuses[200], runs)
+		t.Errorf("sent = %d, status 200 = %d, runs = %d, want at least %d, %d and %d", sent, statuses[200], runs,
+			4*least, sent/3, least)
 	}
 }
