--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -155,7 +155,7 @@
 	return existing != nil && !(existing.isAbandoned() && existing.run == runNotStarted)
 }
 
-// replaceAbandoned removes an abandoned request that never ran, in favor of a new one with the same id.
+// replaceAbandoned removes an abandoned request that never ran, in favour of a new one with the same id.
 func (in *requestsInHand) replaceAbandoned(id []byte) {
 	if h, abandoned := in.findRequest(id); abandoned != nil {
 		delete(in.byRequestID, abandoned.id)
--- a/internal/node/server/scenario_test.go
+++ b/internal/node/server/scenario_test.go
@@ -52,7 +52,7 @@
 //	reload [KEY=VALUE ...] | reload TEXT   writes a new start-up file, or one with just the text, and sends SIGHUP
 //	control gets CONDITION           the next report with it, skipping others; control down | up | cut
 //	wall STEP                        sets the wall clock's offset from the true time; needs node clock=stepped
-//	after MS                         sleeps, for behavior that depends on elapsed time
+//	after MS                         sleeps, for behaviour that depends on elapsed time
 //	dies                             waits for the program's end, as by node or again with die=POINT:N;
 //	                                 with die=hangs:N the disk hangs for a while at its Nth write
 //	disk full | well                 the program can't write to files, or can again
