--- a/internal/node/server/admission_writer.go
+++ b/internal/node/server/admission_writer.go
@@ -37,7 +37,7 @@
 func (l *loop) Stop(id uint32) {
 	if r := l.requests.get(handle(id)); r != nil && r.isRunning() {
 		l.trace(r, traceStopped)
-		l.counters.Pauses++
+		l.counters.RunsStopped++
 		if r.stop(); !r.awaitsIntent() { // otherwise the stop is sent together with the run
 			l.sendStop(r)
 		}
@@ -80,9 +80,9 @@
 }
 
 // Remember keeps the key of a request for the given time, in which repeats of the request are recognized.
-func (l *loop) Remember(id uint32, span admission.Time) {
+func (l *loop) Remember(id uint32, duration admission.Time) {
 	if r := l.requests.get(handle(id)); r != nil && r.key != "" {
-		l.idempotency.remember(r.key, id, l.now+span, &l.timers)
+		l.idempotency.remember(r.key, id, l.now+duration, &l.timers)
 	}
 }
 
@@ -114,9 +114,9 @@
 }
 
 // Health sets whether health checks and service discovery report the node as ready.
-func (l *loop) Health(good bool) {
-	l.controllerReady = good
-	l.ready = good && l.fleet.takesTraffic()
+func (l *loop) Health(ready bool) {
+	l.controllerReady = ready
+	l.ready = ready && l.fleet.takesTraffic()
 	l.discovery.ready = l.ready
 	l.sendReport()
 }
@@ -125,7 +125,7 @@
 func (l *loop) SignalOverload(value float64) { l.overloadSignal, l.hasOverloadSignal = value, true }
 
 // SetIdleTimeout sets the idle time after which client connections are closed.
-func (l *loop) SetIdleTimeout(after admission.Time) { l.idleTimeout = after }
+func (l *loop) SetIdleTimeout(timeout admission.Time) { l.idleTimeout = timeout }
 
 // WakeUp schedules a round, for which the kernel's gauges are requested.
 func (l *loop) WakeUp(at admission.Time) { l.timers.set(at, timerWake, 0) }
--- a/internal/node/server/buffers.go
+++ b/internal/node/server/buffers.go
@@ -10,8 +10,8 @@
 // has one owner at a time, from get to put: an intake while it reads, the event, the loop, a request, or a writer's
 // queue.
 type buffer struct {
-	n int // bytes in use
-	b [bufferBytes]byte
+	length int // bytes of data in use
+	data   [bufferBytes]byte
 
 	request requestRead
 	kernel  kernelEventRead
@@ -19,7 +19,7 @@
 	report  reportAnswerRead
 }
 
-func (b *buffer) bytes() []byte { return b.b[:b.n] }
+func (b *buffer) bytes() []byte { return b.data[:b.length] }
 
 // bufferPool recycles buffers between the callbacks and the loop; it is safe for concurrent use. At most capacity
 // buffers are in use for input, so that clients can't exhaust the memory and have the process killed: a reader that
@@ -42,7 +42,7 @@
 	if n := len(p.free); n > 0 {
 		b := p.free[n-1]
 		p.free = p.free[:n-1]
-		b.n = 0
+		b.length = 0
 		return b
 	}
 	return new(buffer)
--- a/internal/node/server/client_connections.go
+++ b/internal/node/server/client_connections.go
@@ -15,7 +15,7 @@
 // not closed while a response on it may still be unread: the server announces the close with "Connection: close" or
 // shuts down its sending side, and closes the descriptor once the client has closed its side or after LingerTimeout.
 
-// connection is the loop's state of a client connection, from connectionOpened to connectionClosed.
+// connection is the state of a client connection, from connectionOpened to connectionClosed. It belongs to the loop.
 type connection struct {
 	peer             *peer
 	current          handle // the request in progress on it
@@ -101,24 +101,24 @@
 // EvictionThreshold. A request that crosses such a close is sent again by its client. See row "eviction for room" in
 // docs/design/shutdown.md.
 func (l *loop) evict() {
-	l.endLingering()
+	l.closeLingering()
 	for l.connections.used > l.limits.EvictionThreshold && l.usable() > l.limits.EvictionThreshold {
 		c := l.evictionCandidate()
 		if c == nil {
 			return
 		}
 		if l.closeIdle(c, false) {
-			l.counters.ClosedForRoom++
+			l.counters.Evicted++
 		} else {
 			c.evictionFailedAt = l.now
 		}
 	}
 }
 
-// endLingering closes connections that were shut down at least InFlightGrace ago, while all slots are taken. Otherwise
-// clients that never close would keep new connections waiting for LingerTimeout; whatever crossed the shutdown has
-// arrived by InFlightGrace. See row "many connections that linger" in docs/design/shutdown.md.
-func (l *loop) endLingering() {
+// closeLingering closes connections that were shut down at least InFlightGrace ago, while all slots are taken.
+// Otherwise clients that never close would keep new connections waiting for LingerTimeout; whatever crossed the
+// shutdown has arrived by InFlightGrace. See row "many connections that linger" in docs/design/shutdown.md.
+func (l *loop) closeLingering() {
 	if l.connections.used < l.limits.Connections {
 		return
 	}
@@ -246,7 +246,7 @@
 // discardLimitExceeded closes a connection whose client sends more than DiscardBytes after the seal; reading such input
 // without end would occupy a core. All requests read before have their responses, as the connection is closing. See row
 // "endless input" in docs/design/shutdown.md.
-func (l *loop) connectionFlooded(p *peer) {
+func (l *loop) discardLimitExceeded(p *peer) {
 	if c := l.connections.get(p.handle); c != nil && c.closing && !c.closed {
 		l.abort(c)
 	}
--- a/internal/node/server/client_peer.go
+++ b/internal/node/server/client_peer.go
@@ -30,10 +30,10 @@
 	pipelined       atomic.Int32 // messages posted to the loop and not handled yet
 	incompleteSince atomic.Int64 // when the incomplete message began, as admission.Time; 0: none
 
-	// intake guards the fields below. It is never held while events are posted: the loop takes it too, and a callback
+	// inputMu guards the fields below. It is never held while events are posted: the loop takes it too, and a callback
 	// that posts may wait for the loop.
-	intake              sync.Mutex
-	in                  intake
+	inputMu             sync.Mutex
+	input               intake
 	sealed              bool // further input is discarded
 	closed              bool // the descriptor is about to be closed and its number may be reused
 	discarded           int  // bytes received after the seal
@@ -41,7 +41,7 @@
 }
 
 func newPeer(nc netpoll.Connection, fd int, s *crossGoroutine) *peer {
-	p := &peer{fd: fd, in: intake{pool: &s.pool}}
+	p := &peer{fd: fd, input: intake{pool: &s.pool}}
 	p.writer = writer{conn: nc, pool: &s.pool, workers: s.workers, busy: &s.busy, sendsResponses: true,
 		shutDown: p.shutDownWrite}
 	return p
@@ -60,14 +60,14 @@
 // the reading of a request and its posting would leave it without a response. See row "idle close" in
 // docs/design/shutdown.md.
 func (p *peer) readInput(r netpoll.Reader, limits *Limits, now admission.Time) (events []event, err error) {
-	p.intake.Lock()
-	defer p.intake.Unlock()
+	p.inputMu.Lock()
+	defer p.inputMu.Unlock()
 	if !p.sealed {
 		collect := func(e event) {
 			p.pipelined.Add(1)
 			events = append(events, e)
 		}
-		err = p.in.read(r, func(b *buffer) (event, int, error) { return p.parse(b, limits) }, collect)
+		err = p.input.read(r, func(b *buffer) (event, int, error) { return p.parse(b, limits) }, collect)
 		if err == nil {
 			p.updateIncompleteSince(now)
 			return events, nil
@@ -84,7 +84,7 @@
 // stopReading seals the input: everything read from now on is discarded.
 func (p *peer) stopReading() {
 	p.sealed = true
-	p.in.drop()
+	p.input.drop()
 	p.incompleteSince.Store(0)
 }
 
@@ -96,7 +96,7 @@
 	var n int
 	var err error
 	e.request, n, err = wire.ParseRequest(b.bytes(), limits.RequestBounds)
-	if n > 0 && err == nil && int(p.pipelined.Load()) > limits.Pipelined {
+	if n > 0 && err == nil && int(p.pipelined.Load()) > limits.MaxPipelined {
 		err = errTooManyPipelined
 	}
 	return e, n, err
@@ -104,11 +104,11 @@
 
 // updateIncompleteSince records when the message in progress began. Empty lines between requests don't count.
 func (p *peer) updateIncompleteSince(now admission.Time) {
-	if p.in.buf != nil && onlyLineEnds(p.in.buf.bytes()) {
-		p.in.drop()
+	if p.input.buf != nil && onlyLineEnds(p.input.buf.bytes()) {
+		p.input.drop()
 	}
 	switch {
-	case p.in.buf == nil:
+	case p.input.buf == nil:
 		p.incompleteSince.Store(0)
 	case p.incompleteSince.Load() == 0:
 		p.incompleteSince.Store(int64(now))
@@ -143,15 +143,15 @@
 // count. A close that crosses a request would leave the client unsure whether it ran. See row "idle close" in
 // docs/design/shutdown.md.
 func (p *peer) seal(force bool) bool {
-	p.intake.Lock()
-	defer p.intake.Unlock()
+	p.inputMu.Lock()
+	defer p.inputMu.Unlock()
 	if p.pipelined.Load() > 0 {
 		return false
 	}
 	if p.sealed || p.closed {
 		return true
 	}
-	if !force && (p.in.buf != nil || p.conn.Reader().Len() > 0 || hasUnread(p.fd)) {
+	if !force && (p.input.buf != nil || p.conn.Reader().Len() > 0 || hasUnread(p.fd)) {
 		return false
 	}
 	p.stopReading()
@@ -171,8 +171,8 @@
 // close with unread bytes would send a reset, which could discard that response. See row "answer that closes (client's
 // wish, bad input, a run that the kernel does not take up)" in docs/design/shutdown.md.
 func (p *peer) shutDownWrite() {
-	p.intake.Lock()
-	defer p.intake.Unlock()
+	p.inputMu.Lock()
+	defer p.inputMu.Unlock()
 	if !p.closed {
 		_ = syscall.Shutdown(p.fd, syscall.SHUT_WR) // see row "shutdown: any" in docs/design/failures.md
 	}
@@ -182,8 +182,8 @@
 // takes, so that no other connection with the same descriptor number is shut down. See row "shutdown: any" in
 // docs/design/failures.md.
 func (p *peer) release() {
-	p.intake.Lock()
-	defer p.intake.Unlock()
+	p.inputMu.Lock()
+	defer p.inputMu.Unlock()
 	p.closed = true
-	p.in.drop()
+	p.input.drop()
 }
--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -34,10 +34,10 @@
 func newManualLoop(t *testing.T, conns int) *manualLoop {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	lim := NewLimits(1, 64, 256)
-	lim.Connections, lim.EvictionThreshold = conns, conns
-	l := &loop{crossGoroutine: crossGoroutine{log: log, limits: lim, events: make(chan event, 256),
-		pool: bufferPool{capacity: lim.Buffers}, workers: newWorkers(1)},
+	limits := NewLimits(1, 64, 256)
+	limits.Connections, limits.EvictionThreshold = conns, conns
+	l := &loop{crossGoroutine: crossGoroutine{log: log, limits: limits, events: make(chan event, 256),
+		pool: bufferPool{capacity: limits.Buffers}, workers: newWorkers(1)},
 		clients:        clients{connections: newTable[connection](conns), idleTimeout: admission.Second},
 		requestsInHand: requestsInHand{requests: newTable[request](8)}, readiness: readiness{ready: true},
 		configuration: configuration{settings: &settings.Startup{Deployment: &admission.Deployment{}}}}
@@ -85,8 +85,8 @@
 }
 
 // advance moves the clock and sweeps the connections.
-func (l *manualLoop) advance(span admission.Time) {
-	l.now += span
+func (l *manualLoop) advance(duration admission.Time) {
+	l.now += duration
 	l.sweep(l.now)
 }
 
@@ -102,11 +102,11 @@
 // expectResponse reads a response and returns whether it announces the close of the connection.
 func expectResponse(t *testing.T, r *bufio.Reader, status int) (closes bool) {
 	t.Helper()
-	a, err := http.ReadResponse(r, nil)
-	if err != nil || a.StatusCode != status {
-		t.Fatalf("response = %+v, %v, want status %d", a, err, status)
+	response, err := http.ReadResponse(r, nil)
+	if err != nil || response.StatusCode != status {
+		t.Fatalf("response = %+v, %v, want status %d", response, err, status)
 	}
-	return a.Close
+	return response.Close
 }
 
 // A posted request that is not handled yet keeps its connection open; closing it would leave the request without a
@@ -210,8 +210,8 @@
 	sendHealthCheck(c)
 	p := l.firstConnection().peer
 	discarded := func() int {
-		p.intake.Lock()
-		defer p.intake.Unlock()
+		p.inputMu.Lock()
+		defer p.inputMu.Unlock()
 		return p.discarded
 	}
 	if !waitUntil(func() bool { return discarded() == 2*len(healthCheck) }) {
@@ -351,7 +351,7 @@
 }
 
 // The listener survives any accept error and warns once per series of errors.
-func TestListenerRetriesAcceptErrors(t *testing.T) {
+func TestListenerReacceptCallsAcceptErrors(t *testing.T) {
 	ln, err := newListener("127.0.0.1:0", 4, time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
@@ -359,10 +359,10 @@
 	failures := []error{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
 		syscall.ENOMEM,
 		syscall.ENETDOWN, syscall.EPROTO, syscall.EHOSTUNREACH, syscall.EPERM}
-	var tries atomic.Int32
+	var acceptCalls atomic.Int32
 	warnings := make(chan error, len(failures))
 	ln.accept = func(fd int) (int, error) {
-		if n := int(tries.Add(1)); n <= len(failures) {
+		if n := int(acceptCalls.Add(1)); n <= len(failures) {
 			return -1, failures[n-1]
 		}
 		return acceptNonblocking(fd)
@@ -386,7 +386,7 @@
 	case fd := <-accepted:
 		syscall.Close(fd)
 	case <-time.After(patience):
-		t.Fatalf("connection is not accepted after %d calls of accept", tries.Load())
+		t.Fatalf("connection is not accepted after %d calls of accept", acceptCalls.Load())
 	}
 	if n := len(warnings); n != 1 {
 		t.Errorf("warnings = %d, want 1", n)
--- a/internal/node/server/counters.go
+++ b/internal/node/server/counters.go
@@ -19,7 +19,7 @@
 	Abandoned, AnsweredLate uint64
 
 	Runs, RunEnds                                        uint64
-	Pauses                                               uint64 // runs that the controller stopped
+	RunsStopped                                          uint64 // runs that the controller stopped
 	Calls, CallsSucceeded, CallsNotExecuted, CallsFailed uint64 // CallsFailed: also those that may have been executed
 	CallsSkipped, CallsCancelled                         uint64
 
@@ -29,8 +29,8 @@
 	CommandsResent, CommandsRefused         uint64 // to the kernel
 	Reports, ReportsLost                    uint64 // to service discovery
 
-	ClosedSilent, ClosedForRoom uint64 // connections: without a complete message in time; evicted
-	Reloads                     uint64
+	ClosedSilent, Evicted uint64 // connections: without a complete message in time; evicted
+	Reloads               uint64
 
 	VersionsAdopted, HeartbeatsLost             uint64
 	TimesFenced, RejectedFenced, RejectedByZone uint64
@@ -57,11 +57,11 @@
 		"report_age_ms": milliseconds(l.now - l.discovery.lastReport), "conns": c.Connections, "reqs": c.Requests,
 		"checks": c.HealthChecks, "bad": c.BadRequests, "again": c.Retries, "done": c.Succeeded, "shed": c.Rejected,
 		"errored": c.Failed, "shared": c.SharedResults, "gone": c.Abandoned, "late": c.AnsweredLate, "runs": c.Runs,
-		"ends": c.RunEnds, "pauses": c.Pauses, "calls": c.Calls, "calls_ok": c.CallsSucceeded,
+		"ends": c.RunEnds, "pauses": c.RunsStopped, "calls": c.Calls, "calls_ok": c.CallsSucceeded,
 		"calls_unrun": c.CallsNotExecuted, "calls_other": c.CallsFailed, "skips": c.CallsSkipped,
 		"dropped": c.CallsCancelled, "kernel_links": c.KernelLinks, "store_links": c.StoreLinks,
 		"control_links": c.DiscoveryLinks, "wires_lost": c.StoreConnectionsLost, "strays": c.StrayReplies,
-		"reloads": c.Reloads, "silent": c.ClosedSilent, "evicted": c.ClosedForRoom, "resent": c.CommandsResent,
+		"reloads": c.Reloads, "silent": c.ClosedSilent, "evicted": c.Evicted, "resent": c.CommandsResent,
 		"refused": c.CommandsRefused, "reports": c.Reports, "reports_lost": c.ReportsLost,
 		"clock_steps": c.ClockSteps, "rounds": c.Rounds, "wakes": c.WakeUps, "ungauged": c.WakeUpsWithoutGauges,
 		"slow": c.LateWakeUps}
--- a/internal/node/server/events.go
+++ b/internal/node/server/events.go
@@ -123,7 +123,7 @@
 	case connectionClosed:
 		l.connectionClosed(e.peer)
 	case discardLimitExceeded:
-		l.connectionFlooded(e.peer)
+		l.discardLimitExceeded(e.peer)
 	case *requestRead:
 		l.lastRequest = l.now
 		l.messageReceived(e)
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -57,7 +57,7 @@
 // failingWriter is a failingConn as netpoll's Writer.
 type failingWriter struct{ *failingConn }
 
-func (o failingWriter) Writer() netpoll.Writer { return o.failingConn }
+func (w failingWriter) Writer() netpoll.Writer { return w.failingConn }
 
 func (f *failingConn) Release() error { return nil }
 
@@ -120,12 +120,12 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			l := newManualLoop(t, 4)
 			store := newFakeStore(t)
-			fails := errno
-			l.dialTo = func(address string, within time.Duration) (netpoll.Connection, error) {
-				if fails != 0 {
-					return nil, netpoll.Exception(fails, address)
+			connectErr := errno
+			l.dialTo = func(address string, timeout time.Duration) (netpoll.Connection, error) {
+				if connectErr != 0 {
+					return nil, netpoll.Exception(connectErr, address)
 				}
-				return dialTCP(address, within)
+				return dialTCP(address, timeout)
 			}
 			l.store = newTestStoreConnections(store.addr, l.limits)
 			h, r, _ := l.requests.take()
@@ -136,7 +136,7 @@
 			if got := l.nextRound().CallEnds; len(got) != 1 || got[0].Outcome != admission.NotExecuted {
 				t.Fatalf("call ends = %v, want one with outcome NotExecuted", got)
 			}
-			fails = 0
+			connectErr = 0
 			l.now += l.limits.MaxBackoff
 			l.startCall(h, r, l.now+admission.Second)
 			l.handleEvents(1)
@@ -147,9 +147,9 @@
 	}
 }
 
-func newTestStoreConnections(address string, lim Limits) storeConnections {
+func newTestStoreConnections(address string, limits Limits) storeConnections {
 	return storeConnections{addr: address, connections: newTable[storeConnection](2),
-		parser: storeParser(lim.LinkBounds)}
+		parser: storeParser(limits.LinkBounds)}
 }
 
 // Backoff doubles up to a limit and is jittered, so that nodes that lose a peer together don't reconnect together.
@@ -194,7 +194,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lim := NewLimits(1, 64, 256)
+	limits := NewLimits(1, 64, 256)
 	address, warnings := holder.Addr().String(), make(chan error, 1)
 	go func() {
 		if err := <-warnings; !errors.Is(err, syscall.EADDRINUSE) {
@@ -202,7 +202,7 @@
 		}
 		holder.Close()
 	}()
-	ln, err := listenWithRetry(address, lim, func(err error) { warnings <- err })
+	ln, err := listenWithRetry(address, limits, func(err error) { warnings <- err })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,8 +211,8 @@
 	if _, err = listenWithRetry("203.0.113.1:1", Limits{ListenTimeout: 0}, func(error) {}); err == nil {
 		t.Error("listen on another machine's address succeeded, want an error")
 	}
-	if _, err = listenWithRetry("127.0.0.1:none", lim, func(error) {}); err == nil ||
-		time.Since(startedAt) > lim.ListenTimeout/2 {
+	if _, err = listenWithRetry("127.0.0.1:none", limits, func(error) {}); err == nil ||
+		time.Since(startedAt) > limits.ListenTimeout/2 {
 		t.Errorf("err = %v after %v, want an error at once", err, time.Since(startedAt))
 	}
 }
@@ -289,11 +289,11 @@
 		t.Fatal(err)
 	}
 	var r agent.Record
-	if there, err := loadRecord(folder, &r); !there || err != nil || r.ActiveVersion != 7 || r.ActiveText != "seven" {
-		t.Errorf("loadRecord() = %v, %v with record %+v, want the previous record", there, err, r)
+	if found, err := loadRecord(folder, &r); !found || err != nil || r.ActiveVersion != 7 || r.ActiveText != "seven" {
+		t.Errorf("loadRecord() = %v, %v with record %+v, want the previous record", found, err, r)
 	}
-	if left, _ := os.ReadDir(folder); len(left) != 1 {
-		t.Errorf("files in the folder = %d, want 1", len(left))
+	if files, _ := os.ReadDir(folder); len(files) != 1 {
+		t.Errorf("files in the folder = %d, want 1", len(files))
 	}
 }
 
@@ -303,7 +303,7 @@
 	log.SetOutput(io.Discard)
 	l := &loop{crossGoroutine: crossGoroutine{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)}}
 	f := &fleetAgent{host: l, clock: bootTime, log: log,
-		config: &config.Fleet{Folder: filepath.Join(t.TempDir(), "gone")},
+		config: &config.Fleet{Folder: filepath.Join(t.TempDir(), "missing")},
 		agent:  agent.New(agent.Config{Name: "n1", ControlAddresses: []string{"127.0.0.1:1"}}, nil, bootTime()),
 		record: recordStore{writing: true}}
 	f.recordStored(bootTime(), 0, syscall.ENOSPC)
--- a/internal/node/server/helper_test.go
+++ b/internal/node/server/helper_test.go
@@ -23,6 +23,7 @@
 	"time"
 )
 
+// patience is the maximum time of any wait.
 const patience = 5 * time.Second
 
 var (
@@ -76,41 +77,41 @@
 }
 
 func newLineRecorder() *lineRecorder {
-	f := &lineRecorder{}
-	f.cond = sync.NewCond(&f.mu)
-	return f
+	r := &lineRecorder{}
+	r.cond = sync.NewCond(&r.mu)
+	return r
 }
 
-func (f *lineRecorder) add(line string) {
-	f.mu.Lock()
-	f.lines = append(f.lines, line)
-	f.cond.Broadcast()
-	f.mu.Unlock()
+func (r *lineRecorder) add(line string) {
+	r.mu.Lock()
+	r.lines = append(r.lines, line)
+	r.cond.Broadcast()
+	r.mu.Unlock()
 }
 
 // waitFor waits until ok returns true, at most patience; ok is called with mu held.
-func (f *lineRecorder) waitFor(ok func() bool) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (r *lineRecorder) waitFor(ok func() bool) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	end := time.Now().Add(patience)
-	t := time.AfterFunc(patience, f.cond.Broadcast)
+	t := time.AfterFunc(patience, r.cond.Broadcast)
 	defer t.Stop()
 	for !ok() {
 		if !time.Now().Before(end) {
 			return false
 		}
-		f.cond.Wait()
+		r.cond.Wait()
 	}
 	return true
 }
 
 // next returns the next line other than skipped; ok is false if none comes within patience.
-func (f *lineRecorder) next(skipped string) (line string, ok bool) {
-	ok = f.waitFor(func() bool {
-		for ; f.nextLine < len(f.lines); f.nextLine++ {
-			if f.lines[f.nextLine] != skipped {
-				line = f.lines[f.nextLine]
-				f.nextLine++
+func (r *lineRecorder) next(skipped string) (line string, ok bool) {
+	ok = r.waitFor(func() bool {
+		for ; r.nextLine < len(r.lines); r.nextLine++ {
+			if r.lines[r.nextLine] != skipped {
+				line = r.lines[r.nextLine]
+				r.nextLine++
 				return true
 			}
 		}
@@ -119,15 +120,15 @@
 	return line, ok
 }
 
-func (f *lineRecorder) count(prefix string) (n int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.countLocked(prefix)
+func (r *lineRecorder) count(prefix string) (n int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.countLocked(prefix)
 }
 
 // countLocked is count for callers that hold mu, as in waitFor.
-func (f *lineRecorder) countLocked(prefix string) (n int) {
-	for _, l := range f.lines {
+func (r *lineRecorder) countLocked(prefix string) (n int) {
+	for _, l := range r.lines {
 		if strings.HasPrefix(l, prefix) {
 			n++
 		}
@@ -231,7 +232,7 @@
 	events                   [][]byte
 	coresWanted, connections string // values of the gauges
 	bootDelayed              bool   // BOOTED is delayed until the test sends it
-	unsentEvents             bool   // events are kept but not sent, as if the link broke first
+	withholdEvents           bool   // events are kept but not sent, as if the link broke first
 }
 
 func newFakeKernel(t testing.TB) *fakeKernel {
@@ -297,7 +298,7 @@
 	n := fmt.Sprintf("{\"verb\":%q,\"index\":%d,\"task\":%q,\"outcome\":%q,\"spent\":12.5,\"bytes\":%q}\n", verb,
 		len(k.events)+1, wireID(task), outcome, base64.StdEncoding.EncodeToString([]byte(body)))
 	k.events = append(k.events, []byte(n))
-	if k.newest != nil && !k.unsentEvents {
+	if k.newest != nil && !k.withholdEvents {
 		k.newest.Write([]byte(n))
 	}
 }
@@ -405,11 +406,12 @@
  {"name":"put","gain":2,"give_up":GIVEUP,"promise":PROMISE,"semantics":"deduplicated","window":WINDOW},
  {"name":"act","gain":2,"give_up":GIVEUP,"promise":PROMISE,"semantics":"at_most_once"}]`
 
-// start starts the program; set overrides defaults of the start-up file and environment (stop_ms, sockets, store=none
-// and so on).
-func start(t testing.TB, set map[string]string) *node {
-	n := &node{t: t, overrides: set, kernel: newFakeKernel(t), store: newFakeStore(t), discovery: newFakeDiscovery(t)}
-	n.kernel.bootDelayed = set["kernel"] == "late"
+// start starts the program; overrides replaces defaults of the start-up file and the environment (stop_ms, sockets,
+// store=none and so on).
+func start(t testing.TB, overrides map[string]string) *node {
+	n := &node{t: t, overrides: overrides, kernel: newFakeKernel(t), store: newFakeStore(t),
+		discovery: newFakeDiscovery(t)}
+	n.kernel.bootDelayed = overrides["kernel"] == "late"
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -418,7 +420,7 @@
 	ln.Close()
 	n.file = filepath.Join(t.TempDir(), "config.json")
 	n.writeStartupFile("")
-	if own := set["own"]; own != "" { // the operator's file
+	if own := overrides["own"]; own != "" { // the operator's file
 		n.own = filepath.Join(filepath.Dir(n.file), "node.ini")
 		n.writeOwn(strings.ReplaceAll(own, "DIR", filepath.Dir(n.file)))
 	}
@@ -469,7 +471,7 @@
 // stepFile is the path of the file with the wall clock's offset from the true time.
 func (n *node) stepFile() string { return filepath.Join(filepath.Dir(n.file), "step") }
 
-// writeStartupFile writes the start-up file; text that is not empty replaces its whole content.
+// writeStartupFile writes the start-up file; a non-empty content replaces the default one.
 func (n *node) writeStartupFile(content string) {
 	get := func(key, defaultValue string) string {
 		if v, ok := n.overrides[key]; ok {
--- a/internal/node/server/intake.go
+++ b/internal/node/server/intake.go
@@ -32,7 +32,7 @@
 				return errNoBuffer
 			}
 		}
-		n := min(r.Len(), bufferBytes-in.buf.n)
+		n := min(r.Len(), bufferBytes-in.buf.length)
 		if n == 0 {
 			return errTooLong
 		}
@@ -40,7 +40,7 @@
 		if err != nil {
 			return err
 		}
-		in.buf.n += copy(in.buf.b[in.buf.n:], p)
+		in.buf.length += copy(in.buf.data[in.buf.length:], p)
 		if err := r.Release(); err != nil {
 			return err
 		}
@@ -60,12 +60,12 @@
 		}
 		complete := in.buf
 		in.buf = nil
-		if rest := complete.b[n:complete.n]; len(rest) > 0 {
+		if rest := complete.data[n:complete.length]; len(rest) > 0 {
 			if in.buf = in.pool.get(); in.buf == nil {
 				in.pool.put(complete)
 				return errNoBuffer
 			}
-			in.buf.n = copy(in.buf.b[:], rest)
+			in.buf.length = copy(in.buf.data[:], rest)
 		}
 		put(e)
 	}
--- a/internal/node/server/lifecycle.go
+++ b/internal/node/server/lifecycle.go
@@ -176,7 +176,7 @@
 // isRunning reports whether the run has started and not ended; the kernel may not have it yet.
 func (s *lifecycle) isRunning() bool { return s.run == runRunning || s.run == runStopping }
 
-// isToldToStop reports whether the run was told to stop, and not resumed since.
+// isToldToStop reports whether a stop was requested, and no resume since.
 func (s *lifecycle) isToldToStop() bool { return s.run == runStopping || s.run == runStopped }
 
 // awaitsIntent reports whether the run is held back from the kernel until its intent record is on disk; a stop is then
@@ -208,10 +208,10 @@
 	s.setAwaits(awaitsNothing)
 }
 
-// stop records that the run was told to stop.
+// stop records a stop request.
 func (s *lifecycle) stop() { s.setRun(runStopping) }
 
-// endRun records the end of the run. A run that was told to stop becomes stopped, as it could be resumed.
+// endRun records the end of the run. After a stop request the run is stopped, as it could be resumed.
 func (s *lifecycle) endRun() {
 	if s.isToldToStop() {
 		s.setRun(runStopped)
--- a/internal/node/server/limits.go
+++ b/internal/node/server/limits.go
@@ -18,7 +18,7 @@
 	Connections       int // open client connections
 	EvictionThreshold int // client connections above which idle ones are closed
 	StoreConnections  int // connections to the store
-	Pipelined         int // requests read on a connection and not handled yet
+	MaxPipelined      int // requests read on a connection and not handled yet
 	Requests          int // requests in progress
 	IdempotencyKeys   int // entries of the idempotency table
 	Buffers           int // buffers in use for input
@@ -133,7 +133,7 @@
 // setFixedCounts sets the counts and sizes that don't depend on the machine.
 func (l *Limits) setFixedCounts() {
 	// Clients send one request at a time; two more keep a pipelining client going.
-	l.Pipelined = 2
+	l.MaxPipelined = 2
 	// Covers the connections that a usual round writes to; beyond that each write starts a goroutine.
 	l.Workers = 16
 	// Several rounds of all connections: callbacks wait only while the loop is far behind.
@@ -186,7 +186,7 @@
 	l.EvictionMinIdle = 100 * ms
 	// The first request of a connection arrives within this time.
 	l.EvictionMinAge = 20 * ms
-	// Clients close at once when told to; one that does not holds a connection slot.
+	// A client closes at once after the server's shutdown; one that does not holds a connection slot.
 	l.LingerTimeout = 500 * ms
 	// Three reports can be lost within the 3 s after which service discovery removes a node.
 	l.ReportInterval = 700 * ms
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -35,7 +35,7 @@
 	runCommand, callResultCommand, stopCommand uint64
 
 	resumed    bool       // the last start command was a resume; the controller sends none, see loop.Stop
-	callResult callResult // how the kernel was told of the call's end
+	callResult callResult // the last result of a call sent to the kernel
 	reply      []byte     // the store's reply, as sent to the kernel
 }
 
--- a/internal/node/server/request_bench_test.go
+++ b/internal/node/server/request_bench_test.go
@@ -64,7 +64,7 @@
 		text = fmt.Appendf(text[:0], "POST /rpc/get HTTP/1.1\r\nRequest-Id: %016x\r\nReceived-At: %d\r\nSent-By: 1\r\n"+
 			"Footprint-Kb: 1\r\nContent-Length: 4\r\n\r\nbody", n, time.Now().UnixMilli())
 		buffer := l.pool.get()
-		buffer.n = copy(buffer.b[:], text)
+		buffer.length = copy(buffer.data[:], text)
 		read, size, err := p.parse(buffer, &l.limits)
 		if err != nil || size != len(text) {
 			b.Fatalf("parsed %d bytes, %v, want %d", size, err, len(text))
@@ -76,7 +76,7 @@
 		event = fmt.Appendf(event[:0],
 			`{"verb":"REAP","index":%d,"task":"%016x","outcome":"OK","spent":1,"bytes":"Ym9keQ=="}`, n, n)
 		buffer = l.pool.get()
-		buffer.n = copy(buffer.b[:], event)
+		buffer.length = copy(buffer.data[:], event)
 		e := &buffer.kernel
 		e.dialed, e.buffer = l.kernel.dialed, buffer
 		if e.event, err = wire.ParseKernelEvent(buffer.bytes()); err != nil {
@@ -104,7 +104,7 @@
 		text = fmt.Appendf(text[:0], "POST /rpc/get HTTP/1.1\r\nRequest-Id: %016x\r\nReceived-At: %d\r\nSent-By: 1\r\n"+
 			"Footprint-Kb: 1\r\nContent-Length: 4\r\n\r\nbody", n, time.Now().UnixMilli())
 		buffer := l.pool.get()
-		buffer.n = copy(buffer.b[:], text)
+		buffer.length = copy(buffer.data[:], text)
 		read, _, err := p.parse(buffer, &l.limits)
 		if err != nil {
 			b.Fatal(err)
--- a/internal/node/server/run.go
+++ b/internal/node/server/run.go
@@ -21,15 +21,15 @@
 	// gcPercent halves the usual heap growth between collections, which keeps the memory in use level; the live heap is
 	// a few MB, so that collections are cheap.
 	gcPercent = 50
-	// minIdleTimeout is the minimum idle timeout of connections until the controller sets one.
+	// minIdleTimeout is the minimum of the settings' idle timeout, of which the double applies until the controller
+	// sets one.
 	minIdleTimeout = 30 * admission.Second
 	// spareConnections are table slots beyond the listener's limit: a connection releases its listener slot before its
 	// table slot.
 	spareConnections = 8
 )
 
-// Run serves until the program is told to stop and all requests read are answered. It returns an error if it can't
-// start.
+// Run serves until the program gets SIGTERM and all requests read are answered. It returns an error if it can't start.
 func Run(c *Node, log *logrus.Logger, signals Signals) error {
 	limits := NewLimits(c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets)
 	boundMemory(limits)
--- a/internal/node/server/scenario_test.go
+++ b/internal/node/server/scenario_test.go
@@ -319,9 +319,9 @@
 	case "gauges":
 		locked(func() { k.coresWanted, k.connections = w[0], w[1] })
 	case "talks":
-		locked(func() { k.unresponsive, k.unsentEvents = false, false })
+		locked(func() { k.unresponsive, k.withholdEvents = false, false })
 	case "silent":
-		locked(func() { k.unsentEvents = true })
+		locked(func() { k.withholdEvents = true })
 	case "boots":
 		locked(func() { k.bootDelayed = false })
 		k.write([]byte("{\"verb\":\"BOOTED\",\"outcome\":\"COLD\",\"spent\":0}\n"))
--- a/internal/node/server/writer.go
+++ b/internal/node/server/writer.go
@@ -53,7 +53,7 @@
 	}
 	for len(b) > 0 {
 		n := len(w.queue)
-		if n == 0 || w.queue[n-1].n == bufferBytes {
+		if n == 0 || w.queue[n-1].length == bufferBytes {
 			t := w.newBuffer()
 			if t == nil {
 				w.closed, w.ending = true, closeWhenSent // the message is incomplete, so nothing may follow it
@@ -64,8 +64,8 @@
 			n++
 		}
 		t := w.queue[n-1]
-		k := copy(t.b[t.n:], b)
-		t.n += k
+		k := copy(t.data[t.length:], b)
+		t.length += k
 		b = b[k:]
 	}
 	w.startFlush()
