--- a/internal/node/server/helper_test.go
+++ b/internal/node/server/helper_test.go
@@ -1,8 +1,7 @@
 package server
 
-// What the tests share: the program itself, built once and started on free ports, and small stand-ins for
-// the kernel, the store and service discovery, written from the protocol alone. Every wait is bounded by
-// patience.
+// Test helpers: the program, built once and started on free ports, and fakes of the kernel, the store and service
+// discovery that implement the protocol independently of the code under test. Every wait is bounded by patience.
 
 import (
 	"bufio"
@@ -24,13 +23,14 @@
 	"time"
 )
 
+// patience is the maximum time of any wait.
 const patience = 5 * time.Second
 
 var (
-	program    string
-	buildDir   string
-	steppedOne sync.Once
-	steppedErr error
+	program     string
+	buildDir    string
+	steppedOnce sync.Once
+	steppedErr  error
 )
 
 func TestMain(m *testing.M) {
@@ -58,60 +58,60 @@
 	return nil
 }
 
-// steppedProgram is a build whose wall clock the test steps.
+// steppedProgram returns a build of the program whose wall clock tests can step.
 func steppedProgram(t testing.TB) string {
 	file := filepath.Join(buildDir, "umberwinch-stepped")
-	steppedOne.Do(func() { steppedErr = buildProgram(file, "-tags", "steppedclock") })
+	steppedOnce.Do(func() { steppedErr = buildProgram(file, "-tags", "steppedclock") })
 	if steppedErr != nil {
 		t.Fatal(steppedErr)
 	}
 	return file
 }
 
-// feed is what one side has heard, in order.
-type feed struct {
-	mu   sync.Mutex
-	cond *sync.Cond
-	all  []string
-	at   int
+// lineRecorder records the lines that a fake or the log receives, in order.
+type lineRecorder struct {
+	mu       sync.Mutex
+	cond     *sync.Cond
+	lines    []string
+	nextLine int
 }
 
-func newFeed() *feed {
-	f := &feed{}
-	f.cond = sync.NewCond(&f.mu)
-	return f
+func newLineRecorder() *lineRecorder {
+	r := &lineRecorder{}
+	r.cond = sync.NewCond(&r.mu)
+	return r
 }
 
-func (f *feed) add(line string) {
-	f.mu.Lock()
-	f.all = append(f.all, line)
-	f.cond.Broadcast()
-	f.mu.Unlock()
+func (r *lineRecorder) add(line string) {
+	r.mu.Lock()
+	r.lines = append(r.lines, line)
+	r.cond.Broadcast()
+	r.mu.Unlock()
 }
 
-// until waits for ok to hold of what was heard.
-func (f *feed) until(ok func() bool) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// waitFor waits until ok returns true, at most patience; ok is called with mu held.
+func (r *lineRecorder) waitFor(ok func() bool) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	end := time.Now().Add(patience)
-	t := time.AfterFunc(patience, f.cond.Broadcast)
+	t := time.AfterFunc(patience, r.cond.Broadcast)
 	defer t.Stop()
 	for !ok() {
 		if !time.Now().Before(end) {
 			return false
 		}
-		f.cond.Wait()
+		r.cond.Wait()
 	}
 	return true
 }
 
-// next is what is heard next and not to be passed over.
-func (f *feed) next(pass string) (line string, ok bool) {
-	ok = f.until(func() bool {
-		for ; f.at < len(f.all); f.at++ {
-			if f.all[f.at] != pass {
-				line = f.all[f.at]
-				f.at++
+// next returns the next line other than skipped; ok is false if none comes within patience.
+func (r *lineRecorder) next(skipped string) (line string, ok bool) {
+	ok = r.waitFor(func() bool {
+		for ; r.nextLine < len(r.lines); r.nextLine++ {
+			if r.lines[r.nextLine] != skipped {
+				line = r.lines[r.nextLine]
+				r.nextLine++
 				return true
 			}
 		}
@@ -120,15 +120,15 @@
 	return line, ok
 }
 
-func (f *feed) count(prefix string) (n int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.tally(prefix)
+func (r *lineRecorder) count(prefix string) (n int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.countLocked(prefix)
 }
 
-// tally is count for those that hold the lock already, as in until.
-func (f *feed) tally(prefix string) (n int) {
-	for _, l := range f.all {
+// countLocked is count for callers that hold mu, as in waitFor.
+func (r *lineRecorder) countLocked(prefix string) (n int) {
+	for _, l := range r.lines {
 		if strings.HasPrefix(l, prefix) {
 			n++
 		}
@@ -136,32 +136,32 @@
 	return n
 }
 
-// side is a stand-in that listens.
-type side struct {
-	*feed
-	t    testing.TB
-	ln   net.Listener
-	addr string
-	mu   sync.Mutex
-	c    net.Conn // the newest
-	open []net.Conn
-	on   map[string]net.Conn // the store's: which one a request's call came on; with ', the one before
-	talk func(net.Conn, *bufio.Reader)
-	mute bool // what it hears gets no answer
+// fakeServer is a fake peer that the node connects to.
+type fakeServer struct {
+	*lineRecorder
+	t             testing.TB
+	ln            net.Listener
+	addr          string
+	mu            sync.Mutex
+	newest        net.Conn // the newest connection
+	conns         []net.Conn
+	connByRequest map[string]net.Conn // store: connection of the last call by request id; id' is the one before
+	serveConn     func(net.Conn, *bufio.Reader)
+	unresponsive  bool // requests are recorded but not answered
 }
 
-func newSide(t testing.TB, talk func(net.Conn, *bufio.Reader)) *side {
-	s := &side{feed: newFeed(), t: t, talk: talk, on: map[string]net.Conn{}}
+func newFakeServer(t testing.TB, serveConn func(net.Conn, *bufio.Reader)) *fakeServer {
+	s := &fakeServer{lineRecorder: newLineRecorder(), t: t, serveConn: serveConn, connByRequest: map[string]net.Conn{}}
 	return s
 }
 
-// listens starts it; what its talk refers to has to be there before.
-func (s *side) listens() {
-	s.up("127.0.0.1:0")
-	s.t.Cleanup(s.down)
+// start listens; state used by serveConn has to be set before.
+func (s *fakeServer) start() {
+	s.listen("127.0.0.1:0")
+	s.t.Cleanup(s.stop)
 }
 
-func (s *side) up(addr string) {
+func (s *fakeServer) listen(addr string) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		s.t.Fatal(err)
@@ -174,40 +174,40 @@
 				return
 			}
 			s.mu.Lock()
-			s.c, s.open = c, append(s.open, c)
+			s.newest, s.conns = c, append(s.conns, c)
 			s.mu.Unlock()
-			go s.talk(c, bufio.NewReader(c))
+			go s.serveConn(c, bufio.NewReader(c))
 		}
 	}()
 }
 
-func (s *side) cut() {
+func (s *fakeServer) closeConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.open {
+	for _, c := range s.conns {
 		c.Close()
 	}
-	s.open = nil
+	s.conns = nil
 }
 
-// move has it listen elsewhere; what is open stays so.
-func (s *side) move() {
+// move listens at another address; open connections stay open.
+func (s *fakeServer) move() {
 	s.ln.Close()
-	s.up("127.0.0.1:0")
+	s.listen("127.0.0.1:0")
 }
 
-func (s *side) down() {
+func (s *fakeServer) stop() {
 	s.ln.Close()
-	s.cut()
+	s.closeConns()
 }
 
-// writeTo writes on the connection that a request's last call came on; nothing to write resets it.
-func (s *side) writeTo(id, text string) {
+// writeTo writes to the connection of a request's last call; empty text resets it.
+func (s *fakeServer) writeTo(id, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.on[id]
+	c := s.connByRequest[id]
 	if c == nil {
-		s.t.Fatalf("no call came for %s", id)
+		s.t.Fatalf("no call received for request %s", id)
 	}
 	if text == "" {
 		c.(*net.TCPConn).SetLinger(0)
@@ -217,27 +217,27 @@
 	io.WriteString(c, text)
 }
 
-func (s *side) write(b []byte) {
+func (s *fakeServer) write(b []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.c != nil {
-		s.c.Write(b)
+	if s.newest != nil {
+		s.newest.Write(b)
 	}
 }
 
-// kernel is the stand-in for the kernel: it tells notices only as the test says, keeps them for new links,
-// and answers OPEN and SYSINFO by itself.
-type kernelSide struct {
-	*side
-	kept      [][]byte
-	on, links string // as the gauges read
-	late      bool   // BOOTED waits
-	silent    bool   // what is told is only kept, as if the link broke before it
+// fakeKernel is the fake kernel. It sends events only as the test asks, keeps them for replay on new links, and answers
+// OPEN and SYSINFO by itself.
+type fakeKernel struct {
+	*fakeServer
+	events                   [][]byte
+	coresWanted, connections string // values of the gauges
+	bootDelayed              bool   // BOOTED is delayed until the test sends it
+	withholdEvents           bool   // events are kept but not sent, as if the link broke first
 }
 
-func newKernel(t testing.TB) *kernelSide {
-	k := &kernelSide{on: "1", links: "3"}
-	k.side = newSide(t, func(c net.Conn, r *bufio.Reader) {
+func newFakeKernel(t testing.TB) *fakeKernel {
+	k := &fakeKernel{coresWanted: "1", connections: "3"}
+	k.fakeServer = newFakeServer(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			line, err := r.ReadBytes('\n')
 			if err != nil {
@@ -249,7 +249,7 @@
 				Index                      int
 			}
 			if err := json.Unmarshal(line, &m); err != nil {
-				t.Errorf("kernel reads %q: %v", line, err)
+				t.Errorf("kernel: invalid command %q: %v", line, err)
 				c.Close()
 				return
 			}
@@ -257,23 +257,23 @@
 			case "OPEN":
 				k.add(fmt.Sprintf("OPEN %d", m.Index))
 				k.mu.Lock()
-				if !k.late {
+				if !k.bootDelayed {
 					fmt.Fprintf(c, "{\"verb\":\"BOOTED\",\"outcome\":\"WARM\",\"spent\":1000}\n")
-					for _, n := range k.kept[min(m.Index, len(k.kept)):] {
+					for _, n := range k.events[min(m.Index, len(k.events)):] {
 						c.Write(n)
 					}
 				}
 				k.mu.Unlock()
 			case "SYSINFO":
 				k.mu.Lock()
-				if !k.mute {
+				if !k.unresponsive {
 					fmt.Fprintf(c, "{\"verb\":\"INFO\",\"nonce\":%q,\"readings\":[0.5,%s,0.1,%s]}\n",
-						m.Nonce, k.on, k.links)
+						m.Nonce, k.coresWanted, k.connections)
 				}
 				k.mu.Unlock()
 				k.add("SYSINFO")
 			default:
-				line := m.Verb + " " + short(m.Task)
+				line := m.Verb + " " + testID(m.Task)
 				if m.Handler != "" {
 					line += " " + m.Handler
 				}
@@ -287,26 +287,26 @@
 			}
 		}
 	})
-	k.listens()
+	k.start()
 	return k
 }
 
-// tell numbers, keeps and sends a notice.
-func (k *kernelSide) tell(verb, task, outcome, body string) {
+// sendEvent numbers, keeps and sends a kernel event.
+func (k *fakeKernel) sendEvent(verb, task, outcome, body string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := fmt.Sprintf("{\"verb\":%q,\"index\":%d,\"task\":%q,\"outcome\":%q,\"spent\":12.5,\"bytes\":%q}\n", verb,
-		len(k.kept)+1, long(task), outcome, base64.StdEncoding.EncodeToString([]byte(body)))
-	k.kept = append(k.kept, []byte(n))
-	if k.c != nil && !k.silent {
-		k.c.Write([]byte(n))
+		len(k.events)+1, wireID(task), outcome, base64.StdEncoding.EncodeToString([]byte(body)))
+	k.events = append(k.events, []byte(n))
+	if k.newest != nil && !k.withholdEvents {
+		k.newest.Write([]byte(n))
 	}
 }
 
-// newStore is the stand-in for the store.
-func newStore(t testing.TB) *side {
-	var s *side
-	s = newSide(t, func(c net.Conn, r *bufio.Reader) {
+// newFakeStore returns a fake store.
+func newFakeStore(t testing.TB) *fakeServer {
+	var s *fakeServer
+	s = newFakeServer(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			line, err := r.ReadString('\n')
 			if err != nil {
@@ -320,28 +320,28 @@
 				fmt.Sscan(w[3], &n)
 				body := make([]byte, n+2)
 				if _, err := io.ReadFull(r, body); err != nil || !bytes.HasSuffix(body, []byte("\r\n")) || wait < 1 {
-					t.Errorf("store reads %q %q: %v", line, body, err)
+					t.Errorf("store: invalid call %q with body %q: %v", line, body, err)
 				}
 				s.mu.Lock()
-				s.on[short(w[1])+"'"] = s.on[short(w[1])]
-				s.on[short(w[1])] = c
+				s.connByRequest[testID(w[1])+"'"] = s.connByRequest[testID(w[1])]
+				s.connByRequest[testID(w[1])] = c
 				s.mu.Unlock()
-				s.add("CALL " + short(w[1]) + " " + string(body[:n]))
+				s.add("CALL " + testID(w[1]) + " " + string(body[:n]))
 			case len(w) == 2 && w[0] == "DROP":
-				s.add("DROP " + short(w[1]))
+				s.add("DROP " + testID(w[1]))
 			default:
-				t.Errorf("store reads %q", line)
+				t.Errorf("store: unknown command %q", line)
 			}
 		}
 	})
-	s.listens()
+	s.start()
 	return s
 }
 
-// newControl is the stand-in for service discovery.
-func newControl(t testing.TB) *side {
-	var s *side
-	s = newSide(t, func(c net.Conn, r *bufio.Reader) {
+// newFakeDiscovery returns a fake service discovery.
+func newFakeDiscovery(t testing.TB) *fakeServer {
+	var s *fakeServer
+	s = newFakeServer(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			q, err := http.ReadRequest(r)
 			if err != nil {
@@ -349,44 +349,45 @@
 			}
 			var m struct{ Condition string }
 			if err := json.NewDecoder(q.Body).Decode(&m); err != nil || q.Method != "PUT" {
-				t.Errorf("control reads %s: %v", q.Method, err)
+				t.Errorf("service discovery: invalid report by %s: %v", q.Method, err)
 			}
 			s.mu.Lock()
-			if !s.mute {
+			if !s.unresponsive {
 				io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n")
 			}
 			s.mu.Unlock()
 			s.add(q.URL.Path + " " + m.Condition)
 		}
 	})
-	s.listens()
+	s.start()
 	return s
 }
 
-// A test's ids are short numbers; on the wire they are 16 hex digits.
-func long(id string) string { return strings.Repeat("0", 16-len(id)) + id }
+// wireID pads the short id of a test to 16 hex digits, as on the wire.
+func wireID(id string) string { return strings.Repeat("0", 16-len(id)) + id }
 
-func short(id string) string {
+// testID is the inverse of wireID.
+func testID(id string) string {
 	if s := strings.TrimLeft(id, "0"); s != "" {
 		return s
 	}
 	return "0"
 }
 
-// node is the program with its stand-ins.
+// node is the program under test and its fakes.
 type node struct {
-	t      testing.TB
-	addr   string
-	kernel *kernelSide
-	store  *side
-	ctl    *side
-	cmd    *exec.Cmd
-	log    *feed
-	ended  chan struct{}
-	err    error
-	file   string
-	own    string
-	set    map[string]string
+	t         testing.TB
+	addr      string
+	kernel    *fakeKernel
+	store     *fakeServer
+	discovery *fakeServer
+	cmd       *exec.Cmd
+	log       *lineRecorder
+	ended     chan struct{}
+	err       error
+	file      string
+	own       string // path of the operator's file; empty: none
+	overrides map[string]string
 }
 
 func (n *node) writeOwn(text string) {
@@ -395,7 +396,7 @@
 	}
 }
 
-const family = `"family_info":{"below":"tier","cancel_seen":true,"cores":2,"degraded_worth":[0.5,0,0],
+const familyInfo = `"family_info":{"below":"tier","cancel_seen":true,"cores":2,"degraded_worth":[0.5,0,0],
  "fresh":%s,"idle":30000000,"key_kb":10,"memory_kb":50000,
  "meters":["core_use","on_cores","heap_share","links"],
  "preemption":"pause","run_factor":2,"say":"%s","senders":2}`
@@ -405,10 +406,12 @@
  {"name":"put","gain":2,"give_up":GIVEUP,"promise":PROMISE,"semantics":"deduplicated","window":WINDOW},
  {"name":"act","gain":2,"give_up":GIVEUP,"promise":PROMISE,"semantics":"at_most_once"}]`
 
-// start starts the program; set has what differs from the usual: stop_ms, sockets, store=none and the like.
-func start(t testing.TB, set map[string]string) *node {
-	n := &node{t: t, set: set, kernel: newKernel(t), store: newStore(t), ctl: newControl(t)}
-	n.kernel.late = set["kernel"] == "late"
+// start starts the program; overrides replaces defaults of the start-up file and the environment (stop_ms, sockets,
+// store=none and so on).
+func start(t testing.TB, overrides map[string]string) *node {
+	n := &node{t: t, overrides: overrides, kernel: newFakeKernel(t), store: newFakeStore(t),
+		discovery: newFakeDiscovery(t)}
+	n.kernel.bootDelayed = overrides["kernel"] == "late"
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -416,8 +419,8 @@
 	n.addr = ln.Addr().String()
 	ln.Close()
 	n.file = filepath.Join(t.TempDir(), "config.json")
-	n.write("")
-	if own := set["own"]; own != "" { // the operator's file
+	n.writeStartupFile("")
+	if own := overrides["own"]; own != "" { // the operator's file
 		n.own = filepath.Join(filepath.Dir(n.file), "node.ini")
 		n.writeOwn(strings.ReplaceAll(own, "DIR", filepath.Dir(n.file)))
 	}
@@ -425,16 +428,16 @@
 	return n
 }
 
-// launch starts the program as its files have it: for the first time, or again after it ended.
+// launch starts the program with its current files, also again after it ended.
 func (n *node) launch() {
 	t := n.t
 	file := program
-	if n.set["clock"] == "stepped" {
+	if n.overrides["clock"] == "stepped" {
 		file = steppedProgram(t)
 	}
-	n.cmd, n.log, n.ended = exec.Command(file), newFeed(), make(chan struct{})
-	n.cmd.Env = append(os.Environ(), "NODE_CONFIG="+n.file, "UMBERWINCH_LOG=debug", "UMBERWINCH_DIE_AT="+n.set["die"],
-		"UMBERWINCH_WALL_STEP="+n.stepFile())
+	n.cmd, n.log, n.ended = exec.Command(file), newLineRecorder(), make(chan struct{})
+	n.cmd.Env = append(os.Environ(), "NODE_CONFIG="+n.file, "UMBERWINCH_LOG=debug",
+		"UMBERWINCH_DIE_AT="+n.overrides["die"], "UMBERWINCH_WALL_STEP="+n.stepFile())
 	if n.own != "" {
 		n.cmd.Env = append(n.cmd.Env, "UMBERWINCH_FILE="+n.own)
 	}
@@ -457,24 +460,24 @@
 		cmd.Process.Kill()
 		<-ended
 		if t.Failed() {
-			t.Logf("log:\n%s", strings.Join(log.all, "\n"))
+			t.Logf("log:\n%s", strings.Join(log.lines, "\n"))
 		}
 	})
-	if !n.kernel.late && !n.logged(`msg="kernel is up" `) {
-		t.Fatal("the kernel is never up")
+	if !n.kernel.bootDelayed && !n.logged(`msg="kernel is up" `) {
+		t.Fatal("not logged: kernel is up")
 	}
 }
 
-// stepFile holds how far the wall clock is from the true one.
+// stepFile is the path of the file with the wall clock's offset from the true time.
 func (n *node) stepFile() string { return filepath.Join(filepath.Dir(n.file), "step") }
 
-// write writes the start-up file; what is not empty stands there instead of all that is right.
-func (n *node) write(instead string) {
-	get := func(key, usual string) string {
-		if v, ok := n.set[key]; ok {
+// writeStartupFile writes the start-up file; a non-empty content replaces the default one.
+func (n *node) writeStartupFile(content string) {
+	get := func(key, defaultValue string) string {
+		if v, ok := n.overrides[key]; ok {
 			return v
 		}
-		return usual
+		return defaultValue
 	}
 	store := n.store.addr
 	if get("store", "") == "none" {
@@ -483,17 +486,17 @@
 	text := fmt.Sprintf(`{"name":"n3","listen":%q,"kernel":%q,"control":%q,"store":%q,"seed":"1","stop_ms":%s,
  "limits":{"cores":%s,"memory_mb":%s,"sockets":%s},"settings":{`+
 		strings.NewReplacer("GIVEUP", get("give_up", "6000000"), "WINDOW", get("window", "8000000"), "PROMISE",
-			get("promise", "2000000")).Replace(classes)+`,`+family+`,
+			get("promise", "2000000")).Replace(classes)+`,`+familyInfo+`,
  "customers":[{"name":"home","quota_per_s":5},{"name":"acme","quota_per_s":5}],
  "fleet_size":2,"granularity":2000,"invariants":{"drain_grace":500000,"fall_multiple":5},
- "limits":{"max_retry_after":1000000,"retry_after":true}}}`, n.addr, n.kernel.addr, n.ctl.addr, store,
+ "limits":{"max_retry_after":1000000,"retry_after":true}}}`, n.addr, n.kernel.addr, n.discovery.addr, store,
 		get("stop_ms", "3000"), get("cores", "1"), get("memory_mb", "64"), get("sockets", "256"), get("fresh", "0"),
 		get("say", "off"))
-	if instead != "" {
-		text = instead
+	if content != "" {
+		text = content
 	}
 	err := os.WriteFile(n.file+".new", []byte(text), 0o600)
-	if err == nil { // at once, as the program may be reading it
+	if err == nil { // atomically, as the program may be reading it
 		err = os.Rename(n.file+".new", n.file)
 	}
 	if err != nil {
@@ -501,16 +504,16 @@
 	}
 }
 
-// logged waits for a line of the program's log that has each of these texts.
+// logged waits for a log line that contains each of texts.
 func (n *node) logged(texts ...string) bool {
-	return n.log.until(func() bool {
-		return slices.ContainsFunc(n.log.all, func(line string) bool {
+	return n.log.waitFor(func() bool {
+		return slices.ContainsFunc(n.log.lines, func(line string) bool {
 			return !slices.ContainsFunc(texts, func(text string) bool { return !strings.Contains(line+" ", text) })
 		})
 	})
 }
 
-// dial opens a connection as a client would; the program may only just be starting.
+// dial opens a client connection, and retries while the program is starting.
 func (n *node) dial() net.Conn {
 	for end := time.Now().Add(patience); ; {
 		c, err := net.Dial("tcp", n.addr)
@@ -530,13 +533,14 @@
 	}
 }
 
-// settled waits until the loop has run twice more, so that all it was to say on the kernel's link is said.
-func (n *node) settled() bool {
-	was := n.kernel.count("SYSINFO")
-	return n.kernel.until(func() bool { return n.kernel.tally("SYSINFO") >= was+3 })
+// waitForKernelSync waits for further gauges requests, by which the loop has sent all its pending commands to the
+// kernel.
+func (n *node) waitForKernelSync() bool {
+	before := n.kernel.count("SYSINFO")
+	return n.kernel.waitFor(func() bool { return n.kernel.countLocked("SYSINFO") >= before+3 })
 }
 
-// signal sends the program a signal and waits until the system has delivered it: two of a kind that wait are one.
+// signal sends a signal and waits for its delivery, as two pending signals of a kind are merged.
 func (n *node) signal(s syscall.Signal) {
 	n.t.Helper()
 	n.cmd.Process.Signal(s)
@@ -548,18 +552,18 @@
 		_, rest, _ := strings.Cut(string(status), "ShdPnd:")
 		var set uint64
 		if _, err := fmt.Sscanf(rest, "%x", &set); err != nil {
-			n.t.Fatalf("found no pending signals in the status: %v", err)
+			n.t.Fatalf("ShdPnd in /proc/PID/status: %v, want a hexadecimal signal set", err)
 		}
 		return set&(1<<(s-1)) != 0
 	}
 	if !waitUntil(func() bool { return !pending() }) {
-		n.t.Fatalf("%v is not delivered", s)
+		n.t.Fatalf("signal %v is not delivered", s)
 	}
 }
 
-// waitUntil waits for a condition that no event tells of, for as long as patience, and tells whether it came.
-func waitUntil(met func() bool) bool {
-	for end := time.Now().Add(patience); !met(); time.Sleep(time.Millisecond) {
+// waitUntil polls a condition for up to patience and reports whether it became true.
+func waitUntil(condition func() bool) bool {
+	for end := time.Now().Add(patience); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			return false
 		}
--- a/internal/node/server/request_bench_test.go
+++ b/internal/node/server/request_bench_test.go
@@ -16,13 +16,13 @@
 	"umberwinch/internal/node/wire"
 )
 
-// swallowing is a connection whose other side takes everything at once.
-type swallowing struct{ netpoll.Connection }
+// discardingConn is a connection whose peer reads everything at once.
+type discardingConn struct{ netpoll.Connection }
 
-func (swallowing) Write(b []byte) (int, error) { return len(b), nil }
-func (swallowing) Close() error                { return nil }
+func (discardingConn) Write(b []byte) (int, error) { return len(b), nil }
+func (discardingConn) Close() error                { return nil }
 
-// newBenchLoop is a loop whose kernel is up, with one client's connection and no sockets.
+// newBenchLoop returns a loop with a running kernel and one client connection, without sockets.
 func newBenchLoop(b *testing.B) (*loop, *peer) {
 	b.Helper()
 	const text = `{"classes":[{"name":"get","gain":1,"give_up":6000000,"promise":2000000,"semantics":"idempotent"}],
@@ -37,24 +37,24 @@
 	limits := NewLimits(2, 64, 256)
 	l := newLoop(&Node{Name: "n1", StopMS: 3000, settings: startup}, limits, log, newWorkers(limits.Workers))
 	d := &dialed{peer: peerKernel}
-	d.writer = &writer{conn: swallowing{}, pool: &l.pool, workers: l.workers, busy: &l.busy}
+	d.writer = &writer{conn: discardingConn{}, pool: &l.pool, workers: l.workers, busy: &l.busy}
 	l.kernel.dialed, l.kernel.state = d, kernelLive
 	l.controller = admission.New(l.settings.Deployment)
 	h, c, _ := l.connections.take()
 	p := &peer{handle: h}
-	p.writer = writer{conn: swallowing{}, pool: &l.pool, workers: l.workers, busy: &l.busy, sendsResponses: true}
+	p.writer = writer{conn: discardingConn{}, pool: &l.pool, workers: l.workers, busy: &l.busy, sendsResponses: true}
 	c.peer, c.openedAt, c.lastActive = p, l.now, l.now
 	return l, p
 }
 
-// awaitWriters lets what was sent go out, as the loop is faster than writers and their queues are bounded.
+// awaitWriters waits for the writers, whose queues are limited and which are slower than the loop.
 func awaitWriters(l *loop) {
 	for l.busy.Load() > 0 {
 		runtime.Gosched()
 	}
 }
 
-// BenchmarkLoopRequest is what one request costs the loop: read, checked, decided on, run, ended and answered.
+// BenchmarkLoopRequest measures the loop's cost of a request: read, check, decision, run, run end and response.
 func BenchmarkLoopRequest(b *testing.B) {
 	l, p := newBenchLoop(b)
 	var text, event []byte
@@ -64,10 +64,10 @@
 		text = fmt.Appendf(text[:0], "POST /rpc/get HTTP/1.1\r\nRequest-Id: %016x\r\nReceived-At: %d\r\nSent-By: 1\r\n"+
 			"Footprint-Kb: 1\r\nContent-Length: 4\r\n\r\nbody", n, time.Now().UnixMilli())
 		buffer := l.pool.get()
-		buffer.n = copy(buffer.b[:], text)
+		buffer.length = copy(buffer.data[:], text)
 		read, size, err := p.parse(buffer, &l.limits)
 		if err != nil || size != len(text) {
-			b.Fatalf("%d bytes are read, %v", size, err)
+			b.Fatalf("parsed %d bytes, %v, want %d", size, err, len(text))
 		}
 		p.pipelined.Add(1)
 		l.handle(read)
@@ -76,7 +76,7 @@
 		event = fmt.Appendf(event[:0],
 			`{"verb":"REAP","index":%d,"task":"%016x","outcome":"OK","spent":1,"bytes":"Ym9keQ=="}`, n, n)
 		buffer = l.pool.get()
-		buffer.n = copy(buffer.b[:], event)
+		buffer.length = copy(buffer.data[:], event)
 		e := &buffer.kernel
 		e.dialed, e.buffer = l.kernel.dialed, buffer
 		if e.event, err = wire.ParseKernelEvent(buffer.bytes()); err != nil {
@@ -88,11 +88,12 @@
 		awaitWriters(l)
 	}
 	if l.requests.used != 0 || l.counters.Succeeded != l.counters.Requests || l.counters.Succeeded == 0 {
-		b.Fatalf("%d in hand, %d done of %d", l.requests.used, l.counters.Succeeded, l.counters.Requests)
+		b.Fatalf("requests in progress = %d, succeeded = %d of %d, want 0 and all", l.requests.used,
+			l.counters.Succeeded, l.counters.Requests)
 	}
 }
 
-// BenchmarkLoopRejection is what one request costs that is rejected before the controller hears of it.
+// BenchmarkLoopRejection measures the loop's cost of a request rejected before the controller.
 func BenchmarkLoopRejection(b *testing.B) {
 	l, p := newBenchLoop(b)
 	l.controller = nil
@@ -103,7 +104,7 @@
 		text = fmt.Appendf(text[:0], "POST /rpc/get HTTP/1.1\r\nRequest-Id: %016x\r\nReceived-At: %d\r\nSent-By: 1\r\n"+
 			"Footprint-Kb: 1\r\nContent-Length: 4\r\n\r\nbody", n, time.Now().UnixMilli())
 		buffer := l.pool.get()
-		buffer.n = copy(buffer.b[:], text)
+		buffer.length = copy(buffer.data[:], text)
 		read, _, err := p.parse(buffer, &l.limits)
 		if err != nil {
 			b.Fatal(err)
@@ -115,6 +116,6 @@
 		awaitWriters(l)
 	}
 	if l.requests.used != 0 || l.counters.Requests != 0 {
-		b.Fatalf("%d in hand of %d", l.requests.used, l.counters.Requests)
+		b.Fatalf("requests in progress = %d, accepted = %d, want 0 and 0", l.requests.used, l.counters.Requests)
 	}
 }
