--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -351,7 +351,7 @@
 }
 
 // The listener survives any accept error and warns once per series of errors.
-func TestListenerReacceptCallsAcceptErrors(t *testing.T) {
+func TestListenerRetriesAcceptErrors(t *testing.T) {
 	ln, err := newListener("127.0.0.1:0", 4, time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
