--- a/cmd/umberwinch/built_test.go
+++ b/cmd/umberwinch/built_test.go
@@ -16,9 +16,9 @@
 	"time"
 )
 
-// TestBuilt builds by the deploy file's line and holds the program to what the platform asks of it: linked against the
+// TestBuiltProgram builds by the deploy file's line and holds the program to what the platform asks of it: linked against the
 // C library, started by the run line's own words, health answered, light at idle, ended by SIGTERM.
-func TestBuilt(t *testing.T) {
+func TestBuiltProgram(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/umberwinch/main.go
+++ b/cmd/umberwinch/main.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// logLines are kept for a log reader that is slow; what is over is left out and counted.
-	logLines = 4096
-	// logFlush is how long the last lines may take.
-	logFlush = 200 * time.Millisecond
+	// logQueueLength are kept for a log reader that is slow; what is over is left out and counted.
+	logQueueLength = 4096
+	// logFlushTimeout is how long the last lines may take.
+	logFlushTimeout = 200 * time.Millisecond
 )
 
 func main() {
@@ -35,7 +35,7 @@
 		os.Exit(2)
 	}
 	form, from := node.Logs()
-	lines := logging.NewWriter(os.Stderr, logLines)
+	lines := logging.NewWriter(os.Stderr, logQueueLength)
 	log := logging.New(lines, form, from)
 	if level, err := logrus.ParseLevel(os.Getenv("UMBERWINCH_LOG")); err == nil {
 		log.SetLevel(level)
@@ -45,7 +45,7 @@
 		log.Error(err)
 	}
 	log.SetOutput(io.Discard) // goroutines that still log have nobody to write for them
-	lines.Close(logFlush)
+	lines.Close(logFlushTimeout)
 	if err != nil {
 		os.Exit(1)
 	}
--- a/deploy/sites/sites_test.go
+++ b/deploy/sites/sites_test.go
@@ -14,8 +14,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// site is what a site file says of classes and tenants.
-type site struct {
+// siteFile is what a site file says of classes and tenants.
+type siteFile struct {
 	Name  string
 	Class []struct {
 		Name     string
@@ -37,8 +37,8 @@
 	}
 }
 
-// variants gives the folders.
-func variants(t *testing.T) []string {
+// siteFolders gives the folders.
+func siteFolders(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("*/*.toml")
 	if err != nil || len(files) < 2 {
@@ -51,7 +51,7 @@
 	return folders
 }
 
-func read(t *testing.T, folder string) (s site) {
+func readSite(t *testing.T, folder string) (s siteFile) {
 	t.Helper()
 	if _, err := toml.DecodeFile(filepath.Join(folder, folder+".toml"), &s); err != nil {
 		t.Fatal(err)
@@ -59,9 +59,9 @@
 	return s
 }
 
-func TestVariantsAreWhole(t *testing.T) {
-	for _, folder := range variants(t) {
-		s := read(t, folder)
+func TestSitesAreValid(t *testing.T) {
+	for _, folder := range siteFolders(t) {
+		s := readSite(t, folder)
 		if s.Name != folder {
 			t.Errorf("%s: name is %q, expected the folder's", folder, s.Name)
 		}
@@ -82,7 +82,7 @@
 	}
 }
 
-func checkClasses(t *testing.T, s site) {
+func checkClasses(t *testing.T, s siteFile) {
 	t.Helper()
 	total, seen := 0.0, map[string]bool{}
 	for _, c := range s.Class {
@@ -110,7 +110,7 @@
 	}
 }
 
-func checkTenants(t *testing.T, s site) {
+func checkTenants(t *testing.T, s siteFile) {
 	t.Helper()
 	total, seen := 0.0, map[string]bool{}
 	for _, tenant := range s.Tenant {
@@ -142,10 +142,10 @@
 }
 
 // No program and no deploy file knows a name of a class or tenant: they come from the settings alone.
-func TestNamesComeFromSettingsAlone(t *testing.T) {
+func TestProgramsNameNoClassOrTenant(t *testing.T) {
 	var quoted []string
-	for _, folder := range variants(t) {
-		s := read(t, folder)
+	for _, folder := range siteFolders(t) {
+		s := readSite(t, folder)
 		for _, c := range s.Class {
 			quoted = append(quoted, `"`+c.Name+`"`)
 		}
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -40,7 +40,7 @@
 	return out
 }
 
-func read(t *testing.T, file string) string {
+func readFile(t *testing.T, file string) string {
 	t.Helper()
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -71,9 +71,9 @@
 }
 
 // A link to a file or heading leads to one that is there.
-func TestLinksLeadSomewhere(t *testing.T) {
+func TestLinksResolve(t *testing.T) {
 	for _, page := range pages(t) {
-		text := read(t, page)
+		text := readFile(t, page)
 		for _, m := range markdownLink.FindAllStringSubmatch(text, -1) {
 			target, heading, _ := strings.Cut(m[1], "#")
 			if strings.Contains(target, "://") {
@@ -88,7 +88,7 @@
 				t.Errorf("%s links to %s, which isn't there", page, m[1])
 				continue
 			}
-			if heading != "" && (info.IsDir() || !anchors(read(t, file))[heading]) {
+			if heading != "" && (info.IsDir() || !anchors(readFile(t, file))[heading]) {
 				t.Errorf("%s links to the heading %s, which isn't there", page, m[1])
 			}
 		}
@@ -104,7 +104,7 @@
 			strings.HasSuffix(page, "standing.md") {
 			continue
 		}
-		for _, m := range codeSpan.FindAllStringSubmatch(read(t, page), -1) {
+		for _, m := range codeSpan.FindAllStringSubmatch(readFile(t, page), -1) {
 			if !pathSpan.MatchString(m[1]) {
 				continue
 			}
@@ -127,7 +127,7 @@
 		if err != nil || !strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		for _, m := range testFunc.FindAllStringSubmatch(read(t, path), -1) {
+		for _, m := range testFunc.FindAllStringSubmatch(readFile(t, path), -1) {
 			known[m[1]] = true
 		}
 		return nil
@@ -140,7 +140,7 @@
 			strings.HasSuffix(page, "standing.md") {
 			continue
 		}
-		for _, name := range spans(read(t, page)) {
+		for _, name := range codeSpans(readFile(t, page)) {
 			if testSpan.MatchString(name) && !known[name] {
 				t.Errorf("%s names %s, which isn't there", page, name)
 			}
@@ -237,8 +237,8 @@
 	}
 }
 
-// rows gives the cells of a page's tables that have so many columns, without their heads.
-func rows(text string, columns int) [][]string {
+// tableRows gives the cells of a page's tables that have so many columns, without their heads.
+func tableRows(text string, columns int) [][]string {
 	var out [][]string
 	for _, line := range strings.Split(text, "\n") {
 		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), " | ")
@@ -253,7 +253,7 @@
 	return out
 }
 
-func spans(cell string) []string {
+func codeSpans(cell string) []string {
 	var out []string
 	for _, m := range codeSpan.FindAllStringSubmatch(cell, -1) {
 		out = append(out, m[1])
@@ -265,12 +265,12 @@
 func TestGlossaryNamesExist(t *testing.T) {
 	known := declared(t)
 	found := 0
-	page := read(t, "glossary.md")
-	if short := rows(page, 4); len(short) > 0 {
+	page := readFile(t, "glossary.md")
+	if short := tableRows(page, 4); len(short) > 0 {
 		t.Errorf("rows with four columns, expected five: %v", short)
 	}
-	for _, row := range rows(page, 5) {
-		for _, name := range spans(row[4]) {
+	for _, row := range tableRows(page, 5) {
+		for _, name := range codeSpans(row[4]) {
 			found++
 			if pathSpan.MatchString(name) {
 				continue // TestNamedPathsExist
@@ -287,21 +287,21 @@
 
 // Each rule of the page of decisions stands in the file that its row names, and its constants stand in that file's
 // package.
-func TestDecisionsNameRulesThatExist(t *testing.T) {
+func TestDecisionRulesExist(t *testing.T) {
 	known := declared(t)
 	found := 0
-	for _, row := range rows(read(t, "decisions.md"), 7) {
-		files := spans(row[2])
+	for _, row := range tableRows(readFile(t, "decisions.md"), 7) {
+		files := codeSpans(row[2])
 		if len(files) == 0 {
 			continue
 		}
 		found++
-		for _, name := range spans(row[1]) {
+		for _, name := range codeSpans(row[1]) {
 			if !declaredIn(known[packageOf(files[0])+"."+name], files) {
 				t.Errorf("%q: found no %s in %v", row[0], name, files)
 			}
 		}
-		for _, name := range spans(row[4]) {
+		for _, name := range codeSpans(row[4]) {
 			if pathSpan.MatchString(name) {
 				continue // TestNamedPathsExist
 			}
@@ -353,8 +353,8 @@
 // minConstantPart of a quoted message, in bytes: one with less would be found in any literal.
 const minConstantPart = 4
 
-// quotesSource tells whether a folder's string literals repeat messages of other packages, as fault tests do.
-func quotesSource(folder string) bool {
+// repeatsMessages tells whether a folder's string literals repeat messages of other packages, as fault tests do.
+func repeatsMessages(folder string) bool {
 	switch filepath.Base(folder) {
 	case "harness", "simulation", "testdata":
 		return true
@@ -373,7 +373,7 @@
 			switch {
 			case err != nil:
 				return err
-			case entry.IsDir() && quotesSource(path):
+			case entry.IsDir() && repeatsMessages(path):
 				return filepath.SkipDir
 			case !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 				return nil
@@ -446,7 +446,7 @@
 			strings.HasSuffix(page, "standing.md") {
 			continue
 		}
-		for _, m := range quotedMessage.FindAllStringSubmatch(read(t, page), -1) {
+		for _, m := range quotedMessage.FindAllStringSubmatch(readFile(t, page), -1) {
 			found[filepath.Base(page)]++
 			if !isMessage(literals, m[1]) {
 				t.Errorf("%s quotes the log message %q, which no program writes", page, m[1])
@@ -487,7 +487,7 @@
 var nameInFile = regexp.MustCompile("`([A-Za-z][\\w.]*)`(?:, | in | \\()`((?:admission|internal)/[\\w./-]+\\.go)`")
 
 // A name that a page gives together with its file is declared in that file.
-func TestNamesAreInTheFilesBesideThem(t *testing.T) {
+func TestNamesAreDeclaredInQuotedFiles(t *testing.T) {
 	known := declared(t)
 	found := 0
 	for _, page := range pages(t) {
@@ -495,7 +495,7 @@
 			strings.HasSuffix(page, "standing.md") {
 			continue
 		}
-		for _, m := range nameInFile.FindAllStringSubmatch(read(t, page), -1) {
+		for _, m := range nameInFile.FindAllStringSubmatch(readFile(t, page), -1) {
 			name, file := m[1], m[2]
 			if strings.HasSuffix(name, ".go") {
 				continue
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -34,8 +34,8 @@
 	os.Exit(code)
 }
 
-// run gives what a command printed and its exit status.
-func run(t *testing.T, args ...string) (out, errs string, code int) {
+// runCommand gives what a command printed and its exit status.
+func runCommand(t *testing.T, args ...string) (stdout, stderr string, code int) {
 	t.Helper()
 	cmd := exec.Command(program, args...)
 	var o, e bytes.Buffer
@@ -47,18 +47,18 @@
 	return o.String(), e.String(), cmd.ProcessState.ExitCode()
 }
 
-// want runs a command that has to end with a status and print something.
-func want(t *testing.T, code int, text string, args ...string) string {
+// expect runs a command that has to end with a status and print something.
+func expect(t *testing.T, status int, text string, args ...string) string {
 	t.Helper()
-	out, errs, got := run(t, args...)
-	if got != code || !strings.Contains(out+errs, text) {
+	out, errs, got := runCommand(t, args...)
+	if got != status || !strings.Contains(out+errs, text) {
 		t.Fatalf("umberctl %s: status %d\n%s%s\nexpected %d and %q", strings.Join(args, " "), got, out, errs,
-			code, text)
+			status, text)
 	}
 	return out
 }
 
-func file(t *testing.T, dir, name, text string) string {
+func writeFile(t *testing.T, dir, name, text string) string {
 	t.Helper()
 	path := filepath.Join(dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -68,12 +68,12 @@
 }
 
 // startInstance runs an instance as a process of its own until the test ends, and gives its address for clients.
-func startInstance(t *testing.T, dir, name, how string, host int) (listen string, cmd *exec.Cmd) {
+func startInstance(t *testing.T, dir, name, start string, host int) (listen string, cmd *exec.Cmd) {
 	t.Helper()
 	at := fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()>>8&0x7f, os.Getpid()&0xff, host)
 	listen = at + ":7201"
-	path := file(t, dir, name+".ini", fmt.Sprintf("[instance]\nname = %s\ndata = %s\nstart = %s\npeer = %s:7101\n"+
-		"listen = %s\n[group]\ntick = 20ms\n[log]\nform = json\n", name, filepath.Join(dir, name), how, at, listen))
+	path := writeFile(t, dir, name+".ini", fmt.Sprintf("[instance]\nname = %s\ndata = %s\nstart = %s\npeer = %s:7101\n"+
+		"listen = %s\n[group]\ntick = 20ms\n[log]\nform = json\n", name, filepath.Join(dir, name), start, at, listen))
 	cmd = exec.Command(program, "control", "run", "--file", path)
 	logs, err := cmd.StderrPipe()
 	if err != nil {
@@ -105,11 +105,11 @@
 }
 
 // Files and lines that are wrong: status 2, what was found and expected, and nothing is made.
-func TestWrongFileStartsNothing(t *testing.T) {
+func TestInvalidFileStartsNothing(t *testing.T) {
 	dir := t.TempDir()
-	path := file(t, dir, "c.ini", "[instance]\nname = a\ndata = "+filepath.Join(dir, "data")+
+	path := writeFile(t, dir, "c.ini", "[instance]\nname = a\ndata = "+filepath.Join(dir, "data")+
 		"\nstart = never\n[group]\ntick = 9h\n")
-	_, errs, code := run(t, "control", "run", "--file", path)
+	_, errs, code := runCommand(t, "control", "run", "--file", path)
 	lines := strings.Split(strings.TrimSpace(errs), "\n")
 	if code != 2 || len(lines) != 2 || !strings.HasPrefix(lines[0], path+":4: instance.start: found ") ||
 		!strings.HasPrefix(lines[1], path+":6: group.tick: found ") {
@@ -118,38 +118,38 @@
 	if _, err := os.Stat(filepath.Join(dir, "data")); !os.IsNotExist(err) {
 		t.Fatal("a folder was made by a wrong file")
 	}
-	want(t, 2, "no such file", "control", "run", "--file", filepath.Join(dir, "none"))
-	want(t, 2, "unknown flag", "control", "run", "--fil", path)
-	want(t, 2, "accepts 1 arg", "config", "put")
-	want(t, 2, `guard "x", expected one of`, "lab", "raft", "--without", "x")
+	expect(t, 2, "no such file", "control", "run", "--file", filepath.Join(dir, "none"))
+	expect(t, 2, "unknown flag", "control", "run", "--fil", path)
+	expect(t, 2, "accepts 1 arg", "config", "put")
+	expect(t, 2, `guard "x", expected one of`, "lab", "raft", "--without", "x")
 }
 
 // A group of two: an operator puts versions, compares, is refused wrong ones, watches, and saves a snapshot. One
 // instance is stopped: nothing can be read. A new group of one begins from the snapshot, and has the last version.
-func TestOperatorRunsGroupAndRestoresIt(t *testing.T) {
+func TestGroupIsOperatedAndRestored(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	a, first := startInstance(t, dir, "a", "new", 1)
 	b, _ := startInstance(t, dir, "b", "join", 2)
 	at := "--at=" + a + "," + b
-	want(t, 0, "b  ", "control", "members", "add", b, at)
-	one := file(t, dir, "one.ini", "[class view]\nkind = replayable\n[class file]\nkind = uniqued\nwindow = 20s\n")
-	want(t, 0, "sound alone", "config", "check", one, at)
-	want(t, 0, "taken: version 1", "config", "put", one, at, "--reason", "the first", "--author", "op")
-	want(t, 0, "unchanged: version 1", "config", "put", one, at)
-	want(t, 0, "window = 20s", "config", "get", "--at="+b)
-	two := file(t, dir, "two.ini", "[class view]\nkind = replayable\n[class file]\nkind = uniqued\nwindow = 30s\n")
-	want(t, 0, "~ [class file] window = 30s (was 20s)", "config", "diff", two, at)
-	want(t, 3, "made from version 0, expected 1", "config", "put", two, at, "--base", "0")
-	want(t, 0, "taken: version 2", "config", "put", two, at)
-	want(t, 2, "class file.window: found 20s, expected 30s at least", "config", "check", one, at)
-	want(t, 3, "refused: version 2", "config", "put", one, at)
-	want(t, 2, "kind: found none of them", "config", "put", file(t, dir, "bad.ini", "[class x]\n"), at)
-	want(t, 0, "the first", "config", "history", at)
-	want(t, 3, "version 9, expected one from 1 to 2", "config", "get", "--version", "9", at)
+	expect(t, 0, "b  ", "control", "members", "add", b, at)
+	one := writeFile(t, dir, "one.ini", "[class view]\nkind = replayable\n[class file]\nkind = uniqued\nwindow = 20s\n")
+	expect(t, 0, "sound alone", "config", "check", one, at)
+	expect(t, 0, "taken: version 1", "config", "put", one, at, "--reason", "the first", "--author", "op")
+	expect(t, 0, "unchanged: version 1", "config", "put", one, at)
+	expect(t, 0, "window = 20s", "config", "get", "--at="+b)
+	two := writeFile(t, dir, "two.ini", "[class view]\nkind = replayable\n[class file]\nkind = uniqued\nwindow = 30s\n")
+	expect(t, 0, "~ [class file] window = 30s (was 20s)", "config", "diff", two, at)
+	expect(t, 3, "made from version 0, expected 1", "config", "put", two, at, "--base", "0")
+	expect(t, 0, "taken: version 2", "config", "put", two, at)
+	expect(t, 2, "class file.window: found 20s, expected 30s at least", "config", "check", one, at)
+	expect(t, 3, "refused: version 2", "config", "put", one, at)
+	expect(t, 2, "kind: found none of them", "config", "put", writeFile(t, dir, "bad.ini", "[class x]\n"), at)
+	expect(t, 0, "the first", "config", "history", at)
+	expect(t, 3, "version 9, expected one from 1 to 2", "config", "get", "--version", "9", at)
 
 	var vs []consensus.Version
-	if err := json.Unmarshal([]byte(want(t, 0, "", "config", "history", "--json", at)), &vs); err != nil ||
+	if err := json.Unmarshal([]byte(expect(t, 0, "", "config", "history", "--json", at)), &vs); err != nil ||
 		len(vs) != 2 || vs[0].Author != "op" || vs[1].Parent != 1 {
 		t.Fatalf("history %+v (%v)", vs, err)
 	}
@@ -170,7 +170,7 @@
 	}
 
 	saved := filepath.Join(dir, "saved")
-	want(t, 0, "saved version 2", "control", "snapshot", "save", saved, at)
+	expect(t, 0, "saved version 2", "control", "snapshot", "save", saved, at)
 	if err := first.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -178,14 +178,14 @@
 	if first.ProcessState.ExitCode() != 0 {
 		t.Fatalf("status %d after SIGTERM, expected 0", first.ProcessState.ExitCode())
 	}
-	want(t, 0, "no answer", "control", "status", "--at="+b)
-	want(t, 4, "may or may not have been done", "config", "get", at, "--within", "300ms")
+	expect(t, 0, "no answer", "control", "status", "--at="+b)
+	expect(t, 4, "may or may not have been done", "config", "get", at, "--within", "300ms")
 
-	alone := file(t, dir, "r.ini", fmt.Sprintf("[instance]\nname = r\ndata = %s\n", filepath.Join(dir, "r")))
-	want(t, 0, "a new group of one with version 2", "control", "snapshot", "restore", saved, "--file", alone)
-	want(t, 1, "belongs to an instance already", "control", "snapshot", "restore", saved, "--file", alone)
+	alone := writeFile(t, dir, "r.ini", fmt.Sprintf("[instance]\nname = r\ndata = %s\n", filepath.Join(dir, "r")))
+	expect(t, 0, "a new group of one with version 2", "control", "snapshot", "restore", saved, "--file", alone)
+	expect(t, 1, "belongs to an instance already", "control", "snapshot", "restore", saved, "--file", alone)
 	r, _ := startInstance(t, dir, "r", "join", 3) // the folder wins over the file
-	want(t, 0, "window = 30s", "config", "get", "--at="+r)
+	expect(t, 0, "window = 30s", "config", "get", "--at="+r)
 }
 
 // An instance with five versions is killed, and a byte in the middle of its log changes: it does not start, says where,
@@ -194,7 +194,7 @@
 	dir := t.TempDir()
 	a, cmd := startInstance(t, dir, "a", "new", 4)
 	for n := 1; n <= 5; n++ {
-		want(t, 0, "taken", "config", "put", file(t, dir, "c.ini", fmt.Sprintf("[tenant t]\nrate = %d\n", n)),
+		expect(t, 0, "taken", "config", "put", writeFile(t, dir, "c.ini", fmt.Sprintf("[tenant t]\nrate = %d\n", n)),
 			"--at="+a)
 	}
 	cmd.Process.Kill()
@@ -211,7 +211,7 @@
 	if err := os.WriteFile(segments[0], raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	want(t, 1, filepath.Base(segments[0])+" at byte ", "control", "run", "--file", filepath.Join(dir, "a.ini"))
+	expect(t, 1, filepath.Base(segments[0])+" at byte ", "control", "run", "--file", filepath.Join(dir, "a.ini"))
 	if after, err := os.ReadFile(segments[0]); err != nil || !bytes.Equal(raw, after) {
 		t.Fatalf("the damaged file was changed (%v)", err)
 	}
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -23,56 +23,56 @@
 
 // client sends requests to a group: it tries one instance after the other until one responds.
 type client struct {
-	at    []string
-	http  *http.Client
-	web   string // http or https
-	token string
-	tries time.Duration // how long it retries
-	json  bool
+	addresses    []string
+	http         *http.Client
+	scheme       string // http or https
+	token        string
+	retryTimeout time.Duration // how long it retries
+	printJSON    bool
 }
 
-// access is what the flags of every command that sends requests to a group say.
-type access struct {
-	at, cert, key, ca, token string
-	within                   time.Duration
-	json                     bool
+// clientOptions is what the flags of every command that sends requests to a group say.
+type clientOptions struct {
+	addresses, certFile, keyFile, caFile, tokenFile string
+	retryTimeout                                    time.Duration
+	printJSON                                       bool
 }
 
-func (a *access) flags(c *cobra.Command) {
+func (o *clientOptions) addFlags(c *cobra.Command) {
 	f := c.PersistentFlags()
-	f.StringVar(&a.at, "at", "127.0.0.1:7201", "where instances listen, separated by commas; each is tried in turn")
-	f.StringVar(&a.cert, "certificate", "", "this client's certificate (PEM), where the group has TLS")
-	f.StringVar(&a.key, "key", "", "its key (PEM)")
-	f.StringVar(&a.ca, "authority", "", "the group's authority (PEM)")
-	f.StringVar(&a.token, "token-file", "", "file with the token that [clients] requires")
-	f.DurationVar(&a.within, "within", 15*time.Second, "how long to retry")
-	f.BoolVar(&a.json, "json", false, "print JSON")
+	f.StringVar(&o.addresses, "at", "127.0.0.1:7201", "where instances listen, separated by commas; each is tried in turn")
+	f.StringVar(&o.certFile, "certificate", "", "this client's certificate (PEM), where the group has TLS")
+	f.StringVar(&o.keyFile, "key", "", "its key (PEM)")
+	f.StringVar(&o.caFile, "authority", "", "the group's authority (PEM)")
+	f.StringVar(&o.tokenFile, "token-file", "", "file with the token that [clients] requires")
+	f.DurationVar(&o.retryTimeout, "within", 15*time.Second, "how long to retry")
+	f.BoolVar(&o.printJSON, "json", false, "print JSON")
 }
 
-func (a *access) client() (*client, error) {
-	c := &client{at: strings.Split(a.at, ","), web: "http", tries: a.within, json: a.json}
+func (o *clientOptions) client() (*client, error) {
+	c := &client{addresses: strings.Split(o.addresses, ","), scheme: "http", retryTimeout: o.retryTimeout, printJSON: o.printJSON}
 	transport := &http.Transport{ResponseHeaderTimeout: 20 * time.Second, MaxIdleConnsPerHost: 64}
-	if a.ca != "" || a.cert != "" || a.key != "" {
-		pair, err := tls.LoadX509KeyPair(a.cert, a.key)
+	if o.caFile != "" || o.certFile != "" || o.keyFile != "" {
+		pair, err := tls.LoadX509KeyPair(o.certFile, o.keyFile)
 		if err != nil {
-			return nil, usage(fmt.Errorf("--certificate and --key: %w", err))
+			return nil, usageError(fmt.Errorf("--certificate and --key: %w", err))
 		}
-		raw, err := os.ReadFile(a.ca)
+		raw, err := os.ReadFile(o.caFile)
 		if err != nil {
-			return nil, usage(fmt.Errorf("--authority: %w", err))
+			return nil, usageError(fmt.Errorf("--authority: %w", err))
 		}
 		pool := x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(raw) {
-			return nil, usage(fmt.Errorf("--authority: found no certificate in %s, expected PEM", a.ca))
+			return nil, usageError(fmt.Errorf("--authority: found no certificate in %s, expected PEM", o.caFile))
 		}
 		transport.TLSClientConfig = &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool,
 			Certificates: []tls.Certificate{pair}}
-		c.web = "https"
+		c.scheme = "https"
 	}
-	if a.token != "" {
-		raw, err := os.ReadFile(a.token)
+	if o.tokenFile != "" {
+		raw, err := os.ReadFile(o.tokenFile)
 		if err != nil {
-			return nil, usage(fmt.Errorf("--token-file: %w", err))
+			return nil, usageError(fmt.Errorf("--token-file: %w", err))
 		}
 		c.token = strings.TrimSpace(string(raw))
 	}
@@ -80,22 +80,22 @@
 	return c, nil
 }
 
-// errUnknown says that a request may or may not have had its effect. It stands also where each instance answered 503:
+// errOutcomeUnknown says that a request may or may not have had its effect. It stands also where each instance answered 503:
 // some of those, as after a timeout or a change of leaders, leave open whether the request took effect.
-var errUnknown = errors.New("no result from any instance: what was asked for may or may not have been done")
+var errOutcomeUnknown = errors.New("no result from any instance: what was asked for may or may not have been done")
 
-// refusal is a response that is not 200.
-type refusal struct {
-	code int
+// errorResponse is a response that is not 200.
+type errorResponse struct {
+	status int
 	consensus.Failure
 	body []byte
 }
 
-func (r *refusal) Error() string { return r.Failure.Error }
+func (r *errorResponse) Error() string { return r.Failure.Error }
 
-// one sends a request to one instance.
-func (c *client) one(ctx context.Context, at, method, path string, body []byte) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, method, c.web+"://"+at+path, bytes.NewReader(body))
+// sendTo sends a request to one instance.
+func (c *client) sendTo(ctx context.Context, address, method, path string, body []byte) (*http.Response, error) {
+	req, err := http.NewRequestWithContext(ctx, method, c.scheme+"://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -114,27 +114,27 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &refusal{code: res.StatusCode, body: raw}
+	r := &errorResponse{status: res.StatusCode, body: raw}
 	if json.Unmarshal(raw, &r.Failure) != nil || r.Failure.Error == "" {
 		r.Failure.Error = fmt.Sprintf("%s: %s", res.Status, bytes.TrimSpace(raw))
 	}
 	return nil, r
 }
 
-// ask goes from instance to instance until one responds otherwise than 503.
-func (c *client) ask(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
-	end := time.Now().Add(c.tries)
-	var last error
+// send goes from instance to instance until one responds otherwise than 503.
+func (c *client) send(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
+	deadline := time.Now().Add(c.retryTimeout)
+	var lastErr error
 	for round := 0; ; round++ {
-		for _, at := range c.at {
-			res, err := c.one(ctx, at, method, path, body)
-			var r *refusal
-			if err == nil || errors.As(err, &r) && r.code != http.StatusServiceUnavailable {
+		for _, address := range c.addresses {
+			res, err := c.sendTo(ctx, address, method, path, body)
+			var r *errorResponse
+			if err == nil || errors.As(err, &r) && r.status != http.StatusServiceUnavailable {
 				return res, err
 			}
-			last = fmt.Errorf("%s: %w", at, err)
-			if ctx.Err() != nil || time.Now().After(end) {
-				return nil, fmt.Errorf("%w (the last: %w)", errUnknown, last)
+			lastErr = fmt.Errorf("%s: %w", address, err)
+			if ctx.Err() != nil || time.Now().After(deadline) {
+				return nil, fmt.Errorf("%w (the last: %w)", errOutcomeUnknown, lastErr)
 			}
 		}
 		pause := time.NewTimer(min(50*time.Millisecond<<min(round, 4), 500*time.Millisecond))
@@ -147,7 +147,7 @@
 
 // get requests JSON.
 func (c *client) get(ctx context.Context, path string, into any) error {
-	res, err := c.ask(ctx, http.MethodGet, path, nil)
+	res, err := c.send(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
@@ -167,17 +167,17 @@
 	if err != nil {
 		return consensus.PutResult{}, err
 	}
-	var a consensus.PutResult
-	res, err := c.ask(ctx, http.MethodPut, "/v1/config", body)
-	var r *refusal
-	if errors.As(err, &r) && json.Unmarshal(r.body, &a) == nil && a.Outcome != "" {
-		return a, nil
+	var result consensus.PutResult
+	res, err := c.send(ctx, http.MethodPut, "/v1/config", body)
+	var r *errorResponse
+	if errors.As(err, &r) && json.Unmarshal(r.body, &result) == nil && result.Outcome != "" {
+		return result, nil
 	}
 	if err != nil {
-		return a, err
+		return result, err
 	}
 	defer res.Body.Close()
-	return a, json.NewDecoder(res.Body).Decode(&a)
+	return result, json.NewDecoder(res.Body).Decode(&result)
 }
 
 func newSession() string {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -21,14 +21,14 @@
 
 func newConfig() *cobra.Command {
 	c := &cobra.Command{Use: "config", Short: "The configuration the group agrees on: read, change, compare, follow"}
-	var a access
-	a.flags(c)
-	c.AddCommand(newGet(&a), newPut(&a), newDiff(&a), newCheck(&a), newHistory(&a), newWatch(&a))
+	var a clientOptions
+	a.addFlags(c)
+	c.AddCommand(newConfigGet(&a), newConfigPut(&a), newConfigDiff(&a), newConfigCheck(&a), newConfigHistory(&a), newConfigWatch(&a))
 	return c
 }
 
 // withClient runs a command with a client.
-func withClient(a *access, f func(context.Context, *client, []string, io.Writer) error) func(*cobra.Command,
+func withClient(a *clientOptions, f func(context.Context, *client, []string, io.Writer) error) func(*cobra.Command,
 	[]string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		c, err := a.client()
@@ -39,7 +39,7 @@
 	}
 }
 
-func (c *client) version(ctx context.Context, number uint64, stale bool) (*consensus.Version, error) {
+func (c *client) fetchVersion(ctx context.Context, number uint64, stale bool) (*consensus.Version, error) {
 	path := "/v1/config?"
 	if number > 0 {
 		path += "version=" + strconv.FormatUint(number, 10) + "&"
@@ -51,29 +51,29 @@
 	return &v, c.get(ctx, path, &v)
 }
 
-// current gives the version in force, nil before the first.
-func (c *client) current(ctx context.Context) (*consensus.Version, error) {
-	v, err := c.version(ctx, 0, false)
-	var r *refusal
-	if errors.As(err, &r) && r.code == http.StatusNotFound {
+// fetchCurrent gives the version in force, nil before the first.
+func (c *client) fetchCurrent(ctx context.Context) (*consensus.Version, error) {
+	v, err := c.fetchVersion(ctx, 0, false)
+	var r *errorResponse
+	if errors.As(err, &r) && r.status == http.StatusNotFound {
 		return nil, nil
 	}
 	return v, err
 }
 
-func newGet(a *access) *cobra.Command {
+func newConfigGet(a *clientOptions) *cobra.Command {
 	var number uint64
 	var stale bool
-	c := &cobra.Command{Use: "get", Short: "Print a version's text, the newest by default", Args: exact(0),
+	c := &cobra.Command{Use: "get", Short: "Print a version's text, the newest by default", Args: exactArgs(0),
 		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
-			v, err := c.version(ctx, number, stale)
+			v, err := c.fetchVersion(ctx, number, stale)
 			if err != nil {
 				return err
 			}
-			if c.json {
+			if c.printJSON {
 				return printJSON(w, v)
 			}
-			fmt.Fprintf(w, "; version %d of %s by %s: %s\n; hash %s\n%s", v.Number, when(v.At), v.Author, v.Reason,
+			fmt.Fprintf(w, "; version %d of %s by %s: %s\n; hash %s\n%s", v.Number, formatTime(v.At), v.Author, v.Reason,
 				v.Hash, v.Text)
 			return nil
 		})}
@@ -82,7 +82,7 @@
 	return c
 }
 
-func when(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02 15:04:05Z") }
+func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02 15:04:05Z") }
 
 func readText(path string) ([]byte, error) {
 	if path == "-" {
@@ -90,16 +90,16 @@
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	return raw, nil
 }
 
-func newPut(a *access) *cobra.Command {
+func newConfigPut(a *clientOptions) *cobra.Command {
 	var base int64
 	var reason, author string
 	c := &cobra.Command{Use: "put FILE", Short: "Put a new version; FILE may be - for standard input",
-		Args: exact(1), Long: `Checks the document, then puts it as the group's next version. It names the version
+		Args: exactArgs(1), Long: `Checks the document, then puts it as the group's next version. It names the version
 it was made from (--base, the newest if not given): if there is another since, that is a conflict and nothing is
 changed. Retries count once, whatever happens to responses on the way.`,
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
@@ -109,12 +109,12 @@
 			}
 			next, err := document.Parse(args[0], raw)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			p := consensus.Put{Author: author, Reason: reason, Text: string(next.Canonical()), Base: uint64(max(0,
 				base))}
 			if base < 0 {
-				v, err := c.current(ctx)
+				v, err := c.fetchCurrent(ctx)
 				if err != nil {
 					return err
 				}
@@ -122,42 +122,42 @@
 					p.Base = v.Number
 				}
 			}
-			end, err := c.put(ctx, p)
+			result, err := c.put(ctx, p)
 			if err != nil {
 				return err
 			}
-			if c.json {
-				if err := printJSON(w, end); err != nil {
+			if c.printJSON {
+				if err := printJSON(w, result); err != nil {
 					return err
 				}
 			} else {
-				fmt.Fprintf(w, "%s: version %d\n", end.Outcome, end.Version)
+				fmt.Fprintf(w, "%s: version %d\n", result.Outcome, result.Version)
 			}
-			if end.Outcome != consensus.PutCommitted && end.Outcome != consensus.PutUnchanged {
-				return coded{errors.New(end.Reason), exitRefused}
+			if result.Outcome != consensus.PutCommitted && result.Outcome != consensus.PutUnchanged {
+				return exitError{errors.New(result.Reason), exitRefused}
 			}
 			return nil
 		})}
 	c.Flags().Int64Var(&base, "base", -1, "the version it was made from; -1 for the newest")
 	c.Flags().StringVar(&reason, "reason", "", "why, for the history")
-	c.Flags().StringVar(&author, "author", whoami(), "who puts it, for the history")
+	c.Flags().StringVar(&author, "author", currentUser(), "who puts it, for the history")
 	return c
 }
 
-func whoami() string {
+func currentUser() string {
 	if u, err := user.Current(); err == nil && u.Username != "" {
 		return u.Username
 	}
 	return "unknown"
 }
 
-func newDiff(a *access) *cobra.Command {
+func newConfigDiff(a *clientOptions) *cobra.Command {
 	var from, to uint64
 	c := &cobra.Command{Use: "diff [FILE]", Short: "What a file, or a version, would change",
 		Args: cobra.MaximumNArgs(1), Long: `With FILE: what it would change in the version in force (or --from).
 Without: what changed from version --from to --to (the one before the newest, and the newest, if not given).`,
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
-			newest, err := c.current(ctx)
+			newest, err := c.fetchCurrent(ctx)
 			if err != nil {
 				return err
 			}
@@ -174,23 +174,23 @@
 					return err
 				}
 				if next, err = document.Parse(args[0], raw); err != nil {
-					return usage(err)
+					return usageError(err)
 				}
 				if from == 0 {
 					from = newest.Number
 				}
-			} else if next, err = c.document(ctx, to); err != nil {
+			} else if next, err = c.fetchDocument(ctx, to); err != nil {
 				return err
 			}
 			if from == 0 && to > 0 {
 				from = to - 1
 			}
-			was, err := c.document(ctx, from)
+			previous, err := c.fetchDocument(ctx, from)
 			if err != nil {
 				return err
 			}
-			changes := document.Diff(was, next)
-			if c.json {
+			changes := document.Diff(previous, next)
+			if c.printJSON {
 				return printJSON(w, changes)
 			}
 			for _, ch := range changes {
@@ -203,22 +203,22 @@
 	return c
 }
 
-// document gives a version's document, nil for version 0.
-func (c *client) document(ctx context.Context, number uint64) (*document.Document, error) {
+// fetchDocument gives a version's document, nil for version 0.
+func (c *client) fetchDocument(ctx context.Context, number uint64) (*document.Document, error) {
 	if number == 0 {
 		return nil, nil
 	}
-	v, err := c.version(ctx, number, false)
+	v, err := c.fetchVersion(ctx, number, false)
 	if err != nil {
 		return nil, err
 	}
 	return document.Parse(fmt.Sprint("version ", number), []byte(v.Text))
 }
 
-func newCheck(a *access) *cobra.Command {
+func newConfigCheck(a *clientOptions) *cobra.Command {
 	var alone bool
 	c := &cobra.Command{Use: "check FILE", Short: "Check a document, alone and after the version in force",
-		Args: exact(1),
+		Args: exactArgs(1),
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			raw, err := readText(args[0])
 			if err != nil {
@@ -226,27 +226,27 @@
 			}
 			next, err := document.Parse(args[0], raw)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			after := "alone"
 			if !alone {
-				v, err := c.current(ctx)
+				v, err := c.fetchCurrent(ctx)
 				if err != nil {
 					return err
 				}
 				if v != nil {
-					was, err := document.Parse(fmt.Sprint("version ", v.Number), []byte(v.Text))
+					previous, err := document.Parse(fmt.Sprint("version ", v.Number), []byte(v.Text))
 					if err != nil {
 						return err
 					}
-					if err = next.Follows(was); err != nil {
-						return usage(err)
+					if err = next.Follows(previous); err != nil {
+						return usageError(err)
 					}
 					after = fmt.Sprint("after version ", v.Number)
 				}
 			}
 			hash := document.Hash(next.Canonical())
-			if c.json {
+			if c.printJSON {
 				return printJSON(w, map[string]string{"checked": after, "hash": hash})
 			}
 			fmt.Fprintf(w, "sound %s, hash %s\n", after, hash)
@@ -256,10 +256,10 @@
 	return c
 }
 
-func newHistory(a *access) *cobra.Command {
+func newConfigHistory(a *clientOptions) *cobra.Command {
 	var from uint64
 	var limit int
-	c := &cobra.Command{Use: "history", Short: "List versions, the newest last", Args: exact(0),
+	c := &cobra.Command{Use: "history", Short: "List versions, the newest last", Args: exactArgs(0),
 		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			path := fmt.Sprintf("/v1/history?limit=%d", limit)
 			if from > 0 {
@@ -269,31 +269,31 @@
 			if err := c.get(ctx, path, &vs); err != nil {
 				return err
 			}
-			if c.json {
+			if c.printJSON {
 				return printJSON(w, vs)
 			}
 			rows := [][]string{{"VERSION", "AT", "BY", "HASH", "REASON"}}
 			for _, v := range vs {
-				rows = append(rows, []string{strconv.FormatUint(v.Number, 10), when(v.At), v.Author, v.Hash[:12],
+				rows = append(rows, []string{strconv.FormatUint(v.Number, 10), formatTime(v.At), v.Author, v.Hash[:12],
 					v.Reason})
 			}
-			return table(w, rows)
+			return printTable(w, rows)
 		})}
 	c.Flags().Uint64Var(&from, "from", 0, "first version; 0 for the last ones")
 	c.Flags().IntVar(&limit, "limit", 20, "how many, 1 to 1000")
 	return c
 }
 
-func newWatch(a *access) *cobra.Command {
+func newConfigWatch(a *clientOptions) *cobra.Command {
 	var from uint64
 	c := &cobra.Command{Use: "watch", Short: "Follow versions as they come, without a gap or a double",
-		Args: exact(0),
+		Args: exactArgs(0),
 		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			return c.watch(ctx, from, func(v *consensus.Version) error {
-				if c.json {
+				if c.printJSON {
 					return json.NewEncoder(w).Encode(v)
 				}
-				_, err := fmt.Fprintf(w, "version %d of %s by %s: %s\n", v.Number, when(v.At), v.Author, v.Reason)
+				_, err := fmt.Fprintf(w, "version %d of %s by %s: %s\n", v.Number, formatTime(v.At), v.Author, v.Reason)
 				return err
 			})
 		})}
@@ -303,15 +303,15 @@
 
 // watch hands over versions in order from a number on. Where a connection ends it goes on at the next
 // instance with the number that is due.
-func (c *client) watch(ctx context.Context, from uint64, take func(*consensus.Version) error) error {
+func (c *client) watch(ctx context.Context, from uint64, handle func(*consensus.Version) error) error {
 	for round := 0; ctx.Err() == nil; round++ {
 		path := "/v1/watch"
 		if from > 0 {
 			path += "?from=" + strconv.FormatUint(from, 10)
 		}
-		res, err := c.one(ctx, c.at[round%len(c.at)], http.MethodGet, path, nil)
-		var r *refusal
-		if errors.As(err, &r) && r.code != http.StatusServiceUnavailable {
+		res, err := c.sendTo(ctx, c.addresses[round%len(c.addresses)], http.MethodGet, path, nil)
+		var r *errorResponse
+		if errors.As(err, &r) && r.status != http.StatusServiceUnavailable {
 			return err
 		}
 		if err == nil {
@@ -321,7 +321,7 @@
 					from = n + 1
 				}
 			}
-			err = follow(res.Body, &from, take)
+			err = readVersions(res.Body, &from, handle)
 			res.Body.Close()
 			if err != nil {
 				return err
@@ -336,8 +336,8 @@
 	return nil
 }
 
-// follow reads one connection's lines until it ends; an error is the taker's, or a version out of order.
-func follow(body io.Reader, from *uint64, take func(*consensus.Version) error) error {
+// readVersions reads one connection's lines until it ends; an error is the taker's, or a version out of order.
+func readVersions(body io.Reader, next *uint64, handle func(*consensus.Version) error) error {
 	lines := bufio.NewReaderSize(body, 64<<10)
 	for {
 		line, err := lines.ReadBytes('\n')
@@ -352,15 +352,15 @@
 		if err != nil {
 			return err
 		}
-		if v.Number < *from {
+		if v.Number < *next {
 			continue
 		}
-		if v.Number > *from {
-			return fmt.Errorf("version %d, expected %d", v.Number, *from)
+		if v.Number > *next {
+			return fmt.Errorf("version %d, expected %d", v.Number, *next)
 		}
-		if err = take(v); err != nil {
+		if err = handle(v); err != nil {
 			return err
 		}
-		*from++
+		*next++
 	}
 }
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -18,21 +18,21 @@
 
 func newControl() *cobra.Command {
 	c := &cobra.Command{Use: "control", Short: "The control service: run an instance, show and change a group"}
-	var a access
-	a.flags(c)
-	c.AddCommand(newRun(), newLocal(&a), newStatus(&a), newMembers(&a), newSnapshot(&a), newRecover())
+	var a clientOptions
+	a.addFlags(c)
+	c.AddCommand(newControlRun(), newControlLocal(&a), newControlStatus(&a), newControlMembers(&a), newControlSnapshot(&a), newControlRecover())
 	return c
 }
 
-func newRun() *cobra.Command {
+func newControlRun() *cobra.Command {
 	var file string
-	c := &cobra.Command{Use: "run", Short: "Run one instance until SIGTERM", Args: exact(0),
+	c := &cobra.Command{Use: "run", Short: "Run one instance until SIGTERM", Args: exactArgs(0),
 		Long: `Runs one instance of the control service by the operator's file. SIGTERM transfers leadership and
 ends it; SIGHUP reads the certificates again. A write or sync that fails ends it with status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			o, err := config.ReadControl(file)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			return runInstance(cmd.Context(), o, cmd.ErrOrStderr())
 		}}
@@ -68,7 +68,7 @@
 			return g.Err()
 		case <-ctx.Done():
 			log.Info("ending")
-			end, cancel := context.WithTimeout(context.Background(), stopWithin)
+			end, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 			g.Stop(end)
 			cancel()
 			api.Stop()
@@ -77,5 +77,5 @@
 	}
 }
 
-// stopWithin is how long an instance that ends may take to transfer its leadership.
-const stopWithin = 2 * time.Second
+// leaveTimeout is how long an instance that ends may take to transfer its leadership.
+const leaveTimeout = 2 * time.Second
--- a/internal/cli/control_local.go
+++ b/internal/cli/control_local.go
@@ -20,9 +20,9 @@
 
 // Times of a local group.
 const (
-	// restartAfter is how long after its end an instance is started again. One that ends by itself sooner than that
+	// restartDelay is how long after its end an instance is started again. One that ends by itself sooner than that
 	// does not come up at all, as on a folder that can't be used, and ends the command.
-	restartAfter = 2 * time.Second
+	restartDelay = 2 * time.Second
 	// localStopTimeout is how long an instance may take to end before it is killed.
 	localStopTimeout = 5 * time.Second
 	// localJoinTimeout is how long an instance may take to answer, and the group to have all of them as voters.
@@ -34,33 +34,33 @@
 // peerPortOffset is how far below an instance's port for clients its port for peers is.
 const peerPortOffset = 100
 
-// localRequest is what the flags of `control local` ask for.
-type localRequest struct {
+// localGroupOptions is what the flags of `control local` ask for.
+type localGroupOptions struct {
 	dir       string
 	instances int
-	port      int
+	firstPort int
 }
 
-func newLocal(a *access) *cobra.Command {
-	var r localRequest
-	c := &cobra.Command{Use: "local", Short: "Run a whole group on loopback, for a look", Args: exact(0),
+func newControlLocal(a *clientOptions) *cobra.Command {
+	var r localGroupOptions
+	c := &cobra.Command{Use: "local", Short: "Run a whole group on loopback, for a look", Args: exactArgs(0),
 		Long: `Starts instances as processes of their own on loopback ports, takes them into one group, shows it
 and runs until it is interrupted. One that ends is started again two seconds later; the others go on meanwhile.
 Their files, logs and folders stay under --dir, so a later start goes on where this one ended.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if r.instances < 1 || r.instances > 7 {
-				return usage(fmt.Errorf("--instances: found %d, expected 1 to 7", r.instances))
+				return usageError(fmt.Errorf("--instances: found %d, expected 1 to 7", r.instances))
 			}
 			return r.run(cmd.Context(), a, cmd.OutOrStdout())
 		}}
 	c.Flags().StringVar(&r.dir, "dir", "control-local", "folder for their files, logs and data")
 	c.Flags().IntVar(&r.instances, "instances", 3, "how many")
-	c.Flags().IntVar(&r.port, "port", 7201, "first port for clients; peers have those 100 below")
+	c.Flags().IntVar(&r.firstPort, "port", 7201, "first port for clients; peers have those 100 below")
 	return c
 }
 
 // run runs the group until the context ends or an instance does not come up.
-func (r *localRequest) run(ctx context.Context, a *access, w io.Writer) error {
+func (r *localGroupOptions) run(ctx context.Context, a *clientOptions, w io.Writer) error {
 	program, err := os.Executable()
 	if err != nil {
 		return err
@@ -75,8 +75,8 @@
 	g := &localGroup{program: program, client: c, out: w, failed: make(chan error, r.instances+1)}
 	for i := range r.instances {
 		name := string(rune('a' + i))
-		g.instances = append(g.instances, &localInstance{name: name, listen: fmt.Sprintf("127.0.0.1:%d", r.port+i),
-			peer: fmt.Sprintf("127.0.0.1:%d", r.port+i-peerPortOffset), data: filepath.Join(r.dir, name)})
+		g.instances = append(g.instances, &localInstance{name: name, listen: fmt.Sprintf("127.0.0.1:%d", r.firstPort+i),
+			peer: fmt.Sprintf("127.0.0.1:%d", r.firstPort+i-peerPortOffset), data: filepath.Join(r.dir, name)})
 	}
 	if err = g.run(ctx); err != nil {
 		return fmt.Errorf("%w; logs are in %s", err, r.dir)
@@ -102,8 +102,8 @@
 	firstPID                 int
 }
 
-func (i *localInstance) settings() string { return i.data + ".ini" }
-func (i *localInstance) log() string      { return i.data + ".log" }
+func (i *localInstance) configFile() string { return i.data + ".ini" }
+func (i *localInstance) logFile() string    { return i.data + ".log" }
 
 // run starts all instances and returns once all have ended.
 func (g *localGroup) run(ctx context.Context) error {
@@ -111,12 +111,12 @@
 	defer g.supervisors.Wait()
 	defer stop()
 	for n, i := range g.instances {
-		if err := g.begin(running, i, n == 0); err != nil {
+		if err := g.startSupervised(running, i, n == 0); err != nil {
 			return err
 		}
 	}
 	g.supervisors.Go(func() {
-		if err := g.setUp(running); err != nil && running.Err() == nil {
+		if err := g.formGroup(running); err != nil && running.Err() == nil {
 			g.failed <- err
 		}
 	})
@@ -128,9 +128,9 @@
 	}
 }
 
-// begin starts an instance for the first time, and has it started again whenever it ends.
-func (g *localGroup) begin(ctx context.Context, i *localInstance, founds bool) error {
-	if err := i.writeSettings(founds); err != nil {
+// startSupervised starts an instance for the first time, and has it started again whenever it ends.
+func (g *localGroup) startSupervised(ctx context.Context, i *localInstance, founds bool) error {
+	if err := i.writeConfig(founds); err != nil {
 		return err
 	}
 	if err := g.start(ctx, i); err != nil {
@@ -147,12 +147,12 @@
 
 // start runs an instance's process until the context ends.
 func (g *localGroup) start(ctx context.Context, i *localInstance) error {
-	log, err := os.OpenFile(i.log(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	log, err := os.OpenFile(i.logFile(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close() // the process has its own descriptor
-	p := exec.CommandContext(ctx, g.program, "control", "run", "--file", i.settings())
+	p := exec.CommandContext(ctx, g.program, "control", "run", "--file", i.configFile())
 	p.Stderr = log
 	p.Cancel = func() error { return p.Process.Signal(syscall.SIGTERM) }
 	p.WaitDelay = localStopTimeout
@@ -168,19 +168,19 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		if !endedBySignal(err) && time.Since(began) < restartAfter {
-			return fmt.Errorf("instance %s does not come up, see %s: %w", i.name, i.log(), err)
+		if !endedBySignal(err) && time.Since(began) < restartDelay {
+			return fmt.Errorf("instance %s does not come up, see %s: %w", i.name, i.logFile(), err)
 		}
 		how := "status 0"
 		if err != nil {
 			how = err.Error()
 		}
 		fmt.Fprintf(g.out, "instance %s ended (%s); it is started again in %v, the others go on\n", i.name, how,
-			restartAfter)
+			restartDelay)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(restartAfter):
+		case <-time.After(restartDelay):
 		}
 		if err = g.start(ctx, i); err != nil {
 			return err
@@ -195,23 +195,23 @@
 	return err == nil || errors.As(err, &exit) && exit.ExitCode() < 0
 }
 
-// setUp takes all instances into one group, and says how it is reached.
-func (g *localGroup) setUp(ctx context.Context) error {
+// formGroup takes all instances into one group, and says how it is reached.
+func (g *localGroup) formGroup(ctx context.Context) error {
 	var addresses, pids []string
 	for _, i := range g.instances {
 		addresses = append(addresses, i.listen)
 		pids = append(pids, fmt.Sprintf("instance %s: pid %d", i.name, i.firstPID))
 	}
-	g.client.at = addresses
+	g.client.addresses = addresses
 	for _, address := range addresses {
-		if err := g.client.joinOnceUp(ctx, address); err != nil {
+		if err := g.client.addOnceUp(ctx, address); err != nil {
 			return err
 		}
 	}
 	if err := g.client.awaitVoters(ctx, len(addresses)); err != nil {
 		return err
 	}
-	if err := g.client.status(ctx, g.out); err != nil {
+	if err := g.client.printStatus(ctx, g.out); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(g.out, "%s\nrunning; ask it with: umberctl control status --at %s\n",
@@ -220,12 +220,12 @@
 	return err
 }
 
-// joinOnceUp takes an instance into the group once it answers, unless it is a member already.
-func (c *client) joinOnceUp(ctx context.Context, address string) error {
+// addOnceUp takes an instance into the group once it answers, unless it is a member already.
+func (c *client) addOnceUp(ctx context.Context, address string) error {
 	for end := time.Now().Add(localJoinTimeout); ; time.Sleep(localPollInterval) {
-		r, err := c.report(ctx, address)
+		r, err := c.fetchReport(ctx, address)
 		if err == nil {
-			return c.joinUnlessMember(ctx, address, r)
+			return c.addUnlessMember(ctx, address, r)
 		}
 		if ctx.Err() != nil || time.Now().After(end) {
 			return fmt.Errorf("%s does not answer: %w", address, err)
@@ -233,22 +233,22 @@
 	}
 }
 
-func (c *client) joinUnlessMember(ctx context.Context, address string, r *consensus.Report) error {
+func (c *client) addUnlessMember(ctx context.Context, address string, r *consensus.Report) error {
 	if r.Cluster != "" {
 		return nil
 	}
-	ch, err := c.adding(ctx, address)
+	ch, err := c.newAddChange(ctx, address)
 	if err != nil {
 		return err
 	}
-	return c.change(ctx, ch)
+	return c.changeMembers(ctx, ch)
 }
 
 // awaitVoters waits until so many instances are voters.
 func (c *client) awaitVoters(ctx context.Context, count int) error {
 	end := time.Now().Add(localJoinTimeout)
 	for ; time.Now().Before(end) && ctx.Err() == nil; time.Sleep(localPollInterval) {
-		rows, _, err := c.rows(ctx)
+		rows, _, err := c.instanceRows(ctx)
 		voters := 0
 		for _, r := range rows {
 			if r.Report != nil && (r.Report.Role == consensus.RoleLeader || r.Report.Role == consensus.RoleFollower) {
@@ -262,9 +262,9 @@
 	return fmt.Errorf("not all instances became voters in %v", localJoinTimeout)
 }
 
-// writeSettings writes the operator's file, unless it is there from an earlier run.
-func (i *localInstance) writeSettings(founds bool) error {
-	if _, err := os.Stat(i.settings()); err == nil {
+// writeConfig writes the operator's file, unless it is there from an earlier run.
+func (i *localInstance) writeConfig(founds bool) error {
+	if _, err := os.Stat(i.configFile()); err == nil {
 		return nil
 	}
 	start := "join"
@@ -279,5 +279,5 @@
 peer = %s
 listen = %s
 `, i.name, i.data, start, i.peer, i.listen)
-	return os.WriteFile(i.settings(), []byte(text), 0o600)
+	return os.WriteFile(i.configFile(), []byte(text), 0o600)
 }
--- a/internal/cli/control_members.go
+++ b/internal/cli/control_members.go
@@ -12,11 +12,11 @@
 	"umberwinch/internal/control/consensus"
 )
 
-func newMembers(a *access) *cobra.Command {
+func newControlMembers(a *clientOptions) *cobra.Command {
 	c := &cobra.Command{Use: "members", Short: "Add, promote, remove or replace instances; transfer leadership"}
 	change := func(use, short string, n int, build func(context.Context, *client, []string) (consensus.Change,
 		error)) {
-		c.AddCommand(&cobra.Command{Use: use, Short: short, Args: exact(n),
+		c.AddCommand(&cobra.Command{Use: use, Short: short, Args: exactArgs(n),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				c, err := a.client()
 				if err != nil {
@@ -26,44 +26,44 @@
 				if err != nil {
 					return err
 				}
-				if err = c.change(cmd.Context(), ch); err != nil {
+				if err = c.changeMembers(cmd.Context(), ch); err != nil {
 					return err
 				}
-				return c.status(cmd.Context(), cmd.OutOrStdout())
+				return c.printStatus(cmd.Context(), cmd.OutOrStdout())
 			}})
 	}
 	change("add LISTEN", "Add the instance that listens at LISTEN: a learner, and a voter once it caught up", 1,
 		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
-			return c.adding(ctx, args[0])
+			return c.newAddChange(ctx, args[0])
 		})
 	for _, op := range []consensus.ChangeOp{consensus.OpPromote, consensus.OpRemove} {
 		change(string(op)+" NAME", map[consensus.ChangeOp]string{consensus.OpPromote: "Make a learner a voter",
 			consensus.OpRemove: "Remove an instance"}[op], 1,
 			func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
-				m, err := c.member(ctx, args[0])
+				m, err := c.findMember(ctx, args[0])
 				return consensus.Change{Op: op, Member: m}, err
 			})
 	}
 	change("replace NAME BY", "Make the learner BY a voter and remove NAME, in one step", 2,
 		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
-			gone, err := c.member(ctx, args[0])
+			replaced, err := c.findMember(ctx, args[0])
 			if err != nil {
 				return consensus.Change{}, err
 			}
-			m, err := c.member(ctx, args[1])
-			return consensus.Change{Op: consensus.OpReplace, Member: m, ReplacedID: gone.ID}, err
+			m, err := c.findMember(ctx, args[1])
+			return consensus.Change{Op: consensus.OpReplace, Member: m, ReplacedID: replaced.ID}, err
 		})
 	change("transfer NAME", "Transfer leadership to an instance", 1,
 		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
-			m, err := c.member(ctx, args[0])
+			m, err := c.findMember(ctx, args[0])
 			return consensus.Change{Op: consensus.OpTransfer, Member: m}, err
 		})
 	return c
 }
 
-// adding makes the change that adds an instance, by what the instance says of itself.
-func (c *client) adding(ctx context.Context, listen string) (consensus.Change, error) {
-	res, err := c.one(ctx, listen, http.MethodGet, "/v1/self", nil)
+// newAddChange makes the change that adds an instance, by what the instance says of itself.
+func (c *client) newAddChange(ctx context.Context, listen string) (consensus.Change, error) {
+	res, err := c.sendTo(ctx, listen, http.MethodGet, "/v1/self", nil)
 	if err != nil {
 		return consensus.Change{}, fmt.Errorf("%s, the instance to be added: %w", listen, err)
 	}
@@ -76,38 +76,38 @@
 		Listen: s.Listen, Promote: true}}, nil
 }
 
-func (c *client) member(ctx context.Context, name string) (consensus.Member, error) {
-	_, best, err := c.rows(ctx)
+func (c *client) findMember(ctx context.Context, name string) (consensus.Member, error) {
+	_, newest, err := c.instanceRows(ctx)
 	if err != nil {
 		return consensus.Member{}, err
 	}
-	names := make([]string, 0, len(best.Members))
-	for _, m := range best.Members {
+	names := make([]string, 0, len(newest.Members))
+	for _, m := range newest.Members {
 		if m.Name == name {
 			return m, nil
 		}
 		names = append(names, m.Name)
 	}
-	return consensus.Member{}, usage(fmt.Errorf("found no instance %q, expected one of %s", name,
+	return consensus.Member{}, usageError(fmt.Errorf("found no instance %q, expected one of %s", name,
 		strings.Join(names, ", ")))
 }
 
-// change requests a change of members. A retry finds it done, or is refused for what it is.
-func (c *client) change(ctx context.Context, ch consensus.Change) error {
+// changeMembers requests a change of members. A retry finds it done, or is refused for what it is.
+func (c *client) changeMembers(ctx context.Context, ch consensus.Change) error {
 	body, err := json.Marshal(ch)
 	if err != nil {
 		return err
 	}
 	if ch.Op == consensus.OpTransfer { // only the leader can
-		if rows, _, err := c.rows(ctx); err == nil {
+		if rows, _, err := c.instanceRows(ctx); err == nil {
 			for _, r := range rows {
 				if r.Report != nil && r.Report.Role == consensus.RoleLeader {
-					c.at = append([]string{r.Listen}, c.at...)
+					c.addresses = append([]string{r.Listen}, c.addresses...)
 				}
 			}
 		}
 	}
-	res, err := c.ask(ctx, http.MethodPost, "/v1/members", body)
+	res, err := c.send(ctx, http.MethodPost, "/v1/members", body)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/control_snapshot.go
+++ b/internal/cli/control_snapshot.go
@@ -15,16 +15,16 @@
 	"umberwinch/internal/wal"
 )
 
-func newSnapshot(a *access) *cobra.Command {
+func newControlSnapshot(a *clientOptions) *cobra.Command {
 	c := &cobra.Command{Use: "snapshot", Short: "Save a group's state to a file, or begin a new group from one"}
 	c.AddCommand(&cobra.Command{Use: "save FILE", Short: "Save the state, as new as any answer before",
-		Args: exact(1),
+		Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := a.client()
 			if err != nil {
 				return err
 			}
-			res, err := c.ask(cmd.Context(), http.MethodGet, "/v1/snapshot", nil)
+			res, err := c.send(cmd.Context(), http.MethodGet, "/v1/snapshot", nil)
 			if err != nil {
 				return err
 			}
@@ -41,17 +41,17 @@
 	var file string
 	restore := &cobra.Command{Use: "restore FILE",
 		Short: "Make an empty folder the first instance of a new group",
-		Args:  exact(1), Long: `Writes the saved state into the folder of the operator's file, which has to be empty, as
+		Args:  exactArgs(1), Long: `Writes the saved state into the folder of the operator's file, which has to be empty, as
 the first instance of a new group with an id of its own. For when a majority of the old group is lost for good: what
 was agreed on after the save is lost, and what is left of the old group is refused by the new one.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			o, err := config.ReadControl(file)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			raw, err := os.ReadFile(args[0])
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			dir, err := wal.MakeDir(o.Data)
 			if err != nil {
--- a/internal/cli/control_status.go
+++ b/internal/cli/control_status.go
@@ -14,61 +14,61 @@
 	"umberwinch/internal/control/consensus"
 )
 
-func newStatus(a *access) *cobra.Command {
-	return &cobra.Command{Use: "status", Short: "Show each instance of a group", Args: exact(0),
+func newControlStatus(a *clientOptions) *cobra.Command {
+	return &cobra.Command{Use: "status", Short: "Show each instance of a group", Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := a.client()
 			if err != nil {
 				return err
 			}
-			return c.status(cmd.Context(), cmd.OutOrStdout())
+			return c.printStatus(cmd.Context(), cmd.OutOrStdout())
 		}}
 }
 
-// row is one instance as status shows it.
-type row struct {
+// instanceRow is one instance as status shows it.
+type instanceRow struct {
 	Name   string            `json:"name"`
 	Listen string            `json:"listen"`
 	Report *consensus.Report `json:"report,omitempty"`
 	Error  string            `json:"error,omitempty"`
 }
 
-// rows gets the status of every member of the group, by the member list of the instance that has applied the most.
-func (c *client) rows(ctx context.Context) ([]row, *consensus.Report, error) {
-	var best *consensus.Report
-	var last error
-	for _, at := range c.at {
-		r, err := c.report(ctx, at)
+// instanceRows gets the status of every member of the group, by the member list of the instance that has applied the most.
+func (c *client) instanceRows(ctx context.Context) ([]instanceRow, *consensus.Report, error) {
+	var newest *consensus.Report
+	var lastErr error
+	for _, address := range c.addresses {
+		r, err := c.fetchReport(ctx, address)
 		if err != nil {
-			last = fmt.Errorf("%s: %w", at, err)
+			lastErr = fmt.Errorf("%s: %w", address, err)
 			continue
 		}
-		if best == nil || r.Applied > best.Applied {
-			best = r
+		if newest == nil || r.Applied > newest.Applied {
+			newest = r
 		}
 	}
-	if best == nil {
-		return nil, nil, coded{fmt.Errorf("no instance answers: %w", last), exitUnknown}
+	if newest == nil {
+		return nil, nil, exitError{fmt.Errorf("no instance answers: %w", lastErr), exitUnknown}
 	}
-	var out []row
-	if len(best.Members) == 0 {
-		out = append(out, row{Name: best.Name, Report: best})
+	var out []instanceRow
+	if len(newest.Members) == 0 {
+		out = append(out, instanceRow{Name: newest.Name, Report: newest})
 	}
-	for _, m := range best.Members {
-		r, err := c.report(ctx, m.Listen)
-		one := row{Name: m.Name, Listen: m.Listen, Report: r}
+	for _, m := range newest.Members {
+		r, err := c.fetchReport(ctx, m.Listen)
+		row := instanceRow{Name: m.Name, Listen: m.Listen, Report: r}
 		if err != nil {
-			one.Error = err.Error()
+			row.Error = err.Error()
 		}
-		out = append(out, one)
+		out = append(out, row)
 	}
-	return out, best, nil
+	return out, newest, nil
 }
 
-func (c *client) report(ctx context.Context, at string) (*consensus.Report, error) {
+func (c *client) fetchReport(ctx context.Context, address string) (*consensus.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	res, err := c.one(ctx, at, http.MethodGet, "/v1/status", nil)
+	res, err := c.sendTo(ctx, address, http.MethodGet, "/v1/status", nil)
 	if err != nil {
 		return nil, err
 	}
@@ -77,26 +77,26 @@
 	return &r, json.NewDecoder(res.Body).Decode(&r)
 }
 
-func (c *client) status(ctx context.Context, w io.Writer) error {
-	rows, best, err := c.rows(ctx)
+func (c *client) printStatus(ctx context.Context, w io.Writer) error {
+	rows, newest, err := c.instanceRows(ctx)
 	if err != nil {
 		return err
 	}
-	if c.json {
+	if c.printJSON {
 		return printJSON(w, rows)
 	}
-	fmt.Fprintf(w, "group %s, version %d\n", orNone(best.Cluster), best.Version)
-	return table(w, statusTable(rows, best.Commit))
+	fmt.Fprintf(w, "group %s, version %d\n", groupOrNone(newest.Cluster), newest.Version)
+	return printTable(w, statusTable(rows, newest.Commit))
 }
 
-func orNone(s string) string {
+func groupOrNone(s string) string {
 	if s == "" {
 		return "none yet"
 	}
 	return s
 }
 
-func statusTable(rows []row, commit uint64) [][]string {
+func statusTable(rows []instanceRow, commit uint64) [][]string {
 	out := [][]string{{"NAME", "LISTEN", "ROLE", "TERM", "LOG", "APPLIED", "LAG", "VERSION", "DISK",
 		"LEADER SEEN", "NOTE"}}
 	for _, r := range rows {
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -13,21 +13,21 @@
 	"umberwinch/internal/harness"
 )
 
-// demoRequest is what the flags of `demo` ask for.
-type demoRequest struct {
+// demoOptions is what the flags of `demo` ask for.
+type demoOptions struct {
 	demo   harness.Demo
 	asJSON bool
 }
 
 func newDemo() *cobra.Command {
-	var r demoRequest
+	var r demoOptions
 	c := &cobra.Command{Use: "demo", Short: "A node, an emulated kernel and a load on loopback, with a live table",
-		Args: exact(0), Long: `Runs a node, an emulated kernel and callers in this process until --seconds are
+		Args: exactArgs(0), Long: `Runs a node, an emulated kernel and callers in this process until --seconds are
 over, q is pressed or it is interrupted, and prints what each class of requests got. A run that is interrupted
 or fails leaves the node's log, and says on standard error where.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := r.check(); err != nil {
-				return usage(err)
+			if err := r.validate(); err != nil {
+				return usageError(err)
 			}
 			return r.run(cmd.Context(), cmd.OutOrStdout(), cmd.ErrOrStderr())
 		}}
@@ -42,7 +42,7 @@
 	return c
 }
 
-func (r *demoRequest) check() error {
+func (r *demoOptions) validate() error {
 	if r.demo.Load <= 0 || r.demo.Load > 10 {
 		return fmt.Errorf("--load: found %g, expected above 0 and at most 10", r.demo.Load)
 	}
@@ -52,38 +52,38 @@
 	return nil
 }
 
-func (r *demoRequest) run(ctx context.Context, out, errs io.Writer) error {
+func (r *demoOptions) run(ctx context.Context, stdout, stderr io.Writer) error {
 	r.demo.Plain = true
-	if f, ok := out.(*os.File); ok && term.IsTerminal(int(f.Fd())) && term.IsTerminal(int(os.Stdin.Fd())) {
-		was, err := term.MakeRaw(int(os.Stdin.Fd()))
+	if f, ok := stdout.(*os.File); ok && term.IsTerminal(int(f.Fd())) && term.IsTerminal(int(os.Stdin.Fd())) {
+		state, err := term.MakeRaw(int(os.Stdin.Fd()))
 		if err != nil {
 			return err
 		}
-		defer term.Restore(int(os.Stdin.Fd()), was)
-		r.demo.Plain, r.demo.Keys = false, pressedKeys(os.Stdin)
+		defer term.Restore(int(os.Stdin.Fd()), state)
+		r.demo.Plain, r.demo.Keys = false, readKeys(os.Stdin)
 	}
-	results, err := r.demo.Run(ctx, out)
+	results, err := r.demo.Run(ctx, stdout)
 	if err != nil {
 		return err
 	}
 	if r.demo.Folder != "" {
-		fmt.Fprintf(errs, "interrupted; logs are in %s\n", r.demo.Folder)
+		fmt.Fprintf(stderr, "interrupted; logs are in %s\n", r.demo.Folder)
 	}
 	if r.asJSON {
-		return printJSON(out, results)
+		return printJSON(stdout, results)
 	}
-	return table(out, demoTable(results))
+	return printTable(stdout, demoTable(results))
 }
 
-// pressedKeys reads a terminal in raw mode.
-func pressedKeys(terminal io.Reader) <-chan byte {
+// readKeys reads a terminal in raw mode.
+func readKeys(terminal io.Reader) <-chan byte {
 	keys := make(chan byte)
 	go func() {
-		for one := make([]byte, 1); ; {
-			if _, err := terminal.Read(one); err != nil {
+		for key := make([]byte, 1); ; {
+			if _, err := terminal.Read(key); err != nil {
 				return
 			}
-			keys <- one[0]
+			keys <- key[0]
 		}
 	}()
 	return keys
--- a/internal/cli/deprecated.go
+++ b/internal/cli/deprecated.go
@@ -10,8 +10,8 @@
 // newLab has the fault tests under the names that they had before.
 func newLab() *cobra.Command {
 	c := &cobra.Command{Use: "lab", Short: "Earlier name of faulttest", Hidden: true}
-	for _, below := range []*cobra.Command{newRaftTest(), newPoolsTest(), newPolicyTest(), newZonesTest()} {
-		c.AddCommand(deprecated(below, "faulttest "+below.Name()))
+	for _, child := range []*cobra.Command{newRaftTest(), newPoolsTest(), newPolicyTest(), newZonesTest()} {
+		c.AddCommand(deprecated(child, "faulttest "+child.Name()))
 	}
 	c.AddCommand(deprecated(renamed(newRecoveryTest(), "comeback"), "faulttest recovery"),
 		deprecated(renamed(newResultStoreTest(), "kept"), "faulttest results"))
@@ -30,14 +30,14 @@
 // deprecated keeps a command, and those below it, under an earlier name: not shown in help, and with a warning on
 // standard error that names the present one. Standard output stays as it is, as scripts read it. now is the present
 // name without the program's.
-func deprecated(c *cobra.Command, now string) *cobra.Command {
+func deprecated(c *cobra.Command, replacement string) *cobra.Command {
 	c.Hidden = true
-	for _, below := range c.Commands() {
-		deprecated(below, now+" "+below.Name())
+	for _, child := range c.Commands() {
+		deprecated(child, replacement+" "+child.Name())
 	}
 	if run := c.RunE; run != nil {
 		c.RunE = func(cmd *cobra.Command, args []string) error {
-			fmt.Fprintf(cmd.ErrOrStderr(), "%s is deprecated, use umberctl %s\n", cmd.CommandPath(), now)
+			fmt.Fprintf(cmd.ErrOrStderr(), "%s is deprecated, use umberctl %s\n", cmd.CommandPath(), replacement)
 			return run(cmd, args)
 		}
 	}
--- a/internal/cli/deprecated_test.go
+++ b/internal/cli/deprecated_test.go
@@ -17,19 +17,19 @@
 		{"stored results", "kept list " + t.TempDir(), "results list " + t.TempDir()},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			out, errs, status := run(t, strings.Fields(c.earlier)...)
-			nowOut, nowErrs, nowStatus := run(t, strings.Fields(c.now)...)
-			warning, rest, _ := strings.Cut(errs, "\n")
+			stdout, stderr, status := runCommand(t, strings.Fields(c.earlier)...)
+			wantStdout, wantStderr, wantStatus := runCommand(t, strings.Fields(c.now)...)
+			warning, rest, _ := strings.Cut(stderr, "\n")
 			words := strings.Fields(c.now)
 			if !strings.Contains(warning, "is deprecated, use umberctl "+words[0]+" "+words[1]) {
 				t.Errorf("warns %q", warning)
 			}
-			if out != nowOut || status != nowStatus || len(rest) == 0 || len(rest) != len(nowErrs) {
-				t.Errorf("status %d, output %q, errors %q; expected %d, %q, %q", status, out, rest, nowStatus, nowOut,
-					nowErrs)
+			if stdout != wantStdout || status != wantStatus || len(rest) == 0 || len(rest) != len(wantStderr) {
+				t.Errorf("status %d, output %q, errors %q; expected %d, %q, %q", status, stdout, rest, wantStatus, wantStdout,
+					wantStderr)
 			}
-			if strings.Contains(nowErrs, "deprecated") {
-				t.Errorf("the present name warns: %q", nowErrs)
+			if strings.Contains(wantStderr, "deprecated") {
+				t.Errorf("the present name warns: %q", wantStderr)
 			}
 		})
 	}
--- a/internal/cli/faulttest.go
+++ b/internal/cli/faulttest.go
@@ -44,24 +44,24 @@
 	maxGroupSize = 7
 )
 
-// commonFlags are those of every fault test.
-func commonFlags(f *pflag.FlagSet, seed *int64, quick *bool, out *string, quickMeans string) {
+// addCommonFlags are those of every fault test.
+func addCommonFlags(f *pflag.FlagSet, seed *int64, quick *bool, out *string, quickUsage string) {
 	f.Int64Var(seed, "seed", 1, "seed of all random numbers")
-	f.BoolVar(quick, "quick", false, quickMeans)
+	f.BoolVar(quick, "quick", false, quickUsage)
 	f.StringVar(out, "out", "", "folder for report.html and result.json")
 }
 
-// processFlags are those of fault tests that have cases on a fleet of processes.
-func processFlags(f *pflag.FlagSet, mode, only *string, size *int) {
+// addProcessFlags are those of fault tests that have cases on a fleet of processes.
+func addProcessFlags(f *pflag.FlagSet, mode, only *string, size *int) {
 	f.StringVar(mode, "mode", modeBoth, "virtual (in virtual time), real (on processes) or both")
 	f.StringVar(only, "only", "", "one case on processes")
 	f.IntVar(size, "size", 0, "nodes of the fleet of processes; 0 for 9")
 }
 
-// guardsFlag is --without. What breaks without a guard stands at its constant, in guard.go of consensus and policy and
+// addGuardsFlag is --without. What breaks without a guard stands at its constant, in guard.go of consensus and policy and
 // guards.go of zones.
-func guardsFlag(f *pflag.FlagSet, words *string, names []string) {
-	f.StringVar(words, "without", "", "guards to disable, separated by commas: "+strings.Join(names, ", "))
+func addGuardsFlag(f *pflag.FlagSet, list *string, names []string) {
+	f.StringVar(list, "without", "", "guards to disable, separated by commas: "+strings.Join(names, ", "))
 }
 
 // checkMode says whether --mode is one of the three.
@@ -92,12 +92,12 @@
 }
 
 // parseGuards reads the guards that --without names, separated by commas.
-func parseGuards[G ~uint](words string, named func(string) (G, error)) (out G, err error) {
-	if words == "" {
+func parseGuards[G ~uint](list string, parse func(string) (G, error)) (out G, err error) {
+	if list == "" {
 		return 0, nil
 	}
-	for _, name := range strings.Split(words, ",") {
-		g, err := named(name)
+	for _, name := range strings.Split(list, ",") {
+		g, err := parse(name)
 		if err != nil {
 			return 0, err
 		}
@@ -116,7 +116,7 @@
 func runFaultTest(test faultTest, program *string, check func() error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, _ []string) (err error) {
 		if err = check(); err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		if *program, err = os.Executable(); err != nil {
 			return err
@@ -149,7 +149,7 @@
 	run := runFaultTest(r, &r.Program, check)
 	c := &cobra.Command{Use: "raft",
 		Short: "The replicated group: schedules of faults in virtual time, kills of processes",
-		Args:  exact(0), Long: `Virtual: the real consensus and log code on a simulated network, disks and clock, many
+		Args:  exactArgs(0), Long: `Virtual: the real consensus and log code on a simulated network, disks and clock, many
 schedules from one seed, with the promises of docs/design/raft.md checked after each step and clients' histories checked
 for linearizability. Real: processes on loopback whose leader is killed between any two of persist, send, apply and
 respond. The last line says "raft: kept" or "raft: broken: WHAT"; a broken promise is exit status 1.`,
@@ -158,19 +158,19 @@
 				return run(cmd, args)
 			}
 			if err := check(); err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			return replaySchedule(cmd.OutOrStdout(), replay, r.Size, r.Without)
 		}}
 	f := c.Flags()
-	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "under 50 s on four cores")
+	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "under 50 s on four cores")
 	f.StringVar(&r.Mode, "mode", modeBoth, "virtual (in virtual time), real (on processes) or both")
 	f.IntVar(&r.Size, "size", 0, "instances in a group; 0 for groups of 3 and of 5")
 	f.IntVar(&r.Schedules, "schedules", 0, "virtual schedules; 0 for 400 with --quick, 6000 without")
 	f.IntVar(&r.Kills, "kills", 0, "kills a group; 0 for 10 with --quick, 200 without")
 	f.IntVar(&r.Clients, "clients", 8, "real: clients that put while leaders are killed")
 	f.Int64Var(&replay, "replay", 0, "replay the schedule of one seed and print each step")
-	guardsFlag(f, &without, consensus.GuardNames())
+	addGuardsFlag(f, &without, consensus.GuardNames())
 	return c
 }
 
@@ -193,7 +193,7 @@
 	}
 	c := &cobra.Command{Use: "results",
 		Short: "Stored results: a node killed over and over while clients retry their keys",
-		Args:  exact(0), Long: `Nodes with [kept], each with an emulated kernel that outlives it and counts runs
+		Args:  exactArgs(0), Long: `Nodes with [kept], each with an emulated kernel that outlives it and counts runs
 by idempotency key, and clients that retry their keys within the idempotency window and after it. Each node is
 killed with SIGKILL at named points and at random ones, at times in its start, sometimes with part of a write
 left at its log's end, and started again on its folder. Then the cost of a request with an idempotency key,
@@ -201,7 +201,7 @@
 promise is exit status 1.`,
 		RunE: runFaultTest(r, &r.Program, check)}
 	f := c.Flags()
-	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "under 50 s on four cores")
+	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "under 50 s on four cores")
 	f.IntVar(&r.Kills, "kills", 0, "kills in all; 0 for 120 with --quick, 5000 without")
 	f.StringVar(&r.Only, "only", "", "kills or costs")
 	f.StringVar(&r.Without, "without", "",
@@ -213,7 +213,7 @@
 	r := &simulation.Pools{}
 	var program string // it starts no processes
 	c := &cobra.Command{Use: "pools", Short: "Pools of run slots: overload in virtual time, beside three baselines",
-		Args: exact(0), Long: `Plays each scenario on emulated servers in virtual time, driving the module and
+		Args: exactArgs(0), Long: `Plays each scenario on emulated servers in virtual time, driving the module and
 its pools directly: with pools, without, with fixed ones, and with a plain pool before a short queue, from the
 same seed. Shows the share of each class's first attempts that complete within the latency objective. The last
 line says "pools: kept" or "pools: broken: WHAT"; a broken promise is exit status 1.`,
@@ -221,7 +221,7 @@
 			return checkOneOf("--without", r.Without, simulation.PoolGuards)
 		})}
 	f := c.Flags()
-	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "six servers a scenario")
+	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "six servers a scenario")
 	f.IntVar(&r.Size, "size", 0, "servers; 0 for 6 with --quick, 24 without")
 	f.StringVar(&r.Without, "without", "", "one guard to disable: "+strings.Join(simulation.PoolGuards, ", "))
 	f.StringVar(&r.Only, "only", "", "one scenario")
@@ -237,18 +237,18 @@
 		return checkProcessTest(r.Mode, r.Only, harness.PolicyCases(), r.Size)
 	}
 	c := &cobra.Command{Use: "policy", Short: "Changes of policy: schedules in virtual time, hard cases on processes",
-		Args: exact(0), Long: `Virtual: the real decisions of group and nodes on simulated clocks, links and
+		Args: exactArgs(0), Long: `Virtual: the real decisions of group and nodes on simulated clocks, links and
 crashes, many schedules from one seed, and fleets of 300 and 5,000 nodes beside two baselines. Real: a group and
 nodes as processes, with kills, pauses and network partitions, under load. The history is checked against the
 promises of docs/design/policy.md. The last line says "policy: kept" or "policy: broken: WHAT"; a broken promise
 is exit status 1.`,
 		RunE: runFaultTest(r, &r.Program, check)}
 	f := c.Flags()
-	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "fewer schedules, smaller fleets, fewer changes")
-	processFlags(f, &r.Mode, &r.Only, &r.Size)
+	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "fewer schedules, smaller fleets, fewer changes")
+	addProcessFlags(f, &r.Mode, &r.Only, &r.Size)
 	f.IntVar(&r.Schedules, "schedules", 0, "virtual schedules; 0 for 200 with --quick, 2000 without")
 	f.IntVar(&r.Changes, "changes", 0, "real changes under load; 0 for 10 with --quick, 100 without")
-	guardsFlag(f, &r.ProcessGuards, policy.GuardNames())
+	addGuardsFlag(f, &r.ProcessGuards, policy.GuardNames())
 	return c
 }
 
@@ -261,7 +261,7 @@
 		return checkProcessTest(r.Mode, r.Only, harness.ZoneCases(), r.Size)
 	}
 	c := &cobra.Command{Use: "zones", Short: "Zones: schedules in virtual time, hard cases on processes",
-		Args: exact(0),
+		Args: exactArgs(0),
 		Long: `Virtual: the real decisions of group, leaders and nodes, with the traffic of callers, zones and
 dependencies that have a capacity and a cache; many schedules from one seed, fleets of 300 and 5,000 nodes
 beside three baselines, and hours of noise. Real: a group and nodes in three zones as processes, a dependency
@@ -269,10 +269,10 @@
 broken promise is exit status 1.`,
 		RunE: runFaultTest(r, &r.Program, check)}
 	f := c.Flags()
-	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "fewer schedules, one size, an hour of noise")
-	processFlags(f, &r.Mode, &r.Only, &r.Size)
+	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "fewer schedules, one size, an hour of noise")
+	addProcessFlags(f, &r.Mode, &r.Only, &r.Size)
 	f.IntVar(&r.Schedules, "schedules", 0, "virtual schedules; 0 for 60 with --quick, 300 without")
-	guardsFlag(f, &r.ProcessGuards, zones.GuardNames())
+	addGuardsFlag(f, &r.ProcessGuards, zones.GuardNames())
 	return c
 }
 
@@ -285,16 +285,16 @@
 		return checkProcessTest(r.Mode, r.Only, harness.RecoveryCases(), r.Size)
 	}
 	c := &cobra.Command{Use: "recovery", Short: "Recovery: restarts of a whole fleet, a group that lost its state",
-		Args: exact(0), Long: `Virtual: all nodes restart at once over cold dependencies, at several sizes and
+		Args: exactArgs(0), Long: `Virtual: all nodes restart at once over cold dependencies, at several sizes and
 loads, beside a start without a ramp, one by the clock, nodes without the group, and the shortest recovery there
 could be. Real: a group and nodes as processes, killed at once; folders lost, restored from an older copy, or
 used on by an older generation. The last line says "comeback: kept" or "comeback: broken: WHAT"; a broken
 promise is exit status 1.`,
 		RunE: runFaultTest(r, &r.Program, check)}
 	f := c.Flags()
-	commonFlags(f, &r.Seed, &r.Quick, &r.Out, "one size and two loads in virtual time")
-	processFlags(f, &r.Mode, &r.Only, &r.Size)
-	guardsFlag(f, &r.ProcessGuards, harness.RecoveryGuards)
+	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "one size and two loads in virtual time")
+	addProcessFlags(f, &r.Mode, &r.Only, &r.Size)
+	addGuardsFlag(f, &r.ProcessGuards, harness.RecoveryGuards)
 	return c
 }
 
--- a/internal/cli/fleet_status.go
+++ b/internal/cli/fleet_status.go
@@ -16,33 +16,33 @@
 
 // newFleetStatus shows how far a fleet's recovery is, and what it waits for.
 func newFleetStatus() *cobra.Command {
-	var a access
+	var a clientOptions
 	c := &cobra.Command{Use: "status",
 		Short: "The fleet's share of traffic, what holds it there, and the least time to all of it",
-		Args:  exact(0), RunE: withClient(&a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
-			views, err := c.fleetViews(ctx)
+		Args:  exactArgs(0), RunE: withClient(&a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
+			views, err := c.fetchFleetViews(ctx)
 			if err != nil {
 				return err
 			}
 			s := views.status()
-			if c.json {
+			if c.printJSON {
 				return printJSON(w, s)
 			}
-			return table(w, s.rows())
+			return printTable(w, s.rows())
 		})}
-	a.flags(c)
+	a.addFlags(c)
 	return c
 }
 
-// fleetViews is what the group knows of a fleet.
+// fetchFleetViews is what the group knows of a fleet.
 type fleetViews struct {
 	policy consensus.PolicyView
 	zones  *consensus.ZonesView
 	nodes  []consensus.NodeView
 }
 
-func (c *client) fleetViews(ctx context.Context) (v fleetViews, err error) {
-	v.zones, err = c.zones(ctx)
+func (c *client) fetchFleetViews(ctx context.Context) (v fleetViews, err error) {
+	v.zones, err = c.fetchZones(ctx)
 	return v, errors.Join(err, c.get(ctx, "/v1/policy", &v.policy), c.get(ctx, "/v1/nodes", &v.nodes))
 }
 
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -42,8 +42,8 @@
 	return o.b.String()
 }
 
-// running starts a command that goes on until the test ends, and is ended by SIGTERM with status 0.
-func running(t *testing.T, args ...string) *output {
+// startCommand starts a command that goes on until the test ends, and is ended by SIGTERM with status 0.
+func startCommand(t *testing.T, args ...string) *output {
 	t.Helper()
 	o := &output{}
 	cmd := exec.Command(program, args...)
@@ -60,8 +60,8 @@
 	return o
 }
 
-// says waits until it printed something that matches, and gives the first group of it.
-func (o *output) says(t *testing.T, pattern string) string {
+// await waits until it printed something that matches, and gives the first group of it.
+func (o *output) await(t *testing.T, pattern string) string {
 	t.Helper()
 	re := regexp.MustCompile(pattern)
 	var found []string
@@ -73,10 +73,10 @@
 }
 
 // eventually waits until a condition holds; it fails the test with what is missing once the time is over.
-func eventually(t *testing.T, within time.Duration, holds func() (what string, ok bool)) {
+func eventually(t *testing.T, within time.Duration, condition func() (what string, ok bool)) {
 	t.Helper()
 	for end := time.Now().Add(within); ; time.Sleep(10 * time.Millisecond) {
-		what, ok := holds()
+		what, ok := condition()
 		if ok {
 			return
 		}
@@ -86,7 +86,7 @@
 	}
 }
 
-func kill(t *testing.T, pid string) {
+func killProcess(t *testing.T, pid string) {
 	t.Helper()
 	n, err := strconv.Atoi(pid)
 	if err == nil {
@@ -99,40 +99,40 @@
 
 // Ports of a local group: three for clients, and as many for peers a hundred below.
 const (
-	groupPorts  = 3
-	peersBelow  = 100
-	portBlock   = 2 * peersBelow // its lower half is for peers
-	lastPort    = 30000
-	firstPort   = 17201
-	pidSpread   = 500 // programs of tests that run at one time begin at ports of their own
-	portsPerPID = 20
+	portsPerGroup      = 3
+	testPeerPortOffset = 100
+	portBlock          = 2 * testPeerPortOffset // its lower half is for peers
+	maxPort            = 30000
+	firstPort          = 17201
+	pidSpread          = 500 // programs of tests that run at one time begin at ports of their own
+	portsPerPID        = 20
 )
 
-// givenPorts counts the groups of ports that freePort gave, or found taken. What is given is not listened on at once,
+// portGroupsTried counts the groups of ports that reservePorts gave, or found taken. What is given is not listened on at once,
 // so none is given twice.
-var givenPorts atomic.Int32
+var portGroupsTried atomic.Int32
 
-// freePort gives a port from which a few on, and those a hundred below, are free.
-func freePort(t *testing.T) int {
+// reservePorts gives a port from which a few on, and those a hundred below, are free.
+func reservePorts(t *testing.T) int {
 	t.Helper()
 	for {
-		n := int(givenPorts.Add(1)) - 1
-		perBlock := peersBelow / groupPorts
+		n := int(portGroupsTried.Add(1)) - 1
+		perBlock := testPeerPortOffset / portsPerGroup
 		block := firstPort + os.Getpid()%pidSpread*portsPerPID + n/perBlock*portBlock
-		port := block + peersBelow + n%perBlock*groupPorts
-		if port+groupPorts > lastPort {
+		port := block + testPeerPortOffset + n%perBlock*portsPerGroup
+		if port+portsPerGroup > maxPort {
 			t.Fatal("no free ports")
 		}
-		if groupIsFree(port) {
+		if portsAreFree(port) {
 			return port
 		}
 	}
 }
 
-// groupIsFree reports whether nothing listens on the ports of a group.
-func groupIsFree(port int) bool {
-	for i := range groupPorts {
-		for _, p := range []int{port + i, port - peersBelow + i} {
+// portsAreFree reports whether nothing listens on the ports of a group.
+func portsAreFree(port int) bool {
+	for i := range portsPerGroup {
+		for _, p := range []int{port + i, port - testPeerPortOffset + i} {
 			l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", p))
 			if err != nil {
 				return false
@@ -145,13 +145,13 @@
 
 // Ports of groups that tests start side by side: none is given twice, neither for clients nor for peers. A port that
 // was given twice had one of two groups fail to listen.
-func TestFreePortsAreGivenOnce(t *testing.T) {
+func TestReservedPortsAreDistinct(t *testing.T) {
 	t.Parallel()
 	given := map[int]bool{}
-	for range 2 * peersBelow / groupPorts {
-		port := freePort(t)
-		for i := range groupPorts {
-			for _, p := range []int{port + i, port - peersBelow + i} {
+	for range 2 * testPeerPortOffset / portsPerGroup {
+		port := reservePorts(t)
+		for i := range portsPerGroup {
+			for _, p := range []int{port + i, port - testPeerPortOffset + i} {
 				if given[p] {
 					t.Fatalf("port %d is given twice", p)
 				}
@@ -163,66 +163,66 @@
 
 // An instance of a local group is killed: the others take a write meanwhile, and it is started again and has that
 // write.
-func TestLocalGroupStartsKilledInstanceAgain(t *testing.T) {
+func TestLocalGroupRestartsKilledInstance(t *testing.T) {
 	t.Parallel()
-	dir, port := t.TempDir(), freePort(t)
-	o := running(t, "control", "local", "--dir", filepath.Join(dir, "group"), "--port", strconv.Itoa(port))
-	at := "--at=" + o.says(t, `control status --at (\S+)`)
-	kill(t, o.says(t, `instance b: pid (\d+)`))
-	want(t, 0, "taken: version 1", "config", "put", file(t, dir, "one.ini", "[tenant t]\nrate = 1\n"), at)
-	o.says(t, `instance b ended`)
-	o.says(t, `instance b is up again, pid (\d+)`)
+	dir, port := t.TempDir(), reservePorts(t)
+	o := startCommand(t, "control", "local", "--dir", filepath.Join(dir, "group"), "--port", strconv.Itoa(port))
+	at := "--at=" + o.await(t, `control status --at (\S+)`)
+	killProcess(t, o.await(t, `instance b: pid (\d+)`))
+	expect(t, 0, "taken: version 1", "config", "put", writeFile(t, dir, "one.ini", "[tenant t]\nrate = 1\n"), at)
+	o.await(t, `instance b ended`)
+	o.await(t, `instance b is up again, pid (\d+)`)
 	b := fmt.Sprintf("--at=127.0.0.1:%d", port+1)
 	eventually(t, 20*time.Second, func() (string, bool) {
-		out, _, code := run(t, "config", "get", b, "--within", "1s")
+		out, _, code := runCommand(t, "config", "get", b, "--within", "1s")
 		return "version 1 at the instance that was started again", code == 0 && strings.Contains(out, "rate = 1")
 	})
 }
 
 // An operator looks at a fleet of three, makes a change, is refused wrong ones, makes another while a node is killed,
 // and forgets a node that lives: it joins again, and all three serve under the last version.
-func TestOperatorChangesPolicyOfLocalFleet(t *testing.T) {
+func TestPolicyChangesOfLocalFleet(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	o := running(t, "fleet", "local", "--dir", filepath.Join(dir, "fleet"), "--nodes", "3", "--rate", "20")
-	at := "--at=" + o.says(t, `nodes list --at (\S+)`)
-	o.says(t, `Ctrl-C ends all`)
+	o := startCommand(t, "fleet", "local", "--dir", filepath.Join(dir, "fleet"), "--nodes", "3", "--rate", "20")
+	at := "--at=" + o.await(t, `nodes list --at (\S+)`)
+	o.await(t, `Ctrl-C ends all`)
 	text := func(n int, more string) string {
-		return file(t, dir, fmt.Sprintf("p%d.ini", n),
+		return writeFile(t, dir, fmt.Sprintf("p%d.ini", n),
 			fmt.Sprintf("[fleet]\nlease = 2s\nwhen_alone = fence\n[tenant t0]\n"+
 				"rate = %d\n%s", n, more))
 	}
-	want(t, 0, "no change under way", "policy", "status", at)
-	want(t, 0, "3 of 3 in, 0 silent, 0 left, 0 fenced\nfleet       full share", "fleet", "status", at)
-	want(t, 3, "no change is under way", "policy", "call-off", at)
-	want(t, 0, "settled: nobody can serve under an older one", "policy", "propose", text(2, ""), at, "--reason", "more")
-	want(t, 0, "version 2 committed, 2 decided; 3 of 3 nodes in; lease 2s, when_alone fence", "policy", "status", at)
-	want(t, 3, "class other: found it in the policy", "policy", "propose",
+	expect(t, 0, "no change under way", "policy", "status", at)
+	expect(t, 0, "3 of 3 in, 0 silent, 0 left, 0 fenced\nfleet       full share", "fleet", "status", at)
+	expect(t, 3, "no change is under way", "policy", "call-off", at)
+	expect(t, 0, "settled: nobody can serve under an older one", "policy", "propose", text(2, ""), at, "--reason", "more")
+	expect(t, 0, "version 2 committed, 2 decided; 3 of 3 nodes in; lease 2s, when_alone fence", "policy", "status", at)
+	expect(t, 3, "class other: found it in the policy", "policy", "propose",
 		text(3, "[class other]\nkind = replayable\n"), at)
-	want(t, 3, "was called off: refused by", "policy", "propose", "3", at)
-	want(t, 3, "version 2, expected one after 2", "policy", "propose", "2", at)
-	want(t, 2, "within_ms: found 1, expected 1000", "policy", "propose", "2", "--prepare", "1ms", at)
-	want(t, 0, "called off", "policy", "history", at)
-	want(t, 0, "proposed by", "policy", "explain", "2", at)
-	want(t, 2, "found no change 99", "policy", "explain", "99", at)
+	expect(t, 3, "was called off: refused by", "policy", "propose", "3", at)
+	expect(t, 3, "version 2, expected one after 2", "policy", "propose", "2", at)
+	expect(t, 2, "within_ms: found 1, expected 1000", "policy", "propose", "2", "--prepare", "1ms", at)
+	expect(t, 0, "called off", "policy", "history", at)
+	expect(t, 0, "proposed by", "policy", "explain", "2", at)
+	expect(t, 2, "found no change 99", "policy", "explain", "99", at)
 	var v consensus.PolicyView
-	if err := json.Unmarshal([]byte(want(t, 0, "", "policy", "status", "--json", at)), &v); err != nil ||
+	if err := json.Unmarshal([]byte(expect(t, 0, "", "policy", "status", "--json", at)), &v); err != nil ||
 		v.CommittedVersion != 2 ||
 		len(v.History) != 4 || v.History[1].Step != policy.Settled {
 		t.Errorf("%+v (%v)", v, err)
 	}
-	out := want(t, 0, "n3    z3    serves  2", "nodes", "list", at)
+	out := expect(t, 0, "n3    z3    serves  2", "nodes", "list", at)
 	if strings.Count(out, "\n") != 4 {
 		t.Errorf("list of three nodes:\n%s", out)
 	}
-	want(t, 0, "address", "nodes", "show", "n1", at)
-	want(t, 2, `found no node "n9"`, "nodes", "show", "n9", at)
-	want(t, 3, `found no node "n9"`, "nodes", "forget", "n9", at)
-	kill(t, o.says(t, `node n2 of z2  pid (\d+)`))
-	want(t, 0, "settled", "policy", "propose", text(4, ""), "--exclusive", at) // it is down, or comes back meanwhile
-	want(t, 0, "n1 is forgotten", "nodes", "forget", "n1", at)                 // it lives, and joins again
+	expect(t, 0, "address", "nodes", "show", "n1", at)
+	expect(t, 2, `found no node "n9"`, "nodes", "show", "n9", at)
+	expect(t, 3, `found no node "n9"`, "nodes", "forget", "n9", at)
+	killProcess(t, o.await(t, `node n2 of z2  pid (\d+)`))
+	expect(t, 0, "settled", "policy", "propose", text(4, ""), "--exclusive", at) // it is down, or comes back meanwhile
+	expect(t, 0, "n1 is forgotten", "nodes", "forget", "n1", at)                 // it lives, and joins again
 	eventually(t, 20*time.Second, func() (string, bool) {
-		out, _, _ := run(t, "nodes", "list", at)
+		out, _, _ := runCommand(t, "nodes", "list", at)
 		return "three nodes under version 4 in\n" + out, strings.Count(out, " serves  4 ") == 3
 	})
 }
@@ -264,32 +264,32 @@
 // An instance has a version and a saved snapshot. Recovery changes nothing without --found, and nothing while the
 // instance is up. Once it is killed, its folder is read, moved aside and followed by the next generation; so is the
 // snapshot.
-func TestRecoverFoundsNextGenerationOfStoppedInstance(t *testing.T) {
+func TestRecoverCreatesNextGeneration(t *testing.T) {
 	t.Parallel()
-	dir, port := t.TempDir(), freePort(t)
+	dir, port := t.TempDir(), reservePorts(t)
 	data := filepath.Join(dir, "data")
-	ini := file(t, dir, "a.ini", fmt.Sprintf("[instance]\nname = a\ndata = %s\npeer = 127.0.0.1:%d\n"+
+	ini := writeFile(t, dir, "a.ini", fmt.Sprintf("[instance]\nname = a\ndata = %s\npeer = 127.0.0.1:%d\n"+
 		"listen = 127.0.0.1:%d\n", data, port-100, port))
-	want(t, 2, "no such file", "control", "recover", "--file", filepath.Join(dir, "none.ini"))
-	want(t, 0, "nobody served under a version", "control", "recover", "--file", ini, "--for", "0s")
+	expect(t, 2, "no such file", "control", "recover", "--file", filepath.Join(dir, "none.ini"))
+	expect(t, 0, "nobody served under a version", "control", "recover", "--file", ini, "--for", "0s")
 	if _, err := os.Stat(data); err == nil {
 		t.Fatal("a folder was made without --found")
 	}
 	at := fmt.Sprintf("--at=127.0.0.1:%d", port)
-	serve := func() (end func()) {
+	startInstance := func() (end func()) {
 		cmd := exec.Command(program, "control", "run", "--file", ini)
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
 		return func() { cmd.Process.Kill(); cmd.Wait() }
 	}
-	end := serve()
+	end := startInstance()
 	defer func() { end() }()
-	want(t, 0, "taken: version 1", "config", "put", file(t, dir, "one.ini", "[tenant t]\nrate = 1\n"), at)
-	want(t, 1, "the folder is in use by another process", "control", "recover", "--file", ini, "--for", "1s")
+	expect(t, 0, "taken: version 1", "config", "put", writeFile(t, dir, "one.ini", "[tenant t]\nrate = 1\n"), at)
+	expect(t, 1, "the folder is in use by another process", "control", "recover", "--file", ini, "--for", "1s")
 	saved := filepath.Join(dir, "saved")
-	want(t, 0, "saved version 1", "control", "snapshot", "save", saved, at)
-	want(t, 1, "has to be stopped first", "control", "recover", "--file", ini, "--for", "0s", "--from", saved,
+	expect(t, 0, "saved version 1", "control", "snapshot", "save", saved, at)
+	expect(t, 1, "has to be stopped first", "control", "recover", "--file", ini, "--for", "0s", "--from", saved,
 		"--found")
 	end()
 	var found struct {
@@ -297,20 +297,20 @@
 			Generation uint64 `json:"generation"`
 		} `json:"of"`
 	}
-	if err := json.Unmarshal([]byte(want(t, 0, "", "control", "recover", "--file", ini, "--for", "0s", "--json")),
+	if err := json.Unmarshal([]byte(expect(t, 0, "", "control", "recover", "--file", ini, "--for", "0s", "--json")),
 		&found); err != nil ||
 		found.Of.Generation != 1 {
 		t.Fatalf("%+v, %v", found, err)
 	}
-	want(t, 0, "generation 2 is founded, with version 1", "control", "recover", "--file", ini, "--for", "0s", "--found")
+	expect(t, 0, "generation 2 is founded, with version 1", "control", "recover", "--file", ini, "--for", "0s", "--found")
 	if old, _ := filepath.Glob(data + ".generation-1-*"); len(old) != 1 {
 		t.Fatalf("old folders %v, expected one", old)
 	}
-	end = serve()
-	want(t, 0, "rate = 1", "config", "get", at)
+	end = startInstance()
+	expect(t, 0, "rate = 1", "config", "get", at)
 	end()
-	want(t, 0, "generation 2 is founded", "control", "recover", "--file", ini, "--for", "0s", "--found", "--from",
+	expect(t, 0, "generation 2 is founded", "control", "recover", "--file", ini, "--for", "0s", "--found", "--from",
 		saved)
-	end = serve()
-	want(t, 0, "rate = 1", "config", "get", at)
+	end = startInstance()
+	expect(t, 0, "rate = 1", "config", "get", at)
 }
--- a/internal/cli/interrupted_test.go
+++ b/internal/cli/interrupted_test.go
@@ -17,21 +17,21 @@
 
 // Bounds of the tests in this file.
 const (
-	childrenWithin = 40 * time.Second // a command has its processes up
-	endWithin      = 20 * time.Second // a command that is interrupted, or that fails, has ended
+	startTimeout = 40 * time.Second // a command has its processes up
+	exitTimeout  = 20 * time.Second // a command that is interrupted, or that fails, has ended
 )
 
-// groupLeader is a command with all processes that it starts in one process group, whose id is the command's own. So
+// commandGroup is a command with all processes that it starts in one process group, whose id is the command's own. So
 // whether any of them is left can be told without a look at other processes.
-type groupLeader struct {
+type commandGroup struct {
 	cmd       *exec.Cmd
 	out, errs *output
 	ended     chan struct{}
 }
 
-func startGroup(t *testing.T, args ...string) *groupLeader {
+func startGroup(t *testing.T, args ...string) *commandGroup {
 	t.Helper()
-	g := &groupLeader{cmd: exec.Command(program, args...), out: &output{}, errs: &output{}, ended: make(chan struct{})}
+	g := &commandGroup{cmd: exec.Command(program, args...), out: &output{}, errs: &output{}, ended: make(chan struct{})}
 	g.cmd.Stdout, g.cmd.Stderr = g.out, g.errs
 	g.cmd.Env = append(os.Environ(), "TMPDIR="+t.TempDir())
 	g.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
@@ -46,10 +46,10 @@
 	return g
 }
 
-func (g *groupLeader) pid() int { return g.cmd.Process.Pid }
+func (g *commandGroup) pid() int { return g.cmd.Process.Pid }
 
 // children gives the processes that the command has started and not waited for.
-func (g *groupLeader) children() (ids []int) {
+func (g *commandGroup) children() (ids []int) {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", g.pid()))
 	for _, file := range files {
 		raw, _ := os.ReadFile(file) // a thread may have ended
@@ -63,9 +63,9 @@
 }
 
 // awaitChildren waits until so many processes are up.
-func (g *groupLeader) awaitChildren(t *testing.T, count int) {
+func (g *commandGroup) awaitChildren(t *testing.T, count int) {
 	t.Helper()
-	eventually(t, childrenWithin, func() (string, bool) {
+	eventually(t, startTimeout, func() (string, bool) {
 		up := len(g.children())
 		select {
 		case <-g.ended:
@@ -77,12 +77,12 @@
 }
 
 // awaitEnd waits until the command has ended, and fails where its status is another or a process is left.
-func (g *groupLeader) awaitEnd(t *testing.T, status int) {
+func (g *commandGroup) awaitEnd(t *testing.T, status int) {
 	t.Helper()
 	select {
 	case <-g.ended:
-	case <-time.After(endWithin):
-		t.Fatalf("has not ended after %v\n%s%s", endWithin, g.out, g.errs)
+	case <-time.After(exitTimeout):
+		t.Fatalf("has not ended after %v\n%s%s", exitTimeout, g.out, g.errs)
 	}
 	if err := syscall.Kill(-g.pid(), 0); !errors.Is(err, syscall.ESRCH) {
 		t.Errorf("a process of group %d is left (%v)\n%s%s", g.pid(), err, g.out, g.errs)
@@ -95,7 +95,7 @@
 var logFolder = regexp.MustCompile(`logs are in (\S+)`)
 
 // checkLogs fails unless the command said where its logs are, and logs with so many lines at least are there.
-func (g *groupLeader) checkLogs(t *testing.T, atLeast int) {
+func (g *commandGroup) checkLogs(t *testing.T, atLeast int) {
 	t.Helper()
 	said := logFolder.FindStringSubmatch(g.errs.String() + g.out.String())
 	if said == nil {
@@ -136,11 +136,11 @@
 		{"fault test of the group", []string{"faulttest", "raft", "--mode", "real", "--quick"}, 3, "", exitFailed, 1},
 		{"fault test of stored results", []string{"faulttest", "results", "--quick", "--only", "kills"}, 6, "",
 			exitFailed, 0},
-		{"fleet while it is set up", []string{"fleet", "local", "--nodes", "3"}, 4, "", exitDone, 1},
-		{"fleet at work", []string{"fleet", "local", "--nodes", "3"}, 6, "Ctrl-C ends all", exitDone, 1},
-		{"group while it is set up", []string{"control", "local"}, 3, "", exitDone, 0},
-		{"group at work", []string{"control", "local"}, 3, "running; ask it with", exitDone, 1},
-		{"demo", []string{"demo", "--load", "0.2"}, 0, "IN TIME SO FAR", exitDone, 1},
+		{"fleet while it is set up", []string{"fleet", "local", "--nodes", "3"}, 4, "", exitOK, 1},
+		{"fleet at work", []string{"fleet", "local", "--nodes", "3"}, 6, "Ctrl-C ends all", exitOK, 1},
+		{"group while it is set up", []string{"control", "local"}, 3, "", exitOK, 0},
+		{"group at work", []string{"control", "local"}, 3, "running; ask it with", exitOK, 1},
+		{"demo", []string{"demo", "--load", "0.2"}, 0, "IN TIME SO FAR", exitOK, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -151,12 +151,12 @@
 						args = append(args[:len(args):len(args)], "--dir", filepath.Join(t.TempDir(), "work"))
 					}
 					if args[0] == "control" {
-						args = append(args, "--port", strconv.Itoa(freePort(t)))
+						args = append(args, "--port", strconv.Itoa(reservePorts(t)))
 					}
 					g := startGroup(t, args...)
 					g.awaitChildren(t, c.children)
 					if c.says != "" {
-						g.out.says(t, c.says)
+						g.out.await(t, c.says)
 					}
 					id := g.pid()
 					if to != "alone" {
@@ -182,7 +182,7 @@
 	t.Parallel()
 	t.Run("an instance can't listen", func(t *testing.T) {
 		t.Parallel()
-		dir, port := filepath.Join(t.TempDir(), "group"), freePort(t)
+		dir, port := filepath.Join(t.TempDir(), "group"), reservePorts(t)
 		taken, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port+1))
 		if err != nil {
 			t.Fatal(err)
@@ -202,7 +202,7 @@
 		if err := os.MkdirAll(filepath.Join(dir, "c.log"), 0o700); err != nil {
 			t.Fatal(err)
 		}
-		g := startGroup(t, "control", "local", "--dir", dir, "--port", strconv.Itoa(freePort(t)))
+		g := startGroup(t, "control", "local", "--dir", dir, "--port", strconv.Itoa(reservePorts(t)))
 		g.awaitEnd(t, exitFailed)
 		if want := "logs are in " + dir; !strings.Contains(g.errs.String(), want) {
 			t.Errorf("says %q, expected %q", g.errs, want)
--- a/internal/cli/nodes.go
+++ b/internal/cli/nodes.go
@@ -16,31 +16,31 @@
 
 func newNodes() *cobra.Command {
 	c := &cobra.Command{Use: "nodes", Short: "The nodes of the fleet, as the group knows them"}
-	var a access
-	a.flags(c)
+	var a clientOptions
+	a.addFlags(c)
 	c.AddCommand(newNodesList(&a), newNodesShow(&a), newNodesForget(&a))
 	return c
 }
 
-func (c *client) nodes(ctx context.Context) ([]consensus.NodeView, error) {
+func (c *client) fetchNodes(ctx context.Context) ([]consensus.NodeView, error) {
 	var v []consensus.NodeView
 	return v, c.get(ctx, "/v1/nodes", &v)
 }
 
 // nodeState gives a node's state in a word, and in a note what an operator should know of it.
-func nodeState(n *consensus.NodeView) (word, note string) {
+func nodeState(n *consensus.NodeView) (state, note string) {
 	switch {
 	case n.OutReason != "":
-		word = string(n.OutReason)
+		state = string(n.OutReason)
 		if n.Lease.Autonomous {
 			note = "may serve without the group until its next heartbeat, or until it is forgotten"
 		}
 	case !n.Reported:
-		word, note = "in", "no heartbeat to this leader yet"
+		state, note = "in", "no heartbeat to this leader yet"
 	case n.Fenced != "":
-		word, note = "fenced", n.Fenced
+		state, note = "fenced", n.Fenced
 	default:
-		word = "serves"
+		state = "serves"
 	}
 	switch {
 	case n.RefusedVersion != 0:
@@ -50,27 +50,27 @@
 	case len(n.JoinTimesMS) > 2 && note == "":
 		note = fmt.Sprintf("%d joins within a minute", len(n.JoinTimesMS))
 	}
-	return word, note
+	return state, note
 }
 
-func newNodesList(a *access) *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "List all nodes", Args: exact(0),
+func newNodesList(a *clientOptions) *cobra.Command {
+	return &cobra.Command{Use: "list", Short: "List all nodes", Args: exactArgs(0),
 		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
-			all, err := c.nodes(ctx)
+			nodes, err := c.fetchNodes(ctx)
 			if err != nil {
 				return err
 			}
-			if c.json {
-				return printJSON(w, all)
+			if c.printJSON {
+				return printJSON(w, nodes)
 			}
-			return table(w, nodesTable(all))
+			return printTable(w, nodesTable(nodes))
 		})}
 }
 
-func nodesTable(all []consensus.NodeView) [][]string {
+func nodesTable(nodes []consensus.NodeView) [][]string {
 	rows := [][]string{{"NODE", "ZONE", "STATE", "ACTIVE", "PREPARED", "LAST HEARTBEAT", "NOTE"}}
-	for i := range all {
-		n := &all[i]
+	for i := range nodes {
+		n := &nodes[i]
 		state, note := nodeState(n)
 		active, prepared := "-", "-"
 		if n.Reported {
@@ -84,24 +84,24 @@
 	return rows
 }
 
-func newNodesShow(a *access) *cobra.Command {
-	return &cobra.Command{Use: "show NODE", Short: "Show all that is known of one node", Args: exact(1),
+func newNodesShow(a *clientOptions) *cobra.Command {
+	return &cobra.Command{Use: "show NODE", Short: "Show all that is known of one node", Args: exactArgs(1),
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
-			all, err := c.nodes(ctx)
+			nodes, err := c.fetchNodes(ctx)
 			if err != nil {
 				return err
 			}
-			for i := range all {
-				n := &all[i]
+			for i := range nodes {
+				n := &nodes[i]
 				if n.Name != args[0] {
 					continue
 				}
-				if c.json {
+				if c.printJSON {
 					return printJSON(w, n)
 				}
-				return table(w, nodeRows(n))
+				return printTable(w, nodeRows(n))
 			}
-			return usage(fmt.Errorf("found no node %q, expected one of nodes list", args[0]))
+			return usageError(fmt.Errorf("found no node %q, expected one of nodes list", args[0]))
 		})}
 }
 
@@ -122,9 +122,9 @@
 	return fmt.Sprintf("%d, minimum version %d", l.ID, l.MinVersion)
 }
 
-func newNodesForget(a *access) *cobra.Command {
+func newNodesForget(a *clientOptions) *cobra.Command {
 	return &cobra.Command{Use: "forget NODE", Short: "Remove a node from the list: you vouch that it is dead",
-		Args: exact(1),
+		Args: exactArgs(1),
 		Long: `Removes a node from the list, with its leases that changes wait for. Whoever forgets a node
 vouches that it serves nothing any more: if it does, it may serve under an older version than all others until
 its next heartbeat.`,
@@ -133,7 +133,7 @@
 			if err != nil {
 				return err
 			}
-			res, err := c.ask(ctx, http.MethodPost, "/v1/nodes/forget", body)
+			res, err := c.send(ctx, http.MethodPost, "/v1/nodes/forget", body)
 			if err != nil {
 				return err
 			}
--- a/internal/cli/pin_commands_test.go
+++ b/internal/cli/pin_commands_test.go
@@ -56,7 +56,7 @@
 
 // Scripts tell outcomes apart by these statuses.
 func TestExitStatusesStay(t *testing.T) {
-	got := [...]int{exitDone, exitFailed, exitWrong, exitRefused, exitUnknown}
+	got := [...]int{exitOK, exitFailed, exitUsage, exitRefused, exitUnknown}
 	if got != [...]int{0, 1, 2, 3, 4} {
 		t.Errorf("found %v, expected 0 to 4", got)
 	}
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -21,24 +21,24 @@
 
 func newPolicy() *cobra.Command {
 	c := &cobra.Command{Use: "policy", Short: "Change all nodes of the fleet to a version, or none"}
-	var a access
-	a.flags(c)
-	c.AddCommand(newPropose(&a), newPolicyStatus(&a), newCallOff(&a), newPolicyHistory(&a), newExplain(&a))
+	var a clientOptions
+	a.addFlags(c)
+	c.AddCommand(newPolicyPropose(&a), newPolicyStatus(&a), newPolicyCallOff(&a), newPolicyHistory(&a), newPolicyExplain(&a))
 	return c
 }
 
-func (c *client) policyView(ctx context.Context) (*consensus.PolicyView, error) {
+func (c *client) fetchPolicy(ctx context.Context) (*consensus.PolicyView, error) {
 	var v consensus.PolicyView
 	return &v, c.get(ctx, "/v1/policy", &v)
 }
 
-func (c *client) policyOp(ctx context.Context, op policy.Op) (policy.Result, error) {
+func (c *client) sendPolicyOp(ctx context.Context, op policy.Op) (policy.Result, error) {
 	var r policy.Result
 	body, err := json.Marshal(op)
 	if err != nil {
 		return r, err
 	}
-	res, err := c.ask(ctx, http.MethodPost, "/v1/policy", body)
+	res, err := c.send(ctx, http.MethodPost, "/v1/policy", body)
 	if err != nil {
 		return r, err
 	}
@@ -46,17 +46,17 @@
 	return r, json.NewDecoder(res.Body).Decode(&r)
 }
 
-// proposeRequest is what the flags of `policy propose` ask for.
-type proposeRequest struct {
+// proposeOptions is what the flags of `policy propose` ask for.
+type proposeOptions struct {
 	policy.Proposal
-	prepareWithin time.Duration
-	wait          bool
+	prepareTimeout time.Duration
+	wait           bool
 }
 
-func newPropose(a *access) *cobra.Command {
-	var r proposeRequest
+func newPolicyPropose(a *clientOptions) *cobra.Command {
+	var r proposeOptions
 	c := &cobra.Command{Use: "propose VERSION|FILE",
-		Short: "Propose a change to a version, or to a document that becomes one", Args: exact(1),
+		Short: "Propose a change to a version, or to a document that becomes one", Args: exactArgs(1),
 		Long: `Proposes a change of all nodes to a version of the configuration. A FILE (or - for standard
 input) is put first, as with "config put". Every node prepares the version: it checks it and evaluates it on
 recent traffic. Once all have, the change is decided, and no node serves under an older version for longer than
@@ -68,7 +68,7 @@
 		})}
 	f := c.Flags()
 	f.BoolVar(&r.Exclusive, "exclusive", false, "no moment with two active versions; needs when_alone = fence")
-	f.DurationVar(&r.prepareWithin, "prepare", 30*time.Second, "how long nodes have to prepare it")
+	f.DurationVar(&r.prepareTimeout, "prepare", 30*time.Second, "how long nodes have to prepare it")
 	f.IntVar(&r.MaxLeftBehind, "spare", 0, "nodes at most that may be left behind, out of service")
 	f.StringVar(&r.Reason, "reason", "", "why, for the history")
 	f.BoolVar(&r.wait, "wait", true, "show its steps until it has settled or is called off")
@@ -76,52 +76,52 @@
 }
 
 // run proposes the change; what names no version is a file.
-func (r *proposeRequest) run(ctx context.Context, c *client, what string, w io.Writer) (err error) {
-	if r.Version, err = strconv.ParseUint(what, 10, 63); err != nil {
-		if r.Version, err = c.putFirst(ctx, what, r.Reason); err != nil {
+func (r *proposeOptions) run(ctx context.Context, c *client, versionOrFile string, w io.Writer) (err error) {
+	if r.Version, err = strconv.ParseUint(versionOrFile, 10, 63); err != nil {
+		if r.Version, err = c.putDocument(ctx, versionOrFile, r.Reason); err != nil {
 			return err
 		}
 	}
-	r.PrepareWithinMS, r.Author, r.IdempotencyKey = uint64(r.prepareWithin.Milliseconds()), whoami(), newSession()
+	r.PrepareWithinMS, r.Author, r.IdempotencyKey = uint64(r.prepareTimeout.Milliseconds()), currentUser(), newSession()
 	if err = r.Validate(); err != nil {
-		return usage(err)
+		return usageError(err)
 	}
-	res, err := c.policyOp(ctx, policy.Op{Kind: policy.OpPropose, Proposal: &r.Proposal})
+	res, err := c.sendPolicyOp(ctx, policy.Op{Kind: policy.OpPropose, Proposal: &r.Proposal})
 	switch {
 	case err != nil:
 		return err
 	case r.wait:
 		return c.followChange(ctx, w, res.ChangeNumber)
-	case c.json:
+	case c.printJSON:
 		return printJSON(w, res)
 	}
 	_, err = fmt.Fprintf(w, "change %d to version %d is under way\n", res.ChangeNumber, r.Version)
 	return err
 }
 
-// putFirst makes a document the group's next version.
-func (c *client) putFirst(ctx context.Context, file, reason string) (uint64, error) {
+// putDocument makes a document the group's next version.
+func (c *client) putDocument(ctx context.Context, file, reason string) (uint64, error) {
 	raw, err := readText(file)
 	if err != nil {
 		return 0, err
 	}
 	next, err := document.Parse(file, raw)
 	if err != nil {
-		return 0, usage(err)
+		return 0, usageError(err)
 	}
-	p := consensus.Put{Author: whoami(), Reason: reason, Text: string(next.Canonical())}
-	v, err := c.current(ctx)
+	p := consensus.Put{Author: currentUser(), Reason: reason, Text: string(next.Canonical())}
+	v, err := c.fetchCurrent(ctx)
 	if err != nil {
 		return 0, err
 	}
 	if v != nil {
 		p.Base = v.Number
 	}
-	end, err := c.put(ctx, p)
-	if err == nil && end.Outcome != consensus.PutCommitted && end.Outcome != consensus.PutUnchanged {
-		err = coded{fmt.Errorf("%s: %s", end.Outcome, end.Reason), exitRefused}
+	result, err := c.put(ctx, p)
+	if err == nil && result.Outcome != consensus.PutCommitted && result.Outcome != consensus.PutUnchanged {
+		err = exitError{fmt.Errorf("%s: %s", result.Outcome, result.Reason), exitRefused}
 	}
-	return end.Version, err
+	return result.Version, err
 }
 
 func findChange(v *consensus.PolicyView, number uint64) *policy.Change {
@@ -143,7 +143,7 @@
 func (c *client) followChange(ctx context.Context, w io.Writer, number uint64) error {
 	shown, blockers := 0, ""
 	for {
-		v, err := c.policyView(ctx)
+		v, err := c.fetchPolicy(ctx)
 		if err != nil {
 			return err
 		}
@@ -152,7 +152,7 @@
 			return fmt.Errorf("change %d is not in the history any more", number)
 		}
 		ended := ch.Step == policy.Settled || ch.Step == policy.Aborted
-		if !c.json {
+		if !c.printJSON {
 			printEvents(w, ch, shown)
 			shown = len(ch.Events)
 			if now := blockerNames(v.WaitingFor); !ended && now != blockers && now != "" {
@@ -161,7 +161,7 @@
 			}
 		}
 		if ended {
-			return c.endOfChange(w, ch)
+			return c.reportEnd(w, ch)
 		}
 		select {
 		case <-time.After(changePollInterval):
@@ -171,15 +171,15 @@
 	}
 }
 
-// endOfChange prints a change that has ended, and gives the error of one that was called off.
-func (c *client) endOfChange(w io.Writer, ch *policy.Change) error {
-	if c.json {
+// reportEnd prints a change that has ended, and gives the error of one that was called off.
+func (c *client) reportEnd(w io.Writer, ch *policy.Change) error {
+	if c.printJSON {
 		if err := printJSON(w, ch); err != nil {
 			return err
 		}
 	}
 	if ch.Step == policy.Aborted {
-		return coded{fmt.Errorf("change %d to version %d was called off: %s", ch.Number, ch.Version, ch.AbortReason),
+		return exitError{fmt.Errorf("change %d to version %d was called off: %s", ch.Number, ch.Version, ch.AbortReason),
 			exitRefused}
 	}
 	return nil
@@ -203,14 +203,14 @@
 	return policy.Summarize(names)
 }
 
-func newPolicyStatus(a *access) *cobra.Command {
+func newPolicyStatus(a *clientOptions) *cobra.Command {
 	return &cobra.Command{Use: "status", Short: "Show the committed version, the change under way, and its blockers",
-		Args: exact(0), RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
-			v, err := c.policyView(ctx)
+		Args: exactArgs(0), RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
+			v, err := c.fetchPolicy(ctx)
 			if err != nil {
 				return err
 			}
-			if c.json {
+			if c.printJSON {
 				return printJSON(w, v)
 			}
 			return printPolicyStatus(w, v)
@@ -237,7 +237,7 @@
 	ch := v.Current
 	fmt.Fprintf(w, "change %d: version %d to %d, %s, by %s: %s\n", ch.Number, ch.PreviousVersion, ch.Version, ch.Step,
 		ch.Proposal.Author, ch.Proposal.Reason)
-	return table(w, blockersTable(v))
+	return printTable(w, blockersTable(v))
 }
 
 // blockersTable has the nodes that refuse the change under way, then those that it waits for.
@@ -249,86 +249,86 @@
 	return rows
 }
 
-func newCallOff(a *access) *cobra.Command {
-	var why string
+func newPolicyCallOff(a *clientOptions) *cobra.Command {
+	var reason string
 	c := &cobra.Command{Use: "call-off", Short: "Call off the change under way, if it is not decided yet",
-		Args: exact(0),
+		Args: exactArgs(0),
 		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
-			v, err := c.policyView(ctx)
+			v, err := c.fetchPolicy(ctx)
 			if err != nil {
 				return err
 			}
 			if v.Current == nil {
-				return coded{errors.New("no change is under way"), exitRefused}
+				return exitError{errors.New("no change is under way"), exitRefused}
 			}
-			if _, err = c.policyOp(ctx, policy.Op{Kind: policy.OpAbort, ChangeNumber: v.Current.Number,
-				Author: whoami(),
-				Reason: why}); err != nil {
+			if _, err = c.sendPolicyOp(ctx, policy.Op{Kind: policy.OpAbort, ChangeNumber: v.Current.Number,
+				Author: currentUser(),
+				Reason: reason}); err != nil {
 				return err
 			}
 			fmt.Fprintf(w, "change %d is called off\n", v.Current.Number)
 			return nil
 		})}
-	c.Flags().StringVar(&why, "reason", "", "why, for the history")
+	c.Flags().StringVar(&reason, "reason", "", "why, for the history")
 	return c
 }
 
-func newPolicyHistory(a *access) *cobra.Command {
-	return &cobra.Command{Use: "history", Short: "Show earlier changes, the newest last", Args: exact(0),
+func newPolicyHistory(a *clientOptions) *cobra.Command {
+	return &cobra.Command{Use: "history", Short: "Show earlier changes, the newest last", Args: exactArgs(0),
 		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
-			v, err := c.policyView(ctx)
+			v, err := c.fetchPolicy(ctx)
 			if err != nil {
 				return err
 			}
-			all := v.History
+			changes := v.History
 			if v.Current != nil {
-				all = append(all, v.Current)
+				changes = append(changes, v.Current)
 			}
-			if c.json {
-				return printJSON(w, all)
+			if c.printJSON {
+				return printJSON(w, changes)
 			}
-			return table(w, changesTable(all))
+			return printTable(w, changesTable(changes))
 		})}
 }
 
-func changesTable(all []*policy.Change) [][]string {
+func changesTable(changes []*policy.Change) [][]string {
 	rows := [][]string{{"CHANGE", "FROM", "TO", "STEP", "BY", "COMMITTED AFTER", "ENDED AFTER", "REASON"}}
-	after := func(at, from uint64) string {
+	elapsed := func(at, from uint64) string {
 		if at == 0 {
 			return "-"
 		}
 		return fmt.Sprintf("%d ms", at-from)
 	}
-	for _, ch := range all {
+	for _, ch := range changes {
 		reason := ch.Proposal.Reason
 		if ch.AbortReason != "" {
 			reason = ch.AbortReason
 		}
 		rows = append(rows, []string{strconv.FormatUint(ch.Number, 10), strconv.FormatUint(ch.PreviousVersion, 10),
 			strconv.FormatUint(ch.Version, 10), string(ch.Step), ch.Proposal.Author,
-			after(ch.CommittedAtMS, ch.ProposedAtMS),
-			after(ch.EndedAtMS, ch.ProposedAtMS), reason})
+			elapsed(ch.CommittedAtMS, ch.ProposedAtMS),
+			elapsed(ch.EndedAtMS, ch.ProposedAtMS), reason})
 	}
 	return rows
 }
 
-func newExplain(a *access) *cobra.Command {
+func newPolicyExplain(a *clientOptions) *cobra.Command {
 	return &cobra.Command{Use: "explain CHANGE", Short: "Show a change's steps, when each came, and why",
-		Args: exact(1),
+		Args: exactArgs(1),
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			number, err := strconv.ParseUint(args[0], 10, 63)
 			if err != nil {
-				return usage(fmt.Errorf("CHANGE: found %q, expected a number of policy history", args[0]))
+				return usageError(fmt.Errorf("CHANGE: found %q, expected a number of policy history", args[0]))
 			}
-			v, err := c.policyView(ctx)
+			v, err := c.fetchPolicy(ctx)
 			if err != nil {
 				return err
 			}
 			ch := findChange(v, number)
 			if ch == nil {
-				return usage(fmt.Errorf("found no change %d, expected one of policy history", number))
+				return usageError(fmt.Errorf("found no change %d, expected one of policy history", number))
 			}
-			if c.json {
+			if c.printJSON {
 				return printJSON(w, ch)
 			}
 			fmt.Fprintf(w, "change %d: version %d to %d, %s\n", ch.Number, ch.PreviousVersion, ch.Version, ch.Step)
--- a/internal/cli/results.go
+++ b/internal/cli/results.go
@@ -28,7 +28,7 @@
 func newResultsStat() *cobra.Command {
 	var asJSON bool
 	short := "How many idempotency keys a folder holds, by state"
-	c := &cobra.Command{Use: "stat FOLDER", Short: short, Args: exact(1), Long: short + "." + readNote,
+	c := &cobra.Command{Use: "stat FOLDER", Short: short, Args: exactArgs(1), Long: short + "." + readNote,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			v, err := readResults(args[0], false)
 			if err != nil {
@@ -37,7 +37,7 @@
 			if asJSON {
 				return printJSON(cmd.OutOrStdout(), v)
 			}
-			return table(cmd.OutOrStdout(), v.statRows())
+			return printTable(cmd.OutOrStdout(), v.statRows())
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
@@ -47,7 +47,7 @@
 	var asJSON bool
 	var limit int
 	short := "Its idempotency keys, by their digests, with what is left of their windows"
-	c := &cobra.Command{Use: "list FOLDER", Short: short, Args: exact(1), Long: short + "." + readNote,
+	c := &cobra.Command{Use: "list FOLDER", Short: short, Args: exactArgs(1), Long: short + "." + readNote,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			v, err := readResults(args[0], true)
 			if err != nil {
@@ -59,7 +59,7 @@
 			if asJSON {
 				return printJSON(cmd.OutOrStdout(), v)
 			}
-			return table(cmd.OutOrStdout(), v.listRows())
+			return printTable(cmd.OutOrStdout(), v.listRows())
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	c.Flags().IntVar(&limit, "most", 0, "so many keys at most, those that expire first; 0 for all")
@@ -68,7 +68,7 @@
 
 func newResultsVerify() *cobra.Command {
 	return &cobra.Command{Use: "verify FOLDER", Short: "Verify each record's checksum and that it fits those before it",
-		Args: exact(1), Long: `Reads the whole folder as a start would and says what is wrong, if anything is:
+		Args: exactArgs(1), Long: `Reads the whole folder as a start would and says what is wrong, if anything is:
 that is exit status 1. Nothing is changed, but for a tail that was never synced, which is cut off.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			o, err := openResults(args[0])
@@ -83,7 +83,7 @@
 
 func newResultsCompact() *cobra.Command {
 	return &cobra.Command{Use: "compact FOLDER", Short: "Delete segments in which every idempotency window is over",
-		Args: exact(1), Long: `A node does so by itself while it serves. After another boot of the machine
+		Args: exactArgs(1), Long: `A node does so by itself while it serves. After another boot of the machine
 nobody knows how long it was down, and nothing is deleted before a node has served for a window's time.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			now, boot, err := checkResultsFolder(args[0])
@@ -108,7 +108,7 @@
 // checkResultsFolder says whether there is anything to read, and what time it is by the clock of windows.
 func checkResultsFolder(path string) (now uint64, boot string, err error) {
 	if logs, _ := filepath.Glob(filepath.Join(path, "*.seg")); len(logs) == 0 { // or a log would be begun there
-		return 0, "", usage(fmt.Errorf("found no log in %q, expected a folder of stored results", path))
+		return 0, "", usageError(fmt.Errorf("found no log in %q, expected a folder of stored results", path))
 	}
 	return resultstore.BootClock()
 }
@@ -133,11 +133,11 @@
 	if err != nil {
 		return nil, err
 	}
-	index, found, bytes, err := resultstore.Inspect(wal.Dir(path), readableSizes, readableLimits, now, boot)
+	index, recovered, bytes, err := resultstore.Inspect(wal.Dir(path), readableSizes, readableLimits, now, boot)
 	if err != nil {
 		return nil, resultsError(path, err)
 	}
-	return &openedResults{Recovery: found, index: index, bytes: bytes, readAt: now}, nil
+	return &openedResults{Recovery: recovered, index: index, bytes: bytes, readAt: now}, nil
 }
 
 // resultsView is what a folder of stored results holds.
@@ -159,7 +159,7 @@
 }
 
 // readResults reads a folder; with the list of its keys, those first that expire first.
-func readResults(path string, list bool) (*resultsView, error) {
+func readResults(path string, withKeys bool) (*resultsView, error) {
 	o, err := openResults(path)
 	if err != nil {
 		return nil, err
@@ -167,7 +167,7 @@
 	v := &resultsView{Records: o.Records, Bytes: o.bytes, Keys: o.Keys, States: map[string]int{},
 		IsSameBoot: o.SameBoot, TornTail: o.TornTail, TookMS: o.Duration.Milliseconds()}
 	o.index.ForEach(o.readAt, func(k resultstore.Key, s resultstore.State, left uint64) {
-		if v.States[s.String()]++; list {
+		if v.States[s.String()]++; withKeys {
 			v.List = append(v.List, resultsKey{hex.EncodeToString(k[:]), s.String(), left})
 		}
 	})
--- a/internal/cli/results_test.go
+++ b/internal/cli/results_test.go
@@ -12,9 +12,9 @@
 
 // A node has stored two intents, a result and a failure. While it has the folder, and once a byte of it is damaged, the
 // commands refuse it and leave it as it is; in between they show its keys by state.
-func TestResultsShowsFolderThatNoNodeUses(t *testing.T) {
+func TestResultsReadsUnusedFolder(t *testing.T) {
 	dir := t.TempDir()
-	want(t, 2, "found no log", "results", "stat", dir)
+	expect(t, 2, "found no log", "results", "stat", dir)
 	if names, _ := os.ReadDir(dir); len(names) > 0 {
 		t.Fatalf("a folder that is none has %v now", names)
 	}
@@ -37,23 +37,23 @@
 			t.Fatal(err)
 		}
 	}
-	want(t, 1, "stop the node first", "results", "stat", dir)
+	expect(t, 1, "stop the node first", "results", "stat", dir)
 	if err = s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	out := want(t, 0, "windows go on", "results", "stat", dir)
+	out := expect(t, 0, "windows go on", "results", "stat", dir)
 	for _, line := range []string{"may have run  2", "done          1", "failed        1", "keys          4"} {
 		if !strings.Contains(out, line) {
 			t.Errorf("expected %q in\n%s", line, out)
 		}
 	}
-	if out = want(t, 0, "may have run", "results", "list", dir, "--most", "2"); strings.Count(out, "\n") != 3 {
+	if out = expect(t, 0, "may have run", "results", "list", dir, "--most", "2"); strings.Count(out, "\n") != 3 {
 		t.Errorf("expected two keys in\n%s", out)
 	}
-	want(t, 0, `"states": {`, "results", "stat", dir, "--json")
-	want(t, 0, "whole: 5 records, 4 keys, 2 that may have run", "results", "verify", dir)
-	want(t, 0, "bytes", "results", "compact", dir)
-	want(t, 0, "whole: 5 records", "results", "verify", dir) // every window goes on
+	expect(t, 0, `"states": {`, "results", "stat", dir, "--json")
+	expect(t, 0, "whole: 5 records, 4 keys, 2 that may have run", "results", "verify", dir)
+	expect(t, 0, "bytes", "results", "compact", dir)
+	expect(t, 0, "whole: 5 records", "results", "verify", dir) // every window goes on
 	logs, _ := filepath.Glob(filepath.Join(dir, "*.seg"))
 	raw, err := os.ReadFile(logs[0])
 	if err != nil {
@@ -63,9 +63,9 @@
 	if err = os.WriteFile(logs[0], raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	want(t, 1, "damaged", "results", "stat", dir)
-	want(t, 1, "damaged", "results", "verify", dir)
-	want(t, 1, "damaged", "results", "compact", dir)
+	expect(t, 1, "damaged", "results", "stat", dir)
+	expect(t, 1, "damaged", "results", "verify", dir)
+	expect(t, 1, "damaged", "results", "compact", dir)
 	if is, _ := os.ReadFile(logs[0]); string(is) != string(raw) {
 		t.Error("a damaged folder was changed")
 	}
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -20,45 +20,45 @@
 
 // Exit statuses.
 const (
-	exitDone    = 0
+	exitOK      = 0
 	exitFailed  = 1 // it ran and failed, or a fault test broke a promise
-	exitWrong   = 2 // a wrong file, flag or document: nothing was done
+	exitUsage   = 2 // a wrong file, flag or document: nothing was done
 	exitRefused = 3 // the group refused it: a conflict, a wrong document or change
 	exitUnknown = 4 // no response: it may or may not have been done
 )
 
-// coded is an error with an exit status of its own.
-type coded struct {
+// exitError is an error with an exit status of its own.
+type exitError struct {
 	error
 	code int
 }
 
-func (c coded) Unwrap() error { return c.error }
+func (c exitError) Unwrap() error { return c.error }
 
-func usage(err error) error { return coded{err, exitWrong} }
+func usageError(err error) error { return exitError{err, exitUsage} }
 
 // Run runs a command line and gives the exit status.
-func Run(args []string, out, errs io.Writer) int {
+func Run(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root := newRoot()
 	root.SetArgs(args)
-	root.SetOut(out)
-	root.SetErr(errs)
+	root.SetOut(stdout)
+	root.SetErr(stderr)
 	err := root.ExecuteContext(ctx)
 	if err == nil {
-		return exitDone
+		return exitOK
 	}
-	fmt.Fprintln(errs, err)
-	var c coded
-	var r *refusal
+	fmt.Fprintln(stderr, err)
+	var c exitError
+	var r *errorResponse
 	var f config.Faults
 	switch {
 	case errors.As(err, &c):
 		return c.code
 	case errors.As(err, &f):
-		return exitWrong
-	case errors.Is(err, errUnknown):
+		return exitUsage
+	case errors.Is(err, errOutcomeUnknown):
 		return exitUnknown
 	case errors.As(err, &r):
 		return exitRefused
@@ -75,17 +75,17 @@
 Exit statuses: 0 done; 1 failed, or a promise was broken; 2 a wrong file, flag or document, nothing was done; 3
 the group refused it; 4 no response, it may or may not have been done.`,
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.NoArgs}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
 	root.AddCommand(newDemo(), newControl(), newConfig(), newPolicy(), newNodes(), newZones(), newFleet(), newNode(),
 		newResults(), newFaultTest(), newKept(), newLab())
 	return root
 }
 
-// exact requires so many arguments; another number is a wrong line.
-func exact(n int) cobra.PositionalArgs {
+// exactArgs requires so many arguments; another number is a wrong line.
+func exactArgs(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(c, args); err != nil {
-			return usage(fmt.Errorf("%s: %w", c.CommandPath(), err))
+			return usageError(fmt.Errorf("%s: %w", c.CommandPath(), err))
 		}
 		return nil
 	}
@@ -97,8 +97,8 @@
 	return e.Encode(v)
 }
 
-// table prints rows in columns, the first row as their head.
-func table(w io.Writer, rows [][]string) error {
+// printTable prints rows in columns, the first row as their head.
+func printTable(w io.Writer, rows [][]string) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	for _, row := range rows {
 		for i, cell := range row {
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -17,29 +17,29 @@
 
 func newZones() *cobra.Command {
 	c := &cobra.Command{Use: "zones", Short: "Zones of the fleet: their states, evacuating one and returning to it"}
-	var a access
-	a.flags(c)
+	var a clientOptions
+	a.addFlags(c)
 	c.AddCommand(newZonesList(&a), newZonesShow(&a), newZonesExplain(&a), newZonesLeave(&a), newZonesReturn(&a),
 		newZonesHold(&a), newZonesDrill(&a))
 	return c
 }
 
-func (c *client) zones(ctx context.Context) (*consensus.ZonesView, error) {
+func (c *client) fetchZones(ctx context.Context) (*consensus.ZonesView, error) {
 	var v consensus.ZonesView
 	return &v, c.get(ctx, "/v1/zones", &v)
 }
 
-func (c *client) zoneOp(ctx context.Context, op zones.Op) (zones.Result, error) {
+func (c *client) sendZoneOp(ctx context.Context, op zones.Op) (zones.Result, error) {
 	var r zones.Result
-	op.Operator, op.IdempotencyKey = whoami(), newSession()
+	op.Operator, op.IdempotencyKey = currentUser(), newSession()
 	if err := op.Validate(); err != nil {
-		return r, usage(err)
+		return r, usageError(err)
 	}
 	body, err := json.Marshal(op)
 	if err != nil {
 		return r, err
 	}
-	res, err := c.ask(ctx, http.MethodPost, "/v1/zones", body)
+	res, err := c.send(ctx, http.MethodPost, "/v1/zones", body)
 	if err != nil {
 		return r, err
 	}
@@ -48,38 +48,38 @@
 }
 
 // zoneState gives a zone's state in a word, and its share of traffic.
-func zoneState(v *consensus.ZoneView) (word, share string) {
-	if word = string(v.Phase); v.Phase == zones.InService && v.Evidence != nil && v.Evidence.FailureScore > 0 {
-		word = "suspected"
+func zoneState(v *consensus.ZoneView) (state, share string) {
+	if state = string(v.Phase); v.Phase == zones.InService && v.Evidence != nil && v.Evidence.FailureScore > 0 {
+		state = "suspected"
 	}
-	return word, percent(v.Share)
+	return state, formatShare(v.Share)
 }
 
-// percent prints a share of traffic.
-func percent(share int) string { return fmt.Sprintf("%.0f%%", 100*float64(share)/api.FullShare) }
+// formatShare prints a share of traffic.
+func formatShare(share int) string { return fmt.Sprintf("%.0f%%", 100*float64(share)/api.FullShare) }
 
-func newZonesList(a *access) *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "List all zones", Args: exact(0),
+func newZonesList(a *clientOptions) *cobra.Command {
+	return &cobra.Command{Use: "list", Short: "List all zones", Args: exactArgs(0),
 		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
-			v, err := c.zones(ctx)
+			v, err := c.fetchZones(ctx)
 			if err != nil {
 				return err
 			}
-			if c.json {
+			if c.printJSON {
 				return printJSON(w, v)
 			}
 			if !v.Rules.Enabled() {
 				fmt.Fprintln(w, "the policy in force decides nothing about zones ([zones] decide = off)")
 			}
-			return table(w, zonesTable(v.Zones))
+			return printTable(w, zonesTable(v.Zones))
 		})}
 }
 
-func zonesTable(all []consensus.ZoneView) [][]string {
+func zonesTable(views []consensus.ZoneView) [][]string {
 	rows := [][]string{{"ZONE", "STATE", "SHARE", "NODES", "REPORTING", "UNHEALTHY", "RUNS/S", "CAPACITY", "CAUSE",
 		"NOTE"}}
-	for i := range all {
-		z := &all[i]
+	for i := range views {
+		z := &views[i]
 		state, share := zoneState(z)
 		in, reporting, unhealthy, runs, note := "-", "-", "-", "-", ""
 		if e := z.Evidence; e != nil {
@@ -93,7 +93,7 @@
 }
 
 func findZone(ctx context.Context, c *client, name string) (*consensus.ZonesView, *consensus.ZoneView, error) {
-	v, err := c.zones(ctx)
+	v, err := c.fetchZones(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -102,20 +102,20 @@
 			return v, &v.Zones[i], nil
 		}
 	}
-	return nil, nil, usage(fmt.Errorf("found no zone %q, expected one of zones list", name))
+	return nil, nil, usageError(fmt.Errorf("found no zone %q, expected one of zones list", name))
 }
 
-func newZonesShow(a *access) *cobra.Command {
-	return &cobra.Command{Use: "show ZONE", Short: "Show all that is known of one zone", Args: exact(1),
+func newZonesShow(a *clientOptions) *cobra.Command {
+	return &cobra.Command{Use: "show ZONE", Short: "Show all that is known of one zone", Args: exactArgs(1),
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			v, z, err := findZone(ctx, c, args[0])
 			if err != nil {
 				return err
 			}
-			if c.json {
+			if c.printJSON {
 				return printJSON(w, z)
 			}
-			return table(w, zoneRows(v, z))
+			return printTable(w, zoneRows(v, z))
 		})}
 }
 
@@ -155,15 +155,15 @@
 	return rows
 }
 
-func newZonesExplain(a *access) *cobra.Command {
+func newZonesExplain(a *clientOptions) *cobra.Command {
 	return &cobra.Command{Use: "explain ZONE", Short: "Show what was decided about a zone, when, and why",
-		Args: exact(1),
+		Args: exactArgs(1),
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			v, z, err := findZone(ctx, c, args[0])
 			if err != nil {
 				return err
 			}
-			if c.json {
+			if c.printJSON {
 				return printJSON(w, z.Events)
 			}
 			for _, e := range z.Events {
@@ -181,31 +181,31 @@
 		})}
 }
 
-// zoneStep is a step that an operator asks for: its command's name, help and flags, and what it asks of the group.
-type zoneStep struct {
+// zoneCommand is a step that an operator asks for: its command's name, help and flags, and what it asks of the group.
+type zoneCommand struct {
 	use, short, long string
 	flags            func(c *cobra.Command)
 	op               func() (zones.Op, error)
 }
 
 // command makes the step a command.
-func (s *zoneStep) command(a *access) *cobra.Command {
+func (s *zoneCommand) command(a *clientOptions) *cobra.Command {
 	reason := ""
-	c := &cobra.Command{Use: s.use + " ZONE", Short: s.short, Long: s.long, Args: exact(1),
+	c := &cobra.Command{Use: s.use + " ZONE", Short: s.short, Long: s.long, Args: exactArgs(1),
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			op, err := s.op()
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			op.Zone, op.Reason = args[0], reason
-			r, err := c.zoneOp(ctx, op)
+			r, err := c.sendZoneOp(ctx, op)
 			if err != nil {
 				return err
 			}
-			if c.json {
+			if c.printJSON {
 				return printJSON(w, r)
 			}
-			_, err = fmt.Fprintf(w, "zone %s is %s, share %s, epoch %d\n", args[0], r.Phase, percent(r.Share), r.Epoch)
+			_, err = fmt.Fprintf(w, "zone %s is %s, share %s, epoch %d\n", args[0], r.Phase, formatShare(r.Share), r.Epoch)
 			return err
 		})}
 	c.Flags().StringVar(&reason, "reason", "", "why, for explain")
@@ -215,8 +215,8 @@
 	return c
 }
 
-func newZonesLeave(a *access) *cobra.Command {
-	return (&zoneStep{use: "leave", short: "Evacuate a zone: its nodes take no more requests",
+func newZonesLeave(a *clientOptions) *cobra.Command {
+	return (&zoneCommand{use: "leave", short: "Evacuate a zone: its nodes take no more requests",
 		long: `Its nodes say that they are not ready, reject at once what arrives and what is queued, with a
 Retry-After, and complete what runs. It stays so until "zones return". The last zone that is in service can't be
 evacuated.`,
@@ -226,9 +226,9 @@
 // defaultReturnShare is where an operator's return begins.
 const defaultReturnShare = 0.0625
 
-func newZonesReturn(a *access) *cobra.Command {
+func newZonesReturn(a *clientOptions) *cobra.Command {
 	share := defaultReturnShare
-	return (&zoneStep{use: "return", short: "Begin a zone's recovery ramp",
+	return (&zoneCommand{use: "return", short: "Begin a zone's recovery ramp",
 		long: `Sets the share of traffic, higher or lower than now, and raises it from there by what the dependencies
 show. Without --share it is 0.0625, also where the zone takes more already.`,
 		flags: func(c *cobra.Command) {
@@ -242,43 +242,43 @@
 		}}).command(a)
 }
 
-// maxHold is the longest that an operator may keep the rules from deciding about a zone.
-const maxHold = 24 * time.Hour
+// maxHoldTime is the longest that an operator may keep the rules from deciding about a zone.
+const maxHoldTime = 24 * time.Hour
 
-func newZonesHold(a *access) *cobra.Command {
-	span := time.Hour
-	return (&zoneStep{use: "hold", short: "Keep the rules from deciding about a zone for a while",
+func newZonesHold(a *clientOptions) *cobra.Command {
+	duration := time.Hour
+	return (&zoneCommand{use: "hold", short: "Keep the rules from deciding about a zone for a while",
 		long: "It stays as it is; an operator's own steps count all the same.",
 		flags: func(c *cobra.Command) {
-			c.Flags().DurationVar(&span, "for", time.Hour, "for so long; 0 ends it")
+			c.Flags().DurationVar(&duration, "for", time.Hour, "for so long; 0 ends it")
 		},
 		op: func() (zones.Op, error) {
-			if span < 0 || span > maxHold {
-				return zones.Op{}, fmt.Errorf("--for: found %v, expected up to 24h", span)
+			if duration < 0 || duration > maxHoldTime {
+				return zones.Op{}, fmt.Errorf("--for: found %v, expected up to 24h", duration)
 			}
-			return zones.Op{Kind: zones.OpHold, WaitMS: uint64(span.Milliseconds())}, nil
+			return zones.Op{Kind: zones.OpHold, WaitMS: uint64(duration.Milliseconds())}, nil
 		}}).command(a)
 }
 
 // Bounds of a drill.
 const (
-	minDrill = time.Second
-	maxDrill = time.Hour
+	minDrillTime = time.Second
+	maxDrillTime = time.Hour
 )
 
-func newZonesDrill(a *access) *cobra.Command {
-	span := time.Minute
-	return (&zoneStep{use: "drill", short: "Evacuate a zone on purpose for a while, and return to it",
+func newZonesDrill(a *clientOptions) *cobra.Command {
+	duration := time.Minute
+	return (&zoneCommand{use: "drill", short: "Evacuate a zone on purpose for a while, and return to it",
 		long: `Evacuates a zone as if it had failed and begins its recovery ramp when the time is over, or as
 soon as it does harm: another zone becomes unhealthy, or completes less than eight tenths of the priority weight
 that arrives there.`,
 		flags: func(c *cobra.Command) {
-			c.Flags().DurationVar(&span, "for", time.Minute, "how long it stays evacuated, 1s to 1h")
+			c.Flags().DurationVar(&duration, "for", time.Minute, "how long it stays evacuated, 1s to 1h")
 		},
 		op: func() (zones.Op, error) {
-			if span < minDrill || span > maxDrill {
-				return zones.Op{}, fmt.Errorf("--for: found %v, expected 1s to 1h", span)
+			if duration < minDrillTime || duration > maxDrillTime {
+				return zones.Op{}, fmt.Errorf("--for: found %v, expected 1s to 1h", duration)
 			}
-			return zones.Op{Kind: zones.OpEvacuate, DrillMS: uint64(span.Milliseconds())}, nil
+			return zones.Op{Kind: zones.OpEvacuate, DrillMS: uint64(duration.Milliseconds())}, nil
 		}}).command(a)
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// machine is a machine whose clocks the test moves.
-type machine struct{ mono, wall time.Duration }
+// fakeClocks is a machine whose clocks the test moves.
+type fakeClocks struct{ mono, wall time.Duration }
 
-func newMachine() *machine { return &machine{mono: origin, wall: 1_764_576_000 * time.Second} }
+func newFakeClocks() *fakeClocks { return &fakeClocks{mono: origin, wall: 1_764_576_000 * time.Second} }
 
-func (m *machine) read() Reading { return Reading{Monotonic: m.mono, Wall: m.wall} }
+func (m *fakeClocks) read() Reading { return Reading{Monotonic: m.mono, Wall: m.wall} }
 
-func (m *machine) sleep(d time.Duration) { m.mono, m.wall = m.mono+d, m.wall+d }
+func (m *fakeClocks) advance(d time.Duration) { m.mono, m.wall = m.mono+d, m.wall+d }
 
-const deadline = 6 * time.Second
+const timeout = 6 * time.Second
 
 // A stamp made on either side of a step is placed where it was made, or between bounds that hold that place.
 func TestStampsAroundStepAreBounded(t *testing.T) {
@@ -27,30 +27,30 @@
 		for _, before := range []time.Duration{0, time.Second, 4 * time.Second} {
 			for _, after := range []time.Duration{0, 10 * time.Millisecond, time.Second, 3500 * time.Millisecond} {
 				t.Run(fmt.Sprint(step, before, after), func(t *testing.T) {
-					m := newMachine()
-					s := NewStamps(m.read, 2*deadline)
-					m.sleep(10 * time.Second)
+					m := newFakeClocks()
+					s := NewStamps(m.read, 2*timeout)
+					m.advance(10 * time.Second)
 					s.Observe(m.read)
 					old, oldAt := m.wall, m.mono
-					m.sleep(before)
+					m.advance(before)
 					s.Observe(m.read)
 					m.wall += step
 					if _, seen := s.Observe(m.read); seen != step {
 						t.Errorf("a step of %v is seen as %v", step, seen)
 					}
-					m.sleep(after)
+					m.advance(after)
 					young, youngAt := m.wall, m.mono
-					m.sleep(100 * time.Millisecond)
+					m.advance(100 * time.Millisecond)
 					s.Observe(m.read)
-					s.expect(t, m.mono, old, oldAt)
-					s.expect(t, m.mono, young, youngAt)
+					s.checkPlace(t, m.mono, old, oldAt)
+					s.checkPlace(t, m.mono, young, youngAt)
 				})
 			}
 		}
 	}
 }
 
-func (s *Stamps) expect(t *testing.T, now, stamp, at time.Duration) {
+func (s *Stamps) checkPlace(t *testing.T, now, stamp, at time.Duration) {
 	t.Helper()
 	earliest, latest, ok := s.Place(now, stamp, time.Second)
 	if !ok || earliest > at || latest < at || latest > now {
@@ -59,17 +59,17 @@
 }
 
 // Steps by an hour leave no doubt: a stamp of either side has one place.
-func TestLargeStepsLeaveNoDoubt(t *testing.T) {
-	m := newMachine()
-	s := NewStamps(m.read, 2*deadline)
+func TestStampsAcrossLargeStepsAreExact(t *testing.T) {
+	m := newFakeClocks()
+	s := NewStamps(m.read, 2*timeout)
 	var stamps, places []time.Duration
 	for _, step := range []time.Duration{time.Hour, -2 * time.Hour, time.Hour} {
 		stamps, places = append(stamps, m.wall), append(places, m.mono)
-		m.sleep(time.Second)
+		m.advance(time.Second)
 		s.Observe(m.read)
 		m.wall += step
 		s.Observe(m.read)
-		m.sleep(time.Second)
+		m.advance(time.Second)
 	}
 	for i := range stamps {
 		if earliest, latest, ok := s.Place(m.mono, stamps[i], time.Second); !ok || earliest != places[i] ||
@@ -81,27 +81,27 @@
 
 // A process that was stopped as the clock was stepped does not know when; stamps of the whole stop are placed all the
 // same.
-func TestStampsOfStopWithStepArePlaced(t *testing.T) {
-	m := newMachine()
-	s := NewStamps(m.read, 2*deadline)
-	m.sleep(time.Second)
+func TestStampsDuringSuspensionWithStepArePlaced(t *testing.T) {
+	m := newFakeClocks()
+	s := NewStamps(m.read, 2*timeout)
+	m.advance(time.Second)
 	old, oldAt := m.wall, m.mono
-	m.sleep(time.Second)
+	m.advance(time.Second)
 	m.wall += time.Hour
 	young, youngAt := m.wall, m.mono
-	m.sleep(2 * time.Second)
+	m.advance(2 * time.Second)
 	s.Observe(m.read)
-	s.expect(t, m.mono, old, oldAt)
-	s.expect(t, m.mono, young, youngAt)
+	s.checkPlace(t, m.mono, old, oldAt)
+	s.checkPlace(t, m.mono, young, youngAt)
 }
 
 // No stamp is placed that no reading makes plausible; one a little ahead is as if it were made now.
-func TestImplausibleStampsHaveNoPlace(t *testing.T) {
-	m := newMachine()
-	s := NewStamps(m.read, 2*deadline)
-	m.sleep(time.Hour)
+func TestImplausibleStampsAreRejected(t *testing.T) {
+	m := newFakeClocks()
+	s := NewStamps(m.read, 2*timeout)
+	m.advance(time.Hour)
 	s.Observe(m.read)
-	for _, off := range []time.Duration{time.Hour, 1001 * time.Millisecond, -2*deadline - time.Millisecond,
+	for _, off := range []time.Duration{time.Hour, 1001 * time.Millisecond, -2*timeout - time.Millisecond,
 		-time.Hour} {
 		if _, _, ok := s.Place(m.mono, m.wall+off, time.Second); ok {
 			t.Errorf("a stamp %v off is placed", off)
@@ -113,18 +113,18 @@
 }
 
 // Slewing is followed and is no step; nor is a stop, nor a pause between the two readings.
-func TestSlewingAndStopsAreNoStep(t *testing.T) {
-	m := newMachine()
-	s := NewStamps(m.read, 2*deadline)
+func TestSlewAndSuspensionAreNotSteps(t *testing.T) {
+	m := newFakeClocks()
+	s := NewStamps(m.read, 2*timeout)
 	for range 1000 {
-		m.sleep(100 * time.Millisecond)
+		m.advance(100 * time.Millisecond)
 		m.wall += 50 * time.Microsecond
 		if _, step := s.Observe(m.read); step != 0 {
 			t.Fatalf("slewing is seen as a step of %v", step)
 		}
 	}
-	s.expect(t, m.mono, m.wall, m.mono)
-	m.sleep(time.Minute)
+	s.checkPlace(t, m.mono, m.wall, m.mono)
+	m.advance(time.Minute)
 	if _, step := s.Observe(m.read); step != 0 {
 		t.Errorf("a stop is seen as a step of %v", step)
 	}
@@ -132,7 +132,7 @@
 	read := func() Reading {
 		r := m.read()
 		if paused {
-			m.sleep(2 * time.Second)
+			m.advance(2 * time.Second)
 			r.Monotonic, paused = m.mono, false
 		}
 		return r
@@ -140,22 +140,22 @@
 	if _, step := s.Observe(read); step != 0 {
 		t.Errorf("a pause between the readings is seen as a step of %v", step)
 	}
-	s.expect(t, m.mono, m.wall, m.mono)
+	s.checkPlace(t, m.mono, m.wall, m.mono)
 }
 
 // Steps without end do not pile up.
-func TestRememberedStepsAreBounded(t *testing.T) {
-	m := newMachine()
-	s := NewStamps(m.read, 2*deadline)
+func TestEpochCountIsBounded(t *testing.T) {
+	m := newFakeClocks()
+	s := NewStamps(m.read, 2*timeout)
 	for range 1000 {
-		m.sleep(time.Millisecond)
+		m.advance(time.Millisecond)
 		m.wall += time.Hour
 		s.Observe(m.read)
 	}
-	if len(s.epochs) > epochsMost {
+	if len(s.epochs) > maxEpochs {
 		t.Errorf("%d are remembered", len(s.epochs))
 	}
-	m.sleep(time.Hour)
+	m.advance(time.Hour)
 	m.wall += time.Hour
 	s.Observe(m.read)
 	if len(s.epochs) > 2 {
@@ -168,7 +168,7 @@
 	`\.Round\(0\)|\.Date\(|CLOCK_REALTIME`)
 
 // The server's packages read the wall clock in this package alone.
-func TestWallClockIsReadHereAlone(t *testing.T) {
+func TestWallClockIsReadOnlyInThisPackage(t *testing.T) {
 	for _, folder := range []string{
 		"../../admission", "../../cmd/umberwinch",
 		"../config", "../logging", "../retryafter", "../wal",
@@ -199,9 +199,9 @@
 }
 
 // What a round and a request pay: a look at both clocks, and a stamp that is placed.
-func BenchmarkLookAndPlace(b *testing.B) {
+func BenchmarkObserveAndPlace(b *testing.B) {
 	c := New()
-	s := NewStamps(c.Read, 2*deadline)
+	s := NewStamps(c.Read, 2*timeout)
 	for b.Loop() {
 		now, _ := s.Observe(c.Read)
 		s.Place(now, c.Read().Wall, time.Second)
@@ -209,7 +209,7 @@
 }
 
 // Beside it what was there before.
-func BenchmarkWallClockAlone(b *testing.B) {
+func BenchmarkWallClock(b *testing.B) {
 	for b.Loop() {
 		if time.Now().UnixMicro() == 0 {
 			b.Fatal("the epoch")
--- a/internal/clock/stamps.go
+++ b/internal/clock/stamps.go
@@ -3,35 +3,35 @@
 import "time"
 
 const (
-	// stepLeast is the least change of the wall clock against the monotonic one that counts as a step. Below it lie
+	// minStep is the least change of the wall clock against the monotonic one that counts as a step. Below it lie
 	// slewing and the time that passes between the two readings.
-	stepLeast = 50 * time.Millisecond
-	// noise is how far two readings of one offset may be apart without a second look.
-	noise = time.Millisecond
-	// overlap is how long before a step is possible, or after it was seen, a stamp may be of either side: clients and
+	minStep = 50 * time.Millisecond
+	// offsetTolerance is how far two readings of one offset may be apart without a second look.
+	offsetTolerance = time.Millisecond
+	// stepUncertainty is how long before a step is possible, or after it was seen, a stamp may be of either side: clients and
 	// server do not read their clocks at the same instant.
-	overlap = 50 * time.Millisecond
-	// epochsMost bounds the steps that are remembered; the oldest is forgotten.
-	epochsMost = 16
+	stepUncertainty = 50 * time.Millisecond
+	// maxEpochs bounds the steps that are remembered; the oldest is forgotten.
+	maxEpochs = 16
 )
 
 // epoch is a stretch of monotonic time over which the wall clock went with the monotonic one.
 type epoch struct {
 	offset      time.Duration // wall less monotonic
 	from, until time.Duration // the offset may have been in force from then on, and until then
-	seen        time.Duration // it was last seen then
+	lastSeen    time.Duration // it was last seen then
 }
 
 // Stamps places wall-clock stamps in monotonic time. It is not safe for concurrent use.
 type Stamps struct {
 	epochs []epoch // the newest last
-	keep   time.Duration
+	maxAge time.Duration
 }
 
 // NewStamps starts with what a clock reads. Stamps are placed that are at most keep old.
 func NewStamps(read func() Reading, keep time.Duration) *Stamps {
 	r := read()
-	return &Stamps{keep: keep, epochs: []epoch{{offset: r.Wall - r.Monotonic, seen: r.Monotonic, until: forever}}}
+	return &Stamps{maxAge: keep, epochs: []epoch{{offset: r.Wall - r.Monotonic, lastSeen: r.Monotonic, until: forever}}}
 }
 
 const forever = time.Duration(1 << 62)
@@ -41,27 +41,27 @@
 	r := read()
 	last := &s.epochs[len(s.epochs)-1]
 	offset := r.Wall - r.Monotonic
-	if (offset - last.offset).Abs() > noise {
+	if (offset - last.offset).Abs() > offsetTolerance {
 		// A process that is stopped between the two readings sees an offset that is too small by that time.
 		again := read()
 		offset = max(offset, again.Wall-again.Monotonic)
 		r = again
 	}
 	step = offset - last.offset
-	if step.Abs() < stepLeast {
-		last.offset, last.seen = offset, r.Monotonic
+	if step.Abs() < minStep {
+		last.offset, last.lastSeen = offset, r.Monotonic
 		return r.Monotonic, 0
 	}
 	last.until = r.Monotonic
-	s.epochs = append(s.epochs, epoch{offset: offset, from: last.seen, seen: r.Monotonic, until: forever})
-	s.forget(r.Monotonic)
+	s.epochs = append(s.epochs, epoch{offset: offset, from: last.lastSeen, lastSeen: r.Monotonic, until: forever})
+	s.dropExpired(r.Monotonic)
 	return r.Monotonic, step
 }
 
-// forget drops epochs of which no stamp can come any more.
-func (s *Stamps) forget(now time.Duration) {
-	drop := max(len(s.epochs)-epochsMost, 0)
-	for drop < len(s.epochs)-1 && now-s.epochs[drop].until > s.keep+overlap {
+// dropExpired drops epochs of which no stamp can come any more.
+func (s *Stamps) dropExpired(now time.Duration) {
+	drop := max(len(s.epochs)-maxEpochs, 0)
+	for drop < len(s.epochs)-1 && now-s.epochs[drop].until > s.maxAge+stepUncertainty {
 		drop++
 	}
 	s.epochs = append(s.epochs[:0], s.epochs[drop:]...)
@@ -74,7 +74,7 @@
 	for i := range s.epochs {
 		e := &s.epochs[i]
 		at := stamp - e.offset
-		if at > now+ahead || at < now-s.keep || at < e.from-overlap || at > e.until+overlap {
+		if at > now+ahead || at < now-s.maxAge || at < e.from-stepUncertainty || at > e.until+stepUncertainty {
 			continue
 		}
 		at = min(at, now)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// faults gives what is wrong in a control file, less the file's name.
-func faults(t *testing.T, raw string) []string {
+// controlFaults gives what is wrong in a control file, less the file's name.
+func controlFaults(t *testing.T, raw string) []string {
 	t.Helper()
 	_, err := readControl(Parse("f", []byte(raw)))
 	if err == nil {
@@ -17,9 +17,9 @@
 	return strings.Split(err.Error(), "\n")
 }
 
-const sound = "[instance]\nname = a\ndata = d\n"
+const validControl = "[instance]\nname = a\ndata = d\n"
 
-func TestShippedFileIsSound(t *testing.T) {
+func TestShippedFilesAreValid(t *testing.T) {
 	c, err := ReadControl(filepath.Join("..", "..", "deploy", "control.ini"))
 	if err != nil {
 		t.Fatal(err)
@@ -32,8 +32,8 @@
 	}
 }
 
-func TestAllFaultsAtOnceWithTheirLines(t *testing.T) {
-	got := faults(t, "[instance]\nname = a b\ndata =\nstart = maybe\npeer = host:1\nsize = 3\n\n[group]\n"+
+func TestAllFaultsAreReportedWithTheirLines(t *testing.T) {
+	got := controlFaults(t, "[instance]\nname = a b\ndata =\nstart = maybe\npeer = host:1\nsize = 3\n\n[group]\n"+
 		"tick = 2\nelection_ticks = 2\nelection_ticks = 9\nnonsense\n[other]\nx = 1\n[disk]\nlimit_mb = 20\n")
 	want := []string{
 		`f:2: instance.name: found "a b", expected`,
@@ -58,29 +58,29 @@
 	}
 }
 
-func TestSecretsAreNotShown(t *testing.T) {
-	got := strings.Join(faults(t, sound+"[clients]\ntoken = hunter2\n"), "\n")
+func TestSecretsAreRedacted(t *testing.T) {
+	got := strings.Join(controlFaults(t, validControl+"[clients]\ntoken = hunter2\n"), "\n")
 	if got == "" || strings.Contains(got, "hunter2") {
 		t.Fatalf("got %q, expected a fault that hides the token", got)
 	}
 }
 
-func TestOtherThanLoopbackNeedsTLS(t *testing.T) {
-	if got := faults(t, sound+"peer = 192.0.2.1:7101\n"); len(got) != 1 || !strings.Contains(got[0],
+func TestNonLoopbackAddressRequiresTLS(t *testing.T) {
+	if got := controlFaults(t, validControl+"peer = 192.0.2.1:7101\n"); len(got) != 1 || !strings.Contains(got[0],
 		"no [tls]") {
 		t.Fatalf("got %q, expected one fault for the address without [tls]", got)
 	}
-	if got := faults(t, sound+"peer = 192.0.2.1:7101\n[tls]\ncertificate = c\nkey = k\nauthority = a\n"); got != nil {
+	if got := controlFaults(t, validControl+"peer = 192.0.2.1:7101\n[tls]\ncertificate = c\nkey = k\nauthority = a\n"); got != nil {
 		t.Fatalf("got %q, expected none", got)
 	}
-	if got := faults(t, sound+"[tls]\nkey = k\n"); len(got) != 1 {
+	if got := controlFaults(t, validControl+"[tls]\nkey = k\n"); len(got) != 1 {
 		t.Fatalf("got %q, expected one fault for half of [tls]", got)
 	}
 }
 
-func TestLargeFileIsRefused(t *testing.T) {
+func TestOversizedFileIsRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "big.ini")
-	if err := os.WriteFile(path, make([]byte, maxText+1), 0o600); err != nil {
+	if err := os.WriteFile(path, make([]byte, maxFileBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ReadControl(path); err == nil || !strings.Contains(err.Error(), "1048576 at most") {
@@ -90,7 +90,7 @@
 
 // Pools of run slots stand in a node's file, each for a handler that the platform's settings have. A wrong one says
 // its line.
-func TestNodeFileHasPoolsOfHandlers(t *testing.T) {
+func TestNodeFilePools(t *testing.T) {
 	read := func(raw string) (*Node, string) {
 		n, err := readNode(Parse("f", []byte(raw)))
 		if err == nil {
@@ -130,7 +130,7 @@
 
 // The [kept] section of a node's file names a folder for stored results; all else has defaults. A wrong one says its
 // line.
-func TestNodeFileNamesResultStore(t *testing.T) {
+func TestNodeFileResultStore(t *testing.T) {
 	dir := t.TempDir()
 	n, err := readNode(Parse("node.ini", []byte("[kept]\nfolder = "+dir+"\n")))
 	if err != nil || n.ResultStore.Folder != dir || n.ResultStore.MaxKeys != 100_000 || n.ResultStore.MaxMB != 512 ||
@@ -142,7 +142,7 @@
 		!SameResultStore(n.ResultStore, n.ResultStore) {
 		t.Errorf("without a section: %+v %v", o, err)
 	}
-	for _, c := range []wrongNode{
+	for _, c := range []invalidNode{
 		{"no folder", "[kept]\n", "node.ini:1: kept.folder: found nothing"},
 		{"folder that is not there", "[kept]\nfolder = /no/such\n", `node.ini:2: kept.folder: found "/no/such"`},
 		{"too few entries", "[kept]\nfolder = " + dir + "\nentries = 4\n", `node.ini:3: kept.entries: found "4"`},
@@ -156,10 +156,10 @@
 	}
 }
 
-// wrongNode is a node's file with a fault, and how its error has to begin.
-type wrongNode struct{ name, text, want string }
+// invalidNode is a node's file with a fault, and how its error has to begin.
+type invalidNode struct{ name, text, want string }
 
-func (c wrongNode) check(t *testing.T) {
+func (c invalidNode) check(t *testing.T) {
 	_, err := readNode(Parse("node.ini", []byte(c.text)))
 	if err == nil || !strings.Contains(err.Error(), c.want) {
 		t.Errorf("%q: found %v, expected %q", c.text, err, c.want)
@@ -167,7 +167,7 @@
 }
 
 // The [fleet] section of a node's file names the control service and the node's zone. A wrong one says its line.
-func TestNodeFileNamesFleet(t *testing.T) {
+func TestNodeFileFleet(t *testing.T) {
 	n, err := readNode(Parse("node.ini", []byte("[fleet]\ncontrol = 127.0.0.1:7201, 127.0.0.1:7202\nzone = north\n")))
 	if err != nil || len(n.Fleet.Control) != 2 || n.Fleet.Zone != "north" {
 		t.Fatalf("%+v %v", n, err)
@@ -175,7 +175,7 @@
 	if n, err = readNode(Parse("node.ini", nil)); err != nil || n.Fleet != nil {
 		t.Errorf("without a section: %+v %v", n, err)
 	}
-	for _, c := range []wrongNode{
+	for _, c := range []invalidNode{
 		{"no addresses", "[fleet]\nzone = z\n", "node.ini:1: fleet.control: found 0 addresses"},
 		{"no zone", "[fleet]\ncontrol = 127.0.0.1:1\n", "node.ini:1: fleet.zone: found nothing"},
 		{"beyond loopback without TLS", "[fleet]\ncontrol = 10.0.0.1:7201\nzone = z\n",
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -59,7 +59,7 @@
 	}
 	c.Bind = t.Address("instance", "bind", c.Peer)
 	if c.Name != "" && !IsName(c.Name) {
-		t.Note("instance", "name", strconv.Quote(clip(c.Name)), "up to 40 letters, digits, '-' and '_'")
+		t.Note("instance", "name", strconv.Quote(truncate(c.Name)), "up to 40 letters, digits, '-' and '_'")
 	}
 	if c.Peer == c.Listen || c.Bind == c.Listen {
 		t.Note("instance", "listen", strconv.Quote(c.Listen)+", the peers' address", "an address of its own")
--- a/internal/config/ini.go
+++ b/internal/config/ini.go
@@ -12,8 +12,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// maxText bounds an operator's file; a document of the replicated configuration is the largest, at 1 MiB.
-const maxText = 1 << 20
+// maxFileBytes bounds an operator's file; a document of the replicated configuration is the largest, at 1 MiB.
+const maxFileBytes = 1 << 20
 
 // Fault is one thing wrong in a file.
 type Fault struct {
@@ -45,14 +45,14 @@
 
 // Text is one file as read. Its getters answer with the value, or with the default and a fault noted.
 type Text struct {
-	name   string
-	file   *ini.File
-	order  []string // sections as they come
-	lines  map[keyName]int
-	secret map[keyName]bool
-	used   map[keyName]bool
-	known  map[string]bool
-	faults Faults
+	name         string
+	file         *ini.File
+	order        []string // sections as they come
+	lines        map[keyName]int
+	secret       map[keyName]bool
+	readKeys     map[keyName]bool
+	readSections map[string]bool
+	faults       Faults
 }
 
 // Open reads a file.
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > maxText {
+	if info.Size() > maxFileBytes {
 		return nil, Faults{{path, 0, "file", fmt.Sprintf("%d bytes", info.Size()), "1048576 at most"}}
 	}
 	raw, err := os.ReadFile(path)
@@ -73,18 +73,18 @@
 
 // Parse takes text at hand; name stands in the faults.
 func Parse(name string, raw []byte) *Text {
-	t := &Text{name: name, lines: map[keyName]int{}, used: map[keyName]bool{}, known: map[string]bool{},
+	t := &Text{name: name, lines: map[keyName]int{}, readKeys: map[keyName]bool{}, readSections: map[string]bool{},
 		secret: map[keyName]bool{}}
-	if len(raw) > maxText {
+	if len(raw) > maxFileBytes {
 		t.file = ini.Empty()
-		t.note(0, "file", fmt.Sprintf("%d bytes", len(raw)), "1048576 at most")
+		t.addFault(0, "file", fmt.Sprintf("%d bytes", len(raw)), "1048576 at most")
 		return t
 	}
 	kept := t.scan(string(raw))
 	file, err := ini.LoadSources(ini.LoadOptions{KeyValueDelimiters: "=", IgnoreContinuation: true,
 		SpaceBeforeInlineComment: true, PreserveSurroundedQuote: true, ReaderBufferSize: 64 << 10}, []byte(kept))
 	if err != nil {
-		t.note(0, "file", strconv.Quote(err.Error()), "INI text")
+		t.addFault(0, "file", strconv.Quote(err.Error()), "INI text")
 		file = ini.Empty()
 	}
 	t.file = file
@@ -102,17 +102,17 @@
 		case bare == "" || bare[0] == ';' || bare[0] == '#':
 			bare = ""
 		case strings.ContainsRune(bare, 0) || strings.ContainsAny(bare, "`\r"):
-			t.note(at, "line", strconv.Quote(clip(bare)), "text without control characters or back quotes")
+			t.addFault(at, "line", strconv.Quote(truncate(bare)), "text without control characters or back quotes")
 			bare = ""
 		case bare[0] == '[':
 			name := strings.TrimSpace(strings.TrimSuffix(bare[1:], "]"))
 			if bare[len(bare)-1] != ']' || name == "" || strings.ContainsAny(name, "[]") {
-				t.note(at, "line", strconv.Quote(clip(bare)), "[SECTION]")
+				t.addFault(at, "line", strconv.Quote(truncate(bare)), "[SECTION]")
 				bare = ""
 				break
 			}
 			if first, twice := seen[name]; twice {
-				t.note(at, "["+name+"]", fmt.Sprintf("it again, first on line %d", first), "each section once")
+				t.addFault(at, "["+name+"]", fmt.Sprintf("it again, first on line %d", first), "each section once")
 			} else {
 				seen[name] = at
 				t.order = append(t.order, name)
@@ -123,13 +123,13 @@
 			key, _, ok := strings.Cut(bare, "=")
 			key = strings.TrimSpace(key)
 			if !ok || key == "" || section == "" {
-				t.note(at, "line", strconv.Quote(clip(bare)), "KEY = VALUE under a [SECTION]")
+				t.addFault(at, "line", strconv.Quote(truncate(bare)), "KEY = VALUE under a [SECTION]")
 				bare = ""
 				break
 			}
 			p := keyName{section, key}
 			if first := t.lines[p]; first > 0 {
-				t.note(at, section+"."+key, fmt.Sprintf("it again, first on line %d", first), "each key once")
+				t.addFault(at, section+"."+key, fmt.Sprintf("it again, first on line %d", first), "each key once")
 				bare = ""
 				break
 			}
@@ -140,14 +140,14 @@
 	return strings.Join(out, "\n")
 }
 
-func clip(s string) string {
+func truncate(s string) string {
 	if len(s) > 60 {
 		return s[:60] + "..."
 	}
 	return s
 }
 
-func (t *Text) note(line int, key, found, expected string) {
+func (t *Text) addFault(line int, key, found, expected string) {
 	t.faults = append(t.faults, Fault{t.name, line, key, found, expected})
 }
 
@@ -164,7 +164,7 @@
 	if t.secret[keyName{section, key}] {
 		found = "a value that is not shown"
 	}
-	t.note(line, name, found, expected)
+	t.addFault(line, name, found, expected)
 }
 
 // Names gives what follows the prefix in the names of its sections, in the file's order: of [class x] with "class"
@@ -173,7 +173,7 @@
 	var out []string
 	for _, s := range t.order {
 		if head, name, ok := strings.Cut(s, " "); ok && head == prefix {
-			t.known[s] = true
+			t.readSections[s] = true
 			out = append(out, strings.TrimSpace(name))
 		}
 	}
@@ -182,13 +182,13 @@
 
 // Has tells whether a section stands in the file.
 func (t *Text) Has(section string) bool {
-	t.known[section] = true
+	t.readSections[section] = true
 	return t.lines[keyName{section, ""}] > 0
 }
 
 func (t *Text) value(section, key string) (string, bool) {
-	t.known[section] = true
-	t.used[keyName{section, key}] = true
+	t.readSections[section] = true
+	t.readKeys[keyName{section, key}] = true
 	s, err := t.file.GetSection(section)
 	if err != nil || !s.HasKey(key) {
 		return "", false
@@ -230,7 +230,7 @@
 			return v
 		}
 	}
-	t.Note(section, key, strconv.Quote(clip(v)), "one of "+strings.Join(of, ", "))
+	t.Note(section, key, strconv.Quote(truncate(v)), "one of "+strings.Join(of, ", "))
 	return def
 }
 
@@ -248,7 +248,7 @@
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil || n < least || n > most {
-		t.Note(section, key, strconv.Quote(clip(v)), fmt.Sprintf("a whole number from %d to %d", least, most))
+		t.Note(section, key, strconv.Quote(truncate(v)), fmt.Sprintf("a whole number from %d to %d", least, most))
 		return def
 	}
 	return n
@@ -262,7 +262,7 @@
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(n >= least && n <= most) {
-		t.Note(section, key, strconv.Quote(clip(v)), fmt.Sprintf("a number from %g to %g", least, most))
+		t.Note(section, key, strconv.Quote(truncate(v)), fmt.Sprintf("a number from %g to %g", least, most))
 		return def
 	}
 	return n
@@ -276,7 +276,7 @@
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d < least || d > most {
-		t.Note(section, key, strconv.Quote(clip(v)), fmt.Sprintf("a time from %s to %s", least, most))
+		t.Note(section, key, strconv.Quote(truncate(v)), fmt.Sprintf("a time from %s to %s", least, most))
 		return def
 	}
 	return d
@@ -289,7 +289,7 @@
 		return def
 	}
 	if !IsAddress(v) {
-		t.Note(section, key, strconv.Quote(clip(v)), "IP:PORT")
+		t.Note(section, key, strconv.Quote(truncate(v)), "IP:PORT")
 		return def
 	}
 	return v
@@ -319,7 +319,7 @@
 	for i := range out {
 		out[i] = strings.TrimSpace(out[i])
 		if out[i] == "" {
-			t.Note(section, key, strconv.Quote(clip(v)), "words parted by single commas")
+			t.Note(section, key, strconv.Quote(truncate(v)), "words parted by single commas")
 			return nil
 		}
 	}
@@ -329,7 +329,7 @@
 // Done ends the reading: whatever nobody asked for is a fault. It gives Faults, or nil where there is none.
 func (t *Text) Done() error {
 	for _, s := range t.order {
-		if !t.known[s] {
+		if !t.readSections[s] {
 			t.Note(s, "", "a section that is not known", "one of those in the commented file under deploy")
 			continue
 		}
@@ -338,7 +338,7 @@
 			continue
 		}
 		for _, key := range section.KeyStrings() {
-			if !t.used[keyName{s, key}] {
+			if !t.readKeys[keyName{s, key}] {
 				t.Note(s, key, "a key that is not known", "one of this section's keys")
 			}
 		}
--- a/internal/config/pin_keys_test.go
+++ b/internal/config/pin_keys_test.go
@@ -10,7 +10,7 @@
 // keysOf lists what was asked of a file, as "section.key".
 func keysOf(t *Text) []string {
 	var keys []string
-	for p := range t.used {
+	for p := range t.readKeys {
 		keys = append(keys, strings.ReplaceAll(p.section, " ", "_")+"."+p.key)
 	}
 	sort.Strings(keys)
@@ -19,7 +19,7 @@
 
 // The keys of the operators' files are those of version 2a0a97e.
 func TestKeysStay(t *testing.T) {
-	control := Parse("f", []byte(sound))
+	control := Parse("f", []byte(validControl))
 	if _, err := readControl(control); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/result_store.go
+++ b/internal/config/result_store.go
@@ -33,7 +33,7 @@
 		MaxResultBytes: t.Whole("kept", "result", defaultMaxResultBytes, 0, 1<<20)}
 	if k.Folder != "" {
 		if info, err := os.Stat(k.Folder); err != nil || !info.IsDir() {
-			t.Note("kept", "folder", strconv.Quote(clip(k.Folder)), "a folder that is there")
+			t.Note("kept", "folder", strconv.Quote(truncate(k.Folder)), "a folder that is there")
 		}
 	}
 	if most := int64(k.MaxMB) << 20; 4*int64(k.MaxResultBytes+256) > most {
--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -20,7 +20,7 @@
 
 // The reader of the log stalls while a process goes on logging. If Write waited for it, the process would stall too.
 // Write must return at once, and the dropped lines must be counted where they are missing.
-func TestWriterNeverWaits(t *testing.T) {
+func TestWriteDoesNotBlock(t *testing.T) {
 	reader := &stalledReader{resume: make(chan bool)}
 	w := NewWriter(reader, 4)
 	for range 100 {
@@ -41,7 +41,7 @@
 
 // The reader of the log never resumes while a process ends. Close must return after its timeout all the same, or the
 // process would never end.
-func TestCloseIsBounded(t *testing.T) {
+func TestCloseReturnsAfterTimeout(t *testing.T) {
 	w := NewWriter(&stalledReader{resume: make(chan bool)}, 4)
 	w.Write([]byte("line\n"))
 	began := time.Now()
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -107,7 +107,7 @@
 	return err
 }
 
-var page = template.Must(template.New("report").Parse(`<!DOCTYPE html>
+var pageTemplate = template.Must(template.New("report").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font:15px sans-serif;max-width:60em;margin:2em auto;padding:0 1em}table{border-collapse:collapse}
 td,th{border:1px solid #ccc;padding:.3em .7em;text-align:left}pre{background:#f4f4f4;padding:1em;overflow:auto}
@@ -123,8 +123,8 @@
 </body></html>
 `))
 
-// resultFile is result.json, its keys in the order of the alphabet.
-type resultFile struct {
+// resultJSON is result.json, its keys in the order of the alphabet.
+type resultJSON struct {
 	Broken  string     `json:"broken"`
 	Figures []Figure   `json:"figures"`
 	Head    []string   `json:"head"`
@@ -147,7 +147,7 @@
 		drawn = append(drawn, template.HTML(svg))
 	}
 	var b bytes.Buffer
-	if err := page.Execute(&b, struct {
+	if err := pageTemplate.Execute(&b, struct {
 		*Report
 		Drawn []template.HTML
 	}{r, drawn}); err != nil {
@@ -156,7 +156,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "report.html"), b.Bytes(), 0o644); err != nil {
 		return err
 	}
-	result := resultFile{Broken: r.Broken, Figures: r.Figures, Head: r.Head, Name: r.Name, Notes: r.Notes, Rows: r.Rows}
+	result := resultJSON{Broken: r.Broken, Figures: r.Figures, Head: r.Head, Name: r.Name, Notes: r.Notes, Rows: r.Rows}
 	raw, err := json.MarshalIndent(result, "", " ")
 	if err != nil {
 		return err
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestSaveWritesResult: other tools read result.json by its keys. A report is saved, and the file is what they
+// TestSaveWritesResultJSON: other tools read result.json by its keys. A report is saved, and the file is what they
 // expect, byte for byte.
-func TestSaveWritesResult(t *testing.T) {
+func TestSaveWritesResultJSON(t *testing.T) {
 	dir := t.TempDir()
 	r := &Report{Name: "pools", Title: "Pools", Head: []string{"CLASS"}, Rows: [][]string{{"search"}},
 		Notes: []string{"1 s"}}
--- a/scripts/testrun/knownred.go
+++ b/scripts/testrun/knownred.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// knownRed is a test that fails for a known fault which is not mended yet: one entry of the list.
-type knownRed struct {
+// knownFailure is a test that fails for a known fault which is not mended yet: one entry of the list.
+type knownFailure struct {
 	Package string // the folder of its package, such as internal/node/server
 	Test    string // TestName, or TestName/subtest
 	Command string // the command that shows the fault, with its seed if it takes one
@@ -19,10 +19,10 @@
 	Line    int    // where the entry begins in the list
 }
 
-func (k knownRed) String() string { return k.Package + "." + k.Test }
+func (k knownFailure) String() string { return k.Package + "." + k.Test }
 
 // pattern matches this test alone, as go test's -run and -skip take it.
-func (k knownRed) pattern() string {
+func (k knownFailure) pattern() string {
 	parts := strings.Split(k.Test, "/")
 	for i, part := range parts {
 		parts[i] = "^" + regexp.QuoteMeta(part) + "$"
@@ -44,8 +44,8 @@
 	issueNumber = regexp.MustCompile(`^[0-9]+$`)
 )
 
-// readKnownRed reads the list; without a file nothing is listed.
-func readKnownRed(file string) ([]knownRed, error) {
+// readKnownFailures reads the list; without a file nothing is listed.
+func readKnownFailures(file string) ([]knownFailure, error) {
 	text, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -53,15 +53,15 @@
 	if err != nil {
 		return nil, err
 	}
-	return parseKnownRed(file, string(text))
+	return parseKnownFailures(file, string(text))
 }
 
-// parseKnownRed reads entries that are set apart by empty lines. Lines that begin with # are passed over.
-func parseKnownRed(file, text string) ([]knownRed, error) {
-	var listed []knownRed
+// parseKnownFailures reads entries that are set apart by empty lines. Lines that begin with # are passed over.
+func parseKnownFailures(file, text string) ([]knownFailure, error) {
+	var listed []knownFailure
 	entry := newEntry()
 	finish := func() error {
-		known, err := entry.knownRed()
+		known, err := entry.parse()
 		if err == nil {
 			err = checkNotListed(listed, known)
 		}
@@ -91,7 +91,7 @@
 }
 
 // checkNotListed says whether a test already has an entry.
-func checkNotListed(listed []knownRed, known knownRed) error {
+func checkNotListed(listed []knownFailure, known knownFailure) error {
 	for _, other := range listed {
 		if other.String() == known.String() {
 			return fmt.Errorf("%s is listed twice, first in line %d", known, other.Line)
@@ -139,23 +139,23 @@
 	return false
 }
 
-// knownRed checks a whole entry.
-func (e *entry) knownRed() (knownRed, error) {
+// parse checks a whole entry.
+func (e *entry) parse() (knownFailure, error) {
 	for _, name := range fieldNames {
 		if e.fields[name] == "" {
-			return knownRed{}, fmt.Errorf("found an entry without %q, expected %s", name,
+			return knownFailure{}, fmt.Errorf("found an entry without %q, expected %s", name,
 				strings.Join(fieldNames, ", "))
 		}
 	}
 	parts := testName.FindStringSubmatch(e.fields[fieldTest])
 	if parts == nil {
-		return knownRed{}, fmt.Errorf("found the test %q, expected a package's folder and a test, "+
+		return knownFailure{}, fmt.Errorf("found the test %q, expected a package's folder and a test, "+
 			"such as internal/wal.TestTorn",
 			e.fields[fieldTest])
 	}
 	if !issueNumber.MatchString(e.fields[fieldIssue]) {
-		return knownRed{}, fmt.Errorf("found the issue %q, expected its number", e.fields[fieldIssue])
+		return knownFailure{}, fmt.Errorf("found the issue %q, expected its number", e.fields[fieldIssue])
 	}
-	return knownRed{Package: parts[1], Test: parts[2], Command: e.fields[fieldCommand], Seen: e.fields[fieldSeen],
+	return knownFailure{Package: parts[1], Test: parts[2], Command: e.fields[fieldCommand], Seen: e.fields[fieldSeen],
 		Issue: e.fields[fieldIssue], Line: e.line}, nil
 }
--- a/scripts/testrun/main.go
+++ b/scripts/testrun/main.go
@@ -14,8 +14,8 @@
 	"strings"
 )
 
-// knownRedFile lists the tests that may fail, at the root of the repository.
-const knownRedFile = "KNOWN-RED.txt"
+// knownFailuresFile lists the tests that may fail, at the root of the repository.
+const knownFailuresFile = "KNOWN-RED.txt"
 
 func main() {
 	if len(os.Args) < 2 {
@@ -36,12 +36,12 @@
 }
 
 func (r *runner) run(patterns []string) error {
-	listed, err := readKnownRed(path.Join(r.folder, knownRedFile))
+	listed, err := readKnownFailures(path.Join(r.folder, knownFailuresFile))
 	if err != nil {
 		return err
 	}
 	for _, k := range listed {
-		if err := r.mustExist(k); err != nil {
+		if err := r.checkExists(k); err != nil {
 			return err
 		}
 	}
@@ -52,19 +52,19 @@
 	return err
 }
 
-// mustExist looks for a listed test in its package.
-func (r *runner) mustExist(k knownRed) error {
+// checkExists looks for a listed test in its package.
+func (r *runner) checkExists(k knownFailure) error {
 	top, _, _ := strings.Cut(k.Test, "/")
 	out, err := r.goTool("test", "-list", "^"+top+"$", "./"+k.Package)
 	if err != nil || !slices.Contains(strings.Split(out, "\n"), top) {
-		return fmt.Errorf("%s:%d: %s matches no test, expected one that is there", knownRedFile, k.Line, k)
+		return fmt.Errorf("%s:%d: %s matches no test, expected one that is there", knownFailuresFile, k.Line, k)
 	}
 	return nil
 }
 
 // runOthers runs all tests that are not listed: packages without a listed test together, the others one by one, as a
 // name is passed over in its own package alone.
-func (r *runner) runOthers(patterns []string, listed []knownRed) error {
+func (r *runner) runOthers(patterns []string, listed []knownFailure) error {
 	packages, err := r.packages(patterns)
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 }
 
 // runListed runs a listed test apart and prints its outcome.
-func (r *runner) runListed(k knownRed) error {
+func (r *runner) runListed(k knownFailure) error {
 	out, err := r.goTool("test", "-count=1", "-v", "-run", k.pattern(), "./"+k.Package)
 	fmt.Fprint(r.out, out)
 	switch {
@@ -122,9 +122,9 @@
 		fmt.Fprintf(r.out, "known red: %s fails as listed: %s (issue %s; %s)\n", k, k.Seen, k.Issue, k.Command)
 		return nil
 	case err == nil && strings.Contains(out, "--- PASS: "+k.Test+" "):
-		return fmt.Errorf("%s:%d: %s passes, expected it to fail: take it off the list", knownRedFile, k.Line, k)
+		return fmt.Errorf("%s:%d: %s passes, expected it to fail: take it off the list", knownFailuresFile, k.Line, k)
 	}
-	return fmt.Errorf("%s:%d: %s neither passes nor fails by itself, expected it to fail", knownRedFile, k.Line, k)
+	return fmt.Errorf("%s:%d: %s neither passes nor fails by itself, expected it to fail", knownFailuresFile, k.Line, k)
 }
 
 // goTool runs the go command and gives all that it prints.
--- a/scripts/testrun/main_test.go
+++ b/scripts/testrun/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const sources = `package a
+const packageA = `package a
 
 import "testing"
 
@@ -22,20 +22,20 @@
 }
 `
 
-const others = `package b
+const packageB = `package b
 
 import "testing"
 
 func TestBad(t *testing.T) { t.Log("this one of the same name is run") }
 `
 
-// module is a module with tests that fail, and a list.
-func module(t *testing.T, list string) *runner {
+// newModule is a module with tests that fail, and a list.
+func newModule(t *testing.T, list string) *runner {
 	t.Helper()
 	folder := t.TempDir()
-	for name, text := range map[string]string{"go.mod": "module example\n\ngo 1.24\n", "a/a_test.go": sources,
-		"b/b_test.go": others,
-		knownRedFile:  list} {
+	for name, text := range map[string]string{"go.mod": "module example\n\ngo 1.24\n", "a/a_test.go": packageA,
+		"b/b_test.go":     packageB,
+		knownFailuresFile: list} {
 		file := filepath.Join(folder, name)
 		if err := os.MkdirAll(filepath.Dir(file), 0o700); err != nil {
 			t.Fatal(err)
@@ -47,14 +47,14 @@
 	return &runner{folder: folder, out: &bytes.Buffer{}}
 }
 
-// listing is an entry of the list for a test.
-func listing(test, seen, issue string) string {
+// listEntry is an entry of the list for a test.
+func listEntry(test, seen, issue string) string {
 	return "test: " + test + "\ncommand: go test ./a -seed 7\nseen: " + seen + "\nissue: " + issue + "\n\n"
 }
 
 // Tests that fail as they are listed are passed over and printed; all others have to pass.
-func TestListedTestsMayFail(t *testing.T) {
-	r := module(t, "# known\n\n"+listing("a.TestBad", "it is wrong", "7")+listing("a.TestParts/bad", "so is this", "8"))
+func TestListedFailuresAreTolerated(t *testing.T) {
+	r := newModule(t, "# known\n\n"+listEntry("a.TestBad", "it is wrong", "7")+listEntry("a.TestParts/bad", "so is this", "8"))
 	err := r.run([]string{"./..."})
 	out := r.out.(*bytes.Buffer).String()
 	if err != nil {
@@ -71,34 +71,34 @@
 }
 
 // More than three tests may be listed: the users ask for one entry each, and set no bound.
-func TestListTakesMoreThanThree(t *testing.T) {
+func TestListLengthIsUnlimited(t *testing.T) {
 	list := ""
 	for _, name := range []string{"a.TestA", "a.TestB", "b.TestA", "b.TestB"} {
-		list += listing(name, "it is wrong", "7")
+		list += listEntry(name, "it is wrong", "7")
 	}
-	listed, err := parseKnownRed(knownRedFile, strings.TrimRight(list, "\n"))
+	listed, err := parseKnownFailures(knownFailuresFile, strings.TrimRight(list, "\n"))
 	if err != nil || len(listed) != 4 || listed[3].String() != "b.TestB" || listed[1].Line != 6 {
 		t.Errorf("%v, %v", listed, err)
 	}
 }
 
 // A list that is wrong fails the run, and the message says file, line and what was expected.
-func TestWrongListFailsRun(t *testing.T) {
-	good := listing("a.TestBad", "it is wrong", "7") + listing("a.TestParts/bad", "so is this", "8")
+func TestInvalidListFailsRun(t *testing.T) {
+	good := listEntry("a.TestBad", "it is wrong", "7") + listEntry("a.TestParts/bad", "so is this", "8")
 	for _, c := range []struct{ name, list, want string }{
 		{"none listed", "", "go test"},
-		{"one not listed", listing("a.TestBad", "it is wrong", "7"), "go test"},
-		{"listed test passes", good + listing("a.TestGood", "no", "9"),
+		{"one not listed", listEntry("a.TestBad", "it is wrong", "7"), "go test"},
+		{"listed test passes", good + listEntry("a.TestGood", "no", "9"),
 			"KNOWN-RED.txt:11: a.TestGood passes, expected it to fail"},
-		{"test gone", good + listing("a.TestGone", "no", "9"), "KNOWN-RED.txt:11: a.TestGone matches no test"},
-		{"package gone", good + listing("c.TestBad", "no", "9"), "KNOWN-RED.txt:11: c.TestBad matches no test"},
-		{"subtest gone", good + listing("a.TestParts/x", "no", "9"),
+		{"test gone", good + listEntry("a.TestGone", "no", "9"), "KNOWN-RED.txt:11: a.TestGone matches no test"},
+		{"package gone", good + listEntry("c.TestBad", "no", "9"), "KNOWN-RED.txt:11: c.TestBad matches no test"},
+		{"subtest gone", good + listEntry("a.TestParts/x", "no", "9"),
 			"KNOWN-RED.txt:11: a.TestParts/x neither passes nor fails"},
-		{"listed twice", good + listing("a.TestBad", "twice", "9"),
+		{"listed twice", good + listEntry("a.TestBad", "twice", "9"),
 			"KNOWN-RED.txt:11: a.TestBad is listed twice, first in line 1"},
-		{"test without package", good + listing("TestBad", "no", "9"), "KNOWN-RED.txt:11: found the test \"TestBad\""},
-		{"issue without number", good + listing("a.TestGood", "no", "x"), "KNOWN-RED.txt:11: found the issue \"x\""},
-		{"nothing seen", good + listing("a.TestGood", "", "9"), "KNOWN-RED.txt:13: found no value for \"seen\""},
+		{"test without package", good + listEntry("TestBad", "no", "9"), "KNOWN-RED.txt:11: found the test \"TestBad\""},
+		{"issue without number", good + listEntry("a.TestGood", "no", "x"), "KNOWN-RED.txt:11: found the issue \"x\""},
+		{"nothing seen", good + listEntry("a.TestGood", "", "9"), "KNOWN-RED.txt:13: found no value for \"seen\""},
 		{"field missing", good + "test: a.TestGood\nseen: no\nissue: 9\n",
 			"KNOWN-RED.txt:11: found an entry without \"command\", expected test, command, seen, issue"},
 		{"field twice", good + "test: a.TestGood\ntest: a.TestBad\n", "KNOWN-RED.txt:12: found \"test\" a second time"},
@@ -107,7 +107,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := module(t, c.list)
+			r := newModule(t, c.list)
 			if err := r.run([]string{"./..."}); err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("%v, expected %s", err, c.want)
 			}
