--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -34,7 +34,7 @@
 	os.Exit(code)
 }
 
-// runCommand gives what a command printed and its exit status.
+// runCommand runs umberctl and returns its standard output, standard error and exit status.
 func runCommand(t *testing.T, args ...string) (stdout, stderr string, code int) {
 	t.Helper()
 	cmd := exec.Command(program, args...)
@@ -47,12 +47,13 @@
 	return o.String(), e.String(), cmd.ProcessState.ExitCode()
 }
 
-// expect runs a command that has to end with a status and print something.
+// expect runs umberctl and fails the test unless it exits with the status and prints the text. It returns standard
+// output.
 func expect(t *testing.T, status int, text string, args ...string) string {
 	t.Helper()
 	out, errs, got := runCommand(t, args...)
 	if got != status || !strings.Contains(out+errs, text) {
-		t.Fatalf("umberctl %s: status %d\n%s%s\nexpected %d and %q", strings.Join(args, " "), got, out, errs,
+		t.Fatalf("umberctl %s: got status %d and\n%s%s\nwant status %d and %q", strings.Join(args, " "), got, out, errs,
 			status, text)
 	}
 	return out
@@ -67,7 +68,7 @@
 	return path
 }
 
-// startInstance runs an instance as a process of its own until the test ends, and gives its address for clients.
+// startInstance runs a control instance as a separate process until the test ends, and returns its client address.
 func startInstance(t *testing.T, dir, name, start string, host int) (listen string, cmd *exec.Cmd) {
 	t.Helper()
 	at := fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()>>8&0x7f, os.Getpid()&0xff, host)
@@ -98,13 +99,13 @@
 	select {
 	case <-up:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the instance is not up after 20 s")
+		t.Fatalf("instance %s is not up after 20 s", name)
 	}
 	t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
 	return listen, cmd
 }
 
-// Files and lines that are wrong: status 2, what was found and expected, and nothing is made.
+// An invalid file or command line must exit with status 2, name every fault, and leave the disk unchanged.
 func TestInvalidFileStartsNothing(t *testing.T) {
 	dir := t.TempDir()
 	path := writeFile(t, dir, "c.ini", "[instance]\nname = a\ndata = "+filepath.Join(dir, "data")+
@@ -113,10 +114,10 @@
 	lines := strings.Split(strings.TrimSpace(errs), "\n")
 	if code != 2 || len(lines) != 2 || !strings.HasPrefix(lines[0], path+":4: instance.start: found ") ||
 		!strings.HasPrefix(lines[1], path+":6: group.tick: found ") {
-		t.Fatalf("status %d:\n%s\nexpected 2 and two faults with their lines", code, errs)
+		t.Fatalf("got status %d and\n%s\nwant status 2 and two faults with their lines", code, errs)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "data")); !os.IsNotExist(err) {
-		t.Fatal("a folder was made by a wrong file")
+		t.Fatalf("Stat(data folder) = %v, want it not to exist after an invalid file", err)
 	}
 	expect(t, 2, "no such file", "control", "run", "--file", filepath.Join(dir, "none"))
 	expect(t, 2, "unknown flag", "control", "run", "--fil", path)
@@ -124,8 +125,8 @@
 	expect(t, 2, `guard "x", expected one of`, "lab", "raft", "--without", "x")
 }
 
-// A group of two: an operator puts versions, compares, is refused wrong ones, watches, and saves a snapshot. One
-// instance is stopped: nothing can be read. A new group of one begins from the snapshot, and has the last version.
+// Operates a group of two through versions, conflicts, a watch and a snapshot. Without a majority nothing can be read;
+// a new group restored from the snapshot must have the last version.
 func TestGroupIsOperatedAndRestored(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -134,7 +135,7 @@
 	at := "--at=" + a + "," + b
 	expect(t, 0, "b  ", "control", "members", "add", b, at)
 	one := writeFile(t, dir, "one.ini", "[class view]\nkind = replayable\n[class file]\nkind = uniqued\nwindow = 20s\n")
-	expect(t, 0, "sound alone", "config", "check", one, at)
+	expect(t, 0, "valid, checked alone", "config", "check", one, at)
 	expect(t, 0, "taken: version 1", "config", "put", one, at, "--reason", "the first", "--author", "op")
 	expect(t, 0, "unchanged: version 1", "config", "put", one, at)
 	expect(t, 0, "window = 20s", "config", "get", "--at="+b)
@@ -151,7 +152,7 @@
 	var vs []consensus.Version
 	if err := json.Unmarshal([]byte(expect(t, 0, "", "config", "history", "--json", at)), &vs); err != nil ||
 		len(vs) != 2 || vs[0].Author != "op" || vs[1].Parent != 1 {
-		t.Fatalf("history %+v (%v)", vs, err)
+		t.Fatalf("config history = %+v (%v), want 2 versions, the first by op, the second with parent 1", vs, err)
 	}
 	watch := exec.Command(program, "config", "watch", "--from", "1", at)
 	lines, err := watch.StdoutPipe()
@@ -165,7 +166,7 @@
 	seen := bufio.NewScanner(lines)
 	for n := 1; n <= 2; n++ {
 		if !seen.Scan() || !strings.HasPrefix(seen.Text(), fmt.Sprintf("version %d of", n)) {
-			t.Fatalf("watch: %q, expected version %d", seen.Text(), n)
+			t.Fatalf("config watch printed %q, want version %d", seen.Text(), n)
 		}
 	}
 
@@ -176,20 +177,20 @@
 	}
 	first.Wait()
 	if first.ProcessState.ExitCode() != 0 {
-		t.Fatalf("status %d after SIGTERM, expected 0", first.ProcessState.ExitCode())
+		t.Fatalf("exit status after SIGTERM = %d, want 0", first.ProcessState.ExitCode())
 	}
-	expect(t, 0, "no answer", "control", "status", "--at="+b)
-	expect(t, 4, "may or may not have been done", "config", "get", at, "--within", "300ms")
+	expect(t, 0, "no response", "control", "status", "--at="+b)
+	expect(t, 4, "may or may not have taken effect", "config", "get", at, "--within", "300ms")
 
 	alone := writeFile(t, dir, "r.ini", fmt.Sprintf("[instance]\nname = r\ndata = %s\n", filepath.Join(dir, "r")))
-	expect(t, 0, "a new group of one with version 2", "control", "snapshot", "restore", saved, "--file", alone)
+	expect(t, 0, "created a new group of one instance with version 2", "control", "snapshot", "restore", saved,
+		"--file", alone)
 	expect(t, 1, "belongs to an instance already", "control", "snapshot", "restore", saved, "--file", alone)
-	r, _ := startInstance(t, dir, "r", "join", 3) // the folder wins over the file
+	r, _ := startInstance(t, dir, "r", "join", 3) // the existing folder overrides start = join
 	expect(t, 0, "window = 30s", "config", "get", "--at="+r)
 }
 
-// An instance with five versions is killed, and a byte in the middle of its log changes: it does not start, says where,
-// and leaves the log as it is.
+// An instance whose log has a changed byte must not start, must name the file and offset, and must not modify the log.
 func TestInstanceWithDamagedLogDoesNotStart(t *testing.T) {
 	dir := t.TempDir()
 	a, cmd := startInstance(t, dir, "a", "new", 4)
@@ -201,7 +202,7 @@
 	cmd.Wait()
 	segments, err := filepath.Glob(filepath.Join(dir, "a", "*.seg"))
 	if err != nil || len(segments) == 0 {
-		t.Fatalf("segments %v, %v", segments, err)
+		t.Fatalf("found log segments %v (%v), want at least one", segments, err)
 	}
 	raw, err := os.ReadFile(segments[0])
 	if err != nil {
@@ -213,6 +214,6 @@
 	}
 	expect(t, 1, filepath.Base(segments[0])+" at byte ", "control", "run", "--file", filepath.Join(dir, "a.ini"))
 	if after, err := os.ReadFile(segments[0]); err != nil || !bytes.Equal(raw, after) {
-		t.Fatalf("the damaged file was changed (%v)", err)
+		t.Fatalf("the corrupt log was modified (%v), want it unchanged", err)
 	}
 }
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -21,17 +21,17 @@
 	"umberwinch/internal/control/consensus"
 )
 
-// client sends requests to a group: it tries one instance after the other until one responds.
+// client sends requests to a group of control instances, trying each address in turn until one responds.
 type client struct {
 	addresses    []string
 	http         *http.Client
 	scheme       string // http or https
 	token        string
-	retryTimeout time.Duration // how long it retries
+	retryTimeout time.Duration // total time for retries of one request
 	printJSON    bool
 }
 
-// clientOptions is what the flags of every command that sends requests to a group say.
+// clientOptions are the flags shared by all commands that send requests to a group.
 type clientOptions struct {
 	addresses, certFile, keyFile, caFile, tokenFile string
 	retryTimeout                                    time.Duration
@@ -40,17 +40,19 @@
 
 func (o *clientOptions) addFlags(c *cobra.Command) {
 	f := c.PersistentFlags()
-	f.StringVar(&o.addresses, "at", "127.0.0.1:7201", "where instances listen, separated by commas; each is tried in turn")
-	f.StringVar(&o.certFile, "certificate", "", "this client's certificate (PEM), where the group has TLS")
-	f.StringVar(&o.keyFile, "key", "", "its key (PEM)")
-	f.StringVar(&o.caFile, "authority", "", "the group's authority (PEM)")
-	f.StringVar(&o.tokenFile, "token-file", "", "file with the token that [clients] requires")
-	f.DurationVar(&o.retryTimeout, "within", 15*time.Second, "how long to retry")
+	f.StringVar(&o.addresses, "at", "127.0.0.1:7201",
+		"comma-separated client addresses (IP:PORT) of control instances, tried in turn")
+	f.StringVar(&o.certFile, "certificate", "", "PEM file with the client certificate, for a group with TLS")
+	f.StringVar(&o.keyFile, "key", "", "PEM file with the private key of --certificate")
+	f.StringVar(&o.caFile, "authority", "", "PEM file with the CA certificates to verify instances by")
+	f.StringVar(&o.tokenFile, "token-file", "", "file with the client token ([clients] token of the instances)")
+	f.DurationVar(&o.retryTimeout, "within", 15*time.Second, "how long to retry a request that no instance responds to")
 	f.BoolVar(&o.printJSON, "json", false, "print JSON")
 }
 
 func (o *clientOptions) client() (*client, error) {
-	c := &client{addresses: strings.Split(o.addresses, ","), scheme: "http", retryTimeout: o.retryTimeout, printJSON: o.printJSON}
+	c := &client{addresses: strings.Split(o.addresses, ","), scheme: "http", retryTimeout: o.retryTimeout,
+		printJSON: o.printJSON}
 	transport := &http.Transport{ResponseHeaderTimeout: 20 * time.Second, MaxIdleConnsPerHost: 64}
 	if o.caFile != "" || o.certFile != "" || o.keyFile != "" {
 		pair, err := tls.LoadX509KeyPair(o.certFile, o.keyFile)
@@ -80,11 +82,11 @@
 	return c, nil
 }
 
-// errOutcomeUnknown says that a request may or may not have had its effect. It stands also where each instance answered 503:
-// some of those, as after a timeout or a change of leaders, leave open whether the request took effect.
-var errOutcomeUnknown = errors.New("no result from any instance: what was asked for may or may not have been done")
+// errOutcomeUnknown means that a request may or may not have taken effect. It also covers requests that every instance
+// answered with 503, because a 503 after a timeout or a leader change leaves the outcome open.
+var errOutcomeUnknown = errors.New("no response from any instance: the request may or may not have taken effect")
 
-// errorResponse is a response that is not 200.
+// errorResponse is a response with a status other than 200.
 type errorResponse struct {
 	status int
 	consensus.Failure
@@ -93,7 +95,7 @@
 
 func (r *errorResponse) Error() string { return r.Failure.Error }
 
-// sendTo sends a request to one instance.
+// sendTo sends a request to one instance. A status other than 200 is returned as *errorResponse.
 func (c *client) sendTo(ctx context.Context, address, method, path string, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.scheme+"://"+address+path, bytes.NewReader(body))
 	if err != nil {
@@ -121,7 +123,7 @@
 	return nil, r
 }
 
-// send goes from instance to instance until one responds otherwise than 503.
+// send tries the instances in turn, with backoff between rounds, until one responds with a status other than 503.
 func (c *client) send(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
 	deadline := time.Now().Add(c.retryTimeout)
 	var lastErr error
@@ -134,7 +136,7 @@
 			}
 			lastErr = fmt.Errorf("%s: %w", address, err)
 			if ctx.Err() != nil || time.Now().After(deadline) {
-				return nil, fmt.Errorf("%w (the last: %w)", errOutcomeUnknown, lastErr)
+				return nil, fmt.Errorf("%w (last error: %w)", errOutcomeUnknown, lastErr)
 			}
 		}
 		pause := time.NewTimer(min(50*time.Millisecond<<min(round, 4), 500*time.Millisecond))
@@ -145,7 +147,7 @@
 	}
 }
 
-// get requests JSON.
+// get requests a path and decodes the JSON response into a value.
 func (c *client) get(ctx context.Context, path string, into any) error {
 	res, err := c.send(ctx, http.MethodGet, path, nil)
 	if err != nil {
@@ -153,12 +155,12 @@
 	}
 	defer res.Body.Close()
 	if out := res.Header.Get(consensus.HeaderOutOfContact); out != "" {
-		fmt.Fprintln(os.Stderr, "careful: the instance that answered is out of touch:", out)
+		fmt.Fprintln(os.Stderr, "warning: the response may be stale, its instance is out of contact:", out)
 	}
 	return json.NewDecoder(res.Body).Decode(into)
 }
 
-// put requests a new version. It retries under one number, so the put counts once however often it is sent.
+// put requests a new version. All retries carry the same session and sequence, so the put takes effect at most once.
 func (c *client) put(ctx context.Context, p consensus.Put) (consensus.PutResult, error) {
 	if p.Session == "" {
 		p.Session, p.Seq = newSession(), 1
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -20,14 +20,15 @@
 )
 
 func newConfig() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "The configuration the group agrees on: read, change, compare, follow"}
+	c := &cobra.Command{Use: "config", Short: "Read, change, compare and watch the group's configuration document"}
 	var a clientOptions
 	a.addFlags(c)
-	c.AddCommand(newConfigGet(&a), newConfigPut(&a), newConfigDiff(&a), newConfigCheck(&a), newConfigHistory(&a), newConfigWatch(&a))
+	c.AddCommand(newConfigGet(&a), newConfigPut(&a), newConfigDiff(&a), newConfigCheck(&a), newConfigHistory(&a),
+		newConfigWatch(&a))
 	return c
 }
 
-// withClient runs a command with a client.
+// withClient adapts a function that needs a client to a command's RunE.
 func withClient(a *clientOptions, f func(context.Context, *client, []string, io.Writer) error) func(*cobra.Command,
 	[]string) error {
 	return func(cmd *cobra.Command, args []string) error {
@@ -51,7 +52,7 @@
 	return &v, c.get(ctx, path, &v)
 }
 
-// fetchCurrent gives the version in force, nil before the first.
+// fetchCurrent returns the version in force, or nil before the first put.
 func (c *client) fetchCurrent(ctx context.Context) (*consensus.Version, error) {
 	v, err := c.fetchVersion(ctx, 0, false)
 	var r *errorResponse
@@ -64,7 +65,7 @@
 func newConfigGet(a *clientOptions) *cobra.Command {
 	var number uint64
 	var stale bool
-	c := &cobra.Command{Use: "get", Short: "Print a version's text, the newest by default", Args: exactArgs(0),
+	c := &cobra.Command{Use: "get", Short: "Print a version of the configuration document", Args: exactArgs(0),
 		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			v, err := c.fetchVersion(ctx, number, stale)
 			if err != nil {
@@ -73,12 +74,12 @@
 			if c.printJSON {
 				return printJSON(w, v)
 			}
-			fmt.Fprintf(w, "; version %d of %s by %s: %s\n; hash %s\n%s", v.Number, formatTime(v.At), v.Author, v.Reason,
-				v.Hash, v.Text)
+			fmt.Fprintf(w, "; version %d of %s by %s: %s\n; hash %s\n%s", v.Number, formatTime(v.At), v.Author,
+				v.Reason, v.Hash, v.Text)
 			return nil
 		})}
-	c.Flags().Uint64Var(&number, "version", 0, "its number; 0 for the newest")
-	c.Flags().BoolVar(&stale, "stale", false, "what the instance holds, even if it is out of touch")
+	c.Flags().Uint64Var(&number, "version", 0, "number of the version; 0 for the newest")
+	c.Flags().BoolVar(&stale, "stale", false, "read from any instance, even if it is out of contact")
 	return c
 }
 
@@ -98,10 +99,11 @@
 func newConfigPut(a *clientOptions) *cobra.Command {
 	var base int64
 	var reason, author string
-	c := &cobra.Command{Use: "put FILE", Short: "Put a new version; FILE may be - for standard input",
-		Args: exactArgs(1), Long: `Checks the document, then puts it as the group's next version. It names the version
-it was made from (--base, the newest if not given): if there is another since, that is a conflict and nothing is
-changed. Retries count once, whatever happens to responses on the way.`,
+	c := &cobra.Command{Use: "put FILE", Short: "Put a new version of the configuration document",
+		Args: exactArgs(1),
+		Long: `Check the document in FILE (- for standard input) and put it as the group's next version.
+If --base is no longer the newest version, the put is a conflict and nothing changes. Retries of a put take effect
+once, even if responses are lost.`,
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			raw, err := readText(args[0])
 			if err != nil {
@@ -138,9 +140,9 @@
 			}
 			return nil
 		})}
-	c.Flags().Int64Var(&base, "base", -1, "the version it was made from; -1 for the newest")
-	c.Flags().StringVar(&reason, "reason", "", "why, for the history")
-	c.Flags().StringVar(&author, "author", currentUser(), "who puts it, for the history")
+	c.Flags().Int64Var(&base, "base", -1, "number of the version that the document is based on; -1 for the newest")
+	c.Flags().StringVar(&reason, "reason", "", "reason of the change, recorded in the history")
+	c.Flags().StringVar(&author, "author", currentUser(), "author of the change, recorded in the history")
 	return c
 }
 
@@ -153,9 +155,11 @@
 
 func newConfigDiff(a *clientOptions) *cobra.Command {
 	var from, to uint64
-	c := &cobra.Command{Use: "diff [FILE]", Short: "What a file, or a version, would change",
-		Args: cobra.MaximumNArgs(1), Long: `With FILE: what it would change in the version in force (or --from).
-Without: what changed from version --from to --to (the one before the newest, and the newest, if not given).`,
+	c := &cobra.Command{Use: "diff [FILE]", Short: "Show the changes between two versions, or a version and a file",
+		Args: cobra.MaximumNArgs(1),
+		Long: `With FILE, show what it would change in the version in force, or in version --from. FILE may be - for
+standard input.
+Without FILE, show the changes from version --from to version --to; by default the last two versions.`,
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			newest, err := c.fetchCurrent(ctx)
 			if err != nil {
@@ -198,12 +202,13 @@
 			}
 			return nil
 		})}
-	c.Flags().Uint64Var(&from, "from", 0, "version to compare with")
-	c.Flags().Uint64Var(&to, "to", 0, "version compared, without FILE")
+	c.Flags().Uint64Var(&from, "from", 0,
+		"version to compare with; 0 for the version in force, or without FILE the one before --to")
+	c.Flags().Uint64Var(&to, "to", 0, "version that is compared if no FILE is given; 0 for the newest")
 	return c
 }
 
-// fetchDocument gives a version's document, nil for version 0.
+// fetchDocument returns a version's parsed document, or nil for version 0.
 func (c *client) fetchDocument(ctx context.Context, number uint64) (*document.Document, error) {
 	if number == 0 {
 		return nil, nil
@@ -217,7 +222,7 @@
 
 func newConfigCheck(a *clientOptions) *cobra.Command {
 	var alone bool
-	c := &cobra.Command{Use: "check FILE", Short: "Check a document, alone and after the version in force",
+	c := &cobra.Command{Use: "check FILE", Short: "Check that a document is valid and may follow the version in force",
 		Args: exactArgs(1),
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			raw, err := readText(args[0])
@@ -249,17 +254,17 @@
 			if c.printJSON {
 				return printJSON(w, map[string]string{"checked": after, "hash": hash})
 			}
-			fmt.Fprintf(w, "sound %s, hash %s\n", after, hash)
+			fmt.Fprintf(w, "valid, checked %s, hash %s\n", after, hash)
 			return nil
 		})}
-	c.Flags().BoolVar(&alone, "alone", false, "ask no group")
+	c.Flags().BoolVar(&alone, "alone", false, "check the document alone, without a request to the group")
 	return c
 }
 
 func newConfigHistory(a *clientOptions) *cobra.Command {
 	var from uint64
 	var limit int
-	c := &cobra.Command{Use: "history", Short: "List versions, the newest last", Args: exactArgs(0),
+	c := &cobra.Command{Use: "history", Short: "List versions, newest last", Args: exactArgs(0),
 		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			path := fmt.Sprintf("/v1/history?limit=%d", limit)
 			if from > 0 {
@@ -279,14 +284,14 @@
 			}
 			return printTable(w, rows)
 		})}
-	c.Flags().Uint64Var(&from, "from", 0, "first version; 0 for the last ones")
-	c.Flags().IntVar(&limit, "limit", 20, "how many, 1 to 1000")
+	c.Flags().Uint64Var(&from, "from", 0, "first version to list; 0 for the newest --limit versions")
+	c.Flags().IntVar(&limit, "limit", 20, "maximum number of versions, 1 to 1000")
 	return c
 }
 
 func newConfigWatch(a *clientOptions) *cobra.Command {
 	var from uint64
-	c := &cobra.Command{Use: "watch", Short: "Follow versions as they come, without a gap or a double",
+	c := &cobra.Command{Use: "watch", Short: "Print each new version once, in order",
 		Args: exactArgs(0),
 		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			return c.watch(ctx, from, func(v *consensus.Version) error {
@@ -297,12 +302,12 @@
 				return err
 			})
 		})}
-	c.Flags().Uint64Var(&from, "from", 0, "first version; 0 for what comes next")
+	c.Flags().Uint64Var(&from, "from", 0, "first version to print; 0 for the next one")
 	return c
 }
 
-// watch hands over versions in order from a number on. Where a connection ends it goes on at the next
-// instance with the number that is due.
+// watch passes versions to handle in order, starting at version from, or at the next new one if from is 0. When a
+// connection ends, it resumes at the next instance after the last version that was handled.
 func (c *client) watch(ctx context.Context, from uint64, handle func(*consensus.Version) error) error {
 	for round := 0; ctx.Err() == nil; round++ {
 		path := "/v1/watch"
@@ -336,13 +341,14 @@
 	return nil
 }
 
-// readVersions reads one connection's lines until it ends; an error is the taker's, or a version out of order.
+// readVersions reads the versions of one connection until it ends, and advances *next past each. It fails if handle
+// does, or if a version is invalid or missing.
 func readVersions(body io.Reader, next *uint64, handle func(*consensus.Version) error) error {
 	lines := bufio.NewReaderSize(body, 64<<10)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
-			return nil // a line cut off is not a version
+			return nil // drops a partial last line
 		}
 		var b consensus.Heartbeat
 		if json.Unmarshal(line, &b) == nil && b.Heartbeat {
@@ -356,7 +362,7 @@
 			continue
 		}
 		if v.Number > *next {
-			return fmt.Errorf("version %d, expected %d", v.Number, *next)
+			return fmt.Errorf("watch: found version %d, expected %d", v.Number, *next)
 		}
 		if err = handle(v); err != nil {
 			return err
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -17,18 +17,19 @@
 )
 
 func newControl() *cobra.Command {
-	c := &cobra.Command{Use: "control", Short: "The control service: run an instance, show and change a group"}
+	c := &cobra.Command{Use: "control", Short: "Run control instances and operate their group"}
 	var a clientOptions
 	a.addFlags(c)
-	c.AddCommand(newControlRun(), newControlLocal(&a), newControlStatus(&a), newControlMembers(&a), newControlSnapshot(&a), newControlRecover())
+	c.AddCommand(newControlRun(), newControlLocal(&a), newControlStatus(&a), newControlMembers(&a),
+		newControlSnapshot(&a), newControlRecover())
 	return c
 }
 
 func newControlRun() *cobra.Command {
 	var file string
-	c := &cobra.Command{Use: "run", Short: "Run one instance until SIGTERM", Args: exactArgs(0),
-		Long: `Runs one instance of the control service by the operator's file. SIGTERM transfers leadership and
-ends it; SIGHUP reads the certificates again. A write or sync that fails ends it with status 1.`,
+	c := &cobra.Command{Use: "run", Short: "Run one control instance until SIGTERM", Args: exactArgs(0),
+		Long: `Run one instance of the control service with the settings in --file. SIGTERM transfers leadership
+and stops it; SIGHUP reloads its certificates. A failed write or sync of its log stops it with exit status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			o, err := config.ReadControl(file)
 			if err != nil {
@@ -36,7 +37,7 @@
 			}
 			return runInstance(cmd.Context(), o, cmd.ErrOrStderr())
 		}}
-	c.Flags().StringVar(&file, "file", "deploy/control.ini", "the operator's file")
+	c.Flags().StringVar(&file, "file", "deploy/control.ini", "settings file of the instance")
 	return c
 }
 
@@ -58,16 +59,16 @@
 		select {
 		case <-hups:
 			if err := g.Reload(); err != nil {
-				log.WithField(logging.Error, err).Error("certificates not taken, the old ones stay")
+				log.WithField(logging.Error, err).Error("failed to reload certificates, keeping the current ones")
 			} else {
-				log.Info("certificates read again")
+				log.Info("certificates reloaded")
 			}
 		case <-g.Done():
 			api.Stop()
-			log.WithField(logging.Error, g.Err()).Error("the instance can't go on")
+			log.WithField(logging.Error, g.Err()).Error("instance failed")
 			return g.Err()
 		case <-ctx.Done():
-			log.Info("ending")
+			log.Info("instance is stopping")
 			end, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 			g.Stop(end)
 			cancel()
@@ -77,5 +78,5 @@
 	}
 }
 
-// leaveTimeout is how long an instance that ends may take to transfer its leadership.
+// leaveTimeout bounds the leadership transfer of an instance that stops.
 const leaveTimeout = 2 * time.Second
--- a/internal/cli/control_local.go
+++ b/internal/cli/control_local.go
@@ -18,23 +18,22 @@
 	"umberwinch/internal/control/consensus"
 )
 
-// Times of a local group.
+// Timing of a local group.
 const (
-	// restartDelay is how long after its end an instance is started again. One that ends by itself sooner than that
-	// does not come up at all, as on a folder that can't be used, and ends the command.
+	// restartDelay is the time between an instance's exit and its restart. An instance that fails sooner than this
+	// after its start, for example on an unusable folder, ends the command.
 	restartDelay = 2 * time.Second
-	// localStopTimeout is how long an instance may take to end before it is killed.
+	// localStopTimeout is the time that an instance has to exit after SIGTERM before it is killed.
 	localStopTimeout = 5 * time.Second
-	// localJoinTimeout is how long an instance may take to answer, and the group to have all of them as voters.
-	localJoinTimeout = 10 * time.Second
-	// localPollInterval is the pause between two looks at instances that are not up yet.
+	// localJoinTimeout is the time for an instance to respond, and for all instances to become voters.
+	localJoinTimeout  = 10 * time.Second
 	localPollInterval = 20 * time.Millisecond
 )
 
-// peerPortOffset is how far below an instance's port for clients its port for peers is.
+// peerPortOffset is subtracted from an instance's client port to get its peer port.
 const peerPortOffset = 100
 
-// localGroupOptions is what the flags of `control local` ask for.
+// localGroupOptions are the flags of `control local`.
 type localGroupOptions struct {
 	dir       string
 	instances int
@@ -43,23 +42,23 @@
 
 func newControlLocal(a *clientOptions) *cobra.Command {
 	var r localGroupOptions
-	c := &cobra.Command{Use: "local", Short: "Run a whole group on loopback, for a look", Args: exactArgs(0),
-		Long: `Starts instances as processes of their own on loopback ports, takes them into one group, shows it
-and runs until it is interrupted. One that ends is started again two seconds later; the others go on meanwhile.
-Their files, logs and folders stay under --dir, so a later start goes on where this one ended.`,
+	c := &cobra.Command{Use: "local", Short: "Run a group of control instances on loopback", Args: exactArgs(0),
+		Long: `Start control instances as separate processes on loopback ports, join them into one group, print its
+status and run until interrupted. An instance that exits is restarted after two seconds. Settings, logs and data
+stay under --dir, and a later run with the same --dir resumes from them.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if r.instances < 1 || r.instances > 7 {
 				return usageError(fmt.Errorf("--instances: found %d, expected 1 to 7", r.instances))
 			}
 			return r.run(cmd.Context(), a, cmd.OutOrStdout())
 		}}
-	c.Flags().StringVar(&r.dir, "dir", "control-local", "folder for their files, logs and data")
-	c.Flags().IntVar(&r.instances, "instances", 3, "how many")
-	c.Flags().IntVar(&r.firstPort, "port", 7201, "first port for clients; peers have those 100 below")
+	c.Flags().StringVar(&r.dir, "dir", "control-local", "folder for settings, logs and data")
+	c.Flags().IntVar(&r.instances, "instances", 3, "number of control instances, 1 to 7")
+	c.Flags().IntVar(&r.firstPort, "port", 7201, "client port of the first instance; peer ports are lower by 100")
 	return c
 }
 
-// run runs the group until the context ends or an instance does not come up.
+// run runs the group until the context ends or an instance fails to start.
 func (r *localGroupOptions) run(ctx context.Context, a *clientOptions, w io.Writer) error {
 	program, err := os.Executable()
 	if err != nil {
@@ -81,31 +80,31 @@
 	if err = g.run(ctx); err != nil {
 		return fmt.Errorf("%w; logs are in %s", err, r.dir)
 	}
-	_, err = fmt.Fprintf(w, "all instances have ended; logs are in %s\n", r.dir)
+	_, err = fmt.Fprintf(w, "all instances have exited; logs are in %s\n", r.dir)
 	return err
 }
 
-// localGroup is a group whose instances are processes of this one.
+// localGroup is a group whose instances are child processes of this one.
 type localGroup struct {
 	program     string
 	client      *client
 	out         io.Writer
 	instances   []*localInstance
 	supervisors sync.WaitGroup
-	failed      chan error // why the group can't go on; has room for one of each instance and of the set-up
+	failed      chan error // buffered for one error of each instance and one of formGroup
 }
 
-// localInstance is one of them. Its data is in a folder, its settings and log beside that under the folder's name.
+// localInstance is an instance of a local group. Its settings and log are files beside its data folder.
 type localInstance struct {
 	name, listen, peer, data string
-	process                  *exec.Cmd // its supervisor's alone once it began
+	process                  *exec.Cmd // owned by the supervisor once supervise runs
 	firstPID                 int
 }
 
 func (i *localInstance) configFile() string { return i.data + ".ini" }
 func (i *localInstance) logFile() string    { return i.data + ".log" }
 
-// run starts all instances and returns once all have ended.
+// run starts all instances and returns once all have exited.
 func (g *localGroup) run(ctx context.Context) error {
 	running, stop := context.WithCancel(ctx)
 	defer g.supervisors.Wait()
@@ -128,7 +127,7 @@
 	}
 }
 
-// startSupervised starts an instance for the first time, and has it started again whenever it ends.
+// startSupervised writes an instance's settings, starts it, and restarts it whenever it exits.
 func (g *localGroup) startSupervised(ctx context.Context, i *localInstance, founds bool) error {
 	if err := i.writeConfig(founds); err != nil {
 		return err
@@ -145,13 +144,13 @@
 	return nil
 }
 
-// start runs an instance's process until the context ends.
+// start starts an instance's process; it is stopped when the context ends.
 func (g *localGroup) start(ctx context.Context, i *localInstance) error {
 	log, err := os.OpenFile(i.logFile(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
 	}
-	defer log.Close() // the process has its own descriptor
+	defer log.Close() // the child process has its own descriptor
 	p := exec.CommandContext(ctx, g.program, "control", "run", "--file", i.configFile())
 	p.Stderr = log
 	p.Cancel = func() error { return p.Process.Signal(syscall.SIGTERM) }
@@ -160,7 +159,7 @@
 	return p.Start()
 }
 
-// supervise starts an instance again whenever it ends, until the context does.
+// supervise restarts an instance whenever it exits, until the context ends.
 func (g *localGroup) supervise(ctx context.Context, i *localInstance) error {
 	for {
 		began := time.Now()
@@ -169,14 +168,13 @@
 			return nil
 		}
 		if !endedBySignal(err) && time.Since(began) < restartDelay {
-			return fmt.Errorf("instance %s does not come up, see %s: %w", i.name, i.logFile(), err)
+			return fmt.Errorf("instance %s failed to start, see %s: %w", i.name, i.logFile(), err)
 		}
 		how := "status 0"
 		if err != nil {
 			how = err.Error()
 		}
-		fmt.Fprintf(g.out, "instance %s ended (%s); it is started again in %v, the others go on\n", i.name, how,
-			restartDelay)
+		fmt.Fprintf(g.out, "instance %s exited (%s), restarting it in %v\n", i.name, how, restartDelay)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -185,17 +183,17 @@
 		if err = g.start(ctx, i); err != nil {
 			return err
 		}
-		fmt.Fprintf(g.out, "instance %s is up again, pid %d\n", i.name, i.process.Process.Pid)
+		fmt.Fprintf(g.out, "restarted instance %s, pid %d\n", i.name, i.process.Process.Pid)
 	}
 }
 
-// endedBySignal says whether an instance was killed, or asked to end: then it ends without an error.
+// endedBySignal reports whether a process was killed by a signal, or exited with status 0 as after SIGTERM.
 func endedBySignal(err error) bool {
 	var exit *exec.ExitError
 	return err == nil || errors.As(err, &exit) && exit.ExitCode() < 0
 }
 
-// formGroup takes all instances into one group, and says how it is reached.
+// formGroup adds all instances to one group, and prints its status and addresses.
 func (g *localGroup) formGroup(ctx context.Context) error {
 	var addresses, pids []string
 	for _, i := range g.instances {
@@ -214,13 +212,12 @@
 	if err := g.client.printStatus(ctx, g.out); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(g.out, "%s\nrunning; ask it with: umberctl control status --at %s\n",
-		strings.Join(pids, ", "),
-		strings.Join(addresses, ","))
+	_, err := fmt.Fprintf(g.out, "%s\nrunning; show its status with: umberctl control status --at %s\n",
+		strings.Join(pids, ", "), strings.Join(addresses, ","))
 	return err
 }
 
-// addOnceUp takes an instance into the group once it answers, unless it is a member already.
+// addOnceUp adds an instance to the group once it responds, unless it is a member already.
 func (c *client) addOnceUp(ctx context.Context, address string) error {
 	for end := time.Now().Add(localJoinTimeout); ; time.Sleep(localPollInterval) {
 		r, err := c.fetchReport(ctx, address)
@@ -228,7 +225,7 @@
 			return c.addUnlessMember(ctx, address, r)
 		}
 		if ctx.Err() != nil || time.Now().After(end) {
-			return fmt.Errorf("%s does not answer: %w", address, err)
+			return fmt.Errorf("%s does not respond: %w", address, err)
 		}
 	}
 }
@@ -244,7 +241,7 @@
 	return c.changeMembers(ctx, ch)
 }
 
-// awaitVoters waits until so many instances are voters.
+// awaitVoters waits until count instances are voters.
 func (c *client) awaitVoters(ctx context.Context, count int) error {
 	end := time.Now().Add(localJoinTimeout)
 	for ; time.Now().Before(end) && ctx.Err() == nil; time.Sleep(localPollInterval) {
@@ -259,10 +256,11 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("not all instances became voters in %v", localJoinTimeout)
+	return fmt.Errorf("not all of %d instances became voters within %v", count, localJoinTimeout)
 }
 
-// writeConfig writes the operator's file, unless it is there from an earlier run.
+// writeConfig writes the instance's settings file unless it exists from an earlier run. The first instance creates the
+// group; the others join it.
 func (i *localInstance) writeConfig(founds bool) error {
 	if _, err := os.Stat(i.configFile()); err == nil {
 		return nil
--- a/internal/cli/control_members.go
+++ b/internal/cli/control_members.go
@@ -13,7 +13,7 @@
 )
 
 func newControlMembers(a *clientOptions) *cobra.Command {
-	c := &cobra.Command{Use: "members", Short: "Add, promote, remove or replace instances; transfer leadership"}
+	c := &cobra.Command{Use: "members", Short: "Change the members of a group or transfer its leadership"}
 	change := func(use, short string, n int, build func(context.Context, *client, []string) (consensus.Change,
 		error)) {
 		c.AddCommand(&cobra.Command{Use: use, Short: short, Args: exactArgs(n),
@@ -32,19 +32,19 @@
 				return c.printStatus(cmd.Context(), cmd.OutOrStdout())
 			}})
 	}
-	change("add LISTEN", "Add the instance that listens at LISTEN: a learner, and a voter once it caught up", 1,
+	change("add LISTEN", "Add the instance at client address LISTEN as a learner, promoted once it has caught up", 1,
 		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
 			return c.newAddChange(ctx, args[0])
 		})
 	for _, op := range []consensus.ChangeOp{consensus.OpPromote, consensus.OpRemove} {
-		change(string(op)+" NAME", map[consensus.ChangeOp]string{consensus.OpPromote: "Make a learner a voter",
-			consensus.OpRemove: "Remove an instance"}[op], 1,
+		change(string(op)+" NAME", map[consensus.ChangeOp]string{consensus.OpPromote: "Promote a learner to voter",
+			consensus.OpRemove: "Remove an instance from the group"}[op], 1,
 			func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
 				m, err := c.findMember(ctx, args[0])
 				return consensus.Change{Op: op, Member: m}, err
 			})
 	}
-	change("replace NAME BY", "Make the learner BY a voter and remove NAME, in one step", 2,
+	change("replace NAME BY", "Promote the learner BY and remove instance NAME in one step", 2,
 		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
 			replaced, err := c.findMember(ctx, args[0])
 			if err != nil {
@@ -61,11 +61,11 @@
 	return c
 }
 
-// newAddChange makes the change that adds an instance, by what the instance says of itself.
+// newAddChange asks an instance for its identity and returns the change that adds it.
 func (c *client) newAddChange(ctx context.Context, listen string) (consensus.Change, error) {
 	res, err := c.sendTo(ctx, listen, http.MethodGet, "/v1/self", nil)
 	if err != nil {
-		return consensus.Change{}, fmt.Errorf("%s, the instance to be added: %w", listen, err)
+		return consensus.Change{}, fmt.Errorf("instance to add at %s: %w", listen, err)
 	}
 	defer res.Body.Close()
 	var s consensus.Self
@@ -92,13 +92,13 @@
 		strings.Join(names, ", ")))
 }
 
-// changeMembers requests a change of members. A retry finds it done, or is refused for what it is.
+// changeMembers requests a change of members. A transfer is sent to the leader first, as only it can do that.
 func (c *client) changeMembers(ctx context.Context, ch consensus.Change) error {
 	body, err := json.Marshal(ch)
 	if err != nil {
 		return err
 	}
-	if ch.Op == consensus.OpTransfer { // only the leader can
+	if ch.Op == consensus.OpTransfer {
 		if rows, _, err := c.instanceRows(ctx); err == nil {
 			for _, r := range rows {
 				if r.Report != nil && r.Report.Role == consensus.RoleLeader {
--- a/internal/cli/control_snapshot.go
+++ b/internal/cli/control_snapshot.go
@@ -16,8 +16,8 @@
 )
 
 func newControlSnapshot(a *clientOptions) *cobra.Command {
-	c := &cobra.Command{Use: "snapshot", Short: "Save a group's state to a file, or begin a new group from one"}
-	c.AddCommand(&cobra.Command{Use: "save FILE", Short: "Save the state, as new as any answer before",
+	c := &cobra.Command{Use: "snapshot", Short: "Save a group's state, or create a new group from a saved state"}
+	c.AddCommand(&cobra.Command{Use: "save FILE", Short: "Save the group's current state to a file",
 		Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := a.client()
@@ -34,16 +34,16 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "saved version %s, %d bytes, to %s\n",
-				res.Header.Get(consensus.HeaderVersion),
-				n, args[0])
+				res.Header.Get(consensus.HeaderVersion), n, args[0])
 			return nil
 		}})
 	var file string
 	restore := &cobra.Command{Use: "restore FILE",
-		Short: "Make an empty folder the first instance of a new group",
-		Args:  exactArgs(1), Long: `Writes the saved state into the folder of the operator's file, which has to be empty, as
-the first instance of a new group with an id of its own. For when a majority of the old group is lost for good: what
-was agreed on after the save is lost, and what is left of the old group is refused by the new one.`,
+		Short: "Create a new group of one instance from a saved state",
+		Args:  exactArgs(1),
+		Long: `Write the saved state into the data folder named in --file, which must be empty, as the first
+instance of a new group with a new id. Use it when a majority of the old group is permanently lost: changes after the
+save are lost, and the new group rejects the remaining instances of the old one.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			o, err := config.ReadControl(file)
 			if err != nil {
@@ -61,16 +61,16 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "a new group of one with version %d from %s; what came after it is lost.\n"+
-				"Start it with: umberctl control run --file %s\n", v.Number, args[0], file)
+			fmt.Fprintf(cmd.OutOrStdout(), "created a new group of one instance with version %d from %s; "+
+				"later changes are lost.\nStart it with: umberctl control run --file %s\n", v.Number, args[0], file)
 			return nil
 		}}
-	restore.Flags().StringVar(&file, "file", "deploy/control.ini", "the operator's file of the instance")
+	restore.Flags().StringVar(&file, "file", "deploy/control.ini", "settings file of the instance")
 	c.AddCommand(restore)
 	return c
 }
 
-// saveFile writes beside and renames, so that a file is there whole or not at all.
+// saveFile writes to a temporary file and renames it, so that path never holds a partial file.
 func saveFile(path string, from io.Reader) (int64, error) {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
--- a/internal/cli/control_status.go
+++ b/internal/cli/control_status.go
@@ -15,7 +15,7 @@
 )
 
 func newControlStatus(a *clientOptions) *cobra.Command {
-	return &cobra.Command{Use: "status", Short: "Show each instance of a group", Args: exactArgs(0),
+	return &cobra.Command{Use: "status", Short: "Show the status of each instance of a group", Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := a.client()
 			if err != nil {
@@ -25,7 +25,7 @@
 		}}
 }
 
-// instanceRow is one instance as status shows it.
+// instanceRow is one instance in the output of `control status`.
 type instanceRow struct {
 	Name   string            `json:"name"`
 	Listen string            `json:"listen"`
@@ -33,7 +33,8 @@
 	Error  string            `json:"error,omitempty"`
 }
 
-// instanceRows gets the status of every member of the group, by the member list of the instance that has applied the most.
+// instanceRows fetches the status of every member of the group. The member list is that of the instance with the
+// highest applied index, whose report is returned as well.
 func (c *client) instanceRows(ctx context.Context) ([]instanceRow, *consensus.Report, error) {
 	var newest *consensus.Report
 	var lastErr error
@@ -48,7 +49,7 @@
 		}
 	}
 	if newest == nil {
-		return nil, nil, exitError{fmt.Errorf("no instance answers: %w", lastErr), exitUnknown}
+		return nil, nil, exitError{fmt.Errorf("no instance responds: %w", lastErr), exitUnknown}
 	}
 	var out []instanceRow
 	if len(newest.Members) == 0 {
@@ -101,7 +102,7 @@
 		"LEADER SEEN", "NOTE"}}
 	for _, r := range rows {
 		if r.Report == nil {
-			out = append(out, []string{r.Name, r.Listen, "-", "-", "-", "-", "-", "-", "-", "-", "no answer"})
+			out = append(out, []string{r.Name, r.Listen, "-", "-", "-", "-", "-", "-", "-", "-", "no response"})
 			continue
 		}
 		s, note := r.Report, ""
@@ -109,7 +110,7 @@
 		case s.Barred != "":
 			note = s.Barred
 		case s.OutOfContact:
-			note = "out of touch: may be stale"
+			note = "out of contact: may be stale"
 		}
 		lag := uint64(0)
 		if commit > s.Applied {
@@ -117,8 +118,8 @@
 		}
 		out = append(out, []string{r.Name, r.Listen, string(s.Role), strconv.FormatUint(s.Term, 10),
 			fmt.Sprintf("%d-%d", s.FirstIndex, s.LastIndex), strconv.FormatUint(s.Applied, 10),
-			strconv.FormatUint(lag, 10),
-			strconv.FormatUint(s.Version, 10), fmt.Sprintf("%.1f MB", float64(s.DiskBytes)/(1<<20)),
+			strconv.FormatUint(lag, 10), strconv.FormatUint(s.Version, 10),
+			fmt.Sprintf("%.1f MB", float64(s.DiskBytes)/(1<<20)),
 			fmt.Sprintf("%d ms ago", s.SinceLeaderMS), note})
 	}
 	return out
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -13,7 +13,7 @@
 	"umberwinch/internal/harness"
 )
 
-// demoOptions is what the flags of `demo` ask for.
+// demoOptions are the flags of `demo`.
 type demoOptions struct {
 	demo   harness.Demo
 	asJSON bool
@@ -21,10 +21,11 @@
 
 func newDemo() *cobra.Command {
 	var r demoOptions
-	c := &cobra.Command{Use: "demo", Short: "A node, an emulated kernel and a load on loopback, with a live table",
-		Args: exactArgs(0), Long: `Runs a node, an emulated kernel and callers in this process until --seconds are
-over, q is pressed or it is interrupted, and prints what each class of requests got. A run that is interrupted
-or fails leaves the node's log, and says on standard error where.`,
+	c := &cobra.Command{Use: "demo", Short: "Run a node, an emulated kernel and a load on loopback, with a live table",
+		Args: exactArgs(0),
+		Long: `Run a node, an emulated kernel and callers in this process for --seconds, or until q is
+pressed or the command is interrupted, then print the results of each class of requests. An interrupted or failed run
+keeps the node's log and prints its folder on standard error.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := r.validate(); err != nil {
 				return usageError(err)
@@ -33,11 +34,11 @@
 		}}
 	f := c.Flags()
 	f.Int64Var(&r.demo.Seed, "seed", 1, "seed of the load's random numbers")
-	f.Float64Var(&r.demo.Load, "load", 0.9, "share of the cores' capacity that is asked for")
-	f.BoolVar(&r.demo.Pools, "pools", false, "with pools of run slots")
-	f.IntVar(&r.demo.Seconds, "seconds", 0, "how long; 0 until it is interrupted")
+	f.Float64Var(&r.demo.Load, "load", 0.9, "offered load as a fraction of the cores' capacity, above 0 and at most 10")
+	f.BoolVar(&r.demo.Pools, "pools", false, "enable pools of run slots")
+	f.IntVar(&r.demo.Seconds, "seconds", 0, "duration in seconds; 0 to run until interrupted")
 	f.StringVar(&r.demo.Trouble, "trouble", "",
-		"a fault: a slow or cold dependency; links: the kernel's link breaks every 5 s")
+		"fault to inject: slow or cold (a dependency), or links (breaks the kernel's link every 5 s)")
 	f.BoolVar(&r.asJSON, "json", false, "print the results as JSON")
 	return c
 }
@@ -75,7 +76,7 @@
 	return printTable(stdout, demoTable(results))
 }
 
-// readKeys reads a terminal in raw mode.
+// readKeys sends each byte read from a terminal in raw mode, until a read fails.
 func readKeys(terminal io.Reader) <-chan byte {
 	keys := make(chan byte)
 	go func() {
--- a/internal/cli/deprecated.go
+++ b/internal/cli/deprecated.go
@@ -7,9 +7,9 @@
 	"github.com/spf13/cobra"
 )
 
-// newLab has the fault tests under the names that they had before.
+// newLab returns the deprecated command `lab`, with the fault tests under their earlier names.
 func newLab() *cobra.Command {
-	c := &cobra.Command{Use: "lab", Short: "Earlier name of faulttest", Hidden: true}
+	c := &cobra.Command{Use: "lab", Short: "Run fault tests (deprecated name of faulttest)", Hidden: true}
 	for _, child := range []*cobra.Command{newRaftTest(), newPoolsTest(), newPolicyTest(), newZonesTest()} {
 		c.AddCommand(deprecated(child, "faulttest "+child.Name()))
 	}
@@ -18,18 +18,17 @@
 	return c
 }
 
-// newKept has the commands about stored results under the name that they had before.
+// newKept returns the deprecated command `kept`, the earlier name of `results`.
 func newKept() *cobra.Command { return deprecated(renamed(newResults(), "kept"), "results") }
 
-// renamed gives a command another name; what follows the name in its use line stays.
+// renamed changes a command's name and keeps the arguments in its use line.
 func renamed(c *cobra.Command, name string) *cobra.Command {
 	c.Use = name + strings.TrimPrefix(c.Use, c.Name())
 	return c
 }
 
-// deprecated keeps a command, and those below it, under an earlier name: not shown in help, and with a warning on
-// standard error that names the present one. Standard output stays as it is, as scripts read it. now is the present
-// name without the program's.
+// deprecated hides a command and its subcommands from help and makes them warn on standard error. Standard output is
+// unchanged, because scripts read it. replacement is the path of the current command without the program's name.
 func deprecated(c *cobra.Command, replacement string) *cobra.Command {
 	c.Hidden = true
 	for _, child := range c.Commands() {
--- a/internal/cli/deprecated_test.go
+++ b/internal/cli/deprecated_test.go
@@ -7,8 +7,8 @@
 	"github.com/spf13/cobra"
 )
 
-// Earlier names of commands do what the present ones do, with the same flags, status and output, and say on standard
-// error what they are called now. Help shows the present ones alone.
+// Deprecated commands must have the same status and standard output as their replacements, warn on standard error, and
+// be hidden from help. Otherwise scripts that use them would break.
 func TestDeprecatedCommandsWorkAndWarn(t *testing.T) {
 	for _, c := range []struct{ name, earlier, now string }{
 		{"harness", "lab raft --without x", "faulttest raft --without x"},
@@ -22,31 +22,31 @@
 			warning, rest, _ := strings.Cut(stderr, "\n")
 			words := strings.Fields(c.now)
 			if !strings.Contains(warning, "is deprecated, use umberctl "+words[0]+" "+words[1]) {
-				t.Errorf("warns %q", warning)
+				t.Errorf("got warning %q, want the replacement umberctl %s %s", warning, words[0], words[1])
 			}
 			if stdout != wantStdout || status != wantStatus || len(rest) == 0 || len(rest) != len(wantStderr) {
-				t.Errorf("status %d, output %q, errors %q; expected %d, %q, %q", status, stdout, rest, wantStatus, wantStdout,
-					wantStderr)
+				t.Errorf("got status %d, stdout %q, stderr %q; want %d, %q, %q", status, stdout, rest, wantStatus,
+					wantStdout, wantStderr)
 			}
 			if strings.Contains(wantStderr, "deprecated") {
-				t.Errorf("the present name warns: %q", wantStderr)
+				t.Errorf("%s: got stderr %q, want no deprecation warning", c.now, wantStderr)
 			}
 		})
 	}
 	for _, hidden := range []string{"lab", "kept"} {
 		if c, _, err := newRoot().Find([]string{hidden}); err != nil || !c.Hidden {
-			t.Errorf("%s: %v, shown in help", hidden, err)
+			t.Errorf("Find(%s): error %v, want a hidden command", hidden, err)
 		}
 	}
 }
 
-// Each flag of an earlier name is a flag of the present one.
+// Deprecated commands must have exactly the flags of their replacements.
 func TestDeprecatedCommandsHaveTheSameFlags(t *testing.T) {
 	root := newRoot()
 	find := func(path string) *cobra.Command {
 		c, rest, err := root.Find(strings.Fields(path))
 		if err != nil || len(rest) > 0 {
-			t.Fatalf("%s: %v", path, err)
+			t.Fatalf("Find(%s): rest %q, error %v, want a command", path, rest, err)
 		}
 		return c
 	}
@@ -55,7 +55,7 @@
 		"lab kept": "faulttest results", "kept stat": "results stat", "kept verify": "results verify",
 		"kept compact": "results compact"} {
 		if was, is := find(earlier).Flags().FlagUsages(), find(now).Flags().FlagUsages(); was != is {
-			t.Errorf("%s has the flags\n%s%s\n%s", earlier, was, now, is)
+			t.Errorf("%s has the flags\n%swant those of %s\n%s", earlier, was, now, is)
 		}
 	}
 }
--- a/internal/cli/faulttest.go
+++ b/internal/cli/faulttest.go
@@ -20,10 +20,10 @@
 	"umberwinch/internal/simulation"
 )
 
-// newFaultTest is the harness's command: each below it runs the real code under faults and load, and ends with a
-// verdict.
+// newFaultTest returns the command whose subcommands are the fault tests. Each runs the production code under faults
+// and load, and prints a verdict as its last line.
 func newFaultTest() *cobra.Command {
-	c := &cobra.Command{Use: "faulttest", Short: "Fault tests: the real code under faults and load"}
+	c := &cobra.Command{Use: "faulttest", Short: "Run fault tests of the production code under faults and load"}
 	c.AddCommand(newRaftTest(), newPoolsTest(), newPolicyTest(), newZonesTest(), newRecoveryTest(),
 		newResultStoreTest())
 	return c
@@ -44,27 +44,27 @@
 	maxGroupSize = 7
 )
 
-// addCommonFlags are those of every fault test.
+// addCommonFlags adds the flags of every fault test.
 func addCommonFlags(f *pflag.FlagSet, seed *int64, quick *bool, out *string, quickUsage string) {
-	f.Int64Var(seed, "seed", 1, "seed of all random numbers")
+	f.Int64Var(seed, "seed", 1, "seed of the random number generators")
 	f.BoolVar(quick, "quick", false, quickUsage)
-	f.StringVar(out, "out", "", "folder for report.html and result.json")
+	f.StringVar(out, "out", "", "folder to write report.html and result.json to")
 }
 
-// addProcessFlags are those of fault tests that have cases on a fleet of processes.
+// addProcessFlags adds the flags of fault tests that have cases on a fleet of processes.
 func addProcessFlags(f *pflag.FlagSet, mode, only *string, size *int) {
-	f.StringVar(mode, "mode", modeBoth, "virtual (in virtual time), real (on processes) or both")
-	f.StringVar(only, "only", "", "one case on processes")
-	f.IntVar(size, "size", 0, "nodes of the fleet of processes; 0 for 9")
+	f.StringVar(mode, "mode", modeBoth, "where to run: virtual (in virtual time), real (on processes) or both")
+	f.StringVar(only, "only", "", "name of the only case on processes to run")
+	f.IntVar(size, "size", 0, "number of nodes in the fleet of processes, 6 to 60; 0 for 9")
 }
 
-// addGuardsFlag is --without. What breaks without a guard stands at its constant, in guard.go of consensus and policy and
-// guards.go of zones.
+// addGuardsFlag adds --without. The failure that each guard prevents is documented at its constant, in guard.go of
+// consensus and policy and guards.go of zones.
 func addGuardsFlag(f *pflag.FlagSet, list *string, names []string) {
-	f.StringVar(list, "without", "", "guards to disable, separated by commas: "+strings.Join(names, ", "))
+	f.StringVar(list, "without", "", "comma-separated guards to disable: "+strings.Join(names, ", "))
 }
 
-// checkMode says whether --mode is one of the three.
+// checkMode validates --mode.
 func checkMode(mode string) error {
 	if mode != modeBoth && mode != modeVirtual && mode != modeReal {
 		return fmt.Errorf("--mode: found %q, expected virtual, real or both", mode)
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// checkOneOf says whether a flag that may be empty is one of its values.
+// checkOneOf validates a flag that is empty or one of values.
 func checkOneOf(flag, value string, values []string) error {
 	if value != "" && !slices.Contains(values, value) {
 		return fmt.Errorf("%s: found %q, expected one of %q", flag, value, values)
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// checkProcessTest checks the flags of a fault test that has cases on a fleet of processes.
+// checkProcessTest validates the flags of a fault test that has cases on a fleet of processes.
 func checkProcessTest(mode, only string, cases []string, size int) error {
 	if err := errors.Join(checkMode(mode), checkOneOf("--only", only, cases)); err != nil {
 		return err
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// parseGuards reads the guards that --without names, separated by commas.
+// parseGuards parses the comma-separated guards of --without and returns their union.
 func parseGuards[G ~uint](list string, parse func(string) (G, error)) (out G, err error) {
 	if list == "" {
 		return 0, nil
@@ -106,13 +106,13 @@
 	return out, nil
 }
 
-// faultTest is a run of any of the fault tests.
+// faultTest is a configured fault test.
 type faultTest interface {
 	Run(ctx context.Context, w io.Writer) (*report.Report, error)
 }
 
-// runFaultTest checks the flags of a fault test, hands it this program to start processes of, and makes a broken
-// promise the command's error.
+// runFaultTest validates the flags of a fault test and runs it, with this program as the one that its processes run. A
+// broken promise is an error.
 func runFaultTest(test faultTest, program *string, check func() error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, _ []string) (err error) {
 		if err = check(); err != nil {
@@ -148,11 +148,13 @@
 	}
 	run := runFaultTest(r, &r.Program, check)
 	c := &cobra.Command{Use: "raft",
-		Short: "The replicated group: schedules of faults in virtual time, kills of processes",
-		Args:  exactArgs(0), Long: `Virtual: the real consensus and log code on a simulated network, disks and clock, many
-schedules from one seed, with the promises of docs/design/raft.md checked after each step and clients' histories checked
-for linearizability. Real: processes on loopback whose leader is killed between any two of persist, send, apply and
-respond. The last line says "raft: kept" or "raft: broken: WHAT"; a broken promise is exit status 1.`,
+		Short: "Test the replicated group under simulated faults and process kills",
+		Args:  exactArgs(0),
+		Long: `Virtual: runs the production consensus and log code on a simulated network, disks and
+clock, with many schedules of faults from one seed. It checks the promises of docs/design/raft.md after each step and
+the clients' histories for linearizability. Real: runs processes on loopback and kills the leader between any two of
+persist, send, apply and respond. The last line is "raft: kept" or "raft: broken: PROMISE"; a broken promise is exit
+status 1.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if replay == 0 {
 				return run(cmd, args)
@@ -163,18 +165,19 @@
 			return replaySchedule(cmd.OutOrStdout(), replay, r.Size, r.Without)
 		}}
 	f := c.Flags()
-	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "under 50 s on four cores")
-	f.StringVar(&r.Mode, "mode", modeBoth, "virtual (in virtual time), real (on processes) or both")
-	f.IntVar(&r.Size, "size", 0, "instances in a group; 0 for groups of 3 and of 5")
-	f.IntVar(&r.Schedules, "schedules", 0, "virtual schedules; 0 for 400 with --quick, 6000 without")
-	f.IntVar(&r.Kills, "kills", 0, "kills a group; 0 for 10 with --quick, 200 without")
-	f.IntVar(&r.Clients, "clients", 8, "real: clients that put while leaders are killed")
-	f.Int64Var(&replay, "replay", 0, "replay the schedule of one seed and print each step")
+	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "run fewer cases, in less than 50 s on four cores")
+	f.StringVar(&r.Mode, "mode", modeBoth, "where to run: virtual (in virtual time), real (on processes) or both")
+	f.IntVar(&r.Size, "size", 0, "number of instances in a group, 2 to 7; 0 for groups of 3 and of 5")
+	f.IntVar(&r.Schedules, "schedules", 0, "number of virtual schedules; 0 for 400 with --quick, 6000 without")
+	f.IntVar(&r.Kills, "kills", 0, "number of kills in each group of processes; 0 for 10 with --quick, 200 without")
+	f.IntVar(&r.Clients, "clients", 8, "number of clients that put versions while leaders are killed")
+	f.Int64Var(&replay, "replay", 0, "seed of a single schedule to replay, printing each step; 0 for none")
 	addGuardsFlag(f, &without, consensus.GuardNames())
 	return c
 }
 
-// replaySchedule plays one schedule of the group, of the size that it had among the others unless one is named.
+// replaySchedule runs one schedule of the group and prints its steps. A size of 0 is the size that a full run gives
+// this seed.
 func replaySchedule(w io.Writer, seed int64, size int, without consensus.Guard) error {
 	if size == 0 {
 		size = 3 + int(seed%2)*2
@@ -192,39 +195,41 @@
 			checkOneOf("--only", r.Only, []string{"kills", "costs"}))
 	}
 	c := &cobra.Command{Use: "results",
-		Short: "Stored results: a node killed over and over while clients retry their keys",
-		Args:  exactArgs(0), Long: `Nodes with [kept], each with an emulated kernel that outlives it and counts runs
-by idempotency key, and clients that retry their keys within the idempotency window and after it. Each node is
-killed with SIGKILL at named points and at random ones, at times in its start, sometimes with part of a write
-left at its log's end, and started again on its folder. Then the cost of a request with an idempotency key,
-beside one that is kept in memory alone. The last line says "kept: kept" or "kept: broken: WHAT"; a broken
-promise is exit status 1.`,
+		Short: "Test stored results while nodes are killed and clients retry",
+		Args:  exactArgs(0),
+		Long: `Runs nodes with [kept], each with an emulated kernel that survives the node's kills and
+counts runs by idempotency key, and clients that retry their keys within the idempotency window and after it. Each
+node is killed with SIGKILL at named and at random points, also during its start and with a partial write at the end
+of its log, and is restarted on its folder. Then measures the cost of a request with an idempotency key against one
+whose result is held in memory only. The last line is "kept: kept" or "kept: broken: PROMISE"; a broken promise is
+exit status 1.`,
 		RunE: runFaultTest(r, &r.Program, check)}
 	f := c.Flags()
-	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "under 50 s on four cores")
-	f.IntVar(&r.Kills, "kills", 0, "kills in all; 0 for 120 with --quick, 5000 without")
-	f.StringVar(&r.Only, "only", "", "kills or costs")
+	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "run fewer cases, in less than 50 s on four cores")
+	f.IntVar(&r.Kills, "kills", 0, "total number of kills; 0 for 120 with --quick, 5000 without")
+	f.StringVar(&r.Only, "only", "", "the only part to run: kills or costs")
 	f.StringVar(&r.Without, "without", "",
-		"one guard to disable in the node: "+strings.Join(harness.ResultStoreGuards, ", "))
+		"guard to disable in the nodes, one of "+strings.Join(harness.ResultStoreGuards, ", "))
 	return c
 }
 
 func newPoolsTest() *cobra.Command {
 	r := &simulation.Pools{}
-	var program string // it starts no processes
-	c := &cobra.Command{Use: "pools", Short: "Pools of run slots: overload in virtual time, beside three baselines",
-		Args: exactArgs(0), Long: `Plays each scenario on emulated servers in virtual time, driving the module and
-its pools directly: with pools, without, with fixed ones, and with a plain pool before a short queue, from the
-same seed. Shows the share of each class's first attempts that complete within the latency objective. The last
-line says "pools: kept" or "pools: broken: WHAT"; a broken promise is exit status 1.`,
+	var program string // unused: this test starts no processes
+	c := &cobra.Command{Use: "pools", Short: "Test pools of run slots under overload in virtual time",
+		Args: exactArgs(0),
+		Long: `Runs each scenario on emulated servers in virtual time, with the admission module and its
+pools called directly, four times from the same seed: with pools, without pools, with fixed pools, and with a plain
+pool and a short queue. Prints the fraction of each class's first attempts that complete within the latency
+objective. The last line is "pools: kept" or "pools: broken: PROMISE"; a broken promise is exit status 1.`,
 		RunE: runFaultTest(r, &program, func() error {
 			return checkOneOf("--without", r.Without, simulation.PoolGuards)
 		})}
 	f := c.Flags()
-	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "six servers a scenario")
-	f.IntVar(&r.Size, "size", 0, "servers; 0 for 6 with --quick, 24 without")
-	f.StringVar(&r.Without, "without", "", "one guard to disable: "+strings.Join(simulation.PoolGuards, ", "))
-	f.StringVar(&r.Only, "only", "", "one scenario")
+	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "run each scenario on six servers")
+	f.IntVar(&r.Size, "size", 0, "number of servers; 0 for 6 with --quick, 24 without")
+	f.StringVar(&r.Without, "without", "", "guard to disable, one of "+strings.Join(simulation.PoolGuards, ", "))
+	f.StringVar(&r.Only, "only", "", "name of the only scenario to run")
 	return c
 }
 
@@ -236,18 +241,20 @@
 		}
 		return checkProcessTest(r.Mode, r.Only, harness.PolicyCases(), r.Size)
 	}
-	c := &cobra.Command{Use: "policy", Short: "Changes of policy: schedules in virtual time, hard cases on processes",
-		Args: exactArgs(0), Long: `Virtual: the real decisions of group and nodes on simulated clocks, links and
-crashes, many schedules from one seed, and fleets of 300 and 5,000 nodes beside two baselines. Real: a group and
-nodes as processes, with kills, pauses and network partitions, under load. The history is checked against the
-promises of docs/design/policy.md. The last line says "policy: kept" or "policy: broken: WHAT"; a broken promise
+	c := &cobra.Command{Use: "policy", Short: "Test policy changes in virtual time and on processes",
+		Args: exactArgs(0),
+		Long: `Virtual: runs the production decisions of group and nodes with simulated clocks, links and
+crashes, in many schedules from one seed, and on fleets of 300 and 5,000 nodes compared with two baselines. Real: runs
+a group and nodes as processes under load, with kills, pauses and network partitions. The history is checked against
+the promises of docs/design/policy.md. The last line is "policy: kept" or "policy: broken: PROMISE"; a broken promise
 is exit status 1.`,
 		RunE: runFaultTest(r, &r.Program, check)}
 	f := c.Flags()
-	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "fewer schedules, smaller fleets, fewer changes")
+	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "run fewer schedules, smaller fleets and fewer changes")
 	addProcessFlags(f, &r.Mode, &r.Only, &r.Size)
-	f.IntVar(&r.Schedules, "schedules", 0, "virtual schedules; 0 for 200 with --quick, 2000 without")
-	f.IntVar(&r.Changes, "changes", 0, "real changes under load; 0 for 10 with --quick, 100 without")
+	f.IntVar(&r.Schedules, "schedules", 0, "number of virtual schedules; 0 for 200 with --quick, 2000 without")
+	f.IntVar(&r.Changes, "changes", 0,
+		"number of changes under load on processes; 0 for 10 with --quick, 100 without")
 	addGuardsFlag(f, &r.ProcessGuards, policy.GuardNames())
 	return c
 }
@@ -260,18 +267,18 @@
 		}
 		return checkProcessTest(r.Mode, r.Only, harness.ZoneCases(), r.Size)
 	}
-	c := &cobra.Command{Use: "zones", Short: "Zones: schedules in virtual time, hard cases on processes",
+	c := &cobra.Command{Use: "zones", Short: "Test zone decisions in virtual time and on processes",
 		Args: exactArgs(0),
-		Long: `Virtual: the real decisions of group, leaders and nodes, with the traffic of callers, zones and
-dependencies that have a capacity and a cache; many schedules from one seed, fleets of 300 and 5,000 nodes
-beside three baselines, and hours of noise. Real: a group and nodes in three zones as processes, a dependency
-for each zone on a socket, forwarders between. The last line says "zones: kept" or "zones: broken: WHAT"; a
-broken promise is exit status 1.`,
+		Long: `Virtual: runs the production decisions of group, leaders and nodes with simulated callers, zones and
+dependencies that have a capacity and a cache, in many schedules from one seed, on fleets of 300 and 5,000 nodes
+compared with three baselines, and through hours of noise. Real: runs a group and nodes in three zones as processes,
+with a dependency on a socket for each zone and forwarders between them. The last line is "zones: kept" or
+"zones: broken: PROMISE"; a broken promise is exit status 1.`,
 		RunE: runFaultTest(r, &r.Program, check)}
 	f := c.Flags()
-	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "fewer schedules, one size, an hour of noise")
+	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "run fewer schedules, one fleet size and an hour of noise")
 	addProcessFlags(f, &r.Mode, &r.Only, &r.Size)
-	f.IntVar(&r.Schedules, "schedules", 0, "virtual schedules; 0 for 60 with --quick, 300 without")
+	f.IntVar(&r.Schedules, "schedules", 0, "number of virtual schedules; 0 for 60 with --quick, 300 without")
 	addGuardsFlag(f, &r.ProcessGuards, zones.GuardNames())
 	return c
 }
@@ -284,22 +291,23 @@
 		}
 		return checkProcessTest(r.Mode, r.Only, harness.RecoveryCases(), r.Size)
 	}
-	c := &cobra.Command{Use: "recovery", Short: "Recovery: restarts of a whole fleet, a group that lost its state",
-		Args: exactArgs(0), Long: `Virtual: all nodes restart at once over cold dependencies, at several sizes and
-loads, beside a start without a ramp, one by the clock, nodes without the group, and the shortest recovery there
-could be. Real: a group and nodes as processes, killed at once; folders lost, restored from an older copy, or
-used on by an older generation. The last line says "comeback: kept" or "comeback: broken: WHAT"; a broken
-promise is exit status 1.`,
+	c := &cobra.Command{Use: "recovery", Short: "Test restarts of a whole fleet and loss of the group's state",
+		Args: exactArgs(0),
+		Long: `Virtual: restarts all nodes at once with cold dependencies, at several fleet sizes and
+loads, compared with a start without a ramp, a ramp by time alone, nodes without the group, and the shortest possible
+recovery. Real: runs a group and nodes as processes that are killed at once, with data folders lost, restored from an
+older copy, or still in use by an older generation. The last line is "comeback: kept" or "comeback: broken: PROMISE";
+a broken promise is exit status 1.`,
 		RunE: runFaultTest(r, &r.Program, check)}
 	f := c.Flags()
-	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "one size and two loads in virtual time")
+	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "run one fleet size and two loads in virtual time")
 	addProcessFlags(f, &r.Mode, &r.Only, &r.Size)
 	addGuardsFlag(f, &r.ProcessGuards, harness.RecoveryGuards)
 	return c
 }
 
-// parseRecoveryGuards reads guards of zones and of the leader. Some are disabled in processes alone, which read the
-// words themselves.
+// parseRecoveryGuards parses the guards of zones and policy for the virtual part. Processes parse --without themselves,
+// and have guards that the virtual part lacks.
 func parseRecoveryGuards(r *harness.RecoveryTest) error {
 	if r.ProcessGuards == "" {
 		return nil
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -16,7 +16,8 @@
 	"umberwinch/internal/node/server"
 )
 
-// newNode is a node's program in this one, so that a fleet can be started where cmd/umberwinch was not built.
+// newNode returns a hidden command that runs a node as cmd/umberwinch does, so that a local fleet needs no second
+// program.
 func newNode() *cobra.Command {
 	return &cobra.Command{Use: "node", Hidden: true, Args: exactArgs(0),
 		Short: "Run a node by NODE_CONFIG and UMBERWINCH_FILE, as cmd/umberwinch does",
@@ -33,29 +34,30 @@
 }
 
 func newFleet() *cobra.Command {
-	c := &cobra.Command{Use: "fleet", Short: "A whole fleet: its recovery; one on loopback, for a look"}
+	c := &cobra.Command{Use: "fleet", Short: "Show a fleet's recovery, or run a fleet on loopback"}
 	c.AddCommand(newFleetLocal(), newFleetStatus())
 	return c
 }
 
-// localFleetOptions is what the flags of `fleet local` ask for.
+// localFleetOptions are the flags of `fleet local`.
 type localFleetOptions struct{ harness.LocalFleet }
 
 // Bounds of a local fleet.
 const (
 	maxLocalNodes     = 60
 	maxLocalInstances = 7
-	maxLocalRate      = 5000 // requests a second
+	maxLocalRate      = 5000 // requests per second
 )
 
 func newFleetLocal() *cobra.Command {
 	var r localFleetOptions
 	c := &cobra.Command{Use: "local",
-		Short: "Three control instances, six nodes in three zones and a load, on loopback",
-		Args:  exactArgs(0), Long: `Starts a control service, nodes with emulated kernels and a load, all on loopback
-addresses, as processes of their own; prints commands to try and processes to kill; starts again what ends, two
-seconds later; runs until it is interrupted. Files, logs and data are under --dir, which has to be new; at its
-end it says where.`,
+		Short: "Run a control service, nodes in three zones and a load on loopback",
+		Args:  exactArgs(0),
+		Long: `Start a control service, nodes with emulated kernels and a load as separate processes on
+loopback addresses. Print commands to try and the ids of processes to kill. A process that exits is restarted after two
+seconds. The fleet runs for --seconds or until interrupted. Files, logs and data are under --dir, which must be empty
+or not exist.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := r.prepare(); err != nil {
 				return err
@@ -63,23 +65,24 @@
 			return r.run(cmd.Context(), cmd.OutOrStdout())
 		}}
 	f := c.Flags()
-	f.StringVar(&r.Dir, "dir", "fleet-local", "folder for files, logs and data")
-	f.IntVar(&r.Instances, "instances", 3, "of the control service")
-	f.IntVar(&r.Nodes, "nodes", 6, "in three zones")
-	f.Float64Var(&r.Rate, "rate", 60, "requests a second, over all nodes")
-	f.IntVar(&r.Seconds, "seconds", 0, "how long; 0 until it is interrupted")
+	f.StringVar(&r.Dir, "dir", "fleet-local", "folder for files, logs and data; must be empty or not exist")
+	f.IntVar(&r.Instances, "instances", 3, "number of control instances, 1 to 7")
+	f.IntVar(&r.Nodes, "nodes", 6, "number of nodes, spread over three zones, 1 to 60")
+	f.Float64Var(&r.Rate, "rate", 60, "requests per second to all nodes together, 0 to 5000")
+	f.IntVar(&r.Seconds, "seconds", 0, "duration in seconds; 0 to run until interrupted")
 	return c
 }
 
-// prepare makes the folder, unless the request is wrong.
+// prepare validates the flags and creates the folder.
 func (r *localFleetOptions) prepare() (err error) {
 	if r.Program, err = os.Executable(); err != nil {
 		return err
 	}
 	if r.Nodes < 1 || r.Nodes > maxLocalNodes || r.Instances < 1 || r.Instances > maxLocalInstances || r.Rate < 0 ||
 		r.Rate > maxLocalRate {
-		return usageError(fmt.Errorf("--nodes: expected 1 to %d; --instances: 1 to %d; --rate: 0 to %d", maxLocalNodes,
-			maxLocalInstances, maxLocalRate))
+		return usageError(fmt.Errorf("found --nodes %d, --instances %d, --rate %g, "+
+			"expected 1 to %d, 1 to %d and 0 to %d", r.Nodes, r.Instances, r.Rate, maxLocalNodes, maxLocalInstances,
+			maxLocalRate))
 	}
 	if err = os.MkdirAll(r.Dir, 0o700); err != nil {
 		return err
--- a/internal/cli/fleet_status.go
+++ b/internal/cli/fleet_status.go
@@ -14,11 +14,11 @@
 	"umberwinch/internal/control/zones"
 )
 
-// newFleetStatus shows how far a fleet's recovery is, and what it waits for.
+// newFleetStatus returns the command that shows the state of a fleet's recovery.
 func newFleetStatus() *cobra.Command {
 	var a clientOptions
 	c := &cobra.Command{Use: "status",
-		Short: "The fleet's share of traffic, what holds it there, and the least time to all of it",
+		Short: "Show the fleet's share of traffic and the state of its recovery ramp",
 		Args:  exactArgs(0), RunE: withClient(&a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			views, err := c.fetchFleetViews(ctx)
 			if err != nil {
@@ -34,7 +34,7 @@
 	return c
 }
 
-// fetchFleetViews is what the group knows of a fleet.
+// fleetViews holds the group's views of a fleet.
 type fleetViews struct {
 	policy consensus.PolicyView
 	zones  *consensus.ZonesView
@@ -46,7 +46,7 @@
 	return v, errors.Join(err, c.get(ctx, "/v1/policy", &v.policy), c.get(ctx, "/v1/nodes", &v.nodes))
 }
 
-// fleetStatus is what fleet status prints.
+// fleetStatus is the output of `fleet status`.
 type fleetStatus struct {
 	Generation      uint64   `json:"generation"`
 	StateLoss       string   `json:"lost,omitempty"`
@@ -60,8 +60,8 @@
 	SinceMS         uint64   `json:"since_ms,omitempty"`
 	Cause           string   `json:"cause,omitempty"`
 	Note            string   `json:"holds,omitempty"`
-	EstimateMS      uint64   `json:"estimate_ms,omitempty"` // at least
-	UnknownLeasesMS uint64   `json:"hush_ms,omitempty"`     // how long they may be acted on
+	EstimateMS      uint64   `json:"estimate_ms,omitempty"` // minimum time to the full share
+	UnknownLeasesMS uint64   `json:"hush_ms,omitempty"`     // time until all unknown leases have expired
 	Zones           []string `json:"zones_not_in,omitempty"`
 }
 
@@ -97,8 +97,8 @@
 	}
 }
 
-// setRamp sets the share of a fleet that ramps as a whole, and the least time until it has all. A step can't come
-// sooner than a hold and the reports of it after the one before, and raises the share by the largest factor at most.
+// setRamp sets the share of a fleet that ramps as a whole and the minimum time to its full share. Steps are at least a
+// hold and a heartbeat interval apart, and each raises the share by at most api.MaxRampFactor.
 func (s *fleetStatus) setRamp(v *consensus.ZonesView, fleet *consensus.ZoneView) {
 	s.Share, s.SinceMS, s.Cause = float64(fleet.Share)/api.FullShare, v.ClockMS-min(v.ClockMS, fleet.SinceMS),
 		string(fleet.Cause)
@@ -121,14 +121,14 @@
 	}
 	if s.UnknownLeasesMS > 0 {
 		rows = append(rows, []string{"unknown leases",
-			fmt.Sprintf("of the generation before, may be acted on for %s more", seconds(s.UnknownLeasesMS))})
+			fmt.Sprintf("of the previous generation, may be in use for up to %s", seconds(s.UnknownLeasesMS))})
 	}
 	if s.Share == 1 && s.EstimateMS == 0 {
 		rows = append(rows, []string{"fleet", "full share"})
 	} else {
-		rows = append(rows, []string{"fleet", fmt.Sprintf("ramping: share %.0f%% since %s, %s", 100*s.Share,
+		rows = append(rows, []string{"fleet", fmt.Sprintf("ramping: share %.0f%% for %s, cause %s", 100*s.Share,
 			seconds(s.SinceMS), s.Cause)}, []string{"note", s.Note},
-			[]string{"estimate", fmt.Sprintf("%.0f s at least until its full share", float64(s.EstimateMS)/1000)})
+			[]string{"estimate", fmt.Sprintf("at least %.0f s to full share", float64(s.EstimateMS)/1000)})
 	}
 	for _, z := range s.Zones {
 		rows = append(rows, []string{"zone", z})
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -24,7 +24,7 @@
 	"umberwinch/internal/control/zones"
 )
 
-// output is what a running command printed so far.
+// output collects the output of a running command.
 type output struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -42,7 +42,7 @@
 	return o.b.String()
 }
 
-// startCommand starts a command that goes on until the test ends, and is ended by SIGTERM with status 0.
+// startCommand starts a command that runs until the test ends. SIGTERM must then end it with status 0.
 func startCommand(t *testing.T, args ...string) *output {
 	t.Helper()
 	o := &output{}
@@ -60,7 +60,7 @@
 	return o
 }
 
-// await waits until it printed something that matches, and gives the first group of it.
+// await waits until the output matches a pattern, and returns its last group, or the whole match if it has none.
 func (o *output) await(t *testing.T, pattern string) string {
 	t.Helper()
 	re := regexp.MustCompile(pattern)
@@ -72,7 +72,7 @@
 	return found[len(found)-1]
 }
 
-// eventually waits until a condition holds; it fails the test with what is missing once the time is over.
+// eventually waits until a condition holds. After the timeout it fails the test with the condition's description.
 func eventually(t *testing.T, within time.Duration, condition func() (what string, ok bool)) {
 	t.Helper()
 	for end := time.Now().Add(within); ; time.Sleep(10 * time.Millisecond) {
@@ -81,7 +81,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", within, what)
+			t.Fatalf("not met within %v: %s", within, what)
 		}
 	}
 }
@@ -97,22 +97,22 @@
 	}
 }
 
-// Ports of a local group: three for clients, and as many for peers a hundred below.
+// Ports of a local group: three for clients, and three lower by a hundred for peers.
 const (
 	portsPerGroup      = 3
 	testPeerPortOffset = 100
-	portBlock          = 2 * testPeerPortOffset // its lower half is for peers
+	portBlock          = 2 * testPeerPortOffset // the lower half is for peers
 	maxPort            = 30000
 	firstPort          = 17201
-	pidSpread          = 500 // programs of tests that run at one time begin at ports of their own
+	pidSpread          = 500 // test processes that run at the same time use different ranges of ports
 	portsPerPID        = 20
 )
 
-// portGroupsTried counts the groups of ports that reservePorts gave, or found taken. What is given is not listened on at once,
-// so none is given twice.
+// portGroupsTried counts the port groups that reservePorts has handed out or found in use. A reserved port is not
+// listened on immediately, so a free port may be reserved already.
 var portGroupsTried atomic.Int32
 
-// reservePorts gives a port from which a few on, and those a hundred below, are free.
+// reservePorts returns the first client port of a local group whose client and peer ports are free and not reserved.
 func reservePorts(t *testing.T) int {
 	t.Helper()
 	for {
@@ -143,8 +143,7 @@
 	return true
 }
 
-// Ports of groups that tests start side by side: none is given twice, neither for clients nor for peers. A port that
-// was given twice had one of two groups fail to listen.
+// If a port were reserved twice, one of two groups that tests run in parallel would fail to listen on it.
 func TestReservedPortsAreDistinct(t *testing.T) {
 	t.Parallel()
 	given := map[int]bool{}
@@ -153,7 +152,7 @@
 		for i := range portsPerGroup {
 			for _, p := range []int{port + i, port - testPeerPortOffset + i} {
 				if given[p] {
-					t.Fatalf("port %d is given twice", p)
+					t.Fatalf("port %d was reserved twice", p)
 				}
 				given[p] = true
 			}
@@ -161,8 +160,7 @@
 	}
 }
 
-// An instance of a local group is killed: the others take a write meanwhile, and it is started again and has that
-// write.
+// A local group must commit a write while one of its instances is down, and the restarted instance must have it.
 func TestLocalGroupRestartsKilledInstance(t *testing.T) {
 	t.Parallel()
 	dir, port := t.TempDir(), reservePorts(t)
@@ -170,17 +168,17 @@
 	at := "--at=" + o.await(t, `control status --at (\S+)`)
 	killProcess(t, o.await(t, `instance b: pid (\d+)`))
 	expect(t, 0, "taken: version 1", "config", "put", writeFile(t, dir, "one.ini", "[tenant t]\nrate = 1\n"), at)
-	o.await(t, `instance b ended`)
-	o.await(t, `instance b is up again, pid (\d+)`)
+	o.await(t, `instance b exited`)
+	o.await(t, `restarted instance b, pid (\d+)`)
 	b := fmt.Sprintf("--at=127.0.0.1:%d", port+1)
 	eventually(t, 20*time.Second, func() (string, bool) {
 		out, _, code := runCommand(t, "config", "get", b, "--within", "1s")
-		return "version 1 at the instance that was started again", code == 0 && strings.Contains(out, "rate = 1")
+		return "version 1 at the restarted instance", code == 0 && strings.Contains(out, "rate = 1")
 	})
 }
 
-// An operator looks at a fleet of three, makes a change, is refused wrong ones, makes another while a node is killed,
-// and forgets a node that lives: it joins again, and all three serve under the last version.
+// Operates a fleet of three nodes: a change settles, invalid ones are refused, an exclusive change settles although a
+// node is killed, and a live node that is forgotten joins again. All nodes must end at the last version.
 func TestPolicyChangesOfLocalFleet(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -192,10 +190,11 @@
 			fmt.Sprintf("[fleet]\nlease = 2s\nwhen_alone = fence\n[tenant t0]\n"+
 				"rate = %d\n%s", n, more))
 	}
-	expect(t, 0, "no change under way", "policy", "status", at)
+	expect(t, 0, "no change in progress", "policy", "status", at)
 	expect(t, 0, "3 of 3 in, 0 silent, 0 left, 0 fenced\nfleet       full share", "fleet", "status", at)
-	expect(t, 3, "no change is under way", "policy", "call-off", at)
-	expect(t, 0, "settled: nobody can serve under an older one", "policy", "propose", text(2, ""), at, "--reason", "more")
+	expect(t, 3, "no change is in progress", "policy", "call-off", at)
+	expect(t, 0, "settled: nobody can serve under an older one", "policy", "propose", text(2, ""), at, "--reason",
+		"more")
 	expect(t, 0, "version 2 committed, 2 decided; 3 of 3 nodes in; lease 2s, when_alone fence", "policy", "status", at)
 	expect(t, 3, "class other: found it in the policy", "policy", "propose",
 		text(3, "[class other]\nkind = replayable\n"), at)
@@ -207,30 +206,27 @@
 	expect(t, 2, "found no change 99", "policy", "explain", "99", at)
 	var v consensus.PolicyView
 	if err := json.Unmarshal([]byte(expect(t, 0, "", "policy", "status", "--json", at)), &v); err != nil ||
-		v.CommittedVersion != 2 ||
-		len(v.History) != 4 || v.History[1].Step != policy.Settled {
-		t.Errorf("%+v (%v)", v, err)
+		v.CommittedVersion != 2 || len(v.History) != 4 || v.History[1].Step != policy.Settled {
+		t.Errorf("policy status = %+v (%v), want version 2 committed and 4 changes, the second settled", v, err)
 	}
 	out := expect(t, 0, "n3    z3    serves  2", "nodes", "list", at)
 	if strings.Count(out, "\n") != 4 {
-		t.Errorf("list of three nodes:\n%s", out)
+		t.Errorf("nodes list printed\n%s, want a heading and three nodes", out)
 	}
 	expect(t, 0, "address", "nodes", "show", "n1", at)
 	expect(t, 2, `found no node "n9"`, "nodes", "show", "n9", at)
 	expect(t, 3, `found no node "n9"`, "nodes", "forget", "n9", at)
 	killProcess(t, o.await(t, `node n2 of z2  pid (\d+)`))
-	expect(t, 0, "settled", "policy", "propose", text(4, ""), "--exclusive", at) // it is down, or comes back meanwhile
-	expect(t, 0, "n1 is forgotten", "nodes", "forget", "n1", at)                 // it lives, and joins again
+	expect(t, 0, "settled", "policy", "propose", text(4, ""), "--exclusive", at) // n2 is down or restarting
+	expect(t, 0, "forgot node n1", "nodes", "forget", "n1", at)                  // n1 runs and joins again
 	eventually(t, 20*time.Second, func() (string, bool) {
 		out, _, _ := runCommand(t, "nodes", "list", at)
-		return "three nodes under version 4 in\n" + out, strings.Count(out, " serves  4 ") == 3
+		return "three nodes serving under version 4 in\n" + out, strings.Count(out, " serves  4 ") == 3
 	})
 }
 
-// A group that was restored has lost an entry that a node was told of, and leases of the generation before may still be
-// acted on. Its fleet ramps as a whole, with one of four nodes silent, one gone and one fenced, and a zone evacuated:
-// the status has all of it, with the least time until the fleet has its full share. Once the ramp is over, the share is
-// full.
+// fleet status must show a restored group's state loss, its unknown leases, node counts, evacuated zones, the fleet's
+// ramp and the minimum time to the full share; after the ramp, a full share.
 func TestFleetStatusOfRampAfterStateLoss(t *testing.T) {
 	nodes := []consensus.NodeView{{}, {Node: membership.Node{OutReason: membership.OutSilent}},
 		{Fenced: "its lease has run out"}, {Node: membership.Node{OutReason: membership.OutLeft}}}
@@ -242,28 +238,27 @@
 		StateLoss: "n3 was told of entry 812"}, zones: &consensus.ZonesView{ClockMS: 9000,
 		Rules: api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 2000}, Zones: []consensus.ZoneView{ramp, out, in}}}
 	s := views.status()
-	// Three seconds a step, two steps to all of it, one of three gone by at this one.
+	// A step takes 3 s. The share needs two more steps, and 1 s of the current one has passed: 6 + 2 s.
 	if s.In != 2 || s.Silent != 1 || s.Left != 1 || s.Fenced != 1 || s.EstimateMS != 8000 || s.Share != 1.0/16 ||
 		len(s.Zones) != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("status() = %+v, want 2 nodes in, 1 silent, 1 left, 1 fenced, 8000 ms, share 1/16, 1 zone", s)
 	}
 	printed := fmt.Sprint(s.rows())
-	for _, want := range []string{"[state loss n3 was told of entry 812]", "for 1.5 s more",
-		"ramping: share 6% since 1.0 s, restart",
-		"[note held]", "8 s at least", "z1 is out, share 0%", "2 of 4 in, 1 silent, 1 left, 1 fenced"} {
+	for _, want := range []string{"[state loss n3 was told of entry 812]", "for up to 1.5 s",
+		"ramping: share 6% for 1.0 s, cause restart", "[note held]", "at least 8 s", "z1 is out, share 0%",
+		"2 of 4 in, 1 silent, 1 left, 1 fenced"} {
 		if !strings.Contains(printed, want) {
-			t.Errorf("%q is not in %s", want, printed)
+			t.Errorf("rows() = %s, want %q in it", printed, want)
 		}
 	}
 	views.zones.Zones = []consensus.ZoneView{in}
 	if printed := fmt.Sprint(views.status().rows()); !strings.Contains(printed, "[fleet full share]") {
-		t.Errorf("%s, expected its full share", printed)
+		t.Errorf("rows() = %s, want the full share", printed)
 	}
 }
 
-// An instance has a version and a saved snapshot. Recovery changes nothing without --found, and nothing while the
-// instance is up. Once it is killed, its folder is read, moved aside and followed by the next generation; so is the
-// snapshot.
+// recover must change nothing without --found or while the instance runs. With --found it must create the next
+// generation from the stopped instance's folder or a snapshot, with the committed version, and keep the old folder.
 func TestRecoverCreatesNextGeneration(t *testing.T) {
 	t.Parallel()
 	dir, port := t.TempDir(), reservePorts(t)
@@ -273,7 +268,7 @@
 	expect(t, 2, "no such file", "control", "recover", "--file", filepath.Join(dir, "none.ini"))
 	expect(t, 0, "nobody served under a version", "control", "recover", "--file", ini, "--for", "0s")
 	if _, err := os.Stat(data); err == nil {
-		t.Fatal("a folder was made without --found")
+		t.Fatal("a folder was created without --found")
 	}
 	at := fmt.Sprintf("--at=127.0.0.1:%d", port)
 	startInstance := func() (end func()) {
@@ -289,8 +284,8 @@
 	expect(t, 1, "the folder is in use by another process", "control", "recover", "--file", ini, "--for", "1s")
 	saved := filepath.Join(dir, "saved")
 	expect(t, 0, "saved version 1", "control", "snapshot", "save", saved, at)
-	expect(t, 1, "has to be stopped first", "control", "recover", "--file", ini, "--for", "0s", "--from", saved,
-		"--found")
+	expect(t, 1, "stop the instance that listens there first", "control", "recover", "--file", ini, "--for", "0s",
+		"--from", saved, "--found")
 	end()
 	var found struct {
 		Of struct {
@@ -298,18 +293,17 @@
 		} `json:"of"`
 	}
 	if err := json.Unmarshal([]byte(expect(t, 0, "", "control", "recover", "--file", ini, "--for", "0s", "--json")),
-		&found); err != nil ||
-		found.Of.Generation != 1 {
-		t.Fatalf("%+v, %v", found, err)
+		&found); err != nil || found.Of.Generation != 1 {
+		t.Fatalf("recover --json = %+v (%v), want generation 1", found, err)
 	}
-	expect(t, 0, "generation 2 is founded, with version 1", "control", "recover", "--file", ini, "--for", "0s", "--found")
+	expect(t, 0, "created generation 2 with version 1", "control", "recover", "--file", ini, "--for", "0s", "--found")
 	if old, _ := filepath.Glob(data + ".generation-1-*"); len(old) != 1 {
-		t.Fatalf("old folders %v, expected one", old)
+		t.Fatalf("found old folders %v, want one", old)
 	}
 	end = startInstance()
 	expect(t, 0, "rate = 1", "config", "get", at)
 	end()
-	expect(t, 0, "generation 2 is founded", "control", "recover", "--file", ini, "--for", "0s", "--found", "--from",
+	expect(t, 0, "created generation 2", "control", "recover", "--file", ini, "--for", "0s", "--found", "--from",
 		saved)
 	end = startInstance()
 	expect(t, 0, "rate = 1", "config", "get", at)
--- a/internal/cli/nodes.go
+++ b/internal/cli/nodes.go
@@ -15,7 +15,7 @@
 )
 
 func newNodes() *cobra.Command {
-	c := &cobra.Command{Use: "nodes", Short: "The nodes of the fleet, as the group knows them"}
+	c := &cobra.Command{Use: "nodes", Short: "List, show and forget nodes of the fleet"}
 	var a clientOptions
 	a.addFlags(c)
 	c.AddCommand(newNodesList(&a), newNodesShow(&a), newNodesForget(&a))
@@ -27,16 +27,16 @@
 	return v, c.get(ctx, "/v1/nodes", &v)
 }
 
-// nodeState gives a node's state in a word, and in a note what an operator should know of it.
+// nodeState returns a node's state, and a note for the operator that may be empty.
 func nodeState(n *consensus.NodeView) (state, note string) {
 	switch {
 	case n.OutReason != "":
 		state = string(n.OutReason)
 		if n.Lease.Autonomous {
-			note = "may serve without the group until its next heartbeat, or until it is forgotten"
+			note = "may serve autonomously until its next heartbeat or until forgotten"
 		}
 	case !n.Reported:
-		state, note = "in", "no heartbeat to this leader yet"
+		state, note = "in", "no heartbeat received by this leader yet"
 	case n.Fenced != "":
 		state, note = "fenced", n.Fenced
 	default:
@@ -85,7 +85,7 @@
 }
 
 func newNodesShow(a *clientOptions) *cobra.Command {
-	return &cobra.Command{Use: "show NODE", Short: "Show all that is known of one node", Args: exactArgs(1),
+	return &cobra.Command{Use: "show NODE", Short: "Show one node in detail", Args: exactArgs(1),
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			nodes, err := c.fetchNodes(ctx)
 			if err != nil {
@@ -101,7 +101,7 @@
 				}
 				return printTable(w, nodeRows(n))
 			}
-			return usageError(fmt.Errorf("found no node %q, expected one of nodes list", args[0]))
+			return usageError(fmt.Errorf("found no node %q, expected one that \"nodes list\" shows", args[0]))
 		})}
 }
 
@@ -123,11 +123,11 @@
 }
 
 func newNodesForget(a *clientOptions) *cobra.Command {
-	return &cobra.Command{Use: "forget NODE", Short: "Remove a node from the list: you vouch that it is dead",
+	return &cobra.Command{Use: "forget NODE", Short: "Remove a node that no longer runs from the list",
 		Args: exactArgs(1),
-		Long: `Removes a node from the list, with its leases that changes wait for. Whoever forgets a node
-vouches that it serves nothing any more: if it does, it may serve under an older version than all others until
-its next heartbeat.`,
+		Long: `Remove a node from the list, together with its leases, so that changes no longer wait for them. Make sure
+first that the node has stopped: one that still runs may serve under an older version than the others until its next
+heartbeat.`,
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			body, err := json.Marshal(map[string]string{"name": args[0]})
 			if err != nil {
@@ -138,7 +138,7 @@
 				return err
 			}
 			res.Body.Close()
-			fmt.Fprintf(w, "%s is forgotten\n", args[0])
+			fmt.Fprintf(w, "forgot node %s\n", args[0])
 			return nil
 		})}
 }
--- a/internal/cli/pin_commands_test.go
+++ b/internal/cli/pin_commands_test.go
@@ -12,9 +12,9 @@
 	"github.com/spf13/pflag"
 )
 
-var writeCommands = flag.Bool("write-commands", false, "write testdata/commands.txt anew")
+var writeCommands = flag.Bool("write-commands", false, "rewrite testdata/commands.txt")
 
-// commandLines lists a command and those below it, each with its flags, their types and defaults.
+// commandLines lists a command and its subcommands, each with its flags, their types and defaults.
 func commandLines(c *cobra.Command) []string {
 	lines := []string{c.CommandPath()}
 	c.LocalNonPersistentFlags().VisitAll(func(f *pflag.Flag) {
@@ -29,8 +29,8 @@
 	return lines
 }
 
-// Every command and flag that operators could type in version 2a0a97e is still there, with its type and default. The
-// list only grows.
+// Operators' scripts depend on commands and flags: all that are in testdata/commands.txt, recorded at version 2a0a97e,
+// must exist with the same type and default. Entries may only be added.
 func TestCommandsAndFlagsStay(t *testing.T) {
 	file := filepath.Join("testdata", "commands.txt")
 	now := commandLines(newRoot())
@@ -49,15 +49,15 @@
 	}
 	for _, line := range strings.Split(strings.TrimSpace(string(raw)), "\n") {
 		if !known[line] {
-			t.Errorf("found no %s", line)
+			t.Errorf("%s is missing, want it unchanged", line)
 		}
 	}
 }
 
-// Scripts tell outcomes apart by these statuses.
+// Operators' scripts depend on the exit statuses.
 func TestExitStatusesStay(t *testing.T) {
 	got := [...]int{exitOK, exitFailed, exitUsage, exitRefused, exitUnknown}
 	if got != [...]int{0, 1, 2, 3, 4} {
-		t.Errorf("found %v, expected 0 to 4", got)
+		t.Errorf("exit statuses are %v, want 0 to 4", got)
 	}
 }
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -17,13 +17,12 @@
 	"umberwinch/internal/control/policy"
 )
 
-// A change of policy and the nodes it is for.
-
 func newPolicy() *cobra.Command {
-	c := &cobra.Command{Use: "policy", Short: "Change all nodes of the fleet to a version, or none"}
+	c := &cobra.Command{Use: "policy", Short: "Change all nodes of the fleet to a new version"}
 	var a clientOptions
 	a.addFlags(c)
-	c.AddCommand(newPolicyPropose(&a), newPolicyStatus(&a), newPolicyCallOff(&a), newPolicyHistory(&a), newPolicyExplain(&a))
+	c.AddCommand(newPolicyPropose(&a), newPolicyStatus(&a), newPolicyCallOff(&a), newPolicyHistory(&a),
+		newPolicyExplain(&a))
 	return c
 }
 
@@ -46,7 +45,7 @@
 	return r, json.NewDecoder(res.Body).Decode(&r)
 }
 
-// proposeOptions is what the flags of `policy propose` ask for.
+// proposeOptions are the flags of `policy propose`.
 type proposeOptions struct {
 	policy.Proposal
 	prepareTimeout time.Duration
@@ -56,26 +55,27 @@
 func newPolicyPropose(a *clientOptions) *cobra.Command {
 	var r proposeOptions
 	c := &cobra.Command{Use: "propose VERSION|FILE",
-		Short: "Propose a change to a version, or to a document that becomes one", Args: exactArgs(1),
-		Long: `Proposes a change of all nodes to a version of the configuration. A FILE (or - for standard
-input) is put first, as with "config put". Every node prepares the version: it checks it and evaluates it on
-recent traffic. Once all have, the change is decided, and no node serves under an older version for longer than
-a lease. A node that refuses the version, or is up and does not prepare within --prepare, has the change called
-off, unless no more than --spare do. With --exclusive no two versions are active at one moment: nodes reject
-requests between the decision and the last lease's end.`,
+		Short: "Propose a change of all nodes to a version or document", Args: exactArgs(1),
+		Long: `Propose a change of all nodes to a version of the configuration. A FILE (- for standard input) is put
+as a new version first, as with "config put". Every node prepares the version: it checks it and evaluates it on recent
+traffic. Once all nodes have prepared, the change is decided, and no node serves under an older version for longer than
+a lease. If more than --spare nodes refuse the version, or are up and do not prepare it within --prepare, the change is
+called off. With --exclusive, no two versions are active at the same time: nodes reject requests between the decision
+and the expiry of the last lease.`,
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			return r.run(ctx, c, args[0], w)
 		})}
 	f := c.Flags()
-	f.BoolVar(&r.Exclusive, "exclusive", false, "no moment with two active versions; needs when_alone = fence")
-	f.DurationVar(&r.prepareTimeout, "prepare", 30*time.Second, "how long nodes have to prepare it")
-	f.IntVar(&r.MaxLeftBehind, "spare", 0, "nodes at most that may be left behind, out of service")
-	f.StringVar(&r.Reason, "reason", "", "why, for the history")
-	f.BoolVar(&r.wait, "wait", true, "show its steps until it has settled or is called off")
+	f.BoolVar(&r.Exclusive, "exclusive", false,
+		"never have two versions active at the same time; requires when_alone = fence")
+	f.DurationVar(&r.prepareTimeout, "prepare", 30*time.Second, "time that nodes have to prepare the version")
+	f.IntVar(&r.MaxLeftBehind, "spare", 0, "maximum number of nodes that may be left behind, out of service")
+	f.StringVar(&r.Reason, "reason", "", "reason of the change, recorded in the history")
+	f.BoolVar(&r.wait, "wait", true, "print the change's steps until it has settled or is called off")
 	return c
 }
 
-// run proposes the change; what names no version is a file.
+// run proposes the change. An argument that is not a version number is a file.
 func (r *proposeOptions) run(ctx context.Context, c *client, versionOrFile string, w io.Writer) (err error) {
 	if r.Version, err = strconv.ParseUint(versionOrFile, 10, 63); err != nil {
 		if r.Version, err = c.putDocument(ctx, versionOrFile, r.Reason); err != nil {
@@ -95,11 +95,11 @@
 	case c.printJSON:
 		return printJSON(w, res)
 	}
-	_, err = fmt.Fprintf(w, "change %d to version %d is under way\n", res.ChangeNumber, r.Version)
+	_, err = fmt.Fprintf(w, "proposed change %d to version %d\n", res.ChangeNumber, r.Version)
 	return err
 }
 
-// putDocument makes a document the group's next version.
+// putDocument puts a document as the group's next version and returns the version's number.
 func (c *client) putDocument(ctx context.Context, file, reason string) (uint64, error) {
 	raw, err := readText(file)
 	if err != nil {
@@ -136,10 +136,10 @@
 	return nil
 }
 
-// changePollInterval is the pause between two looks at a change under way.
+// changePollInterval is how often followChange fetches the change.
 const changePollInterval = 200 * time.Millisecond
 
-// followChange shows a change's events as they come, until it ends. A change that is called off is an error.
+// followChange prints a change's events until it ends. A change that is called off is an error.
 func (c *client) followChange(ctx context.Context, w io.Writer, number uint64) error {
 	shown, blockers := 0, ""
 	for {
@@ -149,7 +149,7 @@
 		}
 		ch := findChange(v, number)
 		if ch == nil {
-			return fmt.Errorf("change %d is not in the history any more", number)
+			return fmt.Errorf("change %d is no longer in the history", number)
 		}
 		ended := ch.Step == policy.Settled || ch.Step == policy.Aborted
 		if !c.printJSON {
@@ -157,7 +157,7 @@
 			shown = len(ch.Events)
 			if now := blockerNames(v.WaitingFor); !ended && now != blockers && now != "" {
 				blockers = now
-				fmt.Fprintf(w, "             waits for %s\n", now)
+				fmt.Fprintf(w, "             waiting for %s\n", now)
 			}
 		}
 		if ended {
@@ -171,7 +171,7 @@
 	}
 }
 
-// reportEnd prints a change that has ended, and gives the error of one that was called off.
+// reportEnd prints a change that has ended as JSON if requested, and returns an error if it was called off.
 func (c *client) reportEnd(w io.Writer, ch *policy.Change) error {
 	if c.printJSON {
 		if err := printJSON(w, ch); err != nil {
@@ -179,13 +179,13 @@
 		}
 	}
 	if ch.Step == policy.Aborted {
-		return exitError{fmt.Errorf("change %d to version %d was called off: %s", ch.Number, ch.Version, ch.AbortReason),
-			exitRefused}
+		return exitError{fmt.Errorf("change %d to version %d was called off: %s", ch.Number, ch.Version,
+			ch.AbortReason), exitRefused}
 	}
 	return nil
 }
 
-// printEvents prints a change's events from one on, each with the time since the proposal.
+// printEvents prints a change's events from index from on, each with the time since the proposal.
 func printEvents(w io.Writer, ch *policy.Change, from int) {
 	for _, e := range ch.Events[from:] {
 		fmt.Fprintf(w, "%8d ms  %s\n", e.ClockMS-ch.ProposedAtMS, e.Text)
@@ -204,7 +204,7 @@
 }
 
 func newPolicyStatus(a *clientOptions) *cobra.Command {
-	return &cobra.Command{Use: "status", Short: "Show the committed version, the change under way, and its blockers",
+	return &cobra.Command{Use: "status", Short: "Show the committed version, the change in progress and its blockers",
 		Args: exactArgs(0), RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			v, err := c.fetchPolicy(ctx)
 			if err != nil {
@@ -231,7 +231,7 @@
 		fmt.Fprintf(w, "the group is at level %d: %v\n", v.Level, v.Levels)
 	}
 	if v.Current == nil {
-		_, err := fmt.Fprintln(w, "no change under way")
+		_, err := fmt.Fprintln(w, "no change in progress")
 		return err
 	}
 	ch := v.Current
@@ -240,7 +240,7 @@
 	return printTable(w, blockersTable(v))
 }
 
-// blockersTable has the nodes that refuse the change under way, then those that it waits for.
+// blockersTable lists the nodes that refuse the change in progress, then those that it waits for.
 func blockersTable(v *consensus.PolicyView) [][]string {
 	rows := [][]string{{"BLOCKER", "ZONE", "REASON"}}
 	for _, b := range append(v.RefusedBy, v.WaitingFor...) {
@@ -251,7 +251,7 @@
 
 func newPolicyCallOff(a *clientOptions) *cobra.Command {
 	var reason string
-	c := &cobra.Command{Use: "call-off", Short: "Call off the change under way, if it is not decided yet",
+	c := &cobra.Command{Use: "call-off", Short: "Call off the change in progress, if it is not decided yet",
 		Args: exactArgs(0),
 		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			v, err := c.fetchPolicy(ctx)
@@ -259,22 +259,21 @@
 				return err
 			}
 			if v.Current == nil {
-				return exitError{errors.New("no change is under way"), exitRefused}
+				return exitError{errors.New("no change is in progress"), exitRefused}
 			}
 			if _, err = c.sendPolicyOp(ctx, policy.Op{Kind: policy.OpAbort, ChangeNumber: v.Current.Number,
-				Author: currentUser(),
-				Reason: reason}); err != nil {
+				Author: currentUser(), Reason: reason}); err != nil {
 				return err
 			}
-			fmt.Fprintf(w, "change %d is called off\n", v.Current.Number)
+			fmt.Fprintf(w, "called off change %d\n", v.Current.Number)
 			return nil
 		})}
-	c.Flags().StringVar(&reason, "reason", "", "why, for the history")
+	c.Flags().StringVar(&reason, "reason", "", "reason, recorded in the history")
 	return c
 }
 
 func newPolicyHistory(a *clientOptions) *cobra.Command {
-	return &cobra.Command{Use: "history", Short: "Show earlier changes, the newest last", Args: exactArgs(0),
+	return &cobra.Command{Use: "history", Short: "List changes, newest last", Args: exactArgs(0),
 		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
 			v, err := c.fetchPolicy(ctx)
 			if err != nil {
@@ -306,19 +305,18 @@
 		}
 		rows = append(rows, []string{strconv.FormatUint(ch.Number, 10), strconv.FormatUint(ch.PreviousVersion, 10),
 			strconv.FormatUint(ch.Version, 10), string(ch.Step), ch.Proposal.Author,
-			elapsed(ch.CommittedAtMS, ch.ProposedAtMS),
-			elapsed(ch.EndedAtMS, ch.ProposedAtMS), reason})
+			elapsed(ch.CommittedAtMS, ch.ProposedAtMS), elapsed(ch.EndedAtMS, ch.ProposedAtMS), reason})
 	}
 	return rows
 }
 
 func newPolicyExplain(a *clientOptions) *cobra.Command {
-	return &cobra.Command{Use: "explain CHANGE", Short: "Show a change's steps, when each came, and why",
+	return &cobra.Command{Use: "explain CHANGE", Short: "Show the steps of a change with their times and reasons",
 		Args: exactArgs(1),
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			number, err := strconv.ParseUint(args[0], 10, 63)
 			if err != nil {
-				return usageError(fmt.Errorf("CHANGE: found %q, expected a number of policy history", args[0]))
+				return usageError(fmt.Errorf("CHANGE: found %q, expected a number from \"policy history\"", args[0]))
 			}
 			v, err := c.fetchPolicy(ctx)
 			if err != nil {
@@ -326,7 +324,7 @@
 			}
 			ch := findChange(v, number)
 			if ch == nil {
-				return usageError(fmt.Errorf("found no change %d, expected one of policy history", number))
+				return usageError(fmt.Errorf("found no change %d, expected one from \"policy history\"", number))
 			}
 			if c.printJSON {
 				return printJSON(w, ch)
@@ -335,14 +333,14 @@
 			printEvents(w, ch, 0)
 			if v.Current == ch {
 				printBlockers(w, "refused by", v.RefusedBy)
-				printBlockers(w, "waits for", v.WaitingFor)
+				printBlockers(w, "waiting for", v.WaitingFor)
 			}
 			return nil
 		})}
 }
 
-// printBlockers prints nodes that refuse the change under way or that it waits for. Nodes of a generation before have
-// no zone.
+// printBlockers prints nodes that refuse the change in progress or that it waits for. Nodes of the previous generation
+// have no zone.
 func printBlockers(w io.Writer, verb string, blockers []policy.Blocker) {
 	for _, b := range blockers {
 		node := b.Node
--- a/internal/cli/results.go
+++ b/internal/cli/results.go
@@ -13,21 +13,21 @@
 	"umberwinch/internal/wal"
 )
 
-// newResults has the commands about a folder of stored results.
+// newResults returns the commands that inspect a folder of stored results.
 func newResults() *cobra.Command {
-	c := &cobra.Command{Use: "results", Short: "Stored results, offline: a folder that no node uses"}
+	c := &cobra.Command{Use: "results", Short: "Inspect a folder of stored results that no node uses"}
 	c.AddCommand(newResultsStat(), newResultsList(), newResultsVerify(), newResultsCompact())
 	return c
 }
 
-// readNote is what stat and list promise of a folder that they read.
+// readNote is the part of the help that stat and list share.
 const readNote = `
-Each record's checksum is verified. A folder in use, or a damaged one, is refused and left as it is; a tail that was
-never synced is cut off, as a start would.`
+The checksum of each record is verified. A folder that is in use or damaged is rejected and not modified. A torn tail
+that was never synced is truncated, as at a node's start.`
 
 func newResultsStat() *cobra.Command {
 	var asJSON bool
-	short := "How many idempotency keys a folder holds, by state"
+	short := "Count the idempotency keys in a folder by state"
 	c := &cobra.Command{Use: "stat FOLDER", Short: short, Args: exactArgs(1), Long: short + "." + readNote,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			v, err := readResults(args[0], false)
@@ -46,7 +46,7 @@
 func newResultsList() *cobra.Command {
 	var asJSON bool
 	var limit int
-	short := "Its idempotency keys, by their digests, with what is left of their windows"
+	short := "List the idempotency keys in a folder by digest, with the time left in their windows"
 	c := &cobra.Command{Use: "list FOLDER", Short: short, Args: exactArgs(1), Long: short + "." + readNote,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			v, err := readResults(args[0], true)
@@ -62,29 +62,32 @@
 			return printTable(cmd.OutOrStdout(), v.listRows())
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	c.Flags().IntVar(&limit, "most", 0, "so many keys at most, those that expire first; 0 for all")
+	c.Flags().IntVar(&limit, "most", 0, "maximum number of keys to list, those that expire first; 0 for all")
 	return c
 }
 
 func newResultsVerify() *cobra.Command {
-	return &cobra.Command{Use: "verify FOLDER", Short: "Verify each record's checksum and that it fits those before it",
-		Args: exactArgs(1), Long: `Reads the whole folder as a start would and says what is wrong, if anything is:
-that is exit status 1. Nothing is changed, but for a tail that was never synced, which is cut off.`,
+	return &cobra.Command{Use: "verify FOLDER", Short: "Verify the checksum and order of all records",
+		Args: exactArgs(1),
+		Long: `Read the whole folder as at a node's start and report the first fault with exit status 1.
+Nothing is modified, except that a torn tail that was never synced is truncated.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			o, err := openResults(args[0])
 			if err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "whole: %d records, %d keys, %d that may have run, %d bytes\n",
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "valid: %d records, %d keys, %d that may have run, %d bytes\n",
 				o.Records, o.Keys, o.Indeterminate, o.bytes)
 			return err
 		}}
 }
 
 func newResultsCompact() *cobra.Command {
-	return &cobra.Command{Use: "compact FOLDER", Short: "Delete segments in which every idempotency window is over",
-		Args: exactArgs(1), Long: `A node does so by itself while it serves. After another boot of the machine
-nobody knows how long it was down, and nothing is deleted before a node has served for a window's time.`,
+	return &cobra.Command{Use: "compact FOLDER", Short: "Delete segments in which all idempotency windows have expired",
+		Args: exactArgs(1),
+		Long: `Delete segments in which all idempotency windows have expired. A node does the same while it
+serves. After a reboot the time that the machine was down is unknown, and nothing is deleted until a node has served
+for the length of a window.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			now, boot, err := checkResultsFolder(args[0])
 			if err != nil {
@@ -94,20 +97,21 @@
 			if err != nil {
 				return resultsError(args[0], err)
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d bytes, %d before\n", after, before)
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d bytes, %d before compaction\n", after, before)
 			return err
 		}}
 }
 
-// What is read is bounded by the folder, not by what a node may put into it.
+// Limits for reading a folder: large enough for any folder that a node has written, whatever its settings were.
 var (
 	readableSizes  = wal.Sizes{SegmentBytes: 1 << 30, MaxBytes: 1 << 40}
 	readableLimits = resultstore.Limits{Keys: 1 << 26, Bytes: 1 << 40}
 )
 
-// checkResultsFolder says whether there is anything to read, and what time it is by the clock of windows.
+// checkResultsFolder returns the time in ms and the id of the boot clock, by which windows are measured, or an error if
+// the folder has no log. Opening such a folder would create a log in it.
 func checkResultsFolder(path string) (now uint64, boot string, err error) {
-	if logs, _ := filepath.Glob(filepath.Join(path, "*.seg")); len(logs) == 0 { // or a log would be begun there
+	if logs, _ := filepath.Glob(filepath.Join(path, "*.seg")); len(logs) == 0 {
 		return 0, "", usageError(fmt.Errorf("found no log in %q, expected a folder of stored results", path))
 	}
 	return resultstore.BootClock()
@@ -120,12 +124,12 @@
 	return fmt.Errorf("%s: %w", path, err)
 }
 
-// openedResults is a folder that was read as a node's start would.
+// openedResults is a folder that was read as at a node's start.
 type openedResults struct {
 	resultstore.Recovery
 	index  *resultstore.Index
 	bytes  int64
-	readAt uint64 // by the clock of windows, ms
+	readAt uint64 // ms of the boot clock
 }
 
 func openResults(path string) (*openedResults, error) {
@@ -140,25 +144,25 @@
 	return &openedResults{Recovery: recovered, index: index, bytes: bytes, readAt: now}, nil
 }
 
-// resultsView is what a folder of stored results holds.
+// resultsView is the content of a folder of stored results.
 type resultsView struct {
 	Records    int            `json:"records"`
 	Bytes      int64          `json:"bytes"`
 	Keys       int            `json:"keys"`
 	States     map[string]int `json:"states"`
-	IsSameBoot bool           `json:"same_boot"` // windows go on; else from the last record
+	IsSameBoot bool           `json:"same_boot"` // false: windows resume at the time of the last record
 	TornTail   string         `json:"torn,omitempty"`
 	TookMS     int64          `json:"took_ms"`
 	List       []resultsKey   `json:"list,omitempty"`
 }
 
 type resultsKey struct {
-	Key    string `json:"key"` // the digest
+	Key    string `json:"key"` // digest in hexadecimal
 	State  string `json:"state"`
 	LeftMS uint64 `json:"left_ms"`
 }
 
-// readResults reads a folder; with the list of its keys, those first that expire first.
+// readResults reads a folder. withKeys adds the list of its keys in the order of their expiry.
 func readResults(path string, withKeys bool) (*resultsView, error) {
 	o, err := openResults(path)
 	if err != nil {
@@ -179,9 +183,9 @@
 }
 
 func (v *resultsView) statRows() [][]string {
-	clock := "windows go on from the last incarnation"
+	clock := "windows continue from the last incarnation"
 	if !v.IsSameBoot {
-		clock = "of another boot: windows go on from the last record at a start"
+		clock = "of another boot: windows resume at the last record when a node starts"
 	}
 	rows := [][]string{{"records", fmt.Sprint(v.Records)}, {"bytes", fmt.Sprint(v.Bytes)}, {"keys", fmt.Sprint(v.Keys)},
 		{"clock", clock}}
@@ -204,5 +208,5 @@
 	return rows
 }
 
-// seconds prints a time in milliseconds.
+// seconds formats milliseconds as seconds.
 func seconds[N uint64 | int64 | float64](ms N) string { return fmt.Sprintf("%.1f s", float64(ms)/1000) }
--- a/internal/cli/results_test.go
+++ b/internal/cli/results_test.go
@@ -10,21 +10,20 @@
 	"umberwinch/internal/wal"
 )
 
-// A node has stored two intents, a result and a failure. While it has the folder, and once a byte of it is damaged, the
-// commands refuse it and leave it as it is; in between they show its keys by state.
+// The results commands must reject a folder that is in use or damaged without modifying it, and otherwise count its
+// keys by state: here two intents, a result and a failure.
 func TestResultsReadsUnusedFolder(t *testing.T) {
 	dir := t.TempDir()
 	expect(t, 2, "found no log", "results", "stat", dir)
 	if names, _ := os.ReadDir(dir); len(names) > 0 {
-		t.Fatalf("a folder that is none has %v now", names)
+		t.Fatalf("the empty folder has %v, want it unchanged", names)
 	}
 	now, boot, err := resultstore.BootClock()
 	if err != nil {
 		t.Fatal(err)
 	}
 	s, _, _, err := resultstore.Open(wal.Dir(dir), wal.Sizes{SegmentBytes: 1 << 20, MaxBytes: 1 << 30},
-		resultstore.Limits{Keys: 100, Bytes: 1 << 20, ResultBytes: 100},
-		now, boot)
+		resultstore.Limits{Keys: 100, Bytes: 1 << 20, ResultBytes: 100}, now, boot)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,19 +40,19 @@
 	if err = s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	out := expect(t, 0, "windows go on", "results", "stat", dir)
+	out := expect(t, 0, "windows continue", "results", "stat", dir)
 	for _, line := range []string{"may have run  2", "done          1", "failed        1", "keys          4"} {
 		if !strings.Contains(out, line) {
-			t.Errorf("expected %q in\n%s", line, out)
+			t.Errorf("results stat printed\n%s, want the line %q", out, line)
 		}
 	}
 	if out = expect(t, 0, "may have run", "results", "list", dir, "--most", "2"); strings.Count(out, "\n") != 3 {
-		t.Errorf("expected two keys in\n%s", out)
+		t.Errorf("results list --most 2 printed\n%s, want two keys", out)
 	}
 	expect(t, 0, `"states": {`, "results", "stat", dir, "--json")
-	expect(t, 0, "whole: 5 records, 4 keys, 2 that may have run", "results", "verify", dir)
+	expect(t, 0, "valid: 5 records, 4 keys, 2 that may have run", "results", "verify", dir)
 	expect(t, 0, "bytes", "results", "compact", dir)
-	expect(t, 0, "whole: 5 records", "results", "verify", dir) // every window goes on
+	expect(t, 0, "valid: 5 records", "results", "verify", dir) // no window has expired
 	logs, _ := filepath.Glob(filepath.Join(dir, "*.seg"))
 	raw, err := os.ReadFile(logs[0])
 	if err != nil {
@@ -67,6 +66,6 @@
 	expect(t, 1, "damaged", "results", "verify", dir)
 	expect(t, 1, "damaged", "results", "compact", dir)
 	if is, _ := os.ReadFile(logs[0]); string(is) != string(raw) {
-		t.Error("a damaged folder was changed")
+		t.Error("the damaged log was modified, want it unchanged")
 	}
 }
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -1,5 +1,5 @@
-// Package cli is umberctl's commands: what operators type, print and get as an exit status. It owns flags,
-// tables and exit statuses alike in all of them; it decides nothing about a group or a request.
+// Package cli implements the commands of umberctl: their flags, output and exit statuses. Decisions about groups, nodes
+// and requests are made by the packages that it calls.
 package cli
 
 import (
@@ -21,13 +21,13 @@
 // Exit statuses.
 const (
 	exitOK      = 0
-	exitFailed  = 1 // it ran and failed, or a fault test broke a promise
-	exitUsage   = 2 // a wrong file, flag or document: nothing was done
-	exitRefused = 3 // the group refused it: a conflict, a wrong document or change
-	exitUnknown = 4 // no response: it may or may not have been done
+	exitFailed  = 1 // the command failed, or a fault test found a broken promise
+	exitUsage   = 2 // invalid file, flag or document: nothing was done
+	exitRefused = 3 // the group refused the request: a conflict, or an invalid document or change
+	exitUnknown = 4 // no response: the request may or may not have taken effect
 )
 
-// exitError is an error with an exit status of its own.
+// exitError is an error with its exit status.
 type exitError struct {
 	error
 	code int
@@ -37,7 +37,7 @@
 
 func usageError(err error) error { return exitError{err, exitUsage} }
 
-// Run runs a command line and gives the exit status.
+// Run executes a command line, without the program's name, and returns the exit status.
 func Run(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -68,12 +68,16 @@
 
 func newRoot() *cobra.Command {
 	root := &cobra.Command{Use: "umberctl",
-		Short: "Run, query and change umberwinch's control service; run fault tests",
-		Long: `umberctl runs an instance of umberwinch's control service, queries and changes a group of them, and
-runs the project's fault tests.
+		Short: "Control umberwinch fleets",
+		Long: `umberctl runs and operates umberwinch's control service, its nodes and zones, and runs the project's
+fault tests.
 
-Exit statuses: 0 done; 1 failed, or a promise was broken; 2 a wrong file, flag or document, nothing was done; 3
-the group refused it; 4 no response, it may or may not have been done.`,
+Exit statuses:
+  0  success
+  1  failure, or a fault test found a broken promise
+  2  invalid file, flag or document; nothing was done
+  3  the group refused the request
+  4  no response; the request may or may not have taken effect`,
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.NoArgs}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
 	root.AddCommand(newDemo(), newControl(), newConfig(), newPolicy(), newNodes(), newZones(), newFleet(), newNode(),
@@ -81,7 +85,7 @@
 	return root
 }
 
-// exactArgs requires so many arguments; another number is a wrong line.
+// exactArgs requires n arguments; another number is a usage error.
 func exactArgs(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(c, args); err != nil {
@@ -97,7 +101,7 @@
 	return e.Encode(v)
 }
 
-// printTable prints rows in columns, the first row as their head.
+// printTable prints rows in aligned columns.
 func printTable(w io.Writer, rows [][]string) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	for _, row := range rows {
--- a/internal/cli/tables_test.go
+++ b/internal/cli/tables_test.go
@@ -10,7 +10,7 @@
 	"umberwinch/internal/control/zones"
 )
 
-// Operators read the tables with the glossary beside them: columns have its terms, and each row has what belongs there.
+// Column headings must be the glossary's terms, and each column must hold the value that its heading names.
 func TestTablesHaveGlossaryColumns(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -42,33 +42,33 @@
 					Applied:   7, Version: 3, DiskBytes: 1 << 20}}},
 			{Name: "b", Listen: "127.0.0.1:7202"}}, 9),
 			[]string{"NAME|LISTEN|ROLE|TERM|LOG|APPLIED|LAG|VERSION|DISK|LEADER SEEN|NOTE",
-				"a|127.0.0.1:7201|follower|2|1-9|7|2|3|1.0 MB|40 ms ago|out of touch: may be stale",
-				"b|127.0.0.1:7202|-|-|-|-|-|-|-|-|no answer"}},
+				"a|127.0.0.1:7201|follower|2|1-9|7|2|3|1.0 MB|40 ms ago|out of contact: may be stale",
+				"b|127.0.0.1:7202|-|-|-|-|-|-|-|-|no response"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if len(c.rows) != len(c.want) {
-				t.Fatalf("%d rows, expected %d: %v", len(c.rows), len(c.want), c.rows)
+				t.Fatalf("got %d rows, want %d: %v", len(c.rows), len(c.want), c.rows)
 			}
 			for i, want := range c.want {
 				if got := strings.Join(c.rows[i], "|"); got != want {
-					t.Errorf("row %d is\n%s, expected\n%s", i, got, want)
+					t.Errorf("row %d: got\n%s, want\n%s", i, got, want)
 				}
 			}
 		})
 	}
 }
 
-// TestBlockersOfChange: policy explain says who refuses a change apart from who is waited for. Nodes of the generation
-// before a restored group have no zone.
+// policy explain must tell nodes that refuse a change from those that it waits for. Nodes of the generation before a
+// restored group have no zone, which must not print as an empty one.
 func TestBlockersOfChange(t *testing.T) {
 	var out strings.Builder
 	printBlockers(&out, "refused by", []policy.Blocker{{Node: "n9", Zone: "z3", Reason: "class fill: not found"}})
-	printBlockers(&out, "waits for", []policy.Blocker{{Node: "n2", Zone: "z2", Reason: "has not prepared it"},
+	printBlockers(&out, "waiting for", []policy.Blocker{{Node: "n2", Zone: "z2", Reason: "has not prepared it"},
 		{Node: membership.UnknownNodes, Reason: "may act on their leases for 9 ms at most"}})
 	const want = "             refused by n9 (zone z3): class fill: not found\n" +
-		"             waits for n2 (zone z2): has not prepared it\n" +
-		"             waits for nodes of the generation before: may act on their leases for 9 ms at most\n"
+		"             waiting for n2 (zone z2): has not prepared it\n" +
+		"             waiting for nodes of the generation before: may act on their leases for 9 ms at most\n"
 	if out.String() != want {
-		t.Errorf("found\n%s, expected\n%s", out.String(), want)
+		t.Errorf("printBlockers printed\n%s, want\n%s", out.String(), want)
 	}
 }
--- a/internal/cli/zones.go
+++ b/internal/cli/zones.go
@@ -16,7 +16,7 @@
 )
 
 func newZones() *cobra.Command {
-	c := &cobra.Command{Use: "zones", Short: "Zones of the fleet: their states, evacuating one and returning to it"}
+	c := &cobra.Command{Use: "zones", Short: "Show, evacuate and return zones of the fleet"}
 	var a clientOptions
 	a.addFlags(c)
 	c.AddCommand(newZonesList(&a), newZonesShow(&a), newZonesExplain(&a), newZonesLeave(&a), newZonesReturn(&a),
@@ -47,7 +47,7 @@
 	return r, json.NewDecoder(res.Body).Decode(&r)
 }
 
-// zoneState gives a zone's state in a word, and its share of traffic.
+// zoneState returns a zone's state and its share of traffic as text.
 func zoneState(v *consensus.ZoneView) (state, share string) {
 	if state = string(v.Phase); v.Phase == zones.InService && v.Evidence != nil && v.Evidence.FailureScore > 0 {
 		state = "suspected"
@@ -55,7 +55,7 @@
 	return state, formatShare(v.Share)
 }
 
-// formatShare prints a share of traffic.
+// formatShare formats a share of traffic, in units of 1/api.FullShare, as a percentage.
 func formatShare(share int) string { return fmt.Sprintf("%.0f%%", 100*float64(share)/api.FullShare) }
 
 func newZonesList(a *clientOptions) *cobra.Command {
@@ -69,7 +69,7 @@
 				return printJSON(w, v)
 			}
 			if !v.Rules.Enabled() {
-				fmt.Fprintln(w, "the policy in force decides nothing about zones ([zones] decide = off)")
+				fmt.Fprintln(w, "zone decisions are disabled by the policy in force ([zones] decide = off)")
 			}
 			return printTable(w, zonesTable(v.Zones))
 		})}
@@ -102,11 +102,11 @@
 			return v, &v.Zones[i], nil
 		}
 	}
-	return nil, nil, usageError(fmt.Errorf("found no zone %q, expected one of zones list", name))
+	return nil, nil, usageError(fmt.Errorf("found no zone %q, expected one that \"zones list\" shows", name))
 }
 
 func newZonesShow(a *clientOptions) *cobra.Command {
-	return &cobra.Command{Use: "show ZONE", Short: "Show all that is known of one zone", Args: exactArgs(1),
+	return &cobra.Command{Use: "show ZONE", Short: "Show one zone in detail", Args: exactArgs(1),
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			v, z, err := findZone(ctx, c, args[0])
 			if err != nil {
@@ -123,8 +123,8 @@
 	state, share := zoneState(z)
 	rows := [][]string{{"zone", z.Name}, {"state", state}, {"share", share},
 		{"epoch", fmt.Sprintf("%d; the fleet is at %d, settled %d", z.Epoch, v.Epoch, v.SettledEpoch)},
-		{"capacity", fmt.Sprintf("%.0f runs a second, %.1f in flight, %.0f ms a run, %.0f ms a call, "+
-			"%.1f connections a second",
+		{"capacity", fmt.Sprintf("%.0f runs/s, %.1f in flight, %.0f ms per run, %.0f ms per call, "+
+			"%.1f connections/s",
 			z.Capacity.RunRate, z.Capacity.Concurrency, z.Capacity.RunMS, z.Capacity.CallMS,
 			z.Capacity.ConnectionRate)}}
 	if z.Cause != "" {
@@ -132,11 +132,11 @@
 	}
 	if z.Phase == zones.Ramping {
 		rows = append(rows, []string{"rate limit",
-			fmt.Sprintf("%.0f runs and %.0f connections to dependencies a second, over "+
+			fmt.Sprintf("%.0f runs/s and %.0f connections/s to dependencies, over "+
 				"%d leases", z.RateLimit, z.ConnectRateLimit, len(z.Quotas))})
 	}
 	if v.ClockMS < z.RampNotBeforeMS && z.Phase != zones.InService {
-		rows = append(rows, []string{"returns", fmt.Sprintf("in %s at the soonest; it failed again %d times",
+		rows = append(rows, []string{"returns", fmt.Sprintf("in %s at the earliest; flap count %d",
 			seconds(z.RampNotBeforeMS-v.ClockMS), z.FlapCount)})
 	}
 	if v.ClockMS < z.HeldUntilMS {
@@ -147,8 +147,8 @@
 		rows = append(rows,
 			[]string{"nodes", fmt.Sprintf("%d in, %d silent, %d reporting, %d unhealthy %s; failure score %.1f",
 				e.NodesIn, e.NodesSilent, e.NodesReporting, e.NodesUnhealthy, e.Symptom, e.FailureScore)},
-			[]string{"load", fmt.Sprintf("%.0f runs a second of %.0f possible, %.1f in flight, %.0f ms a run; "+
-				"priority weight %.0f of %.0f a second", e.RunRate, e.RunCapacity, e.Concurrency, e.RunMS,
+			[]string{"load", fmt.Sprintf("%.0f runs/s of %.0f possible, %.1f in flight, %.0f ms per run; "+
+				"priority weight %.0f/s of %.0f/s", e.RunRate, e.RunCapacity, e.Concurrency, e.RunMS,
 				e.CompletedWeight, e.OfferedWeight)},
 			[]string{"note", e.Note})
 	}
@@ -156,7 +156,7 @@
 }
 
 func newZonesExplain(a *clientOptions) *cobra.Command {
-	return &cobra.Command{Use: "explain ZONE", Short: "Show what was decided about a zone, when, and why",
+	return &cobra.Command{Use: "explain ZONE", Short: "Show the decisions about a zone with their times and reasons",
 		Args: exactArgs(1),
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			v, z, err := findZone(ctx, c, args[0])
@@ -169,9 +169,8 @@
 			for _, e := range z.Events {
 				fmt.Fprintf(w, "%10.1f s ago  epoch %-4d %s\n", float64(v.ClockMS-e.ClockMS)/1000, e.Epoch, e.Text)
 				if e.ValueOfStaying != 0 || e.ValueOfEvacuating != 0 {
-					fmt.Fprintf(w, "%31s expected value a second: %.0f by staying, %.0f by leaving\n", "",
-						e.ValueOfStaying,
-						e.ValueOfEvacuating)
+					fmt.Fprintf(w, "%31s expected value per second: %.0f staying, %.0f evacuating\n", "",
+						e.ValueOfStaying, e.ValueOfEvacuating)
 				}
 			}
 			if z.Evidence != nil && z.Evidence.Note != "" {
@@ -181,14 +180,14 @@
 		})}
 }
 
-// zoneCommand is a step that an operator asks for: its command's name, help and flags, and what it asks of the group.
+// zoneCommand describes a command that applies an operation to a zone.
 type zoneCommand struct {
 	use, short, long string
 	flags            func(c *cobra.Command)
 	op               func() (zones.Op, error)
 }
 
-// command makes the step a command.
+// command builds the cobra command.
 func (s *zoneCommand) command(a *clientOptions) *cobra.Command {
 	reason := ""
 	c := &cobra.Command{Use: s.use + " ZONE", Short: s.short, Long: s.long, Args: exactArgs(1),
@@ -205,10 +204,11 @@
 			if c.printJSON {
 				return printJSON(w, r)
 			}
-			_, err = fmt.Fprintf(w, "zone %s is %s, share %s, epoch %d\n", args[0], r.Phase, formatShare(r.Share), r.Epoch)
+			_, err = fmt.Fprintf(w, "zone %s is %s, share %s, epoch %d\n", args[0], r.Phase, formatShare(r.Share),
+				r.Epoch)
 			return err
 		})}
-	c.Flags().StringVar(&reason, "reason", "", "why, for explain")
+	c.Flags().StringVar(&reason, "reason", "", "reason, shown by \"zones explain\"")
 	if s.flags != nil {
 		s.flags(c)
 	}
@@ -216,23 +216,23 @@
 }
 
 func newZonesLeave(a *clientOptions) *cobra.Command {
-	return (&zoneCommand{use: "leave", short: "Evacuate a zone: its nodes take no more requests",
-		long: `Its nodes say that they are not ready, reject at once what arrives and what is queued, with a
-Retry-After, and complete what runs. It stays so until "zones return". The last zone that is in service can't be
-evacuated.`,
+	return (&zoneCommand{use: "leave", short: "Evacuate a zone",
+		long: `Evacuate a zone: its nodes report that they are not ready, reject arriving and queued requests with a
+Retry-After, and complete the requests that run. The zone stays evacuated until "zones return". The last zone in service
+can't be evacuated.`,
 		op: func() (zones.Op, error) { return zones.Op{Kind: zones.OpEvacuate}, nil }}).command(a)
 }
 
-// defaultReturnShare is where an operator's return begins.
+// defaultReturnShare is the share of traffic at which an operator's return begins, as a fraction.
 const defaultReturnShare = 0.0625
 
 func newZonesReturn(a *clientOptions) *cobra.Command {
 	share := defaultReturnShare
-	return (&zoneCommand{use: "return", short: "Begin a zone's recovery ramp",
-		long: `Sets the share of traffic, higher or lower than now, and raises it from there by what the dependencies
-show. Without --share it is 0.0625, also where the zone takes more already.`,
+	return (&zoneCommand{use: "return", short: "Start a zone's recovery ramp",
+		long: `Set the zone's share of traffic to --share, which may be lower than its present one, and raise it from
+there as its dependencies keep up.`,
 		flags: func(c *cobra.Command) {
-			c.Flags().Float64Var(&share, "share", defaultReturnShare, "of traffic, to begin with")
+			c.Flags().Float64Var(&share, "share", defaultReturnShare, "initial share of traffic, 0 to 1")
 		},
 		op: func() (zones.Op, error) {
 			if share < 0 || share > 1 {
@@ -242,19 +242,19 @@
 		}}).command(a)
 }
 
-// maxHoldTime is the longest that an operator may keep the rules from deciding about a zone.
+// maxHoldTime bounds the time for which an operator may suspend decisions about a zone.
 const maxHoldTime = 24 * time.Hour
 
 func newZonesHold(a *clientOptions) *cobra.Command {
 	duration := time.Hour
-	return (&zoneCommand{use: "hold", short: "Keep the rules from deciding about a zone for a while",
-		long: "It stays as it is; an operator's own steps count all the same.",
+	return (&zoneCommand{use: "hold", short: "Suspend automatic decisions about a zone",
+		long: "Suspend automatic decisions about a zone. Operators' commands still apply to it.",
 		flags: func(c *cobra.Command) {
-			c.Flags().DurationVar(&duration, "for", time.Hour, "for so long; 0 ends it")
+			c.Flags().DurationVar(&duration, "for", time.Hour, "duration of the hold, at most 24h; 0 ends it")
 		},
 		op: func() (zones.Op, error) {
 			if duration < 0 || duration > maxHoldTime {
-				return zones.Op{}, fmt.Errorf("--for: found %v, expected up to 24h", duration)
+				return zones.Op{}, fmt.Errorf("--for: found %v, expected 0 to 24h", duration)
 			}
 			return zones.Op{Kind: zones.OpHold, WaitMS: uint64(duration.Milliseconds())}, nil
 		}}).command(a)
@@ -268,12 +268,11 @@
 
 func newZonesDrill(a *clientOptions) *cobra.Command {
 	duration := time.Minute
-	return (&zoneCommand{use: "drill", short: "Evacuate a zone on purpose for a while, and return to it",
-		long: `Evacuates a zone as if it had failed and begins its recovery ramp when the time is over, or as
-soon as it does harm: another zone becomes unhealthy, or completes less than eight tenths of the priority weight
-that arrives there.`,
+	return (&zoneCommand{use: "drill", short: "Evacuate a zone for a limited time as an exercise",
+		long: `Evacuate a zone as if it had failed, and start its recovery ramp when the time is over, or as soon as
+another zone becomes unhealthy or completes less than 80% of the priority weight that arrives there.`,
 		flags: func(c *cobra.Command) {
-			c.Flags().DurationVar(&duration, "for", time.Minute, "how long it stays evacuated, 1s to 1h")
+			c.Flags().DurationVar(&duration, "for", time.Minute, "duration of the drill, 1s to 1h")
 		},
 		op: func() (zones.Op, error) {
 			if duration < minDrillTime || duration > maxDrillTime {
