--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -213,7 +213,11 @@
 	if strings.Count(out, "\n") != 4 {
 		t.Errorf("nodes list printed\n%s, want a heading and three nodes", out)
 	}
-	expect(t, 0, "address", "nodes", "show", "n1", at)
+	address := o.await(t, `node n1 of z1  pid \d+  at (\S+)`)
+	row := regexp.MustCompile(`(?m)^address +` + regexp.QuoteMeta(address) + `$`)
+	if out := expect(t, 0, "", "nodes", "show", "n1", at); !row.MatchString(out) {
+		t.Errorf("nodes show n1 printed\n%s, want the row address with %s", out, address)
+	}
 	expect(t, 2, `found no node "n9"`, "nodes", "show", "n9", at)
 	expect(t, 3, `found no node "n9"`, "nodes", "forget", "n9", at)
 	killProcess(t, o.await(t, `node n2 of z2  pid (\d+)`))
