--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,16 +1,15 @@
-// Package clock tells time for the server: monotonic time, by which all deadlines, windows, waits and graces go,
-// and the wall clock, which is read for nothing but to place the stamps that clients put on their requests. The
-// wall clock may be stepped at any moment, forward or back, by seconds or by an hour; a span measured here is not
-// touched by it.
+// Package clock reads the server's clocks. Deadlines, windows and timers use monotonic time, which steps of the wall
+// clock don't affect. The wall clock is read only to convert the timestamps of clients' requests to monotonic time
+// (Stamps); it may be stepped at any time by any amount.
 package clock
 
 import "time"
 
-// origin is the monotonic time at which a clock starts. It is not zero, so that what happened before the start
-// has a time as well and the zero value can mean "never".
+// origin is the monotonic time at which a clock starts. It is above zero so that events before the start have a time
+// and the zero value can mean "never".
 const origin = 24 * time.Hour
 
-// Reading is one look at both clocks.
+// Reading is the time of both clocks at one moment.
 type Reading struct {
 	Monotonic time.Duration
 	Wall      time.Duration // since the Unix epoch
@@ -27,14 +26,14 @@
 	return &Clock{start: time.Now(), wall: wallTime}
 }
 
-// Now is the monotonic time.
+// Now returns the monotonic time.
 func (c *Clock) Now() time.Duration { return origin + time.Since(c.start) }
 
-// Read looks at both clocks at once.
+// Read returns the time of both clocks.
 func (c *Clock) Read() Reading {
 	now := time.Now()
 	return Reading{Monotonic: origin + now.Sub(c.start), Wall: c.wall(now)}
 }
 
-// sinceEpoch strips a time of its monotonic part, which is what a stamp has to be compared with.
+// sinceEpoch returns the wall-clock part of a time, since the Unix epoch.
 func sinceEpoch(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// fakeClocks is a machine whose clocks the test moves.
+// fakeClocks is a pair of clocks that the test advances.
 type fakeClocks struct{ mono, wall time.Duration }
 
 func newFakeClocks() *fakeClocks { return &fakeClocks{mono: origin, wall: 1_764_576_000 * time.Second} }
@@ -21,7 +21,7 @@
 
 const timeout = 6 * time.Second
 
-// A stamp made on either side of a step is placed where it was made, or between bounds that hold that place.
+// A stamp from before or after a step must get bounds that include the time at which it was made.
 func TestStampsAroundStepAreBounded(t *testing.T) {
 	for _, step := range []time.Duration{3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		for _, before := range []time.Duration{0, time.Second, 4 * time.Second} {
@@ -31,19 +31,19 @@
 					s := NewStamps(m.read, 2*timeout)
 					m.advance(10 * time.Second)
 					s.Observe(m.read)
-					old, oldAt := m.wall, m.mono
+					stampBefore, timeBefore := m.wall, m.mono
 					m.advance(before)
 					s.Observe(m.read)
 					m.wall += step
-					if _, seen := s.Observe(m.read); seen != step {
-						t.Errorf("a step of %v is seen as %v", step, seen)
+					if _, got := s.Observe(m.read); got != step {
+						t.Errorf("Observe() step = %v, want %v", got, step)
 					}
 					m.advance(after)
-					young, youngAt := m.wall, m.mono
+					stampAfter, timeAfter := m.wall, m.mono
 					m.advance(100 * time.Millisecond)
 					s.Observe(m.read)
-					s.checkPlace(t, m.mono, old, oldAt)
-					s.checkPlace(t, m.mono, young, youngAt)
+					s.checkPlace(t, m.mono, stampBefore, timeBefore)
+					s.checkPlace(t, m.mono, stampAfter, timeAfter)
 				})
 			}
 		}
@@ -54,11 +54,11 @@
 	t.Helper()
 	earliest, latest, ok := s.Place(now, stamp, time.Second)
 	if !ok || earliest > at || latest < at || latest > now {
-		t.Errorf("made at %v, placed %v from %v to %v, now %v", at, ok, earliest, latest, now)
+		t.Errorf("Place(%v, %v) = %v, %v, %v, want bounds that include %v", now, stamp, earliest, latest, ok, at)
 	}
 }
 
-// Steps by an hour leave no doubt: a stamp of either side has one place.
+// Around a step of an hour, far larger than a stamp's possible age, each stamp must get one exact time.
 func TestStampsAcrossLargeStepsAreExact(t *testing.T) {
 	m := newFakeClocks()
 	s := NewStamps(m.read, 2*timeout)
@@ -74,45 +74,45 @@
 	for i := range stamps {
 		if earliest, latest, ok := s.Place(m.mono, stamps[i], time.Second); !ok || earliest != places[i] ||
 			latest != places[i] {
-			t.Errorf("stamp %d: %v, from %v to %v, expected %v", i, ok, earliest, latest, places[i])
+			t.Errorf("Place() of stamp %d = %v, %v, %v, want %v exactly", i, earliest, latest, ok, places[i])
 		}
 	}
 }
 
-// A process that was stopped as the clock was stepped does not know when; stamps of the whole stop are placed all the
-// same.
+// If the clock is stepped while the process is suspended, the time of the step is unknown. Stamps made during the
+// suspension must be placed all the same.
 func TestStampsDuringSuspensionWithStepArePlaced(t *testing.T) {
 	m := newFakeClocks()
 	s := NewStamps(m.read, 2*timeout)
 	m.advance(time.Second)
-	old, oldAt := m.wall, m.mono
+	stampBefore, timeBefore := m.wall, m.mono
 	m.advance(time.Second)
 	m.wall += time.Hour
-	young, youngAt := m.wall, m.mono
+	stampAfter, timeAfter := m.wall, m.mono
 	m.advance(2 * time.Second)
 	s.Observe(m.read)
-	s.checkPlace(t, m.mono, old, oldAt)
-	s.checkPlace(t, m.mono, young, youngAt)
+	s.checkPlace(t, m.mono, stampBefore, timeBefore)
+	s.checkPlace(t, m.mono, stampAfter, timeAfter)
 }
 
-// No stamp is placed that no reading makes plausible; one a little ahead is as if it were made now.
+// A stamp that is too old or too far ahead in every epoch must be rejected; one within the slack ahead counts as now.
 func TestImplausibleStampsAreRejected(t *testing.T) {
 	m := newFakeClocks()
 	s := NewStamps(m.read, 2*timeout)
 	m.advance(time.Hour)
 	s.Observe(m.read)
-	for _, off := range []time.Duration{time.Hour, 1001 * time.Millisecond, -2*timeout - time.Millisecond,
+	for _, offset := range []time.Duration{time.Hour, 1001 * time.Millisecond, -2*timeout - time.Millisecond,
 		-time.Hour} {
-		if _, _, ok := s.Place(m.mono, m.wall+off, time.Second); ok {
-			t.Errorf("a stamp %v off is placed", off)
+		if _, _, ok := s.Place(m.mono, m.wall+offset, time.Second); ok {
+			t.Errorf("Place() accepted a stamp that is off by %v, want it rejected", offset)
 		}
 	}
 	if at, _, ok := s.Place(m.mono, m.wall+time.Second, time.Second); !ok || at != m.mono {
-		t.Errorf("a stamp within the slack is placed at %v, %v, expected now", at, ok)
+		t.Errorf("Place() of a stamp within the slack = %v, %v, want now, %v", at, ok, m.mono)
 	}
 }
 
-// Slewing is followed and is no step; nor is a stop, nor a pause between the two readings.
+// Slew, a suspension of the process, and one between the two readings must not be reported as steps.
 func TestSlewAndSuspensionAreNotSteps(t *testing.T) {
 	m := newFakeClocks()
 	s := NewStamps(m.read, 2*timeout)
@@ -120,30 +120,30 @@
 		m.advance(100 * time.Millisecond)
 		m.wall += 50 * time.Microsecond
 		if _, step := s.Observe(m.read); step != 0 {
-			t.Fatalf("slewing is seen as a step of %v", step)
+			t.Fatalf("Observe() step = %v while the clock slews, want 0", step)
 		}
 	}
 	s.checkPlace(t, m.mono, m.wall, m.mono)
 	m.advance(time.Minute)
 	if _, step := s.Observe(m.read); step != 0 {
-		t.Errorf("a stop is seen as a step of %v", step)
+		t.Errorf("Observe() step = %v after a suspension, want 0", step)
 	}
-	paused := true
+	suspend := true
 	read := func() Reading {
 		r := m.read()
-		if paused {
+		if suspend {
 			m.advance(2 * time.Second)
-			r.Monotonic, paused = m.mono, false
+			r.Monotonic, suspend = m.mono, false
 		}
 		return r
 	}
 	if _, step := s.Observe(read); step != 0 {
-		t.Errorf("a pause between the readings is seen as a step of %v", step)
+		t.Errorf("Observe() step = %v after a suspension between the readings, want 0", step)
 	}
 	s.checkPlace(t, m.mono, m.wall, m.mono)
 }
 
-// Steps without end do not pile up.
+// Repeated steps must not grow the list of epochs without bound.
 func TestEpochCountIsBounded(t *testing.T) {
 	m := newFakeClocks()
 	s := NewStamps(m.read, 2*timeout)
@@ -153,21 +153,21 @@
 		s.Observe(m.read)
 	}
 	if len(s.epochs) > maxEpochs {
-		t.Errorf("%d are remembered", len(s.epochs))
+		t.Errorf("kept %d epochs, want at most %d", len(s.epochs), maxEpochs)
 	}
 	m.advance(time.Hour)
 	m.wall += time.Hour
 	s.Observe(m.read)
 	if len(s.epochs) > 2 {
-		t.Errorf("%d are remembered an hour later", len(s.epochs))
+		t.Errorf("kept %d epochs after an hour, want at most 2", len(s.epochs))
 	}
 }
 
-// wallClock finds what reads the wall clock, or makes a time that has no monotonic part.
+// wallClock matches calls that read the wall clock or create a time without a monotonic part.
 var wallClock = regexp.MustCompile(`\.Unix(Micro|Milli|Nano)?\(|time\.Unix(Micro|Milli)?\(|` +
 	`\.Round\(0\)|\.Date\(|CLOCK_REALTIME`)
 
-// The server's packages read the wall clock in this package alone.
+// A wall clock read elsewhere in the server would make a deadline or window move with a step of that clock.
 func TestWallClockIsReadOnlyInThisPackage(t *testing.T) {
 	for _, folder := range []string{
 		"../../admission", "../../cmd/umberwinch",
@@ -198,7 +198,7 @@
 	}
 }
 
-// What a round and a request pay: a look at both clocks, and a stamp that is placed.
+// BenchmarkObserveAndPlace measures the clock work of one request: reading both clocks and placing a stamp.
 func BenchmarkObserveAndPlace(b *testing.B) {
 	c := New()
 	s := NewStamps(c.Read, 2*timeout)
@@ -208,7 +208,7 @@
 	}
 }
 
-// Beside it what was there before.
+// BenchmarkWallClock measures a plain read of the wall clock, for comparison.
 func BenchmarkWallClock(b *testing.B) {
 	for b.Loop() {
 		if time.Now().UnixMicro() == 0 {
--- a/internal/clock/stamps.go
+++ b/internal/clock/stamps.go
@@ -3,49 +3,51 @@
 import "time"
 
 const (
-	// minStep is the least change of the wall clock against the monotonic one that counts as a step. Below it lie
-	// slewing and the time that passes between the two readings.
+	// minStep is the smallest change of the wall clock's offset that counts as a step. Smaller changes are slew.
 	minStep = 50 * time.Millisecond
-	// offsetTolerance is how far two readings of one offset may be apart without a second look.
+	// offsetTolerance is the change of the offset above which the clocks are read a second time.
 	offsetTolerance = time.Millisecond
-	// stepUncertainty is how long before a step is possible, or after it was seen, a stamp may be of either side: clients and
-	// server do not read their clocks at the same instant.
+	// stepUncertainty extends both sides of a step: within it a stamp may be from before or after the step, because
+	// clients and server do not read their clocks at the same instant.
 	stepUncertainty = 50 * time.Millisecond
-	// maxEpochs bounds the steps that are remembered; the oldest is forgotten.
+	// maxEpochs bounds the number of epochs that are kept; the oldest are dropped.
 	maxEpochs = 16
 )
 
-// epoch is a stretch of monotonic time over which the wall clock went with the monotonic one.
+// epoch is a period of monotonic time between two steps of the wall clock.
 type epoch struct {
-	offset      time.Duration // wall less monotonic
-	from, until time.Duration // the offset may have been in force from then on, and until then
-	lastSeen    time.Duration // it was last seen then
+	offset      time.Duration // wall minus monotonic time
+	from, until time.Duration // longest period in which the offset may have been valid
+	lastSeen    time.Duration // last observation of the offset
 }
 
-// Stamps places wall-clock stamps in monotonic time. It is not safe for concurrent use.
+// Stamps converts wall-clock timestamps to monotonic time across steps of the wall clock. It is not safe for concurrent
+// use.
 type Stamps struct {
-	epochs []epoch // the newest last
+	epochs []epoch // newest last
 	maxAge time.Duration
 }
 
-// NewStamps starts with what a clock reads. Stamps are placed that are at most keep old.
-func NewStamps(read func() Reading, keep time.Duration) *Stamps {
+// NewStamps starts from the clocks' present offset. Stamps older than keep are rejected.
+func NewStamps(read func() Reading, maxAge time.Duration) *Stamps {
 	r := read()
-	return &Stamps{maxAge: keep, epochs: []epoch{{offset: r.Wall - r.Monotonic, lastSeen: r.Monotonic, until: forever}}}
+	return &Stamps{maxAge: maxAge, epochs: []epoch{{offset: r.Wall - r.Monotonic, lastSeen: r.Monotonic, until: forever}}}
 }
 
 const forever = time.Duration(1 << 62)
 
-// Observe looks at the clocks and tells by how much the wall clock was stepped since the last look, 0 if it was not.
+// Observe reads the clocks and returns the monotonic time and the step of the wall clock since the last call, or 0 if
+// there was none.
 func (s *Stamps) Observe(read func() Reading) (now, step time.Duration) {
 	r := read()
 	last := &s.epochs[len(s.epochs)-1]
 	offset := r.Wall - r.Monotonic
 	if (offset - last.offset).Abs() > offsetTolerance {
-		// A process that is stopped between the two readings sees an offset that is too small by that time.
-		again := read()
-		offset = max(offset, again.Wall-again.Monotonic)
-		r = again
+		// A process that is suspended between reading the wall clock and the monotonic clock sees an offset that is too
+		// small. The larger of two readings excludes that.
+		second := read()
+		offset = max(offset, second.Wall-second.Monotonic)
+		r = second
 	}
 	step = offset - last.offset
 	if step.Abs() < minStep {
@@ -58,7 +60,7 @@
 	return r.Monotonic, step
 }
 
-// dropExpired drops epochs of which no stamp can come any more.
+// dropExpired drops epochs whose stamps are all too old to be placed.
 func (s *Stamps) dropExpired(now time.Duration) {
 	drop := max(len(s.epochs)-maxEpochs, 0)
 	for drop < len(s.epochs)-1 && now-s.epochs[drop].until > s.maxAge+stepUncertainty {
@@ -67,9 +69,9 @@
 	s.epochs = append(s.epochs[:0], s.epochs[drop:]...)
 }
 
-// Place gives the monotonic time at which a stamp was made. Around a step there may be two; the true one is not
-// before earliest and not after latest. ok is false if the stamp lies more than ahead in the future or is older than
-// keep by every reading.
+// Place returns bounds on the monotonic time at which a stamp was made. They are equal unless a step makes several
+// times possible. ok is false if the stamp is more than ahead in the future or older than the maximum age in every
+// epoch.
 func (s *Stamps) Place(now, stamp, ahead time.Duration) (earliest, latest time.Duration, ok bool) {
 	for i := range s.epochs {
 		e := &s.epochs[i]
--- a/internal/clock/stepped.go
+++ b/internal/clock/stepped.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// stepFile names the file that holds how far the wall clock is stepped, such as "-1h". This build exists for tests
-// alone, which can't step a machine's clock.
+// stepFile is the environment variable with the path of a file that holds the step of the wall clock, such as "-1h".
+// Tests use this build because they can't step the machine's clock.
 const stepFile = "UMBERWINCH_WALL_STEP"
 
 func wallTime(t time.Time) time.Duration {
--- a/internal/logging/doc.go
+++ b/internal/logging/doc.go
@@ -1,7 +1,7 @@
-// Package logging configures logrus once for every program and owns the names of the fields of log lines.
+// Package logging configures logrus for all programs and defines the names of log fields.
 //
-// A line is a constant message in plain words with its values as fields (fields.go). Writer keeps a program from
-// waiting for whoever reads its log: lines that find its queue full are dropped and counted.
+// A log line has a constant message, and its values are fields (fields.go). Writer keeps a program from blocking on the
+// reader of its log: lines that don't fit its queue are dropped and counted.
 //
-// The package never decides what is logged, and callers never hand it a secret.
+// Callers must not log secrets; the package does not filter them.
 package logging
--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -6,20 +6,20 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Forms of log lines.
+// Formats of log lines.
 const (
 	FormatText = "text"
 	FormatJSON = "json"
 )
 
-// Timestamps have milliseconds, which is enough to put the lines of several processes in order.
+// Timestamps have milliseconds, to order the lines of several processes.
 const (
 	jsonTimestamp = "2006-01-02T15:04:05.000Z07:00"
 	textTimestamp = "15:04:05.000"
 )
 
-// New returns a logger that writes to w as FormatText or FormatJSON (anything else is text) lines of minLevel and
-// above. minLevel is a name that logrus knows; an unknown one leaves the default, info.
+// New returns a logger that writes lines of minLevel and above to w. Any format other than FormatJSON is text. An
+// unknown minLevel is info.
 func New(w io.Writer, format, minLevel string) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(w)
--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -18,8 +18,7 @@
 	return r.accepted.Write(b)
 }
 
-// The reader of the log stalls while a process goes on logging. If Write waited for it, the process would stall too.
-// Write must return at once, and the dropped lines must be counted where they are missing.
+// If Write waited for a stalled log reader, the process would stall too. Dropped lines must be counted in the log.
 func TestWriteDoesNotBlock(t *testing.T) {
 	reader := &stalledReader{resume: make(chan bool)}
 	w := NewWriter(reader, 4)
@@ -33,20 +32,19 @@
 	w.Write([]byte("last\n"))
 	w.Close(5 * time.Second)
 	out := reader.accepted.String()
-	if n := strings.Count(out, "line\n"); n < 4 || n > 5 || !strings.Contains(out, " lines were left out here") ||
+	if n := strings.Count(out, "line\n"); n < 4 || n > 5 || !strings.Contains(out, " lines were dropped here") ||
 		!strings.HasSuffix(out, "last\n") {
-		t.Errorf("%d lines were written: %s", n, out)
+		t.Errorf("wrote %d of 100 lines, want 4 or 5, the number of dropped lines and the last line:\n%s", n, out)
 	}
 }
 
-// The reader of the log never resumes while a process ends. Close must return after its timeout all the same, or the
-// process would never end.
+// If Close waited for a log reader that never resumes, the process would not exit.
 func TestCloseReturnsAfterTimeout(t *testing.T) {
 	w := NewWriter(&stalledReader{resume: make(chan bool)}, 4)
 	w.Write([]byte("line\n"))
 	began := time.Now()
 	w.Close(20 * time.Millisecond)
 	if took := time.Since(began); took < 20*time.Millisecond || took > 5*time.Second {
-		t.Errorf("closed after %v", took)
+		t.Errorf("Close() returned after %v, want 20ms to 5s", took)
 	}
 }
--- a/internal/report/doc.go
+++ b/internal/report/doc.go
@@ -1,4 +1,3 @@
-// Package report is what a run of the fault harness or of a simulation found: a table, figures, plots, and whether
-// a promise was broken. It prints itself and writes report.html and result.json. It decides nothing about what is
-// measured.
+// Package report holds the results of a fault test or simulation: a table, figures, plots, and the first broken
+// promise. Reports are printed as text and saved as report.html and result.json.
 package report
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -21,7 +21,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Report is what a run found: a table, figures, plots, and whether a promise was broken.
+// Report holds the results of a run. Broken describes the first broken promise; it is empty if all were kept.
 type Report struct {
 	Name    string
 	Title   string
@@ -33,33 +33,33 @@
 	Broken  string
 }
 
-// Figure is one number with its name.
+// Figure is a named value.
 type Figure struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 }
 
-// maxMarkedPoints is up to how many points of a line are drawn as marks too.
+// maxMarkedPoints is the maximum number of points for which a line is drawn with a mark at each.
 const maxMarkedPoints = 30
 
-// Plot is lines over a common axis.
+// Plot is a set of lines over common axes.
 type Plot struct {
 	Title, X, Y string
 	Lines       []Line
 }
 
-// Line is one of a plot's.
+// Line is a line of a plot, as x and y values.
 type Line struct {
 	Name   string
 	Points [][2]float64
 }
 
-// Add notes a figure.
+// Add appends a figure.
 func (r *Report) Add(key, format string, args ...any) {
 	r.Figures = append(r.Figures, Figure{key, fmt.Sprintf(format, args...)})
 }
 
-// Find gives the value of a figure; empty where there is none.
+// Find returns the value of a figure, or "" if there is none.
 func (r *Report) Find(key string) string {
 	for _, f := range r.Figures {
 		if f.Key == key {
@@ -69,24 +69,24 @@
 	return ""
 }
 
-// Break notes the first promise that was broken.
+// Break records a broken promise. Only the first one is kept.
 func (r *Report) Break(format string, args ...any) {
 	if r.Broken == "" {
 		r.Broken = fmt.Sprintf(format, args...)
 	}
 }
 
-// Verdict is the run's last line.
+// Verdict returns the last line of a run's output: "NAME: kept" or "NAME: broken: PROMISE", and the figures.
 func (r *Report) Verdict() string {
-	words := []string{r.Name + ": kept"}
+	parts := []string{r.Name + ": kept"}
 	if r.Broken != "" {
 		first, _, _ := strings.Cut(r.Broken, "\n")
-		words[0] = r.Name + ": broken: " + first
+		parts[0] = r.Name + ": broken: " + first
 	}
 	for _, f := range r.Figures {
-		words = append(words, f.Key+"="+f.Value)
+		parts = append(parts, f.Key+"="+f.Value)
 	}
-	return strings.Join(words, " ")
+	return strings.Join(parts, " ")
 }
 
 // Print writes the table, the notes and the verdict.
@@ -123,7 +123,7 @@
 </body></html>
 `))
 
-// resultJSON is result.json, its keys in the order of the alphabet.
+// resultJSON is the content of result.json, with keys in alphabetical order.
 type resultJSON struct {
 	Broken  string     `json:"broken"`
 	Figures []Figure   `json:"figures"`
@@ -164,31 +164,31 @@
 	return os.WriteFile(filepath.Join(dir, "result.json"), append(raw, '\n'), 0o644)
 }
 
-// EachSeed plays n seeds from the first on, on all cores, and hands over each run, one at a time, until one is
-// enough or ctx ends.
-func EachSeed[R any](ctx context.Context, first int64, n int, play func(seed int64) R,
-	take func(seed int64, r R) (enough bool)) {
+// EachSeed calls run for count seeds starting at first, on all cores. It passes each result to handle, in the order of
+// completion and never concurrently, until handle returns true or ctx ends.
+func EachSeed[R any](ctx context.Context, first int64, count int, run func(seed int64) R,
+	handle func(seed int64, r R) (enough bool)) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	next, over := 0, false
+	next, done := 0, false
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
 			mu.Lock()
 			defer mu.Unlock()
-			for next < n && !over && ctx.Err() == nil {
+			for next < count && !done && ctx.Err() == nil {
 				seed := first + int64(next)
 				next++
 				mu.Unlock()
-				r := play(seed)
+				r := run(seed)
 				mu.Lock()
-				over = take(seed, r) || over
+				done = handle(seed, r) || done
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// End prints the report, and saves it where a folder is named.
+// End prints the report, and saves it to dir unless dir is empty.
 func (r *Report) End(dir string, w io.Writer) (*Report, error) {
 	if dir != "" {
 		if err := r.Save(dir); err != nil {
@@ -198,7 +198,7 @@
 	return r, r.Print(w)
 }
 
-// draw gives a plot as SVG, less the head that stands alone files have.
+// draw returns the plot as an SVG element without the XML prolog, for embedding in HTML.
 func (p *Plot) draw() (string, error) {
 	g := plot.New()
 	g.Title.Text, g.X.Label.Text, g.Y.Label.Text = p.Title, p.X, p.Y
@@ -239,5 +239,5 @@
 	return svg, nil
 }
 
-// Milliseconds is how a span stands in a table.
+// Milliseconds formats a duration for a table.
 func Milliseconds(n int64) string { return strconv.FormatInt(n, 10) + " ms" }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// TestSaveWritesResultJSON: other tools read result.json by its keys. A report is saved, and the file is what they
-// expect, byte for byte.
+// Other tools read result.json by its keys, so the file must stay the same byte for byte.
 func TestSaveWritesResultJSON(t *testing.T) {
 	dir := t.TempDir()
 	r := &Report{Name: "pools", Title: "Pools", Head: []string{"CLASS"}, Rows: [][]string{{"search"}},
@@ -44,6 +43,6 @@
 }
 `
 	if string(got) != expected {
-		t.Errorf("found %s, expected %s", got, expected)
+		t.Errorf("result.json is %s, want %s", got, expected)
 	}
 }
