--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// controlFaults gives what is wrong in a control file, less the file's name.
+// controlFaults returns the faults of a control file.
 func controlFaults(t *testing.T, raw string) []string {
 	t.Helper()
 	_, err := readControl(Parse("f", []byte(raw)))
@@ -25,10 +25,10 @@
 		t.Fatal(err)
 	}
 	if n, err := ReadNode(filepath.Join("..", "..", "deploy", "node.ini")); err != nil || n.LogFrom != "info" {
-		t.Fatalf("shipped node file: %+v, %v", n, err)
+		t.Fatalf("ReadNode(deploy/node.ini) = %+v, %v, want log level info", n, err)
 	}
 	if !Loopback(c.Peer) || !Loopback(c.Listen) || c.Start != "new" {
-		t.Fatalf("shipped file: %+v, expected a group of one on loopback", c)
+		t.Fatalf("ReadControl(deploy/control.ini) = %+v, want a new group on loopback", c)
 	}
 }
 
@@ -46,14 +46,14 @@
 		`f:11: group.election_ticks: found it again, first on line 10`,
 		`f:12: line: found "nonsense", expected KEY = VALUE`,
 		`f:13: other: found a section that is not known`,
-		`f:16: disk.limit_mb: found 20, expected six times`,
+		`f:16: disk.limit_mb: found 20, expected at least six times`,
 	}
 	if len(got) != len(want) {
-		t.Fatalf("%d faults, expected %d:\n%s", len(got), len(want), strings.Join(got, "\n"))
+		t.Fatalf("got %d faults, want %d:\n%s", len(got), len(want), strings.Join(got, "\n"))
 	}
 	for i := range want {
 		if !strings.HasPrefix(got[i], want[i]) {
-			t.Errorf("fault %d is %q, expected %q...", i, got[i], want[i])
+			t.Errorf("fault %d is %q, want it to begin with %q", i, got[i], want[i])
 		}
 	}
 }
@@ -61,20 +61,21 @@
 func TestSecretsAreRedacted(t *testing.T) {
 	got := strings.Join(controlFaults(t, validControl+"[clients]\ntoken = hunter2\n"), "\n")
 	if got == "" || strings.Contains(got, "hunter2") {
-		t.Fatalf("got %q, expected a fault that hides the token", got)
+		t.Fatalf("got faults %q, want one without the token", got)
 	}
 }
 
 func TestNonLoopbackAddressRequiresTLS(t *testing.T) {
 	if got := controlFaults(t, validControl+"peer = 192.0.2.1:7101\n"); len(got) != 1 || !strings.Contains(got[0],
 		"no [tls]") {
-		t.Fatalf("got %q, expected one fault for the address without [tls]", got)
+		t.Fatalf("got faults %q, want one for an address without [tls]", got)
 	}
-	if got := controlFaults(t, validControl+"peer = 192.0.2.1:7101\n[tls]\ncertificate = c\nkey = k\nauthority = a\n"); got != nil {
-		t.Fatalf("got %q, expected none", got)
+	if got := controlFaults(t, validControl+"peer = 192.0.2.1:7101\n[tls]\ncertificate = c\nkey = k\n"+
+		"authority = a\n"); got != nil {
+		t.Fatalf("got faults %q, want none", got)
 	}
 	if got := controlFaults(t, validControl+"[tls]\nkey = k\n"); len(got) != 1 {
-		t.Fatalf("got %q, expected one fault for half of [tls]", got)
+		t.Fatalf("got faults %q, want one for an incomplete [tls]", got)
 	}
 }
 
@@ -84,12 +85,12 @@
 		t.Fatal(err)
 	}
 	if _, err := ReadControl(path); err == nil || !strings.Contains(err.Error(), "1048576 at most") {
-		t.Fatalf("got %v, expected a refusal by size", err)
+		t.Fatalf("ReadControl() of an oversized file = %v, want an error with the limit", err)
 	}
 }
 
-// Pools of run slots stand in a node's file, each for a handler that the platform's settings have. A wrong one says
-// its line.
+// An invalid pool in a node's file must be reported with its line, including one for a handler that the platform's
+// settings lack.
 func TestNodeFilePools(t *testing.T) {
 	read := func(raw string) (*Node, string) {
 		n, err := readNode(Parse("f", []byte(raw)))
@@ -105,7 +106,7 @@
 		{"floors above one", "[pool view]\nfloor = 0.5\n[pool save]\nfloor = 0.6\n",
 			"f:4: pool save.floor: found floors of 1.1 up to here"},
 		{"cap below floor", "[pool view]\nfloor = 0.5\ncap = 0.4\n",
-			"f:3: pool view.cap: found 0.4, expected no less than floor, 0.5"},
+			"f:3: pool view.cap: found 0.4, expected at least floor, 0.5"},
 		{"unknown handler", "[pool load]\n",
 			"f:1: pool load: found a handler that is not known, expected one of view, save"},
 		{"no pool", "[pools]\nreserve = no\n", "f:1: pools: found no [pool HANDLER]"},
@@ -114,33 +115,32 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, got := read(c.raw); !strings.HasPrefix(got, c.want) {
-				t.Errorf("%q: got %q, expected %q", c.raw, got, c.want)
+				t.Errorf("%q: got fault %q, want %q", c.raw, got, c.want)
 			}
 		})
 	}
 	n, got := read("[pools]\n[pool view]\n[pool save]\ncap = 0.4\nlimit = fixed\n")
 	if got != "" || !n.Reserve || len(n.Pools) != 2 || n.Pools[1] != (Pool{"save", 0, 0.4, true}) {
-		t.Fatalf("%+v %q", n, got)
+		t.Fatalf("got %+v and faults %q, want a reserve and two pools, the second fixed at 0.4", n, got)
 	}
 	if n, err := readNode(Parse("f", []byte("[pool view]\n"))); err != nil ||
 		n.Against([]string{"view"}) == nil {
-		t.Fatal("a reserve with one handler was taken")
+		t.Fatal("a reserve with one handler was accepted, want a fault")
 	}
 }
 
-// The [kept] section of a node's file names a folder for stored results; all else has defaults. A wrong one says its
-// line.
+// The [kept] section requires a folder; its other keys have defaults. Its faults must be reported with their lines.
 func TestNodeFileResultStore(t *testing.T) {
 	dir := t.TempDir()
 	n, err := readNode(Parse("node.ini", []byte("[kept]\nfolder = "+dir+"\n")))
 	if err != nil || n.ResultStore.Folder != dir || n.ResultStore.MaxKeys != 100_000 || n.ResultStore.MaxMB != 512 ||
 		n.ResultStore.MaxResultBytes != 8<<10 {
-		t.Fatalf("%+v %v", n, err)
+		t.Fatalf("got %+v, %v, want the folder and defaults", n, err)
 	}
 	o, err := readNode(Parse("node.ini", nil))
 	if err != nil || o.ResultStore != nil || SameResultStore(n.ResultStore, o.ResultStore) ||
 		!SameResultStore(n.ResultStore, n.ResultStore) {
-		t.Errorf("without a section: %+v %v", o, err)
+		t.Errorf("without [kept]: got %+v, %v, want no result store", o, err)
 	}
 	for _, c := range []invalidNode{
 		{"no folder", "[kept]\n", "node.ini:1: kept.folder: found nothing"},
@@ -156,24 +156,25 @@
 	}
 }
 
-// invalidNode is a node's file with a fault, and how its error has to begin.
+// invalidNode is a node's file with a fault, and a text that its error must contain.
 type invalidNode struct{ name, text, want string }
 
 func (c invalidNode) check(t *testing.T) {
 	_, err := readNode(Parse("node.ini", []byte(c.text)))
 	if err == nil || !strings.Contains(err.Error(), c.want) {
-		t.Errorf("%q: found %v, expected %q", c.text, err, c.want)
+		t.Errorf("%q: got error %v, want %q in it", c.text, err, c.want)
 	}
 }
 
-// The [fleet] section of a node's file names the control service and the node's zone. A wrong one says its line.
+// The [fleet] section requires the control service's addresses and the zone. Its faults must be reported with their
+// lines.
 func TestNodeFileFleet(t *testing.T) {
 	n, err := readNode(Parse("node.ini", []byte("[fleet]\ncontrol = 127.0.0.1:7201, 127.0.0.1:7202\nzone = north\n")))
 	if err != nil || len(n.Fleet.Control) != 2 || n.Fleet.Zone != "north" {
-		t.Fatalf("%+v %v", n, err)
+		t.Fatalf("got %+v, %v, want two control addresses and the zone north", n, err)
 	}
 	if n, err = readNode(Parse("node.ini", nil)); err != nil || n.Fleet != nil {
-		t.Errorf("without a section: %+v %v", n, err)
+		t.Errorf("without [fleet]: got %+v, %v, want no fleet", n, err)
 	}
 	for _, c := range []invalidNode{
 		{"no addresses", "[fleet]\nzone = z\n", "node.ini:1: fleet.control: found 0 addresses"},
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// Control is the file of one instance of the control service.
+// Control holds the settings of one instance of the control service.
 type Control struct {
-	Name           string // of this instance, for people; the group knows it by an id of its own
-	Data           string // folder of its log and snapshots; one process at a time
-	Start          string // "new" founds a group of one, "join" waits to be added to one
-	Peer           string // where other instances reach it
-	Bind           string // where it listens for them, if a forwarder stands between
-	Listen         string // where it listens for clients
-	Tick           time.Duration
-	ElectionTicks  int           // without a leader before an election; drawn from here to twice as many
-	DiskMB         int           // limit of log and snapshots, MiB
-	SnapshotMB     int           // MiB of log after which a snapshot is taken
-	SnapshotRateMB int           // of a snapshot to another instance, MiB a second
-	ContactTimeout time.Duration // without a leader before an instance says that what it holds may be old
-	Cert           string
-	Key            string
-	CA             string
-	Token          string // needed for changes; never shown
-	LogForm        string
-	LogFrom        string
+	Name           string        // display name; the group identifies the instance by its id
+	Data           string        // folder of the log and snapshots, used by one process at a time
+	Start          string        // "new" creates a group of one, "join" waits to be added to a group
+	Peer           string        // address at which other instances reach this one
+	Bind           string        // address to listen on for other instances; differs from Peer behind a forwarder
+	Listen         string        // address to listen on for clients
+	Tick           time.Duration // time unit of the group
+	ElectionTicks  int           // minimum ticks without a leader before an election; the maximum is twice as many
+	DiskMB         int           // maximum size of log and snapshots, MiB
+	SnapshotMB     int           // size of the log at which a snapshot is taken, MiB
+	SnapshotRateMB int           // maximum rate of sending a snapshot to another instance, MiB/s
+	ContactTimeout time.Duration // time without a leader after which the instance marks its data as possibly stale
+	Cert           string        // PEM file
+	Key            string        // PEM file
+	CA             string        // PEM file
+	Token          string        // required from clients for changes; never shown
+	LogForm        string        // text or json
+	LogFrom        string        // minimum level of log lines
 }
 
-// ReadControl reads and checks an instance's file, as deploy/control.ini. The error is Faults, or that of the file.
+// ReadControl reads and validates an instance's settings file, such as deploy/control.ini. An invalid file is an error
+// of type Faults.
 func ReadControl(path string) (*Control, error) {
 	t, err := Open(path)
 	if err != nil {
@@ -65,22 +66,22 @@
 		t.Note("instance", "listen", strconv.Quote(c.Listen)+", the peers' address", "an address of its own")
 	}
 	if c.DiskMB < 6*c.SnapshotMB {
-		t.Note("disk", "limit_mb", strconv.Itoa(c.DiskMB), fmt.Sprintf("six times snapshot_mb at least, %d",
+		t.Note("disk", "limit_mb", strconv.Itoa(c.DiskMB), fmt.Sprintf("at least six times snapshot_mb, %d",
 			6*c.SnapshotMB))
 	}
-	if given := c.Cert != "" || c.Key != "" || c.CA != ""; given && (c.Cert == "" || c.Key == "" || c.CA == "") {
-		t.Note("tls", "", "some of its keys", "certificate, key and authority, or none")
-	} else if !given {
-		for _, a := range []struct{ key, at string }{{"peer", c.Peer}, {"bind", c.Bind},
+	if hasTLS := c.Cert != "" || c.Key != "" || c.CA != ""; hasTLS && (c.Cert == "" || c.Key == "" || c.CA == "") {
+		t.Note("tls", "", "only some of its keys", "certificate, key and authority, or none of them")
+	} else if !hasTLS {
+		for _, a := range []struct{ key, address string }{{"peer", c.Peer}, {"bind", c.Bind},
 			{"listen", c.Listen}} {
-			if !Loopback(a.at) && (a.key != "bind" || c.Bind != c.Peer) {
-				t.Note("instance", a.key, strconv.Quote(a.at)+" and no [tls]",
+			if !Loopback(a.address) && (a.key != "bind" || c.Bind != c.Peer) {
+				t.Note("instance", a.key, strconv.Quote(a.address)+" and no [tls]",
 					"a loopback address, or certificate, key and authority under [tls]")
 			}
 		}
 	}
 	if c.Token != "" && len(c.Token) < 16 {
-		t.Note("clients", "token", "", "16 characters at least, or no token")
+		t.Note("clients", "token", "", "at least 16 characters, or no token")
 	}
 	if err := t.Done(); err != nil {
 		return nil, err
@@ -88,7 +89,8 @@
 	return c, nil
 }
 
-// IsName tells whether s can name an instance, class or the like: up to 40 letters, digits, '-', '_' and '.'.
+// IsName reports whether s is a valid name of an instance, class or the like: up to 40 letters, digits, '-', '_' and
+// '.', the first not '-' or '.'.
 func IsName(s string) bool {
 	if s == "" || len(s) > 40 || s[0] == '-' || s[0] == '.' {
 		return false
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,6 +1,5 @@
-// Package config reads the files that operators write: INI text, typed and checked completely, with the line of every
-// fault. It owns the form of such files and how faults are told.
+// Package config parses and validates operators' INI files. All faults of a file are reported together, each with its
+// line; a file with a fault is rejected as a whole.
 //
-// Durations are time.Duration; sizes carry their unit in the name. No part of a file with a fault counts. The package
-// never acts on what it read.
+// Durations are time.Duration; sizes have their unit in the name.
 package config
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -7,21 +7,21 @@
 	"strings"
 )
 
-// Fleet is the [fleet] section of a node's file. Without one the node serves without a control service.
+// Fleet holds the [fleet] section of a node's settings file. A node without it has no control service.
 type Fleet struct {
-	Control        []string // where instances of the control service listen for clients
-	Name           string   // empty: the platform's
-	At             string   // where other nodes reach it; empty: where it listens
+	Control        []string // client addresses of control instances
+	Name           string   // name of the node; empty for the platform's
+	At             string   // address at which other nodes reach this one; empty for the one that it listens on
 	Zone           string
-	Folder         string // for the active and the prepared version; empty: none is stored
-	NoTrialRun     bool   // for fault tests alone, as DisabledGuards
-	DisabledGuards []string
+	Folder         string   // folder of the active and the prepared version; empty to store none
+	NoTrialRun     bool     // disables the trial of a prepared version; fault tests only
+	DisabledGuards []string // fault tests only
 }
 
-// disabledGuardsEnv names the environment variable with guards to be disabled, for fault tests alone.
+// disabledGuardsEnv is the environment variable with the comma-separated guards to disable; fault tests only.
 const disabledGuardsEnv = "UMBERWINCH_WITHOUT"
 
-// maxControlAddresses bounds the list; a group has 15 members at most.
+// maxControlAddresses is the maximum number of members of a group.
 const maxControlAddresses = 15
 
 func readFleet(t *Text) *Fleet {
@@ -32,14 +32,14 @@
 		Zone: t.Needed("fleet", "zone", "the zone this node is in"), Folder: t.String("fleet", "folder", ""),
 		At: t.String("fleet", "at", "")}
 	if len(f.Control) == 0 || len(f.Control) > maxControlAddresses {
-		t.Note("fleet", "control", strconv.Itoa(len(f.Control))+" addresses", "1 to 15 of IP:PORT, parted by commas")
+		t.Note("fleet", "control", strconv.Itoa(len(f.Control))+" addresses", "1 to 15 of IP:PORT, separated by commas")
 	}
-	for _, a := range f.Control {
-		if !IsAddress(a) {
-			t.Note("fleet", "control", strconv.Quote(truncate(a)), "IP:PORT")
-		} else if !Loopback(a) {
-			// The node speaks plain HTTP/1.1: beyond this machine a local forwarder has to carry it.
-			t.Note("fleet", "control", strconv.Quote(a), "a loopback address: a node's askings are not encrypted")
+	for _, address := range f.Control {
+		if !IsAddress(address) {
+			t.Note("fleet", "control", strconv.Quote(truncate(address)), "IP:PORT")
+		} else if !Loopback(address) {
+			// Nodes send plain HTTP/1.1; a local forwarder must encrypt it on the way to another machine.
+			t.Note("fleet", "control", strconv.Quote(address), "a loopback address, as heartbeats are not encrypted")
 		}
 	}
 	if f.Zone != "" && !IsName(f.Zone) {
@@ -53,24 +53,24 @@
 	}
 	if f.Folder != "" {
 		if info, err := os.Stat(f.Folder); err != nil || !info.IsDir() {
-			t.Note("fleet", "folder", strconv.Quote(truncate(f.Folder)), "a folder that is there")
+			t.Note("fleet", "folder", strconv.Quote(truncate(f.Folder)), "an existing folder")
 		}
 	}
-	for _, word := range strings.Split(os.Getenv(disabledGuardsEnv), ",") {
-		if word == "shadow" {
+	for _, guard := range strings.Split(os.Getenv(disabledGuardsEnv), ",") {
+		if guard == "shadow" {
 			f.NoTrialRun = true
-		} else if word == "fence" || word == "no-way-back" || word == "generation" {
-			f.DisabledGuards = append(f.DisabledGuards, word)
+		} else if guard == "fence" || guard == "no-way-back" || guard == "generation" {
+			f.DisabledGuards = append(f.DisabledGuards, guard)
 		}
 	}
 	return f
 }
 
-// Same tells whether two files say the same of the fleet.
-func (f *Fleet) Same(o *Fleet) bool {
-	if f == nil || o == nil {
-		return f == o
+// Same reports whether two [fleet] sections are equal, apart from what fault tests set; nil is an absent section.
+func (f *Fleet) Same(other *Fleet) bool {
+	if f == nil || other == nil {
+		return f == other
 	}
-	return slices.Equal(f.Control, o.Control) && f.Name == o.Name && f.Zone == o.Zone && f.Folder == o.Folder &&
-		f.At == o.At
+	return slices.Equal(f.Control, other.Control) && f.Name == other.Name && f.Zone == other.Zone &&
+		f.Folder == other.Folder && f.At == other.At
 }
--- a/internal/config/ini.go
+++ b/internal/config/ini.go
@@ -12,27 +12,27 @@
 	"gopkg.in/ini.v1"
 )
 
-// maxFileBytes bounds an operator's file; a document of the replicated configuration is the largest, at 1 MiB.
+// maxFileBytes is the maximum size of an operator's file; configuration documents, the largest, have the same limit.
 const maxFileBytes = 1 << 20
 
-// Fault is one thing wrong in a file.
+// Fault is an error in a file.
 type Fault struct {
 	File     string
-	Line     int // 1 on; 0 where the fault is that something is missing
+	Line     int // from 1; 0 if the fault has no line, such as a missing section
 	Key      string
 	Found    string
 	Expected string
 }
 
-// String names file, line and key, and says what was found and expected.
+// String returns file, line and key, and the value found and expected.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s:%d: %s: found %s, expected %s", f.File, f.Line, f.Key, f.Found, f.Expected)
 }
 
-// Faults are all that is wrong in a file, in the order of its lines.
+// Faults are all faults of a file, in the order of its lines.
 type Faults []Fault
 
-// Error gives a line for each fault.
+// Error returns one line for each fault.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
@@ -43,11 +43,12 @@
 
 type keyName struct{ section, key string }
 
-// Text is one file as read. Its getters answer with the value, or with the default and a fault noted.
+// Text is a parsed INI file. Its getters return the value of a key, or the default if it is absent or invalid. Faults
+// are collected and returned by Done.
 type Text struct {
 	name         string
 	file         *ini.File
-	order        []string // sections as they come
+	order        []string // sections in the file's order
 	lines        map[keyName]int
 	secret       map[keyName]bool
 	readKeys     map[keyName]bool
@@ -55,7 +56,7 @@
 	faults       Faults
 }
 
-// Open reads a file.
+// Open reads and parses a file.
 func Open(path string) (*Text, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -71,7 +72,7 @@
 	return Parse(path, raw), nil
 }
 
-// Parse takes text at hand; name stands in the faults.
+// Parse parses the text of a file. name is the file's name in faults.
 func Parse(name string, raw []byte) *Text {
 	t := &Text{name: name, lines: map[keyName]int{}, readKeys: map[keyName]bool{}, readSections: map[string]bool{},
 		secret: map[keyName]bool{}}
@@ -80,9 +81,9 @@
 		t.addFault(0, "file", fmt.Sprintf("%d bytes", len(raw)), "1048576 at most")
 		return t
 	}
-	kept := t.scan(string(raw))
+	validText := t.scan(string(raw))
 	file, err := ini.LoadSources(ini.LoadOptions{KeyValueDelimiters: "=", IgnoreContinuation: true,
-		SpaceBeforeInlineComment: true, PreserveSurroundedQuote: true, ReaderBufferSize: 64 << 10}, []byte(kept))
+		SpaceBeforeInlineComment: true, PreserveSurroundedQuote: true, ReaderBufferSize: 64 << 10}, []byte(validText))
 	if err != nil {
 		t.addFault(0, "file", strconv.Quote(err.Error()), "INI text")
 		file = ini.Empty()
@@ -91,51 +92,52 @@
 	return t
 }
 
-// scan notes on which line each key stands, since the library keeps none, and answers with the text less the
-// lines that are faults, so that one bad line does not hide the faults of the others.
+// scan records the line of each section and key, which the INI library does not keep. It returns the text without
+// invalid lines, so that one of them does not hide the faults of the others.
 func (t *Text) scan(raw string) string {
 	section, out := "", make([]string, 0, 64)
 	seen := map[string]int{}
-	for n, line := range strings.Split(strings.ReplaceAll(raw, "\r\n", "\n"), "\n") {
-		bare, at := strings.TrimSpace(line), n+1
+	for index, line := range strings.Split(strings.ReplaceAll(raw, "\r\n", "\n"), "\n") {
+		trimmed, number := strings.TrimSpace(line), index+1
 		switch {
-		case bare == "" || bare[0] == ';' || bare[0] == '#':
-			bare = ""
-		case strings.ContainsRune(bare, 0) || strings.ContainsAny(bare, "`\r"):
-			t.addFault(at, "line", strconv.Quote(truncate(bare)), "text without control characters or back quotes")
-			bare = ""
-		case bare[0] == '[':
-			name := strings.TrimSpace(strings.TrimSuffix(bare[1:], "]"))
-			if bare[len(bare)-1] != ']' || name == "" || strings.ContainsAny(name, "[]") {
-				t.addFault(at, "line", strconv.Quote(truncate(bare)), "[SECTION]")
-				bare = ""
+		case trimmed == "" || trimmed[0] == ';' || trimmed[0] == '#':
+			trimmed = ""
+		case strings.ContainsRune(trimmed, 0) || strings.ContainsAny(trimmed, "`\r"):
+			t.addFault(number, "line", strconv.Quote(truncate(trimmed)),
+				"text without control characters or back quotes")
+			trimmed = ""
+		case trimmed[0] == '[':
+			name := strings.TrimSpace(strings.TrimSuffix(trimmed[1:], "]"))
+			if trimmed[len(trimmed)-1] != ']' || name == "" || strings.ContainsAny(name, "[]") {
+				t.addFault(number, "line", strconv.Quote(truncate(trimmed)), "[SECTION]")
+				trimmed = ""
 				break
 			}
-			if first, twice := seen[name]; twice {
-				t.addFault(at, "["+name+"]", fmt.Sprintf("it again, first on line %d", first), "each section once")
+			if first, duplicate := seen[name]; duplicate {
+				t.addFault(number, "["+name+"]", fmt.Sprintf("it again, first on line %d", first), "each section once")
 			} else {
-				seen[name] = at
+				seen[name] = number
 				t.order = append(t.order, name)
-				t.lines[keyName{name, ""}] = at
+				t.lines[keyName{name, ""}] = number
 			}
-			section, bare = name, "["+name+"]"
+			section, trimmed = name, "["+name+"]"
 		default:
-			key, _, ok := strings.Cut(bare, "=")
+			key, _, ok := strings.Cut(trimmed, "=")
 			key = strings.TrimSpace(key)
 			if !ok || key == "" || section == "" {
-				t.addFault(at, "line", strconv.Quote(truncate(bare)), "KEY = VALUE under a [SECTION]")
-				bare = ""
+				t.addFault(number, "line", strconv.Quote(truncate(trimmed)), "KEY = VALUE under a [SECTION]")
+				trimmed = ""
 				break
 			}
-			p := keyName{section, key}
-			if first := t.lines[p]; first > 0 {
-				t.addFault(at, section+"."+key, fmt.Sprintf("it again, first on line %d", first), "each key once")
-				bare = ""
+			id := keyName{section, key}
+			if first := t.lines[id]; first > 0 {
+				t.addFault(number, section+"."+key, fmt.Sprintf("it again, first on line %d", first), "each key once")
+				trimmed = ""
 				break
 			}
-			t.lines[p] = at
+			t.lines[id] = number
 		}
-		out = append(out, bare)
+		out = append(out, trimmed)
 	}
 	return strings.Join(out, "\n")
 }
@@ -151,7 +153,7 @@
 	t.faults = append(t.faults, Fault{t.name, line, key, found, expected})
 }
 
-// Note adds a fault found by the user of the file; an empty key means the section.
+// Note adds a fault found by the caller. An empty key stands for the section. The values of secrets are not shown.
 func (t *Text) Note(section, key, found, expected string) {
 	line := t.lines[keyName{section, key}]
 	if line == 0 {
@@ -167,8 +169,8 @@
 	t.addFault(line, name, found, expected)
 }
 
-// Names gives what follows the prefix in the names of its sections, in the file's order: of [class x] with "class"
-// it is x. What is asked for is known from then on.
+// Names returns the names of the sections with a prefix, in the file's order: x for [class x] and the prefix "class".
+// Their sections count as known to Done.
 func (t *Text) Names(prefix string) []string {
 	var out []string
 	for _, s := range t.order {
@@ -180,7 +182,7 @@
 	return out
 }
 
-// Has tells whether a section stands in the file.
+// Has reports whether the file has a section, which counts as known to Done.
 func (t *Text) Has(section string) bool {
 	t.readSections[section] = true
 	return t.lines[keyName{section, ""}] > 0
@@ -196,7 +198,7 @@
 	return strings.TrimSpace(s.Key(key).String()), true
 }
 
-// String gives a text, or the default where the key is not there.
+// String returns a text.
 func (t *Text) String(section, key, def string) string {
 	if v, ok := t.value(section, key); ok {
 		return v
@@ -204,7 +206,7 @@
 	return def
 }
 
-// Needed gives a text that must be there.
+// Needed returns a text that must be present and not empty.
 func (t *Text) Needed(section, key, expected string) string {
 	v, ok := t.value(section, key)
 	if !ok || v == "" {
@@ -213,34 +215,34 @@
 	return v
 }
 
-// Secret is a text that is never shown.
+// Secret returns a text that is never shown in faults.
 func (t *Text) Secret(section, key string) string {
 	t.secret[keyName{section, key}] = true
 	return t.String(section, key, "")
 }
 
-// Choice gives one of some words.
-func (t *Text) Choice(section, key, def string, of ...string) string {
+// Choice returns one of several words.
+func (t *Text) Choice(section, key, def string, words ...string) string {
 	v, ok := t.value(section, key)
 	if !ok {
 		return def
 	}
-	for _, w := range of {
+	for _, w := range words {
 		if v == w {
 			return v
 		}
 	}
-	t.Note(section, key, strconv.Quote(truncate(v)), "one of "+strings.Join(of, ", "))
+	t.Note(section, key, strconv.Quote(truncate(v)), "one of "+strings.Join(words, ", "))
 	return def
 }
 
-// Flag gives yes or no.
+// Flag returns whether the value is yes rather than no.
 func (t *Text) Flag(section, key string, def bool) bool {
 	word := map[bool]string{true: "yes", false: "no"}
 	return t.Choice(section, key, word[def], "yes", "no") == "yes"
 }
 
-// Whole gives a whole number within bounds.
+// Whole returns an integer from least to most.
 func (t *Text) Whole(section, key string, def, least, most int) int {
 	v, ok := t.value(section, key)
 	if !ok {
@@ -254,7 +256,7 @@
 	return n
 }
 
-// Number gives a number within bounds.
+// Number returns a number from least to most.
 func (t *Text) Number(section, key string, def, least, most float64) float64 {
 	v, ok := t.value(section, key)
 	if !ok {
@@ -268,7 +270,7 @@
 	return n
 }
 
-// Time gives a span such as 250ms or 2s, within bounds.
+// Time returns a duration, such as 250ms or 2s, from least to most.
 func (t *Text) Time(section, key string, def, least, most time.Duration) time.Duration {
 	v, ok := t.value(section, key)
 	if !ok {
@@ -282,7 +284,7 @@
 	return d
 }
 
-// Address gives HOST:PORT with the host as an IP address, as there are no name look-ups.
+// Address returns IP:PORT. Host names are rejected, as they are never resolved.
 func (t *Text) Address(section, key, def string) string {
 	v, ok := t.value(section, key)
 	if !ok {
@@ -295,21 +297,21 @@
 	return v
 }
 
-// IsAddress tells whether s is IP:PORT.
+// IsAddress reports whether s is IP:PORT.
 func IsAddress(s string) bool {
 	host, port, err := net.SplitHostPort(s)
-	n, perr := strconv.Atoi(port)
-	return err == nil && perr == nil && n >= 0 && n < 65536 && net.ParseIP(host) != nil
+	n, portErr := strconv.Atoi(port)
+	return err == nil && portErr == nil && n >= 0 && n < 65536 && net.ParseIP(host) != nil
 }
 
-// Loopback tells whether an IP:PORT stays on this machine.
+// Loopback reports whether s is IP:PORT with a loopback address.
 func Loopback(s string) bool {
 	host, _, err := net.SplitHostPort(s)
 	ip := net.ParseIP(host)
 	return err == nil && ip != nil && ip.IsLoopback()
 }
 
-// List gives words parted by commas.
+// List returns comma-separated words.
 func (t *Text) List(section, key string) []string {
 	v, ok := t.value(section, key)
 	if !ok || v == "" {
@@ -326,7 +328,8 @@
 	return out
 }
 
-// Done ends the reading: whatever nobody asked for is a fault. It gives Faults, or nil where there is none.
+// Done adds a fault for each section and key that no getter has read, and returns all faults as Faults, or nil if there
+// are none.
 func (t *Text) Done() error {
 	for _, s := range t.order {
 		if !t.readSections[s] {
--- a/internal/config/pin_keys_test.go
+++ b/internal/config/pin_keys_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-// keysOf lists what was asked of a file, as "section.key".
+// keysOf returns the keys that were read from a file, as "section.key".
 func keysOf(t *Text) []string {
 	var keys []string
-	for p := range t.readKeys {
-		keys = append(keys, strings.ReplaceAll(p.section, " ", "_")+"."+p.key)
+	for key := range t.readKeys {
+		keys = append(keys, strings.ReplaceAll(key.section, " ", "_")+"."+key.key)
 	}
 	sort.Strings(keys)
 	return keys
 }
 
-// The keys of the operators' files are those of version 2a0a97e.
+// Operators' files must stay valid: the keys are those of version 2a0a97e.
 func TestKeysStay(t *testing.T) {
 	control := Parse("f", []byte(validControl))
 	if _, err := readControl(control); err != nil {
@@ -42,7 +42,7 @@
 pool_view.floor pool_view.limit pools.reserve`},
 	} {
 		if want := strings.Fields(c.want); !slices.Equal(c.got, want) {
-			t.Errorf("%s has the keys\n%s\nexpected\n%s", c.file, strings.Join(c.got, "\n"), strings.Join(want, "\n"))
+			t.Errorf("%s has the keys\n%s\nwant\n%s", c.file, strings.Join(c.got, "\n"), strings.Join(want, "\n"))
 		}
 	}
 }
--- a/internal/config/result_store.go
+++ b/internal/config/result_store.go
@@ -6,53 +6,54 @@
 	"strings"
 )
 
-// ResultStore is the [kept] section of a node's file. Without one the node holds idempotency keys in memory alone.
+// ResultStore holds the [kept] section of a node's settings file. A node without it holds idempotency keys in memory
+// only.
 type ResultStore struct {
-	Folder         string // outlasts a restart
-	MaxKeys        int    // idempotency keys
-	MaxMB          int    // MiB of records on disk
-	MaxResultBytes int    // of one result
-	KillAt         string // for fault tests alone: the node ends itself with SIGKILL at this point
-	KillCount      int    // the how-manieth time it gets there
-	DisabledGuards []string
+	Folder         string   // must survive a restart of the node
+	MaxKeys        int      // maximum number of idempotency keys
+	MaxMB          int      // maximum size of the records on disk, MiB
+	MaxResultBytes int      // maximum size of one result
+	KillAt         string   // point at which the node kills itself with SIGKILL; fault tests only
+	KillCount      int      // pass of KillAt, counted from 1, at which the node kills itself
+	DisabledGuards []string // fault tests only
 }
 
-// killEnv names the environment variable with a point at which the node ends itself, as "durable:3", for fault tests
-// alone.
+// killEnv is the environment variable with KillAt and KillCount, such as "durable:3"; fault tests only.
 const killEnv = "UMBERWINCH_DIE_AT"
 
-// defaultMaxResultBytes is twice the platform's largest result, 4 KiB.
+// defaultMaxResultBytes is twice the platform's largest result of 4 KiB.
 const defaultMaxResultBytes = 8 << 10
 
 func readResultStore(t *Text) *ResultStore {
 	if !t.Has("kept") {
 		return nil
 	}
-	k := &ResultStore{Folder: t.Needed("kept", "folder", "a folder that outlasts a restart"),
+	s := &ResultStore{Folder: t.Needed("kept", "folder", "a folder that survives a restart"),
 		MaxKeys: t.Whole("kept", "entries", 100_000, 16, 4_000_000), MaxMB: t.Whole("kept", "mb", 512, 1, 1<<20),
 		MaxResultBytes: t.Whole("kept", "result", defaultMaxResultBytes, 0, 1<<20)}
-	if k.Folder != "" {
-		if info, err := os.Stat(k.Folder); err != nil || !info.IsDir() {
-			t.Note("kept", "folder", strconv.Quote(truncate(k.Folder)), "a folder that is there")
+	if s.Folder != "" {
+		if info, err := os.Stat(s.Folder); err != nil || !info.IsDir() {
+			t.Note("kept", "folder", strconv.Quote(truncate(s.Folder)), "an existing folder")
 		}
 	}
-	if most := int64(k.MaxMB) << 20; 4*int64(k.MaxResultBytes+256) > most {
-		t.Note("kept", "mb", strconv.Itoa(k.MaxMB), "room for two runs with their results at least")
+	if maxBytes := int64(s.MaxMB) << 20; 4*int64(s.MaxResultBytes+256) > maxBytes {
+		t.Note("kept", "mb", strconv.Itoa(s.MaxMB), "room for at least two runs with their results")
 	}
-	k.KillAt, k.KillCount = os.Getenv(killEnv), 1
-	if at, n, ok := strings.Cut(k.KillAt, ":"); ok {
-		k.KillAt = at
-		k.KillCount, _ = strconv.Atoi(n)
+	s.KillAt, s.KillCount = os.Getenv(killEnv), 1
+	if point, count, ok := strings.Cut(s.KillAt, ":"); ok {
+		s.KillAt = point
+		s.KillCount, _ = strconv.Atoi(count)
 	}
-	for _, word := range strings.Split(os.Getenv(disabledGuardsEnv), ",") {
-		if strings.HasPrefix(word, "kept-") {
-			k.DisabledGuards = append(k.DisabledGuards, strings.TrimPrefix(word, "kept-"))
+	for _, guard := range strings.Split(os.Getenv(disabledGuardsEnv), ",") {
+		if strings.HasPrefix(guard, "kept-") {
+			s.DisabledGuards = append(s.DisabledGuards, strings.TrimPrefix(guard, "kept-"))
 		}
 	}
-	return k
+	return s
 }
 
-// SameResultStore tells whether two files have the same [kept] section; one of them may have none.
+// SameResultStore reports whether two [kept] sections are equal, apart from what fault tests set; nil is an absent
+// section.
 func SameResultStore(a, b *ResultStore) bool {
 	if a == nil || b == nil {
 		return a == b
