--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter runs the decision module on the simulator's wire, over standard input and output.
+// Command adapter runs the admission module for the simulator, in its protocol over standard input and output.
 package main
 
 import (
--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -1,4 +1,4 @@
-// Command umberctl runs and asks umberwinch's control service and holds the project's laboratory.
+// Command umberctl runs and operates umberwinch's control service, nodes and zones, and runs the project's fault tests.
 package main
 
 import (
--- a/cmd/umberwinch/built_test.go
+++ b/cmd/umberwinch/built_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// TestBuiltProgram builds by the deploy file's line and holds the program to what the platform asks of it: linked against the
-// C library, started by the run line's own words, health answered, light at idle, ended by SIGTERM.
+// The program built by the deploy file's command must meet the platform's requirements: linked against the C library,
+// started by the run command, healthy, within the memory limit at idle, and ended by SIGTERM.
 func TestBuiltProgram(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -30,7 +30,7 @@
 	line := func(key string) string {
 		m := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"$`).FindSubmatch(deploy)
 		if m == nil {
-			t.Fatalf("deploy/balancer.toml: found no %s = \"...\"", key)
+			t.Fatalf("deploy/balancer.toml has no %s = \"...\"", key)
 		}
 		return string(m[1])
 	}
@@ -47,7 +47,7 @@
 	defer f.Close()
 	libs, err := f.ImportedLibraries()
 	if err != nil || len(libs) == 0 || !strings.HasPrefix(libs[0], "libc.") {
-		t.Errorf("%s needs %v (%v), expected the C library", program, libs, err)
+		t.Errorf("%s imports the libraries %v (%v), want the C library first", program, libs, err)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,20 +83,19 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("no health after 10 s: %v", err)
+			t.Fatalf("/health is not OK after 10 s: %v", err)
 		}
 	}
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", run.Process.Pid)) // exec: its pid is the program's
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", run.Process.Pid)) // exec keeps the shell's pid
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := regexp.MustCompile(`VmRSS:\s+(\d+) kB`).FindSubmatch(status)
 	if m == nil {
-		t.Fatal("no VmRSS in its status")
+		t.Fatalf("found no VmRSS in\n%s", status)
 	}
-	// What the house allows a node at idle.
-	if kb, _ := strconv.Atoi(string(m[1])); kb > 9<<10 {
-		t.Errorf("%d KB resident at idle, expected at most %d", kb, 9<<10)
+	if kb, _ := strconv.Atoi(string(m[1])); kb > 9<<10 { // the platform's limit
+		t.Errorf("%d KB resident at idle, want at most %d", kb, 9<<10)
 	} else {
 		t.Logf("%d KB resident at idle", kb)
 	}
@@ -106,9 +105,9 @@
 	select {
 	case err = <-ended:
 		if err != nil {
-			t.Errorf("after SIGTERM: %v", err)
+			t.Errorf("after SIGTERM the program exited with %v, want status 0", err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("it has not ended 5 s after SIGTERM")
+		t.Error("the program has not exited 5 s after SIGTERM")
 	}
 }
--- a/cmd/umberwinch/main.go
+++ b/cmd/umberwinch/main.go
@@ -1,5 +1,5 @@
-// Command umberwinch is one server's overload controller on real sockets: requests come in from sidecars, run
-// in the kernel that its start-up file names, and are decided on by the admission module.
+// Command umberwinch runs a node: the overload controller of one server. It accepts requests from sidecars, admits or
+// rejects them by the admission module, and runs them in the kernel that its start-up file names.
 package main
 
 import (
@@ -17,16 +17,16 @@
 )
 
 const (
-	// logQueueLength are kept for a log reader that is slow; what is over is left out and counted.
+	// logQueueLength is the number of lines queued for a slow log reader; further lines are dropped and counted.
 	logQueueLength = 4096
-	// logFlushTimeout is how long the last lines may take.
+	// logFlushTimeout bounds the writing of the queued lines at exit.
 	logFlushTimeout = 200 * time.Millisecond
 )
 
 func main() {
 	signals := server.NotifySignals(syscall.SIGTERM, syscall.SIGUSR1, syscall.SIGHUP)
-	// A log reader that is gone must not end the server: see row "write to the log: stands still, EPIPE" in
-	// docs/design/failures.md.
+	// A log reader that has closed its pipe must not end the server: see row "write to the log: stands still, EPIPE"
+	// in docs/design/failures.md.
 	signal.Ignore(syscall.SIGPIPE)
 	signals.Read = func() (*server.Node, error) { return server.ReadBoth(os.Getenv) }
 	node, err := signals.Read()
@@ -44,7 +44,7 @@
 	if err != nil {
 		log.Error(err)
 	}
-	log.SetOutput(io.Discard) // goroutines that still log have nobody to write for them
+	log.SetOutput(io.Discard) // goroutines that still log must not write to lines after Close
 	lines.Close(logFlushTimeout)
 	if err != nil {
 		os.Exit(1)
--- a/deploy/sites/sites_test.go
+++ b/deploy/sites/sites_test.go
@@ -1,5 +1,5 @@
-// Package sites checks the form of the site variants that lie here, each in a folder of its name: a bench reads them,
-// and nothing of this program does.
+// Package sites has no code: its tests validate the site files of this folder, each in a subfolder of the site's name.
+// Only benchmarks read these files.
 package sites
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// siteFile is what a site file says of classes and tenants.
+// siteFile holds the classes and tenants of a site file.
 type siteFile struct {
 	Name  string
 	Class []struct {
@@ -37,12 +37,12 @@
 	}
 }
 
-// siteFolders gives the folders.
+// siteFolders returns the names of the sites' folders.
 func siteFolders(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("*/*.toml")
 	if err != nil || len(files) < 2 {
-		t.Fatalf("found %d variants, %v, expected two or more", len(files), err)
+		t.Fatalf("found %d sites (%v), want at least 2", len(files), err)
 	}
 	var folders []string
 	for _, file := range files {
@@ -63,7 +63,7 @@
 	for _, folder := range siteFolders(t) {
 		s := readSite(t, folder)
 		if s.Name != folder {
-			t.Errorf("%s: name is %q, expected the folder's", folder, s.Name)
+			t.Errorf("%s: name is %q, want the folder's name", folder, s.Name)
 		}
 		checkClasses(t, s)
 		checkTenants(t, s)
@@ -74,7 +74,7 @@
 				err = json.Unmarshal(text, &fields)
 			}
 			if err != nil || fields["family"] != "server" {
-				t.Errorf("%s/%s: %v, family %v, expected JSON of the family server", folder, name, err,
+				t.Errorf("%s/%s: error %v, family %v, want JSON with the family server", folder, name, err,
 					fields["family"])
 			}
 		}
@@ -88,25 +88,25 @@
 	for _, c := range s.Class {
 		total += c.Share
 		if c.Name == "" || seen[c.Name] {
-			t.Errorf("%s: class %q has no name, or another's", s.Name, c.Name)
+			t.Errorf("%s: class name %q is empty or not unique", s.Name, c.Name)
 		}
 		seen[c.Name] = true
 		if len(c.WorkMS) != 2 || c.WorkMS[0] > c.WorkMS[1] || c.WorkMS[1] >= c.AimMS || c.AimMS >= c.Deadline ||
 			c.Worth <= 0 {
-			t.Errorf("%s: class %s: work %v, aim %v, deadline %v, worth %v: expected them to rise, and a worth",
-				s.Name, c.Name,
-				c.WorkMS, c.AimMS, c.Deadline, c.Worth)
+			t.Errorf("%s: class %s has work %v, aim %v, deadline %v, worth %v; want rising times and a worth above 0",
+				s.Name, c.Name, c.WorkMS, c.AimMS, c.Deadline, c.Worth)
 		}
 		if (c.Effect == "keyed") != (c.WindowMS > 0) || (c.Effect == "safe") == c.Write {
-			t.Errorf("%s: class %s: effect %q with window %v and write %v", s.Name, c.Name, c.Effect, c.WindowMS,
-				c.Write)
+			t.Errorf("%s: class %s has effect %q with window %v and write %v; want a window for keyed only, "+
+				"and write for all but safe", s.Name, c.Name, c.Effect, c.WindowMS, c.Write)
 		}
 	}
 	if len(s.Class) == 0 || math.Abs(total-1) > 0.01 {
-		t.Errorf("%s: the shares of %d classes add up to %v, expected 1", s.Name, len(s.Class), total)
+		t.Errorf("%s: the shares of %d classes add up to %v, want 1", s.Name, len(s.Class), total)
 	}
 	if len(s.Fam.Class) != len(s.Class) {
-		t.Errorf("%s: %d classes and %d descriptions of their calls", s.Name, len(s.Class), len(s.Fam.Class))
+		t.Errorf("%s: got %d descriptions of calls, want one for each of %d classes", s.Name, len(s.Fam.Class),
+			len(s.Class))
 	}
 }
 
@@ -116,12 +116,12 @@
 	for _, tenant := range s.Tenant {
 		total += tenant.Share
 		if tenant.Name == "" || seen[tenant.Name] {
-			t.Errorf("%s: tenant %q has no name, or another's", s.Name, tenant.Name)
+			t.Errorf("%s: tenant name %q is empty or not unique", s.Name, tenant.Name)
 		}
 		seen[tenant.Name] = true
 	}
 	if math.Abs(total-1) > 0.02 {
-		t.Errorf("%s: the shares of %d tenants add up to %v, expected 1", s.Name, len(s.Tenant), total)
+		t.Errorf("%s: the shares of %d tenants add up to %v, want 1", s.Name, len(s.Tenant), total)
 	}
 }
 
@@ -136,12 +136,12 @@
 	}
 	for i, line := range strings.Split(strings.TrimSpace(string(text)), "\n") {
 		if !unlockLine.MatchString(line) {
-			t.Errorf("%s:%d: found %q, expected \"unlock KINDS CODE\"", file, i+1, line)
+			t.Errorf("%s:%d: got %q, want \"unlock KINDS CODE\"", file, i+1, line)
 		}
 	}
 }
 
-// No program and no deploy file knows a name of a class or tenant: they come from the settings alone.
+// Programs and deploy files must not contain the name of a class or tenant, which come from the settings only.
 func TestProgramsNameNoClassOrTenant(t *testing.T) {
 	var quoted []string
 	for _, folder := range siteFolders(t) {
@@ -157,7 +157,7 @@
 		"../../cmd/*/*.go"} {
 		files, err := filepath.Glob(pattern)
 		if err != nil || len(files) == 0 {
-			t.Fatalf("%s: %d files, %v", pattern, len(files), err)
+			t.Fatalf("%s matches %d files (%v), want at least one", pattern, len(files), err)
 		}
 		for _, file := range files {
 			text, err := os.ReadFile(file)
@@ -166,7 +166,7 @@
 			}
 			for _, name := range quoted {
 				if !strings.HasSuffix(file, "_test.go") && strings.Contains(string(text), name) {
-					t.Errorf("%s knows the name %s", file, name)
+					t.Errorf("%s contains the name %s", file, name)
 				}
 			}
 		}
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,5 +1,4 @@
-// Package docs holds no code: its tests check that the pages name files, headings, identifiers and constants that
-// exist.
+// Package docs has no code: its tests check that files, headings, identifiers and messages that the pages name exist.
 package docs
 
 import (
@@ -18,7 +17,7 @@
 
 const root = ".."
 
-// pages lists the Markdown files of the repository, from its root.
+// pages returns the paths of the repository's Markdown files, except those of the journal.
 func pages(t *testing.T) []string {
 	t.Helper()
 	var out []string
@@ -57,7 +56,7 @@
 	notInLinks = regexp.MustCompile(`[^\w\- ]`)
 )
 
-// anchors gives the names by which headings of a page are linked to.
+// anchors returns the link anchors of a page's headings.
 func anchors(text string) map[string]bool {
 	out := map[string]bool{}
 	for _, line := range strings.Split(text, "\n") {
@@ -70,7 +69,7 @@
 	return out
 }
 
-// A link to a file or heading leads to one that is there.
+// Links to files and headings must resolve.
 func TestLinksResolve(t *testing.T) {
 	for _, page := range pages(t) {
 		text := readFile(t, page)
@@ -85,23 +84,22 @@
 			}
 			info, err := os.Stat(file)
 			if err != nil {
-				t.Errorf("%s links to %s, which isn't there", page, m[1])
+				t.Errorf("%s links to %s, which does not exist", page, m[1])
 				continue
 			}
 			if heading != "" && (info.IsDir() || !anchors(readFile(t, file))[heading]) {
-				t.Errorf("%s links to the heading %s, which isn't there", page, m[1])
+				t.Errorf("%s links to the heading %s, which does not exist", page, m[1])
 			}
 		}
 	}
 }
 
-// A file or folder of the repository that a page names in code is there. The changelog, incidents, measurements and the
-// page of figures tell of earlier versions.
+// Files and folders of the repository that a page names in a code span must exist. The changelog, incidents,
+// measurements and the page of figures are exempt because they describe earlier versions.
 func TestNamedPathsExist(t *testing.T) {
 	for _, page := range pages(t) {
 		if strings.Contains(page, "CHANGELOG") || strings.Contains(page, "incidents") ||
-			strings.Contains(page, "measured") ||
-			strings.HasSuffix(page, "standing.md") {
+			strings.Contains(page, "measured") || strings.HasSuffix(page, "standing.md") {
 			continue
 		}
 		for _, m := range codeSpan.FindAllStringSubmatch(readFile(t, page), -1) {
@@ -109,7 +107,7 @@
 				continue
 			}
 			if _, err := os.Stat(filepath.Join(root, m[1])); err != nil {
-				t.Errorf("%s names %s, which isn't there", page, m[1])
+				t.Errorf("%s names %s, which does not exist", page, m[1])
 			}
 		}
 	}
@@ -120,7 +118,7 @@
 	testFunc = regexp.MustCompile(`(?m)^func (Test[A-Z]\w*)\(`)
 )
 
-// A test that a page names in code is there.
+// Tests that a page names in a code span must exist.
 func TestNamedTestsExist(t *testing.T) {
 	known := map[string]bool{}
 	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
@@ -142,14 +140,14 @@
 		}
 		for _, name := range codeSpans(readFile(t, page)) {
 			if testSpan.MatchString(name) && !known[name] {
-				t.Errorf("%s names %s, which isn't there", page, name)
+				t.Errorf("%s names %s, which does not exist", page, name)
 			}
 		}
 	}
 }
 
-// declarations are the identifiers of the module's packages, as package.Name and package.Type.Member, and for each the
-// files that declare one of that name.
+// declarations maps the identifiers of the module's packages, as package, package.Name and package.Type.Member, to the
+// files that declare them.
 type declarations map[string][]string
 
 func (d declarations) add(file string, parts ...string) {
@@ -157,7 +155,7 @@
 	d[name] = append(d[name], file)
 }
 
-// declared parses all packages of the module; test files are left out.
+// declared returns the declarations of the module's packages, without their test files.
 func declared(t *testing.T) declarations {
 	t.Helper()
 	out := declarations{}
@@ -237,7 +235,7 @@
 	}
 }
 
-// tableRows gives the cells of a page's tables that have so many columns, without their heads.
+// tableRows returns the rows of a page's tables with the given number of columns, including the rows of headings.
 func tableRows(text string, columns int) [][]string {
 	var out [][]string
 	for _, line := range strings.Split(text, "\n") {
@@ -261,13 +259,13 @@
 	return out
 }
 
-// Each type, function, field or package that the last column of the glossary names is declared.
+// Types, functions, fields and packages in the last column of the glossary must be declared.
 func TestGlossaryNamesExist(t *testing.T) {
 	known := declared(t)
 	found := 0
 	page := readFile(t, "glossary.md")
 	if short := tableRows(page, 4); len(short) > 0 {
-		t.Errorf("rows with four columns, expected five: %v", short)
+		t.Errorf("got rows with 4 columns, want 5: %v", short)
 	}
 	for _, row := range tableRows(page, 5) {
 		for _, name := range codeSpans(row[4]) {
@@ -276,17 +274,16 @@
 				continue // TestNamedPathsExist
 			}
 			if known[name] == nil {
-				t.Errorf("the row of %s names %s, which isn't declared", row[0], name)
+				t.Errorf("the row of %s names %s, which is not declared", row[0], name)
 			}
 		}
 	}
 	if found == 0 {
-		t.Error("found no names")
+		t.Error("found no names in the glossary")
 	}
 }
 
-// Each rule of the page of decisions stands in the file that its row names, and its constants stand in that file's
-// package.
+// Each rule on the page of decisions must be declared in the file of its row, and its constants in that file's package.
 func TestDecisionRulesExist(t *testing.T) {
 	known := declared(t)
 	found := 0
@@ -298,7 +295,7 @@
 		found++
 		for _, name := range codeSpans(row[1]) {
 			if !declaredIn(known[packageOf(files[0])+"."+name], files) {
-				t.Errorf("%q: found no %s in %v", row[0], name, files)
+				t.Errorf("the row of %q names %s, which is not declared in %v", row[0], name, files)
 			}
 		}
 		for _, name := range codeSpans(row[4]) {
@@ -306,12 +303,12 @@
 				continue // TestNamedPathsExist
 			}
 			if !declaredBeside(known, name, files) {
-				t.Errorf("%q: found no constant or field %s in the package of %v", row[0], name, files)
+				t.Errorf("the row of %q names %s, which is not declared in the packages of %v", row[0], name, files)
 			}
 		}
 	}
 	if found == 0 {
-		t.Error("found no rules")
+		t.Error("found no rules on the page of decisions")
 	}
 }
 
@@ -328,7 +325,7 @@
 	return false
 }
 
-// declaredBeside says whether a name, with or without its package, is declared in a package of the files.
+// declaredBeside reports whether a name, with or without its package, is declared in a package of the files.
 func declaredBeside(known declarations, name string, files []string) bool {
 	if known[name] != nil {
 		return true
@@ -342,18 +339,18 @@
 }
 
 var (
-	// quotedMessage is a code span behind the word log: the message of a log line.
+	// quotedMessage matches a code span after the word log: the message of a log line.
 	quotedMessage = regexp.MustCompile("\\b[Ll]og `([^`]+)`")
-	// placeholder is what stands for a value in a quoted message: "..." or a word in capitals.
+	// placeholder matches the placeholder of a value in a quoted message: "..." or a word in capitals.
 	placeholder = regexp.MustCompile(`\.\.\.|\b[A-Z]+\b`)
-	// formatVerb is what stands for a value in a format of the code.
+	// formatVerb matches the verb of a value in a format string.
 	formatVerb = regexp.MustCompile(`%[-+ #0]*[\d.]*[a-z]`)
 )
 
-// minConstantPart of a quoted message, in bytes: one with less would be found in any literal.
+// minConstantPart is the minimum number of constant bytes in a quoted message. One with fewer would match any literal.
 const minConstantPart = 4
 
-// repeatsMessages tells whether a folder's string literals repeat messages of other packages, as fault tests do.
+// repeatsMessages reports whether a folder's string literals repeat messages of other packages, as fault tests do.
 func repeatsMessages(folder string) bool {
 	switch filepath.Base(folder) {
 	case "harness", "simulation", "testdata":
@@ -362,8 +359,8 @@
 	return false
 }
 
-// stringLiterals gives the string literals of the programs, without their tests; literals joined by + are one, and a
-// format's verbs are question marks.
+// stringLiterals returns the string literals of the programs without their tests. Literals joined by + are one literal,
+// and format verbs are replaced by question marks.
 func stringLiterals(t *testing.T) []string {
 	t.Helper()
 	var out []string
@@ -402,7 +399,7 @@
 	return out
 }
 
-// literalText gives the text of a string literal, or of several joined by +.
+// literalText returns the text of a string literal, or of several joined by +.
 func literalText(e ast.Expr) (text string, known bool) {
 	switch e := e.(type) {
 	case *ast.BasicLit:
@@ -416,9 +413,8 @@
 	return "", false
 }
 
-// messagePattern matches the literals that give a quoted message: they have the same constant parts, in the same order,
-// and nothing else but values. A message that is quoted with "..." at its end may go on. It gives nil if too little is
-// constant.
+// messagePattern returns a pattern for the literals of a quoted message: they have the same constant parts in the same
+// order, and any text in place of placeholders. It is nil if the message has fewer than minConstantPart constant bytes.
 func messagePattern(quoted string) *regexp.Regexp {
 	parts := placeholder.Split(quoted, -1)
 	if len(strings.Join(parts, "")) < minConstantPart {
@@ -430,14 +426,14 @@
 	return regexp.MustCompile("^" + strings.Join(parts, ".*") + "$")
 }
 
-// isMessage tells whether one of the literals gives a quoted message.
+// isMessage reports whether a quoted message matches one of the literals.
 func isMessage(literals []string, quoted string) bool {
 	pattern := messagePattern(quoted)
 	return pattern != nil && slices.ContainsFunc(literals, pattern.MatchString)
 }
 
-// A log line that a page quotes, as a code span behind the word log, is written by the programs: its message stands in
-// a string literal, with "..." or a word in capitals for what is a value.
+// Log messages that a page quotes, in a code span after the word log, must be string literals of the programs. In the
+// quotation, "..." or a word in capitals stands for a value.
 func TestQuotedLogMessagesExist(t *testing.T) {
 	literals := stringLiterals(t)
 	found := map[string]int{}
@@ -449,13 +445,13 @@
 		for _, m := range quotedMessage.FindAllStringSubmatch(readFile(t, page), -1) {
 			found[filepath.Base(page)]++
 			if !isMessage(literals, m[1]) {
-				t.Errorf("%s quotes the log message %q, which no program writes", page, m[1])
+				t.Errorf("%s quotes the log message %q, which no program logs", page, m[1])
 			}
 		}
 	}
 	for _, page := range []string{"oncall.md", "decisions.md"} {
 		if found[page] == 0 {
-			t.Errorf("found no log message in %s", page)
+			t.Errorf("found no quoted log message in %s", page)
 		}
 	}
 }
@@ -478,15 +474,15 @@
 	for _, test := range tests {
 		literal := formatVerb.ReplaceAllString(test.literal, "?")
 		if got := isMessage([]string{literal}, test.quoted); got != test.want {
-			t.Errorf("%q as %q: found %v, expected %v", test.literal, test.quoted, got, test.want)
+			t.Errorf("isMessage(%q, %q) = %v, want %v", test.literal, test.quoted, got, test.want)
 		}
 	}
 }
 
-// nameInFile is a code span with a name, and behind it one with the Go file that declares it.
+// nameInFile matches a code span with a name, followed by one with the Go file that declares it.
 var nameInFile = regexp.MustCompile("`([A-Za-z][\\w.]*)`(?:, | in | \\()`((?:admission|internal)/[\\w./-]+\\.go)`")
 
-// A name that a page gives together with its file is declared in that file.
+// Names that a page gives together with a file must be declared in that file.
 func TestNamesAreDeclaredInQuotedFiles(t *testing.T) {
 	known := declared(t)
 	found := 0
@@ -502,11 +498,11 @@
 			}
 			found++
 			if !declaredIn(known[packageOf(file)+"."+name], []string{file}) {
-				t.Errorf("%s: found no %s in %s", page, name, file)
+				t.Errorf("%s names %s in %s, which does not declare it", page, name, file)
 			}
 		}
 	}
 	if found == 0 {
-		t.Error("found no names with their files")
+		t.Error("found no names with their files in the pages")
 	}
 }
--- a/scripts/testrun/knownred.go
+++ b/scripts/testrun/knownred.go
@@ -9,19 +9,19 @@
 	"strings"
 )
 
-// knownFailure is a test that fails for a known fault which is not mended yet: one entry of the list.
+// knownFailure is an entry of the list of tests that fail for a known fault that is not yet fixed.
 type knownFailure struct {
-	Package string // the folder of its package, such as internal/node/server
-	Test    string // TestName, or TestName/subtest
-	Command string // the command that shows the fault, with its seed if it takes one
-	Seen    string // what was seen
-	Issue   string // the number of the open issue
-	Line    int    // where the entry begins in the list
+	Package string // folder of the package, such as internal/node/server
+	Test    string // TestName or TestName/subtest
+	Command string // command that reproduces the fault, with its seed if it takes one
+	Seen    string // observed failure
+	Issue   string // number of the open issue
+	Line    int    // first line of the entry in the list
 }
 
 func (k knownFailure) String() string { return k.Package + "." + k.Test }
 
-// pattern matches this test alone, as go test's -run and -skip take it.
+// pattern returns the pattern for go test's -run and -skip that matches only this test.
 func (k knownFailure) pattern() string {
 	parts := strings.Split(k.Test, "/")
 	for i, part := range parts {
@@ -30,7 +30,7 @@
 	return strings.Join(parts, "/")
 }
 
-// Fields of an entry, each on a line of its own as "name: value". All are required.
+// Fields of an entry, each on its own line as "name: value". All are required.
 const (
 	fieldTest    = "test"
 	fieldCommand = "command"
@@ -44,7 +44,7 @@
 	issueNumber = regexp.MustCompile(`^[0-9]+$`)
 )
 
-// readKnownFailures reads the list; without a file nothing is listed.
+// readKnownFailures reads the list. A missing file is an empty list.
 func readKnownFailures(file string) ([]knownFailure, error) {
 	text, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -56,7 +56,7 @@
 	return parseKnownFailures(file, string(text))
 }
 
-// parseKnownFailures reads entries that are set apart by empty lines. Lines that begin with # are passed over.
+// parseKnownFailures parses entries separated by empty lines. Lines that begin with # are comments.
 func parseKnownFailures(file, text string) ([]knownFailure, error) {
 	var listed []knownFailure
 	entry := newEntry()
@@ -90,7 +90,7 @@
 	return listed, nil
 }
 
-// checkNotListed says whether a test already has an entry.
+// checkNotListed returns an error if a test already has an entry.
 func checkNotListed(listed []knownFailure, known knownFailure) error {
 	for _, other := range listed {
 		if other.String() == known.String() {
@@ -100,15 +100,15 @@
 	return nil
 }
 
-// entry holds the lines of one entry as they are read.
+// entry collects the fields of an entry while it is parsed.
 type entry struct {
-	line   int // of its first field, 0 before that
+	line   int // line of the first field; 0 if there is none yet
 	fields map[string]string
 }
 
 func newEntry() entry { return entry{fields: map[string]string{}} }
 
-// set takes one line of the form "name: value".
+// set adds the field of a line of the form "name: value".
 func (e *entry) set(number int, line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	name, value = strings.TrimSpace(name), strings.TrimSpace(value)
@@ -139,7 +139,7 @@
 	return false
 }
 
-// parse checks a whole entry.
+// parse validates the entry and returns it as a knownFailure.
 func (e *entry) parse() (knownFailure, error) {
 	for _, name := range fieldNames {
 		if e.fields[name] == "" {
@@ -150,8 +150,7 @@
 	parts := testName.FindStringSubmatch(e.fields[fieldTest])
 	if parts == nil {
 		return knownFailure{}, fmt.Errorf("found the test %q, expected a package's folder and a test, "+
-			"such as internal/wal.TestTorn",
-			e.fields[fieldTest])
+			"such as internal/wal.TestTorn", e.fields[fieldTest])
 	}
 	if !issueNumber.MatchString(e.fields[fieldIssue]) {
 		return knownFailure{}, fmt.Errorf("found the issue %q, expected its number", e.fields[fieldIssue])
--- a/scripts/testrun/main.go
+++ b/scripts/testrun/main.go
@@ -1,5 +1,5 @@
-// Testrun runs the project's tests: all that KNOWN-RED.txt does not list have to pass. Those that it lists are run
-// apart and their outcome is printed; one that passes, or that is not there, is an error, as the list is then wrong.
+// Testrun runs the project's tests. All tests must pass except those listed in KNOWN-RED.txt, which run separately and
+// must fail: a listed test that passes or does not exist is an error, as the list is then out of date.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"strings"
 )
 
-// knownFailuresFile lists the tests that may fail, at the root of the repository.
+// knownFailuresFile lists the tests that fail for known faults. It is at the root of the repository.
 const knownFailuresFile = "KNOWN-RED.txt"
 
 func main() {
@@ -29,7 +29,7 @@
 	}
 }
 
-// runner runs the tests of the module in a folder.
+// runner runs the tests of the module in a folder and writes their output to out.
 type runner struct {
 	folder string
 	out    io.Writer
@@ -52,18 +52,18 @@
 	return err
 }
 
-// checkExists looks for a listed test in its package.
+// checkExists returns an error if a listed test is not in its package.
 func (r *runner) checkExists(k knownFailure) error {
 	top, _, _ := strings.Cut(k.Test, "/")
 	out, err := r.goTool("test", "-list", "^"+top+"$", "./"+k.Package)
 	if err != nil || !slices.Contains(strings.Split(out, "\n"), top) {
-		return fmt.Errorf("%s:%d: %s matches no test, expected one that is there", knownFailuresFile, k.Line, k)
+		return fmt.Errorf("%s:%d: %s matches no test, expected an existing one", knownFailuresFile, k.Line, k)
 	}
 	return nil
 }
 
-// runOthers runs all tests that are not listed: packages without a listed test together, the others one by one, as a
-// name is passed over in its own package alone.
+// runOthers runs all tests that are not listed. Packages with a listed test run one by one, because -skip would skip
+// tests of the same name in other packages too.
 func (r *runner) runOthers(patterns []string, listed []knownFailure) error {
 	packages, err := r.packages(patterns)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return err
 }
 
-// packages gives the folders that patterns name, each as "./folder".
+// packages returns the folders of the packages that match the patterns, each as "./folder".
 func (r *runner) packages(patterns []string) ([]string, error) {
 	module, err := r.goTool("list", "-m")
 	if err != nil {
@@ -100,7 +100,7 @@
 	return folders, nil
 }
 
-// goTest runs one package after the other, as some tests time answers and others want all cores.
+// goTest runs packages one at a time, because some tests measure response times and others use all cores.
 func (r *runner) goTest(args ...string) error {
 	if len(args) == 0 {
 		return nil
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// runListed runs a listed test apart and prints its outcome.
+// runListed runs a listed test separately, prints its output, and returns an error unless it fails.
 func (r *runner) runListed(k knownFailure) error {
 	out, err := r.goTool("test", "-count=1", "-v", "-run", k.pattern(), "./"+k.Package)
 	fmt.Fprint(r.out, out)
@@ -122,12 +122,13 @@
 		fmt.Fprintf(r.out, "known red: %s fails as listed: %s (issue %s; %s)\n", k, k.Seen, k.Issue, k.Command)
 		return nil
 	case err == nil && strings.Contains(out, "--- PASS: "+k.Test+" "):
-		return fmt.Errorf("%s:%d: %s passes, expected it to fail: take it off the list", knownFailuresFile, k.Line, k)
+		return fmt.Errorf("%s:%d: %s passes, expected it to fail: remove it from the list", knownFailuresFile, k.Line,
+			k)
 	}
 	return fmt.Errorf("%s:%d: %s neither passes nor fails by itself, expected it to fail", knownFailuresFile, k.Line, k)
 }
 
-// goTool runs the go command and gives all that it prints.
+// goTool runs the go command and returns its standard output and standard error.
 func (r *runner) goTool(args ...string) (string, error) {
 	var out bytes.Buffer
 	cmd := exec.Command("go", args...)
--- a/scripts/testrun/main_test.go
+++ b/scripts/testrun/main_test.go
@@ -26,10 +26,10 @@
 
 import "testing"
 
-func TestBad(t *testing.T) { t.Log("this one of the same name is run") }
+func TestBad(t *testing.T) { t.Log("has the name of a listed test of another package") }
 `
 
-// newModule is a module with tests that fail, and a list.
+// newModule writes a module with failing tests and a list of known failures.
 func newModule(t *testing.T, list string) *runner {
 	t.Helper()
 	folder := t.TempDir()
@@ -47,14 +47,15 @@
 	return &runner{folder: folder, out: &bytes.Buffer{}}
 }
 
-// listEntry is an entry of the list for a test.
+// listEntry returns an entry of the list.
 func listEntry(test, seen, issue string) string {
 	return "test: " + test + "\ncommand: go test ./a -seed 7\nseen: " + seen + "\nissue: " + issue + "\n\n"
 }
 
-// Tests that fail as they are listed are passed over and printed; all others have to pass.
+// Listed tests that fail must be reported without failing the run, and all other tests must run.
 func TestListedFailuresAreTolerated(t *testing.T) {
-	r := newModule(t, "# known\n\n"+listEntry("a.TestBad", "it is wrong", "7")+listEntry("a.TestParts/bad", "so is this", "8"))
+	r := newModule(t, "# known\n\n"+listEntry("a.TestBad", "it is wrong", "7")+
+		listEntry("a.TestParts/bad", "so is this", "8"))
 	err := r.run([]string{"./..."})
 	out := r.out.(*bytes.Buffer).String()
 	if err != nil {
@@ -65,12 +66,12 @@
 		"known red: a.TestParts/bad fails as listed: so is this (issue 8; go test ./a -seed 7)",
 		"ok  \texample/a", "ok  \texample/b"} {
 		if !strings.Contains(out, want) {
-			t.Errorf("never printed: %s\n%s", want, out)
+			t.Errorf("printed\n%s\nwant %q in it", out, want)
 		}
 	}
 }
 
-// More than three tests may be listed: the users ask for one entry each, and set no bound.
+// The length of the list must not be limited.
 func TestListLengthIsUnlimited(t *testing.T) {
 	list := ""
 	for _, name := range []string{"a.TestA", "a.TestB", "b.TestA", "b.TestB"} {
@@ -78,11 +79,11 @@
 	}
 	listed, err := parseKnownFailures(knownFailuresFile, strings.TrimRight(list, "\n"))
 	if err != nil || len(listed) != 4 || listed[3].String() != "b.TestB" || listed[1].Line != 6 {
-		t.Errorf("%v, %v", listed, err)
+		t.Errorf("parseKnownFailures() = %v, %v, want 4 entries", listed, err)
 	}
 }
 
-// A list that is wrong fails the run, and the message says file, line and what was expected.
+// An invalid or outdated list must fail the run with an error that names file, line and fault.
 func TestInvalidListFailsRun(t *testing.T) {
 	good := listEntry("a.TestBad", "it is wrong", "7") + listEntry("a.TestParts/bad", "so is this", "8")
 	for _, c := range []struct{ name, list, want string }{
@@ -96,7 +97,8 @@
 			"KNOWN-RED.txt:11: a.TestParts/x neither passes nor fails"},
 		{"listed twice", good + listEntry("a.TestBad", "twice", "9"),
 			"KNOWN-RED.txt:11: a.TestBad is listed twice, first in line 1"},
-		{"test without package", good + listEntry("TestBad", "no", "9"), "KNOWN-RED.txt:11: found the test \"TestBad\""},
+		{"test without package", good + listEntry("TestBad", "no", "9"),
+			"KNOWN-RED.txt:11: found the test \"TestBad\""},
 		{"issue without number", good + listEntry("a.TestGood", "no", "x"), "KNOWN-RED.txt:11: found the issue \"x\""},
 		{"nothing seen", good + listEntry("a.TestGood", "", "9"), "KNOWN-RED.txt:13: found no value for \"seen\""},
 		{"field missing", good + "test: a.TestGood\nseen: no\nissue: 9\n",
@@ -109,7 +111,7 @@
 			t.Parallel()
 			r := newModule(t, c.list)
 			if err := r.run([]string{"./..."}); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%v, expected %s", err, c.want)
+				t.Errorf("run() = %v, want an error with %q", err, c.want)
 			}
 		})
 	}
