--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -83,21 +83,21 @@
 	if err = cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	up := make(chan string, 1)
+	roles := make(chan string, 1)
 	go func() {
 		lines := bufio.NewScanner(logs)
 		for lines.Scan() {
-			var l struct{ Msg, Node, Role string }
-			if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
+			var entry struct{ Msg, Node, Role string }
+			if err := json.Unmarshal(lines.Bytes(), &entry); err != nil {
 				t.Errorf("log line %q: %v", lines.Text(), err)
 			}
-			if l.Msg == "instance is up" {
-				up <- l.Role
+			if entry.Msg == "instance is up" {
+				roles <- entry.Role
 			}
 		}
 	}()
 	select {
-	case <-up:
+	case <-roles:
 	case <-time.After(20 * time.Second):
 		t.Fatalf("instance %s is not up after 20 s", name)
 	}
@@ -134,17 +134,19 @@
 	b, _ := startInstance(t, dir, "b", "join", 2)
 	at := "--at=" + a + "," + b
 	expect(t, 0, "b  ", "control", "members", "add", b, at)
-	one := writeFile(t, dir, "one.ini", "[class view]\nkind = replayable\n[class file]\nkind = uniqued\nwindow = 20s\n")
-	expect(t, 0, "valid, checked alone", "config", "check", one, at)
-	expect(t, 0, "taken: version 1", "config", "put", one, at, "--reason", "the first", "--author", "op")
-	expect(t, 0, "unchanged: version 1", "config", "put", one, at)
+	firstDocument := writeFile(t, dir, "one.ini",
+		"[class view]\nkind = replayable\n[class file]\nkind = uniqued\nwindow = 20s\n")
+	expect(t, 0, "valid, checked alone", "config", "check", firstDocument, at)
+	expect(t, 0, "taken: version 1", "config", "put", firstDocument, at, "--reason", "the first", "--author", "op")
+	expect(t, 0, "unchanged: version 1", "config", "put", firstDocument, at)
 	expect(t, 0, "window = 20s", "config", "get", "--at="+b)
-	two := writeFile(t, dir, "two.ini", "[class view]\nkind = replayable\n[class file]\nkind = uniqued\nwindow = 30s\n")
-	expect(t, 0, "~ [class file] window = 30s (was 20s)", "config", "diff", two, at)
-	expect(t, 3, "made from version 0, expected 1", "config", "put", two, at, "--base", "0")
-	expect(t, 0, "taken: version 2", "config", "put", two, at)
-	expect(t, 2, "class file.window: found 20s, expected 30s at least", "config", "check", one, at)
-	expect(t, 3, "refused: version 2", "config", "put", one, at)
+	secondDocument := writeFile(t, dir, "two.ini",
+		"[class view]\nkind = replayable\n[class file]\nkind = uniqued\nwindow = 30s\n")
+	expect(t, 0, "~ [class file] window = 30s (was 20s)", "config", "diff", secondDocument, at)
+	expect(t, 3, "made from version 0, expected 1", "config", "put", secondDocument, at, "--base", "0")
+	expect(t, 0, "taken: version 2", "config", "put", secondDocument, at)
+	expect(t, 2, "class file.window: found 20s, expected 30s at least", "config", "check", firstDocument, at)
+	expect(t, 3, "refused: version 2", "config", "put", firstDocument, at)
 	expect(t, 2, "kind: found none of them", "config", "put", writeFile(t, dir, "bad.ini", "[class x]\n"), at)
 	expect(t, 0, "the first", "config", "history", at)
 	expect(t, 3, "version 9, expected one from 1 to 2", "config", "get", "--version", "9", at)
@@ -163,10 +165,10 @@
 		t.Fatal(err)
 	}
 	defer watch.Process.Kill()
-	seen := bufio.NewScanner(lines)
+	printed := bufio.NewScanner(lines)
 	for n := 1; n <= 2; n++ {
-		if !seen.Scan() || !strings.HasPrefix(seen.Text(), fmt.Sprintf("version %d of", n)) {
-			t.Fatalf("config watch printed %q, want version %d", seen.Text(), n)
+		if !printed.Scan() || !strings.HasPrefix(printed.Text(), fmt.Sprintf("version %d of", n)) {
+			t.Fatalf("config watch printed %q, want version %d", printed.Text(), n)
 		}
 	}
 
@@ -182,12 +184,13 @@
 	expect(t, 0, "no response", "control", "status", "--at="+b)
 	expect(t, 4, "may or may not have taken effect", "config", "get", at, "--within", "300ms")
 
-	alone := writeFile(t, dir, "r.ini", fmt.Sprintf("[instance]\nname = r\ndata = %s\n", filepath.Join(dir, "r")))
+	restoredConfig := writeFile(t, dir, "r.ini",
+		fmt.Sprintf("[instance]\nname = r\ndata = %s\n", filepath.Join(dir, "r")))
 	expect(t, 0, "created a new group of one instance with version 2", "control", "snapshot", "restore", saved,
-		"--file", alone)
-	expect(t, 1, "belongs to an instance already", "control", "snapshot", "restore", saved, "--file", alone)
-	r, _ := startInstance(t, dir, "r", "join", 3) // the existing folder overrides start = join
-	expect(t, 0, "window = 30s", "config", "get", "--at="+r)
+		"--file", restoredConfig)
+	expect(t, 1, "belongs to an instance already", "control", "snapshot", "restore", saved, "--file", restoredConfig)
+	restored, _ := startInstance(t, dir, "r", "join", 3) // the existing folder overrides start = join
+	expect(t, 0, "window = 30s", "config", "get", "--at="+restored)
 }
 
 // An instance whose log has a changed byte must not start, must name the file and offset, and must not modify the log.
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -31,49 +31,49 @@
 		Long: `Run one instance of the control service with the settings in --file. SIGTERM transfers leadership
 and stops it; SIGHUP reloads its certificates. A failed write or sync of its log stops it with exit status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			o, err := config.ReadControl(file)
+			settings, err := config.ReadControl(file)
 			if err != nil {
 				return usageError(err)
 			}
-			return runInstance(cmd.Context(), o, cmd.ErrOrStderr())
+			return runInstance(cmd.Context(), settings, cmd.ErrOrStderr())
 		}}
 	c.Flags().StringVar(&file, "file", "deploy/control.ini", "settings file of the instance")
 	return c
 }
 
-func runInstance(ctx context.Context, o *config.Control, out io.Writer) error {
-	log := logging.New(out, o.LogForm, o.LogFrom)
-	g, err := consensus.Start(o, log, harness.FaultsFromEnvironment())
+func runInstance(ctx context.Context, settings *config.Control, out io.Writer) error {
+	log := logging.New(out, settings.LogForm, settings.LogFrom)
+	instance, err := consensus.Start(settings, log, harness.FaultsFromEnvironment())
 	if err != nil {
 		return err
 	}
-	api, err := g.Serve()
+	api, err := instance.Serve()
 	if err != nil {
-		g.Stop(ctx)
+		instance.Stop(ctx)
 		return err
 	}
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
-	defer signal.Stop(hups)
+	reloads := make(chan os.Signal, 1)
+	signal.Notify(reloads, syscall.SIGHUP)
+	defer signal.Stop(reloads)
 	for {
 		select {
-		case <-hups:
-			if err := g.Reload(); err != nil {
+		case <-reloads:
+			if err := instance.Reload(); err != nil {
 				log.WithField(logging.Error, err).Error("failed to reload certificates, keeping the current ones")
 			} else {
 				log.Info("certificates reloaded")
 			}
-		case <-g.Done():
+		case <-instance.Done():
 			api.Stop()
-			log.WithField(logging.Error, g.Err()).Error("instance failed")
-			return g.Err()
+			log.WithField(logging.Error, instance.Err()).Error("instance failed")
+			return instance.Err()
 		case <-ctx.Done():
 			log.Info("instance is stopping")
-			end, cancel := context.WithTimeout(context.Background(), leaveTimeout)
-			g.Stop(end)
+			stopCtx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+			instance.Stop(stopCtx)
 			cancel()
 			api.Stop()
-			return g.Err()
+			return instance.Err()
 		}
 	}
 }
--- a/internal/cli/control_local.go
+++ b/internal/cli/control_local.go
@@ -40,7 +40,7 @@
 	firstPort int
 }
 
-func newControlLocal(a *clientOptions) *cobra.Command {
+func newControlLocal(clientFlags *clientOptions) *cobra.Command {
 	var r localGroupOptions
 	c := &cobra.Command{Use: "local", Short: "Run a group of control instances on loopback", Args: exactArgs(0),
 		Long: `Start control instances as separate processes on loopback ports, join them into one group, print its
@@ -50,7 +50,7 @@
 			if r.instances < 1 || r.instances > 7 {
 				return usageError(fmt.Errorf("--instances: found %d, expected 1 to 7", r.instances))
 			}
-			return r.run(cmd.Context(), a, cmd.OutOrStdout())
+			return r.run(cmd.Context(), clientFlags, cmd.OutOrStdout())
 		}}
 	c.Flags().StringVar(&r.dir, "dir", "control-local", "folder for settings, logs and data")
 	c.Flags().IntVar(&r.instances, "instances", 3, "number of control instances, 1 to 7")
@@ -59,7 +59,7 @@
 }
 
 // run runs the group until the context ends or an instance fails to start.
-func (r *localGroupOptions) run(ctx context.Context, a *clientOptions, w io.Writer) error {
+func (r *localGroupOptions) run(ctx context.Context, clientFlags *clientOptions, w io.Writer) error {
 	program, err := os.Executable()
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 	if err = os.MkdirAll(r.dir, 0o700); err != nil {
 		return err
 	}
-	c, err := a.client()
+	c, err := clientFlags.client()
 	if err != nil {
 		return err
 	}
@@ -128,8 +128,8 @@
 }
 
 // startSupervised writes an instance's settings, starts it, and restarts it whenever it exits.
-func (g *localGroup) startSupervised(ctx context.Context, i *localInstance, founds bool) error {
-	if err := i.writeConfig(founds); err != nil {
+func (g *localGroup) startSupervised(ctx context.Context, i *localInstance, createsGroup bool) error {
+	if err := i.writeConfig(createsGroup); err != nil {
 		return err
 	}
 	if err := g.start(ctx, i); err != nil {
@@ -162,19 +162,19 @@
 // supervise restarts an instance whenever it exits, until the context ends.
 func (g *localGroup) supervise(ctx context.Context, i *localInstance) error {
 	for {
-		began := time.Now()
+		startedAt := time.Now()
 		err := i.process.Wait()
 		if ctx.Err() != nil {
 			return nil
 		}
-		if !endedBySignal(err) && time.Since(began) < restartDelay {
+		if !endedBySignal(err) && time.Since(startedAt) < restartDelay {
 			return fmt.Errorf("instance %s failed to start, see %s: %w", i.name, i.logFile(), err)
 		}
-		how := "status 0"
+		outcome := "status 0"
 		if err != nil {
-			how = err.Error()
+			outcome = err.Error()
 		}
-		fmt.Fprintf(g.out, "instance %s exited (%s), restarting it in %v\n", i.name, how, restartDelay)
+		fmt.Fprintf(g.out, "instance %s exited (%s), restarting it in %v\n", i.name, outcome, restartDelay)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -219,12 +219,12 @@
 
 // addOnceUp adds an instance to the group once it responds, unless it is a member already.
 func (c *client) addOnceUp(ctx context.Context, address string) error {
-	for end := time.Now().Add(localJoinTimeout); ; time.Sleep(localPollInterval) {
+	for deadline := time.Now().Add(localJoinTimeout); ; time.Sleep(localPollInterval) {
 		r, err := c.fetchReport(ctx, address)
 		if err == nil {
 			return c.addUnlessMember(ctx, address, r)
 		}
-		if ctx.Err() != nil || time.Now().After(end) {
+		if ctx.Err() != nil || time.Now().After(deadline) {
 			return fmt.Errorf("%s does not respond: %w", address, err)
 		}
 	}
@@ -243,8 +243,8 @@
 
 // awaitVoters waits until count instances are voters.
 func (c *client) awaitVoters(ctx context.Context, count int) error {
-	end := time.Now().Add(localJoinTimeout)
-	for ; time.Now().Before(end) && ctx.Err() == nil; time.Sleep(localPollInterval) {
+	deadline := time.Now().Add(localJoinTimeout)
+	for ; time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(localPollInterval) {
 		rows, _, err := c.instanceRows(ctx)
 		voters := 0
 		for _, r := range rows {
@@ -261,12 +261,12 @@
 
 // writeConfig writes the instance's settings file unless it exists from an earlier run. The first instance creates the
 // group; the others join it.
-func (i *localInstance) writeConfig(founds bool) error {
+func (i *localInstance) writeConfig(createsGroup bool) error {
 	if _, err := os.Stat(i.configFile()); err == nil {
 		return nil
 	}
 	start := "join"
-	if founds {
+	if createsGroup {
 		start = "new"
 	}
 	text := fmt.Sprintf(`; written by umberctl control local
--- a/internal/cli/control_snapshot.go
+++ b/internal/cli/control_snapshot.go
@@ -45,7 +45,7 @@
 instance of a new group with a new id. Use it when a majority of the old group is permanently lost: changes after the
 save are lost, and the new group rejects the remaining instances of the old one.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			o, err := config.ReadControl(file)
+			settings, err := config.ReadControl(file)
 			if err != nil {
 				return usageError(err)
 			}
@@ -53,11 +53,11 @@
 			if err != nil {
 				return usageError(err)
 			}
-			dir, err := wal.MakeDir(o.Data)
+			dir, err := wal.MakeDir(settings.Data)
 			if err != nil {
 				return err
 			}
-			v, err := consensus.Restore(dir, consensus.ConfigFrom(o), raw)
+			v, err := consensus.Restore(dir, consensus.ConfigFrom(settings), raw)
 			if err != nil {
 				return err
 			}
--- a/internal/cli/deprecated_test.go
+++ b/internal/cli/deprecated_test.go
@@ -11,8 +11,8 @@
 // be hidden from help. Otherwise scripts that use them would break.
 func TestDeprecatedCommandsWorkAndWarn(t *testing.T) {
 	for _, c := range []struct{ name, earlier, now string }{
-		{"harness", "lab raft --without x", "faulttest raft --without x"},
-		{"renamed below the harness", "lab kept --without x", "faulttest results --without x"},
+		{"fault test", "lab raft --without x", "faulttest raft --without x"},
+		{"renamed fault test", "lab kept --without x", "faulttest results --without x"},
 		{"recovery", "lab comeback --mode x", "faulttest recovery --mode x"},
 		{"stored results", "kept list " + t.TempDir(), "results list " + t.TempDir()},
 	} {
@@ -50,12 +50,13 @@
 		}
 		return c
 	}
-	for earlier, now := range map[string]string{"lab raft": "faulttest raft", "lab pools": "faulttest pools",
-		"lab policy": "faulttest policy", "lab zones": "faulttest zones", "lab comeback": "faulttest recovery",
-		"lab kept": "faulttest results", "kept stat": "results stat", "kept verify": "results verify",
+	for deprecatedName, replacement := range map[string]string{"lab raft": "faulttest raft",
+		"lab pools": "faulttest pools", "lab policy": "faulttest policy", "lab zones": "faulttest zones",
+		"lab comeback": "faulttest recovery",
+		"lab kept":     "faulttest results", "kept stat": "results stat", "kept verify": "results verify",
 		"kept compact": "results compact"} {
-		if was, is := find(earlier).Flags().FlagUsages(), find(now).Flags().FlagUsages(); was != is {
-			t.Errorf("%s has the flags\n%swant those of %s\n%s", earlier, was, now, is)
+		if got, want := find(deprecatedName).Flags().FlagUsages(), find(replacement).Flags().FlagUsages(); got != want {
+			t.Errorf("%s has the flags\n%swant those of %s\n%s", deprecatedName, got, replacement, want)
 		}
 	}
 }
--- a/internal/cli/faulttest.go
+++ b/internal/cli/faulttest.go
@@ -113,16 +113,16 @@
 
 // runFaultTest validates the flags of a fault test and runs it, with this program as the one that its processes run. A
 // broken promise is an error.
-func runFaultTest(test faultTest, program *string, check func() error) func(*cobra.Command, []string) error {
+func runFaultTest(test faultTest, programPath *string, check func() error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, _ []string) (err error) {
 		if err = check(); err != nil {
 			return usageError(err)
 		}
-		if *program, err = os.Executable(); err != nil {
+		if *programPath, err = os.Executable(); err != nil {
 			return err
 		}
-		rep, err := test.Run(cmd.Context(), cmd.OutOrStdout())
-		if err == nil && rep.Broken != "" {
+		result, err := test.Run(cmd.Context(), cmd.OutOrStdout())
+		if err == nil && result.Broken != "" {
 			return errors.New("a promise was broken")
 		}
 		return err
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -185,7 +185,7 @@
 	o := startCommand(t, "fleet", "local", "--dir", filepath.Join(dir, "fleet"), "--nodes", "3", "--rate", "20")
 	at := "--at=" + o.await(t, `nodes list --at (\S+)`)
 	o.await(t, `Ctrl-C ends all`)
-	text := func(n int, more string) string {
+	writePolicy := func(n int, more string) string {
 		return writeFile(t, dir, fmt.Sprintf("p%d.ini", n),
 			fmt.Sprintf("[fleet]\nlease = 2s\nwhen_alone = fence\n[tenant t0]\n"+
 				"rate = %d\n%s", n, more))
@@ -193,11 +193,11 @@
 	expect(t, 0, "no change in progress", "policy", "status", at)
 	expect(t, 0, "3 of 3 in, 0 silent, 0 left, 0 fenced\nfleet       full share", "fleet", "status", at)
 	expect(t, 3, "no change is in progress", "policy", "call-off", at)
-	expect(t, 0, "settled: nobody can serve under an older one", "policy", "propose", text(2, ""), at, "--reason",
-		"more")
+	expect(t, 0, "settled: nobody can serve under an older one", "policy", "propose", writePolicy(2, ""), at,
+		"--reason", "more")
 	expect(t, 0, "version 2 committed, 2 decided; 3 of 3 nodes in; lease 2s, when_alone fence", "policy", "status", at)
 	expect(t, 3, "class other: found it in the policy", "policy", "propose",
-		text(3, "[class other]\nkind = replayable\n"), at)
+		writePolicy(3, "[class other]\nkind = replayable\n"), at)
 	expect(t, 3, "was called off: refused by", "policy", "propose", "3", at)
 	expect(t, 3, "version 2, expected one after 2", "policy", "propose", "2", at)
 	expect(t, 2, "within_ms: found 1, expected 1000", "policy", "propose", "2", "--prepare", "1ms", at)
@@ -221,8 +221,8 @@
 	expect(t, 2, `found no node "n9"`, "nodes", "show", "n9", at)
 	expect(t, 3, `found no node "n9"`, "nodes", "forget", "n9", at)
 	killProcess(t, o.await(t, `node n2 of z2  pid (\d+)`))
-	expect(t, 0, "settled", "policy", "propose", text(4, ""), "--exclusive", at) // n2 is down or restarting
-	expect(t, 0, "forgot node n1", "nodes", "forget", "n1", at)                  // n1 runs and joins again
+	expect(t, 0, "settled", "policy", "propose", writePolicy(4, ""), "--exclusive", at) // n2 is down or restarting
+	expect(t, 0, "forgot node n1", "nodes", "forget", "n1", at)                         // n1 runs and joins again
 	eventually(t, 20*time.Second, func() (string, bool) {
 		out, _, _ := runCommand(t, "nodes", "list", at)
 		return "three nodes serving under version 4 in\n" + out, strings.Count(out, " serves  4 ") == 3
@@ -300,14 +300,15 @@
 		&found); err != nil || found.Of.Generation != 1 {
 		t.Fatalf("recover --json = %+v (%v), want generation 1", found, err)
 	}
-	expect(t, 0, "created generation 2 with version 1", "control", "recover", "--file", ini, "--for", "0s", "--found")
+	expect(t, 0, "generation 2 is founded, with version 1", "control", "recover", "--file", ini, "--for", "0s",
+		"--found")
 	if old, _ := filepath.Glob(data + ".generation-1-*"); len(old) != 1 {
 		t.Fatalf("found old folders %v, want one", old)
 	}
 	end = startInstance()
 	expect(t, 0, "rate = 1", "config", "get", at)
 	end()
-	expect(t, 0, "created generation 2", "control", "recover", "--file", ini, "--for", "0s", "--found", "--from",
+	expect(t, 0, "generation 2 is founded", "control", "recover", "--file", ini, "--for", "0s", "--found", "--from",
 		saved)
 	end = startInstance()
 	expect(t, 0, "rate = 1", "config", "get", at)
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -51,16 +51,16 @@
 }
 
 func (r *recoverCommand) run(ctx context.Context, w io.Writer) error {
-	o, err := config.ReadControl(r.configFile)
+	file, err := config.ReadControl(r.configFile)
 	if err != nil {
 		return usageError(err)
 	}
-	settings := consensus.ConfigFrom(o)
-	stored, folderHasFiles, err := r.readStoredGroup(o.Data, settings)
+	settings := consensus.ConfigFrom(file)
+	stored, folderHasFiles, err := r.readStoredGroup(file.Data, settings)
 	if err != nil {
 		return err
 	}
-	records, contacted, err := r.collectRecords(ctx, o.Listen, w)
+	records, contacted, err := r.collectRecords(ctx, file.Listen, w)
 	if err != nil {
 		return err
 	}
@@ -82,16 +82,16 @@
 		return nil
 	}
 	if folderHasFiles {
-		aside := fmt.Sprintf("%s.generation-%d-%s", o.Data, plan.Lost.Generation,
+		oldDir := fmt.Sprintf("%s.generation-%d-%s", file.Data, plan.Lost.Generation,
 			time.Now().UTC().Format("20060102T150405"))
-		if err = os.Rename(o.Data, aside); err != nil {
+		if err = os.Rename(file.Data, oldDir); err != nil {
 			return err
 		}
 		if !r.printJSON {
-			fmt.Fprintf(w, "renamed the old folder to %s\n", aside)
+			fmt.Fprintf(w, "renamed the old folder to %s\n", oldDir)
 		}
 	}
-	dir, err := wal.MakeDir(o.Data)
+	dir, err := wal.MakeDir(file.Data)
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 		return err
 	}
 	if !r.printJSON {
-		fmt.Fprintf(w, "created generation %d with version %d. Start it with: umberctl control run --file %s\n"+
+		fmt.Fprintf(w, "generation %d is founded, with version %d. Start it with: umberctl control run --file %s\n"+
 			"Add other instances with empty folders by start = join and umberctl control members add.\n",
 			plan.Lost.Generation+1, v.Number, r.configFile)
 	}
@@ -150,7 +150,7 @@
 		return nil, 0, ln.Close()
 	}
 	var mu sync.Mutex
-	g, err := consensus.StartCollector(listen, func(k *api.NodeRecord, err error) {
+	collector, err := consensus.StartCollector(listen, func(k *api.NodeRecord, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
@@ -172,10 +172,10 @@
 	case <-time.After(r.listenTime):
 	case <-ctx.Done():
 	}
-	contacted, _ = g.Counts()
-	end, cancel := context.WithTimeout(context.Background(), time.Second)
+	contacted, _ = collector.Counts()
+	stopCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	records = g.Stop(end)
+	records = collector.Stop(stopCtx)
 	return records, contacted, ctx.Err()
 }
 
@@ -194,7 +194,7 @@
 	}
 	rows := [][]string{{"group", fmt.Sprintf("%s, generation %d", groupOrNone(plan.Lost.Group), plan.Lost.Generation)},
 		{"folder", base},
-		{"nodes", fmt.Sprintf("%d made contact, %d records accepted", contacted, len(plan.Nodes))},
+		{"nodes", fmt.Sprintf("%d sent a record, %d count", contacted, len(plan.Nodes))},
 		{"restored", version}, {"proof", plan.Proof},
 		{"zones", fmt.Sprintf("continue after epoch %d", plan.ZoneEpoch)},
 		{"leases", fmt.Sprintf("of the old generation expire first, within %d ms",
--- a/internal/cli/results.go
+++ b/internal/cli/results.go
@@ -72,12 +72,12 @@
 		Long: `Read the whole folder as at a node's start and report the first fault with exit status 1.
 Nothing is modified, except that a torn tail that was never synced is truncated.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			o, err := openResults(args[0])
+			opened, err := openResults(args[0])
 			if err != nil {
 				return err
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "valid: %d records, %d keys, %d that may have run, %d bytes\n",
-				o.Records, o.Keys, o.Indeterminate, o.bytes)
+				opened.Records, opened.Keys, opened.Indeterminate, opened.bytes)
 			return err
 		}}
 }
@@ -164,13 +164,13 @@
 
 // readResults reads a folder. withKeys adds the list of its keys in the order of their expiry.
 func readResults(path string, withKeys bool) (*resultsView, error) {
-	o, err := openResults(path)
+	opened, err := openResults(path)
 	if err != nil {
 		return nil, err
 	}
-	v := &resultsView{Records: o.Records, Bytes: o.bytes, Keys: o.Keys, States: map[string]int{},
-		IsSameBoot: o.SameBoot, TornTail: o.TornTail, TookMS: o.Duration.Milliseconds()}
-	o.index.ForEach(o.readAt, func(k resultstore.Key, s resultstore.State, left uint64) {
+	v := &resultsView{Records: opened.Records, Bytes: opened.bytes, Keys: opened.Keys, States: map[string]int{},
+		IsSameBoot: opened.SameBoot, TornTail: opened.TornTail, TookMS: opened.Duration.Milliseconds()}
+	opened.index.ForEach(opened.readAt, func(k resultstore.Key, s resultstore.State, left uint64) {
 		if v.States[s.String()]++; withKeys {
 			v.List = append(v.List, resultsKey{hex.EncodeToString(k[:]), s.String(), left})
 		}
--- a/internal/clock/stamps.go
+++ b/internal/clock/stamps.go
@@ -3,7 +3,8 @@
 import "time"
 
 const (
-	// minStep is the smallest change of the wall clock's offset that counts as a step. Smaller changes are slew.
+	// minStep is the smallest change of the wall clock's offset that counts as a step. Smaller changes come from slew
+	// and from the time between reading the two clocks.
 	minStep = 50 * time.Millisecond
 	// offsetTolerance is the change of the offset above which the clocks are read a second time.
 	offsetTolerance = time.Millisecond
@@ -28,10 +29,11 @@
 	maxAge time.Duration
 }
 
-// NewStamps starts from the clocks' present offset. Stamps older than keep are rejected.
+// NewStamps starts from the clocks' present offset. Stamps older than maxAge are rejected.
 func NewStamps(read func() Reading, maxAge time.Duration) *Stamps {
 	r := read()
-	return &Stamps{maxAge: maxAge, epochs: []epoch{{offset: r.Wall - r.Monotonic, lastSeen: r.Monotonic, until: forever}}}
+	first := epoch{offset: r.Wall - r.Monotonic, lastSeen: r.Monotonic, until: forever}
+	return &Stamps{maxAge: maxAge, epochs: []epoch{first}}
 }
 
 const forever = time.Duration(1 << 62)
@@ -43,8 +45,8 @@
 	last := &s.epochs[len(s.epochs)-1]
 	offset := r.Wall - r.Monotonic
 	if (offset - last.offset).Abs() > offsetTolerance {
-		// A process that is suspended between reading the wall clock and the monotonic clock sees an offset that is too
-		// small. The larger of two readings excludes that.
+		// A process suspended between reading the wall clock and the monotonic clock sees an offset that is too small,
+		// so the larger of two readings counts.
 		second := read()
 		offset = max(offset, second.Wall-second.Monotonic)
 		r = second
@@ -60,7 +62,7 @@
 	return r.Monotonic, step
 }
 
-// dropExpired drops epochs whose stamps are all too old to be placed.
+// dropExpired drops the oldest epochs beyond maxEpochs, and those whose stamps are all too old to be placed.
 func (s *Stamps) dropExpired(now time.Duration) {
 	drop := max(len(s.epochs)-maxEpochs, 0)
 	for drop < len(s.epochs)-1 && now-s.epochs[drop].until > s.maxAge+stepUncertainty {
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -63,7 +63,7 @@
 		t.Note("instance", "name", strconv.Quote(truncate(c.Name)), "up to 40 letters, digits, '-' and '_'")
 	}
 	if c.Peer == c.Listen || c.Bind == c.Listen {
-		t.Note("instance", "listen", strconv.Quote(c.Listen)+", the peers' address", "an address of its own")
+		t.Note("instance", "listen", strconv.Quote(c.Listen)+", the peers' address", "a different address")
 	}
 	if c.DiskMB < 6*c.SnapshotMB {
 		t.Note("disk", "limit_mb", strconv.Itoa(c.DiskMB), fmt.Sprintf("at least six times snapshot_mb, %d",
