--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,5 +1,4 @@
-// Package docs holds no code: its tests check that the pages name files, headings, identifiers and constants that
-// exist.
+// Package docs has no code: its tests check that files, headings, identifiers and messages that the pages name exist.
 package docs
 
 import (
@@ -18,7 +17,7 @@
 
 const root = ".."
 
-// pages lists the Markdown files of the repository, from its root.
+// pages returns the paths of the repository's Markdown files, except those of the journal.
 func pages(t *testing.T) []string {
 	t.Helper()
 	var out []string
@@ -40,7 +39,7 @@
 	return out
 }
 
-func read(t *testing.T, file string) string {
+func readFile(t *testing.T, file string) string {
 	t.Helper()
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -57,7 +56,7 @@
 	notInLinks = regexp.MustCompile(`[^\w\- ]`)
 )
 
-// anchors gives the names by which headings of a page are linked to.
+// anchors returns the link anchors of a page's headings.
 func anchors(text string) map[string]bool {
 	out := map[string]bool{}
 	for _, line := range strings.Split(text, "\n") {
@@ -70,10 +69,10 @@
 	return out
 }
 
-// A link to a file or heading leads to one that is there.
-func TestLinksLeadSomewhere(t *testing.T) {
+// Links to files and headings must resolve.
+func TestLinksResolve(t *testing.T) {
 	for _, page := range pages(t) {
-		text := read(t, page)
+		text := readFile(t, page)
 		for _, m := range markdownLink.FindAllStringSubmatch(text, -1) {
 			target, heading, _ := strings.Cut(m[1], "#")
 			if strings.Contains(target, "://") {
@@ -85,31 +84,30 @@
 			}
 			info, err := os.Stat(file)
 			if err != nil {
-				t.Errorf("%s links to %s, which isn't there", page, m[1])
+				t.Errorf("%s links to %s, which does not exist", page, m[1])
 				continue
 			}
-			if heading != "" && (info.IsDir() || !anchors(read(t, file))[heading]) {
-				t.Errorf("%s links to the heading %s, which isn't there", page, m[1])
+			if heading != "" && (info.IsDir() || !anchors(readFile(t, file))[heading]) {
+				t.Errorf("%s links to the heading %s, which does not exist", page, m[1])
 			}
 		}
 	}
 }
 
-// A file or folder of the repository that a page names in code is there. The changelog, incidents, measurements and the
-// page of figures tell of earlier versions.
+// Files and folders of the repository that a page names in a code span must exist. The changelog, incidents,
+// measurements and the page of figures are exempt because they describe earlier versions.
 func TestNamedPathsExist(t *testing.T) {
 	for _, page := range pages(t) {
 		if strings.Contains(page, "CHANGELOG") || strings.Contains(page, "incidents") ||
-			strings.Contains(page, "measured") ||
-			strings.HasSuffix(page, "standing.md") {
+			strings.Contains(page, "measured") || strings.HasSuffix(page, "standing.md") {
 			continue
 		}
-		for _, m := range codeSpan.FindAllStringSubmatch(read(t, page), -1) {
+		for _, m := range codeSpan.FindAllStringSubmatch(readFile(t, page), -1) {
 			if !pathSpan.MatchString(m[1]) {
 				continue
 			}
 			if _, err := os.Stat(filepath.Join(root, m[1])); err != nil {
-				t.Errorf("%s names %s, which isn't there", page, m[1])
+				t.Errorf("%s names %s, which does not exist", page, m[1])
 			}
 		}
 	}
@@ -120,14 +118,14 @@
 	testFunc = regexp.MustCompile(`(?m)^func (Test[A-Z]\w*)\(`)
 )
 
-// A test that a page names in code is there.
+// Tests that a page names in a code span must exist.
 func TestNamedTestsExist(t *testing.T) {
 	known := map[string]bool{}
 	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		for _, m := range testFunc.FindAllStringSubmatch(read(t, path), -1) {
+		for _, m := range testFunc.FindAllStringSubmatch(readFile(t, path), -1) {
 			known[m[1]] = true
 		}
 		return nil
@@ -140,16 +138,16 @@
 			strings.HasSuffix(page, "standing.md") {
 			continue
 		}
-		for _, name := range spans(read(t, page)) {
+		for _, name := range codeSpans(readFile(t, page)) {
 			if testSpan.MatchString(name) && !known[name] {
-				t.Errorf("%s names %s, which isn't there", page, name)
+				t.Errorf("%s names %s, which does not exist", page, name)
 			}
 		}
 	}
 }
 
-// declarations are the identifiers of the module's packages, as package.Name and package.Type.Member, and for each the
-// files that declare one of that name.
+// declarations maps the identifiers of the module's packages, as package, package.Name and package.Type.Member, to the
+// files that declare them.
 type declarations map[string][]string
 
 func (d declarations) add(file string, parts ...string) {
@@ -157,7 +155,7 @@
 	d[name] = append(d[name], file)
 }
 
-// declared parses all packages of the module; test files are left out.
+// declared returns the declarations of the module's packages, without their test files.
 func declared(t *testing.T) declarations {
 	t.Helper()
 	out := declarations{}
@@ -237,8 +235,8 @@
 	}
 }
 
-// rows gives the cells of a page's tables that have so many columns, without their heads.
-func rows(text string, columns int) [][]string {
+// tableRows returns the rows of a page's tables with the given number of columns, including the rows of headings.
+func tableRows(text string, columns int) [][]string {
 	var out [][]string
 	for _, line := range strings.Split(text, "\n") {
 		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), " | ")
@@ -253,7 +251,7 @@
 	return out
 }
 
-func spans(cell string) []string {
+func codeSpans(cell string) []string {
 	var out []string
 	for _, m := range codeSpan.FindAllStringSubmatch(cell, -1) {
 		out = append(out, m[1])
@@ -261,57 +259,56 @@
 	return out
 }
 
-// Each type, function, field or package that the last column of the glossary names is declared.
+// Types, functions, fields and packages in the last column of the glossary must be declared.
 func TestGlossaryNamesExist(t *testing.T) {
 	known := declared(t)
 	found := 0
-	page := read(t, "glossary.md")
-	if short := rows(page, 4); len(short) > 0 {
-		t.Errorf("rows with four columns, expected five: %v", short)
+	page := readFile(t, "glossary.md")
+	if short := tableRows(page, 4); len(short) > 0 {
+		t.Errorf("got rows with 4 columns, want 5: %v", short)
 	}
-	for _, row := range rows(page, 5) {
-		for _, name := range spans(row[4]) {
+	for _, row := range tableRows(page, 5) {
+		for _, name := range codeSpans(row[4]) {
 			found++
 			if pathSpan.MatchString(name) {
 				continue // TestNamedPathsExist
 			}
 			if known[name] == nil {
-				t.Errorf("the row of %s names %s, which isn't declared", row[0], name)
+				t.Errorf("the row of %s names %s, which is not declared", row[0], name)
 			}
 		}
 	}
 	if found == 0 {
-		t.Error("found no names")
+		t.Error("found no names in the glossary")
 	}
 }
 
-// Each rule of the page of decisions stands in the file that its row names, and its constants stand in that file's
-// package.
-func TestDecisionsNameRulesThatExist(t *testing.T) {
+// Each rule on the page of decisions must be declared in the file of its row, and its constants in that file's package.
+func TestDecisionRulesExist(t *testing.T) {
 	known := declared(t)
 	found := 0
-	for _, row := range rows(read(t, "decisions.md"), 7) {
-		files := spans(row[2])
+	for _, row := range tableRows(readFile(t, "decisions.md"), 7) {
+		files := codeSpans(row[2])
 		if len(files) == 0 {
 			continue
 		}
 		found++
-		for _, name := range spans(row[1]) {
+		for _, name := range codeSpans(row[1]) {
 			if !declaredIn(known[packageOf(files[0])+"."+name], files) {
-				t.Errorf("%q: found no %s in %v", row[0], name, files)
+				t.Errorf("the row of %q names %s, which is not declared in %v", row[0], name, files)
 			}
 		}
-		for _, name := range spans(row[4]) {
+		for _, name := range codeSpans(row[4]) {
 			if pathSpan.MatchString(name) {
 				continue // TestNamedPathsExist
 			}
 			if !declaredBeside(known, name, files) {
-				t.Errorf("%q: found no constant or field %s in the package of %v", row[0], name, files)
+				t.Errorf("the row of %q names %s, which is not declared in the packages of %v", row[0], name, files)
 			}
 		}
 	}
 	if found == 0 {
-		t.Error("found no rules")
+		t.Error("found no rules on the page of decisions")
 	}
 }
 
@@ -328,7 +325,7 @@
 	return false
 }
 
-// declaredBeside says whether a name, with or without its package, is declared in a package of the files.
+// declaredBeside reports whether a name, with or without its package, is declared in a package of the files.
 func declaredBeside(known declarations, name string, files []string) bool {
 	if known[name] != nil {
 		return true
@@ -342,19 +339,19 @@
 }
 
 var (
-	// quotedMessage is a code span behind the word log: the message of a log line.
+	// quotedMessage matches a code span after the word log: the message of a log line.
 	quotedMessage = regexp.MustCompile("\\b[Ll]og `([^`]+)`")
-	// placeholder is what stands for a value in a quoted message: "..." or a word in capitals.
+	// placeholder matches the placeholder of a value in a quoted message: "..." or a word in capitals.
 	placeholder = regexp.MustCompile(`\.\.\.|\b[A-Z]+\b`)
-	// formatVerb is what stands for a value in a format of the code.
+	// formatVerb matches the verb of a value in a format string.
 	formatVerb = regexp.MustCompile(`%[-+ #0]*[\d.]*[a-z]`)
 )
 
-// minConstantPart of a quoted message, in bytes: one with less would be found in any literal.
+// minConstantPart is the minimum number of constant bytes in a quoted message. One with fewer would match any literal.
 const minConstantPart = 4
 
-// quotesSource tells whether a folder's string literals repeat messages of other packages, as fault tests do.
-func quotesSource(folder string) bool {
+// repeatsMessages reports whether a folder's string literals repeat messages of other packages, as fault tests do.
+func repeatsMessages(folder string) bool {
 	switch filepath.Base(folder) {
 	case "harness", "simulation", "testdata":
 		return true
@@ -362,8 +359,8 @@
 	return false
 }
 
-// stringLiterals gives the string literals of the programs, without their tests; literals joined by + are one, and a
-// format's verbs are question marks.
+// stringLiterals returns the string literals of the programs without their tests. Literals joined by + are one literal,
+// and format verbs are replaced by question marks.
 func stringLiterals(t *testing.T) []string {
 	t.Helper()
 	var out []string
@@ -373,7 +370,7 @@
 			switch {
 			case err != nil:
 				return err
-			case entry.IsDir() && quotesSource(path):
+			case entry.IsDir() && repeatsMessages(path):
 				return filepath.SkipDir
 			case !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 				return nil
@@ -402,7 +399,7 @@
 	return out
 }
 
-// literalText gives the text of a string literal, or of several joined by +.
+// literalText returns the text of a string literal, or of several joined by +.
 func literalText(e ast.Expr) (text string, known bool) {
 	switch e := e.(type) {
 	case *ast.BasicLit:
@@ -416,9 +413,8 @@
 	return "", false
 }
 
-// messagePattern matches the literals that give a quoted message: they have the same constant parts, in the same order,
-// and nothing else but values. A message that is quoted with "..." at its end may go on. It gives nil if too little is
-// constant.
+// messagePattern returns a pattern for the literals of a quoted message: they have the same constant parts in the same
+// order, and any text in place of placeholders. It is nil if the message has fewer than minConstantPart constant bytes.
 func messagePattern(quoted string) *regexp.Regexp {
 	parts := placeholder.Split(quoted, -1)
 	if len(strings.Join(parts, "")) < minConstantPart {
@@ -430,14 +426,14 @@
 	return regexp.MustCompile("^" + strings.Join(parts, ".*") + "$")
 }
 
-// isMessage tells whether one of the literals gives a quoted message.
+// isMessage reports whether a quoted message matches one of the literals.
 func isMessage(literals []string, quoted string) bool {
 	pattern := messagePattern(quoted)
 	return pattern != nil && slices.ContainsFunc(literals, pattern.MatchString)
 }
 
-// A log line that a page quotes, as a code span behind the word log, is written by the programs: its message stands in
-// a string literal, with "..." or a word in capitals for what is a value.
+// Log messages that a page quotes, in a code span after the word log, must be string literals of the programs. In the
+// quotation, "..." or a word in capitals stands for a value.
 func TestQuotedLogMessagesExist(t *testing.T) {
 	literals := stringLiterals(t)
 	found := map[string]int{}
@@ -446,16 +442,16 @@
 			strings.HasSuffix(page, "standing.md") {
 			continue
 		}
-		for _, m := range quotedMessage.FindAllStringSubmatch(read(t, page), -1) {
+		for _, m := range quotedMessage.FindAllStringSubmatch(readFile(t, page), -1) {
 			found[filepath.Base(page)]++
 			if !isMessage(literals, m[1]) {
-				t.Errorf("%s quotes the log message %q, which no program writes", page, m[1])
+				t.Errorf("%s quotes the log message %q, which no program logs", page, m[1])
 			}
 		}
 	}
 	for _, page := range []string{"oncall.md", "decisions.md"} {
 		if found[page] == 0 {
-			t.Errorf("found no log message in %s", page)
+			t.Errorf("found no quoted log message in %s", page)
 		}
 	}
 }
@@ -478,16 +474,16 @@
 	for _, test := range tests {
 		literal := formatVerb.ReplaceAllString(test.literal, "?")
 		if got := isMessage([]string{literal}, test.quoted); got != test.want {
-			t.Errorf("%q as %q: found %v, expected %v", test.literal, test.quoted, got, test.want)
+			t.Errorf("isMessage(%q, %q) = %v, want %v", test.literal, test.quoted, got, test.want)
 		}
 	}
 }
 
-// nameInFile is a code span with a name, and behind it one with the Go file that declares it.
+// nameInFile matches a code span with a name, followed by one with the Go file that declares it.
 var nameInFile = regexp.MustCompile("`([A-Za-z][\\w.]*)`(?:, | in | \\()`((?:admission|internal)/[\\w./-]+\\.go)`")
 
-// A name that a page gives together with its file is declared in that file.
-func TestNamesAreInTheFilesBesideThem(t *testing.T) {
+// Names that a page gives together with a file must be declared in that file.
+func TestNamesAreDeclaredInQuotedFiles(t *testing.T) {
 	known := declared(t)
 	found := 0
 	for _, page := range pages(t) {
@@ -495,18 +491,18 @@
 			strings.HasSuffix(page, "standing.md") {
 			continue
 		}
-		for _, m := range nameInFile.FindAllStringSubmatch(read(t, page), -1) {
+		for _, m := range nameInFile.FindAllStringSubmatch(readFile(t, page), -1) {
 			name, file := m[1], m[2]
 			if strings.HasSuffix(name, ".go") {
 				continue
 			}
 			found++
 			if !declaredIn(known[packageOf(file)+"."+name], []string{file}) {
-				t.Errorf("%s: found no %s in %s", page, name, file)
+				t.Errorf("%s names %s in %s, which does not declare it", page, name, file)
 			}
 		}
 	}
 	if found == 0 {
-		t.Error("found no names with their files")
+		t.Error("found no names with their files in the pages")
 	}
 }
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -17,65 +17,66 @@
 )
 
 func newControl() *cobra.Command {
-	c := &cobra.Command{Use: "control", Short: "The control service: run an instance, show and change a group"}
-	var a access
-	a.flags(c)
-	c.AddCommand(newRun(), newLocal(&a), newStatus(&a), newMembers(&a), newSnapshot(&a), newRecover())
+	c := &cobra.Command{Use: "control", Short: "Run control instances and operate their group"}
+	var a clientOptions
+	a.addFlags(c)
+	c.AddCommand(newControlRun(), newControlLocal(&a), newControlStatus(&a), newControlMembers(&a),
+		newControlSnapshot(&a), newControlRecover())
 	return c
 }
 
-func newRun() *cobra.Command {
+func newControlRun() *cobra.Command {
 	var file string
-	c := &cobra.Command{Use: "run", Short: "Run one instance until SIGTERM", Args: exact(0),
-		Long: `Runs one instance of the control service by the operator's file. SIGTERM transfers leadership and
-ends it; SIGHUP reads the certificates again. A write or sync that fails ends it with status 1.`,
+	c := &cobra.Command{Use: "run", Short: "Run one control instance until SIGTERM", Args: exactArgs(0),
+		Long: `Run one instance of the control service with the settings in --file. SIGTERM transfers leadership
+and stops it; SIGHUP reloads its certificates. A failed write or sync of its log stops it with exit status 1.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			o, err := config.ReadControl(file)
+			settings, err := config.ReadControl(file)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
-			return runInstance(cmd.Context(), o, cmd.ErrOrStderr())
+			return runInstance(cmd.Context(), settings, cmd.ErrOrStderr())
 		}}
-	c.Flags().StringVar(&file, "file", "deploy/control.ini", "the operator's file")
+	c.Flags().StringVar(&file, "file", "deploy/control.ini", "settings file of the instance")
 	return c
 }
 
-func runInstance(ctx context.Context, o *config.Control, out io.Writer) error {
-	log := logging.New(out, o.LogForm, o.LogFrom)
-	g, err := consensus.Start(o, log, harness.FaultsFromEnvironment())
+func runInstance(ctx context.Context, settings *config.Control, out io.Writer) error {
+	log := logging.New(out, settings.LogForm, settings.LogFrom)
+	instance, err := consensus.Start(settings, log, harness.FaultsFromEnvironment())
 	if err != nil {
 		return err
 	}
-	api, err := g.Serve()
+	api, err := instance.Serve()
 	if err != nil {
-		g.Stop(ctx)
+		instance.Stop(ctx)
 		return err
 	}
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
-	defer signal.Stop(hups)
+	reloads := make(chan os.Signal, 1)
+	signal.Notify(reloads, syscall.SIGHUP)
+	defer signal.Stop(reloads)
 	for {
 		select {
-		case <-hups:
-			if err := g.Reload(); err != nil {
-				log.WithField(logging.Error, err).Error("certificates not taken, the old ones stay")
+		case <-reloads:
+			if err := instance.Reload(); err != nil {
+				log.WithField(logging.Error, err).Error("failed to reload certificates, keeping the current ones")
 			} else {
-				log.Info("certificates read again")
+				log.Info("certificates reloaded")
 			}
-		case <-g.Done():
+		case <-instance.Done():
 			api.Stop()
-			log.WithField(logging.Error, g.Err()).Error("the instance can't go on")
-			return g.Err()
+			log.WithField(logging.Error, instance.Err()).Error("instance failed")
+			return instance.Err()
 		case <-ctx.Done():
-			log.Info("ending")
-			end, cancel := context.WithTimeout(context.Background(), stopWithin)
-			g.Stop(end)
+			log.Info("instance is stopping")
+			stopCtx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+			instance.Stop(stopCtx)
 			cancel()
 			api.Stop()
-			return g.Err()
+			return instance.Err()
 		}
 	}
 }
 
-// stopWithin is how long an instance that ends may take to transfer its leadership.
-const stopWithin = 2 * time.Second
+// leaveTimeout bounds the leadership transfer of an instance that stops.
+const leaveTimeout = 2 * time.Second
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -13,36 +13,37 @@
 	"umberwinch/internal/harness"
 )
 
-// demoRequest is what the flags of `demo` ask for.
-type demoRequest struct {
+// demoOptions are the flags of `demo`.
+type demoOptions struct {
 	demo   harness.Demo
 	asJSON bool
 }
 
 func newDemo() *cobra.Command {
-	var r demoRequest
-	c := &cobra.Command{Use: "demo", Short: "A node, an emulated kernel and a load on loopback, with a live table",
-		Args: exact(0), Long: `Runs a node, an emulated kernel and callers in this process until --seconds are
-over, q is pressed or it is interrupted, and prints what each class of requests got. A run that is interrupted
-or fails leaves the node's log, and says on standard error where.`,
+	var r demoOptions
+	c := &cobra.Command{Use: "demo", Short: "Run a node, an emulated kernel and a load on loopback, with a live table",
+		Args: exactArgs(0),
+		Long: `Run a node, an emulated kernel and callers in this process for --seconds, or until q is
+pressed or the command is interrupted, then print the results of each class of requests. An interrupted or failed run
+keeps the node's log and prints its folder on standard error.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := r.check(); err != nil {
-				return usage(err)
+			if err := r.validate(); err != nil {
+				return usageError(err)
 			}
 			return r.run(cmd.Context(), cmd.OutOrStdout(), cmd.ErrOrStderr())
 		}}
 	f := c.Flags()
 	f.Int64Var(&r.demo.Seed, "seed", 1, "seed of the load's random numbers")
-	f.Float64Var(&r.demo.Load, "load", 0.9, "share of the cores' capacity that is asked for")
-	f.BoolVar(&r.demo.Pools, "pools", false, "with pools of run slots")
-	f.IntVar(&r.demo.Seconds, "seconds", 0, "how long; 0 until it is interrupted")
+	f.Float64Var(&r.demo.Load, "load", 0.9, "offered load as a fraction of the cores' capacity, above 0 and at most 10")
+	f.BoolVar(&r.demo.Pools, "pools", false, "enable pools of run slots")
+	f.IntVar(&r.demo.Seconds, "seconds", 0, "duration in seconds; 0 to run until interrupted")
 	f.StringVar(&r.demo.Trouble, "trouble", "",
-		"a fault: a slow or cold dependency; links: the kernel's link breaks every 5 s")
+		"fault to inject: slow or cold (a dependency), or links (breaks the kernel's link every 5 s)")
 	f.BoolVar(&r.asJSON, "json", false, "print the results as JSON")
 	return c
 }
 
-func (r *demoRequest) check() error {
+func (r *demoOptions) validate() error {
 	if r.demo.Load <= 0 || r.demo.Load > 10 {
 		return fmt.Errorf("--load: found %g, expected above 0 and at most 10", r.demo.Load)
 	}
@@ -52,38 +53,38 @@
 	return nil
 }
 
-func (r *demoRequest) run(ctx context.Context, out, errs io.Writer) error {
+func (r *demoOptions) run(ctx context.Context, stdout, stderr io.Writer) error {
 	r.demo.Plain = true
-	if f, ok := out.(*os.File); ok && term.IsTerminal(int(f.Fd())) && term.IsTerminal(int(os.Stdin.Fd())) {
-		was, err := term.MakeRaw(int(os.Stdin.Fd()))
+	if f, ok := stdout.(*os.File); ok && term.IsTerminal(int(f.Fd())) && term.IsTerminal(int(os.Stdin.Fd())) {
+		state, err := term.MakeRaw(int(os.Stdin.Fd()))
 		if err != nil {
 			return err
 		}
-		defer term.Restore(int(os.Stdin.Fd()), was)
-		r.demo.Plain, r.demo.Keys = false, pressedKeys(os.Stdin)
+		defer term.Restore(int(os.Stdin.Fd()), state)
+		r.demo.Plain, r.demo.Keys = false, readKeys(os.Stdin)
 	}
-	results, err := r.demo.Run(ctx, out)
+	results, err := r.demo.Run(ctx, stdout)
 	if err != nil {
 		return err
 	}
 	if r.demo.Folder != "" {
-		fmt.Fprintf(errs, "interrupted; logs are in %s\n", r.demo.Folder)
+		fmt.Fprintf(stderr, "interrupted; logs are in %s\n", r.demo.Folder)
 	}
 	if r.asJSON {
-		return printJSON(out, results)
+		return printJSON(stdout, results)
 	}
-	return table(out, demoTable(results))
+	return printTable(stdout, demoTable(results))
 }
 
-// pressedKeys reads a terminal in raw mode.
-func pressedKeys(terminal io.Reader) <-chan byte {
+// readKeys sends each byte read from a terminal in raw mode, until a read fails.
+func readKeys(terminal io.Reader) <-chan byte {
 	keys := make(chan byte)
 	go func() {
-		for one := make([]byte, 1); ; {
-			if _, err := terminal.Read(one); err != nil {
+		for key := make([]byte, 1); ; {
+			if _, err := terminal.Read(key); err != nil {
 				return
 			}
-			keys <- one[0]
+			keys <- key[0]
 		}
 	}()
 	return keys
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -24,7 +24,7 @@
 	"umberwinch/internal/control/zones"
 )
 
-// output is what a running command printed so far.
+// output collects the output of a running command.
 type output struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -42,8 +42,8 @@
 	return o.b.String()
 }
 
-// running starts a command that goes on until the test ends, and is ended by SIGTERM with status 0.
-func running(t *testing.T, args ...string) *output {
+// startCommand starts a command that runs until the test ends. SIGTERM must then end it with status 0.
+func startCommand(t *testing.T, args ...string) *output {
 	t.Helper()
 	o := &output{}
 	cmd := exec.Command(program, args...)
@@ -60,8 +60,8 @@
 	return o
 }
 
-// says waits until it printed something that matches, and gives the first group of it.
-func (o *output) says(t *testing.T, pattern string) string {
+// await waits until the output matches a pattern, and returns its last group, or the whole match if it has none.
+func (o *output) await(t *testing.T, pattern string) string {
 	t.Helper()
 	re := regexp.MustCompile(pattern)
 	var found []string
@@ -72,21 +72,21 @@
 	return found[len(found)-1]
 }
 
-// eventually waits until a condition holds; it fails the test with what is missing once the time is over.
-func eventually(t *testing.T, within time.Duration, holds func() (what string, ok bool)) {
+// eventually waits until a condition holds. After the timeout it fails the test with the condition's description.
+func eventually(t *testing.T, within time.Duration, condition func() (what string, ok bool)) {
 	t.Helper()
 	for end := time.Now().Add(within); ; time.Sleep(10 * time.Millisecond) {
-		what, ok := holds()
+		what, ok := condition()
 		if ok {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", within, what)
+			t.Fatalf("not met within %v: %s", within, what)
 		}
 	}
 }
 
-func kill(t *testing.T, pid string) {
+func killProcess(t *testing.T, pid string) {
 	t.Helper()
 	n, err := strconv.Atoi(pid)
 	if err == nil {
@@ -97,42 +97,42 @@
 	}
 }
 
-// Ports of a local group: three for clients, and as many for peers a hundred below.
+// Ports of a local group: three for clients, and three lower by a hundred for peers.
 const (
-	groupPorts  = 3
-	peersBelow  = 100
-	portBlock   = 2 * peersBelow // its lower half is for peers
-	lastPort    = 30000
-	firstPort   = 17201
-	pidSpread   = 500 // programs of tests that run at one time begin at ports of their own
-	portsPerPID = 20
+	portsPerGroup      = 3
+	testPeerPortOffset = 100
+	portBlock          = 2 * testPeerPortOffset // the lower half is for peers
+	maxPort            = 30000
+	firstPort          = 17201
+	pidSpread          = 500 // test processes that run at the same time use different ranges of ports
+	portsPerPID        = 20
 )
 
-// givenPorts counts the groups of ports that freePort gave, or found taken. What is given is not listened on at once,
-// so none is given twice.
-var givenPorts atomic.Int32
+// portGroupsTried counts the port groups that reservePorts has handed out or found in use. A reserved port is not
+// listened on immediately, so a free port may be reserved already.
+var portGroupsTried atomic.Int32
 
-// freePort gives a port from which a few on, and those a hundred below, are free.
-func freePort(t *testing.T) int {
+// reservePorts returns the first client port of a local group whose client and peer ports are free and not reserved.
+func reservePorts(t *testing.T) int {
 	t.Helper()
 	for {
-		n := int(givenPorts.Add(1)) - 1
-		perBlock := peersBelow / groupPorts
+		n := int(portGroupsTried.Add(1)) - 1
+		perBlock := testPeerPortOffset / portsPerGroup
 		block := firstPort + os.Getpid()%pidSpread*portsPerPID + n/perBlock*portBlock
-		port := block + peersBelow + n%perBlock*groupPorts
-		if port+groupPorts > lastPort {
+		port := block + testPeerPortOffset + n%perBlock*portsPerGroup
+		if port+portsPerGroup > maxPort {
 			t.Fatal("no free ports")
 		}
-		if groupIsFree(port) {
+		if portsAreFree(port) {
 			return port
 		}
 	}
 }
 
-// groupIsFree reports whether nothing listens on the ports of a group.
-func groupIsFree(port int) bool {
-	for i := range groupPorts {
-		for _, p := range []int{port + i, port - peersBelow + i} {
+// portsAreFree reports whether nothing listens on the ports of a group.
+func portsAreFree(port int) bool {
+	for i := range portsPerGroup {
+		for _, p := range []int{port + i, port - testPeerPortOffset + i} {
 			l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", p))
 			if err != nil {
 				return false
@@ -143,17 +143,16 @@
 	return true
 }
 
-// Ports of groups that tests start side by side: none is given twice, neither for clients nor for peers. A port that
-// was given twice had one of two groups fail to listen.
-func TestFreePortsAreGivenOnce(t *testing.T) {
+// If a port were reserved twice, one of two groups that tests run in parallel would fail to listen on it.
+func TestReservedPortsAreDistinct(t *testing.T) {
 	t.Parallel()
 	given := map[int]bool{}
-	for range 2 * peersBelow / groupPorts {
-		port := freePort(t)
-		for i := range groupPorts {
-			for _, p := range []int{port + i, port - peersBelow + i} {
+	for range 2 * testPeerPortOffset / portsPerGroup {
+		port := reservePorts(t)
+		for i := range portsPerGroup {
+			for _, p := range []int{port + i, port - testPeerPortOffset + i} {
 				if given[p] {
-					t.Fatalf("port %d is given twice", p)
+					t.Fatalf("port %d was reserved twice", p)
 				}
 				given[p] = true
 			}
@@ -161,76 +160,77 @@
 	}
 }
 
-// An instance of a local group is killed: the others take a write meanwhile, and it is started again and has that
-// write.
-func TestLocalGroupStartsKilledInstanceAgain(t *testing.T) {
+// A local group must commit a write while one of its instances is down, and the restarted instance must have it.
+func TestLocalGroupRestartsKilledInstance(t *testing.T) {
 	t.Parallel()
-	dir, port := t.TempDir(), freePort(t)
-	o := running(t, "control", "local", "--dir", filepath.Join(dir, "group"), "--port", strconv.Itoa(port))
-	at := "--at=" + o.says(t, `control status --at (\S+)`)
-	kill(t, o.says(t, `instance b: pid (\d+)`))
-	want(t, 0, "taken: version 1", "config", "put", file(t, dir, "one.ini", "[tenant t]\nrate = 1\n"), at)
-	o.says(t, `instance b ended`)
-	o.says(t, `instance b is up again, pid (\d+)`)
+	dir, port := t.TempDir(), reservePorts(t)
+	o := startCommand(t, "control", "local", "--dir", filepath.Join(dir, "group"), "--port", strconv.Itoa(port))
+	at := "--at=" + o.await(t, `control status --at (\S+)`)
+	killProcess(t, o.await(t, `instance b: pid (\d+)`))
+	expect(t, 0, "taken: version 1", "config", "put", writeFile(t, dir, "one.ini", "[tenant t]\nrate = 1\n"), at)
+	o.await(t, `instance b exited`)
+	o.await(t, `restarted instance b, pid (\d+)`)
 	b := fmt.Sprintf("--at=127.0.0.1:%d", port+1)
 	eventually(t, 20*time.Second, func() (string, bool) {
-		out, _, code := run(t, "config", "get", b, "--within", "1s")
-		return "version 1 at the instance that was started again", code == 0 && strings.Contains(out, "rate = 1")
+		out, _, code := runCommand(t, "config", "get", b, "--within", "1s")
+		return "version 1 at the restarted instance", code == 0 && strings.Contains(out, "rate = 1")
 	})
 }
 
-// An operator looks at a fleet of three, makes a change, is refused wrong ones, makes another while a node is killed,
-// and forgets a node that lives: it joins again, and all three serve under the last version.
-func TestOperatorChangesPolicyOfLocalFleet(t *testing.T) {
+// Operates a fleet of three nodes: a change settles, invalid ones are refused, an exclusive change settles although a
+// node is killed, and a live node that is forgotten joins again. All nodes must end at the last version.
+func TestPolicyChangesOfLocalFleet(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	o := running(t, "fleet", "local", "--dir", filepath.Join(dir, "fleet"), "--nodes", "3", "--rate", "20")
-	at := "--at=" + o.says(t, `nodes list --at (\S+)`)
-	o.says(t, `Ctrl-C ends all`)
-	text := func(n int, more string) string {
-		return file(t, dir, fmt.Sprintf("p%d.ini", n),
+	o := startCommand(t, "fleet", "local", "--dir", filepath.Join(dir, "fleet"), "--nodes", "3", "--rate", "20")
+	at := "--at=" + o.await(t, `nodes list --at (\S+)`)
+	o.await(t, `Ctrl-C ends all`)
+	writePolicy := func(n int, more string) string {
+		return writeFile(t, dir, fmt.Sprintf("p%d.ini", n),
 			fmt.Sprintf("[fleet]\nlease = 2s\nwhen_alone = fence\n[tenant t0]\n"+
 				"rate = %d\n%s", n, more))
 	}
-	want(t, 0, "no change under way", "policy", "status", at)
-	want(t, 0, "3 of 3 in, 0 silent, 0 left, 0 fenced\nfleet       full share", "fleet", "status", at)
-	want(t, 3, "no change is under way", "policy", "call-off", at)
-	want(t, 0, "settled: nobody can serve under an older one", "policy", "propose", text(2, ""), at, "--reason", "more")
-	want(t, 0, "version 2 committed, 2 decided; 3 of 3 nodes in; lease 2s, when_alone fence", "policy", "status", at)
-	want(t, 3, "class other: found it in the policy", "policy", "propose",
-		text(3, "[class other]\nkind = replayable\n"), at)
-	want(t, 3, "was called off: refused by", "policy", "propose", "3", at)
-	want(t, 3, "version 2, expected one after 2", "policy", "propose", "2", at)
-	want(t, 2, "within_ms: found 1, expected 1000", "policy", "propose", "2", "--prepare", "1ms", at)
-	want(t, 0, "called off", "policy", "history", at)
-	want(t, 0, "proposed by", "policy", "explain", "2", at)
-	want(t, 2, "found no change 99", "policy", "explain", "99", at)
+	expect(t, 0, "no change in progress", "policy", "status", at)
+	expect(t, 0, "3 of 3 in, 0 silent, 0 left, 0 fenced\nfleet       full share", "fleet", "status", at)
+	expect(t, 3, "no change is in progress", "policy", "call-off", at)
+	expect(t, 0, "settled: nobody can serve under an older one", "policy", "propose", writePolicy(2, ""), at,
+		"--reason", "more")
+	expect(t, 0, "version 2 committed, 2 decided; 3 of 3 nodes in; lease 2s, when_alone fence", "policy", "status", at)
+	expect(t, 3, "class other: found it in the policy", "policy", "propose",
+		writePolicy(3, "[class other]\nkind = replayable\n"), at)
+	expect(t, 3, "was called off: refused by", "policy", "propose", "3", at)
+	expect(t, 3, "version 2, expected one after 2", "policy", "propose", "2", at)
+	expect(t, 2, "within_ms: found 1, expected 1000", "policy", "propose", "2", "--prepare", "1ms", at)
+	expect(t, 0, "called off", "policy", "history", at)
+	expect(t, 0, "proposed by", "policy", "explain", "2", at)
+	expect(t, 2, "found no change 99", "policy", "explain", "99", at)
 	var v consensus.PolicyView
-	if err := json.Unmarshal([]byte(want(t, 0, "", "policy", "status", "--json", at)), &v); err != nil ||
-		v.CommittedVersion != 2 ||
-		len(v.History) != 4 || v.History[1].Step != policy.Settled {
-		t.Errorf("%+v (%v)", v, err)
+	if err := json.Unmarshal([]byte(expect(t, 0, "", "policy", "status", "--json", at)), &v); err != nil ||
+		v.CommittedVersion != 2 || len(v.History) != 4 || v.History[1].Step != policy.Settled {
+		t.Errorf("policy status = %+v (%v), want version 2 committed and 4 changes, the second settled", v, err)
 	}
-	out := want(t, 0, "n3    z3    serves  2", "nodes", "list", at)
+	out := expect(t, 0, "n3    z3    serves  2", "nodes", "list", at)
 	if strings.Count(out, "\n") != 4 {
-		t.Errorf("list of three nodes:\n%s", out)
+		t.Errorf("nodes list printed\n%s, want a heading and three nodes", out)
 	}
-	want(t, 0, "address", "nodes", "show", "n1", at)
-	want(t, 2, `found no node "n9"`, "nodes", "show", "n9", at)
-	want(t, 3, `found no node "n9"`, "nodes", "forget", "n9", at)
-	kill(t, o.says(t, `node n2 of z2  pid (\d+)`))
-	want(t, 0, "settled", "policy", "propose", text(4, ""), "--exclusive", at) // it is down, or comes back meanwhile
-	want(t, 0, "n1 is forgotten", "nodes", "forget", "n1", at)                 // it lives, and joins again
+	address := o.await(t, `node n1 of z1  pid \d+  at (\S+)`)
+	row := regexp.MustCompile(`(?m)^address +` + regexp.QuoteMeta(address) + `$`)
+	if out := expect(t, 0, "", "nodes", "show", "n1", at); !row.MatchString(out) {
+		t.Errorf("nodes show n1 printed\n%s, want the row address with %s", out, address)
+	}
+	expect(t, 2, `found no node "n9"`, "nodes", "show", "n9", at)
+	expect(t, 3, `found no node "n9"`, "nodes", "forget", "n9", at)
+	killProcess(t, o.await(t, `node n2 of z2  pid (\d+)`))
+	expect(t, 0, "settled", "policy", "propose", writePolicy(4, ""), "--exclusive", at) // n2 is down or restarting
+	expect(t, 0, "forgot node n1", "nodes", "forget", "n1", at)                         // n1 runs and joins again
 	eventually(t, 20*time.Second, func() (string, bool) {
-		out, _, _ := run(t, "nodes", "list", at)
-		return "three nodes under version 4 in\n" + out, strings.Count(out, " serves  4 ") == 3
+		out, _, _ := runCommand(t, "nodes", "list", at)
+		return "three nodes serving under version 4 in\n" + out, strings.Count(out, " serves  4 ") == 3
 	})
 }
 
-// A group that was restored has lost an entry that a node was told of, and leases of the generation before may still be
-// acted on. Its fleet ramps as a whole, with one of four nodes silent, one gone and one fenced, and a zone evacuated:
-// the status has all of it, with the least time until the fleet has its full share. Once the ramp is over, the share is
-// full.
+// fleet status must show a restored group's state loss, its unknown leases, node counts, evacuated zones, the fleet's
+// ramp and the minimum time to the full share; after the ramp, a full share.
 func TestFleetStatusOfRampAfterStateLoss(t *testing.T) {
 	nodes := []consensus.NodeView{{}, {Node: membership.Node{OutReason: membership.OutSilent}},
 		{Fenced: "its lease has run out"}, {Node: membership.Node{OutReason: membership.OutLeft}}}
@@ -242,75 +242,74 @@
 		StateLoss: "n3 was told of entry 812"}, zones: &consensus.ZonesView{ClockMS: 9000,
 		Rules: api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 2000}, Zones: []consensus.ZoneView{ramp, out, in}}}
 	s := views.status()
-	// Three seconds a step, two steps to all of it, one of three gone by at this one.
+	// A step takes 3 s. The share needs two more steps, and 1 s of the current one has passed: 6 + 2 s.
 	if s.In != 2 || s.Silent != 1 || s.Left != 1 || s.Fenced != 1 || s.EstimateMS != 8000 || s.Share != 1.0/16 ||
 		len(s.Zones) != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("status() = %+v, want 2 nodes in, 1 silent, 1 left, 1 fenced, 8000 ms, share 1/16, 1 zone", s)
 	}
 	printed := fmt.Sprint(s.rows())
-	for _, want := range []string{"[state loss n3 was told of entry 812]", "for 1.5 s more",
-		"ramping: share 6% since 1.0 s, restart",
-		"[note held]", "8 s at least", "z1 is out, share 0%", "2 of 4 in, 1 silent, 1 left, 1 fenced"} {
+	for _, want := range []string{"[state loss n3 was told of entry 812]", "for up to 1.5 s",
+		"ramping: share 6% for 1.0 s, cause restart", "[note held]", "at least 8 s", "z1 is out, share 0%",
+		"2 of 4 in, 1 silent, 1 left, 1 fenced"} {
 		if !strings.Contains(printed, want) {
-			t.Errorf("%q is not in %s", want, printed)
+			t.Errorf("rows() = %s, want %q in it", printed, want)
 		}
 	}
 	views.zones.Zones = []consensus.ZoneView{in}
 	if printed := fmt.Sprint(views.status().rows()); !strings.Contains(printed, "[fleet full share]") {
-		t.Errorf("%s, expected its full share", printed)
+		t.Errorf("rows() = %s, want the full share", printed)
 	}
 }
 
-// An instance has a version and a saved snapshot. Recovery changes nothing without --found, and nothing while the
-// instance is up. Once it is killed, its folder is read, moved aside and followed by the next generation; so is the
-// snapshot.
-func TestRecoverFoundsNextGenerationOfStoppedInstance(t *testing.T) {
+// recover must change nothing without --found or while the instance runs. With --found it must create the next
+// generation from the stopped instance's folder or a snapshot, with the committed version, and keep the old folder.
+func TestRecoverCreatesNextGeneration(t *testing.T) {
 	t.Parallel()
-	dir, port := t.TempDir(), freePort(t)
+	dir, port := t.TempDir(), reservePorts(t)
 	data := filepath.Join(dir, "data")
-	ini := file(t, dir, "a.ini", fmt.Sprintf("[instance]\nname = a\ndata = %s\npeer = 127.0.0.1:%d\n"+
+	ini := writeFile(t, dir, "a.ini", fmt.Sprintf("[instance]\nname = a\ndata = %s\npeer = 127.0.0.1:%d\n"+
 		"listen = 127.0.0.1:%d\n", data, port-100, port))
-	want(t, 2, "no such file", "control", "recover", "--file", filepath.Join(dir, "none.ini"))
-	want(t, 0, "nobody served under a version", "control", "recover", "--file", ini, "--for", "0s")
+	expect(t, 2, "no such file", "control", "recover", "--file", filepath.Join(dir, "none.ini"))
+	expect(t, 0, "nobody served under a version", "control", "recover", "--file", ini, "--for", "0s")
 	if _, err := os.Stat(data); err == nil {
-		t.Fatal("a folder was made without --found")
+		t.Fatal("a folder was created without --found")
 	}
 	at := fmt.Sprintf("--at=127.0.0.1:%d", port)
-	serve := func() (end func()) {
+	startInstance := func() (end func()) {
 		cmd := exec.Command(program, "control", "run", "--file", ini)
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
 		return func() { cmd.Process.Kill(); cmd.Wait() }
 	}
-	end := serve()
+	end := startInstance()
 	defer func() { end() }()
-	want(t, 0, "taken: version 1", "config", "put", file(t, dir, "one.ini", "[tenant t]\nrate = 1\n"), at)
-	want(t, 1, "the folder is in use by another process", "control", "recover", "--file", ini, "--for", "1s")
+	expect(t, 0, "taken: version 1", "config", "put", writeFile(t, dir, "one.ini", "[tenant t]\nrate = 1\n"), at)
+	expect(t, 1, "the folder is in use by another process", "control", "recover", "--file", ini, "--for", "1s")
 	saved := filepath.Join(dir, "saved")
-	want(t, 0, "saved version 1", "control", "snapshot", "save", saved, at)
-	want(t, 1, "has to be stopped first", "control", "recover", "--file", ini, "--for", "0s", "--from", saved,
-		"--found")
+	expect(t, 0, "saved version 1", "control", "snapshot", "save", saved, at)
+	expect(t, 1, "stop the instance that listens there first", "control", "recover", "--file", ini, "--for", "0s",
+		"--from", saved, "--found")
 	end()
 	var found struct {
 		Of struct {
 			Generation uint64 `json:"generation"`
 		} `json:"of"`
 	}
-	if err := json.Unmarshal([]byte(want(t, 0, "", "control", "recover", "--file", ini, "--for", "0s", "--json")),
-		&found); err != nil ||
-		found.Of.Generation != 1 {
-		t.Fatalf("%+v, %v", found, err)
+	if err := json.Unmarshal([]byte(expect(t, 0, "", "control", "recover", "--file", ini, "--for", "0s", "--json")),
+		&found); err != nil || found.Of.Generation != 1 {
+		t.Fatalf("recover --json = %+v (%v), want generation 1", found, err)
 	}
-	want(t, 0, "generation 2 is founded, with version 1", "control", "recover", "--file", ini, "--for", "0s", "--found")
+	expect(t, 0, "generation 2 is founded, with version 1", "control", "recover", "--file", ini, "--for", "0s",
+		"--found")
 	if old, _ := filepath.Glob(data + ".generation-1-*"); len(old) != 1 {
-		t.Fatalf("old folders %v, expected one", old)
+		t.Fatalf("found old folders %v, want one", old)
 	}
-	end = serve()
-	want(t, 0, "rate = 1", "config", "get", at)
+	end = startInstance()
+	expect(t, 0, "rate = 1", "config", "get", at)
 	end()
-	want(t, 0, "generation 2 is founded", "control", "recover", "--file", ini, "--for", "0s", "--found", "--from",
+	expect(t, 0, "generation 2 is founded", "control", "recover", "--file", ini, "--for", "0s", "--found", "--from",
 		saved)
-	end = serve()
-	want(t, 0, "rate = 1", "config", "get", at)
+	end = startInstance()
+	expect(t, 0, "rate = 1", "config", "get", at)
 }
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -17,28 +17,27 @@
 	"umberwinch/internal/control/policy"
 )
 
-// A change of policy and the nodes it is for.
-
 func newPolicy() *cobra.Command {
-	c := &cobra.Command{Use: "policy", Short: "Change all nodes of the fleet to a version, or none"}
-	var a access
-	a.flags(c)
-	c.AddCommand(newPropose(&a), newPolicyStatus(&a), newCallOff(&a), newPolicyHistory(&a), newExplain(&a))
+	c := &cobra.Command{Use: "policy", Short: "Change all nodes of the fleet to a new version"}
+	var a clientOptions
+	a.addFlags(c)
+	c.AddCommand(newPolicyPropose(&a), newPolicyStatus(&a), newPolicyCallOff(&a), newPolicyHistory(&a),
+		newPolicyExplain(&a))
 	return c
 }
 
-func (c *client) policyView(ctx context.Context) (*consensus.PolicyView, error) {
+func (c *client) fetchPolicy(ctx context.Context) (*consensus.PolicyView, error) {
 	var v consensus.PolicyView
 	return &v, c.get(ctx, "/v1/policy", &v)
 }
 
-func (c *client) policyOp(ctx context.Context, op policy.Op) (policy.Result, error) {
+func (c *client) sendPolicyOp(ctx context.Context, op policy.Op) (policy.Result, error) {
 	var r policy.Result
 	body, err := json.Marshal(op)
 	if err != nil {
 		return r, err
 	}
-	res, err := c.ask(ctx, http.MethodPost, "/v1/policy", body)
+	res, err := c.send(ctx, http.MethodPost, "/v1/policy", body)
 	if err != nil {
 		return r, err
 	}
@@ -46,82 +45,83 @@
 	return r, json.NewDecoder(res.Body).Decode(&r)
 }
 
-// proposeRequest is what the flags of `policy propose` ask for.
-type proposeRequest struct {
+// proposeOptions are the flags of `policy propose`.
+type proposeOptions struct {
 	policy.Proposal
-	prepareWithin time.Duration
-	wait          bool
+	prepareTimeout time.Duration
+	wait           bool
 }
 
-func newPropose(a *access) *cobra.Command {
-	var r proposeRequest
+func newPolicyPropose(a *clientOptions) *cobra.Command {
+	var r proposeOptions
 	c := &cobra.Command{Use: "propose VERSION|FILE",
-		Short: "Propose a change to a version, or to a document that becomes one", Args: exact(1),
-		Long: `Proposes a change of all nodes to a version of the configuration. A FILE (or - for standard
-input) is put first, as with "config put". Every node prepares the version: it checks it and evaluates it on
-recent traffic. Once all have, the change is decided, and no node serves under an older version for longer than
-a lease. A node that refuses the version, or is up and does not prepare within --prepare, has the change called
-off, unless no more than --spare do. With --exclusive no two versions are active at one moment: nodes reject
-requests between the decision and the last lease's end.`,
+		Short: "Propose a change of all nodes to a version or document", Args: exactArgs(1),
+		Long: `Propose a change of all nodes to a version of the configuration. A FILE (- for standard input) is put
+as a new version first, as with "config put". Every node prepares the version: it checks it and evaluates it on recent
+traffic. Once all nodes have prepared, the change is decided, and no node serves under an older version for longer than
+a lease. If more than --spare nodes refuse the version, or are up and do not prepare it within --prepare, the change is
+called off. With --exclusive, no two versions are active at the same time: nodes reject requests between the decision
+and the expiry of the last lease.`,
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			return r.run(ctx, c, args[0], w)
 		})}
 	f := c.Flags()
-	f.BoolVar(&r.Exclusive, "exclusive", false, "no moment with two active versions; needs when_alone = fence")
-	f.DurationVar(&r.prepareWithin, "prepare", 30*time.Second, "how long nodes have to prepare it")
-	f.IntVar(&r.MaxLeftBehind, "spare", 0, "nodes at most that may be left behind, out of service")
-	f.StringVar(&r.Reason, "reason", "", "why, for the history")
-	f.BoolVar(&r.wait, "wait", true, "show its steps until it has settled or is called off")
+	f.BoolVar(&r.Exclusive, "exclusive", false,
+		"never have two versions active at the same time; requires when_alone = fence")
+	f.DurationVar(&r.prepareTimeout, "prepare", 30*time.Second, "time that nodes have to prepare the version")
+	f.IntVar(&r.MaxLeftBehind, "spare", 0, "maximum number of nodes that may be left behind, out of service")
+	f.StringVar(&r.Reason, "reason", "", "reason of the change, recorded in the history")
+	f.BoolVar(&r.wait, "wait", true, "print the change's steps until it has settled or is called off")
 	return c
 }
 
-// run proposes the change; what names no version is a file.
-func (r *proposeRequest) run(ctx context.Context, c *client, what string, w io.Writer) (err error) {
-	if r.Version, err = strconv.ParseUint(what, 10, 63); err != nil {
-		if r.Version, err = c.putFirst(ctx, what, r.Reason); err != nil {
+// run proposes the change. An argument that is not a version number is a file.
+func (r *proposeOptions) run(ctx context.Context, c *client, versionOrFile string, w io.Writer) (err error) {
+	if r.Version, err = strconv.ParseUint(versionOrFile, 10, 63); err != nil {
+		if r.Version, err = c.putDocument(ctx, versionOrFile, r.Reason); err != nil {
 			return err
 		}
 	}
-	r.PrepareWithinMS, r.Author, r.IdempotencyKey = uint64(r.prepareWithin.Milliseconds()), whoami(), newSession()
+	r.PrepareWithinMS, r.Author, r.IdempotencyKey = uint64(r.prepareTimeout.Milliseconds()), currentUser(), newSession()
 	if err = r.Validate(); err != nil {
-		return usage(err)
+		return usageError(err)
 	}
-	res, err := c.policyOp(ctx, policy.Op{Kind: policy.OpPropose, Proposal: &r.Proposal})
+	res, err := c.sendPolicyOp(ctx, policy.Op{Kind: policy.OpPropose, Proposal: &r.Proposal})
 	switch {
 	case err != nil:
 		return err
 	case r.wait:
 		return c.followChange(ctx, w, res.ChangeNumber)
-	case c.json:
+	case c.printJSON:
 		return printJSON(w, res)
 	}
-	_, err = fmt.Fprintf(w, "change %d to version %d is under way\n", res.ChangeNumber, r.Version)
+	_, err = fmt.Fprintf(w, "proposed change %d to version %d\n", res.ChangeNumber, r.Version)
 	return err
 }
 
-// putFirst makes a document the group's next version.
-func (c *client) putFirst(ctx context.Context, file, reason string) (uint64, error) {
+// putDocument puts a document as the group's next version and returns the version's number.
+func (c *client) putDocument(ctx context.Context, file, reason string) (uint64, error) {
 	raw, err := readText(file)
 	if err != nil {
 		return 0, err
 	}
 	next, err := document.Parse(file, raw)
 	if err != nil {
-		return 0, usage(err)
+		return 0, usageError(err)
 	}
-	p := consensus.Put{Author: whoami(), Reason: reason, Text: string(next.Canonical())}
-	v, err := c.current(ctx)
+	p := consensus.Put{Author: currentUser(), Reason: reason, Text: string(next.Canonical())}
+	v, err := c.fetchCurrent(ctx)
 	if err != nil {
 		return 0, err
 	}
 	if v != nil {
 		p.Base = v.Number
 	}
-	end, err := c.put(ctx, p)
-	if err == nil && end.Outcome != consensus.PutCommitted && end.Outcome != consensus.PutUnchanged {
-		err = coded{fmt.Errorf("%s: %s", end.Outcome, end.Reason), exitRefused}
+	result, err := c.put(ctx, p)
+	if err == nil && result.Outcome != consensus.PutCommitted && result.Outcome != consensus.PutUnchanged {
+		err = exitError{fmt.Errorf("%s: %s", result.Outcome, result.Reason), exitRefused}
 	}
-	return end.Version, err
+	return result.Version, err
 }
 
 func findChange(v *consensus.PolicyView, number uint64) *policy.Change {
@@ -136,32 +136,32 @@
 	return nil
 }
 
-// changePollInterval is the pause between two looks at a change under way.
+// changePollInterval is how often followChange fetches the change.
 const changePollInterval = 200 * time.Millisecond
 
-// followChange shows a change's events as they come, until it ends. A change that is called off is an error.
+// followChange prints a change's events until it ends. A change that is called off is an error.
 func (c *client) followChange(ctx context.Context, w io.Writer, number uint64) error {
 	shown, blockers := 0, ""
 	for {
-		v, err := c.policyView(ctx)
+		v, err := c.fetchPolicy(ctx)
 		if err != nil {
 			return err
 		}
 		ch := findChange(v, number)
 		if ch == nil {
-			return fmt.Errorf("change %d is not in the history any more", number)
+			return fmt.Errorf("change %d is no longer in the history", number)
 		}
 		ended := ch.Step == policy.Settled || ch.Step == policy.Aborted
-		if !c.json {
+		if !c.printJSON {
 			printEvents(w, ch, shown)
 			shown = len(ch.Events)
 			if now := blockerNames(v.WaitingFor); !ended && now != blockers && now != "" {
 				blockers = now
-				fmt.Fprintf(w, "             waits for %s\n", now)
+				fmt.Fprintf(w, "             waiting for %s\n", now)
 			}
 		}
 		if ended {
-			return c.endOfChange(w, ch)
+			return c.reportEnd(w, ch)
 		}
 		select {
 		case <-time.After(changePollInterval):
@@ -171,21 +171,21 @@
 	}
 }
 
-// endOfChange prints a change that has ended, and gives the error of one that was called off.
-func (c *client) endOfChange(w io.Writer, ch *policy.Change) error {
-	if c.json {
+// reportEnd prints a change that has ended as JSON if requested, and returns an error if it was called off.
+func (c *client) reportEnd(w io.Writer, ch *policy.Change) error {
+	if c.printJSON {
 		if err := printJSON(w, ch); err != nil {
 			return err
 		}
 	}
 	if ch.Step == policy.Aborted {
-		return coded{fmt.Errorf("change %d to version %d was called off: %s", ch.Number, ch.Version, ch.AbortReason),
-			exitRefused}
+		return exitError{fmt.Errorf("change %d to version %d was called off: %s", ch.Number, ch.Version,
+			ch.AbortReason), exitRefused}
 	}
 	return nil
 }
 
-// printEvents prints a change's events from one on, each with the time since the proposal.
+// printEvents prints a change's events from index from on, each with the time since the proposal.
 func printEvents(w io.Writer, ch *policy.Change, from int) {
 	for _, e := range ch.Events[from:] {
 		fmt.Fprintf(w, "%8d ms  %s\n", e.ClockMS-ch.ProposedAtMS, e.Text)
@@ -203,14 +203,14 @@
 	return policy.Summarize(names)
 }
 
-func newPolicyStatus(a *access) *cobra.Command {
-	return &cobra.Command{Use: "status", Short: "Show the committed version, the change under way, and its blockers",
-		Args: exact(0), RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
-			v, err := c.policyView(ctx)
+func newPolicyStatus(a *clientOptions) *cobra.Command {
+	return &cobra.Command{Use: "status", Short: "Show the committed version, the change in progress and its blockers",
+		Args: exactArgs(0), RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
+			v, err := c.fetchPolicy(ctx)
 			if err != nil {
 				return err
 			}
-			if c.json {
+			if c.printJSON {
 				return printJSON(w, v)
 			}
 			return printPolicyStatus(w, v)
@@ -231,16 +231,16 @@
 		fmt.Fprintf(w, "the group is at level %d: %v\n", v.Level, v.Levels)
 	}
 	if v.Current == nil {
-		_, err := fmt.Fprintln(w, "no change under way")
+		_, err := fmt.Fprintln(w, "no change in progress")
 		return err
 	}
 	ch := v.Current
 	fmt.Fprintf(w, "change %d: version %d to %d, %s, by %s: %s\n", ch.Number, ch.PreviousVersion, ch.Version, ch.Step,
 		ch.Proposal.Author, ch.Proposal.Reason)
-	return table(w, blockersTable(v))
+	return printTable(w, blockersTable(v))
 }
 
-// blockersTable has the nodes that refuse the change under way, then those that it waits for.
+// blockersTable lists the nodes that refuse the change in progress, then those that it waits for.
 func blockersTable(v *consensus.PolicyView) [][]string {
 	rows := [][]string{{"BLOCKER", "ZONE", "REASON"}}
 	for _, b := range append(v.RefusedBy, v.WaitingFor...) {
@@ -249,100 +249,98 @@
 	return rows
 }
 
-func newCallOff(a *access) *cobra.Command {
-	var why string
-	c := &cobra.Command{Use: "call-off", Short: "Call off the change under way, if it is not decided yet",
-		Args: exact(0),
+func newPolicyCallOff(a *clientOptions) *cobra.Command {
+	var reason string
+	c := &cobra.Command{Use: "call-off", Short: "Call off the change in progress, if it is not decided yet",
+		Args: exactArgs(0),
 		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
-			v, err := c.policyView(ctx)
+			v, err := c.fetchPolicy(ctx)
 			if err != nil {
 				return err
 			}
 			if v.Current == nil {
-				return coded{errors.New("no change is under way"), exitRefused}
+				return exitError{errors.New("no change is in progress"), exitRefused}
 			}
-			if _, err = c.policyOp(ctx, policy.Op{Kind: policy.OpAbort, ChangeNumber: v.Current.Number,
-				Author: whoami(),
-				Reason: why}); err != nil {
+			if _, err = c.sendPolicyOp(ctx, policy.Op{Kind: policy.OpAbort, ChangeNumber: v.Current.Number,
+				Author: currentUser(), Reason: reason}); err != nil {
 				return err
 			}
-			fmt.Fprintf(w, "change %d is called off\n", v.Current.Number)
+			fmt.Fprintf(w, "called off change %d\n", v.Current.Number)
 			return nil
 		})}
-	c.Flags().StringVar(&why, "reason", "", "why, for the history")
+	c.Flags().StringVar(&reason, "reason", "", "reason, recorded in the history")
 	return c
 }
 
-func newPolicyHistory(a *access) *cobra.Command {
-	return &cobra.Command{Use: "history", Short: "Show earlier changes, the newest last", Args: exact(0),
+func newPolicyHistory(a *clientOptions) *cobra.Command {
+	return &cobra.Command{Use: "history", Short: "List changes, newest last", Args: exactArgs(0),
 		RunE: withClient(a, func(ctx context.Context, c *client, _ []string, w io.Writer) error {
-			v, err := c.policyView(ctx)
+			v, err := c.fetchPolicy(ctx)
 			if err != nil {
 				return err
 			}
-			all := v.History
+			changes := v.History
 			if v.Current != nil {
-				all = append(all, v.Current)
+				changes = append(changes, v.Current)
 			}
-			if c.json {
-				return printJSON(w, all)
+			if c.printJSON {
+				return printJSON(w, changes)
 			}
-			return table(w, changesTable(all))
+			return printTable(w, changesTable(changes))
 		})}
 }
 
-func changesTable(all []*policy.Change) [][]string {
+func changesTable(changes []*policy.Change) [][]string {
 	rows := [][]string{{"CHANGE", "FROM", "TO", "STEP", "BY", "COMMITTED AFTER", "ENDED AFTER", "REASON"}}
-	after := func(at, from uint64) string {
+	elapsed := func(at, from uint64) string {
 		if at == 0 {
 			return "-"
 		}
 		return fmt.Sprintf("%d ms", at-from)
 	}
-	for _, ch := range all {
+	for _, ch := range changes {
 		reason := ch.Proposal.Reason
 		if ch.AbortReason != "" {
 			reason = ch.AbortReason
 		}
 		rows = append(rows, []string{strconv.FormatUint(ch.Number, 10), strconv.FormatUint(ch.PreviousVersion, 10),
 			strconv.FormatUint(ch.Version, 10), string(ch.Step), ch.Proposal.Author,
-			after(ch.CommittedAtMS, ch.ProposedAtMS),
-			after(ch.EndedAtMS, ch.ProposedAtMS), reason})
+			elapsed(ch.CommittedAtMS, ch.ProposedAtMS), elapsed(ch.EndedAtMS, ch.ProposedAtMS), reason})
 	}
 	return rows
 }
 
-func newExplain(a *access) *cobra.Command {
-	return &cobra.Command{Use: "explain CHANGE", Short: "Show a change's steps, when each came, and why",
-		Args: exact(1),
+func newPolicyExplain(a *clientOptions) *cobra.Command {
+	return &cobra.Command{Use: "explain CHANGE", Short: "Show the steps of a change with their times and reasons",
+		Args: exactArgs(1),
 		RunE: withClient(a, func(ctx context.Context, c *client, args []string, w io.Writer) error {
 			number, err := strconv.ParseUint(args[0], 10, 63)
 			if err != nil {
-				return usage(fmt.Errorf("CHANGE: found %q, expected a number of policy history", args[0]))
+				return usageError(fmt.Errorf("CHANGE: found %q, expected a number from \"policy history\"", args[0]))
 			}
-			v, err := c.policyView(ctx)
+			v, err := c.fetchPolicy(ctx)
 			if err != nil {
 				return err
 			}
 			ch := findChange(v, number)
 			if ch == nil {
-				return usage(fmt.Errorf("found no change %d, expected one of policy history", number))
+				return usageError(fmt.Errorf("found no change %d, expected one from \"policy history\"", number))
 			}
-			if c.json {
+			if c.printJSON {
 				return printJSON(w, ch)
 			}
 			fmt.Fprintf(w, "change %d: version %d to %d, %s\n", ch.Number, ch.PreviousVersion, ch.Version, ch.Step)
 			printEvents(w, ch, 0)
 			if v.Current == ch {
 				printBlockers(w, "refused by", v.RefusedBy)
-				printBlockers(w, "waits for", v.WaitingFor)
+				printBlockers(w, "waiting for", v.WaitingFor)
 			}
 			return nil
 		})}
 }
 
-// printBlockers prints nodes that refuse the change under way or that it waits for. Nodes of a generation before have
-// no zone.
+// printBlockers prints nodes that refuse the change in progress or that it waits for. Nodes of the previous generation
+// have no zone.
 func printBlockers(w io.Writer, verb string, blockers []policy.Blocker) {
 	for _, b := range blockers {
 		node := b.Node
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -1,5 +1,5 @@
-// Package cli is umberctl's commands: what operators type, print and get as an exit status. It owns flags,
-// tables and exit statuses alike in all of them; it decides nothing about a group or a request.
+// Package cli implements the commands of umberctl: their flags, output and exit statuses. Decisions about groups, nodes
+// and requests are made by the packages that it calls.
 package cli
 
 import (
@@ -20,45 +20,45 @@
 
 // Exit statuses.
 const (
-	exitDone    = 0
-	exitFailed  = 1 // it ran and failed, or a fault test broke a promise
-	exitWrong   = 2 // a wrong file, flag or document: nothing was done
-	exitRefused = 3 // the group refused it: a conflict, a wrong document or change
-	exitUnknown = 4 // no response: it may or may not have been done
+	exitOK      = 0
+	exitFailed  = 1 // the command failed, or a fault test found a broken promise
+	exitUsage   = 2 // invalid file, flag or document: nothing was done
+	exitRefused = 3 // the group refused the request: a conflict, or an invalid document or change
+	exitUnknown = 4 // no response: the request may or may not have taken effect
 )
 
-// coded is an error with an exit status of its own.
-type coded struct {
+// exitError is an error with its exit status.
+type exitError struct {
 	error
 	code int
 }
 
-func (c coded) Unwrap() error { return c.error }
+func (c exitError) Unwrap() error { return c.error }
 
-func usage(err error) error { return coded{err, exitWrong} }
+func usageError(err error) error { return exitError{err, exitUsage} }
 
-// Run runs a command line and gives the exit status.
-func Run(args []string, out, errs io.Writer) int {
+// Run executes a command line, without the program's name, and returns the exit status.
+func Run(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root := newRoot()
 	root.SetArgs(args)
-	root.SetOut(out)
-	root.SetErr(errs)
+	root.SetOut(stdout)
+	root.SetErr(stderr)
 	err := root.ExecuteContext(ctx)
 	if err == nil {
-		return exitDone
+		return exitOK
 	}
-	fmt.Fprintln(errs, err)
-	var c coded
-	var r *refusal
+	fmt.Fprintln(stderr, err)
+	var c exitError
+	var r *errorResponse
 	var f config.Faults
 	switch {
 	case errors.As(err, &c):
 		return c.code
 	case errors.As(err, &f):
-		return exitWrong
-	case errors.Is(err, errUnknown):
+		return exitUsage
+	case errors.Is(err, errOutcomeUnknown):
 		return exitUnknown
 	case errors.As(err, &r):
 		return exitRefused
@@ -68,24 +68,28 @@
 
 func newRoot() *cobra.Command {
 	root := &cobra.Command{Use: "umberctl",
-		Short: "Run, query and change umberwinch's control service; run fault tests",
-		Long: `umberctl runs an instance of umberwinch's control service, queries and changes a group of them, and
-runs the project's fault tests.
+		Short: "Control umberwinch fleets",
+		Long: `umberctl runs and operates umberwinch's control service, its nodes and zones, and runs the project's
+fault tests.
 
-Exit statuses: 0 done; 1 failed, or a promise was broken; 2 a wrong file, flag or document, nothing was done; 3
-the group refused it; 4 no response, it may or may not have been done.`,
+Exit statuses:
+  0  success
+  1  failure, or a fault test found a broken promise
+  2  invalid file, flag or document; nothing was done
+  3  the group refused the request
+  4  no response; the request may or may not have taken effect`,
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.NoArgs}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
 	root.AddCommand(newDemo(), newControl(), newConfig(), newPolicy(), newNodes(), newZones(), newFleet(), newNode(),
 		newResults(), newFaultTest(), newKept(), newLab())
 	return root
 }
 
-// exact requires so many arguments; another number is a wrong line.
-func exact(n int) cobra.PositionalArgs {
+// exactArgs requires n arguments; another number is a usage error.
+func exactArgs(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(c, args); err != nil {
-			return usage(fmt.Errorf("%s: %w", c.CommandPath(), err))
+			return usageError(fmt.Errorf("%s: %w", c.CommandPath(), err))
 		}
 		return nil
 	}
@@ -97,8 +101,8 @@
 	return e.Encode(v)
 }
 
-// table prints rows in columns, the first row as their head.
-func table(w io.Writer, rows [][]string) error {
+// printTable prints rows in aligned columns.
+func printTable(w io.Writer, rows [][]string) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	for _, row := range rows {
 		for i, cell := range row {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,165 +10,165 @@
 	"time"
 )
 
-// machine is a machine whose clocks the test moves.
-type machine struct{ mono, wall time.Duration }
+// fakeClocks is a pair of clocks that the test advances.
+type fakeClocks struct{ mono, wall time.Duration }
 
-func newMachine() *machine { return &machine{mono: origin, wall: 1_764_576_000 * time.Second} }
+func newFakeClocks() *fakeClocks { return &fakeClocks{mono: origin, wall: 1_764_576_000 * time.Second} }
 
-func (m *machine) read() Reading { return Reading{Monotonic: m.mono, Wall: m.wall} }
+func (m *fakeClocks) read() Reading { return Reading{Monotonic: m.mono, Wall: m.wall} }
 
-func (m *machine) sleep(d time.Duration) { m.mono, m.wall = m.mono+d, m.wall+d }
+func (m *fakeClocks) advance(d time.Duration) { m.mono, m.wall = m.mono+d, m.wall+d }
 
-const deadline = 6 * time.Second
+const timeout = 6 * time.Second
 
-// A stamp made on either side of a step is placed where it was made, or between bounds that hold that place.
+// A stamp from before or after a step must get bounds that include the time at which it was made.
 func TestStampsAroundStepAreBounded(t *testing.T) {
 	for _, step := range []time.Duration{3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		for _, before := range []time.Duration{0, time.Second, 4 * time.Second} {
 			for _, after := range []time.Duration{0, 10 * time.Millisecond, time.Second, 3500 * time.Millisecond} {
 				t.Run(fmt.Sprint(step, before, after), func(t *testing.T) {
-					m := newMachine()
-					s := NewStamps(m.read, 2*deadline)
-					m.sleep(10 * time.Second)
+					m := newFakeClocks()
+					s := NewStamps(m.read, 2*timeout)
+					m.advance(10 * time.Second)
 					s.Observe(m.read)
-					old, oldAt := m.wall, m.mono
-					m.sleep(before)
+					stampBefore, timeBefore := m.wall, m.mono
+					m.advance(before)
 					s.Observe(m.read)
 					m.wall += step
-					if _, seen := s.Observe(m.read); seen != step {
-						t.Errorf("a step of %v is seen as %v", step, seen)
+					if _, got := s.Observe(m.read); got != step {
+						t.Errorf("Observe() step = %v, want %v", got, step)
 					}
-					m.sleep(after)
-					young, youngAt := m.wall, m.mono
-					m.sleep(100 * time.Millisecond)
+					m.advance(after)
+					stampAfter, timeAfter := m.wall, m.mono
+					m.advance(100 * time.Millisecond)
 					s.Observe(m.read)
-					s.expect(t, m.mono, old, oldAt)
-					s.expect(t, m.mono, young, youngAt)
+					s.checkPlace(t, m.mono, stampBefore, timeBefore)
+					s.checkPlace(t, m.mono, stampAfter, timeAfter)
 				})
 			}
 		}
 	}
 }
 
-func (s *Stamps) expect(t *testing.T, now, stamp, at time.Duration) {
+func (s *Stamps) checkPlace(t *testing.T, now, stamp, at time.Duration) {
 	t.Helper()
 	earliest, latest, ok := s.Place(now, stamp, time.Second)
 	if !ok || earliest > at || latest < at || latest > now {
-		t.Errorf("made at %v, placed %v from %v to %v, now %v", at, ok, earliest, latest, now)
+		t.Errorf("Place(%v, %v) = %v, %v, %v, want bounds that include %v", now, stamp, earliest, latest, ok, at)
 	}
 }
 
-// Steps by an hour leave no doubt: a stamp of either side has one place.
-func TestLargeStepsLeaveNoDoubt(t *testing.T) {
-	m := newMachine()
-	s := NewStamps(m.read, 2*deadline)
+// Around a step of an hour, far larger than a stamp's possible age, each stamp must get one exact time.
+func TestStampsAcrossLargeStepsAreExact(t *testing.T) {
+	m := newFakeClocks()
+	s := NewStamps(m.read, 2*timeout)
 	var stamps, places []time.Duration
 	for _, step := range []time.Duration{time.Hour, -2 * time.Hour, time.Hour} {
 		stamps, places = append(stamps, m.wall), append(places, m.mono)
-		m.sleep(time.Second)
+		m.advance(time.Second)
 		s.Observe(m.read)
 		m.wall += step
 		s.Observe(m.read)
-		m.sleep(time.Second)
+		m.advance(time.Second)
 	}
 	for i := range stamps {
 		if earliest, latest, ok := s.Place(m.mono, stamps[i], time.Second); !ok || earliest != places[i] ||
 			latest != places[i] {
-			t.Errorf("stamp %d: %v, from %v to %v, expected %v", i, ok, earliest, latest, places[i])
+			t.Errorf("Place() of stamp %d = %v, %v, %v, want %v exactly", i, earliest, latest, ok, places[i])
 		}
 	}
 }
 
-// A process that was stopped as the clock was stepped does not know when; stamps of the whole stop are placed all the
-// same.
-func TestStampsOfStopWithStepArePlaced(t *testing.T) {
-	m := newMachine()
-	s := NewStamps(m.read, 2*deadline)
-	m.sleep(time.Second)
-	old, oldAt := m.wall, m.mono
-	m.sleep(time.Second)
+// If the clock is stepped while the process is suspended, the time of the step is unknown. Stamps made during the
+// suspension must be placed all the same.
+func TestStampsDuringSuspensionWithStepArePlaced(t *testing.T) {
+	m := newFakeClocks()
+	s := NewStamps(m.read, 2*timeout)
+	m.advance(time.Second)
+	stampBefore, timeBefore := m.wall, m.mono
+	m.advance(time.Second)
 	m.wall += time.Hour
-	young, youngAt := m.wall, m.mono
-	m.sleep(2 * time.Second)
+	stampAfter, timeAfter := m.wall, m.mono
+	m.advance(2 * time.Second)
 	s.Observe(m.read)
-	s.expect(t, m.mono, old, oldAt)
-	s.expect(t, m.mono, young, youngAt)
+	s.checkPlace(t, m.mono, stampBefore, timeBefore)
+	s.checkPlace(t, m.mono, stampAfter, timeAfter)
 }
 
-// No stamp is placed that no reading makes plausible; one a little ahead is as if it were made now.
-func TestImplausibleStampsHaveNoPlace(t *testing.T) {
-	m := newMachine()
-	s := NewStamps(m.read, 2*deadline)
-	m.sleep(time.Hour)
+// A stamp that is too old or too far ahead in every epoch must be rejected; one within the slack ahead counts as now.
+func TestImplausibleStampsAreRejected(t *testing.T) {
+	m := newFakeClocks()
+	s := NewStamps(m.read, 2*timeout)
+	m.advance(time.Hour)
 	s.Observe(m.read)
-	for _, off := range []time.Duration{time.Hour, 1001 * time.Millisecond, -2*deadline - time.Millisecond,
+	for _, offset := range []time.Duration{time.Hour, 1001 * time.Millisecond, -2*timeout - time.Millisecond,
 		-time.Hour} {
-		if _, _, ok := s.Place(m.mono, m.wall+off, time.Second); ok {
-			t.Errorf("a stamp %v off is placed", off)
+		if _, _, ok := s.Place(m.mono, m.wall+offset, time.Second); ok {
+			t.Errorf("Place() accepted a stamp that is off by %v, want it rejected", offset)
 		}
 	}
 	if at, _, ok := s.Place(m.mono, m.wall+time.Second, time.Second); !ok || at != m.mono {
-		t.Errorf("a stamp within the slack is placed at %v, %v, expected now", at, ok)
+		t.Errorf("Place() of a stamp within the slack = %v, %v, want now, %v", at, ok, m.mono)
 	}
 }
 
-// Slewing is followed and is no step; nor is a stop, nor a pause between the two readings.
-func TestSlewingAndStopsAreNoStep(t *testing.T) {
-	m := newMachine()
-	s := NewStamps(m.read, 2*deadline)
+// Slew, a suspension of the process, and one between the two readings must not be reported as steps.
+func TestSlewAndSuspensionAreNotSteps(t *testing.T) {
+	m := newFakeClocks()
+	s := NewStamps(m.read, 2*timeout)
 	for range 1000 {
-		m.sleep(100 * time.Millisecond)
+		m.advance(100 * time.Millisecond)
 		m.wall += 50 * time.Microsecond
 		if _, step := s.Observe(m.read); step != 0 {
-			t.Fatalf("slewing is seen as a step of %v", step)
+			t.Fatalf("Observe() step = %v while the clock slews, want 0", step)
 		}
 	}
-	s.expect(t, m.mono, m.wall, m.mono)
-	m.sleep(time.Minute)
+	s.checkPlace(t, m.mono, m.wall, m.mono)
+	m.advance(time.Minute)
 	if _, step := s.Observe(m.read); step != 0 {
-		t.Errorf("a stop is seen as a step of %v", step)
+		t.Errorf("Observe() step = %v after a suspension, want 0", step)
 	}
-	paused := true
+	suspend := true
 	read := func() Reading {
 		r := m.read()
-		if paused {
-			m.sleep(2 * time.Second)
-			r.Monotonic, paused = m.mono, false
+		if suspend {
+			m.advance(2 * time.Second)
+			r.Monotonic, suspend = m.mono, false
 		}
 		return r
 	}
 	if _, step := s.Observe(read); step != 0 {
-		t.Errorf("a pause between the readings is seen as a step of %v", step)
+		t.Errorf("Observe() step = %v after a suspension between the readings, want 0", step)
 	}
-	s.expect(t, m.mono, m.wall, m.mono)
+	s.checkPlace(t, m.mono, m.wall, m.mono)
 }
 
-// Steps without end do not pile up.
-func TestRememberedStepsAreBounded(t *testing.T) {
-	m := newMachine()
-	s := NewStamps(m.read, 2*deadline)
+// Repeated steps must not grow the list of epochs without bound.
+func TestEpochCountIsBounded(t *testing.T) {
+	m := newFakeClocks()
+	s := NewStamps(m.read, 2*timeout)
 	for range 1000 {
-		m.sleep(time.Millisecond)
+		m.advance(time.Millisecond)
 		m.wall += time.Hour
 		s.Observe(m.read)
 	}
-	if len(s.epochs) > epochsMost {
-		t.Errorf("%d are remembered", len(s.epochs))
+	if len(s.epochs) > maxEpochs {
+		t.Errorf("kept %d epochs, want at most %d", len(s.epochs), maxEpochs)
 	}
-	m.sleep(time.Hour)
+	m.advance(time.Hour)
 	m.wall += time.Hour
 	s.Observe(m.read)
 	if len(s.epochs) > 2 {
-		t.Errorf("%d are remembered an hour later", len(s.epochs))
+		t.Errorf("kept %d epochs after an hour, want at most 2", len(s.epochs))
 	}
 }
 
-// wallClock finds what reads the wall clock, or makes a time that has no monotonic part.
+// wallClock matches calls that read the wall clock or create a time without a monotonic part.
 var wallClock = regexp.MustCompile(`\.Unix(Micro|Milli|Nano)?\(|time\.Unix(Micro|Milli)?\(|` +
 	`\.Round\(0\)|\.Date\(|CLOCK_REALTIME`)
 
-// The server's packages read the wall clock in this package alone.
-func TestWallClockIsReadHereAlone(t *testing.T) {
+// A wall clock read elsewhere in the server would make a deadline or window move with a step of that clock.
+func TestWallClockIsReadOnlyInThisPackage(t *testing.T) {
 	for _, folder := range []string{
 		"../../admission", "../../cmd/umberwinch",
 		"../config", "../logging", "../retryafter", "../wal",
@@ -198,18 +198,18 @@
 	}
 }
 
-// What a round and a request pay: a look at both clocks, and a stamp that is placed.
-func BenchmarkLookAndPlace(b *testing.B) {
+// BenchmarkObserveAndPlace measures the clock work of one request: reading both clocks and placing a stamp.
+func BenchmarkObserveAndPlace(b *testing.B) {
 	c := New()
-	s := NewStamps(c.Read, 2*deadline)
+	s := NewStamps(c.Read, 2*timeout)
 	for b.Loop() {
 		now, _ := s.Observe(c.Read)
 		s.Place(now, c.Read().Wall, time.Second)
 	}
 }
 
-// Beside it what was there before.
-func BenchmarkWallClockAlone(b *testing.B) {
+// BenchmarkWallClock measures a plain read of the wall clock, for comparison.
+func BenchmarkWallClock(b *testing.B) {
 	for b.Loop() {
 		if time.Now().UnixMicro() == 0 {
 			b.Fatal("the epoch")
