--- a/internal/control/consensus/api.go
+++ b/internal/control/consensus/api.go
@@ -20,25 +20,25 @@
 
 // Bounds of the clients' side. They protect memory from clients that are many, slow, or send much.
 const (
-	maxClients     = 6000 // connections: each node of a fleet keeps one, of some ten KB
-	maxWatchers    = 256
-	maxHeaderBytes = 8 << 10
-	maxBodiesBytes = 64 << 20 // of puts being read, together; a body counts by its announced length from its start
-	maxBodyBytes   = 7 << 20  // the largest document as JSON escapes it at worst, and its author and reason
-	maxHistory     = 1000     // versions in one answer
-	defaultHistory = 20       // a screenful
+	maxClients             = 6000 // connections: each node of a fleet keeps one, of some ten KB
+	maxWatchers            = 256
+	maxHeaderBytes         = 8 << 10
+	maxTotalBodyBytes      = 64 << 20 // of puts being read, together; a body counts by its announced length from its start
+	maxBodyBytes           = 7 << 20  // the largest document as JSON escapes it at worst, and its author and reason
+	maxHistoryVersions     = 1000     // versions in one answer
+	defaultHistoryVersions = 20       // a screenful
 )
 
 // Timeouts of the clients' side.
 const (
-	headerTimeout     = 2 * time.Second
-	bodyTimeout       = 10 * time.Second
+	headerReadTimeout = 2 * time.Second
+	bodyReadTimeout   = 10 * time.Second
 	idleTimeout       = time.Minute
-	answerTimeout     = 5 * time.Second  // of a put or a read: longer than the election of a new leader
+	requestTimeout    = 5 * time.Second  // of a put or a read: longer than the election of a new leader
 	membershipTimeout = 15 * time.Second // of a change of members, which may need several rounds
 	watchHeartbeat    = 2 * time.Second  // longest pause between two lines of a watch
 	watchWriteTimeout = 5 * time.Second  // for one line; a watcher that is slower is disconnected
-	shutdownTimeout   = time.Second      // for requests under way when the instance stops
+	stopGracePeriod   = time.Second      // for requests under way when the instance stops
 )
 
 // Headers of every answer.
@@ -82,15 +82,15 @@
 // API serves clients of a group over HTTP/1.1 with JSON. It owns the bounds and the form of answers; the group decides
 // what they say.
 type API struct {
-	group     *Group
-	server    *http.Server
-	watchers  atomic.Int64
-	bodies    *semaphore.Weighted
-	forwarder *http.Client   // to the leader, for what it alone can answer
-	errorLog  *io.PipeWriter // of the server, to the group's log; Stop ends its goroutine by closing it
-	served    chan struct{}  // closed when serve has ended
-	stopping  context.Context
-	stop      context.CancelFunc
+	group        *Group
+	server       *http.Server
+	watchers     atomic.Int64
+	bodyBytes    *semaphore.Weighted
+	leaderClient *http.Client   // to the leader, for what it alone can answer
+	errorLog     *io.PipeWriter // of the server, to the group's log; Stop ends its goroutine by closing it
+	served       chan struct{}  // closed when serve has ended
+	stopping     context.Context
+	stop         context.CancelFunc
 }
 
 // Serve opens the clients' address. It returns once the address is open. Its goroutines end by Stop.
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &API{group: g, bodies: semaphore.NewWeighted(maxBodiesBytes), forwarder: g.credentials.client(),
+	a := &API{group: g, bodyBytes: semaphore.NewWeighted(maxTotalBodyBytes), leaderClient: g.credentials.client(),
 		served: make(chan struct{})}
 	a.stopping, a.stop = context.WithCancel(context.Background())
 	mux := http.NewServeMux()
@@ -114,7 +114,7 @@
 	a.fleetRoutes(mux)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(g.metrics.registry, promhttp.HandlerOpts{}))
 	a.errorLog = g.log.WriterLevel(logrus.DebugLevel)
-	a.server = &http.Server{Handler: a.withHeaders(mux), ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout,
+	a.server = &http.Server{Handler: a.withHeaders(mux), ReadHeaderTimeout: headerReadTimeout, ReadTimeout: bodyReadTimeout,
 		MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout,
 		ErrorLog: log.New(a.errorLog, "", 0)}
 	go a.serve(netutil.LimitListener(l, maxClients))
@@ -134,12 +134,12 @@
 // begun yet.
 func (a *API) Stop() {
 	a.stop()
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), stopGracePeriod)
 	defer cancel()
 	if a.server.Shutdown(ctx) != nil {
 		a.server.Close() // the requests that are left are cut off: all of them may be repeated
 	}
 	<-a.served
-	a.forwarder.CloseIdleConnections()
+	a.leaderClient.CloseIdleConnections()
 	a.errorLog.Close()
 }
--- a/internal/control/consensus/api_answers.go
+++ b/internal/control/consensus/api_answers.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	contentJSON  = "application/json"
-	contentLines = "application/jsonl"
-	contentBytes = "application/octet-stream"
+	contentJSON      = "application/json"
+	contentJSONLines = "application/jsonl"
+	contentBytes     = "application/octet-stream"
 	// retryAfterSeconds is what a client is told to wait after a temporary failure: by then a new leader is mostly
 	// elected.
 	retryAfterSeconds = "1"
 )
 
-// answer writes a value as JSON. A write that fails is the client's loss: it went.
-func (a *API) answer(w http.ResponseWriter, v any) {
+// writeResponse writes a value as JSON. A write that fails is the client's loss: it went.
+func (a *API) writeResponse(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", contentJSON)
 	json.NewEncoder(w).Encode(v)
 }
 
-// answerOr writes a value, or the failure that came in its place.
-func (a *API) answerOr(w http.ResponseWriter, v any, err error) {
+// writeResult writes a value, or the failure that came in its place.
+func (a *API) writeResult(w http.ResponseWriter, v any, err error) {
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
 	a.writeSized(w, v)
@@ -40,7 +40,7 @@
 func (a *API) writeSized(w http.ResponseWriter, v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		a.fail(w, http.StatusInternalServerError, err)
+		a.writeErrorStatus(w, http.StatusInternalServerError, err)
 		return
 	}
 	w.Header().Set("Content-Type", contentJSON)
@@ -48,8 +48,8 @@
 	w.Write(append(raw, '\n'))
 }
 
-// fail writes a Failure that names the leader's address where it is known.
-func (a *API) fail(w http.ResponseWriter, code int, err error) {
+// writeErrorStatus writes a Failure that names the leader's address where it is known.
+func (a *API) writeErrorStatus(w http.ResponseWriter, code int, err error) {
 	f := Failure{Error: err.Error()}
 	v := a.group.View()
 	for _, m := range v.Members {
@@ -65,11 +65,11 @@
 	json.NewEncoder(w).Encode(f)
 }
 
-// failWith writes an error under the status that it stands for.
-func (a *API) failWith(w http.ResponseWriter, err error) { a.fail(w, statusOf(err), err) }
+// writeError writes an error under the status that it stands for.
+func (a *API) writeError(w http.ResponseWriter, err error) { a.writeErrorStatus(w, statusOf(err), err) }
 
-// temporary are errors that a client may ask again after.
-var temporary = []error{
+// retryableErrors are errors that a client may ask again after.
+var retryableErrors = []error{
 	coordinator.ErrBusy, coordinator.ErrStateLost, coordinator.ErrNotLeader,
 	ErrFeatureLevel, ErrNoLeader, ErrBusy, ErrTimeout, ErrStopped, ErrBarred,
 	errTooManyWatchers, raft.ErrProposalDropped,
@@ -82,7 +82,7 @@
 // failed read of its disk. A client that gets 400 for a sound request looks at the error's text and at this instance's
 // log.
 func statusOf(err error) int {
-	for _, t := range temporary {
+	for _, t := range retryableErrors {
 		if errors.Is(err, t) {
 			return http.StatusServiceUnavailable
 		}
@@ -100,7 +100,7 @@
 		return http.StatusInsufficientStorage
 	case errors.As(err, &rejected):
 		return http.StatusConflict
-	case errors.Is(err, errNoToken):
+	case errors.Is(err, errUnauthorized):
 		return http.StatusUnauthorized
 	case errors.Is(err, errNoVersion) || errors.As(err, &versionNotFound):
 		return http.StatusNotFound
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// number reads a whole number of the query, def where it has none under that key.
-func number(r *http.Request, key string, def uint64) (uint64, error) {
+// queryUint reads a whole number of the query, def where it has none under that key.
+func queryUint(r *http.Request, key string, def uint64) (uint64, error) {
 	s := r.URL.Query().Get(key)
 	if s == "" {
 		return def, nil
--- a/internal/control/consensus/api_document.go
+++ b/internal/control/consensus/api_document.go
@@ -14,22 +14,22 @@
 
 func (a *API) getSelf(w http.ResponseWriter, _ *http.Request) {
 	v, c := a.group.View(), a.group.control
-	a.answer(w, Self{v.ID, v.Name, c.Peer, c.Listen, v.Cluster})
+	a.writeResponse(w, Self{v.ID, v.Name, c.Peer, c.Listen, v.Cluster})
 }
 
 func (a *API) getStatus(w http.ResponseWriter, _ *http.Request) {
 	v := a.group.View()
-	a.answer(w, Report{v.Status, v.SinceLeader().Milliseconds(), v.OutOfContact(), v.Members})
+	a.writeResponse(w, Report{v.Status, v.SinceLeader().Milliseconds(), v.OutOfContact(), v.Members})
 }
 
-// view gives the state that a read is answered from: linearizable, or this instance's own where the client asks for
+// readView gives the state that a read is answered from: linearizable, or this instance's own where the client asks for
 // that.
-func (a *API) view(r *http.Request) (*View, error) {
+func (a *API) readView(r *http.Request) (*View, error) {
 	switch read := r.URL.Query().Get("read"); read {
 	case "stale":
 		return a.group.View(), nil
 	case "":
-		ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
+		ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 		defer cancel()
 		return a.group.LinearizableView(ctx)
 	default:
@@ -38,19 +38,19 @@
 }
 
 func (a *API) getConfig(w http.ResponseWriter, r *http.Request) {
-	v, err := a.view(r)
+	v, err := a.readView(r)
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
-	n, err := number(r, "version", v.Version)
+	n, err := queryUint(r, "version", v.Version)
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
 	line := v.VersionJSON(n)
 	if line == nil {
-		a.failWith(w, v.versionNotFound(n))
+		a.writeError(w, v.versionNotFound(n))
 		return
 	}
 	w.Header().Set("Content-Type", contentJSON)
@@ -63,33 +63,33 @@
 	if size < 0 || size > maxBodyBytes {
 		size = maxBodyBytes
 	}
-	if !a.bodies.TryAcquire(size) {
-		a.failWith(w, ErrBusy)
+	if !a.bodyBytes.TryAcquire(size) {
+		a.writeError(w, ErrBusy)
 		return
 	}
-	defer a.bodies.Release(size)
+	defer a.bodyBytes.Release(size)
 	var p Put
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(&p); err != nil {
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
-			a.failWith(w, errBodyTooLarge)
+			a.writeError(w, errBodyTooLarge)
 			return
 		}
-		a.failWith(w, &BodyError{err, "a put as JSON"})
+		a.writeError(w, &BodyError{err, "a put as JSON"})
 		return
 	}
 	p.At = time.Now().UnixMilli()
-	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	end, err := a.group.Put(ctx, p)
+	result, err := a.group.Put(ctx, p)
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
 	code := http.StatusOK
-	switch end.Outcome {
+	switch result.Outcome {
 	case PutConflict:
 		code = http.StatusConflict
 	case PutInvalid:
@@ -99,36 +99,36 @@
 	}
 	w.Header().Set("Content-Type", contentJSON)
 	w.WriteHeader(code)
-	json.NewEncoder(w).Encode(end)
+	json.NewEncoder(w).Encode(result)
 }
 
 // getHistory gives versions without their texts, the oldest first.
 func (a *API) getHistory(w http.ResponseWriter, r *http.Request) {
-	v, err := a.view(r)
+	v, err := a.readView(r)
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
-	limit, err := number(r, "limit", defaultHistory)
-	if err == nil && (limit == 0 || limit > maxHistory) {
+	limit, err := queryUint(r, "limit", defaultHistoryVersions)
+	if err == nil && (limit == 0 || limit > maxHistoryVersions) {
 		err = &api.FieldError{Field: "limit", Found: strconv.FormatUint(limit, 10),
-			Expected: fmt.Sprintf("1 to %d", maxHistory)}
+			Expected: fmt.Sprintf("1 to %d", maxHistoryVersions)}
 	}
 	held := uint64(len(v.Versions))
-	from, err2 := number(r, "from", v.FirstVersion+held-min(limit, held))
+	from, err2 := queryUint(r, "from", v.FirstVersion+held-min(limit, held))
 	if err = errors.Join(err, err2); err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
 	versions := []*Version{}
 	for n := max(from, v.FirstVersion); n <= v.Version && uint64(len(versions)) < limit; n++ {
 		version, err := ReadVersion(v.VersionJSON(n))
 		if err != nil {
-			a.fail(w, http.StatusInternalServerError, err)
+			a.writeErrorStatus(w, http.StatusInternalServerError, err)
 			return
 		}
 		version.Text = ""
 		versions = append(versions, version)
 	}
-	a.answer(w, versions)
+	a.writeResponse(w, versions)
 }
--- a/internal/control/consensus/api_fleet.go
+++ b/internal/control/consensus/api_fleet.go
@@ -35,18 +35,18 @@
 		err = ErrFeatureLevel
 	}
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), heartbeatTimeout)
 	defer cancel()
 	response, err := a.group.Heartbeat(ctx, request)
-	a.answerOr(w, response, err)
+	a.writeResult(w, response, err)
 }
 
 func (a *API) getNodes(w http.ResponseWriter, _ *http.Request) {
 	nodes, err := a.group.Nodes()
-	a.answerOr(w, nodes, err)
+	a.writeResult(w, nodes, err)
 }
 
 func (a *API) postForget(w http.ResponseWriter, r *http.Request) {
@@ -55,16 +55,16 @@
 	}
 	err := readBody(w, r, &request)
 	if err == nil {
-		ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
+		ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 		defer cancel()
 		err = a.group.Forget(ctx, request.Name)
 	}
-	a.answerOr(w, map[string]string{"forgotten": request.Name}, err)
+	a.writeResult(w, map[string]string{"forgotten": request.Name}, err)
 }
 
 func (a *API) getPolicy(w http.ResponseWriter, _ *http.Request) {
 	view, err := a.group.Policy()
-	a.answerOr(w, view, err)
+	a.writeResult(w, view, err)
 }
 
 // postPolicy takes an operator's proposal of a change, or an operator's abort of one.
@@ -79,21 +79,21 @@
 		err = op.Validate()
 	}
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	result, err := a.group.PolicyOp(ctx, op)
 	if err == nil && result.Rejected() {
 		err = &RejectedError{result.Rejection}
 	}
-	a.answerOr(w, result, err)
+	a.writeResult(w, result, err)
 }
 
 func (a *API) getZones(w http.ResponseWriter, _ *http.Request) {
 	view, err := a.group.Zones()
-	a.answerOr(w, view, err)
+	a.writeResult(w, view, err)
 }
 
 // postZones takes an operator's operation on a zone.
@@ -108,15 +108,15 @@
 		err = op.Validate()
 	}
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
 	op.ClearRulesFields()
-	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	result, err := a.group.ZoneOp(ctx, op)
 	if err == nil && result.Rejected() {
 		err = &RejectedError{result.Err}
 	}
-	a.answerOr(w, result, err)
+	a.writeResult(w, result, err)
 }
--- a/internal/control/consensus/api_forward.go
+++ b/internal/control/consensus/api_forward.go
@@ -28,12 +28,12 @@
 		}
 		leader := v.leaderAddress()
 		if leader == "" {
-			a.failWith(w, ErrNoLeader)
+			a.writeError(w, ErrNoLeader)
 			return
 		}
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxNodeBodyBytes))
 		if err != nil {
-			a.failWith(w, &BodyError{err, fmt.Sprintf("at most %d bytes", maxNodeBodyBytes)})
+			a.writeError(w, &BodyError{err, fmt.Sprintf("at most %d bytes", maxNodeBodyBytes)})
 			return
 		}
 		a.forward(w, r, leader, body)
@@ -54,14 +54,14 @@
 func (a *API) forward(w http.ResponseWriter, r *http.Request, leader string, body []byte) {
 	timeout := forwardTimeout
 	if r.URL.Path != "/v1/nodes" {
-		timeout = answerTimeout
+		timeout = requestTimeout
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
 	url := a.group.credentials.scheme() + "://" + leader + r.URL.RequestURI()
 	request, err := http.NewRequestWithContext(ctx, r.Method, url, bytes.NewReader(body))
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
 	request.Header.Set(headerForwarded, a.group.View().Name)
@@ -71,7 +71,7 @@
 	}
 	status, raw, err := a.roundTrip(request)
 	if err != nil {
-		a.failWith(w, &LeaderUnreachableError{leader, err})
+		a.writeError(w, &LeaderUnreachableError{leader, err})
 		return
 	}
 	w.Header().Set("Content-Type", contentJSON)
@@ -81,7 +81,7 @@
 }
 
 func (a *API) roundTrip(request *http.Request) (status int, body []byte, err error) {
-	response, err := a.forwarder.Do(request)
+	response, err := a.leaderClient.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/control/consensus/api_members.go
+++ b/internal/control/consensus/api_members.go
@@ -18,7 +18,7 @@
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(&c); err != nil {
-		a.failWith(w, &BodyError{err, "a change of members as JSON"})
+		a.writeError(w, &BodyError{err, "a change of members as JSON"})
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), membershipTimeout)
@@ -26,29 +26,29 @@
 	var err error
 	if c.Op == OpTransfer {
 		err = a.group.Transfer(c.Member.ID)
-	} else if shown := c.shown(); shown != nil {
-		err = a.group.Change(ctx, c, shown)
+	} else if applied := c.appliedCheck(); applied != nil {
+		err = a.group.Change(ctx, c, applied)
 	} else {
 		err = &api.FieldError{Field: "op", Found: strconv.Quote(string(c.Op)),
 			Expected: "add, promote, remove, replace or transfer"}
 	}
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
 	a.group.log.WithFields(logrus.Fields{logging.Operation: c.Op, logging.Peer: idText(c.Member.ID)}).
 		Info("members changed")
-	a.answer(w, a.group.View().Members)
+	a.writeResponse(w, a.group.View().Members)
 }
 
 func (a *API) getSnapshot(w http.ResponseWriter, r *http.Request) {
-	_, err := a.view(r)
+	_, err := a.readView(r)
 	var parts [][]byte
 	if err == nil {
 		parts, err = a.group.Snapshot()
 	}
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
 	w.Header().Set("Content-Type", contentBytes)
--- a/internal/control/consensus/api_middleware.go
+++ b/internal/control/consensus/api_middleware.go
@@ -56,7 +56,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		got := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 		if want != "" && subtle.ConstantTimeCompare([]byte(got), []byte(want)) != 1 {
-			a.failWith(w, errNoToken)
+			a.writeError(w, errUnauthorized)
 			return
 		}
 		next(w, r)
--- a/internal/control/consensus/api_test.go
+++ b/internal/control/consensus/api_test.go
@@ -122,7 +122,7 @@
 	a := boot(t, "a", "new", nil)
 	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
 	var open []net.Conn
-	for i := 0; i < maxBodiesBytes/maxBodyBytes; i++ {
+	for i := 0; i < maxTotalBodyBytes/maxBodyBytes; i++ {
 		c, err := net.Dial("tcp", a.control.Listen)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/control/consensus/api_watch.go
+++ b/internal/control/consensus/api_watch.go
@@ -10,43 +10,43 @@
 // number wherever it connects again, so it misses none and gets none twice.
 func (a *API) getWatch(w http.ResponseWriter, r *http.Request) {
 	v := a.group.View()
-	from, err := number(r, "from", v.Version+1)
+	from, err := queryUint(r, "from", v.Version+1)
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
 	if from == 0 || from < v.FirstVersion {
-		a.failWith(w, &VersionDroppedError{from, v.FirstVersion})
+		a.writeError(w, &VersionDroppedError{from, v.FirstVersion})
 		return
 	}
 	if a.watchers.Add(1) > maxWatchers {
 		a.watchers.Add(-1)
-		a.failWith(w, errTooManyWatchers)
+		a.writeError(w, errTooManyWatchers)
 		return
 	}
 	defer a.watchers.Add(-1)
-	stream := &watchStream{api: a, writer: w, control: http.NewResponseController(w), next: from}
+	stream := &watchStream{api: a, writer: w, control: http.NewResponseController(w), nextVersion: from}
 	stream.run(r)
 }
 
 // watchStream is one watcher's answer.
 type watchStream struct {
-	api     *API
-	writer  http.ResponseWriter
-	control *http.ResponseController
-	next    uint64 // version to be sent
+	api         *API
+	writer      http.ResponseWriter
+	control     *http.ResponseController
+	nextVersion uint64 // version to be sent
 }
 
 // run ends when the client goes, is too slow, or falls behind the oldest version held; it has to begin anew then. It
 // ends also when the API or the instance stops.
 func (s *watchStream) run(r *http.Request) {
 	s.control.SetReadDeadline(time.Time{}) // the server's deadline is for bodies; a watch has none
-	s.writer.Header().Set("Content-Type", contentLines)
+	s.writer.Header().Set("Content-Type", contentJSONLines)
 	heartbeat := time.NewTimer(0)
 	defer heartbeat.Stop()
 	for {
 		v := s.api.group.View()
-		if s.next < v.FirstVersion {
+		if s.nextVersion < v.FirstVersion {
 			return
 		}
 		sent, err := s.sendVersions(v)
@@ -76,8 +76,8 @@
 // sendVersions sends what is newer than the last version sent.
 func (s *watchStream) sendVersions(v *View) (sent bool, err error) {
 	s.extendDeadline()
-	for ; s.next <= v.Version; s.next++ {
-		if err = s.writeLine(v.VersionJSON(s.next)); err != nil {
+	for ; s.nextVersion <= v.Version; s.nextVersion++ {
+		if err = s.writeLine(v.VersionJSON(s.nextVersion)); err != nil {
 			return sent, err
 		}
 		s.extendDeadline()
--- a/internal/control/consensus/credentials.go
+++ b/internal/control/consensus/credentials.go
@@ -25,11 +25,11 @@
 	return c, c.reload()
 }
 
-func (c *credentials) enabled() bool { return c.cert != "" }
+func (c *credentials) tlsEnabled() bool { return c.cert != "" }
 
 // reload reads the files again. After an error those read before stay in use.
 func (c *credentials) reload() error {
-	if !c.enabled() {
+	if !c.tlsEnabled() {
 		return nil
 	}
 	pair, err := tls.LoadX509KeyPair(c.cert, c.key)
@@ -59,7 +59,7 @@
 // listen opens an address; with files, for peers with a certificate of the authority.
 func (c *credentials) listen(addr string) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr)
-	if err != nil || !c.enabled() {
+	if err != nil || !c.tlsEnabled() {
 		return l, err
 	}
 	return tls.NewListener(l, &tls.Config{MinVersion: tls.VersionTLS13,
@@ -67,9 +67,9 @@
 }
 
 // dial opens a connection to another instance.
-func (c *credentials) dial(addr string, within time.Duration) (net.Conn, error) {
-	d := &net.Dialer{Timeout: within, KeepAlive: 5 * time.Second}
-	if !c.enabled() {
+func (c *credentials) dial(addr string, timeout time.Duration) (net.Conn, error) {
+	d := &net.Dialer{Timeout: timeout, KeepAlive: 5 * time.Second}
+	if !c.tlsEnabled() {
 		return d.Dial("tcp", addr)
 	}
 	conn, err := tls.DialWithDialer(d, "tcp", addr, c.current.Load())
@@ -81,7 +81,7 @@
 
 // scheme is that of another instance's address for clients.
 func (c *credentials) scheme() string {
-	if c.enabled() {
+	if c.tlsEnabled() {
 		return "https"
 	}
 	return "http"
--- a/internal/control/consensus/credentials_test.go
+++ b/internal/control/consensus/credentials_test.go
@@ -19,21 +19,21 @@
 	"umberwinch/internal/config"
 )
 
-// authority writes certificates of its own.
-type authority struct {
+// testAuthority writes certificates of its own.
+type testAuthority struct {
 	key  *ecdsa.PrivateKey
 	cert *x509.Certificate
 	dir  string
 	n    int64
 }
 
-func newAuthority(t *testing.T) *authority {
+func newAuthority(t *testing.T) *testAuthority {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &authority{key: key, dir: t.TempDir(), n: 1}
+	a := &testAuthority{key: key, dir: t.TempDir(), n: 1}
 	a.cert = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), IsCA: true,
 		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
@@ -41,9 +41,9 @@
 	return a
 }
 
-func (a *authority) path(name string) string { return filepath.Join(a.dir, name) }
+func (a *testAuthority) path(name string) string { return filepath.Join(a.dir, name) }
 
-func (a *authority) write(t *testing.T, name string, c *x509.Certificate, key *ecdsa.PrivateKey) {
+func (a *testAuthority) write(t *testing.T, name string, c *x509.Certificate, key *ecdsa.PrivateKey) {
 	t.Helper()
 	der, err := x509.CreateCertificate(rand.Reader, c, a.cert, &key.PublicKey, a.key)
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-func (a *authority) issue(t *testing.T, name, ip string) {
+func (a *testAuthority) issue(t *testing.T, name, ip string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/control/consensus/errors.go
+++ b/internal/control/consensus/errors.go
@@ -30,13 +30,13 @@
 	// ErrBarred is for any request to an instance that must take no part in the group any more.
 	ErrBarred = errors.New("this instance takes no part in the group any more")
 
-	errNoToken         = errors.New("no token, or another one, expected the one of [clients]")
-	errNoVersion       = errors.New("there is no version yet")
-	errNoTransfer      = errors.New("no voter to hand the lead to")
-	errRestoring       = errors.New("the group is being restored")
-	errTooManyWatchers = fmt.Errorf("%d watchers, expected at most %d", maxWatchers+1, maxWatchers)
-	errTooManyRecords  = fmt.Errorf("%d nodes, expected at most %d", recovery.MaxRecords+1, recovery.MaxRecords)
-	errBodyTooLarge    = fmt.Errorf("more than %d bytes", maxBodyBytes)
+	errUnauthorized      = errors.New("no token, or another one, expected the one of [clients]")
+	errNoVersion         = errors.New("there is no version yet")
+	errNoTransfer        = errors.New("no voter to hand the lead to")
+	errRestoreInProgress = errors.New("the group is being restored")
+	errTooManyWatchers   = fmt.Errorf("%d watchers, expected at most %d", maxWatchers+1, maxWatchers)
+	errTooManyRecords    = fmt.Errorf("%d nodes, expected at most %d", recovery.MaxRecords+1, recovery.MaxRecords)
+	errBodyTooLarge      = fmt.Errorf("more than %d bytes", maxBodyBytes)
 )
 
 // Why a change of members can't be made; a ChangeError wraps one of them.
@@ -137,8 +137,8 @@
 	// ErrFolderInUse is for a folder that belongs to an instance where an empty one is needed.
 	ErrFolderInUse = errors.New("the folder belongs to an instance already, expected an empty one")
 
-	errNoSnapshotHeader = errors.New("a snapshot without a head")
-	errSnapshotRefused  = errors.New("it was not taken")
+	errNoSnapshotHeader        = errors.New("a snapshot without a head")
+	errSnapshotNotAcknowledged = errors.New("it was not taken")
 )
 
 // errNoCertificate is for an authority's file that has none.
--- a/internal/control/consensus/errors_test.go
+++ b/internal/control/consensus/errors_test.go
@@ -35,7 +35,7 @@
 		{fmt.Errorf("wrapped: %w", &RejectedError{"a reason"}), http.StatusConflict},
 		{&LeaderUnreachableError{"10.0.0.1:7201", errors.New("refused")}, http.StatusServiceUnavailable},
 		{errTooManyWatchers, http.StatusServiceUnavailable},
-		{errNoToken, http.StatusUnauthorized},
+		{errUnauthorized, http.StatusUnauthorized},
 		{errNoVersion, http.StatusNotFound},
 		{&VersionNotFoundError{7, 1, 3}, http.StatusNotFound},
 		{&VersionDroppedError{1, 3}, http.StatusGone},
@@ -78,8 +78,8 @@
 		{&LogEntryError{3, 4, nil}, "entry 3 of the log: found index 4 there"},
 		{&LogEntryError{3, 0, io.ErrUnexpectedEOF}, "entry 3 of the log can't be decoded: unexpected EOF"},
 		{&CompactedEntryError{3, 5}, "entry 3, expected one after 5"},
-		{&PeerRefusedError{true, wasRemoved}, "refused: it was removed from the group"},
-		{&PeerRefusedError{false, oldCopy}, "it was refused: its folder is an old copy, or is in use twice"},
+		{&PeerRefusedError{true, refusedRemoved}, "refused: it was removed from the group"},
+		{&PeerRefusedError{false, refusedOldCopy}, "it was refused: its folder is an old copy, or is in use twice"},
 		{&UnexpectedPeerError{1, 2}, "instance 1 answers, expected 2"},
 	} {
 		if c.err == nil || c.err.Error() != c.want {
--- a/internal/control/consensus/fleet_requests.go
+++ b/internal/control/consensus/fleet_requests.go
@@ -13,13 +13,13 @@
 // the request, ErrBusy, ErrStopped, or ErrTimeout once ctx is done; the request may take effect after an
 // ErrTimeout.
 func submit[T any](ctx context.Context, g *Group, request func(done func(T, error))) (result T, err error) {
-	type ended struct {
+	type submitResult struct {
 		result T
 		err    error
 	}
-	done := make(chan ended, 1)
+	done := make(chan submitResult, 1)
 	if err = g.enqueue(func() {
-		request(func(result T, err error) { done <- ended{result, err} })
+		request(func(result T, err error) { done <- submitResult{result, err} })
 	}); err != nil {
 		return result, err
 	}
@@ -58,17 +58,17 @@
 
 // Forget removes a node from the fleet's list and waits until it is gone from the state here.
 func (g *Group) Forget(ctx context.Context, name string) error {
-	err, stopped := callOn(g, g.enqueue, func() error {
+	err, stopErr := callOnReplica(g, g.enqueue, func() error {
 		if !g.knowsNode(name) {
 			return &UnknownNodeError{name}
 		}
 		return g.leader.Forget(name)
 	})
-	if err = errors.Join(stopped, err); err != nil {
+	if err = errors.Join(stopErr, err); err != nil {
 		return err
 	}
 	for {
-		listed, err := callOn(g, g.enqueue, func() bool { return g.knowsNode(name) })
+		listed, err := callOnReplica(g, g.enqueue, func() bool { return g.knowsNode(name) })
 		if err != nil || !listed {
 			return err
 		}
--- a/internal/control/consensus/fleet_test.go
+++ b/internal/control/consensus/fleet_test.go
@@ -27,9 +27,9 @@
 	t.Parallel()
 	low := boot(t, "x", "new", nil)
 	low.await("the level of this build", func(v *View) bool { return v.Level == LatestLevel })
-	if reason, _ := low.group.judgeHello(Hello{Identity: Identity{ID: 99, Name: "d", Starts: 1, Nonce: 1},
-		To: low.group.View().ID, Level: LevelVersions}); reason != olderProgram {
-		t.Errorf("an older build is met with %q, expected %q", reason, olderProgram)
+	if reason, _ := low.group.handleHello(Hello{Identity: Identity{ID: 99, Name: "d", Starts: 1, Nonce: 1},
+		To: low.group.View().ID, Level: LevelVersions}); reason != refusedOlderProgram {
+		t.Errorf("an older build is met with %q, expected %q", reason, refusedOlderProgram)
 	}
 	low = old(t, "x", "new")
 	high := boot(t, "y", "join", nil)
--- a/internal/control/consensus/fleet_views.go
+++ b/internal/control/consensus/fleet_views.go
@@ -70,7 +70,7 @@
 		raw []byte
 		err error
 	}
-	e, err := callOn(g, g.enqueue, func() encoded {
+	e, err := callOnReplica(g, g.enqueue, func() encoded {
 		raw, err := json.Marshal(view())
 		return encoded{raw, err}
 	})
@@ -121,7 +121,7 @@
 
 // Nodes returns a copy of all nodes.
 func (g *Group) Nodes() ([]NodeView, error) {
-	return callOn(g, g.enqueue, func() []NodeView {
+	return callOnReplica(g, g.enqueue, func() []NodeView {
 		views := []NodeView{}
 		for _, n := range g.replica.stateMachine.fleet.Fleet.Nodes() {
 			views = append(views, g.nodeView(n))
--- a/internal/control/consensus/frames.go
+++ b/internal/control/consensus/frames.go
@@ -25,16 +25,16 @@
 	maxFrameBytes = 16 << 20
 )
 
-var frameSums = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 // writeFrame writes one frame.
 func writeFrame(w io.Writer, kind byte, data []byte) error {
-	head := make([]byte, frameHeaderBytes+1)
-	binary.LittleEndian.PutUint32(head, uint32(len(data)+1))
-	head[frameHeaderBytes] = kind
-	sum := crc32.Update(crc32.Checksum(head[frameHeaderBytes:], frameSums), frameSums, data)
-	binary.LittleEndian.PutUint32(head[4:], sum)
-	if _, err := w.Write(head); err != nil {
+	header := make([]byte, frameHeaderBytes+1)
+	binary.LittleEndian.PutUint32(header, uint32(len(data)+1))
+	header[frameHeaderBytes] = kind
+	sum := crc32.Update(crc32.Checksum(header[frameHeaderBytes:], crcTable), crcTable, data)
+	binary.LittleEndian.PutUint32(header[4:], sum)
+	if _, err := w.Write(header); err != nil {
 		return err
 	}
 	_, err := w.Write(data)
@@ -44,11 +44,11 @@
 // readFrame reads one frame. data is a new slice. The error is that of the reader, or a *FrameError for a frame that is
 // longer than maxBytes or whose sum is wrong.
 func readFrame(r io.Reader, maxBytes int) (kind byte, data []byte, err error) {
-	var head [frameHeaderBytes]byte
-	if _, err = io.ReadFull(r, head[:]); err != nil {
+	var header [frameHeaderBytes]byte
+	if _, err = io.ReadFull(r, header[:]); err != nil {
 		return 0, nil, err
 	}
-	n := binary.LittleEndian.Uint32(head[:])
+	n := binary.LittleEndian.Uint32(header[:])
 	if n == 0 || int64(n) > int64(maxBytes) {
 		return 0, nil, &FrameError{fmt.Sprintf("of %d bytes", n), fmt.Sprintf("1 to %d", maxBytes)}
 	}
@@ -56,9 +56,9 @@
 	if _, err = io.ReadFull(r, raw); err != nil {
 		return 0, nil, err
 	}
-	if sum := crc32.Checksum(raw, frameSums); sum != binary.LittleEndian.Uint32(head[4:]) {
+	if sum := crc32.Checksum(raw, crcTable); sum != binary.LittleEndian.Uint32(header[4:]) {
 		return 0, nil, &FrameError{fmt.Sprintf("whose sum is %08x", sum),
-			fmt.Sprintf("%08x", binary.LittleEndian.Uint32(head[4:]))}
+			fmt.Sprintf("%08x", binary.LittleEndian.Uint32(header[4:]))}
 	}
 	return raw[0], raw[1:], nil
 }
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -62,15 +62,15 @@
 	stateLossLogged bool
 	outOfContact    bool // as the last view was when it was published
 	ticks           uint64
-	waiting         waiters
+	waiters         waiters
 }
 
 // queues are how other goroutines reach the one that owns the replica.
 type queues struct {
-	inbox            chan *pb.Message
-	requests         chan func() // of clients
-	events           chan func() // of the transport; never refused
-	snapshotsWritten chan snapshotWritten
+	inbox           chan *pb.Message
+	requests        chan func() // of clients
+	events          chan func() // of the transport; never refused
+	snapshotResults chan snapshotResult
 }
 
 // Faults are what fault tests do to an instance on purpose; the zero value does nothing.
@@ -134,14 +134,14 @@
 		control: c,
 		log:     log,
 		queues: queues{
-			inbox:            make(chan *pb.Message, maxInbox),
-			requests:         make(chan func(), maxRequests),
-			events:           make(chan func(), maxInbox),
-			snapshotsWritten: make(chan snapshotWritten, 1),
+			inbox:           make(chan *pb.Message, maxInbox),
+			requests:        make(chan func(), maxRequests),
+			events:          make(chan func(), maxInbox),
+			snapshotResults: make(chan snapshotResult, 1),
 		},
 		done:           make(chan struct{}),
 		stopping:       make(chan struct{}),
-		waiting:        waiters{puts: map[putKey][]*waiter{}, reads: map[uint64][]*waiter{}},
+		waiters:        waiters{puts: map[putKey][]*waiter{}, reads: map[uint64][]*waiter{}},
 		leader:         coordinator.NewLeader(faults.DisabledPolicyGuards),
 		leaderTickedAt: time.Now(),
 	}
@@ -152,7 +152,7 @@
 
 func (g *Group) openReplica(dir wal.FS, faults Faults) (err error) {
 	replicaConfig := ConfigFrom(g.control)
-	replicaConfig.Logger = raftLog{g.log}
+	replicaConfig.Logger = raftLogger{g.log}
 	replicaConfig.OnStep = faults.OnStep
 	replicaConfig.Level = faults.Level
 	replicaConfig.DisabledPolicyGuards = faults.DisabledPolicyGuards
--- a/internal/control/consensus/group_loop.go
+++ b/internal/control/consensus/group_loop.go
@@ -14,7 +14,7 @@
 	tick := time.NewTicker(g.control.Tick)
 	defer tick.Stop()
 	for {
-		g.waiting.newReads = g.waiting.newReads[:0]
+		g.waiters.newReads = g.waiters.newReads[:0]
 		var err error
 		select {
 		case <-g.stopping:
@@ -28,7 +28,7 @@
 			f()
 		case f := <-g.requests:
 			f()
-		case s := <-g.snapshotsWritten:
+		case s := <-g.snapshotResults:
 			err = g.replica.SnapshotWritten(s.snapshot, s.err)
 		}
 		if err == nil {
@@ -60,23 +60,23 @@
 
 // work has the replica do what raft has ready and answers whom that serves.
 func (g *Group) work() error {
-	if len(g.waiting.newReads) > 0 {
-		g.requestRead(append([]*waiter(nil), g.waiting.newReads...))
+	if len(g.waiters.newReads) > 0 {
+		g.requestRead(append([]*waiter(nil), g.waiters.newReads...))
 	}
-	done, err := g.replica.Work(g.transport.send)
+	result, err := g.replica.Work(g.transport.send)
 	if err != nil {
 		return err
 	}
-	g.operationsApplied(done.Operations)
-	if done.Applied || len(done.Reads) > 0 {
+	g.operationsApplied(result.Operations)
+	if result.Applied || len(result.Reads) > 0 {
 		g.publish() // before puts and reads are answered: the headers of an answer, and reads, go by the view
 	}
-	for i := range done.Puts {
-		g.metrics.outcomes.WithLabelValues(string(done.Puts[i].Result.Outcome)).Inc()
-		g.waiting.finishPut(&done.Puts[i])
+	for i := range result.Puts {
+		g.metrics.outcomes.WithLabelValues(string(result.Puts[i].Result.Outcome)).Inc()
+		g.waiters.finishPut(&result.Puts[i])
 	}
-	for _, id := range done.Reads {
-		g.waiting.finishRead(id, g.replica.stateMachine.Last())
+	for _, id := range result.Reads {
+		g.waiters.finishRead(id, g.replica.stateMachine.Last())
 	}
 	return g.snapshotIfDue()
 }
@@ -86,7 +86,7 @@
 func (g *Group) snapshotIfDue() error {
 	s, err := g.replica.SnapshotIfDue()
 	if s != nil && err == nil {
-		go func() { g.snapshotsWritten <- snapshotWritten{s, s.Write()} }()
+		go func() { g.snapshotResults <- snapshotResult{s, s.Write()} }()
 	}
 	return err
 }
@@ -98,10 +98,10 @@
 	g.replica.Tick()
 	g.tickLeader(g.elapsedMS())
 	retryAfter := uint64(g.control.ElectionTicks)
-	if overdue := g.waiting.overdueReads(g.ticks, retryAfter); len(overdue) > 0 {
+	if overdue := g.waiters.overdueReads(g.ticks, retryAfter); len(overdue) > 0 {
 		g.requestRead(overdue)
 	}
-	for _, p := range g.waiting.overduePuts(g.ticks, retryAfter) {
+	for _, p := range g.waiters.overduePuts(g.ticks, retryAfter) {
 		g.replica.Propose(&p)
 	}
 	g.publish()
@@ -110,12 +110,12 @@
 // requestRead asks raft for one read that serves all of some waiters. Without a leader it fails and is asked again by
 // tick.
 func (g *Group) requestRead(list []*waiter) {
-	g.waiting.lastReadID++
+	g.waiters.lastReadID++
 	for _, w := range list {
 		w.sinceTick = g.ticks
 	}
-	g.waiting.reads[g.waiting.lastReadID] = list
-	g.replica.Read(g.waiting.lastReadID)
+	g.waiters.reads[g.waiters.lastReadID] = list
+	g.replica.Read(g.waiters.lastReadID)
 }
 
 // publish makes a new view and tells all who wait for one.
@@ -162,7 +162,7 @@
 // logs it.
 func (g *Group) shutDown(err error) {
 	g.err = err
-	g.waiting.failAll(ErrStopped)
+	g.waiters.failAll(ErrStopped)
 	closed := make(chan struct{})
 	go func() { g.transport.close(); close(closed) }()
 	for { // the transport's goroutines may wait for a result of this one
@@ -174,7 +174,7 @@
 			f()
 		case <-closed:
 			if g.replica.snapshotting { // nobody may write to a folder that another process has opened
-				<-g.snapshotsWritten
+				<-g.snapshotResults
 			}
 			if err := g.replica.Close(); err != nil && g.err == nil {
 				g.err = err
--- a/internal/control/consensus/group_peers.go
+++ b/internal/control/consensus/group_peers.go
@@ -31,22 +31,22 @@
 }
 
 func (g *Group) hello(to uint64) (Hello, error) {
-	return callOn(g, g.enqueueEvent, func() Hello { return g.replica.HelloTo(to) })
+	return callOnReplica(g, g.enqueueEvent, func() Hello { return g.replica.HelloTo(to) })
 }
 
-func (g *Group) judgeHello(h Hello) (string, error) {
-	type judged struct {
+func (g *Group) handleHello(h Hello) (string, error) {
+	type helloResult struct {
 		reason string
 		err    error
 	}
-	j, stopped := callOn(g, g.enqueueEvent, func() judged {
+	result, stopErr := callOnReplica(g, g.enqueueEvent, func() helloResult {
 		reason, err := g.replica.Handshake(h)
-		return judged{reason, err}
+		return helloResult{reason, err}
 	})
-	return j.reason, errors.Join(stopped, j.err)
+	return result.reason, errors.Join(stopErr, result.err)
 }
 
-func (g *Group) bar(reason string) {
+func (g *Group) barInstance(reason string) {
 	g.enqueueEvent(func() {
 		if g.replica.Barred() == "" {
 			g.log.WithField(logging.Reason, reason).Error("this instance takes no part in the group any more")
--- a/internal/control/consensus/group_requests.go
+++ b/internal/control/consensus/group_requests.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3"
 )
 
-type snapshotWritten struct {
+type snapshotResult struct {
 	snapshot *PendingSnapshot
 	err      error
 }
@@ -31,9 +31,9 @@
 	}
 }
 
-// callOn runs a function on the replica's goroutine, by one of its queues, and returns its result. The error is the
+// callOnReplica runs a function on the replica's goroutine, by one of its queues, and returns its result. The error is the
 // queue's, or ErrStopped.
-func callOn[T any](g *Group, queue func(func()) error, f func() T) (result T, err error) {
+func callOnReplica[T any](g *Group, queue func(func()) error, f func() T) (result T, err error) {
 	done := make(chan T, 1)
 	if err = queue(func() { done <- f() }); err != nil {
 		return result, err
@@ -46,8 +46,8 @@
 	}
 }
 
-// await enqueues a function that starts a wait, and waits. It returns ErrTimeout once ctx is done.
-func (g *Group) await(ctx context.Context, w *waiter, start func()) (PutResult, error) {
+// awaitResult enqueues a function that starts a wait, and waits. It returns ErrTimeout once ctx is done.
+func (g *Group) awaitResult(ctx context.Context, w *waiter, start func()) (PutResult, error) {
 	if err := g.enqueue(start); err != nil {
 		return PutResult{}, err
 	}
@@ -57,7 +57,7 @@
 	case <-g.done:
 		return PutResult{}, ErrStopped
 	case <-ctx.Done():
-		w.abandoned.Store(true)
+		w.canceled.Store(true)
 		return PutResult{}, ErrTimeout
 	}
 }
@@ -70,8 +70,8 @@
 	}
 	w := &waiter{put: &p, done: make(chan outcome, 1)}
 	started := time.Now()
-	result, err := g.await(ctx, w, func() {
-		if g.waiting.full(w) {
+	result, err := g.awaitResult(ctx, w, func() {
+		if g.waiters.rejectIfFull(w) {
 			return
 		}
 		w.sinceTick = g.ticks
@@ -80,10 +80,10 @@
 			w.done <- outcome{err: err}
 			return
 		}
-		g.waiting.addPut(w)
+		g.waiters.addPut(w)
 	})
 	if err == nil {
-		g.metrics.commit.Observe(time.Since(started).Seconds())
+		g.metrics.putSeconds.Observe(time.Since(started).Seconds())
 	}
 	return result, err
 }
@@ -92,9 +92,9 @@
 // ErrBusy, ErrStopped, and ErrTimeout once ctx is done.
 func (g *Group) LinearizableView(ctx context.Context) (*View, error) {
 	w := &waiter{done: make(chan outcome, 1)}
-	_, err := g.await(ctx, w, func() {
-		if !g.waiting.full(w) {
-			g.waiting.addRead(w)
+	_, err := g.awaitResult(ctx, w, func() {
+		if !g.waiters.rejectIfFull(w) {
+			g.waiters.addRead(w)
 		}
 	})
 	return g.View(), err
@@ -102,30 +102,30 @@
 
 // Change makes a change of members and waits until done says that it shows. Where it shows nowhere, as it was lost or
 // another one was under way, it is asked again after the time of an election.
-func (g *Group) Change(ctx context.Context, c Change, done func([]Member) bool) error {
+func (g *Group) Change(ctx context.Context, c Change, applied func([]Member) bool) error {
 	for {
-		err, stopped := callOn(g, g.enqueue, func() error { return g.replica.Change(c) })
-		if stopped != nil {
-			return stopped
+		err, stopErr := callOnReplica(g, g.enqueue, func() error { return g.replica.Change(c) })
+		if stopErr != nil {
+			return stopErr
 		}
-		shown, err := g.awaitMembers(ctx, done, err)
-		if shown || err != nil {
+		isApplied, err := g.awaitMemberChange(ctx, applied, err)
+		if isApplied || err != nil {
 			return err
 		}
 	}
 }
 
-// awaitMembers waits for the time of an election at most. failed is why the change was not proposed.
-func (g *Group) awaitMembers(ctx context.Context, done func([]Member) bool, failed error) (shown bool, err error) {
+// awaitMemberChange waits for the time of an election at most. failed is why the change was not proposed.
+func (g *Group) awaitMemberChange(ctx context.Context, applied func([]Member) bool, proposeErr error) (isApplied bool, err error) {
 	retry := time.NewTimer(time.Duration(g.control.ElectionTicks) * g.control.Tick)
 	defer retry.Stop()
 	for {
 		v := g.View()
-		if done(v.Members) {
+		if applied(v.Members) {
 			return true, nil
 		}
-		if failed != nil && !errors.Is(failed, raft.ErrProposalDropped) {
-			return false, failed
+		if proposeErr != nil && !errors.Is(proposeErr, raft.ErrProposalDropped) {
+			return false, proposeErr
 		}
 		select {
 		case <-v.Superseded:
@@ -141,7 +141,7 @@
 
 // Transfer hands the lead to a voter, to the one with the longest log if id is 0. Only the leader can.
 func (g *Group) Transfer(id uint64) error {
-	err, stopped := callOn(g, g.enqueue, func() error { return g.replica.Transfer(id) })
+	err, stopped := callOnReplica(g, g.enqueue, func() error { return g.replica.Transfer(id) })
 	return errors.Join(stopped, err)
 }
 
@@ -151,12 +151,12 @@
 		parts [][]byte
 		err   error
 	}
-	s, stopped := callOn(g, g.enqueue, func() snapshot {
+	s, stopErr := callOnReplica(g, g.enqueue, func() snapshot {
 		meta, state, err := g.replica.snapshotState()
 		if err == nil {
 			state, err = snapshotParts(meta, state)
 		}
 		return snapshot{state, err}
 	})
-	return s.parts, errors.Join(stopped, s.err)
+	return s.parts, errors.Join(stopErr, s.err)
 }
--- a/internal/control/consensus/guard.go
+++ b/internal/control/consensus/guard.go
@@ -30,7 +30,7 @@
 	"member-identity", "members-kept"}
 
 // Has tells whether a guard is disabled.
-func (g Guard) Has(one Guard) bool { return g&one != 0 }
+func (g Guard) Has(guard Guard) bool { return g&guard != 0 }
 
 // GuardNamed returns a guard by its name, or an *UnknownGuardError.
 func GuardNamed(name string) (Guard, error) {
--- a/internal/control/consensus/helper_test.go
+++ b/internal/control/consensus/helper_test.go
@@ -181,6 +181,6 @@
 
 func loudPlan(c *config.Control) Config {
 	p := ConfigFrom(c)
-	p.Logger = raftLog{quietLogger()}
+	p.Logger = raftLogger{quietLogger()}
 	return p
 }
--- a/internal/control/consensus/leader.go
+++ b/internal/control/consensus/leader.go
@@ -40,12 +40,12 @@
 // logStateLoss logs once in a life that nodes have proved the group to lack state, also after a restart, when no entry
 // tells of it any more.
 func (g *Group) logStateLoss() {
-	lost := g.replica.stateMachine.fleet.Fleet.LostState
-	if lost == "" || g.stateLossLogged {
+	reason := g.replica.stateMachine.fleet.Fleet.LostState
+	if reason == "" || g.stateLossLogged {
 		return
 	}
 	g.stateLossLogged = true
-	g.log.WithField(logging.Reason, lost).
+	g.log.WithField(logging.Reason, reason).
 		Error("the group has lost state that nodes know of, and grants nothing: see umberctl control recover")
 }
 
--- a/internal/control/consensus/members.go
+++ b/internal/control/consensus/members.go
@@ -37,8 +37,8 @@
 	ReplacedID uint64   `json:"gone,omitempty"` // OpReplace: the voter that leaves
 }
 
-// shown gives the test whether a change shows in a list of members, nil for an unknown operation.
-func (c *Change) shown() func([]Member) bool {
+// appliedCheck gives the test whether a change shows in a list of members, nil for an unknown operation.
+func (c *Change) appliedCheck() func([]Member) bool {
 	isVoter := func(list []Member) bool {
 		m := findMember(list, c.Member.ID)
 		return m != nil && m.Voter
@@ -84,14 +84,14 @@
 
 // check returns why a change can't be made, a *ChangeError, by the state alone, so that all instances find the same.
 func (t *memberTable) check(c *Change) error {
-	at := t.byID(c.Member.ID)
+	member := t.byID(c.Member.ID)
 	switch c.Op {
 	case OpAdd:
 		switch {
 		case c.Member.ID == 0 || c.Member.Name == "":
 			return invalidChange(ErrIncompleteMember, "found id %x and name %q, expected both", c.Member.ID,
 				c.Member.Name)
-		case at != nil:
+		case member != nil:
 			return invalidChange(ErrAlreadyMember, "instance %x is a member already", c.Member.ID)
 		case t.byName(c.Member.Name) != nil:
 			return invalidChange(ErrNameTaken, "%q is instance %x already; remove that one first, or replace it",
@@ -103,19 +103,19 @@
 			return invalidChange(ErrTooManyMembers, "%d members, expected at most %d", len(t.list)+1, maxMembers)
 		}
 	case OpPromote:
-		if at == nil || at.Voter {
+		if member == nil || member.Voter {
 			return invalidChange(ErrNotLearner, "instance %x is no learner", c.Member.ID)
 		}
 	case OpRemove:
-		if at == nil {
+		if member == nil {
 			return invalidChange(ErrNotMember, "instance %x is no member", c.Member.ID)
 		}
-		if at.Voter && countVoters(t.list) == 1 {
-			return invalidChange(ErrOnlyVoter, "%q is the only voter", at.Name)
+		if member.Voter && countVoters(t.list) == 1 {
+			return invalidChange(ErrOnlyVoter, "%q is the only voter", member.Name)
 		}
 	case OpReplace:
-		gone := t.byID(c.ReplacedID)
-		if at == nil || at.Voter || gone == nil || !gone.Voter {
+		replaced := t.byID(c.ReplacedID)
+		if member == nil || member.Voter || replaced == nil || !replaced.Voter {
 			return invalidChange(ErrNotVoterAndLearner, "replacing %x by %x: expected a voter and a learner",
 				c.ReplacedID, c.Member.ID)
 		}
@@ -129,14 +129,14 @@
 func (t *memberTable) apply(c *Change) {
 	switch c.Op {
 	case OpAdd:
-		n := c.Member
-		n.Voter = false
-		t.list = append(append([]Member{}, t.list...), n)
+		added := c.Member
+		added.Voter = false
+		t.list = append(append([]Member{}, t.list...), added)
 		sort.Slice(t.list, func(i, k int) bool { return t.list[i].ID < t.list[k].ID })
 	case OpPromote, OpReplace:
 		t.list = append([]Member{}, t.list...)
-		at := t.byID(c.Member.ID)
-		at.Voter, at.Promote = true, false
+		member := t.byID(c.Member.ID)
+		member.Voter, member.Promote = true, false
 		if c.Op == OpReplace {
 			t.remove(c.ReplacedID)
 		}
@@ -160,8 +160,8 @@
 }
 
 func (t *memberTable) wasRemoved(id uint64) bool {
-	for _, o := range t.removed {
-		if o == id {
+	for _, removed := range t.removed {
+		if removed == id {
 			return true
 		}
 	}
--- a/internal/control/consensus/metrics.go
+++ b/internal/control/consensus/metrics.go
@@ -17,16 +17,16 @@
 // metrics are what Prometheus reads at the clients' address. Gauges and counters are read from the view and the
 // transport when asked for; durations and outcomes are recorded as they happen.
 type metrics struct {
-	group    *Group
-	registry *prometheus.Registry
-	commit   prometheus.Histogram
-	sync     prometheus.Histogram
-	outcomes *prometheus.CounterVec
-	read     []metric
+	group       *Group
+	registry    *prometheus.Registry
+	putSeconds  prometheus.Histogram
+	syncSeconds prometheus.Histogram
+	outcomes    *prometheus.CounterVec
+	sampled     []sampledMetric
 }
 
-// metric is one that is read when asked for.
-type metric struct {
+// sampledMetric is one that is read when asked for.
+type sampledMetric struct {
 	desc  *prometheus.Desc
 	kind  prometheus.ValueType
 	value func(*View, *Group) float64
@@ -36,9 +36,9 @@
 	m := &metrics{
 		group:    g,
 		registry: prometheus.NewRegistry(),
-		commit: prometheus.NewHistogram(prometheus.HistogramOpts{Name: metricPrefix + "put_seconds",
+		putSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{Name: metricPrefix + "put_seconds",
 			Help: "From a put's asking to its end, at the instance asked.", Buckets: durationBuckets}),
-		sync: prometheus.NewHistogram(prometheus.HistogramOpts{Name: metricPrefix + "sync_seconds",
+		syncSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{Name: metricPrefix + "sync_seconds",
 			Help: "Of a file's sync.", Buckets: durationBuckets}),
 		outcomes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: metricPrefix + "puts_total",
 			Help: "Puts applied, by end; each instance counts all."}, []string{"end"}),
@@ -49,7 +49,7 @@
 	m.addRaft()
 	m.addContact()
 	m.addTransport()
-	m.registry.MustRegister(m.commit, m.sync, m.outcomes, m)
+	m.registry.MustRegister(m.putSeconds, m.syncSeconds, m.outcomes, m)
 	return m
 }
 
@@ -63,7 +63,7 @@
 }
 
 func (m *metrics) add(name, help string, kind prometheus.ValueType, value func(*View, *Group) float64) {
-	m.read = append(m.read, metric{prometheus.NewDesc(metricPrefix+name, help, nil, nil), kind, value})
+	m.sampled = append(m.sampled, sampledMetric{prometheus.NewDesc(metricPrefix+name, help, nil, nil), kind, value})
 }
 
 func (m *metrics) addRaft() {
@@ -91,19 +91,19 @@
 		func(_ *View, g *Group) float64 { return float64(len(g.inbox)) })
 	m.add("asked", "Askings that wait.", prometheus.GaugeValue,
 		func(_ *View, g *Group) float64 { return float64(len(g.requests)) })
-	m.counter("messages_sent", "To peers.", func(_ *View, g *Group) uint64 { return g.transport.count.sent.Load() })
+	m.counter("messages_sent", "To peers.", func(_ *View, g *Group) uint64 { return g.transport.counters.sent.Load() })
 	m.counter("messages_received", "From peers.",
-		func(_ *View, g *Group) uint64 { return g.transport.count.received.Load() })
+		func(_ *View, g *Group) uint64 { return g.transport.counters.received.Load() })
 	m.counter("messages_dropped", "For want of room or a connection.",
-		func(_ *View, g *Group) uint64 { return g.transport.count.dropped.Load() })
+		func(_ *View, g *Group) uint64 { return g.transport.counters.dropped.Load() })
 	m.counter("peers_refused", "Of another cluster, removed, old copies.",
-		func(_ *View, g *Group) uint64 { return g.transport.count.refused.Load() })
+		func(_ *View, g *Group) uint64 { return g.transport.counters.refused.Load() })
 	m.counter("peers_broken", "Connections with what can't be read.",
-		func(_ *View, g *Group) uint64 { return g.transport.count.broken.Load() })
+		func(_ *View, g *Group) uint64 { return g.transport.counters.broken.Load() })
 	m.counter("snapshots_sent", "To peers.",
-		func(_ *View, g *Group) uint64 { return g.transport.count.snapsSent.Load() })
+		func(_ *View, g *Group) uint64 { return g.transport.counters.snapshotsSent.Load() })
 	m.counter("snapshots_received", "From peers.",
-		func(_ *View, g *Group) uint64 { return g.transport.count.snapsReceived.Load() })
+		func(_ *View, g *Group) uint64 { return g.transport.counters.snapshotsReceived.Load() })
 }
 
 func countVoters(members []Member) int {
@@ -125,7 +125,7 @@
 
 // Describe is part of prometheus.Collector.
 func (m *metrics) Describe(ch chan<- *prometheus.Desc) {
-	for _, r := range m.read {
+	for _, r := range m.sampled {
 		ch <- r.desc
 	}
 }
@@ -136,7 +136,7 @@
 	if v == nil {
 		return
 	}
-	for _, r := range m.read {
+	for _, r := range m.sampled {
 		ch <- prometheus.MustNewConstMetric(r.desc, r.kind, r.value(v, m.group))
 	}
 }
@@ -168,6 +168,6 @@
 func (t timedFile) Sync() error {
 	started := time.Now()
 	err := t.File.Sync()
-	t.metrics.sync.Observe(time.Since(started).Seconds())
+	t.metrics.syncSeconds.Observe(time.Since(started).Seconds())
 	return err
 }
--- a/internal/control/consensus/peer_registry.go
+++ b/internal/control/consensus/peer_registry.go
@@ -30,16 +30,16 @@
 
 // Reasons to refuse a hello.
 const (
-	otherCluster = "it is of another cluster"
-	forAnother   = "it is meant for another instance"
-	wasRemoved   = "it was removed from the group"
-	oldCopy      = "its folder is an old copy, or is in use twice"
-	isBarred     = "it takes no part any more"
-	olderProgram = "its program is older than what the group's log holds"
+	refusedOtherCluster  = "it is of another cluster"
+	refusedWrongInstance = "it is meant for another instance"
+	refusedRemoved       = "it was removed from the group"
+	refusedOldCopy       = "its folder is an old copy, or is in use twice"
+	refusedBarred        = "it takes no part any more"
+	refusedOlderProgram  = "its program is older than what the group's log holds"
 )
 
 // BarsInstance tells whether a refusal means that the refused instance must take no further part in the group.
-func BarsInstance(reason string) bool { return reason == wasRemoved || reason == oldCopy }
+func BarsInstance(reason string) bool { return reason == refusedRemoved || reason == refusedOldCopy }
 
 // PeerRegistry decides whom an instance speaks with. It guards against an instance on an old copy of its folder,
 // which could vote twice in a term or lack entries that it acknowledged, so that a committed entry is lost. Two
@@ -60,19 +60,19 @@
 // peerProgress is the highest term in which another instance sent a message, and the last entry that it acknowledged
 // in that term. Both are on its disk before it sends them. Within a term an acknowledged entry is never dropped, so
 // neither goes back; entries of an earlier term may be.
-type peerProgress struct{ term, last uint64 }
+type peerProgress struct{ term, lastIndex uint64 }
 
 // RecordProgress notes the term that another instance spoke in and the last entry that it said it holds.
-func (p *PeerRegistry) RecordProgress(id, term, holds uint64) {
-	s, known := p.progress[id]
-	if !known && len(p.progress) >= maxPeers || term < s.term {
+func (p *PeerRegistry) RecordProgress(id, term, ackedIndex uint64) {
+	progress, known := p.progress[id]
+	if !known && len(p.progress) >= maxPeers || term < progress.term {
 		return
 	}
-	if term > s.term {
-		s = peerProgress{term: term}
+	if term > progress.term {
+		progress = peerProgress{term: term}
 	}
-	s.last = max(s.last, holds)
-	p.progress[id] = s
+	progress.lastIndex = max(progress.lastIndex, ackedIndex)
+	p.progress[id] = progress
 }
 
 type peerStart struct {
@@ -86,65 +86,65 @@
 
 // Handshake decides whether to speak with an instance by its hello: reason is why not, empty if so. learnt tells that
 // something changed that has to be stored before the other is answered.
-func (p *PeerRegistry) Handshake(h Hello) (reason string, learnt bool) {
+func (p *PeerRegistry) Handshake(h Hello) (reason string, changed bool) {
 	switch {
 	case h.ID == 0 || h.ID == p.self.ID || h.To != 0 && h.To != p.self.ID:
-		return forAnother, false
+		return refusedWrongInstance, false
 	case h.Cluster != "" && p.self.Cluster != "" && h.Cluster != p.self.Cluster:
-		return otherCluster, false
+		return refusedOtherCluster, false
 	case p.self.Cluster == "" && (h.Cluster == "" || h.To != p.self.ID):
-		return otherCluster, false // only an instance that was told its id may add it
+		return refusedOtherCluster, false // only an instance that was told its id may add it
 	case max(h.Level, LevelVersions) < p.groupLevel():
-		return olderProgram, false
+		return refusedOlderProgram, false
 	}
 	if len(p.peerLevels) < maxPeers || p.peerLevels[h.ID] > 0 {
 		p.peerLevels[h.ID] = max(h.Level, LevelVersions)
 	}
 	if p.self.Cluster == "" {
-		p.self.Cluster, learnt = h.Cluster, true
+		p.self.Cluster, changed = h.Cluster, true
 	}
 	switch {
 	case p.disabledGuards.Has(MemberIdentity) || h.Cluster == "":
-		return "", learnt // one that is in no group yet has nothing that an old copy could lack
+		return "", changed // one that is in no group yet has nothing that an old copy could lack
 	case h.Barred != "":
-		return isBarred, learnt
+		return refusedBarred, changed
 	case p.removed(h.ID):
-		return wasRemoved, learnt
+		return refusedRemoved, changed
 	}
-	was, known := p.lastStarts[h.ID]
-	if known && (h.Starts < was.Starts || h.Starts == was.Starts && h.Nonce != was.Nonce) {
-		return oldCopy, learnt
+	last, known := p.lastStarts[h.ID]
+	if known && (h.Starts < last.Starts || h.Starts == last.Starts && h.Nonce != last.Nonce) {
+		return refusedOldCopy, changed
 	}
-	if s := p.progress[h.ID]; h.Term < s.term || h.Term == s.term && h.Last < s.last {
-		return oldCopy, learnt
+	if progress := p.progress[h.ID]; h.Term < progress.term || h.Term == progress.term && h.Last < progress.lastIndex {
+		return refusedOldCopy, changed
 	}
 	if !known && len(p.lastStarts) >= maxPeers {
-		return fmt.Sprintf("%d instances were met, expected at most %d", len(p.lastStarts)+1, maxPeers), learnt
+		return fmt.Sprintf("%d instances were met, expected at most %d", len(p.lastStarts)+1, maxPeers), changed
 	}
-	if !known || h.Starts > was.Starts {
-		p.lastStarts[h.ID], learnt = peerStart{h.Starts, h.Nonce}, true
+	if !known || h.Starts > last.Starts {
+		p.lastStarts[h.ID], changed = peerStart{h.Starts, h.Nonce}, true
 	}
-	return "", learnt
+	return "", changed
 }
 
 // marshal gives what has to be stored.
-func (p *PeerRegistry) marshal() (own, seen []byte, err error) {
-	if own, err = json.Marshal(p.self); err != nil {
+func (p *PeerRegistry) marshal() (identity, starts []byte, err error) {
+	if identity, err = json.Marshal(p.self); err != nil {
 		return nil, nil, err
 	}
-	seen, err = json.Marshal(p.lastStarts)
-	return own, seen, err
+	starts, err = json.Marshal(p.lastStarts)
+	return identity, starts, err
 }
 
-func loadPeerRegistry(own, seen []byte) (*PeerRegistry, error) {
+func loadPeerRegistry(identity, starts []byte) (*PeerRegistry, error) {
 	p := &PeerRegistry{lastStarts: map[uint64]peerStart{}, progress: map[uint64]peerProgress{},
 		peerLevels: map[uint64]int{},
 		groupLevel: func() int { return LevelVersions }}
-	if err := json.Unmarshal(own, &p.self); err != nil {
+	if err := json.Unmarshal(identity, &p.self); err != nil {
 		return nil, fmt.Errorf("this instance's identity: %w", err)
 	}
-	if seen != nil {
-		if err := json.Unmarshal(seen, &p.lastStarts); err != nil {
+	if starts != nil {
+		if err := json.Unmarshal(starts, &p.lastStarts); err != nil {
 			return nil, fmt.Errorf("the instances met: %w", err)
 		}
 	}
--- a/internal/control/consensus/pin_sent_test.go
+++ b/internal/control/consensus/pin_sent_test.go
@@ -50,7 +50,7 @@
 	if err := writeJSON(&wire, frameAccepted, Hello{Identity: Identity{ID: 1}}); err != nil {
 		t.Fatal(err)
 	}
-	for _, reason := range []string{otherCluster, forAnother, wasRemoved, oldCopy, isBarred, olderProgram} {
+	for _, reason := range []string{refusedOtherCluster, refusedWrongInstance, refusedRemoved, refusedOldCopy, refusedBarred, refusedOlderProgram} {
 		if err := writeJSON(&wire, frameRefused, reason); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/control/consensus/pin_stored_test.go
+++ b/internal/control/consensus/pin_stored_test.go
@@ -26,7 +26,7 @@
 	drawn := uint64(0)
 	return Config{Name: "a", Peer: "10.1.1.1:7101", Listen: "10.1.1.1:7201", FoundGroup: true, ElectionTicks: 5,
 		SnapshotBytes: 1 << 30,
-		Sizes:         wal.Sizes{SegmentBytes: 1500, MaxBytes: 64 << 20}, Logger: raftLog{quietLogger()},
+		Sizes:         wal.Sizes{SegmentBytes: 1500, MaxBytes: 64 << 20}, Logger: raftLogger{quietLogger()},
 		Random: func() uint64 { drawn += 0x1111; return drawn }}
 }
 
@@ -329,7 +329,7 @@
 			all.add("%s: %v", what, err)
 			return
 		}
-		all.add("%s: read, version %d", what, old.machine.Last())
+		all.add("%s: read, version %d", what, old.stateMachine.Last())
 	}
 	head := `{"meta":"CgQKAgEC"}` + "\n"
 	read("nothing", "")
--- a/internal/control/consensus/put.go
+++ b/internal/control/consensus/put.go
@@ -49,20 +49,20 @@
 // validate gives an *api.FieldError for the first field that the log would not store. What depends on the state is
 // judged when the put is applied.
 func (p *Put) validate() error {
-	bytes := func(field, text, expected string) error {
+	lengthError := func(field, text, expected string) error {
 		return &api.FieldError{Field: field, Found: fmt.Sprintf("%d bytes", len(text)), Expected: expected}
 	}
 	switch {
 	case p.Session == "" || len(p.Session) > maxNameBytes:
-		return bytes("session", p.Session, fmt.Sprintf("1 to %d", maxNameBytes))
+		return lengthError("session", p.Session, fmt.Sprintf("1 to %d", maxNameBytes))
 	case p.Seq == 0:
 		return &api.FieldError{Field: "seq", Found: "0", Expected: "1 or more"}
 	case p.Author == "" || len(p.Author) > maxNameBytes:
-		return bytes("author", p.Author, fmt.Sprintf("1 to %d", maxNameBytes))
+		return lengthError("author", p.Author, fmt.Sprintf("1 to %d", maxNameBytes))
 	case len(p.Reason) > maxReasonBytes:
-		return bytes("reason", p.Reason, fmt.Sprintf("at most %d", maxReasonBytes))
+		return lengthError("reason", p.Reason, fmt.Sprintf("at most %d", maxReasonBytes))
 	case len(p.Text) > document.MaxBytes:
-		return bytes("text", p.Text, fmt.Sprintf("at most %d", document.MaxBytes))
+		return lengthError("text", p.Text, fmt.Sprintf("at most %d", document.MaxBytes))
 	}
 	return nil
 }
--- a/internal/control/consensus/record_collector.go
+++ b/internal/control/consensus/record_collector.go
@@ -20,18 +20,18 @@
 
 // Collector listens in place of a stopped instance and collects the records of nodes for a recovery.
 type Collector struct {
-	mu       sync.Mutex
-	records  map[string]api.NodeRecord
-	contacts map[string]time.Time // nodes that made contact, and when last
-	texts    map[string]string    // by hash, so that a thousand nodes with one text hold it once
-	bodies   *semaphore.Weighted
-	server   *http.Server
-	served   chan struct{} // closed when the server's goroutine has ended
-	onRecord func(k *api.NodeRecord, err error)
+	mu        sync.Mutex
+	records   map[string]api.NodeRecord
+	contacts  map[string]time.Time // nodes that made contact, and when last
+	texts     map[string]string    // by hash, so that a thousand nodes with one text hold it once
+	bodyBytes *semaphore.Weighted
+	server    *http.Server
+	served    chan struct{} // closed when the server's goroutine has ended
+	onRecord  func(k *api.NodeRecord, err error)
 }
 
-// maxGatheredTexts bounds the different texts held: nodes hold two versions each at most, mostly the same.
-const maxGatheredTexts = 64
+// maxCollectedTexts bounds the different texts held: nodes hold two versions each at most, mostly the same.
+const maxCollectedTexts = 64
 
 // StartCollector opens an address that nodes send heartbeats to. onRecord is called for each record that a node sent,
 // with what was wrong with it. The error is of the address.
@@ -41,14 +41,14 @@
 		return nil, fmt.Errorf("%w: the instance that listens there has to be stopped first", err)
 	}
 	c := &Collector{records: map[string]api.NodeRecord{}, contacts: map[string]time.Time{}, texts: map[string]string{},
-		bodies: semaphore.NewWeighted(maxBodiesBytes), served: make(chan struct{}), onRecord: onRecord}
+		bodyBytes: semaphore.NewWeighted(maxTotalBodyBytes), served: make(chan struct{}), onRecord: onRecord}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/nodes", c.postHeartbeat)
 	mux.HandleFunc("POST /v1/kept", c.postRecord)
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
-		c.fail(w, http.StatusServiceUnavailable, errRestoring)
+		c.writeError(w, http.StatusServiceUnavailable, errRestoreInProgress)
 	})
-	c.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout,
+	c.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerReadTimeout, ReadTimeout: bodyReadTimeout,
 		MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout}
 	go func() {
 		defer close(c.served)
@@ -65,21 +65,21 @@
 	<-c.served
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := make([]api.NodeRecord, 0, len(c.records))
-	for _, k := range c.records { // recovery.PlanRestore puts them in order
-		out = append(out, k)
+	records := make([]api.NodeRecord, 0, len(c.records))
+	for _, record := range c.records { // recovery.PlanRestore puts them in order
+		records = append(records, record)
 	}
-	return out
+	return records
 }
 
 // Counts returns how many nodes made contact, and how many of them sent their record.
-func (c *Collector) Counts() (asked, told int) {
+func (c *Collector) Counts() (contacted, recorded int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.contacts), len(c.records)
 }
 
-func (c *Collector) fail(w http.ResponseWriter, code int, err error) {
+func (c *Collector) writeError(w http.ResponseWriter, code int, err error) {
 	raw, _ := json.Marshal(Failure{Error: err.Error()})
 	c.writeSized(w, code, raw)
 }
@@ -94,24 +94,24 @@
 
 // postHeartbeat asks a node for its record until it has sent one.
 func (c *Collector) postHeartbeat(w http.ResponseWriter, r *http.Request) {
-	var a api.HeartbeatRequest
-	if err := readBody(w, r, &a); err != nil {
-		c.fail(w, http.StatusBadRequest, err)
+	var request api.HeartbeatRequest
+	if err := readBody(w, r, &request); err != nil {
+		c.writeError(w, http.StatusBadRequest, err)
 		return
 	}
 	c.mu.Lock()
-	_, told := c.records[a.Name]
+	_, recorded := c.records[request.Name]
 	if len(c.contacts) < recovery.MaxRecords {
-		c.contacts[a.Name] = time.Now()
+		c.contacts[request.Name] = time.Now()
 	}
 	c.mu.Unlock()
-	if told {
-		c.fail(w, http.StatusServiceUnavailable, errRestoring)
+	if recorded {
+		c.writeError(w, http.StatusServiceUnavailable, errRestoreInProgress)
 		return
 	}
 	raw, err := json.Marshal(api.HeartbeatResponse{CollectRecord: true})
 	if err != nil {
-		c.fail(w, http.StatusInternalServerError, err)
+		c.writeError(w, http.StatusInternalServerError, err)
 		return
 	}
 	c.writeSized(w, http.StatusOK, raw)
@@ -124,38 +124,38 @@
 	if size < 0 || size > maxRecordBytes {
 		size = maxRecordBytes
 	}
-	if !c.bodies.TryAcquire(size) {
-		c.fail(w, http.StatusServiceUnavailable, ErrBusy)
+	if !c.bodyBytes.TryAcquire(size) {
+		c.writeError(w, http.StatusServiceUnavailable, ErrBusy)
 		return
 	}
-	defer c.bodies.Release(size)
-	var k api.NodeRecord
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRecordBytes)).Decode(&k)
+	defer c.bodyBytes.Release(size)
+	var record api.NodeRecord
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRecordBytes)).Decode(&record)
 	if err == nil {
-		err = k.Validate()
+		err = record.Validate()
 	}
 	if err == nil {
-		err = c.store(&k)
+		err = c.store(&record)
 	}
-	c.onRecord(&k, err)
+	c.onRecord(&record, err)
 	if err != nil {
-		c.fail(w, http.StatusBadRequest, err)
+		c.writeError(w, http.StatusBadRequest, err)
 		return
 	}
 	c.writeSized(w, http.StatusOK, []byte("{}"))
 }
 
 // store holds a valid record.
-func (c *Collector) store(k *api.NodeRecord) error {
-	k.Generation = max(1, k.Generation)
-	k.ActiveText, k.ActiveHash = c.sharedText(k.ActiveText, k.ActiveHash)
-	k.PreparedText, k.PreparedHash = c.sharedText(k.PreparedText, k.PreparedHash)
+func (c *Collector) store(record *api.NodeRecord) error {
+	record.Generation = max(1, record.Generation)
+	record.ActiveText, record.ActiveHash = c.sharedText(record.ActiveText, record.ActiveHash)
+	record.PreparedText, record.PreparedHash = c.sharedText(record.PreparedText, record.PreparedHash)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, there := c.records[k.Name]; !there && len(c.records) >= recovery.MaxRecords {
+	if _, known := c.records[record.Name]; !known && len(c.records) >= recovery.MaxRecords {
 		return errTooManyRecords
 	}
-	c.records[k.Name] = *k
+	c.records[record.Name] = *record
 	return nil
 }
 
@@ -167,10 +167,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if held, there := c.texts[hash]; there {
-		return held, hash
+	if shared, known := c.texts[hash]; known {
+		return shared, hash
 	}
-	if len(c.texts) >= maxGatheredTexts {
+	if len(c.texts) >= maxCollectedTexts {
 		return "", hash
 	}
 	c.texts[hash] = text
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -68,15 +68,15 @@
 	pendingReads []pendingRead
 	snapshotting bool
 
-	metPeers          map[uint64]bool // that shook hands in this run
+	handshakePeers    map[uint64]bool // that shook hands in this run
 	ticks             int             // of this run
-	contacts          []Member        // instances that shook hands before it knew the members
+	contactedPeers    []Member        // instances that shook hands before it knew the members
 	promotedAtTick    int             // when a promotion was proposed last
 	levelRaisedAtTick int             // when a higher level was proposed last
 	electionTicks     int             // since a leader was heard, a vote was given or an election was begun
 	ticksSinceLeader  int             // since a leader was heard
 	electionTimeout   int
-	timeoutsDrawn     uint32
+	timeoutCount      uint32
 
 	LogRepair wal.Repair // what Open had to cut off
 	Campaigns uint64
@@ -106,10 +106,10 @@
 // repeat it.
 func (r *Replica) resetElectionTimer() {
 	r.electionTicks = 0
-	r.timeoutsDrawn++
+	r.timeoutCount++
 	var raw [12]byte
 	binary.LittleEndian.PutUint64(raw[:], r.peers.self.Nonce)
-	binary.LittleEndian.PutUint32(raw[8:], r.timeoutsDrawn)
+	binary.LittleEndian.PutUint32(raw[8:], r.timeoutCount)
 	r.electionTimeout = r.config.ElectionTicks + int(crc32.ChecksumIEEE(raw[:])%uint32(r.config.ElectionTicks))
 }
 
@@ -130,7 +130,7 @@
 	r.ticks++
 	r.ticksSinceLeader++
 	r.node.TickQuiesced()
-	if !r.introduced() {
+	if !r.handshakesDone() {
 		return
 	}
 	if r.electionTicks++; r.electionTicks >= r.electionTimeout {
@@ -142,16 +142,16 @@
 	}
 }
 
-// introduced tells whether this run has shaken hands with all other voters, or has waited for the time of an election
+// handshakesDone tells whether this run has shaken hands with all other voters, or has waited for the time of an election
 // for those that don't answer. It guards against a vote by an instance on an old copy of its folder: until then it
 // sends nothing, as one of them may know that and bar it.
-func (r *Replica) introduced() bool {
+func (r *Replica) handshakesDone() bool {
 	if r.ticks >= r.config.ElectionTicks || r.config.DisabledGuards.Has(MemberIdentity) {
 		return true
 	}
 	for _, list := range [][]uint64{r.voterConfig.GetVoters(), r.voterConfig.GetVotersOutgoing()} {
 		for _, v := range list {
-			if v != r.ID() && !r.metPeers[v] {
+			if v != r.ID() && !r.handshakePeers[v] {
 				return false
 			}
 		}
@@ -161,34 +161,34 @@
 
 // Step handles a message of another instance.
 func (r *Replica) Step(m *pb.Message) {
-	if r.peers.self.Barred != "" || m.GetTo() != r.ID() || r.peers.self.Cluster == "" || !r.introduced() {
+	if r.peers.self.Barred != "" || m.GetTo() != r.ID() || r.peers.self.Cluster == "" || !r.handshakesDone() {
 		return
 	}
 	switch m.GetType() {
 	case pb.MessageType_MsgPreVote, pb.MessageType_MsgPreVoteResp: // of a term that has not begun
 	case pb.MessageType_MsgAppResp:
-		holds := m.GetIndex()
+		ackedIndex := m.GetIndex()
 		if m.GetReject() {
-			holds = 0
+			ackedIndex = 0
 		}
-		r.peers.RecordProgress(m.GetFrom(), m.GetTerm(), holds)
+		r.peers.RecordProgress(m.GetFrom(), m.GetTerm(), ackedIndex)
 	default:
 		r.peers.RecordProgress(m.GetFrom(), m.GetTerm(), 0)
 	}
-	was := r.node.BasicStatus()
-	vote, term := was.HardState.GetVote(), was.HardState.GetTerm()
+	before := r.node.BasicStatus()
+	vote, term := before.HardState.GetVote(), before.HardState.GetTerm()
 	if err := r.node.Step(m); err != nil {
 		return // not for others to send, or from an unknown instance: dropped, as if it was lost
 	}
-	now := r.node.BasicStatus()
+	after := r.node.BasicStatus()
 	switch m.GetType() {
 	case pb.MessageType_MsgApp, pb.MessageType_MsgHeartbeat, pb.MessageType_MsgSnap:
-		if now.Lead == m.GetFrom() {
+		if after.Lead == m.GetFrom() {
 			r.electionTicks, r.ticksSinceLeader = 0, 0
 		}
 	case pb.MessageType_MsgVote:
-		if now.HardState.GetVote() == m.GetFrom() &&
-			(vote != now.HardState.GetVote() || term != now.HardState.GetTerm()) {
+		if after.HardState.GetVote() == m.GetFrom() &&
+			(vote != after.HardState.GetVote() || term != after.HardState.GetTerm()) {
 			r.electionTicks = 0
 		}
 	}
--- a/internal/control/consensus/replica_apply.go
+++ b/internal/control/consensus/replica_apply.go
@@ -21,7 +21,7 @@
 // Work does what raft has ready: it stores, then sends, then applies. An error means that the instance can't go on:
 // what is in memory is no longer what is on disk.
 func (r *Replica) Work(send func([]*pb.Message)) (WorkResult, error) {
-	var out WorkResult
+	var result WorkResult
 	for r.node.HasReady() {
 		rd := r.node.Ready()
 		if r.config.DisabledGuards.Has(PersistBeforeSend) {
@@ -29,7 +29,7 @@
 		}
 		r.reportStep(StepPersist)
 		if err := r.persist(&rd); err != nil {
-			return out, err
+			return result, err
 		}
 		r.reportStep(StepSend)
 		if !r.config.DisabledGuards.Has(PersistBeforeSend) {
@@ -39,14 +39,14 @@
 		if !raft.IsEmptySnap(rd.Snapshot) {
 			m, err := restoreStateMachine(rd.Snapshot.GetData(), r.config.DisabledGuards)
 			if err != nil {
-				return out, err
+				return result, err
 			}
-			r.stateMachine, r.voterConfig, out.Applied = m, rd.Snapshot.GetMetadata().GetConfState(), true
+			r.stateMachine, r.voterConfig, result.Applied = m, rd.Snapshot.GetMetadata().GetConfState(), true
 			r.configureState()
 		}
 		for _, e := range rd.CommittedEntries {
-			if err := r.apply(e, &out); err != nil {
-				return out, fmt.Errorf("entry %d: %w", e.GetIndex(), err)
+			if err := r.apply(e, &result); err != nil {
+				return result, fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 			}
 		}
 		for _, s := range rd.ReadStates {
@@ -56,18 +56,18 @@
 		}
 		r.node.Advance(rd)
 	}
-	out.Reads = r.finishReads()
-	if len(out.Puts) > 0 {
+	result.Reads = r.takeFinishedReads()
+	if len(result.Puts) > 0 {
 		r.reportStep(StepAnswer)
 	}
-	return out, nil
+	return result, nil
 }
 
 // readIDBytes is the size of a read's id as raft passes it on.
 const readIDBytes = 8
 
-// finishReads takes out the reads whose index is applied.
-func (r *Replica) finishReads() (ids []uint64) {
+// takeFinishedReads takes out the reads whose index is applied.
+func (r *Replica) takeFinishedReads() (ids []uint64) {
 	waiting := r.pendingReads[:0]
 	for _, p := range r.pendingReads {
 		if p.index <= r.stateMachine.applied {
@@ -83,10 +83,10 @@
 // persist stores what raft needs stored before messages are sent.
 func (r *Replica) persist(rd *raft.Ready) error {
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		return r.store.install(rd.Snapshot, rd.HardState)
+		return r.store.installSnapshot(rd.Snapshot, rd.HardState)
 	}
 	if !rd.MustSync { // a commit index alone is sent again by the leader
-		r.store.remember(rd.HardState, rd.Entries)
+		r.store.updateMemory(rd.HardState, rd.Entries)
 		return r.persistMembership(rd.CommittedEntries)
 	}
 	if err := r.store.persist(rd.HardState, rd.Entries); err != nil {
@@ -104,15 +104,15 @@
 	}
 	for _, e := range committed {
 		if e.GetType() != pb.EntryType_EntryNormal {
-			return r.store.persist(r.store.hard, nil)
+			return r.store.persist(r.store.hardState, nil)
 		}
 	}
 	return nil
 }
 
 // apply applies one committed entry.
-func (r *Replica) apply(e *pb.Entry, out *WorkResult) error {
-	out.Applied = true
+func (r *Replica) apply(e *pb.Entry, result *WorkResult) error {
+	result.Applied = true
 	m := r.stateMachine
 	switch e.GetType() {
 	case pb.EntryType_EntryNormal:
@@ -122,10 +122,10 @@
 				return err
 			}
 			if put != nil {
-				out.Puts = append(out.Puts, *put)
+				result.Puts = append(result.Puts, *put)
 			}
 			if outcome != nil {
-				out.Operations = append(out.Operations, outcome)
+				result.Operations = append(result.Operations, outcome)
 			}
 		}
 	case pb.EntryType_EntryConfChangeV2:
--- a/internal/control/consensus/replica_members.go
+++ b/internal/control/consensus/replica_members.go
@@ -15,21 +15,21 @@
 // HelloTo returns the hello that this instance opens or answers a connection with.
 func (r *Replica) HelloTo(to uint64) Hello {
 	_, last := r.LogBounds()
-	return Hello{Identity: r.peers.self, Peer: r.config.Peer, Term: r.store.hard.GetTerm(), Last: last, To: to,
+	return Hello{Identity: r.peers.self, Peer: r.config.Peer, Term: r.store.hardState.GetTerm(), Last: last, To: to,
 		Level: r.config.Level}
 }
 
 // Handshake decides whether to speak with an instance by its hello; reason is why not, empty if so. What was learnt
 // is stored on return.
 func (r *Replica) Handshake(h Hello) (reason string, err error) {
-	reason, learnt := r.peers.Handshake(h)
+	reason, changed := r.peers.Handshake(h)
 	if reason == "" {
-		r.metPeers[h.ID] = true
-		if len(r.stateMachine.members.list) == 0 && len(r.contacts) < maxMembers {
-			r.contacts = append(r.contacts, Member{ID: h.ID, Name: h.Name, Peer: h.Peer})
+		r.handshakePeers[h.ID] = true
+		if len(r.stateMachine.members.list) == 0 && len(r.contactedPeers) < maxMembers {
+			r.contactedPeers = append(r.contactedPeers, Member{ID: h.ID, Name: h.Name, Peer: h.Peer})
 		}
 	}
-	if !learnt {
+	if !changed {
 		return reason, nil
 	}
 	if r.stateMachine.cluster == "" {
@@ -113,9 +113,9 @@
 		if m.Voter || !m.Promote {
 			continue
 		}
-		ready, last := false, r.node.BasicStatus().HardState.GetCommit()
+		ready, commit := false, r.node.BasicStatus().HardState.GetCommit()
 		r.node.WithProgress(func(id uint64, _ raft.ProgressType, p tracker.Progress) {
-			if id == m.ID && p.RecentActive && p.Match+maxPromotionLag >= last && p.Match > 0 {
+			if id == m.ID && p.RecentActive && p.Match+maxPromotionLag >= commit && p.Match > 0 {
 				ready = true
 			}
 		})
@@ -134,10 +134,10 @@
 		return raft.ErrProposalDropped
 	}
 	if to == 0 {
-		most := uint64(0)
+		bestMatch := uint64(0)
 		r.node.WithProgress(func(id uint64, t raft.ProgressType, p tracker.Progress) {
-			if id != r.ID() && t == raft.ProgressTypePeer && p.RecentActive && p.Match > most {
-				to, most = id, p.Match
+			if id != r.ID() && t == raft.ProgressTypePeer && p.RecentActive && p.Match > bestMatch {
+				to, bestMatch = id, p.Match
 			}
 		})
 	}
@@ -152,14 +152,14 @@
 func (r *Replica) Members() []Member { return r.stateMachine.members.list }
 
 // Voters returns the ids that elections and commits count, in both halves of a joint change.
-func (r *Replica) Voters() (now, outgoing []uint64) {
+func (r *Replica) Voters() (incoming, outgoing []uint64) {
 	return r.voterConfig.GetVoters(), r.voterConfig.GetVotersOutgoing()
 }
 
 // Contacts returns whom to connect to: the members, or until those are known, who shook hands.
 func (r *Replica) Contacts() []Member {
 	if len(r.stateMachine.members.list) == 0 {
-		return r.contacts
+		return r.contactedPeers
 	}
 	return r.stateMachine.members.list
 }
--- a/internal/control/consensus/replica_open.go
+++ b/internal/control/consensus/replica_open.go
@@ -16,11 +16,11 @@
 // Open starts a replica on a folder: its own of an earlier run, or an empty one. Errors are wal.ErrLocked,
 // *wal.Damage, of a state that this program can't read, and of the disk.
 func Open(fs wal.FS, config Config) (*Replica, error) {
-	log, found, err := wal.Open(fs, config.Sizes)
+	log, repair, err := wal.Open(fs, config.Sizes)
 	if err != nil {
 		return nil, err
 	}
-	r := &Replica{config: config, log: log, LogRepair: found, metPeers: map[uint64]bool{}}
+	r := &Replica{config: config, log: log, LogRepair: repair, handshakePeers: map[uint64]bool{}}
 	if err := r.open(); err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
@@ -60,14 +60,14 @@
 		return err
 	}
 	r.configureState()
-	r.voterConfig = r.store.snap.GetConfState()
-	r.store.state = r.snapshotState
+	r.voterConfig = r.store.snapshotMeta.GetConfState()
+	r.store.currentState = r.snapshotState
 	r.node, err = raft.NewRawNode(&raft.Config{
 		ID:                        r.ID(),
 		ElectionTick:              r.config.ElectionTicks,
 		HeartbeatTick:             1,
 		Storage:                   r.store,
-		Applied:                   r.store.snap.GetIndex(),
+		Applied:                   r.store.snapshotMeta.GetIndex(),
 		MaxSizePerMsg:             maxMessageBytes,
 		MaxCommittedSizePerReady:  maxCommittedBytesPerReady,
 		MaxUncommittedEntriesSize: maxUncommittedBytes,
@@ -95,25 +95,25 @@
 // initialize makes an empty folder an instance's: its id, and where it founds a group, the group's first state. The
 // identity is written last, so that a crash on the way leaves a folder that counts as empty.
 func (r *Replica) initialize() error {
-	own := Identity{ID: r.config.Random() | 1, Name: r.config.Name}
+	identity := Identity{ID: r.config.Random() | 1, Name: r.config.Name}
 	b := wal.Batch{}
 	if r.config.FoundGroup {
-		own.Cluster = fmt.Sprintf("%016x%016x", r.config.Random(), r.config.Random())
-		m := newStateMachine(own.Cluster, r.config.DisabledGuards)
-		m.applied, m.term = 1, 1
-		m.members = firstMember(own, &r.config)
-		if err := r.writeFirstState(m, own.ID, &b); err != nil {
+		identity.Cluster = fmt.Sprintf("%016x%016x", r.config.Random(), r.config.Random())
+		machine := newStateMachine(identity.Cluster, r.config.DisabledGuards)
+		machine.applied, machine.term = 1, 1
+		machine.members = singleMember(identity, &r.config)
+		if err := r.writeInitialState(machine, identity.ID, &b); err != nil {
 			return err
 		}
 	}
-	return r.writeIdentity(own, b)
+	return r.writeIdentity(identity, b)
 }
 
-// writeFirstState writes a state as the first of a group of one.
-func (r *Replica) writeFirstState(m *StateMachine, id uint64, b *wal.Batch) error {
-	meta := &pb.SnapshotMetadata{Index: proto.Uint64(m.applied), Term: proto.Uint64(m.term),
+// writeInitialState writes a state as the first of a group of one.
+func (r *Replica) writeInitialState(machine *StateMachine, id uint64, b *wal.Batch) error {
+	meta := &pb.SnapshotMetadata{Index: proto.Uint64(machine.applied), Term: proto.Uint64(machine.term),
 		ConfState: &pb.ConfState{Voters: []uint64{id}}}
-	state, err := m.snapshot()
+	state, err := machine.snapshot()
 	if err != nil {
 		return err
 	}
@@ -121,14 +121,14 @@
 	if err != nil {
 		return err
 	}
-	if err = r.log.SaveSnapshot(m.applied, parts...); err != nil {
+	if err = r.log.SaveSnapshot(machine.applied, parts...); err != nil {
 		return err
 	}
 	hard, err := proto.Marshal(&pb.HardState{Term: meta.Term, Commit: meta.Index})
 	if err != nil {
 		return err
 	}
-	b.Cut = m.applied + 1
+	b.Cut = machine.applied + 1
 	b.Marks = append(b.Marks, wal.Mark{Kind: markHardState, Data: hard})
 	return nil
 }
@@ -138,55 +138,55 @@
 // group is the next generation of the old one, which nodes follow. Errors are ErrFolderInUse, of the snapshot and of
 // the disk.
 func Restore(fs wal.FS, config Config, raw []byte) (*Version, error) {
-	old, err := ReadSnapshot(raw)
+	stored, err := ReadSnapshot(raw)
 	if err != nil {
 		return nil, err
 	}
-	return foundRestored(fs, config, old.machine, nil)
+	return bootstrapRestored(fs, config, stored.stateMachine, nil)
 }
 
-// foundRestored writes a state as that of a new group's first instance, changed by what a recovery found, or by
+// bootstrapRestored writes a state as that of a new group's first instance, changed by what a recovery found, or by
 // nothing but the snapshot's own state where found is nil.
-func foundRestored(fs wal.FS, config Config, m *StateMachine, found *recovery.RestorePlan) (v *Version, err error) {
+func bootstrapRestored(fs wal.FS, config Config, machine *StateMachine, plan *recovery.RestorePlan) (newest *Version, err error) {
 	log, _, err := wal.Open(fs, config.Sizes)
 	if err != nil {
 		return nil, err
 	}
 	defer func() {
 		if err = errors.Join(err, log.Close()); err != nil {
-			v = nil
+			newest = nil
 		}
 	}()
 	if log.Mark(markIdentity) != nil {
 		return nil, ErrFolderInUse
 	}
 	r := &Replica{config: config, log: log}
-	own := Identity{ID: config.Random() | 1, Name: config.Name,
+	identity := Identity{ID: config.Random() | 1, Name: config.Name,
 		Cluster: fmt.Sprintf("%016x%016x", config.Random(), config.Random())}
-	if found == nil {
-		found = recovery.PlanRestore(nil, m.storedGroup(), "")
+	if plan == nil {
+		plan = recovery.PlanRestore(nil, machine.storedGroup(), "")
 	}
-	if err = m.restore(found); err != nil {
+	if err = machine.beginGeneration(plan); err != nil {
 		return nil, err
 	}
-	m.cluster = own.Cluster
-	m.members = firstMember(own, &config)
+	machine.cluster = identity.Cluster
+	machine.members = singleMember(identity, &config)
 	b := wal.Batch{}
-	if err = r.writeFirstState(m, own.ID, &b); err != nil {
+	if err = r.writeInitialState(machine, identity.ID, &b); err != nil {
 		return nil, err
 	}
-	if err = r.writeIdentity(own, b); err != nil {
+	if err = r.writeIdentity(identity, b); err != nil {
 		return nil, err
 	}
-	if len(m.versions.lines) == 0 {
+	if len(machine.versions.lines) == 0 {
 		return &Version{}, nil
 	}
-	return ReadVersion(m.versions.lines[len(m.versions.lines)-1])
+	return ReadVersion(machine.versions.lines[len(machine.versions.lines)-1])
 }
 
 // writeIdentity commits a batch together with the identity.
-func (r *Replica) writeIdentity(own Identity, b wal.Batch) error {
-	raw, err := json.Marshal(own)
+func (r *Replica) writeIdentity(identity Identity, b wal.Batch) error {
+	raw, err := json.Marshal(identity)
 	if err != nil {
 		return err
 	}
@@ -197,19 +197,19 @@
 
 // persistIdentities stores this instance's identity and the starts of the others.
 func (r *Replica) persistIdentities() error {
-	own, seen, err := r.peers.marshal()
+	identity, starts, err := r.peers.marshal()
 	if err != nil {
 		return err
 	}
-	_, err = r.log.Commit(wal.Batch{Marks: []wal.Mark{{Kind: markIdentity, Data: own}, {Kind: markPeers, Data: seen}}})
+	_, err = r.log.Commit(wal.Batch{Marks: []wal.Mark{{Kind: markIdentity, Data: identity}, {Kind: markPeers, Data: starts}}})
 	return err
 }
 
 // Close closes the folder. Nothing that was stored is lost without it.
 func (r *Replica) Close() error { return r.log.Close() }
 
-// firstMember is the member table of a group of one.
-func firstMember(own Identity, config *Config) memberTable {
-	founder := Member{ID: own.ID, Name: own.Name, Peer: config.Peer, Listen: config.Listen, Voter: true}
+// singleMember is the member table of a group of one.
+func singleMember(identity Identity, config *Config) memberTable {
+	founder := Member{ID: identity.ID, Name: identity.Name, Peer: config.Peer, Listen: config.Listen, Voter: true}
 	return memberTable{list: []Member{founder}}
 }
--- a/internal/control/consensus/replica_propose.go
+++ b/internal/control/consensus/replica_propose.go
@@ -12,8 +12,8 @@
 // less than an eighth, so that leases go on where changes don't, and raft's own entries and a snapshot where neither
 // does: a log at its limit ends the instance. Smaller reserves risk that, larger ones waste disk.
 const (
-	putLogFraction   = 4
-	entryLogFraction = 8
+	putReserveDivisor   = 4
+	entryReserveDivisor = 8
 )
 
 // Propose proposes a put. Its result comes with some later Work, or never: the caller repeats it under the same
@@ -25,7 +25,7 @@
 	if err := p.validate(); err != nil {
 		return err
 	}
-	if r.log.DiskBytes() > r.config.Sizes.MaxBytes/putLogFraction*(putLogFraction-1) {
+	if r.log.DiskBytes() > r.config.Sizes.MaxBytes/putReserveDivisor*(putReserveDivisor-1) {
 		return ErrLogNearLimit
 	}
 	p.Rules = rulesForLevel(r.stateMachine.level)
@@ -54,7 +54,7 @@
 		return ErrBarred
 	case r.stateMachine.level < LevelFleet && kind != kindLevel:
 		return ErrFeatureLevel
-	case r.log.DiskBytes() > r.config.Sizes.MaxBytes/entryLogFraction*(entryLogFraction-1):
+	case r.log.DiskBytes() > r.config.Sizes.MaxBytes/entryReserveDivisor*(entryReserveDivisor-1):
 		return ErrLogNearLimit
 	}
 	raw, err := json.Marshal(entry{kind, body})
@@ -66,15 +66,15 @@
 
 // Levels returns the feature levels that members support, by name, as far as they reported them in this run.
 func (r *Replica) Levels() map[string]int {
-	out := map[string]int{}
+	levels := map[string]int{}
 	for _, m := range r.stateMachine.members.list {
 		if m.ID == r.ID() {
-			out[m.Name] = r.config.Level
+			levels[m.Name] = r.config.Level
 		} else if l := r.peers.peerLevels[m.ID]; l > 0 {
-			out[m.Name] = l
+			levels[m.Name] = l
 		}
 	}
-	return out
+	return levels
 }
 
 // raiseLevel has the leader raise the group's level by one once every member has reported that it supports the next
--- a/internal/control/consensus/replica_snapshot.go
+++ b/internal/control/consensus/replica_snapshot.go
@@ -18,7 +18,7 @@
 
 // SnapshotIfDue returns a snapshot to be written if there is enough new log, nil if not.
 func (r *Replica) SnapshotIfDue() (*PendingSnapshot, error) {
-	if r.snapshotting || r.store.bytes < r.config.SnapshotBytes || r.stateMachine.applied <= r.store.snap.GetIndex() {
+	if r.snapshotting || r.store.bytesSinceSnapshot < r.config.SnapshotBytes || r.stateMachine.applied <= r.store.snapshotMeta.GetIndex() {
 		return nil, nil
 	}
 	return r.Snapshot()
@@ -56,7 +56,7 @@
 	r.snapshotting = false
 	if err != nil {
 		if errors.Is(err, wal.ErrFull) {
-			r.store.bytes = 0
+			r.store.bytesSinceSnapshot = 0
 			return nil
 		}
 		return err
--- a/internal/control/consensus/replica_status.go
+++ b/internal/control/consensus/replica_status.go
@@ -54,7 +54,7 @@
 		LastIndex:        last,
 		Commit:           b.HardState.GetCommit(),
 		Applied:          r.stateMachine.applied,
-		SnapshotIndex:    r.store.snap.GetIndex(),
+		SnapshotIndex:    r.store.snapshotMeta.GetIndex(),
 		DiskBytes:        r.log.DiskBytes(),
 		Syncs:            r.log.SyncCount(),
 		Version:          r.stateMachine.Last(),
--- a/internal/control/consensus/restored_group.go
+++ b/internal/control/consensus/restored_group.go
@@ -15,8 +15,8 @@
 
 // StoredGroup is the state of a group as a folder or a saved snapshot holds it.
 type StoredGroup struct {
-	machine *StateMachine
-	Name    string
+	stateMachine *StateMachine
+	Name         string
 }
 
 // ReadFolder reads the state of a stopped instance's folder as far as its entries are known to be committed. No other
@@ -33,9 +33,9 @@
 	if empty {
 		return nil, ErrEmptyFolder
 	}
-	quiet := logrus.New()
-	quiet.SetOutput(io.Discard)
-	config.Logger = raftLog{quiet}
+	discardLogger := logrus.New()
+	discardLogger.SetOutput(io.Discard)
+	config.Logger = raftLogger{discardLogger}
 	r, err := Open(fs, config)
 	if err != nil {
 		return nil, err
@@ -75,95 +75,95 @@
 }
 
 // Evidence returns what a recovery has to know of the stored state, nil where there is none.
-func (o *StoredGroup) Evidence() *recovery.StoredGroup {
-	if o == nil {
+func (s *StoredGroup) Evidence() *recovery.StoredGroup {
+	if s == nil {
 		return nil
 	}
-	return o.machine.storedGroup()
+	return s.stateMachine.storedGroup()
 }
 
 // storedGroup gives what a recovery has to know of the state.
 func (m *StateMachine) storedGroup() *recovery.StoredGroup {
-	p := m.fleet
-	rules := p.Policy.ActiveRules()
-	b := &recovery.StoredGroup{
+	fleet := m.fleet
+	rules := fleet.Policy.ActiveRules()
+	stored := &recovery.StoredGroup{
 		GroupIdentity: api.GroupIdentity{
 			Group:        m.cluster,
-			Generation:   p.Generation,
-			Predecessors: p.Predecessors,
+			Generation:   fleet.Generation,
+			Predecessors: fleet.Predecessors,
 		},
 		LastVersion:        m.Last(),
-		DecidedVersion:     p.Policy.DecidedVersion,
-		CommittedVersion:   p.Policy.CommittedVersion,
-		Index:              p.Index,
-		ZoneEpoch:          p.Zones.Epoch,
+		DecidedVersion:     fleet.Policy.DecidedVersion,
+		CommittedVersion:   fleet.Policy.CommittedVersion,
+		Index:              fleet.Index,
+		ZoneEpoch:          fleet.Zones.Epoch,
 		TextOf:             m.Text,
 		LeaseMS:            rules.LeaseMS,
 		Autonomous:         rules.Autonomous,
 		UncommittedEntries: m.uncommittedEntries,
 	}
-	for _, n := range p.Fleet.Nodes() {
+	for _, n := range fleet.Fleet.Nodes() {
 		if !n.IsOut() {
-			b.Nodes = append(b.Nodes, n.Name)
+			stored.Nodes = append(stored.Nodes, n.Name)
 		}
 	}
-	return b
+	return stored
 }
 
 // Recover makes an empty folder the first instance of the next generation of a group, by what a recovery found, and
 // returns its newest version. Errors are *RejectedError where the evidence conflicts, ErrFolderInUse, and of the
 // disk.
-func Recover(fs wal.FS, config Config, old *StoredGroup, found *recovery.RestorePlan) (*Version, error) {
-	if found.Conflict != "" {
-		return nil, &RejectedError{found.Conflict}
+func Recover(fs wal.FS, config Config, stored *StoredGroup, plan *recovery.RestorePlan) (*Version, error) {
+	if plan.Conflict != "" {
+		return nil, &RejectedError{plan.Conflict}
 	}
-	m := newStateMachine("", 0)
-	m.applied, m.term = 1, 1
-	if old != nil {
-		m = old.machine
+	machine := newStateMachine("", 0)
+	machine.applied, machine.term = 1, 1
+	if stored != nil {
+		machine = stored.stateMachine
 	}
-	return foundRestored(fs, config, m, found)
+	return bootstrapRestored(fs, config, machine, plan)
 }
 
-// restore makes the state that of the next generation.
-func (m *StateMachine) restore(found *recovery.RestorePlan) error {
-	if found.Version > 0 {
-		if _, hash, ok := m.Text(found.Version); !ok || hash != found.Hash || found.Hash == "" {
-			if err := m.placeRestoredVersion(found); err != nil {
+// beginGeneration makes the state that of the next generation.
+func (m *StateMachine) beginGeneration(plan *recovery.RestorePlan) error {
+	if plan.Version > 0 {
+		if _, hash, ok := m.Text(plan.Version); !ok || hash != plan.Hash || plan.Hash == "" {
+			if err := m.setRestoredVersion(plan); err != nil {
 				return err
 			}
 		}
 	}
-	if m.level >= LevelFleet || len(found.Records) > 0 || found.Version > 0 {
+	if m.level >= LevelFleet || len(plan.Records) > 0 || plan.Version > 0 {
 		m.level = LatestLevel // an older program can't read generations
 	}
-	return m.fleet.BeginGeneration(found, m)
+	return m.fleet.BeginGeneration(plan, m)
 }
 
-// placeRestoredVersion makes what was found the newest version. Where its number does not follow the newest one,
+// setRestoredVersion makes what was found the newest version. Where its number does not follow the newest one,
 // versions before it are dropped.
-func (m *StateMachine) placeRestoredVersion(found *recovery.RestorePlan) error {
-	if found.Version != m.Last()+1 {
-		m.versions = versionHistory{first: found.Version}
+func (m *StateMachine) setRestoredVersion(plan *recovery.RestorePlan) error {
+	if plan.Version != m.Last()+1 {
+		m.versions = versionHistory{first: plan.Version}
 	}
-	if found.Hash == "" { // no node has the text: the next put gets the number after it
+	if plan.Hash == "" { // no node has the text: the next put gets the number after it
 		m.versions.newest, m.versions.hash = nil, ""
 		return nil
 	}
-	d, err := document.ParseUnder(document.LatestRules, "what was found", []byte(found.Text))
+	d, err := document.ParseUnder(document.LatestRules, "what was found", []byte(plan.Text))
 	if err != nil {
 		return err
 	}
 	v := Version{
-		Number: found.Version,
-		Parent: found.SourceVersion,
-		Hash:   found.Hash,
+		Number: plan.Version,
+		Parent: plan.SourceVersion,
+		Hash:   plan.Hash,
 		Author: "recover",
-		Reason: truncateReason(found.Proof),
+		Reason: truncateReason(plan.Proof),
 		Index:  m.applied,
 		Term:   m.term,
 		Rules:  document.LatestRules,
-		Text:   found.Text,
+		Text:   plan.Text,
 	}
 	return m.versions.append(&v, d)
 }
--- a/internal/control/consensus/restored_group_test.go
+++ b/internal/control/consensus/restored_group_test.go
@@ -142,9 +142,9 @@
 		b.CommittedVersion != 7 || b.ZoneEpoch != 6 || b.UncommittedEntries != 0 {
 		t.Errorf("%+v: expected generation 4 of g, at version 7", b)
 	}
-	if old.machine.level != LatestLevel || old.machine.fleet.Fleet.UnknownLeasesExpireMS < 4000 ||
-		old.machine.fleet.Fleet.Lookup("n1") == nil {
-		t.Errorf("level %d, hush %d", old.machine.level, old.machine.fleet.Fleet.UnknownLeasesExpireMS)
+	if old.stateMachine.level != LatestLevel || old.stateMachine.fleet.Fleet.UnknownLeasesExpireMS < 4000 ||
+		old.stateMachine.fleet.Fleet.Lookup("n1") == nil {
+		t.Errorf("level %d, hush %d", old.stateMachine.level, old.stateMachine.fleet.Fleet.UnknownLeasesExpireMS)
 	}
 	// Nobody holds the text of what was decided: nothing is in force, and the next put is newer than that.
 	none := recovery.PlanRestore([]api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}},
--- a/internal/control/consensus/sessions.go
+++ b/internal/control/consensus/sessions.go
@@ -20,43 +20,43 @@
 // change of leader, repeats the put under its number and gets the first one's result. The longest unused sessions are
 // dropped; a put of one of those names an old version and ends as a conflict, so dropping is harmless.
 type sessionTable struct {
-	byName map[string]*list.Element // of *session
-	byUse  *list.List               // the longest unused first
+	byName    map[string]*list.Element // of *session
+	byLastUse *list.List               // the longest unused first
 }
 
 func newSessionTable() sessionTable {
-	return sessionTable{byName: map[string]*list.Element{}, byUse: list.New()}
+	return sessionTable{byName: map[string]*list.Element{}, byLastUse: list.New()}
 }
 
-// once gives the stored result of a repeated put and runs apply for a new one. last is the newest version. forget is
+// applyOnce gives the stored result of a repeated put and runs apply for a new one. last is the newest version. forget is
 // the disabled guard, for fault tests alone.
-func (t *sessionTable) once(p *Put, last uint64, forget bool, apply func() PutResult) PutResult {
+func (t *sessionTable) applyOnce(p *Put, newest uint64, disabled bool, apply func() PutResult) PutResult {
 	e := t.byName[p.Session]
 	if e == nil {
 		if p.Seq != 1 {
-			return PutResult{PutExpired, last, "the session is not known any more, expected a new one from 1 on"}
+			return PutResult{PutExpired, newest, "the session is not known any more, expected a new one from 1 on"}
 		}
 		s := &session{p.Session, p.Seq, apply()}
 		t.add(s)
 		return s.result
 	}
 	s := e.Value.(*session)
-	t.byUse.MoveToBack(e)
+	t.byLastUse.MoveToBack(e)
 	switch {
-	case p.Seq == s.seq && !forget:
+	case p.Seq == s.seq && !disabled:
 		return s.result
 	case p.Seq < s.seq:
-		return PutResult{PutExpired, last, fmt.Sprintf("put %d, expected %d or later", p.Seq, s.seq)}
+		return PutResult{PutExpired, newest, fmt.Sprintf("put %d, expected %d or later", p.Seq, s.seq)}
 	}
 	s.seq, s.result = p.Seq, apply()
 	return s.result
 }
 
 func (t *sessionTable) add(s *session) {
-	t.byName[s.name] = t.byUse.PushBack(s)
-	if t.byUse.Len() > maxSessions {
-		unused := t.byUse.Remove(t.byUse.Front()).(*session)
-		delete(t.byName, unused.name)
+	t.byName[s.name] = t.byLastUse.PushBack(s)
+	if t.byLastUse.Len() > maxSessions {
+		oldest := t.byLastUse.Remove(t.byLastUse.Front()).(*session)
+		delete(t.byName, oldest.name)
 	}
 }
 
@@ -69,8 +69,8 @@
 
 // snapshot gives the sessions, the longest unused first.
 func (t *sessionTable) snapshot() []savedSession {
-	saved := make([]savedSession, 0, t.byUse.Len())
-	for e := t.byUse.Front(); e != nil; e = e.Next() {
+	saved := make([]savedSession, 0, t.byLastUse.Len())
+	for e := t.byLastUse.Front(); e != nil; e = e.Next() {
 		s := e.Value.(*session)
 		saved = append(saved, savedSession{s.name, s.seq, s.result})
 	}
--- a/internal/control/consensus/state_machine.go
+++ b/internal/control/consensus/state_machine.go
@@ -107,7 +107,7 @@
 
 // applyPut gives a put's result. A repeated put gets the first one's, whatever happened since.
 func (m *StateMachine) applyPut(p *Put, index, term uint64) PutResult {
-	return m.sessions.once(p, m.versions.last(), m.disabledGuards.Has(SessionTable), func() PutResult {
+	return m.sessions.applyOnce(p, m.versions.last(), m.disabledGuards.Has(SessionTable), func() PutResult {
 		if last := m.versions.last(); p.Base != last && !m.disabledGuards.Has(CompareAndSet) {
 			return PutResult{PutConflict, last, fmt.Sprintf("made from version %d, expected %d", p.Base, last)}
 		}
@@ -118,14 +118,14 @@
 // activeDocument gives the document that requests in flight were accepted under: the newest version, or where nodes are
 // told of policy changes, the version that is in force there. A version whose change was aborted binds nobody.
 func (m *StateMachine) activeDocument() *document.Document {
-	p := m.fleet.Policy
-	if p.LastNumber == 0 {
+	state := m.fleet.Policy
+	if state.LastNumber == 0 {
 		return m.versions.newest
 	}
-	if p.CommittedVersion < m.versions.first {
+	if state.CommittedVersion < m.versions.first {
 		return nil // none yet, or one that is not held any more: all instances find so
 	}
-	v, err := ReadVersion(m.versions.lines[p.CommittedVersion-m.versions.first])
+	v, err := ReadVersion(m.versions.lines[state.CommittedVersion-m.versions.first])
 	if err != nil {
 		return m.versions.newest
 	}
--- a/internal/control/consensus/state_machine_test.go
+++ b/internal/control/consensus/state_machine_test.go
@@ -107,7 +107,7 @@
 	for i := 0; i < maxSessions+10; i++ {
 		ask(m, fmt.Sprint("s", i), 1, m.Last(), text(i))
 	}
-	if len(m.sessions.byName) != maxSessions || m.sessions.byUse.Len() != maxSessions {
+	if len(m.sessions.byName) != maxSessions || m.sessions.byLastUse.Len() != maxSessions {
 		t.Fatalf("%d sessions, expected %d", len(m.sessions.byName), maxSessions)
 	}
 	if a := ask(m, "s0", 1, 0, text(0)); a.Outcome != PutConflict {
@@ -165,7 +165,7 @@
 func TestWhoIsSpokenWith(t *testing.T) {
 	fresh := func() *PeerRegistry {
 		return &PeerRegistry{self: Identity{Cluster: "c", ID: 1}, lastStarts: map[uint64]peerStart{2: {5, 50}},
-			progress: map[uint64]peerProgress{2: {term: 4, last: 30}}, removed: func(id uint64) bool { return id == 3 },
+			progress: map[uint64]peerProgress{2: {term: 4, lastIndex: 30}}, removed: func(id uint64) bool { return id == 3 },
 			groupLevel: func() int { return LevelVersions }, peerLevels: map[uint64]int{}}
 	}
 	hello := func(cluster string, id, starts, nonce, term, last, to uint64) Hello {
@@ -182,23 +182,23 @@
 	}{
 		{"the same life", hello("c", 2, 5, 50, 4, 30, 1), "", false, false},
 		{"a later life", hello("c", 2, 6, 60, 4, 30, 1), "", true, false},
-		{"a copy of an earlier life", hello("c", 2, 4, 60, 4, 30, 1), oldCopy, false, false},
-		{"the folder in use twice", hello("c", 2, 5, 51, 4, 30, 1), oldCopy, false, false},
-		{"a copy of the same life: an older term", hello("c", 2, 6, 60, 3, 30, 1), oldCopy, false, false},
-		{"a copy of the same life: a shorter log", hello("c", 2, 6, 60, 4, 29, 1), oldCopy, false, false},
+		{"a copy of an earlier life", hello("c", 2, 4, 60, 4, 30, 1), refusedOldCopy, false, false},
+		{"the folder in use twice", hello("c", 2, 5, 51, 4, 30, 1), refusedOldCopy, false, false},
+		{"a copy of the same life: an older term", hello("c", 2, 6, 60, 3, 30, 1), refusedOldCopy, false, false},
+		{"a copy of the same life: a shorter log", hello("c", 2, 6, 60, 4, 29, 1), refusedOldCopy, false, false},
 		{"a later term, with what was never agreed on gone", hello("c", 2, 6, 60, 5, 20, 1), "", true, false},
-		{"removed", hello("c", 3, 1, 1, 9, 9, 1), wasRemoved, false, false},
+		{"removed", hello("c", 3, 1, 1, 9, 9, 1), refusedRemoved, false, false},
 		{"of an older program", func() Hello {
 			h := hello("c", 2, 9, 9, 9, 9, 1)
 			h.Level = LevelVersions
 			return h
 		}(), "", true, false},
-		{"another cluster", hello("d", 2, 9, 9, 9, 9, 1), otherCluster, false, false},
-		{"meant for another", hello("c", 2, 9, 9, 9, 9, 7), forAnother, false, false},
-		{"itself", hello("c", 1, 9, 9, 9, 9, 1), forAnother, false, false},
+		{"another cluster", hello("d", 2, 9, 9, 9, 9, 1), refusedOtherCluster, false, false},
+		{"meant for another", hello("c", 2, 9, 9, 9, 9, 7), refusedWrongInstance, false, false},
+		{"itself", hello("c", 1, 9, 9, 9, 9, 1), refusedWrongInstance, false, false},
 		{"one that waits to be taken in", hello("", 8, 1, 1, 0, 0, 0), "", false, false},
 		{"taken in", hello("c", 2, 9, 9, 9, 9, 1), "", true, true},
-		{"greeted by who does not know it", hello("c", 2, 9, 9, 9, 9, 0), otherCluster, false, true},
+		{"greeted by who does not know it", hello("c", 2, 9, 9, 9, 9, 0), refusedOtherCluster, false, true},
 	} {
 		a := fresh()
 		if c.waiting {
--- a/internal/control/consensus/state_snapshot.go
+++ b/internal/control/consensus/state_snapshot.go
@@ -43,8 +43,8 @@
 		}
 		header.Level, header.Fleet = m.level, fleet
 	}
-	var head bytes.Buffer
-	encoder := json.NewEncoder(&head)
+	var headerAndSessions bytes.Buffer
+	encoder := json.NewEncoder(&headerAndSessions)
 	if err := encoder.Encode(header); err != nil {
 		return nil, err
 	}
@@ -54,7 +54,7 @@
 		}
 	}
 	parts := make([][]byte, 0, 1+2*len(m.versions.lines))
-	parts = append(parts, head.Bytes())
+	parts = append(parts, headerAndSessions.Bytes())
 	for _, line := range m.versions.lines {
 		parts = append(parts, line, newline)
 	}
--- a/internal/control/consensus/store.go
+++ b/internal/control/consensus/store.go
@@ -22,14 +22,14 @@
 // store keeps raft's entries and hard state in the durable log and is raft's storage. Entries since the older of two
 // snapshots are in memory too. The replica's goroutine alone uses it.
 type store struct {
-	log     *wal.Log
-	hard    *pb.HardState
-	offset  uint64 // entries[0] has index offset+1
-	term    uint64 // of the entry at offset
-	entries []*pb.Entry
-	snap    *pb.SnapshotMetadata // the newest
-	bytes   int                  // of entries since the newest snapshot
-	state   func() (*pb.SnapshotMetadata, [][]byte, error)
+	log                *wal.Log
+	hardState          *pb.HardState
+	offset             uint64 // entries[0] has index offset+1
+	offsetTerm         uint64 // of the entry at offset
+	entries            []*pb.Entry
+	snapshotMeta       *pb.SnapshotMetadata // the newest
+	bytesSinceSnapshot int                  // of entries since the newest snapshot
+	currentState       func() (*pb.SnapshotMetadata, [][]byte, error)
 }
 
 // snapshotFileHeader is the first line of a snapshot, before the state.
@@ -43,11 +43,11 @@
 	if err != nil {
 		return nil, err
 	}
-	head, err := json.Marshal(snapshotFileHeader{raw})
+	header, err := json.Marshal(snapshotFileHeader{raw})
 	if err != nil {
 		return nil, err
 	}
-	return append([][]byte{append(head, '\n')}, state...), nil
+	return append([][]byte{append(header, '\n')}, state...), nil
 }
 
 // readSnapshot splits a snapshot into raft's metadata and the state. Its error is a *SnapshotError.
@@ -56,12 +56,12 @@
 		if c != '\n' {
 			continue
 		}
-		var head snapshotFileHeader
-		if err := json.Unmarshal(raw[:i], &head); err != nil {
+		var header snapshotFileHeader
+		if err := json.Unmarshal(raw[:i], &header); err != nil {
 			return nil, nil, &SnapshotError{fmt.Errorf("head of a snapshot: %w", err)}
 		}
 		meta := &pb.SnapshotMetadata{}
-		if err := proto.Unmarshal(head.Meta, meta); err != nil {
+		if err := proto.Unmarshal(header.Meta, meta); err != nil {
 			return nil, nil, &SnapshotError{fmt.Errorf("head of a snapshot: %w", err)}
 		}
 		return meta, raw[i+1:], nil
@@ -72,45 +72,45 @@
 // openStore reads hard state, newest sound snapshot and the entries after it. It returns the snapshot's state, nil if
 // there is none.
 func openStore(log *wal.Log) (*store, []byte, error) {
-	s := &store{log: log, hard: &pb.HardState{}, snap: &pb.SnapshotMetadata{ConfState: &pb.ConfState{}}}
+	s := &store{log: log, hardState: &pb.HardState{}, snapshotMeta: &pb.SnapshotMetadata{ConfState: &pb.ConfState{}}}
 	if raw := log.Mark(markHardState); raw != nil {
-		if err := proto.Unmarshal(raw, s.hard); err != nil {
+		if err := proto.Unmarshal(raw, s.hardState); err != nil {
 			return nil, nil, fmt.Errorf("the hard state: %w", err)
 		}
 	}
 	var state []byte
-	var damaged error
+	var firstErr error
 	for _, n := range log.Snapshots() {
 		raw, err := log.LoadSnapshot(n)
 		if err == nil {
-			s.snap, state, err = readSnapshot(raw)
+			s.snapshotMeta, state, err = readSnapshot(raw)
 		}
 		if err == nil {
 			break
 		}
-		if damaged == nil {
-			damaged = err
+		if firstErr == nil {
+			firstErr = err
 		}
-		s.snap, state = &pb.SnapshotMetadata{ConfState: &pb.ConfState{}}, nil
+		s.snapshotMeta, state = &pb.SnapshotMetadata{ConfState: &pb.ConfState{}}, nil
 	}
-	at := s.snap.GetIndex()
-	if damaged != nil && (state == nil || log.First() > at+1) {
-		return nil, nil, damaged // entries before the damaged one are gone
+	index := s.snapshotMeta.GetIndex()
+	if firstErr != nil && (state == nil || log.First() > index+1) {
+		return nil, nil, firstErr // entries before the damaged one are gone
 	}
-	if err := s.alignLog(at); err != nil {
+	if err := s.alignLog(index); err != nil {
 		return nil, nil, err
 	}
-	s.offset, s.term = at, s.snap.GetTerm()
-	for i := at + 1; i < log.Next(); i++ {
+	s.offset, s.offsetTerm = index, s.snapshotMeta.GetTerm()
+	for i := index + 1; i < log.Next(); i++ {
 		e, err := s.read(i)
 		if err != nil {
 			return nil, nil, err
 		}
 		s.entries = append(s.entries, e)
-		s.bytes += proto.Size(e)
+		s.bytesSinceSnapshot += proto.Size(e)
 	}
-	if s.hard.GetCommit() < at {
-		s.hard.Commit = proto.Uint64(at)
+	if s.hardState.GetCommit() < index {
+		s.hardState.Commit = proto.Uint64(index)
 	}
 	return s, state, nil
 }
@@ -118,37 +118,37 @@
 // alignLog makes the log go on from the snapshot. It guards against a crash between writing a snapshot of the leader
 // and cutting the log: what the log holds is then of another history, unless its entry at the snapshot's index has
 // the snapshot's term.
-func (s *store) alignLog(at uint64) error {
-	if at == 0 || s.log.First() == at+1 {
+func (s *store) alignLog(index uint64) error {
+	if index == 0 || s.log.First() == index+1 {
 		return nil
 	}
-	if s.log.First() <= at && s.log.Next() > at {
-		e, err := s.read(at)
+	if s.log.First() <= index && s.log.Next() > index {
+		e, err := s.read(index)
 		if err != nil {
 			return err
 		}
-		if e.GetTerm() == s.snap.GetTerm() {
+		if e.GetTerm() == s.snapshotMeta.GetTerm() {
 			return nil
 		}
 	}
-	_, err := s.log.Commit(wal.Batch{Cut: at + 1})
+	_, err := s.log.Commit(wal.Batch{Cut: index + 1})
 	return err
 }
 
-func (s *store) read(i uint64) (*pb.Entry, error) {
-	raw, err := s.log.Read(i)
+func (s *store) read(index uint64) (*pb.Entry, error) {
+	raw, err := s.log.Read(index)
 	if err != nil {
 		return nil, err
 	}
 	e := &pb.Entry{}
-	if err := proto.Unmarshal(raw, e); err != nil || e.GetIndex() != i {
-		return nil, &LogEntryError{Index: i, Found: e.GetIndex(), Err: err}
+	if err := proto.Unmarshal(raw, e); err != nil || e.GetIndex() != index {
+		return nil, &LogEntryError{Index: index, Found: e.GetIndex(), Err: err}
 	}
 	return e, nil
 }
 
 // persist stores what raft needs stored before messages are sent: one write, one sync.
-func (s *store) persist(hard *pb.HardState, entries []*pb.Entry) error {
+func (s *store) persist(hardState *pb.HardState, entries []*pb.Entry) error {
 	var b wal.Batch
 	if len(entries) > 0 {
 		first := entries[0].GetIndex()
@@ -164,11 +164,11 @@
 				return err
 			}
 			b.Entries = append(b.Entries, raw)
-			s.bytes += len(raw)
+			s.bytesSinceSnapshot += len(raw)
 		}
 	}
-	if !raft.IsEmptyHardState(hard) {
-		raw, err := proto.Marshal(hard)
+	if !raft.IsEmptyHardState(hardState) {
+		raw, err := proto.Marshal(hardState)
 		if err != nil {
 			return err
 		}
@@ -180,37 +180,37 @@
 	if _, err := s.log.Commit(b); err != nil {
 		return err
 	}
-	s.remember(hard, entries)
+	s.updateMemory(hardState, entries)
 	return nil
 }
 
-// remember takes over in memory what is on disk, or what raft does not need stored.
-func (s *store) remember(hard *pb.HardState, entries []*pb.Entry) {
-	if !raft.IsEmptyHardState(hard) {
-		s.hard = hard
+// updateMemory takes over in memory what is on disk, or what raft does not need stored.
+func (s *store) updateMemory(hardState *pb.HardState, entries []*pb.Entry) {
+	if !raft.IsEmptyHardState(hardState) {
+		s.hardState = hardState
 	}
 	if len(entries) > 0 {
-		keep := entries[0].GetIndex() - s.offset - 1
-		s.entries = append(s.entries[:keep:keep], entries...)
+		keptEntries := entries[0].GetIndex() - s.offset - 1
+		s.entries = append(s.entries[:keptEntries:keptEntries], entries...)
 	}
 }
 
-// install puts a snapshot of the leader in place of all there is.
-func (s *store) install(snap *pb.Snapshot, hard *pb.HardState) error {
-	meta := snap.GetMetadata()
-	parts, err := snapshotParts(meta, [][]byte{snap.GetData()})
+// installSnapshot puts a snapshot of the leader in place of all there is.
+func (s *store) installSnapshot(snapshot *pb.Snapshot, hardState *pb.HardState) error {
+	meta := snapshot.GetMetadata()
+	parts, err := snapshotParts(meta, [][]byte{snapshot.GetData()})
 	if err != nil {
 		return err
 	}
-	at := meta.GetIndex()
-	if err := s.log.SaveSnapshot(at, parts...); err != nil {
+	index := meta.GetIndex()
+	if err := s.log.SaveSnapshot(index, parts...); err != nil {
 		return err
 	}
-	b := wal.Batch{Cut: at + 1}
-	if raft.IsEmptyHardState(hard) {
-		hard = &pb.HardState{Term: s.hard.Term, Vote: s.hard.Vote, Commit: proto.Uint64(at)}
+	b := wal.Batch{Cut: index + 1}
+	if raft.IsEmptyHardState(hardState) {
+		hardState = &pb.HardState{Term: s.hardState.Term, Vote: s.hardState.Vote, Commit: proto.Uint64(index)}
 	}
-	raw, err := proto.Marshal(hard)
+	raw, err := proto.Marshal(hardState)
 	if err != nil {
 		return err
 	}
@@ -218,36 +218,36 @@
 	if _, err := s.log.Commit(b); err != nil {
 		return err
 	}
-	s.hard, s.snap = hard, meta
-	s.offset, s.term, s.entries, s.bytes = at, meta.GetTerm(), nil, 0
-	return s.log.TruncateFront(at)
+	s.hardState, s.snapshotMeta = hardState, meta
+	s.offset, s.offsetTerm, s.entries, s.bytesSinceSnapshot = index, meta.GetTerm(), nil, 0
+	return s.log.TruncateFront(index)
 }
 
-// snapshotWritten takes note of a durable snapshot: the log that the older one stands for may go.
+// snapshotResult takes note of a durable snapshot: the log that the older one stands for may go.
 func (s *store) snapshotWritten(meta *pb.SnapshotMetadata) error {
-	if meta.GetIndex() <= s.snap.GetIndex() {
+	if meta.GetIndex() <= s.snapshotMeta.GetIndex() {
 		return nil
 	}
-	older := s.snap.GetIndex()
-	s.snap = meta
+	older := s.snapshotMeta.GetIndex()
+	s.snapshotMeta = meta
 	if older > s.offset {
 		term, err := s.Term(older)
 		if err != nil {
 			return err
 		}
 		s.entries = append([]*pb.Entry(nil), s.entries[older-s.offset:]...)
-		s.offset, s.term = older, term
+		s.offset, s.offsetTerm = older, term
 	}
-	s.bytes = 0
+	s.bytesSinceSnapshot = 0
 	for _, e := range s.entries[meta.GetIndex()-s.offset:] {
-		s.bytes += proto.Size(e)
+		s.bytesSinceSnapshot += proto.Size(e)
 	}
 	return s.log.TruncateFront(older)
 }
 
 // InitialState is part of raft.Storage.
 func (s *store) InitialState() (*pb.HardState, *pb.ConfState, error) {
-	return s.hard, s.snap.GetConfState(), nil
+	return s.hardState, s.snapshotMeta.GetConfState(), nil
 }
 
 // LastIndex is part of raft.Storage.
@@ -260,7 +260,7 @@
 func (s *store) Term(i uint64) (uint64, error) {
 	switch {
 	case i == s.offset:
-		return s.term, nil
+		return s.offsetTerm, nil
 	case i < s.offset:
 		return 0, raft.ErrCompacted
 	case i > s.offset+uint64(len(s.entries)):
@@ -270,7 +270,7 @@
 }
 
 // Entries is part of raft.Storage.
-func (s *store) Entries(lo, hi, most uint64) ([]*pb.Entry, error) {
+func (s *store) Entries(lo, hi, maxBytes uint64) ([]*pb.Entry, error) {
 	if lo <= s.offset {
 		return nil, raft.ErrCompacted
 	}
@@ -280,7 +280,7 @@
 	part := s.entries[lo-s.offset-1 : hi-s.offset-1]
 	size := uint64(0)
 	for i, e := range part {
-		if size += uint64(proto.Size(e)); size > most && i > 0 {
+		if size += uint64(proto.Size(e)); size > maxBytes && i > 0 {
 			part = part[:i]
 			break
 		}
@@ -291,7 +291,7 @@
 // Snapshot is part of raft.Storage. It gives the state as it is now: a snapshot on disk may be from before the
 // receiver became a member, and raft does not accept such a one.
 func (s *store) Snapshot() (*pb.Snapshot, error) {
-	meta, state, err := s.state()
+	meta, state, err := s.currentState()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/consensus/transport.go
+++ b/internal/control/consensus/transport.go
@@ -37,8 +37,8 @@
 // messageHandler is what the transport needs of the replica's owner. Its methods run on the replica's goroutine.
 type messageHandler interface {
 	hello(to uint64) (Hello, error)
-	judgeHello(h Hello) (reason string, err error)
-	bar(reason string)
+	handleHello(h Hello) (reason string, err error)
+	barInstance(reason string)
 	receive(m *pb.Message)
 	reportUnreachable(to uint64)
 	reportSnapshot(to uint64, ok bool)
@@ -46,7 +46,7 @@
 
 // transportCounters are read by metrics.
 type transportCounters struct {
-	sent, received, dropped, refused, broken, snapsSent, snapsReceived atomic.Uint64
+	sent, received, dropped, refused, broken, snapshotsSent, snapshotsReceived atomic.Uint64
 }
 
 // transport carries messages between instances: one connection a peer and direction for raft's messages, and one for
@@ -58,7 +58,7 @@
 	credentials *credentials
 	log         *logrus.Logger
 	rate        *rate.Limiter
-	count       transportCounters
+	counters    transportCounters
 	ctx         context.Context
 	stop        context.CancelFunc
 	wg          sync.WaitGroup
@@ -69,12 +69,12 @@
 	receivingSnapshot bool                // at most one
 }
 
-func newTransport(o messageHandler, t *credentials, log *logrus.Logger, rateMB int) *transport {
+func newTransport(handler messageHandler, creds *credentials, log *logrus.Logger, rateMB int) *transport {
 	ctx, stop := context.WithCancel(context.Background())
 	burst := max(snapshotChunkBytes, rateMB<<18)
 	return &transport{
-		handler:     o,
-		credentials: t,
+		handler:     handler,
+		credentials: creds,
 		log:         log,
 		rate:        rate.NewLimiter(rate.Limit(rateMB<<20), burst),
 		ctx:         ctx,
@@ -125,7 +125,7 @@
 // or past the bound, is closed at once.
 func (t *transport) serveConnection(c net.Conn) {
 	if !t.register(c) {
-		t.count.refused.Add(1)
+		t.counters.refused.Add(1)
 		c.Close()
 		return
 	}
@@ -159,12 +159,12 @@
 
 // setPeers sets whom to connect to, by id and address. Connections of removed instances are closed, so that they are
 // told that they were removed when they connect again.
-func (t *transport) setPeers(members []Member, removed []uint64, own uint64) {
+func (t *transport) setPeers(members []Member, removed []uint64, self uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for c, who := range t.inbound {
+	for c, peerID := range t.inbound {
 		for _, id := range removed {
-			if who == id {
+			if peerID == id {
 				c.Close()
 			}
 		}
@@ -180,7 +180,7 @@
 		}
 	}
 	for _, m := range members {
-		if m.ID == own || t.peers[m.ID] != nil || t.ctx.Err() != nil {
+		if m.ID == self || t.peers[m.ID] != nil || t.ctx.Err() != nil {
 			continue
 		}
 		ctx, stop := context.WithCancel(t.ctx)
@@ -196,14 +196,14 @@
 		t.mu.Lock()
 		p := t.peers[m.GetTo()]
 		t.mu.Unlock()
-		snap := m.GetType() == pb.MessageType_MsgSnap
+		isSnapshot := m.GetType() == pb.MessageType_MsgSnap
 		switch {
 		case p == nil:
-			t.count.dropped.Add(1)
-			if snap {
+			t.counters.dropped.Add(1)
+			if isSnapshot {
 				t.handler.reportSnapshot(m.GetTo(), false)
 			}
-		case snap:
+		case isSnapshot:
 			if !p.sendingSnapshot.CompareAndSwap(false, true) {
 				t.handler.reportSnapshot(p.id, false)
 				continue
@@ -214,7 +214,7 @@
 			}
 		default:
 			if !p.enqueue(m) {
-				t.count.dropped.Add(1)
+				t.counters.dropped.Add(1)
 				t.handler.reportUnreachable(p.id)
 			}
 		}
--- a/internal/control/consensus/transport_close_test.go
+++ b/internal/control/consensus/transport_close_test.go
@@ -58,11 +58,11 @@
 
 var errStubHello = errors.New("no hello from the stub")
 
-func (h *handlerStub) hello(uint64) (Hello, error)      { return Hello{}, errStubHello }
-func (h *handlerStub) judgeHello(Hello) (string, error) { return "", errStubHello }
-func (h *handlerStub) bar(string)                       {}
-func (h *handlerStub) receive(*pb.Message)              {}
-func (h *handlerStub) reportUnreachable(uint64)         {}
+func (h *handlerStub) hello(uint64) (Hello, error)       { return Hello{}, errStubHello }
+func (h *handlerStub) handleHello(Hello) (string, error) { return "", errStubHello }
+func (h *handlerStub) barInstance(string)                {}
+func (h *handlerStub) receive(*pb.Message)               {}
+func (h *handlerStub) reportUnreachable(uint64)          {}
 func (h *handlerStub) reportSnapshot(_ uint64, sent bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/control/consensus/transport_inbound.go
+++ b/internal/control/consensus/transport_inbound.go
@@ -40,11 +40,11 @@
 		err = json.Unmarshal(raw, &h)
 	}
 	if err != nil {
-		t.count.broken.Add(1)
+		t.counters.broken.Add(1)
 		t.log.WithField(logging.Error, err).Debug("inbound connection without a hello")
 		return h, false
 	}
-	reason, err := t.handler.judgeHello(h)
+	reason, err := t.handler.handleHello(h)
 	var own Hello
 	if err == nil {
 		own, err = t.handler.hello(h.ID)
@@ -53,7 +53,7 @@
 		return h, false
 	}
 	if reason != "" {
-		t.count.refused.Add(1)
+		t.counters.refused.Add(1)
 		t.log.WithFields(logrus.Fields{logging.Peer: idText(h.ID), logging.Node: h.Name, logging.Reason: reason}).
 			Warn("an instance was refused")
 		writeJSON(c, frameRefused, reason)
@@ -77,11 +77,11 @@
 		m := &pb.Message{}
 		if kind != frameMessage || proto.Unmarshal(raw, m) != nil || m.GetFrom() != from ||
 			m.GetType() == pb.MessageType_MsgSnap {
-			t.count.broken.Add(1)
+			t.counters.broken.Add(1)
 			t.log.WithField(logging.Peer, idText(from)).Warn("message that can't be from this peer")
 			return
 		}
-		t.count.received.Add(1)
+		t.counters.received.Add(1)
 		t.handler.receive(m)
 	}
 }
@@ -90,9 +90,9 @@
 func (t *transport) replaceConnection(c net.Conn, id uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for o, who := range t.inbound {
-		if who == id && o != c {
-			o.Close()
+	for other, peerID := range t.inbound {
+		if peerID == id && other != c {
+			other.Close()
 		}
 	}
 	t.inbound[c] = id
--- a/internal/control/consensus/transport_peer.go
+++ b/internal/control/consensus/transport_peer.go
@@ -21,7 +21,7 @@
 	id              uint64
 	addr            string
 	queue           chan *pb.Message
-	bytes           atomic.Int64 // of what is queued
+	queuedBytes     atomic.Int64 // of what is queued
 	stop            context.CancelFunc
 	sendingSnapshot atomic.Bool
 }
@@ -29,19 +29,19 @@
 // enqueue queues a message unless that passes the bound of messages or bytes.
 func (p *peer) enqueue(m *pb.Message) bool {
 	n := int64(proto.Size(m))
-	if p.bytes.Add(n) <= maxQueuedBytes {
+	if p.queuedBytes.Add(n) <= maxQueuedBytes {
 		select {
 		case p.queue <- m:
 			return true
 		default:
 		}
 	}
-	p.bytes.Add(-n)
+	p.queuedBytes.Add(-n)
 	return false
 }
 
-// release returns the bytes of a message that left the queue.
-func (p *peer) release(m *pb.Message) { p.bytes.Add(-int64(proto.Size(m))) }
+// releaseBytes returns the bytes of a message that left the queue.
+func (p *peer) releaseBytes(m *pb.Message) { p.queuedBytes.Add(-int64(proto.Size(m))) }
 
 // dial connects to a peer and makes sure that it is the one meant.
 func (t *transport) dial(p *peer, bulk bool) (net.Conn, error) {
@@ -78,7 +78,7 @@
 			return err
 		}
 		if BarsInstance(reason) {
-			t.handler.bar(reason)
+			t.handler.barInstance(reason)
 		}
 		return &PeerRefusedError{ByPeer: true, Reason: reason}
 	case frameAccepted:
@@ -89,9 +89,9 @@
 		if other.ID != p.id {
 			return &UnexpectedPeerError{other.ID, p.id}
 		}
-		reason, err := t.handler.judgeHello(other)
+		reason, err := t.handler.handleHello(other)
 		if err == nil && reason != "" {
-			t.count.refused.Add(1)
+			t.counters.refused.Add(1)
 			err = &PeerRefusedError{Reason: reason}
 		}
 		c.SetDeadline(time.Time{})
@@ -136,8 +136,8 @@
 	for {
 		select {
 		case m := <-p.queue:
-			p.release(m)
-			t.count.dropped.Add(1)
+			p.releaseBytes(m)
+			t.counters.dropped.Add(1)
 		default:
 			return
 		}
@@ -164,7 +164,7 @@
 		case m := <-p.queue:
 			c.SetWriteDeadline(time.Now().Add(writeTimeout))
 			for m != nil {
-				p.release(m)
+				p.releaseBytes(m)
 				raw, err := proto.Marshal(m)
 				if err == nil {
 					err = writeFrame(w, frameMessage, raw)
@@ -172,7 +172,7 @@
 				if err != nil {
 					return
 				}
-				t.count.sent.Add(1)
+				t.counters.sent.Add(1)
 				select {
 				case m = <-p.queue:
 				default:
--- a/internal/control/consensus/transport_snapshot.go
+++ b/internal/control/consensus/transport_snapshot.go
@@ -29,47 +29,47 @@
 	t.receivingSnapshot = true
 	t.mu.Unlock()
 	if busy {
-		t.count.refused.Add(1)
+		t.counters.refused.Add(1)
 		return
 	}
 	defer func() { t.mu.Lock(); t.receivingSnapshot = false; t.mu.Unlock() }()
-	bad := func(err error) {
-		t.count.broken.Add(1)
+	fail := func(err error) {
+		t.counters.broken.Add(1)
 		t.log.WithFields(logrus.Fields{logging.Peer: idText(from), logging.Error: err}).Warn(
 			"incomplete snapshot received; the peer sends it again")
 	}
 	c.SetReadDeadline(time.Now().Add(snapshotIdleTimeout))
 	kind, raw, err := readFrame(r, maxFrameBytes)
-	var note snapshotAnnouncement
+	var announcement snapshotAnnouncement
 	m := &pb.Message{}
 	if err == nil && kind == frameSnapshot {
-		err = json.Unmarshal(raw, &note)
+		err = json.Unmarshal(raw, &announcement)
 	}
 	if err == nil {
-		err = proto.Unmarshal(note.Message, m)
+		err = proto.Unmarshal(announcement.Message, m)
 	}
-	if err != nil || kind != frameSnapshot || note.Bytes < 0 || note.Bytes > maxSnapshotBytes || m.GetFrom() != from ||
+	if err != nil || kind != frameSnapshot || announcement.Bytes < 0 || announcement.Bytes > maxSnapshotBytes || m.GetFrom() != from ||
 		m.GetType() != pb.MessageType_MsgSnap || m.GetSnapshot() == nil {
-		bad(fmt.Errorf("it opens with kind %d and %d bytes to come, expected at most %d: %v", kind, note.Bytes,
+		fail(fmt.Errorf("it opens with kind %d and %d bytes to come, expected at most %d: %v", kind, announcement.Bytes,
 			maxSnapshotBytes, err))
 		return
 	}
-	state := make([]byte, 0, min(note.Bytes, 1<<20)) // grows as it comes: a note alone takes no memory
-	for len(state) < note.Bytes {
+	state := make([]byte, 0, min(announcement.Bytes, 1<<20)) // grows as it comes: a note alone takes no memory
+	for len(state) < announcement.Bytes {
 		c.SetReadDeadline(time.Now().Add(snapshotIdleTimeout))
 		kind, raw, err := readFrame(r, snapshotChunkBytes+1)
-		if err != nil || kind != frameChunk || len(state)+len(raw) > note.Bytes {
-			bad(fmt.Errorf("%d of %d bytes, then kind %d: %v", len(state), note.Bytes, kind, err))
+		if err != nil || kind != frameChunk || len(state)+len(raw) > announcement.Bytes {
+			fail(fmt.Errorf("%d of %d bytes, then kind %d: %v", len(state), announcement.Bytes, kind, err))
 			return
 		}
 		state = append(state, raw...)
 	}
-	if sum := xxhash.Sum64(state); sum != note.Sum {
-		bad(fmt.Errorf("its sum is %016x, expected %016x", sum, note.Sum))
+	if sum := xxhash.Sum64(state); sum != announcement.Sum {
+		fail(fmt.Errorf("its sum is %016x, expected %016x", sum, announcement.Sum))
 		return
 	}
 	m.Snapshot.Data = state
-	t.count.snapsReceived.Add(1)
+	t.counters.snapshotsReceived.Add(1)
 	t.handler.receive(m)
 	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	writeFrame(c, frameDone, nil)
@@ -84,9 +84,9 @@
 	}
 	defer c.Close()
 	state := m.GetSnapshot().GetData()
-	head := proto.Clone(&pb.Message{Type: m.Type, To: m.To, From: m.From, Term: m.Term,
+	header := proto.Clone(&pb.Message{Type: m.Type, To: m.To, From: m.From, Term: m.Term,
 		Snapshot: &pb.Snapshot{Metadata: m.GetSnapshot().GetMetadata()}}).(*pb.Message)
-	raw, err := proto.Marshal(head)
+	raw, err := proto.Marshal(header)
 	if err != nil {
 		return err
 	}
@@ -108,8 +108,8 @@
 	c.SetReadDeadline(time.Now().Add(snapshotIdleTimeout))
 	kind, _, err := readFrame(c, maxHandshakeBytes)
 	if err == nil && kind != frameDone {
-		err = errSnapshotRefused
+		err = errSnapshotNotAcknowledged
 	}
-	t.count.snapsSent.Add(1)
+	t.counters.snapshotsSent.Add(1)
 	return err
 }
--- a/internal/control/consensus/transport_test.go
+++ b/internal/control/consensus/transport_test.go
@@ -37,8 +37,8 @@
 	a.await("the log was let go of", func(v *View) bool { return v.Status.FirstIndex > 2 })
 	b := boot(t, "b", "join", nil)
 	a.join(b)
-	if v := b.group.View(); v.Version != 12 || b.group.transport.count.snapsReceived.Load() == 0 {
-		t.Fatalf("version %d after %d snapshots", v.Version, b.group.transport.count.snapsReceived.Load())
+	if v := b.group.View(); v.Version != 12 || b.group.transport.counters.snapshotsReceived.Load() == 0 {
+		t.Fatalf("version %d after %d snapshots", v.Version, b.group.transport.counters.snapshotsReceived.Load())
 	}
 	b.stop()
 	b.start()
@@ -74,7 +74,7 @@
 	}
 	c := dial()
 	writeJSON(c, frameHello, Hello{Identity: Identity{Cluster: "other", ID: 9}, To: own.ID})
-	if kind, raw, err := readFrame(c, 1000); err != nil || kind != frameRefused || string(raw) != `"`+otherCluster+`"` {
+	if kind, raw, err := readFrame(c, 1000); err != nil || kind != frameRefused || string(raw) != `"`+refusedOtherCluster+`"` {
 		t.Fatalf("another cluster: kind %d %s %v", kind, raw, err)
 	}
 	closed(c, "another cluster")
@@ -88,8 +88,8 @@
 		To: proto.Uint64(own.ID), Term: proto.Uint64(own.Term + 9)})
 	writeFrame(c, frameMessage, forged)
 	closed(c, "a message in another's name")
-	if v := a.group.View(); v.Term != own.Term || a.group.transport.count.broken.Load() < 4 {
-		t.Fatalf("term %d, %d broken", v.Term, a.group.transport.count.broken.Load())
+	if v := a.group.View(); v.Term != own.Term || a.group.transport.counters.broken.Load() < 4 {
+		t.Fatalf("term %d, %d broken", v.Term, a.group.transport.counters.broken.Load())
 	}
 }
 
@@ -120,8 +120,8 @@
 		c.Close()
 	}
 	if v := a.group.View(); v.Term != own.Term || v.Applied < own.Applied ||
-		a.group.transport.count.broken.Load() != 4 {
-		t.Fatalf("term %d, applied %d, %d broken of 4", v.Term, v.Applied, a.group.transport.count.broken.Load())
+		a.group.transport.counters.broken.Load() != 4 {
+		t.Fatalf("term %d, applied %d, %d broken of 4", v.Term, v.Applied, a.group.transport.counters.broken.Load())
 	}
 }
 
@@ -137,7 +137,7 @@
 	if n < 30 || n > 32 {
 		t.Fatalf("%d messages of 1 MiB queued, expected 31", n)
 	}
-	p.release(<-p.queue)
+	p.releaseBytes(<-p.queue)
 	if !p.enqueue(m) {
 		t.Fatal("no room after one left")
 	}
--- a/internal/control/consensus/waiters.go
+++ b/internal/control/consensus/waiters.go
@@ -13,7 +13,7 @@
 	put       *Put // nil for a read
 	sinceTick uint64
 	done      chan outcome // has room for one, so that it is never waited for
-	abandoned atomic.Bool  // the caller went
+	canceled  atomic.Bool  // the caller went
 }
 
 type outcome struct {
@@ -30,8 +30,8 @@
 	lastReadID uint64
 }
 
-// full answers a caller with ErrBusy if too many wait already.
-func (ws *waiters) full(w *waiter) bool {
+// rejectIfFull answers a caller with ErrBusy if too many wait already.
+func (ws *waiters) rejectIfFull(w *waiter) bool {
 	if ws.count < maxWaiting {
 		return false
 	}
@@ -80,11 +80,11 @@
 	}
 }
 
-// dropAbandoned leaves out waiters whose caller went.
-func (ws *waiters) dropAbandoned(list []*waiter) []*waiter {
+// dropCanceled leaves out waiters whose caller went.
+func (ws *waiters) dropCanceled(list []*waiter) []*waiter {
 	waiting := list[:0]
 	for _, w := range list {
-		if w.abandoned.Load() {
+		if w.canceled.Load() {
 			ws.count--
 		} else {
 			waiting = append(waiting, w)
@@ -94,25 +94,25 @@
 }
 
 // overdueReads takes out reads that have waited for some ticks.
-func (ws *waiters) overdueReads(now, after uint64) []*waiter {
+func (ws *waiters) overdueReads(now, minTicks uint64) []*waiter {
 	var overdue []*waiter
 	for id, list := range ws.reads {
-		if now-list[0].sinceTick >= after {
+		if now-list[0].sinceTick >= minTicks {
 			overdue = append(overdue, list...)
 			delete(ws.reads, id)
 		}
 	}
-	return ws.dropAbandoned(overdue)
+	return ws.dropCanceled(overdue)
 }
 
 // overduePuts gives puts that have waited for some ticks, to be proposed again, and counts their wait anew.
-func (ws *waiters) overduePuts(now, after uint64) []Put {
+func (ws *waiters) overduePuts(now, minTicks uint64) []Put {
 	var overdue []Put
 	for key, list := range ws.puts {
-		if now-list[0].sinceTick < after {
+		if now-list[0].sinceTick < minTicks {
 			continue
 		}
-		if list = ws.dropAbandoned(list); len(list) == 0 {
+		if list = ws.dropCanceled(list); len(list) == 0 {
 			delete(ws.puts, key)
 			continue
 		}
