--- a/internal/control/consensus/api.go
+++ b/internal/control/consensus/api.go
@@ -18,44 +18,44 @@
 	"umberwinch/internal/logging"
 )
 
-// Bounds of the clients' side. They protect memory from clients that are many, slow, or send much.
+// Bounds of the client API. They limit memory when clients are many, slow, or send large bodies.
 const (
-	maxClients             = 6000 // connections: each node of a fleet keeps one, of some ten KB
+	maxClients             = 6000 // connections; each node of a fleet keeps one, of some ten KB
 	maxWatchers            = 256
 	maxHeaderBytes         = 8 << 10
-	maxTotalBodyBytes      = 64 << 20 // of puts being read, together; a body counts by its announced length from its start
-	maxBodyBytes           = 7 << 20  // the largest document as JSON escapes it at worst, and its author and reason
-	maxHistoryVersions     = 1000     // versions in one answer
-	defaultHistoryVersions = 20       // a screenful
+	maxTotalBodyBytes      = 64 << 20 // of puts being read; a body counts with its announced length until it is handled
+	maxBodyBytes           = 7 << 20  // the largest document in its longest JSON escaping, with author and reason
+	maxHistoryVersions     = 1000     // in one response
+	defaultHistoryVersions = 20
 )
 
-// Timeouts of the clients' side.
+// Timeouts of the client API.
 const (
 	headerReadTimeout = 2 * time.Second
 	bodyReadTimeout   = 10 * time.Second
 	idleTimeout       = time.Minute
-	requestTimeout    = 5 * time.Second  // of a put or a read: longer than the election of a new leader
-	membershipTimeout = 15 * time.Second // of a change of members, which may need several rounds
+	requestTimeout    = 5 * time.Second  // of a put or a read: longer than an election
+	membershipTimeout = 15 * time.Second // of a change of members, which may need several proposals
 	watchHeartbeat    = 2 * time.Second  // longest pause between two lines of a watch
-	watchWriteTimeout = 5 * time.Second  // for one line; a watcher that is slower is disconnected
-	stopGracePeriod   = time.Second      // for requests under way when the instance stops
+	watchWriteTimeout = 5 * time.Second  // of one line; slower watchers are disconnected
+	stopGracePeriod   = time.Second      // for requests in progress when the API stops
 )
 
-// Headers of every answer.
+// Headers of every response.
 const (
 	HeaderVersion      = "Umberwinch-Version"
 	HeaderTerm         = "Umberwinch-Term"
 	HeaderSinceLeader  = "Umberwinch-Away-Ms"
-	HeaderOutOfContact = "Umberwinch-Out-Of-Touch" // only while View.OutOfContact: what this instance holds may be old
+	HeaderOutOfContact = "Umberwinch-Out-Of-Touch" // set only while View.OutOfContact: the state may be stale
 )
 
-// Failure is the body of an answer that is not 200.
+// Failure is the body of an error response.
 type Failure struct {
 	Error  string `json:"error"`
-	Leader string `json:"leader,omitempty"` // where the leader listens, if known
+	Leader string `json:"leader,omitempty"` // client address of the leader, if known
 }
 
-// Self is what an instance says of itself, so that an operator can add it to a group.
+// Self describes an instance, so that an operator can add it to a group.
 type Self struct {
 	ID      uint64 `json:"id"`
 	Name    string `json:"name"`
@@ -72,28 +72,28 @@
 	Members       []Member `json:"members"`
 }
 
-// Heartbeat is a line of a watch that brings no version.
+// Heartbeat is a line of a watch without a version.
 type Heartbeat struct {
 	Heartbeat     bool  `json:"beat"`
 	SinceLeaderMS int64 `json:"away_ms"`
 	OutOfContact  bool  `json:"out_of_touch"`
 }
 
-// API serves clients of a group over HTTP/1.1 with JSON. It owns the bounds and the form of answers; the group decides
-// what they say.
+// API serves clients of a group over HTTP/1.1 with JSON. It enforces limits and formats responses; the group decides
+// their content.
 type API struct {
 	group        *Group
 	server       *http.Server
 	watchers     atomic.Int64
 	bodyBytes    *semaphore.Weighted
-	leaderClient *http.Client   // to the leader, for what it alone can answer
-	errorLog     *io.PipeWriter // of the server, to the group's log; Stop ends its goroutine by closing it
-	served       chan struct{}  // closed when serve has ended
+	leaderClient *http.Client   // forwards requests that only the leader serves
+	errorLog     *io.PipeWriter // of the server, into the group's log; Stop closes it, which ends its goroutine
+	served       chan struct{}  // closed when serve has returned
 	stopping     context.Context
 	stop         context.CancelFunc
 }
 
-// Serve opens the clients' address. It returns once the address is open. Its goroutines end by Stop.
+// Serve opens the client address and serves it until Stop.
 func (g *Group) Serve() (*API, error) {
 	l, err := g.credentials.listen(g.control.Listen)
 	if err != nil {
@@ -114,30 +114,35 @@
 	a.fleetRoutes(mux)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(g.metrics.registry, promhttp.HandlerOpts{}))
 	a.errorLog = g.log.WriterLevel(logrus.DebugLevel)
-	a.server = &http.Server{Handler: a.withHeaders(mux), ReadHeaderTimeout: headerReadTimeout, ReadTimeout: bodyReadTimeout,
-		MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout,
-		ErrorLog: log.New(a.errorLog, "", 0)}
+	a.server = &http.Server{
+		Handler:           a.withHeaders(mux),
+		ReadHeaderTimeout: headerReadTimeout,
+		ReadTimeout:       bodyReadTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          log.New(a.errorLog, "", 0),
+	}
 	go a.serve(netutil.LimitListener(l, maxClients))
 	return a, nil
 }
 
-// serve accepts connections until Stop. An address that can't be served any more is logged: the instance goes on with
-// its peers, and clients find another one.
+// serve accepts connections until Stop. After a listener error the instance continues for its peers, and clients must
+// use another instance.
 func (a *API) serve(l net.Listener) {
 	defer close(a.served)
 	if err := a.server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		a.group.log.WithField(logging.Error, err).Error("the clients' address is not served any more")
+		a.group.log.WithField(logging.Error, err).Error("the client address is no longer served")
 	}
 }
 
-// Stop lets clients finish for a moment, then closes. The address is free when it returns, also where serve had not
-// begun yet.
+// Stop gives requests stopGracePeriod to finish, then closes all connections. On return the address is free, even if
+// serve had not started.
 func (a *API) Stop() {
 	a.stop()
 	ctx, cancel := context.WithTimeout(context.Background(), stopGracePeriod)
 	defer cancel()
 	if a.server.Shutdown(ctx) != nil {
-		a.server.Close() // the requests that are left are cut off: all of them may be repeated
+		a.server.Close() // aborts the remaining requests: all of them may be repeated
 	}
 	<-a.served
 	a.leaderClient.CloseIdleConnections()
--- a/internal/control/consensus/api_answers.go
+++ b/internal/control/consensus/api_answers.go
@@ -16,18 +16,17 @@
 	contentJSON      = "application/json"
 	contentJSONLines = "application/jsonl"
 	contentBytes     = "application/octet-stream"
-	// retryAfterSeconds is what a client is told to wait after a temporary failure: by then a new leader is mostly
-	// elected.
+	// retryAfterSeconds is the Retry-After value of temporary errors: usually a new leader is elected by then.
 	retryAfterSeconds = "1"
 )
 
-// writeResponse writes a value as JSON. A write that fails is the client's loss: it went.
+// writeResponse writes a value as JSON. Write errors are ignored: the client has disconnected.
 func (a *API) writeResponse(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", contentJSON)
 	json.NewEncoder(w).Encode(v)
 }
 
-// writeResult writes a value, or the failure that came in its place.
+// writeResult writes a value, or err if it is not nil.
 func (a *API) writeResult(w http.ResponseWriter, v any, err error) {
 	if err != nil {
 		a.writeError(w, err)
@@ -36,7 +35,7 @@
 	a.writeSized(w, v)
 }
 
-// writeSized writes a value as JSON with a Content-Length, as nodes read no chunks.
+// writeSized writes a value as JSON with a Content-Length, as nodes do not read chunked bodies.
 func (a *API) writeSized(w http.ResponseWriter, v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -48,7 +47,7 @@
 	w.Write(append(raw, '\n'))
 }
 
-// writeErrorStatus writes a Failure that names the leader's address where it is known.
+// writeErrorStatus writes a Failure, with the leader's address if it is known.
 func (a *API) writeErrorStatus(w http.ResponseWriter, code int, err error) {
 	f := Failure{Error: err.Error()}
 	v := a.group.View()
@@ -65,22 +64,22 @@
 	json.NewEncoder(w).Encode(f)
 }
 
-// writeError writes an error under the status that it stands for.
+// writeError writes an error with its HTTP status.
 func (a *API) writeError(w http.ResponseWriter, err error) { a.writeErrorStatus(w, statusOf(err), err) }
 
-// retryableErrors are errors that a client may ask again after.
+// retryableErrors are temporary: the client may retry after them.
 var retryableErrors = []error{
 	coordinator.ErrBusy, coordinator.ErrStateLost, coordinator.ErrNotLeader,
 	ErrFeatureLevel, ErrNoLeader, ErrBusy, ErrTimeout, ErrStopped, ErrBarred,
 	errTooManyWatchers, raft.ErrProposalDropped,
 }
 
-// statusOf decides what a client does about an error: 503 ask again, 507 tell the operator, 409 the state is against
-// the operation, 401 get the token, 404 and 410 ask for another version, 413 send less, 400 mend the request.
+// statusOf returns the HTTP status of an error, which tells the client how to react: 503 retry, 507 inform the
+// operator, 409 conflict with the state, 401 get the token, 404 and 410 request another version, 413 send less, 400
+// correct the request.
 //
-// 400 is also the status of every error that is not listed: an unknown node, and faults of this instance such as a
-// failed read of its disk. A client that gets 400 for a sound request looks at the error's text and at this instance's
-// log.
+// All other errors are 400 too: an unknown node, and faults of this instance such as a failed read of its disk. The
+// error's text and this instance's log tell them apart.
 func statusOf(err error) int {
 	for _, t := range retryableErrors {
 		if errors.Is(err, t) {
@@ -112,7 +111,7 @@
 	return http.StatusBadRequest
 }
 
-// readBody decodes a small JSON body without unknown fields.
+// readBody decodes a JSON body of at most maxNodeBodyBytes and rejects unknown fields.
 func readBody[T any](w http.ResponseWriter, r *http.Request, into *T) error {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxNodeBodyBytes))
 	d.DisallowUnknownFields()
@@ -122,7 +121,7 @@
 	return nil
 }
 
-// queryUint reads a whole number of the query, def where it has none under that key.
+// queryUint returns an unsigned integer of the query, def if the key is absent.
 func queryUint(r *http.Request, key string, def uint64) (uint64, error) {
 	s := r.URL.Query().Get(key)
 	if s == "" {
--- a/internal/control/consensus/api_document.go
+++ b/internal/control/consensus/api_document.go
@@ -22,8 +22,7 @@
 	a.writeResponse(w, Report{v.Status, v.SinceLeader().Milliseconds(), v.OutOfContact(), v.Members})
 }
 
-// readView gives the state that a read is answered from: linearizable, or this instance's own where the client asks for
-// that.
+// readView returns the view that serves a read: a linearizable one, or this instance's last one for read=stale.
 func (a *API) readView(r *http.Request) (*View, error) {
 	switch read := r.URL.Query().Get("read"); read {
 	case "stale":
@@ -54,7 +53,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", contentJSON)
-	w.Header().Set("Content-Length", strconv.Itoa(len(line)+1)) // nodes read no chunks
+	w.Header().Set("Content-Length", strconv.Itoa(len(line)+1)) // nodes do not read chunked bodies
 	w.Write(append(line[:len(line):len(line)], '\n'))
 }
 
@@ -102,7 +101,7 @@
 	json.NewEncoder(w).Encode(result)
 }
 
-// getHistory gives versions without their texts, the oldest first.
+// getHistory returns versions without their texts, oldest first.
 func (a *API) getHistory(w http.ResponseWriter, r *http.Request) {
 	v, err := a.readView(r)
 	if err != nil {
--- a/internal/control/consensus/api_fleet.go
+++ b/internal/control/consensus/api_fleet.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// maxNodeBodyBytes bounds a heartbeat or an operation, which have no use for more.
+	// maxNodeBodyBytes bounds the body of a heartbeat or an operation.
 	maxNodeBodyBytes = 4 << 10
-	// heartbeatTimeout is less than the 1.5 s after which a node asks another instance, so that it hears why.
+	// heartbeatTimeout is less than the 1.5 s after which a node contacts another instance, so that the node gets an
+	// error response first.
 	heartbeatTimeout = 1400 * time.Millisecond
 )
 
-// fleetRoutes are the paths that the leader alone can serve.
+// fleetRoutes adds the paths that only the leader serves.
 func (a *API) fleetRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("POST /v1/nodes", a.onLeader(a.postHeartbeat))
 	mux.HandleFunc("GET /v1/nodes", a.onLeader(a.getNodes))
@@ -67,7 +68,7 @@
 	a.writeResult(w, view, err)
 }
 
-// postPolicy takes an operator's proposal of a change, or an operator's abort of one.
+// postPolicy handles an operator's proposal or abort of a policy change.
 func (a *API) postPolicy(w http.ResponseWriter, r *http.Request) {
 	var op policy.Op
 	err := readBody(w, r, &op)
@@ -96,7 +97,7 @@
 	a.writeResult(w, view, err)
 }
 
-// postZones takes an operator's operation on a zone.
+// postZones handles an operator's operation on a zone.
 func (a *API) postZones(w http.ResponseWriter, r *http.Request) {
 	var op zones.Op
 	err := readBody(w, r, &op)
--- a/internal/control/consensus/api_forward.go
+++ b/internal/control/consensus/api_forward.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// headerForwarded marks a request that an instance forwarded, so that it is forwarded once at most: two instances
-	// that each take the other for the leader would pass it to and fro.
+	// headerForwarded marks a forwarded request, so that it is forwarded at most once: two instances that take each
+	// other for the leader would forward it in a loop.
 	headerForwarded = "Umberwinch-Relayed"
-	// forwardTimeout is less than heartbeatTimeout, so that a node hears of a leader that does not answer.
+	// forwardTimeout is less than heartbeatTimeout, so that a node gets an error response when the leader does not
+	// respond.
 	forwardTimeout = 1300 * time.Millisecond
 )
 
-// onLeader has a request served here if this instance leads, and forwarded to the leader otherwise.
+// onLeader serves a request here if this instance is the leader, and forwards it to the leader otherwise.
 func (a *API) onLeader(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		v := a.group.View()
@@ -40,7 +41,7 @@
 	}
 }
 
-// leaderAddress gives where the leader listens for clients, empty where it is not known or is this instance.
+// leaderAddress returns the leader's client address, empty if the leader is unknown or this instance.
 func (v *View) leaderAddress() string {
 	for _, m := range v.Members {
 		if m.ID == v.Leader && m.ID != v.ID {
@@ -50,7 +51,7 @@
 	return ""
 }
 
-// forward sends a request to the leader and passes on its answer.
+// forward sends a request to the leader and passes on the response.
 func (a *API) forward(w http.ResponseWriter, r *http.Request, leader string, body []byte) {
 	timeout := forwardTimeout
 	if r.URL.Path != "/v1/nodes" {
--- a/internal/control/consensus/api_members.go
+++ b/internal/control/consensus/api_members.go
@@ -12,7 +12,7 @@
 	"umberwinch/internal/logging"
 )
 
-// postMembers makes a change of members, or transfers the lead, and answers once it shows here.
+// postMembers changes the members or transfers leadership. It responds once a change of members is applied here.
 func (a *API) postMembers(w http.ResponseWriter, r *http.Request) {
 	var c Change
 	d := json.NewDecoder(r.Body)
--- a/internal/control/consensus/api_middleware.go
+++ b/internal/control/consensus/api_middleware.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// withHeaders puts on each answer how new it can be, and bounds each body.
+// withHeaders adds headers on the age of the view to each response and bounds each request body.
 func (a *API) withHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
@@ -16,7 +16,7 @@
 	})
 }
 
-// headerWriter sets the view's headers when the answer begins.
+// headerWriter sets the headers when the response begins, from the view at that time.
 type headerWriter struct {
 	http.ResponseWriter
 	group       *Group
@@ -50,7 +50,7 @@
 	return h.ResponseWriter.Write(p)
 }
 
-// requireToken asks for the operator's token where one is set.
+// requireToken rejects requests without the operator's token, if one is configured.
 func (a *API) requireToken(next http.HandlerFunc) http.HandlerFunc {
 	want := a.group.control.Token
 	return func(w http.ResponseWriter, r *http.Request) {
--- a/internal/control/consensus/api_watch.go
+++ b/internal/control/consensus/api_watch.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// getWatch streams versions in order, a line each, from a number on. A watcher that lost its connection names the next
-// number wherever it connects again, so it misses none and gets none twice.
+// getWatch streams versions in order, one line each, starting at a number. A watcher that reconnects, to any instance,
+// names the next number, so it misses no version and gets none twice.
 func (a *API) getWatch(w http.ResponseWriter, r *http.Request) {
 	v := a.group.View()
 	from, err := queryUint(r, "from", v.Version+1)
@@ -29,18 +29,18 @@
 	stream.run(r)
 }
 
-// watchStream is one watcher's answer.
+// watchStream is the response to one watcher.
 type watchStream struct {
 	api         *API
 	writer      http.ResponseWriter
 	control     *http.ResponseController
-	nextVersion uint64 // version to be sent
+	nextVersion uint64 // next version to be sent
 }
 
-// run ends when the client goes, is too slow, or falls behind the oldest version held; it has to begin anew then. It
-// ends also when the API or the instance stops.
+// run ends when the client disconnects or is too slow, when the next version is no longer held (the client must then
+// start over), or when the API or the instance stops.
 func (s *watchStream) run(r *http.Request) {
-	s.control.SetReadDeadline(time.Time{}) // the server's deadline is for bodies; a watch has none
+	s.control.SetReadDeadline(time.Time{}) // the server's read deadline is for bodies; a watch has none
 	s.writer.Header().Set("Content-Type", contentJSONLines)
 	heartbeat := time.NewTimer(0)
 	defer heartbeat.Stop()
@@ -73,7 +73,7 @@
 	}
 }
 
-// sendVersions sends what is newer than the last version sent.
+// sendVersions sends the versions of the view that were not sent yet.
 func (s *watchStream) sendVersions(v *View) (sent bool, err error) {
 	s.extendDeadline()
 	for ; s.nextVersion <= v.Version; s.nextVersion++ {
@@ -100,14 +100,14 @@
 	return s.control.Flush()
 }
 
-// writeLine never changes the line's array, which other watchers share.
+// writeLine writes a line with a newline. It copies the line, whose array other watchers share.
 func (s *watchStream) writeLine(line []byte) error {
 	_, err := s.writer.Write(append(line[:len(line):len(line)], '\n'))
 	return err
 }
 
-// extendDeadline guards against a client that stopped reading: without a deadline each would hold a goroutine and a
-// place among the watchers for good.
+// extendDeadline guards against a client that stops reading, which would hold a goroutine and one of the maxWatchers
+// places forever.
 func (s *watchStream) extendDeadline() {
 	s.control.SetWriteDeadline(time.Now().Add(watchWriteTimeout))
 }
--- a/internal/control/consensus/credentials.go
+++ b/internal/control/consensus/credentials.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// credentials are this instance's certificate and the authority that all others' certificates are checked by, on every
-// connection between instances and with clients. Without files there is no TLS, which the operator's file allows on
-// loopback addresses alone.
+// credentials hold this instance's certificate and the authority that verifies all other certificates, for connections
+// between instances and with clients. Without files TLS is off, which the control file allows on loopback addresses
+// only.
 type credentials struct {
 	cert, key, ca string
 	current       atomic.Pointer[tls.Config]
@@ -27,7 +27,7 @@
 
 func (c *credentials) tlsEnabled() bool { return c.cert != "" }
 
-// reload reads the files again. After an error those read before stay in use.
+// reload reads the files again. After an error the previous certificates stay in use.
 func (c *credentials) reload() error {
 	if !c.tlsEnabled() {
 		return nil
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// listen opens an address; with files, for peers with a certificate of the authority.
+// listen opens an address; with TLS it accepts only clients with a certificate of the authority.
 func (c *credentials) listen(addr string) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil || !c.tlsEnabled() {
@@ -79,7 +79,7 @@
 	return conn, nil
 }
 
-// scheme is that of another instance's address for clients.
+// scheme returns the URL scheme of client addresses.
 func (c *credentials) scheme() string {
 	if c.tlsEnabled() {
 		return "https"
@@ -87,7 +87,7 @@
 	return "http"
 }
 
-// client is for calls to another instance's address for clients.
+// client returns an HTTP client for the client addresses of other instances.
 func (c *credentials) client() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Minute,
 		DialContext:    func(_ context.Context, _, addr string) (net.Conn, error) { return c.dial(addr, time.Second) },
--- a/internal/control/consensus/doc.go
+++ b/internal/control/consensus/doc.go
@@ -1,24 +1,24 @@
-// Package consensus is the control service's replicated group: etcd's Raft core on the durable log of internal/wal,
-// with the group's own state machine, members, identities, transport and clients' API.
+// Package consensus implements the control service's replicated group: etcd's Raft core on the durable log of
+// internal/wal, with the group's state machine, membership, identities, transport and client API.
 //
-// Replica owns the core and the state machine. It is driven from outside: it is given ticks, messages and proposals
-// and is asked what to send. It knows no clock, socket or goroutine, so that a whole group runs in one test in
-// virtual time. Group drives one replica in a process: one goroutine owns the replica, and every other goroutine
-// hands it functions over bounded queues and waits. transport carries Raft messages and snapshots between instances;
-// API serves clients.
+// Replica combines the Raft core, its log and the state machine. It is deterministic: ticks, messages and proposals are
+// passed in, messages to send are passed out, and it uses no clock, socket or goroutine, so that tests run a whole
+// group in virtual time. Group runs one Replica in a process: one goroutine owns it, and other goroutines reach it
+// through bounded queues. transport carries Raft messages and snapshots between instances; API serves clients over
+// HTTP.
 //
 // StateMachine is the replicated state: versions of the configuration document, client sessions, members, the feature
-// level, and the fleet's state of package coordinator. Committed entries alone change it, in order, so that it is the
-// same at every instance after the same entry. It is put together in state_machine.go, written and read as a snapshot
-// in state_snapshot.go.
+// level and the fleet's state of package coordinator. Only committed entries change it, in log order, so it is the same
+// at every instance after the same entry. state_machine.go applies entries; state_snapshot.go writes and reads its
+// snapshots.
 //
-// Units: ticks of Config.ElectionTicks and Status.TicksSinceLeader are Group's tick, an operator's setting; fields
+// Units: Config.ElectionTicks and Status.TicksSinceLeader are ticks, whose duration is an operator's setting; fields
 // that end in MS are milliseconds; sizes are bytes.
 //
-// Invariants: what Raft must keep is durable before a message that depends on it is sent; a change of members is
-// durable before it counts; a put with one session and number has one result; a read sees every result given before
-// it.
+// Invariants: what Raft requires to be durable is durable before a message that depends on it is sent; a committed
+// change of members is durable before it takes effect; all puts with the same session and sequence number get the same
+// result; a linearizable read reflects every result returned before it began.
 //
-// The package never repairs damage by guessing, never reads a clock to decide anything that is replicated, and never
-// waits for a peer or a client on the replica's goroutine.
+// The package never repairs damage by guessing, never lets a clock affect replicated state, and never blocks the
+// replica's goroutine on a peer or a client.
 package consensus
--- a/internal/control/consensus/errors.go
+++ b/internal/control/consensus/errors.go
@@ -10,24 +10,24 @@
 	"umberwinch/internal/control/recovery"
 )
 
-// Errors that clients see. Those of the first group are temporary: the client may ask again, at this instance or
-// another.
+// Errors that clients see. Those of the first group are temporary: the client may retry, at this instance or another
+// one.
 var (
-	// ErrBusy is for a request that finds a queue of the instance full.
+	// ErrBusy reports a full queue of the instance.
 	ErrBusy = errors.New("too much waits already; come again")
-	// ErrTimeout is for a request without a result in time. It may still take effect; a put is repeated under its
+	// ErrTimeout reports a request without a result in time. It may still take effect; a put must be repeated under its
 	// number.
 	ErrTimeout = errors.New("no answer in time; ask again under the same number")
-	// ErrStopped is for a request to an instance that is stopping.
+	// ErrStopped reports that the instance is stopping.
 	ErrStopped = errors.New("this instance is ending")
-	// ErrNoLeader is for a request that only a leader can serve while this instance knows none.
+	// ErrNoLeader reports a request that only a leader can serve while no leader is known.
 	ErrNoLeader = errors.New("no leader is known")
-	// ErrFeatureLevel is for a request that the group's feature level does not cover yet.
+	// ErrFeatureLevel reports a request that the group's feature level does not support yet.
 	ErrFeatureLevel = errors.New("not all instances of the group know fleets yet; " +
 		"see control status for who is on an older build")
-	// ErrLogNearLimit is for a proposal while the log is too near its size limit.
+	// ErrLogNearLimit rejects a proposal while the log is too close to its size limit.
 	ErrLogNearLimit = errors.New("the log is near its bound; raise disk.limit_mb")
-	// ErrBarred is for any request to an instance that must take no part in the group any more.
+	// ErrBarred rejects any request to an instance that is barred from the group.
 	ErrBarred = errors.New("this instance takes no part in the group any more")
 
 	errUnauthorized      = errors.New("no token, or another one, expected the one of [clients]")
@@ -39,7 +39,7 @@
 	errBodyTooLarge      = fmt.Errorf("more than %d bytes", maxBodyBytes)
 )
 
-// Why a change of members can't be made; a ChangeError wraps one of them.
+// Reasons why a change of members is not allowed; a ChangeError wraps one of them.
 var (
 	ErrIncompleteMember   = errors.New("a member without id or name")
 	ErrAlreadyMember      = errors.New("a member already")
@@ -53,13 +53,13 @@
 	ErrUnknownChange      = errors.New("unknown change of members")
 )
 
-// ChangeError says why a change of members can't be made, with what was found and expected.
+// ChangeError reports that a change of members is not allowed.
 type ChangeError struct {
 	Reason error // one of the errors above
 	Text   string
 }
 
-// Error returns the text that operators are shown.
+// Error returns the text for operators.
 func (e *ChangeError) Error() string { return e.Text }
 
 // Unwrap returns the reason.
@@ -69,13 +69,13 @@
 	return &ChangeError{Reason: reason, Text: fmt.Sprintf(format, args...)}
 }
 
-// BodyError is for a request's body that can't be read. The client has to mend it.
+// BodyError reports a request body that can not be read. The client must correct it.
 type BodyError struct {
 	Err      error
 	Expected string // may be empty
 }
 
-// Error says what is wrong with the body, and what was expected.
+// Error names the fault and what was expected.
 func (e *BodyError) Error() string {
 	if e.Expected == "" {
 		return fmt.Sprintf("body: %v", e.Err)
@@ -83,12 +83,12 @@
 	return fmt.Sprintf("body: %v, expected %s", e.Err, e.Expected)
 }
 
-// Unwrap gives the error of reading it.
+// Unwrap returns the error of reading the body.
 func (e *BodyError) Unwrap() error { return e.Err }
 
-// LeaderUnreachableError is for a request that could not be forwarded to the leader. The client may ask again.
+// LeaderUnreachableError reports a request that could not be forwarded to the leader. The client may retry.
 type LeaderUnreachableError struct {
-	Leader string // where it listens
+	Leader string // address for clients
 	Err    error
 }
 
@@ -97,73 +97,73 @@
 	return fmt.Sprintf("the leader at %s: %v", e.Leader, e.Err)
 }
 
-// Unwrap gives the error of the forwarding.
+// Unwrap returns the error of the forwarding.
 func (e *LeaderUnreachableError) Unwrap() error { return e.Err }
 
-// VersionNotFoundError is for a version of the document that the instance does not hold.
+// VersionNotFoundError reports a version of the document that the instance does not hold.
 type VersionNotFoundError struct{ Version, First, Last uint64 }
 
-// Error says which versions are held.
+// Error names the versions held.
 func (e *VersionNotFoundError) Error() string {
 	return fmt.Sprintf("version %d, expected one from %d to %d", e.Version, e.First, e.Last)
 }
 
-// VersionDroppedError is for a watch that would miss versions, as they are held no more.
+// VersionDroppedError rejects a watch that would miss versions, as they are no longer held.
 type VersionDroppedError struct{ From, First uint64 }
 
-// Error says from where on a watch can begin.
+// Error names the first version that a watch can start from.
 func (e *VersionDroppedError) Error() string {
 	return fmt.Sprintf("from version %d, expected %d or later: older ones are not kept", e.From, e.First)
 }
 
-// UnknownNodeError is for an operation on a node that the fleet's table does not have.
+// UnknownNodeError reports an operation on a node that is not in the fleet's state.
 type UnknownNodeError struct{ Name string }
 
-// Error names the node, as far as a name may be long.
+// Error names the node, truncated to 50 characters.
 func (e *UnknownNodeError) Error() string { return fmt.Sprintf("found no node %.50q", e.Name) }
 
-// UnknownGuardError is for a guard's name that there is not.
+// UnknownGuardError reports an unknown guard name.
 type UnknownGuardError struct{ Name string }
 
-// Error lists the names that there are.
+// Error lists the known names.
 func (e *UnknownGuardError) Error() string {
 	return fmt.Sprintf("guard %q, expected one of %v", e.Name, guardNames)
 }
 
 // Errors about folders and snapshots.
 var (
-	// ErrEmptyFolder is for a folder that belongs to no instance.
+	// ErrEmptyFolder reports a folder that belongs to no instance.
 	ErrEmptyFolder = errors.New("the folder is empty")
-	// ErrFolderInUse is for a folder that belongs to an instance where an empty one is needed.
+	// ErrFolderInUse reports a folder that belongs to an instance where an empty one is required.
 	ErrFolderInUse = errors.New("the folder belongs to an instance already, expected an empty one")
 
 	errNoSnapshotHeader        = errors.New("a snapshot without a head")
-	errSnapshotNotAcknowledged = errors.New("it was not taken")
+	errSnapshotNotAcknowledged = errors.New("the peer did not acknowledge the snapshot")
 )
 
-// errNoCertificate is for an authority's file that has none.
+// errNoCertificate reports an authority file without a certificate.
 var errNoCertificate = errors.New("found no certificate, expected PEM")
 
-// CertificateExpiredError is for a certificate that no other instance would accept any more.
+// CertificateExpiredError reports a certificate that other instances would reject as expired.
 type CertificateExpiredError struct {
 	File  string
 	EndAt time.Time
 }
 
-// Error names the file and when the certificate ended.
+// Error names the file and the certificate's end.
 func (e *CertificateExpiredError) Error() string {
 	return fmt.Sprintf("certificate %s: ended on %s", e.File, e.EndAt.Format(time.DateTime))
 }
 
-// FrameError is for a frame of a connection between instances that can't be what is sent there. The connection ends.
+// FrameError reports an invalid frame on a connection between instances. The connection is closed.
 type FrameError struct{ Found, Expected string }
 
-// Error says what was found and expected.
+// Error names what was found and expected.
 func (e *FrameError) Error() string {
 	return fmt.Sprintf("a frame %s, expected %s", e.Found, e.Expected)
 }
 
-// EntryTypeError is for an entry of the log of a type that this program never proposes. The instance can't go on.
+// EntryTypeError reports a log entry of a type that this program never proposes. The instance must stop.
 type EntryTypeError struct{ Type pb.EntryType }
 
 // Error names the type.
@@ -171,14 +171,14 @@
 	return fmt.Sprintf("of kind %v, expected a put or a change of members", e.Type)
 }
 
-// LogEntryError is for an entry of the log that is sound and not raft's, or not the one that belongs there. The folder
-// can't be used.
+// LogEntryError reports an intact log record that is not a raft entry, or has the wrong index. The folder can not be
+// used.
 type LogEntryError struct {
-	Index, Found uint64 // Found counts only where Err is nil
-	Err          error  // of its decoding; nil: the index is wrong
+	Index, Found uint64 // Found is only set if Err is nil
+	Err          error  // of decoding; nil: the index is wrong
 }
 
-// Error says which entry it is and what was found there.
+// Error names the entry and what was found.
 func (e *LogEntryError) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("entry %d of the log: found index %d there", e.Index, e.Found)
@@ -186,36 +186,37 @@
 	return fmt.Sprintf("entry %d of the log can't be decoded: %v", e.Index, e.Err)
 }
 
-// Unwrap gives the error of its decoding.
+// Unwrap returns the error of decoding.
 func (e *LogEntryError) Unwrap() error { return e.Err }
 
-// CompactedEntryError is for an entry to be stored that a snapshot stands for already. The instance can't go on.
+// CompactedEntryError reports an entry to be stored whose index is already compacted into a snapshot. The instance must
+// stop.
 type CompactedEntryError struct{ Index, Compacted uint64 }
 
-// Error names the entry, and the last one that the snapshot stands for.
+// Error names the entry and the last compacted index.
 func (e *CompactedEntryError) Error() string {
 	return fmt.Sprintf("entry %d, expected one after %d", e.Index, e.Compacted)
 }
 
-// NewerProgramError is for an entry or snapshot that this program is too old to read. The instance can't go on: it
-// would come to another state than instances that can.
+// NewerProgramError reports an entry that this program is too old to apply. The instance must stop: its state would
+// diverge from that of newer instances.
 type NewerProgramError struct {
 	Found    string
 	Expected string
 }
 
-// Error says what was found and expected.
+// Error names what was found and expected.
 func (e *NewerProgramError) Error() string {
 	return fmt.Sprintf("%s, expected %s: this instance needs the program that made it", e.Found, e.Expected)
 }
 
-// PeerRefusedError is for a connection that this instance, or the other one, does not go on with.
+// PeerRefusedError reports a handshake that this instance or the peer refused.
 type PeerRefusedError struct {
 	ByPeer bool
 	Reason string
 }
 
-// Error says who refused and why.
+// Error names the refusing side and the reason.
 func (e *PeerRefusedError) Error() string {
 	if e.ByPeer {
 		return "refused: " + e.Reason
@@ -223,7 +224,7 @@
 	return "it was refused: " + e.Reason
 }
 
-// UnexpectedPeerError is for an address at which another instance answers than the one that is meant.
+// UnexpectedPeerError reports that another instance than the intended one listens at a peer's address.
 type UnexpectedPeerError struct{ Found, Expected uint64 }
 
 // Error names both instances.
@@ -231,17 +232,17 @@
 	return fmt.Sprintf("instance %x answers, expected %x", e.Found, e.Expected)
 }
 
-// SnapshotError is for a saved state that can't be read: torn, spoilt, or not of a group. Nothing of it is used.
+// SnapshotError reports a saved state that is truncated, damaged, or not of a group. Nothing of it is used.
 type SnapshotError struct{ Err error }
 
-// Error says what is wrong with the saved state.
+// Error describes the fault.
 func (e *SnapshotError) Error() string { return e.Err.Error() }
 
-// Unwrap gives what is wrong with it.
+// Unwrap returns the fault.
 func (e *SnapshotError) Unwrap() error { return e.Err }
 
-// RejectedError is an operation that the state machine did not carry out, with its reason.
+// RejectedError reports an operation that the state machine rejected, with its reason.
 type RejectedError struct{ Reason string }
 
-// Error gives the reason.
+// Error returns the reason.
 func (e *RejectedError) Error() string { return e.Reason }
--- a/internal/control/consensus/fleet_requests.go
+++ b/internal/control/consensus/fleet_requests.go
@@ -10,8 +10,7 @@
 )
 
 // submit calls a method of coordinator.Leader on the replica's goroutine and waits for its result. The error is that of
-// the request, ErrBusy, ErrStopped, or ErrTimeout once ctx is done; the request may take effect after an
-// ErrTimeout.
+// the request, ErrBusy, ErrStopped, or ErrTimeout once ctx is done, after which the request may still take effect.
 func submit[T any](ctx context.Context, g *Group, request func(done func(T, error))) (result T, err error) {
 	type submitResult struct {
 		result T
@@ -33,14 +32,14 @@
 	}
 }
 
-// Heartbeat hands a node's heartbeat to the leader and waits for the response.
+// Heartbeat passes a node's heartbeat request to the leader and waits for the response.
 func (g *Group) Heartbeat(ctx context.Context, r api.HeartbeatRequest) (api.HeartbeatResponse, error) {
 	return submit(ctx, g, func(done func(api.HeartbeatResponse, error)) {
 		g.leader.Heartbeat(g.replica.stateMachine.fleet, r, done)
 	})
 }
 
-// PolicyOp puts an operator's step of a policy change to the leader and waits until it is applied.
+// PolicyOp submits an operator's operation on a policy change and waits until it is applied.
 func (g *Group) PolicyOp(ctx context.Context, op policy.Op) (policy.Result, error) {
 	return submit(ctx, g, func(done func(policy.Result, error)) {
 		g.leader.SubmitPolicy(op, done)
@@ -48,7 +47,7 @@
 	})
 }
 
-// ZoneOp puts an operator's operation on a zone to the leader and waits until it is applied.
+// ZoneOp submits an operator's operation on a zone and waits until it is applied.
 func (g *Group) ZoneOp(ctx context.Context, op zones.Op) (zones.Result, error) {
 	return submit(ctx, g, func(done func(zones.Result, error)) {
 		g.leader.SubmitZone(g.replica.stateMachine.fleet, op, done)
@@ -56,7 +55,7 @@
 	})
 }
 
-// Forget removes a node from the fleet's list and waits until it is gone from the state here.
+// Forget removes a node from the fleet's state and waits until the removal is applied here.
 func (g *Group) Forget(ctx context.Context, name string) error {
 	err, stopErr := callOnReplica(g, g.enqueue, func() error {
 		if !g.knowsNode(name) {
@@ -80,7 +79,7 @@
 	}
 }
 
-// knowsNode runs on the replica's goroutine.
+// knowsNode must run on the replica's goroutine.
 func (g *Group) knowsNode(name string) bool {
 	return g.replica.stateMachine.fleet.Fleet.Lookup(name) != nil
 }
--- a/internal/control/consensus/fleet_views.go
+++ b/internal/control/consensus/fleet_views.go
@@ -9,7 +9,7 @@
 	"umberwinch/internal/control/zones"
 )
 
-// NodeView is one node for operators. What a node reported is known to the leader alone.
+// NodeView is a node as shown to operators. Only the leader knows what a node reported.
 type NodeView struct {
 	membership.Node
 	ActiveVersion   uint64 `json:"serves"`
@@ -17,14 +17,14 @@
 	RefusedVersion  uint64 `json:"refused,omitempty"`
 	RefusalReason   string `json:"why,omitempty"`
 	Fenced          string `json:"fenced,omitempty"`
-	Reported        bool   `json:"heard"` // to the leader that leads now
+	Reported        bool   `json:"heard"` // to the current leader
 	AgeMS           uint64 `json:"age_ms"`
-	MayServeOlder   bool   `json:"may_serve_older"` // than the version in force
+	MayServeOlder   bool   `json:"may_serve_older"` // than the committed version
 }
 
-// PolicyView is the state of policy changes for operators.
+// PolicyView is the state of policy changes as shown to operators.
 type PolicyView struct {
-	ClockMS          uint64           `json:"clock_ms"` // the group's time
+	ClockMS          uint64           `json:"clock_ms"` // the group's clock
 	DecidedVersion   uint64           `json:"decided"`
 	CommittedVersion uint64           `json:"in_force"`
 	Rules            policy.Rules     `json:"rules"`
@@ -38,33 +38,33 @@
 	Batches          uint64           `json:"beats"`
 	BatchBytes       uint64           `json:"beat_bytes"`
 	Level            int              `json:"level"`
-	Levels           map[string]int   `json:"levels,omitempty"` // of members, as they told this instance
+	Levels           map[string]int   `json:"levels,omitempty"` // feature levels that members reported here
 	Generation       uint64           `json:"generation"`
-	// StateLoss tells that nodes know of state that the group does not have; it then grants no leases.
+	// StateLoss is the proof that nodes know of state that the group lacks; the group then grants no leases.
 	StateLoss string `json:"lost,omitempty"`
-	// QuietMS is for how long leases of the generation before may still be acted on.
+	// QuietMS is the time for which nodes may still hold leases of the previous generation that this one does not know.
 	QuietMS uint64 `json:"hush_ms,omitempty"`
 }
 
-// ZonesView is the state of all zones for operators: what the group decided and what the leader sees.
+// ZonesView is the state of all zones as shown to operators: the group's decisions and the leader's evidence.
 type ZonesView struct {
-	ClockMS      uint64        `json:"clock_ms"` // the group's time
+	ClockMS      uint64        `json:"clock_ms"` // the group's clock
 	Epoch        uint64        `json:"epoch"`
 	SettledEpoch uint64        `json:"settled"`
-	RetryQuota   int           `json:"retry,omitempty"` // of 256 first attempts; 0: no limit
+	RetryQuota   int           `json:"retry,omitempty"` // retries per 256 first attempts; 0: no limit
 	Rules        api.ZoneRules `json:"rules"`
 	Zones        []ZoneView    `json:"zones"`
 	IsLeader     bool          `json:"leads"` // this instance
 }
 
-// ZoneView is one zone. Evidence is known to the leader alone.
+// ZoneView is one zone. Only the leader knows the evidence.
 type ZoneView struct {
 	zones.Zone
 	Evidence *zones.View `json:"seen,omitempty"`
 }
 
-// copyOf has a view made on the replica's goroutine and returns a copy that shares nothing with the state, which goes
-// on changing: its JSON, read again.
+// copyOf builds a view on the replica's goroutine and returns a deep copy, as the state changes afterwards. It copies
+// through JSON.
 func copyOf[T any](g *Group, view func() T) (*T, error) {
 	type encoded struct {
 		raw []byte
@@ -169,7 +169,7 @@
 	}
 	for _, seen := range g.leader.ZoneViews() {
 		i, known := position[seen.Zone]
-		if !known { // nothing was ever decided about it
+		if !known { // no operation on it was ever applied
 			i = len(v.Zones)
 			inService := zones.Zone{Name: seen.Zone, Phase: zones.InService, Share: api.FullShare}
 			v.Zones = append(v.Zones, ZoneView{Zone: inService})
--- a/internal/control/consensus/frames.go
+++ b/internal/control/consensus/frames.go
@@ -8,26 +8,25 @@
 	"io"
 )
 
-// A frame on a connection between instances: length u32 of what follows the sum | sum u32 | kind u8 | bytes.
-// The sum, Castagnoli's, takes in kind and bytes.
+// Frame of a connection between instances: length u32 of kind and data | checksum u32 | kind u8 | data, in
+// little-endian order. The checksum is CRC-32C over kind and data.
 const (
-	frameHello    byte = 1 // the first, of the instance that connected
-	frameAccepted byte = 2 // the answer: a hello in its turn
-	frameRefused  byte = 3 // the answer: the reason; the connection closes
-	frameMessage  byte = 4 // a message of raft
-	frameSnapshot byte = 5 // on a bulk connection: raft's message without the state, and the state's size and sum
-	frameChunk    byte = 6 // a part of the state
-	frameDone     byte = 7 // the answer to a complete snapshot
+	frameHello    byte = 1 // first frame of the connecting instance, a Hello
+	frameAccepted byte = 2 // response to frameHello: a Hello of the accepting instance
+	frameRefused  byte = 3 // response to frameHello: the reason as JSON; the connection closes
+	frameMessage  byte = 4 // a raft message
+	frameSnapshot byte = 5 // on a bulk connection: a snapshotAnnouncement
+	frameChunk    byte = 6 // part of the serialized state
+	frameDone     byte = 7 // response to a complete snapshot
 
 	frameHeaderBytes = 8
-	// maxFrameBytes holds one message of raft: maxMessageBytes, and an entry with the largest document as JSON
-	// escapes it at worst.
+	// maxFrameBytes holds one raft message: maxMessageBytes, and one entry with the largest document in its longest
+	// JSON escaping.
 	maxFrameBytes = 16 << 20
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// writeFrame writes one frame.
 func writeFrame(w io.Writer, kind byte, data []byte) error {
 	header := make([]byte, frameHeaderBytes+1)
 	binary.LittleEndian.PutUint32(header, uint32(len(data)+1))
@@ -41,8 +40,8 @@
 	return err
 }
 
-// readFrame reads one frame. data is a new slice. The error is that of the reader, or a *FrameError for a frame that is
-// longer than maxBytes or whose sum is wrong.
+// readFrame reads one frame into a new slice. The error is that of the reader, or a *FrameError for a frame that is
+// longer than maxBytes or fails its checksum.
 func readFrame(r io.Reader, maxBytes int) (kind byte, data []byte, err error) {
 	var header [frameHeaderBytes]byte
 	if _, err = io.ReadFull(r, header[:]); err != nil {
@@ -63,7 +62,7 @@
 	return raw[0], raw[1:], nil
 }
 
-// writeJSON writes a frame with a value as JSON.
+// writeJSON writes a frame with a value encoded as JSON.
 func writeJSON(w io.Writer, kind byte, v any) error {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -21,27 +21,26 @@
 	"umberwinch/internal/wal"
 )
 
-// Bounds of an instance's queues. They protect memory from peers and clients that send more than the disk takes; larger
-// ones only delay ErrBusy and a peer's backpressure.
+// Bounds of an instance's queues. They limit memory when peers and clients send more than the disk can take.
 const (
-	maxInbox    = 1024 // messages of peers; past it their connections are not read
-	maxRequests = 1024 // clients' requests; past it they get ErrBusy
-	maxWaiting  = 4096 // puts or reads without a result
-	// maxTasksPerRound bounds what is taken from the queues before raft's work is done, so that one sync serves many
-	// requests and none waits without end.
+	maxInbox    = 1024 // messages of peers; while it is full, their connections are not read
+	maxRequests = 1024 // requests of clients; further ones get ErrBusy
+	maxWaiting  = 4096 // puts and reads without a result; further ones get ErrBusy
+	// maxTasksPerRound bounds the queue entries handled between two ready cycles of raft: one sync serves many
+	// requests, and none waits without bound.
 	maxTasksPerRound = 512
 )
 
-// maxSegmentBytes is the size of a log segment unless the disk limit is small: whole segments leave the disk, so a
-// small limit needs small ones.
+// maxSegmentBytes is the size of a log segment unless the disk limit is small: the log is truncated by whole segments,
+// so a small limit needs smaller ones.
 const (
 	maxSegmentBytes   = 4 << 20
 	minSegmentsOnDisk = 16
 )
 
-// Group is a running instance. One goroutine, run, owns the replica and all fields below queues; other goroutines
-// hand it functions and wait. It never waits for a peer or a client, only for its own disk. It ends by Stop, or by an
-// error after which what is on disk is not known; Done and Err tell.
+// Group runs one instance in a process. One goroutine, run, owns the replica and all fields below queues; other
+// goroutines pass it functions and wait. It never blocks on a peer or a client, only on its own disk. It ends by Stop,
+// or by an error after which the state on disk is unknown; see Done and Err.
 type Group struct {
 	control     *config.Control
 	log         *logrus.Logger
@@ -51,7 +50,7 @@
 	view        atomic.Pointer[View]
 
 	queues
-	done     chan struct{} // closed when run has ended
+	done     chan struct{} // closed when run has returned
 	stopping chan struct{}
 	stopOnce sync.Once
 	err      error // set before done is closed
@@ -60,29 +59,29 @@
 	leader          *coordinator.Leader
 	leaderTickedAt  time.Time
 	stateLossLogged bool
-	outOfContact    bool // as the last view was when it was published
+	outOfContact    bool // of the view published last, at the time of publishing
 	ticks           uint64
 	waiters         waiters
 }
 
-// queues are how other goroutines reach the one that owns the replica.
+// queues carry work from other goroutines to the one that owns the replica.
 type queues struct {
 	inbox           chan *pb.Message
-	requests        chan func() // of clients
-	events          chan func() // of the transport; never refused
+	requests        chan func() // from clients
+	events          chan func() // from the transport; never refused
 	snapshotResults chan snapshotResult
 }
 
-// Faults are what fault tests do to an instance on purpose; the zero value does nothing.
+// Faults configures fault injection for tests; the zero value injects none.
 type Faults struct {
-	OnStep               func(WorkStep)      // called before each step of Replica.Work
-	WrapDisk             func(wal.FS) wal.FS // stands between the log and its folder
+	OnStep               func(WorkStep)      // called before each step of a ready cycle
+	WrapDisk             func(wal.FS) wal.FS // wraps the file system under the log
 	DisabledPolicyGuards policy.Guard
 	DisabledZoneGuards   zones.Guard
-	Level                int // feature level of an older program; 0: this one's
+	Level                int // feature level of an older program; 0: LatestLevel
 }
 
-// ConfigFrom gives what an operator's file means to a replica.
+// ConfigFrom returns the replica's configuration for an operator's control file.
 func ConfigFrom(c *config.Control) Config {
 	limit := int64(c.DiskMB) << 20
 	return Config{
@@ -103,8 +102,8 @@
 	return binary.LittleEndian.Uint64(raw[:])
 }
 
-// Start opens the instance's folder, begins to serve its peers and returns the running instance. Errors are of the
-// folder (wal.ErrLocked, *wal.Damage), of the certificates, and of the address.
+// Start opens the instance's folder, serves its peers and returns the running instance. Errors are of the folder
+// (wal.ErrLocked, *wal.Damage), of the certificates, and of the address.
 func Start(c *config.Control, log *logrus.Logger, faults Faults) (*Group, error) {
 	dir, err := wal.MakeDir(c.Data)
 	if err != nil {
@@ -124,7 +123,7 @@
 	g.transport = newTransport(g, g.credentials, log, c.SnapshotRateMB)
 	g.publish()
 	g.logStart()
-	g.transport.spawn(func() { g.transport.serve(listener) }) // close waits for it, so the address is free after it
+	g.transport.spawn(func() { g.transport.serve(listener) }) // close waits for it, so the address is free afterwards
 	go g.run()
 	return g, nil
 }
@@ -167,7 +166,7 @@
 func (g *Group) logStart() {
 	if repair := g.replica.LogRepair; repair.TornAt != "" {
 		g.log.WithFields(logrus.Fields{logging.File: repair.TornAt, logging.Bytes: repair.TornBytes}).
-			Warn("cut off a tail that was never durable")
+			Warn("truncated a torn tail of the log that was never durable")
 	}
 	v := g.View()
 	g.log.WithFields(logrus.Fields{
@@ -181,23 +180,23 @@
 	}).Info("instance is up")
 }
 
-// idText is how logs show an instance's id.
+// idText formats an instance's id for logs.
 func idText(id uint64) string { return fmt.Sprintf("%x", id) }
 
-// View returns the state as last published.
+// View returns the view published last.
 func (g *Group) View() *View { return g.view.Load() }
 
 // Done is closed when the instance has ended, by Stop or by an error.
 func (g *Group) Done() <-chan struct{} { return g.done }
 
-// Err returns what ended the instance, nil after Stop. It is valid once Done is closed.
+// Err returns the error that ended the instance, nil after Stop. It is valid once Done is closed.
 func (g *Group) Err() error { return g.err }
 
-// Reload reads the certificates again. After an error the old ones stay in use.
+// Reload reads the certificate files again. After an error the previous certificates stay in use.
 func (g *Group) Reload() error { return g.credentials.reload() }
 
-// Stop transfers the lead if this instance has it, so that writes go on without an election, until ctx is done; then it
-// ends the instance and returns once the folder is closed.
+// Stop ends the instance and returns once its folder is closed. A leader first transfers leadership, until ctx is done,
+// so that writes continue without an election.
 func (g *Group) Stop(ctx context.Context) {
 	if v := g.View(); v.Role == RoleLeader && len(v.Members) > 1 {
 		g.enqueue(func() { g.replica.Transfer(0) })
--- a/internal/control/consensus/group_loop.go
+++ b/internal/control/consensus/group_loop.go
@@ -8,7 +8,7 @@
 	"umberwinch/internal/logging"
 )
 
-// run owns the replica until the instance ends.
+// run is the event loop that owns the replica until the instance ends.
 func (g *Group) run() {
 	defer close(g.done)
 	tick := time.NewTicker(g.control.Tick)
@@ -33,7 +33,7 @@
 		}
 		if err == nil {
 			g.drainQueues()
-			err = g.work()
+			err = g.processReady()
 		}
 		if err != nil {
 			g.shutDown(err)
@@ -42,7 +42,7 @@
 	}
 }
 
-// drainQueues takes up what else is queued, so that one sync serves it all.
+// drainQueues handles further queued work, so that one sync serves it all.
 func (g *Group) drainQueues() {
 	for range maxTasksPerRound {
 		select {
@@ -58,8 +58,8 @@
 	}
 }
 
-// work has the replica do what raft has ready and answers whom that serves.
-func (g *Group) work() error {
+// processReady runs the replica's ready cycle and completes the puts and reads that it finished.
+func (g *Group) processReady() error {
 	if len(g.waiters.newReads) > 0 {
 		g.requestRead(append([]*waiter(nil), g.waiters.newReads...))
 	}
@@ -67,22 +67,21 @@
 	if err != nil {
 		return err
 	}
-	g.operationsApplied(result.Operations)
+	g.handleOutcomes(result.Operations)
 	if result.Applied || len(result.Reads) > 0 {
-		g.publish() // before puts and reads are answered: the headers of an answer, and reads, go by the view
+		g.publish() // before puts and reads complete: response headers and reads use the view
 	}
 	for i := range result.Puts {
 		g.metrics.outcomes.WithLabelValues(string(result.Puts[i].Result.Outcome)).Inc()
-		g.waiters.finishPut(&result.Puts[i])
+		g.waiters.completePut(&result.Puts[i])
 	}
 	for _, id := range result.Reads {
-		g.waiters.finishRead(id, g.replica.stateMachine.Last())
+		g.waiters.completeRead(id, g.replica.stateMachine.Last())
 	}
 	return g.snapshotIfDue()
 }
 
-// snapshotIfDue has a snapshot written by a goroutine of its own, which ends with its one message; shutDown waits for
-// it.
+// snapshotIfDue starts writing a due snapshot on its own goroutine, which sends one result; shutDown waits for it.
 func (g *Group) snapshotIfDue() error {
 	s, err := g.replica.SnapshotIfDue()
 	if s != nil && err == nil {
@@ -91,8 +90,8 @@
 	return err
 }
 
-// tick passes time on. What has waited for the time of an election is asked again: a follower forwards a request to the
-// leader by a message, and one that is lost would have the caller wait until its timeout.
+// tick advances the replica and the leader's clock. It proposes and requests again what has waited for an election
+// timeout: a follower forwards requests to the leader in messages, which may be lost.
 func (g *Group) tick() {
 	g.ticks++
 	g.replica.Tick()
@@ -107,8 +106,8 @@
 	g.publish()
 }
 
-// requestRead asks raft for one read that serves all of some waiters. Without a leader it fails and is asked again by
-// tick.
+// requestRead requests one linearizable read for all given waiters. Without a leader it fails, and tick requests it
+// again.
 func (g *Group) requestRead(list []*waiter) {
 	g.waiters.lastReadID++
 	for _, w := range list {
@@ -118,7 +117,7 @@
 	g.replica.Read(g.waiters.lastReadID)
 }
 
-// publish makes a new view and tells all who wait for one.
+// publish replaces the view and wakes its watchers.
 func (g *Group) publish() {
 	status := g.replica.Status()
 	versions, first := g.replica.Versions()
@@ -151,21 +150,21 @@
 		g.log.WithFields(logrus.Fields{logging.PolicyVersion: v.Version, logging.Index: v.Applied}).
 			Info("new version committed")
 	}
-	// The previous view ages on, so it may be out of contact by now too: what was logged is held beside it.
+	// The previous view may be out of contact by now too, so the logged state is kept apart.
 	wasOutOfContact := g.outOfContact
 	if g.outOfContact = v.OutOfContact(); g.outOfContact && !wasOutOfContact {
-		g.log.WithField(logging.SilentMS, v.SinceLeader().Milliseconds()).Warn("out of touch with a majority")
+		g.log.WithField(logging.SilentMS, v.SinceLeader().Milliseconds()).Warn("out of contact with a majority")
 	}
 }
 
-// shutDown ends all waits and closes transport and folder. An error means that the process has to end: whoever runs it
-// logs it.
+// shutDown fails all waiters and closes transport and folder. A non-nil err becomes Err; the process that runs the
+// instance logs it.
 func (g *Group) shutDown(err error) {
 	g.err = err
 	g.waiters.failAll(ErrStopped)
 	closed := make(chan struct{})
 	go func() { g.transport.close(); close(closed) }()
-	for { // the transport's goroutines may wait for a result of this one
+	for { // keeps serving the queues, as goroutines of the transport may wait for a result
 		select {
 		case <-g.inbox:
 		case f := <-g.events:
@@ -173,7 +172,7 @@
 		case f := <-g.requests:
 			f()
 		case <-closed:
-			if g.replica.snapshotting { // nobody may write to a folder that another process has opened
+			if g.replica.snapshotting { // no write may reach the folder after another process has opened it
 				<-g.snapshotResults
 			}
 			if err := g.replica.Close(); err != nil && g.err == nil {
--- a/internal/control/consensus/group_peers.go
+++ b/internal/control/consensus/group_peers.go
@@ -8,9 +8,9 @@
 	"umberwinch/internal/logging"
 )
 
-// This file is messageHandler: what the transport needs of the replica, run on its goroutine.
+// This file implements messageHandler, the transport's access to the replica.
 
-// enqueueEvent waits for a place in the queue: what the transport has to tell is never dropped.
+// enqueueEvent blocks until the queue has room: events of the transport are never dropped.
 func (g *Group) enqueueEvent(f func()) error {
 	select {
 	case g.events <- f:
@@ -20,8 +20,8 @@
 	}
 }
 
-// enqueueEventAsync is for calls that may come from the replica's own goroutine, which must not wait for itself. Where
-// the queue is full a goroutine waits for a place in it, until the instance has ended at the latest.
+// enqueueEventAsync never blocks, so the replica's own goroutine may call it. While the queue is full, a goroutine
+// waits for room, at most until the instance has ended.
 func (g *Group) enqueueEventAsync(f func()) {
 	select {
 	case g.events <- f:
@@ -49,9 +49,9 @@
 func (g *Group) barInstance(reason string) {
 	g.enqueueEvent(func() {
 		if g.replica.Barred() == "" {
-			g.log.WithField(logging.Reason, reason).Error("this instance takes no part in the group any more")
+			g.log.WithField(logging.Reason, reason).Error("this instance is barred from the group")
 			if err := g.replica.Bar(reason); err != nil {
-				g.log.WithField(logging.Error, err).Error("barring this instance was not stored")
+				g.log.WithField(logging.Error, err).Error("failed to store that this instance is barred")
 			}
 		}
 	})
--- a/internal/control/consensus/group_requests.go
+++ b/internal/control/consensus/group_requests.go
@@ -9,12 +9,13 @@
 	"go.etcd.io/raft/v3"
 )
 
+// snapshotResult is the result of writing a snapshot.
 type snapshotResult struct {
 	snapshot *PendingSnapshot
 	err      error
 }
 
-// enqueue has a function run on the replica's goroutine, without waiting for it. It returns ErrStopped or ErrBusy.
+// enqueue queues a function for the replica's goroutine without waiting. It returns ErrStopped or ErrBusy.
 func (g *Group) enqueue(f func()) error {
 	select {
 	case <-g.done:
@@ -31,8 +32,8 @@
 	}
 }
 
-// callOnReplica runs a function on the replica's goroutine, by one of its queues, and returns its result. The error is the
-// queue's, or ErrStopped.
+// callOnReplica runs a function on the replica's goroutine, through one of its queues, and returns its result. The
+// error is the queue's, or ErrStopped.
 func callOnReplica[T any](g *Group, queue func(func()) error, f func() T) (result T, err error) {
 	done := make(chan T, 1)
 	if err = queue(func() { done <- f() }); err != nil {
@@ -46,7 +47,8 @@
 	}
 }
 
-// awaitResult enqueues a function that starts a wait, and waits. It returns ErrTimeout once ctx is done.
+// awaitResult enqueues start, which registers the waiter, and waits for its result. It returns ErrTimeout once ctx is
+// done.
 func (g *Group) awaitResult(ctx context.Context, w *waiter, start func()) (PutResult, error) {
 	if err := g.enqueue(start); err != nil {
 		return PutResult{}, err
@@ -88,8 +90,8 @@
 	return result, err
 }
 
-// LinearizableView returns a view that is as new as any result given before the call, anywhere in the group. Errors are
-// ErrBusy, ErrStopped, and ErrTimeout once ctx is done.
+// LinearizableView returns a view that reflects every result returned before the call, anywhere in the group. Errors
+// are ErrBusy, ErrStopped, and ErrTimeout once ctx is done.
 func (g *Group) LinearizableView(ctx context.Context) (*View, error) {
 	w := &waiter{done: make(chan outcome, 1)}
 	_, err := g.awaitResult(ctx, w, func() {
@@ -100,8 +102,8 @@
 	return g.View(), err
 }
 
-// Change makes a change of members and waits until done says that it shows. Where it shows nowhere, as it was lost or
-// another one was under way, it is asked again after the time of an election.
+// Change proposes a change of members and waits until applied reports true for the members. It proposes again after an
+// election timeout: the proposal may have been lost, or another change was in progress.
 func (g *Group) Change(ctx context.Context, c Change, applied func([]Member) bool) error {
 	for {
 		err, stopErr := callOnReplica(g, g.enqueue, func() error { return g.replica.Change(c) })
@@ -115,8 +117,11 @@
 	}
 }
 
-// awaitMemberChange waits for the time of an election at most. failed is why the change was not proposed.
-func (g *Group) awaitMemberChange(ctx context.Context, applied func([]Member) bool, proposeErr error) (isApplied bool, err error) {
+// awaitMemberChange waits for an applied change for at most an election timeout. proposeErr is the error of the
+// proposal.
+func (g *Group) awaitMemberChange(ctx context.Context, applied func([]Member) bool, proposeErr error) (
+	isApplied bool, err error,
+) {
 	retry := time.NewTimer(time.Duration(g.control.ElectionTicks) * g.control.Tick)
 	defer retry.Stop()
 	for {
@@ -139,13 +144,13 @@
 	}
 }
 
-// Transfer hands the lead to a voter, to the one with the longest log if id is 0. Only the leader can.
+// Transfer transfers leadership to a voter, the one with the longest log if id is 0. Only the leader can.
 func (g *Group) Transfer(id uint64) error {
 	err, stopped := callOnReplica(g, g.enqueue, func() error { return g.replica.Transfer(id) })
 	return errors.Join(stopped, err)
 }
 
-// Snapshot returns the state as `umberctl control snapshot save` stores it.
+// Snapshot returns the state in the format that `umberctl control snapshot save` stores.
 func (g *Group) Snapshot() ([][]byte, error) {
 	type snapshot struct {
 		parts [][]byte
--- a/internal/control/consensus/group_test.go
+++ b/internal/control/consensus/group_test.go
@@ -69,7 +69,7 @@
 	all[2].await("out of touch", (*View).OutOfContact)
 	all[2].await("a log line that says so", func(*View) bool {
 		return slices.ContainsFunc(logged.AllEntries(), func(e *logrus.Entry) bool {
-			return e.Message == "out of touch with a majority" && e.Data[logging.SilentMS] != nil
+			return e.Message == "out of contact with a majority" && e.Data[logging.SilentMS] != nil
 		})
 	})
 	var v Version
--- a/internal/control/consensus/guard.go
+++ b/internal/control/consensus/guard.go
@@ -1,38 +1,41 @@
 package consensus
 
-// Guard is a set of guards that are disabled, for fault tests alone: with one disabled a promise of the design must
-// break, or the tests don't check it. Every program that serves runs with none disabled.
+// Guard is a set of disabled guards, for fault tests only: with one disabled, a guarantee must break, or the tests
+// don't check it. Production disables none.
 type Guard uint
 
-// The guards that can be disabled: what each holds to, and what goes wrong without it.
+// The guards that can be disabled: what each ensures, and the failure without it.
 const (
-	// PersistBeforeSend: votes and acknowledgements are durable before they are sent. An instance that loses power
-	// votes twice in a term or lacks what it acknowledged, and a committed version is gone.
+	// PersistBeforeSend: votes and acknowledgements are durable before they are sent. Otherwise an instance that loses
+	// power may vote twice in a term or lack entries that it acknowledged, and a committed version is lost.
 	PersistBeforeSend Guard = 1 << iota
-	// CompareAndSet: a put is committed only after the version it was made from. Of two operators' changes one is lost.
+	// CompareAndSet: a put is committed only directly after its base version. Otherwise one of two concurrent changes
+	// is lost.
 	CompareAndSet
-	// SessionTable: a repeated put gets the first one's result. It makes a second version, or is told of a conflict.
+	// SessionTable: a repeated put gets the first one's result. Otherwise it creates a second version or gets a
+	// conflict.
 	SessionTable
-	// ReadIndex: a read is answered once a majority has confirmed the leader. A cut-off leader answers with an old
-	// state.
+	// ReadIndex: a read completes once a majority has confirmed the leader. Otherwise a partitioned leader returns
+	// stale state.
 	ReadIndex
-	// PreVote: an instance asks whether it could win before it raises the term. One that was cut off ends the term of a
-	// leader that all others hear.
+	// PreVote: a candidate asks whether it could win before it raises the term. Otherwise an instance that was
+	// partitioned deposes a leader that all others follow.
 	PreVote
-	// MemberIdentity: an instance on an old copy of its folder takes no part. It votes or acknowledges a second time.
+	// MemberIdentity: an instance on an old copy of its folder is barred. Otherwise it may vote twice in a term or lack
+	// entries that it acknowledged.
 	MemberIdentity
-	// PersistMembership: that a change of members is committed is durable before it counts. An instance starts with the
-	// members before it, and two leaders are elected in one term.
+	// PersistMembership: a committed change of members is durable before it takes effect. Otherwise an instance may
+	// restart with the previous members, and two leaders are elected in one term.
 	PersistMembership
 )
 
 var guardNames = []string{"persist-before-send", "compare-and-set", "session-table", "read-index", "pre-vote",
 	"member-identity", "members-kept"}
 
-// Has tells whether a guard is disabled.
+// Has reports whether a guard is disabled.
 func (g Guard) Has(guard Guard) bool { return g&guard != 0 }
 
-// GuardNamed returns a guard by its name, or an *UnknownGuardError.
+// GuardNamed returns the guard of that name, or an *UnknownGuardError.
 func GuardNamed(name string) (Guard, error) {
 	for i, n := range guardNames {
 		if n == name {
--- a/internal/control/consensus/leader.go
+++ b/internal/control/consensus/leader.go
@@ -11,11 +11,11 @@
 	"umberwinch/internal/logging"
 )
 
-// maxTicksPerStep is how many ticks count at most for one step of the leader's time, however long the process stood
-// still: nodes were not heard in a standstill, so their leases must not be held to it.
+// maxTicksPerStep bounds the ticks that one step of the leader's clock advances, however long the process was paused:
+// it received no heartbeats in the pause, so leases must not expire by it.
 const maxTicksPerStep = 4
 
-// tickLeader passes time, in ms, on to the coordinator.Leader and proposes the entries that it gives for the log.
+// tickLeader advances the coordinator.Leader by ms and proposes the entries that it returns.
 func (g *Group) tickLeader(ms uint64) {
 	r := g.replica
 	fleet := r.stateMachine.fleet
@@ -29,16 +29,17 @@
 	}
 }
 
-// mayCoordinate tells whether this instance may act for the group. A new leader waits until it has applied an entry
-// of its own term: until then its state may lack what an earlier leader told nodes, and it would contradict that.
+// mayCoordinate reports whether this instance may act for the group. A new leader waits until it has applied an entry
+// of its own term: until then its state may lack entries of the previous leader, and it could contradict that leader's
+// responses to nodes.
 func (r *Replica) mayCoordinate() bool {
 	status := r.node.BasicStatus()
 	m := r.stateMachine
 	return status.Lead == r.ID() && m.term == status.HardState.GetTerm() && m.level >= LevelFleet && r.Barred() == ""
 }
 
-// logStateLoss logs once in a life that nodes have proved the group to lack state, also after a restart, when no entry
-// tells of it any more.
+// logStateLoss logs once per run that nodes have proven a loss of the group's state. It reads the state, so it logs
+// after a restart too.
 func (g *Group) logStateLoss() {
 	reason := g.replica.stateMachine.fleet.Fleet.LostState
 	if reason == "" || g.stateLossLogged {
@@ -46,19 +47,19 @@
 	}
 	g.stateLossLogged = true
 	g.log.WithField(logging.Reason, reason).
-		Error("the group has lost state that nodes know of, and grants nothing: see umberctl control recover")
+		Error("the group has lost state that nodes know of, and grants no leases: see umberctl control recover")
 }
 
-// elapsedMS returns the ms since the last call, maxTicksPerStep ticks at most.
+// elapsedMS returns the milliseconds since the last call, at most maxTicksPerStep ticks.
 func (g *Group) elapsedMS() uint64 {
 	ms := time.Since(g.leaderTickedAt).Milliseconds()
 	g.leaderTickedAt = g.leaderTickedAt.Add(time.Duration(ms) * time.Millisecond)
 	return uint64(min(ms, (maxTicksPerStep * g.control.Tick).Milliseconds()))
 }
 
-// operationsApplied logs what an operator should know of applied fleet entries and gives their outcomes to the
-// coordinator.Leader, where callers may wait for them.
-func (g *Group) operationsApplied(outcomes []coordinator.Outcome) {
+// handleOutcomes logs applied fleet entries for operators and passes their outcomes to the coordinator.Leader, where
+// callers may wait for them.
+func (g *Group) handleOutcomes(outcomes []coordinator.Outcome) {
 	fleet := g.replica.stateMachine.fleet
 	for _, outcome := range outcomes {
 		switch o := outcome.(type) {
@@ -73,14 +74,14 @@
 			}
 			if len(o.CountedOut) > 0 {
 				g.log.WithField(logging.Nodes, policy.Summarize(o.CountedOut)).
-					Warn("nodes counted out: no heartbeat for the time of a lease")
+					Warn("nodes marked out: no heartbeat within the lease span")
 			}
 		}
 		g.leader.EntryApplied(fleet, outcome)
 	}
 }
 
-// logPolicyChange logs a step of a policy change. The fault tests read message and fields.
+// logPolicyChange logs a step of a policy change. The fault tests match its message and fields.
 func (g *Group) logPolicyChange(r policy.Result) {
 	if r.Rejected() {
 		g.log.WithFields(logrus.Fields{logging.Change: r.ChangeNumber, logging.Operation: r.Kind,
@@ -104,7 +105,7 @@
 	line.Info("change of policy")
 }
 
-// logZoneChange logs a change of a zone. The fault tests read message and fields.
+// logZoneChange logs a change of a zone. The fault tests match its messages and fields.
 func (g *Group) logZoneChange(r zones.Result) {
 	zone := g.replica.stateMachine.fleet.Zones.Find(r.Zone)
 	switch {
--- a/internal/control/consensus/members.go
+++ b/internal/control/consensus/members.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// Member is an instance as the group knows it.
+// Member is an instance of the group, as stored and sent.
 type Member struct {
 	ID      uint64 `json:"id"`
 	Name    string `json:"name"`
@@ -18,26 +18,27 @@
 // Operations on the members of a group.
 const (
 	OpAdd      ChangeOp = "add"      // as a learner
-	OpPromote  ChangeOp = "promote"  // a learner to a voter
-	OpRemove   ChangeOp = "remove"   // for good: an instance that was removed can't be added again
-	OpReplace  ChangeOp = "replace"  // a voter by a learner, in one joint change
-	OpTransfer ChangeOp = "transfer" // the lead, to a voter; it changes no members
+	OpPromote  ChangeOp = "promote"  // a learner becomes a voter
+	OpRemove   ChangeOp = "remove"   // permanently: a removed instance can not be added again
+	OpReplace  ChangeOp = "replace"  // a learner replaces a voter, in one joint change
+	OpTransfer ChangeOp = "transfer" // leadership, to a voter; members do not change
 )
 
 // Bounds of the members.
 const (
-	maxMembers = 15  // a larger group commits no safer and slower
-	maxRemoved = 256 // ids of removed instances that are remembered and refused
+	maxMembers = 15
+	maxRemoved = 256 // ids of removed instances that are remembered, and refused as peers
 )
 
-// Change is an operation on the members, as its entry carries it beside what raft needs of it.
+// Change is an operation on the members. Its entry carries it as the context of raft's configuration change.
 type Change struct {
 	Op         ChangeOp `json:"op"`
 	Member     Member   `json:"member"`
-	ReplacedID uint64   `json:"gone,omitempty"` // OpReplace: the voter that leaves
+	ReplacedID uint64   `json:"gone,omitempty"` // OpReplace: the voter that is removed
 }
 
-// appliedCheck gives the test whether a change shows in a list of members, nil for an unknown operation.
+// appliedCheck returns a function that reports whether a list of members reflects the change, nil for an unknown
+// operation.
 func (c *Change) appliedCheck() func([]Member) bool {
 	isVoter := func(list []Member) bool {
 		m := findMember(list, c.Member.ID)
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// findMember looks in a list ordered by id.
+// findMember searches a list ordered by id.
 func findMember(list []Member, id uint64) *Member {
 	i := sort.Search(len(list), func(i int) bool { return list[i].ID >= id })
 	if i < len(list) && list[i].ID == id {
@@ -67,7 +68,7 @@
 
 // memberTable holds the group's members and those that were removed.
 type memberTable struct {
-	list    []Member // by id
+	list    []Member // ordered by id
 	removed []uint64 // ids, oldest first
 }
 
@@ -82,7 +83,8 @@
 	return nil
 }
 
-// check returns why a change can't be made, a *ChangeError, by the state alone, so that all instances find the same.
+// check returns a *ChangeError if a change is not allowed. It depends on replicated state alone, so that all instances
+// decide the same.
 func (t *memberTable) check(c *Change) error {
 	member := t.byID(c.Member.ID)
 	switch c.Op {
@@ -125,7 +127,7 @@
 	return nil
 }
 
-// apply makes a change that check allowed. It changes copies, as views share the lists.
+// apply makes a change that check allowed. It copies the lists, as views share them.
 func (t *memberTable) apply(c *Change) {
 	switch c.Op {
 	case OpAdd:
--- a/internal/control/consensus/metrics.go
+++ b/internal/control/consensus/metrics.go
@@ -8,14 +8,14 @@
 	"umberwinch/internal/wal"
 )
 
-// metricPrefix begins the name of every metric of the control service.
+// metricPrefix is the prefix of every metric's name.
 const metricPrefix = "umberwinch_control_"
 
-// durationBuckets are from 0.1 ms, a sync of a fast disk, to 6.6 s, past any client's timeout.
+// durationBuckets range from 0.1 ms to 6.6 s: a sync on a fast disk to more than requestTimeout.
 var durationBuckets = prometheus.ExponentialBuckets(0.0001, 2, 17)
 
-// metrics are what Prometheus reads at the clients' address. Gauges and counters are read from the view and the
-// transport when asked for; durations and outcomes are recorded as they happen.
+// metrics are the instance's Prometheus metrics. Gauges and counters are sampled from the view and the transport at
+// collection; durations and outcomes are recorded as they occur.
 type metrics struct {
 	group       *Group
 	registry    *prometheus.Registry
@@ -25,7 +25,7 @@
 	sampled     []sampledMetric
 }
 
-// sampledMetric is one that is read when asked for.
+// sampledMetric is a metric whose value is read at collection.
 type sampledMetric struct {
 	desc  *prometheus.Desc
 	kind  prometheus.ValueType
@@ -44,7 +44,7 @@
 			Help: "Puts applied, by end; each instance counts all."}, []string{"end"}),
 	}
 	for _, outcome := range []PutOutcome{PutCommitted, PutUnchanged, PutConflict, PutInvalid, PutExpired} {
-		m.outcomes.WithLabelValues(string(outcome)) // shown from the start, as 0
+		m.outcomes.WithLabelValues(string(outcome)) // exported as 0 before the first put
 	}
 	m.addRaft()
 	m.addContact()
@@ -141,7 +141,7 @@
 	}
 }
 
-// timedFS records how long a file's sync takes.
+// timedFS measures the syncs of its files.
 type timedFS struct {
 	wal.FS
 	metrics *metrics
--- a/internal/control/consensus/peer_registry.go
+++ b/internal/control/consensus/peer_registry.go
@@ -5,30 +5,30 @@
 	"fmt"
 )
 
-// Identity is who an instance is. ID and cluster are made once and stored in its log; starts are counted there, so
-// that a copy of the folder shows.
+// Identity identifies an instance and its run. ID and cluster are assigned once and stored in the log; the number of
+// starts is stored too, so that an old copy of the folder is detected.
 type Identity struct {
-	Cluster string `json:"cluster"` // empty until it was added to a group
+	Cluster string `json:"cluster"` // empty until the instance is added to a group
 	ID      uint64 `json:"id"`
 	Name    string `json:"name"`
 	Starts  uint64 `json:"starts"`
-	Nonce   uint64 `json:"nonce"`            // drawn at each start
-	Barred  string `json:"barred,omitempty"` // why it may take no part any more
+	Nonce   uint64 `json:"nonce"`            // random, drawn at each start
+	Barred  string `json:"barred,omitempty"` // why the instance is barred from the group; empty if it is not
 }
 
-// Hello opens a connection, in either direction.
+// Hello is the handshake message of either side of a connection.
 type Hello struct {
 	Identity
-	Peer string `json:"peer"` // address, for an instance that does not know the members yet
-	Term uint64 `json:"term"` // that its log holds
-	Last uint64 `json:"last"` // index of its log
-	To   uint64 `json:"to"`   // id of the instance that it is meant for, 0 where that is not known
-	Bulk bool   `json:"bulk,omitempty"`
-	// Level is the feature level that its program supports; one from before there were levels leaves it out.
+	Peer string `json:"peer"`           // address for peers; for a receiver that does not know the members yet
+	Term uint64 `json:"term"`           // of its hard state
+	Last uint64 `json:"last"`           // index of its last log entry
+	To   uint64 `json:"to"`             // id of the intended instance, 0 if unknown
+	Bulk bool   `json:"bulk,omitempty"` // the connection carries a snapshot
+	// Level is the feature level that its program supports; programs older than levels omit it.
 	Level int `json:"level,omitempty"`
 }
 
-// Reasons to refuse a hello.
+// Reasons to refuse a hello, as sent in a frameRefused.
 const (
 	refusedOtherCluster  = "it is of another cluster"
 	refusedWrongInstance = "it is meant for another instance"
@@ -38,31 +38,31 @@
 	refusedOlderProgram  = "its program is older than what the group's log holds"
 )
 
-// BarsInstance tells whether a refusal means that the refused instance must take no further part in the group.
+// BarsInstance reports whether a refusal with this reason permanently bars the refused instance from the group.
 func BarsInstance(reason string) bool { return reason == refusedRemoved || reason == refusedOldCopy }
 
-// PeerRegistry decides whom an instance speaks with. It guards against an instance on an old copy of its folder,
-// which could vote twice in a term or lack entries that it acknowledged, so that a committed entry is lost. Two
-// values show it, as they never go back: how often the other started, which is stored, so that a copy from an earlier
-// run is found for good; and the term and index that it reported, which are in memory, so that a copy from the same
-// run is found by instances that were up since. It does no I/O: its caller stores what it learnt before the other is
-// answered.
+// PeerRegistry decides which peers an instance communicates with. It guards against an instance on an old copy of its
+// folder, which could vote twice in a term or lack entries that it acknowledged, so that a committed entry is lost.
+//
+// A peer's number of starts is stored, so a copy of an earlier run is always detected. The term and index that a peer
+// reported are in memory, so a copy of the same run is detected by instances that have run since. The registry does no
+// I/O: its caller stores what changed before it answers the peer.
 type PeerRegistry struct {
 	disabledGuards Guard
 	self           Identity
 	lastStarts     map[uint64]peerStart
 	progress       map[uint64]peerProgress
 	removed        func(id uint64) bool
-	groupLevel     func() int     // of the group
-	peerLevels     map[uint64]int // that others reported in this run
+	groupLevel     func() int     // feature level of the group
+	peerLevels     map[uint64]int // feature levels that peers reported in this run
 }
 
-// peerProgress is the highest term in which another instance sent a message, and the last entry that it acknowledged
-// in that term. Both are on its disk before it sends them. Within a term an acknowledged entry is never dropped, so
-// neither goes back; entries of an earlier term may be.
+// peerProgress is the highest term in which a peer sent a message, and the last entry that it acknowledged in that
+// term. Both are durable at the peer before it sends them. The term never decreases, nor does the index within a term;
+// entries of earlier terms may be truncated.
 type peerProgress struct{ term, lastIndex uint64 }
 
-// RecordProgress notes the term that another instance spoke in and the last entry that it said it holds.
+// RecordProgress records the term of a peer's message and the index that it acknowledged, 0 for none.
 func (p *PeerRegistry) RecordProgress(id, term, ackedIndex uint64) {
 	progress, known := p.progress[id]
 	if !known && len(p.progress) >= maxPeers || term < progress.term {
@@ -75,17 +75,17 @@
 	p.progress[id] = progress
 }
 
+// peerStart identifies a run of a peer.
 type peerStart struct {
 	Starts uint64 `json:"starts"`
 	Nonce  uint64 `json:"nonce"`
 }
 
-// maxPeers bounds the tables. Only members, past or present, get into them, and each takes a change by an operator,
-// so a larger one is not needed.
+// maxPeers bounds the tables. Only past and present members are recorded, and each needs a change by an operator.
 const maxPeers = 1024
 
-// Handshake decides whether to speak with an instance by its hello: reason is why not, empty if so. learnt tells that
-// something changed that has to be stored before the other is answered.
+// Handshake decides whether to communicate with a peer by its hello. reason is why not, empty if accepted. changed
+// reports that the registry must be stored before the peer is answered.
 func (p *PeerRegistry) Handshake(h Hello) (reason string, changed bool) {
 	switch {
 	case h.ID == 0 || h.ID == p.self.ID || h.To != 0 && h.To != p.self.ID:
@@ -93,7 +93,7 @@
 	case h.Cluster != "" && p.self.Cluster != "" && h.Cluster != p.self.Cluster:
 		return refusedOtherCluster, false
 	case p.self.Cluster == "" && (h.Cluster == "" || h.To != p.self.ID):
-		return refusedOtherCluster, false // only an instance that was told its id may add it
+		return refusedOtherCluster, false // only an instance that knows its id may add it to a group
 	case max(h.Level, LevelVersions) < p.groupLevel():
 		return refusedOlderProgram, false
 	}
@@ -105,7 +105,7 @@
 	}
 	switch {
 	case p.disabledGuards.Has(MemberIdentity) || h.Cluster == "":
-		return "", changed // one that is in no group yet has nothing that an old copy could lack
+		return "", changed // an instance outside a group has acknowledged nothing that an old copy could lack
 	case h.Barred != "":
 		return refusedBarred, changed
 	case p.removed(h.ID):
@@ -127,7 +127,7 @@
 	return "", changed
 }
 
-// marshal gives what has to be stored.
+// marshal encodes the identity and the peers' starts for storage.
 func (p *PeerRegistry) marshal() (identity, starts []byte, err error) {
 	if identity, err = json.Marshal(p.self); err != nil {
 		return nil, nil, err
@@ -141,11 +141,11 @@
 		peerLevels: map[uint64]int{},
 		groupLevel: func() int { return LevelVersions }}
 	if err := json.Unmarshal(identity, &p.self); err != nil {
-		return nil, fmt.Errorf("this instance's identity: %w", err)
+		return nil, fmt.Errorf("stored identity: %w", err)
 	}
 	if starts != nil {
 		if err := json.Unmarshal(starts, &p.lastStarts); err != nil {
-			return nil, fmt.Errorf("the instances met: %w", err)
+			return nil, fmt.Errorf("stored starts of peers: %w", err)
 		}
 	}
 	return p, nil
--- a/internal/control/consensus/put.go
+++ b/internal/control/consensus/put.go
@@ -8,46 +8,46 @@
 	"umberwinch/internal/control/document"
 )
 
-// Bounds of what a put stores beside its text, in bytes.
+// Bounds of the fields that a put stores beside its text, in bytes.
 const (
-	maxNameBytes   = 200  // an author or session: names, not texts
-	maxReasonBytes = 2000 // a reason, an author's or of a rejection: some lines for people
+	maxNameBytes   = 200  // an author or session
+	maxReasonBytes = 2000 // the reason of an author or of a rejection
 )
 
-// Put asks for a new version of the document. Session and Seq name it: a client counts its puts from 1 and repeats one
-// under its number until it has a result.
+// Put requests a new version of the document. Session and Seq identify it: a client numbers its puts from 1 and repeats
+// a put under its number until it has a result.
 type Put struct {
 	Session string `json:"session"`
 	Seq     uint64 `json:"seq"`
-	Base    uint64 `json:"base"` // the version that it was made from
+	Base    uint64 `json:"base"` // version that the change was made from
 	Author  string `json:"author"`
 	Reason  string `json:"reason"`
-	At      int64  `json:"at_ms"` // Unix time at the instance asked, in ms
-	Rules   int    `json:"rules"` // numbering of the document's rules that it is judged by
+	At      int64  `json:"at_ms"` // Unix time at the instance that received it, in ms
+	Rules   int    `json:"rules"` // version of the document rules that it is validated by
 	Text    string `json:"text"`
 }
 
-// PutOutcome is how a put ended, as stored with its session and sent to the client.
+// PutOutcome classifies the result of a put, as stored with its session and sent to the client.
 type PutOutcome string
 
 // Outcomes of a put.
 const (
 	PutCommitted PutOutcome = "taken"
-	PutUnchanged PutOutcome = "unchanged" // it says what the newest version says
-	PutConflict  PutOutcome = "conflict"  // it was made from another version than the newest
-	PutInvalid   PutOutcome = "refused"   // the document is wrong, alone or after the one before
-	PutExpired   PutOutcome = "expired"   // its session is not known any more, or has gone on
+	PutUnchanged PutOutcome = "unchanged" // the document equals the newest version
+	PutConflict  PutOutcome = "conflict"  // the base is not the newest version
+	PutInvalid   PutOutcome = "refused"   // the document is invalid, by itself or as a successor of the active one
+	PutExpired   PutOutcome = "expired"   // the session is unknown, or has a later put
 )
 
-// PutResult is how a put ended; each repeat of the put gets the same one.
+// PutResult is the result of a put; each repeat of the put gets the same one.
 type PutResult struct {
 	Outcome PutOutcome `json:"end"`
-	Version uint64     `json:"version"` // the new version if the put was committed, the newest one otherwise
+	Version uint64     `json:"version"` // the new version if the put was committed, otherwise the newest one
 	Reason  string     `json:"reason,omitempty"`
 }
 
-// validate gives an *api.FieldError for the first field that the log would not store. What depends on the state is
-// judged when the put is applied.
+// validate returns an *api.FieldError for the first invalid field. Checks that depend on the state follow when the put
+// is applied.
 func (p *Put) validate() error {
 	lengthError := func(field, text, expected string) error {
 		return &api.FieldError{Field: field, Found: fmt.Sprintf("%d bytes", len(text)), Expected: expected}
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// truncateReason bounds a reason, which is stored with its session: a document may have a fault on each of many lines.
+// truncateReason bounds a reason, which is stored with its session: a document may have an error on each of many lines.
 func truncateReason(reason string) string {
 	if len(reason) <= maxReasonBytes {
 		return reason
--- a/internal/control/consensus/raft_logger.go
+++ b/internal/control/consensus/raft_logger.go
@@ -4,7 +4,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// raftLogger hands the core's remarks on: what it calls information is detail here.
+// raftLogger adapts a logrus logger to raft.Logger. Raft's info and warning messages are logged at debug level, its
+// errors as warnings.
 type raftLogger struct{ log *logrus.Logger }
 
 func (l raftLogger) Debug(v ...any) { l.log.Trace(v...) }
--- a/internal/control/consensus/record_collector.go
+++ b/internal/control/consensus/record_collector.go
@@ -18,24 +18,24 @@
 	"umberwinch/internal/control/recovery"
 )
 
-// Collector listens in place of a stopped instance and collects the records of nodes for a recovery.
+// Collector listens at the address of a stopped instance and collects node records for a recovery.
 type Collector struct {
 	mu        sync.Mutex
 	records   map[string]api.NodeRecord
-	contacts  map[string]time.Time // nodes that made contact, and when last
-	texts     map[string]string    // by hash, so that a thousand nodes with one text hold it once
+	contacts  map[string]time.Time // last contact of each node
+	texts     map[string]string    // by hash; records share equal texts
 	bodyBytes *semaphore.Weighted
 	server    *http.Server
-	served    chan struct{} // closed when the server's goroutine has ended
-	onRecord  func(k *api.NodeRecord, err error)
+	served    chan struct{} // closed when the server has ended
+	onRecord  func(record *api.NodeRecord, err error)
 }
 
-// maxCollectedTexts bounds the different texts held: nodes hold two versions each at most, mostly the same.
+// maxCollectedTexts bounds the distinct texts held. A record has at most two, and most nodes have the same ones.
 const maxCollectedTexts = 64
 
-// StartCollector opens an address that nodes send heartbeats to. onRecord is called for each record that a node sent,
-// with what was wrong with it. The error is of the address.
-func StartCollector(listen string, onRecord func(k *api.NodeRecord, err error)) (*Collector, error) {
+// StartCollector opens the address that nodes send heartbeats to. onRecord is called for each record received, with the
+// error if it is invalid. The returned error is of the address.
+func StartCollector(listen string, onRecord func(record *api.NodeRecord, err error)) (*Collector, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("%w: the instance that listens there has to be stopped first", err)
@@ -52,12 +52,12 @@
 		MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout}
 	go func() {
 		defer close(c.served)
-		c.server.Serve(netutil.LimitListener(ln, maxClients)) // until Stop; an earlier end shows as no records
+		c.server.Serve(netutil.LimitListener(ln, maxClients)) // until Stop; after an earlier end no records arrive
 	}()
 	return c, nil
 }
 
-// Stop closes the address and returns the records. Requests under way have until ctx is done.
+// Stop closes the address and returns the records. Requests in progress have until ctx is done.
 func (c *Collector) Stop(ctx context.Context) []api.NodeRecord {
 	if c.server.Shutdown(ctx) != nil {
 		c.server.Close()
@@ -66,13 +66,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	records := make([]api.NodeRecord, 0, len(c.records))
-	for _, record := range c.records { // recovery.PlanRestore puts them in order
+	for _, record := range c.records { // recovery.PlanRestore sorts them
 		records = append(records, record)
 	}
 	return records
 }
 
-// Counts returns how many nodes made contact, and how many of them sent their record.
+// Counts returns the numbers of nodes that made contact and of those that sent their record.
 func (c *Collector) Counts() (contacted, recorded int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,7 +84,7 @@
 	c.writeSized(w, code, raw)
 }
 
-// writeSized answers with a Content-Length, as nodes read no chunks.
+// writeSized sends a response with a Content-Length, as nodes do not read chunked bodies.
 func (c *Collector) writeSized(w http.ResponseWriter, code int, raw []byte) {
 	w.Header().Set("Content-Type", contentJSON)
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
@@ -92,7 +92,7 @@
 	w.Write(raw)
 }
 
-// postHeartbeat asks a node for its record until it has sent one.
+// postHeartbeat asks a node for its record until the node has sent it.
 func (c *Collector) postHeartbeat(w http.ResponseWriter, r *http.Request) {
 	var request api.HeartbeatRequest
 	if err := readBody(w, r, &request); err != nil {
@@ -117,7 +117,7 @@
 	c.writeSized(w, http.StatusOK, raw)
 }
 
-// postRecord takes a node's record.
+// postRecord validates and stores a node's record.
 func (c *Collector) postRecord(w http.ResponseWriter, r *http.Request) {
 	const maxRecordBytes = 2*maxBodyBytes + maxNodeBodyBytes // a record has two texts
 	size := r.ContentLength
@@ -145,7 +145,7 @@
 	c.writeSized(w, http.StatusOK, []byte("{}"))
 }
 
-// store holds a valid record.
+// store keeps a valid record, at most recovery.MaxRecords of them.
 func (c *Collector) store(record *api.NodeRecord) error {
 	record.Generation = max(1, record.Generation)
 	record.ActiveText, record.ActiveHash = c.sharedText(record.ActiveText, record.ActiveHash)
@@ -159,8 +159,8 @@
 	return nil
 }
 
-// sharedText gives the text held for a hash, so that a thousand nodes with one text hold it once, and none where the
-// hash is another text's.
+// sharedText returns the stored copy of a text, so that equal texts of many nodes use memory once. It returns no text
+// if the hash does not match or too many texts are held.
 func (c *Collector) sharedText(text, hash string) (string, string) {
 	if text == "" || document.Hash([]byte(text)) != hash {
 		return "", hash
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -13,40 +13,40 @@
 	"umberwinch/internal/wal"
 )
 
-// Config is what a replica needs at its start. Sizes are bytes, times ticks.
+// Config configures a replica. Sizes are bytes, durations ticks.
 type Config struct {
 	Name                 string
 	Peer                 string
 	Listen               string
-	FoundGroup           bool // an empty folder becomes a group of one; else it waits to be added
-	ElectionTicks        int  // without a leader before it stands for election; drawn from here to twice as many
-	SnapshotBytes        int  // of log since the last snapshot, after which one is due
+	FoundGroup           bool // bootstrap a group of one in an empty folder; otherwise wait to be added to a group
+	ElectionTicks        int  // least election timeout; each is drawn from here to twice as many
+	SnapshotBytes        int  // bytes of new log entries after which a snapshot is due
 	Sizes                wal.Sizes
-	Random               func() uint64 // for ids alone, never for decisions
+	Random               func() uint64 // for ids only, never for decisions
 	Logger               raft.Logger
 	DisabledGuards       Guard
-	Level                int          // supported, for tests of a group on two builds; 0: LatestLevel
+	Level                int          // supported feature level, for tests of a group with two builds; 0: LatestLevel
 	DisabledPolicyGuards policy.Guard // for fault tests
 	DisabledZoneGuards   zones.Guard
 	OnStep               func(WorkStep) // called before each step of Work, for fault tests; may be nil
 }
 
-// WorkStep names a step of Work, as Config.OnStep is told before it is done.
+// WorkStep names a step of a ready cycle, as passed to Config.OnStep before the step.
 type WorkStep string
 
-// Steps of Work.
+// Steps of a ready cycle.
 const (
-	StepPersist WorkStep = "persist" // what raft needs stored is written
-	StepSend    WorkStep = "send"
-	StepApply   WorkStep = "apply"
-	StepAnswer  WorkStep = "answer"
+	StepPersist WorkStep = "persist" // write what raft requires to be durable
+	StepSend    WorkStep = "send"    // send messages to peers
+	StepApply   WorkStep = "apply"   // apply a snapshot and committed entries
+	StepAnswer  WorkStep = "answer"  // return results of puts
 )
 
-// Steps lists them in order.
+// Steps lists the steps in order.
 var Steps = []WorkStep{StepPersist, StepSend, StepApply, StepAnswer}
 
-// Bounds of raft: a message carries one large document or many small ones, and a slow follower has at most so much in
-// flight to it. They protect memory; smaller ones cost round trips.
+// Bounds of raft's memory: the size of a message, what is in flight to a follower, and what is proposed or read but not
+// finished.
 const (
 	maxMessageBytes           = 1 << 20
 	maxInflightMessages       = 64
@@ -56,7 +56,8 @@
 	maxPendingReads           = 4096
 )
 
-// Replica is one instance of the group: raft, its log and the state machine. One goroutine at a time may use it.
+// Replica is one instance of the group: the Raft core, its log and the state machine. It is not safe for concurrent
+// use.
 type Replica struct {
 	config       Config
 	log          *wal.Log
@@ -64,21 +65,21 @@
 	node         *raft.RawNode
 	stateMachine *StateMachine
 	peers        *PeerRegistry
-	voterConfig  *pb.ConfState // as applied
+	voterConfig  *pb.ConfState // last applied one
 	pendingReads []pendingRead
 	snapshotting bool
 
-	handshakePeers    map[uint64]bool // that shook hands in this run
-	ticks             int             // of this run
-	contactedPeers    []Member        // instances that shook hands before it knew the members
-	promotedAtTick    int             // when a promotion was proposed last
-	levelRaisedAtTick int             // when a higher level was proposed last
-	electionTicks     int             // since a leader was heard, a vote was given or an election was begun
-	ticksSinceLeader  int             // since a leader was heard
+	handshakePeers    map[uint64]bool // peers with a completed handshake in this run
+	ticks             int             // since Open
+	contactedPeers    []Member        // peers with a completed handshake before the members were known
+	promotedAtTick    int             // tick of the last proposal to promote a learner
+	levelRaisedAtTick int             // tick of the last proposal to raise the level
+	electionTicks     int             // since the last message of a leader, vote granted, or campaign
+	ticksSinceLeader  int             // since the last message of a leader
 	electionTimeout   int
 	timeoutCount      uint32
 
-	LogRepair wal.Repair // what Open had to cut off
+	LogRepair wal.Repair // what Open truncated or removed
 	Campaigns uint64
 }
 
@@ -87,23 +88,23 @@
 	index uint64
 }
 
-// AppliedPut is a put that was applied here, with its result.
+// AppliedPut is a put applied by this replica, and its result.
 type AppliedPut struct {
 	Session string
 	Seq     uint64
 	Result  PutResult
 }
 
-// WorkResult is what a call of Work did.
+// WorkResult is what ready cycles completed.
 type WorkResult struct {
 	Puts       []AppliedPut
-	Reads      []uint64 // ids of reads that may be answered from the state now
-	Applied    bool     // entries were applied, or a snapshot
+	Reads      []uint64 // ids of reads that the current state may serve
+	Applied    bool     // entries or a snapshot were applied
 	Operations []coordinator.Outcome
 }
 
-// resetElectionTimer draws the next election timeout, from a sum over the run's nonce and a counter, so that tests can
-// repeat it.
+// resetElectionTimer draws the next election timeout from a checksum over the run's nonce and a counter, so that tests
+// can reproduce it.
 func (r *Replica) resetElectionTimer() {
 	r.electionTicks = 0
 	r.timeoutCount++
@@ -113,8 +114,8 @@
 	r.electionTimeout = r.config.ElectionTicks + int(crc32.ChecksumIEEE(raw[:])%uint32(r.config.ElectionTicks))
 }
 
-// Tick passes one tick on. Elections are timed here and not by raft, whose random timeouts have no seed: raft is told
-// of time without its timer (TickQuiesced) and to stand for election when ours is over (Campaign).
+// Tick advances the replica by one tick. Election timeouts are kept here, as raft's random ones can not be seeded:
+// raft's own timer is bypassed by TickQuiesced, and elections start by Campaign.
 func (r *Replica) Tick() {
 	if r.peers.self.Barred != "" {
 		return
@@ -142,9 +143,9 @@
 	}
 }
 
-// handshakesDone tells whether this run has shaken hands with all other voters, or has waited for the time of an election
-// for those that don't answer. It guards against a vote by an instance on an old copy of its folder: until then it
-// sends nothing, as one of them may know that and bar it.
+// handshakesDone reports whether this run has completed a handshake with all other voters, or has waited an election
+// timeout for them. It guards against a vote by an instance on an old copy of its folder: until then it neither
+// campaigns nor handles messages, as a peer may detect the copy and bar it.
 func (r *Replica) handshakesDone() bool {
 	if r.ticks >= r.config.ElectionTicks || r.config.DisabledGuards.Has(MemberIdentity) {
 		return true
@@ -159,13 +160,13 @@
 	return true
 }
 
-// Step handles a message of another instance.
+// Step handles a message from a peer.
 func (r *Replica) Step(m *pb.Message) {
 	if r.peers.self.Barred != "" || m.GetTo() != r.ID() || r.peers.self.Cluster == "" || !r.handshakesDone() {
 		return
 	}
 	switch m.GetType() {
-	case pb.MessageType_MsgPreVote, pb.MessageType_MsgPreVoteResp: // of a term that has not begun
+	case pb.MessageType_MsgPreVote, pb.MessageType_MsgPreVoteResp: // they carry a term that has not begun
 	case pb.MessageType_MsgAppResp:
 		ackedIndex := m.GetIndex()
 		if m.GetReject() {
@@ -178,7 +179,7 @@
 	before := r.node.BasicStatus()
 	vote, term := before.HardState.GetVote(), before.HardState.GetTerm()
 	if err := r.node.Step(m); err != nil {
-		return // not for others to send, or from an unknown instance: dropped, as if it was lost
+		return // local message type or unknown sender: dropped, as if lost
 	}
 	after := r.node.BasicStatus()
 	switch m.GetType() {
@@ -194,10 +195,10 @@
 	}
 }
 
-// ReportUnreachable tells raft that messages to another instance were not sent.
+// ReportUnreachable reports to raft that a message to a peer was not sent.
 func (r *Replica) ReportUnreachable(to uint64) { r.node.ReportUnreachable(to) }
 
-// ReportSnapshot tells raft whether a snapshot was sent completely.
+// ReportSnapshot reports to raft whether a peer received the whole snapshot.
 func (r *Replica) ReportSnapshot(to uint64, ok bool) {
 	status := raft.SnapshotFinish
 	if !ok {
--- a/internal/control/consensus/replica_apply.go
+++ b/internal/control/consensus/replica_apply.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// Work does what raft has ready: it stores, then sends, then applies. An error means that the instance can't go on:
-// what is in memory is no longer what is on disk.
+// Work runs ready cycles until raft has nothing more ready: each persists, then sends, then applies. After an error the
+// instance must stop: its memory no longer matches its disk.
 func (r *Replica) Work(send func([]*pb.Message)) (WorkResult, error) {
 	var result WorkResult
 	for r.node.HasReady() {
@@ -63,10 +63,10 @@
 	return result, nil
 }
 
-// readIDBytes is the size of a read's id as raft passes it on.
+// readIDBytes is the size of a read's id in raft's request context.
 const readIDBytes = 8
 
-// takeFinishedReads takes out the reads whose index is applied.
+// takeFinishedReads removes and returns the reads whose index is applied.
 func (r *Replica) takeFinishedReads() (ids []uint64) {
 	waiting := r.pendingReads[:0]
 	for _, p := range r.pendingReads {
@@ -80,12 +80,12 @@
 	return ids
 }
 
-// persist stores what raft needs stored before messages are sent.
+// persist makes durable what raft requires before messages are sent.
 func (r *Replica) persist(rd *raft.Ready) error {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		return r.store.installSnapshot(rd.Snapshot, rd.HardState)
 	}
-	if !rd.MustSync { // a commit index alone is sent again by the leader
+	if !rd.MustSync { // only the commit index changed, and the leader sends it again
 		r.store.updateMemory(rd.HardState, rd.Entries)
 		return r.persistMembership(rd.CommittedEntries)
 	}
@@ -95,9 +95,9 @@
 	return r.persistMembership(rd.CommittedEntries)
 }
 
-// persistMembership stores that a change of members is committed before the change counts here. It guards against two
-// leaders in one term: raft counts votes by the members that it has applied, so an instance that starts with an older
-// commit index counts them by the members of its snapshot, at worst its founder alone, and elects itself.
+// persistMembership makes the commit index durable before a committed change of members takes effect. It guards against
+// two leaders in one term: an instance that restarted with an older commit index would count votes by its snapshot's
+// members, possibly the founder alone, and elect itself.
 func (r *Replica) persistMembership(committed []*pb.Entry) error {
 	if r.config.DisabledGuards.Has(PersistMembership) {
 		return nil
@@ -138,7 +138,7 @@
 			if err := json.Unmarshal(cc.GetContext(), &c); err != nil {
 				return &coordinator.EntryError{Expected: "a change of members", Err: err}
 			}
-			if m.members.check(&c) != nil { // no longer possible; all instances find so, and raft is not told
+			if m.members.check(&c) != nil { // not allowed any more; all instances decide the same and skip it
 				break
 			}
 			m.members.apply(&c)
--- a/internal/control/consensus/replica_members.go
+++ b/internal/control/consensus/replica_members.go
@@ -12,15 +12,15 @@
 // ID returns the instance's id in the group.
 func (r *Replica) ID() uint64 { return r.peers.self.ID }
 
-// HelloTo returns the hello that this instance opens or answers a connection with.
+// HelloTo returns this instance's hello to a peer.
 func (r *Replica) HelloTo(to uint64) Hello {
 	_, last := r.LogBounds()
 	return Hello{Identity: r.peers.self, Peer: r.config.Peer, Term: r.store.hardState.GetTerm(), Last: last, To: to,
 		Level: r.config.Level}
 }
 
-// Handshake decides whether to speak with an instance by its hello; reason is why not, empty if so. What was learnt
-// is stored on return.
+// Handshake decides whether to communicate with a peer by its hello; reason is why not, empty if accepted. Changes of
+// the registry are durable on return.
 func (r *Replica) Handshake(h Hello) (reason string, err error) {
 	reason, changed := r.peers.Handshake(h)
 	if reason == "" {
@@ -38,7 +38,7 @@
 	return reason, r.persistIdentities()
 }
 
-// Bar ends this instance's part in the group for good. The reason is stored.
+// Bar permanently excludes this instance from the group. The reason is stored.
 func (r *Replica) Bar(reason string) error {
 	if r.peers.self.Barred != "" || r.config.DisabledGuards.Has(MemberIdentity) {
 		return nil
@@ -47,10 +47,10 @@
 	return r.persistIdentities()
 }
 
-// Barred returns why the instance takes no part any more, empty if it does.
+// Barred returns why this instance is barred from the group, empty if it is not.
 func (r *Replica) Barred() string { return r.peers.self.Barred }
 
-// isVoter tells whether an instance counts in elections and commits, in either half of a joint change.
+// isVoter reports whether an instance is a voter in either half of a joint configuration.
 func (r *Replica) isVoter(id uint64) bool {
 	for _, list := range [][]uint64{r.voterConfig.GetVoters(), r.voterConfig.GetVotersOutgoing()} {
 		for _, v := range list {
@@ -62,8 +62,9 @@
 	return false
 }
 
-// Change proposes a change of members. That it was made shows in Members; that it was lost shows nowhere, and the
-// caller asks again. Errors are ErrBarred, raft.ErrProposalDropped, and why the state does not allow it.
+// Change proposes a change of members. An applied change shows in Members; a lost proposal is not reported, and the
+// caller proposes again. Errors are ErrBarred, raft.ErrProposalDropped, and a *ChangeError if the state does not allow
+// it.
 func (r *Replica) Change(c Change) error {
 	if r.peers.self.Barred != "" {
 		return ErrBarred
@@ -73,7 +74,7 @@
 	}
 	if c.Op == OpRemove && c.Member.ID == r.ID() || c.Op == OpReplace && c.ReplacedID == r.ID() {
 		if r.node.BasicStatus().RaftState == raft.StateLeader {
-			return r.Transfer(0) // the next leader makes the change when it is asked again
+			return r.Transfer(0) // the next leader makes the change when the caller proposes it again
 		}
 	}
 	raw, err := json.Marshal(c)
@@ -98,13 +99,13 @@
 	return r.node.ProposeConfChange(cc)
 }
 
-// maxPromotionLag is how many entries a learner may lack when it becomes a voter: with more, a quorum that needs it
-// would wait; with fewer, a busy group never promotes.
+// maxPromotionLag is the number of entries that a learner may lack when it is promoted: few enough that a quorum that
+// includes it does not stall, and more than zero, as the log of a busy group always grows.
 const maxPromotionLag = 16
 
-// promoteLearner has the leader make voters of learners that have caught up, one at a time. A proposal may come to
-// nothing, as while another change is under way, so it is repeated after the time of an election. It looks at each
-// tick, as raft forgets at each check of the quorum who was active.
+// promoteLearner lets the leader promote learners that have caught up, one at a time. A proposal may be dropped, such
+// as during another change, so it is repeated after an election timeout. Every tick checks, as raft resets RecentActive
+// at each quorum check.
 func (r *Replica) promoteLearner() {
 	if r.ticks < r.promotedAtTick+r.config.ElectionTicks {
 		return
@@ -127,8 +128,8 @@
 	}
 }
 
-// Transfer hands the lead to a voter, to the active one with the longest log if to is 0. It returns
-// raft.ErrProposalDropped where this instance does not lead.
+// Transfer transfers leadership to a voter, to the active one with the longest log if to is 0. It returns
+// raft.ErrProposalDropped if this instance is not the leader.
 func (r *Replica) Transfer(to uint64) error {
 	if r.node.BasicStatus().RaftState != raft.StateLeader {
 		return raft.ErrProposalDropped
@@ -148,15 +149,16 @@
 	return nil
 }
 
-// Members returns the instances of the group, by id. The list does not change.
+// Members returns the instances of the group, ordered by id. The list is immutable.
 func (r *Replica) Members() []Member { return r.stateMachine.members.list }
 
-// Voters returns the ids that elections and commits count, in both halves of a joint change.
+// Voters returns the ids of the voters, of both halves of a joint configuration.
 func (r *Replica) Voters() (incoming, outgoing []uint64) {
 	return r.voterConfig.GetVoters(), r.voterConfig.GetVotersOutgoing()
 }
 
-// Contacts returns whom to connect to: the members, or until those are known, who shook hands.
+// Contacts returns the peers to connect to: the members or, until those are known, the instances that completed a
+// handshake.
 func (r *Replica) Contacts() []Member {
 	if len(r.stateMachine.members.list) == 0 {
 		return r.contactedPeers
--- a/internal/control/consensus/replica_open.go
+++ b/internal/control/consensus/replica_open.go
@@ -13,8 +13,8 @@
 	"umberwinch/internal/wal"
 )
 
-// Open starts a replica on a folder: its own of an earlier run, or an empty one. Errors are wal.ErrLocked,
-// *wal.Damage, of a state that this program can't read, and of the disk.
+// Open starts a replica on the folder of an earlier run or an empty one. Errors are wal.ErrLocked, *wal.Damage, of a
+// state that this program can not read, and of the disk.
 func Open(fs wal.FS, config Config) (*Replica, error) {
 	log, repair, err := wal.Open(fs, config.Sizes)
 	if err != nil {
@@ -27,8 +27,8 @@
 	return r, nil
 }
 
-// open reads identity, log and state, and counts the start before anything is sent: a copy of the folder that is
-// started elsewhere has another count, so it can't pass for this one.
+// open reads identity, log and state. It stores the incremented number of starts before anything is sent, so that an
+// old copy of the folder that is started elsewhere can be told from this one.
 func (r *Replica) open() error {
 	if r.log.Mark(markIdentity) == nil {
 		if err := r.initialize(); err != nil {
@@ -85,15 +85,15 @@
 	return nil
 }
 
-// configureState gives a state that was made or restored what is this instance's own.
+// configureState sets this instance's own settings on a new or restored state machine.
 func (r *Replica) configureState() {
 	r.stateMachine.supportedLevel = r.config.Level
 	r.stateMachine.fleet.DisabledGuards = r.config.DisabledPolicyGuards
 	r.stateMachine.fleet.DisabledZoneGuards = r.config.DisabledZoneGuards
 }
 
-// initialize makes an empty folder an instance's: its id, and where it founds a group, the group's first state. The
-// identity is written last, so that a crash on the way leaves a folder that counts as empty.
+// initialize assigns an id to an empty folder and, when it bootstraps a group, writes the group's initial state. The
+// identity is written last, so that after a crash the folder still counts as empty.
 func (r *Replica) initialize() error {
 	identity := Identity{ID: r.config.Random() | 1, Name: r.config.Name}
 	b := wal.Batch{}
@@ -109,7 +109,8 @@
 	return r.writeIdentity(identity, b)
 }
 
-// writeInitialState writes a state as the first of a group of one.
+// writeInitialState writes a state as the snapshot of a group with one voter and adds the matching log position and
+// hard state to the batch.
 func (r *Replica) writeInitialState(machine *StateMachine, id uint64, b *wal.Batch) error {
 	meta := &pb.SnapshotMetadata{Index: proto.Uint64(machine.applied), Term: proto.Uint64(machine.term),
 		ConfState: &pb.ConfState{Voters: []uint64{id}}}
@@ -133,8 +134,8 @@
 	return nil
 }
 
-// Restore makes an empty folder the first instance of a new group with the state of a saved snapshot, and returns its
-// newest version. Instances of the old group are refused, and what it committed after the snapshot is lost. The new
+// Restore turns an empty folder into the first instance of a new group with the state of a saved snapshot, and returns
+// its newest version. Instances of the old group are refused, and what it committed after the snapshot is lost. The new
 // group is the next generation of the old one, which nodes follow. Errors are ErrFolderInUse, of the snapshot and of
 // the disk.
 func Restore(fs wal.FS, config Config, raw []byte) (*Version, error) {
@@ -145,9 +146,11 @@
 	return bootstrapRestored(fs, config, stored.stateMachine, nil)
 }
 
-// bootstrapRestored writes a state as that of a new group's first instance, changed by what a recovery found, or by
-// nothing but the snapshot's own state where found is nil.
-func bootstrapRestored(fs wal.FS, config Config, machine *StateMachine, plan *recovery.RestorePlan) (newest *Version, err error) {
+// bootstrapRestored writes a state as that of a new group's first instance, updated by a restore plan; a nil plan uses
+// the snapshot's state alone.
+func bootstrapRestored(fs wal.FS, config Config, machine *StateMachine, plan *recovery.RestorePlan) (
+	newest *Version, err error,
+) {
 	log, _, err := wal.Open(fs, config.Sizes)
 	if err != nil {
 		return nil, err
@@ -195,20 +198,21 @@
 	return err
 }
 
-// persistIdentities stores this instance's identity and the starts of the others.
+// persistIdentities stores this instance's identity and the starts of its peers.
 func (r *Replica) persistIdentities() error {
 	identity, starts, err := r.peers.marshal()
 	if err != nil {
 		return err
 	}
-	_, err = r.log.Commit(wal.Batch{Marks: []wal.Mark{{Kind: markIdentity, Data: identity}, {Kind: markPeers, Data: starts}}})
+	marks := []wal.Mark{{Kind: markIdentity, Data: identity}, {Kind: markPeers, Data: starts}}
+	_, err = r.log.Commit(wal.Batch{Marks: marks})
 	return err
 }
 
-// Close closes the folder. Nothing that was stored is lost without it.
+// Close closes the folder. Stored data is durable without it.
 func (r *Replica) Close() error { return r.log.Close() }
 
-// singleMember is the member table of a group of one.
+// singleMember returns the member table of a group of one.
 func singleMember(identity Identity, config *Config) memberTable {
 	founder := Member{ID: identity.ID, Name: identity.Name, Peer: config.Peer, Listen: config.Listen, Voter: true}
 	return memberTable{list: []Member{founder}}
--- a/internal/control/consensus/replica_propose.go
+++ b/internal/control/consensus/replica_propose.go
@@ -8,16 +8,17 @@
 	"go.etcd.io/raft/v3"
 )
 
-// Puts are refused when the log has less than a quarter of its size limit left, and the fleet's entries when it has
-// less than an eighth, so that leases go on where changes don't, and raft's own entries and a snapshot where neither
-// does: a log at its limit ends the instance. Smaller reserves risk that, larger ones waste disk.
+// Log space is reserved by priority: puts are rejected when less than 1/putReserveDivisor of the log's size limit is
+// left, and fleet entries at less than 1/entryReserveDivisor, so that leases are renewed longer than documents change.
+// The rest is for raft's own entries and a snapshot: a log at its limit stops the instance.
 const (
 	putReserveDivisor   = 4
 	entryReserveDivisor = 8
 )
 
-// Propose proposes a put. Its result comes with some later Work, or never: the caller repeats it under the same
-// number. Errors are ErrBarred, ErrLogNearLimit, raft.ErrProposalDropped and what is wrong with the put.
+// Propose proposes a put. A later ready cycle returns its result, or the proposal is lost and the caller proposes it
+// again under the same number. Errors are ErrBarred, ErrLogNearLimit, raft.ErrProposalDropped and those of an invalid
+// put.
 func (r *Replica) Propose(p *Put) error {
 	if r.peers.self.Barred != "" {
 		return ErrBarred
@@ -36,18 +37,18 @@
 	return r.node.Propose(raw)
 }
 
-// entry is the stored form of every entry of the log but a put. A put, which is a new version of the document, is
-// stored as a Put and is known by having no kind.
+// entry is the stored form of log entries except puts. A Put is stored as itself, without a kind.
 type entry struct {
 	Kind string          `json:"kind"`
 	Body json.RawMessage `json:"body"`
 }
 
+// kindLevel is the kind of entries that raise the group's feature level.
 const kindLevel = "level"
 
-// ProposeEntry proposes an entry that is no put: of a kind that LevelVersions does not have. It checks for LevelFleet
-// alone; what came with later levels is the caller's to hold back. That it was applied shows in its result.
-// Errors are ErrBarred, ErrFeatureLevel, ErrLogNearLimit and raft.ErrProposalDropped.
+// ProposeEntry proposes an entry other than a put. It checks for LevelFleet only; callers must not propose what the
+// group's level does not support. The outcome is returned when the entry is applied. Errors are ErrBarred,
+// ErrFeatureLevel, ErrLogNearLimit and raft.ErrProposalDropped.
 func (r *Replica) ProposeEntry(kind string, body []byte) error {
 	switch {
 	case r.peers.self.Barred != "":
@@ -64,7 +65,7 @@
 	return r.node.Propose(raw)
 }
 
-// Levels returns the feature levels that members support, by name, as far as they reported them in this run.
+// Levels returns the feature levels that members have reported in this run, by name.
 func (r *Replica) Levels() map[string]int {
 	levels := map[string]int{}
 	for _, m := range r.stateMachine.members.list {
@@ -77,8 +78,8 @@
 	return levels
 }
 
-// raiseLevel has the leader raise the group's level by one once every member has reported that it supports the next
-// one. A lost proposal is repeated after the time of an election.
+// raiseLevel lets the leader raise the group's level by one once every member supports the next one. A lost proposal is
+// repeated after an election timeout.
 func (r *Replica) raiseLevel() {
 	if r.stateMachine.level >= r.config.Level || len(r.stateMachine.members.list) == 0 {
 		return
@@ -95,9 +96,9 @@
 	r.ProposeEntry(kindLevel, []byte(fmt.Sprint(r.stateMachine.level+1)))
 }
 
-// Read asks for an index from which the state here is as new as any result given before. The id, used once, comes
-// back in a WorkResult once the index is applied, or never. Errors are ErrBarred, and raft.ErrProposalDropped without
-// a leader.
+// Read requests a linearizable read. A later ready cycle returns the id, which must be unique, once the state reflects
+// every result returned before the request; a lost request is not reported. Errors are ErrBarred, and
+// raft.ErrProposalDropped without a leader.
 func (r *Replica) Read(id uint64) error {
 	if r.peers.self.Barred != "" {
 		return ErrBarred
--- a/internal/control/consensus/replica_snapshot.go
+++ b/internal/control/consensus/replica_snapshot.go
@@ -9,22 +9,25 @@
 	"umberwinch/internal/wal"
 )
 
-// PendingSnapshot is a snapshot under way: Write may run while the replica works, SnapshotWritten ends it.
+// PendingSnapshot is a snapshot to be written: Write may run concurrently with the replica; SnapshotWritten finishes
+// it.
 type PendingSnapshot struct {
 	meta  *pb.SnapshotMetadata
 	parts [][]byte
 	log   *wal.Log
 }
 
-// SnapshotIfDue returns a snapshot to be written if there is enough new log, nil if not.
+// SnapshotIfDue returns a snapshot to be written if Config.SnapshotBytes of entries were added since the last one,
+// otherwise nil.
 func (r *Replica) SnapshotIfDue() (*PendingSnapshot, error) {
-	if r.snapshotting || r.store.bytesSinceSnapshot < r.config.SnapshotBytes || r.stateMachine.applied <= r.store.snapshotMeta.GetIndex() {
+	if r.snapshotting || r.store.bytesSinceSnapshot < r.config.SnapshotBytes ||
+		r.stateMachine.applied <= r.store.snapshotMeta.GetIndex() {
 		return nil, nil
 	}
 	return r.Snapshot()
 }
 
-// snapshotState gives the state as it is now, in parts that don't change any more.
+// snapshotState returns the current state as immutable parts.
 func (r *Replica) snapshotState() (*pb.SnapshotMetadata, [][]byte, error) {
 	meta := &pb.SnapshotMetadata{Index: proto.Uint64(r.stateMachine.applied), Term: proto.Uint64(r.stateMachine.term),
 		ConfState: proto.Clone(r.voterConfig).(*pb.ConfState)}
@@ -32,7 +35,7 @@
 	return meta, state, err
 }
 
-// Snapshot returns a snapshot of the state as it is now, to be written.
+// Snapshot returns a snapshot of the current state, to be written.
 func (r *Replica) Snapshot() (*PendingSnapshot, error) {
 	meta, state, err := r.snapshotState()
 	if err != nil {
@@ -46,12 +49,12 @@
 	return &PendingSnapshot{meta, parts, r.log}, nil
 }
 
-// Write makes it durable.
+// Write stores the snapshot durably.
 func (s *PendingSnapshot) Write() error { return s.log.SaveSnapshot(s.meta.GetIndex(), s.parts...) }
 
-// SnapshotWritten ends a snapshot with the result of its Write and lets the log before the older one go. One that
-// found the log at its size limit is tried again when more log has come; any other error means that the instance
-// can't go on.
+// SnapshotWritten finishes a snapshot with the error of its Write and truncates the log before the previous snapshot.
+// If the log was at its size limit, the snapshot is due again after more entries; after any other error the instance
+// must stop.
 func (r *Replica) SnapshotWritten(s *PendingSnapshot, err error) error {
 	r.snapshotting = false
 	if err != nil {
@@ -61,5 +64,5 @@
 		}
 		return err
 	}
-	return r.store.snapshotWritten(s.meta)
+	return r.store.recordSnapshot(s.meta)
 }
--- a/internal/control/consensus/replica_status.go
+++ b/internal/control/consensus/replica_status.go
@@ -7,7 +7,7 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
-// Peer is another instance as the leader sees it.
+// Peer is raft's progress of a member, as known to the leader.
 type Peer struct {
 	ID     uint64 `json:"id"`
 	Match  uint64 `json:"match"`
@@ -15,7 +15,7 @@
 	Active bool   `json:"active"`
 }
 
-// Status is the replica's own view.
+// Status is the state of a replica.
 type Status struct {
 	ID               uint64 `json:"id"`
 	Cluster          string `json:"cluster"`
@@ -32,14 +32,14 @@
 	DiskBytes        int64  `json:"disk_bytes"`
 	Syncs            uint64 `json:"syncs"`
 	Version          uint64 `json:"version"`
-	TicksSinceLeader int    `json:"alone_ticks"` // since a leader was heard
-	Campaigns        uint64 `json:"elections"`   // it stood for
+	TicksSinceLeader int    `json:"alone_ticks"` // since the last message of a leader
+	Campaigns        uint64 `json:"elections"`   // elections that it started
 	Barred           string `json:"barred,omitempty"`
-	Level            int    `json:"level"` // of the group, as applied here
+	Level            int    `json:"level"` // feature level of the group, as applied here
 	Peers            []Peer `json:"peers,omitempty"`
 }
 
-// Status returns the view as it is now.
+// Status returns the current status.
 func (r *Replica) Status() Status {
 	b := r.node.BasicStatus()
 	last, _ := r.store.LastIndex()
@@ -86,18 +86,18 @@
 	return s
 }
 
-// LogBounds returns the indexes of the first and last entry held.
+// LogBounds returns the indexes of the first and last entry in memory.
 func (r *Replica) LogBounds() (first, last uint64) {
 	return r.store.offset + 1, r.store.offset + uint64(len(r.store.entries))
 }
 
-// EntryAt returns the term and data of an entry that is held.
+// EntryAt returns the term and data of an entry within LogBounds.
 func (r *Replica) EntryAt(i uint64) (term uint64, data []byte) {
 	e := r.store.entries[i-r.store.offset-1]
 	return e.GetTerm(), e.GetData()
 }
 
-// Versions returns the versions held, each as a line of JSON, and the number of the first. Neither changes any more.
+// Versions returns the stored versions, each as one line of JSON, and the number of the first. The lines are immutable.
 func (r *Replica) Versions() ([][]byte, uint64) {
 	return r.stateMachine.versions.lines, r.stateMachine.versions.first
 }
--- a/internal/control/consensus/restored_group.go
+++ b/internal/control/consensus/restored_group.go
@@ -13,14 +13,14 @@
 	"umberwinch/internal/wal"
 )
 
-// StoredGroup is the state of a group as a folder or a saved snapshot holds it.
+// StoredGroup is the state of a group read from a folder or a saved snapshot.
 type StoredGroup struct {
 	stateMachine *StateMachine
 	Name         string
 }
 
-// ReadFolder reads the state of a stopped instance's folder as far as its entries are known to be committed. No other
-// instance is asked, so what was committed last may be missing. Errors are ErrEmptyFolder and those of Open.
+// ReadFolder reads the state of a stopped instance's folder, up to the last entry known to be committed. Later entries
+// may have been committed by other instances. Errors are ErrEmptyFolder and those of Open.
 func ReadFolder(fs wal.FS, config Config) (*StoredGroup, error) {
 	log, _, err := wal.Open(fs, config.Sizes)
 	if err != nil {
@@ -42,7 +42,7 @@
 	}
 	_, err = r.Work(func([]*pb.Message) {})
 	if voters := r.voterConfig.GetVoters(); err == nil && len(voters) == 1 && voters[0] == r.ID() {
-		// In a group of one all that is durable is committed: an election of its own says so.
+		// In a group of one every durable entry is committed; an election of this instance commits them.
 		if err = r.node.Campaign(); err == nil {
 			_, err = r.Work(func([]*pb.Message) {})
 		}
@@ -53,12 +53,12 @@
 	}
 	r.stateMachine.uncommittedEntries = last - min(last, r.stateMachine.applied)
 	if r.stateMachine.cluster == "" {
-		return nil, ErrEmptyFolder // it waits to be added to a group
+		return nil, ErrEmptyFolder // it was never added to a group
 	}
 	return &StoredGroup{r.stateMachine, r.peers.self.Name}, nil
 }
 
-// ReadSnapshot reads a snapshot: a file of an instance's folder, or what `umberctl control snapshot save` wrote.
+// ReadSnapshot reads a snapshot: a file of an instance's folder, or one that `umberctl control snapshot save` wrote.
 func ReadSnapshot(raw []byte) (*StoredGroup, error) {
 	if body, _, ok := wal.Unwrap(raw); ok {
 		raw = body
@@ -74,7 +74,7 @@
 	return &StoredGroup{m, ""}, nil
 }
 
-// Evidence returns what a recovery has to know of the stored state, nil where there is none.
+// Evidence returns the stored state as input of a restore plan, nil for a nil group.
 func (s *StoredGroup) Evidence() *recovery.StoredGroup {
 	if s == nil {
 		return nil
@@ -82,7 +82,7 @@
 	return s.stateMachine.storedGroup()
 }
 
-// storedGroup gives what a recovery has to know of the state.
+// storedGroup returns the state as input of a restore plan.
 func (m *StateMachine) storedGroup() *recovery.StoredGroup {
 	fleet := m.fleet
 	rules := fleet.Policy.ActiveRules()
@@ -110,9 +110,8 @@
 	return stored
 }
 
-// Recover makes an empty folder the first instance of the next generation of a group, by what a recovery found, and
-// returns its newest version. Errors are *RejectedError where the evidence conflicts, ErrFolderInUse, and of the
-// disk.
+// Recover turns an empty folder into the first instance of a group's next generation by a restore plan, and returns its
+// newest version. Errors are *RejectedError if the evidence conflicts, ErrFolderInUse, and of the disk.
 func Recover(fs wal.FS, config Config, stored *StoredGroup, plan *recovery.RestorePlan) (*Version, error) {
 	if plan.Conflict != "" {
 		return nil, &RejectedError{plan.Conflict}
@@ -125,7 +124,7 @@
 	return bootstrapRestored(fs, config, machine, plan)
 }
 
-// beginGeneration makes the state that of the next generation.
+// beginGeneration turns the state into that of the next generation.
 func (m *StateMachine) beginGeneration(plan *recovery.RestorePlan) error {
 	if plan.Version > 0 {
 		if _, hash, ok := m.Text(plan.Version); !ok || hash != plan.Hash || plan.Hash == "" {
@@ -135,22 +134,22 @@
 		}
 	}
 	if m.level >= LevelFleet || len(plan.Records) > 0 || plan.Version > 0 {
-		m.level = LatestLevel // an older program can't read generations
+		m.level = LatestLevel // older programs can not read generations
 	}
 	return m.fleet.BeginGeneration(plan, m)
 }
 
-// setRestoredVersion makes what was found the newest version. Where its number does not follow the newest one,
-// versions before it are dropped.
+// setRestoredVersion makes the plan's version the newest one. If its number does not directly follow the newest one,
+// earlier versions are dropped.
 func (m *StateMachine) setRestoredVersion(plan *recovery.RestorePlan) error {
 	if plan.Version != m.Last()+1 {
 		m.versions = versionHistory{first: plan.Version}
 	}
-	if plan.Hash == "" { // no node has the text: the next put gets the number after it
+	if plan.Hash == "" { // no node has the text: the next put gets the following number
 		m.versions.newest, m.versions.hash = nil, ""
 		return nil
 	}
-	d, err := document.ParseUnder(document.LatestRules, "what was found", []byte(plan.Text))
+	d, err := document.ParseUnder(document.LatestRules, "restored text", []byte(plan.Text))
 	if err != nil {
 		return err
 	}
--- a/internal/control/consensus/sessions.go
+++ b/internal/control/consensus/sessions.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// maxSessions is how many clients' last results are held. A larger table costs memory and snapshot bytes; with a
-// smaller one a client that pauses meets PutExpired sooner. The same at every instance, as what is dropped must be.
+// maxSessions bounds the sessions held, for memory and snapshot size. Eviction is replicated state, so it must be the
+// same at every instance.
 const maxSessions = 4096
 
 // session is a client's last put and its result.
@@ -16,20 +16,20 @@
 	result PutResult
 }
 
-// sessionTable guards against a repeated put that counts twice: a client that got no result in time, as across a
-// change of leader, repeats the put under its number and gets the first one's result. The longest unused sessions are
-// dropped; a put of one of those names an old version and ends as a conflict, so dropping is harmless.
+// sessionTable deduplicates puts: a client without a result, as after a change of leader, repeats the put under its
+// number and gets the first one's result. The least recently used sessions are evicted. That is safe: a repeated put of
+// an evicted session names an old base version and ends as a conflict.
 type sessionTable struct {
 	byName    map[string]*list.Element // of *session
-	byLastUse *list.List               // the longest unused first
+	byLastUse *list.List               // least recently used first
 }
 
 func newSessionTable() sessionTable {
 	return sessionTable{byName: map[string]*list.Element{}, byLastUse: list.New()}
 }
 
-// applyOnce gives the stored result of a repeated put and runs apply for a new one. last is the newest version. forget is
-// the disabled guard, for fault tests alone.
+// applyOnce returns the stored result of a repeated put and calls apply for a new one. newest is the newest version.
+// disabled is the disabled guard SessionTable, for fault tests.
 func (t *sessionTable) applyOnce(p *Put, newest uint64, disabled bool, apply func() PutResult) PutResult {
 	e := t.byName[p.Session]
 	if e == nil {
@@ -60,14 +60,14 @@
 	}
 }
 
-// savedSession is a line of a snapshot.
+// savedSession is a session's line in a snapshot.
 type savedSession struct {
 	Name   string    `json:"name"`
 	Seq    uint64    `json:"seq"`
 	Result PutResult `json:"answer"`
 }
 
-// snapshot gives the sessions, the longest unused first.
+// snapshot returns the sessions, least recently used first.
 func (t *sessionTable) snapshot() []savedSession {
 	saved := make([]savedSession, 0, t.byLastUse.Len())
 	for e := t.byLastUse.Front(); e != nil; e = e.Next() {
@@ -77,5 +77,5 @@
 	return saved
 }
 
-// restore adds a session of a snapshot, in its order.
+// restore adds a session of a snapshot; sessions must be added in the snapshot's order.
 func (t *sessionTable) restore(s savedSession) { t.add(&session{s.Name, s.Seq, s.Result}) }
--- a/internal/control/consensus/state_machine.go
+++ b/internal/control/consensus/state_machine.go
@@ -9,39 +9,38 @@
 	"umberwinch/internal/control/policy"
 )
 
-// StateMachine is the replicated state, put together from its subsystems. It is given committed entries in order and
-// nothing else, so it is the same at every instance after the same entry. It never looks at a clock: the age of a
-// session is how many others were used since.
+// StateMachine is the replicated state. It changes only by committed entries, applied in log order, so it is the same
+// at every instance after the same entry. It uses no clock: sessions are evicted by order of use.
 type StateMachine struct {
 	disabledGuards Guard
-	supportedLevel int // the newest level of which this instance's program can read entries
+	supportedLevel int // highest feature level whose entries this program can read
 
 	cluster string
-	applied uint64 // index of the entry applied last
-	term    uint64 // of that entry
-	level   int    // the group's: what entries may be proposed
+	applied uint64 // index of the last applied entry
+	term    uint64 // of the last applied entry
+	level   int    // feature level of the group: which entries may be proposed
 
 	versions versionHistory
 	sessions sessionTable
 	members  memberTable
 	fleet    *coordinator.State
 
-	// uncommittedEntries counts entries of a stored folder, read for a recovery, that are not known to be committed.
+	// uncommittedEntries counts entries that are not known to be committed, in a stored folder read for a recovery.
 	uncommittedEntries uint64
 }
 
-// Feature levels. A group has the least of its members', raised by an entry once all have said what they support, and
-// never lowered: an older program would read an entry that it does not know, or apply one otherwise.
+// Feature levels. A group's level is the least that its members support. An entry raises it once all have reported
+// support, and it is never lowered: an older program could not read newer entries, or would apply them differently.
 const (
 	LevelVersions    = 1                            // versions and members
 	LevelFleet       = 2                            // nodes, policy changes, documents with [fleet]
 	LevelZones       = 3                            // evacuation and return of zones, documents with [zones]
-	LevelGenerations = coordinator.LevelGenerations // proofs of lost state, restored groups as new generations
-	LevelSameProcess = coordinator.LevelSameProcess // nodes say that their process went on
+	LevelGenerations = coordinator.LevelGenerations // proven losses of state, restored groups as new generations
+	LevelSameProcess = coordinator.LevelSameProcess // heartbeat requests that say that the process did not restart
 	LatestLevel      = LevelSameProcess
 )
 
-// rulesForLevel gives the numbering of a document's rules at a level.
+// rulesForLevel returns the version of the document rules at a feature level.
 func rulesForLevel(level int) int { return min(level, document.LatestRules) }
 
 func newStateMachine(cluster string, disabled Guard) *StateMachine {
@@ -59,14 +58,14 @@
 // Last returns the number of the newest version of the document, 0 before the first.
 func (m *StateMachine) Last() uint64 { return m.versions.last() }
 
-// Text returns a version of the document with its hash; ok is false where it is not held.
+// Text returns a version of the document and its hash; ok is false if it is not held.
 func (m *StateMachine) Text(number uint64) (text, hash string, ok bool) {
 	return m.versions.text(number)
 }
 
-// applyEntry applies what a committed entry carries, a put or an entry of a kind. It returns the put's result, or the
-// outcome of a fleet entry; at least one of them is nil. An error means that the entry can't be read: the instance
-// can't go on, as others may have applied it.
+// applyEntry applies the data of a committed entry, a put or an entry with a kind. It returns the result of the put or
+// the outcome of the fleet entry; at least one is nil. An error means that the entry can not be read, and the instance
+// must stop, as others may have applied it.
 func (m *StateMachine) applyEntry(data []byte, index, term uint64) (*AppliedPut, coordinator.Outcome, error) {
 	var e entry
 	if err := json.Unmarshal(data, &e); err != nil {
@@ -105,7 +104,7 @@
 	return nil
 }
 
-// applyPut gives a put's result. A repeated put gets the first one's, whatever happened since.
+// applyPut returns a put's result; a repeated put gets the stored one.
 func (m *StateMachine) applyPut(p *Put, index, term uint64) PutResult {
 	return m.sessions.applyOnce(p, m.versions.last(), m.disabledGuards.Has(SessionTable), func() PutResult {
 		if last := m.versions.last(); p.Base != last && !m.disabledGuards.Has(CompareAndSet) {
@@ -115,21 +114,21 @@
 	})
 }
 
-// activeDocument gives the document that requests in flight were accepted under: the newest version, or where nodes are
-// told of policy changes, the version that is in force there. A version whose change was aborted binds nobody.
+// activeDocument returns the document that a new version must be compatible with: the committed version of policy
+// changes or, before the first policy change, the newest version. A version whose change was aborted does not count.
 func (m *StateMachine) activeDocument() *document.Document {
 	state := m.fleet.Policy
 	if state.LastNumber == 0 {
 		return m.versions.newest
 	}
 	if state.CommittedVersion < m.versions.first {
-		return nil // none yet, or one that is not held any more: all instances find so
+		return nil // none yet, or dropped; all instances decide the same
 	}
 	v, err := ReadVersion(m.versions.lines[state.CommittedVersion-m.versions.first])
 	if err != nil {
 		return m.versions.newest
 	}
-	d, err := document.ParseUnder(max(1, v.Rules), "version in force", []byte(v.Text))
+	d, err := document.ParseUnder(max(1, v.Rules), "committed version", []byte(v.Text))
 	if err != nil {
 		return m.versions.newest
 	}
--- a/internal/control/consensus/state_snapshot.go
+++ b/internal/control/consensus/state_snapshot.go
@@ -6,24 +6,24 @@
 	"fmt"
 )
 
-// snapshotHeader is the first line of a saved state; sessions and then versions follow it, a line each.
+// snapshotHeader is the first line of a serialized state; the lines of sessions and then versions follow.
 type snapshotHeader struct {
 	Cluster  string   `json:"cluster"`
 	Applied  uint64   `json:"applied"`
 	Term     uint64   `json:"term"`
-	First    uint64   `json:"first"` // version
+	First    uint64   `json:"first"` // number of the first version
 	Versions int      `json:"versions"`
 	Sessions int      `json:"sessions"`
 	Members  []Member `json:"members"`
 	Removed  []uint64 `json:"removed"`
 	Level    int      `json:"level,omitempty"`
-	// Fleet is the fleet's state. It and the level are left out at the first level, which an older program reads.
+	// Fleet is the fleet's state. It and Level are omitted at the first level, whose snapshots older programs read.
 	Fleet json.RawMessage `json:"nodes,omitempty"`
 }
 
 var newline = []byte{'\n'}
 
-// snapshot gives the state in parts that don't change any more, so that they can be written while entries are applied.
+// snapshot serializes the state into immutable parts, which may be written while entries are applied.
 func (m *StateMachine) snapshot() ([][]byte, error) {
 	sessions := m.sessions.snapshot()
 	header := snapshotHeader{
@@ -61,7 +61,7 @@
 	return parts, nil
 }
 
-// lineReader cuts a saved state into lines; past the end they are empty, which is no JSON.
+// lineReader splits a serialized state into lines. Past the end it returns empty lines, which are not valid JSON.
 type lineReader struct{ rest []byte }
 
 func (r *lineReader) next() (line []byte) {
@@ -69,7 +69,7 @@
 	return line
 }
 
-// restoreStateMachine reads what snapshot gave. Its error is a *SnapshotError.
+// restoreStateMachine reads a state serialized by snapshot. Its error is a *SnapshotError.
 func restoreStateMachine(raw []byte, disabled Guard) (*StateMachine, error) {
 	m, err := parseSnapshot(&lineReader{raw}, disabled)
 	if err != nil {
--- a/internal/control/consensus/store.go
+++ b/internal/control/consensus/store.go
@@ -19,25 +19,25 @@
 	markPeers
 )
 
-// store keeps raft's entries and hard state in the durable log and is raft's storage. Entries since the older of two
-// snapshots are in memory too. The replica's goroutine alone uses it.
+// store implements raft.Storage on the durable log. Entries since the older of two snapshots are also in memory. Only
+// the replica's goroutine uses it.
 type store struct {
 	log                *wal.Log
 	hardState          *pb.HardState
-	offset             uint64 // entries[0] has index offset+1
+	offset             uint64 // index of the entry before entries[0]
 	offsetTerm         uint64 // of the entry at offset
 	entries            []*pb.Entry
-	snapshotMeta       *pb.SnapshotMetadata // the newest
-	bytesSinceSnapshot int                  // of entries since the newest snapshot
+	snapshotMeta       *pb.SnapshotMetadata // of the newest snapshot
+	bytesSinceSnapshot int                  // size of the entries after the newest snapshot
 	currentState       func() (*pb.SnapshotMetadata, [][]byte, error)
 }
 
-// snapshotFileHeader is the first line of a snapshot, before the state.
+// snapshotFileHeader is the first line of a snapshot; the serialized state follows.
 type snapshotFileHeader struct {
-	Meta []byte `json:"meta"` // raft's metadata as protobuf
+	Meta []byte `json:"meta"` // pb.SnapshotMetadata as protobuf
 }
 
-// snapshotParts puts raft's metadata before the parts of a state.
+// snapshotParts prepends the header with raft's metadata to a serialized state.
 func snapshotParts(meta *pb.SnapshotMetadata, state [][]byte) ([][]byte, error) {
 	raw, err := proto.Marshal(meta)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return append([][]byte{append(header, '\n')}, state...), nil
 }
 
-// readSnapshot splits a snapshot into raft's metadata and the state. Its error is a *SnapshotError.
+// readSnapshot splits a snapshot into raft's metadata and the serialized state. Its error is a *SnapshotError.
 func readSnapshot(raw []byte) (*pb.SnapshotMetadata, []byte, error) {
 	for i, c := range raw {
 		if c != '\n' {
@@ -69,13 +69,13 @@
 	return nil, nil, &SnapshotError{errNoSnapshotHeader}
 }
 
-// openStore reads hard state, newest sound snapshot and the entries after it. It returns the snapshot's state, nil if
-// there is none.
+// openStore reads the hard state, the newest undamaged snapshot and the entries after it. It returns the snapshot's
+// state, nil if there is none.
 func openStore(log *wal.Log) (*store, []byte, error) {
 	s := &store{log: log, hardState: &pb.HardState{}, snapshotMeta: &pb.SnapshotMetadata{ConfState: &pb.ConfState{}}}
 	if raw := log.Mark(markHardState); raw != nil {
 		if err := proto.Unmarshal(raw, s.hardState); err != nil {
-			return nil, nil, fmt.Errorf("the hard state: %w", err)
+			return nil, nil, fmt.Errorf("hard state: %w", err)
 		}
 	}
 	var state []byte
@@ -95,7 +95,7 @@
 	}
 	index := s.snapshotMeta.GetIndex()
 	if firstErr != nil && (state == nil || log.First() > index+1) {
-		return nil, nil, firstErr // entries before the damaged one are gone
+		return nil, nil, firstErr // entries before the damaged snapshot were truncated
 	}
 	if err := s.alignLog(index); err != nil {
 		return nil, nil, err
@@ -115,9 +115,8 @@
 	return s, state, nil
 }
 
-// alignLog makes the log go on from the snapshot. It guards against a crash between writing a snapshot of the leader
-// and cutting the log: what the log holds is then of another history, unless its entry at the snapshot's index has
-// the snapshot's term.
+// alignLog makes the log continue at the snapshot. It guards against a crash between storing a leader's snapshot and
+// resetting the log: the log's entries then conflict with the snapshot, unless the one at its index has its term.
 func (s *store) alignLog(index uint64) error {
 	if index == 0 || s.log.First() == index+1 {
 		return nil
@@ -147,7 +146,7 @@
 	return e, nil
 }
 
-// persist stores what raft needs stored before messages are sent: one write, one sync.
+// persist stores hard state and entries in one write with one sync.
 func (s *store) persist(hardState *pb.HardState, entries []*pb.Entry) error {
 	var b wal.Batch
 	if len(entries) > 0 {
@@ -184,7 +183,7 @@
 	return nil
 }
 
-// updateMemory takes over in memory what is on disk, or what raft does not need stored.
+// updateMemory updates the copies in memory, after a write or for what need not be durable.
 func (s *store) updateMemory(hardState *pb.HardState, entries []*pb.Entry) {
 	if !raft.IsEmptyHardState(hardState) {
 		s.hardState = hardState
@@ -195,7 +194,7 @@
 	}
 }
 
-// installSnapshot puts a snapshot of the leader in place of all there is.
+// installSnapshot replaces log and state by a snapshot of the leader.
 func (s *store) installSnapshot(snapshot *pb.Snapshot, hardState *pb.HardState) error {
 	meta := snapshot.GetMetadata()
 	parts, err := snapshotParts(meta, [][]byte{snapshot.GetData()})
@@ -223,8 +222,8 @@
 	return s.log.TruncateFront(index)
 }
 
-// snapshotResult takes note of a durable snapshot: the log that the older one stands for may go.
-func (s *store) snapshotWritten(meta *pb.SnapshotMetadata) error {
+// recordSnapshot records a durable snapshot and truncates the log before the previous one.
+func (s *store) recordSnapshot(meta *pb.SnapshotMetadata) error {
 	if meta.GetIndex() <= s.snapshotMeta.GetIndex() {
 		return nil
 	}
@@ -288,8 +287,8 @@
 	return part[:len(part):len(part)], nil
 }
 
-// Snapshot is part of raft.Storage. It gives the state as it is now: a snapshot on disk may be from before the
-// receiver became a member, and raft does not accept such a one.
+// Snapshot is part of raft.Storage. It returns the current state: a stored snapshot may predate the receiver's
+// membership, and raft rejects such a snapshot.
 func (s *store) Snapshot() (*pb.Snapshot, error) {
 	meta, state, err := s.currentState()
 	if err != nil {
--- a/internal/control/consensus/transport.go
+++ b/internal/control/consensus/transport.go
@@ -14,27 +14,28 @@
 	"umberwinch/internal/logging"
 )
 
-// Bounds of the transport. They protect memory from peers that are slow or send what can't be read; raft sends again
-// what is dropped.
+// Bounds of the transport. They limit memory when peers are slow or send invalid data; raft sends dropped messages
+// again.
 const (
-	maxQueuedMessages     = 512 // for one peer
-	maxQueuedBytes        = 32 << 20
+	maxQueuedMessages     = 512       // per peer
+	maxQueuedBytes        = 32 << 20  // per peer
 	maxInboundConnections = 64        // several for each of maxMembers
 	maxSnapshotBytes      = 160 << 20 // twice maxVersionBytes, and the rest of a state
-	snapshotChunkBytes    = 256 << 10 // in one frame: little enough that the rate limit is even
+	snapshotChunkBytes    = 256 << 10 // per frame; small enough that the rate limit is smooth
 	maxHandshakeBytes     = 4 << 10
 )
 
-// Timeouts of the transport. Each is longer than a slow network takes and shorter than an operator's patience.
+// Timeouts of the transport.
 const (
 	handshakeTimeout    = 2 * time.Second  // to connect and exchange hellos
-	writeTimeout        = 5 * time.Second  // for a frame to be sent
+	writeTimeout        = 5 * time.Second  // of one frame
 	snapshotIdleTimeout = 10 * time.Second // between two chunks
 	minBackoff          = 20 * time.Millisecond
-	maxBackoff          = time.Second // a peer that is up again is reached within it
+	maxBackoff          = time.Second // bounds the delay until a recovered peer is reached
 )
 
-// messageHandler is what the transport needs of the replica's owner. Its methods run on the replica's goroutine.
+// messageHandler is the transport's access to the replica, implemented by Group. Its methods are called from the
+// transport's goroutines; reportUnreachable and reportSnapshot also from the replica's own, so they must not block.
 type messageHandler interface {
 	hello(to uint64) (Hello, error)
 	handleHello(h Hello) (reason string, err error)
@@ -44,15 +45,15 @@
 	reportSnapshot(to uint64, ok bool)
 }
 
-// transportCounters are read by metrics.
+// transportCounters are exported as metrics.
 type transportCounters struct {
 	sent, received, dropped, refused, broken, snapshotsSent, snapshotsReceived atomic.Uint64
 }
 
-// transport carries messages between instances: one connection a peer and direction for raft's messages, and one for
-// each snapshot, so that a heartbeat never waits behind a snapshot: it would look as if the leader were gone. It owns
-// connections, queues and their goroutines, which close ends. It never decides whom to speak with, and never waits
-// for a peer on the replica's goroutine.
+// transport carries messages between instances: one connection per peer and direction for raft messages, and one per
+// snapshot, so that heartbeats are not delayed behind a snapshot, which could trigger an election. It owns connections,
+// queues and their goroutines until close. Its handler decides which peers to accept. It never blocks the replica's
+// goroutine on a peer.
 type transport struct {
 	handler     messageHandler
 	credentials *credentials
@@ -65,8 +66,8 @@
 
 	mu                sync.Mutex
 	peers             map[uint64]*peer
-	inbound           map[net.Conn]uint64 // by id of the peer, 0 before its hello
-	receivingSnapshot bool                // at most one
+	inbound           map[net.Conn]uint64 // id of the peer, 0 before its hello
+	receivingSnapshot bool                // at most one at a time
 }
 
 func newTransport(handler messageHandler, creds *credentials, log *logrus.Logger, rateMB int) *transport {
@@ -84,9 +85,8 @@
 	}
 }
 
-// spawn runs f on a goroutine that close waits for. It returns false, and f does not run, once close has begun: a
-// goroutine that came to the wait group while close waits there would outlive the transport, or panic if it came as
-// the group reached zero.
+// spawn runs f on a goroutine that close waits for. Once close has begun it returns false and does not run f: adding to
+// the wait group then could panic or leave a goroutine behind.
 func (t *transport) spawn(f func()) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,8 +121,8 @@
 	}
 }
 
-// serveConnection handles an accepted connection on a goroutine of its own. One that comes as the transport closes,
-// or past the bound, is closed at once.
+// serveConnection handles an accepted connection on its own goroutine. It closes the connection at once if the
+// transport is closing or the table is full.
 func (t *transport) serveConnection(c net.Conn) {
 	if !t.register(c) {
 		t.counters.refused.Add(1)
@@ -138,7 +138,7 @@
 	}
 }
 
-// register takes an inbound connection into the table. It returns false when the table is full.
+// register adds an inbound connection to the table. It returns false if the table is full.
 func (t *transport) register(c net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,7 +149,7 @@
 	return true
 }
 
-// unregister closes an inbound connection and takes it from the table.
+// unregister closes an inbound connection and removes it from the table.
 func (t *transport) unregister(c net.Conn) {
 	t.mu.Lock()
 	delete(t.inbound, c)
@@ -157,8 +157,8 @@
 	c.Close()
 }
 
-// setPeers sets whom to connect to, by id and address. Connections of removed instances are closed, so that they are
-// told that they were removed when they connect again.
+// setPeers sets the peers to connect to. Connections of removed instances are closed, so that they learn of their
+// removal when they reconnect.
 func (t *transport) setPeers(members []Member, removed []uint64, self uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,7 +190,7 @@
 	}
 }
 
-// send queues messages. Those that find a queue full are dropped, as a network would.
+// send queues messages. Messages that exceed a peer's queue are dropped, as a network would.
 func (t *transport) send(ms []*pb.Message) {
 	for _, m := range ms {
 		t.mu.Lock()
@@ -221,18 +221,18 @@
 	}
 }
 
-// deliverSnapshot sends a snapshot and reports how that ended.
+// deliverSnapshot sends a snapshot and reports the result to raft.
 func (t *transport) deliverSnapshot(p *peer, m *pb.Message) {
 	err := t.sendSnapshot(p, m)
 	p.sendingSnapshot.Store(false)
 	if err != nil {
 		t.log.WithFields(logrus.Fields{logging.Peer: idText(p.id), logging.Error: err}).
-			Warn("snapshot not sent completely")
+			Warn("failed to send a snapshot")
 	}
 	t.handler.reportSnapshot(p.id, err == nil)
 }
 
-// close ends all connections and waits for their goroutines.
+// close closes all connections and waits for their goroutines.
 func (t *transport) close() {
 	t.stop()
 	t.mu.Lock()
--- a/internal/control/consensus/transport_inbound.go
+++ b/internal/control/consensus/transport_inbound.go
@@ -14,7 +14,7 @@
 	"umberwinch/internal/logging"
 )
 
-// accept answers the hello of an instance that connected and reads what it sends, until the connection ends.
+// accept handles the handshake of an inbound connection and reads from it until it ends.
 func (t *transport) accept(c net.Conn) {
 	r := bufio.NewReaderSize(c, 64<<10)
 	h, ok := t.acceptHello(c, r)
@@ -29,7 +29,7 @@
 	t.readMessages(r, h.ID)
 }
 
-// acceptHello reads and answers a hello. A connection that does not go on is for its caller to close.
+// acceptHello reads and answers a hello. If ok is false the caller must close the connection.
 func (t *transport) acceptHello(c net.Conn, r *bufio.Reader) (h Hello, ok bool) {
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	kind, raw, err := readFrame(r, maxHandshakeBytes)
@@ -41,7 +41,7 @@
 	}
 	if err != nil {
 		t.counters.broken.Add(1)
-		t.log.WithField(logging.Error, err).Debug("inbound connection without a hello")
+		t.log.WithField(logging.Error, err).Debug("inbound connection without a valid hello")
 		return h, false
 	}
 	reason, err := t.handler.handleHello(h)
@@ -55,7 +55,7 @@
 	if reason != "" {
 		t.counters.refused.Add(1)
 		t.log.WithFields(logrus.Fields{logging.Peer: idText(h.ID), logging.Node: h.Name, logging.Reason: reason}).
-			Warn("an instance was refused")
+			Warn("connection of an instance refused")
 		writeJSON(c, frameRefused, reason)
 		return h, false
 	}
@@ -66,8 +66,8 @@
 	return h, true
 }
 
-// readMessages hands over a peer's messages. One in the name of another instance, or a snapshot outside a bulk
-// connection, ends the connection: raft would take it for the other's.
+// readMessages passes a peer's messages to the handler. A message with another sender, or a snapshot outside a bulk
+// connection, ends the connection: raft would attribute it to the other instance.
 func (t *transport) readMessages(r *bufio.Reader, from uint64) {
 	for t.ctx.Err() == nil {
 		kind, raw, err := readFrame(r, maxFrameBytes)
@@ -78,7 +78,7 @@
 		if kind != frameMessage || proto.Unmarshal(raw, m) != nil || m.GetFrom() != from ||
 			m.GetType() == pb.MessageType_MsgSnap {
 			t.counters.broken.Add(1)
-			t.log.WithField(logging.Peer, idText(from)).Warn("message that can't be from this peer")
+			t.log.WithField(logging.Peer, idText(from)).Warn("invalid message from a peer; its connection is closed")
 			return
 		}
 		t.counters.received.Add(1)
@@ -86,7 +86,7 @@
 	}
 }
 
-// replaceConnection notes whose connection this is and closes an older one of that peer.
+// replaceConnection registers the connection's peer and closes older connections of that peer.
 func (t *transport) replaceConnection(c net.Conn, id uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/consensus/transport_peer.go
+++ b/internal/control/consensus/transport_peer.go
@@ -16,17 +16,17 @@
 	"umberwinch/internal/logging"
 )
 
-// peer is another instance as this one sends to it.
+// peer is the sending side for another instance.
 type peer struct {
 	id              uint64
 	addr            string
 	queue           chan *pb.Message
-	queuedBytes     atomic.Int64 // of what is queued
+	queuedBytes     atomic.Int64 // size of the messages in queue
 	stop            context.CancelFunc
 	sendingSnapshot atomic.Bool
 }
 
-// enqueue queues a message unless that passes the bound of messages or bytes.
+// enqueue queues a message. It returns false if the queue's limit of messages or bytes would be exceeded.
 func (p *peer) enqueue(m *pb.Message) bool {
 	n := int64(proto.Size(m))
 	if p.queuedBytes.Add(n) <= maxQueuedBytes {
@@ -40,10 +40,10 @@
 	return false
 }
 
-// releaseBytes returns the bytes of a message that left the queue.
+// releaseBytes subtracts a dequeued message from queuedBytes.
 func (p *peer) releaseBytes(m *pb.Message) { p.queuedBytes.Add(-int64(proto.Size(m))) }
 
-// dial connects to a peer and makes sure that it is the one meant.
+// dial connects to a peer and completes the handshake.
 func (t *transport) dial(p *peer, bulk bool) (net.Conn, error) {
 	c, err := t.credentials.dial(p.addr, handshakeTimeout)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return c, nil
 }
 
-// handshake sends a hello and judges the answer. A peer that says that this instance must take no part ends its part.
+// handshake sends a hello and checks the response. A refusal may bar this instance from the group.
 func (t *transport) handshake(c net.Conn, p *peer, bulk bool) error {
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	h, err := t.handler.hello(p.id)
@@ -100,13 +100,13 @@
 	return &FrameError{fmt.Sprintf("of kind %d", kind), "a welcome"}
 }
 
-// connect keeps a connection to a peer and sends what is queued, until ctx is done. Failures are logged as they change.
+// connect keeps a connection to a peer and sends queued messages until ctx is done.
 func (t *transport) connect(ctx context.Context, p *peer) {
 	backoff, logged := minBackoff, ""
 	for ctx.Err() == nil {
 		c, err := t.dial(p, false)
 		if err != nil {
-			if err.Error() != logged { // log changes alone
+			if err.Error() != logged { // log each failure once
 				logged = err.Error()
 				t.log.WithFields(logrus.Fields{logging.Peer: idText(p.id), logging.Address: p.addr,
 					logging.Error: err}).Info("peer unreachable")
@@ -130,8 +130,7 @@
 	}
 }
 
-// dropQueued empties a queue: messages that waited while a peer was unreachable are outdated, and raft sends them
-// again.
+// dropQueued empties a queue: messages queued while the peer was unreachable are outdated, and raft sends them again.
 func (t *transport) dropQueued(p *peer) {
 	for {
 		select {
@@ -144,11 +143,11 @@
 	}
 }
 
-// writeMessages sends queued messages until the connection breaks or ctx is done.
+// writeMessages sends queued messages until the connection fails or ctx is done.
 func (t *transport) writeMessages(ctx context.Context, p *peer, c net.Conn) {
 	closed := make(chan struct{})
-	// Peers send nothing this way: a read that ends means that the connection is closed. connect closes it once this
-	// function has returned, which ends the goroutine.
+	// Peers send nothing on this connection, so the read returns only when it is closed. connect closes it after this
+	// function returns, which ends the goroutine.
 	go func() {
 		var unread [1]byte
 		c.Read(unread[:])
--- a/internal/control/consensus/transport_snapshot.go
+++ b/internal/control/consensus/transport_snapshot.go
@@ -15,14 +15,14 @@
 	"umberwinch/internal/logging"
 )
 
-// snapshotAnnouncement opens a snapshot: how long the state is and its sum.
+// snapshotAnnouncement precedes the chunks of a snapshot.
 type snapshotAnnouncement struct {
-	Message []byte `json:"message"`
-	Bytes   int    `json:"bytes"`
-	Sum     uint64 `json:"sum"`
+	Message []byte `json:"message"` // raft's message without the state // raft's message without the state
+	Bytes   int    `json:"bytes"`   // size of the state
+	Sum     uint64 `json:"sum"`     // xxhash of the state
 }
 
-// receiveSnapshot reads one snapshot, at most one at a time, and hands it over whole.
+// receiveSnapshot reads one snapshot, at most one at a time, and passes it on once it is complete and verified.
 func (t *transport) receiveSnapshot(c net.Conn, r *bufio.Reader, from uint64) {
 	t.mu.Lock()
 	busy := t.receivingSnapshot
@@ -36,7 +36,7 @@
 	fail := func(err error) {
 		t.counters.broken.Add(1)
 		t.log.WithFields(logrus.Fields{logging.Peer: idText(from), logging.Error: err}).Warn(
-			"incomplete snapshot received; the peer sends it again")
+			"received an incomplete or invalid snapshot")
 	}
 	c.SetReadDeadline(time.Now().Add(snapshotIdleTimeout))
 	kind, raw, err := readFrame(r, maxFrameBytes)
@@ -48,24 +48,26 @@
 	if err == nil {
 		err = proto.Unmarshal(announcement.Message, m)
 	}
-	if err != nil || kind != frameSnapshot || announcement.Bytes < 0 || announcement.Bytes > maxSnapshotBytes || m.GetFrom() != from ||
-		m.GetType() != pb.MessageType_MsgSnap || m.GetSnapshot() == nil {
-		fail(fmt.Errorf("it opens with kind %d and %d bytes to come, expected at most %d: %v", kind, announcement.Bytes,
-			maxSnapshotBytes, err))
+	if err != nil || kind != frameSnapshot || announcement.Bytes < 0 || announcement.Bytes > maxSnapshotBytes ||
+		m.GetFrom() != from || m.GetType() != pb.MessageType_MsgSnap || m.GetSnapshot() == nil {
+		fail(fmt.Errorf("announcement: found kind %d and %d bytes, expected kind %d and at most %d bytes: %v", kind,
+			announcement.Bytes, frameSnapshot, maxSnapshotBytes, err))
 		return
 	}
-	state := make([]byte, 0, min(announcement.Bytes, 1<<20)) // grows as it comes: a note alone takes no memory
+	// The buffer grows with the chunks, so that an announcement alone allocates little.
+	state := make([]byte, 0, min(announcement.Bytes, 1<<20))
 	for len(state) < announcement.Bytes {
 		c.SetReadDeadline(time.Now().Add(snapshotIdleTimeout))
 		kind, raw, err := readFrame(r, snapshotChunkBytes+1)
 		if err != nil || kind != frameChunk || len(state)+len(raw) > announcement.Bytes {
-			fail(fmt.Errorf("%d of %d bytes, then kind %d: %v", len(state), announcement.Bytes, kind, err))
+			fail(fmt.Errorf("state: found kind %d after %d of %d bytes, expected kind %d: %v", kind, len(state),
+				announcement.Bytes, frameChunk, err))
 			return
 		}
 		state = append(state, raw...)
 	}
 	if sum := xxhash.Sum64(state); sum != announcement.Sum {
-		fail(fmt.Errorf("its sum is %016x, expected %016x", sum, announcement.Sum))
+		fail(fmt.Errorf("state: found checksum %016x, expected %016x", sum, announcement.Sum))
 		return
 	}
 	m.Snapshot.Data = state
@@ -75,8 +77,7 @@
 	writeFrame(c, frameDone, nil)
 }
 
-// sendSnapshot sends one over a connection of its own, no faster than the operator allows, so that heartbeats never
-// wait behind it.
+// sendSnapshot sends a snapshot over its own connection, within the operator's rate limit.
 func (t *transport) sendSnapshot(p *peer, m *pb.Message) error {
 	c, err := t.dial(p, true)
 	if err != nil {
--- a/internal/control/consensus/versions.go
+++ b/internal/control/consensus/versions.go
@@ -7,28 +7,28 @@
 	"umberwinch/internal/control/document"
 )
 
-// Bounds of the versions held. They protect memory, snapshots and the time of a start; older versions than they allow
-// can't be read or watched any more. The same at every instance, as what is dropped must be.
+// Bounds of the versions held, for memory, snapshot size and startup time; older versions can not be read or watched.
+// Dropping versions is replicated state, so it must be the same at every instance.
 const (
-	maxVersions     = 100000   // numbers
-	maxVersionBytes = 64 << 20 // of their lines together
+	maxVersions     = 100000
+	maxVersionBytes = 64 << 20 // size of all lines
 )
 
-// Version is one configuration that a majority committed.
+// Version is a committed version of the configuration document.
 type Version struct {
 	Number uint64 `json:"version"`
 	Parent uint64 `json:"parent"`
 	Hash   string `json:"hash"`
 	Author string `json:"author"`
 	Reason string `json:"reason"`
-	At     int64  `json:"at_ms"` // Unix time in ms at the proposer, for people: nothing depends on it
+	At     int64  `json:"at_ms"` // Unix time at the instance that received the put, in ms; informational
 	Index  uint64 `json:"index"`
 	Term   uint64 `json:"term"`
-	Rules  int    `json:"rules,omitempty"` // numbering of the rules that it was judged by, 0 for the first
+	Rules  int    `json:"rules,omitempty"` // version of the document rules that it was validated by; 0 means 1
 	Text   string `json:"text,omitempty"`
 }
 
-// ReadVersion reads a version's line of JSON.
+// ReadVersion decodes a version from its line of JSON.
 func ReadVersion(line []byte) (*Version, error) {
 	var v Version
 	if err := json.Unmarshal(line, &v); err != nil {
@@ -37,16 +37,16 @@
 	return &v, nil
 }
 
-// versionHistory holds the versions, the newest of them parsed.
+// versionHistory holds the versions, and the newest one parsed.
 type versionHistory struct {
-	lines  [][]byte // each version as one line of JSON; a line is never written again, so views share it
-	first  uint64   // number of lines[0], or of the next version where there is none
-	bytes  int      // of all lines
+	lines  [][]byte // each version as one line of JSON; immutable, as views share them
+	first  uint64   // number of lines[0], or of the next version if there is none
+	bytes  int      // size of all lines
 	newest *document.Document
-	hash   string // of the newest
+	hash   string // of the newest version
 }
 
-// last gives the number of the newest version, 0 before the first.
+// last returns the number of the newest version, 0 before the first.
 func (h *versionHistory) last() uint64 { return h.first + uint64(len(h.lines)) - 1 }
 
 func (h *versionHistory) text(number uint64) (text, hash string, ok bool) {
@@ -60,7 +60,7 @@
 	return v.Text, v.Hash, true
 }
 
-// commit makes a put's text the next version if it is a document that may follow the active one.
+// commit appends a put's document as the next version if it is valid and may follow the active one.
 func (h *versionHistory) commit(p *Put, active *document.Document, index, term uint64) PutResult {
 	next, err := document.ParseUnder(p.Rules, "document", []byte(p.Text))
 	if err == nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// restore reads the newest of some lines of a snapshot.
+// restore sets the versions from the lines of a snapshot and parses the newest.
 func (h *versionHistory) restore(lines [][]byte) error {
 	h.lines = lines
 	for _, line := range lines {
--- a/internal/control/consensus/waiters.go
+++ b/internal/control/consensus/waiters.go
@@ -2,35 +2,36 @@
 
 import "sync/atomic"
 
-// putKey names a put: all who wait for it get its one result.
+// putKey identifies a put; all its waiters get the same result.
 type putKey struct {
 	session string
 	seq     uint64
 }
 
-// waiter is a caller that waits for a put's result or for a read.
+// waiter is a caller waiting for a put's result or for a read.
 type waiter struct {
 	put       *Put // nil for a read
 	sinceTick uint64
-	done      chan outcome // has room for one, so that it is never waited for
-	canceled  atomic.Bool  // the caller went
+	done      chan outcome // has capacity one, so that sending never blocks
+	canceled  atomic.Bool  // the caller has stopped waiting
 }
 
+// outcome is the result that a waiter receives.
 type outcome struct {
 	result PutResult
 	err    error
 }
 
-// waiters are all callers that wait. The goroutine that owns the replica owns them.
+// waiters tracks all waiting callers. Only the goroutine that owns the replica uses it.
 type waiters struct {
 	count      int
 	puts       map[putKey][]*waiter
-	reads      map[uint64][]*waiter // by raft's id of the read
+	reads      map[uint64][]*waiter // by the id of the read
 	newReads   []*waiter            // of this round; one read serves them all
 	lastReadID uint64
 }
 
-// rejectIfFull answers a caller with ErrBusy if too many wait already.
+// rejectIfFull completes the waiter with ErrBusy if maxWaiting callers wait already.
 func (ws *waiters) rejectIfFull(w *waiter) bool {
 	if ws.count < maxWaiting {
 		return false
@@ -50,37 +51,37 @@
 	ws.count++
 }
 
-func (ws *waiters) finishPut(put *AppliedPut) {
+func (ws *waiters) completePut(put *AppliedPut) {
 	key := putKey{put.Session, put.Seq}
-	ws.finish(ws.puts[key], outcome{result: put.Result})
+	ws.complete(ws.puts[key], outcome{result: put.Result})
 	delete(ws.puts, key)
 }
 
-func (ws *waiters) finishRead(id uint64, version uint64) {
-	ws.finish(ws.reads[id], outcome{result: PutResult{Version: version}})
+func (ws *waiters) completeRead(id uint64, version uint64) {
+	ws.complete(ws.reads[id], outcome{result: PutResult{Version: version}})
 	delete(ws.reads, id)
 }
 
-func (ws *waiters) finish(list []*waiter, o outcome) {
+func (ws *waiters) complete(list []*waiter, o outcome) {
 	for _, w := range list {
 		w.done <- o
 		ws.count--
 	}
 }
 
-// failAll ends every wait.
+// failAll completes the waiters of all pending puts and reads with an error.
 func (ws *waiters) failAll(err error) {
 	for key, list := range ws.puts {
-		ws.finish(list, outcome{err: err})
+		ws.complete(list, outcome{err: err})
 		delete(ws.puts, key)
 	}
 	for id, list := range ws.reads {
-		ws.finish(list, outcome{err: err})
+		ws.complete(list, outcome{err: err})
 		delete(ws.reads, id)
 	}
 }
 
-// dropCanceled leaves out waiters whose caller went.
+// dropCanceled returns the waiters that are not canceled.
 func (ws *waiters) dropCanceled(list []*waiter) []*waiter {
 	waiting := list[:0]
 	for _, w := range list {
@@ -93,7 +94,7 @@
 	return waiting
 }
 
-// overdueReads takes out reads that have waited for some ticks.
+// overdueReads removes and returns the waiters for reads requested at least minTicks ago.
 func (ws *waiters) overdueReads(now, minTicks uint64) []*waiter {
 	var overdue []*waiter
 	for id, list := range ws.reads {
@@ -105,7 +106,7 @@
 	return ws.dropCanceled(overdue)
 }
 
-// overduePuts gives puts that have waited for some ticks, to be proposed again, and counts their wait anew.
+// overduePuts returns the puts proposed at least minTicks ago, to be proposed again, and restarts their wait.
 func (ws *waiters) overduePuts(now, minTicks uint64) []Put {
 	var overdue []Put
 	for key, list := range ws.puts {
