--- a/internal/control/consensus/api_test.go
+++ b/internal/control/consensus/api_test.go
@@ -19,15 +19,15 @@
 
 // A watcher loses its connection and goes on at another instance, several times. It must miss no version and get none
 // twice, or a node would serve under an old one.
-func TestWatchGoesOn(t *testing.T) {
-	all := three(t, nil)
+func TestWatchResumesAtOtherInstances(t *testing.T) {
+	instances := startThree(t, nil)
 	from := uint64(1)
 	for round := 0; round < 6; round++ {
-		i := all[round%3]
-		last := all[0].group.View().Version
+		i := instances[round%3]
+		last := instances[0].group.View().Version
 		for n := last + 1; n <= last+5; n++ {
-			if a := i.put("s", n, n-1); a.Version != n {
-				t.Fatalf("put %d: %+v", n, a)
+			if result := i.put("s", n, n-1); result.Version != n {
+				t.Fatalf("put %d: %+v", n, result)
 			}
 		}
 		res, err := http.Get(fmt.Sprintf("http://%s/v1/watch?from=%d", i.control.Listen, from))
@@ -50,16 +50,16 @@
 		}
 		res.Body.Close()
 	}
-	if code, _ := all[0].ask(http.MethodGet, "/v1/watch?from=0", nil, nil); code != http.StatusGone {
+	if code, _ := instances[0].request(http.MethodGet, "/v1/watch?from=0", nil, nil); code != http.StatusGone {
 		t.Fatalf("watch from 0: %d, expected %d", code, http.StatusGone)
 	}
 }
 
 // Clients send what is wrong or too much. Each must get the status and reason that it stands for, and a header that
 // never ends must not hold a connection.
-func TestClientsAreBounded(t *testing.T) {
+func TestInvalidClientRequestsAreRejected(t *testing.T) {
 	t.Parallel()
-	a := boot(t, "a", "new", func(c *config.Control) { c.Token = "a token of some length" })
+	a := startInstance(t, "a", "new", func(c *config.Control) { c.Token = "a token of some length" })
 	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
 	url := "http://" + a.control.Listen + "/v1/config"
 	for _, c := range []struct {
@@ -97,11 +97,11 @@
 	}
 	for _, path := range []string{"/v1/config?version=x", "/v1/history?limit=0", "/v1/history?limit=1001",
 		"/v1/config?read=quick"} {
-		if code, _ := a.ask(http.MethodGet, path, nil, nil); code != 400 {
+		if code, _ := a.request(http.MethodGet, path, nil, nil); code != 400 {
 			t.Errorf("%s: %d, expected 400", path, code)
 		}
 	}
-	if code, _ := a.ask(http.MethodGet, "/v1/config?version=7", nil, nil); code != 404 {
+	if code, _ := a.request(http.MethodGet, "/v1/config?version=7", nil, nil); code != 404 {
 		t.Errorf("version 7: %d, expected 404", code)
 	}
 	slow, err := net.Dial("tcp", a.control.Listen) // a head that never ends
@@ -118,10 +118,10 @@
 
 // Clients announce large bodies and send nothing. They must not occupy more memory than the bound; others are told to
 // come again, and are served once those are gone.
-func TestBodiesAreBounded(t *testing.T) {
-	a := boot(t, "a", "new", nil)
+func TestTotalBodySizeIsBounded(t *testing.T) {
+	a := startInstance(t, "a", "new", nil)
 	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
-	var open []net.Conn
+	var conns []net.Conn
 	for i := 0; i < maxTotalBodyBytes/maxBodyBytes; i++ {
 		c, err := net.Dial("tcp", a.control.Listen)
 		if err != nil {
@@ -133,44 +133,44 @@
 		if line, err := bufio.NewReader(c).ReadString('\n'); err != nil || !strings.Contains(line, "100 Continue") {
 			t.Fatalf("body %d: %q, %v", i, line, err)
 		}
-		open = append(open, c)
+		conns = append(conns, c)
 	}
-	put := Put{Session: "s", Seq: 1, Author: "x", Text: text(1) + strings.Repeat(";\n", 1<<19-100)}
-	if code, h := a.ask(http.MethodPut, "/v1/config", put, nil); code != 503 || h.Get("Retry-After") == "" {
+	put := Put{Session: "s", Seq: 1, Author: "x", Text: documentText(1) + strings.Repeat(";\n", 1<<19-100)}
+	if code, header := a.request(http.MethodPut, "/v1/config", put, nil); code != 503 || header.Get("Retry-After") == "" {
 		t.Fatalf("a put beside full bodies: %d, expected 503 and a time to come back", code)
 	}
-	for _, c := range open {
+	for _, c := range conns {
 		c.Close()
 	}
-	if end := a.put("t", 1, 0); end.Outcome != PutCommitted {
-		t.Fatalf("a put after them: %+v", end)
+	if result := a.put("t", 1, 0); result.Outcome != PutCommitted {
+		t.Fatalf("a put after them: %+v", result)
 	}
 }
 
-// TestPutIsPublished: a client puts a version, is told its number, and looks at the same instance. The instance's view,
+// TestPutIsInViewBeforeItsResult: a client puts a version, is told its number, and looks at the same instance. The instance's view,
 // which every answer's headers and stale reads go by, must have that version by then: a client that waits for its
 // version by the header would take the put for lost.
-func TestPutIsPublished(t *testing.T) {
-	a := boot(t, "a", "new", nil)
+func TestPutIsInViewBeforeItsResult(t *testing.T) {
+	a := startInstance(t, "a", "new", nil)
 	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
 	for seq := uint64(1); seq <= 3000; seq++ {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
-		end, err := a.group.Put(ctx, Put{Session: "s", Seq: seq, Base: seq - 1, Author: "x",
+		result, err := a.group.Put(ctx, Put{Session: "s", Seq: seq, Base: seq - 1, Author: "x",
 			Text: fmt.Sprintf("[tenant t]\nrate = %d\n", seq)})
 		cancel()
-		if err != nil || end.Outcome != PutCommitted {
-			t.Fatalf("put %d: %+v, %v", seq, end, err)
+		if err != nil || result.Outcome != PutCommitted {
+			t.Fatalf("put %d: %+v, %v", seq, result, err)
 		}
-		if v := a.group.View(); v.Version < end.Version {
-			t.Fatalf("put %d was told, and the view has %d", end.Version, v.Version)
+		if v := a.group.View(); v.Version < result.Version {
+			t.Fatalf("put %d was told, and the view has %d", result.Version, v.Version)
 		}
 	}
 }
 
-// TestStoppedAPI: an instance ends within a process that goes on, as in tests and in a restart of it. The goroutine
+// TestStopFreesAddressAndErrorLog: an instance ends within a process that goes on, as in tests and in a restart of it. The goroutine
 // that logs for the server has to end with it, as its pipe is closed, and the address has to be free.
-func TestStoppedAPI(t *testing.T) {
-	a := boot(t, "a", "new", nil)
+func TestStopFreesAddressAndErrorLog(t *testing.T) {
+	a := startInstance(t, "a", "new", nil)
 	stopped := a.api
 	a.stop()
 	if _, err := stopped.errorLog.Write([]byte("late\n")); !errors.Is(err, io.ErrClosedPipe) {
@@ -186,19 +186,19 @@
 }
 
 // Many clients put at once. Each must get one result, and one sync must serve many puts.
-func TestManyClients(t *testing.T) {
-	a := boot(t, "a", "new", nil)
+func TestConcurrentPutsShareSyncs(t *testing.T) {
+	a := startInstance(t, "a", "new", nil)
 	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	ends := map[PutOutcome]int{}
+	outcomes := map[PutOutcome]int{}
 	for n := 0; n < 32; n++ {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for seq := uint64(1); seq <= 20; seq++ {
 				ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
-				end, err := a.group.Put(ctx, Put{Session: fmt.Sprint("s", n), Seq: seq, Base: a.group.View().Version,
+				result, err := a.group.Put(ctx, Put{Session: fmt.Sprint("s", n), Seq: seq, Base: a.group.View().Version,
 					Author: "x", Text: fmt.Sprintf("[tenant t%d]\nrate = %d\n", n, seq)})
 				cancel()
 				if err != nil {
@@ -206,15 +206,15 @@
 					return
 				}
 				mu.Lock()
-				ends[end.Outcome]++
+				outcomes[result.Outcome]++
 				mu.Unlock()
 			}
 		}()
 	}
 	wg.Wait()
 	v := a.group.View()
-	if ends[PutCommitted]+ends[PutConflict] != 640 || uint64(ends[PutCommitted]) != v.Version {
-		t.Fatalf("ends %v, version %d", ends, v.Version)
+	if outcomes[PutCommitted]+outcomes[PutConflict] != 640 || uint64(outcomes[PutCommitted]) != v.Version {
+		t.Fatalf("ends %v, version %d", outcomes, v.Version)
 	}
 	if v.Syncs >= 640 {
 		t.Fatalf("%d syncs for 640 puts", v.Syncs)
--- a/internal/control/consensus/credentials_test.go
+++ b/internal/control/consensus/credentials_test.go
@@ -21,10 +21,10 @@
 
 // testAuthority writes certificates of its own.
 type testAuthority struct {
-	key  *ecdsa.PrivateKey
-	cert *x509.Certificate
-	dir  string
-	n    int64
+	key        *ecdsa.PrivateKey
+	cert       *x509.Certificate
+	dir        string
+	lastSerial int64
 }
 
 func newAuthority(t *testing.T) *testAuthority {
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &testAuthority{key: key, dir: t.TempDir(), n: 1}
+	a := &testAuthority{key: key, dir: t.TempDir(), lastSerial: 1}
 	a.cert = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), IsCA: true,
 		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
@@ -67,8 +67,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.n++
-	a.write(t, name, &x509.Certificate{SerialNumber: big.NewInt(a.n), Subject: pkix.Name{CommonName: name},
+	a.lastSerial++
+	a.write(t, name, &x509.Certificate{SerialNumber: big.NewInt(a.lastSerial), Subject: pkix.Name{CommonName: name},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
 		IPAddresses: []net.IP{net.ParseIP(ip)}, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}, key)
@@ -76,14 +76,14 @@
 
 // A client or peer without a certificate of the authority must not be answered, and a bad new certificate must leave
 // the old one in use, or a slip at a renewal would cut the instance off.
-func TestTLS(t *testing.T) {
+func TestTLSRequiresCertificatesAndReloads(t *testing.T) {
 	ca := newAuthority(t)
-	with := func(c *config.Control) {
+	useCertificate := func(c *config.Control) {
 		host, _, _ := net.SplitHostPort(c.Peer)
 		ca.issue(t, c.Name, host)
 		c.Cert, c.Key, c.CA = ca.path(c.Name+".pem"), ca.path(c.Name+".key"), ca.path("authority.pem")
 	}
-	a, b := boot(t, "a", "new", with), boot(t, "b", "join", with)
+	a, b := startInstance(t, "a", "new", useCertificate), startInstance(t, "b", "join", useCertificate)
 	ca.issue(t, "client", "127.0.0.1")
 	pair, err := tls.LoadX509KeyPair(ca.path("client.pem"), ca.path("client.key"))
 	if err != nil {
@@ -93,16 +93,16 @@
 	raw, _ := os.ReadFile(ca.path("authority.pem"))
 	pool.AppendCertsFromPEM(raw)
 	for _, i := range []*instance{a, b} {
-		i.web = "https"
+		i.scheme = "https"
 		i.http = &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool,
 			Certificates: []tls.Certificate{pair}}}}
 	}
-	a.join(b)
-	if end := b.put("s", 1, 0); end.Outcome != PutCommitted {
-		t.Fatalf("put: %+v", end)
+	a.addVoter(b)
+	if result := b.put("s", 1, 0); result.Outcome != PutCommitted {
+		t.Fatalf("put: %+v", result)
 	}
-	bare := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
-	if _, err := bare.Get("https://" + a.control.Listen + "/v1/status"); err == nil {
+	noCertificate := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
+	if _, err := noCertificate.Get("https://" + a.control.Listen + "/v1/status"); err == nil {
 		t.Fatal("a client without a certificate was answered")
 	}
 	if c, err := net.Dial("tcp", a.control.Peer); err == nil {
@@ -119,10 +119,10 @@
 	if err := a.group.Reload(); err == nil {
 		t.Fatal("a bad certificate was taken")
 	}
-	if end := a.put("s", 2, 1); end.Outcome != PutCommitted {
-		t.Fatalf("put after a bad certificate: %+v", end)
+	if result := a.put("s", 2, 1); result.Outcome != PutCommitted {
+		t.Fatalf("put after a bad certificate: %+v", result)
 	}
-	with(a.control)
+	useCertificate(a.control)
 	if err := a.group.Reload(); err != nil {
 		t.Fatalf("a good certificate: %v", err)
 	}
--- a/internal/control/consensus/errors_test.go
+++ b/internal/control/consensus/errors_test.go
@@ -96,9 +96,9 @@
 	}
 }
 
-// TestEntryOfNewerProgram: an instance of an older program meets an entry that it can't read. It must stop with an
+// TestEntryOfNewerProgramIsRejected: an instance of an older program meets an entry that it can't read. It must stop with an
 // error that says so, or its state would differ from the others'.
-func TestEntryOfNewerProgram(t *testing.T) {
+func TestEntryOfNewerProgramIsRejected(t *testing.T) {
 	m := newStateMachine("c", 0)
 	for _, entry := range []string{`{"rules":9,"session":"s"}`, `{"kind":"level","body":9}`} {
 		var newer *NewerProgramError
@@ -108,9 +108,9 @@
 	}
 }
 
-// TestUnreadableInput: what can't be read, of the log or of a peer, is told by types: the instance ends for the one,
+// TestInvalidInputErrors: what can't be read, of the log or of a peer, is told by types: the instance ends for the one,
 // and closes the connection for the other.
-func TestUnreadableInput(t *testing.T) {
+func TestInvalidInputErrors(t *testing.T) {
 	m := newStateMachine("c", 0)
 	for _, raw := range []string{"x", `{"seq":-1}`} {
 		var entry *coordinator.EntryError
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestSpoiltSnapshots: an operator restores from a file that is torn or not a snapshot. The error has to be one that
+// TestDamagedSnapshotsAreRejected: an operator restores from a file that is torn or not a snapshot. The error has to be one that
 // callers can tell from a disk's, and nothing of the file may be used.
-func TestSpoiltSnapshots(t *testing.T) {
+func TestDamagedSnapshotsAreRejected(t *testing.T) {
 	for name, raw := range map[string]string{
 		"empty":         "",
 		"no head":       "{}",
@@ -137,9 +137,9 @@
 		"no versions":   `{"meta":""}` + "\n" + `{"cluster":"c","first":1,"versions":1}` + "\n",
 		"a later level": `{"meta":""}` + "\n" + `{"cluster":"c","first":1,"level":99}` + "\n",
 	} {
-		var spoilt *SnapshotError
-		if old, err := ReadSnapshot([]byte(raw)); old != nil || !errors.As(err, &spoilt) {
-			t.Errorf("%s: found %v (%v), expected a SnapshotError", name, old, err)
+		var damaged *SnapshotError
+		if group, err := ReadSnapshot([]byte(raw)); group != nil || !errors.As(err, &damaged) {
+			t.Errorf("%s: found %v (%v), expected a SnapshotError", name, group, err)
 		}
 	}
 }
--- a/internal/control/consensus/group_test.go
+++ b/internal/control/consensus/group_test.go
@@ -23,14 +23,14 @@
 
 // The leader of three instances dies after a put. A follower must take over, give a repeated put its first result,
 // and commit more; the dead one must catch up when it is back.
-func TestThreeInstances(t *testing.T) {
-	all := three(t, nil)
-	if a := all[1].put("s", 1, 0); a.Outcome != PutCommitted || a.Version != 1 {
-		t.Fatalf("put at a follower: %+v", a)
+func TestLeaderFailover(t *testing.T) {
+	all := startThree(t, nil)
+	if result := all[1].put("s", 1, 0); result.Outcome != PutCommitted || result.Version != 1 {
+		t.Fatalf("put at a follower: %+v", result)
 	}
 	for _, i := range all {
 		var v Version
-		if code, h := i.ask(http.MethodGet, "/v1/config", nil, &v); code != 200 || v.Number != 1 ||
+		if code, h := i.request(http.MethodGet, "/v1/config", nil, &v); code != 200 || v.Number != 1 ||
 			h.Get(HeaderVersion) != "1" || h.Get(HeaderOutOfContact) != "" {
 			t.Fatalf("read: %d, version %d, headers %v", code, v.Number, h)
 		}
@@ -43,12 +43,12 @@
 	}
 	all[leader].stop()
 	other := all[(leader+1)%3]
-	if a := other.put("s", 1, 0); a.Outcome != PutCommitted || a.Version != 1 {
-		t.Fatalf("repeat under the next leader: %+v, expected the first answer", a)
+	if result := other.put("s", 1, 0); result.Outcome != PutCommitted || result.Version != 1 {
+		t.Fatalf("repeat under the next leader: %+v, expected the first answer", result)
 	}
 	for n := uint64(2); n < 12; n++ {
-		if a := other.put("s", n, n-1); a.Outcome != PutCommitted || a.Version != n {
-			t.Fatalf("put %d: %+v", n, a)
+		if result := other.put("s", n, n-1); result.Outcome != PutCommitted || result.Version != n {
+			t.Fatalf("put %d: %+v", n, result)
 		}
 	}
 	all[leader].start()
@@ -57,9 +57,9 @@
 
 // Two of three instances are down. The third must commit nothing and answer no linearizable read, or two halves of a
 // group could decide differently; a stale read must be marked as such.
-func TestAloneItSaysSo(t *testing.T) {
+func TestMinorityServesOnlyStaleReads(t *testing.T) {
 	t.Parallel()
-	all := three(t, nil)
+	all := startThree(t, nil)
 	all[0].put("s", 1, 0)
 	all[2].await("version 1", func(v *View) bool { return v.Version == 1 })
 	logged := logtest.NewLocal(all[2].group.log)
@@ -73,7 +73,7 @@
 		})
 	})
 	var v Version
-	if code, h := all[2].ask(http.MethodGet, "/v1/config?read=stale", nil, &v); code != 200 || v.Number != 1 ||
+	if code, h := all[2].request(http.MethodGet, "/v1/config?read=stale", nil, &v); code != 200 || v.Number != 1 ||
 		h.Get(HeaderOutOfContact) == "" {
 		t.Fatalf("stale read: %d, version %d, headers %v", code, v.Number, h)
 	}
@@ -82,7 +82,7 @@
 	if _, err := all[2].group.LinearizableView(ctx); err == nil {
 		t.Fatal("a read was answered without a majority")
 	}
-	if _, err := all[2].group.Put(ctx, Put{Session: "t", Seq: 1, Author: "x", Text: text(1)}); err == nil {
+	if _, err := all[2].group.Put(ctx, Put{Session: "t", Seq: 1, Author: "x", Text: documentText(1)}); err == nil {
 		t.Fatal("a put was answered without a majority")
 	}
 	if all[2].group.View().Version != 1 {
@@ -92,8 +92,8 @@
 
 // A group is restored from a snapshot, of a folder or saved by an operator. It must be another group, or instances of
 // the old one could join it and bring back what was lost; puts that were committed before must keep their results.
-func TestRestoreMakesAnotherGroup(t *testing.T) {
-	a := boot(t, "a", "new", nil)
+func TestRestoreCreatesNewGroup(t *testing.T) {
+	a := startInstance(t, "a", "new", nil)
 	a.put("s", 1, 0)
 	parts, err := a.group.Snapshot()
 	if err != nil {
@@ -101,40 +101,40 @@
 	}
 	a.group.stopOnce.Do(func() { close(a.group.stopping) }) // its folder is looked into
 	<-a.group.Done()
-	again, err := Open(wal.Dir(a.control.Data), loudPlan(a.control))
+	reopened, err := Open(wal.Dir(a.control.Data), newReplicaConfig(a.control))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
-	if _, err = again.Work(func([]*pb.Message) {}); err != nil {
+	defer reopened.Close()
+	if _, err = reopened.Work(func([]*pb.Message) {}); err != nil {
 		t.Fatal(err)
 	}
-	for n := 0; n < 40 && again.Status().Version == 0; n++ {
-		again.Tick()
-		if _, err = again.Work(func([]*pb.Message) {}); err != nil {
+	for n := 0; n < 40 && reopened.Status().Version == 0; n++ {
+		reopened.Tick()
+		if _, err = reopened.Work(func([]*pb.Message) {}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	head, err := again.Snapshot()
+	snapshot, err := reopened.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err = head.Write(); err != nil {
+	if err = snapshot.Write(); err != nil {
 		t.Fatal(err)
 	}
-	inFolder, err := filepath.Glob(filepath.Join(a.control.Data, "*.snap"))
-	if err != nil || len(inFolder) == 0 {
-		t.Fatalf("snapshots %v, %v", inFolder, err)
+	snapshotFiles, err := filepath.Glob(filepath.Join(a.control.Data, "*.snap"))
+	if err != nil || len(snapshotFiles) == 0 {
+		t.Fatalf("snapshots %v, %v", snapshotFiles, err)
 	}
-	fromFolder, err := os.ReadFile(inFolder[len(inFolder)-1])
+	raw, err := os.ReadFile(snapshotFiles[len(snapshotFiles)-1])
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, err := Restore(wal.NewMemFS(), ConfigFrom(a.control), fromFolder); err != nil || v.Number != 1 {
+	if v, err := Restore(wal.NewMemFS(), ConfigFrom(a.control), raw); err != nil || v.Number != 1 {
 		t.Fatalf("from a folder's file: %v, %v", v, err)
 	}
 	var control config.Control
-	b := boot(t, "b", "new", func(c *config.Control) {
+	b := startInstance(t, "b", "new", func(c *config.Control) {
 		dir, err := wal.MakeDir(c.Data)
 		if err != nil {
 			t.Fatal(err)
@@ -152,45 +152,45 @@
 		v.Members[0].Listen != control.Listen {
 		t.Fatalf("%+v with %+v", v.Status, v.Members)
 	}
-	if a := b.put("s", 1, 0); a.Outcome != PutCommitted || a.Version != 1 {
-		t.Fatalf("a repeat of a put of before: %+v, expected its first answer", a)
+	if result := b.put("s", 1, 0); result.Outcome != PutCommitted || result.Version != 1 {
+		t.Fatalf("a repeat of a put of before: %+v, expected its first answer", result)
 	}
 }
 
 // gatedFS holds a snapshot's making until its gate opens.
 type gatedFS struct {
 	wal.FS
-	entered, gate chan struct{}
+	entered, proceed chan struct{}
 }
 
 func (f gatedFS) Create(name string) (wal.File, error) {
 	if strings.HasSuffix(name, ".snap.tmp") && !strings.HasPrefix(name, "0000000000000001.") {
 		close(f.entered)
-		<-f.gate
+		<-f.proceed
 	}
 	return f.FS.Create(name)
 }
 
 // An instance stops while a snapshot is being written. If it unlocked its folder, a new process could open it while
 // the old one still writes; it must wait for the write.
-func TestFolderIsKeptWhileASnapshotIsWritten(t *testing.T) {
-	at := address()
-	c := &config.Control{Name: "a", Data: t.TempDir(), Start: "new", Peer: at + ":7101", Bind: at + ":7101",
-		Listen: at + ":7201", Tick: 10 * time.Millisecond, ElectionTicks: 10, DiskMB: 64, SnapshotMB: 1,
+func TestFolderStaysLockedDuringSnapshotWrite(t *testing.T) {
+	host := loopbackAddress()
+	c := &config.Control{Name: "a", Data: t.TempDir(), Start: "new", Peer: host + ":7101", Bind: host + ":7101",
+		Listen: host + ":7201", Tick: 10 * time.Millisecond, ElectionTicks: 10, DiskMB: 64, SnapshotMB: 1,
 		SnapshotRateMB: 64,
 		ContactTimeout: time.Second}
-	entered, gate := make(chan struct{}), make(chan struct{})
-	g, err := Start(c, quietLogger(), Faults{WrapDisk: func(fs wal.FS) wal.FS { return gatedFS{fs, entered, gate} }})
+	entered, proceed := make(chan struct{}), make(chan struct{})
+	g, err := Start(c, newDiscardLogger(), Faults{WrapDisk: func(fs wal.FS) wal.FS { return gatedFS{fs, entered, proceed} }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := uint64(1); n <= 3; n++ {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
-		end, err := g.Put(ctx, Put{Session: "s", Seq: n, Base: n - 1, Author: "x",
-			Text: text(int(n)) + strings.Repeat(";\n", 1<<18)})
+		result, err := g.Put(ctx, Put{Session: "s", Seq: n, Base: n - 1, Author: "x",
+			Text: documentText(int(n)) + strings.Repeat(";\n", 1<<18)})
 		cancel()
-		if err != nil || end.Outcome != PutCommitted {
-			t.Fatalf("put %d: %+v, %v", n, end, err)
+		if err != nil || result.Outcome != PutCommitted {
+			t.Fatalf("put %d: %+v, %v", n, result, err)
 		}
 	}
 	<-entered
@@ -203,6 +203,6 @@
 	if _, _, err := wal.Open(wal.Dir(c.Data), ConfigFrom(c).Sizes); !errors.Is(err, wal.ErrLocked) {
 		t.Fatalf("the folder meanwhile: %v, expected %v", err, wal.ErrLocked)
 	}
-	close(gate)
+	close(proceed)
 	<-g.Done()
 }
--- a/internal/control/consensus/helper_test.go
+++ b/internal/control/consensus/helper_test.go
@@ -20,10 +20,10 @@
 )
 
 // address gives loopback addresses that no other test uses: the host's part is drawn from the process's id.
-var hosts atomic.Uint32
+var hostCount atomic.Uint32
 
-func address() string {
-	n := hosts.Add(1)
+func loopbackAddress() string {
+	n := hostCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()>>8&0x7f, os.Getpid()&0xff, 1+n%250)
 }
 
@@ -34,31 +34,31 @@
 	group   *Group
 	api     *API
 	http    *http.Client
-	web     string
+	scheme  string
 	level   int // of an older build; 0: this one's
 }
 
-// boot starts an instance on a folder of its own.
-func boot(t *testing.T, name, start string, change func(*config.Control)) *instance {
+// startInstance starts an instance on a folder of its own.
+func startInstance(t *testing.T, name, start string, change func(*config.Control)) *instance {
 	t.Helper()
-	i := prepared(t, name, start, change)
+	i := newInstance(t, name, start, change)
 	i.start()
 	t.Cleanup(i.stop)
 	return i
 }
 
-func prepared(t *testing.T, name, start string, change func(*config.Control)) *instance {
+func newInstance(t *testing.T, name, start string, change func(*config.Control)) *instance {
 	t.Helper()
-	at := address()
-	c := &config.Control{Name: name, Data: filepath.Join(t.TempDir(), name), Start: start, Peer: at +
-		":7101", Bind: at + ":7101",
-		Listen: at + ":7201", Tick: 10 * time.Millisecond, ElectionTicks: 10, DiskMB: 64, SnapshotMB: 1,
+	host := loopbackAddress()
+	c := &config.Control{Name: name, Data: filepath.Join(t.TempDir(), name), Start: start, Peer: host +
+		":7101", Bind: host + ":7101",
+		Listen: host + ":7201", Tick: 10 * time.Millisecond, ElectionTicks: 10, DiskMB: 64, SnapshotMB: 1,
 		SnapshotRateMB: 64,
 		ContactTimeout: 500 * time.Millisecond}
 	if change != nil {
 		change(c)
 	}
-	return &instance{t: t, control: c, http: http.DefaultClient, web: "http"}
+	return &instance{t: t, control: c, http: http.DefaultClient, scheme: "http"}
 }
 
 func (i *instance) start() {
@@ -86,7 +86,7 @@
 // await waits for views until one is as wanted.
 func (i *instance) await(what string, holds func(*View) bool) *View {
 	i.t.Helper()
-	late := time.After(20 * time.Second)
+	timeout := time.After(20 * time.Second)
 	for {
 		v := i.group.View()
 		if holds(v) {
@@ -94,19 +94,19 @@
 		}
 		select {
 		case <-v.Superseded:
-		case <-late:
+		case <-timeout:
 			i.t.Fatalf("%s: not within 20 s, %+v", what, v.Status)
 		}
 	}
 }
 
-func (i *instance) ask(method, path string, in, out any) (int, http.Header) {
+func (i *instance) request(method, path string, in, out any) (int, http.Header) {
 	i.t.Helper()
 	body, err := json.Marshal(in)
 	if err != nil {
 		i.t.Fatal(err)
 	}
-	req, err := http.NewRequest(method, i.web+"://"+i.control.Listen+path, bytes.NewReader(body))
+	req, err := http.NewRequest(method, i.scheme+"://"+i.control.Listen+path, bytes.NewReader(body))
 	if err != nil {
 		i.t.Fatal(err)
 	}
@@ -134,32 +134,32 @@
 func (i *instance) put(session string, seq, base uint64) PutResult {
 	i.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
-		var a PutResult
-		if code, _ := i.ask(http.MethodPut, "/v1/config", Put{Session: session, Seq: seq, Base: base,
+		var result PutResult
+		if code, _ := i.request(http.MethodPut, "/v1/config", Put{Session: session, Seq: seq, Base: base,
 			Author: "test",
-			Text:   fmt.Sprintf("[tenant %s]\nrate = %d\n", session, seq)}, &a); code != http.StatusServiceUnavailable {
-			return a
+			Text:   fmt.Sprintf("[tenant %s]\nrate = %d\n", session, seq)}, &result); code != http.StatusServiceUnavailable {
+			return result
 		}
 	}
 	i.t.Fatal("no answer to a put within 20 s")
 	return PutResult{}
 }
 
-// join takes an instance into this one's group and waits until it is a voter everywhere.
-func (i *instance) join(o *instance) {
+// addVoter takes an instance into this one's group and waits until it is a voter everywhere.
+func (i *instance) addVoter(added *instance) {
 	i.t.Helper()
 	i.await("a leader", func(v *View) bool { return v.Leader != 0 })
-	var s Self
-	o.ask(http.MethodGet, "/v1/self", nil, &s)
+	var self Self
+	added.request(http.MethodGet, "/v1/self", nil, &self)
 	var out json.RawMessage
-	if code, _ := i.ask(http.MethodPost, "/v1/members", Change{Op: "add", Member: Member{ID: s.ID, Name: s.Name,
-		Peer: s.Peer, Listen: s.Listen, Promote: true}}, &out); code != http.StatusOK {
-		i.t.Fatalf("adding %s: %d %s", s.Name, code, out)
+	if code, _ := i.request(http.MethodPost, "/v1/members", Change{Op: "add", Member: Member{ID: self.ID, Name: self.Name,
+		Peer: self.Peer, Listen: self.Listen, Promote: true}}, &out); code != http.StatusOK {
+		i.t.Fatalf("adding %s: %d %s", self.Name, code, out)
 	}
-	for _, one := range []*instance{i, o} {
-		one.await(s.Name+" a voter", func(v *View) bool {
+	for _, member := range []*instance{i, added} {
+		member.await(self.Name+" a voter", func(v *View) bool {
 			for _, m := range v.Members {
-				if m.ID == s.ID {
+				if m.ID == self.ID {
 					return m.Voter
 				}
 			}
@@ -168,19 +168,19 @@
 	}
 }
 
-// three gives a group of three voters.
-func three(t *testing.T, change func(*config.Control)) []*instance {
+// startThree gives a group of three voters.
+func startThree(t *testing.T, change func(*config.Control)) []*instance {
 	t.Helper()
-	all := []*instance{boot(t, "a", "new", change), boot(t, "b", "join", change), boot(t, "c", "join", change)}
-	all[0].join(all[1])
-	all[0].join(all[2])
-	return all
+	instances := []*instance{startInstance(t, "a", "new", change), startInstance(t, "b", "join", change), startInstance(t, "c", "join", change)}
+	instances[0].addVoter(instances[1])
+	instances[0].addVoter(instances[2])
+	return instances
 }
 
-func quietLogger() *logrus.Logger { return logging.New(io.Discard, "text", "error") }
+func newDiscardLogger() *logrus.Logger { return logging.New(io.Discard, "text", "error") }
 
-func loudPlan(c *config.Control) Config {
+func newReplicaConfig(c *config.Control) Config {
 	p := ConfigFrom(c)
-	p.Logger = raftLogger{quietLogger()}
+	p.Logger = raftLogger{newDiscardLogger()}
 	return p
 }
--- a/internal/control/consensus/members_test.go
+++ b/internal/control/consensus/members_test.go
@@ -7,11 +7,11 @@
 
 // An instance is removed while it is up. It must be told, and take no part under any later start, or it would disturb
 // elections for good.
-func TestRemovedIsTold(t *testing.T) {
-	all := three(t, nil)
+func TestRemovedInstanceIsBarred(t *testing.T) {
+	all := startThree(t, nil)
 	id := all[2].group.View().ID
 	var out []Member
-	if code, _ := all[0].ask(http.MethodPost, "/v1/members", Change{Op: "remove", Member: Member{ID: id}},
+	if code, _ := all[0].request(http.MethodPost, "/v1/members", Change{Op: "remove", Member: Member{ID: id}},
 		&out); code !=
 		200 || len(out) != 2 {
 		t.Fatalf("remove: %d, %+v", code, out)
@@ -22,59 +22,59 @@
 	if v := all[2].group.View(); v.Role != "barred" || !v.OutOfContact() {
 		t.Fatalf("after a start: %+v", v.Status)
 	}
-	if a := all[0].put("s", 1, 0); a.Outcome != PutCommitted {
-		t.Fatalf("put after a removal: %+v", a)
+	if result := all[0].put("s", 1, 0); result.Outcome != PutCommitted {
+		t.Fatalf("put after a removal: %+v", result)
 	}
 }
 
 // A learner takes a voter's place. Both changes must take effect at once, or the group would have an even number of
 // voters in between; the one that left must be told.
-func TestReplaceInOneStep(t *testing.T) {
-	all := three(t, nil)
-	fresh := boot(t, "d", "join", nil)
-	var s Self
-	fresh.ask(http.MethodGet, "/v1/self", nil, &s)
-	learner := Member{ID: s.ID, Name: s.Name, Peer: s.Peer, Listen: s.Listen}
-	if code, _ := all[0].ask(http.MethodPost, "/v1/members", Change{Op: "add", Member: learner}, nil); code != 200 {
+func TestReplaceIsOneJointChange(t *testing.T) {
+	all := startThree(t, nil)
+	added := startInstance(t, "d", "join", nil)
+	var self Self
+	added.request(http.MethodGet, "/v1/self", nil, &self)
+	learner := Member{ID: self.ID, Name: self.Name, Peer: self.Peer, Listen: self.Listen}
+	if code, _ := all[0].request(http.MethodPost, "/v1/members", Change{Op: "add", Member: learner}, nil); code != 200 {
 		t.Fatalf("add: %d", code)
 	}
-	fresh.await("it is a learner that has the state", func(v *View) bool {
+	added.await("it is a learner that has the state", func(v *View) bool {
 		return v.Role == "learner" &&
 			v.Applied > 1
 	})
-	gone := all[2].group.View().ID
+	replaced := all[2].group.View().ID
 	var out []Member
-	if code, _ := all[0].ask(http.MethodPost, "/v1/members", Change{Op: "replace", Member: learner, ReplacedID: gone},
+	if code, _ := all[0].request(http.MethodPost, "/v1/members", Change{Op: "replace", Member: learner, ReplacedID: replaced},
 		&out); code != 200 {
 		t.Fatalf("replace: %d", code)
 	}
 	for _, m := range out {
-		if m.ID == gone || !m.Voter {
-			t.Fatalf("members %+v, expected three voters without %x", out, gone)
+		if m.ID == replaced || !m.Voter {
+			t.Fatalf("members %+v, expected three voters without %x", out, replaced)
 		}
 	}
 	all[2].await("barred", func(v *View) bool { return v.Barred != "" })
-	if a := fresh.put("s", 1, 0); a.Outcome != PutCommitted {
-		t.Fatalf("put at the new one: %+v", a)
+	if result := added.put("s", 1, 0); result.Outcome != PutCommitted {
+		t.Fatalf("put at the new one: %+v", result)
 	}
 }
 
 // The leader itself is removed. It must hand the lead over first, so that writes go on.
-func TestRemoveTheLeader(t *testing.T) {
-	all := three(t, nil)
+func TestRemovedLeaderTransfersLeadership(t *testing.T) {
+	all := startThree(t, nil)
 	for n, i := range all {
 		v := i.group.View()
 		if v.Role != "leader" {
 			continue
 		}
 		other := all[(n+1)%3]
-		if code, _ := other.ask(http.MethodPost, "/v1/members", Change{Op: "remove", Member: Member{ID: v.ID}},
+		if code, _ := other.request(http.MethodPost, "/v1/members", Change{Op: "remove", Member: Member{ID: v.ID}},
 			nil); code !=
 			200 {
 			t.Fatalf("remove: %d", code)
 		}
-		if a := other.put("s", 1, 0); a.Outcome != PutCommitted {
-			t.Fatalf("put: %+v", a)
+		if result := other.put("s", 1, 0); result.Outcome != PutCommitted {
+			t.Fatalf("put: %+v", result)
 		}
 		return
 	}
--- a/internal/control/consensus/pin_golden_test.go
+++ b/internal/control/consensus/pin_golden_test.go
@@ -14,13 +14,13 @@
 
 // The fixtures under testdata/pin are what version 2a0a97e stored, sent and answered. They are written with
 // -write-pins at that version alone; a later version has to read and write the same bytes.
-var writePins = flag.Bool("write-pins", false, "write the fixtures of pinned forms anew")
+var updateGolden = flag.Bool("write-pins", false, "write the fixtures of pinned forms anew")
 
-// pinned holds bytes to a fixture.
-func pinned(t *testing.T, name string, got []byte) {
+// checkGolden holds bytes to a fixture.
+func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "pin", name)
-	if *writePins {
+	if *updateGolden {
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 			t.Fatal(err)
 		}
@@ -43,16 +43,16 @@
 	for at < len(got) && at < len(want) && got[at] == want[at] {
 		at++
 	}
-	cut := func(b []byte) []byte { return b[max(0, min(at-40, len(b))):min(len(b), at+80)] }
+	excerpt := func(b []byte) []byte { return b[max(0, min(at-40, len(b))):min(len(b), at+80)] }
 	return fmt.Sprintf("found %d bytes, expected %d; they differ at byte %d: found %q, expected %q", len(got),
 		len(want), at,
-		cut(got), cut(want))
+		excerpt(got), excerpt(want))
 }
 
-// filler sets each field of a value to something of its own, in the order of the fields.
-type filler struct{ n int }
+// fieldFiller sets each field of a value to something of its own, in the order of the fields.
+type fieldFiller struct{ n int }
 
-func (f *filler) fill(v reflect.Value) {
+func (f *fieldFiller) fill(v reflect.Value) {
 	f.n++
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -93,37 +93,37 @@
 	}
 }
 
-func filled[T any]() T {
+func filledValue[T any]() T {
 	var v T
-	(&filler{}).fill(reflect.ValueOf(&v).Elem())
+	(&fieldFiller{}).fill(reflect.ValueOf(&v).Elem())
 	return v
 }
 
-// pinnedJSON holds the JSON of a value with all fields set to a fixture, and reads the fixture back to the same value.
-func pinnedJSON[T any](t *testing.T, name string) {
+// checkGoldenJSON holds the JSON of a value with all fields set to a fixture, and reads the fixture back to the same value.
+func checkGoldenJSON[T any](t *testing.T, name string) {
 	t.Helper()
-	v := filled[T]()
+	v := filledValue[T]()
 	raw, err := json.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
 	}
-	pinned(t, name, append(raw, '\n'))
+	checkGolden(t, name, append(raw, '\n'))
 	stored, err := os.ReadFile(filepath.Join("testdata", "pin", name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back T
+	var decoded T
 	d := json.NewDecoder(bytes.NewReader(stored))
 	d.DisallowUnknownFields()
-	if err := d.Decode(&back); err != nil {
+	if err := d.Decode(&decoded); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	if !reflect.DeepEqual(back, v) {
-		t.Errorf("%s is read as %+v, expected %+v", name, back, v)
+	if !reflect.DeepEqual(decoded, v) {
+		t.Errorf("%s is read as %+v, expected %+v", name, decoded, v)
 	}
 }
 
 // lines puts a text together.
-type report struct{ strings.Builder }
+type textReport struct{ strings.Builder }
 
-func (r *report) add(format string, args ...any) { fmt.Fprintf(r, format+"\n", args...) }
+func (r *textReport) addLine(format string, args ...any) { fmt.Fprintf(r, format+"\n", args...) }
--- a/internal/control/consensus/pin_sent_test.go
+++ b/internal/control/consensus/pin_sent_test.go
@@ -19,32 +19,32 @@
 	"umberwinch/internal/control/zones"
 )
 
-// TestPinMessages: each message between instances and with clients has the JSON of version 2a0a97e.
-func TestPinMessages(t *testing.T) {
-	pinnedJSON[Hello](t, "sent/hello.json")
-	pinnedJSON[snapshotAnnouncement](t, "sent/snapshot-note.json")
-	pinnedJSON[Put](t, "sent/put.json")
-	pinnedJSON[PutResult](t, "sent/answer.json")
-	pinnedJSON[Version](t, "sent/version.json")
-	pinnedJSON[Change](t, "sent/member-change.json")
-	pinnedJSON[Self](t, "sent/self.json")
-	pinnedJSON[Report](t, "sent/report.json")
-	pinnedJSON[Heartbeat](t, "sent/watch-beat.json")
-	pinnedJSON[Failure](t, "sent/failure.json")
-	pinnedJSON[PolicyView](t, "sent/policy-view.json")
-	pinnedJSON[NodeView](t, "sent/node-view.json")
-	pinnedJSON[ZonesView](t, "sent/zones-view.json")
-	pinnedJSON[policy.Op](t, "sent/policy-op.json")
-	pinnedJSON[policy.Result](t, "sent/policy-result.json")
-	pinnedJSON[zones.Op](t, "sent/zone-op.json")
-	pinnedJSON[zones.Result](t, "sent/zone-result.json")
-	pinnedJSON[entry](t, "sent/entry.json")
+// TestGoldenMessages: each message between instances and with clients has the JSON of version 2a0a97e.
+func TestGoldenMessages(t *testing.T) {
+	checkGoldenJSON[Hello](t, "sent/hello.json")
+	checkGoldenJSON[snapshotAnnouncement](t, "sent/snapshot-note.json")
+	checkGoldenJSON[Put](t, "sent/put.json")
+	checkGoldenJSON[PutResult](t, "sent/answer.json")
+	checkGoldenJSON[Version](t, "sent/version.json")
+	checkGoldenJSON[Change](t, "sent/member-change.json")
+	checkGoldenJSON[Self](t, "sent/self.json")
+	checkGoldenJSON[Report](t, "sent/report.json")
+	checkGoldenJSON[Heartbeat](t, "sent/watch-beat.json")
+	checkGoldenJSON[Failure](t, "sent/failure.json")
+	checkGoldenJSON[PolicyView](t, "sent/policy-view.json")
+	checkGoldenJSON[NodeView](t, "sent/node-view.json")
+	checkGoldenJSON[ZonesView](t, "sent/zones-view.json")
+	checkGoldenJSON[policy.Op](t, "sent/policy-op.json")
+	checkGoldenJSON[policy.Result](t, "sent/policy-result.json")
+	checkGoldenJSON[zones.Op](t, "sent/zone-op.json")
+	checkGoldenJSON[zones.Result](t, "sent/zone-result.json")
+	checkGoldenJSON[entry](t, "sent/entry.json")
 }
 
-// TestPinFrames: frames between instances have the bytes of version 2a0a97e, and are read back.
-func TestPinFrames(t *testing.T) {
+// TestGoldenFrames: frames between instances have the bytes of version 2a0a97e, and are read back.
+func TestGoldenFrames(t *testing.T) {
 	var wire bytes.Buffer
-	if err := writeJSON(&wire, frameHello, filled[Hello]()); err != nil {
+	if err := writeJSON(&wire, frameHello, filledValue[Hello]()); err != nil {
 		t.Fatal(err)
 	}
 	if err := writeJSON(&wire, frameAccepted, Hello{Identity: Identity{ID: 1}}); err != nil {
@@ -73,8 +73,8 @@
 			t.Fatal(err)
 		}
 	}
-	pinned(t, "sent/frames.bin", wire.Bytes())
-	var all report
+	checkGolden(t, "sent/frames.bin", wire.Bytes())
+	var all textReport
 	stored := bytes.Clone(wire.Bytes())
 	for {
 		kind, data, err := readFrame(&wire, 1<<20)
@@ -84,7 +84,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all.add("%d %q", kind, data)
+		all.addLine("%d %q", kind, data)
 	}
 	for what, raw := range map[string][]byte{"a": stored[:3], "b": stored[:20], "c": {0, 0, 0, 0, 0, 0, 0, 0},
 		"d": {255, 255, 0, 0, 0, 0, 0, 0}, "e": {2, 0, 0, 0, 1, 2, 3, 4, 1, 1}} {
@@ -97,10 +97,10 @@
 			t.Errorf("%s: %v, expected %s", what, err, want)
 		}
 	}
-	pinned(t, "sent/frames.txt", []byte(all.String()))
+	checkGolden(t, "sent/frames.txt", []byte(all.String()))
 }
 
-var pinVaries = []*regexp.Regexp{regexp.MustCompile(`127\.[0-9]+\.[0-9]+\.[0-9]+`),
+var varyingValues = []*regexp.Regexp{regexp.MustCompile(`127\.[0-9]+\.[0-9]+\.[0-9]+`),
 	regexp.MustCompile(`"cluster":"([0-9a-f]{32})"`),
 	regexp.MustCompile(`"(?:id|leader|vote)":([0-9]{6,})`),
 	regexp.MustCompile(`"(?:at_ms|away_ms|clock_ms|age_ms)":([0-9]+)`),
@@ -108,9 +108,9 @@
 	regexp.MustCompile(`instance ([0-9a-f]{6,16})`), regexp.MustCompile(`"wait_ms":([0-9]+)`),
 	regexp.MustCompile(`"starts":\[([0-9]+)`)}
 
-// steady puts X in place of what differs from run to run.
-func steady(raw []byte) []byte {
-	for _, r := range pinVaries {
+// maskVarying puts X in place of what differs from run to run.
+func maskVarying(raw []byte) []byte {
+	for _, r := range varyingValues {
 		raw = r.ReplaceAllFunc(raw, func(found []byte) []byte {
 			if sub := r.FindSubmatch(found); len(sub) > 1 {
 				return bytes.Replace(found, sub[1], []byte("X"), 1)
@@ -121,15 +121,15 @@
 	return raw
 }
 
-// TestPinClientAPI: an instance that leads a group of one answers each request of a client as version 2a0a97e did:
+// TestGoldenClientAPI: an instance that leads a group of one answers each request of a client as version 2a0a97e did:
 // status, headers and body. Numbers that differ from run to run are X.
-func TestPinClientAPI(t *testing.T) {
+func TestGoldenClientAPI(t *testing.T) {
 	t.Parallel()
-	a := boot(t, "a", "new", func(c *config.Control) { c.Token = "a token of some length" })
+	a := startInstance(t, "a", "new", func(c *config.Control) { c.Token = "a token of some length" })
 	a.await("the newest level", func(v *View) bool { return v.Role == "leader" && v.Level == LatestLevel })
 	id := a.group.View().ID
-	var all report
-	ask := func(method, path, body string) {
+	var all textReport
+	request := func(method, path, body string) {
 		t.Helper()
 		req, err := http.NewRequest(method, "http://"+a.control.Listen+path, strings.NewReader(body))
 		if err != nil {
@@ -147,21 +147,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all.add("%s %s %.300s\n%d, type %q, Retry-After %q, version %q, term and away %v, out of touch %q, by length %v\n%s", method, path,
+		all.addLine("%s %s %.300s\n%d, type %q, Retry-After %q, version %q, term and away %v, out of touch %q, by length %v\n%s", method, path,
 			strings.ReplaceAll(body, fmt.Sprint(id), "ID"), res.StatusCode, res.Header.Get("Content-Type"),
 			res.Header.Get("Retry-After"), res.Header.Get(HeaderVersion),
 			res.Header.Get(HeaderTerm) != "" && res.Header.Get(HeaderSinceLeader) != "",
 			res.Header.Get(HeaderOutOfContact), res.ContentLength >= 0,
-			goTypes.ReplaceAll(steady(raw), []byte("Go value")))
+			goTypeNames.ReplaceAll(maskVarying(raw), []byte("Go value")))
 	}
 	for _, path := range []string{"self", "status", "config", "config?read=stale", "config?read=quick",
 		"config?version=x", "config?version=7",
 		"history", "history?limit=0", "history?limit=1001&from=x", "watch?from=0", "watch?from=x", "nodes", "policy",
 		"zones", "none"} {
-		ask("GET", "/v1/"+path, "")
+		request("GET", "/v1/"+path, "")
 	}
-	ask("PUT", "/v1/config?tokenless", "{}")
-	text, err := json.Marshal(pinZonesText)
+	request("PUT", "/v1/config?tokenless", "{}")
+	text, err := json.Marshal(goldenZonesText)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,10 +176,10 @@
 		`{"session":"w","seq":1,"base":1,"author":"x","text":"[class a]\nkind = replayable\n"}`,
 		`{"session":"s","seq":1,"author":"x","text":"` + strings.Repeat("x", 1<<20+1) + `"}`,
 		`{"text":"` + strings.Repeat("x", 7<<20) + `"}`} {
-		ask("PUT", "/v1/config", body)
+		request("PUT", "/v1/config", body)
 	}
 	for _, path := range []string{"config", "config?version=1&read=stale", "history", "history?from=1&limit=1"} {
-		ask("GET", "/v1/"+path, "")
+		request("GET", "/v1/"+path, "")
 	}
 	for _, body := range []string{"x", `{"op":"fly"}`, `{"op":"add","member":{"id":0}}`,
 		`{"op":"add","member":{"id":5,"name":"a"}}`,
@@ -189,39 +189,39 @@
 		`{"op":"replace","member":{"id":5},"gone":6}`, `{"op":"transfer","member":{"id":5}}`,
 		`{"op":"remove","member":{"id":77}}`,
 		`{"op":"add","member":{"id":77,"name":"b","peer":"127.0.0.1:1","listen":"127.0.0.1:2"}}`} {
-		ask("POST", "/v1/members", body)
+		request("POST", "/v1/members", body)
 	}
-	ask("POST", "/v1/members?tokenless", "{}")
+	request("POST", "/v1/members?tokenless", "{}")
 	for _, body := range []string{"x", `{"unknown":1}`, `{"name":"n1"}`,
 		`{"name":"n1","zone":"z1","addr":"127.0.0.1:9","nonce":"n1-12345678"}`,
 		`{"name":"n1","zone":"z1","addr":"127.0.0.1:9","nonce":"n1-12345678","lease":9,"renew":true}`} {
-		ask("POST", "/v1/nodes", body)
+		request("POST", "/v1/nodes", body)
 	}
-	ask("GET", "/v1/nodes", "")
+	request("GET", "/v1/nodes", "")
 	for _, body := range []string{"x", `{"op":"decide"}`, `{"op":"off"}`, `{"op":"propose","propose":{"version":0}}`,
 		`{"op":"propose","propose":{"version":9,"within_ms":5000,"author":"t","reason":"r","key":"12345678"}}`,
 		`{"op":"propose","propose":{"version":1,"within_ms":60000,"author":"t","reason":"r","key":"12345679"}}`,
 		`{"op":"off","by":"op","why":"why"}`} {
-		ask("POST", "/v1/policy", body)
+		request("POST", "/v1/policy", body)
 	}
-	ask("POST", "/v1/policy?tokenless", "{}")
+	request("POST", "/v1/policy?tokenless", "{}")
 	for _, body := range []string{"x", `{"op":"fly"}`, `{"op":"leave"}`,
 		`{"op":"leave","zone":"z1","by":"op","key":"12345678","why":"w"}`,
 		`{"op":"hold","by":"op","key":"12345679","wait_ms":1000}`} {
-		ask("POST", "/v1/zones", body)
+		request("POST", "/v1/zones", body)
 	}
-	ask("POST", "/v1/zones?tokenless", "{}")
+	request("POST", "/v1/zones?tokenless", "{}")
 	for _, body := range []string{"x", `{"name":"none"}`} {
-		ask("POST", "/v1/nodes/forget", body)
+		request("POST", "/v1/nodes/forget", body)
 	}
-	ask("GET", "/v1/snapshot?tokenless", "")
-	pinned(t, "sent/client-api.txt", []byte(all.String()))
+	request("GET", "/v1/snapshot?tokenless", "")
+	checkGolden(t, "sent/client-api.txt", []byte(all.String()))
 }
 
-// TestPinWatch: a watch sends versions and, between them, beats, a line each.
-func TestPinWatch(t *testing.T) {
+// TestGoldenWatch: a watch sends versions and, between them, beats, a line each.
+func TestGoldenWatch(t *testing.T) {
 	t.Parallel()
-	a := boot(t, "a", "new", nil)
+	a := startInstance(t, "a", "new", nil)
 	a.await("the newest level", func(v *View) bool { return v.Role == "leader" && v.Level == LatestLevel })
 	a.put("s", 1, 0)
 	a.put("s", 2, 1)
@@ -237,6 +237,6 @@
 		}
 		got = append(got, buf...)
 	}
-	pinned(t, "sent/watch.txt", fmt.Appendf(nil, "%d %s\n%s", res.StatusCode, res.Header.Get("Content-Type"),
-		steady(got)))
+	checkGolden(t, "sent/watch.txt", fmt.Appendf(nil, "%d %s\n%s", res.StatusCode, res.Header.Get("Content-Type"),
+		maskVarying(got)))
 }
--- a/internal/control/consensus/pin_stored_test.go
+++ b/internal/control/consensus/pin_stored_test.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	pinPlainText = "[class view]\nkind = replayable\nvalue = 1\n\n[class submit]\nkind = uniqued\nvalue = 40\nwindow = 20s\n"
-	pinFleetText = pinPlainText + "\n[fleet]\nlease = 4s\nwhen_alone = fence\n"
-	pinZonesText = pinFleetText + "\n[zones]\ndecide = ask\nhold = 1s\n"
+	goldenPlainText = "[class view]\nkind = replayable\nvalue = 1\n\n[class submit]\nkind = uniqued\nvalue = 40\nwindow = 20s\n"
+	goldenFleetText = goldenPlainText + "\n[fleet]\nlease = 4s\nwhen_alone = fence\n"
+	goldenZonesText = goldenFleetText + "\n[zones]\ndecide = ask\nhold = 1s\n"
 )
 
-func pinPlan() Config {
-	drawn := uint64(0)
+func goldenConfig() Config {
+	lastRandom := uint64(0)
 	return Config{Name: "a", Peer: "10.1.1.1:7101", Listen: "10.1.1.1:7201", FoundGroup: true, ElectionTicks: 5,
 		SnapshotBytes: 1 << 30,
-		Sizes:         wal.Sizes{SegmentBytes: 1500, MaxBytes: 64 << 20}, Logger: raftLogger{quietLogger()},
-		Random: func() uint64 { drawn += 0x1111; return drawn }}
+		Sizes:         wal.Sizes{SegmentBytes: 1500, MaxBytes: 64 << 20}, Logger: raftLogger{newDiscardLogger()},
+		Random: func() uint64 { lastRandom += 0x1111; return lastRandom }}
 }
 
-// scripted plays a group of one through entries of every kind at every level.
-type scripted struct {
-	t      *testing.T
-	rep    *Replica
-	report report
+// scriptedGroup plays a group of one through entries of every kind at every level.
+type scriptedGroup struct {
+	t       *testing.T
+	replica *Replica
+	report  textReport
 }
 
-func (s *scripted) work() {
+func (s *scriptedGroup) processReady() {
 	s.t.Helper()
-	out, err := s.rep.Work(func([]*pb.Message) {})
+	out, err := s.replica.Work(func([]*pb.Message) {})
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	for _, r := range out.Puts {
-		s.report.add("put %s %d: {End:%s Version:%d Reason:%s}", r.Session, r.Seq, r.Result.Outcome, r.Result.Version,
+		s.report.addLine("put %s %d: {End:%s Version:%d Reason:%s}", r.Session, r.Seq, r.Result.Outcome, r.Result.Version,
 			r.Result.Reason)
 	}
 	for _, n := range out.Operations {
@@ -54,59 +54,59 @@
 			if err != nil {
 				s.t.Fatal(err)
 			}
-			s.report.add("entry: %s", raw)
+			s.report.addLine("entry: %s", raw)
 		}
 	}
 }
 
-func (s *scripted) until(what string, holds func(Status) bool) {
+func (s *scriptedGroup) tickUntil(what string, holds func(Status) bool) {
 	s.t.Helper()
-	for n := 0; !holds(s.rep.Status()); n++ {
+	for n := 0; !holds(s.replica.Status()); n++ {
 		if n > 100 {
 			s.t.Fatalf("%s: not after 100 ticks", what)
 		}
-		s.rep.Tick()
-		s.work()
+		s.replica.Tick()
+		s.processReady()
 	}
-	s.report.add("%s", what)
+	s.report.addLine("%s", what)
 }
 
-func (s *scripted) put(session string, seq, base uint64, text string) {
+func (s *scriptedGroup) put(session string, seq, base uint64, text string) {
 	s.t.Helper()
-	if err := s.rep.Propose(&Put{Session: session, Seq: seq, Base: base, Author: "an author", Reason: "a reason",
+	if err := s.replica.Propose(&Put{Session: session, Seq: seq, Base: base, Author: "an author", Reason: "a reason",
 		At:   1700000000123,
 		Text: text}); err != nil {
 		s.t.Fatal(err)
 	}
-	s.work()
+	s.processReady()
 }
 
-func (s *scripted) entry(kind, body string) {
+func (s *scriptedGroup) entry(kind, body string) {
 	s.t.Helper()
-	if err := s.rep.ProposeEntry(kind, []byte(body)); err != nil {
+	if err := s.replica.ProposeEntry(kind, []byte(body)); err != nil {
 		s.t.Fatal(err)
 	}
-	s.work()
+	s.processReady()
 }
 
-func (s *scripted) snapshot() {
+func (s *scriptedGroup) snapshot() {
 	s.t.Helper()
-	save, err := s.rep.Snapshot()
+	snapshot, err := s.replica.Snapshot()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if err = s.rep.SnapshotWritten(save, save.Write()); err != nil {
+	if err = s.replica.SnapshotWritten(snapshot, snapshot.Write()); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-func (s *scripted) play() {
-	s.until("it leads", func(st Status) bool { return st.Role == "leader" })
-	s.put("client", 1, 0, pinPlainText)
-	s.put("client", 1, 0, pinPlainText)
-	s.put("other", 1, 0, pinPlainText)
-	s.until("level 2", func(st Status) bool { return st.Level == 2 })
-	s.put("client", 2, 1, pinFleetText)
+func (s *scriptedGroup) run() {
+	s.tickUntil("it leads", func(st Status) bool { return st.Role == "leader" })
+	s.put("client", 1, 0, goldenPlainText)
+	s.put("client", 1, 0, goldenPlainText)
+	s.put("other", 1, 0, goldenPlainText)
+	s.tickUntil("level 2", func(st Status) bool { return st.Level == 2 })
+	s.put("client", 2, 1, goldenFleetText)
 	s.entry("beat", `{"term":2,"no":1,"after":0,"ms":100,"floor":0,"join":[`+
 		`{"name":"n1","zone":"z1","addr":"10.0.0.1:7000","nonce":"n1-12345678","up_ms":5},`+
 		`{"name":"n2","zone":"z2","addr":"10.0.0.2:7000","nonce":"n2-12345678"}]}`)
@@ -120,10 +120,10 @@
 	s.entry("beat", `{"term":2,"no":4,"after":3,"ms":9000,"floor":2,"renew":[1,2]}`)
 	s.entry("policy", `{"op":"settle","number":1}`)
 	s.snapshot()
-	s.until("level 3", func(st Status) bool { return st.Level == 3 })
-	s.put("client", 3, 2, pinZonesText)
+	s.tickUntil("level 3", func(st Status) bool { return st.Level == 3 })
+	s.put("client", 3, 2, goldenZonesText)
 	s.put("client", 4, 3, "[class view]\nkind = replayable\n")
-	s.put("third", 1, 1, pinZonesText)
+	s.put("third", 1, 1, goldenZonesText)
 	s.entry("policy",
 		`{"op":"propose","propose":{"version":3,"within_ms":9000,"author":"op","reason":"zones","key":"key-00002"}}`)
 	s.entry("policy", `{"op":"off","number":2,"why":"not now","by":"op"}`)
@@ -133,29 +133,29 @@
 	s.entry("policy", `{"op":"force","number":3}`)
 	s.entry("beat", `{"term":2,"no":5,"after":4,"ms":9000,"floor":3,"renew":[1,2]}`)
 	s.entry("policy", `{"op":"settle","number":3}`)
-	s.until("level 5", func(st Status) bool { return st.Level == 5 })
+	s.tickUntil("level 5", func(st Status) bool { return st.Level == 5 })
 	s.entry("zones", `{"op":"leave","zone":"z1","epoch":0,"cause":"operator","why":"a drill","by":"op","wait_ms":1000,`+
 		`"drill_ms":60000,"key":"key-00003"}`)
 	s.entry("beat", `{"term":2,"no":6,"after":5,"ms":3000,"floor":3,"zones":1,"renew":[1,2]}`)
 	s.entry("zones", `{"op":"settle","epoch":1}`)
-	if err := s.rep.Change(Change{Op: "add", Member: Member{ID: 77, Name: "b", Peer: "10.1.1.2:7101",
+	if err := s.replica.Change(Change{Op: "add", Member: Member{ID: 77, Name: "b", Peer: "10.1.1.2:7101",
 		Listen:  "10.1.1.2:7201",
 		Promote: true}}); err != nil {
 		s.t.Fatal(err)
 	}
-	s.work()
+	s.processReady()
 	s.snapshot()
 	s.entry("zones",
 		`{"op":"step","zone":"z1","epoch":1,"share":64,"ceiling":50.5,"dials":3.5,"why":"it returns","key":"key-00004"}`)
-	if err := s.rep.Change(Change{Op: "remove", Member: Member{ID: 77}}); err != nil {
+	if err := s.replica.Change(Change{Op: "remove", Member: Member{ID: 77}}); err != nil {
 		s.t.Fatal(err)
 	}
-	s.work()
+	s.processReady()
 	s.entry("beat", `{"term":2,"no":7,"after":6,"ms":100,"floor":3,"bye":[2],"forget":["n9"],"lost":"for the pin"}`)
-	s.put("fourth", 1, 3, pinZonesText+"\n[tenant t]\nshare = 0.5\nrate = 9\n")
+	s.put("fourth", 1, 3, goldenZonesText+"\n[tenant t]\nshare = 0.5\nrate = 9\n")
 }
 
-func folder(t *testing.T, fs wal.FS) map[string][]byte {
+func readFiles(t *testing.T, fs wal.FS) map[string][]byte {
 	t.Helper()
 	names, err := fs.List()
 	if err != nil {
@@ -180,8 +180,8 @@
 	return out
 }
 
-// storedFolder loads the folder of version 2a0a97e into memory.
-func storedFolder(t *testing.T) *wal.MemFS {
+// loadGoldenFolder loads the folder of version 2a0a97e into memory.
+func loadGoldenFolder(t *testing.T) *wal.MemFS {
 	t.Helper()
 	paths, err := filepath.Glob("testdata/pin/group/0*")
 	if err != nil || len(paths) == 0 {
@@ -210,7 +210,7 @@
 	return fs
 }
 
-func stateOf(t *testing.T, r *Replica) []byte {
+func serializeState(t *testing.T, r *Replica) []byte {
 	t.Helper()
 	status, err := json.Marshal(r.Status())
 	if err != nil {
@@ -223,33 +223,33 @@
 	return append(append(status, '\n'), bytes.Join(parts, nil)...)
 }
 
-// TestPinGroupIsWritten: the same entries give the same answers, state, log segments and snapshots as version 2a0a97e.
-func TestPinGroupIsWritten(t *testing.T) {
+// TestGoldenGroupIsWritten: the same entries give the same answers, state, log segments and snapshots as version 2a0a97e.
+func TestGoldenGroupIsWritten(t *testing.T) {
 	fs := wal.NewMemFS()
-	r, err := Open(fs, pinPlan())
+	r, err := Open(fs, goldenConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scripted{t: t, rep: r}
-	s.play()
-	pinned(t, "group/answers.txt", []byte(s.report.String()))
-	pinned(t, "group/state.txt", stateOf(t, r))
+	s := &scriptedGroup{t: t, replica: r}
+	s.run()
+	checkGolden(t, "group/answers.txt", []byte(s.report.String()))
+	checkGolden(t, "group/state.txt", serializeState(t, r))
 	if err = r.Close(); err != nil {
 		t.Fatal(err)
 	}
 	var names []string
-	for name, raw := range folder(t, fs) {
+	for name, raw := range readFiles(t, fs) {
 		names = append(names, name)
-		pinned(t, "group/"+name, raw)
+		checkGolden(t, "group/"+name, raw)
 	}
 	if stored, err := filepath.Glob("testdata/pin/group/0*"); err != nil || len(stored) != len(names) {
 		t.Errorf("wrote %v, expected %v (%v)", names, stored, err)
 	}
 }
 
-// TestPinGroupIsRead: the stored folder gives the state it had, and the identity with one start more.
-func TestPinGroupIsRead(t *testing.T) {
-	r, err := Open(storedFolder(t), pinPlan())
+// TestGoldenGroupIsRead: the stored folder gives the state it had, and the identity with one start more.
+func TestGoldenGroupIsRead(t *testing.T) {
+	r, err := Open(loadGoldenFolder(t), goldenConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -257,31 +257,31 @@
 	if _, err = r.Work(func([]*pb.Message) {}); err != nil {
 		t.Fatal(err)
 	}
-	pinned(t, "group/read.txt", stateOf(t, r))
+	checkGolden(t, "group/read.txt", serializeState(t, r))
 	hello, err := json.Marshal(r.HelloTo(9))
 	if err != nil {
 		t.Fatal(err)
 	}
-	pinned(t, "group/hello.json", append(hello, '\n'))
+	checkGolden(t, "group/hello.json", append(hello, '\n'))
 }
 
-// TestPinSpoiltGroup: a torn or spoilt copy of a file of the folder gives the end that it gave.
-func TestPinSpoiltGroup(t *testing.T) {
-	var all report
-	names, err := storedFolder(t).List()
+// TestGoldenDamagedGroup: a torn or spoilt copy of a file of the folder gives the end that it gave.
+func TestGoldenDamagedGroup(t *testing.T) {
+	var all textReport
+	names, err := loadGoldenFolder(t).List()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range names {
-		size := len(folder(t, storedFolder(t))[name])
+		size := len(readFiles(t, loadGoldenFolder(t))[name])
 		for _, at := range []int{0, 9, 20, 30, 37, 41, 60, size / 2, size - 40, size - 2} {
-			for _, how := range []string{"flipped", "cut", "zeroed"} {
-				fs := storedFolder(t)
+			for _, damage := range []string{"flipped", "cut", "zeroed"} {
+				fs := loadGoldenFolder(t)
 				f, err := fs.Open(name)
 				if err != nil {
 					t.Fatal(err)
 				}
-				switch how {
+				switch damage {
 				case "flipped":
 					fs.FlipBits(name, int64(at), 0x10)
 				case "cut":
@@ -295,15 +295,15 @@
 				if err = f.Sync(); err != nil {
 					t.Fatal(err)
 				}
-				all.add("%s %s at %d: %s", name, how, at, endOf(fs))
+				all.addLine("%s %s at %d: %s", name, damage, at, openResult(fs))
 			}
 		}
 	}
-	pinned(t, "group/spoilt.txt", []byte(all.String()))
+	checkGolden(t, "group/spoilt.txt", []byte(all.String()))
 }
 
-func endOf(fs wal.FS) string {
-	r, err := Open(fs, pinPlan())
+func openResult(fs wal.FS) string {
+	r, err := Open(fs, goldenConfig())
 	if err != nil {
 		return err.Error()
 	}
@@ -317,19 +317,19 @@
 		r.LogRepair.RemovedFiles, st.Applied, st.Level, st.Version)
 }
 
-// goTypes are names of the code in errors of encoding/json, which may change.
-var goTypes = regexp.MustCompile(`Go value of type \S+`)
+// goTypeNames are names of the code in errors of encoding/json, which may change.
+var goTypeNames = regexp.MustCompile(`Go value of type \S+`)
 
-// TestPinSpoiltState: a saved snapshot that is not one, or of a later level, gives the error that it gave.
-func TestPinSpoiltState(t *testing.T) {
-	var all report
+// TestGoldenInvalidStates: a saved snapshot that is not one, or of a later level, gives the error that it gave.
+func TestGoldenInvalidStates(t *testing.T) {
+	var all textReport
 	read := func(what, raw string) {
-		old, err := ReadSnapshot([]byte(raw))
+		group, err := ReadSnapshot([]byte(raw))
 		if err != nil {
-			all.add("%s: %v", what, err)
+			all.addLine("%s: %v", what, err)
 			return
 		}
-		all.add("%s: read, version %d", what, old.stateMachine.Last())
+		all.addLine("%s: read, version %d", what, group.stateMachine.Last())
 	}
 	head := `{"meta":"CgQKAgEC"}` + "\n"
 	read("nothing", "")
@@ -355,11 +355,11 @@
 		r := &Replica{stateMachine: m}
 		var out WorkResult
 		kind := pb.EntryType_EntryNormal
-		all.add("entry %s: %v", entry, r.apply(&pb.Entry{Type: &kind, Data: []byte(entry)}, &out))
+		all.addLine("entry %s: %v", entry, r.apply(&pb.Entry{Type: &kind, Data: []byte(entry)}, &out))
 		m.supportedLevel = LevelVersions
-		all.add("at level 1, entry %s: %v", entry, r.apply(&pb.Entry{Type: &kind, Data: []byte(entry)}, &out))
+		all.addLine("at level 1, entry %s: %v", entry, r.apply(&pb.Entry{Type: &kind, Data: []byte(entry)}, &out))
 	}
 	text := bytes.ReplaceAll([]byte(all.String()), []byte("\u00a0"),
 		[]byte(" ")) // protobuf draws one of two for each build
-	pinned(t, "group/wrong-states.txt", goTypes.ReplaceAll(text, []byte("Go value")))
+	checkGolden(t, "group/wrong-states.txt", goTypeNames.ReplaceAll(text, []byte("Go value")))
 }
--- a/internal/control/consensus/restored_group_test.go
+++ b/internal/control/consensus/restored_group_test.go
@@ -15,10 +15,10 @@
 	"umberwinch/internal/wal"
 )
 
-const oneText = "[tenant t0]\nrate = 5\n\n[fleet]\nlease = 4s\nwhen_alone = fence\n"
+const fleetText = "[tenant t0]\nrate = 5\n\n[fleet]\nlease = 4s\nwhen_alone = fence\n"
 
-// canonical gives a text as versions have it.
-func canonical(t *testing.T, text string) string {
+// canonicalText gives a text as versions have it.
+func canonicalText(t *testing.T, text string) string {
 	t.Helper()
 	d, err := document.Parse("a text", []byte(text))
 	if err != nil {
@@ -29,15 +29,15 @@
 
 // Nodes make contact while a group is being restored. Each must be asked for its record until it has sent one, and
 // records that can't be true must be refused or lose their text.
-func TestGather(t *testing.T) {
-	listen := address() + ":7301"
+func TestCollectorCollectsRecords(t *testing.T) {
+	listen := loopbackAddress() + ":7301"
 	var mu sync.Mutex
-	var wrong []error
+	var recordErrs []error
 	g, err := StartCollector(listen, func(_ *api.NodeRecord, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
-			wrong = append(wrong, err)
+			recordErrs = append(recordErrs, err)
 		}
 	})
 	if err != nil {
@@ -67,32 +67,32 @@
 		}
 		return res.StatusCode
 	}
-	ask := func(name string) (told api.HeartbeatResponse, code int) {
+	sendHeartbeat := func(name string) (response api.HeartbeatResponse, code int) {
 		code = post("/v1/nodes", api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: name, Zone: "z",
-			Nonce: name + "-00000000"}}, &told)
-		return told, code
+			Nonce: name + "-00000000"}}, &response)
+		return response, code
 	}
-	text := canonical(t, oneText)
-	k := api.NodeRecord{Name: "a", Zone: "z", Group: "g", Generation: 1, ActiveVersion: 3, MinVersion: 3,
+	text := canonicalText(t, fleetText)
+	record := api.NodeRecord{Name: "a", Zone: "z", Group: "g", Generation: 1, ActiveVersion: 3, MinVersion: 3,
 		ActiveText: text, ActiveHash: document.Hash([]byte(text))}
-	if told, code := ask("a"); code != 200 || !told.CollectRecord {
-		t.Fatalf("%d, %+v: a node is not asked for what it holds", code, told)
+	if response, code := sendHeartbeat("a"); code != 200 || !response.CollectRecord {
+		t.Fatalf("%d, %+v: a node is not asked for what it holds", code, response)
 	}
-	if code := post("/v1/kept", k, nil); code != 200 {
+	if code := post("/v1/kept", record, nil); code != 200 {
 		t.Fatalf("%d", code)
 	}
-	if told, code := ask("a"); code != 503 || told.CollectRecord {
-		t.Errorf("%d, %+v: a node that told is asked again", code, told)
-	}
-	spoilt := k
-	spoilt.Name, spoilt.ActiveText = "b", text+"; and more"
-	post("/v1/kept", spoilt, nil)
-	same := k
-	same.Name = "c"
-	post("/v1/kept", same, nil)
-	lies := k
-	lies.Name, lies.MinVersion = "d", 2
-	if code := post("/v1/kept", lies, nil); code != 400 {
+	if response, code := sendHeartbeat("a"); code != 503 || response.CollectRecord {
+		t.Errorf("%d, %+v: a node that told is asked again", code, response)
+	}
+	wrongHash := record
+	wrongHash.Name, wrongHash.ActiveText = "b", text+"; and more"
+	post("/v1/kept", wrongHash, nil)
+	sameText := record
+	sameText.Name = "c"
+	post("/v1/kept", sameText, nil)
+	belowMinimum := record
+	belowMinimum.Name, belowMinimum.MinVersion = "d", 2
+	if code := post("/v1/kept", belowMinimum, nil); code != 400 {
 		t.Errorf("%d for one that serves under what it was not told of", code)
 	}
 	if res, err := http.Get("http://" + listen + "/v1/config"); err != nil || res.StatusCode != 503 {
@@ -102,67 +102,67 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	all := map[string]api.NodeRecord{}
-	for _, k := range g.Stop(ctx) {
-		all[k.Name] = k
+	stored := map[string]api.NodeRecord{}
+	for _, record := range g.Stop(ctx) {
+		stored[record.Name] = record
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if len(all) != 3 || all["a"].ActiveText != text || all["b"].ActiveText != "" || all["c"].ActiveText != text ||
-		len(g.texts) != 1 || len(wrong) != 1 {
-		t.Errorf("%d kept, %d texts, wrong %v", len(all), len(g.texts), wrong)
+	if len(stored) != 3 || stored["a"].ActiveText != text || stored["b"].ActiveText != "" || stored["c"].ActiveText != text ||
+		len(g.texts) != 1 || len(recordErrs) != 1 {
+		t.Errorf("%d kept, %d texts, wrong %v", len(stored), len(g.texts), recordErrs)
 	}
 }
 
 // A group lost all its state. What was found must be the first state of the next generation, and no version may be in
 // force that no node holds.
-func TestRecover(t *testing.T) {
-	text := canonical(t, oneText)
+func TestRecoverFromNodeRecords(t *testing.T) {
+	text := canonicalText(t, fleetText)
 	hash := document.Hash([]byte(text))
-	plan := Config{Name: "a", Peer: "p", Listen: "l", ElectionTicks: 10, SnapshotBytes: 1 << 20,
+	config := Config{Name: "a", Peer: "p", Listen: "l", ElectionTicks: 10, SnapshotBytes: 1 << 20,
 		Sizes:  wal.Sizes{SegmentBytes: 1 << 20, MaxBytes: 64 << 20},
 		Random: randomID}
-	kept := []api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 3, ActiveVersion: 7, MinVersion: 7,
+	records := []api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 3, ActiveVersion: 7, MinVersion: 7,
 		ActiveText: text, ActiveHash: hash, ZoneEpoch: 5, ZoneShare: 256,
 		LeaseMS: 4000}}
 	fs := wal.NewMemFS()
-	v, err := Recover(fs, plan, nil, recovery.PlanRestore(kept, nil, ""))
+	v, err := Recover(fs, config, nil, recovery.PlanRestore(records, nil, ""))
 	if err != nil || v.Number != 7 || v.Hash != hash {
 		t.Fatalf("%+v, %v: expected version 7 as it was", v, err)
 	}
-	if _, err = Recover(fs, plan, nil, recovery.PlanRestore(kept, nil, "")); err == nil {
+	if _, err = Recover(fs, config, nil, recovery.PlanRestore(records, nil, "")); err == nil {
 		t.Error("a folder that is an instance's is written over")
 	}
-	old, err := ReadFolder(fs, plan)
+	stored, err := ReadFolder(fs, config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := old.Evidence()
-	if b.Generation != 4 || len(b.Predecessors) != 1 || b.Predecessors[0] != "g" || b.DecidedVersion != 7 ||
-		b.CommittedVersion != 7 || b.ZoneEpoch != 6 || b.UncommittedEntries != 0 {
-		t.Errorf("%+v: expected generation 4 of g, at version 7", b)
+	evidence := stored.Evidence()
+	if evidence.Generation != 4 || len(evidence.Predecessors) != 1 || evidence.Predecessors[0] != "g" || evidence.DecidedVersion != 7 ||
+		evidence.CommittedVersion != 7 || evidence.ZoneEpoch != 6 || evidence.UncommittedEntries != 0 {
+		t.Errorf("%+v: expected generation 4 of g, at version 7", evidence)
 	}
-	if old.stateMachine.level != LatestLevel || old.stateMachine.fleet.Fleet.UnknownLeasesExpireMS < 4000 ||
-		old.stateMachine.fleet.Fleet.Lookup("n1") == nil {
-		t.Errorf("level %d, hush %d", old.stateMachine.level, old.stateMachine.fleet.Fleet.UnknownLeasesExpireMS)
+	if stored.stateMachine.level != LatestLevel || stored.stateMachine.fleet.Fleet.UnknownLeasesExpireMS < 4000 ||
+		stored.stateMachine.fleet.Fleet.Lookup("n1") == nil {
+		t.Errorf("level %d, hush %d", stored.stateMachine.level, stored.stateMachine.fleet.Fleet.UnknownLeasesExpireMS)
 	}
 	// Nobody holds the text of what was decided: nothing is in force, and the next put is newer than that.
-	none := recovery.PlanRestore([]api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}},
+	withoutText := recovery.PlanRestore([]api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}},
 		nil, "")
 	fs = wal.NewMemFS()
-	if _, err = Recover(fs, plan, nil, none); err != nil {
+	if _, err = Recover(fs, config, nil, withoutText); err != nil {
 		t.Fatal(err)
 	}
-	if old, err = ReadFolder(fs, Config{ElectionTicks: 10, Sizes: plan.Sizes, Random: randomID}); err != nil {
+	if stored, err = ReadFolder(fs, Config{ElectionTicks: 10, Sizes: config.Sizes, Random: randomID}); err != nil {
 		t.Fatal(err)
 	}
-	if b = old.Evidence(); b.LastVersion != 9 || b.DecidedVersion != 9 || b.CommittedVersion != 0 {
-		t.Errorf("%+v: expected nothing in force and 10 as the next version", b)
+	if evidence = stored.Evidence(); evidence.LastVersion != 9 || evidence.DecidedVersion != 9 || evidence.CommittedVersion != 0 {
+		t.Errorf("%+v: expected nothing in force and 10 as the next version", evidence)
 	}
-	if _, err = ReadFolder(wal.NewMemFS(), plan); err != ErrEmptyFolder {
+	if _, err = ReadFolder(wal.NewMemFS(), config); err != ErrEmptyFolder {
 		t.Errorf("%v, expected %v", err, ErrEmptyFolder)
 	}
-	if _, err = Recover(wal.NewMemFS(), plan, nil, &recovery.RestorePlan{Conflict: "two texts"}); err == nil {
+	if _, err = Recover(wal.NewMemFS(), config, nil, &recovery.RestorePlan{Conflict: "two texts"}); err == nil {
 		t.Error("a conflict is restored")
 	}
 }
--- a/internal/control/consensus/state_machine_test.go
+++ b/internal/control/consensus/state_machine_test.go
@@ -8,78 +8,78 @@
 	"testing"
 )
 
-func text(n int) string { return fmt.Sprintf("[tenant t]\nrate = %d\n", n) }
+func documentText(n int) string { return fmt.Sprintf("[tenant t]\nrate = %d\n", n) }
 
-func ask(m *StateMachine, session string, seq, base uint64, doc string) PutResult {
+func putNext(m *StateMachine, session string, seq, base uint64, doc string) PutResult {
 	m.applied++
 	return m.applyPut(&Put{Session: session, Seq: seq, Base: base, Author: "x", Text: doc}, m.applied, 1)
 }
 
 // Clients put, repeat and conflict. Each put must end once, and a repeat must get the first result whatever happened
 // since.
-func TestEndsOfAPut(t *testing.T) {
+func TestPutOutcomes(t *testing.T) {
 	m := newStateMachine("c", 0)
 	for _, s := range []struct {
 		name      string
 		session   string
 		seq, base uint64
 		doc       string
-		end       PutOutcome
+		outcome   PutOutcome
 		version   uint64
 		reason    string
 	}{
-		{"first", "a", 1, 0, text(1), PutCommitted, 1, ""},
-		{"repeated", "a", 1, 0, text(1), PutCommitted, 1, ""},
-		{"from an old version", "b", 1, 0, text(2), PutConflict, 1, "made from version 0, expected 1"},
-		{"repeated after the state moved on", "b", 1, 0, text(2), PutConflict, 1, ""},
-		{"the same text told otherwise", "b", 2, 1, "; remark\n" + text(1), PutUnchanged, 1, ""},
+		{"first", "a", 1, 0, documentText(1), PutCommitted, 1, ""},
+		{"repeated", "a", 1, 0, documentText(1), PutCommitted, 1, ""},
+		{"from an old version", "b", 1, 0, documentText(2), PutConflict, 1, "made from version 0, expected 1"},
+		{"repeated after the state moved on", "b", 1, 0, documentText(2), PutConflict, 1, ""},
+		{"the same text told otherwise", "b", 2, 1, "; remark\n" + documentText(1), PutUnchanged, 1, ""},
 		{"a wrong text", "b", 3, 1, "[tenant t]\nrat = 1\n", PutInvalid, 1, "document:2: tenant t.rat: found a key"},
-		{"next", "a", 2, 1, text(3), PutCommitted, 2, ""},
-		{"an asking that was passed", "a", 1, 2, text(4), PutExpired, 2, "put 1, expected 2 or later"},
-		{"a session that is not known", "c", 2, 2, text(4), PutExpired, 2, "not known any more"},
+		{"next", "a", 2, 1, documentText(3), PutCommitted, 2, ""},
+		{"an asking that was passed", "a", 1, 2, documentText(4), PutExpired, 2, "put 1, expected 2 or later"},
+		{"a session that is not known", "c", 2, 2, documentText(4), PutExpired, 2, "not known any more"},
 	} {
-		a := ask(m, s.session, s.seq, s.base, s.doc)
-		if a.Outcome != s.end || a.Version != s.version || !strings.Contains(a.Reason, s.reason) {
-			t.Errorf("%s: %+v, expected %s of %d with %q", s.name, a, s.end, s.version, s.reason)
+		result := putNext(m, s.session, s.seq, s.base, s.doc)
+		if result.Outcome != s.outcome || result.Version != s.version || !strings.Contains(result.Reason, s.reason) {
+			t.Errorf("%s: %+v, expected %s of %d with %q", s.name, result, s.outcome, s.version, s.reason)
 		}
 	}
 }
 
 // A put would break what requests in flight were promised. It must be refused.
-func TestWhatMayNotFollowIsRefused(t *testing.T) {
+func TestIncompatibleDocumentIsRejected(t *testing.T) {
 	m := newStateMachine("c", 0)
-	ask(m, "a", 1, 0, "[class s]\nkind = uniqued\nwindow = 20s\n")
-	if a := ask(m, "a", 2, 1, "[class s]\nkind = uniqued\nwindow = 10s\n"); a.Outcome != PutInvalid || m.Last() != 1 {
-		t.Fatalf("a smaller window: %+v", a)
+	putNext(m, "a", 1, 0, "[class s]\nkind = uniqued\nwindow = 20s\n")
+	if result := putNext(m, "a", 2, 1, "[class s]\nkind = uniqued\nwindow = 10s\n"); result.Outcome != PutInvalid || m.Last() != 1 {
+		t.Fatalf("a smaller window: %+v", result)
 	}
 }
 
 // An instance restores a snapshot that was taken in the middle. It must give the same results as one that applied all
 // entries, or the group would have two states.
-func TestStateIsTheSameAfterASnapshot(t *testing.T) {
+func TestSnapshotRestoresSameState(t *testing.T) {
 	m := newStateMachine("c", 0)
 	m.members.list = []Member{{ID: 7, Name: "a", Voter: true}}
 	m.members.removed = []uint64{3}
 	for i := 0; i < 50; i++ {
-		ask(m, fmt.Sprint("s", i%9), uint64(1+i/9), m.Last(), text(i))
+		putNext(m, fmt.Sprint("s", i%9), uint64(1+i/9), m.Last(), documentText(i))
 	}
 	parts, err := m.snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	raw := bytes.Join(parts, nil)
-	o, err := restoreStateMachine(raw, 0)
+	restored, err := restoreStateMachine(raw, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := 0; i < 40; i++ {
 		s, seq, base := fmt.Sprint("s", i%12), uint64(1+i/9), m.Last()-uint64(i%2)
-		if a, b := ask(m, s, seq, base, text(100+i)), ask(o, s, seq, base, text(100+i)); a != b {
+		if a, b := putNext(m, s, seq, base, documentText(100+i)), putNext(restored, s, seq, base, documentText(100+i)); a != b {
 			t.Fatalf("put %d: %+v and %+v", i, a, b)
 		}
 	}
 	a, _ := m.snapshot()
-	b, _ := o.snapshot()
+	b, _ := restored.snapshot()
 	if !bytes.Equal(bytes.Join(a, nil), bytes.Join(b, nil)) {
 		t.Fatal("two states after the same puts")
 	}
@@ -91,31 +91,31 @@
 }
 
 // A document has a fault on each of many lines. The reason, which is stored with the session, must be cut at a line.
-func TestReasonsAreBounded(t *testing.T) {
+func TestReasonIsTruncated(t *testing.T) {
 	m := newStateMachine("c", 0)
-	a := ask(m, "a", 1, 0, "[tenant t]\n"+strings.Repeat("nonsense\n", 50000))
-	if a.Outcome != PutInvalid || len(a.Reason) > maxReasonBytes+40 || !strings.HasSuffix(a.Reason, " more lines") ||
-		!strings.HasPrefix(a.Reason, "document:2: line: found") {
-		t.Fatalf("%s with %d bytes of reason: ...%.60q", a.Outcome, len(a.Reason), a.Reason[max(0, len(a.Reason)-60):])
+	result := putNext(m, "a", 1, 0, "[tenant t]\n"+strings.Repeat("nonsense\n", 50000))
+	if result.Outcome != PutInvalid || len(result.Reason) > maxReasonBytes+40 || !strings.HasSuffix(result.Reason, " more lines") ||
+		!strings.HasPrefix(result.Reason, "document:2: line: found") {
+		t.Fatalf("%s with %d bytes of reason: ...%.60q", result.Outcome, len(result.Reason), result.Reason[max(0, len(result.Reason)-60):])
 	}
 }
 
 // More clients and larger texts come than the state holds. The oldest must be dropped, and a repeat of a dropped
 // client's put must have no second effect.
-func TestTablesAreBounded(t *testing.T) {
+func TestSessionsAndVersionsAreBounded(t *testing.T) {
 	m := newStateMachine("c", 0)
 	for i := 0; i < maxSessions+10; i++ {
-		ask(m, fmt.Sprint("s", i), 1, m.Last(), text(i))
+		putNext(m, fmt.Sprint("s", i), 1, m.Last(), documentText(i))
 	}
 	if len(m.sessions.byName) != maxSessions || m.sessions.byLastUse.Len() != maxSessions {
 		t.Fatalf("%d sessions, expected %d", len(m.sessions.byName), maxSessions)
 	}
-	if a := ask(m, "s0", 1, 0, text(0)); a.Outcome != PutConflict {
-		t.Fatalf("a repeat whose session went: %+v, expected no second effect", a)
+	if result := putNext(m, "s0", 1, 0, documentText(0)); result.Outcome != PutConflict {
+		t.Fatalf("a repeat whose session went: %+v, expected no second effect", result)
 	}
 	m.versions.bytes = maxVersionBytes + 1 // as if their texts were large
 	first := m.versions.first
-	ask(m, "large", 1, m.Last(), text(-1+1<<20))
+	putNext(m, "large", 1, m.Last(), documentText(-1+1<<20))
 	if m.versions.first <= first || m.versions.first > m.Last() || len(m.versions.lines) == 0 {
 		t.Fatalf("versions %d to %d are kept", m.versions.first, m.Last())
 	}
@@ -123,10 +123,10 @@
 
 // Changes of members that would leave no voter, reuse a name or bring a removed instance back must be refused, by the
 // state alone.
-func TestChangesOfMembers(t *testing.T) {
+func TestMemberChangeValidation(t *testing.T) {
 	m := newStateMachine("c", 0)
 	m.members.list = []Member{{ID: 5, Name: "a", Voter: true}}
-	do := func(c Change, reason error, text string) {
+	change := func(c Change, reason error, text string) {
 		t.Helper()
 		err := m.members.check(&c)
 		if !errors.Is(err, reason) || err != nil && !strings.Contains(err.Error(), text) {
@@ -136,34 +136,34 @@
 			m.members.apply(&c)
 		}
 	}
-	do(Change{Op: "remove", Member: Member{ID: 5}}, ErrOnlyVoter, "the only voter")
-	do(Change{Op: "add", Member: Member{ID: 9, Name: "a"}}, ErrNameTaken, `"a" is instance 5 already`)
-	do(Change{Op: "add", Member: Member{ID: 9, Name: "b", Voter: true}}, nil, "")
+	change(Change{Op: "remove", Member: Member{ID: 5}}, ErrOnlyVoter, "the only voter")
+	change(Change{Op: "add", Member: Member{ID: 9, Name: "a"}}, ErrNameTaken, `"a" is instance 5 already`)
+	change(Change{Op: "add", Member: Member{ID: 9, Name: "b", Voter: true}}, nil, "")
 	if m.members.byID(9).Voter {
 		t.Fatal("a new instance is a voter before it has caught up")
 	}
-	do(Change{Op: "add", Member: Member{ID: 9, Name: "c"}}, ErrAlreadyMember, "a member already")
-	do(Change{Op: "replace", Member: Member{ID: 5}, ReplacedID: 9}, ErrNotVoterAndLearner,
+	change(Change{Op: "add", Member: Member{ID: 9, Name: "c"}}, ErrAlreadyMember, "a member already")
+	change(Change{Op: "replace", Member: Member{ID: 5}, ReplacedID: 9}, ErrNotVoterAndLearner,
 		"expected a voter and a learner")
-	do(Change{Op: "replace", Member: Member{ID: 9}, ReplacedID: 5}, nil, "")
+	change(Change{Op: "replace", Member: Member{ID: 9}, ReplacedID: 5}, nil, "")
 	if len(m.members.list) != 1 || !m.members.list[0].Voter || m.members.list[0].ID != 9 {
 		t.Fatalf("members %+v, expected 9 alone as a voter", m.members.list)
 	}
-	do(Change{Op: "add", Member: Member{ID: 5, Name: "a"}}, ErrMemberRemoved, "was removed")
-	do(Change{Op: "remove", Member: Member{ID: 6}}, ErrNotMember, "instance 6 is no member")
-	do(Change{Op: "add", Member: Member{ID: 6}}, ErrIncompleteMember, `found id 6 and name ""`)
-	do(Change{Op: "promote", Member: Member{ID: 9}}, ErrNotLearner, "no learner")
-	do(Change{Op: "fly", Member: Member{ID: 9}}, ErrUnknownChange, `found "fly"`)
+	change(Change{Op: "add", Member: Member{ID: 5, Name: "a"}}, ErrMemberRemoved, "was removed")
+	change(Change{Op: "remove", Member: Member{ID: 6}}, ErrNotMember, "instance 6 is no member")
+	change(Change{Op: "add", Member: Member{ID: 6}}, ErrIncompleteMember, `found id 6 and name ""`)
+	change(Change{Op: "promote", Member: Member{ID: 9}}, ErrNotLearner, "no learner")
+	change(Change{Op: "fly", Member: Member{ID: 9}}, ErrUnknownChange, `found "fly"`)
 	for i := uint64(0); i < maxMembers-1; i++ {
-		do(Change{Op: "add", Member: Member{ID: 100 + i, Name: fmt.Sprint(i)}}, nil, "")
+		change(Change{Op: "add", Member: Member{ID: 100 + i, Name: fmt.Sprint(i)}}, nil, "")
 	}
-	do(Change{Op: "add", Member: Member{ID: 99, Name: "x"}}, ErrTooManyMembers, "expected at most")
+	change(Change{Op: "add", Member: Member{ID: 99, Name: "x"}}, ErrTooManyMembers, "expected at most")
 }
 
 // Instances connect on old copies of their folders, after a removal, of another cluster, or of an older build. Only
 // those that can do no harm may be spoken with.
-func TestWhoIsSpokenWith(t *testing.T) {
-	fresh := func() *PeerRegistry {
+func TestHandshakeDecisions(t *testing.T) {
+	newRegistry := func() *PeerRegistry {
 		return &PeerRegistry{self: Identity{Cluster: "c", ID: 1}, lastStarts: map[uint64]peerStart{2: {5, 50}},
 			progress: map[uint64]peerProgress{2: {term: 4, lastIndex: 30}}, removed: func(id uint64) bool { return id == 3 },
 			groupLevel: func() int { return LevelVersions }, peerLevels: map[uint64]int{}}
@@ -177,7 +177,7 @@
 		name    string
 		h       Hello
 		reason  string
-		learnt  bool
+		changed bool
 		waiting bool
 	}{
 		{"the same life", hello("c", 2, 5, 50, 4, 30, 1), "", false, false},
@@ -200,16 +200,16 @@
 		{"taken in", hello("c", 2, 9, 9, 9, 9, 1), "", true, true},
 		{"greeted by who does not know it", hello("c", 2, 9, 9, 9, 9, 0), refusedOtherCluster, false, true},
 	} {
-		a := fresh()
+		registry := newRegistry()
 		if c.waiting {
-			a.self.Cluster = ""
+			registry.self.Cluster = ""
 		}
-		reason, learnt := a.Handshake(c.h)
-		if reason != c.reason || learnt != c.learnt {
-			t.Errorf("%s: %q and %v, expected %q and %v", c.name, reason, learnt, c.reason, c.learnt)
+		reason, changed := registry.Handshake(c.h)
+		if reason != c.reason || changed != c.changed {
+			t.Errorf("%s: %q and %v, expected %q and %v", c.name, reason, changed, c.reason, c.changed)
 		}
 	}
-	a := fresh()
+	a := newRegistry()
 	a.RecordProgress(2, 4, 35)
 	a.RecordProgress(2, 3, 99) // late news of an earlier term
 	if a.progress[2] != (peerProgress{4, 35}) {
--- a/internal/control/consensus/transport_close_test.go
+++ b/internal/control/consensus/transport_close_test.go
@@ -100,7 +100,7 @@
 // A connection is accepted while the transport closes: the listener had it before it was closed. No goroutine may
 // begin for it, as close may be waiting for the last one (which panicked once in the wait group), and its peer must
 // see it closed.
-func TestConnectionAcceptedAsTheTransportCloses(t *testing.T) {
+func TestConnectionAcceptedDuringClose(t *testing.T) {
 	for _, at := range []string{"before close returns", "after close returned"} {
 		t.Run(at, func(t *testing.T) {
 			transport := newTestTransport(&handlerStub{})
@@ -135,7 +135,7 @@
 
 // Connections keep coming while the transport closes, in many rounds. close must return each time, and leave nothing
 // running and no connection open.
-func TestConnectionsComeWhileTheTransportCloses(t *testing.T) {
+func TestConnectionsArriveDuringClose(t *testing.T) {
 	const rounds = 200
 	for range rounds {
 		transport := newTestTransport(&handlerStub{})
@@ -180,7 +180,7 @@
 
 // A snapshot is handed to the transport after it closed. It must be reported as not sent, or raft would wait for it
 // for ever, and no goroutine may begin for it.
-func TestSnapshotHandedOverAfterClose(t *testing.T) {
+func TestSnapshotAfterCloseIsReportedUnsent(t *testing.T) {
 	handler := &handlerStub{}
 	transport := newTestTransport(handler)
 	const peerID = 7
--- a/internal/control/consensus/transport_test.go
+++ b/internal/control/consensus/transport_test.go
@@ -15,9 +15,9 @@
 
 // An instance joins when the log before it has been truncated. It must get the state by a snapshot of many chunks,
 // and find it again after a restart.
-func TestSnapshotToALateOne(t *testing.T) {
+func TestSnapshotToNewMember(t *testing.T) {
 	t.Parallel()
-	a := boot(t, "a", "new", nil)
+	a := startInstance(t, "a", "new", nil)
 	large := func(n int) string {
 		var b strings.Builder
 		for i := 0; i < 9000; i++ {
@@ -26,17 +26,17 @@
 		return b.String()
 	}
 	for n := uint64(1); n <= 12; n++ {
-		var end PutResult
+		var result PutResult
 		a.await("a leader", func(v *View) bool { return v.Leader != 0 })
-		if a.ask(http.MethodPut, "/v1/config", Put{Session: "s", Seq: n, Base: n - 1, Author: "x",
+		if a.request(http.MethodPut, "/v1/config", Put{Session: "s", Seq: n, Base: n - 1, Author: "x",
 			Text: large(int(n))},
-			&end); end.Outcome != PutCommitted {
-			t.Fatalf("put %d: %+v", n, end)
+			&result); result.Outcome != PutCommitted {
+			t.Fatalf("put %d: %+v", n, result)
 		}
 	}
 	a.await("the log was let go of", func(v *View) bool { return v.Status.FirstIndex > 2 })
-	b := boot(t, "b", "join", nil)
-	a.join(b)
+	b := startInstance(t, "b", "join", nil)
+	a.addVoter(b)
 	if v := b.group.View(); v.Version != 12 || b.group.transport.counters.snapshotsReceived.Load() == 0 {
 		t.Fatalf("version %d after %d snapshots", v.Version, b.group.transport.counters.snapshotsReceived.Load())
 	}
@@ -47,8 +47,8 @@
 
 // Something connects to the peers' address and sends noise, another cluster's hello, or a message in another
 // instance's name. Each connection must be closed, and the term must not change.
-func TestPeersThatCantBeBelieved(t *testing.T) {
-	a := boot(t, "a", "new", nil)
+func TestInvalidPeersAreDisconnected(t *testing.T) {
+	a := startInstance(t, "a", "new", nil)
 	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
 	own := a.group.View()
 	dial := func() net.Conn {
@@ -94,8 +94,8 @@
 }
 
 // A peer sends a snapshot that ends in the middle, or lies about its length or content. Nothing of it may be applied.
-func TestSnapshotCutOff(t *testing.T) {
-	a := boot(t, "a", "new", nil)
+func TestInvalidSnapshotsAreNotApplied(t *testing.T) {
+	a := startInstance(t, "a", "new", nil)
 	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
 	own := a.group.View()
 	for n, announced := range []int{5000, -1, maxSnapshotBytes + 1, 3000} {
@@ -127,7 +127,7 @@
 
 // A peer takes no messages. What is queued for it must be bounded in bytes too, as a message may carry a large
 // document.
-func TestQueueOfAPeerIsBounded(t *testing.T) {
+func TestPeerQueueIsBounded(t *testing.T) {
 	p := &peer{queue: make(chan *pb.Message, maxQueuedMessages)}
 	m := &pb.Message{Entries: []*pb.Entry{{Data: make([]byte, 1<<20)}}}
 	n := 0
