--- a/internal/control/consensus/api_test.go
+++ b/internal/control/consensus/api_test.go
@@ -17,8 +17,7 @@
 	"umberwinch/internal/config"
 )
 
-// A watcher loses its connection and goes on at another instance, several times. It must miss no version and get none
-// twice, or a node would serve under an old one.
+// A watcher reconnects to other instances. It must miss no version and get none twice.
 func TestWatchResumesAtOtherInstances(t *testing.T) {
 	instances := startThree(t, nil)
 	from := uint64(1)
@@ -27,7 +26,7 @@
 		last := instances[0].group.View().Version
 		for n := last + 1; n <= last+5; n++ {
 			if result := i.put("s", n, n-1); result.Version != n {
-				t.Fatalf("put %d: %+v", n, result)
+				t.Fatalf("put(seq %d) = %+v, want version %d", n, result, n)
 			}
 		}
 		res, err := http.Get(fmt.Sprintf("http://%s/v1/watch?from=%d", i.control.Listen, from))
@@ -43,7 +42,7 @@
 			}
 			v, err := ReadVersion(lines.Bytes())
 			if err != nil || v.Number != from {
-				t.Fatalf("version %v (%v), expected %d", v, err, from)
+				t.Fatalf("watch line = version %v, %v, want version %d", v, err, from)
 			}
 			from++
 			got++
@@ -51,33 +50,32 @@
 		res.Body.Close()
 	}
 	if code, _ := instances[0].request(http.MethodGet, "/v1/watch?from=0", nil, nil); code != http.StatusGone {
-		t.Fatalf("watch from 0: %d, expected %d", code, http.StatusGone)
+		t.Fatalf("watch from version 0: status %d, want %d", code, http.StatusGone)
 	}
 }
 
-// Clients send what is wrong or too much. Each must get the status and reason that it stands for, and a header that
-// never ends must not hold a connection.
+// Invalid and too large requests must get their status, and an incomplete header must not hold a connection forever.
 func TestInvalidClientRequestsAreRejected(t *testing.T) {
 	t.Parallel()
 	a := startInstance(t, "a", "new", func(c *config.Control) { c.Token = "a token of some length" })
-	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
+	a.await("role leader", func(v *View) bool { return v.Role == "leader" })
 	url := "http://" + a.control.Listen + "/v1/config"
 	for _, c := range []struct {
 		name, body, token string
 		code              int
 	}{
 		{"no token", "{}", "", 401},
-		{"another token", "{}", "a token of some lengtH", 401},
-		{"no JSON", "x", a.control.Token, 400},
-		{"an unknown key", `{"sesion":"x"}`, a.control.Token, 400},
+		{"wrong token", "{}", "a token of some lengtH", 401},
+		{"invalid JSON", "x", a.control.Token, 400},
+		{"unknown field", `{"sesion":"x"}`, a.control.Token, 400},
 		{"no session", `{"seq":1,"author":"x"}`, a.control.Token, 400},
-		{"no number", `{"session":"s","author":"x"}`, a.control.Token, 400},
+		{"no sequence number", `{"session":"s","author":"x"}`, a.control.Token, 400},
 		{"no author", `{"session":"s","seq":1}`, a.control.Token, 400},
-		{"a long text", `{"session":"s","seq":1,"author":"x","text":"` + strings.Repeat("x", 1<<20+1) + `"}`,
+		{"text too long", `{"session":"s","seq":1,"author":"x","text":"` + strings.Repeat("x", 1<<20+1) + `"}`,
 			a.control.Token, 400},
-		{"a body without end", `{"text":"` + strings.Repeat("x", maxBodyBytes) + `"}`, a.control.Token, 413},
-		{"a wrong document", `{"session":"s","seq":1,"author":"x","text":"[x]\ny = 1\n"}`, a.control.Token, 422},
-		{"rules of its own", `{"session":"r","seq":1,"author":"x","rules":99,"text":"[tenant a]\nrate = 1\n"}`,
+		{"body too large", `{"text":"` + strings.Repeat("x", maxBodyBytes) + `"}`, a.control.Token, 413},
+		{"invalid document", `{"session":"s","seq":1,"author":"x","text":"[x]\ny = 1\n"}`, a.control.Token, 422},
+		{"rules set by the client", `{"session":"r","seq":1,"author":"x","rules":99,"text":"[tenant a]\nrate = 1\n"}`,
 			a.control.Token, 200},
 	} {
 		req, err := http.NewRequest(http.MethodPut, url, strings.NewReader(c.body))
@@ -92,19 +90,20 @@
 		raw, _ := io.ReadAll(res.Body)
 		res.Body.Close()
 		if res.StatusCode != c.code {
-			t.Errorf("%s: %d %.200s, expected %d", c.name, res.StatusCode, raw, c.code)
+			t.Errorf("%s: status %d with body %.200s, want %d", c.name, res.StatusCode, raw, c.code)
 		}
 	}
 	for _, path := range []string{"/v1/config?version=x", "/v1/history?limit=0", "/v1/history?limit=1001",
 		"/v1/config?read=quick"} {
 		if code, _ := a.request(http.MethodGet, path, nil, nil); code != 400 {
-			t.Errorf("%s: %d, expected 400", path, code)
+			t.Errorf("GET %s: status %d, want 400", path, code)
 		}
 	}
 	if code, _ := a.request(http.MethodGet, "/v1/config?version=7", nil, nil); code != 404 {
-		t.Errorf("version 7: %d, expected 404", code)
+		t.Errorf("GET of version 7: status %d, want 404", code)
 	}
-	slow, err := net.Dial("tcp", a.control.Listen) // a head that never ends
+	// A client that never completes its header must be disconnected.
+	slow, err := net.Dial("tcp", a.control.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,15 +111,15 @@
 	slow.Write([]byte("GET /v1/status HTTP/1.1\r\nX: "))
 	slow.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := io.Copy(io.Discard, slow); err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Fatalf("a head that never ends: %v, expected a close", err)
+		t.Fatalf("read after an incomplete header = %v, want EOF or a reset", err)
 	}
 }
 
-// Clients announce large bodies and send nothing. They must not occupy more memory than the bound; others are told to
-// come again, and are served once those are gone.
+// Clients announce large bodies and send nothing. Memory for bodies must stay bounded: further puts get 503, and
+// succeed after the connections are closed.
 func TestTotalBodySizeIsBounded(t *testing.T) {
 	a := startInstance(t, "a", "new", nil)
-	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
+	a.await("role leader", func(v *View) bool { return v.Role == "leader" })
 	var conns []net.Conn
 	for i := 0; i < maxTotalBodyBytes/maxBodyBytes; i++ {
 		c, err := net.Dial("tcp", a.control.Listen)
@@ -131,64 +130,63 @@
 			maxBodyBytes)
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if line, err := bufio.NewReader(c).ReadString('\n'); err != nil || !strings.Contains(line, "100 Continue") {
-			t.Fatalf("body %d: %q, %v", i, line, err)
+			t.Fatalf("response to announced body %d = %q, %v, want 100 Continue", i, line, err)
 		}
 		conns = append(conns, c)
 	}
 	put := Put{Session: "s", Seq: 1, Author: "x", Text: documentText(1) + strings.Repeat(";\n", 1<<19-100)}
-	if code, header := a.request(http.MethodPut, "/v1/config", put, nil); code != 503 || header.Get("Retry-After") == "" {
-		t.Fatalf("a put beside full bodies: %d, expected 503 and a time to come back", code)
+	code, header := a.request(http.MethodPut, "/v1/config", put, nil)
+	if retryAfter := header.Get("Retry-After"); code != 503 || retryAfter == "" {
+		t.Fatalf("put beyond the limit: status %d, Retry-After %q, want 503 with Retry-After", code, retryAfter)
 	}
 	for _, c := range conns {
 		c.Close()
 	}
 	if result := a.put("t", 1, 0); result.Outcome != PutCommitted {
-		t.Fatalf("a put after them: %+v", result)
+		t.Fatalf("put after the bodies were released = %+v, want %s", result, PutCommitted)
 	}
 }
 
-// TestPutIsInViewBeforeItsResult: a client puts a version, is told its number, and looks at the same instance. The instance's view,
-// which every answer's headers and stale reads go by, must have that version by then: a client that waits for its
-// version by the header would take the put for lost.
+// The view, which headers and stale reads use, must have a version before the put's result is returned. Otherwise a
+// client that compares the version header would take the put for lost.
 func TestPutIsInViewBeforeItsResult(t *testing.T) {
 	a := startInstance(t, "a", "new", nil)
-	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
+	a.await("role leader", func(v *View) bool { return v.Role == "leader" })
 	for seq := uint64(1); seq <= 3000; seq++ {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		result, err := a.group.Put(ctx, Put{Session: "s", Seq: seq, Base: seq - 1, Author: "x",
 			Text: fmt.Sprintf("[tenant t]\nrate = %d\n", seq)})
 		cancel()
 		if err != nil || result.Outcome != PutCommitted {
-			t.Fatalf("put %d: %+v, %v", seq, result, err)
+			t.Fatalf("Put(seq %d) = %+v, %v, want %s", seq, result, err, PutCommitted)
 		}
 		if v := a.group.View(); v.Version < result.Version {
-			t.Fatalf("put %d was told, and the view has %d", result.Version, v.Version)
+			t.Fatalf("view has version %d after the result of version %d", v.Version, result.Version)
 		}
 	}
 }
 
-// TestStopFreesAddressAndErrorLog: an instance ends within a process that goes on, as in tests and in a restart of it. The goroutine
-// that logs for the server has to end with it, as its pipe is closed, and the address has to be free.
+// Stop must end the goroutine of the server's error log, by closing its pipe, and free the address.
 func TestStopFreesAddressAndErrorLog(t *testing.T) {
 	a := startInstance(t, "a", "new", nil)
 	stopped := a.api
 	a.stop()
 	if _, err := stopped.errorLog.Write([]byte("late\n")); !errors.Is(err, io.ErrClosedPipe) {
-		t.Errorf("found %v, expected %v", err, io.ErrClosedPipe)
+		t.Errorf("errorLog.Write() after Stop = %v, want %v", err, io.ErrClosedPipe)
 	}
 	l, err := net.Listen("tcp", a.control.Listen)
 	if err != nil {
-		t.Fatalf("the address is not free: %v", err)
+		t.Fatalf("Listen on the address after Stop: %v", err)
 	}
 	if err = l.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// Many clients put at once. Each must get one result, and one sync must serve many puts.
+// Each of many concurrent puts must get one result, and one sync must serve several puts.
 func TestConcurrentPutsShareSyncs(t *testing.T) {
 	a := startInstance(t, "a", "new", nil)
-	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
+	a.await("role leader", func(v *View) bool { return v.Role == "leader" })
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	outcomes := map[PutOutcome]int{}
@@ -214,9 +212,10 @@
 	wg.Wait()
 	v := a.group.View()
 	if outcomes[PutCommitted]+outcomes[PutConflict] != 640 || uint64(outcomes[PutCommitted]) != v.Version {
-		t.Fatalf("ends %v, version %d", outcomes, v.Version)
+		t.Fatalf("outcomes = %v at version %d, want 640 committed or in conflict, and one version per commit", outcomes,
+			v.Version)
 	}
 	if v.Syncs >= 640 {
-		t.Fatalf("%d syncs for 640 puts", v.Syncs)
+		t.Fatalf("%d syncs for 640 puts, want fewer", v.Syncs)
 	}
 }
--- a/internal/control/consensus/credentials_test.go
+++ b/internal/control/consensus/credentials_test.go
@@ -19,7 +19,7 @@
 	"umberwinch/internal/config"
 )
 
-// testAuthority writes certificates of its own.
+// testAuthority is a certificate authority that writes its files into a test directory.
 type testAuthority struct {
 	key        *ecdsa.PrivateKey
 	cert       *x509.Certificate
@@ -74,8 +74,8 @@
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}, key)
 }
 
-// A client or peer without a certificate of the authority must not be answered, and a bad new certificate must leave
-// the old one in use, or a slip at a renewal would cut the instance off.
+// Clients and peers without a certificate of the authority must be rejected, and a failed reload must leave the
+// previous certificate in use.
 func TestTLSRequiresCertificatesAndReloads(t *testing.T) {
 	ca := newAuthority(t)
 	useCertificate := func(c *config.Control) {
@@ -99,17 +99,17 @@
 	}
 	a.addVoter(b)
 	if result := b.put("s", 1, 0); result.Outcome != PutCommitted {
-		t.Fatalf("put: %+v", result)
+		t.Fatalf("put = %+v, want %s", result, PutCommitted)
 	}
 	noCertificate := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
 	if _, err := noCertificate.Get("https://" + a.control.Listen + "/v1/status"); err == nil {
-		t.Fatal("a client without a certificate was answered")
+		t.Fatal("a client without a certificate got a response, want an error")
 	}
 	if c, err := net.Dial("tcp", a.control.Peer); err == nil {
 		writeJSON(c, frameHello, Hello{Identity: Identity{ID: 9}})
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if kind, _, err := readFrame(c, 1000); err == nil {
-			t.Fatalf("a peer without TLS was answered with kind %d", kind)
+			t.Fatalf("a peer without TLS got a frame of kind %d, want an error", kind)
 		}
 		c.Close()
 	}
@@ -117,16 +117,16 @@
 		t.Fatal(err)
 	}
 	if err := a.group.Reload(); err == nil {
-		t.Fatal("a bad certificate was taken")
+		t.Fatal("Reload() of an invalid certificate succeeded, want an error")
 	}
 	if result := a.put("s", 2, 1); result.Outcome != PutCommitted {
-		t.Fatalf("put after a bad certificate: %+v", result)
+		t.Fatalf("put after a failed reload = %+v, want %s", result, PutCommitted)
 	}
 	useCertificate(a.control)
 	if err := a.group.Reload(); err != nil {
-		t.Fatalf("a good certificate: %v", err)
+		t.Fatalf("Reload() of a valid certificate: %v", err)
 	}
-	b.stop() // a new connection, with the new certificate
+	b.stop() // forces a connection with the new certificate
 	b.start()
-	b.await("it hears the leader", func(v *View) bool { return v.Leader != 0 && v.Version == 2 })
+	b.await("a leader and version 2", func(v *View) bool { return v.Leader != 0 && v.Version == 2 })
 }
--- a/internal/control/consensus/errors_test.go
+++ b/internal/control/consensus/errors_test.go
@@ -16,8 +16,7 @@
 	"umberwinch/internal/control/coordinator"
 )
 
-// TestStatusOfErrors: a client decides by the status whether to ask again. Each typed error, wrapped too, must have the
-// status it stands for.
+// Clients decide by the status whether to retry. Each typed error, also wrapped, must have its status.
 func TestStatusOfErrors(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -46,13 +45,12 @@
 		{errors.New("anything else"), http.StatusBadRequest},
 	} {
 		if got := statusOf(c.err); got != c.want {
-			t.Errorf("%v: status %d, expected %d", c.err, got, c.want)
+			t.Errorf("statusOf(%v) = %d, want %d", c.err, got, c.want)
 		}
 	}
 }
 
-// TestErrorTexts: operators and clients are shown what was found and what was expected. Scripts and pages quote these
-// texts, so they stay as they are.
+// Scripts and documentation quote these error texts, so they must not change.
 func TestErrorTexts(t *testing.T) {
 	v := &View{Status: Status{Version: 3}, FirstVersion: 2}
 	for _, c := range []struct {
@@ -83,63 +81,61 @@
 		{&UnexpectedPeerError{1, 2}, "instance 1 answers, expected 2"},
 	} {
 		if c.err == nil || c.err.Error() != c.want {
-			t.Errorf("found %v, expected %s", c.err, c.want)
+			t.Errorf("error text = %v, want %s", c.err, c.want)
 		}
 	}
 	var field *api.FieldError
 	if err := (&Put{Session: "s"}).validate(); !errors.As(err, &field) || field.Field != "seq" {
-		t.Errorf("found %v, expected an api.FieldError of seq", err)
+		t.Errorf("validate() = %v, want an api.FieldError of seq", err)
 	}
 	var guard *UnknownGuardError
 	if _, err := GuardNamed("lease"); !errors.As(err, &guard) || guard.Name != "lease" {
-		t.Errorf("found %v, expected an UnknownGuardError of lease", err)
+		t.Errorf("GuardNamed(\"lease\") = %v, want an UnknownGuardError of lease", err)
 	}
 }
 
-// TestEntryOfNewerProgramIsRejected: an instance of an older program meets an entry that it can't read. It must stop with an
-// error that says so, or its state would differ from the others'.
+// An instance of an older program must stop at an entry that it can not read, or its state would diverge.
 func TestEntryOfNewerProgramIsRejected(t *testing.T) {
 	m := newStateMachine("c", 0)
 	for _, entry := range []string{`{"rules":9,"session":"s"}`, `{"kind":"level","body":9}`} {
 		var newer *NewerProgramError
 		if _, _, err := m.applyEntry([]byte(entry), 1, 1); !errors.As(err, &newer) {
-			t.Errorf("%s: %v, expected a NewerProgramError", entry, err)
+			t.Errorf("applyEntry(%s) = %v, want a NewerProgramError", entry, err)
 		}
 	}
 }
 
-// TestInvalidInputErrors: what can't be read, of the log or of a peer, is told by types: the instance ends for the one,
-// and closes the connection for the other.
+// Invalid log entries and frames must give typed errors: the first stop the instance, the second close the connection.
 func TestInvalidInputErrors(t *testing.T) {
 	m := newStateMachine("c", 0)
 	for _, raw := range []string{"x", `{"seq":-1}`} {
 		var entry *coordinator.EntryError
 		if _, _, err := m.applyEntry([]byte(raw), 1, 1); !errors.As(err, &entry) {
-			t.Errorf("%s: found %v, expected an EntryError", raw, err)
+			t.Errorf("applyEntry(%s) = %v, want an EntryError", raw, err)
 		}
 	}
 	for _, raw := range []string{"\x00\x00\x00\x00\x00\x00\x00\x00", "\x02\x00\x00\x00\x00\x00\x00\x00ab"} {
 		var frame *FrameError
 		if _, _, err := readFrame(strings.NewReader(raw), 100); !errors.As(err, &frame) {
-			t.Errorf("%q: found %v, expected a FrameError", raw, err)
+			t.Errorf("readFrame(%q) = %v, want a FrameError", raw, err)
 		}
 	}
 }
 
-// TestDamagedSnapshotsAreRejected: an operator restores from a file that is torn or not a snapshot. The error has to be one that
-// callers can tell from a disk's, and nothing of the file may be used.
+// A truncated or invalid snapshot file must give a SnapshotError, which callers can tell from a disk error, and no
+// state.
 func TestDamagedSnapshotsAreRejected(t *testing.T) {
 	for name, raw := range map[string]string{
-		"empty":         "",
-		"no head":       "{}",
-		"a wrong head":  "[]\n{}",
-		"a torn state":  `{"meta":""}` + "\n" + `{"cluster":"c"`,
-		"no versions":   `{"meta":""}` + "\n" + `{"cluster":"c","first":1,"versions":1}` + "\n",
-		"a later level": `{"meta":""}` + "\n" + `{"cluster":"c","first":1,"level":99}` + "\n",
+		"empty":        "",
+		"no header":    "{}",
+		"wrong header": "[]\n{}",
+		"cut state":    `{"meta":""}` + "\n" + `{"cluster":"c"`,
+		"no versions":  `{"meta":""}` + "\n" + `{"cluster":"c","first":1,"versions":1}` + "\n",
+		"newer level":  `{"meta":""}` + "\n" + `{"cluster":"c","first":1,"level":99}` + "\n",
 	} {
 		var damaged *SnapshotError
 		if group, err := ReadSnapshot([]byte(raw)); group != nil || !errors.As(err, &damaged) {
-			t.Errorf("%s: found %v (%v), expected a SnapshotError", name, group, err)
+			t.Errorf("%s: ReadSnapshot() = %v, %v, want a SnapshotError", name, group, err)
 		}
 	}
 }
--- a/internal/control/consensus/group_test.go
+++ b/internal/control/consensus/group_test.go
@@ -21,18 +21,18 @@
 	"umberwinch/internal/wal"
 )
 
-// The leader of three instances dies after a put. A follower must take over, give a repeated put its first result,
-// and commit more; the dead one must catch up when it is back.
+// After the leader of three instances fails, a follower must take over, return the first result for a repeated put, and
+// commit more; the failed instance must catch up after its restart.
 func TestLeaderFailover(t *testing.T) {
 	all := startThree(t, nil)
 	if result := all[1].put("s", 1, 0); result.Outcome != PutCommitted || result.Version != 1 {
-		t.Fatalf("put at a follower: %+v", result)
+		t.Fatalf("put at a follower = %+v, want %s as version 1", result, PutCommitted)
 	}
 	for _, i := range all {
 		var v Version
 		if code, h := i.request(http.MethodGet, "/v1/config", nil, &v); code != 200 || v.Number != 1 ||
 			h.Get(HeaderVersion) != "1" || h.Get(HeaderOutOfContact) != "" {
-			t.Fatalf("read: %d, version %d, headers %v", code, v.Number, h)
+			t.Fatalf("read: status %d, version %d, headers %v, want 200, version 1, and in contact", code, v.Number, h)
 		}
 	}
 	leader := -1
@@ -44,19 +44,19 @@
 	all[leader].stop()
 	other := all[(leader+1)%3]
 	if result := other.put("s", 1, 0); result.Outcome != PutCommitted || result.Version != 1 {
-		t.Fatalf("repeat under the next leader: %+v, expected the first answer", result)
+		t.Fatalf("repeated put at the next leader = %+v, want the first result", result)
 	}
 	for n := uint64(2); n < 12; n++ {
 		if result := other.put("s", n, n-1); result.Outcome != PutCommitted || result.Version != n {
-			t.Fatalf("put %d: %+v", n, result)
+			t.Fatalf("put(seq %d) = %+v, want %s as version %d", n, result, PutCommitted, n)
 		}
 	}
 	all[leader].start()
-	all[leader].await("it catches up", func(v *View) bool { return v.Version == 11 })
+	all[leader].await("version 11", func(v *View) bool { return v.Version == 11 })
 }
 
-// Two of three instances are down. The third must commit nothing and answer no linearizable read, or two halves of a
-// group could decide differently; a stale read must be marked as such.
+// Without a majority an instance must commit nothing and serve no linearizable read, or a partitioned group could
+// diverge; stale reads must be marked.
 func TestMinorityServesOnlyStaleReads(t *testing.T) {
 	t.Parallel()
 	all := startThree(t, nil)
@@ -66,8 +66,8 @@
 	all[2].group.log.SetLevel(logrus.WarnLevel)
 	all[0].stop()
 	all[1].stop()
-	all[2].await("out of touch", (*View).OutOfContact)
-	all[2].await("a log line that says so", func(*View) bool {
+	all[2].await("out of contact", (*View).OutOfContact)
+	all[2].await("the log line on lost contact", func(*View) bool {
 		return slices.ContainsFunc(logged.AllEntries(), func(e *logrus.Entry) bool {
 			return e.Message == "out of contact with a majority" && e.Data[logging.SilentMS] != nil
 		})
@@ -75,23 +75,24 @@
 	var v Version
 	if code, h := all[2].request(http.MethodGet, "/v1/config?read=stale", nil, &v); code != 200 || v.Number != 1 ||
 		h.Get(HeaderOutOfContact) == "" {
-		t.Fatalf("stale read: %d, version %d, headers %v", code, v.Number, h)
+		t.Fatalf("stale read: status %d, version %d, headers %v, want 200, version 1, marked out of contact", code,
+			v.Number, h)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	if _, err := all[2].group.LinearizableView(ctx); err == nil {
-		t.Fatal("a read was answered without a majority")
+		t.Fatal("LinearizableView() without a majority succeeded, want an error")
 	}
 	if _, err := all[2].group.Put(ctx, Put{Session: "t", Seq: 1, Author: "x", Text: documentText(1)}); err == nil {
-		t.Fatal("a put was answered without a majority")
+		t.Fatal("Put() without a majority succeeded, want an error")
 	}
-	if all[2].group.View().Version != 1 {
-		t.Fatal("what no majority has was applied")
+	if v := all[2].group.View().Version; v != 1 {
+		t.Fatalf("version = %d after a put without a majority, want 1", v)
 	}
 }
 
-// A group is restored from a snapshot, of a folder or saved by an operator. It must be another group, or instances of
-// the old one could join it and bring back what was lost; puts that were committed before must keep their results.
+// A group restored from a snapshot must be a new group, or instances of the old one could join it and bring back lost
+// state; puts that were committed before must keep their results.
 func TestRestoreCreatesNewGroup(t *testing.T) {
 	a := startInstance(t, "a", "new", nil)
 	a.put("s", 1, 0)
@@ -99,7 +100,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.group.stopOnce.Do(func() { close(a.group.stopping) }) // its folder is looked into
+	a.group.stopOnce.Do(func() { close(a.group.stopping) }) // so that its folder can be opened
 	<-a.group.Done()
 	reopened, err := Open(wal.Dir(a.control.Data), newReplicaConfig(a.control))
 	if err != nil {
@@ -124,14 +125,14 @@
 	}
 	snapshotFiles, err := filepath.Glob(filepath.Join(a.control.Data, "*.snap"))
 	if err != nil || len(snapshotFiles) == 0 {
-		t.Fatalf("snapshots %v, %v", snapshotFiles, err)
+		t.Fatalf("snapshot files = %v, %v, want at least one", snapshotFiles, err)
 	}
 	raw, err := os.ReadFile(snapshotFiles[len(snapshotFiles)-1])
 	if err != nil {
 		t.Fatal(err)
 	}
 	if v, err := Restore(wal.NewMemFS(), ConfigFrom(a.control), raw); err != nil || v.Number != 1 {
-		t.Fatalf("from a folder's file: %v, %v", v, err)
+		t.Fatalf("Restore() of a file of the folder = %v, %v, want version 1", v, err)
 	}
 	var control config.Control
 	b := startInstance(t, "b", "new", func(c *config.Control) {
@@ -143,21 +144,21 @@
 			t.Fatal(err)
 		}
 		if _, err = Restore(dir, ConfigFrom(c), bytes.Join(parts, nil)); err == nil {
-			t.Fatal("restored into a folder that is an instance's")
+			t.Fatal("Restore() into a folder in use succeeded, want an error")
 		}
 		control = *c
 	})
-	b.await("it leads", func(v *View) bool { return v.Role == "leader" })
+	b.await("role leader", func(v *View) bool { return v.Role == "leader" })
 	if v := b.group.View(); v.Version != 1 || v.Cluster == a.group.View().Cluster || len(v.Members) != 1 ||
 		v.Members[0].Listen != control.Listen {
-		t.Fatalf("%+v with %+v", v.Status, v.Members)
+		t.Fatalf("status %+v, members %+v, want version 1 in another cluster with one member", v.Status, v.Members)
 	}
 	if result := b.put("s", 1, 0); result.Outcome != PutCommitted || result.Version != 1 {
-		t.Fatalf("a repeat of a put of before: %+v, expected its first answer", result)
+		t.Fatalf("repeated put after the restore = %+v, want the first result", result)
 	}
 }
 
-// gatedFS holds a snapshot's making until its gate opens.
+// gatedFS blocks the writing of a snapshot until proceed is closed.
 type gatedFS struct {
 	wal.FS
 	entered, proceed chan struct{}
@@ -171,8 +172,8 @@
 	return f.FS.Create(name)
 }
 
-// An instance stops while a snapshot is being written. If it unlocked its folder, a new process could open it while
-// the old one still writes; it must wait for the write.
+// An instance that stops during a snapshot write must keep its folder locked until the write ends, or another process
+// could open the folder meanwhile.
 func TestFolderStaysLockedDuringSnapshotWrite(t *testing.T) {
 	host := loopbackAddress()
 	c := &config.Control{Name: "a", Data: t.TempDir(), Start: "new", Peer: host + ":7101", Bind: host + ":7101",
@@ -180,7 +181,8 @@
 		SnapshotRateMB: 64,
 		ContactTimeout: time.Second}
 	entered, proceed := make(chan struct{}), make(chan struct{})
-	g, err := Start(c, newDiscardLogger(), Faults{WrapDisk: func(fs wal.FS) wal.FS { return gatedFS{fs, entered, proceed} }})
+	wrapDisk := func(fs wal.FS) wal.FS { return gatedFS{fs, entered, proceed} }
+	g, err := Start(c, newDiscardLogger(), Faults{WrapDisk: wrapDisk})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -190,18 +192,18 @@
 			Text: documentText(int(n)) + strings.Repeat(";\n", 1<<18)})
 		cancel()
 		if err != nil || result.Outcome != PutCommitted {
-			t.Fatalf("put %d: %+v, %v", n, result, err)
+			t.Fatalf("Put(seq %d) = %+v, %v, want %s", n, result, err, PutCommitted)
 		}
 	}
 	<-entered
 	g.stopOnce.Do(func() { close(g.stopping) })
 	select {
 	case <-g.Done():
-		t.Fatal("it ended while its snapshot was being written")
-	case <-time.After(200 * time.Millisecond): // long past what an end takes
+		t.Fatal("the instance ended during the snapshot write")
+	case <-time.After(200 * time.Millisecond): // far longer than a stop takes
 	}
 	if _, _, err := wal.Open(wal.Dir(c.Data), ConfigFrom(c).Sizes); !errors.Is(err, wal.ErrLocked) {
-		t.Fatalf("the folder meanwhile: %v, expected %v", err, wal.ErrLocked)
+		t.Fatalf("Open() of the folder during the snapshot write = %v, want %v", err, wal.ErrLocked)
 	}
 	close(proceed)
 	<-g.Done()
--- a/internal/control/consensus/helper_test.go
+++ b/internal/control/consensus/helper_test.go
@@ -19,15 +19,16 @@
 	"umberwinch/internal/logging"
 )
 
-// address gives loopback addresses that no other test uses: the host's part is drawn from the process's id.
+// hostCount numbers the loopback addresses used by this process.
 var hostCount atomic.Uint32
 
+// loopbackAddress returns an address that no other test uses: it depends on the process id and hostCount.
 func loopbackAddress() string {
 	n := hostCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()>>8&0x7f, os.Getpid()&0xff, 1+n%250)
 }
 
-// instance is one of a group in this process, on real sockets and a real folder.
+// instance is an instance of a group in this process, with real sockets and a real folder.
 type instance struct {
 	t       *testing.T
 	control *config.Control
@@ -35,10 +36,10 @@
 	api     *API
 	http    *http.Client
 	scheme  string
-	level   int // of an older build; 0: this one's
+	level   int // feature level of an older build; 0: LatestLevel
 }
 
-// startInstance starts an instance on a folder of its own.
+// startInstance starts an instance on its own folder and stops it after the test.
 func startInstance(t *testing.T, name, start string, change func(*config.Control)) *instance {
 	t.Helper()
 	i := newInstance(t, name, start, change)
@@ -47,6 +48,7 @@
 	return i
 }
 
+// newInstance configures an instance without starting it.
 func newInstance(t *testing.T, name, start string, change func(*config.Control)) *instance {
 	t.Helper()
 	host := loopbackAddress()
@@ -83,7 +85,7 @@
 	i.group = nil
 }
 
-// await waits for views until one is as wanted.
+// await waits until a view meets a condition, for at most 20 s.
 func (i *instance) await(what string, holds func(*View) bool) *View {
 	i.t.Helper()
 	timeout := time.After(20 * time.Second)
@@ -95,11 +97,12 @@
 		select {
 		case <-v.Superseded:
 		case <-timeout:
-			i.t.Fatalf("%s: not within 20 s, %+v", what, v.Status)
+			i.t.Fatalf("%s: not within 20 s, status %+v", what, v.Status)
 		}
 	}
 }
 
+// request sends in as JSON, decodes the response into out unless it is nil, and returns status and headers.
 func (i *instance) request(method, path string, in, out any) (int, http.Header) {
 	i.t.Helper()
 	body, err := json.Marshal(in)
@@ -130,34 +133,35 @@
 	return res.StatusCode, res.Header
 }
 
-// put asks for a version until it has an answer.
+// put repeats a put until its status is not 503, for at most 20 s, and returns the result.
 func (i *instance) put(session string, seq, base uint64) PutResult {
 	i.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
 		var result PutResult
-		if code, _ := i.request(http.MethodPut, "/v1/config", Put{Session: session, Seq: seq, Base: base,
-			Author: "test",
-			Text:   fmt.Sprintf("[tenant %s]\nrate = %d\n", session, seq)}, &result); code != http.StatusServiceUnavailable {
+		put := Put{Session: session, Seq: seq, Base: base, Author: "test",
+			Text: fmt.Sprintf("[tenant %s]\nrate = %d\n", session, seq)}
+		if code, _ := i.request(http.MethodPut, "/v1/config", put, &result); code != http.StatusServiceUnavailable {
 			return result
 		}
 	}
-	i.t.Fatal("no answer to a put within 20 s")
+	i.t.Fatal("put: only status 503 for 20 s")
 	return PutResult{}
 }
 
-// addVoter takes an instance into this one's group and waits until it is a voter everywhere.
+// addVoter adds an instance to this one's group and waits until both see it as a voter.
 func (i *instance) addVoter(added *instance) {
 	i.t.Helper()
 	i.await("a leader", func(v *View) bool { return v.Leader != 0 })
 	var self Self
 	added.request(http.MethodGet, "/v1/self", nil, &self)
 	var out json.RawMessage
-	if code, _ := i.request(http.MethodPost, "/v1/members", Change{Op: "add", Member: Member{ID: self.ID, Name: self.Name,
-		Peer: self.Peer, Listen: self.Listen, Promote: true}}, &out); code != http.StatusOK {
-		i.t.Fatalf("adding %s: %d %s", self.Name, code, out)
+	change := Change{Op: "add", Member: Member{ID: self.ID, Name: self.Name, Peer: self.Peer, Listen: self.Listen,
+		Promote: true}}
+	if code, _ := i.request(http.MethodPost, "/v1/members", change, &out); code != http.StatusOK {
+		i.t.Fatalf("adding %s: status %d, %s, want 200", self.Name, code, out)
 	}
 	for _, member := range []*instance{i, added} {
-		member.await(self.Name+" a voter", func(v *View) bool {
+		member.await(self.Name+" is a voter", func(v *View) bool {
 			for _, m := range v.Members {
 				if m.ID == self.ID {
 					return m.Voter
@@ -168,10 +172,14 @@
 	}
 }
 
-// startThree gives a group of three voters.
+// startThree starts a group of three voters.
 func startThree(t *testing.T, change func(*config.Control)) []*instance {
 	t.Helper()
-	instances := []*instance{startInstance(t, "a", "new", change), startInstance(t, "b", "join", change), startInstance(t, "c", "join", change)}
+	instances := []*instance{
+		startInstance(t, "a", "new", change),
+		startInstance(t, "b", "join", change),
+		startInstance(t, "c", "join", change),
+	}
 	instances[0].addVoter(instances[1])
 	instances[0].addVoter(instances[2])
 	return instances
@@ -179,6 +187,7 @@
 
 func newDiscardLogger() *logrus.Logger { return logging.New(io.Discard, "text", "error") }
 
+// newReplicaConfig returns the configuration of an instance's replica.
 func newReplicaConfig(c *config.Control) Config {
 	p := ConfigFrom(c)
 	p.Logger = raftLogger{newDiscardLogger()}
--- a/internal/control/consensus/pin_golden_test.go
+++ b/internal/control/consensus/pin_golden_test.go
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-// The fixtures under testdata/pin are what version 2a0a97e stored, sent and answered. They are written with
-// -write-pins at that version alone; a later version has to read and write the same bytes.
-var updateGolden = flag.Bool("write-pins", false, "write the fixtures of pinned forms anew")
+// The golden files under testdata/pin were written by version 2a0a97e with -write-pins. Later versions must read and
+// write the same bytes, so they must not be written again.
+var updateGolden = flag.Bool("write-pins", false, "write the golden files again")
 
-// checkGolden holds bytes to a fixture.
+// checkGolden compares bytes with a golden file.
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "pin", name)
@@ -38,18 +38,19 @@
 	}
 }
 
+// firstDifference describes where two byte slices begin to differ.
 func firstDifference(got, want []byte) string {
 	at := 0
 	for at < len(got) && at < len(want) && got[at] == want[at] {
 		at++
 	}
 	excerpt := func(b []byte) []byte { return b[max(0, min(at-40, len(b))):min(len(b), at+80)] }
-	return fmt.Sprintf("found %d bytes, expected %d; they differ at byte %d: found %q, expected %q", len(got),
+	return fmt.Sprintf("got %d bytes, want %d; they differ at byte %d: got %q, want %q", len(got),
 		len(want), at,
 		excerpt(got), excerpt(want))
 }
 
-// fieldFiller sets each field of a value to something of its own, in the order of the fields.
+// fieldFiller sets every field of a value to a distinct value, in field order.
 type fieldFiller struct{ n int }
 
 func (f *fieldFiller) fill(v reflect.Value) {
@@ -89,7 +90,7 @@
 	case reflect.Float64:
 		v.SetFloat(float64(f.n) + 0.5)
 	default:
-		panic("a field of kind " + v.Kind().String())
+		panic("fieldFiller: unsupported kind " + v.Kind().String())
 	}
 }
 
@@ -99,7 +100,8 @@
 	return v
 }
 
-// checkGoldenJSON holds the JSON of a value with all fields set to a fixture, and reads the fixture back to the same value.
+// checkGoldenJSON compares the JSON of a value with all fields set to a golden file, and decodes the file to the same
+// value.
 func checkGoldenJSON[T any](t *testing.T, name string) {
 	t.Helper()
 	v := filledValue[T]()
@@ -119,11 +121,11 @@
 		t.Fatalf("%s: %v", name, err)
 	}
 	if !reflect.DeepEqual(decoded, v) {
-		t.Errorf("%s is read as %+v, expected %+v", name, decoded, v)
+		t.Errorf("%s decodes to %+v, want %+v", name, decoded, v)
 	}
 }
 
-// lines puts a text together.
+// textReport collects lines of text.
 type textReport struct{ strings.Builder }
 
 func (r *textReport) addLine(format string, args ...any) { fmt.Fprintf(r, format+"\n", args...) }
--- a/internal/control/consensus/pin_sent_test.go
+++ b/internal/control/consensus/pin_sent_test.go
@@ -19,7 +19,7 @@
 	"umberwinch/internal/control/zones"
 )
 
-// TestGoldenMessages: each message between instances and with clients has the JSON of version 2a0a97e.
+// The JSON of messages between instances and with clients must stay that of version 2a0a97e.
 func TestGoldenMessages(t *testing.T) {
 	checkGoldenJSON[Hello](t, "sent/hello.json")
 	checkGoldenJSON[snapshotAnnouncement](t, "sent/snapshot-note.json")
@@ -41,7 +41,8 @@
 	checkGoldenJSON[entry](t, "sent/entry.json")
 }
 
-// TestGoldenFrames: frames between instances have the bytes of version 2a0a97e, and are read back.
+// Frames between instances must keep the bytes of version 2a0a97e and be read back; invalid frames must give their
+// errors.
 func TestGoldenFrames(t *testing.T) {
 	var wire bytes.Buffer
 	if err := writeJSON(&wire, frameHello, filledValue[Hello]()); err != nil {
@@ -50,7 +51,8 @@
 	if err := writeJSON(&wire, frameAccepted, Hello{Identity: Identity{ID: 1}}); err != nil {
 		t.Fatal(err)
 	}
-	for _, reason := range []string{refusedOtherCluster, refusedWrongInstance, refusedRemoved, refusedOldCopy, refusedBarred, refusedOlderProgram} {
+	for _, reason := range []string{refusedOtherCluster, refusedWrongInstance, refusedRemoved, refusedOldCopy,
+		refusedBarred, refusedOlderProgram} {
 		if err := writeJSON(&wire, frameRefused, reason); err != nil {
 			t.Fatal(err)
 		}
@@ -94,21 +96,23 @@
 			"d": "a frame of 65535 bytes, expected 1 to 1000",
 			"e": "a frame whose sum is 10a86ca6, expected 04030201"}[what]
 		if err == nil || err.Error() != want {
-			t.Errorf("%s: %v, expected %s", what, err, want)
+			t.Errorf("readFrame() of case %s = %v, want %s", what, err, want)
 		}
 	}
 	checkGolden(t, "sent/frames.txt", []byte(all.String()))
 }
 
+// varyingValues match addresses, ids, times and counters that differ between runs.
 var varyingValues = []*regexp.Regexp{regexp.MustCompile(`127\.[0-9]+\.[0-9]+\.[0-9]+`),
 	regexp.MustCompile(`"cluster":"([0-9a-f]{32})"`),
 	regexp.MustCompile(`"(?:id|leader|vote)":([0-9]{6,})`),
 	regexp.MustCompile(`"(?:at_ms|away_ms|clock_ms|age_ms)":([0-9]+)`),
-	regexp.MustCompile(`"(?:term|log_last|commit|applied|disk_bytes|syncs|index|match|elections|alone_ticks|sum|until|since|seen)":\[?([0-9]+)`),
+	regexp.MustCompile(`"(?:term|log_last|commit|applied|disk_bytes|syncs|index|match|elections|alone_ticks|sum|` +
+		`until|since|seen)":\[?([0-9]+)`),
 	regexp.MustCompile(`instance ([0-9a-f]{6,16})`), regexp.MustCompile(`"wait_ms":([0-9]+)`),
 	regexp.MustCompile(`"starts":\[([0-9]+)`)}
 
-// maskVarying puts X in place of what differs from run to run.
+// maskVarying replaces values that differ between runs by X.
 func maskVarying(raw []byte) []byte {
 	for _, r := range varyingValues {
 		raw = r.ReplaceAllFunc(raw, func(found []byte) []byte {
@@ -121,8 +125,8 @@
 	return raw
 }
 
-// TestGoldenClientAPI: an instance that leads a group of one answers each request of a client as version 2a0a97e did:
-// status, headers and body. Numbers that differ from run to run are X.
+// The leader of a group of one must answer client requests as version 2a0a97e did: status, headers and body, except for
+// values that differ between runs.
 func TestGoldenClientAPI(t *testing.T) {
 	t.Parallel()
 	a := startInstance(t, "a", "new", func(c *config.Control) { c.Token = "a token of some length" })
@@ -147,7 +151,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all.addLine("%s %s %.300s\n%d, type %q, Retry-After %q, version %q, term and away %v, out of touch %q, by length %v\n%s", method, path,
+		all.addLine("%s %s %.300s\n%d, type %q, Retry-After %q, version %q, term and away %v, out of touch %q, "+
+			"by length %v\n%s", method, path,
 			strings.ReplaceAll(body, fmt.Sprint(id), "ID"), res.StatusCode, res.Header.Get("Content-Type"),
 			res.Header.Get("Retry-After"), res.Header.Get(HeaderVersion),
 			res.Header.Get(HeaderTerm) != "" && res.Header.Get(HeaderSinceLeader) != "",
@@ -218,7 +223,7 @@
 	checkGolden(t, "sent/client-api.txt", []byte(all.String()))
 }
 
-// TestGoldenWatch: a watch sends versions and, between them, beats, a line each.
+// A watch must send versions and, between them, heartbeats, one line each.
 func TestGoldenWatch(t *testing.T) {
 	t.Parallel()
 	a := startInstance(t, "a", "new", nil)
--- a/internal/control/consensus/pin_stored_test.go
+++ b/internal/control/consensus/pin_stored_test.go
@@ -17,11 +17,13 @@
 )
 
 const (
-	goldenPlainText = "[class view]\nkind = replayable\nvalue = 1\n\n[class submit]\nkind = uniqued\nvalue = 40\nwindow = 20s\n"
+	goldenPlainText = "[class view]\nkind = replayable\nvalue = 1\n\n" +
+		"[class submit]\nkind = uniqued\nvalue = 40\nwindow = 20s\n"
 	goldenFleetText = goldenPlainText + "\n[fleet]\nlease = 4s\nwhen_alone = fence\n"
 	goldenZonesText = goldenFleetText + "\n[zones]\ndecide = ask\nhold = 1s\n"
 )
 
+// goldenConfig is the configuration that wrote the golden files; its ids are deterministic.
 func goldenConfig() Config {
 	lastRandom := uint64(0)
 	return Config{Name: "a", Peer: "10.1.1.1:7101", Listen: "10.1.1.1:7201", FoundGroup: true, ElectionTicks: 5,
@@ -30,7 +32,7 @@
 		Random: func() uint64 { lastRandom += 0x1111; return lastRandom }}
 }
 
-// scriptedGroup plays a group of one through entries of every kind at every level.
+// scriptedGroup applies a fixed sequence of entries, of every kind at every level, in a group of one.
 type scriptedGroup struct {
 	t       *testing.T
 	replica *Replica
@@ -44,12 +46,12 @@
 		s.t.Fatal(err)
 	}
 	for _, r := range out.Puts {
-		s.report.addLine("put %s %d: {End:%s Version:%d Reason:%s}", r.Session, r.Seq, r.Result.Outcome, r.Result.Version,
-			r.Result.Reason)
+		s.report.addLine("put %s %d: {End:%s Version:%d Reason:%s}", r.Session, r.Seq, r.Result.Outcome,
+			r.Result.Version, r.Result.Reason)
 	}
 	for _, n := range out.Operations {
 		switch n.(type) {
-		case policy.Result, zones.Result: // these are answers to clients; what a beat did shows in the state
+		case policy.Result, zones.Result: // client responses; the effect of heartbeat batches shows in the state
 			raw, err := json.Marshal(n)
 			if err != nil {
 				s.t.Fatal(err)
@@ -59,6 +61,7 @@
 	}
 }
 
+// tickUntil ticks until a condition holds and adds what to the report.
 func (s *scriptedGroup) tickUntil(what string, holds func(Status) bool) {
 	s.t.Helper()
 	for n := 0; !holds(s.replica.Status()); n++ {
@@ -146,7 +149,8 @@
 	s.processReady()
 	s.snapshot()
 	s.entry("zones",
-		`{"op":"step","zone":"z1","epoch":1,"share":64,"ceiling":50.5,"dials":3.5,"why":"it returns","key":"key-00004"}`)
+		`{"op":"step","zone":"z1","epoch":1,"share":64,"ceiling":50.5,"dials":3.5,"why":"it returns",`+
+			`"key":"key-00004"}`)
 	if err := s.replica.Change(Change{Op: "remove", Member: Member{ID: 77}}); err != nil {
 		s.t.Fatal(err)
 	}
@@ -155,6 +159,7 @@
 	s.put("fourth", 1, 3, goldenZonesText+"\n[tenant t]\nshare = 0.5\nrate = 9\n")
 }
 
+// readFiles returns the files of a folder.
 func readFiles(t *testing.T, fs wal.FS) map[string][]byte {
 	t.Helper()
 	names, err := fs.List()
@@ -180,12 +185,12 @@
 	return out
 }
 
-// loadGoldenFolder loads the folder of version 2a0a97e into memory.
+// loadGoldenFolder loads the folder that version 2a0a97e wrote into memory.
 func loadGoldenFolder(t *testing.T) *wal.MemFS {
 	t.Helper()
 	paths, err := filepath.Glob("testdata/pin/group/0*")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("found no stored folder (%v)", err)
+		t.Fatalf("golden folder: no files (%v)", err)
 	}
 	fs := wal.NewMemFS()
 	for _, path := range paths {
@@ -210,6 +215,7 @@
 	return fs
 }
 
+// serializeState returns status and snapshot of a replica.
 func serializeState(t *testing.T, r *Replica) []byte {
 	t.Helper()
 	status, err := json.Marshal(r.Status())
@@ -223,7 +229,7 @@
 	return append(append(status, '\n'), bytes.Join(parts, nil)...)
 }
 
-// TestGoldenGroupIsWritten: the same entries give the same answers, state, log segments and snapshots as version 2a0a97e.
+// The same entries must give the results, state, log segments and snapshots of version 2a0a97e.
 func TestGoldenGroupIsWritten(t *testing.T) {
 	fs := wal.NewMemFS()
 	r, err := Open(fs, goldenConfig())
@@ -243,11 +249,11 @@
 		checkGolden(t, "group/"+name, raw)
 	}
 	if stored, err := filepath.Glob("testdata/pin/group/0*"); err != nil || len(stored) != len(names) {
-		t.Errorf("wrote %v, expected %v (%v)", names, stored, err)
+		t.Errorf("wrote files %v, want %v (%v)", names, stored, err)
 	}
 }
 
-// TestGoldenGroupIsRead: the stored folder gives the state it had, and the identity with one start more.
+// The stored folder must give the state that it had, and the identity with one more start.
 func TestGoldenGroupIsRead(t *testing.T) {
 	r, err := Open(loadGoldenFolder(t), goldenConfig())
 	if err != nil {
@@ -265,7 +271,7 @@
 	checkGolden(t, "group/hello.json", append(hello, '\n'))
 }
 
-// TestGoldenDamagedGroup: a torn or spoilt copy of a file of the folder gives the end that it gave.
+// Opening a folder with a truncated or damaged file must give the same result as version 2a0a97e did.
 func TestGoldenDamagedGroup(t *testing.T) {
 	var all textReport
 	names, err := loadGoldenFolder(t).List()
@@ -302,6 +308,7 @@
 	checkGolden(t, "group/spoilt.txt", []byte(all.String()))
 }
 
+// openResult opens a folder and describes the error, or what was repaired and read.
 func openResult(fs wal.FS) string {
 	r, err := Open(fs, goldenConfig())
 	if err != nil {
@@ -317,10 +324,10 @@
 		r.LogRepair.RemovedFiles, st.Applied, st.Level, st.Version)
 }
 
-// goTypeNames are names of the code in errors of encoding/json, which may change.
+// goTypeNames match Go type names in errors of encoding/json, which may change.
 var goTypeNames = regexp.MustCompile(`Go value of type \S+`)
 
-// TestGoldenInvalidStates: a saved snapshot that is not one, or of a later level, gives the error that it gave.
+// Invalid snapshots and entries, and those of a later level, must give the same errors as version 2a0a97e did.
 func TestGoldenInvalidStates(t *testing.T) {
 	var all textReport
 	read := func(what, raw string) {
@@ -359,7 +366,7 @@
 		m.supportedLevel = LevelVersions
 		all.addLine("at level 1, entry %s: %v", entry, r.apply(&pb.Entry{Type: &kind, Data: []byte(entry)}, &out))
 	}
-	text := bytes.ReplaceAll([]byte(all.String()), []byte("\u00a0"),
-		[]byte(" ")) // protobuf draws one of two for each build
+	// protobuf's error texts contain a space or a non-breaking one, depending on the build.
+	text := bytes.ReplaceAll([]byte(all.String()), []byte("\u00a0"), []byte(" "))
 	checkGolden(t, "group/wrong-states.txt", goTypeNames.ReplaceAll(text, []byte("Go value")))
 }
--- a/internal/control/consensus/restored_group_test.go
+++ b/internal/control/consensus/restored_group_test.go
@@ -17,7 +17,7 @@
 
 const fleetText = "[tenant t0]\nrate = 5\n\n[fleet]\nlease = 4s\nwhen_alone = fence\n"
 
-// canonicalText gives a text as versions have it.
+// canonicalText returns a document in the canonical form that versions store.
 func canonicalText(t *testing.T, text string) string {
 	t.Helper()
 	d, err := document.Parse("a text", []byte(text))
@@ -27,8 +27,8 @@
 	return string(d.Canonical())
 }
 
-// Nodes make contact while a group is being restored. Each must be asked for its record until it has sent one, and
-// records that can't be true must be refused or lose their text.
+// Nodes that make contact during a recovery must be asked for their record until they have sent it. Invalid records
+// must be rejected, and a text with a wrong hash dropped.
 func TestCollectorCollectsRecords(t *testing.T) {
 	listen := loopbackAddress() + ":7301"
 	var mu sync.Mutex
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	if _, err = StartCollector(listen, nil); err == nil {
-		t.Error("two listen at one address")
+		t.Error("a second StartCollector() at the same address succeeded, want an error")
 	}
 	post := func(path string, body any, into any) int {
 		t.Helper()
@@ -58,7 +58,7 @@
 		}
 		defer res.Body.Close()
 		if res.ContentLength < 0 {
-			t.Error("an answer in chunks, which nodes don't read")
+			t.Errorf("POST %s: response without Content-Length, which nodes can not read", path)
 		}
 		if into != nil {
 			if err = json.NewDecoder(res.Body).Decode(into); err != nil {
@@ -76,13 +76,13 @@
 	record := api.NodeRecord{Name: "a", Zone: "z", Group: "g", Generation: 1, ActiveVersion: 3, MinVersion: 3,
 		ActiveText: text, ActiveHash: document.Hash([]byte(text))}
 	if response, code := sendHeartbeat("a"); code != 200 || !response.CollectRecord {
-		t.Fatalf("%d, %+v: a node is not asked for what it holds", code, response)
+		t.Fatalf("first heartbeat: status %d, %+v, want 200 and CollectRecord", code, response)
 	}
 	if code := post("/v1/kept", record, nil); code != 200 {
-		t.Fatalf("%d", code)
+		t.Fatalf("valid record: status %d, want 200", code)
 	}
 	if response, code := sendHeartbeat("a"); code != 503 || response.CollectRecord {
-		t.Errorf("%d, %+v: a node that told is asked again", code, response)
+		t.Errorf("heartbeat after the record: status %d, %+v, want 503 without CollectRecord", code, response)
 	}
 	wrongHash := record
 	wrongHash.Name, wrongHash.ActiveText = "b", text+"; and more"
@@ -90,13 +90,13 @@
 	sameText := record
 	sameText.Name = "c"
 	post("/v1/kept", sameText, nil)
-	belowMinimum := record
-	belowMinimum.Name, belowMinimum.MinVersion = "d", 2
-	if code := post("/v1/kept", belowMinimum, nil); code != 400 {
-		t.Errorf("%d for one that serves under what it was not told of", code)
+	lowMinimum := record
+	lowMinimum.Name, lowMinimum.MinVersion = "d", 2
+	if code := post("/v1/kept", lowMinimum, nil); code != 400 {
+		t.Errorf("record with an active version above its minimum: status %d, want 400", code)
 	}
 	if res, err := http.Get("http://" + listen + "/v1/config"); err != nil || res.StatusCode != 503 {
-		t.Errorf("%v, %v: a group that is being restored answers", res, err)
+		t.Errorf("GET /v1/config during a recovery = %v, %v, want status 503", res, err)
 	} else {
 		res.Body.Close()
 	}
@@ -108,14 +108,15 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if len(stored) != 3 || stored["a"].ActiveText != text || stored["b"].ActiveText != "" || stored["c"].ActiveText != text ||
-		len(g.texts) != 1 || len(recordErrs) != 1 {
-		t.Errorf("%d kept, %d texts, wrong %v", len(stored), len(g.texts), recordErrs)
+	if len(stored) != 3 || stored["a"].ActiveText != text || stored["b"].ActiveText != "" ||
+		stored["c"].ActiveText != text || len(g.texts) != 1 || len(recordErrs) != 1 {
+		t.Errorf("%d records with %d texts, errors %v, want 3 records with one text and one error", len(stored),
+			len(g.texts), recordErrs)
 	}
 }
 
-// A group lost all its state. What was found must be the first state of the next generation, and no version may be in
-// force that no node holds.
+// A group that lost all state is recovered from node records. The restored state must be the next generation, with no
+// version committed whose text no node has.
 func TestRecoverFromNodeRecords(t *testing.T) {
 	text := canonicalText(t, fleetText)
 	hash := document.Hash([]byte(text))
@@ -128,27 +129,30 @@
 	fs := wal.NewMemFS()
 	v, err := Recover(fs, config, nil, recovery.PlanRestore(records, nil, ""))
 	if err != nil || v.Number != 7 || v.Hash != hash {
-		t.Fatalf("%+v, %v: expected version 7 as it was", v, err)
+		t.Fatalf("Recover() = %+v, %v, want version 7 with hash %s", v, err, hash)
 	}
 	if _, err = Recover(fs, config, nil, recovery.PlanRestore(records, nil, "")); err == nil {
-		t.Error("a folder that is an instance's is written over")
+		t.Error("Recover() into a folder in use succeeded, want an error")
 	}
 	stored, err := ReadFolder(fs, config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	evidence := stored.Evidence()
-	if evidence.Generation != 4 || len(evidence.Predecessors) != 1 || evidence.Predecessors[0] != "g" || evidence.DecidedVersion != 7 ||
-		evidence.CommittedVersion != 7 || evidence.ZoneEpoch != 6 || evidence.UncommittedEntries != 0 {
-		t.Errorf("%+v: expected generation 4 of g, at version 7", evidence)
+	if evidence.Generation != 4 || len(evidence.Predecessors) != 1 || evidence.Predecessors[0] != "g" ||
+		evidence.DecidedVersion != 7 || evidence.CommittedVersion != 7 || evidence.ZoneEpoch != 6 ||
+		evidence.UncommittedEntries != 0 {
+		t.Errorf("Evidence() = %+v, want generation 4 of group g at version 7, zone epoch 6, no uncommitted entries",
+			evidence)
 	}
 	if stored.stateMachine.level != LatestLevel || stored.stateMachine.fleet.Fleet.UnknownLeasesExpireMS < 4000 ||
 		stored.stateMachine.fleet.Fleet.Lookup("n1") == nil {
-		t.Errorf("level %d, hush %d", stored.stateMachine.level, stored.stateMachine.fleet.Fleet.UnknownLeasesExpireMS)
+		t.Errorf("level %d, unknown leases until %d ms, want level %d, at least 4000 ms, and node n1",
+			stored.stateMachine.level, stored.stateMachine.fleet.Fleet.UnknownLeasesExpireMS, LatestLevel)
 	}
-	// Nobody holds the text of what was decided: nothing is in force, and the next put is newer than that.
-	withoutText := recovery.PlanRestore([]api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}},
-		nil, "")
+	// Without the text of the decided version nothing is committed, and the next put gets a higher number.
+	records = []api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}}
+	withoutText := recovery.PlanRestore(records, nil, "")
 	fs = wal.NewMemFS()
 	if _, err = Recover(fs, config, nil, withoutText); err != nil {
 		t.Fatal(err)
@@ -156,13 +160,14 @@
 	if stored, err = ReadFolder(fs, Config{ElectionTicks: 10, Sizes: config.Sizes, Random: randomID}); err != nil {
 		t.Fatal(err)
 	}
-	if evidence = stored.Evidence(); evidence.LastVersion != 9 || evidence.DecidedVersion != 9 || evidence.CommittedVersion != 0 {
-		t.Errorf("%+v: expected nothing in force and 10 as the next version", evidence)
+	evidence = stored.Evidence()
+	if evidence.LastVersion != 9 || evidence.DecidedVersion != 9 || evidence.CommittedVersion != 0 {
+		t.Errorf("Evidence() = %+v, want last and decided version 9, and none committed", evidence)
 	}
 	if _, err = ReadFolder(wal.NewMemFS(), config); err != ErrEmptyFolder {
-		t.Errorf("%v, expected %v", err, ErrEmptyFolder)
+		t.Errorf("ReadFolder() of an empty folder = %v, want %v", err, ErrEmptyFolder)
 	}
 	if _, err = Recover(wal.NewMemFS(), config, nil, &recovery.RestorePlan{Conflict: "two texts"}); err == nil {
-		t.Error("a conflict is restored")
+		t.Error("Recover() of a conflicting plan succeeded, want an error")
 	}
 }
--- a/internal/control/consensus/transport_close_test.go
+++ b/internal/control/consensus/transport_close_test.go
@@ -14,11 +14,10 @@
 	"umberwinch/internal/logging"
 )
 
-// closeTimeout is far beyond what close needs, and short enough that a hang fails the test by itself.
+// closeTimeout is far longer than close takes, and shorter than the timeout of go test.
 const closeTimeout = 10 * time.Second
 
-// pipeListener hands out the ends of pipes as accepted connections. Like a socket, it may still hand out a connection
-// that it had when it is closed.
+// pipeListener accepts ends of pipes. Like a socket, it may still return a pending connection after Close.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -50,7 +49,7 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// handlerStub refuses every hello and records how snapshots ended.
+// handlerStub fails every hello and records the results of snapshots.
 type handlerStub struct {
 	mu        sync.Mutex
 	snapshots []bool
@@ -73,7 +72,7 @@
 	return newTransport(h, &credentials{}, logging.New(io.Discard, "text", "error"), 1)
 }
 
-// within fails the test unless f returns in closeTimeout.
+// within fails the test unless f returns within closeTimeout.
 func within(t *testing.T, what string, f func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -88,18 +87,17 @@
 	}
 }
 
-// expectClosed fails the test unless the other end of a pipe has been closed.
+// expectClosed fails the test unless the other end of a pipe is closed.
 func expectClosed(t *testing.T, c net.Conn) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(closeTimeout))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("read of a connection that came as the transport closed: %v, expected %v", err, io.EOF)
+		t.Errorf("read of a connection accepted during close = %v, want %v", err, io.EOF)
 	}
 }
 
-// A connection is accepted while the transport closes: the listener had it before it was closed. No goroutine may
-// begin for it, as close may be waiting for the last one (which panicked once in the wait group), and its peer must
-// see it closed.
+// The listener returns a pending connection while the transport closes. It must be closed without starting a goroutine:
+// adding to the wait group during close may panic.
 func TestConnectionAcceptedDuringClose(t *testing.T) {
 	for _, at := range []string{"before close returns", "after close returned"} {
 		t.Run(at, func(t *testing.T) {
@@ -122,19 +120,18 @@
 				transport.serveConnection(second)
 			}
 			select {
-			case <-listener.conns: // it was not accepted: the listener was closed first
+			case <-listener.conns: // not accepted: the listener was closed first
 			default:
 				expectClosed(t, first)
 			}
 			if len(transport.inbound) != 0 {
-				t.Errorf("%d inbound connections are registered, expected none", len(transport.inbound))
+				t.Errorf("%d inbound connections are registered, want none", len(transport.inbound))
 			}
 		})
 	}
 }
 
-// Connections keep coming while the transport closes, in many rounds. close must return each time, and leave nothing
-// running and no connection open.
+// close must return while connections keep arriving, with no goroutine running and no connection open.
 func TestConnectionsArriveDuringClose(t *testing.T) {
 	const rounds = 200
 	for range rounds {
@@ -173,13 +170,13 @@
 			expectClosed(t, c)
 		}
 		if len(transport.inbound) != 0 {
-			t.Fatalf("%d inbound connections are registered after close, expected none", len(transport.inbound))
+			t.Fatalf("%d inbound connections are registered after close, want none", len(transport.inbound))
 		}
 	}
 }
 
-// A snapshot is handed to the transport after it closed. It must be reported as not sent, or raft would wait for it
-// for ever, and no goroutine may begin for it.
+// A snapshot sent after close must be reported as failed, or raft would wait for it forever, and must start no
+// goroutine.
 func TestSnapshotAfterCloseIsReportedUnsent(t *testing.T) {
 	handler := &handlerStub{}
 	transport := newTestTransport(handler)
@@ -191,9 +188,9 @@
 		transport.send([]*pb.Message{snapshot})
 	}
 	if len(handler.snapshots) != 2 || handler.snapshots[0] || handler.snapshots[1] {
-		t.Errorf("snapshots were reported as %v, expected two not sent", handler.snapshots)
+		t.Errorf("reported snapshots = %v, want [false false]", handler.snapshots)
 	}
 	if transport.peers[peerID].sendingSnapshot.Load() {
-		t.Error("a snapshot is still marked as being sent")
+		t.Error("sendingSnapshot = true after close, want false")
 	}
 }
--- a/internal/control/consensus/transport_test.go
+++ b/internal/control/consensus/transport_test.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// An instance joins when the log before it has been truncated. It must get the state by a snapshot of many chunks,
-// and find it again after a restart.
+// An instance that joins after the log was truncated must get the state by a snapshot of many chunks, and have it after
+// a restart.
 func TestSnapshotToNewMember(t *testing.T) {
 	t.Parallel()
 	a := startInstance(t, "a", "new", nil)
@@ -31,25 +31,26 @@
 		if a.request(http.MethodPut, "/v1/config", Put{Session: "s", Seq: n, Base: n - 1, Author: "x",
 			Text: large(int(n))},
 			&result); result.Outcome != PutCommitted {
-			t.Fatalf("put %d: %+v", n, result)
+			t.Fatalf("put(seq %d) = %+v, want %s", n, result, PutCommitted)
 		}
 	}
-	a.await("the log was let go of", func(v *View) bool { return v.Status.FirstIndex > 2 })
+	a.await("a truncated log", func(v *View) bool { return v.Status.FirstIndex > 2 })
 	b := startInstance(t, "b", "join", nil)
 	a.addVoter(b)
 	if v := b.group.View(); v.Version != 12 || b.group.transport.counters.snapshotsReceived.Load() == 0 {
-		t.Fatalf("version %d after %d snapshots", v.Version, b.group.transport.counters.snapshotsReceived.Load())
+		t.Fatalf("version %d after %d snapshots, want version 12 after at least one", v.Version,
+			b.group.transport.counters.snapshotsReceived.Load())
 	}
 	b.stop()
 	b.start()
-	b.await("the state after a start", func(v *View) bool { return v.Version == 12 })
+	b.await("version 12 after a restart", func(v *View) bool { return v.Version == 12 })
 }
 
-// Something connects to the peers' address and sends noise, another cluster's hello, or a message in another
-// instance's name. Each connection must be closed, and the term must not change.
+// Connections with invalid data, another cluster's hello or a message with a forged sender must be closed, and the term
+// must not change.
 func TestInvalidPeersAreDisconnected(t *testing.T) {
 	a := startInstance(t, "a", "new", nil)
-	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
+	a.await("role leader", func(v *View) bool { return v.Role == "leader" })
 	own := a.group.View()
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", a.control.Peer)
@@ -63,40 +64,43 @@
 	closed := func(c net.Conn, what string) {
 		t.Helper()
 		if _, err := io.Copy(io.Discard, c); err != nil && !strings.Contains(err.Error(), "reset") {
-			t.Fatalf("%s: %v, expected a close", what, err)
+			t.Fatalf("%s: read = %v, want EOF or a reset", what, err)
 		}
 	}
 	for what, raw := range map[string][]byte{"noise": []byte(strings.Repeat("GET / HTTP/1.1\r\n", 9)),
-		"a frame of 4 GB": {255, 255, 255, 255, 0, 0, 0, 0}, "a wrong sum": {2, 0, 0, 0, 1, 2, 3, 4, 1, 1}} {
+		"frame of 4 GB": {255, 255, 255, 255, 0, 0, 0, 0}, "wrong checksum": {2, 0, 0, 0, 1, 2, 3, 4, 1, 1}} {
 		c := dial()
 		c.Write(raw)
 		closed(c, what)
 	}
 	c := dial()
 	writeJSON(c, frameHello, Hello{Identity: Identity{Cluster: "other", ID: 9}, To: own.ID})
-	if kind, raw, err := readFrame(c, 1000); err != nil || kind != frameRefused || string(raw) != `"`+refusedOtherCluster+`"` {
-		t.Fatalf("another cluster: kind %d %s %v", kind, raw, err)
+	wantReason := `"` + refusedOtherCluster + `"`
+	if kind, raw, err := readFrame(c, 1000); err != nil || kind != frameRefused || string(raw) != wantReason {
+		t.Fatalf("response to another cluster = kind %d %s, %v, want kind %d %s", kind, raw, err, frameRefused,
+			wantReason)
 	}
 	closed(c, "another cluster")
 	c = dial()
 	writeJSON(c, frameHello, Hello{Identity: Identity{Cluster: own.Cluster, ID: 9, Starts: 1}, To: own.ID,
 		Level: LatestLevel})
 	if kind, _, err := readFrame(c, 1000); err != nil || kind != frameAccepted {
-		t.Fatalf("kind %d %v, expected a welcome", kind, err)
+		t.Fatalf("response to a valid hello = kind %d, %v, want kind %d", kind, err, frameAccepted)
 	}
 	forged, _ := proto.Marshal(&pb.Message{Type: pb.MessageType_MsgHeartbeat.Enum(), From: proto.Uint64(8),
 		To: proto.Uint64(own.ID), Term: proto.Uint64(own.Term + 9)})
 	writeFrame(c, frameMessage, forged)
-	closed(c, "a message in another's name")
+	closed(c, "message with a forged sender")
 	if v := a.group.View(); v.Term != own.Term || a.group.transport.counters.broken.Load() < 4 {
-		t.Fatalf("term %d, %d broken", v.Term, a.group.transport.counters.broken.Load())
+		t.Fatalf("term = %d with %d broken connections, want term %d with at least 4", v.Term,
+			a.group.transport.counters.broken.Load(), own.Term)
 	}
 }
 
-// A peer sends a snapshot that ends in the middle, or lies about its length or content. Nothing of it may be applied.
+// A snapshot that ends early or has a wrong length or checksum must not be applied.
 func TestInvalidSnapshotsAreNotApplied(t *testing.T) {
 	a := startInstance(t, "a", "new", nil)
-	a.await("it leads", func(v *View) bool { return v.Role == "leader" })
+	a.await("role leader", func(v *View) bool { return v.Role == "leader" })
 	own := a.group.View()
 	for n, announced := range []int{5000, -1, maxSnapshotBytes + 1, 3000} {
 		c, err := net.Dial("tcp", a.control.Peer)
@@ -121,12 +125,12 @@
 	}
 	if v := a.group.View(); v.Term != own.Term || v.Applied < own.Applied ||
 		a.group.transport.counters.broken.Load() != 4 {
-		t.Fatalf("term %d, applied %d, %d broken of 4", v.Term, v.Applied, a.group.transport.counters.broken.Load())
+		t.Fatalf("term = %d, applied = %d, %d broken connections, want term %d, applied at least %d, 4 broken", v.Term,
+			v.Applied, a.group.transport.counters.broken.Load(), own.Term, own.Applied)
 	}
 }
 
-// A peer takes no messages. What is queued for it must be bounded in bytes too, as a message may carry a large
-// document.
+// The queue of a peer that reads no messages must be bounded in bytes too, as a message may carry a large document.
 func TestPeerQueueIsBounded(t *testing.T) {
 	p := &peer{queue: make(chan *pb.Message, maxQueuedMessages)}
 	m := &pb.Message{Entries: []*pb.Entry{{Data: make([]byte, 1<<20)}}}
@@ -135,10 +139,10 @@
 		n++
 	}
 	if n < 30 || n > 32 {
-		t.Fatalf("%d messages of 1 MiB queued, expected 31", n)
+		t.Fatalf("%d messages of 1 MiB queued, want 30 to 32", n)
 	}
 	p.releaseBytes(<-p.queue)
 	if !p.enqueue(m) {
-		t.Fatal("no room after one left")
+		t.Fatal("enqueue() after a message was dequeued = false, want true")
 	}
 }
