--- a/internal/control/consensus/api.go
+++ b/internal/control/consensus/api.go
@@ -59,9 +59,9 @@
 type Self struct {
 	ID      uint64 `json:"id"`
 	Name    string `json:"name"`
-	Peer    string `json:"peer"`
-	Listen  string `json:"listen"`
-	Cluster string `json:"cluster"`
+	Peer    string `json:"peer"`    // address for peers
+	Listen  string `json:"listen"`  // address for clients
+	Cluster string `json:"cluster"` // empty until it is added to a group
 }
 
 // Report is an instance's status for operators.
--- a/internal/control/consensus/api_members.go
+++ b/internal/control/consensus/api_members.go
@@ -27,7 +27,7 @@
 	if c.Op == OpTransfer {
 		err = a.group.Transfer(c.Member.ID)
 	} else if applied := c.appliedCheck(); applied != nil {
-		err = a.group.Change(ctx, c, applied)
+		err = a.group.ChangeMembers(ctx, c, applied)
 	} else {
 		err = &api.FieldError{Field: "op", Found: strconv.Quote(string(c.Op)),
 			Expected: "add, promote, remove, replace or transfer"}
--- a/internal/control/consensus/errors.go
+++ b/internal/control/consensus/errors.go
@@ -39,7 +39,7 @@
 	errBodyTooLarge      = fmt.Errorf("more than %d bytes", maxBodyBytes)
 )
 
-// Reasons why a change of members is not allowed; a ChangeError wraps one of them.
+// Reasons why a change of members is not allowed; a MemberChangeError wraps one of them.
 var (
 	ErrIncompleteMember   = errors.New("a member without id or name")
 	ErrAlreadyMember      = errors.New("a member already")
@@ -53,20 +53,20 @@
 	ErrUnknownChange      = errors.New("unknown change of members")
 )
 
-// ChangeError reports that a change of members is not allowed.
-type ChangeError struct {
+// MemberChangeError reports that a change of members is not allowed.
+type MemberChangeError struct {
 	Reason error // one of the errors above
 	Text   string
 }
 
 // Error returns the text for operators.
-func (e *ChangeError) Error() string { return e.Text }
+func (e *MemberChangeError) Error() string { return e.Text }
 
 // Unwrap returns the reason.
-func (e *ChangeError) Unwrap() error { return e.Reason }
+func (e *MemberChangeError) Unwrap() error { return e.Reason }
 
-func invalidChange(reason error, format string, args ...any) error {
-	return &ChangeError{Reason: reason, Text: fmt.Sprintf(format, args...)}
+func newMemberChangeError(reason error, format string, args ...any) error {
+	return &MemberChangeError{Reason: reason, Text: fmt.Sprintf(format, args...)}
 }
 
 // BodyError reports a request body that can not be read. The client must correct it.
--- a/internal/control/consensus/errors_test.go
+++ b/internal/control/consensus/errors_test.go
@@ -41,7 +41,7 @@
 		{errBodyTooLarge, http.StatusRequestEntityTooLarge},
 		{&BodyError{Err: io.ErrUnexpectedEOF}, http.StatusBadRequest},
 		{&UnknownNodeError{"n1"}, http.StatusBadRequest},
-		{&ChangeError{Reason: ErrOnlyVoter}, http.StatusBadRequest},
+		{&MemberChangeError{Reason: ErrOnlyVoter}, http.StatusBadRequest},
 		{errors.New("anything else"), http.StatusBadRequest},
 	} {
 		if got := statusOf(c.err); got != c.want {
--- a/internal/control/consensus/fleet_views.go
+++ b/internal/control/consensus/fleet_views.go
@@ -51,7 +51,7 @@
 	ClockMS      uint64        `json:"clock_ms"` // the group's clock
 	Epoch        uint64        `json:"epoch"`
 	SettledEpoch uint64        `json:"settled"`
-	RetryQuota   int           `json:"retry,omitempty"` // retries per 256 first attempts; 0: no limit
+	RetryBudget  int           `json:"retry,omitempty"` // retries per 256 first attempts; 0: no limit
 	Rules        api.ZoneRules `json:"rules"`
 	Zones        []ZoneView    `json:"zones"`
 	IsLeader     bool          `json:"leads"` // this instance
@@ -157,7 +157,7 @@
 		ClockMS:      s.Fleet.ClockMS,
 		Epoch:        s.Zones.Epoch,
 		SettledEpoch: s.Zones.SettledEpoch,
-		RetryQuota:   s.Zones.RetryBudget,
+		RetryBudget:  s.Zones.RetryBudget,
 		Rules:        s.Policy.ActiveRules().Zones,
 		IsLeader:     g.leader.Leading(),
 		Zones:        []ZoneView{},
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -31,8 +31,8 @@
 	maxTasksPerRound = 512
 )
 
-// maxSegmentBytes is the size of a log segment unless the disk limit is small: the log is truncated by whole segments,
-// so a small limit needs smaller ones.
+// A log segment has maxSegmentBytes, or 1/minSegmentsOnDisk of a smaller disk limit, as the log is truncated by whole
+// segments.
 const (
 	maxSegmentBytes   = 4 << 20
 	minSegmentsOnDisk = 16
--- a/internal/control/consensus/group_loop.go
+++ b/internal/control/consensus/group_loop.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	g.handleOutcomes(result.Operations)
+	g.handleOutcomes(result.Outcomes)
 	if result.Applied || len(result.Reads) > 0 {
 		g.publish() // before puts and reads complete: response headers and reads use the view
 	}
--- a/internal/control/consensus/group_requests.go
+++ b/internal/control/consensus/group_requests.go
@@ -102,9 +102,9 @@
 	return g.View(), err
 }
 
-// Change proposes a change of members and waits until applied reports true for the members. It proposes again after an
-// election timeout: the proposal may have been lost, or another change was in progress.
-func (g *Group) Change(ctx context.Context, c Change, applied func([]Member) bool) error {
+// ChangeMembers proposes a change of members and waits until applied reports true for the members. It proposes again
+// after an election timeout: the proposal may have been lost, or another change was in progress.
+func (g *Group) ChangeMembers(ctx context.Context, c Change, applied func([]Member) bool) error {
 	for {
 		err, stopErr := callOnReplica(g, g.enqueue, func() error { return g.replica.Change(c) })
 		if stopErr != nil {
@@ -146,8 +146,8 @@
 
 // Transfer transfers leadership to a voter, the one with the longest log if id is 0. Only the leader can.
 func (g *Group) Transfer(id uint64) error {
-	err, stopped := callOnReplica(g, g.enqueue, func() error { return g.replica.Transfer(id) })
-	return errors.Join(stopped, err)
+	err, stopErr := callOnReplica(g, g.enqueue, func() error { return g.replica.Transfer(id) })
+	return errors.Join(stopErr, err)
 }
 
 // Snapshot returns the state in the format that `umberctl control snapshot save` stores.
--- a/internal/control/consensus/members.go
+++ b/internal/control/consensus/members.go
@@ -6,8 +6,8 @@
 type Member struct {
 	ID      uint64 `json:"id"`
 	Name    string `json:"name"`
-	Peer    string `json:"peer"`
-	Listen  string `json:"listen"`
+	Peer    string `json:"peer"`   // address for peers
+	Listen  string `json:"listen"` // address for clients
 	Voter   bool   `json:"voter"`
 	Promote bool   `json:"promote"` // becomes a voter once it has caught up
 }
@@ -83,46 +83,46 @@
 	return nil
 }
 
-// check returns a *ChangeError if a change is not allowed. It depends on replicated state alone, so that all instances
-// decide the same.
+// check returns a *MemberChangeError if a change is not allowed. It depends on replicated state alone, so that all
+// instances decide the same.
 func (t *memberTable) check(c *Change) error {
 	member := t.byID(c.Member.ID)
 	switch c.Op {
 	case OpAdd:
 		switch {
 		case c.Member.ID == 0 || c.Member.Name == "":
-			return invalidChange(ErrIncompleteMember, "found id %x and name %q, expected both", c.Member.ID,
+			return newMemberChangeError(ErrIncompleteMember, "found id %x and name %q, expected both", c.Member.ID,
 				c.Member.Name)
 		case member != nil:
-			return invalidChange(ErrAlreadyMember, "instance %x is a member already", c.Member.ID)
+			return newMemberChangeError(ErrAlreadyMember, "instance %x is a member already", c.Member.ID)
 		case t.byName(c.Member.Name) != nil:
-			return invalidChange(ErrNameTaken, "%q is instance %x already; remove that one first, or replace it",
+			return newMemberChangeError(ErrNameTaken, "%q is instance %x already; remove that one first, or replace it",
 				c.Member.Name, t.byName(c.Member.Name).ID)
 		case t.wasRemoved(c.Member.ID):
-			return invalidChange(ErrMemberRemoved, "instance %x was removed; start it anew on an empty folder",
+			return newMemberChangeError(ErrMemberRemoved, "instance %x was removed; start it anew on an empty folder",
 				c.Member.ID)
 		case len(t.list) >= maxMembers:
-			return invalidChange(ErrTooManyMembers, "%d members, expected at most %d", len(t.list)+1, maxMembers)
+			return newMemberChangeError(ErrTooManyMembers, "%d members, expected at most %d", len(t.list)+1, maxMembers)
 		}
 	case OpPromote:
 		if member == nil || member.Voter {
-			return invalidChange(ErrNotLearner, "instance %x is no learner", c.Member.ID)
+			return newMemberChangeError(ErrNotLearner, "instance %x is no learner", c.Member.ID)
 		}
 	case OpRemove:
 		if member == nil {
-			return invalidChange(ErrNotMember, "instance %x is no member", c.Member.ID)
+			return newMemberChangeError(ErrNotMember, "instance %x is no member", c.Member.ID)
 		}
 		if member.Voter && countVoters(t.list) == 1 {
-			return invalidChange(ErrOnlyVoter, "%q is the only voter", member.Name)
+			return newMemberChangeError(ErrOnlyVoter, "%q is the only voter", member.Name)
 		}
 	case OpReplace:
 		replaced := t.byID(c.ReplacedID)
 		if member == nil || member.Voter || replaced == nil || !replaced.Voter {
-			return invalidChange(ErrNotVoterAndLearner, "replacing %x by %x: expected a voter and a learner",
+			return newMemberChangeError(ErrNotVoterAndLearner, "replacing %x by %x: expected a voter and a learner",
 				c.ReplacedID, c.Member.ID)
 		}
 	default:
-		return invalidChange(ErrUnknownChange, "found %q, expected add, promote, remove or replace", c.Op)
+		return newMemberChangeError(ErrUnknownChange, "found %q, expected add, promote, remove or replace", c.Op)
 	}
 	return nil
 }
--- a/internal/control/consensus/peer_registry.go
+++ b/internal/control/consensus/peer_registry.go
@@ -19,11 +19,11 @@
 // Hello is the handshake message of either side of a connection.
 type Hello struct {
 	Identity
-	Peer string `json:"peer"`           // address for peers; for a receiver that does not know the members yet
-	Term uint64 `json:"term"`           // of its hard state
-	Last uint64 `json:"last"`           // index of its last log entry
-	To   uint64 `json:"to"`             // id of the intended instance, 0 if unknown
-	Bulk bool   `json:"bulk,omitempty"` // the connection carries a snapshot
+	Peer      string `json:"peer"`           // address for peers; for a receiver that does not know the members yet
+	Term      uint64 `json:"term"`           // of its hard state
+	LastIndex uint64 `json:"last"`           // index of its last log entry
+	To        uint64 `json:"to"`             // id of the intended instance, 0 if unknown
+	Bulk      bool   `json:"bulk,omitempty"` // the connection carries a snapshot
 	// Level is the feature level that its program supports; programs older than levels omit it.
 	Level int `json:"level,omitempty"`
 }
@@ -115,7 +115,8 @@
 	if known && (h.Starts < last.Starts || h.Starts == last.Starts && h.Nonce != last.Nonce) {
 		return refusedOldCopy, changed
 	}
-	if progress := p.progress[h.ID]; h.Term < progress.term || h.Term == progress.term && h.Last < progress.lastIndex {
+	progress := p.progress[h.ID]
+	if h.Term < progress.term || h.Term == progress.term && h.LastIndex < progress.lastIndex {
 		return refusedOldCopy, changed
 	}
 	if !known && len(p.lastStarts) >= maxPeers {
--- a/internal/control/consensus/pin_stored_test.go
+++ b/internal/control/consensus/pin_stored_test.go
@@ -49,7 +49,7 @@
 		s.report.addLine("put %s %d: {End:%s Version:%d Reason:%s}", r.Session, r.Seq, r.Result.Outcome,
 			r.Result.Version, r.Result.Reason)
 	}
-	for _, n := range out.Operations {
+	for _, n := range out.Outcomes {
 		switch n.(type) {
 		case policy.Result, zones.Result: // client responses; the effect of heartbeat batches shows in the state
 			raw, err := json.Marshal(n)
--- a/internal/control/consensus/record_collector.go
+++ b/internal/control/consensus/record_collector.go
@@ -18,8 +18,8 @@
 	"umberwinch/internal/control/recovery"
 )
 
-// Collector listens at the address of a stopped instance and collects node records for a recovery.
-type Collector struct {
+// RecordCollector listens at the address of a stopped instance and collects node records for a recovery.
+type RecordCollector struct {
 	mu        sync.Mutex
 	records   map[string]api.NodeRecord
 	contacts  map[string]time.Time // last contact of each node
@@ -35,13 +35,19 @@
 
 // StartCollector opens the address that nodes send heartbeats to. onRecord is called for each record received, with the
 // error if it is invalid. The returned error is of the address.
-func StartCollector(listen string, onRecord func(record *api.NodeRecord, err error)) (*Collector, error) {
+func StartCollector(listen string, onRecord func(record *api.NodeRecord, err error)) (*RecordCollector, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("%w: the instance that listens there has to be stopped first", err)
 	}
-	c := &Collector{records: map[string]api.NodeRecord{}, contacts: map[string]time.Time{}, texts: map[string]string{},
-		bodyBytes: semaphore.NewWeighted(maxTotalBodyBytes), served: make(chan struct{}), onRecord: onRecord}
+	c := &RecordCollector{
+		records:   map[string]api.NodeRecord{},
+		contacts:  map[string]time.Time{},
+		texts:     map[string]string{},
+		bodyBytes: semaphore.NewWeighted(maxTotalBodyBytes),
+		served:    make(chan struct{}),
+		onRecord:  onRecord,
+	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/nodes", c.postHeartbeat)
 	mux.HandleFunc("POST /v1/kept", c.postRecord)
@@ -58,7 +64,7 @@
 }
 
 // Stop closes the address and returns the records. Requests in progress have until ctx is done.
-func (c *Collector) Stop(ctx context.Context) []api.NodeRecord {
+func (c *RecordCollector) Stop(ctx context.Context) []api.NodeRecord {
 	if c.server.Shutdown(ctx) != nil {
 		c.server.Close()
 	}
@@ -73,19 +79,19 @@
 }
 
 // Counts returns the numbers of nodes that made contact and of those that sent their record.
-func (c *Collector) Counts() (contacted, recorded int) {
+func (c *RecordCollector) Counts() (contacted, recorded int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.contacts), len(c.records)
 }
 
-func (c *Collector) writeError(w http.ResponseWriter, code int, err error) {
+func (c *RecordCollector) writeError(w http.ResponseWriter, code int, err error) {
 	raw, _ := json.Marshal(Failure{Error: err.Error()})
 	c.writeSized(w, code, raw)
 }
 
 // writeSized sends a response with a Content-Length, as nodes do not read chunked bodies.
-func (c *Collector) writeSized(w http.ResponseWriter, code int, raw []byte) {
+func (c *RecordCollector) writeSized(w http.ResponseWriter, code int, raw []byte) {
 	w.Header().Set("Content-Type", contentJSON)
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.WriteHeader(code)
@@ -93,7 +99,7 @@
 }
 
 // postHeartbeat asks a node for its record until the node has sent it.
-func (c *Collector) postHeartbeat(w http.ResponseWriter, r *http.Request) {
+func (c *RecordCollector) postHeartbeat(w http.ResponseWriter, r *http.Request) {
 	var request api.HeartbeatRequest
 	if err := readBody(w, r, &request); err != nil {
 		c.writeError(w, http.StatusBadRequest, err)
@@ -118,7 +124,7 @@
 }
 
 // postRecord validates and stores a node's record.
-func (c *Collector) postRecord(w http.ResponseWriter, r *http.Request) {
+func (c *RecordCollector) postRecord(w http.ResponseWriter, r *http.Request) {
 	const maxRecordBytes = 2*maxBodyBytes + maxNodeBodyBytes // a record has two texts
 	size := r.ContentLength
 	if size < 0 || size > maxRecordBytes {
@@ -146,7 +152,7 @@
 }
 
 // store keeps a valid record, at most recovery.MaxRecords of them.
-func (c *Collector) store(record *api.NodeRecord) error {
+func (c *RecordCollector) store(record *api.NodeRecord) error {
 	record.Generation = max(1, record.Generation)
 	record.ActiveText, record.ActiveHash = c.sharedText(record.ActiveText, record.ActiveHash)
 	record.PreparedText, record.PreparedHash = c.sharedText(record.PreparedText, record.PreparedHash)
@@ -161,7 +167,7 @@
 
 // sharedText returns the stored copy of a text, so that equal texts of many nodes use memory once. It returns no text
 // if the hash does not match or too many texts are held.
-func (c *Collector) sharedText(text, hash string) (string, string) {
+func (c *RecordCollector) sharedText(text, hash string) (string, string) {
 	if text == "" || document.Hash([]byte(text)) != hash {
 		return "", hash
 	}
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -16,11 +16,11 @@
 // Config configures a replica. Sizes are bytes, durations ticks.
 type Config struct {
 	Name                 string
-	Peer                 string
-	Listen               string
-	FoundGroup           bool // bootstrap a group of one in an empty folder; otherwise wait to be added to a group
-	ElectionTicks        int  // least election timeout; each is drawn from here to twice as many
-	SnapshotBytes        int  // bytes of new log entries after which a snapshot is due
+	Peer                 string // address for peers
+	Listen               string // address for clients
+	FoundGroup           bool   // bootstrap a group of one in an empty folder; otherwise wait to be added to a group
+	ElectionTicks        int    // least election timeout; each is drawn from here to twice as many
+	SnapshotBytes        int    // bytes of new log entries after which a snapshot is due
 	Sizes                wal.Sizes
 	Random               func() uint64 // for ids only, never for decisions
 	Logger               raft.Logger
@@ -28,7 +28,7 @@
 	Level                int          // supported feature level, for tests of a group with two builds; 0: LatestLevel
 	DisabledPolicyGuards policy.Guard // for fault tests
 	DisabledZoneGuards   zones.Guard
-	OnStep               func(WorkStep) // called before each step of Work, for fault tests; may be nil
+	OnStep               func(WorkStep) // called before each step of a ready cycle, for fault tests; may be nil
 }
 
 // WorkStep names a step of a ready cycle, as passed to Config.OnStep before the step.
@@ -39,11 +39,11 @@
 	StepPersist WorkStep = "persist" // write what raft requires to be durable
 	StepSend    WorkStep = "send"    // send messages to peers
 	StepApply   WorkStep = "apply"   // apply a snapshot and committed entries
-	StepAnswer  WorkStep = "answer"  // return results of puts
+	StepRespond WorkStep = "answer"  // return results of puts
 )
 
 // Steps lists the steps in order.
-var Steps = []WorkStep{StepPersist, StepSend, StepApply, StepAnswer}
+var Steps = []WorkStep{StepPersist, StepSend, StepApply, StepRespond}
 
 // Bounds of raft's memory: the size of a message, what is in flight to a follower, and what is proposed or read but not
 // finished.
@@ -97,10 +97,10 @@
 
 // WorkResult is what ready cycles completed.
 type WorkResult struct {
-	Puts       []AppliedPut
-	Reads      []uint64 // ids of reads that the current state may serve
-	Applied    bool     // entries or a snapshot were applied
-	Operations []coordinator.Outcome
+	Puts     []AppliedPut
+	Reads    []uint64 // ids of reads that the current state may serve
+	Applied  bool     // entries or a snapshot were applied
+	Outcomes []coordinator.Outcome
 }
 
 // resetElectionTimer draws the next election timeout from a checksum over the run's nonce and a counter, so that tests
--- a/internal/control/consensus/replica_apply.go
+++ b/internal/control/consensus/replica_apply.go
@@ -58,7 +58,7 @@
 	}
 	result.Reads = r.takeFinishedReads()
 	if len(result.Puts) > 0 {
-		r.reportStep(StepAnswer)
+		r.reportStep(StepRespond)
 	}
 	return result, nil
 }
@@ -125,7 +125,7 @@
 				result.Puts = append(result.Puts, *put)
 			}
 			if outcome != nil {
-				result.Operations = append(result.Operations, outcome)
+				result.Outcomes = append(result.Outcomes, outcome)
 			}
 		}
 	case pb.EntryType_EntryConfChangeV2:
--- a/internal/control/consensus/replica_members.go
+++ b/internal/control/consensus/replica_members.go
@@ -15,8 +15,14 @@
 // HelloTo returns this instance's hello to a peer.
 func (r *Replica) HelloTo(to uint64) Hello {
 	_, last := r.LogBounds()
-	return Hello{Identity: r.peers.self, Peer: r.config.Peer, Term: r.store.hardState.GetTerm(), Last: last, To: to,
-		Level: r.config.Level}
+	return Hello{
+		Identity:  r.peers.self,
+		Peer:      r.config.Peer,
+		Term:      r.store.hardState.GetTerm(),
+		LastIndex: last,
+		To:        to,
+		Level:     r.config.Level,
+	}
 }
 
 // Handshake decides whether to communicate with a peer by its hello; reason is why not, empty if accepted. Changes of
@@ -63,8 +69,8 @@
 }
 
 // Change proposes a change of members. An applied change shows in Members; a lost proposal is not reported, and the
-// caller proposes again. Errors are ErrBarred, raft.ErrProposalDropped, and a *ChangeError if the state does not allow
-// it.
+// caller proposes again. Errors are ErrBarred, raft.ErrProposalDropped, and a *MemberChangeError if the state does not
+// allow it.
 func (r *Replica) Change(c Change) error {
 	if r.peers.self.Barred != "" {
 		return ErrBarred
--- a/internal/control/consensus/state_machine_test.go
+++ b/internal/control/consensus/state_machine_test.go
@@ -178,8 +178,8 @@
 	}
 	hello := func(cluster string, id, starts, nonce, term, last, to uint64) Hello {
 		return Hello{Identity: Identity{Cluster: cluster, ID: id, Starts: starts, Nonce: nonce}, Term: term,
-			Last: last,
-			To:   to}
+			LastIndex: last,
+			To:        to}
 	}
 	for _, c := range []struct {
 		name    string
--- a/internal/control/consensus/transport_peer.go
+++ b/internal/control/consensus/transport_peer.go
@@ -97,7 +97,7 @@
 		c.SetDeadline(time.Time{})
 		return err
 	}
-	return &FrameError{fmt.Sprintf("of kind %d", kind), "a welcome"}
+	return &FrameError{fmt.Sprintf("of kind %d", kind), "a response to the hello"}
 }
 
 // connect keeps a connection to a peer and sends queued messages until ctx is done.
