--- a/internal/control/consensus/replica_open.go
+++ b/internal/control/consensus/replica_open.go
@@ -28,7 +28,7 @@
 }
 
 // open reads identity, log and state. It stores the incremented number of starts before anything is sent, so that an
-// old copy of the folder that is started elsewhere can be told from this one.
+// old copy of the folder that is started elsewhere can be distinguished from this one.
 func (r *Replica) open() error {
 	if r.log.Mark(markIdentity) == nil {
 		if err := r.initialize(); err != nil {
--- a/internal/control/consensus/transport_snapshot.go
+++ b/internal/control/consensus/transport_snapshot.go
@@ -17,7 +17,7 @@
 
 // snapshotAnnouncement precedes the chunks of a snapshot.
 type snapshotAnnouncement struct {
-	Message []byte `json:"message"` // raft's message without the state // raft's message without the state
+	Message []byte `json:"message"` // raft's message without the state
 	Bytes   int    `json:"bytes"`   // size of the state
 	Sum     uint64 `json:"sum"`     // xxhash of the state
 }
