--- a/internal/control/consensus/api_fleet.go
+++ b/internal/control/consensus/api_fleet.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// maxNodeBodyBytes bounds a heartbeat or an operation, which have no use for more.
+	// maxNodeBodyBytes bounds the body of a heartbeat or an operation.
 	maxNodeBodyBytes = 4 << 10
-	// heartbeatTimeout is less than the 1.5 s after which a node asks another instance, so that it hears why.
+	// heartbeatTimeout is less than the 1.5 s after which a node contacts another instance, so that the node gets an
+	// error response first.
 	heartbeatTimeout = 1400 * time.Millisecond
 )
 
-// fleetRoutes are the paths that the leader alone can serve.
+// fleetRoutes adds the paths that only the leader serves.
 func (a *API) fleetRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("POST /v1/nodes", a.onLeader(a.postHeartbeat))
 	mux.HandleFunc("GET /v1/nodes", a.onLeader(a.getNodes))
@@ -35,18 +36,18 @@
 		err = ErrFeatureLevel
 	}
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), heartbeatTimeout)
 	defer cancel()
 	response, err := a.group.Heartbeat(ctx, request)
-	a.answerOr(w, response, err)
+	a.writeResult(w, response, err)
 }
 
 func (a *API) getNodes(w http.ResponseWriter, _ *http.Request) {
 	nodes, err := a.group.Nodes()
-	a.answerOr(w, nodes, err)
+	a.writeResult(w, nodes, err)
 }
 
 func (a *API) postForget(w http.ResponseWriter, r *http.Request) {
@@ -55,19 +56,19 @@
 	}
 	err := readBody(w, r, &request)
 	if err == nil {
-		ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
+		ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 		defer cancel()
 		err = a.group.Forget(ctx, request.Name)
 	}
-	a.answerOr(w, map[string]string{"forgotten": request.Name}, err)
+	a.writeResult(w, map[string]string{"forgotten": request.Name}, err)
 }
 
 func (a *API) getPolicy(w http.ResponseWriter, _ *http.Request) {
 	view, err := a.group.Policy()
-	a.answerOr(w, view, err)
+	a.writeResult(w, view, err)
 }
 
-// postPolicy takes an operator's proposal of a change, or an operator's abort of one.
+// postPolicy handles an operator's proposal or abort of a policy change.
 func (a *API) postPolicy(w http.ResponseWriter, r *http.Request) {
 	var op policy.Op
 	err := readBody(w, r, &op)
@@ -79,24 +80,24 @@
 		err = op.Validate()
 	}
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	result, err := a.group.PolicyOp(ctx, op)
 	if err == nil && result.Rejected() {
 		err = &RejectedError{result.Rejection}
 	}
-	a.answerOr(w, result, err)
+	a.writeResult(w, result, err)
 }
 
 func (a *API) getZones(w http.ResponseWriter, _ *http.Request) {
 	view, err := a.group.Zones()
-	a.answerOr(w, view, err)
+	a.writeResult(w, view, err)
 }
 
-// postZones takes an operator's operation on a zone.
+// postZones handles an operator's operation on a zone.
 func (a *API) postZones(w http.ResponseWriter, r *http.Request) {
 	var op zones.Op
 	err := readBody(w, r, &op)
@@ -108,15 +109,15 @@
 		err = op.Validate()
 	}
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
 	op.ClearRulesFields()
-	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	result, err := a.group.ZoneOp(ctx, op)
 	if err == nil && result.Rejected() {
 		err = &RejectedError{result.Err}
 	}
-	a.answerOr(w, result, err)
+	a.writeResult(w, result, err)
 }
--- a/internal/control/consensus/api_forward.go
+++ b/internal/control/consensus/api_forward.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// headerForwarded marks a request that an instance forwarded, so that it is forwarded once at most: two instances
-	// that each take the other for the leader would pass it to and fro.
+	// headerForwarded marks a forwarded request, so that it is forwarded at most once: two instances that take each
+	// other for the leader would forward it in a loop.
 	headerForwarded = "Umberwinch-Relayed"
-	// forwardTimeout is less than heartbeatTimeout, so that a node hears of a leader that does not answer.
+	// forwardTimeout is less than heartbeatTimeout, so that a node gets an error response when the leader does not
+	// respond.
 	forwardTimeout = 1300 * time.Millisecond
 )
 
-// onLeader has a request served here if this instance leads, and forwarded to the leader otherwise.
+// onLeader serves a request here if this instance is the leader, and forwards it to the leader otherwise.
 func (a *API) onLeader(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		v := a.group.View()
@@ -28,19 +29,19 @@
 		}
 		leader := v.leaderAddress()
 		if leader == "" {
-			a.failWith(w, ErrNoLeader)
+			a.writeError(w, ErrNoLeader)
 			return
 		}
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxNodeBodyBytes))
 		if err != nil {
-			a.failWith(w, &BodyError{err, fmt.Sprintf("at most %d bytes", maxNodeBodyBytes)})
+			a.writeError(w, &BodyError{err, fmt.Sprintf("at most %d bytes", maxNodeBodyBytes)})
 			return
 		}
 		a.forward(w, r, leader, body)
 	}
 }
 
-// leaderAddress gives where the leader listens for clients, empty where it is not known or is this instance.
+// leaderAddress returns the leader's client address, empty if the leader is unknown or this instance.
 func (v *View) leaderAddress() string {
 	for _, m := range v.Members {
 		if m.ID == v.Leader && m.ID != v.ID {
@@ -50,18 +51,18 @@
 	return ""
 }
 
-// forward sends a request to the leader and passes on its answer.
+// forward sends a request to the leader and passes on the response.
 func (a *API) forward(w http.ResponseWriter, r *http.Request, leader string, body []byte) {
 	timeout := forwardTimeout
 	if r.URL.Path != "/v1/nodes" {
-		timeout = answerTimeout
+		timeout = requestTimeout
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
 	url := a.group.credentials.scheme() + "://" + leader + r.URL.RequestURI()
 	request, err := http.NewRequestWithContext(ctx, r.Method, url, bytes.NewReader(body))
 	if err != nil {
-		a.failWith(w, err)
+		a.writeError(w, err)
 		return
 	}
 	request.Header.Set(headerForwarded, a.group.View().Name)
@@ -71,7 +72,7 @@
 	}
 	status, raw, err := a.roundTrip(request)
 	if err != nil {
-		a.failWith(w, &LeaderUnreachableError{leader, err})
+		a.writeError(w, &LeaderUnreachableError{leader, err})
 		return
 	}
 	w.Header().Set("Content-Type", contentJSON)
@@ -81,7 +82,7 @@
 }
 
 func (a *API) roundTrip(request *http.Request) (status int, body []byte, err error) {
-	response, err := a.forwarder.Do(request)
+	response, err := a.leaderClient.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/control/consensus/errors_test.go
+++ b/internal/control/consensus/errors_test.go
@@ -16,8 +16,7 @@
 	"umberwinch/internal/control/coordinator"
 )
 
-// TestStatusOfErrors: a client decides by the status whether to ask again. Each typed error, wrapped too, must have the
-// status it stands for.
+// Clients decide by the status whether to retry. Each typed error, also wrapped, must have its status.
 func TestStatusOfErrors(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -35,24 +34,23 @@
 		{fmt.Errorf("wrapped: %w", &RejectedError{"a reason"}), http.StatusConflict},
 		{&LeaderUnreachableError{"10.0.0.1:7201", errors.New("refused")}, http.StatusServiceUnavailable},
 		{errTooManyWatchers, http.StatusServiceUnavailable},
-		{errNoToken, http.StatusUnauthorized},
+		{errUnauthorized, http.StatusUnauthorized},
 		{errNoVersion, http.StatusNotFound},
 		{&VersionNotFoundError{7, 1, 3}, http.StatusNotFound},
 		{&VersionDroppedError{1, 3}, http.StatusGone},
 		{errBodyTooLarge, http.StatusRequestEntityTooLarge},
 		{&BodyError{Err: io.ErrUnexpectedEOF}, http.StatusBadRequest},
 		{&UnknownNodeError{"n1"}, http.StatusBadRequest},
-		{&ChangeError{Reason: ErrOnlyVoter}, http.StatusBadRequest},
+		{&MemberChangeError{Reason: ErrOnlyVoter}, http.StatusBadRequest},
 		{errors.New("anything else"), http.StatusBadRequest},
 	} {
 		if got := statusOf(c.err); got != c.want {
-			t.Errorf("%v: status %d, expected %d", c.err, got, c.want)
+			t.Errorf("statusOf(%v) = %d, want %d", c.err, got, c.want)
 		}
 	}
 }
 
-// TestErrorTexts: operators and clients are shown what was found and what was expected. Scripts and pages quote these
-// texts, so they stay as they are.
+// Scripts and documentation quote these error texts, so they must not change.
 func TestErrorTexts(t *testing.T) {
 	v := &View{Status: Status{Version: 3}, FirstVersion: 2}
 	for _, c := range []struct {
@@ -78,68 +76,66 @@
 		{&LogEntryError{3, 4, nil}, "entry 3 of the log: found index 4 there"},
 		{&LogEntryError{3, 0, io.ErrUnexpectedEOF}, "entry 3 of the log can't be decoded: unexpected EOF"},
 		{&CompactedEntryError{3, 5}, "entry 3, expected one after 5"},
-		{&PeerRefusedError{true, wasRemoved}, "refused: it was removed from the group"},
-		{&PeerRefusedError{false, oldCopy}, "it was refused: its folder is an old copy, or is in use twice"},
+		{&PeerRefusedError{true, refusedRemoved}, "refused: it was removed from the group"},
+		{&PeerRefusedError{false, refusedOldCopy}, "it was refused: its folder is an old copy, or is in use twice"},
 		{&UnexpectedPeerError{1, 2}, "instance 1 answers, expected 2"},
 	} {
 		if c.err == nil || c.err.Error() != c.want {
-			t.Errorf("found %v, expected %s", c.err, c.want)
+			t.Errorf("error text = %v, want %s", c.err, c.want)
 		}
 	}
 	var field *api.FieldError
 	if err := (&Put{Session: "s"}).validate(); !errors.As(err, &field) || field.Field != "seq" {
-		t.Errorf("found %v, expected an api.FieldError of seq", err)
+		t.Errorf("validate() = %v, want an api.FieldError of seq", err)
 	}
 	var guard *UnknownGuardError
 	if _, err := GuardNamed("lease"); !errors.As(err, &guard) || guard.Name != "lease" {
-		t.Errorf("found %v, expected an UnknownGuardError of lease", err)
+		t.Errorf("GuardNamed(\"lease\") = %v, want an UnknownGuardError of lease", err)
 	}
 }
 
-// TestEntryOfNewerProgram: an instance of an older program meets an entry that it can't read. It must stop with an
-// error that says so, or its state would differ from the others'.
-func TestEntryOfNewerProgram(t *testing.T) {
+// An instance of an older program must stop at an entry that it can not read, or its state would diverge.
+func TestEntryOfNewerProgramIsRejected(t *testing.T) {
 	m := newStateMachine("c", 0)
 	for _, entry := range []string{`{"rules":9,"session":"s"}`, `{"kind":"level","body":9}`} {
 		var newer *NewerProgramError
 		if _, _, err := m.applyEntry([]byte(entry), 1, 1); !errors.As(err, &newer) {
-			t.Errorf("%s: %v, expected a NewerProgramError", entry, err)
+			t.Errorf("applyEntry(%s) = %v, want a NewerProgramError", entry, err)
 		}
 	}
 }
 
-// TestUnreadableInput: what can't be read, of the log or of a peer, is told by types: the instance ends for the one,
-// and closes the connection for the other.
-func TestUnreadableInput(t *testing.T) {
+// Invalid log entries and frames must give typed errors: the first stop the instance, the second close the connection.
+func TestInvalidInputErrors(t *testing.T) {
 	m := newStateMachine("c", 0)
 	for _, raw := range []string{"x", `{"seq":-1}`} {
 		var entry *coordinator.EntryError
 		if _, _, err := m.applyEntry([]byte(raw), 1, 1); !errors.As(err, &entry) {
-			t.Errorf("%s: found %v, expected an EntryError", raw, err)
+			t.Errorf("applyEntry(%s) = %v, want an EntryError", raw, err)
 		}
 	}
 	for _, raw := range []string{"\x00\x00\x00\x00\x00\x00\x00\x00", "\x02\x00\x00\x00\x00\x00\x00\x00ab"} {
 		var frame *FrameError
 		if _, _, err := readFrame(strings.NewReader(raw), 100); !errors.As(err, &frame) {
-			t.Errorf("%q: found %v, expected a FrameError", raw, err)
+			t.Errorf("readFrame(%q) = %v, want a FrameError", raw, err)
 		}
 	}
 }
 
-// TestSpoiltSnapshots: an operator restores from a file that is torn or not a snapshot. The error has to be one that
-// callers can tell from a disk's, and nothing of the file may be used.
-func TestSpoiltSnapshots(t *testing.T) {
+// A truncated or invalid snapshot file must give a SnapshotError, which callers can tell from a disk error, and no
+// state.
+func TestDamagedSnapshotsAreRejected(t *testing.T) {
 	for name, raw := range map[string]string{
-		"empty":         "",
-		"no head":       "{}",
-		"a wrong head":  "[]\n{}",
-		"a torn state":  `{"meta":""}` + "\n" + `{"cluster":"c"`,
-		"no versions":   `{"meta":""}` + "\n" + `{"cluster":"c","first":1,"versions":1}` + "\n",
-		"a later level": `{"meta":""}` + "\n" + `{"cluster":"c","first":1,"level":99}` + "\n",
+		"empty":        "",
+		"no header":    "{}",
+		"wrong header": "[]\n{}",
+		"cut state":    `{"meta":""}` + "\n" + `{"cluster":"c"`,
+		"no versions":  `{"meta":""}` + "\n" + `{"cluster":"c","first":1,"versions":1}` + "\n",
+		"newer level":  `{"meta":""}` + "\n" + `{"cluster":"c","first":1,"level":99}` + "\n",
 	} {
-		var spoilt *SnapshotError
-		if old, err := ReadSnapshot([]byte(raw)); old != nil || !errors.As(err, &spoilt) {
-			t.Errorf("%s: found %v (%v), expected a SnapshotError", name, old, err)
+		var damaged *SnapshotError
+		if group, err := ReadSnapshot([]byte(raw)); group != nil || !errors.As(err, &damaged) {
+			t.Errorf("%s: ReadSnapshot() = %v, %v, want a SnapshotError", name, group, err)
 		}
 	}
 }
--- a/internal/control/consensus/group_requests.go
+++ b/internal/control/consensus/group_requests.go
@@ -9,12 +9,13 @@
 	"go.etcd.io/raft/v3"
 )
 
-type snapshotWritten struct {
+// snapshotResult is the result of writing a snapshot.
+type snapshotResult struct {
 	snapshot *PendingSnapshot
 	err      error
 }
 
-// enqueue has a function run on the replica's goroutine, without waiting for it. It returns ErrStopped or ErrBusy.
+// enqueue queues a function for the replica's goroutine without waiting. It returns ErrStopped or ErrBusy.
 func (g *Group) enqueue(f func()) error {
 	select {
 	case <-g.done:
@@ -31,9 +32,9 @@
 	}
 }
 
-// callOn runs a function on the replica's goroutine, by one of its queues, and returns its result. The error is the
-// queue's, or ErrStopped.
-func callOn[T any](g *Group, queue func(func()) error, f func() T) (result T, err error) {
+// callOnReplica runs a function on the replica's goroutine, through one of its queues, and returns its result. The
+// error is the queue's, or ErrStopped.
+func callOnReplica[T any](g *Group, queue func(func()) error, f func() T) (result T, err error) {
 	done := make(chan T, 1)
 	if err = queue(func() { done <- f() }); err != nil {
 		return result, err
@@ -46,8 +47,9 @@
 	}
 }
 
-// await enqueues a function that starts a wait, and waits. It returns ErrTimeout once ctx is done.
-func (g *Group) await(ctx context.Context, w *waiter, start func()) (PutResult, error) {
+// awaitResult enqueues start, which registers the waiter, and waits for its result. It returns ErrTimeout once ctx is
+// done.
+func (g *Group) awaitResult(ctx context.Context, w *waiter, start func()) (PutResult, error) {
 	if err := g.enqueue(start); err != nil {
 		return PutResult{}, err
 	}
@@ -57,7 +59,7 @@
 	case <-g.done:
 		return PutResult{}, ErrStopped
 	case <-ctx.Done():
-		w.abandoned.Store(true)
+		w.canceled.Store(true)
 		return PutResult{}, ErrTimeout
 	}
 }
@@ -70,8 +72,8 @@
 	}
 	w := &waiter{put: &p, done: make(chan outcome, 1)}
 	started := time.Now()
-	result, err := g.await(ctx, w, func() {
-		if g.waiting.full(w) {
+	result, err := g.awaitResult(ctx, w, func() {
+		if g.waiters.rejectIfFull(w) {
 			return
 		}
 		w.sinceTick = g.ticks
@@ -80,52 +82,55 @@
 			w.done <- outcome{err: err}
 			return
 		}
-		g.waiting.addPut(w)
+		g.waiters.addPut(w)
 	})
 	if err == nil {
-		g.metrics.commit.Observe(time.Since(started).Seconds())
+		g.metrics.putSeconds.Observe(time.Since(started).Seconds())
 	}
 	return result, err
 }
 
-// LinearizableView returns a view that is as new as any result given before the call, anywhere in the group. Errors are
-// ErrBusy, ErrStopped, and ErrTimeout once ctx is done.
+// LinearizableView returns a view that reflects every result returned before the call, anywhere in the group. Errors
+// are ErrBusy, ErrStopped, and ErrTimeout once ctx is done.
 func (g *Group) LinearizableView(ctx context.Context) (*View, error) {
 	w := &waiter{done: make(chan outcome, 1)}
-	_, err := g.await(ctx, w, func() {
-		if !g.waiting.full(w) {
-			g.waiting.addRead(w)
+	_, err := g.awaitResult(ctx, w, func() {
+		if !g.waiters.rejectIfFull(w) {
+			g.waiters.addRead(w)
 		}
 	})
 	return g.View(), err
 }
 
-// Change makes a change of members and waits until done says that it shows. Where it shows nowhere, as it was lost or
-// another one was under way, it is asked again after the time of an election.
-func (g *Group) Change(ctx context.Context, c Change, done func([]Member) bool) error {
+// ChangeMembers proposes a change of members and waits until applied reports true for the members. It proposes again
+// after an election timeout: the proposal may have been lost, or another change was in progress.
+func (g *Group) ChangeMembers(ctx context.Context, c Change, applied func([]Member) bool) error {
 	for {
-		err, stopped := callOn(g, g.enqueue, func() error { return g.replica.Change(c) })
-		if stopped != nil {
-			return stopped
+		err, stopErr := callOnReplica(g, g.enqueue, func() error { return g.replica.Change(c) })
+		if stopErr != nil {
+			return stopErr
 		}
-		shown, err := g.awaitMembers(ctx, done, err)
-		if shown || err != nil {
+		isApplied, err := g.awaitMemberChange(ctx, applied, err)
+		if isApplied || err != nil {
 			return err
 		}
 	}
 }
 
-// awaitMembers waits for the time of an election at most. failed is why the change was not proposed.
-func (g *Group) awaitMembers(ctx context.Context, done func([]Member) bool, failed error) (shown bool, err error) {
+// awaitMemberChange waits for an applied change for at most an election timeout. proposeErr is the error of the
+// proposal.
+func (g *Group) awaitMemberChange(ctx context.Context, applied func([]Member) bool, proposeErr error) (
+	isApplied bool, err error,
+) {
 	retry := time.NewTimer(time.Duration(g.control.ElectionTicks) * g.control.Tick)
 	defer retry.Stop()
 	for {
 		v := g.View()
-		if done(v.Members) {
+		if applied(v.Members) {
 			return true, nil
 		}
-		if failed != nil && !errors.Is(failed, raft.ErrProposalDropped) {
-			return false, failed
+		if proposeErr != nil && !errors.Is(proposeErr, raft.ErrProposalDropped) {
+			return false, proposeErr
 		}
 		select {
 		case <-v.Superseded:
@@ -139,24 +144,24 @@
 	}
 }
 
-// Transfer hands the lead to a voter, to the one with the longest log if id is 0. Only the leader can.
+// Transfer transfers leadership to a voter, the one with the longest log if id is 0. Only the leader can.
 func (g *Group) Transfer(id uint64) error {
-	err, stopped := callOn(g, g.enqueue, func() error { return g.replica.Transfer(id) })
-	return errors.Join(stopped, err)
+	err, stopErr := callOnReplica(g, g.enqueue, func() error { return g.replica.Transfer(id) })
+	return errors.Join(stopErr, err)
 }
 
-// Snapshot returns the state as `umberctl control snapshot save` stores it.
+// Snapshot returns the state in the format that `umberctl control snapshot save` stores.
 func (g *Group) Snapshot() ([][]byte, error) {
 	type snapshot struct {
 		parts [][]byte
 		err   error
 	}
-	s, stopped := callOn(g, g.enqueue, func() snapshot {
+	s, stopErr := callOnReplica(g, g.enqueue, func() snapshot {
 		meta, state, err := g.replica.snapshotState()
 		if err == nil {
 			state, err = snapshotParts(meta, state)
 		}
 		return snapshot{state, err}
 	})
-	return s.parts, errors.Join(stopped, s.err)
+	return s.parts, errors.Join(stopErr, s.err)
 }
--- a/internal/control/consensus/members.go
+++ b/internal/control/consensus/members.go
@@ -2,12 +2,12 @@
 
 import "sort"
 
-// Member is an instance as the group knows it.
+// Member is an instance of the group, as stored and sent.
 type Member struct {
 	ID      uint64 `json:"id"`
 	Name    string `json:"name"`
-	Peer    string `json:"peer"`
-	Listen  string `json:"listen"`
+	Peer    string `json:"peer"`   // address for peers
+	Listen  string `json:"listen"` // address for clients
 	Voter   bool   `json:"voter"`
 	Promote bool   `json:"promote"` // becomes a voter once it has caught up
 }
@@ -18,27 +18,28 @@
 // Operations on the members of a group.
 const (
 	OpAdd      ChangeOp = "add"      // as a learner
-	OpPromote  ChangeOp = "promote"  // a learner to a voter
-	OpRemove   ChangeOp = "remove"   // for good: an instance that was removed can't be added again
-	OpReplace  ChangeOp = "replace"  // a voter by a learner, in one joint change
-	OpTransfer ChangeOp = "transfer" // the lead, to a voter; it changes no members
+	OpPromote  ChangeOp = "promote"  // a learner becomes a voter
+	OpRemove   ChangeOp = "remove"   // permanently: a removed instance can not be added again
+	OpReplace  ChangeOp = "replace"  // a learner replaces a voter, in one joint change
+	OpTransfer ChangeOp = "transfer" // leadership, to a voter; members do not change
 )
 
 // Bounds of the members.
 const (
-	maxMembers = 15  // a larger group commits no safer and slower
-	maxRemoved = 256 // ids of removed instances that are remembered and refused
+	maxMembers = 15
+	maxRemoved = 256 // ids of removed instances that are remembered, and refused as peers
 )
 
-// Change is an operation on the members, as its entry carries it beside what raft needs of it.
+// Change is an operation on the members. Its entry carries it as the context of raft's configuration change.
 type Change struct {
 	Op         ChangeOp `json:"op"`
 	Member     Member   `json:"member"`
-	ReplacedID uint64   `json:"gone,omitempty"` // OpReplace: the voter that leaves
+	ReplacedID uint64   `json:"gone,omitempty"` // OpReplace: the voter that is removed
 }
 
-// shown gives the test whether a change shows in a list of members, nil for an unknown operation.
-func (c *Change) shown() func([]Member) bool {
+// appliedCheck returns a function that reports whether a list of members reflects the change, nil for an unknown
+// operation.
+func (c *Change) appliedCheck() func([]Member) bool {
 	isVoter := func(list []Member) bool {
 		m := findMember(list, c.Member.ID)
 		return m != nil && m.Voter
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// findMember looks in a list ordered by id.
+// findMember searches a list ordered by id.
 func findMember(list []Member, id uint64) *Member {
 	i := sort.Search(len(list), func(i int) bool { return list[i].ID >= id })
 	if i < len(list) && list[i].ID == id {
@@ -67,7 +68,7 @@
 
 // memberTable holds the group's members and those that were removed.
 type memberTable struct {
-	list    []Member // by id
+	list    []Member // ordered by id
 	removed []uint64 // ids, oldest first
 }
 
@@ -82,61 +83,62 @@
 	return nil
 }
 
-// check returns why a change can't be made, a *ChangeError, by the state alone, so that all instances find the same.
+// check returns a *MemberChangeError if a change is not allowed. It depends on replicated state alone, so that all
+// instances decide the same.
 func (t *memberTable) check(c *Change) error {
-	at := t.byID(c.Member.ID)
+	member := t.byID(c.Member.ID)
 	switch c.Op {
 	case OpAdd:
 		switch {
 		case c.Member.ID == 0 || c.Member.Name == "":
-			return invalidChange(ErrIncompleteMember, "found id %x and name %q, expected both", c.Member.ID,
+			return newMemberChangeError(ErrIncompleteMember, "found id %x and name %q, expected both", c.Member.ID,
 				c.Member.Name)
-		case at != nil:
-			return invalidChange(ErrAlreadyMember, "instance %x is a member already", c.Member.ID)
+		case member != nil:
+			return newMemberChangeError(ErrAlreadyMember, "instance %x is a member already", c.Member.ID)
 		case t.byName(c.Member.Name) != nil:
-			return invalidChange(ErrNameTaken, "%q is instance %x already; remove that one first, or replace it",
+			return newMemberChangeError(ErrNameTaken, "%q is instance %x already; remove that one first, or replace it",
 				c.Member.Name, t.byName(c.Member.Name).ID)
 		case t.wasRemoved(c.Member.ID):
-			return invalidChange(ErrMemberRemoved, "instance %x was removed; start it anew on an empty folder",
+			return newMemberChangeError(ErrMemberRemoved, "instance %x was removed; start it anew on an empty folder",
 				c.Member.ID)
 		case len(t.list) >= maxMembers:
-			return invalidChange(ErrTooManyMembers, "%d members, expected at most %d", len(t.list)+1, maxMembers)
+			return newMemberChangeError(ErrTooManyMembers, "%d members, expected at most %d", len(t.list)+1, maxMembers)
 		}
 	case OpPromote:
-		if at == nil || at.Voter {
-			return invalidChange(ErrNotLearner, "instance %x is no learner", c.Member.ID)
+		if member == nil || member.Voter {
+			return newMemberChangeError(ErrNotLearner, "instance %x is no learner", c.Member.ID)
 		}
 	case OpRemove:
-		if at == nil {
-			return invalidChange(ErrNotMember, "instance %x is no member", c.Member.ID)
+		if member == nil {
+			return newMemberChangeError(ErrNotMember, "instance %x is no member", c.Member.ID)
 		}
-		if at.Voter && countVoters(t.list) == 1 {
-			return invalidChange(ErrOnlyVoter, "%q is the only voter", at.Name)
+		if member.Voter && countVoters(t.list) == 1 {
+			return newMemberChangeError(ErrOnlyVoter, "%q is the only voter", member.Name)
 		}
 	case OpReplace:
-		gone := t.byID(c.ReplacedID)
-		if at == nil || at.Voter || gone == nil || !gone.Voter {
-			return invalidChange(ErrNotVoterAndLearner, "replacing %x by %x: expected a voter and a learner",
+		replaced := t.byID(c.ReplacedID)
+		if member == nil || member.Voter || replaced == nil || !replaced.Voter {
+			return newMemberChangeError(ErrNotVoterAndLearner, "replacing %x by %x: expected a voter and a learner",
 				c.ReplacedID, c.Member.ID)
 		}
 	default:
-		return invalidChange(ErrUnknownChange, "found %q, expected add, promote, remove or replace", c.Op)
+		return newMemberChangeError(ErrUnknownChange, "found %q, expected add, promote, remove or replace", c.Op)
 	}
 	return nil
 }
 
-// apply makes a change that check allowed. It changes copies, as views share the lists.
+// apply makes a change that check allowed. It copies the lists, as views share them.
 func (t *memberTable) apply(c *Change) {
 	switch c.Op {
 	case OpAdd:
-		n := c.Member
-		n.Voter = false
-		t.list = append(append([]Member{}, t.list...), n)
+		added := c.Member
+		added.Voter = false
+		t.list = append(append([]Member{}, t.list...), added)
 		sort.Slice(t.list, func(i, k int) bool { return t.list[i].ID < t.list[k].ID })
 	case OpPromote, OpReplace:
 		t.list = append([]Member{}, t.list...)
-		at := t.byID(c.Member.ID)
-		at.Voter, at.Promote = true, false
+		member := t.byID(c.Member.ID)
+		member.Voter, member.Promote = true, false
 		if c.Op == OpReplace {
 			t.remove(c.ReplacedID)
 		}
@@ -160,8 +162,8 @@
 }
 
 func (t *memberTable) wasRemoved(id uint64) bool {
-	for _, o := range t.removed {
-		if o == id {
+	for _, removed := range t.removed {
+		if removed == id {
 			return true
 		}
 	}
--- a/internal/control/consensus/pin_golden_test.go
+++ b/internal/control/consensus/pin_golden_test.go
@@ -12,15 +12,15 @@
 	"testing"
 )
 
-// The fixtures under testdata/pin are what version 2a0a97e stored, sent and answered. They are written with
-// -write-pins at that version alone; a later version has to read and write the same bytes.
-var writePins = flag.Bool("write-pins", false, "write the fixtures of pinned forms anew")
+// The golden files under testdata/pin were written by version 2a0a97e with -write-pins. Later versions must read and
+// write the same bytes, so they must not be written again.
+var updateGolden = flag.Bool("write-pins", false, "write the golden files again")
 
-// pinned holds bytes to a fixture.
-func pinned(t *testing.T, name string, got []byte) {
+// checkGolden compares bytes with a golden file.
+func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "pin", name)
-	if *writePins {
+	if *updateGolden {
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 			t.Fatal(err)
 		}
@@ -38,21 +38,22 @@
 	}
 }
 
+// firstDifference describes where two byte slices begin to differ.
 func firstDifference(got, want []byte) string {
 	at := 0
 	for at < len(got) && at < len(want) && got[at] == want[at] {
 		at++
 	}
-	cut := func(b []byte) []byte { return b[max(0, min(at-40, len(b))):min(len(b), at+80)] }
-	return fmt.Sprintf("found %d bytes, expected %d; they differ at byte %d: found %q, expected %q", len(got),
+	excerpt := func(b []byte) []byte { return b[max(0, min(at-40, len(b))):min(len(b), at+80)] }
+	return fmt.Sprintf("got %d bytes, want %d; they differ at byte %d: got %q, want %q", len(got),
 		len(want), at,
-		cut(got), cut(want))
+		excerpt(got), excerpt(want))
 }
 
-// filler sets each field of a value to something of its own, in the order of the fields.
-type filler struct{ n int }
+// fieldFiller sets every field of a value to a distinct value, in field order.
+type fieldFiller struct{ n int }
 
-func (f *filler) fill(v reflect.Value) {
+func (f *fieldFiller) fill(v reflect.Value) {
 	f.n++
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -89,41 +90,42 @@
 	case reflect.Float64:
 		v.SetFloat(float64(f.n) + 0.5)
 	default:
-		panic("a field of kind " + v.Kind().String())
+		panic("fieldFiller: unsupported kind " + v.Kind().String())
 	}
 }
 
-func filled[T any]() T {
+func filledValue[T any]() T {
 	var v T
-	(&filler{}).fill(reflect.ValueOf(&v).Elem())
+	(&fieldFiller{}).fill(reflect.ValueOf(&v).Elem())
 	return v
 }
 
-// pinnedJSON holds the JSON of a value with all fields set to a fixture, and reads the fixture back to the same value.
-func pinnedJSON[T any](t *testing.T, name string) {
+// checkGoldenJSON compares the JSON of a value with all fields set to a golden file, and decodes the file to the same
+// value.
+func checkGoldenJSON[T any](t *testing.T, name string) {
 	t.Helper()
-	v := filled[T]()
+	v := filledValue[T]()
 	raw, err := json.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
 	}
-	pinned(t, name, append(raw, '\n'))
+	checkGolden(t, name, append(raw, '\n'))
 	stored, err := os.ReadFile(filepath.Join("testdata", "pin", name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back T
+	var decoded T
 	d := json.NewDecoder(bytes.NewReader(stored))
 	d.DisallowUnknownFields()
-	if err := d.Decode(&back); err != nil {
+	if err := d.Decode(&decoded); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	if !reflect.DeepEqual(back, v) {
-		t.Errorf("%s is read as %+v, expected %+v", name, back, v)
+	if !reflect.DeepEqual(decoded, v) {
+		t.Errorf("%s decodes to %+v, want %+v", name, decoded, v)
 	}
 }
 
-// lines puts a text together.
-type report struct{ strings.Builder }
+// textReport collects lines of text.
+type textReport struct{ strings.Builder }
 
-func (r *report) add(format string, args ...any) { fmt.Fprintf(r, format+"\n", args...) }
+func (r *textReport) addLine(format string, args ...any) { fmt.Fprintf(r, format+"\n", args...) }
--- a/internal/control/consensus/restored_group_test.go
+++ b/internal/control/consensus/restored_group_test.go
@@ -15,10 +15,10 @@
 	"umberwinch/internal/wal"
 )
 
-const oneText = "[tenant t0]\nrate = 5\n\n[fleet]\nlease = 4s\nwhen_alone = fence\n"
+const fleetText = "[tenant t0]\nrate = 5\n\n[fleet]\nlease = 4s\nwhen_alone = fence\n"
 
-// canonical gives a text as versions have it.
-func canonical(t *testing.T, text string) string {
+// canonicalText returns a document in the canonical form that versions store.
+func canonicalText(t *testing.T, text string) string {
 	t.Helper()
 	d, err := document.Parse("a text", []byte(text))
 	if err != nil {
@@ -27,24 +27,24 @@
 	return string(d.Canonical())
 }
 
-// Nodes make contact while a group is being restored. Each must be asked for its record until it has sent one, and
-// records that can't be true must be refused or lose their text.
-func TestGather(t *testing.T) {
-	listen := address() + ":7301"
+// Nodes that make contact during a recovery must be asked for their record until they have sent it. Invalid records
+// must be rejected, and a text with a wrong hash dropped.
+func TestCollectorCollectsRecords(t *testing.T) {
+	listen := loopbackAddress() + ":7301"
 	var mu sync.Mutex
-	var wrong []error
+	var recordErrs []error
 	g, err := StartCollector(listen, func(_ *api.NodeRecord, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
-			wrong = append(wrong, err)
+			recordErrs = append(recordErrs, err)
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err = StartCollector(listen, nil); err == nil {
-		t.Error("two listen at one address")
+		t.Error("a second StartCollector() at the same address succeeded, want an error")
 	}
 	post := func(path string, body any, into any) int {
 		t.Helper()
@@ -58,7 +58,7 @@
 		}
 		defer res.Body.Close()
 		if res.ContentLength < 0 {
-			t.Error("an answer in chunks, which nodes don't read")
+			t.Errorf("POST %s: response without Content-Length, which nodes can not read", path)
 		}
 		if into != nil {
 			if err = json.NewDecoder(res.Body).Decode(into); err != nil {
@@ -67,102 +67,107 @@
 		}
 		return res.StatusCode
 	}
-	ask := func(name string) (told api.HeartbeatResponse, code int) {
+	sendHeartbeat := func(name string) (response api.HeartbeatResponse, code int) {
 		code = post("/v1/nodes", api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: name, Zone: "z",
-			Nonce: name + "-00000000"}}, &told)
-		return told, code
+			Nonce: name + "-00000000"}}, &response)
+		return response, code
 	}
-	text := canonical(t, oneText)
-	k := api.NodeRecord{Name: "a", Zone: "z", Group: "g", Generation: 1, ActiveVersion: 3, MinVersion: 3,
+	text := canonicalText(t, fleetText)
+	record := api.NodeRecord{Name: "a", Zone: "z", Group: "g", Generation: 1, ActiveVersion: 3, MinVersion: 3,
 		ActiveText: text, ActiveHash: document.Hash([]byte(text))}
-	if told, code := ask("a"); code != 200 || !told.CollectRecord {
-		t.Fatalf("%d, %+v: a node is not asked for what it holds", code, told)
-	}
-	if code := post("/v1/kept", k, nil); code != 200 {
-		t.Fatalf("%d", code)
-	}
-	if told, code := ask("a"); code != 503 || told.CollectRecord {
-		t.Errorf("%d, %+v: a node that told is asked again", code, told)
-	}
-	spoilt := k
-	spoilt.Name, spoilt.ActiveText = "b", text+"; and more"
-	post("/v1/kept", spoilt, nil)
-	same := k
-	same.Name = "c"
-	post("/v1/kept", same, nil)
-	lies := k
-	lies.Name, lies.MinVersion = "d", 2
-	if code := post("/v1/kept", lies, nil); code != 400 {
-		t.Errorf("%d for one that serves under what it was not told of", code)
+	if response, code := sendHeartbeat("a"); code != 200 || !response.CollectRecord {
+		t.Fatalf("first heartbeat: status %d, %+v, want 200 and CollectRecord", code, response)
+	}
+	if code := post("/v1/kept", record, nil); code != 200 {
+		t.Fatalf("valid record: status %d, want 200", code)
+	}
+	if response, code := sendHeartbeat("a"); code != 503 || response.CollectRecord {
+		t.Errorf("heartbeat after the record: status %d, %+v, want 503 without CollectRecord", code, response)
+	}
+	wrongHash := record
+	wrongHash.Name, wrongHash.ActiveText = "b", text+"; and more"
+	post("/v1/kept", wrongHash, nil)
+	sameText := record
+	sameText.Name = "c"
+	post("/v1/kept", sameText, nil)
+	lowMinimum := record
+	lowMinimum.Name, lowMinimum.MinVersion = "d", 2
+	if code := post("/v1/kept", lowMinimum, nil); code != 400 {
+		t.Errorf("record with an active version above its minimum: status %d, want 400", code)
 	}
 	if res, err := http.Get("http://" + listen + "/v1/config"); err != nil || res.StatusCode != 503 {
-		t.Errorf("%v, %v: a group that is being restored answers", res, err)
+		t.Errorf("GET /v1/config during a recovery = %v, %v, want status 503", res, err)
 	} else {
 		res.Body.Close()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	all := map[string]api.NodeRecord{}
-	for _, k := range g.Stop(ctx) {
-		all[k.Name] = k
+	stored := map[string]api.NodeRecord{}
+	for _, record := range g.Stop(ctx) {
+		stored[record.Name] = record
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if len(all) != 3 || all["a"].ActiveText != text || all["b"].ActiveText != "" || all["c"].ActiveText != text ||
-		len(g.texts) != 1 || len(wrong) != 1 {
-		t.Errorf("%d kept, %d texts, wrong %v", len(all), len(g.texts), wrong)
+	if len(stored) != 3 || stored["a"].ActiveText != text || stored["b"].ActiveText != "" ||
+		stored["c"].ActiveText != text || len(g.texts) != 1 || len(recordErrs) != 1 {
+		t.Errorf("%d records with %d texts, errors %v, want 3 records with one text and one error", len(stored),
+			len(g.texts), recordErrs)
 	}
 }
 
-// A group lost all its state. What was found must be the first state of the next generation, and no version may be in
-// force that no node holds.
-func TestRecover(t *testing.T) {
-	text := canonical(t, oneText)
+// A group that lost all state is recovered from node records. The restored state must be the next generation, with no
+// version committed whose text no node has.
+func TestRecoverFromNodeRecords(t *testing.T) {
+	text := canonicalText(t, fleetText)
 	hash := document.Hash([]byte(text))
-	plan := Config{Name: "a", Peer: "p", Listen: "l", ElectionTicks: 10, SnapshotBytes: 1 << 20,
+	config := Config{Name: "a", Peer: "p", Listen: "l", ElectionTicks: 10, SnapshotBytes: 1 << 20,
 		Sizes:  wal.Sizes{SegmentBytes: 1 << 20, MaxBytes: 64 << 20},
 		Random: randomID}
-	kept := []api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 3, ActiveVersion: 7, MinVersion: 7,
+	records := []api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 3, ActiveVersion: 7, MinVersion: 7,
 		ActiveText: text, ActiveHash: hash, ZoneEpoch: 5, ZoneShare: 256,
 		LeaseMS: 4000}}
 	fs := wal.NewMemFS()
-	v, err := Recover(fs, plan, nil, recovery.PlanRestore(kept, nil, ""))
+	v, err := Recover(fs, config, nil, recovery.PlanRestore(records, nil, ""))
 	if err != nil || v.Number != 7 || v.Hash != hash {
-		t.Fatalf("%+v, %v: expected version 7 as it was", v, err)
+		t.Fatalf("Recover() = %+v, %v, want version 7 with hash %s", v, err, hash)
 	}
-	if _, err = Recover(fs, plan, nil, recovery.PlanRestore(kept, nil, "")); err == nil {
-		t.Error("a folder that is an instance's is written over")
+	if _, err = Recover(fs, config, nil, recovery.PlanRestore(records, nil, "")); err == nil {
+		t.Error("Recover() into a folder in use succeeded, want an error")
 	}
-	old, err := ReadFolder(fs, plan)
+	stored, err := ReadFolder(fs, config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := old.Evidence()
-	if b.Generation != 4 || len(b.Predecessors) != 1 || b.Predecessors[0] != "g" || b.DecidedVersion != 7 ||
-		b.CommittedVersion != 7 || b.ZoneEpoch != 6 || b.UncommittedEntries != 0 {
-		t.Errorf("%+v: expected generation 4 of g, at version 7", b)
-	}
-	if old.machine.level != LatestLevel || old.machine.fleet.Fleet.UnknownLeasesExpireMS < 4000 ||
-		old.machine.fleet.Fleet.Lookup("n1") == nil {
-		t.Errorf("level %d, hush %d", old.machine.level, old.machine.fleet.Fleet.UnknownLeasesExpireMS)
-	}
-	// Nobody holds the text of what was decided: nothing is in force, and the next put is newer than that.
-	none := recovery.PlanRestore([]api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}},
-		nil, "")
+	evidence := stored.Evidence()
+	if evidence.Generation != 4 || len(evidence.Predecessors) != 1 || evidence.Predecessors[0] != "g" ||
+		evidence.DecidedVersion != 7 || evidence.CommittedVersion != 7 || evidence.ZoneEpoch != 6 ||
+		evidence.UncommittedEntries != 0 {
+		t.Errorf("Evidence() = %+v, want generation 4 of group g at version 7, zone epoch 6, no uncommitted entries",
+			evidence)
+	}
+	if stored.stateMachine.level != LatestLevel || stored.stateMachine.fleet.Fleet.UnknownLeasesExpireMS < 4000 ||
+		stored.stateMachine.fleet.Fleet.Lookup("n1") == nil {
+		t.Errorf("level %d, unknown leases until %d ms, want level %d, at least 4000 ms, and node n1",
+			stored.stateMachine.level, stored.stateMachine.fleet.Fleet.UnknownLeasesExpireMS, LatestLevel)
+	}
+	// Without the text of the decided version nothing is committed, and the next put gets a higher number.
+	records = []api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}}
+	withoutText := recovery.PlanRestore(records, nil, "")
 	fs = wal.NewMemFS()
-	if _, err = Recover(fs, plan, nil, none); err != nil {
+	if _, err = Recover(fs, config, nil, withoutText); err != nil {
 		t.Fatal(err)
 	}
-	if old, err = ReadFolder(fs, Config{ElectionTicks: 10, Sizes: plan.Sizes, Random: randomID}); err != nil {
+	if stored, err = ReadFolder(fs, Config{ElectionTicks: 10, Sizes: config.Sizes, Random: randomID}); err != nil {
 		t.Fatal(err)
 	}
-	if b = old.Evidence(); b.LastVersion != 9 || b.DecidedVersion != 9 || b.CommittedVersion != 0 {
-		t.Errorf("%+v: expected nothing in force and 10 as the next version", b)
+	evidence = stored.Evidence()
+	if evidence.LastVersion != 9 || evidence.DecidedVersion != 9 || evidence.CommittedVersion != 0 {
+		t.Errorf("Evidence() = %+v, want last and decided version 9, and none committed", evidence)
 	}
-	if _, err = ReadFolder(wal.NewMemFS(), plan); err != ErrEmptyFolder {
-		t.Errorf("%v, expected %v", err, ErrEmptyFolder)
+	if _, err = ReadFolder(wal.NewMemFS(), config); err != ErrEmptyFolder {
+		t.Errorf("ReadFolder() of an empty folder = %v, want %v", err, ErrEmptyFolder)
 	}
-	if _, err = Recover(wal.NewMemFS(), plan, nil, &recovery.RestorePlan{Conflict: "two texts"}); err == nil {
-		t.Error("a conflict is restored")
+	if _, err = Recover(wal.NewMemFS(), config, nil, &recovery.RestorePlan{Conflict: "two texts"}); err == nil {
+		t.Error("Recover() of a conflicting plan succeeded, want an error")
 	}
 }
