--- a/admission/adopt_test.go
+++ b/admission/adopt_test.go
@@ -41,7 +41,7 @@
 	next.Handlers = []Handler{{LatencyObjective: Second, Timeout: 2 * Second, Value: 7}, {LatencyObjective: Second,
 		Timeout: 10 * Second, Value: 3.5}}
 	next.Tenants = []Tenant{{Quota: 10}}
-	c.Adopt(&next)
+	c.Reconfigure(&next)
 	if c.queueTimeouts.classes[0].value != 7 || c.classes[0].callWeight != 1 || c.classes[1].callWeight != 0.5 ||
 		c.queueTimeouts.tenants[0].quotaArrivals !=
 			10*float64(c.queueTimeouts.tenants[0].arrivals.span())/float64(Second) {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -78,9 +78,9 @@
 	return c
 }
 
-// Adopt applies changed values, latency objectives, timeouts, idempotency windows and quotas of the same classes and
+// Reconfigure applies changed values, latency objectives, timeouts, idempotency windows and quotas of the same classes and
 // tenants. Known requests keep their deadlines, and measurements are kept.
-func (c *Controller) Adopt(d *Deployment) {
+func (c *Controller) Reconfigure(d *Deployment) {
 	c.reconfigureClasses(d)
 	c.queueTimeouts.reconfigure(d)
 }
@@ -95,8 +95,8 @@
 	}
 }
 
-// Handlers returns the number of classes.
-func (c *Controller) Handlers() int { return len(c.classes) }
+// NumHandlers returns the number of classes.
+func (c *Controller) NumHandlers() int { return len(c.classes) }
 
 // Decide processes a round and writes its decisions.
 func (c *Controller) Decide(r *Round, w Writer) {
--- a/admission/pin_stream_test.go
+++ b/admission/pin_stream_test.go
@@ -128,7 +128,7 @@
 				}
 			}
 			if step == 1500 {
-				c.Adopt(changedPolicy(d))
+				c.Reconfigure(changedPolicy(d))
 			}
 			if step == 3050+int(seed) || step == 3080 {
 				in.Drain, in.KillAt = true, r.now+Time(600+rnd.IntN(4000))
--- a/cmd/umberwinch/main.go
+++ b/cmd/umberwinch/main.go
@@ -28,13 +28,13 @@
 	// A log reader that has closed its pipe must not end the server: see row "write to the log: stands still, EPIPE"
 	// in docs/design/failures.md.
 	signal.Ignore(syscall.SIGPIPE)
-	signals.Read = func() (*server.Node, error) { return server.ReadBoth(os.Getenv) }
-	node, err := signals.Read()
+	signals.ReadConfig = func() (*server.StartupFile, error) { return server.ReadConfig(os.Getenv) }
+	node, err := signals.ReadConfig()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	form, from := node.Logs()
+	form, from := node.LogSettings()
 	lines := logging.NewWriter(os.Stderr, logQueueLength)
 	log := logging.New(lines, form, from)
 	if level, err := logrus.ParseLevel(os.Getenv("UMBERWINCH_LOG")); err == nil {
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -89,11 +89,11 @@
 // errorResponse is a response with a status other than 200.
 type errorResponse struct {
 	status int
-	consensus.Failure
+	consensus.ErrorResponse
 	body []byte
 }
 
-func (r *errorResponse) Error() string { return r.Failure.Error }
+func (r *errorResponse) Error() string { return r.ErrorResponse.Error }
 
 // sendTo sends a request to one instance. A status other than 200 is returned as *errorResponse.
 func (c *client) sendTo(ctx context.Context, address, method, path string, body []byte) (*http.Response, error) {
@@ -117,8 +117,8 @@
 		return nil, err
 	}
 	r := &errorResponse{status: res.StatusCode, body: raw}
-	if json.Unmarshal(raw, &r.Failure) != nil || r.Failure.Error == "" {
-		r.Failure.Error = fmt.Sprintf("%s: %s", res.Status, bytes.TrimSpace(raw))
+	if json.Unmarshal(raw, &r.ErrorResponse) != nil || r.ErrorResponse.Error == "" {
+		r.ErrorResponse.Error = fmt.Sprintf("%s: %s", res.Status, bytes.TrimSpace(raw))
 	}
 	return nil, r
 }
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -74,7 +74,7 @@
 			if c.printJSON {
 				return printJSON(w, v)
 			}
-			fmt.Fprintf(w, "; version %d of %s by %s: %s\n; hash %s\n%s", v.Number, formatTime(v.At), v.Author,
+			fmt.Fprintf(w, "; version %d of %s by %s: %s\n; hash %s\n%s", v.Number, formatTime(v.ProposedAtMS), v.Author,
 				v.Reason, v.Hash, v.Text)
 			return nil
 		})}
@@ -244,7 +244,7 @@
 					if err != nil {
 						return err
 					}
-					if err = next.Follows(previous); err != nil {
+					if err = next.ValidateUpdate(previous); err != nil {
 						return usageError(err)
 					}
 					after = fmt.Sprint("after version ", v.Number)
@@ -279,7 +279,7 @@
 			}
 			rows := [][]string{{"VERSION", "AT", "BY", "HASH", "REASON"}}
 			for _, v := range vs {
-				rows = append(rows, []string{strconv.FormatUint(v.Number, 10), formatTime(v.At), v.Author, v.Hash[:12],
+				rows = append(rows, []string{strconv.FormatUint(v.Number, 10), formatTime(v.ProposedAtMS), v.Author, v.Hash[:12],
 					v.Reason})
 			}
 			return printTable(w, rows)
@@ -298,7 +298,7 @@
 				if c.printJSON {
 					return json.NewEncoder(w).Encode(v)
 				}
-				_, err := fmt.Fprintf(w, "version %d of %s by %s: %s\n", v.Number, formatTime(v.At), v.Author, v.Reason)
+				_, err := fmt.Fprintf(w, "version %d of %s by %s: %s\n", v.Number, formatTime(v.ProposedAtMS), v.Author, v.Reason)
 				return err
 			})
 		})}
@@ -350,7 +350,7 @@
 		if err != nil {
 			return nil // drops a partial last line
 		}
-		var b consensus.Heartbeat
+		var b consensus.WatchHeartbeat
 		if json.Unmarshal(line, &b) == nil && b.Heartbeat {
 			continue
 		}
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -42,7 +42,7 @@
 }
 
 func runInstance(ctx context.Context, settings *config.Control, out io.Writer) error {
-	log := logging.New(out, settings.LogForm, settings.LogFrom)
+	log := logging.New(out, settings.LogFormat, settings.LogLevel)
 	instance, err := consensus.Start(settings, log, harness.FaultsFromEnvironment())
 	if err != nil {
 		return err
--- a/internal/cli/control_local.go
+++ b/internal/cli/control_local.go
@@ -230,7 +230,7 @@
 	}
 }
 
-func (c *client) addUnlessMember(ctx context.Context, address string, r *consensus.Report) error {
+func (c *client) addUnlessMember(ctx context.Context, address string, r *consensus.StatusReport) error {
 	if r.Cluster != "" {
 		return nil
 	}
--- a/internal/cli/control_members.go
+++ b/internal/cli/control_members.go
@@ -14,7 +14,7 @@
 
 func newControlMembers(a *clientOptions) *cobra.Command {
 	c := &cobra.Command{Use: "members", Short: "Change the members of a group or transfer its leadership"}
-	change := func(use, short string, n int, build func(context.Context, *client, []string) (consensus.Change,
+	change := func(use, short string, n int, build func(context.Context, *client, []string) (consensus.MemberChange,
 		error)) {
 		c.AddCommand(&cobra.Command{Use: use, Short: short, Args: exactArgs(n),
 			RunE: func(cmd *cobra.Command, args []string) error {
@@ -33,46 +33,46 @@
 			}})
 	}
 	change("add LISTEN", "Add the instance at client address LISTEN as a learner, promoted once it has caught up", 1,
-		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
+		func(ctx context.Context, c *client, args []string) (consensus.MemberChange, error) {
 			return c.newAddChange(ctx, args[0])
 		})
 	for _, op := range []consensus.ChangeOp{consensus.OpPromote, consensus.OpRemove} {
 		change(string(op)+" NAME", map[consensus.ChangeOp]string{consensus.OpPromote: "Promote a learner to voter",
 			consensus.OpRemove: "Remove an instance from the group"}[op], 1,
-			func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
+			func(ctx context.Context, c *client, args []string) (consensus.MemberChange, error) {
 				m, err := c.findMember(ctx, args[0])
-				return consensus.Change{Op: op, Member: m}, err
+				return consensus.MemberChange{Op: op, Member: m}, err
 			})
 	}
 	change("replace NAME BY", "Promote the learner BY and remove instance NAME in one step", 2,
-		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
+		func(ctx context.Context, c *client, args []string) (consensus.MemberChange, error) {
 			replaced, err := c.findMember(ctx, args[0])
 			if err != nil {
-				return consensus.Change{}, err
+				return consensus.MemberChange{}, err
 			}
 			m, err := c.findMember(ctx, args[1])
-			return consensus.Change{Op: consensus.OpReplace, Member: m, ReplacedID: replaced.ID}, err
+			return consensus.MemberChange{Op: consensus.OpReplace, Member: m, ReplacedID: replaced.ID}, err
 		})
 	change("transfer NAME", "Transfer leadership to an instance", 1,
-		func(ctx context.Context, c *client, args []string) (consensus.Change, error) {
+		func(ctx context.Context, c *client, args []string) (consensus.MemberChange, error) {
 			m, err := c.findMember(ctx, args[0])
-			return consensus.Change{Op: consensus.OpTransfer, Member: m}, err
+			return consensus.MemberChange{Op: consensus.OpTransfer, Member: m}, err
 		})
 	return c
 }
 
 // newAddChange asks an instance for its identity and returns the change that adds it.
-func (c *client) newAddChange(ctx context.Context, listen string) (consensus.Change, error) {
+func (c *client) newAddChange(ctx context.Context, listen string) (consensus.MemberChange, error) {
 	res, err := c.sendTo(ctx, listen, http.MethodGet, "/v1/self", nil)
 	if err != nil {
-		return consensus.Change{}, fmt.Errorf("instance to add at %s: %w", listen, err)
+		return consensus.MemberChange{}, fmt.Errorf("instance to add at %s: %w", listen, err)
 	}
 	defer res.Body.Close()
-	var s consensus.Self
+	var s consensus.InstanceInfo
 	if err = json.NewDecoder(res.Body).Decode(&s); err != nil {
-		return consensus.Change{}, err
+		return consensus.MemberChange{}, err
 	}
-	return consensus.Change{Op: consensus.OpAdd, Member: consensus.Member{ID: s.ID, Name: s.Name, Peer: s.Peer,
+	return consensus.MemberChange{Op: consensus.OpAdd, Member: consensus.Member{ID: s.ID, Name: s.Name, Peer: s.Peer,
 		Listen: s.Listen, Promote: true}}, nil
 }
 
@@ -93,7 +93,7 @@
 }
 
 // changeMembers requests a change of members. A transfer is sent to the leader first, as only it can do that.
-func (c *client) changeMembers(ctx context.Context, ch consensus.Change) error {
+func (c *client) changeMembers(ctx context.Context, ch consensus.MemberChange) error {
 	body, err := json.Marshal(ch)
 	if err != nil {
 		return err
--- a/internal/cli/control_status.go
+++ b/internal/cli/control_status.go
@@ -27,16 +27,16 @@
 
 // instanceRow is one instance in the output of `control status`.
 type instanceRow struct {
-	Name   string            `json:"name"`
-	Listen string            `json:"listen"`
-	Report *consensus.Report `json:"report,omitempty"`
-	Error  string            `json:"error,omitempty"`
+	Name   string                  `json:"name"`
+	Listen string                  `json:"listen"`
+	Report *consensus.StatusReport `json:"report,omitempty"`
+	Error  string                  `json:"error,omitempty"`
 }
 
 // instanceRows fetches the status of every member of the group. The member list is that of the instance with the
 // highest applied index, whose report is returned as well.
-func (c *client) instanceRows(ctx context.Context) ([]instanceRow, *consensus.Report, error) {
-	var newest *consensus.Report
+func (c *client) instanceRows(ctx context.Context) ([]instanceRow, *consensus.StatusReport, error) {
+	var newest *consensus.StatusReport
 	var lastErr error
 	for _, address := range c.addresses {
 		r, err := c.fetchReport(ctx, address)
@@ -66,7 +66,7 @@
 	return out, newest, nil
 }
 
-func (c *client) fetchReport(ctx context.Context, address string) (*consensus.Report, error) {
+func (c *client) fetchReport(ctx context.Context, address string) (*consensus.StatusReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	res, err := c.sendTo(ctx, address, http.MethodGet, "/v1/status", nil)
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	defer res.Body.Close()
-	var r consensus.Report
+	var r consensus.StatusReport
 	return &r, json.NewDecoder(res.Body).Decode(&r)
 }
 
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -23,12 +23,12 @@
 		Short: "Run a node by NODE_CONFIG and UMBERWINCH_FILE, as cmd/umberwinch does",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			signals := server.NotifySignals(syscall.SIGTERM, syscall.SIGUSR1, syscall.SIGHUP)
-			signals.Read = func() (*server.Node, error) { return server.ReadBoth(os.Getenv) }
-			c, err := signals.Read()
+			signals.ReadConfig = func() (*server.StartupFile, error) { return server.ReadConfig(os.Getenv) }
+			c, err := signals.ReadConfig()
 			if err != nil {
 				return usageError(err)
 			}
-			format, minLevel := c.Logs()
+			format, minLevel := c.LogSettings()
 			return server.Run(c, logging.New(cmd.ErrOrStderr(), format, minLevel), signals)
 		}}
 }
--- a/internal/cli/fleet_status.go
+++ b/internal/cli/fleet_status.go
@@ -67,7 +67,7 @@
 
 func (v *fleetViews) status() *fleetStatus {
 	s := &fleetStatus{Generation: v.policy.Generation, StateLoss: v.policy.StateLoss,
-		Version: v.policy.CommittedVersion, Known: len(v.nodes), Share: 1, UnknownLeasesMS: v.policy.QuietMS}
+		Version: v.policy.CommittedVersion, Known: len(v.nodes), Share: 1, UnknownLeasesMS: v.policy.UnknownLeasesMS}
 	s.countNodes(v.nodes)
 	for i := range v.zones.Zones {
 		switch z := &v.zones.Zones[i]; {
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -150,7 +150,7 @@
 		return nil, 0, ln.Close()
 	}
 	var mu sync.Mutex
-	collector, err := consensus.StartCollector(listen, func(k *api.NodeRecord, err error) {
+	collector, err := consensus.StartRecordCollector(listen, func(k *api.NodeRecord, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
--- a/internal/cli/tables_test.go
+++ b/internal/cli/tables_test.go
@@ -36,7 +36,7 @@
 			WaitingFor: []policy.Blocker{{Node: "n2", Zone: "z2", Reason: "is silent"}}}),
 			[]string{"BLOCKER|ZONE|REASON", "n1|z1|refused it", "n2|z2|is silent"}},
 		{"control status", statusTable([]instanceRow{{Name: "a", Listen: "127.0.0.1:7201",
-			Report: &consensus.Report{SinceLeaderMS: 40,
+			Report: &consensus.StatusReport{SinceLeaderMS: 40,
 				OutOfContact: true, Status: consensus.Status{Role: consensus.RoleFollower, Term: 2, FirstIndex: 1,
 					LastIndex: 9,
 					Applied:   7, Version: 3, DiskBytes: 1 << 20}}},
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,10 +24,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n, err := ReadNode(filepath.Join("..", "..", "deploy", "node.ini")); err != nil || n.LogFrom != "info" {
+	if n, err := ReadNode(filepath.Join("..", "..", "deploy", "node.ini")); err != nil || n.LogLevel != "info" {
 		t.Fatalf("ReadNode(deploy/node.ini) = %+v, %v, want log level info", n, err)
 	}
-	if !Loopback(c.Peer) || !Loopback(c.Listen) || c.Start != "new" {
+	if !IsLoopback(c.Peer) || !IsLoopback(c.Listen) || c.Start != "new" {
 		t.Fatalf("ReadControl(deploy/control.ini) = %+v, want a new group on loopback", c)
 	}
 }
@@ -95,7 +95,7 @@
 	read := func(raw string) (*Node, string) {
 		n, err := readNode(Parse("f", []byte(raw)))
 		if err == nil {
-			err = n.Against([]string{"view", "save"})
+			err = n.CheckHandlers([]string{"view", "save"})
 		}
 		if err != nil {
 			return nil, err.Error()
@@ -124,7 +124,7 @@
 		t.Fatalf("got %+v and faults %q, want a reserve and two pools, the second fixed at 0.4", n, got)
 	}
 	if n, err := readNode(Parse("f", []byte("[pool view]\n"))); err != nil ||
-		n.Against([]string{"view"}) == nil {
+		n.CheckHandlers([]string{"view"}) == nil {
 		t.Fatal("a reserve with one handler was accepted, want a fault")
 	}
 }
@@ -138,8 +138,8 @@
 		t.Fatalf("got %+v, %v, want the folder and defaults", n, err)
 	}
 	o, err := readNode(Parse("node.ini", nil))
-	if err != nil || o.ResultStore != nil || SameResultStore(n.ResultStore, o.ResultStore) ||
-		!SameResultStore(n.ResultStore, n.ResultStore) {
+	if err != nil || o.ResultStore != nil || EqualResultStores(n.ResultStore, o.ResultStore) ||
+		!EqualResultStores(n.ResultStore, n.ResultStore) {
 		t.Errorf("without [kept]: got %+v, %v, want no result store", o, err)
 	}
 	for _, c := range []invalidNode{
@@ -170,7 +170,7 @@
 // lines.
 func TestNodeFileFleet(t *testing.T) {
 	n, err := readNode(Parse("node.ini", []byte("[fleet]\ncontrol = 127.0.0.1:7201, 127.0.0.1:7202\nzone = north\n")))
-	if err != nil || len(n.Fleet.Control) != 2 || n.Fleet.Zone != "north" {
+	if err != nil || len(n.Fleet.ControlAddresses) != 2 || n.Fleet.Zone != "north" {
 		t.Fatalf("got %+v, %v, want two control addresses and the zone north", n, err)
 	}
 	if n, err = readNode(Parse("node.ini", nil)); err != nil || n.Fleet != nil {
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -24,8 +24,8 @@
 	Key            string        // PEM file
 	CA             string        // PEM file
 	Token          string        // required from clients for changes; never shown
-	LogForm        string        // text or json
-	LogFrom        string        // minimum level of log lines
+	LogFormat      string        // text or json
+	LogLevel       string        // minimum level of log lines
 }
 
 // ReadControl reads and validates an instance's settings file, such as deploy/control.ini. An invalid file is an error
@@ -40,50 +40,50 @@
 
 func readControl(t *Text) (*Control, error) {
 	c := &Control{
-		Name:           t.Needed("instance", "name", "a name of letters, digits, '-' and '_'"),
-		Data:           t.Needed("instance", "data", "a folder for log and snapshots"),
+		Name:           t.Required("instance", "name", "a name of letters, digits, '-' and '_'"),
+		Data:           t.Required("instance", "data", "a folder for log and snapshots"),
 		Start:          t.Choice("instance", "start", "new", "new", "join"),
 		Peer:           t.Address("instance", "peer", "127.0.0.1:7101"),
 		Listen:         t.Address("instance", "listen", "127.0.0.1:7201"),
-		Tick:           t.Time("group", "tick", 50*time.Millisecond, 5*time.Millisecond, time.Second),
-		ElectionTicks:  t.Whole("group", "election_ticks", 10, 3, 1000),
-		ContactTimeout: t.Time("group", "out_of_touch", 2*time.Second, 100*time.Millisecond, time.Minute),
-		DiskMB:         t.Whole("disk", "limit_mb", 512, 16, 1<<20),
-		SnapshotMB:     t.Whole("disk", "snapshot_mb", 8, 1, 1024),
-		SnapshotRateMB: t.Whole("disk", "snapshot_rate_mb", 32, 1, 4096),
+		Tick:           t.Duration("group", "tick", 50*time.Millisecond, 5*time.Millisecond, time.Second),
+		ElectionTicks:  t.Int("group", "election_ticks", 10, 3, 1000),
+		ContactTimeout: t.Duration("group", "out_of_touch", 2*time.Second, 100*time.Millisecond, time.Minute),
+		DiskMB:         t.Int("disk", "limit_mb", 512, 16, 1<<20),
+		SnapshotMB:     t.Int("disk", "snapshot_mb", 8, 1, 1024),
+		SnapshotRateMB: t.Int("disk", "snapshot_rate_mb", 32, 1, 4096),
 		Cert:           t.String("tls", "certificate", ""),
 		Key:            t.String("tls", "key", ""),
 		CA:             t.String("tls", "authority", ""),
 		Token:          t.Secret("clients", "token"),
-		LogForm:        t.Choice("log", "form", "text", "text", "json"),
-		LogFrom:        t.Choice("log", "from", "info", "debug", "info", "warning", "error"),
+		LogFormat:      t.Choice("log", "form", "text", "text", "json"),
+		LogLevel:       t.Choice("log", "from", "info", "debug", "info", "warning", "error"),
 	}
 	c.Bind = t.Address("instance", "bind", c.Peer)
 	if c.Name != "" && !IsName(c.Name) {
-		t.Note("instance", "name", strconv.Quote(truncate(c.Name)), "up to 40 letters, digits, '-' and '_'")
+		t.AddFault("instance", "name", strconv.Quote(truncate(c.Name)), "up to 40 letters, digits, '-' and '_'")
 	}
 	if c.Peer == c.Listen || c.Bind == c.Listen {
-		t.Note("instance", "listen", strconv.Quote(c.Listen)+", the peers' address", "a different address")
+		t.AddFault("instance", "listen", strconv.Quote(c.Listen)+", the peers' address", "a different address")
 	}
 	if c.DiskMB < 6*c.SnapshotMB {
-		t.Note("disk", "limit_mb", strconv.Itoa(c.DiskMB), fmt.Sprintf("at least six times snapshot_mb, %d",
+		t.AddFault("disk", "limit_mb", strconv.Itoa(c.DiskMB), fmt.Sprintf("at least six times snapshot_mb, %d",
 			6*c.SnapshotMB))
 	}
 	if hasTLS := c.Cert != "" || c.Key != "" || c.CA != ""; hasTLS && (c.Cert == "" || c.Key == "" || c.CA == "") {
-		t.Note("tls", "", "only some of its keys", "certificate, key and authority, or none of them")
+		t.AddFault("tls", "", "only some of its keys", "certificate, key and authority, or none of them")
 	} else if !hasTLS {
 		for _, a := range []struct{ key, address string }{{"peer", c.Peer}, {"bind", c.Bind},
 			{"listen", c.Listen}} {
-			if !Loopback(a.address) && (a.key != "bind" || c.Bind != c.Peer) {
-				t.Note("instance", a.key, strconv.Quote(a.address)+" and no [tls]",
+			if !IsLoopback(a.address) && (a.key != "bind" || c.Bind != c.Peer) {
+				t.AddFault("instance", a.key, strconv.Quote(a.address)+" and no [tls]",
 					"a loopback address, or certificate, key and authority under [tls]")
 			}
 		}
 	}
 	if c.Token != "" && len(c.Token) < 16 {
-		t.Note("clients", "token", "", "at least 16 characters, or no token")
+		t.AddFault("clients", "token", "", "at least 16 characters, or no token")
 	}
-	if err := t.Done(); err != nil {
+	if err := t.Finish(); err != nil {
 		return nil, err
 	}
 	return c, nil
--- a/internal/config/ini.go
+++ b/internal/config/ini.go
@@ -153,8 +153,8 @@
 	t.faults = append(t.faults, Fault{t.name, line, key, found, expected})
 }
 
-// Note adds a fault found by the caller. An empty key stands for the section. The values of secrets are not shown.
-func (t *Text) Note(section, key, found, expected string) {
+// AddFault adds a fault found by the caller. An empty key stands for the section. The values of secrets are not shown.
+func (t *Text) AddFault(section, key, found, expected string) {
 	line := t.lines[keyName{section, key}]
 	if line == 0 {
 		line = t.lines[keyName{section, ""}]
@@ -169,9 +169,9 @@
 	t.addFault(line, name, found, expected)
 }
 
-// Names returns the names of the sections with a prefix, in the file's order: x for [class x] and the prefix "class".
+// SectionNames returns the names of the sections with a prefix, in the file's order: x for [class x] and the prefix "class".
 // Their sections count as known to Done.
-func (t *Text) Names(prefix string) []string {
+func (t *Text) SectionNames(prefix string) []string {
 	var out []string
 	for _, s := range t.order {
 		if head, name, ok := strings.Cut(s, " "); ok && head == prefix {
@@ -182,8 +182,8 @@
 	return out
 }
 
-// Has reports whether the file has a section, which counts as known to Done.
-func (t *Text) Has(section string) bool {
+// HasSection reports whether the file has a section, which counts as known to Done.
+func (t *Text) HasSection(section string) bool {
 	t.readSections[section] = true
 	return t.lines[keyName{section, ""}] > 0
 }
@@ -206,11 +206,11 @@
 	return def
 }
 
-// Needed returns a text that must be present and not empty.
-func (t *Text) Needed(section, key, expected string) string {
+// Required returns a text that must be present and not empty.
+func (t *Text) Required(section, key, expected string) string {
 	v, ok := t.value(section, key)
 	if !ok || v == "" {
-		t.Note(section, key, "nothing", expected)
+		t.AddFault(section, key, "nothing", expected)
 	}
 	return v
 }
@@ -232,53 +232,53 @@
 			return v
 		}
 	}
-	t.Note(section, key, strconv.Quote(truncate(v)), "one of "+strings.Join(words, ", "))
+	t.AddFault(section, key, strconv.Quote(truncate(v)), "one of "+strings.Join(words, ", "))
 	return def
 }
 
-// Flag returns whether the value is yes rather than no.
-func (t *Text) Flag(section, key string, def bool) bool {
+// Bool returns whether the value is yes rather than no.
+func (t *Text) Bool(section, key string, def bool) bool {
 	word := map[bool]string{true: "yes", false: "no"}
 	return t.Choice(section, key, word[def], "yes", "no") == "yes"
 }
 
-// Whole returns an integer from least to most.
-func (t *Text) Whole(section, key string, def, least, most int) int {
+// Int returns an integer from least to most.
+func (t *Text) Int(section, key string, def, least, most int) int {
 	v, ok := t.value(section, key)
 	if !ok {
 		return def
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil || n < least || n > most {
-		t.Note(section, key, strconv.Quote(truncate(v)), fmt.Sprintf("a whole number from %d to %d", least, most))
+		t.AddFault(section, key, strconv.Quote(truncate(v)), fmt.Sprintf("a whole number from %d to %d", least, most))
 		return def
 	}
 	return n
 }
 
-// Number returns a number from least to most.
-func (t *Text) Number(section, key string, def, least, most float64) float64 {
+// Float returns a number from least to most.
+func (t *Text) Float(section, key string, def, least, most float64) float64 {
 	v, ok := t.value(section, key)
 	if !ok {
 		return def
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(n >= least && n <= most) {
-		t.Note(section, key, strconv.Quote(truncate(v)), fmt.Sprintf("a number from %g to %g", least, most))
+		t.AddFault(section, key, strconv.Quote(truncate(v)), fmt.Sprintf("a number from %g to %g", least, most))
 		return def
 	}
 	return n
 }
 
-// Time returns a duration, such as 250ms or 2s, from least to most.
-func (t *Text) Time(section, key string, def, least, most time.Duration) time.Duration {
+// Duration returns a duration, such as 250ms or 2s, from least to most.
+func (t *Text) Duration(section, key string, def, least, most time.Duration) time.Duration {
 	v, ok := t.value(section, key)
 	if !ok {
 		return def
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d < least || d > most {
-		t.Note(section, key, strconv.Quote(truncate(v)), fmt.Sprintf("a time from %s to %s", least, most))
+		t.AddFault(section, key, strconv.Quote(truncate(v)), fmt.Sprintf("a time from %s to %s", least, most))
 		return def
 	}
 	return d
@@ -290,22 +290,22 @@
 	if !ok {
 		return def
 	}
-	if !IsAddress(v) {
-		t.Note(section, key, strconv.Quote(truncate(v)), "IP:PORT")
+	if !IsIPPort(v) {
+		t.AddFault(section, key, strconv.Quote(truncate(v)), "IP:PORT")
 		return def
 	}
 	return v
 }
 
-// IsAddress reports whether s is IP:PORT.
-func IsAddress(s string) bool {
+// IsIPPort reports whether s is IP:PORT.
+func IsIPPort(s string) bool {
 	host, port, err := net.SplitHostPort(s)
 	n, portErr := strconv.Atoi(port)
 	return err == nil && portErr == nil && n >= 0 && n < 65536 && net.ParseIP(host) != nil
 }
 
-// Loopback reports whether s is IP:PORT with a loopback address.
-func Loopback(s string) bool {
+// IsLoopback reports whether s is IP:PORT with a loopback address.
+func IsLoopback(s string) bool {
 	host, _, err := net.SplitHostPort(s)
 	ip := net.ParseIP(host)
 	return err == nil && ip != nil && ip.IsLoopback()
@@ -321,19 +321,19 @@
 	for i := range out {
 		out[i] = strings.TrimSpace(out[i])
 		if out[i] == "" {
-			t.Note(section, key, strconv.Quote(truncate(v)), "words parted by single commas")
+			t.AddFault(section, key, strconv.Quote(truncate(v)), "words parted by single commas")
 			return nil
 		}
 	}
 	return out
 }
 
-// Done adds a fault for each section and key that no getter has read, and returns all faults as Faults, or nil if there
+// Finish adds a fault for each section and key that no getter has read, and returns all faults as Faults, or nil if there
 // are none.
-func (t *Text) Done() error {
+func (t *Text) Finish() error {
 	for _, s := range t.order {
 		if !t.readSections[s] {
-			t.Note(s, "", "a section that is not known", "one of those in the commented file under deploy")
+			t.AddFault(s, "", "a section that is not known", "one of those in the commented file under deploy")
 			continue
 		}
 		section, err := t.file.GetSection(s)
@@ -342,7 +342,7 @@
 		}
 		for _, key := range section.KeyStrings() {
 			if !t.readKeys[keyName{s, key}] {
-				t.Note(s, key, "a key that is not known", "one of this section's keys")
+				t.AddFault(s, key, "a key that is not known", "one of this section's keys")
 			}
 		}
 	}
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -7,8 +7,8 @@
 
 // Node holds the operator's settings of a node. They supplement the platform's start-up file, and all are optional.
 type Node struct {
-	LogForm     string       // text or json
-	LogFrom     string       // minimum level of log lines
+	LogFormat   string       // text or json
+	LogLevel    string       // minimum level of log lines
 	Pools       []Pool       // empty without pools
 	Reserve     bool         // gives a slot first to the class with the least work while it waits
 	Fleet       *Fleet       // nil without a control service
@@ -19,13 +19,13 @@
 
 // Pool limits the run slots of one handler. Shares are fractions of all run slots.
 type Pool struct {
-	Handler  string
-	MinShare float64
-	Cap      float64 // largest share
-	Fixed    bool    // the limit is always Cap instead of adapting to the load
+	Handler    string
+	MinShare   float64
+	MaxShare   float64 // largest share
+	FixedLimit bool    // the limit is always Cap instead of adapting to the load
 }
 
-// ReadNode reads a node's settings file, such as deploy/node.ini, and validates it except for handler names, which
+// ReadStartupFile reads a node's settings file, such as deploy/node.ini, and validates it except for handler names, which
 // Against checks. An invalid file is an error of type Faults.
 func ReadNode(path string) (*Node, error) {
 	t, err := Open(path)
@@ -36,26 +36,26 @@
 }
 
 func readNode(t *Text) (*Node, error) {
-	n := &Node{LogForm: t.Choice("log", "form", "text", "text", "json"),
-		LogFrom: t.Choice("log", "from", "info", "debug", "info", "warning", "error"),
-		Reserve: t.Flag("pools", "reserve", true), Fleet: readFleet(t), ResultStore: readResultStore(t), text: t}
+	n := &Node{LogFormat: t.Choice("log", "form", "text", "text", "json"),
+		LogLevel: t.Choice("log", "from", "info", "debug", "info", "warning", "error"),
+		Reserve:  t.Bool("pools", "reserve", true), Fleet: readFleet(t), ResultStore: readResultStore(t), text: t}
 	minShares := 0.0
-	for _, name := range t.Names("pool") {
+	for _, name := range t.SectionNames("pool") {
 		s := "pool " + name
-		p := Pool{Handler: name, MinShare: t.Number(s, "floor", 0, 0, 1), Cap: t.Number(s, "cap", 1, 0.01, 1),
-			Fixed: t.Choice(s, "limit", "auto", "auto", "fixed") == "fixed"}
-		if p.Cap < p.MinShare {
-			t.Note(s, "cap", formatShare(p.Cap), "at least floor, "+formatShare(p.MinShare))
+		p := Pool{Handler: name, MinShare: t.Float(s, "floor", 0, 0, 1), MaxShare: t.Float(s, "cap", 1, 0.01, 1),
+			FixedLimit: t.Choice(s, "limit", "auto", "auto", "fixed") == "fixed"}
+		if p.MaxShare < p.MinShare {
+			t.AddFault(s, "cap", formatShare(p.MaxShare), "at least floor, "+formatShare(p.MinShare))
 		}
 		if minShares += p.MinShare; minShares > 1+1e-9 {
-			t.Note(s, "floor", "floors of "+formatShare(minShares)+" up to here", "at most 1, all run slots")
+			t.AddFault(s, "floor", "floors of "+formatShare(minShares)+" up to here", "at most 1, all run slots")
 		}
 		n.Pools = append(n.Pools, p)
 	}
-	if t.Has("pools") && len(n.Pools) == 0 {
-		t.Note("pools", "", "no [pool HANDLER]", "one for each handler with a floor, a cap or a limit")
+	if t.HasSection("pools") && len(n.Pools) == 0 {
+		t.AddFault("pools", "", "no [pool HANDLER]", "one for each handler with a floor, a cap or a limit")
 	}
-	if err := t.Done(); err != nil {
+	if err := t.Finish(); err != nil {
 		return nil, err
 	}
 	return n, nil
@@ -63,8 +63,8 @@
 
 func formatShare(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-// Against checks that the handlers of all pools exist, and that a reserve has at least two handlers to choose from.
-func (n *Node) Against(handlers []string) error {
+// CheckHandlers checks that the handlers of all pools exist, and that a reserve has at least two handlers to choose from.
+func (n *Node) CheckHandlers(handlers []string) error {
 	known := map[string]bool{}
 	for _, h := range handlers {
 		known[h] = true
--- a/internal/config/result_store.go
+++ b/internal/config/result_store.go
@@ -25,19 +25,19 @@
 const defaultMaxResultBytes = 8 << 10
 
 func readResultStore(t *Text) *ResultStore {
-	if !t.Has("kept") {
+	if !t.HasSection("kept") {
 		return nil
 	}
-	s := &ResultStore{Folder: t.Needed("kept", "folder", "a folder that survives a restart"),
-		MaxKeys: t.Whole("kept", "entries", 100_000, 16, 4_000_000), MaxMB: t.Whole("kept", "mb", 512, 1, 1<<20),
-		MaxResultBytes: t.Whole("kept", "result", defaultMaxResultBytes, 0, 1<<20)}
+	s := &ResultStore{Folder: t.Required("kept", "folder", "a folder that survives a restart"),
+		MaxKeys: t.Int("kept", "entries", 100_000, 16, 4_000_000), MaxMB: t.Int("kept", "mb", 512, 1, 1<<20),
+		MaxResultBytes: t.Int("kept", "result", defaultMaxResultBytes, 0, 1<<20)}
 	if s.Folder != "" {
 		if info, err := os.Stat(s.Folder); err != nil || !info.IsDir() {
-			t.Note("kept", "folder", strconv.Quote(truncate(s.Folder)), "an existing folder")
+			t.AddFault("kept", "folder", strconv.Quote(truncate(s.Folder)), "an existing folder")
 		}
 	}
 	if maxBytes := int64(s.MaxMB) << 20; 4*int64(s.MaxResultBytes+256) > maxBytes {
-		t.Note("kept", "mb", strconv.Itoa(s.MaxMB), "room for at least two runs with their results")
+		t.AddFault("kept", "mb", strconv.Itoa(s.MaxMB), "room for at least two runs with their results")
 	}
 	s.KillAt, s.KillCount = os.Getenv(killEnv), 1
 	if point, count, ok := strings.Cut(s.KillAt, ":"); ok {
@@ -52,9 +52,9 @@
 	return s
 }
 
-// SameResultStore reports whether two [kept] sections are equal, apart from what fault tests set; nil is an absent
+// EqualResultStores reports whether two [kept] sections are equal, apart from what fault tests set; nil is an absent
 // section.
-func SameResultStore(a, b *ResultStore) bool {
+func EqualResultStores(a, b *ResultStore) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
--- a/internal/control/consensus/api.go
+++ b/internal/control/consensus/api.go
@@ -49,14 +49,14 @@
 	HeaderOutOfContact = "Umberwinch-Out-Of-Touch" // set only while View.OutOfContact: the state may be stale
 )
 
-// Failure is the body of an error response.
-type Failure struct {
+// ErrorResponse is the body of an error response.
+type ErrorResponse struct {
 	Error  string `json:"error"`
 	Leader string `json:"leader,omitempty"` // client address of the leader, if known
 }
 
-// Self describes an instance, so that an operator can add it to a group.
-type Self struct {
+// InstanceInfo describes an instance, so that an operator can add it to a group.
+type InstanceInfo struct {
 	ID      uint64 `json:"id"`
 	Name    string `json:"name"`
 	Peer    string `json:"peer"`    // address for peers
@@ -64,16 +64,16 @@
 	Cluster string `json:"cluster"` // empty until it is added to a group
 }
 
-// Report is an instance's status for operators.
-type Report struct {
+// StatusReport is an instance's status for operators.
+type StatusReport struct {
 	Status
 	SinceLeaderMS int64    `json:"away_ms"`
 	OutOfContact  bool     `json:"out_of_touch"`
 	Members       []Member `json:"members"`
 }
 
-// Heartbeat is a line of a watch without a version.
-type Heartbeat struct {
+// WatchHeartbeat is a line of a watch without a version.
+type WatchHeartbeat struct {
 	Heartbeat     bool  `json:"beat"`
 	SinceLeaderMS int64 `json:"away_ms"`
 	OutOfContact  bool  `json:"out_of_touch"`
--- a/internal/control/consensus/api_answers.go
+++ b/internal/control/consensus/api_answers.go
@@ -49,7 +49,7 @@
 
 // writeErrorStatus writes a Failure, with the leader's address if it is known.
 func (a *API) writeErrorStatus(w http.ResponseWriter, code int, err error) {
-	f := Failure{Error: err.Error()}
+	f := ErrorResponse{Error: err.Error()}
 	v := a.group.View()
 	for _, m := range v.Members {
 		if m.ID == v.Leader {
--- a/internal/control/consensus/api_document.go
+++ b/internal/control/consensus/api_document.go
@@ -14,12 +14,12 @@
 
 func (a *API) getSelf(w http.ResponseWriter, _ *http.Request) {
 	v, c := a.group.View(), a.group.control
-	a.writeResponse(w, Self{v.ID, v.Name, c.Peer, c.Listen, v.Cluster})
+	a.writeResponse(w, InstanceInfo{v.ID, v.Name, c.Peer, c.Listen, v.Cluster})
 }
 
 func (a *API) getStatus(w http.ResponseWriter, _ *http.Request) {
 	v := a.group.View()
-	a.writeResponse(w, Report{v.Status, v.SinceLeader().Milliseconds(), v.OutOfContact(), v.Members})
+	a.writeResponse(w, StatusReport{v.Status, v.SinceLeader().Milliseconds(), v.OutOfContact(), v.Members})
 }
 
 // readView returns the view that serves a read: a linearizable one, or this instance's last one for read=stale.
@@ -79,7 +79,7 @@
 		a.writeError(w, &BodyError{err, "a put as JSON"})
 		return
 	}
-	p.At = time.Now().UnixMilli()
+	p.ProposedAtMS = time.Now().UnixMilli()
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	result, err := a.group.Put(ctx, p)
--- a/internal/control/consensus/api_members.go
+++ b/internal/control/consensus/api_members.go
@@ -14,7 +14,7 @@
 
 // postMembers changes the members or transfers leadership. It responds once a change of members is applied here.
 func (a *API) postMembers(w http.ResponseWriter, r *http.Request) {
-	var c Change
+	var c MemberChange
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(&c); err != nil {
--- a/internal/control/consensus/api_test.go
+++ b/internal/control/consensus/api_test.go
@@ -36,7 +36,7 @@
 		lines := bufio.NewScanner(res.Body)
 		lines.Buffer(nil, 1<<20)
 		for got := 0; got < 3+round%3 && lines.Scan(); {
-			var b Heartbeat
+			var b WatchHeartbeat
 			if json.Unmarshal(lines.Bytes(), &b) == nil && b.Heartbeat {
 				continue
 			}
--- a/internal/control/consensus/api_watch.go
+++ b/internal/control/consensus/api_watch.go
@@ -90,7 +90,7 @@
 }
 
 func (s *watchStream) sendHeartbeat(v *View) error {
-	line, err := json.Marshal(Heartbeat{true, v.SinceLeader().Milliseconds(), v.OutOfContact()})
+	line, err := json.Marshal(WatchHeartbeat{true, v.SinceLeader().Milliseconds(), v.OutOfContact()})
 	if err != nil {
 		return err
 	}
--- a/internal/control/consensus/fleet_views.go
+++ b/internal/control/consensus/fleet_views.go
@@ -35,15 +35,15 @@
 	Nodes            int              `json:"nodes"`
 	ActiveNodes      int              `json:"in"`
 	IsLeader         bool             `json:"leads"` // this instance
-	Batches          uint64           `json:"beats"`
+	HeartbeatBatches uint64           `json:"beats"`
 	BatchBytes       uint64           `json:"beat_bytes"`
 	Level            int              `json:"level"`
 	Levels           map[string]int   `json:"levels,omitempty"` // feature levels that members reported here
 	Generation       uint64           `json:"generation"`
 	// StateLoss is the proof that nodes know of state that the group lacks; the group then grants no leases.
 	StateLoss string `json:"lost,omitempty"`
-	// QuietMS is the time for which nodes may still hold leases of the previous generation that this one does not know.
-	QuietMS uint64 `json:"hush_ms,omitempty"`
+	// UnknownLeasesMS is the time for which nodes may still hold leases of the previous generation that this one does not know.
+	UnknownLeasesMS uint64 `json:"hush_ms,omitempty"`
 }
 
 // ZonesView is the state of all zones as shown to operators: the group's decisions and the leader's evidence.
@@ -97,7 +97,7 @@
 		Current:          s.Policy.Current,
 		History:          s.Policy.History,
 		IsLeader:         g.leader.Leading(),
-		Batches:          g.leader.BatchesSent,
+		HeartbeatBatches: g.leader.BatchesAppended,
 		BatchBytes:       g.leader.BatchBytes,
 		Level:            g.replica.stateMachine.level,
 		Levels:           g.replica.Levels(),
@@ -105,7 +105,7 @@
 		StateLoss:        s.Fleet.LostState,
 	}
 	if s.Fleet.UnknownLeasesExpireMS > s.Fleet.ClockMS {
-		v.QuietMS = s.Fleet.UnknownLeasesExpireMS - s.Fleet.ClockMS
+		v.UnknownLeasesMS = s.Fleet.UnknownLeasesExpireMS - s.Fleet.ClockMS
 	}
 	if v.IsLeader {
 		v.WaitingFor, v.RefusedBy = s.Policy.Blockers(s.Fleet, g.leader.Reports())
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -74,7 +74,7 @@
 
 // Faults configures fault injection for tests; the zero value injects none.
 type Faults struct {
-	OnStep               func(WorkStep)      // called before each step of a ready cycle
+	OnStep               func(ReadyStep)     // called before each step of a ready cycle
 	WrapDisk             func(wal.FS) wal.FS // wraps the file system under the log
 	DisabledPolicyGuards policy.Guard
 	DisabledZoneGuards   zones.Guard
@@ -88,7 +88,7 @@
 		Name:          c.Name,
 		Peer:          c.Peer,
 		Listen:        c.Listen,
-		FoundGroup:    c.Start == "new",
+		Bootstrap:     c.Start == "new",
 		ElectionTicks: c.ElectionTicks,
 		SnapshotBytes: c.SnapshotMB << 20,
 		Sizes:         wal.Sizes{SegmentBytes: min(maxSegmentBytes, limit/minSegmentsOnDisk), MaxBytes: limit},
--- a/internal/control/consensus/group_loop.go
+++ b/internal/control/consensus/group_loop.go
@@ -63,7 +63,7 @@
 	if len(g.waiters.newReads) > 0 {
 		g.requestRead(append([]*waiter(nil), g.waiters.newReads...))
 	}
-	result, err := g.replica.Work(g.transport.send)
+	result, err := g.replica.ProcessReady(g.transport.send)
 	if err != nil {
 		return err
 	}
--- a/internal/control/consensus/group_requests.go
+++ b/internal/control/consensus/group_requests.go
@@ -104,9 +104,9 @@
 
 // ChangeMembers proposes a change of members and waits until applied reports true for the members. It proposes again
 // after an election timeout: the proposal may have been lost, or another change was in progress.
-func (g *Group) ChangeMembers(ctx context.Context, c Change, applied func([]Member) bool) error {
+func (g *Group) ChangeMembers(ctx context.Context, c MemberChange, applied func([]Member) bool) error {
 	for {
-		err, stopErr := callOnReplica(g, g.enqueue, func() error { return g.replica.Change(c) })
+		err, stopErr := callOnReplica(g, g.enqueue, func() error { return g.replica.ProposeMemberChange(c) })
 		if stopErr != nil {
 			return stopErr
 		}
--- a/internal/control/consensus/group_test.go
+++ b/internal/control/consensus/group_test.go
@@ -107,12 +107,12 @@
 		t.Fatal(err)
 	}
 	defer reopened.Close()
-	if _, err = reopened.Work(func([]*pb.Message) {}); err != nil {
+	if _, err = reopened.ProcessReady(func([]*pb.Message) {}); err != nil {
 		t.Fatal(err)
 	}
 	for n := 0; n < 40 && reopened.Status().Version == 0; n++ {
 		reopened.Tick()
-		if _, err = reopened.Work(func([]*pb.Message) {}); err != nil {
+		if _, err = reopened.ProcessReady(func([]*pb.Message) {}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/control/consensus/helper_test.go
+++ b/internal/control/consensus/helper_test.go
@@ -152,10 +152,10 @@
 func (i *instance) addVoter(added *instance) {
 	i.t.Helper()
 	i.await("a leader", func(v *View) bool { return v.Leader != 0 })
-	var self Self
+	var self InstanceInfo
 	added.request(http.MethodGet, "/v1/self", nil, &self)
 	var out json.RawMessage
-	change := Change{Op: "add", Member: Member{ID: self.ID, Name: self.Name, Peer: self.Peer, Listen: self.Listen,
+	change := MemberChange{Op: "add", Member: Member{ID: self.ID, Name: self.Name, Peer: self.Peer, Listen: self.Listen,
 		Promote: true}}
 	if code, _ := i.request(http.MethodPost, "/v1/members", change, &out); code != http.StatusOK {
 		i.t.Fatalf("adding %s: status %d, %s, want 200", self.Name, code, out)
--- a/internal/control/consensus/leader.go
+++ b/internal/control/consensus/leader.go
@@ -72,8 +72,8 @@
 				g.logZoneChange(zones.Result{Kind: "began", Zone: zones.WholeFleet, Phase: zones.Ramping,
 					Epoch: fleet.Zones.Epoch})
 			}
-			if len(o.CountedOut) > 0 {
-				g.log.WithField(logging.Nodes, policy.Summarize(o.CountedOut)).
+			if len(o.MarkedOut) > 0 {
+				g.log.WithField(logging.Nodes, policy.Summarize(o.MarkedOut)).
 					Warn("nodes marked out: no heartbeat within the lease span")
 			}
 		}
--- a/internal/control/consensus/members.go
+++ b/internal/control/consensus/members.go
@@ -30,8 +30,8 @@
 	maxRemoved = 256 // ids of removed instances that are remembered, and refused as peers
 )
 
-// Change is an operation on the members. Its entry carries it as the context of raft's configuration change.
-type Change struct {
+// MemberChange is an operation on the members. Its entry carries it as the context of raft's configuration change.
+type MemberChange struct {
 	Op         ChangeOp `json:"op"`
 	Member     Member   `json:"member"`
 	ReplacedID uint64   `json:"gone,omitempty"` // OpReplace: the voter that is removed
@@ -39,7 +39,7 @@
 
 // appliedCheck returns a function that reports whether a list of members reflects the change, nil for an unknown
 // operation.
-func (c *Change) appliedCheck() func([]Member) bool {
+func (c *MemberChange) appliedCheck() func([]Member) bool {
 	isVoter := func(list []Member) bool {
 		m := findMember(list, c.Member.ID)
 		return m != nil && m.Voter
@@ -85,7 +85,7 @@
 
 // check returns a *MemberChangeError if a change is not allowed. It depends on replicated state alone, so that all
 // instances decide the same.
-func (t *memberTable) check(c *Change) error {
+func (t *memberTable) check(c *MemberChange) error {
 	member := t.byID(c.Member.ID)
 	switch c.Op {
 	case OpAdd:
@@ -128,7 +128,7 @@
 }
 
 // apply makes a change that check allowed. It copies the lists, as views share them.
-func (t *memberTable) apply(c *Change) {
+func (t *memberTable) apply(c *MemberChange) {
 	switch c.Op {
 	case OpAdd:
 		added := c.Member
--- a/internal/control/consensus/members_test.go
+++ b/internal/control/consensus/members_test.go
@@ -11,7 +11,7 @@
 	all := startThree(t, nil)
 	id := all[2].group.View().ID
 	var out []Member
-	if code, _ := all[0].request(http.MethodPost, "/v1/members", Change{Op: "remove", Member: Member{ID: id}},
+	if code, _ := all[0].request(http.MethodPost, "/v1/members", MemberChange{Op: "remove", Member: Member{ID: id}},
 		&out); code != 200 || len(out) != 2 {
 		t.Fatalf("remove: status %d, members %+v, want 200 and two members", code, out)
 	}
@@ -31,10 +31,10 @@
 func TestReplaceIsOneJointChange(t *testing.T) {
 	all := startThree(t, nil)
 	added := startInstance(t, "d", "join", nil)
-	var self Self
+	var self InstanceInfo
 	added.request(http.MethodGet, "/v1/self", nil, &self)
 	learner := Member{ID: self.ID, Name: self.Name, Peer: self.Peer, Listen: self.Listen}
-	if code, _ := all[0].request(http.MethodPost, "/v1/members", Change{Op: "add", Member: learner}, nil); code != 200 {
+	if code, _ := all[0].request(http.MethodPost, "/v1/members", MemberChange{Op: "add", Member: learner}, nil); code != 200 {
 		t.Fatalf("add: status %d, want 200", code)
 	}
 	added.await("role learner with the group's state", func(v *View) bool {
@@ -42,7 +42,7 @@
 	})
 	replaced := all[2].group.View().ID
 	var out []Member
-	change := Change{Op: "replace", Member: learner, ReplacedID: replaced}
+	change := MemberChange{Op: "replace", Member: learner, ReplacedID: replaced}
 	if code, _ := all[0].request(http.MethodPost, "/v1/members", change, &out); code != 200 {
 		t.Fatalf("replace: status %d, want 200", code)
 	}
@@ -66,7 +66,7 @@
 			continue
 		}
 		other := all[(n+1)%3]
-		if code, _ := other.request(http.MethodPost, "/v1/members", Change{Op: "remove", Member: Member{ID: v.ID}},
+		if code, _ := other.request(http.MethodPost, "/v1/members", MemberChange{Op: "remove", Member: Member{ID: v.ID}},
 			nil); code != 200 {
 			t.Fatalf("remove: status %d, want 200", code)
 		}
--- a/internal/control/consensus/pin_stored_test.go
+++ b/internal/control/consensus/pin_stored_test.go
@@ -26,7 +26,7 @@
 // goldenConfig is the configuration that wrote the golden files; its ids are deterministic.
 func goldenConfig() Config {
 	lastRandom := uint64(0)
-	return Config{Name: "a", Peer: "10.1.1.1:7101", Listen: "10.1.1.1:7201", FoundGroup: true, ElectionTicks: 5,
+	return Config{Name: "a", Peer: "10.1.1.1:7101", Listen: "10.1.1.1:7201", Bootstrap: true, ElectionTicks: 5,
 		SnapshotBytes: 1 << 30,
 		Sizes:         wal.Sizes{SegmentBytes: 1500, MaxBytes: 64 << 20}, Logger: raftLogger{newDiscardLogger()},
 		Random: func() uint64 { lastRandom += 0x1111; return lastRandom }}
@@ -41,7 +41,7 @@
 
 func (s *scriptedGroup) processReady() {
 	s.t.Helper()
-	out, err := s.replica.Work(func([]*pb.Message) {})
+	out, err := s.replica.ProcessReady(func([]*pb.Message) {})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -77,8 +77,8 @@
 func (s *scriptedGroup) put(session string, seq, base uint64, text string) {
 	s.t.Helper()
 	if err := s.replica.Propose(&Put{Session: session, Seq: seq, Base: base, Author: "an author", Reason: "a reason",
-		At:   1700000000123,
-		Text: text}); err != nil {
+		ProposedAtMS: 1700000000123,
+		Text:         text}); err != nil {
 		s.t.Fatal(err)
 	}
 	s.processReady()
@@ -141,7 +141,7 @@
 		`"drill_ms":60000,"key":"key-00003"}`)
 	s.entry("beat", `{"term":2,"no":6,"after":5,"ms":3000,"floor":3,"zones":1,"renew":[1,2]}`)
 	s.entry("zones", `{"op":"settle","epoch":1}`)
-	if err := s.replica.Change(Change{Op: "add", Member: Member{ID: 77, Name: "b", Peer: "10.1.1.2:7101",
+	if err := s.replica.ProposeMemberChange(MemberChange{Op: "add", Member: Member{ID: 77, Name: "b", Peer: "10.1.1.2:7101",
 		Listen:  "10.1.1.2:7201",
 		Promote: true}}); err != nil {
 		s.t.Fatal(err)
@@ -151,7 +151,7 @@
 	s.entry("zones",
 		`{"op":"step","zone":"z1","epoch":1,"share":64,"ceiling":50.5,"dials":3.5,"why":"it returns",`+
 			`"key":"key-00004"}`)
-	if err := s.replica.Change(Change{Op: "remove", Member: Member{ID: 77}}); err != nil {
+	if err := s.replica.ProposeMemberChange(MemberChange{Op: "remove", Member: Member{ID: 77}}); err != nil {
 		s.t.Fatal(err)
 	}
 	s.processReady()
@@ -260,7 +260,7 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	if _, err = r.Work(func([]*pb.Message) {}); err != nil {
+	if _, err = r.ProcessReady(func([]*pb.Message) {}); err != nil {
 		t.Fatal(err)
 	}
 	checkGolden(t, "group/read.txt", serializeState(t, r))
@@ -315,7 +315,7 @@
 		return err.Error()
 	}
 	defer r.Close()
-	if _, err = r.Work(func([]*pb.Message) {}); err != nil {
+	if _, err = r.ProcessReady(func([]*pb.Message) {}); err != nil {
 		return "work: " + err.Error()
 	}
 	st := r.Status()
@@ -360,7 +360,7 @@
 		`{"kind":"zones","body":7}`, `{"kind":"other","body":7}`} {
 		m := newStateMachine("c", 0)
 		r := &Replica{stateMachine: m}
-		var out WorkResult
+		var out ReadyResult
 		kind := pb.EntryType_EntryNormal
 		all.addLine("entry %s: %v", entry, r.apply(&pb.Entry{Type: &kind, Data: []byte(entry)}, &out))
 		m.supportedLevel = LevelVersions
--- a/internal/control/consensus/put.go
+++ b/internal/control/consensus/put.go
@@ -17,14 +17,14 @@
 // Put requests a new version of the document. Session and Seq identify it: a client numbers its puts from 1 and repeats
 // a put under its number until it has a result.
 type Put struct {
-	Session string `json:"session"`
-	Seq     uint64 `json:"seq"`
-	Base    uint64 `json:"base"` // version that the change was made from
-	Author  string `json:"author"`
-	Reason  string `json:"reason"`
-	At      int64  `json:"at_ms"` // Unix time at the instance that received it, in ms
-	Rules   int    `json:"rules"` // version of the document rules that it is validated by
-	Text    string `json:"text"`
+	Session      string `json:"session"`
+	Seq          uint64 `json:"seq"`
+	Base         uint64 `json:"base"` // version that the change was made from
+	Author       string `json:"author"`
+	Reason       string `json:"reason"`
+	ProposedAtMS int64  `json:"at_ms"` // Unix time at the instance that received it, in ms
+	Rules        int    `json:"rules"` // version of the document rules that it is validated by
+	Text         string `json:"text"`
 }
 
 // PutOutcome classifies the result of a put, as stored with its session and sent to the client.
--- a/internal/control/consensus/record_collector.go
+++ b/internal/control/consensus/record_collector.go
@@ -33,9 +33,9 @@
 // maxCollectedTexts bounds the distinct texts held. A record has at most two, and most nodes have the same ones.
 const maxCollectedTexts = 64
 
-// StartCollector opens the address that nodes send heartbeats to. onRecord is called for each record received, with the
+// StartRecordCollector opens the address that nodes send heartbeats to. onRecord is called for each record received, with the
 // error if it is invalid. The returned error is of the address.
-func StartCollector(listen string, onRecord func(record *api.NodeRecord, err error)) (*RecordCollector, error) {
+func StartRecordCollector(listen string, onRecord func(record *api.NodeRecord, err error)) (*RecordCollector, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("%w: the instance that listens there has to be stopped first", err)
@@ -86,7 +86,7 @@
 }
 
 func (c *RecordCollector) writeError(w http.ResponseWriter, code int, err error) {
-	raw, _ := json.Marshal(Failure{Error: err.Error()})
+	raw, _ := json.Marshal(ErrorResponse{Error: err.Error()})
 	c.writeSized(w, code, raw)
 }
 
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -18,7 +18,7 @@
 	Name                 string
 	Peer                 string // address for peers
 	Listen               string // address for clients
-	FoundGroup           bool   // bootstrap a group of one in an empty folder; otherwise wait to be added to a group
+	Bootstrap            bool   // bootstrap a group of one in an empty folder; otherwise wait to be added to a group
 	ElectionTicks        int    // least election timeout; each is drawn from here to twice as many
 	SnapshotBytes        int    // bytes of new log entries after which a snapshot is due
 	Sizes                wal.Sizes
@@ -28,22 +28,22 @@
 	Level                int          // supported feature level, for tests of a group with two builds; 0: LatestLevel
 	DisabledPolicyGuards policy.Guard // for fault tests
 	DisabledZoneGuards   zones.Guard
-	OnStep               func(WorkStep) // called before each step of a ready cycle, for fault tests; may be nil
+	OnStep               func(ReadyStep) // called before each step of a ready cycle, for fault tests; may be nil
 }
 
-// WorkStep names a step of a ready cycle, as passed to Config.OnStep before the step.
-type WorkStep string
+// ReadyStep names a step of a ready cycle, as passed to Config.OnStep before the step.
+type ReadyStep string
 
 // Steps of a ready cycle.
 const (
-	StepPersist WorkStep = "persist" // write what raft requires to be durable
-	StepSend    WorkStep = "send"    // send messages to peers
-	StepApply   WorkStep = "apply"   // apply a snapshot and committed entries
-	StepRespond WorkStep = "answer"  // return results of puts
+	StepPersist ReadyStep = "persist" // write what raft requires to be durable
+	StepSend    ReadyStep = "send"    // send messages to peers
+	StepApply   ReadyStep = "apply"   // apply a snapshot and committed entries
+	StepRespond ReadyStep = "answer"  // return results of puts
 )
 
 // Steps lists the steps in order.
-var Steps = []WorkStep{StepPersist, StepSend, StepApply, StepRespond}
+var Steps = []ReadyStep{StepPersist, StepSend, StepApply, StepRespond}
 
 // Bounds of raft's memory: the size of a message, what is in flight to a follower, and what is proposed or read but not
 // finished.
@@ -95,8 +95,8 @@
 	Result  PutResult
 }
 
-// WorkResult is what ready cycles completed.
-type WorkResult struct {
+// ReadyResult is what ready cycles completed.
+type ReadyResult struct {
 	Puts     []AppliedPut
 	Reads    []uint64 // ids of reads that the current state may serve
 	Applied  bool     // entries or a snapshot were applied
--- a/internal/control/consensus/replica_apply.go
+++ b/internal/control/consensus/replica_apply.go
@@ -12,16 +12,16 @@
 	"umberwinch/internal/control/coordinator"
 )
 
-func (r *Replica) reportStep(step WorkStep) {
+func (r *Replica) reportStep(step ReadyStep) {
 	if r.config.OnStep != nil {
 		r.config.OnStep(step)
 	}
 }
 
-// Work runs ready cycles until raft has nothing more ready: each persists, then sends, then applies. After an error the
+// ProcessReady runs ready cycles until raft has nothing more ready: each persists, then sends, then applies. After an error the
 // instance must stop: its memory no longer matches its disk.
-func (r *Replica) Work(send func([]*pb.Message)) (WorkResult, error) {
-	var result WorkResult
+func (r *Replica) ProcessReady(send func([]*pb.Message)) (ReadyResult, error) {
+	var result ReadyResult
 	for r.node.HasReady() {
 		rd := r.node.Ready()
 		if r.config.DisabledGuards.Has(PersistBeforeSend) {
@@ -111,7 +111,7 @@
 }
 
 // apply applies one committed entry.
-func (r *Replica) apply(e *pb.Entry, result *WorkResult) error {
+func (r *Replica) apply(e *pb.Entry, result *ReadyResult) error {
 	result.Applied = true
 	m := r.stateMachine
 	switch e.GetType() {
@@ -134,7 +134,7 @@
 			return &coordinator.EntryError{Expected: "a change of members", Err: err}
 		}
 		if len(cc.GetContext()) > 0 {
-			var c Change
+			var c MemberChange
 			if err := json.Unmarshal(cc.GetContext(), &c); err != nil {
 				return &coordinator.EntryError{Expected: "a change of members", Err: err}
 			}
--- a/internal/control/consensus/replica_members.go
+++ b/internal/control/consensus/replica_members.go
@@ -68,10 +68,10 @@
 	return false
 }
 
-// Change proposes a change of members. An applied change shows in Members; a lost proposal is not reported, and the
+// ProposeMemberChange proposes a change of members. An applied change shows in Members; a lost proposal is not reported, and the
 // caller proposes again. Errors are ErrBarred, raft.ErrProposalDropped, and a *MemberChangeError if the state does not
 // allow it.
-func (r *Replica) Change(c Change) error {
+func (r *Replica) ProposeMemberChange(c MemberChange) error {
 	if r.peers.self.Barred != "" {
 		return ErrBarred
 	}
@@ -128,7 +128,7 @@
 		})
 		if ready {
 			r.promotedAtTick = r.ticks
-			r.Change(Change{Op: OpPromote, Member: m})
+			r.ProposeMemberChange(MemberChange{Op: OpPromote, Member: m})
 			return
 		}
 	}
--- a/internal/control/consensus/replica_open.go
+++ b/internal/control/consensus/replica_open.go
@@ -97,7 +97,7 @@
 func (r *Replica) initialize() error {
 	identity := Identity{ID: r.config.Random() | 1, Name: r.config.Name}
 	b := wal.Batch{}
-	if r.config.FoundGroup {
+	if r.config.Bootstrap {
 		identity.Cluster = fmt.Sprintf("%016x%016x", r.config.Random(), r.config.Random())
 		machine := newStateMachine(identity.Cluster, r.config.DisabledGuards)
 		machine.applied, machine.term = 1, 1
--- a/internal/control/consensus/restored_group.go
+++ b/internal/control/consensus/restored_group.go
@@ -40,11 +40,11 @@
 	if err != nil {
 		return nil, err
 	}
-	_, err = r.Work(func([]*pb.Message) {})
+	_, err = r.ProcessReady(func([]*pb.Message) {})
 	if voters := r.voterConfig.GetVoters(); err == nil && len(voters) == 1 && voters[0] == r.ID() {
 		// In a group of one every durable entry is committed; an election of this instance commits them.
 		if err = r.node.Campaign(); err == nil {
-			_, err = r.Work(func([]*pb.Message) {})
+			_, err = r.ProcessReady(func([]*pb.Message) {})
 		}
 	}
 	_, last := r.LogBounds()
@@ -60,7 +60,7 @@
 
 // ReadSnapshot reads a snapshot: a file of an instance's folder, or one that `umberctl control snapshot save` wrote.
 func ReadSnapshot(raw []byte) (*StoredGroup, error) {
-	if body, _, ok := wal.Unwrap(raw); ok {
+	if body, _, ok := wal.DecodeSnapshot(raw); ok {
 		raw = body
 	}
 	_, state, err := readSnapshot(raw)
@@ -149,7 +149,7 @@
 		m.versions.newest, m.versions.hash = nil, ""
 		return nil
 	}
-	d, err := document.ParseUnder(document.LatestRules, "restored text", []byte(plan.Text))
+	d, err := document.ParseWithRules(document.LatestRules, "restored text", []byte(plan.Text))
 	if err != nil {
 		return err
 	}
--- a/internal/control/consensus/restored_group_test.go
+++ b/internal/control/consensus/restored_group_test.go
@@ -33,7 +33,7 @@
 	listen := loopbackAddress() + ":7301"
 	var mu sync.Mutex
 	var recordErrs []error
-	g, err := StartCollector(listen, func(_ *api.NodeRecord, err error) {
+	g, err := StartRecordCollector(listen, func(_ *api.NodeRecord, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err = StartCollector(listen, nil); err == nil {
+	if _, err = StartRecordCollector(listen, nil); err == nil {
 		t.Error("a second StartCollector() at the same address succeeded, want an error")
 	}
 	post := func(path string, body any, into any) int {
--- a/internal/control/consensus/state_machine.go
+++ b/internal/control/consensus/state_machine.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		return m.versions.newest
 	}
-	d, err := document.ParseUnder(max(1, v.Rules), "committed version", []byte(v.Text))
+	d, err := document.ParseWithRules(max(1, v.Rules), "committed version", []byte(v.Text))
 	if err != nil {
 		return m.versions.newest
 	}
--- a/internal/control/consensus/state_machine_test.go
+++ b/internal/control/consensus/state_machine_test.go
@@ -133,7 +133,7 @@
 func TestMemberChangeValidation(t *testing.T) {
 	m := newStateMachine("c", 0)
 	m.members.list = []Member{{ID: 5, Name: "a", Voter: true}}
-	change := func(c Change, reason error, text string) {
+	change := func(c MemberChange, reason error, text string) {
 		t.Helper()
 		err := m.members.check(&c)
 		if !errors.Is(err, reason) || err != nil && !strings.Contains(err.Error(), text) {
@@ -143,28 +143,28 @@
 			m.members.apply(&c)
 		}
 	}
-	change(Change{Op: "remove", Member: Member{ID: 5}}, ErrOnlyVoter, "the only voter")
-	change(Change{Op: "add", Member: Member{ID: 9, Name: "a"}}, ErrNameTaken, `"a" is instance 5 already`)
-	change(Change{Op: "add", Member: Member{ID: 9, Name: "b", Voter: true}}, nil, "")
+	change(MemberChange{Op: "remove", Member: Member{ID: 5}}, ErrOnlyVoter, "the only voter")
+	change(MemberChange{Op: "add", Member: Member{ID: 9, Name: "a"}}, ErrNameTaken, `"a" is instance 5 already`)
+	change(MemberChange{Op: "add", Member: Member{ID: 9, Name: "b", Voter: true}}, nil, "")
 	if m.members.byID(9).Voter {
 		t.Fatal("added instance is a voter, want a learner")
 	}
-	change(Change{Op: "add", Member: Member{ID: 9, Name: "c"}}, ErrAlreadyMember, "a member already")
-	change(Change{Op: "replace", Member: Member{ID: 5}, ReplacedID: 9}, ErrNotVoterAndLearner,
+	change(MemberChange{Op: "add", Member: Member{ID: 9, Name: "c"}}, ErrAlreadyMember, "a member already")
+	change(MemberChange{Op: "replace", Member: Member{ID: 5}, ReplacedID: 9}, ErrNotVoterAndLearner,
 		"expected a voter and a learner")
-	change(Change{Op: "replace", Member: Member{ID: 9}, ReplacedID: 5}, nil, "")
+	change(MemberChange{Op: "replace", Member: Member{ID: 9}, ReplacedID: 5}, nil, "")
 	if len(m.members.list) != 1 || !m.members.list[0].Voter || m.members.list[0].ID != 9 {
 		t.Fatalf("members = %+v, want only 9, as a voter", m.members.list)
 	}
-	change(Change{Op: "add", Member: Member{ID: 5, Name: "a"}}, ErrMemberRemoved, "was removed")
-	change(Change{Op: "remove", Member: Member{ID: 6}}, ErrNotMember, "instance 6 is no member")
-	change(Change{Op: "add", Member: Member{ID: 6}}, ErrIncompleteMember, `found id 6 and name ""`)
-	change(Change{Op: "promote", Member: Member{ID: 9}}, ErrNotLearner, "no learner")
-	change(Change{Op: "fly", Member: Member{ID: 9}}, ErrUnknownChange, `found "fly"`)
+	change(MemberChange{Op: "add", Member: Member{ID: 5, Name: "a"}}, ErrMemberRemoved, "was removed")
+	change(MemberChange{Op: "remove", Member: Member{ID: 6}}, ErrNotMember, "instance 6 is no member")
+	change(MemberChange{Op: "add", Member: Member{ID: 6}}, ErrIncompleteMember, `found id 6 and name ""`)
+	change(MemberChange{Op: "promote", Member: Member{ID: 9}}, ErrNotLearner, "no learner")
+	change(MemberChange{Op: "fly", Member: Member{ID: 9}}, ErrUnknownChange, `found "fly"`)
 	for i := uint64(0); i < maxMembers-1; i++ {
-		change(Change{Op: "add", Member: Member{ID: 100 + i, Name: fmt.Sprint(i)}}, nil, "")
+		change(MemberChange{Op: "add", Member: Member{ID: 100 + i, Name: fmt.Sprint(i)}}, nil, "")
 	}
-	change(Change{Op: "add", Member: Member{ID: 99, Name: "x"}}, ErrTooManyMembers, "expected at most")
+	change(MemberChange{Op: "add", Member: Member{ID: 99, Name: "x"}}, ErrTooManyMembers, "expected at most")
 }
 
 // Peers on old copies of their folders, removed ones and those of another cluster must be refused, and all others
--- a/internal/control/consensus/versions.go
+++ b/internal/control/consensus/versions.go
@@ -16,16 +16,16 @@
 
 // Version is a committed version of the configuration document.
 type Version struct {
-	Number uint64 `json:"version"`
-	Parent uint64 `json:"parent"`
-	Hash   string `json:"hash"`
-	Author string `json:"author"`
-	Reason string `json:"reason"`
-	At     int64  `json:"at_ms"` // Unix time at the instance that received the put, in ms; informational
-	Index  uint64 `json:"index"`
-	Term   uint64 `json:"term"`
-	Rules  int    `json:"rules,omitempty"` // version of the document rules that it was validated by; 0 means 1
-	Text   string `json:"text,omitempty"`
+	Number       uint64 `json:"version"`
+	Parent       uint64 `json:"parent"`
+	Hash         string `json:"hash"`
+	Author       string `json:"author"`
+	Reason       string `json:"reason"`
+	ProposedAtMS int64  `json:"at_ms"` // Unix time at the instance that received the put, in ms; informational
+	Index        uint64 `json:"index"`
+	Term         uint64 `json:"term"`
+	Rules        int    `json:"rules,omitempty"` // version of the document rules that it was validated by; 0 means 1
+	Text         string `json:"text,omitempty"`
 }
 
 // ReadVersion decodes a version from its line of JSON.
@@ -62,9 +62,9 @@
 
 // commit appends a put's document as the next version if it is valid and may follow the active one.
 func (h *versionHistory) commit(p *Put, active *document.Document, index, term uint64) PutResult {
-	next, err := document.ParseUnder(p.Rules, "document", []byte(p.Text))
+	next, err := document.ParseWithRules(p.Rules, "document", []byte(p.Text))
 	if err == nil {
-		err = next.Follows(active)
+		err = next.ValidateUpdate(active)
 	}
 	if err != nil {
 		return PutResult{PutInvalid, h.last(), truncateReason(err.Error())}
@@ -79,7 +79,7 @@
 	if hash == h.hash {
 		return PutResult{PutUnchanged, h.last(), ""}
 	}
-	v := Version{Number: h.last() + 1, Parent: h.last(), Hash: hash, Author: p.Author, Reason: p.Reason, At: p.At,
+	v := Version{Number: h.last() + 1, Parent: h.last(), Hash: hash, Author: p.Author, Reason: p.Reason, ProposedAtMS: p.ProposedAtMS,
 		Index: index, Term: term, Text: string(text)}
 	if p.Rules > 1 {
 		v.Rules = p.Rules
@@ -126,7 +126,7 @@
 	if v.Number != h.last() {
 		return fmt.Errorf("last version of a saved state is %d, expected %d", v.Number, h.last())
 	}
-	h.newest, err = document.ParseUnder(max(1, v.Rules), "document", []byte(v.Text))
+	h.newest, err = document.ParseWithRules(max(1, v.Rules), "document", []byte(v.Text))
 	if err != nil {
 		return fmt.Errorf("version %d of a saved state: %w", v.Number, err)
 	}
--- a/internal/control/coordinator/coldstart.go
+++ b/internal/control/coordinator/coldstart.go
@@ -59,7 +59,7 @@
 		}
 		c.nodesIn++
 		c.byZone[n.Zone]++
-		lastHeartbeatMS := l.zoneMonitor.LastHeard(n)
+		lastHeartbeatMS := l.zoneMonitor.LastHeartbeatAt(n)
 		if lastHeartbeatMS > 0 && n.UptimeMS(s.Fleet.ClockMS) > recovery.ColdStartWindowMS {
 			c.warmHeartbeatsMS = append(c.warmHeartbeatsMS, lastHeartbeatMS)
 		}
--- a/internal/control/coordinator/generation.go
+++ b/internal/control/coordinator/generation.go
@@ -27,7 +27,7 @@
 	}
 	s.Fleet.BeginGeneration(max(plan.LeaseMS, rules.LeaseMS), rules.Autonomous, recordedNodes)
 	if plan.Version > 0 || s.Policy.Current != nil {
-		restored := policy.Restored{Version: plan.Version, Hash: plan.Hash, Rules: rules, Proof: plan.Proof}
+		restored := policy.RestoredVersion{Version: plan.Version, Hash: plan.Hash, Rules: rules, Proof: plan.Proof}
 		s.Policy.BeginGeneration(restored, s.Fleet.ClockMS)
 	}
 	s.Zones.BeginGeneration(plan.ZoneEpoch, reducedShares(plan.Records), s.Fleet)
--- a/internal/control/coordinator/leader.go
+++ b/internal/control/coordinator/leader.go
@@ -13,7 +13,7 @@
 	DisabledGuards     policy.Guard // for fault tests only
 	DisabledZoneGuards zones.Guard  // for fault tests only
 	Level              int          // feature level of the group
-	BatchesSent        uint64       // heartbeat batches appended by this instance
+	BatchesAppended    uint64       // heartbeat batches appended by this instance
 	BatchBytes         uint64       // total size of their bodies, in bytes
 
 	group     string
@@ -87,7 +87,7 @@
 	if l.shouldAppendBatch(s, lossProof != "") {
 		entry := heartbeatsEntry(l.heartbeats.fill(l.newBatch(s, lossProof), l.nowMS, l.DisabledGuards))
 		entries = append(entries, entry)
-		l.BatchesSent++
+		l.BatchesAppended++
 		l.BatchBytes += uint64(len(entry.Body))
 	}
 	return append(entries, l.operationEntries(s)...)
--- a/internal/control/coordinator/loss_evidence.go
+++ b/internal/control/coordinator/loss_evidence.go
@@ -30,7 +30,7 @@
 // recordLossEvidence compares a node's last seen position with the state, and records whether the state lacks it.
 func (l *Leader) recordLossEvidence(s *State, r *api.HeartbeatRequest) {
 	last := r.LastSeen
-	if last == nil || l.DisabledGuards.Has(policy.Proof) {
+	if last == nil || l.DisabledGuards.Has(policy.LossProof) {
 		return
 	}
 	group := recovery.GroupState{
--- a/internal/control/coordinator/reports.go
+++ b/internal/control/coordinator/reports.go
@@ -31,7 +31,7 @@
 // The report of a replaced incarnation is ignored: the node may have restarted without the version it had prepared.
 func (l *Leader) report(n *membership.Node) *policy.NodeReport {
 	r := l.reports[n.Name]
-	if r == nil || r.leaseID != n.Lease.ID && !l.DisabledGuards.Has(policy.Incarnation) {
+	if r == nil || r.leaseID != n.Lease.ID && !l.DisabledGuards.Has(policy.CurrentIncarnation) {
 		return nil
 	}
 	return &r.NodeReport
@@ -39,7 +39,7 @@
 
 // dropReportsOfEnded removes the reports of incarnations that are no longer in.
 func (l *Leader) dropReportsOfEnded(s *State) {
-	if l.DisabledGuards.Has(policy.Incarnation) {
+	if l.DisabledGuards.Has(policy.CurrentIncarnation) {
 		return
 	}
 	for name, r := range l.reports {
--- a/internal/control/coordinator/versions.go
+++ b/internal/control/coordinator/versions.go
@@ -38,7 +38,7 @@
 	if from > 0 {
 		previous, _, err := c.document(from)
 		if err == nil {
-			err = next.Follows(previous)
+			err = next.ValidateUpdate(previous)
 		}
 		if err != nil {
 			return policy.Rules{}, "", err
@@ -56,11 +56,11 @@
 	if z := &d.Zones; z.Present {
 		rules.Zones = api.ZoneRules{
 			Mode:           api.ZoneMode(z.Mode),
-			InitialShare:   int(z.FirstShare*api.FullShare + roundHalfUp),
-			MinStepMS:      uint64(z.StepTime.Milliseconds()),
-			OrderTTLMS:     uint64(z.OrderTime.Milliseconds()),
-			MaxRampDelayMS: uint64(z.MaxBackoff.Milliseconds()),
-			ColdStart:      z.SmallStart,
+			InitialShare:   int(z.InitialShare*api.FullShare + roundHalfUp),
+			MinStepMS:      uint64(z.MinStepTime.Milliseconds()),
+			OrderTTLMS:     uint64(z.OrderTTL.Milliseconds()),
+			MaxRampDelayMS: uint64(z.MaxRampDelay.Milliseconds()),
+			ColdStart:      z.ColdStart,
 		}
 	}
 	return rules
--- a/internal/control/document/canonical.go
+++ b/internal/control/document/canonical.go
@@ -58,7 +58,7 @@
 		s := "level " + strconv.Itoa(l.Number)
 		add(s, "enter", formatNumber(l.EnterLoad))
 		add(s, "leave", formatNumber(l.LeaveLoad))
-		add(s, "hold", l.MinTime.String())
+		add(s, "hold", l.MinDuration.String())
 		add(s, "sheds", strings.Join(l.Sheds, ", "))
 	}
 	stages := make([]string, len(d.Rollout.Stages))
@@ -66,7 +66,7 @@
 		stages[i] = strconv.Itoa(percent)
 	}
 	add("rollout", "stages", strings.Join(stages, ", "))
-	add("rollout", "hold", d.Rollout.StageTime.String())
+	add("rollout", "hold", d.Rollout.StageDuration.String())
 	add("rollout", "max_shed", formatNumber(d.Rollout.MaxShedIncrease))
 	add("rollout", "max_late", formatNumber(d.Rollout.MaxLateIncrease))
 	if d.Fleet.Present {
@@ -75,11 +75,11 @@
 	}
 	if z := d.Zones; z.Present {
 		add("zones", "decide", string(z.Mode))
-		add("zones", "first", formatNumber(z.FirstShare))
-		add("zones", "hold", z.StepTime.String())
-		add("zones", "keep", z.OrderTime.String())
-		add("zones", "max_wait", z.MaxBackoff.String())
-		add("zones", "small_start", yesNo(z.SmallStart))
+		add("zones", "first", formatNumber(z.InitialShare))
+		add("zones", "hold", z.MinStepTime.String())
+		add("zones", "keep", z.OrderTTL.String())
+		add("zones", "max_wait", z.MaxRampDelay.String())
+		add("zones", "small_start", yesNo(z.ColdStart))
 	}
 	return lines
 }
--- a/internal/control/document/document.go
+++ b/internal/control/document/document.go
@@ -53,17 +53,17 @@
 
 // Level is a degradation level, at which requests of some classes are shed.
 type Level struct {
-	Number    int
-	EnterLoad float64       // multiple of capacity at which the level is entered
-	LeaveLoad float64       // multiple of capacity below which the level is left
-	MinTime   time.Duration // at the level, before it is left
-	Sheds     []string      // names of classes
+	Number      int
+	EnterLoad   float64       // multiple of capacity at which the level is entered
+	LeaveLoad   float64       // multiple of capacity below which the level is left
+	MinDuration time.Duration // at the level, before it is left
+	Sheds       []string      // names of classes
 }
 
 // Rollout is the staged activation of a version on the nodes.
 type Rollout struct {
 	Stages          []int         // percentages of nodes, ascending to 100
-	StageTime       time.Duration // duration of a stage
+	StageDuration   time.Duration // duration of a stage
 	MaxShedIncrease float64       // maximum increase of the fraction of requests shed
 	MaxLateIncrease float64       // the same of requests completed late
 }
@@ -80,20 +80,20 @@
 
 // Values of Zones.Mode.
 const (
-	ZonesOff  ZonesMode = "off"
-	ZonesAsk  ZonesMode = "ask"  // an operator decides
-	ZonesAuto ZonesMode = "auto" // the control service decides
+	ZonesOff    ZonesMode = "off"
+	ZonesManual ZonesMode = "ask"  // an operator decides
+	ZonesAuto   ZonesMode = "auto" // the control service decides
 )
 
 // Zones is the policy for the evacuation of failing zones and the recovery ramp that returns load to them.
 type Zones struct {
-	Mode       ZonesMode     // ZonesOff without a [zones] section
-	FirstShare float64       // share of a zone's load that a recovery ramp begins with
-	StepTime   time.Duration // minimum time at each share of a ramp
-	OrderTime  time.Duration // how long a zone order is valid without contact to the group
-	MaxBackoff time.Duration // maximum delay of the ramp of a zone that fails repeatedly
-	SmallStart bool          // a fleet most of whose nodes restart at once begins with FirstShare
-	Present    bool          // the document has a [zones] section
+	Mode         ZonesMode     // ZonesOff without a [zones] section
+	InitialShare float64       // share of a zone's load that a recovery ramp begins with
+	MinStepTime  time.Duration // minimum time at each share of a ramp
+	OrderTTL     time.Duration // how long a zone order is valid without contact to the group
+	MaxRampDelay time.Duration // maximum delay of the ramp of a zone that fails repeatedly
+	ColdStart    bool          // a fleet most of whose nodes restart at once begins with InitialShare
+	Present      bool          // the document has a [zones] section
 }
 
 // Document is the content of one version. Its classes, tenants and pools are sorted by name, its levels by number.
--- a/internal/control/document/document_test.go
+++ b/internal/control/document/document_test.go
@@ -126,7 +126,7 @@
 		{"window extended", before, strings.Replace(exampleDocument, "20s", "30s", 1), ""},
 		{"first version", nil, exampleDocument, ""},
 	} {
-		err := parse(t, c.to).Follows(c.from)
+		err := parse(t, c.to).ValidateUpdate(c.from)
 		var reasons UpdateErrors
 		matches := errors.As(err, &reasons) && strings.Contains(err.Error(), c.want)
 		if c.want == "" && err != nil || c.want != "" && !matches {
--- a/internal/control/document/follow.go
+++ b/internal/control/document/follow.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Follows returns all reasons why d may not replace the previous version, as UpdateErrors, nil if it may.
+// ValidateUpdate returns all reasons why d may not replace the previous version, as UpdateErrors, nil if it may.
 //
 // It guards against executing a request in flight twice: a class keeps its kind, which decides on retries, until it is
 // retired, and the window of an idempotency-keyed class never shrinks, so that retries within the old window still
 // match.
-func (d *Document) Follows(before *Document) error {
+func (d *Document) ValidateUpdate(before *Document) error {
 	if before == nil {
 		return nil
 	}
--- a/internal/control/document/parse.go
+++ b/internal/control/document/parse.go
@@ -63,11 +63,11 @@
 
 // Parse parses a document under the latest rules. name identifies the document in errors. The error is config.Faults
 // with all errors found.
-func Parse(name string, raw []byte) (*Document, error) { return ParseUnder(LatestRules, name, raw) }
+func Parse(name string, raw []byte) (*Document, error) { return ParseWithRules(LatestRules, name, raw) }
 
-// ParseUnder parses a document as Parse does, but under a given version of the rules, so that instances of different
+// ParseWithRules parses a document as Parse does, but under a given version of the rules, so that instances of different
 // builds agree on the result.
-func ParseUnder(rules int, name string, raw []byte) (*Document, error) {
+func ParseWithRules(rules int, name string, raw []byte) (*Document, error) {
 	t := config.Parse(name, raw)
 	d := &Document{
 		Classes: parseClasses(t),
@@ -80,7 +80,7 @@
 	}
 	d.sort()
 	d.checkSections(t)
-	if err := t.Done(); err != nil {
+	if err := t.Finish(); err != nil {
 		return nil, err
 	}
 	return d, nil
@@ -92,22 +92,22 @@
 		c := Class{
 			Name:              name,
 			Kind:              readChoice(t, s, "kind", "", Idempotent, IdempotencyKeyed, NotIdempotent),
-			Weight:            t.Number(s, "value", defaultWeight, 0, maxWeight),
-			LatencyObjective:  t.Time(s, "response_target", defaultLatencyObjective, time.Millisecond, time.Hour),
-			Timeout:           t.Time(s, "client_timeout", defaultClientTimeout, time.Millisecond, time.Hour),
-			IdempotencyWindow: t.Time(s, "window", 0, 0, maxDuration),
+			Weight:            t.Float(s, "value", defaultWeight, 0, maxWeight),
+			LatencyObjective:  t.Duration(s, "response_target", defaultLatencyObjective, time.Millisecond, time.Hour),
+			Timeout:           t.Duration(s, "client_timeout", defaultClientTimeout, time.Millisecond, time.Hour),
+			IdempotencyWindow: t.Duration(s, "window", 0, 0, maxDuration),
 			Pool:              t.String(s, "pool", ""),
-			Retired:           t.Flag(s, "retired", false),
+			Retired:           t.Bool(s, "retired", false),
 		}
 		if c.Kind == "" {
-			t.Note(s, "kind", "none of them", "replayable, uniqued or non-replayable")
+			t.AddFault(s, "kind", "none of them", "replayable, uniqued or non-replayable")
 		}
 		if c.Timeout < c.LatencyObjective {
-			t.Note(s, "client_timeout", c.Timeout.String(),
+			t.AddFault(s, "client_timeout", c.Timeout.String(),
 				"no less than response_target, "+c.LatencyObjective.String())
 		}
 		if (c.Kind == IdempotencyKeyed) != (c.IdempotencyWindow > 0) {
-			t.Note(s, "window", c.IdempotencyWindow.String(), "above 0 for uniqued classes, and for them alone")
+			t.AddFault(s, "window", c.IdempotencyWindow.String(), "above 0 for uniqued classes, and for them alone")
 		}
 		classes = append(classes, c)
 	}
@@ -117,7 +117,7 @@
 func parseTenants(t *config.Text) (tenants []Tenant) {
 	for _, name := range sectionNames(t, "tenant", MaxTenants) {
 		s := "tenant " + name
-		tenants = append(tenants, Tenant{name, t.Number(s, "share", 0, 0, 1), t.Number(s, "rate", 0, 0, maxRate)})
+		tenants = append(tenants, Tenant{name, t.Float(s, "share", 0, 0, 1), t.Float(s, "rate", 0, 0, maxRate)})
 	}
 	return tenants
 }
@@ -125,9 +125,9 @@
 func parsePools(t *config.Text) (pools []Pool) {
 	for _, name := range sectionNames(t, "pool", MaxPools) {
 		s := "pool " + name
-		p := Pool{name, t.Number(s, "floor", 0, 0, 1), t.Number(s, "cap", 1, 0, 1), t.Flag(s, "reserve", false)}
+		p := Pool{name, t.Float(s, "floor", 0, 0, 1), t.Float(s, "cap", 1, 0, 1), t.Bool(s, "reserve", false)}
 		if p.MaxShare < p.MinShare || p.MaxShare == 0 {
-			t.Note(s, "cap", formatNumber(p.MaxShare), "above 0 and no less than floor, "+formatNumber(p.MinShare))
+			t.AddFault(s, "cap", formatNumber(p.MaxShare), "above 0 and no less than floor, "+formatNumber(p.MinShare))
 		}
 		pools = append(pools, p)
 	}
@@ -138,17 +138,17 @@
 	for _, name := range sectionNames(t, "level", MaxLevels) {
 		s := "level " + name
 		l := Level{
-			EnterLoad: t.Number(s, "enter", 0, 0, maxLoad),
-			LeaveLoad: t.Number(s, "leave", 0, 0, maxLoad),
-			MinTime:   t.Time(s, "hold", defaultLevelTime, time.Second, time.Hour),
-			Sheds:     t.List(s, "sheds"),
+			EnterLoad:   t.Float(s, "enter", 0, 0, maxLoad),
+			LeaveLoad:   t.Float(s, "leave", 0, 0, maxLoad),
+			MinDuration: t.Duration(s, "hold", defaultLevelTime, time.Second, time.Hour),
+			Sheds:       t.List(s, "sheds"),
 		}
 		var err error
 		if l.Number, err = strconv.Atoi(name); err != nil || l.Number < 1 || strconv.Itoa(l.Number) != name {
-			t.Note(s, "", strconv.Quote(name), "a number from 1 on")
+			t.AddFault(s, "", strconv.Quote(name), "a number from 1 on")
 		}
 		if !(l.EnterLoad > l.LeaveLoad && l.LeaveLoad > 0) {
-			t.Note(s, "enter", formatNumber(l.EnterLoad)+" and leave "+formatNumber(l.LeaveLoad), "enter above leave above 0")
+			t.AddFault(s, "enter", formatNumber(l.EnterLoad)+" and leave "+formatNumber(l.LeaveLoad), "enter above leave above 0")
 		}
 		sort.Strings(l.Sheds)
 		levels = append(levels, l)
@@ -160,10 +160,10 @@
 // on without the group: an outage of the control service must not stop the fleet.
 func parseFleet(t *config.Text, supported bool) Fleet {
 	f := Fleet{Lease: defaultLease, Autonomous: true}
-	if !supported || !t.Has("fleet") {
+	if !supported || !t.HasSection("fleet") {
 		return f
 	}
-	f.Lease = t.Time("fleet", "lease", defaultLease, time.Second, 10*time.Minute)
+	f.Lease = t.Duration("fleet", "lease", defaultLease, time.Second, 10*time.Minute)
 	f.Autonomous = t.Choice("fleet", "when_alone", whenAloneGoOn, whenAloneFence, whenAloneGoOn) == whenAloneGoOn
 	f.Present = true
 	return f
@@ -172,24 +172,24 @@
 // parseZones returns the defaults if the rules do not support [zones] or the document has none.
 func parseZones(t *config.Text, supported bool) Zones {
 	z := Zones{
-		Mode:       ZonesOff,
-		FirstShare: defaultInitialShare,
-		StepTime:   defaultMinStepTime,
-		OrderTime:  defaultOrderTTL,
-		MaxBackoff: defaultMaxRampDelay,
+		Mode:         ZonesOff,
+		InitialShare: defaultInitialShare,
+		MinStepTime:  defaultMinStepTime,
+		OrderTTL:     defaultOrderTTL,
+		MaxRampDelay: defaultMaxRampDelay,
 	}
-	if !supported || !t.Has("zones") {
+	if !supported || !t.HasSection("zones") {
 		return z
 	}
-	z.Mode = readChoice(t, "zones", "decide", ZonesOff, ZonesOff, ZonesAsk, ZonesAuto)
-	z.FirstShare = t.Number("zones", "first", defaultInitialShare, minInitialShare, 1)
-	z.StepTime = t.Time("zones", "hold", defaultMinStepTime, 500*time.Millisecond, time.Hour)
-	z.OrderTime = t.Time("zones", "keep", defaultOrderTTL, time.Second, maxDuration)
-	z.MaxBackoff = t.Time("zones", "max_wait", defaultMaxRampDelay, time.Second, maxDuration)
-	z.SmallStart = t.Flag("zones", "small_start", false)
+	z.Mode = readChoice(t, "zones", "decide", ZonesOff, ZonesOff, ZonesManual, ZonesAuto)
+	z.InitialShare = t.Float("zones", "first", defaultInitialShare, minInitialShare, 1)
+	z.MinStepTime = t.Duration("zones", "hold", defaultMinStepTime, 500*time.Millisecond, time.Hour)
+	z.OrderTTL = t.Duration("zones", "keep", defaultOrderTTL, time.Second, maxDuration)
+	z.MaxRampDelay = t.Duration("zones", "max_wait", defaultMaxRampDelay, time.Second, maxDuration)
+	z.ColdStart = t.Bool("zones", "small_start", false)
 	z.Present = true
-	if z.MaxBackoff < z.StepTime {
-		t.Note("zones", "max_wait", z.MaxBackoff.String(), "no less than hold, "+z.StepTime.String())
+	if z.MaxRampDelay < z.MinStepTime {
+		t.AddFault("zones", "max_wait", z.MaxRampDelay.String(), "no less than hold, "+z.MinStepTime.String())
 	}
 	return z
 }
@@ -205,23 +205,23 @@
 
 // sectionNames returns the names of the sections with a prefix, at most limit, and notes invalid names.
 func sectionNames(t *config.Text, prefix string, limit int) []string {
-	names := t.Names(prefix)
+	names := t.SectionNames(prefix)
 	if len(names) > limit {
-		t.Note(prefix+" "+names[limit], "", fmt.Sprintf("%d sections", len(names)), fmt.Sprintf("%d at most", limit))
+		t.AddFault(prefix+" "+names[limit], "", fmt.Sprintf("%d sections", len(names)), fmt.Sprintf("%d at most", limit))
 		names = names[:limit]
 	}
 	for _, name := range names {
 		if !config.IsName(name) {
-			t.Note(prefix+" "+name, "", strconv.Quote(name), "up to 40 letters, digits, '-', '_' and '.'")
+			t.AddFault(prefix+" "+name, "", strconv.Quote(name), "up to 40 letters, digits, '-', '_' and '.'")
 		}
 	}
 	return names
 }
 
 func parseRollout(t *config.Text) Rollout {
-	r := Rollout{StageTime: t.Time("rollout", "hold", defaultStageTime, time.Second, maxDuration),
-		MaxShedIncrease: t.Number("rollout", "max_shed", defaultMaxIncrease, 0, 1),
-		MaxLateIncrease: t.Number("rollout", "max_late", defaultMaxIncrease, 0, 1)}
+	r := Rollout{StageDuration: t.Duration("rollout", "hold", defaultStageTime, time.Second, maxDuration),
+		MaxShedIncrease: t.Float("rollout", "max_shed", defaultMaxIncrease, 0, 1),
+		MaxLateIncrease: t.Float("rollout", "max_late", defaultMaxIncrease, 0, 1)}
 	words := t.List("rollout", "stages")
 	if words == nil {
 		words = []string{"1", "10", "50", "100"}
@@ -230,14 +230,14 @@
 	for _, word := range words {
 		percent, err := strconv.Atoi(word)
 		if err != nil || percent <= last || percent > 100 || len(words) > maxStages {
-			t.Note("rollout", "stages", strconv.Quote(word), "up to 20 rising percentages that end at 100")
+			t.AddFault("rollout", "stages", strconv.Quote(word), "up to 20 rising percentages that end at 100")
 			return r
 		}
 		r.Stages = append(r.Stages, percent)
 		last = percent
 	}
 	if last != 100 {
-		t.Note("rollout", "stages", strconv.Itoa(last)+" at the end", "100 at the end")
+		t.AddFault("rollout", "stages", strconv.Itoa(last)+" at the end", "100 at the end")
 	}
 	return r
 }
--- a/internal/control/document/pin_test.go
+++ b/internal/control/document/pin_test.go
@@ -102,7 +102,7 @@
 		"empty":    ""} {
 		for rules := 1; rules <= 3; rules++ {
 			var out strings.Builder
-			d, err := ParseUnder(rules, "f", []byte(text))
+			d, err := ParseWithRules(rules, "f", []byte(text))
 			if err != nil {
 				fmt.Fprintf(&out, "error: %v\n", err)
 			} else {
@@ -142,7 +142,7 @@
 			t.Fatalf("%q is not in the text", c[0])
 		}
 		for rules := 1; rules <= 3; rules++ {
-			_, err := ParseUnder(rules, "f", []byte(text))
+			_, err := ParseWithRules(rules, "f", []byte(text))
 			fmt.Fprintf(&out, "%q for %q under %d: %v\n", c[1], c[0], rules, err)
 		}
 	}
@@ -168,7 +168,7 @@
 			fmt.Fprintf(&out, "%q for %q: %v\n", c[1], c[0], err)
 			continue
 		}
-		fmt.Fprintf(&out, "%q for %q: follows %v\n", c[1], c[0], after.Follows(before))
+		fmt.Fprintf(&out, "%q for %q: follows %v\n", c[1], c[0], after.ValidateUpdate(before))
 		for _, change := range Diff(before, after) {
 			fmt.Fprintln(&out, " ", change.String())
 		}
--- a/internal/control/membership/batch.go
+++ b/internal/control/membership/batch.go
@@ -29,9 +29,9 @@
 
 // BatchResult is the outcome of a batch.
 type BatchResult struct {
-	Applied    bool            // false: ignored, as another batch was applied first
-	LeaseMS    uint64          // length of the granted leases
-	Granted    map[uint32]bool // by lease ID with a heartbeat in the batch: whether it was extended
-	Joins      []JoinResult
-	CountedOut []string // names of nodes marked out for silence
+	Applied   bool            // false: ignored, as another batch was applied first
+	LeaseMS   uint64          // length of the granted leases
+	Granted   map[uint32]bool // by lease ID with a heartbeat in the batch: whether it was extended
+	Joins     []JoinResult
+	MarkedOut []string // names of nodes marked out for silence
 }
--- a/internal/control/membership/expiry.go
+++ b/internal/control/membership/expiry.go
@@ -10,7 +10,7 @@
 		silentSinceMS := max(n.LastHeartbeatMS, s.ListeningSinceMS)
 		if !n.IsOut() && s.ClockMS > silentSinceMS+spanMS && s.ClockMS >= n.Lease.ExpiresAtMS {
 			s.markOut(n, OutSilent)
-			result.CountedOut = append(result.CountedOut, n.Name)
+			result.MarkedOut = append(result.MarkedOut, n.Name)
 		}
 		live := n.EarlierLeases[:0]
 		for _, l := range n.EarlierLeases {
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -41,11 +41,11 @@
 func TestSilentNodeKeepsLeaseUntilExpiry(t *testing.T) {
 	f := newFleetTest(t)
 	j := f.join("a", "x", terms)
-	if r := f.apply(4000, terms, nil); len(r.CountedOut) > 0 || !f.state.MayServeOlder(f.state.Lookup("a"), 1) {
+	if r := f.apply(4000, terms, nil); len(r.MarkedOut) > 0 || !f.state.MayServeOlder(f.state.Lookup("a"), 1) {
 		t.Fatalf("result %+v while the lease is live, want the node in and able to serve an older version", r)
 	}
 	r := f.apply(LeaseSpanMS(4000)-4000+1, terms, nil)
-	if len(r.CountedOut) != 1 || f.state.LeaseHolder(j.LeaseID) != nil || f.state.MayServeOlder(f.state.Lookup("a"), 1) {
+	if len(r.MarkedOut) != 1 || f.state.LeaseHolder(j.LeaseID) != nil || f.state.MayServeOlder(f.state.Lookup("a"), 1) {
 		t.Fatalf("result %+v after the lease span, want the node marked out and unable to serve", r)
 	}
 	if r := f.apply(1, terms, func(b *HeartbeatBatch) { b.Renewals = []uint32{j.LeaseID} }); len(r.Granted) != 0 {
@@ -187,11 +187,11 @@
 	if r := f.state.Apply(old, 1, terms); r.Applied || len(r.Granted) > 0 {
 		t.Fatalf("result %+v of a batch that was built before another was applied, want it ignored", r)
 	}
-	if r := f.apply(3000, terms, nil); len(r.CountedOut) != 0 {
-		t.Errorf("the new leader's first batch marks out %v, want none", r.CountedOut)
+	if r := f.apply(3000, terms, nil); len(r.MarkedOut) != 0 {
+		t.Errorf("the new leader's first batch marks out %v, want none", r.MarkedOut)
 	}
-	if r := f.apply(LeaseSpanMS(4000)+1, terms, nil); len(r.CountedOut) != 1 {
-		t.Errorf("marked out %v after a silent lease span under the new leader, want [a]", r.CountedOut)
+	if r := f.apply(LeaseSpanMS(4000)+1, terms, nil); len(r.MarkedOut) != 1 {
+		t.Errorf("marked out %v after a silent lease span under the new leader, want [a]", r.MarkedOut)
 	}
 }
 
--- a/internal/control/policy/apply.go
+++ b/internal/control/policy/apply.go
@@ -125,7 +125,7 @@
 	if c.Step != Decided {
 		return c.wrongStepRejection(Decided)
 	}
-	if older := f.NodesServingOlder(c.Version); len(older) > 0 && !disabled.Has(LeaseGuard) {
+	if older := f.NodesServingOlder(c.Version); len(older) > 0 && !disabled.Has(AwaitLeases) {
 		return "still under an older one: " + Summarize(older)
 	}
 	s.makeCommitted(f)
@@ -139,7 +139,7 @@
 	if c.Step != Committed {
 		return c.wrongStepRejection(Committed)
 	}
-	if older := f.NodesServingOlder(c.Version); len(older) > 0 && !disabled.Has(LeaseGuard) {
+	if older := f.NodesServingOlder(c.Version); len(older) > 0 && !disabled.Has(AwaitLeases) {
 		return "maybe still under an older one: " + Summarize(older)
 	}
 	c.Step, c.EndedAtMS = Settled, f.ClockMS
--- a/internal/control/policy/generation.go
+++ b/internal/control/policy/generation.go
@@ -1,7 +1,7 @@
 package policy
 
-// Restored is the policy version with which a restored group begins its next generation.
-type Restored struct {
+// RestoredVersion is the policy version with which a restored group begins its next generation.
+type RestoredVersion struct {
 	Version uint64 // 0: no node served under a version
 	Hash    string // of its text; empty: the text is lost
 	Rules   Rules
@@ -13,7 +13,7 @@
 
 // BeginGeneration makes the restored version the committed one, at the given group clock in ms, and ends the current
 // change.
-func (s *State) BeginGeneration(restored Restored, clockMS uint64) {
+func (s *State) BeginGeneration(restored RestoredVersion, clockMS uint64) {
 	s.endByRestore(restored, clockMS)
 	if restored.Version == 0 {
 		return
@@ -45,7 +45,7 @@
 
 // endByRestore ends the current change: as settled if it was decided and its version is the restored one, as aborted
 // otherwise.
-func (s *State) endByRestore(restored Restored, clockMS uint64) {
+func (s *State) endByRestore(restored RestoredVersion, clockMS uint64) {
 	c := s.Current
 	if c == nil {
 		return
--- a/internal/control/policy/guard.go
+++ b/internal/control/policy/guard.go
@@ -5,30 +5,30 @@
 
 // Each guard is described by its rule and by the failure without it.
 const (
-	// LeaseGuard: commit and settle wait for the leases of older versions. Without it, a change is reported as settled
+	// AwaitLeases: commit and settle wait for the leases of older versions. Without it, a change is reported as settled
 	// while an unreachable node still serves under the previous version.
-	LeaseGuard Guard = 1 << iota
-	// Fence: a node stops serving when its lease expires. Without it, the node serves under an outdated version.
-	Fence
+	AwaitLeases Guard = 1 << iota
+	// FenceOnExpiry: a node stops serving when its lease expires. Without it, the node serves under an outdated version.
+	FenceOnExpiry
 	// PrepareAll: all nodes that may serve must prepare, not just a majority. Without it, a version is decided under
 	// which some node can't serve.
 	PrepareAll
 	// DecideOnce: a decided change is never aborted. Without it, only the nodes that received the decision activate it.
 	DecideOnce
-	// Incarnation: a replaced incarnation's lease is not extended and its report is ignored. Without it, a change is
+	// CurrentIncarnation: a replaced incarnation's lease is not extended and its report is ignored. Without it, a change is
 	// decided by the report of a process that has ended.
-	Incarnation
+	CurrentIncarnation
 	// NoDowngrade: a node never activates an older version. Without it, a response of a stale instance downgrades it.
 	NoDowngrade
-	// Shadow: a node evaluates a version before it reports it prepared. Without it, a version that sheds everything is
+	// ShadowEvaluation: a node evaluates a version before it reports it prepared. Without it, a version that sheds everything is
 	// decided.
-	Shadow
-	// Generation: a restored group is a new generation, and nodes follow the newest that they know. Without it, paused
+	ShadowEvaluation
+	// NewestGeneration: a restored group is a new generation, and nodes follow the newest that they know. Without it, paused
 	// instances of the old group regain nodes, and two groups decide.
-	Generation
-	// Proof: a group that lacks state known to its nodes grants nothing. Without it, a group that was reset to an older
+	NewestGeneration
+	// LossProof: a group that lacks state known to its nodes grants nothing. Without it, a group that was reset to an older
 	// state decides the same change twice.
-	Proof
+	LossProof
 	// ListenFirst: a new leader waits for heartbeats before it grants. Without it, it grants before a node can prove
 	// that the group has lost state.
 	ListenFirst
--- a/internal/control/policy/next.go
+++ b/internal/control/policy/next.go
@@ -16,7 +16,7 @@
 		return nil
 	}
 	blockers, refusals := s.Blockers(f, reports)
-	unblocked := len(blockers) == 0 || disabled.Has(LeaseGuard)
+	unblocked := len(blockers) == 0 || disabled.Has(AwaitLeases)
 	switch {
 	case c.Step == Preparing:
 		return nextWhilePreparing(c, f, blockers, refusals, disabled)
--- a/internal/control/policy/policy_test.go
+++ b/internal/control/policy/policy_test.go
@@ -246,9 +246,9 @@
 // TestGuardNames: fault tests disable guards by name. With names and constants in different orders they would disable
 // another guard than the named one.
 func TestGuardNames(t *testing.T) {
-	named := map[string]Guard{"lease": LeaseGuard, "fence": Fence, "prepare-all": PrepareAll, "decide-once": DecideOnce,
-		"incarnation": Incarnation, "no-way-back": NoDowngrade, "shadow": Shadow, "generation": Generation,
-		"proof": Proof, "listen-first": ListenFirst, "arrival-order": ArrivalOrder}
+	named := map[string]Guard{"lease": AwaitLeases, "fence": FenceOnExpiry, "prepare-all": PrepareAll, "decide-once": DecideOnce,
+		"incarnation": CurrentIncarnation, "no-way-back": NoDowngrade, "shadow": ShadowEvaluation, "generation": NewestGeneration,
+		"proof": LossProof, "listen-first": ListenFirst, "arrival-order": ArrivalOrder}
 	if len(named) != len(guardNames) || ArrivalOrder != 1<<(len(guardNames)-1) {
 		t.Errorf("%d guard names, want one for each of %d guards", len(guardNames), len(named))
 	}
--- a/internal/control/zones/monitor.go
+++ b/internal/control/zones/monitor.go
@@ -78,9 +78,9 @@
 	return report
 }
 
-// LastHeard returns the time of the last heartbeat of a node's current incarnation, in ms; 0 if this leader received
+// LastHeartbeatAt returns the time of the last heartbeat of a node's current incarnation, in ms; 0 if this leader received
 // none.
-func (m *Monitor) LastHeard(node *membership.Node) uint64 {
+func (m *Monitor) LastHeartbeatAt(node *membership.Node) uint64 {
 	if report := m.reportOf(node); report != nil {
 		return report.receivedAt
 	}
--- a/internal/control/zones/pin_stream_test.go
+++ b/internal/control/zones/pin_stream_test.go
@@ -215,7 +215,7 @@
 				peers = append(peers, api.PeerHealth{Name: target.Name, Health: health})
 			}
 			s.monitor.Record(s.now, node, s.loadReport(zone.name, zone.arrivals), peers)
-			s.writeLine("heard %d", s.monitor.LastHeard(node))
+			s.writeLine("heard %d", s.monitor.LastHeartbeatAt(node))
 		}
 	}
 	s.operator()
--- a/internal/harness/broken_promise.go
+++ b/internal/harness/broken_promise.go
@@ -16,7 +16,7 @@
 func breakOrReturn(rep *report.Report, err error) error {
 	var broken brokenPromise
 	if errors.As(err, &broken) {
-		rep.Break("%s", string(broken))
+		rep.SetBroken("%s", string(broken))
 		return nil
 	}
 	return err
--- a/internal/harness/control_processes.go
+++ b/internal/harness/control_processes.go
@@ -219,10 +219,10 @@
 	return res.StatusCode, json.Unmarshal(raw, out)
 }
 
-func (c *controlProcesses) report(p *instanceProcess) (*consensus.Report, error) {
+func (c *controlProcesses) report(p *instanceProcess) (*consensus.StatusReport, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	var r consensus.Report
+	var r consensus.StatusReport
 	_, err := c.call(ctx, http.MethodGet, p.listen, "/v1/status", nil, &r)
 	return &r, err
 }
@@ -256,11 +256,11 @@
 
 // join takes an instance in.
 func (c *controlProcesses) join(ctx context.Context, p *instanceProcess) error {
-	var s consensus.Self
+	var s consensus.InstanceInfo
 	if _, err := c.call(ctx, http.MethodGet, p.listen, "/v1/self", nil, &s); err != nil {
 		return err
 	}
-	ch := consensus.Change{Op: "add", Member: consensus.Member{ID: s.ID, Name: s.Name, Peer: s.Peer,
+	ch := consensus.MemberChange{Op: "add", Member: consensus.Member{ID: s.ID, Name: s.Name, Peer: s.Peer,
 		Listen: s.Listen, Promote: true}}
 	return c.await(ctx, func() error {
 		var out json.RawMessage
--- a/internal/harness/demo.go
+++ b/internal/harness/demo.go
@@ -170,15 +170,15 @@
 	if err = os.WriteFile(file, raw, 0o600); err != nil {
 		return nil, nil, err
 	}
-	node, err := server.ReadNode(file, "", "")
+	node, err := server.ReadStartupFile(file, "", "")
 	if err != nil {
 		return nil, nil, err
 	}
 	own := &config.Node{Reserve: true}
 	if o.Pools {
-		own.Pools = []config.Pool{{Handler: o.s.Classes[o.s.Cheapest].Name, Cap: 1}}
+		own.Pools = []config.Pool{{Handler: o.s.Classes[o.s.Cheapest].Name, MaxShare: 1}}
 	}
-	if err = node.Own(own); err != nil {
+	if err = node.SetOperatorConfig(own); err != nil {
 		return nil, nil, err
 	}
 	out, err := os.Create(filepath.Join(dir, "node.log"))
@@ -190,7 +190,7 @@
 	go func() {
 		defer out.Close()
 		ended <- server.Run(node, log, server.Signals{Drain: signals,
-			Read: func() (*server.Node, error) { return node, nil }})
+			ReadConfig: func() (*server.StartupFile, error) { return node, nil }})
 	}()
 	return signals, ended, nil
 }
--- a/internal/harness/faults_on_demand.go
+++ b/internal/harness/faults_on_demand.go
@@ -66,7 +66,7 @@
 	if kind == diskStalls || kind == diskFull {
 		return consensus.Faults{WrapDisk: func(fs wal.FS) wal.FS { return failingDisk{fs, kind, armed} }}
 	}
-	return consensus.Faults{OnStep: func(step consensus.WorkStep) {
+	return consensus.Faults{OnStep: func(step consensus.ReadyStep) {
 		if string(step) == kind && armed.Load() {
 			syscall.Kill(os.Getpid(), syscall.SIGKILL)
 			select {}
--- a/internal/harness/fleet_control.go
+++ b/internal/harness/fleet_control.go
@@ -91,7 +91,7 @@
 	r.seq++
 	var a consensus.PutResult
 	err := r.await(10*time.Second, func() error {
-		var s consensus.Report
+		var s consensus.StatusReport
 		if _, err := r.ask(http.MethodGet, "/v1/status", nil, &s); err != nil {
 			return err
 		}
--- a/internal/harness/heartbeat_load.go
+++ b/internal/harness/heartbeat_load.go
@@ -80,14 +80,14 @@
 		return err
 	}
 	was, is, seconds := before.view, after.view, span.Seconds()
-	rep.Add("crowd_nodes", "%d", is.ActiveNodes)
-	rep.Add("crowd_askings_per_s", "%.0f", float64(m.heartbeats.Load())/seconds)
-	rep.Add("crowd_entries_per_s", "%.2f", float64(is.Batches-was.Batches)/seconds)
-	rep.Add("crowd_kb_per_s", "%.1f", float64(is.BatchBytes-was.BatchBytes)/1024/seconds)
-	rep.Add("crowd_leader_cores", "%.2f", (after.cpu-before.cpu).Seconds()/seconds)
-	rep.Add("crowd_lost", "%d", m.lost.Load())
+	rep.AddFigure("crowd_nodes", "%d", is.ActiveNodes)
+	rep.AddFigure("crowd_askings_per_s", "%.0f", float64(m.heartbeats.Load())/seconds)
+	rep.AddFigure("crowd_entries_per_s", "%.2f", float64(is.HeartbeatBatches-was.HeartbeatBatches)/seconds)
+	rep.AddFigure("crowd_kb_per_s", "%.1f", float64(is.BatchBytes-was.BatchBytes)/1024/seconds)
+	rep.AddFigure("crowd_leader_cores", "%.2f", (after.cpu-before.cpu).Seconds()/seconds)
+	rep.AddFigure("crowd_lost", "%d", m.lost.Load())
 	if is.ActiveNodes != heartbeatNodes || m.lost.Load() > m.heartbeats.Load()/100 {
-		rep.Break("a group asked by %d nodes has %d in, and %d of %d askings were lost", heartbeatNodes, is.ActiveNodes,
+		rep.SetBroken("a group asked by %d nodes has %d in, and %d of %d askings were lost", heartbeatNodes, is.ActiveNodes,
 			m.lost.Load(), m.heartbeats.Load())
 	}
 	return nil
@@ -125,13 +125,13 @@
 	if err != nil {
 		return err
 	}
-	rep.Add("restart_leads_ms", "%d", leads.Milliseconds())
-	rep.Add("restart_all_in_ms", "%d", all.Milliseconds())
-	rep.Add("restart_askings_per_s_peak", "%d", 10*peak)
-	rep.Add("restart_leader_cpu_s", "%.2f", cpu.Seconds())
-	rep.Add("restart_leader_mb", "%.0f", rssOf(leader.pid()))
+	rep.AddFigure("restart_leads_ms", "%d", leads.Milliseconds())
+	rep.AddFigure("restart_all_in_ms", "%d", all.Milliseconds())
+	rep.AddFigure("restart_askings_per_s_peak", "%d", 10*peak)
+	rep.AddFigure("restart_leader_cpu_s", "%.2f", cpu.Seconds())
+	rep.AddFigure("restart_leader_mb", "%.0f", rssOf(leader.pid()))
 	if m.leased.Load() < heartbeatNodes {
-		rep.Break("a group and %d nodes restart at once, and %d are in after %v", heartbeatNodes, m.leased.Load(), all)
+		rep.SetBroken("a group and %d nodes restart at once, and %d are in after %v", heartbeatNodes, m.leased.Load(), all)
 	}
 	return nil
 }
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -42,7 +42,7 @@
 func (r *PolicyTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "policy", Title: "A change of policy everywhere or nowhere",
 		Head: []string{"PART", "NODES", "CHANGES", "SETTLED", "CALLED OFF", "MEDIAN", "99TH", "WORST", "OVERLAP"}}
-	rep.Add("seed", "%d", r.Seed)
+	rep.AddFigure("seed", "%d", r.Seed)
 	if r.Mode != "real" {
 		r.virtual(ctx, rep)
 		if rep.Broken == "" && r.Without == 0 {
@@ -57,7 +57,7 @@
 	if err := interrupted(ctx, nil); err != nil {
 		return nil, err
 	}
-	return rep.End(r.Out, w)
+	return rep.Finish(r.Out, w)
 }
 
 // span gives the quantiles of times as a table's cells.
@@ -90,7 +90,7 @@
 	ends, causes, broken := map[policy.Step]int{}, map[string]int{}, brokenSchedules{}
 	var times []float64
 	var overlap int64
-	report.EachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Fleet {
+	report.RunSeeds(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Fleet {
 		f := simulation.NewFleet(simulation.FleetPlan{Seed: s, Nodes: 9 + int(s%7), Ctl: 3 + 2*int(s%2), Changes: 5,
 			Without: r.Without})
 		f.Play()
@@ -108,9 +108,9 @@
 	})
 	changes := ends[policy.Settled] + ends[policy.Aborted]
 	r.row(rep, "virtual, faults", 12, changes, ends, times, overlap)
-	rep.Add("schedules", "%d", n)
-	rep.Add("changes", "%d", changes)
-	rep.Add("broken", "%d", broken.count)
+	rep.AddFigure("schedules", "%d", n)
+	rep.AddFigure("changes", "%d", changes)
+	rep.AddFigure("broken", "%d", broken.count)
 	for _, c := range []string{"a node said no", "not prepared in time", "by the operator"} {
 		rep.Notes = append(rep.Notes, fmt.Sprintf("virtual, faults: called off, %s: %d of %d", c, causes[c],
 			ends[policy.Aborted]))
@@ -141,7 +141,7 @@
 				Lease: 10_000, Span: 60_000})
 			f.Play()
 			if f.Broken != "" {
-				rep.Break("%d nodes, %s: %s", n, c.part, f.Broken)
+				rep.SetBroken("%d nodes, %s: %s", n, c.part, f.Broken)
 			}
 			r.row(rep, "virtual, "+c.part, n, len(f.Times), f.Ends, f.Times, f.Overlap)
 			if c.way == "" {
@@ -197,7 +197,7 @@
 		}
 		started := time.Now()
 		if err := b.playCase(c); err != nil {
-			rep.Break("%s: %v", c.name, err)
+			rep.SetBroken("%s: %v", c.name, err)
 			break
 		}
 		kept++
@@ -205,7 +205,7 @@
 	}
 	stop()
 	b.loads.Wait()
-	rep.Add("cases", "%d", kept)
+	rep.AddFigure("cases", "%d", kept)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("cases, real: callers: %v", calls))
 }
 
@@ -241,9 +241,9 @@
 		b.loads.Wait()
 		stop()
 		what := map[bool]string{false: "whole", true: "zone_cut"}[cut]
-		rep.Add(what+"_done_of", "%d/%d", calls.Done, calls.Requests)
-		rep.Add(what+"_tries_each", "%.3f", float64(calls.Attempts)/float64(max(1, calls.Requests)))
-		rep.Add(what+"_ms_99th", "%.0f", calls.quantile(0.99))
+		rep.AddFigure(what+"_done_of", "%d/%d", calls.Done, calls.Requests)
+		rep.AddFigure(what+"_tries_each", "%.3f", float64(calls.Attempts)/float64(max(1, calls.Requests)))
+		rep.AddFigure(what+"_ms_99th", "%.0f", calls.quantile(0.99))
 	}
 	b.heal()
 	return b.AwaitAllServing(b.committedVersion, 20*time.Second)
@@ -265,7 +265,7 @@
 	for i := 0; i < n && ctx.Err() == nil; i++ {
 		c, err := b.change(policy.Proposal{})
 		if err != nil {
-			rep.Break("change %d of %d under load: %v", i+1, n, err)
+			rep.SetBroken("change %d of %d under load: %v", i+1, n, err)
 			return nil
 		}
 		ends[c.Step]++
@@ -275,21 +275,21 @@
 	b.loads.Wait()
 	overlap, err := b.Check(b.promises())
 	if err != nil {
-		rep.Break("%d changes under load: %v", n, err)
+		rep.SetBroken("%d changes under load: %v", n, err)
 	}
 	for _, c := range numbers {
 		times = append(times, b.commitTimes[c])
 	}
 	r.row(rep, "real, under load", len(b.nodes), n, ends, times, overlap)
-	rep.Add("real_changes", "%d", n)
-	rep.Add("asked", "%d", calls.Requests)
-	rep.Add("lost", "%d", calls.Lost)
-	rep.Add("shed", "%d", calls.Shed)
-	rep.Add("errored", "%d", calls.Errors)
+	rep.AddFigure("real_changes", "%d", n)
+	rep.AddFigure("asked", "%d", calls.Requests)
+	rep.AddFigure("lost", "%d", calls.Lost)
+	rep.AddFigure("shed", "%d", calls.Shed)
+	rep.AddFigure("errored", "%d", calls.Errors)
 	rep.Notes = append(rep.Notes, "before the first change: "+before,
 		fmt.Sprintf("done within %.0f ms in the median, %.0f at the 99th", calls.quantile(0.5), calls.quantile(0.99)))
 	if calls.Lost+calls.Shed+calls.Errors > 0 {
-		rep.Break("callers noticed %d changes: %v", n, calls)
+		rep.SetBroken("callers noticed %d changes: %v", n, calls)
 	}
 	return nil
 }
--- a/internal/harness/policy_cases.go
+++ b/internal/harness/policy_cases.go
@@ -286,7 +286,7 @@
 	// node may not serve by that word; it serves once it hears from the group.
 	{name: "an instance that is behind speaks to a node that starts", run: func(b *policyFixture) {
 		n := b.nodes[4%len(b.nodes)]
-		var s consensus.Report
+		var s consensus.StatusReport
 		mustGet(b.ask(http.MethodGet, "/v1/status", nil, &s))
 		var was consensus.Version
 		mustGet(b.ask(http.MethodGet, fmt.Sprintf("/v1/config?version=%d&read=stale", b.committedVersion), nil, &was))
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -39,7 +39,7 @@
 func (r *RaftTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "raft", Title: "The replicated group under faults",
 		Head: []string{"PART", "GROUPS", "RUNS", "STEPS OR PUTS", "BROKEN", "MEDIAN", "99TH", "WORST"}}
-	rep.Add("seed", "%d", r.Seed)
+	rep.AddFigure("seed", "%d", r.Seed)
 	if r.Mode != "real" {
 		r.virtual(ctx, rep)
 	}
@@ -51,7 +51,7 @@
 	if err := interrupted(ctx, nil); err != nil {
 		return nil, err
 	}
-	return rep.End(r.Out, w)
+	return rep.Finish(r.Out, w)
 }
 
 // size gives the instances of a schedule's group.
@@ -74,7 +74,7 @@
 	started := time.Now()
 	var first *simulation.Result
 	steps, calls, terms, ran, bad := 0, 0, 0, 0, 0
-	report.EachSeed(ctx, r.Seed*1000003, n, func(s int64) simulation.Result {
+	report.RunSeeds(ctx, r.Seed*1000003, n, func(s int64) simulation.Result {
 		size := r.size(s)
 		return simulation.Play(s, size, simulation.DrawFaults(s, size, simulation.ScheduleMilliseconds), r.Without, nil)
 	}, func(_ int64, res simulation.Result) bool {
@@ -89,12 +89,12 @@
 	took := time.Since(started)
 	rep.Rows = append(rep.Rows, []string{"virtual", groups(r.Size), strconv.Itoa(ran), strconv.Itoa(steps),
 		strconv.Itoa(bad), "-", "-", "-"})
-	rep.Add("schedules", "%d", ran)
-	rep.Add("broken", "%d", bad)
-	rep.Add("steps", "%d", steps)
-	rep.Add("calls", "%d", calls)
-	rep.Add("terms", "%d", terms)
-	rep.Add("schedules_per_min", "%.0f", float64(ran)/took.Minutes())
+	rep.AddFigure("schedules", "%d", ran)
+	rep.AddFigure("broken", "%d", bad)
+	rep.AddFigure("steps", "%d", steps)
+	rep.AddFigure("calls", "%d", calls)
+	rep.AddFigure("terms", "%d", terms)
+	rep.AddFigure("schedules_per_min", "%.0f", float64(ran)/took.Minutes())
 	if first == nil {
 		return
 	}
@@ -104,7 +104,7 @@
 	rep.Notes = append(rep.Notes, fmt.Sprintf("seed %d of %d instances: %s\nwith these faults alone:\n%s",
 		first.Seed,
 		size, first.Broken, simulation.FaultLines(short)))
-	rep.Break("seed %d: %s", first.Seed, first.Broken)
+	rep.SetBroken("seed %d: %s", first.Seed, first.Broken)
 }
 
 func groups(size int) string {
--- a/internal/harness/raft_kills.go
+++ b/internal/harness/raft_kills.go
@@ -49,7 +49,7 @@
 			return err
 		}
 		if err := k.load.end(); err != nil {
-			rep.Break("%d instances: %v", size, err)
+			rep.SetBroken("%d instances: %v", size, err)
 		}
 		k.addResults(rep, plot)
 		return nil
@@ -175,19 +175,19 @@
 	size, gaps := len(k.group.procs), k.gaps
 	rep.Rows = append(rep.Rows, []string{"leader lost", strconv.Itoa(size),
 		strconv.FormatInt(gaps.TotalCount(), 10), strconv.Itoa(k.load.puts), strconv.FormatBool(rep.Broken != ""),
-		report.Milliseconds(gaps.ValueAtQuantile(50)), report.Milliseconds(gaps.ValueAtQuantile(99)),
-		report.Milliseconds(gaps.Max())})
+		report.FormatMilliseconds(gaps.ValueAtQuantile(50)), report.FormatMilliseconds(gaps.ValueAtQuantile(99)),
+		report.FormatMilliseconds(gaps.Max())})
 	key := fmt.Sprintf("kills%d", size)
-	rep.Add(key, "%d", gaps.TotalCount())
-	rep.Add(key+"_median_ms", "%d", gaps.ValueAtQuantile(50))
-	rep.Add(key+"_p99_ms", "%d", gaps.ValueAtQuantile(99))
-	rep.Add(key+"_worst_ms", "%d", gaps.Max())
+	rep.AddFigure(key, "%d", gaps.TotalCount())
+	rep.AddFigure(key+"_median_ms", "%d", gaps.ValueAtQuantile(50))
+	rep.AddFigure(key+"_p99_ms", "%d", gaps.ValueAtQuantile(99))
+	rep.AddFigure(key+"_worst_ms", "%d", gaps.Max())
 	for _, fault := range append(k.kinds, cutOff) {
 		if n := k.byFault[fault]; n > 0 {
 			rep.Notes = append(rep.Notes, fmt.Sprintf("%d instances: %d leaders: %s", size, n, faultText(fault)))
 		}
 	}
-	rep.Add(key+"_versions", "%d", len(k.load.committed))
+	rep.AddFigure(key+"_versions", "%d", len(k.load.committed))
 	line := report.Line{Name: fmt.Sprintf("%d instances", size)}
 	for _, q := range []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 100} {
 		line.Points = append(line.Points, [2]float64{float64(gaps.ValueAtQuantile(q)), q / 100})
--- a/internal/harness/raft_processes.go
+++ b/internal/harness/raft_processes.go
@@ -55,7 +55,7 @@
 			tick)); err != nil {
 			return err
 		}
-		median, _ := strconv.Atoi(sub.Find("kills3_median_ms"))
+		median, _ := strconv.Atoi(sub.FigureValue("kills3_median_ms"))
 		wrong, err := r.falseElections(ctx, tick)
 		if err != nil {
 			return err
@@ -63,8 +63,8 @@
 		calm.Points = append(calm.Points, [2]float64{float64(tick * 10), float64(median)})
 		busy.Points = append(busy.Points, [2]float64{float64(tick * 10), float64(100 * wrong)})
 		rep.Rows = append(rep.Rows, []string{fmt.Sprintf("timeout %d ms", tick*10), "3", "8 kills, 10 s busy",
-			"-", fmt.Sprintf("%d elections", wrong), report.Milliseconds(int64(median)), "-",
-			sub.Find("kills3_worst_ms") + " ms"})
+			"-", fmt.Sprintf("%d elections", wrong), report.FormatMilliseconds(int64(median)), "-",
+			sub.FigureValue("kills3_worst_ms") + " ms"})
 	}
 	plot.Lines = []report.Line{calm, busy}
 	rep.Plots = append(rep.Plots, plot)
@@ -150,12 +150,12 @@
 			return err
 		}
 		if err := l.end(); err != nil {
-			rep.Break("%d clients: %v", clients, err)
+			rep.SetBroken("%d clients: %v", clients, err)
 		}
 		key := fmt.Sprintf("clients%d", clients)
-		rep.Add(key+"_puts_per_s", "%.0f", float64(puts)/took)
-		rep.Add(key+"_versions_per_s", "%.0f", float64(versions)/took)
-		rep.Add(key+"_syncs_per_put", "%.2f", float64(after.Syncs-before.Syncs)/float64(max(1, puts)))
+		rep.AddFigure(key+"_puts_per_s", "%.0f", float64(puts)/took)
+		rep.AddFigure(key+"_versions_per_s", "%.0f", float64(versions)/took)
+		rep.AddFigure(key+"_syncs_per_put", "%.2f", float64(after.Syncs-before.Syncs)/float64(max(1, puts)))
 		rep.Rows = append(rep.Rows, []string{fmt.Sprintf("put, %d clients", clients), "3", "10 s",
 			strconv.Itoa(puts), "-", us(l.times.ValueAtQuantile(50)), us(l.times.ValueAtQuantile(99)),
 			us(l.times.Max())})
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -39,14 +39,14 @@
 	rep := &report.Report{Name: "comeback", Title: "Coming back after a restart of most of the fleet",
 		Head: []string{"PART", "NODES", "LOAD", "WAY", "HALF", "95 IN 100", "WHOLE", "AT BEST", "BELOW, PEAK",
 			"TRIES A REQ"}}
-	rep.Add("seed", "%d", r.Seed)
+	rep.AddFigure("seed", "%d", r.Seed)
 	if r.Mode != "real" {
 		entries, largest, worst, broken := joinAll(r.Seed, 5000, r.WithoutPolicyGuards)
-		rep.Add("crowd_entries", "%d", entries)
-		rep.Add("crowd_largest", "%d", largest)
-		rep.Add("crowd_worst_ms", "%d", worst)
+		rep.AddFigure("crowd_entries", "%d", entries)
+		rep.AddFigure("crowd_largest", "%d", largest)
+		rep.AddFigure("crowd_worst_ms", "%d", worst)
 		if broken != "" {
-			rep.Break("5,000 nodes at the group: %s", broken)
+			rep.SetBroken("5,000 nodes at the group: %s", broken)
 		}
 		r.virtual(ctx, rep)
 	}
@@ -61,7 +61,7 @@
 	if err := interrupted(ctx, nil); err != nil {
 		return nil, err
 	}
-	return rep.End(r.Out, w)
+	return rep.Finish(r.Out, w)
 }
 
 // shortestRecovery is the least time, in seconds, in which services of a coldness can be warm enough for a load: they
@@ -106,7 +106,7 @@
 		{"nodes alone", func(p *simulation.ZonePlan) { p.Off = true }}}) {
 		// A fleet that is always asked for more than it bears never shows what that is: a limit of the design.
 		if i < 2 && v.Broken != "" && load <= 1 {
-			rep.Break("%d nodes, load %.2f: %s", n, load, v.Broken)
+			rep.SetBroken("%d nodes, load %.2f: %s", n, load, v.Broken)
 		}
 		most := min(1, 1/load)
 		rep.Rows = append(rep.Rows, []string{"virtual", strconv.Itoa(n), fmt.Sprintf("%.2f", load), v.name,
--- a/internal/harness/result_store.go
+++ b/internal/harness/result_store.go
@@ -73,7 +73,7 @@
 	if err := interrupted(ctx, nil); err != nil {
 		return nil, err
 	}
-	return rep.End(k.Out, w)
+	return rep.Finish(k.Out, w)
 }
 
 // killedStore is the operator's file of nodes under kills.
@@ -131,7 +131,7 @@
 	kills, sum := killCounts{byPoint: map[string]int{}}, historyTotals{}
 	for i, n := range nodes {
 		if broken := n.history.broken(); broken != "" {
-			rep.Break("node %d, kill %d: %s", i+1, n.kills.all, broken)
+			rep.SetBroken("node %d, kill %d: %s", i+1, n.kills.all, broken)
 		}
 		kills.add(n.kills)
 		sum.add(n.history)
@@ -143,14 +143,14 @@
 	}
 	rep.Rows = append(rep.Rows, row)
 	for _, point := range crashPoints {
-		rep.Add("kills_"+point, "%d", kills.byPoint[point])
+		rep.AddFigure("kills_"+point, "%d", kills.byPoint[point])
 	}
-	rep.Add("kills", "%d", kills.all)
-	rep.Add("keys_run", "%d", sum.keys)
-	rep.Add("runs_after_the_window", "%d", sum.runs-sum.keys)
-	rep.Add("effects", "%d", sum.effects)
-	rep.Add("repeats_done", "%d", sum.answers.repeatsDone)
+	rep.AddFigure("kills", "%d", kills.all)
+	rep.AddFigure("keys_run", "%d", sum.keys)
+	rep.AddFigure("runs_after_the_window", "%d", sum.runs-sum.keys)
+	rep.AddFigure("effects", "%d", sum.effects)
+	rep.AddFigure("repeats_done", "%d", sum.answers.repeatsDone)
 	if rep.Broken == "" && (sum.answers.repeatsDone == 0 || sum.answers.done == 0) {
-		rep.Break("nothing was shown: %d done, %d repeats of them", sum.answers.done, sum.answers.repeatsDone)
+		rep.SetBroken("nothing was shown: %d done, %d repeats of them", sum.answers.done, sum.answers.repeatsDone)
 	}
 }
--- a/internal/harness/result_store_cost.go
+++ b/internal/harness/result_store_cost.go
@@ -96,7 +96,7 @@
 		all.Wait()
 		after, _ := cpuOf(r.proc.pid())
 		key := fmt.Sprintf("%s, %d callers, %s", name, callers, class)
-		rep.Add(key, "%.0f a second, median %.2f ms, 99th %.2f ms, %.0f us of CPU each",
+		rep.AddFigure(key, "%.0f a second, median %.2f ms, 99th %.2f ms, %.0f us of CPU each",
 			float64(done)/time.Since(began).Seconds(),
 			float64(took.ValueAtQuantile(50))/1000, float64(took.ValueAtQuantile(99))/1000,
 			(after-cpu).Seconds()*1e6/float64(max(done, 1)))
--- a/internal/harness/work_folder_test.go
+++ b/internal/harness/work_folder_test.go
@@ -42,7 +42,7 @@
 					cancel()
 				}
 				if c.broken != "" {
-					rep.Break("%s", c.broken)
+					rep.SetBroken("%s", c.broken)
 				}
 				return errors.Join(os.WriteFile(filepath.Join(dir, "n1.log"), []byte("a line\n"), 0o600), c.failed)
 			})
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -38,7 +38,7 @@
 	rep := &report.Report{Name: "zones", Title: "Leaving a zone that fails, and coming back",
 		Head: []string{"PART", "NODES", "LOAD", "WAY", "VALUE DONE", "LEFT AFTER", "IN AGAIN AFTER", "STEPS",
 			"BELOW, PEAK"}}
-	rep.Add("seed", "%d", r.Seed)
+	rep.AddFigure("seed", "%d", r.Seed)
 	if r.Mode != "real" {
 		r.virtual(ctx, rep)
 		if rep.Broken == "" && r.Without == 0 {
@@ -56,7 +56,7 @@
 	if err := interrupted(ctx, nil); err != nil {
 		return nil, err
 	}
-	return rep.End(r.Out, w)
+	return rep.Finish(r.Out, w)
 }
 
 // OnlyCosts stands for the measurement beside nodes alone, without the cases.
@@ -71,7 +71,7 @@
 		}
 	}
 	left, steps, back, broken := 0, 0, 0, brokenSchedules{}
-	report.EachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Zones {
+	report.RunSeeds(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Zones {
 		p := simulation.DrawZones(s)
 		p.Without = r.Without
 		v := simulation.NewZones(p)
@@ -82,11 +82,11 @@
 		broken.note(s, v.Broken)
 		return false
 	})
-	rep.Add("schedules", "%d", n)
-	rep.Add("broken", "%d", broken.count)
-	rep.Add("zones_left", "%d", left)
-	rep.Add("steps_in", "%d", steps)
-	rep.Add("steps_back", "%d", back)
+	rep.AddFigure("schedules", "%d", n)
+	rep.AddFigure("broken", "%d", broken.count)
+	rep.AddFigure("zones_left", "%d", left)
+	rep.AddFigure("steps_in", "%d", steps)
+	rep.AddFigure("steps_back", "%d", back)
 	broken.report(rep)
 }
 
@@ -121,7 +121,7 @@
 		{"each by its own", func(p *simulation.ZonePlan) { p.Own = true }},
 		{"at best", func(p *simulation.ZonePlan) { p.Oracle = true }}}) {
 		if v.Broken != "" {
-			rep.Break("%d nodes, load %.2f, %s, %s: %s", n, load, kind, v.name, v.Broken)
+			rep.SetBroken("%d nodes, load %.2f, %s, %s: %s", n, load, kind, v.name, v.Broken)
 		}
 		after := func(m map[string]float64) string {
 			if t, ok := m["z0"]; ok {
@@ -174,13 +174,13 @@
 			defer mu.Unlock()
 			wrong += v.Wrong
 			if v.Broken != "" {
-				rep.Break("noise: %s", v.Broken)
+				rep.SetBroken("noise: %s", v.Broken)
 			}
 		}()
 	}
 	wg.Wait()
-	rep.Add("noise_hours", "%.0f", hours)
-	rep.Add("wrong_leaves", "%d", wrong)
+	rep.AddFigure("noise_hours", "%.0f", hours)
+	rep.AddFigure("wrong_leaves", "%d", wrong)
 }
 
 // zoneRate is the callers' rate in the cases, requests a second over all nodes: a third of what three services bear
@@ -221,7 +221,7 @@
 	}
 	stop()
 	b.loads.Wait()
-	rep.Add("cases", "%d", kept)
+	rep.AddFigure("cases", "%d", kept)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("cases, real: callers: %v", calls))
 	return nil
 }
--- a/internal/harness/zones_cost.go
+++ b/internal/harness/zones_cost.go
@@ -275,7 +275,7 @@
 		rep.Rows = append(rep.Rows, append([]string{name, "9", strconv.Itoa(zoneRate) + "/s", one.variant.name},
 			p.row(one.variant, failure, &one.out[i])...))
 		if one.variant.name == p.bound && one.out[i].peak > 1 {
-			rep.Break("seed %d, %s: a service below was asked for %.2f of what it bears on the way back", one.seed,
+			rep.SetBroken("seed %d, %s: a service below was asked for %.2f of what it bears on the way back", one.seed,
 				failure,
 				one.out[i].peak)
 		}
--- a/internal/harness/zones_virtual.go
+++ b/internal/harness/zones_virtual.go
@@ -57,6 +57,6 @@
 // report makes the first broken schedule the report's broken promise.
 func (b *brokenSchedules) report(rep *report.Report) {
 	if b.count > 0 {
-		rep.Break("seed %d of %d broken schedules: %s", b.seed, b.count, b.what)
+		rep.SetBroken("seed %d of %d broken schedules: %s", b.seed, b.count, b.what)
 	}
 }
--- a/internal/node/agent/agent_test.go
+++ b/internal/node/agent/agent_test.go
@@ -348,7 +348,7 @@
 		t.Error("after a restart: HandleResponse() of an earlier generation = nil, want an error")
 	}
 	unguarded := startAgent(t, &Record{Cluster: "g2", Generation: 2, ActiveVersion: 2, ActiveHash: "h2", MinVersion: 2},
-		policy.Generation)
+		policy.NewestGeneration)
 	unguarded.nextHeartbeat()
 	if err := unguarded.handleResponse(api.HeartbeatResponse{Cluster: "g", Generation: 1, Index: 9000, DecidedVersion: 2,
 		CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}}); err != nil {
--- a/internal/node/agent/pin_decisions_test.go
+++ b/internal/node/agent/pin_decisions_test.go
@@ -224,10 +224,10 @@
 			if v, committed, ok := a.VersionToFetch(); ok && g.intN(3) == 0 {
 				switch g.intN(6) {
 				case 0:
-					a.Reject(now, v.Version, "it can't be served under", true)
+					a.RejectVersion(now, v.Version, "it can't be served under", true)
 				case 1:
 					if !committed {
-						a.Reject(now, v.Version, "it failed its trial", false)
+						a.RejectVersion(now, v.Version, "it failed its trial", false)
 					}
 				default:
 					a.MarkPrepared(now, v)
@@ -254,9 +254,9 @@
 
 // TestRecordedDecisions guards against an unintended change of any decision of the agent, with all guards and without.
 func TestRecordedDecisions(t *testing.T) {
-	for name, disabled := range map[string]policy.Guard{"all guards": 0, "without Fence": policy.Fence,
-		"without NoDowngrade": policy.NoDowngrade, "without Generation": policy.Generation,
-		"without all three": policy.Fence | policy.NoDowngrade | policy.Generation} {
+	for name, disabled := range map[string]policy.Guard{"all guards": 0, "without Fence": policy.FenceOnExpiry,
+		"without NoDowngrade": policy.NoDowngrade, "without Generation": policy.NewestGeneration,
+		"without all three": policy.FenceOnExpiry | policy.NoDowngrade | policy.NewestGeneration} {
 		sum, heartbeats, activated, rejected := sha256.New(), 0, 0, 0
 		for seed := uint64(1); seed <= 12; seed++ {
 			h, a, r := recordLives(seed, disabled, sum)
--- a/internal/node/agent/response.go
+++ b/internal/node/agent/response.go
@@ -108,7 +108,7 @@
 	disabled := a.config.DisabledGuards
 	group := api.GroupIdentity{Group: r.Cluster, Generation: max(firstGeneration, r.Generation),
 		Predecessors: r.Predecessors}
-	if !group.Succeeds(a.group.cluster, a.group.generation) && !disabled.Has(policy.Generation) {
+	if !group.Succeeds(a.group.cluster, a.group.generation) && !disabled.Has(policy.NewestGeneration) {
 		return fmt.Errorf("%w: found group %.16s of generation %d, expected %.16s of generation %d or a successor",
 			ErrUntrusted, r.Cluster, group.Generation, a.group.cluster, a.group.generation)
 	}
--- a/internal/node/agent/serving.go
+++ b/internal/node/agent/serving.go
@@ -25,7 +25,7 @@
 func (a *Agent) MayServe(now Milliseconds) (ok bool, reason string) {
 	disabled := a.config.DisabledGuards
 	switch {
-	case disabled.Has(policy.Fence) && a.group.contacted:
+	case disabled.Has(policy.FenceOnExpiry) && a.group.contacted:
 		return true, ""
 	case a.versions.active.Version < a.versions.min && !disabled.Has(policy.NoDowngrade):
 		return false, fmt.Sprintf(fencedBehind, a.versions.min)
--- a/internal/node/pools/pin_stream_test.go
+++ b/internal/node/pools/pin_stream_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-func (s *stream) drawConfig() Plan {
-	p := Plan{Reserve: s.rand.IntN(2) == 0, Tenants: s.rand.IntN(4)}
+func (s *stream) drawConfig() Config {
+	p := Config{Reserve: s.rand.IntN(2) == 0, Tenants: s.rand.IntN(4)}
 	for k := range 2 + s.rand.IntN(3) {
 		p.Classes = append(p.Classes, Class{Name: fmt.Sprint("class", k), Value: float64(s.rand.IntN(5))})
 	}
@@ -106,7 +106,7 @@
 }
 
 // changedConfig draws other limits for the same classes.
-func (s *stream) changedConfig(p Plan) Plan {
+func (s *stream) changedConfig(p Config) Config {
 	p.Disabled, p.Reserve = s.rand.IntN(8) == 0, s.rand.IntN(2) == 0
 	p.Classes = append([]Class(nil), p.Classes...)
 	for k := range p.Classes {
--- a/internal/node/pools/pools.go
+++ b/internal/node/pools/pools.go
@@ -8,8 +8,8 @@
 // Second is one second of Time.
 const Second = admission.Second
 
-// Plan is the configuration of pools.
-type Plan struct {
+// Config is the configuration of pools.
+type Config struct {
 	Disabled bool // every request may start
 	Classes  []Class
 	Reserve  bool // the class with the lowest median work has reserved slots
@@ -18,7 +18,7 @@
 
 // Pools is the state of one server's pools. It implements admission.Pools.
 type Pools struct {
-	config     Plan
+	config     Config
 	classes    []classState
 	queued     map[uint32]owner // by request ID
 	runs       map[uint32]*run  // by request ID
@@ -54,7 +54,7 @@
 }
 
 // New returns pools without requests.
-func New(config Plan) *Pools {
+func New(config Config) *Pools {
 	tenants := max(1, config.Tenants)
 	p := &Pools{
 		config:  config,
@@ -72,7 +72,7 @@
 
 // Reconfigure applies a new configuration; runs in progress are not affected. Classes must be the same in number and
 // order. The number of tenants can't change.
-func (p *Pools) Reconfigure(config Plan) {
+func (p *Pools) Reconfigure(config Config) {
 	config.Tenants = p.config.Tenants
 	p.config = config
 	for k := range config.Classes {
--- a/internal/node/pools/pools_test.go
+++ b/internal/node/pools/pools_test.go
@@ -74,7 +74,7 @@
 
 const queueTimeout = Second / 2 // a request that is queued for longer is shed
 
-func newTestServer(t *testing.T, slots int, config Plan) *testServer {
+func newTestServer(t *testing.T, slots int, config Config) *testServer {
 	n := len(config.Classes)
 	return &testServer{t: t, pools: New(config), slots: slots, runs: map[uint32]*testRun{}, done: make([]int, n),
 		late: make([]int, n), shed: make([]int, n), waits: make([][]Time, n), rand: rand.New(rand.NewSource(3))}
@@ -175,7 +175,7 @@
 
 func fractionOf(fraction float64, slots int) int { return int(fraction * float64(slots)) }
 
-var cheapAndCostly = Plan{Classes: []Class{{Name: "view"}, {Name: "load"}}, Reserve: true, Tenants: 3}
+var cheapAndCostly = Config{Classes: []Class{{Name: "view"}, {Name: "load"}}, Reserve: true, Tenants: 3}
 
 // TestCheapClassKeepsLatencyUnderOverload guards against costly work, at 130 % of capacity, that starves a cheap class.
 func TestCheapClassKeepsLatencyUnderOverload(t *testing.T) {
@@ -209,7 +209,7 @@
 // TestCostlyClassIsCutForStarvedClass guards against a costly class that keeps more than its fair slots, without a
 // reserve, while another is starved, and against a limit that outlasts the overload.
 func TestCostlyClassIsCutForStarvedClass(t *testing.T) {
-	s := newTestServer(t, 12, Plan{Classes: []Class{{Name: "medium"}, {Name: "costly"}}, Tenants: 1})
+	s := newTestServer(t, 12, Config{Classes: []Class{{Name: "medium"}, {Name: "costly"}}, Tenants: 1})
 	work := constantWork(100, 400)
 	s.load(10, []float64{40, 36}, work)
 	s.load(30, []float64{40, 36}, work)
@@ -229,7 +229,7 @@
 
 // TestNoLimitsUnderCapacity guards against limits, and starts out of arrival order, while there is capacity for all.
 func TestNoLimitsUnderCapacity(t *testing.T) {
-	s := newTestServer(t, 12, Plan{Classes: []Class{{Name: "a"}, {Name: "b"}, {Name: "c"}}, Tenants: 1})
+	s := newTestServer(t, 12, Config{Classes: []Class{{Name: "a"}, {Name: "b"}, {Name: "c"}}, Tenants: 1})
 	s.load(20, []float64{40, 10, 5}, constantWork(20, 200, 400))
 	for k := range s.pools.classes {
 		if !math.IsInf(s.pools.classes[k].limit, 1) || s.pools.classes[k].startedOverLimit > 0 || s.shed[k] > 0 {
@@ -250,7 +250,7 @@
 		}
 		return []Time{20, 100}[class] * 10
 	}
-	s := newTestServer(t, 12, Plan{Classes: []Class{{Name: "view"}, {Name: "save", MaxFraction: 0.5, FixedLimit: true}},
+	s := newTestServer(t, 12, Config{Classes: []Class{{Name: "view"}, {Name: "save", MaxFraction: 0.5, FixedLimit: true}},
 		Tenants: 1})
 	s.load(6, []float64{40, 30}, work)
 	someHeavy = true
@@ -269,7 +269,7 @@
 
 // TestHeavySlotsOfOneTenant guards against one tenant's heavy runs that take more than half of the heavy slots.
 func TestHeavySlotsOfOneTenant(t *testing.T) {
-	p := New(Plan{Classes: []Class{{Name: "a"}}, Tenants: 3})
+	p := New(Config{Classes: []Class{{Name: "a"}}, Tenants: 3})
 	now := Second
 	for id := uint32(1); id <= minSamples; id++ {
 		p.Enqueued(now, &admission.Request{ID: id})
@@ -316,7 +316,7 @@
 
 // TestReserveIsBounded guards against a surge of the cheapest class that displaces a more valuable one.
 func TestReserveIsBounded(t *testing.T) {
-	s := newTestServer(t, 12, Plan{Classes: []Class{{Name: "view"}, {Name: "submit", Value: 40}}, Reserve: true,
+	s := newTestServer(t, 12, Config{Classes: []Class{{Name: "view"}, {Name: "submit", Value: 40}}, Reserve: true,
 		Tenants: 1})
 	work := constantWork(20, 200)
 	s.load(6, []float64{60, 25}, work)
@@ -332,7 +332,7 @@
 // TestReserveIsStableForSimilarClasses guards against a reserve that moves back and forth between classes of similar
 // work.
 func TestReserveIsStableForSimilarClasses(t *testing.T) {
-	s := newTestServer(t, 12, Plan{Classes: []Class{{Name: "a"}, {Name: "b"}}, Reserve: true, Tenants: 1})
+	s := newTestServer(t, 12, Config{Classes: []Class{{Name: "a"}, {Name: "b"}}, Reserve: true, Tenants: 1})
 	changes := 0
 	for i := 0; i < 30; i++ {
 		s.load(1, []float64{30, 30}, func(class int) Time { return Time(400 + 80*((i+class)%2)) })
@@ -376,7 +376,7 @@
 // limited class.
 func TestOneOwnerDoesNotFillLimitedClass(t *testing.T) {
 	for _, by := range []string{"tenant", "caller"} {
-		s := newTestServer(t, 8, Plan{Classes: []Class{{Name: "a", MaxFraction: 0.5, FixedLimit: true}}, Tenants: 2})
+		s := newTestServer(t, 8, Config{Classes: []Class{{Name: "a", MaxFraction: 0.5, FixedLimit: true}}, Tenants: 2})
 		s.pools.Tick(Second, 8)
 		s.now = Second
 		for i := 0; i < 20; i++ {
@@ -423,7 +423,7 @@
 
 // TestTimeAtCallsIsNotWork guards against a slow dependency that makes a class costly, or its runs heavy.
 func TestTimeAtCallsIsNotWork(t *testing.T) {
-	p := New(Plan{Classes: []Class{{Name: "a"}}, Tenants: 1})
+	p := New(Config{Classes: []Class{{Name: "a"}}, Tenants: 1})
 	now := Second
 	for id := uint32(1); id <= 60; id++ {
 		p.Enqueued(now, &admission.Request{ID: id})
@@ -479,7 +479,7 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{5, 200} {
 		b.Run(map[int]string{5: "5", 200: "200"}[n], func(b *testing.B) {
-			config := Plan{Reserve: true, Tenants: 12}
+			config := Config{Reserve: true, Tenants: 12}
 			for k := 0; k < n; k++ {
 				config.Classes = append(config.Classes, Class{Name: "c"})
 			}
--- a/internal/node/pools/retry_order_test.go
+++ b/internal/node/pools/retry_order_test.go
@@ -30,7 +30,7 @@
 // TestRetryThroughAnotherCaller guards against an idempotency key that runs twice: the original is queued, as its
 // caller holds its share of the class's slots, and its retry arrives through another caller.
 func TestRetryThroughAnotherCaller(t *testing.T) {
-	p := New(Plan{Classes: []Class{{Name: "save", MaxFraction: 1, FixedLimit: true}}, Tenants: 1})
+	p := New(Config{Classes: []Class{{Name: "save", MaxFraction: 1, FixedLimit: true}}, Tenants: 1})
 	d := &admission.Deployment{Start: Second, FleetSize: 1, Callers: 2, RoundInterval: 10, Cores: 2, MaxRunsPerCore: 5,
 		MemoryKB: 1e6, RunMemoryFactor: 1, TableEntryKB: 1, Pools: p,
 		Handlers: []admission.Handler{{LatencyObjective: 4 * Second, Timeout: 8 * Second, Value: 1,
--- a/internal/node/server/admission_writer.go
+++ b/internal/node/server/admission_writer.go
@@ -15,9 +15,9 @@
 	r := l.requests.get(handle(id))
 	switch {
 	case r == nil || !r.mayStart():
-	case r.isToldToStop() && r.awaitsIntent(): // neither the run nor the stop has been sent to the kernel
+	case r.isStopRequested() && r.awaitsIntent(): // neither the run nor the stop has been sent to the kernel
 		r.setRun(runRunning)
-	case r.isToldToStop() && l.settings.Cancellation == admission.CancelPause:
+	case r.isStopRequested() && l.settings.Cancellation == admission.CancelPause:
 		l.sendResume(r)
 	default:
 		r.setRun(runRunning)
@@ -116,7 +116,7 @@
 // Health sets whether health checks and service discovery report the node as ready.
 func (l *loop) Health(ready bool) {
 	l.controllerReady = ready
-	l.ready = ready && l.fleet.takesTraffic()
+	l.ready = ready && l.fleet.ready()
 	l.discovery.ready = l.ready
 	l.sendReport()
 }
--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -38,8 +38,8 @@
 	limits.Connections, limits.EvictionThreshold = conns, conns
 	l := &loop{crossGoroutine: crossGoroutine{log: log, limits: limits, events: make(chan event, 256),
 		pool: bufferPool{capacity: limits.Buffers}, workers: newWorkers(1)},
-		clients:        clients{connections: newTable[connection](conns), idleTimeout: admission.Second},
-		requestsInHand: requestsInHand{requests: newTable[request](8)}, readiness: readiness{ready: true},
+		clients:          clients{connections: newTable[connection](conns), idleTimeout: admission.Second},
+		inFlightRequests: inFlightRequests{requests: newTable[request](8)}, readiness: readiness{ready: true},
 		configuration: configuration{settings: &settings.Startup{Deployment: &admission.Deployment{}}}}
 	l.startClock(admission.Second)
 	ln, err := newListener("127.0.0.1:0", conns, time.Millisecond)
@@ -63,7 +63,7 @@
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	l.t.Cleanup(func() { c.Close() })
 	return c
 }
@@ -332,7 +332,7 @@
 		case fd := <-accepted:
 			syscall.Write(fd, []byte("y"))
 			syscall.Close(fd)
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("connection is not accepted")
 		}
 	}
@@ -385,7 +385,7 @@
 	select {
 	case fd := <-accepted:
 		syscall.Close(fd)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("connection is not accepted after %d calls of accept", acceptCalls.Load())
 	}
 	if n := len(warnings); n != 1 {
@@ -425,7 +425,7 @@
 
 // A signal of one kind never displaces one of another kind, and an early SIGHUP does not end the program.
 func TestSignalKindsAreIndependent(t *testing.T) {
-	n := start(t, map[string]string{"stop_ms": "2500"})
+	n := startNode(t, map[string]string{"stop_ms": "2500"})
 	text, err := os.ReadFile(n.file)
 	if err != nil {
 		t.Fatal(err)
@@ -440,11 +440,11 @@
 		n.signal(syscall.SIGHUP)
 	}
 	n.cmd.Process.Signal(syscall.SIGTERM)
-	if !n.logged("drain: ") {
+	if !n.waitForLog("drain: ") {
 		t.Fatal("SIGTERM is lost after SIGHUP")
 	}
 	n.cmd.Process.Signal(syscall.SIGUSR1)
-	if !n.logged("msg=counters ") {
+	if !n.waitForLog("msg=counters ") {
 		t.Error("SIGUSR1 is lost after SIGHUP")
 	}
 	n.cmd.Process.Kill()
@@ -462,7 +462,7 @@
 	writer.Write(text)
 	n.writeStartupFile("") // replaces the pipe for the second reading
 	writer.Close()
-	if !n.logged(`msg="start-up file taken" `) {
+	if !n.waitForLog(`msg="start-up file taken" `) {
 		t.Error("an early SIGHUP is lost")
 	}
 }
--- a/internal/node/server/discovery_link.go
+++ b/internal/node/server/discovery_link.go
@@ -87,7 +87,7 @@
 
 // discoveryParser returns the parser of responses to reports.
 func discoveryParser(bounds wire.Bounds) linkParser {
-	return func(from *dialed, b *buffer) (event, int, error) {
+	return func(from *dialAttempt, b *buffer) (event, int, error) {
 		e := &b.report
 		e.dialed, e.buffer = from, b
 		var n int
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -7,19 +7,19 @@
 // closed in order. A connection with an unanswered request is never closed; while there is one, only the kill ends the
 // process.
 type drainState struct {
-	draining       bool
-	killDelay      admission.Time // from the start of the drain to the kill
-	answerBy       admission.Time // deadline for all responses
-	killMargin     admission.Time // from answerBy to the kill
-	drainStartedAt admission.Time // when the drain started
-	closingSince   admission.Time // when the closing of idle connections started; 0: not yet
+	draining         bool
+	killDelay        admission.Time // from the start of the drain to the kill
+	responseDeadline admission.Time // deadline for all responses
+	killMargin       admission.Time // from responseDeadline to the kill
+	drainStartedAt   admission.Time // when the drain started
+	closingSince     admission.Time // when the closing of idle connections started; 0: not yet
 }
 
 const (
 	// minListenTime is the minimum time from the start of the drain to the close of the listener: clients learn from
 	// service discovery that the node leaves.
 	minListenTime = 2 * admission.Second
-	// finalCloseMargin is the time before answerBy at which idle connections are closed even with incomplete input; the
+	// finalCloseMargin is the time before responseDeadline at which idle connections are closed even with incomplete input; the
 	// controller's last decisions come after it.
 	finalCloseMargin = admission.Second / 20
 	// drainCheckInterval is the interval between checks whether the drain is over.
@@ -33,8 +33,8 @@
 		return
 	}
 	l.killMargin = min(l.limits.KillMargin, l.killDelay/8)
-	l.draining, l.drainStartedAt, l.answerBy = true, l.now, l.now+l.killDelay-l.killMargin
-	l.nextRound().Drain, l.nextRound().KillAt = true, l.answerBy
+	l.draining, l.drainStartedAt, l.responseDeadline = true, l.now, l.now+l.killDelay-l.killMargin
+	l.nextRound().Drain, l.nextRound().KillAt = true, l.responseDeadline
 	l.Health(false)
 	l.timers.set(l.now, timerDrain, 0)
 	l.results.drain()
@@ -44,7 +44,7 @@
 // idle connections; requests that cross the close are still answered. The listener stays open until then, as clients
 // learn late that this node leaves. See rows "drain's end" and "kill near" in docs/design/shutdown.md.
 func (l *loop) drainTick() {
-	closeBy := l.answerBy - finalCloseMargin
+	closeBy := l.responseDeadline - finalCloseMargin
 	quiet := l.now-max(l.lastRequest, l.drainStartedAt) >= l.limits.DrainQuietPeriod &&
 		l.now-l.drainStartedAt >= minListenTime
 	if l.closingSince == 0 && (l.now >= closeBy-l.limits.InFlightGrace || quiet && l.unansweredConnections() == 0) {
@@ -97,7 +97,7 @@
 	if !l.draining || l.closingSince == 0 || l.unansweredConnections() > 0 || l.busy.Load() > 0 {
 		return false
 	}
-	if l.now >= l.answerBy+l.killMargin/2 {
+	if l.now >= l.responseDeadline+l.killMargin/2 {
 		return true
 	}
 	return !l.accepting && !l.hasLingering() && l.now >= max(l.closingSince, l.lastConnection)+l.limits.InFlightGrace
--- a/internal/node/server/events.go
+++ b/internal/node/server/events.go
@@ -47,30 +47,30 @@
 type (
 	// linkDialed: a dial ended with a connection or an error.
 	linkDialed struct {
-		dialed *dialed
+		dialed *dialAttempt
 		conn   netpoll.Connection
 		err    error
 	}
 	// linkClosed: a connection ended, or its input can't be parsed.
 	linkClosed struct {
-		dialed *dialed
+		dialed *dialAttempt
 		err    error
 	}
 	// kernelEventRead: an event of the kernel was read.
 	kernelEventRead struct {
-		dialed *dialed
+		dialed *dialAttempt
 		buffer *buffer // holds the event's slices
 		event  wire.KernelEvent
 	}
 	// callReplyRead: a reply of the store was read.
 	callReplyRead struct {
-		dialed *dialed
+		dialed *dialAttempt
 		buffer *buffer // holds the reply's slices
 		reply  wire.CallReply
 	}
 	// reportAnswerRead: service discovery responded to a report.
 	reportAnswerRead struct {
-		dialed *dialed
+		dialed *dialAttempt
 		buffer *buffer
 		head   wire.ResponseHead
 	}
@@ -84,7 +84,7 @@
 	countersRequested struct{}
 	// startupFileReloaded: the start-up file was read again, or could not be.
 	startupFileReloaded struct {
-		node *Node
+		node *StartupFile
 		err  error
 	}
 )
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -159,7 +159,7 @@
 	for range 20 {
 		var b backoff
 		for range 10 {
-			b.failed(l.now, &l.limits)
+			b.recordFailure(l.now, &l.limits)
 			if wait := b.notBefore - l.now; wait < b.delay/2 || wait > b.delay || b.delay > l.limits.MaxBackoff {
 				t.Fatalf("wait = %d, want between %d and %d, at most %d", wait, b.delay/2, b.delay, l.limits.MaxBackoff)
 			}
--- a/internal/node/server/fleet_agent.go
+++ b/internal/node/server/fleet_agent.go
@@ -114,13 +114,13 @@
 
 // agentConfig builds the agent's configuration from the operator's file and the start-up file. Name and address default
 // to those of the start-up file.
-func agentConfig(c *config.Fleet, startup *Node) (agent.Config, error) {
+func agentConfig(c *config.Fleet, startup *StartupFile) (agent.Config, error) {
 	var nonce [nonceBytes]byte
 	_, _ = rand.Read(nonce[:]) // never fails
-	cfg := agent.Config{Name: c.Name, Zone: c.Zone, Address: startup.Listen, ControlAddresses: c.Control,
+	cfg := agent.Config{Name: c.Name, Zone: c.Zone, Address: startup.Listen, ControlAddresses: c.ControlAddresses,
 		Nonce: hex.EncodeToString(nonce[:]), JitterSeed: crc32.ChecksumIEEE(append(nonce[:], c.Name...))}
-	if c.At != "" {
-		cfg.Address = c.At
+	if c.AdvertiseAddress != "" {
+		cfg.Address = c.AdvertiseAddress
 	}
 	if cfg.Name == "" {
 		cfg.Name = startup.Name
@@ -140,7 +140,7 @@
 
 // newFleetAgent creates the fleet agent and loads the record in the node's folder. The node is fenced until the first
 // tick.
-func newFleetAgent(host fleetHost, log *logrus.Logger, c *config.Fleet, startup *Node) (*fleetAgent, error) {
+func newFleetAgent(host fleetHost, log *logrus.Logger, c *config.Fleet, startup *StartupFile) (*fleetAgent, error) {
 	handlers := len(host.platform().Deployment.Handlers)
 	f := &fleetAgent{host: host, clock: bootTime, log: log, config: c, fenced: true, retired: make([]bool, handlers),
 		recording: shadow.NewRecording(handlers), meter: zonegate.NewMeter(bootTime(), handlerWeights(host.platform())),
@@ -159,7 +159,7 @@
 	f.loadStoredVersions()
 	f.gate = zonegate.NewGate(handlers, agentConf.JitterSeed)
 	f.gate.SetOrder(f.clock(), f.agent.ZoneOrder())
-	log.WithFields(logrus.Fields{logging.Node: agentConf.Name, logging.Zone: agentConf.Zone, logging.Address: c.Control}).
+	log.WithFields(logrus.Fields{logging.Node: agentConf.Name, logging.Zone: agentConf.Zone, logging.Address: c.ControlAddresses}).
 		Info(logFleetJoining)
 	return f, nil
 }
--- a/internal/node/server/fleet_agent_test.go
+++ b/internal/node/server/fleet_agent_test.go
@@ -101,7 +101,7 @@
 					LatencyObjective: admission.Second, RetrySafety: admission.Retryable}}}}}
 	folder := t.TempDir()
 	f, err := newFleetAgent(host, log, &config.Fleet{Name: "n1", Zone: "z1", Folder: folder,
-		Control: []string{strings.TrimPrefix(service.URL, "http://")}}, &Node{Listen: "127.0.0.1:1"})
+		ControlAddresses: []string{strings.TrimPrefix(service.URL, "http://")}}, &StartupFile{Listen: "127.0.0.1:1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 	f.clock = func() agent.Milliseconds { return now }
 	tickUntil := func(what string, met func() bool) {
 		t.Helper()
-		for end := time.Now().Add(patience); !met(); {
+		for end := time.Now().Add(testTimeout); !met(); {
 			f.tick()
 			select {
 			case callback := <-host.callbacks:
@@ -118,16 +118,16 @@
 				now += 20
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%s: condition not met within %v; log messages: %v", what, patience, logMessages(lines))
+				t.Fatalf("%s: condition not met within %v; log messages: %v", what, testTimeout, logMessages(lines))
 			}
 		}
 	}
 	request := &wire.Request{Caller: 1}
 	response := wire.Response{}
 	if got := f.rejection(0, request, "", &response); got != nodeFenced || response.RetryAfterMS != 1500 ||
-		f.takesTraffic() {
+		f.ready() {
 		t.Errorf("without a lease: rejection() = %v, response %+v, takesTraffic() = %v, want %v, Retry-After 1500 ms, false",
-			got, response, f.takesTraffic(), nodeFenced)
+			got, response, f.ready(), nodeFenced)
 	}
 	tickUntil("serving", func() bool { return !f.fenced })
 	if len(host.activated) != 1 || host.activated[0] != 1 || f.agent.ActiveVersion() != 1 {
@@ -138,8 +138,8 @@
 		last.Data[logging.LeaseID] != uint32(7) {
 		t.Errorf("last log line %q, %v, want %q with version 1 and lease 7", last.Message, last.Data, logNodeServes)
 	}
-	if got := f.rejection(0, request, "", &response); got != notRejected || !f.takesTraffic() {
-		t.Errorf("with a lease: rejection() = %v, takesTraffic() = %v, want %v, true", got, f.takesTraffic(),
+	if got := f.rejection(0, request, "", &response); got != notRejected || !f.ready() {
+		t.Errorf("with a lease: rejection() = %v, takesTraffic() = %v, want %v, true", got, f.ready(),
 			notRejected)
 	}
 	tickUntil("record stored", func() bool { return !f.record.writing && !f.record.pending })
@@ -149,9 +149,9 @@
 	}
 	control.setResponse(func(r *api.HeartbeatResponse) { r.Zone = &api.ZoneOrder{Epoch: 4, Share: 0, TTLMS: 60_000} })
 	tickUntil("zone evacuated", func() bool { return f.gate.Epoch() == 4 })
-	if got := f.rejection(0, request, "", &response); got != rejectedByZone || host.rejected != 1 || f.takesTraffic() {
+	if got := f.rejection(0, request, "", &response); got != rejectedByZone || host.rejected != 1 || f.ready() {
 		t.Errorf("evacuated: rejection() = %v, queue rejected %d times, takesTraffic() = %v, want %v, 1, false", got,
-			host.rejected, f.takesTraffic(), rejectedByZone)
+			host.rejected, f.ready(), rejectedByZone)
 	}
 	control.setResponse(func(r *api.HeartbeatResponse) {
 		r.Zone = &api.ZoneOrder{Epoch: 5, Share: api.FullShare,
@@ -187,8 +187,8 @@
 	host := &testHost{callbacks: make(chan func(), 16), log: log,
 		settings: &settings.Startup{HandlerIndex: map[string]int{"get": 0},
 			Deployment: &admission.Deployment{Cores: 1, Handlers: []admission.Handler{{Timeout: admission.Second}}}}}
-	f, err := newFleetAgent(host, log, &config.Fleet{Name: "n1", Control: []string{"127.0.0.1:1"}},
-		&Node{Listen: "127.0.0.1:1"})
+	f, err := newFleetAgent(host, log, &config.Fleet{Name: "n1", ControlAddresses: []string{"127.0.0.1:1"}},
+		&StartupFile{Listen: "127.0.0.1:1"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -14,10 +14,10 @@
 // joinFleet creates the fleet agent if the operator's file has a fleet section. The node is not ready until a tick of
 // the agent lets it serve.
 func (l *loop) joinFleet() error {
-	if l.startup.own == nil || l.startup.own.Fleet == nil {
+	if l.startup.operator == nil || l.startup.operator.Fleet == nil {
 		return nil
 	}
-	f, err := newFleetAgent(l, l.log, l.startup.own.Fleet, l.startup)
+	f, err := newFleetAgent(l, l.log, l.startup.operator.Fleet, l.startup)
 	if err != nil {
 		return err
 	}
@@ -41,16 +41,16 @@
 
 func (l *loop) kernelConnected() bool { return l.kernel.state == kernelLive }
 
-func (l *loop) poolsEnabled() bool { return l.pools != nil || len(l.startup.own.Pools) > 0 }
+func (l *loop) poolsEnabled() bool { return l.pools != nil || len(l.startup.operator.Pools) > 0 }
 
 func (l *loop) counts() *Counters { return &l.counters }
 
 func (c *configuration) platform() *settings.Startup { return c.settings }
 
-func (in *requestsInHand) isKnownKey(key string) bool { return in.idempotency.find(key) != nil }
+func (in *inFlightRequests) isKnownKey(key string) bool { return in.idempotency.find(key) != nil }
 
 // runsInFlight counts the runs that the kernel executes.
-func (in *requestsInHand) runsInFlight() (n int) {
+func (in *inFlightRequests) runsInFlight() (n int) {
 	for h, i := in.requests.next(0); h != 0; h, i = in.requests.next(i) {
 		if in.requests.get(h).isRunning() {
 			n++
@@ -91,7 +91,7 @@
 func (l *loop) activate(version *overlay.Settings) {
 	l.settings.Deployment = overlayDeployment(version, l.settings.Deployment)
 	if l.controller != nil {
-		l.controller.Adopt(l.settings.Deployment)
+		l.controller.Reconfigure(l.settings.Deployment)
 	}
 	if l.pools != nil && version.PoolClasses != nil {
 		plan := l.startup.poolPlan()
--- a/internal/node/server/fleet_serving.go
+++ b/internal/node/server/fleet_serving.go
@@ -33,7 +33,7 @@
 // the node's own rule. A node that starts without the group begins with the quota of a cold start, if its version sets
 // one.
 func (f *fleetAgent) updateAutonomous(now agent.Milliseconds, mayServe bool) {
-	if f.autonomous && f.gate.ContinueAutonomously(now, f.meter.Healthy(now, f.host.runsInFlight())) {
+	if f.autonomous && f.gate.AdjustAutonomousShare(now, f.meter.Healthy(now, f.host.runsInFlight())) {
 		f.log.WithFields(f.shareFields()).Warn(logAutonomousQuota)
 		f.host.refreshReadiness()
 	}
@@ -51,9 +51,9 @@
 		return
 	}
 	zones := &version.settings.Document.Zones
-	if zones.SmallStart && api.ZoneMode(zones.Mode) == api.ZoneModeAuto {
-		share := int(math.Round(zones.FirstShare * api.FullShare))
-		f.gate.BeginAutonomousColdStart(now, share, uint64(zones.StepTime.Milliseconds()))
+	if zones.ColdStart && api.ZoneMode(zones.Mode) == api.ZoneModeAuto {
+		share := int(math.Round(zones.InitialShare * api.FullShare))
+		f.gate.BeginAutonomousColdStart(now, share, uint64(zones.MinStepTime.Milliseconds()))
 		f.log.WithFields(f.shareFields()).Info(logColdStartQuota)
 	}
 }
@@ -114,8 +114,8 @@
 		IsRetry: q.IsRetry, SeenBefore: key != "" && f.host.isKnownKey(key)}
 }
 
-// takesTraffic reports whether the fleet agent lets the node report itself as ready.
-func (f *fleetAgent) takesTraffic() bool { return f == nil || !f.fenced && !f.gate.Evacuated() }
+// ready reports whether the fleet agent lets the node report itself as ready.
+func (f *fleetAgent) ready() bool { return f == nil || !f.fenced && !f.gate.Evacuated() }
 
 // admitConnection reports whether the zone's connection rate limit admits a new connection to the store.
 func (f *fleetAgent) admitConnection() bool { return f == nil || f.gate.AdmitConnection(f.clock()) }
--- a/internal/node/server/fleet_version.go
+++ b/internal/node/server/fleet_version.go
@@ -131,7 +131,7 @@
 func (f *fleetAgent) rejectVersion(now agent.Milliseconds, version api.VersionHash, reason error, message string,
 	permanent bool) {
 	f.log.WithFields(logrus.Fields{logging.PolicyVersion: version.Version, logging.Error: reason}).Warn(message)
-	f.agent.Reject(now, version.Version, reason.Error(), permanent)
+	f.agent.RejectVersion(now, version.Version, reason.Error(), permanent)
 	f.versions.finish()
 }
 
--- a/internal/node/server/helper_test.go
+++ b/internal/node/server/helper_test.go
@@ -23,8 +23,8 @@
 	"time"
 )
 
-// patience is the maximum time of any wait.
-const patience = 5 * time.Second
+// testTimeout is the maximum time of any wait.
+const testTimeout = 5 * time.Second
 
 var (
 	program     string
@@ -93,8 +93,8 @@
 func (r *lineRecorder) waitFor(ok func() bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	end := time.Now().Add(patience)
-	t := time.AfterFunc(patience, r.cond.Broadcast)
+	end := time.Now().Add(testTimeout)
+	t := time.AfterFunc(testTimeout, r.cond.Broadcast)
 	defer t.Stop()
 	for !ok() {
 		if !time.Now().Before(end) {
@@ -376,22 +376,22 @@
 
 // node is the program under test and its fakes.
 type node struct {
-	t         testing.TB
-	addr      string
-	kernel    *fakeKernel
-	store     *fakeServer
-	discovery *fakeServer
-	cmd       *exec.Cmd
-	log       *lineRecorder
-	ended     chan struct{}
-	err       error
-	file      string
-	own       string // path of the operator's file; empty: none
-	overrides map[string]string
-}
-
-func (n *node) writeOwn(text string) {
-	if err := os.WriteFile(n.own, []byte(text), 0o600); err != nil {
+	t            testing.TB
+	addr         string
+	kernel       *fakeKernel
+	store        *fakeServer
+	discovery    *fakeServer
+	cmd          *exec.Cmd
+	log          *lineRecorder
+	ended        chan struct{}
+	err          error
+	file         string
+	operatorFile string // path of the operator's file; empty: none
+	overrides    map[string]string
+}
+
+func (n *node) writeOperatorFile(text string) {
+	if err := os.WriteFile(n.operatorFile, []byte(text), 0o600); err != nil {
 		n.t.Fatal(err)
 	}
 }
@@ -406,9 +406,9 @@
  {"name":"put","gain":2,"give_up":GIVEUP,"promise":PROMISE,"semantics":"deduplicated","window":WINDOW},
  {"name":"act","gain":2,"give_up":GIVEUP,"promise":PROMISE,"semantics":"at_most_once"}]`
 
-// start starts the program; overrides replaces defaults of the start-up file and the environment (stop_ms, sockets,
+// startNode starts the program; overrides replaces defaults of the start-up file and the environment (stop_ms, sockets,
 // store=none and so on).
-func start(t testing.TB, overrides map[string]string) *node {
+func startNode(t testing.TB, overrides map[string]string) *node {
 	n := &node{t: t, overrides: overrides, kernel: newFakeKernel(t), store: newFakeStore(t),
 		discovery: newFakeDiscovery(t)}
 	n.kernel.bootDelayed = overrides["kernel"] == "late"
@@ -421,8 +421,8 @@
 	n.file = filepath.Join(t.TempDir(), "config.json")
 	n.writeStartupFile("")
 	if own := overrides["own"]; own != "" { // the operator's file
-		n.own = filepath.Join(filepath.Dir(n.file), "node.ini")
-		n.writeOwn(strings.ReplaceAll(own, "DIR", filepath.Dir(n.file)))
+		n.operatorFile = filepath.Join(filepath.Dir(n.file), "node.ini")
+		n.writeOperatorFile(strings.ReplaceAll(own, "DIR", filepath.Dir(n.file)))
 	}
 	n.launch()
 	return n
@@ -438,8 +438,8 @@
 	n.cmd, n.log, n.ended = exec.Command(file), newLineRecorder(), make(chan struct{})
 	n.cmd.Env = append(os.Environ(), "NODE_CONFIG="+n.file, "UMBERWINCH_LOG=debug",
 		"UMBERWINCH_DIE_AT="+n.overrides["die"], "UMBERWINCH_WALL_STEP="+n.stepFile())
-	if n.own != "" {
-		n.cmd.Env = append(n.cmd.Env, "UMBERWINCH_FILE="+n.own)
+	if n.operatorFile != "" {
+		n.cmd.Env = append(n.cmd.Env, "UMBERWINCH_FILE="+n.operatorFile)
 	}
 	out, err := n.cmd.StderrPipe()
 	if err != nil {
@@ -463,7 +463,7 @@
 			t.Logf("log:\n%s", strings.Join(log.lines, "\n"))
 		}
 	})
-	if !n.kernel.bootDelayed && !n.logged(`msg="kernel is up" `) {
+	if !n.kernel.bootDelayed && !n.waitForLog(`msg="kernel is up" `) {
 		t.Fatal("not logged: kernel is up")
 	}
 }
@@ -504,8 +504,8 @@
 	}
 }
 
-// logged waits for a log line that contains each of texts.
-func (n *node) logged(texts ...string) bool {
+// waitForLog waits for a log line that contains each of texts.
+func (n *node) waitForLog(texts ...string) bool {
 	return n.log.waitFor(func() bool {
 		return slices.ContainsFunc(n.log.lines, func(line string) bool {
 			return !slices.ContainsFunc(texts, func(text string) bool { return !strings.Contains(line+" ", text) })
@@ -515,10 +515,10 @@
 
 // dial opens a client connection, and retries while the program is starting.
 func (n *node) dial() net.Conn {
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		c, err := net.Dial("tcp", n.addr)
 		if err == nil {
-			c.SetDeadline(time.Now().Add(2 * patience))
+			c.SetDeadline(time.Now().Add(2 * testTimeout))
 			n.t.Cleanup(func() { c.Close() })
 			return c
 		}
@@ -563,7 +563,7 @@
 
 // waitUntil polls a condition for up to patience and reports whether it became true.
 func waitUntil(condition func() bool) bool {
-	for end := time.Now().Add(patience); !condition(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			return false
 		}
--- a/internal/node/server/idempotency_table.go
+++ b/internal/node/server/idempotency_table.go
@@ -17,7 +17,7 @@
 	key       string
 	holder    uint32         // the request that repeats of the key are linked to
 	run       uint32         // the request whose run determines the result
-	until     admission.Time // when repeats are no longer recognized, by their arrival
+	expiresAt admission.Time // when repeats are no longer recognized, by their arrival
 	state     entryState
 	result    []byte
 	hasResult bool     // the result has not been dropped
@@ -44,7 +44,7 @@
 
 // previous returns the request that a request with this key and arrival repeats; 0 if none.
 func (t *idempotencyTable) previous(key string, arrival admission.Time) uint32 {
-	if e := t.find(key); e != nil && arrival < e.until {
+	if e := t.find(key); e != nil && arrival < e.expiresAt {
 		return e.holder
 	}
 	return 0
@@ -79,7 +79,7 @@
 		e.state = entryQueued // a read runs again once its result is too old
 		t.dropResult(e)
 	}
-	e.holder, e.until = id, until
+	e.holder, e.expiresAt = id, until
 }
 
 // forget removes the entry that a request holds and returns the requests that wait for its result.
@@ -109,8 +109,8 @@
 	switch {
 	case e == nil:
 		return nil
-	case now < e.until+t.maxLateness:
-		timers.set(e.until+t.maxLateness, timerIdempotencyKey, h)
+	case now < e.expiresAt+t.maxLateness:
+		timers.set(e.expiresAt+t.maxLateness, timerIdempotencyKey, h)
 		return nil
 	case len(e.waiters) > 0 || e.state == entryRunning:
 		timers.set(now+admission.Second, timerIdempotencyKey, h)
--- a/internal/node/server/kernel_link.go
+++ b/internal/node/server/kernel_link.go
@@ -31,9 +31,9 @@
 	link
 	state              kernelState
 	lastSequence       uint64 // of the last event that was handled
-	sent               uint64 // number of the last command or gauges request
-	provenRead         uint64 // commands up to this number were read by the kernel and are not resent
-	nextAcknowledged   uint64 // replaces provenRead once it is AckSafetyMargin old
+	lastCommand        uint64 // number of the last command or gauges request
+	acknowledged       uint64 // commands up to this number were read by the kernel and are not resent
+	nextAcknowledged   uint64 // replaces acknowledged once it is AckSafetyMargin old
 	nextAcknowledgedAt admission.Time
 	gaugesRequest      uint64 // number of the gauges request that a wake-up waits for
 	gaugesDeadline     admission.Time
@@ -68,8 +68,8 @@
 		l.reconnectKernel = true
 		return unsentCommand
 	}
-	k.sent++
-	return k.sent
+	k.lastCommand++
+	return k.lastCommand
 }
 
 func (l *loop) sendRun(r *request) {
@@ -84,7 +84,7 @@
 
 func (l *loop) sendResume(r *request) {
 	l.scratch = wire.AppendKernelCommand(l.scratch[:0], wire.KernelResume, r.id)
-	r.runCommand, r.resumed = l.sendToKernel(), true
+	r.runCommand, r.resumeSent = l.sendToKernel(), true
 	r.setRun(runRunning)
 }
 
@@ -115,7 +115,7 @@
 		l.wakeWithoutGauges()
 		return
 	}
-	l.scratch = wire.AppendKernelGaugesRequest(l.scratch[:0], k.sent+1)
+	l.scratch = wire.AppendKernelGaugesRequest(l.scratch[:0], k.lastCommand+1)
 	if number := l.sendToKernel(); number != unsentCommand {
 		k.gaugesRequest, k.gaugesDeadline = number, l.now+l.limits.GaugesTimeout
 		l.timers.set(k.gaugesDeadline, timerGauges, 0)
@@ -150,16 +150,16 @@
 	case wire.KernelGauges:
 		l.gaugesReceived(e)
 	case wire.KernelInvalid:
-		l.commandRefused(e)
+		l.commandRejected(e)
 	default:
 		l.runEvent(e)
 	}
 }
 
-// commandRefused handles an invalid command. If it was to start a run, the run ends as not executed, and the client's
+// commandRejected handles an invalid command. If it was to start a run, the run ends as not executed, and the client's
 // connection is closed after the response. Guards against a request that gets no response. See row "run that the kernel
 // does not know" in docs/design/shutdown.md.
-func (l *loop) commandRefused(e *wire.KernelEvent) {
+func (l *loop) commandRejected(e *wire.KernelEvent) {
 	l.counters.CommandsRefused++
 	if log := l.limitLog(); log != nil {
 		log.WithFields(logrus.Fields{logging.Command: string(e.InvalidCommand()), logging.RequestID: string(e.RunID)}).
@@ -252,16 +252,16 @@
 		d.Start, d.ColdStart = l.now-admission.Time(e.RunMS*10), e.IsColdStart()
 		l.log.WithFields(logrus.Fields{logging.KernelState: string(e.Outcome), logging.UptimeMS: e.RunMS}).
 			Info(logKernelUp)
-		l.makePools()
+		l.startPools()
 		l.controller = admission.New(d)
 		l.wakePending = true
 		if l.draining {
-			l.nextRound().Drain, l.nextRound().KillAt = true, l.answerBy
+			l.nextRound().Drain, l.nextRound().KillAt = true, l.responseDeadline
 		}
 	}
 	k.state, k.delay = kernelReplaying, 0
-	k.sent++
-	k.replayRequest = k.sent
+	k.lastCommand++
+	k.replayRequest = k.lastCommand
 	if !k.dialed.writer.send(wire.AppendKernelGaugesRequest(l.scratch[:0], k.replayRequest), l.limits.LinkQueue) {
 		l.closeLink(&k.link, errStuck)
 		return
@@ -282,12 +282,12 @@
 	if k.state == kernelReplaying && number == k.replayRequest {
 		l.replayComplete()
 	}
-	if k.state != kernelLive || number > k.sent {
+	if k.state != kernelLive || number > k.lastCommand {
 		return
 	}
 	if l.now >= k.nextAcknowledgedAt+l.limits.AckSafetyMargin {
 		// The pending acknowledgement is old enough to count; this one becomes the pending one.
-		k.provenRead, k.nextAcknowledged, k.nextAcknowledgedAt = k.nextAcknowledged, number, l.now
+		k.acknowledged, k.nextAcknowledged, k.nextAcknowledgedAt = k.nextAcknowledged, number, l.now
 	}
 	if l.wakePending && (number == k.gaugesRequest || number == k.replayRequest) {
 		k.gaugesRequest, l.wakePending = 0, false
@@ -325,11 +325,11 @@
 
 // resendCommands resends a run's commands that are not acknowledged, in their original order.
 func (l *loop) resendCommands(r *request) {
-	provenRead := l.kernel.provenRead
+	provenRead := l.kernel.acknowledged
 	runLost, stopLost := r.runCommand > provenRead, r.stopCommand > provenRead
 	resultLost := r.callResultCommand > provenRead
 	if runLost {
-		if r.resumed {
+		if r.resumeSent {
 			l.sendResume(r)
 		} else {
 			l.sendRun(r)
@@ -348,7 +348,7 @@
 
 // kernelParser returns the parser of kernel events.
 func kernelParser(bounds wire.Bounds) linkParser {
-	return func(from *dialed, b *buffer) (event, int, error) {
+	return func(from *dialAttempt, b *buffer) (event, int, error) {
 		line, n, err := wire.NextLine(b.bytes(), bounds.HeadBytes)
 		if n == 0 || err != nil {
 			return nil, 0, err
--- a/internal/node/server/lifecycle.go
+++ b/internal/node/server/lifecycle.go
@@ -176,15 +176,15 @@
 // isRunning reports whether the run has started and not ended; the kernel may not have it yet.
 func (s *lifecycle) isRunning() bool { return s.run == runRunning || s.run == runStopping }
 
-// isToldToStop reports whether a stop was requested, and no resume since.
-func (s *lifecycle) isToldToStop() bool { return s.run == runStopping || s.run == runStopped }
+// isStopRequested reports whether a stop was requested, and no resume since.
+func (s *lifecycle) isStopRequested() bool { return s.run == runStopping || s.run == runStopped }
 
 // awaitsIntent reports whether the run is held back from the kernel until its intent record is on disk; a stop is then
 // sent with the run.
 func (s *lifecycle) awaitsIntent() bool { return s.disk == intentPending }
 
 // mayStart reports whether Run may start the request, or resume it after a stop.
-func (s *lifecycle) mayStart() bool { return s.run == runNotStarted || s.isToldToStop() }
+func (s *lifecycle) mayStart() bool { return s.run == runNotStarted || s.isStopRequested() }
 
 // isOver reports whether nothing more can happen to the request, so that its slot in the request table can be reused.
 // Its run slot is freed by the controller at the end of the run.
@@ -213,7 +213,7 @@
 
 // endRun records the end of the run. After a stop request the run is stopped, as it could be resumed.
 func (s *lifecycle) endRun() {
-	if s.isToldToStop() {
+	if s.isStopRequested() {
 		s.setRun(runStopped)
 		return
 	}
@@ -222,5 +222,5 @@
 
 // outcomeIsResponse reports whether the end of a run produces a response: a stop that was requested does not.
 func (s *lifecycle) outcomeIsResponse(outcome admission.Outcome) bool {
-	return outcome != admission.Stopped || !s.isToldToStop()
+	return outcome != admission.Stopped || !s.isStopRequested()
 }
--- a/internal/node/server/limits.go
+++ b/internal/node/server/limits.go
@@ -46,7 +46,7 @@
 	AckSafetyMargin        admission.Time // commands acknowledged more recently may still be lost with their link
 	CallGrace              admission.Time // how long after its deadline a call without a reply is given up
 	StoreIdleTimeout       admission.Time // a store connection idle for longer gets no call
-	MaxClockAhead          admission.Time // a receive timestamp further in the future is invalid
+	MaxTimestampAhead      admission.Time // a receive timestamp further in the future is invalid
 	SweepInterval          admission.Time // interval of sweeps over the connections
 	MessageTimeout         admission.Time // a message incomplete for longer ends its connection
 	HealthCheckIdleTimeout admission.Time // idle timeout of connections with health checks only
@@ -175,7 +175,7 @@
 	// The store may close an idle connection, and a call that crosses the close may have run.
 	l.StoreIdleTimeout = 500 * ms
 	// Clocks on one machine agree, except across a standstill of a process.
-	l.MaxClockAhead = admission.Second
+	l.MaxTimestampAhead = admission.Second
 	// A fraction of the idle timeouts that a sweep enforces.
 	l.SweepInterval = 100 * ms
 	// A message takes a few ms to arrive; its client needs a response within 3 s.
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -33,9 +33,9 @@
 	peerDiscovery
 )
 
-// dialed is one dial and its connection. The loop's goroutine owns it, except for parser, which the connection's own
+// dialAttempt is one dial and its connection. The loop's goroutine owns it, except for parser, which the connection's own
 // goroutine calls. It ends when the connection closes or the dial is replaced.
-type dialed struct {
+type dialAttempt struct {
 	peer      int     // peerKernel, peerStore or peerDiscovery
 	storeConn handle  // the store connection, for peerStore
 	writer    *writer // nil until the connection is open
@@ -49,16 +49,16 @@
 	notBefore admission.Time // earliest time of the next dial
 }
 
-// failed doubles the delay, within MinBackoff and MaxBackoff, and draws half of the wait at random. Guards against
+// recordFailure doubles the delay, within MinBackoff and MaxBackoff, and draws half of the wait at random. Guards against
 // servers that lost the same peer at the same time and reconnect to it together. See row "socket, connect: any" in
 // docs/design/failures.md.
-func (b *backoff) failed(now admission.Time, limits *Limits) {
+func (b *backoff) recordFailure(now admission.Time, limits *Limits) {
 	b.delay = min(max(2*b.delay, limits.MinBackoff), limits.MaxBackoff)
 	b.notBefore = now + b.delay/2 + admission.Time(rand.Int64N(int64(b.delay/2)+1))
 }
 
 // linkParser parses the first message in b and returns its size in bytes, 0 while the message is incomplete.
-type linkParser func(from *dialed, b *buffer) (e event, n int, err error)
+type linkParser func(from *dialAttempt, b *buffer) (e event, n int, err error)
 
 // dialer opens a connection; tests replace it.
 type dialer func(address string, timeout time.Duration) (netpoll.Connection, error)
@@ -74,7 +74,7 @@
 	peer        int
 	name        string
 	addr        string
-	dialed      *dialed        // open or being dialed; nil while down
+	dialed      *dialAttempt   // open or being dialed; nil while down
 	timerSetFor admission.Time // time for which the redial timer was last set
 	retry       timerKind
 	parser      linkParser
@@ -95,13 +95,13 @@
 		}
 		return
 	}
-	k.dialed = &dialed{peer: k.peer, parser: k.parser}
+	k.dialed = &dialAttempt{peer: k.peer, parser: k.parser}
 	l.open(k.dialed, k.addr)
 }
 
 // open dials in a goroutine that ends with the dial. From linkDialed on the connection belongs to the dial's writer, or
 // is closed there if the dial was replaced. Its intake ends with the close callback.
-func (l *loop) open(n *dialed, addr string) {
+func (l *loop) open(n *dialAttempt, addr string) {
 	go func() {
 		c, err := l.dialTo(addr, l.limits.DialTimeout)
 		if err != nil {
@@ -143,7 +143,7 @@
 
 // isCurrent reports whether a dial was not replaced. Guards against late events of a replaced dial, whose replies would
 // be taken for replies to calls that were made again. See row "dial that was replaced" in docs/design/shutdown.md.
-func (u *upstreams) isCurrent(n *dialed) bool {
+func (u *upstreams) isCurrent(n *dialAttempt) bool {
 	if n.peer == peerStore {
 		c := u.store.connections.get(n.storeConn)
 		return c != nil && c.dialed == n
@@ -185,7 +185,7 @@
 }
 
 // linkOpened notifies the owner of a link that it is up.
-func (l *loop) linkOpened(n *dialed) {
+func (l *loop) linkOpened(n *dialAttempt) {
 	switch n.peer {
 	case peerKernel:
 		l.counters.KernelLinks++
@@ -200,7 +200,7 @@
 }
 
 // linkLost notifies the owner of a link that it is down.
-func (l *loop) linkLost(n *dialed, err error) {
+func (l *loop) linkLost(n *dialAttempt, err error) {
 	if n.peer == peerStore {
 		l.storeConnectionLost(n.storeConn, l.store.connections.get(n.storeConn), err)
 		return
@@ -220,7 +220,7 @@
 	if err == nil {
 		k.backoff = backoff{} // closed without a failure
 	} else {
-		k.failed(l.now, &l.limits)
+		k.recordFailure(l.now, &l.limits)
 		if log := l.limitLog(); log != nil {
 			log.WithFields(logrus.Fields{logging.Link: k.name, logging.Error: err}).Info(logLinkLost)
 		}
@@ -233,13 +233,13 @@
 	l.dial(k)
 }
 
-// moveLink changes the address of a link and dials it at once.
-func (l *loop) moveLink(k *link, addr string) {
+// setLinkAddress changes the address of a link and dials it at once.
+func (l *loop) setLinkAddress(k *link, addr string) {
 	if k.addr == addr {
 		return
 	}
 	if log := l.limitLog(); log != nil {
-		log.WithFields(logrus.Fields{logging.Link: k.name, logging.Address: addr}).Info(logLinkMoved)
+		log.WithFields(logrus.Fields{logging.Link: k.name, logging.Address: addr}).Info(logLinkAddressChanged)
 	}
 	k.addr, k.backoff = addr, backoff{}
 	if k.dialed == nil {
--- a/internal/node/server/loop.go
+++ b/internal/node/server/loop.go
@@ -26,7 +26,7 @@
 
 	decisions
 	clients
-	requestsInHand
+	inFlightRequests
 	upstreams
 	readiness
 	drainState
@@ -48,7 +48,7 @@
 
 // configuration is the node's configuration; reloads and policy versions change parts of it between rounds.
 type configuration struct {
-	startup  *Node // the start-up file
+	startup  *StartupFile // the start-up file
 	settings *settings.Startup
 	names    []string // names of handlers by index
 }
@@ -72,8 +72,8 @@
 	lastConnection admission.Time // when the last connection was opened; its first request may be on its way
 }
 
-// requestsInHand is the state of requests in progress and of idempotency keys.
-type requestsInHand struct {
+// inFlightRequests is the state of requests in progress and of idempotency keys.
+type inFlightRequests struct {
 	requests      table[request]
 	byRequestID   map[string]handle
 	maybeFinished []handle // to be released after the round if they are over
@@ -126,7 +126,7 @@
 		l.decide()
 		l.finishRound()
 	}
-	killIn := l.answerBy + l.killMargin - max(l.now, timeOf(l.clock.Now()))
+	killIn := l.responseDeadline + l.killMargin - max(l.now, timeOf(l.clock.Now()))
 	l.log.WithFields(l.counterFields()).WithField(logging.KillInMS, milliseconds(killIn)).Info(logCounters)
 	l.logPools()
 }
@@ -140,11 +140,11 @@
 	l.timer.Reset(wait)
 	select {
 	case e := <-l.events:
-		l.lookAtClock()
+		l.updateTime()
 		l.fleet.tick()
 		l.handle(e)
 	case <-l.timer.C:
-		l.lookAtClock()
+		l.updateTime()
 	}
 }
 
@@ -195,7 +195,7 @@
 	case timerDrain:
 		l.drainTick()
 	case timerResultStore:
-		l.results.answerLate(t.subject)
+		l.results.answerOverdue(t.subject)
 	case timerFleet: // the fleet agent's tick handles what is due
 	}
 }
--- a/internal/node/server/loop_time.go
+++ b/internal/node/server/loop_time.go
@@ -34,10 +34,10 @@
 	t.now = timeOf(t.clock.Now())
 }
 
-// lookAtClock advances the loop's time by the monotonic clock and logs steps of the wall clock. Guards against a step
+// updateTime advances the loop's time by the monotonic clock and logs steps of the wall clock. Guards against a step
 // that makes requests miss their deadlines or windows end early: no duration is measured by the wall clock. See row
 // "wall clock stepped" in docs/design/shutdown.md.
-func (l *loop) lookAtClock() {
+func (l *loop) updateTime() {
 	now, step := l.stamps.Observe(l.clock.Read)
 	if l.now = max(l.now, timeOf(now)); step != 0 {
 		l.counters.ClockSteps++
@@ -47,15 +47,15 @@
 	}
 }
 
-// placeStamp converts the Unix time in a request to the loop's time of its arrival. After a step of the wall clock the
+// arrivalBounds converts the Unix time in a request to the loop's time of its arrival. After a step of the wall clock the
 // result is ambiguous: the arrival is between earliest and latest, and each use takes the bound that is safe for it.
 // See row "wall clock stepped" in docs/design/shutdown.md.
-func (l *loop) placeStamp(unixMilliseconds int64) (earliest, latest admission.Time, ok bool) {
+func (l *loop) arrivalBounds(unixMilliseconds int64) (earliest, latest admission.Time, ok bool) {
 	const latestStamp = int64(1<<62) / int64(time.Millisecond) // past the year 2100; guards against overflow
 	if unixMilliseconds > latestStamp {
 		return 0, 0, false
 	}
 	stamp := time.Duration(unixMilliseconds) * time.Millisecond
-	from, to, ok := l.stamps.Place(durationOf(l.now), stamp, durationOf(l.limits.MaxClockAhead))
+	from, to, ok := l.stamps.Place(durationOf(l.now), stamp, durationOf(l.limits.MaxTimestampAhead))
 	return timeOf(from), timeOf(to), ok
 }
--- a/internal/node/server/pools.go
+++ b/internal/node/server/pools.go
@@ -14,23 +14,23 @@
 // Pools give classes shares of the run slots. The operator's file is turned into a plan for package pools, and a reload
 // reconfigures them. They are off unless the file has pools.
 
-// Own sets the operator's file, after a check against the handlers of the start-up file.
-func (c *Node) Own(own *config.Node) error {
+// SetOperatorConfig sets the operator's file, after a check against the handlers of the start-up file.
+func (c *StartupFile) SetOperatorConfig(own *config.Node) error {
 	names := make([]string, len(c.settings.Deployment.Handlers))
 	for name, i := range c.settings.HandlerIndex {
 		names[i] = name
 	}
-	if err := own.Against(names); err != nil {
+	if err := own.CheckHandlers(names); err != nil {
 		return err
 	}
-	c.own = own
+	c.operator = own
 	return nil
 }
 
 // poolPlan returns the operator's pools for each handler; the plan is disabled if there are none.
-func (c *Node) poolPlan() pools.Plan {
+func (c *StartupFile) poolPlan() pools.Config {
 	d := c.settings.Deployment
-	p := pools.Plan{Disabled: c.own == nil || len(c.own.Pools) == 0, Tenants: max(1, len(d.Tenants))}
+	p := pools.Config{Disabled: c.operator == nil || len(c.operator.Pools) == 0, Tenants: max(1, len(d.Tenants))}
 	p.Classes = make([]pools.Class, len(d.Handlers))
 	for name, i := range c.settings.HandlerIndex {
 		p.Classes[i] = pools.Class{Name: name, Value: d.Handlers[i].Value}
@@ -38,26 +38,26 @@
 	if p.Disabled {
 		return p
 	}
-	p.Reserve = c.own.Reserve
-	for _, o := range c.own.Pools {
+	p.Reserve = c.operator.Reserve
+	for _, o := range c.operator.Pools {
 		class := &p.Classes[c.settings.HandlerIndex[o.Handler]]
-		class.MinFraction, class.MaxFraction, class.FixedLimit = o.MinShare, o.Cap, o.Fixed
+		class.MinFraction, class.MaxFraction, class.FixedLimit = o.MinShare, o.MaxShare, o.FixedLimit
 	}
 	return p
 }
 
-// makePools creates the pools of a new controller, if the operator's file has any.
-func (l *loop) makePools() {
+// startPools creates the pools of a new controller, if the operator's file has any.
+func (l *loop) startPools() {
 	if p := l.startup.poolPlan(); !p.Disabled {
 		l.pools = pools.New(p)
 		l.settings.Deployment.Pools = l.pools
-		l.log.WithFields(logrus.Fields{logging.Count: len(l.startup.own.Pools), logging.Reserve: p.Reserve}).
-			Info(logPoolsMade)
+		l.log.WithFields(logrus.Fields{logging.Count: len(l.startup.operator.Pools), logging.Reserve: p.Reserve}).
+			Info(logPoolsEnabled)
 	}
 }
 
 // reconfigurePools applies the pools of a reloaded file.
-func (l *loop) reconfigurePools(next *Node) {
+func (l *loop) reconfigurePools(next *StartupFile) {
 	p := next.poolPlan()
 	switch {
 	case l.pools != nil:
@@ -66,7 +66,7 @@
 	case !p.Disabled:
 		l.log.Warn(logPoolsNeedRestart)
 	}
-	l.startup.own = next.own
+	l.startup.operator = next.operator
 }
 
 // unlimitedSlots is the limit of run slots from which a pool counts as unlimited.
--- a/internal/node/server/pools_test.go
+++ b/internal/node/server/pools_test.go
@@ -12,26 +12,26 @@
 // TestPoolsFollowOperatorFile checks the log lines of pools at start, on SIGUSR1 and after reloads of the operator's
 // file. testdata/pools.txt checks their effect on requests.
 func TestPoolsFollowOperatorFile(t *testing.T) {
-	n := start(t, map[string]string{"own": "[pools]\nreserve = no\n[pool act]\ncap = 0.5\nlimit = fixed\n"})
-	if !n.logged(`msg="pools are on" count=1 reserve=false `) {
+	n := startNode(t, map[string]string{"own": "[pools]\nreserve = no\n[pool act]\ncap = 0.5\nlimit = fixed\n"})
+	if !n.waitForLog(`msg="pools are on" count=1 reserve=false `) {
 		t.Fatal("log has no line for the pools at start")
 	}
-	if !n.logged("pool act: limit 1 of 2, was +Inf: fixed") {
+	if !n.waitForLog("pool act: limit 1 of 2, was +Inf: fixed") {
 		t.Fatal("log has no line for the fixed limit")
 	}
 	n.cmd.Process.Signal(syscall.SIGUSR1)
-	if !n.logged(`msg="pool status" class=act fair_slots=0 heavy=0 limit=1.0 `, " queued=0 reason=fixed ",
+	if !n.waitForLog(`msg="pool status" class=act fair_slots=0 heavy=0 limit=1.0 `, " queued=0 reason=fixed ",
 		" running=0 ") {
 		t.Fatal("log has no pool status after SIGUSR1")
 	}
-	n.writeOwn("[pool act]\ncap = 2\n")
+	n.writeOperatorFile("[pool act]\ncap = 2\n")
 	n.cmd.Process.Signal(syscall.SIGHUP)
-	if !n.logged(`msg="start-up file not taken, the old one stays" error="` + n.own + ":2: pool act.cap: found ") {
+	if !n.waitForLog(`msg="start-up file not taken, the old one stays" error="` + n.operatorFile + ":2: pool act.cap: found ") {
 		t.Fatal("log has no error for an invalid operator's file")
 	}
-	n.writeOwn("[log]\nform = text\n")
+	n.writeOperatorFile("[log]\nform = text\n")
 	n.cmd.Process.Signal(syscall.SIGHUP)
-	if !n.logged(`msg="operator's file taken" enabled=false `) {
+	if !n.waitForLog(`msg="operator's file taken" enabled=false `) {
 		t.Fatal("log has no line for the reload without pools")
 	}
 }
@@ -39,7 +39,7 @@
 // TestUnknownHandlerInOperatorFile checks that the program does not start if the operator's file names a handler that
 // the start-up settings lack.
 func TestUnknownHandlerInOperatorFile(t *testing.T) {
-	n := start(t, nil)
+	n := startNode(t, nil)
 	own := filepath.Join(t.TempDir(), "node.ini")
 	if err := os.WriteFile(own, []byte("[log]\nform = json\n\n[pool fly]\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/node/server/reload.go
+++ b/internal/node/server/reload.go
@@ -10,7 +10,7 @@
 // reload applies the addresses and pools of a start-up file that was read again. An invalid file is rejected as a
 // whole; settings that can't change at run time are kept, with a warning. Calls and runs in progress end at their old
 // addresses: see row "new start-up file, one or many in a row" in docs/design/shutdown.md.
-func (l *loop) reload(next *Node, err error) {
+func (l *loop) reload(next *StartupFile, err error) {
 	if err != nil {
 		l.log.WithField(logging.Error, err).Error(logStartupFileRejected)
 		return
@@ -21,16 +21,16 @@
 	}
 	l.log.WithFields(logrus.Fields{logging.KernelAddress: next.Kernel, logging.StoreAddress: next.Store,
 		logging.DiscoveryAddress: next.Control}).Info(logStartupFileTaken)
-	l.moveLink(&l.kernel.link, next.Kernel)
-	l.moveLink(&l.discovery.link, next.Control)
-	l.moveStore(next.Store)
-	if !next.own.Fleet.Same(l.startup.own.Fleet) {
+	l.setLinkAddress(&l.kernel.link, next.Kernel)
+	l.setLinkAddress(&l.discovery.link, next.Control)
+	l.setStoreAddress(next.Store)
+	if !next.operator.Fleet.Equal(l.startup.operator.Fleet) {
 		l.log.Warn(logFleetSectionKept)
-		next.own.Fleet = l.startup.own.Fleet
+		next.operator.Fleet = l.startup.operator.Fleet
 	}
-	if !config.SameResultStore(next.own.ResultStore, l.startup.own.ResultStore) {
+	if !config.EqualResultStores(next.operator.ResultStore, l.startup.operator.ResultStore) {
 		l.log.Warn(logResultSectionKept)
-		next.own.ResultStore = l.startup.own.ResultStore
+		next.operator.ResultStore = l.startup.operator.ResultStore
 	}
 	l.reconfigurePools(next)
 }
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -34,7 +34,7 @@
 	// Sequence numbers of the last commands; 0: none that may have been lost.
 	runCommand, callResultCommand, stopCommand uint64
 
-	resumed    bool       // the last start command was a resume; the controller sends none, see loop.Stop
+	resumeSent bool       // the last start command was a resume; the controller sends none, see loop.Stop
 	callResult callResult // the last result of a call sent to the kernel
 	reply      []byte     // the store's reply, as sent to the kernel
 }
@@ -58,7 +58,7 @@
 )
 
 // findRequest returns the request in progress with an id; nil if there is none.
-func (in *requestsInHand) findRequest(id []byte) (handle, *request) {
+func (in *inFlightRequests) findRequest(id []byte) (handle, *request) {
 	h := in.byRequestID[string(id)]
 	return h, in.requests.get(h)
 }
@@ -89,7 +89,7 @@
 	case ok:
 		l.answer(h, r, wire.Response{Status: wire.StatusOK, Body: result})
 	case outcome == admission.NotExecuted:
-		// The kernel refused the run because of the client's request, see commandRefused. If the result keeper ended
+		// The kernel refused the run because of the client's request, see commandRejected. If the result keeper ended
 		// the run before its start, the request is already answered.
 		l.answer(h, r, wire.Response{Status: wire.StatusBadRequest})
 	case r.outcomeIsResponse(outcome):
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -103,7 +103,7 @@
 	a := arrivingRequest{Request: q, handlerName: handlerName}
 	a.handler, a.knownHandler = l.handlerNamed(handlerName)
 	a.tenant, a.knownTenant = l.settings.TenantIndex[string(q.Tenant)]
-	a.earliest, a.latest, a.validTimestamp = l.placeStamp(q.ReceivedAtMS)
+	a.earliest, a.latest, a.validTimestamp = l.arrivalBounds(q.ReceivedAtMS)
 	return a
 }
 
@@ -150,13 +150,13 @@
 // isRequestIDInFlight reports whether an unfinished request has this id. The second one is answered 500 even while the
 // first is queued, as the first may still run. An abandoned request that never ran does not count, see
 // replaceAbandoned.
-func (in *requestsInHand) isRequestIDInFlight(id []byte) bool {
+func (in *inFlightRequests) isRequestIDInFlight(id []byte) bool {
 	_, existing := in.findRequest(id)
 	return existing != nil && !(existing.isAbandoned() && existing.run == runNotStarted)
 }
 
 // replaceAbandoned removes an abandoned request that never ran, in favour of a new one with the same id.
-func (in *requestsInHand) replaceAbandoned(id []byte) {
+func (in *inFlightRequests) replaceAbandoned(id []byte) {
 	if h, abandoned := in.findRequest(id); abandoned != nil {
 		delete(in.byRequestID, abandoned.id)
 		in.maybeFinished = append(in.maybeFinished, h)
@@ -273,7 +273,7 @@
 // requests that they repeat. Attempts with one key that are read in one round, as after a standstill of the machine,
 // are not in the idempotency table yet; both would run. See row "standstill of this process" in
 // docs/design/shutdown.md.
-func (in *requestsInHand) orderArrivals(arrived []admission.Request) {
+func (in *inFlightRequests) orderArrivals(arrived []admission.Request) {
 	slices.SortStableFunc(arrived, func(a, b admission.Request) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
 	for i := range arrived {
 		q := &arrived[i]
--- a/internal/node/server/request_arrival_test.go
+++ b/internal/node/server/request_arrival_test.go
@@ -36,7 +36,7 @@
 			RetrySafety: admission.IdempotencyKeyed, IdempotencyWindow: 8 * admission.Second}}}
 	l := &loop{configuration: configuration{names: []string{"put"}, settings: &settings.Startup{Deployment: d,
 		HandlerIndex: map[string]int{"put": 0}, TenantIndex: map[string]int{"home": 0}}},
-		requestsInHand: requestsInHand{idempotency: newIdempotencyTable(2000, 1000, 6*admission.Second),
+		inFlightRequests: inFlightRequests{idempotency: newIdempotencyTable(2000, 1000, 6*admission.Second),
 			requests: newTable[request](1), byRequestID: map[string]handle{}},
 		crossGoroutine: crossGoroutine{log: log, limits: NewLimits(1, 64, 256)},
 		decisions:      decisions{controller: admission.New(d)}}
--- a/internal/node/server/request_bench_test.go
+++ b/internal/node/server/request_bench_test.go
@@ -35,8 +35,8 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	limits := NewLimits(2, 64, 256)
-	l := newLoop(&Node{Name: "n1", StopMS: 3000, settings: startup}, limits, log, newWorkers(limits.Workers))
-	d := &dialed{peer: peerKernel}
+	l := newLoop(&StartupFile{Name: "n1", StopMS: 3000, settings: startup}, limits, log, newWorkers(limits.Workers))
+	d := &dialAttempt{peer: peerKernel}
 	d.writer = &writer{conn: discardingConn{}, pool: &l.pool, workers: l.workers, busy: &l.busy}
 	l.kernel.dialed, l.kernel.state = d, kernelLive
 	l.controller = admission.New(l.settings.Deployment)
@@ -60,7 +60,7 @@
 	var text, event []byte
 	b.ReportAllocs()
 	for n := 1; b.Loop(); n++ {
-		l.lookAtClock()
+		l.updateTime()
 		text = fmt.Appendf(text[:0], "POST /rpc/get HTTP/1.1\r\nRequest-Id: %016x\r\nReceived-At: %d\r\nSent-By: 1\r\n"+
 			"Footprint-Kb: 1\r\nContent-Length: 4\r\n\r\nbody", n, time.Now().UnixMilli())
 		buffer := l.pool.get()
@@ -100,7 +100,7 @@
 	var text []byte
 	b.ReportAllocs()
 	for n := 1; b.Loop(); n++ {
-		l.lookAtClock()
+		l.updateTime()
 		text = fmt.Appendf(text[:0], "POST /rpc/get HTTP/1.1\r\nRequest-Id: %016x\r\nReceived-At: %d\r\nSent-By: 1\r\n"+
 			"Footprint-Kb: 1\r\nContent-Length: 4\r\n\r\nbody", n, time.Now().UnixMilli())
 		buffer := l.pool.get()
--- a/internal/node/server/result_host.go
+++ b/internal/node/server/result_host.go
@@ -8,8 +8,8 @@
 
 // startResultKeeper creates the result keeper if the operator's file has a section for it.
 func (l *loop) startResultKeeper() {
-	if l.startup.own != nil && l.startup.own.ResultStore != nil {
-		l.results = newResultKeeper(l, l.log, l.startup.own.ResultStore)
+	if l.startup.operator != nil && l.startup.operator.ResultStore != nil {
+		l.results = newResultKeeper(l, l.log, l.startup.operator.ResultStore)
 	}
 }
 
@@ -24,26 +24,26 @@
 		for range l.events {
 		}
 	}()
-	l.results.close(durationOf(l.answerBy+l.killMargin/2) - l.clock.Now())
+	l.results.close(durationOf(l.responseDeadline+l.killMargin/2) - l.clock.Now())
 }
 
 func (t *loopTime) currentTime() admission.Time { return t.now }
 
 func (l *loop) drainDeadline() (answerBy admission.Time, draining bool) {
-	return l.answerBy, l.draining
+	return l.responseDeadline, l.draining
 }
 
 func (t *loopTime) setResultTimer(at admission.Time, h handle) { t.timers.set(at, timerResultStore, h) }
 
-func (in *requestsInHand) requestByHandle(h handle) *request { return in.requests.get(h) }
+func (in *inFlightRequests) requestByHandle(h handle) *request { return in.requests.get(h) }
 
-func (in *requestsInHand) forEachRequest(f func(h handle, r *request)) {
+func (in *inFlightRequests) forEachRequest(f func(h handle, r *request)) {
 	for h, i := in.requests.next(0); h != 0; h, i = in.requests.next(i) {
 		f(h, in.requests.get(h))
 	}
 }
 
-func (in *requestsInHand) requestCapacity() int { return in.requests.capacity }
+func (in *inFlightRequests) requestCapacity() int { return in.requests.capacity }
 
 func (l *loop) countShared() { l.counters.SharedResults++ }
 
@@ -55,9 +55,9 @@
 
 // hasSharedResult reports whether the result of a request's key is in memory or will be, so that the controller can
 // answer the request from it.
-func (in *requestsInHand) hasSharedResult(r *request) bool {
+func (in *inFlightRequests) hasSharedResult(r *request) bool {
 	e := in.idempotency.find(r.key)
-	return e != nil && r.earliestArrival < e.until && (e.hasResult || e.state < entryDone)
+	return e != nil && r.earliestArrival < e.expiresAt && (e.hasResult || e.state < entryDone)
 }
 
 func (l *loop) completeWaiters(h handle, key string, ok bool, result []byte) {
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -83,7 +83,7 @@
 	runOnLoop(f func()) // queues f to be called by the loop's goroutine
 	currentTime() admission.Time
 	drainDeadline() (answerBy admission.Time, draining bool)
-	setResultTimer(at admission.Time, h handle) // has answerLate called at that time
+	setResultTimer(at admission.Time, h handle) // has answerOverdue called at that time
 	platform() *settings.Startup
 	requestByHandle(h handle) *request
 	forEachRequest(f func(h handle, r *request))
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -53,7 +53,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &loop{crossGoroutine: crossGoroutine{log: log, events: make(chan event, 64), limits: NewLimits(1, 64, 256)},
-		requestsInHand: requestsInHand{requests: newTable[request](8),
+		inFlightRequests: inFlightRequests{requests: newTable[request](8),
 			idempotency: newIdempotencyTable(10, 1000, 50)},
 		clients: clients{connections: newTable[connection](2)},
 		configuration: configuration{names: []string{"put"}, settings: &settings.Startup{
@@ -88,8 +88,8 @@
 	select {
 	case e := <-l.events:
 		l.handle(e)
-	case <-time.After(patience):
-		t.Fatalf("no callback of the disk within %v", patience)
+	case <-time.After(testTimeout):
+		t.Fatalf("no callback of the disk within %v", testTimeout)
 	}
 }
 
@@ -188,9 +188,9 @@
 	l.awaitDisk(t)
 	d.syncGate = make(chan struct{})
 	l.runEnded(h, r, admission.Succeeded, 1, []byte("result"))
-	l.draining, l.answerBy = true, l.now+admission.Second/10
+	l.draining, l.responseDeadline = true, l.now+admission.Second/10
 	l.results.drain()
-	l.now = l.answerBy - responseMargin
+	l.now = l.responseDeadline - responseMargin
 	l.fireTimers()
 	if !r.isAnswered() || l.counters.Failed != 1 {
 		t.Fatalf("answered %v, failed %d before the end of the drain, want true, 1", r.isAnswered(), l.counters.Failed)
--- a/internal/node/server/result_run.go
+++ b/internal/node/server/result_run.go
@@ -85,7 +85,7 @@
 	k.faults.reach(faultIntentDurable)
 	k.host.startRun(r)
 	k.faults.reach(faultRunSent)
-	if r.isToldToStop() {
+	if r.isStopRequested() {
 		k.host.stopRun(r)
 	}
 }
--- a/internal/node/server/run.go
+++ b/internal/node/server/run.go
@@ -30,7 +30,7 @@
 )
 
 // Run serves until the program gets SIGTERM and all requests read are answered. It returns an error if it can't start.
-func Run(c *Node, log *logrus.Logger, signals Signals) error {
+func Run(c *StartupFile, log *logrus.Logger, signals Signals) error {
 	limits := NewLimits(c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets)
 	boundMemory(limits)
 	workers := newWorkers(limits.Workers)
@@ -76,7 +76,7 @@
 }
 
 // newLoop returns a loop with empty tables and a running clock; nothing is dialled yet.
-func newLoop(c *Node, limits Limits, log *logrus.Logger, workers workers) *loop {
+func newLoop(c *StartupFile, limits Limits, log *logrus.Logger, workers workers) *loop {
 	deployment := c.settings.Deployment
 	longestTimeout := admission.Time(0)
 	for _, h := range deployment.Handlers {
@@ -87,13 +87,13 @@
 			pool: bufferPool{capacity: limits.Buffers}, workers: workers},
 		configuration: configuration{startup: c, settings: c.settings,
 			names: make([]string, len(deployment.Handlers))},
-		loopTime:       loopTime{timer: time.NewTimer(time.Hour)},
-		logLimit:       logLimit{debug: log.IsLevelEnabled(logrus.DebugLevel)},
-		readiness:      readiness{ready: true, controllerReady: true},
-		requestsInHand: newRequestsInHand(limits, longestTimeout),
-		clients:        newClients(limits, c.settings.IdleTimeout),
-		upstreams:      newUpstreams(c, limits),
-		drainState:     drainState{killDelay: admission.Time(c.StopMS) * (admission.Second / 1000)},
+		loopTime:         loopTime{timer: time.NewTimer(time.Hour)},
+		logLimit:         logLimit{debug: log.IsLevelEnabled(logrus.DebugLevel)},
+		readiness:        readiness{ready: true, controllerReady: true},
+		inFlightRequests: newRequestsInHand(limits, longestTimeout),
+		clients:          newClients(limits, c.settings.IdleTimeout),
+		upstreams:        newUpstreams(c, limits),
+		drainState:       drainState{killDelay: admission.Time(c.StopMS) * (admission.Second / 1000)},
 	}
 	l.startClock(2 * longestTimeout)
 	for name, i := range c.settings.HandlerIndex {
@@ -102,8 +102,8 @@
 	return l
 }
 
-func newRequestsInHand(limits Limits, longestTimeout admission.Time) requestsInHand {
-	return requestsInHand{requests: newTable[request](limits.Requests), byRequestID: map[string]handle{},
+func newRequestsInHand(limits Limits, longestTimeout admission.Time) inFlightRequests {
+	return inFlightRequests{requests: newTable[request](limits.Requests), byRequestID: map[string]handle{},
 		idempotency: newIdempotencyTable(limits.IdempotencyKeys, limits.ResultBytes, longestTimeout)}
 }
 
@@ -114,7 +114,7 @@
 		idleTimeout: 2 * max(idleTimeout, minIdleTimeout)}
 }
 
-func newUpstreams(c *Node, limits Limits) upstreams {
+func newUpstreams(c *StartupFile, limits Limits) upstreams {
 	bounds := limits.LinkBounds
 	return upstreams{
 		dialTo: dialTCP,
--- a/internal/node/server/scenario_test.go
+++ b/internal/node/server/scenario_test.go
@@ -141,7 +141,7 @@
 		if w[0] == "node" {
 			set = parsePairs(w[1:])
 		}
-		p.node = start(t, set)
+		p.node = startNode(t, set)
 		if w[0] == "node" {
 			return
 		}
@@ -196,8 +196,8 @@
 	case "dies":
 		select {
 		case <-p.ended:
-		case <-time.After(patience):
-			p.fatalf("program still running after %v", patience)
+		case <-time.After(testTimeout):
+			p.fatalf("program still running after %v", testTimeout)
 		}
 	case "disk":
 		var lim unix.Rlimit
@@ -243,11 +243,11 @@
 			if p.err != nil {
 				p.fatalf("program exited with %v, want success", p.err)
 			}
-		case <-time.After(patience):
-			p.fatalf("program still running after %v", patience)
+		case <-time.After(testTimeout):
+			p.fatalf("program still running after %v", testTimeout)
 		}
 	case "logged":
-		if !p.logged(w[1:]...) {
+		if !p.waitForLog(w[1:]...) {
 			p.fatalf("no log line contains all of %q", w[1:])
 		}
 	case "log", "counts":
@@ -255,7 +255,7 @@
 			if w[0] == "counts" {
 				want = " " + want + " "
 			}
-			if !p.logged(want) {
+			if !p.waitForLog(want) {
 				p.fatalf("not logged: %s", want)
 			}
 		}
--- a/internal/node/server/signals.go
+++ b/internal/node/server/signals.go
@@ -8,8 +8,8 @@
 // Signals are the operator's signals to the serving program, each kind on a channel of its own, so that one kind can't
 // displace another. Read reads the start-up file again. See row "signals at once" in docs/design/shutdown.md.
 type Signals struct {
-	Drain, Count, Reload <-chan os.Signal
-	Read                 func() (*Node, error)
+	Drain, Counters, Reload <-chan os.Signal
+	ReadConfig              func() (*StartupFile, error)
 }
 
 // NotifySignals subscribes to the signals. It has to be called first, as an earlier signal ends the program.
@@ -20,7 +20,7 @@
 		signal.Notify(c, s)
 		return c
 	}
-	return Signals{Drain: subscribe(drain), Count: subscribe(count), Reload: subscribe(reload)}
+	return Signals{Drain: subscribe(drain), Counters: subscribe(count), Reload: subscribe(reload)}
 }
 
 // forward posts the signals to the loop, each kind from a goroutine that ends with the process, so that reading a slow
@@ -32,9 +32,9 @@
 		}
 	}
 	go post(signals.Drain, func() event { return drainRequested{} })
-	go post(signals.Count, func() event { return countersRequested{} })
+	go post(signals.Counters, func() event { return countersRequested{} })
 	go post(signals.Reload, func() event {
-		next, err := signals.Read()
+		next, err := signals.ReadConfig()
 		return &startupFileReloaded{node: next, err: err}
 	})
 }
