--- a/internal/node/server/startup_file.go
+++ b/internal/node/server/startup_file.go
@@ -13,9 +13,9 @@
 	"umberwinch/internal/node/settings"
 )
 
-// Node is the start-up file: the node's configuration, read at start and on a reload. It is validated as a whole before
+// StartupFile is the start-up file: the node's configuration, read at start and on a reload. It is validated as a whole before
 // any of it applies.
-type Node struct {
+type StartupFile struct {
 	Name    string  `json:"name"`
 	Listen  string  `json:"listen"`
 	Kernel  string  `json:"kernel"`
@@ -30,11 +30,11 @@
 	Settings json.RawMessage `json:"settings"`
 
 	settings *settings.Startup
-	own      *config.Node // the operator's file; nil: there is none
+	operator *config.Node // the operator's file; nil: there is none
 }
 
-// ReadNode reads the start-up file. name and listen, from the environment, override the file's values.
-func ReadNode(path, name, listen string) (*Node, error) {
+// ReadStartupFile reads the start-up file. name and listen, from the environment, override the file's values.
+func ReadStartupFile(path, name, listen string) (*StartupFile, error) {
 	if path == "" {
 		return nil, errors.New("NODE_CONFIG is not set, expected the path of the start-up file")
 	}
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var c Node
+	var c StartupFile
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return nil, fmt.Errorf("%s is not JSON as expected: %w", path, err)
 	}
@@ -62,7 +62,7 @@
 }
 
 // check returns an error that names the invalid key, the value found and the value expected.
-func (c *Node) check() error {
+func (c *StartupFile) check() error {
 	if c.Name == "" {
 		return errors.New("name: found none, expected the server's name")
 	}
@@ -85,24 +85,26 @@
 	return nil
 }
 
-// ReadBoth reads the start-up file and the operator's file, if UMBERWINCH_FILE names one, and validates them together.
-func ReadBoth(getenv func(string) string) (*Node, error) {
-	own := &config.Node{LogForm: "text", LogFrom: "info"}
+// ReadConfig reads the start-up file and the operator's file, if UMBERWINCH_FILE names one, and validates them together.
+func ReadConfig(getenv func(string) string) (*StartupFile, error) {
+	own := &config.Node{LogFormat: "text", LogLevel: "info"}
 	var err error
 	if path := getenv("UMBERWINCH_FILE"); path != "" {
 		if own, err = config.ReadNode(path); err != nil {
 			return nil, err
 		}
 	}
-	c, err := ReadNode(getenv("NODE_CONFIG"), getenv("NODE_NAME"), getenv("NODE_LISTEN"))
+	c, err := ReadStartupFile(getenv("NODE_CONFIG"), getenv("NODE_NAME"), getenv("NODE_LISTEN"))
 	if err != nil {
 		return nil, err
 	}
-	return c, c.Own(own)
+	return c, c.SetOperatorConfig(own)
 }
 
-// Logs returns the format and the minimum level of the log.
-func (c *Node) Logs() (format, level string) { return c.own.LogForm, c.own.LogFrom }
+// LogSettings returns the format and the minimum level of the log.
+func (c *StartupFile) LogSettings() (format, level string) {
+	return c.operator.LogFormat, c.operator.LogLevel
+}
 
 // isHostPort reports whether a string has the form HOST:PORT.
 func isHostPort(s string) bool {
@@ -111,7 +113,7 @@
 }
 
 // changedFixedKeys lists the keys that differ in another file but can't change while the program serves.
-func (c *Node) changedFixedKeys(next *Node) string {
+func (c *StartupFile) changedFixedKeys(next *StartupFile) string {
 	var changed []string
 	for _, f := range []struct {
 		name string
--- a/internal/node/server/store_connections.go
+++ b/internal/node/server/store_connections.go
@@ -29,7 +29,7 @@
 
 // storeConnection is one connection to the store, open or being dialed.
 type storeConnection struct {
-	dialed   *dialed
+	dialed   *dialAttempt
 	calls    []handle       // requests whose calls are sent on it or wait for it to open
 	lastUsed admission.Time // when it last sent or received
 	retired  bool           // gets no further calls
@@ -92,7 +92,7 @@
 	if !ok {
 		return best, b, false
 	}
-	*c = storeConnection{dialed: &dialed{peer: peerStore, storeConn: h, parser: s.parser}, lastUsed: l.now}
+	*c = storeConnection{dialed: &dialAttempt{peer: peerStore, storeConn: h, parser: s.parser}, lastUsed: l.now}
 	l.open(c.dialed, s.addr)
 	l.fleet.connectionOpened()
 	return h, c, false
@@ -252,7 +252,7 @@
 		return
 	}
 	if c.dialed.writer == nil {
-		l.store.failed(l.now, &l.limits) // the dial failed
+		l.store.recordFailure(l.now, &l.limits) // the dial failed
 	}
 	if len(c.calls) > 0 {
 		l.counters.StoreConnectionsLost++
@@ -284,8 +284,8 @@
 	return n
 }
 
-// moveStore changes the store's address. Calls that were sent stay on their connections, which are retired.
-func (l *loop) moveStore(addr string) {
+// setStoreAddress changes the store's address. Calls that were sent stay on their connections, which are retired.
+func (l *loop) setStoreAddress(addr string) {
 	s := &l.store
 	if s.addr == addr {
 		return
@@ -298,14 +298,14 @@
 			continue
 		}
 		// Not open yet, so nothing was sent: the waiting calls go to the new address.
-		c.dialed = &dialed{peer: peerStore, storeConn: h, parser: s.parser}
+		c.dialed = &dialAttempt{peer: peerStore, storeConn: h, parser: s.parser}
 		l.open(c.dialed, addr)
 	}
 }
 
 // storeParser returns the parser of the store's replies.
 func storeParser(bounds wire.Bounds) linkParser {
-	return func(from *dialed, b *buffer) (event, int, error) {
+	return func(from *dialAttempt, b *buffer) (event, int, error) {
 		e := &b.reply
 		e.dialed, e.buffer = from, b
 		var n int
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -61,7 +61,7 @@
 	close(s.unblock)
 	select {
 	case <-s.closed:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("connection is not closed")
 	}
 	if want := bytes.Repeat(chunk, accepted); !bytes.Equal(s.received.Bytes(), want) {
@@ -186,7 +186,7 @@
 
 // Requests of a round are sorted by arrival, and a later attempt of a key is linked to the earlier one.
 func TestOrderArrivals(t *testing.T) {
-	l := &loop{requestsInHand: requestsInHand{requests: newTable[request](8),
+	l := &loop{inFlightRequests: inFlightRequests{requests: newTable[request](8),
 		idempotency: newIdempotencyTable(10, 100, 50)}}
 	var arrived []admission.Request
 	for i, arrival := range []admission.Time{30, 10, 20, 10, 15} {
@@ -228,12 +228,12 @@
 		upstreams:      upstreams{dialTo: dialTCP}}
 	k := &l.discovery.link
 	k.peer, k.addr, k.delay, k.notBefore = peerDiscovery, "127.0.0.1:1", 900, 2000
-	l.moveLink(k, "127.0.0.1:2")
+	l.setLinkAddress(k, "127.0.0.1:2")
 	if k.dialed == nil || k.delay != 0 {
 		t.Errorf("moved link: dialled = %v, backoff delay = %d, want true and 0", k.dialed != nil, k.delay)
 	}
 	first := k.dialed
-	if l.moveLink(k, "127.0.0.1:3"); k.dialed == first || k.dialed == nil {
+	if l.setLinkAddress(k, "127.0.0.1:3"); k.dialed == first || k.dialed == nil {
 		t.Error("a dial in progress to the old address delays the dial to the new one")
 	}
 	e := &linkDialed{dialed: first, err: errClosed}
@@ -251,14 +251,14 @@
 		crossGoroutine: crossGoroutine{log: log, events: make(chan event, 4), limits: NewLimits(1, 64, 256)},
 		upstreams: upstreams{dialTo: dialTCP,
 			store: newTestStoreConnections("127.0.0.1:1", NewLimits(1, 64, 256))},
-		requestsInHand: requestsInHand{requests: newTable[request](2)}}
+		inFlightRequests: inFlightRequests{requests: newTable[request](2)}}
 	h, r, _ := l.requests.take()
 	at, c, _ := l.store.connections.take()
-	old := &dialed{peer: peerStore, storeConn: at, parser: l.store.parser}
+	old := &dialAttempt{peer: peerStore, storeConn: at, parser: l.store.parser}
 	*c = storeConnection{dialed: old, calls: []handle{h}}
 	r.setCall(callQueued)
 	r.storeConn = at
-	l.moveStore("127.0.0.1:2")
+	l.setStoreAddress("127.0.0.1:2")
 	l.linkDialed(&linkDialed{dialed: old})
 	if r.call != callQueued || old.writer != nil || c.dialed == old {
 		t.Errorf("the old dial was used: call state = %d, want %d", r.call, callQueued)
@@ -270,21 +270,21 @@
 func TestAcknowledgementIsDelayed(t *testing.T) {
 	l := &loop{loopTime: loopTime{now: 10000}, crossGoroutine: crossGoroutine{limits: NewLimits(1, 64, 256)}}
 	k := &l.kernel
-	k.state, k.sent = kernelLive, 7
+	k.state, k.lastCommand = kernelLive, 7
 	for _, step := range []struct {
 		at    admission.Time
 		acked uint64
 	}{{10000, 0}, {10500, 0}, {11000, 7}} {
 		l.now = step.at
-		if l.gaugesReceived(&wire.KernelEvent{Nonce: []byte("7")}); k.provenRead != step.acked {
-			t.Errorf("at %d: commands acknowledged up to %d, want %d", l.now, k.provenRead, step.acked)
+		if l.gaugesReceived(&wire.KernelEvent{Nonce: []byte("7")}); k.acknowledged != step.acked {
+			t.Errorf("at %d: commands acknowledged up to %d, want %d", l.now, k.acknowledged, step.acked)
 		}
 	}
 }
 
 // With the maximum number of connections and kept results, the program stays within its memory and descriptors.
 func TestResourcesWithFullTables(t *testing.T) {
-	n := start(t, map[string]string{"memory_mb": "64", "sockets": "1024", "window": "60000000"})
+	n := startNode(t, map[string]string{"memory_mb": "64", "sockets": "1024", "window": "60000000"})
 	go func() { // the kernel answers every run with the largest result
 		for line, ok := n.kernel.next("SYSINFO"); ok; line, ok = n.kernel.next("SYSINFO") {
 			if w := strings.Fields(line); w[0] == "SCHED" {
@@ -353,7 +353,7 @@
 
 // A run that does not end is answered before the kill.
 func TestDrainAnswersUnfinishedRun(t *testing.T) {
-	n := start(t, map[string]string{"cores": "0.1", "stop_ms": "2400"})
+	n := startNode(t, map[string]string{"cores": "0.1", "stop_ms": "2400"})
 	c := n.dial()
 	fmt.Fprintf(c, "POST /rpc/act HTTP/1.1\r\nRequest-Id: %016x\r\nReceived-At: %d\r\nSent-By: 1\r\n"+
 		"Footprint-Kb: 1\r\nContent-Length: 0\r\n\r\n", 1, time.Now().UnixMilli())
@@ -378,8 +378,8 @@
 // unused.
 func TestCancelledCallIsReported(t *testing.T) {
 	l := &loop{loopTime: loopTime{now: 5000}, crossGoroutine: crossGoroutine{limits: NewLimits(1, 64, 256)},
-		requestsInHand: requestsInHand{requests: newTable[request](8)},
-		fleet:          &fleetAgent{clock: bootTime, meter: zonegate.NewMeter(bootTime(), []float64{1})}}
+		inFlightRequests: inFlightRequests{requests: newTable[request](8)},
+		fleet:            &fleetAgent{clock: bootTime, meter: zonegate.NewMeter(bootTime(), []float64{1})}}
 	r := &request{lifecycle: lifecycle{call: callSent}, storeCall: storeCall{callStarted: 2000}}
 	l.cancelCall(1, r)
 	l.cancelCall(1, r) // no call is left
@@ -408,7 +408,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			l := &loop{loopTime: loopTime{now: deadline + test.after}, crossGoroutine: crossGoroutine{limits: limits},
-				requestsInHand: requestsInHand{requests: newTable[request](8)}}
+				inFlightRequests: inFlightRequests{requests: newTable[request](8)}}
 			h, r, _ := l.requests.take()
 			*r = request{lifecycle: lifecycle{run: runRunning, call: test.call},
 				storeCall: storeCall{callDeadline: deadline}}
@@ -435,7 +435,7 @@
 			IdempotencyWindow: 8 * admission.Second}}}
 	l := &loop{configuration: configuration{names: []string{"put"},
 		settings: &settings.Startup{Deployment: d, HandlerIndex: map[string]int{"put": 0}}},
-		requestsInHand: requestsInHand{idempotency: newIdempotencyTable(2000, 1000, 6*admission.Second),
+		inFlightRequests: inFlightRequests{idempotency: newIdempotencyTable(2000, 1000, 6*admission.Second),
 			requests: newTable[request](8), byRequestID: map[string]handle{}},
 		crossGoroutine: crossGoroutine{limits: NewLimits(1, 64, 256)},
 		decisions:      decisions{controller: admission.New(d)},
--- a/internal/node/server/trouble_test.go
+++ b/internal/node/server/trouble_test.go
@@ -54,7 +54,7 @@
 
 func newFaultServer(t *testing.T, h *history, number int, ids *atomic.Int64) *faultServer {
 	set := map[string]string{"give_up": "1500000", "promise": "1000000", "window": "800000", "stop_ms": "3500"}
-	s := &faultServer{t: t, history: h, number: number, node: start(t, set), ids: ids}
+	s := &faultServer{t: t, history: h, number: number, node: startNode(t, set), ids: ids}
 	s.serveRuns(s.node, 2*number)
 	for i := range faultClients {
 		s.clients = append(s.clients, &faultClient{server: s, rand: rand.New(rand.NewPCG(uint64(number), uint64(i)))})
@@ -129,7 +129,7 @@
 	// Recorded first, as the run may start before the write returns.
 	c.server.history.add(record{kind: recordSent, id: id, key: key,
 		deadline: time.Since(c.server.history.startedAt) + faultTimeout})
-	c.conn.SetDeadline(time.Now().Add(patience))
+	c.conn.SetDeadline(time.Now().Add(testTimeout))
 	_, err := io.WriteString(c.conn, text)
 	var response *http.Response
 	if err == nil {
@@ -167,7 +167,7 @@
 		return err == nil
 	})
 	if !accepted {
-		c.server.t.Errorf("server %d: connection is not accepted within %v", c.server.number, patience)
+		c.server.t.Errorf("server %d: connection is not accepted within %v", c.server.number, testTimeout)
 	}
 	return accepted
 }
@@ -183,7 +183,7 @@
 		select {
 		case <-ended:
 			s.history.add(record{kind: recordExit, server: process})
-		case <-time.After(faultKillDelay + patience):
+		case <-time.After(faultKillDelay + testTimeout):
 		}
 	}()
 	return done
--- a/internal/node/zonegate/autonomous.go
+++ b/internal/node/zonegate/autonomous.go
@@ -14,10 +14,10 @@
 	minAutonomousShare = api.FullShare / 16
 )
 
-// ContinueAutonomously adjusts the share of a node without the control service and reports whether it changed. The last
+// AdjustAutonomousShare adjusts the share of a node without the control service and reports whether it changed. The last
 // order holds for its time to live; after each further such time the share doubles if healthy, the state of the node's
 // own requests, and halves otherwise. Guards against a zone that stays evacuated while the control service is down.
-func (g *Gate) ContinueAutonomously(now uint64, healthy bool) (changed bool) {
+func (g *Gate) AdjustAutonomousShare(now uint64, healthy bool) (changed bool) {
 	if !g.hasOrder || g.order.Share >= api.FullShare && g.order.PriorityCutoff == 0 && !g.order.RateLimited {
 		return false
 	}
@@ -58,7 +58,7 @@
 }
 
 // BeginAutonomousColdStart sets the first share, of api.FullShare, of a node that starts without the control service.
-// ContinueAutonomously adjusts it every stepMS. Guards against a fleet that restarts as a whole and overloads
+// AdjustAutonomousShare adjusts it every stepMS. Guards against a fleet that restarts as a whole and overloads
 // dependencies that are warming up.
 func (g *Gate) BeginAutonomousColdStart(now uint64, share int, stepMS uint64) {
 	if !g.hasOrder {
--- a/internal/node/zonegate/autonomous_test.go
+++ b/internal/node/zonegate/autonomous_test.go
@@ -15,7 +15,7 @@
 	now := uint64(1000)
 	step := func(healthy bool, want int) {
 		t.Helper()
-		if g.ContinueAutonomously(now, healthy); g.Share() != want {
+		if g.AdjustAutonomousShare(now, healthy); g.Share() != want {
 			t.Errorf("Share() at %d ms = %d of 256, want %d", now, g.Share(), want)
 		}
 	}
@@ -50,14 +50,14 @@
 	if n := admitted(1000); n != 16 {
 		t.Fatalf("admitted %d of 256, want 16", n)
 	}
-	if g.ContinueAutonomously(2900, true) || !g.ContinueAutonomously(3000, true) || g.Share() != 32 {
+	if g.AdjustAutonomousShare(2900, true) || !g.AdjustAutonomousShare(3000, true) || g.Share() != 32 {
 		t.Fatalf("Share() = %d, want 32 after a healthy step of 2 s and not before", g.Share())
 	}
-	if !g.ContinueAutonomously(5000, false) || g.Share() != 16 {
+	if !g.AdjustAutonomousShare(5000, false) || g.Share() != 16 {
 		t.Fatalf("Share() = %d, want 16 after an unhealthy step", g.Share())
 	}
 	for now := uint64(7000); now <= 15_000; now += 2000 {
-		g.ContinueAutonomously(now, true)
+		g.AdjustAutonomousShare(now, true)
 	}
 	if n := admitted(15_000); n != 256 {
 		t.Fatalf("admitted %d of 256 after the ramp, want all", n)
--- a/internal/node/zonegate/meter.go
+++ b/internal/node/zonegate/meter.go
@@ -135,7 +135,7 @@
 }
 
 // Healthy reports whether nine in ten of the requests that ended in the last two seconds, except shed ones, completed
-// in time, for ContinueAutonomously. If none ended it is healthy while no run is in flight, so that the share of an
+// in time, for AdjustAutonomousShare. If none ended it is healthy while no run is in flight, so that the share of an
 // idle node can grow. inFlight is the number of runs.
 func (m *Meter) Healthy(now uint64, inFlight int) bool {
 	report := m.Report(now, true, 1, inFlight)
--- a/internal/node/zonegate/pin_gate_test.go
+++ b/internal/node/zonegate/pin_gate_test.go
@@ -50,7 +50,7 @@
 			gate.BeginAutonomousColdStart(now, 16, 1000)
 		}
 		if step%900 > 550 && step%900 < 690 || step%900 > 890 {
-			if gate.ContinueAutonomously(now, rng.IntN(4) != 0) {
+			if gate.AdjustAutonomousShare(now, rng.IntN(4) != 0) {
 				changes++
 			}
 		}
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -54,13 +54,13 @@
 	Points [][2]float64
 }
 
-// Add appends a figure.
-func (r *Report) Add(key, format string, args ...any) {
+// AddFigure appends a figure.
+func (r *Report) AddFigure(key, format string, args ...any) {
 	r.Figures = append(r.Figures, Figure{key, fmt.Sprintf(format, args...)})
 }
 
-// Find returns the value of a figure, or "" if there is none.
-func (r *Report) Find(key string) string {
+// FigureValue returns the value of a figure, or "" if there is none.
+func (r *Report) FigureValue(key string) string {
 	for _, f := range r.Figures {
 		if f.Key == key {
 			return f.Value
@@ -69,8 +69,8 @@
 	return ""
 }
 
-// Break records a broken promise. Only the first one is kept.
-func (r *Report) Break(format string, args ...any) {
+// SetBroken records a broken promise. Only the first one is kept.
+func (r *Report) SetBroken(format string, args ...any) {
 	if r.Broken == "" {
 		r.Broken = fmt.Sprintf(format, args...)
 	}
@@ -164,9 +164,9 @@
 	return os.WriteFile(filepath.Join(dir, "result.json"), append(raw, '\n'), 0o644)
 }
 
-// EachSeed calls run for count seeds starting at first, on all cores. It passes each result to handle, in the order of
+// RunSeeds calls run for count seeds starting at first, on all cores. It passes each result to handle, in the order of
 // completion and never concurrently, until handle returns true or ctx ends.
-func EachSeed[R any](ctx context.Context, first int64, count int, run func(seed int64) R,
+func RunSeeds[R any](ctx context.Context, first int64, count int, run func(seed int64) R,
 	handle func(seed int64, r R) (enough bool)) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -188,8 +188,8 @@
 	wg.Wait()
 }
 
-// End prints the report, and saves it to dir unless dir is empty.
-func (r *Report) End(dir string, w io.Writer) (*Report, error) {
+// Finish prints the report, and saves it to dir unless dir is empty.
+func (r *Report) Finish(dir string, w io.Writer) (*Report, error) {
 	if dir != "" {
 		if err := r.Save(dir); err != nil {
 			return nil, err
@@ -239,5 +239,5 @@
 	return svg, nil
 }
 
-// Milliseconds formats a duration for a table.
-func Milliseconds(n int64) string { return strconv.FormatInt(n, 10) + " ms" }
+// FormatMilliseconds formats a duration for a table.
+func FormatMilliseconds(n int64) string { return strconv.FormatInt(n, 10) + " ms" }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -11,8 +11,8 @@
 	dir := t.TempDir()
 	r := &Report{Name: "pools", Title: "Pools", Head: []string{"CLASS"}, Rows: [][]string{{"search"}},
 		Notes: []string{"1 s"}}
-	r.Add("seed", "%d", 1)
-	r.Break("%s lost", "search")
+	r.AddFigure("seed", "%d", 1)
+	r.SetBroken("%s lost", "search")
 	if err := r.Save(dir); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/consensus_cases_test.go
+++ b/internal/simulation/consensus_cases_test.go
@@ -166,7 +166,7 @@
 	w.partition(2000, func(a, b *host) bool { return a == f || b == f })
 	w.votersWanted = 2
 	l := w.leader()
-	l.replica.Change(consensus.Change{Op: "remove", Member: consensus.Member{ID: id}})
+	l.replica.ProposeMemberChange(consensus.MemberChange{Op: "remove", Member: consensus.Member{ID: id}})
 	w.work(l)
 	w.Run(w.Now + 4000)
 	term := w.leader().replica.Status().Term
--- a/internal/simulation/consensus_clients.go
+++ b/internal/simulation/consensus_clients.go
@@ -50,7 +50,7 @@
 	if w.random.Intn(5) < 3 {
 		c.seq++
 		in = registerInput{true, c.base}
-		k.put = &consensus.Put{Session: c.name, Seq: c.seq, Base: c.base, Author: c.name, At: w.random.Int63n(1 << 40),
+		k.put = &consensus.Put{Session: c.name, Seq: c.seq, Base: c.base, Author: c.name, ProposedAtMS: w.random.Int63n(1 << 40),
 			Text: fmt.Sprintf("[tenant %s]\nrate = %d\n", c.name, c.seq)}
 	}
 	w.history = append(w.history, porcupine.Operation{ClientId: len(w.clients), Input: in, Call: w.Now*1000 + 500,
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -153,10 +153,10 @@
 func (w *ConsensusGroup) config(h *host, found bool) consensus.Config {
 	return consensus.Config{Name: fmt.Sprint("i", w.incarnations), Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h",
 		h.n),
-		FoundGroup: found, ElectionTicks: electionTicks, SnapshotBytes: snapshotBytes, DisabledGuards: w.without,
+		Bootstrap: found, ElectionTicks: electionTicks, SnapshotBytes: snapshotBytes, DisabledGuards: w.without,
 		Random: w.random.Uint64,
 		Sizes:  wal.Sizes{SegmentBytes: segmentBytes, MaxBytes: maxLogBytes}, Logger: discardLogger{},
-		OnStep: func(step consensus.WorkStep) {
+		OnStep: func(step consensus.ReadyStep) {
 			if step == consensus.StepSend {
 				w.recordLog(h)
 			}
@@ -243,10 +243,10 @@
 	if h.replica == nil || w.Broken != "" {
 		return
 	}
-	var out consensus.WorkResult
+	var out consensus.ReadyResult
 	incarnation := h.incarnation
 	w.atHost(h, func() (err error) {
-		out, err = h.replica.Work(func(ms []*pb.Message) { w.send(h, incarnation, ms) })
+		out, err = h.replica.ProcessReady(func(ms []*pb.Message) { w.send(h, incarnation, ms) })
 		return err
 	})
 	if h.replica == nil {
@@ -305,7 +305,7 @@
 	members := l.replica.Members()
 	for _, m := range members {
 		if w.hostOf(m) == nil {
-			l.replica.Change(consensus.Change{Op: "remove", Member: m})
+			l.replica.ProposeMemberChange(consensus.MemberChange{Op: "remove", Member: m})
 			w.work(l)
 			return
 		}
@@ -317,7 +317,7 @@
 		if h.replica == nil || h.replica.Status().Role != "waiting" {
 			continue
 		}
-		l.replica.Change(consensus.Change{Op: "add", Member: consensus.Member{ID: h.id, Name: fmt.Sprintf("m%x", h.id),
+		l.replica.ProposeMemberChange(consensus.MemberChange{Op: "add", Member: consensus.Member{ID: h.id, Name: fmt.Sprintf("m%x", h.id),
 			Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h", h.n), Promote: true}})
 		w.work(l)
 		return
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -111,7 +111,7 @@
 		w.Zones = 3
 	}
 	if p.Way != "" {
-		w.Without |= policy.LeaseGuard | policy.Fence | policy.PrepareAll
+		w.Without |= policy.AwaitLeases | policy.FenceOnExpiry | policy.PrepareAll
 		w.state.DisabledGuards = w.Without
 	}
 	if w.Lease == 0 {
--- a/internal/simulation/fleet_node.go
+++ b/internal/simulation/fleet_node.go
@@ -124,9 +124,9 @@
 			return
 		}
 		n.preparing = 0
-		fails := n.rejects == v.Version || w.failsTrial[v.Hash] && !w.Without.Has(policy.Shadow)
+		fails := n.rejects == v.Version || w.failsTrial[v.Hash] && !w.Without.Has(policy.ShadowEvaluation)
 		if fails && !decided {
-			n.agent.Reject(n.clock(), v.Version, "it says no", false)
+			n.agent.RejectVersion(n.clock(), v.Version, "it says no", false)
 		} else {
 			n.agent.MarkPrepared(n.clock(), v)
 			n.prepared = v
--- a/internal/simulation/fleet_state_loss_test.go
+++ b/internal/simulation/fleet_state_loss_test.go
@@ -15,7 +15,7 @@
 func TestLostSchedules(t *testing.T) {
 	n := scheduleCount(t, 60)
 	lost, found, restored, bad := 0, 0, 0, 0
-	report.EachSeed(context.Background(), 1, n, func(seed int64) *Fleet {
+	report.RunSeeds(context.Background(), 1, n, func(seed int64) *Fleet {
 		w := NewFleet(DrawStateLoss(seed, 0))
 		w.Play()
 		return w
@@ -36,7 +36,7 @@
 // TestLostGuards: a guard of restoring a group is taken out, and schedules of state loss are played until a promise
 // breaks. One must, on 100 seeds, or no check would find that the guard is missing.
 func TestLostGuards(t *testing.T) {
-	for _, g := range []policy.Guard{policy.Generation, policy.Proof, policy.ListenFirst} {
+	for _, g := range []policy.Guard{policy.NewestGeneration, policy.LossProof, policy.ListenFirst} {
 		broken := ""
 		for seed := int64(1); seed <= 100 && broken == ""; seed++ {
 			w := NewFleet(DrawStateLoss(seed, g))
--- a/internal/simulation/pool_scenarios.go
+++ b/internal/simulation/pool_scenarios.go
@@ -84,7 +84,7 @@
 		Cores: s.Cores, MaxRunsPerCore: 5, MemoryKB: 1 << 20, RunMemoryFactor: 2, TableEntryKB: 1,
 		Cancellation: admission.CancelNever, DrainGrace: second, MaxRetryAfter: 5 * second, IdleTimeout: 30 * second,
 	}
-	p := pools.Plan{Reserve: variant == "pools" && without != "reserve", Tenants: s.Tenants}
+	p := pools.Config{Reserve: variant == "pools" && without != "reserve", Tenants: s.Tenants}
 	total := 0.0
 	for k := range s.Classes {
 		total += s.fractions[k] * s.Classes[k].Work
--- a/internal/simulation/pools.go
+++ b/internal/simulation/pools.go
@@ -43,8 +43,8 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	rep.Add("seed", "%d", r.Seed)
-	rep.Add("servers", "%d", size)
+	rep.AddFigure("seed", "%d", r.Seed)
+	rep.AddFigure("servers", "%d", size)
 	least, requests := 1.0, 0
 	for i, s := range scenarios {
 		o := outcomes[i]
@@ -57,11 +57,11 @@
 		r.check(rep, s, o, &least)
 		rep.Plots = append(rep.Plots, limitPlot(s, o["pools"]), servedPlot(s, o))
 	}
-	rep.Add("scenarios", "%d", len(scenarios))
-	rep.Add("reqs", "%d", requests)
-	rep.Add("cheapest_least", "%.3f", least)
+	rep.AddFigure("scenarios", "%d", len(scenarios))
+	rep.AddFigure("reqs", "%d", requests)
+	rep.AddFigure("cheapest_least", "%.3f", least)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("%.1f s for %d reqs", time.Since(started).Seconds(), requests))
-	return rep.End(r.Out, w)
+	return rep.Finish(r.Out, w)
 }
 
 // scenarios reads all scenarios, or the one that is named.
@@ -95,7 +95,7 @@
 // rows are a scenario's in the table: each class's share done in time by each way, then the value done.
 func (s *Scenario) rows(o map[string]*outcome) (rows [][]string) {
 	percentile95 := func(variant string, k int) string {
-		return report.Milliseconds(o[variant].classes[k].times.ValueAtQuantile(95) / 10)
+		return report.FormatMilliseconds(o[variant].classes[k].times.ValueAtQuantile(95) / 10)
 	}
 	value := []string{"", "value", ""}
 	for k := range s.Classes {
@@ -147,20 +147,20 @@
 	if !s.exempt {
 		*least = min(*least, good)
 		if good < minCheapestInTime {
-			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, good, s.Classes[s.Cheapest].Name,
+			rep.SetBroken("%s: %.3f of %s in time, expected %.2f", s.name, good, s.Classes[s.Cheapest].Name,
 				minCheapestInTime)
 		}
 	}
 	if a, b := with.classes[s.Dearest].inTimeFraction(), off.classes[s.Dearest].inTimeFraction(); a < b-maxDearestLoss {
-		rep.Break("%s: %.3f of %s in time with pools, %.3f without", s.name, a, s.Classes[s.Dearest].Name, b)
+		rep.SetBroken("%s: %.3f of %s in time with pools, %.3f without", s.name, a, s.Classes[s.Dearest].Name, b)
 	}
 	for _, h := range s.targets {
 		if got := with.classes[h.class].inTimeFraction(); got < h.fraction {
-			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, got, s.Classes[h.class].Name, h.fraction)
+			rep.SetBroken("%s: %.3f of %s in time, expected %.2f", s.name, got, s.Classes[h.class].Name, h.fraction)
 		}
 	}
 	if with.peakRuns > 5 { // what the emulated cores survive; the module keeps a fifth off it
-		rep.Break("%s: %.1f runs a core", s.name, with.peakRuns)
+		rep.SetBroken("%s: %.1f runs a core", s.name, with.peakRuns)
 	}
 }
 
--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -29,7 +29,7 @@
 	n := scheduleCount(t, 40)
 	left, steps, bad := 0, 0, 0
 	play := func(seed int64) *Zones { return playZones(DrawZones(seed)) }
-	report.EachSeed(context.Background(), 1, n, play, func(seed int64, v *Zones) bool {
+	report.RunSeeds(context.Background(), 1, n, play, func(seed int64, v *Zones) bool {
 		if p := v.ZonePlan; v.Broken != "" {
 			t.Errorf("seed %d (%v, load %.2f, cold %.1f, %d nodes in %d zones, again %v, spare %d): %s", seed, p.Kinds,
 				p.Load, p.Cold, p.Nodes, p.Zones, p.SecondFault, p.Spare, v.Broken)
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -99,8 +99,8 @@
 
 // addRequest adds a request to the round. It arrived when it reached the machine, BacklogUS before it was read.
 func (in *instance) addRequest(q wire.Request, nowUS uint64) error {
-	if q.Class >= in.controller.Handlers() {
-		return fmt.Errorf("class %d, expected below %d", q.Class, in.controller.Handlers())
+	if q.Class >= in.controller.NumHandlers() {
+		return fmt.Errorf("class %d, expected below %d", q.Class, in.controller.NumHandlers())
 	}
 	request := admission.Request{
 		ID:         q.ID,
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -173,15 +173,15 @@
 			return nil, &Damage{name, 0, "a snapshot", err.Error()}
 		}
 	}
-	body, stored, ok := Unwrap(raw)
+	body, stored, ok := DecodeSnapshot(raw)
 	if !ok || stored != number {
 		return nil, &Damage{name, 0, "a snapshot", "its sum does not fit"}
 	}
 	return body, nil
 }
 
-// Unwrap decodes the content of a snapshot file into its data and number. ok is false if raw is not a valid snapshot.
-func Unwrap(raw []byte) (body []byte, number uint64, ok bool) {
+// DecodeSnapshot decodes the content of a snapshot file into its data and number. ok is false if raw is not a valid snapshot.
+func DecodeSnapshot(raw []byte) (body []byte, number uint64, ok bool) {
 	if len(raw) < snapshotHeaderBytes || string(raw[:8]) != snapshotMagic ||
 		binary.LittleEndian.Uint64(raw[8:]) != xxhash.Sum64(raw[16:]) {
 		return nil, 0, false
