--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -25,7 +25,7 @@
 	FixedLimit bool    // the limit is always Cap instead of adapting to the load
 }
 
-// ReadStartupFile reads a node's settings file, such as deploy/node.ini, and validates it except for handler names, which
+// ReadNode reads a node's settings file, such as deploy/node.ini, and validates it except for handler names, which
 // Against checks. An invalid file is an error of type Faults.
 func ReadNode(path string) (*Node, error) {
 	t, err := Open(path)
