--- a/internal/simulation/consensus_cases_test.go
+++ b/internal/simulation/consensus_cases_test.go
@@ -11,7 +11,7 @@
 func newGrownGroup(t *testing.T, size int) *ConsensusGroup {
 	t.Helper()
 	w := NewConsensusGroup(int64(size)*77, size, 0)
-	if !w.waitFor(20000, func() bool { return w.voters() == size }) {
+	if !w.waitFor(20000, func() bool { return w.voterCount() == size }) {
 		t.Fatalf("the group did not grow: %s", w.Broken)
 	}
 	t.Cleanup(func() {
@@ -25,7 +25,7 @@
 // putVersion puts a version at a host, which has to be applied there within some time.
 func putVersion(t *testing.T, w *ConsensusGroup, h *host, ms int64) {
 	t.Helper()
-	if !w.putByScript(h, ms) {
+	if !w.proposeAndWait(h, ms) {
 		t.Fatalf("at %d ms: no write was taken within %d ms; %s", w.Now, ms, w.Broken)
 	}
 }
@@ -43,7 +43,7 @@
 func TestSlowFollower(t *testing.T) {
 	w := newGrownGroup(t, 3)
 	slow := w.follower()
-	slow.frozen = w.Now + 3000
+	slow.stalledUntil = w.Now + 3000
 	for end := w.Now + 2500; w.Now < end; {
 		putVersion(t, w, w.leader(), 2*w.maxDelay+tickMS)
 	}
@@ -58,7 +58,7 @@
 func TestStalledDisk(t *testing.T) {
 	w := newGrownGroup(t, 3)
 	old := w.leader()
-	old.frozen = w.Now + 3000
+	old.stalledUntil = w.Now + 3000
 	if !w.waitFor(2500, func() bool { l := w.leader(); return l != nil && l != old }) {
 		t.Fatal("no other took over while the disk stalled")
 	}
@@ -84,12 +84,12 @@
 	putVersion(t, w, w.leader(), 500)
 	l := w.leader()
 	stop()
-	if w.putByScript(l, 3000) {
+	if w.proposeAndWait(l, 3000) {
 		t.Fatal("two of five took a write")
 	}
 	w.startHost(down[2], false)
-	if !w.waitFor(writesWithin, func() bool { return w.leader() != nil && w.putByScript(w.leader(), 300) }) {
-		t.Fatalf("no write within %d ms of the third's return", writesWithin)
+	if !w.waitFor(writeRecoveryMS, func() bool { return w.leader() != nil && w.proposeAndWait(w.leader(), 300) }) {
+		t.Fatalf("no write within %d ms of the third's return", writeRecoveryMS)
 	}
 	w.startHost(down[0], false)
 	w.startHost(down[1], false)
@@ -104,7 +104,7 @@
 	w.crashHost(away, 1<<40)
 	w.votersWanted = 4
 	w.addHost(false)
-	if !w.waitFor(10000, func() bool { return w.voters() == 4 }) {
+	if !w.waitFor(10000, func() bool { return w.voterCount() == 4 }) {
 		t.Fatal("the fourth did not become a voter while one was down")
 	}
 	putVersion(t, w, w.leader(), 500)
@@ -120,7 +120,7 @@
 	old := w.leader()
 	w.partition(3000, func(a, b *host) bool { return a == old || b == old })
 	for i := 0; i < 3; i++ {
-		if w.putByScript(old, 100) {
+		if w.proposeAndWait(old, 100) {
 			t.Fatal("a leader alone applied a write")
 		}
 	}
@@ -167,7 +167,7 @@
 	w.votersWanted = 2
 	l := w.leader()
 	l.replica.Change(consensus.Change{Op: "remove", Member: consensus.Member{ID: id}})
-	w.work(l)
+	w.processReady(l)
 	w.Run(w.Now + 4000)
 	term := w.leader().replica.Status().Term
 	for i := 0; i < 5; i++ {
@@ -187,7 +187,7 @@
 	if err := l.replica.Transfer(to.id); err != nil {
 		t.Fatal(err)
 	}
-	w.work(l)
+	w.processReady(l)
 	if !w.waitFor(8*w.maxDelay, func() bool { return w.leader() == to }) {
 		t.Fatal("the lead was not handed over in a few round trips")
 	}
--- a/internal/simulation/consensus_checks.go
+++ b/internal/simulation/consensus_checks.go
@@ -21,24 +21,24 @@
 	}
 	for i := from; i <= last; i++ {
 		term, data := h.replica.EntryAt(i)
-		h.terms[i] = term
+		h.durableTerms[i] = term
 		sum := crc32.ChecksumIEEE(data)
 		if was, ok := w.checksums[logPosition{i, term}]; ok && was != sum {
 			w.fail("log matching: entry %d of term %d has two contents", i, term)
 		}
 		w.checksums[logPosition{i, term}] = sum
 	}
-	for i := last + 1; h.terms[i] > 0; i++ {
-		delete(h.terms, i)
+	for i := last + 1; h.durableTerms[i] > 0; i++ {
+		delete(h.durableTerms, i)
 	}
 }
 
 func (h *host) holds(s logPosition) bool {
-	return s.index <= h.snapshotIndex || h.terms[s.index] == s.term
+	return s.index <= h.snapshotIndex || h.durableTerms[s.index] == s.term
 }
 
-// check holds a host's state against all that was seen before.
-func (w *ConsensusGroup) check(h *host) {
+// checkInvariants holds a host's state against all that was seen before.
+func (w *ConsensusGroup) checkInvariants(h *host) {
 	s := h.replica.Status()
 	w.recordLog(h)
 	if s.Role == "leader" {
@@ -46,10 +46,10 @@
 			w.fail("two leaders in term %d: %x and %x", s.Term, who, h.id)
 		} else if !ok {
 			w.leaders[s.Term] = h.id
-			w.tracef("host %d leads term %d", h.n, s.Term)
+			w.tracef("host %d leads term %d", h.number, s.Term)
 			for i := s.FirstIndex; i <= s.LastIndex || w.committed[i] > 0; i++ {
 				if term := w.committed[i]; w.appliedInTerm[i] < s.Term && term > 0 && !h.holds(logPosition{i, term}) {
-					w.fail("leader completeness: host %d leads term %d without entry %d of term %d", h.n, s.Term, i,
+					w.fail("leader completeness: host %d leads term %d without entry %d of term %d", h.number, s.Term, i,
 						term)
 				}
 			}
@@ -80,10 +80,10 @@
 		last = string(lines[len(lines)-1])
 	}
 	picture := fmt.Sprint(s.Version, last, h.replica.Members(), now, outgoing)
-	if was, ok := w.stateAt[s.Applied]; ok && was != picture {
+	if was, ok := w.stateAtIndex[s.Applied]; ok && was != picture {
 		w.fail("two states after entry %d:\n%s\n%s", s.Applied, was, picture)
 	}
-	w.stateAt[s.Applied] = picture
+	w.stateAtIndex[s.Applied] = picture
 	for _, c := range [][]uint64{now, outgoing} {
 		if len(c) > 0 && (len(w.voterSets) == 0 || fmt.Sprint(w.voterSets[len(w.voterSets)-1]) != fmt.Sprint(c)) {
 			w.voterSets = append(w.voterSets, append([]uint64{}, c...))
@@ -95,19 +95,19 @@
 			w.fail("version %d reads as %v (%v)", n, v, err)
 			return
 		}
-		if n > w.newestVersion && !w.majority(logPosition{v.Index, v.Term}) {
-			w.fail("host %d applied version %d of entry %d, term %d, which no majority held", h.n, n, v.Index, v.Term)
+		if n > w.newestVersion && !w.heldByMajority(logPosition{v.Index, v.Term}) {
+			w.fail("host %d applied version %d of entry %d, term %d, which no majority held", h.number, n, v.Index, v.Term)
 		}
 	}
 	w.newestVersion = max(w.newestVersion, s.Version)
 	if s.Version < h.checkedVersion {
-		w.fail("host %d went back from version %d to %d", h.n, h.checkedVersion, s.Version)
+		w.fail("host %d went back from version %d to %d", h.number, h.checkedVersion, s.Version)
 	}
 	h.checkedVersion = s.Version
 }
 
-// majority tells whether one of the latest sets of voters held an entry by more than half.
-func (w *ConsensusGroup) majority(s logPosition) bool {
+// heldByMajority tells whether one of the latest sets of voters held an entry by more than half.
+func (w *ConsensusGroup) heldByMajority(s logPosition) bool {
 	for k := len(w.voterSets) - 1; k >= max(0, len(w.voterSets)-4); k-- {
 		n := 0
 		for _, id := range w.voterSets[k] {
@@ -135,7 +135,7 @@
 // converged tells whether all that take part have the same versions.
 func (w *ConsensusGroup) converged() bool {
 	var want []byte
-	for i, h := range w.members() {
+	for i, h := range w.memberHosts() {
 		if h.replica == nil {
 			return false
 		}
--- a/internal/simulation/consensus_clients.go
+++ b/internal/simulation/consensus_clients.go
@@ -13,16 +13,16 @@
 // client makes one call at a time, as a program would: it retries a put under its sequence number at another
 // instance until it has a response.
 type client struct {
-	name    string
-	seq     uint64
-	base    uint64 // the newest version it knows
-	pending *pendingCall
-	stopped bool
+	name         string
+	seq          uint64
+	knownVersion uint64 // the newest version it knows
+	pending      *pendingCall
+	stopped      bool
 }
 
 // pendingCall is one call of a client, with all its attempts.
 type pendingCall struct {
-	c            *client
+	client       *client
 	put          *consensus.Put // nil for a read
 	attempt      int
 	historyIndex int // place in the history
@@ -37,20 +37,20 @@
 func (w *ConsensusGroup) addClient() {
 	c := &client{name: fmt.Sprint("c", len(w.clients))}
 	w.clients = append(w.clients, c)
-	w.after(int64(w.random.Intn(100)), func() { w.nextCall(c) })
+	w.after(int64(w.random.Intn(100)), func() { w.startCall(c) })
 }
 
-// nextCall has a client begin its next put or read.
-func (w *ConsensusGroup) nextCall(c *client) {
+// startCall has a client begin its next put or read.
+func (w *ConsensusGroup) startCall(c *client) {
 	if c.stopped || c.pending != nil {
 		return
 	}
-	k := &pendingCall{c: c, historyIndex: len(w.history)}
+	k := &pendingCall{client: c, historyIndex: len(w.history)}
 	in := registerInput{}
 	if w.random.Intn(5) < 3 {
 		c.seq++
-		in = registerInput{true, c.base}
-		k.put = &consensus.Put{Session: c.name, Seq: c.seq, Base: c.base, Author: c.name, At: w.random.Int63n(1 << 40),
+		in = registerInput{true, c.knownVersion}
+		k.put = &consensus.Put{Session: c.name, Seq: c.seq, Base: c.knownVersion, Author: c.name, At: w.random.Int63n(1 << 40),
 			Text: fmt.Sprintf("[tenant %s]\nrate = %d\n", c.name, c.seq)}
 	}
 	w.history = append(w.history, porcupine.Operation{ClientId: len(w.clients), Input: in, Call: w.Now*1000 + 500,
@@ -65,7 +65,7 @@
 	try, h := k.attempt, w.hosts[w.random.Intn(len(w.hosts))]
 	w.after(1+int64(w.random.Intn(10)), func() { w.deliverCall(k, try, h) })
 	w.after(400+int64(w.random.Intn(800)), func() {
-		if k.c.pending == k && k.attempt == try {
+		if k.client.pending == k && k.attempt == try {
 			w.sendCall(k)
 		}
 	})
@@ -73,7 +73,7 @@
 
 // deliverCall hands a call to a host's instance, unless the client has a response or has sent the call elsewhere.
 func (w *ConsensusGroup) deliverCall(k *pendingCall, try int, h *host) {
-	if h.replica == nil || h.frozen > w.Now || k.c.pending != k || k.attempt != try {
+	if h.replica == nil || h.stalledUntil > w.Now || k.client.pending != k || k.attempt != try {
 		return
 	}
 	w.atHost(h, func() error {
@@ -83,12 +83,12 @@
 			h.replica.Propose(&p) // dropped without a leader: the client asks again
 			return nil
 		}
-		w.callCount++
-		h.reads[w.callCount] = k
-		h.replica.Read(w.callCount)
+		w.lastCallID++
+		h.reads[w.lastCallID] = k
+		h.replica.Read(w.lastCallID)
 		return nil
 	})
-	w.work(h)
+	w.processReady(h)
 }
 
 // respond sends a response to a client, unless it is lost on the way.
@@ -97,17 +97,17 @@
 		return
 	}
 	w.after(1+int64(w.random.Intn(10)), func() {
-		if k.c.pending != k {
+		if k.client.pending != k {
 			return
 		}
-		k.c.pending = nil
+		k.client.pending = nil
 		w.history[k.historyIndex].Return = w.Now * 1000
 		w.history[k.historyIndex].Output = a
-		k.c.base = max(k.c.base, a.Version)
+		k.client.knownVersion = max(k.client.knownVersion, a.Version)
 		if a.Outcome == consensus.PutExpired || a.Outcome == consensus.PutInvalid {
-			w.fail("client %s got %+v for put %d", k.c.name, a, k.put.Seq)
+			w.fail("client %s got %+v for put %d", k.client.name, a, k.put.Seq)
 		}
-		w.after(int64(w.random.Intn(150)), func() { w.nextCall(k.c) })
+		w.after(int64(w.random.Intn(150)), func() { w.startCall(k.client) })
 	})
 }
 
--- a/internal/simulation/consensus_faults.go
+++ b/internal/simulation/consensus_faults.go
@@ -11,16 +11,16 @@
 
 // Fault is one fault of a schedule, at a time after its beginning.
 type Fault struct {
-	At   int64
-	Kind string
-	A, B int   // hosts; -1 for the leader
-	For  int64 // ms
-	N    int
+	AtMS         int64
+	Kind         string
+	HostA, HostB int   // hosts; -1 for the leader
+	DurationMS   int64 // ms
+	Parameter    int
 }
 
 // String is the fault as a trace shows it.
 func (f Fault) String() string {
-	return fmt.Sprintf("%6d ms %-8s a=%d b=%d for=%d n=%d", f.At, f.Kind, f.A, f.B, f.For, f.N)
+	return fmt.Sprintf("%6d ms %-8s a=%d b=%d for=%d n=%d", f.AtMS, f.Kind, f.HostA, f.HostB, f.DurationMS, f.Parameter)
 }
 
 // DrawFaults draws the faults of a seed, over some time.
@@ -39,7 +39,7 @@
 
 // inject does a fault. What it opens it ends by itself.
 func (w *ConsensusGroup) inject(f Fault) {
-	h := w.hosts[f.A]
+	h := w.hosts[f.HostA]
 	if f.Kind == "leader" || f.Kind == "stall" {
 		if l := w.leader(); l != nil {
 			h = l
@@ -48,42 +48,42 @@
 	if h.replica == nil && f.Kind != "split" && f.Kind != "loss" && f.Kind != "slow" {
 		return
 	}
-	w.tracef("fault %v at host %d", f, h.n)
+	w.tracef("fault %v at host %d", f, h.number)
 	switch f.Kind {
 	case "crash", "leader": // somewhere within the next steps to its disk
-		h.stepsToCrash = f.N
+		h.stepsToCrash = f.Parameter
 	case "kill":
-		w.crashHost(h, f.For)
+		w.crashHost(h, f.DurationMS)
 	case "split":
-		side := func(h *host) bool { return (h.n+f.N)%len(w.hosts) <= f.B }
-		w.partition(f.For, func(a, b *host) bool { return side(a) != side(b) })
+		side := func(h *host) bool { return (h.number+f.Parameter)%len(w.hosts) <= f.HostB }
+		w.partition(f.DurationMS, func(a, b *host) bool { return side(a) != side(b) })
 	case "oneway":
-		w.partition(f.For, func(a, b *host) bool { return a.n == f.A && (b.n == f.B || f.N%2 == 0) })
+		w.partition(f.DurationMS, func(a, b *host) bool { return a.number == f.HostA && (b.number == f.HostB || f.Parameter%2 == 0) })
 	case "flap":
-		for t := int64(0); t < f.For; t += 200 {
+		for t := int64(0); t < f.DurationMS; t += 200 {
 			w.after(t, func() { w.partition(100, func(a, b *host) bool { return a == h || b == h }) })
 		}
 	case "loss":
-		w.loss = 20 + 4*f.N
-		w.after(f.For, func() { w.loss = 0 })
+		w.lossPerMille = 20 + 4*f.Parameter
+		w.after(f.DurationMS, func() { w.lossPerMille = 0 })
 	case "slow":
-		w.maxDelay = 100 + f.For/10
-		w.after(f.For, func() { w.maxDelay = 20 })
+		w.maxDelay = 100 + f.DurationMS/10
+		w.after(f.DurationMS, func() { w.maxDelay = 20 })
 	case "stall":
-		h.frozen = w.Now + 3000
+		h.stalledUntil = w.Now + 3000
 	case "copy":
-		h.diskCopy = h.disk.Copy()
+		h.savedDisk = h.disk.Copy()
 	case "back":
-		if h.diskCopy != nil && w.mayLoseDisk() {
+		if h.savedDisk != nil && w.mayLoseDisk() {
 			w.restoreCopy(h)
 		}
 	case "wipe":
 		if w.mayLoseDisk() {
-			w.wipe(h)
+			w.wipeDisk(h)
 		}
 	case "transfer":
 		h.replica.Transfer(0)
-		w.work(h)
+		w.processReady(h)
 	}
 }
 
@@ -91,9 +91,9 @@
 func (w *ConsensusGroup) partition(ms int64, picks func(a, b *host) bool) {
 	for _, a := range w.hosts {
 		for _, b := range w.hosts {
-			if key := [2]int{a.n, b.n}; a != b && picks(a, b) && !w.cut[key] {
-				w.cut[key] = true
-				w.after(ms, func() { delete(w.cut, key) })
+			if key := [2]int{a.number, b.number}; a != b && picks(a, b) && !w.blockedLinks[key] {
+				w.blockedLinks[key] = true
+				w.after(ms, func() { delete(w.blockedLinks, key) })
 			}
 		}
 	}
@@ -103,29 +103,29 @@
 // reach each other and have the same state. To lose a disk beside others that are down is to lose what was
 // agreed on.
 func (w *ConsensusGroup) mayLoseDisk() bool {
-	if len(w.cut) > 0 || w.loss > 0 || w.voters() < w.votersWanted || !w.converged() {
+	if len(w.blockedLinks) > 0 || w.lossPerMille > 0 || w.voterCount() < w.votersWanted || !w.converged() {
 		return false
 	}
-	for _, h := range w.members() {
-		if h.stepsToCrash >= 0 || h.frozen > w.Now {
+	for _, h := range w.memberHosts() {
+		if h.stepsToCrash >= 0 || h.stalledUntil > w.Now {
 			return false
 		}
 	}
-	return len(w.members()) == w.votersWanted
+	return len(w.memberHosts()) == w.votersWanted
 }
 
 // restoreCopy has a host come back on a copy of its disk that it took earlier.
 func (w *ConsensusGroup) restoreCopy(h *host) {
-	w.tracef("host %d comes back on an old copy", h.n)
-	w.loseDisk(h)
-	h.replica, h.disk, h.stepsToCrash = nil, h.diskCopy, -1
-	h.diskCopy = nil
+	w.tracef("host %d comes back on an old copy", h.number)
+	w.recordLostEntries(h)
+	h.replica, h.disk, h.stepsToCrash = nil, h.savedDisk, -1
+	h.savedDisk = nil
 	w.startHost(h, false)
 }
 
-func (w *ConsensusGroup) wipe(h *host) {
-	w.tracef("host %d comes back on an empty disk", h.n)
-	w.loseDisk(h)
+func (w *ConsensusGroup) wipeDisk(h *host) {
+	w.tracef("host %d comes back on an empty disk", h.number)
+	w.recordLostEntries(h)
 	h.replica, h.disk, h.stepsToCrash = nil, wal.NewMemFS(), -1
 	w.startHost(h, false)
 }
@@ -144,12 +144,12 @@
 func Play(seed int64, size int, faults []Fault, without consensus.Guard, trace func(string)) Result {
 	w := NewConsensusGroup(seed, size, without)
 	w.Trace = trace
-	w.play(faults)
-	return Result{seed, w.played, len(w.history), len(w.leaders), w.Broken}
+	w.runSchedule(faults)
+	return Result{seed, w.eventsRun, len(w.history), len(w.leaders), w.Broken}
 }
 
-func (w *ConsensusGroup) play(faults []Fault) {
-	if !w.waitFor(20000, func() bool { return w.voters() == w.votersWanted }) {
+func (w *ConsensusGroup) runSchedule(faults []Fault) {
+	if !w.waitFor(20000, func() bool { return w.voterCount() == w.votersWanted }) {
 		w.fail("the group did not grow to %d voters in 20 s", w.votersWanted)
 		return
 	}
@@ -158,26 +158,26 @@
 	}
 	start, end := w.Now, w.Now
 	for _, f := range faults {
-		w.after(f.At, func() { w.inject(f) })
-		end = max(end, start+f.At)
+		w.after(f.AtMS, func() { w.inject(f) })
+		end = max(end, start+f.AtMS)
 	}
 	w.Run(end + 500)
-	w.endFaults()
+	w.healAndCheck()
 	w.checkRejoin()
 	w.checkUnsyncedWrite()
 	w.checkOldDisk()
 	w.checkLinearizable()
 }
 
-// endFaults ends all faults and holds the group to its promise.
-func (w *ConsensusGroup) endFaults() {
+// healAndCheck ends all faults and holds the group to its promise.
+func (w *ConsensusGroup) healAndCheck() {
 	if w.Broken != "" {
 		return
 	}
-	w.cut, w.loss, w.maxDelay = map[[2]int]bool{}, 0, 20
+	w.blockedLinks, w.lossPerMille, w.maxDelay = map[[2]int]bool{}, 0, 20
 	for _, h := range w.hosts {
 		h.stepsToCrash = -1
-		h.frozen = min(h.frozen, w.Now)
+		h.stalledUntil = min(h.stalledUntil, w.Now)
 	}
 	if !w.waitFor(3000, func() bool { // those that are down come up within it
 		for _, h := range w.hosts {
@@ -190,7 +190,7 @@
 		w.fail("a host did not come up")
 	}
 	was := len(w.history)
-	if !w.waitFor(writesWithin, func() bool {
+	if !w.waitFor(writeRecoveryMS, func() bool {
 		for _, o := range w.history[was:] {
 			if a, ok := o.Output.(consensus.PutResult); ok && a.Outcome == consensus.PutCommitted {
 				return true
@@ -198,7 +198,7 @@
 		}
 		return false
 	}) {
-		w.fail("no write was taken within %d ms of the last fault's end", writesWithin)
+		w.fail("no write was taken within %d ms of the last fault's end", writeRecoveryMS)
 	}
 	for _, c := range w.clients {
 		c.stopped = true
@@ -209,7 +209,7 @@
 				return false
 			}
 		}
-		return w.voters() == w.votersWanted && w.converged()
+		return w.voterCount() == w.votersWanted && w.converged()
 	}) {
 		w.fail("clients are without an answer, or instances differ, 20 s after the last fault")
 	}
@@ -219,7 +219,7 @@
 func (w *ConsensusGroup) follower(except ...*host) *host {
 	l := w.leader()
 next:
-	for _, h := range w.members() {
+	for _, h := range w.memberHosts() {
 		for _, n := range except {
 			if h == n {
 				continue next
@@ -246,13 +246,13 @@
 	}
 }
 
-// putByScript waits until a put by the script is applied at a host, and tells whether it was.
-func (w *ConsensusGroup) putByScript(h *host, ms int64) bool {
+// proposeAndWait waits until a put by the script is applied at a host, and tells whether it was.
+func (w *ConsensusGroup) proposeAndWait(h *host, ms int64) bool {
 	was := h.replica.Status().Version
-	w.callCount++
-	h.replica.Propose(&consensus.Put{Session: fmt.Sprint("script", w.callCount), Seq: 1, Base: was, Author: "script",
-		Text: fmt.Sprintf("[tenant script]\nrate = %d\n", w.callCount)})
-	w.work(h)
+	w.lastCallID++
+	h.replica.Propose(&consensus.Put{Session: fmt.Sprint("script", w.lastCallID), Seq: 1, Base: was, Author: "script",
+		Text: fmt.Sprintf("[tenant script]\nrate = %d\n", w.lastCallID)})
+	w.processReady(h)
 	return w.waitFor(ms, func() bool {
 		return h.replica == nil || h.replica.Status().Version > was
 	}) && h.replica != nil
@@ -261,8 +261,8 @@
 // waitUntilSettled waits for calm between two scripted cases.
 func (w *ConsensusGroup) waitUntilSettled() bool {
 	if w.Broken == "" && !w.waitFor(10000, func() bool {
-		return len(w.cut) == 0 && w.leader() != nil && w.voters() == w.votersWanted && w.converged() &&
-			len(w.members()) == w.votersWanted
+		return len(w.blockedLinks) == 0 && w.leader() != nil && w.voterCount() == w.votersWanted && w.converged() &&
+			len(w.memberHosts()) == w.votersWanted
 	}) {
 		w.fail("the group is not whole 10 s after a scripted fault")
 	}
@@ -276,17 +276,17 @@
 		return
 	}
 	l, f := w.leader(), w.follower()
-	away := w.cutOff(1500, l, f)
-	w.tracef("hosts %v away, host %d loses power at its next write", away, f.n)
+	away := w.partitionMinority(1500, l, f)
+	w.tracef("hosts %v away, host %d loses power at its next write", away, f.number)
 	f.stepsToCrash = 0
-	w.putByScript(l, 400)
+	w.proposeAndWait(l, 400)
 	w.waitUntilSettled()
 }
 
-// cutOff parts some hosts from the group, so that the leader and one more are just a majority.
-func (w *ConsensusGroup) cutOff(ms int64, l, f *host) map[*host]bool {
+// partitionMinority parts some hosts from the group, so that the leader and one more are just a majority.
+func (w *ConsensusGroup) partitionMinority(ms int64, l, f *host) map[*host]bool {
 	away := map[*host]bool{}
-	for _, h := range w.members() {
+	for _, h := range w.memberHosts() {
 		if h != l && h != f && len(away) < w.votersWanted-(w.votersWanted/2+1) {
 			away[h] = true
 		}
@@ -302,20 +302,20 @@
 		return
 	}
 	l, f := w.leader(), w.follower()
-	f.diskCopy = f.disk.Copy()
-	w.cutOff(3000, l, f)
+	f.savedDisk = f.disk.Copy()
+	w.partitionMinority(3000, l, f)
 	for i := 0; i < 3; i++ {
 		// The leader may be a few ms old and another's election still under way: the promise is not on one leader.
 		took := false
-		for end := w.Now + writesWithin; w.Now < end && !took && w.Broken == ""; {
+		for end := w.Now + writeRecoveryMS; w.Now < end && !took && w.Broken == ""; {
 			if n := w.leader(); n == nil {
 				w.Run(w.Now + 50)
 			} else {
-				took = w.putByScript(n, 300)
+				took = w.proposeAndWait(n, 300)
 			}
 		}
 		if !took && w.Broken == "" {
-			w.fail("a majority took no write within %d ms", writesWithin)
+			w.fail("a majority took no write within %d ms", writeRecoveryMS)
 		}
 	}
 	if w.Broken != "" || f.replica == nil || w.leader() != l {
@@ -323,7 +323,7 @@
 	}
 	w.restoreCopy(f)
 	w.Run(w.Now + 400)
-	w.cut = map[[2]int]bool{}
+	w.blockedLinks = map[[2]int]bool{}
 	w.partition(2000, func(a, b *host) bool { return a == l || b == l })
 	w.Run(w.Now + 2500)
 	if w.Broken == "" {
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -17,8 +17,8 @@
 const (
 	tickMS        = 50
 	electionTicks = 10
-	// writesWithin is the promise: with a majority there, a leader takes writes again within it.
-	writesWithin         = 5000
+	// writeRecoveryMS is the promise: with a majority there, a leader takes writes again within it.
+	writeRecoveryMS      = 5000
 	ScheduleMilliseconds = 12000 // of faults under load; growth, rest and scripted cases come to it
 	segmentBytes         = 16 << 10
 	maxLogBytes          = 8 << 20
@@ -32,29 +32,29 @@
 
 // host is a machine with a disk and, while it is up, an instance.
 type host struct {
-	n              int
-	disk           *wal.MemFS
-	replica        *consensus.Replica
-	id             uint64
-	incarnation    int   // numbered over all hosts
-	frozen         int64 // its disk stalls until then
-	stepsToCrash   int   // file-system steps until it crashes, -1 for none
-	diskCopy       *wal.MemFS
-	terms          map[uint64]uint64 // index to term of what its log held on disk when last seen
-	snapshotIndex  uint64            // all up to it are held, in a snapshot
-	checkedIndex   uint64            // applied when last checked
-	checkedVersion uint64            // number of the version checked last
-	puts           map[string]*pendingCall
-	reads          map[uint64]*pendingCall
-	replaced       bool // barred, or its disk was lost: the operator replaces it
+	number           int
+	disk             *wal.MemFS
+	replica          *consensus.Replica
+	id               uint64
+	incarnation      int   // numbered over all hosts
+	stalledUntil     int64 // its disk stalls until then
+	stepsToCrash     int   // file-system steps until it crashes, -1 for none
+	savedDisk        *wal.MemFS
+	durableTerms     map[uint64]uint64 // index to term of what its log held on disk when last seen
+	snapshotIndex    uint64            // all up to it are held, in a snapshot
+	checkedIndex     uint64            // applied when last checked
+	checkedVersion   uint64            // number of the version checked last
+	puts             map[string]*pendingCall
+	reads            map[uint64]*pendingCall
+	needsReplacement bool // barred, or its disk was lost: the operator replaces it
 }
 
 // ConsensusGroup is one run.
 type ConsensusGroup struct {
-	timeline[int64]
+	scheduler[int64]
 	network
-	callers
-	logChecks
+	workload
+	observedLogs
 	random       *rand.Rand // network, disks and clients
 	without      consensus.Guard
 	hosts        []*host
@@ -66,26 +66,26 @@
 
 // network is what connects hosts.
 type network struct {
-	greeted  map[[2]int]bool // by incarnations: whether they have exchanged handshakes that both accept
-	cut      map[[2]int]bool // by hosts, one way
-	loss     int             // of 1,000 messages
-	maxDelay int64           // of a message
+	handshakes   map[[2]int]bool // by incarnations: whether they have exchanged handshakes that both accept
+	blockedLinks map[[2]int]bool // by hosts, one way
+	lossPerMille int             // of 1,000 messages
+	maxDelay     int64           // of a message
 }
 
-// callers are the clients, and the history of their calls and responses.
-type callers struct {
-	callCount uint64
-	clients   []*client
-	history   []porcupine.Operation
+// workload are the clients, and the history of their calls and responses.
+type workload struct {
+	lastCallID uint64
+	clients    []*client
+	history    []porcupine.Operation
 }
 
-// logChecks is what was seen of all logs and states, for later ones to be held against.
-type logChecks struct {
+// observedLogs is what was seen of all logs and states, for later ones to be held against.
+type observedLogs struct {
 	leaders       map[uint64]uint64
 	committed     map[uint64]uint64 // index to term
 	appliedInTerm map[uint64]uint64 // index to the term in which it was first seen applied: later leaders must have it
 	checksums     map[logPosition]uint32
-	stateAt       map[uint64]string
+	stateAtIndex  map[uint64]string
 	voterSets     [][]uint64
 	newestVersion uint64 // version applied anywhere
 	lostEntries   map[uint64]map[logPosition]bool
@@ -94,13 +94,13 @@
 // NewConsensusGroup founds a group of one and lets it grow to size, without faults.
 func NewConsensusGroup(seed int64, size int, without consensus.Guard) *ConsensusGroup {
 	w := &ConsensusGroup{
-		network: network{greeted: map[[2]int]bool{}, cut: map[[2]int]bool{}, maxDelay: 20},
-		logChecks: logChecks{
+		network: network{handshakes: map[[2]int]bool{}, blockedLinks: map[[2]int]bool{}, maxDelay: 20},
+		observedLogs: observedLogs{
 			leaders:       map[uint64]uint64{},
 			committed:     map[uint64]uint64{},
 			appliedInTerm: map[uint64]uint64{},
 			checksums:     map[logPosition]uint32{},
-			stateAt:       map[uint64]string{},
+			stateAtIndex:  map[uint64]string{},
 			lostEntries:   map[uint64]map[logPosition]bool{},
 		},
 		random: rand.New(rand.NewSource(seed)), without: without, votersWanted: size,
@@ -113,10 +113,10 @@
 }
 
 func (w *ConsensusGroup) addHost(found bool) {
-	h := &host{n: len(w.hosts), disk: wal.NewMemFS(), stepsToCrash: -1}
+	h := &host{number: len(w.hosts), disk: wal.NewMemFS(), stepsToCrash: -1}
 	w.hosts = append(w.hosts, h)
 	w.startHost(h, found)
-	w.after(int64(h.n)*7%tickMS, func() { w.tick(h) })
+	w.after(int64(h.number)*7%tickMS, func() { w.tick(h) })
 }
 
 func (w *ConsensusGroup) fail(format string, args ...any) {
@@ -133,7 +133,7 @@
 
 // Run goes on until a moment, or until something is broken.
 func (w *ConsensusGroup) Run(until int64) {
-	w.timeline.play(until, func() bool { return w.Broken != "" })
+	w.scheduler.runEvents(until, func() bool { return w.Broken != "" })
 	if w.Broken == "" {
 		w.Now = until
 	}
@@ -151,8 +151,8 @@
 }
 
 func (w *ConsensusGroup) config(h *host, found bool) consensus.Config {
-	return consensus.Config{Name: fmt.Sprint("i", w.incarnations), Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h",
-		h.n),
+	return consensus.Config{Name: fmt.Sprint("i", w.incarnations), Peer: fmt.Sprint("h", h.number), Listen: fmt.Sprint("h",
+		h.number),
 		FoundGroup: found, ElectionTicks: electionTicks, SnapshotBytes: snapshotBytes, DisabledGuards: w.without,
 		Random: w.random.Uint64,
 		Sizes:  wal.Sizes{SegmentBytes: segmentBytes, MaxBytes: maxLogBytes}, Logger: discardLogger{},
@@ -174,15 +174,15 @@
 			return err
 		}
 		if h.replica = rep; rep.ID() != h.id {
-			h.id, h.replaced = rep.ID(), false
+			h.id, h.needsReplacement = rep.ID(), false
 		}
-		h.terms, h.snapshotIndex, h.checkedIndex, h.checkedVersion = map[uint64]uint64{}, 0, 0, 0
+		h.durableTerms, h.snapshotIndex, h.checkedIndex, h.checkedVersion = map[uint64]uint64{}, 0, 0, 0
 		w.recordLog(h)
 		return nil
 	})
-	w.tracef("host %d up as %x, life %d", h.n, h.id, h.incarnation)
+	w.tracef("host %d up as %x, life %d", h.number, h.id, h.incarnation)
 	if h.replica != nil {
-		w.work(h)
+		w.processReady(h)
 		w.connectInstance(h, h.incarnation)
 	}
 }
@@ -191,7 +191,7 @@
 func (w *ConsensusGroup) atHost(h *host, f func() error) {
 	defer func() {
 		if p := recover(); p != nil {
-			w.fail("host %d gave up: %v", h.n, p)
+			w.fail("host %d gave up: %v", h.number, p)
 			h.replica = nil
 		}
 	}()
@@ -206,7 +206,7 @@
 	}
 	if err := f(); err != nil {
 		if !errors.Is(err, errPowerLoss) {
-			w.fail("host %d: %v", h.n, err)
+			w.fail("host %d: %v", h.number, err)
 			return
 		}
 		w.crashHost(h, 300+int64(w.random.Intn(1500)))
@@ -215,7 +215,7 @@
 
 // crashHost ends a host's instance, by the power or by a kill, and has it come up again later.
 func (w *ConsensusGroup) crashHost(h *host, ms int64) {
-	w.tracef("host %d down", h.n)
+	w.tracef("host %d down", h.number)
 	h.replica, h.stepsToCrash = nil, -1
 	if w.random.Intn(3) == 0 {
 		h.disk = h.disk.Kill()
@@ -232,14 +232,14 @@
 
 func (w *ConsensusGroup) tick(h *host) {
 	w.after(tickMS, func() { w.tick(h) })
-	if h.replica != nil && h.frozen <= w.Now {
+	if h.replica != nil && h.stalledUntil <= w.Now {
 		h.replica.Tick()
-		w.work(h)
+		w.processReady(h)
 	}
 }
 
-// work lets an instance do what it has ready, checks its state, and responds to clients.
-func (w *ConsensusGroup) work(h *host) {
+// processReady lets an instance do what it has ready, checks its state, and responds to clients.
+func (w *ConsensusGroup) processReady(h *host) {
 	if h.replica == nil || w.Broken != "" {
 		return
 	}
@@ -252,7 +252,7 @@
 	if h.replica == nil {
 		return
 	}
-	w.check(h)
+	w.checkInvariants(h)
 	for _, r := range out.Puts {
 		if c := h.puts[r.Session]; c != nil && c.put.Seq == r.Seq {
 			delete(h.puts, r.Session)
@@ -295,18 +295,18 @@
 	w.after(200, w.reconcileMembers)
 	for _, h := range w.hosts {
 		if h.replica != nil && h.replica.Barred() != "" {
-			w.wipe(h)
+			w.wipeDisk(h)
 		}
 	}
 	l := w.leader()
-	if l == nil || l.frozen > w.Now {
+	if l == nil || l.stalledUntil > w.Now {
 		return
 	}
 	members := l.replica.Members()
 	for _, m := range members {
 		if w.hostOf(m) == nil {
 			l.replica.Change(consensus.Change{Op: "remove", Member: m})
-			w.work(l)
+			w.processReady(l)
 			return
 		}
 	}
@@ -318,14 +318,14 @@
 			continue
 		}
 		l.replica.Change(consensus.Change{Op: "add", Member: consensus.Member{ID: h.id, Name: fmt.Sprintf("m%x", h.id),
-			Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h", h.n), Promote: true}})
-		w.work(l)
+			Peer: fmt.Sprint("h", h.number), Listen: fmt.Sprint("h", h.number), Promote: true}})
+		w.processReady(l)
 		return
 	}
 }
 
-// voters counts the voters that are up and take part, as the leader has them.
-func (w *ConsensusGroup) voters() int {
+// voterCount counts the voters that are up and take part, as the leader has them.
+func (w *ConsensusGroup) voterCount() int {
 	l := w.leader()
 	if l == nil {
 		return 0
@@ -339,9 +339,9 @@
 	return n
 }
 
-// loseDisk notes what a disk held that is no more.
-func (w *ConsensusGroup) loseDisk(h *host) {
-	for i, term := range h.terms {
+// recordLostEntries notes what a disk held that is no more.
+func (w *ConsensusGroup) recordLostEntries(h *host) {
+	for i, term := range h.durableTerms {
 		if w.lostEntries[h.id] == nil {
 			w.lostEntries[h.id] = map[logPosition]bool{}
 		}
@@ -352,15 +352,15 @@
 // hostOf gives the host that a member runs on, nil if its disk was lost.
 func (w *ConsensusGroup) hostOf(m consensus.Member) *host {
 	for _, h := range w.hosts {
-		if h.id == m.ID && !h.replaced {
+		if h.id == m.ID && !h.needsReplacement {
 			return h
 		}
 	}
 	return nil
 }
 
-// members gives the hosts of the group's members, as the leader has them.
-func (w *ConsensusGroup) members() []*host {
+// memberHosts gives the hosts of the group's members, as the leader has them.
+func (w *ConsensusGroup) memberHosts() []*host {
 	var out []*host
 	l := w.leader()
 	if l == nil {
--- a/internal/simulation/consensus_network.go
+++ b/internal/simulation/consensus_network.go
@@ -15,7 +15,7 @@
 	}
 	all := true
 	for _, o := range w.hosts {
-		if o != h && o.replica != nil && !w.exchange(h, o) {
+		if o != h && o.replica != nil && !w.handshake(h, o) {
 			all = false
 		}
 		if h.replica == nil {
@@ -27,14 +27,14 @@
 	}
 }
 
-// exchange tells whether two instances speak with each other; they greet where both ways are open and neither
+// handshake tells whether two instances speak with each other; they greet where both ways are open and neither
 // stalls.
-func (w *ConsensusGroup) exchange(a, b *host) bool {
+func (w *ConsensusGroup) handshake(a, b *host) bool {
 	key := [2]int{min(a.incarnation, b.incarnation), max(a.incarnation, b.incarnation)}
-	if ok, known := w.greeted[key]; known {
+	if ok, known := w.handshakes[key]; known {
 		return ok
 	}
-	if w.cut[[2]int{a.n, b.n}] || w.cut[[2]int{b.n, a.n}] || a.frozen > w.Now || b.frozen > w.Now {
+	if w.blockedLinks[[2]int{a.number, b.number}] || w.blockedLinks[[2]int{b.number, a.number}] || a.stalledUntil > w.Now || b.stalledUntil > w.Now {
 		return false
 	}
 	ok := true
@@ -56,18 +56,18 @@
 		if reason != "" {
 			ok = false
 			if consensus.BarsInstance(reason) {
-				w.tracef("host %d told by %d: %s", p[1].n, p[0].n, reason)
+				w.tracef("host %d told by %d: %s", p[1].number, p[0].number, reason)
 				w.atHost(p[1], func() error { return p[1].replica.Bar(reason) })
 				if p[1].replica == nil {
 					return false
 				}
-				p[1].replaced = p[1].replaced || p[1].replica.Barred() != ""
+				p[1].needsReplacement = p[1].needsReplacement || p[1].replica.Barred() != ""
 			}
 		}
 	}
 	// An instance that waits is spoken with once it was taken in; the question is put again until then.
 	if ok || a.replica.Status().Cluster != "" && b.replica.Status().Cluster != "" {
-		w.greeted[key] = ok
+		w.handshakes[key] = ok
 	}
 	return ok
 }
@@ -80,7 +80,7 @@
 			return
 		}
 		copies := 1
-		if w.random.Intn(1000) < w.loss {
+		if w.random.Intn(1000) < w.lossPerMille {
 			copies = w.random.Intn(2) * 2 // lost, or doubled
 		}
 		to, snap := m.GetTo(), m.GetType() == pb.MessageType_MsgSnap
@@ -92,7 +92,7 @@
 			w.after(2*w.maxDelay, func() {
 				if h.replica != nil && h.incarnation == incarnation {
 					h.replica.ReportSnapshot(to, true)
-					w.work(h)
+					w.processReady(h)
 				}
 			})
 		}
@@ -106,14 +106,14 @@
 			h = o
 		}
 	}
-	if h == nil || w.cut[[2]int{from.n, h.n}] {
+	if h == nil || w.blockedLinks[[2]int{from.number, h.number}] {
 		return
 	}
-	if h.frozen > w.Now { // it waits in a socket
-		w.after(h.frozen-w.Now, func() { w.deliver(from, incarnation, to, raw) })
+	if h.stalledUntil > w.Now { // it waits in a socket
+		w.after(h.stalledUntil-w.Now, func() { w.deliver(from, incarnation, to, raw) })
 		return
 	}
-	if from.incarnation == incarnation && from.replica != nil && !w.exchange(from, h) || h.replica == nil {
+	if from.incarnation == incarnation && from.replica != nil && !w.handshake(from, h) || h.replica == nil {
 		return
 	}
 	m := &pb.Message{}
@@ -122,5 +122,5 @@
 		return
 	}
 	w.atHost(h, func() error { h.replica.Step(m); return nil })
-	w.work(h)
+	w.processReady(h)
 }
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -44,13 +44,13 @@
 // Fleet is one schedule.
 type Fleet struct {
 	FleetPlan
-	timeline[float64]
+	scheduler[float64]
 	controlGroup
 	stateLoss
 	FleetFigures
 	random          *rand.Rand
 	nodes           []*node
-	changesAnswered int
+	acceptedChanges int
 	failsTrial      map[string]bool         // hashes of texts that fail their trial at any node
 	staleResponses  []api.HeartbeatResponse // answers of long ago, as an instance that is behind would give them
 	History         []FleetEvent
@@ -63,14 +63,14 @@
 
 // controlGroup is the group: its instances, and what they have agreed on.
 type controlGroup struct {
-	instances []*controlInstance
-	leader    int // -1: nobody
-	term      uint64
-	index     uint64
-	state     *coordinator.State
-	texts     []string // by version less one
-	hashes    []string
-	steps     map[uint64]policy.Step // step by change
+	instances     []*controlInstance
+	leader        int // -1: nobody
+	term          uint64
+	index         uint64
+	state         *coordinator.State
+	versionTexts  []string // by version less one
+	versionHashes []string
+	changeSteps   map[uint64]policy.Step // step by change
 }
 
 // FleetFigures is what a schedule came to.
@@ -85,14 +85,14 @@
 }
 
 // Last is the newest version of the policy.
-func (w *Fleet) Last() uint64 { return uint64(len(w.texts)) }
+func (w *Fleet) Last() uint64 { return uint64(len(w.versionTexts)) }
 
 // Text gives a version as the group keeps it.
 func (w *Fleet) Text(n uint64) (string, string, bool) {
-	if n == 0 || n > uint64(len(w.texts)) || w.hashes[n-1] == "" {
+	if n == 0 || n > uint64(len(w.versionTexts)) || w.versionHashes[n-1] == "" {
 		return "", "", false
 	}
-	return w.texts[n-1], w.hashes[n-1], true
+	return w.versionTexts[n-1], w.versionHashes[n-1], true
 }
 
 // NewFleet sets up a schedule.
@@ -100,9 +100,9 @@
 	w := &Fleet{
 		FleetPlan:    p,
 		random:       rand.New(rand.NewSource(p.Seed)),
-		controlGroup: controlGroup{state: coordinator.NewState(p.Without), leader: -1, steps: map[uint64]policy.Step{}},
-		stateLoss: stateLoss{group: "g1", textOf: map[string]string{}, decidedHash: map[uint64]string{},
-			recorded: map[string]bool{}},
+		controlGroup: controlGroup{state: coordinator.NewState(p.Without), leader: -1, changeSteps: map[uint64]policy.Step{}},
+		stateLoss: stateLoss{groupID: "g1", textByHash: map[string]string{}, decidedHashes: map[uint64]string{},
+			recordedEvents: map[string]bool{}},
 		FleetFigures: FleetFigures{Ends: map[policy.Step]int{}, Causes: map[string]int{}},
 		failsTrial:   map[string]bool{},
 	}
@@ -119,11 +119,11 @@
 	}
 	w.addVersion()
 	for i := 0; i < max(1, p.Ctl); i++ {
-		c := &controlInstance{coordinator: w.newLeader(), up: true, rate: w.drawClockRate()}
+		c := &controlInstance{coordinator: w.newLeader(), up: true, clockRate: w.drawClockRate()}
 		w.instances = append(w.instances, c)
 	}
 	for i := 0; i < p.Nodes; i++ {
-		n := &node{fleet: w, name: fmt.Sprintf("n%04d", i), zone: i % w.Zones, rate: w.drawClockRate()}
+		n := &node{fleet: w, name: fmt.Sprintf("n%04d", i), zone: i % w.Zones, clockRate: w.drawClockRate()}
 		// Where state is lost all have disks: what only a node without one knew would be lost with it.
 		n.diskless = w.random.Intn(2) == 0 && p.StateLosses == 0
 		w.nodes = append(w.nodes, n)
@@ -150,8 +150,8 @@
 	}
 }
 
-// faultsBeginMS is when the first version is long settled: ten seconds of leases from before it, and its own changes.
-const faultsBeginMS = 16_000
+// faultStartMS is when the first version is long settled: ten seconds of leases from before it, and its own changes.
+const faultStartMS = 16_000
 
 // Play plays the schedule: the first version settles; changes, faults and losses of state come; all heals; then
 // every change has to end, and every node to serve under the version in force.
@@ -162,7 +162,7 @@
 	// The first version of all: until it is settled nodes hold what they had before on other terms.
 	w.after(1500, func() { w.proposeChange(false, 0) })
 	w.Changes++
-	w.runUntil(faultsBeginMS)
+	w.runUntil(faultStartMS)
 	w.scheduleChanges()
 	w.schedulePartition()
 	if !w.Calm {
@@ -178,7 +178,7 @@
 		w.Overlap = longestOverlap(w.History)
 		return
 	}
-	w.checkEnd()
+	w.checkFinalState()
 }
 
 // scheduleChanges spreads the changes over the span: a third is exclusive, a fourth may leave a node behind.
@@ -207,7 +207,7 @@
 // heal ends all faults.
 func (w *Fleet) heal() {
 	for _, n := range w.nodes {
-		n.partitioned, n.neverPrepares, n.preparing = false, false, 0
+		n.partitioned, n.neverPrepares, n.preparingVersion = false, false, 0
 	}
 	w.Calm = true
 	if w.StateLosses > 0 { // the last loss may have come late
@@ -216,19 +216,19 @@
 }
 
 func (w *Fleet) runUntil(at float64) {
-	w.play(at, func() bool { return false })
+	w.runEvents(at, func() bool { return false })
 	w.Now = at
 }
 
-func (w *Fleet) checkEnd() {
+func (w *Fleet) checkFinalState() {
 	if w.Broken != "" {
 		return
 	}
 	if c := w.state.Policy.Current; c != nil {
 		w.fail("change %d to version %d is still %s", c.Number, c.Version, c.Step)
 	}
-	if w.changesAnswered < w.Changes {
-		w.fail("%d of %d changes were never taken", w.Changes-w.changesAnswered, w.Changes)
+	if w.acceptedChanges < w.Changes {
+		w.fail("%d of %d changes were never taken", w.Changes-w.acceptedChanges, w.Changes)
 	}
 	for _, n := range w.nodes {
 		if !n.serves || n.activeVersion != w.state.Policy.CommittedVersion {
--- a/internal/simulation/fleet_control.go
+++ b/internal/simulation/fleet_control.go
@@ -15,7 +15,7 @@
 type controlInstance struct {
 	coordinator *coordinator.Leader
 	up          bool
-	rate        float64
+	clockRate   float64
 	lastTick    float64
 }
 
@@ -27,22 +27,22 @@
 
 // startInstance starts an instance of the group, without what it had in memory.
 func (w *Fleet) startInstance(c *controlInstance) {
-	c.coordinator, c.up, c.lastTick = w.newLeader(), true, w.Now*c.rate
+	c.coordinator, c.up, c.lastTick = w.newLeader(), true, w.Now*c.clockRate
 }
 
 // addVersion adds a version to the group's.
 func (w *Fleet) addVersion() uint64 {
-	n := len(w.texts) + 1
-	w.versionsMade++ // no two texts are the same, also where a loss of state repeats a number
+	n := len(w.versionTexts) + 1
+	w.versionsCreated++ // no two texts are the same, also where a loss of state repeats a number
 	given := fmt.Sprintf("[fleet]\nlease = %dms\nwhen_alone = fence\n[tenant t]\nrate = %d\n%s", w.Lease,
-		w.versionsMade, w.ZoneRules)
+		w.versionsCreated, w.ZoneRules)
 	d, err := document.Parse("version", []byte(given))
 	if err != nil {
 		panic(err)
 	}
 	text := d.Canonical()
-	w.texts, w.hashes = append(w.texts, string(text)), append(w.hashes, document.Hash(text))
-	w.textOf[document.Hash(text)] = string(text)
+	w.versionTexts, w.versionHashes = append(w.versionTexts, string(text)), append(w.versionHashes, document.Hash(text))
+	w.textByHash[document.Hash(text)] = string(text)
 	return uint64(n)
 }
 
@@ -69,8 +69,8 @@
 func (w *Fleet) tick(i int) {
 	c := w.instances[i]
 	if c.up {
-		c.coordinator.SetRole(w.group, w.leader == i, w.term)
-		at := w.Now * c.rate
+		c.coordinator.SetRole(w.groupID, w.leader == i, w.term)
+		at := w.Now * c.clockRate
 		ms := min(uint64(at)-uint64(c.lastTick), 200)
 		c.lastTick = at
 		for _, e := range c.coordinator.Tick(w.state, ms) {
@@ -106,7 +106,7 @@
 			return
 		}
 		w.recordDecisions()
-		w.noticeLoss()
+		w.scheduleRestoreOnLoss()
 		if w.onApplied != nil {
 			w.onApplied(end)
 		}
@@ -150,15 +150,15 @@
 
 // recordStep records the step that a change is in, if it is new.
 func (w *Fleet) recordStep(c *policy.Change) {
-	before := w.steps[c.Number]
+	before := w.changeSteps[c.Number]
 	if before == c.Step {
 		return
 	}
-	w.steps[c.Number] = c.Step
+	w.changeSteps[c.Number] = c.Step
 	switch c.Step {
 	case policy.Preparing:
 		if w.Way == WayEach {
-			w.after(0, func() { w.decideAtOnce(c) })
+			w.after(0, func() { w.decideImmediately(c) })
 		}
 	case policy.Decided:
 		w.recordChange("decided", c)
@@ -176,25 +176,25 @@
 	case policy.Aborted:
 		w.recordChange("off", c)
 		w.Ends[c.Step]++
-		w.Causes[causeOf(c.AbortReason)]++
+		w.Causes[abortCause(c.AbortReason)]++
 	}
 }
 
 // recordChange adds an event to the history, unless a copy of the group's state from before has come to it once more.
 func (w *Fleet) recordChange(kind string, c *policy.Change) {
-	if w.recorded[kind+c.Hash] {
+	if w.recordedEvents[kind+c.Hash] {
 		return
 	}
-	w.recorded[kind+c.Hash] = true
+	w.recordedEvents[kind+c.Hash] = true
 	if kind == "decided" {
-		w.decidedHash[c.Version] = c.Hash
+		w.decidedHashes[c.Version] = c.Hash
 	}
 	w.recordEvent(FleetEvent{Kind: kind, Version: c.Version, From: c.PreviousVersion, Excl: c.Proposal.Exclusive,
 		Why: c.AbortReason})
 }
 
-// decideAtOnce is the baseline in which a version is in force as soon as it is proposed.
-func (w *Fleet) decideAtOnce(c *policy.Change) {
+// decideImmediately is the baseline in which a version is in force as soon as it is proposed.
+func (w *Fleet) decideImmediately(c *policy.Change) {
 	w.index++
 	w.state.Policy.Apply(policy.Decide{ChangeNumber: c.Number}, w.state.Fleet, nil, w.Without)
 	w.recordDecisions()
@@ -207,7 +207,7 @@
 	}
 }
 
-func causeOf(why string) string {
+func abortCause(why string) string {
 	switch {
 	case len(why) > 7 && why[:7] == "refused":
 		return "a node said no"
--- a/internal/simulation/fleet_faults.go
+++ b/internal/simulation/fleet_faults.go
@@ -9,31 +9,31 @@
 	case 1, 2:
 		w.pause(n)
 	case 3:
-		w.cutZone(w.random.Intn(3))
+		w.partitionZone(w.random.Intn(3))
 	case 4:
 		n.partitioned = true
-		w.after(w.upToTwoLeases(), func() { n.partitioned = false })
+		w.after(w.drawFaultDuration(), func() { n.partitioned = false })
 	case 5, 6, 7:
 		w.crashInstance()
 	case 8: // refuses the next version
-		n.rejects = w.Last() + 1
+		n.rejectedVersion = w.Last() + 1
 	case 9: // prepares nothing, for a while
 		n.neverPrepares = true
-		w.after(2*float64(w.Lease), func() { n.neverPrepares, n.preparing = false, 0 })
+		w.after(2*float64(w.Lease), func() { n.neverPrepares, n.preparingVersion = false, 0 })
 	case 10:
 		w.crashLoop(n)
 	}
 }
 
-// upToTwoLeases draws how long a fault lasts, in ms: past the end of a lease or not.
-func (w *Fleet) upToTwoLeases() float64 { return w.random.Float64() * 2 * float64(w.Lease) }
+// drawFaultDuration draws how long a fault lasts, in ms: past the end of a lease or not.
+func (w *Fleet) drawFaultDuration() float64 { return w.random.Float64() * 2 * float64(w.Lease) }
 
 func (w *Fleet) killAndRestart(n *node) {
 	if !n.up {
 		return
 	}
 	n.kill()
-	w.after(w.upToTwoLeases(), func() {
+	w.after(w.drawFaultDuration(), func() {
 		if !n.up {
 			n.start()
 		}
@@ -48,7 +48,7 @@
 	n.setServing(false)
 	n.paused = true
 	incarnation := n.incarnation
-	w.after(w.upToTwoLeases(), func() {
+	w.after(w.drawFaultDuration(), func() {
 		if n.incarnation == incarnation && n.paused {
 			n.paused = false
 			n.agent.ExpireHeartbeat(n.clock())
@@ -57,8 +57,8 @@
 	})
 }
 
-// cutZone parts a zone's nodes from the group.
-func (w *Fleet) cutZone(zone int) {
+// partitionZone parts a zone's nodes from the group.
+func (w *Fleet) partitionZone(zone int) {
 	set := func(cut bool) {
 		for _, n := range w.nodes {
 			if n.zone == zone {
@@ -67,7 +67,7 @@
 		}
 	}
 	set(true)
-	w.after(w.upToTwoLeases(), func() { set(false) })
+	w.after(w.drawFaultDuration(), func() { set(false) })
 }
 
 // crashInstance ends an instance of the group, in half of the cases its leader, and starts it again.
--- a/internal/simulation/fleet_history.go
+++ b/internal/simulation/fleet_history.go
@@ -65,12 +65,12 @@
 	events := append([]FleetEvent(nil), all...)
 	sort.SliceStable(events, func(i, k int) bool { return events[i].At < events[k].At })
 	c := &historyCheck{
-		open:     map[string]int{},
-		served:   map[string]uint64{},
-		outcomes: map[uint64]*changeOutcome{},
+		openSpans:      map[string]int{},
+		servedVersions: map[string]uint64{},
+		outcomes:       map[uint64]*changeOutcome{},
 	}
 	for _, e := range events {
-		if broken = c.take(e); broken != "" {
+		if broken = c.add(e); broken != "" {
 			return broken, 0
 		}
 	}
@@ -79,7 +79,7 @@
 			return broken, 0
 		}
 	}
-	for _, version := range c.order {
+	for _, version := range c.decidedVersions {
 		if broken = c.checkChange(version, p); broken != "" {
 			return broken, 0
 		}
@@ -87,8 +87,8 @@
 	return "", c.overlap
 }
 
-// notYet is a time after all events.
-const notYet = int64(1) << 62
+// never is a time after all events.
+const never = int64(1) << 62
 
 // serviceSpan is a time in which a node served under one version.
 type serviceSpan struct {
@@ -98,52 +98,52 @@
 }
 
 // changeOutcome is what became of the change to a version, and when. A version that isn't decided or settled has
-// notYet as that time; one that has no step of its own in which it is committed is committed from the beginning.
+// never as that time; one that has no step of its own in which it is committed is committed from the beginning.
 type changeOutcome struct {
 	outcome   string // decided, or called off
 	decided   int64
-	forced    int64
+	committed int64
 	settled   int64
 	exclusive bool
-	first     bool // from no version at all, which nodes hold without bounds
+	initial   bool // from no version at all, which nodes hold without bounds
 }
 
 // historyCheck is what a history tells, by node and by version.
 type historyCheck struct {
-	spans    []serviceSpan
-	open     map[string]int    // a node's span that has not ended
-	served   map[string]uint64 // the newest version a node served under
-	outcomes map[uint64]*changeOutcome
-	order    []uint64 // versions as they were decided
-	overlap  int64
+	spans           []serviceSpan
+	openSpans       map[string]int    // a node's span that has not ended
+	servedVersions  map[string]uint64 // the newest version a node served under
+	outcomes        map[uint64]*changeOutcome
+	decidedVersions []uint64 // versions as they were decided
+	overlap         int64
 }
 
 func (c *historyCheck) outcome(version uint64) *changeOutcome {
 	if c.outcomes[version] == nil {
-		c.outcomes[version] = &changeOutcome{decided: notYet, forced: math.MinInt64, settled: notYet}
+		c.outcomes[version] = &changeOutcome{decided: never, committed: math.MinInt64, settled: never}
 	}
 	return c.outcomes[version]
 }
 
-// take notes one event. A version ends once, and no node goes back to an older one.
-func (c *historyCheck) take(e FleetEvent) (broken string) {
+// add notes one event. A version ends once, and no node goes back to an older one.
+func (c *historyCheck) add(e FleetEvent) (broken string) {
 	switch e.Kind {
 	case "serves":
-		return c.serves(e)
+		return c.startSpan(e)
 	case "stops":
-		if i, on := c.open[e.Node]; on {
+		if i, on := c.openSpans[e.Node]; on {
 			c.spans[i].to = e.At
-			delete(c.open, e.Node)
+			delete(c.openSpans, e.Node)
 		}
 	case "decided":
 		v := c.outcome(e.Version)
 		if v.outcome != "" {
 			return fmt.Sprintf("version %d was decided and %s before", e.Version, v.outcome)
 		}
-		v.outcome, v.decided, v.exclusive, v.first = "decided", e.At, e.Excl, e.From == 0
-		c.order = append(c.order, e.Version)
+		v.outcome, v.decided, v.exclusive, v.initial = "decided", e.At, e.Excl, e.From == 0
+		c.decidedVersions = append(c.decidedVersions, e.Version)
 	case "forced":
-		c.outcome(e.Version).forced = e.At
+		c.outcome(e.Version).committed = e.At
 	case "settled":
 		v := c.outcome(e.Version)
 		if v.outcome != "decided" {
@@ -160,18 +160,18 @@
 	return ""
 }
 
-// serves begins a span of service, which ends the one before.
-func (c *historyCheck) serves(e FleetEvent) (broken string) {
-	if i, on := c.open[e.Node]; on {
+// startSpan begins a span of service, which ends the one before.
+func (c *historyCheck) startSpan(e FleetEvent) (broken string) {
+	if i, on := c.openSpans[e.Node]; on {
 		c.spans[i].to = e.At
 	}
-	if before := c.served[e.Node]; e.Version < before {
+	if before := c.servedVersions[e.Node]; e.Version < before {
 		return fmt.Sprintf("%s served under version %d at %.1f ms, and under %d before", e.Node, e.Version,
 			milliseconds(e.At), before)
 	}
-	c.served[e.Node] = e.Version
-	c.open[e.Node] = len(c.spans)
-	c.spans = append(c.spans, serviceSpan{e.Node, e.Version, e.At, notYet})
+	c.servedVersions[e.Node] = e.Version
+	c.openSpans[e.Node] = len(c.spans)
+	c.spans = append(c.spans, serviceSpan{e.Node, e.Version, e.At, never})
 	return ""
 }
 
@@ -187,7 +187,7 @@
 	case s.from < v.decided:
 		return fmt.Sprintf("%s served under version %d at %.1f ms, before it was decided", s.node, s.version,
 			milliseconds(s.from))
-	case s.from < v.forced:
+	case s.from < v.committed:
 		return fmt.Sprintf("%s served under version %d at %.1f ms, before it was in force", s.node, s.version,
 			milliseconds(s.from))
 	}
@@ -197,7 +197,7 @@
 // checkChange: after a change has settled nobody serves under an older version, and until then the overlap is bounded.
 func (c *historyCheck) checkChange(version uint64, p FleetPromises) (broken string) {
 	v := c.outcome(version)
-	begin, last, who := notYet, int64(-1), ""
+	begin, last, who := never, int64(-1), ""
 	for _, s := range c.spans {
 		if s.version >= version {
 			begin = min(begin, s.from)
@@ -205,14 +205,14 @@
 			last, who = s.to, s.node
 		}
 	}
-	if v.settled != notYet && last > v.settled {
+	if v.settled != never && last > v.settled {
 		return fmt.Sprintf("%s served under an older version than %d at %.1f ms, which was settled at %.1f", who,
 			version, milliseconds(last), milliseconds(v.settled))
 	}
-	if begin == notYet || last <= begin || v.first {
+	if begin == never || last <= begin || v.initial {
 		return ""
 	}
-	if last != notYet {
+	if last != never {
 		c.overlap = max(c.overlap, last-begin)
 	}
 	switch {
--- a/internal/simulation/fleet_node.go
+++ b/internal/simulation/fleet_node.go
@@ -15,49 +15,49 @@
 	fleet       *Fleet
 	name        string
 	zone        int
-	rate        float64 // of its clock
+	clockRate   float64 // of its clock
 	incarnation int
 	up          bool
 	notStarted  bool // not started yet
 	nodeFaults
-	agent         *agent.Agent
-	gate          *zonegate.Gate
-	record        agent.Record // on its disk
-	serves        bool
-	activeVersion uint64
-	nextRound     float64
-	preparing     uint64          // version being prepared
-	prepared      api.VersionHash // prepared last
-	peerHealth    []api.PeerHealth
+	agent            *agent.Agent
+	gate             *zonegate.Gate
+	storedRecord     agent.Record // on its disk
+	serves           bool
+	activeVersion    uint64
+	nextRound        float64
+	preparingVersion uint64          // version being prepared
+	lastPrepared     api.VersionHash // prepared last
+	peerHealth       []api.PeerHealth
 }
 
 // nodeFaults is what is wrong with a node.
 type nodeFaults struct {
-	paused        bool
-	partitioned   bool   // from the group
-	rejects       uint64 // a version it refuses
-	neverPrepares bool   // never gets to prepare anything
-	diskless      bool   // has no disk
+	paused          bool
+	partitioned     bool   // from the group
+	rejectedVersion uint64 // a version it refuses
+	neverPrepares   bool   // never gets to prepare anything
+	diskless        bool   // has no disk
 }
 
 func (n *node) nonce() string { return fmt.Sprintf("%s-%08d", n.name, n.incarnation) }
 
-func (n *node) clock() uint64 { return uint64(n.fleet.Now*n.rate) + 1000 }
+func (n *node) clock() uint64 { return uint64(n.fleet.Now*n.clockRate) + 1000 }
 
 func (n *node) start() {
 	if n.notStarted {
 		return
 	}
 	n.incarnation++
-	n.up, n.paused, n.preparing, n.nextRound = true, false, 0, 0
+	n.up, n.paused, n.preparingVersion, n.nextRound = true, false, 0, 0
 	config := agent.Config{Name: n.name, Zone: fmt.Sprint("z", n.zone), Address: n.name, Nonce: n.nonce(),
 		JitterSeed: uint32(n.fleet.random.Int31()), DisabledGuards: n.fleet.Without}
 	for i := range n.fleet.instances {
 		config.ControlAddresses = append(config.ControlAddresses, fmt.Sprint(i))
 	}
 	var record *agent.Record
-	if !n.diskless && n.record.Cluster != "" {
-		record = &n.record
+	if !n.diskless && n.storedRecord.Cluster != "" {
+		record = &n.storedRecord
 	}
 	n.agent, n.gate = agent.New(config, record, n.clock()), zonegate.NewGate(1, config.JitterSeed)
 	n.gate.SetOrder(n.clock(), n.agent.ZoneOrder())
@@ -93,7 +93,7 @@
 	now := n.clock()
 	if v, ok := n.agent.VersionToActivate(now); ok {
 		n.agent.MarkActive(now, v, false)
-		n.record.ActiveVersion, n.record.ActiveHash = v.Version, v.Hash
+		n.storedRecord.ActiveVersion, n.storedRecord.ActiveHash = v.Version, v.Hash
 		n.storeRecord()
 	}
 	ok, _ := n.agent.MayServe(now)
@@ -105,8 +105,8 @@
 		}
 		n.send(a, no)
 	}
-	if v, decided, ok := n.agent.VersionToFetch(); ok && n.preparing != v.Version {
-		n.preparing = v.Version
+	if v, decided, ok := n.agent.VersionToFetch(); ok && n.preparingVersion != v.Version {
+		n.preparingVersion = v.Version
 		if n.neverPrepares && !decided {
 			return
 		}
@@ -123,13 +123,13 @@
 		if n.incarnation != incarnation || !n.up {
 			return
 		}
-		n.preparing = 0
-		fails := n.rejects == v.Version || w.failsTrial[v.Hash] && !w.Without.Has(policy.Shadow)
+		n.preparingVersion = 0
+		fails := n.rejectedVersion == v.Version || w.failsTrial[v.Hash] && !w.Without.Has(policy.Shadow)
 		if fails && !decided {
 			n.agent.Reject(n.clock(), v.Version, "it says no", false)
 		} else {
 			n.agent.MarkPrepared(n.clock(), v)
-			n.prepared = v
+			n.lastPrepared = v
 		}
 		n.step()
 	})
@@ -143,7 +143,7 @@
 		at = min(at, u)
 	}
 	at = max(at, now+1)
-	wait := (float64(at-now) + 0.01) / n.rate
+	wait := (float64(at-now) + 0.01) / n.clockRate
 	if n.nextRound > w.Now && n.nextRound <= w.Now+wait {
 		return
 	}
@@ -160,14 +160,14 @@
 	})
 }
 
-// exchange is one heartbeat: from a node to an instance of the group, and its response back.
-type exchange struct {
-	node        *node
-	incarnation int // of the node as it sent it
-	instance    int
-	number      uint64 // the agent's, of the heartbeat
-	request     api.HeartbeatRequest
-	lossPercent int // of messages
+// heartbeatExchange is one heartbeat: from a node to an instance of the group, and its response back.
+type heartbeatExchange struct {
+	node            *node
+	incarnation     int // of the node as it sent it
+	instance        int
+	heartbeatNumber uint64 // the agent's, of the heartbeat
+	request         api.HeartbeatRequest
+	lossPercent     int // of messages
 }
 
 // maxStaleResponses is how many former responses are stored, to be sent in place of later ones.
@@ -176,7 +176,7 @@
 // send sends a heartbeat to the agent's control address; the heartbeat or its response may be lost.
 func (n *node) send(request api.HeartbeatRequest, number uint64) {
 	w := n.fleet
-	x := &exchange{node: n, incarnation: n.incarnation, number: number, request: request}
+	x := &heartbeatExchange{node: n, incarnation: n.incarnation, heartbeatNumber: number, request: request}
 	fmt.Sscan(n.agent.ControlAddress(), &x.instance)
 	if !w.Calm {
 		x.lossPercent = 3
@@ -186,18 +186,18 @@
 	}
 }
 
-func (x *exchange) lost() bool {
+func (x *heartbeatExchange) lost() bool {
 	return x.node.partitioned || x.node.fleet.random.Intn(100) < x.lossPercent
 }
 
 // arrive has the instance answer, by its leader where it isn't the leader itself.
-func (x *exchange) arrive() {
+func (x *heartbeatExchange) arrive() {
 	w := x.node.fleet
 	if t, answers := w.formerLeaderResponse(x.node, x.instance, &x.request); answers {
 		x.respond(t, nil)
 		return
 	}
-	if w.gathering {
+	if w.collectingRecords {
 		w.collectRecord(x.node)
 	}
 	if !w.instances[x.instance].up || w.leader < 0 || !w.instances[w.leader].up {
@@ -214,7 +214,7 @@
 }
 
 // respond sends a response back, now and then one of long ago in its place.
-func (x *exchange) respond(t api.HeartbeatResponse, err error) {
+func (x *heartbeatExchange) respond(t api.HeartbeatResponse, err error) {
 	w := x.node.fleet
 	if err == nil && t.LeaseID != 0 && t.LeaseMS == 0 && !w.Calm {
 		t = w.staleOr(t)
@@ -237,20 +237,20 @@
 }
 
 // receive hands the response to the agent, unless the node restarted or is paused meanwhile.
-func (x *exchange) receive(t api.HeartbeatResponse, err error) {
+func (x *heartbeatExchange) receive(t api.HeartbeatResponse, err error) {
 	n := x.node
 	if n.incarnation != x.incarnation || !n.up || n.paused {
 		return
 	}
 	if err != nil {
-		n.agent.HandleFailure(n.clock(), x.number)
+		n.agent.HandleFailure(n.clock(), x.heartbeatNumber)
 	} else {
 		minVersion := n.agent.MinVersion()
-		if n.handleResponse(x.number, t) {
+		if n.handleResponse(x.heartbeatNumber, t) {
 			n.gate.SetOrder(n.clock(), n.agent.ZoneOrder())
 			n.probe(t.ProbeTargets)
 		}
-		if n.agent.MinVersion() > minVersion || n.agent.LastSeen().Generation != n.record.Generation {
+		if n.agent.MinVersion() > minVersion || n.agent.LastSeen().Generation != n.storedRecord.Generation {
 			n.storeRecord()
 		}
 	}
--- a/internal/simulation/fleet_operator.go
+++ b/internal/simulation/fleet_operator.go
@@ -13,7 +13,7 @@
 		return
 	}
 	v := w.addVersion()
-	w.failsTrial[w.hashes[v-1]] = v > 2 && !w.Calm && w.random.Intn(12) == 0
+	w.failsTrial[w.versionHashes[v-1]] = v > 2 && !w.Calm && w.random.Intn(12) == 0
 	w.submitPolicy(policy.Op{Kind: policy.OpPropose, Proposal: &policy.Proposal{Version: v, Exclusive: excl,
 		PrepareWithinMS: 2*uint64(w.Lease) + 4000, MaxLeftBehind: spare, Author: "lab",
 		IdempotencyKey: fmt.Sprintf("change-%08d", v)}})
@@ -32,7 +32,7 @@
 				w.proposeChange(op.Proposal.Exclusive, op.Proposal.MaxLeftBehind)
 				return
 			}
-			w.changesAnswered++
+			w.acceptedChanges++
 			if op.Proposal.Version > 2 && !w.Calm && w.random.Intn(3) == 0 { // an operator who thinks better of it
 				w.after(w.random.Float64()*3000, func() { w.abortChange(r.ChangeNumber) })
 			}
--- a/internal/simulation/fleet_state_loss.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -19,50 +19,50 @@
 
 // stateLoss is a schedule's state for it.
 type stateLoss struct {
-	group         string
-	textOf        map[string]string // by hash
-	copies        []savedState
-	decidedHash   map[uint64]string // by version, as it was decided last
-	recorded      map[string]bool   // kind of event and hash of the text
-	versionsMade  int
-	stopped       bool // no instance runs: the state is lost, or being restored
-	lossNoticed   bool // an operator has seen that state is lost
-	gathering     bool // the operator collects nodes' records
-	nodeRecords   map[string]api.NodeRecord
-	formerLeaders []api.HeartbeatResponse // responses of former generations' leaders
-	firstEpoch    uint64                  // the zones' epoch that the present generation began with
+	groupID              string
+	textByHash           map[string]string // by hash
+	savedStates          []savedState
+	decidedHashes        map[uint64]string // by version, as it was decided last
+	recordedEvents       map[string]bool   // kind of event and hash of the text
+	versionsCreated      int
+	stopped              bool // no instance runs: the state is lost, or being restored
+	restoreScheduled     bool // an operator has seen that state is lost
+	collectingRecords    bool // the operator collects nodes' records
+	nodeRecords          map[string]api.NodeRecord
+	formerResponses      []api.HeartbeatResponse // responses of former generations' leaders
+	generationStartEpoch uint64                  // the zones' epoch that the present generation began with
 
-	Lost, Found, Restored int // losses, those that the group found by itself, and restorings
+	Losses, DetectedLosses, Restorations int // losses, those that the group found by itself, and restorings
 }
 
 // savedState is a copy of the group's folders.
 type savedState struct {
-	raw           []byte
+	snapshot      []byte
 	texts, hashes []string
 	index, term   uint64
-	known         map[uint64]policy.Step
-	events        int // of the history
+	changeSteps   map[uint64]policy.Step
+	historyLength int // of the history
 }
 
-// copyIntervalMS is how often the folders are copied, in ms, maxCopies how many copies are there to be put back.
-const copyIntervalMS, maxCopies = 700, 24
+// saveIntervalMS is how often the folders are copied, in ms, maxSavedStates how many copies are there to be put back.
+const saveIntervalMS, maxSavedStates = 700, 24
 
 // scheduleStateLosses has the folders copied, and state lost, now and then.
 func (w *Fleet) scheduleStateLosses() {
 	if w.StateLosses == 0 {
 		return
 	}
-	w.copyState()
+	w.saveState()
 	w.checkEpochs()
-	w.drillZones()
+	w.scheduleZoneDrills()
 	for range w.StateLosses {
 		w.after(2000+w.random.Float64()*float64(w.Span), w.loseState)
 	}
 }
 
-// copyState copies the folders now and then.
-func (w *Fleet) copyState() {
-	w.after(copyIntervalMS, w.copyState)
+// saveState copies the folders now and then.
+func (w *Fleet) saveState() {
+	w.after(saveIntervalMS, w.saveState)
 	if w.stopped || w.state.Fleet.LostState != "" {
 		return
 	}
@@ -71,33 +71,33 @@
 		w.fail("%v", err)
 		return
 	}
-	w.copies = append(w.copies, savedState{raw: raw, texts: slices.Clone(w.texts), hashes: slices.Clone(w.hashes),
-		index: w.index, term: w.term, known: maps.Clone(w.steps), events: len(w.History)})
-	w.copies = w.copies[max(0, len(w.copies)-maxCopies):]
+	w.savedStates = append(w.savedStates, savedState{snapshot: raw, texts: slices.Clone(w.versionTexts), hashes: slices.Clone(w.versionHashes),
+		index: w.index, term: w.term, changeSteps: maps.Clone(w.changeSteps), historyLength: len(w.History)})
+	w.savedStates = w.savedStates[max(0, len(w.savedStates)-maxSavedStates):]
 }
 
 // loseState has all instances end, and what is left of their folders is an older copy, or nothing.
 func (w *Fleet) loseState() {
-	if w.stopped || w.state.Fleet.LostState != "" || len(w.copies) == 0 || w.state.Policy.CommittedVersion < 2 {
+	if w.stopped || w.state.Fleet.LostState != "" || len(w.savedStates) == 0 || w.state.Policy.CommittedVersion < 2 {
 		return
 	}
 	// What one node alone knows more is no proof, as it may lie: that is a limit of the design, and not played.
-	at := w.random.Intn(len(w.copies))
-	for at > 0 && w.nodesAhead(w.copies[at].index) == 1 {
+	at := w.random.Intn(len(w.savedStates))
+	for at > 0 && w.nodesAhead(w.savedStates[at].index) == 1 {
 		at--
 	}
-	s := w.copies[at]
+	s := w.savedStates[at]
 	if w.nodesAhead(s.index) == 1 {
 		return
 	}
 	w.stopInstances()
-	w.Lost++
+	w.Losses++
 	if w.random.Intn(3) == 0 {
 		w.after(500+w.random.Float64()*2000, func() { w.restoreGroup(w.random.Intn(2) == 0) })
 		return
 	}
 	w.after(200+w.random.Float64()*3000, func() {
-		if err := w.restoreCopy(s); err != nil {
+		if err := w.restoreState(s); err != nil {
 			w.fail("%v", err)
 			return
 		}
@@ -109,20 +109,20 @@
 // nodesAhead counts the nodes that were notified of entries after one.
 func (w *Fleet) nodesAhead(index uint64) (n int) {
 	for _, o := range w.nodes {
-		if o.agent != nil && o.agent.LastSeen().Group == w.group && o.agent.LastSeen().Index > index {
+		if o.agent != nil && o.agent.LastSeen().Group == w.groupID && o.agent.LastSeen().Index > index {
 			n++
 		}
 	}
 	return n
 }
 
-// noticeLoss has an operator restore a group that found that it lost state.
-func (w *Fleet) noticeLoss() {
-	if w.state.Fleet.LostState == "" || w.lossNoticed {
+// scheduleRestoreOnLoss has an operator restore a group that found that it lost state.
+func (w *Fleet) scheduleRestoreOnLoss() {
+	if w.state.Fleet.LostState == "" || w.restoreScheduled {
 		return
 	}
-	w.lossNoticed = true
-	w.Found++
+	w.restoreScheduled = true
+	w.DetectedLosses++
 	w.after(1000+w.random.Float64()*5000, func() { w.restoreGroup(w.random.Intn(4) > 0) })
 }
 
@@ -142,25 +142,25 @@
 	w.after(100+w.random.Float64()*900, w.elect)
 }
 
-// restoreCopy puts a copy of the folders in place of what they held.
-func (w *Fleet) restoreCopy(s savedState) error {
+// restoreState puts a copy of the folders in place of what they held.
+func (w *Fleet) restoreState(s savedState) error {
 	p := coordinator.NewState(w.Without)
 	p.DisabledZoneGuards = w.WithoutZones
-	if err := p.Restore(s.raw); err != nil {
+	if err := p.Restore(s.snapshot); err != nil {
 		return err
 	}
-	w.dropUnnotified(p.Policy.DecidedVersion, s.events)
-	w.state, w.index, w.term, w.steps = p, s.index, s.term, s.known
-	w.texts, w.hashes = slices.Clone(s.texts), slices.Clone(s.hashes)
+	w.dropUnseenDecisions(p.Policy.DecidedVersion, s.historyLength)
+	w.state, w.index, w.term, w.changeSteps = p, s.index, s.term, s.changeSteps
+	w.versionTexts, w.versionHashes = slices.Clone(s.texts), slices.Clone(s.hashes)
 	return nil
 }
 
-// dropUnnotified takes what the group decided after a copy and told nobody off the history: nobody can know of it.
-func (w *Fleet) dropUnnotified(need uint64, events int) {
+// dropUnseenDecisions takes what the group decided after a copy and told nobody off the history: nobody can know of it.
+func (w *Fleet) dropUnseenDecisions(need uint64, events int) {
 	notified := uint64(0)
 	for _, n := range w.nodes {
 		if n.agent != nil {
-			notified = max(notified, n.agent.MinVersion(), n.record.MinVersion)
+			notified = max(notified, n.agent.MinVersion(), n.storedRecord.MinVersion)
 		}
 	}
 	kept := w.History[:min(events, len(w.History))]
@@ -176,7 +176,7 @@
 // storeRecord keeps on a node's disk what its record has.
 func (n *node) storeRecord() {
 	t := n.agent.LastSeen()
-	r := &n.record
+	r := &n.storedRecord
 	r.MinVersion, r.Cluster, r.ZoneOrder = n.agent.MinVersion(), n.agent.Cluster(), n.agent.StoredZoneOrder()
 	r.Generation, r.Term, r.Index, r.EntryChecksum = t.Generation, t.Term, t.Index, t.EntryChecksum
 }
@@ -196,10 +196,10 @@
 // formerLeaderResponse is the response of a former generation's leader, which was paused meanwhile and answers
 // nodes at one of the addresses as before.
 func (w *Fleet) formerLeaderResponse(n *node, to int, a *api.HeartbeatRequest) (t api.HeartbeatResponse, answers bool) {
-	if len(w.formerLeaders) == 0 || w.Calm || to != 0 || w.random.Intn(4) != 0 {
+	if len(w.formerResponses) == 0 || w.Calm || to != 0 || w.random.Intn(4) != 0 {
 		return t, false
 	}
-	t = w.formerLeaders[w.random.Intn(len(w.formerLeaders))]
+	t = w.formerResponses[w.random.Intn(len(w.formerResponses))]
 	if t.Generation >= n.agent.LastSeen().Generation {
 		// A node that was not notified of a later generation may follow this one: a restored group waits for old
 		// leases.
@@ -213,9 +213,9 @@
 // folders as they are, where the operator has them.
 func (w *Fleet) restoreGroup(folders bool) {
 	w.stopInstances()
-	w.gathering, w.nodeRecords = true, map[string]api.NodeRecord{}
+	w.collectingRecords, w.nodeRecords = true, map[string]api.NodeRecord{}
 	w.after(7000, func() {
-		w.gathering = false
+		w.collectingRecords = false
 		var all []api.NodeRecord
 		for _, n := range w.nodes {
 			if k, ok := w.nodeRecords[n.name]; ok {
@@ -232,7 +232,7 @@
 		found := recovery.PlanRestore(all, base, "")
 		conflict := uint64(0)
 		if n, _ := fmt.Sscanf(found.Conflict, "version %d goes by", &conflict); n == 1 {
-			found = recovery.PlanRestore(all, base, w.decidedHash[conflict]) // as the operator has noted it
+			found = recovery.PlanRestore(all, base, w.decidedHashes[conflict]) // as the operator has noted it
 		}
 		if found.Conflict != "" || !folders && found.Version == 0 || len(all) < len(w.nodes) {
 			// The record of some node that may serve is missing: collect once more.
@@ -246,7 +246,7 @@
 // storedGroup is what the group's folders tell of it.
 func (w *Fleet) storedGroup(p *coordinator.State) *recovery.StoredGroup {
 	stored := &recovery.StoredGroup{
-		GroupIdentity:    api.GroupIdentity{Group: w.group, Generation: p.Generation, Predecessors: p.Predecessors},
+		GroupIdentity:    api.GroupIdentity{Group: w.groupID, Generation: p.Generation, Predecessors: p.Predecessors},
 		LastVersion:      w.Last(),
 		DecidedVersion:   p.Policy.DecidedVersion,
 		CommittedVersion: p.Policy.CommittedVersion,
@@ -265,8 +265,8 @@
 
 // beginGeneration makes what was found the first state of the next generation.
 func (w *Fleet) beginGeneration(p *coordinator.State, found *recovery.RestorePlan, folders bool) {
-	w.formerLeaders = append(w.formerLeaders, api.HeartbeatResponse{
-		Cluster:          w.group,
+	w.formerResponses = append(w.formerResponses, api.HeartbeatResponse{
+		Cluster:          w.groupID,
 		Generation:       max(1, found.Lost.Generation),
 		Predecessors:     w.state.Predecessors,
 		Term:             w.term + 1,
@@ -276,31 +276,31 @@
 		ClockMS:          w.state.Fleet.ClockMS,
 	})
 	if !folders {
-		w.texts, w.hashes, w.index, w.term = nil, nil, 1, 1
+		w.versionTexts, w.versionHashes, w.index, w.term = nil, nil, 1, 1
 	}
 	if found.Version > 0 {
 		if _, hash, ok := w.Text(found.Version); !ok || hash != found.Hash {
-			for uint64(len(w.texts)) < found.Version {
-				w.texts, w.hashes = append(w.texts, ""), append(w.hashes, "")
+			for uint64(len(w.versionTexts)) < found.Version {
+				w.versionTexts, w.versionHashes = append(w.versionTexts, ""), append(w.versionHashes, "")
 			}
-			w.texts, w.hashes = w.texts[:found.Version], w.hashes[:found.Version]
-			w.texts[found.Version-1], w.hashes[found.Version-1] = found.Text, found.Hash
+			w.versionTexts, w.versionHashes = w.versionTexts[:found.Version], w.versionHashes[:found.Version]
+			w.versionTexts[found.Version-1], w.versionHashes[found.Version-1] = found.Text, found.Hash
 		}
 	}
-	w.dropUnnotified(found.Version, 0)
+	w.dropUnseenDecisions(found.Version, 0)
 	if err := p.BeginGeneration(found, w); err != nil {
 		w.fail("%v", err)
 		return
 	}
-	w.state, w.firstEpoch = p, p.Zones.Epoch
-	w.group = fmt.Sprintf("g%d-%d", p.Generation, w.Lost)
-	w.steps = map[uint64]policy.Step{}
+	w.state, w.generationStartEpoch = p, p.Zones.Epoch
+	w.groupID = fmt.Sprintf("g%d-%d", p.Generation, w.Losses)
+	w.changeSteps = map[uint64]policy.Step{}
 	for _, c := range p.Policy.History {
-		w.steps[c.Number] = c.Step
+		w.changeSteps[c.Number] = c.Step
 	}
 	w.recordRestore(found)
-	w.copies, w.lossNoticed, w.stopped = nil, false, false
-	w.Restored++
+	w.savedStates, w.restoreScheduled, w.stopped = nil, false, false
+	w.Restorations++
 	w.startInstances()
 }
 
@@ -323,17 +323,17 @@
 		return
 	}
 	n.storeRecord()
-	r := n.record
+	r := n.storedRecord
 	k := api.NodeRecord{
 		Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name,
 		Group: r.Cluster, Generation: max(1, r.Generation), Term: r.Term, Index: r.Index,
 		ActiveVersion: n.agent.ActiveVersion(), MinVersion: r.MinVersion, LeaseMS: n.agent.LeaseDuration(),
 	}
 	if k.ActiveVersion > 0 {
-		k.ActiveHash, k.ActiveText = r.ActiveHash, w.textOf[r.ActiveHash]
+		k.ActiveHash, k.ActiveText = r.ActiveHash, w.textByHash[r.ActiveHash]
 	}
-	if v := n.prepared.Version; v > k.ActiveVersion && n.agent.IsPrepared(v) {
-		k.PreparedVersion, k.PreparedHash, k.PreparedText = v, n.prepared.Hash, w.textOf[n.prepared.Hash]
+	if v := n.lastPrepared.Version; v > k.ActiveVersion && n.agent.IsPrepared(v) {
+		k.PreparedVersion, k.PreparedHash, k.PreparedText = v, n.lastPrepared.Hash, w.textByHash[n.lastPrepared.Hash]
 	}
 	if z := r.ZoneOrder; z != nil {
 		k.ZoneEpoch, k.ZoneShare = z.Epoch, z.Share
@@ -346,7 +346,7 @@
 func (w *Fleet) checkEpochs() {
 	w.after(50, w.checkEpochs)
 	settled, generation := w.state.Zones.SettledEpoch, w.state.Generation
-	if w.stopped || w.state.Fleet.LostState != "" || settled <= w.firstEpoch {
+	if w.stopped || w.state.Fleet.LostState != "" || settled <= w.generationStartEpoch {
 		return
 	}
 	for _, n := range w.nodes {
@@ -366,9 +366,9 @@
 	}
 }
 
-// drillZones has an operator leave and return a zone now and then, so that there are epochs to be stale about.
-func (w *Fleet) drillZones() {
-	w.after(1500+w.random.Float64()*3000, w.drillZones)
+// scheduleZoneDrills has an operator leave and return a zone now and then, so that there are epochs to be stale about.
+func (w *Fleet) scheduleZoneDrills() {
+	w.after(1500+w.random.Float64()*3000, w.scheduleZoneDrills)
 	if w.leader < 0 || !w.instances[w.leader].up || w.state.Fleet.LostState != "" {
 		return
 	}
--- a/internal/simulation/fleet_state_loss_test.go
+++ b/internal/simulation/fleet_state_loss_test.go
@@ -20,8 +20,8 @@
 		w.Play()
 		return w
 	}, func(seed int64, w *Fleet) bool {
-		if lost, found, restored = lost+w.Lost, found+w.Found, restored+w.Restored; w.Broken != "" {
-			t.Errorf("seed %d, %d losses, %d restorings: %s", seed, w.Lost, w.Restored, w.Broken)
+		if lost, found, restored = lost+w.Losses, found+w.DetectedLosses, restored+w.Restorations; w.Broken != "" {
+			t.Errorf("seed %d, %d losses, %d restorings: %s", seed, w.Losses, w.Restorations, w.Broken)
 			bad++
 		}
 		return bad > 8
--- a/internal/simulation/pool_scenario_text.go
+++ b/internal/simulation/pool_scenario_text.go
@@ -12,11 +12,11 @@
 
 // ReadScenario reads a scenario; its errors name file, line, what was found and what was expected.
 func ReadScenario(name, text string) (*Scenario, error) {
-	s := &Scenario{name: name, Cores: 6, Tenants: 4, span: 120 * second, load: 1, Cheapest: -1, Dearest: -1}
+	s := &Scenario{name: name, Cores: 6, Tenants: 4, duration: 120 * second, load: 1, Cheapest: -1, Dearest: -1}
 	for n, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
 		if w := strings.Fields(line); len(w) > 0 {
-			if err := s.line(w); err != nil {
+			if err := s.parseLine(w); err != nil {
 				return nil, fmt.Errorf("%s:%d: %w", name, n+1, err)
 			}
 		}
@@ -35,7 +35,7 @@
 	err      error
 }
 
-func (s *Scenario) line(words []string) error {
+func (s *Scenario) parseLine(words []string) error {
 	l := &scenarioLine{scenario: s, words: words}
 	l.read()
 	return l.err
@@ -49,11 +49,11 @@
 	case "tenants":
 		s.Tenants = int(l.number(1))
 	case "for":
-		s.span = l.seconds(1)
+		s.duration = l.seconds(1)
 	case "load":
 		s.load = l.number(1)
 	case "exempt":
-		s.exempt = true
+		s.exemptCheapest = true
 	case "cheapest":
 		s.Cheapest = l.class(1)
 	case "dearest":
@@ -111,7 +111,7 @@
 	return -1
 }
 
-func (l *scenarioLine) pairs(from int) map[string]float64 {
+func (l *scenarioLine) keyValues(from int) map[string]float64 {
 	out := map[string]float64{}
 	for _, p := range l.words[min(from, len(l.words)):] {
 		key, text, _ := strings.Cut(p, "=")
@@ -125,7 +125,7 @@
 }
 
 func (l *scenarioLine) readClass() {
-	name, given := l.word(1, "a class is missing"), l.pairs(2)
+	name, given := l.word(1, "a class is missing"), l.keyValues(2)
 	get := func(key string, otherwise float64) float64 {
 		if v, ok := given[key]; ok {
 			return v
@@ -134,11 +134,11 @@
 	}
 	const perMillisecond = float64(second) / 1000
 	l.scenario.Classes = append(l.scenario.Classes, Class{
-		Name: name, Work: get("work", 10) * perMillisecond, WorkSigma: get("tail", 0), surge: -1,
-		tries: int(get("tries", 2)),
+		Name: name, Work: get("work", 10) * perMillisecond, WorkSigma: get("tail", 0), surgingTenant: -1,
+		maxRetries: int(get("tries", 2)),
 		Handler: admission.Handler{LatencyObjective: virtualTime(get("target", 1000) * perMillisecond),
 			Timeout: virtualTime(get("timeout", 5000) * perMillisecond), Value: get("value", 1)}})
-	l.scenario.fractions = append(l.scenario.fractions, get("share", 1))
+	l.scenario.requestShares = append(l.scenario.requestShares, get("share", 1))
 }
 
 // readSwing has the load go to and fro between two values until the end.
@@ -148,9 +148,9 @@
 		l.err = errors.Join(l.err, errors.New("a swing takes a time above 0"))
 		return
 	}
-	for at, k := 0.0, 0; at < float64(l.scenario.span)/float64(second); at, k = at+period, k+1 {
+	for at, k := 0.0, 0; at < float64(l.scenario.duration)/float64(second); at, k = at+period, k+1 {
 		l.scenario.changes = append(l.scenario.changes, scenarioChange{at: virtualTime(at * float64(second)), class: -1,
-			kind: "load", words: map[string]float64{"load": loads[k%2]}})
+			kind: "load", values: map[string]float64{"load": loads[k%2]}})
 	}
 }
 
@@ -162,9 +162,9 @@
 	c := scenarioChange{at: l.seconds(1), class: -1, kind: l.words[2]}
 	switch c.kind {
 	case "load", "cores", "drain":
-		c.words = map[string]float64{c.kind: l.number(3)}
+		c.values = map[string]float64{c.kind: l.number(3)}
 	default:
-		c.class, c.words = l.class(2), l.pairs(3)
+		c.class, c.values = l.class(2), l.keyValues(3)
 	}
 	l.scenario.changes = append(l.scenario.changes, c)
 }
--- a/internal/simulation/pool_scenarios.go
+++ b/internal/simulation/pool_scenarios.go
@@ -38,14 +38,14 @@
 type Scenario struct {
 	name              string
 	Cores, Tenants    int
-	span              virtualTime
+	duration          virtualTime
 	load              float64
 	Classes           []Class
-	fractions         []float64
+	requestShares     []float64
 	changes           []scenarioChange
 	Cheapest, Dearest int
 	targets           []serviceTarget
-	exempt            bool // the promise on the cheapest class does not hold here, as the file says why
+	exemptCheapest    bool // the promise on the cheapest class does not hold here, as the file says why
 }
 
 // serviceTarget is a share of a class's requests that has to be done in time with pools.
@@ -55,21 +55,21 @@
 }
 
 type scenarioChange struct {
-	at    virtualTime
-	class int // -1 for the server
-	words map[string]float64
-	kind  string
+	at     virtualTime
+	class  int // -1 for the server
+	values map[string]float64
+	kind   string
 }
 
 // Rates gives each class its requests a second so that all together offer a share of capacity.
 func (s *Scenario) Rates(load float64) []float64 {
 	work := 0.0
 	for k := range s.Classes {
-		work += s.fractions[k] * s.Classes[k].Work / float64(second)
+		work += s.requestShares[k] * s.Classes[k].Work / float64(second)
 	}
 	out := make([]float64, len(s.Classes))
 	for k := range out {
-		out[k] = load * float64(s.Cores) / work * s.fractions[k]
+		out[k] = load * float64(s.Cores) / work * s.requestShares[k]
 	}
 	return out
 }
@@ -87,14 +87,14 @@
 	p := pools.Plan{Reserve: variant == "pools" && without != "reserve", Tenants: s.Tenants}
 	total := 0.0
 	for k := range s.Classes {
-		total += s.fractions[k] * s.Classes[k].Work
+		total += s.requestShares[k] * s.Classes[k].Work
 	}
 	for k := range s.Classes {
 		c := &s.Classes[k]
 		d.Handlers = append(d.Handlers, c.Handler)
 		one := pools.Class{Name: c.Name, Value: c.Handler.Value}
 		if variant == "fixed" { // what an operator would set from a calm day's shares, with room for half as much again
-			one.MaxFraction, one.FixedLimit = min(1, max(0.1, 1.5*s.fractions[k]*c.Work/total)), true
+			one.MaxFraction, one.FixedLimit = min(1, max(0.1, 1.5*s.requestShares[k]*c.Work/total)), true
 		} else if without == "limits" {
 			one.MaxFraction, one.FixedLimit = 1, true
 		}
@@ -115,21 +115,21 @@
 	return admission.New(d), o
 }
 
-// outcome is a scenario's, in one variant, over all servers.
-type outcome struct {
-	classes  []tallies
-	peakRuns float64 // runs a core
-	value    float64
-	limits   [][]float64 // of the first server, by second
+// variantResult is a scenario's, in one variant, over all servers.
+type variantResult struct {
+	classes        []classResults
+	peakRuns       float64 // runs a core
+	completedValue float64
+	limits         [][]float64 // of the first server, by second
 }
 
-// play runs a scenario's servers one after the other, each from a seed of its own.
-func (s *Scenario) play(seed int64, size int, variant, without string) *outcome {
-	all := &outcome{classes: newTallies(len(s.Classes), s.span)}
+// simulate runs a scenario's servers one after the other, each from a seed of its own.
+func (s *Scenario) simulate(seed int64, size int, variant, without string) *variantResult {
+	all := &variantResult{classes: newClassResults(len(s.Classes), s.duration)}
 	for n := 0; n < size; n++ {
 		d, p := s.newDecider(variant, without)
-		v := newEmulatedServer(seed*1000+int64(n), d, s.Cores, s.classesAt(s.load), s.Tenants, s.span+second)
-		limits := s.playServer(v, p)
+		v := newServer(seed*1000+int64(n), d, s.Cores, s.classesAt(s.load), s.Tenants, s.duration+second)
+		limits := s.simulateServer(v, p)
 		if n == 0 {
 			all.limits = limits
 		}
@@ -147,17 +147,17 @@
 	return classes
 }
 
-// scale is by how much a class's rate and work differ from what its scenario begins with.
-type scale struct{ rate, work float64 }
+// loadFactors is by how much a class's rate and work differ from what its scenario begins with.
+type loadFactors struct{ rate, work float64 }
 
-// playServer plays a scenario at one server, second by second, and gives the limits of its pools.
-func (s *Scenario) playServer(v *server, p *pools.Pools) (limits [][]float64) {
-	load, scales := s.load, make([]scale, len(s.Classes))
+// simulateServer plays a scenario at one server, second by second, and gives the limits of its pools.
+func (s *Scenario) simulateServer(v *server, p *pools.Pools) (limits [][]float64) {
+	load, scales := s.load, make([]loadFactors, len(s.Classes))
 	for k := range scales {
-		scales[k] = scale{1, 1}
+		scales[k] = loadFactors{1, 1}
 	}
 	next := 0
-	for now := second; now < s.span+second; now += second {
+	for now := second; now < s.duration+second; now += second {
 		for ; next < len(s.changes) && s.changes[next].at <= now-second; next++ {
 			s.changes[next].apply(v, &load, scales)
 		}
@@ -173,7 +173,7 @@
 		}
 	}
 	for k := range v.classes {
-		v.classes[k].arrivals = math.MaxInt64 / 2
+		v.classes[k].nextArrival = math.MaxInt64 / 2
 	}
 	v.runUntil(v.now + 10*second) // requests in flight end
 	return limits
@@ -188,30 +188,30 @@
 }
 
 // add adds what became of a server's requests.
-func (o *outcome) add(s *Scenario, v *server) {
+func (o *variantResult) add(s *Scenario, v *server) {
 	for k := range o.classes {
-		o.classes[k].add(&v.out[k])
-		o.value += float64(v.out[k].inTime) * s.Classes[k].Handler.Value
+		o.classes[k].add(&v.results[k])
+		o.completedValue += float64(v.results[k].inTime) * s.Classes[k].Handler.Value
 	}
 	o.peakRuns = max(o.peakRuns, v.peakRuns)
 }
 
 // apply makes a change at a server: to the load and the scales where they are the scenario's.
-func (c *scenarioChange) apply(v *server, load *float64, scales []scale) {
+func (c *scenarioChange) apply(v *server, load *float64, scales []loadFactors) {
 	switch c.kind {
 	case "load":
-		*load = c.words["load"]
+		*load = c.values["load"]
 		return
 	case "cores":
-		v.cores = c.words["cores"]
+		v.cores = c.values["cores"]
 		return
 	case "drain":
 		v.drained = true
-		v.round(&admission.Round{Drain: true, KillAt: v.now + virtualTime(c.words["drain"]*float64(second))})
+		v.decide(&admission.Round{Drain: true, KillAt: v.now + virtualTime(c.values["drain"]*float64(second))})
 		return
 	}
 	class := &v.classes[c.class]
-	for key, x := range c.words {
+	for key, x := range c.values {
 		switch key {
 		case "rate":
 			scales[c.class].rate = x
@@ -222,13 +222,15 @@
 		case "times":
 			class.HeavyFactor = x
 		case "hangs":
-			class.hangs = x
+			class.hangFraction = x
 		case "surge":
-			class.surge = int(x)
+			class.surgingTenant = int(x)
 		case "by":
-			class.surgeBy = x
+			class.surgeFactor = x
 		}
 	}
 }
 
-func (t *tallies) inTimeFraction() float64 { return float64(t.inTime) / float64(max(1, t.offered)) }
+func (t *classResults) inTimeFraction() float64 {
+	return float64(t.inTime) / float64(max(1, t.offered))
+}
--- a/internal/simulation/pools.go
+++ b/internal/simulation/pools.go
@@ -34,12 +34,12 @@
 			size = 6
 		}
 	}
-	scenarios, err := r.scenarios()
+	scenarios, err := r.loadScenarios()
 	if err != nil {
 		return nil, err
 	}
 	started := time.Now()
-	outcomes := r.playAll(ctx, scenarios, size)
+	outcomes := r.simulateAll(ctx, scenarios, size)
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
@@ -53,8 +53,8 @@
 				requests += o[variant].classes[k].offered
 			}
 		}
-		rep.Rows = append(rep.Rows, s.rows(o)...)
-		r.check(rep, s, o, &least)
+		rep.Rows = append(rep.Rows, s.tableRows(o)...)
+		r.checkScenario(rep, s, o, &least)
 		rep.Plots = append(rep.Plots, limitPlot(s, o["pools"]), servedPlot(s, o))
 	}
 	rep.Add("scenarios", "%d", len(scenarios))
@@ -64,8 +64,8 @@
 	return rep.End(r.Out, w)
 }
 
-// scenarios reads all scenarios, or the one that is named.
-func (r *Pools) scenarios() ([]*Scenario, error) {
+// loadScenarios reads all scenarios, or the one that is named.
+func (r *Pools) loadScenarios() ([]*Scenario, error) {
 	files, err := scenarioFiles.ReadDir("scenarios")
 	if err != nil {
 		return nil, err
@@ -92,10 +92,10 @@
 	return all, nil
 }
 
-// rows are a scenario's in the table: each class's share done in time by each way, then the value done.
-func (s *Scenario) rows(o map[string]*outcome) (rows [][]string) {
+// tableRows are a scenario's in the table: each class's share done in time by each way, then the value done.
+func (s *Scenario) tableRows(o map[string]*variantResult) (rows [][]string) {
 	percentile95 := func(variant string, k int) string {
-		return report.Milliseconds(o[variant].classes[k].times.ValueAtQuantile(95) / 10)
+		return report.Milliseconds(o[variant].classes[k].latencies.ValueAtQuantile(95) / 10)
 	}
 	value := []string{"", "value", ""}
 	for k := range s.Classes {
@@ -106,15 +106,15 @@
 		rows = append(rows, append(row, percentile95("pools", k), percentile95("off", k)))
 	}
 	for _, variant := range poolVariants {
-		value = append(value, fmt.Sprintf("%.0f", o[variant].value))
+		value = append(value, fmt.Sprintf("%.0f", o[variant].completedValue))
 	}
 	return append(rows, append(value, fmt.Sprintf("%.1f runs a core", o["pools"].peakRuns), ""))
 }
 
-func (r *Pools) playAll(ctx context.Context, all []*Scenario, size int) []map[string]*outcome {
-	done := make([]map[string]*outcome, len(all))
+func (r *Pools) simulateAll(ctx context.Context, all []*Scenario, size int) []map[string]*variantResult {
+	done := make([]map[string]*variantResult, len(all))
 	for i := range done {
-		done[i] = map[string]*outcome{}
+		done[i] = map[string]*variantResult{}
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -128,7 +128,7 @@
 				if ctx.Err() != nil {
 					return
 				}
-				o := s.play(r.Seed, size, variant, r.Without)
+				o := s.simulate(r.Seed, size, variant, r.Without)
 				mu.Lock()
 				done[i][variant] = o
 				mu.Unlock()
@@ -139,12 +139,12 @@
 	return done
 }
 
-// check holds one scenario to the promises.
-func (r *Pools) check(rep *report.Report, s *Scenario, o map[string]*outcome, least *float64) {
+// checkScenario holds one scenario to the promises.
+func (r *Pools) checkScenario(rep *report.Report, s *Scenario, o map[string]*variantResult, least *float64) {
 	with, off := o["pools"], o["off"]
 	cheap := &with.classes[s.Cheapest]
 	good := float64(cheap.withinQuotaInTime) / float64(max(1, cheap.withinQuota)) // of tenants within their share
-	if !s.exempt {
+	if !s.exemptCheapest {
 		*least = min(*least, good)
 		if good < minCheapestInTime {
 			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, good, s.Classes[s.Cheapest].Name,
@@ -164,7 +164,7 @@
 	}
 }
 
-func limitPlot(s *Scenario, o *outcome) report.Plot {
+func limitPlot(s *Scenario, o *variantResult) report.Plot {
 	p := report.Plot{Title: s.name + ": limits at one server (30: none)", X: "s", Y: "run slots"}
 	for k := range s.Classes {
 		l := report.Line{Name: s.Classes[k].Name}
@@ -176,15 +176,15 @@
 	return p
 }
 
-func servedPlot(s *Scenario, o map[string]*outcome) report.Plot {
+func servedPlot(s *Scenario, o map[string]*variantResult) report.Plot {
 	p := report.Plot{Title: s.name + ": " + s.Classes[s.Cheapest].Name + " done in time", X: "s", Y: "share"}
 	for _, variant := range poolVariants {
 		l := report.Line{Name: variant}
 		t := &o[variant].classes[s.Cheapest]
-		for i := 5; i+5 < len(t.arrived); i += 5 {
+		for i := 5; i+5 < len(t.arrivedPerSecond); i += 5 {
 			arrived, served := 0, 0
 			for k := i; k < i+5; k++ {
-				arrived, served = arrived+t.arrived[k], served+t.served[k]
+				arrived, served = arrived+t.arrivedPerSecond[k], served+t.inTimePerSecond[k]
 			}
 			if arrived > 0 {
 				l.Points = append(l.Points, [2]float64{float64(i), float64(served) / float64(arrived)})
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -24,54 +24,54 @@
 
 // Class is what one class's requests are like at the moment.
 type Class struct {
-	Name        string
-	Handler     admission.Handler
-	Work        float64 // tenths of a ms in the mean
-	WorkSigma   float64 // sigma of a log-normal spread, 0 for none
-	Rate        float64 // requests a second at a server
-	HeavyShare  float64 // share of requests that take HeavyFactor times the work
-	HeavyFactor float64
-	hangs       float64 // share of runs that never end
-	surge       int     // tenant that asks more, -1 for none
-	surgeBy     float64
-	tries       int         // further attempts after one was shed
-	arrivals    virtualTime // when the next one comes
+	Name          string
+	Handler       admission.Handler
+	Work          float64 // tenths of a ms in the mean
+	WorkSigma     float64 // sigma of a log-normal spread, 0 for none
+	Rate          float64 // requests a second at a server
+	HeavyShare    float64 // share of requests that take HeavyFactor times the work
+	HeavyFactor   float64
+	hangFraction  float64 // share of runs that never end
+	surgingTenant int     // tenant that asks more, -1 for none
+	surgeFactor   float64
+	maxRetries    int         // further attempts after one was shed
+	nextArrival   virtualTime // when the next one comes
 }
 
-// tallies count what became of a class's requests.
-type tallies struct {
+// classResults count what became of a class's requests.
+type classResults struct {
 	offered, inTime                int
 	withinQuota, withinQuotaInTime int                     // of tenants that don't surge
-	times                          *hdrhistogram.Histogram // of those done, from the first attempt, in tenths of a ms
-	served                         []int                   // in time, by second
-	arrived                        []int
+	latencies                      *hdrhistogram.Histogram // of those done, from the first attempt, in tenths of a ms
+	inTimePerSecond                []int                   // in time, by second
+	arrivedPerSecond               []int
 }
 
-func newTallies(classes int, span virtualTime) []tallies {
-	all := make([]tallies, classes)
+func newClassResults(classes int, span virtualTime) []classResults {
+	all := make([]classResults, classes)
 	for k := range all {
-		all[k] = tallies{times: hdrhistogram.New(1, 10_000_000, 2), served: make([]int, span/second+2),
-			arrived: make([]int, span/second+2)}
+		all[k] = classResults{latencies: hdrhistogram.New(1, 10_000_000, 2), inTimePerSecond: make([]int, span/second+2),
+			arrivedPerSecond: make([]int, span/second+2)}
 	}
 	return all
 }
 
 // add adds another server's.
-func (t *tallies) add(o *tallies) {
+func (t *classResults) add(o *classResults) {
 	t.offered, t.inTime = t.offered+o.offered, t.inTime+o.inTime
 	t.withinQuota, t.withinQuotaInTime = t.withinQuota+o.withinQuota, t.withinQuotaInTime+o.withinQuotaInTime
-	t.times.Merge(o.times)
-	for i := range t.served {
-		t.served[i] += o.served[i]
-		t.arrived[i] += o.arrived[i]
+	t.latencies.Merge(o.latencies)
+	for i := range t.inTimePerSecond {
+		t.inTimePerSecond[i] += o.inTimePerSecond[i]
+		t.arrivedPerSecond[i] += o.arrivedPerSecond[i]
 	}
 }
 
 type attempt struct {
 	class, tenant int
-	first         virtualTime // of the first attempt
+	firstArrived  virtualTime // of the first attempt
 	arrived       virtualTime
-	try           int
+	number        int
 	answered      bool
 	start         virtualTime
 	work          float64
@@ -81,19 +81,19 @@
 
 // run is one run: it ends when the service that each run has had reaches a sum.
 type run struct {
-	id   uint32
-	ends float64
+	id     uint32
+	endsAt float64
 }
 
-func (r run) before(o run) bool { return r.ends < o.ends }
+func (r run) before(o run) bool { return r.endsAt < o.endsAt }
 
 type retry struct {
-	at  virtualTime
-	seq uint32
-	req attempt
+	at      virtualTime
+	id      uint32
+	attempt attempt
 }
 
-func (r retry) before(o retry) bool { return r.at < o.at || r.at == o.at && r.seq < o.seq }
+func (r retry) before(o retry) bool { return r.at < o.at || r.at == o.at && r.id < o.id }
 
 // server is one emulated server.
 type server struct {
@@ -104,36 +104,36 @@
 	overloadRatio float64 // runs a core past which the cores lose speed
 	classes       []Class
 	tenants       int
-	next          uint32
-	open          map[uint32]*attempt
+	lastID        uint32
+	requests      map[uint32]*attempt
 	runs          priorityQueue[run]
-	hung          int
-	service       float64 // what each run has had since the start
+	hungRuns      int
+	servicePerRun float64 // what each run has had since the start
 	retries       priorityQueue[retry]
-	wake          virtualTime
-	out           []tallies
+	wakeAt        virtualTime
+	results       []classResults
 	peakRuns      float64 // runs a core at most
 	drained       bool
 }
 
-func newEmulatedServer(seed int64, d decider, cores int, classes []Class, tenants int, span virtualTime) *server {
+func newServer(seed int64, d decider, cores int, classes []Class, tenants int, span virtualTime) *server {
 	s := &server{random: rand.New(rand.NewSource(seed)), decider: d, now: second, cores: float64(cores),
-		overloadRatio: 5, tenants: tenants, open: map[uint32]*attempt{}, wake: -1}
+		overloadRatio: 5, tenants: tenants, requests: map[uint32]*attempt{}, wakeAt: -1}
 	s.classes = append(s.classes, classes...)
-	s.out = newTallies(len(classes), span)
+	s.results = newClassResults(len(classes), span)
 	for k := range s.classes {
-		s.classes[k].arrivals = s.now + s.gap(k)
+		s.classes[k].nextArrival = s.now + s.drawInterarrival(k)
 	}
-	s.round(&admission.Round{})
+	s.decide(&admission.Round{})
 	return s
 }
 
-// gap draws the time to a class's next request.
-func (s *server) gap(k int) virtualTime {
+// drawInterarrival draws the time to a class's next request.
+func (s *server) drawInterarrival(k int) virtualTime {
 	c := &s.classes[k]
 	rate := c.Rate
-	if c.surge >= 0 {
-		rate *= 1 + (c.surgeBy-1)/float64(s.tenants)
+	if c.surgingTenant >= 0 {
+		rate *= 1 + (c.surgeFactor-1)/float64(s.tenants)
 	}
 	if rate <= 0 {
 		return second / 10
@@ -141,9 +141,9 @@
 	return max(1, virtualTime(s.random.ExpFloat64()/rate*float64(second)))
 }
 
-// speed is how fast each run goes.
-func (s *server) speed() float64 {
-	n := float64(len(s.runs) + s.hung)
+// runSpeed is how fast each run goes.
+func (s *server) runSpeed() float64 {
+	n := float64(len(s.runs) + s.hungRuns)
 	if n <= s.cores {
 		return 1
 	}
@@ -156,8 +156,8 @@
 
 func (s *server) advance(to virtualTime) {
 	if dt := float64(to - s.now); dt > 0 {
-		n := float64(len(s.runs) + s.hung)
-		s.service += dt * s.speed()
+		n := float64(len(s.runs) + s.hungRuns)
+		s.servicePerRun += dt * s.runSpeed()
 		s.peakRuns = max(s.peakRuns, n/s.cores)
 		s.now = to
 	}
@@ -168,18 +168,18 @@
 	for {
 		at, what := end, -1
 		for k := range s.classes {
-			if a := s.classes[k].arrivals; a < at {
+			if a := s.classes[k].nextArrival; a < at {
 				at, what = a, k
 			}
 		}
 		if len(s.runs) > 0 {
-			left := (s.runs[0].ends - s.service) / s.speed()
+			left := (s.runs[0].endsAt - s.servicePerRun) / s.runSpeed()
 			if a := s.now + virtualTime(math.Ceil(max(left, 0))); a < at {
 				at, what = a, -2
 			}
 		}
-		if s.wake >= 0 && s.wake < at {
-			at, what = s.wake, -3
+		if s.wakeAt >= 0 && s.wakeAt < at {
+			at, what = s.wakeAt, -3
 		}
 		if len(s.retries) > 0 && s.retries[0].at < at {
 			at, what = s.retries[0].at, -4
@@ -191,12 +191,12 @@
 		case what == -2:
 			s.endRun()
 		case what == -3:
-			s.wake = -1
-			s.round(&admission.Round{TimerFired: true, HasGauges: true,
-				Gauges: admission.Gauges{Runnable: float64(len(s.runs) + s.hung), OpenConnections: 10}})
+			s.wakeAt = -1
+			s.decide(&admission.Round{TimerFired: true, HasGauges: true,
+				Gauges: admission.Gauges{Runnable: float64(len(s.runs) + s.hungRuns), OpenConnections: 10}})
 		case what == -4:
 			a := s.retries.take()
-			s.sendAttempt(a.req)
+			s.sendAttempt(a.attempt)
 		default:
 			return
 		}
@@ -206,8 +206,8 @@
 func (s *server) arrive(k int) {
 	c := &s.classes[k]
 	tenant := s.random.Intn(s.tenants)
-	if c.surge >= 0 && s.random.Float64() < (c.surgeBy-1)/(float64(s.tenants)+c.surgeBy-1) {
-		tenant = c.surge
+	if c.surgingTenant >= 0 && s.random.Float64() < (c.surgeFactor-1)/(float64(s.tenants)+c.surgeFactor-1) {
+		tenant = c.surgingTenant
 	}
 	work := c.Work
 	if c.WorkSigma > 0 {
@@ -216,49 +216,49 @@
 	if s.random.Float64() < c.HeavyShare {
 		work *= c.HeavyFactor
 	}
-	hangs := s.random.Float64() < c.hangs
-	o := &s.out[k]
+	hangs := s.random.Float64() < c.hangFraction
+	o := &s.results[k]
 	o.offered++
-	if tenant != c.surge {
+	if tenant != c.surgingTenant {
 		o.withinQuota++
 	}
-	o.arrived[min(int(s.now/second), len(o.arrived)-1)]++
-	s.sendAttempt(attempt{class: k, tenant: tenant, first: s.now, work: max(work, 1), hangs: hangs,
+	o.arrivedPerSecond[min(int(s.now/second), len(o.arrivedPerSecond)-1)]++
+	s.sendAttempt(attempt{class: k, tenant: tenant, firstArrived: s.now, work: max(work, 1), hangs: hangs,
 		caller: 1 + uint32(s.random.Intn(40))})
-	c.arrivals = s.now + s.gap(k)
+	c.nextArrival = s.now + s.drawInterarrival(k)
 }
 
 func (s *server) sendAttempt(q attempt) {
-	s.next++
+	s.lastID++
 	q.arrived = s.now
-	s.open[s.next] = &q
+	s.requests[s.lastID] = &q
 	c := &s.classes[q.class]
-	s.round(&admission.Round{Arrived: []admission.Request{{ID: s.next, Handler: q.class, Tenant: q.tenant,
+	s.decide(&admission.Round{Arrived: []admission.Request{{ID: s.lastID, Handler: q.class, Tenant: q.tenant,
 		ArrivedAt: s.now,
-		Deadline:  q.first + c.Handler.Timeout, SizeKB: 8, IsRetry: q.try > 0, Caller: q.caller}}})
+		Deadline:  q.firstArrived + c.Handler.Timeout, SizeKB: 8, IsRetry: q.number > 0, Caller: q.caller}}})
 }
 
 func (s *server) endRun() {
 	r := s.runs.take()
-	q := s.open[r.id]
-	delete(s.open, r.id)
+	q := s.requests[r.id]
+	delete(s.requests, r.id)
 	end := admission.RunEnd{ID: r.id, Outcome: admission.Succeeded, Elapsed: s.now - q.start}
-	s.round(&admission.Round{RunEnds: []admission.RunEnd{end}})
+	s.decide(&admission.Round{RunEnds: []admission.RunEnd{end}})
 	if q.answered {
 		return
 	}
-	o, took := &s.out[q.class], s.now-q.first
-	o.times.RecordValue(int64(took))
+	o, took := &s.results[q.class], s.now-q.firstArrived
+	o.latencies.RecordValue(int64(took))
 	if took <= s.classes[q.class].Handler.LatencyObjective {
 		o.inTime++
-		if q.tenant != s.classes[q.class].surge {
+		if q.tenant != s.classes[q.class].surgingTenant {
 			o.withinQuotaInTime++
 		}
-		o.served[min(int(q.first/second), len(o.served)-1)]++
+		o.inTimePerSecond[min(int(q.firstArrived/second), len(o.inTimePerSecond)-1)]++
 	}
 }
 
-func (s *server) round(r *admission.Round) {
+func (s *server) decide(r *admission.Round) {
 	r.Now = s.now
 	s.decider.Decide(r, s)
 }
@@ -266,38 +266,38 @@
 // What the decider has done: server is its admission.Writer.
 
 func (s *server) Run(id uint32) {
-	q := s.open[id]
+	q := s.requests[id]
 	q.start = s.now
 	if q.hangs {
-		s.hung++
+		s.hungRuns++
 		return
 	}
-	s.runs.add(run{id, s.service + q.work})
+	s.runs.add(run{id, s.servicePerRun + q.work})
 }
 
 func (s *server) Shed(id uint32, _ admission.Reason, last bool, comeBack admission.Time) {
-	q := s.open[id]
-	delete(s.open, id)
+	q := s.requests[id]
+	delete(s.requests, id)
 	c := &s.classes[q.class]
-	wait := max(comeBack, second/5<<q.try)
-	if at := s.now + wait; !last && q.try < c.tries && at < q.first+c.Handler.Timeout && !s.drained {
+	wait := max(comeBack, second/5<<q.number)
+	if at := s.now + wait; !last && q.number < c.maxRetries && at < q.firstArrived+c.Handler.Timeout && !s.drained {
 		n := *q
-		n.try++
-		s.next++
-		s.retries.add(retry{at, s.next, n})
+		n.number++
+		s.lastID++
+		s.retries.add(retry{at, s.lastID, n})
 	}
 }
 
 func (s *server) Fail(id uint32, _ admission.Reason) {
-	if q := s.open[id]; !q.answered {
+	if q := s.requests[id]; !q.answered {
 		q.answered = true
 		if q.start == 0 {
-			delete(s.open, id)
+			delete(s.requests, id)
 		}
 	}
 }
 
-func (s *server) WakeUp(at admission.Time)        { s.wake = at }
+func (s *server) WakeUp(at admission.Time)        { s.wakeAt = at }
 func (s *server) Stop(uint32)                     {}
 func (s *server) Call(uint32, admission.Time)     {}
 func (s *server) SkipCall(uint32)                 {}
@@ -314,14 +314,14 @@
 type plainQueue struct {
 	slots, running int
 	queue          []admission.Request
-	wake           bool
+	timerSet       bool
 }
 
 func (p *plainQueue) Decide(r *admission.Round, w admission.Writer) {
 	p.running -= len(r.RunEnds)
 	p.queue = append(p.queue, r.Arrived...)
 	if r.TimerFired {
-		p.wake = false
+		p.timerSet = false
 	}
 	for len(p.queue) > 0 && (p.running < p.slots || r.Now-p.queue[0].ArrivedAt > second/10) {
 		q := p.queue[0]
@@ -333,8 +333,8 @@
 		p.running++
 		w.Run(q.ID)
 	}
-	if len(p.queue) > 0 && !p.wake {
-		p.wake = true
+	if len(p.queue) > 0 && !p.timerSet {
+		p.timerSet = true
 		w.WakeUp(r.Now + second/50)
 	}
 }
--- a/internal/simulation/timeline.go
+++ b/internal/simulation/timeline.go
@@ -34,35 +34,35 @@
 
 // timedEvent is something done at a time; of one time's events the one added first comes first.
 type timedEvent[T int64 | float64] struct {
-	at     T
-	number uint64
-	do     func()
+	at       T
+	sequence uint64
+	action   func()
 }
 
 func (e timedEvent[T]) before(o timedEvent[T]) bool {
-	return e.at < o.at || e.at == o.at && e.number < o.number
+	return e.at < o.at || e.at == o.at && e.sequence < o.sequence
 }
 
-// timeline is virtual time, in ms, and what is to be done in it.
-type timeline[T int64 | float64] struct {
-	Now    T
-	events priorityQueue[timedEvent[T]]
-	added  uint64
-	played int
+// scheduler is virtual time, in ms, and what is to be done in it.
+type scheduler[T int64 | float64] struct {
+	Now          T
+	events       priorityQueue[timedEvent[T]]
+	lastSequence uint64
+	eventsRun    int
 }
 
 // after has something done some ms from now.
-func (t *timeline[T]) after(ms T, do func()) {
-	t.added++
-	t.events.add(timedEvent[T]{t.Now + ms, t.added, do})
+func (t *scheduler[T]) after(ms T, do func()) {
+	t.lastSequence++
+	t.events.add(timedEvent[T]{t.Now + ms, t.lastSequence, do})
 }
 
-// play plays all events up to a time, or until the run is over.
-func (t *timeline[T]) play(until T, over func() bool) {
+// runEvents plays all events up to a time, or until the run is over.
+func (t *scheduler[T]) runEvents(until T, over func() bool) {
 	for !over() && len(t.events) > 0 && t.events[0].at <= until {
 		e := t.events.take()
 		t.Now = max(t.Now, e.at)
-		t.played++
-		e.do()
+		t.eventsRun++
+		e.action()
 	}
 }
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -39,29 +39,29 @@
 	// WarmUpSeconds of full capacity fill a service's cache.
 	WarmUpSeconds   = 10.0
 	maxRetryAfterMS = 10_000 // ms, of a Retry-After
-	// maxRetryPeak is how much more than first attempts callers may send at once, by each coming back up to three
+	// maxRetryRatio is how much more than first attempts callers may send at once, by each coming back up to three
 	// times and by a step that admits all that were told to come in it. Callers that are all told the same moment
 	// exceed it.
-	maxRetryPeak = 12
-	retrySteps   = maxRetryAfterMS/100 + 20
-	quotaPlaces  = 8    // parts of the requests that a quota leaves out, each with a Retry-After of its own
-	zoneRunSlots = 80.0 // run slots of a zone's nodes, four times what its service below works on at once
+	maxRetryRatio = 12
+	retrySteps    = maxRetryAfterMS/100 + 20
+	quotaBuckets  = 8    // parts of the requests that a quota leaves out, each with a Retry-After of its own
+	zoneRunSlots  = 80.0 // run slots of a zone's nodes, four times what its service below works on at once
 )
 
 // Zones is one run.
 type Zones struct {
 	ZonePlan
 	ZoneFigures
-	Fleet            *Fleet
-	dependencies     []*dependency
-	retries          retryQueue
-	health           []nodeHealth // by node
-	upNodes          []float64    // nodes that are up, by zone
-	failing          bool
-	secondFaultBegan bool                  // the second failure has come
-	rateLimits       map[string][2]float64 // now, and before until settled
-	attemptCounts    [2]float64            // attempts, and first ones, from the fault on
-	Broken           string
+	Fleet              *Fleet
+	dependencies       []*dependency
+	retries            retryQueue
+	nodeHealth         []nodeHealth // by node
+	upNodesByZone      []float64    // nodes that are up, by zone
+	faultActive        bool
+	secondFaultStarted bool                  // the second failure has come
+	rateLimits         map[string][2]float64 // now, and before until settled
+	attemptCounts      [2]float64            // attempts, and first ones, from the fault on
+	Broken             string
 }
 
 // nodeHealth is how a node looks to callers. Times are ms of the fleet.
@@ -73,27 +73,27 @@
 
 // ZoneFigures is what was measured in a run.
 type ZoneFigures struct {
-	Done            float64 // weight done in time, and offered, from the fault on
-	Asked           float64
-	Failing         float64            // value done while it fails, from five seconds on
-	Tries           float64            // attempts a request, from the fault on
-	Left            map[string]float64 // ms from the fault to a zone's evacuation
-	Back            map[string]float64 // and from its end until the zone is in service again
-	Wrong           int
-	Steps           int
-	BackStep        int
-	Peak            float64 // load over capacity of a service while its zone returns
-	peakAt          string
-	NeighbourPeak   float64 // most load over capacity of a zone in service, its own first attempts fitting
-	neighbourPeakAt string
-	OverloadMS      float64 // ms for which a service was overloaded by a second fault
-	ColdStarts      int     // times that the fleet began with a share
-	Start           float64 // highest load over capacity of a service after a restart
-	RetryPeak       float64 // after a restart, from callers that wait: most attempts at once over first ones
-	Plot            []report.Line
+	Done              float64 // weight done in time, and offered, from the fault on
+	Asked             float64
+	WeightDuringFault float64            // value done while it fails, from five seconds on
+	Tries             float64            // attempts a request, from the fault on
+	Left              map[string]float64 // ms from the fault to a zone's evacuation
+	Back              map[string]float64 // and from its end until the zone is in service again
+	Wrong             int
+	Steps             int
+	BackStep          int
+	Peak              float64 // load over capacity of a service while its zone returns
+	peakRampAt        string
+	PeakNeighborLoad  float64 // most load over capacity of a zone in service, its own first attempts fitting
+	peakNeighborAt    string
+	OverloadMS        float64 // ms for which a service was overloaded by a second fault
+	ColdStarts        int     // times that the fleet began with a share
+	Start             float64 // highest load over capacity of a service after a restart
+	PeakRetryRatio    float64 // after a restart, from callers that wait: most attempts at once over first ones
+	Plot              []report.Line
 }
 
-func (v *Zones) kind(z int) string {
+func (v *Zones) faultKind(z int) string {
 	if z < len(v.Kinds) {
 		return v.Kinds[z]
 	}
@@ -103,16 +103,16 @@
 // commonCause tells that all zones have one fault.
 func (v *Zones) commonCause() bool {
 	for z := 1; z < v.Zones; z++ {
-		if v.kind(z) != v.kind(0) {
+		if v.faultKind(z) != v.faultKind(0) {
 			return false
 		}
 	}
-	return v.kind(0) != ""
+	return v.faultKind(0) != ""
 }
 
 func (v *Zones) fail(format string, args ...any) {
 	if v.Broken == "" {
-		v.Broken = fmt.Sprintf("%.1f s: ", (v.Fleet.Now-faultsBeginMS)/1000) + fmt.Sprintf(format, args...)
+		v.Broken = fmt.Sprintf("%.1f s: ", (v.Fleet.Now-faultStartMS)/1000) + fmt.Sprintf(format, args...)
 	}
 }
 
@@ -121,11 +121,11 @@
 	w := v.Fleet
 	w.after(1500, func() { w.proposeChange(false, 0) })
 	w.Changes = 1
-	w.after(2000, v.playStep)
-	w.runUntil(faultsBeginMS)
+	w.after(2000, v.runStep)
+	w.runUntil(faultStartMS)
 	w.after(v.Fails, v.injectFault)
 	w.after(v.Heals, v.heal)
-	w.runUntil(faultsBeginMS + v.Ends)
+	w.runUntil(faultStartMS + v.Ends)
 	if w.Broken != "" {
 		v.fail("%s", w.Broken)
 	}
@@ -157,19 +157,19 @@
 	if v.Start > 1 {
 		v.fail("a service was asked for %.2f of what it bears after the restart", v.Start)
 	}
-	if v.RetryPeak > maxRetryPeak {
+	if v.PeakRetryRatio > maxRetryRatio {
 		v.fail("callers that wait until they are told to come back asked %.1f times as much together as first tries "+
-			"came", v.RetryPeak)
+			"came", v.PeakRetryRatio)
 	}
 	if v.OverloadMS > 8000 {
 		v.fail("a service that failed during the return was asked for more than it bears for %.1f s", v.OverloadMS/1000)
 	}
 	if v.Peak > 1.0 {
-		v.fail("a service was asked for %.2f of what it bears while its zone returned: %s", v.Peak, v.peakAt)
+		v.fail("a service was asked for %.2f of what it bears while its zone returned: %s", v.Peak, v.peakRampAt)
 	}
-	if v.NeighbourPeak > 1.1 && v.Load*float64(v.Zones) < 0.85*float64(v.Zones) {
-		v.fail("a zone that is in was asked for %.2f of what it bears by tries from elsewhere: %s", v.NeighbourPeak,
-			v.neighbourPeakAt)
+	if v.PeakNeighborLoad > 1.1 && v.Load*float64(v.Zones) < 0.85*float64(v.Zones) {
+		v.fail("a zone that is in was asked for %.2f of what it bears by tries from elsewhere: %s", v.PeakNeighborLoad,
+			v.peakNeighborAt)
 	}
 }
 
--- a/internal/simulation/zones_check.go
+++ b/internal/simulation/zones_check.go
@@ -10,11 +10,11 @@
 	"umberwinch/internal/control/zones"
 )
 
-// check holds a zone's step to the promises; first is the rate of first attempts that its nodes admitted.
-func (v *Zones) check(z int, b *dependency, first float64) {
+// checkZone holds a zone's step to the promises; first is the rate of first attempts that its nodes admitted.
+func (v *Zones) checkZone(z int, b *dependency, first float64) {
 	name := fmt.Sprint("z", z)
 	load := v.loadOfLastSecond(b)
-	if v.kind(z) == ZoneRestart && !v.failing && v.Fleet.Now > faultsBeginMS+v.Heals {
+	if v.faultKind(z) == ZoneRestart && !v.faultActive && v.Fleet.Now > faultStartMS+v.Heals {
 		v.Start = max(v.Start, load)
 	}
 	if z == 0 {
@@ -24,7 +24,7 @@
 	if zone == nil || v.Off || v.Own {
 		return
 	}
-	if b.steadySteps++; zone.Phase != zones.Ramping || v.failing || b.speed != 1 {
+	if b.steadySteps++; zone.Phase != zones.Ramping || v.faultActive || b.speed != 1 {
 		b.steadySteps = 0
 	}
 	switch zone.Phase {
@@ -34,10 +34,10 @@
 			return n.zone == z && o.Share > 0 // of no share it takes nothing, as where its zone is out
 		})
 	case zones.InService:
-		if v.kind(z) == "" && first < 0.85*b.capacity && !v.Fleet.allInService() && load > v.NeighbourPeak {
-			v.NeighbourPeak = load
-			v.neighbourPeakAt = fmt.Sprintf("%s at %.1f s, %.0f first tries of %.0f", name,
-				(v.Fleet.Now-faultsBeginMS)/1000, first, b.capacity)
+		if v.faultKind(z) == "" && first < 0.85*b.capacity && !v.Fleet.allInService() && load > v.PeakNeighborLoad {
+			v.PeakNeighborLoad = load
+			v.peakNeighborAt = fmt.Sprintf("%s at %.1f s, %.0f first tries of %.0f", name,
+				(v.Fleet.Now-faultStartMS)/1000, first, b.capacity)
 		}
 	}
 	v.checkEpochs()
@@ -46,10 +46,10 @@
 // loadOfLastSecond is a service's load over its capacity. It is taken over a whole second, as on processes: the
 // node that is notified first that it may admit more is sent all of it, for a moment.
 func (v *Zones) loadOfLastSecond(b *dependency) float64 {
-	b.recentLoad[int(v.Fleet.Now/stepMS)%len(b.recentLoad)] = b.demand / max(b.capacity, 1)
+	b.lastSecondLoads[int(v.Fleet.Now/stepMS)%len(b.lastSecondLoads)] = b.demand / max(b.capacity, 1)
 	load := 0.0
-	for _, x := range b.recentLoad {
-		load += x / float64(len(b.recentLoad))
+	for _, x := range b.lastSecondLoads {
+		load += x / float64(len(b.lastSecondLoads))
 	}
 	return load
 }
@@ -65,10 +65,10 @@
 // was overloaded in a second one.
 func (v *Zones) measureRamp(name string, b *dependency, load float64) {
 	switch {
-	case v.failing:
+	case v.faultActive:
 	case b.speed == 1:
-		if b.steadySteps >= len(b.recentLoad) && load > v.Peak {
-			v.Peak, v.peakAt = load, fmt.Sprintf("%s at %.1f s", name, (v.Fleet.Now-faultsBeginMS)/1000)
+		if b.steadySteps >= len(b.lastSecondLoads) && load > v.Peak {
+			v.Peak, v.peakRampAt = load, fmt.Sprintf("%s at %.1f s", name, (v.Fleet.Now-faultStartMS)/1000)
 		}
 	case b.speed < 1 && b.demand/max(b.capacity, 1) > 1:
 		v.OverloadMS += stepMS
@@ -108,9 +108,9 @@
 	}
 }
 
-// Full gives the ms from the end of the fault until at least 98 in 100 of the weight is done for ten seconds on
+// TimeToFullRecovery gives the ms from the end of the fault until at least 98 in 100 of the weight is done for ten seconds on
 // end, -1 if it never is.
-func (v *Zones) Full() float64 { return v.RecoveredAt(0.98) }
+func (v *Zones) TimeToFullRecovery() float64 { return v.RecoveredAt(0.98) }
 
 // RecoveredAt is the same for any share of the value.
 func (v *Zones) RecoveredAt(share float64) float64 {
@@ -151,7 +151,7 @@
 		return
 	}
 	v.rateLimits[z.Name] = [2]float64{z.RateLimit, max(v.rateLimits[z.Name][0], v.rateLimits[z.Name][1])}
-	at := v.Fleet.Now - faultsBeginMS
+	at := v.Fleet.Now - faultStartMS
 	switch e.Kind {
 	case "leave":
 		v.checkEvacuation(z)
@@ -174,8 +174,8 @@
 func (v *Zones) checkEvacuation(z *zones.Zone) {
 	k := 0
 	fmt.Sscanf(z.Name, "z%d", &k)
-	kind, b := v.kind(k), v.dependencies[k]
-	cold := b.capacity < 0.85*b.warmCapacity || b.warm < 0.99 && b.demand > b.capacity
+	kind, b := v.faultKind(k), v.dependencies[k]
+	cold := b.capacity < 0.85*b.warmCapacity || b.warmth < 0.99 && b.demand > b.capacity
 	right := cold
 	switch kind {
 	case ZoneDead, ZoneKernels, ZoneSlow, ZoneErrors:
@@ -183,9 +183,9 @@
 	case ZoneCutOff:
 		right = cold || z.Cause == "cut off"
 	}
-	if v.commonCause() || !right || !v.failing && !cold {
+	if v.commonCause() || !right || !v.faultActive && !cold {
 		v.Wrong++
-		v.fail("%s was left, and it is %q (bears %.0f, warm %.2f, asked %.0f): %s", z.Name, kind, b.capacity, b.warm,
+		v.fail("%s was left, and it is %q (bears %.0f, warm %.2f, asked %.0f): %s", z.Name, kind, b.capacity, b.warmth,
 			b.demand, z.Events[len(z.Events)-1].Text)
 	}
 }
--- a/internal/simulation/zones_faults.go
+++ b/internal/simulation/zones_faults.go
@@ -2,23 +2,23 @@
 
 // injectFault begins the fault of each zone.
 func (v *Zones) injectFault() {
-	v.failing = true
-	v.loseLeader()
+	v.faultActive = true
+	v.crashLeader()
 	for z, b := range v.dependencies {
-		switch k := v.kind(z); k {
+		switch k := v.faultKind(z); k {
 		case ZoneDead, ZoneRestart:
-			b.warm = 0
+			b.warmth = 0
 			for i, n := range v.Fleet.nodes {
 				if n.zone == z && n.up {
 					n.kill()
-					v.health[i].lastReady = min(v.health[i].lastReady, v.Fleet.Now)
+					v.nodeHealth[i].lastReady = min(v.nodeHealth[i].lastReady, v.Fleet.Now)
 				}
 			}
 		case ZoneSlow:
 			b.speed = 0.1
 		case ZoneCommon:
-			v.Fleet.after(v.Stagger*float64(z), func() {
-				if v.failing {
+			v.Fleet.after(v.StaggerMS*float64(z), func() {
+				if v.faultActive {
 					b.speed = 0.1
 				}
 			})
@@ -32,13 +32,13 @@
 
 // heal ends all faults. Services that had one, and nodes that were killed, start cold.
 func (v *Zones) heal() {
-	v.failing = false
+	v.faultActive = false
 	for z, b := range v.dependencies {
 		if b.speed < 1 {
-			b.speed, b.warm = 1, 0 // its cache is empty
+			b.speed, b.warmth = 1, 0 // its cache is empty
 		}
-		if v.kind(z) == ZoneKernels {
-			b.warm = 0
+		if v.faultKind(z) == ZoneKernels {
+			b.warmth = 0
 		}
 	}
 	for _, n := range v.Fleet.nodes {
@@ -51,27 +51,27 @@
 
 // injectSecondFault does what is planned for the middle of a return.
 func (v *Zones) injectSecondFault() {
-	if v.secondFaultBegan {
+	if v.secondFaultStarted {
 		return
 	}
-	v.secondFaultBegan = true
+	v.secondFaultStarted = true
 	for _, n := range v.Fleet.nodes {
 		if n.notStarted {
 			n.notStarted = false
 			n.start()
 		}
 	}
-	v.loseLeader()
+	v.crashLeader()
 	if b := v.dependencies[0]; v.SecondFault {
 		b.speed = 0.3
 		v.Fleet.after(25_000, func() { b.speed = 1 })
 	}
 }
 
-// loseLeader crashes the leader, if the plan says so, and starts it again later.
-func (v *Zones) loseLeader() {
+// crashLeader crashes the leader, if the plan says so, and starts it again later.
+func (v *Zones) crashLeader() {
 	w := v.Fleet
-	if !v.Lead || w.leader < 0 {
+	if !v.CrashLeader || w.leader < 0 {
 		return
 	}
 	c := w.instances[w.leader]
--- a/internal/simulation/zones_load_report.go
+++ b/internal/simulation/zones_load_report.go
@@ -12,9 +12,9 @@
 // loadReport is what a node tells of itself.
 func (v *Zones) loadReport(n *node) *api.LoadReport {
 	b := v.dependencies[n.zone]
-	r, w := &b.smoothed, v.Fleet
-	nodes := v.upNodes[n.zone]
-	noisy := v.kind(n.zone) == ZoneNoise && v.failing
+	r, w := &b.smoothedRates, v.Fleet
+	nodes := v.upNodesByZone[n.zone]
+	noisy := v.faultKind(n.zone) == ZoneNoise && v.faultActive
 	if noisy && w.random.Intn(2) == 0 {
 		return nil
 	}
@@ -29,7 +29,7 @@
 	// The order of fields is the order of random draws.
 	l := &api.LoadReport{
 		WindowMS:        2000,
-		KernelConnected: !(v.failing && v.kind(n.zone) == ZoneKernels),
+		KernelConnected: !(v.faultActive && v.faultKind(n.zone) == ZoneKernels),
 		Cores:           4,
 		CoresUsed:       4 * r.utilization * math.Exp(spread*0.5*w.random.NormFloat64()),
 		MeanRunMS:       r.runMS * math.Exp(spread*w.random.NormFloat64()),
@@ -54,9 +54,9 @@
 		l.ArrivedByWeight = append(l.ArrivedByWeight, api.PriorityCount{Weight: classWeights[c],
 			Arrived: count((r.arrived - r.retries) * classFractions[c])})
 	}
-	if v.failing {
-		bad := v.kind(n.zone) == ZoneOutlierNode && n.name == v.firstOf(n.zone) ||
-			v.kind(n.zone) == ZoneFalseReports && w.numberOf(n)%5 < 2
+	if v.faultActive {
+		bad := v.faultKind(n.zone) == ZoneOutlierNode && n.name == v.firstNodeOf(n.zone) ||
+			v.faultKind(n.zone) == ZoneFalseReports && w.indexInZone(n)%5 < 2
 		if bad {
 			l.KernelConnected = false
 			l.Completed, l.Late = 0, l.Completed
@@ -65,12 +65,12 @@
 	return l
 }
 
-func (w *Fleet) numberOf(n *node) (k int) {
+func (w *Fleet) indexInZone(n *node) (k int) {
 	fmt.Sscanf(n.name, "n%d", &k)
 	return k / w.Zones
 }
 
-func (v *Zones) firstOf(zone int) string {
+func (v *Zones) firstNodeOf(zone int) string {
 	for _, n := range v.Fleet.nodes {
 		if n.zone == zone {
 			return n.name
@@ -96,12 +96,12 @@
 	return api.PeerHealth{Name: l.Name, Health: api.PeerSilent}
 }
 
-// judgeByNode is the baseline in which each node judges for itself: sick for two seconds, it is not ready for five.
-func (v *Zones) judgeByNode() {
+// ejectUnhealthyNodes is the baseline in which each node judges for itself: sick for two seconds, it is not ready for five.
+func (v *Zones) ejectUnhealthyNodes() {
 	for i, n := range v.Fleet.nodes {
-		b, h := v.dependencies[n.zone], &v.health[i]
-		sick := n.up && (v.failing && v.kind(n.zone) == ZoneKernels || b.smoothed.runMS > 3*warmRunMS+5 ||
-			b.smoothed.late+b.smoothed.failed > 0.3*(b.smoothed.completed+b.smoothed.late+b.smoothed.failed))
+		b, h := v.dependencies[n.zone], &v.nodeHealth[i]
+		sick := n.up && (v.faultActive && v.faultKind(n.zone) == ZoneKernels || b.smoothedRates.runMS > 3*warmRunMS+5 ||
+			b.smoothedRates.late+b.smoothedRates.failed > 0.3*(b.smoothedRates.completed+b.smoothedRates.late+b.smoothedRates.failed))
 		switch {
 		case !sick:
 			h.unhealthySince = 0
@@ -113,12 +113,12 @@
 	}
 }
 
-// playOracle is the best that could be done: the fault and the capacity left are known at once, requests of the
+// runOracle is the best that could be done: the fault and the capacity left are known at once, requests of the
 // highest weight go first, and a cold service is sent exactly its capacity.
-func (v *Zones) playOracle(total float64, dt float64) {
+func (v *Zones) runOracle(total float64, dt float64) {
 	room, done := 0.0, 0.0
 	for z, b := range v.dependencies {
-		dead := v.failing && (v.kind(z) == ZoneDead || v.kind(z) == ZoneKernels || v.kind(z) == ZoneCallers)
+		dead := v.faultActive && (v.faultKind(z) == ZoneDead || v.faultKind(z) == ZoneKernels || v.faultKind(z) == ZoneCallers)
 		if dead {
 			continue
 		}
@@ -131,7 +131,7 @@
 		room -= n
 		done += n * classWeights[c]
 	}
-	if v.Fleet.Now >= faultsBeginMS+v.Fails {
+	if v.Fleet.Now >= faultStartMS+v.Fails {
 		v.Done += done * dt
 		v.Asked += total * dt
 	}
--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -32,7 +32,7 @@
 	report.EachSeed(context.Background(), 1, n, play, func(seed int64, v *Zones) bool {
 		if p := v.ZonePlan; v.Broken != "" {
 			t.Errorf("seed %d (%v, load %.2f, cold %.1f, %d nodes in %d zones, again %v, spare %d): %s", seed, p.Kinds,
-				p.Load, p.Cold, p.Nodes, p.Zones, p.SecondFault, p.Spare, v.Broken)
+				p.Load, p.ColdFactor, p.Nodes, p.Zones, p.SecondFault, p.LateNodes, v.Broken)
 			bad++
 		}
 		left, steps = left+len(v.Left), steps+v.Steps
@@ -58,15 +58,15 @@
 		"paced":        func(p *ZonePlan) { p.Kinds = []string{ZoneDead} },
 		"step-back":    func(p *ZonePlan) { p.Kinds, p.SecondFault = []string{ZoneDead}, true },
 		"retry-budget": func(p *ZonePlan) { p.Kinds, p.Load = []string{ZoneDead}, 0.8 },
-		"lease-tokens": func(p *ZonePlan) { p.Kinds, p.Spare = []string{ZoneDead}, 2 },
+		"lease-tokens": func(p *ZonePlan) { p.Kinds, p.LateNodes = []string{ZoneDead}, 2 },
 	} {
 		p := base
 		plan(&p)
 		verdict := func(p ZonePlan) string {
 			v := playZones(p)
-			if name == "room" && v.Failing < 0.98*alone.Failing {
-				return fmt.Sprintf("%.0f of value done while it failed, and %.0f by nodes alone", v.Failing,
-					alone.Failing)
+			if name == "room" && v.WeightDuringFault < 0.98*alone.WeightDuringFault {
+				return fmt.Sprintf("%.0f of value done while it failed, and %.0f by nodes alone", v.WeightDuringFault,
+					alone.WeightDuringFault)
 			}
 			return v.Broken
 		}
@@ -92,16 +92,16 @@
 func TestRestart(t *testing.T) {
 	base := restartOfAll(5)
 	v := playZones(base)
-	if v.Broken != "" || v.ColdStarts == 0 || v.Full() < 0 {
-		t.Errorf("%s; began small %d times, full after %.1f s", v.Broken, v.ColdStarts, v.Full()/1000)
+	if v.Broken != "" || v.ColdStarts == 0 || v.TimeToFullRecovery() < 0 {
+		t.Errorf("%s; began small %d times, full after %.1f s", v.Broken, v.ColdStarts, v.TimeToFullRecovery()/1000)
 	}
-	t.Logf("below at worst %.2f of what it bears; full after %.1f s", v.Start, v.Full()/1000)
+	t.Logf("below at worst %.2f of what it bears; full after %.1f s", v.Start, v.TimeToFullRecovery()/1000)
 	without := base
 	without.Without = zones.ColdStart
 	if v := playZones(without); v.Broken == "" {
 		t.Error("without small-start no promise broke")
 	} else {
-		t.Logf("without small-start: %s; full after %.1f s", v.Broken, v.Full()/1000)
+		t.Logf("without small-start: %s; full after %.1f s", v.Broken, v.TimeToFullRecovery()/1000)
 	}
 	lone := base
 	lone.Kinds, lone.Nodes = []string{ZoneDead}, 15
@@ -110,10 +110,10 @@
 	}
 	for seed := int64(1); seed <= 12; seed++ {
 		p := base
-		p.Seed, p.Load, p.Cold, p.Lead = seed, 0.4+0.04*float64(seed%10), 2+float64(seed%7), seed%3 == 0
+		p.Seed, p.Load, p.ColdFactor, p.CrashLeader = seed, 0.4+0.04*float64(seed%10), 2+float64(seed%7), seed%3 == 0
 		p.Ends = 400_000
 		if v := playZones(p); v.Broken != "" {
-			t.Errorf("seed %d, load %.2f, cold %.0f: %s", seed, p.Load, p.Cold, v.Broken)
+			t.Errorf("seed %d, load %.2f, cold %.0f: %s", seed, p.Load, p.ColdFactor, v.Broken)
 		}
 	}
 }
@@ -124,10 +124,10 @@
 	p := restartOfAll(1)
 	p.Patient = true
 	v := playZones(p)
-	if v.Broken != "" || v.ColdStarts == 0 || v.Full() < 0 {
-		t.Errorf("%s; began small %d times, full after %.1f s", v.Broken, v.ColdStarts, v.Full()/1000)
+	if v.Broken != "" || v.ColdStarts == 0 || v.TimeToFullRecovery() < 0 {
+		t.Errorf("%s; began small %d times, full after %.1f s", v.Broken, v.ColdStarts, v.TimeToFullRecovery()/1000)
 	}
-	t.Logf("at worst %.1f times the first tries", v.RetryPeak)
+	t.Logf("at worst %.1f times the first tries", v.PeakRetryRatio)
 	p.Without = zones.RetryAfterSpread
 	if v = playZones(p); v.Broken == "" {
 		t.Error("without spread no promise broke")
--- a/internal/simulation/zones_traffic.go
+++ b/internal/simulation/zones_traffic.go
@@ -9,30 +9,30 @@
 
 // dependency is the service that a zone's nodes call.
 type dependency struct {
-	warmCapacity float64 // runs a second when warm
-	warm         float64
-	speed        float64
-	queue        float64
-	smoothed     flows // slowly moving, as reports have it
-	demand       float64
-	capacity     float64
-	coldFactor   float64
-	recentLoad   [10]float64 // demand over capacity, of the last second
-	steadySteps  int         // steps for which its zone has been returning and it had no fault
+	warmCapacity    float64 // runs a second when warm
+	warmth          float64
+	speed           float64
+	queue           float64
+	smoothedRates   trafficRates // slowly moving, as reports have it
+	demand          float64
+	capacity        float64
+	coldFactor      float64
+	lastSecondLoads [10]float64 // demand over capacity, of the last second
+	steadySteps     int         // steps for which its zone has been returning and it had no fault
 }
 
 // capacityNow is how many runs a second it bears now, warm or not.
 func (b *dependency) capacityNow() float64 {
-	return b.warmCapacity * b.speed / (1 + (b.coldFactor-1)*(1-b.warm))
+	return b.warmCapacity * b.speed / (1 + (b.coldFactor-1)*(1-b.warmth))
 }
 
 // warmUp fills its cache by what it does in some seconds.
 func (b *dependency) warmUp(runs, seconds float64) {
-	b.warm = min(1, b.warm+runs*seconds/(b.warmCapacity*WarmUpSeconds))
+	b.warmth = min(1, b.warmth+runs*seconds/(b.warmCapacity*WarmUpSeconds))
 }
 
-// flows are a zone's figures a second.
-type flows struct {
+// trafficRates are a zone's figures a second.
+type trafficRates struct {
 	arrived, retries, rejected, completed, late, shed, failed float64
 	offeredWeight, completedWeight, runs, runMS, utilization  float64
 }
@@ -62,33 +62,33 @@
 
 // zoneView is how a zone's nodes stand at a step.
 type zoneView struct {
-	listed      float64    // nodes on the callers' list
-	up          float64    // of these the ones that serve
-	rateLimit   float64    // their rate limits together, runs a second
-	admits      [3]float64 // the part of each class that a node admits
-	rateLimited bool       // some node has a rate limit
-	unlimited   float64    // nodes without one
-	retryBudget float64    // retries for a first attempt that a node admits
-	gate        *zonegate.Gate
-	clock       uint64 // of the node whose gate it is
+	listed            float64    // nodes on the callers' list
+	serving           float64    // of these the ones that serve
+	rateLimit         float64    // their rate limits together, runs a second
+	admittedFractions [3]float64 // the part of each class that a node admits
+	rateLimited       bool       // some node has a rate limit
+	unlimited         float64    // nodes without one
+	retryBudget       float64    // retries for a first attempt that a node admits
+	gate              *zonegate.Gate
+	gateClockMS       uint64 // of the node whose gate it is
 }
 
 // zoneViews gathers how the zones stand.
 func (v *Zones) zoneViews() []zoneView {
 	out := make([]zoneView, v.Zones)
-	clear(v.upNodes)
+	clear(v.upNodesByZone)
 	for i, n := range v.Fleet.nodes {
 		if n.up {
-			v.upNodes[n.zone]++
+			v.upNodesByZone[n.zone]++
 		}
 		ready := v.isReady(i, n)
-		if at := v.health[i].lastReady; at == 0 || v.Fleet.Now-at > readyTTL {
+		if at := v.nodeHealth[i].lastReady; at == 0 || v.Fleet.Now-at > readyTTL {
 			continue
 		}
 		z := &out[n.zone]
 		z.listed++
 		if ready {
-			z.add(n)
+			z.addNode(n)
 		}
 	}
 	ramp := v.rampByClock()
@@ -101,23 +101,23 @@
 // isReady tells whether a node serves callers, and notes what it reports of that.
 func (v *Zones) isReady(i int, n *node) bool {
 	evacuated := n.gate != nil && n.gate.Evacuated()
-	ready := n.up && n.serves && !evacuated && v.Fleet.Now >= v.health[i].ejectedUntil
+	ready := n.up && n.serves && !evacuated && v.Fleet.Now >= v.nodeHealth[i].ejectedUntil
 	if ready {
-		v.health[i].lastReady = v.Fleet.Now
+		v.nodeHealth[i].lastReady = v.Fleet.Now
 	} else if n.up {
-		v.health[i].lastReady = 0
+		v.nodeHealth[i].lastReady = 0
 	}
 	return ready
 }
 
-// add adds a node that serves.
-func (z *zoneView) add(n *node) {
-	if z.up++; z.gate == nil {
-		z.gate, z.clock = n.gate, n.clock()
+// addNode adds a node that serves.
+func (z *zoneView) addNode(n *node) {
+	if z.serving++; z.gate == nil {
+		z.gate, z.gateClockMS = n.gate, n.clock()
 	}
 	o := n.agent.ZoneOrder()
-	for c := range z.admits {
-		z.admits[c] += admittedFraction(o, c)
+	for c := range z.admittedFractions {
+		z.admittedFractions[c] += admittedFraction(o, c)
 	}
 	if o == nil {
 		z.retryBudget += unlimitedRetries
@@ -137,20 +137,20 @@
 
 // average makes sums over nodes that serve means; ramp is by how much a node that starts by the clock holds back.
 func (z *zoneView) average(ramp float64) {
-	if z.up == 0 {
+	if z.serving == 0 {
 		return
 	}
-	z.retryBudget /= z.up
-	for c := range z.admits {
-		z.admits[c] /= z.up
-		z.admits[c] *= ramp
+	z.retryBudget /= z.serving
+	for c := range z.admittedFractions {
+		z.admittedFractions[c] /= z.serving
+		z.admittedFractions[c] *= ramp
 	}
 }
 
 // rampByClock is the baseline in which nodes that come back admit a part that grows by the clock alone.
 func (v *Zones) rampByClock() float64 {
-	since := v.Fleet.Now - faultsBeginMS - v.Heals
-	if v.Ramp == 0 || v.failing || since <= 0 {
+	since := v.Fleet.Now - faultStartMS - v.Heals
+	if v.Ramp == 0 || v.faultActive || since <= 0 {
 		return 1
 	}
 	return min(1, max(since/v.Ramp, 1.0/16))
@@ -183,31 +183,31 @@
 // trafficStep is one step of traffic over all zones: a tenth of a second.
 type trafficStep struct {
 	*Zones
-	views   []zoneView
-	listed  float64       // nodes on the callers' list, of all zones
-	offered requestMatrix // what callers ask for in this step
-	demand  float64       // first attempts a second
-	weight  float64       // and their priority weight
+	views         []zoneView
+	listedNodes   float64       // nodes on the callers' list, of all zones
+	offered       requestMatrix // what callers ask for in this step
+	demand        float64       // first attempts a second
+	offeredWeight float64       // and their priority weight
 
-	attempts float64 // sent to some zone
-	done     float64 // weight completed in time
+	attempts        float64 // sent to some zone
+	completedWeight float64 // weight completed in time
 }
 
-// playStep plays a tenth of a second: what callers send, what each zone admits and its service does, what is measured.
-func (v *Zones) playStep() {
-	v.Fleet.after(stepMS, v.playStep)
+// runStep plays a tenth of a second: what callers send, what each zone admits and its service does, what is measured.
+func (v *Zones) runStep() {
+	v.Fleet.after(stepMS, v.runStep)
 	s := v.newTrafficStep()
 	if v.Oracle {
-		v.playOracle(s.weight, stepMS/1000.0)
+		v.runOracle(s.offeredWeight, stepMS/1000.0)
 		return
 	}
 	for z, b := range v.dependencies {
-		s.playZone(z, b)
+		s.runZone(z, b)
 	}
 	s.measure()
 	s.plot()
 	if v.Own {
-		v.judgeByNode()
+		v.ejectUnhealthyNodes()
 	}
 }
 
@@ -215,15 +215,15 @@
 func (v *Zones) newTrafficStep() *trafficStep {
 	s := &trafficStep{Zones: v, views: v.zoneViews(), demand: v.Load * float64(v.Zones) * 1000}
 	for z := range s.views {
-		if v.kind(z) == ZoneCallers && v.failing {
+		if v.faultKind(z) == ZoneCallers && v.faultActive {
 			s.views[z].listed = 0
 		}
-		s.listed += s.views[z].listed
+		s.listedNodes += s.views[z].listed
 	}
 	s.offered = v.retries.take()
 	for c := range classFractions {
 		s.offered[0][c] = s.demand * classFractions[c]
-		s.weight += s.offered[0][c] * classWeights[c]
+		s.offeredWeight += s.offered[0][c] * classWeights[c]
 	}
 	return s
 }
@@ -251,24 +251,24 @@
 		s.reject(attempt, class, n, 0)
 		return
 	}
-	for i := range quotaPlaces {
-		place := view.admits[class] + (1-view.admits[class])*(float64(i)+0.5)/quotaPlaces
-		after := view.gate.RetryAfter(view.clock, zonegate.Request{Hash: uint32(place*api.FullShare) << 16})
-		s.reject(attempt, class, n/quotaPlaces, after)
+	for i := range quotaBuckets {
+		place := view.admittedFractions[class] + (1-view.admittedFractions[class])*(float64(i)+0.5)/quotaBuckets
+		after := view.gate.RetryAfter(view.gateClockMS, zonegate.Request{Hash: uint32(place*api.FullShare) << 16})
+		s.reject(attempt, class, n/quotaBuckets, after)
 	}
 }
 
-// playZone plays the step at one zone: its nodes admit, its service works, its callers have their answers.
-func (s *trafficStep) playZone(zone int, b *dependency) {
+// runZone plays the step at one zone: its nodes admit, its service works, its callers have their answers.
+func (s *trafficStep) runZone(zone int, b *dependency) {
 	t := &zoneStep{trafficStep: s, zone: zone, view: &s.views[zone], dependency: b}
 	t.arrive()
 	t.limitRate()
 	first, retries := t.limitRetries()
 	t.serve(first + retries)
 	t.complete()
-	s.done += t.rates.completedWeight
-	s.check(zone, b, first)
-	b.smoothed.follow(&t.rates)
+	s.completedWeight += t.rates.completedWeight
+	s.checkZone(zone, b, first)
+	b.smoothedRates.smooth(&t.rates)
 }
 
 // zoneStep is one zone's part in a step.
@@ -277,32 +277,32 @@
 	zone            int
 	view            *zoneView
 	dependency      *dependency
-	rates           flows
+	rates           trafficRates
 	admitted        requestMatrix // by its nodes
 	admittedByQuota float64       // of what their quotas admit, before rate limits
 	shed            float64       // by its service
 	served          float64       // and completed by it, in time or not
-	inTime          float64       // the share of these that counts
+	inTimeFraction  float64       // the share of these that counts
 }
 
 // arrive brings the zone its part of all requests, and has its nodes admit what their quotas allow. Nodes on the
 // callers' list that are down answer nothing.
 func (t *zoneStep) arrive() {
 	part := 0.0
-	if t.listed > 0 {
-		part = t.view.listed / t.listed
+	if t.listedNodes > 0 {
+		part = t.view.listed / t.listedNodes
 	}
 	for k := range t.offered {
 		for c := range t.offered[k] {
 			arrived := t.offered[k][c] * part
-			t.count(k, c, arrived)
-			if t.view.up == 0 {
+			t.countRequests(k, c, arrived)
+			if t.view.serving == 0 {
 				t.retries.add(0, k, c, arrived)
 				continue
 			}
-			live := arrived * t.view.up / max(t.view.listed, 1e-9)
+			live := arrived * t.view.serving / max(t.view.listed, 1e-9)
 			t.retries.add(0, k, c, arrived-live)
-			t.admitted[k][c] = live * t.view.admits[c]
+			t.admitted[k][c] = live * t.view.admittedFractions[c]
 			t.rejectByQuota(t.view, k, c, live-t.admitted[k][c])
 			t.rates.rejected += live - t.admitted[k][c]
 			t.admittedByQuota += t.admitted[k][c]
@@ -310,9 +310,9 @@
 	}
 }
 
-// count adds requests to the figures of the run, of the step and of the zone.
-func (t *zoneStep) count(attempt, class int, n float64) {
-	if t.Fleet.Now >= faultsBeginMS+t.Fails {
+// countRequests adds requests to the figures of the run, of the step and of the zone.
+func (t *zoneStep) countRequests(attempt, class int, n float64) {
+	if t.Fleet.Now >= faultStartMS+t.Fails {
 		t.attemptCounts[0] += n
 		if attempt == 0 {
 			t.attemptCounts[1] += n
@@ -327,8 +327,8 @@
 	}
 }
 
-// scale rejects all but a part of what was admitted, from an attempt on.
-func (t *zoneStep) scale(from int, part float64) {
+// admitFraction rejects all but a part of what was admitted, from an attempt on.
+func (t *zoneStep) admitFraction(from int, part float64) {
 	for k := from; k < maxAttempts; k++ {
 		for c := range t.admitted[k] {
 			t.rates.rejected += t.admitted[k][c] * (1 - part)
@@ -341,9 +341,9 @@
 // limitRate holds the nodes to their rate limits. Nodes that were notified that theirs has ended admit all of their
 // part.
 func (t *zoneStep) limitRate() {
-	limit := t.view.rateLimit + t.admittedByQuota*t.view.unlimited/max(t.view.up, 1)
+	limit := t.view.rateLimit + t.admittedByQuota*t.view.unlimited/max(t.view.serving, 1)
 	if t.view.rateLimited && t.admittedByQuota > limit {
-		t.scale(0, limit/t.admittedByQuota)
+		t.admitFraction(0, limit/t.admittedByQuota)
 	}
 }
 
@@ -356,7 +356,7 @@
 		}
 	}
 	if budget := t.view.retryBudget * first; retries > budget {
-		t.scale(1, budget/retries)
+		t.admitFraction(1, budget/retries)
 		retries = budget
 	}
 	return first, retries
@@ -367,7 +367,7 @@
 	const dt = stepMS / 1000.0
 	b := t.dependency
 	b.demand, b.capacity = demand, b.capacityNow()
-	broken := t.failing && t.kind(t.zone) == ZoneKernels
+	broken := t.faultActive && t.faultKind(t.zone) == ZoneKernels
 	t.served = min(b.demand+b.queue/dt, b.capacity)
 	if broken {
 		t.served = 0
@@ -382,11 +382,11 @@
 	t.rates.utilization = min(1, t.served/max(b.capacity, 1))
 	t.rates.shed, t.rates.runs = t.shed, t.served
 	if t.rates.runMS < latencyObjectiveMS && !broken {
-		t.inTime = 1
+		t.inTimeFraction = 1
 	}
-	if t.failing && t.kind(t.zone) == ZoneErrors {
-		if t.inTime *= 0.6; t.commonCause() && t.zone == 0 {
-			t.inTime /= 2 // the same everywhere, and worst here
+	if t.faultActive && t.faultKind(t.zone) == ZoneErrors {
+		if t.inTimeFraction *= 0.6; t.commonCause() && t.zone == 0 {
+			t.inTimeFraction /= 2 // the same everywhere, and worst here
 		}
 	}
 }
@@ -399,13 +399,13 @@
 				continue
 			}
 			part := t.admitted[k][c] / t.dependency.demand
-			got := t.served * part * classWeights[c] * t.inTime
+			got := t.served * part * classWeights[c] * t.inTimeFraction
 			t.rates.completedWeight += got
 			t.reject(k, c, t.shed*part, 0)
 		}
 	}
-	t.rates.completed, t.rates.late = t.served*t.inTime, t.served*(1-t.inTime)
-	if t.failing && t.kind(t.zone) == ZoneErrors {
+	t.rates.completed, t.rates.late = t.served*t.inTimeFraction, t.served*(1-t.inTimeFraction)
+	if t.faultActive && t.faultKind(t.zone) == ZoneErrors {
 		t.rates.late, t.rates.failed = 0, t.rates.late
 	}
 }
@@ -414,42 +414,42 @@
 func (s *trafficStep) measure() {
 	const dt = stepMS / 1000.0
 	now := s.Fleet.Now
-	if s.Patient && s.kind(0) == ZoneRestart && now > faultsBeginMS+s.Heals+5000 {
-		s.RetryPeak = max(s.RetryPeak, s.attempts/s.demand)
+	if s.Patient && s.faultKind(0) == ZoneRestart && now > faultStartMS+s.Heals+5000 {
+		s.PeakRetryRatio = max(s.PeakRetryRatio, s.attempts/s.demand)
 	}
-	if now >= faultsBeginMS+s.Fails {
+	if now >= faultStartMS+s.Fails {
 		s.Tries = s.attemptCounts[0] / max(s.attemptCounts[1], 1)
-		s.Done += s.done * dt
-		s.Asked += s.weight * dt
-		if s.failing && now >= faultsBeginMS+s.Fails+5000 {
-			s.Failing += s.done * dt
+		s.Done += s.completedWeight * dt
+		s.Asked += s.offeredWeight * dt
+		if s.faultActive && now >= faultStartMS+s.Fails+5000 {
+			s.WeightDuringFault += s.completedWeight * dt
 		}
 	}
 }
 
 // plot adds a point to each line of the plot, twice a second.
 func (s *trafficStep) plot() {
-	at := (s.Fleet.Now - faultsBeginMS) / 1000
+	at := (s.Fleet.Now - faultStartMS) / 1000
 	if int(at*10)%5 != 0 || at < 0 {
 		return
 	}
 	_, quota := s.Fleet.state.Zones.PhaseOf("z0")
 	b := s.dependencies[0]
-	values := []float64{s.done / max(s.weight, 1), b.demand / max(b.capacity, 1), float64(quota) / api.FullShare}
+	values := []float64{s.completedWeight / max(s.offeredWeight, 1), b.demand / max(b.capacity, 1), float64(quota) / api.FullShare}
 	for i, y := range values {
 		s.Plot[i].Points = append(s.Plot[i].Points, [2]float64{at, y})
 	}
 }
 
-func (f *flows) values() []*float64 {
+func (f *trafficRates) fields() []*float64 {
 	return []*float64{&f.arrived, &f.retries, &f.rejected, &f.completed, &f.late, &f.shed, &f.failed,
 		&f.offeredWeight, &f.completedWeight, &f.runs, &f.runMS, &f.utilization}
 }
 
-// follow has a zone's figures follow within two thirds of a second, as a report over two seconds does.
-func (f *flows) follow(now *flows) {
+// smooth has a zone's figures follow within two thirds of a second, as a report over two seconds does.
+func (f *trafficRates) smooth(now *trafficRates) {
 	const weight = 0.15
-	average, latest := f.values(), now.values()
+	average, latest := f.fields(), now.fields()
 	for i := range average {
 		*average[i] += weight * (*latest[i] - *average[i])
 	}
