--- a/internal/simulation/consensus_checks.go
+++ b/internal/simulation/consensus_checks.go
@@ -9,7 +9,7 @@
 )
 
 // recordLog notes what a host's log holds on disk.
-func (w *ConsensusGroup) recordLog(h *host) {
+func (g *ConsensusGroup) recordLog(h *host) {
 	if h.replica == nil {
 		return
 	}
@@ -23,10 +23,10 @@
 		term, data := h.replica.EntryAt(i)
 		h.durableTerms[i] = term
 		sum := crc32.ChecksumIEEE(data)
-		if was, ok := w.checksums[logPosition{i, term}]; ok && was != sum {
-			w.fail("log matching: entry %d of term %d has two contents", i, term)
+		if previous, ok := g.checksums[logPosition{i, term}]; ok && previous != sum {
+			g.fail("log matching: entry %d of term %d has two contents", i, term)
 		}
-		w.checksums[logPosition{i, term}] = sum
+		g.checksums[logPosition{i, term}] = sum
 	}
 	for i := last + 1; h.durableTerms[i] > 0; i++ {
 		delete(h.durableTerms, i)
@@ -38,18 +38,18 @@
 }
 
 // checkInvariants holds a host's state against all that was seen before.
-func (w *ConsensusGroup) checkInvariants(h *host) {
+func (g *ConsensusGroup) checkInvariants(h *host) {
 	s := h.replica.Status()
-	w.recordLog(h)
+	g.recordLog(h)
 	if s.Role == "leader" {
-		if who, ok := w.leaders[s.Term]; ok && who != h.id {
-			w.fail("two leaders in term %d: %x and %x", s.Term, who, h.id)
+		if known, ok := g.leaders[s.Term]; ok && known != h.id {
+			g.fail("two leaders in term %d: %x and %x", s.Term, known, h.id)
 		} else if !ok {
-			w.leaders[s.Term] = h.id
-			w.tracef("host %d leads term %d", h.number, s.Term)
-			for i := s.FirstIndex; i <= s.LastIndex || w.committed[i] > 0; i++ {
-				if term := w.committed[i]; w.appliedInTerm[i] < s.Term && term > 0 && !h.holds(logPosition{i, term}) {
-					w.fail("leader completeness: host %d leads term %d without entry %d of term %d", h.number, s.Term, i,
+			g.leaders[s.Term] = h.id
+			g.tracef("host %d leads term %d", h.number, s.Term)
+			for i := s.FirstIndex; i <= s.LastIndex || g.committed[i] > 0; i++ {
+				if term := g.committed[i]; g.appliedInTerm[i] < s.Term && term > 0 && !h.holds(logPosition{i, term}) {
+					g.fail("leader completeness: host %d leads term %d without entry %d of term %d", h.number, s.Term, i,
 						term)
 				}
 			}
@@ -60,62 +60,62 @@
 	}
 	for i := max(h.checkedIndex+1, s.FirstIndex); i <= min(s.Applied, s.LastIndex); i++ {
 		term, _ := h.replica.EntryAt(i)
-		if was, ok := w.committed[i]; ok && was != term {
-			w.fail("state machine safety: entry %d was applied with term %d and with %d", i, was, term)
+		if previous, ok := g.committed[i]; ok && previous != term {
+			g.fail("state machine safety: entry %d was applied with term %d and with %d", i, previous, term)
 		}
-		w.committed[i] = term
-		if w.appliedInTerm[i] == 0 {
-			w.appliedInTerm[i] = s.Term
+		g.committed[i] = term
+		if g.appliedInTerm[i] == 0 {
+			g.appliedInTerm[i] = s.Term
 		}
 	}
 	h.checkedIndex = s.Applied
-	w.checkState(h, s)
+	g.checkState(h, s)
 }
 
-func (w *ConsensusGroup) checkState(h *host, s consensus.Status) {
+func (g *ConsensusGroup) checkState(h *host, s consensus.Status) {
 	lines, first := h.replica.Versions()
 	now, outgoing := h.replica.Voters()
 	last := ""
 	if len(lines) > 0 {
 		last = string(lines[len(lines)-1])
 	}
-	picture := fmt.Sprint(s.Version, last, h.replica.Members(), now, outgoing)
-	if was, ok := w.stateAtIndex[s.Applied]; ok && was != picture {
-		w.fail("two states after entry %d:\n%s\n%s", s.Applied, was, picture)
+	state := fmt.Sprint(s.Version, last, h.replica.Members(), now, outgoing)
+	if previous, ok := g.stateAtIndex[s.Applied]; ok && previous != state {
+		g.fail("two states after entry %d:\n%s\n%s", s.Applied, previous, state)
 	}
-	w.stateAtIndex[s.Applied] = picture
+	g.stateAtIndex[s.Applied] = state
 	for _, c := range [][]uint64{now, outgoing} {
-		if len(c) > 0 && (len(w.voterSets) == 0 || fmt.Sprint(w.voterSets[len(w.voterSets)-1]) != fmt.Sprint(c)) {
-			w.voterSets = append(w.voterSets, append([]uint64{}, c...))
+		if len(c) > 0 && (len(g.voterSets) == 0 || fmt.Sprint(g.voterSets[len(g.voterSets)-1]) != fmt.Sprint(c)) {
+			g.voterSets = append(g.voterSets, append([]uint64{}, c...))
 		}
 	}
 	for n := max(h.checkedVersion+1, first); n <= s.Version; n++ {
 		v, err := consensus.ReadVersion(lines[n-first])
 		if err != nil || v.Number != n {
-			w.fail("version %d reads as %v (%v)", n, v, err)
+			g.fail("version %d reads as %v (%v)", n, v, err)
 			return
 		}
-		if n > w.newestVersion && !w.heldByMajority(logPosition{v.Index, v.Term}) {
-			w.fail("host %d applied version %d of entry %d, term %d, which no majority held", h.number, n, v.Index, v.Term)
+		if n > g.newestVersion && !g.heldByMajority(logPosition{v.Index, v.Term}) {
+			g.fail("host %d applied version %d of entry %d, term %d, which no majority held", h.number, n, v.Index, v.Term)
 		}
 	}
-	w.newestVersion = max(w.newestVersion, s.Version)
+	g.newestVersion = max(g.newestVersion, s.Version)
 	if s.Version < h.checkedVersion {
-		w.fail("host %d went back from version %d to %d", h.number, h.checkedVersion, s.Version)
+		g.fail("host %d went back from version %d to %d", h.number, h.checkedVersion, s.Version)
 	}
 	h.checkedVersion = s.Version
 }
 
 // heldByMajority tells whether one of the latest sets of voters held an entry by more than half.
-func (w *ConsensusGroup) heldByMajority(s logPosition) bool {
-	for k := len(w.voterSets) - 1; k >= max(0, len(w.voterSets)-4); k-- {
+func (g *ConsensusGroup) heldByMajority(s logPosition) bool {
+	for k := len(g.voterSets) - 1; k >= max(0, len(g.voterSets)-4); k-- {
 		n := 0
-		for _, id := range w.voterSets[k] {
-			if w.holds(id, s) {
+		for _, id := range g.voterSets[k] {
+			if g.holds(id, s) {
 				n++
 			}
 		}
-		if n > len(w.voterSets[k])/2 {
+		if n > len(g.voterSets[k])/2 {
 			return true
 		}
 	}
@@ -123,19 +123,19 @@
 }
 
 // holds tells whether an instance holds an entry, or held it on a disk that was lost since.
-func (w *ConsensusGroup) holds(id uint64, s logPosition) bool {
-	for _, h := range w.hosts {
-		if h.id == id && h.holds(s) {
+func (g *ConsensusGroup) holds(id uint64, p logPosition) bool {
+	for _, h := range g.hosts {
+		if h.id == id && h.holds(p) {
 			return true
 		}
 	}
-	return w.lostEntries[id][s]
+	return g.lostEntries[id][p]
 }
 
 // converged tells whether all that take part have the same versions.
-func (w *ConsensusGroup) converged() bool {
+func (g *ConsensusGroup) converged() bool {
 	var want []byte
-	for i, h := range w.memberHosts() {
+	for i, h := range g.memberHosts() {
 		if h.replica == nil {
 			return false
 		}
--- a/internal/simulation/consensus_clients.go
+++ b/internal/simulation/consensus_clients.go
@@ -34,80 +34,80 @@
 	base uint64
 }
 
-func (w *ConsensusGroup) addClient() {
-	c := &client{name: fmt.Sprint("c", len(w.clients))}
-	w.clients = append(w.clients, c)
-	w.after(int64(w.random.Intn(100)), func() { w.startCall(c) })
+func (g *ConsensusGroup) addClient() {
+	c := &client{name: fmt.Sprint("c", len(g.clients))}
+	g.clients = append(g.clients, c)
+	g.after(int64(g.random.Intn(100)), func() { g.startCall(c) })
 }
 
 // startCall has a client begin its next put or read.
-func (w *ConsensusGroup) startCall(c *client) {
+func (g *ConsensusGroup) startCall(c *client) {
 	if c.stopped || c.pending != nil {
 		return
 	}
-	k := &pendingCall{client: c, historyIndex: len(w.history)}
+	call := &pendingCall{client: c, historyIndex: len(g.history)}
 	in := registerInput{}
-	if w.random.Intn(5) < 3 {
+	if g.random.Intn(5) < 3 {
 		c.seq++
 		in = registerInput{true, c.knownVersion}
-		k.put = &consensus.Put{Session: c.name, Seq: c.seq, Base: c.knownVersion, Author: c.name, At: w.random.Int63n(1 << 40),
+		call.put = &consensus.Put{Session: c.name, Seq: c.seq, Base: c.knownVersion, Author: c.name, At: g.random.Int63n(1 << 40),
 			Text: fmt.Sprintf("[tenant %s]\nrate = %d\n", c.name, c.seq)}
 	}
-	w.history = append(w.history, porcupine.Operation{ClientId: len(w.clients), Input: in, Call: w.Now*1000 + 500,
+	g.history = append(g.history, porcupine.Operation{ClientId: len(g.clients), Input: in, Call: g.Now*1000 + 500,
 		Return: math.MaxInt64})
-	c.pending = k
-	w.sendCall(k)
+	c.pending = call
+	g.sendCall(call)
 }
 
 // sendCall sends a call to some host, and to another when no response has come in time.
-func (w *ConsensusGroup) sendCall(k *pendingCall) {
-	k.attempt++
-	try, h := k.attempt, w.hosts[w.random.Intn(len(w.hosts))]
-	w.after(1+int64(w.random.Intn(10)), func() { w.deliverCall(k, try, h) })
-	w.after(400+int64(w.random.Intn(800)), func() {
-		if k.client.pending == k && k.attempt == try {
-			w.sendCall(k)
+func (g *ConsensusGroup) sendCall(call *pendingCall) {
+	call.attempt++
+	attempt, h := call.attempt, g.hosts[g.random.Intn(len(g.hosts))]
+	g.after(1+int64(g.random.Intn(10)), func() { g.deliverCall(call, attempt, h) })
+	g.after(400+int64(g.random.Intn(800)), func() {
+		if call.client.pending == call && call.attempt == attempt {
+			g.sendCall(call)
 		}
 	})
 }
 
 // deliverCall hands a call to a host's instance, unless the client has a response or has sent the call elsewhere.
-func (w *ConsensusGroup) deliverCall(k *pendingCall, try int, h *host) {
-	if h.replica == nil || h.stalledUntil > w.Now || k.client.pending != k || k.attempt != try {
+func (g *ConsensusGroup) deliverCall(call *pendingCall, attempt int, h *host) {
+	if h.replica == nil || h.stalledUntil > g.Now || call.client.pending != call || call.attempt != attempt {
 		return
 	}
-	w.atHost(h, func() error {
-		if k.put != nil {
-			p := *k.put
-			h.puts[p.Session] = k
+	g.atHost(h, func() error {
+		if call.put != nil {
+			p := *call.put
+			h.puts[p.Session] = call
 			h.replica.Propose(&p) // dropped without a leader: the client asks again
 			return nil
 		}
-		w.lastCallID++
-		h.reads[w.lastCallID] = k
-		h.replica.Read(w.lastCallID)
+		g.lastCallID++
+		h.reads[g.lastCallID] = call
+		h.replica.Read(g.lastCallID)
 		return nil
 	})
-	w.processReady(h)
+	g.processReady(h)
 }
 
 // respond sends a response to a client, unless it is lost on the way.
-func (w *ConsensusGroup) respond(k *pendingCall, a consensus.PutResult) {
-	if w.random.Intn(100) < 15 {
+func (g *ConsensusGroup) respond(call *pendingCall, result consensus.PutResult) {
+	if g.random.Intn(100) < 15 {
 		return
 	}
-	w.after(1+int64(w.random.Intn(10)), func() {
-		if k.client.pending != k {
+	g.after(1+int64(g.random.Intn(10)), func() {
+		if call.client.pending != call {
 			return
 		}
-		k.client.pending = nil
-		w.history[k.historyIndex].Return = w.Now * 1000
-		w.history[k.historyIndex].Output = a
-		k.client.knownVersion = max(k.client.knownVersion, a.Version)
-		if a.Outcome == consensus.PutExpired || a.Outcome == consensus.PutInvalid {
-			w.fail("client %s got %+v for put %d", k.client.name, a, k.put.Seq)
+		call.client.pending = nil
+		g.history[call.historyIndex].Return = g.Now * 1000
+		g.history[call.historyIndex].Output = result
+		call.client.knownVersion = max(call.client.knownVersion, result.Version)
+		if result.Outcome == consensus.PutExpired || result.Outcome == consensus.PutInvalid {
+			g.fail("client %s got %+v for put %d", call.client.name, result, call.put.Seq)
 		}
-		w.after(int64(w.random.Intn(150)), func() { w.startCall(k.client) })
+		g.after(int64(g.random.Intn(150)), func() { g.startCall(call.client) })
 	})
 }
 
@@ -117,33 +117,33 @@
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
 		now, in := state.(uint64), input.(registerInput)
-		a, answered := output.(consensus.PutResult)
+		result, answered := output.(consensus.PutResult)
 		switch {
 		case !in.put:
-			return !answered || a.Version == now, now
+			return !answered || result.Version == now, now
 		case !answered:
 			if in.base == now {
 				return true, now + 1
 			}
 			return true, now
-		case a.Outcome == consensus.PutCommitted:
-			return in.base == now && a.Version == now+1, now + 1
-		case a.Outcome == consensus.PutConflict:
-			return in.base != now && a.Version == now, now
+		case result.Outcome == consensus.PutCommitted:
+			return in.base == now && result.Version == now+1, now + 1
+		case result.Outcome == consensus.PutConflict:
+			return in.base != now && result.Version == now, now
 		}
 		return false, now
 	},
 }
 
 // checkLinearizable checks the clients' history.
-func (w *ConsensusGroup) checkLinearizable() {
-	if w.Broken != "" {
+func (g *ConsensusGroup) checkLinearizable() {
+	if g.Broken != "" {
 		return
 	}
-	switch porcupine.CheckOperationsTimeout(register, w.history, 20*time.Second) {
+	switch porcupine.CheckOperationsTimeout(register, g.history, 20*time.Second) {
 	case porcupine.Illegal:
-		w.fail("the clients' history of %d calls is not linearizable", len(w.history))
+		g.fail("the clients' history of %d calls is not linearizable", len(g.history))
 	case porcupine.Unknown:
-		w.fail("the clients' history of %d calls was not checked in 20 s", len(w.history))
+		g.fail("the clients' history of %d calls was not checked in 20 s", len(g.history))
 	}
 }
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -93,7 +93,7 @@
 
 // NewConsensusGroup founds a group of one and lets it grow to size, without faults.
 func NewConsensusGroup(seed int64, size int, without consensus.Guard) *ConsensusGroup {
-	w := &ConsensusGroup{
+	g := &ConsensusGroup{
 		network: network{handshakes: map[[2]int]bool{}, blockedLinks: map[[2]int]bool{}, maxDelay: 20},
 		observedLogs: observedLogs{
 			leaders:       map[uint64]uint64{},
@@ -106,92 +106,92 @@
 		random: rand.New(rand.NewSource(seed)), without: without, votersWanted: size,
 	}
 	for n := 0; n < size; n++ {
-		w.addHost(n == 0)
+		g.addHost(n == 0)
 	}
-	w.reconcileMembers()
-	return w
+	g.reconcileMembers()
+	return g
 }
 
-func (w *ConsensusGroup) addHost(found bool) {
-	h := &host{number: len(w.hosts), disk: wal.NewMemFS(), stepsToCrash: -1}
-	w.hosts = append(w.hosts, h)
-	w.startHost(h, found)
-	w.after(int64(h.number)*7%tickMS, func() { w.tick(h) })
+func (g *ConsensusGroup) addHost(found bool) {
+	h := &host{number: len(g.hosts), disk: wal.NewMemFS(), stepsToCrash: -1}
+	g.hosts = append(g.hosts, h)
+	g.startHost(h, found)
+	g.after(int64(h.number)*7%tickMS, func() { g.tick(h) })
 }
 
-func (w *ConsensusGroup) fail(format string, args ...any) {
-	if w.Broken == "" {
-		w.Broken = fmt.Sprintf("at %d ms: ", w.Now) + fmt.Sprintf(format, args...)
+func (g *ConsensusGroup) fail(format string, args ...any) {
+	if g.Broken == "" {
+		g.Broken = fmt.Sprintf("at %d ms: ", g.Now) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *ConsensusGroup) tracef(format string, args ...any) {
-	if w.Trace != nil {
-		w.Trace(fmt.Sprintf("%7d ", w.Now) + fmt.Sprintf(format, args...))
+func (g *ConsensusGroup) tracef(format string, args ...any) {
+	if g.Trace != nil {
+		g.Trace(fmt.Sprintf("%7d ", g.Now) + fmt.Sprintf(format, args...))
 	}
 }
 
 // Run goes on until a moment, or until something is broken.
-func (w *ConsensusGroup) Run(until int64) {
-	w.scheduler.runEvents(until, func() bool { return w.Broken != "" })
-	if w.Broken == "" {
-		w.Now = until
+func (g *ConsensusGroup) Run(until int64) {
+	g.scheduler.runEvents(until, func() bool { return g.Broken != "" })
+	if g.Broken == "" {
+		g.Now = until
 	}
 }
 
 // waitFor runs until a condition holds, for some time at most, and tells whether it does.
-func (w *ConsensusGroup) waitFor(ms int64, holds func() bool) bool {
-	for end := w.Now + ms; w.Now < end && w.Broken == ""; {
+func (g *ConsensusGroup) waitFor(ms int64, holds func() bool) bool {
+	for end := g.Now + ms; g.Now < end && g.Broken == ""; {
 		if holds() {
 			return true
 		}
-		w.Run(min(end, w.Now+20))
+		g.Run(min(end, g.Now+20))
 	}
 	return holds()
 }
 
-func (w *ConsensusGroup) config(h *host, found bool) consensus.Config {
-	return consensus.Config{Name: fmt.Sprint("i", w.incarnations), Peer: fmt.Sprint("h", h.number), Listen: fmt.Sprint("h",
+func (g *ConsensusGroup) config(h *host, found bool) consensus.Config {
+	return consensus.Config{Name: fmt.Sprint("i", g.incarnations), Peer: fmt.Sprint("h", h.number), Listen: fmt.Sprint("h",
 		h.number),
-		FoundGroup: found, ElectionTicks: electionTicks, SnapshotBytes: snapshotBytes, DisabledGuards: w.without,
-		Random: w.random.Uint64,
+		FoundGroup: found, ElectionTicks: electionTicks, SnapshotBytes: snapshotBytes, DisabledGuards: g.without,
+		Random: g.random.Uint64,
 		Sizes:  wal.Sizes{SegmentBytes: segmentBytes, MaxBytes: maxLogBytes}, Logger: discardLogger{},
 		OnStep: func(step consensus.WorkStep) {
 			if step == consensus.StepSend {
-				w.recordLog(h)
+				g.recordLog(h)
 			}
 		}}
 }
 
 // startHost starts an instance on a host's disk.
-func (w *ConsensusGroup) startHost(h *host, found bool) {
-	w.incarnations++
-	h.incarnation = w.incarnations
+func (g *ConsensusGroup) startHost(h *host, found bool) {
+	g.incarnations++
+	h.incarnation = g.incarnations
 	h.puts, h.reads = map[string]*pendingCall{}, map[uint64]*pendingCall{}
-	w.atHost(h, func() error {
-		rep, err := consensus.Open(h.disk, w.config(h, found))
+	g.atHost(h, func() error {
+		replica, err := consensus.Open(h.disk, g.config(h, found))
 		if err != nil {
 			return err
 		}
-		if h.replica = rep; rep.ID() != h.id {
-			h.id, h.needsReplacement = rep.ID(), false
+		if h.replica = replica; replica.ID() != h.id {
+			h.id, h.needsReplacement = replica.ID(), false
 		}
 		h.durableTerms, h.snapshotIndex, h.checkedIndex, h.checkedVersion = map[uint64]uint64{}, 0, 0, 0
-		w.recordLog(h)
+		g.recordLog(h)
 		return nil
 	})
-	w.tracef("host %d up as %x, life %d", h.number, h.id, h.incarnation)
+	g.tracef("host %d up as %x, life %d", h.number, h.id, h.incarnation)
 	if h.replica != nil {
-		w.processReady(h)
-		w.connectInstance(h, h.incarnation)
+		g.processReady(h)
+		g.connectInstance(h, h.incarnation)
 	}
 }
 
 // atHost runs something at a host. A failure put there on purpose takes it down, any other breaks the run.
-func (w *ConsensusGroup) atHost(h *host, f func() error) {
+func (g *ConsensusGroup) atHost(h *host, f func() error) {
 	defer func() {
 		if p := recover(); p != nil {
-			w.fail("host %d gave up: %v", h.number, p)
+			g.fail("host %d gave up: %v", h.number, p)
 			h.replica = nil
 		}
 	}()
@@ -200,73 +200,73 @@
 			return 0, nil
 		}
 		if h.stepsToCrash--; h.stepsToCrash < 0 {
-			return w.random.Intn(600), errPowerLoss
+			return g.random.Intn(600), errPowerLoss
 		}
 		return 0, nil
 	}
 	if err := f(); err != nil {
 		if !errors.Is(err, errPowerLoss) {
-			w.fail("host %d: %v", h.number, err)
+			g.fail("host %d: %v", h.number, err)
 			return
 		}
-		w.crashHost(h, 300+int64(w.random.Intn(1500)))
+		g.crashHost(h, 300+int64(g.random.Intn(1500)))
 	}
 }
 
 // crashHost ends a host's instance, by the power or by a kill, and has it come up again later.
-func (w *ConsensusGroup) crashHost(h *host, ms int64) {
-	w.tracef("host %d down", h.number)
+func (g *ConsensusGroup) crashHost(h *host, ms int64) {
+	g.tracef("host %d down", h.number)
 	h.replica, h.stepsToCrash = nil, -1
-	if w.random.Intn(3) == 0 {
+	if g.random.Intn(3) == 0 {
 		h.disk = h.disk.Kill()
 	} else {
-		h.disk = h.disk.PowerLoss(w.random.Intn)
+		h.disk = h.disk.PowerLoss(g.random.Intn)
 	}
 	incarnation := h.incarnation
-	w.after(ms, func() {
+	g.after(ms, func() {
 		if h.replica == nil && h.incarnation == incarnation {
-			w.startHost(h, false)
+			g.startHost(h, false)
 		}
 	})
 }
 
-func (w *ConsensusGroup) tick(h *host) {
-	w.after(tickMS, func() { w.tick(h) })
-	if h.replica != nil && h.stalledUntil <= w.Now {
+func (g *ConsensusGroup) tick(h *host) {
+	g.after(tickMS, func() { g.tick(h) })
+	if h.replica != nil && h.stalledUntil <= g.Now {
 		h.replica.Tick()
-		w.processReady(h)
+		g.processReady(h)
 	}
 }
 
 // processReady lets an instance do what it has ready, checks its state, and responds to clients.
-func (w *ConsensusGroup) processReady(h *host) {
-	if h.replica == nil || w.Broken != "" {
+func (g *ConsensusGroup) processReady(h *host) {
+	if h.replica == nil || g.Broken != "" {
 		return
 	}
 	var out consensus.WorkResult
 	incarnation := h.incarnation
-	w.atHost(h, func() (err error) {
-		out, err = h.replica.Work(func(ms []*pb.Message) { w.send(h, incarnation, ms) })
+	g.atHost(h, func() (err error) {
+		out, err = h.replica.Work(func(ms []*pb.Message) { g.send(h, incarnation, ms) })
 		return err
 	})
 	if h.replica == nil {
 		return
 	}
-	w.checkInvariants(h)
+	g.checkInvariants(h)
 	for _, r := range out.Puts {
-		if c := h.puts[r.Session]; c != nil && c.put.Seq == r.Seq {
+		if call := h.puts[r.Session]; call != nil && call.put.Seq == r.Seq {
 			delete(h.puts, r.Session)
-			w.respond(c, r.Result)
+			g.respond(call, r.Result)
 		}
 	}
 	for _, id := range out.Reads {
-		if c := h.reads[id]; c != nil {
+		if call := h.reads[id]; call != nil {
 			delete(h.reads, id)
 			lines, first := h.replica.Versions()
-			w.respond(c, consensus.PutResult{Version: first + uint64(len(lines)) - 1})
+			g.respond(call, consensus.PutResult{Version: first + uint64(len(lines)) - 1})
 		}
 	}
-	w.atHost(h, func() error {
+	g.atHost(h, func() error {
 		s, err := h.replica.SnapshotIfDue()
 		if s == nil || err != nil {
 			return err
@@ -276,10 +276,10 @@
 }
 
 // leader gives the host whose instance leads in the latest term, nil if none does.
-func (w *ConsensusGroup) leader() *host {
+func (g *ConsensusGroup) leader() *host {
 	var best *host
 	term := uint64(0)
-	for _, h := range w.hosts {
+	for _, h := range g.hosts {
 		if h.replica != nil {
 			if s := h.replica.Status(); s.Role == "leader" && s.Term > term {
 				best, term = h, s.Term
@@ -291,47 +291,47 @@
 
 // reconcileMembers is the operator: it takes in instances that wait, promotes them, and removes those that take no
 // part.
-func (w *ConsensusGroup) reconcileMembers() {
-	w.after(200, w.reconcileMembers)
-	for _, h := range w.hosts {
+func (g *ConsensusGroup) reconcileMembers() {
+	g.after(200, g.reconcileMembers)
+	for _, h := range g.hosts {
 		if h.replica != nil && h.replica.Barred() != "" {
-			w.wipeDisk(h)
+			g.wipeDisk(h)
 		}
 	}
-	l := w.leader()
-	if l == nil || l.stalledUntil > w.Now {
+	leader := g.leader()
+	if leader == nil || leader.stalledUntil > g.Now {
 		return
 	}
-	members := l.replica.Members()
+	members := leader.replica.Members()
 	for _, m := range members {
-		if w.hostOf(m) == nil {
-			l.replica.Change(consensus.Change{Op: "remove", Member: m})
-			w.processReady(l)
+		if g.hostOf(m) == nil {
+			leader.replica.Change(consensus.Change{Op: "remove", Member: m})
+			g.processReady(leader)
 			return
 		}
 	}
-	if len(members) >= w.votersWanted {
+	if len(members) >= g.votersWanted {
 		return
 	}
-	for _, h := range w.hosts {
+	for _, h := range g.hosts {
 		if h.replica == nil || h.replica.Status().Role != "waiting" {
 			continue
 		}
-		l.replica.Change(consensus.Change{Op: "add", Member: consensus.Member{ID: h.id, Name: fmt.Sprintf("m%x", h.id),
+		leader.replica.Change(consensus.Change{Op: "add", Member: consensus.Member{ID: h.id, Name: fmt.Sprintf("m%x", h.id),
 			Peer: fmt.Sprint("h", h.number), Listen: fmt.Sprint("h", h.number), Promote: true}})
-		w.processReady(l)
+		g.processReady(leader)
 		return
 	}
 }
 
 // voterCount counts the voters that are up and take part, as the leader has them.
-func (w *ConsensusGroup) voterCount() int {
-	l := w.leader()
-	if l == nil {
+func (g *ConsensusGroup) voterCount() int {
+	leader := g.leader()
+	if leader == nil {
 		return 0
 	}
 	n := 0
-	for _, m := range l.replica.Members() {
+	for _, m := range leader.replica.Members() {
 		if m.Voter {
 			n++
 		}
@@ -340,18 +340,18 @@
 }
 
 // recordLostEntries notes what a disk held that is no more.
-func (w *ConsensusGroup) recordLostEntries(h *host) {
+func (g *ConsensusGroup) recordLostEntries(h *host) {
 	for i, term := range h.durableTerms {
-		if w.lostEntries[h.id] == nil {
-			w.lostEntries[h.id] = map[logPosition]bool{}
+		if g.lostEntries[h.id] == nil {
+			g.lostEntries[h.id] = map[logPosition]bool{}
 		}
-		w.lostEntries[h.id][logPosition{i, term}] = true
+		g.lostEntries[h.id][logPosition{i, term}] = true
 	}
 }
 
 // hostOf gives the host that a member runs on, nil if its disk was lost.
-func (w *ConsensusGroup) hostOf(m consensus.Member) *host {
-	for _, h := range w.hosts {
+func (g *ConsensusGroup) hostOf(m consensus.Member) *host {
+	for _, h := range g.hosts {
 		if h.id == m.ID && !h.needsReplacement {
 			return h
 		}
@@ -360,14 +360,14 @@
 }
 
 // memberHosts gives the hosts of the group's members, as the leader has them.
-func (w *ConsensusGroup) memberHosts() []*host {
+func (g *ConsensusGroup) memberHosts() []*host {
 	var out []*host
-	l := w.leader()
-	if l == nil {
+	leader := g.leader()
+	if leader == nil {
 		return nil
 	}
-	for _, m := range l.replica.Members() {
-		if h := w.hostOf(m); h != nil {
+	for _, m := range leader.replica.Members() {
+		if h := g.hostOf(m); h != nil {
 			out = append(out, h)
 		}
 	}
--- a/internal/simulation/consensus_network.go
+++ b/internal/simulation/consensus_network.go
@@ -9,38 +9,38 @@
 
 // connectInstance has an instance that has started exchange handshakes with all that it reaches, again until all have
 // accepted it or it ends.
-func (w *ConsensusGroup) connectInstance(h *host, incarnation int) {
+func (g *ConsensusGroup) connectInstance(h *host, incarnation int) {
 	if h.replica == nil || h.incarnation != incarnation {
 		return
 	}
-	all := true
-	for _, o := range w.hosts {
-		if o != h && o.replica != nil && !w.handshake(h, o) {
-			all = false
+	done := true
+	for _, o := range g.hosts {
+		if o != h && o.replica != nil && !g.handshake(h, o) {
+			done = false
 		}
 		if h.replica == nil {
 			return
 		}
 	}
-	if !all {
-		w.after(100, func() { w.connectInstance(h, incarnation) })
+	if !done {
+		g.after(100, func() { g.connectInstance(h, incarnation) })
 	}
 }
 
 // handshake tells whether two instances speak with each other; they greet where both ways are open and neither
 // stalls.
-func (w *ConsensusGroup) handshake(a, b *host) bool {
+func (g *ConsensusGroup) handshake(a, b *host) bool {
 	key := [2]int{min(a.incarnation, b.incarnation), max(a.incarnation, b.incarnation)}
-	if ok, known := w.handshakes[key]; known {
+	if ok, known := g.handshakes[key]; known {
 		return ok
 	}
-	if w.blockedLinks[[2]int{a.number, b.number}] || w.blockedLinks[[2]int{b.number, a.number}] || a.stalledUntil > w.Now || b.stalledUntil > w.Now {
+	if g.blockedLinks[[2]int{a.number, b.number}] || g.blockedLinks[[2]int{b.number, a.number}] || a.stalledUntil > g.Now || b.stalledUntil > g.Now {
 		return false
 	}
 	ok := true
 	for _, p := range [][2]*host{{a, b}, {b, a}} {
 		var reason string
-		w.atHost(p[0], func() (err error) {
+		g.atHost(p[0], func() (err error) {
 			to := uint64(0) // an id is known from the list of members
 			for _, m := range p[1].replica.Members() {
 				if m.ID == p[0].id {
@@ -56,8 +56,8 @@
 		if reason != "" {
 			ok = false
 			if consensus.BarsInstance(reason) {
-				w.tracef("host %d told by %d: %s", p[1].number, p[0].number, reason)
-				w.atHost(p[1], func() error { return p[1].replica.Bar(reason) })
+				g.tracef("host %d told by %d: %s", p[1].number, p[0].number, reason)
+				g.atHost(p[1], func() error { return p[1].replica.Bar(reason) })
 				if p[1].replica == nil {
 					return false
 				}
@@ -67,60 +67,60 @@
 	}
 	// An instance that waits is spoken with once it was taken in; the question is put again until then.
 	if ok || a.replica.Status().Cluster != "" && b.replica.Status().Cluster != "" {
-		w.handshakes[key] = ok
+		g.handshakes[key] = ok
 	}
 	return ok
 }
 
-func (w *ConsensusGroup) send(h *host, incarnation int, ms []*pb.Message) {
-	for _, m := range ms {
+func (g *ConsensusGroup) send(h *host, incarnation int, messages []*pb.Message) {
+	for _, m := range messages {
 		raw, err := proto.Marshal(m)
 		if err != nil {
-			w.fail("a message: %v", err)
+			g.fail("a message: %v", err)
 			return
 		}
 		copies := 1
-		if w.random.Intn(1000) < w.lossPerMille {
-			copies = w.random.Intn(2) * 2 // lost, or doubled
+		if g.random.Intn(1000) < g.lossPerMille {
+			copies = g.random.Intn(2) * 2 // lost, or doubled
 		}
-		to, snap := m.GetTo(), m.GetType() == pb.MessageType_MsgSnap
+		to, isSnapshot := m.GetTo(), m.GetType() == pb.MessageType_MsgSnap
 		for ; copies > 0; copies-- {
-			took := 1 + w.random.Int63n(w.maxDelay)
-			w.after(took, func() { w.deliver(h, incarnation, to, raw) })
+			delay := 1 + g.random.Int63n(g.maxDelay)
+			g.after(delay, func() { g.deliver(h, incarnation, to, raw) })
 		}
-		if snap {
-			w.after(2*w.maxDelay, func() {
+		if isSnapshot {
+			g.after(2*g.maxDelay, func() {
 				if h.replica != nil && h.incarnation == incarnation {
 					h.replica.ReportSnapshot(to, true)
-					w.processReady(h)
+					g.processReady(h)
 				}
 			})
 		}
 	}
 }
 
-func (w *ConsensusGroup) deliver(from *host, incarnation int, to uint64, raw []byte) {
+func (g *ConsensusGroup) deliver(from *host, incarnation int, to uint64, raw []byte) {
 	var h *host
-	for _, o := range w.hosts {
+	for _, o := range g.hosts {
 		if o.id == to && o.replica != nil {
 			h = o
 		}
 	}
-	if h == nil || w.blockedLinks[[2]int{from.number, h.number}] {
+	if h == nil || g.blockedLinks[[2]int{from.number, h.number}] {
 		return
 	}
-	if h.stalledUntil > w.Now { // it waits in a socket
-		w.after(h.stalledUntil-w.Now, func() { w.deliver(from, incarnation, to, raw) })
+	if h.stalledUntil > g.Now { // it waits in a socket
+		g.after(h.stalledUntil-g.Now, func() { g.deliver(from, incarnation, to, raw) })
 		return
 	}
-	if from.incarnation == incarnation && from.replica != nil && !w.handshake(from, h) || h.replica == nil {
+	if from.incarnation == incarnation && from.replica != nil && !g.handshake(from, h) || h.replica == nil {
 		return
 	}
 	m := &pb.Message{}
 	if err := proto.Unmarshal(raw, m); err != nil {
-		w.fail("a message: %v", err)
+		g.fail("a message: %v", err)
 		return
 	}
-	w.atHost(h, func() error { h.replica.Step(m); return nil })
-	w.processReady(h)
+	g.atHost(h, func() error { h.replica.Step(m); return nil })
+	g.processReady(h)
 }
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -85,19 +85,19 @@
 }
 
 // Last is the newest version of the policy.
-func (w *Fleet) Last() uint64 { return uint64(len(w.versionTexts)) }
+func (f *Fleet) Last() uint64 { return uint64(len(f.versionTexts)) }
 
 // Text gives a version as the group keeps it.
-func (w *Fleet) Text(n uint64) (string, string, bool) {
-	if n == 0 || n > uint64(len(w.versionTexts)) || w.versionHashes[n-1] == "" {
+func (f *Fleet) Text(n uint64) (string, string, bool) {
+	if n == 0 || n > uint64(len(f.versionTexts)) || f.versionHashes[n-1] == "" {
 		return "", "", false
 	}
-	return w.versionTexts[n-1], w.versionHashes[n-1], true
+	return f.versionTexts[n-1], f.versionHashes[n-1], true
 }
 
 // NewFleet sets up a schedule.
 func NewFleet(p FleetPlan) *Fleet {
-	w := &Fleet{
+	f := &Fleet{
 		FleetPlan:    p,
 		random:       rand.New(rand.NewSource(p.Seed)),
 		controlGroup: controlGroup{state: coordinator.NewState(p.Without), leader: -1, changeSteps: map[uint64]policy.Step{}},
@@ -106,47 +106,47 @@
 		FleetFigures: FleetFigures{Ends: map[policy.Step]int{}, Causes: map[string]int{}},
 		failsTrial:   map[string]bool{},
 	}
-	w.state.DisabledZoneGuards = p.WithoutZones
-	if w.Zones == 0 {
-		w.Zones = 3
+	f.state.DisabledZoneGuards = p.WithoutZones
+	if f.Zones == 0 {
+		f.Zones = 3
 	}
 	if p.Way != "" {
-		w.Without |= policy.LeaseGuard | policy.Fence | policy.PrepareAll
-		w.state.DisabledGuards = w.Without
+		f.Without |= policy.LeaseGuard | policy.Fence | policy.PrepareAll
+		f.state.DisabledGuards = f.Without
 	}
-	if w.Lease == 0 {
-		w.Lease = 4000
+	if f.Lease == 0 {
+		f.Lease = 4000
 	}
-	w.addVersion()
+	f.addVersion()
 	for i := 0; i < max(1, p.Ctl); i++ {
-		c := &controlInstance{coordinator: w.newLeader(), up: true, clockRate: w.drawClockRate()}
-		w.instances = append(w.instances, c)
+		c := &controlInstance{coordinator: f.newLeader(), up: true, clockRate: f.drawClockRate()}
+		f.instances = append(f.instances, c)
 	}
 	for i := 0; i < p.Nodes; i++ {
-		n := &node{fleet: w, name: fmt.Sprintf("n%04d", i), zone: i % w.Zones, clockRate: w.drawClockRate()}
+		n := &node{fleet: f, name: fmt.Sprintf("n%04d", i), zone: i % f.Zones, clockRate: f.drawClockRate()}
 		// Where state is lost all have disks: what only a node without one knew would be lost with it.
-		n.diskless = w.random.Intn(2) == 0 && p.StateLosses == 0
-		w.nodes = append(w.nodes, n)
-		w.after(w.random.Float64()*500, n.start)
+		n.diskless = f.random.Intn(2) == 0 && p.StateLosses == 0
+		f.nodes = append(f.nodes, n)
+		f.after(f.random.Float64()*500, n.start)
 	}
-	w.after(10, w.elect)
-	for i := range w.instances {
-		w.tick(i)
+	f.after(10, f.elect)
+	for i := range f.instances {
+		f.tick(i)
 	}
-	return w
+	return f
 }
 
 // drawClockRate draws a clock that is up to four thousandths off.
-func (w *Fleet) drawClockRate() float64 { return 1 + (w.random.Float64()-0.5)*0.008 }
+func (f *Fleet) drawClockRate() float64 { return 1 + (f.random.Float64()-0.5)*0.008 }
 
-func (w *Fleet) recordEvent(e FleetEvent) {
-	e.At = int64(w.Now * 10)
-	w.History = append(w.History, e)
+func (f *Fleet) recordEvent(e FleetEvent) {
+	e.At = int64(f.Now * 10)
+	f.History = append(f.History, e)
 }
 
-func (w *Fleet) fail(format string, args ...any) {
-	if w.Broken == "" {
-		w.Broken = fmt.Sprintf("%.1f ms: ", w.Now) + fmt.Sprintf(format, args...)
+func (f *Fleet) fail(format string, args ...any) {
+	if f.Broken == "" {
+		f.Broken = fmt.Sprintf("%.1f ms: ", f.Now) + fmt.Sprintf(format, args...)
 	}
 }
 
@@ -155,93 +155,93 @@
 
 // Play plays the schedule: the first version settles; changes, faults and losses of state come; all heals; then
 // every change has to end, and every node to serve under the version in force.
-func (w *Fleet) Play() {
-	if w.Span == 0 {
-		w.Span = 30_000
+func (f *Fleet) Play() {
+	if f.Span == 0 {
+		f.Span = 30_000
 	}
 	// The first version of all: until it is settled nodes hold what they had before on other terms.
-	w.after(1500, func() { w.proposeChange(false, 0) })
-	w.Changes++
-	w.runUntil(faultStartMS)
-	w.scheduleChanges()
-	w.schedulePartition()
-	if !w.Calm {
-		for t := 1000.0; t < float64(w.Span); t += w.random.ExpFloat64() * float64(w.Span) / 12 {
-			w.after(t, w.injectFault)
+	f.after(1500, func() { f.proposeChange(false, 0) })
+	f.Changes++
+	f.runUntil(faultStartMS)
+	f.scheduleChanges()
+	f.schedulePartition()
+	if !f.Calm {
+		for t := 1000.0; t < float64(f.Span); t += f.random.ExpFloat64() * float64(f.Span) / 12 {
+			f.after(t, f.injectFault)
 		}
 	}
-	w.scheduleStateLosses()
-	w.runUntil(w.Now + float64(w.Span) + 3*float64(w.Lease) + float64(len(w.nodes))*10*w.Down)
-	w.heal()
-	w.runUntil(w.Now + 12*float64(w.Lease) + 65_000)
-	if w.Way != "" {
-		w.Overlap = longestOverlap(w.History)
+	f.scheduleStateLosses()
+	f.runUntil(f.Now + float64(f.Span) + 3*float64(f.Lease) + float64(len(f.nodes))*10*f.Down)
+	f.heal()
+	f.runUntil(f.Now + 12*float64(f.Lease) + 65_000)
+	if f.Way != "" {
+		f.Overlap = longestOverlap(f.History)
 		return
 	}
-	w.checkFinalState()
+	f.checkFinalState()
 }
 
 // scheduleChanges spreads the changes over the span: a third is exclusive, a fourth may leave a node behind.
-func (w *Fleet) scheduleChanges() {
+func (f *Fleet) scheduleChanges() {
 	at := 500.0
-	for i := 1; i < w.Changes; i++ {
-		exclusive, spare := w.random.Intn(3) == 0, 0
-		if w.random.Intn(4) == 0 {
+	for i := 1; i < f.Changes; i++ {
+		exclusive, spare := f.random.Intn(3) == 0, 0
+		if f.random.Intn(4) == 0 {
 			spare = 1
 		}
-		w.after(at, func() { w.proposeChange(exclusive, spare) })
-		at += float64(w.Span) / float64(w.Changes+1)
+		f.after(at, func() { f.proposeChange(exclusive, spare) })
+		at += float64(f.Span) / float64(f.Changes+1)
 	}
 }
 
 // schedulePartition cuts a share of the fleet off while changes are made. Its nodes are back one by one afterwards.
-func (w *Fleet) schedulePartition() {
-	for i, n := range w.nodes {
-		if float64(i) < w.Down*float64(len(w.nodes)) {
-			w.after(200, func() { n.partitioned = true })
-			w.after(float64(w.Span)+float64(i)*10, func() { n.partitioned = false })
+func (f *Fleet) schedulePartition() {
+	for i, n := range f.nodes {
+		if float64(i) < f.Down*float64(len(f.nodes)) {
+			f.after(200, func() { n.partitioned = true })
+			f.after(float64(f.Span)+float64(i)*10, func() { n.partitioned = false })
 		}
 	}
 }
 
 // heal ends all faults.
-func (w *Fleet) heal() {
-	for _, n := range w.nodes {
+func (f *Fleet) heal() {
+	for _, n := range f.nodes {
 		n.partitioned, n.neverPrepares, n.preparingVersion = false, false, 0
 	}
-	w.Calm = true
-	if w.StateLosses > 0 { // the last loss may have come late
-		w.runUntil(w.Now + 30_000)
+	f.Calm = true
+	if f.StateLosses > 0 { // the last loss may have come late
+		f.runUntil(f.Now + 30_000)
 	}
 }
 
-func (w *Fleet) runUntil(at float64) {
-	w.runEvents(at, func() bool { return false })
-	w.Now = at
+func (f *Fleet) runUntil(at float64) {
+	f.runEvents(at, func() bool { return false })
+	f.Now = at
 }
 
-func (w *Fleet) checkFinalState() {
-	if w.Broken != "" {
+func (f *Fleet) checkFinalState() {
+	if f.Broken != "" {
 		return
 	}
-	if c := w.state.Policy.Current; c != nil {
-		w.fail("change %d to version %d is still %s", c.Number, c.Version, c.Step)
+	if c := f.state.Policy.Current; c != nil {
+		f.fail("change %d to version %d is still %s", c.Number, c.Version, c.Step)
 	}
-	if w.acceptedChanges < w.Changes {
-		w.fail("%d of %d changes were never taken", w.Changes-w.acceptedChanges, w.Changes)
+	if f.acceptedChanges < f.Changes {
+		f.fail("%d of %d changes were never taken", f.Changes-f.acceptedChanges, f.Changes)
 	}
-	for _, n := range w.nodes {
-		if !n.serves || n.activeVersion != w.state.Policy.CommittedVersion {
+	for _, n := range f.nodes {
+		if !n.serves || n.activeVersion != f.state.Policy.CommittedVersion {
 			_, why := n.agent.MayServe(n.clock())
-			w.fail("%s serves %v under version %d at the end (%s), expected version %d", n.name, n.serves,
-				n.activeVersion, why, w.state.Policy.CommittedVersion)
+			f.fail("%s serves %v under version %d at the end (%s), expected version %d", n.name, n.serves,
+				n.activeVersion, why, f.state.Policy.CommittedVersion)
 		}
 	}
 	// A lease, its margin by the group's count, and a clock a hundredth off: what design/policy.md promises.
-	over := int64(membership.LeaseSpanMS(uint64(w.Lease)))*10*101/100 + 500
-	broken, overlap := CheckFleet(w.History, FleetPromises{Overlap: over, Fences: w.Changes > 0})
-	w.Overlap = overlap
+	over := int64(membership.LeaseSpanMS(uint64(f.Lease)))*10*101/100 + 500
+	broken, overlap := CheckFleet(f.History, FleetPromises{Overlap: over, Fences: f.Changes > 0})
+	f.Overlap = overlap
 	if broken != "" {
-		w.fail("%s", broken)
+		f.fail("%s", broken)
 	}
 }
--- a/internal/simulation/fleet_history.go
+++ b/internal/simulation/fleet_history.go
@@ -29,17 +29,17 @@
 // longestOverlap gives the longest time between the first node under some version and the last under an older one.
 func longestOverlap(h []FleetEvent) (longest int64) {
 	under := map[string]uint64{}
-	begun, last := map[uint64]int64{}, map[uint64]int64{} // by version: its first service, the last under an older one
+	firstServed, lastOlder := map[uint64]int64{}, map[uint64]int64{} // by version: its first service, the last under an older one
 	var versions []uint64
 	for _, e := range h {
 		if e.Kind != "serves" && e.Kind != "stops" {
 			continue
 		}
-		was, on := under[e.Node]
-		if on {
+		previous, serving := under[e.Node]
+		if serving {
 			for _, v := range versions {
-				if v > was {
-					last[v] = max(last[v], e.At)
+				if v > previous {
+					lastOlder[v] = max(lastOlder[v], e.At)
 				}
 			}
 		}
@@ -48,13 +48,13 @@
 			continue
 		}
 		under[e.Node] = e.Version
-		if _, known := begun[e.Version]; !known && e.Version > 2 { // the first of all comes on other terms
-			begun[e.Version] = e.At
+		if _, known := firstServed[e.Version]; !known && e.Version > 2 { // the first of all comes on other terms
+			firstServed[e.Version] = e.At
 			versions = append(versions, e.Version)
 		}
 	}
-	for v, at := range begun {
-		longest = max(longest, last[v]-at)
+	for v, at := range firstServed {
+		longest = max(longest, lastOlder[v]-at)
 	}
 	return longest
 }
@@ -131,7 +131,7 @@
 	case "serves":
 		return c.startSpan(e)
 	case "stops":
-		if i, on := c.openSpans[e.Node]; on {
+		if i, open := c.openSpans[e.Node]; open {
 			c.spans[i].to = e.At
 			delete(c.openSpans, e.Node)
 		}
@@ -162,7 +162,7 @@
 
 // startSpan begins a span of service, which ends the one before.
 func (c *historyCheck) startSpan(e FleetEvent) (broken string) {
-	if i, on := c.openSpans[e.Node]; on {
+	if i, open := c.openSpans[e.Node]; open {
 		c.spans[i].to = e.At
 	}
 	if before := c.servedVersions[e.Node]; e.Version < before {
@@ -197,16 +197,16 @@
 // checkChange: after a change has settled nobody serves under an older version, and until then the overlap is bounded.
 func (c *historyCheck) checkChange(version uint64, p FleetPromises) (broken string) {
 	v := c.outcome(version)
-	begin, last, who := never, int64(-1), ""
+	begin, last, node := never, int64(-1), ""
 	for _, s := range c.spans {
 		if s.version >= version {
 			begin = min(begin, s.from)
 		} else if s.to > last {
-			last, who = s.to, s.node
+			last, node = s.to, s.node
 		}
 	}
 	if v.settled != never && last > v.settled {
-		return fmt.Sprintf("%s served under an older version than %d at %.1f ms, which was settled at %.1f", who,
+		return fmt.Sprintf("%s served under an older version than %d at %.1f ms, which was settled at %.1f", node,
 			version, milliseconds(last), milliseconds(v.settled))
 	}
 	if begin == never || last <= begin || v.initial {
@@ -219,10 +219,10 @@
 	case !p.Fences:
 	case v.exclusive:
 		return fmt.Sprintf("%s served under an older version than %d %.1f ms after the first under it, in a change "+
-			"without overlap", who, version, milliseconds(last-begin))
+			"without overlap", node, version, milliseconds(last-begin))
 	case last-begin > p.Overlap:
 		return fmt.Sprintf("%s served under an older version than %d %.1f ms after the first under it, expected %.1f "+
-			"at most", who, version, milliseconds(last-begin), milliseconds(p.Overlap))
+			"at most", node, version, milliseconds(last-begin), milliseconds(p.Overlap))
 	}
 	return ""
 }
--- a/internal/simulation/fleet_node.go
+++ b/internal/simulation/fleet_node.go
@@ -86,7 +86,7 @@
 
 // step is a round of the node's loop.
 func (n *node) step() {
-	w := n.fleet
+	f := n.fleet
 	if !n.up || n.paused {
 		return
 	}
@@ -98,12 +98,12 @@
 	}
 	ok, _ := n.agent.MayServe(now)
 	n.setServing(ok)
-	if a, no, due := n.agent.Heartbeat(now); due {
-		w.Heartbeats++
-		if w.loadReport != nil && n.agent.ZoneOrder() != nil {
-			a.Load, a.Peers, n.peerHealth = w.loadReport(n), n.peerHealth, nil
+	if request, number, due := n.agent.Heartbeat(now); due {
+		f.Heartbeats++
+		if f.loadReport != nil && n.agent.ZoneOrder() != nil {
+			request.Load, request.Peers, n.peerHealth = f.loadReport(n), n.peerHealth, nil
 		}
-		n.send(a, no)
+		n.send(request, number)
 	}
 	if v, decided, ok := n.agent.VersionToFetch(); ok && n.preparingVersion != v.Version {
 		n.preparingVersion = v.Version
@@ -118,13 +118,13 @@
 // prepare fetches a version and tries it, which takes a while, then accepts or rejects it. One that is decided
 // already isn't rejected any more.
 func (n *node) prepare(v api.VersionHash, decided bool) {
-	w, incarnation := n.fleet, n.incarnation
-	w.after(10+w.random.ExpFloat64()*150, func() {
+	f, incarnation := n.fleet, n.incarnation
+	f.after(10+f.random.ExpFloat64()*150, func() {
 		if n.incarnation != incarnation || !n.up {
 			return
 		}
 		n.preparingVersion = 0
-		fails := n.rejectedVersion == v.Version || w.failsTrial[v.Hash] && !w.Without.Has(policy.Shadow)
+		fails := n.rejectedVersion == v.Version || f.failsTrial[v.Hash] && !f.Without.Has(policy.Shadow)
 		if fails && !decided {
 			n.agent.Reject(n.clock(), v.Version, "it says no", false)
 		} else {
@@ -137,19 +137,19 @@
 
 // scheduleRound has the next round come when the agent's next heartbeat is due or its lease ends.
 func (n *node) scheduleRound(now uint64) {
-	w := n.fleet
+	f := n.fleet
 	at := n.agent.NextHeartbeat()
 	if u := n.agent.LeaseExpiry(); n.serves && u > now {
 		at = min(at, u)
 	}
 	at = max(at, now+1)
 	wait := (float64(at-now) + 0.01) / n.clockRate
-	if n.nextRound > w.Now && n.nextRound <= w.Now+wait {
+	if n.nextRound > f.Now && n.nextRound <= f.Now+wait {
 		return
 	}
-	n.nextRound = w.Now + wait
+	n.nextRound = f.Now + wait
 	incarnation := n.incarnation
-	w.after(wait, func() {
+	f.after(wait, func() {
 		if n.incarnation != incarnation {
 			return
 		}
@@ -175,14 +175,14 @@
 
 // send sends a heartbeat to the agent's control address; the heartbeat or its response may be lost.
 func (n *node) send(request api.HeartbeatRequest, number uint64) {
-	w := n.fleet
+	f := n.fleet
 	x := &heartbeatExchange{node: n, incarnation: n.incarnation, heartbeatNumber: number, request: request}
 	fmt.Sscan(n.agent.ControlAddress(), &x.instance)
-	if !w.Calm {
+	if !f.Calm {
 		x.lossPercent = 3
 	}
 	if !x.lost() {
-		w.after(0.3+w.random.ExpFloat64()*3, x.arrive)
+		f.after(0.3+f.random.ExpFloat64()*3, x.arrive)
 	}
 }
 
@@ -192,46 +192,46 @@
 
 // arrive has the instance answer, by its leader where it isn't the leader itself.
 func (x *heartbeatExchange) arrive() {
-	w := x.node.fleet
-	if t, answers := w.formerLeaderResponse(x.node, x.instance, &x.request); answers {
-		x.respond(t, nil)
+	f := x.node.fleet
+	if response, ok := f.formerLeaderResponse(x.node, x.instance, &x.request); ok {
+		x.respond(response, nil)
 		return
 	}
-	if w.collectingRecords {
-		w.collectRecord(x.node)
+	if f.collectingRecords {
+		f.collectRecord(x.node)
 	}
-	if !w.instances[x.instance].up || w.leader < 0 || !w.instances[w.leader].up {
+	if !f.instances[x.instance].up || f.leader < 0 || !f.instances[f.leader].up {
 		x.respond(api.HeartbeatResponse{}, coordinator.ErrNotLeader)
 		return
 	}
-	leader := w.leader
-	heartbeat := func() { w.instances[leader].coordinator.Heartbeat(w.state, x.request, x.respond) }
+	leader := f.leader
+	heartbeat := func() { f.instances[leader].coordinator.Heartbeat(f.state, x.request, x.respond) }
 	if leader == x.instance {
 		heartbeat()
 		return
 	}
-	w.after(0.3+w.random.ExpFloat64(), heartbeat)
+	f.after(0.3+f.random.ExpFloat64(), heartbeat)
 }
 
 // respond sends a response back, now and then one of long ago in its place.
 func (x *heartbeatExchange) respond(t api.HeartbeatResponse, err error) {
-	w := x.node.fleet
-	if err == nil && t.LeaseID != 0 && t.LeaseMS == 0 && !w.Calm {
-		t = w.staleOr(t)
+	f := x.node.fleet
+	if err == nil && t.LeaseID != 0 && t.LeaseMS == 0 && !f.Calm {
+		t = f.staleOr(t)
 	}
 	if !x.lost() {
-		w.after(0.3+w.random.ExpFloat64()*3, func() { x.receive(t, err) })
+		f.after(0.3+f.random.ExpFloat64()*3, func() { x.receive(t, err) })
 	}
 }
 
 // staleOr keeps a response to be given again later, and gives it or an earlier one.
-func (w *Fleet) staleOr(t api.HeartbeatResponse) api.HeartbeatResponse {
-	if len(w.staleResponses) < maxStaleResponses || w.random.Intn(8) == 0 {
-		w.staleResponses = append(w.staleResponses, t)
-		w.staleResponses = w.staleResponses[max(0, len(w.staleResponses)-maxStaleResponses):]
+func (f *Fleet) staleOr(t api.HeartbeatResponse) api.HeartbeatResponse {
+	if len(f.staleResponses) < maxStaleResponses || f.random.Intn(8) == 0 {
+		f.staleResponses = append(f.staleResponses, t)
+		f.staleResponses = f.staleResponses[max(0, len(f.staleResponses)-maxStaleResponses):]
 	}
-	if w.random.Intn(60) == 0 {
-		return w.staleResponses[w.random.Intn(len(w.staleResponses))]
+	if f.random.Intn(60) == 0 {
+		return f.staleResponses[f.random.Intn(len(f.staleResponses))]
 	}
 	return t
 }
--- a/internal/simulation/fleet_operator.go
+++ b/internal/simulation/fleet_operator.go
@@ -7,48 +7,48 @@
 )
 
 // proposeChange proposes a version, as an operator would: retried under one idempotency key until there is a response.
-func (w *Fleet) proposeChange(excl bool, spare int) {
-	if w.leader < 0 || w.state.Policy.Current != nil {
-		w.after(200, func() { w.proposeChange(excl, spare) })
+func (f *Fleet) proposeChange(exclusive bool, maxLeftBehind int) {
+	if f.leader < 0 || f.state.Policy.Current != nil {
+		f.after(200, func() { f.proposeChange(exclusive, maxLeftBehind) })
 		return
 	}
-	v := w.addVersion()
-	w.failsTrial[w.versionHashes[v-1]] = v > 2 && !w.Calm && w.random.Intn(12) == 0
-	w.submitPolicy(policy.Op{Kind: policy.OpPropose, Proposal: &policy.Proposal{Version: v, Exclusive: excl,
-		PrepareWithinMS: 2*uint64(w.Lease) + 4000, MaxLeftBehind: spare, Author: "lab",
+	v := f.addVersion()
+	f.failsTrial[f.versionHashes[v-1]] = v > 2 && !f.Calm && f.random.Intn(12) == 0
+	f.submitPolicy(policy.Op{Kind: policy.OpPropose, Proposal: &policy.Proposal{Version: v, Exclusive: exclusive,
+		PrepareWithinMS: 2*uint64(f.Lease) + 4000, MaxLeftBehind: maxLeftBehind, Author: "lab",
 		IdempotencyKey: fmt.Sprintf("change-%08d", v)}})
 }
 
-func (w *Fleet) submitPolicy(op policy.Op) {
-	answered := false
-	if w.leader >= 0 && w.instances[w.leader].up {
-		w.instances[w.leader].coordinator.SubmitPolicy(op, func(r policy.Result, err error) {
-			if answered || err != nil {
+func (f *Fleet) submitPolicy(op policy.Op) {
+	done := false
+	if f.leader >= 0 && f.instances[f.leader].up {
+		f.instances[f.leader].coordinator.SubmitPolicy(op, func(r policy.Result, err error) {
+			if done || err != nil {
 				return
 			}
-			answered = true
+			done = true
 			if r.Rejection != "" {
 				// Another change came first: propose a later version, as this one may be older than it.
-				w.proposeChange(op.Proposal.Exclusive, op.Proposal.MaxLeftBehind)
+				f.proposeChange(op.Proposal.Exclusive, op.Proposal.MaxLeftBehind)
 				return
 			}
-			w.acceptedChanges++
-			if op.Proposal.Version > 2 && !w.Calm && w.random.Intn(3) == 0 { // an operator who thinks better of it
-				w.after(w.random.Float64()*3000, func() { w.abortChange(r.ChangeNumber) })
+			f.acceptedChanges++
+			if op.Proposal.Version > 2 && !f.Calm && f.random.Intn(3) == 0 { // an operator who thinks better of it
+				f.after(f.random.Float64()*3000, func() { f.abortChange(r.ChangeNumber) })
 			}
 		})
 	}
-	w.after(3000, func() {
-		if !answered {
-			answered = true
-			w.submitPolicy(op)
+	f.after(3000, func() {
+		if !done {
+			done = true
+			f.submitPolicy(op)
 		}
 	})
 }
 
-func (w *Fleet) abortChange(number uint64) {
-	if w.leader >= 0 && w.instances[w.leader].up {
+func (f *Fleet) abortChange(number uint64) {
+	if f.leader >= 0 && f.instances[f.leader].up {
 		op := policy.Op{Kind: policy.OpAbort, ChangeNumber: number, Author: "lab", Reason: "it is called off"}
-		w.instances[w.leader].coordinator.SubmitPolicy(op, func(policy.Result, error) {})
+		f.instances[f.leader].coordinator.SubmitPolicy(op, func(policy.Result, error) {})
 	}
 }
--- a/internal/simulation/fleet_state_loss.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -48,68 +48,68 @@
 const saveIntervalMS, maxSavedStates = 700, 24
 
 // scheduleStateLosses has the folders copied, and state lost, now and then.
-func (w *Fleet) scheduleStateLosses() {
-	if w.StateLosses == 0 {
+func (f *Fleet) scheduleStateLosses() {
+	if f.StateLosses == 0 {
 		return
 	}
-	w.saveState()
-	w.checkEpochs()
-	w.scheduleZoneDrills()
-	for range w.StateLosses {
-		w.after(2000+w.random.Float64()*float64(w.Span), w.loseState)
+	f.saveState()
+	f.checkEpochs()
+	f.scheduleZoneDrills()
+	for range f.StateLosses {
+		f.after(2000+f.random.Float64()*float64(f.Span), f.loseState)
 	}
 }
 
 // saveState copies the folders now and then.
-func (w *Fleet) saveState() {
-	w.after(saveIntervalMS, w.saveState)
-	if w.stopped || w.state.Fleet.LostState != "" {
+func (f *Fleet) saveState() {
+	f.after(saveIntervalMS, f.saveState)
+	if f.stopped || f.state.Fleet.LostState != "" {
 		return
 	}
-	raw, err := w.state.Snapshot()
+	raw, err := f.state.Snapshot()
 	if err != nil {
-		w.fail("%v", err)
+		f.fail("%v", err)
 		return
 	}
-	w.savedStates = append(w.savedStates, savedState{snapshot: raw, texts: slices.Clone(w.versionTexts), hashes: slices.Clone(w.versionHashes),
-		index: w.index, term: w.term, changeSteps: maps.Clone(w.changeSteps), historyLength: len(w.History)})
-	w.savedStates = w.savedStates[max(0, len(w.savedStates)-maxSavedStates):]
+	f.savedStates = append(f.savedStates, savedState{snapshot: raw, texts: slices.Clone(f.versionTexts), hashes: slices.Clone(f.versionHashes),
+		index: f.index, term: f.term, changeSteps: maps.Clone(f.changeSteps), historyLength: len(f.History)})
+	f.savedStates = f.savedStates[max(0, len(f.savedStates)-maxSavedStates):]
 }
 
 // loseState has all instances end, and what is left of their folders is an older copy, or nothing.
-func (w *Fleet) loseState() {
-	if w.stopped || w.state.Fleet.LostState != "" || len(w.savedStates) == 0 || w.state.Policy.CommittedVersion < 2 {
+func (f *Fleet) loseState() {
+	if f.stopped || f.state.Fleet.LostState != "" || len(f.savedStates) == 0 || f.state.Policy.CommittedVersion < 2 {
 		return
 	}
 	// What one node alone knows more is no proof, as it may lie: that is a limit of the design, and not played.
-	at := w.random.Intn(len(w.savedStates))
-	for at > 0 && w.nodesAhead(w.savedStates[at].index) == 1 {
+	at := f.random.Intn(len(f.savedStates))
+	for at > 0 && f.nodesAhead(f.savedStates[at].index) == 1 {
 		at--
 	}
-	s := w.savedStates[at]
-	if w.nodesAhead(s.index) == 1 {
+	saved := f.savedStates[at]
+	if f.nodesAhead(saved.index) == 1 {
 		return
 	}
-	w.stopInstances()
-	w.Losses++
-	if w.random.Intn(3) == 0 {
-		w.after(500+w.random.Float64()*2000, func() { w.restoreGroup(w.random.Intn(2) == 0) })
+	f.stopInstances()
+	f.Losses++
+	if f.random.Intn(3) == 0 {
+		f.after(500+f.random.Float64()*2000, func() { f.restoreGroup(f.random.Intn(2) == 0) })
 		return
 	}
-	w.after(200+w.random.Float64()*3000, func() {
-		if err := w.restoreState(s); err != nil {
-			w.fail("%v", err)
+	f.after(200+f.random.Float64()*3000, func() {
+		if err := f.restoreState(saved); err != nil {
+			f.fail("%v", err)
 			return
 		}
-		w.stopped = false
-		w.startInstances()
+		f.stopped = false
+		f.startInstances()
 	})
 }
 
 // nodesAhead counts the nodes that were notified of entries after one.
-func (w *Fleet) nodesAhead(index uint64) (n int) {
-	for _, o := range w.nodes {
-		if o.agent != nil && o.agent.LastSeen().Group == w.groupID && o.agent.LastSeen().Index > index {
+func (f *Fleet) nodesAhead(index uint64) (n int) {
+	for _, o := range f.nodes {
+		if o.agent != nil && o.agent.LastSeen().Group == f.groupID && o.agent.LastSeen().Index > index {
 			n++
 		}
 	}
@@ -117,145 +117,145 @@
 }
 
 // scheduleRestoreOnLoss has an operator restore a group that found that it lost state.
-func (w *Fleet) scheduleRestoreOnLoss() {
-	if w.state.Fleet.LostState == "" || w.restoreScheduled {
+func (f *Fleet) scheduleRestoreOnLoss() {
+	if f.state.Fleet.LostState == "" || f.restoreScheduled {
 		return
 	}
-	w.restoreScheduled = true
-	w.DetectedLosses++
-	w.after(1000+w.random.Float64()*5000, func() { w.restoreGroup(w.random.Intn(4) > 0) })
+	f.restoreScheduled = true
+	f.DetectedLosses++
+	f.after(1000+f.random.Float64()*5000, func() { f.restoreGroup(f.random.Intn(4) > 0) })
 }
 
 // stopInstances has no instance run any more.
-func (w *Fleet) stopInstances() {
-	w.stopped, w.leader = true, -1
-	for _, c := range w.instances {
+func (f *Fleet) stopInstances() {
+	f.stopped, f.leader = true, -1
+	for _, c := range f.instances {
 		c.up = false
 	}
 }
 
 // startInstances starts all instances.
-func (w *Fleet) startInstances() {
-	for _, c := range w.instances {
-		w.startInstance(c)
+func (f *Fleet) startInstances() {
+	for _, c := range f.instances {
+		f.startInstance(c)
 	}
-	w.after(100+w.random.Float64()*900, w.elect)
+	f.after(100+f.random.Float64()*900, f.elect)
 }
 
 // restoreState puts a copy of the folders in place of what they held.
-func (w *Fleet) restoreState(s savedState) error {
-	p := coordinator.NewState(w.Without)
-	p.DisabledZoneGuards = w.WithoutZones
-	if err := p.Restore(s.snapshot); err != nil {
+func (f *Fleet) restoreState(saved savedState) error {
+	state := coordinator.NewState(f.Without)
+	state.DisabledZoneGuards = f.WithoutZones
+	if err := state.Restore(saved.snapshot); err != nil {
 		return err
 	}
-	w.dropUnseenDecisions(p.Policy.DecidedVersion, s.historyLength)
-	w.state, w.index, w.term, w.changeSteps = p, s.index, s.term, s.changeSteps
-	w.versionTexts, w.versionHashes = slices.Clone(s.texts), slices.Clone(s.hashes)
+	f.dropUnseenDecisions(state.Policy.DecidedVersion, saved.historyLength)
+	f.state, f.index, f.term, f.changeSteps = state, saved.index, saved.term, saved.changeSteps
+	f.versionTexts, f.versionHashes = slices.Clone(saved.texts), slices.Clone(saved.hashes)
 	return nil
 }
 
 // dropUnseenDecisions takes what the group decided after a copy and told nobody off the history: nobody can know of it.
-func (w *Fleet) dropUnseenDecisions(need uint64, events int) {
+func (f *Fleet) dropUnseenDecisions(minVersion uint64, events int) {
 	notified := uint64(0)
-	for _, n := range w.nodes {
+	for _, n := range f.nodes {
 		if n.agent != nil {
 			notified = max(notified, n.agent.MinVersion(), n.storedRecord.MinVersion)
 		}
 	}
-	kept := w.History[:min(events, len(w.History))]
-	for _, e := range w.History[len(kept):] {
-		if group := e.Kind != "serves" && e.Kind != "stops"; group && e.Version > max(notified, need) {
+	history := f.History[:min(events, len(f.History))]
+	for _, e := range f.History[len(history):] {
+		if group := e.Kind != "serves" && e.Kind != "stops"; group && e.Version > max(notified, minVersion) {
 			continue
 		}
-		kept = append(kept, e)
+		history = append(history, e)
 	}
-	w.History = kept
+	f.History = history
 }
 
 // storeRecord keeps on a node's disk what its record has.
 func (n *node) storeRecord() {
-	t := n.agent.LastSeen()
+	position := n.agent.LastSeen()
 	r := &n.storedRecord
 	r.MinVersion, r.Cluster, r.ZoneOrder = n.agent.MinVersion(), n.agent.Cluster(), n.agent.StoredZoneOrder()
-	r.Generation, r.Term, r.Index, r.EntryChecksum = t.Generation, t.Term, t.Index, t.EntryChecksum
+	r.Generation, r.Term, r.Index, r.EntryChecksum = position.Generation, position.Term, position.Index, position.EntryChecksum
 }
 
 // handleResponse gives a node an answer, and holds it to its generation.
-func (n *node) handleResponse(no uint64, t api.HeartbeatResponse) bool {
-	was := n.agent.LastSeen().Generation
-	if n.agent.HandleResponse(n.clock(), no, t) != nil {
+func (n *node) handleResponse(number uint64, response api.HeartbeatResponse) bool {
+	previous := n.agent.LastSeen().Generation
+	if n.agent.HandleResponse(n.clock(), number, response) != nil {
 		return false
 	}
-	if now := n.agent.LastSeen().Generation; now < was || t.Cluster != "" && max(1, t.Generation) < was {
-		n.fleet.fail("%s follows generation %d, and knew of %d", n.name, t.Generation, was)
+	if current := n.agent.LastSeen().Generation; current < previous || response.Cluster != "" && max(1, response.Generation) < previous {
+		n.fleet.fail("%s follows generation %d, and knew of %d", n.name, response.Generation, previous)
 	}
 	return true
 }
 
 // formerLeaderResponse is the response of a former generation's leader, which was paused meanwhile and answers
 // nodes at one of the addresses as before.
-func (w *Fleet) formerLeaderResponse(n *node, to int, a *api.HeartbeatRequest) (t api.HeartbeatResponse, answers bool) {
-	if len(w.formerResponses) == 0 || w.Calm || to != 0 || w.random.Intn(4) != 0 {
-		return t, false
+func (f *Fleet) formerLeaderResponse(n *node, to int, request *api.HeartbeatRequest) (response api.HeartbeatResponse, ok bool) {
+	if len(f.formerResponses) == 0 || f.Calm || to != 0 || f.random.Intn(4) != 0 {
+		return response, false
 	}
-	t = w.formerResponses[w.random.Intn(len(w.formerResponses))]
-	if t.Generation >= n.agent.LastSeen().Generation {
+	response = f.formerResponses[f.random.Intn(len(f.formerResponses))]
+	if response.Generation >= n.agent.LastSeen().Generation {
 		// A node that was not notified of a later generation may follow this one: a restored group waits for old
 		// leases.
-		return t, false
+		return response, false
 	}
-	t.LeaseID, t.LeaseMS, t.Index = a.LeaseID, uint64(w.Lease), t.Index+uint64(w.random.Intn(5000))
-	return t, true
+	response.LeaseID, response.LeaseMS, response.Index = request.LeaseID, uint64(f.Lease), response.Index+uint64(f.random.Intn(5000))
+	return response, true
 }
 
 // restoreGroup begins the next generation from the records that nodes send within some seconds, and from the
 // folders as they are, where the operator has them.
-func (w *Fleet) restoreGroup(folders bool) {
-	w.stopInstances()
-	w.collectingRecords, w.nodeRecords = true, map[string]api.NodeRecord{}
-	w.after(7000, func() {
-		w.collectingRecords = false
-		var all []api.NodeRecord
-		for _, n := range w.nodes {
-			if k, ok := w.nodeRecords[n.name]; ok {
-				all = append(all, k)
+func (f *Fleet) restoreGroup(haveState bool) {
+	f.stopInstances()
+	f.collectingRecords, f.nodeRecords = true, map[string]api.NodeRecord{}
+	f.after(7000, func() {
+		f.collectingRecords = false
+		var records []api.NodeRecord
+		for _, n := range f.nodes {
+			if record, ok := f.nodeRecords[n.name]; ok {
+				records = append(records, record)
 			}
 		}
 		var base *recovery.StoredGroup
-		p := coordinator.NewState(w.Without)
-		p.DisabledZoneGuards = w.WithoutZones
-		if folders {
-			p = w.state
-			base = w.storedGroup(p)
+		state := coordinator.NewState(f.Without)
+		state.DisabledZoneGuards = f.WithoutZones
+		if haveState {
+			state = f.state
+			base = f.storedGroup(state)
 		}
-		found := recovery.PlanRestore(all, base, "")
+		plan := recovery.PlanRestore(records, base, "")
 		conflict := uint64(0)
-		if n, _ := fmt.Sscanf(found.Conflict, "version %d goes by", &conflict); n == 1 {
-			found = recovery.PlanRestore(all, base, w.decidedHashes[conflict]) // as the operator has noted it
+		if n, _ := fmt.Sscanf(plan.Conflict, "version %d goes by", &conflict); n == 1 {
+			plan = recovery.PlanRestore(records, base, f.decidedHashes[conflict]) // as the operator has noted it
 		}
-		if found.Conflict != "" || !folders && found.Version == 0 || len(all) < len(w.nodes) {
+		if plan.Conflict != "" || !haveState && plan.Version == 0 || len(records) < len(f.nodes) {
 			// The record of some node that may serve is missing: collect once more.
-			w.after(3000, func() { w.restoreGroup(folders) })
+			f.after(3000, func() { f.restoreGroup(haveState) })
 			return
 		}
-		w.beginGeneration(p, found, folders)
+		f.beginGeneration(state, plan, haveState)
 	})
 }
 
 // storedGroup is what the group's folders tell of it.
-func (w *Fleet) storedGroup(p *coordinator.State) *recovery.StoredGroup {
+func (f *Fleet) storedGroup(state *coordinator.State) *recovery.StoredGroup {
 	stored := &recovery.StoredGroup{
-		GroupIdentity:    api.GroupIdentity{Group: w.groupID, Generation: p.Generation, Predecessors: p.Predecessors},
-		LastVersion:      w.Last(),
-		DecidedVersion:   p.Policy.DecidedVersion,
-		CommittedVersion: p.Policy.CommittedVersion,
-		Index:            p.Index,
-		ZoneEpoch:        p.Zones.Epoch,
-		TextOf:           w.Text,
-		LeaseMS:          p.Policy.ActiveRules().LeaseMS,
-	}
-	for _, n := range p.Fleet.Nodes() {
+		GroupIdentity:    api.GroupIdentity{Group: f.groupID, Generation: state.Generation, Predecessors: state.Predecessors},
+		LastVersion:      f.Last(),
+		DecidedVersion:   state.Policy.DecidedVersion,
+		CommittedVersion: state.Policy.CommittedVersion,
+		Index:            state.Index,
+		ZoneEpoch:        state.Zones.Epoch,
+		TextOf:           f.Text,
+		LeaseMS:          state.Policy.ActiveRules().LeaseMS,
+	}
+	for _, n := range state.Fleet.Nodes() {
 		if n.OutReason == "" {
 			stored.Nodes = append(stored.Nodes, n.Name)
 		}
@@ -264,92 +264,92 @@
 }
 
 // beginGeneration makes what was found the first state of the next generation.
-func (w *Fleet) beginGeneration(p *coordinator.State, found *recovery.RestorePlan, folders bool) {
-	w.formerResponses = append(w.formerResponses, api.HeartbeatResponse{
-		Cluster:          w.groupID,
-		Generation:       max(1, found.Lost.Generation),
-		Predecessors:     w.state.Predecessors,
-		Term:             w.term + 1,
-		Index:            w.index,
-		DecidedVersion:   w.state.Policy.DecidedVersion,
-		CommittedVersion: api.VersionHash{Version: w.state.Policy.CommittedVersion, Hash: w.state.Policy.CommittedHash},
-		ClockMS:          w.state.Fleet.ClockMS,
+func (f *Fleet) beginGeneration(state *coordinator.State, plan *recovery.RestorePlan, haveState bool) {
+	f.formerResponses = append(f.formerResponses, api.HeartbeatResponse{
+		Cluster:          f.groupID,
+		Generation:       max(1, plan.Lost.Generation),
+		Predecessors:     f.state.Predecessors,
+		Term:             f.term + 1,
+		Index:            f.index,
+		DecidedVersion:   f.state.Policy.DecidedVersion,
+		CommittedVersion: api.VersionHash{Version: f.state.Policy.CommittedVersion, Hash: f.state.Policy.CommittedHash},
+		ClockMS:          f.state.Fleet.ClockMS,
 	})
-	if !folders {
-		w.versionTexts, w.versionHashes, w.index, w.term = nil, nil, 1, 1
+	if !haveState {
+		f.versionTexts, f.versionHashes, f.index, f.term = nil, nil, 1, 1
 	}
-	if found.Version > 0 {
-		if _, hash, ok := w.Text(found.Version); !ok || hash != found.Hash {
-			for uint64(len(w.versionTexts)) < found.Version {
-				w.versionTexts, w.versionHashes = append(w.versionTexts, ""), append(w.versionHashes, "")
+	if plan.Version > 0 {
+		if _, hash, ok := f.Text(plan.Version); !ok || hash != plan.Hash {
+			for uint64(len(f.versionTexts)) < plan.Version {
+				f.versionTexts, f.versionHashes = append(f.versionTexts, ""), append(f.versionHashes, "")
 			}
-			w.versionTexts, w.versionHashes = w.versionTexts[:found.Version], w.versionHashes[:found.Version]
-			w.versionTexts[found.Version-1], w.versionHashes[found.Version-1] = found.Text, found.Hash
+			f.versionTexts, f.versionHashes = f.versionTexts[:plan.Version], f.versionHashes[:plan.Version]
+			f.versionTexts[plan.Version-1], f.versionHashes[plan.Version-1] = plan.Text, plan.Hash
 		}
 	}
-	w.dropUnseenDecisions(found.Version, 0)
-	if err := p.BeginGeneration(found, w); err != nil {
-		w.fail("%v", err)
+	f.dropUnseenDecisions(plan.Version, 0)
+	if err := state.BeginGeneration(plan, f); err != nil {
+		f.fail("%v", err)
 		return
 	}
-	w.state, w.generationStartEpoch = p, p.Zones.Epoch
-	w.groupID = fmt.Sprintf("g%d-%d", p.Generation, w.Losses)
-	w.changeSteps = map[uint64]policy.Step{}
-	for _, c := range p.Policy.History {
-		w.changeSteps[c.Number] = c.Step
+	f.state, f.generationStartEpoch = state, state.Zones.Epoch
+	f.groupID = fmt.Sprintf("g%d-%d", state.Generation, f.Losses)
+	f.changeSteps = map[uint64]policy.Step{}
+	for _, c := range state.Policy.History {
+		f.changeSteps[c.Number] = c.Step
 	}
-	w.recordRestore(found)
-	w.savedStates, w.restoreScheduled, w.stopped = nil, false, false
-	w.Restorations++
-	w.startInstances()
+	f.recordRestore(plan)
+	f.savedStates, f.restoreScheduled, f.stopped = nil, false, false
+	f.Restorations++
+	f.startInstances()
 }
 
 // recordRestore records what a restoring decided: the version in force, if it was not before.
-func (w *Fleet) recordRestore(found *recovery.RestorePlan) {
-	for _, e := range w.History {
-		if e.Kind == "decided" && e.Version == found.Version {
+func (f *Fleet) recordRestore(plan *recovery.RestorePlan) {
+	for _, e := range f.History {
+		if e.Kind == "decided" && e.Version == plan.Version {
 			return
 		}
 	}
-	if v := found.Version; v > 0 && found.Hash != "" {
-		w.recordEvent(FleetEvent{Kind: "decided", Version: v, From: found.SourceVersion})
-		w.recordEvent(FleetEvent{Kind: "forced", Version: v})
+	if v := plan.Version; v > 0 && plan.Hash != "" {
+		f.recordEvent(FleetEvent{Kind: "decided", Version: v, From: plan.SourceVersion})
+		f.recordEvent(FleetEvent{Kind: "forced", Version: v})
 	}
 }
 
 // collectRecord has whoever restores the group hear what a node holds.
-func (w *Fleet) collectRecord(n *node) {
+func (f *Fleet) collectRecord(n *node) {
 	if !n.up || n.partitioned {
 		return
 	}
 	n.storeRecord()
 	r := n.storedRecord
-	k := api.NodeRecord{
+	record := api.NodeRecord{
 		Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name,
 		Group: r.Cluster, Generation: max(1, r.Generation), Term: r.Term, Index: r.Index,
 		ActiveVersion: n.agent.ActiveVersion(), MinVersion: r.MinVersion, LeaseMS: n.agent.LeaseDuration(),
 	}
-	if k.ActiveVersion > 0 {
-		k.ActiveHash, k.ActiveText = r.ActiveHash, w.textByHash[r.ActiveHash]
+	if record.ActiveVersion > 0 {
+		record.ActiveHash, record.ActiveText = r.ActiveHash, f.textByHash[r.ActiveHash]
 	}
-	if v := n.lastPrepared.Version; v > k.ActiveVersion && n.agent.IsPrepared(v) {
-		k.PreparedVersion, k.PreparedHash, k.PreparedText = v, n.lastPrepared.Hash, w.textByHash[n.lastPrepared.Hash]
+	if v := n.lastPrepared.Version; v > record.ActiveVersion && n.agent.IsPrepared(v) {
+		record.PreparedVersion, record.PreparedHash, record.PreparedText = v, n.lastPrepared.Hash, f.textByHash[n.lastPrepared.Hash]
 	}
 	if z := r.ZoneOrder; z != nil {
-		k.ZoneEpoch, k.ZoneShare = z.Epoch, z.Share
+		record.ZoneEpoch, record.ZoneShare = z.Epoch, z.Share
 	}
-	w.nodeRecords[n.name] = k
+	f.nodeRecords[n.name] = record
 }
 
 // checkEpochs holds every node that serves to the group's generation and epoch: once an epoch of the present
 // generation has settled, nobody acts on a former generation, nor on an older epoch of this one.
-func (w *Fleet) checkEpochs() {
-	w.after(50, w.checkEpochs)
-	settled, generation := w.state.Zones.SettledEpoch, w.state.Generation
-	if w.stopped || w.state.Fleet.LostState != "" || settled <= w.generationStartEpoch {
+func (f *Fleet) checkEpochs() {
+	f.after(50, f.checkEpochs)
+	settled, generation := f.state.Zones.SettledEpoch, f.state.Generation
+	if f.stopped || f.state.Fleet.LostState != "" || settled <= f.generationStartEpoch {
 		return
 	}
-	for _, n := range w.nodes {
+	for _, n := range f.nodes {
 		if !n.up || n.paused || !n.serves {
 			continue
 		}
@@ -359,26 +359,26 @@
 		o, gen := n.agent.ZoneOrder(), n.agent.LastSeen().Generation
 		switch {
 		case gen < generation:
-			w.fail("%s serves by generation %d, and epoch %d of %d has settled", n.name, gen, settled, generation)
+			f.fail("%s serves by generation %d, and epoch %d of %d has settled", n.name, gen, settled, generation)
 		case gen == generation && o != nil && n.agent.StoredZoneOrder().Epoch == o.Epoch && o.Epoch < settled:
-			w.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, settled)
+			f.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, settled)
 		}
 	}
 }
 
 // scheduleZoneDrills has an operator leave and return a zone now and then, so that there are epochs to be stale about.
-func (w *Fleet) scheduleZoneDrills() {
-	w.after(1500+w.random.Float64()*3000, w.scheduleZoneDrills)
-	if w.leader < 0 || !w.instances[w.leader].up || w.state.Fleet.LostState != "" {
+func (f *Fleet) scheduleZoneDrills() {
+	f.after(1500+f.random.Float64()*3000, f.scheduleZoneDrills)
+	if f.leader < 0 || !f.instances[f.leader].up || f.state.Fleet.LostState != "" {
 		return
 	}
-	zone := fmt.Sprint("z", w.random.Intn(w.Zones))
+	zone := fmt.Sprint("z", f.random.Intn(f.Zones))
 	op := zones.Op{Kind: zones.OpEvacuate, Zone: zone, Operator: "lab", Reason: "a drill",
-		IdempotencyKey: fmt.Sprintf("drill-%08.0f", w.Now)}
-	if step, _ := w.state.Zones.PhaseOf(zone); step != zones.InService {
-		op.Kind, op.Share = "step", 1+w.random.Intn(api.FullShare)
+		IdempotencyKey: fmt.Sprintf("drill-%08.0f", f.Now)}
+	if step, _ := f.state.Zones.PhaseOf(zone); step != zones.InService {
+		op.Kind, op.Share = "step", 1+f.random.Intn(api.FullShare)
 	}
-	w.instances[w.leader].coordinator.SubmitZone(w.state, op, func(zones.Result, error) {})
+	f.instances[f.leader].coordinator.SubmitZone(f.state, op, func(zones.Result, error) {})
 }
 
 // DrawStateLoss draws a schedule in which a group loses state.
--- a/internal/simulation/fleet_state_loss_test.go
+++ b/internal/simulation/fleet_state_loss_test.go
@@ -16,12 +16,12 @@
 	n := scheduleCount(t, 60)
 	lost, found, restored, bad := 0, 0, 0, 0
 	report.EachSeed(context.Background(), 1, n, func(seed int64) *Fleet {
-		w := NewFleet(DrawStateLoss(seed, 0))
-		w.Play()
-		return w
-	}, func(seed int64, w *Fleet) bool {
-		if lost, found, restored = lost+w.Losses, found+w.DetectedLosses, restored+w.Restorations; w.Broken != "" {
-			t.Errorf("seed %d, %d losses, %d restorings: %s", seed, w.Losses, w.Restorations, w.Broken)
+		f := NewFleet(DrawStateLoss(seed, 0))
+		f.Play()
+		return f
+	}, func(seed int64, f *Fleet) bool {
+		if lost, found, restored = lost+f.Losses, found+f.DetectedLosses, restored+f.Restorations; f.Broken != "" {
+			t.Errorf("seed %d, %d losses, %d restorings: %s", seed, f.Losses, f.Restorations, f.Broken)
 			bad++
 		}
 		return bad > 8
@@ -39,9 +39,9 @@
 	for _, g := range []policy.Guard{policy.Generation, policy.Proof, policy.ListenFirst} {
 		broken := ""
 		for seed := int64(1); seed <= 100 && broken == ""; seed++ {
-			w := NewFleet(DrawStateLoss(seed, g))
-			w.Play()
-			broken = w.Broken
+			f := NewFleet(DrawStateLoss(seed, g))
+			f.Play()
+			broken = f.Broken
 		}
 		if broken == "" {
 			t.Errorf("without guard %b no promise broke", g)
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -16,12 +16,12 @@
 	n := scheduleCount(t, 60)
 	ends := map[policy.Step]int{}
 	for seed := 1; seed <= n; seed++ {
-		w := NewFleet(FleetPlan{Seed: int64(seed), Nodes: 12, Ctl: 3, Changes: 5})
-		w.Play()
-		if w.Broken != "" {
-			t.Fatalf("seed %d: %s", seed, w.Broken)
+		f := NewFleet(FleetPlan{Seed: int64(seed), Nodes: 12, Ctl: 3, Changes: 5})
+		f.Play()
+		if f.Broken != "" {
+			t.Fatalf("seed %d: %s", seed, f.Broken)
 		}
-		for k, v := range w.Ends {
+		for k, v := range f.Ends {
 			ends[k] += v
 		}
 	}
@@ -41,9 +41,9 @@
 		}
 		broken := ""
 		for seed := int64(1); seed <= 500 && broken == ""; seed++ {
-			w := NewFleet(FleetPlan{Seed: seed, Nodes: 12, Ctl: 3, Changes: 5, Without: g})
-			w.Play()
-			broken = w.Broken
+			f := NewFleet(FleetPlan{Seed: seed, Nodes: 12, Ctl: 3, Changes: 5, Without: g})
+			f.Play()
+			broken = f.Broken
 		}
 		if broken == "" {
 			t.Errorf("without %s no promise broke", name)
--- a/internal/simulation/pool_scenario_text.go
+++ b/internal/simulation/pool_scenario_text.go
@@ -125,12 +125,12 @@
 }
 
 func (l *scenarioLine) readClass() {
-	name, given := l.word(1, "a class is missing"), l.keyValues(2)
-	get := func(key string, otherwise float64) float64 {
-		if v, ok := given[key]; ok {
+	name, values := l.word(1, "a class is missing"), l.keyValues(2)
+	get := func(key string, fallback float64) float64 {
+		if v, ok := values[key]; ok {
 			return v
 		}
-		return otherwise
+		return fallback
 	}
 	const perMillisecond = float64(second) / 1000
 	l.scenario.Classes = append(l.scenario.Classes, Class{
--- a/internal/simulation/pools.go
+++ b/internal/simulation/pools.go
@@ -45,7 +45,7 @@
 	}
 	rep.Add("seed", "%d", r.Seed)
 	rep.Add("servers", "%d", size)
-	least, requests := 1.0, 0
+	minInTime, requests := 1.0, 0
 	for i, s := range scenarios {
 		o := outcomes[i]
 		for k := range s.Classes {
@@ -54,12 +54,12 @@
 			}
 		}
 		rep.Rows = append(rep.Rows, s.tableRows(o)...)
-		r.checkScenario(rep, s, o, &least)
+		r.checkScenario(rep, s, o, &minInTime)
 		rep.Plots = append(rep.Plots, limitPlot(s, o["pools"]), servedPlot(s, o))
 	}
 	rep.Add("scenarios", "%d", len(scenarios))
 	rep.Add("reqs", "%d", requests)
-	rep.Add("cheapest_least", "%.3f", least)
+	rep.Add("cheapest_least", "%.3f", minInTime)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("%.1f s for %d reqs", time.Since(started).Seconds(), requests))
 	return rep.End(r.Out, w)
 }
@@ -112,51 +112,51 @@
 }
 
 func (r *Pools) simulateAll(ctx context.Context, all []*Scenario, size int) []map[string]*variantResult {
-	done := make([]map[string]*variantResult, len(all))
-	for i := range done {
-		done[i] = map[string]*variantResult{}
+	results := make([]map[string]*variantResult, len(all))
+	for i := range results {
+		results[i] = map[string]*variantResult{}
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	room := make(chan struct{}, runtime.GOMAXPROCS(0))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i, s := range all {
 		for _, variant := range poolVariants {
-			room <- struct{}{}
+			slots <- struct{}{}
 			wg.Add(1)
 			go func() {
-				defer func() { <-room; wg.Done() }()
+				defer func() { <-slots; wg.Done() }()
 				if ctx.Err() != nil {
 					return
 				}
 				o := s.simulate(r.Seed, size, variant, r.Without)
 				mu.Lock()
-				done[i][variant] = o
+				results[i][variant] = o
 				mu.Unlock()
 			}()
 		}
 	}
 	wg.Wait()
-	return done
+	return results
 }
 
 // checkScenario holds one scenario to the promises.
-func (r *Pools) checkScenario(rep *report.Report, s *Scenario, o map[string]*variantResult, least *float64) {
+func (r *Pools) checkScenario(rep *report.Report, s *Scenario, o map[string]*variantResult, minInTime *float64) {
 	with, off := o["pools"], o["off"]
-	cheap := &with.classes[s.Cheapest]
-	good := float64(cheap.withinQuotaInTime) / float64(max(1, cheap.withinQuota)) // of tenants within their share
+	cheapest := &with.classes[s.Cheapest]
+	inTime := float64(cheapest.withinQuotaInTime) / float64(max(1, cheapest.withinQuota)) // of tenants within their share
 	if !s.exemptCheapest {
-		*least = min(*least, good)
-		if good < minCheapestInTime {
-			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, good, s.Classes[s.Cheapest].Name,
+		*minInTime = min(*minInTime, inTime)
+		if inTime < minCheapestInTime {
+			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, inTime, s.Classes[s.Cheapest].Name,
 				minCheapestInTime)
 		}
 	}
 	if a, b := with.classes[s.Dearest].inTimeFraction(), off.classes[s.Dearest].inTimeFraction(); a < b-maxDearestLoss {
 		rep.Break("%s: %.3f of %s in time with pools, %.3f without", s.name, a, s.Classes[s.Dearest].Name, b)
 	}
-	for _, h := range s.targets {
-		if got := with.classes[h.class].inTimeFraction(); got < h.fraction {
-			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, got, s.Classes[h.class].Name, h.fraction)
+	for _, target := range s.targets {
+		if got := with.classes[target.class].inTimeFraction(); got < target.fraction {
+			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, got, s.Classes[target.class].Name, target.fraction)
 		}
 	}
 	if with.peakRuns > 5 { // what the emulated cores survive; the module keeps a fifth off it
--- a/internal/simulation/schedules_test.go
+++ b/internal/simulation/schedules_test.go
@@ -7,11 +7,11 @@
 )
 
 // scheduleCount is how many schedules a test plays: as many as UMBERWINCH_SCHEDULES says, or its own number.
-func scheduleCount(t *testing.T, otherwise int) int {
+func scheduleCount(t *testing.T, fallback int) int {
 	t.Helper()
 	text := os.Getenv("UMBERWINCH_SCHEDULES")
 	if text == "" {
-		return otherwise
+		return fallback
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 1 {
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -166,35 +166,35 @@
 // runUntil goes on to a moment.
 func (s *server) runUntil(end virtualTime) {
 	for {
-		at, what := end, -1
+		at, next := end, -1
 		for k := range s.classes {
 			if a := s.classes[k].nextArrival; a < at {
-				at, what = a, k
+				at, next = a, k
 			}
 		}
 		if len(s.runs) > 0 {
 			left := (s.runs[0].endsAt - s.servicePerRun) / s.runSpeed()
 			if a := s.now + virtualTime(math.Ceil(max(left, 0))); a < at {
-				at, what = a, -2
+				at, next = a, -2
 			}
 		}
 		if s.wakeAt >= 0 && s.wakeAt < at {
-			at, what = s.wakeAt, -3
+			at, next = s.wakeAt, -3
 		}
 		if len(s.retries) > 0 && s.retries[0].at < at {
-			at, what = s.retries[0].at, -4
+			at, next = s.retries[0].at, -4
 		}
 		s.advance(max(at, s.now))
 		switch {
-		case what >= 0:
-			s.arrive(what)
-		case what == -2:
+		case next >= 0:
+			s.arrive(next)
+		case next == -2:
 			s.endRun()
-		case what == -3:
+		case next == -3:
 			s.wakeAt = -1
 			s.decide(&admission.Round{TimerFired: true, HasGauges: true,
 				Gauges: admission.Gauges{Runnable: float64(len(s.runs) + s.hungRuns), OpenConnections: 10}})
-		case what == -4:
+		case next == -4:
 			a := s.retries.take()
 			s.sendAttempt(a.attempt)
 		default:
@@ -247,9 +247,9 @@
 	if q.answered {
 		return
 	}
-	o, took := &s.results[q.class], s.now-q.firstArrived
-	o.latencies.RecordValue(int64(took))
-	if took <= s.classes[q.class].Handler.LatencyObjective {
+	o, latency := &s.results[q.class], s.now-q.firstArrived
+	o.latencies.RecordValue(int64(latency))
+	if latency <= s.classes[q.class].Handler.LatencyObjective {
 		o.inTime++
 		if q.tenant != s.classes[q.class].surgingTenant {
 			o.withinQuotaInTime++
@@ -275,11 +275,11 @@
 	s.runs.add(run{id, s.servicePerRun + q.work})
 }
 
-func (s *server) Shed(id uint32, _ admission.Reason, last bool, comeBack admission.Time) {
+func (s *server) Shed(id uint32, _ admission.Reason, last bool, retryAfter admission.Time) {
 	q := s.requests[id]
 	delete(s.requests, id)
 	c := &s.classes[q.class]
-	wait := max(comeBack, second/5<<q.number)
+	wait := max(retryAfter, second/5<<q.number)
 	if at := s.now + wait; !last && q.number < c.maxRetries && at < q.firstArrived+c.Handler.Timeout && !s.drained {
 		n := *q
 		n.number++
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -118,16 +118,16 @@
 
 // Play plays the run: calm seconds, the fault, its end, and on until Ends; then all promises have to hold.
 func (v *Zones) Play() {
-	w := v.Fleet
-	w.after(1500, func() { w.proposeChange(false, 0) })
-	w.Changes = 1
-	w.after(2000, v.runStep)
-	w.runUntil(faultStartMS)
-	w.after(v.Fails, v.injectFault)
-	w.after(v.Heals, v.heal)
-	w.runUntil(faultStartMS + v.Ends)
-	if w.Broken != "" {
-		v.fail("%s", w.Broken)
+	f := v.Fleet
+	f.after(1500, func() { f.proposeChange(false, 0) })
+	f.Changes = 1
+	f.after(2000, v.runStep)
+	f.runUntil(faultStartMS)
+	f.after(v.Fails, v.injectFault)
+	f.after(v.Heals, v.heal)
+	f.runUntil(faultStartMS + v.Ends)
+	if f.Broken != "" {
+		v.fail("%s", f.Broken)
 	}
 	if !v.Off && !v.Own && !v.Oracle {
 		v.checkZones()
@@ -174,10 +174,10 @@
 }
 
 // allInService tells that no zone is evacuated, or none for long enough that all nodes were notified.
-func (w *Fleet) allInService() bool {
-	s := w.state.Zones
+func (f *Fleet) allInService() bool {
+	s := f.state.Zones
 	for _, z := range s.Zones {
-		if z.Phase != zones.InService && s.SettledEpoch == s.Epoch && float64(w.state.Fleet.ClockMS-z.SinceMS) > 2500 {
+		if z.Phase != zones.InService && s.SettledEpoch == s.Epoch && float64(f.state.Fleet.ClockMS-z.SinceMS) > 2500 {
 			return false
 		}
 	}
--- a/internal/simulation/zones_check.go
+++ b/internal/simulation/zones_check.go
@@ -176,14 +176,14 @@
 	fmt.Sscanf(z.Name, "z%d", &k)
 	kind, b := v.faultKind(k), v.dependencies[k]
 	cold := b.capacity < 0.85*b.warmCapacity || b.warmth < 0.99 && b.demand > b.capacity
-	right := cold
+	justified := cold
 	switch kind {
 	case ZoneDead, ZoneKernels, ZoneSlow, ZoneErrors:
-		right = true
+		justified = true
 	case ZoneCutOff:
-		right = cold || z.Cause == "cut off"
+		justified = cold || z.Cause == "cut off"
 	}
-	if v.commonCause() || !right || !v.faultActive && !cold {
+	if v.commonCause() || !justified || !v.faultActive && !cold {
 		v.Wrong++
 		v.fail("%s was left, and it is %q (bears %.0f, warm %.2f, asked %.0f): %s", z.Name, kind, b.capacity, b.warmth,
 			b.demand, z.Events[len(z.Events)-1].Text)
--- a/internal/simulation/zones_faults.go
+++ b/internal/simulation/zones_faults.go
@@ -70,12 +70,12 @@
 
 // crashLeader crashes the leader, if the plan says so, and starts it again later.
 func (v *Zones) crashLeader() {
-	w := v.Fleet
-	if !v.CrashLeader || w.leader < 0 {
+	f := v.Fleet
+	if !v.CrashLeader || f.leader < 0 {
 		return
 	}
-	c := w.instances[w.leader]
-	c.up, w.leader = false, -1
-	w.after(800, w.elect)
-	w.after(3000, func() { w.startInstance(c) })
+	c := f.instances[f.leader]
+	c.up, f.leader = false, -1
+	f.after(800, f.elect)
+	f.after(3000, func() { f.startInstance(c) })
 }
--- a/internal/simulation/zones_load_report.go
+++ b/internal/simulation/zones_load_report.go
@@ -12,10 +12,10 @@
 // loadReport is what a node tells of itself.
 func (v *Zones) loadReport(n *node) *api.LoadReport {
 	b := v.dependencies[n.zone]
-	r, w := &b.smoothedRates, v.Fleet
+	rates, f := &b.smoothedRates, v.Fleet
 	nodes := v.upNodesByZone[n.zone]
 	noisy := v.faultKind(n.zone) == ZoneNoise && v.faultActive
-	if noisy && w.random.Intn(2) == 0 {
+	if noisy && f.random.Intn(2) == 0 {
 		return nil
 	}
 	spread := 0.1
@@ -23,51 +23,51 @@
 		spread = 0.5
 	}
 	count := func(x float64) int { // of two seconds
-		x = 2 * x / max(nodes, 1) * math.Exp(spread*w.random.NormFloat64())
-		return int(x + w.random.Float64())
+		x = 2 * x / max(nodes, 1) * math.Exp(spread*f.random.NormFloat64())
+		return int(x + f.random.Float64())
 	}
 	// The order of fields is the order of random draws.
-	l := &api.LoadReport{
+	report := &api.LoadReport{
 		WindowMS:        2000,
 		KernelConnected: !(v.faultActive && v.faultKind(n.zone) == ZoneKernels),
 		Cores:           4,
-		CoresUsed:       4 * r.utilization * math.Exp(spread*0.5*w.random.NormFloat64()),
-		MeanRunMS:       r.runMS * math.Exp(spread*w.random.NormFloat64()),
-		Arrived:         count(r.arrived),
-		Retries:         count(r.retries),
-		RejectedByZone:  count(r.rejected),
-		Completed:       count(r.completed),
-		Late:            count(r.late),
-		Failed:          count(r.failed),
-		Shed:            count(r.shed),
-		RunsEnded:       count(r.runs),
-		OfferedWeight:   2 * r.offeredWeight / max(nodes, 1),
-		CompletedWeight: 2 * r.completedWeight / max(nodes, 1),
-		Calls:           count(r.runs),
-		MeanCallMS:      r.runMS * 0.8 * math.Exp(spread*w.random.NormFloat64()),
-		RunsInFlight:    int((b.queue + r.runs*r.runMS/1000) / max(nodes, 1)),
+		CoresUsed:       4 * rates.utilization * math.Exp(spread*0.5*f.random.NormFloat64()),
+		MeanRunMS:       rates.runMS * math.Exp(spread*f.random.NormFloat64()),
+		Arrived:         count(rates.arrived),
+		Retries:         count(rates.retries),
+		RejectedByZone:  count(rates.rejected),
+		Completed:       count(rates.completed),
+		Late:            count(rates.late),
+		Failed:          count(rates.failed),
+		Shed:            count(rates.shed),
+		RunsEnded:       count(rates.runs),
+		OfferedWeight:   2 * rates.offeredWeight / max(nodes, 1),
+		CompletedWeight: 2 * rates.completedWeight / max(nodes, 1),
+		Calls:           count(rates.runs),
+		MeanCallMS:      rates.runMS * 0.8 * math.Exp(spread*f.random.NormFloat64()),
+		RunsInFlight:    int((b.queue + rates.runs*rates.runMS/1000) / max(nodes, 1)),
 	}
-	if l.CoresUsed > 4 {
-		l.CoresUsed = 4
+	if report.CoresUsed > 4 {
+		report.CoresUsed = 4
 	}
 	for c := range classFractions {
-		l.ArrivedByWeight = append(l.ArrivedByWeight, api.PriorityCount{Weight: classWeights[c],
-			Arrived: count((r.arrived - r.retries) * classFractions[c])})
+		report.ArrivedByWeight = append(report.ArrivedByWeight, api.PriorityCount{Weight: classWeights[c],
+			Arrived: count((rates.arrived - rates.retries) * classFractions[c])})
 	}
 	if v.faultActive {
 		bad := v.faultKind(n.zone) == ZoneOutlierNode && n.name == v.firstNodeOf(n.zone) ||
-			v.faultKind(n.zone) == ZoneFalseReports && w.indexInZone(n)%5 < 2
+			v.faultKind(n.zone) == ZoneFalseReports && f.indexInZone(n)%5 < 2
 		if bad {
-			l.KernelConnected = false
-			l.Completed, l.Late = 0, l.Completed
+			report.KernelConnected = false
+			report.Completed, report.Late = 0, report.Completed
 		}
 	}
-	return l
+	return report
 }
 
-func (w *Fleet) indexInZone(n *node) (k int) {
-	fmt.Sscanf(n.name, "n%d", &k)
-	return k / w.Zones
+func (f *Fleet) indexInZone(n *node) (index int) {
+	fmt.Sscanf(n.name, "n%d", &index)
+	return index / f.Zones
 }
 
 func (v *Zones) firstNodeOf(zone int) string {
@@ -80,30 +80,30 @@
 }
 
 // probe is what one node sees of another.
-func (v *Zones) probe(_ *node, l api.ProbeTarget) api.PeerHealth {
-	for _, o := range v.Fleet.nodes {
-		if o.name != l.Name {
+func (v *Zones) probe(_ *node, target api.ProbeTarget) api.PeerHealth {
+	for _, peer := range v.Fleet.nodes {
+		if peer.name != target.Name {
 			continue
 		}
 		switch {
-		case !o.up:
-			return api.PeerHealth{Name: l.Name, Health: api.PeerSilent}
-		case !o.serves || o.gate.Evacuated():
-			return api.PeerHealth{Name: l.Name, Health: api.PeerShedding}
+		case !peer.up:
+			return api.PeerHealth{Name: target.Name, Health: api.PeerSilent}
+		case !peer.serves || peer.gate.Evacuated():
+			return api.PeerHealth{Name: target.Name, Health: api.PeerShedding}
 		}
-		return api.PeerHealth{Name: l.Name, Health: api.PeerServing}
+		return api.PeerHealth{Name: target.Name, Health: api.PeerServing}
 	}
-	return api.PeerHealth{Name: l.Name, Health: api.PeerSilent}
+	return api.PeerHealth{Name: target.Name, Health: api.PeerSilent}
 }
 
 // ejectUnhealthyNodes is the baseline in which each node judges for itself: sick for two seconds, it is not ready for five.
 func (v *Zones) ejectUnhealthyNodes() {
 	for i, n := range v.Fleet.nodes {
 		b, h := v.dependencies[n.zone], &v.nodeHealth[i]
-		sick := n.up && (v.faultActive && v.faultKind(n.zone) == ZoneKernels || b.smoothedRates.runMS > 3*warmRunMS+5 ||
+		unhealthy := n.up && (v.faultActive && v.faultKind(n.zone) == ZoneKernels || b.smoothedRates.runMS > 3*warmRunMS+5 ||
 			b.smoothedRates.late+b.smoothedRates.failed > 0.3*(b.smoothedRates.completed+b.smoothedRates.late+b.smoothedRates.failed))
 		switch {
-		case !sick:
+		case !unhealthy:
 			h.unhealthySince = 0
 		case h.unhealthySince == 0:
 			h.unhealthySince = v.Fleet.Now
@@ -116,23 +116,23 @@
 // runOracle is the best that could be done: the fault and the capacity left are known at once, requests of the
 // highest weight go first, and a cold service is sent exactly its capacity.
 func (v *Zones) runOracle(total float64, dt float64) {
-	room, done := 0.0, 0.0
+	capacity, completed := 0.0, 0.0
 	for z, b := range v.dependencies {
 		dead := v.faultActive && (v.faultKind(z) == ZoneDead || v.faultKind(z) == ZoneKernels || v.faultKind(z) == ZoneCallers)
 		if dead {
 			continue
 		}
-		bears := b.capacityNow()
-		room += bears
-		b.warmUp(bears, dt)
+		runs := b.capacityNow()
+		capacity += runs
+		b.warmUp(runs, dt)
 	}
 	for c := 2; c >= 0; c-- {
-		n := min(room, v.Load*float64(v.Zones)*1000*classFractions[c])
-		room -= n
-		done += n * classWeights[c]
+		n := min(capacity, v.Load*float64(v.Zones)*1000*classFractions[c])
+		capacity -= n
+		completed += n * classWeights[c]
 	}
 	if v.Fleet.Now >= faultStartMS+v.Fails {
-		v.Done += done * dt
+		v.Done += completed * dt
 		v.Asked += total * dt
 	}
 }
--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -48,9 +48,9 @@
 // out a promise has to break, or no check would find that it is missing.
 func TestZoneGuards(t *testing.T) {
 	base := ZonePlan{Seed: 3, Nodes: 15, Fails: 15_000, Heals: 40_000, Ends: 200_000, Load: 0.6}
-	room := base
-	room.Kinds, room.Load, room.Off = []string{ZoneErrors}, 0.9, true
-	alone := playZones(room)
+	highLoad := base
+	highLoad.Kinds, highLoad.Load, highLoad.Off = []string{ZoneErrors}, 0.9, true
+	baseline := playZones(highLoad)
 	for name, plan := range map[string]func(p *ZonePlan){
 		"common-cause": func(p *ZonePlan) { p.Kinds, p.Load = []string{ZoneErrors, ZoneErrors, ZoneErrors}, 0.4 },
 		"room":         func(p *ZonePlan) { p.Kinds, p.Load = []string{ZoneErrors}, 0.9 },
@@ -64,9 +64,9 @@
 		plan(&p)
 		verdict := func(p ZonePlan) string {
 			v := playZones(p)
-			if name == "room" && v.WeightDuringFault < 0.98*alone.WeightDuringFault {
+			if name == "room" && v.WeightDuringFault < 0.98*baseline.WeightDuringFault {
 				return fmt.Sprintf("%.0f of value done while it failed, and %.0f by nodes alone", v.WeightDuringFault,
-					alone.WeightDuringFault)
+					baseline.WeightDuringFault)
 			}
 			return v.Broken
 		}
@@ -103,9 +103,9 @@
 	} else {
 		t.Logf("without small-start: %s; full after %.1f s", v.Broken, v.TimeToFullRecovery()/1000)
 	}
-	lone := base
-	lone.Kinds, lone.Nodes = []string{ZoneDead}, 15
-	if v := playZones(lone); v.ColdStarts != 0 {
+	oneZone := base
+	oneZone.Kinds, oneZone.Nodes = []string{ZoneDead}, 15
+	if v := playZones(oneZone); v.ColdStarts != 0 {
 		t.Errorf("a third of the fleet restarted and all began with a share")
 	}
 	for seed := int64(1); seed <= 12; seed++ {
--- a/internal/simulation/zones_traffic.go
+++ b/internal/simulation/zones_traffic.go
@@ -399,8 +399,8 @@
 				continue
 			}
 			part := t.admitted[k][c] / t.dependency.demand
-			got := t.served * part * classWeights[c] * t.inTimeFraction
-			t.rates.completedWeight += got
+			weight := t.served * part * classWeights[c] * t.inTimeFraction
+			t.rates.completedWeight += weight
 			t.reject(k, c, t.shed*part, 0)
 		}
 	}
@@ -447,10 +447,10 @@
 }
 
 // smooth has a zone's figures follow within two thirds of a second, as a report over two seconds does.
-func (f *trafficRates) smooth(now *trafficRates) {
+func (f *trafficRates) smooth(latest *trafficRates) {
 	const weight = 0.15
-	average, latest := f.fields(), now.fields()
-	for i := range average {
-		*average[i] += weight * (*latest[i] - *average[i])
+	averages, rates := f.fields(), latest.fields()
+	for i := range averages {
+		*averages[i] += weight * (*rates[i] - *averages[i])
 	}
 }
