--- a/internal/simulation/discard_logger.go
+++ b/internal/simulation/discard_logger.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// discardLogger drops what the Raft library logs, but for failures.
+// discardLogger discards the log output of the Raft library; fatal messages and panics still panic.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any) {}
--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -1,9 +1,10 @@
-// Package simulation runs the project's own decision code in virtual time. There are three simulations: a Raft
-// group on a simulated network and disks (ConsensusGroup); a fleet of nodes with its control group (Fleet), also
-// where the group loses its state and where whole zones fail (Zones); and servers with run slots per class (Pools).
+// Package simulation runs the production decision code as discrete-event simulations in virtual time. There are
+// three: a Raft group on a simulated network and disks (ConsensusGroup); a fleet of nodes with its control group
+// (Fleet), including loss of the group's state and failures of whole zones (Zones); and servers with run slots per
+// class (Pools).
 //
-// Each run is drawn from one seed and is reproduced by it: no run reads a clock, a socket, a disk or a random
-// source of its own. Promises are checked after each step. A guard of the real code can be taken out, and then a
-// promise must break, which shows that the check finds what it is there to find. Times are milliseconds of virtual
-// time unless their type says otherwise.
+// Each run is generated from one seed and is reproducible: no run reads a real clock, socket, disk or another random
+// source. Invariants are checked after each event. A guard of the production code can be disabled; an invariant must
+// then be violated, which shows that the checks detect a missing guard. Times are milliseconds of virtual time unless
+// their type says otherwise.
 package simulation
--- a/internal/simulation/pool_scenario_text.go
+++ b/internal/simulation/pool_scenario_text.go
@@ -10,7 +10,7 @@
 	"umberwinch/admission"
 )
 
-// ReadScenario reads a scenario; its errors name file, line, what was found and what was expected.
+// ReadScenario parses a scenario. Its errors name the file and line, the text found and what was expected.
 func ReadScenario(name, text string) (*Scenario, error) {
 	s := &Scenario{name: name, Cores: 6, Tenants: 4, duration: 120 * second, load: 1, Cheapest: -1, Dearest: -1}
 	for n, line := range strings.Split(text, "\n") {
@@ -22,13 +22,13 @@
 		}
 	}
 	if len(s.Classes) == 0 || s.Cheapest < 0 || s.Dearest < 0 {
-		return nil, fmt.Errorf("%s: %d classes, expected some, a cheapest and a dearest", name, len(s.Classes))
+		return nil, fmt.Errorf("%s: found %d classes, expected at least one class, a cheapest and a dearest class", name, len(s.Classes))
 	}
 	sort.SliceStable(s.changes, func(i, k int) bool { return s.changes[i].at < s.changes[k].at })
 	return s, nil
 }
 
-// scenarioLine is one line's words as they are read; the first error found stays.
+// scenarioLine parses the words of one line and keeps the first error.
 type scenarioLine struct {
 	scenario *Scenario
 	words    []string
@@ -67,7 +67,7 @@
 	case "at":
 		l.readChange()
 	default:
-		l.fail(fmt.Errorf("%q is not known", l.words[0]))
+		l.fail(fmt.Errorf("unknown keyword %q", l.words[0]))
 	}
 }
 
@@ -92,14 +92,14 @@
 	}
 	v, err := strconv.ParseFloat(word, 64)
 	if err != nil {
-		l.fail(fmt.Errorf("%q, expected a number", word))
+		l.fail(fmt.Errorf("found %q, expected a number", word))
 	}
 	return v
 }
 
 func (l *scenarioLine) seconds(i int) virtualTime { return virtualTime(l.number(i) * float64(second)) }
 
-// class gives the index of a class that a line before has named.
+// class returns the index of a class that an earlier line has defined.
 func (l *scenarioLine) class(i int) int {
 	name := l.word(i, "a class is missing")
 	for k := range l.scenario.Classes {
@@ -107,7 +107,7 @@
 			return k
 		}
 	}
-	l.fail(fmt.Errorf("class %q, expected one named before", name))
+	l.fail(fmt.Errorf("class %q is not defined in an earlier line", name))
 	return -1
 }
 
@@ -117,7 +117,7 @@
 		key, text, _ := strings.Cut(p, "=")
 		v, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			l.fail(fmt.Errorf("%q, expected KEY=NUMBER", p))
+			l.fail(fmt.Errorf("found %q, expected KEY=NUMBER", p))
 		}
 		out[key] = v
 	}
@@ -141,11 +141,11 @@
 	l.scenario.requestShares = append(l.scenario.requestShares, get("share", 1))
 }
 
-// readSwing has the load go to and fro between two values until the end.
+// readSwing schedules load changes that alternate between two values until the end.
 func (l *scenarioLine) readSwing() {
 	period, loads := l.number(1), [2]float64{l.number(2), l.number(3)}
 	if l.err != nil || period <= 0 {
-		l.err = errors.Join(l.err, errors.New("a swing takes a time above 0"))
+		l.err = errors.Join(l.err, errors.New("the period of a swing must be above 0"))
 		return
 	}
 	for at, k := 0.0, 0; at < float64(l.scenario.duration)/float64(second); at, k = at+period, k+1 {
--- a/internal/simulation/pool_scenarios.go
+++ b/internal/simulation/pool_scenarios.go
@@ -12,29 +12,30 @@
 //go:embed scenarios/*.txt
 var scenarioFiles embed.FS
 
-// PoolGuards are what can be taken out.
+// PoolGuards lists the guards that a run can disable.
 var PoolGuards = []string{"reserve", "limits"}
 
 var poolVariants = []string{"pools", "off", "fixed", "plain"}
 
-// Promises of docs/design/pools.md, as far as virtual time can show them.
+// Invariants of docs/design/pools.md that hold in virtual time.
 const (
-	minCheapestInTime = 0.95 // of the cheapest class's requests done within their target, in every scenario
-	maxDearestLoss    = 0.03 // of requests that the class of the highest value may lose by pools
+	minCheapestInTime = 0.95 // minimum fraction of the cheapest class's requests completed within the objective
+	maxDearestLoss    = 0.03 // maximum fraction of requests that the class of the highest value may lose with pools
 )
 
-// Scenario is one text file:
+// Scenario is a workload, parsed from a text file:
 //
-//	cores N | tenants N | for SECONDS | load SHARE      of capacity, by mean work
+//	cores N | tenants N | for SECONDS | load SHARE      of capacity, by mean work; for: duration
 //	class NAME work=MS share=S [tail=SIGMA] [target=MS] [timeout=MS] [value=V] [tries=N]
 //	at SECONDS CLASS KEY=VALUE ...      rate=TIMES work=TIMES heavy=SHARE times=N hangs=SHARE surge=TENANT by=TIMES
 //	at SECONDS load SHARE | cores N | drain SECONDS
-//	swing SECONDS LOW HIGH              load goes to and fro
+//	swing SECONDS LOW HIGH              load alternates, each value for SECONDS
 //
-//	holds CLASS SHARE                   so much of it is done in time with pools
+//	holds CLASS SHARE                   minimum fraction completed in time with pools
+//	cheapest CLASS | dearest CLASS | exempt
 //
-// share is the class's part of all requests. cheapest names the class whose promise is checked, dearest the one
-// that must not lose by pools.
+// share is the class's weight among all requests. At least minCheapestInTime of the class cheapest must complete in
+// time, unless the scenario is exempt; the class dearest must not lose more than maxDearestLoss by pools.
 type Scenario struct {
 	name              string
 	Cores, Tenants    int
@@ -45,10 +46,10 @@
 	changes           []scenarioChange
 	Cheapest, Dearest int
 	targets           []serviceTarget
-	exemptCheapest    bool // the promise on the cheapest class does not hold here, as the file says why
+	exemptCheapest    bool // minCheapestInTime isn't checked; the file says why
 }
 
-// serviceTarget is a share of a class's requests that has to be done in time with pools.
+// serviceTarget is the minimum fraction of a class's requests to complete in time with pools.
 type serviceTarget struct {
 	class    int
 	fraction float64
@@ -56,12 +57,12 @@
 
 type scenarioChange struct {
 	at     virtualTime
-	class  int // -1 for the server
+	class  int // -1 for a change of the whole server
 	values map[string]float64
 	kind   string
 }
 
-// Rates gives each class its requests a second so that all together offer a share of capacity.
+// Rates returns the request rate per second of each class at a load, a fraction of capacity.
 func (s *Scenario) Rates(load float64) []float64 {
 	work := 0.0
 	for k := range s.Classes {
@@ -74,7 +75,7 @@
 	return out
 }
 
-// newDecider makes the decider of one variant.
+// newDecider returns the decider of a variant, and its pools if it has any.
 func (s *Scenario) newDecider(variant, without string) (decider, *pools.Pools) {
 	if variant == "plain" {
 		return &plainQueue{slots: 2 * s.Cores}, nil
@@ -93,7 +94,7 @@
 		c := &s.Classes[k]
 		d.Handlers = append(d.Handlers, c.Handler)
 		one := pools.Class{Name: c.Name, Value: c.Handler.Value}
-		if variant == "fixed" { // what an operator would set from a calm day's shares, with room for half as much again
+		if variant == "fixed" { // as an operator may configure it: 1.5 times the class's share of work
 			one.MaxFraction, one.FixedLimit = min(1, max(0.1, 1.5*s.requestShares[k]*c.Work/total)), true
 		} else if without == "limits" {
 			one.MaxFraction, one.FixedLimit = 1, true
@@ -115,15 +116,15 @@
 	return admission.New(d), o
 }
 
-// variantResult is a scenario's, in one variant, over all servers.
+// variantResult is the result of a scenario in one variant, over all servers.
 type variantResult struct {
 	classes        []classResults
-	peakRuns       float64 // runs a core
+	peakRuns       float64 // highest number of runs per core
 	completedValue float64
-	limits         [][]float64 // of the first server, by second
+	limits         [][]float64 // pool limits of the first server, by second
 }
 
-// simulate runs a scenario's servers one after the other, each from a seed of its own.
+// simulate runs a scenario on size servers, each with its own seed.
 func (s *Scenario) simulate(seed int64, size int, variant, without string) *variantResult {
 	all := &variantResult{classes: newClassResults(len(s.Classes), s.duration)}
 	for n := 0; n < size; n++ {
@@ -138,7 +139,7 @@
 	return all
 }
 
-// classesAt gives the classes with their rates at a load.
+// classesAt returns the classes with their rates at a load.
 func (s *Scenario) classesAt(load float64) []Class {
 	classes := slices.Clone(s.Classes)
 	for k, rate := range s.Rates(load) {
@@ -147,10 +148,10 @@
 	return classes
 }
 
-// loadFactors is by how much a class's rate and work differ from what its scenario begins with.
+// loadFactors multiply the initial rate and work of a class.
 type loadFactors struct{ rate, work float64 }
 
-// simulateServer plays a scenario at one server, second by second, and gives the limits of its pools.
+// simulateServer runs a scenario on one server and returns the pool limits at each second.
 func (s *Scenario) simulateServer(v *server, p *pools.Pools) (limits [][]float64) {
 	load, scales := s.load, make([]loadFactors, len(s.Classes))
 	for k := range scales {
@@ -175,11 +176,11 @@
 	for k := range v.classes {
 		v.classes[k].nextArrival = math.MaxInt64 / 2
 	}
-	v.runUntil(v.now + 10*second) // requests in flight end
+	v.runUntil(v.now + 10*second) // lets requests in flight complete
 	return limits
 }
 
-// poolLimits gives each pool's limit, cut off where the plot ends.
+// poolLimits returns the limit of each pool, at most 30, the upper end of the plot.
 func poolLimits(p *pools.Pools) (row []float64) {
 	for _, view := range p.Status() {
 		row = append(row, min(view.Limit, 30))
@@ -187,7 +188,7 @@
 	return row
 }
 
-// add adds what became of a server's requests.
+// add adds the results of one server.
 func (o *variantResult) add(s *Scenario, v *server) {
 	for k := range o.classes {
 		o.classes[k].add(&v.results[k])
@@ -196,7 +197,7 @@
 	o.peakRuns = max(o.peakRuns, v.peakRuns)
 }
 
-// apply makes a change at a server: to the load and the scales where they are the scenario's.
+// apply applies a change to the server, the load or the load factors.
 func (c *scenarioChange) apply(v *server, load *float64, scales []loadFactors) {
 	switch c.kind {
 	case "load":
--- a/internal/simulation/pool_scenarios_test.go
+++ b/internal/simulation/pool_scenarios_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestPoolScenarios: each scenario of overload is played on a few emulated servers. The cheapest class is served,
-// the one of the highest weight doesn't lose by pools; without the reserve, or without limits, a promise breaks.
+// TestPoolScenarios runs all scenarios: with pools the cheapest class is served and the class of the highest value
+// doesn't lose. With the reserve or the limits disabled an invariant must be violated.
 func TestPoolScenarios(t *testing.T) {
 	for _, c := range []struct {
 		without, want string
@@ -23,27 +23,26 @@
 			}
 			lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 			if !strings.HasPrefix(lines[len(lines)-1], c.want) {
-				t.Errorf("%s, expected %s", lines[len(lines)-1], c.want)
+				t.Errorf("last line = %q, want prefix %q", lines[len(lines)-1], c.want)
 			}
 		})
 	}
 }
 
-// TestScenarioFaults: a scenario with a fault in its text is rejected, with the line, what was found and what is
-// expected.
-func TestScenarioFaults(t *testing.T) {
+// TestReadScenarioRejectsInvalidText checks that an error names the line, the text found and what was expected.
+func TestReadScenarioRejectsInvalidText(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{"class a work=x\n", `s:1: "work=x", expected KEY=NUMBER`},
-		{"class a\nat 3 b rate=2\n", `s:2: class "b", expected one named before`},
-		{"fly 3\n", `s:1: "fly" is not known`},
+		{"class a work=x\n", `s:1: found "work=x", expected KEY=NUMBER`},
+		{"class a\nat 3 b rate=2\n", `s:2: class "b" is not defined in an earlier line`},
+		{"fly 3\n", `s:1: unknown keyword "fly"`},
 		{"cores\n", "s:1: a number is missing"},
 		{"class\n", "s:1: a class is missing"},
 		{"holds\n", "s:1: a class is missing"},
-		{"class a\n", "s: 1 classes, expected some, a cheapest and a dearest"},
-		{"swing 0 1 2\n", "s:1: a swing takes a time above 0"},
+		{"class a\n", "s: found 1 classes, expected at least one class, a cheapest and a dearest class"},
+		{"swing 0 1 2\n", "s:1: the period of a swing must be above 0"},
 	} {
 		if _, err := ReadScenario("s", c.text); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v, expected %q", c.text, err, c.want)
+			t.Errorf("ReadScenario(%q) error = %v, want %q", c.text, err, c.want)
 		}
 	}
 }
--- a/internal/simulation/pools.go
+++ b/internal/simulation/pools.go
@@ -13,18 +13,18 @@
 	"umberwinch/internal/report"
 )
 
-// Pools is a run of `umberctl faulttest pools`: each scenario in virtual time with pools, without, with fixed ones,
-// and with a plain pool before a short queue, from the same seed.
+// Pools runs `umberctl faulttest pools`: each scenario in virtual time with pools, without pools, with fixed pool
+// limits, and with a plain FIFO queue, all from the same seed.
 type Pools struct {
 	Seed    int64
 	Quick   bool
-	Size    int // servers
+	Size    int // servers; 0 for the default
 	Out     string
-	Without string // reserve, limits or heavy
-	Only    string // one scenario
+	Without string // the disabled guard, one of PoolGuards; empty: none
+	Only    string // name of the scenario to run; empty: all
 }
 
-// Run plays all scenarios in all ways and reports.
+// Run simulates all scenarios in all variants and writes the report.
 func (r *Pools) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "pools", Title: "Pools of run slots, in virtual time",
 		Head: []string{"SCENARIO", "CLASS", "ASKED", "POOLS", "OFF", "FIXED", "PLAIN", "95TH POOLS", "95TH OFF"}}
@@ -64,7 +64,7 @@
 	return rep.End(r.Out, w)
 }
 
-// loadScenarios reads all scenarios, or the one that is named.
+// loadScenarios reads all scenarios, or the selected one.
 func (r *Pools) loadScenarios() ([]*Scenario, error) {
 	files, err := scenarioFiles.ReadDir("scenarios")
 	if err != nil {
@@ -87,12 +87,13 @@
 		all = append(all, s)
 	}
 	if len(all) == 0 {
-		return nil, fmt.Errorf("no scenario %q", r.Only)
+		return nil, fmt.Errorf("scenario %q does not exist", r.Only)
 	}
 	return all, nil
 }
 
-// tableRows are a scenario's in the table: each class's share done in time by each way, then the value done.
+// tableRows gives the scenario's rows of the report: for each class the fraction completed in time by each variant,
+// then the completed value.
 func (s *Scenario) tableRows(o map[string]*variantResult) (rows [][]string) {
 	percentile95 := func(variant string, k int) string {
 		return report.Milliseconds(o[variant].classes[k].latencies.ValueAtQuantile(95) / 10)
@@ -139,11 +140,11 @@
 	return results
 }
 
-// checkScenario holds one scenario to the promises.
+// checkScenario checks the invariants of one scenario and lowers minInTime to the cheapest class's fraction in time.
 func (r *Pools) checkScenario(rep *report.Report, s *Scenario, o map[string]*variantResult, minInTime *float64) {
 	with, off := o["pools"], o["off"]
 	cheapest := &with.classes[s.Cheapest]
-	inTime := float64(cheapest.withinQuotaInTime) / float64(max(1, cheapest.withinQuota)) // of tenants within their share
+	inTime := float64(cheapest.withinQuotaInTime) / float64(max(1, cheapest.withinQuota)) // of tenants within their quota
 	if !s.exemptCheapest {
 		*minInTime = min(*minInTime, inTime)
 		if inTime < minCheapestInTime {
@@ -159,7 +160,7 @@
 			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, got, s.Classes[target.class].Name, target.fraction)
 		}
 	}
-	if with.peakRuns > 5 { // what the emulated cores survive; the module keeps a fifth off it
+	if with.peakRuns > 5 { // the emulated cores lose throughput above it
 		rep.Break("%s: %.1f runs a core", s.name, with.peakRuns)
 	}
 }
--- a/internal/simulation/schedules_test.go
+++ b/internal/simulation/schedules_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// scheduleCount is how many schedules a test plays: as many as UMBERWINCH_SCHEDULES says, or its own number.
+// scheduleCount returns the number of schedules that a test runs: UMBERWINCH_SCHEDULES, or fallback if it is unset.
 func scheduleCount(t *testing.T, fallback int) int {
 	t.Helper()
 	text := os.Getenv("UMBERWINCH_SCHEDULES")
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -9,41 +9,38 @@
 	"umberwinch/admission"
 )
 
-// One server in virtual time: cores shared by what runs, clients that send whether or not they are answered, and a
-// decider between them, the admission module or a baseline. It goes from event to event, so that hours take
-// seconds.
-
+// virtualTime is in tenths of a millisecond.
 type virtualTime = admission.Time
 
 const second = admission.Second
 
-// decider is the module, or what it is compared with.
+// decider decides about requests: the admission module or a baseline.
 type decider interface {
 	Decide(r *admission.Round, w admission.Writer)
 }
 
-// Class is what one class's requests are like at the moment.
+// Class describes the current workload of one request class.
 type Class struct {
 	Name          string
 	Handler       admission.Handler
-	Work          float64 // tenths of a ms in the mean
-	WorkSigma     float64 // sigma of a log-normal spread, 0 for none
-	Rate          float64 // requests a second at a server
-	HeavyShare    float64 // share of requests that take HeavyFactor times the work
+	Work          float64 // mean work, tenths of a ms
+	WorkSigma     float64 // sigma of the log-normal distribution of work, 0 for constant work
+	Rate          float64 // requests per second per server
+	HeavyShare    float64 // fraction of requests with HeavyFactor times the work
 	HeavyFactor   float64
-	hangFraction  float64 // share of runs that never end
-	surgingTenant int     // tenant that asks more, -1 for none
+	hangFraction  float64 // fraction of runs that never end
+	surgingTenant int     // tenant with surgeFactor times the requests of another, -1 for none
 	surgeFactor   float64
-	maxRetries    int         // further attempts after one was shed
-	nextArrival   virtualTime // when the next one comes
+	maxRetries    int         // attempts after the first one was shed
+	nextArrival   virtualTime // time of the next request
 }
 
-// classResults count what became of a class's requests.
+// classResults counts the outcomes of a class's requests.
 type classResults struct {
 	offered, inTime                int
-	withinQuota, withinQuotaInTime int                     // of tenants that don't surge
-	latencies                      *hdrhistogram.Histogram // of those done, from the first attempt, in tenths of a ms
-	inTimePerSecond                []int                   // in time, by second
+	withinQuota, withinQuotaInTime int                     // of tenants other than the surging one
+	latencies                      *hdrhistogram.Histogram // from the first attempt to the end of the run, tenths of a ms
+	inTimePerSecond                []int                   // completed within the latency objective, by second of the first attempt
 	arrivedPerSecond               []int
 }
 
@@ -56,7 +53,7 @@
 	return all
 }
 
-// add adds another server's.
+// add adds the results of another server.
 func (t *classResults) add(o *classResults) {
 	t.offered, t.inTime = t.offered+o.offered, t.inTime+o.inTime
 	t.withinQuota, t.withinQuotaInTime = t.withinQuota+o.withinQuota, t.withinQuotaInTime+o.withinQuotaInTime
@@ -69,7 +66,7 @@
 
 type attempt struct {
 	class, tenant int
-	firstArrived  virtualTime // of the first attempt
+	firstArrived  virtualTime // time of the first attempt
 	arrived       virtualTime
 	number        int
 	answered      bool
@@ -79,7 +76,7 @@
 	caller        uint32
 }
 
-// run is one run: it ends when the service that each run has had reaches a sum.
+// run ends when server.servicePerRun reaches endsAt.
 type run struct {
 	id     uint32
 	endsAt float64
@@ -95,24 +92,25 @@
 
 func (r retry) before(o retry) bool { return r.at < o.at || r.at == o.at && r.id < o.id }
 
-// server is one emulated server.
+// server simulates one server: cores shared equally among the runs, open-loop clients, and a decider that admits
+// requests. It is the decider's admission.Writer.
 type server struct {
-	random        *rand.Rand // draws all requests and their work: the same whatever is decided
+	random        *rand.Rand // arrivals and work; independent of the decisions
 	decider       decider
 	now           virtualTime
 	cores         float64
-	overloadRatio float64 // runs a core past which the cores lose speed
+	overloadRatio float64 // runs per core above which the total throughput falls
 	classes       []Class
 	tenants       int
 	lastID        uint32
 	requests      map[uint32]*attempt
 	runs          priorityQueue[run]
 	hungRuns      int
-	servicePerRun float64 // what each run has had since the start
+	servicePerRun float64 // core time that a run has received since the start, tenths of a ms
 	retries       priorityQueue[retry]
 	wakeAt        virtualTime
 	results       []classResults
-	peakRuns      float64 // runs a core at most
+	peakRuns      float64 // highest number of runs per core
 	drained       bool
 }
 
@@ -128,7 +126,8 @@
 	return s
 }
 
-// drawInterarrival draws the time to a class's next request.
+// drawInterarrival draws the time until the next request of a class. A rate of 0 counts as ten a
+// second.
 func (s *server) drawInterarrival(k int) virtualTime {
 	c := &s.classes[k]
 	rate := c.Rate
@@ -141,7 +140,7 @@
 	return max(1, virtualTime(s.random.ExpFloat64()/rate*float64(second)))
 }
 
-// runSpeed is how fast each run goes.
+// runSpeed is the fraction of a core that each run receives.
 func (s *server) runSpeed() float64 {
 	n := float64(len(s.runs) + s.hungRuns)
 	if n <= s.cores {
@@ -149,7 +148,7 @@
 	}
 	v := s.cores / n
 	if over := n / s.cores / s.overloadRatio; over > 1 {
-		v /= over // past what it survives it gets less done the more it does at once
+		v /= over // overloaded: throughput falls as runs are added
 	}
 	return v
 }
@@ -163,7 +162,7 @@
 	}
 }
 
-// runUntil goes on to a moment.
+// runUntil runs all events before end.
 func (s *server) runUntil(end virtualTime) {
 	for {
 		at, next := end, -1
@@ -263,8 +262,6 @@
 	s.decider.Decide(r, s)
 }
 
-// What the decider has done: server is its admission.Writer.
-
 func (s *server) Run(id uint32) {
 	q := s.requests[id]
 	q.start = s.now
@@ -309,8 +306,8 @@
 func (s *server) SetIdleTimeout(admission.Time)   {}
 func (s *server) Log(string)                      {}
 
-// plainQueue is the baseline: a pool of twice the cores and a queue that sheds what has waited a tenth of a
-// second.
+// plainQueue is the baseline decider: a fixed number of run slots before a FIFO queue that sheds requests after a
+// tenth of a second.
 type plainQueue struct {
 	slots, running int
 	queue          []admission.Request
