--- a/internal/simulation/consensus_cases_test.go
+++ b/internal/simulation/consensus_cases_test.go
@@ -6,31 +6,31 @@
 	"umberwinch/internal/control/consensus"
 )
 
-// newGrownGroup gives a group that has grown to size, without faults. The test fails if a promise is broken by its
-// end.
+// newGrownGroup returns a group that has grown to size without faults. The test fails if an invariant is violated by
+// its end.
 func newGrownGroup(t *testing.T, size int) *ConsensusGroup {
 	t.Helper()
 	g := NewConsensusGroup(int64(size)*77, size, 0)
 	if !g.waitFor(20000, func() bool { return g.voterCount() == size }) {
-		t.Fatalf("the group did not grow: %s", g.Broken)
+		t.Fatalf("the group did not grow to %d voters: %s", size, g.Broken)
 	}
 	t.Cleanup(func() {
 		if g.Broken != "" {
-			t.Errorf("broken: %s", g.Broken)
+			t.Errorf("invariant violated: %s", g.Broken)
 		}
 	})
 	return g
 }
 
-// putVersion puts a version at a host, which has to be applied there within some time.
+// putVersion proposes a version at a host, which must be applied there within ms.
 func putVersion(t *testing.T, g *ConsensusGroup, h *host, ms int64) {
 	t.Helper()
 	if !g.proposeAndWait(h, ms) {
-		t.Fatalf("at %d ms: no write was taken within %d ms; %s", g.Now, ms, g.Broken)
+		t.Fatalf("at %d ms: no write was applied within %d ms; %s", g.Now, ms, g.Broken)
 	}
 }
 
-// waitUntilSettled waits until all voters take part and have the same state.
+// waitUntilSettled waits until all voters are members and have the same state.
 func waitUntilSettled(t *testing.T, g *ConsensusGroup) {
 	t.Helper()
 	if !g.waitUntilSettled() {
@@ -38,9 +38,9 @@
 	}
 }
 
-// TestSlowFollower: a follower of three stalls for 3 s. Meanwhile each write has a majority without it and takes no
-// longer. When it goes on it is caught up to the leader's version.
-func TestSlowFollower(t *testing.T) {
+// TestSlowFollowerDoesNotDelayWrites: one of three instances stalls for 3 s. Writes commit in a few round trips
+// meanwhile, and the follower catches up afterwards.
+func TestSlowFollowerDoesNotDelayWrites(t *testing.T) {
 	g := newGrownGroup(t, 3)
 	slow := g.follower()
 	slow.stalledUntil = g.Now + 3000
@@ -49,29 +49,30 @@
 	}
 	waitUntilSettled(t, g)
 	if slow.replica.Status().Version != g.leader().replica.Status().Version {
-		t.Fatal("the slow follower was not caught up")
+		t.Fatalf("version of the slow follower = %d, want %d", slow.replica.Status().Version,
+			g.leader().replica.Status().Version)
 	}
 }
 
-// TestStalledDisk: the leader's disk stalls for 3 s. Another instance is elected and takes writes; the old leader,
-// whose disk goes on, follows it, and each write that was in flight has one outcome.
-func TestStalledDisk(t *testing.T) {
+// TestStalledLeaderIsReplaced: the leader stalls for 3 s. Another instance is elected and accepts writes, and the old
+// leader follows it afterwards.
+func TestStalledLeaderIsReplaced(t *testing.T) {
 	g := newGrownGroup(t, 3)
 	old := g.leader()
 	old.stalledUntil = g.Now + 3000
 	if !g.waitFor(2500, func() bool { l := g.leader(); return l != nil && l != old }) {
-		t.Fatal("no other took over while the disk stalled")
+		t.Fatal("no other leader was elected while the leader stalled")
 	}
 	putVersion(t, g, g.leader(), 500)
 	waitUntilSettled(t, g)
 	if s := old.replica.Status(); s.Role == "leader" {
-		t.Fatal("the old leader still leads")
+		t.Fatalf("role of the old leader = %q, want another", s.Role)
 	}
 }
 
-// TestThreeOfFive: of five instances two go down and writes go on. A third goes down: there is no quorum, writes
-// stop and nothing new is applied. It comes back, and a write is taken within the promised time.
-func TestThreeOfFive(t *testing.T) {
+// TestQuorumOfFive: with two of five instances down writes succeed; with three down nothing is applied. Once the third
+// is back a write is applied within writeRecoveryMS.
+func TestQuorumOfFive(t *testing.T) {
 	g := newGrownGroup(t, 5)
 	var down []*host
 	stop := func() {
@@ -85,19 +86,19 @@
 	l := g.leader()
 	stop()
 	if g.proposeAndWait(l, 3000) {
-		t.Fatal("two of five took a write")
+		t.Fatal("a write was applied with two of five instances running")
 	}
 	g.startHost(down[2], false)
 	if !g.waitFor(writeRecoveryMS, func() bool { return g.leader() != nil && g.proposeAndWait(g.leader(), 300) }) {
-		t.Fatalf("no write within %d ms of the third's return", writeRecoveryMS)
+		t.Fatalf("no write was applied within %d ms of the return of the third instance", writeRecoveryMS)
 	}
 	g.startHost(down[0], false)
 	g.startHost(down[1], false)
 	waitUntilSettled(t, g)
 }
 
-// TestGrowWithOneDown: one of three instances is down as a fourth joins. The two that are left are a quorum: the
-// fourth becomes a voter, writes go on, and the instance that was down is caught up when it comes back.
+// TestGrowWithOneDown: a fourth instance becomes a voter while one of three is down, writes succeed, and the instance
+// that was down catches up.
 func TestGrowWithOneDown(t *testing.T) {
 	g := newGrownGroup(t, 3)
 	away := g.follower()
@@ -105,42 +106,42 @@
 	g.votersWanted = 4
 	g.addHost(false)
 	if !g.waitFor(10000, func() bool { return g.voterCount() == 4 }) {
-		t.Fatal("the fourth did not become a voter while one was down")
+		t.Fatal("the fourth instance did not become a voter while one was down")
 	}
 	putVersion(t, g, g.leader(), 500)
 	g.startHost(away, false)
 	waitUntilSettled(t, g)
 }
 
-// TestOldEntriesVanish: a leader is partitioned from the others and appends entries that no majority gets. The
-// others elect a leader and commit a write. When the partition ends the old leader has the others' entries in place
-// of its own, has applied none of its own, and raises no term.
-func TestOldEntriesVanish(t *testing.T) {
+// TestUncommittedEntriesAreReplaced: a partitioned leader appends entries that never reach a majority, while the others
+// elect a leader and commit a write. After the partition the old leader's entries are replaced by the others', it
+// applies none of its own and doesn't raise the term.
+func TestUncommittedEntriesAreReplaced(t *testing.T) {
 	g := newGrownGroup(t, 3)
 	old := g.leader()
 	g.partition(3000, func(a, b *host) bool { return a == old || b == old })
 	for i := 0; i < 3; i++ {
 		if g.proposeAndWait(old, 100) {
-			t.Fatal("a leader alone applied a write")
+			t.Fatal("a leader without a majority applied a write")
 		}
 	}
 	_, lastIndex := old.replica.LogBounds()
 	if !g.waitFor(2500, func() bool { l := g.leader(); return l != nil && l != old }) {
-		t.Fatal("the others have no leader")
+		t.Fatal("the majority elected no leader")
 	}
 	putVersion(t, g, g.leader(), 500)
 	term := g.leader().replica.Status().Term
 	g.Run(g.Now + 2500)
 	waitUntilSettled(t, g)
 	if now := g.leader().replica.Status(); now.Term != term || now.Version != 1 {
-		t.Fatalf("term %d and version %d, expected term %d and version 1, with %d entries held alone", now.Term,
+		t.Fatalf("term %d and version %d, want term %d and version 1; last index of the old leader while partitioned: %d", now.Term,
 			now.Version, term, lastIndex)
 	}
 }
 
-// TestOneWay: a follower's network fails in one direction for 4 s. Whether it receives nothing or none of its messages
-// arrive, pre-vote keeps it from raising the term: the leader stays, and writes go on.
-func TestOneWay(t *testing.T) {
+// TestOneWayPartition: a follower's network fails in one direction for 4 s, either inbound or outbound. Pre-vote keeps
+// it from raising the term: the leader stays, and writes succeed.
+func TestOneWayPartition(t *testing.T) {
 	for _, receivesNothing := range []bool{true, false} {
 		g := newGrownGroup(t, 3)
 		l, f := g.leader(), g.follower()
@@ -152,14 +153,14 @@
 		}
 		waitUntilSettled(t, g)
 		if g.leader() != l || l.replica.Status().Term != term {
-			t.Fatalf("the follower receives nothing %v: the leader changed", receivesNothing)
+			t.Fatalf("receivesNothing = %v: the leader or its term changed", receivesNothing)
 		}
 	}
 }
 
-// TestRemovedKeepsTalking: an instance is removed from the group while it is partitioned, so that it doesn't learn
-// of it. It comes back and goes on as a member would. The others reject it: the term stays and writes go on.
-func TestRemovedKeepsTalking(t *testing.T) {
+// TestRemovedInstanceIsRejected: an instance is removed while it is partitioned, and rejoins without knowledge of its
+// removal. The others reject it: the term stays and writes succeed.
+func TestRemovedInstanceIsRejected(t *testing.T) {
 	g := newGrownGroup(t, 3)
 	f := g.follower()
 	id := f.id
@@ -175,13 +176,13 @@
 		g.Run(g.Now + 500)
 	}
 	if g.leader().replica.Status().Term != term {
-		t.Fatal("a removed instance raised the term")
+		t.Fatalf("term = %d, want %d: a removed instance raised it", g.leader().replica.Status().Term, term)
 	}
 }
 
-// TestTransfer: an operator has the leader transfer leadership to a follower. That takes a few round trips, not an
-// election timeout, and the new leader takes writes.
-func TestTransfer(t *testing.T) {
+// TestLeadershipTransfer: a transfer takes a few round trips rather than an election timeout, and the new leader
+// accepts writes.
+func TestLeadershipTransfer(t *testing.T) {
 	g := newGrownGroup(t, 3)
 	l, to := g.leader(), g.follower()
 	if err := l.replica.Transfer(to.id); err != nil {
@@ -189,7 +190,7 @@
 	}
 	g.processReady(l)
 	if !g.waitFor(8*g.maxDelay, func() bool { return g.leader() == to }) {
-		t.Fatal("the lead was not handed over in a few round trips")
+		t.Fatalf("the leadership was not transferred within %d ms", 8*g.maxDelay)
 	}
 	putVersion(t, g, to, 500)
 }
--- a/internal/simulation/consensus_checks.go
+++ b/internal/simulation/consensus_checks.go
@@ -8,7 +8,8 @@
 	"umberwinch/internal/control/consensus"
 )
 
-// recordLog notes what a host's log holds on disk.
+// recordLog records the terms of the entries in a host's log on disk, and checks that entries of the same index and
+// term have the same content on all hosts.
 func (g *ConsensusGroup) recordLog(h *host) {
 	if h.replica == nil {
 		return
@@ -37,13 +38,14 @@
 	return s.index <= h.snapshotIndex || h.durableTerms[s.index] == s.term
 }
 
-// checkInvariants holds a host's state against all that was seen before.
+// checkInvariants checks election safety, leader completeness and state machine safety of a host's state against
+// everything observed earlier.
 func (g *ConsensusGroup) checkInvariants(h *host) {
 	s := h.replica.Status()
 	g.recordLog(h)
 	if s.Role == "leader" {
 		if known, ok := g.leaders[s.Term]; ok && known != h.id {
-			g.fail("two leaders in term %d: %x and %x", s.Term, known, h.id)
+			g.fail("election safety: term %d has two leaders, %x and %x", s.Term, known, h.id)
 		} else if !ok {
 			g.leaders[s.Term] = h.id
 			g.tracef("host %d leads term %d", h.number, s.Term)
@@ -72,6 +74,8 @@
 	g.checkState(h, s)
 }
 
+// checkState checks that all hosts have the same state at an applied index, that a newly applied version is held by a
+// majority, and that versions don't decrease.
 func (g *ConsensusGroup) checkState(h *host, s consensus.Status) {
 	lines, first := h.replica.Versions()
 	now, outgoing := h.replica.Voters()
@@ -81,7 +85,7 @@
 	}
 	state := fmt.Sprint(s.Version, last, h.replica.Members(), now, outgoing)
 	if previous, ok := g.stateAtIndex[s.Applied]; ok && previous != state {
-		g.fail("two states after entry %d:\n%s\n%s", s.Applied, previous, state)
+		g.fail("state machine safety: two states after entry %d:\n%s\n%s", s.Applied, previous, state)
 	}
 	g.stateAtIndex[s.Applied] = state
 	for _, c := range [][]uint64{now, outgoing} {
@@ -92,21 +96,21 @@
 	for n := max(h.checkedVersion+1, first); n <= s.Version; n++ {
 		v, err := consensus.ReadVersion(lines[n-first])
 		if err != nil || v.Number != n {
-			g.fail("version %d reads as %v (%v)", n, v, err)
+			g.fail("version %d of the log decodes as %v, error %v", n, v, err)
 			return
 		}
 		if n > g.newestVersion && !g.heldByMajority(logPosition{v.Index, v.Term}) {
-			g.fail("host %d applied version %d of entry %d, term %d, which no majority held", h.number, n, v.Index, v.Term)
+			g.fail("host %d applied version %d (entry %d, term %d), which no majority holds", h.number, n, v.Index, v.Term)
 		}
 	}
 	g.newestVersion = max(g.newestVersion, s.Version)
 	if s.Version < h.checkedVersion {
-		g.fail("host %d went back from version %d to %d", h.number, h.checkedVersion, s.Version)
+		g.fail("host %d: version decreased from %d to %d", h.number, h.checkedVersion, s.Version)
 	}
 	h.checkedVersion = s.Version
 }
 
-// heldByMajority tells whether one of the latest sets of voters held an entry by more than half.
+// heldByMajority reports whether a majority of any of the last four voter sets holds an entry.
 func (g *ConsensusGroup) heldByMajority(s logPosition) bool {
 	for k := len(g.voterSets) - 1; k >= max(0, len(g.voterSets)-4); k-- {
 		n := 0
@@ -122,7 +126,7 @@
 	return false
 }
 
-// holds tells whether an instance holds an entry, or held it on a disk that was lost since.
+// holds reports whether an instance holds an entry, or held it on a disk that has been lost.
 func (g *ConsensusGroup) holds(id uint64, p logPosition) bool {
 	for _, h := range g.hosts {
 		if h.id == id && h.holds(p) {
@@ -132,7 +136,7 @@
 	return g.lostEntries[id][p]
 }
 
-// converged tells whether all that take part have the same versions.
+// converged reports whether all members are running and have the same versions.
 func (g *ConsensusGroup) converged() bool {
 	var want []byte
 	for i, h := range g.memberHosts() {
--- a/internal/simulation/consensus_clients.go
+++ b/internal/simulation/consensus_clients.go
@@ -10,25 +10,25 @@
 	"umberwinch/internal/control/consensus"
 )
 
-// client makes one call at a time, as a program would: it retries a put under its sequence number at another
-// instance until it has a response.
+// client makes one call at a time. It retries a put with the same sequence number at a random host until it has a
+// response.
 type client struct {
 	name         string
 	seq          uint64
-	knownVersion uint64 // the newest version it knows
+	knownVersion uint64 // newest version in a response
 	pending      *pendingCall
 	stopped      bool
 }
 
-// pendingCall is one call of a client, with all its attempts.
+// pendingCall is a call of a client, including its retries.
 type pendingCall struct {
 	client       *client
 	put          *consensus.Put // nil for a read
-	attempt      int
-	historyIndex int // place in the history
+	attempt      int            // number of the latest attempt
+	historyIndex int            // index in workload.history
 }
 
-// registerInput is what a call does to the register: a put names the version that it is based on.
+// registerInput is the input of a call to the register model: a read, or a put based on a version.
 type registerInput struct {
 	put  bool
 	base uint64
@@ -40,7 +40,7 @@
 	g.after(int64(g.random.Intn(100)), func() { g.startCall(c) })
 }
 
-// startCall has a client begin its next put or read.
+// startCall starts the next put or read of a client.
 func (g *ConsensusGroup) startCall(c *client) {
 	if c.stopped || c.pending != nil {
 		return
@@ -50,7 +50,8 @@
 	if g.random.Intn(5) < 3 {
 		c.seq++
 		in = registerInput{true, c.knownVersion}
-		call.put = &consensus.Put{Session: c.name, Seq: c.seq, Base: c.knownVersion, Author: c.name, At: g.random.Int63n(1 << 40),
+		call.put = &consensus.Put{Session: c.name, Seq: c.seq, Base: c.knownVersion, Author: c.name,
+			At:   g.random.Int63n(1 << 40),
 			Text: fmt.Sprintf("[tenant %s]\nrate = %d\n", c.name, c.seq)}
 	}
 	g.history = append(g.history, porcupine.Operation{ClientId: len(g.clients), Input: in, Call: g.Now*1000 + 500,
@@ -59,7 +60,7 @@
 	g.sendCall(call)
 }
 
-// sendCall sends a call to some host, and to another when no response has come in time.
+// sendCall sends a call to a random host, and retries after a timeout.
 func (g *ConsensusGroup) sendCall(call *pendingCall) {
 	call.attempt++
 	attempt, h := call.attempt, g.hosts[g.random.Intn(len(g.hosts))]
@@ -71,7 +72,7 @@
 	})
 }
 
-// deliverCall hands a call to a host's instance, unless the client has a response or has sent the call elsewhere.
+// deliverCall delivers an attempt to a host's instance, unless the call has completed or has been retried.
 func (g *ConsensusGroup) deliverCall(call *pendingCall, attempt int, h *host) {
 	if h.replica == nil || h.stalledUntil > g.Now || call.client.pending != call || call.attempt != attempt {
 		return
@@ -80,7 +81,7 @@
 		if call.put != nil {
 			p := *call.put
 			h.puts[p.Session] = call
-			h.replica.Propose(&p) // dropped without a leader: the client asks again
+			h.replica.Propose(&p) // dropped without a leader: the client retries
 			return nil
 		}
 		g.lastCallID++
@@ -91,7 +92,7 @@
 	g.processReady(h)
 }
 
-// respond sends a response to a client, unless it is lost on the way.
+// respond sends a response to a client; 15% of the responses are lost.
 func (g *ConsensusGroup) respond(call *pendingCall, result consensus.PutResult) {
 	if g.random.Intn(100) < 15 {
 		return
@@ -105,14 +106,14 @@
 		g.history[call.historyIndex].Output = result
 		call.client.knownVersion = max(call.client.knownVersion, result.Version)
 		if result.Outcome == consensus.PutExpired || result.Outcome == consensus.PutInvalid {
-			g.fail("client %s got %+v for put %d", call.client.name, result, call.put.Seq)
+			g.fail("client %s: put %d has result %+v", call.client.name, call.put.Seq, result)
 		}
 		g.after(int64(g.random.Intn(150)), func() { g.startCall(call.client) })
 	})
 }
 
-// register is the model that the history is checked against: the newest version's number, which reads give, and
-// which a put that is based on it raises by one.
+// register is the sequential model of the history: its state is the number of the newest version. A read returns it,
+// and a put based on it increments it.
 var register = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -135,7 +136,7 @@
 	},
 }
 
-// checkLinearizable checks the clients' history.
+// checkLinearizable checks the clients' history against the register model.
 func (g *ConsensusGroup) checkLinearizable() {
 	if g.Broken != "" {
 		return
@@ -144,6 +145,6 @@
 	case porcupine.Illegal:
 		g.fail("the clients' history of %d calls is not linearizable", len(g.history))
 	case porcupine.Unknown:
-		g.fail("the clients' history of %d calls was not checked in 20 s", len(g.history))
+		g.fail("linearizability check of the clients' history of %d calls timed out after 20 s", len(g.history))
 	}
 }
--- a/internal/simulation/consensus_faults.go
+++ b/internal/simulation/consensus_faults.go
@@ -9,21 +9,21 @@
 	"umberwinch/internal/wal"
 )
 
-// Fault is one fault of a schedule, at a time after its beginning.
+// Fault is one fault of a schedule.
 type Fault struct {
-	AtMS         int64
+	AtMS         int64 // after the start of the faults
 	Kind         string
-	HostA, HostB int   // hosts; -1 for the leader
-	DurationMS   int64 // ms
-	Parameter    int
+	HostA, HostB int // indexes of hosts
+	DurationMS   int64
+	Parameter    int // depends on Kind, see inject
 }
 
-// String is the fault as a trace shows it.
+// String formats the fault for a trace.
 func (f Fault) String() string {
 	return fmt.Sprintf("%6d ms %-8s a=%d b=%d for=%d n=%d", f.AtMS, f.Kind, f.HostA, f.HostB, f.DurationMS, f.Parameter)
 }
 
-// DrawFaults draws the faults of a seed, over some time.
+// DrawFaults generates the faults of a seed for a group of size hosts over ms milliseconds.
 func DrawFaults(seed int64, size int, ms int64) []Fault {
 	r := rand.New(rand.NewSource(seed ^ 0x5eed))
 	kinds := []string{"crash", "crash", "crash", "kill", "leader", "leader", "split", "split", "oneway", "flap",
@@ -37,7 +37,7 @@
 	return out
 }
 
-// inject does a fault. What it opens it ends by itself.
+// inject starts a fault and schedules its end.
 func (g *ConsensusGroup) inject(f Fault) {
 	h := g.hosts[f.HostA]
 	if f.Kind == "leader" || f.Kind == "stall" {
@@ -50,7 +50,7 @@
 	}
 	g.tracef("fault %v at host %d", f, h.number)
 	switch f.Kind {
-	case "crash", "leader": // somewhere within the next steps to its disk
+	case "crash", "leader": // loses power after Parameter more file-system steps
 		h.stepsToCrash = f.Parameter
 	case "kill":
 		g.crashHost(h, f.DurationMS)
@@ -58,7 +58,9 @@
 		side := func(h *host) bool { return (h.number+f.Parameter)%len(g.hosts) <= f.HostB }
 		g.partition(f.DurationMS, func(a, b *host) bool { return side(a) != side(b) })
 	case "oneway":
-		g.partition(f.DurationMS, func(a, b *host) bool { return a.number == f.HostA && (b.number == f.HostB || f.Parameter%2 == 0) })
+		g.partition(f.DurationMS, func(a, b *host) bool {
+			return a.number == f.HostA && (b.number == f.HostB || f.Parameter%2 == 0)
+		})
 	case "flap":
 		for t := int64(0); t < f.DurationMS; t += 200 {
 			g.after(t, func() { g.partition(100, func(a, b *host) bool { return a == h || b == h }) })
@@ -87,7 +89,7 @@
 	}
 }
 
-// partition cuts the ways between hosts that a test picks, one way each, for some time.
+// partition blocks the directed links between hosts for which blocks returns true, for some time.
 func (g *ConsensusGroup) partition(ms int64, blocks func(a, b *host) bool) {
 	for _, a := range g.hosts {
 		for _, b := range g.hosts {
@@ -99,9 +101,8 @@
 	}
 }
 
-// mayLoseDisk tells whether a disk may be lost now without a majority being lost for good: all are up, take part,
-// reach each other and have the same state. To lose a disk beside others that are down is to lose what was
-// agreed on.
+// mayLoseDisk reports whether a disk may be lost without losing committed entries: all voters are running, connected
+// and have the same state.
 func (g *ConsensusGroup) mayLoseDisk() bool {
 	if len(g.blockedLinks) > 0 || g.lossPerMille > 0 || g.voterCount() < g.votersWanted || !g.converged() {
 		return false
@@ -114,23 +115,24 @@
 	return len(g.memberHosts()) == g.votersWanted
 }
 
-// restoreCopy has a host come back on a copy of its disk that it took earlier.
+// restoreCopy restarts a host on an earlier copy of its disk.
 func (g *ConsensusGroup) restoreCopy(h *host) {
-	g.tracef("host %d comes back on an old copy", h.number)
+	g.tracef("host %d restarts on an old copy of its disk", h.number)
 	g.recordLostEntries(h)
 	h.replica, h.disk, h.stepsToCrash = nil, h.savedDisk, -1
 	h.savedDisk = nil
 	g.startHost(h, false)
 }
 
+// wipeDisk restarts a host on an empty disk.
 func (g *ConsensusGroup) wipeDisk(h *host) {
-	g.tracef("host %d comes back on an empty disk", h.number)
+	g.tracef("host %d restarts on an empty disk", h.number)
 	g.recordLostEntries(h)
 	h.replica, h.disk, h.stepsToCrash = nil, wal.NewMemFS(), -1
 	g.startHost(h, false)
 }
 
-// Result is the outcome of a schedule.
+// Result is the result of a schedule.
 type Result struct {
 	Seed   int64
 	Steps  int
@@ -139,8 +141,8 @@
 	Broken string
 }
 
-// Play runs a schedule from its seed: growth, faults under load, rest, then scripted cases that every
-// schedule ends with. It is the same run each time.
+// Play runs a schedule: the group grows, faults are injected under load and heal, then the scripted cases that end
+// every schedule run. The same arguments give the same run.
 func Play(seed int64, size int, faults []Fault, without consensus.Guard, trace func(string)) Result {
 	g := NewConsensusGroup(seed, size, without)
 	g.Trace = trace
@@ -169,7 +171,7 @@
 	g.checkLinearizable()
 }
 
-// healAndCheck ends all faults and holds the group to its promise.
+// healAndCheck ends all faults and checks that the group accepts a write within writeRecoveryMS and converges.
 func (g *ConsensusGroup) healAndCheck() {
 	if g.Broken != "" {
 		return
@@ -179,7 +181,7 @@
 		h.stepsToCrash = -1
 		h.stalledUntil = min(h.stalledUntil, g.Now)
 	}
-	if !g.waitFor(3000, func() bool { // those that are down come up within it
+	if !g.waitFor(3000, func() bool { // hosts that are down restart within it
 		for _, h := range g.hosts {
 			if h.replica == nil {
 				return false
@@ -187,7 +189,7 @@
 		}
 		return true
 	}) && g.Broken == "" {
-		g.fail("a host did not come up")
+		g.fail("a host did not restart within 3 s")
 	}
 	before := len(g.history)
 	if !g.waitFor(writeRecoveryMS, func() bool {
@@ -198,7 +200,7 @@
 		}
 		return false
 	}) {
-		g.fail("no write was taken within %d ms of the last fault's end", writeRecoveryMS)
+		g.fail("no write was committed within %d ms of the end of the last fault", writeRecoveryMS)
 	}
 	for _, c := range g.clients {
 		c.stopped = true
@@ -211,11 +213,11 @@
 		}
 		return g.voterCount() == g.votersWanted && g.converged()
 	}) {
-		g.fail("clients are without an answer, or instances differ, 20 s after the last fault")
+		g.fail("20 s after the last fault clients have pending calls, voters are missing, or instances differ")
 	}
 }
 
-// follower gives a voter that does not lead.
+// follower returns a member other than the leader and the excepted hosts, nil if there is none.
 func (g *ConsensusGroup) follower(except ...*host) *host {
 	leader := g.leader()
 next:
@@ -232,7 +234,7 @@
 	return nil
 }
 
-// checkRejoin: one instance is cut off and comes back; a healthy leader stays, in its term.
+// checkRejoin checks that a follower that rejoins after a partition doesn't depose a healthy leader.
 func (g *ConsensusGroup) checkRejoin() {
 	if g.Broken != "" {
 		return
@@ -242,11 +244,11 @@
 	g.partition(2500, func(a, b *host) bool { return a == follower || b == follower })
 	g.Run(g.Now + 4500)
 	if g.Broken == "" && (g.leader() != leader || leader.replica.Status().Term != term) {
-		g.fail("an instance that came back unseated a healthy leader")
+		g.fail("an instance that rejoined deposed a healthy leader")
 	}
 }
 
-// proposeAndWait waits until a put by the script is applied at a host, and tells whether it was.
+// proposeAndWait proposes a put at a host and reports whether a newer version is applied there within ms.
 func (g *ConsensusGroup) proposeAndWait(h *host, ms int64) bool {
 	before := h.replica.Status().Version
 	g.lastCallID++
@@ -258,32 +260,32 @@
 	}) && h.replica != nil
 }
 
-// waitUntilSettled waits for calm between two scripted cases.
+// waitUntilSettled waits until the group has healed after a scripted case.
 func (g *ConsensusGroup) waitUntilSettled() bool {
 	if g.Broken == "" && !g.waitFor(10000, func() bool {
 		return len(g.blockedLinks) == 0 && g.leader() != nil && g.voterCount() == g.votersWanted && g.converged() &&
 			len(g.memberHosts()) == g.votersWanted
 	}) {
-		g.fail("the group is not whole 10 s after a scripted fault")
+		g.fail("the group has not healed 10 s after a scripted fault")
 	}
 	return g.Broken == ""
 }
 
-// checkUnsyncedWrite: with all but one follower away, the power goes at that one as it would keep an entry. What it
-// did not keep must not count.
+// checkUnsyncedWrite: the only reachable follower loses power while it stores an entry. An entry that isn't synced
+// must not count towards the majority.
 func (g *ConsensusGroup) checkUnsyncedWrite() {
 	if !g.waitUntilSettled() {
 		return
 	}
 	leader, follower := g.leader(), g.follower()
 	away := g.partitionMinority(1500, leader, follower)
-	g.tracef("hosts %v away, host %d loses power at its next write", away, follower.number)
+	g.tracef("hosts %v partitioned, host %d loses power at its next write", away, follower.number)
 	follower.stepsToCrash = 0
 	g.proposeAndWait(leader, 400)
 	g.waitUntilSettled()
 }
 
-// partitionMinority parts some hosts from the group, so that the leader and one more are just a majority.
+// partitionMinority partitions the largest minority that excludes the leader and one follower, and returns it.
 func (g *ConsensusGroup) partitionMinority(ms int64, leader, follower *host) map[*host]bool {
 	away := map[*host]bool{}
 	for _, h := range g.memberHosts() {
@@ -295,8 +297,8 @@
 	return away
 }
 
-// checkOldDisk: what two of three agreed on while the third was away has to outlast one of the two coming back on
-// a copy of its disk from before, with the other then cut off.
+// checkOldDisk: a bare majority commits entries, then one of its members restarts on an older copy of its disk while
+// the leader is partitioned. The committed entries must not be lost.
 func (g *ConsensusGroup) checkOldDisk() {
 	if !g.waitUntilSettled() {
 		return
@@ -305,7 +307,7 @@
 	follower.savedDisk = follower.disk.Copy()
 	g.partitionMinority(3000, leader, follower)
 	for i := 0; i < 3; i++ {
-		// The leader may be a few ms old and another's election still under way: the promise is not on one leader.
+		// Another election may follow: any leader may accept the write within writeRecoveryMS.
 		accepted := false
 		for end := g.Now + writeRecoveryMS; g.Now < end && !accepted && g.Broken == ""; {
 			if n := g.leader(); n == nil {
@@ -315,7 +317,7 @@
 			}
 		}
 		if !accepted && g.Broken == "" {
-			g.fail("a majority took no write within %d ms", writeRecoveryMS)
+			g.fail("a majority committed no write within %d ms", writeRecoveryMS)
 		}
 	}
 	if g.Broken != "" || follower.replica == nil || g.leader() != leader {
@@ -331,8 +333,8 @@
 	}
 }
 
-// Shrink makes a failing schedule shorter: it leaves out what is not needed for a failure, by halves, then one
-// by one.
+// Shrink minimizes a failing schedule: it removes faults that the failure doesn't need, first halves, then smaller
+// parts, then single faults, in at most runs runs.
 func Shrink(seed int64, size int, faults []Fault, without consensus.Guard, runs int) []Fault {
 	for part := (len(faults) + 1) / 2; part > 0 && runs > 0; {
 		shorter := false
@@ -354,7 +356,7 @@
 	return faults
 }
 
-// FaultLines lists faults, a line each.
+// FaultLines formats faults, one per line.
 func FaultLines(faults []Fault) string {
 	out := make([]string, len(faults))
 	for i, f := range faults {
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -13,49 +13,49 @@
 	"umberwinch/internal/wal"
 )
 
-// Times are milliseconds. An instance ticks as the shipped file has it.
+// Times are milliseconds; tickMS and electionTicks are those of the shipped configuration.
 const (
 	tickMS        = 50
 	electionTicks = 10
-	// writeRecoveryMS is the promise: with a majority there, a leader takes writes again within it.
+	// writeRecoveryMS is the maximum time until writes succeed again once a majority is available.
 	writeRecoveryMS      = 5000
-	ScheduleMilliseconds = 12000 // of faults under load; growth, rest and scripted cases come to it
+	ScheduleMilliseconds = 12000 // duration of the faults under load, without growth, healing and scripted cases
 	segmentBytes         = 16 << 10
 	maxLogBytes          = 8 << 20
-	snapshotBytes        = 12 << 10 // small, so that snapshots and lagging followers come often
+	snapshotBytes        = 12 << 10 // small, so that snapshots and lagging followers are frequent
 )
 
-var errPowerLoss = errors.New("the power went")
+var errPowerLoss = errors.New("power lost")
 
-// logPosition is an entry as some log has it.
+// logPosition identifies an entry of a log.
 type logPosition struct{ index, term uint64 }
 
-// host is a machine with a disk and, while it is up, an instance.
+// host is a machine with a disk and, while it is running, an instance.
 type host struct {
 	number           int
 	disk             *wal.MemFS
 	replica          *consensus.Replica
 	id               uint64
-	incarnation      int   // numbered over all hosts
-	stalledUntil     int64 // its disk stalls until then
-	stepsToCrash     int   // file-system steps until it crashes, -1 for none
+	incarnation      int   // unique over all hosts
+	stalledUntil     int64 // time until which the host stalls
+	stepsToCrash     int   // file-system steps until it loses power, -1 for none
 	savedDisk        *wal.MemFS
-	durableTerms     map[uint64]uint64 // index to term of what its log held on disk when last seen
-	snapshotIndex    uint64            // all up to it are held, in a snapshot
-	checkedIndex     uint64            // applied when last checked
-	checkedVersion   uint64            // number of the version checked last
+	durableTerms     map[uint64]uint64 // index to term of the entries in its log on disk
+	snapshotIndex    uint64            // last index covered by its snapshot
+	checkedIndex     uint64            // last applied index that has been checked
+	checkedVersion   uint64            // last version that has been checked
 	puts             map[string]*pendingCall
 	reads            map[uint64]*pendingCall
-	needsReplacement bool // barred, or its disk was lost: the operator replaces it
+	needsReplacement bool // barred: the operator replaces it
 }
 
-// ConsensusGroup is one run.
+// ConsensusGroup is one simulation of a Raft group on a faulty network and faulty disks.
 type ConsensusGroup struct {
 	scheduler[int64]
 	network
 	workload
 	observedLogs
-	random       *rand.Rand // network, disks and clients
+	random       *rand.Rand // for network, disks and clients
 	without      consensus.Guard
 	hosts        []*host
 	incarnations int
@@ -64,34 +64,35 @@
 	Trace        func(string)
 }
 
-// network is what connects hosts.
+// network is the state of the links between hosts.
 type network struct {
-	handshakes   map[[2]int]bool // by incarnations: whether they have exchanged handshakes that both accept
-	blockedLinks map[[2]int]bool // by hosts, one way
-	lossPerMille int             // of 1,000 messages
-	maxDelay     int64           // of a message
+	handshakes   map[[2]int]bool // by the two incarnations, lower first: whether both accept each other
+	blockedLinks map[[2]int]bool // by sender and receiver
+	lossPerMille int             // messages lost or duplicated per 1,000
+	maxDelay     int64           // of a message, ms
 }
 
-// workload are the clients, and the history of their calls and responses.
+// workload is the set of clients and the history of their calls.
 type workload struct {
 	lastCallID uint64
 	clients    []*client
 	history    []porcupine.Operation
 }
 
-// observedLogs is what was seen of all logs and states, for later ones to be held against.
+// observedLogs records the logs and states observed so far, which invariants compare with later ones.
 type observedLogs struct {
-	leaders       map[uint64]uint64
+	leaders       map[uint64]uint64 // term to instance
 	committed     map[uint64]uint64 // index to term
-	appliedInTerm map[uint64]uint64 // index to the term in which it was first seen applied: later leaders must have it
+	appliedInTerm map[uint64]uint64 // index to the term in which it was first applied: leaders of later terms must hold it
 	checksums     map[logPosition]uint32
 	stateAtIndex  map[uint64]string
 	voterSets     [][]uint64
-	newestVersion uint64 // version applied anywhere
+	newestVersion uint64 // newest version applied on any host
 	lostEntries   map[uint64]map[logPosition]bool
 }
 
-// NewConsensusGroup founds a group of one and lets it grow to size, without faults.
+// NewConsensusGroup creates size hosts; the first founds the group, the others wait to be added. No faults are
+// scheduled.
 func NewConsensusGroup(seed int64, size int, without consensus.Guard) *ConsensusGroup {
 	g := &ConsensusGroup{
 		network: network{handshakes: map[[2]int]bool{}, blockedLinks: map[[2]int]bool{}, maxDelay: 20},
@@ -131,7 +132,7 @@
 	}
 }
 
-// Run goes on until a moment, or until something is broken.
+// Run runs events until a time, or until an invariant is violated.
 func (g *ConsensusGroup) Run(until int64) {
 	g.scheduler.runEvents(until, func() bool { return g.Broken != "" })
 	if g.Broken == "" {
@@ -139,7 +140,7 @@
 	}
 }
 
-// waitFor runs until a condition holds, for some time at most, and tells whether it does.
+// waitFor runs until a condition holds, for at most ms, and reports whether it holds.
 func (g *ConsensusGroup) waitFor(ms int64, holds func() bool) bool {
 	for end := g.Now + ms; g.Now < end && g.Broken == ""; {
 		if holds() {
@@ -151,8 +152,8 @@
 }
 
 func (g *ConsensusGroup) config(h *host, found bool) consensus.Config {
-	return consensus.Config{Name: fmt.Sprint("i", g.incarnations), Peer: fmt.Sprint("h", h.number), Listen: fmt.Sprint("h",
-		h.number),
+	return consensus.Config{Name: fmt.Sprint("i", g.incarnations), Peer: fmt.Sprint("h", h.number),
+		Listen:     fmt.Sprint("h", h.number),
 		FoundGroup: found, ElectionTicks: electionTicks, SnapshotBytes: snapshotBytes, DisabledGuards: g.without,
 		Random: g.random.Uint64,
 		Sizes:  wal.Sizes{SegmentBytes: segmentBytes, MaxBytes: maxLogBytes}, Logger: discardLogger{},
@@ -180,18 +181,18 @@
 		g.recordLog(h)
 		return nil
 	})
-	g.tracef("host %d up as %x, life %d", h.number, h.id, h.incarnation)
+	g.tracef("host %d started as instance %x, incarnation %d", h.number, h.id, h.incarnation)
 	if h.replica != nil {
 		g.processReady(h)
 		g.connectInstance(h, h.incarnation)
 	}
 }
 
-// atHost runs something at a host. A failure put there on purpose takes it down, any other breaks the run.
+// atHost runs f on a host. An injected power loss crashes the host; any other error or panic violates an invariant.
 func (g *ConsensusGroup) atHost(h *host, f func() error) {
 	defer func() {
 		if p := recover(); p != nil {
-			g.fail("host %d gave up: %v", h.number, p)
+			g.fail("host %d panicked: %v", h.number, p)
 			h.replica = nil
 		}
 	}()
@@ -213,9 +214,9 @@
 	}
 }
 
-// crashHost ends a host's instance, by the power or by a kill, and has it come up again later.
+// crashHost ends a host's instance by power loss or a kill, and restarts it after ms.
 func (g *ConsensusGroup) crashHost(h *host, ms int64) {
-	g.tracef("host %d down", h.number)
+	g.tracef("host %d crashed", h.number)
 	h.replica, h.stepsToCrash = nil, -1
 	if g.random.Intn(3) == 0 {
 		h.disk = h.disk.Kill()
@@ -238,7 +239,7 @@
 	}
 }
 
-// processReady lets an instance do what it has ready, checks its state, and responds to clients.
+// processReady processes the instance's pending work, checks invariants and responds to clients.
 func (g *ConsensusGroup) processReady(h *host) {
 	if h.replica == nil || g.Broken != "" {
 		return
@@ -275,7 +276,7 @@
 	})
 }
 
-// leader gives the host whose instance leads in the latest term, nil if none does.
+// leader returns the host that leads in the latest term, nil if there is no leader.
 func (g *ConsensusGroup) leader() *host {
 	var best *host
 	term := uint64(0)
@@ -289,8 +290,8 @@
 	return best
 }
 
-// reconcileMembers is the operator: it takes in instances that wait, promotes them, and removes those that take no
-// part.
+// reconcileMembers acts as the operator: it adds waiting instances as members to be promoted, removes members whose
+// host was lost, and wipes barred instances.
 func (g *ConsensusGroup) reconcileMembers() {
 	g.after(200, g.reconcileMembers)
 	for _, h := range g.hosts {
@@ -324,7 +325,7 @@
 	}
 }
 
-// voterCount counts the voters that are up and take part, as the leader has them.
+// voterCount returns the number of voters in the leader's list of members, 0 without a leader.
 func (g *ConsensusGroup) voterCount() int {
 	leader := g.leader()
 	if leader == nil {
@@ -339,7 +340,7 @@
 	return n
 }
 
-// recordLostEntries notes what a disk held that is no more.
+// recordLostEntries records the entries of a disk that is about to be replaced.
 func (g *ConsensusGroup) recordLostEntries(h *host) {
 	for i, term := range h.durableTerms {
 		if g.lostEntries[h.id] == nil {
@@ -349,7 +350,7 @@
 	}
 }
 
-// hostOf gives the host that a member runs on, nil if its disk was lost.
+// hostOf returns the host of a member, nil if it is to be replaced or runs another instance.
 func (g *ConsensusGroup) hostOf(m consensus.Member) *host {
 	for _, h := range g.hosts {
 		if h.id == m.ID && !h.needsReplacement {
@@ -359,7 +360,7 @@
 	return nil
 }
 
-// memberHosts gives the hosts of the group's members, as the leader has them.
+// memberHosts returns the hosts of the members in the leader's list.
 func (g *ConsensusGroup) memberHosts() []*host {
 	var out []*host
 	leader := g.leader()
--- a/internal/simulation/consensus_network.go
+++ b/internal/simulation/consensus_network.go
@@ -7,8 +7,8 @@
 	"umberwinch/internal/control/consensus"
 )
 
-// connectInstance has an instance that has started exchange handshakes with all that it reaches, again until all have
-// accepted it or it ends.
+// connectInstance exchanges handshakes between a started instance and all others, and retries until all have accepted
+// it or it has ended.
 func (g *ConsensusGroup) connectInstance(h *host, incarnation int) {
 	if h.replica == nil || h.incarnation != incarnation {
 		return
@@ -27,21 +27,22 @@
 	}
 }
 
-// handshake tells whether two instances speak with each other; they greet where both ways are open and neither
-// stalls.
+// handshake reports whether two instances accept each other. They exchange handshakes if both directions are open and
+// neither host is stalled. An instance that is barred by its peer is recorded as to be replaced.
 func (g *ConsensusGroup) handshake(a, b *host) bool {
 	key := [2]int{min(a.incarnation, b.incarnation), max(a.incarnation, b.incarnation)}
 	if ok, known := g.handshakes[key]; known {
 		return ok
 	}
-	if g.blockedLinks[[2]int{a.number, b.number}] || g.blockedLinks[[2]int{b.number, a.number}] || a.stalledUntil > g.Now || b.stalledUntil > g.Now {
+	if g.blockedLinks[[2]int{a.number, b.number}] || g.blockedLinks[[2]int{b.number, a.number}] ||
+		a.stalledUntil > g.Now || b.stalledUntil > g.Now {
 		return false
 	}
 	ok := true
 	for _, p := range [][2]*host{{a, b}, {b, a}} {
 		var reason string
 		g.atHost(p[0], func() (err error) {
-			to := uint64(0) // an id is known from the list of members
+			to := uint64(0) // 0 if the peer isn't in its list of members
 			for _, m := range p[1].replica.Members() {
 				if m.ID == p[0].id {
 					to = m.ID
@@ -56,7 +57,7 @@
 		if reason != "" {
 			ok = false
 			if consensus.BarsInstance(reason) {
-				g.tracef("host %d told by %d: %s", p[1].number, p[0].number, reason)
+				g.tracef("host %d rejected by host %d: %s", p[1].number, p[0].number, reason)
 				g.atHost(p[1], func() error { return p[1].replica.Bar(reason) })
 				if p[1].replica == nil {
 					return false
@@ -65,23 +66,24 @@
 			}
 		}
 	}
-	// An instance that waits is spoken with once it was taken in; the question is put again until then.
+	// A rejection is final only if both are in a group: a waiting instance is accepted once it has become a member.
 	if ok || a.replica.Status().Cluster != "" && b.replica.Status().Cluster != "" {
 		g.handshakes[key] = ok
 	}
 	return ok
 }
 
+// send delivers messages after a random delay each; some are lost or duplicated.
 func (g *ConsensusGroup) send(h *host, incarnation int, messages []*pb.Message) {
 	for _, m := range messages {
 		raw, err := proto.Marshal(m)
 		if err != nil {
-			g.fail("a message: %v", err)
+			g.fail("encode message: %v", err)
 			return
 		}
 		copies := 1
 		if g.random.Intn(1000) < g.lossPerMille {
-			copies = g.random.Intn(2) * 2 // lost, or doubled
+			copies = g.random.Intn(2) * 2 // lost or duplicated
 		}
 		to, isSnapshot := m.GetTo(), m.GetType() == pb.MessageType_MsgSnap
 		for ; copies > 0; copies-- {
@@ -109,7 +111,7 @@
 	if h == nil || g.blockedLinks[[2]int{from.number, h.number}] {
 		return
 	}
-	if h.stalledUntil > g.Now { // it waits in a socket
+	if h.stalledUntil > g.Now { // buffered in a socket
 		g.after(h.stalledUntil-g.Now, func() { g.deliver(from, incarnation, to, raw) })
 		return
 	}
@@ -118,7 +120,7 @@
 	}
 	m := &pb.Message{}
 	if err := proto.Unmarshal(raw, m); err != nil {
-		g.fail("a message: %v", err)
+		g.fail("decode message: %v", err)
 		return
 	}
 	g.atHost(h, func() error { h.replica.Step(m); return nil })
--- a/internal/simulation/consensus_schedules_test.go
+++ b/internal/simulation/consensus_schedules_test.go
@@ -9,11 +9,9 @@
 
 const playMS = ScheduleMilliseconds
 
-// TestSchedules: groups of three and of five grow, and clients put and read while drawn faults come: crashes, power
-// loss, partitions, lost messages, stalled disks, disks lost or put back. Then all heals, and scripted cases
-// follow. Throughout no two leaders have one term, no applied entry changes, and the clients' history is
-// linearizable.
-func TestSchedules(t *testing.T) {
+// TestConsensusSchedules: groups of three and five keep the Raft invariants, and the clients' history is linearizable,
+// under random crashes, power loss, partitions, lost messages, stalls and lost disks.
+func TestConsensusSchedules(t *testing.T) {
 	for seed := int64(1); seed <= 24; seed++ {
 		size := 3 + int(seed%2)*2
 		t.Run(fmt.Sprintf("seed %d, %d instances", seed, size), func(t *testing.T) {
@@ -27,9 +25,9 @@
 	}
 }
 
-// TestWithoutGuards: a guard of the consensus code is taken out and schedules are played until a promise breaks.
-// One must, on 120 seeds, or no check would find that the guard is missing.
-func TestWithoutGuards(t *testing.T) {
+// TestConsensusGuards: with a guard of the consensus code disabled an invariant must be violated within 120 seeds, or no
+// check detects a missing guard.
+func TestConsensusGuards(t *testing.T) {
 	for _, name := range consensus.GuardNames() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -43,16 +41,15 @@
 					return
 				}
 			}
-			t.Fatal("nothing broke on 120 seeds")
+			t.Fatal("no invariant was violated on 120 seeds")
 		})
 	}
 }
 
-// TestSameSeedSameRun: a schedule is played twice from its seed and comes to the same, so that a failure can be
-// reproduced.
-func TestSameSeedSameRun(t *testing.T) {
+// TestSameSeedSameResult: two runs of a seed have the same result, so that a failure can be reproduced.
+func TestSameSeedSameResult(t *testing.T) {
 	a := Play(3, 5, DrawFaults(3, 5, playMS), 0, nil)
 	if b := Play(3, 5, DrawFaults(3, 5, playMS), 0, nil); a != b {
-		t.Fatalf("two runs of one seed: %+v and %+v", a, b)
+		t.Fatalf("two runs of seed 3 differ: %+v and %+v", a, b)
 	}
 }
