--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -37,9 +37,9 @@
 	WithoutZones zones.Guard
 }
 
-// Fleet simulates a fleet of nodes and its control group. The group's replicated state, the leader's coordinator and the
-// nodes' agents are the production code. Clocks, network, crashes and the group's log are simulated: an entry that the
-// leader appends is committed after a delay, or may be lost if the leader changes first.
+// Fleet simulates a fleet of nodes and its control group. The group's replicated state, the leader's coordinator and
+// the nodes' agents are the production code. Clocks, network, crashes and the group's log are simulated: an entry that
+// the leader appends is committed after a delay, or may be lost if the leader changes first.
 type Fleet struct {
 	FleetPlan
 	scheduler[float64]
--- a/internal/simulation/fleet_state_loss.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -12,9 +12,9 @@
 	"umberwinch/internal/control/zones"
 )
 
-// stateLoss simulates losses of the group's state: an older copy of its data folders is restored, or none is left. The
-// group detects the loss by positions that nodes prove, an operator collects the nodes' records, and the next generation
-// starts from them, all by the production code. A leader of a former generation may keep answering nodes.
+// stateLoss simulates losses of the group's state: an older copy of its data folders is restored, or none is left.
+// The group detects the loss by positions that nodes prove, an operator collects the nodes' records, and the next
+// generation starts from them, all by the production code. A leader of a former generation may keep answering nodes.
 type stateLoss struct {
 	groupID              string            // identity of the current generation's group
 	textByHash           map[string]string // version texts by hash
@@ -71,7 +71,8 @@
 		return
 	}
 	f.savedStates = append(f.savedStates, savedState{snapshot: raw, texts: slices.Clone(f.versionTexts),
-		hashes: slices.Clone(f.versionHashes), index: f.index, term: f.term, changeSteps: maps.Clone(f.changeSteps), historyLength: len(f.History)})
+		hashes: slices.Clone(f.versionHashes), index: f.index, term: f.term,
+		changeSteps: maps.Clone(f.changeSteps), historyLength: len(f.History)})
 	f.savedStates = f.savedStates[max(0, len(f.savedStates)-maxSavedStates):]
 }
 
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -7,90 +7,87 @@
 	"umberwinch/internal/report"
 )
 
-// Traffic on a fleet in virtual time: callers that retry elsewhere, nodes by their real gates, and for each zone a
-// service below with a capacity, a cache that has to warm up, and faults. Requests are rates, a tenth of a second
-// at a time; group, coordinators, agents and gates are the real code.
-
-// Kinds of fault of a zone.
+// Kinds of fault of a zone. Its dependency is the service that its nodes call.
 const (
-	ZoneDead         = "dead"     // its nodes are killed and come back cold
-	ZoneKernels      = "kernels"  // its kernels are dead, its nodes well
-	ZoneSlow         = "slow"     // its service below at a tenth of its speed
-	ZoneErrors       = "errors"   // four in ten of its runs fail for good
-	ZoneCutOff       = "cut off"  // from the group alone
-	ZoneCallers      = "callers"  // from its callers alone
-	ZoneOutlierNode  = "bad node" // one node of it is sick
-	ZoneCommon       = "common"   // all zones are slow
-	ZoneFalseReports = "lies"     // two of five of its nodes report that they are unhealthy
-	ZoneRestart      = "restart"  // its nodes are killed and start again at once, cold
-	ZoneNoise        = "noise"    // half of the reports are missing, the others vary
+	ZoneDead         = "dead"     // its nodes are killed; they and its dependency restart cold
+	ZoneKernels      = "kernels"  // its kernels fail, its nodes stay up
+	ZoneSlow         = "slow"     // its dependency runs at a tenth of its speed
+	ZoneErrors       = "errors"   // 40% of its runs fail
+	ZoneCutOff       = "cut off"  // its nodes are partitioned from the group only
+	ZoneCallers      = "callers"  // its nodes are partitioned from their callers only
+	ZoneOutlierNode  = "bad node" // one of its nodes is unhealthy
+	ZoneCommon       = "common"   // as ZoneSlow, with a start delayed by StaggerMS per zone
+	ZoneFalseReports = "lies"     // two of five nodes falsely report that they are unhealthy
+	ZoneRestart      = "restart"  // its nodes are killed and restart at the end of the fault, cold
+	ZoneNoise        = "noise"    // half of the load reports are missing, the others vary more
 )
 
-// classFractions are the three classes' parts of what arrives, classWeights their priority weights.
+// classFractions are the fractions of the arrivals of the three classes, classWeights their priority weights.
 var classFractions, classWeights = [3]float64{0.7, 0.2, 0.1}, [3]float64{1, 2, 20}
 
-// maxAttempts is how often a caller sends one request at most.
+// maxAttempts is the maximum number of attempts of a request, including the first.
 const maxAttempts = 4
 
 const (
-	stepMS             = 100  // ms
-	warmRunMS          = 20.0 // ms that a run takes on a warm service
+	stepMS             = 100  // length of a step of traffic
+	warmRunMS          = 20.0 // duration of a run on a warm dependency
 	latencyObjectiveMS = 300.0
-	// WarmUpSeconds of full capacity fill a service's cache.
+	// WarmUpSeconds is the time at full capacity that fills a dependency's cache.
 	WarmUpSeconds   = 10.0
-	maxRetryAfterMS = 10_000 // ms, of a Retry-After
-	// maxRetryRatio is how much more than first attempts callers may send at once, by each coming back up to three
-	// times and by a step that admits all that were told to come in it. Callers that are all told the same moment
-	// exceed it.
+	maxRetryAfterMS = 10_000 // maximum Retry-After
+	// maxRetryRatio is the maximum ratio of all attempts to first attempts in a step after a restart. Retries with a
+	// spread Retry-After stay below it; retries that all come at one time exceed it.
 	maxRetryRatio = 12
 	retrySteps    = maxRetryAfterMS/100 + 20
-	quotaBuckets  = 8    // parts of the requests that a quota leaves out, each with a Retry-After of its own
-	zoneRunSlots  = 80.0 // run slots of a zone's nodes, four times what its service below works on at once
+	quotaBuckets  = 8    // buckets of the requests rejected by a quota, each with its own Retry-After
+	zoneRunSlots  = 80.0 // run slots of a zone's nodes: four times the concurrency of its dependency
 )
 
-// Zones is one run.
+// Zones simulates traffic on a fleet whose zones fail. Callers retry in other zones, and each zone's nodes call a
+// dependency with a capacity, a cache and faults. Traffic is modeled as rates in steps of stepMS; the group, its
+// coordinators, the agents and the zone gates are the production code.
 type Zones struct {
 	ZonePlan
 	ZoneFigures
 	Fleet              *Fleet
 	dependencies       []*dependency
 	retries            retryQueue
-	nodeHealth         []nodeHealth // by node
-	upNodesByZone      []float64    // nodes that are up, by zone
+	nodeHealth         []nodeHealth // by index of the node
+	upNodesByZone      []float64    // running nodes
 	faultActive        bool
-	secondFaultStarted bool                  // the second failure has come
-	rateLimits         map[string][2]float64 // now, and before until settled
-	attemptCounts      [2]float64            // attempts, and first ones, from the fault on
+	secondFaultStarted bool                  // the second fault has started
+	rateLimits         map[string][2]float64 // by zone: current, and previous until settled
+	attemptCounts      [2]float64            // all and first attempts since the start of the fault
 	Broken             string
 }
 
-// nodeHealth is how a node looks to callers. Times are ms of the fleet.
+// nodeHealth is the health of a node as seen by callers. Times are virtual ms.
 type nodeHealth struct {
-	lastReady      float64 // it reported that it is ready; 0: it reported last that it isn't
-	unhealthySince float64 // by its own judgement; 0: it is well
-	ejectedUntil   float64
+	lastReady      float64 // last time it reported ready; 0: its last report was not ready
+	unhealthySince float64 // start of its unhealthiness, as ejectUnhealthyNodes sees it; 0: healthy
+	ejectedUntil   float64 // end of its ejection
 }
 
-// ZoneFigures is what was measured in a run.
+// ZoneFigures are the measurements of a run. A load is demand over capacity of a dependency, weight is priority weight.
 type ZoneFigures struct {
-	Done              float64 // weight done in time, and offered, from the fault on
-	Asked             float64
-	WeightDuringFault float64            // value done while it fails, from five seconds on
-	Tries             float64            // attempts a request, from the fault on
-	Left              map[string]float64 // ms from the fault to a zone's evacuation
-	Back              map[string]float64 // and from its end until the zone is in service again
-	Wrong             int
-	Steps             int
-	BackStep          int
-	Peak              float64 // load over capacity of a service while its zone returns
+	Done              float64            // weight completed in time since the start of the fault
+	Asked             float64            // weight offered since the start of the fault
+	WeightDuringFault float64            // weight completed during the fault, from 5 s after its start
+	Tries             float64            // attempts per request since the start of the fault
+	Left              map[string]float64 // by zone: ms from the start of the fault to its evacuation
+	Back              map[string]float64 // by zone: ms from the end of the fault until it is in service again
+	Wrong             int                // unjustified evacuations
+	Steps             int                // recovery ramp: steps forward
+	BackStep          int                // recovery ramp: steps back
+	Peak              float64            // highest load during a zone's recovery ramp, over one second
 	peakRampAt        string
-	PeakNeighborLoad  float64 // most load over capacity of a zone in service, its own first attempts fitting
+	PeakNeighborLoad  float64 // highest load of a healthy zone while another is evacuated
 	peakNeighborAt    string
-	OverloadMS        float64 // ms for which a service was overloaded by a second fault
-	ColdStarts        int     // times that the fleet began with a share
-	Start             float64 // highest load over capacity of a service after a restart
-	PeakRetryRatio    float64 // after a restart, from callers that wait: most attempts at once over first ones
-	Plot              []report.Line
+	OverloadMS        float64       // ms with a load above 1 during a ramp with a second fault
+	ColdStarts        int           // cold starts of the whole fleet
+	Start             float64       // highest load after a restart
+	PeakRetryRatio    float64       // highest ratio of all to first attempts after a restart
+	Plot              []report.Line // by s: fraction of weight completed, load and share of z0
 }
 
 func (v *Zones) faultKind(z int) string {
@@ -100,7 +97,7 @@
 	return ""
 }
 
-// commonCause tells that all zones have one fault.
+// commonCause reports whether all zones have the same fault.
 func (v *Zones) commonCause() bool {
 	for z := 1; z < v.Zones; z++ {
 		if v.faultKind(z) != v.faultKind(0) {
@@ -116,7 +113,7 @@
 	}
 }
 
-// Play plays the run: calm seconds, the fault, its end, and on until Ends; then all promises have to hold.
+// Play runs the plan until its end and checks the invariants, except for the baselines.
 func (v *Zones) Play() {
 	f := v.Fleet
 	f.after(1500, func() { f.proposeChange(false, 0) })
@@ -135,45 +132,48 @@
 	}
 }
 
-// checkZones: all zones are in service at the end, and none was evacuated where staying was worth more.
+// checkZones checks that all zones are in service at the end, and that no zone was evacuated although staying had the
+// higher expected value.
 func (v *Zones) checkZones() {
 	for _, z := range v.Fleet.state.Zones.Zones {
 		if z.Phase != zones.InService {
-			v.fail("zone %s is %s at %d at the end: %v", z.Name, z.Phase, z.Share, z.Events[len(z.Events)-1])
+			v.fail("at the end zone %s is %s with share %d, want in service; last event: %v", z.Name, z.Phase,
+				z.Share, z.Events[len(z.Events)-1])
 		}
 	}
 	for _, z := range v.Fleet.state.Zones.Zones {
 		for _, e := range z.Events {
 			if e.ValueOfEvacuating < e.ValueOfStaying {
-				v.fail("zone %s was left for %.0f of value a second, where staying was to do %.0f", z.Name,
+				v.fail("zone %s was evacuated for an expected value of %.0f/s, although staying had %.0f/s", z.Name,
 					e.ValueOfEvacuating, e.ValueOfStaying)
 			}
 		}
 	}
 }
 
-// checkLoad: no service was overloaded by a restart, a return or a neighbour's callers.
+// checkLoad checks that no dependency was overloaded after a restart, during a recovery ramp, or by traffic from other
+// zones.
 func (v *Zones) checkLoad() {
 	if v.Start > 1 {
-		v.fail("a service was asked for %.2f of what it bears after the restart", v.Start)
+		v.fail("load of a dependency after the restart = %.2f, want at most 1", v.Start)
 	}
 	if v.PeakRetryRatio > maxRetryRatio {
-		v.fail("callers that wait until they are told to come back asked %.1f times as much together as first tries "+
-			"came", v.PeakRetryRatio)
+		v.fail("ratio of all attempts to first attempts after the restart = %.1f, want at most %d", v.PeakRetryRatio,
+			maxRetryRatio)
 	}
 	if v.OverloadMS > 8000 {
-		v.fail("a service that failed during the return was asked for more than it bears for %.1f s", v.OverloadMS/1000)
+		v.fail("a dependency with a second fault was overloaded for %.1f s, want at most 8 s", v.OverloadMS/1000)
 	}
 	if v.Peak > 1.0 {
-		v.fail("a service was asked for %.2f of what it bears while its zone returned: %s", v.Peak, v.peakRampAt)
+		v.fail("load of a dependency during the recovery ramp = %.2f, want at most 1: %s", v.Peak, v.peakRampAt)
 	}
 	if v.PeakNeighborLoad > 1.1 && v.Load*float64(v.Zones) < 0.85*float64(v.Zones) {
-		v.fail("a zone that is in was asked for %.2f of what it bears by tries from elsewhere: %s", v.PeakNeighborLoad,
+		v.fail("load of a zone in service with traffic from other zones = %.2f, want at most 1.1: %s", v.PeakNeighborLoad,
 			v.peakNeighborAt)
 	}
 }
 
-// allInService tells that no zone is evacuated, or none for long enough that all nodes were notified.
+// allInService reports whether no zone has been out of service for more than 2.5 s in a settled epoch.
 func (f *Fleet) allInService() bool {
 	s := f.state.Zones
 	for _, z := range s.Zones {
--- a/internal/simulation/zones_check.go
+++ b/internal/simulation/zones_check.go
@@ -1,7 +1,5 @@
 package simulation
 
-// This file holds a step of zones in virtual time to their promises.
-
 import (
 	"fmt"
 
@@ -10,7 +8,7 @@
 	"umberwinch/internal/control/zones"
 )
 
-// checkZone holds a zone's step to the promises; first is the rate of first attempts that its nodes admitted.
+// checkZone checks the invariants of one step of a zone; first is the rate of first attempts admitted by its nodes.
 func (v *Zones) checkZone(z int, b *dependency, first float64) {
 	name := fmt.Sprint("z", z)
 	load := v.loadOfLastSecond(b)
@@ -31,20 +29,20 @@
 	case zones.Ramping:
 		v.measureRamp(name, b, load)
 		v.checkRateLimits("nodes of "+name, name, func(n *node, o *api.ZoneOrder) bool {
-			return n.zone == z && o.Share > 0 // of no share it takes nothing, as where its zone is out
+			return n.zone == z && o.Share > 0 // a node without a share admits nothing
 		})
 	case zones.InService:
 		if v.faultKind(z) == "" && first < 0.85*b.capacity && !v.Fleet.allInService() && load > v.PeakNeighborLoad {
 			v.PeakNeighborLoad = load
-			v.peakNeighborAt = fmt.Sprintf("%s at %.1f s, %.0f first tries of %.0f", name,
+			v.peakNeighborAt = fmt.Sprintf("%s at %.1f s, %.0f first attempts/s at a capacity of %.0f/s", name,
 				(v.Fleet.Now-faultStartMS)/1000, first, b.capacity)
 		}
 	}
 	v.checkEpochs()
 }
 
-// loadOfLastSecond is a service's load over its capacity. It is taken over a whole second, as on processes: the
-// node that is notified first that it may admit more is sent all of it, for a moment.
+// loadOfLastSecond returns a dependency's load averaged over the last second. Shorter peaks are ignored: the first node
+// that is notified of a larger share briefly receives all traffic.
 func (v *Zones) loadOfLastSecond(b *dependency) float64 {
 	b.lastSecondLoads[int(v.Fleet.Now/stepMS)%len(b.lastSecondLoads)] = b.demand / max(b.capacity, 1)
 	load := 0.0
@@ -54,15 +52,15 @@
 	return load
 }
 
-// checkColdStart: while the whole fleet begins small, its nodes' rate limits come to no more than the fleet's.
+// checkColdStart checks the sum of all nodes' rate limits during a cold start of the whole fleet.
 func (v *Zones) checkColdStart() {
 	if all := v.Fleet.state.Zones.Find(zones.WholeFleet); all != nil && all.Phase == zones.Ramping {
 		v.checkRateLimits("the nodes", zones.WholeFleet, func(*node, *api.ZoneOrder) bool { return true })
 	}
 }
 
-// measureRamp notes a service's load while its zone returns: the highest while it has no fault, and for how long it
-// was overloaded in a second one.
+// measureRamp records the highest load of a dependency during its zone's recovery ramp, and the time for which a second
+// fault overloads it.
 func (v *Zones) measureRamp(name string, b *dependency, load float64) {
 	switch {
 	case v.faultActive:
@@ -75,24 +73,24 @@
 	}
 }
 
-// checkRateLimits: nodes' rate limits come to no more than the group gave out under a name, now or before that is
-// settled.
-func (v *Zones) checkRateLimits(who, name string, counts func(n *node, o *api.ZoneOrder) bool) {
+// checkRateLimits checks that the sum of the selected nodes' rate limits is within the group's current or, until the
+// epoch has settled, previous rate limit for a name.
+func (v *Zones) checkRateLimits(nodes, name string, selected func(n *node, o *api.ZoneOrder) bool) {
 	sum := 0.0
 	for _, n := range v.Fleet.nodes {
 		if !n.up || !n.serves {
 			continue
 		}
-		if o := n.agent.ZoneOrder(); o != nil && o.RateLimited && counts(n, o) {
+		if o := n.agent.ZoneOrder(); o != nil && o.RateLimited && selected(n, o) {
 			sum += o.RateLimit
 		}
 	}
 	if limit := max(v.rateLimits[name][0], v.rateLimits[name][1]); sum > limit*1.001+1e-6 {
-		v.fail("%s have %.1f runs a second together, expected %.1f at most", who, sum, limit)
+		v.fail("sum of the rate limits of %s = %.1f runs/s, want at most %.1f", nodes, sum, limit)
 	}
 }
 
-// checkEpochs: no node that serves acts on an epoch before the one that has settled.
+// checkEpochs checks that no serving node acts on an epoch before the settled one.
 func (v *Zones) checkEpochs() {
 	settled := v.Fleet.state.Zones.SettledEpoch
 	if settled == 0 {
@@ -103,16 +101,16 @@
 			continue
 		}
 		if o := n.agent.ZoneOrder(); o != nil && o.Epoch < settled {
-			v.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, settled)
+			v.fail("%s acts on epoch %d, but epoch %d has settled", n.name, o.Epoch, settled)
 		}
 	}
 }
 
-// TimeToFullRecovery gives the ms from the end of the fault until at least 98 in 100 of the weight is done for ten seconds on
-// end, -1 if it never is.
+// TimeToFullRecovery returns the ms from the end of the fault until at least 98% of the offered weight is completed for
+// 10 s, -1 if never.
 func (v *Zones) TimeToFullRecovery() float64 { return v.RecoveredAt(0.98) }
 
-// RecoveredAt is the same for any share of the value.
+// RecoveredAt is TimeToFullRecovery for another fraction of the weight.
 func (v *Zones) RecoveredAt(share float64) float64 {
 	since := -1.0
 	for _, p := range v.Plot[0].Points {
@@ -130,7 +128,7 @@
 	return -1
 }
 
-// onApplied notes what the group decided about zones, by the result of each entry.
+// onApplied records the group's decisions about zones from the result of an entry.
 func (v *Zones) onApplied(result any) {
 	if b, ok := result.(coordinator.BatchApplied); ok && b.FleetRestarted {
 		v.ColdStarts++
@@ -169,8 +167,8 @@
 	}
 }
 
-// checkEvacuation: a zone is evacuated for a fault of its own alone, while it lasts. A cold service is such a fault
-// where its zone was not evacuated before; a fault that all zones have is not.
+// checkEvacuation checks that an evacuation is justified by an active fault of the zone alone or by its cold
+// dependency. A fault common to all zones justifies none.
 func (v *Zones) checkEvacuation(z *zones.Zone) {
 	k := 0
 	fmt.Sscanf(z.Name, "z%d", &k)
@@ -185,7 +183,7 @@
 	}
 	if v.commonCause() || !justified || !v.faultActive && !cold {
 		v.Wrong++
-		v.fail("%s was left, and it is %q (bears %.0f, warm %.2f, asked %.0f): %s", z.Name, kind, b.capacity, b.warmth,
-			b.demand, z.Events[len(z.Events)-1].Text)
+		v.fail("unjustified evacuation of %s: fault %q, capacity %.0f/s, warmth %.2f, demand %.0f/s: %s", z.Name, kind,
+			b.capacity, b.warmth, b.demand, z.Events[len(z.Events)-1].Text)
 	}
 }
--- a/internal/simulation/zones_faults.go
+++ b/internal/simulation/zones_faults.go
@@ -1,6 +1,6 @@
 package simulation
 
-// injectFault begins the fault of each zone.
+// injectFault starts the planned fault of each zone.
 func (v *Zones) injectFault() {
 	v.faultActive = true
 	v.crashLeader()
@@ -30,12 +30,12 @@
 	}
 }
 
-// heal ends all faults. Services that had one, and nodes that were killed, start cold.
+// heal ends all faults. Dependencies that were slow or whose kernels failed are cold, and killed nodes restart.
 func (v *Zones) heal() {
 	v.faultActive = false
 	for z, b := range v.dependencies {
 		if b.speed < 1 {
-			b.speed, b.warmth = 1, 0 // its cache is empty
+			b.speed, b.warmth = 1, 0 // cold: its cache is empty
 		}
 		if v.faultKind(z) == ZoneKernels {
 			b.warmth = 0
@@ -49,7 +49,7 @@
 	}
 }
 
-// injectSecondFault does what is planned for the middle of a return.
+// injectSecondFault starts the late nodes, crashes the leader and slows z0's dependency for 25 s, as far as planned.
 func (v *Zones) injectSecondFault() {
 	if v.secondFaultStarted {
 		return
@@ -68,7 +68,7 @@
 	}
 }
 
-// crashLeader crashes the leader, if the plan says so, and starts it again later.
+// crashLeader crashes the leader and restarts it after 3 s, if planned.
 func (v *Zones) crashLeader() {
 	f := v.Fleet
 	if !v.CrashLeader || f.leader < 0 {
--- a/internal/simulation/zones_load_report.go
+++ b/internal/simulation/zones_load_report.go
@@ -1,7 +1,5 @@
 package simulation
 
-// This file is what nodes in virtual time report, and what the best possible would be.
-
 import (
 	"fmt"
 	"math"
@@ -9,7 +7,7 @@
 	"umberwinch/internal/control/api"
 )
 
-// loadReport is what a node tells of itself.
+// loadReport returns a node's load report, nil if it is missing.
 func (v *Zones) loadReport(n *node) *api.LoadReport {
 	b := v.dependencies[n.zone]
 	rates, f := &b.smoothedRates, v.Fleet
@@ -22,11 +20,11 @@
 	if noisy {
 		spread = 0.5
 	}
-	count := func(x float64) int { // of two seconds
+	count := func(x float64) int { // a noisy count over two seconds from the zone's rate
 		x = 2 * x / max(nodes, 1) * math.Exp(spread*f.random.NormFloat64())
 		return int(x + f.random.Float64())
 	}
-	// The order of fields is the order of random draws.
+	// The order of the fields is the order of the random draws: keep it.
 	report := &api.LoadReport{
 		WindowMS:        2000,
 		KernelConnected: !(v.faultActive && v.faultKind(n.zone) == ZoneKernels),
@@ -79,7 +77,7 @@
 	return ""
 }
 
-// probe is what one node sees of another.
+// probe returns the result of a node's probe of another.
 func (v *Zones) probe(_ *node, target api.ProbeTarget) api.PeerHealth {
 	for _, peer := range v.Fleet.nodes {
 		if peer.name != target.Name {
@@ -96,12 +94,14 @@
 	return api.PeerHealth{Name: target.Name, Health: api.PeerSilent}
 }
 
-// ejectUnhealthyNodes is the baseline in which each node judges for itself: sick for two seconds, it is not ready for five.
+// ejectUnhealthyNodes implements the baseline in which each node ejects itself for 5 s after being unhealthy for 2 s to
+// 3.8 s.
 func (v *Zones) ejectUnhealthyNodes() {
 	for i, n := range v.Fleet.nodes {
 		b, h := v.dependencies[n.zone], &v.nodeHealth[i]
 		unhealthy := n.up && (v.faultActive && v.faultKind(n.zone) == ZoneKernels || b.smoothedRates.runMS > 3*warmRunMS+5 ||
-			b.smoothedRates.late+b.smoothedRates.failed > 0.3*(b.smoothedRates.completed+b.smoothedRates.late+b.smoothedRates.failed))
+			b.smoothedRates.late+b.smoothedRates.failed >
+				0.3*(b.smoothedRates.completed+b.smoothedRates.late+b.smoothedRates.failed))
 		switch {
 		case !unhealthy:
 			h.unhealthySince = 0
@@ -113,13 +113,13 @@
 	}
 }
 
-// runOracle is the best that could be done: the fault and the capacity left are known at once, requests of the
-// highest weight go first, and a cold service is sent exactly its capacity.
+// runOracle runs a step of the upper bound: faults and remaining capacity are known at once, requests of the highest
+// weight go first, and a cold dependency receives exactly its capacity.
 func (v *Zones) runOracle(total float64, dt float64) {
 	capacity, completed := 0.0, 0.0
 	for z, b := range v.dependencies {
-		dead := v.faultActive && (v.faultKind(z) == ZoneDead || v.faultKind(z) == ZoneKernels || v.faultKind(z) == ZoneCallers)
-		if dead {
+		kind := v.faultKind(z)
+		if v.faultActive && (kind == ZoneDead || kind == ZoneKernels || kind == ZoneCallers) {
 			continue
 		}
 		runs := b.capacityNow()
--- a/internal/simulation/zones_plan.go
+++ b/internal/simulation/zones_plan.go
@@ -1,7 +1,5 @@
 package simulation
 
-// This file draws what runs of zones are played from.
-
 import (
 	"math/rand"
 
@@ -9,30 +7,30 @@
 	"umberwinch/internal/report"
 )
 
-// ZonePlan is what one run is drawn from.
+// ZonePlan is the configuration of one run.
 type ZonePlan struct {
 	Seed        int64
 	Nodes       int
 	Zones       int
-	Kinds       []string // of the zones z0, z1, ...; empty ones are well
-	Fails       float64  // ms after the start
-	Heals       float64
-	Ends        float64
-	Load        float64 // demand over what all zones do when warm
-	ColdFactor  float64 // times that a call to a cold service takes; 0: 8
-	Off         bool    // decide = off: nodes alone
-	Own         bool    // each node leaves and returns by its own judgement, decide = off
-	Oracle      bool    // what could be done at best, in place of all of it
+	Kinds       []string // faults of the zones z0, z1, ...; empty: none
+	Fails       float64  // start of the faults, ms after faultStartMS
+	Heals       float64  // end of the faults, ms after faultStartMS
+	Ends        float64  // end of the run, ms after faultStartMS
+	Load        float64  // demand over the warm capacity of all zones
+	ColdFactor  float64  // warm over cold capacity of a dependency; 0: 8
+	Off         bool     // baseline: decide = off, zones aren't evacuated
+	Own         bool     // baseline: decide = off, unhealthy nodes eject themselves
+	Oracle      bool     // upper bound: runOracle in place of the fleet's traffic
 	Without     zones.Guard
-	SecondFault bool    // its service below fails once more, to a third of its speed, in the middle of the return
-	LateNodes   int     // nodes of z0 that start for the first time in the middle of the return
-	StaggerMS   float64 // ms by which a common fault begins later in each next zone
-	Ramp        float64 // a baseline: after a restart nodes take a share that grows by the clock, in so many ms
-	Patient     bool    // callers that are rejected wait for their Retry-After
-	CrashLeader bool    // the leader is lost as the zone fails, and as it begins to return
+	SecondFault bool    // z0's dependency slows to 0.3 of its speed during the recovery ramp
+	LateNodes   int     // nodes of z0 that first start during the recovery ramp
+	StaggerMS   float64 // delay of a common fault from one zone to the next
+	Ramp        float64 // baseline: after a restart nodes admit a share that grows linearly over these ms
+	Patient     bool    // rejected callers wait for their Retry-After
+	CrashLeader bool    // the leader crashes at the start of the fault and during the ramp
 }
 
-// DrawZones draws a run from a seed: what fails, at which load, in a fleet of what size.
+// DrawZones generates a plan from a seed: faults, load and size of the fleet.
 func DrawZones(seed int64) ZonePlan {
 	r := rand.New(rand.NewSource(seed))
 	p := ZonePlan{Seed: seed, Zones: 3 + r.Intn(3), Fails: 15_000, Heals: 35_000 + float64(r.Intn(15))*1000,
@@ -53,12 +51,13 @@
 			p.Kinds = append(p.Kinds, []string{ZoneCommon, ZoneKernels, ZoneErrors}[seed%3])
 		}
 	}
-	p.StaggerMS = float64(r.Intn(1200) / (p.Zones - 1)) // what takes longer to reach the last zone looks like one zone's
+	// At most 1.2 s from the first to the last zone: a slower common fault looks like a fault of one zone.
+	p.StaggerMS = float64(r.Intn(1200) / (p.Zones - 1))
 	p.LateNodes = r.Intn(2) * r.Intn(2)
 	return p
 }
 
-// NewZones readies a run.
+// NewZones creates the simulation of a plan; Play runs it.
 func NewZones(p ZonePlan) *Zones {
 	if p.Zones == 0 {
 		p.Zones = 3
@@ -80,7 +79,8 @@
 		v.Fleet.nodes[(i+1)*p.Zones].notStarted = true
 	}
 	for z := 0; z < p.Zones; z++ {
-		v.dependencies = append(v.dependencies, &dependency{warmCapacity: 1000, warmth: 1, speed: 1, coldFactor: p.ColdFactor})
+		v.dependencies = append(v.dependencies,
+			&dependency{warmCapacity: 1000, warmth: 1, speed: 1, coldFactor: p.ColdFactor})
 	}
 	return v
 }
--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -9,8 +9,8 @@
 	"umberwinch/internal/report"
 )
 
-// restartOfAll has all nodes of three zones killed at once, to start again two seconds later.
-func restartOfAll(seed int64) ZonePlan {
+// fullRestartPlan kills all nodes of three zones at once and restarts them after 2 s.
+func fullRestartPlan(seed int64) ZonePlan {
 	return ZonePlan{Seed: seed, Nodes: 15, Kinds: []string{ZoneRestart, ZoneRestart, ZoneRestart}, Fails: 15_000,
 		Heals: 17_000, Ends: 220_000, Load: 0.6}
 }
@@ -21,31 +21,30 @@
 	return v
 }
 
-// TestZoneSchedules: in a fleet of three to five zones one fails, or two, or all by one cause, at a drawn load;
-// some leaders are lost, some services fail once more while their zone returns. Then all heals. Zones are left for
-// a fault of their own alone, no service is overloaded by a return or by a neighbour's callers, and all zones are
-// in service at the end.
+// TestZoneSchedules: under random faults of one, two or all zones, evacuations are justified, no dependency is
+// overloaded by a ramp or by traffic from other zones, and all zones are in service at the end.
 func TestZoneSchedules(t *testing.T) {
 	n := scheduleCount(t, 40)
-	left, steps, bad := 0, 0, 0
+	evacuations, steps, failures := 0, 0, 0
 	play := func(seed int64) *Zones { return playZones(DrawZones(seed)) }
 	report.EachSeed(context.Background(), 1, n, play, func(seed int64, v *Zones) bool {
 		if p := v.ZonePlan; v.Broken != "" {
-			t.Errorf("seed %d (%v, load %.2f, cold %.1f, %d nodes in %d zones, again %v, spare %d): %s", seed, p.Kinds,
-				p.Load, p.ColdFactor, p.Nodes, p.Zones, p.SecondFault, p.LateNodes, v.Broken)
-			bad++
+			t.Errorf("seed %d (faults %q, load %.2f, cold factor %.1f, %d nodes in %d zones, second fault %v, "+
+				"late nodes %d): %s", seed, p.Kinds, p.Load, p.ColdFactor, p.Nodes, p.Zones, p.SecondFault, p.LateNodes,
+				v.Broken)
+			failures++
 		}
-		left, steps = left+len(v.Left), steps+v.Steps
-		return bad > 8
+		evacuations, steps = evacuations+len(v.Left), steps+v.Steps
+		return failures > 8
 	})
-	t.Logf("%d runs, %d zones left, %d steps back in", n, left, steps)
-	if left < n/6 || steps < n {
-		t.Errorf("%d zones left and %d steps in %d runs: too few to hold anything to", left, steps, n)
+	t.Logf("%d runs, %d evacuations, %d ramp steps", n, evacuations, steps)
+	if evacuations < n/6 || steps < n {
+		t.Errorf("%d evacuations and %d ramp steps in %d runs, want at least %d and %d", evacuations, steps, n, n/6, n)
 	}
 }
 
-// TestZoneGuards: a fault that one guard of zone evacuation is there for keeps all promises. With that guard taken
-// out a promise has to break, or no check would find that it is missing.
+// TestZoneGuards: for each guard of zone evacuation, a fault that the guard protects against violates no invariant with
+// the guard, and violates one with the guard disabled.
 func TestZoneGuards(t *testing.T) {
 	base := ZonePlan{Seed: 3, Nodes: 15, Fails: 15_000, Heals: 40_000, Ends: 200_000, Load: 0.6}
 	highLoad := base
@@ -62,75 +61,78 @@
 	} {
 		p := base
 		plan(&p)
-		verdict := func(p ZonePlan) string {
+		violation := func(p ZonePlan) string {
 			v := playZones(p)
 			if name == "room" && v.WeightDuringFault < 0.98*baseline.WeightDuringFault {
-				return fmt.Sprintf("%.0f of value done while it failed, and %.0f by nodes alone", v.WeightDuringFault,
+				return fmt.Sprintf("weight completed during the fault = %.0f, want at least 98%% of %.0f without "+
+					"evacuation", v.WeightDuringFault,
 					baseline.WeightDuringFault)
 			}
 			return v.Broken
 		}
-		if broken := verdict(p); broken != "" {
-			t.Errorf("with %s: %s", name, broken)
+		if broken := violation(p); broken != "" {
+			t.Errorf("with guard %s: %s", name, broken)
 		}
 		g, err := zones.GuardNamed(name)
 		if err != nil {
 			t.Fatal(err)
 		}
 		p.Without = g
-		if broken := verdict(p); broken == "" {
-			t.Errorf("without %s no promise broke", name)
+		if broken := violation(p); broken == "" {
+			t.Errorf("without guard %s no invariant was violated", name)
 		} else {
-			t.Logf("without %s: %s", name, broken)
+			t.Logf("without guard %s: %s", name, broken)
 		}
 	}
 }
 
-// TestRestart: all nodes of a fleet are killed at once and start again, and the services below are cold. The fleet
-// begins with a small rate limit: no service is sent more than its capacity, and all of the load is done in the end.
-// Without a small start services are overloaded. A restart of one zone alone doesn't begin small.
-func TestRestart(t *testing.T) {
-	base := restartOfAll(5)
+// TestFullRestartColdStart: after a restart of the whole fleet with cold dependencies a cold start keeps the load
+// within capacity, and traffic recovers fully. Without the guard dependencies are overloaded. A restart of one zone is
+// no cold start.
+func TestFullRestartColdStart(t *testing.T) {
+	base := fullRestartPlan(5)
 	v := playZones(base)
 	if v.Broken != "" || v.ColdStarts == 0 || v.TimeToFullRecovery() < 0 {
-		t.Errorf("%s; began small %d times, full after %.1f s", v.Broken, v.ColdStarts, v.TimeToFullRecovery()/1000)
+		t.Errorf("violation %q, %d cold starts, full recovery after %.1f s, want none, at least 1, at least 0 s", v.Broken,
+			v.ColdStarts, v.TimeToFullRecovery()/1000)
 	}
-	t.Logf("below at worst %.2f of what it bears; full after %.1f s", v.Start, v.TimeToFullRecovery()/1000)
+	t.Logf("highest load of a dependency %.2f, full recovery after %.1f s", v.Start, v.TimeToFullRecovery()/1000)
 	without := base
 	without.Without = zones.ColdStart
 	if v := playZones(without); v.Broken == "" {
-		t.Error("without small-start no promise broke")
+		t.Error("without guard small-start no invariant was violated")
 	} else {
-		t.Logf("without small-start: %s; full after %.1f s", v.Broken, v.TimeToFullRecovery()/1000)
+		t.Logf("without guard small-start: %s; full recovery after %.1f s", v.Broken, v.TimeToFullRecovery()/1000)
 	}
 	oneZone := base
 	oneZone.Kinds, oneZone.Nodes = []string{ZoneDead}, 15
 	if v := playZones(oneZone); v.ColdStarts != 0 {
-		t.Errorf("a third of the fleet restarted and all began with a share")
+		t.Errorf("cold starts after a restart of one zone = %d, want 0", v.ColdStarts)
 	}
 	for seed := int64(1); seed <= 12; seed++ {
 		p := base
 		p.Seed, p.Load, p.ColdFactor, p.CrashLeader = seed, 0.4+0.04*float64(seed%10), 2+float64(seed%7), seed%3 == 0
 		p.Ends = 400_000
 		if v := playZones(p); v.Broken != "" {
-			t.Errorf("seed %d, load %.2f, cold %.0f: %s", seed, p.Load, p.ColdFactor, v.Broken)
+			t.Errorf("seed %d, load %.2f, cold factor %.0f: %s", seed, p.Load, p.ColdFactor, v.Broken)
 		}
 	}
 }
 
-// TestSpread: the same restart, with callers that wait for their Retry-After. It is spread, so that their retries
-// arrive over the recovery. With one moment told to all they arrive together.
-func TestSpread(t *testing.T) {
-	p := restartOfAll(1)
+// TestRetryAfterSpread: after a restart of the whole fleet, with callers that wait for their Retry-After, a spread
+// Retry-After distributes the retries over the recovery. Without the guard they arrive together.
+func TestRetryAfterSpread(t *testing.T) {
+	p := fullRestartPlan(1)
 	p.Patient = true
 	v := playZones(p)
 	if v.Broken != "" || v.ColdStarts == 0 || v.TimeToFullRecovery() < 0 {
-		t.Errorf("%s; began small %d times, full after %.1f s", v.Broken, v.ColdStarts, v.TimeToFullRecovery()/1000)
+		t.Errorf("violation %q, %d cold starts, full recovery after %.1f s, want none, at least 1, at least 0 s", v.Broken,
+			v.ColdStarts, v.TimeToFullRecovery()/1000)
 	}
-	t.Logf("at worst %.1f times the first tries", v.PeakRetryRatio)
+	t.Logf("highest ratio of all attempts to first attempts: %.1f", v.PeakRetryRatio)
 	p.Without = zones.RetryAfterSpread
 	if v = playZones(p); v.Broken == "" {
-		t.Error("without spread no promise broke")
+		t.Error("without guard RetryAfterSpread no invariant was violated")
 	}
 	t.Log(v.Broken)
 }
--- a/internal/simulation/zones_traffic.go
+++ b/internal/simulation/zones_traffic.go
@@ -9,35 +9,35 @@
 
 // dependency is the service that a zone's nodes call.
 type dependency struct {
-	warmCapacity    float64 // runs a second when warm
-	warmth          float64
-	speed           float64
-	queue           float64
-	smoothedRates   trafficRates // slowly moving, as reports have it
-	demand          float64
-	capacity        float64
-	coldFactor      float64
-	lastSecondLoads [10]float64 // demand over capacity, of the last second
-	steadySteps     int         // steps for which its zone has been returning and it had no fault
-}
-
-// capacityNow is how many runs a second it bears now, warm or not.
+	warmCapacity    float64      // runs per second when warm
+	warmth          float64      // 0: cold to 1: warm
+	speed           float64      // fraction of its normal speed
+	queue           float64      // runs waiting
+	smoothedRates   trafficRates // moving average, as load reports have it
+	demand          float64      // runs per second sent to it in this step
+	capacity        float64      // runs per second in this step
+	coldFactor      float64      // warm over cold capacity
+	lastSecondLoads [10]float64  // demand over capacity in each step of the last second
+	steadySteps     int          // consecutive steps of its zone's ramp without a fault
+}
+
+// capacityNow returns the current capacity in runs per second.
 func (b *dependency) capacityNow() float64 {
 	return b.warmCapacity * b.speed / (1 + (b.coldFactor-1)*(1-b.warmth))
 }
 
-// warmUp fills its cache by what it does in some seconds.
+// warmUp fills the cache by the runs of an interval; runs is a rate per second.
 func (b *dependency) warmUp(runs, seconds float64) {
 	b.warmth = min(1, b.warmth+runs*seconds/(b.warmCapacity*WarmUpSeconds))
 }
 
-// trafficRates are a zone's figures a second.
+// trafficRates are a zone's rates per second, its run duration in ms and its utilization.
 type trafficRates struct {
 	arrived, retries, rejected, completed, late, shed, failed float64
 	offeredWeight, completedWeight, runs, runMS, utilization  float64
 }
 
-// admittedFraction is the share of a class that a node's order takes.
+// admittedFraction returns the fraction of a class that a zone order admits.
 func admittedFraction(o *api.ZoneOrder, class int) float64 {
 	if o == nil {
 		return 1
@@ -54,26 +54,26 @@
 	return share
 }
 
-// unlimitedRetries stands for a retry budget that a node doesn't have.
+// unlimitedRetries is the retry budget of a node without one.
 const unlimitedRetries = 1e9
 
-// readyTTL is for how long callers go by a node's last report that it is ready, in ms.
+// readyTTL is the time in ms for which callers use a node's last report of being ready.
 const readyTTL = 3000
 
-// zoneView is how a zone's nodes stand at a step.
+// zoneView aggregates the nodes of a zone in one step.
 type zoneView struct {
-	listed            float64    // nodes on the callers' list
-	serving           float64    // of these the ones that serve
-	rateLimit         float64    // their rate limits together, runs a second
-	admittedFractions [3]float64 // the part of each class that a node admits
-	rateLimited       bool       // some node has a rate limit
-	unlimited         float64    // nodes without one
-	retryBudget       float64    // retries for a first attempt that a node admits
-	gate              *zonegate.Gate
-	gateClockMS       uint64 // of the node whose gate it is
-}
-
-// zoneViews gathers how the zones stand.
+	listed            float64        // nodes on the callers' list
+	serving           float64        // listed nodes that serve
+	rateLimit         float64        // sum of their rate limits, runs per second
+	admittedFractions [3]float64     // by class: mean fraction admitted by a serving node
+	rateLimited       bool           // at least one node has a rate limit
+	unlimited         float64        // serving nodes without a rate limit
+	retryBudget       float64        // mean number of retries admitted per first attempt
+	gate              *zonegate.Gate // of its first serving node
+	gateClockMS       uint64         // clock of that node
+}
+
+// zoneViews aggregates the nodes of each zone.
 func (v *Zones) zoneViews() []zoneView {
 	out := make([]zoneView, v.Zones)
 	clear(v.upNodesByZone)
@@ -98,7 +98,7 @@
 	return out
 }
 
-// isReady tells whether a node serves callers, and notes what it reports of that.
+// isReady reports whether a node serves callers, and updates its last report of being ready.
 func (v *Zones) isReady(i int, n *node) bool {
 	evacuated := n.gate != nil && n.gate.Evacuated()
 	ready := n.up && n.serves && !evacuated && v.Fleet.Now >= v.nodeHealth[i].ejectedUntil
@@ -110,7 +110,7 @@
 	return ready
 }
 
-// addNode adds a node that serves.
+// addNode adds a serving node.
 func (z *zoneView) addNode(n *node) {
 	if z.serving++; z.gate == nil {
 		z.gate, z.gateClockMS = n.gate, n.clock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// average makes sums over nodes that serve means; ramp is by how much a node that starts by the clock holds back.
+// average turns sums over serving nodes into means; ramp scales the admitted fractions.
 func (z *zoneView) average(ramp float64) {
 	if z.serving == 0 {
 		return
@@ -147,7 +147,7 @@
 	}
 }
 
-// rampByClock is the baseline in which nodes that come back admit a part that grows by the clock alone.
+// rampByClock returns the admitted fraction of the baseline ZonePlan.Ramp, 1 without it.
 func (v *Zones) rampByClock() float64 {
 	since := v.Fleet.Now - faultStartMS - v.Heals
 	if v.Ramp == 0 || v.faultActive || since <= 0 {
@@ -156,16 +156,16 @@
 	return min(1, max(since/v.Ramp, 1.0/16))
 }
 
-// requestMatrix is requests a second, by attempt (the first is 0) and class.
+// requestMatrix holds requests per second by attempt (the first is 0) and class.
 type requestMatrix [maxAttempts][3]float64
 
-// retryQueue holds the requests that come again, by the step in which they do: a ring.
+// retryQueue is a ring of scheduled retries by step.
 type retryQueue struct {
 	steps [retrySteps]requestMatrix
-	next  int // the step that is played next
+	next  int // index of the current step
 }
 
-// take gives the retries of this step, and goes on to the next.
+// take returns the retries of the current step and advances to the next.
 func (q *retryQueue) take() requestMatrix {
 	due := q.steps[q.next]
 	q.steps[q.next] = requestMatrix{}
@@ -173,27 +173,27 @@
 	return due
 }
 
-// add has requests come again as their next attempt, some steps from now. Requests without attempts left are given up.
+// add schedules the next attempt of requests some steps from now. Requests without attempts left are dropped.
 func (q *retryQueue) add(steps, attempt, class int, n float64) {
 	if attempt+1 < maxAttempts {
 		q.steps[(q.next+steps)%retrySteps][attempt+1][class] += n
 	}
 }
 
-// trafficStep is one step of traffic over all zones: a tenth of a second.
+// trafficStep is one step of traffic, stepMS long, over all zones.
 type trafficStep struct {
 	*Zones
 	views         []zoneView
-	listedNodes   float64       // nodes on the callers' list, of all zones
-	offered       requestMatrix // what callers ask for in this step
-	demand        float64       // first attempts a second
-	offeredWeight float64       // and their priority weight
+	listedNodes   float64       // nodes on the callers' list in all zones
+	offered       requestMatrix // first attempts and retries of this step
+	demand        float64       // first attempts per second
+	offeredWeight float64       // priority weight of the first attempts per second
 
-	attempts        float64 // sent to some zone
-	completedWeight float64 // weight completed in time
+	attempts        float64 // attempts per second sent to any zone
+	completedWeight float64 // weight completed in time per second
 }
 
-// runStep plays a tenth of a second: what callers send, what each zone admits and its service does, what is measured.
+// runStep runs one step: callers send, each zone admits and serves, and the step is measured.
 func (v *Zones) runStep() {
 	v.Fleet.after(stepMS, v.runStep)
 	s := v.newTrafficStep()
@@ -211,7 +211,7 @@
 	}
 }
 
-// newTrafficStep gathers how the zones stand and what callers ask for.
+// newTrafficStep aggregates the zones and generates the step's offered requests.
 func (v *Zones) newTrafficStep() *trafficStep {
 	s := &trafficStep{Zones: v, views: v.zoneViews(), demand: v.Load * float64(v.Zones) * 1000}
 	for z := range s.views {
@@ -228,14 +228,15 @@
 	return s
 }
 
-// reject rejects requests, which are retried after their Retry-After; after is the gate's wait in ms, 0 for none.
+// reject schedules the retries of rejected requests. Patient callers wait for a Retry-After spread over a window; after
+// is the gate's wait in ms, 0 for none. Others retry in the next step.
 func (s *trafficStep) reject(attempt, class int, n float64, after uint64) {
 	if !s.Patient {
 		s.retries.add(0, attempt, class, n)
 		return
 	}
 	from, to := retryafter.Window(maxRetryAfterMS, int64(min(after, maxRetryAfterMS)))
-	if s.Without.Has(zones.RetryAfterSpread) { // as soon as it may be admitted, or in a second
+	if s.Without.Has(zones.RetryAfterSpread) { // all at one time: after the gate's wait, at least 1 s
 		from, to = max(1000, int64(min(after, maxRetryAfterMS))), 0
 	}
 	first := int(from) / stepMS
@@ -245,7 +246,7 @@
 	}
 }
 
-// rejectByQuota rejects requests that a zone's quota leaves out: their Retry-After goes by their place in the quota.
+// rejectByQuota rejects requests outside a zone's quota, with a Retry-After that depends on their hash.
 func (s *trafficStep) rejectByQuota(view *zoneView, attempt, class int, n float64) {
 	if n <= 0 || !s.Patient || view.gate == nil {
 		s.reject(attempt, class, n, 0)
@@ -258,7 +259,7 @@
 	}
 }
 
-// runZone plays the step at one zone: its nodes admit, its service works, its callers have their answers.
+// runZone runs the step of one zone: its nodes admit, its dependency serves, its callers receive responses.
 func (s *trafficStep) runZone(zone int, b *dependency) {
 	t := &zoneStep{trafficStep: s, zone: zone, view: &s.views[zone], dependency: b}
 	t.arrive()
@@ -271,22 +272,22 @@
 	b.smoothedRates.smooth(&t.rates)
 }
 
-// zoneStep is one zone's part in a step.
+// zoneStep is a step of one zone.
 type zoneStep struct {
 	*trafficStep
 	zone            int
 	view            *zoneView
 	dependency      *dependency
 	rates           trafficRates
-	admitted        requestMatrix // by its nodes
-	admittedByQuota float64       // of what their quotas admit, before rate limits
-	shed            float64       // by its service
-	served          float64       // and completed by it, in time or not
-	inTimeFraction  float64       // the share of these that counts
+	admitted        requestMatrix // admitted by its nodes
+	admittedByQuota float64       // sum admitted by quota, before rate limits
+	shed            float64       // shed by its dependency
+	served          float64       // completed by its dependency, in time or late
+	inTimeFraction  float64       // fraction of served that completes in time
 }
 
-// arrive brings the zone its part of all requests, and has its nodes admit what their quotas allow. Nodes on the
-// callers' list that are down answer nothing.
+// arrive distributes offered requests to the zone's listed nodes, which admit by quota. Requests to listed nodes that
+// don't serve are retried in the next step.
 func (t *zoneStep) arrive() {
 	part := 0.0
 	if t.listedNodes > 0 {
@@ -310,7 +311,7 @@
 	}
 }
 
-// countRequests adds requests to the figures of the run, of the step and of the zone.
+// countRequests adds requests to the counts of the run, the step and the zone.
 func (t *zoneStep) countRequests(attempt, class int, n float64) {
 	if t.Fleet.Now >= faultStartMS+t.Fails {
 		t.attemptCounts[0] += n
@@ -327,7 +328,7 @@
 	}
 }
 
-// admitFraction rejects all but a part of what was admitted, from an attempt on.
+// admitFraction keeps a fraction of the admitted requests, from an attempt number on, and rejects the rest.
 func (t *zoneStep) admitFraction(from int, part float64) {
 	for k := from; k < maxAttempts; k++ {
 		for c := range t.admitted[k] {
@@ -338,8 +339,7 @@
 	}
 }
 
-// limitRate holds the nodes to their rate limits. Nodes that were notified that theirs has ended admit all of their
-// part.
+// limitRate applies the nodes' rate limits. Nodes without one admit all of their traffic.
 func (t *zoneStep) limitRate() {
 	limit := t.view.rateLimit + t.admittedByQuota*t.view.unlimited/max(t.view.serving, 1)
 	if t.view.rateLimited && t.admittedByQuota > limit {
@@ -347,7 +347,7 @@
 	}
 }
 
-// limitRetries holds retries to their budget, and gives first attempts and retries that are admitted in the end.
+// limitRetries applies the retry budget, and returns the admitted first attempts and retries.
 func (t *zoneStep) limitRetries() (first, retries float64) {
 	for c := range t.admitted[0] {
 		first += t.admitted[0][c]
@@ -362,7 +362,8 @@
 	return first, retries
 }
 
-// serve has the zone's service do what its capacity allows of new requests and of its queue, and warm up by it.
+// serve runs the dependency: it completes queued and new runs up to its capacity, sheds what exceeds zoneRunSlots, and
+// warms up.
 func (t *zoneStep) serve(demand float64) {
 	const dt = stepMS / 1000.0
 	b := t.dependency
@@ -386,12 +387,12 @@
 	}
 	if t.faultActive && t.faultKind(t.zone) == ZoneErrors {
 		if t.inTimeFraction *= 0.6; t.commonCause() && t.zone == 0 {
-			t.inTimeFraction /= 2 // the same everywhere, and worst here
+			t.inTimeFraction /= 2 // a common fault is worst in z0
 		}
 	}
 }
 
-// complete divides what was done in time, late and shed among the requests.
+// complete distributes completed and shed runs over the requests.
 func (t *zoneStep) complete() {
 	for k := range t.admitted {
 		for c := range t.admitted[k] {
@@ -410,7 +411,7 @@
 	}
 }
 
-// measure adds the step to the figures of the run.
+// measure adds the step to the run's measurements.
 func (s *trafficStep) measure() {
 	const dt = stepMS / 1000.0
 	now := s.Fleet.Now
@@ -427,7 +428,7 @@
 	}
 }
 
-// plot adds a point to each line of the plot, twice a second.
+// plot adds a point to each line of the plot every half second.
 func (s *trafficStep) plot() {
 	at := (s.Fleet.Now - faultStartMS) / 1000
 	if int(at*10)%5 != 0 || at < 0 {
@@ -435,18 +436,20 @@
 	}
 	_, quota := s.Fleet.state.Zones.PhaseOf("z0")
 	b := s.dependencies[0]
-	values := []float64{s.completedWeight / max(s.offeredWeight, 1), b.demand / max(b.capacity, 1), float64(quota) / api.FullShare}
+	values := []float64{s.completedWeight / max(s.offeredWeight, 1), b.demand / max(b.capacity, 1),
+		float64(quota) / api.FullShare}
 	for i, y := range values {
 		s.Plot[i].Points = append(s.Plot[i].Points, [2]float64{at, y})
 	}
 }
 
+// fields returns pointers to all rates.
 func (f *trafficRates) fields() []*float64 {
 	return []*float64{&f.arrived, &f.retries, &f.rejected, &f.completed, &f.late, &f.shed, &f.failed,
 		&f.offeredWeight, &f.completedWeight, &f.runs, &f.runMS, &f.utilization}
 }
 
-// smooth has a zone's figures follow within two thirds of a second, as a report over two seconds does.
+// smooth updates moving averages with a time constant of about 0.6 s, similar to a load report over two seconds.
 func (f *trafficRates) smooth(latest *trafficRates) {
 	const weight = 0.15
 	averages, rates := f.fields(), latest.fields()
