--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -31,10 +31,10 @@
 	Down    float64 // fraction of the nodes that are partitioned from the group while changes are made
 	Way     string  // "", or a baseline
 
-	StateLosses  int    // losses of the group's state, see stateLoss
-	Zones        int    // 0: three
-	ZoneRules    string // [zones] of the policy; empty: none
-	WithoutZones zones.Guard
+	StateLosses        int    // losses of the group's state, see stateLoss
+	Zones              int    // 0: three
+	ZoneRules          string // [zones] of the policy; empty: none
+	DisabledZoneGuards zones.Guard
 }
 
 // Fleet simulates a fleet of nodes and its control group. The group's replicated state, the leader's coordinator and
@@ -104,7 +104,7 @@
 		FleetFigures: FleetFigures{Ends: map[policy.Step]int{}, Causes: map[string]int{}},
 		failsTrial:   map[string]bool{},
 	}
-	f.state.DisabledZoneGuards = p.WithoutZones
+	f.state.DisabledZoneGuards = p.DisabledZoneGuards
 	if f.Zones == 0 {
 		f.Zones = 3
 	}
@@ -208,7 +208,7 @@
 		n.partitioned, n.neverPrepares, n.preparingVersion = false, false, 0
 	}
 	f.Calm = true
-	if f.StateLosses > 0 { // the last loss may still be being restored
+	if f.StateLosses > 0 { // a restoration may still be in progress
 		f.runUntil(f.Now + 30_000)
 	}
 }
--- a/internal/simulation/fleet_control.go
+++ b/internal/simulation/fleet_control.go
@@ -21,7 +21,7 @@
 
 func (f *Fleet) newLeader() *coordinator.Leader {
 	s := coordinator.NewLeader(f.Without)
-	s.DisabledZoneGuards, s.Level = f.WithoutZones, coordinator.LevelSameProcess
+	s.DisabledZoneGuards, s.Level = f.DisabledZoneGuards, coordinator.LevelSameProcess
 	return s
 }
 
--- a/internal/simulation/fleet_state_loss.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -146,7 +146,7 @@
 // restoreState replaces the group's state by a saved one.
 func (f *Fleet) restoreState(saved savedState) error {
 	state := coordinator.NewState(f.Without)
-	state.DisabledZoneGuards = f.WithoutZones
+	state.DisabledZoneGuards = f.DisabledZoneGuards
 	if err := state.Restore(saved.snapshot); err != nil {
 		return err
 	}
@@ -230,7 +230,7 @@
 		}
 		var base *recovery.StoredGroup
 		state := coordinator.NewState(f.Without)
-		state.DisabledZoneGuards = f.WithoutZones
+		state.DisabledZoneGuards = f.DisabledZoneGuards
 		if haveState {
 			state = f.state
 			base = f.storedGroup(state)
--- a/internal/simulation/pool_scenario_text.go
+++ b/internal/simulation/pool_scenario_text.go
@@ -112,6 +112,7 @@
 	return -1
 }
 
+// keyValues parses the words from an index on as KEY=NUMBER.
 func (l *scenarioLine) keyValues(from int) map[string]float64 {
 	out := map[string]float64{}
 	for _, p := range l.words[min(from, len(l.words)):] {
--- a/internal/simulation/pools.go
+++ b/internal/simulation/pools.go
@@ -27,7 +27,7 @@
 // Run simulates all scenarios in all variants and writes the report.
 func (r *Pools) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "pools", Title: "Pools of run slots, in virtual time",
-		Head: []string{"SCENARIO", "CLASS", "ASKED", "POOLS", "OFF", "FIXED", "PLAIN", "95TH POOLS", "95TH OFF"}}
+		Head: []string{"SCENARIO", "CLASS", "OFFERED", "POOLS", "OFF", "FIXED", "PLAIN", "95TH POOLS", "95TH OFF"}}
 	size := r.Size
 	if size == 0 {
 		if size = 24; r.Quick {
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	started := time.Now()
-	outcomes := r.simulateAll(ctx, scenarios, size)
+	results := r.simulateAll(ctx, scenarios, size)
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
@@ -47,7 +47,7 @@
 	rep.Add("servers", "%d", size)
 	minInTime, requests := 1.0, 0
 	for i, s := range scenarios {
-		o := outcomes[i]
+		o := results[i]
 		for k := range s.Classes {
 			for _, variant := range poolVariants {
 				requests += o[variant].classes[k].offered
@@ -109,18 +109,19 @@
 	for _, variant := range poolVariants {
 		value = append(value, fmt.Sprintf("%.0f", o[variant].completedValue))
 	}
-	return append(rows, append(value, fmt.Sprintf("%.1f runs a core", o["pools"].peakRuns), ""))
+	return append(rows, append(value, fmt.Sprintf("%.1f runs per core", o["pools"].peakRuns), ""))
 }
 
-func (r *Pools) simulateAll(ctx context.Context, all []*Scenario, size int) []map[string]*variantResult {
-	results := make([]map[string]*variantResult, len(all))
+// simulateAll simulates each scenario in each variant and returns the results by scenario and variant.
+func (r *Pools) simulateAll(ctx context.Context, scenarios []*Scenario, size int) []map[string]*variantResult {
+	results := make([]map[string]*variantResult, len(scenarios))
 	for i := range results {
 		results[i] = map[string]*variantResult{}
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
-	for i, s := range all {
+	for i, s := range scenarios {
 		for _, variant := range poolVariants {
 			slots <- struct{}{}
 			wg.Add(1)
@@ -144,29 +145,31 @@
 func (r *Pools) checkScenario(rep *report.Report, s *Scenario, o map[string]*variantResult, minInTime *float64) {
 	with, off := o["pools"], o["off"]
 	cheapest := &with.classes[s.Cheapest]
-	inTime := float64(cheapest.withinQuotaInTime) / float64(max(1, cheapest.withinQuota)) // of tenants within their quota
+	// Of tenants within their quota.
+	inTime := float64(cheapest.withinQuotaInTime) / float64(max(1, cheapest.withinQuota))
 	if !s.exemptCheapest {
 		*minInTime = min(*minInTime, inTime)
 		if inTime < minCheapestInTime {
-			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, inTime, s.Classes[s.Cheapest].Name,
+			rep.Break("%s: %.3f of %s completed in time, want at least %.2f", s.name, inTime, s.Classes[s.Cheapest].Name,
 				minCheapestInTime)
 		}
 	}
 	if a, b := with.classes[s.Dearest].inTimeFraction(), off.classes[s.Dearest].inTimeFraction(); a < b-maxDearestLoss {
-		rep.Break("%s: %.3f of %s in time with pools, %.3f without", s.name, a, s.Classes[s.Dearest].Name, b)
+		rep.Break("%s: %.3f of %s completed in time with pools, %.3f without", s.name, a, s.Classes[s.Dearest].Name, b)
 	}
 	for _, target := range s.targets {
 		if got := with.classes[target.class].inTimeFraction(); got < target.fraction {
-			rep.Break("%s: %.3f of %s in time, expected %.2f", s.name, got, s.Classes[target.class].Name, target.fraction)
+			rep.Break("%s: %.3f of %s completed in time, want at least %.2f", s.name, got, s.Classes[target.class].Name,
+				target.fraction)
 		}
 	}
 	if with.peakRuns > 5 { // the emulated cores lose throughput above it
-		rep.Break("%s: %.1f runs a core", s.name, with.peakRuns)
+		rep.Break("%s: %.1f runs per core, want at most 5", s.name, with.peakRuns)
 	}
 }
 
 func limitPlot(s *Scenario, o *variantResult) report.Plot {
-	p := report.Plot{Title: s.name + ": limits at one server (30: none)", X: "s", Y: "run slots"}
+	p := report.Plot{Title: s.name + ": pool limits of one server (30: unlimited)", X: "s", Y: "run slots"}
 	for k := range s.Classes {
 		l := report.Line{Name: s.Classes[k].Name}
 		for i, row := range o.limits {
@@ -178,7 +181,7 @@
 }
 
 func servedPlot(s *Scenario, o map[string]*variantResult) report.Plot {
-	p := report.Plot{Title: s.name + ": " + s.Classes[s.Cheapest].Name + " done in time", X: "s", Y: "share"}
+	p := report.Plot{Title: s.name + ": " + s.Classes[s.Cheapest].Name + " completed in time", X: "s", Y: "share"}
 	for _, variant := range poolVariants {
 		l := report.Line{Name: variant}
 		t := &o[variant].classes[s.Cheapest]
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -103,12 +103,12 @@
 	classes       []Class
 	tenants       int
 	lastID        uint32
-	requests      map[uint32]*attempt
+	requests      map[uint32]*attempt // open attempts by request ID
 	runs          priorityQueue[run]
-	hungRuns      int
+	hungRuns      int     // runs that never end
 	servicePerRun float64 // core time that a run has received since the start, tenths of a ms
 	retries       priorityQueue[retry]
-	wakeAt        virtualTime
+	wakeAt        virtualTime // time of the decider's timer, -1 for none
 	results       []classResults
 	peakRuns      float64 // highest number of runs per core
 	drained       bool
@@ -126,8 +126,7 @@
 	return s
 }
 
-// drawInterarrival draws the time until the next request of a class. A rate of 0 counts as ten a
-// second.
+// drawInterarrival draws the time until the next request of a class. A rate of 0 counts as ten per second.
 func (s *server) drawInterarrival(k int) virtualTime {
 	c := &s.classes[k]
 	rate := c.Rate
@@ -153,6 +152,7 @@
 	return v
 }
 
+// advance moves the clock and adds the service that the runs receive until then.
 func (s *server) advance(to virtualTime) {
 	if dt := float64(to - s.now); dt > 0 {
 		n := float64(len(s.runs) + s.hungRuns)
@@ -162,10 +162,18 @@
 	}
 }
 
+// Kinds of the next event of a server; an index of a class stands for its next arrival.
+const (
+	noEvent = -1 - iota
+	runEndEvent
+	wakeUpEvent
+	retryEvent
+)
+
 // runUntil runs all events before end.
 func (s *server) runUntil(end virtualTime) {
 	for {
-		at, next := end, -1
+		at, next := end, noEvent
 		for k := range s.classes {
 			if a := s.classes[k].nextArrival; a < at {
 				at, next = a, k
@@ -174,26 +182,26 @@
 		if len(s.runs) > 0 {
 			left := (s.runs[0].endsAt - s.servicePerRun) / s.runSpeed()
 			if a := s.now + virtualTime(math.Ceil(max(left, 0))); a < at {
-				at, next = a, -2
+				at, next = a, runEndEvent
 			}
 		}
 		if s.wakeAt >= 0 && s.wakeAt < at {
-			at, next = s.wakeAt, -3
+			at, next = s.wakeAt, wakeUpEvent
 		}
 		if len(s.retries) > 0 && s.retries[0].at < at {
-			at, next = s.retries[0].at, -4
+			at, next = s.retries[0].at, retryEvent
 		}
 		s.advance(max(at, s.now))
 		switch {
 		case next >= 0:
 			s.arrive(next)
-		case next == -2:
+		case next == runEndEvent:
 			s.endRun()
-		case next == -3:
+		case next == wakeUpEvent:
 			s.wakeAt = -1
 			s.decide(&admission.Round{TimerFired: true, HasGauges: true,
 				Gauges: admission.Gauges{Runnable: float64(len(s.runs) + s.hungRuns), OpenConnections: 10}})
-		case next == -4:
+		case next == retryEvent:
 			a := s.retries.take()
 			s.sendAttempt(a.attempt)
 		default:
@@ -202,6 +210,7 @@
 	}
 }
 
+// arrive draws a new request of a class and the time of its next one.
 func (s *server) arrive(k int) {
 	c := &s.classes[k]
 	tenant := s.random.Intn(s.tenants)
@@ -237,6 +246,7 @@
 		Deadline:  q.firstArrived + c.Handler.Timeout, SizeKB: 8, IsRetry: q.number > 0, Caller: q.caller}}})
 }
 
+// endRun completes the run with the earliest end and counts its request, unless the caller was answered before.
 func (s *server) endRun() {
 	r := s.runs.take()
 	q := s.requests[r.id]
--- a/internal/simulation/zones_plan.go
+++ b/internal/simulation/zones_plan.go
@@ -73,7 +73,7 @@
 		upNodesByZone: make([]float64, p.Zones),
 		ZoneFigures:   ZoneFigures{Left: map[string]float64{}, Back: map[string]float64{}, Plot: make([]report.Line, 3)}}
 	v.Fleet = NewFleet(FleetPlan{Seed: p.Seed, Nodes: p.Nodes, Ctl: 3, Calm: true, Lease: 4000, Zones: p.Zones,
-		ZoneRules: "[zones]\ndecide = " + mode + "\nsmall_start = yes\n", WithoutZones: p.Without})
+		ZoneRules: "[zones]\ndecide = " + mode + "\nsmall_start = yes\n", DisabledZoneGuards: p.Without})
 	v.Fleet.loadReport, v.Fleet.probePeer, v.Fleet.onApplied = v.loadReport, v.probe, v.onApplied
 	for i := 0; i < p.LateNodes; i++ {
 		v.Fleet.nodes[(i+1)*p.Zones].notStarted = true
