--- a/internal/simulation/consensus_schedules_test.go
+++ b/internal/simulation/consensus_schedules_test.go
@@ -7,7 +7,7 @@
 	"umberwinch/internal/control/consensus"
 )
 
-const playMS = ScheduleMilliseconds
+const scheduleMS = ScheduleMilliseconds
 
 // TestConsensusSchedules: groups of three and five keep the Raft invariants, and the clients' history is linearizable,
 // under random crashes, power loss, partitions, lost messages, stalls and lost disks.
@@ -16,7 +16,7 @@
 		size := 3 + int(seed%2)*2
 		t.Run(fmt.Sprintf("seed %d, %d instances", seed, size), func(t *testing.T) {
 			t.Parallel()
-			faults := DrawFaults(seed, size, playMS)
+			faults := DrawFaults(seed, size, scheduleMS)
 			if r := Play(seed, size, faults, 0, nil); r.Broken != "" {
 				short := Shrink(seed, size, faults, 0, 30)
 				t.Fatalf("seed %d, %d instances: %s\n%s", seed, size, r.Broken, FaultLines(short))
@@ -36,7 +36,7 @@
 				t.Fatal(err)
 			}
 			for seed := int64(1); seed <= 120; seed++ {
-				if r := Play(seed, 3, DrawFaults(seed, 3, playMS), g, nil); r.Broken != "" {
+				if r := Play(seed, 3, DrawFaults(seed, 3, scheduleMS), g, nil); r.Broken != "" {
 					t.Logf("seed %d: %s", seed, r.Broken)
 					return
 				}
@@ -48,8 +48,8 @@
 
 // TestSameSeedSameResult: two runs of a seed have the same result, so that a failure can be reproduced.
 func TestSameSeedSameResult(t *testing.T) {
-	a := Play(3, 5, DrawFaults(3, 5, playMS), 0, nil)
-	if b := Play(3, 5, DrawFaults(3, 5, playMS), 0, nil); a != b {
+	a := Play(3, 5, DrawFaults(3, 5, scheduleMS), 0, nil)
+	if b := Play(3, 5, DrawFaults(3, 5, scheduleMS), 0, nil); a != b {
 		t.Fatalf("two runs of seed 3 differ: %+v and %+v", a, b)
 	}
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -54,14 +54,14 @@
 // TestCheckFleetDetectsViolations: CheckFleet accepts a correct history, and rejects it with events added that violate
 // one invariant.
 func TestCheckFleetDetectsViolations(t *testing.T) {
-	good := []FleetEvent{{At: 0, Kind: "serves", Node: "a", Version: 1}, {At: 0, Kind: "serves", Node: "b", Version: 1},
+	correct := []FleetEvent{{At: 0, Kind: "serves", Node: "a", Version: 1}, {At: 0, Kind: "serves", Node: "b", Version: 1},
 		{At: 100, Kind: "decided", Version: 2, From: 1}, {At: 100, Kind: "forced", Version: 2},
 		{At: 120, Kind: "serves", Node: "a", Version: 2}, {At: 150, Kind: "stops", Node: "b"},
 		{At: 160, Kind: "serves", Node: "b", Version: 2}, {At: 200, Kind: "settled", Version: 2},
 		{At: 300, Kind: "off", Version: 3, From: 2}}
 	first := []FleetEvent{{At: -10, Kind: "decided", Version: 1}, {At: -10, Kind: "forced", Version: 1}}
 	p := FleetPromises{Overlap: 50, Fences: true}
-	if broken, overlap := CheckFleet(append(first, good...), p); broken != "" || overlap != 30 {
+	if broken, overlap := CheckFleet(append(first, correct...), p); broken != "" || overlap != 30 {
 		t.Fatalf("CheckFleet(correct history) = %q, overlap %d, want no violation, overlap 30", broken, overlap)
 	}
 	for name, added := range map[string][]FleetEvent{
@@ -82,7 +82,7 @@
 		"served before the commit": {{At: 400, Kind: "decided", Version: 5, From: 2}, {At: 450, Kind: "forced", Version: 5},
 			{At: 410, Kind: "serves", Node: "a", Version: 5}},
 	} {
-		if broken, _ := CheckFleet(slices.Concat(first, good, added), p); broken == "" {
+		if broken, _ := CheckFleet(slices.Concat(first, correct, added), p); broken == "" {
 			t.Errorf("%s: CheckFleet found no violation", name)
 		}
 	}
--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -15,7 +15,7 @@
 		Heals: 17_000, Ends: 220_000, Load: 0.6}
 }
 
-func playZones(p ZonePlan) *Zones {
+func simulateZones(p ZonePlan) *Zones {
 	v := NewZones(p)
 	v.Play()
 	return v
@@ -26,7 +26,7 @@
 func TestZoneSchedules(t *testing.T) {
 	n := scheduleCount(t, 40)
 	evacuations, steps, failures := 0, 0, 0
-	play := func(seed int64) *Zones { return playZones(DrawZones(seed)) }
+	play := func(seed int64) *Zones { return simulateZones(DrawZones(seed)) }
 	report.EachSeed(context.Background(), 1, n, play, func(seed int64, v *Zones) bool {
 		if p := v.ZonePlan; v.Broken != "" {
 			t.Errorf("seed %d (faults %q, load %.2f, cold factor %.1f, %d nodes in %d zones, second fault %v, "+
@@ -49,7 +49,7 @@
 	base := ZonePlan{Seed: 3, Nodes: 15, Fails: 15_000, Heals: 40_000, Ends: 200_000, Load: 0.6}
 	highLoad := base
 	highLoad.Kinds, highLoad.Load, highLoad.Off = []string{ZoneErrors}, 0.9, true
-	baseline := playZones(highLoad)
+	baseline := simulateZones(highLoad)
 	for name, plan := range map[string]func(p *ZonePlan){
 		"common-cause": func(p *ZonePlan) { p.Kinds, p.Load = []string{ZoneErrors, ZoneErrors, ZoneErrors}, 0.4 },
 		"room":         func(p *ZonePlan) { p.Kinds, p.Load = []string{ZoneErrors}, 0.9 },
@@ -62,7 +62,7 @@
 		p := base
 		plan(&p)
 		violation := func(p ZonePlan) string {
-			v := playZones(p)
+			v := simulateZones(p)
 			if name == "room" && v.WeightDuringFault < 0.98*baseline.WeightDuringFault {
 				return fmt.Sprintf("weight completed during the fault = %.0f, want at least 98%% of %.0f without "+
 					"evacuation", v.WeightDuringFault,
@@ -91,7 +91,7 @@
 // no cold start.
 func TestFullRestartColdStart(t *testing.T) {
 	base := fullRestartPlan(5)
-	v := playZones(base)
+	v := simulateZones(base)
 	if v.Broken != "" || v.ColdStarts == 0 || v.TimeToFullRecovery() < 0 {
 		t.Errorf("violation %q, %d cold starts, full recovery after %.1f s, want none, at least 1, at least 0 s", v.Broken,
 			v.ColdStarts, v.TimeToFullRecovery()/1000)
@@ -99,21 +99,21 @@
 	t.Logf("highest load of a dependency %.2f, full recovery after %.1f s", v.Start, v.TimeToFullRecovery()/1000)
 	without := base
 	without.Without = zones.ColdStart
-	if v := playZones(without); v.Broken == "" {
+	if v := simulateZones(without); v.Broken == "" {
 		t.Error("without guard small-start no invariant was violated")
 	} else {
 		t.Logf("without guard small-start: %s; full recovery after %.1f s", v.Broken, v.TimeToFullRecovery()/1000)
 	}
 	oneZone := base
 	oneZone.Kinds, oneZone.Nodes = []string{ZoneDead}, 15
-	if v := playZones(oneZone); v.ColdStarts != 0 {
+	if v := simulateZones(oneZone); v.ColdStarts != 0 {
 		t.Errorf("cold starts after a restart of one zone = %d, want 0", v.ColdStarts)
 	}
 	for seed := int64(1); seed <= 12; seed++ {
 		p := base
 		p.Seed, p.Load, p.ColdFactor, p.CrashLeader = seed, 0.4+0.04*float64(seed%10), 2+float64(seed%7), seed%3 == 0
 		p.Ends = 400_000
-		if v := playZones(p); v.Broken != "" {
+		if v := simulateZones(p); v.Broken != "" {
 			t.Errorf("seed %d, load %.2f, cold factor %.0f: %s", seed, p.Load, p.ColdFactor, v.Broken)
 		}
 	}
@@ -124,14 +124,14 @@
 func TestRetryAfterSpread(t *testing.T) {
 	p := fullRestartPlan(1)
 	p.Patient = true
-	v := playZones(p)
+	v := simulateZones(p)
 	if v.Broken != "" || v.ColdStarts == 0 || v.TimeToFullRecovery() < 0 {
 		t.Errorf("violation %q, %d cold starts, full recovery after %.1f s, want none, at least 1, at least 0 s", v.Broken,
 			v.ColdStarts, v.TimeToFullRecovery()/1000)
 	}
 	t.Logf("highest ratio of all attempts to first attempts: %.1f", v.PeakRetryRatio)
 	p.Without = zones.RetryAfterSpread
-	if v = playZones(p); v.Broken == "" {
+	if v = simulateZones(p); v.Broken == "" {
 		t.Error("without guard RetryAfterSpread no invariant was violated")
 	}
 	t.Log(v.Broken)
