--- a/internal/harness/faults_on_demand.go
+++ b/internal/harness/faults_on_demand.go
@@ -14,36 +14,35 @@
 	"umberwinch/internal/wal"
 )
 
-// faultEnv names what an instance does to itself once SIGUSR2 has told it to: a step of Work at which it
-// kills itself as kill -9 would, or a way in which its disk fails. Without it SIGUSR2 does what it does to
-// any process.
+// faultEnv names the fault that SIGUSR2 triggers in an instance: a step of its work at which it kills itself with
+// SIGKILL, or a disk fault. Without it, SIGUSR2 has its default action.
 const faultEnv = "UMBERWINCH_FAULT"
 
-// Ways in which a disk fails on demand.
+// Disk faults.
 const (
-	diskStalls = "stall" // the next sync takes diskStall
-	diskFull   = "full"  // each write from then on finds no room
-	diskStall  = 3 * time.Second
+	faultDiskStall = "stall" // the next sync takes diskStallTime
+	faultDiskFull  = "full"  // all later writes fail with ENOSPC, after half of their data
+	diskStallTime  = 3 * time.Second
 )
 
-// FaultsFromEnvironment gives an instance the faults that its environment asks for.
+// FaultsFromEnvironment returns the faults and disabled guards that an instance's environment requests.
 func FaultsFromEnvironment() consensus.Faults {
-	var out policy.Guard
-	var zoned zones.Guard
-	for _, word := range strings.Split(os.Getenv(WithoutEnv), ",") {
-		if g, err := policy.GuardNamed(word); err == nil {
-			out |= g
+	var policyGuards policy.Guard
+	var zoneGuards zones.Guard
+	for _, name := range strings.Split(os.Getenv(disabledGuardsEnv), ",") {
+		if g, err := policy.GuardNamed(name); err == nil {
+			policyGuards |= g
 		}
-		if g, err := zones.GuardNamed(word); err == nil {
-			zoned |= g
+		if g, err := zones.GuardNamed(name); err == nil {
+			zoneGuards |= g
 		}
 	}
-	f := faultsOfKind(os.Getenv(faultEnv))
-	f.DisabledPolicyGuards, f.DisabledZoneGuards = out, zoned
+	f := newFaults(os.Getenv(faultEnv))
+	f.DisabledPolicyGuards, f.DisabledZoneGuards = policyGuards, zoneGuards
 	return f
 }
 
-// stepNames are the kinds of faults that kill an instance at a step of its work.
+// stepNames returns the kinds of faults that kill an instance at a step of its work.
 func stepNames() (names []string) {
 	for _, step := range consensus.Steps {
 		names = append(names, string(step))
@@ -51,7 +50,8 @@
 	return names
 }
 
-func faultsOfKind(kind string) consensus.Faults {
+// newFaults returns the faults of a kind, which a SIGUSR2 arms.
+func newFaults(kind string) consensus.Faults {
 	if kind == "" {
 		return consensus.Faults{}
 	}
@@ -63,7 +63,7 @@
 			armed.Store(true)
 		}
 	}()
-	if kind == diskStalls || kind == diskFull {
+	if kind == faultDiskStall || kind == faultDiskFull {
 		return consensus.Faults{WrapDisk: func(fs wal.FS) wal.FS { return failingDisk{fs, kind, armed} }}
 	}
 	return consensus.Faults{OnStep: func(step consensus.ReadyStep) {
@@ -74,7 +74,7 @@
 	}}
 }
 
-// failingDisk is a folder whose disk fails once armed.
+// failingDisk is a file system that fails once armed.
 type failingDisk struct {
 	wal.FS
 	kind  string
@@ -83,7 +83,7 @@
 
 type failingFile struct {
 	wal.File
-	of failingDisk
+	disk failingDisk
 }
 
 func (f failingDisk) Create(name string) (wal.File, error) {
@@ -97,7 +97,7 @@
 }
 
 func (f failingFile) WriteAt(p []byte, off int64) (int, error) {
-	if f.of.kind == diskFull && f.of.armed.Load() {
+	if f.disk.kind == faultDiskFull && f.disk.armed.Load() {
 		n, err := f.File.WriteAt(p[:len(p)/2], off)
 		if err == nil {
 			err = syscall.ENOSPC
@@ -108,8 +108,8 @@
 }
 
 func (f failingFile) Sync() error {
-	if f.of.kind == diskStalls && f.of.armed.CompareAndSwap(true, false) {
-		time.Sleep(diskStall)
+	if f.disk.kind == faultDiskStall && f.disk.armed.CompareAndSwap(true, false) {
+		time.Sleep(diskStallTime)
 	}
 	return f.File.Sync()
 }
--- a/internal/harness/fleet_control.go
+++ b/internal/harness/fleet_control.go
@@ -1,6 +1,6 @@
 package harness
 
-// This file asks the control service of a fleet of processes, and waits for what it says.
+// This file has the control service's requests for a fleet of processes, and waits for expected states.
 
 import (
 	"context"
@@ -13,32 +13,32 @@
 	"umberwinch/internal/control/policy"
 )
 
-// sleep waits, unless the fleet ends.
-func (r *FleetProcesses) sleep(d time.Duration) { pause(r.ctx, d) }
+// sleep waits for d, or until the fleet's context ends.
+func (r *FleetProcesses) sleep(d time.Duration) { sleepContext(r.ctx, d) }
 
-func (r *FleetProcesses) await(within time.Duration, holds func() error) error {
-	return awaitUntil(r.ctx, within, 20*time.Millisecond, holds)
+func (r *FleetProcesses) await(within time.Duration, condition func() error) error {
+	return awaitUntil(r.ctx, within, 20*time.Millisecond, condition)
 }
 
-// ask brings something to any instance that answers.
-func (r *FleetProcesses) ask(method, path string, in, out any) (int, error) {
-	var last error
-	for _, p := range r.group.procs {
+// requestAny sends a request to the instances in turn until one responds without a server error.
+func (r *FleetProcesses) requestAny(method, path string, in, out any) (int, error) {
+	var lastErr error
+	for _, p := range r.group.instances {
 		ctx, cancel := context.WithTimeout(r.ctx, 2*time.Second)
-		code, err := r.group.call(ctx, method, p.listen, path, in, out)
+		code, err := r.group.doRequest(ctx, method, p.listen, path, in, out)
 		cancel()
 		if err == nil {
 			return code, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return 0, last
+	return 0, lastErr
 }
 
-// Policy gives the leader's view.
+// Policy returns the policy status that the leader reports.
 func (r *FleetProcesses) Policy() (*consensus.PolicyView, error) {
 	var v consensus.PolicyView
-	if _, err := r.ask(http.MethodGet, "/v1/policy", nil, &v); err != nil {
+	if _, err := r.requestAny(http.MethodGet, "/v1/policy", nil, &v); err != nil {
 		return nil, err
 	}
 	if !v.IsLeader {
@@ -47,10 +47,10 @@
 	return &v, nil
 }
 
-// Nodes gives the leader's list.
+// Nodes returns the leader's view of the nodes, by name.
 func (r *FleetProcesses) Nodes() (map[string]consensus.NodeView, error) {
 	var all []consensus.NodeView
-	if _, err := r.ask(http.MethodGet, "/v1/nodes", nil, &all); err != nil {
+	if _, err := r.requestAny(http.MethodGet, "/v1/nodes", nil, &all); err != nil {
 		return nil, err
 	}
 	out := map[string]consensus.NodeView{}
@@ -60,7 +60,7 @@
 	return out, nil
 }
 
-// AwaitAllServing waits until every node that is up serves under a version, and is ready by the platform's list.
+// AwaitAllServing waits until every running node serves under a version and is ready in the endpoint list.
 func (r *FleetProcesses) AwaitAllServing(version uint64, within time.Duration) error {
 	return r.await(within, func() error {
 		all, err := r.Nodes()
@@ -68,51 +68,51 @@
 			return err
 		}
 		for _, n := range r.nodes {
-			if !n.up() {
+			if !n.isUp() {
 				continue
 			}
 			v, ok := all[n.name]
 			switch {
 			case !ok || v.OutReason != "" || !v.Reported:
-				return fmt.Errorf("%s is not in: %q", n.name, v.OutReason)
+				return fmt.Errorf("node %s is not an active member: out for %q", n.name, v.OutReason)
 			case v.Fenced != "" || v.ActiveVersion != version:
-				return fmt.Errorf("%s serves under version %d, fenced %q, expected version %d", n.name,
+				return fmt.Errorf("node %s: active version %d, fenced %q, want version %d and not fenced", n.name,
 					v.ActiveVersion, v.Fenced, version)
-			case !r.ready.ready(n.name):
-				return fmt.Errorf("%s is not ready by the list", n.name)
+			case !r.readiness.isReady(n.name):
+				return fmt.Errorf("node %s is not ready in the endpoint list", n.name)
 			}
 		}
 		return nil
 	})
 }
 
-// Put makes a text the group's next version.
-func (r *FleetProcesses) Put(text string) (uint64, error) {
-	r.seq++
-	var a consensus.PutResult
+// PutVersion puts a text as the group's next version. It retries on a conflict and while no leader responds.
+func (r *FleetProcesses) PutVersion(text string) (uint64, error) {
+	r.lastOpNumber++
+	var result consensus.PutResult
 	err := r.await(10*time.Second, func() error {
-		var s consensus.StatusReport
-		if _, err := r.ask(http.MethodGet, "/v1/status", nil, &s); err != nil {
+		var status consensus.StatusReport
+		if _, err := r.requestAny(http.MethodGet, "/v1/status", nil, &status); err != nil {
 			return err
 		}
-		p := consensus.Put{Session: fmt.Sprintf("rig-%d-%d", r.Seed, r.seq), Seq: 1, Base: s.Version, Author: "lab",
-			Text: text}
-		_, err := r.ask(http.MethodPut, "/v1/config", p, &a)
-		if err == nil && a.Outcome == consensus.PutConflict {
-			r.seq++
-			err = fmt.Errorf("%s", a.Reason)
+		put := consensus.Put{Session: fmt.Sprintf("rig-%d-%d", r.Seed, r.lastOpNumber), Seq: 1, Base: status.Version,
+			Author: "lab", Text: text}
+		_, err := r.requestAny(http.MethodPut, "/v1/config", put, &result)
+		if err == nil && result.Outcome == consensus.PutConflict {
+			r.lastOpNumber++
+			err = fmt.Errorf("%s", result.Reason)
 		}
 		return err
 	})
-	if err == nil && a.Outcome != consensus.PutCommitted {
-		err = fmt.Errorf("the version is %s: %s", a.Outcome, a.Reason)
+	if err == nil && result.Outcome != consensus.PutCommitted {
+		err = fmt.Errorf("put: outcome %s (%s), want %s", result.Outcome, result.Reason, consensus.PutCommitted)
 	}
-	return a.Version, err
+	return result.Version, err
 }
 
-// Propose begins a change to a text, and gives its number and version.
+// Propose puts a text and proposes it. It returns the change's number and the version.
 func (r *FleetProcesses) Propose(text string, p policy.Proposal) (number, version uint64, err error) {
-	if version, err = r.Put(text); err != nil {
+	if version, err = r.PutVersion(text); err != nil {
 		return 0, 0, err
 	}
 	p.Version, p.Author, p.IdempotencyKey = version, "lab", fmt.Sprintf("rig-%d-%08d", r.Seed, version)
@@ -124,7 +124,7 @@
 			policy.Result
 			Error string `json:"error"`
 		}
-		code, err := r.ask(http.MethodPost, "/v1/policy", policy.Op{Kind: policy.OpPropose, Proposal: &p}, &res)
+		code, err := r.requestAny(http.MethodPost, "/v1/policy", policy.Op{Kind: policy.OpPropose, Proposal: &p}, &res)
 		if err == nil && code != http.StatusOK {
 			err = errors.New(res.Error)
 		}
@@ -134,7 +134,7 @@
 	return number, version, err
 }
 
-// AwaitStep waits until a change is at one of some steps.
+// AwaitStep waits until a change is at one of the given steps.
 func (r *FleetProcesses) AwaitStep(number uint64, within time.Duration, steps ...policy.Step) (*policy.Change, error) {
 	var c *policy.Change
 	err := r.await(within, func() error {
@@ -143,31 +143,31 @@
 			return err
 		}
 		c = nil
-		for _, o := range append(v.History, v.Current) {
-			if o != nil && o.Number == number {
-				c = o
+		for _, change := range append(v.History, v.Current) {
+			if change != nil && change.Number == number {
+				c = change
 			}
 		}
 		if c == nil {
-			return fmt.Errorf("change %d is not known", number)
+			return fmt.Errorf("the group has no change %d", number)
 		}
 		for _, s := range steps {
 			if c.Step == s {
 				return nil
 			}
 		}
-		return fmt.Errorf("change %d is %s (%s; waits %v), expected %v", number, c.Step, c.AbortReason, v.WaitingFor,
+		return fmt.Errorf("change %d is %s (%s; waits for %v), want %v", number, c.Step, c.AbortReason, v.WaitingFor,
 			steps)
 	})
 	return c, err
 }
 
-// AwaitPrepared waits until the leader heard from a node that it prepared a version.
+// AwaitPrepared waits until the leader reports that a node has prepared a version.
 func (r *FleetProcesses) AwaitPrepared(node string, version uint64) error {
 	return r.await(10*time.Second, func() error {
 		all, err := r.Nodes()
 		if err == nil && all[node].PreparedVersion != version {
-			err = fmt.Errorf("%s has not prepared version %d", node, version)
+			err = fmt.Errorf("node %s: prepared version %d, want %d", node, all[node].PreparedVersion, version)
 		}
 		return err
 	})
--- a/internal/harness/fleet_history.go
+++ b/internal/harness/fleet_history.go
@@ -1,6 +1,6 @@
 package harness
 
-// This file reads the history of a fleet of processes from their logs and holds it to its promises.
+// This file reads a fleet's history from the logs of its processes and checks its invariants.
 
 import (
 	"bufio"
@@ -17,32 +17,32 @@
 	"umberwinch/internal/simulation"
 )
 
-// logRecord is one line of a process's log.
+// logRecord is one line of a process's JSON log.
 type logRecord struct {
 	at      int64 // tenths of a ms
 	message string
 	fields  map[string]any
 }
 
-// number gives a field that is a whole number, 0 where it is missing.
-func (l *logRecord) number(field string) uint64 {
+// uintField returns the value of an integer field, 0 if it is missing.
+func (l *logRecord) uintField(field string) uint64 {
 	v, _ := l.fields[field].(float64)
 	return uint64(v)
 }
 
-func (l *logRecord) text(field string) string {
+func (l *logRecord) stringField(field string) string {
 	v, _ := l.fields[field].(string)
 	return v
 }
 
-func (l *logRecord) flag(field string) bool {
+func (l *logRecord) boolField(field string) bool {
 	v, _ := l.fields[field].(bool)
 	return v
 }
 
-// readLog gives each line of a log of JSON lines. A line that was being written when its process was killed is passed
-// over, and so is a crash's.
-func readLog(file string, take func(l *logRecord)) error {
+// readLog calls handle for each record of a JSON log. It skips lines that aren't records: a line cut by the kill of
+// its process, or a crash's output.
+func readLog(file string, handle func(l *logRecord)) error {
 	f, err := os.Open(file)
 	if err != nil {
 		return err
@@ -55,22 +55,22 @@
 		if json.Unmarshal(s.Bytes(), &l.fields) != nil {
 			continue
 		}
-		t, err := time.Parse("2006-01-02T15:04:05.000Z07:00", l.text("time"))
+		t, err := time.Parse("2006-01-02T15:04:05.000Z07:00", l.stringField("time"))
 		if err != nil {
 			continue
 		}
-		l.at, l.message = t.UnixMicro()/100, l.text("msg")
-		take(&l)
+		l.at, l.message = t.UnixMicro()/100, l.stringField("msg")
+		handle(&l)
 	}
 	return s.Err()
 }
 
-// instancesLog is the log that all instances of the group write.
+// instancesLog is the path of the log that all instances of the group append to.
 func (r *FleetProcesses) instancesLog() string { return filepath.Join(r.Dir, "instances.log") }
 
-func (n *nodeProcess) logFile() string { return filepath.Join(n.r.Dir, n.name+".log") }
+func (n *nodeProcess) logPath() string { return filepath.Join(n.fleet.Dir, n.name+".log") }
 
-// History reads what happened from the logs of all processes.
+// History returns the fleet's history from the logs of all processes.
 func (r *FleetProcesses) History() ([]simulation.FleetEvent, error) {
 	steps, err := readChangeSteps(r.instancesLog())
 	if err != nil {
@@ -79,14 +79,14 @@
 	r.commitTimes = steps.commitTimes()
 	all := steps.events()
 	r.mu.Lock()
-	own := append([]simulation.FleetEvent(nil), r.events...)
+	processEvents := append([]simulation.FleetEvent(nil), r.processEvents...)
 	r.mu.Unlock()
 	for _, n := range r.nodes {
 		events, err := n.loggedEvents()
 		if err != nil {
 			return nil, err
 		}
-		for _, e := range own {
+		for _, e := range processEvents {
 			if e.Node == n.name {
 				events = append(events, e)
 			}
@@ -96,13 +96,12 @@
 	return all, nil
 }
 
-// changeStep is one step of one change of policy.
 type changeStep struct {
 	number uint64
 	step   policy.Step
 }
 
-// changeSteps are the steps that the group's changes took, each as the first instance logged it.
+// changeSteps are the steps of the group's policy changes, each at its first occurrence in the instances' log.
 type changeSteps struct {
 	first map[changeStep]simulation.FleetEvent
 	order []changeStep
@@ -114,7 +113,7 @@
 		if l.message != "change of policy" {
 			return
 		}
-		k := changeStep{l.number(logging.Change), policy.Step(l.text(logging.Step))}
+		k := changeStep{l.uintField(logging.Change), policy.Step(l.stringField(logging.Step))}
 		e, known := c.first[k]
 		if known && e.At <= l.at {
 			return
@@ -122,26 +121,26 @@
 		if !known {
 			c.order = append(c.order, k)
 		}
-		c.first[k] = simulation.FleetEvent{At: l.at, Version: l.number(logging.PolicyVersion),
-			From: l.number(logging.From),
-			Excl: l.flag(logging.Exclusive)}
+		c.first[k] = simulation.FleetEvent{At: l.at, Version: l.uintField(logging.PolicyVersion),
+			From: l.uintField(logging.From),
+			Excl: l.boolField(logging.Exclusive)}
 	})
 }
 
-// commitTimes gives the ms that each change took from its first step to being in force.
+// commitTimes returns the time from a change's first step to its commit, in ms, by change.
 func (c *changeSteps) commitTimes() map[uint64]float64 {
 	out := map[uint64]float64{}
 	for _, k := range c.order {
-		begun, known := c.first[changeStep{k.number, policy.Preparing}]
+		preparing, known := c.first[changeStep{k.number, policy.Preparing}]
 		if known && k.step == policy.Committed {
-			out[k.number] = float64(c.first[k].At-begun.At) / 10
+			out[k.number] = float64(c.first[k].At-preparing.At) / 10
 		}
 	}
 	return out
 }
 
-// events gives the steps as the checker has them. A change that was put in force without a step of being decided was
-// decided in that moment.
+// events returns the steps as events for the checker. A change that was committed without a separate decision was
+// decided at the same time.
 func (c *changeSteps) events() (all []simulation.FleetEvent) {
 	add := func(k changeStep, kind string) {
 		e := c.first[k]
@@ -166,17 +165,17 @@
 	return all
 }
 
-// loggedEvents gives what a node logged of its service.
+// loggedEvents returns the events by which a node's log says that it serves, is fenced or has activated a version.
 func (n *nodeProcess) loggedEvents() (events []simulation.FleetEvent, err error) {
-	err = readLog(n.logFile(), func(l *logRecord) {
+	err = readLog(n.logPath(), func(l *logRecord) {
 		e := simulation.FleetEvent{At: l.at, Node: n.name}
 		switch l.message {
 		case "node is fenced: all requests are rejected":
 			e.Kind = "stops"
 		case "node serves":
-			e.Kind, e.Version = "serves", l.number(logging.PolicyVersion)
+			e.Kind, e.Version = "serves", l.uintField(logging.PolicyVersion)
 		case "policy version is active":
-			e.Kind, e.Version = "takes", l.number(logging.PolicyVersion)
+			e.Kind, e.Version = "takes", l.uintField(logging.PolicyVersion)
 		default:
 			return
 		}
@@ -185,69 +184,69 @@
 	return events, err
 }
 
-// fenceLogGrace, in tenths of a ms, is within which a resumed process has logged that its first round fenced it: a busy
-// machine may let it wait for a core.
+// fenceLogGrace is the maximum time, in tenths of a ms, between a process's resumption and its log line that it is
+// fenced. It includes the wait for a core on a busy machine.
 const fenceLogGrace = 10_000
 
-// nodeHistory makes spans of service of what a node's log and the scenario say: a process that stands still serves
-// nothing, and one that goes on serves what it did unless its first round fenced it.
-func nodeHistory(told []simulation.FleetEvent) (out []simulation.FleetEvent) {
-	sort.SliceStable(told, func(i, k int) bool { return told[i].At < told[k].At })
-	serves, under, before := false, uint64(0), false
-	say := func(at int64, kind string) {
-		out = append(out, simulation.FleetEvent{At: at, Kind: kind, Node: told[0].Node, Version: under})
+// nodeHistory merges the events of a node's log and of its process into serves and stops events. A paused process
+// serves nothing; once resumed it serves as before, unless it logs that it is fenced.
+func nodeHistory(events []simulation.FleetEvent) (out []simulation.FleetEvent) {
+	sort.SliceStable(events, func(i, k int) bool { return events[i].At < events[k].At })
+	serving, version, servingBeforePause := false, uint64(0), false
+	emit := func(at int64, kind string) {
+		out = append(out, simulation.FleetEvent{At: at, Kind: kind, Node: events[0].Node, Version: version})
 	}
-	for _, e := range told {
+	for _, e := range events {
 		switch e.Kind {
 		case "serves":
-			serves, under = true, e.Version
-			say(e.At, "serves")
+			serving, version = true, e.Version
+			emit(e.At, "serves")
 		case "takes":
-			if under = e.Version; serves {
-				say(e.At, "serves")
+			if version = e.Version; serving {
+				emit(e.At, "serves")
 			}
 		case "stops":
-			if serves {
-				say(e.At, "stops")
+			if serving {
+				emit(e.At, "stops")
 			}
-			serves = false
+			serving = false
 		case "pause":
-			if before = serves; serves {
-				say(e.At, "stops")
+			if servingBeforePause = serving; serving {
+				emit(e.At, "stops")
 			}
-			serves = false
+			serving = false
 		case "resume":
-			if !before {
+			if !servingBeforePause {
 				continue
 			}
 			fenced := false
-			for _, o := range told { // logs have whole ms: a line may seem to come before what brought it about
-				fenced = fenced || o.Kind == "stops" && o.At > e.At-10 && o.At <= e.At+fenceLogGrace
+			for _, other := range events { // log times are rounded to ms: a line may precede its cause by up to 1 ms
+				fenced = fenced || other.Kind == "stops" && other.At > e.At-10 && other.At <= e.At+fenceLogGrace
 			}
 			if !fenced {
-				serves = true
-				say(e.At+10, "serves")
+				serving = true
+				emit(e.At+10, "serves")
 			}
 		}
 	}
 	return out
 }
 
-// Check holds what happened against the promises.
+// Check checks the fleet's history and returns the longest overlap of two versions, in tenths of a ms.
 func (r *FleetProcesses) Check(p simulation.FleetPromises) (overlap int64, err error) {
 	h, err := r.History()
 	if err != nil {
 		return 0, err
 	}
-	broken, overlap := simulation.CheckFleet(h, p)
-	if broken != "" {
-		return overlap, errors.New(broken)
+	violation, overlap := simulation.CheckFleet(h, p)
+	if violation != "" {
+		return overlap, errors.New(violation)
 	}
 	return overlap, nil
 }
 
-// tail gives the end of a process's log, for a failure's report.
-func (r *FleetProcesses) tail(name string, n int) string {
+// logTail returns the last n lines of a process's log.
+func (r *FleetProcesses) logTail(name string, n int) string {
 	raw, err := os.ReadFile(filepath.Join(r.Dir, name+".log"))
 	if err != nil {
 		return err.Error()
--- a/internal/harness/fleet_load.go
+++ b/internal/harness/fleet_load.go
@@ -1,6 +1,6 @@
 package harness
 
-// This file is the load on a fleet of processes and what became of it.
+// This file generates a fleet's load and records the results.
 
 import (
 	"context"
@@ -14,77 +14,77 @@
 	"umberwinch/internal/simulation"
 )
 
-// CallResults is what became of callers' requests.
+// CallResults counts callers' requests by outcome.
 type CallResults struct {
 	mu                                 sync.Mutex
 	Requests, Done, Shed, Lost, Errors int
 	Attempts                           int
-	Times                              []float64 // ms of those done
-	Each                               []CallResult
+	LatenciesMS                        []float64 // of completed requests
+	Calls                              []CallResult
 }
 
-// CallResult is one request that a node answered.
+// CallResult is the outcome of one request.
 type CallResult struct {
-	At       time.Time
+	EndedAt  time.Time
 	Node     *nodeProcess
 	Value    float64
-	InTime   bool // done within its target
+	InTime   bool // completed within its latency objective
 	Attempts int
 }
 
-// String is the line of a report: calls by outcome, and their attempts.
+// String formats the counts for a report: requests by outcome, and attempts.
 func (c *CallResults) String() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return fmt.Sprintf("asked %d, done %d, shed %d, lost %d, errored %d, tries %d", c.Requests, c.Done, c.Shed,
+	return fmt.Sprintf("requests %d, done %d, shed %d, lost %d, errored %d, attempts %d", c.Requests, c.Done, c.Shed,
 		c.Lost, c.Errors, c.Attempts)
 }
 
-// quantile gives a time that a share of requests was done within.
+// quantile returns a quantile of the latencies of completed requests, in ms.
 func (c *CallResults) quantile(q float64) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.Times) == 0 {
+	if len(c.LatenciesMS) == 0 {
 		return 0
 	}
-	sort.Float64s(c.Times)
-	return c.Times[min(len(c.Times)-1, int(q*float64(len(c.Times))))]
+	sort.Float64s(c.LatenciesMS)
+	return c.LatenciesMS[min(len(c.LatenciesMS)-1, int(q*float64(len(c.LatenciesMS))))]
 }
 
-// count gives how many requests were noted one by one so far.
-func (c *CallResults) count() int {
+// numCalls returns the number of recorded calls.
+func (c *CallResults) numCalls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.Each)
+	return len(c.Calls)
 }
 
-// valueInTime gives the share of value that was done in time, of the requests after the first from.
-func (c *CallResults) valueInTime(from int) float64 {
+// inTimeValueShare returns the fraction of value completed in time, over the calls from index from on.
+func (c *CallResults) inTimeValueShare(from int) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	good, all := 0.0, 0.0
-	for _, a := range c.Each[from:] {
+	inTime, all := 0.0, 0.0
+	for _, a := range c.Calls[from:] {
 		if all += a.Value; a.InTime {
-			good += a.Value
+			inTime += a.Value
 		}
 	}
-	return good / max(all, 1)
+	return inTime / max(all, 1)
 }
 
-// Load sends requests at a rate until the context ends, each to a node that the list says is ready, and elsewhere when
-// it is turned away: so a request is lost only if nobody answered it in its time.
+// Load sends requests at a rate, per second, until the context ends. Each goes to a ready node and is retried at
+// others when it is rejected, so that it is lost only if no node responds before its deadline.
 func (r *FleetProcesses) Load(ctx context.Context, rate float64) *CallResults {
 	c := &CallResults{}
-	s, _ := simulation.ReadScenario("fleet", fleetClasses)
-	chance := rand.New(rand.NewSource(r.Seed))
+	s, _ := simulation.ReadScenario("fleet", fleetScenario)
+	random := rand.New(rand.NewSource(r.Seed))
 	r.loads.Add(1)
 	go func() {
 		defer r.loads.Done()
-		var open sync.WaitGroup
-		defer open.Wait()
+		var inFlight sync.WaitGroup
+		defer inFlight.Wait()
 		next := time.Now()
 		for i := 0; ; i++ {
-			next = next.Add(time.Duration(chance.ExpFloat64() / rate * float64(time.Second)))
+			next = next.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 			select {
 			case <-ctx.Done():
 				return
@@ -92,21 +92,25 @@
 				return
 			case <-time.After(time.Until(next)):
 			}
-			class, tenant, first := pickClass(s, chance.Float64()), chance.Intn(s.Tenants), chance.Intn(len(r.nodes))
-			open.Add(1)
-			go func() { defer open.Done(); r.call(c, &s.Classes[class], class == s.Dearest, tenant, first) }()
+			class, tenant, first := pickClass(s, random.Float64()), random.Intn(s.Tenants), random.Intn(len(r.nodes))
+			inFlight.Add(1)
+			go func() {
+				defer inFlight.Done()
+				r.sendRequest(c, &s.Classes[class], class == s.Dearest, tenant, first)
+			}()
 		}
 	}()
 	return c
 }
 
-func pickClass(s *simulation.Scenario, at float64) int {
+// pickClass returns the class that a draw in [0, 1) selects, in proportion to the classes' rates.
+func pickClass(s *simulation.Scenario, draw float64) int {
 	sum := 0.0
 	for k := range s.Classes {
 		sum += s.Classes[k].Rate
 	}
 	for k := range s.Classes {
-		if at -= s.Classes[k].Rate / sum; at < 0 {
+		if draw -= s.Classes[k].Rate / sum; draw < 0 {
 			return k
 		}
 	}
@@ -115,57 +119,59 @@
 
 // clientCall is one request with its attempts.
 type clientCall struct {
-	r               *FleetProcesses
-	class           *simulation.Class
-	key             string // empty: it has none
-	tenant, sender  int
-	first           int // the node that is asked first
-	began, deadline time.Time
-	backoff         time.Duration // before the next attempt, once there were some
-	code            int           // of the last answer, 0: there was none
-	attempts        int
-	last            *nodeProcess
+	fleet               *FleetProcesses
+	class               *simulation.Class
+	key                 string // idempotency key; may be empty
+	tenant, sender      int
+	firstNode           int // index of the node for the first attempt
+	startedAt, deadline time.Time
+	backoff             time.Duration // before the next attempt, after the immediate ones
+	status              int           // of the last attempt's response; 0: none
+	attempts            int
+	lastNode            *nodeProcess
 }
 
-// call sends one request and notes what became of it.
-func (r *FleetProcesses) call(c *CallResults, class *simulation.Class, keyed bool, tenant, first int) {
-	began := time.Now()
-	q := &clientCall{r: r, class: class, tenant: tenant, first: first, began: began, backoff: firstGap,
-		deadline: began.Add(time.Duration(class.Handler.Timeout) * 100 * time.Microsecond),
-		sender:   first*131 + tenant*17 + int(began.UnixNano()>>10)%64}
+// sendRequest sends one request with its retries and records the result.
+func (r *FleetProcesses) sendRequest(results *CallResults, class *simulation.Class, keyed bool, tenant, first int) {
+	startedAt := time.Now()
+	q := &clientCall{fleet: r, class: class, tenant: tenant, firstNode: first, startedAt: startedAt,
+		backoff: initialBackoff, deadline: startedAt.Add(time.Duration(class.Handler.Timeout) * 100 * time.Microsecond),
+		sender: first*131 + tenant*17 + int(startedAt.UnixNano()>>10)%64}
 	if keyed {
-		q.key = newKey()
+		q.key = randomKey()
 	}
 	q.run()
-	c.note(q)
+	results.record(q)
 }
 
-// run asks one node after the other until one is done with it, its time is over, or asking on would be wrong.
+// run tries nodes in turn until the request completes, its deadline passes or a retry could execute it twice.
 func (q *clientCall) run() {
-	nodes := q.r.nodes
-	for k := 0; q.attempts < maxTries && time.Now().Before(q.deadline) && q.code != http.StatusOK; k++ {
+	nodes := q.fleet.nodes
+	for k := 0; q.attempts < maxAttempts && time.Now().Before(q.deadline) && q.status != http.StatusOK; k++ {
 		if k > 0 && k%len(nodes) == 0 {
-			time.Sleep(firstGap) // the list was gone through once
+			time.Sleep(initialBackoff) // all nodes were tried
 		}
-		i := (q.first + k) % len(nodes)
-		if !q.r.ready.ready(nodes[i].name) || q.r.OddNode == i+1 && q.class.Name == "fill" {
+		i := (q.firstNode + k) % len(nodes)
+		if !q.fleet.readiness.isReady(nodes[i].name) || q.fleet.NodeWithoutFill == i+1 && q.class.Name == "fill" {
 			continue
 		}
-		if q.mayHaveRun() || !q.pause() {
+		if q.mayHaveRun() || !q.waitBackoff() {
 			return
 		}
-		q.attempt(nodes[i])
+		q.sendTo(nodes[i])
 	}
 }
 
-// mayHaveRun tells whether a keyed request may have run at the last node: elsewhere it would run again.
+// mayHaveRun reports whether a request with an idempotency key may have been executed by the last node: another node
+// would execute it again.
 func (q *clientCall) mayHaveRun() bool {
-	return q.key != "" && q.attempts > 0 && q.code != http.StatusServiceUnavailable
+	return q.key != "" && q.attempts > 0 && q.status != http.StatusServiceUnavailable
 }
 
-// pause waits before an attempt after the first ones, unless that would be for nobody: then it gives false.
-func (q *clientCall) pause() bool {
-	if q.attempts < triesWithoutPause || q.r.RetryAtOnce {
+// waitBackoff waits before an attempt after the immediate ones. It returns false if the backoff exceeds the time to
+// the deadline.
+func (q *clientCall) waitBackoff() bool {
+	if q.attempts < immediateAttempts || q.fleet.RetryImmediately {
 		return true
 	}
 	if q.backoff > time.Until(q.deadline) {
@@ -176,39 +182,40 @@
 	return true
 }
 
-// attempt asks one node; a patient caller that is turned away waits for as long as it is told to.
-func (q *clientCall) attempt(n *nodeProcess) {
+// sendTo sends one attempt to a node. A caller that honors Retry-After waits for it after a rejection.
+func (q *clientCall) sendTo(n *nodeProcess) {
 	ctx, cancel := context.WithDeadline(context.Background(), q.deadline)
 	defer cancel()
 	var retryAfter time.Duration
-	q.code, retryAfter = sendAttempt(ctx, q.r.client, n.front, q.class.Name, q.tenant, q.sender, q.key, q.attempts > 0)
+	q.status, retryAfter = sendAttempt(ctx, q.fleet.client, n.callerAddr, q.class.Name, q.tenant, q.sender, q.key,
+		q.attempts > 0)
 	q.attempts++
-	q.last = n
-	if q.r.HonorRetryAfter && q.code == http.StatusServiceUnavailable {
+	q.lastNode = n
+	if q.fleet.HonorRetryAfter && q.status == http.StatusServiceUnavailable {
 		time.Sleep(min(retryAfter, time.Until(q.deadline)))
 	}
 }
 
-// note counts what became of a request.
-func (c *CallResults) note(q *clientCall) {
-	took := time.Since(q.began)
+// record counts a request by its outcome.
+func (c *CallResults) record(q *clientCall) {
+	latency := time.Since(q.startedAt)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Requests++
 	c.Attempts += q.attempts
-	if q.r.WithStores {
+	if q.fleet.WithStores {
 		objective := time.Duration(q.class.Handler.LatencyObjective) * 100 * time.Microsecond
-		c.Each = append(c.Each, CallResult{At: time.Now(), Node: q.last, Value: q.class.Handler.Value,
-			InTime: took <= objective && q.code == http.StatusOK, Attempts: q.attempts})
+		c.Calls = append(c.Calls, CallResult{EndedAt: time.Now(), Node: q.lastNode, Value: q.class.Handler.Value,
+			InTime: latency <= objective && q.status == http.StatusOK, Attempts: q.attempts})
 	}
-	switch q.code {
+	switch q.status {
 	case http.StatusOK:
 		c.Done++
-		c.Times = append(c.Times, float64(took.Microseconds())/1000)
+		c.LatenciesMS = append(c.LatenciesMS, float64(latency.Microseconds())/1000)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		c.Shed++
 	case 0:
-		if q.attempts == 0 { // nobody was ready in all its time
+		if q.attempts == 0 { // no node was ready before the deadline
 			c.Shed++
 		} else {
 			c.Lost++
--- a/internal/harness/forwarders.go
+++ b/internal/harness/forwarders.go
@@ -13,32 +13,32 @@
 	"time"
 )
 
-// forwarders stands between instances of a group of processes: a forwarder in front of each peers' address,
-// which knows by the greeting who dialled, and can part any two, one way each.
+// forwarders forward connections between instances, nodes and callers, and inject faults by the names of both ends.
+// The forwarder before an instance's peer address learns the name of the dialling instance from its handshake.
 type forwarders struct {
-	mu    sync.Mutex
-	cut   map[[2]string]bool // by names, from and to
-	fault map[[2]string]linkFault
-	conns map[net.Conn][2]string
-	wg    sync.WaitGroup
-	ls    []net.Listener
-	open  map[net.Conn]bool // what was accepted and has not ended
-	ended bool
+	mu        sync.Mutex
+	blocked   map[[2]string]bool // by names: from, to
+	faults    map[[2]string]linkFault
+	conns     map[net.Conn][2]string
+	wg        sync.WaitGroup
+	listeners []net.Listener
+	accepted  map[net.Conn]bool // accepted connections until they are closed
+	closed    bool
 }
 
 func newForwarders() *forwarders {
-	return &forwarders{cut: map[[2]string]bool{}, fault: map[[2]string]linkFault{}, conns: map[net.Conn][2]string{},
-		open: map[net.Conn]bool{}}
+	return &forwarders{blocked: map[[2]string]bool{}, faults: map[[2]string]linkFault{},
+		conns: map[net.Conn][2]string{}, accepted: map[net.Conn]bool{}}
 }
 
-// front forwards what comes to a listener to an instance.
-func (s *forwarders) front(l net.Listener, name, to string) {
-	s.serve(l, func(c net.Conn) { s.forward(c, name, to) })
+// forwardPeers forwards peer connections that a listener accepts to an instance.
+func (s *forwarders) forwardPeers(l net.Listener, name, to string) {
+	s.serve(l, func(c net.Conn) { s.forwardPeer(c, name, to) })
 }
 
-// serve takes what comes to a listener until it is closed.
-func (s *forwarders) serve(l net.Listener, take func(net.Conn)) {
-	s.ls = append(s.ls, l)
+// serve handles connections that a listener accepts, until it is closed.
+func (s *forwarders) serve(l net.Listener, handle func(net.Conn)) {
+	s.listeners = append(s.listeners, l)
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
@@ -52,31 +52,31 @@
 				return
 			}
 			s.wg.Add(1)
-			go func() { defer s.wg.Done(); defer s.untrack(c); take(c) }()
+			go func() { defer s.wg.Done(); defer s.untrack(c); handle(c) }()
 		}
 	}()
 }
 
-// track notes a connection for close; false: the forwarders are closed.
+// track registers a connection for close. It returns false if the forwarders are closed.
 func (s *forwarders) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.ended {
-		s.open[c] = true
+	if !s.closed {
+		s.accepted[c] = true
 	}
-	return !s.ended
+	return !s.closed
 }
 
 func (s *forwarders) untrack(c net.Conn) {
 	c.Close()
 	s.mu.Lock()
-	delete(s.open, c)
+	delete(s.accepted, c)
 	s.mu.Unlock()
 }
 
-// forward reads the greeting to learn who dials, then copies both ways until either side ends or the two are
-// parted.
-func (s *forwarders) forward(c net.Conn, name, to string) {
+// forwardPeer reads the handshake for the dialling instance's name, then copies both ways until either side closes
+// or the two instances are partitioned.
+func (s *forwarders) forwardPeer(c net.Conn, name, to string) {
 	defer c.Close()
 	c.SetReadDeadline(time.Now().Add(2 * time.Second))
 	head := make([]byte, 8)
@@ -105,86 +105,90 @@
 	defer out.Close()
 	key := [2]string{hello.Name, name}
 	s.mu.Lock()
-	parted := s.cut[key]
-	if !parted {
+	blocked := s.blocked[key]
+	if !blocked {
 		s.conns[c] = key
 	}
 	s.mu.Unlock()
-	if parted {
+	if blocked {
 		return
 	}
 	defer func() { s.mu.Lock(); delete(s.conns, c); s.mu.Unlock() }()
 	if _, err = out.Write(append(head, raw...)); err != nil {
 		return
 	}
-	back := make(chan struct{})
-	go func() { io.Copy(c, out); c.Close(); close(back) }()
+	copied := make(chan struct{})
+	go func() { io.Copy(c, out); c.Close(); close(copied) }()
 	io.Copy(out, c)
 	out.Close()
-	<-back
+	<-copied
 }
 
-// partition cuts one instance off from some others, both ways, or only what it says or only what it hears.
-func (s *forwarders) partition(name string, others []string, says, hears bool) {
+// partition blocks connections that an instance dials to others (outbound), that the others dial to it (inbound), or
+// both. It closes open ones.
+func (s *forwarders) partition(name string, others []string, outbound, inbound bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range others {
-		if says {
-			s.cut[[2]string{name, o}] = true
+		if outbound {
+			s.blocked[[2]string{name, o}] = true
 		}
-		if hears {
-			s.cut[[2]string{o, name}] = true
+		if inbound {
+			s.blocked[[2]string{o, name}] = true
 		}
 	}
 	for c, key := range s.conns {
-		if s.cut[key] {
+		if s.blocked[key] {
 			c.Close()
 		}
 	}
 }
 
+// heal removes all faults and partitions.
 func (s *forwarders) heal() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut, s.fault = map[[2]string]bool{}, map[[2]string]linkFault{}
+	s.blocked, s.faults = map[[2]string]bool{}, map[[2]string]linkFault{}
 }
 
-// linkFault is what goes wrong on the lines from one to another, both named where they are made.
+// linkFault is a fault on the link from one named end to another.
 type linkFault struct {
-	cut           bool          // nothing opens, and what is open closes
-	dropSent      bool          // what the one says is swallowed
-	dropReplies   bool          // and what the other answers
-	delay         time.Duration // of each piece, both ways
-	swallowPrefix string        // connections that begin so are swallowed
-	replace       [2]string     // what is said has the one in place of the other, of the same length: a node that lies
-	// in place of what the other one answers to POST /v1/nodes: an instance that is behind
-	answer []byte
+	cut          bool          // new connections are rejected, open ones are closed
+	dropRequests bool          // data from the dialling end is dropped
+	dropReplies  bool          // data from the other end is dropped
+	delay        time.Duration // of each read, in both directions
+	dropPrefix   string        // once a read from the dialling end begins with it, the rest is dropped
+	replace      [2]string     // old and new bytes, of the same length, in data from the dialling end
+	// response to any request but GET, in place of the other end's, as a stale instance would send it
+	staleResponse []byte
 }
 
-// set puts a fault in place of the one before.
+// set replaces the fault of a link. It closes the link's connections if the new fault cuts it or has a stale
+// response.
 func (s *forwarders) set(from, to string, f linkFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := [2]string{from, to}
-	s.fault[key] = f
+	s.faults[key] = f
 	for c, k := range s.conns {
-		if (f.cut || f.answer != nil) && k == key {
+		if (f.cut || f.staleResponse != nil) && k == key {
 			c.Close()
 		}
 	}
 }
 
-func (s *forwarders) on(key [2]string) linkFault {
+// faultFor returns the fault of a link, cut if it is partitioned.
+func (s *forwarders) faultFor(key [2]string) linkFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := s.fault[key]
-	f.cut = f.cut || s.cut[key]
+	f := s.faults[key]
+	f.cut = f.cut || s.blocked[key]
 	return f
 }
 
-// faultBetween opens an address on which one reaches another, and forwards what comes.
-func (s *forwarders) faultBetween(from, to, target string) (string, error) {
-	l, err := net.Listen("tcp", loopback(7300))
+// listenBetween opens an address that forwards to target, with the faults of the link from one end to another.
+func (s *forwarders) listenBetween(from, to, target string) (string, error) {
+	l, err := net.Listen("tcp", newLoopbackAddr(7300))
 	if err != nil {
 		return "", err
 	}
@@ -192,9 +196,10 @@
 	return l.Addr().String(), nil
 }
 
+// relay copies a connection to and from the target under the link's fault.
 func (s *forwarders) relay(c net.Conn, key [2]string, target string) {
 	defer c.Close()
-	f := s.on(key)
+	f := s.faultFor(key)
 	if f.cut {
 		return
 	}
@@ -202,8 +207,8 @@
 	s.conns[c] = key
 	s.mu.Unlock()
 	defer func() { s.mu.Lock(); delete(s.conns, c); s.mu.Unlock() }()
-	if f.answer != nil {
-		answerInPlace(c, target, f.answer)
+	if f.staleResponse != nil {
+		serveStaleResponse(c, target, f.staleResponse)
 		return
 	}
 	out, err := net.DialTimeout("tcp", target, time.Second)
@@ -211,23 +216,24 @@
 		return
 	}
 	defer out.Close()
-	back := make(chan struct{})
+	copied := make(chan struct{})
 	go func() {
 		s.copyBytes(c, out, key, func(f linkFault, _ []byte) bool { return f.dropReplies })
 		c.Close()
-		close(back)
+		close(copied)
 	}()
-	deaf := false
+	dropping := false
 	s.copyBytes(out, c, key, func(f linkFault, b []byte) bool {
-		deaf = deaf || f.swallowPrefix != "" && bytes.HasPrefix(b, []byte(f.swallowPrefix))
-		return f.dropSent || deaf
+		dropping = dropping || f.dropPrefix != "" && bytes.HasPrefix(b, []byte(f.dropPrefix))
+		return f.dropRequests || dropping
 	})
 	out.Close()
-	<-back
+	<-copied
 }
 
-// answerInPlace answers a node in an instance's place with what it said long ago; texts it has from the true one.
-func answerInPlace(c net.Conn, target string, says []byte) {
+// serveStaleResponse serves HTTP requests in an instance's place: a GET is forwarded to the instance, any other
+// request gets the stale response.
+func serveStaleResponse(c net.Conn, target string, response []byte) {
 	lines := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(lines)
@@ -235,7 +241,7 @@
 			return
 		}
 		io.Copy(io.Discard, req.Body)
-		body := says
+		body := response
 		if req.Method == http.MethodGet {
 			res, err := http.Get("http://" + target + req.URL.RequestURI())
 			if err != nil {
@@ -248,17 +254,17 @@
 	}
 }
 
-// copyBytes copies piece by piece, but for what is swallowed.
-func (s *forwarders) copyBytes(dst, src net.Conn, key [2]string, swallow func(linkFault, []byte) bool) {
+// copyBytes copies what it reads from src to dst, with the link's delay and replacement, except what drop selects.
+func (s *forwarders) copyBytes(dst, src net.Conn, key [2]string, drop func(linkFault, []byte) bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := src.Read(buf)
 		if n > 0 {
-			f := s.on(key)
+			f := s.faultFor(key)
 			if f.delay > 0 {
 				time.Sleep(f.delay)
 			}
-			if !swallow(f, buf[:n]) {
+			if !drop(f, buf[:n]) {
 				piece := buf[:n]
 				if f.replace[0] != "" {
 					piece = bytes.ReplaceAll(piece, []byte(f.replace[0]), []byte(f.replace[1]))
@@ -274,14 +280,14 @@
 	}
 }
 
-// close ends all connections and waits for what forwards them. The processes behind them have ended before.
+// close closes the listeners and all connections, and waits for the forwarding goroutines.
 func (s *forwarders) close() {
-	for _, l := range s.ls {
+	for _, l := range s.listeners {
 		l.Close()
 	}
 	s.mu.Lock()
-	s.ended = true
-	for c := range s.open {
+	s.closed = true
+	for c := range s.accepted {
 		c.Close()
 	}
 	s.mu.Unlock()
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -17,40 +17,40 @@
 type PolicyTest struct {
 	Seed          int64
 	Quick         bool
-	Size          int // nodes of the real part
+	Size          int // nodes of the fleet of processes
 	Out           string
 	Without       policy.Guard
-	ProcessGuards string // the guards, as words for processes
+	ProcessGuards string // names of the guards disabled in processes
 	Mode          string // virtual, real or both
 	Schedules     int
 	Changes       int
 	Program       string
-	Only          string // one case
-	Part          int    // of Parts: which of the cases, for runs side by side; 0 of 0 for all
-	Parts         int
+	Only          string // name of the one case to run; empty: all
+	Part          int    // which of Parts subsets of the cases to run
+	Parts         int    // 0: all cases in one run
 }
 
-// Numbers of the two modes. Quick ends within 50 s on four cores.
+// Virtual schedules and changes on processes, with --quick and without.
 const (
-	quickFleets  = 200
-	longFleets   = 2000
-	quickChanges = 10
-	longChanges  = 100
+	quickPolicySchedules = 200
+	longPolicySchedules  = 2000
+	quickChanges         = 10
+	longChanges          = 100
 )
 
-// Run plays virtual schedules and large fleets, then processes, and reports.
+// Run runs schedules and large fleets in virtual time, then a fleet of processes, and writes the report.
 func (r *PolicyTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
-	rep := &report.Report{Name: "policy", Title: "A change of policy everywhere or nowhere",
+	rep := &report.Report{Name: "policy", Title: "Policy changes under faults",
 		Head: []string{"PART", "NODES", "CHANGES", "SETTLED", "CALLED OFF", "MEDIAN", "99TH", "WORST", "OVERLAP"}}
 	rep.AddFigure("seed", "%d", r.Seed)
 	if r.Mode != "real" {
-		r.virtual(ctx, rep)
+		r.runVirtual(ctx, rep)
 		if rep.Broken == "" && r.Without == 0 {
-			r.large(ctx, rep)
+			r.runLargeFleets(ctx, rep)
 		}
 	}
 	if r.Mode != "virtual" && rep.Broken == "" {
-		if err := r.real(ctx, w, rep); err != nil {
+		if err := r.runProcesses(ctx, w, rep); err != nil {
 			return nil, err
 		}
 	}
@@ -60,8 +60,8 @@
 	return rep.Finish(r.Out, w)
 }
 
-// span gives the quantiles of times as a table's cells.
-func span(times []float64) []string {
+// quantileCells returns the median, the 99th percentile and the maximum of times in ms, as a table's cells.
+func quantileCells(times []float64) []string {
 	sort.Float64s(times)
 	at := func(q float64) string {
 		if len(times) == 0 {
@@ -72,22 +72,23 @@
 	return []string{at(0.5), at(0.99), at(1)}
 }
 
-func (r *PolicyTest) row(rep *report.Report, part string, nodes, changes int, ends map[policy.Step]int,
+// addRow adds a row to the table; overlap is in tenths of a ms.
+func (r *PolicyTest) addRow(rep *report.Report, part string, nodes, changes int, outcomes map[policy.Step]int,
 	times []float64, overlap int64) {
 	rep.Rows = append(rep.Rows, append(append([]string{part, strconv.Itoa(nodes), strconv.Itoa(changes),
-		strconv.Itoa(ends[policy.Settled]), strconv.Itoa(ends[policy.Aborted])}, span(times)...),
+		strconv.Itoa(outcomes[policy.Settled]), strconv.Itoa(outcomes[policy.Aborted])}, quantileCells(times)...),
 		fmt.Sprintf("%.0f ms", float64(overlap)/10)))
 }
 
-// virtual plays schedules of faults on all cores, each from a seed of its own.
-func (r *PolicyTest) virtual(ctx context.Context, rep *report.Report) {
+// runVirtual runs schedules of faults on all cores, each from a seed of its own.
+func (r *PolicyTest) runVirtual(ctx context.Context, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
-		if n = longFleets; r.Quick {
-			n = quickFleets
+		if n = longPolicySchedules; r.Quick {
+			n = quickPolicySchedules
 		}
 	}
-	ends, causes, broken := map[policy.Step]int{}, map[string]int{}, brokenSchedules{}
+	outcomes, causes, violating := map[policy.Step]int{}, map[string]int{}, violatingSchedules{}
 	var times []float64
 	var overlap int64
 	report.RunSeeds(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Fleet {
@@ -97,39 +98,39 @@
 		return f
 	}, func(s int64, f *simulation.Fleet) bool {
 		for k, v := range f.Ends {
-			ends[k] += v
+			outcomes[k] += v
 		}
 		for k, v := range f.Causes {
 			causes[k] += v
 		}
 		times, overlap = append(times, f.Times...), max(overlap, f.Overlap)
-		broken.note(s, f.Broken)
+		violating.record(s, f.Broken)
 		return false
 	})
-	changes := ends[policy.Settled] + ends[policy.Aborted]
-	r.row(rep, "virtual, faults", 12, changes, ends, times, overlap)
+	changes := outcomes[policy.Settled] + outcomes[policy.Aborted]
+	r.addRow(rep, "virtual, faults", 12, changes, outcomes, times, overlap)
 	rep.AddFigure("schedules", "%d", n)
 	rep.AddFigure("changes", "%d", changes)
-	rep.AddFigure("broken", "%d", broken.count)
+	rep.AddFigure("broken", "%d", violating.count)
 	for _, c := range []string{"a node said no", "not prepared in time", "by the operator"} {
 		rep.Notes = append(rep.Notes, fmt.Sprintf("virtual, faults: called off, %s: %d of %d", c, causes[c],
-			ends[policy.Aborted]))
+			outcomes[policy.Aborted]))
 	}
-	broken.report(rep)
+	violating.report(rep)
 }
 
-// large plays fleets of the full size, calm and with a third down, and beside them the two baselines: telling each node
-// as it comes, and a majority of nodes.
-func (r *PolicyTest) large(ctx context.Context, rep *report.Report) {
+// runLargeFleets runs large fleets without random faults, with all nodes up and with a third down. The baselines
+// apply a change at each node as it arrives, and after a majority of nodes.
+func (r *PolicyTest) runLargeFleets(ctx context.Context, rep *report.Report) {
 	sizes := []int{300, 5000}
 	if r.Quick {
 		sizes = []int{300}
 	}
 	for _, n := range sizes {
 		for _, c := range []struct {
-			part string
-			down float64
-			way  string
+			part     string
+			down     float64
+			baseline string
 		}{{"calm", 0, ""}, {"a third down", 0.33, ""}, {"a third down, each as it comes", 0.33, simulation.WayEach},
 			{"a third down, majority", 0.33, simulation.WayMajority}} {
 			if ctx.Err() != nil {
@@ -137,34 +138,35 @@
 			}
 			started := time.Now()
 			f := simulation.NewFleet(simulation.FleetPlan{Seed: r.Seed, Nodes: n, Ctl: 3, Changes: 3, Calm: true,
-				Down: c.down, Way: c.way,
+				Down: c.down, Way: c.baseline,
 				Lease: 10_000, Span: 60_000})
 			f.Play()
 			if f.Broken != "" {
 				rep.SetBroken("%d nodes, %s: %s", n, c.part, f.Broken)
 			}
-			r.row(rep, "virtual, "+c.part, n, len(f.Times), f.Ends, f.Times, f.Overlap)
-			if c.way == "" {
+			r.addRow(rep, "virtual, "+c.part, n, len(f.Times), f.Ends, f.Times, f.Overlap)
+			if c.baseline == "" {
 				seconds := f.Now / 1000
 				rep.Notes = append(rep.Notes, fmt.Sprintf(
-					"%d nodes, %s: %.1f askings, %.2f entries and %.1f KB of them a "+
-						"second; played in %v", n, c.part, float64(f.Heartbeats)/seconds, float64(f.Entries)/seconds,
-					float64(f.Bytes)/1024/seconds, time.Since(started).Round(time.Millisecond)))
+					"%d nodes, %s: per second %.1f heartbeats, %.2f entries, %.1f KB of "+
+						"entries; simulated in %v", n, c.part, float64(f.Heartbeats)/seconds,
+					float64(f.Entries)/seconds, float64(f.Bytes)/1024/seconds,
+					time.Since(started).Round(time.Millisecond)))
 			}
 		}
 	}
 }
 
-// OnlyLoad stands for the changes under load and the group asked by a fleet of the full size, without the cases.
+// OnlyLoad selects, in place of a case, the changes under load and the heartbeats of a large fleet.
 const OnlyLoad = "load"
 
-// real plays the cases on processes, then many changes under load.
-func (r *PolicyTest) real(ctx context.Context, w io.Writer, rep *report.Report) error {
-	return withWorkFolder(ctx, rep, func(dir string) error { return r.realIn(ctx, dir, w, rep) })
+// runProcesses runs the cases on processes, then changes under load.
+func (r *PolicyTest) runProcesses(ctx context.Context, w io.Writer, rep *report.Report) error {
+	return withWorkFolder(ctx, rep, func(dir string) error { return r.runProcessesIn(ctx, dir, w, rep) })
 }
 
-func (r *PolicyTest) realIn(ctx context.Context, dir string, w io.Writer, rep *report.Report) error {
-	b, err := r.begin(ctx, dir, "fence")
+func (r *PolicyTest) runProcessesIn(ctx context.Context, dir string, w io.Writer, rep *report.Report) error {
+	b, err := r.startFixture(ctx, dir, "fence")
 	if err != nil {
 		return err
 	}
@@ -174,25 +176,25 @@
 			return nil
 		}
 	}
-	if err = r.many(ctx, b, rep); err != nil || rep.Broken != "" || r.Quick && r.Only != OnlyLoad {
+	if err = r.runChanges(ctx, b, rep); err != nil || rep.Broken != "" || r.Quick && r.Only != OnlyLoad {
 		return err
 	}
-	if err = r.fencing(ctx, b, rep); err != nil {
+	if err = r.measureFencing(ctx, b, rep); err != nil {
 		return err
 	}
 	b.Close()
 	return r.measureHeartbeats(ctx, rep)
 }
 
-// playCases plays the cases that were asked for, one after the other under load, up to the first that breaks.
+// playCases runs the selected cases in turn under load, up to the first violation.
 func (r *PolicyTest) playCases(ctx context.Context, b *policyFixture, w io.Writer, rep *report.Report) {
-	load, stop := context.WithCancel(ctx)
+	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	calls := b.Load(load, 100)
-	kept := 0
+	calls := b.Load(loadCtx, 100)
+	passed := 0
 	for i := range policyCases {
 		c := &policyCases[i]
-		if !r.selection().takes(i, c.name, c.long) {
+		if !r.selection().includes(i, c.name, c.long) {
 			continue
 		}
 		started := time.Now()
@@ -200,12 +202,12 @@
 			rep.SetBroken("%s: %v", c.name, err)
 			break
 		}
-		kept++
+		passed++
 		fmt.Fprintf(w, "%-55s kept, %.1f s\n", c.name, time.Since(started).Seconds())
 	}
 	stop()
 	b.loads.Wait()
-	rep.AddFigure("cases", "%d", kept)
+	rep.AddFigure("cases", "%d", passed)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("cases, real: callers: %v", calls))
 }
 
@@ -213,8 +215,8 @@
 	return caseSelection{only: r.Only, quick: r.Quick, part: r.Part, parts: r.Parts}
 }
 
-// playCase plays a case; then, with every link whole again, all nodes have to serve and the history to keep its
-// promises.
+// playCase runs a case. Afterwards, with all link faults removed, all nodes have to serve and the history has to
+// hold its invariants.
 func (b *policyFixture) playCase(c *policyCase) error {
 	err := runCase(func() { c.run(b) })
 	b.heal()
@@ -222,65 +224,65 @@
 		err = b.AwaitAllServing(b.committedVersion, 60*time.Second)
 	}
 	if err == nil {
-		_, err = b.Check(b.promises())
+		_, err = b.Check(b.historyLimits())
 	}
 	return err
 }
 
-// fencing measures what it costs callers that a zone is cut off from the group and stops serving: the same load for as
-// long, whole and cut.
-func (r *PolicyTest) fencing(ctx context.Context, b *policyFixture, rep *report.Report) error {
+// measureFencing measures the effect on callers of a zone that is cut off from the group and fenced, under the same
+// load as without the fault.
+func (r *PolicyTest) measureFencing(ctx context.Context, b *policyFixture, rep *report.Report) error {
 	const span = 10 * time.Second
 	for _, cut := range []bool{false, true} {
 		if cut {
-			b.cutOff(b.nodesIn("z2")...)
+			b.partitionFromGroup(b.nodesIn("z2")...)
 			time.Sleep(b.lease + b.lease/2)
 		}
-		load, stop := context.WithTimeout(ctx, span)
-		calls := b.Load(load, 200)
+		loadCtx, stop := context.WithTimeout(ctx, span)
+		calls := b.Load(loadCtx, 200)
 		b.loads.Wait()
 		stop()
-		what := map[bool]string{false: "whole", true: "zone_cut"}[cut]
-		rep.AddFigure(what+"_done_of", "%d/%d", calls.Done, calls.Requests)
-		rep.AddFigure(what+"_tries_each", "%.3f", float64(calls.Attempts)/float64(max(1, calls.Requests)))
-		rep.AddFigure(what+"_ms_99th", "%.0f", calls.quantile(0.99))
+		prefix := map[bool]string{false: "whole", true: "zone_cut"}[cut]
+		rep.AddFigure(prefix+"_done_of", "%d/%d", calls.Done, calls.Requests)
+		rep.AddFigure(prefix+"_tries_each", "%.3f", float64(calls.Attempts)/float64(max(1, calls.Requests)))
+		rep.AddFigure(prefix+"_ms_99th", "%.0f", calls.quantile(0.99))
 	}
 	b.heal()
 	return b.AwaitAllServing(b.committedVersion, 20*time.Second)
 }
 
-// many makes changes one after the other under load, none of which a caller may notice.
-func (r *PolicyTest) many(ctx context.Context, b *policyFixture, rep *report.Report) error {
+// runChanges makes changes in turn under load; no caller may notice one.
+func (r *PolicyTest) runChanges(ctx context.Context, b *policyFixture, rep *report.Report) error {
 	n := r.Changes
 	if n == 0 {
 		if n = longChanges; r.Quick {
 			n = quickChanges
 		}
 	}
-	load, stop := context.WithCancel(ctx)
+	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	calls := b.Load(load, 200)
+	calls := b.Load(loadCtx, 200)
 	time.Sleep(time.Second)
-	before, ends, times, numbers := calls.String(), map[policy.Step]int{}, []float64{}, []uint64{}
+	before, outcomes, times, numbers := calls.String(), map[policy.Step]int{}, []float64{}, []uint64{}
 	for i := 0; i < n && ctx.Err() == nil; i++ {
 		c, err := b.change(policy.Proposal{})
 		if err != nil {
 			rep.SetBroken("change %d of %d under load: %v", i+1, n, err)
 			return nil
 		}
-		ends[c.Step]++
+		outcomes[c.Step]++
 		numbers = append(numbers, c.Number)
 	}
 	stop()
 	b.loads.Wait()
-	overlap, err := b.Check(b.promises())
+	overlap, err := b.Check(b.historyLimits())
 	if err != nil {
 		rep.SetBroken("%d changes under load: %v", n, err)
 	}
 	for _, c := range numbers {
 		times = append(times, b.commitTimes[c])
 	}
-	r.row(rep, "real, under load", len(b.nodes), n, ends, times, overlap)
+	r.addRow(rep, "real, under load", len(b.nodes), n, outcomes, times, overlap)
 	rep.AddFigure("real_changes", "%d", n)
 	rep.AddFigure("asked", "%d", calls.Requests)
 	rep.AddFigure("lost", "%d", calls.Lost)
@@ -289,7 +291,7 @@
 	rep.Notes = append(rep.Notes, "before the first change: "+before,
 		fmt.Sprintf("done within %.0f ms in the median, %.0f at the 99th", calls.quantile(0.5), calls.quantile(0.99)))
 	if calls.Lost+calls.Shed+calls.Errors > 0 {
-		rep.SetBroken("callers noticed %d changes: %v", n, calls)
+		rep.SetBroken("%d changes under load: want no request lost, shed or errored, got %v", n, calls)
 	}
 	return nil
 }
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -16,35 +16,35 @@
 type RaftTest struct {
 	Seed      int64
 	Quick     bool
-	Size      int // instances; 0 for groups of three and of five
+	Size      int // instances in a group; 0: groups of 3 and of 5
 	Out       string
 	Without   consensus.Guard
 	Mode      string // virtual, real or both
-	Schedules int    // virtual; 0 for the mode's own number
-	Kills     int    // real; 0 for the mode's own number
-	Clients   int    // real; that put while leaders are killed
-	Program   string // umberctl, for real processes
+	Schedules int    // in virtual time; 0: the default of quick or not
+	Kills     int    // of leaders of processes; 0: the default of quick or not
+	Clients   int    // clients that put while leaders are killed
+	Program   string // umberctl, run as an instance
 }
 
-// Numbers of the two modes. Quick ends within 50 s on four cores.
+// Schedules and kills, with --quick and without, and the runs in which a violating schedule is shrunk.
 const (
-	quickSchedules = 400
-	longSchedules  = 6000
-	quickKills     = 10
-	longKills      = 200
-	cutRuns        = 80
+	quickRaftSchedules = 400
+	longRaftSchedules  = 6000
+	quickKills         = 10
+	longKills          = 200
+	maxShrinkRuns      = 80
 )
 
-// Run plays virtual schedules, then real processes, and reports.
+// Run runs schedules in virtual time, then groups of processes, and writes the report.
 func (r *RaftTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "raft", Title: "The replicated group under faults",
 		Head: []string{"PART", "GROUPS", "RUNS", "STEPS OR PUTS", "BROKEN", "MEDIAN", "99TH", "WORST"}}
 	rep.AddFigure("seed", "%d", r.Seed)
 	if r.Mode != "real" {
-		r.virtual(ctx, rep)
+		r.runVirtual(ctx, rep)
 	}
 	if r.Mode != "virtual" && rep.Broken == "" && r.Without == 0 {
-		if err := r.real(ctx, rep); err != nil {
+		if err := r.runProcesses(ctx, rep); err != nil {
 			return nil, err
 		}
 	}
@@ -54,67 +54,68 @@
 	return rep.Finish(r.Out, w)
 }
 
-// size gives the instances of a schedule's group.
-func (r *RaftTest) size(seed int64) int {
+// groupSize returns the number of instances of a schedule's group.
+func (r *RaftTest) groupSize(seed int64) int {
 	if r.Size > 0 {
 		return r.Size
 	}
 	return 3 + int(seed%2)*2
 }
 
-// virtual plays schedules on all cores, each from a seed of its own.
-func (r *RaftTest) virtual(ctx context.Context, rep *report.Report) {
+// runVirtual runs schedules on all cores, each from a seed of its own. The report names the violation of the lowest
+// seed, with the shortest list of faults that reproduces it.
+func (r *RaftTest) runVirtual(ctx context.Context, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
-		n = longSchedules
+		n = longRaftSchedules
 		if r.Quick {
-			n = quickSchedules
+			n = quickRaftSchedules
 		}
 	}
 	started := time.Now()
 	var first *simulation.Result
-	steps, calls, terms, ran, bad := 0, 0, 0, 0, 0
+	steps, calls, terms, played, violations := 0, 0, 0, 0, 0
 	report.RunSeeds(ctx, r.Seed*1000003, n, func(s int64) simulation.Result {
-		size := r.size(s)
+		size := r.groupSize(s)
 		return simulation.Play(s, size, simulation.DrawFaults(s, size, simulation.ScheduleMilliseconds), r.Without, nil)
 	}, func(_ int64, res simulation.Result) bool {
-		ran, steps, calls, terms = ran+1, steps+res.Steps, calls+res.Calls, terms+res.Terms
+		played, steps, calls, terms = played+1, steps+res.Steps, calls+res.Calls, terms+res.Terms
 		if res.Broken != "" {
-			if bad++; first == nil || res.Seed < first.Seed {
+			if violations++; first == nil || res.Seed < first.Seed {
 				first = &res
 			}
 		}
-		return bad > 0 && r.Without != 0 // one failure is what a guard's absence has to show
+		return violations > 0 && r.Without != 0 // with a disabled guard one violation suffices
 	})
-	took := time.Since(started)
-	rep.Rows = append(rep.Rows, []string{"virtual", groups(r.Size), strconv.Itoa(ran), strconv.Itoa(steps),
-		strconv.Itoa(bad), "-", "-", "-"})
-	rep.AddFigure("schedules", "%d", ran)
-	rep.AddFigure("broken", "%d", bad)
+	elapsed := time.Since(started)
+	rep.Rows = append(rep.Rows, []string{"virtual", groupSizes(r.Size), strconv.Itoa(played), strconv.Itoa(steps),
+		strconv.Itoa(violations), "-", "-", "-"})
+	rep.AddFigure("schedules", "%d", played)
+	rep.AddFigure("broken", "%d", violations)
 	rep.AddFigure("steps", "%d", steps)
 	rep.AddFigure("calls", "%d", calls)
 	rep.AddFigure("terms", "%d", terms)
-	rep.AddFigure("schedules_per_min", "%.0f", float64(ran)/took.Minutes())
+	rep.AddFigure("schedules_per_min", "%.0f", float64(played)/elapsed.Minutes())
 	if first == nil {
 		return
 	}
-	size := r.size(first.Seed)
-	short := simulation.Shrink(first.Seed, size, simulation.DrawFaults(first.Seed, size,
-		simulation.ScheduleMilliseconds), r.Without, cutRuns)
+	size := r.groupSize(first.Seed)
+	faults := simulation.Shrink(first.Seed, size, simulation.DrawFaults(first.Seed, size,
+		simulation.ScheduleMilliseconds), r.Without, maxShrinkRuns)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("seed %d of %d instances: %s\nwith these faults alone:\n%s",
 		first.Seed,
-		size, first.Broken, simulation.FaultLines(short)))
+		size, first.Broken, simulation.FaultLines(faults)))
 	rep.SetBroken("seed %d: %s", first.Seed, first.Broken)
 }
 
-func groups(size int) string {
+func groupSizes(size int) string {
 	if size == 0 {
 		return "3 and 5"
 	}
 	return strconv.Itoa(size)
 }
 
-// Replay plays one schedule and tells each thing that happens.
+// Replay runs one schedule and prints each event.
 func Replay(w io.Writer, seed int64, size int, without consensus.Guard) simulation.Result {
 	faults := simulation.DrawFaults(seed, size, simulation.ScheduleMilliseconds)
 	return simulation.Play(seed, size, faults, without, func(s string) { fmt.Fprintln(w, s) })
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -16,15 +16,15 @@
 	"umberwinch/internal/simulation"
 )
 
-// RecoveryTest is a run of `umberctl faulttest recovery`: a fleet that restarts whole and a group that lost its state,
-// on the fleet of the zones' cases and in their virtual time.
+// RecoveryTest is a run of `umberctl faulttest recovery`: restarts of a whole fleet, and a group that lost its
+// state, in virtual time and on processes.
 type RecoveryTest struct {
 	Seed          int64
 	Quick         bool
 	Size          int
 	Out           string
 	ProcessGuards string
-	// WithoutZoneGuards and WithoutPolicyGuards are taken out in virtual time, the latter of the leader.
+	// Guards disabled in virtual time: of the zones, and of the leader.
 	WithoutZoneGuards   zones.Guard
 	WithoutPolicyGuards policy.Guard
 	Mode                string
@@ -34,27 +34,28 @@
 	Parts               int
 }
 
-// Run plays restarts in virtual time beside baselines and the lower bound, then the hard cases on processes.
+// Run runs restarts in virtual time with their baselines and lower bound, then the cases on processes, and writes
+// the report.
 func (r *RecoveryTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
-	rep := &report.Report{Name: "comeback", Title: "Coming back after a restart of most of the fleet",
+	rep := &report.Report{Name: "comeback", Title: "Recovery after a restart of most of the fleet",
 		Head: []string{"PART", "NODES", "LOAD", "WAY", "HALF", "95 IN 100", "WHOLE", "AT BEST", "BELOW, PEAK",
 			"TRIES A REQ"}}
 	rep.AddFigure("seed", "%d", r.Seed)
 	if r.Mode != "real" {
-		entries, largest, worst, broken := joinAll(r.Seed, 5000, r.WithoutPolicyGuards)
+		entries, largest, worst, violation := runMassJoin(r.Seed, 5000, r.WithoutPolicyGuards)
 		rep.AddFigure("crowd_entries", "%d", entries)
 		rep.AddFigure("crowd_largest", "%d", largest)
 		rep.AddFigure("crowd_worst_ms", "%d", worst)
-		if broken != "" {
-			rep.SetBroken("5,000 nodes at the group: %s", broken)
+		if violation != "" {
+			rep.SetBroken("5,000 nodes join at once: %s", violation)
 		}
-		r.virtual(ctx, rep)
+		r.runVirtual(ctx, rep)
 	}
 	if r.Mode != "virtual" && rep.Broken == "" {
 		z := &ZonesTest{Seed: r.Seed, Quick: r.Quick, Size: r.Size, ProcessGuards: r.ProcessGuards,
 			Program: r.Program, Only: r.Only, Part: r.Part,
 			Parts: r.Parts, cases: recoveryCases}
-		if err := z.real(ctx, w, rep); err != nil {
+		if err := z.runProcesses(ctx, w, rep); err != nil {
 			return nil, err
 		}
 	}
@@ -64,19 +65,19 @@
 	return rep.Finish(r.Out, w)
 }
 
-// shortestRecovery is the least time, in seconds, in which services of a coldness can be warm enough for a load: they
-// serve all that they bear from the first moment on, and that is what warms them. fill is the seconds of full capacity
-// that their caches take.
-func shortestRecovery(load, cold, fill float64) float64 {
-	cool := (1/load - 1) / (cold - 1)
-	if cool >= 1 {
+// shortestRecovery returns the lower bound of the time, in seconds, until stores with cold caches are warm enough
+// for a load: they serve at full capacity from the start, and that warms them. A cold call takes coldFactor times as
+// long; warmUpSeconds of full warm capacity fill the caches.
+func shortestRecovery(load, coldFactor, warmUpSeconds float64) float64 {
+	coldShare := (1/load - 1) / (coldFactor - 1)
+	if coldShare >= 1 {
 		return 0
 	}
-	return fill * ((1 - cool) + (cold-1)/2*(1-cool*cool))
+	return warmUpSeconds * ((1 - coldShare) + (coldFactor-1)/2*(1-coldShare*coldShare))
 }
 
-// virtual plays a restart of all nodes at sizes and loads, each way on its own.
-func (r *RecoveryTest) virtual(ctx context.Context, rep *report.Report) {
+// runVirtual runs restarts of all nodes for several sizes and loads.
+func (r *RecoveryTest) runVirtual(ctx context.Context, rep *report.Report) {
 	sizes, loads := []int{300, 5000}, []float64{0.6, 0.9, 1.3}
 	if r.Quick {
 		sizes, loads = []int{15}, []float64{0.6, 1.3}
@@ -91,7 +92,7 @@
 	}
 }
 
-// playRestart plays a restart of a whole fleet by the fleet and its baselines.
+// playRestart runs a restart of all nodes with the fleet's own recovery and with the baselines.
 func (r *RecoveryTest) playRestart(rep *report.Report, n int, load float64) {
 	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n,
 		Kinds: []string{simulation.ZoneRestart, simulation.ZoneRestart, simulation.ZoneRestart},
@@ -104,87 +105,88 @@
 		{"no ramp", func(p *simulation.ZonePlan) { p.Without |= zones.ColdStart }},
 		{"by the clock", func(p *simulation.ZonePlan) { p.Without |= zones.ColdStart; p.Ramp = 60_000 }},
 		{"nodes alone", func(p *simulation.ZonePlan) { p.Off = true }}}) {
-		// A fleet that is always asked for more than it bears never shows what that is: a limit of the design.
+		// Above capacity a fleet never observes its full capacity, a limitation of the design.
 		if i < 2 && v.Broken != "" && load <= 1 {
 			rep.SetBroken("%d nodes, load %.2f: %s", n, load, v.Broken)
 		}
-		most := min(1, 1/load)
+		maxShare := min(1, 1/load)
 		rep.Rows = append(rep.Rows, []string{"virtual", strconv.Itoa(n), fmt.Sprintf("%.2f", load), v.name,
-			secondsText(v.RecoveredAt(0.5 * most)), secondsText(v.RecoveredAt(0.95 * most)),
-			secondsText(v.RecoveredAt(0.98 * most)),
+			secondsText(v.RecoveredAt(0.5 * maxShare)), secondsText(v.RecoveredAt(0.95 * maxShare)),
+			secondsText(v.RecoveredAt(0.98 * maxShare)),
 			fmt.Sprintf("%.0f s", shortestRecovery(min(load, 1), 8, simulation.WarmUpSeconds)),
 			fmt.Sprintf("%.2f", v.Start), fmt.Sprintf("%.2f", v.Tries)})
 		if i == 0 && n <= 300 {
-			v.Plot[0].Name, v.Plot[1].Name = "value done", "below: asked over what it bears"
+			v.Plot[0].Name, v.Plot[1].Name = "value done", "stores: load over capacity"
 			rep.Plots = append(rep.Plots, report.Plot{
 				Title: fmt.Sprintf("%d nodes restart, load %.2f", n, load),
-				X:     "seconds; killed at 15, back from 17 on", Y: "share", Lines: v.Plot[:2]})
+				X:     "seconds; killed at 15, restarted from 17 on", Y: "share", Lines: v.Plot[:2]})
 		}
 	}
 }
 
-// emptyPolicyLog is a group that has no version yet.
+// emptyPolicyLog is the log of a group without any version.
 type emptyPolicyLog struct{}
 
 func (emptyPolicyLog) Last() uint64                       { return 0 }
 func (emptyPolicyLog) Text(uint64) (string, string, bool) { return "", "", false }
 
-// joinAll has nodes ask a leader to be taken in, most of them within a second and a fifth over the next two, and holds
-// it to the order in which they came. It gives the entries that this took, the largest of them, and the longest that
-// any waited, in ms.
-func joinAll(seed int64, nodes int, without policy.Guard) (entries, largest, worst int, broken string) {
+// runMassJoin has nodes request to join at a leader, four fifths of them within a second and the rest over the next
+// two, and checks that they are accepted in the order of their arrival. It returns the number of entries that this
+// took, the size of the largest in bytes, the longest wait in ms, and the first violation.
+func runMassJoin(seed int64, nodes int, disabled policy.Guard) (entries, largest, worst int, violation string) {
 	const step, commit = 20, 40 // ms
-	r, part, s := rand.New(rand.NewSource(seed)), coordinator.NewState(without), coordinator.NewLeader(without)
-	s.SetRole("g", true, 1)
-	at := make([]int, nodes)
-	for i := range at {
-		if at[i] = r.Intn(1000); i >= nodes*4/5 {
-			at[i] = 1000 + r.Intn(2000)
+	r, state, leader := rand.New(rand.NewSource(seed)), coordinator.NewState(disabled), coordinator.NewLeader(disabled)
+	leader.SetRole("g", true, 1)
+	arriveAt := make([]int, nodes)
+	for i := range arriveAt {
+		if arriveAt[i] = r.Intn(1000); i >= nodes*4/5 {
+			arriveAt[i] = 1000 + r.Intn(2000)
 		}
 	}
-	slices.Sort(at)
-	asked, answered := 0, 0
+	slices.Sort(arriveAt)
+	requested, answered := 0, 0
 	var sent []coordinator.Entry
 	now, due := 0, 0
-	for ; now < 30_000 && answered < nodes && broken == ""; now += step {
-		for ; asked < nodes && at[asked] <= now; asked++ {
-			i := asked
+	for ; now < 30_000 && answered < nodes && violation == ""; now += step {
+		for ; requested < nodes && arriveAt[requested] <= now; requested++ {
+			i := requested
 			name := fmt.Sprintf("n%05d", i)
 			join := api.JoinRequest{Name: name, Zone: "z", Nonce: name + "-nonce", Addr: "127.0.0.1:1"}
-			s.Heartbeat(part, api.HeartbeatRequest{JoinRequest: join},
-				func(t api.HeartbeatResponse, err error) {
-					if err != nil || t.LeaseID == 0 || i != answered {
-						const text = "at %d ms node %d of those that asked was answered (%v), and %d is the next"
-						broken = fmt.Sprintf(text, now, i, err, answered)
+			leader.Heartbeat(state, api.HeartbeatRequest{JoinRequest: join},
+				func(response api.HeartbeatResponse, err error) {
+					if err != nil || response.LeaseID == 0 || i != answered {
+						const text = "at %d ms the join of node %d was answered (error %v), want that of node %d next"
+						violation = fmt.Sprintf(text, now, i, err, answered)
 					}
 					answered++
-					worst = max(worst, now-at[i])
+					worst = max(worst, now-arriveAt[i])
 				})
 		}
 		if len(sent) > 0 && now >= due {
 			for _, e := range sent {
-				end, err := part.Apply(e.Kind, e.Body, uint64(entries), 1, emptyPolicyLog{})
+				result, err := state.Apply(e.Kind, e.Body, uint64(entries), 1, emptyPolicyLog{})
 				if err != nil {
 					return entries, largest, worst, err.Error()
 				}
-				s.EntryApplied(part, end)
+				leader.EntryApplied(state, result)
 			}
 			sent = nil
 		}
-		if more := s.Tick(part, step); len(more) > 0 {
-			sent, due = append(sent, more...), now+commit
-			entries += len(more)
-			for _, e := range more {
+		if appended := leader.Tick(state, step); len(appended) > 0 {
+			sent, due = append(sent, appended...), now+commit
+			entries += len(appended)
+			for _, e := range appended {
 				largest = max(largest, len(e.Body))
 			}
 		}
 	}
-	if broken == "" && answered < nodes {
-		broken = fmt.Sprintf("%d of %d nodes were taken in", answered, nodes)
+	if violation == "" && answered < nodes {
+		violation = fmt.Sprintf("%d of %d nodes joined within 30 s, want all", answered, nodes)
 	}
-	return entries, largest, worst, broken
+	return entries, largest, worst, violation
 }
 
+// secondsText formats ms as seconds; "-" if it is negative.
 func secondsText(ms float64) string {
 	if ms < 0 {
 		return "-"
--- a/internal/harness/result_store.go
+++ b/internal/harness/result_store.go
@@ -13,10 +13,11 @@
 	"umberwinch/internal/report"
 )
 
-// This file kills a node that stores results, over and over, at named points and at random ones, and starts it again on
-// its folder, while clients repeat their keys at random. The emulated kernel outlives it and counts runs by key.
+// This file crashes a node that stores results, at named points and at random times, and restarts it on its folder,
+// while clients repeat their idempotency keys at random. The emulated kernel survives the node and counts runs by
+// key.
 
-// ResultStoreTest is `umberctl faulttest results`.
+// ResultStoreTest is a run of `umberctl faulttest results`.
 type ResultStoreTest struct {
 	Seed    int64
 	Quick   bool
@@ -27,18 +28,19 @@
 	Program string
 }
 
-// ResultStoreGuards can be taken out of the node; with one of them the run ends broken.
+// ResultStoreGuards names the guards that can be disabled in the node. With one of them disabled the run has to find
+// a violation.
 var ResultStoreGuards = []string{"proof", "intent", "result"}
 
-// crashPoints are where a node can be told to die.
+// crashPoints are the named points at which a node can crash.
 var crashPoints = []string{"intent", "sync", "durable", "sched", "reap", "result", "answer"}
 
-// A short window, so that repeats come inside it and outside; a run takes some ms.
+// The idempotency window is short, so that repeats fall inside and outside of it; a run takes some ms.
 const (
 	resultWindow       = 1500 * time.Millisecond
 	clientsPerNode     = 4
-	repeatShare        = 0.6
-	windowSlack        = 300 * time.Millisecond
+	repeatShare        = 0.6                    // fraction of requests that repeat a key
+	windowMargin       = 300 * time.Millisecond // tolerance of times measured at the clients
 	resultStoreClasses = `cores 4
 tenants 1
 class view work=1 share=1 tail=0 target=300 timeout=1500 value=1
@@ -47,10 +49,10 @@
 dearest submit`
 )
 
-// nodesAtOnce is how many nodes are killed side by side: the life of one is mostly waits.
-const nodesAtOnce = 6
+// concurrentNodes is the number of nodes that run and crash in parallel; each mostly waits.
+const concurrentNodes = 6
 
-// Run plays all and writes the report.
+// Run runs the kills and the measurement, as selected, and writes the report.
 func (k *ResultStoreTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	if k.Kills == 0 {
 		if k.Kills = 5000; k.Quick {
@@ -61,12 +63,12 @@
 		Head: []string{"case", "kills", "reqs", "done", "repeats done",
 			"errored", "shed", "cut by a kill", "torn"}}
 	if k.Only != "costs" {
-		if err := k.kills(ctx, rep); err != nil {
+		if err := k.runKills(ctx, rep); err != nil {
 			return nil, err
 		}
 	}
 	if k.Only != "kills" && k.Without == "" {
-		if err := k.costs(ctx, rep); err != nil {
+		if err := k.measureCosts(ctx, rep); err != nil {
 			return nil, err
 		}
 	}
@@ -76,11 +78,11 @@
 	return rep.Finish(k.Out, w)
 }
 
-// killedStore is the operator's file of nodes under kills.
-const killedStore = "[kept]\nfolder = DIR\nentries = 4000\nmb = 8\n"
+// killTestConfig is part of the operator's file of the nodes that are killed.
+const killTestConfig = "[kept]\nfolder = DIR\nentries = 4000\nmb = 8\n"
 
-// kills has nodes killed side by side, and holds each one's history to the promises.
-func (k *ResultStoreTest) kills(ctx context.Context, rep *report.Report) error {
+// runKills kills nodes in parallel and checks each one's history.
+func (k *ResultStoreTest) runKills(ctx context.Context, rep *report.Report) error {
 	return withWorkFolder(ctx, rep, func(dir string) error {
 		nodes, err := k.killNodes(ctx, dir)
 		if err != nil {
@@ -91,33 +93,33 @@
 	})
 }
 
-// killNodes sets up nodesAtOnce nodes and has each killed its part of the times. A node that can't be set up ends the
-// lives of the others. All have ended when it returns.
+// killNodes prepares concurrentNodes nodes and kills each an equal number of times. If a node can't be prepared, the
+// others are stopped. All have exited when it returns.
 func (k *ResultStoreTest) killNodes(ctx context.Context, dir string) ([]*resultStoreNode, error) {
 	ctx, stop := context.WithCancel(ctx)
-	nodes, errs := make([]*resultStoreNode, 0, nodesAtOnce), make([]error, nodesAtOnce)
-	var all sync.WaitGroup
+	nodes, errs := make([]*resultStoreNode, 0, concurrentNodes), make([]error, concurrentNodes)
+	var wg sync.WaitGroup
 	defer func() {
 		stop()
-		all.Wait()
+		wg.Wait()
 		for _, n := range nodes {
 			n.close()
 		}
 	}()
-	for i := range nodesAtOnce {
-		own := filepath.Join(dir, fmt.Sprint("node", i+1))
-		if err := os.Mkdir(own, 0o700); err != nil {
+	for i := range concurrentNodes {
+		nodeDir := filepath.Join(dir, fmt.Sprint("node", i+1))
+		if err := os.Mkdir(nodeDir, 0o700); err != nil {
 			return nil, err
 		}
-		n, err := newResultStoreNode(resultStoreSetUp{dir: own, program: k.Program, seed: k.Seed*100 + int64(i),
-			window: resultWindow, own: killedStore, without: k.Without})
+		n, err := newResultStoreNode(resultStoreConfig{dir: nodeDir, program: k.Program, seed: k.Seed*100 + int64(i),
+			window: resultWindow, operatorConfig: killTestConfig, disabledGuard: k.Without})
 		if err != nil {
 			return nil, err
 		}
 		nodes = append(nodes, n)
-		all.Go(func() { errs[i] = n.play(ctx, (k.Kills+nodesAtOnce-1)/nodesAtOnce) })
+		wg.Go(func() { errs[i] = n.killRepeatedly(ctx, (k.Kills+concurrentNodes-1)/concurrentNodes) })
 	}
-	all.Wait()
+	wg.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return nil, err
@@ -126,31 +128,33 @@
 	return nodes, nil
 }
 
-// addKills brings what nodes under kills did into the report. A run that completed nothing has shown nothing.
+// addKills adds the nodes' results to the report. A run without a completed request and a completed repeat counts as
+// a violation, as it has tested nothing.
 func addKills(rep *report.Report, nodes []*resultStoreNode) {
 	kills, sum := killCounts{byPoint: map[string]int{}}, historyTotals{}
 	for i, n := range nodes {
-		if broken := n.history.broken(); broken != "" {
-			rep.SetBroken("node %d, kill %d: %s", i+1, n.kills.all, broken)
+		if violation := n.history.violation(); violation != "" {
+			rep.SetBroken("node %d, kill %d: %s", i+1, n.kills.total, violation)
 		}
 		kills.add(n.kills)
 		sum.add(n.history)
 	}
 	row := []string{"kills"}
-	for _, n := range []int{kills.all, sum.answers.sent, sum.answers.done, sum.answers.repeatsDone, sum.answers.failed,
-		sum.answers.rejected, sum.answers.cut, kills.torn} {
+	for _, n := range []int{kills.total, sum.responses.sent, sum.responses.done, sum.responses.repeatsDone,
+		sum.responses.failed, sum.responses.rejected, sum.responses.interrupted, kills.tornWrites} {
 		row = append(row, strconv.Itoa(n))
 	}
 	rep.Rows = append(rep.Rows, row)
 	for _, point := range crashPoints {
 		rep.AddFigure("kills_"+point, "%d", kills.byPoint[point])
 	}
-	rep.AddFigure("kills", "%d", kills.all)
+	rep.AddFigure("kills", "%d", kills.total)
 	rep.AddFigure("keys_run", "%d", sum.keys)
 	rep.AddFigure("runs_after_the_window", "%d", sum.runs-sum.keys)
 	rep.AddFigure("effects", "%d", sum.effects)
-	rep.AddFigure("repeats_done", "%d", sum.answers.repeatsDone)
-	if rep.Broken == "" && (sum.answers.repeatsDone == 0 || sum.answers.done == 0) {
-		rep.SetBroken("nothing was shown: %d done, %d repeats of them", sum.answers.done, sum.answers.repeatsDone)
+	rep.AddFigure("repeats_done", "%d", sum.responses.repeatsDone)
+	if rep.Broken == "" && (sum.responses.repeatsDone == 0 || sum.responses.done == 0) {
+		rep.SetBroken("%d requests done, %d of them repeats, want at least one of each", sum.responses.done,
+			sum.responses.repeatsDone)
 	}
 }
--- a/internal/harness/result_store_history.go
+++ b/internal/harness/result_store_history.go
@@ -8,47 +8,47 @@
 	"time"
 )
 
-// resultHistory is what a node did with keys and what callers got, held to the promises as it happens: no key runs
-// twice within its window, a run has its effect once at most, a repeat gets the result of a run of its key, and a
-// result that was acknowledged is not lost.
+// resultHistory records the runs of keys and the responses to callers, and checks the invariants as they occur: no
+// key runs twice within its window, a run makes its call at most once, a repeat gets the result of a run of its key,
+// and an acknowledged result isn't lost.
 type resultHistory struct {
-	mu           sync.Mutex
-	runs         map[string][]storedRun
-	effects      map[string]int       // calls that the service below carried out, by key
-	acknowledged map[string]time.Time // when a key's result was given last
-	answers      answerCounts
-	firstBroken  string
+	mu             sync.Mutex
+	runs           map[string][]storedRun
+	effects        map[string]int       // calls that the store executed, by key
+	acknowledged   map[string]time.Time // time of the latest 200 response, by key
+	responses      responseCounts
+	firstViolation string
 }
 
-// storedRun is one run that the kernel began.
+// storedRun is one run that the kernel started.
 type storedRun struct {
-	at     time.Time
-	result string
+	startedAt time.Time
+	result    string
 }
 
-// answerCounts are attempts by their outcome.
-type answerCounts struct {
+// responseCounts counts attempts by outcome.
+type responseCounts struct {
 	sent, done, repeatsDone, failed, rejected int
-	cut                                       int // the node was killed before it answered
+	interrupted                               int // the node was killed before it responded
 }
 
-func (a *answerCounts) add(b answerCounts) {
+func (a *responseCounts) add(b responseCounts) {
 	a.sent += b.sent
 	a.done += b.done
 	a.repeatsDone += b.repeatsDone
 	a.failed += b.failed
 	a.rejected += b.rejected
-	a.cut += b.cut
+	a.interrupted += b.interrupted
 }
 
-// attemptOutcome is what became of one attempt.
+// attemptOutcome is the outcome of one attempt.
 type attemptOutcome struct {
-	key, body string
-	code      int  // 0: no answer came
-	again     bool // the key was sent before
-	read      bool // the node may have read the request
-	alive     bool // the node is in the life in which it was sent
-	took      time.Duration
+	key, body   string
+	status      int  // 0: no response
+	isRetry     bool // the key was sent before
+	mayBeRead   bool // the node may have read the request
+	nodeRunning bool // the node runs in the incarnation to which it was sent
+	latency     time.Duration
 }
 
 func newResultHistory() *resultHistory {
@@ -56,93 +56,96 @@
 		acknowledged: map[string]time.Time{}}
 }
 
-// runBegins is told each run by the kernel, and gives its result.
-func (h *resultHistory) runBegins(body []byte) []byte {
+// runStarted records the start of a run, as the kernel's onRunStart, and returns the run's result.
+func (h *resultHistory) runStarted(body []byte) []byte {
 	key, now := string(body), time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	before := h.runs[key]
-	if n := len(before); n > 0 && now.Sub(before[n-1].at) < resultWindow {
-		h.fail("%s ran again %v after its last run began, expected %v at least", key, now.Sub(before[n-1].at),
-			resultWindow)
+	previous := h.runs[key]
+	if n := len(previous); n > 0 && now.Sub(previous[n-1].startedAt) < resultWindow {
+		h.recordViolation("key %s ran again %v after its last run, want at least %v", key,
+			now.Sub(previous[n-1].startedAt), resultWindow)
 	}
-	result := fmt.Sprintf("%s#%d\x00\xff", key, len(before)+1)
-	h.runs[key] = append(before, storedRun{now, result})
+	result := fmt.Sprintf("%s#%d\x00\xff", key, len(previous)+1)
+	h.runs[key] = append(previous, storedRun{now, result})
 	return []byte(result)
 }
 
-// effectDone is told each call that the service below carries out: an effect that nobody can take back, one a run at
+// callExecuted records a call that the store executed. Its effect can't be undone, so a run may make one call at
 // most.
-func (h *resultHistory) effectDone(body []byte) {
+func (h *resultHistory) callExecuted(body []byte) {
 	key := string(body)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.effects[key]++; h.effects[key] > len(h.runs[key]) {
-		h.fail("%s had its effect %d times in %d runs", key, h.effects[key], len(h.runs[key]))
+		h.recordViolation("key %s: %d calls executed for %d runs, want at most one a run", key, h.effects[key],
+			len(h.runs[key]))
 	}
 }
 
-// note holds an answer against what ran.
-func (h *resultHistory) note(a attemptOutcome) {
+// recordAttempt records an attempt and checks its response against the runs of its key.
+func (h *resultHistory) recordAttempt(a attemptOutcome) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if a.code != 0 || a.read {
-		h.answers.sent++
+	if a.status != 0 || a.mayBeRead {
+		h.responses.sent++
 	}
-	switch a.code {
+	switch a.status {
 	case 0:
-		if a.read {
-			h.answers.cut++
+		if a.mayBeRead {
+			h.responses.interrupted++
 		}
-		if a.alive && a.read {
-			h.fail("%s got no answer, and its node was not killed", a.key)
+		if a.nodeRunning && a.mayBeRead {
+			h.recordViolation("key %s: no response, but the node was not killed", a.key)
 		}
 	case http.StatusOK:
-		h.answers.done++
-		if a.again {
-			h.answers.repeatsDone++
+		h.responses.done++
+		if a.isRetry {
+			h.responses.repeatsDone++
 		}
 		if !slices.ContainsFunc(h.runs[a.key], func(r storedRun) bool { return r.result == a.body }) {
-			h.fail("%s was answered by %q, which no run of it gave", a.key, a.body)
+			h.recordViolation("key %s: response %q, want the result of one of its %d runs", a.key, a.body,
+				len(h.runs[a.key]))
 		}
 		h.acknowledged[a.key] = time.Now()
 	case http.StatusServiceUnavailable:
-		h.answers.rejected++
+		h.responses.rejected++
 	case http.StatusInternalServerError:
-		h.answers.failed++
-		// One that waited for the disk until its deadline fails too, whatever is known.
-		if since := time.Since(h.acknowledged[a.key]); since < resultWindow-windowSlack && a.took < windowSlack {
-			h.fail("%s was errored %v after its result was told", a.key, since)
+		h.responses.failed++
+		// An attempt that waited for the disk until its deadline may fail in spite of a stored result.
+		if since := time.Since(h.acknowledged[a.key]); since < resultWindow-windowMargin && a.latency < windowMargin {
+			h.recordViolation("key %s: error %v after its result was acknowledged, want the result for %v", a.key,
+				since, resultWindow)
 		}
 	default:
-		h.fail("%s was answered %d", a.key, a.code)
+		h.recordViolation("key %s: unexpected status %d", a.key, a.status)
 	}
 }
 
-// fail notes the first broken promise; the caller holds the lock.
-func (h *resultHistory) fail(format string, args ...any) {
-	if h.firstBroken == "" {
-		h.firstBroken = fmt.Sprintf(format, args...)
+// recordViolation records the first violation; the caller holds the lock.
+func (h *resultHistory) recordViolation(format string, args ...any) {
+	if h.firstViolation == "" {
+		h.firstViolation = fmt.Sprintf(format, args...)
 	}
 }
 
-// broken gives the first broken promise, empty where there is none.
-func (h *resultHistory) broken() string {
+// violation returns the first violation; empty if there is none.
+func (h *resultHistory) violation() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.firstBroken
+	return h.firstViolation
 }
 
-// historyTotals sums up what histories have.
+// historyTotals sums up histories.
 type historyTotals struct {
-	answers             answerCounts
+	responses           responseCounts
 	keys, runs, effects int
 }
 
 func (t *historyTotals) add(h *resultHistory) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	t.answers.add(h.answers)
+	t.responses.add(h.responses)
 	for _, runs := range h.runs {
 		t.keys, t.runs = t.keys+1, t.runs+len(runs)
 	}
--- a/internal/harness/result_store_test.go
+++ b/internal/harness/result_store_test.go
@@ -7,97 +7,104 @@
 	"time"
 )
 
-// TestKeptKills: a node killed at named points and at random ones runs no key twice within its window, and repeats get
-// the first result; without a guard the checker finds it.
-func TestKeptKills(t *testing.T) {
+// A node that crashes at named points and at random runs no key twice within its window, and repeats get the stored
+// result. With a guard disabled the check has to find the violation that the guard prevents.
+func TestResultStoreKills(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ without, at, broken string }{
+	for _, c := range []struct{ disabledGuard, crashPoint, violation string }{
 		{},
 		{"proof", "durable", "ran again"},
 		{"intent", "sync", "ran again"},
-		{"result", "sync", "after its result was told"},
+		{"result", "sync", "after its result was acknowledged"},
 	} {
-		t.Run("without "+c.without, func(t *testing.T) {
+		t.Run("without "+c.disabledGuard, func(t *testing.T) {
 			t.Parallel()
-			r, err := newResultStoreNode(resultStoreSetUp{dir: t.TempDir(), program: built(t), seed: 7,
-				window: resultWindow, own: killedStore, without: c.without})
+			r, err := newResultStoreNode(resultStoreConfig{dir: t.TempDir(), program: builtProgram(t), seed: 7,
+				window: resultWindow, operatorConfig: killTestConfig, disabledGuard: c.disabledGuard})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer r.close()
-			r.crashPoint = c.at
+			r.crashPoint = c.crashPoint
 			ctx, end := context.WithTimeout(context.Background(), 40*time.Second)
 			defer end()
 			kills := 25
-			if c.broken != "" {
-				kills = 400 // or until it is found
+			if c.violation != "" {
+				kills = 400 // stops at the violation
 			}
-			if err = r.play(ctx, kills); err != nil {
-				t.Fatal(err, r.tail())
+			if err = r.killRepeatedly(ctx, kills); err != nil {
+				t.Fatal(err, r.logTail())
 			}
-			broken, answers := r.history.broken(), r.history.answers
-			if c.broken == "" && (broken != "" || answers.repeatsDone == 0) || !strings.Contains(broken, c.broken) {
-				t.Fatalf("after %d kills, %d done, %d repeats: broken %q, expected %q", r.kills.all, answers.done,
-					answers.repeatsDone, broken, c.broken)
+			violation, responses := r.history.violation(), r.history.responses
+			if c.violation == "" && (violation != "" || responses.repeatsDone == 0) || !strings.Contains(violation,
+				c.violation) {
+				t.Fatalf("after %d kills, %d requests done, %d repeats done: violation %q, want %q", r.kills.total,
+					responses.done, responses.repeatsDone, violation, c.violation)
 			}
 		})
 	}
 }
 
-// A checker that finds nothing would let every run pass: each kind of wrong history is found, and a right one is not.
-func TestKeptChecker(t *testing.T) {
+// The history check detects each kind of violation, and accepts a correct history.
+func TestResultHistoryDetectsViolations(t *testing.T) {
 	key := []byte("a")
 	for _, c := range []struct {
 		name string
 		play func(h *resultHistory)
 	}{
-		{"a second run", func(h *resultHistory) { h.runBegins(key); h.runBegins(key) }},
-		{"a second effect", func(h *resultHistory) { h.runBegins(key); h.effectDone(key); h.effectDone(key) }},
-		{"another's result", func(h *resultHistory) {
-			h.runBegins(key)
-			h.note(attemptOutcome{key: "b", code: 200, body: "a#1\x00\xff", again: true, read: true})
+		{"second run within the window", func(h *resultHistory) { h.runStarted(key); h.runStarted(key) }},
+		{"two calls in one run",
+			func(h *resultHistory) { h.runStarted(key); h.callExecuted(key); h.callExecuted(key) }},
+		{"result of another key", func(h *resultHistory) {
+			h.runStarted(key)
+			h.recordAttempt(attemptOutcome{key: "b", status: 200, body: "a#1\x00\xff", isRetry: true, mayBeRead: true})
 		}},
-		{"a changed result", func(h *resultHistory) {
-			h.runBegins(key)
-			h.note(attemptOutcome{key: "a", code: 200, body: "a#1\x00", again: true, read: true})
+		{"changed result", func(h *resultHistory) {
+			h.runStarted(key)
+			h.recordAttempt(attemptOutcome{key: "a", status: 200, body: "a#1\x00", isRetry: true, mayBeRead: true})
 		}},
-		{"no answer", func(h *resultHistory) { h.note(attemptOutcome{key: "a", read: true, alive: true}) }},
-		{"a result that is lost", func(h *resultHistory) {
-			h.note(attemptOutcome{key: "a", code: 200, body: string(h.runBegins(key)), read: true})
-			h.note(attemptOutcome{key: "a", code: 500, again: true, read: true})
+		{"no response", func(h *resultHistory) {
+			h.recordAttempt(attemptOutcome{key: "a", mayBeRead: true, nodeRunning: true})
+		}},
+		{"lost result", func(h *resultHistory) {
+			h.recordAttempt(attemptOutcome{key: "a", status: 200, body: string(h.runStarted(key)), mayBeRead: true})
+			h.recordAttempt(attemptOutcome{key: "a", status: 500, isRetry: true, mayBeRead: true})
+		}},
+		{"unexpected status", func(h *resultHistory) {
+			h.recordAttempt(attemptOutcome{key: "a", status: 404, mayBeRead: true})
 		}},
-		{"an answer of no kind", func(h *resultHistory) { h.note(attemptOutcome{key: "a", code: 404, read: true}) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newResultHistory()
-			if c.play(h); h.broken() == "" {
-				t.Error("not found")
+			if c.play(h); h.violation() == "" {
+				t.Error("violation() is empty, want a violation")
 			}
 		})
 	}
 	h := newResultHistory()
-	h.note(attemptOutcome{key: "a", code: 200, body: string(h.runBegins(key)), read: true, alive: true})
-	h.note(attemptOutcome{key: "b", alive: true})
-	h.note(attemptOutcome{key: "c", read: true})
-	if broken := h.broken(); broken != "" {
-		t.Errorf("a right history: %s", broken)
+	h.recordAttempt(attemptOutcome{key: "a", status: 200, body: string(h.runStarted(key)), mayBeRead: true,
+		nodeRunning: true})
+	h.recordAttempt(attemptOutcome{key: "b", nodeRunning: true})
+	h.recordAttempt(attemptOutcome{key: "c", mayBeRead: true})
+	if violation := h.violation(); violation != "" {
+		t.Errorf("correct history: violation %q, want none", violation)
 	}
 }
 
-// A request that got no answer is a broken promise only while the node is in the life in which it was sent.
-func TestNodeIsAliveInItsOwnLifeAlone(t *testing.T) {
-	r := &resultStoreNode{life: nodeLife{client: newLifeClient()}}
-	first := r.currentLife()
-	if r.alive(first) {
-		t.Error("alive before it began")
+// A request without a response is a violation only while the node runs in the incarnation to which it was sent.
+func TestNodeRunsOnlyInItsCurrentIncarnation(t *testing.T) {
+	r := &resultStoreNode{incarnation: nodeIncarnation{client: newIncarnationClient()}}
+	first := r.currentIncarnation()
+	if r.isRunning(first) {
+		t.Error("isRunning() = true before the start, want false")
 	}
-	if r.beginLife(); !r.alive(first) {
-		t.Error("not alive after it began")
+	if r.beginIncarnation(); !r.isRunning(first) {
+		t.Error("isRunning() = false after the start, want true")
 	}
-	if r.endLife(); r.alive(first) {
-		t.Error("alive after its end")
+	if r.endIncarnation(); r.isRunning(first) {
+		t.Error("isRunning() = true after the end, want false")
 	}
-	if r.beginLife(); r.alive(first) {
-		t.Error("alive in the life after it")
+	if r.beginIncarnation(); r.isRunning(first) {
+		t.Error("isRunning() = true in the next incarnation, want false")
 	}
 }
--- a/internal/harness/work_folder_test.go
+++ b/internal/harness/work_folder_test.go
@@ -11,25 +11,26 @@
 	"umberwinch/internal/report"
 )
 
-// A run on processes writes a log into its folder and ends. Only where all went well is the folder gone afterwards;
-// else it is there with the log, and the error or the report says where. An interrupted run has an error in any case.
-func TestFolderOfRunStaysUnlessPromisesWereKept(t *testing.T) {
+// The work folder is removed only after a run without a violation; otherwise it keeps the log, and the error or the
+// report names it. An interrupted run returns errInterrupted in any case.
+func TestWorkFolderIsRemovedOnlyAfterPassingRun(t *testing.T) {
 	t.Parallel()
 	failure := errors.New("the node ended by itself")
 	for _, c := range []struct {
 		name        string
-		broken      string
+		violation   string
 		interrupted bool
 		failed      error
 		want        error
-		stays       bool
+		wantKept    bool
 	}{
 		{name: "kept"},
-		{name: "broken", broken: "a key ran twice", stays: true},
-		{name: "failed", failed: failure, want: failure, stays: true},
-		{name: "interrupted", interrupted: true, want: errInterrupted, stays: true},
-		{name: "interrupted and failed", interrupted: true, failed: failure, want: failure, stays: true},
-		{name: "interrupted and broken", interrupted: true, broken: "not in time", want: errInterrupted, stays: true},
+		{name: "broken", violation: "a key ran twice", wantKept: true},
+		{name: "failed", failed: failure, want: failure, wantKept: true},
+		{name: "interrupted", interrupted: true, want: errInterrupted, wantKept: true},
+		{name: "interrupted and failed", interrupted: true, failed: failure, want: failure, wantKept: true},
+		{name: "interrupted and broken", interrupted: true, violation: "not in time", want: errInterrupted,
+			wantKept: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -41,31 +42,30 @@
 				if c.interrupted {
 					cancel()
 				}
-				if c.broken != "" {
-					rep.SetBroken("%s", c.broken)
+				if c.violation != "" {
+					rep.SetBroken("%s", c.violation)
 				}
 				return errors.Join(os.WriteFile(filepath.Join(dir, "n1.log"), []byte("a line\n"), 0o600), c.failed)
 			})
 			t.Cleanup(func() { os.RemoveAll(folder) })
 			if !errors.Is(err, c.want) || c.interrupted && !errors.Is(err, errInterrupted) {
-				t.Errorf("error %v, expected %v", err, c.want)
+				t.Errorf("withWorkFolder() error = %v, want %v", err, c.want)
 			}
-			said := strings.Join(rep.Notes, "\n")
+			text := strings.Join(rep.Notes, "\n")
 			if err != nil {
-				said = err.Error()
+				text = err.Error()
 			}
-			if strings.Contains(said, "logs are in "+folder) != c.stays {
-				t.Errorf("says %q, folder %s, expected it to be named: %v", said, folder, c.stays)
+			if strings.Contains(text, "logs are in "+folder) != c.wantKept {
+				t.Errorf("got text %q, want it to name folder %s: %v", text, folder, c.wantKept)
 			}
-			if _, err := os.Stat(filepath.Join(folder, "n1.log")); (err == nil) != c.stays {
-				t.Errorf("log: %v, expected it there: %v", err, c.stays)
+			if _, err := os.Stat(filepath.Join(folder, "n1.log")); (err == nil) != c.wantKept {
+				t.Errorf("Stat(n1.log) error = %v, want the file kept: %v", err, c.wantKept)
 			}
 		})
 	}
 }
 
-// A run in virtual time alone is interrupted: it ends with an error and prints no verdict, as most of it was not
-// played.
+// An interrupted run in virtual time returns an error and prints no verdict, as most schedules were not run.
 func TestInterruptedVirtualRunHasNoVerdict(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -88,7 +88,7 @@
 			t.Parallel()
 			var out strings.Builder
 			if rep, err := run(&out); rep != nil || !errors.Is(err, errInterrupted) || out.Len() > 0 {
-				t.Errorf("report %v, error %v, printed %q; expected the error alone", rep, err, out.String())
+				t.Errorf("Run() = %v, error %v, printed %q; want only error %v", rep, err, out.String(), errInterrupted)
 			}
 		})
 	}
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -19,7 +19,7 @@
 type ZonesTest struct {
 	Seed          int64
 	Quick         bool
-	Size          int // nodes of the real part
+	Size          int // nodes of the fleet of processes
 	Out           string
 	Without       zones.Guard
 	ProcessGuards string
@@ -30,26 +30,26 @@
 	Part          int
 	Parts         int
 
-	cases []zoneCase // the cases to play; nil: zoneCases. RecoveryTest sets recoveryCases
+	cases []zoneCase // nil: zoneCases; RecoveryTest sets recoveryCases
 }
 
-// Run plays schedules and large fleets in virtual time, then processes, and reports.
+// Run runs schedules and large fleets in virtual time, then a fleet of processes, and writes the report.
 func (r *ZonesTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
-	rep := &report.Report{Name: "zones", Title: "Leaving a zone that fails, and coming back",
+	rep := &report.Report{Name: "zones", Title: "Evacuation and return of a failed zone",
 		Head: []string{"PART", "NODES", "LOAD", "WAY", "VALUE DONE", "LEFT AFTER", "IN AGAIN AFTER", "STEPS",
 			"BELOW, PEAK"}}
 	rep.AddFigure("seed", "%d", r.Seed)
 	if r.Mode != "real" {
-		r.virtual(ctx, rep)
+		r.runVirtual(ctx, rep)
 		if rep.Broken == "" && r.Without == 0 {
 			r.playFailures(ctx, rep)
 			if ctx.Err() == nil {
-				r.calm(rep)
+				r.runNoise(rep)
 			}
 		}
 	}
 	if r.Mode != "virtual" && rep.Broken == "" {
-		if err := r.real(ctx, w, rep); err != nil {
+		if err := r.runProcesses(ctx, w, rep); err != nil {
 			return nil, err
 		}
 	}
@@ -59,18 +59,18 @@
 	return rep.Finish(r.Out, w)
 }
 
-// OnlyCosts stands for the measurement beside nodes alone, without the cases.
+// OnlyCosts selects, in place of a case, the measurement of failures' costs.
 const OnlyCosts = "costs"
 
-// virtual plays schedules on all cores, each from a seed of its own.
-func (r *ZonesTest) virtual(ctx context.Context, rep *report.Report) {
+// runVirtual runs schedules on all cores, each from a seed of its own.
+func (r *ZonesTest) runVirtual(ctx context.Context, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
 		if n = 300; r.Quick {
 			n = 60
 		}
 	}
-	left, steps, back, broken := 0, 0, 0, brokenSchedules{}
+	evacuations, steps, stepsBack, violating := 0, 0, 0, violatingSchedules{}
 	report.RunSeeds(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Zones {
 		p := simulation.DrawZones(s)
 		p.Without = r.Without
@@ -78,19 +78,19 @@
 		v.Play()
 		return v
 	}, func(s int64, v *simulation.Zones) bool {
-		left, steps, back = left+len(v.Left), steps+v.Steps, back+v.BackStep
-		broken.note(s, v.Broken)
+		evacuations, steps, stepsBack = evacuations+len(v.Left), steps+v.Steps, stepsBack+v.BackStep
+		violating.record(s, v.Broken)
 		return false
 	})
 	rep.AddFigure("schedules", "%d", n)
-	rep.AddFigure("broken", "%d", broken.count)
-	rep.AddFigure("zones_left", "%d", left)
+	rep.AddFigure("broken", "%d", violating.count)
+	rep.AddFigure("zones_left", "%d", evacuations)
 	rep.AddFigure("steps_in", "%d", steps)
-	rep.AddFigure("steps_back", "%d", back)
-	broken.report(rep)
+	rep.AddFigure("steps_back", "%d", stepsBack)
+	violating.report(rep)
 }
 
-// playFailures plays each kind of failure at sizes and loads, beside the baselines and the best that could be done.
+// playFailures runs each kind of zone failure for several sizes and loads.
 func (r *ZonesTest) playFailures(ctx context.Context, rep *report.Report) {
 	sizes, loads := []int{300, 5000}, []float64{0.5, 0.75}
 	if r.Quick {
@@ -112,7 +112,7 @@
 	}
 }
 
-// playFailure plays one kind of failure of a zone by the fleet, its baselines and the best that could be done.
+// playFailure runs one kind of zone failure with the fleet's evacuation, with the baselines and with an oracle.
 func (r *ZonesTest) playFailure(rep *report.Report, n int, load float64, kind string) {
 	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n, Kinds: []string{kind}, Fails: 15_000, Heals: 45_000,
 		Ends: 220_000, Load: load}
@@ -123,7 +123,7 @@
 		if v.Broken != "" {
 			rep.SetBroken("%d nodes, load %.2f, %s, %s: %s", n, load, kind, v.name, v.Broken)
 		}
-		after := func(m map[string]float64) string {
+		delay := func(m map[string]float64) string {
 			if t, ok := m["z0"]; ok {
 				return fmt.Sprintf("%.1f s", t/1000)
 			}
@@ -134,32 +134,32 @@
 			peak = fmt.Sprintf("%.2f", v.Peak)
 			seconds := v.Fleet.Now / 1000
 			rep.Notes = append(rep.Notes, fmt.Sprintf(
-				"%d nodes, load %.2f, %s: %.1f askings, %.2f entries and %.1f KB of them a "+
-					"second; played in %v", n, load, kind, float64(v.Fleet.Heartbeats)/seconds,
+				"%d nodes, load %.2f, %s: per second %.1f heartbeats, %.2f entries, %.1f KB of "+
+					"entries; simulated in %v", n, load, kind, float64(v.Fleet.Heartbeats)/seconds,
 				float64(v.Fleet.Entries)/seconds,
-				float64(v.Fleet.Bytes)/1024/seconds, v.took.Round(time.Millisecond)))
+				float64(v.Fleet.Bytes)/1024/seconds, v.realTime.Round(time.Millisecond)))
 			if n == 300 {
-				v.Plot[0].Name, v.Plot[1].Name, v.Plot[2].Name = "value done", "below: asked over what it bears",
+				v.Plot[0].Name, v.Plot[1].Name, v.Plot[2].Name = "value done", "stores: load over capacity",
 					"share of the zone"
 				rep.Plots = append(rep.Plots, report.Plot{Title: fmt.Sprintf("%d nodes, load %.2f: %s", n, load, kind),
-					X: "seconds; it fails at 15, ends at 45", Y: "share", Lines: v.Plot})
+					X: "seconds; failure from 15 to 45", Y: "share", Lines: v.Plot})
 			}
 		}
 		rep.Rows = append(rep.Rows, []string{"virtual, " + kind, strconv.Itoa(n), fmt.Sprintf("%.2f", load), v.name,
-			fmt.Sprintf("%.4f", v.Done/v.Asked), after(v.Left), after(v.Back),
+			fmt.Sprintf("%.4f", v.Done/v.Asked), delay(v.Left), delay(v.Back),
 			fmt.Sprintf("%d/%d", v.Steps, v.BackStep), peak})
 	}
 }
 
-// calm plays hours of noise, in which no zone may be left.
-func (r *ZonesTest) calm(rep *report.Report) {
+// runNoise runs hours of noise without a failure, in which no zone may be evacuated.
+func (r *ZonesTest) runNoise(rep *report.Report) {
 	hours := 24.0
 	if r.Quick {
 		hours = 1
 	}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	wrong := 0
+	falseEvacuations := 0
 	const parts = 6
 	for i := 0; i < parts; i++ {
 		wg.Add(1)
@@ -172,7 +172,7 @@
 			v.Play()
 			mu.Lock()
 			defer mu.Unlock()
-			wrong += v.Wrong
+			falseEvacuations += v.Wrong
 			if v.Broken != "" {
 				rep.SetBroken("noise: %s", v.Broken)
 			}
@@ -180,91 +180,91 @@
 	}
 	wg.Wait()
 	rep.AddFigure("noise_hours", "%.0f", hours)
-	rep.AddFigure("wrong_leaves", "%d", wrong)
+	rep.AddFigure("wrong_leaves", "%d", falseEvacuations)
 }
 
-// zoneRate is the callers' rate in the cases, requests a second over all nodes: a third of what three services bear
-// warm.
+// zoneRate is the callers' rate in the cases, in requests per second over all nodes: about a third of the warm
+// stores' capacity.
 const zoneRate = 180
 
-// real plays the cases on processes, then measures what failures cost callers.
-func (r *ZonesTest) real(ctx context.Context, w io.Writer, rep *report.Report) error {
+// runProcesses runs the cases on processes, then measures the cost of failures to callers.
+func (r *ZonesTest) runProcesses(ctx context.Context, w io.Writer, rep *report.Report) error {
 	if r.Only != OnlyCosts {
-		if err := r.realCases(ctx, w, rep); err != nil || r.Quick || rep.Broken != "" || r.Only != "" {
+		if err := r.runCases(ctx, w, rep); err != nil || r.Quick || rep.Broken != "" || r.Only != "" {
 			return err
 		}
 	}
-	return r.costs(ctx, rep, r.plan())
+	return r.measureCosts(ctx, rep, r.selectCostPlan())
 }
 
-// realCases plays the cases that were asked for in one fleet under load, up to the first that breaks.
-func (r *ZonesTest) realCases(ctx context.Context, w io.Writer, rep *report.Report) error {
-	return withWorkFolder(ctx, rep, func(dir string) error { return r.realCasesIn(ctx, dir, w, rep) })
+// runCases runs the selected cases in one fleet under load, up to the first violation.
+func (r *ZonesTest) runCases(ctx context.Context, w io.Writer, rep *report.Report) error {
+	return withWorkFolder(ctx, rep, func(dir string) error { return r.runCasesIn(ctx, dir, w, rep) })
 }
 
-func (r *ZonesTest) realCasesIn(ctx context.Context, dir string, w io.Writer, rep *report.Report) error {
-	b, err := r.begin(ctx, dir, "fence", "auto")
+func (r *ZonesTest) runCasesIn(ctx context.Context, dir string, w io.Writer, rep *report.Report) error {
+	b, err := r.startFixture(ctx, dir, "fence", "auto")
 	if err != nil {
 		return err
 	}
 	defer b.Close()
 	b.out = w
-	load, stop := context.WithCancel(ctx)
+	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	calls := b.Load(load, zoneRate)
-	if err = b.awaitNormal(); err != nil {
+	calls := b.Load(loadCtx, zoneRate)
+	if err = b.awaitCapacityKnown(); err != nil {
 		return err
 	}
-	kept, err := r.playCases(b, calls)
-	if err = breakOrReturn(rep, err); err != nil {
+	passed, err := r.playCases(b, calls)
+	if err = recordViolation(rep, err); err != nil {
 		return err
 	}
 	stop()
 	b.loads.Wait()
-	rep.AddFigure("cases", "%d", kept)
+	rep.AddFigure("cases", "%d", passed)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("cases, real: callers: %v", calls))
 	return nil
 }
 
-// playCases plays the cases one after the other, each once the fleet stands as usual, and counts those that kept their
-// promises.
-func (r *ZonesTest) playCases(b *zoneFixture, calls *CallResults) (kept int, err error) {
-	before := ""
-	for i, c := range r.all() {
-		if !r.selection().takes(i, c.name, c.long) {
+// playCases runs the selected cases in turn, each once the group knows all zones' capacity, and counts those without
+// a violation.
+func (r *ZonesTest) playCases(b *zoneFixture, calls *CallResults) (passed int, err error) {
+	previous := ""
+	for i, c := range r.allCases() {
+		if !r.selection().includes(i, c.name, c.long) {
 			continue
 		}
-		if before != "" {
-			if err := b.awaitNormal(); err != nil {
-				return kept, brokenPromise(fmt.Sprintf("%s: after it: %v", before, err))
+		if previous != "" {
+			if err := b.awaitCapacityKnown(); err != nil {
+				return passed, invariantError(fmt.Sprintf("%s: the fleet is not back to normal: %v", previous, err))
 			}
 		}
-		began, from := time.Now(), calls.count()
+		startedAt, from := time.Now(), calls.numCalls()
 		if err := b.playCase(&c); err != nil {
-			return kept, err
+			return passed, err
 		}
-		kept++
-		fmt.Fprintf(b.out, "%-55s kept, %.1f s, %.3f of value done in time\n", c.name, time.Since(began).Seconds(),
-			calls.valueInTime(from))
-		before = c.name
+		passed++
+		fmt.Fprintf(b.out, "%-55s kept, %.1f s, %.3f of value done in time\n", c.name, time.Since(startedAt).Seconds(),
+			calls.inTimeValueShare(from))
+		previous = c.name
 	}
-	return kept, nil
+	return passed, nil
 }
 
 func (r *ZonesTest) selection() caseSelection {
 	return caseSelection{only: r.Only, quick: r.Quick, part: r.Part, parts: r.Parts}
 }
 
-// playCase plays a case; then, with every link whole again, all nodes have to serve and the history to keep its
-// promises.
+// playCase runs a case. Afterwards, with all link faults removed, all nodes have to serve and the history has to
+// hold its invariants.
 func (b *zoneFixture) playCase(c *zoneCase) error {
-	b.mayLeave = map[string]bool{}
-	for _, z := range c.mayLeave {
-		b.mayLeave[z] = true
+	b.mayEvacuate = map[string]bool{}
+	for _, z := range c.mayEvacuate {
+		b.mayEvacuate[z] = true
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	var v consensus.ZonesView
-	if _, err := b.ask(http.MethodGet, "/v1/zones", nil, &v); err != nil {
+	if _, err := b.requestAny(http.MethodGet, "/v1/zones", nil, &v); err != nil {
 		return err
 	}
 	b.firstEpoch = v.Epoch
@@ -274,17 +274,17 @@
 		err = b.AwaitAllServing(b.committedVersion, 40*time.Second)
 	}
 	if err == nil {
-		err = b.checkHistory(began)
+		err = b.checkHistory(startedAt)
 	}
 	if err != nil {
 		b.printDecisions(b.out)
-		return brokenPromise(fmt.Sprintf("%s: %v", c.name, err))
+		return invariantError(fmt.Sprintf("%s: %v", c.name, err))
 	}
 	return nil
 }
 
-// plan gives what is measured on processes.
-func (r *ZonesTest) plan() *costPlan {
+// selectCostPlan returns the measurement of the test: zones' failures, or recovery.
+func (r *ZonesTest) selectCostPlan() *costPlan {
 	if r.cases != nil {
 		return &recoveryCosts
 	}
--- a/internal/harness/zones_virtual.go
+++ b/internal/harness/zones_virtual.go
@@ -8,27 +8,27 @@
 	"umberwinch/internal/simulation"
 )
 
-// zoneVariant is one way to play the same plan of zones in virtual time.
+// zoneVariant is a variant of a plan of zones in virtual time.
 type zoneVariant struct {
-	name string
-	set  func(p *simulation.ZonePlan)
+	name  string
+	apply func(p *simulation.ZonePlan)
 }
 
-// playedZones is what one variant came to, and the real time that it took to play.
+// playedZones is the result of one variant, and the real time that its simulation took.
 type playedZones struct {
 	*simulation.Zones
-	name string
-	took time.Duration
+	name     string
+	realTime time.Duration
 }
 
-// playVariants plays a plan by each variant, all at once.
+// playVariants runs all variants of a plan in parallel.
 func playVariants(base simulation.ZonePlan, variants []zoneVariant) []playedZones {
 	played := make([]playedZones, len(variants))
 	var wg sync.WaitGroup
 	for i, variant := range variants {
 		wg.Go(func() {
 			plan, started := base, time.Now()
-			variant.set(&plan)
+			variant.apply(&plan)
 			zones := simulation.NewZones(plan)
 			zones.Play()
 			played[i] = playedZones{zones, variant.name, time.Since(started)}
@@ -38,25 +38,25 @@
 	return played
 }
 
-// brokenSchedules counts schedules that broke a promise, and has the first of them by seed.
-type brokenSchedules struct {
-	count int
-	seed  int64
-	what  string
+// violatingSchedules counts schedules with a violation, and has that of the lowest seed.
+type violatingSchedules struct {
+	count     int
+	seed      int64
+	violation string
 }
 
-func (b *brokenSchedules) note(seed int64, broken string) {
-	if broken == "" {
+func (b *violatingSchedules) record(seed int64, violation string) {
+	if violation == "" {
 		return
 	}
 	if b.count++; b.count == 1 || seed < b.seed {
-		b.seed, b.what = seed, broken
+		b.seed, b.violation = seed, violation
 	}
 }
 
-// report makes the first broken schedule the report's broken promise.
-func (b *brokenSchedules) report(rep *report.Report) {
+// report reports the violation of the lowest seed.
+func (b *violatingSchedules) report(rep *report.Report) {
 	if b.count > 0 {
-		rep.SetBroken("seed %d of %d broken schedules: %s", b.seed, b.count, b.what)
+		rep.SetBroken("seed %d, the first of %d violating schedules: %s", b.seed, b.count, b.violation)
 	}
 }
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -13,49 +13,49 @@
 	"umberwinch/internal/wal"
 )
 
-// Times are milliseconds. An instance ticks as the shipped file has it.
+// Times are milliseconds; tickMS and electionTicks are those of the shipped configuration.
 const (
 	tickMS        = 50
 	electionTicks = 10
-	// writesWithin is the promise: with a majority there, a leader takes writes again within it.
-	writesWithin         = 5000
-	ScheduleMilliseconds = 12000 // of faults under load; growth, rest and scripted cases come to it
+	// writeRecoveryMS is the maximum time until writes succeed again once a majority is available.
+	writeRecoveryMS      = 5000
+	ScheduleMilliseconds = 12000 // duration of the faults under load, without growth, healing and scripted cases
 	segmentBytes         = 16 << 10
 	maxLogBytes          = 8 << 20
-	snapshotBytes        = 12 << 10 // small, so that snapshots and lagging followers come often
+	snapshotBytes        = 12 << 10 // small, so that snapshots and lagging followers are frequent
 )
 
-var errPowerLoss = errors.New("the power went")
+var errPowerLoss = errors.New("power lost")
 
-// logPosition is an entry as some log has it.
+// logPosition identifies an entry of a log.
 type logPosition struct{ index, term uint64 }
 
-// host is a machine with a disk and, while it is up, an instance.
+// host is a machine with a disk and, while it is running, an instance.
 type host struct {
-	n              int
-	disk           *wal.MemFS
-	replica        *consensus.Replica
-	id             uint64
-	incarnation    int   // numbered over all hosts
-	frozen         int64 // its disk stalls until then
-	stepsToCrash   int   // file-system steps until it crashes, -1 for none
-	diskCopy       *wal.MemFS
-	terms          map[uint64]uint64 // index to term of what its log held on disk when last seen
-	snapshotIndex  uint64            // all up to it are held, in a snapshot
-	checkedIndex   uint64            // applied when last checked
-	checkedVersion uint64            // number of the version checked last
-	puts           map[string]*pendingCall
-	reads          map[uint64]*pendingCall
-	replaced       bool // barred, or its disk was lost: the operator replaces it
+	number           int
+	disk             *wal.MemFS
+	replica          *consensus.Replica
+	id               uint64
+	incarnation      int   // unique over all hosts
+	stalledUntil     int64 // time until which the host stalls
+	stepsToCrash     int   // file-system steps until it loses power, -1 for none
+	savedDisk        *wal.MemFS
+	durableTerms     map[uint64]uint64 // index to term of the entries in its log on disk
+	snapshotIndex    uint64            // last index covered by its snapshot
+	checkedIndex     uint64            // last applied index that has been checked
+	checkedVersion   uint64            // last version that has been checked
+	puts             map[string]*pendingCall
+	reads            map[uint64]*pendingCall
+	needsReplacement bool // barred: the operator replaces it
 }
 
-// ConsensusGroup is one run.
+// ConsensusGroup is one simulation of a Raft group on a faulty network and faulty disks.
 type ConsensusGroup struct {
-	timeline[int64]
+	scheduler[int64]
 	network
-	callers
-	logChecks
-	random       *rand.Rand // network, disks and clients
+	workload
+	observedLogs
+	random       *rand.Rand // for network, disks and clients
 	without      consensus.Guard
 	hosts        []*host
 	incarnations int
@@ -64,134 +64,135 @@
 	Trace        func(string)
 }
 
-// network is what connects hosts.
+// network is the state of the links between hosts.
 type network struct {
-	greeted  map[[2]int]bool // by incarnations: whether they have exchanged handshakes that both accept
-	cut      map[[2]int]bool // by hosts, one way
-	loss     int             // of 1,000 messages
-	maxDelay int64           // of a message
+	handshakes   map[[2]int]bool // by the two incarnations, lower first: whether both accept each other
+	blockedLinks map[[2]int]bool // by sender and receiver
+	lossPerMille int             // messages lost or duplicated per 1,000
+	maxDelay     int64           // of a message, ms
 }
 
-// callers are the clients, and the history of their calls and responses.
-type callers struct {
-	callCount uint64
-	clients   []*client
-	history   []porcupine.Operation
+// workload is the set of clients and the history of their calls.
+type workload struct {
+	lastCallID uint64
+	clients    []*client
+	history    []porcupine.Operation
 }
 
-// logChecks is what was seen of all logs and states, for later ones to be held against.
-type logChecks struct {
-	leaders       map[uint64]uint64
+// observedLogs records the logs and states observed so far, which invariants compare with later ones.
+type observedLogs struct {
+	leaders       map[uint64]uint64 // term to instance
 	committed     map[uint64]uint64 // index to term
-	appliedInTerm map[uint64]uint64 // index to the term in which it was first seen applied: later leaders must have it
+	appliedInTerm map[uint64]uint64 // index to the term in which it was first applied: leaders of later terms must hold it
 	checksums     map[logPosition]uint32
-	stateAt       map[uint64]string
+	stateAtIndex  map[uint64]string
 	voterSets     [][]uint64
-	newestVersion uint64 // version applied anywhere
+	newestVersion uint64 // newest version applied on any host
 	lostEntries   map[uint64]map[logPosition]bool
 }
 
-// NewConsensusGroup founds a group of one and lets it grow to size, without faults.
+// NewConsensusGroup creates size hosts; the first founds the group, the others wait to be added. No faults are
+// scheduled.
 func NewConsensusGroup(seed int64, size int, without consensus.Guard) *ConsensusGroup {
-	w := &ConsensusGroup{
-		network: network{greeted: map[[2]int]bool{}, cut: map[[2]int]bool{}, maxDelay: 20},
-		logChecks: logChecks{
+	g := &ConsensusGroup{
+		network: network{handshakes: map[[2]int]bool{}, blockedLinks: map[[2]int]bool{}, maxDelay: 20},
+		observedLogs: observedLogs{
 			leaders:       map[uint64]uint64{},
 			committed:     map[uint64]uint64{},
 			appliedInTerm: map[uint64]uint64{},
 			checksums:     map[logPosition]uint32{},
-			stateAt:       map[uint64]string{},
+			stateAtIndex:  map[uint64]string{},
 			lostEntries:   map[uint64]map[logPosition]bool{},
 		},
 		random: rand.New(rand.NewSource(seed)), without: without, votersWanted: size,
 	}
 	for n := 0; n < size; n++ {
-		w.addHost(n == 0)
+		g.addHost(n == 0)
 	}
-	w.reconcileMembers()
-	return w
+	g.reconcileMembers()
+	return g
 }
 
-func (w *ConsensusGroup) addHost(found bool) {
-	h := &host{n: len(w.hosts), disk: wal.NewMemFS(), stepsToCrash: -1}
-	w.hosts = append(w.hosts, h)
-	w.startHost(h, found)
-	w.after(int64(h.n)*7%tickMS, func() { w.tick(h) })
+func (g *ConsensusGroup) addHost(found bool) {
+	h := &host{number: len(g.hosts), disk: wal.NewMemFS(), stepsToCrash: -1}
+	g.hosts = append(g.hosts, h)
+	g.startHost(h, found)
+	g.after(int64(h.number)*7%tickMS, func() { g.tick(h) })
 }
 
-func (w *ConsensusGroup) fail(format string, args ...any) {
-	if w.Broken == "" {
-		w.Broken = fmt.Sprintf("at %d ms: ", w.Now) + fmt.Sprintf(format, args...)
+func (g *ConsensusGroup) fail(format string, args ...any) {
+	if g.Broken == "" {
+		g.Broken = fmt.Sprintf("at %d ms: ", g.Now) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *ConsensusGroup) tracef(format string, args ...any) {
-	if w.Trace != nil {
-		w.Trace(fmt.Sprintf("%7d ", w.Now) + fmt.Sprintf(format, args...))
+func (g *ConsensusGroup) tracef(format string, args ...any) {
+	if g.Trace != nil {
+		g.Trace(fmt.Sprintf("%7d ", g.Now) + fmt.Sprintf(format, args...))
 	}
 }
 
-// Run goes on until a moment, or until something is broken.
-func (w *ConsensusGroup) Run(until int64) {
-	w.timeline.play(until, func() bool { return w.Broken != "" })
-	if w.Broken == "" {
-		w.Now = until
+// Run runs events until a time, or until an invariant is violated.
+func (g *ConsensusGroup) Run(until int64) {
+	g.scheduler.runEvents(until, func() bool { return g.Broken != "" })
+	if g.Broken == "" {
+		g.Now = until
 	}
 }
 
-// waitFor runs until a condition holds, for some time at most, and tells whether it does.
-func (w *ConsensusGroup) waitFor(ms int64, holds func() bool) bool {
-	for end := w.Now + ms; w.Now < end && w.Broken == ""; {
+// waitFor runs until a condition holds, for at most ms, and reports whether it holds.
+func (g *ConsensusGroup) waitFor(ms int64, holds func() bool) bool {
+	for end := g.Now + ms; g.Now < end && g.Broken == ""; {
 		if holds() {
 			return true
 		}
-		w.Run(min(end, w.Now+20))
+		g.Run(min(end, g.Now+20))
 	}
 	return holds()
 }
 
-func (w *ConsensusGroup) config(h *host, found bool) consensus.Config {
-	return consensus.Config{Name: fmt.Sprint("i", w.incarnations), Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h",
-		h.n),
-		Bootstrap: found, ElectionTicks: electionTicks, SnapshotBytes: snapshotBytes, DisabledGuards: w.without,
-		Random: w.random.Uint64,
+func (g *ConsensusGroup) config(h *host, found bool) consensus.Config {
+	return consensus.Config{Name: fmt.Sprint("i", g.incarnations), Peer: fmt.Sprint("h", h.number),
+		Listen:    fmt.Sprint("h", h.number),
+		Bootstrap: found, ElectionTicks: electionTicks, SnapshotBytes: snapshotBytes, DisabledGuards: g.without,
+		Random: g.random.Uint64,
 		Sizes:  wal.Sizes{SegmentBytes: segmentBytes, MaxBytes: maxLogBytes}, Logger: discardLogger{},
 		OnStep: func(step consensus.ReadyStep) {
 			if step == consensus.StepSend {
-				w.recordLog(h)
+				g.recordLog(h)
 			}
 		}}
 }
 
 // startHost starts an instance on a host's disk.
-func (w *ConsensusGroup) startHost(h *host, found bool) {
-	w.incarnations++
-	h.incarnation = w.incarnations
+func (g *ConsensusGroup) startHost(h *host, found bool) {
+	g.incarnations++
+	h.incarnation = g.incarnations
 	h.puts, h.reads = map[string]*pendingCall{}, map[uint64]*pendingCall{}
-	w.atHost(h, func() error {
-		rep, err := consensus.Open(h.disk, w.config(h, found))
+	g.atHost(h, func() error {
+		replica, err := consensus.Open(h.disk, g.config(h, found))
 		if err != nil {
 			return err
 		}
-		if h.replica = rep; rep.ID() != h.id {
-			h.id, h.replaced = rep.ID(), false
+		if h.replica = replica; replica.ID() != h.id {
+			h.id, h.needsReplacement = replica.ID(), false
 		}
-		h.terms, h.snapshotIndex, h.checkedIndex, h.checkedVersion = map[uint64]uint64{}, 0, 0, 0
-		w.recordLog(h)
+		h.durableTerms, h.snapshotIndex, h.checkedIndex, h.checkedVersion = map[uint64]uint64{}, 0, 0, 0
+		g.recordLog(h)
 		return nil
 	})
-	w.tracef("host %d up as %x, life %d", h.n, h.id, h.incarnation)
+	g.tracef("host %d started as instance %x, incarnation %d", h.number, h.id, h.incarnation)
 	if h.replica != nil {
-		w.work(h)
-		w.connectInstance(h, h.incarnation)
+		g.processReady(h)
+		g.connectInstance(h, h.incarnation)
 	}
 }
 
-// atHost runs something at a host. A failure put there on purpose takes it down, any other breaks the run.
-func (w *ConsensusGroup) atHost(h *host, f func() error) {
+// atHost runs f on a host. An injected power loss crashes the host; any other error or panic violates an invariant.
+func (g *ConsensusGroup) atHost(h *host, f func() error) {
 	defer func() {
 		if p := recover(); p != nil {
-			w.fail("host %d gave up: %v", h.n, p)
+			g.fail("host %d panicked: %v", h.number, p)
 			h.replica = nil
 		}
 	}()
@@ -200,73 +201,73 @@
 			return 0, nil
 		}
 		if h.stepsToCrash--; h.stepsToCrash < 0 {
-			return w.random.Intn(600), errPowerLoss
+			return g.random.Intn(600), errPowerLoss
 		}
 		return 0, nil
 	}
 	if err := f(); err != nil {
 		if !errors.Is(err, errPowerLoss) {
-			w.fail("host %d: %v", h.n, err)
+			g.fail("host %d: %v", h.number, err)
 			return
 		}
-		w.crashHost(h, 300+int64(w.random.Intn(1500)))
+		g.crashHost(h, 300+int64(g.random.Intn(1500)))
 	}
 }
 
-// crashHost ends a host's instance, by the power or by a kill, and has it come up again later.
-func (w *ConsensusGroup) crashHost(h *host, ms int64) {
-	w.tracef("host %d down", h.n)
+// crashHost ends a host's instance by power loss or a kill, and restarts it after ms.
+func (g *ConsensusGroup) crashHost(h *host, ms int64) {
+	g.tracef("host %d crashed", h.number)
 	h.replica, h.stepsToCrash = nil, -1
-	if w.random.Intn(3) == 0 {
+	if g.random.Intn(3) == 0 {
 		h.disk = h.disk.Kill()
 	} else {
-		h.disk = h.disk.PowerLoss(w.random.Intn)
+		h.disk = h.disk.PowerLoss(g.random.Intn)
 	}
 	incarnation := h.incarnation
-	w.after(ms, func() {
+	g.after(ms, func() {
 		if h.replica == nil && h.incarnation == incarnation {
-			w.startHost(h, false)
+			g.startHost(h, false)
 		}
 	})
 }
 
-func (w *ConsensusGroup) tick(h *host) {
-	w.after(tickMS, func() { w.tick(h) })
-	if h.replica != nil && h.frozen <= w.Now {
+func (g *ConsensusGroup) tick(h *host) {
+	g.after(tickMS, func() { g.tick(h) })
+	if h.replica != nil && h.stalledUntil <= g.Now {
 		h.replica.Tick()
-		w.work(h)
+		g.processReady(h)
 	}
 }
 
-// work lets an instance do what it has ready, checks its state, and responds to clients.
-func (w *ConsensusGroup) work(h *host) {
-	if h.replica == nil || w.Broken != "" {
+// processReady processes the instance's pending work, checks invariants and responds to clients.
+func (g *ConsensusGroup) processReady(h *host) {
+	if h.replica == nil || g.Broken != "" {
 		return
 	}
 	var out consensus.ReadyResult
 	incarnation := h.incarnation
-	w.atHost(h, func() (err error) {
-		out, err = h.replica.ProcessReady(func(ms []*pb.Message) { w.send(h, incarnation, ms) })
+	g.atHost(h, func() (err error) {
+		out, err = h.replica.ProcessReady(func(ms []*pb.Message) { g.send(h, incarnation, ms) })
 		return err
 	})
 	if h.replica == nil {
 		return
 	}
-	w.check(h)
+	g.checkInvariants(h)
 	for _, r := range out.Puts {
-		if c := h.puts[r.Session]; c != nil && c.put.Seq == r.Seq {
+		if call := h.puts[r.Session]; call != nil && call.put.Seq == r.Seq {
 			delete(h.puts, r.Session)
-			w.respond(c, r.Result)
+			g.respond(call, r.Result)
 		}
 	}
 	for _, id := range out.Reads {
-		if c := h.reads[id]; c != nil {
+		if call := h.reads[id]; call != nil {
 			delete(h.reads, id)
 			lines, first := h.replica.Versions()
-			w.respond(c, consensus.PutResult{Version: first + uint64(len(lines)) - 1})
+			g.respond(call, consensus.PutResult{Version: first + uint64(len(lines)) - 1})
 		}
 	}
-	w.atHost(h, func() error {
+	g.atHost(h, func() error {
 		s, err := h.replica.SnapshotIfDue()
 		if s == nil || err != nil {
 			return err
@@ -275,11 +276,11 @@
 	})
 }
 
-// leader gives the host whose instance leads in the latest term, nil if none does.
-func (w *ConsensusGroup) leader() *host {
+// leader returns the host that leads in the latest term, nil if there is no leader.
+func (g *ConsensusGroup) leader() *host {
 	var best *host
 	term := uint64(0)
-	for _, h := range w.hosts {
+	for _, h := range g.hosts {
 		if h.replica != nil {
 			if s := h.replica.Status(); s.Role == "leader" && s.Term > term {
 				best, term = h, s.Term
@@ -289,49 +290,49 @@
 	return best
 }
 
-// reconcileMembers is the operator: it takes in instances that wait, promotes them, and removes those that take no
-// part.
-func (w *ConsensusGroup) reconcileMembers() {
-	w.after(200, w.reconcileMembers)
-	for _, h := range w.hosts {
+// reconcileMembers acts as the operator: it adds waiting instances as members to be promoted, removes members whose
+// host was lost, and wipes barred instances.
+func (g *ConsensusGroup) reconcileMembers() {
+	g.after(200, g.reconcileMembers)
+	for _, h := range g.hosts {
 		if h.replica != nil && h.replica.Barred() != "" {
-			w.wipe(h)
+			g.wipeDisk(h)
 		}
 	}
-	l := w.leader()
-	if l == nil || l.frozen > w.Now {
+	leader := g.leader()
+	if leader == nil || leader.stalledUntil > g.Now {
 		return
 	}
-	members := l.replica.Members()
+	members := leader.replica.Members()
 	for _, m := range members {
-		if w.hostOf(m) == nil {
-			l.replica.ProposeMemberChange(consensus.MemberChange{Op: "remove", Member: m})
-			w.work(l)
+		if g.hostOf(m) == nil {
+			leader.replica.ProposeMemberChange(consensus.MemberChange{Op: "remove", Member: m})
+			g.processReady(leader)
 			return
 		}
 	}
-	if len(members) >= w.votersWanted {
+	if len(members) >= g.votersWanted {
 		return
 	}
-	for _, h := range w.hosts {
+	for _, h := range g.hosts {
 		if h.replica == nil || h.replica.Status().Role != "waiting" {
 			continue
 		}
-		l.replica.ProposeMemberChange(consensus.MemberChange{Op: "add", Member: consensus.Member{ID: h.id, Name: fmt.Sprintf("m%x", h.id),
-			Peer: fmt.Sprint("h", h.n), Listen: fmt.Sprint("h", h.n), Promote: true}})
-		w.work(l)
+		leader.replica.ProposeMemberChange(consensus.MemberChange{Op: "add", Member: consensus.Member{ID: h.id, Name: fmt.Sprintf("m%x", h.id),
+			Peer: fmt.Sprint("h", h.number), Listen: fmt.Sprint("h", h.number), Promote: true}})
+		g.processReady(leader)
 		return
 	}
 }
 
-// voters counts the voters that are up and take part, as the leader has them.
-func (w *ConsensusGroup) voters() int {
-	l := w.leader()
-	if l == nil {
+// voterCount returns the number of voters in the leader's list of members, 0 without a leader.
+func (g *ConsensusGroup) voterCount() int {
+	leader := g.leader()
+	if leader == nil {
 		return 0
 	}
 	n := 0
-	for _, m := range l.replica.Members() {
+	for _, m := range leader.replica.Members() {
 		if m.Voter {
 			n++
 		}
@@ -339,35 +340,35 @@
 	return n
 }
 
-// loseDisk notes what a disk held that is no more.
-func (w *ConsensusGroup) loseDisk(h *host) {
-	for i, term := range h.terms {
-		if w.lostEntries[h.id] == nil {
-			w.lostEntries[h.id] = map[logPosition]bool{}
+// recordLostEntries records the entries of a disk that is about to be replaced.
+func (g *ConsensusGroup) recordLostEntries(h *host) {
+	for i, term := range h.durableTerms {
+		if g.lostEntries[h.id] == nil {
+			g.lostEntries[h.id] = map[logPosition]bool{}
 		}
-		w.lostEntries[h.id][logPosition{i, term}] = true
+		g.lostEntries[h.id][logPosition{i, term}] = true
 	}
 }
 
-// hostOf gives the host that a member runs on, nil if its disk was lost.
-func (w *ConsensusGroup) hostOf(m consensus.Member) *host {
-	for _, h := range w.hosts {
-		if h.id == m.ID && !h.replaced {
+// hostOf returns the host of a member, nil if it is to be replaced or runs another instance.
+func (g *ConsensusGroup) hostOf(m consensus.Member) *host {
+	for _, h := range g.hosts {
+		if h.id == m.ID && !h.needsReplacement {
 			return h
 		}
 	}
 	return nil
 }
 
-// members gives the hosts of the group's members, as the leader has them.
-func (w *ConsensusGroup) members() []*host {
+// memberHosts returns the hosts of the members in the leader's list.
+func (g *ConsensusGroup) memberHosts() []*host {
 	var out []*host
-	l := w.leader()
-	if l == nil {
+	leader := g.leader()
+	if leader == nil {
 		return nil
 	}
-	for _, m := range l.replica.Members() {
-		if h := w.hostOf(m); h != nil {
+	for _, m := range leader.replica.Members() {
+		if h := g.hostOf(m); h != nil {
 			out = append(out, h)
 		}
 	}
--- a/internal/simulation/consensus_network.go
+++ b/internal/simulation/consensus_network.go
@@ -7,41 +7,42 @@
 	"umberwinch/internal/control/consensus"
 )
 
-// connectInstance has an instance that has started exchange handshakes with all that it reaches, again until all have
-// accepted it or it ends.
-func (w *ConsensusGroup) connectInstance(h *host, incarnation int) {
+// connectInstance exchanges handshakes between a started instance and all others, and retries until all have accepted
+// it or it has ended.
+func (g *ConsensusGroup) connectInstance(h *host, incarnation int) {
 	if h.replica == nil || h.incarnation != incarnation {
 		return
 	}
-	all := true
-	for _, o := range w.hosts {
-		if o != h && o.replica != nil && !w.exchange(h, o) {
-			all = false
+	done := true
+	for _, o := range g.hosts {
+		if o != h && o.replica != nil && !g.handshake(h, o) {
+			done = false
 		}
 		if h.replica == nil {
 			return
 		}
 	}
-	if !all {
-		w.after(100, func() { w.connectInstance(h, incarnation) })
+	if !done {
+		g.after(100, func() { g.connectInstance(h, incarnation) })
 	}
 }
 
-// exchange tells whether two instances speak with each other; they greet where both ways are open and neither
-// stalls.
-func (w *ConsensusGroup) exchange(a, b *host) bool {
+// handshake reports whether two instances accept each other. They exchange handshakes if both directions are open and
+// neither host is stalled. An instance that is barred by its peer is recorded as to be replaced.
+func (g *ConsensusGroup) handshake(a, b *host) bool {
 	key := [2]int{min(a.incarnation, b.incarnation), max(a.incarnation, b.incarnation)}
-	if ok, known := w.greeted[key]; known {
+	if ok, known := g.handshakes[key]; known {
 		return ok
 	}
-	if w.cut[[2]int{a.n, b.n}] || w.cut[[2]int{b.n, a.n}] || a.frozen > w.Now || b.frozen > w.Now {
+	if g.blockedLinks[[2]int{a.number, b.number}] || g.blockedLinks[[2]int{b.number, a.number}] ||
+		a.stalledUntil > g.Now || b.stalledUntil > g.Now {
 		return false
 	}
 	ok := true
 	for _, p := range [][2]*host{{a, b}, {b, a}} {
 		var reason string
-		w.atHost(p[0], func() (err error) {
-			to := uint64(0) // an id is known from the list of members
+		g.atHost(p[0], func() (err error) {
+			to := uint64(0) // 0 if the peer isn't in its list of members
 			for _, m := range p[1].replica.Members() {
 				if m.ID == p[0].id {
 					to = m.ID
@@ -56,71 +57,72 @@
 		if reason != "" {
 			ok = false
 			if consensus.BarsInstance(reason) {
-				w.tracef("host %d told by %d: %s", p[1].n, p[0].n, reason)
-				w.atHost(p[1], func() error { return p[1].replica.Bar(reason) })
+				g.tracef("host %d rejected by host %d: %s", p[1].number, p[0].number, reason)
+				g.atHost(p[1], func() error { return p[1].replica.Bar(reason) })
 				if p[1].replica == nil {
 					return false
 				}
-				p[1].replaced = p[1].replaced || p[1].replica.Barred() != ""
+				p[1].needsReplacement = p[1].needsReplacement || p[1].replica.Barred() != ""
 			}
 		}
 	}
-	// An instance that waits is spoken with once it was taken in; the question is put again until then.
+	// A rejection is final only if both are in a group: a waiting instance is accepted once it has become a member.
 	if ok || a.replica.Status().Cluster != "" && b.replica.Status().Cluster != "" {
-		w.greeted[key] = ok
+		g.handshakes[key] = ok
 	}
 	return ok
 }
 
-func (w *ConsensusGroup) send(h *host, incarnation int, ms []*pb.Message) {
-	for _, m := range ms {
+// send delivers messages after a random delay each; some are lost or duplicated.
+func (g *ConsensusGroup) send(h *host, incarnation int, messages []*pb.Message) {
+	for _, m := range messages {
 		raw, err := proto.Marshal(m)
 		if err != nil {
-			w.fail("a message: %v", err)
+			g.fail("encode message: %v", err)
 			return
 		}
 		copies := 1
-		if w.random.Intn(1000) < w.loss {
-			copies = w.random.Intn(2) * 2 // lost, or doubled
+		if g.random.Intn(1000) < g.lossPerMille {
+			copies = g.random.Intn(2) * 2 // lost or duplicated
 		}
-		to, snap := m.GetTo(), m.GetType() == pb.MessageType_MsgSnap
+		to, isSnapshot := m.GetTo(), m.GetType() == pb.MessageType_MsgSnap
 		for ; copies > 0; copies-- {
-			took := 1 + w.random.Int63n(w.maxDelay)
-			w.after(took, func() { w.deliver(h, incarnation, to, raw) })
+			delay := 1 + g.random.Int63n(g.maxDelay)
+			g.after(delay, func() { g.deliver(h, incarnation, to, raw) })
 		}
-		if snap {
-			w.after(2*w.maxDelay, func() {
+		if isSnapshot {
+			g.after(2*g.maxDelay, func() {
 				if h.replica != nil && h.incarnation == incarnation {
 					h.replica.ReportSnapshot(to, true)
-					w.work(h)
+					g.processReady(h)
 				}
 			})
 		}
 	}
 }
 
-func (w *ConsensusGroup) deliver(from *host, incarnation int, to uint64, raw []byte) {
+func (g *ConsensusGroup) deliver(from *host, incarnation int, to uint64, raw []byte) {
 	var h *host
-	for _, o := range w.hosts {
+	for _, o := range g.hosts {
 		if o.id == to && o.replica != nil {
 			h = o
 		}
 	}
-	if h == nil || w.cut[[2]int{from.n, h.n}] {
+	if h == nil || g.blockedLinks[[2]int{from.number, h.number}] {
 		return
 	}
-	if h.frozen > w.Now { // it waits in a socket
-		w.after(h.frozen-w.Now, func() { w.deliver(from, incarnation, to, raw) })
+	if h.stalledUntil > g.Now { // buffered in a socket
+		g.after(h.stalledUntil-g.Now, func() { g.deliver(from, incarnation, to, raw) })
 		return
 	}
-	if from.incarnation == incarnation && from.replica != nil && !w.exchange(from, h) || h.replica == nil {
+	if from.incarnation == incarnation && from.replica != nil && !g.handshake(from, h) || h.replica == nil {
 		return
 	}
 	m := &pb.Message{}
 	if err := proto.Unmarshal(raw, m); err != nil {
-		w.fail("a message: %v", err)
+		g.fail("decode message: %v", err)
 		return
 	}
-	w.atHost(h, func() error { h.replica.Step(m); return nil })
-	w.work(h)
+	g.atHost(h, func() error { h.replica.Step(m); return nil })
+	g.processReady(h)
 }
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -11,237 +11,238 @@
 	"umberwinch/internal/control/zones"
 )
 
-// A fleet in virtual time: the group's replicated state, its leaders' coordinators and the nodes' agents are the
-// real code; clocks, the network and crashes are simulated. So is the log: what a leader proposes is committed
-// after a while, or lost with the leader.
-
-// The baselines: a version is in force as soon as it is proposed, or as soon as half of the nodes have prepared it,
-// and nodes hold no leases.
+// Baselines without leases: a version is committed as soon as it is proposed, or as soon as half of the nodes have
+// prepared it.
 const (
 	WayEach     = "each"
 	WayMajority = "majority"
 )
 
-// FleetPlan is what one schedule is drawn from.
+// FleetPlan is the configuration of one schedule.
 type FleetPlan struct {
 	Seed    int64
 	Nodes   int
-	Ctl     int   // instances of the group
-	Span    int64 // ms in which faults begin; then all heals
-	Changes int
+	Ctl     int   // instances of the control group
+	Span    int64 // ms during which changes and faults are scheduled; then all faults end; 0: 30 s
+	Changes int   // of the policy
 	Without policy.Guard
-	Lease   int64   // of the policy, ms
+	Lease   int64   // lease of the policy, ms; 0: 4 s
 	Calm    bool    // no faults
-	Down    float64 // share of the nodes that are cut off from the group while changes are made
+	Down    float64 // fraction of the nodes that are partitioned from the group while changes are made
 	Way     string  // "", or a baseline
 
-	StateLosses  int    // times that the group loses state, see fleet_state_loss.go
-	Zones        int    // 0: three
-	ZoneRules    string // [zones] of the policy; empty: none
-	WithoutZones zones.Guard
+	StateLosses        int    // losses of the group's state, see stateLoss
+	Zones              int    // 0: three
+	ZoneRules          string // [zones] of the policy; empty: none
+	DisabledZoneGuards zones.Guard
 }
 
-// Fleet is one schedule.
+// Fleet simulates a fleet of nodes and its control group. The group's replicated state, the leader's coordinator and
+// the nodes' agents are the production code. Clocks, network, crashes and the group's log are simulated: an entry that
+// the leader appends is committed after a delay, or may be lost if the leader changes first.
 type Fleet struct {
 	FleetPlan
-	timeline[float64]
+	scheduler[float64]
 	controlGroup
 	stateLoss
 	FleetFigures
 	random          *rand.Rand
 	nodes           []*node
-	changesAnswered int
-	failsTrial      map[string]bool         // hashes of texts that fail their trial at any node
-	staleResponses  []api.HeartbeatResponse // answers of long ago, as an instance that is behind would give them
+	acceptedChanges int
+	failsTrial      map[string]bool         // by hash: version texts that fail the trial on every node
+	staleResponses  []api.HeartbeatResponse // earlier responses, sent again in place of current ones
 	History         []FleetEvent
 	Broken          string
 
-	loadReport func(n *node) *api.LoadReport                   // what a node reports of itself; nil: nothing
-	probePeer  func(n *node, l api.ProbeTarget) api.PeerHealth // what it sees of another
-	onApplied  func(end any)                                   // is handed each entry's result
+	loadReport func(n *node) *api.LoadReport                   // load report of a node; nil: none
+	probePeer  func(n *node, l api.ProbeTarget) api.PeerHealth // result of a node's probe of another
+	onApplied  func(result any)                                // called with the result of each entry; may be nil
 }
 
-// controlGroup is the group: its instances, and what they have agreed on.
+// controlGroup is the control group: its instances and their replicated state.
 type controlGroup struct {
-	instances []*controlInstance
-	leader    int // -1: nobody
-	term      uint64
-	index     uint64
-	state     *coordinator.State
-	texts     []string // by version less one
-	hashes    []string
-	steps     map[uint64]policy.Step // step by change
+	instances     []*controlInstance
+	leader        int // index of the instance, -1 for none
+	term          uint64
+	index         uint64
+	state         *coordinator.State
+	versionTexts  []string // at index version-1
+	versionHashes []string
+	changeSteps   map[uint64]policy.Step // last recorded step by change number
 }
 
-// FleetFigures is what a schedule came to.
+// FleetFigures are the measurements of a schedule.
 type FleetFigures struct {
 	Heartbeats int
 	Entries    int
-	Bytes      int
-	Times      []float64           // ms from proposed to in force
-	Ends       map[policy.Step]int // of changes
-	Causes     map[string]int      // of those called off
-	Overlap    int64               // the longest, in tenths of a ms
+	Bytes      int                 // of the entries
+	Times      []float64           // ms from proposed to committed, by change
+	Ends       map[policy.Step]int // changes by their last step
+	Causes     map[string]int      // aborted changes by cause
+	Overlap    int64               // longest overlap of two versions, tenths of a ms
 }
 
-// Last is the newest version of the policy.
-func (w *Fleet) Last() uint64 { return uint64(len(w.texts)) }
+// Last returns the newest version of the policy.
+func (f *Fleet) Last() uint64 { return uint64(len(f.versionTexts)) }
 
-// Text gives a version as the group keeps it.
-func (w *Fleet) Text(n uint64) (string, string, bool) {
-	if n == 0 || n > uint64(len(w.texts)) || w.hashes[n-1] == "" {
+// Text returns the text and hash of a version.
+func (f *Fleet) Text(n uint64) (string, string, bool) {
+	if n == 0 || n > uint64(len(f.versionTexts)) || f.versionHashes[n-1] == "" {
 		return "", "", false
 	}
-	return w.texts[n-1], w.hashes[n-1], true
+	return f.versionTexts[n-1], f.versionHashes[n-1], true
 }
 
-// NewFleet sets up a schedule.
+// NewFleet creates a fleet and schedules its start; Play runs it.
 func NewFleet(p FleetPlan) *Fleet {
-	w := &Fleet{
+	f := &Fleet{
 		FleetPlan:    p,
 		random:       rand.New(rand.NewSource(p.Seed)),
-		controlGroup: controlGroup{state: coordinator.NewState(p.Without), leader: -1, steps: map[uint64]policy.Step{}},
-		stateLoss: stateLoss{group: "g1", textOf: map[string]string{}, decidedHash: map[uint64]string{},
-			recorded: map[string]bool{}},
+		controlGroup: controlGroup{state: coordinator.NewState(p.Without), leader: -1, changeSteps: map[uint64]policy.Step{}},
+		stateLoss: stateLoss{groupID: "g1", textByHash: map[string]string{}, decidedHashes: map[uint64]string{},
+			recordedEvents: map[string]bool{}},
 		FleetFigures: FleetFigures{Ends: map[policy.Step]int{}, Causes: map[string]int{}},
 		failsTrial:   map[string]bool{},
 	}
-	w.state.DisabledZoneGuards = p.WithoutZones
-	if w.Zones == 0 {
-		w.Zones = 3
+	f.state.DisabledZoneGuards = p.DisabledZoneGuards
+	if f.Zones == 0 {
+		f.Zones = 3
 	}
 	if p.Way != "" {
-		w.Without |= policy.AwaitLeases | policy.FenceOnExpiry | policy.PrepareAll
-		w.state.DisabledGuards = w.Without
+		f.Without |= policy.AwaitLeases | policy.FenceOnExpiry | policy.PrepareAll
+		f.state.DisabledGuards = f.Without
 	}
-	if w.Lease == 0 {
-		w.Lease = 4000
+	if f.Lease == 0 {
+		f.Lease = 4000
 	}
-	w.addVersion()
+	f.addVersion()
 	for i := 0; i < max(1, p.Ctl); i++ {
-		c := &controlInstance{coordinator: w.newLeader(), up: true, rate: w.drawClockRate()}
-		w.instances = append(w.instances, c)
+		c := &controlInstance{coordinator: f.newLeader(), up: true, clockRate: f.drawClockRate()}
+		f.instances = append(f.instances, c)
 	}
 	for i := 0; i < p.Nodes; i++ {
-		n := &node{fleet: w, name: fmt.Sprintf("n%04d", i), zone: i % w.Zones, rate: w.drawClockRate()}
-		// Where state is lost all have disks: what only a node without one knew would be lost with it.
-		n.diskless = w.random.Intn(2) == 0 && p.StateLosses == 0
-		w.nodes = append(w.nodes, n)
-		w.after(w.random.Float64()*500, n.start)
+		n := &node{fleet: f, name: fmt.Sprintf("n%04d", i), zone: i % f.Zones, clockRate: f.drawClockRate()}
+		// With state loss all nodes have disks: records held only in memory would be lost with a node.
+		n.diskless = f.random.Intn(2) == 0 && p.StateLosses == 0
+		f.nodes = append(f.nodes, n)
+		f.after(f.random.Float64()*500, n.start)
 	}
-	w.after(10, w.elect)
-	for i := range w.instances {
-		w.tick(i)
+	f.after(10, f.elect)
+	for i := range f.instances {
+		f.tick(i)
 	}
-	return w
+	return f
 }
 
-// drawClockRate draws a clock that is up to four thousandths off.
-func (w *Fleet) drawClockRate() float64 { return 1 + (w.random.Float64()-0.5)*0.008 }
+// drawClockRate draws the rate of a clock, with a drift of up to 0.4%.
+func (f *Fleet) drawClockRate() float64 { return 1 + (f.random.Float64()-0.5)*0.008 }
 
-func (w *Fleet) recordEvent(e FleetEvent) {
-	e.At = int64(w.Now * 10)
-	w.History = append(w.History, e)
+func (f *Fleet) recordEvent(e FleetEvent) {
+	e.At = int64(f.Now * 10)
+	f.History = append(f.History, e)
 }
 
-func (w *Fleet) fail(format string, args ...any) {
-	if w.Broken == "" {
-		w.Broken = fmt.Sprintf("%.1f ms: ", w.Now) + fmt.Sprintf(format, args...)
+func (f *Fleet) fail(format string, args ...any) {
+	if f.Broken == "" {
+		f.Broken = fmt.Sprintf("%.1f ms: ", f.Now) + fmt.Sprintf(format, args...)
 	}
 }
 
-// faultsBeginMS is when the first version is long settled: ten seconds of leases from before it, and its own changes.
-const faultsBeginMS = 16_000
-
-// Play plays the schedule: the first version settles; changes, faults and losses of state come; all heals; then
-// every change has to end, and every node to serve under the version in force.
-func (w *Fleet) Play() {
-	if w.Span == 0 {
-		w.Span = 30_000
-	}
-	// The first version of all: until it is settled nodes hold what they had before on other terms.
-	w.after(1500, func() { w.proposeChange(false, 0) })
-	w.Changes++
-	w.runUntil(faultsBeginMS)
-	w.scheduleChanges()
-	w.schedulePartition()
-	if !w.Calm {
-		for t := 1000.0; t < float64(w.Span); t += w.random.ExpFloat64() * float64(w.Span) / 12 {
-			w.after(t, w.injectFault)
+// faultStartMS is when faults start. The first version has settled by then, including 10 s of leases granted before it.
+const faultStartMS = 16_000
+
+// Play runs the schedule: the first version settles; changes, faults and state losses are injected; all faults end;
+// then every change must have ended and every node must serve under the committed version.
+func (f *Fleet) Play() {
+	if f.Span == 0 {
+		f.Span = 30_000
+	}
+	// Until the first version has settled nodes hold leases without its bounds.
+	f.after(1500, func() { f.proposeChange(false, 0) })
+	f.Changes++
+	f.runUntil(faultStartMS)
+	f.scheduleChanges()
+	f.schedulePartition()
+	if !f.Calm {
+		for t := 1000.0; t < float64(f.Span); t += f.random.ExpFloat64() * float64(f.Span) / 12 {
+			f.after(t, f.injectFault)
 		}
 	}
-	w.scheduleStateLosses()
-	w.runUntil(w.Now + float64(w.Span) + 3*float64(w.Lease) + float64(len(w.nodes))*10*w.Down)
-	w.heal()
-	w.runUntil(w.Now + 12*float64(w.Lease) + 65_000)
-	if w.Way != "" {
-		w.Overlap = longestOverlap(w.History)
+	f.scheduleStateLosses()
+	f.runUntil(f.Now + float64(f.Span) + 3*float64(f.Lease) + float64(len(f.nodes))*10*f.Down)
+	f.heal()
+	f.runUntil(f.Now + 12*float64(f.Lease) + 65_000)
+	if f.Way != "" {
+		f.Overlap = longestOverlap(f.History)
 		return
 	}
-	w.checkEnd()
+	f.checkFinalState()
 }
 
-// scheduleChanges spreads the changes over the span: a third is exclusive, a fourth may leave a node behind.
-func (w *Fleet) scheduleChanges() {
+// scheduleChanges spreads the changes over the fault span. A third are exclusive, a fourth may leave a node behind.
+func (f *Fleet) scheduleChanges() {
 	at := 500.0
-	for i := 1; i < w.Changes; i++ {
-		exclusive, spare := w.random.Intn(3) == 0, 0
-		if w.random.Intn(4) == 0 {
+	for i := 1; i < f.Changes; i++ {
+		exclusive, spare := f.random.Intn(3) == 0, 0
+		if f.random.Intn(4) == 0 {
 			spare = 1
 		}
-		w.after(at, func() { w.proposeChange(exclusive, spare) })
-		at += float64(w.Span) / float64(w.Changes+1)
+		f.after(at, func() { f.proposeChange(exclusive, spare) })
+		at += float64(f.Span) / float64(f.Changes+1)
 	}
 }
 
-// schedulePartition cuts a share of the fleet off while changes are made. Its nodes are back one by one afterwards.
-func (w *Fleet) schedulePartition() {
-	for i, n := range w.nodes {
-		if float64(i) < w.Down*float64(len(w.nodes)) {
-			w.after(200, func() { n.partitioned = true })
-			w.after(float64(w.Span)+float64(i)*10, func() { n.partitioned = false })
+// schedulePartition partitions a fraction of the nodes while changes are made. They reconnect one by one afterwards.
+func (f *Fleet) schedulePartition() {
+	for i, n := range f.nodes {
+		if float64(i) < f.Down*float64(len(f.nodes)) {
+			f.after(200, func() { n.partitioned = true })
+			f.after(float64(f.Span)+float64(i)*10, func() { n.partitioned = false })
 		}
 	}
 }
 
 // heal ends all faults.
-func (w *Fleet) heal() {
-	for _, n := range w.nodes {
-		n.partitioned, n.neverPrepares, n.preparing = false, false, 0
+func (f *Fleet) heal() {
+	for _, n := range f.nodes {
+		n.partitioned, n.neverPrepares, n.preparingVersion = false, false, 0
 	}
-	w.Calm = true
-	if w.StateLosses > 0 { // the last loss may have come late
-		w.runUntil(w.Now + 30_000)
+	f.Calm = true
+	if f.StateLosses > 0 { // a restoration may still be in progress
+		f.runUntil(f.Now + 30_000)
 	}
 }
 
-func (w *Fleet) runUntil(at float64) {
-	w.play(at, func() bool { return false })
-	w.Now = at
+func (f *Fleet) runUntil(at float64) {
+	f.runEvents(at, func() bool { return false })
+	f.Now = at
 }
 
-func (w *Fleet) checkEnd() {
-	if w.Broken != "" {
+// checkFinalState checks that all changes have ended, that all nodes serve under the committed version, and the
+// history's invariants.
+func (f *Fleet) checkFinalState() {
+	if f.Broken != "" {
 		return
 	}
-	if c := w.state.Policy.Current; c != nil {
-		w.fail("change %d to version %d is still %s", c.Number, c.Version, c.Step)
+	if c := f.state.Policy.Current; c != nil {
+		f.fail("change %d to version %d has not ended: step %s", c.Number, c.Version, c.Step)
 	}
-	if w.changesAnswered < w.Changes {
-		w.fail("%d of %d changes were never taken", w.Changes-w.changesAnswered, w.Changes)
+	if f.acceptedChanges < f.Changes {
+		f.fail("%d of %d changes were never accepted", f.Changes-f.acceptedChanges, f.Changes)
 	}
-	for _, n := range w.nodes {
-		if !n.serves || n.activeVersion != w.state.Policy.CommittedVersion {
+	for _, n := range f.nodes {
+		if !n.serves || n.activeVersion != f.state.Policy.CommittedVersion {
 			_, why := n.agent.MayServe(n.clock())
-			w.fail("%s serves %v under version %d at the end (%s), expected version %d", n.name, n.serves,
-				n.activeVersion, why, w.state.Policy.CommittedVersion)
+			f.fail("at the end %s: serves = %v, version = %d (%s), want serves = true, version = %d", n.name, n.serves,
+				n.activeVersion, why, f.state.Policy.CommittedVersion)
 		}
 	}
-	// A lease, its margin by the group's count, and a clock a hundredth off: what design/policy.md promises.
-	over := int64(membership.LeaseSpanMS(uint64(w.Lease)))*10*101/100 + 500
-	broken, overlap := CheckFleet(w.History, FleetPromises{Overlap: over, Fences: w.Changes > 0})
-	w.Overlap = overlap
+	// A lease span by the group's clock, 1% of clock drift and 50 ms, in tenths of a ms, as docs/design/policy.md bounds
+	// the overlap.
+	maxOverlap := int64(membership.LeaseSpanMS(uint64(f.Lease)))*10*101/100 + 500
+	broken, overlap := CheckFleet(f.History, FleetPromises{Overlap: maxOverlap, Fences: f.Changes > 0})
+	f.Overlap = overlap
 	if broken != "" {
-		w.fail("%s", broken)
+		f.fail("%s", broken)
 	}
 }
--- a/internal/simulation/fleet_state_loss.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -12,250 +12,256 @@
 	"umberwinch/internal/control/zones"
 )
 
-// Loss of the group's state in virtual time: an older copy of its folders is put back, or none is left. The group
-// detects it by what nodes prove, an operator collects the nodes' records, and the next generation begins from
-// them, all by the real code. A leader of a former generation may go on answering nodes, as one does whose majority
-// was paused.
-
-// stateLoss is a schedule's state for it.
+// stateLoss simulates losses of the group's state: an older copy of its data folders is restored, or none is left.
+// The group detects the loss by positions that nodes prove, an operator collects the nodes' records, and the next
+// generation starts from them, all by the production code. A leader of a former generation may keep answering nodes.
 type stateLoss struct {
-	group         string
-	textOf        map[string]string // by hash
-	copies        []savedState
-	decidedHash   map[uint64]string // by version, as it was decided last
-	recorded      map[string]bool   // kind of event and hash of the text
-	versionsMade  int
-	stopped       bool // no instance runs: the state is lost, or being restored
-	lossNoticed   bool // an operator has seen that state is lost
-	gathering     bool // the operator collects nodes' records
-	nodeRecords   map[string]api.NodeRecord
-	formerLeaders []api.HeartbeatResponse // responses of former generations' leaders
-	firstEpoch    uint64                  // the zones' epoch that the present generation began with
+	groupID              string            // identity of the current generation's group
+	textByHash           map[string]string // version texts by hash
+	savedStates          []savedState
+	decidedHashes        map[uint64]string // hash last decided, by version
+	recordedEvents       map[string]bool   // by kind of event and hash of the text
+	versionsCreated      int
+	stopped              bool // no instance is running: the state is lost or being restored
+	restoreScheduled     bool // an operator has noticed the loss
+	collectingRecords    bool // an operator is collecting the nodes' records
+	nodeRecords          map[string]api.NodeRecord
+	formerResponses      []api.HeartbeatResponse // one response of each former generation's leader
+	generationStartEpoch uint64                  // zone epoch at the start of the current generation
 
-	Lost, Found, Restored int // losses, those that the group found by itself, and restorings
+	Losses, DetectedLosses, Restorations int // losses, losses detected by the group, restorations
 }
 
-// savedState is a copy of the group's folders.
+// savedState is a copy of the group's data folders.
 type savedState struct {
-	raw           []byte
+	snapshot      []byte
 	texts, hashes []string
 	index, term   uint64
-	known         map[uint64]policy.Step
-	events        int // of the history
+	changeSteps   map[uint64]policy.Step
+	historyLength int // length of Fleet.History
 }
 
-// copyIntervalMS is how often the folders are copied, in ms, maxCopies how many copies are there to be put back.
-const copyIntervalMS, maxCopies = 700, 24
+const (
+	saveIntervalMS = 700 // interval of copies of the folders
+	maxSavedStates = 24  // copies available for a restore
+)
 
-// scheduleStateLosses has the folders copied, and state lost, now and then.
-func (w *Fleet) scheduleStateLosses() {
-	if w.StateLosses == 0 {
+// scheduleStateLosses starts the copies, the zone drills and the epoch checks, and schedules the losses.
+func (f *Fleet) scheduleStateLosses() {
+	if f.StateLosses == 0 {
 		return
 	}
-	w.copyState()
-	w.checkEpochs()
-	w.drillZones()
-	for range w.StateLosses {
-		w.after(2000+w.random.Float64()*float64(w.Span), w.loseState)
+	f.saveState()
+	f.checkEpochs()
+	f.scheduleZoneDrills()
+	for range f.StateLosses {
+		f.after(2000+f.random.Float64()*float64(f.Span), f.loseState)
 	}
 }
 
-// copyState copies the folders now and then.
-func (w *Fleet) copyState() {
-	w.after(copyIntervalMS, w.copyState)
-	if w.stopped || w.state.Fleet.LostState != "" {
+// saveState copies the state of a running group periodically.
+func (f *Fleet) saveState() {
+	f.after(saveIntervalMS, f.saveState)
+	if f.stopped || f.state.Fleet.LostState != "" {
 		return
 	}
-	raw, err := w.state.Snapshot()
+	raw, err := f.state.Snapshot()
 	if err != nil {
-		w.fail("%v", err)
+		f.fail("%v", err)
 		return
 	}
-	w.copies = append(w.copies, savedState{raw: raw, texts: slices.Clone(w.texts), hashes: slices.Clone(w.hashes),
-		index: w.index, term: w.term, known: maps.Clone(w.steps), events: len(w.History)})
-	w.copies = w.copies[max(0, len(w.copies)-maxCopies):]
+	f.savedStates = append(f.savedStates, savedState{snapshot: raw, texts: slices.Clone(f.versionTexts),
+		hashes: slices.Clone(f.versionHashes), index: f.index, term: f.term,
+		changeSteps: maps.Clone(f.changeSteps), historyLength: len(f.History)})
+	f.savedStates = f.savedStates[max(0, len(f.savedStates)-maxSavedStates):]
 }
 
-// loseState has all instances end, and what is left of their folders is an older copy, or nothing.
-func (w *Fleet) loseState() {
-	if w.stopped || w.state.Fleet.LostState != "" || len(w.copies) == 0 || w.state.Policy.CommittedVersion < 2 {
+// loseState stops all instances and restores an older copy of their folders, or leaves no folders.
+func (f *Fleet) loseState() {
+	if f.stopped || f.state.Fleet.LostState != "" || len(f.savedStates) == 0 || f.state.Policy.CommittedVersion < 2 {
 		return
 	}
-	// What one node alone knows more is no proof, as it may lie: that is a limit of the design, and not played.
-	at := w.random.Intn(len(w.copies))
-	for at > 0 && w.nodesAhead(w.copies[at].index) == 1 {
+	// A single node's position proves no loss, since that node may be faulty. Such losses can't be detected, and are not
+	// simulated.
+	at := f.random.Intn(len(f.savedStates))
+	for at > 0 && f.nodesAhead(f.savedStates[at].index) == 1 {
 		at--
 	}
-	s := w.copies[at]
-	if w.nodesAhead(s.index) == 1 {
+	saved := f.savedStates[at]
+	if f.nodesAhead(saved.index) == 1 {
 		return
 	}
-	w.stopInstances()
-	w.Lost++
-	if w.random.Intn(3) == 0 {
-		w.after(500+w.random.Float64()*2000, func() { w.restoreGroup(w.random.Intn(2) == 0) })
+	f.stopInstances()
+	f.Losses++
+	if f.random.Intn(3) == 0 {
+		f.after(500+f.random.Float64()*2000, func() { f.restoreGroup(f.random.Intn(2) == 0) })
 		return
 	}
-	w.after(200+w.random.Float64()*3000, func() {
-		if err := w.restoreCopy(s); err != nil {
-			w.fail("%v", err)
+	f.after(200+f.random.Float64()*3000, func() {
+		if err := f.restoreState(saved); err != nil {
+			f.fail("%v", err)
 			return
 		}
-		w.stopped = false
-		w.startInstances()
+		f.stopped = false
+		f.startInstances()
 	})
 }
 
-// nodesAhead counts the nodes that were notified of entries after one.
-func (w *Fleet) nodesAhead(index uint64) (n int) {
-	for _, o := range w.nodes {
-		if o.agent != nil && o.agent.LastSeen().Group == w.group && o.agent.LastSeen().Index > index {
+// nodesAhead counts the nodes whose last seen position is after an index.
+func (f *Fleet) nodesAhead(index uint64) (n int) {
+	for _, o := range f.nodes {
+		if o.agent != nil && o.agent.LastSeen().Group == f.groupID && o.agent.LastSeen().Index > index {
 			n++
 		}
 	}
 	return n
 }
 
-// noticeLoss has an operator restore a group that found that it lost state.
-func (w *Fleet) noticeLoss() {
-	if w.state.Fleet.LostState == "" || w.lossNoticed {
+// scheduleRestoreOnLoss schedules a restoration once the group has detected that it lost state.
+func (f *Fleet) scheduleRestoreOnLoss() {
+	if f.state.Fleet.LostState == "" || f.restoreScheduled {
 		return
 	}
-	w.lossNoticed = true
-	w.Found++
-	w.after(1000+w.random.Float64()*5000, func() { w.restoreGroup(w.random.Intn(4) > 0) })
+	f.restoreScheduled = true
+	f.DetectedLosses++
+	f.after(1000+f.random.Float64()*5000, func() { f.restoreGroup(f.random.Intn(4) > 0) })
 }
 
-// stopInstances has no instance run any more.
-func (w *Fleet) stopInstances() {
-	w.stopped, w.leader = true, -1
-	for _, c := range w.instances {
+// stopInstances stops all instances.
+func (f *Fleet) stopInstances() {
+	f.stopped, f.leader = true, -1
+	for _, c := range f.instances {
 		c.up = false
 	}
 }
 
-// startInstances starts all instances.
-func (w *Fleet) startInstances() {
-	for _, c := range w.instances {
-		w.startInstance(c)
+// startInstances starts all instances and elects a leader.
+func (f *Fleet) startInstances() {
+	for _, c := range f.instances {
+		f.startInstance(c)
 	}
-	w.after(100+w.random.Float64()*900, w.elect)
+	f.after(100+f.random.Float64()*900, f.elect)
 }
 
-// restoreCopy puts a copy of the folders in place of what they held.
-func (w *Fleet) restoreCopy(s savedState) error {
-	p := coordinator.NewState(w.Without)
-	p.DisabledZoneGuards = w.WithoutZones
-	if err := p.Restore(s.raw); err != nil {
+// restoreState replaces the group's state by a saved one.
+func (f *Fleet) restoreState(saved savedState) error {
+	state := coordinator.NewState(f.Without)
+	state.DisabledZoneGuards = f.DisabledZoneGuards
+	if err := state.Restore(saved.snapshot); err != nil {
 		return err
 	}
-	w.dropUnnotified(p.Policy.DecidedVersion, s.events)
-	w.state, w.index, w.term, w.steps = p, s.index, s.term, s.known
-	w.texts, w.hashes = slices.Clone(s.texts), slices.Clone(s.hashes)
+	f.dropUnseenDecisions(state.Policy.DecidedVersion, saved.historyLength)
+	f.state, f.index, f.term, f.changeSteps = state, saved.index, saved.term, saved.changeSteps
+	f.versionTexts, f.versionHashes = slices.Clone(saved.texts), slices.Clone(saved.hashes)
 	return nil
 }
 
-// dropUnnotified takes what the group decided after a copy and told nobody off the history: nobody can know of it.
-func (w *Fleet) dropUnnotified(need uint64, events int) {
+// dropUnseenDecisions removes the lost decisions from the history that no node has seen: events after the first events
+// entries, of versions above minVersion and above the minimum version of every node.
+func (f *Fleet) dropUnseenDecisions(minVersion uint64, events int) {
 	notified := uint64(0)
-	for _, n := range w.nodes {
+	for _, n := range f.nodes {
 		if n.agent != nil {
-			notified = max(notified, n.agent.MinVersion(), n.record.MinVersion)
+			notified = max(notified, n.agent.MinVersion(), n.storedRecord.MinVersion)
 		}
 	}
-	kept := w.History[:min(events, len(w.History))]
-	for _, e := range w.History[len(kept):] {
-		if group := e.Kind != "serves" && e.Kind != "stops"; group && e.Version > max(notified, need) {
+	history := f.History[:min(events, len(f.History))]
+	for _, e := range f.History[len(history):] {
+		if group := e.Kind != "serves" && e.Kind != "stops"; group && e.Version > max(notified, minVersion) {
 			continue
 		}
-		kept = append(kept, e)
+		history = append(history, e)
 	}
-	w.History = kept
+	f.History = history
 }
 
-// storeRecord keeps on a node's disk what its record has.
+// storeRecord writes the agent's record to the node's disk.
 func (n *node) storeRecord() {
-	t := n.agent.LastSeen()
-	r := &n.record
+	position := n.agent.LastSeen()
+	r := &n.storedRecord
 	r.MinVersion, r.Cluster, r.ZoneOrder = n.agent.MinVersion(), n.agent.Cluster(), n.agent.StoredZoneOrder()
-	r.Generation, r.Term, r.Index, r.EntryChecksum = t.Generation, t.Term, t.Index, t.EntryChecksum
+	r.Generation, r.Term = position.Generation, position.Term
+	r.Index, r.EntryChecksum = position.Index, position.EntryChecksum
 }
 
-// handleResponse gives a node an answer, and holds it to its generation.
-func (n *node) handleResponse(no uint64, t api.HeartbeatResponse) bool {
-	was := n.agent.LastSeen().Generation
-	if n.agent.HandleResponse(n.clock(), no, t) != nil {
+// handleResponse passes a response to the agent, reports whether it was accepted, and checks that the node's generation
+// doesn't decrease.
+func (n *node) handleResponse(number uint64, response api.HeartbeatResponse) bool {
+	previous := n.agent.LastSeen().Generation
+	if n.agent.HandleResponse(n.clock(), number, response) != nil {
 		return false
 	}
-	if now := n.agent.LastSeen().Generation; now < was || t.Cluster != "" && max(1, t.Generation) < was {
-		n.fleet.fail("%s follows generation %d, and knew of %d", n.name, t.Generation, was)
+	if current := n.agent.LastSeen().Generation; current < previous ||
+		response.Cluster != "" && max(1, response.Generation) < previous {
+		n.fleet.fail("%s accepted a response of generation %d after generation %d", n.name, response.Generation, previous)
 	}
 	return true
 }
 
-// formerLeaderResponse is the response of a former generation's leader, which was paused meanwhile and answers
-// nodes at one of the addresses as before.
-func (w *Fleet) formerLeaderResponse(n *node, to int, a *api.HeartbeatRequest) (t api.HeartbeatResponse, answers bool) {
-	if len(w.formerLeaders) == 0 || w.Calm || to != 0 || w.random.Intn(4) != 0 {
-		return t, false
-	}
-	t = w.formerLeaders[w.random.Intn(len(w.formerLeaders))]
-	if t.Generation >= n.agent.LastSeen().Generation {
-		// A node that was not notified of a later generation may follow this one: a restored group waits for old
-		// leases.
-		return t, false
-	}
-	t.LeaseID, t.LeaseMS, t.Index = a.LeaseID, uint64(w.Lease), t.Index+uint64(w.random.Intn(5000))
-	return t, true
+// formerLeaderResponse returns the response of a former generation's leader that was paused and still answers at the
+// first address. ok is false if the current group answers.
+func (f *Fleet) formerLeaderResponse(n *node, to int, request *api.HeartbeatRequest) (
+	response api.HeartbeatResponse, ok bool) {
+	if len(f.formerResponses) == 0 || f.Calm || to != 0 || f.random.Intn(4) != 0 {
+		return response, false
+	}
+	response = f.formerResponses[f.random.Intn(len(f.formerResponses))]
+	if response.Generation >= n.agent.LastSeen().Generation {
+		// A node that knows no later generation may follow this one: a restored group waits until old leases have ended.
+		return response, false
+	}
+	response.LeaseID, response.LeaseMS = request.LeaseID, uint64(f.Lease)
+	response.Index += uint64(f.random.Intn(5000))
+	return response, true
 }
 
-// restoreGroup begins the next generation from the records that nodes send within some seconds, and from the
-// folders as they are, where the operator has them.
-func (w *Fleet) restoreGroup(folders bool) {
-	w.stopInstances()
-	w.gathering, w.nodeRecords = true, map[string]api.NodeRecord{}
-	w.after(7000, func() {
-		w.gathering = false
-		var all []api.NodeRecord
-		for _, n := range w.nodes {
-			if k, ok := w.nodeRecords[n.name]; ok {
-				all = append(all, k)
+// restoreGroup starts the next generation from the records that nodes send within 7 s, and from the group's state if
+// haveState.
+func (f *Fleet) restoreGroup(haveState bool) {
+	f.stopInstances()
+	f.collectingRecords, f.nodeRecords = true, map[string]api.NodeRecord{}
+	f.after(7000, func() {
+		f.collectingRecords = false
+		var records []api.NodeRecord
+		for _, n := range f.nodes {
+			if record, ok := f.nodeRecords[n.name]; ok {
+				records = append(records, record)
 			}
 		}
 		var base *recovery.StoredGroup
-		p := coordinator.NewState(w.Without)
-		p.DisabledZoneGuards = w.WithoutZones
-		if folders {
-			p = w.state
-			base = w.storedGroup(p)
+		state := coordinator.NewState(f.Without)
+		state.DisabledZoneGuards = f.DisabledZoneGuards
+		if haveState {
+			state = f.state
+			base = f.storedGroup(state)
 		}
-		found := recovery.PlanRestore(all, base, "")
+		plan := recovery.PlanRestore(records, base, "")
 		conflict := uint64(0)
-		if n, _ := fmt.Sscanf(found.Conflict, "version %d goes by", &conflict); n == 1 {
-			found = recovery.PlanRestore(all, base, w.decidedHash[conflict]) // as the operator has noted it
+		if n, _ := fmt.Sscanf(plan.Conflict, "version %d goes by", &conflict); n == 1 {
+			plan = recovery.PlanRestore(records, base, f.decidedHashes[conflict]) // the operator knows the decided hash
 		}
-		if found.Conflict != "" || !folders && found.Version == 0 || len(all) < len(w.nodes) {
-			// The record of some node that may serve is missing: collect once more.
-			w.after(3000, func() { w.restoreGroup(folders) })
+		if plan.Conflict != "" || !haveState && plan.Version == 0 || len(records) < len(f.nodes) {
+			// Unresolved, or the record of a node that may serve is missing: collect again.
+			f.after(3000, func() { f.restoreGroup(haveState) })
 			return
 		}
-		w.beginGeneration(p, found, folders)
+		f.beginGeneration(state, plan, haveState)
 	})
 }
 
-// storedGroup is what the group's folders tell of it.
-func (w *Fleet) storedGroup(p *coordinator.State) *recovery.StoredGroup {
+// storedGroup returns the group's identity and state as read from its folders.
+func (f *Fleet) storedGroup(state *coordinator.State) *recovery.StoredGroup {
 	stored := &recovery.StoredGroup{
-		GroupIdentity:    api.GroupIdentity{Group: w.group, Generation: p.Generation, Predecessors: p.Predecessors},
-		LastVersion:      w.Last(),
-		DecidedVersion:   p.Policy.DecidedVersion,
-		CommittedVersion: p.Policy.CommittedVersion,
-		Index:            p.Index,
-		ZoneEpoch:        p.Zones.Epoch,
-		TextOf:           w.Text,
-		LeaseMS:          p.Policy.ActiveRules().LeaseMS,
-	}
-	for _, n := range p.Fleet.Nodes() {
+		GroupIdentity:    api.GroupIdentity{Group: f.groupID, Generation: state.Generation, Predecessors: state.Predecessors},
+		LastVersion:      f.Last(),
+		DecidedVersion:   state.Policy.DecidedVersion,
+		CommittedVersion: state.Policy.CommittedVersion,
+		Index:            state.Index,
+		ZoneEpoch:        state.Zones.Epoch,
+		TextOf:           f.Text,
+		LeaseMS:          state.Policy.ActiveRules().LeaseMS,
+	}
+	for _, n := range state.Fleet.Nodes() {
 		if n.OutReason == "" {
 			stored.Nodes = append(stored.Nodes, n.Name)
 		}
@@ -263,93 +269,94 @@
 	return stored
 }
 
-// beginGeneration makes what was found the first state of the next generation.
-func (w *Fleet) beginGeneration(p *coordinator.State, found *recovery.RestorePlan, folders bool) {
-	w.formerLeaders = append(w.formerLeaders, api.HeartbeatResponse{
-		Cluster:          w.group,
-		Generation:       max(1, found.Lost.Generation),
-		Predecessors:     w.state.Predecessors,
-		Term:             w.term + 1,
-		Index:            w.index,
-		DecidedVersion:   w.state.Policy.DecidedVersion,
-		CommittedVersion: api.VersionHash{Version: w.state.Policy.CommittedVersion, Hash: w.state.Policy.CommittedHash},
-		ClockMS:          w.state.Fleet.ClockMS,
+// beginGeneration starts the next generation from a restore plan.
+func (f *Fleet) beginGeneration(state *coordinator.State, plan *recovery.RestorePlan, haveState bool) {
+	f.formerResponses = append(f.formerResponses, api.HeartbeatResponse{
+		Cluster:          f.groupID,
+		Generation:       max(1, plan.Lost.Generation),
+		Predecessors:     f.state.Predecessors,
+		Term:             f.term + 1,
+		Index:            f.index,
+		DecidedVersion:   f.state.Policy.DecidedVersion,
+		CommittedVersion: api.VersionHash{Version: f.state.Policy.CommittedVersion, Hash: f.state.Policy.CommittedHash},
+		ClockMS:          f.state.Fleet.ClockMS,
 	})
-	if !folders {
-		w.texts, w.hashes, w.index, w.term = nil, nil, 1, 1
+	if !haveState {
+		f.versionTexts, f.versionHashes, f.index, f.term = nil, nil, 1, 1
 	}
-	if found.Version > 0 {
-		if _, hash, ok := w.Text(found.Version); !ok || hash != found.Hash {
-			for uint64(len(w.texts)) < found.Version {
-				w.texts, w.hashes = append(w.texts, ""), append(w.hashes, "")
+	if plan.Version > 0 {
+		if _, hash, ok := f.Text(plan.Version); !ok || hash != plan.Hash {
+			for uint64(len(f.versionTexts)) < plan.Version {
+				f.versionTexts, f.versionHashes = append(f.versionTexts, ""), append(f.versionHashes, "")
 			}
-			w.texts, w.hashes = w.texts[:found.Version], w.hashes[:found.Version]
-			w.texts[found.Version-1], w.hashes[found.Version-1] = found.Text, found.Hash
+			f.versionTexts, f.versionHashes = f.versionTexts[:plan.Version], f.versionHashes[:plan.Version]
+			f.versionTexts[plan.Version-1], f.versionHashes[plan.Version-1] = plan.Text, plan.Hash
 		}
 	}
-	w.dropUnnotified(found.Version, 0)
-	if err := p.BeginGeneration(found, w); err != nil {
-		w.fail("%v", err)
+	f.dropUnseenDecisions(plan.Version, 0)
+	if err := state.BeginGeneration(plan, f); err != nil {
+		f.fail("%v", err)
 		return
 	}
-	w.state, w.firstEpoch = p, p.Zones.Epoch
-	w.group = fmt.Sprintf("g%d-%d", p.Generation, w.Lost)
-	w.steps = map[uint64]policy.Step{}
-	for _, c := range p.Policy.History {
-		w.steps[c.Number] = c.Step
+	f.state, f.generationStartEpoch = state, state.Zones.Epoch
+	f.groupID = fmt.Sprintf("g%d-%d", state.Generation, f.Losses)
+	f.changeSteps = map[uint64]policy.Step{}
+	for _, c := range state.Policy.History {
+		f.changeSteps[c.Number] = c.Step
 	}
-	w.recordRestore(found)
-	w.copies, w.lossNoticed, w.stopped = nil, false, false
-	w.Restored++
-	w.startInstances()
+	f.recordRestore(plan)
+	f.savedStates, f.restoreScheduled, f.stopped = nil, false, false
+	f.Restorations++
+	f.startInstances()
 }
 
-// recordRestore records what a restoring decided: the version in force, if it was not before.
-func (w *Fleet) recordRestore(found *recovery.RestorePlan) {
-	for _, e := range w.History {
-		if e.Kind == "decided" && e.Version == found.Version {
+// recordRestore records the plan's version as decided and committed, unless the history has its decision.
+func (f *Fleet) recordRestore(plan *recovery.RestorePlan) {
+	for _, e := range f.History {
+		if e.Kind == "decided" && e.Version == plan.Version {
 			return
 		}
 	}
-	if v := found.Version; v > 0 && found.Hash != "" {
-		w.recordEvent(FleetEvent{Kind: "decided", Version: v, From: found.SourceVersion})
-		w.recordEvent(FleetEvent{Kind: "forced", Version: v})
+	if v := plan.Version; v > 0 && plan.Hash != "" {
+		f.recordEvent(FleetEvent{Kind: "decided", Version: v, From: plan.SourceVersion})
+		f.recordEvent(FleetEvent{Kind: "forced", Version: v})
 	}
 }
 
-// collectRecord has whoever restores the group hear what a node holds.
-func (w *Fleet) collectRecord(n *node) {
+// collectRecord adds a node's record to those that the operator collects.
+func (f *Fleet) collectRecord(n *node) {
 	if !n.up || n.partitioned {
 		return
 	}
 	n.storeRecord()
-	r := n.record
-	k := api.NodeRecord{
+	r := n.storedRecord
+	record := api.NodeRecord{
 		Name: n.name, Zone: fmt.Sprint("z", n.zone), Addr: n.name,
 		Group: r.Cluster, Generation: max(1, r.Generation), Term: r.Term, Index: r.Index,
 		ActiveVersion: n.agent.ActiveVersion(), MinVersion: r.MinVersion, LeaseMS: n.agent.LeaseDuration(),
 	}
-	if k.ActiveVersion > 0 {
-		k.ActiveHash, k.ActiveText = r.ActiveHash, w.textOf[r.ActiveHash]
+	if record.ActiveVersion > 0 {
+		record.ActiveHash, record.ActiveText = r.ActiveHash, f.textByHash[r.ActiveHash]
 	}
-	if v := n.prepared.Version; v > k.ActiveVersion && n.agent.IsPrepared(v) {
-		k.PreparedVersion, k.PreparedHash, k.PreparedText = v, n.prepared.Hash, w.textOf[n.prepared.Hash]
+	if v := n.lastPrepared.Version; v > record.ActiveVersion && n.agent.IsPrepared(v) {
+		record.PreparedVersion, record.PreparedHash = v, n.lastPrepared.Hash
+		record.PreparedText = f.textByHash[n.lastPrepared.Hash]
 	}
 	if z := r.ZoneOrder; z != nil {
-		k.ZoneEpoch, k.ZoneShare = z.Epoch, z.Share
+		record.ZoneEpoch, record.ZoneShare = z.Epoch, z.Share
 	}
-	w.nodeRecords[n.name] = k
+	f.nodeRecords[n.name] = record
 }
 
-// checkEpochs holds every node that serves to the group's generation and epoch: once an epoch of the present
-// generation has settled, nobody acts on a former generation, nor on an older epoch of this one.
-func (w *Fleet) checkEpochs() {
-	w.after(50, w.checkEpochs)
-	settled, generation := w.state.Zones.SettledEpoch, w.state.Generation
-	if w.stopped || w.state.Fleet.LostState != "" || settled <= w.firstEpoch {
+// checkEpochs checks periodically that, once an epoch of the current generation has settled, no serving node acts on a
+// former generation or on an older epoch.
+func (f *Fleet) checkEpochs() {
+	f.after(50, f.checkEpochs)
+	settled, generation := f.state.Zones.SettledEpoch, f.state.Generation
+	if f.stopped || f.state.Fleet.LostState != "" || settled <= f.generationStartEpoch {
 		return
 	}
-	for _, n := range w.nodes {
+	for _, n := range f.nodes {
 		if !n.up || n.paused || !n.serves {
 			continue
 		}
@@ -359,29 +366,29 @@
 		o, gen := n.agent.ZoneOrder(), n.agent.LastSeen().Generation
 		switch {
 		case gen < generation:
-			w.fail("%s serves by generation %d, and epoch %d of %d has settled", n.name, gen, settled, generation)
+			f.fail("%s serves under generation %d, but epoch %d of generation %d has settled", n.name, gen, settled, generation)
 		case gen == generation && o != nil && n.agent.StoredZoneOrder().Epoch == o.Epoch && o.Epoch < settled:
-			w.fail("%s acts on epoch %d, and %d is settled", n.name, o.Epoch, settled)
+			f.fail("%s acts on epoch %d, but epoch %d has settled", n.name, o.Epoch, settled)
 		}
 	}
 }
 
-// drillZones has an operator leave and return a zone now and then, so that there are epochs to be stale about.
-func (w *Fleet) drillZones() {
-	w.after(1500+w.random.Float64()*3000, w.drillZones)
-	if w.leader < 0 || !w.instances[w.leader].up || w.state.Fleet.LostState != "" {
+// scheduleZoneDrills evacuates zones and returns them at random times, so that the zone epoch changes.
+func (f *Fleet) scheduleZoneDrills() {
+	f.after(1500+f.random.Float64()*3000, f.scheduleZoneDrills)
+	if f.leader < 0 || !f.instances[f.leader].up || f.state.Fleet.LostState != "" {
 		return
 	}
-	zone := fmt.Sprint("z", w.random.Intn(w.Zones))
+	zone := fmt.Sprint("z", f.random.Intn(f.Zones))
 	op := zones.Op{Kind: zones.OpEvacuate, Zone: zone, Operator: "lab", Reason: "a drill",
-		IdempotencyKey: fmt.Sprintf("drill-%08.0f", w.Now)}
-	if step, _ := w.state.Zones.PhaseOf(zone); step != zones.InService {
-		op.Kind, op.Share = "step", 1+w.random.Intn(api.FullShare)
+		IdempotencyKey: fmt.Sprintf("drill-%08.0f", f.Now)}
+	if step, _ := f.state.Zones.PhaseOf(zone); step != zones.InService {
+		op.Kind, op.Share = "step", 1+f.random.Intn(api.FullShare)
 	}
-	w.instances[w.leader].coordinator.SubmitZone(w.state, op, func(zones.Result, error) {})
+	f.instances[f.leader].coordinator.SubmitZone(f.state, op, func(zones.Result, error) {})
 }
 
-// DrawStateLoss draws a schedule in which a group loses state.
+// DrawStateLoss returns the plan of a schedule with two state losses.
 func DrawStateLoss(seed int64, without policy.Guard) FleetPlan {
 	return FleetPlan{Seed: seed, Nodes: 9, Ctl: 3, Changes: 5, StateLosses: 2, Without: without,
 		ZoneRules: "[zones]\ndecide = ask\n"}
--- a/internal/simulation/pools.go
+++ b/internal/simulation/pools.go
@@ -13,59 +13,59 @@
 	"umberwinch/internal/report"
 )
 
-// Pools is a run of `umberctl faulttest pools`: each scenario in virtual time with pools, without, with fixed ones,
-// and with a plain pool before a short queue, from the same seed.
+// Pools runs `umberctl faulttest pools`: each scenario in virtual time with pools, without pools, with fixed pool
+// limits, and with a plain FIFO queue, all from the same seed.
 type Pools struct {
 	Seed    int64
 	Quick   bool
-	Size    int // servers
+	Size    int // servers; 0 for the default
 	Out     string
-	Without string // reserve, limits or heavy
-	Only    string // one scenario
+	Without string // the disabled guard, one of PoolGuards; empty: none
+	Only    string // name of the scenario to run; empty: all
 }
 
-// Run plays all scenarios in all ways and reports.
+// Run simulates all scenarios in all variants and writes the report.
 func (r *Pools) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "pools", Title: "Pools of run slots, in virtual time",
-		Head: []string{"SCENARIO", "CLASS", "ASKED", "POOLS", "OFF", "FIXED", "PLAIN", "95TH POOLS", "95TH OFF"}}
+		Head: []string{"SCENARIO", "CLASS", "OFFERED", "POOLS", "OFF", "FIXED", "PLAIN", "95TH POOLS", "95TH OFF"}}
 	size := r.Size
 	if size == 0 {
 		if size = 24; r.Quick {
 			size = 6
 		}
 	}
-	scenarios, err := r.scenarios()
+	scenarios, err := r.loadScenarios()
 	if err != nil {
 		return nil, err
 	}
 	started := time.Now()
-	outcomes := r.playAll(ctx, scenarios, size)
+	results := r.simulateAll(ctx, scenarios, size)
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
 	rep.AddFigure("seed", "%d", r.Seed)
 	rep.AddFigure("servers", "%d", size)
-	least, requests := 1.0, 0
+	minInTime, requests := 1.0, 0
 	for i, s := range scenarios {
-		o := outcomes[i]
+		o := results[i]
 		for k := range s.Classes {
 			for _, variant := range poolVariants {
 				requests += o[variant].classes[k].offered
 			}
 		}
-		rep.Rows = append(rep.Rows, s.rows(o)...)
-		r.check(rep, s, o, &least)
+		rep.Rows = append(rep.Rows, s.tableRows(o)...)
+		r.checkScenario(rep, s, o, &minInTime)
 		rep.Plots = append(rep.Plots, limitPlot(s, o["pools"]), servedPlot(s, o))
 	}
 	rep.AddFigure("scenarios", "%d", len(scenarios))
 	rep.AddFigure("reqs", "%d", requests)
-	rep.AddFigure("cheapest_least", "%.3f", least)
+	rep.AddFigure("cheapest_least", "%.3f", minInTime)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("%.1f s for %d reqs", time.Since(started).Seconds(), requests))
 	return rep.Finish(r.Out, w)
 }
 
-// scenarios reads all scenarios, or the one that is named.
-func (r *Pools) scenarios() ([]*Scenario, error) {
+// loadScenarios reads all scenarios, or the selected one.
+func (r *Pools) loadScenarios() ([]*Scenario, error) {
 	files, err := scenarioFiles.ReadDir("scenarios")
 	if err != nil {
 		return nil, err
@@ -87,15 +87,16 @@
 		all = append(all, s)
 	}
 	if len(all) == 0 {
-		return nil, fmt.Errorf("no scenario %q", r.Only)
+		return nil, fmt.Errorf("scenario %q does not exist", r.Only)
 	}
 	return all, nil
 }
 
-// rows are a scenario's in the table: each class's share done in time by each way, then the value done.
-func (s *Scenario) rows(o map[string]*outcome) (rows [][]string) {
+// tableRows gives the scenario's rows of the report: for each class the fraction completed in time by each variant,
+// then the completed value.
+func (s *Scenario) tableRows(o map[string]*variantResult) (rows [][]string) {
 	percentile95 := func(variant string, k int) string {
-		return report.FormatMilliseconds(o[variant].classes[k].times.ValueAtQuantile(95) / 10)
+		return report.FormatMilliseconds(o[variant].classes[k].latencies.ValueAtQuantile(95) / 10)
 	}
 	value := []string{"", "value", ""}
 	for k := range s.Classes {
@@ -106,66 +107,69 @@
 		rows = append(rows, append(row, percentile95("pools", k), percentile95("off", k)))
 	}
 	for _, variant := range poolVariants {
-		value = append(value, fmt.Sprintf("%.0f", o[variant].value))
+		value = append(value, fmt.Sprintf("%.0f", o[variant].completedValue))
 	}
-	return append(rows, append(value, fmt.Sprintf("%.1f runs a core", o["pools"].peakRuns), ""))
+	return append(rows, append(value, fmt.Sprintf("%.1f runs per core", o["pools"].peakRuns), ""))
 }
 
-func (r *Pools) playAll(ctx context.Context, all []*Scenario, size int) []map[string]*outcome {
-	done := make([]map[string]*outcome, len(all))
-	for i := range done {
-		done[i] = map[string]*outcome{}
+// simulateAll simulates each scenario in each variant and returns the results by scenario and variant.
+func (r *Pools) simulateAll(ctx context.Context, scenarios []*Scenario, size int) []map[string]*variantResult {
+	results := make([]map[string]*variantResult, len(scenarios))
+	for i := range results {
+		results[i] = map[string]*variantResult{}
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	room := make(chan struct{}, runtime.GOMAXPROCS(0))
-	for i, s := range all {
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	for i, s := range scenarios {
 		for _, variant := range poolVariants {
-			room <- struct{}{}
+			slots <- struct{}{}
 			wg.Add(1)
 			go func() {
-				defer func() { <-room; wg.Done() }()
+				defer func() { <-slots; wg.Done() }()
 				if ctx.Err() != nil {
 					return
 				}
-				o := s.play(r.Seed, size, variant, r.Without)
+				o := s.simulate(r.Seed, size, variant, r.Without)
 				mu.Lock()
-				done[i][variant] = o
+				results[i][variant] = o
 				mu.Unlock()
 			}()
 		}
 	}
 	wg.Wait()
-	return done
+	return results
 }
 
-// check holds one scenario to the promises.
-func (r *Pools) check(rep *report.Report, s *Scenario, o map[string]*outcome, least *float64) {
+// checkScenario checks the invariants of one scenario and lowers minInTime to the cheapest class's fraction in time.
+func (r *Pools) checkScenario(rep *report.Report, s *Scenario, o map[string]*variantResult, minInTime *float64) {
 	with, off := o["pools"], o["off"]
-	cheap := &with.classes[s.Cheapest]
-	good := float64(cheap.withinQuotaInTime) / float64(max(1, cheap.withinQuota)) // of tenants within their share
-	if !s.exempt {
-		*least = min(*least, good)
-		if good < minCheapestInTime {
-			rep.SetBroken("%s: %.3f of %s in time, expected %.2f", s.name, good, s.Classes[s.Cheapest].Name,
+	cheapest := &with.classes[s.Cheapest]
+	// Of tenants within their quota.
+	inTime := float64(cheapest.withinQuotaInTime) / float64(max(1, cheapest.withinQuota))
+	if !s.exemptCheapest {
+		*minInTime = min(*minInTime, inTime)
+		if inTime < minCheapestInTime {
+			rep.SetBroken("%s: %.3f of %s completed in time, want at least %.2f", s.name, inTime, s.Classes[s.Cheapest].Name,
 				minCheapestInTime)
 		}
 	}
 	if a, b := with.classes[s.Dearest].inTimeFraction(), off.classes[s.Dearest].inTimeFraction(); a < b-maxDearestLoss {
-		rep.SetBroken("%s: %.3f of %s in time with pools, %.3f without", s.name, a, s.Classes[s.Dearest].Name, b)
+		rep.SetBroken("%s: %.3f of %s completed in time with pools, %.3f without", s.name, a, s.Classes[s.Dearest].Name, b)
 	}
-	for _, h := range s.targets {
-		if got := with.classes[h.class].inTimeFraction(); got < h.fraction {
-			rep.SetBroken("%s: %.3f of %s in time, expected %.2f", s.name, got, s.Classes[h.class].Name, h.fraction)
+	for _, target := range s.targets {
+		if got := with.classes[target.class].inTimeFraction(); got < target.fraction {
+			rep.SetBroken("%s: %.3f of %s completed in time, want at least %.2f", s.name, got, s.Classes[target.class].Name,
+				target.fraction)
 		}
 	}
-	if with.peakRuns > 5 { // what the emulated cores survive; the module keeps a fifth off it
-		rep.SetBroken("%s: %.1f runs a core", s.name, with.peakRuns)
+	if with.peakRuns > 5 { // the emulated cores lose throughput above it
+		rep.SetBroken("%s: %.1f runs per core, want at most 5", s.name, with.peakRuns)
 	}
 }
 
-func limitPlot(s *Scenario, o *outcome) report.Plot {
-	p := report.Plot{Title: s.name + ": limits at one server (30: none)", X: "s", Y: "run slots"}
+func limitPlot(s *Scenario, o *variantResult) report.Plot {
+	p := report.Plot{Title: s.name + ": pool limits of one server (30: unlimited)", X: "s", Y: "run slots"}
 	for k := range s.Classes {
 		l := report.Line{Name: s.Classes[k].Name}
 		for i, row := range o.limits {
@@ -176,15 +180,15 @@
 	return p
 }
 
-func servedPlot(s *Scenario, o map[string]*outcome) report.Plot {
-	p := report.Plot{Title: s.name + ": " + s.Classes[s.Cheapest].Name + " done in time", X: "s", Y: "share"}
+func servedPlot(s *Scenario, o map[string]*variantResult) report.Plot {
+	p := report.Plot{Title: s.name + ": " + s.Classes[s.Cheapest].Name + " completed in time", X: "s", Y: "share"}
 	for _, variant := range poolVariants {
 		l := report.Line{Name: variant}
 		t := &o[variant].classes[s.Cheapest]
-		for i := 5; i+5 < len(t.arrived); i += 5 {
+		for i := 5; i+5 < len(t.arrivedPerSecond); i += 5 {
 			arrived, served := 0, 0
 			for k := i; k < i+5; k++ {
-				arrived, served = arrived+t.arrived[k], served+t.served[k]
+				arrived, served = arrived+t.arrivedPerSecond[k], served+t.inTimePerSecond[k]
 			}
 			if arrived > 0 {
 				l.Points = append(l.Points, [2]float64{float64(i), float64(served) / float64(arrived)})
--- a/internal/simulation/schedules_test.go
+++ b/internal/simulation/schedules_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// scheduleCount is how many schedules a test plays: as many as UMBERWINCH_SCHEDULES says, or its own number.
-func scheduleCount(t *testing.T, otherwise int) int {
+// scheduleCount returns the number of schedules that a test runs: UMBERWINCH_SCHEDULES, or fallback if it is unset.
+func scheduleCount(t *testing.T, fallback int) int {
 	t.Helper()
 	text := os.Getenv("UMBERWINCH_SCHEDULES")
 	if text == "" {
-		return otherwise
+		return fallback
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 1 {
