--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -9,69 +9,66 @@
 	"umberwinch/admission"
 )
 
-// One server in virtual time: cores shared by what runs, clients that send whether or not they are answered, and a
-// decider between them, the admission module or a baseline. It goes from event to event, so that hours take
-// seconds.
-
+// virtualTime is in tenths of a millisecond.
 type virtualTime = admission.Time
 
 const second = admission.Second
 
-// decider is the module, or what it is compared with.
+// decider decides about requests: the admission module or a baseline.
 type decider interface {
 	Decide(r *admission.Round, w admission.Writer)
 }
 
-// Class is what one class's requests are like at the moment.
+// Class describes the current workload of one request class.
 type Class struct {
-	Name        string
-	Handler     admission.Handler
-	Work        float64 // tenths of a ms in the mean
-	WorkSigma   float64 // sigma of a log-normal spread, 0 for none
-	Rate        float64 // requests a second at a server
-	HeavyShare  float64 // share of requests that take HeavyFactor times the work
-	HeavyFactor float64
-	hangs       float64 // share of runs that never end
-	surge       int     // tenant that asks more, -1 for none
-	surgeBy     float64
-	tries       int         // further attempts after one was shed
-	arrivals    virtualTime // when the next one comes
+	Name          string
+	Handler       admission.Handler
+	Work          float64 // mean work, tenths of a ms
+	WorkSigma     float64 // sigma of the log-normal distribution of work, 0 for constant work
+	Rate          float64 // requests per second per server
+	HeavyShare    float64 // fraction of requests with HeavyFactor times the work
+	HeavyFactor   float64
+	hangFraction  float64 // fraction of runs that never end
+	surgingTenant int     // tenant with surgeFactor times the requests of another, -1 for none
+	surgeFactor   float64
+	maxRetries    int         // attempts after the first one was shed
+	nextArrival   virtualTime // time of the next request
 }
 
-// tallies count what became of a class's requests.
-type tallies struct {
+// classResults counts the outcomes of a class's requests.
+type classResults struct {
 	offered, inTime                int
-	withinQuota, withinQuotaInTime int                     // of tenants that don't surge
-	times                          *hdrhistogram.Histogram // of those done, from the first attempt, in tenths of a ms
-	served                         []int                   // in time, by second
-	arrived                        []int
+	withinQuota, withinQuotaInTime int                     // of tenants other than the surging one
+	latencies                      *hdrhistogram.Histogram // from the first attempt to the end of the run, tenths of a ms
+	inTimePerSecond                []int                   // within the latency objective, by second of the first attempt
+	arrivedPerSecond               []int
 }
 
-func newTallies(classes int, span virtualTime) []tallies {
-	all := make([]tallies, classes)
+func newClassResults(classes int, span virtualTime) []classResults {
+	all := make([]classResults, classes)
 	for k := range all {
-		all[k] = tallies{times: hdrhistogram.New(1, 10_000_000, 2), served: make([]int, span/second+2),
-			arrived: make([]int, span/second+2)}
+		all[k] = classResults{latencies: hdrhistogram.New(1, 10_000_000, 2), inTimePerSecond: make([]int, span/second+2),
+			arrivedPerSecond: make([]int, span/second+2)}
 	}
 	return all
 }
 
-// add adds another server's.
-func (t *tallies) add(o *tallies) {
+// add adds the results of another server.
+func (t *classResults) add(o *classResults) {
 	t.offered, t.inTime = t.offered+o.offered, t.inTime+o.inTime
 	t.withinQuota, t.withinQuotaInTime = t.withinQuota+o.withinQuota, t.withinQuotaInTime+o.withinQuotaInTime
-	t.times.Merge(o.times)
-	for i := range t.served {
-		t.served[i] += o.served[i]
-		t.arrived[i] += o.arrived[i]
+	t.latencies.Merge(o.latencies)
+	for i := range t.inTimePerSecond {
+		t.inTimePerSecond[i] += o.inTimePerSecond[i]
+		t.arrivedPerSecond[i] += o.arrivedPerSecond[i]
 	}
 }
 
 type attempt struct {
 	class, tenant int
-	first         virtualTime // of the first attempt
+	firstArrived  virtualTime // time of the first attempt
 	arrived       virtualTime
-	try           int
+	number        int
 	answered      bool
 	start         virtualTime
 	work          float64
@@ -79,61 +76,62 @@
 	caller        uint32
 }
 
-// run is one run: it ends when the service that each run has had reaches a sum.
+// run ends when server.servicePerRun reaches endsAt.
 type run struct {
-	id   uint32
-	ends float64
+	id     uint32
+	endsAt float64
 }
 
-func (r run) before(o run) bool { return r.ends < o.ends }
+func (r run) before(o run) bool { return r.endsAt < o.endsAt }
 
 type retry struct {
-	at  virtualTime
-	seq uint32
-	req attempt
+	at      virtualTime
+	id      uint32
+	attempt attempt
 }
 
-func (r retry) before(o retry) bool { return r.at < o.at || r.at == o.at && r.seq < o.seq }
+func (r retry) before(o retry) bool { return r.at < o.at || r.at == o.at && r.id < o.id }
 
-// server is one emulated server.
+// server simulates one server: cores shared equally among the runs, open-loop clients, and a decider that admits
+// requests. It is the decider's admission.Writer.
 type server struct {
-	random        *rand.Rand // draws all requests and their work: the same whatever is decided
+	random        *rand.Rand // arrivals and work; independent of the decisions
 	decider       decider
 	now           virtualTime
 	cores         float64
-	overloadRatio float64 // runs a core past which the cores lose speed
+	overloadRatio float64 // runs per core above which the total throughput falls
 	classes       []Class
 	tenants       int
-	next          uint32
-	open          map[uint32]*attempt
+	lastID        uint32
+	requests      map[uint32]*attempt // open attempts by request ID
 	runs          priorityQueue[run]
-	hung          int
-	service       float64 // what each run has had since the start
+	hungRuns      int     // runs that never end
+	servicePerRun float64 // core time that a run has received since the start, tenths of a ms
 	retries       priorityQueue[retry]
-	wake          virtualTime
-	out           []tallies
-	peakRuns      float64 // runs a core at most
+	wakeAt        virtualTime // time of the decider's timer, -1 for none
+	results       []classResults
+	peakRuns      float64 // highest number of runs per core
 	drained       bool
 }
 
-func newEmulatedServer(seed int64, d decider, cores int, classes []Class, tenants int, span virtualTime) *server {
+func newServer(seed int64, d decider, cores int, classes []Class, tenants int, span virtualTime) *server {
 	s := &server{random: rand.New(rand.NewSource(seed)), decider: d, now: second, cores: float64(cores),
-		overloadRatio: 5, tenants: tenants, open: map[uint32]*attempt{}, wake: -1}
+		overloadRatio: 5, tenants: tenants, requests: map[uint32]*attempt{}, wakeAt: -1}
 	s.classes = append(s.classes, classes...)
-	s.out = newTallies(len(classes), span)
+	s.results = newClassResults(len(classes), span)
 	for k := range s.classes {
-		s.classes[k].arrivals = s.now + s.gap(k)
+		s.classes[k].nextArrival = s.now + s.drawInterarrival(k)
 	}
-	s.round(&admission.Round{})
+	s.decide(&admission.Round{})
 	return s
 }
 
-// gap draws the time to a class's next request.
-func (s *server) gap(k int) virtualTime {
+// drawInterarrival draws the time until the next request of a class. A rate of 0 counts as ten per second.
+func (s *server) drawInterarrival(k int) virtualTime {
 	c := &s.classes[k]
 	rate := c.Rate
-	if c.surge >= 0 {
-		rate *= 1 + (c.surgeBy-1)/float64(s.tenants)
+	if c.surgingTenant >= 0 {
+		rate *= 1 + (c.surgeFactor-1)/float64(s.tenants)
 	}
 	if rate <= 0 {
 		return second / 10
@@ -141,73 +139,83 @@
 	return max(1, virtualTime(s.random.ExpFloat64()/rate*float64(second)))
 }
 
-// speed is how fast each run goes.
-func (s *server) speed() float64 {
-	n := float64(len(s.runs) + s.hung)
+// runSpeed is the fraction of a core that each run receives.
+func (s *server) runSpeed() float64 {
+	n := float64(len(s.runs) + s.hungRuns)
 	if n <= s.cores {
 		return 1
 	}
 	v := s.cores / n
 	if over := n / s.cores / s.overloadRatio; over > 1 {
-		v /= over // past what it survives it gets less done the more it does at once
+		v /= over // overloaded: throughput falls as runs are added
 	}
 	return v
 }
 
+// advance moves the clock and adds the service that the runs receive until then.
 func (s *server) advance(to virtualTime) {
 	if dt := float64(to - s.now); dt > 0 {
-		n := float64(len(s.runs) + s.hung)
-		s.service += dt * s.speed()
+		n := float64(len(s.runs) + s.hungRuns)
+		s.servicePerRun += dt * s.runSpeed()
 		s.peakRuns = max(s.peakRuns, n/s.cores)
 		s.now = to
 	}
 }
 
-// runUntil goes on to a moment.
+// Kinds of the next event of a server; an index of a class stands for its next arrival.
+const (
+	noEvent = -1 - iota
+	runEndEvent
+	wakeUpEvent
+	retryEvent
+)
+
+// runUntil runs all events before end.
 func (s *server) runUntil(end virtualTime) {
 	for {
-		at, what := end, -1
+		at, next := end, noEvent
 		for k := range s.classes {
-			if a := s.classes[k].arrivals; a < at {
-				at, what = a, k
+			if a := s.classes[k].nextArrival; a < at {
+				at, next = a, k
 			}
 		}
 		if len(s.runs) > 0 {
-			left := (s.runs[0].ends - s.service) / s.speed()
+			left := (s.runs[0].endsAt - s.servicePerRun) / s.runSpeed()
 			if a := s.now + virtualTime(math.Ceil(max(left, 0))); a < at {
-				at, what = a, -2
+				at, next = a, runEndEvent
 			}
 		}
-		if s.wake >= 0 && s.wake < at {
-			at, what = s.wake, -3
+		if s.wakeAt >= 0 && s.wakeAt < at {
+			at, next = s.wakeAt, wakeUpEvent
 		}
 		if len(s.retries) > 0 && s.retries[0].at < at {
-			at, what = s.retries[0].at, -4
+			at, next = s.retries[0].at, retryEvent
 		}
 		s.advance(max(at, s.now))
 		switch {
-		case what >= 0:
-			s.arrive(what)
-		case what == -2:
+		case next >= 0:
+			s.arrive(next)
+		case next == runEndEvent:
 			s.endRun()
-		case what == -3:
-			s.wake = -1
-			s.round(&admission.Round{TimerFired: true, HasGauges: true,
-				Gauges: admission.Gauges{Runnable: float64(len(s.runs) + s.hung), OpenConnections: 10}})
-		case what == -4:
+		case next == wakeUpEvent:
+			s.wakeAt = -1
+			s.decide(&admission.Round{TimerFired: true, HasGauges: true,
+				Gauges: admission.Gauges{Runnable: float64(len(s.runs) + s.hungRuns), OpenConnections: 10}})
+		case next == retryEvent:
 			a := s.retries.take()
-			s.sendAttempt(a.req)
+			s.sendAttempt(a.attempt)
 		default:
 			return
 		}
 	}
 }
 
+// arrive draws a new request of a class and the time of its next one.
 func (s *server) arrive(k int) {
 	c := &s.classes[k]
 	tenant := s.random.Intn(s.tenants)
-	if c.surge >= 0 && s.random.Float64() < (c.surgeBy-1)/(float64(s.tenants)+c.surgeBy-1) {
-		tenant = c.surge
+	if c.surgingTenant >= 0 && s.random.Float64() < (c.surgeFactor-1)/(float64(s.tenants)+c.surgeFactor-1) {
+		tenant = c.surgingTenant
 	}
 	work := c.Work
 	if c.WorkSigma > 0 {
@@ -216,88 +224,87 @@
 	if s.random.Float64() < c.HeavyShare {
 		work *= c.HeavyFactor
 	}
-	hangs := s.random.Float64() < c.hangs
-	o := &s.out[k]
+	hangs := s.random.Float64() < c.hangFraction
+	o := &s.results[k]
 	o.offered++
-	if tenant != c.surge {
+	if tenant != c.surgingTenant {
 		o.withinQuota++
 	}
-	o.arrived[min(int(s.now/second), len(o.arrived)-1)]++
-	s.sendAttempt(attempt{class: k, tenant: tenant, first: s.now, work: max(work, 1), hangs: hangs,
+	o.arrivedPerSecond[min(int(s.now/second), len(o.arrivedPerSecond)-1)]++
+	s.sendAttempt(attempt{class: k, tenant: tenant, firstArrived: s.now, work: max(work, 1), hangs: hangs,
 		caller: 1 + uint32(s.random.Intn(40))})
-	c.arrivals = s.now + s.gap(k)
+	c.nextArrival = s.now + s.drawInterarrival(k)
 }
 
 func (s *server) sendAttempt(q attempt) {
-	s.next++
+	s.lastID++
 	q.arrived = s.now
-	s.open[s.next] = &q
+	s.requests[s.lastID] = &q
 	c := &s.classes[q.class]
-	s.round(&admission.Round{Arrived: []admission.Request{{ID: s.next, Handler: q.class, Tenant: q.tenant,
+	s.decide(&admission.Round{Arrived: []admission.Request{{ID: s.lastID, Handler: q.class, Tenant: q.tenant,
 		ArrivedAt: s.now,
-		Deadline:  q.first + c.Handler.Timeout, SizeKB: 8, IsRetry: q.try > 0, Caller: q.caller}}})
+		Deadline:  q.firstArrived + c.Handler.Timeout, SizeKB: 8, IsRetry: q.number > 0, Caller: q.caller}}})
 }
 
+// endRun completes the run with the earliest end and counts its request, unless the caller was answered before.
 func (s *server) endRun() {
 	r := s.runs.take()
-	q := s.open[r.id]
-	delete(s.open, r.id)
+	q := s.requests[r.id]
+	delete(s.requests, r.id)
 	end := admission.RunEnd{ID: r.id, Outcome: admission.Succeeded, Elapsed: s.now - q.start}
-	s.round(&admission.Round{RunEnds: []admission.RunEnd{end}})
+	s.decide(&admission.Round{RunEnds: []admission.RunEnd{end}})
 	if q.answered {
 		return
 	}
-	o, took := &s.out[q.class], s.now-q.first
-	o.times.RecordValue(int64(took))
-	if took <= s.classes[q.class].Handler.LatencyObjective {
+	o, latency := &s.results[q.class], s.now-q.firstArrived
+	o.latencies.RecordValue(int64(latency))
+	if latency <= s.classes[q.class].Handler.LatencyObjective {
 		o.inTime++
-		if q.tenant != s.classes[q.class].surge {
+		if q.tenant != s.classes[q.class].surgingTenant {
 			o.withinQuotaInTime++
 		}
-		o.served[min(int(q.first/second), len(o.served)-1)]++
+		o.inTimePerSecond[min(int(q.firstArrived/second), len(o.inTimePerSecond)-1)]++
 	}
 }
 
-func (s *server) round(r *admission.Round) {
+func (s *server) decide(r *admission.Round) {
 	r.Now = s.now
 	s.decider.Decide(r, s)
 }
 
-// What the decider has done: server is its admission.Writer.
-
 func (s *server) Run(id uint32) {
-	q := s.open[id]
+	q := s.requests[id]
 	q.start = s.now
 	if q.hangs {
-		s.hung++
+		s.hungRuns++
 		return
 	}
-	s.runs.add(run{id, s.service + q.work})
+	s.runs.add(run{id, s.servicePerRun + q.work})
 }
 
-func (s *server) Shed(id uint32, _ admission.Reason, last bool, comeBack admission.Time) {
-	q := s.open[id]
-	delete(s.open, id)
+func (s *server) Shed(id uint32, _ admission.Reason, last bool, retryAfter admission.Time) {
+	q := s.requests[id]
+	delete(s.requests, id)
 	c := &s.classes[q.class]
-	wait := max(comeBack, second/5<<q.try)
-	if at := s.now + wait; !last && q.try < c.tries && at < q.first+c.Handler.Timeout && !s.drained {
+	wait := max(retryAfter, second/5<<q.number)
+	if at := s.now + wait; !last && q.number < c.maxRetries && at < q.firstArrived+c.Handler.Timeout && !s.drained {
 		n := *q
-		n.try++
-		s.next++
-		s.retries.add(retry{at, s.next, n})
+		n.number++
+		s.lastID++
+		s.retries.add(retry{at, s.lastID, n})
 	}
 }
 
 func (s *server) Fail(id uint32, _ admission.Reason) {
-	if q := s.open[id]; !q.answered {
+	if q := s.requests[id]; !q.answered {
 		q.answered = true
 		if q.start == 0 {
-			delete(s.open, id)
+			delete(s.requests, id)
 		}
 	}
 }
 
-func (s *server) WakeUp(at admission.Time)        { s.wake = at }
+func (s *server) WakeUp(at admission.Time)        { s.wakeAt = at }
 func (s *server) Stop(uint32)                     {}
 func (s *server) Call(uint32, admission.Time)     {}
 func (s *server) SkipCall(uint32)                 {}
@@ -309,19 +316,19 @@
 func (s *server) SetIdleTimeout(admission.Time)   {}
 func (s *server) Log(string)                      {}
 
-// plainQueue is the baseline: a pool of twice the cores and a queue that sheds what has waited a tenth of a
-// second.
+// plainQueue is the baseline decider: a fixed number of run slots before a FIFO queue that sheds requests after a
+// tenth of a second.
 type plainQueue struct {
 	slots, running int
 	queue          []admission.Request
-	wake           bool
+	timerSet       bool
 }
 
 func (p *plainQueue) Decide(r *admission.Round, w admission.Writer) {
 	p.running -= len(r.RunEnds)
 	p.queue = append(p.queue, r.Arrived...)
 	if r.TimerFired {
-		p.wake = false
+		p.timerSet = false
 	}
 	for len(p.queue) > 0 && (p.running < p.slots || r.Now-p.queue[0].ArrivedAt > second/10) {
 		q := p.queue[0]
@@ -333,8 +340,8 @@
 		p.running++
 		w.Run(q.ID)
 	}
-	if len(p.queue) > 0 && !p.wake {
-		p.wake = true
+	if len(p.queue) > 0 && !p.timerSet {
+		p.timerSet = true
 		w.WakeUp(r.Now + second/50)
 	}
 }
--- a/internal/simulation/zones_faults.go
+++ b/internal/simulation/zones_faults.go
@@ -1,24 +1,24 @@
 package simulation
 
-// injectFault begins the fault of each zone.
+// injectFault starts the planned fault of each zone.
 func (v *Zones) injectFault() {
-	v.failing = true
-	v.loseLeader()
+	v.faultActive = true
+	v.crashLeader()
 	for z, b := range v.dependencies {
-		switch k := v.kind(z); k {
+		switch k := v.faultKind(z); k {
 		case ZoneDead, ZoneRestart:
-			b.warm = 0
+			b.warmth = 0
 			for i, n := range v.Fleet.nodes {
 				if n.zone == z && n.up {
 					n.kill()
-					v.health[i].lastReady = min(v.health[i].lastReady, v.Fleet.Now)
+					v.nodeHealth[i].lastReady = min(v.nodeHealth[i].lastReady, v.Fleet.Now)
 				}
 			}
 		case ZoneSlow:
 			b.speed = 0.1
 		case ZoneCommon:
-			v.Fleet.after(v.Stagger*float64(z), func() {
-				if v.failing {
+			v.Fleet.after(v.StaggerMS*float64(z), func() {
+				if v.faultActive {
 					b.speed = 0.1
 				}
 			})
@@ -30,15 +30,15 @@
 	}
 }
 
-// heal ends all faults. Services that had one, and nodes that were killed, start cold.
+// heal ends all faults. Dependencies that were slow or whose kernels failed are cold, and killed nodes restart.
 func (v *Zones) heal() {
-	v.failing = false
+	v.faultActive = false
 	for z, b := range v.dependencies {
 		if b.speed < 1 {
-			b.speed, b.warm = 1, 0 // its cache is empty
+			b.speed, b.warmth = 1, 0 // cold: its cache is empty
 		}
-		if v.kind(z) == ZoneKernels {
-			b.warm = 0
+		if v.faultKind(z) == ZoneKernels {
+			b.warmth = 0
 		}
 	}
 	for _, n := range v.Fleet.nodes {
@@ -49,33 +49,33 @@
 	}
 }
 
-// injectSecondFault does what is planned for the middle of a return.
+// injectSecondFault starts the late nodes, crashes the leader and slows z0's dependency for 25 s, as far as planned.
 func (v *Zones) injectSecondFault() {
-	if v.secondFaultBegan {
+	if v.secondFaultStarted {
 		return
 	}
-	v.secondFaultBegan = true
+	v.secondFaultStarted = true
 	for _, n := range v.Fleet.nodes {
 		if n.notStarted {
 			n.notStarted = false
 			n.start()
 		}
 	}
-	v.loseLeader()
+	v.crashLeader()
 	if b := v.dependencies[0]; v.SecondFault {
 		b.speed = 0.3
 		v.Fleet.after(25_000, func() { b.speed = 1 })
 	}
 }
 
-// loseLeader crashes the leader, if the plan says so, and starts it again later.
-func (v *Zones) loseLeader() {
-	w := v.Fleet
-	if !v.Lead || w.leader < 0 {
+// crashLeader crashes the leader and restarts it after 3 s, if planned.
+func (v *Zones) crashLeader() {
+	f := v.Fleet
+	if !v.CrashLeader || f.leader < 0 {
 		return
 	}
-	c := w.instances[w.leader]
-	c.up, w.leader = false, -1
-	w.after(800, w.elect)
-	w.after(3000, func() { w.startInstance(c) })
+	c := f.instances[f.leader]
+	c.up, f.leader = false, -1
+	f.after(800, f.elect)
+	f.after(3000, func() { f.startInstance(c) })
 }
