--- a/internal/harness/broken_promise.go
+++ b/internal/harness/broken_promise.go
@@ -6,17 +6,17 @@
 	"umberwinch/internal/report"
 )
 
-// brokenPromise is the error of a run that went to its end and found that a promise does not hold. Any other error says
+// invariantError is the error of a run that went to its end and found that a promise does not hold. Any other error says
 // that the run itself failed.
-type brokenPromise string
+type invariantError string
 
-func (b brokenPromise) Error() string { return string(b) }
+func (e invariantError) Error() string { return string(e) }
 
-// breakOrReturn brings a broken promise into the report, and gives any other error.
-func breakOrReturn(rep *report.Report, err error) error {
-	var broken brokenPromise
-	if errors.As(err, &broken) {
-		rep.Break("%s", string(broken))
+// recordViolation brings a broken promise into the report, and gives any other error.
+func recordViolation(rep *report.Report, err error) error {
+	var violation invariantError
+	if errors.As(err, &violation) {
+		rep.Break("%s", string(violation))
 		return nil
 	}
 	return err
--- a/internal/harness/client.go
+++ b/internal/harness/client.go
@@ -17,48 +17,48 @@
 
 // What the demo and fleets of processes send to a node: its start-up file, and requests as a sidecar sends them.
 
-// nodeSetUp is what a node's start-up file is made from.
-type nodeSetUp struct {
+// startupParams is what a node's start-up file is made from.
+type startupParams struct {
 	name, listen, kernel, store, control string // addresses but for the name
 	cores, tenants                       int
 	classes                              []simulation.Class
-	keyed                                string        // the class whose requests have idempotency keys
-	window                               time.Duration // of those; 0: keyedWindow
+	keyedClass                           string        // the class whose requests have idempotency keys
+	idempotencyWindow                    time.Duration // of those; 0: defaultIdempotencyWindow
 }
 
-// keyedWindow is the idempotency window of emulated fleets.
-const keyedWindow = 20 * time.Second
+// defaultIdempotencyWindow is the idempotency window of emulated fleets.
+const defaultIdempotencyWindow = 20 * time.Second
 
-// nodeConfig makes a node's start-up file for emulated classes.
-func nodeConfig(n nodeSetUp) ([]byte, error) {
-	if n.window == 0 {
-		n.window = keyedWindow
+// encodeStartupFile makes a node's start-up file for emulated classes.
+func encodeStartupFile(p startupParams) ([]byte, error) {
+	if p.idempotencyWindow == 0 {
+		p.idempotencyWindow = defaultIdempotencyWindow
 	}
 	var classes, customers []map[string]any
-	for k := range n.classes {
-		c := &n.classes[k]
-		one := map[string]any{"name": c.Name, "gain": c.Handler.Value, "give_up": int(c.Handler.Timeout) * 100,
+	for k := range p.classes {
+		c := &p.classes[k]
+		fields := map[string]any{"name": c.Name, "gain": c.Handler.Value, "give_up": int(c.Handler.Timeout) * 100,
 			"promise": int(c.Handler.LatencyObjective) * 100, "semantics": "idempotent"}
-		if c.Name == n.keyed {
-			one["semantics"], one["window"] = "deduplicated", n.window.Microseconds()
+		if c.Name == p.keyedClass {
+			fields["semantics"], fields["window"] = "deduplicated", p.idempotencyWindow.Microseconds()
 		}
-		classes = append(classes, one)
+		classes = append(classes, fields)
 	}
-	for i := range n.tenants {
+	for i := range p.tenants {
 		customers = append(customers, map[string]any{"name": fmt.Sprint("t", i), "quota_per_s": 100})
 	}
-	return json.Marshal(map[string]any{"name": n.name, "listen": n.listen, "kernel": n.kernel, "store": n.store,
-		"control": n.control, "seed": "1", "stop_ms": 2000,
+	return json.Marshal(map[string]any{"name": p.name, "listen": p.listen, "kernel": p.kernel, "store": p.store,
+		"control": p.control, "seed": "1", "stop_ms": 2000,
 		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 1024},
 		"settings": map[string]any{"classes": classes, "customers": customers, "fleet_size": 1, "granularity": 2000,
-			"family_info": map[string]any{"below": "tier", "cores": n.cores, "memory_kb": 500000, "run_factor": 2,
+			"family_info": map[string]any{"below": "tier", "cores": p.cores, "memory_kb": 500000, "run_factor": 2,
 				"key_kb": 1, "meters": []string{"core_use", "on_cores", "heap_share", "links"}, "preemption": "off",
 				"say": "off", "senders": 4, "idle": 30_000_000},
 			"invariants": map[string]any{"drain_grace": 500_000, "fall_multiple": 5},
 			"limits":     map[string]any{"retry_after": true, "max_retry_after": 5_000_000}}})
 }
 
-func newKey() string {
+func randomKey() string {
 	var raw [16]byte
 	rand.Read(raw[:]) // never fails
 	return hex.EncodeToString(raw[:])
@@ -66,19 +66,19 @@
 
 // sendAttempt sends one attempt of a request and gives its status, 0 where none came, and its Retry-After.
 func sendAttempt(ctx context.Context, client *http.Client, addr, class string, tenant, sender int, key string,
-	again bool) (code int, backOff time.Duration) {
-	code, _, backOff, _ = sendAttemptWithBody(ctx, client, addr, class, tenant, sender, key, again, "body")
-	return code, backOff
+	isRetry bool) (status int, retryAfter time.Duration) {
+	status, _, retryAfter, _ = sendAttemptWithBody(ctx, client, addr, class, tenant, sender, key, isRetry, "body")
+	return status, retryAfter
 }
 
 // sendAttemptWithBody is sendAttempt with a body, and the answer's.
 func sendAttemptWithBody(ctx context.Context, client *http.Client, addr, class string, tenant, sender int, key string,
-	again bool, body string) (code int, answer string, backOff time.Duration, err error) {
+	isRetry bool, body string) (status int, response string, retryAfter time.Duration, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/rpc/"+class, strings.NewReader(body))
 	if err != nil {
 		return 0, "", 0, err
 	}
-	for k, v := range map[string]string{"Request-Id": newKey()[:16], "Sent-By": strconv.Itoa(sender),
+	for k, v := range map[string]string{"Request-Id": randomKey()[:16], "Sent-By": strconv.Itoa(sender),
 		"Received-At": strconv.FormatInt(time.Now().UnixMilli(), 10), "Account": fmt.Sprint("t", tenant),
 		"Footprint-Kb": "8.0", "Priority-Rank": "0.5000"} {
 		req.Header.Set(k, v)
@@ -86,7 +86,7 @@
 	if key != "" {
 		req.Header.Set("Once-Key", key)
 	}
-	if again {
+	if isRetry {
 		req.Header.Set("Attempt-Again", "1")
 	}
 	res, err := client.Do(req)
--- a/internal/harness/control_processes_test.go
+++ b/internal/harness/control_processes_test.go
@@ -10,11 +10,11 @@
 	"umberwinch/internal/control/consensus"
 )
 
-// TestKilledLeaders kills leaders of real processes; all that clients were told is there, once.
-func TestKilledLeaders(t *testing.T) {
+// TestCommittedVersionsSurviveLeaderKills kills leaders of real processes; all that clients were told is there, once.
+func TestCommittedVersionsSurviveLeaderKills(t *testing.T) {
 	var out bytes.Buffer
 	dir := t.TempDir()
-	rep, err := (&RaftTest{Seed: 4, Quick: true, Size: 3, Mode: "real", Kills: 4, Program: built(t), Out: dir}).Run(
+	rep, err := (&RaftTest{Seed: 4, Quick: true, Size: 3, Mode: "real", Kills: 4, Program: builtProgram(t), Out: dir}).Run(
 		context.Background(), &out)
 	if err != nil || rep.Broken != "" {
 		t.Fatalf("%v\n%s", err, out.String())
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestBrokenIsSaid: the command's verdict follows what was found.
-func TestBrokenIsSaid(t *testing.T) {
+// TestVerdictNamesViolation: the command's verdict follows what was found.
+func TestVerdictNamesViolation(t *testing.T) {
 	var out bytes.Buffer
 	rep, err := (&RaftTest{Seed: 2, Quick: true, Mode: "virtual", Schedules: 20,
 		Without: consensus.CompareAndSet}).Run(
--- a/internal/harness/demo.go
+++ b/internal/harness/demo.go
@@ -38,8 +38,8 @@
 // of the time or cold at first; a link to the kernel that breaks every five seconds.
 var DemoTroubles = []string{"slow", "cold", "links"}
 
-// demoClasses are the scenarios' own.
-const demoClasses = `cores 6
+// demoScenario are the scenarios' own.
+const demoScenario = `cores 6
 tenants 4
 class view work=8 share=50 tail=0.5 target=300 timeout=3000 value=1
 class fill work=60 share=15 tail=0.7 target=1000 timeout=5000 value=2
@@ -52,24 +52,26 @@
 type classResults struct {
 	requests, done, inTime, shed, errored int
 	// tenths of a ms from the moment it was meant to be sent
-	times *hdrhistogram.Histogram
+	latencies *hdrhistogram.Histogram
 }
 
-func newClassResults() *classResults { return &classResults{times: hdrhistogram.New(1, 1_000_000, 2)} }
+func newClassResults() *classResults {
+	return &classResults{latencies: hdrhistogram.New(1, 1_000_000, 2)}
+}
 
 type demo struct {
 	*Demo
-	s      *simulation.Scenario
-	kernel *EmulatedKernel
-	store  *EmulatedStore // nil: none
-	client *http.Client
-	addr   string
-	mu     sync.Mutex
-	all    []*classResults
-	lately []*classResults
-	surge  bool
-	heavy  bool
-	wg     sync.WaitGroup
+	scenario   *simulation.Scenario
+	kernel     *EmulatedKernel
+	store      *EmulatedStore // nil: none
+	client     *http.Client
+	addr       string
+	mu         sync.Mutex
+	totals     []*classResults
+	lastSecond []*classResults
+	surge      bool
+	heavy      bool
+	wg         sync.WaitGroup
 }
 
 // DemoResult is what one class got during a demo.
@@ -100,28 +102,28 @@
 }
 
 func (d *Demo) run(ctx context.Context, dir string, w io.Writer) ([]DemoResult, error) {
-	s, err := simulation.ReadScenario("demo", demoClasses)
+	s, err := simulation.ReadScenario("demo", demoScenario)
 	if err != nil {
 		return nil, err
 	}
-	o := &demo{Demo: d, s: s, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256,
+	o := &demo{Demo: d, scenario: s, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256,
 		IdleConnTimeout: 5 * time.Second}}}
 	for range s.Classes {
-		o.all, o.lately = append(o.all, newClassResults()), append(o.lately, newClassResults())
+		o.totals, o.lastSecond = append(o.totals, newClassResults()), append(o.lastSecond, newClassResults())
 	}
-	if o.kernel, err = NewEmulatedKernel(loopback(7400), d.Seed, float64(s.Cores), s.Classes, kernelStep); err != nil {
+	if o.kernel, err = NewEmulatedKernel(newLoopbackAddr(7400), d.Seed, float64(s.Cores), s.Classes, kernelStepInterval); err != nil {
 		return nil, err
 	}
 	defer o.kernel.Close()
-	below := ""
+	storeAddr := ""
 	if d.Trouble == "slow" || d.Trouble == "cold" {
 		// It bears four times what the cores do; slow, or cold, two thirds of that.
-		if o.store, err = NewEmulatedStore(loopback(9042), d.Seed, 8, 10*time.Millisecond, 6, 4000); err != nil {
+		if o.store, err = NewEmulatedStore(newLoopbackAddr(9042), d.Seed, 8, 10*time.Millisecond, 6, 4000); err != nil {
 			return nil, err
 		}
 		defer o.store.Close()
-		below, o.kernel.callsStore = o.store.ln.Addr().String(), true
-		o.store.Set(func(_, warm, _ *float64) {
+		storeAddr, o.kernel.callsStore = o.store.listener.Addr().String(), true
+		o.store.Update(func(_, warm, _ *float64) {
 			if d.Trouble == "cold" {
 				*warm = 0
 			}
@@ -132,13 +134,13 @@
 		return nil, err
 	}
 	defer control.close()
-	signals, ended, err := o.startNode(dir, control.addr(), below)
+	signals, ended, err := o.startNode(dir, control.addr(), storeAddr)
 	if err != nil {
 		return nil, err
 	}
-	err = o.ready(ctx)
+	err = o.awaitReady(ctx)
 	if err == nil {
-		o.play(ctx, w, signals)
+		o.runLoad(ctx, w, signals)
 	}
 	select {
 	case signals <- syscall.SIGTERM:
@@ -158,11 +160,11 @@
 }
 
 // startNode runs the node in this process, as its program would. Its settings and log are in a folder.
-func (o *demo) startNode(dir, control, below string) (chan os.Signal, <-chan error, error) {
-	o.addr = loopback(8080)
-	raw, err := nodeConfig(nodeSetUp{name: "demo", listen: o.addr, kernel: o.kernel.ln.Addr().String(), store: below,
-		control: control, cores: o.s.Cores, tenants: o.s.Tenants, classes: o.s.Classes,
-		keyed: o.s.Classes[o.s.Dearest].Name})
+func (o *demo) startNode(dir, controlAddr, storeAddr string) (chan os.Signal, <-chan error, error) {
+	o.addr = newLoopbackAddr(8080)
+	raw, err := encodeStartupFile(startupParams{name: "demo", listen: o.addr, kernel: o.kernel.listener.Addr().String(), store: storeAddr,
+		control: controlAddr, cores: o.scenario.Cores, tenants: o.scenario.Tenants, classes: o.scenario.Classes,
+		keyedClass: o.scenario.Classes[o.scenario.Dearest].Name})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -174,11 +176,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	own := &config.Node{Reserve: true}
+	operatorConfig := &config.Node{Reserve: true}
 	if o.Pools {
-		own.Pools = []config.Pool{{Handler: o.s.Classes[o.s.Cheapest].Name, Cap: 1}}
+		operatorConfig.Pools = []config.Pool{{Handler: o.scenario.Classes[o.scenario.Cheapest].Name, Cap: 1}}
 	}
-	if err = node.Own(own); err != nil {
+	if err = node.Own(operatorConfig); err != nil {
 		return nil, nil, err
 	}
 	out, err := os.Create(filepath.Join(dir, "node.log"))
@@ -195,8 +197,8 @@
 	return signals, ended, nil
 }
 
-// ready waits until the node takes requests.
-func (o *demo) ready(ctx context.Context) error {
+// awaitReady waits until the node takes requests.
+func (o *demo) awaitReady(ctx context.Context) error {
 	err := awaitUntil(ctx, 10*time.Second, 20*time.Millisecond, func() error {
 		res, err := o.client.Get("http://" + o.addr + "/health")
 		if err != nil {
@@ -214,53 +216,53 @@
 	return err
 }
 
-// play sends load and shows a table a second, until the time is over, a key or a signal ends it.
-func (o *demo) play(ctx context.Context, w io.Writer, signals chan<- os.Signal) {
-	load, stop := context.WithCancel(ctx)
+// runLoad sends load and shows a table a second, until the time is over, a key or a signal ends it.
+func (o *demo) runLoad(ctx context.Context, w io.Writer, signals chan<- os.Signal) {
+	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	for k := range o.s.Classes {
+	for k := range o.scenario.Classes {
 		o.wg.Add(1)
-		go func() { defer o.wg.Done(); o.class(load, k) }()
+		go func() { defer o.wg.Done(); o.sendClass(loadCtx, k) }()
 	}
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
-	used, _ := o.kernel.Used()
-	for n := 1; ; n++ {
+	previousCoreMS, _ := o.kernel.Usage()
+	for second := 1; ; second++ {
 		select {
 		case <-ctx.Done():
 			return
 		case key := <-o.Keys:
-			n--
-			if o.key(key, signals) {
+			second--
+			if o.handleKey(key, signals) {
 				return
 			}
 			continue
 		case <-tick.C:
 		}
-		now, runs := o.kernel.Used()
-		o.show(w, n, (now-used)/1000, runs)
-		used = now
-		o.trouble(n)
-		if o.Seconds > 0 && n >= o.Seconds {
+		coreMS, runs := o.kernel.Usage()
+		o.printTable(w, second, (coreMS-previousCoreMS)/1000, runs)
+		previousCoreMS = coreMS
+		o.injectFault(second)
+		if o.Seconds > 0 && second >= o.Seconds {
 			return
 		}
 	}
 }
 
-// trouble does what goes wrong in a second of the demo.
-func (o *demo) trouble(second int) {
+// injectFault does what goes wrong in a second of the demo.
+func (o *demo) injectFault(second int) {
 	switch {
 	case o.Trouble == "slow" && second == o.Seconds/3:
-		o.store.Set(func(speed, _, _ *float64) { *speed = 1.0 / 6 })
+		o.store.Update(func(speed, _, _ *float64) { *speed = 1.0 / 6 })
 	case o.Trouble == "slow" && second == 2*o.Seconds/3:
-		o.store.Set(func(speed, _, _ *float64) { *speed = 1 })
+		o.store.Update(func(speed, _, _ *float64) { *speed = 1 })
 	case o.Trouble == "links" && second%5 == 0:
-		o.kernel.Break()
+		o.kernel.CloseLink()
 	}
 }
 
-// key does what a key asks for; true ends the demo.
-func (o *demo) key(key byte, signals chan<- os.Signal) bool {
+// handleKey does what a key asks for; true ends the demo.
+func (o *demo) handleKey(key byte, signals chan<- os.Signal) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch key {
@@ -272,12 +274,12 @@
 		o.surge = !o.surge
 	case 'h':
 		o.heavy = !o.heavy
-		o.kernel.Set(func(classes map[string]*simulation.Class, _ *float64) {
+		o.kernel.Update(func(classes map[string]*simulation.Class, _ *float64) {
 			classes["save"].HeavyShare, classes["save"].HeavyFactor = map[bool]float64{true: 0.05}[o.heavy], 10
 		})
 	case 'c':
-		o.kernel.Set(func(_ map[string]*simulation.Class, cores *float64) {
-			*cores = map[bool]float64{true: 2, false: float64(o.s.Cores)}[*cores > 2]
+		o.kernel.Update(func(_ map[string]*simulation.Class, cores *float64) {
+			*cores = map[bool]float64{true: 2, false: float64(o.scenario.Cores)}[*cores > 2]
 		})
 	case 'd':
 		signals <- syscall.SIGTERM
@@ -287,15 +289,15 @@
 	return false
 }
 
-// class sends one class's requests when they are due, whether or not earlier ones were answered.
-func (o *demo) class(ctx context.Context, k int) {
+// sendClass sends one class's requests when they are due, whether or not earlier ones were answered.
+func (o *demo) sendClass(ctx context.Context, k int) {
 	r := mrand.New(mrand.NewSource(o.Seed*100 + int64(k)))
 	next := time.Now()
-	var open sync.WaitGroup
-	defer open.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for {
 		o.mu.Lock()
-		rate := o.s.Rates(o.Load)[k]
+		rate := o.scenario.Rates(o.Load)[k]
 		if o.surge && k == 1 {
 			rate *= 5
 		}
@@ -311,30 +313,30 @@
 		if ctx.Err() != nil {
 			return
 		}
-		due, tenant := next, r.Intn(o.s.Tenants)
-		open.Add(1)
-		go func() { defer open.Done(); o.ask(k, tenant, due) }()
+		due, tenant := next, r.Intn(o.scenario.Tenants)
+		inFlight.Add(1)
+		go func() { defer inFlight.Done(); o.sendRequest(k, tenant, due) }()
 	}
 }
 
-func (o *demo) ask(k, tenant int, due time.Time) {
-	c := &o.s.Classes[k]
+func (o *demo) sendRequest(k, tenant int, due time.Time) {
+	c := &o.scenario.Classes[k]
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(c.Handler.Timeout)*100*time.Microsecond)
 	defer cancel()
 	key := ""
-	if k == o.s.Dearest {
-		key = newKey()
+	if k == o.scenario.Dearest {
+		key = randomKey()
 	}
 	code, _ := sendAttempt(ctx, o.client, o.addr, c.Name, tenant, tenant, key, false)
 	took := time.Since(due)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, s := range []*classResults{o.all[k], o.lately[k]} {
+	for _, s := range []*classResults{o.totals[k], o.lastSecond[k]} {
 		s.requests++
 		switch {
 		case code == http.StatusOK:
 			s.done++
-			s.times.RecordValue(took.Microseconds() / 100)
+			s.latencies.RecordValue(took.Microseconds() / 100)
 			if took <= time.Duration(c.Handler.LatencyObjective)*100*time.Microsecond {
 				s.inTime++
 			}
@@ -346,8 +348,8 @@
 	}
 }
 
-// show prints a table of the last second.
-func (o *demo) show(w io.Writer, second int, cores float64, runs int) {
+// printTable prints a table of the last second.
+func (o *demo) printTable(w io.Writer, second int, cores float64, runs int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var b bytes.Buffer
@@ -355,16 +357,16 @@
 		b.WriteString("\x1b[H\x1b[2J")
 	}
 	fmt.Fprintf(&b, "%4d s  load %.0f%%  cores used %.1f of %d  runs %d  pools %v%s%s\n", second, 100*o.Load, cores,
-		o.s.Cores, runs, o.Pools, map[bool]string{true: "  surge of fill"}[o.surge],
+		o.scenario.Cores, runs, o.Pools, map[bool]string{true: "  surge of fill"}[o.surge],
 		map[bool]string{true: "  heavy saves"}[o.heavy])
 	t := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "CLASS\tASKED\tDONE\tSHED\tERRORED\tMEDIAN\t95TH\tIN TIME SO FAR")
-	for k, s := range o.lately {
-		a := o.all[k]
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.0f ms\t%.0f ms\t%.3f\n", o.s.Classes[k].Name, s.requests, s.done, s.shed,
-			s.errored, float64(s.times.ValueAtQuantile(50))/10, float64(s.times.ValueAtQuantile(95))/10,
+	for k, s := range o.lastSecond {
+		a := o.totals[k]
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.0f ms\t%.0f ms\t%.3f\n", o.scenario.Classes[k].Name, s.requests, s.done, s.shed,
+			s.errored, float64(s.latencies.ValueAtQuantile(50))/10, float64(s.latencies.ValueAtQuantile(95))/10,
 			float64(a.inTime)/float64(max(1, a.requests)))
-		o.lately[k] = newClassResults()
+		o.lastSecond[k] = newClassResults()
 	}
 	t.Flush()
 	if o.Keys != nil {
@@ -381,10 +383,10 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []DemoResult
-	for k, s := range o.all {
+	for k, s := range o.totals {
 		n := float64(max(1, s.requests))
-		out = append(out, DemoResult{o.s.Classes[k].Name, s.requests, float64(s.inTime) / n, float64(s.shed) / n,
-			float64(s.times.ValueAtQuantile(95)) / 10})
+		out = append(out, DemoResult{o.scenario.Classes[k].Name, s.requests, float64(s.inTime) / n, float64(s.shed) / n,
+			float64(s.latencies.ValueAtQuantile(95)) / 10})
 	}
 	return out
 }
--- a/internal/harness/demo_test.go
+++ b/internal/harness/demo_test.go
@@ -35,27 +35,27 @@
 }
 
 // The results of a demo are printed as JSON by `umberctl demo --json`: its keys stay whatever the fields' names are.
-func TestDemoResultKeepsItsKeys(t *testing.T) {
+func TestDemoResultJSONKeys(t *testing.T) {
 	raw, err := json.Marshal(DemoResult{Class: "view", Requests: 3, InTime: 0.5, Shed: 0.25, P95: 12})
 	if want := `{"Class":"view","Asked":3,"InTime":0.5,"Shed":0.25,"P95":12}`; err != nil || string(raw) != want {
 		t.Errorf("%s, %v; expected %s", raw, err, want)
 	}
 }
 
-// TestEmulatedKernel speaks the platform's protocol: a run is told over, kept for a new link, and what it can't read
+// TestEmulatedKernelProtocol speaks the platform's protocol: a run is told over, kept for a new link, and what it can't read
 // closes the link.
-func TestEmulatedKernel(t *testing.T) {
-	s, err := simulation.ReadScenario("demo", demoClasses)
+func TestEmulatedKernelProtocol(t *testing.T) {
+	s, err := simulation.ReadScenario("demo", demoScenario)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := NewEmulatedKernel(loopback(7400), 1, 2, s.Classes, kernelStep)
+	k, err := NewEmulatedKernel(newLoopbackAddr(7400), 1, 2, s.Classes, kernelStepInterval)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer k.Close()
 	dial := func() (net.Conn, *bufio.Reader) {
-		c, err := net.Dial("tcp", k.ln.Addr().String())
+		c, err := net.Dial("tcp", k.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -63,7 +63,7 @@
 		c.SetDeadline(time.Now().Add(5 * time.Second))
 		return c, bufio.NewReader(c)
 	}
-	hears := func(r *bufio.Reader, want string) {
+	expectLine := func(r *bufio.Reader, want string) {
 		t.Helper()
 		line, err := r.ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, want) {
@@ -72,15 +72,15 @@
 	}
 	c, r := dial()
 	fmt.Fprintln(c, `{"verb":"OPEN","index":0}`)
-	hears(r, `{"verb":"BOOTED"`)
+	expectLine(r, `{"verb":"BOOTED"`)
 	fmt.Fprintln(c, `{"verb":"SCHED","task":"00000000000000aa","handler":"fly"}`)
-	hears(r, `{"verb":"EINVAL"`)
+	expectLine(r, `{"verb":"EINVAL"`)
 	fmt.Fprintln(c, `{"verb":"SCHED","task":"00000000000000aa","handler":"view"}`)
-	hears(r, `{"verb":"REAP","index":1,"task":"00000000000000aa","outcome":"OK"`)
+	expectLine(r, `{"verb":"REAP","index":1,"task":"00000000000000aa","outcome":"OK"`)
 	c, r = dial() // the notice comes again to a link that has not handled it
 	fmt.Fprintln(c, `{"verb":"OPEN","index":0}`)
-	hears(r, `{"verb":"BOOTED"`)
-	hears(r, `{"verb":"REAP","index":1,`)
+	expectLine(r, `{"verb":"BOOTED"`)
+	expectLine(r, `{"verb":"REAP","index":1,`)
 	fmt.Fprintln(c, `noise`)
 	if _, err := r.ReadString('\n'); err == nil {
 		t.Fatal("a link with noise on it stays open")
--- a/internal/harness/emulated_kernel.go
+++ b/internal/harness/emulated_kernel.go
@@ -18,39 +18,39 @@
 // of cores among what runs. Work takes no real core: each run is told over once the service it would have had is its
 // work.
 type EmulatedKernel struct {
-	mu         sync.Mutex
-	random     *rand.Rand
-	ln         net.Listener
-	conn       net.Conn
-	classes    map[string]*simulation.Class
-	cores      float64
-	runs       map[string]*kernelRun
-	order      []string
-	events     [][]byte // the latest retainedEvents
-	first      int      // number of events[0]
-	busy       float64  // core time used, in ms
-	at         time.Time
-	step       time.Duration // between looks at what has ended
-	stop       chan struct{}
-	callsStore bool                     // each run calls below once, in the middle of its work
-	onBegin    func(body []byte) []byte // told each run as it begins, and gives its result; nil: "done" for all
-	dead       bool
-	wg         sync.WaitGroup // of what accepts, works and serves links
+	mu           sync.Mutex
+	random       *rand.Rand
+	listener     net.Listener
+	conn         net.Conn
+	classes      map[string]*simulation.Class
+	cores        float64
+	runs         map[string]*kernelRun
+	runOrder     []string
+	events       [][]byte // the latest retainedEvents
+	firstEvent   int      // number of events[0]
+	coreMS       float64  // core time used, in ms
+	lastStep     time.Time
+	stepInterval time.Duration // between looks at what has ended
+	stop         chan struct{}
+	callsStore   bool                     // each run calls below once, in the middle of its work
+	onRunStart   func(body []byte) []byte // told each run as it begins, and gives its result; nil: "done" for all
+	down         bool
+	wg           sync.WaitGroup // of what accepts, works and serves links
 }
 
 type kernelRun struct {
-	remaining float64 // ms of work
-	callAt    float64 // it calls below when so much is left; 0: not, or not any more
-	waiting   bool    // it stands at that call
-	began     time.Time
-	result    []byte
-	callBody  []byte // the body of its call
+	remainingMS float64 // ms of work
+	callAtMS    float64 // it calls below when so much is left; 0: not, or not any more
+	inCall      bool    // it stands at that call
+	startedAt   time.Time
+	result      []byte
+	callBody    []byte // the body of its call
 }
 
 const (
-	retainedEvents = 4000
-	kernelStep     = time.Millisecond
-	maxCallWait    = 1500 * time.Millisecond // that a run stands at a call: what it is for is over by then
+	retainedEvents     = 4000
+	kernelStepInterval = time.Millisecond
+	maxCallWait        = 1500 * time.Millisecond // that a run stands at a call: what it is for is over by then
 )
 
 // NewEmulatedKernel listens on an address.
@@ -60,23 +60,23 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &EmulatedKernel{random: rand.New(rand.NewSource(seed)), ln: ln, classes: map[string]*simulation.Class{},
-		cores: cores, runs: map[string]*kernelRun{}, first: 1, at: time.Now(), step: step, stop: make(chan struct{})}
+	k := &EmulatedKernel{random: rand.New(rand.NewSource(seed)), listener: ln, classes: map[string]*simulation.Class{},
+		cores: cores, runs: map[string]*kernelRun{}, firstEvent: 1, lastStep: time.Now(), stepInterval: step, stop: make(chan struct{})}
 	for i := range classes {
 		c := classes[i]
 		k.classes[c.Name] = &c
 	}
 	k.wg.Go(k.accept)
-	k.wg.Go(k.work)
+	k.wg.Go(k.runSteps)
 	return k, nil
 }
 
 // Close ends it and waits for its goroutines.
 func (k *EmulatedKernel) Close() {
 	close(k.stop)
-	k.ln.Close()
+	k.listener.Close()
 	k.mu.Lock()
-	k.dead = true
+	k.down = true
 	if k.conn != nil {
 		k.conn.Close()
 	}
@@ -84,30 +84,30 @@
 	k.wg.Wait()
 }
 
-// Set changes a class, or the cores, while it goes on.
-func (k *EmulatedKernel) Set(change func(classes map[string]*simulation.Class, cores *float64)) {
+// Update changes a class, or the cores, while it goes on.
+func (k *EmulatedKernel) Update(change func(classes map[string]*simulation.Class, cores *float64)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	change(k.classes, &k.cores)
 }
 
-// Kill has it stand still and take no link, until it is told otherwise; then it has forgotten every run.
-func (k *EmulatedKernel) Kill(dead bool) {
+// SetDown has it stand still and take no link, until it is told otherwise; then it has forgotten every run.
+func (k *EmulatedKernel) SetDown(down bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.dead = dead; dead && k.conn != nil {
+	if k.down = down; down && k.conn != nil {
 		k.conn.Close()
 		k.conn = nil
 	}
-	if !dead {
-		for len(k.order) > 0 {
-			k.endRun(k.order[0], "ERROR")
+	if !down {
+		for len(k.runOrder) > 0 {
+			k.endRun(k.runOrder[0], "ERROR")
 		}
 	}
 }
 
-// Break ends the link; what runs goes on.
-func (k *EmulatedKernel) Break() {
+// CloseLink ends the link; what runs goes on.
+func (k *EmulatedKernel) CloseLink() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.conn != nil {
@@ -116,31 +116,31 @@
 	}
 }
 
-// onCores counts the runs that want cores.
-func (k *EmulatedKernel) onCores() (n float64) {
+// runnable counts the runs that want cores.
+func (k *EmulatedKernel) runnable() (n float64) {
 	for _, r := range k.runs {
-		if !r.waiting {
+		if !r.inCall {
 			n++
 		}
 	}
 	return n
 }
 
-// Used gives the core time used so far, in ms, and how many runs there are.
-func (k *EmulatedKernel) Used() (float64, int) {
+// Usage gives the core time used so far, in ms, and how many runs there are.
+func (k *EmulatedKernel) Usage() (float64, int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.busy, len(k.runs)
+	return k.coreMS, len(k.runs)
 }
 
 func (k *EmulatedKernel) accept() {
 	for {
-		c, err := k.ln.Accept()
+		c, err := k.listener.Accept()
 		if err != nil {
 			return
 		}
 		k.mu.Lock()
-		if k.dead {
+		if k.down {
 			k.mu.Unlock()
 			c.Close()
 			continue
@@ -168,12 +168,12 @@
 		if err != nil {
 			return
 		}
-		var m command
-		if json.Unmarshal(line, &m) != nil {
+		var cmd command
+		if json.Unmarshal(line, &cmd) != nil {
 			return
 		}
 		k.mu.Lock()
-		known := k.execute(c, &m)
+		known := k.execute(c, &cmd)
 		k.mu.Unlock()
 		if !known {
 			return
@@ -182,40 +182,40 @@
 }
 
 // execute carries out one command; false closes the link.
-func (k *EmulatedKernel) execute(c net.Conn, m *command) bool {
-	switch m.Verb {
+func (k *EmulatedKernel) execute(c net.Conn, cmd *command) bool {
+	switch cmd.Verb {
 	case "OPEN":
 		fmt.Fprintf(c, "{\"verb\":\"BOOTED\",\"outcome\":\"WARM\",\"spent\":60000}\n")
-		for i := max(m.Index+1-k.first, 0); i < len(k.events); i++ {
+		for i := max(cmd.Index+1-k.firstEvent, 0); i < len(k.events); i++ {
 			c.Write(k.events[i])
 		}
 	case "SYSINFO":
-		n := k.onCores()
-		fmt.Fprintf(c, "{\"verb\":\"INFO\",\"nonce\":%q,\"readings\":[%.3f,%.1f,0.1,10]}\n", m.Nonce,
+		n := k.runnable()
+		fmt.Fprintf(c, "{\"verb\":\"INFO\",\"nonce\":%q,\"readings\":[%.3f,%.1f,0.1,10]}\n", cmd.Nonce,
 			min(1, n/k.cores), n)
 	case "SCHED":
-		class := k.classes[m.Handler]
+		class := k.classes[cmd.Handler]
 		switch {
-		case class == nil || len(m.Task) != 16:
-			fmt.Fprintf(c, "{\"verb\":\"EINVAL\",\"outcome\":\"SCHED\",\"task\":%q}\n", m.Task)
-		case k.runs[m.Task] == nil:
-			r := &kernelRun{remaining: k.drawWork(class), began: time.Now()}
+		case class == nil || len(cmd.Task) != 16:
+			fmt.Fprintf(c, "{\"verb\":\"EINVAL\",\"outcome\":\"SCHED\",\"task\":%q}\n", cmd.Task)
+		case k.runs[cmd.Task] == nil:
+			r := &kernelRun{remainingMS: k.drawWork(class), startedAt: time.Now()}
 			if k.callsStore {
-				r.callAt = r.remaining / 2
+				r.callAtMS = r.remainingMS / 2
 			}
-			if r.result, r.callBody = []byte("done"), []byte("ask"); k.onBegin != nil {
-				r.result, r.callBody = k.onBegin(m.Bytes), m.Bytes
+			if r.result, r.callBody = []byte("done"), []byte("ask"); k.onRunStart != nil {
+				r.result, r.callBody = k.onRunStart(cmd.Bytes), cmd.Bytes
 			}
-			k.runs[m.Task] = r
-			k.order = append(k.order, m.Task)
+			k.runs[cmd.Task] = r
+			k.runOrder = append(k.runOrder, cmd.Task)
 		}
 	case "PREEMPT":
-		if r := k.runs[m.Task]; r != nil {
-			k.endRun(m.Task, "STOPPED")
+		if r := k.runs[cmd.Task]; r != nil {
+			k.endRun(cmd.Task, "STOPPED")
 		}
 	case "IODONE", "NOIO":
-		if r := k.runs[m.Task]; r != nil {
-			r.waiting = false
+		if r := k.runs[cmd.Task]; r != nil {
+			r.inCall = false
 		}
 	case "RESCHED":
 	default:
@@ -235,9 +235,9 @@
 	return work
 }
 
-// work lets all runs go on, each with its part of the cores.
-func (k *EmulatedKernel) work() {
-	tick := time.NewTicker(k.step)
+// runSteps lets all runs go on, each with its part of the cores.
+func (k *EmulatedKernel) runSteps() {
+	tick := time.NewTicker(k.stepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -247,27 +247,27 @@
 		}
 		k.mu.Lock()
 		now := time.Now()
-		dt := float64(now.Sub(k.at)) / float64(time.Millisecond)
-		k.at = now
-		if n := k.onCores(); len(k.runs) > 0 && !k.dead {
-			part := dt * min(1, k.cores/max(n, 1))
-			k.busy += dt * min(n, k.cores)
-			for i := 0; i < len(k.order); i++ {
-				id := k.order[i]
+		elapsedMS := float64(now.Sub(k.lastStep)) / float64(time.Millisecond)
+		k.lastStep = now
+		if n := k.runnable(); len(k.runs) > 0 && !k.down {
+			shareMS := elapsedMS * min(1, k.cores/max(n, 1))
+			k.coreMS += elapsedMS * min(n, k.cores)
+			for i := 0; i < len(k.runOrder); i++ {
+				id := k.runOrder[i]
 				r := k.runs[id]
-				if r.waiting {
-					if time.Since(r.began) > maxCallWait {
+				if r.inCall {
+					if time.Since(r.startedAt) > maxCallWait {
 						k.endRun(id, "STOPPED")
 						i--
 					}
 					continue
 				}
-				if r.remaining -= part; r.callAt > 0 && r.remaining <= r.callAt {
-					r.callAt, r.waiting = 0, true
+				if r.remainingMS -= shareMS; r.callAtMS > 0 && r.remainingMS <= r.callAtMS {
+					r.callAtMS, r.inCall = 0, true
 					k.sendEvent(fmt.Sprintf("{\"verb\":\"IOREQ\",\"index\":%d,\"task\":%q,\"bytes\":%q}\n",
-						k.first+len(k.events), id,
+						k.firstEvent+len(k.events), id,
 						base64.StdEncoding.EncodeToString(r.callBody)))
-				} else if r.remaining <= 0 {
+				} else if r.remainingMS <= 0 {
 					k.endRun(id, "OK")
 					i--
 				}
@@ -278,21 +278,21 @@
 }
 
 // endRun ends a run and tells of it.
-func (k *EmulatedKernel) endRun(id, how string) {
+func (k *EmulatedKernel) endRun(id, outcome string) {
 	r := k.runs[id]
 	delete(k.runs, id)
-	for i, o := range k.order {
-		if o == id {
-			k.order = append(k.order[:i], k.order[i+1:]...)
+	for i, other := range k.runOrder {
+		if other == id {
+			k.runOrder = append(k.runOrder[:i], k.runOrder[i+1:]...)
 			break
 		}
 	}
 	body := ""
-	if how == "OK" {
+	if outcome == "OK" {
 		body = base64.StdEncoding.EncodeToString(r.result)
 	}
 	k.sendEvent(fmt.Sprintf("{\"verb\":\"REAP\",\"index\":%d,\"task\":%q,\"outcome\":%q,\"spent\":%.1f,\"bytes\":%q}\n",
-		k.first+len(k.events), id, how, float64(time.Since(r.began))/float64(time.Millisecond), body))
+		k.firstEvent+len(k.events), id, outcome, float64(time.Since(r.startedAt))/float64(time.Millisecond), body))
 }
 
 // sendEvent sends a notice and keeps it for a link that comes later.
@@ -301,7 +301,7 @@
 	k.events = append(k.events, line)
 	if len(k.events) > retainedEvents {
 		k.events = k.events[1:]
-		k.first++
+		k.firstEvent++
 	}
 	if k.conn != nil {
 		k.conn.SetWriteDeadline(time.Now().Add(time.Second))
--- a/internal/harness/faults_on_demand.go
+++ b/internal/harness/faults_on_demand.go
@@ -21,25 +21,25 @@
 
 // Ways in which a disk fails on demand.
 const (
-	diskStalls = "stall" // the next sync takes diskStall
-	diskFull   = "full"  // each write from then on finds no room
-	diskStall  = 3 * time.Second
+	faultDiskStall = "stall" // the next sync takes diskStallTime
+	faultDiskFull  = "full"  // each write from then on finds no room
+	diskStallTime  = 3 * time.Second
 )
 
 // FaultsFromEnvironment gives an instance the faults that its environment asks for.
 func FaultsFromEnvironment() consensus.Faults {
-	var out policy.Guard
-	var zoned zones.Guard
-	for _, word := range strings.Split(os.Getenv(WithoutEnv), ",") {
-		if g, err := policy.GuardNamed(word); err == nil {
-			out |= g
+	var policyGuards policy.Guard
+	var zoneGuards zones.Guard
+	for _, name := range strings.Split(os.Getenv(disabledGuardsEnv), ",") {
+		if g, err := policy.GuardNamed(name); err == nil {
+			policyGuards |= g
 		}
-		if g, err := zones.GuardNamed(word); err == nil {
-			zoned |= g
+		if g, err := zones.GuardNamed(name); err == nil {
+			zoneGuards |= g
 		}
 	}
-	f := faultsOfKind(os.Getenv(faultEnv))
-	f.DisabledPolicyGuards, f.DisabledZoneGuards = out, zoned
+	f := newFaults(os.Getenv(faultEnv))
+	f.DisabledPolicyGuards, f.DisabledZoneGuards = policyGuards, zoneGuards
 	return f
 }
 
@@ -51,7 +51,7 @@
 	return names
 }
 
-func faultsOfKind(kind string) consensus.Faults {
+func newFaults(kind string) consensus.Faults {
 	if kind == "" {
 		return consensus.Faults{}
 	}
@@ -63,7 +63,7 @@
 			armed.Store(true)
 		}
 	}()
-	if kind == diskStalls || kind == diskFull {
+	if kind == faultDiskStall || kind == faultDiskFull {
 		return consensus.Faults{WrapDisk: func(fs wal.FS) wal.FS { return failingDisk{fs, kind, armed} }}
 	}
 	return consensus.Faults{OnStep: func(step consensus.WorkStep) {
@@ -83,7 +83,7 @@
 
 type failingFile struct {
 	wal.File
-	of failingDisk
+	disk failingDisk
 }
 
 func (f failingDisk) Create(name string) (wal.File, error) {
@@ -97,7 +97,7 @@
 }
 
 func (f failingFile) WriteAt(p []byte, off int64) (int, error) {
-	if f.of.kind == diskFull && f.of.armed.Load() {
+	if f.disk.kind == faultDiskFull && f.disk.armed.Load() {
 		n, err := f.File.WriteAt(p[:len(p)/2], off)
 		if err == nil {
 			err = syscall.ENOSPC
@@ -108,8 +108,8 @@
 }
 
 func (f failingFile) Sync() error {
-	if f.of.kind == diskStalls && f.of.armed.CompareAndSwap(true, false) {
-		time.Sleep(diskStall)
+	if f.disk.kind == faultDiskStall && f.disk.armed.CompareAndSwap(true, false) {
+		time.Sleep(diskStallTime)
 	}
 	return f.File.Sync()
 }
--- a/internal/harness/fleet_control.go
+++ b/internal/harness/fleet_control.go
@@ -14,31 +14,31 @@
 )
 
 // sleep waits, unless the fleet ends.
-func (r *FleetProcesses) sleep(d time.Duration) { pause(r.ctx, d) }
+func (r *FleetProcesses) sleep(d time.Duration) { sleepContext(r.ctx, d) }
 
-func (r *FleetProcesses) await(within time.Duration, holds func() error) error {
-	return awaitUntil(r.ctx, within, 20*time.Millisecond, holds)
+func (r *FleetProcesses) await(within time.Duration, condition func() error) error {
+	return awaitUntil(r.ctx, within, 20*time.Millisecond, condition)
 }
 
-// ask brings something to any instance that answers.
-func (r *FleetProcesses) ask(method, path string, in, out any) (int, error) {
-	var last error
-	for _, p := range r.group.procs {
+// requestAny brings something to any instance that answers.
+func (r *FleetProcesses) requestAny(method, path string, in, out any) (int, error) {
+	var lastErr error
+	for _, p := range r.group.instances {
 		ctx, cancel := context.WithTimeout(r.ctx, 2*time.Second)
-		code, err := r.group.call(ctx, method, p.listen, path, in, out)
+		code, err := r.group.doRequest(ctx, method, p.listen, path, in, out)
 		cancel()
 		if err == nil {
 			return code, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return 0, last
+	return 0, lastErr
 }
 
 // Policy gives the leader's view.
 func (r *FleetProcesses) Policy() (*consensus.PolicyView, error) {
 	var v consensus.PolicyView
-	if _, err := r.ask(http.MethodGet, "/v1/policy", nil, &v); err != nil {
+	if _, err := r.requestAny(http.MethodGet, "/v1/policy", nil, &v); err != nil {
 		return nil, err
 	}
 	if !v.IsLeader {
@@ -50,7 +50,7 @@
 // Nodes gives the leader's list.
 func (r *FleetProcesses) Nodes() (map[string]consensus.NodeView, error) {
 	var all []consensus.NodeView
-	if _, err := r.ask(http.MethodGet, "/v1/nodes", nil, &all); err != nil {
+	if _, err := r.requestAny(http.MethodGet, "/v1/nodes", nil, &all); err != nil {
 		return nil, err
 	}
 	out := map[string]consensus.NodeView{}
@@ -68,7 +68,7 @@
 			return err
 		}
 		for _, n := range r.nodes {
-			if !n.up() {
+			if !n.isUp() {
 				continue
 			}
 			v, ok := all[n.name]
@@ -78,7 +78,7 @@
 			case v.Fenced != "" || v.ActiveVersion != version:
 				return fmt.Errorf("%s serves under version %d, fenced %q, expected version %d", n.name,
 					v.ActiveVersion, v.Fenced, version)
-			case !r.ready.ready(n.name):
+			case !r.readiness.isReady(n.name):
 				return fmt.Errorf("%s is not ready by the list", n.name)
 			}
 		}
@@ -86,33 +86,33 @@
 	})
 }
 
-// Put makes a text the group's next version.
-func (r *FleetProcesses) Put(text string) (uint64, error) {
-	r.seq++
-	var a consensus.PutResult
+// PutVersion makes a text the group's next version.
+func (r *FleetProcesses) PutVersion(text string) (uint64, error) {
+	r.lastOpNumber++
+	var result consensus.PutResult
 	err := r.await(10*time.Second, func() error {
-		var s consensus.Report
-		if _, err := r.ask(http.MethodGet, "/v1/status", nil, &s); err != nil {
+		var status consensus.Report
+		if _, err := r.requestAny(http.MethodGet, "/v1/status", nil, &status); err != nil {
 			return err
 		}
-		p := consensus.Put{Session: fmt.Sprintf("rig-%d-%d", r.Seed, r.seq), Seq: 1, Base: s.Version, Author: "lab",
+		put := consensus.Put{Session: fmt.Sprintf("rig-%d-%d", r.Seed, r.lastOpNumber), Seq: 1, Base: status.Version, Author: "lab",
 			Text: text}
-		_, err := r.ask(http.MethodPut, "/v1/config", p, &a)
-		if err == nil && a.Outcome == consensus.PutConflict {
-			r.seq++
-			err = fmt.Errorf("%s", a.Reason)
+		_, err := r.requestAny(http.MethodPut, "/v1/config", put, &result)
+		if err == nil && result.Outcome == consensus.PutConflict {
+			r.lastOpNumber++
+			err = fmt.Errorf("%s", result.Reason)
 		}
 		return err
 	})
-	if err == nil && a.Outcome != consensus.PutCommitted {
-		err = fmt.Errorf("the version is %s: %s", a.Outcome, a.Reason)
+	if err == nil && result.Outcome != consensus.PutCommitted {
+		err = fmt.Errorf("the version is %s: %s", result.Outcome, result.Reason)
 	}
-	return a.Version, err
+	return result.Version, err
 }
 
 // Propose begins a change to a text, and gives its number and version.
 func (r *FleetProcesses) Propose(text string, p policy.Proposal) (number, version uint64, err error) {
-	if version, err = r.Put(text); err != nil {
+	if version, err = r.PutVersion(text); err != nil {
 		return 0, 0, err
 	}
 	p.Version, p.Author, p.IdempotencyKey = version, "lab", fmt.Sprintf("rig-%d-%08d", r.Seed, version)
@@ -124,7 +124,7 @@
 			policy.Result
 			Error string `json:"error"`
 		}
-		code, err := r.ask(http.MethodPost, "/v1/policy", policy.Op{Kind: policy.OpPropose, Proposal: &p}, &res)
+		code, err := r.requestAny(http.MethodPost, "/v1/policy", policy.Op{Kind: policy.OpPropose, Proposal: &p}, &res)
 		if err == nil && code != http.StatusOK {
 			err = errors.New(res.Error)
 		}
@@ -143,9 +143,9 @@
 			return err
 		}
 		c = nil
-		for _, o := range append(v.History, v.Current) {
-			if o != nil && o.Number == number {
-				c = o
+		for _, change := range append(v.History, v.Current) {
+			if change != nil && change.Number == number {
+				c = change
 			}
 		}
 		if c == nil {
--- a/internal/harness/fleet_history.go
+++ b/internal/harness/fleet_history.go
@@ -24,25 +24,25 @@
 	fields  map[string]any
 }
 
-// number gives a field that is a whole number, 0 where it is missing.
-func (l *logRecord) number(field string) uint64 {
+// uintField gives a field that is a whole number, 0 where it is missing.
+func (l *logRecord) uintField(field string) uint64 {
 	v, _ := l.fields[field].(float64)
 	return uint64(v)
 }
 
-func (l *logRecord) text(field string) string {
+func (l *logRecord) stringField(field string) string {
 	v, _ := l.fields[field].(string)
 	return v
 }
 
-func (l *logRecord) flag(field string) bool {
+func (l *logRecord) boolField(field string) bool {
 	v, _ := l.fields[field].(bool)
 	return v
 }
 
 // readLog gives each line of a log of JSON lines. A line that was being written when its process was killed is passed
 // over, and so is a crash's.
-func readLog(file string, take func(l *logRecord)) error {
+func readLog(file string, handle func(l *logRecord)) error {
 	f, err := os.Open(file)
 	if err != nil {
 		return err
@@ -55,12 +55,12 @@
 		if json.Unmarshal(s.Bytes(), &l.fields) != nil {
 			continue
 		}
-		t, err := time.Parse("2006-01-02T15:04:05.000Z07:00", l.text("time"))
+		t, err := time.Parse("2006-01-02T15:04:05.000Z07:00", l.stringField("time"))
 		if err != nil {
 			continue
 		}
-		l.at, l.message = t.UnixMicro()/100, l.text("msg")
-		take(&l)
+		l.at, l.message = t.UnixMicro()/100, l.stringField("msg")
+		handle(&l)
 	}
 	return s.Err()
 }
@@ -68,7 +68,7 @@
 // instancesLog is the log that all instances of the group write.
 func (r *FleetProcesses) instancesLog() string { return filepath.Join(r.Dir, "instances.log") }
 
-func (n *nodeProcess) logFile() string { return filepath.Join(n.r.Dir, n.name+".log") }
+func (n *nodeProcess) logPath() string { return filepath.Join(n.fleet.Dir, n.name+".log") }
 
 // History reads what happened from the logs of all processes.
 func (r *FleetProcesses) History() ([]simulation.FleetEvent, error) {
@@ -79,14 +79,14 @@
 	r.commitTimes = steps.commitTimes()
 	all := steps.events()
 	r.mu.Lock()
-	own := append([]simulation.FleetEvent(nil), r.events...)
+	processEvents := append([]simulation.FleetEvent(nil), r.processEvents...)
 	r.mu.Unlock()
 	for _, n := range r.nodes {
 		events, err := n.loggedEvents()
 		if err != nil {
 			return nil, err
 		}
-		for _, e := range own {
+		for _, e := range processEvents {
 			if e.Node == n.name {
 				events = append(events, e)
 			}
@@ -114,7 +114,7 @@
 		if l.message != "change of policy" {
 			return
 		}
-		k := changeStep{l.number(logging.Change), policy.Step(l.text(logging.Step))}
+		k := changeStep{l.uintField(logging.Change), policy.Step(l.stringField(logging.Step))}
 		e, known := c.first[k]
 		if known && e.At <= l.at {
 			return
@@ -122,9 +122,9 @@
 		if !known {
 			c.order = append(c.order, k)
 		}
-		c.first[k] = simulation.FleetEvent{At: l.at, Version: l.number(logging.PolicyVersion),
-			From: l.number(logging.From),
-			Excl: l.flag(logging.Exclusive)}
+		c.first[k] = simulation.FleetEvent{At: l.at, Version: l.uintField(logging.PolicyVersion),
+			From: l.uintField(logging.From),
+			Excl: l.boolField(logging.Exclusive)}
 	})
 }
 
@@ -132,9 +132,9 @@
 func (c *changeSteps) commitTimes() map[uint64]float64 {
 	out := map[uint64]float64{}
 	for _, k := range c.order {
-		begun, known := c.first[changeStep{k.number, policy.Preparing}]
+		preparing, known := c.first[changeStep{k.number, policy.Preparing}]
 		if known && k.step == policy.Committed {
-			out[k.number] = float64(c.first[k].At-begun.At) / 10
+			out[k.number] = float64(c.first[k].At-preparing.At) / 10
 		}
 	}
 	return out
@@ -168,15 +168,15 @@
 
 // loggedEvents gives what a node logged of its service.
 func (n *nodeProcess) loggedEvents() (events []simulation.FleetEvent, err error) {
-	err = readLog(n.logFile(), func(l *logRecord) {
+	err = readLog(n.logPath(), func(l *logRecord) {
 		e := simulation.FleetEvent{At: l.at, Node: n.name}
 		switch l.message {
 		case "node is fenced: all requests are rejected":
 			e.Kind = "stops"
 		case "node serves":
-			e.Kind, e.Version = "serves", l.number(logging.PolicyVersion)
+			e.Kind, e.Version = "serves", l.uintField(logging.PolicyVersion)
 		case "policy version is active":
-			e.Kind, e.Version = "takes", l.number(logging.PolicyVersion)
+			e.Kind, e.Version = "takes", l.uintField(logging.PolicyVersion)
 		default:
 			return
 		}
@@ -191,42 +191,42 @@
 
 // nodeHistory makes spans of service of what a node's log and the scenario say: a process that stands still serves
 // nothing, and one that goes on serves what it did unless its first round fenced it.
-func nodeHistory(told []simulation.FleetEvent) (out []simulation.FleetEvent) {
-	sort.SliceStable(told, func(i, k int) bool { return told[i].At < told[k].At })
-	serves, under, before := false, uint64(0), false
-	say := func(at int64, kind string) {
-		out = append(out, simulation.FleetEvent{At: at, Kind: kind, Node: told[0].Node, Version: under})
+func nodeHistory(events []simulation.FleetEvent) (out []simulation.FleetEvent) {
+	sort.SliceStable(events, func(i, k int) bool { return events[i].At < events[k].At })
+	serving, version, servingBeforePause := false, uint64(0), false
+	emit := func(at int64, kind string) {
+		out = append(out, simulation.FleetEvent{At: at, Kind: kind, Node: events[0].Node, Version: version})
 	}
-	for _, e := range told {
+	for _, e := range events {
 		switch e.Kind {
 		case "serves":
-			serves, under = true, e.Version
-			say(e.At, "serves")
+			serving, version = true, e.Version
+			emit(e.At, "serves")
 		case "takes":
-			if under = e.Version; serves {
-				say(e.At, "serves")
+			if version = e.Version; serving {
+				emit(e.At, "serves")
 			}
 		case "stops":
-			if serves {
-				say(e.At, "stops")
+			if serving {
+				emit(e.At, "stops")
 			}
-			serves = false
+			serving = false
 		case "pause":
-			if before = serves; serves {
-				say(e.At, "stops")
+			if servingBeforePause = serving; serving {
+				emit(e.At, "stops")
 			}
-			serves = false
+			serving = false
 		case "resume":
-			if !before {
+			if !servingBeforePause {
 				continue
 			}
 			fenced := false
-			for _, o := range told { // logs have whole ms: a line may seem to come before what brought it about
-				fenced = fenced || o.Kind == "stops" && o.At > e.At-10 && o.At <= e.At+fenceLogGrace
+			for _, other := range events { // logs have whole ms: a line may seem to come before what brought it about
+				fenced = fenced || other.Kind == "stops" && other.At > e.At-10 && other.At <= e.At+fenceLogGrace
 			}
 			if !fenced {
-				serves = true
-				say(e.At+10, "serves")
+				serving = true
+				emit(e.At+10, "serves")
 			}
 		}
 	}
@@ -246,8 +246,8 @@
 	return overlap, nil
 }
 
-// tail gives the end of a process's log, for a failure's report.
-func (r *FleetProcesses) tail(name string, n int) string {
+// logTail gives the end of a process's log, for a failure's report.
+func (r *FleetProcesses) logTail(name string, n int) string {
 	raw, err := os.ReadFile(filepath.Join(r.Dir, name+".log"))
 	if err != nil {
 		return err.Error()
--- a/internal/harness/fleet_load.go
+++ b/internal/harness/fleet_load.go
@@ -19,13 +19,13 @@
 	mu                                 sync.Mutex
 	Requests, Done, Shed, Lost, Errors int
 	Attempts                           int
-	Times                              []float64 // ms of those done
-	Each                               []CallResult
+	LatenciesMS                        []float64 // ms of those done
+	Calls                              []CallResult
 }
 
 // CallResult is one request that a node answered.
 type CallResult struct {
-	At       time.Time
+	EndedAt  time.Time
 	Node     *nodeProcess
 	Value    float64
 	InTime   bool // done within its target
@@ -44,47 +44,47 @@
 func (c *CallResults) quantile(q float64) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.Times) == 0 {
+	if len(c.LatenciesMS) == 0 {
 		return 0
 	}
-	sort.Float64s(c.Times)
-	return c.Times[min(len(c.Times)-1, int(q*float64(len(c.Times))))]
+	sort.Float64s(c.LatenciesMS)
+	return c.LatenciesMS[min(len(c.LatenciesMS)-1, int(q*float64(len(c.LatenciesMS))))]
 }
 
-// count gives how many requests were noted one by one so far.
-func (c *CallResults) count() int {
+// numCalls gives how many requests were noted one by one so far.
+func (c *CallResults) numCalls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.Each)
+	return len(c.Calls)
 }
 
-// valueInTime gives the share of value that was done in time, of the requests after the first from.
-func (c *CallResults) valueInTime(from int) float64 {
+// inTimeValueShare gives the share of value that was done in time, of the requests after the first from.
+func (c *CallResults) inTimeValueShare(from int) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	good, all := 0.0, 0.0
-	for _, a := range c.Each[from:] {
+	inTime, all := 0.0, 0.0
+	for _, a := range c.Calls[from:] {
 		if all += a.Value; a.InTime {
-			good += a.Value
+			inTime += a.Value
 		}
 	}
-	return good / max(all, 1)
+	return inTime / max(all, 1)
 }
 
 // Load sends requests at a rate until the context ends, each to a node that the list says is ready, and elsewhere when
 // it is turned away: so a request is lost only if nobody answered it in its time.
 func (r *FleetProcesses) Load(ctx context.Context, rate float64) *CallResults {
 	c := &CallResults{}
-	s, _ := simulation.ReadScenario("fleet", fleetClasses)
-	chance := rand.New(rand.NewSource(r.Seed))
+	s, _ := simulation.ReadScenario("fleet", fleetScenario)
+	random := rand.New(rand.NewSource(r.Seed))
 	r.loads.Add(1)
 	go func() {
 		defer r.loads.Done()
-		var open sync.WaitGroup
-		defer open.Wait()
+		var inFlight sync.WaitGroup
+		defer inFlight.Wait()
 		next := time.Now()
 		for i := 0; ; i++ {
-			next = next.Add(time.Duration(chance.ExpFloat64() / rate * float64(time.Second)))
+			next = next.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 			select {
 			case <-ctx.Done():
 				return
@@ -92,21 +92,21 @@
 				return
 			case <-time.After(time.Until(next)):
 			}
-			class, tenant, first := pickClass(s, chance.Float64()), chance.Intn(s.Tenants), chance.Intn(len(r.nodes))
-			open.Add(1)
-			go func() { defer open.Done(); r.call(c, &s.Classes[class], class == s.Dearest, tenant, first) }()
+			class, tenant, first := pickClass(s, random.Float64()), random.Intn(s.Tenants), random.Intn(len(r.nodes))
+			inFlight.Add(1)
+			go func() { defer inFlight.Done(); r.sendRequest(c, &s.Classes[class], class == s.Dearest, tenant, first) }()
 		}
 	}()
 	return c
 }
 
-func pickClass(s *simulation.Scenario, at float64) int {
+func pickClass(s *simulation.Scenario, draw float64) int {
 	sum := 0.0
 	for k := range s.Classes {
 		sum += s.Classes[k].Rate
 	}
 	for k := range s.Classes {
-		if at -= s.Classes[k].Rate / sum; at < 0 {
+		if draw -= s.Classes[k].Rate / sum; draw < 0 {
 			return k
 		}
 	}
@@ -115,57 +115,57 @@
 
 // clientCall is one request with its attempts.
 type clientCall struct {
-	r               *FleetProcesses
-	class           *simulation.Class
-	key             string // empty: it has none
-	tenant, sender  int
-	first           int // the node that is asked first
-	began, deadline time.Time
-	backoff         time.Duration // before the next attempt, once there were some
-	code            int           // of the last answer, 0: there was none
-	attempts        int
-	last            *nodeProcess
+	fleet               *FleetProcesses
+	class               *simulation.Class
+	key                 string // empty: it has none
+	tenant, sender      int
+	firstNode           int // the node that is asked first
+	startedAt, deadline time.Time
+	backoff             time.Duration // before the next attempt, once there were some
+	status              int           // of the last answer, 0: there was none
+	attempts            int
+	lastNode            *nodeProcess
 }
 
-// call sends one request and notes what became of it.
-func (r *FleetProcesses) call(c *CallResults, class *simulation.Class, keyed bool, tenant, first int) {
-	began := time.Now()
-	q := &clientCall{r: r, class: class, tenant: tenant, first: first, began: began, backoff: firstGap,
-		deadline: began.Add(time.Duration(class.Handler.Timeout) * 100 * time.Microsecond),
-		sender:   first*131 + tenant*17 + int(began.UnixNano()>>10)%64}
+// sendRequest sends one request and notes what became of it.
+func (r *FleetProcesses) sendRequest(results *CallResults, class *simulation.Class, keyed bool, tenant, first int) {
+	startedAt := time.Now()
+	q := &clientCall{fleet: r, class: class, tenant: tenant, firstNode: first, startedAt: startedAt, backoff: initialBackoff,
+		deadline: startedAt.Add(time.Duration(class.Handler.Timeout) * 100 * time.Microsecond),
+		sender:   first*131 + tenant*17 + int(startedAt.UnixNano()>>10)%64}
 	if keyed {
-		q.key = newKey()
+		q.key = randomKey()
 	}
 	q.run()
-	c.note(q)
+	results.record(q)
 }
 
 // run asks one node after the other until one is done with it, its time is over, or asking on would be wrong.
 func (q *clientCall) run() {
-	nodes := q.r.nodes
-	for k := 0; q.attempts < maxTries && time.Now().Before(q.deadline) && q.code != http.StatusOK; k++ {
+	nodes := q.fleet.nodes
+	for k := 0; q.attempts < maxAttempts && time.Now().Before(q.deadline) && q.status != http.StatusOK; k++ {
 		if k > 0 && k%len(nodes) == 0 {
-			time.Sleep(firstGap) // the list was gone through once
+			time.Sleep(initialBackoff) // the list was gone through once
 		}
-		i := (q.first + k) % len(nodes)
-		if !q.r.ready.ready(nodes[i].name) || q.r.OddNode == i+1 && q.class.Name == "fill" {
+		i := (q.firstNode + k) % len(nodes)
+		if !q.fleet.readiness.isReady(nodes[i].name) || q.fleet.NodeWithoutFill == i+1 && q.class.Name == "fill" {
 			continue
 		}
-		if q.mayHaveRun() || !q.pause() {
+		if q.mayHaveRun() || !q.waitBackoff() {
 			return
 		}
-		q.attempt(nodes[i])
+		q.sendTo(nodes[i])
 	}
 }
 
 // mayHaveRun tells whether a keyed request may have run at the last node: elsewhere it would run again.
 func (q *clientCall) mayHaveRun() bool {
-	return q.key != "" && q.attempts > 0 && q.code != http.StatusServiceUnavailable
+	return q.key != "" && q.attempts > 0 && q.status != http.StatusServiceUnavailable
 }
 
-// pause waits before an attempt after the first ones, unless that would be for nobody: then it gives false.
-func (q *clientCall) pause() bool {
-	if q.attempts < triesWithoutPause || q.r.RetryAtOnce {
+// waitBackoff waits before an attempt after the first ones, unless that would be for nobody: then it gives false.
+func (q *clientCall) waitBackoff() bool {
+	if q.attempts < immediateAttempts || q.fleet.RetryImmediately {
 		return true
 	}
 	if q.backoff > time.Until(q.deadline) {
@@ -176,35 +176,35 @@
 	return true
 }
 
-// attempt asks one node; a patient caller that is turned away waits for as long as it is told to.
-func (q *clientCall) attempt(n *nodeProcess) {
+// sendTo asks one node; a patient caller that is turned away waits for as long as it is told to.
+func (q *clientCall) sendTo(n *nodeProcess) {
 	ctx, cancel := context.WithDeadline(context.Background(), q.deadline)
 	defer cancel()
 	var retryAfter time.Duration
-	q.code, retryAfter = sendAttempt(ctx, q.r.client, n.front, q.class.Name, q.tenant, q.sender, q.key, q.attempts > 0)
+	q.status, retryAfter = sendAttempt(ctx, q.fleet.client, n.callerAddr, q.class.Name, q.tenant, q.sender, q.key, q.attempts > 0)
 	q.attempts++
-	q.last = n
-	if q.r.HonorRetryAfter && q.code == http.StatusServiceUnavailable {
+	q.lastNode = n
+	if q.fleet.HonorRetryAfter && q.status == http.StatusServiceUnavailable {
 		time.Sleep(min(retryAfter, time.Until(q.deadline)))
 	}
 }
 
-// note counts what became of a request.
-func (c *CallResults) note(q *clientCall) {
-	took := time.Since(q.began)
+// record counts what became of a request.
+func (c *CallResults) record(q *clientCall) {
+	latency := time.Since(q.startedAt)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Requests++
 	c.Attempts += q.attempts
-	if q.r.WithStores {
+	if q.fleet.WithStores {
 		objective := time.Duration(q.class.Handler.LatencyObjective) * 100 * time.Microsecond
-		c.Each = append(c.Each, CallResult{At: time.Now(), Node: q.last, Value: q.class.Handler.Value,
-			InTime: took <= objective && q.code == http.StatusOK, Attempts: q.attempts})
+		c.Calls = append(c.Calls, CallResult{EndedAt: time.Now(), Node: q.lastNode, Value: q.class.Handler.Value,
+			InTime: latency <= objective && q.status == http.StatusOK, Attempts: q.attempts})
 	}
-	switch q.code {
+	switch q.status {
 	case http.StatusOK:
 		c.Done++
-		c.Times = append(c.Times, float64(took.Microseconds())/1000)
+		c.LatenciesMS = append(c.LatenciesMS, float64(latency.Microseconds())/1000)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		c.Shed++
 	case 0:
--- a/internal/harness/fleet_processes_test.go
+++ b/internal/harness/fleet_processes_test.go
@@ -24,8 +24,8 @@
 	"umberwinch/internal/simulation"
 )
 
-// programs builds umberctl and the node's program once, side by side.
-var programs = sync.OnceValues(func() (string, error) {
+// buildPrograms builds umberctl and the node's program once, side by side.
+var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "lab-programs-")
 	if err != nil {
 		return "", err
@@ -38,9 +38,9 @@
 	return filepath.Join(dir, "umberctl"), err
 })
 
-func built(t *testing.T) string {
+func builtProgram(t *testing.T) string {
 	t.Helper()
-	p, err := programs()
+	p, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,9 +66,9 @@
 	os.Exit(code)
 }
 
-// TestPolicyOnProcesses plays every hard case on processes, then changes under load that no caller may notice, in three
+// TestPolicyCasesOnProcesses plays every hard case on processes, then changes under load that no caller may notice, in three
 // fleets side by side.
-func TestPolicyOnProcesses(t *testing.T) {
+func TestPolicyCasesOnProcesses(t *testing.T) {
 	t.Parallel()
 	const parts = 3
 	cases := 0
@@ -82,7 +82,7 @@
 			t.Parallel()
 			var out bytes.Buffer
 			rep, err := (&PolicyTest{Seed: int64(3 + part), Quick: true, Mode: "real", Changes: 3, Part: part,
-				Parts: parts, Program: built(t)}).Run(context.Background(), &out)
+				Parts: parts, Program: builtProgram(t)}).Run(context.Background(), &out)
 			if err != nil || rep.Broken != "" {
 				t.Fatalf("%v\n%s", err, out.String())
 			}
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestPolicyGuardsOnProcesses takes out each guard: the case that needs it breaks. Each guard that a command takes has
+// TestPolicyCasesFailWithoutGuard takes out each guard: the case that needs it breaks. Each guard that a command takes has
 // to have a case here.
-func TestPolicyGuardsOnProcesses(t *testing.T) {
+func TestPolicyCasesFailWithoutGuard(t *testing.T) {
 	t.Parallel()
 	cases := map[string]string{"fence": "stopped past its lease and continued",
 		"shadow": "a version that would shed everything", "prepare-all": "a node never answers",
@@ -112,21 +112,21 @@
 	for guard, only := range cases {
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
-			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
+			expectViolationWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
 				return (&PolicyTest{Seed: seed, Quick: true, Mode: "real", ProcessGuards: guard, Only: only, Size: 6,
-					Program: built(t)}).Run(context.Background(), w)
+					Program: builtProgram(t)}).Run(context.Background(), w)
 			})
 		})
 	}
 }
 
-// breaksWithout plays a case on processes with a guard out. They go at the machine's pace, so it is played three times
+// expectViolationWithout plays a case on processes with a guard out. They go at the machine's pace, so it is played three times
 // at most: a promise has to break in one.
-func breaksWithout(t *testing.T, guard, only string, play func(seed int64, w io.Writer) (*report.Report, error)) {
+func expectViolationWithout(t *testing.T, guard, only string, run func(seed int64, w io.Writer) (*report.Report, error)) {
 	t.Helper()
 	var out bytes.Buffer
 	for seed := int64(21); seed < 24; seed++ {
-		rep, err := play(seed, &out)
+		rep, err := run(seed, &out)
 		if err != nil {
 			t.Fatalf("without %s: %v\n%s", guard, err, out.String())
 		}
@@ -138,25 +138,25 @@
 	t.Errorf("without %s no promise broke in %q\n%s", guard, only, out.String())
 }
 
-// TestGoesOnAlone: under go-on a fleet serves on when the group is gone, also a node that starts then; a change made
+// TestFleetServesWithoutGroup: under go-on a fleet serves on when the group is gone, also a node that starts then; a change made
 // with a node cut off is called off, and made once that node is forgotten.
-func TestGoesOnAlone(t *testing.T) {
+func TestFleetServesWithoutGroup(t *testing.T) {
 	t.Parallel()
-	p := &PolicyTest{Seed: 5, Size: 6, Program: built(t)}
-	b, err := p.begin(context.Background(), t.TempDir(), "go-on")
+	p := &PolicyTest{Seed: 5, Size: 6, Program: builtProgram(t)}
+	b, err := p.startFixture(context.Background(), t.TempDir(), "go-on")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer b.Close()
-	fail := func(what string, err error) {
+	check := func(what string, err error) {
 		t.Helper()
 		if err != nil {
-			t.Fatalf("%s: %v\n%s", what, err, b.tail("n1", 8))
+			t.Fatalf("%s: %v\n%s", what, err, b.logTail("n1", 8))
 		}
 	}
 	// A node cut off goes on, so a change waits for it and is called off.
-	b.cutOff(b.nodes[0])
-	fail("the silence of a node", b.await(20*time.Second, func() error {
+	b.partitionFromGroup(b.nodes[0])
+	check("the silence of a node", b.await(20*time.Second, func() error {
 		all, err := b.Nodes()
 		if err == nil && all["n1"].OutReason == "" {
 			err = os.ErrDeadlineExceeded
@@ -164,9 +164,9 @@
 		return err
 	}))
 	number, _, err := b.Propose(b.text(""), policyProposal(2000))
-	fail("a change", err)
+	check("a change", err)
 	c, err := b.AwaitStep(number, 20*time.Second, "called off", "settled")
-	fail("its end", err)
+	check("its end", err)
 	if c.Step != "called off" || !strings.Contains(c.AbortReason, "n1 (is silent and may serve alone") {
 		t.Fatalf("change %+v, expected it called off for n1", c)
 	}
@@ -176,21 +176,21 @@
 	// Killed and forgotten, it is waited for no more.
 	b.nodes[0].Kill()
 	var out map[string]string
-	_, err = b.ask("POST", "/v1/nodes/forget", map[string]string{"name": "n1"}, &out)
-	fail("forgetting", err)
+	_, err = b.requestAny("POST", "/v1/nodes/forget", map[string]string{"name": "n1"}, &out)
+	check("forgetting", err)
 	b.extraText = "[zones]\ndecide = auto\nfirst = 0.125\nhold = 500ms\nsmall_start = yes\n"
 	number, version, err := b.Propose(b.text(""), policyProposal(10000))
-	fail("a change", err)
+	check("a change", err)
 	_, err = b.awaitSettled(number, version)
-	fail("a change without the node that was forgotten", err)
+	check("a change without the node that was forgotten", err)
 	// The group goes; all serve on, and one that starts now serves its last version.
-	for _, p := range b.group.procs {
+	for _, p := range b.group.instances {
 		b.group.kill(p)
 	}
 	b.nodes[1].Kill()
-	fail("a start without the group", b.nodes[1].Start())
+	check("a start without the group", b.nodes[1].Start())
 	time.Sleep(2 * b.lease)
-	fail("service without the group", b.await(20*time.Second, func() error {
+	check("service without the group", b.await(20*time.Second, func() error {
 		for _, n := range b.nodes[1:] {
 			if code, _, err := b.sendOne(n.name); code != 200 {
 				return err
@@ -198,41 +198,41 @@
 		}
 		return nil
 	}))
-	if !strings.Contains(b.tail("n2", 20), `"msg":"node serves autonomously, without the group","policy_version":`) {
-		t.Errorf("n2 does not say that it is alone:\n%s", b.tail("n2", 8))
+	if !strings.Contains(b.logTail("n2", 20), `"msg":"node serves autonomously, without the group","policy_version":`) {
+		t.Errorf("n2 does not say that it is alone:\n%s", b.logTail("n2", 8))
 	}
-	if !strings.Contains(b.tail("n2", 20),
+	if !strings.Contains(b.logTail("n2", 20),
 		`"msg":"cold start without the group: serving begins with a quota","share":32,`) {
-		t.Errorf("n2 starts without the group and does not begin small:\n%s", b.tail("n2", 8))
+		t.Errorf("n2 starts without the group and does not begin small:\n%s", b.logTail("n2", 8))
 	}
-	for _, p := range b.group.procs {
-		fail("the group's start", b.group.start(p, ""))
+	for _, p := range b.group.instances {
+		check("the group's start", b.group.start(p, ""))
 	}
 	b.heal()
-	fail("the fleet with the group", b.AwaitAllServing(version, 30*time.Second))
+	check("the fleet with the group", b.AwaitAllServing(version, 30*time.Second))
 	if _, err = b.Check(simulation.FleetPromises{}); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestLocalFleet: what README shows runs, starts again what is killed, and ends clean.
-func TestLocalFleet(t *testing.T) {
+// TestLocalFleetRestartsKilledProcesses: what README shows runs, starts again what is killed, and ends clean.
+func TestLocalFleetRestartsKilledProcesses(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	out, errs, over := &lockedBuffer{}, make(chan error, 1), make(chan struct{})
+	out, result, done := &lockedBuffer{}, make(chan error, 1), make(chan struct{})
 	dir := t.TempDir()
 	go func() {
-		defer close(over)
-		errs <- (&LocalFleet{Program: built(t), Dir: dir, Instances: 3, Nodes: 3, Rate: 50}).Run(ctx, out)
+		defer close(done)
+		result <- (&LocalFleet{Program: builtProgram(t), Dir: dir, Instances: 3, Nodes: 3, Rate: 50}).Run(ctx, out)
 	}()
-	t.Cleanup(func() { cancel(); <-over }) // nothing is left behind where the test fails
+	t.Cleanup(func() { cancel(); <-done }) // nothing is left behind where the test fails
 	pid := 0
-	wait := func(what string, holds func() bool) {
+	waitFor := func(what string, condition func() bool) {
 		t.Helper()
-		for end := time.Now().Add(40 * time.Second); !holds(); time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(40 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
 			select {
-			case err := <-errs:
+			case err := <-result:
 				t.Fatalf("%s: it ended: %v\n%s", what, err, out.String())
 			default:
 			}
@@ -241,7 +241,7 @@
 			}
 		}
 	}
-	wait("the fleet", func() bool { return strings.Contains(out.String(), "Ctrl-C ends all") })
+	waitFor("the fleet", func() bool { return strings.Contains(out.String(), "Ctrl-C ends all") })
 	pid = pidOf(t, out.String(), "node n1 ")
 	if err := syscall.Kill(pid, syscall.SIGKILL); err != nil {
 		t.Fatal(err)
@@ -249,15 +249,15 @@
 	if err := syscall.Kill(pidOf(t, out.String(), "control b "), syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
-	starts := func(log, line string) int {
+	countLines := func(log, line string) int {
 		raw, _ := os.ReadFile(filepath.Join(dir, log))
 		return strings.Count(string(raw), line)
 	}
-	serves := `"msg":"node serves","policy_version":1,`
-	wait("the node's second start", func() bool { return starts("n1.log", serves) >= 1 })
-	wait("the instance's second start", func() bool { return starts("instances.log", "instance is up") >= 4 })
+	servingLine := `"msg":"node serves","policy_version":1,`
+	waitFor("the node's second start", func() bool { return countLines("n1.log", servingLine) >= 1 })
+	waitFor("the instance's second start", func() bool { return countLines("instances.log", "instance is up") >= 4 })
 	cancel()
-	if err := <-errs; err != nil {
+	if err := <-result; err != nil {
 		t.Error(err)
 	}
 	if err := syscall.Kill(pid, 0); err == nil {
@@ -283,38 +283,38 @@
 	return l.b.String()
 }
 
-func pidOf(t *testing.T, out, what string) (pid int) {
+func pidOf(t *testing.T, out, label string) (pid int) {
 	t.Helper()
-	_, rest, ok := strings.Cut(out, what)
-	_, rest, there := strings.Cut(rest, "pid ")
-	if _, err := fmt.Sscan(rest, &pid); !ok || !there || err != nil {
-		t.Fatalf("no pid of %q in\n%s", what, out)
+	_, rest, ok := strings.Cut(out, label)
+	_, rest, hasPID := strings.Cut(rest, "pid ")
+	if _, err := fmt.Sscan(rest, &pid); !ok || !hasPID || err != nil {
+		t.Fatalf("no pid of %q in\n%s", label, out)
 	}
 	return pid
 }
 
 func policyProposal(within uint64) policy.Proposal { return policy.Proposal{PrepareWithinMS: within} }
 
-// TestCallersHaveAPace: callers that are turned away by all ask on ever more slowly, so that a fleet that is down stays
+// TestRejectedCallersBackOff: callers that are turned away by all ask on ever more slowly, so that a fleet that is down stays
 // able to come up; eager ones go on at once.
-func TestCallersHaveAPace(t *testing.T) {
-	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+func TestRejectedCallersBackOff(t *testing.T) {
+	overloaded := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
-	defer busy.Close()
-	s, err := simulation.ReadScenario("fleet", fleetClasses)
+	defer overloaded.Close()
+	s, err := simulation.ReadScenario("fleet", fleetScenario)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Classes[0].Handler.Timeout = 10_000 // a second: three at once, then after 30, 90, 210, 450 and 930 ms
-	for _, eager := range []bool{false, true} {
-		r := &FleetProcesses{FleetProcessesPlan: FleetProcessesPlan{RetryAtOnce: eager},
-			ready: &readiness{readyAt: map[string]time.Time{"n1": time.Now()}}, client: busy.Client()}
-		r.nodes = []*nodeProcess{{name: "n1", front: strings.TrimPrefix(busy.URL, "http://")}}
+	for _, immediate := range []bool{false, true} {
+		r := &FleetProcesses{FleetProcessesConfig: FleetProcessesConfig{RetryImmediately: immediate},
+			readiness: &readiness{readyAt: map[string]time.Time{"n1": time.Now()}}, client: overloaded.Client()}
+		r.nodes = []*nodeProcess{{name: "n1", callerAddr: strings.TrimPrefix(overloaded.URL, "http://")}}
 		c := &CallResults{}
-		r.call(c, &s.Classes[0], false, 0, 0)
-		if c.Shed != 1 || eager != (c.Attempts > 8) || c.Attempts < 4 {
-			t.Errorf("eager %v: %v", eager, c)
+		r.sendRequest(c, &s.Classes[0], false, 0, 0)
+		if c.Shed != 1 || immediate != (c.Attempts > 8) || c.Attempts < 4 {
+			t.Errorf("eager %v: %v", immediate, c)
 		}
 	}
 }
--- a/internal/harness/forwarders.go
+++ b/internal/harness/forwarders.go
@@ -16,29 +16,29 @@
 // forwarders stands between instances of a group of processes: a forwarder in front of each peers' address,
 // which knows by the greeting who dialled, and can part any two, one way each.
 type forwarders struct {
-	mu    sync.Mutex
-	cut   map[[2]string]bool // by names, from and to
-	fault map[[2]string]linkFault
-	conns map[net.Conn][2]string
-	wg    sync.WaitGroup
-	ls    []net.Listener
-	open  map[net.Conn]bool // what was accepted and has not ended
-	ended bool
+	mu        sync.Mutex
+	blocked   map[[2]string]bool // by names, from and to
+	faults    map[[2]string]linkFault
+	conns     map[net.Conn][2]string
+	wg        sync.WaitGroup
+	listeners []net.Listener
+	accepted  map[net.Conn]bool // what was accepted and has not ended
+	closed    bool
 }
 
 func newForwarders() *forwarders {
-	return &forwarders{cut: map[[2]string]bool{}, fault: map[[2]string]linkFault{}, conns: map[net.Conn][2]string{},
-		open: map[net.Conn]bool{}}
+	return &forwarders{blocked: map[[2]string]bool{}, faults: map[[2]string]linkFault{}, conns: map[net.Conn][2]string{},
+		accepted: map[net.Conn]bool{}}
 }
 
-// front forwards what comes to a listener to an instance.
-func (s *forwarders) front(l net.Listener, name, to string) {
-	s.serve(l, func(c net.Conn) { s.forward(c, name, to) })
+// forwardPeers forwards what comes to a listener to an instance.
+func (s *forwarders) forwardPeers(l net.Listener, name, to string) {
+	s.serve(l, func(c net.Conn) { s.forwardPeer(c, name, to) })
 }
 
 // serve takes what comes to a listener until it is closed.
-func (s *forwarders) serve(l net.Listener, take func(net.Conn)) {
-	s.ls = append(s.ls, l)
+func (s *forwarders) serve(l net.Listener, handle func(net.Conn)) {
+	s.listeners = append(s.listeners, l)
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
@@ -52,7 +52,7 @@
 				return
 			}
 			s.wg.Add(1)
-			go func() { defer s.wg.Done(); defer s.untrack(c); take(c) }()
+			go func() { defer s.wg.Done(); defer s.untrack(c); handle(c) }()
 		}
 	}()
 }
@@ -61,22 +61,22 @@
 func (s *forwarders) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.ended {
-		s.open[c] = true
+	if !s.closed {
+		s.accepted[c] = true
 	}
-	return !s.ended
+	return !s.closed
 }
 
 func (s *forwarders) untrack(c net.Conn) {
 	c.Close()
 	s.mu.Lock()
-	delete(s.open, c)
+	delete(s.accepted, c)
 	s.mu.Unlock()
 }
 
-// forward reads the greeting to learn who dials, then copies both ways until either side ends or the two are
+// forwardPeer reads the greeting to learn who dials, then copies both ways until either side ends or the two are
 // parted.
-func (s *forwarders) forward(c net.Conn, name, to string) {
+func (s *forwarders) forwardPeer(c net.Conn, name, to string) {
 	defer c.Close()
 	c.SetReadDeadline(time.Now().Add(2 * time.Second))
 	head := make([]byte, 8)
@@ -105,39 +105,39 @@
 	defer out.Close()
 	key := [2]string{hello.Name, name}
 	s.mu.Lock()
-	parted := s.cut[key]
-	if !parted {
+	blocked := s.blocked[key]
+	if !blocked {
 		s.conns[c] = key
 	}
 	s.mu.Unlock()
-	if parted {
+	if blocked {
 		return
 	}
 	defer func() { s.mu.Lock(); delete(s.conns, c); s.mu.Unlock() }()
 	if _, err = out.Write(append(head, raw...)); err != nil {
 		return
 	}
-	back := make(chan struct{})
-	go func() { io.Copy(c, out); c.Close(); close(back) }()
+	copied := make(chan struct{})
+	go func() { io.Copy(c, out); c.Close(); close(copied) }()
 	io.Copy(out, c)
 	out.Close()
-	<-back
+	<-copied
 }
 
 // partition cuts one instance off from some others, both ways, or only what it says or only what it hears.
-func (s *forwarders) partition(name string, others []string, says, hears bool) {
+func (s *forwarders) partition(name string, others []string, outbound, inbound bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range others {
-		if says {
-			s.cut[[2]string{name, o}] = true
+		if outbound {
+			s.blocked[[2]string{name, o}] = true
 		}
-		if hears {
-			s.cut[[2]string{o, name}] = true
+		if inbound {
+			s.blocked[[2]string{o, name}] = true
 		}
 	}
 	for c, key := range s.conns {
-		if s.cut[key] {
+		if s.blocked[key] {
 			c.Close()
 		}
 	}
@@ -146,19 +146,19 @@
 func (s *forwarders) heal() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut, s.fault = map[[2]string]bool{}, map[[2]string]linkFault{}
+	s.blocked, s.faults = map[[2]string]bool{}, map[[2]string]linkFault{}
 }
 
 // linkFault is what goes wrong on the lines from one to another, both named where they are made.
 type linkFault struct {
-	cut           bool          // nothing opens, and what is open closes
-	dropSent      bool          // what the one says is swallowed
-	dropReplies   bool          // and what the other answers
-	delay         time.Duration // of each piece, both ways
-	swallowPrefix string        // connections that begin so are swallowed
-	replace       [2]string     // what is said has the one in place of the other, of the same length: a node that lies
+	cut          bool          // nothing opens, and what is open closes
+	dropRequests bool          // what the one says is swallowed
+	dropReplies  bool          // and what the other answers
+	delay        time.Duration // of each piece, both ways
+	dropPrefix   string        // connections that begin so are swallowed
+	replace      [2]string     // what is said has the one in place of the other, of the same length: a node that lies
 	// in place of what the other one answers to POST /v1/nodes: an instance that is behind
-	answer []byte
+	staleResponse []byte
 }
 
 // set puts a fault in place of the one before.
@@ -166,25 +166,25 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := [2]string{from, to}
-	s.fault[key] = f
+	s.faults[key] = f
 	for c, k := range s.conns {
-		if (f.cut || f.answer != nil) && k == key {
+		if (f.cut || f.staleResponse != nil) && k == key {
 			c.Close()
 		}
 	}
 }
 
-func (s *forwarders) on(key [2]string) linkFault {
+func (s *forwarders) faultFor(key [2]string) linkFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := s.fault[key]
-	f.cut = f.cut || s.cut[key]
+	f := s.faults[key]
+	f.cut = f.cut || s.blocked[key]
 	return f
 }
 
-// faultBetween opens an address on which one reaches another, and forwards what comes.
-func (s *forwarders) faultBetween(from, to, target string) (string, error) {
-	l, err := net.Listen("tcp", loopback(7300))
+// listenBetween opens an address on which one reaches another, and forwards what comes.
+func (s *forwarders) listenBetween(from, to, target string) (string, error) {
+	l, err := net.Listen("tcp", newLoopbackAddr(7300))
 	if err != nil {
 		return "", err
 	}
@@ -194,7 +194,7 @@
 
 func (s *forwarders) relay(c net.Conn, key [2]string, target string) {
 	defer c.Close()
-	f := s.on(key)
+	f := s.faultFor(key)
 	if f.cut {
 		return
 	}
@@ -202,8 +202,8 @@
 	s.conns[c] = key
 	s.mu.Unlock()
 	defer func() { s.mu.Lock(); delete(s.conns, c); s.mu.Unlock() }()
-	if f.answer != nil {
-		answerInPlace(c, target, f.answer)
+	if f.staleResponse != nil {
+		serveStaleResponse(c, target, f.staleResponse)
 		return
 	}
 	out, err := net.DialTimeout("tcp", target, time.Second)
@@ -211,23 +211,23 @@
 		return
 	}
 	defer out.Close()
-	back := make(chan struct{})
+	copied := make(chan struct{})
 	go func() {
 		s.copyBytes(c, out, key, func(f linkFault, _ []byte) bool { return f.dropReplies })
 		c.Close()
-		close(back)
+		close(copied)
 	}()
-	deaf := false
+	dropping := false
 	s.copyBytes(out, c, key, func(f linkFault, b []byte) bool {
-		deaf = deaf || f.swallowPrefix != "" && bytes.HasPrefix(b, []byte(f.swallowPrefix))
-		return f.dropSent || deaf
+		dropping = dropping || f.dropPrefix != "" && bytes.HasPrefix(b, []byte(f.dropPrefix))
+		return f.dropRequests || dropping
 	})
 	out.Close()
-	<-back
+	<-copied
 }
 
-// answerInPlace answers a node in an instance's place with what it said long ago; texts it has from the true one.
-func answerInPlace(c net.Conn, target string, says []byte) {
+// serveStaleResponse answers a node in an instance's place with what it said long ago; texts it has from the true one.
+func serveStaleResponse(c net.Conn, target string, response []byte) {
 	lines := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(lines)
@@ -235,7 +235,7 @@
 			return
 		}
 		io.Copy(io.Discard, req.Body)
-		body := says
+		body := response
 		if req.Method == http.MethodGet {
 			res, err := http.Get("http://" + target + req.URL.RequestURI())
 			if err != nil {
@@ -249,16 +249,16 @@
 }
 
 // copyBytes copies piece by piece, but for what is swallowed.
-func (s *forwarders) copyBytes(dst, src net.Conn, key [2]string, swallow func(linkFault, []byte) bool) {
+func (s *forwarders) copyBytes(dst, src net.Conn, key [2]string, drop func(linkFault, []byte) bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := src.Read(buf)
 		if n > 0 {
-			f := s.on(key)
+			f := s.faultFor(key)
 			if f.delay > 0 {
 				time.Sleep(f.delay)
 			}
-			if !swallow(f, buf[:n]) {
+			if !drop(f, buf[:n]) {
 				piece := buf[:n]
 				if f.replace[0] != "" {
 					piece = bytes.ReplaceAll(piece, []byte(f.replace[0]), []byte(f.replace[1]))
@@ -276,12 +276,12 @@
 
 // close ends all connections and waits for what forwards them. The processes behind them have ended before.
 func (s *forwarders) close() {
-	for _, l := range s.ls {
+	for _, l := range s.listeners {
 		l.Close()
 	}
 	s.mu.Lock()
-	s.ended = true
-	for c := range s.open {
+	s.closed = true
+	for c := range s.accepted {
 		c.Close()
 	}
 	s.mu.Unlock()
--- a/internal/harness/heartbeat_load.go
+++ b/internal/harness/heartbeat_load.go
@@ -33,11 +33,11 @@
 func (r *PolicyTest) measureHeartbeats(ctx context.Context, rep *report.Report) error {
 	return withGroup(ctx, r.Program, rep, 3, "", func(c *controlProcesses) error {
 		transport := &http.Transport{MaxIdleConnsPerHost: heartbeatNodes, MaxIdleConns: 3 * heartbeatNodes}
-		m := &heartbeatLoad{group: c, client: &http.Client{Transport: transport}, began: time.Now()}
+		m := &heartbeatLoad{group: c, client: &http.Client{Transport: transport}, startedAt: time.Now()}
 		defer m.client.CloseIdleConnections()
 		defer m.close()
 		m.start(ctx, 1, 10*time.Second)
-		if pause(ctx, 25*time.Second); ctx.Err() != nil {
+		if sleepContext(ctx, 25*time.Second); ctx.Err() != nil {
 			return nil
 		}
 		if err := m.measureAtRest(ctx, rep); err != nil || rep.Broken != "" {
@@ -49,15 +49,15 @@
 
 // groupUsage is what a group has done for heartbeats so far.
 type groupUsage struct {
-	view consensus.PolicyView
-	cpu  time.Duration // of the leader
+	view      consensus.PolicyView
+	leaderCPU time.Duration // of the leader
 }
 
 func (m *heartbeatLoad) usage(ctx context.Context, leader *instanceProcess) (u groupUsage, err error) {
-	if _, err = m.group.call(ctx, http.MethodGet, leader.listen, "/v1/policy", nil, &u.view); err != nil {
+	if _, err = m.group.doRequest(ctx, http.MethodGet, leader.listen, "/v1/policy", nil, &u.view); err != nil {
 		return u, err
 	}
-	u.cpu, err = cpuOf(leader.pid())
+	u.leaderCPU, err = cpuTime(leader.pid())
 	return u, err
 }
 
@@ -73,22 +73,22 @@
 		return err
 	}
 	m.heartbeats.Store(0)
-	m.lost.Store(0)
-	pause(ctx, span)
+	m.failed.Store(0)
+	sleepContext(ctx, span)
 	after, err := m.usage(ctx, leader)
 	if err != nil {
 		return err
 	}
-	was, is, seconds := before.view, after.view, span.Seconds()
-	rep.Add("crowd_nodes", "%d", is.ActiveNodes)
+	previous, current, seconds := before.view, after.view, span.Seconds()
+	rep.Add("crowd_nodes", "%d", current.ActiveNodes)
 	rep.Add("crowd_askings_per_s", "%.0f", float64(m.heartbeats.Load())/seconds)
-	rep.Add("crowd_entries_per_s", "%.2f", float64(is.Batches-was.Batches)/seconds)
-	rep.Add("crowd_kb_per_s", "%.1f", float64(is.BatchBytes-was.BatchBytes)/1024/seconds)
-	rep.Add("crowd_leader_cores", "%.2f", (after.cpu-before.cpu).Seconds()/seconds)
-	rep.Add("crowd_lost", "%d", m.lost.Load())
-	if is.ActiveNodes != heartbeatNodes || m.lost.Load() > m.heartbeats.Load()/100 {
-		rep.Break("a group asked by %d nodes has %d in, and %d of %d askings were lost", heartbeatNodes, is.ActiveNodes,
-			m.lost.Load(), m.heartbeats.Load())
+	rep.Add("crowd_entries_per_s", "%.2f", float64(current.Batches-previous.Batches)/seconds)
+	rep.Add("crowd_kb_per_s", "%.1f", float64(current.BatchBytes-previous.BatchBytes)/1024/seconds)
+	rep.Add("crowd_leader_cores", "%.2f", (after.leaderCPU-before.leaderCPU).Seconds()/seconds)
+	rep.Add("crowd_lost", "%d", m.failed.Load())
+	if current.ActiveNodes != heartbeatNodes || m.failed.Load() > m.heartbeats.Load()/100 {
+		rep.Break("a group asked by %d nodes has %d in, and %d of %d askings were lost", heartbeatNodes, current.ActiveNodes,
+			m.failed.Load(), m.heartbeats.Load())
 	}
 	return nil
 }
@@ -96,118 +96,118 @@
 // measureRestart kills the group and all members, has them come back within a second, and times when all are in again.
 func (m *heartbeatLoad) measureRestart(ctx context.Context, rep *report.Report) error {
 	m.close()
-	for _, p := range m.group.procs {
+	for _, p := range m.group.instances {
 		m.group.kill(p)
 	}
 	m.client.CloseIdleConnections()
-	back := time.Now()
-	for _, p := range m.group.procs {
+	restartedAt := time.Now()
+	for _, p := range m.group.instances {
 		if err := m.group.start(p, ""); err != nil {
 			return err
 		}
 	}
 	m.start(ctx, 2, time.Second)
-	leads, peak, before := time.Duration(0), int64(0), m.heartbeats.Load()
-	for m.leased.Load() < heartbeatNodes && time.Since(back) < time.Minute && ctx.Err() == nil {
+	electedAfter, peak, before := time.Duration(0), int64(0), m.heartbeats.Load()
+	for m.leasedNodes.Load() < heartbeatNodes && time.Since(restartedAt) < time.Minute && ctx.Err() == nil {
 		time.Sleep(100 * time.Millisecond)
 		now := m.heartbeats.Load()
 		peak, before = max(peak, now-before), now
-		if leads == 0 && m.group.leader() != nil {
-			leads = time.Since(back)
+		if electedAfter == 0 && m.group.leader() != nil {
+			electedAfter = time.Since(restartedAt)
 		}
 	}
-	all := time.Since(back)
+	leasedAfter := time.Since(restartedAt)
 	leader := m.group.leader()
 	if leader == nil {
 		return errors.New("no leader")
 	}
-	cpu, err := cpuOf(leader.pid())
+	cpu, err := cpuTime(leader.pid())
 	if err != nil {
 		return err
 	}
-	rep.Add("restart_leads_ms", "%d", leads.Milliseconds())
-	rep.Add("restart_all_in_ms", "%d", all.Milliseconds())
+	rep.Add("restart_leads_ms", "%d", electedAfter.Milliseconds())
+	rep.Add("restart_all_in_ms", "%d", leasedAfter.Milliseconds())
 	rep.Add("restart_askings_per_s_peak", "%d", 10*peak)
 	rep.Add("restart_leader_cpu_s", "%.2f", cpu.Seconds())
-	rep.Add("restart_leader_mb", "%.0f", rssOf(leader.pid()))
-	if m.leased.Load() < heartbeatNodes {
-		rep.Break("a group and %d nodes restart at once, and %d are in after %v", heartbeatNodes, m.leased.Load(), all)
+	rep.Add("restart_leader_mb", "%.0f", residentMB(leader.pid()))
+	if m.leasedNodes.Load() < heartbeatNodes {
+		rep.Break("a group and %d nodes restart at once, and %d are in after %v", heartbeatNodes, m.leasedNodes.Load(), leasedAfter)
 	}
 	return nil
 }
 
 // heartbeatLoad is a fleet of members in this process that send heartbeats to a group.
 type heartbeatLoad struct {
-	group      *controlProcesses
-	client     *http.Client
-	began      time.Time
-	heartbeats atomic.Int64
-	lost       atomic.Int64
-	leased     atomic.Int64 // members that hold a lease
-	wg         sync.WaitGroup
-	stop       context.CancelFunc // of the members that run
+	group       *controlProcesses
+	client      *http.Client
+	startedAt   time.Time
+	heartbeats  atomic.Int64
+	failed      atomic.Int64
+	leasedNodes atomic.Int64 // members that hold a lease
+	wg          sync.WaitGroup
+	cancel      context.CancelFunc // of the members that run
 }
 
 // start starts all members within a time; close ends them.
-func (m *heartbeatLoad) start(ctx context.Context, life int, within time.Duration) {
-	ctx, m.stop = context.WithCancel(ctx)
-	m.leased.Store(0)
+func (m *heartbeatLoad) start(ctx context.Context, incarnation int, within time.Duration) {
+	ctx, m.cancel = context.WithCancel(ctx)
+	m.leasedNodes.Store(0)
 	var control []string
-	for _, p := range m.group.procs {
+	for _, p := range m.group.instances {
 		control = append(control, p.listen)
 	}
 	for i := 0; i < heartbeatNodes; i++ {
 		m.wg.Add(1)
 		go func() {
 			defer m.wg.Done()
-			pause(ctx, time.Duration(i)*within/heartbeatNodes)
+			sleepContext(ctx, time.Duration(i)*within/heartbeatNodes)
 			name := fmt.Sprintf("n%04d", i)
 			m.runNode(ctx, agent.Config{Name: name, Zone: fmt.Sprint("z", i%3), ControlAddresses: control,
-				Nonce: fmt.Sprintf("crowd-%d-%s", life, name), JitterSeed: uint32(i)})
+				Nonce: fmt.Sprintf("crowd-%d-%s", incarnation, name), JitterSeed: uint32(i)})
 		}()
 	}
 }
 
 // close ends all members and waits for them.
 func (m *heartbeatLoad) close() {
-	m.stop()
+	m.cancel()
 	m.wg.Wait()
 }
 
 // runNode is one member, with a connection of its own.
-func (m *heartbeatLoad) runNode(ctx context.Context, plan agent.Config) {
-	now := func() uint64 { return uint64(time.Since(m.began).Milliseconds()) + 1000 }
-	n, in := agent.New(plan, nil, now()), false
+func (m *heartbeatLoad) runNode(ctx context.Context, config agent.Config) {
+	now := func() uint64 { return uint64(time.Since(m.startedAt).Milliseconds()) + 1000 }
+	node, leased := agent.New(config, nil, now()), false
 	for ctx.Err() == nil {
-		a, no, due := n.Heartbeat(now())
+		request, seq, due := node.Heartbeat(now())
 		if !due {
 			select {
 			case <-ctx.Done():
-			case <-time.After(time.Duration(max(n.NextHeartbeat(), now()+1)-now()) * time.Millisecond):
+			case <-time.After(time.Duration(max(node.NextHeartbeat(), now()+1)-now()) * time.Millisecond):
 			}
 			continue
 		}
 		m.heartbeats.Add(1)
-		raw, _ := json.Marshal(a)
-		try, cancel := context.WithTimeout(ctx, time.Duration(n.HeartbeatTimeout())*time.Millisecond)
+		raw, _ := json.Marshal(request)
+		attemptCtx, cancel := context.WithTimeout(ctx, time.Duration(node.HeartbeatTimeout())*time.Millisecond)
 		var response api.HeartbeatResponse
-		err := postJSON(try, m.client, "http://"+n.ControlAddress()+"/v1/nodes", raw, &response)
+		err := postJSON(attemptCtx, m.client, "http://"+node.ControlAddress()+"/v1/nodes", raw, &response)
 		cancel()
 		if err != nil {
-			m.lost.Add(1)
-			n.HandleFailure(now(), no)
-		} else if err = n.HandleResponse(now(), no, response); err != nil {
-			m.lost.Add(1)
+			m.failed.Add(1)
+			node.HandleFailure(now(), seq)
+		} else if err = node.HandleResponse(now(), seq, response); err != nil {
+			m.failed.Add(1)
 		}
-		if !in && n.LeaseID() != 0 {
-			in = true
-			m.leased.Add(1)
+		if !leased && node.LeaseID() != 0 {
+			leased = true
+			m.leasedNodes.Add(1)
 		}
 	}
 }
 
-// rssOf gives a process's resident memory in MB, 0 if it can't be told.
-func rssOf(pid int) float64 {
+// residentMB gives a process's resident memory in MB, 0 if it can't be told.
+func residentMB(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	var size, resident int
 	if n, _ := fmt.Sscan(string(raw), &size, &resident); err != nil || n < 2 {
@@ -216,7 +216,7 @@
 	return float64(resident*os.Getpagesize()) / (1 << 20)
 }
 
-func postJSON(ctx context.Context, client *http.Client, url string, body []byte, into any) error {
+func postJSON(ctx context.Context, client *http.Client, url string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return err
@@ -233,11 +233,11 @@
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(raw, into)
+	return json.Unmarshal(raw, out)
 }
 
-// cpuOf gives the processor time that a process has used.
-func cpuOf(pid int) (time.Duration, error) {
+// cpuTime gives the processor time that a process has used.
+func cpuTime(pid int) (time.Duration, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
--- a/internal/harness/local_fleet.go
+++ b/internal/harness/local_fleet.go
@@ -28,11 +28,11 @@
 }
 
 func (l *LocalFleet) run(ctx context.Context, w io.Writer) error {
-	run, end := context.WithCancel(context.WithoutCancel(ctx)) // so that what is started can be ended in order
-	defer end()
-	isUp := context.AfterFunc(ctx, end) // until then there is nothing to be ended in order
-	r, err := NewFleetProcesses(run, FleetProcessesPlan{Program: l.Program, Dir: l.Dir, Seed: 1,
-		Instances: l.Instances, Nodes: l.Nodes, Folders: true, RestartEnded: true})
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // so that what is started can be ended in order
+	defer cancel()
+	detach := context.AfterFunc(ctx, cancel) // until then there is nothing to be ended in order
+	r, err := NewFleetProcesses(runCtx, FleetProcessesConfig{Program: l.Program, Dir: l.Dir, Seed: 1,
+		Instances: l.Instances, Nodes: l.Nodes, PersistPolicy: true, RestartExited: true})
 	if err != nil {
 		return err
 	}
@@ -47,23 +47,23 @@
 	if err != nil {
 		return err
 	}
-	isUp()
-	var at []string
-	for _, p := range r.group.procs {
-		at = append(at, p.listen)
+	detach()
+	var addrs []string
+	for _, p := range r.group.instances {
+		addrs = append(addrs, p.listen)
 	}
 	fmt.Fprintf(w, "%d control instances, %d nodes in 3 zones, policy version %d in force; logs are in %s\n\n",
 		l.Instances, l.Nodes, version, l.Dir)
-	fmt.Fprintf(w, "ask:\n  umberctl nodes list --at %s\n  umberctl policy status --at %[1]s\n", strings.Join(at, ","))
+	fmt.Fprintf(w, "ask:\n  umberctl nodes list --at %s\n  umberctl policy status --at %[1]s\n", strings.Join(addrs, ","))
 	fmt.Fprintf(w, "change (on standard input):\n"+
 		"  printf '[fleet]\\nlease = 5s\\nwhen_alone = fence\\n[tenant t0]\\nrate = 500\\n' |\n"+
-		"    umberctl policy propose - --reason \"t0 grows\" --at %s\n", strings.Join(at, ","))
+		"    umberctl policy propose - --reason \"t0 grows\" --at %s\n", strings.Join(addrs, ","))
 	fmt.Fprintln(w, "kill -9, or stop (kill -STOP) and continue (kill -CONT):")
-	for _, p := range r.group.procs {
+	for _, p := range r.group.instances {
 		fmt.Fprintf(w, "  control %s  pid %d  at %s\n", p.name, p.pid(), p.listen)
 	}
 	for _, n := range r.nodes {
-		fmt.Fprintf(w, "  node %s of %s  pid %d  at %s\n", n.name, n.zone, n.proc.pid(), n.listen)
+		fmt.Fprintf(w, "  node %s of %s  pid %d  at %s\n", n.name, n.zone, n.process.pid(), n.listen)
 	}
 	fmt.Fprintln(w, "what ends is started again after two seconds; Ctrl-C ends all")
 	calls := r.Load(ctx, max(l.Rate, 0.001))
--- a/internal/harness/node_process.go
+++ b/internal/harness/node_process.go
@@ -14,76 +14,76 @@
 
 // nodeProcess is one node's process with its kernel.
 type nodeProcess struct {
-	r                   *FleetProcesses
-	name, zone          string
-	listen, front       string // its own address, and the forwarder before it that callers use
-	folder, config, ini string
-	log                 *os.File
-	proc                process
-	kernel              *EmulatedKernel
-	down, stopped       bool // guarded by r.mu
+	fleet                                *FleetProcesses
+	name, zone                           string
+	listen, callerAddr                   string // its own address, and the forwarder before it that callers use
+	policyDir, startupFile, operatorFile string
+	log                                  *os.File
+	process                              process
+	kernel                               *EmulatedKernel
+	down, paused                         bool // guarded by r.mu
 }
 
-// add makes a node: its kernel, its links to callers and to the group, and its files. The fleet owns it from the first
+// addNode makes a node: its kernel, its links to callers and to the group, and its files. The fleet owns it from the first
 // step on, so that Close ends also what was made in part.
-func (r *FleetProcesses) add(i int) (*nodeProcess, error) {
-	n := &nodeProcess{r: r, name: fmt.Sprintf("n%d", i+1), zone: fmt.Sprintf("z%d", 1+i%3), listen: loopback(8080)}
-	n.proc.onEnd = func() { r.event("stops", n.name) }
+func (r *FleetProcesses) addNode(i int) (*nodeProcess, error) {
+	n := &nodeProcess{fleet: r, name: fmt.Sprintf("n%d", i+1), zone: fmt.Sprintf("z%d", 1+i%3), listen: newLoopbackAddr(8080)}
+	n.process.onExit = func() { r.recordEvent("stops", n.name) }
 	r.nodes = append(r.nodes, n)
-	s, err := simulation.ReadScenario("fleet", fleetClasses)
+	s, err := simulation.ReadScenario("fleet", fleetScenario)
 	if err != nil {
 		return nil, err
 	}
 	seed := r.Seed + int64(i)
-	if n.kernel, err = NewEmulatedKernel(loopback(7400), seed, float64(s.Cores), s.Classes,
+	if n.kernel, err = NewEmulatedKernel(newLoopbackAddr(7400), seed, float64(s.Cores), s.Classes,
 		5*time.Millisecond); err != nil {
 		return nil, err
 	}
-	store, peers, err := n.openBelow(seed)
+	store, peerAddr, err := n.openStore(seed)
 	if err != nil {
 		return nil, err
 	}
-	control, err := n.openLinks()
+	control, err := n.openForwarders()
 	if err != nil {
 		return nil, err
 	}
-	if r.OddNode == i+1 {
+	if r.NodeWithoutFill == i+1 {
 		s.Classes = []simulation.Class{s.Classes[0], s.Classes[2]}
 	}
-	if err = n.writeFiles(s, store, peers, control); err != nil {
+	if err = n.writeFiles(s, store, peerAddr, control); err != nil {
 		return nil, err
 	}
-	n.log, err = openLog(n.logFile())
+	n.log, err = openLog(n.logPath())
 	return n, err
 }
 
-// openBelow gives the node the service below of its zone, where the fleet has any, and an address at which other nodes
+// openStore gives the node the service below of its zone, where the fleet has any, and an address at which other nodes
 // reach it; both are empty where there is none.
-func (n *nodeProcess) openBelow(seed int64) (store, peers string, err error) {
-	r := n.r
+func (n *nodeProcess) openStore(seed int64) (store, peerAddr string, err error) {
+	r := n.fleet
 	if !r.WithStores {
 		return "", "", nil
 	}
 	n.kernel.callsStore = true
 	if r.stores[n.zone] == nil {
-		if r.stores[n.zone], err = NewEmulatedStore(loopback(9042), seed, belowWorkers, belowCost, belowCold,
-			belowFill); err != nil {
+		if r.stores[n.zone], err = NewEmulatedStore(newLoopbackAddr(9042), seed, storeWorkers, storeCallTime, storeColdFactor,
+			storeWarmUpCalls); err != nil {
 			return "", "", err
 		}
 	}
-	peers, err = r.group.forwarders.faultBetween("peers", n.name, n.listen)
-	return r.stores[n.zone].ln.Addr().String(), peers, err
+	peerAddr, err = r.group.forwarders.listenBetween("peers", n.name, n.listen)
+	return r.stores[n.zone].listener.Addr().String(), peerAddr, err
 }
 
-// openLinks puts a forwarder before the node for its callers, and one between it and each instance. It gives the
+// openForwarders puts a forwarder before the node for its callers, and one between it and each instance. It gives the
 // addresses of those.
-func (n *nodeProcess) openLinks() (control []string, err error) {
-	board := n.r.group.forwarders
-	if n.front, err = board.faultBetween("callers", n.name, n.listen); err != nil {
+func (n *nodeProcess) openForwarders() (control []string, err error) {
+	forwarders := n.fleet.group.forwarders
+	if n.callerAddr, err = forwarders.listenBetween("callers", n.name, n.listen); err != nil {
 		return nil, err
 	}
-	for _, p := range n.r.group.procs {
-		at, err := board.faultBetween(n.name, p.name, p.listen)
+	for _, p := range n.fleet.group.instances {
+		at, err := forwarders.listenBetween(n.name, p.name, p.listen)
 		if err != nil {
 			return nil, err
 		}
@@ -93,95 +93,95 @@
 }
 
 // writeFiles writes the node's start-up file and its operator's file.
-func (n *nodeProcess) writeFiles(s *simulation.Scenario, store, peers string, control []string) error {
-	raw, err := nodeConfig(nodeSetUp{name: n.name, listen: n.listen, kernel: n.kernel.ln.Addr().String(), store: store,
-		control: n.r.ready.addr(), cores: s.Cores, tenants: s.Tenants, classes: s.Classes, keyed: "submit"})
+func (n *nodeProcess) writeFiles(s *simulation.Scenario, store, peerAddr string, control []string) error {
+	raw, err := encodeStartupFile(startupParams{name: n.name, listen: n.listen, kernel: n.kernel.listener.Addr().String(), store: store,
+		control: n.fleet.readiness.addr(), cores: s.Cores, tenants: s.Tenants, classes: s.Classes, keyedClass: "submit"})
 	if err != nil {
 		return err
 	}
-	n.config, n.ini = filepath.Join(n.r.Dir, n.name+".json"), filepath.Join(n.r.Dir, n.name+".ini")
-	if err = os.WriteFile(n.config, raw, 0o600); err != nil {
+	n.startupFile, n.operatorFile = filepath.Join(n.fleet.Dir, n.name+".json"), filepath.Join(n.fleet.Dir, n.name+".ini")
+	if err = os.WriteFile(n.startupFile, raw, 0o600); err != nil {
 		return err
 	}
-	own := fmt.Sprintf("[log]\nform = json\n[fleet]\ncontrol = %s\nzone = %s\n", strings.Join(control, ", "), n.zone)
-	if peers != "" {
-		own += "at = " + peers + "\n"
+	text := fmt.Sprintf("[log]\nform = json\n[fleet]\ncontrol = %s\nzone = %s\n", strings.Join(control, ", "), n.zone)
+	if peerAddr != "" {
+		text += "at = " + peerAddr + "\n"
 	}
-	if n.r.Folders {
-		n.folder = filepath.Join(n.r.Dir, n.name)
-		if err = os.MkdirAll(n.folder, 0o700); err != nil {
+	if n.fleet.PersistPolicy {
+		n.policyDir = filepath.Join(n.fleet.Dir, n.name)
+		if err = os.MkdirAll(n.policyDir, 0o700); err != nil {
 			return err
 		}
-		own += "folder = " + n.folder + "\n"
+		text += "folder = " + n.policyDir + "\n"
 	}
-	return os.WriteFile(n.ini, []byte(own), 0o600)
+	return os.WriteFile(n.operatorFile, []byte(text), 0o600)
 }
 
 // nodeCommand runs a node: by the program beside umberctl, or by umberctl's hidden command.
 func nodeCommand(umberctl string) *exec.Cmd {
-	if program := filepath.Join(filepath.Dir(umberctl), "umberwinch"); fileThere(program) {
+	if program := filepath.Join(filepath.Dir(umberctl), "umberwinch"); fileExists(program) {
 		return exec.Command(program)
 	}
 	return exec.Command(umberctl, "node")
 }
 
-func fileThere(path string) bool {
+func fileExists(path string) bool {
 	_, err := os.Stat(path)
 	return err == nil
 }
 
 // Start runs the node's program.
 func (n *nodeProcess) Start() error {
-	cmd := nodeCommand(n.r.Program)
+	cmd := nodeCommand(n.fleet.Program)
 	cmd.Stderr = n.log
-	cmd.Env = append(os.Environ(), "NODE_CONFIG="+n.config, "UMBERWINCH_FILE="+n.ini, WithoutEnv+"="+n.r.Without)
-	n.mark(false, false)
-	return n.proc.start(cmd)
+	cmd.Env = append(os.Environ(), "NODE_CONFIG="+n.startupFile, "UMBERWINCH_FILE="+n.operatorFile, disabledGuardsEnv+"="+n.fleet.DisabledGuards)
+	n.setState(false, false)
+	return n.process.start(cmd)
 }
 
-// mark notes what the scenario has done to the node.
-func (n *nodeProcess) mark(down, stopped bool) {
-	n.r.mu.Lock()
-	n.down, n.stopped = down, stopped
-	n.r.mu.Unlock()
+// setState notes what the scenario has done to the node.
+func (n *nodeProcess) setState(down, paused bool) {
+	n.fleet.mu.Lock()
+	n.down, n.paused = down, paused
+	n.fleet.mu.Unlock()
 }
 
-// up tells whether the scenario has left the node running.
-func (n *nodeProcess) up() bool {
-	n.r.mu.Lock()
-	defer n.r.mu.Unlock()
-	return !n.down && !n.stopped
+// isUp tells whether the scenario has left the node running.
+func (n *nodeProcess) isUp() bool {
+	n.fleet.mu.Lock()
+	defer n.fleet.mu.Unlock()
+	return !n.down && !n.paused
 }
 
 // Kill ends the node as kill -9 does.
 func (n *nodeProcess) Kill() {
-	n.mark(true, false)
-	n.proc.kill()
+	n.setState(true, false)
+	n.process.kill()
 }
 
 // Drain ends it with the platform's notice.
 func (n *nodeProcess) Drain() {
-	n.mark(true, false)
-	n.proc.signal(syscall.SIGTERM)
+	n.setState(true, false)
+	n.process.signal(syscall.SIGTERM)
 }
 
-// Stop has it stand still; GoOn has it go on as if nothing had happened.
-func (n *nodeProcess) Stop() {
-	n.proc.signal(syscall.SIGSTOP)
-	n.mark(false, true)
-	n.r.event("pause", n.name)
+// Pause has it stand still; Resume has it go on as if nothing had happened.
+func (n *nodeProcess) Pause() {
+	n.process.signal(syscall.SIGSTOP)
+	n.setState(false, true)
+	n.fleet.recordEvent("pause", n.name)
 }
 
-// GoOn ends a Stop.
-func (n *nodeProcess) GoOn() {
-	n.r.event("resume", n.name)
-	n.mark(false, false)
-	n.proc.signal(syscall.SIGCONT)
+// Resume ends a Stop.
+func (n *nodeProcess) Resume() {
+	n.fleet.recordEvent("resume", n.name)
+	n.setState(false, false)
+	n.process.signal(syscall.SIGCONT)
 }
 
 // close ends all that the node has.
 func (n *nodeProcess) close() {
-	n.proc.close()
+	n.process.close()
 	if n.kernel != nil {
 		n.kernel.Close()
 	}
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -32,10 +32,10 @@
 
 // Numbers of the two modes. Quick ends within 50 s on four cores.
 const (
-	quickFleets  = 200
-	longFleets   = 2000
-	quickChanges = 10
-	longChanges  = 100
+	quickPolicySchedules = 200
+	longPolicySchedules  = 2000
+	quickChanges         = 10
+	longChanges          = 100
 )
 
 // Run plays virtual schedules and large fleets, then processes, and reports.
@@ -44,13 +44,13 @@
 		Head: []string{"PART", "NODES", "CHANGES", "SETTLED", "CALLED OFF", "MEDIAN", "99TH", "WORST", "OVERLAP"}}
 	rep.Add("seed", "%d", r.Seed)
 	if r.Mode != "real" {
-		r.virtual(ctx, rep)
+		r.runVirtual(ctx, rep)
 		if rep.Broken == "" && r.Without == 0 {
-			r.large(ctx, rep)
+			r.runLargeFleets(ctx, rep)
 		}
 	}
 	if r.Mode != "virtual" && rep.Broken == "" {
-		if err := r.real(ctx, w, rep); err != nil {
+		if err := r.runProcesses(ctx, w, rep); err != nil {
 			return nil, err
 		}
 	}
@@ -60,8 +60,8 @@
 	return rep.End(r.Out, w)
 }
 
-// span gives the quantiles of times as a table's cells.
-func span(times []float64) []string {
+// quantileCells gives the quantiles of times as a table's cells.
+func quantileCells(times []float64) []string {
 	sort.Float64s(times)
 	at := func(q float64) string {
 		if len(times) == 0 {
@@ -72,22 +72,22 @@
 	return []string{at(0.5), at(0.99), at(1)}
 }
 
-func (r *PolicyTest) row(rep *report.Report, part string, nodes, changes int, ends map[policy.Step]int,
+func (r *PolicyTest) addRow(rep *report.Report, part string, nodes, changes int, ends map[policy.Step]int,
 	times []float64, overlap int64) {
 	rep.Rows = append(rep.Rows, append(append([]string{part, strconv.Itoa(nodes), strconv.Itoa(changes),
-		strconv.Itoa(ends[policy.Settled]), strconv.Itoa(ends[policy.Aborted])}, span(times)...),
+		strconv.Itoa(ends[policy.Settled]), strconv.Itoa(ends[policy.Aborted])}, quantileCells(times)...),
 		fmt.Sprintf("%.0f ms", float64(overlap)/10)))
 }
 
-// virtual plays schedules of faults on all cores, each from a seed of its own.
-func (r *PolicyTest) virtual(ctx context.Context, rep *report.Report) {
+// runVirtual plays schedules of faults on all cores, each from a seed of its own.
+func (r *PolicyTest) runVirtual(ctx context.Context, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
-		if n = longFleets; r.Quick {
-			n = quickFleets
+		if n = longPolicySchedules; r.Quick {
+			n = quickPolicySchedules
 		}
 	}
-	ends, causes, broken := map[policy.Step]int{}, map[string]int{}, brokenSchedules{}
+	ends, causes, broken := map[policy.Step]int{}, map[string]int{}, violatingSchedules{}
 	var times []float64
 	var overlap int64
 	report.EachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Fleet {
@@ -103,11 +103,11 @@
 			causes[k] += v
 		}
 		times, overlap = append(times, f.Times...), max(overlap, f.Overlap)
-		broken.note(s, f.Broken)
+		broken.record(s, f.Broken)
 		return false
 	})
 	changes := ends[policy.Settled] + ends[policy.Aborted]
-	r.row(rep, "virtual, faults", 12, changes, ends, times, overlap)
+	r.addRow(rep, "virtual, faults", 12, changes, ends, times, overlap)
 	rep.Add("schedules", "%d", n)
 	rep.Add("changes", "%d", changes)
 	rep.Add("broken", "%d", broken.count)
@@ -118,9 +118,9 @@
 	broken.report(rep)
 }
 
-// large plays fleets of the full size, calm and with a third down, and beside them the two baselines: telling each node
+// runLargeFleets plays fleets of the full size, calm and with a third down, and beside them the two baselines: telling each node
 // as it comes, and a majority of nodes.
-func (r *PolicyTest) large(ctx context.Context, rep *report.Report) {
+func (r *PolicyTest) runLargeFleets(ctx context.Context, rep *report.Report) {
 	sizes := []int{300, 5000}
 	if r.Quick {
 		sizes = []int{300}
@@ -143,7 +143,7 @@
 			if f.Broken != "" {
 				rep.Break("%d nodes, %s: %s", n, c.part, f.Broken)
 			}
-			r.row(rep, "virtual, "+c.part, n, len(f.Times), f.Ends, f.Times, f.Overlap)
+			r.addRow(rep, "virtual, "+c.part, n, len(f.Times), f.Ends, f.Times, f.Overlap)
 			if c.way == "" {
 				seconds := f.Now / 1000
 				rep.Notes = append(rep.Notes, fmt.Sprintf(
@@ -158,13 +158,13 @@
 // OnlyLoad stands for the changes under load and the group asked by a fleet of the full size, without the cases.
 const OnlyLoad = "load"
 
-// real plays the cases on processes, then many changes under load.
-func (r *PolicyTest) real(ctx context.Context, w io.Writer, rep *report.Report) error {
-	return withWorkFolder(ctx, rep, func(dir string) error { return r.realIn(ctx, dir, w, rep) })
+// runProcesses plays the cases on processes, then many changes under load.
+func (r *PolicyTest) runProcesses(ctx context.Context, w io.Writer, rep *report.Report) error {
+	return withWorkFolder(ctx, rep, func(dir string) error { return r.runProcessesIn(ctx, dir, w, rep) })
 }
 
-func (r *PolicyTest) realIn(ctx context.Context, dir string, w io.Writer, rep *report.Report) error {
-	b, err := r.begin(ctx, dir, "fence")
+func (r *PolicyTest) runProcessesIn(ctx context.Context, dir string, w io.Writer, rep *report.Report) error {
+	b, err := r.startFixture(ctx, dir, "fence")
 	if err != nil {
 		return err
 	}
@@ -174,10 +174,10 @@
 			return nil
 		}
 	}
-	if err = r.many(ctx, b, rep); err != nil || rep.Broken != "" || r.Quick && r.Only != OnlyLoad {
+	if err = r.runChanges(ctx, b, rep); err != nil || rep.Broken != "" || r.Quick && r.Only != OnlyLoad {
 		return err
 	}
-	if err = r.fencing(ctx, b, rep); err != nil {
+	if err = r.measureFencing(ctx, b, rep); err != nil {
 		return err
 	}
 	b.Close()
@@ -186,13 +186,13 @@
 
 // playCases plays the cases that were asked for, one after the other under load, up to the first that breaks.
 func (r *PolicyTest) playCases(ctx context.Context, b *policyFixture, w io.Writer, rep *report.Report) {
-	load, stop := context.WithCancel(ctx)
+	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	calls := b.Load(load, 100)
+	calls := b.Load(loadCtx, 100)
 	kept := 0
 	for i := range policyCases {
 		c := &policyCases[i]
-		if !r.selection().takes(i, c.name, c.long) {
+		if !r.selection().includes(i, c.name, c.long) {
 			continue
 		}
 		started := time.Now()
@@ -222,44 +222,44 @@
 		err = b.AwaitAllServing(b.committedVersion, 60*time.Second)
 	}
 	if err == nil {
-		_, err = b.Check(b.promises())
+		_, err = b.Check(b.historyLimits())
 	}
 	return err
 }
 
-// fencing measures what it costs callers that a zone is cut off from the group and stops serving: the same load for as
+// measureFencing measures what it costs callers that a zone is cut off from the group and stops serving: the same load for as
 // long, whole and cut.
-func (r *PolicyTest) fencing(ctx context.Context, b *policyFixture, rep *report.Report) error {
+func (r *PolicyTest) measureFencing(ctx context.Context, b *policyFixture, rep *report.Report) error {
 	const span = 10 * time.Second
 	for _, cut := range []bool{false, true} {
 		if cut {
-			b.cutOff(b.nodesIn("z2")...)
+			b.partitionFromGroup(b.nodesIn("z2")...)
 			time.Sleep(b.lease + b.lease/2)
 		}
-		load, stop := context.WithTimeout(ctx, span)
-		calls := b.Load(load, 200)
+		loadCtx, stop := context.WithTimeout(ctx, span)
+		calls := b.Load(loadCtx, 200)
 		b.loads.Wait()
 		stop()
-		what := map[bool]string{false: "whole", true: "zone_cut"}[cut]
-		rep.Add(what+"_done_of", "%d/%d", calls.Done, calls.Requests)
-		rep.Add(what+"_tries_each", "%.3f", float64(calls.Attempts)/float64(max(1, calls.Requests)))
-		rep.Add(what+"_ms_99th", "%.0f", calls.quantile(0.99))
+		prefix := map[bool]string{false: "whole", true: "zone_cut"}[cut]
+		rep.Add(prefix+"_done_of", "%d/%d", calls.Done, calls.Requests)
+		rep.Add(prefix+"_tries_each", "%.3f", float64(calls.Attempts)/float64(max(1, calls.Requests)))
+		rep.Add(prefix+"_ms_99th", "%.0f", calls.quantile(0.99))
 	}
 	b.heal()
 	return b.AwaitAllServing(b.committedVersion, 20*time.Second)
 }
 
-// many makes changes one after the other under load, none of which a caller may notice.
-func (r *PolicyTest) many(ctx context.Context, b *policyFixture, rep *report.Report) error {
+// runChanges makes changes one after the other under load, none of which a caller may notice.
+func (r *PolicyTest) runChanges(ctx context.Context, b *policyFixture, rep *report.Report) error {
 	n := r.Changes
 	if n == 0 {
 		if n = longChanges; r.Quick {
 			n = quickChanges
 		}
 	}
-	load, stop := context.WithCancel(ctx)
+	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	calls := b.Load(load, 200)
+	calls := b.Load(loadCtx, 200)
 	time.Sleep(time.Second)
 	before, ends, times, numbers := calls.String(), map[policy.Step]int{}, []float64{}, []uint64{}
 	for i := 0; i < n && ctx.Err() == nil; i++ {
@@ -273,14 +273,14 @@
 	}
 	stop()
 	b.loads.Wait()
-	overlap, err := b.Check(b.promises())
+	overlap, err := b.Check(b.historyLimits())
 	if err != nil {
 		rep.Break("%d changes under load: %v", n, err)
 	}
 	for _, c := range numbers {
 		times = append(times, b.commitTimes[c])
 	}
-	r.row(rep, "real, under load", len(b.nodes), n, ends, times, overlap)
+	r.addRow(rep, "real, under load", len(b.nodes), n, ends, times, overlap)
 	rep.Add("real_changes", "%d", n)
 	rep.Add("asked", "%d", calls.Requests)
 	rep.Add("lost", "%d", calls.Lost)
--- a/internal/harness/policy_cases.go
+++ b/internal/harness/policy_cases.go
@@ -71,32 +71,32 @@
 	// must not answer under the old version: it is fenced until it has the new one.
 	{name: "stopped past its lease and continued", run: func(b *policyFixture) {
 		n := b.nodes[3%len(b.nodes)]
-		n.Stop()
+		n.Pause()
 		defer func() {
-			if !n.up() {
-				n.GoOn()
+			if !n.isUp() {
+				n.Resume()
 			}
 		}()
 		c := mustGet(b.change(policy.Proposal{}))
-		n.GoOn()
+		n.Resume()
 		b.mustAllServe(c.Version)
 	}},
 	// The nodes of a zone lose the group while their callers reach them. A change settles without them; they are
 	// fenced as their leases end, and follow once the zone is connected again.
 	{name: "a zone cut off from the group, not from its callers", run: func(b *policyFixture) {
-		b.cutOff(b.nodesIn("z2")...)
+		b.partitionFromGroup(b.nodesIn("z2")...)
 		b.settleWhenHealed(b.propose("", policy.Proposal{}))
 	}},
 	// One node's heartbeats are lost on their way to the group, another's answers on their way back. A change settles
 	// without them, and both follow once the links are whole.
 	{name: "one-way cuts", run: func(b *policyFixture) {
-		b.setLinkFault(linkFault{dropSent: true}, b.nodes[0])
+		b.setLinkFault(linkFault{dropRequests: true}, b.nodes[0])
 		b.setLinkFault(linkFault{dropReplies: true}, b.nodes[1])
 		b.settleWhenHealed(b.propose("", policy.Proposal{}))
 	}},
 	// The leader is killed while a node has yet to prepare a change. The next leader settles it.
 	{name: "the leader killed while nodes prepare", run: func(b *policyFixture) {
-		b.loseLeader(b.proposeBlockedBy(b.nodes[4%len(b.nodes)], policy.Proposal{}, b.nodes[0]))
+		b.replaceLeader(b.proposeBlockedBy(b.nodes[4%len(b.nodes)], policy.Proposal{}, b.nodes[0]))
 	}},
 	// An exclusive change is decided (held, policy.Decided), but waits for a node that prepared it and hears nothing.
 	// The leader is killed then; the next one settles the change.
@@ -105,16 +105,16 @@
 		c := b.proposeBlockedBy(slow, policy.Proposal{Exclusive: true}, cut)
 		b.setLinkFault(linkFault{dropReplies: true}, cut)
 		b.release(slow, c, policy.Decided, policy.Committed, policy.Settled)
-		b.loseLeader(c)
+		b.replaceLeader(c)
 	}},
 	// Two of three instances are killed in the middle of a change, for longer than any lease. The nodes are fenced;
 	// with the majority back the change settles.
 	{name: "no majority in the middle, and back", run: func(b *policyFixture) {
 		c := b.proposeBlockedBy(b.nodes[1], policy.Proposal{PrepareWithinMS: 30_000})
-		b.eachButFirst(b.group.kill)
+		b.forEachButFirst(b.group.kill)
 		time.Sleep(b.lease + b.lease/2) // past every lease
 		b.heal()
-		b.eachButFirst(b.mustStart)
+		b.forEachButFirst(b.mustStart)
 		b.mustSettle(c)
 	}},
 	// The leader's links to all nodes take a second a piece. A change settles all the same.
@@ -213,7 +213,7 @@
 		}))
 		b.heal()
 		b.mustSettle(c)
-		<-n.proc.done()
+		<-n.process.done()
 		must(n.Start())
 		b.mustAllServe(c.version)
 	}},
@@ -255,14 +255,14 @@
 	{name: "its next incarnation hears nothing", run: func(b *policyFixture) {
 		// Under a lease that is long beside what a slow machine takes to go on, so that the change can't wait it out by
 		// chance.
-		b.lease = 4 * realLease
+		b.lease = 4 * testLease
 		mustGet(b.change(policy.Proposal{}))
-		b.lease = realLease // of the next one
+		b.lease = testLease // of the next one
 		slow, n := b.nodes[1], b.nodes[0]
 		c := b.proposeBlockedBy(slow, policy.Proposal{PrepareWithinMS: 30_000}, n)
 		n.Kill()
-		must(os.Remove(filepath.Join(n.folder, "policy.json"))) // it forgets what it prepared
-		b.setLinkFault(linkFault{dropReplies: true}, n)         // it joins, and no answer reaches it
+		must(os.Remove(filepath.Join(n.policyDir, "policy.json"))) // it forgets what it prepared
+		b.setLinkFault(linkFault{dropReplies: true}, n)            // it joins, and no answer reaches it
 		before := mustGet(b.Nodes())
 		must(n.Start())
 		must(b.await(10*time.Second, func() error {
@@ -287,16 +287,16 @@
 	{name: "an instance that is behind speaks to a node that starts", run: func(b *policyFixture) {
 		n := b.nodes[4%len(b.nodes)]
 		var s consensus.Report
-		mustGet(b.ask(http.MethodGet, "/v1/status", nil, &s))
+		mustGet(b.requestAny(http.MethodGet, "/v1/status", nil, &s))
 		var was consensus.Version
-		mustGet(b.ask(http.MethodGet, fmt.Sprintf("/v1/config?version=%d&read=stale", b.committedVersion), nil, &was))
+		mustGet(b.requestAny(http.MethodGet, fmt.Sprintf("/v1/config?version=%d&read=stale", b.committedVersion), nil, &was))
 		old := api.VersionHash{Version: was.Number, Hash: was.Hash}
 		says := mustGet(json.Marshal(api.HeartbeatResponse{Cluster: s.Cluster, Term: s.Term, Index: s.Applied,
 			LeaseID: 1 << 30, LeaseMS: 60_000,
 			DecidedVersion: old.Version, CommittedVersion: old, NextHeartbeatMS: 200}))
 		c := mustGet(b.change(policy.Proposal{}))
 		n.Kill()
-		b.setLinkFault(linkFault{answer: says}, n)
+		b.setLinkFault(linkFault{staleResponse: says}, n)
 		must(n.Start())
 		time.Sleep(b.lease)
 		if code, _, _ := b.sendOne(n.name); code == http.StatusOK {
@@ -323,13 +323,13 @@
 		c := b.proposeBlockedBy(slow, policy.Proposal{}, cut)
 		b.setLinkFault(linkFault{dropReplies: true}, cut)
 		b.release(slow, c, policy.Committed, policy.Settled)
-		b.loseLeader(c)
+		b.replaceLeader(c)
 	}},
 	// The leader kills itself at each step of its own work in turn, in the middle of an exclusive change. The next
 	// leader settles the change each time.
 	{name: "the leader kills itself at each step of its work", long: true, run: func(b *policyFixture) {
 		for _, point := range stepNames() {
-			for _, p := range b.group.procs { // started anew, so that a signal arms the crash
+			for _, p := range b.group.instances { // started anew, so that a signal arms the crash
 				b.group.kill(p)
 				must(b.group.start(p, point))
 				b.mustAllServe(b.committedVersion)
@@ -352,16 +352,16 @@
 			n.Kill()
 		}
 		c := mustGet(b.change(policy.Proposal{}))
-		b.eachButFirst(b.group.kill)
+		b.forEachButFirst(b.group.kill)
 		must(down[0].Start())
 		time.Sleep(b.lease)
 		if code, _, _ := b.sendOne(down[0].name); code == http.StatusOK {
 			must(fmt.Errorf("%s serves, and nobody can have told it what is in force", down[0].name))
 		}
-		if b.ready.ready(down[0].name) {
+		if b.readiness.isReady(down[0].name) {
 			must(fmt.Errorf("%s is ready by the list, and takes nothing", down[0].name))
 		}
-		b.eachButFirst(b.mustStart)
+		b.forEachButFirst(b.mustStart)
 		for _, n := range down[1:] {
 			must(n.Start())
 			b.mustAllServe(c.Version)
--- a/internal/harness/policy_fixture.go
+++ b/internal/harness/policy_fixture.go
@@ -14,13 +14,13 @@
 	"umberwinch/internal/simulation"
 )
 
-// realLease is the lease of the real part's policies: short, so that what waits for one ends soon, and long beside a
+// testLease is the lease of the real part's policies: short, so that what waits for one ends soon, and long beside a
 // failover of the group.
-const realLease = 2 * time.Second
+const testLease = 2 * time.Second
 
 // policyText is a version's text; n makes each another.
-func policyText(lease time.Duration, alone string, n int, more string) string {
-	return fmt.Sprintf("[fleet]\nlease = %v\nwhen_alone = %s\n[tenant t0]\nrate = %d\n%s", lease, alone, 1000+n, more)
+func policyText(lease time.Duration, whenAlone string, n int, extra string) string {
+	return fmt.Sprintf("[fleet]\nlease = %v\nwhen_alone = %s\n[tenant t0]\nrate = %d\n%s", lease, whenAlone, 1000+n, extra)
 }
 
 // policyFixture is a fleet under load, for the cases.
@@ -33,9 +33,9 @@
 	extraText        string // that all its texts have
 }
 
-func (b *policyFixture) text(more string) string {
+func (b *policyFixture) text(extra string) string {
 	b.textCount++
-	return policyText(b.lease, b.whenAlone, b.textCount, b.extraText+more)
+	return policyText(b.lease, b.whenAlone, b.textCount, b.extraText+extra)
 }
 
 // change makes a change and waits until it is settled and all that are up serve under it.
@@ -72,24 +72,24 @@
 }
 
 // abort has an operator call a change off, and gives why it was not.
-func (b *policyFixture) abort(number uint64) (no string, err error) {
+func (b *policyFixture) abort(number uint64) (rejection string, err error) {
 	var res struct {
 		Error string `json:"error"`
 	}
-	_, err = b.ask(http.MethodPost, "/v1/policy", policy.Op{Kind: policy.OpAbort, ChangeNumber: number, Author: "lab",
+	_, err = b.requestAny(http.MethodPost, "/v1/policy", policy.Op{Kind: policy.OpAbort, ChangeNumber: number, Author: "lab",
 		Reason: "on second thoughts"},
 		&res)
 	return res.Error, err
 }
 
 // sendOne sends one request to one node.
-func (b *policyFixture) sendOne(name string) (code int, backOff time.Duration, err error) {
+func (b *policyFixture) sendOne(name string) (status int, retryAfter time.Duration, err error) {
 	for _, n := range b.nodes {
 		if n.name == name {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-			code, backOff = sendAttempt(ctx, b.client, n.front, "view", 0, 0, "", false)
+			status, retryAfter = sendAttempt(ctx, b.client, n.callerAddr, "view", 0, 0, "", false)
 			cancel()
-			return code, backOff, fmt.Errorf("%s answers %d", name, code)
+			return status, retryAfter, fmt.Errorf("%s answers %d", name, status)
 		}
 	}
 	return 0, 0, fmt.Errorf("no node %s", name)
@@ -102,7 +102,7 @@
 	part, parts int // of so many runs side by side this one takes each parts-th case; 0 of 0 for all
 }
 
-func (s caseSelection) takes(i int, name string, long bool) bool {
+func (s caseSelection) includes(i int, name string, long bool) bool {
 	if s.parts > 0 && i%s.parts != s.part {
 		return false
 	}
@@ -142,8 +142,8 @@
 type proposedChange struct{ number, version uint64 }
 
 // propose makes a change with more in its text than usual.
-func (b *policyFixture) propose(more string, p policy.Proposal) proposedChange {
-	number, version, err := b.Propose(b.text(more), p)
+func (b *policyFixture) propose(extra string, p policy.Proposal) proposedChange {
+	number, version, err := b.Propose(b.text(extra), p)
 	must(err)
 	return proposedChange{number, version}
 }
@@ -151,7 +151,7 @@
 // proposeBlockedBy begins a change that stays at the step preparing, as one node does not get its text; others have
 // prepared it.
 func (b *policyFixture) proposeBlockedBy(slow *nodeProcess, p policy.Proposal, others ...*nodeProcess) proposedChange {
-	b.setLinkFault(linkFault{swallowPrefix: "GET /v1/config"}, slow)
+	b.setLinkFault(linkFault{dropPrefix: "GET /v1/config"}, slow)
 	c := b.propose("", p)
 	for _, n := range others {
 		must(b.AwaitPrepared(n.name, c.version))
@@ -183,50 +183,50 @@
 	must(b.AwaitAllServing(version, 60*time.Second))
 }
 
-// loseLeader kills the leader, has the others settle a change, and starts it again.
-func (b *policyFixture) loseLeader(c proposedChange) {
+// replaceLeader kills the leader, has the others settle a change, and starts it again.
+func (b *policyFixture) replaceLeader(c proposedChange) {
 	p := mustGet(b.killLeader())
 	b.heal()
 	b.mustSettle(c)
 	must(b.group.start(p, ""))
 }
 
-// eachButFirst does something to all instances but the first: without them there is no majority.
-func (b *policyFixture) eachButFirst(do func(p *instanceProcess)) {
-	for _, p := range b.group.procs[1:] {
-		do(p)
+// forEachButFirst does something to all instances but the first: without them there is no majority.
+func (b *policyFixture) forEachButFirst(action func(p *instanceProcess)) {
+	for _, p := range b.group.instances[1:] {
+		action(p)
 	}
 }
 
 func (b *policyFixture) mustStart(p *instanceProcess) { must(b.group.start(p, "")) }
 
-// fixtureNodes is how many nodes a fixture's fleet has where no size was asked for.
-const fixtureNodes = 9
+// defaultFleetSize is how many nodes a fixture's fleet has where no size was asked for.
+const defaultFleetSize = 9
 
-// begin starts a fleet with a first policy.
-func (r *PolicyTest) begin(ctx context.Context, dir string, alone string) (*policyFixture, error) {
-	n := cmp.Or(r.Size, fixtureNodes)
-	return newPolicyFixture(ctx, FleetProcessesPlan{Program: r.Program, Dir: dir, Seed: r.Seed, Nodes: n,
-		Without: r.ProcessGuards, OddNode: n}, alone, "")
+// startFixture starts a fleet with a first policy.
+func (r *PolicyTest) startFixture(ctx context.Context, dir string, whenAlone string) (*policyFixture, error) {
+	n := cmp.Or(r.Size, defaultFleetSize)
+	return newPolicyFixture(ctx, FleetProcessesConfig{Program: r.Program, Dir: dir, Seed: r.Seed, Nodes: n,
+		DisabledGuards: r.ProcessGuards, NodeWithoutFill: n}, whenAlone, "")
 }
 
 // newPolicyFixture starts a fleet with three instances, and its first policy; all its texts have extra.
-func newPolicyFixture(ctx context.Context, plan FleetProcessesPlan, alone, extra string) (*policyFixture, error) {
-	plan.Instances, plan.Folders = 3, true
-	fleet, err := NewFleetProcesses(ctx, plan)
+func newPolicyFixture(ctx context.Context, config FleetProcessesConfig, whenAlone, extraText string) (*policyFixture, error) {
+	config.Instances, config.PersistPolicy = 3, true
+	fleet, err := NewFleetProcesses(ctx, config)
 	if err != nil {
 		return nil, err
 	}
-	b := &policyFixture{FleetProcesses: fleet, lease: realLease, whenAlone: alone, extraText: extra}
-	if err = b.settleFirst(); err != nil {
+	b := &policyFixture{FleetProcesses: fleet, lease: testLease, whenAlone: whenAlone, extraText: extraText}
+	if err = b.settleInitialPolicy(); err != nil {
 		b.Close()
 		return nil, err
 	}
 	return b, nil
 }
 
-// settleFirst proposes the first version and waits until it is settled.
-func (b *policyFixture) settleFirst() error {
+// settleInitialPolicy proposes the first version and waits until it is settled.
+func (b *policyFixture) settleInitialPolicy() error {
 	number, version, err := b.Propose(b.text(""), policy.Proposal{})
 	if err == nil {
 		_, err = b.awaitSettled(number, version)
@@ -234,8 +234,8 @@
 	return err
 }
 
-// promises of the real part: a lease as the group counts it, and some ms of logs and rounds.
-func (b *policyFixture) promises() simulation.FleetPromises {
+// historyLimits of the real part: a lease as the group counts it, and some ms of logs and rounds.
+func (b *policyFixture) historyLimits() simulation.FleetPromises {
 	return simulation.FleetPromises{Overlap: int64(membership.LeaseSpanMS(uint64(b.lease.Milliseconds())))*10 + 2000,
 		Fences: b.whenAlone == "fence"}
 }
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -13,11 +13,11 @@
 // process is one program that a run starts, ends and may start again. Each start and end goes through it, so that none
 // is left once it is closed.
 type process struct {
-	onEnd func() // called at each end, before anybody who waits for it goes on; nil: nothing is
+	onExit func() // called at each end, before anybody who waits for it goes on; nil: nothing is
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd     // the latest start; nil: there was none
-	ended  chan struct{} // closed when that start has ended
+	exited chan struct{} // closed when that start has ended
 	closed bool
 }
 
@@ -35,7 +35,7 @@
 	}
 	if p.cmd != nil {
 		select {
-		case <-p.ended:
+		case <-p.exited:
 		default:
 			return errProcessRunning
 		}
@@ -44,11 +44,11 @@
 		return err
 	}
 	ended := make(chan struct{})
-	p.cmd, p.ended = cmd, ended
+	p.cmd, p.exited = cmd, ended
 	go func() {
 		cmd.Wait()
-		if p.onEnd != nil {
-			p.onEnd()
+		if p.onExit != nil {
+			p.onExit()
 		}
 		close(ended)
 	}()
@@ -59,7 +59,7 @@
 func (p *process) latest() (*exec.Cmd, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cmd, p.ended
+	return p.cmd, p.exited
 }
 
 // done is closed when the latest start has ended.
@@ -98,11 +98,11 @@
 	p.kill()
 }
 
-// restartPace is how long the platform takes to start again what ended.
-const restartPace = 2 * time.Second
+// restartDelay is how long the platform takes to start again what ended.
+const restartDelay = 2 * time.Second
 
-// restartWhenEnded starts the process again after each of its ends, at the platform's pace, until the context ends.
-func (p *process) restartWhenEnded(ctx context.Context, start func() error) {
+// restartOnExit starts the process again after each of its ends, at the platform's pace, until the context ends.
+func (p *process) restartOnExit(ctx context.Context, start func() error) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -112,7 +112,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(restartPace):
+		case <-time.After(restartDelay):
 		}
 		if start() != nil {
 			return
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -28,11 +28,11 @@
 
 // Numbers of the two modes. Quick ends within 50 s on four cores.
 const (
-	quickSchedules = 400
-	longSchedules  = 6000
-	quickKills     = 10
-	longKills      = 200
-	cutRuns        = 80
+	quickRaftSchedules = 400
+	longRaftSchedules  = 6000
+	quickKills         = 10
+	longKills          = 200
+	maxShrinkRuns      = 80
 )
 
 // Run plays virtual schedules, then real processes, and reports.
@@ -41,10 +41,10 @@
 		Head: []string{"PART", "GROUPS", "RUNS", "STEPS OR PUTS", "BROKEN", "MEDIAN", "99TH", "WORST"}}
 	rep.Add("seed", "%d", r.Seed)
 	if r.Mode != "real" {
-		r.virtual(ctx, rep)
+		r.runVirtual(ctx, rep)
 	}
 	if r.Mode != "virtual" && rep.Broken == "" && r.Without == 0 {
-		if err := r.real(ctx, rep); err != nil {
+		if err := r.runProcesses(ctx, rep); err != nil {
 			return nil, err
 		}
 	}
@@ -54,60 +54,60 @@
 	return rep.End(r.Out, w)
 }
 
-// size gives the instances of a schedule's group.
-func (r *RaftTest) size(seed int64) int {
+// groupSize gives the instances of a schedule's group.
+func (r *RaftTest) groupSize(seed int64) int {
 	if r.Size > 0 {
 		return r.Size
 	}
 	return 3 + int(seed%2)*2
 }
 
-// virtual plays schedules on all cores, each from a seed of its own.
-func (r *RaftTest) virtual(ctx context.Context, rep *report.Report) {
+// runVirtual plays schedules on all cores, each from a seed of its own.
+func (r *RaftTest) runVirtual(ctx context.Context, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
-		n = longSchedules
+		n = longRaftSchedules
 		if r.Quick {
-			n = quickSchedules
+			n = quickRaftSchedules
 		}
 	}
 	started := time.Now()
 	var first *simulation.Result
-	steps, calls, terms, ran, bad := 0, 0, 0, 0, 0
+	steps, calls, terms, played, violations := 0, 0, 0, 0, 0
 	report.EachSeed(ctx, r.Seed*1000003, n, func(s int64) simulation.Result {
-		size := r.size(s)
+		size := r.groupSize(s)
 		return simulation.Play(s, size, simulation.DrawFaults(s, size, simulation.ScheduleMilliseconds), r.Without, nil)
 	}, func(_ int64, res simulation.Result) bool {
-		ran, steps, calls, terms = ran+1, steps+res.Steps, calls+res.Calls, terms+res.Terms
+		played, steps, calls, terms = played+1, steps+res.Steps, calls+res.Calls, terms+res.Terms
 		if res.Broken != "" {
-			if bad++; first == nil || res.Seed < first.Seed {
+			if violations++; first == nil || res.Seed < first.Seed {
 				first = &res
 			}
 		}
-		return bad > 0 && r.Without != 0 // one failure is what a guard's absence has to show
+		return violations > 0 && r.Without != 0 // one failure is what a guard's absence has to show
 	})
 	took := time.Since(started)
-	rep.Rows = append(rep.Rows, []string{"virtual", groups(r.Size), strconv.Itoa(ran), strconv.Itoa(steps),
-		strconv.Itoa(bad), "-", "-", "-"})
-	rep.Add("schedules", "%d", ran)
-	rep.Add("broken", "%d", bad)
+	rep.Rows = append(rep.Rows, []string{"virtual", groupSizes(r.Size), strconv.Itoa(played), strconv.Itoa(steps),
+		strconv.Itoa(violations), "-", "-", "-"})
+	rep.Add("schedules", "%d", played)
+	rep.Add("broken", "%d", violations)
 	rep.Add("steps", "%d", steps)
 	rep.Add("calls", "%d", calls)
 	rep.Add("terms", "%d", terms)
-	rep.Add("schedules_per_min", "%.0f", float64(ran)/took.Minutes())
+	rep.Add("schedules_per_min", "%.0f", float64(played)/took.Minutes())
 	if first == nil {
 		return
 	}
-	size := r.size(first.Seed)
-	short := simulation.Shrink(first.Seed, size, simulation.DrawFaults(first.Seed, size,
-		simulation.ScheduleMilliseconds), r.Without, cutRuns)
+	size := r.groupSize(first.Seed)
+	faults := simulation.Shrink(first.Seed, size, simulation.DrawFaults(first.Seed, size,
+		simulation.ScheduleMilliseconds), r.Without, maxShrinkRuns)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("seed %d of %d instances: %s\nwith these faults alone:\n%s",
 		first.Seed,
-		size, first.Broken, simulation.FaultLines(short)))
+		size, first.Broken, simulation.FaultLines(faults)))
 	rep.Break("seed %d: %s", first.Seed, first.Broken)
 }
 
-func groups(size int) string {
+func groupSizes(size int) string {
 	if size == 0 {
 		return "3 and 5"
 	}
--- a/internal/harness/raft_kills.go
+++ b/internal/harness/raft_kills.go
@@ -15,40 +15,40 @@
 
 // leaderKills takes one leader after the other from a group under load, and measures how long no write is taken.
 type leaderKills struct {
-	group   *controlProcesses
-	load    *putLoad
-	random  *rand.Rand
-	kinds   []string // faults that an instance may be started with
-	gaps    *hdrhistogram.Histogram
-	byFault map[string]int
+	group      *controlProcesses
+	load       *putLoad
+	random     *rand.Rand
+	faultKinds []string // faults that an instance may be started with
+	writeGaps  *hdrhistogram.Histogram
+	byFault    map[string]int
 }
 
 // leaderLoss is how one leader was lost.
 type leaderLoss struct {
-	leader *instanceProcess
-	fault  string
-	cut    bool          // it is parted from the others, and its process goes on
-	ended  bool          // its process is gone
-	at     time.Duration // since the load's begin
+	leader      *instanceProcess
+	fault       string
+	partitioned bool          // it is parted from the others, and its process goes on
+	exited      bool          // its process is gone
+	lostAt      time.Duration // since the load's begin
 }
 
 // killLeaders has clients put under load while each leader in turn fails by a fault drawn from the seed. Another
-// instance has to take writes within realWithin, and at the end the history has to hold each version that a client was
+// instance has to take writes within maxFailoverTime, and at the end the history has to hold each version that a client was
 // told, once.
 func (r *RaftTest) killLeaders(ctx context.Context, rep *report.Report, plot *report.Plot, size, kills int,
 	extra string) error {
 	return withGroup(ctx, r.Program, rep, size, extra, func(c *controlProcesses) error {
-		k := &leaderKills{group: c, random: rand.New(rand.NewSource(r.Seed)), gaps: hdrhistogram.New(1, 60_000, 3),
-			kinds: append([]string{"", diskStalls, diskFull}, stepNames()...), byFault: map[string]int{}}
+		k := &leaderKills{group: c, random: rand.New(rand.NewSource(r.Seed)), writeGaps: hdrhistogram.New(1, 60_000, 3),
+			faultKinds: append([]string{"", faultDiskStall, faultDiskFull}, stepNames()...), byFault: map[string]int{}}
 		k.load = c.startLoad(ctx, max(1, r.Clients))
 		defer k.load.close()
-		if err := k.armAll(ctx); err != nil {
+		if err := k.restartArmed(ctx); err != nil {
 			return err
 		}
-		if err := breakOrReturn(rep, k.loseLeaders(ctx, kills)); err != nil {
+		if err := recordViolation(rep, k.loseLeaders(ctx, kills)); err != nil {
 			return err
 		}
-		if err := k.load.end(); err != nil {
+		if err := k.load.stopAndCheck(); err != nil {
 			rep.Break("%d instances: %v", size, err)
 		}
 		k.addResults(rep, plot)
@@ -56,15 +56,15 @@
 	})
 }
 
-// armAll starts each instance anew with a fault of its own, which a signal sets off later.
-func (k *leaderKills) armAll(ctx context.Context) error {
-	for _, p := range k.group.procs {
+// restartArmed starts each instance anew with a fault of its own, which a signal sets off later.
+func (k *leaderKills) restartArmed(ctx context.Context) error {
+	for _, p := range k.group.instances {
 		k.group.kill(p)
 		if err := k.group.start(p, k.drawFault()); err != nil {
 			return err
 		}
 		if err := k.group.await(ctx, func() error {
-			r, err := k.group.report(p)
+			r, err := k.group.status(p)
 			if err == nil && r.OutOfContact {
 				err = errors.New("out of touch")
 			}
@@ -76,7 +76,7 @@
 	return nil
 }
 
-func (k *leaderKills) drawFault() string { return k.kinds[k.random.Intn(len(k.kinds))] }
+func (k *leaderKills) drawFault() string { return k.faultKinds[k.random.Intn(len(k.faultKinds))] }
 
 func (k *leaderKills) loseLeaders(ctx context.Context, kills int) error {
 	for number := 1; number <= kills && ctx.Err() == nil; number++ {
@@ -87,41 +87,41 @@
 	return nil
 }
 
-// loseLeader takes the leader from the group, holds the others to taking writes again in time, and brings it back.
+// replaceLeader takes the leader from the group, holds the others to taking writes again in time, and brings it back.
 func (k *leaderKills) loseLeader(ctx context.Context, number int) error {
 	time.Sleep(time.Duration(100+k.random.Intn(200)) * time.Millisecond)
-	loss, err := k.strike(ctx)
+	loss, err := k.failLeader(ctx)
 	if err != nil {
 		return err
 	}
-	if !loss.ended { // writes go on until the fault shows: it is over once another leads
+	if !loss.exited { // writes go on until the fault shows: it is over once another leads
 		if err := k.awaitOtherLeader(ctx, loss.leader); err != nil {
-			return brokenPromise(fmt.Sprintf("kill %d: leader %q is not followed: %v", number, loss.fault, err))
+			return invariantError(fmt.Sprintf("kill %d: leader %q is not followed: %v", number, loss.fault, err))
 		}
 	}
-	gap := k.awaitWrite(ctx, loss.at)
-	if gap <= 0 || gap > realWithin {
-		return brokenPromise(fmt.Sprintf("no write was taken for %v after kill %d of a leader of %d at %q",
-			time.Since(k.load.started)-loss.at, number, len(k.group.procs), loss.fault))
+	gap := k.awaitWrite(ctx, loss.lostAt)
+	if gap <= 0 || gap > maxFailoverTime {
+		return invariantError(fmt.Sprintf("no write was taken for %v after kill %d of a leader of %d at %q",
+			time.Since(k.load.started)-loss.lostAt, number, len(k.group.instances), loss.fault))
 	}
 	k.byFault[loss.fault]++
-	k.gaps.RecordValue(gap.Milliseconds())
+	k.writeGaps.RecordValue(gap.Milliseconds())
 	return k.restore(ctx, loss)
 }
 
-// strike sets off the leader's fault, or parts the leader from the others.
-func (k *leaderKills) strike(ctx context.Context) (*leaderLoss, error) {
-	leader, err := k.group.awaitLeader(ctx, groupPatience)
+// failLeader sets off the leader's fault, or parts the leader from the others.
+func (k *leaderKills) failLeader(ctx context.Context) (*leaderLoss, error) {
+	leader, err := k.group.awaitLeader(ctx, groupTimeout)
 	if err != nil {
 		return nil, err
 	}
-	loss := &leaderLoss{leader: leader, fault: leader.fault, cut: k.random.Intn(8) == 0}
-	if loss.cut {
-		loss.fault = cutOff
+	loss := &leaderLoss{leader: leader, fault: leader.fault, partitioned: k.random.Intn(8) == 0}
+	if loss.partitioned {
+		loss.fault = faultPartition
 	}
-	loss.at = time.Since(k.load.started)
-	if loss.ended = k.group.crashAt(leader, loss.cut); loss.ended {
-		loss.at = time.Since(k.load.started)
+	loss.lostAt = time.Since(k.load.started)
+	if loss.exited = k.group.injectFault(leader, loss.partitioned); loss.exited {
+		loss.lostAt = time.Since(k.load.started)
 	}
 	return loss, nil
 }
@@ -138,31 +138,31 @@
 // awaitWrite waits until a write is taken after a moment, twice as long as is promised at most. It gives how long that
 // took; not above zero: none was.
 func (k *leaderKills) awaitWrite(ctx context.Context, since time.Duration) time.Duration {
-	for k.load.lastAnswer.Load() <= int64(since) && ctx.Err() == nil &&
-		time.Since(k.load.started)-since <= 2*realWithin {
+	for k.load.lastResponse.Load() <= int64(since) && ctx.Err() == nil &&
+		time.Since(k.load.started)-since <= 2*maxFailoverTime {
 		time.Sleep(time.Millisecond)
 	}
-	return time.Duration(k.load.lastAnswer.Load()) - since
+	return time.Duration(k.load.lastResponse.Load()) - since
 }
 
 // restore ends the fault and waits until the instance that led takes part again, before the next leader is lost.
 func (k *leaderKills) restore(ctx context.Context, loss *leaderLoss) error {
 	p := loss.leader
-	if !loss.ended && !loss.cut { // its disk failed: once it answers it is ended, and starts anew
-		if err := k.group.awaitUp(ctx, p); err != nil {
+	if !loss.exited && !loss.partitioned { // its disk failed: once it answers it is ended, and starts anew
+		if err := k.group.awaitResponding(ctx, p); err != nil {
 			return err
 		}
 		k.group.kill(p)
-		loss.ended = true
+		loss.exited = true
 	}
 	k.group.forwarders.heal()
-	if loss.ended {
+	if loss.exited {
 		if err := k.group.start(p, k.drawFault()); err != nil {
 			return err
 		}
 	}
 	return k.group.await(ctx, func() error {
-		r, err := k.group.report(p)
+		r, err := k.group.status(p)
 		if err == nil && (r.OutOfContact || r.Role != "follower" && r.Role != "leader") {
 			err = fmt.Errorf("%s is %s", p.name, r.Role)
 		}
@@ -172,7 +172,7 @@
 
 // addResults brings the row, figures, notes and plot of a group's run into the report.
 func (k *leaderKills) addResults(rep *report.Report, plot *report.Plot) {
-	size, gaps := len(k.group.procs), k.gaps
+	size, gaps := len(k.group.instances), k.writeGaps
 	rep.Rows = append(rep.Rows, []string{"leader lost", strconv.Itoa(size),
 		strconv.FormatInt(gaps.TotalCount(), 10), strconv.Itoa(k.load.puts), strconv.FormatBool(rep.Broken != ""),
 		report.Milliseconds(gaps.ValueAtQuantile(50)), report.Milliseconds(gaps.ValueAtQuantile(99)),
@@ -182,7 +182,7 @@
 	rep.Add(key+"_median_ms", "%d", gaps.ValueAtQuantile(50))
 	rep.Add(key+"_p99_ms", "%d", gaps.ValueAtQuantile(99))
 	rep.Add(key+"_worst_ms", "%d", gaps.Max())
-	for _, fault := range append(k.kinds, cutOff) {
+	for _, fault := range append(k.faultKinds, faultPartition) {
 		if n := k.byFault[fault]; n > 0 {
 			rep.Notes = append(rep.Notes, fmt.Sprintf("%d instances: %d leaders: %s", size, n, faultText(fault)))
 		}
@@ -200,11 +200,11 @@
 	switch kind {
 	case "":
 		return "kill -9"
-	case cutOff:
+	case faultPartition:
 		return "cut off from all others"
-	case diskStalls:
-		return "its disk stalled " + diskStall.String()
-	case diskFull:
+	case faultDiskStall:
+		return "its disk stalled " + diskStallTime.String()
+	case faultDiskFull:
 		return "its disk was full"
 	}
 	return "killed itself before " + kind
--- a/internal/harness/readiness.go
+++ b/internal/harness/readiness.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// readinessSpan is how long a node counts as ready after it said so last.
-const readinessSpan = 3 * time.Second
+// readinessTTL is how long a node counts as ready after it said so last.
+const readinessTTL = 3 * time.Second
 
 // readiness stands in for the platform's endpoint list: a node is ready while it says so again and again.
 type readiness struct {
@@ -22,7 +22,7 @@
 }
 
 func newReadiness() (*readiness, error) {
-	ln, err := net.Listen("tcp", loopback(7500))
+	ln, err := net.Listen("tcp", newLoopbackAddr(7500))
 	if err != nil {
 		return nil, err
 	}
@@ -48,11 +48,11 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (p *readiness) ready(name string) bool {
+func (p *readiness) isReady(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at, ok := p.readyAt[name]
-	return ok && time.Since(at) < readinessSpan
+	return ok && time.Since(at) < readinessTTL
 }
 
 func (p *readiness) addr() string { return p.ln.Addr().String() }
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -41,20 +41,20 @@
 			"TRIES A REQ"}}
 	rep.Add("seed", "%d", r.Seed)
 	if r.Mode != "real" {
-		entries, largest, worst, broken := joinAll(r.Seed, 5000, r.WithoutPolicyGuards)
+		entries, largest, worst, broken := runMassJoin(r.Seed, 5000, r.WithoutPolicyGuards)
 		rep.Add("crowd_entries", "%d", entries)
 		rep.Add("crowd_largest", "%d", largest)
 		rep.Add("crowd_worst_ms", "%d", worst)
 		if broken != "" {
 			rep.Break("5,000 nodes at the group: %s", broken)
 		}
-		r.virtual(ctx, rep)
+		r.runVirtual(ctx, rep)
 	}
 	if r.Mode != "virtual" && rep.Broken == "" {
 		z := &ZonesTest{Seed: r.Seed, Quick: r.Quick, Size: r.Size, ProcessGuards: r.ProcessGuards,
 			Program: r.Program, Only: r.Only, Part: r.Part,
 			Parts: r.Parts, cases: recoveryCases}
-		if err := z.real(ctx, w, rep); err != nil {
+		if err := z.runProcesses(ctx, w, rep); err != nil {
 			return nil, err
 		}
 	}
@@ -67,16 +67,16 @@
 // shortestRecovery is the least time, in seconds, in which services of a coldness can be warm enough for a load: they
 // serve all that they bear from the first moment on, and that is what warms them. fill is the seconds of full capacity
 // that their caches take.
-func shortestRecovery(load, cold, fill float64) float64 {
-	cool := (1/load - 1) / (cold - 1)
-	if cool >= 1 {
+func shortestRecovery(load, coldFactor, warmUpSeconds float64) float64 {
+	coldShare := (1/load - 1) / (coldFactor - 1)
+	if coldShare >= 1 {
 		return 0
 	}
-	return fill * ((1 - cool) + (cold-1)/2*(1-cool*cool))
+	return warmUpSeconds * ((1 - coldShare) + (coldFactor-1)/2*(1-coldShare*coldShare))
 }
 
-// virtual plays a restart of all nodes at sizes and loads, each way on its own.
-func (r *RecoveryTest) virtual(ctx context.Context, rep *report.Report) {
+// runVirtual plays a restart of all nodes at sizes and loads, each way on its own.
+func (r *RecoveryTest) runVirtual(ctx context.Context, rep *report.Report) {
 	sizes, loads := []int{300, 5000}, []float64{0.6, 0.9, 1.3}
 	if r.Quick {
 		sizes, loads = []int{15}, []float64{0.6, 1.3}
@@ -108,10 +108,10 @@
 		if i < 2 && v.Broken != "" && load <= 1 {
 			rep.Break("%d nodes, load %.2f: %s", n, load, v.Broken)
 		}
-		most := min(1, 1/load)
+		maxShare := min(1, 1/load)
 		rep.Rows = append(rep.Rows, []string{"virtual", strconv.Itoa(n), fmt.Sprintf("%.2f", load), v.name,
-			secondsText(v.RecoveredAt(0.5 * most)), secondsText(v.RecoveredAt(0.95 * most)),
-			secondsText(v.RecoveredAt(0.98 * most)),
+			secondsText(v.RecoveredAt(0.5 * maxShare)), secondsText(v.RecoveredAt(0.95 * maxShare)),
+			secondsText(v.RecoveredAt(0.98 * maxShare)),
 			fmt.Sprintf("%.0f s", shortestRecovery(min(load, 1), 8, simulation.WarmUpSeconds)),
 			fmt.Sprintf("%.2f", v.Start), fmt.Sprintf("%.2f", v.Tries)})
 		if i == 0 && n <= 300 {
@@ -129,49 +129,49 @@
 func (emptyPolicyLog) Last() uint64                       { return 0 }
 func (emptyPolicyLog) Text(uint64) (string, string, bool) { return "", "", false }
 
-// joinAll has nodes ask a leader to be taken in, most of them within a second and a fifth over the next two, and holds
+// runMassJoin has nodes ask a leader to be taken in, most of them within a second and a fifth over the next two, and holds
 // it to the order in which they came. It gives the entries that this took, the largest of them, and the longest that
 // any waited, in ms.
-func joinAll(seed int64, nodes int, without policy.Guard) (entries, largest, worst int, broken string) {
+func runMassJoin(seed int64, nodes int, without policy.Guard) (entries, largest, worst int, broken string) {
 	const step, commit = 20, 40 // ms
-	r, part, s := rand.New(rand.NewSource(seed)), coordinator.NewState(without), coordinator.NewLeader(without)
-	s.SetRole("g", true, 1)
-	at := make([]int, nodes)
-	for i := range at {
-		if at[i] = r.Intn(1000); i >= nodes*4/5 {
-			at[i] = 1000 + r.Intn(2000)
+	r, state, leader := rand.New(rand.NewSource(seed)), coordinator.NewState(without), coordinator.NewLeader(without)
+	leader.SetRole("g", true, 1)
+	arriveAt := make([]int, nodes)
+	for i := range arriveAt {
+		if arriveAt[i] = r.Intn(1000); i >= nodes*4/5 {
+			arriveAt[i] = 1000 + r.Intn(2000)
 		}
 	}
-	slices.Sort(at)
-	asked, answered := 0, 0
+	slices.Sort(arriveAt)
+	requested, answered := 0, 0
 	var sent []coordinator.Entry
 	now, due := 0, 0
 	for ; now < 30_000 && answered < nodes && broken == ""; now += step {
-		for ; asked < nodes && at[asked] <= now; asked++ {
-			i := asked
+		for ; requested < nodes && arriveAt[requested] <= now; requested++ {
+			i := requested
 			name := fmt.Sprintf("n%05d", i)
 			join := api.JoinRequest{Name: name, Zone: "z", Nonce: name + "-nonce", Addr: "127.0.0.1:1"}
-			s.Heartbeat(part, api.HeartbeatRequest{JoinRequest: join},
-				func(t api.HeartbeatResponse, err error) {
-					if err != nil || t.LeaseID == 0 || i != answered {
+			leader.Heartbeat(state, api.HeartbeatRequest{JoinRequest: join},
+				func(response api.HeartbeatResponse, err error) {
+					if err != nil || response.LeaseID == 0 || i != answered {
 						const text = "at %d ms node %d of those that asked was answered (%v), and %d is the next"
 						broken = fmt.Sprintf(text, now, i, err, answered)
 					}
 					answered++
-					worst = max(worst, now-at[i])
+					worst = max(worst, now-arriveAt[i])
 				})
 		}
 		if len(sent) > 0 && now >= due {
 			for _, e := range sent {
-				end, err := part.Apply(e.Kind, e.Body, uint64(entries), 1, emptyPolicyLog{})
+				result, err := state.Apply(e.Kind, e.Body, uint64(entries), 1, emptyPolicyLog{})
 				if err != nil {
 					return entries, largest, worst, err.Error()
 				}
-				s.EntryApplied(part, end)
+				leader.EntryApplied(state, result)
 			}
 			sent = nil
 		}
-		if more := s.Tick(part, step); len(more) > 0 {
+		if more := leader.Tick(state, step); len(more) > 0 {
 			sent, due = append(sent, more...), now+commit
 			entries += len(more)
 			for _, e := range more {
--- a/internal/harness/recovery_cases.go
+++ b/internal/harness/recovery_cases.go
@@ -26,40 +26,42 @@
 
 // recoverGroup founds the group's next generation at the first instance, and has the others join it on empty folders.
 func (b *zoneFixture) recoverGroup(others ...*instanceProcess) (output string) {
-	first := b.group.procs[0]
-	raw, err := exec.CommandContext(b.ctx, b.Program, "control", "recover", "--file", first.file, "--for", "7s",
+	first := b.group.instances[0]
+	raw, err := exec.CommandContext(b.ctx, b.Program, "control", "recover", "--file", first.operatorFile, "--for", "7s",
 		"--found").CombinedOutput()
 	if output = string(raw); err != nil || !strings.Contains(output, "is founded") {
 		must(fmt.Errorf("control recover: %v\n%s", err, raw))
 	}
 	b.mustStart(first)
-	must(b.group.awaitUp(b.ctx, first))
+	must(b.group.awaitResponding(b.ctx, first))
 	b.rejoin(others...)
 	return output
 }
 
-// folderOf is an instance's folder, copyOf where a copy of it is put.
-func (b *zoneFixture) folderOf(p *instanceProcess) string { return filepath.Join(b.Dir, p.name) }
-func (b *zoneFixture) copyOf(p *instanceProcess) string   { return filepath.Join(b.Dir, "old-"+p.name) }
+// dataDir is an instance's folder, backupDir where a copy of it is put.
+func (b *zoneFixture) dataDir(p *instanceProcess) string { return filepath.Join(b.Dir, p.name) }
+func (b *zoneFixture) backupDir(p *instanceProcess) string {
+	return filepath.Join(b.Dir, "old-"+p.name)
+}
 
 // rejoin has instances join on empty folders.
 func (b *zoneFixture) rejoin(procs ...*instanceProcess) {
 	for _, p := range procs {
-		must(os.RemoveAll(b.folderOf(p)))
+		must(os.RemoveAll(b.dataDir(p)))
 		b.mustStart(p)
-		must(b.group.awaitUp(b.ctx, p))
+		must(b.group.awaitResponding(b.ctx, p))
 		must(b.group.join(b.ctx, p))
 	}
 }
 
 // checkGeneration holds the group to a generation and the fleet to the version that was in force, and a change after
 // it.
-func (b *zoneFixture) checkGeneration(at uint64) {
+func (b *zoneFixture) checkGeneration(generation uint64) {
 	must(b.await(30*time.Second, func() error {
 		v, err := b.Policy()
-		if err == nil && (v.Generation != at || v.CommittedVersion != b.committedVersion || v.StateLoss != "") {
+		if err == nil && (v.Generation != generation || v.CommittedVersion != b.committedVersion || v.StateLoss != "") {
 			err = fmt.Errorf("generation %d has version %d in force (%s), expected %d and %d", v.Generation,
-				v.CommittedVersion, v.StateLoss, at, b.committedVersion)
+				v.CommittedVersion, v.StateLoss, generation, b.committedVersion)
 		}
 		return err
 	}))
@@ -93,15 +95,15 @@
 }
 
 // countLogged counts what a process logged.
-func (b *zoneFixture) countLogged(name, what string) int {
+func (b *zoneFixture) countLogged(name, text string) int {
 	raw, _ := os.ReadFile(filepath.Join(b.Dir, name+".log"))
-	return strings.Count(string(raw), what)
+	return strings.Count(string(raw), text)
 }
 
 // countFollowed counts how often a node said that it follows a generation of the group.
 func (b *zoneFixture) countFollowed(name string, generation uint64) (n int) {
 	must(readLog(filepath.Join(b.Dir, name+".log"), func(l *logRecord) {
-		if l.message == "a restored generation of the group is followed" && l.number(logging.Generation) == generation {
+		if l.message == "a restored generation of the group is followed" && l.uintField(logging.Generation) == generation {
 			n++
 		}
 	}))
@@ -122,12 +124,12 @@
 				return err
 			}))
 		}
-		b.killInstances(b.group.procs...)
+		b.killInstances(b.group.instances...)
 		since := b.killWithColdStores(b.nodes...)
 		time.Sleep(time.Second) // the platform's pace
 		for i, n := range b.nodes {
-			if i%3 == 0 && i/3 < len(b.group.procs) {
-				b.mustStart(b.group.procs[i/3])
+			if i%3 == 0 && i/3 < len(b.group.instances) {
+				b.mustStart(b.group.instances[i/3])
 			}
 			must(n.Start())
 		}
@@ -145,11 +147,11 @@
 	{name: "all folders of the group lost, and nodes know what they served under", run: func(b *zoneFixture) {
 		mustGet(b.change(policy.Proposal{}))
 		gen := b.currentGeneration()
-		b.killInstances(b.group.procs...)
-		for _, p := range b.group.procs {
-			must(os.RemoveAll(b.folderOf(p)))
+		b.killInstances(b.group.instances...)
+		for _, p := range b.group.instances {
+			must(os.RemoveAll(b.dataDir(p)))
 		}
-		output := b.recoverGroup(b.group.procs[1:]...)
+		output := b.recoverGroup(b.group.instances[1:]...)
 		if want := fmt.Sprintf("%d sent a record, %[1]d count", len(b.nodes)); !strings.Contains(output, want) {
 			must(fmt.Errorf("expected %q in\n%s", want, output))
 		}
@@ -159,23 +161,23 @@
 	// reports that it lost state, says so again after a restart, and is restored to the version that the nodes serve
 	// under.
 	{name: "an old copy of all folders put back while nodes serve under a newer policy", run: func(b *zoneFixture) {
-		each := func(do func(p *instanceProcess)) {
-			for _, p := range b.group.procs {
+		forEach := func(do func(p *instanceProcess)) {
+			for _, p := range b.group.instances {
 				do(p)
 			}
 		}
-		b.killInstances(b.group.procs...)
-		each(func(p *instanceProcess) { must(os.CopyFS(b.copyOf(p), os.DirFS(b.folderOf(p)))) })
-		defer each(func(p *instanceProcess) { os.RemoveAll(b.copyOf(p)) })
-		each(b.mustStart)
+		b.killInstances(b.group.instances...)
+		forEach(func(p *instanceProcess) { must(os.CopyFS(b.backupDir(p), os.DirFS(b.dataDir(p)))) })
+		defer forEach(func(p *instanceProcess) { os.RemoveAll(b.backupDir(p)) })
+		forEach(b.mustStart)
 		b.mustAllServe(b.committedVersion)
 		for range 2 {
 			mustGet(b.change(policy.Proposal{}))
 		}
 		gen := b.currentGeneration()
-		b.killInstances(b.group.procs...)
-		each(func(p *instanceProcess) {
-			must(errors.Join(os.RemoveAll(b.folderOf(p)), os.Rename(b.copyOf(p), b.folderOf(p))))
+		b.killInstances(b.group.instances...)
+		forEach(func(p *instanceProcess) {
+			must(errors.Join(os.RemoveAll(b.dataDir(p)), os.Rename(b.backupDir(p), b.dataDir(p))))
 			b.mustStart(p)
 		})
 		must(b.await(10*time.Second, func() error {
@@ -186,46 +188,46 @@
 			return err
 		}))
 		// It says so after a restart as well.
-		b.killInstances(b.group.procs...)
+		b.killInstances(b.group.instances...)
 		before := b.countLogged("instances", "the group has lost state")
-		each(b.mustStart)
+		forEach(b.mustStart)
 		must(b.await(10*time.Second, func() error {
 			if b.countLogged("instances", "the group has lost state") == before {
 				return errors.New("instances that lost state say nothing of it after a restart")
 			}
 			return nil
 		}))
-		b.killInstances(b.group.procs...)
-		b.recoverGroup(b.group.procs[1:]...)
+		b.killInstances(b.group.instances...)
+		b.recoverGroup(b.group.instances[1:]...)
 		b.checkGeneration(gen + 1)
 	}},
 	// Two of three instances stand still; the group is restored from the third one. Then the two go on, and lead by a
 	// majority of the old generation. No node may follow them, though they are all that it reaches.
-	{name: "a paused majority of the old generation goes on", mayLeave: allZones, run: func(b *zoneFixture) {
+	{name: "a paused majority of the old generation goes on", mayEvacuate: allZones, run: func(b *zoneFixture) {
 		gen := b.currentGeneration()
-		b.eachButFirst(func(p *instanceProcess) { p.signal(syscall.SIGSTOP) })
-		b.killInstances(b.group.procs[0])
+		b.forEachButFirst(func(p *instanceProcess) { p.signal(syscall.SIGSTOP) })
+		b.killInstances(b.group.instances[0])
 		b.recoverGroup()
 		b.mustAllServe(b.committedVersion)
 		before := map[string]int{}
 		for _, n := range b.nodes {
 			before[n.name] = b.countFollowed(n.name, gen)
 		}
-		b.eachButFirst(func(p *instanceProcess) { p.signal(syscall.SIGCONT) })
+		b.forEachButFirst(func(p *instanceProcess) { p.signal(syscall.SIGCONT) })
 		// Without a word of the new one they ask the old one, which leads by a majority of its own.
 		for _, n := range b.nodes {
-			b.group.forwarders.set(n.name, b.group.procs[0].name, linkFault{cut: true})
+			b.group.forwarders.set(n.name, b.group.instances[0].name, linkFault{cut: true})
 		}
 		time.Sleep(3*b.lease + 2*time.Second)
 		b.heal()
 		for _, n := range b.nodes {
 			if b.countFollowed(n.name, gen) > before[n.name] {
 				must(fmt.Errorf("%s follows generation %d of the group after %d was restored:\n%s", n.name, gen,
-					gen+1, b.tail(n.name, 6)))
+					gen+1, b.logTail(n.name, 6)))
 			}
 		}
-		b.killInstances(b.group.procs[1:]...)
-		b.rejoin(b.group.procs[1:]...)
+		b.killInstances(b.group.instances[1:]...)
+		b.rejoin(b.group.instances[1:]...)
 		b.checkGeneration(gen + 1)
 	}},
 	// The leader and all nodes are killed, and the nodes start before a leader is elected. They serve with a quota
@@ -260,9 +262,9 @@
 	}},
 	// All nodes are killed in the middle of a policy change and of a zone's ramp. All serve under one version
 	// afterwards, the fleet is whole, the zone comes back, and changes go on.
-	{name: "in the middle of a change of policy and of a zone's return", long: true, mayLeave: []string{"z1"},
+	{name: "in the middle of a change of policy and of a zone's return", long: true, mayEvacuate: []string{"z1"},
 		run: func(b *zoneFixture) {
-			must(b.operate(zones.Op{Kind: zones.OpEvacuate, Zone: "z1", DrillMS: 1000}))
+			must(b.submitOp(zones.Op{Kind: zones.OpEvacuate, Zone: "z1", DrillMS: 1000}))
 			mustGet(b.awaitPhase("z1", 20*time.Second, zones.Ramping))
 			c := b.propose("", policy.Proposal{})
 			since := b.killWithColdStores(b.nodes...)
@@ -288,10 +290,10 @@
 			}
 		}
 		since := b.killWithColdStores()
-		most := len(b.nodes)*5/9 + 1
-		restart(b.nodes[:most], 0)
+		split := len(b.nodes)*5/9 + 1
+		restart(b.nodes[:split], 0)
 		time.Sleep(3 * time.Second)
-		restart(b.nodes[most:], 200*time.Millisecond)
+		restart(b.nodes[split:], 200*time.Millisecond)
 		for range 5 { // two of them again and again: they wait longer each time, and the others don't wait for them
 			restart(b.nodes[:2], 500*time.Millisecond)
 		}
--- a/internal/harness/recovery_test.go
+++ b/internal/harness/recovery_test.go
@@ -14,8 +14,8 @@
 	"umberwinch/internal/simulation"
 )
 
-// TestComebackOnProcesses plays the hard cases of coming back on processes, in two fleets side by side.
-func TestComebackOnProcesses(t *testing.T) {
+// TestRecoveryCasesOnProcesses plays the hard cases of coming back on processes, in two fleets side by side.
+func TestRecoveryCasesOnProcesses(t *testing.T) {
 	t.Parallel()
 	const parts = 2
 	for part := 0; part < parts; part++ {
@@ -23,7 +23,7 @@
 			t.Parallel()
 			var out bytes.Buffer
 			rep, err := (&RecoveryTest{Seed: int64(31 + part), Quick: true, Mode: "real", Part: part, Parts: parts,
-				Program: built(t)}).Run(context.Background(), &out)
+				Program: builtProgram(t)}).Run(context.Background(), &out)
 			if err != nil || rep.Broken != "" {
 				t.Fatalf("%v\n%s", err, out.String())
 			}
@@ -35,38 +35,38 @@
 	}
 }
 
-// TestComebackGuards takes guards out on processes: the case that needs each breaks. small-start is taken out in
+// TestRecoveryCasesFailWithoutGuard takes guards out on processes: the case that needs each breaks. small-start is taken out in
 // virtual time (TestRestart), and by umberctl faulttest recovery.
-func TestComebackGuards(t *testing.T) {
+func TestRecoveryCasesFailWithoutGuard(t *testing.T) {
 	t.Parallel()
 	for guard, only := range map[string]string{"generation": "a paused majority of the old generation goes on",
 		"proof": "an old copy of all folders put back while nodes serve under a newer policy"} {
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
-			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
+			expectViolationWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
 				return (&RecoveryTest{Seed: seed, Quick: true, Mode: "real", ProcessGuards: guard, Only: only,
-					Program: built(t)}).Run(context.Background(), w)
+					Program: builtProgram(t)}).Run(context.Background(), w)
 			})
 		})
 	}
 }
 
-// TestCrowd: a crowd of nodes is taken in by the group in the order in which they asked, in entries of a bounded size,
+// TestMassJoinInArrivalOrder: a crowd of nodes is taken in by the group in the order in which they asked, in entries of a bounded size,
 // and nobody waits for long; without that order the first of them do.
-func TestCrowd(t *testing.T) {
-	entries, largest, worst, broken := joinAll(1, 5000, 0)
+func TestMassJoinInArrivalOrder(t *testing.T) {
+	entries, largest, worst, broken := runMassJoin(1, 5000, 0)
 	if broken != "" || largest > 200_000 || worst > 1500 {
 		t.Errorf("%d entries, the largest of %d bytes, %d ms at worst: %s", entries, largest, worst, broken)
 	}
 	t.Logf("%d entries, the largest of %d bytes, %d ms at worst", entries, largest, worst)
-	if _, _, _, broken = joinAll(1, 5000, policy.ArrivalOrder); broken == "" {
+	if _, _, _, broken = runMassJoin(1, 5000, policy.ArrivalOrder); broken == "" {
 		t.Error("without arrival-order no promise broke")
 	}
 	t.Log(broken)
 }
 
-// TestBestWhole holds the lower bound to a count of steps.
-func TestBestWhole(t *testing.T) {
+// TestShortestRecovery holds the lower bound to a count of steps.
+func TestShortestRecovery(t *testing.T) {
 	for _, load := range []float64{0.3, 0.6, 0.9, 1} {
 		const cold, dt = 8.0, 0.001
 		warm, at := 0.0, 0.0
--- a/internal/harness/result_store.go
+++ b/internal/harness/result_store.go
@@ -38,7 +38,7 @@
 	resultWindow       = 1500 * time.Millisecond
 	clientsPerNode     = 4
 	repeatShare        = 0.6
-	windowSlack        = 300 * time.Millisecond
+	windowMargin       = 300 * time.Millisecond
 	resultStoreClasses = `cores 4
 tenants 1
 class view work=1 share=1 tail=0 target=300 timeout=1500 value=1
@@ -47,8 +47,8 @@
 dearest submit`
 )
 
-// nodesAtOnce is how many nodes are killed side by side: the life of one is mostly waits.
-const nodesAtOnce = 6
+// concurrentNodes is how many nodes are killed side by side: the life of one is mostly waits.
+const concurrentNodes = 6
 
 // Run plays all and writes the report.
 func (k *ResultStoreTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
@@ -61,12 +61,12 @@
 		Head: []string{"case", "kills", "reqs", "done", "repeats done",
 			"errored", "shed", "cut by a kill", "torn"}}
 	if k.Only != "costs" {
-		if err := k.kills(ctx, rep); err != nil {
+		if err := k.runKills(ctx, rep); err != nil {
 			return nil, err
 		}
 	}
 	if k.Only != "kills" && k.Without == "" {
-		if err := k.costs(ctx, rep); err != nil {
+		if err := k.measureCosts(ctx, rep); err != nil {
 			return nil, err
 		}
 	}
@@ -76,11 +76,11 @@
 	return rep.End(k.Out, w)
 }
 
-// killedStore is the operator's file of nodes under kills.
-const killedStore = "[kept]\nfolder = DIR\nentries = 4000\nmb = 8\n"
+// killTestConfig is the operator's file of nodes under kills.
+const killTestConfig = "[kept]\nfolder = DIR\nentries = 4000\nmb = 8\n"
 
-// kills has nodes killed side by side, and holds each one's history to the promises.
-func (k *ResultStoreTest) kills(ctx context.Context, rep *report.Report) error {
+// runKills has nodes killed side by side, and holds each one's history to the promises.
+func (k *ResultStoreTest) runKills(ctx context.Context, rep *report.Report) error {
 	return withWorkFolder(ctx, rep, func(dir string) error {
 		nodes, err := k.killNodes(ctx, dir)
 		if err != nil {
@@ -91,33 +91,33 @@
 	})
 }
 
-// killNodes sets up nodesAtOnce nodes and has each killed its part of the times. A node that can't be set up ends the
+// killNodes sets up concurrentNodes nodes and has each killed its part of the times. A node that can't be set up ends the
 // lives of the others. All have ended when it returns.
 func (k *ResultStoreTest) killNodes(ctx context.Context, dir string) ([]*resultStoreNode, error) {
 	ctx, stop := context.WithCancel(ctx)
-	nodes, errs := make([]*resultStoreNode, 0, nodesAtOnce), make([]error, nodesAtOnce)
-	var all sync.WaitGroup
+	nodes, errs := make([]*resultStoreNode, 0, concurrentNodes), make([]error, concurrentNodes)
+	var wg sync.WaitGroup
 	defer func() {
 		stop()
-		all.Wait()
+		wg.Wait()
 		for _, n := range nodes {
 			n.close()
 		}
 	}()
-	for i := range nodesAtOnce {
-		own := filepath.Join(dir, fmt.Sprint("node", i+1))
-		if err := os.Mkdir(own, 0o700); err != nil {
+	for i := range concurrentNodes {
+		nodeDir := filepath.Join(dir, fmt.Sprint("node", i+1))
+		if err := os.Mkdir(nodeDir, 0o700); err != nil {
 			return nil, err
 		}
-		n, err := newResultStoreNode(resultStoreSetUp{dir: own, program: k.Program, seed: k.Seed*100 + int64(i),
-			window: resultWindow, own: killedStore, without: k.Without})
+		n, err := newResultStoreNode(resultStoreConfig{dir: nodeDir, program: k.Program, seed: k.Seed*100 + int64(i),
+			window: resultWindow, operatorConfig: killTestConfig, disabledGuard: k.Without})
 		if err != nil {
 			return nil, err
 		}
 		nodes = append(nodes, n)
-		all.Go(func() { errs[i] = n.play(ctx, (k.Kills+nodesAtOnce-1)/nodesAtOnce) })
+		wg.Go(func() { errs[i] = n.killRepeatedly(ctx, (k.Kills+concurrentNodes-1)/concurrentNodes) })
 	}
-	all.Wait()
+	wg.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return nil, err
@@ -130,27 +130,27 @@
 func addKills(rep *report.Report, nodes []*resultStoreNode) {
 	kills, sum := killCounts{byPoint: map[string]int{}}, historyTotals{}
 	for i, n := range nodes {
-		if broken := n.history.broken(); broken != "" {
-			rep.Break("node %d, kill %d: %s", i+1, n.kills.all, broken)
+		if broken := n.history.violation(); broken != "" {
+			rep.Break("node %d, kill %d: %s", i+1, n.kills.total, broken)
 		}
 		kills.add(n.kills)
 		sum.add(n.history)
 	}
 	row := []string{"kills"}
-	for _, n := range []int{kills.all, sum.answers.sent, sum.answers.done, sum.answers.repeatsDone, sum.answers.failed,
-		sum.answers.rejected, sum.answers.cut, kills.torn} {
+	for _, n := range []int{kills.total, sum.responses.sent, sum.responses.done, sum.responses.repeatsDone, sum.responses.failed,
+		sum.responses.rejected, sum.responses.interrupted, kills.tornWrites} {
 		row = append(row, strconv.Itoa(n))
 	}
 	rep.Rows = append(rep.Rows, row)
 	for _, point := range crashPoints {
 		rep.Add("kills_"+point, "%d", kills.byPoint[point])
 	}
-	rep.Add("kills", "%d", kills.all)
+	rep.Add("kills", "%d", kills.total)
 	rep.Add("keys_run", "%d", sum.keys)
 	rep.Add("runs_after_the_window", "%d", sum.runs-sum.keys)
 	rep.Add("effects", "%d", sum.effects)
-	rep.Add("repeats_done", "%d", sum.answers.repeatsDone)
-	if rep.Broken == "" && (sum.answers.repeatsDone == 0 || sum.answers.done == 0) {
-		rep.Break("nothing was shown: %d done, %d repeats of them", sum.answers.done, sum.answers.repeatsDone)
+	rep.Add("repeats_done", "%d", sum.responses.repeatsDone)
+	if rep.Broken == "" && (sum.responses.repeatsDone == 0 || sum.responses.done == 0) {
+		rep.Break("nothing was shown: %d done, %d repeats of them", sum.responses.done, sum.responses.repeatsDone)
 	}
 }
--- a/internal/harness/result_store_callers.go
+++ b/internal/harness/result_store_callers.go
@@ -10,14 +10,14 @@
 )
 
 // send is one attempt. code 0: no answer came; read tells whether the node may have read it.
-func (r *resultStoreNode) send(ctx context.Context, client *http.Client, class, key string, again bool) (code int,
-	body string, read bool) {
-	once := ""
+func (r *resultStoreNode) send(ctx context.Context, client *http.Client, class, key string, isRetry bool) (status int,
+	body string, mayBeRead bool) {
+	idempotencyKey := ""
 	if class == "submit" {
-		once = key
+		idempotencyKey = key
 	}
-	code, body, _, err := sendAttemptWithBody(ctx, client, r.listen, class, 0, 1, once, again, key)
-	return code, body, err == nil || !strings.Contains(err.Error(), "connection refused")
+	status, body, _, err := sendAttemptWithBody(ctx, client, r.listen, class, 0, 1, idempotencyKey, isRetry, key)
+	return status, body, err == nil || !strings.Contains(err.Error(), "connection refused")
 }
 
 // keyChooser gives a caller's keys: new ones, and old ones again, inside the window and outside.
@@ -28,47 +28,47 @@
 	count  int
 }
 
-func (k *keyChooser) next() (key string, again bool) {
+func (k *keyChooser) next() (key string, isRetry bool) {
 	key = fmt.Sprintf("%s-%d", k.name, k.count)
 	k.count++
 	if len(k.used) == 0 || k.random.Float64() >= repeatShare {
 		k.used = append(k.used, key)
 		return key, false
 	}
-	back := int(k.random.ExpFloat64() * 8)
+	distance := int(k.random.ExpFloat64() * 8)
 	if k.random.Float64() < 0.05 { // long ago, most often outside the window
-		back = k.random.Intn(len(k.used))
+		distance = k.random.Intn(len(k.used))
 	}
-	return k.used[max(0, len(k.used)-1-back)], true
+	return k.used[max(0, len(k.used)-1-distance)], true
 }
 
-// caller sends one request after the other until the context ends, while the node is up.
-func (r *resultStoreNode) caller(ctx context.Context, keys *keyChooser) {
+// runCaller sends one request after the other until the context ends, while the node is up.
+func (r *resultStoreNode) runCaller(ctx context.Context, keys *keyChooser) {
 	for ctx.Err() == nil {
-		life := r.currentLife()
-		if !life.up {
+		incarnation := r.currentIncarnation()
+		if !incarnation.running {
 			time.Sleep(2 * time.Millisecond)
 			continue
 		}
-		out := attemptOutcome{}
-		out.key, out.again = keys.next()
-		began := time.Now()
-		out.code, out.body, out.read = r.send(ctx, life.client, "submit", out.key, out.again)
+		outcome := attemptOutcome{}
+		outcome.key, outcome.isRetry = keys.next()
+		startedAt := time.Now()
+		outcome.status, outcome.body, outcome.mayBeRead = r.send(ctx, incarnation.client, "submit", outcome.key, outcome.isRetry)
 		if ctx.Err() != nil {
 			return
 		}
-		out.took = time.Since(began)
-		if out.code == 0 && out.read {
-			r.awaitEndOf(life, 2*time.Second)
+		outcome.latency = time.Since(startedAt)
+		if outcome.status == 0 && outcome.mayBeRead {
+			r.awaitIncarnationEnd(incarnation, 2*time.Second)
 		}
-		out.alive = r.alive(life)
-		r.history.note(out)
+		outcome.nodeRunning = r.isRunning(incarnation)
+		r.history.recordAttempt(outcome)
 	}
 }
 
-// awaitEndOf waits until a life's end is seen, which may be after its callers saw it.
-func (r *resultStoreNode) awaitEndOf(life nodeLife, within time.Duration) {
-	for end := time.Now().Add(within); r.currentLife().number == life.number && time.Now().Before(end); {
+// awaitIncarnationEnd waits until a life's end is seen, which may be after its callers saw it.
+func (r *resultStoreNode) awaitIncarnationEnd(incarnation nodeIncarnation, within time.Duration) {
+	for end := time.Now().Add(within); r.currentIncarnation().number == incarnation.number && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/harness/result_store_cost.go
+++ b/internal/harness/result_store_cost.go
@@ -20,16 +20,16 @@
 	{"in memory", "", ""},
 }
 
-// costs has as many callers as the cores bear ask without a pause, keyed requests and others, in turn.
-func (k *ResultStoreTest) costs(ctx context.Context, rep *report.Report) error {
+// measureCosts has as many callers as the cores bear ask without a pause, keyed requests and others, in turn.
+func (k *ResultStoreTest) measureCosts(ctx context.Context, rep *report.Report) error {
 	span := 8 * time.Second
 	if k.Quick {
 		span = 2 * time.Second
 	}
-	for _, way := range resultStoreVariants {
+	for _, variant := range resultStoreVariants {
 		for _, callers := range []int{1, 32} {
-			measure := func(r *resultStoreNode) error { return r.cost(ctx, rep, way.name, callers, span) }
-			if err := k.withNode(ctx, way.own, way.without, measure); err != nil {
+			measure := func(r *resultStoreNode) error { return r.measureCost(ctx, rep, variant.name, callers, span) }
+			if err := k.withNode(ctx, variant.own, variant.without, measure); err != nil {
 				return err
 			}
 		}
@@ -38,10 +38,10 @@
 }
 
 // withNode starts a node with its stand-ins in a folder of its own for as long as use takes.
-func (k *ResultStoreTest) withNode(ctx context.Context, own, without string, use func(*resultStoreNode) error) error {
+func (k *ResultStoreTest) withNode(ctx context.Context, operatorConfig, disabledGuard string, use func(*resultStoreNode) error) error {
 	return withWorkFolder(ctx, &report.Report{}, func(dir string) error {
-		r, err := newResultStoreNode(resultStoreSetUp{dir: dir, program: k.Program, seed: k.Seed, window: time.Second,
-			own: own, without: without})
+		r, err := newResultStoreNode(resultStoreConfig{dir: dir, program: k.Program, seed: k.Seed, window: time.Second,
+			operatorConfig: operatorConfig, disabledGuard: disabledGuard})
 		if err != nil {
 			return err
 		}
@@ -49,12 +49,12 @@
 	})
 }
 
-func (r *resultStoreNode) cost(ctx context.Context, rep *report.Report, name string, callers int,
+func (r *resultStoreNode) measureCost(ctx context.Context, rep *report.Report, name string, callers int,
 	span time.Duration) error {
 	defer r.close()
-	client := r.currentLife().client
-	r.kernel.onBegin, r.kernel.callsStore = nil, false
-	r.kernel.Set(func(classes map[string]*simulation.Class, cores *float64) {
+	client := r.currentIncarnation().client
+	r.kernel.onRunStart, r.kernel.callsStore = nil, false
+	r.kernel.Update(func(classes map[string]*simulation.Class, cores *float64) {
 		for _, c := range classes {
 			c.Work, c.WorkSigma = 1, 0 // a tenth of a ms: what is measured is the node's own part
 		}
@@ -64,41 +64,41 @@
 		return err
 	}
 	if err := awaitUntil(ctx, 5*time.Second, 5*time.Millisecond, func() error {
-		if code, _, _ := r.send(ctx, client, "submit", newKey(), false); code != http.StatusOK {
+		if code, _, _ := r.send(ctx, client, "submit", randomKey(), false); code != http.StatusOK {
 			return fmt.Errorf("it answers %d", code)
 		}
 		return nil
 	}); err != nil {
-		return fmt.Errorf("%s: the node is not ready: %w; the end of its log: %s", name, err, r.tail())
+		return fmt.Errorf("%s: the node is not ready: %w; the end of its log: %s", name, err, r.logTail())
 	}
 	for _, class := range []string{"submit", "view"} {
-		took, done := hdrhistogram.New(1, 10_000_000, 3), 0
+		latencies, done := hdrhistogram.New(1, 10_000_000, 3), 0
 		var mu sync.Mutex
-		var all sync.WaitGroup
-		began := time.Now()
-		cpu, _ := cpuOf(r.proc.pid())
+		var wg sync.WaitGroup
+		startedAt := time.Now()
+		cpu, _ := cpuTime(r.process.pid())
 		for range callers {
-			all.Add(1)
+			wg.Add(1)
 			go func() {
-				defer all.Done()
-				for time.Since(began) < span && ctx.Err() == nil {
-					at := time.Now()
-					code, _, _ := r.send(ctx, client, class, newKey(), false)
+				defer wg.Done()
+				for time.Since(startedAt) < span && ctx.Err() == nil {
+					sentAt := time.Now()
+					code, _, _ := r.send(ctx, client, class, randomKey(), false)
 					mu.Lock()
 					if code == http.StatusOK {
 						done++
-						took.RecordValue(time.Since(at).Microseconds())
+						latencies.RecordValue(time.Since(sentAt).Microseconds())
 					}
 					mu.Unlock()
 				}
 			}()
 		}
-		all.Wait()
-		after, _ := cpuOf(r.proc.pid())
+		wg.Wait()
+		after, _ := cpuTime(r.process.pid())
 		key := fmt.Sprintf("%s, %d callers, %s", name, callers, class)
 		rep.Add(key, "%.0f a second, median %.2f ms, 99th %.2f ms, %.0f us of CPU each",
-			float64(done)/time.Since(began).Seconds(),
-			float64(took.ValueAtQuantile(50))/1000, float64(took.ValueAtQuantile(99))/1000,
+			float64(done)/time.Since(startedAt).Seconds(),
+			float64(latencies.ValueAtQuantile(50))/1000, float64(latencies.ValueAtQuantile(99))/1000,
 			(after-cpu).Seconds()*1e6/float64(max(done, 1)))
 	}
 	return nil
--- a/internal/harness/result_store_node.go
+++ b/internal/harness/result_store_node.go
@@ -20,14 +20,14 @@
 	dir, listen string
 	program     string
 	env         []string
-	proc        process
+	process     process
 	kernel      *EmulatedKernel
 	store       *EmulatedStore
 	control     *readiness
 	history     *resultHistory
 
-	mu   sync.Mutex
-	life nodeLife
+	mu          sync.Mutex
+	incarnation nodeIncarnation
 
 	// Of what kills it; play alone uses them.
 	random     *rand.Rand
@@ -35,101 +35,101 @@
 	kills      killCounts
 }
 
-// nodeLife is the time between a node's start and its end.
-type nodeLife struct {
-	number int
-	up     bool
-	client *http.Client
+// nodeIncarnation is the time between a node's start and its end.
+type nodeIncarnation struct {
+	number  int
+	running bool
+	client  *http.Client
 }
 
 // killCounts are the kills of a node.
 type killCounts struct {
-	all, torn int
-	byPoint   map[string]int
+	total, tornWrites int
+	byPoint           map[string]int
 }
 
 func (k *killCounts) add(o killCounts) {
-	k.all += o.all
-	k.torn += o.torn
+	k.total += o.total
+	k.tornWrites += o.tornWrites
 	for point, n := range o.byPoint {
 		k.byPoint[point] += n
 	}
 }
 
-// resultStoreSetUp is what a node under kills is made from.
-type resultStoreSetUp struct {
-	dir, program string
-	seed         int64
-	window       time.Duration
-	own          string // of the operator's file; DIR stands for the store's folder
-	without      string // a guard; empty: none
+// resultStoreConfig is what a node under kills is made from.
+type resultStoreConfig struct {
+	dir, program   string
+	seed           int64
+	window         time.Duration
+	operatorConfig string // of the operator's file; DIR stands for the store's folder
+	disabledGuard  string // a guard; empty: none
 }
 
 // newResultStoreNode makes a node with its stand-ins, and starts nothing of it yet.
-func newResultStoreNode(set resultStoreSetUp) (*resultStoreNode, error) {
-	r := &resultStoreNode{dir: set.dir, program: set.program, listen: loopback(8080), history: newResultHistory(),
-		random: rand.New(rand.NewSource(set.seed)), life: nodeLife{client: newLifeClient()},
+func newResultStoreNode(config resultStoreConfig) (*resultStoreNode, error) {
+	r := &resultStoreNode{dir: config.dir, program: config.program, listen: newLoopbackAddr(8080), history: newResultHistory(),
+		random: rand.New(rand.NewSource(config.seed)), incarnation: nodeIncarnation{client: newIncarnationClient()},
 		kills: killCounts{byPoint: map[string]int{}}}
-	if err := r.setUp(set); err != nil {
+	if err := r.init(config); err != nil {
 		r.close()
 		return nil, err
 	}
 	return r, nil
 }
 
-func (r *resultStoreNode) setUp(set resultStoreSetUp) error {
+func (r *resultStoreNode) init(config resultStoreConfig) error {
 	s, err := simulation.ReadScenario("kept", resultStoreClasses)
 	if err != nil {
 		return err
 	}
-	if r.kernel, err = NewEmulatedKernel(loopback(7400), set.seed, float64(s.Cores), s.Classes,
-		kernelStep); err != nil {
+	if r.kernel, err = NewEmulatedKernel(newLoopbackAddr(7400), config.seed, float64(s.Cores), s.Classes,
+		kernelStepInterval); err != nil {
 		return err
 	}
-	r.kernel.onBegin, r.kernel.callsStore = r.history.runBegins, true
-	if r.store, err = NewEmulatedStore(loopback(9042), set.seed, 8, 2*time.Millisecond, 1, 1); err != nil {
+	r.kernel.onRunStart, r.kernel.callsStore = r.history.runStarted, true
+	if r.store, err = NewEmulatedStore(newLoopbackAddr(9042), config.seed, 8, 2*time.Millisecond, 1, 1); err != nil {
 		return err
 	}
-	r.store.onCall = r.history.effectDone
+	r.store.onExecute = r.history.callExecuted
 	if r.control, err = newReadiness(); err != nil {
 		return err
 	}
-	raw, err := nodeConfig(nodeSetUp{name: "kept", listen: r.listen, kernel: r.kernel.ln.Addr().String(),
-		store: r.store.ln.Addr().String(), control: r.control.addr(), cores: s.Cores, tenants: s.Tenants,
-		classes: s.Classes, keyed: "submit", window: set.window})
+	raw, err := encodeStartupFile(startupParams{name: "kept", listen: r.listen, kernel: r.kernel.listener.Addr().String(),
+		store: r.store.listener.Addr().String(), control: r.control.addr(), cores: s.Cores, tenants: s.Tenants,
+		classes: s.Classes, keyedClass: "submit", idempotencyWindow: config.window})
 	if err != nil {
 		return err
 	}
-	return r.writeFiles(set, raw)
+	return r.writeFiles(config, raw)
 }
 
 // writeFiles writes the node's start-up file and its operator's file.
-func (r *resultStoreNode) writeFiles(set resultStoreSetUp, config []byte) error {
+func (r *resultStoreNode) writeFiles(params resultStoreConfig, config []byte) error {
 	folder := filepath.Join(r.dir, "folder")
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return err
 	}
-	start, own := filepath.Join(r.dir, "node.json"), filepath.Join(r.dir, "node.ini")
-	if err := os.WriteFile(start, config, 0o600); err != nil {
+	startupFile, operatorFile := filepath.Join(r.dir, "node.json"), filepath.Join(r.dir, "node.ini")
+	if err := os.WriteFile(startupFile, config, 0o600); err != nil {
 		return err
 	}
-	r.env = append(os.Environ(), "NODE_CONFIG="+start, "UMBERWINCH_FILE="+own)
-	if set.without != "" {
-		r.env = append(r.env, WithoutEnv+"=kept-"+set.without)
+	r.env = append(os.Environ(), "NODE_CONFIG="+startupFile, "UMBERWINCH_FILE="+operatorFile)
+	if params.disabledGuard != "" {
+		r.env = append(r.env, disabledGuardsEnv+"=kept-"+params.disabledGuard)
 	}
-	text := "[log]\nform = json\nfrom = warning\n" + strings.ReplaceAll(set.own, "DIR", folder)
-	return os.WriteFile(own, []byte(text), 0o600)
+	text := "[log]\nform = json\nfrom = warning\n" + strings.ReplaceAll(params.operatorConfig, "DIR", folder)
+	return os.WriteFile(operatorFile, []byte(text), 0o600)
 }
 
-// newLifeClient has connections of one life alone: on one of a life before an attempt would get an error that says
+// newIncarnationClient has connections of one life alone: on one of a life before an attempt would get an error that says
 // nothing.
-func newLifeClient() *http.Client {
+func newIncarnationClient() *http.Client {
 	return &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64,
 		IdleConnTimeout: 5 * time.Second}}
 }
 
 func (r *resultStoreNode) close() {
-	r.proc.close()
+	r.process.close()
 	if r.kernel != nil {
 		r.kernel.Close()
 	}
@@ -139,75 +139,75 @@
 	if r.control != nil {
 		r.control.close()
 	}
-	r.life.client.CloseIdleConnections()
+	r.incarnation.client.CloseIdleConnections()
 }
 
 // start runs the node; die names a point and a count, or is empty.
-func (r *resultStoreNode) start(die string) error {
+func (r *resultStoreNode) start(crashAt string) error {
 	cmd := nodeCommand(r.program)
-	cmd.Env = append(slices.Clip(r.env), "UMBERWINCH_DIE_AT="+die)
+	cmd.Env = append(slices.Clip(r.env), "UMBERWINCH_DIE_AT="+crashAt)
 	log, err := openLog(filepath.Join(r.dir, "node.log"))
 	if err != nil {
 		return err
 	}
 	defer log.Close()
 	cmd.Stderr = log
-	return r.proc.start(cmd)
+	return r.process.start(cmd)
 }
 
-func (r *resultStoreNode) currentLife() nodeLife {
+func (r *resultStoreNode) currentIncarnation() nodeIncarnation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.life
+	return r.incarnation
 }
 
-// alive tells whether the node is up in a life still.
-func (r *resultStoreNode) alive(in nodeLife) bool {
-	life := r.currentLife()
-	return life.up && life.number == in.number
+// isRunning tells whether the node is up in a life still.
+func (r *resultStoreNode) isRunning(incarnation nodeIncarnation) bool {
+	current := r.currentIncarnation()
+	return current.running && current.number == incarnation.number
 }
 
-func (r *resultStoreNode) beginLife() {
+func (r *resultStoreNode) beginIncarnation() {
 	r.mu.Lock()
-	r.life.up = true
+	r.incarnation.running = true
 	r.mu.Unlock()
 }
 
-func (r *resultStoreNode) endLife() {
+func (r *resultStoreNode) endIncarnation() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.life.client.CloseIdleConnections()
-	r.life = nodeLife{number: r.life.number + 1, client: newLifeClient()}
+	r.incarnation.client.CloseIdleConnections()
+	r.incarnation = nodeIncarnation{number: r.incarnation.number + 1, client: newIncarnationClient()}
 }
 
-// play kills the node so many times, while callers send requests, or until a promise is broken.
-func (r *resultStoreNode) play(ctx context.Context, kills int) error {
-	ctx, end := context.WithCancel(ctx)
+// killRepeatedly kills the node so many times, while callers send requests, or until a promise is broken.
+func (r *resultStoreNode) killRepeatedly(ctx context.Context, kills int) error {
+	ctx, cancel := context.WithCancel(ctx)
 	var callers sync.WaitGroup
 	defer callers.Wait()
-	defer end()
+	defer cancel()
 	for i := range clientsPerNode {
 		keys := &keyChooser{random: rand.New(rand.NewSource(r.random.Int63())), name: fmt.Sprintf("%c", 'a'+i)}
-		callers.Go(func() { r.caller(ctx, keys) })
+		callers.Go(func() { r.runCaller(ctx, keys) })
 	}
-	for r.kills.all < kills && ctx.Err() == nil && r.history.broken() == "" {
-		if err := r.liveOnce(ctx); err != nil {
+	for r.kills.total < kills && ctx.Err() == nil && r.history.violation() == "" {
+		if err := r.runIncarnation(ctx); err != nil {
 			return err
 		}
 	}
 	return ctx.Err()
 }
 
-// nodeDeath is how a life ends: at a named point of the node's work, or after a time.
-type nodeDeath struct {
+// nodeCrash is how a life ends: at a named point of the node's work, or after a time.
+type nodeCrash struct {
 	point string // and a count; empty: none
 	after time.Duration
 }
 
-// pointPatience is how long a node may take to come to a named point: so many runs may not come.
-const pointPatience = 3 * time.Second
+// crashPointTimeout is how long a node may take to come to a named point: so many runs may not come.
+const crashPointTimeout = 3 * time.Second
 
-func (r *resultStoreNode) drawDeath() nodeDeath {
+func (r *resultStoreNode) drawCrash() nodeCrash {
 	switch x := r.random.Float64(); {
 	case x < 0.6 || r.crashPoint != "":
 		point := r.crashPoint
@@ -215,39 +215,39 @@
 			point = crashPoints[r.random.Intn(len(crashPoints))]
 		}
 		r.kills.byPoint[point]++
-		return nodeDeath{fmt.Sprintf("%s:%d", point, 1+r.random.Intn(20)), pointPatience}
+		return nodeCrash{fmt.Sprintf("%s:%d", point, 1+r.random.Intn(20)), crashPointTimeout}
 	case x < 0.7: // in the middle of its start
-		return nodeDeath{after: time.Duration(r.random.Intn(15_000)) * time.Microsecond}
+		return nodeCrash{after: time.Duration(r.random.Intn(15_000)) * time.Microsecond}
 	}
-	return nodeDeath{after: time.Duration(30+r.random.Intn(170)) * time.Millisecond}
+	return nodeCrash{after: time.Duration(30+r.random.Intn(170)) * time.Millisecond}
 }
 
-// liveOnce starts the node on its folder and has it die; at times a part of a write is left at its log's end.
-func (r *resultStoreNode) liveOnce(ctx context.Context) error {
-	death := r.drawDeath()
-	if err := r.start(death.point); err != nil {
+// runIncarnation starts the node on its folder and has it die; at times a part of a write is left at its log's end.
+func (r *resultStoreNode) runIncarnation(ctx context.Context) error {
+	crash := r.drawCrash()
+	if err := r.start(crash.point); err != nil {
 		return err
 	}
-	r.beginLife()
+	r.beginIncarnation()
 	select {
-	case <-r.proc.done():
-		if death.point == "" && death.after > 0 {
-			return fmt.Errorf("the node ended by itself; the end of its log: %s", r.tail())
+	case <-r.process.done():
+		if crash.point == "" && crash.after > 0 {
+			return fmt.Errorf("the node ended by itself; the end of its log: %s", r.logTail())
 		}
-	case <-time.After(death.after):
+	case <-time.After(crash.after):
 	case <-ctx.Done():
 	}
-	r.endLife()
-	r.proc.kill()
-	r.kills.all++
+	r.endIncarnation()
+	r.process.kill()
+	r.kills.total++
 	if r.random.Float64() < 0.2 {
-		return r.tear()
+		return r.appendTornWrite()
 	}
 	return nil
 }
 
-// tear leaves part of a write that was never synced at the log's end.
-func (r *resultStoreNode) tear() error {
+// appendTornWrite leaves part of a write that was never synced at the log's end.
+func (r *resultStoreNode) appendTornWrite() error {
 	logs, _ := filepath.Glob(filepath.Join(r.dir, "folder", "*.seg"))
 	if len(logs) == 0 {
 		return nil
@@ -261,12 +261,12 @@
 	part := make([]byte, 1+r.random.Intn(200))
 	r.random.Read(part)
 	_, err = f.Write(part)
-	r.kills.torn++
+	r.kills.tornWrites++
 	return err
 }
 
-// tail gives the end of the node's log.
-func (r *resultStoreNode) tail() string {
+// logTail gives the end of the node's log.
+func (r *resultStoreNode) logTail() string {
 	raw, _ := os.ReadFile(filepath.Join(r.dir, "node.log"))
 	return string(raw[max(0, len(raw)-600):])
 }
--- a/internal/harness/result_store_test.go
+++ b/internal/harness/result_store_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestKeptKills: a node killed at named points and at random ones runs no key twice within its window, and repeats get
+// TestResultStoreKills: a node killed at named points and at random ones runs no key twice within its window, and repeats get
 // the first result; without a guard the checker finds it.
-func TestKeptKills(t *testing.T) {
+func TestResultStoreKills(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ without, at, broken string }{
 		{},
@@ -19,8 +19,8 @@
 	} {
 		t.Run("without "+c.without, func(t *testing.T) {
 			t.Parallel()
-			r, err := newResultStoreNode(resultStoreSetUp{dir: t.TempDir(), program: built(t), seed: 7,
-				window: resultWindow, own: killedStore, without: c.without})
+			r, err := newResultStoreNode(resultStoreConfig{dir: t.TempDir(), program: builtProgram(t), seed: 7,
+				window: resultWindow, operatorConfig: killTestConfig, disabledGuard: c.without})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -32,12 +32,12 @@
 			if c.broken != "" {
 				kills = 400 // or until it is found
 			}
-			if err = r.play(ctx, kills); err != nil {
-				t.Fatal(err, r.tail())
+			if err = r.killRepeatedly(ctx, kills); err != nil {
+				t.Fatal(err, r.logTail())
 			}
-			broken, answers := r.history.broken(), r.history.answers
+			broken, answers := r.history.violation(), r.history.responses
 			if c.broken == "" && (broken != "" || answers.repeatsDone == 0) || !strings.Contains(broken, c.broken) {
-				t.Fatalf("after %d kills, %d done, %d repeats: broken %q, expected %q", r.kills.all, answers.done,
+				t.Fatalf("after %d kills, %d done, %d repeats: broken %q, expected %q", r.kills.total, answers.done,
 					answers.repeatsDone, broken, c.broken)
 			}
 		})
@@ -45,59 +45,59 @@
 }
 
 // A checker that finds nothing would let every run pass: each kind of wrong history is found, and a right one is not.
-func TestKeptChecker(t *testing.T) {
+func TestResultHistoryDetectsViolations(t *testing.T) {
 	key := []byte("a")
 	for _, c := range []struct {
 		name string
 		play func(h *resultHistory)
 	}{
-		{"a second run", func(h *resultHistory) { h.runBegins(key); h.runBegins(key) }},
-		{"a second effect", func(h *resultHistory) { h.runBegins(key); h.effectDone(key); h.effectDone(key) }},
+		{"a second run", func(h *resultHistory) { h.runStarted(key); h.runStarted(key) }},
+		{"a second effect", func(h *resultHistory) { h.runStarted(key); h.callExecuted(key); h.callExecuted(key) }},
 		{"another's result", func(h *resultHistory) {
-			h.runBegins(key)
-			h.note(attemptOutcome{key: "b", code: 200, body: "a#1\x00\xff", again: true, read: true})
+			h.runStarted(key)
+			h.recordAttempt(attemptOutcome{key: "b", status: 200, body: "a#1\x00\xff", isRetry: true, mayBeRead: true})
 		}},
 		{"a changed result", func(h *resultHistory) {
-			h.runBegins(key)
-			h.note(attemptOutcome{key: "a", code: 200, body: "a#1\x00", again: true, read: true})
+			h.runStarted(key)
+			h.recordAttempt(attemptOutcome{key: "a", status: 200, body: "a#1\x00", isRetry: true, mayBeRead: true})
 		}},
-		{"no answer", func(h *resultHistory) { h.note(attemptOutcome{key: "a", read: true, alive: true}) }},
+		{"no answer", func(h *resultHistory) { h.recordAttempt(attemptOutcome{key: "a", mayBeRead: true, nodeRunning: true}) }},
 		{"a result that is lost", func(h *resultHistory) {
-			h.note(attemptOutcome{key: "a", code: 200, body: string(h.runBegins(key)), read: true})
-			h.note(attemptOutcome{key: "a", code: 500, again: true, read: true})
+			h.recordAttempt(attemptOutcome{key: "a", status: 200, body: string(h.runStarted(key)), mayBeRead: true})
+			h.recordAttempt(attemptOutcome{key: "a", status: 500, isRetry: true, mayBeRead: true})
 		}},
-		{"an answer of no kind", func(h *resultHistory) { h.note(attemptOutcome{key: "a", code: 404, read: true}) }},
+		{"an answer of no kind", func(h *resultHistory) { h.recordAttempt(attemptOutcome{key: "a", status: 404, mayBeRead: true}) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newResultHistory()
-			if c.play(h); h.broken() == "" {
+			if c.play(h); h.violation() == "" {
 				t.Error("not found")
 			}
 		})
 	}
 	h := newResultHistory()
-	h.note(attemptOutcome{key: "a", code: 200, body: string(h.runBegins(key)), read: true, alive: true})
-	h.note(attemptOutcome{key: "b", alive: true})
-	h.note(attemptOutcome{key: "c", read: true})
-	if broken := h.broken(); broken != "" {
+	h.recordAttempt(attemptOutcome{key: "a", status: 200, body: string(h.runStarted(key)), mayBeRead: true, nodeRunning: true})
+	h.recordAttempt(attemptOutcome{key: "b", nodeRunning: true})
+	h.recordAttempt(attemptOutcome{key: "c", mayBeRead: true})
+	if broken := h.violation(); broken != "" {
 		t.Errorf("a right history: %s", broken)
 	}
 }
 
 // A request that got no answer is a broken promise only while the node is in the life in which it was sent.
-func TestNodeIsAliveInItsOwnLifeAlone(t *testing.T) {
-	r := &resultStoreNode{life: nodeLife{client: newLifeClient()}}
-	first := r.currentLife()
-	if r.alive(first) {
+func TestNodeRunsOnlyInItsCurrentIncarnation(t *testing.T) {
+	r := &resultStoreNode{incarnation: nodeIncarnation{client: newIncarnationClient()}}
+	first := r.currentIncarnation()
+	if r.isRunning(first) {
 		t.Error("alive before it began")
 	}
-	if r.beginLife(); !r.alive(first) {
+	if r.beginIncarnation(); !r.isRunning(first) {
 		t.Error("not alive after it began")
 	}
-	if r.endLife(); r.alive(first) {
+	if r.endIncarnation(); r.isRunning(first) {
 		t.Error("alive after its end")
 	}
-	if r.beginLife(); r.alive(first) {
+	if r.beginIncarnation(); r.isRunning(first) {
 		t.Error("alive in the life after it")
 	}
 }
--- a/internal/harness/work_folder_test.go
+++ b/internal/harness/work_folder_test.go
@@ -13,7 +13,7 @@
 
 // A run on processes writes a log into its folder and ends. Only where all went well is the folder gone afterwards;
 // else it is there with the log, and the error or the report says where. An interrupted run has an error in any case.
-func TestFolderOfRunStaysUnlessPromisesWereKept(t *testing.T) {
+func TestWorkFolderIsRemovedOnlyAfterPassingRun(t *testing.T) {
 	t.Parallel()
 	failure := errors.New("the node ended by itself")
 	for _, c := range []struct {
