--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -40,16 +40,16 @@
 			"BELOW, PEAK"}}
 	rep.Add("seed", "%d", r.Seed)
 	if r.Mode != "real" {
-		r.virtual(ctx, rep)
+		r.runVirtual(ctx, rep)
 		if rep.Broken == "" && r.Without == 0 {
 			r.playFailures(ctx, rep)
 			if ctx.Err() == nil {
-				r.calm(rep)
+				r.runNoise(rep)
 			}
 		}
 	}
 	if r.Mode != "virtual" && rep.Broken == "" {
-		if err := r.real(ctx, w, rep); err != nil {
+		if err := r.runProcesses(ctx, w, rep); err != nil {
 			return nil, err
 		}
 	}
@@ -62,15 +62,15 @@
 // OnlyCosts stands for the measurement beside nodes alone, without the cases.
 const OnlyCosts = "costs"
 
-// virtual plays schedules on all cores, each from a seed of its own.
-func (r *ZonesTest) virtual(ctx context.Context, rep *report.Report) {
+// runVirtual plays schedules on all cores, each from a seed of its own.
+func (r *ZonesTest) runVirtual(ctx context.Context, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
 		if n = 300; r.Quick {
 			n = 60
 		}
 	}
-	left, steps, back, broken := 0, 0, 0, brokenSchedules{}
+	evacuations, steps, stepsBack, broken := 0, 0, 0, violatingSchedules{}
 	report.EachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Zones {
 		p := simulation.DrawZones(s)
 		p.Without = r.Without
@@ -78,15 +78,15 @@
 		v.Play()
 		return v
 	}, func(s int64, v *simulation.Zones) bool {
-		left, steps, back = left+len(v.Left), steps+v.Steps, back+v.BackStep
-		broken.note(s, v.Broken)
+		evacuations, steps, stepsBack = evacuations+len(v.Left), steps+v.Steps, stepsBack+v.BackStep
+		broken.record(s, v.Broken)
 		return false
 	})
 	rep.Add("schedules", "%d", n)
 	rep.Add("broken", "%d", broken.count)
-	rep.Add("zones_left", "%d", left)
+	rep.Add("zones_left", "%d", evacuations)
 	rep.Add("steps_in", "%d", steps)
-	rep.Add("steps_back", "%d", back)
+	rep.Add("steps_back", "%d", stepsBack)
 	broken.report(rep)
 }
 
@@ -123,7 +123,7 @@
 		if v.Broken != "" {
 			rep.Break("%d nodes, load %.2f, %s, %s: %s", n, load, kind, v.name, v.Broken)
 		}
-		after := func(m map[string]float64) string {
+		delay := func(m map[string]float64) string {
 			if t, ok := m["z0"]; ok {
 				return fmt.Sprintf("%.1f s", t/1000)
 			}
@@ -146,20 +146,20 @@
 			}
 		}
 		rep.Rows = append(rep.Rows, []string{"virtual, " + kind, strconv.Itoa(n), fmt.Sprintf("%.2f", load), v.name,
-			fmt.Sprintf("%.4f", v.Done/v.Asked), after(v.Left), after(v.Back),
+			fmt.Sprintf("%.4f", v.Done/v.Asked), delay(v.Left), delay(v.Back),
 			fmt.Sprintf("%d/%d", v.Steps, v.BackStep), peak})
 	}
 }
 
-// calm plays hours of noise, in which no zone may be left.
-func (r *ZonesTest) calm(rep *report.Report) {
+// runNoise plays hours of noise, in which no zone may be left.
+func (r *ZonesTest) runNoise(rep *report.Report) {
 	hours := 24.0
 	if r.Quick {
 		hours = 1
 	}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	wrong := 0
+	falseEvacuations := 0
 	const parts = 6
 	for i := 0; i < parts; i++ {
 		wg.Add(1)
@@ -172,7 +172,7 @@
 			v.Play()
 			mu.Lock()
 			defer mu.Unlock()
-			wrong += v.Wrong
+			falseEvacuations += v.Wrong
 			if v.Broken != "" {
 				rep.Break("noise: %s", v.Broken)
 			}
@@ -180,43 +180,43 @@
 	}
 	wg.Wait()
 	rep.Add("noise_hours", "%.0f", hours)
-	rep.Add("wrong_leaves", "%d", wrong)
+	rep.Add("wrong_leaves", "%d", falseEvacuations)
 }
 
 // zoneRate is the callers' rate in the cases, requests a second over all nodes: a third of what three services bear
 // warm.
 const zoneRate = 180
 
-// real plays the cases on processes, then measures what failures cost callers.
-func (r *ZonesTest) real(ctx context.Context, w io.Writer, rep *report.Report) error {
+// runProcesses plays the cases on processes, then measures what failures cost callers.
+func (r *ZonesTest) runProcesses(ctx context.Context, w io.Writer, rep *report.Report) error {
 	if r.Only != OnlyCosts {
-		if err := r.realCases(ctx, w, rep); err != nil || r.Quick || rep.Broken != "" || r.Only != "" {
+		if err := r.runCases(ctx, w, rep); err != nil || r.Quick || rep.Broken != "" || r.Only != "" {
 			return err
 		}
 	}
-	return r.costs(ctx, rep, r.plan())
+	return r.measureCosts(ctx, rep, r.selectCostPlan())
 }
 
-// realCases plays the cases that were asked for in one fleet under load, up to the first that breaks.
-func (r *ZonesTest) realCases(ctx context.Context, w io.Writer, rep *report.Report) error {
-	return withWorkFolder(ctx, rep, func(dir string) error { return r.realCasesIn(ctx, dir, w, rep) })
+// runCases plays the cases that were asked for in one fleet under load, up to the first that breaks.
+func (r *ZonesTest) runCases(ctx context.Context, w io.Writer, rep *report.Report) error {
+	return withWorkFolder(ctx, rep, func(dir string) error { return r.runCasesIn(ctx, dir, w, rep) })
 }
 
-func (r *ZonesTest) realCasesIn(ctx context.Context, dir string, w io.Writer, rep *report.Report) error {
-	b, err := r.begin(ctx, dir, "fence", "auto")
+func (r *ZonesTest) runCasesIn(ctx context.Context, dir string, w io.Writer, rep *report.Report) error {
+	b, err := r.startFixture(ctx, dir, "fence", "auto")
 	if err != nil {
 		return err
 	}
 	defer b.Close()
 	b.out = w
-	load, stop := context.WithCancel(ctx)
+	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	calls := b.Load(load, zoneRate)
-	if err = b.awaitNormal(); err != nil {
+	calls := b.Load(loadCtx, zoneRate)
+	if err = b.awaitCapacityKnown(); err != nil {
 		return err
 	}
 	kept, err := r.playCases(b, calls)
-	if err = breakOrReturn(rep, err); err != nil {
+	if err = recordViolation(rep, err); err != nil {
 		return err
 	}
 	stop()
@@ -229,24 +229,24 @@
 // playCases plays the cases one after the other, each once the fleet stands as usual, and counts those that kept their
 // promises.
 func (r *ZonesTest) playCases(b *zoneFixture, calls *CallResults) (kept int, err error) {
-	before := ""
-	for i, c := range r.all() {
-		if !r.selection().takes(i, c.name, c.long) {
+	previous := ""
+	for i, c := range r.allCases() {
+		if !r.selection().includes(i, c.name, c.long) {
 			continue
 		}
-		if before != "" {
-			if err := b.awaitNormal(); err != nil {
-				return kept, brokenPromise(fmt.Sprintf("%s: after it: %v", before, err))
+		if previous != "" {
+			if err := b.awaitCapacityKnown(); err != nil {
+				return kept, invariantError(fmt.Sprintf("%s: after it: %v", previous, err))
 			}
 		}
-		began, from := time.Now(), calls.count()
+		startedAt, from := time.Now(), calls.numCalls()
 		if err := b.playCase(&c); err != nil {
 			return kept, err
 		}
 		kept++
-		fmt.Fprintf(b.out, "%-55s kept, %.1f s, %.3f of value done in time\n", c.name, time.Since(began).Seconds(),
-			calls.valueInTime(from))
-		before = c.name
+		fmt.Fprintf(b.out, "%-55s kept, %.1f s, %.3f of value done in time\n", c.name, time.Since(startedAt).Seconds(),
+			calls.inTimeValueShare(from))
+		previous = c.name
 	}
 	return kept, nil
 }
@@ -258,13 +258,13 @@
 // playCase plays a case; then, with every link whole again, all nodes have to serve and the history to keep its
 // promises.
 func (b *zoneFixture) playCase(c *zoneCase) error {
-	b.mayLeave = map[string]bool{}
-	for _, z := range c.mayLeave {
-		b.mayLeave[z] = true
+	b.mayEvacuate = map[string]bool{}
+	for _, z := range c.mayEvacuate {
+		b.mayEvacuate[z] = true
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	var v consensus.ZonesView
-	if _, err := b.ask(http.MethodGet, "/v1/zones", nil, &v); err != nil {
+	if _, err := b.requestAny(http.MethodGet, "/v1/zones", nil, &v); err != nil {
 		return err
 	}
 	b.firstEpoch = v.Epoch
@@ -274,17 +274,17 @@
 		err = b.AwaitAllServing(b.committedVersion, 40*time.Second)
 	}
 	if err == nil {
-		err = b.checkHistory(began)
+		err = b.checkHistory(startedAt)
 	}
 	if err != nil {
 		b.printDecisions(b.out)
-		return brokenPromise(fmt.Sprintf("%s: %v", c.name, err))
+		return invariantError(fmt.Sprintf("%s: %v", c.name, err))
 	}
 	return nil
 }
 
-// plan gives what is measured on processes.
-func (r *ZonesTest) plan() *costPlan {
+// selectCostPlan gives what is measured on processes.
+func (r *ZonesTest) selectCostPlan() *costPlan {
 	if r.cases != nil {
 		return &recoveryCosts
 	}
--- a/internal/harness/zones_check.go
+++ b/internal/harness/zones_check.go
@@ -21,13 +21,13 @@
 // CheckZones holds a history to its promises: nobody acts on an epoch before one that is settled, a share grows only
 // once the epoch before has settled, one zone is always in, epochs never go back, and no zone is left but those there
 // was a reason to leave. slack covers logs of whole ms and a round.
-func CheckZones(h []ZoneEvent, may map[string]bool, slack int64) string {
+func CheckZones(h []ZoneEvent, mayEvacuate map[string]bool, slack int64) string {
 	h = append([]ZoneEvent(nil), h...)
 	sort.SliceStable(h, func(i, k int) bool { return h[i].At < h[k].At })
-	acts, shares, seen := map[string]uint64{}, map[string]int{}, map[string]bool{}
+	applied, shares, known := map[string]uint64{}, map[string]int{}, map[string]bool{}
 	settled, decided, settledAt := uint64(0), uint64(0), map[uint64]int64{}
-	in := func() (n int) {
-		for z := range seen {
+	countInService := func() (n int) {
+		for z := range known {
 			if s, left := shares[z]; !left || s == 256 {
 				n++
 			}
@@ -37,21 +37,21 @@
 	for _, e := range h {
 		switch e.Kind {
 		case "zone":
-			seen[e.Zone] = true
+			known[e.Zone] = true
 		case "decided":
-			seen[e.Zone] = true
+			known[e.Zone] = true
 			if e.Epoch <= decided {
 				return fmt.Sprintf("epoch %d was decided after %d", e.Epoch, decided)
 			}
-			if e.Op == "leave" && !may[e.Zone] {
+			if e.Op == "leave" && !mayEvacuate[e.Zone] {
 				return fmt.Sprintf("zone %s was left in epoch %d, and there was no reason to", e.Zone, e.Epoch)
 			}
-			if was, left := shares[e.Zone]; left && e.Share > was && settled < decided {
+			if previous, left := shares[e.Zone]; left && e.Share > previous && settled < decided {
 				return fmt.Sprintf("zone %s was raised to %d in epoch %d, and epoch %d was not settled", e.Zone,
 					e.Share, e.Epoch, decided)
 			}
 			decided, shares[e.Zone] = e.Epoch, e.Share
-			if len(seen) > 1 && in() == 0 {
+			if len(known) > 1 && countInService() == 0 {
 				return fmt.Sprintf("no zone is in since epoch %d", e.Epoch)
 			}
 		case "settled":
@@ -59,11 +59,11 @@
 				settledAt[e.Epoch] = e.At
 			}
 		case "acts":
-			acts[e.Node] = e.Epoch
+			applied[e.Node] = e.Epoch
 		case "stops":
-			delete(acts, e.Node)
+			delete(applied, e.Node)
 		case "answers":
-			if epoch, on := acts[e.Node]; on && epoch < settled && e.At > settledAt[settled]+slack {
+			if epoch, running := applied[e.Node]; running && epoch < settled && e.At > settledAt[settled]+slack {
 				return fmt.Sprintf("%s acted on epoch %d, and %d was settled %.1f ms before", e.Node, epoch, settled,
 					float64(e.At-settledAt[settled])/10)
 			}
--- a/internal/harness/zones_fixture.go
+++ b/internal/harness/zones_fixture.go
@@ -18,32 +18,32 @@
 // zoneFixture is a fleet under load, for cases about zones.
 type zoneFixture struct {
 	*policyFixture
-	out        io.Writer
-	mayLeave   map[string]bool // zones that the case at hand has a reason to leave
-	pace       time.Duration   // of the platform, between the starts of two nodes
-	firstEpoch uint64          // at the begin of the case: an instance that starts again logs what came before anew
+	out           io.Writer
+	mayEvacuate   map[string]bool // zones that the case at hand has a reason to leave
+	startInterval time.Duration   // of the platform, between the starts of two nodes
+	firstEpoch    uint64          // at the begin of the case: an instance that starts again logs what came before anew
 }
 
-// begin starts a fleet whose policy leaves zones by itself.
-func (r *ZonesTest) begin(ctx context.Context, dir, alone, mode string) (*zoneFixture, error) {
-	small := "yes"
+// startFixture starts a fleet whose policy leaves zones by itself.
+func (r *ZonesTest) startFixture(ctx context.Context, dir, alone, mode string) (*zoneFixture, error) {
+	smallStart := "yes"
 	if mode == "no-ramp" {
-		mode, small = "auto", "no"
+		mode, smallStart = "auto", "no"
 	}
 	extra := fmt.Sprintf("[zones]\ndecide = %s\nfirst = 0.125\nhold = 500ms\nkeep = 2s\nmax_wait = 4s\n"+
-		"small_start = %s\n", mode, small)
-	b, err := newPolicyFixture(ctx, FleetProcessesPlan{Program: r.Program, Dir: dir, Seed: r.Seed,
-		Nodes: cmp.Or(r.Size, fixtureNodes), Without: r.ProcessGuards, WithStores: true}, alone, extra)
+		"small_start = %s\n", mode, smallStart)
+	b, err := newPolicyFixture(ctx, FleetProcessesConfig{Program: r.Program, Dir: dir, Seed: r.Seed,
+		Nodes: cmp.Or(r.Size, defaultFleetSize), DisabledGuards: r.ProcessGuards, WithStores: true}, alone, extra)
 	if err != nil {
 		return nil, err
 	}
-	return &zoneFixture{policyFixture: b, mayLeave: map[string]bool{}}, nil
+	return &zoneFixture{policyFixture: b, mayEvacuate: map[string]bool{}}, nil
 }
 
 // zoneView gives a zone as the leader shows it.
 func (b *zoneFixture) zoneView(name string) (*consensus.ZoneView, error) {
 	var v consensus.ZonesView
-	if _, err := b.ask(http.MethodGet, "/v1/zones", nil, &v); err != nil {
+	if _, err := b.requestAny(http.MethodGet, "/v1/zones", nil, &v); err != nil {
 		return nil, err
 	}
 	if !v.IsLeader {
@@ -58,22 +58,22 @@
 }
 
 // awaitPhase waits until a zone is at one of some steps.
-func (b *zoneFixture) awaitPhase(name string, within time.Duration, steps ...zones.Phase) (v *consensus.ZoneView,
+func (b *zoneFixture) awaitPhase(name string, within time.Duration, phases ...zones.Phase) (v *consensus.ZoneView,
 	err error) {
 	err = b.await(within, func() error {
 		if v, err = b.zoneView(name); err != nil {
 			return err
 		}
-		for _, s := range steps {
+		for _, s := range phases {
 			if v.Phase == s {
 				return nil
 			}
 		}
-		note := ""
+		evidence := ""
 		if v.Evidence != nil {
-			note = fmt.Sprintf("; %+v", *v.Evidence)
+			evidence = fmt.Sprintf("; %+v", *v.Evidence)
 		}
-		return fmt.Errorf("zone %s is %s at %d (%s)%s, expected %v", name, v.Phase, v.Share, v.Cause, note, steps)
+		return fmt.Errorf("zone %s is %s at %d (%s)%s, expected %v", name, v.Phase, v.Share, v.Cause, evidence, phases)
 	})
 	return v, err
 }
@@ -101,15 +101,15 @@
 	return nil
 }
 
-// operate has an operator do something about a zone.
-func (b *zoneFixture) operate(op zones.Op) error {
-	b.seq++
-	op.Operator, op.IdempotencyKey = "lab", fmt.Sprintf("rig-%d-%08d", b.Seed, b.seq)
+// submitOp has an operator do something about a zone.
+func (b *zoneFixture) submitOp(op zones.Op) error {
+	b.lastOpNumber++
+	op.Operator, op.IdempotencyKey = "lab", fmt.Sprintf("rig-%d-%08d", b.Seed, b.lastOpNumber)
 	var res struct {
 		Error string `json:"error"`
 	}
 	return b.await(5*time.Second, func() error {
-		code, err := b.ask(http.MethodPost, "/v1/zones", op, &res)
+		code, err := b.requestAny(http.MethodPost, "/v1/zones", op, &res)
 		if err == nil && code != http.StatusOK {
 			err = errors.New(res.Error)
 		}
@@ -119,13 +119,13 @@
 
 func (b *zoneFixture) setKernelsDead(zone string, dead bool) {
 	for _, n := range b.nodesIn(zone) {
-		n.kernel.Kill(dead)
+		n.kernel.SetDown(dead)
 	}
 }
 
 // setStore changes a zone's service below; one that comes back from a trouble is cold.
 func (b *zoneFixture) setStore(zone string, speed, fails float64, cold bool) {
-	b.stores[zone].Set(func(s, w, f *float64) {
+	b.stores[zone].Update(func(s, w, f *float64) {
 		if *s, *f = speed, fails; cold {
 			*w = 0
 		}
@@ -135,8 +135,8 @@
 var allZones = []string{"z1", "z2", "z3"}
 
 // awaitEvacuation waits until a zone is left, or at one of some other steps; returns until it comes back.
-func (b *zoneFixture) awaitEvacuation(name string, steps ...zones.Phase) *consensus.ZoneView {
-	return mustGet(b.awaitPhase(name, 25*time.Second, append(steps, zones.Evacuating, zones.Evacuated)...))
+func (b *zoneFixture) awaitEvacuation(name string, phases ...zones.Phase) *consensus.ZoneView {
+	return mustGet(b.awaitPhase(name, 25*time.Second, append(phases, zones.Evacuating, zones.Evacuated)...))
 }
 
 func (b *zoneFixture) awaitRamp(name string) *consensus.ZoneView {
@@ -162,7 +162,7 @@
 
 // checkStoreLoad holds a zone's service below to what it bears, since a time.
 func (b *zoneFixture) checkStoreLoad(zone string, since time.Time) error {
-	peak := b.stores[zone].Peak(since)
+	peak := b.stores[zone].PeakLoad(since)
 	fmt.Fprintf(b.out, "  below %s: asked for %.2f of what it bears at most on the way back\n", zone, peak)
 	if peak > 1.0 {
 		return fmt.Errorf("the service below %s was asked for %.2f of what it bears", zone, peak)
@@ -173,7 +173,7 @@
 // printDecisions writes what was decided, for a case that broke.
 func (b *zoneFixture) printDecisions(w io.Writer) {
 	var v consensus.ZonesView
-	if _, err := b.ask(http.MethodGet, "/v1/zones", nil, &v); err != nil {
+	if _, err := b.requestAny(http.MethodGet, "/v1/zones", nil, &v); err != nil {
 		return
 	}
 	for _, z := range v.Zones {
@@ -183,8 +183,8 @@
 	}
 }
 
-// awaitNormal waits until the group knows what each zone's services bear.
-func (b *zoneFixture) awaitNormal() error {
+// awaitCapacityKnown waits until the group knows what each zone's services bear.
+func (b *zoneFixture) awaitCapacityKnown() error {
 	for _, z := range allZones {
 		if err := b.await(60*time.Second, func() error {
 			v, err := b.zoneView(z)
--- a/internal/harness/zones_history.go
+++ b/internal/harness/zones_history.go
@@ -14,8 +14,8 @@
 // logSlack covers logs of whole ms and a round between a node and its group, in tenths of a ms.
 const logSlack = 1000
 
-// answerStep is how often the history has a node answer, in tenths of a ms.
-const answerStep = 1000
+// responseInterval is how often the history has a node answer, in tenths of a ms.
+const responseInterval = 1000
 
 // checkHistory reads what the processes logged since a time and holds it to the promises.
 func (b *zoneFixture) checkHistory(since time.Time) error {
@@ -37,8 +37,8 @@
 		}
 		h = append(h, orders...)
 	}
-	h = append(append(h, b.processEnds()...), b.answers(from)...)
-	if broken := CheckZones(h, b.mayLeave, logSlack); broken != "" {
+	h = append(append(h, b.processExits()...), b.syntheticResponses(from)...)
+	if broken := CheckZones(h, b.mayEvacuate, logSlack); broken != "" {
 		return errors.New(broken)
 	}
 	return nil
@@ -49,11 +49,11 @@
 func (b *zoneFixture) loggedDecisions(from int64) (h []ZoneEvent, err error) {
 	seen := map[uint64]bool{}
 	err = readLog(b.instancesLog(), func(l *logRecord) {
-		e := ZoneEvent{At: l.at, Epoch: l.number(logging.Epoch)}
+		e := ZoneEvent{At: l.at, Epoch: l.uintField(logging.Epoch)}
 		switch l.message {
 		case "change of a zone":
-			e.Kind, e.Zone, e.Op, e.Share = "decided", l.text(logging.Zone), l.text(logging.Operation),
-				int(l.number(logging.Share))
+			e.Kind, e.Zone, e.Op, e.Share = "decided", l.stringField(logging.Zone), l.stringField(logging.Operation),
+				int(l.uintField(logging.Share))
 			if e.Zone == zones.WholeFleet || e.At < from || e.Op == "hold" || e.Epoch <= b.firstEpoch || seen[e.Epoch] {
 				return
 			}
@@ -70,11 +70,11 @@
 
 // loggedZoneOrders gives which epochs a node acted on, and when it was fenced.
 func (n *nodeProcess) loggedZoneOrders() (h []ZoneEvent, err error) {
-	err = readLog(n.logFile(), func(l *logRecord) {
+	err = readLog(n.logPath(), func(l *logRecord) {
 		e := ZoneEvent{At: l.at, Node: n.name, Zone: n.zone}
 		switch l.message {
 		case "zone order is in effect":
-			e.Kind, e.Epoch, e.Share = "acts", l.number(logging.Epoch), int(l.number(logging.Share))
+			e.Kind, e.Epoch, e.Share = "acts", l.uintField(logging.Epoch), int(l.uintField(logging.Share))
 		case "node is fenced: all requests are rejected":
 			e.Kind = "stops"
 		default:
@@ -85,11 +85,11 @@
 	return h, err
 }
 
-// processEnds gives the ends of nodes' processes.
-func (b *zoneFixture) processEnds() (h []ZoneEvent) {
+// processExits gives the ends of nodes' processes.
+func (b *zoneFixture) processExits() (h []ZoneEvent) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, e := range b.events {
+	for _, e := range b.processEvents {
 		if e.Kind == "stops" {
 			h = append(h, ZoneEvent{At: e.At, Kind: "stops", Node: e.Node})
 		}
@@ -97,10 +97,10 @@
 	return h
 }
 
-// answers stands for what nodes answered: acting on an order is to answer by it, so each node has a request every tenth
+// syntheticResponses stands for what nodes answered: acting on an order is to answer by it, so each node has a request every tenth
 // of a second.
-func (b *zoneFixture) answers(from int64) (h []ZoneEvent) {
-	for at := from; at < time.Now().UnixMicro()/100; at += answerStep {
+func (b *zoneFixture) syntheticResponses(from int64) (h []ZoneEvent) {
+	for at := from; at < time.Now().UnixMicro()/100; at += responseInterval {
 		for _, n := range b.nodes {
 			h = append(h, ZoneEvent{At: at, Kind: "answers", Node: n.name})
 		}
--- a/internal/harness/zones_test.go
+++ b/internal/harness/zones_test.go
@@ -11,8 +11,8 @@
 	"umberwinch/internal/report"
 )
 
-// TestZonesOnProcesses plays every hard case about zones on processes, in fleets side by side.
-func TestZonesOnProcesses(t *testing.T) {
+// TestZoneCasesOnProcesses plays every hard case about zones on processes, in fleets side by side.
+func TestZoneCasesOnProcesses(t *testing.T) {
 	t.Parallel()
 	const parts = 5
 	for part := 0; part < parts; part++ {
@@ -20,7 +20,7 @@
 			t.Parallel()
 			var out bytes.Buffer
 			rep, err := (&ZonesTest{Seed: int64(11 + part), Quick: true, Mode: "real", Part: part, Parts: parts,
-				Program: built(t)}).Run(context.Background(), &out)
+				Program: builtProgram(t)}).Run(context.Background(), &out)
 			if err != nil || rep.Broken != "" {
 				t.Fatalf("%v\n%s", err, out.String())
 			}
@@ -32,25 +32,25 @@
 	}
 }
 
-// TestZoneGuardsOnProcesses takes guards out of the processes: the case that needs each breaks. "paced" takes half a
+// TestZoneCasesFailWithoutGuard takes guards out of the processes: the case that needs each breaks. "paced" takes half a
 // minute and is taken out by faulttest zones --without; the others need more load or more nodes than a fleet has; all
 // are taken out in virtual time.
-func TestZoneGuardsOnProcesses(t *testing.T) {
+func TestZoneCasesFailWithoutGuard(t *testing.T) {
 	t.Parallel()
 	for guard, only := range map[string]string{"step-back": "its service below fails in the middle of the return",
 		"one-epoch": "its kernels dead, its nodes well"} {
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
-			breaksWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
+			expectViolationWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
 				return (&ZonesTest{Seed: seed, Quick: true, Mode: "real", ProcessGuards: guard, Only: only,
-					Program: built(t)}).Run(context.Background(), w)
+					Program: builtProgram(t)}).Run(context.Background(), w)
 			})
 		})
 	}
 }
 
-// TestWrongZoneHistories holds the checker to histories that are wrong on purpose.
-func TestWrongZoneHistories(t *testing.T) {
+// TestCheckZonesDetectsViolations holds the checker to histories that are wrong on purpose.
+func TestCheckZonesDetectsViolations(t *testing.T) {
 	good := []ZoneEvent{{At: 0, Kind: "zone", Zone: "a"}, {At: 0, Kind: "zone", Zone: "b"},
 		{At: 10, Kind: "decided", Zone: "a", Epoch: 1, Share: 0, Op: "leave"},
 		{At: 20, Kind: "acts", Node: "n", Epoch: 1},
@@ -58,11 +58,11 @@
 		{At: 50, Kind: "decided", Zone: "a", Epoch: 2, Share: 16, Op: "step"}, {At: 60, Kind: "settled", Epoch: 2},
 		{At: 62, Kind: "answers", Node: "n"}, {At: 65, Kind: "acts", Node: "n", Epoch: 2},
 		{At: 90, Kind: "answers", Node: "n"}}
-	may := map[string]bool{"a": true}
-	if broken := CheckZones(good, may, 5); broken != "" {
+	mayEvacuate := map[string]bool{"a": true}
+	if broken := CheckZones(good, mayEvacuate, 5); broken != "" {
 		t.Fatalf("the right history: %s", broken)
 	}
-	for what, more := range map[string][]ZoneEvent{
+	for name, more := range map[string][]ZoneEvent{
 		"left without a reason":   {{At: 70, Kind: "decided", Zone: "b", Epoch: 3, Op: "leave"}},
 		"no zone is in":           {{At: 70, Kind: "decided", Zone: "b", Epoch: 3, Op: "step", Share: 0}},
 		"an epoch that goes back": {{At: 70, Kind: "decided", Zone: "a", Epoch: 1, Share: 16, Op: "step"}},
@@ -73,8 +73,8 @@
 		"acts long after, by another": {{At: 15, Kind: "acts", Node: "k", Epoch: 0},
 			{At: 45, Kind: "answers", Node: "k"}},
 	} {
-		if broken := CheckZones(append(append([]ZoneEvent{}, good...), more...), may, 5); broken == "" {
-			t.Errorf("%s: not found", what)
+		if broken := CheckZones(append(append([]ZoneEvent{}, good...), more...), mayEvacuate, 5); broken == "" {
+			t.Errorf("%s: not found", name)
 		}
 	}
 }
--- a/internal/harness/zones_virtual.go
+++ b/internal/harness/zones_virtual.go
@@ -10,8 +10,8 @@
 
 // zoneVariant is one way to play the same plan of zones in virtual time.
 type zoneVariant struct {
-	name string
-	set  func(p *simulation.ZonePlan)
+	name  string
+	apply func(p *simulation.ZonePlan)
 }
 
 // playedZones is what one variant came to, and the real time that it took to play.
@@ -28,7 +28,7 @@
 	for i, variant := range variants {
 		wg.Go(func() {
 			plan, started := base, time.Now()
-			variant.set(&plan)
+			variant.apply(&plan)
 			zones := simulation.NewZones(plan)
 			zones.Play()
 			played[i] = playedZones{zones, variant.name, time.Since(started)}
@@ -38,25 +38,25 @@
 	return played
 }
 
-// brokenSchedules counts schedules that broke a promise, and has the first of them by seed.
-type brokenSchedules struct {
-	count int
-	seed  int64
-	what  string
+// violatingSchedules counts schedules that broke a promise, and has the first of them by seed.
+type violatingSchedules struct {
+	count     int
+	seed      int64
+	violation string
 }
 
-func (b *brokenSchedules) note(seed int64, broken string) {
+func (b *violatingSchedules) record(seed int64, broken string) {
 	if broken == "" {
 		return
 	}
 	if b.count++; b.count == 1 || seed < b.seed {
-		b.seed, b.what = seed, broken
+		b.seed, b.violation = seed, broken
 	}
 }
 
 // report makes the first broken schedule the report's broken promise.
-func (b *brokenSchedules) report(rep *report.Report) {
+func (b *violatingSchedules) report(rep *report.Report) {
 	if b.count > 0 {
-		rep.Break("seed %d of %d broken schedules: %s", b.seed, b.count, b.what)
+		rep.Break("seed %d of %d broken schedules: %s", b.seed, b.count, b.violation)
 	}
 }
