--- a/internal/harness/broken_promise.go
+++ b/internal/harness/broken_promise.go
@@ -6,13 +6,13 @@
 	"umberwinch/internal/report"
 )
 
-// invariantError is the error of a run that went to its end and found that a promise does not hold. Any other error says
-// that the run itself failed.
+// invariantError is the error of a run that completed and found an invariant violated. Any other error means that
+// the run itself failed.
 type invariantError string
 
 func (e invariantError) Error() string { return string(e) }
 
-// recordViolation brings a broken promise into the report, and gives any other error.
+// recordViolation records an invariantError in the report and returns nil; it returns any other error.
 func recordViolation(rep *report.Report, err error) error {
 	var violation invariantError
 	if errors.As(err, &violation) {
--- a/internal/harness/client.go
+++ b/internal/harness/client.go
@@ -15,21 +15,20 @@
 	"umberwinch/internal/simulation"
 )
 
-// What the demo and fleets of processes send to a node: its start-up file, and requests as a sidecar sends them.
+// This file encodes nodes' start-up files and sends requests to nodes as a sidecar does.
 
-// startupParams is what a node's start-up file is made from.
+// startupParams are the inputs of a node's start-up file.
 type startupParams struct {
-	name, listen, kernel, store, control string // addresses but for the name
+	name, listen, kernel, store, control string // all but name are addresses
 	cores, tenants                       int
 	classes                              []simulation.Class
-	keyedClass                           string        // the class whose requests have idempotency keys
-	idempotencyWindow                    time.Duration // of those; 0: defaultIdempotencyWindow
+	keyedClass                           string        // class whose requests carry idempotency keys
+	idempotencyWindow                    time.Duration // 0: defaultIdempotencyWindow
 }
 
-// defaultIdempotencyWindow is the idempotency window of emulated fleets.
 const defaultIdempotencyWindow = 20 * time.Second
 
-// encodeStartupFile makes a node's start-up file for emulated classes.
+// encodeStartupFile encodes the JSON start-up file of a node that serves emulated classes.
 func encodeStartupFile(p startupParams) ([]byte, error) {
 	if p.idempotencyWindow == 0 {
 		p.idempotencyWindow = defaultIdempotencyWindow
@@ -58,20 +57,22 @@
 			"limits":     map[string]any{"retry_after": true, "max_retry_after": 5_000_000}}})
 }
 
+// randomKey returns 128 random bits in hexadecimal.
 func randomKey() string {
 	var raw [16]byte
 	rand.Read(raw[:]) // never fails
 	return hex.EncodeToString(raw[:])
 }
 
-// sendAttempt sends one attempt of a request and gives its status, 0 where none came, and its Retry-After.
+// sendAttempt sends one attempt of a request. It returns the response's status, 0 if there was no response, and its
+// Retry-After.
 func sendAttempt(ctx context.Context, client *http.Client, addr, class string, tenant, sender int, key string,
 	isRetry bool) (status int, retryAfter time.Duration) {
 	status, _, retryAfter, _ = sendAttemptWithBody(ctx, client, addr, class, tenant, sender, key, isRetry, "body")
 	return status, retryAfter
 }
 
-// sendAttemptWithBody is sendAttempt with a body, and the answer's.
+// sendAttemptWithBody is sendAttempt with a given request body; it also returns the response body.
 func sendAttemptWithBody(ctx context.Context, client *http.Client, addr, class string, tenant, sender int, key string,
 	isRetry bool, body string) (status int, response string, retryAfter time.Duration, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/rpc/"+class, strings.NewReader(body))
--- a/internal/harness/control_load.go
+++ b/internal/harness/control_load.go
@@ -14,17 +14,17 @@
 	"umberwinch/internal/control/consensus"
 )
 
-// putLoad is clients that put as fast as they get answers, and what they were told.
+// putLoad is a number of clients that each put configuration versions back to back, and the results that they got.
 type putLoad struct {
 	group        *controlProcesses
 	wg           sync.WaitGroup
 	stop         context.CancelFunc
-	lastResponse atomic.Int64 // when an answer came last, in ns since the start
+	lastResponse atomic.Int64 // time of the latest response, in ns since started
 	started      time.Time
 	mu           sync.Mutex
-	committed    map[string]uint64 // by client and number, the version it was told
+	committed    map[string]uint64 // version acknowledged, by the put's unique reason
 	puts         int
-	latencies    *hdrhistogram.Histogram // of a put, in us
+	latencies    *hdrhistogram.Histogram // of puts with their retries, in µs
 	violation    string
 }
 
@@ -38,7 +38,8 @@
 	return l
 }
 
-// runClient puts one version after the other, each under a number that it repeats until it has an answer.
+// runClient puts one version after another. It repeats each put under the same sequence number until it gets a
+// response.
 func (l *putLoad) runClient(ctx context.Context, index int) {
 	session, base := fmt.Sprintf("load-%d-%d", index, time.Now().UnixNano()), uint64(0)
 	target := index
@@ -48,7 +49,7 @@
 			Text: fmt.Sprintf("[tenant t%d]\nrate = %d\n", index, seq)}
 		sentAt := time.Now()
 		for ctx.Err() == nil {
-			// The last ask goes on after the load's end, so that nothing is left open.
+			// Not derived from ctx: an attempt in progress completes after the load has stopped.
 			attemptCtx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 			var result consensus.PutResult
 			_, err := l.group.doRequest(attemptCtx, http.MethodPut, l.group.instances[target%len(l.group.instances)].listen, "/v1/config", put, &result)
@@ -68,7 +69,8 @@
 				l.committed[name] = result.Version
 			case consensus.PutConflict:
 			default:
-				l.violation = fmt.Sprintf("%s was answered %+v", name, result)
+				l.violation = fmt.Sprintf("put %s: got %+v, want outcome %q or %q", name, result,
+					consensus.PutCommitted, consensus.PutConflict)
 			}
 			l.mu.Unlock()
 			base = result.Version
@@ -77,14 +79,14 @@
 	}
 }
 
-// close stops the load and waits for its clients.
+// close stops the load and waits for its clients to exit.
 func (l *putLoad) close() {
 	l.stop()
 	l.wg.Wait()
 }
 
-// stopAndCheck stops the load and holds what clients were told against what the group has: each version told is there,
-// once, in order.
+// stopAndCheck stops the load and compares the acknowledged versions with the group's history: each is in it exactly
+// once, and version numbers have no gaps.
 func (l *putLoad) stopAndCheck() error {
 	l.close()
 	if l.violation != "" {
@@ -99,7 +101,7 @@
 			code, err := l.group.doRequest(ctx, http.MethodGet, l.group.instances[0].listen,
 				fmt.Sprintf("/v1/history?limit=1000&from=%d", from), nil, &versions)
 			if err == nil && code != http.StatusOK {
-				err = fmt.Errorf("history: %d", code)
+				err = fmt.Errorf("GET /v1/history: status %d, want %d", code, http.StatusOK)
 			}
 			return err
 		}); err != nil {
@@ -107,10 +109,10 @@
 		}
 		for _, v := range versions {
 			if v.Number != from {
-				return fmt.Errorf("version %d in the history, expected %d", v.Number, from)
+				return fmt.Errorf("history: found version %d, expected %d", v.Number, from)
 			}
 			if previous, duplicate := byReason[v.Reason]; duplicate {
-				return fmt.Errorf("%s is version %d and version %d: a put counted twice", v.Reason, previous, v.Number)
+				return fmt.Errorf("put %s is in the history twice: as version %d and as version %d", v.Reason, previous, v.Number)
 			}
 			byReason[v.Reason] = v.Number
 			from++
@@ -121,7 +123,7 @@
 	}
 	for name, version := range l.committed {
 		if byReason[name] != version {
-			return fmt.Errorf("%s was told version %d, the history has it as %d", name, version, byReason[name])
+			return fmt.Errorf("put %s was acknowledged as version %d, the history has version %d", name, version, byReason[name])
 		}
 	}
 	return nil
--- a/internal/harness/control_processes.go
+++ b/internal/harness/control_processes.go
@@ -21,28 +21,28 @@
 	"umberwinch/internal/report"
 )
 
-// maxFailoverTime is the promise for processes: after a leader's death writes are taken again within it.
+// maxFailoverTime is the maximum time without an acknowledged write after the leader of a group of processes fails.
 const maxFailoverTime = 5 * time.Second
 
-// instanceProcess is one instance as a process.
+// instanceProcess is one instance of the control service, run as a process.
 type instanceProcess struct {
 	process
 	name, listen, peer, bind, operatorFile string
-	fault                                  string // what SIGUSR2 brings, "" for plain SIGKILL
+	fault                                  string // fault that SIGUSR2 triggers; "": none, the instance is killed with SIGKILL
 }
 
-// controlProcesses is a group of processes on loopback.
+// controlProcesses is a group of instances that run as processes on loopback addresses.
 type controlProcesses struct {
 	program, dir string
-	env          []string // of its processes, beside this one's
+	env          []string // added to this process's environment
 	instances    []*instanceProcess
 	httpClient   *http.Client
 	logFile      *os.File
 	forwarders   *forwarders
 }
 
-// loopbackHosts numbers loopback addresses so that no two instances of a run share one. A port out of the range that
-// outgoing connections take theirs from could be gone when an instance is started again on it.
+// loopbackHosts numbers loopback addresses so that no two servers of a run share one. Ports are fixed and outside
+// the ephemeral range: an outgoing connection could otherwise take the port of an instance that restarts.
 var loopbackHosts atomic.Uint32
 
 func newLoopbackAddr(port int) string {
@@ -50,7 +50,8 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", 128+os.Getpid()>>8&0x7f, (os.Getpid()+int(n/250))&0xff, 1+n%250, port)
 }
 
-// newControlProcesses starts a group and waits until all are voters. extra stands at the end of each operator's file.
+// newControlProcesses starts a group and waits until all instances are voters. extraConfig is appended to each
+// operator's file.
 func newControlProcesses(ctx context.Context, program, dir string, size int, extraConfig string,
 	env ...string) (*controlProcesses, error) {
 	c := &controlProcesses{program: program, dir: dir, env: env, forwarders: newForwarders(),
@@ -89,17 +90,17 @@
 		}
 		for _, m := range r.Members {
 			if !m.Voter {
-				return fmt.Errorf("%s is no voter", m.Name)
+				return fmt.Errorf("instance %s is not a voter", m.Name)
 			}
 		}
 		if len(r.Members) != size {
-			return fmt.Errorf("%d members", len(r.Members))
+			return fmt.Errorf("the group has %d members, want %d", len(r.Members), size)
 		}
 		return nil
 	})
 }
 
-// withGroup runs a group in a folder of its own for as long as use takes.
+// withGroup starts a group in a work folder of its own, calls use and closes the group.
 func withGroup(ctx context.Context, program string, rep *report.Report, size int, extraConfig string,
 	use func(c *controlProcesses) error) error {
 	return withWorkFolder(ctx, rep, func(dir string) error {
@@ -133,7 +134,7 @@
 		name), start, p.peer, p.bind, p.listen, extraConfig)), 0o600)
 }
 
-// start runs an instance; fault is what SIGUSR2 brings, "" for nothing.
+// start starts an instance's process; SIGUSR2 then triggers the fault, if it isn't empty.
 func (c *controlProcesses) start(p *instanceProcess, fault string) error {
 	cmd := exec.Command(c.program, "control", "run", "--file", p.operatorFile)
 	cmd.Stderr = c.logFile
@@ -142,24 +143,26 @@
 	return p.process.start(cmd)
 }
 
-// kill ends a process at its step, or at once, and waits until it is gone.
+// kill triggers a crash at the step that the process was started with, or kills it at once, and waits until it has
+// exited.
 func (c *controlProcesses) kill(p *instanceProcess) {
 	if p.fault != "" && p.fault != faultDiskStall {
 		p.signal(syscall.SIGUSR2)
 		select {
 		case <-p.done():
 			return
-		case <-time.After(2 * time.Second): // the step did not come
+		case <-time.After(2 * time.Second): // the instance did not reach the step
 		}
 	}
 	p.process.kill()
 }
 
-// faultPartition is a fault of the lines between processes, beside those that a process brings on itself.
+// faultPartition is the fault of a leader that is partitioned from the other instances, beside the faults that a
+// process injects into itself.
 const faultPartition = "cut off"
 
-// injectFault does to a leader what it was started for, or parts it from the others. It tells whether the process
-// ended.
+// injectFault partitions a leader from the others, or triggers the fault that it was started with. It reports
+// whether the process exited.
 func (c *controlProcesses) injectFault(p *instanceProcess, partition bool) (exited bool) {
 	switch {
 	case partition:
@@ -179,7 +182,7 @@
 	return true
 }
 
-// close ends all processes; none is started from then on.
+// close kills all processes for good and closes the forwarders.
 func (c *controlProcesses) close() {
 	for _, p := range c.instances {
 		p.close()
@@ -188,13 +191,14 @@
 	c.forwarders.close()
 }
 
-// groupTimeout is how long anything of a group may take, unless it is said.
+// groupTimeout is the default timeout for the group to reach an expected state.
 const groupTimeout = 20 * time.Second
 
 func (c *controlProcesses) await(ctx context.Context, condition func() error) error {
 	return awaitUntil(ctx, groupTimeout, 5*time.Millisecond, condition)
 }
 
+// doRequest sends a JSON request to an instance and decodes the response into out. A status of 500 and above is an error.
 func (c *controlProcesses) doRequest(ctx context.Context, method, addr, path string, in, out any) (int, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -227,6 +231,7 @@
 	return &r, err
 }
 
+// leader returns the instance that leads in the highest term; nil if no instance reports to lead.
 func (c *controlProcesses) leader() *instanceProcess {
 	var newest *instanceProcess
 	term := uint64(0)
@@ -238,12 +243,12 @@
 	return newest
 }
 
-// awaitResponding waits until an instance answers.
+// awaitResponding waits until an instance responds to a status request.
 func (c *controlProcesses) awaitResponding(ctx context.Context, p *instanceProcess) error {
 	return c.await(ctx, func() error { _, err := c.status(p); return err })
 }
 
-// awaitLeader waits until an instance says that it leads, and gives it.
+// awaitLeader waits until an instance reports to be the leader and returns it.
 func (c *controlProcesses) awaitLeader(ctx context.Context, within time.Duration) (p *instanceProcess, err error) {
 	err = awaitUntil(ctx, within, 5*time.Millisecond, func() error {
 		if p = c.leader(); p == nil {
@@ -254,7 +259,7 @@
 	return p, err
 }
 
-// join takes an instance in.
+// join adds an instance to the group as a voter, unless it is a member.
 func (c *controlProcesses) join(ctx context.Context, p *instanceProcess) error {
 	var self consensus.Self
 	if _, err := c.doRequest(ctx, http.MethodGet, p.listen, "/v1/self", nil, &self); err != nil {
--- a/internal/harness/demo.go
+++ b/internal/harness/demo.go
@@ -22,23 +22,24 @@
 	"umberwinch/internal/simulation"
 )
 
-// Demo is a node, an emulated kernel and a load on loopback, for a look and for measurements on sockets.
+// Demo runs a node, an emulated kernel and a load on loopback addresses, for demonstration and for measurements over
+// sockets.
 type Demo struct {
 	Seed    int64
-	Load    float64 // share of capacity asked for
+	Load    float64 // offered load as a fraction of the cores' capacity
 	Pools   bool
-	Seconds int // 0: until it is interrupted
+	Seconds int // 0: until interrupted
 	Keys    <-chan byte
-	Plain   bool // lines, not a table drawn over the last one
+	Plain   bool // prints each table below the previous one, without terminal control sequences
 	Trouble string
-	Folder  string // where the node's log is; set by a run that failed or was interrupted, which leaves it
+	Folder  string // the node's log folder, set by an interrupted run, which keeps it
 }
 
-// DemoTroubles are what a demo may have beside its load: a service below that each run calls, slow in the middle third
+// DemoTroubles are the faults that a demo can inject: a service below that each run calls, slow in the middle third
 // of the time or cold at first; a link to the kernel that breaks every five seconds.
 var DemoTroubles = []string{"slow", "cold", "links"}
 
-// demoScenario are the scenarios' own.
+// demoScenario defines the demo's cores, tenants and classes.
 const demoScenario = `cores 6
 tenants 4
 class view work=8 share=50 tail=0.5 target=300 timeout=3000 value=1
@@ -48,10 +49,10 @@
 cheapest view
 dearest submit`
 
-// classResults is what became of a class's requests, in all and since the last table.
+// classResults counts a class's requests by outcome.
 type classResults struct {
 	requests, done, inTime, shed, errored int
-	// tenths of a ms from the moment it was meant to be sent
+	// of completed requests from their scheduled sending time, in tenths of a ms
 	latencies *hdrhistogram.Histogram
 }
 
@@ -63,7 +64,7 @@
 	*Demo
 	scenario   *simulation.Scenario
 	kernel     *EmulatedKernel
-	store      *EmulatedStore // nil: none
+	store      *EmulatedStore // nil: runs make no calls
 	client     *http.Client
 	addr       string
 	mu         sync.Mutex
@@ -74,17 +75,17 @@
 	wg         sync.WaitGroup
 }
 
-// DemoResult is what one class got during a demo.
+// DemoResult is the outcome of one class's requests over a demo.
 type DemoResult struct {
 	Class    string
-	Requests int `json:"Asked"` // the key is kept for those that read it
+	Requests int `json:"Asked"` // JSON key of the former field name
 	InTime   float64
 	Shed     float64
 	P95      float64 // ms
 }
 
-// Run starts all of it, shows what happens, and ends it clean. A run that failed or was interrupted leaves the node's
-// log: the error says where, or Folder.
+// Run starts the node, prints a table a second and shuts everything down. If it fails or is interrupted, the node's
+// log is kept; the error or Folder names its folder.
 func (d *Demo) Run(ctx context.Context, w io.Writer) ([]DemoResult, error) {
 	dir, err := os.MkdirTemp("", "umberctl-demo-")
 	if err != nil {
@@ -117,7 +118,7 @@
 	defer o.kernel.Close()
 	storeAddr := ""
 	if d.Trouble == "slow" || d.Trouble == "cold" {
-		// It bears four times what the cores do; slow, or cold, two thirds of that.
+		// Its capacity is four times that of the cores; slow or cold, two thirds of that of the cores.
 		if o.store, err = NewEmulatedStore(newLoopbackAddr(9042), d.Seed, 8, 10*time.Millisecond, 6, 4000); err != nil {
 			return nil, err
 		}
@@ -159,7 +160,7 @@
 	return nil
 }
 
-// startNode runs the node in this process, as its program would. Its settings and log are in a folder.
+// startNode runs the node in this process, as its program does, with its start-up file and log in dir.
 func (o *demo) startNode(dir, controlAddr, storeAddr string) (chan os.Signal, <-chan error, error) {
 	o.addr = newLoopbackAddr(8080)
 	raw, err := encodeStartupFile(startupParams{name: "demo", listen: o.addr, kernel: o.kernel.listener.Addr().String(), store: storeAddr,
@@ -197,7 +198,7 @@
 	return signals, ended, nil
 }
 
-// awaitReady waits until the node takes requests.
+// awaitReady waits until the node reports to be healthy.
 func (o *demo) awaitReady(ctx context.Context) error {
 	err := awaitUntil(ctx, 10*time.Second, 20*time.Millisecond, func() error {
 		res, err := o.client.Get("http://" + o.addr + "/health")
@@ -206,7 +207,7 @@
 		}
 		res.Body.Close()
 		if res.StatusCode != http.StatusOK {
-			return fmt.Errorf("health: %s", res.Status)
+			return fmt.Errorf("GET /health: status %s, want %d", res.Status, http.StatusOK)
 		}
 		return nil
 	})
@@ -216,7 +217,7 @@
 	return err
 }
 
-// runLoad sends load and shows a table a second, until the time is over, a key or a signal ends it.
+// runLoad sends requests and prints a table a second, until the time is over, a key ends it or the context does.
 func (o *demo) runLoad(ctx context.Context, w io.Writer, signals chan<- os.Signal) {
 	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -249,7 +250,7 @@
 	}
 }
 
-// injectFault does what goes wrong in a second of the demo.
+// injectFault begins or ends the fault that is due in a second of the demo.
 func (o *demo) injectFault(second int) {
 	switch {
 	case o.Trouble == "slow" && second == o.Seconds/3:
@@ -261,7 +262,7 @@
 	}
 }
 
-// handleKey does what a key asks for; true ends the demo.
+// handleKey handles a pressed key and reports whether it ends the demo.
 func (o *demo) handleKey(key byte, signals chan<- os.Signal) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -283,13 +284,13 @@
 		})
 	case 'd':
 		signals <- syscall.SIGTERM
-	case 'q', 3, 4: // Ctrl-C and Ctrl-D where the terminal hands them on
+	case 'q', 3, 4: // 3 and 4: Ctrl-C and Ctrl-D of a raw terminal
 		return true
 	}
 	return false
 }
 
-// sendClass sends one class's requests when they are due, whether or not earlier ones were answered.
+// sendClass sends one class's requests at exponentially distributed intervals, independent of responses (open loop).
 func (o *demo) sendClass(ctx context.Context, k int) {
 	r := mrand.New(mrand.NewSource(o.Seed*100 + int64(k)))
 	next := time.Now()
@@ -348,7 +349,7 @@
 	}
 }
 
-// printTable prints a table of the last second.
+// printTable prints the results of the last second.
 func (o *demo) printTable(w io.Writer, second int, cores float64, runs int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -373,7 +374,7 @@
 		b.WriteString("+ - load   s surge   h heavy saves   c two cores   d drain   q end\n")
 	}
 	out := b.Bytes()
-	if !o.Plain { // a raw terminal does not go back to the line's start by itself
+	if !o.Plain { // a raw terminal needs carriage returns
 		out = bytes.ReplaceAll(out, []byte("\n"), []byte("\r\n"))
 	}
 	w.Write(out)
--- a/internal/harness/demo_test.go
+++ b/internal/harness/demo_test.go
@@ -14,7 +14,8 @@
 	"umberwinch/internal/simulation"
 )
 
-// TestDemo runs the node, the emulated kernel and the load on sockets for a few seconds past capacity.
+// The demo serves a load above capacity and prints a table a second. Nine in ten requests of the class with a capped
+// pool complete in time.
 func TestDemo(t *testing.T) {
 	var out bytes.Buffer
 	res, err := (&Demo{Seed: 1, Load: 1.2, Pools: true, Seconds: 3, Plain: true}).Run(context.Background(), &out)
@@ -22,28 +23,28 @@
 		t.Fatal(err)
 	}
 	if len(res) != 4 || strings.Count(out.String(), "IN TIME SO FAR") != 3 {
-		t.Fatalf("%+v\n%s", res, out.String())
+		t.Fatalf("got results %+v, want 4, and 3 tables in\n%s", res, out.String())
 	}
 	for _, r := range res {
 		if r.Requests < 20 {
-			t.Errorf("%s: %d asked", r.Class, r.Requests)
+			t.Errorf("%s: got %d requests, want at least 20", r.Class, r.Requests)
 		}
 	}
 	if view := res[0]; view.InTime < 0.9 {
-		t.Errorf("view: %.3f in time, expected 0.9", view.InTime)
+		t.Errorf("view: got %.3f in time, want at least 0.9", view.InTime)
 	}
 }
 
-// The results of a demo are printed as JSON by `umberctl demo --json`: its keys stay whatever the fields' names are.
+// `umberctl demo --json` prints the results: their keys stay when fields are renamed.
 func TestDemoResultJSONKeys(t *testing.T) {
 	raw, err := json.Marshal(DemoResult{Class: "view", Requests: 3, InTime: 0.5, Shed: 0.25, P95: 12})
 	if want := `{"Class":"view","Asked":3,"InTime":0.5,"Shed":0.25,"P95":12}`; err != nil || string(raw) != want {
-		t.Errorf("%s, %v; expected %s", raw, err, want)
+		t.Errorf("Marshal() = %s, %v; want %s", raw, err, want)
 	}
 }
 
-// TestEmulatedKernelProtocol speaks the platform's protocol: a run is told over, kept for a new link, and what it can't read
-// closes the link.
+// The emulated kernel rejects invalid commands, reports the end of a run, resends the event over a new link that has
+// not received it, and closes a link on input that it can't parse.
 func TestEmulatedKernelProtocol(t *testing.T) {
 	s, err := simulation.ReadScenario("demo", demoScenario)
 	if err != nil {
@@ -67,7 +68,7 @@
 		t.Helper()
 		line, err := r.ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, want) {
-			t.Fatalf("%q, %v; expected %s", line, err, want)
+			t.Fatalf("got %q, %v; want a line that begins with %s", line, err, want)
 		}
 	}
 	c, r := dial()
@@ -77,12 +78,12 @@
 	expectLine(r, `{"verb":"EINVAL"`)
 	fmt.Fprintln(c, `{"verb":"SCHED","task":"00000000000000aa","handler":"view"}`)
 	expectLine(r, `{"verb":"REAP","index":1,"task":"00000000000000aa","outcome":"OK"`)
-	c, r = dial() // the notice comes again to a link that has not handled it
+	c, r = dial() // a new link that has received no event gets it again
 	fmt.Fprintln(c, `{"verb":"OPEN","index":0}`)
 	expectLine(r, `{"verb":"BOOTED"`)
 	expectLine(r, `{"verb":"REAP","index":1,`)
 	fmt.Fprintln(c, `noise`)
 	if _, err := r.ReadString('\n'); err == nil {
-		t.Fatal("a link with noise on it stays open")
+		t.Fatal("the link is open after invalid input, want it closed")
 	}
 }
--- a/internal/harness/emulated_kernel.go
+++ b/internal/harness/emulated_kernel.go
@@ -14,9 +14,9 @@
 	"umberwinch/internal/simulation"
 )
 
-// EmulatedKernel is an emulated kernel on a socket: it speaks the platform's protocol to one node and shares a number
-// of cores among what runs. Work takes no real core: each run is told over once the service it would have had is its
-// work.
+// EmulatedKernel emulates a kernel on a socket: it speaks the platform's protocol to one node and divides a number
+// of emulated cores evenly among the runnable runs. A run uses no real core time: it ends once its share of the
+// emulated cores adds up to its work.
 type EmulatedKernel struct {
 	mu           sync.Mutex
 	random       *rand.Rand
@@ -26,34 +26,35 @@
 	cores        float64
 	runs         map[string]*kernelRun
 	runOrder     []string
-	events       [][]byte // the latest retainedEvents
-	firstEvent   int      // number of events[0]
-	coreMS       float64  // core time used, in ms
+	events       [][]byte // sent events, the latest retainedEvents of them
+	firstEvent   int      // index of events[0]
+	coreMS       float64  // core time used since the start
 	lastStep     time.Time
-	stepInterval time.Duration // between looks at what has ended
+	stepInterval time.Duration // between two updates of the runs
 	stop         chan struct{}
-	callsStore   bool                     // each run calls below once, in the middle of its work
-	onRunStart   func(body []byte) []byte // told each run as it begins, and gives its result; nil: "done" for all
+	callsStore   bool                     // each run makes one call to the store, halfway through its work
+	onRunStart   func(body []byte) []byte // called as a run starts, returns its result; nil: "done" for all
 	down         bool
-	wg           sync.WaitGroup // of what accepts, works and serves links
+	wg           sync.WaitGroup // goroutines that accept and serve links and update runs
 }
 
+// kernelRun is a run in progress.
 type kernelRun struct {
-	remainingMS float64 // ms of work
-	callAtMS    float64 // it calls below when so much is left; 0: not, or not any more
-	inCall      bool    // it stands at that call
+	remainingMS float64 // work left
+	callAtMS    float64 // work left at which it makes its call; 0: none, or it was made
+	inCall      bool    // it waits for the result of its call
 	startedAt   time.Time
 	result      []byte
-	callBody    []byte // the body of its call
+	callBody    []byte
 }
 
 const (
 	retainedEvents     = 4000
 	kernelStepInterval = time.Millisecond
-	maxCallWait        = 1500 * time.Millisecond // that a run stands at a call: what it is for is over by then
+	maxCallWait        = 1500 * time.Millisecond // a run that has waited longer in a call is stopped
 )
 
-// NewEmulatedKernel listens on an address.
+// NewEmulatedKernel starts an emulated kernel that listens on an address.
 func NewEmulatedKernel(addr string, seed int64, cores float64, classes []simulation.Class,
 	step time.Duration) (*EmulatedKernel, error) {
 	ln, err := net.Listen("tcp", addr)
@@ -71,7 +72,7 @@
 	return k, nil
 }
 
-// Close ends it and waits for its goroutines.
+// Close closes the listener and the link and waits for the kernel's goroutines.
 func (k *EmulatedKernel) Close() {
 	close(k.stop)
 	k.listener.Close()
@@ -84,14 +85,15 @@
 	k.wg.Wait()
 }
 
-// Update changes a class, or the cores, while it goes on.
+// Update changes the classes or the number of cores.
 func (k *EmulatedKernel) Update(change func(classes map[string]*simulation.Class, cores *float64)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	change(k.classes, &k.cores)
 }
 
-// SetDown has it stand still and take no link, until it is told otherwise; then it has forgotten every run.
+// SetDown takes the kernel down or up. While it is down it makes no progress and accepts no link; when it comes up
+// again it reports all its runs as failed.
 func (k *EmulatedKernel) SetDown(down bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -106,7 +108,7 @@
 	}
 }
 
-// CloseLink ends the link; what runs goes on.
+// CloseLink closes the link; runs continue.
 func (k *EmulatedKernel) CloseLink() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -116,7 +118,7 @@
 	}
 }
 
-// runnable counts the runs that want cores.
+// runnable counts the runs that aren't in a call.
 func (k *EmulatedKernel) runnable() (n float64) {
 	for _, r := range k.runs {
 		if !r.inCall {
@@ -126,7 +128,7 @@
 	return n
 }
 
-// Usage gives the core time used so far, in ms, and how many runs there are.
+// Usage returns the core time used since the start, in ms, and the number of runs.
 func (k *EmulatedKernel) Usage() (float64, int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -146,7 +148,7 @@
 			continue
 		}
 		if k.conn != nil {
-			k.conn.Close() // a new link takes the place of the one before
+			k.conn.Close() // a new link replaces the previous one
 		}
 		k.conn = c
 		k.mu.Unlock()
@@ -154,6 +156,7 @@
 	}
 }
 
+// command is a message from the node; its fields are the protocol's.
 type command struct {
 	Verb, Task, Handler, Nonce string
 	Bytes                      []byte
@@ -181,7 +184,7 @@
 	}
 }
 
-// execute carries out one command; false closes the link.
+// execute executes one command. It returns false for an unknown command, which closes the link.
 func (k *EmulatedKernel) execute(c net.Conn, cmd *command) bool {
 	switch cmd.Verb {
 	case "OPEN":
@@ -224,6 +227,7 @@
 	return true
 }
 
+// drawWork draws a run's work, in ms of core time.
 func (k *EmulatedKernel) drawWork(c *simulation.Class) float64 {
 	work := c.Work / 10
 	if c.WorkSigma > 0 {
@@ -235,7 +239,7 @@
 	return work
 }
 
-// runSteps lets all runs go on, each with its part of the cores.
+// runSteps advances all runs every stepInterval, each by an equal share of the cores and by one core at most.
 func (k *EmulatedKernel) runSteps() {
 	tick := time.NewTicker(k.stepInterval)
 	defer tick.Stop()
@@ -277,7 +281,7 @@
 	}
 }
 
-// endRun ends a run and tells of it.
+// endRun removes a run and sends the event of its end.
 func (k *EmulatedKernel) endRun(id, outcome string) {
 	r := k.runs[id]
 	delete(k.runs, id)
@@ -295,7 +299,7 @@
 		k.firstEvent+len(k.events), id, outcome, float64(time.Since(r.startedAt))/float64(time.Millisecond), body))
 }
 
-// sendEvent sends a notice and keeps it for a link that comes later.
+// sendEvent sends an event and retains it, so that a new link can get it again.
 func (k *EmulatedKernel) sendEvent(text string) {
 	line := []byte(text)
 	k.events = append(k.events, line)
--- a/internal/harness/emulated_store.go
+++ b/internal/harness/emulated_store.go
@@ -10,37 +10,38 @@
 	"time"
 )
 
-// EmulatedStore is an emulated service below on a socket: it speaks the platform's lines to the nodes of a zone and has
-// so many workers, a cache that calls fill, and a cost for each connection that is opened. Work takes no real core: a
-// call is answered when its turn and its time have come.
+// EmulatedStore emulates a service below on a socket: it speaks the platform's protocol to the nodes of a zone. It
+// has a fixed number of workers, a cache that calls warm up, and a cost for each new connection. A call uses no real
+// core time: its response is sent when an emulated worker would have completed it.
 type EmulatedStore struct {
 	mu           sync.Mutex
 	listener     net.Listener
 	conns        map[net.Conn]bool
 	random       *rand.Rand
-	workerFreeAt []time.Time // when each worker is
+	workerFreeAt []time.Time // by worker
 	callTime     time.Duration
-	coldFactor   float64 // times that a call takes while the cache is empty
-	warmUpCalls  float64 // calls after which it is full
+	coldFactor   float64 // factor on callTime while the cache is empty
+	warmUpCalls  float64 // calls that fill an empty cache
 	warmth       float64
 	speed        float64
 	errorRate    float64
-	dropped      map[string]bool // calls that were dropped
+	dropped      map[string]bool // by id of a call
 	started      time.Time
-	loads        []float64         // worker time asked for, by tenth of a second since from, over what there is
-	onExecute    func(body []byte) // told each call that is carried out; nil: nobody is
+	loads        []float64         // requested worker time over available time, by tenth of a second from started on
+	onExecute    func(body []byte) // called for each call that succeeds; may be nil
 }
 
-// connectCost is what a new connection takes of a worker: some calls' time, as a handshake and a session do.
+// connectCost is the worker time that a new connection takes, for its handshake and session.
 const connectCost = 20 * time.Millisecond
 
-// maxCallQueueTime is how long a call may have to wait; then it is told BUSY at once.
+// maxCallQueueTime is the maximum time that a call may wait for a worker; the store responds BUSY to one that would
+// wait longer.
 const maxCallQueueTime = 2 * time.Second
 
 // maxCallBody is the largest body of a call, in bytes.
 const maxCallBody = 1 << 20
 
-// NewEmulatedStore listens on an address.
+// NewEmulatedStore starts an emulated store that listens on an address. Its cache is full.
 func NewEmulatedStore(addr string, seed int64, workers int, callTime time.Duration,
 	coldFactor, warmUpCalls float64) (*EmulatedStore, error) {
 	ln, err := net.Listen("tcp", addr)
@@ -66,7 +67,7 @@
 	return s, nil
 }
 
-// Close ends it.
+// Close closes the listener and all connections.
 func (s *EmulatedStore) Close() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -76,14 +77,15 @@
 	s.mu.Unlock()
 }
 
-// Update changes it while it goes on.
-func (s *EmulatedStore) Update(change func(speed, warm, fails *float64)) {
+// Update changes the store's speed, the warmth of its cache and its error rate.
+func (s *EmulatedStore) Update(change func(speed, warmth, errorRate *float64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.speed, &s.warmth, &s.errorRate)
 }
 
-// reserveWorker takes a worker's time and says when it is done and how long it had to wait.
+// reserveWorker reserves time of the worker that is free first. It returns when the work is done and how long it has
+// to wait; nothing is reserved if that is above maxCallQueueTime.
 func (s *EmulatedStore) reserveWorker(cost time.Duration) (done time.Time, wait time.Duration) {
 	now := time.Now()
 	earliest := 0
@@ -108,7 +110,7 @@
 	return s.workerFreeAt[earliest], wait
 }
 
-// PeakLoad gives the most that was asked for over what it bears since a time, over any whole second.
+// PeakLoad returns the highest load over capacity since a time, over any full second.
 func (s *EmulatedStore) PeakLoad(since time.Time) (peak float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +124,7 @@
 	return peak
 }
 
-// MeanLoad gives what was asked for over what it bears since a time, in the mean.
+// MeanLoad returns the mean load over capacity since a time.
 func (s *EmulatedStore) MeanLoad(since time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,20 +135,19 @@
 	return sum / max(1, float64(time.Since(s.started)/(100*time.Millisecond))-float64(from))
 }
 
-// storeConn is one connection to the store.
+// storeConn is one connection of a node to the store.
 type storeConn struct {
 	store   *EmulatedStore
 	conn    net.Conn
-	writeMu sync.Mutex // one answer is written at a time
+	writeMu sync.Mutex // held while a response is written
 }
 
-// storeCall is one call of a node.
 type storeCall struct {
 	id   string
 	body []byte
 }
 
-// serve reads commands until the connection ends or says something that is none.
+// serve reads commands until the connection is closed or sends an invalid one.
 func (s *EmulatedStore) serve(c net.Conn) {
 	defer func() {
 		c.Close()
@@ -178,15 +179,14 @@
 	}
 }
 
-// dropCall has a call that is under way go without an answer or an effect.
+// dropCall cancels a call in progress: it gets no response and has no effect.
 func (s *EmulatedStore) dropCall(id string) {
 	s.mu.Lock()
 	s.dropped[id] = true
 	s.mu.Unlock()
 }
 
-// startCall gives a call its place among the workers and answers it when its time has come, or at once where it would wait
-// too long.
+// startCall queues a call for a worker and schedules its end, or responds BUSY at once.
 func (c *storeConn) startCall(call storeCall) {
 	s := c.store
 	s.mu.Lock()
@@ -202,7 +202,7 @@
 	time.AfterFunc(time.Until(done), func() { c.finishCall(call, failed) })
 }
 
-// finishCall carries a call out and answers it.
+// finishCall executes a call and sends its response.
 func (c *storeConn) finishCall(call storeCall, failed bool) {
 	s := c.store
 	s.mu.Lock()
--- a/internal/harness/faults_on_demand.go
+++ b/internal/harness/faults_on_demand.go
@@ -14,19 +14,18 @@
 	"umberwinch/internal/wal"
 )
 
-// faultEnv names what an instance does to itself once SIGUSR2 has told it to: a step of Work at which it
-// kills itself as kill -9 would, or a way in which its disk fails. Without it SIGUSR2 does what it does to
-// any process.
+// faultEnv names the fault that SIGUSR2 triggers in an instance: a step of its work at which it kills itself with
+// SIGKILL, or a disk fault. Without it, SIGUSR2 has its default action.
 const faultEnv = "UMBERWINCH_FAULT"
 
-// Ways in which a disk fails on demand.
+// Disk faults.
 const (
 	faultDiskStall = "stall" // the next sync takes diskStallTime
-	faultDiskFull  = "full"  // each write from then on finds no room
+	faultDiskFull  = "full"  // all later writes fail with ENOSPC, after half of their data
 	diskStallTime  = 3 * time.Second
 )
 
-// FaultsFromEnvironment gives an instance the faults that its environment asks for.
+// FaultsFromEnvironment returns the faults and disabled guards that an instance's environment requests.
 func FaultsFromEnvironment() consensus.Faults {
 	var policyGuards policy.Guard
 	var zoneGuards zones.Guard
@@ -43,7 +42,7 @@
 	return f
 }
 
-// stepNames are the kinds of faults that kill an instance at a step of its work.
+// stepNames returns the kinds of faults that kill an instance at a step of its work.
 func stepNames() (names []string) {
 	for _, step := range consensus.Steps {
 		names = append(names, string(step))
@@ -51,6 +50,7 @@
 	return names
 }
 
+// newFaults returns the faults of a kind, which a SIGUSR2 arms.
 func newFaults(kind string) consensus.Faults {
 	if kind == "" {
 		return consensus.Faults{}
@@ -74,7 +74,7 @@
 	}}
 }
 
-// failingDisk is a folder whose disk fails once armed.
+// failingDisk is a file system that fails once armed.
 type failingDisk struct {
 	wal.FS
 	kind  string
--- a/internal/harness/fleet_control.go
+++ b/internal/harness/fleet_control.go
@@ -1,6 +1,6 @@
 package harness
 
-// This file asks the control service of a fleet of processes, and waits for what it says.
+// This file has the control service's requests for a fleet of processes, and waits for expected states.
 
 import (
 	"context"
@@ -13,14 +13,14 @@
 	"umberwinch/internal/control/policy"
 )
 
-// sleep waits, unless the fleet ends.
+// sleep waits for d, or until the fleet's context ends.
 func (r *FleetProcesses) sleep(d time.Duration) { sleepContext(r.ctx, d) }
 
 func (r *FleetProcesses) await(within time.Duration, condition func() error) error {
 	return awaitUntil(r.ctx, within, 20*time.Millisecond, condition)
 }
 
-// requestAny brings something to any instance that answers.
+// requestAny sends a request to the instances in turn until one responds without a server error.
 func (r *FleetProcesses) requestAny(method, path string, in, out any) (int, error) {
 	var lastErr error
 	for _, p := range r.group.instances {
@@ -35,7 +35,7 @@
 	return 0, lastErr
 }
 
-// Policy gives the leader's view.
+// Policy returns the policy status that the leader reports.
 func (r *FleetProcesses) Policy() (*consensus.PolicyView, error) {
 	var v consensus.PolicyView
 	if _, err := r.requestAny(http.MethodGet, "/v1/policy", nil, &v); err != nil {
@@ -47,7 +47,7 @@
 	return &v, nil
 }
 
-// Nodes gives the leader's list.
+// Nodes returns the leader's view of the nodes, by name.
 func (r *FleetProcesses) Nodes() (map[string]consensus.NodeView, error) {
 	var all []consensus.NodeView
 	if _, err := r.requestAny(http.MethodGet, "/v1/nodes", nil, &all); err != nil {
@@ -60,7 +60,7 @@
 	return out, nil
 }
 
-// AwaitAllServing waits until every node that is up serves under a version, and is ready by the platform's list.
+// AwaitAllServing waits until every running node serves under a version and is ready in the endpoint list.
 func (r *FleetProcesses) AwaitAllServing(version uint64, within time.Duration) error {
 	return r.await(within, func() error {
 		all, err := r.Nodes()
@@ -74,19 +74,19 @@
 			v, ok := all[n.name]
 			switch {
 			case !ok || v.OutReason != "" || !v.Reported:
-				return fmt.Errorf("%s is not in: %q", n.name, v.OutReason)
+				return fmt.Errorf("node %s is not an active member: out for %q", n.name, v.OutReason)
 			case v.Fenced != "" || v.ActiveVersion != version:
-				return fmt.Errorf("%s serves under version %d, fenced %q, expected version %d", n.name,
+				return fmt.Errorf("node %s: active version %d, fenced %q, want version %d and not fenced", n.name,
 					v.ActiveVersion, v.Fenced, version)
 			case !r.readiness.isReady(n.name):
-				return fmt.Errorf("%s is not ready by the list", n.name)
+				return fmt.Errorf("node %s is not ready in the endpoint list", n.name)
 			}
 		}
 		return nil
 	})
 }
 
-// PutVersion makes a text the group's next version.
+// PutVersion puts a text as the group's next version. It retries on a conflict and while no leader responds.
 func (r *FleetProcesses) PutVersion(text string) (uint64, error) {
 	r.lastOpNumber++
 	var result consensus.PutResult
@@ -105,12 +105,12 @@
 		return err
 	})
 	if err == nil && result.Outcome != consensus.PutCommitted {
-		err = fmt.Errorf("the version is %s: %s", result.Outcome, result.Reason)
+		err = fmt.Errorf("put: outcome %s (%s), want %s", result.Outcome, result.Reason, consensus.PutCommitted)
 	}
 	return result.Version, err
 }
 
-// Propose begins a change to a text, and gives its number and version.
+// Propose puts a text and proposes it. It returns the change's number and the version.
 func (r *FleetProcesses) Propose(text string, p policy.Proposal) (number, version uint64, err error) {
 	if version, err = r.PutVersion(text); err != nil {
 		return 0, 0, err
@@ -134,7 +134,7 @@
 	return number, version, err
 }
 
-// AwaitStep waits until a change is at one of some steps.
+// AwaitStep waits until a change is at one of the given steps.
 func (r *FleetProcesses) AwaitStep(number uint64, within time.Duration, steps ...policy.Step) (*policy.Change, error) {
 	var c *policy.Change
 	err := r.await(within, func() error {
@@ -149,25 +149,25 @@
 			}
 		}
 		if c == nil {
-			return fmt.Errorf("change %d is not known", number)
+			return fmt.Errorf("the group has no change %d", number)
 		}
 		for _, s := range steps {
 			if c.Step == s {
 				return nil
 			}
 		}
-		return fmt.Errorf("change %d is %s (%s; waits %v), expected %v", number, c.Step, c.AbortReason, v.WaitingFor,
+		return fmt.Errorf("change %d is %s (%s; waits for %v), want %v", number, c.Step, c.AbortReason, v.WaitingFor,
 			steps)
 	})
 	return c, err
 }
 
-// AwaitPrepared waits until the leader heard from a node that it prepared a version.
+// AwaitPrepared waits until the leader reports that a node has prepared a version.
 func (r *FleetProcesses) AwaitPrepared(node string, version uint64) error {
 	return r.await(10*time.Second, func() error {
 		all, err := r.Nodes()
 		if err == nil && all[node].PreparedVersion != version {
-			err = fmt.Errorf("%s has not prepared version %d", node, version)
+			err = fmt.Errorf("node %s: prepared version %d, want %d", node, all[node].PreparedVersion, version)
 		}
 		return err
 	})
--- a/internal/harness/fleet_history.go
+++ b/internal/harness/fleet_history.go
@@ -1,6 +1,6 @@
 package harness
 
-// This file reads the history of a fleet of processes from their logs and holds it to its promises.
+// This file reads a fleet's history from the logs of its processes and checks its invariants.
 
 import (
 	"bufio"
@@ -17,14 +17,14 @@
 	"umberwinch/internal/simulation"
 )
 
-// logRecord is one line of a process's log.
+// logRecord is one line of a process's JSON log.
 type logRecord struct {
 	at      int64 // tenths of a ms
 	message string
 	fields  map[string]any
 }
 
-// uintField gives a field that is a whole number, 0 where it is missing.
+// uintField returns the value of an integer field, 0 if it is missing.
 func (l *logRecord) uintField(field string) uint64 {
 	v, _ := l.fields[field].(float64)
 	return uint64(v)
@@ -40,8 +40,8 @@
 	return v
 }
 
-// readLog gives each line of a log of JSON lines. A line that was being written when its process was killed is passed
-// over, and so is a crash's.
+// readLog calls handle for each record of a JSON log. It skips lines that aren't records: a line cut by the kill of
+// its process, or a crash's output.
 func readLog(file string, handle func(l *logRecord)) error {
 	f, err := os.Open(file)
 	if err != nil {
@@ -65,12 +65,12 @@
 	return s.Err()
 }
 
-// instancesLog is the log that all instances of the group write.
+// instancesLog is the path of the log that all instances of the group append to.
 func (r *FleetProcesses) instancesLog() string { return filepath.Join(r.Dir, "instances.log") }
 
 func (n *nodeProcess) logPath() string { return filepath.Join(n.fleet.Dir, n.name+".log") }
 
-// History reads what happened from the logs of all processes.
+// History returns the fleet's history from the logs of all processes.
 func (r *FleetProcesses) History() ([]simulation.FleetEvent, error) {
 	steps, err := readChangeSteps(r.instancesLog())
 	if err != nil {
@@ -96,13 +96,12 @@
 	return all, nil
 }
 
-// changeStep is one step of one change of policy.
 type changeStep struct {
 	number uint64
 	step   policy.Step
 }
 
-// changeSteps are the steps that the group's changes took, each as the first instance logged it.
+// changeSteps are the steps of the group's policy changes, each at its first occurrence in the instances' log.
 type changeSteps struct {
 	first map[changeStep]simulation.FleetEvent
 	order []changeStep
@@ -128,7 +127,7 @@
 	})
 }
 
-// commitTimes gives the ms that each change took from its first step to being in force.
+// commitTimes returns the time from a change's first step to its commit, in ms, by change.
 func (c *changeSteps) commitTimes() map[uint64]float64 {
 	out := map[uint64]float64{}
 	for _, k := range c.order {
@@ -140,8 +139,8 @@
 	return out
 }
 
-// events gives the steps as the checker has them. A change that was put in force without a step of being decided was
-// decided in that moment.
+// events returns the steps as events for the checker. A change that was committed without a separate decision was
+// decided at the same time.
 func (c *changeSteps) events() (all []simulation.FleetEvent) {
 	add := func(k changeStep, kind string) {
 		e := c.first[k]
@@ -166,7 +165,7 @@
 	return all
 }
 
-// loggedEvents gives what a node logged of its service.
+// loggedEvents returns the events by which a node's log says that it serves, is fenced or has activated a version.
 func (n *nodeProcess) loggedEvents() (events []simulation.FleetEvent, err error) {
 	err = readLog(n.logPath(), func(l *logRecord) {
 		e := simulation.FleetEvent{At: l.at, Node: n.name}
@@ -185,12 +184,12 @@
 	return events, err
 }
 
-// fenceLogGrace, in tenths of a ms, is within which a resumed process has logged that its first round fenced it: a busy
-// machine may let it wait for a core.
+// fenceLogGrace is the maximum time, in tenths of a ms, between a process's resumption and its log line that it is
+// fenced. It includes the wait for a core on a busy machine.
 const fenceLogGrace = 10_000
 
-// nodeHistory makes spans of service of what a node's log and the scenario say: a process that stands still serves
-// nothing, and one that goes on serves what it did unless its first round fenced it.
+// nodeHistory merges the events of a node's log and of its process into serves and stops events. A paused process
+// serves nothing; once resumed it serves as before, unless it logs that it is fenced.
 func nodeHistory(events []simulation.FleetEvent) (out []simulation.FleetEvent) {
 	sort.SliceStable(events, func(i, k int) bool { return events[i].At < events[k].At })
 	serving, version, servingBeforePause := false, uint64(0), false
@@ -221,7 +220,7 @@
 				continue
 			}
 			fenced := false
-			for _, other := range events { // logs have whole ms: a line may seem to come before what brought it about
+			for _, other := range events { // log times are rounded to ms: a line may precede its cause by up to 1 ms
 				fenced = fenced || other.Kind == "stops" && other.At > e.At-10 && other.At <= e.At+fenceLogGrace
 			}
 			if !fenced {
@@ -233,7 +232,7 @@
 	return out
 }
 
-// Check holds what happened against the promises.
+// Check checks the fleet's history and returns the longest overlap of two versions, in tenths of a ms.
 func (r *FleetProcesses) Check(p simulation.FleetPromises) (overlap int64, err error) {
 	h, err := r.History()
 	if err != nil {
@@ -246,7 +245,7 @@
 	return overlap, nil
 }
 
-// logTail gives the end of a process's log, for a failure's report.
+// logTail returns the last n lines of a process's log.
 func (r *FleetProcesses) logTail(name string, n int) string {
 	raw, err := os.ReadFile(filepath.Join(r.Dir, name+".log"))
 	if err != nil {
--- a/internal/harness/fleet_load.go
+++ b/internal/harness/fleet_load.go
@@ -1,6 +1,6 @@
 package harness
 
-// This file is the load on a fleet of processes and what became of it.
+// This file generates a fleet's load and records the results.
 
 import (
 	"context"
@@ -14,33 +14,33 @@
 	"umberwinch/internal/simulation"
 )
 
-// CallResults is what became of callers' requests.
+// CallResults counts callers' requests by outcome.
 type CallResults struct {
 	mu                                 sync.Mutex
 	Requests, Done, Shed, Lost, Errors int
 	Attempts                           int
-	LatenciesMS                        []float64 // ms of those done
+	LatenciesMS                        []float64 // of completed requests
 	Calls                              []CallResult
 }
 
-// CallResult is one request that a node answered.
+// CallResult is the outcome of one request.
 type CallResult struct {
 	EndedAt  time.Time
 	Node     *nodeProcess
 	Value    float64
-	InTime   bool // done within its target
+	InTime   bool // completed within its latency objective
 	Attempts int
 }
 
-// String is the line of a report: calls by outcome, and their attempts.
+// String formats the counts for a report: requests by outcome, and attempts.
 func (c *CallResults) String() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return fmt.Sprintf("asked %d, done %d, shed %d, lost %d, errored %d, tries %d", c.Requests, c.Done, c.Shed,
+	return fmt.Sprintf("requests %d, done %d, shed %d, lost %d, errored %d, attempts %d", c.Requests, c.Done, c.Shed,
 		c.Lost, c.Errors, c.Attempts)
 }
 
-// quantile gives a time that a share of requests was done within.
+// quantile returns a quantile of the latencies of completed requests, in ms.
 func (c *CallResults) quantile(q float64) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,14 +51,14 @@
 	return c.LatenciesMS[min(len(c.LatenciesMS)-1, int(q*float64(len(c.LatenciesMS))))]
 }
 
-// numCalls gives how many requests were noted one by one so far.
+// numCalls returns the number of recorded calls.
 func (c *CallResults) numCalls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.Calls)
 }
 
-// inTimeValueShare gives the share of value that was done in time, of the requests after the first from.
+// inTimeValueShare returns the fraction of value completed in time, over the calls from index from on.
 func (c *CallResults) inTimeValueShare(from int) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,8 +71,8 @@
 	return inTime / max(all, 1)
 }
 
-// Load sends requests at a rate until the context ends, each to a node that the list says is ready, and elsewhere when
-// it is turned away: so a request is lost only if nobody answered it in its time.
+// Load sends requests at a rate, per second, until the context ends. Each goes to a ready node and is retried at
+// others when it is rejected, so that it is lost only if no node responds before its deadline.
 func (r *FleetProcesses) Load(ctx context.Context, rate float64) *CallResults {
 	c := &CallResults{}
 	s, _ := simulation.ReadScenario("fleet", fleetScenario)
@@ -100,6 +100,7 @@
 	return c
 }
 
+// pickClass returns the class that a draw in [0, 1) selects, in proportion to the classes' rates.
 func pickClass(s *simulation.Scenario, draw float64) int {
 	sum := 0.0
 	for k := range s.Classes {
@@ -117,17 +118,17 @@
 type clientCall struct {
 	fleet               *FleetProcesses
 	class               *simulation.Class
-	key                 string // empty: it has none
+	key                 string // idempotency key; may be empty
 	tenant, sender      int
-	firstNode           int // the node that is asked first
+	firstNode           int // index of the node for the first attempt
 	startedAt, deadline time.Time
-	backoff             time.Duration // before the next attempt, once there were some
-	status              int           // of the last answer, 0: there was none
+	backoff             time.Duration // before the next attempt, after the immediate ones
+	status              int           // of the last attempt's response; 0: none
 	attempts            int
 	lastNode            *nodeProcess
 }
 
-// sendRequest sends one request and notes what became of it.
+// sendRequest sends one request with its retries and records the result.
 func (r *FleetProcesses) sendRequest(results *CallResults, class *simulation.Class, keyed bool, tenant, first int) {
 	startedAt := time.Now()
 	q := &clientCall{fleet: r, class: class, tenant: tenant, firstNode: first, startedAt: startedAt, backoff: initialBackoff,
@@ -140,12 +141,12 @@
 	results.record(q)
 }
 
-// run asks one node after the other until one is done with it, its time is over, or asking on would be wrong.
+// run tries nodes in turn until the request completes, its deadline passes or a retry could execute it twice.
 func (q *clientCall) run() {
 	nodes := q.fleet.nodes
 	for k := 0; q.attempts < maxAttempts && time.Now().Before(q.deadline) && q.status != http.StatusOK; k++ {
 		if k > 0 && k%len(nodes) == 0 {
-			time.Sleep(initialBackoff) // the list was gone through once
+			time.Sleep(initialBackoff) // all nodes were tried
 		}
 		i := (q.firstNode + k) % len(nodes)
 		if !q.fleet.readiness.isReady(nodes[i].name) || q.fleet.NodeWithoutFill == i+1 && q.class.Name == "fill" {
@@ -158,12 +159,14 @@
 	}
 }
 
-// mayHaveRun tells whether a keyed request may have run at the last node: elsewhere it would run again.
+// mayHaveRun reports whether a request with an idempotency key may have been executed by the last node: another node
+// would execute it again.
 func (q *clientCall) mayHaveRun() bool {
 	return q.key != "" && q.attempts > 0 && q.status != http.StatusServiceUnavailable
 }
 
-// waitBackoff waits before an attempt after the first ones, unless that would be for nobody: then it gives false.
+// waitBackoff waits before an attempt after the immediate ones. It returns false if the backoff exceeds the time to
+// the deadline.
 func (q *clientCall) waitBackoff() bool {
 	if q.attempts < immediateAttempts || q.fleet.RetryImmediately {
 		return true
@@ -176,7 +179,7 @@
 	return true
 }
 
-// sendTo asks one node; a patient caller that is turned away waits for as long as it is told to.
+// sendTo sends one attempt to a node. A caller that honors Retry-After waits for it after a rejection.
 func (q *clientCall) sendTo(n *nodeProcess) {
 	ctx, cancel := context.WithDeadline(context.Background(), q.deadline)
 	defer cancel()
@@ -189,7 +192,7 @@
 	}
 }
 
-// record counts what became of a request.
+// record counts a request by its outcome.
 func (c *CallResults) record(q *clientCall) {
 	latency := time.Since(q.startedAt)
 	c.mu.Lock()
@@ -208,7 +211,7 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		c.Shed++
 	case 0:
-		if q.attempts == 0 { // nobody was ready in all its time
+		if q.attempts == 0 { // no node was ready before the deadline
 			c.Shed++
 		} else {
 			c.Lost++
--- a/internal/harness/fleet_processes.go
+++ b/internal/harness/fleet_processes.go
@@ -12,49 +12,49 @@
 	"umberwinch/internal/simulation"
 )
 
-// A fleet of processes is a control group and nodes of the built programs, emulated kernels, an endpoint list, callers
-// that retry at other nodes, and a forwarder on every link that can cut, drop and delay it. What happened is read from
-// the processes' own logs afterwards.
+// A fleet of processes has a control group and nodes of the built programs, emulated kernels, an endpoint list,
+// callers that retry at other nodes, and a forwarder on every link that can cut, drop and delay its traffic. Its
+// history is read from the processes' logs.
 
-// FleetProcessesConfig says what a fleet is made of.
+// FleetProcessesConfig configures a fleet of processes.
 type FleetProcessesConfig struct {
-	Program          string // umberctl; the node's program stands beside it, or is its hidden command
+	Program          string // umberctl; the node's program is in the same folder, or umberctl's hidden command
 	Dir              string
 	Seed             int64
 	Instances        int
 	Nodes            int
-	PersistPolicy    bool // nodes keep their policy on disk
+	PersistPolicy    bool // nodes store their policy on disk
 	DisabledGuards   string
-	RestartExited    bool // what ends is started again, by a pace of its own
-	NodeWithoutFill  int  // this node's platform has no class "fill"; 0: none
-	HonorRetryAfter  bool // callers that are turned away come back when they are told to, not sooner
-	RetryImmediately bool // callers that are turned away ask on at once, elsewhere
-	WithStores       bool // each zone has a service below, which each run calls once
+	RestartExited    bool // processes that exit are restarted after restartDelay
+	NodeWithoutFill  int  // number of the node whose platform has no class "fill"; 0: none
+	HonorRetryAfter  bool // rejected callers wait for the response's Retry-After
+	RetryImmediately bool // rejected callers retry at other nodes without backoff
+	WithStores       bool // each zone has an emulated store, which each run calls once
 }
 
-// FleetProcesses is a fleet at work.
+// FleetProcesses is a running fleet.
 type FleetProcesses struct {
 	FleetProcessesConfig
 	group         *controlProcesses
 	nodes         []*nodeProcess
 	readiness     *readiness
 	client        *http.Client
-	processEvents []simulation.FleetEvent // the fleet's own: kills and stops
+	processEvents []simulation.FleetEvent // process exits, pauses and resumptions
 	mu            sync.Mutex
 	loads         sync.WaitGroup
-	background    sync.WaitGroup // what starts processes again
+	background    sync.WaitGroup // goroutines that restart processes
 	cancel        context.CancelFunc
 	ctx           context.Context
 	lastOpNumber  int
 	closeOnce     sync.Once
-	// ms from a change's first step to its being in force, by the instances' logs, as of the last History: the group's
-	// own time stands between beats, so it can't tell.
+	// ms from a change's first step to its commit, as of the last History. From the instances' logs, as the group's
+	// own clock advances only with heartbeats.
 	commitTimes map[uint64]float64
 	stores      map[string]*EmulatedStore // by zone
 }
 
-// A zone's service below has four workers and takes 8 ms a call, so it serves 500 calls a second; cold, a call takes
-// twelve times as long, and 200 calls warm the cache.
+// A zone's store has a capacity of 500 calls a second. With an empty cache a call takes twelve times as long; 200
+// calls fill the cache.
 const (
 	storeWorkers     = 4
 	storeCallTime    = 8 * time.Millisecond
@@ -62,7 +62,7 @@
 	storeWarmUpCalls = 200
 )
 
-// fleetScenario are the requests of a fleet: light, so that a dozen nodes fit a small machine.
+// fleetScenario defines the classes of a fleet. Requests are light, so that a dozen nodes fit on a small machine.
 const fleetScenario = `cores 4
 tenants 2
 class view work=2 share=70 tail=0 target=300 timeout=3000 value=1
@@ -84,7 +84,7 @@
 	return r, nil
 }
 
-// startAll starts the group, then the nodes, and waits until all of them serve.
+// startAll starts the group, then the nodes, and waits until all nodes serve.
 func (r *FleetProcesses) startAll(ctx context.Context) (err error) {
 	extraConfig := "[log]\nform = json\n"
 	if r.group, err = newControlProcesses(ctx, r.Program, r.Dir, r.Instances, extraConfig,
@@ -102,7 +102,7 @@
 	if err = r.await(time.Minute, func() error {
 		v, err := r.Policy()
 		if err == nil && v.Level < consensus.LevelFleet {
-			err = fmt.Errorf("the group is at level %d", v.Level)
+			err = fmt.Errorf("the group is at feature level %d, want %d", v.Level, consensus.LevelFleet)
 		}
 		return err
 	}); err != nil {
@@ -123,10 +123,10 @@
 	return r.AwaitAllServing(0, time.Minute)
 }
 
-// disabledGuardsEnv names guards that processes of a fleet leave out.
+// disabledGuardsEnv names the guards that are disabled in a process, separated by commas.
 const disabledGuardsEnv = "UMBERWINCH_WITHOUT"
 
-// Close ends all processes.
+// Close stops the load, kills all processes and closes the emulated services.
 func (r *FleetProcesses) Close() { r.closeOnce.Do(r.close) }
 
 func (r *FleetProcesses) close() {
@@ -136,7 +136,7 @@
 	for _, n := range r.nodes {
 		n.close()
 	}
-	for _, s := range r.stores { // each is ended alone
+	for _, s := range r.stores {
 		s.Close()
 	}
 	if r.group != nil {
@@ -148,18 +148,19 @@
 	r.client.CloseIdleConnections()
 }
 
+// recordEvent adds an event of a node's process to the history.
 func (r *FleetProcesses) recordEvent(kind, node string) {
 	r.mu.Lock()
 	r.processEvents = append(r.processEvents, simulation.FleetEvent{At: time.Now().UnixMicro() / 100, Kind: kind, Node: node})
 	r.mu.Unlock()
 }
 
-// partitionFromGroup parts nodes from all instances, both ways; heal ends every trouble of the lines.
+// partitionFromGroup cuts nodes off from all instances, in both directions, until heal.
 func (r *FleetProcesses) partitionFromGroup(nodes ...*nodeProcess) {
 	r.setLinkFault(linkFault{cut: true}, nodes...)
 }
 
-// setLinkFault does something to the lines between nodes and instances, in the direction asked for by each fault.
+// setLinkFault sets a fault on the links between nodes and all instances.
 func (r *FleetProcesses) setLinkFault(f linkFault, nodes ...*nodeProcess) {
 	for _, n := range nodes {
 		for _, p := range r.group.instances {
@@ -168,9 +169,10 @@
 	}
 }
 
+// heal removes all link faults and partitions.
 func (r *FleetProcesses) heal() { r.group.forwarders.heal() }
 
-// nodesIn gives the nodes of a zone.
+// nodesIn returns the nodes of a zone.
 func (r *FleetProcesses) nodesIn(zone string) (out []*nodeProcess) {
 	for _, n := range r.nodes {
 		if n.zone == zone {
@@ -180,7 +182,7 @@
 	return out
 }
 
-// killLeader ends the leader's process and gives it, to be started again.
+// killLeader kills the leader's process and returns the instance.
 func (r *FleetProcesses) killLeader() (*instanceProcess, error) {
 	p, err := r.group.awaitLeader(r.ctx, 10*time.Second)
 	if err != nil {
@@ -190,11 +192,10 @@
 	return p, nil
 }
 
-// A caller tries three nodes one after the other without a pause, then waits before each further try, twice as long
-// each time from 30 ms: nine attempts in the 3 s that most requests have. Without a pace callers take the cores that a
-// fleet which is down needs to come up, where machines are short of them.
+// A caller makes its first three attempts without a pause, then backs off for 30 ms, doubled each time: nine
+// attempts within a timeout of 3 s. Without backoff, callers would take the cores that a restarting fleet needs.
 const (
-	maxAttempts       = 20 // of those that are Eager; the others' time is over before
+	maxAttempts       = 20 // reached only with RetryImmediately
 	immediateAttempts = 3
 	initialBackoff    = 30 * time.Millisecond
 )
--- a/internal/harness/fleet_processes_test.go
+++ b/internal/harness/fleet_processes_test.go
@@ -24,7 +24,7 @@
 	"umberwinch/internal/simulation"
 )
 
-// buildPrograms builds umberctl and the node's program once, side by side.
+// buildPrograms builds umberctl and the node's program into one folder, once.
 var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "lab-programs-")
 	if err != nil {
@@ -49,10 +49,10 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// Fleets at once: three on four cores, as one takes some 0.6 of a core. With six busy loops beside them on the same
-	// four cores three fleets keep all, and four are swamped.
+	// Limits the fleets that run in parallel: one takes about 0.6 of a core.
 	flag.Set("test.parallel", fmt.Sprint(min(5, max(3, runtime.NumCPU()-1))))
-	// Runs that break a promise leave their logs, and here many are meant to; they stay where a test fails.
+	// Runs that find a violation keep their work folders, and many tests expect one. The folders are removed unless
+	// a test fails.
 	dir, err := os.MkdirTemp("", "harness-tests-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -66,8 +66,8 @@
 	os.Exit(code)
 }
 
-// TestPolicyCasesOnProcesses plays every hard case on processes, then changes under load that no caller may notice, in three
-// fleets side by side.
+// Every policy case passes on processes, and changes under load go unnoticed by callers. The cases are split over
+// three fleets in parallel.
 func TestPolicyCasesOnProcesses(t *testing.T) {
 	t.Parallel()
 	const parts = 3
@@ -88,14 +88,14 @@
 			}
 			if strings.Count(out.String(), " kept, ") < cases/parts ||
 				!strings.Contains(out.String(), "real_changes=3 ") {
-				t.Fatalf("last line of\n%s", out.String())
+				t.Fatalf("want at least %d cases kept and real_changes=3 in\n%s", cases/parts, out.String())
 			}
 		})
 	}
 }
 
-// TestPolicyCasesFailWithoutGuard takes out each guard: the case that needs it breaks. Each guard that a command takes has
-// to have a case here.
+// With a guard disabled, the case that depends on it has to find a violation. Every guard that the command can
+// disable needs a case.
 func TestPolicyCasesFailWithoutGuard(t *testing.T) {
 	t.Parallel()
 	cases := map[string]string{"fence": "stopped past its lease and continued",
@@ -106,7 +106,7 @@
 		"no-way-back": "an instance that is behind speaks to a node that starts"}
 	for _, guard := range policy.GuardNames() {
 		if !slices.Contains(PolicyCases(), cases[guard]) {
-			t.Errorf("guard %s: no case shows what breaks without it, found %q", guard, cases[guard])
+			t.Errorf("guard %s: got case %q, want one of PolicyCases()", guard, cases[guard])
 		}
 	}
 	for guard, only := range cases {
@@ -120,8 +120,8 @@
 	}
 }
 
-// expectViolationWithout plays a case on processes with a guard out. They go at the machine's pace, so it is played three times
-// at most: a promise has to break in one.
+// expectViolationWithout runs a case on processes with a guard disabled, under three seeds at most, as processes run
+// at the machine's pace: one of them has to find a violation.
 func expectViolationWithout(t *testing.T, guard, only string, run func(seed int64, w io.Writer) (*report.Report, error)) {
 	t.Helper()
 	var out bytes.Buffer
@@ -135,11 +135,11 @@
 			return
 		}
 	}
-	t.Errorf("without %s no promise broke in %q\n%s", guard, only, out.String())
+	t.Errorf("without guard %s case %q found no violation, want one\n%s", guard, only, out.String())
 }
 
-// TestFleetServesWithoutGroup: under go-on a fleet serves on when the group is gone, also a node that starts then; a change made
-// with a node cut off is called off, and made once that node is forgotten.
+// With when_alone = go-on, nodes serve without the group, also a node that starts then. A change waits for a node
+// that is cut off, is aborted, and settles once that node is forgotten.
 func TestFleetServesWithoutGroup(t *testing.T) {
 	t.Parallel()
 	p := &PolicyTest{Seed: 5, Size: 6, Program: builtProgram(t)}
@@ -154,9 +154,9 @@
 			t.Fatalf("%s: %v\n%s", what, err, b.logTail("n1", 8))
 		}
 	}
-	// A node cut off goes on, so a change waits for it and is called off.
+	// A node that is cut off serves autonomously, so a change waits for it and is aborted.
 	b.partitionFromGroup(b.nodes[0])
-	check("the silence of a node", b.await(20*time.Second, func() error {
+	check("node n1 silent", b.await(20*time.Second, func() error {
 		all, err := b.Nodes()
 		if err == nil && all["n1"].OutReason == "" {
 			err = os.ErrDeadlineExceeded
@@ -164,33 +164,33 @@
 		return err
 	}))
 	number, _, err := b.Propose(b.text(""), policyProposal(2000))
-	check("a change", err)
+	check("change", err)
 	c, err := b.AwaitStep(number, 20*time.Second, "called off", "settled")
-	check("its end", err)
+	check("end of the change", err)
 	if c.Step != "called off" || !strings.Contains(c.AbortReason, "n1 (is silent and may serve alone") {
-		t.Fatalf("change %+v, expected it called off for n1", c)
+		t.Fatalf("got change %+v, want it called off for n1", c)
 	}
 	if code, _, _ := b.sendOne("n1"); code != 200 {
-		t.Errorf("the node that is cut off answers %d, expected that it serves", code)
+		t.Errorf("node n1, cut off from the group: status %d, want 200", code)
 	}
-	// Killed and forgotten, it is waited for no more.
+	// A node that is killed and forgotten doesn't block a change.
 	b.nodes[0].Kill()
 	var out map[string]string
 	_, err = b.requestAny("POST", "/v1/nodes/forget", map[string]string{"name": "n1"}, &out)
-	check("forgetting", err)
+	check("forget n1", err)
 	b.extraText = "[zones]\ndecide = auto\nfirst = 0.125\nhold = 500ms\nsmall_start = yes\n"
 	number, version, err := b.Propose(b.text(""), policyProposal(10000))
-	check("a change", err)
+	check("change", err)
 	_, err = b.awaitSettled(number, version)
-	check("a change without the node that was forgotten", err)
-	// The group goes; all serve on, and one that starts now serves its last version.
+	check("change without the forgotten node", err)
+	// Without the group all nodes serve, and a node that starts then serves its last version.
 	for _, p := range b.group.instances {
 		b.group.kill(p)
 	}
 	b.nodes[1].Kill()
-	check("a start without the group", b.nodes[1].Start())
+	check("start of n2 without the group", b.nodes[1].Start())
 	time.Sleep(2 * b.lease)
-	check("service without the group", b.await(20*time.Second, func() error {
+	check("serving without the group", b.await(20*time.Second, func() error {
 		for _, n := range b.nodes[1:] {
 			if code, _, err := b.sendOne(n.name); code != 200 {
 				return err
@@ -199,23 +199,24 @@
 		return nil
 	}))
 	if !strings.Contains(b.logTail("n2", 20), `"msg":"node serves autonomously, without the group","policy_version":`) {
-		t.Errorf("n2 does not say that it is alone:\n%s", b.logTail("n2", 8))
+		t.Errorf("n2 does not log that it serves autonomously:\n%s", b.logTail("n2", 8))
 	}
 	if !strings.Contains(b.logTail("n2", 20),
 		`"msg":"cold start without the group: serving begins with a quota","share":32,`) {
-		t.Errorf("n2 starts without the group and does not begin small:\n%s", b.logTail("n2", 8))
+		t.Errorf("n2 does not log a cold start with a quota of 32:\n%s", b.logTail("n2", 8))
 	}
 	for _, p := range b.group.instances {
-		check("the group's start", b.group.start(p, ""))
+		check("restart of the group", b.group.start(p, ""))
 	}
 	b.heal()
-	check("the fleet with the group", b.AwaitAllServing(version, 30*time.Second))
+	check("serving with the group", b.AwaitAllServing(version, 30*time.Second))
 	if _, err = b.Check(simulation.FleetPromises{}); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestLocalFleetRestartsKilledProcesses: what README shows runs, starts again what is killed, and ends clean.
+// The local fleet starts, restarts a killed node and a killed instance, and leaves no process behind when its
+// context ends.
 func TestLocalFleetRestartsKilledProcesses(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -226,14 +227,14 @@
 		defer close(done)
 		result <- (&LocalFleet{Program: builtProgram(t), Dir: dir, Instances: 3, Nodes: 3, Rate: 50}).Run(ctx, out)
 	}()
-	t.Cleanup(func() { cancel(); <-done }) // nothing is left behind where the test fails
+	t.Cleanup(func() { cancel(); <-done }) // no process is left behind if the test fails
 	pid := 0
 	waitFor := func(what string, condition func() bool) {
 		t.Helper()
 		for end := time.Now().Add(40 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
 			select {
 			case err := <-result:
-				t.Fatalf("%s: it ended: %v\n%s", what, err, out.String())
+				t.Fatalf("%s: Run() returned early: %v\n%s", what, err, out.String())
 			default:
 			}
 			if time.Now().After(end) {
@@ -261,11 +262,11 @@
 		t.Error(err)
 	}
 	if err := syscall.Kill(pid, 0); err == nil {
-		t.Error("a node's process is left behind")
+		t.Errorf("process %d of node n1 runs after Run() has returned", pid)
 	}
 }
 
-// lockedBuffer is a buffer that one goroutine writes and another reads.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -295,8 +296,8 @@
 
 func policyProposal(within uint64) policy.Proposal { return policy.Proposal{PrepareWithinMS: within} }
 
-// TestRejectedCallersBackOff: callers that are turned away by all ask on ever more slowly, so that a fleet that is down stays
-// able to come up; eager ones go on at once.
+// Callers that every node rejects back off, so that they don't take the cores that a restarting fleet needs. With
+// RetryImmediately they don't.
 func TestRejectedCallersBackOff(t *testing.T) {
 	overloaded := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -306,7 +307,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Classes[0].Handler.Timeout = 10_000 // a second: three at once, then after 30, 90, 210, 450 and 930 ms
+	s.Classes[0].Handler.Timeout = 10_000 // 1 s: three attempts at once, then after 30, 90, 210, 450 and 930 ms
 	for _, immediate := range []bool{false, true} {
 		r := &FleetProcesses{FleetProcessesConfig: FleetProcessesConfig{RetryImmediately: immediate},
 			readiness: &readiness{readyAt: map[string]time.Time{"n1": time.Now()}}, client: overloaded.Client()}
