--- a/internal/harness/emulated_store.go
+++ b/internal/harness/emulated_store.go
@@ -20,11 +20,11 @@
 	random       *rand.Rand
 	workerFreeAt []time.Time // by worker
 	callTime     time.Duration
-	coldFactor   float64 // factor on callTime while the cache is empty
-	warmUpCalls  float64 // calls that fill an empty cache
-	warmth       float64
-	speed        float64
-	errorRate    float64
+	coldFactor   float64         // factor on callTime while the cache is empty
+	warmUpCalls  float64         // calls that fill an empty cache
+	warmth       float64         // filled fraction of the cache
+	speed        float64         // factor on the workers' speed
+	errorRate    float64         // fraction of calls that fail
 	dropped      map[string]bool // by id of a call
 	started      time.Time
 	loads        []float64         // requested worker time over available time, by tenth of a second from started on
--- a/internal/harness/forwarders.go
+++ b/internal/harness/forwarders.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// forwarders stands between instances of a group of processes: a forwarder in front of each peers' address,
-// which knows by the greeting who dialled, and can part any two, one way each.
+// forwarders forward connections between instances, nodes and callers, and inject faults by the names of both ends.
+// The forwarder before an instance's peer address learns the name of the dialling instance from its handshake.
 type forwarders struct {
 	mu        sync.Mutex
-	blocked   map[[2]string]bool // by names, from and to
+	blocked   map[[2]string]bool // by names: from, to
 	faults    map[[2]string]linkFault
 	conns     map[net.Conn][2]string
 	wg        sync.WaitGroup
 	listeners []net.Listener
-	accepted  map[net.Conn]bool // what was accepted and has not ended
+	accepted  map[net.Conn]bool // accepted connections until they are closed
 	closed    bool
 }
 
@@ -31,12 +31,12 @@
 		accepted: map[net.Conn]bool{}}
 }
 
-// forwardPeers forwards what comes to a listener to an instance.
+// forwardPeers forwards peer connections that a listener accepts to an instance.
 func (s *forwarders) forwardPeers(l net.Listener, name, to string) {
 	s.serve(l, func(c net.Conn) { s.forwardPeer(c, name, to) })
 }
 
-// serve takes what comes to a listener until it is closed.
+// serve handles connections that a listener accepts, until it is closed.
 func (s *forwarders) serve(l net.Listener, handle func(net.Conn)) {
 	s.listeners = append(s.listeners, l)
 	s.wg.Add(1)
@@ -57,7 +57,7 @@
 	}()
 }
 
-// track notes a connection for close; false: the forwarders are closed.
+// track registers a connection for close. It returns false if the forwarders are closed.
 func (s *forwarders) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,8 +74,8 @@
 	s.mu.Unlock()
 }
 
-// forwardPeer reads the greeting to learn who dials, then copies both ways until either side ends or the two are
-// parted.
+// forwardPeer reads the handshake for the dialling instance's name, then copies both ways until either side closes
+// or the two instances are partitioned.
 func (s *forwarders) forwardPeer(c net.Conn, name, to string) {
 	defer c.Close()
 	c.SetReadDeadline(time.Now().Add(2 * time.Second))
@@ -124,7 +124,8 @@
 	<-copied
 }
 
-// partition cuts one instance off from some others, both ways, or only what it says or only what it hears.
+// partition blocks connections that an instance dials to others (outbound), that the others dial to it (inbound), or
+// both. It closes open ones.
 func (s *forwarders) partition(name string, others []string, outbound, inbound bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,25 +144,27 @@
 	}
 }
 
+// heal removes all faults and partitions.
 func (s *forwarders) heal() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.blocked, s.faults = map[[2]string]bool{}, map[[2]string]linkFault{}
 }
 
-// linkFault is what goes wrong on the lines from one to another, both named where they are made.
+// linkFault is a fault on the link from one named end to another.
 type linkFault struct {
-	cut          bool          // nothing opens, and what is open closes
-	dropRequests bool          // what the one says is swallowed
-	dropReplies  bool          // and what the other answers
-	delay        time.Duration // of each piece, both ways
-	dropPrefix   string        // connections that begin so are swallowed
-	replace      [2]string     // what is said has the one in place of the other, of the same length: a node that lies
-	// in place of what the other one answers to POST /v1/nodes: an instance that is behind
+	cut          bool          // new connections are rejected, open ones are closed
+	dropRequests bool          // data from the dialling end is dropped
+	dropReplies  bool          // data from the other end is dropped
+	delay        time.Duration // of each read, in both directions
+	dropPrefix   string        // connections whose data begins with it are dropped from there on
+	replace      [2]string     // old and new bytes, of the same length, in data from the dialling end
+	// response to every POST, in place of the other end's, as a stale instance would send it
 	staleResponse []byte
 }
 
-// set puts a fault in place of the one before.
+// set replaces the fault of a link. It closes the link's connections if the new fault cuts it or has a stale
+// response.
 func (s *forwarders) set(from, to string, f linkFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,6 +177,7 @@
 	}
 }
 
+// faultFor returns the fault of a link, cut if it is partitioned.
 func (s *forwarders) faultFor(key [2]string) linkFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,7 +186,7 @@
 	return f
 }
 
-// listenBetween opens an address on which one reaches another, and forwards what comes.
+// listenBetween opens an address that forwards to target, with the faults of the link from one end to another.
 func (s *forwarders) listenBetween(from, to, target string) (string, error) {
 	l, err := net.Listen("tcp", newLoopbackAddr(7300))
 	if err != nil {
@@ -192,6 +196,7 @@
 	return l.Addr().String(), nil
 }
 
+// relay copies a connection to and from the target under the link's fault.
 func (s *forwarders) relay(c net.Conn, key [2]string, target string) {
 	defer c.Close()
 	f := s.faultFor(key)
@@ -226,7 +231,8 @@
 	<-copied
 }
 
-// serveStaleResponse answers a node in an instance's place with what it said long ago; texts it has from the true one.
+// serveStaleResponse serves HTTP requests in an instance's place: a GET is forwarded to the instance, any other
+// request gets the stale response.
 func serveStaleResponse(c net.Conn, target string, response []byte) {
 	lines := bufio.NewReader(c)
 	for {
@@ -248,7 +254,7 @@
 	}
 }
 
-// copyBytes copies piece by piece, but for what is swallowed.
+// copyBytes copies what it reads from src to dst, with the link's delay and replacement, except what drop selects.
 func (s *forwarders) copyBytes(dst, src net.Conn, key [2]string, drop func(linkFault, []byte) bool) {
 	buf := make([]byte, 16<<10)
 	for {
@@ -274,7 +280,7 @@
 	}
 }
 
-// close ends all connections and waits for what forwards them. The processes behind them have ended before.
+// close closes the listeners and all connections, and waits for the forwarding goroutines.
 func (s *forwarders) close() {
 	for _, l := range s.listeners {
 		l.Close()
--- a/internal/harness/heartbeat_load.go
+++ b/internal/harness/heartbeat_load.go
@@ -1,6 +1,6 @@
 package harness
 
-// This file measures a group that gets the heartbeats of thousands of members over sockets.
+// This file measures a group under the heartbeats of thousands of nodes over sockets.
 
 import (
 	"bytes"
@@ -23,13 +23,12 @@
 	"umberwinch/internal/report"
 )
 
-// heartbeatNodes is the size of the fleet whose heartbeats a group of processes gets, from as many members in this one.
+// heartbeatNodes is the number of nodes that send heartbeats.
 const heartbeatNodes = 5000
 
-// measureHeartbeats measures what the heartbeats of a fleet of the full size cost the group: processes of the control
-// service, and members in this process, each with a connection of its own. First all members join within ten seconds
-// and the group is measured at rest; then the group and all members are killed, and come back within a second of each
-// other.
+// measureHeartbeats measures the group's cost for the heartbeats of heartbeatNodes nodes, which run in this process
+// with a connection each. All nodes join within 10 s and the group is measured in steady state; then the group and
+// all nodes are killed and restart within a second.
 func (r *PolicyTest) measureHeartbeats(ctx context.Context, rep *report.Report) error {
 	return withGroup(ctx, r.Program, rep, 3, "", func(c *controlProcesses) error {
 		transport := &http.Transport{MaxIdleConnsPerHost: heartbeatNodes, MaxIdleConns: 3 * heartbeatNodes}
@@ -47,10 +46,10 @@
 	})
 }
 
-// groupUsage is what a group has done for heartbeats so far.
+// groupUsage is the group's cumulative cost for heartbeats.
 type groupUsage struct {
 	view      consensus.PolicyView
-	leaderCPU time.Duration // of the leader
+	leaderCPU time.Duration
 }
 
 func (m *heartbeatLoad) usage(ctx context.Context, leader *instanceProcess) (u groupUsage, err error) {
@@ -61,7 +60,8 @@
 	return u, err
 }
 
-// measureAtRest holds the group to having all members in, and counts what they cost it over a while.
+// measureAtRest measures the cost of heartbeats in steady state. All nodes have to be active and at most 1% of
+// heartbeats may fail.
 func (m *heartbeatLoad) measureAtRest(ctx context.Context, rep *report.Report) error {
 	const span = 20 * time.Second
 	leader := m.group.leader()
@@ -87,13 +87,15 @@
 	rep.Add("crowd_leader_cores", "%.2f", (after.leaderCPU-before.leaderCPU).Seconds()/seconds)
 	rep.Add("crowd_lost", "%d", m.failed.Load())
 	if current.ActiveNodes != heartbeatNodes || m.failed.Load() > m.heartbeats.Load()/100 {
-		rep.Break("a group asked by %d nodes has %d in, and %d of %d askings were lost", heartbeatNodes, current.ActiveNodes,
+		rep.Break("steady state: %[2]d of %[1]d nodes are active, %[3]d of %[4]d heartbeats failed, want all active and at "+
+			"most 1%% failed", heartbeatNodes, current.ActiveNodes,
 			m.failed.Load(), m.heartbeats.Load())
 	}
 	return nil
 }
 
-// measureRestart kills the group and all members, has them come back within a second, and times when all are in again.
+// measureRestart kills the group and all nodes, restarts them within a second, and measures the time until all nodes
+// have a lease again.
 func (m *heartbeatLoad) measureRestart(ctx context.Context, rep *report.Report) error {
 	m.close()
 	for _, p := range m.group.instances {
@@ -131,24 +133,24 @@
 	rep.Add("restart_leader_cpu_s", "%.2f", cpu.Seconds())
 	rep.Add("restart_leader_mb", "%.0f", residentMB(leader.pid()))
 	if m.leasedNodes.Load() < heartbeatNodes {
-		rep.Break("a group and %d nodes restart at once, and %d are in after %v", heartbeatNodes, m.leasedNodes.Load(), leasedAfter)
+		rep.Break("restart of the group and %d nodes: %d nodes have a lease after %v, want all within 1m0s", heartbeatNodes, m.leasedNodes.Load(), leasedAfter)
 	}
 	return nil
 }
 
-// heartbeatLoad is a fleet of members in this process that send heartbeats to a group.
+// heartbeatLoad is a number of nodes in this process that send heartbeats to a group.
 type heartbeatLoad struct {
 	group       *controlProcesses
 	client      *http.Client
 	startedAt   time.Time
 	heartbeats  atomic.Int64
 	failed      atomic.Int64
-	leasedNodes atomic.Int64 // members that hold a lease
+	leasedNodes atomic.Int64 // nodes that hold a lease
 	wg          sync.WaitGroup
-	cancel      context.CancelFunc // of the members that run
+	cancel      context.CancelFunc // stops the running nodes
 }
 
-// start starts all members within a time; close ends them.
+// start starts all nodes, spread evenly over a time.
 func (m *heartbeatLoad) start(ctx context.Context, incarnation int, within time.Duration) {
 	ctx, m.cancel = context.WithCancel(ctx)
 	m.leasedNodes.Store(0)
@@ -168,13 +170,13 @@
 	}
 }
 
-// close ends all members and waits for them.
+// close stops all nodes and waits for them.
 func (m *heartbeatLoad) close() {
 	m.cancel()
 	m.wg.Wait()
 }
 
-// runNode is one member, with a connection of its own.
+// runNode sends one node's heartbeats until the context ends.
 func (m *heartbeatLoad) runNode(ctx context.Context, config agent.Config) {
 	now := func() uint64 { return uint64(time.Since(m.startedAt).Milliseconds()) + 1000 }
 	node, leased := agent.New(config, nil, now()), false
@@ -206,7 +208,7 @@
 	}
 }
 
-// residentMB gives a process's resident memory in MB, 0 if it can't be told.
+// residentMB returns a process's resident memory, 0 if it can't be read.
 func residentMB(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	var size, resident int
@@ -216,6 +218,7 @@
 	return float64(resident*os.Getpagesize()) / (1 << 20)
 }
 
+// postJSON posts a JSON body and decodes the response into out. Any status but 200 is an error.
 func postJSON(ctx context.Context, client *http.Client, url string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -236,7 +239,7 @@
 	return json.Unmarshal(raw, out)
 }
 
-// cpuTime gives the processor time that a process has used.
+// cpuTime returns the processor time that a process has used.
 func cpuTime(pid int) (time.Duration, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -249,5 +252,5 @@
 	}
 	user, err1 := strconv.Atoi(f[11])
 	system, err2 := strconv.Atoi(f[12])
-	return time.Duration(user+system) * 10 * time.Millisecond, errors.Join(err1, err2) // the kernel counts in 1/100 s
+	return time.Duration(user+system) * 10 * time.Millisecond, errors.Join(err1, err2) // /proc counts in 1/100 s
 }
--- a/internal/harness/local_fleet.go
+++ b/internal/harness/local_fleet.go
@@ -10,7 +10,7 @@
 	"umberwinch/internal/control/policy"
 )
 
-// LocalFleet is a fleet on loopback for trying things out: it starts again what ends.
+// LocalFleet is a fleet on loopback addresses, for trying things out. Processes that exit are restarted.
 type LocalFleet struct {
 	Program, Dir     string
 	Instances, Nodes int
@@ -18,7 +18,8 @@
 	Seconds          int
 }
 
-// Run starts it, says what can be done with it, and goes on until the context ends. In the end it says where logs are.
+// Run starts the fleet, prints commands to try and callers' results until the context ends, and at the end names the
+// folder of the logs.
 func (l *LocalFleet) Run(ctx context.Context, w io.Writer) error {
 	if err := l.run(ctx, w); err != nil && ctx.Err() == nil {
 		return fmt.Errorf("%w; logs are in %s", err, l.Dir)
@@ -28,9 +29,9 @@
 }
 
 func (l *LocalFleet) run(ctx context.Context, w io.Writer) error {
-	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // so that what is started can be ended in order
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // outlives ctx, so that Close stops processes in order
 	defer cancel()
-	detach := context.AfterFunc(ctx, cancel) // until then there is nothing to be ended in order
+	detach := context.AfterFunc(ctx, cancel) // ctx aborts the start
 	r, err := NewFleetProcesses(runCtx, FleetProcessesConfig{Program: l.Program, Dir: l.Dir, Seed: 1,
 		Instances: l.Instances, Nodes: l.Nodes, PersistPolicy: true, RestartExited: true})
 	if err != nil {
--- a/internal/harness/node_process.go
+++ b/internal/harness/node_process.go
@@ -12,11 +12,11 @@
 	"umberwinch/internal/simulation"
 )
 
-// nodeProcess is one node's process with its kernel.
+// nodeProcess is a node that runs as a process, with its emulated kernel.
 type nodeProcess struct {
 	fleet                                *FleetProcesses
 	name, zone                           string
-	listen, callerAddr                   string // its own address, and the forwarder before it that callers use
+	listen, callerAddr                   string // the node's own address, and the forwarder that callers use
 	policyDir, startupFile, operatorFile string
 	log                                  *os.File
 	process                              process
@@ -57,8 +57,8 @@
 	return n, err
 }
 
-// openStore gives the node the service below of its zone, where the fleet has any, and an address at which other nodes
-// reach it; both are empty where there is none.
+// openStore returns the address of the emulated store of the node's zone, and an address at which other nodes reach
+// this one. Both are empty if the fleet has no stores.
 func (n *nodeProcess) openStore(seed int64) (store, peerAddr string, err error) {
 	r := n.fleet
 	if !r.WithStores {
@@ -75,8 +75,8 @@
 	return r.stores[n.zone].listener.Addr().String(), peerAddr, err
 }
 
-// openForwarders puts a forwarder before the node for its callers, and one between it and each instance. It gives the
-// addresses of those.
+// openForwarders opens a forwarder from callers to the node and one from the node to each instance. It returns the
+// latter's addresses.
 func (n *nodeProcess) openForwarders() (control []string, err error) {
 	forwarders := n.fleet.group.forwarders
 	if n.callerAddr, err = forwarders.listenBetween("callers", n.name, n.listen); err != nil {
@@ -117,7 +117,7 @@
 	return os.WriteFile(n.operatorFile, []byte(text), 0o600)
 }
 
-// nodeCommand runs a node: by the program beside umberctl, or by umberctl's hidden command.
+// nodeCommand returns the command of a node: the program beside umberctl, or umberctl's hidden command.
 func nodeCommand(umberctl string) *exec.Cmd {
 	if program := filepath.Join(filepath.Dir(umberctl), "umberwinch"); fileExists(program) {
 		return exec.Command(program)
@@ -130,7 +130,7 @@
 	return err == nil
 }
 
-// Start runs the node's program.
+// Start starts the node's process.
 func (n *nodeProcess) Start() error {
 	cmd := nodeCommand(n.fleet.Program)
 	cmd.Stderr = n.log
@@ -139,47 +139,47 @@
 	return n.process.start(cmd)
 }
 
-// setState notes what the scenario has done to the node.
+// setState records whether the scenario has the node down or paused.
 func (n *nodeProcess) setState(down, paused bool) {
 	n.fleet.mu.Lock()
 	n.down, n.paused = down, paused
 	n.fleet.mu.Unlock()
 }
 
-// isUp tells whether the scenario has left the node running.
+// isUp reports whether the scenario has the node running.
 func (n *nodeProcess) isUp() bool {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	return !n.down && !n.paused
 }
 
-// Kill ends the node as kill -9 does.
+// Kill kills the node with SIGKILL.
 func (n *nodeProcess) Kill() {
 	n.setState(true, false)
 	n.process.kill()
 }
 
-// Drain ends it with the platform's notice.
+// Drain sends SIGTERM, by which the platform drains a node.
 func (n *nodeProcess) Drain() {
 	n.setState(true, false)
 	n.process.signal(syscall.SIGTERM)
 }
 
-// Pause has it stand still; Resume has it go on as if nothing had happened.
+// Pause suspends the process with SIGSTOP.
 func (n *nodeProcess) Pause() {
 	n.process.signal(syscall.SIGSTOP)
 	n.setState(false, true)
 	n.fleet.recordEvent("pause", n.name)
 }
 
-// Resume ends a Stop.
+// Resume continues the process with SIGCONT.
 func (n *nodeProcess) Resume() {
 	n.fleet.recordEvent("resume", n.name)
 	n.setState(false, false)
 	n.process.signal(syscall.SIGCONT)
 }
 
-// close ends all that the node has.
+// close kills the process for good and closes the emulated kernel and the log.
 func (n *nodeProcess) close() {
 	n.process.close()
 	if n.kernel != nil {
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -17,20 +17,20 @@
 type PolicyTest struct {
 	Seed          int64
 	Quick         bool
-	Size          int // nodes of the real part
+	Size          int // nodes of the fleet of processes
 	Out           string
 	Without       policy.Guard
-	ProcessGuards string // the guards, as words for processes
+	ProcessGuards string // names of the guards disabled in processes
 	Mode          string // virtual, real or both
 	Schedules     int
 	Changes       int
 	Program       string
-	Only          string // one case
-	Part          int    // of Parts: which of the cases, for runs side by side; 0 of 0 for all
-	Parts         int
+	Only          string // name of the one case to run; empty: all
+	Part          int    // which of Parts subsets of the cases to run
+	Parts         int    // 0: all cases in one run
 }
 
-// Numbers of the two modes. Quick ends within 50 s on four cores.
+// Virtual schedules and changes on processes, with --quick and without.
 const (
 	quickPolicySchedules = 200
 	longPolicySchedules  = 2000
@@ -38,7 +38,7 @@
 	longChanges          = 100
 )
 
-// Run plays virtual schedules and large fleets, then processes, and reports.
+// Run runs schedules and large fleets in virtual time, then a fleet of processes, and writes the report.
 func (r *PolicyTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "policy", Title: "A change of policy everywhere or nowhere",
 		Head: []string{"PART", "NODES", "CHANGES", "SETTLED", "CALLED OFF", "MEDIAN", "99TH", "WORST", "OVERLAP"}}
@@ -60,7 +60,7 @@
 	return rep.End(r.Out, w)
 }
 
-// quantileCells gives the quantiles of times as a table's cells.
+// quantileCells returns the median, the 99th percentile and the maximum of times in ms, as a table's cells.
 func quantileCells(times []float64) []string {
 	sort.Float64s(times)
 	at := func(q float64) string {
@@ -72,6 +72,7 @@
 	return []string{at(0.5), at(0.99), at(1)}
 }
 
+// addRow adds a row to the table; overlap is in tenths of a ms.
 func (r *PolicyTest) addRow(rep *report.Report, part string, nodes, changes int, ends map[policy.Step]int,
 	times []float64, overlap int64) {
 	rep.Rows = append(rep.Rows, append(append([]string{part, strconv.Itoa(nodes), strconv.Itoa(changes),
@@ -79,7 +80,7 @@
 		fmt.Sprintf("%.0f ms", float64(overlap)/10)))
 }
 
-// runVirtual plays schedules of faults on all cores, each from a seed of its own.
+// runVirtual runs schedules of faults on all cores, each from a seed of its own.
 func (r *PolicyTest) runVirtual(ctx context.Context, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
@@ -118,8 +119,8 @@
 	broken.report(rep)
 }
 
-// runLargeFleets plays fleets of the full size, calm and with a third down, and beside them the two baselines: telling each node
-// as it comes, and a majority of nodes.
+// runLargeFleets runs large fleets without random faults, with all nodes up and with a third down. The baselines
+// apply a change at each node as it arrives, and after a majority of nodes.
 func (r *PolicyTest) runLargeFleets(ctx context.Context, rep *report.Report) {
 	sizes := []int{300, 5000}
 	if r.Quick {
@@ -155,10 +156,10 @@
 	}
 }
 
-// OnlyLoad stands for the changes under load and the group asked by a fleet of the full size, without the cases.
+// OnlyLoad, as the case, selects the changes under load and the heartbeats of a large fleet, without any case.
 const OnlyLoad = "load"
 
-// runProcesses plays the cases on processes, then many changes under load.
+// runProcesses runs the cases on processes, then changes under load.
 func (r *PolicyTest) runProcesses(ctx context.Context, w io.Writer, rep *report.Report) error {
 	return withWorkFolder(ctx, rep, func(dir string) error { return r.runProcessesIn(ctx, dir, w, rep) })
 }
@@ -184,7 +185,7 @@
 	return r.measureHeartbeats(ctx, rep)
 }
 
-// playCases plays the cases that were asked for, one after the other under load, up to the first that breaks.
+// playCases runs the selected cases in turn under load, up to the first violation.
 func (r *PolicyTest) playCases(ctx context.Context, b *policyFixture, w io.Writer, rep *report.Report) {
 	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -213,8 +214,8 @@
 	return caseSelection{only: r.Only, quick: r.Quick, part: r.Part, parts: r.Parts}
 }
 
-// playCase plays a case; then, with every link whole again, all nodes have to serve and the history to keep its
-// promises.
+// playCase runs a case. Afterwards, with all link faults removed, all nodes have to serve and the history has to
+// hold its invariants.
 func (b *policyFixture) playCase(c *policyCase) error {
 	err := runCase(func() { c.run(b) })
 	b.heal()
@@ -227,8 +228,8 @@
 	return err
 }
 
-// measureFencing measures what it costs callers that a zone is cut off from the group and stops serving: the same load for as
-// long, whole and cut.
+// measureFencing measures the effect on callers of a zone that is cut off from the group and fenced, under the same
+// load as without the fault.
 func (r *PolicyTest) measureFencing(ctx context.Context, b *policyFixture, rep *report.Report) error {
 	const span = 10 * time.Second
 	for _, cut := range []bool{false, true} {
@@ -249,7 +250,7 @@
 	return b.AwaitAllServing(b.committedVersion, 20*time.Second)
 }
 
-// runChanges makes changes one after the other under load, none of which a caller may notice.
+// runChanges makes changes in turn under load; no caller may notice one.
 func (r *PolicyTest) runChanges(ctx context.Context, b *policyFixture, rep *report.Report) error {
 	n := r.Changes
 	if n == 0 {
@@ -289,7 +290,7 @@
 	rep.Notes = append(rep.Notes, "before the first change: "+before,
 		fmt.Sprintf("done within %.0f ms in the median, %.0f at the 99th", calls.quantile(0.5), calls.quantile(0.99)))
 	if calls.Lost+calls.Shed+calls.Errors > 0 {
-		rep.Break("callers noticed %d changes: %v", n, calls)
+		rep.Break("%d changes under load: want no request lost, shed or errored, got %v", n, calls)
 	}
 	return nil
 }
--- a/internal/harness/policy_fixture.go
+++ b/internal/harness/policy_fixture.go
@@ -1,6 +1,6 @@
 package harness
 
-// This file has what a case on processes is written with: proposing, waiting for steps, losing leaders.
+// This file has the fixture of the policy cases on processes: proposals, waits for steps, failures of the leader.
 
 import (
 	"cmp"
@@ -14,23 +14,23 @@
 	"umberwinch/internal/simulation"
 )
 
-// testLease is the lease of the real part's policies: short, so that what waits for one ends soon, and long beside a
-// failover of the group.
+// testLease is the lease of policies on processes: short, so that waits for its end are, but longer than the group's
+// failover.
 const testLease = 2 * time.Second
 
-// policyText is a version's text; n makes each another.
+// policyText returns a policy's text; n makes it differ from other versions.
 func policyText(lease time.Duration, whenAlone string, n int, extra string) string {
 	return fmt.Sprintf("[fleet]\nlease = %v\nwhen_alone = %s\n[tenant t0]\nrate = %d\n%s", lease, whenAlone, 1000+n, extra)
 }
 
-// policyFixture is a fleet under load, for the cases.
+// policyFixture is a fleet under load, with the state that cases share.
 type policyFixture struct {
 	*FleetProcesses
-	textCount        int // texts made so far
+	textCount        int // number of texts generated
 	committedVersion uint64
 	lease            time.Duration
 	whenAlone        string
-	extraText        string // that all its texts have
+	extraText        string // appended to every text
 }
 
 func (b *policyFixture) text(extra string) string {
@@ -38,7 +38,7 @@
 	return policyText(b.lease, b.whenAlone, b.textCount, b.extraText+extra)
 }
 
-// change makes a change and waits until it is settled and all that are up serve under it.
+// change proposes a change and waits until it has settled and all running nodes serve under it.
 func (b *policyFixture) change(p policy.Proposal) (*policy.Change, error) {
 	number, version, err := b.Propose(b.text(""), p)
 	if err != nil {
@@ -53,25 +53,25 @@
 		return c, err
 	}
 	if c.Step != policy.Settled {
-		return c, fmt.Errorf("change %d was called off: %s", number, c.AbortReason)
+		return c, fmt.Errorf("change %d was called off (%s), want it settled", number, c.AbortReason)
 	}
 	b.committedVersion = version
 	return c, b.AwaitAllServing(version, 20*time.Second)
 }
 
-// awaitAborted waits until a change is called off, and holds the fleet to serving on under the older version.
+// awaitAborted waits until a change is aborted, and checks that all nodes serve under the previous version.
 func (b *policyFixture) awaitAborted(number uint64) (*policy.Change, error) {
 	c, err := b.AwaitStep(number, 40*time.Second, policy.Settled, policy.Aborted)
 	if err != nil {
 		return c, err
 	}
 	if c.Step != policy.Aborted {
-		return c, fmt.Errorf("change %d is settled, expected it called off", number)
+		return c, fmt.Errorf("change %d is settled, want it called off", number)
 	}
 	return c, b.AwaitAllServing(b.committedVersion, 20*time.Second)
 }
 
-// abort has an operator call a change off, and gives why it was not.
+// abort aborts a change as an operator. It returns the reason if the group rejects that.
 func (b *policyFixture) abort(number uint64) (rejection string, err error) {
 	var res struct {
 		Error string `json:"error"`
@@ -82,24 +82,24 @@
 	return res.Error, err
 }
 
-// sendOne sends one request to one node.
+// sendOne sends one request to a node. The error names the node and the status, whatever the status is.
 func (b *policyFixture) sendOne(name string) (status int, retryAfter time.Duration, err error) {
 	for _, n := range b.nodes {
 		if n.name == name {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			status, retryAfter = sendAttempt(ctx, b.client, n.callerAddr, "view", 0, 0, "", false)
 			cancel()
-			return status, retryAfter, fmt.Errorf("%s answers %d", name, status)
+			return status, retryAfter, fmt.Errorf("node %s: status %d", name, status)
 		}
 	}
-	return 0, 0, fmt.Errorf("no node %s", name)
+	return 0, 0, fmt.Errorf("the fleet has no node %s", name)
 }
 
-// caseSelection is which cases of a list a run plays.
+// caseSelection selects the cases of a run.
 type caseSelection struct {
-	only        string // the one of this name; empty: all, but with quick none that is long
+	only        string // name of the one case; empty: all, without the long ones if quick
 	quick       bool
-	part, parts int // of so many runs side by side this one takes each parts-th case; 0 of 0 for all
+	part, parts int // every parts-th case, from index part on; parts 0: all
 }
 
 func (s caseSelection) includes(i int, name string, long bool) bool {
@@ -109,10 +109,10 @@
 	return name == s.only || s.only == "" && !(long && s.quick)
 }
 
-// caseFailure is what must panics with.
+// caseFailure is the panic value of must.
 type caseFailure struct{ err error }
 
-// must and mustGet go on with a case where a step went well; else the case ends, and runCase gives its error.
+// must and mustGet end a case if err isn't nil; runCase then returns the error.
 func must(err error) {
 	if err != nil {
 		panic(caseFailure{err})
@@ -124,6 +124,7 @@
 	return v
 }
 
+// runCase runs a case and returns the error with which must ended it.
 func runCase(run func()) (err error) {
 	defer func() {
 		switch r := recover().(type) {
@@ -138,18 +139,18 @@
 	return nil
 }
 
-// proposedChange is a change that was proposed.
+// proposedChange identifies a proposed change and its version.
 type proposedChange struct{ number, version uint64 }
 
-// propose makes a change with more in its text than usual.
+// propose proposes a change whose text has extra appended.
 func (b *policyFixture) propose(extra string, p policy.Proposal) proposedChange {
 	number, version, err := b.Propose(b.text(extra), p)
 	must(err)
 	return proposedChange{number, version}
 }
 
-// proposeBlockedBy begins a change that stays at the step preparing, as one node does not get its text; others have
-// prepared it.
+// proposeBlockedBy proposes a change that stays at the step preparing, as one node can't fetch its text, and waits
+// until others have prepared it.
 func (b *policyFixture) proposeBlockedBy(slow *nodeProcess, p policy.Proposal, others ...*nodeProcess) proposedChange {
 	b.setLinkFault(linkFault{dropPrefix: "GET /v1/config"}, slow)
 	c := b.propose("", p)
@@ -159,19 +160,19 @@
 	return c
 }
 
-// release lets a node that was held take part again, and waits until the change stands at one of some steps.
+// release removes the fault of the blocking node and waits until the change is at one of the given steps.
 func (b *policyFixture) release(slow *nodeProcess, c proposedChange, steps ...policy.Step) *policy.Change {
 	b.setLinkFault(linkFault{}, slow)
 	return mustGet(b.AwaitStep(c.number, 30*time.Second, steps...))
 }
 
-// mustSettle waits until a change has settled and all that are up serve under it.
+// mustSettle waits until a change has settled and all running nodes serve under it.
 func (b *policyFixture) mustSettle(c proposedChange) *policy.Change {
 	return mustGet(b.awaitSettled(c.number, c.version))
 }
 
-// settleWhenHealed waits until a change that not all nodes could take part in has settled, ends all link faults, and
-// waits until all serve under it.
+// settleWhenHealed waits until a change has settled without the nodes that have a fault, removes all link faults,
+// and waits until all nodes serve under it.
 func (b *policyFixture) settleWhenHealed(c proposedChange) {
 	mustGet(b.AwaitStep(c.number, 30*time.Second, policy.Settled))
 	b.heal()
@@ -183,7 +184,7 @@
 	must(b.AwaitAllServing(version, 60*time.Second))
 }
 
-// replaceLeader kills the leader, has the others settle a change, and starts it again.
+// replaceLeader kills the leader, waits until the next one settles a change, and restarts the killed instance.
 func (b *policyFixture) replaceLeader(c proposedChange) {
 	p := mustGet(b.killLeader())
 	b.heal()
@@ -191,7 +192,7 @@
 	must(b.group.start(p, ""))
 }
 
-// forEachButFirst does something to all instances but the first: without them there is no majority.
+// forEachButFirst calls action for all instances but the first: without them the group has no majority.
 func (b *policyFixture) forEachButFirst(action func(p *instanceProcess)) {
 	for _, p := range b.group.instances[1:] {
 		action(p)
@@ -200,17 +201,17 @@
 
 func (b *policyFixture) mustStart(p *instanceProcess) { must(b.group.start(p, "")) }
 
-// defaultFleetSize is how many nodes a fixture's fleet has where no size was asked for.
+// defaultFleetSize is the number of nodes of a fleet of processes if none is given.
 const defaultFleetSize = 9
 
-// startFixture starts a fleet with a first policy.
+// startFixture starts a fleet with an initial policy.
 func (r *PolicyTest) startFixture(ctx context.Context, dir string, whenAlone string) (*policyFixture, error) {
 	n := cmp.Or(r.Size, defaultFleetSize)
 	return newPolicyFixture(ctx, FleetProcessesConfig{Program: r.Program, Dir: dir, Seed: r.Seed, Nodes: n,
 		DisabledGuards: r.ProcessGuards, NodeWithoutFill: n}, whenAlone, "")
 }
 
-// newPolicyFixture starts a fleet with three instances, and its first policy; all its texts have extra.
+// newPolicyFixture starts a fleet with three instances and an initial policy. extraText is part of all its texts.
 func newPolicyFixture(ctx context.Context, config FleetProcessesConfig, whenAlone, extraText string) (*policyFixture, error) {
 	config.Instances, config.PersistPolicy = 3, true
 	fleet, err := NewFleetProcesses(ctx, config)
@@ -225,7 +226,7 @@
 	return b, nil
 }
 
-// settleInitialPolicy proposes the first version and waits until it is settled.
+// settleInitialPolicy proposes the first version and waits until it has settled.
 func (b *policyFixture) settleInitialPolicy() error {
 	number, version, err := b.Propose(b.text(""), policy.Proposal{})
 	if err == nil {
@@ -234,7 +235,8 @@
 	return err
 }
 
-// historyLimits of the real part: a lease as the group counts it, and some ms of logs and rounds.
+// historyLimits returns the limits of the history: versions overlap for a lease as the group counts it and 200 ms at
+// most, for the precision of logs and a heartbeat interval.
 func (b *policyFixture) historyLimits() simulation.FleetPromises {
 	return simulation.FleetPromises{Overlap: int64(membership.LeaseSpanMS(uint64(b.lease.Milliseconds())))*10 + 2000,
 		Fences: b.whenAlone == "fence"}
