--- a/internal/harness/forwarders.go
+++ b/internal/harness/forwarders.go
@@ -157,7 +157,7 @@
 	dropRequests bool          // data from the dialling end is dropped
 	dropReplies  bool          // data from the other end is dropped
 	delay        time.Duration // of each read, in both directions
-	dropPrefix   string        // connections whose data begins with it are dropped from there on
+	dropPrefix   string        // once a read from the dialling end begins with it, the rest is dropped
 	replace      [2]string     // old and new bytes, of the same length, in data from the dialling end
 	// response to every POST, in place of the other end's, as a stale instance would send it
 	staleResponse []byte
--- a/internal/harness/heartbeat_load.go
+++ b/internal/harness/heartbeat_load.go
@@ -87,9 +87,8 @@
 	rep.Add("crowd_leader_cores", "%.2f", (after.leaderCPU-before.leaderCPU).Seconds()/seconds)
 	rep.Add("crowd_lost", "%d", m.failed.Load())
 	if current.ActiveNodes != heartbeatNodes || m.failed.Load() > m.heartbeats.Load()/100 {
-		rep.Break("steady state: %[2]d of %[1]d nodes are active, %[3]d of %[4]d heartbeats failed, want all active and at "+
-			"most 1%% failed", heartbeatNodes, current.ActiveNodes,
-			m.failed.Load(), m.heartbeats.Load())
+		rep.Break("steady state: %d of %d nodes are active, %d of %d heartbeats failed, want all active and at most 1%% "+
+			"failed", current.ActiveNodes, heartbeatNodes, m.failed.Load(), m.heartbeats.Load())
 	}
 	return nil
 }
--- a/internal/harness/node_process.go
+++ b/internal/harness/node_process.go
@@ -24,8 +24,8 @@
 	down, paused                         bool // guarded by r.mu
 }
 
-// addNode makes a node: its kernel, its links to callers and to the group, and its files. The fleet owns it from the first
-// step on, so that Close ends also what was made in part.
+// addNode prepares a node: its kernel, its forwarders to callers and the group, and its files. The fleet owns the
+// node from the start, so that Close also cleans up after a failure.
 func (r *FleetProcesses) addNode(i int) (*nodeProcess, error) {
 	n := &nodeProcess{fleet: r, name: fmt.Sprintf("n%d", i+1), zone: fmt.Sprintf("z%d", 1+i%3), listen: newLoopbackAddr(8080)}
 	n.process.onExit = func() { r.recordEvent("stops", n.name) }
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// process is one program that a run starts, ends and may start again. Each start and end goes through it, so that none
-// is left once it is closed.
+// process is a program that a run starts, kills and may restart. All starts and kills go through it, so that no
+// process is left after close.
 type process struct {
-	onExit func() // called at each end, before anybody who waits for it goes on; nil: nothing is
+	onExit func() // called at each exit, before waiters are released; may be nil
 
 	mu     sync.Mutex
-	cmd    *exec.Cmd     // the latest start; nil: there was none
-	exited chan struct{} // closed when that start has ended
+	cmd    *exec.Cmd     // of the latest start; nil before the first
+	exited chan struct{} // closed when that process has exited
 	closed bool
 }
 
 var (
-	errProcessClosed  = errors.New("the run is over, and starts no process any more")
-	errProcessRunning = errors.New("the process runs already")
+	errProcessClosed  = errors.New("process is closed and can't be started")
+	errProcessRunning = errors.New("process is running already")
 )
 
-// start runs a command, unless the process runs or is closed.
+// start starts the command, unless the process is running or closed.
 func (p *process) start(cmd *exec.Cmd) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,20 +55,21 @@
 	return nil
 }
 
-// latest gives the latest start and when it ends; nil where there was none.
+// latest returns the command of the latest start and the channel that is closed at its exit; nil before the first
+// start.
 func (p *process) latest() (*exec.Cmd, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd, p.exited
 }
 
-// done is closed when the latest start has ended.
+// done returns a channel that is closed when the latest start has exited.
 func (p *process) done() <-chan struct{} {
 	_, ended := p.latest()
 	return ended
 }
 
-// pid gives the latest start's process id, 0 where there was none.
+// pid returns the process id of the latest start, 0 before the first.
 func (p *process) pid() int {
 	if cmd, _ := p.latest(); cmd != nil {
 		return cmd.Process.Pid
@@ -82,7 +83,7 @@
 	}
 }
 
-// kill ends the process as kill -9 does, and waits until it is gone.
+// kill kills the process with SIGKILL and waits for its exit.
 func (p *process) kill() {
 	if cmd, ended := p.latest(); cmd != nil {
 		cmd.Process.Kill()
@@ -90,7 +91,7 @@
 	}
 }
 
-// close kills the process for good.
+// close kills the process and prevents further starts.
 func (p *process) close() {
 	p.mu.Lock()
 	p.closed = true
@@ -98,10 +99,10 @@
 	p.kill()
 }
 
-// restartDelay is how long the platform takes to start again what ended.
+// restartDelay is the platform's delay before it restarts a process.
 const restartDelay = 2 * time.Second
 
-// restartOnExit starts the process again after each of its ends, at the platform's pace, until the context ends.
+// restartOnExit restarts the process restartDelay after each exit, until the context ends or a start fails.
 func (p *process) restartOnExit(ctx context.Context, start func() error) {
 	for {
 		select {
@@ -120,7 +121,7 @@
 	}
 }
 
-// openLog opens a file for what a process writes on standard error.
+// openLog opens a process's log for appending.
 func openLog(path string) (*os.File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 }
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -16,17 +16,17 @@
 type RaftTest struct {
 	Seed      int64
 	Quick     bool
-	Size      int // instances; 0 for groups of three and of five
+	Size      int // instances in a group; 0: groups of 3 and of 5
 	Out       string
 	Without   consensus.Guard
 	Mode      string // virtual, real or both
-	Schedules int    // virtual; 0 for the mode's own number
-	Kills     int    // real; 0 for the mode's own number
-	Clients   int    // real; that put while leaders are killed
-	Program   string // umberctl, for real processes
+	Schedules int    // in virtual time; 0: the default of quick or not
+	Kills     int    // of leaders of processes; 0: the default of quick or not
+	Clients   int    // clients that put while leaders are killed
+	Program   string // umberctl, run as an instance
 }
 
-// Numbers of the two modes. Quick ends within 50 s on four cores.
+// Schedules and kills, with --quick and without, and the runs in which a violating schedule is shrunk.
 const (
 	quickRaftSchedules = 400
 	longRaftSchedules  = 6000
@@ -35,7 +35,7 @@
 	maxShrinkRuns      = 80
 )
 
-// Run plays virtual schedules, then real processes, and reports.
+// Run runs schedules in virtual time, then groups of processes, and writes the report.
 func (r *RaftTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "raft", Title: "The replicated group under faults",
 		Head: []string{"PART", "GROUPS", "RUNS", "STEPS OR PUTS", "BROKEN", "MEDIAN", "99TH", "WORST"}}
@@ -54,7 +54,7 @@
 	return rep.End(r.Out, w)
 }
 
-// groupSize gives the instances of a schedule's group.
+// groupSize returns the number of instances of a schedule's group.
 func (r *RaftTest) groupSize(seed int64) int {
 	if r.Size > 0 {
 		return r.Size
@@ -62,7 +62,8 @@
 	return 3 + int(seed%2)*2
 }
 
-// runVirtual plays schedules on all cores, each from a seed of its own.
+// runVirtual runs schedules on all cores, each from a seed of its own. The report names the violation of the lowest
+// seed, with the shortest list of faults that reproduces it.
 func (r *RaftTest) runVirtual(ctx context.Context, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
@@ -84,7 +85,7 @@
 				first = &res
 			}
 		}
-		return violations > 0 && r.Without != 0 // one failure is what a guard's absence has to show
+		return violations > 0 && r.Without != 0 // with a disabled guard one violation suffices
 	})
 	took := time.Since(started)
 	rep.Rows = append(rep.Rows, []string{"virtual", groupSizes(r.Size), strconv.Itoa(played), strconv.Itoa(steps),
@@ -114,7 +115,7 @@
 	return strconv.Itoa(size)
 }
 
-// Replay plays one schedule and tells each thing that happens.
+// Replay runs one schedule and prints each event.
 func Replay(w io.Writer, seed int64, size int, without consensus.Guard) simulation.Result {
 	faults := simulation.DrawFaults(seed, size, simulation.ScheduleMilliseconds)
 	return simulation.Play(seed, size, faults, without, func(s string) { fmt.Fprintln(w, s) })
--- a/internal/harness/raft_kills.go
+++ b/internal/harness/raft_kills.go
@@ -13,28 +13,29 @@
 	"umberwinch/internal/report"
 )
 
-// leaderKills takes one leader after the other from a group under load, and measures how long no write is taken.
+// leaderKills makes the leaders of a group fail in turn under load, and measures the time without an acknowledged
+// write.
 type leaderKills struct {
 	group      *controlProcesses
 	load       *putLoad
 	random     *rand.Rand
-	faultKinds []string // faults that an instance may be started with
+	faultKinds []string // faults that an instance may be started with; "": killed with SIGKILL
 	writeGaps  *hdrhistogram.Histogram
 	byFault    map[string]int
 }
 
-// leaderLoss is how one leader was lost.
+// leaderLoss is one failure of a leader.
 type leaderLoss struct {
 	leader      *instanceProcess
 	fault       string
-	partitioned bool          // it is parted from the others, and its process goes on
-	exited      bool          // its process is gone
-	lostAt      time.Duration // since the load's begin
+	partitioned bool          // the leader is partitioned from the others and keeps running
+	exited      bool          // its process has exited
+	lostAt      time.Duration // since the start of the load
 }
 
-// killLeaders has clients put under load while each leader in turn fails by a fault drawn from the seed. Another
-// instance has to take writes within maxFailoverTime, and at the end the history has to hold each version that a client was
-// told, once.
+// killLeaders makes each leader in turn fail by a fault drawn from the seed, while clients put. Another instance has
+// to acknowledge writes within maxFailoverTime, and at the end the history has to contain each acknowledged version
+// once.
 func (r *RaftTest) killLeaders(ctx context.Context, rep *report.Report, plot *report.Plot, size, kills int,
 	extra string) error {
 	return withGroup(ctx, r.Program, rep, size, extra, func(c *controlProcesses) error {
@@ -56,7 +57,7 @@
 	})
 }
 
-// restartArmed starts each instance anew with a fault of its own, which a signal sets off later.
+// restartArmed restarts each instance with a fault drawn for it, which a signal triggers later.
 func (k *leaderKills) restartArmed(ctx context.Context) error {
 	for _, p := range k.group.instances {
 		k.group.kill(p)
@@ -66,7 +67,7 @@
 		if err := k.group.await(ctx, func() error {
 			r, err := k.group.status(p)
 			if err == nil && r.OutOfContact {
-				err = errors.New("out of touch")
+				err = fmt.Errorf("instance %s is out of contact with a majority", p.name)
 			}
 			return err
 		}); err != nil {
@@ -87,29 +88,31 @@
 	return nil
 }
 
-// replaceLeader takes the leader from the group, holds the others to taking writes again in time, and brings it back.
+// loseLeader makes the leader fail, checks that the others acknowledge writes in time, and restores it.
 func (k *leaderKills) loseLeader(ctx context.Context, number int) error {
 	time.Sleep(time.Duration(100+k.random.Intn(200)) * time.Millisecond)
 	loss, err := k.failLeader(ctx)
 	if err != nil {
 		return err
 	}
-	if !loss.exited { // writes go on until the fault shows: it is over once another leads
+	if !loss.exited { // writes may continue until the fault takes effect, so wait for another leader first
 		if err := k.awaitOtherLeader(ctx, loss.leader); err != nil {
-			return invariantError(fmt.Sprintf("kill %d: leader %q is not followed: %v", number, loss.fault, err))
+			return invariantError(fmt.Sprintf("kill %d: leader %s failed by %q, want another leader within %v: %v", number,
+				loss.leader.name, faultText(loss.fault), groupTimeout, err))
 		}
 	}
 	gap := k.awaitWrite(ctx, loss.lostAt)
 	if gap <= 0 || gap > maxFailoverTime {
-		return invariantError(fmt.Sprintf("no write was taken for %v after kill %d of a leader of %d at %q",
-			time.Since(k.load.started)-loss.lostAt, number, len(k.group.instances), loss.fault))
+		return invariantError(fmt.Sprintf("kill %d: leader %s of %d instances failed by %q: no write was acknowledged for %v, "+
+			"want one within %v", number, loss.leader.name, len(k.group.instances), faultText(loss.fault),
+			time.Since(k.load.started)-loss.lostAt, maxFailoverTime))
 	}
 	k.byFault[loss.fault]++
 	k.writeGaps.RecordValue(gap.Milliseconds())
 	return k.restore(ctx, loss)
 }
 
-// failLeader sets off the leader's fault, or parts the leader from the others.
+// failLeader triggers the leader's fault, or partitions the leader from the others.
 func (k *leaderKills) failLeader(ctx context.Context) (*leaderLoss, error) {
 	leader, err := k.group.awaitLeader(ctx, groupTimeout)
 	if err != nil {
@@ -135,8 +138,8 @@
 	})
 }
 
-// awaitWrite waits until a write is taken after a moment, twice as long as is promised at most. It gives how long that
-// took; not above zero: none was.
+// awaitWrite waits, for 2*maxFailoverTime at most, until a write is acknowledged after a time since the start of the
+// load. It returns the time that this took; if no write was acknowledged, it isn't above 0.
 func (k *leaderKills) awaitWrite(ctx context.Context, since time.Duration) time.Duration {
 	for k.load.lastResponse.Load() <= int64(since) && ctx.Err() == nil &&
 		time.Since(k.load.started)-since <= 2*maxFailoverTime {
@@ -145,10 +148,10 @@
 	return time.Duration(k.load.lastResponse.Load()) - since
 }
 
-// restore ends the fault and waits until the instance that led takes part again, before the next leader is lost.
+// restore removes the fault and waits until the instance is a follower or leader again.
 func (k *leaderKills) restore(ctx context.Context, loss *leaderLoss) error {
 	p := loss.leader
-	if !loss.exited && !loss.partitioned { // its disk failed: once it answers it is ended, and starts anew
+	if !loss.exited && !loss.partitioned { // a disk fault: the instance is killed once it responds, and restarted
 		if err := k.group.awaitResponding(ctx, p); err != nil {
 			return err
 		}
@@ -164,13 +167,14 @@
 	return k.group.await(ctx, func() error {
 		r, err := k.group.status(p)
 		if err == nil && (r.OutOfContact || r.Role != "follower" && r.Role != "leader") {
-			err = fmt.Errorf("%s is %s", p.name, r.Role)
+			err = fmt.Errorf("instance %s has role %s, out of contact %v; want it a follower or leader in contact", p.name,
+				r.Role, r.OutOfContact)
 		}
 		return err
 	})
 }
 
-// addResults brings the row, figures, notes and plot of a group's run into the report.
+// addResults adds the row, figures, notes and plot of a group's run to the report.
 func (k *leaderKills) addResults(rep *report.Report, plot *report.Plot) {
 	size, gaps := len(k.group.instances), k.writeGaps
 	rep.Rows = append(rep.Rows, []string{"leader lost", strconv.Itoa(size),
@@ -195,7 +199,7 @@
 	plot.Lines = append(plot.Lines, line)
 }
 
-// faultText names a fault for the report.
+// faultText describes a fault in the report.
 func faultText(kind string) string {
 	switch kind {
 	case "":
--- a/internal/harness/raft_processes.go
+++ b/internal/harness/raft_processes.go
@@ -12,7 +12,8 @@
 	"umberwinch/internal/report"
 )
 
-// runProcesses kills leaders of real processes under load and measures how long no write is taken.
+// runProcesses kills leaders of groups of processes under load and measures the time without an acknowledged write.
+// Unless quick, it also measures puts and election timeouts.
 func (r *RaftTest) runProcesses(ctx context.Context, rep *report.Report) error {
 	kills := r.Kills
 	if kills == 0 {
@@ -43,8 +44,8 @@
 	return r.measureElectionTimeouts(ctx, rep)
 }
 
-// measureElectionTimeouts shows what the election timeout costs and saves: time without writes after a kill on a calm
-// machine, and elections that nothing called for while four times as many threads as cores want to run.
+// measureElectionTimeouts measures, by election timeout, the time without writes after a kill on an idle machine,
+// and the false elections while all cores are overcommitted.
 func (r *RaftTest) measureElectionTimeouts(ctx context.Context, rep *report.Report) error {
 	plot := report.Plot{Title: "Election timeout: failover against false elections on a busy machine", X: "timeout, ms",
 		Y: "ms without writes; false elections x 100"}
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// falseElections counts terms begun within 10 s with all cores wanted four times over.
+// falseElections counts the terms begun within 10 s while all cores are overcommitted.
 func (r *RaftTest) falseElections(ctx context.Context, tick int) (terms uint64, err error) {
 	extra := fmt.Sprintf("[group]\ntick = %dms\n", tick)
 	err = withGroup(ctx, r.Program, &report.Report{}, 3, extra, func(c *controlProcesses) error {
@@ -96,7 +97,7 @@
 	return terms, err
 }
 
-// saturateCores wants all cores of the machine four times over for a while.
+// saturateCores keeps four runnable threads per core busy for a time.
 func saturateCores(ctx context.Context, span time.Duration) {
 	previous, threads := runtime.GOMAXPROCS(0), 4*runtime.NumCPU()
 	runtime.GOMAXPROCS(threads + 2)
@@ -115,7 +116,7 @@
 	busy.Wait()
 }
 
-// measurePuts measures puts without faults, by one client and by many.
+// measurePuts measures puts without faults, by one client and by 64.
 func (r *RaftTest) measurePuts(ctx context.Context, rep *report.Report) error {
 	for _, clients := range []int{1, 64} {
 		if err := r.measurePutsWith(ctx, rep, clients); err != nil {
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// measurePutsWith measures puts by so many clients on a group of its own.
+// measurePutsWith measures puts by a number of clients on a group of its own, for 10 s after a second of warm-up.
 func (r *RaftTest) measurePutsWith(ctx context.Context, rep *report.Report, clients int) error {
 	return withGroup(ctx, r.Program, rep, 3, "", func(c *controlProcesses) error {
 		l := c.startLoad(ctx, clients)
--- a/internal/harness/readiness.go
+++ b/internal/harness/readiness.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// readinessTTL is how long a node counts as ready after it said so last.
+// readinessTTL is the time that a node is ready after its latest report.
 const readinessTTL = 3 * time.Second
 
-// readiness stands in for the platform's endpoint list: a node is ready while it says so again and again.
+// readiness emulates the platform's endpoint list: a node is ready while it keeps reporting so.
 type readiness struct {
 	mu      sync.Mutex
-	readyAt map[string]time.Time // by node, when it was said to be ready last
+	readyAt map[string]time.Time // time of the latest Ready report, by node
 	ln      net.Listener
 	server  *http.Server
 }
@@ -32,7 +32,7 @@
 	return p, nil
 }
 
-// ServeHTTP takes a node's condition.
+// ServeHTTP handles a node's report of its condition.
 func (p *readiness) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var status struct {
 		Condition string `json:"condition"`
@@ -57,5 +57,5 @@
 
 func (p *readiness) addr() string { return p.ln.Addr().String() }
 
-// close ends the list with its connections.
+// close closes the server and its connections.
 func (p *readiness) close() { p.server.Close() }
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -16,15 +16,15 @@
 	"umberwinch/internal/simulation"
 )
 
-// RecoveryTest is a run of `umberctl faulttest recovery`: a fleet that restarts whole and a group that lost its state,
-// on the fleet of the zones' cases and in their virtual time.
+// RecoveryTest is a run of `umberctl faulttest recovery`: restarts of a whole fleet, and a group that lost its
+// state, in virtual time and on processes.
 type RecoveryTest struct {
 	Seed          int64
 	Quick         bool
 	Size          int
 	Out           string
 	ProcessGuards string
-	// WithoutZoneGuards and WithoutPolicyGuards are taken out in virtual time, the latter of the leader.
+	// Guards disabled in virtual time: of the zones, and of the leader.
 	WithoutZoneGuards   zones.Guard
 	WithoutPolicyGuards policy.Guard
 	Mode                string
@@ -34,7 +34,8 @@
 	Parts               int
 }
 
-// Run plays restarts in virtual time beside baselines and the lower bound, then the hard cases on processes.
+// Run runs restarts in virtual time with their baselines and lower bound, then the cases on processes, and writes
+// the report.
 func (r *RecoveryTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "comeback", Title: "Coming back after a restart of most of the fleet",
 		Head: []string{"PART", "NODES", "LOAD", "WAY", "HALF", "95 IN 100", "WHOLE", "AT BEST", "BELOW, PEAK",
@@ -46,7 +47,7 @@
 		rep.Add("crowd_largest", "%d", largest)
 		rep.Add("crowd_worst_ms", "%d", worst)
 		if broken != "" {
-			rep.Break("5,000 nodes at the group: %s", broken)
+			rep.Break("5,000 nodes join at once: %s", broken)
 		}
 		r.runVirtual(ctx, rep)
 	}
@@ -64,9 +65,9 @@
 	return rep.End(r.Out, w)
 }
 
-// shortestRecovery is the least time, in seconds, in which services of a coldness can be warm enough for a load: they
-// serve all that they bear from the first moment on, and that is what warms them. fill is the seconds of full capacity
-// that their caches take.
+// shortestRecovery returns the lower bound of the time, in seconds, until stores with cold caches are warm enough
+// for a load: they serve at full capacity from the start, and that warms them. A cold call takes coldFactor times as
+// long; warmUpSeconds of full warm capacity fill the caches.
 func shortestRecovery(load, coldFactor, warmUpSeconds float64) float64 {
 	coldShare := (1/load - 1) / (coldFactor - 1)
 	if coldShare >= 1 {
@@ -75,7 +76,7 @@
 	return warmUpSeconds * ((1 - coldShare) + (coldFactor-1)/2*(1-coldShare*coldShare))
 }
 
-// runVirtual plays a restart of all nodes at sizes and loads, each way on its own.
+// runVirtual runs restarts of all nodes for several sizes and loads.
 func (r *RecoveryTest) runVirtual(ctx context.Context, rep *report.Report) {
 	sizes, loads := []int{300, 5000}, []float64{0.6, 0.9, 1.3}
 	if r.Quick {
@@ -91,7 +92,7 @@
 	}
 }
 
-// playRestart plays a restart of a whole fleet by the fleet and its baselines.
+// playRestart runs a restart of all nodes with the fleet's own recovery and with the baselines.
 func (r *RecoveryTest) playRestart(rep *report.Report, n int, load float64) {
 	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n,
 		Kinds: []string{simulation.ZoneRestart, simulation.ZoneRestart, simulation.ZoneRestart},
@@ -104,7 +105,7 @@
 		{"no ramp", func(p *simulation.ZonePlan) { p.Without |= zones.ColdStart }},
 		{"by the clock", func(p *simulation.ZonePlan) { p.Without |= zones.ColdStart; p.Ramp = 60_000 }},
 		{"nodes alone", func(p *simulation.ZonePlan) { p.Off = true }}}) {
-		// A fleet that is always asked for more than it bears never shows what that is: a limit of the design.
+		// Above capacity a fleet never observes its full capacity, a limitation of the design.
 		if i < 2 && v.Broken != "" && load <= 1 {
 			rep.Break("%d nodes, load %.2f: %s", n, load, v.Broken)
 		}
@@ -123,15 +124,15 @@
 	}
 }
 
-// emptyPolicyLog is a group that has no version yet.
+// emptyPolicyLog is the log of a group without any version.
 type emptyPolicyLog struct{}
 
 func (emptyPolicyLog) Last() uint64                       { return 0 }
 func (emptyPolicyLog) Text(uint64) (string, string, bool) { return "", "", false }
 
-// runMassJoin has nodes ask a leader to be taken in, most of them within a second and a fifth over the next two, and holds
-// it to the order in which they came. It gives the entries that this took, the largest of them, and the longest that
-// any waited, in ms.
+// runMassJoin has nodes request to join at a leader, four fifths of them within a second and the rest over the next
+// two, and checks that they are accepted in the order of their arrival. It returns the entries that this took, the
+// size of the largest in bytes, and the longest wait, in ms.
 func runMassJoin(seed int64, nodes int, without policy.Guard) (entries, largest, worst int, broken string) {
 	const step, commit = 20, 40 // ms
 	r, state, leader := rand.New(rand.NewSource(seed)), coordinator.NewState(without), coordinator.NewLeader(without)
@@ -154,7 +155,7 @@
 			leader.Heartbeat(state, api.HeartbeatRequest{JoinRequest: join},
 				func(response api.HeartbeatResponse, err error) {
 					if err != nil || response.LeaseID == 0 || i != answered {
-						const text = "at %d ms node %d of those that asked was answered (%v), and %d is the next"
+						const text = "at %d ms the join of arrival %d was answered (error %v), want that of arrival %d next"
 						broken = fmt.Sprintf(text, now, i, err, answered)
 					}
 					answered++
@@ -180,11 +181,12 @@
 		}
 	}
 	if broken == "" && answered < nodes {
-		broken = fmt.Sprintf("%d of %d nodes were taken in", answered, nodes)
+		broken = fmt.Sprintf("%d of %d nodes joined within 30 s, want all", answered, nodes)
 	}
 	return entries, largest, worst, broken
 }
 
+// secondsText formats ms as seconds; "-" if it is negative.
 func secondsText(ms float64) string {
 	if ms < 0 {
 		return "-"
