--- a/internal/harness/recovery_cases.go
+++ b/internal/harness/recovery_cases.go
@@ -1,6 +1,6 @@
 package harness
 
-// This file has the cases of recovery on processes, and what they are written with.
+// This file has the recovery cases on processes, and their helpers.
 
 import (
 	"errors"
@@ -17,14 +17,15 @@
 	"umberwinch/internal/logging"
 )
 
-// killInstances ends all instances, or those that are named.
+// killInstances kills instances.
 func (b *zoneFixture) killInstances(procs ...*instanceProcess) {
 	for _, p := range procs {
 		b.group.kill(p)
 	}
 }
 
-// recoverGroup founds the group's next generation at the first instance, and has the others join it on empty folders.
+// recoverGroup founds the group's next generation at the first instance with `control recover`, has the others join
+// with empty folders, and returns the command's output.
 func (b *zoneFixture) recoverGroup(others ...*instanceProcess) (output string) {
 	first := b.group.instances[0]
 	raw, err := exec.CommandContext(b.ctx, b.Program, "control", "recover", "--file", first.operatorFile, "--for", "7s",
@@ -38,13 +39,13 @@
 	return output
 }
 
-// dataDir is an instance's folder, backupDir where a copy of it is put.
+// dataDir is an instance's folder, backupDir that of its copy.
 func (b *zoneFixture) dataDir(p *instanceProcess) string { return filepath.Join(b.Dir, p.name) }
 func (b *zoneFixture) backupDir(p *instanceProcess) string {
 	return filepath.Join(b.Dir, "old-"+p.name)
 }
 
-// rejoin has instances join on empty folders.
+// rejoin restarts instances with empty folders and has them join the group.
 func (b *zoneFixture) rejoin(procs ...*instanceProcess) {
 	for _, p := range procs {
 		must(os.RemoveAll(b.dataDir(p)))
@@ -54,13 +55,14 @@
 	}
 }
 
-// checkGeneration holds the group to a generation and the fleet to the version that was in force, and a change after
-// it.
+// checkGeneration checks that the group has a generation, that all nodes serve under the version committed before,
+// and that a change settles.
 func (b *zoneFixture) checkGeneration(generation uint64) {
 	must(b.await(30*time.Second, func() error {
 		v, err := b.Policy()
 		if err == nil && (v.Generation != generation || v.CommittedVersion != b.committedVersion || v.StateLoss != "") {
-			err = fmt.Errorf("generation %d has version %d in force (%s), expected %d and %d", v.Generation,
+			err = fmt.Errorf("the group has generation %d, version %d committed and state loss %q, want generation %d, version %d "+
+				"and no loss", v.Generation,
 				v.CommittedVersion, v.StateLoss, generation, b.committedVersion)
 		}
 		return err
@@ -69,10 +71,9 @@
 	mustGet(b.change(policy.Proposal{}))
 }
 
-// currentGeneration gives the group's generation.
 func (b *zoneFixture) currentGeneration() uint64 { return mustGet(b.Policy()).Generation }
 
-// killWithColdStores kills nodes, has the services below turn cold, and gives the time.
+// killWithColdStores kills nodes, empties the caches of all stores, and returns the time.
 func (b *zoneFixture) killWithColdStores(nodes ...*nodeProcess) time.Time {
 	b.killNodes(nodes...)
 	for _, z := range allZones {
@@ -81,26 +82,26 @@
 	return time.Now()
 }
 
-// awaitRecovered waits until the fleet that began with a share is in again, and holds the services below to what they
-// bear since then.
+// awaitRecovered waits until the fleet has its full share again, and checks that no store was overloaded since a
+// time.
 func (b *zoneFixture) awaitRecovered(since time.Time) {
 	mustGet(b.awaitPhase(zones.WholeFleet, 150*time.Second, zones.InService))
 	fmt.Fprintf(b.out, "  the fleet is in again after %.1f s\n", time.Since(since).Seconds())
 	b.checkStoreLoads(since)
 }
 
-// checkStoreLoads holds each zone's service below to what it bears, since a time.
+// checkStoreLoads checks that no zone's store was overloaded since a time.
 func (b *zoneFixture) checkStoreLoads(since time.Time) {
 	must(errors.Join(b.checkStoreLoad("z1", since), b.checkStoreLoad("z2", since), b.checkStoreLoad("z3", since)))
 }
 
-// countLogged counts what a process logged.
+// countLogged counts the occurrences of a text in a process's log.
 func (b *zoneFixture) countLogged(name, text string) int {
 	raw, _ := os.ReadFile(filepath.Join(b.Dir, name+".log"))
 	return strings.Count(string(raw), text)
 }
 
-// countFollowed counts how often a node said that it follows a generation of the group.
+// countFollowed counts how often a node logged that it follows a generation of the group.
 func (b *zoneFixture) countFollowed(name string, generation uint64) (n int) {
 	must(readLog(filepath.Join(b.Dir, name+".log"), func(l *logRecord) {
 		if l.message == "a restored generation of the group is followed" && l.uintField(logging.Generation) == generation {
@@ -111,22 +112,23 @@
 }
 
 var recoveryCases = []zoneCase{
-	// Each zone's observed capacity is known. Then the group and all nodes are killed, the services below lose their
-	// caches, and everything starts at once. The fleet serves with a quota that grows, never asks a service for more
-	// than it bears, and is whole again.
+	// The group knows each zone's capacity. Then the group and all nodes are killed, the stores lose their caches,
+	// and everything restarts at once. The fleet serves with a growing quota, overloads no store, and gets back to
+	// its full share.
 	{name: "the group and all nodes killed at once, the services below cold", run: func(b *zoneFixture) {
-		for _, name := range allZones { // what they bore has to be what is asked of them, or it takes minutes
+		for _, name := range allZones { // with too low an observed capacity the ramp takes minutes
 			must(b.await(20*time.Second, func() error {
 				z, err := b.zoneView(name)
 				if err == nil && z.Capacity.RunRate < 0.7*zoneRate/3 {
-					err = fmt.Errorf("zone %s bore %.0f runs a second", name, z.Capacity.RunRate)
+					err = fmt.Errorf("zone %s: observed capacity %.0f runs/s, want at least %.0f", name, z.Capacity.RunRate,
+						0.7*zoneRate/3)
 				}
 				return err
 			}))
 		}
 		b.killInstances(b.group.instances...)
 		since := b.killWithColdStores(b.nodes...)
-		time.Sleep(time.Second) // the platform's pace
+		time.Sleep(time.Second) // the platform's restart delay
 		for i, n := range b.nodes {
 			if i%3 == 0 && i/3 < len(b.group.instances) {
 				b.mustStart(b.group.instances[i/3])
@@ -142,8 +144,8 @@
 		}
 		b.awaitRecovered(since)
 	}},
-	// The group loses all its folders. An operator restores it from what the nodes say that they served under: the
-	// same version is in force in the next generation, and changes go on.
+	// The group loses all its folders. An operator restores it from the records of the nodes: the next generation
+	// has the same version committed, and further changes settle.
 	{name: "all folders of the group lost, and nodes know what they served under", run: func(b *zoneFixture) {
 		mustGet(b.change(policy.Proposal{}))
 		gen := b.currentGeneration()
@@ -153,12 +155,12 @@
 		}
 		output := b.recoverGroup(b.group.instances[1:]...)
 		if want := fmt.Sprintf("%d sent a record, %[1]d count", len(b.nodes)); !strings.Contains(output, want) {
-			must(fmt.Errorf("expected %q in\n%s", want, output))
+			must(fmt.Errorf("control recover: want %q in\n%s", want, output))
 		}
 		b.checkGeneration(gen + 1)
 	}},
-	// A copy of all folders is taken; two changes settle; the copy is put back. The group finds from the nodes'
-	// reports that it lost state, says so again after a restart, and is restored to the version that the nodes serve
+	// All folders are copied, two changes settle, and the copies are put back. The group finds from the nodes'
+	// reports that it lost state, logs it again after a restart, and is restored to the version that the nodes serve
 	// under.
 	{name: "an old copy of all folders put back while nodes serve under a newer policy", run: func(b *zoneFixture) {
 		forEach := func(do func(p *instanceProcess)) {
@@ -183,17 +185,17 @@
 		must(b.await(10*time.Second, func() error {
 			v, err := b.Policy()
 			if err == nil && v.StateLoss == "" {
-				err = errors.New("the group has not found that it lost state")
+				err = errors.New("the group reports no state loss, want one")
 			}
 			return err
 		}))
-		// It says so after a restart as well.
+		// The loss is stored: instances log it after a restart.
 		b.killInstances(b.group.instances...)
 		before := b.countLogged("instances", "the group has lost state")
 		forEach(b.mustStart)
 		must(b.await(10*time.Second, func() error {
 			if b.countLogged("instances", "the group has lost state") == before {
-				return errors.New("instances that lost state say nothing of it after a restart")
+				return errors.New("restarted instances don't log the state loss")
 			}
 			return nil
 		}))
@@ -201,8 +203,9 @@
 		b.recoverGroup(b.group.instances[1:]...)
 		b.checkGeneration(gen + 1)
 	}},
-	// Two of three instances stand still; the group is restored from the third one. Then the two go on, and lead by a
-	// majority of the old generation. No node may follow them, though they are all that it reaches.
+	// Two of three instances are paused and the group is restored from the third. Then the two are resumed, and one
+	// leads with the majority of the old generation. No node may follow it, though nodes can reach no other
+	// instance.
 	{name: "a paused majority of the old generation goes on", mayEvacuate: allZones, run: func(b *zoneFixture) {
 		gen := b.currentGeneration()
 		b.forEachButFirst(func(p *instanceProcess) { p.signal(syscall.SIGSTOP) })
@@ -214,7 +217,7 @@
 			before[n.name] = b.countFollowed(n.name, gen)
 		}
 		b.forEachButFirst(func(p *instanceProcess) { p.signal(syscall.SIGCONT) })
-		// Without a word of the new one they ask the old one, which leads by a majority of its own.
+		// With the new group unreachable, nodes contact the old one, which has a leader.
 		for _, n := range b.nodes {
 			b.group.forwarders.set(n.name, b.group.instances[0].name, linkFault{cut: true})
 		}
@@ -222,7 +225,7 @@
 		b.heal()
 		for _, n := range b.nodes {
 			if b.countFollowed(n.name, gen) > before[n.name] {
-				must(fmt.Errorf("%s follows generation %d of the group after %d was restored:\n%s", n.name, gen,
+				must(fmt.Errorf("node %s follows generation %d of the group, want %d, which was restored:\n%s", n.name, gen,
 					gen+1, b.logTail(n.name, 6)))
 			}
 		}
@@ -230,8 +233,8 @@
 		b.rejoin(b.group.instances[1:]...)
 		b.checkGeneration(gen + 1)
 	}},
-	// The leader and all nodes are killed, and the nodes start before a leader is elected. They serve with a quota
-	// once they can join, and the fleet is whole within what its services bear.
+	// The leader and all nodes are killed, and the nodes restart before a leader is elected. They serve with a quota
+	// once they have joined, and the fleet gets back to its full share without overloading a store.
 	{name: "all nodes killed at once, and back while the group has no leader", long: true, run: func(b *zoneFixture) {
 		leader := b.group.leader()
 		if leader == nil {
@@ -244,8 +247,8 @@
 		b.mustStart(leader)
 		b.awaitRecovered(since)
 	}},
-	// All nodes start some seconds before their kernels. The ramp begins with the kernels, and the fleet is whole
-	// within what its services bear.
+	// All nodes start some seconds before their kernels. The ramp begins once the kernels are up, and the fleet gets
+	// back to its full share without overloading a store.
 	{name: "nodes up some seconds before their kernels", long: true, run: func(b *zoneFixture) {
 		b.killNodes(b.nodes...)
 		for _, z := range allZones {
@@ -260,8 +263,8 @@
 		b.mustAllServe(b.committedVersion)
 		b.awaitRecovered(since)
 	}},
-	// All nodes are killed in the middle of a policy change and of a zone's ramp. All serve under one version
-	// afterwards, the fleet is whole, the zone comes back, and changes go on.
+	// All nodes are killed during a policy change and a zone's ramp. All serve under one version afterwards, the
+	// fleet gets back to its full share, the zone is in service again, and a change settles.
 	{name: "in the middle of a change of policy and of a zone's return", long: true, mayEvacuate: []string{"z1"},
 		run: func(b *zoneFixture) {
 			must(b.submitOp(zones.Op{Kind: zones.OpEvacuate, Zone: "z1", DrillMS: 1000}))
@@ -270,7 +273,7 @@
 			since := b.killWithColdStores(b.nodes...)
 			time.Sleep(time.Second)
 			b.startNodes(0, b.nodes...)
-			// In force by then or called off: either way all serve under one version.
+			// Settled or aborted: either way all nodes serve under one version.
 			if mustGet(b.AwaitStep(c.number, 40*time.Second, policy.Settled, policy.Aborted)).Step == policy.Settled {
 				b.committedVersion = c.version
 			}
@@ -280,8 +283,8 @@
 			must(b.awaitInService("z1"))
 			mustGet(b.change(policy.Proposal{}))
 		}},
-	// Nodes restart in two waves, two of them again and again, then the others once more, while the fleet recovers.
-	// The fleet is whole within what its services bear, and doesn't wait for the two.
+	// Nodes restart in two waves, two of them repeatedly, then the others once more, while the fleet recovers. It
+	// gets back to its full share without overloading a store, and doesn't wait for the two.
 	{name: "in waves that overlap with the recovery, some nodes in a loop", long: true, run: func(b *zoneFixture) {
 		restart := func(nodes []*nodeProcess, pace time.Duration) {
 			for _, n := range nodes {
@@ -294,7 +297,7 @@
 		restart(b.nodes[:split], 0)
 		time.Sleep(3 * time.Second)
 		restart(b.nodes[split:], 200*time.Millisecond)
-		for range 5 { // two of them again and again: they wait longer each time, and the others don't wait for them
+		for range 5 { // two nodes repeatedly: they wait longer each time, the others don't wait for them
 			restart(b.nodes[:2], 500*time.Millisecond)
 		}
 		restart(b.nodes[2:], 0)
@@ -304,10 +307,10 @@
 	}},
 }
 
-// RecoveryGuards are the guards of coming back.
+// RecoveryGuards names the guards of recovery.
 var RecoveryGuards = []string{"small-start", "generation", "proof", "listen-first", "spread", "arrival-order"}
 
-// RecoveryCases names the cases.
+// RecoveryCases returns the names of the cases, and OnlyCosts.
 func RecoveryCases() (names []string) {
 	names = append(names, OnlyCosts)
 	for _, c := range recoveryCases {
--- a/internal/harness/recovery_test.go
+++ b/internal/harness/recovery_test.go
@@ -14,7 +14,7 @@
 	"umberwinch/internal/simulation"
 )
 
-// TestRecoveryCasesOnProcesses plays the hard cases of coming back on processes, in two fleets side by side.
+// Every recovery case that isn't long passes on processes, split over two fleets in parallel.
 func TestRecoveryCasesOnProcesses(t *testing.T) {
 	t.Parallel()
 	const parts = 2
@@ -25,18 +25,18 @@
 			rep, err := (&RecoveryTest{Seed: int64(31 + part), Quick: true, Mode: "real", Part: part, Parts: parts,
 				Program: builtProgram(t)}).Run(context.Background(), &out)
 			if err != nil || rep.Broken != "" {
-				t.Fatalf("%v\n%s", err, out.String())
+				t.Fatalf("Run() error = %v, want none and no violation\n%s", err, out.String())
 			}
 			if n := strings.Count(out.String(), " kept, "); n < 2 {
-				t.Fatalf("%d cases kept, expected two at least\n%s", n, out.String())
+				t.Fatalf("got %d cases kept, want at least 2\n%s", n, out.String())
 			}
 			t.Log(out.String())
 		})
 	}
 }
 
-// TestRecoveryCasesFailWithoutGuard takes guards out on processes: the case that needs each breaks. small-start is taken out in
-// virtual time (TestRestart), and by umberctl faulttest recovery.
+// With a guard disabled, the case that depends on it has to find a violation. small-start is covered in virtual time
+// (TestRestart) and by umberctl faulttest recovery.
 func TestRecoveryCasesFailWithoutGuard(t *testing.T) {
 	t.Parallel()
 	for guard, only := range map[string]string{"generation": "a paused majority of the old generation goes on",
@@ -51,21 +51,22 @@
 	}
 }
 
-// TestMassJoinInArrivalOrder: a crowd of nodes is taken in by the group in the order in which they asked, in entries of a bounded size,
-// and nobody waits for long; without that order the first of them do.
+// The group accepts 5,000 joining nodes in the order of their arrival, in entries of a bounded size and without long
+// waits. With arrival-order disabled, the check has to find nodes out of order.
 func TestMassJoinInArrivalOrder(t *testing.T) {
 	entries, largest, worst, broken := runMassJoin(1, 5000, 0)
 	if broken != "" || largest > 200_000 || worst > 1500 {
-		t.Errorf("%d entries, the largest of %d bytes, %d ms at worst: %s", entries, largest, worst, broken)
+		t.Errorf("runMassJoin() = %d entries, largest %d bytes, longest wait %d ms, violation %q; want at most 200000 bytes, "+
+			"1500 ms and no violation", entries, largest, worst, broken)
 	}
-	t.Logf("%d entries, the largest of %d bytes, %d ms at worst", entries, largest, worst)
+	t.Logf("%d entries, largest %d bytes, longest wait %d ms", entries, largest, worst)
 	if _, _, _, broken = runMassJoin(1, 5000, policy.ArrivalOrder); broken == "" {
-		t.Error("without arrival-order no promise broke")
+		t.Error("without arrival-order: no violation, want one")
 	}
 	t.Log(broken)
 }
 
-// TestShortestRecovery holds the lower bound to a count of steps.
+// The closed form of the shortest recovery agrees with a numerical integration.
 func TestShortestRecovery(t *testing.T) {
 	for _, load := range []float64{0.3, 0.6, 0.9, 1} {
 		const cold, dt = 8.0, 0.001
@@ -75,7 +76,7 @@
 			at += dt
 		}
 		if got := shortestRecovery(load, cold, simulation.WarmUpSeconds); math.Abs(got-at) > 0.2 {
-			t.Errorf("load %.1f: %.2f s, counted %.2f", load, got, at)
+			t.Errorf("shortestRecovery(%.1f) = %.2f s, want %.2f within 0.2", load, got, at)
 		}
 	}
 }
--- a/internal/harness/result_store.go
+++ b/internal/harness/result_store.go
@@ -13,10 +13,11 @@
 	"umberwinch/internal/report"
 )
 
-// This file kills a node that stores results, over and over, at named points and at random ones, and starts it again on
-// its folder, while clients repeat their keys at random. The emulated kernel outlives it and counts runs by key.
+// This file crashes a node that stores results, at named points and at random times, and restarts it on its folder,
+// while clients repeat their idempotency keys at random. The emulated kernel survives the node and counts runs by
+// key.
 
-// ResultStoreTest is `umberctl faulttest results`.
+// ResultStoreTest is a run of `umberctl faulttest results`.
 type ResultStoreTest struct {
 	Seed    int64
 	Quick   bool
@@ -27,18 +28,19 @@
 	Program string
 }
 
-// ResultStoreGuards can be taken out of the node; with one of them the run ends broken.
+// ResultStoreGuards names the guards that can be disabled in the node. With one of them disabled the run has to find
+// a violation.
 var ResultStoreGuards = []string{"proof", "intent", "result"}
 
-// crashPoints are where a node can be told to die.
+// crashPoints are the named points at which a node can crash.
 var crashPoints = []string{"intent", "sync", "durable", "sched", "reap", "result", "answer"}
 
-// A short window, so that repeats come inside it and outside; a run takes some ms.
+// The idempotency window is short, so that repeats fall inside and outside of it; a run takes some ms.
 const (
 	resultWindow       = 1500 * time.Millisecond
 	clientsPerNode     = 4
-	repeatShare        = 0.6
-	windowMargin       = 300 * time.Millisecond
+	repeatShare        = 0.6                    // fraction of requests that repeat a key
+	windowMargin       = 300 * time.Millisecond // tolerance of times measured at the clients
 	resultStoreClasses = `cores 4
 tenants 1
 class view work=1 share=1 tail=0 target=300 timeout=1500 value=1
@@ -47,10 +49,10 @@
 dearest submit`
 )
 
-// concurrentNodes is how many nodes are killed side by side: the life of one is mostly waits.
+// concurrentNodes is the number of nodes that run and crash in parallel; each mostly waits.
 const concurrentNodes = 6
 
-// Run plays all and writes the report.
+// Run runs the kills and the measurement, as selected, and writes the report.
 func (k *ResultStoreTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	if k.Kills == 0 {
 		if k.Kills = 5000; k.Quick {
@@ -76,10 +78,10 @@
 	return rep.End(k.Out, w)
 }
 
-// killTestConfig is the operator's file of nodes under kills.
+// killTestConfig is part of the operator's file of the nodes that are killed.
 const killTestConfig = "[kept]\nfolder = DIR\nentries = 4000\nmb = 8\n"
 
-// runKills has nodes killed side by side, and holds each one's history to the promises.
+// runKills kills nodes in parallel and checks each one's history.
 func (k *ResultStoreTest) runKills(ctx context.Context, rep *report.Report) error {
 	return withWorkFolder(ctx, rep, func(dir string) error {
 		nodes, err := k.killNodes(ctx, dir)
@@ -91,8 +93,8 @@
 	})
 }
 
-// killNodes sets up concurrentNodes nodes and has each killed its part of the times. A node that can't be set up ends the
-// lives of the others. All have ended when it returns.
+// killNodes prepares concurrentNodes nodes and kills each an equal number of times. If a node can't be prepared, the
+// others are stopped. All have exited when it returns.
 func (k *ResultStoreTest) killNodes(ctx context.Context, dir string) ([]*resultStoreNode, error) {
 	ctx, stop := context.WithCancel(ctx)
 	nodes, errs := make([]*resultStoreNode, 0, concurrentNodes), make([]error, concurrentNodes)
@@ -126,7 +128,8 @@
 	return nodes, nil
 }
 
-// addKills brings what nodes under kills did into the report. A run that completed nothing has shown nothing.
+// addKills adds the nodes' results to the report. A run without a completed request and a completed repeat counts as
+// a violation, as it has tested nothing.
 func addKills(rep *report.Report, nodes []*resultStoreNode) {
 	kills, sum := killCounts{byPoint: map[string]int{}}, historyTotals{}
 	for i, n := range nodes {
@@ -151,6 +154,6 @@
 	rep.Add("effects", "%d", sum.effects)
 	rep.Add("repeats_done", "%d", sum.responses.repeatsDone)
 	if rep.Broken == "" && (sum.responses.repeatsDone == 0 || sum.responses.done == 0) {
-		rep.Break("nothing was shown: %d done, %d repeats of them", sum.responses.done, sum.responses.repeatsDone)
+		rep.Break("%d requests done, %d of them repeats, want at least one of each", sum.responses.done, sum.responses.repeatsDone)
 	}
 }
--- a/internal/harness/result_store_callers.go
+++ b/internal/harness/result_store_callers.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// send is one attempt. code 0: no answer came; read tells whether the node may have read it.
+// send sends one attempt. Status 0 means no response; mayBeRead reports whether the node may have read the request.
 func (r *resultStoreNode) send(ctx context.Context, client *http.Client, class, key string, isRetry bool) (status int,
 	body string, mayBeRead bool) {
 	idempotencyKey := ""
@@ -20,7 +20,7 @@
 	return status, body, err == nil || !strings.Contains(err.Error(), "connection refused")
 }
 
-// keyChooser gives a caller's keys: new ones, and old ones again, inside the window and outside.
+// keyChooser draws a caller's keys: new ones, and used ones from inside and outside the idempotency window.
 type keyChooser struct {
 	random *rand.Rand
 	name   string
@@ -36,13 +36,13 @@
 		return key, false
 	}
 	distance := int(k.random.ExpFloat64() * 8)
-	if k.random.Float64() < 0.05 { // long ago, most often outside the window
+	if k.random.Float64() < 0.05 { // any used key, mostly outside the window
 		distance = k.random.Intn(len(k.used))
 	}
 	return k.used[max(0, len(k.used)-1-distance)], true
 }
 
-// runCaller sends one request after the other until the context ends, while the node is up.
+// runCaller sends requests back to back while the node is running, until the context ends, and records the outcomes.
 func (r *resultStoreNode) runCaller(ctx context.Context, keys *keyChooser) {
 	for ctx.Err() == nil {
 		incarnation := r.currentIncarnation()
@@ -66,7 +66,7 @@
 	}
 }
 
-// awaitIncarnationEnd waits until a life's end is seen, which may be after its callers saw it.
+// awaitIncarnationEnd waits until the test has noticed the end of an incarnation, which callers may notice first.
 func (r *resultStoreNode) awaitIncarnationEnd(incarnation nodeIncarnation, within time.Duration) {
 	for end := time.Now().Add(within); r.currentIncarnation().number == incarnation.number && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
--- a/internal/harness/result_store_cost.go
+++ b/internal/harness/result_store_cost.go
@@ -13,14 +13,16 @@
 	"umberwinch/internal/simulation"
 )
 
-// resultStoreVariants are what is compared: what a keyed request takes more, and what others notice of it.
+// resultStoreVariants are the variants of the measurement: stored results with a shared sync and with a sync each,
+// and results in memory.
 var resultStoreVariants = []struct{ name, own, without string }{
 	{"kept, one sync for all that wait", "[kept]\nfolder = DIR\n", ""},
 	{"kept, a sync each", "[kept]\nfolder = DIR\n", "group"},
 	{"in memory", "", ""},
 }
 
-// measureCosts has as many callers as the cores bear ask without a pause, keyed requests and others, in turn.
+// measureCosts measures the throughput, latency and processor time of requests with and without an idempotency key,
+// with one caller and with 32.
 func (k *ResultStoreTest) measureCosts(ctx context.Context, rep *report.Report) error {
 	span := 8 * time.Second
 	if k.Quick {
@@ -37,7 +39,7 @@
 	return nil
 }
 
-// withNode starts a node with its stand-ins in a folder of its own for as long as use takes.
+// withNode prepares a node and its emulated services in a work folder of its own and calls use.
 func (k *ResultStoreTest) withNode(ctx context.Context, operatorConfig, disabledGuard string, use func(*resultStoreNode) error) error {
 	return withWorkFolder(ctx, &report.Report{}, func(dir string) error {
 		r, err := newResultStoreNode(resultStoreConfig{dir: dir, program: k.Program, seed: k.Seed, window: time.Second,
@@ -49,6 +51,7 @@
 	})
 }
 
+// measureCost measures requests of both classes, by callers that send back to back, for a time each.
 func (r *resultStoreNode) measureCost(ctx context.Context, rep *report.Report, name string, callers int,
 	span time.Duration) error {
 	defer r.close()
@@ -56,7 +59,7 @@
 	r.kernel.onRunStart, r.kernel.callsStore = nil, false
 	r.kernel.Update(func(classes map[string]*simulation.Class, cores *float64) {
 		for _, c := range classes {
-			c.Work, c.WorkSigma = 1, 0 // a tenth of a ms: what is measured is the node's own part
+			c.Work, c.WorkSigma = 1, 0 // 0.1 ms, so that the node's own cost dominates
 		}
 		*cores = 1000
 	})
@@ -65,7 +68,7 @@
 	}
 	if err := awaitUntil(ctx, 5*time.Second, 5*time.Millisecond, func() error {
 		if code, _, _ := r.send(ctx, client, "submit", randomKey(), false); code != http.StatusOK {
-			return fmt.Errorf("it answers %d", code)
+			return fmt.Errorf("status %d, want %d", code, http.StatusOK)
 		}
 		return nil
 	}); err != nil {
--- a/internal/harness/result_store_history.go
+++ b/internal/harness/result_store_history.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// resultHistory is what a node did with keys and what callers got, held to the promises as it happens: no key runs
-// twice within its window, a run has its effect once at most, a repeat gets the result of a run of its key, and a
-// result that was acknowledged is not lost.
+// resultHistory records the runs of keys and the responses to callers, and checks the invariants as they occur: no
+// key runs twice within its window, a run makes its call at most once, a repeat gets the result of a run of its key,
+// and an acknowledged result isn't lost.
 type resultHistory struct {
 	mu             sync.Mutex
 	runs           map[string][]storedRun
-	effects        map[string]int       // calls that the service below carried out, by key
-	acknowledged   map[string]time.Time // when a key's result was given last
+	effects        map[string]int       // calls that the store executed, by key
+	acknowledged   map[string]time.Time // time of the latest 200 response, by key
 	responses      responseCounts
 	firstViolation string
 }
 
-// storedRun is one run that the kernel began.
+// storedRun is one run that the kernel started.
 type storedRun struct {
 	startedAt time.Time
 	result    string
 }
 
-// responseCounts are attempts by their outcome.
+// responseCounts counts attempts by outcome.
 type responseCounts struct {
 	sent, done, repeatsDone, failed, rejected int
-	interrupted                               int // the node was killed before it answered
+	interrupted                               int // the node was killed before it responded
 }
 
 func (a *responseCounts) add(b responseCounts) {
@@ -41,13 +41,13 @@
 	a.interrupted += b.interrupted
 }
 
-// attemptOutcome is what became of one attempt.
+// attemptOutcome is the outcome of one attempt.
 type attemptOutcome struct {
 	key, body   string
-	status      int  // 0: no answer came
+	status      int  // 0: no response
 	isRetry     bool // the key was sent before
 	mayBeRead   bool // the node may have read the request
-	nodeRunning bool // the node is in the life in which it was sent
+	nodeRunning bool // the node runs in the incarnation to which it was sent
 	latency     time.Duration
 }
 
@@ -56,14 +56,14 @@
 		acknowledged: map[string]time.Time{}}
 }
 
-// runStarted is told each run by the kernel, and gives its result.
+// runStarted records the start of a run, as the kernel's onRunStart, and returns the run's result.
 func (h *resultHistory) runStarted(body []byte) []byte {
 	key, now := string(body), time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	previous := h.runs[key]
 	if n := len(previous); n > 0 && now.Sub(previous[n-1].startedAt) < resultWindow {
-		h.recordViolation("%s ran again %v after its last run began, expected %v at least", key, now.Sub(previous[n-1].startedAt),
+		h.recordViolation("key %s ran again %v after its last run, want at least %v", key, now.Sub(previous[n-1].startedAt),
 			resultWindow)
 	}
 	result := fmt.Sprintf("%s#%d\x00\xff", key, len(previous)+1)
@@ -71,18 +71,18 @@
 	return []byte(result)
 }
 
-// callExecuted is told each call that the service below carries out: an effect that nobody can take back, one a run at
+// callExecuted records a call that the store executed. Its effect can't be undone, so a run may make one call at
 // most.
 func (h *resultHistory) callExecuted(body []byte) {
 	key := string(body)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.effects[key]++; h.effects[key] > len(h.runs[key]) {
-		h.recordViolation("%s had its effect %d times in %d runs", key, h.effects[key], len(h.runs[key]))
+		h.recordViolation("key %s: %d calls executed for %d runs, want at most one a run", key, h.effects[key], len(h.runs[key]))
 	}
 }
 
-// recordAttempt holds an answer against what ran.
+// recordAttempt records an attempt and checks its response against the runs of its key.
 func (h *resultHistory) recordAttempt(a attemptOutcome) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,7 +95,7 @@
 			h.responses.interrupted++
 		}
 		if a.nodeRunning && a.mayBeRead {
-			h.recordViolation("%s got no answer, and its node was not killed", a.key)
+			h.recordViolation("key %s: no response, but the node was not killed", a.key)
 		}
 	case http.StatusOK:
 		h.responses.done++
@@ -103,37 +103,38 @@
 			h.responses.repeatsDone++
 		}
 		if !slices.ContainsFunc(h.runs[a.key], func(r storedRun) bool { return r.result == a.body }) {
-			h.recordViolation("%s was answered by %q, which no run of it gave", a.key, a.body)
+			h.recordViolation("key %s: response %q, want the result of one of its %d runs", a.key, a.body, len(h.runs[a.key]))
 		}
 		h.acknowledged[a.key] = time.Now()
 	case http.StatusServiceUnavailable:
 		h.responses.rejected++
 	case http.StatusInternalServerError:
 		h.responses.failed++
-		// One that waited for the disk until its deadline fails too, whatever is known.
+		// An attempt that waited for the disk until its deadline may fail in spite of a stored result.
 		if since := time.Since(h.acknowledged[a.key]); since < resultWindow-windowMargin && a.latency < windowMargin {
-			h.recordViolation("%s was errored %v after its result was told", a.key, since)
+			h.recordViolation("key %s: error %v after its result was acknowledged, want the result for %v", a.key, since,
+				resultWindow)
 		}
 	default:
-		h.recordViolation("%s was answered %d", a.key, a.status)
+		h.recordViolation("key %s: unexpected status %d", a.key, a.status)
 	}
 }
 
-// recordViolation notes the first broken promise; the caller holds the lock.
+// recordViolation records the first violation; the caller holds the lock.
 func (h *resultHistory) recordViolation(format string, args ...any) {
 	if h.firstViolation == "" {
 		h.firstViolation = fmt.Sprintf(format, args...)
 	}
 }
 
-// violation gives the first broken promise, empty where there is none.
+// violation returns the first violation; empty if there is none.
 func (h *resultHistory) violation() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.firstViolation
 }
 
-// historyTotals sums up what histories have.
+// historyTotals sums up histories.
 type historyTotals struct {
 	responses           responseCounts
 	keys, runs, effects int
--- a/internal/harness/result_store_node.go
+++ b/internal/harness/result_store_node.go
@@ -15,7 +15,8 @@
 	"umberwinch/internal/simulation"
 )
 
-// resultStoreNode is one node that stores results, killed over and over. Its stand-ins outlive it.
+// resultStoreNode is one node that stores results and is killed repeatedly. The emulated kernel and store survive
+// it.
 type resultStoreNode struct {
 	dir, listen string
 	program     string
@@ -29,20 +30,20 @@
 	mu          sync.Mutex
 	incarnation nodeIncarnation
 
-	// Of what kills it; play alone uses them.
+	// Used by killRepeatedly alone.
 	random     *rand.Rand
-	crashPoint string // the one point at which it dies; empty: any, and at random
+	crashPoint string // the one point at which it crashes; empty: any point or a random time
 	kills      killCounts
 }
 
-// nodeIncarnation is the time between a node's start and its end.
+// nodeIncarnation is one run of the node's process.
 type nodeIncarnation struct {
 	number  int
 	running bool
 	client  *http.Client
 }
 
-// killCounts are the kills of a node.
+// killCounts counts a node's kills, and the torn writes appended to its log.
 type killCounts struct {
 	total, tornWrites int
 	byPoint           map[string]int
@@ -56,16 +57,16 @@
 	}
 }
 
-// resultStoreConfig is what a node under kills is made from.
+// resultStoreConfig configures a resultStoreNode.
 type resultStoreConfig struct {
 	dir, program   string
 	seed           int64
 	window         time.Duration
-	operatorConfig string // of the operator's file; DIR stands for the store's folder
-	disabledGuard  string // a guard; empty: none
+	operatorConfig string // part of the operator's file; DIR stands for the store's folder
+	disabledGuard  string // empty: none
 }
 
-// newResultStoreNode makes a node with its stand-ins, and starts nothing of it yet.
+// newResultStoreNode prepares a node and its emulated services; start starts the process.
 func newResultStoreNode(config resultStoreConfig) (*resultStoreNode, error) {
 	r := &resultStoreNode{dir: config.dir, program: config.program, listen: newLoopbackAddr(8080), history: newResultHistory(),
 		random: rand.New(rand.NewSource(config.seed)), incarnation: nodeIncarnation{client: newIncarnationClient()},
@@ -121,8 +122,8 @@
 	return os.WriteFile(operatorFile, []byte(text), 0o600)
 }
 
-// newIncarnationClient has connections of one life alone: on one of a life before an attempt would get an error that says
-// nothing.
+// newIncarnationClient returns a client for one incarnation: an attempt on a connection to an earlier one would fail
+// in a way that tells nothing about the node.
 func newIncarnationClient() *http.Client {
 	return &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64,
 		IdleConnTimeout: 5 * time.Second}}
@@ -142,7 +143,7 @@
 	r.incarnation.client.CloseIdleConnections()
 }
 
-// start runs the node; die names a point and a count, or is empty.
+// start starts the node's process; crashAt is a point and a count, or empty.
 func (r *resultStoreNode) start(crashAt string) error {
 	cmd := nodeCommand(r.program)
 	cmd.Env = append(slices.Clip(r.env), "UMBERWINCH_DIE_AT="+crashAt)
@@ -161,7 +162,7 @@
 	return r.incarnation
 }
 
-// isRunning tells whether the node is up in a life still.
+// isRunning reports whether an incarnation is the current one and running.
 func (r *resultStoreNode) isRunning(incarnation nodeIncarnation) bool {
 	current := r.currentIncarnation()
 	return current.running && current.number == incarnation.number
@@ -180,7 +181,7 @@
 	r.incarnation = nodeIncarnation{number: r.incarnation.number + 1, client: newIncarnationClient()}
 }
 
-// killRepeatedly kills the node so many times, while callers send requests, or until a promise is broken.
+// killRepeatedly kills the node a number of times while callers send requests, or until a violation.
 func (r *resultStoreNode) killRepeatedly(ctx context.Context, kills int) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var callers sync.WaitGroup
@@ -198,13 +199,13 @@
 	return ctx.Err()
 }
 
-// nodeCrash is how a life ends: at a named point of the node's work, or after a time.
+// nodeCrash is the end of an incarnation: at a named point, or after a time.
 type nodeCrash struct {
-	point string // and a count; empty: none
+	point string // with a count, as point:count; empty: none
 	after time.Duration
 }
 
-// crashPointTimeout is how long a node may take to come to a named point: so many runs may not come.
+// crashPointTimeout is the time after which the node is killed if it doesn't reach its crash point.
 const crashPointTimeout = 3 * time.Second
 
 func (r *resultStoreNode) drawCrash() nodeCrash {
@@ -216,13 +217,14 @@
 		}
 		r.kills.byPoint[point]++
 		return nodeCrash{fmt.Sprintf("%s:%d", point, 1+r.random.Intn(20)), crashPointTimeout}
-	case x < 0.7: // in the middle of its start
+	case x < 0.7: // during startup
 		return nodeCrash{after: time.Duration(r.random.Intn(15_000)) * time.Microsecond}
 	}
 	return nodeCrash{after: time.Duration(30+r.random.Intn(170)) * time.Millisecond}
 }
 
-// runIncarnation starts the node on its folder and has it die; at times a part of a write is left at its log's end.
+// runIncarnation starts the node on its folder and lets it crash. One in five times a torn write is left at the end
+// of its log.
 func (r *resultStoreNode) runIncarnation(ctx context.Context) error {
 	crash := r.drawCrash()
 	if err := r.start(crash.point); err != nil {
@@ -246,7 +248,7 @@
 	return nil
 }
 
-// appendTornWrite leaves part of a write that was never synced at the log's end.
+// appendTornWrite appends random bytes to the log, as an incomplete write does.
 func (r *resultStoreNode) appendTornWrite() error {
 	logs, _ := filepath.Glob(filepath.Join(r.dir, "folder", "*.seg"))
 	if len(logs) == 0 {
@@ -265,7 +267,7 @@
 	return err
 }
 
-// logTail gives the end of the node's log.
+// logTail returns the last 600 bytes of the node's log.
 func (r *resultStoreNode) logTail() string {
 	raw, _ := os.ReadFile(filepath.Join(r.dir, "node.log"))
 	return string(raw[max(0, len(raw)-600):])
--- a/internal/harness/result_store_test.go
+++ b/internal/harness/result_store_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// TestResultStoreKills: a node killed at named points and at random ones runs no key twice within its window, and repeats get
-// the first result; without a guard the checker finds it.
+// A node that crashes at named points and at random runs no key twice within its window, and repeats get the stored
+// result. With a guard disabled the check has to find the violation that the guard prevents.
 func TestResultStoreKills(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ without, at, broken string }{
 		{},
 		{"proof", "durable", "ran again"},
 		{"intent", "sync", "ran again"},
-		{"result", "sync", "after its result was told"},
+		{"result", "sync", "after its result was acknowledged"},
 	} {
 		t.Run("without "+c.without, func(t *testing.T) {
 			t.Parallel()
@@ -30,48 +30,48 @@
 			defer end()
 			kills := 25
 			if c.broken != "" {
-				kills = 400 // or until it is found
+				kills = 400 // stops at the violation
 			}
 			if err = r.killRepeatedly(ctx, kills); err != nil {
 				t.Fatal(err, r.logTail())
 			}
 			broken, answers := r.history.violation(), r.history.responses
 			if c.broken == "" && (broken != "" || answers.repeatsDone == 0) || !strings.Contains(broken, c.broken) {
-				t.Fatalf("after %d kills, %d done, %d repeats: broken %q, expected %q", r.kills.total, answers.done,
+				t.Fatalf("after %d kills, %d requests done, %d repeats done: violation %q, want %q", r.kills.total, answers.done,
 					answers.repeatsDone, broken, c.broken)
 			}
 		})
 	}
 }
 
-// A checker that finds nothing would let every run pass: each kind of wrong history is found, and a right one is not.
+// The history check detects each kind of violation, and accepts a correct history.
 func TestResultHistoryDetectsViolations(t *testing.T) {
 	key := []byte("a")
 	for _, c := range []struct {
 		name string
 		play func(h *resultHistory)
 	}{
-		{"a second run", func(h *resultHistory) { h.runStarted(key); h.runStarted(key) }},
-		{"a second effect", func(h *resultHistory) { h.runStarted(key); h.callExecuted(key); h.callExecuted(key) }},
-		{"another's result", func(h *resultHistory) {
+		{"second run within the window", func(h *resultHistory) { h.runStarted(key); h.runStarted(key) }},
+		{"two calls in one run", func(h *resultHistory) { h.runStarted(key); h.callExecuted(key); h.callExecuted(key) }},
+		{"result of another key", func(h *resultHistory) {
 			h.runStarted(key)
 			h.recordAttempt(attemptOutcome{key: "b", status: 200, body: "a#1\x00\xff", isRetry: true, mayBeRead: true})
 		}},
-		{"a changed result", func(h *resultHistory) {
+		{"changed result", func(h *resultHistory) {
 			h.runStarted(key)
 			h.recordAttempt(attemptOutcome{key: "a", status: 200, body: "a#1\x00", isRetry: true, mayBeRead: true})
 		}},
-		{"no answer", func(h *resultHistory) { h.recordAttempt(attemptOutcome{key: "a", mayBeRead: true, nodeRunning: true}) }},
-		{"a result that is lost", func(h *resultHistory) {
+		{"no response", func(h *resultHistory) { h.recordAttempt(attemptOutcome{key: "a", mayBeRead: true, nodeRunning: true}) }},
+		{"lost result", func(h *resultHistory) {
 			h.recordAttempt(attemptOutcome{key: "a", status: 200, body: string(h.runStarted(key)), mayBeRead: true})
 			h.recordAttempt(attemptOutcome{key: "a", status: 500, isRetry: true, mayBeRead: true})
 		}},
-		{"an answer of no kind", func(h *resultHistory) { h.recordAttempt(attemptOutcome{key: "a", status: 404, mayBeRead: true}) }},
+		{"unexpected status", func(h *resultHistory) { h.recordAttempt(attemptOutcome{key: "a", status: 404, mayBeRead: true}) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newResultHistory()
 			if c.play(h); h.violation() == "" {
-				t.Error("not found")
+				t.Error("violation() is empty, want a violation")
 			}
 		})
 	}
@@ -80,24 +80,24 @@
 	h.recordAttempt(attemptOutcome{key: "b", nodeRunning: true})
 	h.recordAttempt(attemptOutcome{key: "c", mayBeRead: true})
 	if broken := h.violation(); broken != "" {
-		t.Errorf("a right history: %s", broken)
+		t.Errorf("correct history: violation %q, want none", broken)
 	}
 }
 
-// A request that got no answer is a broken promise only while the node is in the life in which it was sent.
+// A request without a response is a violation only while the node runs in the incarnation to which it was sent.
 func TestNodeRunsOnlyInItsCurrentIncarnation(t *testing.T) {
 	r := &resultStoreNode{incarnation: nodeIncarnation{client: newIncarnationClient()}}
 	first := r.currentIncarnation()
 	if r.isRunning(first) {
-		t.Error("alive before it began")
+		t.Error("isRunning() = true before the start, want false")
 	}
 	if r.beginIncarnation(); !r.isRunning(first) {
-		t.Error("not alive after it began")
+		t.Error("isRunning() = false after the start, want true")
 	}
 	if r.endIncarnation(); r.isRunning(first) {
-		t.Error("alive after its end")
+		t.Error("isRunning() = true after the end, want false")
 	}
 	if r.beginIncarnation(); r.isRunning(first) {
-		t.Error("alive in the life after it")
+		t.Error("isRunning() = true in the next incarnation, want false")
 	}
 }
--- a/internal/harness/waiting.go
+++ b/internal/harness/waiting.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// sleepContext waits for a while, or until the context ends.
+// sleepContext waits for d, or until the context ends.
 func sleepContext(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -15,7 +15,8 @@
 	}
 }
 
-// awaitUntil looks again and again, at a pace, until a condition holds. Its error says why it did not hold at last.
+// awaitUntil polls a condition at an interval until it returns nil. After the timeout it returns the condition's
+// latest error.
 func awaitUntil(ctx context.Context, within, interval time.Duration, condition func() error) error {
 	var err error
 	for end := time.Now().Add(within); time.Now().Before(end) && ctx.Err() == nil; {
--- a/internal/harness/work_folder.go
+++ b/internal/harness/work_folder.go
@@ -9,9 +9,9 @@
 	"umberwinch/internal/report"
 )
 
-// withWorkFolder runs processes whose files, logs and data are in a temporary folder of their own. The folder is
-// removed after a run that kept its promises. One that failed, broke a promise or was interrupted leaves it, and says
-// where it is: in its error, or in the report's notes. An interrupted run always has an error, as it has no verdict.
+// withWorkFolder calls run with a temporary folder for the files, logs and data of processes. The folder is removed
+// after a run without a violation. A run that failed, found a violation or was interrupted keeps it, and names it in
+// its error or in the report's notes. An interrupted run always returns an error, as it has no verdict.
 func withWorkFolder(ctx context.Context, rep *report.Report, run func(dir string) error) error {
 	dir, err := os.MkdirTemp("", "umberctl-faulttest-")
 	if err != nil {
@@ -27,10 +27,10 @@
 	return os.RemoveAll(dir)
 }
 
-// errInterrupted is the error of a run that was interrupted: a part of it was not played, so it has no verdict.
+// errInterrupted is the error of an interrupted run, which is incomplete and has no verdict.
 var errInterrupted = errors.New("interrupted, so there is no verdict")
 
-// interrupted gives a run's error, or that it was interrupted where its context has ended.
+// interrupted returns a run's error, wrapped in errInterrupted if its context has ended.
 func interrupted(ctx context.Context, err error) error {
 	switch {
 	case ctx.Err() == nil:
--- a/internal/harness/work_folder_test.go
+++ b/internal/harness/work_folder_test.go
@@ -11,8 +11,8 @@
 	"umberwinch/internal/report"
 )
 
-// A run on processes writes a log into its folder and ends. Only where all went well is the folder gone afterwards;
-// else it is there with the log, and the error or the report says where. An interrupted run has an error in any case.
+// The work folder is removed only after a run without a violation; otherwise it keeps the log, and the error or the
+// report names it. An interrupted run returns errInterrupted in any case.
 func TestWorkFolderIsRemovedOnlyAfterPassingRun(t *testing.T) {
 	t.Parallel()
 	failure := errors.New("the node ended by itself")
@@ -48,24 +48,23 @@
 			})
 			t.Cleanup(func() { os.RemoveAll(folder) })
 			if !errors.Is(err, c.want) || c.interrupted && !errors.Is(err, errInterrupted) {
-				t.Errorf("error %v, expected %v", err, c.want)
+				t.Errorf("withWorkFolder() error = %v, want %v", err, c.want)
 			}
 			said := strings.Join(rep.Notes, "\n")
 			if err != nil {
 				said = err.Error()
 			}
 			if strings.Contains(said, "logs are in "+folder) != c.stays {
-				t.Errorf("says %q, folder %s, expected it to be named: %v", said, folder, c.stays)
+				t.Errorf("got text %q, want it to name folder %s: %v", said, folder, c.stays)
 			}
 			if _, err := os.Stat(filepath.Join(folder, "n1.log")); (err == nil) != c.stays {
-				t.Errorf("log: %v, expected it there: %v", err, c.stays)
+				t.Errorf("Stat(n1.log) error = %v, want the file kept: %v", err, c.stays)
 			}
 		})
 	}
 }
 
-// A run in virtual time alone is interrupted: it ends with an error and prints no verdict, as most of it was not
-// played.
+// An interrupted run in virtual time returns an error and prints no verdict, as most schedules were not run.
 func TestInterruptedVirtualRunHasNoVerdict(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -88,7 +87,7 @@
 			t.Parallel()
 			var out strings.Builder
 			if rep, err := run(&out); rep != nil || !errors.Is(err, errInterrupted) || out.Len() > 0 {
-				t.Errorf("report %v, error %v, printed %q; expected the error alone", rep, err, out.String())
+				t.Errorf("Run() = %v, error %v, printed %q; want only error %v", rep, err, out.String(), errInterrupted)
 			}
 		})
 	}
