--- a/internal/harness/work_folder.go
+++ b/internal/harness/work_folder.go
@@ -30,7 +30,7 @@
 // errInterrupted is the error of an interrupted run, which is incomplete and has no verdict.
 var errInterrupted = errors.New("interrupted, so there is no verdict")
 
-// interrupted returns a run's error, wrapped in errInterrupted if its context has ended.
+// interrupted returns a run's error, or errInterrupted, with any other error wrapped, if the context has ended.
 func interrupted(ctx context.Context, err error) error {
 	switch {
 	case ctx.Err() == nil:
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -19,7 +19,7 @@
 type ZonesTest struct {
 	Seed          int64
 	Quick         bool
-	Size          int // nodes of the real part
+	Size          int // nodes of the fleet of processes
 	Out           string
 	Without       zones.Guard
 	ProcessGuards string
@@ -30,10 +30,10 @@
 	Part          int
 	Parts         int
 
-	cases []zoneCase // the cases to play; nil: zoneCases. RecoveryTest sets recoveryCases
+	cases []zoneCase // nil: zoneCases; RecoveryTest sets recoveryCases
 }
 
-// Run plays schedules and large fleets in virtual time, then processes, and reports.
+// Run runs schedules and large fleets in virtual time, then a fleet of processes, and writes the report.
 func (r *ZonesTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "zones", Title: "Leaving a zone that fails, and coming back",
 		Head: []string{"PART", "NODES", "LOAD", "WAY", "VALUE DONE", "LEFT AFTER", "IN AGAIN AFTER", "STEPS",
@@ -59,10 +59,10 @@
 	return rep.End(r.Out, w)
 }
 
-// OnlyCosts stands for the measurement beside nodes alone, without the cases.
+// OnlyCosts, as the case, selects the measurement of failures' costs, without any case.
 const OnlyCosts = "costs"
 
-// runVirtual plays schedules on all cores, each from a seed of its own.
+// runVirtual runs schedules on all cores, each from a seed of its own.
 func (r *ZonesTest) runVirtual(ctx context.Context, rep *report.Report) {
 	n := r.Schedules
 	if n == 0 {
@@ -90,7 +90,7 @@
 	broken.report(rep)
 }
 
-// playFailures plays each kind of failure at sizes and loads, beside the baselines and the best that could be done.
+// playFailures runs each kind of zone failure for several sizes and loads.
 func (r *ZonesTest) playFailures(ctx context.Context, rep *report.Report) {
 	sizes, loads := []int{300, 5000}, []float64{0.5, 0.75}
 	if r.Quick {
@@ -112,7 +112,7 @@
 	}
 }
 
-// playFailure plays one kind of failure of a zone by the fleet, its baselines and the best that could be done.
+// playFailure runs one kind of zone failure with the fleet's evacuation, with the baselines and with an oracle.
 func (r *ZonesTest) playFailure(rep *report.Report, n int, load float64, kind string) {
 	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n, Kinds: []string{kind}, Fails: 15_000, Heals: 45_000,
 		Ends: 220_000, Load: load}
@@ -134,8 +134,8 @@
 			peak = fmt.Sprintf("%.2f", v.Peak)
 			seconds := v.Fleet.Now / 1000
 			rep.Notes = append(rep.Notes, fmt.Sprintf(
-				"%d nodes, load %.2f, %s: %.1f askings, %.2f entries and %.1f KB of them a "+
-					"second; played in %v", n, load, kind, float64(v.Fleet.Heartbeats)/seconds,
+				"%d nodes, load %.2f, %s: per second %.1f heartbeats, %.2f entries, %.1f KB of "+
+					"entries; simulated in %v", n, load, kind, float64(v.Fleet.Heartbeats)/seconds,
 				float64(v.Fleet.Entries)/seconds,
 				float64(v.Fleet.Bytes)/1024/seconds, v.took.Round(time.Millisecond)))
 			if n == 300 {
@@ -151,7 +151,7 @@
 	}
 }
 
-// runNoise plays hours of noise, in which no zone may be left.
+// runNoise runs hours of noise without a failure, in which no zone may be evacuated.
 func (r *ZonesTest) runNoise(rep *report.Report) {
 	hours := 24.0
 	if r.Quick {
@@ -183,11 +183,11 @@
 	rep.Add("wrong_leaves", "%d", falseEvacuations)
 }
 
-// zoneRate is the callers' rate in the cases, requests a second over all nodes: a third of what three services bear
-// warm.
+// zoneRate is the callers' rate in the cases, in requests per second over all nodes: about a third of the warm
+// stores' capacity.
 const zoneRate = 180
 
-// runProcesses plays the cases on processes, then measures what failures cost callers.
+// runProcesses runs the cases on processes, then measures the cost of failures to callers.
 func (r *ZonesTest) runProcesses(ctx context.Context, w io.Writer, rep *report.Report) error {
 	if r.Only != OnlyCosts {
 		if err := r.runCases(ctx, w, rep); err != nil || r.Quick || rep.Broken != "" || r.Only != "" {
@@ -197,7 +197,7 @@
 	return r.measureCosts(ctx, rep, r.selectCostPlan())
 }
 
-// runCases plays the cases that were asked for in one fleet under load, up to the first that breaks.
+// runCases runs the selected cases in one fleet under load, up to the first violation.
 func (r *ZonesTest) runCases(ctx context.Context, w io.Writer, rep *report.Report) error {
 	return withWorkFolder(ctx, rep, func(dir string) error { return r.runCasesIn(ctx, dir, w, rep) })
 }
@@ -226,8 +226,8 @@
 	return nil
 }
 
-// playCases plays the cases one after the other, each once the fleet stands as usual, and counts those that kept their
-// promises.
+// playCases runs the selected cases in turn, each once the group knows all zones' capacity, and counts those without
+// a violation.
 func (r *ZonesTest) playCases(b *zoneFixture, calls *CallResults) (kept int, err error) {
 	previous := ""
 	for i, c := range r.allCases() {
@@ -236,7 +236,7 @@
 		}
 		if previous != "" {
 			if err := b.awaitCapacityKnown(); err != nil {
-				return kept, invariantError(fmt.Sprintf("%s: after it: %v", previous, err))
+				return kept, invariantError(fmt.Sprintf("%s: the fleet is not back to normal afterwards: %v", previous, err))
 			}
 		}
 		startedAt, from := time.Now(), calls.numCalls()
@@ -255,8 +255,8 @@
 	return caseSelection{only: r.Only, quick: r.Quick, part: r.Part, parts: r.Parts}
 }
 
-// playCase plays a case; then, with every link whole again, all nodes have to serve and the history to keep its
-// promises.
+// playCase runs a case. Afterwards, with all link faults removed, all nodes have to serve and the history has to
+// hold its invariants.
 func (b *zoneFixture) playCase(c *zoneCase) error {
 	b.mayEvacuate = map[string]bool{}
 	for _, z := range c.mayEvacuate {
@@ -283,7 +283,7 @@
 	return nil
 }
 
-// selectCostPlan gives what is measured on processes.
+// selectCostPlan returns the measurement of the test: zones' failures, or recovery.
 func (r *ZonesTest) selectCostPlan() *costPlan {
 	if r.cases != nil {
 		return &recoveryCosts
--- a/internal/harness/zones_cases.go
+++ b/internal/harness/zones_cases.go
@@ -1,6 +1,6 @@
 package harness
 
-// This file has the cases of zones on processes.
+// This file has the zone cases on processes.
 
 import (
 	"errors"
@@ -12,17 +12,17 @@
 	"umberwinch/internal/control/zones"
 )
 
-// zoneCase is one hard case on processes.
+// zoneCase is one case: a fault and the decision about a zone that has to follow, or must not.
 type zoneCase struct {
 	name        string
-	mayEvacuate []string // zones that there is a reason to leave
+	mayEvacuate []string // zones that the fault is a reason to evacuate
 	run         func(b *zoneFixture)
 	long        bool
 }
 
 var zoneCases = []zoneCase{
-	// All nodes of a zone are killed. The zone is evacuated; its service below loses its cache. The nodes start, and
-	// the zone comes back by a ramp that never asks the service for more than it bears.
+	// All nodes of a zone are killed, and the zone is evacuated; its store loses its cache. The nodes restart, and
+	// the zone returns by a ramp that never overloads the store.
 	{name: "a zone dead at once, and back cold", mayEvacuate: []string{"z2"}, run: func(b *zoneFixture) {
 		b.killNodes(b.nodesIn("z2")...)
 		b.awaitEvacuation("z2")
@@ -32,31 +32,31 @@
 		must(b.awaitInService("z2"))
 		must(b.checkStoreLoad("z2", since))
 	}},
-	// The kernels of a zone die and its nodes go on. The zone is evacuated, and comes back once the kernels do.
+	// The kernels of a zone fail while its nodes run. The zone is evacuated, and returns once the kernels do.
 	{name: "its kernels dead, its nodes well", mayEvacuate: []string{"z1"}, run: func(b *zoneFixture) {
 		b.setKernelsDead("z1", true)
 		b.awaitEvacuation("z1")
 		b.setKernelsDead("z1", false)
 		must(b.awaitInService("z1"))
 	}},
-	// A zone's service below falls to a twentieth of its speed. The zone is evacuated, and comes back within what the
-	// service bears once that is fast again.
+	// A zone's store slows down to a twentieth. The zone is evacuated, and returns without overloading the store
+	// once that is fast again.
 	{name: "its service below at a twentieth of its speed", mayEvacuate: []string{"z3"}, run: func(b *zoneFixture) {
 		b.setStore("z3", 0.05, 0, false)
 		b.awaitEvacuation("z3")
-		b.setStore("z3", 1, 0, false) // cold too it takes twice as long, as in the first case
+		b.setStore("z3", 1, 0, false) // the cache stays warm: a cold one, as in the first case, takes twice as long
 		since := time.Now()
 		must(b.awaitInService("z3"))
 		must(b.checkStoreLoad("z3", since.Add(time.Second)))
 	}},
-	// One node of a zone has a dead kernel. That is no reason to evacuate the zone.
+	// One node of a zone has a failed kernel. That is no reason to evacuate the zone.
 	{name: "one bad node, and the zone stays", run: func(b *zoneFixture) {
 		n := b.nodesIn("z1")[0]
 		n.kernel.SetDown(true)
 		defer n.kernel.SetDown(false)
 		must(b.checkNoEvacuation(5 * time.Second))
 	}},
-	// The services of all zones are slow at once. Evacuating a zone would not help, and none is.
+	// The stores of all zones are slow. Evacuating a zone would not help, and none is evacuated.
 	{name: "all services slow for a common cause, and nobody leaves", run: func(b *zoneFixture) {
 		for _, z := range allZones {
 			b.setStore(z, 0.1, 0, false)
@@ -67,27 +67,27 @@
 		}
 		must(b.checkNoEvacuation(3 * time.Second))
 	}},
-	// The callers of a zone can't reach it, but the group can. Its nodes report that they are well, and the zone
-	// stays.
+	// A zone is cut off from its callers but not from the group. Its nodes report that they are healthy, and the
+	// zone stays in service.
 	{name: "cut off from its callers alone, and it stays", run: func(b *zoneFixture) {
 		for _, n := range b.nodesIn("z1") {
 			b.group.forwarders.set("callers", n.name, linkFault{cut: true})
 		}
 		must(b.checkNoEvacuation(5 * time.Second))
 	}},
-	// A zone loses the group. Its nodes are fenced as their leases end, and the zone is evacuated with that as its
-	// cause; it comes back once it is connected again.
+	// A zone is cut off from the group. Its nodes are fenced as their leases end, and the zone is evacuated for that
+	// cause; it returns once it is connected.
 	{name: "cut off from the group, and fenced", mayEvacuate: []string{"z2"}, run: func(b *zoneFixture) {
 		b.partitionFromGroup(b.nodesIn("z2")...)
 		v := b.awaitEvacuation("z2")
 		b.heal()
 		if v.Cause != "cut off" {
-			must(fmt.Errorf("left as %q, expected as cut off", v.Cause))
+			must(fmt.Errorf("zone z2: evacuated for %q, want \"cut off\"", v.Cause))
 		}
 		must(b.awaitInService("z2"))
 	}},
-	// The group's answers to a zone are lost, and its heartbeats arrive. Whether or not the zone is evacuated, it is
-	// in service again once the link is whole.
+	// The group's responses to a zone are lost, while its heartbeats arrive. Whether or not the zone is evacuated,
+	// it is in service again once the link has no fault.
 	{name: "answers lost one way between it and the group", long: true, mayEvacuate: []string{"z3"},
 		run: func(b *zoneFixture) {
 			b.setLinkFault(linkFault{dropReplies: true}, b.nodesIn("z3")...)
@@ -96,8 +96,8 @@
 			b.heal()
 			must(b.awaitInService("z3"))
 		}},
-	// Two of three zones fail. Both are evacuated; the last one stays, also where an operator asks to evacuate it.
-	// Then both come back.
+	// Two of three zones fail, and both are evacuated. The last one stays in service, even if an operator asks to
+	// evacuate it. Then both return.
 	{name: "two of three, and the last one stays", mayEvacuate: allZones, run: func(b *zoneFixture) {
 		for _, z := range []string{"z1", "z2"} {
 			b.setKernelsDead(z, true)
@@ -105,18 +105,18 @@
 		b.awaitEvacuation("z1")
 		b.awaitEvacuation("z2")
 		if v, err := b.zoneView("z3"); err == nil && v.Phase != zones.InService {
-			must(fmt.Errorf("the last zone is %s", v.Phase))
+			must(fmt.Errorf("zone z3, the last one in service, is %s, want it in service", v.Phase))
 		}
 		if b.submitOp(zones.Op{Kind: zones.OpEvacuate, Zone: "z3"}) == nil {
-			must(errors.New("an operator could leave the last zone"))
+			must(errors.New("an operator could evacuate zone z3, the last one in service"))
 		}
 		for _, z := range []string{"z1", "z2"} {
 			b.setKernelsDead(z, false)
 		}
 		must(errors.Join(b.awaitInService("z1"), b.awaitInService("z2")))
 	}},
-	// The leader is killed as a zone fails, and again on the zone's way back. The next leader evacuates it, and goes
-	// on with the ramp from where it was.
+	// The leader is killed as a zone fails, and again during the zone's ramp. The next leader evacuates the zone,
+	// and continues the ramp from the same share.
 	{name: "the leader lost as it fails, and again on the way back", mayEvacuate: []string{"z1"},
 		run: func(b *zoneFixture) {
 			b.setKernelsDead("z1", true)
@@ -128,13 +128,13 @@
 			after := b.awaitRamp("z1")
 			if after.Epoch < before.Epoch || after.Phase == zones.Ramping && after.Share < before.Share &&
 				after.Cause == before.Cause {
-				must(fmt.Errorf("a new leader has epoch %d at %d, the one before had %d at %d", after.Epoch,
+				must(fmt.Errorf("zone z1 under the new leader: epoch %d, share %d, want at least epoch %d, share %d of the previous one", after.Epoch,
 					after.Share, before.Epoch, before.Share))
 			}
 			must(b.awaitInService("z1"))
 		}},
-	// A zone fails, and fails again during its ramp. It counts as flapping, so it waits longer, and comes back in the
-	// end.
+	// A zone fails, and fails again during its ramp. It counts as flapping, so that it waits longer, and returns in
+	// the end.
 	{name: "fails again on its way back", long: true, mayEvacuate: []string{"z2"}, run: func(b *zoneFixture) {
 		for i := range 2 {
 			b.setKernelsDead("z2", true)
@@ -144,12 +144,12 @@
 			}
 		}
 		if mustGet(b.zoneView("z2")).FlapCount == 0 {
-			must(errors.New("it failed again, and waits no longer for that"))
+			must(errors.New("zone z2: flap count 0 after a second failure, want it above 0"))
 		}
 		must(b.awaitInService("z2"))
 	}},
-	// A zone is on its way back when its service below begins to fail. The ramp steps back, and the zone comes back
-	// once the service is well.
+	// A zone's store begins to fail during the zone's ramp. The ramp steps back, and the zone returns once the store
+	// is healthy.
 	{name: "its service below fails in the middle of the return", mayEvacuate: []string{"z3"}, run: func(b *zoneFixture) {
 		must(b.submitOp(zones.Op{Kind: zones.OpEvacuate, Zone: "z3", DrillMS: 1500}))
 		mustGet(b.awaitPhase("z3", 20*time.Second, zones.Ramping))
@@ -164,12 +164,12 @@
 					return nil
 				}
 			}
-			return fmt.Errorf("zone z3 is %s at %d and did not step back", v.Phase, v.Share)
+			return fmt.Errorf("zone z3 is %s at share %d and took no step back", v.Phase, v.Share)
 		}))
 		b.setStore("z3", 1, 0, false)
 		must(b.awaitInService("z3"))
 	}},
-	// A zone is on its way back when its nodes are restarted one after the other, as a release does. It comes back.
+	// The nodes of a zone are restarted in turn during the zone's ramp, as in a release. The zone returns.
 	{name: "a release on its way back", mayEvacuate: []string{"z1"}, run: func(b *zoneFixture) {
 		must(b.submitOp(zones.Op{Kind: zones.OpEvacuate, Zone: "z1", DrillMS: 1000}))
 		mustGet(b.awaitPhase("z1", 20*time.Second, zones.Ramping))
@@ -179,7 +179,7 @@
 		}
 		must(b.awaitInService("z1"))
 	}},
-	// Heartbeats of half of the nodes are late, each time of another half. No zone is evacuated for that.
+	// Heartbeats of half of the nodes are late, alternately of one half and of the other. No zone is evacuated.
 	{name: "half of the nodes unheard, and the zones stay", run: func(b *zoneFixture) {
 		for i := range 8 {
 			for k, n := range b.nodes {
@@ -192,13 +192,13 @@
 			must(b.checkNoEvacuation(600 * time.Millisecond))
 		}
 	}},
-	// One of three nodes of a zone reports wrongly that its kernel is down. The zone stays.
+	// One of a zone's three nodes reports wrongly that its kernel is down. The zone stays in service.
 	{name: "one node in three lies, and the zone stays", run: func(b *zoneFixture) {
 		b.setLinkFault(linkFault{replace: [2]string{`"kernel":true`, `"kernel":null`}}, b.nodesIn("z2")[0])
 		must(b.checkNoEvacuation(5 * time.Second))
 	}},
-	// A zone is evacuated, and its cause ends while the group has no leader. Its nodes may not serve until a leader
-	// says so; then the zone comes back.
+	// A zone is evacuated, and its failure ends while the group has no leader. Its nodes may not serve until a
+	// leader says so; then the zone returns.
 	{name: "it is well again while nobody leads", mayEvacuate: []string{"z1"}, run: func(b *zoneFixture) {
 		b.setKernelsDead("z1", true)
 		mustGet(b.awaitPhase("z1", 15*time.Second, zones.Evacuated))
@@ -206,21 +206,23 @@
 		b.setKernelsDead("z1", false)
 		time.Sleep(b.lease)
 		for _, n := range b.nodesIn("z1") {
-			if code, _, _ := b.sendOne(n.name); code == http.StatusOK {
-				must(fmt.Errorf("%s of a zone that was left serves while nobody leads", n.name))
+			if status, _, _ := b.sendOne(n.name); status == http.StatusOK {
+				must(fmt.Errorf("node %s of the evacuated zone z1: status %d without a leader, want it to reject requests", n.name,
+					status))
 			}
 		}
 		b.forEachButFirst(b.mustStart)
 		must(b.awaitInService("z1"))
 	}},
-	// An operator evacuates a zone as a drill: its nodes reject all requests, and it comes back by itself. Then the
-	// operator holds it: while the hold lasts it stays though it fails, and is evacuated only after.
+	// An operator evacuates a zone as a drill: its nodes reject all requests, and it returns without a further
+	// command. Then the operator holds the zone: while the hold lasts, it stays in service though it fails.
 	{name: "a drill, and an operator's hold", mayEvacuate: []string{"z2"}, run: func(b *zoneFixture) {
 		must(b.submitOp(zones.Op{Kind: zones.OpEvacuate, Zone: "z2", DrillMS: 2000, Reason: "a drill"}))
 		mustGet(b.awaitPhase("z2", 10*time.Second, zones.Evacuated))
 		for _, n := range b.nodesIn("z2") {
-			if code, _, _ := b.sendOne(n.name); code != http.StatusServiceUnavailable {
-				must(fmt.Errorf("%s of a zone that was left answers %d", n.name, code))
+			if status, _, _ := b.sendOne(n.name); status != http.StatusServiceUnavailable {
+				must(fmt.Errorf("node %s of the evacuated zone z2: status %d, want %d", n.name, status,
+					http.StatusServiceUnavailable))
 			}
 		}
 		must(b.awaitInService("z2"))
@@ -234,7 +236,7 @@
 	}},
 }
 
-// ZoneCases names the cases.
+// ZoneCases returns the names of the cases, and OnlyCosts.
 func ZoneCases() (names []string) {
 	names = append(names, OnlyCosts)
 	for _, c := range zoneCases {
--- a/internal/harness/zones_check.go
+++ b/internal/harness/zones_check.go
@@ -1,16 +1,16 @@
 package harness
 
-// This file holds the history of zones to their promises.
+// This file checks the invariants of the history of zones.
 
 import (
 	"fmt"
 	"sort"
 )
 
-// ZoneEvent is one thing that a run recorded about zones, in tenths of a ms.
+// ZoneEvent is one event of the history of zones.
 type ZoneEvent struct {
-	At    int64
-	Kind  string // decided, settled: the group's; acts, stops: a node's
+	At    int64  // in tenths of a ms
+	Kind  string // zone: it exists; decided, settled: by the group; applied, stops, responds: by a node
 	Node  string
 	Zone  string
 	Epoch uint64
@@ -18,9 +18,10 @@
 	Op    string
 }
 
-// CheckZones holds a history to its promises: nobody acts on an epoch before one that is settled, a share grows only
-// once the epoch before has settled, one zone is always in, epochs never go back, and no zone is left but those there
-// was a reason to leave. slack covers logs of whole ms and a round.
+// CheckZones returns the first violation of the invariants in a history; empty if there is none: no node acts on an
+// epoch before the settled one, a share grows only once the previous epoch has settled, at least one zone is in
+// service, epochs increase, and only zones with a reason to are evacuated. slack, in tenths of a ms, covers the
+// precision of logs and a heartbeat interval.
 func CheckZones(h []ZoneEvent, mayEvacuate map[string]bool, slack int64) string {
 	h = append([]ZoneEvent(nil), h...)
 	sort.SliceStable(h, func(i, k int) bool { return h[i].At < h[k].At })
@@ -41,28 +42,28 @@
 		case "decided":
 			known[e.Zone] = true
 			if e.Epoch <= decided {
-				return fmt.Sprintf("epoch %d was decided after %d", e.Epoch, decided)
+				return fmt.Sprintf("epoch %d was decided after epoch %d, want increasing epochs", e.Epoch, decided)
 			}
 			if e.Op == "leave" && !mayEvacuate[e.Zone] {
-				return fmt.Sprintf("zone %s was left in epoch %d, and there was no reason to", e.Zone, e.Epoch)
+				return fmt.Sprintf("zone %s was evacuated in epoch %d without a reason", e.Zone, e.Epoch)
 			}
 			if previous, left := shares[e.Zone]; left && e.Share > previous && settled < decided {
-				return fmt.Sprintf("zone %s was raised to %d in epoch %d, and epoch %d was not settled", e.Zone,
+				return fmt.Sprintf("zone %s: share raised to %d in epoch %d before epoch %d was settled", e.Zone,
 					e.Share, e.Epoch, decided)
 			}
 			decided, shares[e.Zone] = e.Epoch, e.Share
 			if len(known) > 1 && countInService() == 0 {
-				return fmt.Sprintf("no zone is in since epoch %d", e.Epoch)
+				return fmt.Sprintf("no zone is in service as of epoch %d, want at least one", e.Epoch)
 			}
 		case "settled":
 			if settled = max(settled, e.Epoch); settledAt[e.Epoch] == 0 {
 				settledAt[e.Epoch] = e.At
 			}
-		case "acts":
+		case "applied":
 			applied[e.Node] = e.Epoch
 		case "stops":
 			delete(applied, e.Node)
-		case "answers":
+		case "responds":
 			if epoch, running := applied[e.Node]; running && epoch < settled && e.At > settledAt[settled]+slack {
 				return fmt.Sprintf("%s acted on epoch %d, and %d was settled %.1f ms before", e.Node, epoch, settled,
 					float64(e.At-settledAt[settled])/10)
--- a/internal/harness/zones_cost.go
+++ b/internal/harness/zones_cost.go
@@ -11,31 +11,31 @@
 	"umberwinch/internal/report"
 )
 
-// What failures cost callers on processes, by several ways: the same failures, one after the other, in fleets with the
-// same load.
+// This file measures the cost of failures to callers on processes: the same failures in turn, in fleets under the
+// same load, for several variants of the fleet.
 
-// zoneFailure is one of them.
+// zoneFailure is a failure that is injected and removed.
 type zoneFailure struct {
 	name         string
 	inject, heal func(b *zoneFixture) error
-	observeFor   time.Duration // in place of the plan's
+	observeFor   time.Duration // 0: the plan's
 }
 
-// costVariant is a way to be measured: how its fleet decides, and what its callers and its platform are like.
+// costVariant is a variant of the fleet: its zones' mode of decision, its callers and its platform.
 type costVariant struct {
 	name, mode       string
-	honorRetryAfter  bool          // callers come back when they are told to
-	retryImmediately bool          // callers ask on at once
+	honorRetryAfter  bool          // callers wait for Retry-After
+	retryImmediately bool          // callers retry without backoff
 	startInterval    time.Duration // between the starts of two nodes
 }
 
-// costPlan is a measurement.
+// costPlan is a measurement of all failures under all variants.
 type costPlan struct {
 	variants              []costVariant
 	failures              []zoneFailure
-	faultTime, observeFor time.Duration // long enough for the failure to show, and for all to be whole again
+	faultTime, observeFor time.Duration // how long a failure lasts, and is observed after its end
 	formatCells           func(way *costVariant, failure string, c *failureCost) []string
-	boundedVariant        string // this way's services below are never asked for more than they bear
+	boundedVariant        string // name of the variant whose stores may not be overloaded
 }
 
 var zoneFailures = []zoneFailure{
@@ -66,27 +66,27 @@
 		}},
 }
 
-// failureCost is what one failure came to.
+// failureCost is the measured cost of one failure.
 type failureCost struct {
-	inTimeValueShare float64 // done in time, of what was asked, from the failure to the end
+	inTimeValueShare float64 // fraction of value completed in time, from the failure to the end of the observation
 	lastResponse     time.Duration
-	// asked of a service below before, over what it bears when warm, in the mean: that of the busiest
+	// mean load over warm capacity before the failure, of the busiest store
 	loadBefore         float64
 	peakLoad           float64
 	attemptsPerRequest float64
-	// from its end until the zone is in and all its nodes are ready; 0: not in the time there was
+	// from the failure's end until the zone is in service with all its nodes ready; 0: not while observed
 	recoveredAfter time.Duration
-	// from its end until half, 95 and 98 in 100 of the value is done for good; -1: not in that time
+	// from the failure's end until serviceShares of value are completed for good; -1: not while observed
 	serviceRestoredAfter [3]time.Duration
 }
 
-// serviceShares are the shares of full service that are timed.
+// serviceShares are the fractions of value completed in time for which the recovery is timed.
 var serviceShares = [3]float64{0.5, 0.95, 0.98}
 
-// measureFailure has a failure begin and end, and gives what it came to.
+// measureFailure injects a failure, removes it and returns its cost.
 func (b *zoneFixture) measureFailure(c *CallResults, f *zoneFailure, p *costPlan) (out failureCost, err error) {
 	from := time.Now()
-	for _, s := range b.stores { // each is judged alone
+	for _, s := range b.stores {
 		out.loadBefore = max(out.loadBefore, s.MeanLoad(from.Add(-baselineSpan)))
 	}
 	if err = f.inject(b); err != nil {
@@ -102,7 +102,7 @@
 		observeFor = f.observeFor
 	}
 	out.recoveredAfter = b.watchRecovery(healed, observeFor)
-	for _, s := range b.stores { // each is judged alone
+	for _, s := range b.stores {
 		out.peakLoad = max(out.peakLoad, s.PeakLoad(healed))
 	}
 	c.mu.Lock()
@@ -114,8 +114,8 @@
 	return out, nil
 }
 
-// watchRecovery looks on for a while after a failure's end, and gives when zone z1 was in with all its nodes ready; 0:
-// not in that time.
+// watchRecovery observes the fleet for a time after a failure's end. It returns the time until zone z1 was in
+// service with all its nodes ready; 0 if it never was.
 func (b *zoneFixture) watchRecovery(healed time.Time, observeFor time.Duration) (recoveredAfter time.Duration) {
 	for time.Since(healed) < observeFor && b.ctx.Err() == nil {
 		b.sleep(20 * time.Millisecond)
@@ -133,7 +133,8 @@
 	return recoveredAfter
 }
 
-// addCalls takes from the calls since a failure's begin what callers got, and when the zone that failed answered last.
+// addCalls derives from the calls since the failure's begin the value completed in time, the attempts per request
+// and the last response of the failed zone.
 func (c *failureCost) addCalls(calls []CallResult, from, healed time.Time) {
 	all, inTime, requests := 0.0, 0.0, 0
 	for _, a := range calls {
@@ -156,11 +157,12 @@
 	c.inTimeValueShare, c.attemptsPerRequest = inTime/max(all, 1), c.attemptsPerRequest/float64(max(requests, 1))
 }
 
-// serviceInterval is over which done is held to asked: at 180 requests a second one dear request weighs a hundredth of it.
+// serviceInterval is the interval over which completed and offered value are compared: long enough at 180 requests
+// per second that one request of the highest value weighs a hundredth of it.
 const serviceInterval = 2 * time.Second
 
-// serviceRestoredAfter gives how long after a moment a share of the value that is asked for is done in time, from there to the
-// end; -1 if it is not. A request counts when it ends.
+// serviceRestoredAfter returns the time from since until a fraction of the offered value is completed in time in all
+// later intervals; -1 if there is none. A call counts at its end.
 func serviceRestoredAfter(calls []CallResult, since time.Time, observeFor time.Duration, share float64) time.Duration {
 	n := int(observeFor / serviceInterval)
 	inTime, all := make([]float64, n), make([]float64, n)
@@ -181,26 +183,25 @@
 	return time.Duration(first) * serviceInterval
 }
 
-// baselineSpan is over which the load before a failure is taken.
+// baselineSpan is the time before a failure over which the load is measured.
 const baselineSpan = 5 * time.Second
 
-// costSeeds is how many seeds a measurement is made with, concurrentFleets how many fleets run at once: they restart in the
-// same moments, and where all callers were eager, nine attempts a request, and five fleets had six cores, some of them
-// came late or not at all.
+// costSeeds is the number of seeds of a measurement, concurrentFleets the number of fleets that run in parallel.
+// More fleets delay each other's nodes when they restart at the same time.
 const (
 	costSeeds        = 3
 	concurrentFleets = 4
 )
 
-// costRun is one fleet of a measurement: all failures, one after the other.
+// costRun is one fleet of a measurement, in which all failures occur in turn.
 type costRun struct {
 	seed    int64
 	variant *costVariant
-	costs   []failureCost // by failure
+	costs   []failureCost // by index of the failure
 	err     error
 }
 
-// measureCosts measures all failures by all ways, each in a fleet of its own, concurrentFleets of them at once.
+// measureCosts measures all failures under all variants, each variant and seed in a fleet of its own.
 func (r *ZonesTest) measureCosts(ctx context.Context, rep *report.Report, p *costPlan) error {
 	var runs []*costRun
 	for seed := r.Seed; seed < r.Seed+costSeeds; seed++ {
@@ -233,7 +234,7 @@
 	return nil
 }
 
-// measureFleet measures all failures by one way, on a fleet of its own.
+// measureFleet measures all failures under one variant, in a fleet of its own.
 func (r *ZonesTest) measureFleet(ctx context.Context, dir string, p *costPlan, seed int64, variant *costVariant) ([]failureCost,
 	error) {
 	test := *r
@@ -249,7 +250,7 @@
 	calls := b.Load(loadCtx, zoneRate)
 	b.sleep(12 * time.Second)
 	if variant.mode == "auto" || variant.mode == "no-ramp" {
-		if err := b.awaitCapacityKnown(); err != nil { // the group knows what services bear
+		if err := b.awaitCapacityKnown(); err != nil { // until the group knows the zones' capacity
 			return nil, err
 		}
 	}
@@ -267,7 +268,7 @@
 	return costs, nil
 }
 
-// addRows brings a fleet's costs into the report, and holds the plan's own way to what services below bear.
+// addRows adds a fleet's costs to the report, and checks that the stores of the bounded variant were not overloaded.
 func (run *costRun) addRows(rep *report.Report, p *costPlan) {
 	for i := range run.costs {
 		failure := p.failures[i].name
@@ -275,14 +276,13 @@
 		rep.Rows = append(rep.Rows, append([]string{name, "9", strconv.Itoa(zoneRate) + "/s", run.variant.name},
 			p.formatCells(run.variant, failure, &run.costs[i])...))
 		if run.variant.name == p.boundedVariant && run.costs[i].peakLoad > 1 {
-			rep.Break("seed %d, %s: a service below was asked for %.2f of what it bears on the way back", run.seed,
-				failure,
-				run.costs[i].peakLoad)
+			rep.Break("seed %d, %s: peak load of a store is %.2f of its capacity during the recovery, want at most 1", run.seed,
+				failure, run.costs[i].peakLoad)
 		}
 	}
 }
 
-// zoneCosts are a zone's failures, with the fleet's decisions and without.
+// zoneCosts measures failures of a zone, with the fleet's decisions and without.
 var zoneCosts = costPlan{variants: []costVariant{{name: "the fleet", mode: "auto", retryImmediately: true},
 	{name: "nodes alone", mode: "off", retryImmediately: true}},
 	failures: zoneFailures, faultTime: 8 * time.Second, observeFor: 30 * time.Second, boundedVariant: "the fleet",
@@ -296,7 +296,7 @@
 			fmt.Sprintf("%.2f", c.peakLoad)}
 	}}
 
-// recoveryCosts are a restart of all nodes over cold services, and that of one node.
+// recoveryCosts measures a restart of all nodes with cold stores, and one of a single node.
 var recoveryCosts = costPlan{variants: []costVariant{{name: "the fleet", mode: "auto"},
 	{name: "the fleet, patient callers", mode: "auto", honorRetryAfter: true},
 	{name: "the fleet, eager callers", mode: "auto", retryImmediately: true},
@@ -325,12 +325,12 @@
 	}}}, faultTime: time.Second, observeFor: 56 * time.Second, boundedVariant: "the fleet",
 	formatCells: func(_ *costVariant, failure string, c *failureCost) []string {
 		out, lowerBound := []string{}, "-"
-		// from the start of the processes on; that they take a part of a second is not in it
+		// counts from the start of the processes, without the part of a second that they take to start
 		if failure == "all nodes restart" {
 			lowerBound = secondsText(1000 * shortestRecovery(c.loadBefore, storeColdFactor, storeWarmUpCalls*storeCallTime.Seconds()/storeWorkers))
 		}
 		for _, s := range c.serviceRestoredAfter {
-			out = append(out, secondsText(1000*s.Seconds())) // -1 stays below zero: not in the time there was
+			out = append(out, secondsText(1000*s.Seconds())) // negative: not while observed
 		}
 		return append(out, lowerBound, fmt.Sprintf("%.2f", c.peakLoad), fmt.Sprintf("%.2f; %.3f of value", c.attemptsPerRequest, c.inTimeValueShare))
 	}}
--- a/internal/harness/zones_fixture.go
+++ b/internal/harness/zones_fixture.go
@@ -1,6 +1,6 @@
 package harness
 
-// This file has what a case of zones on processes is written with.
+// This file has the fixture of the zone and recovery cases on processes.
 
 import (
 	"cmp"
@@ -15,16 +15,17 @@
 	"umberwinch/internal/control/zones"
 )
 
-// zoneFixture is a fleet under load, for cases about zones.
+// zoneFixture is a fleet under load whose policy decides on zones.
 type zoneFixture struct {
 	*policyFixture
 	out           io.Writer
-	mayEvacuate   map[string]bool // zones that the case at hand has a reason to leave
-	startInterval time.Duration   // of the platform, between the starts of two nodes
-	firstEpoch    uint64          // at the begin of the case: an instance that starts again logs what came before anew
+	mayEvacuate   map[string]bool // zones that the current case has a reason to evacuate
+	startInterval time.Duration   // between the starts of two nodes
+	firstEpoch    uint64          // at the start of the case: a restarted instance logs earlier epochs again
 }
 
-// startFixture starts a fleet whose policy leaves zones by itself.
+// startFixture starts a fleet whose policy decides on zones in a mode: auto, off, or no-ramp for auto without a cold
+// start.
 func (r *ZonesTest) startFixture(ctx context.Context, dir, alone, mode string) (*zoneFixture, error) {
 	smallStart := "yes"
 	if mode == "no-ramp" {
@@ -40,7 +41,7 @@
 	return &zoneFixture{policyFixture: b, mayEvacuate: map[string]bool{}}, nil
 }
 
-// zoneView gives a zone as the leader shows it.
+// zoneView returns the leader's view of a zone.
 func (b *zoneFixture) zoneView(name string) (*consensus.ZoneView, error) {
 	var v consensus.ZonesView
 	if _, err := b.requestAny(http.MethodGet, "/v1/zones", nil, &v); err != nil {
@@ -54,10 +55,10 @@
 			return &v.Zones[i], nil
 		}
 	}
-	return nil, fmt.Errorf("zone %s is not known", name)
+	return nil, fmt.Errorf("the group has no zone %s", name)
 }
 
-// awaitPhase waits until a zone is at one of some steps.
+// awaitPhase waits until a zone is in one of the given phases.
 func (b *zoneFixture) awaitPhase(name string, within time.Duration, phases ...zones.Phase) (v *consensus.ZoneView,
 	err error) {
 	err = b.await(within, func() error {
@@ -73,12 +74,12 @@
 		if v.Evidence != nil {
 			evidence = fmt.Sprintf("; %+v", *v.Evidence)
 		}
-		return fmt.Errorf("zone %s is %s at %d (%s)%s, expected %v", name, v.Phase, v.Share, v.Cause, evidence, phases)
+		return fmt.Errorf("zone %s is %s at share %d (%s)%s, want %v", name, v.Phase, v.Share, v.Cause, evidence, phases)
 	})
 	return v, err
 }
 
-// awaitInService waits until a zone is in again and all its nodes serve.
+// awaitInService waits until a zone is in service and all running nodes serve.
 func (b *zoneFixture) awaitInService(name string) error {
 	if v, err := b.awaitPhase(name, 150*time.Second, zones.InService); err != nil {
 		if v != nil {
@@ -89,19 +90,19 @@
 	return b.AwaitAllServing(b.committedVersion, 60*time.Second)
 }
 
-// checkNoEvacuation holds the fleet to leaving no zone for a while.
+// checkNoEvacuation checks for a time that all zones stay in service.
 func (b *zoneFixture) checkNoEvacuation(d time.Duration) error {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, z := range allZones {
 			if v, err := b.zoneView(z); err == nil && v.Phase != zones.InService {
-				return fmt.Errorf("zone %s was left: %v", z, v.Events[len(v.Events)-1].Text)
+				return fmt.Errorf("zone %s is %s (%v), want it in service", z, v.Phase, v.Events[len(v.Events)-1].Text)
 			}
 		}
 	}
 	return nil
 }
 
-// submitOp has an operator do something about a zone.
+// submitOp submits an operation on a zone as an operator.
 func (b *zoneFixture) submitOp(op zones.Op) error {
 	b.lastOpNumber++
 	op.Operator, op.IdempotencyKey = "lab", fmt.Sprintf("rig-%d-%08d", b.Seed, b.lastOpNumber)
@@ -123,27 +124,28 @@
 	}
 }
 
-// setStore changes a zone's service below; one that comes back from a trouble is cold.
-func (b *zoneFixture) setStore(zone string, speed, fails float64, cold bool) {
-	b.stores[zone].Update(func(s, w, f *float64) {
-		if *s, *f = speed, fails; cold {
-			*w = 0
+// setStore sets the speed and error rate of a zone's store, and empties its cache if cold.
+func (b *zoneFixture) setStore(zone string, speed, errorRate float64, cold bool) {
+	b.stores[zone].Update(func(storeSpeed, warmth, storeErrorRate *float64) {
+		if *storeSpeed, *storeErrorRate = speed, errorRate; cold {
+			*warmth = 0
 		}
 	})
 }
 
 var allZones = []string{"z1", "z2", "z3"}
 
-// awaitEvacuation waits until a zone is left, or at one of some other steps; returns until it comes back.
+// awaitEvacuation waits until a zone is evacuating, evacuated or in one of the other given phases.
 func (b *zoneFixture) awaitEvacuation(name string, phases ...zones.Phase) *consensus.ZoneView {
 	return mustGet(b.awaitPhase(name, 25*time.Second, append(phases, zones.Evacuating, zones.Evacuated)...))
 }
 
+// awaitRamp waits until a zone is ramping or in service.
 func (b *zoneFixture) awaitRamp(name string) *consensus.ZoneView {
 	return mustGet(b.awaitPhase(name, 30*time.Second, zones.Ramping, zones.InService))
 }
 
-// startNodes starts nodes, one each pace.
+// startNodes starts nodes with a pause after each.
 func (b *zoneFixture) startNodes(pace time.Duration, nodes ...*nodeProcess) {
 	for _, n := range nodes {
 		must(n.Start())
@@ -157,20 +159,20 @@
 	}
 }
 
-// restartLeader kills the leader and starts it again.
+// restartLeader kills the leader and restarts it.
 func (b *zoneFixture) restartLeader() { b.mustStart(mustGet(b.killLeader())) }
 
-// checkStoreLoad holds a zone's service below to what it bears, since a time.
+// checkStoreLoad checks that a zone's store was not overloaded since a time.
 func (b *zoneFixture) checkStoreLoad(zone string, since time.Time) error {
 	peak := b.stores[zone].PeakLoad(since)
-	fmt.Fprintf(b.out, "  below %s: asked for %.2f of what it bears at most on the way back\n", zone, peak)
+	fmt.Fprintf(b.out, "  store of zone %s: peak load %.2f of its capacity during the recovery\n", zone, peak)
 	if peak > 1.0 {
-		return fmt.Errorf("the service below %s was asked for %.2f of what it bears", zone, peak)
+		return fmt.Errorf("store of zone %s: peak load %.2f of its capacity, want at most 1", zone, peak)
 	}
 	return nil
 }
 
-// printDecisions writes what was decided, for a case that broke.
+// printDecisions prints the group's decisions about zones, after a violation.
 func (b *zoneFixture) printDecisions(w io.Writer) {
 	var v consensus.ZonesView
 	if _, err := b.requestAny(http.MethodGet, "/v1/zones", nil, &v); err != nil {
@@ -183,7 +185,7 @@
 	}
 }
 
-// awaitCapacityKnown waits until the group knows what each zone's services bear.
+// awaitCapacityKnown waits until every zone is in service and healthy, and the group has observed its capacity.
 func (b *zoneFixture) awaitCapacityKnown() error {
 	for _, z := range allZones {
 		if err := b.await(60*time.Second, func() error {
@@ -194,7 +196,7 @@
 			case v.Capacity.RunRate == 0 || v.Evidence != nil && v.Capacity.RunRate < 0.7*v.Evidence.RunRate ||
 				v.Evidence == nil || v.Evidence.NodesUnhealthy > 0 || v.Evidence.FailureScore > 0 ||
 				v.Phase != zones.InService:
-				return fmt.Errorf("zone %s is %s, bore %.0f runs a second: %+v", z, v.Phase, v.Capacity.RunRate,
+				return fmt.Errorf("zone %s is %s, observed capacity %.0f runs/s, want it in service and healthy with a known capacity: %+v", z, v.Phase, v.Capacity.RunRate,
 					v.Evidence)
 			}
 			return nil
--- a/internal/harness/zones_history.go
+++ b/internal/harness/zones_history.go
@@ -11,13 +11,13 @@
 	"umberwinch/internal/logging"
 )
 
-// logSlack covers logs of whole ms and a round between a node and its group, in tenths of a ms.
+// logSlack covers the precision of logs and a heartbeat interval, in tenths of a ms.
 const logSlack = 1000
 
-// responseInterval is how often the history has a node answer, in tenths of a ms.
+// responseInterval is the interval of the responses added to the history, in tenths of a ms.
 const responseInterval = 1000
 
-// checkHistory reads what the processes logged since a time and holds it to the promises.
+// checkHistory reads the processes' logs since a time and checks the invariants.
 func (b *zoneFixture) checkHistory(since time.Time) error {
 	from := since.UnixMicro() / 100
 	var h []ZoneEvent
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// loggedDecisions gives what the group decided since a time, each epoch once, and when epochs settled. The whole fleet
-// is no zone: its steps raise and lower all.
+// loggedDecisions returns the group's decisions since a time, each epoch once, and when epochs settled. Decisions
+// about the whole fleet aren't part of it.
 func (b *zoneFixture) loggedDecisions(from int64) (h []ZoneEvent, err error) {
 	seen := map[uint64]bool{}
 	err = readLog(b.instancesLog(), func(l *logRecord) {
@@ -68,13 +68,13 @@
 	return h, err
 }
 
-// loggedZoneOrders gives which epochs a node acted on, and when it was fenced.
+// loggedZoneOrders returns the epochs that a node applied, and when it was fenced.
 func (n *nodeProcess) loggedZoneOrders() (h []ZoneEvent, err error) {
 	err = readLog(n.logPath(), func(l *logRecord) {
 		e := ZoneEvent{At: l.at, Node: n.name, Zone: n.zone}
 		switch l.message {
 		case "zone order is in effect":
-			e.Kind, e.Epoch, e.Share = "acts", l.uintField(logging.Epoch), int(l.uintField(logging.Share))
+			e.Kind, e.Epoch, e.Share = "applied", l.uintField(logging.Epoch), int(l.uintField(logging.Share))
 		case "node is fenced: all requests are rejected":
 			e.Kind = "stops"
 		default:
@@ -85,7 +85,7 @@
 	return h, err
 }
 
-// processExits gives the ends of nodes' processes.
+// processExits returns the exits of nodes' processes.
 func (b *zoneFixture) processExits() (h []ZoneEvent) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -97,12 +97,12 @@
 	return h
 }
 
-// syntheticResponses stands for what nodes answered: acting on an order is to answer by it, so each node has a request every tenth
-// of a second.
+// syntheticResponses returns a response of each node every responseInterval: a node that has applied an epoch
+// responds by it.
 func (b *zoneFixture) syntheticResponses(from int64) (h []ZoneEvent) {
 	for at := from; at < time.Now().UnixMicro()/100; at += responseInterval {
 		for _, n := range b.nodes {
-			h = append(h, ZoneEvent{At: at, Kind: "answers", Node: n.name})
+			h = append(h, ZoneEvent{At: at, Kind: "responds", Node: n.name})
 		}
 	}
 	return h
--- a/internal/harness/zones_test.go
+++ b/internal/harness/zones_test.go
@@ -11,7 +11,7 @@
 	"umberwinch/internal/report"
 )
 
-// TestZoneCasesOnProcesses plays every hard case about zones on processes, in fleets side by side.
+// Every zone case that isn't long passes on processes, split over five fleets in parallel.
 func TestZoneCasesOnProcesses(t *testing.T) {
 	t.Parallel()
 	const parts = 5
@@ -22,19 +22,19 @@
 			rep, err := (&ZonesTest{Seed: int64(11 + part), Quick: true, Mode: "real", Part: part, Parts: parts,
 				Program: builtProgram(t)}).Run(context.Background(), &out)
 			if err != nil || rep.Broken != "" {
-				t.Fatalf("%v\n%s", err, out.String())
+				t.Fatalf("Run() error = %v, want none and no violation\n%s", err, out.String())
 			}
 			if n := strings.Count(out.String(), " kept, "); n < len(zoneCases)/parts-1 {
-				t.Fatalf("%d cases kept, expected %d\n%s", n, len(zoneCases)/parts, out.String())
+				t.Fatalf("got %d cases kept, want at least %d\n%s", n, len(zoneCases)/parts-1, out.String())
 			}
 			t.Log(out.String())
 		})
 	}
 }
 
-// TestZoneCasesFailWithoutGuard takes guards out of the processes: the case that needs each breaks. "paced" takes half a
-// minute and is taken out by faulttest zones --without; the others need more load or more nodes than a fleet has; all
-// are taken out in virtual time.
+// With a guard disabled, the case that depends on it has to find a violation. "paced" takes half a minute and is
+// covered by faulttest zones --without; the other guards need more load or nodes than this fleet has. All are
+// disabled in virtual time.
 func TestZoneCasesFailWithoutGuard(t *testing.T) {
 	t.Parallel()
 	for guard, only := range map[string]string{"step-back": "its service below fails in the middle of the return",
@@ -49,32 +49,32 @@
 	}
 }
 
-// TestCheckZonesDetectsViolations holds the checker to histories that are wrong on purpose.
+// CheckZones accepts a correct history and detects each kind of violation.
 func TestCheckZonesDetectsViolations(t *testing.T) {
 	good := []ZoneEvent{{At: 0, Kind: "zone", Zone: "a"}, {At: 0, Kind: "zone", Zone: "b"},
 		{At: 10, Kind: "decided", Zone: "a", Epoch: 1, Share: 0, Op: "leave"},
-		{At: 20, Kind: "acts", Node: "n", Epoch: 1},
-		{At: 30, Kind: "settled", Epoch: 1}, {At: 40, Kind: "answers", Node: "n"},
+		{At: 20, Kind: "applied", Node: "n", Epoch: 1},
+		{At: 30, Kind: "settled", Epoch: 1}, {At: 40, Kind: "responds", Node: "n"},
 		{At: 50, Kind: "decided", Zone: "a", Epoch: 2, Share: 16, Op: "step"}, {At: 60, Kind: "settled", Epoch: 2},
-		{At: 62, Kind: "answers", Node: "n"}, {At: 65, Kind: "acts", Node: "n", Epoch: 2},
-		{At: 90, Kind: "answers", Node: "n"}}
+		{At: 62, Kind: "responds", Node: "n"}, {At: 65, Kind: "applied", Node: "n", Epoch: 2},
+		{At: 90, Kind: "responds", Node: "n"}}
 	mayEvacuate := map[string]bool{"a": true}
 	if broken := CheckZones(good, mayEvacuate, 5); broken != "" {
-		t.Fatalf("the right history: %s", broken)
+		t.Fatalf("CheckZones(correct history) = %q, want none", broken)
 	}
 	for name, more := range map[string][]ZoneEvent{
-		"left without a reason":   {{At: 70, Kind: "decided", Zone: "b", Epoch: 3, Op: "leave"}},
-		"no zone is in":           {{At: 70, Kind: "decided", Zone: "b", Epoch: 3, Op: "step", Share: 0}},
-		"an epoch that goes back": {{At: 70, Kind: "decided", Zone: "a", Epoch: 1, Share: 16, Op: "step"}},
-		"raised before it settled": {{At: 70, Kind: "decided", Zone: "a", Epoch: 3, Share: 32, Op: "step"},
+		"evacuated without a reason": {{At: 70, Kind: "decided", Zone: "b", Epoch: 3, Op: "leave"}},
+		"no zone in service":         {{At: 70, Kind: "decided", Zone: "b", Epoch: 3, Op: "step", Share: 0}},
+		"decreasing epoch":           {{At: 70, Kind: "decided", Zone: "a", Epoch: 1, Share: 16, Op: "step"}},
+		"share raised before the epoch settled": {{At: 70, Kind: "decided", Zone: "a", Epoch: 3, Share: 32, Op: "step"},
 			{At: 71, Kind: "decided", Zone: "a", Epoch: 4, Share: 64, Op: "step"}},
-		"acts on what was settled": {{At: 61, Kind: "acts", Node: "m", Epoch: 1},
-			{At: 80, Kind: "answers", Node: "m"}},
-		"acts long after, by another": {{At: 15, Kind: "acts", Node: "k", Epoch: 0},
-			{At: 45, Kind: "answers", Node: "k"}},
+		"node applies an earlier epoch": {{At: 61, Kind: "applied", Node: "m", Epoch: 1},
+			{At: 80, Kind: "responds", Node: "m"}},
+		"node keeps acting on an earlier epoch": {{At: 15, Kind: "applied", Node: "k", Epoch: 0},
+			{At: 45, Kind: "responds", Node: "k"}},
 	} {
 		if broken := CheckZones(append(append([]ZoneEvent{}, good...), more...), mayEvacuate, 5); broken == "" {
-			t.Errorf("%s: not found", name)
+			t.Errorf("CheckZones(%s) = none, want a violation", name)
 		}
 	}
 }
--- a/internal/harness/zones_virtual.go
+++ b/internal/harness/zones_virtual.go
@@ -8,20 +8,20 @@
 	"umberwinch/internal/simulation"
 )
 
-// zoneVariant is one way to play the same plan of zones in virtual time.
+// zoneVariant is a variant of a plan of zones in virtual time.
 type zoneVariant struct {
 	name  string
 	apply func(p *simulation.ZonePlan)
 }
 
-// playedZones is what one variant came to, and the real time that it took to play.
+// playedZones is the result of one variant, and the real time that its simulation took.
 type playedZones struct {
 	*simulation.Zones
 	name string
 	took time.Duration
 }
 
-// playVariants plays a plan by each variant, all at once.
+// playVariants runs all variants of a plan in parallel.
 func playVariants(base simulation.ZonePlan, variants []zoneVariant) []playedZones {
 	played := make([]playedZones, len(variants))
 	var wg sync.WaitGroup
@@ -38,7 +38,7 @@
 	return played
 }
 
-// violatingSchedules counts schedules that broke a promise, and has the first of them by seed.
+// violatingSchedules counts schedules with a violation, and has that of the lowest seed.
 type violatingSchedules struct {
 	count     int
 	seed      int64
@@ -54,9 +54,9 @@
 	}
 }
 
-// report makes the first broken schedule the report's broken promise.
+// report reports the violation of the lowest seed.
 func (b *violatingSchedules) report(rep *report.Report) {
 	if b.count > 0 {
-		rep.Break("seed %d of %d broken schedules: %s", b.seed, b.count, b.violation)
+		rep.Break("seed %d, the first of %d violating schedules: %s", b.seed, b.count, b.violation)
 	}
 }
