--- a/internal/harness/control_load.go
+++ b/internal/harness/control_load.go
@@ -29,7 +29,8 @@
 }
 
 func (c *controlProcesses) startLoad(ctx context.Context, clients int) *putLoad {
-	l := &putLoad{group: c, started: time.Now(), committed: map[string]uint64{}, latencies: hdrhistogram.New(1, 60_000_000, 3)}
+	l := &putLoad{group: c, started: time.Now(), committed: map[string]uint64{},
+		latencies: hdrhistogram.New(1, 60_000_000, 3)}
 	ctx, l.stop = context.WithCancel(ctx)
 	for i := 0; i < clients; i++ {
 		l.wg.Add(1)
@@ -52,7 +53,8 @@
 			// Not derived from ctx: an attempt in progress completes after the load has stopped.
 			attemptCtx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 			var result consensus.PutResult
-			_, err := l.group.doRequest(attemptCtx, http.MethodPut, l.group.instances[target%len(l.group.instances)].listen, "/v1/config", put, &result)
+			_, err := l.group.doRequest(attemptCtx, http.MethodPut,
+				l.group.instances[target%len(l.group.instances)].listen, "/v1/config", put, &result)
 			cancel()
 			if err != nil || result.Outcome == "" {
 				target++
@@ -112,7 +114,8 @@
 				return fmt.Errorf("history: found version %d, expected %d", v.Number, from)
 			}
 			if previous, duplicate := byReason[v.Reason]; duplicate {
-				return fmt.Errorf("put %s is in the history twice: as version %d and as version %d", v.Reason, previous, v.Number)
+				return fmt.Errorf("put %s is in the history twice: as version %d and as version %d", v.Reason, previous,
+					v.Number)
 			}
 			byReason[v.Reason] = v.Number
 			from++
@@ -123,7 +126,8 @@
 	}
 	for name, version := range l.committed {
 		if byReason[name] != version {
-			return fmt.Errorf("put %s was acknowledged as version %d, the history has version %d", name, version, byReason[name])
+			return fmt.Errorf("put %s was acknowledged as version %d, the history has version %d", name, version,
+				byReason[name])
 		}
 	}
 	return nil
--- a/internal/harness/control_processes.go
+++ b/internal/harness/control_processes.go
@@ -28,7 +28,7 @@
 type instanceProcess struct {
 	process
 	name, listen, peer, bind, operatorFile string
-	fault                                  string // fault that SIGUSR2 triggers; "": none, the instance is killed with SIGKILL
+	fault                                  string // triggered by SIGUSR2; "": none
 }
 
 // controlProcesses is a group of instances that run as processes on loopback addresses.
@@ -198,7 +198,8 @@
 	return awaitUntil(ctx, groupTimeout, 5*time.Millisecond, condition)
 }
 
-// doRequest sends a JSON request to an instance and decodes the response into out. A status of 500 and above is an error.
+// doRequest sends a JSON request to an instance and decodes the response into out. A status of 500 and above is an
+// error.
 func (c *controlProcesses) doRequest(ctx context.Context, method, addr, path string, in, out any) (int, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
--- a/internal/harness/control_processes_test.go
+++ b/internal/harness/control_processes_test.go
@@ -14,7 +14,8 @@
 func TestCommittedVersionsSurviveLeaderKills(t *testing.T) {
 	var out bytes.Buffer
 	dir := t.TempDir()
-	rep, err := (&RaftTest{Seed: 4, Quick: true, Size: 3, Mode: "real", Kills: 4, Program: builtProgram(t), Out: dir}).Run(
+	rep, err := (&RaftTest{Seed: 4, Quick: true, Size: 3, Mode: "real", Kills: 4, Program: builtProgram(t),
+		Out: dir}).Run(
 		context.Background(), &out)
 	if err != nil || rep.Broken != "" {
 		t.Fatalf("Run() error = %v, want none and no violation\n%s", err, out.String())
--- a/internal/harness/demo.go
+++ b/internal/harness/demo.go
@@ -112,7 +112,8 @@
 	for range s.Classes {
 		o.totals, o.lastSecond = append(o.totals, newClassResults()), append(o.lastSecond, newClassResults())
 	}
-	if o.kernel, err = NewEmulatedKernel(newLoopbackAddr(7400), d.Seed, float64(s.Cores), s.Classes, kernelStepInterval); err != nil {
+	if o.kernel, err = NewEmulatedKernel(newLoopbackAddr(7400), d.Seed, float64(s.Cores), s.Classes,
+		kernelStepInterval); err != nil {
 		return nil, err
 	}
 	defer o.kernel.Close()
@@ -163,9 +164,9 @@
 // startNode runs the node in this process, as its program does, with its start-up file and log in dir.
 func (o *demo) startNode(dir, controlAddr, storeAddr string) (chan os.Signal, <-chan error, error) {
 	o.addr = newLoopbackAddr(8080)
-	raw, err := encodeStartupFile(startupParams{name: "demo", listen: o.addr, kernel: o.kernel.listener.Addr().String(), store: storeAddr,
-		control: controlAddr, cores: o.scenario.Cores, tenants: o.scenario.Tenants, classes: o.scenario.Classes,
-		keyedClass: o.scenario.Classes[o.scenario.Dearest].Name})
+	raw, err := encodeStartupFile(startupParams{name: "demo", listen: o.addr, kernel: o.kernel.listener.Addr().String(),
+		store: storeAddr, control: controlAddr, cores: o.scenario.Cores, tenants: o.scenario.Tenants,
+		classes: o.scenario.Classes, keyedClass: o.scenario.Classes[o.scenario.Dearest].Name})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -364,8 +365,8 @@
 	fmt.Fprintln(t, "CLASS\tASKED\tDONE\tSHED\tERRORED\tMEDIAN\t95TH\tIN TIME SO FAR")
 	for k, s := range o.lastSecond {
 		a := o.totals[k]
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.0f ms\t%.0f ms\t%.3f\n", o.scenario.Classes[k].Name, s.requests, s.done, s.shed,
-			s.errored, float64(s.latencies.ValueAtQuantile(50))/10, float64(s.latencies.ValueAtQuantile(95))/10,
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.0f ms\t%.0f ms\t%.3f\n", o.scenario.Classes[k].Name, s.requests, s.done,
+			s.shed, s.errored, float64(s.latencies.ValueAtQuantile(50))/10, float64(s.latencies.ValueAtQuantile(95))/10,
 			float64(a.inTime)/float64(max(1, a.requests)))
 		o.lastSecond[k] = newClassResults()
 	}
--- a/internal/harness/emulated_kernel.go
+++ b/internal/harness/emulated_kernel.go
@@ -62,7 +62,8 @@
 		return nil, err
 	}
 	k := &EmulatedKernel{random: rand.New(rand.NewSource(seed)), listener: ln, classes: map[string]*simulation.Class{},
-		cores: cores, runs: map[string]*kernelRun{}, firstEvent: 1, lastStep: time.Now(), stepInterval: step, stop: make(chan struct{})}
+		cores: cores, runs: map[string]*kernelRun{}, firstEvent: 1, lastStep: time.Now(), stepInterval: step,
+		stop: make(chan struct{})}
 	for i := range classes {
 		c := classes[i]
 		k.classes[c.Name] = &c
--- a/internal/harness/emulated_store.go
+++ b/internal/harness/emulated_store.go
@@ -49,8 +49,8 @@
 		return nil, err
 	}
 	s := &EmulatedStore{listener: ln, conns: map[net.Conn]bool{}, random: rand.New(rand.NewSource(seed)),
-		workerFreeAt: make([]time.Time, workers), callTime: callTime, coldFactor: coldFactor, warmUpCalls: warmUpCalls, warmth: 1, speed: 1,
-		dropped: map[string]bool{}, started: time.Now()}
+		workerFreeAt: make([]time.Time, workers), callTime: callTime, coldFactor: coldFactor, warmUpCalls: warmUpCalls,
+		warmth: 1, speed: 1, dropped: map[string]bool{}, started: time.Now()}
 	go func() {
 		for {
 			c, err := ln.Accept()
--- a/internal/harness/fleet_control.go
+++ b/internal/harness/fleet_control.go
@@ -95,8 +95,8 @@
 		if _, err := r.requestAny(http.MethodGet, "/v1/status", nil, &status); err != nil {
 			return err
 		}
-		put := consensus.Put{Session: fmt.Sprintf("rig-%d-%d", r.Seed, r.lastOpNumber), Seq: 1, Base: status.Version, Author: "lab",
-			Text: text}
+		put := consensus.Put{Session: fmt.Sprintf("rig-%d-%d", r.Seed, r.lastOpNumber), Seq: 1, Base: status.Version,
+			Author: "lab", Text: text}
 		_, err := r.requestAny(http.MethodPut, "/v1/config", put, &result)
 		if err == nil && result.Outcome == consensus.PutConflict {
 			r.lastOpNumber++
--- a/internal/harness/fleet_load.go
+++ b/internal/harness/fleet_load.go
@@ -94,7 +94,10 @@
 			}
 			class, tenant, first := pickClass(s, random.Float64()), random.Intn(s.Tenants), random.Intn(len(r.nodes))
 			inFlight.Add(1)
-			go func() { defer inFlight.Done(); r.sendRequest(c, &s.Classes[class], class == s.Dearest, tenant, first) }()
+			go func() {
+				defer inFlight.Done()
+				r.sendRequest(c, &s.Classes[class], class == s.Dearest, tenant, first)
+			}()
 		}
 	}()
 	return c
@@ -131,9 +134,9 @@
 // sendRequest sends one request with its retries and records the result.
 func (r *FleetProcesses) sendRequest(results *CallResults, class *simulation.Class, keyed bool, tenant, first int) {
 	startedAt := time.Now()
-	q := &clientCall{fleet: r, class: class, tenant: tenant, firstNode: first, startedAt: startedAt, backoff: initialBackoff,
-		deadline: startedAt.Add(time.Duration(class.Handler.Timeout) * 100 * time.Microsecond),
-		sender:   first*131 + tenant*17 + int(startedAt.UnixNano()>>10)%64}
+	q := &clientCall{fleet: r, class: class, tenant: tenant, firstNode: first, startedAt: startedAt,
+		backoff: initialBackoff, deadline: startedAt.Add(time.Duration(class.Handler.Timeout) * 100 * time.Microsecond),
+		sender: first*131 + tenant*17 + int(startedAt.UnixNano()>>10)%64}
 	if keyed {
 		q.key = randomKey()
 	}
@@ -184,7 +187,8 @@
 	ctx, cancel := context.WithDeadline(context.Background(), q.deadline)
 	defer cancel()
 	var retryAfter time.Duration
-	q.status, retryAfter = sendAttempt(ctx, q.fleet.client, n.callerAddr, q.class.Name, q.tenant, q.sender, q.key, q.attempts > 0)
+	q.status, retryAfter = sendAttempt(ctx, q.fleet.client, n.callerAddr, q.class.Name, q.tenant, q.sender, q.key,
+		q.attempts > 0)
 	q.attempts++
 	q.lastNode = n
 	if q.fleet.HonorRetryAfter && q.status == http.StatusServiceUnavailable {
--- a/internal/harness/fleet_processes.go
+++ b/internal/harness/fleet_processes.go
@@ -151,7 +151,8 @@
 // recordEvent adds an event of a node's process to the history.
 func (r *FleetProcesses) recordEvent(kind, node string) {
 	r.mu.Lock()
-	r.processEvents = append(r.processEvents, simulation.FleetEvent{At: time.Now().UnixMicro() / 100, Kind: kind, Node: node})
+	r.processEvents = append(r.processEvents,
+		simulation.FleetEvent{At: time.Now().UnixMicro() / 100, Kind: kind, Node: node})
 	r.mu.Unlock()
 }
 
--- a/internal/harness/fleet_processes_test.go
+++ b/internal/harness/fleet_processes_test.go
@@ -122,7 +122,8 @@
 
 // expectViolationWithout runs a case on processes with a guard disabled, under three seeds at most, as processes run
 // at the machine's pace: one of them has to find a violation.
-func expectViolationWithout(t *testing.T, guard, only string, run func(seed int64, w io.Writer) (*report.Report, error)) {
+func expectViolationWithout(t *testing.T, guard, only string,
+	run func(seed int64, w io.Writer) (*report.Report, error)) {
 	t.Helper()
 	var out bytes.Buffer
 	for seed := int64(21); seed < 24; seed++ {
--- a/internal/harness/forwarders.go
+++ b/internal/harness/forwarders.go
@@ -27,8 +27,8 @@
 }
 
 func newForwarders() *forwarders {
-	return &forwarders{blocked: map[[2]string]bool{}, faults: map[[2]string]linkFault{}, conns: map[net.Conn][2]string{},
-		accepted: map[net.Conn]bool{}}
+	return &forwarders{blocked: map[[2]string]bool{}, faults: map[[2]string]linkFault{},
+		conns: map[net.Conn][2]string{}, accepted: map[net.Conn]bool{}}
 }
 
 // forwardPeers forwards peer connections that a listener accepts to an instance.
--- a/internal/harness/heartbeat_load.go
+++ b/internal/harness/heartbeat_load.go
@@ -87,7 +87,7 @@
 	rep.Add("crowd_leader_cores", "%.2f", (after.leaderCPU-before.leaderCPU).Seconds()/seconds)
 	rep.Add("crowd_lost", "%d", m.failed.Load())
 	if current.ActiveNodes != heartbeatNodes || m.failed.Load() > m.heartbeats.Load()/100 {
-		rep.Break("steady state: %d of %d nodes are active, %d of %d heartbeats failed, want all active and at most 1%% "+
+		rep.Break("steady state: %d of %d nodes active, %d of %d heartbeats failed, want all active and at most 1%% "+
 			"failed", current.ActiveNodes, heartbeatNodes, m.failed.Load(), m.heartbeats.Load())
 	}
 	return nil
@@ -132,7 +132,8 @@
 	rep.Add("restart_leader_cpu_s", "%.2f", cpu.Seconds())
 	rep.Add("restart_leader_mb", "%.0f", residentMB(leader.pid()))
 	if m.leasedNodes.Load() < heartbeatNodes {
-		rep.Break("restart of the group and %d nodes: %d nodes have a lease after %v, want all within 1m0s", heartbeatNodes, m.leasedNodes.Load(), leasedAfter)
+		rep.Break("restart of the group and %d nodes: %d nodes have a lease after %v, want all within 1m0s",
+			heartbeatNodes, m.leasedNodes.Load(), leasedAfter)
 	}
 	return nil
 }
--- a/internal/harness/local_fleet.go
+++ b/internal/harness/local_fleet.go
@@ -29,7 +29,8 @@
 }
 
 func (l *LocalFleet) run(ctx context.Context, w io.Writer) error {
-	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // outlives ctx, so that Close stops processes in order
+	// Outlives ctx, so that Close stops processes in order
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	detach := context.AfterFunc(ctx, cancel) // ctx aborts the start
 	r, err := NewFleetProcesses(runCtx, FleetProcessesConfig{Program: l.Program, Dir: l.Dir, Seed: 1,
@@ -55,7 +56,8 @@
 	}
 	fmt.Fprintf(w, "%d control instances, %d nodes in 3 zones, policy version %d in force; logs are in %s\n\n",
 		l.Instances, l.Nodes, version, l.Dir)
-	fmt.Fprintf(w, "ask:\n  umberctl nodes list --at %s\n  umberctl policy status --at %[1]s\n", strings.Join(addrs, ","))
+	fmt.Fprintf(w, "ask:\n  umberctl nodes list --at %s\n  umberctl policy status --at %[1]s\n",
+		strings.Join(addrs, ","))
 	fmt.Fprintf(w, "change (on standard input):\n"+
 		"  printf '[fleet]\\nlease = 5s\\nwhen_alone = fence\\n[tenant t0]\\nrate = 500\\n' |\n"+
 		"    umberctl policy propose - --reason \"t0 grows\" --at %s\n", strings.Join(addrs, ","))
--- a/internal/harness/node_process.go
+++ b/internal/harness/node_process.go
@@ -27,7 +27,8 @@
 // addNode prepares a node: its kernel, its forwarders to callers and the group, and its files. The fleet owns the
 // node from the start, so that Close also cleans up after a failure.
 func (r *FleetProcesses) addNode(i int) (*nodeProcess, error) {
-	n := &nodeProcess{fleet: r, name: fmt.Sprintf("n%d", i+1), zone: fmt.Sprintf("z%d", 1+i%3), listen: newLoopbackAddr(8080)}
+	n := &nodeProcess{fleet: r, name: fmt.Sprintf("n%d", i+1), zone: fmt.Sprintf("z%d", 1+i%3),
+		listen: newLoopbackAddr(8080)}
 	n.process.onExit = func() { r.recordEvent("stops", n.name) }
 	r.nodes = append(r.nodes, n)
 	s, err := simulation.ReadScenario("fleet", fleetScenario)
@@ -66,8 +67,8 @@
 	}
 	n.kernel.callsStore = true
 	if r.stores[n.zone] == nil {
-		if r.stores[n.zone], err = NewEmulatedStore(newLoopbackAddr(9042), seed, storeWorkers, storeCallTime, storeColdFactor,
-			storeWarmUpCalls); err != nil {
+		if r.stores[n.zone], err = NewEmulatedStore(newLoopbackAddr(9042), seed, storeWorkers, storeCallTime,
+			storeColdFactor, storeWarmUpCalls); err != nil {
 			return "", "", err
 		}
 	}
@@ -94,12 +95,14 @@
 
 // writeFiles writes the node's start-up file and its operator's file.
 func (n *nodeProcess) writeFiles(s *simulation.Scenario, store, peerAddr string, control []string) error {
-	raw, err := encodeStartupFile(startupParams{name: n.name, listen: n.listen, kernel: n.kernel.listener.Addr().String(), store: store,
-		control: n.fleet.readiness.addr(), cores: s.Cores, tenants: s.Tenants, classes: s.Classes, keyedClass: "submit"})
+	raw, err := encodeStartupFile(startupParams{name: n.name, listen: n.listen,
+		kernel: n.kernel.listener.Addr().String(), store: store, control: n.fleet.readiness.addr(), cores: s.Cores,
+		tenants: s.Tenants, classes: s.Classes, keyedClass: "submit"})
 	if err != nil {
 		return err
 	}
-	n.startupFile, n.operatorFile = filepath.Join(n.fleet.Dir, n.name+".json"), filepath.Join(n.fleet.Dir, n.name+".ini")
+	n.startupFile = filepath.Join(n.fleet.Dir, n.name+".json")
+	n.operatorFile = filepath.Join(n.fleet.Dir, n.name+".ini")
 	if err = os.WriteFile(n.startupFile, raw, 0o600); err != nil {
 		return err
 	}
@@ -134,7 +137,8 @@
 func (n *nodeProcess) Start() error {
 	cmd := nodeCommand(n.fleet.Program)
 	cmd.Stderr = n.log
-	cmd.Env = append(os.Environ(), "NODE_CONFIG="+n.startupFile, "UMBERWINCH_FILE="+n.operatorFile, disabledGuardsEnv+"="+n.fleet.DisabledGuards)
+	cmd.Env = append(os.Environ(), "NODE_CONFIG="+n.startupFile, "UMBERWINCH_FILE="+n.operatorFile,
+		disabledGuardsEnv+"="+n.fleet.DisabledGuards)
 	n.setState(false, false)
 	return n.process.start(cmd)
 }
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -149,8 +149,9 @@
 				seconds := f.Now / 1000
 				rep.Notes = append(rep.Notes, fmt.Sprintf(
 					"%d nodes, %s: per second %.1f heartbeats, %.2f entries, %.1f KB of "+
-						"entries; simulated in %v", n, c.part, float64(f.Heartbeats)/seconds, float64(f.Entries)/seconds,
-					float64(f.Bytes)/1024/seconds, time.Since(started).Round(time.Millisecond)))
+						"entries; simulated in %v", n, c.part, float64(f.Heartbeats)/seconds,
+					float64(f.Entries)/seconds, float64(f.Bytes)/1024/seconds,
+					time.Since(started).Round(time.Millisecond)))
 			}
 		}
 	}
--- a/internal/harness/policy_cases.go
+++ b/internal/harness/policy_cases.go
@@ -59,7 +59,8 @@
 	{name: "killed between the decision and being told", run: func(b *policyFixture) {
 		slow, n, cut := b.nodes[1], b.nodes[0], b.nodes[2]
 		c := b.proposeBlockedBy(slow, policy.Proposal{}, n, cut)
-		b.setLinkFault(linkFault{dropReplies: true}, n, cut) // responses to both are lost before the blocking node is released
+		// Responses to both are lost before the blocking node is released
+		b.setLinkFault(linkFault{dropReplies: true}, n, cut)
 		b.release(slow, c, policy.Committed, policy.Settled)
 		n.Kill() // the other is fenced as its lease ends
 		mustGet(b.AwaitStep(c.number, 20*time.Second, policy.Settled))
@@ -228,8 +229,8 @@
 		}
 		c := mustGet(b.awaitAborted(b.propose(more, policy.Proposal{}).number))
 		if !strings.Contains(c.AbortReason, "requests of the trial were shed") {
-			must(fmt.Errorf("change %d was called off for %q, want the requests shed in the shadow evaluation", c.Number,
-				c.AbortReason))
+			must(fmt.Errorf("change %d was called off for %q, want the requests shed in the shadow evaluation",
+				c.Number, c.AbortReason))
 		}
 	}},
 	// An operator aborts a change before it is decided: all nodes serve under the old version. The next change is
@@ -275,7 +276,7 @@
 		is := b.release(slow, c, policy.Committed, policy.Settled)
 		if v := mustGet(b.Nodes())[n.name]; v.JoinedAtMS < is.DecidedAtMS &&
 			(v.OutReason == "" || v.OutAtMS > is.DecidedAtMS) {
-			must(fmt.Errorf("change decided at %d ms while node %s, joined at %d ms without the version, was active until %d ms",
+			must(fmt.Errorf("change decided at %d ms, node %s joined at %d ms without the version and was out at %d ms",
 				is.DecidedAtMS, n.name,
 				v.JoinedAtMS, v.OutAtMS))
 		}
@@ -289,7 +290,8 @@
 		var s consensus.Report
 		mustGet(b.requestAny(http.MethodGet, "/v1/status", nil, &s))
 		var was consensus.Version
-		mustGet(b.requestAny(http.MethodGet, fmt.Sprintf("/v1/config?version=%d&read=stale", b.committedVersion), nil, &was))
+		mustGet(b.requestAny(http.MethodGet, fmt.Sprintf("/v1/config?version=%d&read=stale", b.committedVersion), nil,
+			&was))
 		old := api.VersionHash{Version: was.Number, Hash: was.Hash}
 		says := mustGet(json.Marshal(api.HeartbeatResponse{Cluster: s.Cluster, Term: s.Term, Index: s.Applied,
 			LeaseID: 1 << 30, LeaseMS: 60_000,
@@ -300,8 +302,8 @@
 		must(n.Start())
 		time.Sleep(b.lease)
 		if status, _, _ := b.sendOne(n.name); status == http.StatusOK {
-			must(fmt.Errorf("node %s: status %d with responses of a stale instance alone, want it to reject requests", n.name,
-				status))
+			must(fmt.Errorf("node %s: status %d with responses of a stale instance alone, want a rejection",
+				n.name, status))
 		}
 		b.heal()
 		n.Kill() // the node doesn't contact an instance with stale responses for a minute
@@ -357,7 +359,7 @@
 		must(down[0].Start())
 		time.Sleep(b.lease)
 		if status, _, _ := b.sendOne(down[0].name); status == http.StatusOK {
-			must(fmt.Errorf("node %s: status %d without a leader to confirm the committed version, want it to reject requests",
+			must(fmt.Errorf("node %s: status %d while no leader confirms the committed version, want a rejection",
 				down[0].name, status))
 		}
 		if b.readiness.isReady(down[0].name) {
--- a/internal/harness/policy_fixture.go
+++ b/internal/harness/policy_fixture.go
@@ -20,7 +20,8 @@
 
 // policyText returns a policy's text; n makes it differ from other versions.
 func policyText(lease time.Duration, whenAlone string, n int, extra string) string {
-	return fmt.Sprintf("[fleet]\nlease = %v\nwhen_alone = %s\n[tenant t0]\nrate = %d\n%s", lease, whenAlone, 1000+n, extra)
+	return fmt.Sprintf("[fleet]\nlease = %v\nwhen_alone = %s\n[tenant t0]\nrate = %d\n%s", lease, whenAlone, 1000+n,
+		extra)
 }
 
 // policyFixture is a fleet under load, with the state that cases share.
@@ -76,8 +77,8 @@
 	var res struct {
 		Error string `json:"error"`
 	}
-	_, err = b.requestAny(http.MethodPost, "/v1/policy", policy.Op{Kind: policy.OpAbort, ChangeNumber: number, Author: "lab",
-		Reason: "on second thoughts"},
+	_, err = b.requestAny(http.MethodPost, "/v1/policy", policy.Op{Kind: policy.OpAbort, ChangeNumber: number,
+		Author: "lab", Reason: "on second thoughts"},
 		&res)
 	return res.Error, err
 }
@@ -212,7 +213,8 @@
 }
 
 // newPolicyFixture starts a fleet with three instances and an initial policy. extraText is part of all its texts.
-func newPolicyFixture(ctx context.Context, config FleetProcessesConfig, whenAlone, extraText string) (*policyFixture, error) {
+func newPolicyFixture(ctx context.Context, config FleetProcessesConfig, whenAlone,
+	extraText string) (*policyFixture, error) {
 	config.Instances, config.PersistPolicy = 3, true
 	fleet, err := NewFleetProcesses(ctx, config)
 	if err != nil {
--- a/internal/harness/raft_kills.go
+++ b/internal/harness/raft_kills.go
@@ -97,14 +97,14 @@
 	}
 	if !loss.exited { // writes may continue until the fault takes effect, so wait for another leader first
 		if err := k.awaitOtherLeader(ctx, loss.leader); err != nil {
-			return invariantError(fmt.Sprintf("kill %d: leader %s failed by %q, want another leader within %v: %v", number,
-				loss.leader.name, faultText(loss.fault), groupTimeout, err))
+			return invariantError(fmt.Sprintf("kill %d: leader %s failed by %q, want another leader within %v: %v",
+				number, loss.leader.name, faultText(loss.fault), groupTimeout, err))
 		}
 	}
 	gap := k.awaitWrite(ctx, loss.lostAt)
 	if gap <= 0 || gap > maxFailoverTime {
-		return invariantError(fmt.Sprintf("kill %d: leader %s of %d instances failed by %q: no write was acknowledged for %v, "+
-			"want one within %v", number, loss.leader.name, len(k.group.instances), faultText(loss.fault),
+		return invariantError(fmt.Sprintf("kill %d: leader %s of %d instances failed by %q: no write acknowledged "+
+			"for %v, want one within %v", number, loss.leader.name, len(k.group.instances), faultText(loss.fault),
 			time.Since(k.load.started)-loss.lostAt, maxFailoverTime))
 	}
 	k.byFault[loss.fault]++
@@ -167,8 +167,8 @@
 	return k.group.await(ctx, func() error {
 		r, err := k.group.status(p)
 		if err == nil && (r.OutOfContact || r.Role != "follower" && r.Role != "leader") {
-			err = fmt.Errorf("instance %s has role %s, out of contact %v; want it a follower or leader in contact", p.name,
-				r.Role, r.OutOfContact)
+			err = fmt.Errorf("instance %s has role %s, out of contact %v; want it a follower or leader in contact",
+				p.name, r.Role, r.OutOfContact)
 		}
 		return err
 	})
--- a/internal/harness/raft_processes.go
+++ b/internal/harness/raft_processes.go
@@ -158,8 +158,8 @@
 		rep.Add(key+"_versions_per_s", "%.0f", float64(versions)/took)
 		rep.Add(key+"_syncs_per_put", "%.2f", float64(after.Syncs-before.Syncs)/float64(max(1, puts)))
 		rep.Rows = append(rep.Rows, []string{fmt.Sprintf("put, %d clients", clients), "3", "10 s",
-			strconv.Itoa(puts), "-", formatMicroseconds(l.latencies.ValueAtQuantile(50)), formatMicroseconds(l.latencies.ValueAtQuantile(99)),
-			formatMicroseconds(l.latencies.Max())})
+			strconv.Itoa(puts), "-", formatMicroseconds(l.latencies.ValueAtQuantile(50)),
+			formatMicroseconds(l.latencies.ValueAtQuantile(99)), formatMicroseconds(l.latencies.Max())})
 		return nil
 	})
 }
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -155,7 +155,7 @@
 			leader.Heartbeat(state, api.HeartbeatRequest{JoinRequest: join},
 				func(response api.HeartbeatResponse, err error) {
 					if err != nil || response.LeaseID == 0 || i != answered {
-						const text = "at %d ms the join of arrival %d was answered (error %v), want that of arrival %d next"
+						const text = "at %d ms the join of node %d was answered (error %v), want that of node %d next"
 						broken = fmt.Sprintf(text, now, i, err, answered)
 					}
 					answered++
--- a/internal/harness/recovery_cases.go
+++ b/internal/harness/recovery_cases.go
@@ -61,8 +61,8 @@
 	must(b.await(30*time.Second, func() error {
 		v, err := b.Policy()
 		if err == nil && (v.Generation != generation || v.CommittedVersion != b.committedVersion || v.StateLoss != "") {
-			err = fmt.Errorf("the group has generation %d, version %d committed and state loss %q, want generation %d, version %d "+
-				"and no loss", v.Generation,
+			err = fmt.Errorf("the group has generation %d, committed version %d, state loss %q, want generation %d, "+
+				"version %d and no loss", v.Generation,
 				v.CommittedVersion, v.StateLoss, generation, b.committedVersion)
 		}
 		return err
@@ -104,7 +104,8 @@
 // countFollowed counts how often a node logged that it follows a generation of the group.
 func (b *zoneFixture) countFollowed(name string, generation uint64) (n int) {
 	must(readLog(filepath.Join(b.Dir, name+".log"), func(l *logRecord) {
-		if l.message == "a restored generation of the group is followed" && l.uintField(logging.Generation) == generation {
+		if l.message == "a restored generation of the group is followed" &&
+			l.uintField(logging.Generation) == generation {
 			n++
 		}
 	}))
@@ -120,8 +121,8 @@
 			must(b.await(20*time.Second, func() error {
 				z, err := b.zoneView(name)
 				if err == nil && z.Capacity.RunRate < 0.7*zoneRate/3 {
-					err = fmt.Errorf("zone %s: observed capacity %.0f runs/s, want at least %.0f", name, z.Capacity.RunRate,
-						0.7*zoneRate/3)
+					err = fmt.Errorf("zone %s: observed capacity %.0f runs/s, want at least %.0f", name,
+						z.Capacity.RunRate, 0.7*zoneRate/3)
 				}
 				return err
 			}))
@@ -225,8 +226,8 @@
 		b.heal()
 		for _, n := range b.nodes {
 			if b.countFollowed(n.name, gen) > before[n.name] {
-				must(fmt.Errorf("node %s follows generation %d of the group, want %d, which was restored:\n%s", n.name, gen,
-					gen+1, b.logTail(n.name, 6)))
+				must(fmt.Errorf("node %s follows generation %d of the group, want %d, which was restored:\n%s", n.name,
+					gen, gen+1, b.logTail(n.name, 6)))
 			}
 		}
 		b.killInstances(b.group.instances[1:]...)
--- a/internal/harness/recovery_test.go
+++ b/internal/harness/recovery_test.go
@@ -56,8 +56,8 @@
 func TestMassJoinInArrivalOrder(t *testing.T) {
 	entries, largest, worst, broken := runMassJoin(1, 5000, 0)
 	if broken != "" || largest > 200_000 || worst > 1500 {
-		t.Errorf("runMassJoin() = %d entries, largest %d bytes, longest wait %d ms, violation %q; want at most 200000 bytes, "+
-			"1500 ms and no violation", entries, largest, worst, broken)
+		t.Errorf("runMassJoin() = %d entries, largest %d bytes, longest wait %d ms, violation %q; want at most "+
+			"200000 bytes, 1500 ms and no violation", entries, largest, worst, broken)
 	}
 	t.Logf("%d entries, largest %d bytes, longest wait %d ms", entries, largest, worst)
 	if _, _, _, broken = runMassJoin(1, 5000, policy.ArrivalOrder); broken == "" {
--- a/internal/harness/result_store.go
+++ b/internal/harness/result_store.go
@@ -140,8 +140,8 @@
 		sum.add(n.history)
 	}
 	row := []string{"kills"}
-	for _, n := range []int{kills.total, sum.responses.sent, sum.responses.done, sum.responses.repeatsDone, sum.responses.failed,
-		sum.responses.rejected, sum.responses.interrupted, kills.tornWrites} {
+	for _, n := range []int{kills.total, sum.responses.sent, sum.responses.done, sum.responses.repeatsDone,
+		sum.responses.failed, sum.responses.rejected, sum.responses.interrupted, kills.tornWrites} {
 		row = append(row, strconv.Itoa(n))
 	}
 	rep.Rows = append(rep.Rows, row)
@@ -154,6 +154,7 @@
 	rep.Add("effects", "%d", sum.effects)
 	rep.Add("repeats_done", "%d", sum.responses.repeatsDone)
 	if rep.Broken == "" && (sum.responses.repeatsDone == 0 || sum.responses.done == 0) {
-		rep.Break("%d requests done, %d of them repeats, want at least one of each", sum.responses.done, sum.responses.repeatsDone)
+		rep.Break("%d requests done, %d of them repeats, want at least one of each", sum.responses.done,
+			sum.responses.repeatsDone)
 	}
 }
--- a/internal/harness/result_store_callers.go
+++ b/internal/harness/result_store_callers.go
@@ -53,7 +53,8 @@
 		outcome := attemptOutcome{}
 		outcome.key, outcome.isRetry = keys.next()
 		startedAt := time.Now()
-		outcome.status, outcome.body, outcome.mayBeRead = r.send(ctx, incarnation.client, "submit", outcome.key, outcome.isRetry)
+		outcome.status, outcome.body, outcome.mayBeRead = r.send(ctx, incarnation.client, "submit", outcome.key,
+			outcome.isRetry)
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/harness/result_store_cost.go
+++ b/internal/harness/result_store_cost.go
@@ -40,7 +40,8 @@
 }
 
 // withNode prepares a node and its emulated services in a work folder of its own and calls use.
-func (k *ResultStoreTest) withNode(ctx context.Context, operatorConfig, disabledGuard string, use func(*resultStoreNode) error) error {
+func (k *ResultStoreTest) withNode(ctx context.Context, operatorConfig, disabledGuard string,
+	use func(*resultStoreNode) error) error {
 	return withWorkFolder(ctx, &report.Report{}, func(dir string) error {
 		r, err := newResultStoreNode(resultStoreConfig{dir: dir, program: k.Program, seed: k.Seed, window: time.Second,
 			operatorConfig: operatorConfig, disabledGuard: disabledGuard})
--- a/internal/harness/result_store_history.go
+++ b/internal/harness/result_store_history.go
@@ -63,8 +63,8 @@
 	defer h.mu.Unlock()
 	previous := h.runs[key]
 	if n := len(previous); n > 0 && now.Sub(previous[n-1].startedAt) < resultWindow {
-		h.recordViolation("key %s ran again %v after its last run, want at least %v", key, now.Sub(previous[n-1].startedAt),
-			resultWindow)
+		h.recordViolation("key %s ran again %v after its last run, want at least %v", key,
+			now.Sub(previous[n-1].startedAt), resultWindow)
 	}
 	result := fmt.Sprintf("%s#%d\x00\xff", key, len(previous)+1)
 	h.runs[key] = append(previous, storedRun{now, result})
@@ -78,7 +78,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.effects[key]++; h.effects[key] > len(h.runs[key]) {
-		h.recordViolation("key %s: %d calls executed for %d runs, want at most one a run", key, h.effects[key], len(h.runs[key]))
+		h.recordViolation("key %s: %d calls executed for %d runs, want at most one a run", key, h.effects[key],
+			len(h.runs[key]))
 	}
 }
 
@@ -103,7 +104,8 @@
 			h.responses.repeatsDone++
 		}
 		if !slices.ContainsFunc(h.runs[a.key], func(r storedRun) bool { return r.result == a.body }) {
-			h.recordViolation("key %s: response %q, want the result of one of its %d runs", a.key, a.body, len(h.runs[a.key]))
+			h.recordViolation("key %s: response %q, want the result of one of its %d runs", a.key, a.body,
+				len(h.runs[a.key]))
 		}
 		h.acknowledged[a.key] = time.Now()
 	case http.StatusServiceUnavailable:
@@ -112,8 +114,8 @@
 		h.responses.failed++
 		// An attempt that waited for the disk until its deadline may fail in spite of a stored result.
 		if since := time.Since(h.acknowledged[a.key]); since < resultWindow-windowMargin && a.latency < windowMargin {
-			h.recordViolation("key %s: error %v after its result was acknowledged, want the result for %v", a.key, since,
-				resultWindow)
+			h.recordViolation("key %s: error %v after its result was acknowledged, want the result for %v", a.key,
+				since, resultWindow)
 		}
 	default:
 		h.recordViolation("key %s: unexpected status %d", a.key, a.status)
--- a/internal/harness/result_store_node.go
+++ b/internal/harness/result_store_node.go
@@ -68,9 +68,9 @@
 
 // newResultStoreNode prepares a node and its emulated services; start starts the process.
 func newResultStoreNode(config resultStoreConfig) (*resultStoreNode, error) {
-	r := &resultStoreNode{dir: config.dir, program: config.program, listen: newLoopbackAddr(8080), history: newResultHistory(),
-		random: rand.New(rand.NewSource(config.seed)), incarnation: nodeIncarnation{client: newIncarnationClient()},
-		kills: killCounts{byPoint: map[string]int{}}}
+	r := &resultStoreNode{dir: config.dir, program: config.program, listen: newLoopbackAddr(8080),
+		history: newResultHistory(), random: rand.New(rand.NewSource(config.seed)),
+		incarnation: nodeIncarnation{client: newIncarnationClient()}, kills: killCounts{byPoint: map[string]int{}}}
 	if err := r.init(config); err != nil {
 		r.close()
 		return nil, err
@@ -95,9 +95,9 @@
 	if r.control, err = newReadiness(); err != nil {
 		return err
 	}
-	raw, err := encodeStartupFile(startupParams{name: "kept", listen: r.listen, kernel: r.kernel.listener.Addr().String(),
-		store: r.store.listener.Addr().String(), control: r.control.addr(), cores: s.Cores, tenants: s.Tenants,
-		classes: s.Classes, keyedClass: "submit", idempotencyWindow: config.window})
+	raw, err := encodeStartupFile(startupParams{name: "kept", listen: r.listen,
+		kernel: r.kernel.listener.Addr().String(), store: r.store.listener.Addr().String(), control: r.control.addr(),
+		cores: s.Cores, tenants: s.Tenants, classes: s.Classes, keyedClass: "submit", idempotencyWindow: config.window})
 	if err != nil {
 		return err
 	}
--- a/internal/harness/result_store_test.go
+++ b/internal/harness/result_store_test.go
@@ -37,8 +37,8 @@
 			}
 			broken, answers := r.history.violation(), r.history.responses
 			if c.broken == "" && (broken != "" || answers.repeatsDone == 0) || !strings.Contains(broken, c.broken) {
-				t.Fatalf("after %d kills, %d requests done, %d repeats done: violation %q, want %q", r.kills.total, answers.done,
-					answers.repeatsDone, broken, c.broken)
+				t.Fatalf("after %d kills, %d requests done, %d repeats done: violation %q, want %q", r.kills.total,
+					answers.done, answers.repeatsDone, broken, c.broken)
 			}
 		})
 	}
@@ -52,7 +52,8 @@
 		play func(h *resultHistory)
 	}{
 		{"second run within the window", func(h *resultHistory) { h.runStarted(key); h.runStarted(key) }},
-		{"two calls in one run", func(h *resultHistory) { h.runStarted(key); h.callExecuted(key); h.callExecuted(key) }},
+		{"two calls in one run",
+			func(h *resultHistory) { h.runStarted(key); h.callExecuted(key); h.callExecuted(key) }},
 		{"result of another key", func(h *resultHistory) {
 			h.runStarted(key)
 			h.recordAttempt(attemptOutcome{key: "b", status: 200, body: "a#1\x00\xff", isRetry: true, mayBeRead: true})
@@ -61,12 +62,16 @@
 			h.runStarted(key)
 			h.recordAttempt(attemptOutcome{key: "a", status: 200, body: "a#1\x00", isRetry: true, mayBeRead: true})
 		}},
-		{"no response", func(h *resultHistory) { h.recordAttempt(attemptOutcome{key: "a", mayBeRead: true, nodeRunning: true}) }},
+		{"no response", func(h *resultHistory) {
+			h.recordAttempt(attemptOutcome{key: "a", mayBeRead: true, nodeRunning: true})
+		}},
 		{"lost result", func(h *resultHistory) {
 			h.recordAttempt(attemptOutcome{key: "a", status: 200, body: string(h.runStarted(key)), mayBeRead: true})
 			h.recordAttempt(attemptOutcome{key: "a", status: 500, isRetry: true, mayBeRead: true})
 		}},
-		{"unexpected status", func(h *resultHistory) { h.recordAttempt(attemptOutcome{key: "a", status: 404, mayBeRead: true}) }},
+		{"unexpected status", func(h *resultHistory) {
+			h.recordAttempt(attemptOutcome{key: "a", status: 404, mayBeRead: true})
+		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newResultHistory()
@@ -76,7 +81,8 @@
 		})
 	}
 	h := newResultHistory()
-	h.recordAttempt(attemptOutcome{key: "a", status: 200, body: string(h.runStarted(key)), mayBeRead: true, nodeRunning: true})
+	h.recordAttempt(attemptOutcome{key: "a", status: 200, body: string(h.runStarted(key)), mayBeRead: true,
+		nodeRunning: true})
 	h.recordAttempt(attemptOutcome{key: "b", nodeRunning: true})
 	h.recordAttempt(attemptOutcome{key: "c", mayBeRead: true})
 	if broken := h.violation(); broken != "" {
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -236,7 +236,7 @@
 		}
 		if previous != "" {
 			if err := b.awaitCapacityKnown(); err != nil {
-				return kept, invariantError(fmt.Sprintf("%s: the fleet is not back to normal afterwards: %v", previous, err))
+				return kept, invariantError(fmt.Sprintf("%s: the fleet is not back to normal: %v", previous, err))
 			}
 		}
 		startedAt, from := time.Now(), calls.numCalls()
--- a/internal/harness/zones_cases.go
+++ b/internal/harness/zones_cases.go
@@ -128,8 +128,8 @@
 			after := b.awaitRamp("z1")
 			if after.Epoch < before.Epoch || after.Phase == zones.Ramping && after.Share < before.Share &&
 				after.Cause == before.Cause {
-				must(fmt.Errorf("zone z1 under the new leader: epoch %d, share %d, want at least epoch %d, share %d of the previous one", after.Epoch,
-					after.Share, before.Epoch, before.Share))
+				must(fmt.Errorf("zone z1 under the new leader: epoch %d, share %d, want at least epoch %d, share %d",
+					after.Epoch, after.Share, before.Epoch, before.Share))
 			}
 			must(b.awaitInService("z1"))
 		}},
@@ -150,25 +150,26 @@
 	}},
 	// A zone's store begins to fail during the zone's ramp. The ramp steps back, and the zone returns once the store
 	// is healthy.
-	{name: "its service below fails in the middle of the return", mayEvacuate: []string{"z3"}, run: func(b *zoneFixture) {
-		must(b.submitOp(zones.Op{Kind: zones.OpEvacuate, Zone: "z3", DrillMS: 1500}))
-		mustGet(b.awaitPhase("z3", 20*time.Second, zones.Ramping))
-		b.setStore("z3", 1, 0.9, false)
-		must(b.await(12*time.Second, func() error {
-			v, err := b.zoneView("z3")
-			if err != nil {
-				return err
-			}
-			for _, e := range v.Events {
-				if strings.HasPrefix(e.Text, "back") {
-					return nil
+	{name: "its service below fails in the middle of the return", mayEvacuate: []string{"z3"},
+		run: func(b *zoneFixture) {
+			must(b.submitOp(zones.Op{Kind: zones.OpEvacuate, Zone: "z3", DrillMS: 1500}))
+			mustGet(b.awaitPhase("z3", 20*time.Second, zones.Ramping))
+			b.setStore("z3", 1, 0.9, false)
+			must(b.await(12*time.Second, func() error {
+				v, err := b.zoneView("z3")
+				if err != nil {
+					return err
 				}
-			}
-			return fmt.Errorf("zone z3 is %s at share %d and took no step back", v.Phase, v.Share)
-		}))
-		b.setStore("z3", 1, 0, false)
-		must(b.awaitInService("z3"))
-	}},
+				for _, e := range v.Events {
+					if strings.HasPrefix(e.Text, "back") {
+						return nil
+					}
+				}
+				return fmt.Errorf("zone z3 is %s at share %d and took no step back", v.Phase, v.Share)
+			}))
+			b.setStore("z3", 1, 0, false)
+			must(b.awaitInService("z3"))
+		}},
 	// The nodes of a zone are restarted in turn during the zone's ramp, as in a release. The zone returns.
 	{name: "a release on its way back", mayEvacuate: []string{"z1"}, run: func(b *zoneFixture) {
 		must(b.submitOp(zones.Op{Kind: zones.OpEvacuate, Zone: "z1", DrillMS: 1000}))
@@ -207,8 +208,8 @@
 		time.Sleep(b.lease)
 		for _, n := range b.nodesIn("z1") {
 			if status, _, _ := b.sendOne(n.name); status == http.StatusOK {
-				must(fmt.Errorf("node %s of the evacuated zone z1: status %d without a leader, want it to reject requests", n.name,
-					status))
+				must(fmt.Errorf("node %s of the evacuated zone z1: status %d without a leader, want a rejection",
+					n.name, status))
 			}
 		}
 		b.forEachButFirst(b.mustStart)
--- a/internal/harness/zones_check.go
+++ b/internal/harness/zones_check.go
@@ -65,8 +65,8 @@
 			delete(applied, e.Node)
 		case "responds":
 			if epoch, running := applied[e.Node]; running && epoch < settled && e.At > settledAt[settled]+slack {
-				return fmt.Sprintf("%s acted on epoch %d, and %d was settled %.1f ms before", e.Node, epoch, settled,
-					float64(e.At-settledAt[settled])/10)
+				return fmt.Sprintf("node %s acted on epoch %d %.1f ms after epoch %d settled, want at most %.1f ms",
+					e.Node, epoch, float64(e.At-settledAt[settled])/10, settled, float64(slack)/10)
 			}
 		}
 	}
--- a/internal/harness/zones_cost.go
+++ b/internal/harness/zones_cost.go
@@ -235,8 +235,8 @@
 }
 
 // measureFleet measures all failures under one variant, in a fleet of its own.
-func (r *ZonesTest) measureFleet(ctx context.Context, dir string, p *costPlan, seed int64, variant *costVariant) ([]failureCost,
-	error) {
+func (r *ZonesTest) measureFleet(ctx context.Context, dir string, p *costPlan, seed int64,
+	variant *costVariant) ([]failureCost, error) {
 	test := *r
 	test.Seed = seed
 	b, err := test.startFixture(ctx, dir, "fence", variant.mode)
@@ -244,7 +244,8 @@
 		return nil, err
 	}
 	defer b.Close()
-	b.HonorRetryAfter, b.RetryImmediately, b.startInterval = variant.honorRetryAfter, variant.retryImmediately, variant.startInterval
+	b.HonorRetryAfter, b.RetryImmediately, b.startInterval = variant.honorRetryAfter, variant.retryImmediately,
+		variant.startInterval
 	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	calls := b.Load(loadCtx, zoneRate)
@@ -276,8 +277,8 @@
 		rep.Rows = append(rep.Rows, append([]string{name, "9", strconv.Itoa(zoneRate) + "/s", run.variant.name},
 			p.formatCells(run.variant, failure, &run.costs[i])...))
 		if run.variant.name == p.boundedVariant && run.costs[i].peakLoad > 1 {
-			rep.Break("seed %d, %s: peak load of a store is %.2f of its capacity during the recovery, want at most 1", run.seed,
-				failure, run.costs[i].peakLoad)
+			rep.Break("seed %d, %s: peak load of a store is %.2f of its capacity during the recovery, want at most 1",
+				run.seed, failure, run.costs[i].peakLoad)
 		}
 	}
 }
@@ -291,8 +292,8 @@
 		if c.recoveredAfter > 0 {
 			recovered = fmt.Sprintf("%.1f s", c.recoveredAfter.Seconds())
 		}
-		return []string{fmt.Sprintf("%.4f", c.inTimeValueShare), fmt.Sprintf("%.1f s", c.lastResponse.Seconds()), recovered,
-			fmt.Sprintf("%.2f tries", c.attemptsPerRequest),
+		return []string{fmt.Sprintf("%.4f", c.inTimeValueShare), fmt.Sprintf("%.1f s", c.lastResponse.Seconds()),
+			recovered, fmt.Sprintf("%.2f tries", c.attemptsPerRequest),
 			fmt.Sprintf("%.2f", c.peakLoad)}
 	}}
 
@@ -327,10 +328,12 @@
 		out, lowerBound := []string{}, "-"
 		// counts from the start of the processes, without the part of a second that they take to start
 		if failure == "all nodes restart" {
-			lowerBound = secondsText(1000 * shortestRecovery(c.loadBefore, storeColdFactor, storeWarmUpCalls*storeCallTime.Seconds()/storeWorkers))
+			lowerBound = secondsText(1000 * shortestRecovery(c.loadBefore, storeColdFactor,
+				storeWarmUpCalls*storeCallTime.Seconds()/storeWorkers))
 		}
 		for _, s := range c.serviceRestoredAfter {
 			out = append(out, secondsText(1000*s.Seconds())) // negative: not while observed
 		}
-		return append(out, lowerBound, fmt.Sprintf("%.2f", c.peakLoad), fmt.Sprintf("%.2f; %.3f of value", c.attemptsPerRequest, c.inTimeValueShare))
+		return append(out, lowerBound, fmt.Sprintf("%.2f", c.peakLoad),
+			fmt.Sprintf("%.2f; %.3f of value", c.attemptsPerRequest, c.inTimeValueShare))
 	}}
--- a/internal/harness/zones_fixture.go
+++ b/internal/harness/zones_fixture.go
@@ -74,7 +74,8 @@
 		if v.Evidence != nil {
 			evidence = fmt.Sprintf("; %+v", *v.Evidence)
 		}
-		return fmt.Errorf("zone %s is %s at share %d (%s)%s, want %v", name, v.Phase, v.Share, v.Cause, evidence, phases)
+		return fmt.Errorf("zone %s is %s at share %d (%s)%s, want %v", name, v.Phase, v.Share, v.Cause, evidence,
+			phases)
 	})
 	return v, err
 }
@@ -196,8 +197,8 @@
 			case v.Capacity.RunRate == 0 || v.Evidence != nil && v.Capacity.RunRate < 0.7*v.Evidence.RunRate ||
 				v.Evidence == nil || v.Evidence.NodesUnhealthy > 0 || v.Evidence.FailureScore > 0 ||
 				v.Phase != zones.InService:
-				return fmt.Errorf("zone %s is %s, observed capacity %.0f runs/s, want it in service and healthy with a known capacity: %+v", z, v.Phase, v.Capacity.RunRate,
-					v.Evidence)
+				return fmt.Errorf("zone %s is %s, observed capacity %.0f runs/s, want it in service and healthy "+
+					"with a known capacity: %+v", z, v.Phase, v.Capacity.RunRate, v.Evidence)
 			}
 			return nil
 		}); err != nil {
