--- a/internal/harness/demo.go
+++ b/internal/harness/demo.go
@@ -136,7 +136,7 @@
 		return nil, err
 	}
 	defer control.close()
-	signals, ended, err := o.startNode(dir, control.addr(), storeAddr)
+	signals, result, err := o.startNode(dir, control.addr(), storeAddr)
 	if err != nil {
 		return nil, err
 	}
@@ -149,7 +149,7 @@
 	default:
 	}
 	o.wg.Wait()
-	return o.results(), firstError(err, <-ended)
+	return o.results(), firstError(err, <-result)
 }
 
 func firstError(errs ...error) error {
@@ -189,14 +189,14 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	signals, ended := make(chan os.Signal, 4), make(chan error, 1)
+	signals, result := make(chan os.Signal, 4), make(chan error, 1)
 	log := logging.New(out, "text", "info")
 	go func() {
 		defer out.Close()
-		ended <- server.Run(node, log, server.Signals{Drain: signals,
+		result <- server.Run(node, log, server.Signals{Drain: signals,
 			Read: func() (*server.Node, error) { return node, nil }})
 	}()
-	return signals, ended, nil
+	return signals, result, nil
 }
 
 // awaitReady waits until the node reports to be healthy.
@@ -330,7 +330,7 @@
 		key = randomKey()
 	}
 	code, _ := sendAttempt(ctx, o.client, o.addr, c.Name, tenant, tenant, key, false)
-	took := time.Since(due)
+	latency := time.Since(due)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, s := range []*classResults{o.totals[k], o.lastSecond[k]} {
@@ -338,8 +338,8 @@
 		switch {
 		case code == http.StatusOK:
 			s.done++
-			s.latencies.RecordValue(took.Microseconds() / 100)
-			if took <= time.Duration(c.Handler.LatencyObjective)*100*time.Microsecond {
+			s.latencies.RecordValue(latency.Microseconds() / 100)
+			if latency <= time.Duration(c.Handler.LatencyObjective)*100*time.Microsecond {
 				s.inTime++
 			}
 		case code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests:
--- a/internal/harness/fleet_history.go
+++ b/internal/harness/fleet_history.go
@@ -238,9 +238,9 @@
 	if err != nil {
 		return 0, err
 	}
-	broken, overlap := simulation.CheckFleet(h, p)
-	if broken != "" {
-		return overlap, errors.New(broken)
+	violation, overlap := simulation.CheckFleet(h, p)
+	if violation != "" {
+		return overlap, errors.New(violation)
 	}
 	return overlap, nil
 }
--- a/internal/harness/fleet_processes_test.go
+++ b/internal/harness/fleet_processes_test.go
@@ -149,10 +149,10 @@
 		t.Fatal(err)
 	}
 	defer b.Close()
-	check := func(what string, err error) {
+	check := func(step string, err error) {
 		t.Helper()
 		if err != nil {
-			t.Fatalf("%s: %v\n%s", what, err, b.logTail("n1", 8))
+			t.Fatalf("%s: %v\n%s", step, err, b.logTail("n1", 8))
 		}
 	}
 	// A node that is cut off serves autonomously, so a change waits for it and is aborted.
@@ -230,16 +230,16 @@
 	}()
 	t.Cleanup(func() { cancel(); <-done }) // no process is left behind if the test fails
 	pid := 0
-	waitFor := func(what string, condition func() bool) {
+	waitFor := func(event string, condition func() bool) {
 		t.Helper()
 		for end := time.Now().Add(40 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
 			select {
 			case err := <-result:
-				t.Fatalf("%s: Run() returned early: %v\n%s", what, err, out.String())
+				t.Fatalf("%s: Run() returned early: %v\n%s", event, err, out.String())
 			default:
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%s: not within 40 s\n%s", what, out.String())
+				t.Fatalf("%s: not within 40 s\n%s", event, out.String())
 			}
 		}
 	}
--- a/internal/harness/forwarders.go
+++ b/internal/harness/forwarders.go
@@ -159,7 +159,7 @@
 	delay        time.Duration // of each read, in both directions
 	dropPrefix   string        // once a read from the dialling end begins with it, the rest is dropped
 	replace      [2]string     // old and new bytes, of the same length, in data from the dialling end
-	// response to every POST, in place of the other end's, as a stale instance would send it
+	// response to any request but GET, in place of the other end's, as a stale instance would send it
 	staleResponse []byte
 }
 
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -73,10 +73,10 @@
 }
 
 // addRow adds a row to the table; overlap is in tenths of a ms.
-func (r *PolicyTest) addRow(rep *report.Report, part string, nodes, changes int, ends map[policy.Step]int,
+func (r *PolicyTest) addRow(rep *report.Report, part string, nodes, changes int, outcomes map[policy.Step]int,
 	times []float64, overlap int64) {
 	rep.Rows = append(rep.Rows, append(append([]string{part, strconv.Itoa(nodes), strconv.Itoa(changes),
-		strconv.Itoa(ends[policy.Settled]), strconv.Itoa(ends[policy.Aborted])}, quantileCells(times)...),
+		strconv.Itoa(outcomes[policy.Settled]), strconv.Itoa(outcomes[policy.Aborted])}, quantileCells(times)...),
 		fmt.Sprintf("%.0f ms", float64(overlap)/10)))
 }
 
@@ -88,7 +88,7 @@
 			n = quickPolicySchedules
 		}
 	}
-	ends, causes, broken := map[policy.Step]int{}, map[string]int{}, violatingSchedules{}
+	outcomes, causes, violating := map[policy.Step]int{}, map[string]int{}, violatingSchedules{}
 	var times []float64
 	var overlap int64
 	report.EachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Fleet {
@@ -98,25 +98,25 @@
 		return f
 	}, func(s int64, f *simulation.Fleet) bool {
 		for k, v := range f.Ends {
-			ends[k] += v
+			outcomes[k] += v
 		}
 		for k, v := range f.Causes {
 			causes[k] += v
 		}
 		times, overlap = append(times, f.Times...), max(overlap, f.Overlap)
-		broken.record(s, f.Broken)
+		violating.record(s, f.Broken)
 		return false
 	})
-	changes := ends[policy.Settled] + ends[policy.Aborted]
-	r.addRow(rep, "virtual, faults", 12, changes, ends, times, overlap)
+	changes := outcomes[policy.Settled] + outcomes[policy.Aborted]
+	r.addRow(rep, "virtual, faults", 12, changes, outcomes, times, overlap)
 	rep.Add("schedules", "%d", n)
 	rep.Add("changes", "%d", changes)
-	rep.Add("broken", "%d", broken.count)
+	rep.Add("broken", "%d", violating.count)
 	for _, c := range []string{"a node said no", "not prepared in time", "by the operator"} {
 		rep.Notes = append(rep.Notes, fmt.Sprintf("virtual, faults: called off, %s: %d of %d", c, causes[c],
-			ends[policy.Aborted]))
+			outcomes[policy.Aborted]))
 	}
-	broken.report(rep)
+	violating.report(rep)
 }
 
 // runLargeFleets runs large fleets without random faults, with all nodes up and with a third down. The baselines
@@ -128,9 +128,9 @@
 	}
 	for _, n := range sizes {
 		for _, c := range []struct {
-			part string
-			down float64
-			way  string
+			part     string
+			down     float64
+			baseline string
 		}{{"calm", 0, ""}, {"a third down", 0.33, ""}, {"a third down, each as it comes", 0.33, simulation.WayEach},
 			{"a third down, majority", 0.33, simulation.WayMajority}} {
 			if ctx.Err() != nil {
@@ -138,14 +138,14 @@
 			}
 			started := time.Now()
 			f := simulation.NewFleet(simulation.FleetPlan{Seed: r.Seed, Nodes: n, Ctl: 3, Changes: 3, Calm: true,
-				Down: c.down, Way: c.way,
+				Down: c.down, Way: c.baseline,
 				Lease: 10_000, Span: 60_000})
 			f.Play()
 			if f.Broken != "" {
 				rep.Break("%d nodes, %s: %s", n, c.part, f.Broken)
 			}
 			r.addRow(rep, "virtual, "+c.part, n, len(f.Times), f.Ends, f.Times, f.Overlap)
-			if c.way == "" {
+			if c.baseline == "" {
 				seconds := f.Now / 1000
 				rep.Notes = append(rep.Notes, fmt.Sprintf(
 					"%d nodes, %s: per second %.1f heartbeats, %.2f entries, %.1f KB of "+
@@ -157,7 +157,7 @@
 	}
 }
 
-// OnlyLoad, as the case, selects the changes under load and the heartbeats of a large fleet, without any case.
+// OnlyLoad selects, in place of a case, the changes under load and the heartbeats of a large fleet.
 const OnlyLoad = "load"
 
 // runProcesses runs the cases on processes, then changes under load.
@@ -191,7 +191,7 @@
 	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	calls := b.Load(loadCtx, 100)
-	kept := 0
+	passed := 0
 	for i := range policyCases {
 		c := &policyCases[i]
 		if !r.selection().includes(i, c.name, c.long) {
@@ -202,12 +202,12 @@
 			rep.Break("%s: %v", c.name, err)
 			break
 		}
-		kept++
+		passed++
 		fmt.Fprintf(w, "%-55s kept, %.1f s\n", c.name, time.Since(started).Seconds())
 	}
 	stop()
 	b.loads.Wait()
-	rep.Add("cases", "%d", kept)
+	rep.Add("cases", "%d", passed)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("cases, real: callers: %v", calls))
 }
 
@@ -263,14 +263,14 @@
 	defer stop()
 	calls := b.Load(loadCtx, 200)
 	time.Sleep(time.Second)
-	before, ends, times, numbers := calls.String(), map[policy.Step]int{}, []float64{}, []uint64{}
+	before, outcomes, times, numbers := calls.String(), map[policy.Step]int{}, []float64{}, []uint64{}
 	for i := 0; i < n && ctx.Err() == nil; i++ {
 		c, err := b.change(policy.Proposal{})
 		if err != nil {
 			rep.Break("change %d of %d under load: %v", i+1, n, err)
 			return nil
 		}
-		ends[c.Step]++
+		outcomes[c.Step]++
 		numbers = append(numbers, c.Number)
 	}
 	stop()
@@ -282,7 +282,7 @@
 	for _, c := range numbers {
 		times = append(times, b.commitTimes[c])
 	}
-	r.addRow(rep, "real, under load", len(b.nodes), n, ends, times, overlap)
+	r.addRow(rep, "real, under load", len(b.nodes), n, outcomes, times, overlap)
 	rep.Add("real_changes", "%d", n)
 	rep.Add("asked", "%d", calls.Requests)
 	rep.Add("lost", "%d", calls.Lost)
--- a/internal/harness/policy_cases.go
+++ b/internal/harness/policy_cases.go
@@ -132,8 +132,8 @@
 	// One node's platform lacks a class that the new policy names, so the node rejects the version. The change is
 	// aborted for that reason, and all nodes serve under the old version.
 	{name: "a node says no", run: func(b *policyFixture) {
-		more := "[class fill]\nkind = replayable\nvalue = 2\nresponse_target = 500ms\nclient_timeout = 3s\n"
-		c := mustGet(b.awaitAborted(b.propose(more, policy.Proposal{}).number))
+		classSection := "[class fill]\nkind = replayable\nvalue = 2\nresponse_target = 500ms\nclient_timeout = 3s\n"
+		c := mustGet(b.awaitAborted(b.propose(classSection, policy.Proposal{}).number))
 		if !strings.Contains(c.AbortReason, "class fill: found it in the policy") {
 			must(fmt.Errorf("change %d was called off for %q, want the rejection of class fill by a node", c.Number,
 				c.AbortReason))
@@ -221,13 +221,13 @@
 	// The new version retires the classes that callers use. The nodes' shadow evaluation finds that it would reject
 	// nearly all requests, and the change is aborted.
 	{name: "a version that would shed everything", run: func(b *policyFixture) {
-		more := ""
+		classSections := ""
 		for _, c := range []string{"view", "submit"} {
 			const section = "[class %s]\nkind = %s\nretired = yes\nresponse_target = 300ms\nclient_timeout = 3s\n"
-			more += fmt.Sprintf(section, c,
+			classSections += fmt.Sprintf(section, c,
 				map[string]string{"view": "replayable", "submit": "uniqued\nwindow = 20s"}[c])
 		}
-		c := mustGet(b.awaitAborted(b.propose(more, policy.Proposal{}).number))
+		c := mustGet(b.awaitAborted(b.propose(classSections, policy.Proposal{}).number))
 		if !strings.Contains(c.AbortReason, "requests of the trial were shed") {
 			must(fmt.Errorf("change %d was called off for %q, want the requests shed in the shadow evaluation",
 				c.Number, c.AbortReason))
@@ -289,16 +289,16 @@
 		n := b.nodes[4%len(b.nodes)]
 		var s consensus.Report
 		mustGet(b.requestAny(http.MethodGet, "/v1/status", nil, &s))
-		var was consensus.Version
+		var committed consensus.Version
 		mustGet(b.requestAny(http.MethodGet, fmt.Sprintf("/v1/config?version=%d&read=stale", b.committedVersion), nil,
-			&was))
-		old := api.VersionHash{Version: was.Number, Hash: was.Hash}
-		says := mustGet(json.Marshal(api.HeartbeatResponse{Cluster: s.Cluster, Term: s.Term, Index: s.Applied,
+			&committed))
+		previous := api.VersionHash{Version: committed.Number, Hash: committed.Hash}
+		staleResponse := mustGet(json.Marshal(api.HeartbeatResponse{Cluster: s.Cluster, Term: s.Term, Index: s.Applied,
 			LeaseID: 1 << 30, LeaseMS: 60_000,
-			DecidedVersion: old.Version, CommittedVersion: old, NextHeartbeatMS: 200}))
+			DecidedVersion: previous.Version, CommittedVersion: previous, NextHeartbeatMS: 200}))
 		c := mustGet(b.change(policy.Proposal{}))
 		n.Kill()
-		b.setLinkFault(linkFault{staleResponse: says}, n)
+		b.setLinkFault(linkFault{staleResponse: staleResponse}, n)
 		must(n.Start())
 		time.Sleep(b.lease)
 		if status, _, _ := b.sendOne(n.name); status == http.StatusOK {
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -43,14 +43,14 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	ended := make(chan struct{})
-	p.cmd, p.exited = cmd, ended
+	exited := make(chan struct{})
+	p.cmd, p.exited = cmd, exited
 	go func() {
 		cmd.Wait()
 		if p.onExit != nil {
 			p.onExit()
 		}
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
@@ -65,8 +65,8 @@
 
 // done returns a channel that is closed when the latest start has exited.
 func (p *process) done() <-chan struct{} {
-	_, ended := p.latest()
-	return ended
+	_, exited := p.latest()
+	return exited
 }
 
 // pid returns the process id of the latest start, 0 before the first.
@@ -85,9 +85,9 @@
 
 // kill kills the process with SIGKILL and waits for its exit.
 func (p *process) kill() {
-	if cmd, ended := p.latest(); cmd != nil {
+	if cmd, exited := p.latest(); cmd != nil {
 		cmd.Process.Kill()
-		<-ended
+		<-exited
 	}
 }
 
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -87,7 +87,7 @@
 		}
 		return violations > 0 && r.Without != 0 // with a disabled guard one violation suffices
 	})
-	took := time.Since(started)
+	elapsed := time.Since(started)
 	rep.Rows = append(rep.Rows, []string{"virtual", groupSizes(r.Size), strconv.Itoa(played), strconv.Itoa(steps),
 		strconv.Itoa(violations), "-", "-", "-"})
 	rep.Add("schedules", "%d", played)
@@ -95,7 +95,7 @@
 	rep.Add("steps", "%d", steps)
 	rep.Add("calls", "%d", calls)
 	rep.Add("terms", "%d", terms)
-	rep.Add("schedules_per_min", "%.0f", float64(played)/took.Minutes())
+	rep.Add("schedules_per_min", "%.0f", float64(played)/elapsed.Minutes())
 	if first == nil {
 		return
 	}
--- a/internal/harness/raft_processes.go
+++ b/internal/harness/raft_processes.go
@@ -144,7 +144,7 @@
 		sleepContext(ctx, 10*time.Second)
 		l.mu.Lock()
 		puts, versions = l.puts-puts, len(l.committed)-versions
-		took := time.Since(started).Seconds()
+		seconds := time.Since(started).Seconds()
 		l.mu.Unlock()
 		after, err := c.status(c.leader())
 		if err != nil {
@@ -154,8 +154,8 @@
 			rep.Break("%d clients: %v", clients, err)
 		}
 		key := fmt.Sprintf("clients%d", clients)
-		rep.Add(key+"_puts_per_s", "%.0f", float64(puts)/took)
-		rep.Add(key+"_versions_per_s", "%.0f", float64(versions)/took)
+		rep.Add(key+"_puts_per_s", "%.0f", float64(puts)/seconds)
+		rep.Add(key+"_versions_per_s", "%.0f", float64(versions)/seconds)
 		rep.Add(key+"_syncs_per_put", "%.2f", float64(after.Syncs-before.Syncs)/float64(max(1, puts)))
 		rep.Rows = append(rep.Rows, []string{fmt.Sprintf("put, %d clients", clients), "3", "10 s",
 			strconv.Itoa(puts), "-", formatMicroseconds(l.latencies.ValueAtQuantile(50)),
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -42,12 +42,12 @@
 			"TRIES A REQ"}}
 	rep.Add("seed", "%d", r.Seed)
 	if r.Mode != "real" {
-		entries, largest, worst, broken := runMassJoin(r.Seed, 5000, r.WithoutPolicyGuards)
+		entries, largest, worst, violation := runMassJoin(r.Seed, 5000, r.WithoutPolicyGuards)
 		rep.Add("crowd_entries", "%d", entries)
 		rep.Add("crowd_largest", "%d", largest)
 		rep.Add("crowd_worst_ms", "%d", worst)
-		if broken != "" {
-			rep.Break("5,000 nodes join at once: %s", broken)
+		if violation != "" {
+			rep.Break("5,000 nodes join at once: %s", violation)
 		}
 		r.runVirtual(ctx, rep)
 	}
@@ -131,11 +131,11 @@
 func (emptyPolicyLog) Text(uint64) (string, string, bool) { return "", "", false }
 
 // runMassJoin has nodes request to join at a leader, four fifths of them within a second and the rest over the next
-// two, and checks that they are accepted in the order of their arrival. It returns the entries that this took, the
-// size of the largest in bytes, and the longest wait, in ms.
-func runMassJoin(seed int64, nodes int, without policy.Guard) (entries, largest, worst int, broken string) {
+// two, and checks that they are accepted in the order of their arrival. It returns the number of entries that this
+// took, the size of the largest in bytes, the longest wait in ms, and the first violation.
+func runMassJoin(seed int64, nodes int, disabled policy.Guard) (entries, largest, worst int, violation string) {
 	const step, commit = 20, 40 // ms
-	r, state, leader := rand.New(rand.NewSource(seed)), coordinator.NewState(without), coordinator.NewLeader(without)
+	r, state, leader := rand.New(rand.NewSource(seed)), coordinator.NewState(disabled), coordinator.NewLeader(disabled)
 	leader.SetRole("g", true, 1)
 	arriveAt := make([]int, nodes)
 	for i := range arriveAt {
@@ -147,7 +147,7 @@
 	requested, answered := 0, 0
 	var sent []coordinator.Entry
 	now, due := 0, 0
-	for ; now < 30_000 && answered < nodes && broken == ""; now += step {
+	for ; now < 30_000 && answered < nodes && violation == ""; now += step {
 		for ; requested < nodes && arriveAt[requested] <= now; requested++ {
 			i := requested
 			name := fmt.Sprintf("n%05d", i)
@@ -156,7 +156,7 @@
 				func(response api.HeartbeatResponse, err error) {
 					if err != nil || response.LeaseID == 0 || i != answered {
 						const text = "at %d ms the join of node %d was answered (error %v), want that of node %d next"
-						broken = fmt.Sprintf(text, now, i, err, answered)
+						violation = fmt.Sprintf(text, now, i, err, answered)
 					}
 					answered++
 					worst = max(worst, now-arriveAt[i])
@@ -172,18 +172,18 @@
 			}
 			sent = nil
 		}
-		if more := leader.Tick(state, step); len(more) > 0 {
-			sent, due = append(sent, more...), now+commit
-			entries += len(more)
-			for _, e := range more {
+		if appended := leader.Tick(state, step); len(appended) > 0 {
+			sent, due = append(sent, appended...), now+commit
+			entries += len(appended)
+			for _, e := range appended {
 				largest = max(largest, len(e.Body))
 			}
 		}
 	}
-	if broken == "" && answered < nodes {
-		broken = fmt.Sprintf("%d of %d nodes joined within 30 s, want all", answered, nodes)
+	if violation == "" && answered < nodes {
+		violation = fmt.Sprintf("%d of %d nodes joined within 30 s, want all", answered, nodes)
 	}
-	return entries, largest, worst, broken
+	return entries, largest, worst, violation
 }
 
 // secondsText formats ms as seconds; "-" if it is negative.
--- a/internal/harness/recovery_cases.go
+++ b/internal/harness/recovery_cases.go
@@ -253,13 +253,13 @@
 	{name: "nodes up some seconds before their kernels", long: true, run: func(b *zoneFixture) {
 		b.killNodes(b.nodes...)
 		for _, z := range allZones {
-			b.setKernelsDead(z, true)
+			b.setKernelsDown(z, true)
 		}
 		b.startNodes(0, b.nodes...)
 		time.Sleep(5 * time.Second)
 		since := b.killWithColdStores()
 		for _, z := range allZones {
-			b.setKernelsDead(z, false)
+			b.setKernelsDown(z, false)
 		}
 		b.mustAllServe(b.committedVersion)
 		b.awaitRecovered(since)
--- a/internal/harness/recovery_test.go
+++ b/internal/harness/recovery_test.go
@@ -54,16 +54,16 @@
 // The group accepts 5,000 joining nodes in the order of their arrival, in entries of a bounded size and without long
 // waits. With arrival-order disabled, the check has to find nodes out of order.
 func TestMassJoinInArrivalOrder(t *testing.T) {
-	entries, largest, worst, broken := runMassJoin(1, 5000, 0)
-	if broken != "" || largest > 200_000 || worst > 1500 {
+	entries, largest, worst, violation := runMassJoin(1, 5000, 0)
+	if violation != "" || largest > 200_000 || worst > 1500 {
 		t.Errorf("runMassJoin() = %d entries, largest %d bytes, longest wait %d ms, violation %q; want at most "+
-			"200000 bytes, 1500 ms and no violation", entries, largest, worst, broken)
+			"200000 bytes, 1500 ms and no violation", entries, largest, worst, violation)
 	}
 	t.Logf("%d entries, largest %d bytes, longest wait %d ms", entries, largest, worst)
-	if _, _, _, broken = runMassJoin(1, 5000, policy.ArrivalOrder); broken == "" {
+	if _, _, _, violation = runMassJoin(1, 5000, policy.ArrivalOrder); violation == "" {
 		t.Error("without arrival-order: no violation, want one")
 	}
-	t.Log(broken)
+	t.Log(violation)
 }
 
 // The closed form of the shortest recovery agrees with a numerical integration.
--- a/internal/harness/result_store.go
+++ b/internal/harness/result_store.go
@@ -133,8 +133,8 @@
 func addKills(rep *report.Report, nodes []*resultStoreNode) {
 	kills, sum := killCounts{byPoint: map[string]int{}}, historyTotals{}
 	for i, n := range nodes {
-		if broken := n.history.violation(); broken != "" {
-			rep.Break("node %d, kill %d: %s", i+1, n.kills.total, broken)
+		if violation := n.history.violation(); violation != "" {
+			rep.Break("node %d, kill %d: %s", i+1, n.kills.total, violation)
 		}
 		kills.add(n.kills)
 		sum.add(n.history)
--- a/internal/harness/result_store_test.go
+++ b/internal/harness/result_store_test.go
@@ -11,34 +11,35 @@
 // result. With a guard disabled the check has to find the violation that the guard prevents.
 func TestResultStoreKills(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ without, at, broken string }{
+	for _, c := range []struct{ disabledGuard, crashPoint, violation string }{
 		{},
 		{"proof", "durable", "ran again"},
 		{"intent", "sync", "ran again"},
 		{"result", "sync", "after its result was acknowledged"},
 	} {
-		t.Run("without "+c.without, func(t *testing.T) {
+		t.Run("without "+c.disabledGuard, func(t *testing.T) {
 			t.Parallel()
 			r, err := newResultStoreNode(resultStoreConfig{dir: t.TempDir(), program: builtProgram(t), seed: 7,
-				window: resultWindow, operatorConfig: killTestConfig, disabledGuard: c.without})
+				window: resultWindow, operatorConfig: killTestConfig, disabledGuard: c.disabledGuard})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer r.close()
-			r.crashPoint = c.at
+			r.crashPoint = c.crashPoint
 			ctx, end := context.WithTimeout(context.Background(), 40*time.Second)
 			defer end()
 			kills := 25
-			if c.broken != "" {
+			if c.violation != "" {
 				kills = 400 // stops at the violation
 			}
 			if err = r.killRepeatedly(ctx, kills); err != nil {
 				t.Fatal(err, r.logTail())
 			}
-			broken, answers := r.history.violation(), r.history.responses
-			if c.broken == "" && (broken != "" || answers.repeatsDone == 0) || !strings.Contains(broken, c.broken) {
+			violation, responses := r.history.violation(), r.history.responses
+			if c.violation == "" && (violation != "" || responses.repeatsDone == 0) || !strings.Contains(violation,
+				c.violation) {
 				t.Fatalf("after %d kills, %d requests done, %d repeats done: violation %q, want %q", r.kills.total,
-					answers.done, answers.repeatsDone, broken, c.broken)
+					responses.done, responses.repeatsDone, violation, c.violation)
 			}
 		})
 	}
@@ -85,8 +86,8 @@
 		nodeRunning: true})
 	h.recordAttempt(attemptOutcome{key: "b", nodeRunning: true})
 	h.recordAttempt(attemptOutcome{key: "c", mayBeRead: true})
-	if broken := h.violation(); broken != "" {
-		t.Errorf("correct history: violation %q, want none", broken)
+	if violation := h.violation(); violation != "" {
+		t.Errorf("correct history: violation %q, want none", violation)
 	}
 }
 
--- a/internal/harness/work_folder_test.go
+++ b/internal/harness/work_folder_test.go
@@ -18,18 +18,19 @@
 	failure := errors.New("the node ended by itself")
 	for _, c := range []struct {
 		name        string
-		broken      string
+		violation   string
 		interrupted bool
 		failed      error
 		want        error
-		stays       bool
+		wantKept    bool
 	}{
 		{name: "kept"},
-		{name: "broken", broken: "a key ran twice", stays: true},
-		{name: "failed", failed: failure, want: failure, stays: true},
-		{name: "interrupted", interrupted: true, want: errInterrupted, stays: true},
-		{name: "interrupted and failed", interrupted: true, failed: failure, want: failure, stays: true},
-		{name: "interrupted and broken", interrupted: true, broken: "not in time", want: errInterrupted, stays: true},
+		{name: "broken", violation: "a key ran twice", wantKept: true},
+		{name: "failed", failed: failure, want: failure, wantKept: true},
+		{name: "interrupted", interrupted: true, want: errInterrupted, wantKept: true},
+		{name: "interrupted and failed", interrupted: true, failed: failure, want: failure, wantKept: true},
+		{name: "interrupted and broken", interrupted: true, violation: "not in time", want: errInterrupted,
+		wantKept: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -41,8 +42,8 @@
 				if c.interrupted {
 					cancel()
 				}
-				if c.broken != "" {
-					rep.Break("%s", c.broken)
+				if c.violation != "" {
+					rep.Break("%s", c.violation)
 				}
 				return errors.Join(os.WriteFile(filepath.Join(dir, "n1.log"), []byte("a line\n"), 0o600), c.failed)
 			})
@@ -50,15 +51,15 @@
 			if !errors.Is(err, c.want) || c.interrupted && !errors.Is(err, errInterrupted) {
 				t.Errorf("withWorkFolder() error = %v, want %v", err, c.want)
 			}
-			said := strings.Join(rep.Notes, "\n")
+			text := strings.Join(rep.Notes, "\n")
 			if err != nil {
-				said = err.Error()
+				text = err.Error()
 			}
-			if strings.Contains(said, "logs are in "+folder) != c.stays {
-				t.Errorf("got text %q, want it to name folder %s: %v", said, folder, c.stays)
+			if strings.Contains(text, "logs are in "+folder) != c.wantKept {
+				t.Errorf("got text %q, want it to name folder %s: %v", text, folder, c.wantKept)
 			}
-			if _, err := os.Stat(filepath.Join(folder, "n1.log")); (err == nil) != c.stays {
-				t.Errorf("Stat(n1.log) error = %v, want the file kept: %v", err, c.stays)
+			if _, err := os.Stat(filepath.Join(folder, "n1.log")); (err == nil) != c.wantKept {
+				t.Errorf("Stat(n1.log) error = %v, want the file kept: %v", err, c.wantKept)
 			}
 		})
 	}
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -59,7 +59,7 @@
 	return rep.End(r.Out, w)
 }
 
-// OnlyCosts, as the case, selects the measurement of failures' costs, without any case.
+// OnlyCosts selects, in place of a case, the measurement of failures' costs.
 const OnlyCosts = "costs"
 
 // runVirtual runs schedules on all cores, each from a seed of its own.
@@ -70,7 +70,7 @@
 			n = 60
 		}
 	}
-	evacuations, steps, stepsBack, broken := 0, 0, 0, violatingSchedules{}
+	evacuations, steps, stepsBack, violating := 0, 0, 0, violatingSchedules{}
 	report.EachSeed(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Zones {
 		p := simulation.DrawZones(s)
 		p.Without = r.Without
@@ -79,15 +79,15 @@
 		return v
 	}, func(s int64, v *simulation.Zones) bool {
 		evacuations, steps, stepsBack = evacuations+len(v.Left), steps+v.Steps, stepsBack+v.BackStep
-		broken.record(s, v.Broken)
+		violating.record(s, v.Broken)
 		return false
 	})
 	rep.Add("schedules", "%d", n)
-	rep.Add("broken", "%d", broken.count)
+	rep.Add("broken", "%d", violating.count)
 	rep.Add("zones_left", "%d", evacuations)
 	rep.Add("steps_in", "%d", steps)
 	rep.Add("steps_back", "%d", stepsBack)
-	broken.report(rep)
+	violating.report(rep)
 }
 
 // playFailures runs each kind of zone failure for several sizes and loads.
@@ -137,7 +137,7 @@
 				"%d nodes, load %.2f, %s: per second %.1f heartbeats, %.2f entries, %.1f KB of "+
 					"entries; simulated in %v", n, load, kind, float64(v.Fleet.Heartbeats)/seconds,
 				float64(v.Fleet.Entries)/seconds,
-				float64(v.Fleet.Bytes)/1024/seconds, v.took.Round(time.Millisecond)))
+				float64(v.Fleet.Bytes)/1024/seconds, v.realTime.Round(time.Millisecond)))
 			if n == 300 {
 				v.Plot[0].Name, v.Plot[1].Name, v.Plot[2].Name = "value done", "below: asked over what it bears",
 					"share of the zone"
@@ -215,20 +215,20 @@
 	if err = b.awaitCapacityKnown(); err != nil {
 		return err
 	}
-	kept, err := r.playCases(b, calls)
+	passed, err := r.playCases(b, calls)
 	if err = recordViolation(rep, err); err != nil {
 		return err
 	}
 	stop()
 	b.loads.Wait()
-	rep.Add("cases", "%d", kept)
+	rep.Add("cases", "%d", passed)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("cases, real: callers: %v", calls))
 	return nil
 }
 
 // playCases runs the selected cases in turn, each once the group knows all zones' capacity, and counts those without
 // a violation.
-func (r *ZonesTest) playCases(b *zoneFixture, calls *CallResults) (kept int, err error) {
+func (r *ZonesTest) playCases(b *zoneFixture, calls *CallResults) (passed int, err error) {
 	previous := ""
 	for i, c := range r.allCases() {
 		if !r.selection().includes(i, c.name, c.long) {
@@ -236,19 +236,19 @@
 		}
 		if previous != "" {
 			if err := b.awaitCapacityKnown(); err != nil {
-				return kept, invariantError(fmt.Sprintf("%s: the fleet is not back to normal: %v", previous, err))
+				return passed, invariantError(fmt.Sprintf("%s: the fleet is not back to normal: %v", previous, err))
 			}
 		}
 		startedAt, from := time.Now(), calls.numCalls()
 		if err := b.playCase(&c); err != nil {
-			return kept, err
+			return passed, err
 		}
-		kept++
+		passed++
 		fmt.Fprintf(b.out, "%-55s kept, %.1f s, %.3f of value done in time\n", c.name, time.Since(startedAt).Seconds(),
 			calls.inTimeValueShare(from))
 		previous = c.name
 	}
-	return kept, nil
+	return passed, nil
 }
 
 func (r *ZonesTest) selection() caseSelection {
--- a/internal/harness/zones_cases.go
+++ b/internal/harness/zones_cases.go
@@ -34,9 +34,9 @@
 	}},
 	// The kernels of a zone fail while its nodes run. The zone is evacuated, and returns once the kernels do.
 	{name: "its kernels dead, its nodes well", mayEvacuate: []string{"z1"}, run: func(b *zoneFixture) {
-		b.setKernelsDead("z1", true)
+		b.setKernelsDown("z1", true)
 		b.awaitEvacuation("z1")
-		b.setKernelsDead("z1", false)
+		b.setKernelsDown("z1", false)
 		must(b.awaitInService("z1"))
 	}},
 	// A zone's store slows down to a twentieth. The zone is evacuated, and returns without overloading the store
@@ -100,7 +100,7 @@
 	// evacuate it. Then both return.
 	{name: "two of three, and the last one stays", mayEvacuate: allZones, run: func(b *zoneFixture) {
 		for _, z := range []string{"z1", "z2"} {
-			b.setKernelsDead(z, true)
+			b.setKernelsDown(z, true)
 		}
 		b.awaitEvacuation("z1")
 		b.awaitEvacuation("z2")
@@ -111,7 +111,7 @@
 			must(errors.New("an operator could evacuate zone z3, the last one in service"))
 		}
 		for _, z := range []string{"z1", "z2"} {
-			b.setKernelsDead(z, false)
+			b.setKernelsDown(z, false)
 		}
 		must(errors.Join(b.awaitInService("z1"), b.awaitInService("z2")))
 	}},
@@ -119,10 +119,10 @@
 	// and continues the ramp from the same share.
 	{name: "the leader lost as it fails, and again on the way back", mayEvacuate: []string{"z1"},
 		run: func(b *zoneFixture) {
-			b.setKernelsDead("z1", true)
+			b.setKernelsDown("z1", true)
 			b.restartLeader()
 			b.awaitEvacuation("z1")
-			b.setKernelsDead("z1", false)
+			b.setKernelsDown("z1", false)
 			before := b.awaitRamp("z1")
 			b.restartLeader()
 			after := b.awaitRamp("z1")
@@ -137,9 +137,9 @@
 	// the end.
 	{name: "fails again on its way back", long: true, mayEvacuate: []string{"z2"}, run: func(b *zoneFixture) {
 		for i := range 2 {
-			b.setKernelsDead("z2", true)
+			b.setKernelsDown("z2", true)
 			b.awaitEvacuation("z2")
-			if b.setKernelsDead("z2", false); i == 0 {
+			if b.setKernelsDown("z2", false); i == 0 {
 				mustGet(b.awaitPhase("z2", 30*time.Second, zones.Ramping))
 			}
 		}
@@ -201,10 +201,10 @@
 	// A zone is evacuated, and its failure ends while the group has no leader. Its nodes may not serve until a
 	// leader says so; then the zone returns.
 	{name: "it is well again while nobody leads", mayEvacuate: []string{"z1"}, run: func(b *zoneFixture) {
-		b.setKernelsDead("z1", true)
+		b.setKernelsDown("z1", true)
 		mustGet(b.awaitPhase("z1", 15*time.Second, zones.Evacuated))
 		b.forEachButFirst(b.group.kill)
-		b.setKernelsDead("z1", false)
+		b.setKernelsDown("z1", false)
 		time.Sleep(b.lease)
 		for _, n := range b.nodesIn("z1") {
 			if status, _, _ := b.sendOne(n.name); status == http.StatusOK {
@@ -228,9 +228,9 @@
 		}
 		must(b.awaitInService("z2"))
 		must(b.submitOp(zones.Op{Kind: zones.OpHold, Zone: "z2", WaitMS: 4000}))
-		b.setKernelsDead("z2", true)
+		b.setKernelsDown("z2", true)
 		must(b.checkNoEvacuation(3 * time.Second))
-		b.setKernelsDead("z2", false)
+		b.setKernelsDown("z2", false)
 		b.mayEvacuate["z2"] = true
 		time.Sleep(1500 * time.Millisecond)
 		must(b.awaitInService("z2"))
--- a/internal/harness/zones_check.go
+++ b/internal/harness/zones_check.go
@@ -14,7 +14,7 @@
 	Node  string
 	Zone  string
 	Epoch uint64
-	Share int
+	Share int // in 1/256
 	Op    string
 }
 
@@ -27,9 +27,10 @@
 	sort.SliceStable(h, func(i, k int) bool { return h[i].At < h[k].At })
 	applied, shares, known := map[string]uint64{}, map[string]int{}, map[string]bool{}
 	settled, decided, settledAt := uint64(0), uint64(0), map[uint64]int64{}
+	const fullShare = 256
 	countInService := func() (n int) {
 		for z := range known {
-			if s, left := shares[z]; !left || s == 256 {
+			if s, left := shares[z]; !left || s == fullShare {
 				n++
 			}
 		}
--- a/internal/harness/zones_cost.go
+++ b/internal/harness/zones_cost.go
@@ -34,7 +34,7 @@
 	variants              []costVariant
 	failures              []zoneFailure
 	faultTime, observeFor time.Duration // how long a failure lasts, and is observed after its end
-	formatCells           func(way *costVariant, failure string, c *failureCost) []string
+	formatCells           func(variant *costVariant, failure string, c *failureCost) []string
 	boundedVariant        string // name of the variant whose stores may not be overloaded
 }
 
@@ -53,10 +53,10 @@
 		}
 		return nil
 	}},
-	{name: "kernels", inject: func(b *zoneFixture) error { b.setKernelsDead("z1", true); return nil },
+	{name: "kernels", inject: func(b *zoneFixture) error { b.setKernelsDown("z1", true); return nil },
 		heal: func(b *zoneFixture) error {
 			b.setStore("z1", 1, 0, true)
-			b.setKernelsDead("z1", false)
+			b.setKernelsDown("z1", false)
 			return nil
 		}},
 	{name: "slow", inject: func(b *zoneFixture) error { b.setStore("z1", 0.05, 0, false); return nil },
@@ -251,7 +251,7 @@
 	calls := b.Load(loadCtx, zoneRate)
 	b.sleep(12 * time.Second)
 	if variant.mode == "auto" || variant.mode == "no-ramp" {
-		if err := b.awaitCapacityKnown(); err != nil { // until the group knows the zones' capacity
+		if err := b.awaitCapacityKnown(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/harness/zones_fixture.go
+++ b/internal/harness/zones_fixture.go
@@ -26,7 +26,7 @@
 
 // startFixture starts a fleet whose policy decides on zones in a mode: auto, off, or no-ramp for auto without a cold
 // start.
-func (r *ZonesTest) startFixture(ctx context.Context, dir, alone, mode string) (*zoneFixture, error) {
+func (r *ZonesTest) startFixture(ctx context.Context, dir, whenAlone, mode string) (*zoneFixture, error) {
 	smallStart := "yes"
 	if mode == "no-ramp" {
 		mode, smallStart = "auto", "no"
@@ -34,7 +34,7 @@
 	extra := fmt.Sprintf("[zones]\ndecide = %s\nfirst = 0.125\nhold = 500ms\nkeep = 2s\nmax_wait = 4s\n"+
 		"small_start = %s\n", mode, smallStart)
 	b, err := newPolicyFixture(ctx, FleetProcessesConfig{Program: r.Program, Dir: dir, Seed: r.Seed,
-		Nodes: cmp.Or(r.Size, defaultFleetSize), DisabledGuards: r.ProcessGuards, WithStores: true}, alone, extra)
+		Nodes: cmp.Or(r.Size, defaultFleetSize), DisabledGuards: r.ProcessGuards, WithStores: true}, whenAlone, extra)
 	if err != nil {
 		return nil, err
 	}
@@ -119,9 +119,9 @@
 	})
 }
 
-func (b *zoneFixture) setKernelsDead(zone string, dead bool) {
+func (b *zoneFixture) setKernelsDown(zone string, down bool) {
 	for _, n := range b.nodesIn(zone) {
-		n.kernel.SetDown(dead)
+		n.kernel.SetDown(down)
 	}
 }
 
--- a/internal/harness/zones_history.go
+++ b/internal/harness/zones_history.go
@@ -38,8 +38,8 @@
 		h = append(h, orders...)
 	}
 	h = append(append(h, b.processExits()...), b.syntheticResponses(from)...)
-	if broken := CheckZones(h, b.mayEvacuate, logSlack); broken != "" {
-		return errors.New(broken)
+	if violation := CheckZones(h, b.mayEvacuate, logSlack); violation != "" {
+		return errors.New(violation)
 	}
 	return nil
 }
--- a/internal/harness/zones_test.go
+++ b/internal/harness/zones_test.go
@@ -51,7 +51,7 @@
 
 // CheckZones accepts a correct history and detects each kind of violation.
 func TestCheckZonesDetectsViolations(t *testing.T) {
-	good := []ZoneEvent{{At: 0, Kind: "zone", Zone: "a"}, {At: 0, Kind: "zone", Zone: "b"},
+	correct := []ZoneEvent{{At: 0, Kind: "zone", Zone: "a"}, {At: 0, Kind: "zone", Zone: "b"},
 		{At: 10, Kind: "decided", Zone: "a", Epoch: 1, Share: 0, Op: "leave"},
 		{At: 20, Kind: "applied", Node: "n", Epoch: 1},
 		{At: 30, Kind: "settled", Epoch: 1}, {At: 40, Kind: "responds", Node: "n"},
@@ -59,10 +59,10 @@
 		{At: 62, Kind: "responds", Node: "n"}, {At: 65, Kind: "applied", Node: "n", Epoch: 2},
 		{At: 90, Kind: "responds", Node: "n"}}
 	mayEvacuate := map[string]bool{"a": true}
-	if broken := CheckZones(good, mayEvacuate, 5); broken != "" {
-		t.Fatalf("CheckZones(correct history) = %q, want none", broken)
+	if violation := CheckZones(correct, mayEvacuate, 5); violation != "" {
+		t.Fatalf("CheckZones(correct history) = %q, want none", violation)
 	}
-	for name, more := range map[string][]ZoneEvent{
+	for name, events := range map[string][]ZoneEvent{
 		"evacuated without a reason": {{At: 70, Kind: "decided", Zone: "b", Epoch: 3, Op: "leave"}},
 		"no zone in service":         {{At: 70, Kind: "decided", Zone: "b", Epoch: 3, Op: "step", Share: 0}},
 		"decreasing epoch":           {{At: 70, Kind: "decided", Zone: "a", Epoch: 1, Share: 16, Op: "step"}},
@@ -73,7 +73,8 @@
 		"node keeps acting on an earlier epoch": {{At: 15, Kind: "applied", Node: "k", Epoch: 0},
 			{At: 45, Kind: "responds", Node: "k"}},
 	} {
-		if broken := CheckZones(append(append([]ZoneEvent{}, good...), more...), mayEvacuate, 5); broken == "" {
+		if violation := CheckZones(append(append([]ZoneEvent{}, correct...), events...), mayEvacuate,
+			5); violation == "" {
 			t.Errorf("CheckZones(%s) = none, want a violation", name)
 		}
 	}
--- a/internal/harness/zones_virtual.go
+++ b/internal/harness/zones_virtual.go
@@ -17,8 +17,8 @@
 // playedZones is the result of one variant, and the real time that its simulation took.
 type playedZones struct {
 	*simulation.Zones
-	name string
-	took time.Duration
+	name     string
+	realTime time.Duration
 }
 
 // playVariants runs all variants of a plan in parallel.
@@ -45,12 +45,12 @@
 	violation string
 }
 
-func (b *violatingSchedules) record(seed int64, broken string) {
-	if broken == "" {
+func (b *violatingSchedules) record(seed int64, violation string) {
+	if violation == "" {
 		return
 	}
 	if b.count++; b.count == 1 || seed < b.seed {
-		b.seed, b.violation = seed, broken
+		b.seed, b.violation = seed, violation
 	}
 }
 
