--- a/internal/harness/local_fleet.go
+++ b/internal/harness/local_fleet.go
@@ -68,7 +68,7 @@
 	for _, n := range r.nodes {
 		fmt.Fprintf(w, "  node %s of %s  pid %d  at %s\n", n.name, n.zone, n.process.pid(), n.listen)
 	}
-	fmt.Fprintln(w, "what ends is started again after two seconds; Ctrl-C ends all")
+	fmt.Fprintln(w, "a process that exits is restarted after two seconds; Ctrl-C ends all")
 	calls := r.Load(ctx, max(l.Rate, 0.001))
 	tick := time.NewTicker(10 * time.Second)
 	defer tick.Stop()
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -40,7 +40,7 @@
 
 // Run runs schedules and large fleets in virtual time, then a fleet of processes, and writes the report.
 func (r *PolicyTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
-	rep := &report.Report{Name: "policy", Title: "A change of policy everywhere or nowhere",
+	rep := &report.Report{Name: "policy", Title: "Policy changes under faults",
 		Head: []string{"PART", "NODES", "CHANGES", "SETTLED", "CALLED OFF", "MEDIAN", "99TH", "WORST", "OVERLAP"}}
 	rep.Add("seed", "%d", r.Seed)
 	if r.Mode != "real" {
--- a/internal/harness/raft_kills.go
+++ b/internal/harness/raft_kills.go
@@ -205,11 +205,11 @@
 	case "":
 		return "kill -9"
 	case faultPartition:
-		return "cut off from all others"
+		return "partitioned from all others"
 	case faultDiskStall:
-		return "its disk stalled " + diskStallTime.String()
+		return "disk stalled for " + diskStallTime.String()
 	case faultDiskFull:
-		return "its disk was full"
+		return "disk full"
 	}
-	return "killed itself before " + kind
+	return "crashed before step " + kind
 }
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -37,7 +37,7 @@
 // Run runs restarts in virtual time with their baselines and lower bound, then the cases on processes, and writes
 // the report.
 func (r *RecoveryTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
-	rep := &report.Report{Name: "comeback", Title: "Coming back after a restart of most of the fleet",
+	rep := &report.Report{Name: "comeback", Title: "Recovery after a restart of most of the fleet",
 		Head: []string{"PART", "NODES", "LOAD", "WAY", "HALF", "95 IN 100", "WHOLE", "AT BEST", "BELOW, PEAK",
 			"TRIES A REQ"}}
 	rep.Add("seed", "%d", r.Seed)
@@ -116,10 +116,10 @@
 			fmt.Sprintf("%.0f s", shortestRecovery(min(load, 1), 8, simulation.WarmUpSeconds)),
 			fmt.Sprintf("%.2f", v.Start), fmt.Sprintf("%.2f", v.Tries)})
 		if i == 0 && n <= 300 {
-			v.Plot[0].Name, v.Plot[1].Name = "value done", "below: asked over what it bears"
+			v.Plot[0].Name, v.Plot[1].Name = "value done", "stores: load over capacity"
 			rep.Plots = append(rep.Plots, report.Plot{
 				Title: fmt.Sprintf("%d nodes restart, load %.2f", n, load),
-				X:     "seconds; killed at 15, back from 17 on", Y: "share", Lines: v.Plot[:2]})
+				X:     "seconds; killed at 15, restarted from 17 on", Y: "share", Lines: v.Plot[:2]})
 		}
 	}
 }
--- a/internal/harness/recovery_cases.go
+++ b/internal/harness/recovery_cases.go
@@ -86,7 +86,7 @@
 // time.
 func (b *zoneFixture) awaitRecovered(since time.Time) {
 	mustGet(b.awaitPhase(zones.WholeFleet, 150*time.Second, zones.InService))
-	fmt.Fprintf(b.out, "  the fleet is in again after %.1f s\n", time.Since(since).Seconds())
+	fmt.Fprintf(b.out, "  the fleet is back in service after %.1f s\n", time.Since(since).Seconds())
 	b.checkStoreLoads(since)
 }
 
@@ -137,7 +137,7 @@
 			must(n.Start())
 		}
 		b.mustAllServe(b.committedVersion)
-		fmt.Fprintf(b.out, "  all serve after %.1f s\n", time.Since(since).Seconds())
+		fmt.Fprintf(b.out, "  all nodes serve after %.1f s\n", time.Since(since).Seconds())
 		if _, err := b.awaitPhase(zones.WholeFleet, 5*time.Second, zones.Ramping, zones.InService); err != nil {
 			fmt.Fprintln(b.out, err)
 			b.checkStoreLoads(since)
--- a/internal/harness/work_folder_test.go
+++ b/internal/harness/work_folder_test.go
@@ -30,7 +30,7 @@
 		{name: "interrupted", interrupted: true, want: errInterrupted, wantKept: true},
 		{name: "interrupted and failed", interrupted: true, failed: failure, want: failure, wantKept: true},
 		{name: "interrupted and broken", interrupted: true, violation: "not in time", want: errInterrupted,
-		wantKept: true},
+			wantKept: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -35,7 +35,7 @@
 
 // Run runs schedules and large fleets in virtual time, then a fleet of processes, and writes the report.
 func (r *ZonesTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
-	rep := &report.Report{Name: "zones", Title: "Leaving a zone that fails, and coming back",
+	rep := &report.Report{Name: "zones", Title: "Evacuation and return of a failed zone",
 		Head: []string{"PART", "NODES", "LOAD", "WAY", "VALUE DONE", "LEFT AFTER", "IN AGAIN AFTER", "STEPS",
 			"BELOW, PEAK"}}
 	rep.Add("seed", "%d", r.Seed)
@@ -139,10 +139,10 @@
 				float64(v.Fleet.Entries)/seconds,
 				float64(v.Fleet.Bytes)/1024/seconds, v.realTime.Round(time.Millisecond)))
 			if n == 300 {
-				v.Plot[0].Name, v.Plot[1].Name, v.Plot[2].Name = "value done", "below: asked over what it bears",
+				v.Plot[0].Name, v.Plot[1].Name, v.Plot[2].Name = "value done", "stores: load over capacity",
 					"share of the zone"
 				rep.Plots = append(rep.Plots, report.Plot{Title: fmt.Sprintf("%d nodes, load %.2f: %s", n, load, kind),
-					X: "seconds; it fails at 15, ends at 45", Y: "share", Lines: v.Plot})
+					X: "seconds; failure from 15 to 45", Y: "share", Lines: v.Plot})
 			}
 		}
 		rep.Rows = append(rep.Rows, []string{"virtual, " + kind, strconv.Itoa(n), fmt.Sprintf("%.2f", load), v.name,
