--- a/internal/harness/node_process.go
+++ b/internal/harness/node_process.go
@@ -21,7 +21,7 @@
 	log                                  *os.File
 	process                              process
 	kernel                               *EmulatedKernel
-	down, paused                         bool // guarded by r.mu
+	down, paused                         bool // guarded by fleet.mu
 }
 
 // addNode prepares a node: its kernel, its forwarders to callers and the group, and its files. The fleet owns the
