--- a/internal/harness/raft_processes.go
+++ b/internal/harness/raft_processes.go
@@ -28,7 +28,8 @@
 	} else if r.Quick {
 		sizes = []int{3}
 	}
-	plot := report.Plot{Title: "Writes after a failure of the leader", X: "ms without an acknowledged write", Y: "share of kills"}
+	plot := report.Plot{Title: "Writes after a failure of the leader", X: "ms without an acknowledged write",
+		Y: "share of kills"}
 	for _, size := range sizes {
 		if err := r.killLeaders(ctx, rep, &plot, size, kills, "[disk]\nsnapshot_mb = 1\n"); err != nil {
 			return err
