--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -37,7 +37,7 @@
 	f.Float64Var(&r.demo.Load, "load", 0.9, "offered load as a fraction of the cores' capacity, above 0 and at most 10")
 	f.BoolVar(&r.demo.Pools, "pools", false, "enable pools of run slots")
 	f.IntVar(&r.demo.Seconds, "seconds", 0, "duration in seconds; 0 to run until interrupted")
-	f.StringVar(&r.demo.Trouble, "trouble", "",
+	f.StringVar(&r.demo.Fault, "trouble", "",
 		"fault to inject: slow or cold (a dependency), or links (breaks the kernel's link every 5 s)")
 	f.BoolVar(&r.asJSON, "json", false, "print the results as JSON")
 	return c
@@ -47,8 +47,8 @@
 	if r.demo.Load <= 0 || r.demo.Load > 10 {
 		return fmt.Errorf("--load: found %g, expected above 0 and at most 10", r.demo.Load)
 	}
-	if r.demo.Trouble != "" && !slices.Contains(harness.DemoTroubles, r.demo.Trouble) {
-		return fmt.Errorf("--trouble: found %q, expected one of %v", r.demo.Trouble, harness.DemoTroubles)
+	if r.demo.Fault != "" && !slices.Contains(harness.DemoFaults, r.demo.Fault) {
+		return fmt.Errorf("--trouble: found %q, expected one of %v", r.demo.Fault, harness.DemoFaults)
 	}
 	return nil
 }
@@ -67,8 +67,8 @@
 	if err != nil {
 		return err
 	}
-	if r.demo.Folder != "" {
-		fmt.Fprintf(stderr, "interrupted; logs are in %s\n", r.demo.Folder)
+	if r.demo.LogDir != "" {
+		fmt.Fprintf(stderr, "interrupted; logs are in %s\n", r.demo.LogDir)
 	}
 	if r.asJSON {
 		return printJSON(stdout, results)
--- a/internal/cli/faulttest.go
+++ b/internal/cli/faulttest.go
@@ -134,7 +134,7 @@
 	var without string
 	var replay int64
 	check := func() (err error) {
-		if r.Without, err = parseGuards(without, consensus.GuardNamed); err != nil {
+		if r.DisabledGuards, err = parseGuards(without, consensus.GuardNamed); err != nil {
 			return err
 		}
 		if err = checkMode(r.Mode); err != nil {
@@ -162,7 +162,7 @@
 			if err := check(); err != nil {
 				return usageError(err)
 			}
-			return replaySchedule(cmd.OutOrStdout(), replay, r.Size, r.Without)
+			return replaySchedule(cmd.OutOrStdout(), replay, r.Size, r.DisabledGuards)
 		}}
 	f := c.Flags()
 	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "run fewer cases, in less than 50 s on four cores")
@@ -191,7 +191,7 @@
 func newResultStoreTest() *cobra.Command {
 	r := &harness.ResultStoreTest{}
 	check := func() error {
-		return errors.Join(checkOneOf("--without", r.Without, harness.ResultStoreGuards),
+		return errors.Join(checkOneOf("--without", r.DisabledGuard, harness.ResultStoreGuards),
 			checkOneOf("--only", r.Only, []string{"kills", "costs"}))
 	}
 	c := &cobra.Command{Use: "results",
@@ -208,13 +208,13 @@
 	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "run fewer cases, in less than 50 s on four cores")
 	f.IntVar(&r.Kills, "kills", 0, "total number of kills; 0 for 120 with --quick, 5000 without")
 	f.StringVar(&r.Only, "only", "", "the only part to run: kills or costs")
-	f.StringVar(&r.Without, "without", "",
+	f.StringVar(&r.DisabledGuard, "without", "",
 		"guard to disable in the nodes, one of "+strings.Join(harness.ResultStoreGuards, ", "))
 	return c
 }
 
 func newPoolsTest() *cobra.Command {
-	r := &simulation.Pools{}
+	r := &simulation.PoolTest{}
 	var program string // unused: this test starts no processes
 	c := &cobra.Command{Use: "pools", Short: "Test pools of run slots under overload in virtual time",
 		Args: exactArgs(0),
@@ -236,7 +236,7 @@
 func newPolicyTest() *cobra.Command {
 	r := &harness.PolicyTest{}
 	check := func() (err error) {
-		if r.Without, err = parseGuards(r.ProcessGuards, policy.GuardNamed); err != nil {
+		if r.DisabledGuards, err = parseGuards(r.DisabledProcessGuards, policy.GuardNamed); err != nil {
 			return err
 		}
 		return checkProcessTest(r.Mode, r.Only, harness.PolicyCases(), r.Size)
@@ -255,14 +255,14 @@
 	f.IntVar(&r.Schedules, "schedules", 0, "number of virtual schedules; 0 for 200 with --quick, 2000 without")
 	f.IntVar(&r.Changes, "changes", 0,
 		"number of changes under load on processes; 0 for 10 with --quick, 100 without")
-	addGuardsFlag(f, &r.ProcessGuards, policy.GuardNames())
+	addGuardsFlag(f, &r.DisabledProcessGuards, policy.GuardNames())
 	return c
 }
 
 func newZonesTest() *cobra.Command {
 	r := &harness.ZonesTest{}
 	check := func() (err error) {
-		if r.Without, err = parseGuards(r.ProcessGuards, zones.GuardNamed); err != nil {
+		if r.DisabledGuards, err = parseGuards(r.DisabledProcessGuards, zones.GuardNamed); err != nil {
 			return err
 		}
 		return checkProcessTest(r.Mode, r.Only, harness.ZoneCases(), r.Size)
@@ -279,7 +279,7 @@
 	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "run fewer schedules, one fleet size and an hour of noise")
 	addProcessFlags(f, &r.Mode, &r.Only, &r.Size)
 	f.IntVar(&r.Schedules, "schedules", 0, "number of virtual schedules; 0 for 60 with --quick, 300 without")
-	addGuardsFlag(f, &r.ProcessGuards, zones.GuardNames())
+	addGuardsFlag(f, &r.DisabledProcessGuards, zones.GuardNames())
 	return c
 }
 
@@ -302,25 +302,25 @@
 	f := c.Flags()
 	addCommonFlags(f, &r.Seed, &r.Quick, &r.Out, "run one fleet size and two loads in virtual time")
 	addProcessFlags(f, &r.Mode, &r.Only, &r.Size)
-	addGuardsFlag(f, &r.ProcessGuards, harness.RecoveryGuards)
+	addGuardsFlag(f, &r.DisabledProcessGuards, harness.RecoveryGuards)
 	return c
 }
 
 // parseRecoveryGuards parses the guards of zones and policy for the virtual part. Processes parse --without themselves,
 // and have guards that the virtual part lacks.
 func parseRecoveryGuards(r *harness.RecoveryTest) error {
-	if r.ProcessGuards == "" {
+	if r.DisabledProcessGuards == "" {
 		return nil
 	}
-	for _, name := range strings.Split(r.ProcessGuards, ",") {
+	for _, name := range strings.Split(r.DisabledProcessGuards, ",") {
 		if err := checkOneOf("--without", name, harness.RecoveryGuards); err != nil {
 			return err
 		}
 		if g, err := zones.GuardNamed(name); err == nil {
-			r.WithoutZoneGuards |= g
+			r.DisabledZoneGuards |= g
 		}
 		if g, err := policy.GuardNamed(name); err == nil {
-			r.WithoutPolicyGuards |= g
+			r.DisabledPolicyGuards |= g
 		}
 	}
 	return nil
--- a/internal/harness/control_processes_test.go
+++ b/internal/harness/control_processes_test.go
@@ -35,7 +35,7 @@
 func TestVerdictNamesViolation(t *testing.T) {
 	var out bytes.Buffer
 	rep, err := (&RaftTest{Seed: 2, Quick: true, Mode: "virtual", Schedules: 20,
-		Without: consensus.CompareAndSet}).Run(
+		DisabledGuards: consensus.CompareAndSet}).Run(
 		context.Background(), &out)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/harness/demo.go
+++ b/internal/harness/demo.go
@@ -31,13 +31,13 @@
 	Seconds int // 0: until interrupted
 	Keys    <-chan byte
 	Plain   bool // prints each table below the previous one, without terminal control sequences
-	Trouble string
-	Folder  string // the node's log folder, set by an interrupted run, which keeps it
+	Fault   string
+	LogDir  string // the node's log folder, set by an interrupted run, which keeps it
 }
 
-// DemoTroubles are the faults that a demo can inject: a service below that each run calls, slow in the middle third
+// DemoFaults are the faults that a demo can inject: a service below that each run calls, slow in the middle third
 // of the time or cold at first; a link to the kernel that breaks every five seconds.
-var DemoTroubles = []string{"slow", "cold", "links"}
+var DemoFaults = []string{"slow", "cold", "links"}
 
 // demoScenario defines the demo's cores, tenants and classes.
 const demoScenario = `cores 6
@@ -96,7 +96,7 @@
 	case err != nil:
 		return nil, fmt.Errorf("%w; logs are in %s", err, dir)
 	case ctx.Err() != nil:
-		d.Folder = dir
+		d.LogDir = dir
 		return results, nil
 	}
 	return results, os.RemoveAll(dir)
@@ -118,7 +118,7 @@
 	}
 	defer o.kernel.Close()
 	storeAddr := ""
-	if d.Trouble == "slow" || d.Trouble == "cold" {
+	if d.Fault == "slow" || d.Fault == "cold" {
 		// Its capacity is four times that of the cores; slow or cold, two thirds of that of the cores.
 		if o.store, err = NewEmulatedStore(newLoopbackAddr(9042), d.Seed, 8, 10*time.Millisecond, 6, 4000); err != nil {
 			return nil, err
@@ -126,7 +126,7 @@
 		defer o.store.Close()
 		storeAddr, o.kernel.callsStore = o.store.listener.Addr().String(), true
 		o.store.Update(func(_, warm, _ *float64) {
-			if d.Trouble == "cold" {
+			if d.Fault == "cold" {
 				*warm = 0
 			}
 		})
@@ -166,7 +166,7 @@
 	o.addr = newLoopbackAddr(8080)
 	raw, err := encodeStartupFile(startupParams{name: "demo", listen: o.addr, kernel: o.kernel.listener.Addr().String(),
 		store: storeAddr, control: controlAddr, cores: o.scenario.Cores, tenants: o.scenario.Tenants,
-		classes: o.scenario.Classes, keyedClass: o.scenario.Classes[o.scenario.Dearest].Name})
+		classes: o.scenario.Classes, keyedClass: o.scenario.Classes[o.scenario.HighestValue].Name})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -254,11 +254,11 @@
 // injectFault begins or ends the fault that is due in a second of the demo.
 func (o *demo) injectFault(second int) {
 	switch {
-	case o.Trouble == "slow" && second == o.Seconds/3:
+	case o.Fault == "slow" && second == o.Seconds/3:
 		o.store.Update(func(speed, _, _ *float64) { *speed = 1.0 / 6 })
-	case o.Trouble == "slow" && second == 2*o.Seconds/3:
+	case o.Fault == "slow" && second == 2*o.Seconds/3:
 		o.store.Update(func(speed, _, _ *float64) { *speed = 1 })
-	case o.Trouble == "links" && second%5 == 0:
+	case o.Fault == "links" && second%5 == 0:
 		o.kernel.CloseLink()
 	}
 }
@@ -277,7 +277,7 @@
 	case 'h':
 		o.heavy = !o.heavy
 		o.kernel.Update(func(classes map[string]*simulation.Class, _ *float64) {
-			classes["save"].HeavyShare, classes["save"].HeavyFactor = map[bool]float64{true: 0.05}[o.heavy], 10
+			classes["save"].HeavyFraction, classes["save"].HeavyFactor = map[bool]float64{true: 0.05}[o.heavy], 10
 		})
 	case 'c':
 		o.kernel.Update(func(_ map[string]*simulation.Class, cores *float64) {
@@ -326,7 +326,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(c.Handler.Timeout)*100*time.Microsecond)
 	defer cancel()
 	key := ""
-	if k == o.scenario.Dearest {
+	if k == o.scenario.HighestValue {
 		key = randomKey()
 	}
 	code, _ := sendAttempt(ctx, o.client, o.addr, c.Name, tenant, tenant, key, false)
--- a/internal/harness/emulated_kernel.go
+++ b/internal/harness/emulated_kernel.go
@@ -230,11 +230,11 @@
 
 // drawWork draws a run's work, in ms of core time.
 func (k *EmulatedKernel) drawWork(c *simulation.Class) float64 {
-	work := c.Work / 10
+	work := c.MeanWork / 10
 	if c.WorkSigma > 0 {
 		work *= math.Exp(c.WorkSigma*k.random.NormFloat64() - c.WorkSigma*c.WorkSigma/2)
 	}
-	if k.random.Float64() < c.HeavyShare {
+	if k.random.Float64() < c.HeavyFraction {
 		work *= c.HeavyFactor
 	}
 	return work
--- a/internal/harness/fleet_history.go
+++ b/internal/harness/fleet_history.go
@@ -122,8 +122,8 @@
 			c.order = append(c.order, k)
 		}
 		c.first[k] = simulation.FleetEvent{At: l.at, Version: l.uintField(logging.PolicyVersion),
-			From: l.uintField(logging.From),
-			Excl: l.boolField(logging.Exclusive)}
+			PreviousVersion: l.uintField(logging.From),
+			Exclusive:       l.boolField(logging.Exclusive)}
 	})
 }
 
@@ -233,12 +233,12 @@
 }
 
 // Check checks the fleet's history and returns the longest overlap of two versions, in tenths of a ms.
-func (r *FleetProcesses) Check(p simulation.FleetPromises) (overlap int64, err error) {
+func (r *FleetProcesses) Check(p simulation.FleetInvariants) (overlap int64, err error) {
 	h, err := r.History()
 	if err != nil {
 		return 0, err
 	}
-	violation, overlap := simulation.CheckFleet(h, p)
+	violation, overlap := simulation.CheckFleetHistory(h, p)
 	if violation != "" {
 		return overlap, errors.New(violation)
 	}
--- a/internal/harness/fleet_load.go
+++ b/internal/harness/fleet_load.go
@@ -96,7 +96,7 @@
 			inFlight.Add(1)
 			go func() {
 				defer inFlight.Done()
-				r.sendRequest(c, &s.Classes[class], class == s.Dearest, tenant, first)
+				r.sendRequest(c, &s.Classes[class], class == s.HighestValue, tenant, first)
 			}()
 		}
 	}()
--- a/internal/harness/fleet_processes_test.go
+++ b/internal/harness/fleet_processes_test.go
@@ -113,7 +113,7 @@
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
 			expectViolationWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
-				return (&PolicyTest{Seed: seed, Quick: true, Mode: "real", ProcessGuards: guard, Only: only, Size: 6,
+				return (&PolicyTest{Seed: seed, Quick: true, Mode: "real", DisabledProcessGuards: guard, Only: only, Size: 6,
 					Program: builtProgram(t)}).Run(context.Background(), w)
 			})
 		})
@@ -211,7 +211,7 @@
 	}
 	b.heal()
 	check("serving with the group", b.AwaitAllServing(version, 30*time.Second))
-	if _, err = b.Check(simulation.FleetPromises{}); err != nil {
+	if _, err = b.Check(simulation.FleetInvariants{}); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -15,19 +15,19 @@
 
 // PolicyTest is a run of `umberctl faulttest policy`.
 type PolicyTest struct {
-	Seed          int64
-	Quick         bool
-	Size          int // nodes of the fleet of processes
-	Out           string
-	Without       policy.Guard
-	ProcessGuards string // names of the guards disabled in processes
-	Mode          string // virtual, real or both
-	Schedules     int
-	Changes       int
-	Program       string
-	Only          string // name of the one case to run; empty: all
-	Part          int    // which of Parts subsets of the cases to run
-	Parts         int    // 0: all cases in one run
+	Seed                  int64
+	Quick                 bool
+	Size                  int // nodes of the fleet of processes
+	Out                   string
+	DisabledGuards        policy.Guard
+	DisabledProcessGuards string // names of the guards disabled in processes
+	Mode                  string // virtual, real or both
+	Schedules             int
+	Changes               int
+	Program               string
+	Only                  string // name of the one case to run; empty: all
+	Part                  int    // which of Parts subsets of the cases to run
+	Parts                 int    // 0: all cases in one run
 }
 
 // Virtual schedules and changes on processes, with --quick and without.
@@ -45,7 +45,7 @@
 	rep.AddFigure("seed", "%d", r.Seed)
 	if r.Mode != "real" {
 		r.runVirtual(ctx, rep)
-		if rep.Broken == "" && r.Without == 0 {
+		if rep.Broken == "" && r.DisabledGuards == 0 {
 			r.runLargeFleets(ctx, rep)
 		}
 	}
@@ -92,18 +92,18 @@
 	var times []float64
 	var overlap int64
 	report.RunSeeds(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Fleet {
-		f := simulation.NewFleet(simulation.FleetPlan{Seed: s, Nodes: 9 + int(s%7), Ctl: 3 + 2*int(s%2), Changes: 5,
-			Without: r.Without})
+		f := simulation.NewFleet(simulation.FleetPlan{Seed: s, Nodes: 9 + int(s%7), ControlInstances: 3 + 2*int(s%2), Changes: 5,
+			DisabledGuards: r.DisabledGuards})
 		f.Play()
 		return f
 	}, func(s int64, f *simulation.Fleet) bool {
-		for k, v := range f.Ends {
+		for k, v := range f.ChangesByStep {
 			outcomes[k] += v
 		}
-		for k, v := range f.Causes {
+		for k, v := range f.AbortCauses {
 			causes[k] += v
 		}
-		times, overlap = append(times, f.Times...), max(overlap, f.Overlap)
+		times, overlap = append(times, f.CommitTimesMS...), max(overlap, f.LongestOverlap)
 		violating.record(s, f.Broken)
 		return false
 	})
@@ -131,26 +131,26 @@
 			part     string
 			down     float64
 			baseline string
-		}{{"calm", 0, ""}, {"a third down", 0.33, ""}, {"a third down, each as it comes", 0.33, simulation.WayEach},
-			{"a third down, majority", 0.33, simulation.WayMajority}} {
+		}{{"calm", 0, ""}, {"a third down", 0.33, ""}, {"a third down, each as it comes", 0.33, simulation.BaselineImmediate},
+			{"a third down, majority", 0.33, simulation.BaselineMajority}} {
 			if ctx.Err() != nil {
 				return
 			}
 			started := time.Now()
-			f := simulation.NewFleet(simulation.FleetPlan{Seed: r.Seed, Nodes: n, Ctl: 3, Changes: 3, Calm: true,
-				Down: c.down, Way: c.baseline,
-				Lease: 10_000, Span: 60_000})
+			f := simulation.NewFleet(simulation.FleetPlan{Seed: r.Seed, Nodes: n, ControlInstances: 3, Changes: 3, NoFaults: true,
+				PartitionedFraction: c.down, Baseline: c.baseline,
+				LeaseMS: 10_000, FaultSpanMS: 60_000})
 			f.Play()
 			if f.Broken != "" {
 				rep.SetBroken("%d nodes, %s: %s", n, c.part, f.Broken)
 			}
-			r.addRow(rep, "virtual, "+c.part, n, len(f.Times), f.Ends, f.Times, f.Overlap)
+			r.addRow(rep, "virtual, "+c.part, n, len(f.CommitTimesMS), f.ChangesByStep, f.CommitTimesMS, f.LongestOverlap)
 			if c.baseline == "" {
 				seconds := f.Now / 1000
 				rep.Notes = append(rep.Notes, fmt.Sprintf(
 					"%d nodes, %s: per second %.1f heartbeats, %.2f entries, %.1f KB of "+
 						"entries; simulated in %v", n, c.part, float64(f.Heartbeats)/seconds,
-					float64(f.Entries)/seconds, float64(f.Bytes)/1024/seconds,
+					float64(f.Entries)/seconds, float64(f.EntryBytes)/1024/seconds,
 					time.Since(started).Round(time.Millisecond)))
 			}
 		}
--- a/internal/harness/policy_fixture.go
+++ b/internal/harness/policy_fixture.go
@@ -209,7 +209,7 @@
 func (r *PolicyTest) startFixture(ctx context.Context, dir string, whenAlone string) (*policyFixture, error) {
 	n := cmp.Or(r.Size, defaultFleetSize)
 	return newPolicyFixture(ctx, FleetProcessesConfig{Program: r.Program, Dir: dir, Seed: r.Seed, Nodes: n,
-		DisabledGuards: r.ProcessGuards, NodeWithoutFill: n}, whenAlone, "")
+		DisabledGuards: r.DisabledProcessGuards, NodeWithoutFill: n}, whenAlone, "")
 }
 
 // newPolicyFixture starts a fleet with three instances and an initial policy. extraText is part of all its texts.
@@ -239,7 +239,7 @@
 
 // historyLimits returns the limits of the history: versions overlap for a lease as the group counts it and 200 ms at
 // most, for the precision of logs and a heartbeat interval.
-func (b *policyFixture) historyLimits() simulation.FleetPromises {
-	return simulation.FleetPromises{Overlap: int64(membership.LeaseSpanMS(uint64(b.lease.Milliseconds())))*10 + 2000,
+func (b *policyFixture) historyLimits() simulation.FleetInvariants {
+	return simulation.FleetInvariants{MaxOverlap: int64(membership.LeaseSpanMS(uint64(b.lease.Milliseconds())))*10 + 2000,
 		Fences: b.whenAlone == "fence"}
 }
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -14,16 +14,16 @@
 
 // RaftTest is a run of `umberctl faulttest raft`.
 type RaftTest struct {
-	Seed      int64
-	Quick     bool
-	Size      int // instances in a group; 0: groups of 3 and of 5
-	Out       string
-	Without   consensus.Guard
-	Mode      string // virtual, real or both
-	Schedules int    // in virtual time; 0: the default of quick or not
-	Kills     int    // of leaders of processes; 0: the default of quick or not
-	Clients   int    // clients that put while leaders are killed
-	Program   string // umberctl, run as an instance
+	Seed           int64
+	Quick          bool
+	Size           int // instances in a group; 0: groups of 3 and of 5
+	Out            string
+	DisabledGuards consensus.Guard
+	Mode           string // virtual, real or both
+	Schedules      int    // in virtual time; 0: the default of quick or not
+	Kills          int    // of leaders of processes; 0: the default of quick or not
+	Clients        int    // clients that put while leaders are killed
+	Program        string // umberctl, run as an instance
 }
 
 // Schedules and kills, with --quick and without, and the runs in which a violating schedule is shrunk.
@@ -43,7 +43,7 @@
 	if r.Mode != "real" {
 		r.runVirtual(ctx, rep)
 	}
-	if r.Mode != "virtual" && rep.Broken == "" && r.Without == 0 {
+	if r.Mode != "virtual" && rep.Broken == "" && r.DisabledGuards == 0 {
 		if err := r.runProcesses(ctx, rep); err != nil {
 			return nil, err
 		}
@@ -77,7 +77,7 @@
 	steps, calls, terms, played, violations := 0, 0, 0, 0, 0
 	report.RunSeeds(ctx, r.Seed*1000003, n, func(s int64) simulation.Result {
 		size := r.groupSize(s)
-		return simulation.Play(s, size, simulation.DrawFaults(s, size, simulation.ScheduleMilliseconds), r.Without, nil)
+		return simulation.Play(s, size, simulation.DrawFaults(s, size, simulation.ScheduleMilliseconds), r.DisabledGuards, nil)
 	}, func(_ int64, res simulation.Result) bool {
 		played, steps, calls, terms = played+1, steps+res.Steps, calls+res.Calls, terms+res.Terms
 		if res.Broken != "" {
@@ -85,7 +85,7 @@
 				first = &res
 			}
 		}
-		return violations > 0 && r.Without != 0 // with a disabled guard one violation suffices
+		return violations > 0 && r.DisabledGuards != 0 // with a disabled guard one violation suffices
 	})
 	elapsed := time.Since(started)
 	rep.Rows = append(rep.Rows, []string{"virtual", groupSizes(r.Size), strconv.Itoa(played), strconv.Itoa(steps),
@@ -101,7 +101,7 @@
 	}
 	size := r.groupSize(first.Seed)
 	faults := simulation.Shrink(first.Seed, size, simulation.DrawFaults(first.Seed, size,
-		simulation.ScheduleMilliseconds), r.Without, maxShrinkRuns)
+		simulation.ScheduleMilliseconds), r.DisabledGuards, maxShrinkRuns)
 	rep.Notes = append(rep.Notes, fmt.Sprintf("seed %d of %d instances: %s\nwith these faults alone:\n%s",
 		first.Seed,
 		size, first.Broken, simulation.FaultLines(faults)))
--- a/internal/harness/recovery.go
+++ b/internal/harness/recovery.go
@@ -19,19 +19,19 @@
 // RecoveryTest is a run of `umberctl faulttest recovery`: restarts of a whole fleet, and a group that lost its
 // state, in virtual time and on processes.
 type RecoveryTest struct {
-	Seed          int64
-	Quick         bool
-	Size          int
-	Out           string
-	ProcessGuards string
+	Seed                  int64
+	Quick                 bool
+	Size                  int
+	Out                   string
+	DisabledProcessGuards string
 	// Guards disabled in virtual time: of the zones, and of the leader.
-	WithoutZoneGuards   zones.Guard
-	WithoutPolicyGuards policy.Guard
-	Mode                string
-	Program             string
-	Only                string
-	Part                int
-	Parts               int
+	DisabledZoneGuards   zones.Guard
+	DisabledPolicyGuards policy.Guard
+	Mode                 string
+	Program              string
+	Only                 string
+	Part                 int
+	Parts                int
 }
 
 // Run runs restarts in virtual time with their baselines and lower bound, then the cases on processes, and writes
@@ -42,7 +42,7 @@
 			"TRIES A REQ"}}
 	rep.AddFigure("seed", "%d", r.Seed)
 	if r.Mode != "real" {
-		entries, largest, worst, violation := runMassJoin(r.Seed, 5000, r.WithoutPolicyGuards)
+		entries, largest, worst, violation := runMassJoin(r.Seed, 5000, r.DisabledPolicyGuards)
 		rep.AddFigure("crowd_entries", "%d", entries)
 		rep.AddFigure("crowd_largest", "%d", largest)
 		rep.AddFigure("crowd_worst_ms", "%d", worst)
@@ -52,7 +52,7 @@
 		r.runVirtual(ctx, rep)
 	}
 	if r.Mode != "virtual" && rep.Broken == "" {
-		z := &ZonesTest{Seed: r.Seed, Quick: r.Quick, Size: r.Size, ProcessGuards: r.ProcessGuards,
+		z := &ZonesTest{Seed: r.Seed, Quick: r.Quick, Size: r.Size, DisabledProcessGuards: r.DisabledProcessGuards,
 			Program: r.Program, Only: r.Only, Part: r.Part,
 			Parts: r.Parts, cases: recoveryCases}
 		if err := z.runProcesses(ctx, w, rep); err != nil {
@@ -95,26 +95,26 @@
 // playRestart runs a restart of all nodes with the fleet's own recovery and with the baselines.
 func (r *RecoveryTest) playRestart(rep *report.Report, n int, load float64) {
 	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n,
-		Kinds: []string{simulation.ZoneRestart, simulation.ZoneRestart, simulation.ZoneRestart},
-		Fails: 15_000, Heals: 17_000, Ends: 300_000, Load: load, Without: r.WithoutZoneGuards}
+		Faults:       []string{simulation.ZoneRestart, simulation.ZoneRestart, simulation.ZoneRestart},
+		FaultStartMS: 15_000, FaultEndMS: 17_000, EndMS: 300_000, Load: load, DisabledGuards: r.DisabledZoneGuards}
 	if n > 1000 {
-		base.Ends = 200_000
+		base.EndMS = 200_000
 	}
 	for i, v := range playVariants(base, []zoneVariant{{"the fleet", func(*simulation.ZonePlan) {}},
-		{"the fleet, patient callers", func(p *simulation.ZonePlan) { p.Patient = true }},
-		{"no ramp", func(p *simulation.ZonePlan) { p.Without |= zones.ColdStart }},
-		{"by the clock", func(p *simulation.ZonePlan) { p.Without |= zones.ColdStart; p.Ramp = 60_000 }},
-		{"nodes alone", func(p *simulation.ZonePlan) { p.Off = true }}}) {
+		{"the fleet, patient callers", func(p *simulation.ZonePlan) { p.HonorRetryAfter = true }},
+		{"no ramp", func(p *simulation.ZonePlan) { p.DisabledGuards |= zones.ColdStart }},
+		{"by the clock", func(p *simulation.ZonePlan) { p.DisabledGuards |= zones.ColdStart; p.ClockRampMS = 60_000 }},
+		{"nodes alone", func(p *simulation.ZonePlan) { p.NoEvacuation = true }}}) {
 		// Above capacity a fleet never observes its full capacity, a limitation of the design.
 		if i < 2 && v.Broken != "" && load <= 1 {
 			rep.SetBroken("%d nodes, load %.2f: %s", n, load, v.Broken)
 		}
 		maxShare := min(1, 1/load)
 		rep.Rows = append(rep.Rows, []string{"virtual", strconv.Itoa(n), fmt.Sprintf("%.2f", load), v.name,
-			secondsText(v.RecoveredAt(0.5 * maxShare)), secondsText(v.RecoveredAt(0.95 * maxShare)),
-			secondsText(v.RecoveredAt(0.98 * maxShare)),
+			secondsText(v.TimeToRecovery(0.5 * maxShare)), secondsText(v.TimeToRecovery(0.95 * maxShare)),
+			secondsText(v.TimeToRecovery(0.98 * maxShare)),
 			fmt.Sprintf("%.0f s", shortestRecovery(min(load, 1), 8, simulation.WarmUpSeconds)),
-			fmt.Sprintf("%.2f", v.Start), fmt.Sprintf("%.2f", v.Tries)})
+			fmt.Sprintf("%.2f", v.PeakRestartLoad), fmt.Sprintf("%.2f", v.AttemptsPerRequest)})
 		if i == 0 && n <= 300 {
 			v.Plot[0].Name, v.Plot[1].Name = "value done", "stores: load over capacity"
 			rep.Plots = append(rep.Plots, report.Plot{
--- a/internal/harness/recovery_test.go
+++ b/internal/harness/recovery_test.go
@@ -44,7 +44,7 @@
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
 			expectViolationWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
-				return (&RecoveryTest{Seed: seed, Quick: true, Mode: "real", ProcessGuards: guard, Only: only,
+				return (&RecoveryTest{Seed: seed, Quick: true, Mode: "real", DisabledProcessGuards: guard, Only: only,
 					Program: builtProgram(t)}).Run(context.Background(), w)
 			})
 		})
--- a/internal/harness/result_store.go
+++ b/internal/harness/result_store.go
@@ -19,13 +19,13 @@
 
 // ResultStoreTest is a run of `umberctl faulttest results`.
 type ResultStoreTest struct {
-	Seed    int64
-	Quick   bool
-	Kills   int
-	Out     string
-	Only    string // "kills" or "costs"; empty: both
-	Without string
-	Program string
+	Seed          int64
+	Quick         bool
+	Kills         int
+	Out           string
+	Only          string // "kills" or "costs"; empty: both
+	DisabledGuard string
+	Program       string
 }
 
 // ResultStoreGuards names the guards that can be disabled in the node. With one of them disabled the run has to find
@@ -67,7 +67,7 @@
 			return nil, err
 		}
 	}
-	if k.Only != "kills" && k.Without == "" {
+	if k.Only != "kills" && k.DisabledGuard == "" {
 		if err := k.measureCosts(ctx, rep); err != nil {
 			return nil, err
 		}
@@ -112,7 +112,7 @@
 			return nil, err
 		}
 		n, err := newResultStoreNode(resultStoreConfig{dir: nodeDir, program: k.Program, seed: k.Seed*100 + int64(i),
-			window: resultWindow, operatorConfig: killTestConfig, disabledGuard: k.Without})
+			window: resultWindow, operatorConfig: killTestConfig, disabledGuard: k.DisabledGuard})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/harness/result_store_cost.go
+++ b/internal/harness/result_store_cost.go
@@ -60,7 +60,7 @@
 	r.kernel.onRunStart, r.kernel.callsStore = nil, false
 	r.kernel.Update(func(classes map[string]*simulation.Class, cores *float64) {
 		for _, c := range classes {
-			c.Work, c.WorkSigma = 1, 0 // 0.1 ms, so that the node's own cost dominates
+			c.MeanWork, c.WorkSigma = 1, 0 // 0.1 ms, so that the node's own cost dominates
 		}
 		*cores = 1000
 	})
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -17,18 +17,18 @@
 
 // ZonesTest is a run of `umberctl faulttest zones`.
 type ZonesTest struct {
-	Seed          int64
-	Quick         bool
-	Size          int // nodes of the fleet of processes
-	Out           string
-	Without       zones.Guard
-	ProcessGuards string
-	Mode          string // virtual, real or both
-	Schedules     int
-	Program       string
-	Only          string
-	Part          int
-	Parts         int
+	Seed                  int64
+	Quick                 bool
+	Size                  int // nodes of the fleet of processes
+	Out                   string
+	DisabledGuards        zones.Guard
+	DisabledProcessGuards string
+	Mode                  string // virtual, real or both
+	Schedules             int
+	Program               string
+	Only                  string
+	Part                  int
+	Parts                 int
 
 	cases []zoneCase // nil: zoneCases; RecoveryTest sets recoveryCases
 }
@@ -41,7 +41,7 @@
 	rep.AddFigure("seed", "%d", r.Seed)
 	if r.Mode != "real" {
 		r.runVirtual(ctx, rep)
-		if rep.Broken == "" && r.Without == 0 {
+		if rep.Broken == "" && r.DisabledGuards == 0 {
 			r.playFailures(ctx, rep)
 			if ctx.Err() == nil {
 				r.runNoise(rep)
@@ -71,14 +71,14 @@
 		}
 	}
 	evacuations, steps, stepsBack, violating := 0, 0, 0, violatingSchedules{}
-	report.RunSeeds(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Zones {
-		p := simulation.DrawZones(s)
-		p.Without = r.Without
-		v := simulation.NewZones(p)
+	report.RunSeeds(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.ZoneSimulation {
+		p := simulation.DrawZonePlan(s)
+		p.DisabledGuards = r.DisabledGuards
+		v := simulation.NewZoneSimulation(p)
 		v.Play()
 		return v
-	}, func(s int64, v *simulation.Zones) bool {
-		evacuations, steps, stepsBack = evacuations+len(v.Left), steps+v.Steps, stepsBack+v.BackStep
+	}, func(s int64, v *simulation.ZoneSimulation) bool {
+		evacuations, steps, stepsBack = evacuations+len(v.EvacuationDelaysMS), steps+v.RampSteps, stepsBack+v.StepsBack
 		violating.record(s, v.Broken)
 		return false
 	})
@@ -114,11 +114,11 @@
 
 // playFailure runs one kind of zone failure with the fleet's evacuation, with the baselines and with an oracle.
 func (r *ZonesTest) playFailure(rep *report.Report, n int, load float64, kind string) {
-	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n, Kinds: []string{kind}, Fails: 15_000, Heals: 45_000,
-		Ends: 220_000, Load: load}
+	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n, Faults: []string{kind}, FaultStartMS: 15_000, FaultEndMS: 45_000,
+		EndMS: 220_000, Load: load}
 	for _, v := range playVariants(base, []zoneVariant{{"the fleet", func(*simulation.ZonePlan) {}},
-		{"nodes alone", func(p *simulation.ZonePlan) { p.Off = true }},
-		{"each by its own", func(p *simulation.ZonePlan) { p.Own = true }},
+		{"nodes alone", func(p *simulation.ZonePlan) { p.NoEvacuation = true }},
+		{"each by its own", func(p *simulation.ZonePlan) { p.SelfEjection = true }},
 		{"at best", func(p *simulation.ZonePlan) { p.Oracle = true }}}) {
 		if v.Broken != "" {
 			rep.SetBroken("%d nodes, load %.2f, %s, %s: %s", n, load, kind, v.name, v.Broken)
@@ -131,13 +131,13 @@
 		}
 		peak := "-"
 		if v.name == "the fleet" {
-			peak = fmt.Sprintf("%.2f", v.Peak)
+			peak = fmt.Sprintf("%.2f", v.PeakRampLoad)
 			seconds := v.Fleet.Now / 1000
 			rep.Notes = append(rep.Notes, fmt.Sprintf(
 				"%d nodes, load %.2f, %s: per second %.1f heartbeats, %.2f entries, %.1f KB of "+
 					"entries; simulated in %v", n, load, kind, float64(v.Fleet.Heartbeats)/seconds,
 				float64(v.Fleet.Entries)/seconds,
-				float64(v.Fleet.Bytes)/1024/seconds, v.realTime.Round(time.Millisecond)))
+				float64(v.Fleet.EntryBytes)/1024/seconds, v.realTime.Round(time.Millisecond)))
 			if n == 300 {
 				v.Plot[0].Name, v.Plot[1].Name, v.Plot[2].Name = "value done", "stores: load over capacity",
 					"share of the zone"
@@ -146,8 +146,8 @@
 			}
 		}
 		rep.Rows = append(rep.Rows, []string{"virtual, " + kind, strconv.Itoa(n), fmt.Sprintf("%.2f", load), v.name,
-			fmt.Sprintf("%.4f", v.Done/v.Asked), delay(v.Left), delay(v.Back),
-			fmt.Sprintf("%d/%d", v.Steps, v.BackStep), peak})
+			fmt.Sprintf("%.4f", v.CompletedWeight/v.OfferedWeight), delay(v.EvacuationDelaysMS), delay(v.RecoveryTimesMS),
+			fmt.Sprintf("%d/%d", v.RampSteps, v.StepsBack), peak})
 	}
 }
 
@@ -165,14 +165,14 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			v := simulation.NewZones(simulation.ZonePlan{Seed: r.Seed*100 + int64(i), Nodes: 15,
-				Kinds: []string{simulation.ZoneNoise, simulation.ZoneNoise, simulation.ZoneNoise},
-				Fails: 1000, Heals: hours*3600_000/parts - 10_000, Ends: hours * 3600_000 / parts,
+			v := simulation.NewZoneSimulation(simulation.ZonePlan{Seed: r.Seed*100 + int64(i), Nodes: 15,
+				Faults:       []string{simulation.ZoneNoise, simulation.ZoneNoise, simulation.ZoneNoise},
+				FaultStartMS: 1000, FaultEndMS: hours*3600_000/parts - 10_000, EndMS: hours * 3600_000 / parts,
 				Load: 0.3 + 0.1*float64(i)})
 			v.Play()
 			mu.Lock()
 			defer mu.Unlock()
-			falseEvacuations += v.Wrong
+			falseEvacuations += v.UnjustifiedEvacuations
 			if v.Broken != "" {
 				rep.SetBroken("noise: %s", v.Broken)
 			}
--- a/internal/harness/zones_test.go
+++ b/internal/harness/zones_test.go
@@ -42,7 +42,7 @@
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
 			expectViolationWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
-				return (&ZonesTest{Seed: seed, Quick: true, Mode: "real", ProcessGuards: guard, Only: only,
+				return (&ZonesTest{Seed: seed, Quick: true, Mode: "real", DisabledProcessGuards: guard, Only: only,
 					Program: builtProgram(t)}).Run(context.Background(), w)
 			})
 		})
--- a/internal/harness/zones_virtual.go
+++ b/internal/harness/zones_virtual.go
@@ -16,7 +16,7 @@
 
 // playedZones is the result of one variant, and the real time that its simulation took.
 type playedZones struct {
-	*simulation.Zones
+	*simulation.ZoneSimulation
 	name     string
 	realTime time.Duration
 }
@@ -29,7 +29,7 @@
 		wg.Go(func() {
 			plan, started := base, time.Now()
 			variant.apply(&plan)
-			zones := simulation.NewZones(plan)
+			zones := simulation.NewZoneSimulation(plan)
 			zones.Play()
 			played[i] = playedZones{zones, variant.name, time.Since(started)}
 		})
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -14,22 +14,22 @@
 // Baselines without leases: a version is committed as soon as it is proposed, or as soon as half of the nodes have
 // prepared it.
 const (
-	WayEach     = "each"
-	WayMajority = "majority"
+	BaselineImmediate = "each"
+	BaselineMajority  = "majority"
 )
 
 // FleetPlan is the configuration of one schedule.
 type FleetPlan struct {
-	Seed    int64
-	Nodes   int
-	Ctl     int   // instances of the control group
-	Span    int64 // ms during which changes and faults are scheduled; then all faults end; 0: 30 s
-	Changes int   // of the policy
-	Without policy.Guard
-	Lease   int64   // lease of the policy, ms; 0: 4 s
-	Calm    bool    // no faults
-	Down    float64 // fraction of the nodes that are partitioned from the group while changes are made
-	Way     string  // "", or a baseline
+	Seed                int64
+	Nodes               int
+	ControlInstances    int   // instances of the control group
+	FaultSpanMS         int64 // ms during which changes and faults are scheduled; then all faults end; 0: 30 s
+	Changes             int   // of the policy
+	DisabledGuards      policy.Guard
+	LeaseMS             int64   // lease of the policy, ms; 0: 4 s
+	NoFaults            bool    // no faults
+	PartitionedFraction float64 // fraction of the nodes that are partitioned from the group while changes are made
+	Baseline            string  // "", or a baseline
 
 	StateLosses        int    // losses of the group's state, see stateLoss
 	Zones              int    // 0: three
@@ -73,13 +73,13 @@
 
 // FleetFigures are the measurements of a schedule.
 type FleetFigures struct {
-	Heartbeats int
-	Entries    int
-	Bytes      int                 // of the entries
-	Times      []float64           // ms from proposed to committed, by change
-	Ends       map[policy.Step]int // changes by their last step
-	Causes     map[string]int      // aborted changes by cause
-	Overlap    int64               // longest overlap of two versions, tenths of a ms
+	Heartbeats     int
+	Entries        int
+	EntryBytes     int                 // of the entries
+	CommitTimesMS  []float64           // ms from proposed to committed, by change
+	ChangesByStep  map[policy.Step]int // changes by their last step
+	AbortCauses    map[string]int      // aborted changes by cause
+	LongestOverlap int64               // longest overlap of two versions, tenths of a ms
 }
 
 // Last returns the newest version of the policy.
@@ -98,25 +98,25 @@
 	f := &Fleet{
 		FleetPlan:    p,
 		random:       rand.New(rand.NewSource(p.Seed)),
-		controlGroup: controlGroup{state: coordinator.NewState(p.Without), leader: -1, changeSteps: map[uint64]policy.Step{}},
+		controlGroup: controlGroup{state: coordinator.NewState(p.DisabledGuards), leader: -1, changeSteps: map[uint64]policy.Step{}},
 		stateLoss: stateLoss{groupID: "g1", textByHash: map[string]string{}, decidedHashes: map[uint64]string{},
 			recordedEvents: map[string]bool{}},
-		FleetFigures: FleetFigures{Ends: map[policy.Step]int{}, Causes: map[string]int{}},
+		FleetFigures: FleetFigures{ChangesByStep: map[policy.Step]int{}, AbortCauses: map[string]int{}},
 		failsTrial:   map[string]bool{},
 	}
 	f.state.DisabledZoneGuards = p.DisabledZoneGuards
 	if f.Zones == 0 {
 		f.Zones = 3
 	}
-	if p.Way != "" {
-		f.Without |= policy.AwaitLeases | policy.FenceOnExpiry | policy.PrepareAll
-		f.state.DisabledGuards = f.Without
+	if p.Baseline != "" {
+		f.DisabledGuards |= policy.AwaitLeases | policy.FenceOnExpiry | policy.PrepareAll
+		f.state.DisabledGuards = f.DisabledGuards
 	}
-	if f.Lease == 0 {
-		f.Lease = 4000
+	if f.LeaseMS == 0 {
+		f.LeaseMS = 4000
 	}
 	f.addVersion()
-	for i := 0; i < max(1, p.Ctl); i++ {
+	for i := 0; i < max(1, p.ControlInstances); i++ {
 		c := &controlInstance{coordinator: f.newLeader(), up: true, clockRate: f.drawClockRate()}
 		f.instances = append(f.instances, c)
 	}
@@ -154,8 +154,8 @@
 // Play runs the schedule: the first version settles; changes, faults and state losses are injected; all faults end;
 // then every change must have ended and every node must serve under the committed version.
 func (f *Fleet) Play() {
-	if f.Span == 0 {
-		f.Span = 30_000
+	if f.FaultSpanMS == 0 {
+		f.FaultSpanMS = 30_000
 	}
 	// Until the first version has settled nodes hold leases without its bounds.
 	f.after(1500, func() { f.proposeChange(false, 0) })
@@ -163,17 +163,17 @@
 	f.runUntil(faultStartMS)
 	f.scheduleChanges()
 	f.schedulePartition()
-	if !f.Calm {
-		for t := 1000.0; t < float64(f.Span); t += f.random.ExpFloat64() * float64(f.Span) / 12 {
+	if !f.NoFaults {
+		for t := 1000.0; t < float64(f.FaultSpanMS); t += f.random.ExpFloat64() * float64(f.FaultSpanMS) / 12 {
 			f.after(t, f.injectFault)
 		}
 	}
 	f.scheduleStateLosses()
-	f.runUntil(f.Now + float64(f.Span) + 3*float64(f.Lease) + float64(len(f.nodes))*10*f.Down)
+	f.runUntil(f.Now + float64(f.FaultSpanMS) + 3*float64(f.LeaseMS) + float64(len(f.nodes))*10*f.PartitionedFraction)
 	f.heal()
-	f.runUntil(f.Now + 12*float64(f.Lease) + 65_000)
-	if f.Way != "" {
-		f.Overlap = longestOverlap(f.History)
+	f.runUntil(f.Now + 12*float64(f.LeaseMS) + 65_000)
+	if f.Baseline != "" {
+		f.LongestOverlap = longestOverlap(f.History)
 		return
 	}
 	f.checkFinalState()
@@ -188,16 +188,16 @@
 			spare = 1
 		}
 		f.after(at, func() { f.proposeChange(exclusive, spare) })
-		at += float64(f.Span) / float64(f.Changes+1)
+		at += float64(f.FaultSpanMS) / float64(f.Changes+1)
 	}
 }
 
 // schedulePartition partitions a fraction of the nodes while changes are made. They reconnect one by one afterwards.
 func (f *Fleet) schedulePartition() {
 	for i, n := range f.nodes {
-		if float64(i) < f.Down*float64(len(f.nodes)) {
+		if float64(i) < f.PartitionedFraction*float64(len(f.nodes)) {
 			f.after(200, func() { n.partitioned = true })
-			f.after(float64(f.Span)+float64(i)*10, func() { n.partitioned = false })
+			f.after(float64(f.FaultSpanMS)+float64(i)*10, func() { n.partitioned = false })
 		}
 	}
 }
@@ -207,7 +207,7 @@
 	for _, n := range f.nodes {
 		n.partitioned, n.neverPrepares, n.preparingVersion = false, false, 0
 	}
-	f.Calm = true
+	f.NoFaults = true
 	if f.StateLosses > 0 { // a restoration may still be in progress
 		f.runUntil(f.Now + 30_000)
 	}
@@ -239,9 +239,9 @@
 	}
 	// A lease span by the group's clock, 1% of clock drift and 50 ms, in tenths of a ms, as docs/design/policy.md bounds
 	// the overlap.
-	maxOverlap := int64(membership.LeaseSpanMS(uint64(f.Lease)))*10*101/100 + 500
-	broken, overlap := CheckFleet(f.History, FleetPromises{Overlap: maxOverlap, Fences: f.Changes > 0})
-	f.Overlap = overlap
+	maxOverlap := int64(membership.LeaseSpanMS(uint64(f.LeaseMS)))*10*101/100 + 500
+	broken, overlap := CheckFleetHistory(f.History, FleetInvariants{MaxOverlap: maxOverlap, Fences: f.Changes > 0})
+	f.LongestOverlap = overlap
 	if broken != "" {
 		f.fail("%s", broken)
 	}
--- a/internal/simulation/fleet_control.go
+++ b/internal/simulation/fleet_control.go
@@ -20,7 +20,7 @@
 }
 
 func (f *Fleet) newLeader() *coordinator.Leader {
-	s := coordinator.NewLeader(f.Without)
+	s := coordinator.NewLeader(f.DisabledGuards)
 	s.DisabledZoneGuards, s.Level = f.DisabledZoneGuards, coordinator.LevelSameProcess
 	return s
 }
@@ -34,7 +34,7 @@
 func (f *Fleet) addVersion() uint64 {
 	n := len(f.versionTexts) + 1
 	f.versionsCreated++ // keeps texts unique even if a state loss repeats a version number
-	text := fmt.Sprintf("[fleet]\nlease = %dms\nwhen_alone = fence\n[tenant t]\nrate = %d\n%s", f.Lease,
+	text := fmt.Sprintf("[fleet]\nlease = %dms\nwhen_alone = fence\n[tenant t]\nrate = %d\n%s", f.LeaseMS,
 		f.versionsCreated, f.ZoneRules)
 	d, err := document.Parse("version", []byte(text))
 	if err != nil {
@@ -93,12 +93,12 @@
 		}
 		f.index++
 		f.Entries++
-		f.Bytes += len(e.Body)
+		f.EntryBytes += len(e.Body)
 		var op policy.Op
 		if e.Kind == coordinator.KindPolicy {
 			json.Unmarshal(e.Body, &op)
 		}
-		if op.Kind == "decide" && f.Broken == "" && f.Way == "" {
+		if op.Kind == "decide" && f.Broken == "" && f.Baseline == "" {
 			f.checkAllPrepared(&op)
 		}
 		end, err := f.state.Apply(e.Kind, e.Body, f.index, term, f)
@@ -124,7 +124,7 @@
 func (f *Fleet) checkAllPrepared(op *policy.Op) {
 	c := f.state.Policy.Current
 	if c == nil || c.Number != op.ChangeNumber || c.Step != policy.Preparing || op.FleetEpoch != f.state.Fleet.Epoch &&
-		!f.Without.Has(policy.PrepareAll) {
+		!f.DisabledGuards.Has(policy.PrepareAll) {
 		return
 	}
 	for _, n := range f.nodes {
@@ -159,7 +159,7 @@
 	f.changeSteps[c.Number] = c.Step
 	switch c.Step {
 	case policy.Preparing:
-		if f.Way == WayEach {
+		if f.Baseline == BaselineImmediate {
 			f.after(0, func() { f.decideImmediately(c) })
 		}
 	case policy.Decided:
@@ -171,14 +171,14 @@
 			f.checkTrial(c)
 		}
 		f.recordChange("forced", c)
-		f.Times = append(f.Times, float64(c.CommittedAtMS-c.ProposedAtMS))
+		f.CommitTimesMS = append(f.CommitTimesMS, float64(c.CommittedAtMS-c.ProposedAtMS))
 	case policy.Settled:
 		f.recordChange("settled", c)
-		f.Ends[c.Step]++
+		f.ChangesByStep[c.Step]++
 	case policy.Aborted:
 		f.recordChange("off", c)
-		f.Ends[c.Step]++
-		f.Causes[abortCause(c.AbortReason)]++
+		f.ChangesByStep[c.Step]++
+		f.AbortCauses[abortCause(c.AbortReason)]++
 	}
 }
 
@@ -191,14 +191,14 @@
 	if kind == "decided" {
 		f.decidedHashes[c.Version] = c.Hash
 	}
-	f.recordEvent(FleetEvent{Kind: kind, Version: c.Version, From: c.PreviousVersion, Excl: c.Proposal.Exclusive,
-		Why: c.AbortReason})
+	f.recordEvent(FleetEvent{Kind: kind, Version: c.Version, PreviousVersion: c.PreviousVersion, Exclusive: c.Proposal.Exclusive,
+		Reason: c.AbortReason})
 }
 
-// decideImmediately implements the baseline WayEach.
+// decideImmediately implements the baseline BaselineImmediate.
 func (f *Fleet) decideImmediately(c *policy.Change) {
 	f.index++
-	f.state.Policy.Apply(policy.Decide{ChangeNumber: c.Number}, f.state.Fleet, nil, f.Without)
+	f.state.Policy.Apply(policy.Decide{ChangeNumber: c.Number}, f.state.Fleet, nil, f.DisabledGuards)
 	f.recordDecisions()
 }
 
--- a/internal/simulation/fleet_faults.go
+++ b/internal/simulation/fleet_faults.go
@@ -19,14 +19,14 @@
 		n.rejectedVersion = f.Last() + 1
 	case 9: // prepares no version for two leases
 		n.neverPrepares = true
-		f.after(2*float64(f.Lease), func() { n.neverPrepares, n.preparingVersion = false, 0 })
+		f.after(2*float64(f.LeaseMS), func() { n.neverPrepares, n.preparingVersion = false, 0 })
 	case 10:
 		f.crashLoop(n)
 	}
 }
 
 // drawFaultDuration draws the duration of a fault, up to two leases.
-func (f *Fleet) drawFaultDuration() float64 { return f.random.Float64() * 2 * float64(f.Lease) }
+func (f *Fleet) drawFaultDuration() float64 { return f.random.Float64() * 2 * float64(f.LeaseMS) }
 
 func (f *Fleet) killAndRestart(n *node) {
 	if !n.up {
@@ -86,7 +86,7 @@
 		f.after(300+f.random.Float64()*700, f.elect)
 	}
 	state := f.state
-	f.after(500+f.random.Float64()*float64(f.Lease), func() {
+	f.after(500+f.random.Float64()*float64(f.LeaseMS), func() {
 		if f.state != state || f.stopped { // all instances were restarted meanwhile
 			return
 		}
--- a/internal/simulation/fleet_history.go
+++ b/internal/simulation/fleet_history.go
@@ -11,18 +11,18 @@
 	At int64
 	// Kind is serves or stops for a node, and decided, forced (policy.Committed), settled or off (policy.Aborted) for
 	// a change. The harness also records takes, pause and resume, and replaces them by serves and stops before the check.
-	Kind    string
-	Node    string
-	Version uint64
-	From    uint64 // of decided and off: the previous version
-	Excl    bool
-	Why     string
+	Kind            string
+	Node            string
+	Version         uint64
+	PreviousVersion uint64 // of decided and off: the previous version
+	Exclusive       bool
+	Reason          string
 }
 
-// FleetPromises are the bounds that a history is checked against.
-type FleetPromises struct {
-	Overlap int64 // maximum tenths of a ms between the first node under a version and the last under an older one
-	Fences  bool  // when_alone = fence: the bounds apply to all nodes
+// FleetInvariants are the bounds that a history is checked against.
+type FleetInvariants struct {
+	MaxOverlap int64 // maximum tenths of a ms between the first node under a version and the last under an older one
+	Fences     bool  // when_alone = fence: the bounds apply to all nodes
 }
 
 // longestOverlap returns the longest time, in tenths of a ms, between the first node under a version and the last under
@@ -60,9 +60,9 @@
 	return longest
 }
 
-// CheckFleet checks a history against the invariants of docs/design/policy.md. It returns the first violation and the
+// CheckFleetHistory checks a history against the invariants of docs/design/policy.md. It returns the first violation and the
 // longest overlap, in tenths of a ms.
-func CheckFleet(all []FleetEvent, p FleetPromises) (broken string, overlap int64) {
+func CheckFleetHistory(all []FleetEvent, p FleetInvariants) (broken string, overlap int64) {
 	events := append([]FleetEvent(nil), all...)
 	sort.SliceStable(events, func(i, k int) bool { return events[i].At < events[k].At })
 	c := &historyCheck{
@@ -141,7 +141,7 @@
 		if v.outcome != "" {
 			return fmt.Sprintf("version %d was decided, but %s before", e.Version, v.outcome)
 		}
-		v.outcome, v.decided, v.exclusive, v.initial = "decided", e.At, e.Excl, e.From == 0
+		v.outcome, v.decided, v.exclusive, v.initial = "decided", e.At, e.Exclusive, e.PreviousVersion == 0
 		c.decidedVersions = append(c.decidedVersions, e.Version)
 	case "forced":
 		c.outcome(e.Version).committed = e.At
@@ -197,7 +197,7 @@
 
 // checkChange checks that no node serves under an older version after a change has settled, and that the overlap until
 // then is within its bound.
-func (c *historyCheck) checkChange(version uint64, p FleetPromises) (broken string) {
+func (c *historyCheck) checkChange(version uint64, p FleetInvariants) (broken string) {
 	v := c.outcome(version)
 	begin, last, node := never, int64(-1), ""
 	for _, s := range c.spans {
@@ -222,9 +222,9 @@
 	case v.exclusive:
 		return fmt.Sprintf("%s served under an older version than %d %.1f ms after the first node under it, in an "+
 			"exclusive change", node, version, milliseconds(last-begin))
-	case last-begin > p.Overlap:
+	case last-begin > p.MaxOverlap:
 		return fmt.Sprintf("%s served under an older version than %d %.1f ms after the first node under it, expected "+
-			"at most %.1f ms", node, version, milliseconds(last-begin), milliseconds(p.Overlap))
+			"at most %.1f ms", node, version, milliseconds(last-begin), milliseconds(p.MaxOverlap))
 	}
 	return ""
 }
--- a/internal/simulation/fleet_node.go
+++ b/internal/simulation/fleet_node.go
@@ -51,7 +51,7 @@
 	n.incarnation++
 	n.up, n.paused, n.preparingVersion, n.nextRound = true, false, 0, 0
 	config := agent.Config{Name: n.name, Zone: fmt.Sprint("z", n.zone), Address: n.name, Nonce: n.nonce(),
-		JitterSeed: uint32(n.fleet.random.Int31()), DisabledGuards: n.fleet.Without}
+		JitterSeed: uint32(n.fleet.random.Int31()), DisabledGuards: n.fleet.DisabledGuards}
 	for i := range n.fleet.instances {
 		config.ControlAddresses = append(config.ControlAddresses, fmt.Sprint(i))
 	}
@@ -124,7 +124,7 @@
 			return
 		}
 		n.preparingVersion = 0
-		fails := n.rejectedVersion == v.Version || f.failsTrial[v.Hash] && !f.Without.Has(policy.ShadowEvaluation)
+		fails := n.rejectedVersion == v.Version || f.failsTrial[v.Hash] && !f.DisabledGuards.Has(policy.ShadowEvaluation)
 		if fails && !decided {
 			n.agent.RejectVersion(n.clock(), v.Version, "it says no", false)
 		} else {
@@ -178,7 +178,7 @@
 	f := n.fleet
 	x := &heartbeatExchange{node: n, incarnation: n.incarnation, heartbeatNumber: number, request: request}
 	fmt.Sscan(n.agent.ControlAddress(), &x.instance)
-	if !f.Calm {
+	if !f.NoFaults {
 		x.lossPercent = 3
 	}
 	if !x.lost() {
@@ -216,7 +216,7 @@
 // respond sends a response to the node, occasionally an earlier one in its place.
 func (x *heartbeatExchange) respond(t api.HeartbeatResponse, err error) {
 	f := x.node.fleet
-	if err == nil && t.LeaseID != 0 && t.LeaseMS == 0 && !f.Calm {
+	if err == nil && t.LeaseID != 0 && t.LeaseMS == 0 && !f.NoFaults {
 		t = f.staleOr(t)
 	}
 	if !x.lost() {
--- a/internal/simulation/fleet_operator.go
+++ b/internal/simulation/fleet_operator.go
@@ -13,9 +13,9 @@
 		return
 	}
 	v := f.addVersion()
-	f.failsTrial[f.versionHashes[v-1]] = v > 2 && !f.Calm && f.random.Intn(12) == 0
+	f.failsTrial[f.versionHashes[v-1]] = v > 2 && !f.NoFaults && f.random.Intn(12) == 0
 	f.submitPolicy(policy.Op{Kind: policy.OpPropose, Proposal: &policy.Proposal{Version: v, Exclusive: exclusive,
-		PrepareWithinMS: 2*uint64(f.Lease) + 4000, MaxLeftBehind: maxLeftBehind, Author: "lab",
+		PrepareWithinMS: 2*uint64(f.LeaseMS) + 4000, MaxLeftBehind: maxLeftBehind, Author: "lab",
 		IdempotencyKey: fmt.Sprintf("change-%08d", v)}})
 }
 
@@ -34,7 +34,7 @@
 				return
 			}
 			f.acceptedChanges++
-			if op.Proposal.Version > 2 && !f.Calm && f.random.Intn(3) == 0 { // the operator aborts some changes
+			if op.Proposal.Version > 2 && !f.NoFaults && f.random.Intn(3) == 0 { // the operator aborts some changes
 				f.after(f.random.Float64()*3000, func() { f.abortChange(r.ChangeNumber) })
 			}
 		})
--- a/internal/simulation/fleet_state_loss.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -55,7 +55,7 @@
 	f.checkEpochs()
 	f.scheduleZoneDrills()
 	for range f.StateLosses {
-		f.after(2000+f.random.Float64()*float64(f.Span), f.loseState)
+		f.after(2000+f.random.Float64()*float64(f.FaultSpanMS), f.loseState)
 	}
 }
 
@@ -145,7 +145,7 @@
 
 // restoreState replaces the group's state by a saved one.
 func (f *Fleet) restoreState(saved savedState) error {
-	state := coordinator.NewState(f.Without)
+	state := coordinator.NewState(f.DisabledGuards)
 	state.DisabledZoneGuards = f.DisabledZoneGuards
 	if err := state.Restore(saved.snapshot); err != nil {
 		return err
@@ -202,7 +202,7 @@
 // first address. ok is false if the current group answers.
 func (f *Fleet) formerLeaderResponse(n *node, to int, request *api.HeartbeatRequest) (
 	response api.HeartbeatResponse, ok bool) {
-	if len(f.formerResponses) == 0 || f.Calm || to != 0 || f.random.Intn(4) != 0 {
+	if len(f.formerResponses) == 0 || f.NoFaults || to != 0 || f.random.Intn(4) != 0 {
 		return response, false
 	}
 	response = f.formerResponses[f.random.Intn(len(f.formerResponses))]
@@ -210,7 +210,7 @@
 		// A node that knows no later generation may follow this one: a restored group waits until old leases have ended.
 		return response, false
 	}
-	response.LeaseID, response.LeaseMS = request.LeaseID, uint64(f.Lease)
+	response.LeaseID, response.LeaseMS = request.LeaseID, uint64(f.LeaseMS)
 	response.Index += uint64(f.random.Intn(5000))
 	return response, true
 }
@@ -229,7 +229,7 @@
 			}
 		}
 		var base *recovery.StoredGroup
-		state := coordinator.NewState(f.Without)
+		state := coordinator.NewState(f.DisabledGuards)
 		state.DisabledZoneGuards = f.DisabledZoneGuards
 		if haveState {
 			state = f.state
@@ -318,7 +318,7 @@
 		}
 	}
 	if v := plan.Version; v > 0 && plan.Hash != "" {
-		f.recordEvent(FleetEvent{Kind: "decided", Version: v, From: plan.SourceVersion})
+		f.recordEvent(FleetEvent{Kind: "decided", Version: v, PreviousVersion: plan.SourceVersion})
 		f.recordEvent(FleetEvent{Kind: "forced", Version: v})
 	}
 }
@@ -390,6 +390,6 @@
 
 // DrawStateLoss returns the plan of a schedule with two state losses.
 func DrawStateLoss(seed int64, without policy.Guard) FleetPlan {
-	return FleetPlan{Seed: seed, Nodes: 9, Ctl: 3, Changes: 5, StateLosses: 2, Without: without,
+	return FleetPlan{Seed: seed, Nodes: 9, ControlInstances: 3, Changes: 5, StateLosses: 2, DisabledGuards: without,
 		ZoneRules: "[zones]\ndecide = ask\n"}
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -14,12 +14,12 @@
 	n := scheduleCount(t, 60)
 	ends := map[policy.Step]int{}
 	for seed := 1; seed <= n; seed++ {
-		f := NewFleet(FleetPlan{Seed: int64(seed), Nodes: 12, Ctl: 3, Changes: 5})
+		f := NewFleet(FleetPlan{Seed: int64(seed), Nodes: 12, ControlInstances: 3, Changes: 5})
 		f.Play()
 		if f.Broken != "" {
 			t.Fatalf("seed %d: %s", seed, f.Broken)
 		}
-		for k, v := range f.Ends {
+		for k, v := range f.ChangesByStep {
 			ends[k] += v
 		}
 	}
@@ -39,7 +39,7 @@
 		}
 		broken := ""
 		for seed := int64(1); seed <= 500 && broken == ""; seed++ {
-			f := NewFleet(FleetPlan{Seed: seed, Nodes: 12, Ctl: 3, Changes: 5, Without: g})
+			f := NewFleet(FleetPlan{Seed: seed, Nodes: 12, ControlInstances: 3, Changes: 5, DisabledGuards: g})
 			f.Play()
 			broken = f.Broken
 		}
@@ -51,17 +51,17 @@
 	}
 }
 
-// TestCheckFleetDetectsViolations: CheckFleet accepts a correct history, and rejects it with events added that violate
+// TestCheckFleetDetectsViolations: CheckFleetHistory accepts a correct history, and rejects it with events added that violate
 // one invariant.
 func TestCheckFleetDetectsViolations(t *testing.T) {
 	correct := []FleetEvent{{At: 0, Kind: "serves", Node: "a", Version: 1}, {At: 0, Kind: "serves", Node: "b", Version: 1},
-		{At: 100, Kind: "decided", Version: 2, From: 1}, {At: 100, Kind: "forced", Version: 2},
+		{At: 100, Kind: "decided", Version: 2, PreviousVersion: 1}, {At: 100, Kind: "forced", Version: 2},
 		{At: 120, Kind: "serves", Node: "a", Version: 2}, {At: 150, Kind: "stops", Node: "b"},
 		{At: 160, Kind: "serves", Node: "b", Version: 2}, {At: 200, Kind: "settled", Version: 2},
-		{At: 300, Kind: "off", Version: 3, From: 2}}
+		{At: 300, Kind: "off", Version: 3, PreviousVersion: 2}}
 	first := []FleetEvent{{At: -10, Kind: "decided", Version: 1}, {At: -10, Kind: "forced", Version: 1}}
-	p := FleetPromises{Overlap: 50, Fences: true}
-	if broken, overlap := CheckFleet(append(first, correct...), p); broken != "" || overlap != 30 {
+	p := FleetInvariants{MaxOverlap: 50, Fences: true}
+	if broken, overlap := CheckFleetHistory(append(first, correct...), p); broken != "" || overlap != 30 {
 		t.Fatalf("CheckFleet(correct history) = %q, overlap %d, want no violation, overlap 30", broken, overlap)
 	}
 	for name, added := range map[string][]FleetEvent{
@@ -69,20 +69,20 @@
 		"served before the decision": {{At: 50, Kind: "serves", Node: "c", Version: 2}},
 		"served after the abort":     {{At: 310, Kind: "serves", Node: "c", Version: 3}},
 		"decided, then aborted":      {{At: 310, Kind: "off", Version: 2}},
-		"aborted, then decided":      {{At: 310, Kind: "decided", Version: 3, From: 2}},
+		"aborted, then decided":      {{At: 310, Kind: "decided", Version: 3, PreviousVersion: 2}},
 		"older version after the change settled": {{At: 90, Kind: "serves", Node: "c", Version: 1},
 			{At: 210, Kind: "stops", Node: "c"}},
 		"overlap above the bound": {{At: 90, Kind: "serves", Node: "c", Version: 1},
 			{At: 180, Kind: "stops", Node: "c"}},
 		"settled without a decision": {{At: 320, Kind: "settled", Version: 4}},
 		"served without a decision":  {{At: 320, Kind: "serves", Node: "c", Version: 9}},
-		"overlap in an exclusive change": {{At: 400, Kind: "decided", Version: 5, From: 2, Excl: true},
+		"overlap in an exclusive change": {{At: 400, Kind: "decided", Version: 5, PreviousVersion: 2, Exclusive: true},
 			{At: 400, Kind: "forced", Version: 5}, {At: 410, Kind: "serves", Node: "a", Version: 5},
 			{At: 420, Kind: "serves", Node: "b", Version: 5}},
-		"served before the commit": {{At: 400, Kind: "decided", Version: 5, From: 2}, {At: 450, Kind: "forced", Version: 5},
+		"served before the commit": {{At: 400, Kind: "decided", Version: 5, PreviousVersion: 2}, {At: 450, Kind: "forced", Version: 5},
 			{At: 410, Kind: "serves", Node: "a", Version: 5}},
 	} {
-		if broken, _ := CheckFleet(slices.Concat(first, correct, added), p); broken == "" {
+		if broken, _ := CheckFleetHistory(slices.Concat(first, correct, added), p); broken == "" {
 			t.Errorf("%s: CheckFleet found no violation", name)
 		}
 	}
--- a/internal/simulation/pool_scenario_text.go
+++ b/internal/simulation/pool_scenario_text.go
@@ -12,7 +12,7 @@
 
 // ReadScenario parses a scenario. Its errors name the file and line, the text found and what was expected.
 func ReadScenario(name, text string) (*Scenario, error) {
-	s := &Scenario{name: name, Cores: 6, Tenants: 4, duration: 120 * second, load: 1, Cheapest: -1, Dearest: -1}
+	s := &Scenario{name: name, Cores: 6, Tenants: 4, duration: 120 * second, load: 1, Cheapest: -1, HighestValue: -1}
 	for n, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
 		if w := strings.Fields(line); len(w) > 0 {
@@ -21,7 +21,7 @@
 			}
 		}
 	}
-	if len(s.Classes) == 0 || s.Cheapest < 0 || s.Dearest < 0 {
+	if len(s.Classes) == 0 || s.Cheapest < 0 || s.HighestValue < 0 {
 		return nil, fmt.Errorf("%s: found %d classes, expected at least one class, a cheapest and a dearest class", name,
 			len(s.Classes))
 	}
@@ -58,7 +58,7 @@
 	case "cheapest":
 		s.Cheapest = l.class(1)
 	case "dearest":
-		s.Dearest = l.class(1)
+		s.HighestValue = l.class(1)
 	case "holds":
 		s.targets = append(s.targets, serviceTarget{l.class(1), l.number(2)})
 	case "class":
@@ -136,7 +136,7 @@
 	}
 	const perMillisecond = float64(second) / 1000
 	l.scenario.Classes = append(l.scenario.Classes, Class{
-		Name: name, Work: get("work", 10) * perMillisecond, WorkSigma: get("tail", 0), surgingTenant: -1,
+		Name: name, MeanWork: get("work", 10) * perMillisecond, WorkSigma: get("tail", 0), surgingTenant: -1,
 		maxRetries: int(get("tries", 2)),
 		Handler: admission.Handler{LatencyObjective: virtualTime(get("target", 1000) * perMillisecond),
 			Timeout: virtualTime(get("timeout", 5000) * perMillisecond), Value: get("value", 1)}})
--- a/internal/simulation/pool_scenarios.go
+++ b/internal/simulation/pool_scenarios.go
@@ -37,16 +37,16 @@
 // share is the class's weight among all requests. At least minCheapestInTime of the class cheapest must complete in
 // time, unless the scenario is exempt; the class dearest must not lose more than maxDearestLoss by pools.
 type Scenario struct {
-	name              string
-	Cores, Tenants    int
-	duration          virtualTime
-	load              float64
-	Classes           []Class
-	requestShares     []float64
-	changes           []scenarioChange
-	Cheapest, Dearest int
-	targets           []serviceTarget
-	exemptCheapest    bool // minCheapestInTime isn't checked; the file says why
+	name                   string
+	Cores, Tenants         int
+	duration               virtualTime
+	load                   float64
+	Classes                []Class
+	requestShares          []float64
+	changes                []scenarioChange
+	Cheapest, HighestValue int
+	targets                []serviceTarget
+	exemptCheapest         bool // minCheapestInTime isn't checked; the file says why
 }
 
 // serviceTarget is the minimum fraction of a class's requests to complete in time with pools.
@@ -66,7 +66,7 @@
 func (s *Scenario) Rates(load float64) []float64 {
 	work := 0.0
 	for k := range s.Classes {
-		work += s.requestShares[k] * s.Classes[k].Work / float64(second)
+		work += s.requestShares[k] * s.Classes[k].MeanWork / float64(second)
 	}
 	out := make([]float64, len(s.Classes))
 	for k := range out {
@@ -88,14 +88,14 @@
 	p := pools.Config{Reserve: variant == "pools" && without != "reserve", Tenants: s.Tenants}
 	total := 0.0
 	for k := range s.Classes {
-		total += s.requestShares[k] * s.Classes[k].Work
+		total += s.requestShares[k] * s.Classes[k].MeanWork
 	}
 	for k := range s.Classes {
 		c := &s.Classes[k]
 		d.Handlers = append(d.Handlers, c.Handler)
 		one := pools.Class{Name: c.Name, Value: c.Handler.Value}
 		if variant == "fixed" { // as an operator may configure it: 1.5 times the class's share of work
-			one.MaxFraction, one.FixedLimit = min(1, max(0.1, 1.5*s.requestShares[k]*c.Work/total)), true
+			one.MaxFraction, one.FixedLimit = min(1, max(0.1, 1.5*s.requestShares[k]*c.MeanWork/total)), true
 		} else if without == "limits" {
 			one.MaxFraction, one.FixedLimit = 1, true
 		}
@@ -163,7 +163,7 @@
 			s.changes[next].apply(v, &load, scales)
 		}
 		for k, class := range s.classesAt(load) {
-			v.classes[k].Rate, v.classes[k].Work = class.Rate*scales[k].rate, class.Work*scales[k].work
+			v.classes[k].Rate, v.classes[k].MeanWork = class.Rate*scales[k].rate, class.MeanWork*scales[k].work
 			if v.drained {
 				v.classes[k].Rate = 0
 			}
@@ -219,7 +219,7 @@
 		case "work":
 			scales[c.class].work = x
 		case "heavy":
-			class.HeavyShare = x
+			class.HeavyFraction = x
 		case "times":
 			class.HeavyFactor = x
 		case "hangs":
--- a/internal/simulation/pool_scenarios_test.go
+++ b/internal/simulation/pool_scenarios_test.go
@@ -17,7 +17,7 @@
 		t.Run("without "+c.without, func(t *testing.T) {
 			t.Parallel()
 			var out bytes.Buffer
-			r := &Pools{Seed: 1, Size: c.size, Without: c.without, Out: t.TempDir()}
+			r := &PoolTest{Seed: 1, Size: c.size, Without: c.without, Out: t.TempDir()}
 			if _, err := r.Run(context.Background(), &out); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/simulation/pools.go
+++ b/internal/simulation/pools.go
@@ -13,9 +13,9 @@
 	"umberwinch/internal/report"
 )
 
-// Pools runs `umberctl faulttest pools`: each scenario in virtual time with pools, without pools, with fixed pool
+// PoolTest runs `umberctl faulttest pools`: each scenario in virtual time with pools, without pools, with fixed pool
 // limits, and with a plain FIFO queue, all from the same seed.
-type Pools struct {
+type PoolTest struct {
 	Seed    int64
 	Quick   bool
 	Size    int // servers; 0 for the default
@@ -25,7 +25,7 @@
 }
 
 // Run simulates all scenarios in all variants and writes the report.
-func (r *Pools) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
+func (r *PoolTest) Run(ctx context.Context, w io.Writer) (*report.Report, error) {
 	rep := &report.Report{Name: "pools", Title: "Pools of run slots, in virtual time",
 		Head: []string{"SCENARIO", "CLASS", "OFFERED", "POOLS", "OFF", "FIXED", "PLAIN", "95TH POOLS", "95TH OFF"}}
 	size := r.Size
@@ -65,7 +65,7 @@
 }
 
 // loadScenarios reads all scenarios, or the selected one.
-func (r *Pools) loadScenarios() ([]*Scenario, error) {
+func (r *PoolTest) loadScenarios() ([]*Scenario, error) {
 	files, err := scenarioFiles.ReadDir("scenarios")
 	if err != nil {
 		return nil, err
@@ -113,7 +113,7 @@
 }
 
 // simulateAll simulates each scenario in each variant and returns the results by scenario and variant.
-func (r *Pools) simulateAll(ctx context.Context, scenarios []*Scenario, size int) []map[string]*variantResult {
+func (r *PoolTest) simulateAll(ctx context.Context, scenarios []*Scenario, size int) []map[string]*variantResult {
 	results := make([]map[string]*variantResult, len(scenarios))
 	for i := range results {
 		results[i] = map[string]*variantResult{}
@@ -142,7 +142,7 @@
 }
 
 // checkScenario checks the invariants of one scenario and lowers minInTime to the cheapest class's fraction in time.
-func (r *Pools) checkScenario(rep *report.Report, s *Scenario, o map[string]*variantResult, minInTime *float64) {
+func (r *PoolTest) checkScenario(rep *report.Report, s *Scenario, o map[string]*variantResult, minInTime *float64) {
 	with, off := o["pools"], o["off"]
 	cheapest := &with.classes[s.Cheapest]
 	// Of tenants within their quota.
@@ -154,8 +154,8 @@
 				minCheapestInTime)
 		}
 	}
-	if a, b := with.classes[s.Dearest].inTimeFraction(), off.classes[s.Dearest].inTimeFraction(); a < b-maxDearestLoss {
-		rep.SetBroken("%s: %.3f of %s completed in time with pools, %.3f without", s.name, a, s.Classes[s.Dearest].Name, b)
+	if a, b := with.classes[s.HighestValue].inTimeFraction(), off.classes[s.HighestValue].inTimeFraction(); a < b-maxDearestLoss {
+		rep.SetBroken("%s: %.3f of %s completed in time with pools, %.3f without", s.name, a, s.Classes[s.HighestValue].Name, b)
 	}
 	for _, target := range s.targets {
 		if got := with.classes[target.class].inTimeFraction(); got < target.fraction {
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -23,10 +23,10 @@
 type Class struct {
 	Name          string
 	Handler       admission.Handler
-	Work          float64 // mean work, tenths of a ms
+	MeanWork      float64 // mean work, tenths of a ms
 	WorkSigma     float64 // sigma of the log-normal distribution of work, 0 for constant work
 	Rate          float64 // requests per second per server
-	HeavyShare    float64 // fraction of requests with HeavyFactor times the work
+	HeavyFraction float64 // fraction of requests with HeavyFactor times the work
 	HeavyFactor   float64
 	hangFraction  float64 // fraction of runs that never end
 	surgingTenant int     // tenant with surgeFactor times the requests of another, -1 for none
@@ -217,11 +217,11 @@
 	if c.surgingTenant >= 0 && s.random.Float64() < (c.surgeFactor-1)/(float64(s.tenants)+c.surgeFactor-1) {
 		tenant = c.surgingTenant
 	}
-	work := c.Work
+	work := c.MeanWork
 	if c.WorkSigma > 0 {
 		work *= math.Exp(c.WorkSigma*s.random.NormFloat64() - c.WorkSigma*c.WorkSigma/2)
 	}
-	if s.random.Float64() < c.HeavyShare {
+	if s.random.Float64() < c.HeavyFraction {
 		work *= c.HeavyFactor
 	}
 	hangs := s.random.Float64() < c.hangFraction
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -43,10 +43,10 @@
 	zoneRunSlots  = 80.0 // run slots of a zone's nodes: four times the concurrency of its dependency
 )
 
-// Zones simulates traffic on a fleet whose zones fail. Callers retry in other zones, and each zone's nodes call a
+// ZoneSimulation simulates traffic on a fleet whose zones fail. Callers retry in other zones, and each zone's nodes call a
 // dependency with a capacity, a cache and faults. Traffic is modeled as rates in steps of stepMS; the group, its
 // coordinators, the agents and the zone gates are the production code.
-type Zones struct {
+type ZoneSimulation struct {
 	ZonePlan
 	ZoneFigures
 	Fleet              *Fleet
@@ -70,35 +70,35 @@
 
 // ZoneFigures are the measurements of a run. A load is demand over capacity of a dependency, weight is priority weight.
 type ZoneFigures struct {
-	Done              float64            // weight completed in time since the start of the fault
-	Asked             float64            // weight offered since the start of the fault
-	WeightDuringFault float64            // weight completed during the fault, from 5 s after its start
-	Tries             float64            // attempts per request since the start of the fault
-	Left              map[string]float64 // by zone: ms from the start of the fault to its evacuation
-	Back              map[string]float64 // by zone: ms from the end of the fault until it is in service again
-	Wrong             int                // unjustified evacuations
-	Steps             int                // recovery ramp: steps forward
-	BackStep          int                // recovery ramp: steps back
-	Peak              float64            // highest load during a zone's recovery ramp, over one second
-	peakRampAt        string
-	PeakNeighborLoad  float64 // highest load of a healthy zone while another is evacuated
-	peakNeighborAt    string
-	OverloadMS        float64       // ms with a load above 1 during a ramp with a second fault
-	ColdStarts        int           // cold starts of the whole fleet
-	Start             float64       // highest load after a restart
-	PeakRetryRatio    float64       // highest ratio of all to first attempts after a restart
-	Plot              []report.Line // by s: fraction of weight completed, load and share of z0
+	CompletedWeight        float64            // weight completed in time since the start of the fault
+	OfferedWeight          float64            // weight offered since the start of the fault
+	WeightDuringFault      float64            // weight completed during the fault, from 5 s after its start
+	AttemptsPerRequest     float64            // attempts per request since the start of the fault
+	EvacuationDelaysMS     map[string]float64 // by zone: ms from the start of the fault to its evacuation
+	RecoveryTimesMS        map[string]float64 // by zone: ms from the end of the fault until it is in service again
+	UnjustifiedEvacuations int                // unjustified evacuations
+	RampSteps              int                // recovery ramp: steps forward
+	StepsBack              int                // recovery ramp: steps back
+	PeakRampLoad           float64            // highest load during a zone's recovery ramp, over one second
+	peakRampAt             string
+	PeakNeighborLoad       float64 // highest load of a healthy zone while another is evacuated
+	peakNeighborAt         string
+	OverloadMS             float64       // ms with a load above 1 during a ramp with a second fault
+	ColdStarts             int           // cold starts of the whole fleet
+	PeakRestartLoad        float64       // highest load after a restart
+	PeakRetryRatio         float64       // highest ratio of all to first attempts after a restart
+	Plot                   []report.Line // by s: fraction of weight completed, load and share of z0
 }
 
-func (v *Zones) faultKind(z int) string {
-	if z < len(v.Kinds) {
-		return v.Kinds[z]
+func (v *ZoneSimulation) faultKind(z int) string {
+	if z < len(v.Faults) {
+		return v.Faults[z]
 	}
 	return ""
 }
 
 // commonCause reports whether all zones have the same fault.
-func (v *Zones) commonCause() bool {
+func (v *ZoneSimulation) commonCause() bool {
 	for z := 1; z < v.Zones; z++ {
 		if v.faultKind(z) != v.faultKind(0) {
 			return false
@@ -107,26 +107,26 @@
 	return v.faultKind(0) != ""
 }
 
-func (v *Zones) fail(format string, args ...any) {
+func (v *ZoneSimulation) fail(format string, args ...any) {
 	if v.Broken == "" {
 		v.Broken = fmt.Sprintf("%.1f s: ", (v.Fleet.Now-faultStartMS)/1000) + fmt.Sprintf(format, args...)
 	}
 }
 
 // Play runs the plan until its end and checks the invariants, except for the baselines.
-func (v *Zones) Play() {
+func (v *ZoneSimulation) Play() {
 	f := v.Fleet
 	f.after(1500, func() { f.proposeChange(false, 0) })
 	f.Changes = 1
 	f.after(2000, v.runStep)
 	f.runUntil(faultStartMS)
-	f.after(v.Fails, v.injectFault)
-	f.after(v.Heals, v.heal)
-	f.runUntil(faultStartMS + v.Ends)
+	f.after(v.FaultStartMS, v.injectFault)
+	f.after(v.FaultEndMS, v.heal)
+	f.runUntil(faultStartMS + v.EndMS)
 	if f.Broken != "" {
 		v.fail("%s", f.Broken)
 	}
-	if !v.Off && !v.Own && !v.Oracle {
+	if !v.NoEvacuation && !v.SelfEjection && !v.Oracle {
 		v.checkZones()
 		v.checkLoad()
 	}
@@ -134,7 +134,7 @@
 
 // checkZones checks that all zones are in service at the end, and that no zone was evacuated although staying had the
 // higher expected value.
-func (v *Zones) checkZones() {
+func (v *ZoneSimulation) checkZones() {
 	for _, z := range v.Fleet.state.Zones.Zones {
 		if z.Phase != zones.InService {
 			v.fail("at the end zone %s is %s with share %d, want in service; last event: %v", z.Name, z.Phase,
@@ -153,9 +153,9 @@
 
 // checkLoad checks that no dependency was overloaded after a restart, during a recovery ramp, or by traffic from other
 // zones.
-func (v *Zones) checkLoad() {
-	if v.Start > 1 {
-		v.fail("load of a dependency after the restart = %.2f, want at most 1", v.Start)
+func (v *ZoneSimulation) checkLoad() {
+	if v.PeakRestartLoad > 1 {
+		v.fail("load of a dependency after the restart = %.2f, want at most 1", v.PeakRestartLoad)
 	}
 	if v.PeakRetryRatio > maxRetryRatio {
 		v.fail("ratio of all attempts to first attempts after the restart = %.1f, want at most %d", v.PeakRetryRatio,
@@ -164,8 +164,8 @@
 	if v.OverloadMS > 8000 {
 		v.fail("a dependency with a second fault was overloaded for %.1f s, want at most 8 s", v.OverloadMS/1000)
 	}
-	if v.Peak > 1.0 {
-		v.fail("load of a dependency during the recovery ramp = %.2f, want at most 1: %s", v.Peak, v.peakRampAt)
+	if v.PeakRampLoad > 1.0 {
+		v.fail("load of a dependency during the recovery ramp = %.2f, want at most 1: %s", v.PeakRampLoad, v.peakRampAt)
 	}
 	if v.PeakNeighborLoad > 1.1 && v.Load*float64(v.Zones) < 0.85*float64(v.Zones) {
 		v.fail("load of a zone in service with traffic from other zones = %.2f, want at most 1.1: %s", v.PeakNeighborLoad,
--- a/internal/simulation/zones_check.go
+++ b/internal/simulation/zones_check.go
@@ -9,17 +9,17 @@
 )
 
 // checkZone checks the invariants of one step of a zone; first is the rate of first attempts admitted by its nodes.
-func (v *Zones) checkZone(z int, b *dependency, first float64) {
+func (v *ZoneSimulation) checkZone(z int, b *dependency, first float64) {
 	name := fmt.Sprint("z", z)
 	load := v.loadOfLastSecond(b)
-	if v.faultKind(z) == ZoneRestart && !v.faultActive && v.Fleet.Now > faultStartMS+v.Heals {
-		v.Start = max(v.Start, load)
+	if v.faultKind(z) == ZoneRestart && !v.faultActive && v.Fleet.Now > faultStartMS+v.FaultEndMS {
+		v.PeakRestartLoad = max(v.PeakRestartLoad, load)
 	}
 	if z == 0 {
 		v.checkColdStart()
 	}
 	zone := v.Fleet.state.Zones.Find(name)
-	if zone == nil || v.Off || v.Own {
+	if zone == nil || v.NoEvacuation || v.SelfEjection {
 		return
 	}
 	if b.steadySteps++; zone.Phase != zones.Ramping || v.faultActive || b.speed != 1 {
@@ -43,7 +43,7 @@
 
 // loadOfLastSecond returns a dependency's load averaged over the last second. Shorter peaks are ignored: the first node
 // that is notified of a larger share briefly receives all traffic.
-func (v *Zones) loadOfLastSecond(b *dependency) float64 {
+func (v *ZoneSimulation) loadOfLastSecond(b *dependency) float64 {
 	b.lastSecondLoads[int(v.Fleet.Now/stepMS)%len(b.lastSecondLoads)] = b.demand / max(b.capacity, 1)
 	load := 0.0
 	for _, x := range b.lastSecondLoads {
@@ -53,7 +53,7 @@
 }
 
 // checkColdStart checks the sum of all nodes' rate limits during a cold start of the whole fleet.
-func (v *Zones) checkColdStart() {
+func (v *ZoneSimulation) checkColdStart() {
 	if all := v.Fleet.state.Zones.Find(zones.WholeFleet); all != nil && all.Phase == zones.Ramping {
 		v.checkRateLimits("the nodes", zones.WholeFleet, func(*node, *api.ZoneOrder) bool { return true })
 	}
@@ -61,12 +61,12 @@
 
 // measureRamp records the highest load of a dependency during its zone's recovery ramp, and the time for which a second
 // fault overloads it.
-func (v *Zones) measureRamp(name string, b *dependency, load float64) {
+func (v *ZoneSimulation) measureRamp(name string, b *dependency, load float64) {
 	switch {
 	case v.faultActive:
 	case b.speed == 1:
-		if b.steadySteps >= len(b.lastSecondLoads) && load > v.Peak {
-			v.Peak, v.peakRampAt = load, fmt.Sprintf("%s at %.1f s", name, (v.Fleet.Now-faultStartMS)/1000)
+		if b.steadySteps >= len(b.lastSecondLoads) && load > v.PeakRampLoad {
+			v.PeakRampLoad, v.peakRampAt = load, fmt.Sprintf("%s at %.1f s", name, (v.Fleet.Now-faultStartMS)/1000)
 		}
 	case b.speed < 1 && b.demand/max(b.capacity, 1) > 1:
 		v.OverloadMS += stepMS
@@ -75,7 +75,7 @@
 
 // checkRateLimits checks that the sum of the selected nodes' rate limits is within the group's current or, until the
 // epoch has settled, previous rate limit for a name.
-func (v *Zones) checkRateLimits(nodes, name string, selected func(n *node, o *api.ZoneOrder) bool) {
+func (v *ZoneSimulation) checkRateLimits(nodes, name string, selected func(n *node, o *api.ZoneOrder) bool) {
 	sum := 0.0
 	for _, n := range v.Fleet.nodes {
 		if !n.up || !n.serves {
@@ -91,7 +91,7 @@
 }
 
 // checkEpochs checks that no serving node acts on an epoch before the settled one.
-func (v *Zones) checkEpochs() {
+func (v *ZoneSimulation) checkEpochs() {
 	settled := v.Fleet.state.Zones.SettledEpoch
 	if settled == 0 {
 		return
@@ -108,13 +108,13 @@
 
 // TimeToFullRecovery returns the ms from the end of the fault until at least 98% of the offered weight is completed for
 // 10 s, -1 if never.
-func (v *Zones) TimeToFullRecovery() float64 { return v.RecoveredAt(0.98) }
+func (v *ZoneSimulation) TimeToFullRecovery() float64 { return v.TimeToRecovery(0.98) }
 
-// RecoveredAt is TimeToFullRecovery for another fraction of the weight.
-func (v *Zones) RecoveredAt(share float64) float64 {
+// TimeToRecovery is TimeToFullRecovery for another fraction of the weight.
+func (v *ZoneSimulation) TimeToRecovery(share float64) float64 {
 	since := -1.0
 	for _, p := range v.Plot[0].Points {
-		at := p[0]*1000 - v.Heals
+		at := p[0]*1000 - v.FaultEndMS
 		switch {
 		case at < 0:
 		case p[1] < share:
@@ -129,7 +129,7 @@
 }
 
 // onApplied records the group's decisions about zones from the result of an entry.
-func (v *Zones) onApplied(result any) {
+func (v *ZoneSimulation) onApplied(result any) {
 	if b, ok := result.(coordinator.BatchApplied); ok && b.FleetRestarted {
 		v.ColdStarts++
 		v.rateLimits[zones.WholeFleet] = [2]float64{v.Fleet.state.Zones.Find(zones.WholeFleet).RateLimit, 0}
@@ -153,23 +153,23 @@
 	switch e.Kind {
 	case "leave":
 		v.checkEvacuation(z)
-		if _, known := v.Left[z.Name]; !known {
-			v.Left[z.Name] = at - v.Fails
+		if _, known := v.EvacuationDelaysMS[z.Name]; !known {
+			v.EvacuationDelaysMS[z.Name] = at - v.FaultStartMS
 		}
 	case "step":
-		if v.Steps++; v.Steps == 3 {
+		if v.RampSteps++; v.RampSteps == 3 {
 			v.Fleet.after(500, v.injectSecondFault)
 		}
 	case "back":
-		v.BackStep++
+		v.StepsBack++
 	case "in":
-		v.Back[z.Name] = at - v.Heals
+		v.RecoveryTimesMS[z.Name] = at - v.FaultEndMS
 	}
 }
 
 // checkEvacuation checks that an evacuation is justified by an active fault of the zone alone or by its cold
 // dependency. A fault common to all zones justifies none.
-func (v *Zones) checkEvacuation(z *zones.Zone) {
+func (v *ZoneSimulation) checkEvacuation(z *zones.Zone) {
 	k := 0
 	fmt.Sscanf(z.Name, "z%d", &k)
 	kind, b := v.faultKind(k), v.dependencies[k]
@@ -182,7 +182,7 @@
 		justified = cold || z.Cause == "cut off"
 	}
 	if v.commonCause() || !justified || !v.faultActive && !cold {
-		v.Wrong++
+		v.UnjustifiedEvacuations++
 		v.fail("unjustified evacuation of %s: fault %q, capacity %.0f/s, warmth %.2f, demand %.0f/s: %s", z.Name, kind,
 			b.capacity, b.warmth, b.demand, z.Events[len(z.Events)-1].Text)
 	}
--- a/internal/simulation/zones_faults.go
+++ b/internal/simulation/zones_faults.go
@@ -1,7 +1,7 @@
 package simulation
 
 // injectFault starts the planned fault of each zone.
-func (v *Zones) injectFault() {
+func (v *ZoneSimulation) injectFault() {
 	v.faultActive = true
 	v.crashLeader()
 	for z, b := range v.dependencies {
@@ -31,7 +31,7 @@
 }
 
 // heal ends all faults. Dependencies that were slow or whose kernels failed are cold, and killed nodes restart.
-func (v *Zones) heal() {
+func (v *ZoneSimulation) heal() {
 	v.faultActive = false
 	for z, b := range v.dependencies {
 		if b.speed < 1 {
@@ -50,7 +50,7 @@
 }
 
 // injectSecondFault starts the late nodes, crashes the leader and slows z0's dependency for 25 s, as far as planned.
-func (v *Zones) injectSecondFault() {
+func (v *ZoneSimulation) injectSecondFault() {
 	if v.secondFaultStarted {
 		return
 	}
@@ -69,7 +69,7 @@
 }
 
 // crashLeader crashes the leader and restarts it after 3 s, if planned.
-func (v *Zones) crashLeader() {
+func (v *ZoneSimulation) crashLeader() {
 	f := v.Fleet
 	if !v.CrashLeader || f.leader < 0 {
 		return
--- a/internal/simulation/zones_load_report.go
+++ b/internal/simulation/zones_load_report.go
@@ -8,7 +8,7 @@
 )
 
 // loadReport returns a node's load report, nil if it is missing.
-func (v *Zones) loadReport(n *node) *api.LoadReport {
+func (v *ZoneSimulation) loadReport(n *node) *api.LoadReport {
 	b := v.dependencies[n.zone]
 	rates, f := &b.smoothedRates, v.Fleet
 	nodes := v.upNodesByZone[n.zone]
@@ -68,7 +68,7 @@
 	return index / f.Zones
 }
 
-func (v *Zones) firstNodeOf(zone int) string {
+func (v *ZoneSimulation) firstNodeOf(zone int) string {
 	for _, n := range v.Fleet.nodes {
 		if n.zone == zone {
 			return n.name
@@ -78,7 +78,7 @@
 }
 
 // probe returns the result of a node's probe of another.
-func (v *Zones) probe(_ *node, target api.ProbeTarget) api.PeerHealth {
+func (v *ZoneSimulation) probe(_ *node, target api.ProbeTarget) api.PeerHealth {
 	for _, peer := range v.Fleet.nodes {
 		if peer.name != target.Name {
 			continue
@@ -96,7 +96,7 @@
 
 // ejectUnhealthyNodes implements the baseline in which each node ejects itself for 5 s after being unhealthy for 2 s to
 // 3.8 s.
-func (v *Zones) ejectUnhealthyNodes() {
+func (v *ZoneSimulation) ejectUnhealthyNodes() {
 	for i, n := range v.Fleet.nodes {
 		b, h := v.dependencies[n.zone], &v.nodeHealth[i]
 		unhealthy := n.up && (v.faultActive && v.faultKind(n.zone) == ZoneKernels || b.smoothedRates.runMS > 3*warmRunMS+5 ||
@@ -115,7 +115,7 @@
 
 // runOracle runs a step of the upper bound: faults and remaining capacity are known at once, requests of the highest
 // weight go first, and a cold dependency receives exactly its capacity.
-func (v *Zones) runOracle(total float64, dt float64) {
+func (v *ZoneSimulation) runOracle(total float64, dt float64) {
 	capacity, completed := 0.0, 0.0
 	for z, b := range v.dependencies {
 		kind := v.faultKind(z)
@@ -131,8 +131,8 @@
 		capacity -= n
 		completed += n * classWeights[c]
 	}
-	if v.Fleet.Now >= faultStartMS+v.Fails {
-		v.Done += completed * dt
-		v.Asked += total * dt
+	if v.Fleet.Now >= faultStartMS+v.FaultStartMS {
+		v.CompletedWeight += completed * dt
+		v.OfferedWeight += total * dt
 	}
 }
--- a/internal/simulation/zones_plan.go
+++ b/internal/simulation/zones_plan.go
@@ -9,46 +9,46 @@
 
 // ZonePlan is the configuration of one run.
 type ZonePlan struct {
-	Seed        int64
-	Nodes       int
-	Zones       int
-	Kinds       []string // faults of the zones z0, z1, ...; empty: none
-	Fails       float64  // start of the faults, ms after faultStartMS
-	Heals       float64  // end of the faults, ms after faultStartMS
-	Ends        float64  // end of the run, ms after faultStartMS
-	Load        float64  // demand over the warm capacity of all zones
-	ColdFactor  float64  // warm over cold capacity of a dependency; 0: 8
-	Off         bool     // baseline: decide = off, zones aren't evacuated
-	Own         bool     // baseline: decide = off, unhealthy nodes eject themselves
-	Oracle      bool     // upper bound: runOracle in place of the fleet's traffic
-	Without     zones.Guard
-	SecondFault bool    // z0's dependency slows to 0.3 of its speed during the recovery ramp
-	LateNodes   int     // nodes of z0 that first start during the recovery ramp
-	StaggerMS   float64 // delay of a common fault from one zone to the next
-	Ramp        float64 // baseline: after a restart nodes admit a share that grows linearly over these ms
-	Patient     bool    // rejected callers wait for their Retry-After
-	CrashLeader bool    // the leader crashes at the start of the fault and during the ramp
+	Seed            int64
+	Nodes           int
+	Zones           int
+	Faults          []string // faults of the zones z0, z1, ...; empty: none
+	FaultStartMS    float64  // start of the faults, ms after faultStartMS
+	FaultEndMS      float64  // end of the faults, ms after faultStartMS
+	EndMS           float64  // end of the run, ms after faultStartMS
+	Load            float64  // demand over the warm capacity of all zones
+	ColdFactor      float64  // warm over cold capacity of a dependency; 0: 8
+	NoEvacuation    bool     // baseline: decide = off, zones aren't evacuated
+	SelfEjection    bool     // baseline: decide = off, unhealthy nodes eject themselves
+	Oracle          bool     // upper bound: runOracle in place of the fleet's traffic
+	DisabledGuards  zones.Guard
+	SecondFault     bool    // z0's dependency slows to 0.3 of its speed during the recovery ramp
+	LateNodes       int     // nodes of z0 that first start during the recovery ramp
+	StaggerMS       float64 // delay of a common fault from one zone to the next
+	ClockRampMS     float64 // baseline: after a restart nodes admit a share that grows linearly over these ms
+	HonorRetryAfter bool    // rejected callers wait for their Retry-After
+	CrashLeader     bool    // the leader crashes at the start of the fault and during the ramp
 }
 
-// DrawZones generates a plan from a seed: faults, load and size of the fleet.
-func DrawZones(seed int64) ZonePlan {
+// DrawZonePlan generates a plan from a seed: faults, load and size of the fleet.
+func DrawZonePlan(seed int64) ZonePlan {
 	r := rand.New(rand.NewSource(seed))
-	p := ZonePlan{Seed: seed, Zones: 3 + r.Intn(3), Fails: 15_000, Heals: 35_000 + float64(r.Intn(15))*1000,
-		Ends: 400_000, Load: 0.3 + 0.5*r.Float64(), ColdFactor: 1 + 9*r.Float64(), CrashLeader: r.Intn(4) == 0,
+	p := ZonePlan{Seed: seed, Zones: 3 + r.Intn(3), FaultStartMS: 15_000, FaultEndMS: 35_000 + float64(r.Intn(15))*1000,
+		EndMS: 400_000, Load: 0.3 + 0.5*r.Float64(), ColdFactor: 1 + 9*r.Float64(), CrashLeader: r.Intn(4) == 0,
 		SecondFault: r.Intn(4) == 0}
 	p.Nodes = p.Zones * (3 + r.Intn(5))
 	kinds := []string{ZoneDead, ZoneKernels, ZoneSlow, ZoneErrors, ZoneCutOff, ZoneCallers, ZoneOutlierNode,
 		ZoneFalseReports, ZoneNoise}
-	p.Kinds = append(p.Kinds, kinds[r.Intn(len(kinds))])
-	if p.Kinds[0] == ZoneFalseReports {
+	p.Faults = append(p.Faults, kinds[r.Intn(len(kinds))])
+	if p.Faults[0] == ZoneFalseReports {
 		p.Nodes = p.Zones * 5
 	}
 	switch r.Intn(5) {
 	case 0:
-		p.Kinds = append(p.Kinds, kinds[r.Intn(4)])
+		p.Faults = append(p.Faults, kinds[r.Intn(4)])
 	case 1:
-		for p.Kinds = nil; len(p.Kinds) < p.Zones; {
-			p.Kinds = append(p.Kinds, []string{ZoneCommon, ZoneKernels, ZoneErrors}[seed%3])
+		for p.Faults = nil; len(p.Faults) < p.Zones; {
+			p.Faults = append(p.Faults, []string{ZoneCommon, ZoneKernels, ZoneErrors}[seed%3])
 		}
 	}
 	// At most 1.2 s from the first to the last zone: a slower common fault looks like a fault of one zone.
@@ -57,8 +57,8 @@
 	return p
 }
 
-// NewZones creates the simulation of a plan; Play runs it.
-func NewZones(p ZonePlan) *Zones {
+// NewZoneSimulation creates the simulation of a plan; Play runs it.
+func NewZoneSimulation(p ZonePlan) *ZoneSimulation {
 	if p.Zones == 0 {
 		p.Zones = 3
 	}
@@ -66,14 +66,14 @@
 		p.ColdFactor = 8
 	}
 	mode := "auto"
-	if p.Off || p.Own || p.Oracle {
+	if p.NoEvacuation || p.SelfEjection || p.Oracle {
 		mode = "off"
 	}
-	v := &Zones{ZonePlan: p, rateLimits: map[string][2]float64{}, nodeHealth: make([]nodeHealth, p.Nodes),
+	v := &ZoneSimulation{ZonePlan: p, rateLimits: map[string][2]float64{}, nodeHealth: make([]nodeHealth, p.Nodes),
 		upNodesByZone: make([]float64, p.Zones),
-		ZoneFigures:   ZoneFigures{Left: map[string]float64{}, Back: map[string]float64{}, Plot: make([]report.Line, 3)}}
-	v.Fleet = NewFleet(FleetPlan{Seed: p.Seed, Nodes: p.Nodes, Ctl: 3, Calm: true, Lease: 4000, Zones: p.Zones,
-		ZoneRules: "[zones]\ndecide = " + mode + "\nsmall_start = yes\n", DisabledZoneGuards: p.Without})
+		ZoneFigures:   ZoneFigures{EvacuationDelaysMS: map[string]float64{}, RecoveryTimesMS: map[string]float64{}, Plot: make([]report.Line, 3)}}
+	v.Fleet = NewFleet(FleetPlan{Seed: p.Seed, Nodes: p.Nodes, ControlInstances: 3, NoFaults: true, LeaseMS: 4000, Zones: p.Zones,
+		ZoneRules: "[zones]\ndecide = " + mode + "\nsmall_start = yes\n", DisabledZoneGuards: p.DisabledGuards})
 	v.Fleet.loadReport, v.Fleet.probePeer, v.Fleet.onApplied = v.loadReport, v.probe, v.onApplied
 	for i := 0; i < p.LateNodes; i++ {
 		v.Fleet.nodes[(i+1)*p.Zones].notStarted = true
--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -11,12 +11,12 @@
 
 // fullRestartPlan kills all nodes of three zones at once and restarts them after 2 s.
 func fullRestartPlan(seed int64) ZonePlan {
-	return ZonePlan{Seed: seed, Nodes: 15, Kinds: []string{ZoneRestart, ZoneRestart, ZoneRestart}, Fails: 15_000,
-		Heals: 17_000, Ends: 220_000, Load: 0.6}
+	return ZonePlan{Seed: seed, Nodes: 15, Faults: []string{ZoneRestart, ZoneRestart, ZoneRestart}, FaultStartMS: 15_000,
+		FaultEndMS: 17_000, EndMS: 220_000, Load: 0.6}
 }
 
-func simulateZones(p ZonePlan) *Zones {
-	v := NewZones(p)
+func simulateZones(p ZonePlan) *ZoneSimulation {
+	v := NewZoneSimulation(p)
 	v.Play()
 	return v
 }
@@ -26,15 +26,15 @@
 func TestZoneSchedules(t *testing.T) {
 	n := scheduleCount(t, 40)
 	evacuations, steps, failures := 0, 0, 0
-	play := func(seed int64) *Zones { return simulateZones(DrawZones(seed)) }
-	report.RunSeeds(context.Background(), 1, n, play, func(seed int64, v *Zones) bool {
+	play := func(seed int64) *ZoneSimulation { return simulateZones(DrawZonePlan(seed)) }
+	report.RunSeeds(context.Background(), 1, n, play, func(seed int64, v *ZoneSimulation) bool {
 		if p := v.ZonePlan; v.Broken != "" {
 			t.Errorf("seed %d (faults %q, load %.2f, cold factor %.1f, %d nodes in %d zones, second fault %v, "+
-				"late nodes %d): %s", seed, p.Kinds, p.Load, p.ColdFactor, p.Nodes, p.Zones, p.SecondFault, p.LateNodes,
+				"late nodes %d): %s", seed, p.Faults, p.Load, p.ColdFactor, p.Nodes, p.Zones, p.SecondFault, p.LateNodes,
 				v.Broken)
 			failures++
 		}
-		evacuations, steps = evacuations+len(v.Left), steps+v.Steps
+		evacuations, steps = evacuations+len(v.EvacuationDelaysMS), steps+v.RampSteps
 		return failures > 8
 	})
 	t.Logf("%d runs, %d evacuations, %d ramp steps", n, evacuations, steps)
@@ -46,18 +46,18 @@
 // TestZoneGuards: for each guard of zone evacuation, a fault that the guard protects against violates no invariant with
 // the guard, and violates one with the guard disabled.
 func TestZoneGuards(t *testing.T) {
-	base := ZonePlan{Seed: 3, Nodes: 15, Fails: 15_000, Heals: 40_000, Ends: 200_000, Load: 0.6}
+	base := ZonePlan{Seed: 3, Nodes: 15, FaultStartMS: 15_000, FaultEndMS: 40_000, EndMS: 200_000, Load: 0.6}
 	highLoad := base
-	highLoad.Kinds, highLoad.Load, highLoad.Off = []string{ZoneErrors}, 0.9, true
+	highLoad.Faults, highLoad.Load, highLoad.NoEvacuation = []string{ZoneErrors}, 0.9, true
 	baseline := simulateZones(highLoad)
 	for name, plan := range map[string]func(p *ZonePlan){
-		"common-cause": func(p *ZonePlan) { p.Kinds, p.Load = []string{ZoneErrors, ZoneErrors, ZoneErrors}, 0.4 },
-		"room":         func(p *ZonePlan) { p.Kinds, p.Load = []string{ZoneErrors}, 0.9 },
-		"one-epoch":    func(p *ZonePlan) { p.Kinds = []string{ZoneKernels} },
-		"paced":        func(p *ZonePlan) { p.Kinds = []string{ZoneDead} },
-		"step-back":    func(p *ZonePlan) { p.Kinds, p.SecondFault = []string{ZoneDead}, true },
-		"retry-budget": func(p *ZonePlan) { p.Kinds, p.Load = []string{ZoneDead}, 0.8 },
-		"lease-tokens": func(p *ZonePlan) { p.Kinds, p.LateNodes = []string{ZoneDead}, 2 },
+		"common-cause": func(p *ZonePlan) { p.Faults, p.Load = []string{ZoneErrors, ZoneErrors, ZoneErrors}, 0.4 },
+		"room":         func(p *ZonePlan) { p.Faults, p.Load = []string{ZoneErrors}, 0.9 },
+		"one-epoch":    func(p *ZonePlan) { p.Faults = []string{ZoneKernels} },
+		"paced":        func(p *ZonePlan) { p.Faults = []string{ZoneDead} },
+		"step-back":    func(p *ZonePlan) { p.Faults, p.SecondFault = []string{ZoneDead}, true },
+		"retry-budget": func(p *ZonePlan) { p.Faults, p.Load = []string{ZoneDead}, 0.8 },
+		"lease-tokens": func(p *ZonePlan) { p.Faults, p.LateNodes = []string{ZoneDead}, 2 },
 	} {
 		p := base
 		plan(&p)
@@ -77,7 +77,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Without = g
+		p.DisabledGuards = g
 		if broken := violation(p); broken == "" {
 			t.Errorf("without guard %s no invariant was violated", name)
 		} else {
@@ -96,23 +96,23 @@
 		t.Errorf("violation %q, %d cold starts, full recovery after %.1f s, want none, at least 1, at least 0 s", v.Broken,
 			v.ColdStarts, v.TimeToFullRecovery()/1000)
 	}
-	t.Logf("highest load of a dependency %.2f, full recovery after %.1f s", v.Start, v.TimeToFullRecovery()/1000)
+	t.Logf("highest load of a dependency %.2f, full recovery after %.1f s", v.PeakRestartLoad, v.TimeToFullRecovery()/1000)
 	without := base
-	without.Without = zones.ColdStart
+	without.DisabledGuards = zones.ColdStart
 	if v := simulateZones(without); v.Broken == "" {
 		t.Error("without guard small-start no invariant was violated")
 	} else {
 		t.Logf("without guard small-start: %s; full recovery after %.1f s", v.Broken, v.TimeToFullRecovery()/1000)
 	}
 	oneZone := base
-	oneZone.Kinds, oneZone.Nodes = []string{ZoneDead}, 15
+	oneZone.Faults, oneZone.Nodes = []string{ZoneDead}, 15
 	if v := simulateZones(oneZone); v.ColdStarts != 0 {
 		t.Errorf("cold starts after a restart of one zone = %d, want 0", v.ColdStarts)
 	}
 	for seed := int64(1); seed <= 12; seed++ {
 		p := base
 		p.Seed, p.Load, p.ColdFactor, p.CrashLeader = seed, 0.4+0.04*float64(seed%10), 2+float64(seed%7), seed%3 == 0
-		p.Ends = 400_000
+		p.EndMS = 400_000
 		if v := simulateZones(p); v.Broken != "" {
 			t.Errorf("seed %d, load %.2f, cold factor %.0f: %s", seed, p.Load, p.ColdFactor, v.Broken)
 		}
@@ -123,14 +123,14 @@
 // Retry-After distributes the retries over the recovery. Without the guard they arrive together.
 func TestRetryAfterSpread(t *testing.T) {
 	p := fullRestartPlan(1)
-	p.Patient = true
+	p.HonorRetryAfter = true
 	v := simulateZones(p)
 	if v.Broken != "" || v.ColdStarts == 0 || v.TimeToFullRecovery() < 0 {
 		t.Errorf("violation %q, %d cold starts, full recovery after %.1f s, want none, at least 1, at least 0 s", v.Broken,
 			v.ColdStarts, v.TimeToFullRecovery()/1000)
 	}
 	t.Logf("highest ratio of all attempts to first attempts: %.1f", v.PeakRetryRatio)
-	p.Without = zones.RetryAfterSpread
+	p.DisabledGuards = zones.RetryAfterSpread
 	if v = simulateZones(p); v.Broken == "" {
 		t.Error("without guard RetryAfterSpread no invariant was violated")
 	}
--- a/internal/simulation/zones_traffic.go
+++ b/internal/simulation/zones_traffic.go
@@ -74,7 +74,7 @@
 }
 
 // zoneViews aggregates the nodes of each zone.
-func (v *Zones) zoneViews() []zoneView {
+func (v *ZoneSimulation) zoneViews() []zoneView {
 	out := make([]zoneView, v.Zones)
 	clear(v.upNodesByZone)
 	for i, n := range v.Fleet.nodes {
@@ -99,7 +99,7 @@
 }
 
 // isReady reports whether a node serves callers, and updates its last report of being ready.
-func (v *Zones) isReady(i int, n *node) bool {
+func (v *ZoneSimulation) isReady(i int, n *node) bool {
 	evacuated := n.gate != nil && n.gate.Evacuated()
 	ready := n.up && n.serves && !evacuated && v.Fleet.Now >= v.nodeHealth[i].ejectedUntil
 	if ready {
@@ -148,12 +148,12 @@
 }
 
 // rampByClock returns the admitted fraction of the baseline ZonePlan.Ramp, 1 without it.
-func (v *Zones) rampByClock() float64 {
-	since := v.Fleet.Now - faultStartMS - v.Heals
-	if v.Ramp == 0 || v.faultActive || since <= 0 {
+func (v *ZoneSimulation) rampByClock() float64 {
+	since := v.Fleet.Now - faultStartMS - v.FaultEndMS
+	if v.ClockRampMS == 0 || v.faultActive || since <= 0 {
 		return 1
 	}
-	return min(1, max(since/v.Ramp, 1.0/16))
+	return min(1, max(since/v.ClockRampMS, 1.0/16))
 }
 
 // requestMatrix holds requests per second by attempt (the first is 0) and class.
@@ -182,7 +182,7 @@
 
 // trafficStep is one step of traffic, stepMS long, over all zones.
 type trafficStep struct {
-	*Zones
+	*ZoneSimulation
 	views         []zoneView
 	listedNodes   float64       // nodes on the callers' list in all zones
 	offered       requestMatrix // first attempts and retries of this step
@@ -194,7 +194,7 @@
 }
 
 // runStep runs one step: callers send, each zone admits and serves, and the step is measured.
-func (v *Zones) runStep() {
+func (v *ZoneSimulation) runStep() {
 	v.Fleet.after(stepMS, v.runStep)
 	s := v.newTrafficStep()
 	if v.Oracle {
@@ -206,14 +206,14 @@
 	}
 	s.measure()
 	s.plot()
-	if v.Own {
+	if v.SelfEjection {
 		v.ejectUnhealthyNodes()
 	}
 }
 
 // newTrafficStep aggregates the zones and generates the step's offered requests.
-func (v *Zones) newTrafficStep() *trafficStep {
-	s := &trafficStep{Zones: v, views: v.zoneViews(), demand: v.Load * float64(v.Zones) * 1000}
+func (v *ZoneSimulation) newTrafficStep() *trafficStep {
+	s := &trafficStep{ZoneSimulation: v, views: v.zoneViews(), demand: v.Load * float64(v.Zones) * 1000}
 	for z := range s.views {
 		if v.faultKind(z) == ZoneCallers && v.faultActive {
 			s.views[z].listed = 0
@@ -231,12 +231,12 @@
 // reject schedules the retries of rejected requests. Patient callers wait for a Retry-After spread over a window; after
 // is the gate's wait in ms, 0 for none. Others retry in the next step.
 func (s *trafficStep) reject(attempt, class int, n float64, after uint64) {
-	if !s.Patient {
+	if !s.HonorRetryAfter {
 		s.retries.add(0, attempt, class, n)
 		return
 	}
 	from, to := retryafter.Window(maxRetryAfterMS, int64(min(after, maxRetryAfterMS)))
-	if s.Without.Has(zones.RetryAfterSpread) { // all at one time: after the gate's wait, at least 1 s
+	if s.DisabledGuards.Has(zones.RetryAfterSpread) { // all at one time: after the gate's wait, at least 1 s
 		from, to = max(1000, int64(min(after, maxRetryAfterMS))), 0
 	}
 	first := int(from) / stepMS
@@ -248,7 +248,7 @@
 
 // rejectByQuota rejects requests outside a zone's quota, with a Retry-After that depends on their hash.
 func (s *trafficStep) rejectByQuota(view *zoneView, attempt, class int, n float64) {
-	if n <= 0 || !s.Patient || view.gate == nil {
+	if n <= 0 || !s.HonorRetryAfter || view.gate == nil {
 		s.reject(attempt, class, n, 0)
 		return
 	}
@@ -313,7 +313,7 @@
 
 // countRequests adds requests to the counts of the run, the step and the zone.
 func (t *zoneStep) countRequests(attempt, class int, n float64) {
-	if t.Fleet.Now >= faultStartMS+t.Fails {
+	if t.Fleet.Now >= faultStartMS+t.FaultStartMS {
 		t.attemptCounts[0] += n
 		if attempt == 0 {
 			t.attemptCounts[1] += n
@@ -415,14 +415,14 @@
 func (s *trafficStep) measure() {
 	const dt = stepMS / 1000.0
 	now := s.Fleet.Now
-	if s.Patient && s.faultKind(0) == ZoneRestart && now > faultStartMS+s.Heals+5000 {
+	if s.HonorRetryAfter && s.faultKind(0) == ZoneRestart && now > faultStartMS+s.FaultEndMS+5000 {
 		s.PeakRetryRatio = max(s.PeakRetryRatio, s.attempts/s.demand)
 	}
-	if now >= faultStartMS+s.Fails {
-		s.Tries = s.attemptCounts[0] / max(s.attemptCounts[1], 1)
-		s.Done += s.completedWeight * dt
-		s.Asked += s.offeredWeight * dt
-		if s.faultActive && now >= faultStartMS+s.Fails+5000 {
+	if now >= faultStartMS+s.FaultStartMS {
+		s.AttemptsPerRequest = s.attemptCounts[0] / max(s.attemptCounts[1], 1)
+		s.CompletedWeight += s.completedWeight * dt
+		s.OfferedWeight += s.offeredWeight * dt
+		if s.faultActive && now >= faultStartMS+s.FaultStartMS+5000 {
 			s.WeightDuringFault += s.completedWeight * dt
 		}
 	}
