--- a/internal/simulator/pin_frames_test.go
+++ b/internal/simulator/pin_frames_test.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"math/rand"
 	"slices"
+	"strings"
 	"testing"
 )
 
@@ -26,18 +27,26 @@
  "over_share_worth": 0.2, "stage": 1, "worth_by": "work"}`
 
 // TestRepliesToRecordedFrames checks the bytes of the replies to a fixed stream of frames against version 2a0a97e,
-// under three settings. The stream has retries, calls, failed calls, disconnects, gauges and a drain.
+// under three settings: joined, then without the log lines, then the log lines. The stream has retries, calls, failed
+// calls, disconnects, gauges and a drain.
 func TestRepliesToRecordedFrames(t *testing.T) {
-	for _, c := range []struct{ below, preemption, say, want string }{
-		{"off", "drop", "level", "f6753c34cff5f366"},
-		{"shared", "pause", "credit", "257ab877acb576dd"},
-		{"tier", "off", "weight", "d502a21e132288bf"},
+	for _, c := range []struct{ below, preemption, say, joined, decisions, texts string }{
+		{"off", "drop", "level", "f6753c34cff5f366", "4f03a22488bdd248", "drain: 874 in hand\n"},
+		{"shared", "pause", "credit", "257ab877acb576dd", "dbb8620c46defb00", "drain: 852 in hand\n"},
+		{"tier", "off", "weight", "d502a21e132288bf", "4c019796dd1c67bd", "drain: 853 in hand\n"},
 	} {
 		t.Run(c.below, func(t *testing.T) {
 			s := &frameSource{t: t, adapter: New(), random: rand.New(rand.NewSource(7)), actionCounts: map[byte]int{}}
 			s.play(fmt.Sprintf(recordedSettings, c.below, c.preemption, c.say))
-			if got := hex.EncodeToString(s.repliesSum()[:8]); got != c.want {
-				t.Errorf("hash of the replies %s, want %s; actions by code: %v", got, c.want, s.actionCounts)
+			if got := shortHash(s.replies.Bytes()); got != c.joined {
+				t.Errorf("hash of the replies = %s, want %s; actions by code: %v", got, c.joined, s.actionCounts)
+			}
+			if got := shortHash(s.decisions.Bytes()); got != c.decisions {
+				t.Errorf("hash of the replies without texts = %s, want %s; actions by code: %v", got, c.decisions,
+					s.actionCounts)
+			}
+			if got := s.texts.String(); got != c.texts {
+				t.Errorf("log lines = %q, want %q", got, c.texts)
 			}
 		})
 	}
@@ -55,11 +64,19 @@
 	calling      []uint32
 	actionCounts map[byte]int
 	replies      bytes.Buffer
+	decisions    bytes.Buffer // the replies with each log line replaced by logMarker
+	texts        bytes.Buffer // the log lines
 }
 
-func (s *frameSource) repliesSum() []byte {
-	sum := sha256.Sum256(s.replies.Bytes())
-	return sum[:]
+// logMarker replaces each log line in frameSource.decisions, so that the number and order of lines still count.
+const logMarker = "(line)"
+
+// logCode is the code of a Log action: an offset into the frame's tail and a length, each of four bytes, follow it.
+const logCode = 120
+
+func shortHash(b []byte) string {
+	sum := sha256.Sum256(b)
+	return hex.EncodeToString(sum[:8])
 }
 
 func (s *frameSource) play(settings string) {
@@ -153,6 +170,40 @@
 			s.removeID(&s.waiting, id)
 		}
 	}
+	s.split(b)
+}
+
+// split adds a reply to decisions, with each log line replaced by logMarker, and its log lines to texts. It fails if the
+// reply's size or the offset or length of a line is wrong, or if the tail has more than the lines.
+func (s *frameSource) split(reply []byte) {
+	s.t.Helper()
+	const actionSize = 24
+	if got := int(binary.BigEndian.Uint32(reply)); got != len(reply) {
+		s.t.Fatalf("size of the reply = %d, want %d", got, len(reply))
+	}
+	tailAt := 8 + actionSize*int(binary.BigEndian.Uint32(reply[4:]))
+	head, tail := slices.Clone(reply[:tailAt]), reply[tailAt:]
+	used, marked := 0, 0 // bytes of the lines so far in the tail and in its replacement
+	for i := 8; i < tailAt; i += actionSize {
+		if head[i] != logCode {
+			continue
+		}
+		offset, length := head[i+1:i+5], head[i+5:i+9]
+		start, n := int(binary.BigEndian.Uint32(offset)), int(binary.BigEndian.Uint32(length))
+		if start != used || n > len(tail)-used {
+			s.t.Fatalf("log line at %d with %d bytes, want it at %d of a tail of %d bytes", start, n, used, len(tail))
+		}
+		fmt.Fprintf(&s.texts, "%s\n", tail[used:used+n])
+		binary.BigEndian.PutUint32(offset, uint32(marked))
+		binary.BigEndian.PutUint32(length, uint32(len(logMarker)))
+		used, marked = used+n, marked+len(logMarker)
+	}
+	if used != len(tail) {
+		s.t.Fatalf("tail of %d bytes, want the %d bytes of the log lines", len(tail), used)
+	}
+	binary.BigEndian.PutUint32(head, uint32(tailAt+marked))
+	s.decisions.Write(head)
+	s.decisions.WriteString(strings.Repeat(logMarker, marked/len(logMarker)))
 }
 
 func (s *frameSource) removeID(list *[]uint32, id uint32) {
