--- a/internal/simulator/pin_frames_test.go
+++ b/internal/simulator/pin_frames_test.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"math/rand"
 	"slices"
+	"strings"
 	"testing"
 )
 
@@ -26,18 +27,23 @@
  "over_share_worth": 0.2, "stage": 1, "worth_by": "work"}`
 
 // TestRepliesToRecordedFrames checks the bytes of the replies to a fixed stream of frames against version 2a0a97e,
-// under three settings. The stream has retries, calls, failed calls, disconnects, gauges and a drain.
+// under three settings, and apart from them the texts of the log lines. The stream has retries, calls, failed calls,
+// disconnects, gauges and a drain.
 func TestRepliesToRecordedFrames(t *testing.T) {
-	for _, c := range []struct{ below, preemption, say, want string }{
-		{"off", "drop", "level", "f6753c34cff5f366"},
-		{"shared", "pause", "credit", "257ab877acb576dd"},
-		{"tier", "off", "weight", "d502a21e132288bf"},
+	for _, c := range []struct{ below, preemption, say, decisions, texts string }{
+		{"off", "drop", "level", "4f03a22488bdd248", "drain: started with 874 requests in the request table\n"},
+		{"shared", "pause", "credit", "dbb8620c46defb00", "drain: started with 852 requests in the request table\n"},
+		{"tier", "off", "weight", "4c019796dd1c67bd", "drain: started with 853 requests in the request table\n"},
 	} {
 		t.Run(c.below, func(t *testing.T) {
 			s := &frameSource{t: t, adapter: New(), random: rand.New(rand.NewSource(7)), actionCounts: map[byte]int{}}
 			s.play(fmt.Sprintf(recordedSettings, c.below, c.preemption, c.say))
-			if got := hex.EncodeToString(s.repliesSum()[:8]); got != c.want {
-				t.Errorf("hash of the replies %s, want %s; actions by code: %v", got, c.want, s.actionCounts)
+			if got := shortHash(s.decisions.Bytes()); got != c.decisions {
+				t.Errorf("hash of the replies without texts = %s, want %s; actions by code: %v", got, c.decisions,
+					s.actionCounts)
+			}
+			if got := s.texts.String(); got != c.texts {
+				t.Errorf("log lines = %q, want %q", got, c.texts)
 			}
 		})
 	}
@@ -54,12 +60,19 @@
 	running      []uint32
 	calling      []uint32
 	actionCounts map[byte]int
-	replies      bytes.Buffer
+	decisions    bytes.Buffer // the replies, with each log line replaced by logMarker
+	texts        bytes.Buffer // the log lines
 }
 
-func (s *frameSource) repliesSum() []byte {
-	sum := sha256.Sum256(s.replies.Bytes())
-	return sum[:]
+// logMarker replaces each log line in frameSource.decisions, so that the number and order of lines still count.
+const logMarker = "(line)"
+
+// logCode is the code of a Log action: an offset into the frame's tail and a length, each of four bytes, follow it.
+const logCode = 120
+
+func shortHash(b []byte) string {
+	sum := sha256.Sum256(b)
+	return hex.EncodeToString(sum[:8])
 }
 
 func (s *frameSource) play(settings string) {
@@ -137,7 +150,6 @@
 	if err := s.adapter.Serve(bytes.NewReader(f), &out); err != nil {
 		s.t.Fatal(err)
 	}
-	s.replies.Write(out.Bytes())
 	b := out.Bytes()
 	for i := range int(binary.BigEndian.Uint32(b[4:])) {
 		action := b[8+24*i : 8+24*i+24]
@@ -153,6 +165,40 @@
 			s.removeID(&s.waiting, id)
 		}
 	}
+	s.split(b)
+}
+
+// split adds a reply to decisions, with each log line replaced by logMarker, and its log lines to texts. It fails if the
+// reply's size or the offset or length of a line is wrong, or if the tail has more than the lines.
+func (s *frameSource) split(reply []byte) {
+	s.t.Helper()
+	const actionSize = 24
+	if got := int(binary.BigEndian.Uint32(reply)); got != len(reply) {
+		s.t.Fatalf("size of the reply = %d, want %d", got, len(reply))
+	}
+	tailAt := 8 + actionSize*int(binary.BigEndian.Uint32(reply[4:]))
+	head, tail := slices.Clone(reply[:tailAt]), reply[tailAt:]
+	used, marked := 0, 0 // bytes of the lines so far in the tail and in its replacement
+	for i := 8; i < tailAt; i += actionSize {
+		if head[i] != logCode {
+			continue
+		}
+		offset, length := head[i+1:i+5], head[i+5:i+9]
+		start, n := int(binary.BigEndian.Uint32(offset)), int(binary.BigEndian.Uint32(length))
+		if start != used || n > len(tail)-used {
+			s.t.Fatalf("log line at %d with %d bytes, want it at %d of a tail of %d bytes", start, n, used, len(tail))
+		}
+		fmt.Fprintf(&s.texts, "%s\n", tail[used:used+n])
+		binary.BigEndian.PutUint32(offset, uint32(marked))
+		binary.BigEndian.PutUint32(length, uint32(len(logMarker)))
+		used, marked = used+n, marked+len(logMarker)
+	}
+	if used != len(tail) {
+		s.t.Fatalf("tail of %d bytes, want the %d bytes of the log lines", len(tail), used)
+	}
+	binary.BigEndian.PutUint32(head, uint32(tailAt+marked))
+	s.decisions.Write(head)
+	s.decisions.WriteString(strings.Repeat(logMarker, marked/len(logMarker)))
 }
 
 func (s *frameSource) removeID(list *[]uint32, id uint32) {
