--- a/internal/node/server/closing_test.go
+++ b/internal/node/server/closing_test.go
@@ -467,6 +467,36 @@
 	}
 }
 
+// A health check and a notice to drain that both waited are handled in either order. The check gets 200 only before the
+// notice, and the connection stays open; from the notice on it gets 503 and the close, even in the same round.
+func TestWaitingHealthCheckAndDrainNotice(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		noticeFirst bool
+		status      int
+		closes      bool
+	}{{"check first", false, 200, false}, {"notice first", true, 503, true}} {
+		t.Run(c.name, func(t *testing.T) {
+			l := newManualLoop(t, 4)
+			client := l.dial()
+			l.handleEvents(1)
+			if c.noticeFirst {
+				l.post(drainRequested{})
+			}
+			sendHealthCheck(client)
+			if !c.noticeFirst {
+				l.waitForEvents(1)
+				l.post(drainRequested{})
+			}
+			l.waitForEvents(2)
+			l.handleEvents(2)
+			if closes := expectResponse(t, bufio.NewReader(client), c.status); closes != c.closes {
+				t.Errorf("response announces the close of the connection: %v, want %v", closes, c.closes)
+			}
+		})
+	}
+}
+
 // A response announces the close of the connection only if no request read before is unanswered.
 func TestCloseIsAnnouncedByLastResponse(t *testing.T) {
 	l := newManualLoop(t, 4)
