--- a/internal/simulator/pin_frames_test.go
+++ b/internal/simulator/pin_frames_test.go
@@ -168,8 +168,8 @@
 	s.split(b)
 }
 
-// split adds a reply to decisions, with each log line replaced by logMarker, and its log lines to texts. It fails if the
-// reply's size or the offset or length of a line is wrong, or if the tail has more than the lines.
+// split adds a reply to decisions, with each log line replaced by logMarker, and its log lines to texts. It fails if
+// the reply's size or the offset or length of a line is wrong, or if the tail has more than the lines.
 func (s *frameSource) split(reply []byte) {
 	s.t.Helper()
 	const actionSize = 24
