--- a/admission/controller.go
+++ b/admission/controller.go
@@ -78,8 +78,8 @@
 	return c
 }
 
-// Reconfigure applies changed values, latency objectives, timeouts, idempotency windows and quotas of the same classes and
-// tenants. Known requests keep their deadlines, and measurements are kept.
+// Reconfigure applies changed values, latency objectives, timeouts, idempotency windows and quotas of the same classes
+// and tenants. Known requests keep their deadlines, and measurements are kept.
 func (c *Controller) Reconfigure(d *Deployment) {
 	c.reconfigureClasses(d)
 	c.queueTimeouts.reconfigure(d)
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -74,8 +74,8 @@
 			if c.printJSON {
 				return printJSON(w, v)
 			}
-			fmt.Fprintf(w, "; version %d of %s by %s: %s\n; hash %s\n%s", v.Number, formatTime(v.ProposedAtMS), v.Author,
-				v.Reason, v.Hash, v.Text)
+			fmt.Fprintf(w, "; version %d of %s by %s: %s\n; hash %s\n%s", v.Number, formatTime(v.ProposedAtMS),
+				v.Author, v.Reason, v.Hash, v.Text)
 			return nil
 		})}
 	c.Flags().Uint64Var(&number, "version", 0, "number of the version; 0 for the newest")
@@ -279,8 +279,8 @@
 			}
 			rows := [][]string{{"VERSION", "AT", "BY", "HASH", "REASON"}}
 			for _, v := range vs {
-				rows = append(rows, []string{strconv.FormatUint(v.Number, 10), formatTime(v.ProposedAtMS), v.Author, v.Hash[:12],
-					v.Reason})
+				rows = append(rows, []string{strconv.FormatUint(v.Number, 10), formatTime(v.ProposedAtMS), v.Author,
+					v.Hash[:12], v.Reason})
 			}
 			return printTable(w, rows)
 		})}
@@ -298,7 +298,8 @@
 				if c.printJSON {
 					return json.NewEncoder(w).Encode(v)
 				}
-				_, err := fmt.Fprintf(w, "version %d of %s by %s: %s\n", v.Number, formatTime(v.ProposedAtMS), v.Author, v.Reason)
+				_, err := fmt.Fprintf(w, "version %d of %s by %s: %s\n", v.Number,
+					formatTime(v.ProposedAtMS), v.Author, v.Reason)
 				return err
 			})
 		})}
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -238,8 +238,8 @@
 		Cause: "restart"}, Evidence: &zones.View{Note: "held"}}
 	out := consensus.ZoneView{Zone: zones.Zone{Name: "z1", Phase: zones.Evacuated}}
 	in := consensus.ZoneView{Zone: zones.Zone{Name: "z2", Phase: zones.InService}}
-	views := fleetViews{nodes: nodes, policy: consensus.PolicyView{Generation: 2, CommittedVersion: 7, UnknownLeasesMS: 1500,
-		StateLoss: "n3 was told of entry 812"}, zones: &consensus.ZonesView{ClockMS: 9000,
+	views := fleetViews{nodes: nodes, policy: consensus.PolicyView{Generation: 2, CommittedVersion: 7,
+		UnknownLeasesMS: 1500, StateLoss: "n3 was told of entry 812"}, zones: &consensus.ZonesView{ClockMS: 9000,
 		Rules: api.ZoneRules{Mode: api.ZoneModeAuto, MinStepMS: 2000}, Zones: []consensus.ZoneView{ramp, out, in}}}
 	s := views.status()
 	// A step takes 3 s. The share needs two more steps, and 1 s of the current one has passed: 6 + 2 s.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -32,14 +32,16 @@
 		Zone: t.Required("fleet", "zone", "the zone this node is in"), Folder: t.String("fleet", "folder", ""),
 		AdvertiseAddress: t.String("fleet", "at", "")}
 	if len(f.ControlAddresses) == 0 || len(f.ControlAddresses) > maxControlAddresses {
-		t.AddFault("fleet", "control", strconv.Itoa(len(f.ControlAddresses))+" addresses", "1 to 15 of IP:PORT, separated by commas")
+		t.AddFault("fleet", "control", strconv.Itoa(len(f.ControlAddresses))+" addresses",
+			"1 to 15 of IP:PORT, separated by commas")
 	}
 	for _, address := range f.ControlAddresses {
 		if !IsIPPort(address) {
 			t.AddFault("fleet", "control", strconv.Quote(truncate(address)), "IP:PORT")
 		} else if !IsLoopback(address) {
 			// Nodes send plain HTTP/1.1; a local forwarder must encrypt it on the way to another machine.
-			t.AddFault("fleet", "control", strconv.Quote(address), "a loopback address, as heartbeats are not encrypted")
+			t.AddFault("fleet", "control", strconv.Quote(address),
+				"a loopback address, as heartbeats are not encrypted")
 		}
 	}
 	if f.Zone != "" && !IsName(f.Zone) {
--- a/internal/config/ini.go
+++ b/internal/config/ini.go
@@ -169,8 +169,8 @@
 	t.addFault(line, name, found, expected)
 }
 
-// SectionNames returns the names of the sections with a prefix, in the file's order: x for [class x] and the prefix "class".
-// Their sections count as known to Done.
+// SectionNames returns the names of the sections with a prefix, in the file's order: x for [class x] and the prefix
+// "class". Their sections count as known to Done.
 func (t *Text) SectionNames(prefix string) []string {
 	var out []string
 	for _, s := range t.order {
@@ -328,8 +328,8 @@
 	return out
 }
 
-// Finish adds a fault for each section and key that no getter has read, and returns all faults as Faults, or nil if there
-// are none.
+// Finish adds a fault for each section and key that no getter has read, and returns all faults as Faults, or nil if
+// there are none.
 func (t *Text) Finish() error {
 	for _, s := range t.order {
 		if !t.readSections[s] {
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -63,7 +63,8 @@
 
 func formatShare(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-// CheckHandlers checks that the handlers of all pools exist, and that a reserve has at least two handlers to choose from.
+// CheckHandlers checks that the handlers of all pools exist, and that a reserve has at least two handlers to choose
+// from.
 func (n *Node) CheckHandlers(handlers []string) error {
 	known := map[string]bool{}
 	for _, h := range handlers {
--- a/internal/control/api/zones.go
+++ b/internal/control/api/zones.go
@@ -32,7 +32,8 @@
 	MinStepMS      uint64   `json:"hold_ms,omitempty"`     // minimum time at each share of a ramp
 	OrderTTLMS     uint64   `json:"keep_ms,omitempty"`     // how long an order is valid without contact to the group
 	MaxRampDelayMS uint64   `json:"max_wait_ms,omitempty"` // maximum delay of the ramp of a zone that fails repeatedly
-	ColdStart      bool     `json:"small_start,omitempty"` // a fleet most of whose nodes restart begins with InitialShare
+	// a fleet most of whose nodes restart begins with InitialShare
+	ColdStart bool `json:"small_start,omitempty"`
 }
 
 // Enabled reports whether zones are managed.
--- a/internal/control/consensus/fleet_views.go
+++ b/internal/control/consensus/fleet_views.go
@@ -42,7 +42,8 @@
 	Generation       uint64           `json:"generation"`
 	// StateLoss is the proof that nodes know of state that the group lacks; the group then grants no leases.
 	StateLoss string `json:"lost,omitempty"`
-	// UnknownLeasesMS is the time for which nodes may still hold leases of the previous generation that this one does not know.
+	// UnknownLeasesMS is the time for which nodes may still hold leases of the previous generation that this one does
+	// not know.
 	UnknownLeasesMS uint64 `json:"hush_ms,omitempty"`
 }
 
--- a/internal/control/consensus/members_test.go
+++ b/internal/control/consensus/members_test.go
@@ -34,7 +34,8 @@
 	var self InstanceInfo
 	added.request(http.MethodGet, "/v1/self", nil, &self)
 	learner := Member{ID: self.ID, Name: self.Name, Peer: self.Peer, Listen: self.Listen}
-	if code, _ := all[0].request(http.MethodPost, "/v1/members", MemberChange{Op: "add", Member: learner}, nil); code != 200 {
+	if code, _ := all[0].request(http.MethodPost, "/v1/members",
+		MemberChange{Op: "add", Member: learner}, nil); code != 200 {
 		t.Fatalf("add: status %d, want 200", code)
 	}
 	added.await("role learner with the group's state", func(v *View) bool {
@@ -66,8 +67,8 @@
 			continue
 		}
 		other := all[(n+1)%3]
-		if code, _ := other.request(http.MethodPost, "/v1/members", MemberChange{Op: "remove", Member: Member{ID: v.ID}},
-			nil); code != 200 {
+		if code, _ := other.request(http.MethodPost, "/v1/members",
+			MemberChange{Op: "remove", Member: Member{ID: v.ID}}, nil); code != 200 {
 			t.Fatalf("remove: status %d, want 200", code)
 		}
 		if result := other.put("s", 1, 0); result.Outcome != PutCommitted {
--- a/internal/control/consensus/record_collector.go
+++ b/internal/control/consensus/record_collector.go
@@ -33,8 +33,8 @@
 // maxCollectedTexts bounds the distinct texts held. A record has at most two, and most nodes have the same ones.
 const maxCollectedTexts = 64
 
-// StartRecordCollector opens the address that nodes send heartbeats to. onRecord is called for each record received, with the
-// error if it is invalid. The returned error is of the address.
+// StartRecordCollector opens the address that nodes send heartbeats to. onRecord is called for each record received,
+// with the error if it is invalid. The returned error is of the address.
 func StartRecordCollector(listen string, onRecord func(record *api.NodeRecord, err error)) (*RecordCollector, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
--- a/internal/control/consensus/replica_apply.go
+++ b/internal/control/consensus/replica_apply.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// ProcessReady runs ready cycles until raft has nothing more ready: each persists, then sends, then applies. After an error the
-// instance must stop: its memory no longer matches its disk.
+// ProcessReady runs ready cycles until raft has nothing more ready: each persists, then sends, then applies. After an
+// error the instance must stop: its memory no longer matches its disk.
 func (r *Replica) ProcessReady(send func([]*pb.Message)) (ReadyResult, error) {
 	var result ReadyResult
 	for r.node.HasReady() {
--- a/internal/control/consensus/replica_members.go
+++ b/internal/control/consensus/replica_members.go
@@ -68,9 +68,9 @@
 	return false
 }
 
-// ProposeMemberChange proposes a change of members. An applied change shows in Members; a lost proposal is not reported, and the
-// caller proposes again. Errors are ErrBarred, raft.ErrProposalDropped, and a *MemberChangeError if the state does not
-// allow it.
+// ProposeMemberChange proposes a change of members. An applied change shows in Members; a lost proposal is not
+// reported, and the caller proposes again. Errors are ErrBarred, raft.ErrProposalDropped, and a *MemberChangeError if
+// the state does not allow it.
 func (r *Replica) ProposeMemberChange(c MemberChange) error {
 	if r.peers.self.Barred != "" {
 		return ErrBarred
--- a/internal/control/consensus/versions.go
+++ b/internal/control/consensus/versions.go
@@ -79,8 +79,8 @@
 	if hash == h.hash {
 		return PutResult{PutUnchanged, h.last(), ""}
 	}
-	v := Version{Number: h.last() + 1, Parent: h.last(), Hash: hash, Author: p.Author, Reason: p.Reason, ProposedAtMS: p.ProposedAtMS,
-		Index: index, Term: term, Text: string(text)}
+	v := Version{Number: h.last() + 1, Parent: h.last(), Hash: hash, Author: p.Author, Reason: p.Reason,
+		ProposedAtMS: p.ProposedAtMS, Index: index, Term: term, Text: string(text)}
 	if p.Rules > 1 {
 		v.Rules = p.Rules
 	}
--- a/internal/control/coordinator/batch.go
+++ b/internal/control/coordinator/batch.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// maxPendingHeartbeats is the maximum number of heartbeats that wait for a batch, two per node. Beyond it, heartbeats
-	// fail with ErrBusy, so that a leader that can't commit does not run out of memory.
+	// maxPendingHeartbeats is the maximum number of heartbeats that wait for a batch, two per node. Beyond it,
+	// heartbeats fail with ErrBusy, so that a leader that can't commit does not run out of memory.
 	maxPendingHeartbeats = 2 * membership.MaxNodes
 	// maxJoinsPerBatch is the maximum number of joins per batch. At about 150 bytes per join it limits the size of
 	// entries when the whole fleet restarts.
--- a/internal/control/coordinator/batch_timing.go
+++ b/internal/control/coordinator/batch_timing.go
@@ -2,7 +2,8 @@
 
 // Intervals between heartbeat batches, in ms.
 const (
-	// maxBatchIntervalMS is the maximum interval. It bounds the delay of the group's clock and of detecting silent nodes.
+	// maxBatchIntervalMS is the maximum interval. It bounds the delay of the group's clock and of detecting silent
+	// nodes.
 	maxBatchIntervalMS = 1000
 	// minBatchIntervalMS is the minimum interval. It bounds the delay of promises and joins during a policy change.
 	minBatchIntervalMS = 100
--- a/internal/control/coordinator/coldstart.go
+++ b/internal/control/coordinator/coldstart.go
@@ -52,7 +52,8 @@
 	if c.valid && l.nowMS-c.countedAtMS < fleetCountIntervalMS {
 		return c
 	}
-	*c = fleetCount{countedAtMS: l.nowMS, valid: true, byZone: map[string]int{}, warmHeartbeatsMS: c.warmHeartbeatsMS[:0]}
+	*c = fleetCount{countedAtMS: l.nowMS, valid: true, byZone: map[string]int{},
+		warmHeartbeatsMS: c.warmHeartbeatsMS[:0]}
 	for _, n := range s.Fleet.Nodes() {
 		if n.IsOut() {
 			continue
--- a/internal/control/coordinator/coldstart_test.go
+++ b/internal/control/coordinator/coldstart_test.go
@@ -42,7 +42,8 @@
 	// A single node restarts: it is limited until the others have sent a heartbeat, and then released.
 	response := heartbeats("a", "-second-life", 0)["a"]
 	if z := response.Zone; z == nil || z.Share != 16 || z.RateLimit != 1 || response.NextHeartbeatMS > 500 {
-		t.Fatalf("zone order %+v of a restarted node, next heartbeat in %d ms; want share 16, rate limit 1, at most 500 ms",
+		t.Fatalf(
+			"zone order %+v of a restarted node, next heartbeat in %d ms; want share 16, rate limit 1, at most 500 ms",
 			z, response.NextHeartbeatMS)
 	}
 	heartbeats("bcdef", "-first-life", 63_000)
@@ -60,6 +61,7 @@
 	}
 	late := heartbeats("cdef", "-fourth-life", 0)
 	if z := g.state.Zones.Find(zones.WholeFleet); z == nil || z.Phase != zones.Ramping || late["c"].Zone.Share != 16 {
-		t.Fatalf("fleet %+v, zone order %+v after all six restarted; want the fleet ramping and share 16", z, late["c"].Zone)
+		t.Fatalf("fleet %+v, zone order %+v after all six restarted; want the fleet ramping and share 16", z,
+			late["c"].Zone)
 	}
 }
--- a/internal/control/coordinator/errors.go
+++ b/internal/control/coordinator/errors.go
@@ -26,6 +26,7 @@
 // VersionMissingError is returned for a configuration version that the group no longer stores.
 type VersionMissingError struct{ Version uint64 }
 
+// Error names the missing version.
 func (e *VersionMissingError) Error() string {
 	return fmt.Sprintf("version %d is not kept any more", e.Version)
 }
@@ -37,6 +38,7 @@
 	Err      error
 }
 
+// Error describes the entry's expected kind and the decoding error.
 func (e *EntryError) Error() string { return fmt.Sprintf("not %s: %v", e.Expected, e.Err) }
 
 // Unwrap returns the decoding error.
@@ -46,6 +48,7 @@
 // to be started with that build.
 type UnknownKindError struct{ Kind string }
 
+// Error names the unknown kind and the known ones.
 func (e *UnknownKindError) Error() string {
 	return fmt.Sprintf("an entry of kind %q, expected %s, %s or %s", e.Kind, KindHeartbeats, KindPolicy, KindZones)
 }
--- a/internal/control/coordinator/leader.go
+++ b/internal/control/coordinator/leader.go
@@ -130,8 +130,8 @@
 		}
 		l.zoneOps.applied(o, func(op *zones.Op) bool { return op.IdempotencyKey == o.IdempotencyKey })
 	case policy.Result:
-		// An operator's operation stops the timer too, though the leader's own may still be in flight. The leader may then
-		// append its own twice; State.Apply rejects the second.
+		// An operator's operation stops the timer too, though the leader's own may still be in flight. The leader may
+		// then append its own twice; State.Apply rejects the second.
 		l.policyAppendTimer.stop()
 		l.policyOps.applied(o, func(op *policy.Operation) bool { return o.IsOutcomeOf(*op) })
 	}
--- a/internal/control/coordinator/leader_test.go
+++ b/internal/control/coordinator/leader_test.go
@@ -40,7 +40,8 @@
 	r.LeaseID, r.LastClockMS = got[1].LeaseID, g.state.Fleet.ClockMS
 	g.leaders[0].Heartbeat(g.state, r, func(_ api.HeartbeatResponse, _ error) { answered++ })
 	if answered != 1 || g.state.Fleet.Batches != batchesBefore {
-		t.Errorf("heartbeat answered %d times with %d entries, want 1 and 0", answered, g.state.Fleet.Batches-batchesBefore)
+		t.Errorf("heartbeat answered %d times with %d entries, want 1 and 0", answered,
+			g.state.Fleet.Batches-batchesBefore)
 	}
 }
 
@@ -148,7 +149,8 @@
 	}
 	for _, name := range []string{"a", "b"} {
 		if n := g.state.Fleet.Lookup(name); n.OutReason != membership.OutSilent {
-			t.Errorf("%s received no response for 30 s: out reason %q, want %q", name, n.OutReason, membership.OutSilent)
+			t.Errorf("%s received no response for 30 s: out reason %q, want %q", name, n.OutReason,
+				membership.OutSilent)
 		}
 	}
 }
--- a/internal/control/coordinator/loss_evidence.go
+++ b/internal/control/coordinator/loss_evidence.go
@@ -14,8 +14,8 @@
 	// nodesToProveLoss is the number of nodes with evidence of lost state that stops the group. A single node may be
 	// wrong.
 	nodesToProveLoss = 2
-	// evidenceSpanMS is the time for which a node's evidence counts, in ms, long enough for some heartbeats with backoff.
-	// A single faulty node that reports under two names must not stop the group.
+	// evidenceSpanMS is the time for which a node's evidence counts, in ms, long enough for some heartbeats with
+	// backoff. A single faulty node that reports under two names must not stop the group.
 	evidenceSpanMS = 10_000
 )
 
--- a/internal/control/coordinator/loss_test.go
+++ b/internal/control/coordinator/loss_test.go
@@ -37,7 +37,8 @@
 	}
 	otherGroup := func(last *api.GroupPosition) { last.Group, last.Generation = "g0", 1 }
 	if response, err := renew(1, "b", otherGroup); err != nil || response.EndedReason == "" || response.LeaseMS != 0 {
-		t.Fatalf("response %+v (error %v) to a lease of another group, want an ended reason and no lease", response, err)
+		t.Fatalf("response %+v (error %v) to a lease of another group, want an ended reason and no lease", response,
+			err)
 	}
 	aheadOfGroup := func(last *api.GroupPosition) { last.Index += 100 }
 	if _, err := renew(0, "a", aheadOfGroup); err != nil || g.state.Fleet.LostState != "" {
@@ -93,7 +94,8 @@
 	if state.Generation != 2 || state.Fleet.LostState != "" || state.Policy.CommittedVersion != 2 ||
 		state.Zones.Epoch != 8 ||
 		state.Zones.SettledEpoch != 7 || state.Fleet.Lookup("k") == nil {
-		t.Fatalf("generation %d, LostState %q, committed version %d, zone epochs %d settled of %d; want 2, none, 2, 7 of 8",
+		t.Fatalf(
+			"generation %d, LostState %q, committed version %d, zone epochs %d settled of %d; want 2, none, 2, 7 of 8",
 			state.Generation, state.Fleet.LostState,
 			state.Policy.CommittedVersion, state.Zones.SettledEpoch, state.Zones.Epoch)
 	}
@@ -135,7 +137,9 @@
 		for _, response := range got[:2] {
 			renewal := api.HeartbeatRequest{JoinRequest: api.JoinRequest{Name: "x"}, LeaseID: response.LeaseID,
 				LastClockMS: response.ClockMS, Renew: true}
-			g.leaders[0].Heartbeat(g.state, renewal, func(t api.HeartbeatResponse, _ error) { responses[response.LeaseID] = t })
+			g.leaders[0].Heartbeat(g.state, renewal, func(t api.HeartbeatResponse, _ error) {
+				responses[response.LeaseID] = t
+			})
 		}
 		g.run(0, 1000)
 	}
--- a/internal/control/coordinator/rules_test.go
+++ b/internal/control/coordinator/rules_test.go
@@ -109,8 +109,8 @@
 		b.inFlight = nil
 	}
 	if !slices.Equal(got, want) || b.joinsDeferred || len(b.waiting) > 0 {
-		t.Errorf("%d joins in two batches, the last %s, %d waiting; want %d in order of arrival, none waiting", len(got),
-			got[len(got)-1], len(b.waiting), len(want))
+		t.Errorf("%d joins in two batches, the last %s, %d waiting; want %d in order of arrival, none waiting",
+			len(got), got[len(got)-1], len(b.waiting), len(want))
 	}
 }
 
--- a/internal/control/document/document_test.go
+++ b/internal/control/document/document_test.go
@@ -110,7 +110,8 @@
 func TestFollows(t *testing.T) {
 	before := parse(t, exampleDocument)
 	retired := parse(t, strings.Replace(exampleDocument, "window = 20s", "window = 20s\nretired = yes", 1))
-	withoutClass := strings.Replace(exampleDocument, "[class submit]\nkind = uniqued\nvalue = 40\nwindow = 20s\n", "", 1)
+	withoutClass := strings.Replace(exampleDocument,
+		"[class submit]\nkind = uniqued\nvalue = 40\nwindow = 20s\n", "", 1)
 	for _, c := range []struct {
 		name string
 		from *Document
@@ -122,7 +123,8 @@
 		{"retired class removed", retired, withoutClass, ""},
 		{"kind changed", before, strings.Replace(exampleDocument, "kind = non-replayable", "kind = replayable", 1),
 			"class save.kind: found replayable"},
-		{"window shortened", before, strings.Replace(exampleDocument, "20s", "19s", 1), "class submit.window: found 19s"},
+		{"window shortened", before, strings.Replace(exampleDocument, "20s", "19s", 1),
+			"class submit.window: found 19s"},
 		{"window extended", before, strings.Replace(exampleDocument, "20s", "30s", 1), ""},
 		{"first version", nil, exampleDocument, ""},
 	} {
--- a/internal/control/document/parse.go
+++ b/internal/control/document/parse.go
@@ -65,8 +65,8 @@
 // with all errors found.
 func Parse(name string, raw []byte) (*Document, error) { return ParseWithRules(LatestRules, name, raw) }
 
-// ParseWithRules parses a document as Parse does, but under a given version of the rules, so that instances of different
-// builds agree on the result.
+// ParseWithRules parses a document as Parse does, but under a given version of the rules, so that instances of
+// different builds agree on the result.
 func ParseWithRules(rules int, name string, raw []byte) (*Document, error) {
 	t := config.Parse(name, raw)
 	d := &Document{
@@ -148,7 +148,8 @@
 			t.AddFault(s, "", strconv.Quote(name), "a number from 1 on")
 		}
 		if !(l.EnterLoad > l.LeaveLoad && l.LeaveLoad > 0) {
-			t.AddFault(s, "enter", formatNumber(l.EnterLoad)+" and leave "+formatNumber(l.LeaveLoad), "enter above leave above 0")
+			t.AddFault(s, "enter", formatNumber(l.EnterLoad)+" and leave "+formatNumber(l.LeaveLoad),
+				"enter above leave above 0")
 		}
 		sort.Strings(l.Sheds)
 		levels = append(levels, l)
@@ -207,7 +208,8 @@
 func sectionNames(t *config.Text, prefix string, limit int) []string {
 	names := t.SectionNames(prefix)
 	if len(names) > limit {
-		t.AddFault(prefix+" "+names[limit], "", fmt.Sprintf("%d sections", len(names)), fmt.Sprintf("%d at most", limit))
+		t.AddFault(prefix+" "+names[limit], "", fmt.Sprintf("%d sections", len(names)),
+			fmt.Sprintf("%d at most", limit))
 		names = names[:limit]
 	}
 	for _, name := range names {
--- a/internal/control/document/validate.go
+++ b/internal/control/document/validate.go
@@ -21,13 +21,15 @@
 			}
 		}
 		if minShares > 1+shareRounding {
-			t.AddFault("pool "+p.Name, "floor", "floors of "+formatNumber(minShares)+" up to here", "1 at most, all of capacity")
+			t.AddFault("pool "+p.Name, "floor", "floors of "+formatNumber(minShares)+" up to here",
+				"1 at most, all of capacity")
 			break
 		}
 	}
 	for _, tenant := range d.Tenants {
 		if tenantShares += tenant.Share; tenantShares > 1+shareRounding {
-			t.AddFault("tenant "+tenant.Name, "share", "shares of "+formatNumber(tenantShares)+" up to here", "1 at most")
+			t.AddFault("tenant "+tenant.Name, "share",
+				"shares of "+formatNumber(tenantShares)+" up to here", "1 at most")
 			break
 		}
 	}
@@ -71,8 +73,8 @@
 	}
 	for _, c := range d.Classes {
 		if !sheds[c.Name] && !c.Retired && c.Weight < maxWeightShed {
-			t.AddFault(s, "sheds", fmt.Sprintf("a class of value %s while %q of %s is served", formatNumber(maxWeightShed), c.Name,
-				formatNumber(c.Weight)), "all of less value too")
+			t.AddFault(s, "sheds", fmt.Sprintf("a class of value %s while %q of %s is served",
+				formatNumber(maxWeightShed), c.Name, formatNumber(c.Weight)), "all of less value too")
 			return
 		}
 	}
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -145,8 +145,8 @@
 		}
 	}
 	if accepted < 8 || accepted > 24 || longestWaitMS < 8000 || longestWaitMS > maxJoinBackoffMS {
-		t.Errorf("%d of 600 joins accepted, longest backoff %d ms; want 8 to 24, and 8000 to %d ms", accepted, longestWaitMS,
-			maxJoinBackoffMS)
+		t.Errorf("%d of 600 joins accepted, longest backoff %d ms; want 8 to 24, and 8000 to %d ms", accepted,
+			longestWaitMS, maxJoinBackoffMS)
 	}
 }
 
--- a/internal/control/membership/snapshot.go
+++ b/internal/control/membership/snapshot.go
@@ -49,7 +49,8 @@
 	s.LostState, s.lastLeaseID = stored.LostState, stored.LastLeaseID
 	for i, n := range stored.Nodes {
 		if i > 0 && stored.Nodes[i-1].Name >= n.Name {
-			return nil, fmt.Errorf("%w has %q after %q, expected them in order", ErrSnapshot, n.Name, stored.Nodes[i-1].Name)
+			return nil, fmt.Errorf("%w has %q after %q, expected them in order", ErrSnapshot, n.Name,
+				stored.Nodes[i-1].Name)
 		}
 		s.nodes = append(s.nodes, n)
 		s.byName[n.Name] = n
--- a/internal/control/policy/guard.go
+++ b/internal/control/policy/guard.go
@@ -8,26 +8,27 @@
 	// AwaitLeases: commit and settle wait for the leases of older versions. Without it, a change is reported as settled
 	// while an unreachable node still serves under the previous version.
 	AwaitLeases Guard = 1 << iota
-	// FenceOnExpiry: a node stops serving when its lease expires. Without it, the node serves under an outdated version.
+	// FenceOnExpiry: a node stops serving when its lease expires. Without it, the node serves under an outdated
+	// version.
 	FenceOnExpiry
 	// PrepareAll: all nodes that may serve must prepare, not just a majority. Without it, a version is decided under
 	// which some node can't serve.
 	PrepareAll
 	// DecideOnce: a decided change is never aborted. Without it, only the nodes that received the decision activate it.
 	DecideOnce
-	// CurrentIncarnation: a replaced incarnation's lease is not extended and its report is ignored. Without it, a change is
-	// decided by the report of a process that has ended.
+	// CurrentIncarnation: a replaced incarnation's lease is not extended and its report is ignored. Without it, a
+	// change is decided by the report of a process that has ended.
 	CurrentIncarnation
 	// NoDowngrade: a node never activates an older version. Without it, a response of a stale instance downgrades it.
 	NoDowngrade
-	// ShadowEvaluation: a node evaluates a version before it reports it prepared. Without it, a version that sheds everything is
-	// decided.
+	// ShadowEvaluation: a node evaluates a version before it reports it prepared. Without it, a version that sheds
+	// everything is decided.
 	ShadowEvaluation
-	// NewestGeneration: a restored group is a new generation, and nodes follow the newest that they know. Without it, paused
-	// instances of the old group regain nodes, and two groups decide.
+	// NewestGeneration: a restored group is a new generation, and nodes follow the newest that they know. Without it,
+	// paused instances of the old group regain nodes, and two groups decide.
 	NewestGeneration
-	// LossProof: a group that lacks state known to its nodes grants nothing. Without it, a group that was reset to an older
-	// state decides the same change twice.
+	// LossProof: a group that lacks state known to its nodes grants nothing. Without it, a group that was reset to an
+	// older state decides the same change twice.
 	LossProof
 	// ListenFirst: a new leader waits for heartbeats before it grants. Without it, it grants before a node can prove
 	// that the group has lost state.
--- a/internal/control/policy/policy_test.go
+++ b/internal/control/policy/policy_test.go
@@ -72,12 +72,14 @@
 		reason   string
 		left     string
 	}{
-		"all have prepared":               {reports{"a": prepared, "b": prepared, "c": prepared}, false, OpDecide, "", ""},
+		"all have prepared": {reports{"a": prepared, "b": prepared, "c": prepared}, false,
+			OpDecide, "", ""},
 		"one has not reported":            {reports{"a": prepared, "b": prepared}, false, "", "", ""},
 		"one has not reported, timed out": {reports{"a": prepared, "b": prepared}, true, OpDecide, "", "c"},
 		"two have not reported, timed out": {reports{"a": prepared}, true, OpAbort,
 			"not prepared within 5000 ms: b" + silent + ", c" + silent, ""},
-		"one refuses":                       {reports{"a": prepared, "b": refused, "c": prepared}, false, OpDecide, "", "b"},
+		"one refuses": {reports{"a": prepared, "b": refused, "c": prepared}, false,
+			OpDecide, "", "b"},
 		"one refuses, one has not reported": {reports{"a": prepared, "b": refused}, false, "", "", ""},
 		"one refuses, one has not reported, timed out": {reports{"a": prepared, "b": refused}, true, OpAbort,
 			"not prepared within 5000 ms: c" + silent, ""},
@@ -246,9 +248,10 @@
 // TestGuardNames: fault tests disable guards by name. With names and constants in different orders they would disable
 // another guard than the named one.
 func TestGuardNames(t *testing.T) {
-	named := map[string]Guard{"lease": AwaitLeases, "fence": FenceOnExpiry, "prepare-all": PrepareAll, "decide-once": DecideOnce,
-		"incarnation": CurrentIncarnation, "no-way-back": NoDowngrade, "shadow": ShadowEvaluation, "generation": NewestGeneration,
-		"proof": LossProof, "listen-first": ListenFirst, "arrival-order": ArrivalOrder}
+	named := map[string]Guard{"lease": AwaitLeases, "fence": FenceOnExpiry, "prepare-all": PrepareAll,
+		"decide-once": DecideOnce, "incarnation": CurrentIncarnation, "no-way-back": NoDowngrade,
+		"shadow": ShadowEvaluation, "generation": NewestGeneration, "proof": LossProof, "listen-first": ListenFirst,
+		"arrival-order": ArrivalOrder}
 	if len(named) != len(guardNames) || ArrivalOrder != 1<<(len(guardNames)-1) {
 		t.Errorf("%d guard names, want one for each of %d guards", len(guardNames), len(named))
 	}
--- a/internal/control/recovery/plan_test.go
+++ b/internal/control/recovery/plan_test.go
@@ -138,7 +138,8 @@
 		}
 		if !c.wantConflict && (plan.Version != c.wantVersion || plan.SourceVersion != c.wantSource ||
 			plan.Lost.Generation != c.wantGeneration) {
-			t.Errorf("%s: version %d with the text of %d, generation %d; want version %d with the text of %d, generation %d",
+			t.Errorf(
+				"%s: version %d with the text of %d, generation %d; want version %d with the text of %d, generation %d",
 				c.name, plan.Version, plan.SourceVersion, plan.Lost.Generation,
 				c.wantVersion, c.wantSource, c.wantGeneration)
 		}
--- a/internal/control/recovery/unheard.go
+++ b/internal/control/recovery/unheard.go
@@ -55,7 +55,8 @@
 // joinNames lists at most maxNamesInMessage names and counts the others.
 func joinNames(names []string) string {
 	if len(names) > maxNamesInMessage {
-		return fmt.Sprintf("%s and %d more", strings.Join(names[:maxNamesInMessage], ", "), len(names)-maxNamesInMessage)
+		return fmt.Sprintf("%s and %d more", strings.Join(names[:maxNamesInMessage], ", "),
+			len(names)-maxNamesInMessage)
 	}
 	return strings.Join(names, ", ")
 }
--- a/internal/control/recovery/version.go
+++ b/internal/control/recovery/version.go
@@ -91,7 +91,8 @@
 		case len(proven) > 1:
 			chosen := p.chosenText(proven)
 			if chosen == nil {
-				p.plan.Conflict = fmt.Sprintf("version %d goes by %s: name one with --take", version, describeTexts(proven))
+				p.plan.Conflict = fmt.Sprintf("version %d goes by %s: name one with --take", version,
+					describeTexts(proven))
 			}
 			return chosen
 		}
--- a/internal/control/zones/monitor.go
+++ b/internal/control/zones/monitor.go
@@ -78,8 +78,8 @@
 	return report
 }
 
-// LastHeartbeatAt returns the time of the last heartbeat of a node's current incarnation, in ms; 0 if this leader received
-// none.
+// LastHeartbeatAt returns the time of the last heartbeat of a node's current incarnation, in ms; 0 if this leader
+// received none.
 func (m *Monitor) LastHeartbeatAt(node *membership.Node) uint64 {
 	if report := m.reportOf(node); report != nil {
 		return report.receivedAt
--- a/internal/harness/fleet_processes_test.go
+++ b/internal/harness/fleet_processes_test.go
@@ -113,8 +113,8 @@
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
 			expectViolationWithout(t, guard, only, func(seed int64, w io.Writer) (*report.Report, error) {
-				return (&PolicyTest{Seed: seed, Quick: true, Mode: "real", DisabledProcessGuards: guard, Only: only, Size: 6,
-					Program: builtProgram(t)}).Run(context.Background(), w)
+				return (&PolicyTest{Seed: seed, Quick: true, Mode: "real", DisabledProcessGuards: guard, Only: only,
+					Size: 6, Program: builtProgram(t)}).Run(context.Background(), w)
 			})
 		})
 	}
--- a/internal/harness/heartbeat_load.go
+++ b/internal/harness/heartbeat_load.go
@@ -87,8 +87,9 @@
 	rep.AddFigure("crowd_leader_cores", "%.2f", (after.leaderCPU-before.leaderCPU).Seconds()/seconds)
 	rep.AddFigure("crowd_lost", "%d", m.failed.Load())
 	if current.ActiveNodes != heartbeatNodes || m.failed.Load() > m.heartbeats.Load()/100 {
-		rep.SetBroken("steady state: %d of %d nodes active, %d of %d heartbeats failed, want all active and at most 1%% "+
-			"failed", current.ActiveNodes, heartbeatNodes, m.failed.Load(), m.heartbeats.Load())
+		rep.SetBroken(
+			"steady state: %d of %d nodes active, %d of %d heartbeats failed, want all active and at most 1%% "+
+				"failed", current.ActiveNodes, heartbeatNodes, m.failed.Load(), m.heartbeats.Load())
 	}
 	return nil
 }
--- a/internal/harness/policy.go
+++ b/internal/harness/policy.go
@@ -92,8 +92,8 @@
 	var times []float64
 	var overlap int64
 	report.RunSeeds(ctx, r.Seed*1_000_000, n, func(s int64) *simulation.Fleet {
-		f := simulation.NewFleet(simulation.FleetPlan{Seed: s, Nodes: 9 + int(s%7), ControlInstances: 3 + 2*int(s%2), Changes: 5,
-			DisabledGuards: r.DisabledGuards})
+		f := simulation.NewFleet(simulation.FleetPlan{Seed: s, Nodes: 9 + int(s%7), ControlInstances: 3 + 2*int(s%2),
+			Changes: 5, DisabledGuards: r.DisabledGuards})
 		f.Play()
 		return f
 	}, func(s int64, f *simulation.Fleet) bool {
@@ -131,20 +131,22 @@
 			part     string
 			down     float64
 			baseline string
-		}{{"calm", 0, ""}, {"a third down", 0.33, ""}, {"a third down, each as it comes", 0.33, simulation.BaselineImmediate},
+		}{{"calm", 0, ""}, {"a third down", 0.33, ""},
+			{"a third down, each as it comes", 0.33, simulation.BaselineImmediate},
 			{"a third down, majority", 0.33, simulation.BaselineMajority}} {
 			if ctx.Err() != nil {
 				return
 			}
 			started := time.Now()
-			f := simulation.NewFleet(simulation.FleetPlan{Seed: r.Seed, Nodes: n, ControlInstances: 3, Changes: 3, NoFaults: true,
-				PartitionedFraction: c.down, Baseline: c.baseline,
+			f := simulation.NewFleet(simulation.FleetPlan{Seed: r.Seed, Nodes: n, ControlInstances: 3, Changes: 3,
+				NoFaults: true, PartitionedFraction: c.down, Baseline: c.baseline,
 				LeaseMS: 10_000, FaultSpanMS: 60_000})
 			f.Play()
 			if f.Broken != "" {
 				rep.SetBroken("%d nodes, %s: %s", n, c.part, f.Broken)
 			}
-			r.addRow(rep, "virtual, "+c.part, n, len(f.CommitTimesMS), f.ChangesByStep, f.CommitTimesMS, f.LongestOverlap)
+			r.addRow(rep, "virtual, "+c.part, n, len(f.CommitTimesMS), f.ChangesByStep,
+				f.CommitTimesMS, f.LongestOverlap)
 			if c.baseline == "" {
 				seconds := f.Now / 1000
 				rep.Notes = append(rep.Notes, fmt.Sprintf(
--- a/internal/harness/policy_fixture.go
+++ b/internal/harness/policy_fixture.go
@@ -240,6 +240,7 @@
 // historyLimits returns the limits of the history: versions overlap for a lease as the group counts it and 200 ms at
 // most, for the precision of logs and a heartbeat interval.
 func (b *policyFixture) historyLimits() simulation.FleetInvariants {
-	return simulation.FleetInvariants{MaxOverlap: int64(membership.LeaseSpanMS(uint64(b.lease.Milliseconds())))*10 + 2000,
-		Fences: b.whenAlone == "fence"}
+	return simulation.FleetInvariants{
+		MaxOverlap: int64(membership.LeaseSpanMS(uint64(b.lease.Milliseconds())))*10 + 2000,
+		Fences:     b.whenAlone == "fence"}
 }
--- a/internal/harness/raft.go
+++ b/internal/harness/raft.go
@@ -77,7 +77,8 @@
 	steps, calls, terms, played, violations := 0, 0, 0, 0, 0
 	report.RunSeeds(ctx, r.Seed*1000003, n, func(s int64) simulation.Result {
 		size := r.groupSize(s)
-		return simulation.Play(s, size, simulation.DrawFaults(s, size, simulation.ScheduleMilliseconds), r.DisabledGuards, nil)
+		return simulation.Play(s, size, simulation.DrawFaults(s, size, simulation.ScheduleMilliseconds),
+			r.DisabledGuards, nil)
 	}, func(_ int64, res simulation.Result) bool {
 		played, steps, calls, terms = played+1, steps+res.Steps, calls+res.Calls, terms+res.Terms
 		if res.Broken != "" {
--- a/internal/harness/zones.go
+++ b/internal/harness/zones.go
@@ -114,8 +114,8 @@
 
 // playFailure runs one kind of zone failure with the fleet's evacuation, with the baselines and with an oracle.
 func (r *ZonesTest) playFailure(rep *report.Report, n int, load float64, kind string) {
-	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n, Faults: []string{kind}, FaultStartMS: 15_000, FaultEndMS: 45_000,
-		EndMS: 220_000, Load: load}
+	base := simulation.ZonePlan{Seed: r.Seed, Nodes: n, Faults: []string{kind}, FaultStartMS: 15_000,
+		FaultEndMS: 45_000, EndMS: 220_000, Load: load}
 	for _, v := range playVariants(base, []zoneVariant{{"the fleet", func(*simulation.ZonePlan) {}},
 		{"nodes alone", func(p *simulation.ZonePlan) { p.NoEvacuation = true }},
 		{"each by its own", func(p *simulation.ZonePlan) { p.SelfEjection = true }},
@@ -146,7 +146,8 @@
 			}
 		}
 		rep.Rows = append(rep.Rows, []string{"virtual, " + kind, strconv.Itoa(n), fmt.Sprintf("%.2f", load), v.name,
-			fmt.Sprintf("%.4f", v.CompletedWeight/v.OfferedWeight), delay(v.EvacuationDelaysMS), delay(v.RecoveryTimesMS),
+			fmt.Sprintf("%.4f", v.CompletedWeight/v.OfferedWeight), delay(v.EvacuationDelaysMS),
+			delay(v.RecoveryTimesMS),
 			fmt.Sprintf("%d/%d", v.RampSteps, v.StepsBack), peak})
 	}
 }
--- a/internal/harness/zones_cost.go
+++ b/internal/harness/zones_cost.go
@@ -277,7 +277,8 @@
 		rep.Rows = append(rep.Rows, append([]string{name, "9", strconv.Itoa(zoneRate) + "/s", run.variant.name},
 			p.formatCells(run.variant, failure, &run.costs[i])...))
 		if run.variant.name == p.boundedVariant && run.costs[i].peakLoad > 1 {
-			rep.SetBroken("seed %d, %s: peak load of a store is %.2f of its capacity during the recovery, want at most 1",
+			rep.SetBroken(
+				"seed %d, %s: peak load of a store is %.2f of its capacity during the recovery, want at most 1",
 				run.seed, failure, run.costs[i].peakLoad)
 		}
 	}
--- a/internal/harness/zones_fixture.go
+++ b/internal/harness/zones_fixture.go
@@ -34,7 +34,8 @@
 	extra := fmt.Sprintf("[zones]\ndecide = %s\nfirst = 0.125\nhold = 500ms\nkeep = 2s\nmax_wait = 4s\n"+
 		"small_start = %s\n", mode, smallStart)
 	b, err := newPolicyFixture(ctx, FleetProcessesConfig{Program: r.Program, Dir: dir, Seed: r.Seed,
-		Nodes: cmp.Or(r.Size, defaultFleetSize), DisabledGuards: r.DisabledProcessGuards, WithStores: true}, whenAlone, extra)
+		Nodes: cmp.Or(r.Size, defaultFleetSize), DisabledGuards: r.DisabledProcessGuards, WithStores: true}, whenAlone,
+		extra)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/agent/agent_test.go
+++ b/internal/node/agent/agent_test.go
@@ -321,14 +321,15 @@
 		t.Fatal(err)
 	}
 	if ok, _ := d.agent.MayServe(d.now + 3000); !ok || d.agent.ActiveVersion() != 2 {
-		t.Fatalf("under the new lease: MayServe() = %v, active version %d, want true and 2", ok, d.agent.ActiveVersion())
+		t.Fatalf("under the new lease: MayServe() = %v, active version %d, want true and 2", ok,
+			d.agent.ActiveVersion())
 	}
 	// Instances of an earlier generation that still run, and other groups, are not followed.
 	for name, response := range map[string]api.HeartbeatResponse{
 		"earlier generation": {Cluster: "g", Generation: 1, Term: 90, Index: 9000, DecidedVersion: 2,
 			CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}},
-		"another group of the same generation": {Cluster: "g7", Generation: 2, Predecessors: []string{"g"}, DecidedVersion: 2,
-			CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}},
+		"another group of the same generation": {Cluster: "g7", Generation: 2, Predecessors: []string{"g"},
+			DecidedVersion: 2, CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}},
 		"unrelated group": {Cluster: "g8", Generation: 3, Predecessors: []string{"g7"}, DecidedVersion: 2,
 			CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}}} {
 		d.nextHeartbeat()
@@ -350,8 +351,8 @@
 	unguarded := startAgent(t, &Record{Cluster: "g2", Generation: 2, ActiveVersion: 2, ActiveHash: "h2", MinVersion: 2},
 		policy.NewestGeneration)
 	unguarded.nextHeartbeat()
-	if err := unguarded.handleResponse(api.HeartbeatResponse{Cluster: "g", Generation: 1, Index: 9000, DecidedVersion: 2,
-		CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}}); err != nil {
+	if err := unguarded.handleResponse(api.HeartbeatResponse{Cluster: "g", Generation: 1, Index: 9000,
+		DecidedVersion: 2, CommittedVersion: api.VersionHash{Version: 2, Hash: "h2"}}); err != nil {
 		t.Errorf("without the guard: HandleResponse() of an earlier generation = %v, want nil", err)
 	}
 }
@@ -362,8 +363,8 @@
 	d := startAgent(t, nil, 0)
 	d.join(2, false)
 	d.nextHeartbeat()
-	if err := d.handleResponse(api.HeartbeatResponse{CollectRecord: true}); err != nil || !d.agent.TakeRecordRequest() ||
-		d.agent.TakeRecordRequest() {
+	if err := d.handleResponse(api.HeartbeatResponse{CollectRecord: true}); err != nil ||
+		!d.agent.TakeRecordRequest() || d.agent.TakeRecordRequest() {
 		t.Fatalf("HandleResponse() = %v, want nil and one request for the record", err)
 	}
 	if ok, _ := d.agent.MayServe(d.now); !ok || d.agent.MinVersion() != 2 {
@@ -390,8 +391,8 @@
 	if h := d.request.LastSeen; h == nil || h.Generation != 3 || h.EntryChecksum != 77 {
 		t.Fatalf("LastSeen = %+v, want generation 3 and entry checksum 77", h)
 	}
-	if err := d.handleResponse(api.HeartbeatResponse{Cluster: "g4", Generation: 3, Predecessors: []string{"g", "g2", "g3"},
-		Term: 1, Index: 9}); err == nil {
+	if err := d.handleResponse(api.HeartbeatResponse{Cluster: "g4", Generation: 3,
+		Predecessors: []string{"g", "g2", "g3"}, Term: 1, Index: 9}); err == nil {
 		t.Error("HandleResponse() of another group of the same generation = nil, want an error")
 	}
 }
--- a/internal/node/agent/heartbeat.go
+++ b/internal/node/agent/heartbeat.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// minHeartbeatInterval is the shortest interval between two heartbeats, so that a faulty instance can't cause a flood.
+	// minHeartbeatInterval is the shortest interval between two heartbeats, so that a faulty instance can't cause a
+	// flood.
 	minHeartbeatInterval Milliseconds = 50
 	// heartbeatTimeout is the longest response time. The leader commits a batch of renewals each second.
 	heartbeatTimeout Milliseconds = 1500
--- a/internal/node/agent/instances.go
+++ b/internal/node/agent/instances.go
@@ -6,7 +6,8 @@
 	firstBackoff Milliseconds = 100
 	// maxBackoff is well within the default lease of 10 s, in which a node has to find an instance that has recovered.
 	maxBackoff Milliseconds = 3000
-	// untrustedBackoff follows an untrusted response: a misconfigured or damaged instance doesn't recover within a lease.
+	// untrustedBackoff follows an untrusted response: a misconfigured or damaged instance doesn't recover within a
+	// lease.
 	untrustedBackoff Milliseconds = 60_000
 )
 
--- a/internal/node/agent/record.go
+++ b/internal/node/agent/record.go
@@ -5,9 +5,10 @@
 // Record is the state that a node with a disk stores, so that after a restart it has its versions and doesn't follow an
 // earlier generation of its group. Later versions of this program read its JSON.
 type Record struct {
-	Cluster       string `json:"cluster"`
-	Generation    uint64 `json:"generation,omitempty"`
-	Term          uint64 `json:"term,omitempty"`  // last seen when the record was written, as are Index and EntryChecksum
+	Cluster    string `json:"cluster"`
+	Generation uint64 `json:"generation,omitempty"`
+	// last seen when the record was written, as are Index and EntryChecksum
+	Term          uint64 `json:"term,omitempty"`
 	Index         uint64 `json:"index,omitempty"` // in the group's log
 	EntryChecksum uint64 `json:"sum,omitempty"`   // of the log's entry at Index
 
--- a/internal/node/agent/response.go
+++ b/internal/node/agent/response.go
@@ -68,8 +68,8 @@
 		h.bringForward(a.lease.renewAt)
 	}
 	if h.renews && !granted {
-		// The leader did not extend the lease, as the heartbeat promised an older version or zone epoch than the decided
-		// one. This response had the newer one, so the next heartbeat is sent at once.
+		// The leader did not extend the lease, as the heartbeat promised an older version or zone epoch than the
+		// decided one. This response had the newer one, so the next heartbeat is sent at once.
 		a.lease.renewAt = now
 	}
 	if hasPromise || a.lease.renewAt <= now {
--- a/internal/node/agent/versions.go
+++ b/internal/node/agent/versions.go
@@ -113,8 +113,8 @@
 	a.prune()
 }
 
-// RejectVersion records the node's vote against a version. permanent: the node can't serve under it at all; otherwise it only
-// failed its trial and is still activated if committed.
+// RejectVersion records the node's vote against a version. permanent: the node can't serve under it at all; otherwise
+// it only failed its trial and is still activated if committed.
 func (a *Agent) RejectVersion(now Milliseconds, version uint64, reason string, permanent bool) {
 	a.versions.rejected = rejection{version: version, reason: reason, permanent: permanent}
 	a.heartbeat.bringForward(now)
--- a/internal/node/overlay/overlay.go
+++ b/internal/node/overlay/overlay.go
@@ -76,8 +76,8 @@
 		b.addConflict("class %s.kind: found %s, expected the platform's", class.Name, class.Kind)
 	}
 	if timeout := toAdmissionTime(class.Timeout); timeout > handler.Timeout {
-		b.addConflict("class %s.client_timeout: found %s, expected at most the platform's %s", class.Name, class.Timeout,
-			toDuration(handler.Timeout))
+		b.addConflict("class %s.client_timeout: found %s, expected at most the platform's %s", class.Name,
+			class.Timeout, toDuration(handler.Timeout))
 	} else if timeout > 0 {
 		handler.Timeout = timeout
 	}
@@ -107,7 +107,8 @@
 		return
 	}
 	if other, assigned := b.classOfPool[class.Pool]; assigned {
-		b.addConflict("pool %s: found classes %s and %s in it, expected one here, as run slots are set apart by handler",
+		b.addConflict(
+			"pool %s: found classes %s and %s in it, expected one here, as run slots are set apart by handler",
 			class.Pool, other, class.Name)
 	}
 	b.classOfPool[class.Pool] = class.Name
--- a/internal/node/overlay/overlay_test.go
+++ b/internal/node/overlay/overlay_test.go
@@ -82,7 +82,8 @@
 	}
 	if got, err = Apply(5, base, doc, true); err != nil || got.PoolClasses[0].MinFraction != 0.1 ||
 		got.PoolClasses[1].MaxFraction != 1 {
-		t.Errorf("Apply() with pools = %+v, %v; want minimum fraction 0.1 of handler 0 and maximum fraction 1 of handler 1",
+		t.Errorf(
+			"Apply() with pools = %+v, %v; want minimum fraction 0.1 of handler 0 and maximum fraction 1 of handler 1",
 			got, err)
 	}
 }
--- a/internal/node/pools/limits.go
+++ b/internal/node/pools/limits.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// cutFactor multiplies a limit that is cut; growthFactor is a growth as a fraction of the limit. A cut is larger than
-	// a growth, so that two classes that starve each other settle below what both need.
+	// cutFactor multiplies a limit that is cut; growthFactor is a growth as a fraction of the limit. A cut is larger
+	// than a growth, so that two classes that starve each other settle below what both need.
 	cutFactor    = 0.85
 	growthFactor = 0.1
 	// starvedMissFraction is the fraction of a class's recent arrivals that were shed or late from which it may be
--- a/internal/node/pools/pools_test.go
+++ b/internal/node/pools/pools_test.go
@@ -233,8 +233,8 @@
 	s.load(20, []float64{40, 10, 5}, constantWork(20, 200, 400))
 	for k := range s.pools.classes {
 		if !math.IsInf(s.pools.classes[k].limit, 1) || s.pools.classes[k].startedOverLimit > 0 || s.shed[k] > 0 {
-			t.Errorf("class %d: %+v with %d shed, want no limit, no start over it and none shed", k, s.pools.Status()[k],
-				s.shed[k])
+			t.Errorf("class %d: %+v with %d shed, want no limit, no start over it and none shed", k,
+				s.pools.Status()[k], s.shed[k])
 		}
 	}
 }
@@ -250,7 +250,8 @@
 		}
 		return []Time{20, 100}[class] * 10
 	}
-	s := newTestServer(t, 12, Config{Classes: []Class{{Name: "view"}, {Name: "save", MaxFraction: 0.5, FixedLimit: true}},
+	s := newTestServer(t, 12, Config{Classes: []Class{{Name: "view"},
+		{Name: "save", MaxFraction: 0.5, FixedLimit: true}},
 		Tenants: 1})
 	s.load(6, []float64{40, 30}, work)
 	someHeavy = true
--- a/internal/node/pools/reserve.go
+++ b/internal/node/pools/reserve.go
@@ -44,7 +44,8 @@
 	}
 	c := &p.classes[cheapest]
 	if cheapest != p.reserve.class {
-		p.logChange(fmt.Sprintf("reserve: assigned to %s, median work %.1f ms", c.Name, c.cost.median/timePerMillisecond))
+		p.logChange(fmt.Sprintf("reserve: assigned to %s, median work %.1f ms", c.Name,
+			c.cost.median/timePerMillisecond))
 	}
 	need := int(math.Ceil(reserveBurstFactor * c.arrivals.rate(now) * c.cost.p95 / float64(Second)))
 	p.reserve = reserve{cheapest, max(1, min(need, int(maxReserveFraction*float64(p.slots))))}
--- a/internal/node/resultstore/limits.go
+++ b/internal/node/resultstore/limits.go
@@ -32,8 +32,8 @@
 		return fmt.Errorf("%w: result: found %d bytes, expected 0 to %d", ErrInvalidLimits, l.ResultBytes,
 			maxResultBytes)
 	case l.Bytes < l.runBytes():
-		return fmt.Errorf("%w: bytes: found %d, expected at least %d, the records of one run", ErrInvalidLimits, l.Bytes,
-			l.runBytes())
+		return fmt.Errorf("%w: bytes: found %d, expected at least %d, the records of one run", ErrInvalidLimits,
+			l.Bytes, l.runBytes())
 	}
 	return nil
 }
--- a/internal/node/resultstore/resultstore_test.go
+++ b/internal/node/resultstore/resultstore_test.go
@@ -86,9 +86,10 @@
 		if v, _ := index.Decide(now, testKey(1), 5); v != want {
 			t.Fatalf("at %d, state %s: Decide() = %s, want %s", now, index.Lookup(now, testKey(1)), v, want)
 		}
-		if v, _ := index.Decide(now, testKey(1), 6); want == WaitForResult && v != RejectConflict || want != WaitForResult &&
-			want != Execute && v != RejectMismatch {
-			t.Fatalf("at %d: Decide() with another body = %s, want a rejection where the same body gets %s", now, v, want)
+		if v, _ := index.Decide(now, testKey(1), 6); want == WaitForResult && v != RejectConflict ||
+			want != WaitForResult && want != Execute && v != RejectMismatch {
+			t.Fatalf("at %d: Decide() with another body = %s, want a rejection where the same body gets %s", now, v,
+				want)
 		}
 	}
 	check(index, 0, Execute)
@@ -115,8 +116,10 @@
 		verdict Verdict // before the window is over
 	}{{[]Record{intent}, Indeterminate, ReturnError}, {[]Record{intent, result}, Completed, ReturnResult},
 		{[]Record{result}, Completed, ReturnResult},
-		{[]Record{intent, {Kind: Failure, Key: testKey(1), BodyDigest: 5, At: 10, Window: window}}, Failed, ReturnError},
-		{[]Record{intent, {Kind: NotExecuted, Key: testKey(1), BodyDigest: 5, At: 10, Window: window}}, Unknown, Execute}} {
+		{[]Record{intent, {Kind: Failure, Key: testKey(1), BodyDigest: 5, At: 10, Window: window}}, Failed,
+			ReturnError},
+		{[]Record{intent, {Kind: NotExecuted, Key: testKey(1), BodyDigest: 5, At: 10, Window: window}},
+			Unknown, Execute}} {
 		for _, sameBoot := range []bool{true, false} {
 			restarted := NewIndex(testLimits)
 			now, expiresAt := uint64(400), c.records[len(c.records)-1].At+window
@@ -255,8 +258,8 @@
 			}
 			for i := range index.table.slots {
 				if e := &index.table.slots[i]; e.state != Unknown && index.isLive(now, e) && e.position < released {
-					t.Fatalf("seed %d, at %d: released positions below %d, want at most %d, of a key that is %s", seed, now,
-						released, e.position, e.state)
+					t.Fatalf("seed %d, at %d: released positions below %d, want at most %d, of a key that is %s", seed,
+						now, released, e.position, e.state)
 				}
 			}
 		}
@@ -336,7 +339,8 @@
 				n := r.Intn(12)
 				v, position := index.Decide(now, testKey(n), 1)
 				if at, before := ranAt[n]; before && v != Execute && now-at > window && now > openedAt+window {
-					t.Fatalf("seed %d, restart %d: key %d is known %d ms after its run and %d ms after the start, want at most %d",
+					t.Fatalf(
+						"seed %d, restart %d: key %d is known %d ms after its run and %d ms after the start, want at most %d",
 						seed, restart, n, now-at, now-openedAt, window)
 				}
 				switch v {
@@ -350,8 +354,8 @@
 					errorsReturned++
 				case Execute:
 					if at, before := ranAt[n]; before && now-at < window {
-						t.Fatalf("seed %d, restart %d: key %d runs at %d and ran at %d, want no run inside the window", seed,
-							restart, n, now, at)
+						t.Fatalf("seed %d, restart %d: key %d runs at %d and ran at %d, want no run inside the window",
+							seed, restart, n, now, at)
 					}
 					rec := index.Begin(now, testKey(n), 1, window)
 					if step == steps-1 && r.Intn(3) == 0 {
--- a/internal/node/resultstore/salvage_test.go
+++ b/internal/node/resultstore/salvage_test.go
@@ -105,7 +105,8 @@
 	}
 	t.Logf("results intact = %d, keys lost = %d, starts interrupted = %d", intact, lost, interrupted)
 	if lost == 0 || lost > intact/20 || interrupted < 50 {
-		t.Errorf("results intact = %d, keys lost = %d, starts interrupted = %d, want some, at most 5%% lost, at least 50",
+		t.Errorf(
+			"results intact = %d, keys lost = %d, starts interrupted = %d, want some, at most 5%% lost, at least 50",
 			intact, lost, interrupted)
 	}
 }
--- a/internal/node/server/discovery_link.go
+++ b/internal/node/server/discovery_link.go
@@ -26,8 +26,8 @@
 	c.reportPending = true
 	if c.reportOutstanding {
 		// Guards against matching a late response to the wrong report: the next report is sent on a new link, without
-		// backoff, as this happens only when a report is due or readiness changes. See row "discovery: report unanswered,
-		// half answered, refused, link cut" in docs/design/shutdown.md.
+		// backoff, as this happens only when a report is due or readiness changes. See row "discovery: report
+		// unanswered, half answered, refused, link cut" in docs/design/shutdown.md.
 		l.closeLink(&c.link, nil)
 		return
 	}
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -19,8 +19,8 @@
 	// minListenTime is the minimum time from the start of the drain to the close of the listener: clients learn from
 	// service discovery that the node leaves.
 	minListenTime = 2 * admission.Second
-	// finalCloseMargin is the time before responseDeadline at which idle connections are closed even with incomplete input; the
-	// controller's last decisions come after it.
+	// finalCloseMargin is the time before responseDeadline at which idle connections are closed even with incomplete
+	// input; the controller's last decisions come after it.
 	finalCloseMargin = admission.Second / 20
 	// drainCheckInterval is the interval between checks whether the drain is over.
 	drainCheckInterval = admission.Second / 100
--- a/internal/node/server/fleet_agent.go
+++ b/internal/node/server/fleet_agent.go
@@ -159,7 +159,8 @@
 	f.loadStoredVersions()
 	f.gate = zonegate.NewGate(handlers, agentConf.JitterSeed)
 	f.gate.SetOrder(f.clock(), f.agent.ZoneOrder())
-	log.WithFields(logrus.Fields{logging.Node: agentConf.Name, logging.Zone: agentConf.Zone, logging.Address: c.ControlAddresses}).
+	log.WithFields(logrus.Fields{logging.Node: agentConf.Name, logging.Zone: agentConf.Zone,
+		logging.Address: c.ControlAddresses}).
 		Info(logFleetJoining)
 	return f, nil
 }
--- a/internal/node/server/fleet_agent_test.go
+++ b/internal/node/server/fleet_agent_test.go
@@ -126,7 +126,8 @@
 	response := wire.Response{}
 	if got := f.rejection(0, request, "", &response); got != nodeFenced || response.RetryAfterMS != 1500 ||
 		f.ready() {
-		t.Errorf("without a lease: rejection() = %v, response %+v, takesTraffic() = %v, want %v, Retry-After 1500 ms, false",
+		t.Errorf(
+			"without a lease: rejection() = %v, response %+v, takesTraffic() = %v, want %v, Retry-After 1500 ms, false",
 			got, response, f.ready(), nodeFenced)
 	}
 	tickUntil("serving", func() bool { return !f.fenced })
--- a/internal/node/server/fleet_record.go
+++ b/internal/node/server/fleet_record.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// recordRetryDelay is the wait after a failed write of the record, in ms. Guards against a write loop on a full disk.
+	// recordRetryDelay is the wait after a failed write of the record, in ms. Guards against a write loop on a full
+	// disk.
 	recordRetryDelay agent.Milliseconds = 1000
 	// sendRecordTimeout fits a record of the maximum size on a slow network.
 	sendRecordTimeout = 20 * time.Second
@@ -178,7 +179,8 @@
 		ActiveText: r.ActiveText, MinVersion: r.MinVersion, Autonomous: r.ActiveAutonomous,
 		LeaseMS: f.agent.LeaseDuration()}
 	if r.PreparedVersion > r.ActiveVersion {
-		record.PreparedVersion, record.PreparedHash, record.PreparedText = r.PreparedVersion, r.PreparedHash, r.PreparedText
+		record.PreparedVersion, record.PreparedHash, record.PreparedText =
+			r.PreparedVersion, r.PreparedHash, r.PreparedText
 	}
 	for n, v := range f.versions.available { // at most one beside the active version
 		if n > r.ActiveVersion && record.PreparedVersion == 0 {
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -33,8 +33,8 @@
 	peerDiscovery
 )
 
-// dialAttempt is one dial and its connection. The loop's goroutine owns it, except for parser, which the connection's own
-// goroutine calls. It ends when the connection closes or the dial is replaced.
+// dialAttempt is one dial and its connection. The loop's goroutine owns it, except for parser, which the connection's
+// own goroutine calls. It ends when the connection closes or the dial is replaced.
 type dialAttempt struct {
 	peer      int     // peerKernel, peerStore or peerDiscovery
 	storeConn handle  // the store connection, for peerStore
@@ -49,9 +49,9 @@
 	notBefore admission.Time // earliest time of the next dial
 }
 
-// recordFailure doubles the delay, within MinBackoff and MaxBackoff, and draws half of the wait at random. Guards against
-// servers that lost the same peer at the same time and reconnect to it together. See row "socket, connect: any" in
-// docs/design/failures.md.
+// recordFailure doubles the delay, within MinBackoff and MaxBackoff, and draws half of the wait at random. Guards
+// against servers that lost the same peer at the same time and reconnect to it together. See row "socket, connect: any"
+// in docs/design/failures.md.
 func (b *backoff) recordFailure(now admission.Time, limits *Limits) {
 	b.delay = min(max(2*b.delay, limits.MinBackoff), limits.MaxBackoff)
 	b.notBefore = now + b.delay/2 + admission.Time(rand.Int64N(int64(b.delay/2)+1))
@@ -126,8 +126,8 @@
 			return err
 		})
 		if !c.IsActive() {
-			// The connection ended before its close callback was set: Close runs it now. See row "connection that ends as
-			// it is set up" in docs/design/shutdown.md.
+			// The connection ended before its close callback was set: Close runs it now. See row "connection that ends
+			// as it is set up" in docs/design/shutdown.md.
 			_ = c.Close()
 		}
 	}()
--- a/internal/node/server/loop_time.go
+++ b/internal/node/server/loop_time.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// arrivalBounds converts the Unix time in a request to the loop's time of its arrival. After a step of the wall clock the
-// result is ambiguous: the arrival is between earliest and latest, and each use takes the bound that is safe for it.
-// See row "wall clock stepped" in docs/design/shutdown.md.
+// arrivalBounds converts the Unix time in a request to the loop's time of its arrival. After a step of the wall clock
+// the result is ambiguous: the arrival is between earliest and latest, and each use takes the bound that is safe for
+// it. See row "wall clock stepped" in docs/design/shutdown.md.
 func (l *loop) arrivalBounds(unixMilliseconds int64) (earliest, latest admission.Time, ok bool) {
 	const latestStamp = int64(1<<62) / int64(time.Millisecond) // past the year 2100; guards against overflow
 	if unixMilliseconds > latestStamp {
--- a/internal/node/server/pools_test.go
+++ b/internal/node/server/pools_test.go
@@ -26,7 +26,8 @@
 	}
 	n.writeOperatorFile("[pool act]\ncap = 2\n")
 	n.cmd.Process.Signal(syscall.SIGHUP)
-	if !n.waitForLog(`msg="start-up file not taken, the old one stays" error="` + n.operatorFile + ":2: pool act.cap: found ") {
+	if !n.waitForLog(`msg="start-up file not taken, the old one stays" error="` + n.operatorFile +
+		":2: pool act.cap: found ") {
 		t.Fatal("log has no error for an invalid operator's file")
 	}
 	n.writeOperatorFile("[log]\nform = text\n")
--- a/internal/node/server/result_attempt.go
+++ b/internal/node/server/result_attempt.go
@@ -184,9 +184,9 @@
 	k.host.answer(h, r, wire.Response{Status: wire.StatusOK, Body: result})
 }
 
-// answerOverdue answers a request that still waits for the disk at its response deadline. Guards against a hung disk that
-// would leave a client without a response. A request that waits for its intent holds a run slot and is answered by the
-// controller. See row "request out of time" in docs/design/shutdown.md.
+// answerOverdue answers a request that still waits for the disk at its response deadline. Guards against a hung disk
+// that would leave a client without a response. A request that waits for its intent holds a run slot and is answered by
+// the controller. See row "request out of time" in docs/design/shutdown.md.
 func (k *resultKeeper) answerOverdue(h handle) {
 	r := k.host.requestByHandle(h)
 	if r == nil || !r.awaitsResponse() {
--- a/internal/node/server/result_fault.go
+++ b/internal/node/server/result_fault.go
@@ -31,8 +31,8 @@
 const (
 	// diskHangDuration exceeds the time that a loaded machine needs for some requests.
 	diskHangDuration = 3500 * time.Millisecond
-	// responseFlushDelay is the wait before a kill at faultBeforeSync, in which responses that don't wait for the disk are
-	// sent.
+	// responseFlushDelay is the wait before a kill at faultBeforeSync, in which responses that don't wait for the disk
+	// are sent.
 	responseFlushDelay = 20 * time.Millisecond
 )
 
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -44,8 +44,8 @@
 const (
 	// stallLimit is the maximum time that a record waits for the disk before new keys are rejected.
 	stallLimit = 400 * admission.Second / 1000
-	// fullBackoff is the time for which new keys are rejected after an attempt found no room or a record was lost, so that
-	// a full disk is not tried with each request.
+	// fullBackoff is the time for which new keys are rejected after an attempt found no room or a record was lost, so
+	// that a full disk is not tried with each request.
 	fullBackoff = admission.Second
 	// maxOpeningWait is the maximum time that an attempt waits for the folder to be read.
 	maxOpeningWait = admission.Second
@@ -55,7 +55,8 @@
 	responseMargin = admission.Second / 50
 	// reopenDelay is the wait before another attempt to open the folder.
 	reopenDelay = time.Second
-	// maxPendingReads is the maximum number of queued reads of results; past it an attempt of a known key gets an error.
+	// maxPendingReads is the maximum number of queued reads of results; past it an attempt of a known key gets an
+	// error.
 	maxPendingReads = 256
 	// segmentBytes is the size of the log's files; expired records are deleted by whole files.
 	segmentBytes = 8 << 20
@@ -187,7 +188,8 @@
 	err error) {
 	if err != nil {
 		if k.openError == nil || k.openError.Error() != err.Error() {
-			k.log.WithFields(logrus.Fields{logging.File: k.config.Folder, logging.Error: err}).Error(logResultsNotOpened)
+			k.log.WithFields(logrus.Fields{logging.File: k.config.Folder, logging.Error: err}).
+				Error(logResultsNotOpened)
 		}
 		k.openError = err
 		k.open(reopenDelay)
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -266,12 +266,14 @@
 		h, r := l.newKeyedRun("a")
 		r.keyed = newKeyedRequest("put", nil, []byte("a"), []byte(c.body))
 		l.results.begin(h, r)
-		if r.runCommand != 0 || r.run != runFinished || l.counters.Rejected != c.rejected || l.counters.Failed != c.failed {
+		if r.runCommand != 0 || r.run != runFinished || l.counters.Rejected != c.rejected ||
+			l.counters.Failed != c.failed {
 			t.Errorf("body %q: run command %d, run state %v, rejected %d, failed %d, want 0, %v, %d, %d", c.body,
 				r.runCommand, r.run, l.counters.Rejected, l.counters.Failed, runFinished, c.rejected, c.failed)
 		}
 		if got := l.results.index.Lookup(bootTime(), r.keyed.key); got != first || got != resultstore.Running {
-			t.Errorf("body %q: key of the first attempt is %s, was %s, want %s", c.body, got, first, resultstore.Running)
+			t.Errorf("body %q: key of the first attempt is %s, was %s, want %s", c.body, got, first,
+				resultstore.Running)
 		}
 	}
 	l.runEnded(h, l.requests.get(h), admission.Succeeded, 1, []byte("result"))
--- a/internal/node/server/startup_file.go
+++ b/internal/node/server/startup_file.go
@@ -13,8 +13,8 @@
 	"umberwinch/internal/node/settings"
 )
 
-// StartupFile is the start-up file: the node's configuration, read at start and on a reload. It is validated as a whole before
-// any of it applies.
+// StartupFile is the start-up file: the node's configuration, read at start and on a reload. It is validated as a whole
+// before any of it applies.
 type StartupFile struct {
 	Name    string  `json:"name"`
 	Listen  string  `json:"listen"`
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// ReadConfig reads the start-up file and the operator's file, if UMBERWINCH_FILE names one, and validates them together.
+// ReadConfig reads the start-up file and the operator's file, if UMBERWINCH_FILE names one, and validates them
+// together.
 func ReadConfig(getenv func(string) string) (*StartupFile, error) {
 	own := &config.Node{LogFormat: "text", LogLevel: "info"}
 	var err error
--- a/internal/node/server/store_connections.go
+++ b/internal/node/server/store_connections.go
@@ -49,7 +49,8 @@
 	conn, c, overQuota := l.pickStoreConnection(r)
 	if c == nil {
 		if overQuota {
-			// Keeps the call out of the load report, see callEnded: a rejection by the zone's quota is no failure of the store.
+			// Keeps the call out of the load report, see callEnded: a rejection by the zone's quota is no failure of
+			// the store.
 			r.setCall(callNone)
 		}
 		l.callEnded(h, r, admission.NotExecuted)
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -101,7 +101,8 @@
 			"are %g, %g, %g, expected memory_kb above 0 and the others at least 0", f.MemoryKB, f.RunFactor, f.KeyKB)}
 	case t.Invariants.FallMultiple < 0 || t.Granularity < 0 || t.Invariants.DrainGrace < 0:
 		return &InvalidError{"invariants.fall_multiple, granularity, invariants.drain_grace", fmt.Sprintf(
-			"are %g, %g, %g, expected at least 0 each", t.Invariants.FallMultiple, t.Granularity, t.Invariants.DrainGrace)}
+			"are %g, %g, %g, expected at least 0 each", t.Invariants.FallMultiple, t.Granularity,
+			t.Invariants.DrainGrace)}
 	}
 	return nil
 }
--- a/internal/node/shadow/evaluation.go
+++ b/internal/node/shadow/evaluation.go
@@ -61,7 +61,8 @@
 			candidate.Shed, candidate.Offered, current.Shed, limits.MaxShed)
 	case float64(current.OnTime-candidate.OnTime)/offered > limits.MaxLate+limits.MaxShed:
 		return fmt.Sprintf("%d of %d requests of the trial were done in time, %d under the one in force: "+
-			"expected at most %.3f fewer", candidate.OnTime, candidate.Offered, current.OnTime, limits.MaxLate+limits.MaxShed)
+			"expected at most %.3f fewer", candidate.OnTime, candidate.Offered, current.OnTime,
+			limits.MaxLate+limits.MaxShed)
 	}
 	return v.probeRejectReason(retired)
 }
--- a/internal/node/shadow/shadow_test.go
+++ b/internal/node/shadow/shadow_test.go
@@ -70,8 +70,8 @@
 		if v.Current.Rounds+v.Candidate.Rounds > 6*maxRounds {
 			t.Errorf("%s: %d rounds, want at most %d", c.name, v.Current.Rounds+v.Candidate.Rounds, 6*maxRounds)
 		}
-		t.Logf("%s: took %v, current %+v, candidate %+v", c.name, time.Since(started).Round(time.Microsecond), v.Current,
-			v.Candidate)
+		t.Logf("%s: took %v, current %+v, candidate %+v", c.name, time.Since(started).Round(time.Microsecond),
+			v.Current, v.Candidate)
 	}
 }
 
--- a/internal/node/zonegate/autonomous.go
+++ b/internal/node/zonegate/autonomous.go
@@ -3,8 +3,8 @@
 import "umberwinch/internal/control/api"
 
 const (
-	// minAutonomousStepMS is the shortest time between two changes of the share, for orders with a short time to live or
-	// none.
+	// minAutonomousStepMS is the shortest time between two changes of the share, for orders with a short time to live
+	// or none.
 	minAutonomousStepMS = 1000
 
 	// autonomousFactor is the factor by which the share grows or shrinks in one step.
@@ -14,9 +14,10 @@
 	minAutonomousShare = api.FullShare / 16
 )
 
-// AdjustAutonomousShare adjusts the share of a node without the control service and reports whether it changed. The last
-// order holds for its time to live; after each further such time the share doubles if healthy, the state of the node's
-// own requests, and halves otherwise. Guards against a zone that stays evacuated while the control service is down.
+// AdjustAutonomousShare adjusts the share of a node without the control service and reports whether it changed. The
+// last order holds for its time to live; after each further such time the share doubles if healthy, the state of the
+// node's own requests, and halves otherwise. Guards against a zone that stays evacuated while the control service is
+// down.
 func (g *Gate) AdjustAutonomousShare(now uint64, healthy bool) (changed bool) {
 	if !g.hasOrder || g.order.Share >= api.FullShare && g.order.PriorityCutoff == 0 && !g.order.RateLimited {
 		return false
--- a/internal/node/zonegate/share_test.go
+++ b/internal/node/zonegate/share_test.go
@@ -23,12 +23,14 @@
 					count++
 				}
 				if admitted[caller] && !ok {
-					t.Fatalf("tenant %q, caller %d: admitted at a smaller share and rejected at %d", tenant, caller, share)
+					t.Fatalf("tenant %q, caller %d: admitted at a smaller share and rejected at %d",
+						tenant, caller, share)
 				}
 				admitted[caller] = ok
 			}
 			if want := 4000 * share / 256; count < want*8/10 || count > want*12/10 {
-				t.Errorf("tenant %q at share %d of 256: admitted %d of 4000, want %d within 20%%", tenant, share, count, want)
+				t.Errorf("tenant %q at share %d of 256: admitted %d of 4000, want %d within 20%%",
+					tenant, share, count, want)
 			}
 		}
 	}
--- a/internal/simulation/consensus_checks.go
+++ b/internal/simulation/consensus_checks.go
@@ -51,8 +51,8 @@
 			g.tracef("host %d leads term %d", h.number, s.Term)
 			for i := s.FirstIndex; i <= s.LastIndex || g.committed[i] > 0; i++ {
 				if term := g.committed[i]; g.appliedInTerm[i] < s.Term && term > 0 && !h.holds(logPosition{i, term}) {
-					g.fail("leader completeness: host %d leads term %d without entry %d of term %d", h.number, s.Term, i,
-						term)
+					g.fail("leader completeness: host %d leads term %d without entry %d of term %d", h.number, s.Term,
+						i, term)
 				}
 			}
 		}
@@ -100,7 +100,8 @@
 			return
 		}
 		if n > g.newestVersion && !g.heldByMajority(logPosition{v.Index, v.Term}) {
-			g.fail("host %d applied version %d (entry %d, term %d), which no majority holds", h.number, n, v.Index, v.Term)
+			g.fail("host %d applied version %d (entry %d, term %d), which no majority holds",
+				h.number, n, v.Index, v.Term)
 		}
 	}
 	g.newestVersion = max(g.newestVersion, s.Version)
--- a/internal/simulation/consensus_faults.go
+++ b/internal/simulation/consensus_faults.go
@@ -252,8 +252,8 @@
 func (g *ConsensusGroup) proposeAndWait(h *host, ms int64) bool {
 	before := h.replica.Status().Version
 	g.lastCallID++
-	h.replica.Propose(&consensus.Put{Session: fmt.Sprint("script", g.lastCallID), Seq: 1, Base: before, Author: "script",
-		Text: fmt.Sprintf("[tenant script]\nrate = %d\n", g.lastCallID)})
+	h.replica.Propose(&consensus.Put{Session: fmt.Sprint("script", g.lastCallID), Seq: 1, Base: before,
+		Author: "script", Text: fmt.Sprintf("[tenant script]\nrate = %d\n", g.lastCallID)})
 	g.processReady(h)
 	return g.waitFor(ms, func() bool {
 		return h.replica == nil || h.replica.Status().Version > before
--- a/internal/simulation/consensus_group.go
+++ b/internal/simulation/consensus_group.go
@@ -81,9 +81,10 @@
 
 // observedLogs records the logs and states observed so far, which invariants compare with later ones.
 type observedLogs struct {
-	leaders       map[uint64]uint64 // term to instance
-	committed     map[uint64]uint64 // index to term
-	appliedInTerm map[uint64]uint64 // index to the term in which it was first applied: leaders of later terms must hold it
+	leaders   map[uint64]uint64 // term to instance
+	committed map[uint64]uint64 // index to term
+	// index to the term in which it was first applied: leaders of later terms must hold it
+	appliedInTerm map[uint64]uint64
 	checksums     map[logPosition]uint32
 	stateAtIndex  map[uint64]string
 	voterSets     [][]uint64
@@ -318,8 +319,9 @@
 		if h.replica == nil || h.replica.Status().Role != "waiting" {
 			continue
 		}
-		leader.replica.ProposeMemberChange(consensus.MemberChange{Op: "add", Member: consensus.Member{ID: h.id, Name: fmt.Sprintf("m%x", h.id),
-			Peer: fmt.Sprint("h", h.number), Listen: fmt.Sprint("h", h.number), Promote: true}})
+		leader.replica.ProposeMemberChange(consensus.MemberChange{Op: "add",
+			Member: consensus.Member{ID: h.id, Name: fmt.Sprintf("m%x", h.id), Peer: fmt.Sprint("h", h.number),
+				Listen: fmt.Sprint("h", h.number), Promote: true}})
 		g.processReady(leader)
 		return
 	}
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -96,9 +96,10 @@
 // NewFleet creates a fleet and schedules its start; Play runs it.
 func NewFleet(p FleetPlan) *Fleet {
 	f := &Fleet{
-		FleetPlan:    p,
-		random:       rand.New(rand.NewSource(p.Seed)),
-		controlGroup: controlGroup{state: coordinator.NewState(p.DisabledGuards), leader: -1, changeSteps: map[uint64]policy.Step{}},
+		FleetPlan: p,
+		random:    rand.New(rand.NewSource(p.Seed)),
+		controlGroup: controlGroup{state: coordinator.NewState(p.DisabledGuards), leader: -1,
+			changeSteps: map[uint64]policy.Step{}},
 		stateLoss: stateLoss{groupID: "g1", textByHash: map[string]string{}, decidedHashes: map[uint64]string{},
 			recordedEvents: map[string]bool{}},
 		FleetFigures: FleetFigures{ChangesByStep: map[policy.Step]int{}, AbortCauses: map[string]int{}},
@@ -237,8 +238,8 @@
 				n.activeVersion, why, f.state.Policy.CommittedVersion)
 		}
 	}
-	// A lease span by the group's clock, 1% of clock drift and 50 ms, in tenths of a ms, as docs/design/policy.md bounds
-	// the overlap.
+	// A lease span by the group's clock, 1% of clock drift and 50 ms, in tenths of a ms, as docs/design/policy.md
+	// bounds the overlap.
 	maxOverlap := int64(membership.LeaseSpanMS(uint64(f.LeaseMS)))*10*101/100 + 500
 	broken, overlap := CheckFleetHistory(f.History, FleetInvariants{MaxOverlap: maxOverlap, Fences: f.Changes > 0})
 	f.LongestOverlap = overlap
--- a/internal/simulation/fleet_control.go
+++ b/internal/simulation/fleet_control.go
@@ -191,8 +191,8 @@
 	if kind == "decided" {
 		f.decidedHashes[c.Version] = c.Hash
 	}
-	f.recordEvent(FleetEvent{Kind: kind, Version: c.Version, PreviousVersion: c.PreviousVersion, Exclusive: c.Proposal.Exclusive,
-		Reason: c.AbortReason})
+	f.recordEvent(FleetEvent{Kind: kind, Version: c.Version, PreviousVersion: c.PreviousVersion,
+		Exclusive: c.Proposal.Exclusive, Reason: c.AbortReason})
 }
 
 // decideImmediately implements the baseline BaselineImmediate.
--- a/internal/simulation/fleet_history.go
+++ b/internal/simulation/fleet_history.go
@@ -10,7 +10,8 @@
 type FleetEvent struct {
 	At int64
 	// Kind is serves or stops for a node, and decided, forced (policy.Committed), settled or off (policy.Aborted) for
-	// a change. The harness also records takes, pause and resume, and replaces them by serves and stops before the check.
+	// a change. The harness also records takes, pause and resume, and replaces them by serves and stops before the
+	// check.
 	Kind            string
 	Node            string
 	Version         uint64
@@ -60,8 +61,8 @@
 	return longest
 }
 
-// CheckFleetHistory checks a history against the invariants of docs/design/policy.md. It returns the first violation and the
-// longest overlap, in tenths of a ms.
+// CheckFleetHistory checks a history against the invariants of docs/design/policy.md. It returns the first violation
+// and the longest overlap, in tenths of a ms.
 func CheckFleetHistory(all []FleetEvent, p FleetInvariants) (broken string, overlap int64) {
 	events := append([]FleetEvent(nil), all...)
 	sort.SliceStable(events, func(i, k int) bool { return events[i].At < events[k].At })
@@ -208,8 +209,8 @@
 		}
 	}
 	if v.settled != never && last > v.settled {
-		return fmt.Sprintf("%s served under an older version than %d at %.1f ms, but the change was settled at %.1f ms", node,
-			version, milliseconds(last), milliseconds(v.settled))
+		return fmt.Sprintf("%s served under an older version than %d at %.1f ms, but the change was settled at %.1f ms",
+			node, version, milliseconds(last), milliseconds(v.settled))
 	}
 	if begin == never || last <= begin || v.initial {
 		return ""
--- a/internal/simulation/fleet_node.go
+++ b/internal/simulation/fleet_node.go
@@ -124,7 +124,8 @@
 			return
 		}
 		n.preparingVersion = 0
-		fails := n.rejectedVersion == v.Version || f.failsTrial[v.Hash] && !f.DisabledGuards.Has(policy.ShadowEvaluation)
+		fails := n.rejectedVersion == v.Version ||
+			f.failsTrial[v.Hash] && !f.DisabledGuards.Has(policy.ShadowEvaluation)
 		if fails && !decided {
 			n.agent.RejectVersion(n.clock(), v.Version, "it says no", false)
 		} else {
--- a/internal/simulation/fleet_state_loss.go
+++ b/internal/simulation/fleet_state_loss.go
@@ -81,8 +81,8 @@
 	if f.stopped || f.state.Fleet.LostState != "" || len(f.savedStates) == 0 || f.state.Policy.CommittedVersion < 2 {
 		return
 	}
-	// A single node's position proves no loss, since that node may be faulty. Such losses can't be detected, and are not
-	// simulated.
+	// A single node's position proves no loss, since that node may be faulty. Such losses can't be detected, and are
+	// not simulated.
 	at := f.random.Intn(len(f.savedStates))
 	for at > 0 && f.nodesAhead(f.savedStates[at].index) == 1 {
 		at--
@@ -193,7 +193,8 @@
 	}
 	if current := n.agent.LastSeen().Generation; current < previous ||
 		response.Cluster != "" && max(1, response.Generation) < previous {
-		n.fleet.fail("%s accepted a response of generation %d after generation %d", n.name, response.Generation, previous)
+		n.fleet.fail("%s accepted a response of generation %d after generation %d", n.name,
+			response.Generation, previous)
 	}
 	return true
 }
@@ -207,7 +208,8 @@
 	}
 	response = f.formerResponses[f.random.Intn(len(f.formerResponses))]
 	if response.Generation >= n.agent.LastSeen().Generation {
-		// A node that knows no later generation may follow this one: a restored group waits until old leases have ended.
+		// A node that knows no later generation may follow this one: a restored group waits until old leases have
+		// ended.
 		return response, false
 	}
 	response.LeaseID, response.LeaseMS = request.LeaseID, uint64(f.LeaseMS)
@@ -252,7 +254,8 @@
 // storedGroup returns the group's identity and state as read from its folders.
 func (f *Fleet) storedGroup(state *coordinator.State) *recovery.StoredGroup {
 	stored := &recovery.StoredGroup{
-		GroupIdentity:    api.GroupIdentity{Group: f.groupID, Generation: state.Generation, Predecessors: state.Predecessors},
+		GroupIdentity: api.GroupIdentity{Group: f.groupID, Generation: state.Generation,
+			Predecessors: state.Predecessors},
 		LastVersion:      f.Last(),
 		DecidedVersion:   state.Policy.DecidedVersion,
 		CommittedVersion: state.Policy.CommittedVersion,
@@ -366,7 +369,8 @@
 		o, gen := n.agent.ZoneOrder(), n.agent.LastSeen().Generation
 		switch {
 		case gen < generation:
-			f.fail("%s serves under generation %d, but epoch %d of generation %d has settled", n.name, gen, settled, generation)
+			f.fail("%s serves under generation %d, but epoch %d of generation %d has settled", n.name, gen,
+				settled, generation)
 		case gen == generation && o != nil && n.agent.StoredZoneOrder().Epoch == o.Epoch && o.Epoch < settled:
 			f.fail("%s acts on epoch %d, but epoch %d has settled", n.name, o.Epoch, settled)
 		}
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -51,10 +51,11 @@
 	}
 }
 
-// TestCheckFleetDetectsViolations: CheckFleetHistory accepts a correct history, and rejects it with events added that violate
-// one invariant.
+// TestCheckFleetDetectsViolations: CheckFleetHistory accepts a correct history, and rejects it with events added that
+// violate one invariant.
 func TestCheckFleetDetectsViolations(t *testing.T) {
-	correct := []FleetEvent{{At: 0, Kind: "serves", Node: "a", Version: 1}, {At: 0, Kind: "serves", Node: "b", Version: 1},
+	correct := []FleetEvent{{At: 0, Kind: "serves", Node: "a", Version: 1},
+		{At: 0, Kind: "serves", Node: "b", Version: 1},
 		{At: 100, Kind: "decided", Version: 2, PreviousVersion: 1}, {At: 100, Kind: "forced", Version: 2},
 		{At: 120, Kind: "serves", Node: "a", Version: 2}, {At: 150, Kind: "stops", Node: "b"},
 		{At: 160, Kind: "serves", Node: "b", Version: 2}, {At: 200, Kind: "settled", Version: 2},
@@ -79,8 +80,8 @@
 		"overlap in an exclusive change": {{At: 400, Kind: "decided", Version: 5, PreviousVersion: 2, Exclusive: true},
 			{At: 400, Kind: "forced", Version: 5}, {At: 410, Kind: "serves", Node: "a", Version: 5},
 			{At: 420, Kind: "serves", Node: "b", Version: 5}},
-		"served before the commit": {{At: 400, Kind: "decided", Version: 5, PreviousVersion: 2}, {At: 450, Kind: "forced", Version: 5},
-			{At: 410, Kind: "serves", Node: "a", Version: 5}},
+		"served before the commit": {{At: 400, Kind: "decided", Version: 5, PreviousVersion: 2},
+			{At: 450, Kind: "forced", Version: 5}, {At: 410, Kind: "serves", Node: "a", Version: 5}},
 	} {
 		if broken, _ := CheckFleetHistory(slices.Concat(first, correct, added), p); broken == "" {
 			t.Errorf("%s: CheckFleet found no violation", name)
--- a/internal/simulation/pool_scenario_text.go
+++ b/internal/simulation/pool_scenario_text.go
@@ -22,8 +22,8 @@
 		}
 	}
 	if len(s.Classes) == 0 || s.Cheapest < 0 || s.HighestValue < 0 {
-		return nil, fmt.Errorf("%s: found %d classes, expected at least one class, a cheapest and a dearest class", name,
-			len(s.Classes))
+		return nil, fmt.Errorf("%s: found %d classes, expected at least one class, a cheapest and a dearest class",
+			name, len(s.Classes))
 	}
 	sort.SliceStable(s.changes, func(i, k int) bool { return s.changes[i].at < s.changes[k].at })
 	return s, nil
--- a/internal/simulation/pools.go
+++ b/internal/simulation/pools.go
@@ -150,17 +150,19 @@
 	if !s.exemptCheapest {
 		*minInTime = min(*minInTime, inTime)
 		if inTime < minCheapestInTime {
-			rep.SetBroken("%s: %.3f of %s completed in time, want at least %.2f", s.name, inTime, s.Classes[s.Cheapest].Name,
-				minCheapestInTime)
+			rep.SetBroken("%s: %.3f of %s completed in time, want at least %.2f", s.name, inTime,
+				s.Classes[s.Cheapest].Name, minCheapestInTime)
 		}
 	}
-	if a, b := with.classes[s.HighestValue].inTimeFraction(), off.classes[s.HighestValue].inTimeFraction(); a < b-maxDearestLoss {
-		rep.SetBroken("%s: %.3f of %s completed in time with pools, %.3f without", s.name, a, s.Classes[s.HighestValue].Name, b)
+	if a, b := with.classes[s.HighestValue].inTimeFraction(),
+		off.classes[s.HighestValue].inTimeFraction(); a < b-maxDearestLoss {
+		rep.SetBroken("%s: %.3f of %s completed in time with pools, %.3f without", s.name, a,
+			s.Classes[s.HighestValue].Name, b)
 	}
 	for _, target := range s.targets {
 		if got := with.classes[target.class].inTimeFraction(); got < target.fraction {
-			rep.SetBroken("%s: %.3f of %s completed in time, want at least %.2f", s.name, got, s.Classes[target.class].Name,
-				target.fraction)
+			rep.SetBroken("%s: %.3f of %s completed in time, want at least %.2f", s.name, got,
+				s.Classes[target.class].Name, target.fraction)
 		}
 	}
 	if with.peakRuns > 5 { // the emulated cores lose throughput above it
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -38,17 +38,19 @@
 // classResults counts the outcomes of a class's requests.
 type classResults struct {
 	offered, inTime                int
-	withinQuota, withinQuotaInTime int                     // of tenants other than the surging one
-	latencies                      *hdrhistogram.Histogram // from the first attempt to the end of the run, tenths of a ms
-	inTimePerSecond                []int                   // within the latency objective, by second of the first attempt
-	arrivedPerSecond               []int
+	withinQuota, withinQuotaInTime int // of tenants other than the surging one
+	// from the first attempt to the end of the run, tenths of a ms
+	latencies *hdrhistogram.Histogram
+	// within the latency objective, by second of the first attempt
+	inTimePerSecond  []int
+	arrivedPerSecond []int
 }
 
 func newClassResults(classes int, span virtualTime) []classResults {
 	all := make([]classResults, classes)
 	for k := range all {
-		all[k] = classResults{latencies: hdrhistogram.New(1, 10_000_000, 2), inTimePerSecond: make([]int, span/second+2),
-			arrivedPerSecond: make([]int, span/second+2)}
+		all[k] = classResults{latencies: hdrhistogram.New(1, 10_000_000, 2),
+			inTimePerSecond: make([]int, span/second+2), arrivedPerSecond: make([]int, span/second+2)}
 	}
 	return all
 }
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -43,8 +43,8 @@
 	zoneRunSlots  = 80.0 // run slots of a zone's nodes: four times the concurrency of its dependency
 )
 
-// ZoneSimulation simulates traffic on a fleet whose zones fail. Callers retry in other zones, and each zone's nodes call a
-// dependency with a capacity, a cache and faults. Traffic is modeled as rates in steps of stepMS; the group, its
+// ZoneSimulation simulates traffic on a fleet whose zones fail. Callers retry in other zones, and each zone's nodes
+// call a dependency with a capacity, a cache and faults. Traffic is modeled as rates in steps of stepMS; the group, its
 // coordinators, the agents and the zone gates are the production code.
 type ZoneSimulation struct {
 	ZonePlan
@@ -168,8 +168,8 @@
 		v.fail("load of a dependency during the recovery ramp = %.2f, want at most 1: %s", v.PeakRampLoad, v.peakRampAt)
 	}
 	if v.PeakNeighborLoad > 1.1 && v.Load*float64(v.Zones) < 0.85*float64(v.Zones) {
-		v.fail("load of a zone in service with traffic from other zones = %.2f, want at most 1.1: %s", v.PeakNeighborLoad,
-			v.peakNeighborAt)
+		v.fail("load of a zone in service with traffic from other zones = %.2f, want at most 1.1: %s",
+			v.PeakNeighborLoad, v.peakNeighborAt)
 	}
 }
 
--- a/internal/simulation/zones_load_report.go
+++ b/internal/simulation/zones_load_report.go
@@ -99,7 +99,8 @@
 func (v *ZoneSimulation) ejectUnhealthyNodes() {
 	for i, n := range v.Fleet.nodes {
 		b, h := v.dependencies[n.zone], &v.nodeHealth[i]
-		unhealthy := n.up && (v.faultActive && v.faultKind(n.zone) == ZoneKernels || b.smoothedRates.runMS > 3*warmRunMS+5 ||
+		unhealthy := n.up && (v.faultActive && v.faultKind(n.zone) == ZoneKernels ||
+			b.smoothedRates.runMS > 3*warmRunMS+5 ||
 			b.smoothedRates.late+b.smoothedRates.failed >
 				0.3*(b.smoothedRates.completed+b.smoothedRates.late+b.smoothedRates.failed))
 		switch {
--- a/internal/simulation/zones_plan.go
+++ b/internal/simulation/zones_plan.go
@@ -71,9 +71,11 @@
 	}
 	v := &ZoneSimulation{ZonePlan: p, rateLimits: map[string][2]float64{}, nodeHealth: make([]nodeHealth, p.Nodes),
 		upNodesByZone: make([]float64, p.Zones),
-		ZoneFigures:   ZoneFigures{EvacuationDelaysMS: map[string]float64{}, RecoveryTimesMS: map[string]float64{}, Plot: make([]report.Line, 3)}}
-	v.Fleet = NewFleet(FleetPlan{Seed: p.Seed, Nodes: p.Nodes, ControlInstances: 3, NoFaults: true, LeaseMS: 4000, Zones: p.Zones,
-		ZoneRules: "[zones]\ndecide = " + mode + "\nsmall_start = yes\n", DisabledZoneGuards: p.DisabledGuards})
+		ZoneFigures: ZoneFigures{EvacuationDelaysMS: map[string]float64{}, RecoveryTimesMS: map[string]float64{},
+			Plot: make([]report.Line, 3)}}
+	v.Fleet = NewFleet(FleetPlan{Seed: p.Seed, Nodes: p.Nodes, ControlInstances: 3, NoFaults: true, LeaseMS: 4000,
+		Zones: p.Zones, ZoneRules: "[zones]\ndecide = " + mode + "\nsmall_start = yes\n",
+		DisabledZoneGuards: p.DisabledGuards})
 	v.Fleet.loadReport, v.Fleet.probePeer, v.Fleet.onApplied = v.loadReport, v.probe, v.onApplied
 	for i := 0; i < p.LateNodes; i++ {
 		v.Fleet.nodes[(i+1)*p.Zones].notStarted = true
--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -11,8 +11,8 @@
 
 // fullRestartPlan kills all nodes of three zones at once and restarts them after 2 s.
 func fullRestartPlan(seed int64) ZonePlan {
-	return ZonePlan{Seed: seed, Nodes: 15, Faults: []string{ZoneRestart, ZoneRestart, ZoneRestart}, FaultStartMS: 15_000,
-		FaultEndMS: 17_000, EndMS: 220_000, Load: 0.6}
+	return ZonePlan{Seed: seed, Nodes: 15, Faults: []string{ZoneRestart, ZoneRestart, ZoneRestart},
+		FaultStartMS: 15_000, FaultEndMS: 17_000, EndMS: 220_000, Load: 0.6}
 }
 
 func simulateZones(p ZonePlan) *ZoneSimulation {
@@ -30,8 +30,8 @@
 	report.RunSeeds(context.Background(), 1, n, play, func(seed int64, v *ZoneSimulation) bool {
 		if p := v.ZonePlan; v.Broken != "" {
 			t.Errorf("seed %d (faults %q, load %.2f, cold factor %.1f, %d nodes in %d zones, second fault %v, "+
-				"late nodes %d): %s", seed, p.Faults, p.Load, p.ColdFactor, p.Nodes, p.Zones, p.SecondFault, p.LateNodes,
-				v.Broken)
+				"late nodes %d): %s", seed, p.Faults, p.Load, p.ColdFactor, p.Nodes, p.Zones, p.SecondFault,
+				p.LateNodes, v.Broken)
 			failures++
 		}
 		evacuations, steps = evacuations+len(v.EvacuationDelaysMS), steps+v.RampSteps
@@ -93,10 +93,11 @@
 	base := fullRestartPlan(5)
 	v := simulateZones(base)
 	if v.Broken != "" || v.ColdStarts == 0 || v.TimeToFullRecovery() < 0 {
-		t.Errorf("violation %q, %d cold starts, full recovery after %.1f s, want none, at least 1, at least 0 s", v.Broken,
-			v.ColdStarts, v.TimeToFullRecovery()/1000)
+		t.Errorf("violation %q, %d cold starts, full recovery after %.1f s, want none, at least 1, at least 0 s",
+			v.Broken, v.ColdStarts, v.TimeToFullRecovery()/1000)
 	}
-	t.Logf("highest load of a dependency %.2f, full recovery after %.1f s", v.PeakRestartLoad, v.TimeToFullRecovery()/1000)
+	t.Logf("highest load of a dependency %.2f, full recovery after %.1f s", v.PeakRestartLoad,
+		v.TimeToFullRecovery()/1000)
 	without := base
 	without.DisabledGuards = zones.ColdStart
 	if v := simulateZones(without); v.Broken == "" {
@@ -126,8 +127,8 @@
 	p.HonorRetryAfter = true
 	v := simulateZones(p)
 	if v.Broken != "" || v.ColdStarts == 0 || v.TimeToFullRecovery() < 0 {
-		t.Errorf("violation %q, %d cold starts, full recovery after %.1f s, want none, at least 1, at least 0 s", v.Broken,
-			v.ColdStarts, v.TimeToFullRecovery()/1000)
+		t.Errorf("violation %q, %d cold starts, full recovery after %.1f s, want none, at least 1, at least 0 s",
+			v.Broken, v.ColdStarts, v.TimeToFullRecovery()/1000)
 	}
 	t.Logf("highest ratio of all attempts to first attempts: %.1f", v.PeakRetryRatio)
 	p.DisabledGuards = zones.RetryAfterSpread
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -76,14 +76,16 @@
 	case wire.RunEnded:
 		result := e.RunResult()
 		outcome, err := outcomeOf(result.Status)
-		r.RunEnds = append(r.RunEnds, admission.RunEnd{ID: result.ID, Elapsed: ticks(result.ElapsedUS), Outcome: outcome})
+		r.RunEnds = append(r.RunEnds, admission.RunEnd{ID: result.ID, Elapsed: ticks(result.ElapsedUS),
+			Outcome: outcome})
 		return err
 	case wire.CallNeeded:
 		r.CallRequests = append(r.CallRequests, e.RequestID())
 	case wire.CallEnded:
 		result := e.CallResult()
 		outcome, err := outcomeOf(result.Status)
-		r.CallEnds = append(r.CallEnds, admission.CallEnd{ID: result.ID, Elapsed: ticks(result.ElapsedUS), Outcome: outcome})
+		r.CallEnds = append(r.CallEnds, admission.CallEnd{ID: result.ID, Elapsed: ticks(result.ElapsedUS),
+			Outcome: outcome})
 		return err
 	case wire.CallerGone:
 		r.Disconnected = append(r.Disconnected, e.RequestID())
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -70,8 +70,8 @@
 				}
 				if m.diff(l) != "" {
 					if pendingDiff := pending.diff(l); pendingDiff != "" {
-						t.Fatalf("seed %d, restart %d: log is neither as before nor as after the batch: %s; %s", seed, restart,
-							m.diff(l), pendingDiff)
+						t.Fatalf("seed %d, restart %d: log is neither as before nor as after the batch: %s; %s", seed,
+							restart, m.diff(l), pendingDiff)
 					}
 					m = pending
 				}
@@ -119,7 +119,8 @@
 				var damage *Damage
 				if i == len(names)-1 && off >= lastFlush {
 					if err != nil || repair.TornAt == "" || l.Next() != uint64(flushes) {
-						t.Fatalf("%s byte %d: Open() = %v, torn at %q, want the last flush truncated", name, off, err, repair.TornAt)
+						t.Fatalf("%s byte %d: Open() = %v, torn at %q, want the last flush truncated", name,
+							off, err, repair.TornAt)
 					}
 					continue
 				}
@@ -183,7 +184,8 @@
 		b := Batch{Entries: [][]byte{[]byte(strings.Repeat("x", 200))}}
 		if _, err := l.Commit(b); err != nil {
 			if !errors.Is(err, ErrBroken) || !errors.Is(err, syscall.ENOSPC) || n < 5 {
-				t.Fatalf("Commit() %d = %v, want %v wrapping %v after at least 5 commits", n, err, ErrBroken, syscall.ENOSPC)
+				t.Fatalf("Commit() %d = %v, want %v wrapping %v after at least 5 commits", n, err,
+					ErrBroken, syscall.ENOSPC)
 			}
 			break
 		}
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -180,7 +180,8 @@
 	return body, nil
 }
 
-// DecodeSnapshot decodes the content of a snapshot file into its data and number. ok is false if raw is not a valid snapshot.
+// DecodeSnapshot decodes the content of a snapshot file into its data and number. ok is false if raw is not a valid
+// snapshot.
 func DecodeSnapshot(raw []byte) (body []byte, number uint64, ok bool) {
 	if len(raw) < snapshotHeaderBytes || string(raw[:8]) != snapshotMagic ||
 		binary.LittleEndian.Uint64(raw[8:]) != xxhash.Sum64(raw[16:]) {
