--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -22,11 +22,11 @@
 	Handler    string
 	MinShare   float64
 	MaxShare   float64 // largest share
-	FixedLimit bool    // the limit is always Cap instead of adapting to the load
+	FixedLimit bool    // the limit is always MaxShare instead of adapting to the load
 }
 
 // ReadNode reads a node's settings file, such as deploy/node.ini, and validates it except for handler names, which
-// Against checks. An invalid file is an error of type Faults.
+// CheckHandlers checks. An invalid file is an error of type Faults.
 func ReadNode(path string) (*Node, error) {
 	t, err := Open(path)
 	if err != nil {
--- a/internal/harness/demo.go
+++ b/internal/harness/demo.go
@@ -85,7 +85,7 @@
 }
 
 // Run starts the node, prints a table a second and shuts everything down. If it fails or is interrupted, the node's
-// log is kept; the error or Folder names its folder.
+// log is kept; the error or LogDir names its folder.
 func (d *Demo) Run(ctx context.Context, w io.Writer) ([]DemoResult, error) {
 	dir, err := os.MkdirTemp("", "umberctl-demo-")
 	if err != nil {
--- a/internal/node/server/helper_test.go
+++ b/internal/node/server/helper_test.go
@@ -1,7 +1,7 @@
 package server
 
 // Test helpers: the program, built once and started on free ports, and fakes of the kernel, the store and service
-// discovery that implement the protocol independently of the code under test. Every wait is bounded by patience.
+// discovery that implement the protocol independently of the code under test. Every wait is bounded by testTimeout.
 
 import (
 	"bufio"
@@ -89,7 +89,7 @@
 	r.mu.Unlock()
 }
 
-// waitFor waits until ok returns true, at most patience; ok is called with mu held.
+// waitFor waits until ok returns true, at most testTimeout; ok is called with mu held.
 func (r *lineRecorder) waitFor(ok func() bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,7 +105,7 @@
 	return true
 }
 
-// next returns the next line other than skipped; ok is false if none comes within patience.
+// next returns the next line other than skipped; ok is false if none comes within testTimeout.
 func (r *lineRecorder) next(skipped string) (line string, ok bool) {
 	ok = r.waitFor(func() bool {
 		for ; r.nextLine < len(r.lines); r.nextLine++ {
@@ -561,7 +561,7 @@
 	}
 }
 
-// waitUntil polls a condition for up to patience and reports whether it became true.
+// waitUntil polls a condition for up to testTimeout and reports whether it became true.
 func waitUntil(condition func() bool) bool {
 	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
--- a/internal/node/server/scenario_test.go
+++ b/internal/node/server/scenario_test.go
@@ -71,7 +71,7 @@
 }
 
 // Each scenario runs the program against fake clients, kernel, store and service discovery, step by step. It fails at
-// the first step whose expectation is not met within patience.
+// the first step whose expectation is not met within testTimeout.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
--- a/internal/simulation/zones_traffic.go
+++ b/internal/simulation/zones_traffic.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// rampByClock returns the admitted fraction of the baseline ZonePlan.Ramp, 1 without it.
+// rampByClock returns the admitted fraction of the baseline ZonePlan.ClockRampMS, 1 without it.
 func (v *ZoneSimulation) rampByClock() float64 {
 	since := v.Fleet.Now - faultStartMS - v.FaultEndMS
 	if v.ClockRampMS == 0 || v.faultActive || since <= 0 {
