--- a/internal/config/ini.go
+++ b/internal/config/ini.go
@@ -44,7 +44,7 @@
 type keyName struct{ section, key string }
 
 // Text is a parsed INI file. Its getters return the value of a key, or the default if it is absent or invalid. Faults
-// are collected and returned by Done.
+// are collected and returned by Finish.
 type Text struct {
 	name         string
 	file         *ini.File
@@ -169,8 +169,8 @@
 	t.addFault(line, name, found, expected)
 }
 
-// SectionNames returns the names of the sections with a prefix, in the file's order: x for [class x] and the prefix "class".
-// Their sections count as known to Done.
+// SectionNames returns the names of the sections with a prefix, in the file's order: x for [class x] and the prefix
+// "class". Their sections count as known to Finish.
 func (t *Text) SectionNames(prefix string) []string {
 	var out []string
 	for _, s := range t.order {
@@ -182,7 +182,7 @@
 	return out
 }
 
-// HasSection reports whether the file has a section, which counts as known to Done.
+// HasSection reports whether the file has a section, which counts as known to Finish.
 func (t *Text) HasSection(section string) bool {
 	t.readSections[section] = true
 	return t.lines[keyName{section, ""}] > 0
@@ -328,8 +328,8 @@
 	return out
 }
 
-// Finish adds a fault for each section and key that no getter has read, and returns all faults as Faults, or nil if there
-// are none.
+// Finish adds a fault for each section and key that no getter has read, and returns all faults as Faults, or nil if
+// there are none.
 func (t *Text) Finish() error {
 	for _, s := range t.order {
 		if !t.readSections[s] {
