--- a/admission/admission_queue.go
+++ b/admission/admission_queue.go
@@ -3,11 +3,11 @@
 // admissionQueue holds the requests that wait for a run slot, in the order in which they were read.
 type admissionQueue struct {
 	list
-	long      bool // queue timeouts are shortened by rank and for retries
+	long      bool // one request per core is queued, or requests are read late: queue timeouts are shortened
 	lastDelay Time // queue delay of the request started last
 }
 
-// headDelay returns the queue delay of the oldest request.
+// headDelay returns the time since the arrival of the request at the head; 0 if the queue is empty.
 func (q *admissionQueue) headDelay(t *requestTable, now Time) Time {
 	if q.head == none {
 		return 0
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -24,7 +24,8 @@
 	minCallTimeoutExtra  = Second / 5
 	// A rejected call that can be skipped is skipped after more than maxRejectedAttempts attempts.
 	maxRejectedAttempts = 2
-	// A request whose call was executed without a result fails after more than maxCallAttempts attempts.
+	// A request fails if its call may have been executed and gave no result after more than maxCallAttempts attempts.
+	// Rejected calls are retried until the deadline or skipped.
 	maxCallAttempts = 3
 	// maxBackoffDoublings bounds the backoff between call attempts to 32 timer periods.
 	maxBackoffDoublings = 5
@@ -107,7 +108,7 @@
 
 // recordAbandoned counts a call that stays in flight at the dependency for its cancellation delay.
 func (p *callPacer) recordAbandoned(now Time) {
-	// The average includes the whole cancellation delay at once.
+	// Counted in full now, although the call stays in flight for the cancellation delay.
 	p.inFlight.add(now, float64(p.cancellationDelay), 0)
 	p.abandoned.add(now, 1, 0)
 }
@@ -212,9 +213,10 @@
 	}
 }
 
-// retryCall handles a call without a result: it is skipped if the response still has value, the request fails if the
-// call may have been executed and must not be repeated or has run out of attempts, and otherwise the call is retried
-// after a backoff.
+// retryCall handles a call without a result; the first case that applies decides:
+//   - a call that can be skipped is skipped, a rejected one only after more than maxRejectedAttempts attempts;
+//   - a call that was not rejected fails its request if the class is at-most-once or the attempts are used up;
+//   - any other call is retried after a backoff.
 func (c *Controller) retryCall(i index, rejected bool) {
 	r := &c.requests.at[i]
 	class := &c.classes[r.class]
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -9,9 +9,12 @@
 // Times and durations have the type [Time], in units of 0.1 ms of the caller's clock. Memory is in KB. Work is the
 // time of a run on an idle core.
 //
-// Requests get run slots in arrival order. A slot is taken when a run starts, kept during its calls, and freed when the
-// end of the run is reported. These invariants hold after every round:
-//   - there are no more runs in progress than the server survives, even if all return from their calls at once;
+// Requests get run slots in the order in which they were read; with Pools, a request that may not start is passed by
+// later ones. A slot is taken when a run starts, kept during its calls, and freed when its end is reported. The kernel
+// is the process that executes the runs.
+//
+// These invariants hold after every round:
+//   - there are no more runs in progress than the server recovers from, even if all return from their calls at once;
 //   - accounted memory stays within the deployment's limit;
 //   - calls in flight to a shared dependency stay within this server's call allowance, as an average and at any moment;
 //   - a request that is not idempotent never runs while an earlier executed attempt with its key is known.
--- a/admission/idle_timeout.go
+++ b/admission/idle_timeout.go
@@ -18,10 +18,10 @@
 	callers             float64
 }
 
-// target shortens the idle timeout when connections are many for the cores. It falls with the cube of the fraction of
-// requests from returning callers, as new connections cost work too. If the fraction shed times that of non-retries
-// is larger, it is used instead: then this server alone is overloaded, and callers that find its connection table
-// full go elsewhere.
+// target shortens the idle timeout when connections are many for the cores. It is the configured
+// timeout times max(returning, shed*(1-retries))^3, but at least minIdleTimeout or the configured one if that is
+// shorter. returning: new connections cost work too. shed*(1-retries): if many requests are shed and few are retries,
+// only this server is overloaded, and callers that find its connection table full go elsewhere.
 func (t *idleTimeout) target(connections, cores, returning, shed, retries float64) Time {
 	if max(connections, t.callers) <= connectionsPerCoreThreshold*cores {
 		return t.configured
--- a/admission/interface.go
+++ b/admission/interface.go
@@ -35,7 +35,7 @@
 const (
 	CancelNever Cancellation = iota
 	CancelDrop               // the result is dropped
-	CancelPause              // the run releases its core
+	CancelPause              // the run releases its core, never resumes and keeps its slot
 )
 
 // OverloadSignal states how callers interpret the overload value that is sent with every response.
@@ -62,7 +62,7 @@
 	Superseded          // made unnecessary by another attempt
 )
 
-// Handler describes one class of requests.
+// Handler describes one class of requests. A class is identified by the index of its handler.
 type Handler struct {
 	LatencyObjective  Time    // responses within it have the full value
 	Timeout           Time    // of the client, over all attempts
--- a/admission/overload_signal.go
+++ b/admission/overload_signal.go
@@ -24,7 +24,7 @@
 
 // overloadSignal computes the overload value that is sent with every response.
 type overloadSignal struct {
-	kind     OverloadSignal
+	kind     OverloadSignal // how callers interpret the value
 	callers  float64
 	pressure float64 // fraction of traffic to keep away, 0 to 1
 	lastSent float64 // value sent last
--- a/admission/rejection.go
+++ b/admission/rejection.go
@@ -7,8 +7,8 @@
 	// fullFleetPressure is the pressure above which the whole fleet is assumed full, as all servers see the same
 	// demand.
 	fullFleetPressure = 0.5
-	// fullFleetFraction is the sum of the fractions shed and of retries above which the fleet is assumed full: most
-	// requests read were then shed elsewhere.
+	// fullFleetFraction is the sum of the fractions shed and of retries above which the fleet is assumed full: a
+	// retry was shed by another server.
 	fullFleetFraction = 0.8
 )
 
@@ -37,9 +37,9 @@
 	c.removeUnrun(i, true)
 }
 
-// retryAfter returns how long the caller of a shed request should wait before a retry: the longest of the last queue
-// delay, the delay of the queue's head and the class's delay in its pool, up to the maximum Retry-After; the maximum
-// while not ready.
+// retryAfter returns how long the caller of a shed request should wait before a retry: the longest of idlePeriod,
+// the last queue delay, the delay of the queue's head and the class's delay in its pool, up to the maximum
+// Retry-After; the maximum while not ready.
 func (c *Controller) retryAfter(handler int) Time {
 	if !c.readiness.ready {
 		return c.settings.maxRetryAfter
--- a/admission/warmup.go
+++ b/admission/warmup.go
@@ -34,8 +34,8 @@
 )
 
 // warmUpBudget returns the maximum number of runs in progress during warm-up at a speed that allows n: n + 2 sqrt(n)
-// + 2, and n + 3 sqrt(n) + 3 for small n. The looser limit is capped at the tighter one, since runs started under it
-// must still be within the limit when n has grown.
+// + 2, and n + 3 sqrt(n) + 3 for small n. The limit for small n never exceeds that at smallBudget, since runs
+// started under it must still be within the limit when n has grown.
 func warmUpBudget(n float64) float64 {
 	if n < smallBudget {
 		return min(n+smallBudgetSqrtFactor*math.Sqrt(n)+smallBudgetExtra, warmUpBudget(smallBudget))
--- a/internal/control/api/heartbeat.go
+++ b/internal/control/api/heartbeat.go
@@ -14,7 +14,7 @@
 	ActiveVersion   uint64 `json:"serves"`             // the version that it serves under
 	Fenced          string `json:"fenced,omitempty"`   // why it rejects all requests; empty: it does not
 	PreparedVersion uint64 `json:"prepared,omitempty"` // checked, evaluated and stored: ready to be activated
-	RefusedVersion  uint64 `json:"refused,omitempty"`  // the version that it rejects
+	RefusedVersion  uint64 `json:"refused,omitempty"`  // the version that it votes against
 	RefusedReason   string `json:"why,omitempty"`
 	// MinZoneEpoch is a promise too: the node applies no older zone order.
 	MinZoneEpoch uint64         `json:"zones,omitempty"`
@@ -46,7 +46,7 @@
 	Term          uint64 `json:"term"`
 	Index         uint64 `json:"index"`
 	EntryChecksum uint64 `json:"sum,omitempty"` // of the entry at Index; 0: unknown
-	ClockMS       uint64 `json:"clock_ms"`      // the group's time
+	ClockMS       uint64 `json:"clock_ms"`      // the group's clock
 	LeaseID       uint32 `json:"lease,omitempty"`
 	// LeaseMS above 0 extends the lease until this time after the request was sent.
 	LeaseMS    uint64 `json:"lease_ms,omitempty"`
--- a/internal/control/api/zones.go
+++ b/internal/control/api/zones.go
@@ -32,7 +32,7 @@
 	MinStepMS      uint64   `json:"hold_ms,omitempty"`     // minimum time at each share of a ramp
 	OrderTTLMS     uint64   `json:"keep_ms,omitempty"`     // how long an order is valid without contact to the group
 	MaxRampDelayMS uint64   `json:"max_wait_ms,omitempty"` // maximum delay of the ramp of a zone that fails repeatedly
-	ColdStart      bool     `json:"small_start,omitempty"` // a fleet most of whose nodes restart begins with InitialShare
+	ColdStart      bool     `json:"small_start,omitempty"` // a fleet begins with InitialShare if half its nodes restart
 }
 
 // Enabled reports whether zones are managed.
@@ -44,19 +44,18 @@
 	Share int    `json:"share"` // of the requests that the node admits, of FullShare
 	// PriorityCutoff above 0 admits requests by weight: all below the cutoff, Share of those equal to it, none above.
 	PriorityCutoff float64 `json:"worth,omitempty"`
-	// RateLimited limits the node to RateLimit run starts per second and to ConnectRateLimit new connections to
+	// RateLimited limits the node to RateLimit admitted requests per second and to ConnectRateLimit new connections to
 	// services below per second.
 	RateLimited      bool    `json:"capped,omitempty"`
 	RateLimit        float64 `json:"rate,omitempty"`
 	ConnectRateLimit float64 `json:"dials,omitempty"`
-	// RetryBudget is the number of retries of requests rejected by another zone that are admitted per FullShare first
-	// attempts; 0: unlimited.
+	// RetryBudget is the number of retries admitted per FullShare first attempts; 0: unlimited.
 	RetryBudget         int    `json:"retry,omitempty"`
 	NoCapacityElsewhere bool   `json:"full,omitempty"` // other zones have no capacity for rejected requests
 	TTLMS               uint64 `json:"keep_ms"`        // how long the order is valid without contact to the group
 }
 
-// PriorityCount is the number of requests of one weight that arrived.
+// PriorityCount is the number of first attempts of one weight that arrived.
 type PriorityCount struct {
 	Weight  float64 `json:"value"`
 	Arrived int     `json:"came"`
@@ -69,13 +68,13 @@
 	Retries         int             `json:"again,omitempty"`  // of Arrived
 	RejectedByZone  int             `json:"turned,omitempty"` // by the zone order
 	Completed       int             `json:"done"`             // by the deadline
-	Late            int             `json:"late,omitempty"`   // completed after the deadline
-	Shed            int             `json:"shed,omitempty"`   // rejected by the node's admission control
+	Late            int             `json:"late,omitempty"`   // answered after the deadline, errors included
+	Shed            int             `json:"shed,omitempty"`   // answered with status 503
 	Failed          int             `json:"errored,omitempty"`
 	OfferedWeight   float64         `json:"worth,omitempty"` // sum over first attempts
 	CompletedWeight float64         `json:"got,omitempty"`   // sum over requests completed by the deadline
 	ArrivedByWeight []PriorityCount `json:"mix,omitempty"`   // first attempts, by ascending weight
-	KernelConnected bool            `json:"kernel"`
+	KernelConnected bool            `json:"kernel"`          // the kernel is the process that executes runs
 	Cores           float64         `json:"cores"`
 	CoresUsed       float64         `json:"on_cores"` // mean over the window
 	RunsInFlight    int             `json:"out"`      // at the end of the window
--- a/internal/control/coordinator/coldstart.go
+++ b/internal/control/coordinator/coldstart.go
@@ -11,8 +11,8 @@
 // response would overload the leader when a fleet of thousands restarts.
 const fleetCountIntervalMS = 100
 
-// coldStartLimits tracks new nodes that may be the first of a restart of the whole fleet and are not released to full
-// load yet.
+// coldStartLimits tracks new nodes that may be the first of a cold start of the whole fleet and are not released to
+// full load yet.
 type coldStartLimits struct {
 	limitedSinceMS map[uint32]uint64 // grant time by lease ID of each node that is not released
 	fleetCount     fleetCount
--- a/internal/control/coordinator/errors.go
+++ b/internal/control/coordinator/errors.go
@@ -8,7 +8,7 @@
 // Errors returned by Leader.
 var (
 	// ErrBusy is returned when too many heartbeats or operators' operations are pending. The caller may retry shortly.
-	// Its text names nodes, but operators receive it as well.
+	// Operators receive the same text as nodes.
 	ErrBusy = errors.New("too many nodes ask at once")
 	// ErrStateLost is returned after nodes have proved that the group has lost committed state.
 	ErrStateLost = errors.New("the group has lost state and grants nothing: umberctl control recover")
--- a/internal/control/coordinator/generation.go
+++ b/internal/control/coordinator/generation.go
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// reducedShares returns the share of each zone with less than the full share in its record of the newest zone epoch.
+// reducedShares returns the share of each zone whose record of the newest zone epoch has less than the full share.
 func reducedShares(records []api.NodeRecord) map[string]int {
 	newest := map[string]api.NodeRecord{}
 	for _, r := range records {
--- a/internal/control/coordinator/listen.go
+++ b/internal/control/coordinator/listen.go
@@ -25,7 +25,7 @@
 }
 
 // stillListening reports whether a new leader must still wait before it grants leases or decides: until each node that
-// is in has sent a heartbeat, for at most a quarter of a lease.
+// is in has sent a heartbeat, for at most a quarter of a lease and maxListenMS.
 //
 // In a group that was reset to an older state, a node may have evidence of the lost state. The leader must not act on
 // the older state before it receives that evidence.
--- a/internal/control/membership/batch.go
+++ b/internal/control/membership/batch.go
@@ -11,7 +11,7 @@
 	MinVersion    uint64            `json:"floor"`           // promised by every lease in Renewals
 	MinZoneEpoch  uint64            `json:"zones,omitempty"` // promised by every lease in Renewals
 	Renewals      []uint32          `json:"renew,omitempty"`
-	Outdated      []uint32          `json:"behind,omitempty"` // leases with a heartbeat that promises less
+	Outdated      []uint32          `json:"behind,omitempty"` // leases whose heartbeat promises less than these
 	Joins         []api.JoinRequest `json:"join,omitempty"`
 	Leaves        []uint32          `json:"bye,omitempty"`
 	Forget        []string          `json:"forget,omitempty"` // names that an operator declares dead
--- a/internal/control/membership/expiry.go
+++ b/internal/control/membership/expiry.go
@@ -2,8 +2,8 @@
 
 // expire marks nodes out that have been silent for the span of a lease, and drops expired earlier leases.
 //
-// A node stays in while its lease is live. Silence counts only from the first batch of the leader's term;
-// otherwise a failover would mark all nodes out at once.
+// A silent node stays in until ExpiresAtMS of its lease, also an autonomous one. Silence counts only from the first batch of
+// the leader's term; otherwise a failover would mark all nodes out at once.
 func (s *State) expire(result *BatchResult, terms LeaseTerms) {
 	spanMS := LeaseSpanMS(terms.LeaseMS)
 	for _, n := range s.nodes {
--- a/internal/control/membership/lease.go
+++ b/internal/control/membership/lease.go
@@ -36,7 +36,7 @@
 type Lease struct {
 	ID           uint32 `json:"id"` // 0: none
 	Nonce        string `json:"nonce"`
-	ExpiresAtMS  uint64 `json:"until"`           // group clock at which it has expired for certain
+	ExpiresAtMS  uint64 `json:"until"`           // group clock by which the holder has stopped, unless Autonomous
 	MinVersion   uint64 `json:"floor"`           // the holder promised to serve under no older version
 	MinZoneEpoch uint64 `json:"zones,omitempty"` // and to act on no older zone epoch
 	Autonomous   bool   `json:"alone,omitempty"` // the holder may keep serving after ExpiresAtMS
--- a/internal/control/policy/guard.go
+++ b/internal/control/policy/guard.go
@@ -1,6 +1,7 @@
 package policy
 
-// Guard is a set of disabled guards. Only fault tests disable a guard, to check that they detect the violation.
+// Guard is one guard or a set of disabled guards. Only fault tests disable a guard, to check that they detect the
+// violation.
 type Guard uint
 
 // Each guard is described by its rule and by the failure without it.
--- a/internal/control/policy/next.go
+++ b/internal/control/policy/next.go
@@ -30,9 +30,11 @@
 
 // nextWhilePreparing decides whether a change in preparation is decided, aborted or keeps waiting.
 //
-// More refusals than MaxLeftBehind abort it at once; otherwise it is decided when no blocker is left. At its timeout it
-// is decided without the remaining nodes if they are at most MaxLeftBehind, and aborted otherwise. No blocker is left
-// behind before the unknown leases of an earlier generation expire, as nodes may still be rejoining.
+//   - More refusals than MaxLeftBehind: aborted.
+//   - No blocker left: decided.
+//   - Timed out with at most MaxLeftBehind blockers and refusals: decided without those nodes, but not before
+//     UnknownLeasesExpireMS, as nodes of an earlier generation may still be rejoining.
+//   - Timed out otherwise: aborted.
 func nextWhilePreparing(c *Change, f *membership.State, blockers, refusals []Blocker, disabled Guard) Operation {
 	unprepared := len(blockers) + len(refusals)
 	timedOut := f.ClockMS >= c.DecideByMS
--- a/internal/control/recovery/doc.go
+++ b/internal/control/recovery/doc.go
@@ -1,5 +1,6 @@
-// Package recovery decides whether most nodes of a fleet have just restarted (IsColdStart), whether a group of control
-// instances has lost state (GroupState.LostState), and what a lost group is restored from (PlanRestore).
+// Package recovery decides whether at least half the nodes of a fleet have just restarted (IsColdStart), whether a
+// group of control instances has lost state (GroupState.LostState), and what a lost group is restored from
+// (PlanRestore).
 //
 // It owns no state and reads no clock, file, socket or random source. Its inputs are plain values: counts of nodes, the
 // records that nodes keep of their fleet (api.NodeRecord), the content of an old data folder of the group (StoredGroup)
--- a/internal/control/recovery/plan.go
+++ b/internal/control/recovery/plan.go
@@ -12,7 +12,7 @@
 // MaxRecords is the maximum number of records collected, one for each node of a fleet.
 const MaxRecords = membership.MaxNodes
 
-// StoredGroup is the state in an old data folder or snapshot of the group, which may be out of date.
+// StoredGroup is the state in an old data folder or snapshot of the group (the old folder), which may be out of date.
 type StoredGroup struct {
 	api.GroupIdentity
 	LastVersion        uint64 // newest version, committed or not
@@ -60,7 +60,7 @@
 	texts  map[uint64][]*versionText // by version
 
 	decided   uint64 // newest version known to be decided
-	decidedBy string // name of the node or storedGroupHolder
+	decidedBy string // where it is known from: name of a node, or storedGroupHolder
 }
 
 // PlanRestore plans the restoration of a lost group from node records and an old folder (nil if there is none).
--- a/internal/control/zones/cold_start.go
+++ b/internal/control/zones/cold_start.go
@@ -6,7 +6,7 @@
 	"umberwinch/internal/control/recovery"
 )
 
-// BeginColdStart begins a ramp of the whole fleet if most of its nodes have just restarted, and reports whether it
+// BeginColdStart begins a ramp of the whole fleet if at least half its nodes have just restarted, and reports whether it
 // did. After a restart the services below are cold and without connections, and sustain only a part of their former
 // load.
 //
--- a/internal/control/zones/decide.go
+++ b/internal/control/zones/decide.go
@@ -67,7 +67,7 @@
 			return d.evacuate(view)
 		}
 	case Evacuated:
-		// A partially evacuated zone that is now dead serves nothing: the rest is evacuated even under decide = ask.
+		// A partially evacuated zone that is now dead serves nothing: the rest is evacuated even under api.ZoneModeManual.
 		if zone.Share > 0 && view.FailureScore >= evacuateScore && view.silent() {
 			return d.evacuate(view)
 		}
--- a/internal/control/zones/doc.go
+++ b/internal/control/zones/doc.go
@@ -16,7 +16,8 @@
 //     previous rate limit.
 //   - Load is raised only once no lease acts on an older epoch.
 //   - One zone is always in service.
-//   - No zone is evacuated for a failure that half or more of the other zones share.
+//   - A zone that reports is not evacuated automatically for a failure that more than half of the other reporting zones
+//     in service share. At least one of them has to be healthy.
 //   - Load is never raised by the clock alone, with one exception: a zone that has been at full share and one rate
 //     limit for maxFinalStepMS returns to service without limits, even if many requests are still rejected
 //     (finishRamp).
--- a/internal/control/zones/evacuate.go
+++ b/internal/control/zones/evacuate.go
@@ -29,8 +29,8 @@
 // paced; another one if that completes more weight in time than staying, as far as the other zones have spare
 // capacity.
 //
-// One zone always stays in service. While the fleet ramps after a cold start, a slow zone is not evacuated, as its
-// services are still cold.
+// One zone with nodes that are in always stays in service, even if its nodes are silent. While the fleet ramps after a
+// cold start, a slow zone is not evacuated, as its services are still cold.
 func (d *decider) evacuate(view *View) operation {
 	if view.FailureScore < evacuateScore || !d.state.anotherInService(view.Zone, d.fleet) {
 		return nil
--- a/internal/control/zones/guards.go
+++ b/internal/control/zones/guards.go
@@ -1,6 +1,6 @@
 package zones
 
-// Guard is a set of guards that are disabled, in fault tests only: a test that disables one must fail, which shows
+// Guard is one guard or a set of disabled guards. Only fault tests disable a guard: such a test must fail, which shows
 // that it detects the failure.
 type Guard uint
 
--- a/internal/control/zones/op.go
+++ b/internal/control/zones/op.go
@@ -35,7 +35,7 @@
 type Op struct {
 	Kind                OpKind  `json:"op"`
 	Zone                string  `json:"zone,omitempty"`
-	Epoch               uint64  `json:"epoch"` // in which it was decided
+	Epoch               uint64  `json:"epoch"` // in which it was decided; of an operator's operation: at its append
 	Share               int     `json:"share,omitempty"`
 	PriorityCutoff      float64 `json:"worth,omitempty"`
 	RateLimit           float64 `json:"ceiling,omitempty"` // runs a second
--- a/internal/control/zones/order.go
+++ b/internal/control/zones/order.go
@@ -17,7 +17,7 @@
 	}
 	order.Share, order.PriorityCutoff = zone.Share, zone.PriorityCutoff
 	if zone.Phase != InService {
-		order.RetryBudget = 0 // limited by its share instead
+		order.RetryBudget = 0 // not in service: its share limits the load
 	}
 	if zone.Phase != Ramping {
 		return s.withFleetLimits(order, lease)
--- a/internal/control/zones/phase.go
+++ b/internal/control/zones/phase.go
@@ -8,7 +8,7 @@
 const (
 	InService  Phase = "in"
 	Evacuating Phase = "leaving"   // some node may still act on the previous epoch
-	Evacuated  Phase = "out"       // fully or partially; no node acts on an older epoch
+	Evacuated  Phase = "out"       // fully, or partially at a reduced share; no node acts on an older epoch
 	Ramping    Phase = "returning" // at a share, with rate limits
 )
 
--- a/internal/control/zones/score.go
+++ b/internal/control/zones/score.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 const (
-	// evacuateScore is the failure score at which a zone is evacuated: four unhealthy evaluations, two seconds.
+	// evacuateScore is the failure score from which a zone may be evacuated: four unhealthy evaluations, two seconds.
 	evacuateScore = 4.0
 	// maxScore bounds the score, so that a zone that was unhealthy for long is healthy after three evaluations.
 	maxScore = 6.0
@@ -20,7 +20,7 @@
 	reducedUnhealthyPoints = unhealthyPoints / 2
 	// minProbeResults is the least number of probe results by which a zone counts as dead.
 	minProbeResults = 2
-	// A zone that gets fewer than its usual first attempts divided by unreachableDivisor is cut off from its callers,
+	// A zone that gets fewer than its usual first attempts divided by unreachableDivisor is out of reach of its callers,
 	// if the usual rate is above minUsualAttemptRate a second.
 	unreachableDivisor  = 20
 	minUsualAttemptRate = 1
--- a/internal/control/zones/state.go
+++ b/internal/control/zones/state.go
@@ -65,8 +65,7 @@
 type State struct {
 	Epoch        uint64 `json:"epoch"`
 	SettledEpoch uint64 `json:"settled"` // no lease acts on an older epoch
-	// RetryBudget is how many retries of requests rejected by an evacuated zone each zone in service admits per
-	// api.FullShare first attempts; 0: no limit.
+	// RetryBudget is how many retries each zone in service admits per api.FullShare first attempts; 0: no limit.
 	RetryBudget         int     `json:"retry,omitempty"`
 	NoCapacityElsewhere bool    `json:"full,omitempty"`  // a rejected request finds no capacity in any zone
 	Zones               []*Zone `json:"zones,omitempty"` // by name
--- a/internal/control/zones/view.go
+++ b/internal/control/zones/view.go
@@ -11,7 +11,7 @@
 	NodesReporting int     `json:"fresh"` // with a load report that has not expired
 	NodesUnhealthy int     `json:"sick"`  // of the reporting ones
 	Symptom        Symptom `json:"kind,omitempty"`
-	FailureScore   float64 `json:"score"` // certainty that the zone fails; evacuated at evacuateScore
+	FailureScore   float64 `json:"score"` // points of the evaluations so far; the zone may be evacuated from evacuateScore
 	Cause          Cause   `json:"cause,omitempty"`
 	Note           string  `json:"note,omitempty"` // for operators: what the last evaluation found or waits for
 
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -63,7 +63,8 @@
 // ActiveVersion is the policy version that the node serves under, 0 without one.
 func (a *Agent) ActiveVersion() uint64 { return a.versions.active.Version }
 
-// MinVersion is the oldest version that the node may serve under. If it is newer than ActiveVersion the node is fenced.
+// MinVersion is the latest decided version that the node knows of: it may serve under no older one.
+// The node is fenced if it is newer than ActiveVersion.
 func (a *Agent) MinVersion() uint64 { return a.versions.min }
 
 // CommittedVersion is the latest committed version that this node knows of, 0 without one.
--- a/internal/node/agent/doc.go
+++ b/internal/node/agent/doc.go
@@ -8,10 +8,14 @@
 //
 // Times are Milliseconds of a monotonic clock that includes the time for which the process is stopped (CLOCK_BOOTTIME).
 //
+// A decided version is going to be committed: nodes promise to serve under no older one. A committed version may be
+// activated.
+//
 // Invariants:
 //   - A lease runs from the sending of the heartbeat that it answers, so that a slow response grants less time and a
 //     response after the timeout none.
-//   - A node whose lease has expired is fenced, unless the committed version allows it to serve autonomously.
+//   - A node whose lease has expired is fenced, unless its active version allows autonomous serving, or the lease
+//     was granted by the previous generation and its time has not passed (servesBetweenGenerations).
 //   - The node never serves under a version older than the latest decided one that it knows of, and activates only
 //     committed versions. One exception: a starting node may take its prepared version for committed if that version
 //     is decided and its change doesn't wait between the two (versions.restore).
--- a/internal/node/agent/serving.go
+++ b/internal/node/agent/serving.go
@@ -19,7 +19,8 @@
 )
 
 // MayServe decides whether the node may serve at now, and if not, why it is fenced. It may while its lease runs and no
-// version newer than the active one is decided, and without a lease only if its version allows autonomous serving.
+// version newer than the active one is decided, and without a lease only if its active or its stored version allows
+// autonomous serving. After a change of generation it may also serve for the rest of the previous lease.
 // Guards against a node that serves under a replaced version, or in an evacuated zone, after the group has taken its
 // lease for expired. The driver calls it before each round; a fenced node rejects all requests with 503.
 func (a *Agent) MayServe(now Milliseconds) (ok bool, reason string) {
--- a/internal/node/agent/versions.go
+++ b/internal/node/agent/versions.go
@@ -9,7 +9,7 @@
 type versions struct {
 	min              uint64            // the latest decided one: the node serves under no older one
 	committed        api.VersionHash   // the latest one that may be activated
-	proposed         api.VersionHash   // the proposed one, to be fetched, checked and tried
+	proposed         api.VersionHash   // PrepareVersion of the last response: to be fetched, checked and evaluated
 	active           api.VersionHash   // the node serves under it; version 0: none
 	activeAutonomous bool              // the active version allows nodes to serve without a lease
 	prepared         map[uint64]string // hash by version
@@ -63,6 +63,7 @@
 			v.rejected = rejection{}
 		}
 	}
+	// Also if both versions are 0: without a policy, nodes are autonomous (policy.DefaultRules).
 	if v.active.Version == v.committed.Version {
 		v.activeAutonomous = r.Autonomous
 	}
--- a/internal/node/overlay/overlay.go
+++ b/internal/node/overlay/overlay.go
@@ -15,7 +15,7 @@
 	Version         uint64
 	Document        *document.Document
 	Deployment      *admission.Deployment
-	PoolClasses     []pools.Class // run slots by handler; nil: the document has no pools
+	PoolClasses     []pools.Class // run slots by handler; nil: no pool of the document has a class
 	RetiredHandlers []bool        // by handler: new requests are rejected
 }
 
@@ -101,7 +101,8 @@
 	handler.IdempotencyWindow = window
 }
 
-// assignPool assigns a class to its pool. A pool has at most one class, since run slots are reserved by handler.
+// assignPool assigns a class to its pool. A document names its pools, but each pool has at most one class, since
+// run slots are reserved by handler.
 func (b *builder) assignPool(class *document.Class) {
 	if class.Pool == "" {
 		return
--- a/internal/node/pools/canstart.go
+++ b/internal/node/pools/canstart.go
@@ -4,9 +4,9 @@
 // the class wait.
 const ownerLimitDivisor = 2
 
-// CanStart reports whether a queued request may take a run slot now. A class over its limit may start requests while
-// no class under its limit is waiting, so that no slot idles; a configured cap always holds. The class with the
-// reserve starts before all others while it waits and runs fewer requests than the reserve.
+// CanStart reports whether a queued request may take a run slot now. A class over its limit may start requests while no
+// class under its limit is waiting, so that no slot idles; a configured cap always holds, heavy runs excluded. The
+// class with the reserve starts before all others while it waits and runs fewer requests than the reserve.
 func (p *Pools) CanStart(id uint32) bool {
 	o, ok := p.queued[id]
 	if p.config.Disabled || !ok {
@@ -45,7 +45,7 @@
 }
 
 // ownerOverShare reports whether the request's tenant, or its bucket of callers, holds its share of a limited class's
-// slots while others of the class wait.
+// slots, heavy runs included, while others of the class wait.
 func (s *classState) ownerOverShare(o owner) bool {
 	if !s.limited() {
 		return false
--- a/internal/node/pools/class.go
+++ b/internal/node/pools/class.go
@@ -30,7 +30,7 @@
 
 	fairSlots float64 // its fair share of the slots, by need and value per work
 	usedSlots float64 // mean slots in use over recent history
-	needsMore bool    // it needs more than its fair slots; limits of other classes are not cut
+	needsMore bool    // it needs more than its fair slots; only the limits of such classes are cut
 
 	lastDelay        Time // queue delay of the last request to start
 	shed             uint64
--- a/internal/node/pools/limits.go
+++ b/internal/node/pools/limits.go
@@ -13,8 +13,8 @@
 	// starvedMissFraction is the fraction of a class's recent arrivals that were shed or late from which it may be
 	// starved.
 	starvedMissFraction = 0.05
-	// starvedShortfall is how far below its fair slots a class has to be to be starved, as a fraction of them: one that
-	// uses them misses arrivals by its own excess.
+	// starvedShortfall is how far below its fair slots a class has to be to be starved, as a fraction of them: a class
+	// that uses its fair slots and still sheds or is late demands too much.
 	starvedShortfall = 0.1
 	// minArrivals is the number of recent arrivals below which a class is never starved.
 	minArrivals = 4
--- a/internal/node/shadow/evaluation.go
+++ b/internal/node/shadow/evaluation.go
@@ -30,7 +30,7 @@
 // Limits bound the regressions allowed to a candidate, as fractions of all requests.
 type Limits struct {
 	MaxShed float64 // increase of requests shed
-	MaxLate float64 // decrease of requests completed on time, in addition to MaxShed
+	MaxLate float64 // decrease of requests completed on time beyond MaxShed: up to MaxShed+MaxLate in all
 }
 
 // Evaluate replays a recording under the current deployment and under the candidate, and rejects a candidate whose
--- a/internal/node/shadow/server.go
+++ b/internal/node/shadow/server.go
@@ -115,7 +115,7 @@
 }
 
 // endRunsAndTimeouts ends the runs and times out the requests that are due by now, and removes requests that are
-// answered and neither running nor paused.
+// answered and hold no slot.
 func (s *server) endRunsAndTimeouts() {
 	stillOpen := s.open[:0]
 	for _, id := range s.open {
@@ -185,7 +185,7 @@
 	}
 }
 
-// Run starts a run or resumes a paused one.
+// Run starts a run.
 func (s *server) Run(id uint32) {
 	if r := s.requests[id]; r != nil && r.endsAt == 0 && !r.answered {
 		r.endsAt, r.holdsSlot = s.now+max(r.remaining, 1), true
--- a/internal/node/zonegate/admit.go
+++ b/internal/node/zonegate/admit.go
@@ -43,13 +43,13 @@
 // Decision is the gate's decision on one request.
 type Decision struct {
 	Admitted bool
-	Final    bool   // rejected with no capacity in the fleet: the caller should not retry
+	Final    bool   // a retry, rejected with no capacity in the fleet: the caller should not retry again
 	Reason   Reason // of a rejection
 }
 
-// Admit decides by the order in force whether this node admits a request. It rejects requests outside the zone's share
+// Admit decides by the current order whether this node admits a request. It rejects requests outside the zone's share
 // or above the node's quota of the zone's rate limit, and retries above the retry budget: a ramping zone must not
-// overload its dependencies, nor the retries of an evacuated zone's callers the zones in service.
+// overload its dependencies, and retries by callers of an evacuated zone must not overload the zones in service.
 //
 // A request whose idempotency key this process has seen is always admitted: its result is here, and another node would
 // run it a second time. Keys of results that an earlier process stored are not known to the gate.
--- a/internal/node/zonegate/autonomous.go
+++ b/internal/node/zonegate/autonomous.go
@@ -15,8 +15,9 @@
 )
 
 // AdjustAutonomousShare adjusts the share of a node without the control service and reports whether it changed. The last
-// order holds for its time to live; after each further such time the share doubles if healthy, the state of the node's
-// own requests, and halves otherwise. Guards against a zone that stays evacuated while the control service is down.
+// order holds for its time to live, or minAutonomousStepMS if longer. After each further such time the share doubles if
+// the node's own requests are healthy, from at least minAutonomousShare, and halves otherwise, down to 1 of FullShare,
+// also from 0. Guards against a zone that stays evacuated while the control service is down.
 func (g *Gate) AdjustAutonomousShare(now uint64, healthy bool) (changed bool) {
 	if !g.hasOrder || g.order.Share >= api.FullShare && g.order.PriorityCutoff == 0 && !g.order.RateLimited {
 		return false
--- a/internal/node/zonegate/doc.go
+++ b/internal/node/zonegate/doc.go
@@ -11,5 +11,6 @@
 //     the rate limit of the newest epoch.
 //   - A request that is admitted at a share stays admitted while the share grows.
 //   - A request whose idempotency key this process has seen is always admitted.
-//   - The node doesn't raise its share on its own while it is in contact with the control service.
+//   - The node doesn't raise its share on its own while it is in contact with the control service: the caller calls
+//     AdjustAutonomousShare only without contact.
 package zonegate
--- a/internal/node/zonegate/gate.go
+++ b/internal/node/zonegate/gate.go
@@ -13,7 +13,7 @@
 	Rejected uint64
 
 	seed         uint32
-	order        api.ZoneOrder
+	order        api.ZoneOrder // as received, or as adjusted since without the control service
 	hasOrder     bool
 	runs         tokenBucket
 	connections  tokenBucket
--- a/internal/node/zonegate/meter.go
+++ b/internal/node/zonegate/meter.go
@@ -10,7 +10,7 @@
 }
 
 const (
-	// A report covers two seconds, several heartbeats, so that consecutive reports overlap.
+	// A report covers two seconds: at shorter heartbeat intervals, consecutive reports overlap.
 	meterSlots = 8
 	slotMS     = 250
 
--- a/internal/node/zonegate/report.go
+++ b/internal/node/zonegate/report.go
@@ -7,7 +7,8 @@
 )
 
 // Report returns the load of the last two seconds, for a heartbeat. cores is the number of cores that the node may use,
-// inFlight the number of runs.
+// inFlight the number of runs,
+// kernelConnected whether the process that executes runs is connected.
 func (m *Meter) Report(now uint64, kernelConnected bool, cores float64, inFlight int) *api.LoadReport {
 	m.slot(now)
 	report := &api.LoadReport{KernelConnected: kernelConnected, Cores: cores, RunsInFlight: inFlight}
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -7,7 +7,7 @@
 	minWindowEndMS = 2000
 	// maxEarliestMS prevents overflow.
 	maxEarliestMS = 1e9
-	// windowDivisor: the window covers at least this part of its end, so that it is never empty.
+	// windowDivisor: the window is at least 1/windowDivisor of its end long, so that it is never empty.
 	windowDivisor = 4
 	// spreadSteps is the number of steps that a window is divided into.
 	spreadSteps = 1024
@@ -16,8 +16,8 @@
 )
 
 // Window returns the window in which a rejected caller may retry, in ms from now; 0, 0 if none is allowed (maxMS <= 0).
-// Retries before earliestMS are known to fail: the window is from earliestMS to 1.5 times that, and at least one to two
-// seconds. maxMS bounds its end; it begins at three quarters of its end at the latest.
+// Retries before earliestMS are known to fail: the window is from earliestMS to 1.5 times that, but not earlier than
+// from 1 s to 2 s. maxMS bounds its end; it begins at three quarters of its end at the latest.
 func Window(maxMS, earliestMS int64) (from, to int64) {
 	if maxMS <= 0 {
 		return 0, 0
