--- a/admission/calls.go
+++ b/admission/calls.go
@@ -242,7 +242,7 @@
 }
 
 // setPoolsAtCall notifies the pools that a run is at a call, where it does no work, or has resumed.
-func (c *Controller) setPoolsAtCall(r *record, atCall bool) {
+func (c *Controller) setPoolsAtCall(r *requestRecord, atCall bool) {
 	if c.pools != nil {
 		c.pools.SetAtCall(c.now, r.id, atCall)
 	}
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -27,7 +27,7 @@
 	memory        memoryAccount
 	calls         callPacer
 	readiness     readiness
-	signal        overloadSignal
+	signal        signalState
 	idle          idleTimeout
 	drain         drain
 	pools         Pools
@@ -62,7 +62,7 @@
 		memory:    newMemoryAccount(d),
 		calls:     newCallPacer(d),
 		readiness: newReadiness(),
-		signal:    overloadSignal{kind: d.OverloadSignal, callers: float64(d.Callers)},
+		signal:    signalState{kind: d.OverloadSignal, callers: float64(d.Callers)},
 		idle:      idleTimeout{configured: d.IdleTimeout, lastSet: d.IdleTimeout, callers: float64(d.Callers)},
 		drain:     drain{grace: d.DrainGrace},
 		pools:     d.Pools,
--- a/admission/end_of_run.go
+++ b/admission/end_of_run.go
@@ -103,7 +103,7 @@
 }
 
 // recordRun adds a run to the measurements of its class.
-func (c *Controller) recordRun(r *record, e RunEnd, inTime bool) {
+func (c *Controller) recordRun(r *requestRecord, e RunEnd, inTime bool) {
 	demand := &c.queueTimeouts.classes[r.class]
 	if e.Outcome == NotExecuted {
 		demand.served.add(c.now, 0, -1) // not executed: not counted as read
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -20,7 +20,7 @@
 
 // repeatActionFor decides how a repeat is handled. An at-most-once request never runs while an earlier executed
 // attempt is known: the repeats of a failed run fail as well.
-func repeatActionFor(repeat index, original *record, originalIndex index, atMostOnce bool) repeatAction {
+func repeatActionFor(repeat index, original *requestRecord, originalIndex index, atMostOnce bool) repeatAction {
 	switch {
 	case originalIndex == repeat || original.state == received:
 		return treatAsNew // of two in one round, the later reuses the result of the earlier
@@ -103,7 +103,7 @@
 
 // updateEntry sets the lifetime of an entry after its run has ended. An at-most-once request keeps its entry unless
 // it was proven not executed. A retryable one keeps a good response for the response reuse time.
-func (c *Controller) updateEntry(r *record, outcome Outcome) {
+func (c *Controller) updateEntry(r *requestRecord, outcome Outcome) {
 	switch {
 	case c.classes[r.class].atMostOnce && outcome != NotExecuted || r.entry.expires == 0:
 	case r.failed:
@@ -115,7 +115,7 @@
 }
 
 // removeEntry removes the entry of a request from the idempotency table before it expires.
-func (c *Controller) removeEntry(r *record) {
+func (c *Controller) removeEntry(r *requestRecord) {
 	if r.entry.expires > 0 {
 		r.entry.expires, r.entry.recordExpires = 0, c.now
 		c.memory.used -= c.memory.entryKB
--- a/admission/lifecycle.go
+++ b/admission/lifecycle.go
@@ -27,7 +27,7 @@
 }
 
 // enter moves a request to its next state.
-func (r *record) enter(next state) {
+func (r *requestRecord) enter(next state) {
 	if onTransition != nil {
 		onTransition(r.state, next)
 	}
--- a/admission/overload_signal.go
+++ b/admission/overload_signal.go
@@ -22,8 +22,8 @@
 	minSignalChange = 0.01
 )
 
-// overloadSignal computes the overload value that is sent with every response.
-type overloadSignal struct {
+// signalState computes the overload value that is sent with every response.
+type signalState struct {
 	kind     OverloadSignal // how callers interpret the value
 	callers  float64
 	pressure float64 // fraction of traffic to keep away, 0 to 1
@@ -32,13 +32,13 @@
 
 // adjust moves the pressure. elapsed is in seconds, queuedPerCore in requests, and readDelay is a fraction of the
 // latency objective.
-func (s *overloadSignal) adjust(elapsed, queuedPerCore, readDelay float64) {
+func (s *signalState) adjust(elapsed, queuedPerCore, readDelay float64) {
 	excess := min(max(queuedPerCore+readDelayWeight*readDelay-targetQueuePerCore, -maxFall), maxRise)
 	s.pressure = min(max(s.pressure+elapsed*excess/secondsToFullPressure, 0), maxPressure)
 }
 
 // value converts the pressure to the kind of signal that the callers use. runs is the concurrency limit.
-func (s *overloadSignal) value(runs int, ready bool) float64 {
+func (s *signalState) value(runs int, ready bool) float64 {
 	switch {
 	case !ready:
 		return boolToFloat(s.kind == SignalLevel)
--- a/admission/queue_timeout.go
+++ b/admission/queue_timeout.go
@@ -123,12 +123,12 @@
 	return 0
 }
 
-func (q *queueTimeouts) cell(r *record) *demandCell {
+func (q *queueTimeouts) cell(r *requestRecord) *demandCell {
 	return &q.cells[int(r.class)*len(q.tenants)+int(r.tenant)]
 }
 
 // requestRead adds a request to the demand of its class and tenant.
-func (q *queueTimeouts) requestRead(now Time, r *record) {
+func (q *queueTimeouts) requestRead(now Time, r *requestRecord) {
 	if !r.isRetry {
 		// Retries of shed requests would make a tenant appear to exceed its quota.
 		q.tenants[r.tenant].arrivals.add(now, 1, 0)
--- a/admission/readiness.go
+++ b/admission/readiness.go
@@ -19,9 +19,9 @@
 	// Window of the fraction that is too late: one second.
 	lateBuckets = 4
 	lateStep    = Second / 4
-	// probeDelay is the time without arrivals after which a stalled, empty server reports ready to get a probe
+	// stalledProbeDelay is the time without arrivals after which a stalled, empty server reports ready to get a probe
 	// request; several health check periods, so that all callers have seen it as not ready.
-	probeDelay = 2 * Second
+	stalledProbeDelay = 2 * Second
 )
 
 // readiness detects stalls and overload and determines the reported health.
@@ -74,10 +74,10 @@
 	return ""
 }
 
-// isReady returns the reported health. A stalled server that is empty reports ready after probeDelay without
+// isReady returns the reported health. A stalled server that is empty reports ready after stalledProbeDelay without
 // arrivals: otherwise callers that follow health checks would never send the request that shows its recovery.
 func (r *readiness) isReady(empty bool, sinceArrival Time, draining bool) bool {
-	probing := empty && sinceArrival > probeDelay
+	probing := empty && sinceArrival > stalledProbeDelay
 	return (!r.stalled || probing) && !r.overloaded && !draining
 }
 
--- a/admission/request_table.go
+++ b/admission/request_table.go
@@ -9,8 +9,8 @@
 // unscheduled is the bucket of a record that is not in the timer wheel.
 const unscheduled int32 = -1
 
-// record is the state of one request, from its arrival until the record expires.
-type record struct {
+// requestRecord is the state of one request, from its arrival until the record expires.
+type requestRecord struct {
 	id            uint32
 	class, tenant int32
 	state         state
@@ -54,7 +54,7 @@
 
 // requestTable holds the records of all known requests, by index and by id.
 type requestTable struct {
-	at   []record
+	at   []requestRecord
 	free []index
 	ids  map[uint32]index
 }
@@ -77,9 +77,9 @@
 		t.free = t.free[:n-1]
 	} else {
 		i = index(len(t.at))
-		t.at = append(t.at, record{})
+		t.at = append(t.at, requestRecord{})
 	}
-	t.at[i] = record{id: id, bucket: unscheduled, repeats: repeatState{original: none, newestRepeat: none}}
+	t.at[i] = requestRecord{id: id, bucket: unscheduled, repeats: repeatState{original: none, newestRepeat: none}}
 	t.ids[id] = i
 	return i
 }
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -114,26 +114,26 @@
 // TestRepeatActions checks that an at-most-once request never runs while an earlier executed attempt is known.
 func TestRepeatActions(t *testing.T) {
 	for name, c := range map[string]struct {
-		original   record
+		original   requestRecord
 		atMostOnce bool
 		want       repeatAction
 	}{
-		"original of the same round": {record{state: received}, true, treatAsNew},
-		"original shed":              {record{state: finished, failed: true}, true, treatAsNew},
-		"original queued":            {record{state: queued}, true, queueBehindOriginal},
-		"original running":           {record{state: running, executed: true}, true, reuseOriginal},
-		"original in a call":         {record{state: inCall, executed: true}, true, reuseOriginal},
-		"original answered, still running": {record{state: running, executed: true, answered: true}, true,
+		"original of the same round": {requestRecord{state: received}, true, treatAsNew},
+		"original shed":              {requestRecord{state: finished, failed: true}, true, treatAsNew},
+		"original queued":            {requestRecord{state: queued}, true, queueBehindOriginal},
+		"original running":           {requestRecord{state: running, executed: true}, true, reuseOriginal},
+		"original in a call":         {requestRecord{state: inCall, executed: true}, true, reuseOriginal},
+		"original answered, still running": {requestRecord{state: running, executed: true, answered: true}, true,
 			reuseOriginal},
-		"original failed": {record{state: finished, executed: true, failed: true}, true, failRepeat},
-		"original succeeded": {record{state: finished, executed: true, answered: true}, true,
+		"original failed": {requestRecord{state: finished, executed: true, failed: true}, true, failRepeat},
+		"original succeeded": {requestRecord{state: finished, executed: true, answered: true}, true,
 			reuseOriginal},
-		"retryable, original running":   {record{state: running, executed: true}, false, reuseOriginal},
-		"retryable, original failed":    {record{state: finished, executed: true, failed: true}, false, treatAsNew},
-		"retryable, original abandoned": {record{state: running, executed: true, answered: true}, false, treatAsNew},
-		"retryable, original succeeded": {record{state: finished, executed: true, answered: true}, false,
+		"retryable, original running":   {requestRecord{state: running, executed: true}, false, reuseOriginal},
+		"retryable, original failed":    {requestRecord{state: finished, executed: true, failed: true}, false, treatAsNew},
+		"retryable, original abandoned": {requestRecord{state: running, executed: true, answered: true}, false, treatAsNew},
+		"retryable, original succeeded": {requestRecord{state: finished, executed: true, answered: true}, false,
 			reuseOriginal},
-		"original awaits a result": {record{state: awaitingResult}, true, reuseOriginal},
+		"original awaits a result": {requestRecord{state: awaitingResult}, true, reuseOriginal},
 	} {
 		if got := repeatActionFor(1, &c.original, 0, c.atMostOnce); got != c.want {
 			t.Errorf("%s: repeatActionFor() = %d, want %d", name, got, c.want)
@@ -176,8 +176,8 @@
 	}{
 		{false, false, false, false, 0, true},
 		{true, false, false, false, 9 * Second, false},
-		{true, false, false, true, probeDelay, false},
-		{true, false, false, true, probeDelay + 1, true},
+		{true, false, false, true, stalledProbeDelay, false},
+		{true, false, false, true, stalledProbeDelay + 1, true},
 		{true, true, false, true, 9 * Second, false},
 		{false, true, false, true, 9 * Second, false},
 		{false, false, true, true, 9 * Second, false},
@@ -192,7 +192,7 @@
 // TestOverloadSignal checks that the pressure rises by at most a third and falls by at most a twelfth per second,
 // leaves a tenth of the traffic, and is converted to each kind of signal.
 func TestOverloadSignal(t *testing.T) {
-	s := overloadSignal{kind: SignalLevel, callers: 4}
+	s := signalState{kind: SignalLevel, callers: 4}
 	expectNear := func(name string, got, want float64) {
 		if got < want-nearZero || got > want+nearZero {
 			t.Errorf("%s = %f, want %f", name, got, want)
--- a/admission/start_runs.go
+++ b/admission/start_runs.go
@@ -52,6 +52,6 @@
 	c.review(i)
 }
 
-func (c *Controller) expectedRunTimeOf(r *record) float64 {
+func (c *Controller) expectedRunTimeOf(r *requestRecord) float64 {
 	return c.classes[r.class].expectedRunTime(c.now, r.work)
 }
--- a/admission/timer_wheel.go
+++ b/admission/timer_wheel.go
@@ -3,13 +3,13 @@
 // timerWheel holds requests by the time of their next review, in buckets of one step. A time beyond the range of the
 // wheel goes into its last bucket and is rescheduled from there.
 type timerWheel struct {
-	step  Time
-	slot  int64   // number of the current bucket, counted from time 0
-	heads []index // first request of each bucket
+	step         Time
+	bucketNumber int64   // number of the current bucket, counted from time 0
+	heads        []index // first request of each bucket
 }
 
 func newTimerWheel(buckets int, step, now Time) timerWheel {
-	w := timerWheel{step: step, slot: int64(now / step), heads: make([]index, buckets)}
+	w := timerWheel{step: step, bucketNumber: int64(now / step), heads: make([]index, buckets)}
 	for i := range w.heads {
 		w.heads[i] = none
 	}
@@ -19,8 +19,8 @@
 // schedule sets the time of the next review of i, in place of an earlier one.
 func (w *timerWheel) schedule(t *requestTable, i index, at Time) {
 	w.cancel(t, i)
-	slot := max(int64((at+w.step-1)/w.step), w.slot+1)
-	slot = min(slot, w.slot+int64(len(w.heads))-1)
+	slot := max(int64((at+w.step-1)/w.step), w.bucketNumber+1)
+	slot = min(slot, w.bucketNumber+int64(len(w.heads))-1)
 	r := &t.at[i]
 	r.bucket = int32(slot % int64(len(w.heads)))
 	r.timerLink = link{none, w.heads[r.bucket]}
@@ -48,16 +48,16 @@
 
 // expired removes and returns one request whose time has come, or none.
 func (w *timerWheel) expired(t *requestTable, now Time) index {
-	for w.slot <= int64(now/w.step) {
-		k := w.slot % int64(len(w.heads))
+	for w.bucketNumber <= int64(now/w.step) {
+		k := w.bucketNumber % int64(len(w.heads))
 		if i := w.heads[k]; i != none {
 			w.cancel(t, i)
 			return i
 		}
-		if w.slot == int64(now/w.step) {
+		if w.bucketNumber == int64(now/w.step) {
 			break
 		}
-		w.slot++
+		w.bucketNumber++
 	}
 	return none
 }
--- a/admission/window.go
+++ b/admission/window.go
@@ -3,31 +3,31 @@
 // window keeps two sums over a sliding time window, in a ring of buckets.
 type window struct {
 	step            Time
-	slot            int64 // number of the newest bucket; -1 before the first
+	bucketNumber    int64 // number of the newest bucket; -1 before the first
 	values, weights []float64
 	value, weight   float64 // sums over all buckets
 }
 
 func newWindow(buckets int, step Time) window {
-	return window{step: step, slot: -1, values: make([]float64, buckets), weights: make([]float64, buckets)}
+	return window{step: step, bucketNumber: -1, values: make([]float64, buckets), weights: make([]float64, buckets)}
 }
 
 // advance drops expired buckets and returns the index of the current one.
 func (w *window) advance(now Time) int {
 	slot, n := int64(now/w.step), int64(len(w.values))
-	if w.slot < 0 || slot-w.slot >= n {
+	if w.bucketNumber < 0 || slot-w.bucketNumber >= n {
 		clear(w.values)
 		clear(w.weights)
-		w.value, w.weight, w.slot = 0, 0, slot
+		w.value, w.weight, w.bucketNumber = 0, 0, slot
 	}
-	for w.slot < slot {
-		w.slot++
-		k := w.slot % n
+	for w.bucketNumber < slot {
+		w.bucketNumber++
+		k := w.bucketNumber % n
 		w.value -= w.values[k]
 		w.weight -= w.weights[k]
 		w.values[k], w.weights[k] = 0, 0
 	}
-	return int(w.slot % n)
+	return int(w.bucketNumber % n)
 }
 
 func (w *window) add(now Time, value, weight float64) {
--- a/internal/control/recovery/plan.go
+++ b/internal/control/recovery/plan.go
@@ -59,8 +59,8 @@
 	choice string                    // hash chosen by an operator, or its prefix; may be empty
 	texts  map[uint64][]*versionText // by version
 
-	decided   uint64 // newest version known to be decided
-	decidedBy string // where it is known from: name of a node, or storedGroupHolder
+	decided          uint64 // newest version known to be decided
+	decidedKnownFrom string // where it is known from: name of a node, or storedGroupHolder
 }
 
 // PlanRestore plans the restoration of a lost group from node records and an old folder (nil if there is none).
@@ -158,6 +158,6 @@
 
 func (p *planner) recordDecided(version uint64, holder string) {
 	if version > p.decided {
-		p.decided, p.decidedBy = version, holder
+		p.decided, p.decidedKnownFrom = version, holder
 	}
 }
--- a/internal/control/recovery/version.go
+++ b/internal/control/recovery/version.go
@@ -61,12 +61,12 @@
 	case best == nil:
 		plan.Unknown = append(plan.Unknown,
 			fmt.Sprintf("version %d was decided (by %s), and nobody holds the text of it or "+
-				"of one before it: put one again", p.decided, p.decidedBy))
+				"of one before it: put one again", p.decided, p.decidedKnownFrom))
 		plan.Version, plan.Proof = p.decided+1, "none"
 		return
 	}
 	plan.Text, plan.Hash, plan.SourceVersion, plan.Version = best.text, best.hash, best.version, best.version
-	plan.Proof = fmt.Sprintf("decided as %s was told, prepared by %s", p.decidedBy, joinNames(best.prepared))
+	plan.Proof = fmt.Sprintf("decided as %s was told, prepared by %s", p.decidedKnownFrom, joinNames(best.prepared))
 	if len(best.active) > 0 {
 		plan.Proof = "served under by " + joinNames(best.active)
 	}
@@ -75,7 +75,7 @@
 		plan.Version = p.decided + 1
 		plan.Unknown = append(plan.Unknown,
 			fmt.Sprintf("version %d was decided (%s), and nobody holds its text: version %d "+
-				"has that of %d", p.decided, p.decidedBy, plan.Version, best.version))
+				"has that of %d", p.decided, p.decidedKnownFrom, plan.Version, best.version))
 	}
 	p.avoidNumberReuse()
 }
--- a/internal/control/zones/aggregate.go
+++ b/internal/control/zones/aggregate.go
@@ -15,11 +15,11 @@
 	if len(reports) == 0 {
 		return
 	}
-	pools := poolReports(reports)
-	v.aggregateRates(pools)
-	v.RunMS = medianOf(pools, func(r *api.LoadReport) float64 { return r.MeanRunMS })
-	v.CallMS = medianOf(pools, func(r *api.LoadReport) float64 { return r.MeanCallMS })
-	v.CallFailureRatio = medianOf(pools, func(r *api.LoadReport) float64 {
+	groups := groupReports(reports)
+	v.aggregateRates(groups)
+	v.RunMS = medianOf(groups, func(r *api.LoadReport) float64 { return r.MeanRunMS })
+	v.CallMS = medianOf(groups, func(r *api.LoadReport) float64 { return r.MeanCallMS })
+	v.CallFailureRatio = medianOf(groups, func(r *api.LoadReport) float64 {
 		return float64(r.FailedCalls) / max(1, float64(r.Calls))
 	})
 	kernelsConnected := 0
@@ -29,18 +29,18 @@
 		}
 	}
 	v.KernelsUp = 2*kernelsConnected >= len(reports)
-	v.countUnhealthy(pools)
+	v.countUnhealthy(groups)
 	v.arrivedByWeight = sumArrivedByWeight(reports)
 }
 
-// aggregateRates sets the zone's rates per second: the median per-node rate of the pools, times the number of nodes
+// aggregateRates sets the zone's rates per second: the median per-node rate of the groups, times the number of nodes
 // that are in.
-func (v *View) aggregateRates(pools []pooledReport) {
+func (v *View) aggregateRates(groups []reportGroup) {
 	rate := func(count func(r *api.LoadReport) float64) float64 {
-		perNode := make([]float64, 0, len(pools))
-		for i := range pools {
-			perSecond := count(&pools[i].LoadReport) * millisPerSecond / float64(pools[i].WindowMS)
-			perNode = append(perNode, perSecond/float64(len(pools[i].nodes)))
+		perNode := make([]float64, 0, len(groups))
+		for i := range groups {
+			perSecond := count(&groups[i].LoadReport) * millisPerSecond / float64(groups[i].WindowMS)
+			perNode = append(perNode, perSecond/float64(len(groups[i].nodes)))
 		}
 		return float64(v.NodesIn) * median(perNode)
 	}
@@ -64,10 +64,10 @@
 	})
 }
 
-func medianOf(pools []pooledReport, value func(r *api.LoadReport) float64) float64 {
-	values := make([]float64, 0, len(pools))
-	for i := range pools {
-		values = append(values, value(&pools[i].LoadReport))
+func medianOf(groups []reportGroup, value func(r *api.LoadReport) float64) float64 {
+	values := make([]float64, 0, len(groups))
+	for i := range groups {
+		values = append(values, value(&groups[i].LoadReport))
 	}
 	return median(values)
 }
--- a/internal/control/zones/decide.go
+++ b/internal/control/zones/decide.go
@@ -84,8 +84,8 @@
 func (d *decider) target(view *View) target { return target{view.Zone, d.state.Epoch} }
 
 // retryBudget returns the retry budget once the operation on view's zone is applied; see Monitor.retryBudget.
-func (d *decider) retryBudget(view *View, next Phase, listed bool) retryBudget {
-	retries, noCapacity := d.monitor.retryBudget(d.state, view, next, listed)
+func (d *decider) retryBudget(view *View, next Phase, getsFirstAttempts bool) retryBudget {
+	retries, noCapacity := d.monitor.retryBudget(d.state, view, next, getsFirstAttempts)
 	return retryBudget{retries, noCapacity}
 }
 
--- a/internal/control/zones/drill.go
+++ b/internal/control/zones/drill.go
@@ -12,8 +12,8 @@
 		return true
 	}
 	for _, other := range d.monitor.views {
-		unhealthy := other.unhealthyRatio() >= unhealthyShare
-		losesValue := other.OfferedWeight > 0 && other.CompletedWeight < (1-2*minEvacuationGain)*other.OfferedWeight
+		unhealthy := other.unhealthyRatio() >= minUnhealthyRatio
+		losesValue := other.OfferedWeight > 0 && other.CompletedWeight < (1-maxDrillLoss)*other.OfferedWeight
 		if d.state.inService(other.Zone) && other.hasQuorum() && (unhealthy || losesValue) {
 			other.Note = fmt.Sprintf("harmed by the drill of %s: %.0f of %.0f of value a second", zone.Name,
 				other.CompletedWeight, other.OfferedWeight)
--- a/internal/control/zones/evacuate.go
+++ b/internal/control/zones/evacuate.go
@@ -14,6 +14,8 @@
 	// minEvacuationGain is the least gain in completed weight that justifies an evacuation, as a part of the zone's
 	// offered weight. Smaller differences are within the error of the reports.
 	minEvacuationGain = 0.1
+	// maxDrillLoss is the part of its offered weight that another zone may fail to complete during a drill.
+	maxDrillLoss = 2 * minEvacuationGain
 	// minMovedShare, of api.FullShare, is the least part of a zone's load that is worth an epoch.
 	minMovedShare = api.FullShare / 8
 	// maxDelayDoublings bounds the shift in rampDelayMS, which must not overflow; MaxRampDelayMS applies earlier.
@@ -53,7 +55,7 @@
 		return o
 	}
 	others, ok := d.spareCapacity(view)
-	if !ok || view.unhealthyRatio() < unhealthyShare { // the score lags behind a zone that is healthy again
+	if !ok || view.unhealthyRatio() < minUnhealthyRatio { // the score lags behind a zone that is healthy again
 		return nil
 	}
 	if !d.chooseEvacuation(o, view, others) {
@@ -111,7 +113,7 @@
 	completed, offered := 0.0, 0.0
 	for _, other := range d.monitor.views {
 		usable := d.state.inService(other.Zone) && !other.silent() && other.hasQuorum()
-		healthy := other.unhealthyRatio() <= healthyShare || d.disabled.Has(CommonCause)
+		healthy := other.unhealthyRatio() <= maxUnhealthyRatio || d.disabled.Has(CommonCause)
 		if other == excluded || !usable || !healthy {
 			continue
 		}
--- a/internal/control/zones/generation.go
+++ b/internal/control/zones/generation.go
@@ -6,25 +6,25 @@
 )
 
 // BeginGeneration adapts a restored group's state to the nodes' records. epoch is the newest that any node has
-// received; limitedShares has the shares of the zones that nodes had a limited share of.
+// received; reducedShares has the shares of the zones that nodes had a limited share of.
 //
 // Guards against an epoch of the lost generation being taken for one of this: epochs continue after the newest. The
 // new epoch does not settle before the leases of the lost generation have expired, so rate limits are not exceeded.
 // Zones with a limited share are evacuated until they are healthy.
-func (s *State) BeginGeneration(epoch uint64, limitedShares map[string]int, fleet *membership.State) {
+func (s *State) BeginGeneration(epoch uint64, reducedShares map[string]int, fleet *membership.State) {
 	s.Epoch = max(s.Epoch, epoch) + 1
 	s.SettledEpoch = s.Epoch - 1
 	if s.Epoch == 1 {
 		s.SettledEpoch = 1 // no node has received an epoch
 	}
 	s.RetryBudget, s.NoCapacityElsewhere = 0, false
-	for _, name := range sortedKeys(limitedShares) {
+	for _, name := range sortedKeys(reducedShares) {
 		if zone := s.findOrAdd(name, fleet); zone != nil {
-			zone.evacuateRestored(s.Epoch, limitedShares[name], fleet.ClockMS)
+			zone.evacuateRestored(s.Epoch, reducedShares[name], fleet.ClockMS)
 		}
 	}
 	for _, zone := range s.Zones {
-		zone.reconcileRestored(limitedShares[zone.Name] != 0)
+		zone.reconcileRestored(reducedShares[zone.Name] != 0)
 	}
 	if !s.anyNodeInService(fleet) { // one zone must be in service; which one is unknown, so all are
 		for _, zone := range s.Zones {
--- a/internal/control/zones/pin_stream_test.go
+++ b/internal/control/zones/pin_stream_test.go
@@ -119,7 +119,7 @@
 		load.Completed, load.Late, load.CompletedWeight = runs/2, runs-runs/2, float64(runs)
 		load.RunsEnded /= 3
 	case "errors":
-		load.Failed = int(float64(runs) * (0.15 + 0.5*s.rng.Float64())) // around minFailedShare
+		load.Failed = int(float64(runs) * (0.15 + 0.5*s.rng.Float64())) // around minFailedRatio
 		load.Completed, load.CompletedWeight = runs-load.Failed, float64(runs)
 	case "stalled":
 		load.RunsEnded, load.Completed, load.Calls, load.CompletedWeight = 0, 0, 0, 0
--- a/internal/control/zones/pool.go
+++ b/internal/control/zones/pool.go
@@ -3,57 +3,57 @@
 import "umberwinch/internal/control/api"
 
 const (
-	// targetPoolRuns is the number of ended runs that a pool should have in a report's window, to give a rate and a
+	// targetGroupRuns is the number of ended runs that a group should have in a report's window, to give a rate and a
 	// ratio of failures.
-	targetPoolRuns = 8
-	// minPools is the least number of pools of a zone, so that a few nodes with wrong reports don't reach half of the
-	// pools.
-	minPools = 9
-	// minUnpooledRuns is the average number of runs per node from which reports are not pooled.
-	minUnpooledRuns = targetPoolRuns / 2
+	targetGroupRuns = 8
+	// minGroups is the least number of report groups of a zone, so that a few nodes with wrong reports don't reach half
+	// of the groups.
+	minGroups = 9
+	// minUngroupedRuns is the average number of runs per node from which reports are not grouped.
+	minUngroupedRuns = targetGroupRuns / 2
 )
 
-// pooledReport combines the reports of some nodes: counts are sums, times are weighted by the runs or calls that they
+// reportGroup combines the reports of some nodes: counts are sums, times are weighted by the runs or calls that they
 // describe, WindowMS is the mean.
-type pooledReport struct {
+type reportGroup struct {
 	api.LoadReport
 	nodes []*api.LoadReport
 }
 
-// poolReports combines reports until each pool has about targetPoolRuns runs, in at least minPools pools.
+// groupReports combines reports until each group has about targetGroupRuns runs, in at least minGroups pools.
 //
 // Where a node handles few requests in a window, as in a large fleet or at a small share, most reports have no run in
-// them, and neither has their median. A zone of fewer than twice minPools nodes is not pooled, as two in five wrong
-// reports must not reach every pool.
-func poolReports(reports []*api.LoadReport) []pooledReport {
-	pools := make([]pooledReport, poolCount(reports))
+// them, and neither has their median. A zone of fewer than twice minGroups nodes is not grouped, as two in five wrong
+// reports must not reach every group.
+func groupReports(reports []*api.LoadReport) []reportGroup {
+	groups := make([]reportGroup, groupCount(reports))
 	for i, report := range reports {
-		pool := &pools[i%len(pools)]
-		pool.nodes = append(pool.nodes, report)
+		group := &groups[i%len(groups)]
+		group.nodes = append(group.nodes, report)
 	}
-	for i := range pools {
-		pools[i].combine()
+	for i := range groups {
+		groups[i].combine()
 	}
-	return pools
+	return groups
 }
 
-func poolCount(reports []*api.LoadReport) int {
+func groupCount(reports []*api.LoadReport) int {
 	nodes := len(reports)
-	if nodes < 2*minPools {
+	if nodes < 2*minGroups {
 		return nodes
 	}
 	runsPerNode := 0.0
 	// capped per node, so that a few wrong reports don't decide the average
 	for _, report := range reports {
-		runsPerNode += min(targetPoolRuns, float64(report.RunsEnded)) / float64(nodes)
+		runsPerNode += min(targetGroupRuns, float64(report.RunsEnded)) / float64(nodes)
 	}
-	if runsPerNode >= minUnpooledRuns {
+	if runsPerNode >= minUngroupedRuns {
 		return nodes
 	}
-	return max(minPools, int(float64(nodes)*runsPerNode/targetPoolRuns))
+	return max(minGroups, int(float64(nodes)*runsPerNode/targetGroupRuns))
 }
 
-func (p *pooledReport) combine() {
+func (p *reportGroup) combine() {
 	if len(p.nodes) == 1 {
 		p.LoadReport = *p.nodes[0]
 		return
@@ -72,7 +72,7 @@
 }
 
 // add adds a report's values; until combine divides them, the means are sums of times.
-func (p *pooledReport) add(report *api.LoadReport) {
+func (p *reportGroup) add(report *api.LoadReport) {
 	p.WindowMS += report.WindowMS
 	p.Arrived += report.Arrived
 	p.Retries += report.Retries
--- a/internal/control/zones/pool_test.go
+++ b/internal/control/zones/pool_test.go
@@ -46,7 +46,7 @@
 				c.runsPerNode, rateBefore, view.RunRate)
 		}
 	}
-	if got := len(poolReports(idleReports(17))); got != 17 {
+	if got := len(groupReports(idleReports(17))); got != 17 {
 		t.Errorf("17 nodes in %d pools, want 17", got)
 	}
 }
--- a/internal/control/zones/ramp.go
+++ b/internal/control/zones/ramp.go
@@ -92,7 +92,7 @@
 		return 0, ""
 	}
 	// A zone that is only slow may be cold; its load decides below.
-	if view.FailureScore >= evacuateScore/2 && view.unhealthyRatio() >= unhealthyShare && !view.Symptom.isSlowness() {
+	if view.FailureScore >= evacuateScore/2 && view.unhealthyRatio() >= minUnhealthyRatio && !view.Symptom.isSlowness() {
 		return 0, fmt.Sprintf("%d of %d nodes heard are sick (%s)", view.NodesUnhealthy, view.NodesReporting,
 			view.Symptom)
 	}
@@ -138,7 +138,7 @@
 		return false
 	}
 	coldOnly := view.Symptom.isSlowness() && view.Symptom != symptomRunsLate
-	if view.unhealthyRatio() > healthyShare && !coldOnly {
+	if view.unhealthyRatio() > maxUnhealthyRatio && !coldOnly {
 		view.Note = fmt.Sprintf("at %d of %d: held, %d of %d sick (%s)", zone.Share, api.FullShare, view.NodesUnhealthy,
 			view.NodesReporting, view.Symptom)
 		return false
--- a/internal/control/zones/ramp_begin.go
+++ b/internal/control/zones/ramp_begin.go
@@ -49,7 +49,7 @@
 		return view.Note
 	case !view.KernelsUp:
 		return "most of its nodes have no kernel"
-	case zone.Share > 0 && view.unhealthyRatio() > healthyShare:
+	case zone.Share > 0 && view.unhealthyRatio() > maxUnhealthyRatio:
 		return fmt.Sprintf("%d of %d nodes heard are sick (%s)", view.NodesUnhealthy, view.NodesReporting, view.Symptom)
 	}
 	return ""
--- a/internal/control/zones/retry_budget.go
+++ b/internal/control/zones/retry_budget.go
@@ -12,25 +12,25 @@
 	noCapacityRatio = 0.05
 )
 
-// retryBudget returns how many retries of requests rejected by another zone each zone in service may admit per
-// api.FullShare first attempts, and whether no zone has capacity, so that a rejection is final.
+// retryBudget returns how many retries each zone in service may admit per api.FullShare first attempts, and whether no zone has capacity, so that a rejection is final.
 //
 // The fleet's demand is spread over all zones that callers send first attempts to. view is the zone that the
-// operation changes, next its phase after it, and listed whether callers then still send it first attempts. Guards
+// operation changes, next its phase after it. getsFirstAttempts: callers then still send it first attempts. Guards
 // against an evacuated zone's callers overloading the other zones.
-func (m *Monitor) retryBudget(state *State, view *View, next Phase, listed bool) (budget int, noCapacity bool) {
-	demand, capacity, nodesIn, nodesListed := m.fleetView.demand, 0.0, 0, 0
+func (m *Monitor) retryBudget(state *State, view *View, next Phase, getsFirstAttempts bool) (
+	budget int, noCapacity bool) {
+	demand, capacity, nodesIn, nodesWithFirstAttempts := m.fleetView.demand, 0.0, 0, 0
 	for _, other := range m.views {
 		phase, share := state.PhaseOf(other.Zone)
-		isListed := phase != InService && share > 0 && !other.silent()
+		hasFirstAttempts := phase != InService && share > 0 && !other.silent()
 		if other == view {
-			phase, isListed = next, listed
+			phase, hasFirstAttempts = next, getsFirstAttempts
 		}
 		switch {
-		case phase != InService && isListed:
-			nodesListed += other.NodesIn
+		case phase != InService && hasFirstAttempts:
+			nodesWithFirstAttempts += other.NodesIn
 		case phase == InService && other.hasQuorum():
-			nodesListed += other.NodesIn
+			nodesWithFirstAttempts += other.NodesIn
 			nodesIn += other.NodesIn
 			capacity += maxUtilization * other.RunCapacity
 		}
@@ -38,7 +38,7 @@
 	if nodesIn == 0 || demand <= 0 {
 		return 0, false
 	}
-	firstAttempts := demand * float64(nodesIn) / float64(max(1, nodesListed))
+	firstAttempts := demand * float64(nodesIn) / float64(max(1, nodesWithFirstAttempts))
 	ratio := capacity/firstAttempts - 1
 	return int(api.FullShare * min(maxRetryRatio, max(minRetryRatio, ratio))), ratio < noCapacityRatio
 }
--- a/internal/control/zones/score.go
+++ b/internal/control/zones/score.go
@@ -20,10 +20,10 @@
 	reducedUnhealthyPoints = unhealthyPoints / 2
 	// minProbeResults is the least number of probe results by which a zone counts as dead.
 	minProbeResults = 2
-	// A zone that gets fewer than its usual first attempts divided by unreachableDivisor is out of reach of its callers,
-	// if the usual rate is above minUsualAttemptRate a second.
-	unreachableDivisor  = 20
-	minUsualAttemptRate = 1
+	// A zone that gets fewer than its observed first attempts divided by unreachableDivisor is out of reach of its callers,
+	// if the observed rate is above minObservedAttemptRate a second.
+	unreachableDivisor     = 20
+	minObservedAttemptRate = 1
 )
 
 // score updates a zone's failure score, which grows with the time and certainty of a failure. An evaluation without
@@ -36,20 +36,20 @@
 	case !view.hasQuorum():
 		view.Note = fmt.Sprintf("%d of %d nodes heard: nothing can be told", view.NodesReporting, view.NodesIn)
 		return
-	case view.unhealthyRatio() >= unhealthyShare:
+	case view.unhealthyRatio() >= minUnhealthyRatio:
 		m.scoreUnhealthy(now, state, view, disabled)
-	case view.unhealthyRatio() <= healthyShare:
+	case view.unhealthyRatio() <= maxUnhealthyRatio:
 		view.addScore(healthyPoints)
 	default:
 		view.addScore(uncertainPoints)
 	}
 	inService := state.inService(view.Zone)
-	if view.NodesUnhealthy > 0 && view.unhealthyRatio() < unhealthyShare {
+	if view.NodesUnhealthy > 0 && view.unhealthyRatio() < minUnhealthyRatio {
 		view.Note = fmt.Sprintf("%d of %d nodes heard are sick (%s): not the zone", view.NodesUnhealthy,
 			view.NodesReporting, view.Symptom)
 	}
-	usualRate := view.observed.FirstAttemptRate
-	if usualRate > minUsualAttemptRate && view.FirstAttemptRate < usualRate/unreachableDivisor && inService {
+	observedRate := view.observed.FirstAttemptRate
+	if observedRate > minObservedAttemptRate && view.FirstAttemptRate < observedRate/unreachableDivisor && inService {
 		view.Note = "hardly any callers reach it: nothing is won by leaving it"
 	}
 	// Guards against averaging in the reports of a fleet that ramps, whose services are cold and whose rate is limited.
@@ -95,7 +95,7 @@
 		}
 		inService++
 		isSlow := view.Symptom.isSlowness()
-		isHealthy := other.unhealthyRatio() <= healthyShare && !(other.atCapacity && isSlow)
+		isHealthy := other.unhealthyRatio() <= maxUnhealthyRatio && !(other.atCapacity && isSlow)
 		if other.hasQuorum() && (isHealthy || other.Symptom.isSlowness() && !isSlow) {
 			healthy++
 		}
--- a/internal/control/zones/symptom.go
+++ b/internal/control/zones/symptom.go
@@ -18,7 +18,7 @@
 	symptomCallsSlow Symptom = "calls below that crawl"
 	symptomRunsFail  Symptom = "runs that fail"
 	symptomRunsLate  Symptom = "lateness"
-	symptomRunsSlow  Symptom = "slowness" // much longer than usual
+	symptomRunsSlow  Symptom = "slowness" // much longer than observed while healthy
 )
 
 // symptoms in order of precedence among equally frequent ones.
@@ -31,39 +31,39 @@
 }
 
 const (
-	// A time is slow above slowFactor times the usual and slowMarginMS. Load alone does not slow a run that much, as
-	// run slots are bounded; the margin keeps times of about a millisecond from counting.
+	// A time is slow above slowFactor times the observed one plus slowMarginMS. Load alone does not slow a run that
+	// much, as run slots are bounded; the margin keeps times of about a millisecond from counting.
 	slowFactor   = 3.0
 	slowMarginMS = 5
-	// minFailedShare is the part of calls or outcomes from which failures are a symptom.
-	minFailedShare = 0.3
+	// minFailedRatio is the part of calls or outcomes from which failures are a symptom.
+	minFailedRatio = 0.3
 	// minSamples is the least number of runs or calls, minOutcomes that of responses, to judge a node by.
 	minSamples  = 3
 	minOutcomes = 5
 	// Runs are stalled if they hold all cores and none ended in a window of stallWindowMS or more, which is also
-	// longer than stallFactor times the usual run time.
+	// longer than stallFactor times the observed run time.
 	stallWindowMS = 900
 	stallFactor   = 4
 	// atCapacityFraction of the observed run rate: a slow zone that completes this much is overloaded, not failing.
 	atCapacityFraction = 0.7
 )
 
-// symptomOf returns a node's symptom by its report and the zone's usual times. Symptoms closer to the cause come
-// first: failed calls make runs fail or late. Without a usual time nothing is slow.
+// symptomOf returns a node's symptom by its report and the zone's observed times. Symptoms closer to the cause come
+// first: failed calls make runs fail or late. Without an observed time nothing is slow.
 func (v *View) symptomOf(report *api.LoadReport) Symptom {
 	outcomes := report.Completed + report.Late + report.Failed
 	switch {
 	case !report.KernelConnected:
 		return symptomKernel
-	case report.Calls >= minSamples && float64(report.FailedCalls) >= minFailedShare*float64(report.Calls):
+	case report.Calls >= minSamples && float64(report.FailedCalls) >= minFailedRatio*float64(report.Calls):
 		return symptomCallsFail
 	case v.isStalled(report):
 		return symptomKernel
 	case report.Calls >= minSamples && isSlow(report.MeanCallMS, v.observed.CallMS):
 		return symptomCallsSlow // before failed runs, which slow calls may cause
-	case outcomes >= minOutcomes && float64(report.Failed) >= minFailedShare*float64(outcomes):
+	case outcomes >= minOutcomes && float64(report.Failed) >= minFailedRatio*float64(outcomes):
 		return symptomRunsFail
-	case outcomes >= minOutcomes && float64(report.Late+report.Failed) >= minFailedShare*float64(outcomes):
+	case outcomes >= minOutcomes && float64(report.Late+report.Failed) >= minFailedRatio*float64(outcomes):
 		return symptomRunsLate
 	case report.RunsEnded >= minSamples && isSlow(report.MeanRunMS, v.observed.RunMS):
 		return symptomRunsSlow
@@ -74,16 +74,18 @@
 // isStalled reports whether runs hold all cores and none ends. A stalled kernel keeps its connection, so
 // KernelConnected does not show it.
 func (v *View) isStalled(report *api.LoadReport) bool {
-	usualRunMS := v.observed.RunMS
+	observedRunMS := v.observed.RunMS
 	return float64(report.RunsInFlight) >= report.Cores && report.RunsEnded == 0 && report.WindowMS >= stallWindowMS &&
-		usualRunMS > 0 && float64(report.WindowMS) > stallFactor*usualRunMS
+		observedRunMS > 0 && float64(report.WindowMS) > stallFactor*observedRunMS
 }
 
-func isSlow(ms, usualMS float64) bool { return usualMS > 0 && ms > slowFactor*usualMS+slowMarginMS }
+func isSlow(ms, observedMS float64) bool {
+	return observedMS > 0 && ms > slowFactor*observedMS+slowMarginMS
+}
 
 // countUnhealthy counts the unhealthy nodes: each by its own report, and all nodes of a pool whose combined report
 // shows a symptom that their own reports are too small to show.
-func (v *View) countUnhealthy(pools []pooledReport) {
+func (v *View) countUnhealthy(pools []reportGroup) {
 	counts := map[Symptom]int{}
 	var failedRatios []float64
 	for i := range pools {
--- a/internal/control/zones/view.go
+++ b/internal/control/zones/view.go
@@ -56,17 +56,17 @@
 const loadHistory = 3
 
 const (
-	// unhealthyShare of the reporting nodes makes a zone unhealthy: more than half, so that two in five wrong reports
+	// minUnhealthyRatio of the reporting nodes makes a zone unhealthy: more than half, so that two in five wrong reports
 	// leave it in service.
-	unhealthyShare = 0.6
-	// healthyShare is the largest part of unhealthy nodes in a healthy zone.
-	healthyShare = 0.25
+	minUnhealthyRatio = 0.6
+	// maxUnhealthyRatio is the largest part of unhealthy nodes in a healthy zone.
+	maxUnhealthyRatio = 0.25
 	// quorumDivisor: at least the nodes in divided by this have to report for a zone to be judged.
 	quorumDivisor = 3
-	// A zone is silent if at least silentShareNumerator in silentShareDenominator of its nodes are: single nodes of
+	// A zone is silent if at least silentRatioNumerator in silentRatioDenominator of its nodes are: single nodes of
 	// a dead zone may still respond.
-	silentShareNumerator   = 9
-	silentShareDenominator = 10
+	silentRatioNumerator   = 9
+	silentRatioDenominator = 10
 )
 
 // hasQuorum reports whether enough of a zone's nodes report to judge it.
@@ -82,7 +82,7 @@
 // silent reports whether nearly all nodes of the zone are silent.
 func (v *View) silent() bool {
 	return v.NodesSilent > 0 &&
-		v.NodesSilent*silentShareDenominator >= silentShareNumerator*max(v.NodesIn, v.NodesSilent)
+		v.NodesSilent*silentRatioDenominator >= silentRatioNumerator*max(v.NodesIn, v.NodesSilent)
 }
 
 // recordLoad sets the load of this evaluation: runs in flight divided by those observed.
--- a/internal/node/agent/versions.go
+++ b/internal/node/agent/versions.go
@@ -80,8 +80,8 @@
 // version is not fetched again, unless the rejection isn't permanent and the version is committed.
 func (a *Agent) VersionToFetch() (version api.VersionHash, committed, ok bool) {
 	v := &a.versions
-	refused := v.rejected.permanent && v.rejected.version == v.committed.Version
-	if v.committed.Version > v.active.Version && !v.has(v.committed) && !refused {
+	permanentlyRejected := v.rejected.permanent && v.rejected.version == v.committed.Version
+	if v.committed.Version > v.active.Version && !v.has(v.committed) && !permanentlyRejected {
 		return v.committed, true, true
 	}
 	if v.proposed.Version > v.active.Version && !v.has(v.proposed) && v.rejected.version != v.proposed.Version {
--- a/internal/node/pools/pools.go
+++ b/internal/node/pools/pools.go
@@ -130,8 +130,8 @@
 	c.shed++
 }
 
-// Started reports that a queued request got a run slot; waited is its queue delay.
-func (p *Pools) Started(now Time, id uint32, waited Time) {
+// Started reports that a queued request got a run slot after queueDelay.
+func (p *Pools) Started(now Time, id uint32, queueDelay Time) {
 	o := p.queued[id]
 	c := p.unqueue(id)
 	if c == nil {
@@ -143,7 +143,7 @@
 	c.byTenant.running[o.tenant]++
 	c.byCaller.running[o.caller]++
 	c.running++
-	c.lastDelay = waited
+	c.lastDelay = queueDelay
 	r := p.newRun()
 	*r = run{owner: o, resumedAt: now}
 	p.runs[id] = r
@@ -171,16 +171,16 @@
 	r.resumedAt, r.atCall = now, atCall
 }
 
-// Ended reports the end of a run, which frees its slot. done: it had a result; inTime: it met the latency objective.
-// Runs without a result, stopped or hung, don't count in their class's cost.
-func (p *Pools) Ended(now Time, id uint32, done, inTime bool) {
+// Ended reports the end of a run, which frees its slot. succeeded: it had a result; inTime: it met the latency
+// objective. Runs without a result, stopped or hung, don't count in their class's cost.
+func (p *Pools) Ended(now Time, id uint32, succeeded, inTime bool) {
 	r := p.runs[id]
 	if r == nil {
 		return
 	}
 	c := &p.classes[r.class]
 	work := float64(r.workSoFar(now))
-	if done {
+	if succeeded {
 		c.cost.history.add(now, work)
 	}
 	if !inTime {
--- a/internal/node/shadow/evaluation.go
+++ b/internal/node/shadow/evaluation.go
@@ -6,8 +6,9 @@
 	"umberwinch/admission"
 )
 
-// Outcome counts the results of the requests of one replay. Offered, Completed, OnTime, Shed and Failed exclude probes.
-type Outcome struct {
+// Counts is the number of results, by kind, of one replay's requests. Offered, Completed, OnTime, Shed and Failed
+// exclude probes.
+type Counts struct {
 	Offered    int // requests that arrived
 	Completed  int
 	OnTime     int // of Completed, within the latency objective
@@ -22,7 +23,7 @@
 
 // Verdict is the result of an evaluation.
 type Verdict struct {
-	Current, Candidate Outcome
+	Current, Candidate Counts
 	Requests           int    // in the recording
 	Reason             string // why the candidate is rejected; empty: it may be activated
 }
--- a/internal/node/shadow/pin_trials_test.go
+++ b/internal/node/shadow/pin_trials_test.go
@@ -55,7 +55,7 @@
 		if v.Reason != "" {
 			rejected++
 		}
-		for _, o := range []Outcome{v.Current, v.Candidate} {
+		for _, o := range []Counts{v.Current, v.Candidate} {
 			fmt.Fprintln(sum, o.Offered, o.Completed, o.OnTime, o.Shed, o.Failed, o.Unanswered, o.PeakKB, o.Rounds,
 				o.ProbesCompleted)
 		}
--- a/internal/node/shadow/replay.go
+++ b/internal/node/shadow/replay.go
@@ -27,12 +27,12 @@
 
 // replay replays the recorded requests on an emulated server, then sends probes one at a time. retired reports by
 // handler whether its requests are shed before they reach the controller.
-func replay(deployment *admission.Deployment, retired []bool, rec *Recording) Outcome {
+func replay(deployment *admission.Deployment, retired []bool, rec *Recording) Counts {
 	copied := *deployment
 	copied.Pools = nil // they hold state of the real server
 	copied.ColdStart, copied.Start = false, replayStart
 	s := &server{deployment: &copied, now: replayStart, requests: map[uint32]*request{}, retired: retired,
-		runTimes: rec.runTimes, outcome: Outcome{ProbesCompleted: make([]int, len(copied.Handlers))}}
+		runTimes: rec.runTimes, outcome: Counts{ProbesCompleted: make([]int, len(copied.Handlers))}}
 	s.controller = admission.New(&copied)
 	s.replayArrivals(rec)
 	s.advanceTo(s.now + s.longestTimeout() + probeDelay)
--- a/internal/node/shadow/server.go
+++ b/internal/node/shadow/server.go
@@ -16,7 +16,7 @@
 	open     []uint32        // ids of open requests in order of arrival
 	round    admission.Round // input of the next round
 	memoryKB float64
-	outcome  Outcome
+	outcome  Counts
 }
 
 // request is an open request of a replay.
