--- a/internal/control/coordinator/append_timer.go
+++ b/internal/control/coordinator/append_timer.go
@@ -4,8 +4,8 @@
 // appended again.
 const appendTimeoutMS = 5000
 
-// appendTimer measures the time from an entry's append to its application. The zero value is stopped, and so is a timer
-// started at 0 ms, before the leader's first Tick.
+// appendTimer measures the time from an entry's append to its application. The zero value is stopped. A timer that is
+// started at 0 ms, before the leader's first Tick, stays stopped.
 type appendTimer struct {
 	sinceMS uint64 // 0: stopped
 }
--- a/internal/control/coordinator/errors.go
+++ b/internal/control/coordinator/errors.go
@@ -23,7 +23,7 @@
 // errNoJoinResult is an internal error: an applied batch has no result for a join request. The node retries.
 var errNoJoinResult = errors.New("the beat had no joining")
 
-// VersionMissingError is returned for a configuration version that the group no longer stores.
+// VersionMissingError is returned for a policy version whose text the group no longer stores.
 type VersionMissingError struct{ Version uint64 }
 
 func (e *VersionMissingError) Error() string {
--- a/internal/control/coordinator/leader.go
+++ b/internal/control/coordinator/leader.go
@@ -125,7 +125,7 @@
 	case BatchApplied:
 		l.batchApplied(s, &o)
 	case zones.Result:
-		if o.IdempotencyKey == "" {
+		if o.IdempotencyKey == "" { // the leader's own: an operator's operation has a key
 			l.zoneAppendTimer.stop()
 		}
 		l.zoneOps.applied(o, func(op *zones.Op) bool { return op.IdempotencyKey == o.IdempotencyKey })
--- a/internal/control/policy/state.go
+++ b/internal/control/policy/state.go
@@ -1,6 +1,7 @@
 package policy
 
-// State is the replicated state of policy changes. The zero value has no policy.
+// State is the replicated state of policy changes. The zero value has no policy. A version numbers one text: the
+// configuration document that contains the policy.
 type State struct {
 	LastNumber       uint64    `json:"number"` // of the newest change
 	DecidedVersion   uint64    `json:"need"`   // a lease is extended only with a promise of this version
--- a/internal/control/zones/cold_start.go
+++ b/internal/control/zones/cold_start.go
@@ -7,11 +7,11 @@
 )
 
 // BeginColdStart begins a ramp of the whole fleet if at least half its nodes have just restarted, and reports whether it
-// did. After a restart the services below are cold and without connections, and sustain only a part of their former
+// did. After a restart the services below are cold and without connections, and sustain only a part of their observed
 // load.
 //
 // It is called while a batch of heartbeats is applied, so that the responses to that batch's joins already carry the
-// limited share. It does nothing unless the policy enables small_start and a capacity was observed.
+// reduced share. It does nothing unless the policy enables small_start and a capacity was observed.
 func (s *State) BeginColdStart(fleet *membership.State, rules *api.ZoneRules, disabled Guard) (started bool) {
 	if rules.Mode != api.ZoneModeAuto || !rules.ColdStart || disabled.Has(ColdStart) {
 		return false
--- a/internal/control/zones/generation.go
+++ b/internal/control/zones/generation.go
@@ -6,11 +6,11 @@
 )
 
 // BeginGeneration adapts a restored group's state to the nodes' records. epoch is the newest that any node has
-// received; reducedShares has the shares of the zones that nodes had a limited share of.
+// received; reducedShares has the shares of the zones that nodes had a reduced share of.
 //
 // Guards against an epoch of the lost generation being taken for one of this: epochs continue after the newest. The
 // new epoch does not settle before the leases of the lost generation have expired, so rate limits are not exceeded.
-// Zones with a limited share are evacuated until they are healthy.
+// Zones with a reduced share are evacuated until they are healthy.
 func (s *State) BeginGeneration(epoch uint64, reducedShares map[string]int, fleet *membership.State) {
 	s.Epoch = max(s.Epoch, epoch) + 1
 	s.SettledEpoch = s.Epoch - 1
@@ -45,7 +45,7 @@
 }
 
 // reconcileRestored corrects a zone's restored state, which may be older than the nodes' orders. A zone evacuated by
-// an operator stays evacuated; another zone out of service returns to service unless nodes had a limited share of it.
+// an operator stays evacuated; another zone out of service returns to service unless nodes had a reduced share of it.
 func (z *Zone) reconcileRestored(limited bool) {
 	byOperator := (z.Phase == Evacuated || z.Phase == Evacuating) && z.Operator != ""
 	switch {
--- a/internal/control/zones/ramp.go
+++ b/internal/control/zones/ramp.go
@@ -161,7 +161,7 @@
 			view.Concurrency, zone.Capacity.Concurrency)
 		return nil
 	}
-	// A service that is slower than usual sustains a lower rate than its observed peak.
+	// A service that is slower than observed while healthy sustains a lower rate than its observed peak.
 	maxShare := float64(api.FullShare)
 	if slowdownRatio := slowdown(view, &zone.Capacity); slowdownRatio > slowdownTolerance {
 		maxShare *= slowdownTolerance / slowdownRatio
@@ -173,14 +173,14 @@
 	return d.rampStep(zone, view, min(api.FullShare, share), basis)
 }
 
-// isWarm reports whether the services below are about as fast as usual.
+// isWarm reports whether the services below are about as fast as observed while healthy.
 func isWarm(view *View, capacity *ObservedCapacity) bool {
 	slowdownRatio := slowdown(view, capacity)
 	return slowdownRatio > 0 && slowdownRatio <= maxWarmSlowdown
 }
 
-// slowdown returns the time of the services below as a multiple of the usual, 0 if unknown. Call times are preferred:
-// a run includes the node's own work, which hides a slow call.
+// slowdown returns the time of the services below as a multiple of the observed, 0 if unknown. Call times are
+// preferred: a run includes the node's own work, which hides a slow call.
 func slowdown(view *View, capacity *ObservedCapacity) float64 {
 	switch {
 	case capacity.CallMS > 0 && view.CallMS > 0:
--- a/internal/control/zones/retry_budget.go
+++ b/internal/control/zones/retry_budget.go
@@ -12,7 +12,8 @@
 	noCapacityRatio = 0.05
 )
 
-// retryBudget returns how many retries each zone in service may admit per api.FullShare first attempts, and whether no zone has capacity, so that a rejection is final.
+// retryBudget returns how many retries each zone in service may admit per api.FullShare first attempts, and
+// whether no zone has capacity, so that a rejection of a retry is final.
 //
 // The fleet's demand is spread over all zones that callers send first attempts to. view is the zone that the
 // operation changes, next its phase after it. getsFirstAttempts: callers then still send it first attempts. Guards
--- a/internal/node/zonegate/doc.go
+++ b/internal/node/zonegate/doc.go
@@ -1,7 +1,7 @@
 // Package zonegate applies a zone's order at one node. Gate admits the node's quota of requests and of connections
 // to dependencies; Meter measures the load that the node reports with each heartbeat.
 //
-// It owns the order in force at this node, the token buckets of its limits, and the counters of the last two seconds.
+// It owns the current order of this node, the token buckets of its limits, and the counters of the last two seconds.
 // Its inputs are the order that the control service sent (api.ZoneOrder), requests as plain values, and the time in
 // milliseconds of a monotonic clock. It reads no clock and no socket. It is not safe for concurrent use: one goroutine
 // owns a Gate and its Meter.
