--- a/admission/start_runs.go
+++ b/admission/start_runs.go
@@ -5,7 +5,7 @@
 // server.
 const drainRunTimeReserve = 1.5
 
-// startRuns gives free run slots to queued requests in strict arrival order. With pools, a request whose class has no
+// startRuns gives free run slots to queued requests strictly in queue order. With pools, a request whose class has no
 // slot is passed by later ones; the scan restarts at the head after each start, which may change the pools' limits.
 //
 // A request that waits for its original's run is not started itself. Guards against a retry that has a slot in its
--- a/internal/node/pools/class.go
+++ b/internal/node/pools/class.go
@@ -85,6 +85,7 @@
 const roundingMargin = 1e-9
 
 // usage counts the running and queued requests of a class by tenant, or by bucket of callers.
+// Heavy runs count as running.
 type usage struct{ running, queued []int }
 
 func newUsage(n int) usage { return usage{make([]int, n), make([]int, n)} }
