--- a/internal/control/coordinator/errors.go
+++ b/internal/control/coordinator/errors.go
@@ -8,7 +8,7 @@
 // Errors returned by Leader.
 var (
 	// ErrBusy is returned when too many heartbeats or operators' operations are pending. The caller may retry shortly.
-	// Its text names nodes, but operators receive it as well.
+	// Operators receive the same text as nodes.
 	ErrBusy = errors.New("too many nodes ask at once")
 	// ErrStateLost is returned after nodes have proved that the group has lost committed state.
 	ErrStateLost = errors.New("the group has lost state and grants nothing: umberctl control recover")
@@ -23,7 +23,7 @@
 // errNoJoinResult is an internal error: an applied batch has no result for a join request. The node retries.
 var errNoJoinResult = errors.New("the beat had no joining")
 
-// VersionMissingError is returned for a configuration version that the group no longer stores.
+// VersionMissingError is returned for a policy version whose text the group no longer stores.
 type VersionMissingError struct{ Version uint64 }
 
 // Error names the missing version.
--- a/internal/node/pools/class.go
+++ b/internal/node/pools/class.go
@@ -30,7 +30,7 @@
 
 	fairSlots float64 // its fair share of the slots, by need and value per work
 	usedSlots float64 // mean slots in use over recent history
-	needsMore bool    // it needs more than its fair slots; limits of other classes are not cut
+	needsMore bool    // it needs more than its fair slots; only the limits of such classes are cut
 
 	lastDelay        Time // queue delay of the last request to start
 	shed             uint64
@@ -85,6 +85,7 @@
 const roundingMargin = 1e-9
 
 // usage counts the running and queued requests of a class by tenant, or by bucket of callers.
+// Heavy runs count as running.
 type usage struct{ running, queued []int }
 
 func newUsage(n int) usage { return usage{make([]int, n), make([]int, n)} }
