--- a/internal/control/coordinator/leader_test.go
+++ b/internal/control/coordinator/leader_test.go
@@ -239,7 +239,7 @@
 	}
 	restored := NewState(0)
 	err = restored.Restore(raw)
-	if c := restored.Policy.Current; err != nil || c == nil || c.Step != policy.Preparing || restored.Fleet.Epoch != 2 {
+	if c := restored.Policy.Current; err != nil || c == nil || c.Step != policy.Preparing || restored.Fleet.FleetEpoch != 2 {
 		t.Errorf("restored change %+v (error %v), want it preparing at fleet epoch 2", c, err)
 	}
 	abort := policy.Op{Kind: policy.OpAbort, ChangeNumber: 1, Author: "t", Reason: "enough"}
--- a/internal/control/membership/join.go
+++ b/internal/control/membership/join.go
@@ -71,7 +71,7 @@
 // lease promises them.
 func (s *State) beginIncarnation(n *Node, j *api.JoinRequest, terms LeaseTerms) {
 	s.lastLeaseID++
-	s.Epoch++
+	s.FleetEpoch++
 	n.Zone, n.Addr = j.Zone, j.Addr
 	n.OutReason, n.OutAtMS = "", 0
 	n.Lease = Lease{ID: s.lastLeaseID, Nonce: j.Nonce, MinVersion: terms.DecidedVersion, MinZoneEpoch: terms.ZoneEpoch}
--- a/internal/control/membership/snapshot.go
+++ b/internal/control/membership/snapshot.go
@@ -24,7 +24,7 @@
 	return json.Marshal(snapshot{
 		ClockMS:               s.ClockMS,
 		Batches:               s.Batches,
-		Epoch:                 s.Epoch,
+		Epoch:                 s.FleetEpoch,
 		Term:                  s.Term,
 		ListeningSinceMS:      s.ListeningSinceMS,
 		LastLeaseID:           s.lastLeaseID,
@@ -44,7 +44,7 @@
 		return nil, fmt.Errorf("%w of %d nodes, expected at most %d", ErrSnapshot, len(stored.Nodes), MaxNodes)
 	}
 	s := New()
-	s.ClockMS, s.Batches, s.Epoch, s.Term = stored.ClockMS, stored.Batches, stored.Epoch, stored.Term
+	s.ClockMS, s.Batches, s.FleetEpoch, s.Term = stored.ClockMS, stored.Batches, stored.Epoch, stored.Term
 	s.ListeningSinceMS, s.UnknownLeasesExpireMS = stored.ListeningSinceMS, stored.UnknownLeasesExpireMS
 	s.LostState, s.lastLeaseID = stored.LostState, stored.LastLeaseID
 	for i, n := range stored.Nodes {
--- a/internal/control/membership/state.go
+++ b/internal/control/membership/state.go
@@ -9,7 +9,7 @@
 type State struct {
 	ClockMS          uint64 // the group's clock
 	Batches          uint64 // batches applied so far
-	Epoch            uint64 // fleet epoch: joins so far; a decision about all nodes names the epoch it applies to
+	FleetEpoch       uint64 // fleet epoch: joins so far; a decision about all nodes names the epoch it applies to
 	Term             uint64 // of the leader of the last applied batch
 	ListeningSinceMS uint64 // clock at the first batch of that leader's term
 	// UnknownLeasesExpireMS is the clock at which the last lease expires that an earlier generation may have granted to
--- a/internal/control/policy/apply.go
+++ b/internal/control/policy/apply.go
@@ -103,8 +103,8 @@
 	if c.Step != Preparing {
 		return c.wrongStepRejection(Preparing)
 	}
-	if o.FleetEpoch != f.Epoch && !disabled.Has(PrepareAll) {
-		return fmt.Sprintf("decided for the fleet of epoch %d, and it is in %d: a node joined", o.FleetEpoch, f.Epoch)
+	if o.FleetEpoch != f.FleetEpoch && !disabled.Has(PrepareAll) {
+		return fmt.Sprintf("decided for the fleet of epoch %d, and it is in %d: a node joined", o.FleetEpoch, f.FleetEpoch)
 	}
 	s.DecidedVersion, c.DecidedAtMS = c.Version, f.ClockMS
 	c.addEvent(f.ClockMS, "decided")
--- a/internal/control/policy/next.go
+++ b/internal/control/policy/next.go
@@ -41,11 +41,11 @@
 	mayLeaveBehind := timedOut && unprepared <= c.Proposal.MaxLeftBehind && f.ClockMS >= f.UnknownLeasesExpireMS
 	switch {
 	case disabled.Has(PrepareAll) && 2*unprepared < len(f.Nodes()):
-		return Decide{ChangeNumber: c.Number, FleetEpoch: f.Epoch}
+		return Decide{ChangeNumber: c.Number, FleetEpoch: f.FleetEpoch}
 	case len(refusals) > c.Proposal.MaxLeftBehind:
 		return Abort{ChangeNumber: c.Number, Reason: "refused by " + summarizeBlockers(refusals)}
 	case len(blockers) == 0 || mayLeaveBehind:
-		decide := Decide{ChangeNumber: c.Number, FleetEpoch: f.Epoch}
+		decide := Decide{ChangeNumber: c.Number, FleetEpoch: f.FleetEpoch}
 		for _, b := range append(refusals, blockers...) {
 			decide.LeftBehind = append(decide.LeftBehind, b.Node)
 		}
--- a/internal/control/policy/policy_test.go
+++ b/internal/control/policy/policy_test.go
@@ -113,11 +113,11 @@
 	terms := membership.LeaseTerms{LeaseMS: 4000}
 	f, s := newFleet(t, terms, "a", "b"), &State{}
 	s.Apply(Propose{testProposal(1)}, f, testVersions{}, 0)
-	staleDecide := Decide{ChangeNumber: 1, FleetEpoch: f.Epoch - 1}
+	staleDecide := Decide{ChangeNumber: 1, FleetEpoch: f.FleetEpoch - 1}
 	if r := s.Apply(staleDecide, f, testVersions{}, 0); r.Rejection == "" {
 		t.Fatal("decide for an earlier fleet epoch was applied, want it rejected")
 	}
-	if r := s.Apply(Decide{ChangeNumber: 1, FleetEpoch: f.Epoch}, f, testVersions{}, 0); r.Rejection != "" {
+	if r := s.Apply(Decide{ChangeNumber: 1, FleetEpoch: f.FleetEpoch}, f, testVersions{}, 0); r.Rejection != "" {
 		t.Fatal(r.Rejection)
 	}
 	for _, o := range []Operation{Abort{ChangeNumber: 1}, Decide{ChangeNumber: 1}, Settle{1}} {
--- a/internal/simulation/fleet_control.go
+++ b/internal/simulation/fleet_control.go
@@ -123,7 +123,7 @@
 // behind.
 func (f *Fleet) checkAllPrepared(op *policy.Op) {
 	c := f.state.Policy.Current
-	if c == nil || c.Number != op.ChangeNumber || c.Step != policy.Preparing || op.FleetEpoch != f.state.Fleet.Epoch &&
+	if c == nil || c.Number != op.ChangeNumber || c.Step != policy.Preparing || op.FleetEpoch != f.state.Fleet.FleetEpoch &&
 		!f.DisabledGuards.Has(policy.PrepareAll) {
 		return
 	}
